--- a/crates/linenthread-adapter/src/frame.rs
+++ b/crates/linenthread-adapter/src/frame.rs
@@ -17,10 +17,12 @@
     }
 
     pub fn bytes(&mut self, n: usize, field: &str) -> Result<&'a [u8], String> {
-        let (head, tail) = self
-            .rest
-            .split_at_checked(n)
-            .ok_or_else(|| format!("truncated frame: {field} needs {n} bytes, {} left", self.rest.len()))?;
+        let (head, tail) = self.rest.split_at_checked(n).ok_or_else(|| {
+            format!(
+                "truncated frame: {field} needs {n} bytes, {} left",
+                self.rest.len()
+            )
+        })?;
         self.rest = tail;
         Ok(head)
     }
@@ -47,12 +49,20 @@
 
     pub fn f32(&mut self, field: &str) -> Result<f32, String> {
         let value = f32::from_be_bytes(self.array(field)?);
-        if value.is_finite() { Ok(value) } else { Err(format!("{field} is not a finite number")) }
+        if value.is_finite() {
+            Ok(value)
+        } else {
+            Err(format!("{field} is not a finite number"))
+        }
     }
 
     pub fn f64(&mut self, field: &str) -> Result<f64, String> {
         let value = f64::from_be_bytes(self.array(field)?);
-        if value.is_finite() { Ok(value) } else { Err(format!("{field} is not a finite number")) }
+        if value.is_finite() {
+            Ok(value)
+        } else {
+            Err(format!("{field} is not a finite number"))
+        }
     }
 }
 
@@ -64,7 +74,10 @@
 
 impl Reply {
     pub fn new() -> Self {
-        Reply { bytes: vec![0; 8], records: 0 }
+        Reply {
+            bytes: vec![0; 8],
+            records: 0,
+        }
     }
 
     pub fn record(&mut self, code: u8, who: u32) -> &mut Self {
@@ -110,9 +123,15 @@
         return Err(format!("frame length {length} is shorter than a header"));
     }
     let mut body = Vec::new();
-    input.take(length - 4).read_to_end(&mut body).map_err(|e| format!("cannot read standard input: {e}"))?;
+    input
+        .take(length - 4)
+        .read_to_end(&mut body)
+        .map_err(|e| format!("cannot read standard input: {e}"))?;
     if body.len() as u64 != length - 4 {
-        return Err(format!("truncated frame: {} of {length} bytes", body.len() + 4));
+        return Err(format!(
+            "truncated frame: {} of {length} bytes",
+            body.len() + 4
+        ));
     }
     Ok(Some(body))
 }
--- a/crates/linenthread-adapter/src/host.rs
+++ b/crates/linenthread-adapter/src/host.rs
@@ -51,7 +51,11 @@
     }
 
     fn add_lookup(&mut self, id: u64, number: u32) -> usize {
-        let ids = Ids { lookup: id, number, parts: Vec::new() };
+        let ids = Ids {
+            lookup: id,
+            number,
+            parts: Vec::new(),
+        };
         let lookup = match self.free.pop() {
             Some(free) => {
                 self.lookups[free] = ids;
@@ -102,7 +106,9 @@
 impl Writer for Encoder<'_> {
     fn call(&mut self, lookup: usize, part: usize, replica: usize, time_out: Tenths) {
         let id = self.names.replicas[replica];
-        self.on_part(12, lookup, part).put(&id.to_be_bytes()).put(&ms(time_out));
+        self.on_part(12, lookup, part)
+            .put(&id.to_be_bytes())
+            .put(&ms(time_out));
     }
 
     fn withdraw(&mut self, lookup: usize, part: usize, call: usize) {
@@ -147,7 +153,10 @@
     }
 
     fn wake_at(&mut self, at: Tenths) {
-        self.reply.record(2, self.who).put(&0u64.to_be_bytes()).put(&ms(at));
+        self.reply
+            .record(2, self.who)
+            .put(&0u64.to_be_bytes())
+            .put(&ms(at));
     }
 }
 
@@ -177,7 +186,13 @@
         other => return Err(format!("unknown phase {other}")),
     };
     f.f32("size")?;
-    Ok(Entry { replica, site, cell, phase, started: f.f64("online-since-ms")? })
+    Ok(Entry {
+        replica,
+        site,
+        cell,
+        phase,
+        started: f.f64("online-since-ms")?,
+    })
 }
 
 /// Of a load report only the waiting parts are read, where they are told.
@@ -215,11 +230,19 @@
         self.touched.dedup();
         let mut reply = Reply::new();
         for &who in &self.touched {
-            let Some(instance) = self.instances.get_mut(&who) else { continue };
+            let Some(instance) = self.instances.get_mut(&who) else {
+                continue;
+            };
             instance.arrivals.now = now;
-            let mut encoder = Encoder { who, names: &mut instance.names, reply: &mut reply };
+            let mut encoder = Encoder {
+                who,
+                names: &mut instance.names,
+                reply: &mut reply,
+            };
             let (coordinator, arrivals) = (&mut instance.coordinator, &instance.arrivals);
-            if let Err(cause) = catch_unwind(AssertUnwindSafe(|| coordinator.round(arrivals, &mut encoder))) {
+            if let Err(cause) = catch_unwind(AssertUnwindSafe(|| {
+                coordinator.round(arrivals, &mut encoder)
+            })) {
                 let text = match (cause.downcast_ref::<String>(), cause.downcast_ref::<&str>()) {
                     (Some(text), _) => text.as_str(),
                     (None, Some(text)) => text,
@@ -249,15 +272,28 @@
             let seed = f.u64("init-seed")?;
             let n = f.u32("config")? as usize;
             let settings = terms::parse(f.bytes(n, "config")?)?;
-            let (deployment, queue_at) = (terms::deployment(&settings)?, terms::queue_at(&settings));
+            let (deployment, queue_at) =
+                (terms::deployment(&settings)?, terms::queue_at(&settings));
             let indexes = deployment.indexes.len();
             let coordinator = Coordinator::new(deployment, seed);
             let (names, arrivals) = (Names::default(), Arrivals::default());
-            self.instances.insert(who, Instance { coordinator, names, indexes, queue_at, arrivals });
+            self.instances.insert(
+                who,
+                Instance {
+                    coordinator,
+                    names,
+                    indexes,
+                    queue_at,
+                    arrivals,
+                },
+            );
             self.touched.push(who);
             return Ok(());
         }
-        let instance = self.instances.get_mut(&who).ok_or_else(|| format!("unknown instance {who}"))?;
+        let instance = self
+            .instances
+            .get_mut(&who)
+            .ok_or_else(|| format!("unknown instance {who}"))?;
         self.touched.push(who);
         let (names, arrivals) = (&mut instance.names, &mut instance.arrivals);
         match code {
@@ -269,7 +305,10 @@
                     arrivals.roster.push(RosterNews::Failed);
                     return Ok(());
                 }
-                let entries = self.lists.get(&number).ok_or_else(|| format!("unknown list {number}"))?;
+                let entries = self
+                    .lists
+                    .get(&number)
+                    .ok_or_else(|| format!("unknown list {number}"))?;
                 let listed = entries
                     .iter()
                     .map(|e| Listed {
@@ -302,7 +341,14 @@
                 f.u8("no-more")?;
                 let queue = read_queue(f, instance.queue_at)?;
                 if let Some(&(lookup, Some(part))) = names.by_id.get(&id) {
-                    arrivals.returns.push(Return { lookup, part, call, ending, took, queue });
+                    arrivals.returns.push(Return {
+                        lookup,
+                        part,
+                        call,
+                        ending,
+                        took,
+                        queue,
+                    });
                 }
             }
             6 => {
@@ -319,7 +365,11 @@
                 let ending = ending(f.u16("rc")?)?;
                 f.f64("delay-seen-ms")?;
                 let queue = read_queue(f, instance.queue_at)?;
-                arrivals.probes.push(ProbeReturn { replica, ending, queue });
+                arrivals.probes.push(ProbeReturn {
+                    replica,
+                    ending,
+                    queue,
+                });
             }
             9 => {
                 f.u32("from")?;
@@ -357,12 +407,23 @@
         let lookup = names.add_lookup(id, number.to_bits());
         let key = (key != 0).then_some(key);
         let number = u64::from(number.to_bits());
-        arrivals.lookups.push(NewLookup { lookup, index, customer, key, number, hard_deadline });
+        arrivals.lookups.push(NewLookup {
+            lookup,
+            index,
+            customer,
+            key,
+            number,
+            hard_deadline,
+        });
     } else if let Some(&lookup) = names.by_number.get(&number.to_bits()) {
         let parts = &mut names.lookups[lookup].parts;
         names.by_id.insert(id, (lookup, Some(parts.len())));
         parts.push(id);
-        arrivals.parts.push(NewPart { lookup, shard: shard as usize, weight: amount });
+        arrivals.parts.push(NewPart {
+            lookup,
+            shard: shard as usize,
+            weight: amount,
+        });
     }
     Ok(())
 }
--- a/crates/linenthread-adapter/tests/wire.rs
+++ b/crates/linenthread-adapter/tests/wire.rs
@@ -16,7 +16,10 @@
 
 fn bytes(hex: &str) -> Vec<u8> {
     let digits: Vec<u8> = hex.bytes().filter(u8::is_ascii_hexdigit).collect();
-    digits.chunks(2).map(|d| u8::from_str_radix(std::str::from_utf8(d).unwrap(), 16).unwrap()).collect()
+    digits
+        .chunks(2)
+        .map(|d| u8::from_str_radix(std::str::from_utf8(d).unwrap(), 16).unwrap())
+        .collect()
 }
 
 fn frame(clock_ms: f64, records: &[Vec<u8>]) -> Vec<u8> {
@@ -72,13 +75,17 @@
 #[test]
 fn an_empty_batch_gets_an_empty_reply() {
     let output = run(&bytes("0000000c 40c06e2000000000"));
-    assert_eq!((output.status.code(), output.stdout), (Some(0), bytes("00000008 00000000")));
+    assert_eq!(
+        (output.status.code(), output.stdout),
+        (Some(0), bytes("00000008 00000000"))
+    );
 }
 
 #[test]
 fn a_part_is_routed_answered_and_its_lookup_concluded() {
-    let reply =
-        bytes("05 00000003 000a7e015d3a91c4 00 03124a07 0064 4032800000000000 01 02 3f800000 3f800000");
+    let reply = bytes(
+        "05 00000003 000a7e015d3a91c4 00 03124a07 0064 4032800000000000 01 02 3f800000 3f800000",
+    );
     let ended = bytes("06 00000003 000643ee0e6f2b19");
     let output = run(&[
         frame(10_000.0, &[boot(SETTINGS), roster(), lookup()]),
@@ -86,16 +93,33 @@
         frame(10_020.0, &[ended]),
     ]
     .concat());
-    assert_eq!(output.status.code(), Some(0), "{}", String::from_utf8_lossy(&output.stderr));
-    assert!(holds(&output.stdout, "0c 00000003 000a7e015d3a91c4 03124a07"));
+    assert_eq!(
+        output.status.code(),
+        Some(0),
+        "{}",
+        String::from_utf8_lossy(&output.stderr)
+    );
+    assert!(holds(
+        &output.stdout,
+        "0c 00000003 000a7e015d3a91c4 03124a07"
+    ));
     assert!(holds(&output.stdout, "08 00000003 000643ee0e6f2b19 01"));
 }
 
 #[test]
 fn a_killed_instance_starts_anew_in_the_same_batch() {
     let killed = bytes("0a 00000003");
-    let output =
-        run(&frame(10_000.0, &[boot(SETTINGS), roster(), lookup(), killed, boot(SETTINGS), roster()]));
+    let output = run(&frame(
+        10_000.0,
+        &[
+            boot(SETTINGS),
+            roster(),
+            lookup(),
+            killed,
+            boot(SETTINGS),
+            roster(),
+        ],
+    ));
     assert_eq!(output.status.code(), Some(0));
     assert!(!holds(&output.stdout, "000a7e015d3a91c4"));
 }
@@ -107,16 +131,37 @@
         (bytes("0000000c 40c06e20"), "truncated frame"),
         (bytes("0000"), "truncated frame"),
         (frame(1.0, &[bytes("2a")]), "unknown event code 42"),
-        (frame(1.0, &[bytes("06 00000005 000643ee0e6f2b19")]), "unknown instance 5"),
+        (
+            frame(1.0, &[bytes("06 00000005 000643ee0e6f2b19")]),
+            "unknown instance 5",
+        ),
         (frame(1.0, &[boot("{")]), "settings do not parse"),
-        (frame(1.0, &[boot(&lacking)]), "settings lack safety.cold-share"),
-        (frame(1.0, &[boot(SETTINGS), bytes("02 00000003 02 0000000000000029 0007")]), "unknown list 7"),
-        (frame(1.0, &[boot(SETTINGS), bytes("06 00000003 0006")]), "truncated frame: request-id"),
+        (
+            frame(1.0, &[boot(&lacking)]),
+            "settings lack safety.cold-share",
+        ),
+        (
+            frame(
+                1.0,
+                &[
+                    boot(SETTINGS),
+                    bytes("02 00000003 02 0000000000000029 0007"),
+                ],
+            ),
+            "unknown list 7",
+        ),
+        (
+            frame(1.0, &[boot(SETTINGS), bytes("06 00000003 0006")]),
+            "truncated frame: request-id",
+        ),
     ];
     for (input, message) in cases {
         let output = run(&input);
         let said = String::from_utf8_lossy(&output.stderr);
-        assert!(said.contains(message) && said.lines().count() == 1, "{message}: {said}");
+        assert!(
+            said.contains(message) && said.lines().count() == 1,
+            "{message}: {said}"
+        );
         assert_eq!(output.status.code(), Some(1), "{message}");
     }
 }
--- a/crates/linenthread-checker/src/instance.rs
+++ b/crates/linenthread-checker/src/instance.rs
@@ -31,7 +31,9 @@
 
 /// A call that is not understood.
 #[derive(Debug, Snafu)]
-#[snafu(display("{word} is no call: NODE:CALL with node 1 to 3 and call a, b, c, replace or read is"))]
+#[snafu(display(
+    "{word} is no call: NODE:CALL with node 1 to 3 and call a, b, c, replace or read is"
+))]
 pub struct CallFault {
     word: String,
 }
@@ -46,13 +48,24 @@
             Call::Replace | Call::Read => return None,
         };
         let digest = document_digest(document.as_bytes());
-        Some((OrderIdentity { revision, base, digest }, document))
+        Some((
+            OrderIdentity {
+                revision,
+                base,
+                digest,
+            },
+            document,
+        ))
     }
 
     /// The change that it wants, if it is an order.
     pub(crate) fn change(self) -> Option<Change> {
         let (order, document) = self.order()?;
-        Some(Change::Document { base: order.base, revision: order.revision, document: document.into() })
+        Some(Change::Document {
+            base: order.base,
+            revision: order.revision,
+            document: document.into(),
+        })
     }
 }
 
@@ -74,22 +87,58 @@
 }
 
 /// Without any fault; the base of those of the suite.
-const PLAIN: Instance =
-    Instance { calls: Vec::new(), ticks: 0, duplicates: 0, crashes: 0, lost_disks: 0, slow_disks: false };
+const PLAIN: Instance = Instance {
+    calls: Vec::new(),
+    ticks: 0,
+    duplicates: 0,
+    crashes: 0,
+    lost_disks: 0,
+    slow_disks: false,
+};
 
 impl Instance {
     /// The instances that are explored by default, each whole.
     pub fn suite() -> Vec<Instance> {
         use Call::{OrderA, OrderB, OrderC, Read, Replace};
         vec![
-            Instance { calls: vec![(0, OrderA), (1, OrderB), (1, OrderA)], ..PLAIN },
-            Instance { calls: vec![(0, OrderA), (1, OrderB)], crashes: 1, ..PLAIN },
-            Instance { calls: vec![(0, OrderA)], crashes: 1, slow_disks: true, ..PLAIN },
-            Instance { calls: vec![(0, OrderA), (1, OrderB)], lost_disks: 1, ..PLAIN },
-            Instance { calls: vec![(0, OrderA), (1, Replace)], lost_disks: 1, ..PLAIN },
-            Instance { calls: vec![(0, OrderA), (0, OrderC)], ..PLAIN },
-            Instance { calls: vec![(0, OrderA), (2, Read)], ..PLAIN },
-            Instance { calls: vec![(0, OrderA), (1, OrderA)], duplicates: 1, ..PLAIN },
+            Instance {
+                calls: vec![(0, OrderA), (1, OrderB), (1, OrderA)],
+                ..PLAIN
+            },
+            Instance {
+                calls: vec![(0, OrderA), (1, OrderB)],
+                crashes: 1,
+                ..PLAIN
+            },
+            Instance {
+                calls: vec![(0, OrderA)],
+                crashes: 1,
+                slow_disks: true,
+                ..PLAIN
+            },
+            Instance {
+                calls: vec![(0, OrderA), (1, OrderB)],
+                lost_disks: 1,
+                ..PLAIN
+            },
+            Instance {
+                calls: vec![(0, OrderA), (1, Replace)],
+                lost_disks: 1,
+                ..PLAIN
+            },
+            Instance {
+                calls: vec![(0, OrderA), (0, OrderC)],
+                ..PLAIN
+            },
+            Instance {
+                calls: vec![(0, OrderA), (2, Read)],
+                ..PLAIN
+            },
+            Instance {
+                calls: vec![(0, OrderA), (1, OrderA)],
+                duplicates: 1,
+                ..PLAIN
+            },
         ]
     }
 
@@ -100,7 +149,11 @@
     pub fn parse_calls(words: &str) -> Result<Vec<(usize, Call)>, CallFault> {
         words
             .split(',')
-            .map(|word| parse_call(word).ok_or_else(|| CallFault { word: word.to_owned() }))
+            .map(|word| {
+                parse_call(word).ok_or_else(|| CallFault {
+                    word: word.to_owned(),
+                })
+            })
             .collect()
     }
 }
@@ -134,10 +187,16 @@
         let all = [
             ("acknowledged", !history.acknowledged.is_empty()),
             ("refused", !history.refused.is_empty()),
-            ("replaced", history.decided.values().any(|value| value.epoch > 0)),
+            (
+                "replaced",
+                history.decided.values().any(|value| value.epoch > 0),
+            ),
             ("read", history.reads > 0),
         ];
-        all.into_iter().filter(|(_, reached)| *reached).map(|(name, _)| name).collect()
+        all.into_iter()
+            .filter(|(_, reached)| *reached)
+            .map(|(name, _)| name)
+            .collect()
     }
 
     fn describe(&self, state: &World, action: Action) -> String {
@@ -147,16 +206,33 @@
 
 impl fmt::Display for Instance {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let calls: Vec<String> =
-            self.calls.iter().map(|(place, call)| format!("{}:{call:?}", place + 1)).collect();
-        write!(f, "calls {}, ticks {}, duplicates {}, ", calls.join(" "), self.ticks, self.duplicates)?;
-        write!(f, "crashes {}, lost disks {}, slow disks {}", self.crashes, self.lost_disks, self.slow_disks)
+        let calls: Vec<String> = self
+            .calls
+            .iter()
+            .map(|(place, call)| format!("{}:{call:?}", place + 1))
+            .collect();
+        write!(
+            f,
+            "calls {}, ticks {}, duplicates {}, ",
+            calls.join(" "),
+            self.ticks,
+            self.duplicates
+        )?;
+        write!(
+            f,
+            "crashes {}, lost disks {}, slow disks {}",
+            self.crashes, self.lost_disks, self.slow_disks
+        )
     }
 }
 
 fn parse_call(word: &str) -> Option<(usize, Call)> {
     let (node, call) = word.split_once(':')?;
-    let place = node.parse::<usize>().ok()?.checked_sub(1).filter(|place| *place < VOTERS.len())?;
+    let place = node
+        .parse::<usize>()
+        .ok()?
+        .checked_sub(1)
+        .filter(|place| *place < VOTERS.len())?;
     let call = match call {
         "a" => Call::OrderA,
         "b" => Call::OrderB,
@@ -169,5 +245,8 @@
 }
 
 pub(crate) fn voter(id: u64) -> Voter {
-    Voter { id, address: String::new() }
+    Voter {
+        id,
+        address: String::new(),
+    }
 }
--- a/crates/linenthread-checker/src/invariants.rs
+++ b/crates/linenthread-checker/src/invariants.rs
@@ -18,7 +18,10 @@
 
 /// The names of the invariants that a state breaks.
 pub(crate) fn broken(world: &World) -> impl Iterator<Item = &'static str> {
-    INVARIANTS.into_iter().filter(|(_, is_broken)| is_broken(world)).map(|(name, _)| name)
+    INVARIANTS
+        .into_iter()
+        .filter(|(_, is_broken)| is_broken(world))
+        .map(|(name, _)| name)
 }
 
 fn two_values(world: &World) -> bool {
@@ -35,17 +38,28 @@
 
 /// The orders of the newest value; no instance has so many that they leave it.
 fn taken(history: &History) -> &[OrderIdentity] {
-    history.decided.last_key_value().map_or(&[], |(_, value)| &value.recent)
+    history
+        .decided
+        .last_key_value()
+        .map_or(&[], |(_, value)| &value.recent)
 }
 
 fn acknowledged_is_lost(world: &World) -> bool {
     let taken = taken(&world.history.inner);
-    world.history.inner.acknowledged.iter().any(|order| !taken.contains(order))
+    world
+        .history
+        .inner
+        .acknowledged
+        .iter()
+        .any(|order| !taken.contains(order))
 }
 
 fn two_on_a_base(world: &World) -> bool {
     let of = |orders: &[OrderIdentity]| {
-        orders.iter().enumerate().any(|(at, order)| orders[..at].iter().any(|other| other.base == order.base))
+        orders
+            .iter()
+            .enumerate()
+            .any(|(at, order)| orders[..at].iter().any(|other| other.base == order.base))
     };
     of(taken(&world.history.inner)) || of(&world.history.inner.acknowledged)
 }
@@ -53,15 +67,25 @@
 /// Also an order that is taken after it was refused.
 fn refused_but_taken(world: &World) -> bool {
     let taken = taken(&world.history.inner);
-    world.history.inner.refused.iter().any(|order| taken.contains(order))
+    world
+        .history
+        .inner
+        .refused
+        .iter()
+        .any(|order| taken.contains(order))
 }
 
 /// A node that has got as far as an order knows it.
 fn unknown_to_a_node(world: &World) -> bool {
     let taken = taken(&world.history.inner);
     world.nodes.iter().any(|node| {
-        let revision = node.inner.register.decided().map_or(0, |value| value.revision);
+        let revision = node
+            .inner
+            .register
+            .decided()
+            .map_or(0, |value| value.revision);
         let due = taken.iter().filter(|order| order.revision <= revision);
-        due.into_iter().any(|order| !node.inner.register.ledger().contains(order))
+        due.into_iter()
+            .any(|order| !node.inner.register.ledger().contains(order))
     })
 }
--- a/crates/linenthread-checker/src/lease.rs
+++ b/crates/linenthread-checker/src/lease.rs
@@ -66,9 +66,24 @@
     /// The instances that are explored by default, each whole.
     pub fn suite() -> Vec<LeaseInstance> {
         vec![
-            LeaseInstance { steps: 3, requests: 3, crashes: 0, releases: 0 },
-            LeaseInstance { steps: 1, requests: 2, crashes: 1, releases: 1 },
-            LeaseInstance { steps: 1, requests: 3, crashes: 0, releases: 1 },
+            LeaseInstance {
+                steps: 3,
+                requests: 3,
+                crashes: 0,
+                releases: 0,
+            },
+            LeaseInstance {
+                steps: 1,
+                requests: 2,
+                crashes: 1,
+                releases: 1,
+            },
+            LeaseInstance {
+                steps: 1,
+                requests: 3,
+                crashes: 0,
+                releases: 1,
+            },
         ]
     }
 }
@@ -76,19 +91,25 @@
 impl LeaseState {
     fn send_to_others(&mut self, from: usize, message: &Message) {
         let others = (0..NODES).filter(|to| *to != from);
-        self.network.extend(others.map(|to| (to, from, message.clone())));
+        self.network
+            .extend(others.map(|to| (to, from, message.clone())));
     }
 
     fn ask(&mut self, node: usize) {
-        let Some(request) = self.leases[node].tick(self.now, true, NUMBER) else { return };
-        let LeaseRequest { epoch, asked, life, .. } = request;
+        let Some(request) = self.leases[node].tick(self.now, true, NUMBER) else {
+            return;
+        };
+        let LeaseRequest {
+            epoch, asked, life, ..
+        } = request;
         self.send_to_others(node, &Message::Request { epoch, asked, life });
         let vote = self.vote(node, node, &request);
         self.on_vote(node, node, &vote);
     }
 
     fn vote(&mut self, voter: usize, from: usize, request: &LeaseRequest) -> LeaseVote {
-        let vote = self.leases[voter].on_lease_request(self.now, from as u64, request, Some(NUMBER));
+        let vote =
+            self.leases[voter].on_lease_request(self.now, from as u64, request, Some(NUMBER));
         self.durable_epochs[voter] = self.leases[voter].epoch();
         vote
     }
@@ -101,11 +122,20 @@
     fn deliver(&mut self, to: usize, from: usize, message: Message) {
         match message {
             Message::Request { epoch, asked, life } => {
-                let request = LeaseRequest { epoch, asked, lease_ms: 2_000, life, on: NUMBER };
+                let request = LeaseRequest {
+                    epoch,
+                    asked,
+                    lease_ms: 2_000,
+                    life,
+                    on: NUMBER,
+                };
                 let LeaseVote { epoch, asked, yes } = self.vote(to, from, &request);
-                self.network.insert((from, to, Message::Vote { epoch, asked, yes }));
+                self.network
+                    .insert((from, to, Message::Vote { epoch, asked, yes }));
+            }
+            Message::Vote { epoch, asked, yes } => {
+                self.on_vote(to, from, &LeaseVote { epoch, asked, yes })
             }
-            Message::Vote { epoch, asked, yes } => self.on_vote(to, from, &LeaseVote { epoch, asked, yes }),
             Message::Release { epoch, life } => {
                 self.leases[to].on_release(from as u64, &LeaseRelease { epoch, life });
             }
@@ -116,13 +146,19 @@
     fn crash(&mut self, node: usize) {
         self.started_anew = true;
         self.lives[node] += 1;
-        let (life, epoch) = (self.lives[node] * 10 + node as u64, self.durable_epochs[node]);
+        let (life, epoch) = (
+            self.lives[node] * 10 + node as u64,
+            self.durable_epochs[node],
+        );
         self.leases[node] = LeaderLease::new(node as u64, life, self.now, false, epoch);
-        self.network.retain(|(to, from, _)| *to != node && *from != node);
+        self.network
+            .retain(|(to, from, _)| *to != node && *from != node);
     }
 
     fn release(&mut self, node: usize) {
-        let Some(LeaseRelease { epoch, life }) = self.leases[node].release(self.now) else { return };
+        let Some(LeaseRelease { epoch, life }) = self.leases[node].release(self.now) else {
+            return;
+        };
         self.released = true;
         self.leases[node].on_release(node as u64, &LeaseRelease { epoch, life });
         self.send_to_others(node, &Message::Release { epoch, life });
@@ -132,10 +168,20 @@
     fn forget_void_votes(&mut self) {
         let (now, leases) = (self.now, &self.leases);
         self.network.retain(|(to, from, message)| {
-            let Message::Vote { epoch, asked, yes } = message else { return true };
-            let (mut lease, vote) =
-                (leases[*to].clone(), LeaseVote { epoch: *epoch, asked: *asked, yes: *yes });
-            lease.on_lease_vote(now, *from as u64, &vote, NUMBER, |voters| voters.len() * 2 > NODES);
+            let Message::Vote { epoch, asked, yes } = message else {
+                return true;
+            };
+            let (mut lease, vote) = (
+                leases[*to].clone(),
+                LeaseVote {
+                    epoch: *epoch,
+                    asked: *asked,
+                    yes: *yes,
+                },
+            );
+            lease.on_lease_vote(now, *from as u64, &vote, NUMBER, |voters| {
+                voters.len() * 2 > NODES
+            });
             lease != leases[*to]
         });
     }
@@ -147,7 +193,10 @@
 
     fn note_holders(&mut self) {
         for (node, epoch) in self.holding().collect::<Vec<_>>() {
-            self.holders.entry(epoch).or_default().insert((node, self.lives[node]));
+            self.holders
+                .entry(epoch)
+                .or_default()
+                .insert((node, self.lives[node]));
         }
     }
 }
@@ -177,7 +226,8 @@
 
     fn actions(&self, state: &LeaseState) -> Vec<LeaseAction> {
         let [steps, requests, crashes, releases] = state.budget;
-        let mut actions: Vec<LeaseAction> = (0..state.network.len()).map(LeaseAction::Deliver).collect();
+        let mut actions: Vec<LeaseAction> =
+            (0..state.network.len()).map(LeaseAction::Deliver).collect();
         actions.extend((steps > 0).then_some(LeaseAction::PassTime));
         for node in 0..NODES {
             let asks = node < ASKING;
@@ -192,7 +242,12 @@
         let mut next = state.clone();
         match action {
             LeaseAction::Deliver(index) => {
-                let (to, from, message) = state.network.iter().nth(index).expect("it is on its way").clone();
+                let (to, from, message) = state
+                    .network
+                    .iter()
+                    .nth(index)
+                    .expect("it is on its way")
+                    .clone();
                 next.network.remove(&(to, from, message.clone()));
                 next.deliver(to, from, message);
             }
@@ -233,10 +288,19 @@
         let all = [
             ("held", state.holding().next().is_some()),
             ("held by two in turn", state.holders.len() > 1),
-            ("held after a release", state.released && state.holding().next().is_some()),
-            ("held after a start", state.started_anew && state.holding().next().is_some()),
+            (
+                "held after a release",
+                state.released && state.holding().next().is_some(),
+            ),
+            (
+                "held after a start",
+                state.started_anew && state.holding().next().is_some(),
+            ),
         ];
-        all.into_iter().filter(|(_, reached)| *reached).map(|(name, _)| name).collect()
+        all.into_iter()
+            .filter(|(_, reached)| *reached)
+            .map(|(name, _)| name)
+            .collect()
     }
 
     fn describe(&self, state: &LeaseState, action: LeaseAction) -> String {
@@ -249,7 +313,15 @@
 
 impl fmt::Display for LeaseInstance {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let LeaseInstance { steps, requests, crashes, releases } = self;
-        write!(f, "lease: steps {steps}, requests {requests}, crashes {crashes}, releases {releases}")
+        let LeaseInstance {
+            steps,
+            requests,
+            crashes,
+            releases,
+        } = self;
+        write!(
+            f,
+            "lease: steps {steps}, requests {requests}, crashes {crashes}, releases {releases}"
+        )
     }
 }
--- a/crates/linenthread-checker/src/main.rs
+++ b/crates/linenthread-checker/src/main.rs
@@ -32,7 +32,9 @@
 }
 
 fn instances(flags: &flags::LinenthreadChecker) -> Result<Vec<Instance>, CallFault> {
-    let Some(calls) = &flags.calls else { return Ok(Instance::suite()) };
+    let Some(calls) = &flags.calls else {
+        return Ok(Instance::suite());
+    };
     Ok(vec![Instance {
         calls: Instance::parse_calls(calls)?,
         ticks: flags.ticks.unwrap_or(0),
@@ -44,11 +46,23 @@
 }
 
 fn print(report: &Report) {
-    println!("  depth {}, transitions {}", report.depth, report.transitions);
-    let landmarks = report.landmarks.iter().map(|(name, states)| format!("{name} in {states}"));
-    println!("  states reached: {}", landmarks.collect::<Vec<_>>().join(", "));
+    println!(
+        "  depth {}, transitions {}",
+        report.depth, report.transitions
+    );
+    let landmarks = report
+        .landmarks
+        .iter()
+        .map(|(name, states)| format!("{name} in {states}"));
+    println!(
+        "  states reached: {}",
+        landmarks.collect::<Vec<_>>().join(", ")
+    );
     for breach in &report.breaches {
-        println!("  {} is broken after {} states:", breach.invariant, breach.states);
+        println!(
+            "  {} is broken after {} states:",
+            breach.invariant, breach.states
+        );
         breach.trace.iter().for_each(|line| println!("    {line}"));
     }
     if !report.complete {
@@ -67,9 +81,13 @@
     };
     let most_states = flags.most_states.unwrap_or(MOST_STATES);
     let mut sums = (0, 0);
-    instances.iter().for_each(|instance| run(instance, most_states, &mut sums));
+    instances
+        .iter()
+        .for_each(|instance| run(instance, most_states, &mut sums));
     if flags.calls.is_none() {
-        LeaseInstance::suite().iter().for_each(|instance| run(instance, most_states, &mut sums));
+        LeaseInstance::suite()
+            .iter()
+            .for_each(|instance| run(instance, most_states, &mut sums));
     }
     let (states, breaches) = sums;
     println!("{states} states, {breaches} breaches");
@@ -81,7 +99,11 @@
     println!("{instance}");
     let began = Instant::now();
     let report = explore(instance, most_states);
-    println!("  {} states in {:.1} s", report.states, began.elapsed().as_secs_f64());
+    println!(
+        "  {} states in {:.1} s",
+        report.states,
+        began.elapsed().as_secs_f64()
+    );
     print(&report);
     *sums = (sums.0 + report.states, sums.1 + report.breaches.len());
 }
--- a/crates/linenthread-checker/src/search.rs
+++ b/crates/linenthread-checker/src/search.rs
@@ -65,11 +65,20 @@
 /// seen.
 pub fn explore<M: Model>(model: &M, most_states: usize) -> Report {
     let start = model.start();
-    let mut search =
-        Search { model, seen: HashMap::new(), report: Report { states: 1, ..Report::default() } };
+    let mut search = Search {
+        model,
+        seen: HashMap::new(),
+        report: Report {
+            states: 1,
+            ..Report::default()
+        },
+    };
     search.seen.insert(model.fingerprint(&start), None);
     let mut frontier = vec![start];
-    while !frontier.is_empty() && search.report.breaches.is_empty() && search.report.states < most_states {
+    while !frontier.is_empty()
+        && search.report.breaches.is_empty()
+        && search.report.states < most_states
+    {
         frontier = search.next_depth(&frontier);
         search.report.depth += usize::from(!frontier.is_empty());
     }
@@ -120,13 +129,21 @@
                 .map(|thread| thread.join().expect("a thread of the search panicked"))
                 .collect()
         });
-        self.report.transitions += results.iter().map(|(_, transitions)| transitions).sum::<usize>();
-        results.into_iter().flat_map(|(successors, _)| successors).collect()
+        self.report.transitions += results
+            .iter()
+            .map(|(_, transitions)| transitions)
+            .sum::<usize>();
+        results
+            .into_iter()
+            .flat_map(|(successors, _)| successors)
+            .collect()
     }
 
     /// Judges a state, if it is new.
     fn take(&mut self, successor: Successor<M>) -> Option<M::State> {
-        let Entry::Vacant(entry) = self.seen.entry(successor.fingerprint) else { return None };
+        let Entry::Vacant(entry) = self.seen.entry(successor.fingerprint) else {
+            return None;
+        };
         entry.insert(Some((successor.from, successor.action)));
         self.report.states += 1;
         for landmark in self.model.landmarks(&successor.state) {
@@ -134,7 +151,11 @@
         }
         for invariant in self.model.broken(&successor.state) {
             let trace = self.trace(successor.fingerprint);
-            self.report.breaches.push(Breach { invariant, states: self.report.states, trace });
+            self.report.breaches.push(Breach {
+                invariant,
+                states: self.report.states,
+                trace,
+            });
         }
         Some(successor.state)
     }
@@ -155,7 +176,11 @@
     }
 }
 
-fn expand<M: Model>(model: &M, states: &[M::State], seen: &Seen<M::Action>) -> (Vec<Successor<M>>, usize) {
+fn expand<M: Model>(
+    model: &M,
+    states: &[M::State],
+    seen: &Seen<M::Action>,
+) -> (Vec<Successor<M>>, usize) {
     let (mut successors, mut transitions) = (Vec::new(), 0);
     for before in states {
         let from = model.fingerprint(before);
@@ -164,7 +189,12 @@
             let state = model.apply(before, action);
             let fingerprint = model.fingerprint(&state);
             if !seen.contains_key(&fingerprint) {
-                successors.push(Successor { state, fingerprint, from, action });
+                successors.push(Successor {
+                    state,
+                    fingerprint,
+                    from,
+                    action,
+                });
             }
         }
     }
--- a/crates/linenthread-checker/src/step.rs
+++ b/crates/linenthread-checker/src/step.rs
@@ -56,7 +56,11 @@
 
 /// The state after an action.
 pub(crate) fn apply(world: &World, instance: &Instance, action: Action) -> World {
-    let mut next = Step { world: world.clone(), instance, own: VecDeque::new() };
+    let mut next = Step {
+        world: world.clone(),
+        instance,
+        own: VecDeque::new(),
+    };
     let place = match action {
         Action::Deliver(index) => next.deliver(usize::from(index), false),
         Action::DeliverAndKeep(index) => next.deliver(usize::from(index), true),
@@ -104,7 +108,10 @@
         } else {
             self.world.network.remove(index)
         };
-        let place = self.world.place_of(message.to).expect("only such messages are on their way");
+        let place = self
+            .world
+            .place_of(message.to)
+            .expect("only such messages are on their way");
         self.on_message(place, message.from, message.message.clone());
         place
     }
@@ -112,7 +119,8 @@
     fn on_message(&mut self, place: usize, from: u64, message: PeerMessage) {
         let mut effects = Vec::new();
         let node = self.node(place);
-        node.register.on_message(node.now, from, message, &mut effects);
+        node.register
+            .on_message(node.now, from, message, &mut effects);
         self.carry_out(place, effects);
     }
 
@@ -128,7 +136,9 @@
         let mut effects = Vec::new();
         let node = self.node(place);
         match change {
-            Some(change) => node.register.propose(node.now, job, change, NEVER, &mut effects),
+            Some(change) => node
+                .register
+                .propose(node.now, job, change, NEVER, &mut effects),
             None => {
                 node.register.read(node.now, job, NEVER, &mut effects);
                 let told = self.history().told;
@@ -145,7 +155,15 @@
         let on = register.decided().map_or(0, |value| value.number);
         let lost = self.world.lost_disk.unwrap_or(3);
         let swap = |id| if id == lost { NEW_DISK } else { id };
-        Change::Voters { on, voters: register.voters().iter().map(|v| voter(swap(v.id))).collect(), epoch: 1 }
+        Change::Voters {
+            on,
+            voters: register
+                .voters()
+                .iter()
+                .map(|v| voter(swap(v.id)))
+                .collect(),
+            epoch: 1,
+        }
     }
 
     fn tick(&mut self, place: usize) -> usize {
@@ -183,7 +201,9 @@
         node.unsynced.clear();
         node.register = Register::new(node.id, DurableState::default(), None, life(node.id, 1));
         let lost = self.world.lost_disk;
-        self.world.network.retain(|message| Some(message.to) != lost);
+        self.world
+            .network
+            .retain(|message| Some(message.to) != lost);
         place
     }
 
@@ -197,7 +217,8 @@
         while let Some(message) = self.own.pop_front() {
             let mut effects = Vec::new();
             let node = self.node(place);
-            node.register.on_message(node.now, node.id, message, &mut effects);
+            node.register
+                .on_message(node.now, node.id, message, &mut effects);
             self.take_effects(place, effects);
         }
     }
@@ -224,7 +245,10 @@
 
     fn keep(&mut self, place: usize, record: Record, then: Vec<(u64, PeerMessage)>) {
         let from = self.world.nodes[place].inner.id;
-        let then = then.into_iter().map(|(to, message)| InFlight::new(from, to, message)).collect();
+        let then = then
+            .into_iter()
+            .map(|(to, message)| InFlight::new(from, to, message))
+            .collect();
         if self.instance.slow_disks {
             self.node(place).unsynced.push(Unsynced { record, then });
         } else {
@@ -234,11 +258,15 @@
 
     fn synced(&mut self, place: usize, record: Record, then: Vec<InFlight>) {
         let id = self.world.nodes[place].inner.id;
-        if let Some(accepted) =
-            record.accepted.as_ref().filter(|_| !self.history().decided.contains_key(&record.number))
+        if let Some(accepted) = record
+            .accepted
+            .as_ref()
+            .filter(|_| !self.history().decided.contains_key(&record.number))
         {
             let key = (record.number, accepted.ballot);
-            self.change_history(|history| _ = history.accepted_by.entry(key).or_default().insert(id));
+            self.change_history(|history| {
+                _ = history.accepted_by.entry(key).or_default().insert(id)
+            });
         }
         self.node(place).disk.add(record);
         then.into_iter().for_each(|message| self.post(id, message));
@@ -246,10 +274,16 @@
 
     /// A node takes a value for decided. The control part tells the others at once.
     fn decided(&mut self, from: u64, value: &Value) {
-        let others: Vec<u64> =
-            self.world.nodes.iter().map(|node| node.inner.id).filter(|id| *id != from).collect();
+        let others: Vec<u64> = self
+            .world
+            .nodes
+            .iter()
+            .map(|node| node.inner.id)
+            .filter(|id| *id != from)
+            .collect();
         for to in others {
-            self.world.send(InFlight::new(from, to, PeerMessage::Decided(value.clone())));
+            self.world
+                .send(InFlight::new(from, to, PeerMessage::Decided(value.clone())));
         }
         match self.history().decided.get(&value.number) {
             Some(known) if known == value => {}
@@ -264,10 +298,14 @@
             (Outcome::Taken(_), Some((order, _))) => {
                 self.change_history(|history| acknowledge(history, order))
             }
-            (Outcome::Conflict(_), Some((order, _))) if !self.history().refused.contains(&order) => {
+            (Outcome::Conflict(_), Some((order, _)))
+                if !self.history().refused.contains(&order) =>
+            {
                 self.change_history(|history| history.refused.push(order));
             }
-            (Outcome::Newest(value), _) => self.change_history(|history| answer_read(history, job, value)),
+            (Outcome::Newest(value), _) => {
+                self.change_history(|history| answer_read(history, job, value))
+            }
             _ => {}
         }
     }
@@ -277,14 +315,17 @@
         let World { network, nodes, .. } = &mut self.world;
         let number = |id: u64| {
             let node = nodes.iter().find(|node| node.inner.id == id);
-            node.and_then(|node| node.inner.register.decided()).map(|value| value.number)
+            node.and_then(|node| node.inner.register.decided())
+                .map(|value| value.number)
         };
         let acting = &nodes[place].inner;
         network.retain(|message| {
             let to = number(message.to);
             let void = match &message.message {
                 // The answer would be a value that the other side has as well.
-                PeerMessage::Prepare(request) => to >= Some(request.number) && number(message.from) >= to,
+                PeerMessage::Prepare(request) => {
+                    to >= Some(request.number) && number(message.from) >= to
+                }
                 PeerMessage::Accept(request) => {
                     to >= Some(request.value.number) && number(message.from) >= to
                 }
@@ -312,29 +353,49 @@
         return false;
     }
     let (mut register, mut effects) = (node.register.clone(), Vec::new());
-    register.on_message(node.now, message.from, message.message.clone(), &mut effects);
+    register.on_message(
+        node.now,
+        message.from,
+        message.message.clone(),
+        &mut effects,
+    );
     effects.is_empty() && register == node.register
 }
 
 fn first_decided(history: &mut History, value: &Value) {
-    let enough = history.decided.get(&(value.number - 1)).is_some_and(|before| {
-        let mut of_number = history.accepted_by.iter().filter(|((number, _), _)| *number == value.number);
-        of_number.any(|(_, disks)| {
-            let counted = disks.iter().filter(|id| before.voters.iter().any(|voter| voter.id == **id));
-            counted.count() * 2 > before.voters.len()
-        })
-    });
+    let enough = history
+        .decided
+        .get(&(value.number - 1))
+        .is_some_and(|before| {
+            let mut of_number = history
+                .accepted_by
+                .iter()
+                .filter(|((number, _), _)| *number == value.number);
+            of_number.any(|(_, disks)| {
+                let counted = disks
+                    .iter()
+                    .filter(|id| before.voters.iter().any(|voter| voter.id == **id));
+                counted.count() * 2 > before.voters.len()
+            })
+        });
     history.too_few |= !enough;
-    history.accepted_by.retain(|(number, _), _| *number != value.number);
+    history
+        .accepted_by
+        .retain(|(number, _), _| *number != value.number);
     history.decided.insert(value.number, value.clone());
 }
 
 fn acknowledge(history: &mut History, order: OrderIdentity) {
     if !history.acknowledged.contains(&order) {
         history.acknowledged.push(order);
-        history.acknowledged.sort_by_key(|order| (order.revision, order.digest));
+        history
+            .acknowledged
+            .sort_by_key(|order| (order.revision, order.digest));
     }
-    let of = history.decided.iter().find(|(_, value)| value.recent.contains(&order));
+    let of = history
+        .decided
+        .iter()
+        .find(|(_, value)| value.recent.contains(&order));
     history.told = history.told.max(of.map_or(0, |(number, _)| *number));
 }
 
@@ -354,8 +415,16 @@
         match self.2 {
             Action::Deliver(index) | Action::DeliverAndKeep(index) => {
                 let message = message(index);
-                let twice = if matches!(self.2, Action::Deliver(_)) { "" } else { ", it stays on its way" };
-                write!(f, "disk {} hears of {}{twice}: {:?}", message.to, message.from, message.message)
+                let twice = if matches!(self.2, Action::Deliver(_)) {
+                    ""
+                } else {
+                    ", it stays on its way"
+                };
+                write!(
+                    f,
+                    "disk {} hears of {}{twice}: {:?}",
+                    message.to, message.from, message.message
+                )
             }
             Action::Make(call) => {
                 let (place, call) = self.1.calls[usize::from(call)];
@@ -364,7 +433,9 @@
             Action::Tick(place) => write!(f, "node {} ticks", place + 1),
             Action::Sync(place) => write!(f, "node {} syncs a record", place + 1),
             Action::Crash(place) => write!(f, "node {} starts anew", place + 1),
-            Action::LoseDisk(place) => write!(f, "node {} starts anew with an empty disk", place + 1),
+            Action::LoseDisk(place) => {
+                write!(f, "node {} starts anew with an empty disk", place + 1)
+            }
         }
     }
 }
--- a/crates/linenthread-checker/src/world.rs
+++ b/crates/linenthread-checker/src/world.rs
@@ -71,10 +71,23 @@
 impl InFlight {
     pub(crate) fn new(from: u64, to: u64, message: PeerMessage) -> InFlight {
         // Who says that a value is decided makes no difference.
-        let from = if matches!(message, PeerMessage::Decided(_)) { 0 } else { from };
-        let bytes = Envelope { word: Some(message.clone()) }.encode_to_vec();
+        let from = if matches!(message, PeerMessage::Decided(_)) {
+            0
+        } else {
+            from
+        };
+        let bytes = Envelope {
+            word: Some(message.clone()),
+        }
+        .encode_to_vec();
         let mark = fingerprint(&(to, from, &bytes));
-        InFlight { to, from, message, bytes, mark }
+        InFlight {
+            to,
+            from,
+            message,
+            bytes,
+            mark,
+        }
     }
 
     fn key(&self) -> (u64, u64, &[u8]) {
@@ -140,14 +153,31 @@
 
 impl World {
     pub(crate) fn new(instance: &Instance) -> World {
-        let genesis = Value { voters: VOTERS.map(voter).to_vec(), ..Value::default() };
+        let genesis = Value {
+            voters: VOTERS.map(voter).to_vec(),
+            ..Value::default()
+        };
         let node = |id| {
             let mut disk = DurableState::default();
-            disk.add(Record { id: Some(id), decided: Some(genesis.clone()), ..Record::default() });
+            disk.add(Record {
+                id: Some(id),
+                decided: Some(genesis.clone()),
+                ..Record::default()
+            });
             let register = Register::new(id, disk.clone(), None, life(id, 1));
-            Arc::new(Marked::new(Node { id, lives: 1, now: 0, register, disk, unsynced: Vec::new() }))
+            Arc::new(Marked::new(Node {
+                id,
+                lives: 1,
+                now: 0,
+                register,
+                disk,
+                unsynced: Vec::new(),
+            }))
+        };
+        let history = History {
+            decided: BTreeMap::from([(0, genesis.clone())]),
+            ..History::default()
         };
-        let history = History { decided: BTreeMap::from([(0, genesis.clone())]), ..History::default() };
         World {
             nodes: VOTERS.map(node),
             network: Vec::new(),
@@ -174,7 +204,10 @@
     }
 
     pub(crate) fn send(&mut self, message: InFlight) {
-        if let Err(at) = self.network.binary_search_by(|other| other.key().cmp(&message.key())) {
+        if let Err(at) = self
+            .network
+            .binary_search_by(|other| other.key().cmp(&message.key()))
+        {
             self.network.insert(at, Arc::new(message));
         }
     }
--- a/crates/linenthread-checker/tests/small.rs
+++ b/crates/linenthread-checker/tests/small.rs
@@ -3,8 +3,14 @@
 use linenthread_checker::{Instance, LeaseInstance, Report, explore};
 use yare::parameterized;
 
-const NO_FAULTS: Instance =
-    Instance { calls: Vec::new(), ticks: 0, duplicates: 0, crashes: 0, lost_disks: 0, slow_disks: false };
+const NO_FAULTS: Instance = Instance {
+    calls: Vec::new(),
+    ticks: 0,
+    duplicates: 0,
+    crashes: 0,
+    lost_disks: 0,
+    slow_disks: false,
+};
 
 const MOST_STATES: usize = 100_000;
 
@@ -36,7 +42,14 @@
 
 #[test]
 fn an_order_and_a_node_that_starts_anew() {
-    let report = explored("1:a", Instance { crashes: 1, slow_disks: true, ..NO_FAULTS });
+    let report = explored(
+        "1:a",
+        Instance {
+            crashes: 1,
+            slow_disks: true,
+            ..NO_FAULTS
+        },
+    );
     assert!(report.reached("acknowledged") > 0);
 }
 
@@ -48,15 +61,28 @@
 
 #[test]
 fn a_lost_disk_is_replaced() {
-    let report = explored("1:a,1:replace", Instance { lost_disks: 1, ..NO_FAULTS });
+    let report = explored(
+        "1:a,1:replace",
+        Instance {
+            lost_disks: 1,
+            ..NO_FAULTS
+        },
+    );
     assert!(report.reached("acknowledged") > 0 && report.reached("replaced") > 0);
 }
 
 #[test]
 fn a_lease_is_released_and_taken_by_another() {
-    let instance = LeaseInstance { steps: 1, requests: 2, crashes: 0, releases: 1 };
+    let instance = LeaseInstance {
+        steps: 1,
+        requests: 2,
+        crashes: 0,
+        releases: 1,
+    };
     let report = whole(explore(&instance, MOST_STATES));
-    assert!(report.reached("held after a release") > 0 && report.reached("held by two in turn") > 0);
+    assert!(
+        report.reached("held after a release") > 0 && report.reached("held by two in turn") > 0
+    );
 }
 
 #[test]
--- a/crates/linenthread-ci/src/bin/linenthread-known-red.rs
+++ b/crates/linenthread-ci/src/bin/linenthread-known-red.rs
@@ -51,7 +51,10 @@
         println!("{line}");
     }
     for entry in &report.known {
-        println!("known red: {} | {} | {}", entry.test, entry.cause, entry.issue);
+        println!(
+            "known red: {} | {} | {}",
+            entry.test, entry.cause, entry.issue
+        );
     }
     for fault in &report.faults {
         println!("fault: {fault}");
@@ -79,7 +82,11 @@
     match run(&flags) {
         Ok(report) => {
             print(&report);
-            if report.faults.is_empty() { ExitCode::SUCCESS } else { ExitCode::from(1) }
+            if report.faults.is_empty() {
+                ExitCode::SUCCESS
+            } else {
+                ExitCode::from(1)
+            }
         }
         Err(e) => {
             eprintln!("linenthread-known-red: {e}");
--- a/crates/linenthread-ci/src/judge.rs
+++ b/crates/linenthread-ci/src/judge.rs
@@ -77,12 +77,16 @@
 ) -> BTreeMap<String, &'a Run> {
     let mut named = BTreeMap::new();
     for run in runs {
-        let program = programs.iter().find(|p| !run.documentation && p.file == run.file);
+        let program = programs
+            .iter()
+            .find(|p| !run.documentation && p.file == run.file);
         let name = match program {
             Some(program) => format!("{}::{}", program.package, program.target),
             None if run.documentation => format!("{}::doc", run.file.replace('_', "-")),
             None => {
-                faults.push(Fault::UnknownProgram { program: run.file.clone() });
+                faults.push(Fault::UnknownProgram {
+                    program: run.file.clone(),
+                });
                 continue;
             }
         };
@@ -91,7 +95,10 @@
         }
     }
     for program in programs {
-        if !runs.iter().any(|run| !run.documentation && run.file == program.file) {
+        if !runs
+            .iter()
+            .any(|run| !run.documentation && run.file == program.file)
+        {
             let program = format!("{}::{}", program.package, program.target);
             faults.push(Fault::NotRun { program });
         }
@@ -101,7 +108,9 @@
 
 fn add_run(program: &str, run: &Run, report: &mut Report) {
     let Some(summary) = run.summary else {
-        report.faults.push(Fault::NoSummary { program: program.to_owned() });
+        report.faults.push(Fault::NoSummary {
+            program: program.to_owned(),
+        });
         return;
     };
     let count = |outcome| run.tests.values().filter(|o| **o == outcome).count();
@@ -111,15 +120,23 @@
         ignored: count(Outcome::Ignored),
     };
     // A test's own words may fall between its name and its outcome: that harms only where a test failed.
-    let same = if summary.failed > 0 { counted == summary } else { counted.failed == 0 };
+    let same = if summary.failed > 0 {
+        counted == summary
+    } else {
+        counted.failed == 0
+    };
     if !same {
-        report.faults.push(Fault::Unclear { program: program.to_owned() });
+        report.faults.push(Fault::Unclear {
+            program: program.to_owned(),
+        });
     }
     report.total.passed += summary.passed;
     report.total.failed += summary.failed;
     report.total.ignored += summary.ignored;
     if summary != Summary::default() {
-        report.summaries.push(format!("{} ({program})", run.summary_line));
+        report
+            .summaries
+            .push(format!("{} ({program})", run.summary_line));
     }
 }
 
@@ -154,7 +171,11 @@
 
 /// What cargo says of the whole must be what the tests account for.
 fn judge_status(output: &Output, status: i32, faults: &mut Vec<Fault>) {
-    let failed = output.runs.iter().filter(|run| run.summary.is_some_and(|s| s.failed > 0)).count();
+    let failed = output
+        .runs
+        .iter()
+        .filter(|run| run.summary.is_some_and(|s| s.failed > 0))
+        .count();
     let expected = if failed == 0 { ALL_PASSED } else { SOME_FAILED };
     if status != expected || output.failed_targets != failed {
         faults.push(Fault::Status { status });
--- a/crates/linenthread-ci/src/known.rs
+++ b/crates/linenthread-ci/src/known.rs
@@ -47,17 +47,25 @@
         entries.push(entry);
     }
     if entries.len() > MOST {
-        return Err(KnownFault::TooMany { count: entries.len() });
+        return Err(KnownFault::TooMany {
+            count: entries.len(),
+        });
     }
     Ok(entries)
 }
 
 fn read_line(line: &str) -> Option<Entry> {
     let fields: Vec<&str> = line.split('|').map(str::trim).collect();
-    let [test, cause, issue] = fields[..] else { return None };
+    let [test, cause, issue] = fields[..] else {
+        return None;
+    };
     let named = test.split("::").count() >= 3 && test.split("::").all(|part| !part.is_empty());
     if !named || cause.is_empty() || issue.is_empty() {
         return None;
     }
-    Some(Entry { test: test.to_owned(), cause: cause.to_owned(), issue: issue.to_owned() })
+    Some(Entry {
+        test: test.to_owned(),
+        cause: cause.to_owned(),
+        issue: issue.to_owned(),
+    })
 }
--- a/crates/linenthread-ci/src/output.rs
+++ b/crates/linenthread-ci/src/output.rs
@@ -61,16 +61,28 @@
 fn started(line: &str) -> Option<Run> {
     let line = line.strip_prefix("   ")?.trim_start();
     if let Some(name) = line.strip_prefix("Doc-tests ") {
-        return Some(Run { file: name.to_owned(), documentation: true, ..Run::default() });
+        return Some(Run {
+            file: name.to_owned(),
+            documentation: true,
+            ..Run::default()
+        });
     }
-    let (_, program) = line.strip_prefix("Running ")?.strip_suffix(')')?.rsplit_once(" (")?;
-    Some(Run { file: file_name(program).to_owned(), ..Run::default() })
+    let (_, program) = line
+        .strip_prefix("Running ")?
+        .strip_suffix(')')?
+        .rsplit_once(" (")?;
+    Some(Run {
+        file: file_name(program).to_owned(),
+        ..Run::default()
+    })
 }
 
 /// `error: 2 targets failed:`, cargo's last word with `--no-fail-fast`.
 fn failed_targets(line: &str) -> Option<usize> {
     let count = line.strip_prefix("error: ")?;
-    let count = count.strip_suffix(" targets failed:").or_else(|| count.strip_suffix(" target failed:"))?;
+    let count = count
+        .strip_suffix(" targets failed:")
+        .or_else(|| count.strip_suffix(" target failed:"))?;
     count.parse().ok()
 }
 
@@ -101,7 +113,9 @@
     let (_, counts) = line.strip_prefix("test result: ")?.split_once(". ")?;
     let mut summary = Summary::default();
     for part in counts.split("; ") {
-        let Some((count, what)) = part.split_once(' ') else { continue };
+        let Some((count, what)) = part.split_once(' ') else {
+            continue;
+        };
         match what {
             "passed" => summary.passed = count.parse().ok()?,
             "failed" => summary.failed = count.parse().ok()?,
--- a/crates/linenthread-ci/src/programs.rs
+++ b/crates/linenthread-ci/src/programs.rs
@@ -35,7 +35,9 @@
         if message["reason"] != "compiler-artifact" || !is_test {
             continue;
         }
-        let Some(executable) = message["executable"].as_str() else { continue };
+        let Some(executable) = message["executable"].as_str() else {
+            continue;
+        };
         programs.push(read_program(&message, executable).ok_or_else(unreadable)?);
     }
     Ok(programs)
@@ -44,7 +46,11 @@
 fn read_program(message: &Value, executable: &str) -> Option<Program> {
     let package = package_name(message["package_id"].as_str()?)?;
     let target = message["target"]["name"].as_str()?.to_owned();
-    Some(Program { file: file_name(executable).to_owned(), package, target })
+    Some(Program {
+        file: file_name(executable).to_owned(),
+        package,
+        target,
+    })
 }
 
 /// The last part of a path.
--- a/crates/linenthread-ci/tests/known_red.rs
+++ b/crates/linenthread-ci/tests/known_red.rs
@@ -6,7 +6,9 @@
 /// Cargo's message of one program that it built.
 fn artifact(id: &str, target: &str, is_test: bool, executable: &str) -> String {
     format!(r#"{{"reason":"compiler-artifact","package_id":"{id}","target":{{"name":"{target}"}},"#)
-        + &format!(r#""profile":{{"test":{is_test}}},"executable":"/r/target/debug/{executable}"}}"#)
+        + &format!(
+            r#""profile":{{"test":{is_test}}},"executable":"/r/target/debug/{executable}"}}"#
+        )
         + "\n"
 }
 
@@ -24,7 +26,10 @@
     let failed = tests.iter().filter(|t| t.1 == "FAILED").count();
     let ignored = tests.iter().filter(|t| t.1.starts_with("ignored")).count();
     let passed = tests.len() - failed - ignored;
-    let lines: String = tests.iter().map(|(name, outcome)| format!("test {name} ... {outcome}\n")).collect();
+    let lines: String = tests
+        .iter()
+        .map(|(name, outcome)| format!("test {name} ... {outcome}\n"))
+        .collect();
     let word = if failed > 0 { "FAILED" } else { "ok" };
     format!(
         "     Running tests/system.rs (target/debug/deps/{file})\n\nrunning {} tests\n{lines}\n\
@@ -37,15 +42,26 @@
 /// The two programs, cargo's last words, and the verdict.
 fn verdict(known: &str, left: &[(&str, &str)], right: &[(&str, &str)], status: i32) -> Report {
     let mut text = program("system-1", left) + &program("system-2", right);
-    let failed = [left, right].iter().filter(|tests| tests.iter().any(|t| t.1 == "FAILED")).count();
+    let failed = [left, right]
+        .iter()
+        .filter(|tests| tests.iter().any(|t| t.1 == "FAILED"))
+        .count();
     if failed > 0 {
-        text += &format!("error: {failed} target{} failed:\n", if failed > 1 { "s" } else { "" });
+        text += &format!(
+            "error: {failed} target{} failed:\n",
+            if failed > 1 { "s" } else { "" }
+        );
     }
     verdict_of(known, &text, status)
 }
 
 fn verdict_of(known: &str, text: &str, status: i32) -> Report {
-    judge(&read_known(known).unwrap(), &read_programs(&programs()).unwrap(), &read_output(text), status)
+    judge(
+        &read_known(known).unwrap(),
+        &read_programs(&programs()).unwrap(),
+        &read_output(text),
+        status,
+    )
 }
 
 const RED: &str = "left::system::a | the fault | 43\n";
@@ -62,12 +78,17 @@
 fn passes(known: &str, left: &[(&str, &str)], right: &[(&str, &str)], status: i32) {
     let report = verdict(known, left, right, status);
     assert_eq!(report.faults, []);
-    assert_eq!(report.known.len(), known.lines().filter(|l| !l.is_empty()).count());
+    assert_eq!(
+        report.known.len(),
+        known.lines().filter(|l| !l.is_empty()).count()
+    );
     assert_eq!(report.summaries.len(), 2);
 }
 
 fn failed(test: &str) -> Fault {
-    Fault::Failed { test: test.to_owned() }
+    Fault::Failed {
+        test: test.to_owned(),
+    }
 }
 
 #[parameterized(
@@ -108,24 +129,45 @@
         + &program("system-2", OK)
         + "error: 1 target failed:\n";
     let report = verdict_of(RED, &text, 101);
-    assert!(report.faults.contains(&Fault::NoSummary { program: "left::system".into() }), "{report:?}");
+    assert!(
+        report.faults.contains(&Fault::NoSummary {
+            program: "left::system".into()
+        }),
+        "{report:?}"
+    );
 }
 
 #[test]
 fn a_summary_that_disagrees_with_its_lines_fails() {
-    let text = program("system-1", A_FAILS).replace("test a ... FAILED", "test a ... words in between")
+    let text = program("system-1", A_FAILS)
+        .replace("test a ... FAILED", "test a ... words in between")
         + &program("system-2", OK)
         + "error: 1 target failed:\n";
     let faults = verdict_of("", &text, 101).faults;
-    assert_eq!(faults, [Fault::Unclear { program: "left::system".into() }]);
+    assert_eq!(
+        faults,
+        [Fault::Unclear {
+            program: "left::system".into()
+        }]
+    );
 }
 
 #[test]
 fn a_program_that_did_not_run_or_is_unknown_fails() {
     let text = program("system-1", OK) + &program("system-3", OK);
     let faults = verdict_of("", &text, 0).faults;
-    let unknown = Fault::UnknownProgram { program: "system-3".into() };
-    assert_eq!(faults, [unknown, Fault::NotRun { program: "right::system".into() }]);
+    let unknown = Fault::UnknownProgram {
+        program: "system-3".into(),
+    };
+    assert_eq!(
+        faults,
+        [
+            unknown,
+            Fault::NotRun {
+                program: "right::system".into()
+            }
+        ]
+    );
 }
 
 #[test]
@@ -134,7 +176,10 @@
         test result: FAILED. 0 passed; 1 failed; 0 ignored; 0 measured; 0 filtered out; finished in 0.01s\n\n\
         error: 1 target failed:\n    `-p two-words --doc`\n";
     let text = program("system-1", OK) + &program("system-2", OK) + doc;
-    assert_eq!(verdict_of("", &text, 101).faults, [failed("two-words::doc::src/lib.rs - f (line 3)")]);
+    assert_eq!(
+        verdict_of("", &text, 101).faults,
+        [failed("two-words::doc::src/lib.rs - f (line 3)")]
+    );
 }
 
 #[test]
--- a/crates/linenthread-config/src/configuration.rs
+++ b/crates/linenthread-config/src/configuration.rs
@@ -6,7 +6,8 @@
 
 use crate::{Fault, Schema, fault, hold, schema};
 
-static SCHEMA: LazyLock<Schema> = LazyLock::new(|| schema(include_str!("../configuration.schema.json")));
+static SCHEMA: LazyLock<Schema> =
+    LazyLock::new(|| schema(include_str!("../configuration.schema.json")));
 
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "lowercase")]
@@ -71,7 +72,12 @@
 
 impl Default for Constraints {
     fn default() -> Self {
-        Constraints { header_bytes: 16_384, payload_bytes: 262_144, header_ms: 3_000, quiet_ms: 15_000 }
+        Constraints {
+            header_bytes: 16_384,
+            payload_bytes: 262_144,
+            header_ms: 3_000,
+            quiet_ms: 15_000,
+        }
     }
 }
 
@@ -110,14 +116,21 @@
     /// # Errors
     /// The path of what is wrong, and why.
     pub fn judge(document: &[u8]) -> Result<Configuration, Fault> {
-        let value: serde_json::Value = serde_json::from_slice(document)
-            .map_err(|e| fault(format!("line {} column {}", e.line(), e.column()), e.to_string()))?;
+        let value: serde_json::Value = serde_json::from_slice(document).map_err(|e| {
+            fault(
+                format!("line {} column {}", e.line(), e.column()),
+                e.to_string(),
+            )
+        })?;
         hold(&SCHEMA, &value)?;
         let read = Configuration::read(document)?;
         let mut known = HashSet::new();
         for (i, backend) in read.backends.iter().enumerate() {
             if !known.insert(backend.label.as_str()) {
-                return Err(fault(format!("/backends/{i}"), format!("{} is named twice", backend.label)));
+                return Err(fault(
+                    format!("/backends/{i}"),
+                    format!("{} is named twice", backend.label),
+                ));
             }
         }
         let mut places = HashSet::new();
@@ -130,7 +143,13 @@
                 let cause = format!("host {} has prefix {} twice", route.host, route.path_prefix);
                 return Err(fault(at(), cause));
             }
-            if route.apportion.iter().flatten().map(|s| s.share).sum::<f64>() <= 0.0
+            if route
+                .apportion
+                .iter()
+                .flatten()
+                .map(|s| s.share)
+                .sum::<f64>()
+                <= 0.0
                 && route.apportion.is_some()
             {
                 return Err(fault(at(), "the shares sum to 0"));
@@ -171,10 +190,21 @@
 impl Plan {
     pub fn new(configuration: Configuration) -> Plan {
         let mut hosts: HashMap<String, HashMap<String, usize>> = HashMap::new();
-        let names: HashMap<String, Rc<str>> =
-            configuration.backends.iter().map(|b| (b.label.clone(), Rc::from(b.label.as_str()))).collect();
-        let name = |label: &String| names.get(label).cloned().unwrap_or_else(|| Rc::from(label.as_str()));
-        let limits = configuration.backends.iter().filter_map(|b| Some((name(&b.label), b.max_conns?)));
+        let names: HashMap<String, Rc<str>> = configuration
+            .backends
+            .iter()
+            .map(|b| (b.label.clone(), Rc::from(b.label.as_str())))
+            .collect();
+        let name = |label: &String| {
+            names
+                .get(label)
+                .cloned()
+                .unwrap_or_else(|| Rc::from(label.as_str()))
+        };
+        let limits = configuration
+            .backends
+            .iter()
+            .filter_map(|b| Some((name(&b.label), b.max_conns?)));
         let max_conns = limits.collect();
         let mut routes = Vec::new();
         for (i, route) in configuration.route_table.into_iter().enumerate() {
@@ -210,16 +240,29 @@
             Some(found) => found,
             None => self.hosts.get(&host.to_ascii_lowercase())?,
         };
-        let cuts = path.bytes().enumerate().rev().filter(|(_, b)| *b == b'/').map(|(i, _)| &path[..=i]);
-        cuts.filter_map(|prefix| prefixes.get(prefix)).map(|&i| &self.routes[i]).next()
+        let cuts = path
+            .bytes()
+            .enumerate()
+            .rev()
+            .filter(|(_, b)| *b == b'/')
+            .map(|(i, _)| &path[..=i]);
+        cuts.filter_map(|prefix| prefixes.get(prefix))
+            .map(|&i| &self.routes[i])
+            .next()
     }
 }
 
 impl Target {
     /// The one service for a request that draws this number, from 0 up to 1.
     pub fn drawn(&self, number: f64) -> Option<&Rc<str>> {
-        let Target::One(shares) = self else { return None };
+        let Target::One(shares) = self else {
+            return None;
+        };
         let whole = shares.last()?.1;
-        shares.iter().find(|(_, upto)| number * whole < *upto).or(shares.last()).map(|(name, _)| name)
+        shares
+            .iter()
+            .find(|(_, upto)| number * whole < *upto)
+            .or(shares.last())
+            .map(|(name, _)| name)
     }
 }
--- a/crates/linenthread-config/src/lib.rs
+++ b/crates/linenthread-config/src/lib.rs
@@ -5,7 +5,9 @@
 mod configuration;
 mod settings;
 
-pub use configuration::{Backend, Configuration, Constraints, Mode, Plan, Planned, Route, Share, Target};
+pub use configuration::{
+    Backend, Configuration, Constraints, Mode, Plan, Planned, Route, Share, Target,
+};
 pub use settings::Settings;
 
 use snafu::Snafu;
@@ -19,7 +21,10 @@
 }
 
 pub(crate) fn fault(place: impl Into<String>, cause: impl Into<String>) -> Fault {
-    Fault { place: place.into(), cause: cause.into() }
+    Fault {
+        place: place.into(),
+        cause: cause.into(),
+    }
 }
 
 /// Holds a document to a schema; the first fault found is told, with its path.
@@ -27,7 +32,10 @@
     schema.validate(document).map_err(|e| {
         let mut cause = e.to_string();
         if cause.len() > 200 {
-            let cut = (0..=200).rev().find(|&i| cause.is_char_boundary(i)).unwrap_or(0);
+            let cut = (0..=200)
+                .rev()
+                .find(|&i| cause.is_char_boundary(i))
+                .unwrap_or(0);
             cause.truncate(cut);
             cause.push_str(" ...");
         }
--- a/crates/linenthread-config/src/settings.rs
+++ b/crates/linenthread-config/src/settings.rs
@@ -63,30 +63,52 @@
                 None => f,
             }
         })?;
-        let text = |field: &str| document.get(field).and_then(|v| v.as_str()).unwrap_or_default();
+        let text = |field: &str| {
+            document
+                .get(field)
+                .and_then(|v| v.as_str())
+                .unwrap_or_default()
+        };
         let wrong = |field: &str, cause: String| {
-            fault(lines.get(field).cloned().unwrap_or_else(|| field.to_owned()), format!("{field}: {cause}"))
+            fault(
+                lines
+                    .get(field)
+                    .cloned()
+                    .unwrap_or_else(|| field.to_owned()),
+                format!("{field}: {cause}"),
+            )
         };
         let address = |field: &str| match text(field) {
             "" => Ok(None),
-            t => t.parse().map(Some).map_err(|_| wrong(field, format!("{t} is no address"))),
+            t => t
+                .parse()
+                .map(Some)
+                .map_err(|_| wrong(field, format!("{t} is no address"))),
         };
         let number = |field: &str, usual: f64| match text(field) {
             "" => Ok(usual),
             t => t.parse::<f64>().map_err(|e| wrong(field, e.to_string())),
         };
         let (first, last) = text("port_range").split_once(',').unwrap_or_default();
-        let port = |t: &str| t.parse::<u16>().map_err(|e| wrong("port_range", e.to_string()));
+        let port = |t: &str| {
+            t.parse::<u16>()
+                .map_err(|e| wrong("port_range", e.to_string()))
+        };
         let (peers_port, last) = (port(first)?, port(last)?);
         if peers_port > last || peers_port == 0 {
             return Err(wrong("port_range", "no port is in it".into()));
         }
         let peers = text("bootstrap_peers").split(',').filter(|t| !t.is_empty());
-        let peer = |t: &str| t.parse().map_err(|_| wrong("bootstrap_peers", format!("{t} is no address")));
+        let peer = |t: &str| {
+            t.parse()
+                .map_err(|_| wrong("bootstrap_peers", format!("{t} is no address")))
+        };
         let settings = Settings {
             node_name: text("node_name").to_owned(),
             zone: text("zone").to_owned(),
-            ip_addr: text("ip_addr").parse().map_err(|_| wrong("ip_addr", "is no address".into()))?,
+            ip_addr: text("ip_addr")
+                .parse()
+                .map_err(|_| wrong("ip_addr", "is no address".into()))?,
             ingress: address("bind.ingress")?,
             readiness: address("bind.readiness")?,
             control: address("bind.control_plane")?,
@@ -95,12 +117,15 @@
             initial_boot: text("initial_boot") == "true",
             quorum_member: text("quorum_member") == "true",
             machine_faults: number("fault_budget.machine_faults", 1.0)?.min(16.0) as usize,
-            state_dir: Some(text("state_dir")).filter(|t| !t.is_empty()).map(str::to_owned),
+            state_dir: Some(text("state_dir"))
+                .filter(|t| !t.is_empty())
+                .map(str::to_owned),
             heartbeat_ms: number("heartbeat_ms", 1_000.0)?.max(1.0) as u64,
             drain_ms: number("limits_table.drain_ms", 3_000.0)? as u64,
             grace_ms: (number("limits_table.grace_s", 6.0)? * 1_000.0) as u64,
             retry_ratio: number("limits_table.retry_ratio", 0.0)?,
-            retry_window_ms: (number("limits_table.retry_window_s", 10.0)? * 1_000.0).max(1.0) as u64,
+            retry_window_ms: (number("limits_table.retry_window_s", 10.0)? * 1_000.0).max(1.0)
+                as u64,
             retry_allowance: number("limits_table.retry_allowance", 0.0)?,
             pass_through: false,
         };
@@ -111,7 +136,10 @@
             ));
         }
         if settings.control.is_some() && settings.state_dir.is_none() {
-            return Err(fault("state_dir", "is needed where bind.control_plane is given"));
+            return Err(fault(
+                "state_dir",
+                "is needed where bind.control_plane is given",
+            ));
         }
         Ok(settings)
     }
--- a/crates/linenthread-config/tests/told.rs
+++ b/crates/linenthread-config/tests/told.rs
@@ -12,8 +12,18 @@
 fn settings_are_read() {
     let read = Settings::read(SETTINGS).unwrap();
     assert_eq!(read.control.unwrap().to_string(), "10.1.0.3:8729");
-    assert_eq!((read.peers_port, read.bootstrap_peers.len(), read.machine_faults), (7120, 2, 2));
-    assert_eq!((read.grace_ms, read.retry_ratio, read.initial_boot), (6_000, 0.2, true));
+    assert_eq!(
+        (
+            read.peers_port,
+            read.bootstrap_peers.len(),
+            read.machine_faults
+        ),
+        (7120, 2, 2)
+    );
+    assert_eq!(
+        (read.grace_ms, read.retry_ratio, read.initial_boot),
+        (6_000, 0.2, true)
+    );
     assert_eq!((read.ingress, read.drain_ms), (None, 3_000));
 }
 
@@ -30,7 +40,9 @@
     nothing_to_serve = { "bind.control_plane=10.1.0.3:8729\n", "", "bind.ingress", "nothing to serve" },
 )]
 fn a_bad_setting_is_told_with_its_place(good: &str, bad: &str, place: &str, cause: &str) {
-    let said = Settings::read(&SETTINGS.replacen(good, bad, 1)).unwrap_err().to_string();
+    let said = Settings::read(&SETTINGS.replacen(good, bad, 1))
+        .unwrap_err()
+        .to_string();
     assert!(said.contains(place) && said.contains(cause), "{said}");
 }
 
@@ -79,7 +91,9 @@
     },
 )]
 fn a_bad_configuration_is_told_with_its_place(document: String, place: &str, cause: &str) {
-    let said = Configuration::judge(document.as_bytes()).unwrap_err().to_string();
+    let said = Configuration::judge(document.as_bytes())
+        .unwrap_err()
+        .to_string();
     assert!(said.contains(place) && said.contains(cause), "{said}");
 }
 
@@ -92,19 +106,32 @@
     any_case_and_port = { "H:80", "/a/x", Some("/a/") },
 )]
 fn the_longest_prefix_of_the_host_wins(host: &str, path: &str, prefix: Option<&str>) {
-    let two = [route("h", "/a/", r#""backend":"s1""#), route("h", "/a/b/", r#""fanout":["s1","s2"]"#)];
+    let two = [
+        route("h", "/a/", r#""backend":"s1""#),
+        route("h", "/a/b/", r#""fanout":["s1","s2"]"#),
+    ];
     let plan = Plan::new(Configuration::judge(configuration(&two.join(",")).as_bytes()).unwrap());
-    assert_eq!(plan.route(host, path).map(|p| p.route.path_prefix.as_str()), prefix);
-    assert_eq!((plan.constraints.quiet_ms, plan.constraints.header_bytes), (9, 16_384));
+    assert_eq!(
+        plan.route(host, path).map(|p| p.route.path_prefix.as_str()),
+        prefix
+    );
+    assert_eq!(
+        (plan.constraints.quiet_ms, plan.constraints.header_bytes),
+        (9, 16_384)
+    );
 }
 
 #[test]
 fn shares_are_drawn_as_weighed() {
-    let shares =
-        r#""apportion":[{"backend":"s1","share":1},{"backend":"s2","share":0},{"backend":"s3","share":3}]"#;
-    let plan = Plan::new(Configuration::judge(configuration(&route("h", "/", shares)).as_bytes()).unwrap());
+    let shares = r#""apportion":[{"backend":"s1","share":1},{"backend":"s2","share":0},{"backend":"s3","share":3}]"#;
+    let plan = Plan::new(
+        Configuration::judge(configuration(&route("h", "/", shares)).as_bytes()).unwrap(),
+    );
     let target = &plan.routes[0].target;
     let drawn = |n: f64| target.drawn(n).map(|s| s.to_string()).unwrap();
-    assert_eq!([drawn(0.0), drawn(0.249), drawn(0.25), drawn(0.999)], ["s1", "s1", "s3", "s3"]);
+    assert_eq!(
+        [drawn(0.0), drawn(0.249), drawn(0.25), drawn(0.999)],
+        ["s1", "s1", "s3", "s3"]
+    );
     assert!(matches!(target, Target::One(_)));
 }
--- a/crates/linenthread-consensus/src/acceptor.rs
+++ b/crates/linenthread-consensus/src/acceptor.rs
@@ -1,4 +1,6 @@
-use linenthread_messages::{Accept, AcceptAck, Accepted, Ballot, Prepare, Promise, Record, Rejected};
+use linenthread_messages::{
+    Accept, AcceptAck, Accepted, Ballot, Prepare, Promise, Record, Rejected,
+};
 
 /// Promises and acceptances of this node's disk, for one number.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -11,8 +13,16 @@
 }
 
 impl Acceptor {
-    pub(crate) fn new(number: u64, promised: Option<Ballot>, accepted: Option<Accepted>) -> Acceptor {
-        Acceptor { number, promised, accepted }
+    pub(crate) fn new(
+        number: u64,
+        promised: Option<Ballot>,
+        accepted: Option<Accepted>,
+    ) -> Acceptor {
+        Acceptor {
+            number,
+            promised,
+            accepted,
+        }
     }
 
     /// The least number that it may take part in.
@@ -37,8 +47,16 @@
         self.refuse_older(request.ballot)?;
         self.promised = Some(request.ballot);
         let accepted = self.accepted.clone();
-        let promise = Promise { number: self.number, ballot: request.ballot, accepted };
-        let record = Record { number: self.number, promised: self.promised, ..Record::default() };
+        let promise = Promise {
+            number: self.number,
+            ballot: request.ballot,
+            accepted,
+        };
+        let record = Record {
+            number: self.number,
+            promised: self.promised,
+            ..Record::default()
+        };
         Ok((record, promise))
     }
 
@@ -46,19 +64,31 @@
     pub(crate) fn on_accept(&mut self, request: Accept) -> Result<(Record, AcceptAck), Rejected> {
         self.refuse_older(request.ballot)?;
         self.promised = Some(request.ballot);
-        self.accepted = Some(Accepted { ballot: request.ballot, value: request.value });
+        self.accepted = Some(Accepted {
+            ballot: request.ballot,
+            value: request.value,
+        });
         let record = Record {
             number: self.number,
             promised: self.promised,
             accepted: self.accepted.clone(),
             ..Record::default()
         };
-        Ok((record, AcceptAck { number: self.number, ballot: request.ballot }))
+        Ok((
+            record,
+            AcceptAck {
+                number: self.number,
+                ballot: request.ballot,
+            },
+        ))
     }
 
     fn refuse_older(&self, ballot: Ballot) -> Result<(), Rejected> {
         match self.promised.filter(|promised| *promised > ballot) {
-            Some(promised) => Err(Rejected { number: self.number, promised }),
+            Some(promised) => Err(Rejected {
+                number: self.number,
+                promised,
+            }),
             None => Ok(()),
         }
     }
--- a/crates/linenthread-consensus/src/decided_state.rs
+++ b/crates/linenthread-consensus/src/decided_state.rs
@@ -32,7 +32,10 @@
 impl DecidedState {
     /// From what a disk holds.
     pub(crate) fn new(value: Option<Value>, ledger: Ledger) -> DecidedState {
-        let mut state = DecidedState { value: None, ledger };
+        let mut state = DecidedState {
+            value: None,
+            ledger,
+        };
         if let Some(value) = value {
             state.adopt(value);
         }
@@ -81,7 +84,10 @@
 
     /// Takes a value that is newer; its last orders join the ledger.
     pub(crate) fn adopt(&mut self, value: Value) {
-        value.recent.iter().for_each(|order| self.ledger.insert(order));
+        value
+            .recent
+            .iter()
+            .for_each(|order| self.ledger.insert(order));
         self.ledger.link(value.revision);
         self.value = Some(value);
     }
@@ -107,10 +113,18 @@
     }
 
     /// The value that an order makes of the newest one.
-    pub(crate) fn with_order(&self, order: &OrderIdentity, document: &prost::bytes::Bytes) -> Option<Value> {
+    pub(crate) fn with_order(
+        &self,
+        order: &OrderIdentity,
+        document: &prost::bytes::Bytes,
+    ) -> Option<Value> {
         let value = self.value.as_ref()?;
         let earlier = value.recent.len().saturating_sub(RECENT_ORDERS - 1);
-        let recent = value.recent[earlier..].iter().chain([order]).copied().collect();
+        let recent = value.recent[earlier..]
+            .iter()
+            .chain([order])
+            .copied()
+            .collect();
         Some(Value {
             number: value.number + 1,
             revision: order.revision,
@@ -125,6 +139,12 @@
     pub(crate) fn with_voters(&self, voters: &[Voter], epoch: u64) -> Option<Value> {
         let value = self.value.as_ref()?;
         let number = value.number + 1;
-        Some(Value { number, voters: voters.to_vec(), voters_since: number, epoch, ..value.clone() })
+        Some(Value {
+            number,
+            voters: voters.to_vec(),
+            voters_since: number,
+            epoch,
+            ..value.clone()
+        })
     }
 }
--- a/crates/linenthread-consensus/src/durability.rs
+++ b/crates/linenthread-consensus/src/durability.rs
@@ -59,12 +59,27 @@
     /// Hands a decided value over to the disk.
     pub(crate) fn keep_value(&mut self, now: u64, value: &Value, effects: &mut Vec<Effect>) {
         self.value_at = now;
-        let record = Record { decided: Some(value.clone()), ..Record::default() };
-        self.keep(record, Synced { number: value.number, ledger_record: 0 }, effects);
+        let record = Record {
+            decided: Some(value.clone()),
+            ..Record::default()
+        };
+        self.keep(
+            record,
+            Synced {
+                number: value.number,
+                ledger_record: 0,
+            },
+            effects,
+        );
     }
 
     /// Hands orders that were fetched over to the disk.
-    pub(crate) fn keep_orders(&mut self, now: u64, orders: Vec<OrderIdentity>, effects: &mut Vec<Effect>) {
+    pub(crate) fn keep_orders(
+        &mut self,
+        now: u64,
+        orders: Vec<OrderIdentity>,
+        effects: &mut Vec<Effect>,
+    ) {
         self.ledger_needed = self.ledger_handed_over + 1;
         self.keep_ledger(now, orders, effects);
     }
@@ -72,8 +87,18 @@
     fn keep_ledger(&mut self, now: u64, orders: Vec<OrderIdentity>, effects: &mut Vec<Effect>) {
         self.ledger_at = now;
         self.ledger_handed_over += 1;
-        let record = Record { ledger: orders, ..Record::default() };
-        self.keep(record, Synced { number: 0, ledger_record: self.ledger_handed_over }, effects);
+        let record = Record {
+            ledger: orders,
+            ..Record::default()
+        };
+        self.keep(
+            record,
+            Synced {
+                number: 0,
+                ledger_record: self.ledger_handed_over,
+            },
+            effects,
+        );
     }
 
     fn keep(&self, record: Record, synced: Synced, effects: &mut Vec<Effect>) {
@@ -85,7 +110,8 @@
     pub(crate) fn on_synced(&mut self, synced: &Synced) {
         self.number = self.number.max(synced.number);
         let next = self.ledger_synced + 1;
-        let is_whole = synced.ledger_record > self.ledger_needed || synced.ledger_record == self.ledger_whole;
+        let is_whole =
+            synced.ledger_record > self.ledger_needed || synced.ledger_record == self.ledger_whole;
         if synced.ledger_record == next || is_whole {
             self.ledger_synced = self.ledger_synced.max(synced.ledger_record);
         }
--- a/crates/linenthread-consensus/src/durable_state.rs
+++ b/crates/linenthread-consensus/src/durable_state.rs
@@ -27,7 +27,10 @@
         if !record.replicas.is_empty() {
             self.replicas = record.replicas;
         }
-        record.ledger.iter().for_each(|order| self.ledger.insert(order));
+        record
+            .ledger
+            .iter()
+            .for_each(|order| self.ledger.insert(order));
         if let Some(value) = record.decided {
             self.add_decided(value);
         }
@@ -37,8 +40,15 @@
     }
 
     fn add_decided(&mut self, value: Value) {
-        value.recent.iter().for_each(|order| self.ledger.insert(order));
-        if self.decided.as_ref().is_none_or(|decided| decided.number < value.number) {
+        value
+            .recent
+            .iter()
+            .for_each(|order| self.ledger.insert(order));
+        if self
+            .decided
+            .as_ref()
+            .is_none_or(|decided| decided.number < value.number)
+        {
             self.decided = Some(value);
         }
     }
--- a/crates/linenthread-consensus/src/effects.rs
+++ b/crates/linenthread-consensus/src/effects.rs
@@ -23,7 +23,10 @@
     /// To the node of this disk.
     Send { to: u64, word: PeerMessage },
     /// To be synced before the messages behind it go out.
-    Keep { record: Record, then: Vec<(u64, PeerMessage)> },
+    Keep {
+        record: Record,
+        then: Vec<(u64, PeerMessage)>,
+    },
     /// The newest value now.
     Decided(Value),
     /// A job has ended.
--- a/crates/linenthread-consensus/src/lease.rs
+++ b/crates/linenthread-consensus/src/lease.rs
@@ -71,13 +71,16 @@
 
     /// The epoch under which this node holds the lease now.
     pub fn holds(&self, now: u64) -> Option<u64> {
-        self.held.filter(|held| now < held.until).map(|held| held.epoch)
+        self.held
+            .filter(|held| now < held.until)
+            .map(|held| held.epoch)
     }
 
     /// Whether it holds it by the votes of those whom the value of this number names. Only then may it change
     /// who they are, *one-holder-an-epoch*.
     pub fn holds_on(&self, now: u64, number: u64) -> bool {
-        self.held.is_some_and(|held| now < held.until && held.on == number)
+        self.held
+            .is_some_and(|held| now < held.until && held.on == number)
     }
 
     /// Asks for the lease, or for more time, of those whom the value of this number names; `first` says that
@@ -91,13 +94,23 @@
             self.request = None;
             return None;
         }
-        if self.request.as_ref().is_some_and(|(request, at)| now < at + RENEW && request.on == number) {
+        if self
+            .request
+            .as_ref()
+            .is_some_and(|(request, at)| now < at + RENEW && request.on == number)
+        {
             return None;
         }
         let epoch = self.epoch_to_ask();
         self.request_count += 1;
         let (asked, life) = (self.request_count, self.life);
-        let request = LeaseRequest { epoch, asked, lease_ms: LEASE as u32, life, on: number };
+        let request = LeaseRequest {
+            epoch,
+            asked,
+            lease_ms: LEASE as u32,
+            life,
+            on: number,
+        };
         self.request = Some((request.clone(), now));
         self.votes.clear();
         Some(request)
@@ -157,10 +170,19 @@
         if yes {
             let until = now + u64::from(request.lease_ms).min(LEASE);
             let (life, epoch) = (request.life, request.epoch);
-            self.support = Some(Support { holder: from, life, epoch, until });
+            self.support = Some(Support {
+                holder: from,
+                life,
+                epoch,
+                until,
+            });
             self.epoch = epoch;
         }
-        LeaseVote { epoch: self.epoch, asked: request.asked, yes }
+        LeaseVote {
+            epoch: self.epoch,
+            asked: request.asked,
+            yes,
+        }
     }
 
     /// Whom one supports may go on, under a new epoch as well: two that wait for each other's leases to end would
@@ -188,7 +210,9 @@
         number: u64,
         is_most: impl Fn(Vec<u64>) -> bool,
     ) -> bool {
-        let Some((request, asked_at)) = &self.request else { return false };
+        let Some((request, asked_at)) = &self.request else {
+            return false;
+        };
         let until = *asked_at + LEASE - EARLY;
         // A vote for a request whose time is over gives nothing: the node may have been frozen meanwhile. What
         // has lapsed is not held again under the same epoch.
@@ -212,7 +236,10 @@
 
     /// Another epoch is ahead: the next request asks above it, and votes for this one are void.
     fn on_refusal(&mut self, vote: &LeaseVote) {
-        let behind = self.request.as_ref().is_some_and(|(request, _)| vote.epoch >= request.epoch);
+        let behind = self
+            .request
+            .as_ref()
+            .is_some_and(|(request, _)| vote.epoch >= request.epoch);
         if self.held.is_none() && behind {
             self.epoch = self.epoch.max(vote.epoch);
             self.request = None;
@@ -227,7 +254,10 @@
         let epoch = asked.max(held)?;
         self.votes.clear();
         self.past_epoch = self.past_epoch.max(epoch);
-        Some(LeaseRelease { epoch, life: self.life })
+        Some(LeaseRelease {
+            epoch,
+            life: self.life,
+        })
     }
 
     /// The node `from` has released the lease: whoever supports it may support another at once. Returns whether
--- a/crates/linenthread-consensus/src/ledger.rs
+++ b/crates/linenthread-consensus/src/ledger.rs
@@ -42,7 +42,13 @@
 impl Ledger {
     /// Adds an order, wherever its place is; forgets the oldest ones above the bound.
     pub fn insert(&mut self, order: &OrderIdentity) {
-        self.entries.insert(order.revision, Entry { base: order.base, digest: order.digest });
+        self.entries.insert(
+            order.revision,
+            Entry {
+                base: order.base,
+                digest: order.digest,
+            },
+        );
         if self.entries.len() >= KEPT_ORDERS + FORGOTTEN_AT_ONCE {
             (0..FORGOTTEN_AT_ONCE).for_each(|_| _ = self.entries.pop_first());
         }
@@ -130,8 +136,15 @@
         if self.is_complete() {
             return None;
         }
-        let above = self.entries.range(..self.missing).next_back().map_or(0, |(revision, _)| *revision);
-        Some(LedgerRequest { newest: self.missing, above })
+        let above = self
+            .entries
+            .range(..self.missing)
+            .next_back()
+            .map_or(0, |(revision, _)| *revision);
+        Some(LedgerRequest {
+            newest: self.missing,
+            above,
+        })
     }
 
     /// The answer to what another asks for.
@@ -139,10 +152,19 @@
         let mut orders = Vec::new();
         let mut revision = request.newest;
         while revision > request.above && orders.len() < ORDERS_A_MESSAGE {
-            let Some(entry) = self.entries.get(&revision) else { break };
-            orders.push(OrderIdentity { revision, base: entry.base, digest: entry.digest });
+            let Some(entry) = self.entries.get(&revision) else {
+                break;
+            };
+            orders.push(OrderIdentity {
+                revision,
+                base: entry.base,
+                digest: entry.digest,
+            });
             revision = entry.base;
         }
-        LedgerEntries { newest: request.newest, orders }
+        LedgerEntries {
+            newest: request.newest,
+            orders,
+        }
     }
 }
--- a/crates/linenthread-consensus/src/ledger_catch_up.rs
+++ b/crates/linenthread-consensus/src/ledger_catch_up.rs
@@ -29,13 +29,22 @@
 
 impl LedgerCatchUp {
     pub(crate) fn new(id: u64) -> LedgerCatchUp {
-        LedgerCatchUp { id, asked: None, without: BTreeSet::new(), missing_since: None, turn: 0 }
+        LedgerCatchUp {
+            id,
+            asked: None,
+            without: BTreeSet::new(),
+            missing_since: None,
+            turn: 0,
+        }
     }
 
     /// Asks for what is missing, or gives it up.
     pub(crate) fn tick(&mut self, now: u64, decided: &mut DecidedState, effects: &mut Vec<Effect>) {
         while let Some(request) = decided.ledger().request() {
-            if self.missing_since.is_none_or(|(missing, _)| missing != request.newest) {
+            if self
+                .missing_since
+                .is_none_or(|(missing, _)| missing != request.newest)
+            {
                 self.missing_since = Some((request.newest, now));
                 self.without.clear();
                 self.asked = None;
@@ -51,29 +60,50 @@
 
     fn others<'a>(&self, decided: &'a DecidedState) -> impl Iterator<Item = u64> + 'a {
         let own = self.id;
-        decided.voters().iter().map(|voter| voter.id).filter(move |id| *id != own)
+        decided
+            .voters()
+            .iter()
+            .map(|voter| voter.id)
+            .filter(move |id| *id != own)
     }
 
     fn is_hopeless(&self, now: u64, decided: &DecidedState) -> bool {
-        let waited = self.missing_since.is_some_and(|(_, since)| now >= since + GIVE_UP);
+        let waited = self
+            .missing_since
+            .is_some_and(|(_, since)| now >= since + GIVE_UP);
         let most = decided.is_most(self.without.iter().copied().chain([self.id]));
         self.others(decided).all(|id| self.without.contains(&id)) || most && waited
     }
 
-    fn ask(&mut self, now: u64, request: LedgerRequest, decided: &DecidedState, effects: &mut Vec<Effect>) {
+    fn ask(
+        &mut self,
+        now: u64,
+        request: LedgerRequest,
+        decided: &DecidedState,
+        effects: &mut Vec<Effect>,
+    ) {
         match &self.asked {
             Some(asked) if now < asked.at + AGAIN => return,
             Some(_) => self.turn = self.turn.wrapping_add(1),
             // Whoever answered is asked on.
             None => {}
         }
-        let left: Vec<u64> = self.others(decided).filter(|id| !self.without.contains(id)).collect();
+        let left: Vec<u64> = self
+            .others(decided)
+            .filter(|id| !self.without.contains(id))
+            .collect();
         if left.is_empty() {
             return;
         }
         let to = left[self.turn % left.len()];
-        self.asked = Some(Asked { request: request.clone(), at: now });
-        effects.push(Effect::Send { to, word: PeerMessage::LedgerRequest(request) });
+        self.asked = Some(Asked {
+            request: request.clone(),
+            at: now,
+        });
+        effects.push(Effect::Send {
+            to,
+            word: PeerMessage::LedgerRequest(request),
+        });
     }
 
     /// An answer, late ones too: orders that were taken stay taken. Returns whether the ledger has grown.
@@ -83,7 +113,10 @@
         entries: &LedgerEntries,
         decided: &mut DecidedState,
     ) -> bool {
-        let awaited = self.asked.as_ref().is_some_and(|asked| asked.request.newest == entries.newest);
+        let awaited = self
+            .asked
+            .as_ref()
+            .is_some_and(|asked| asked.request.newest == entries.newest);
         if awaited {
             self.asked = None;
         }
@@ -93,7 +126,10 @@
             }
             return false;
         }
-        entries.orders.iter().for_each(|order| decided.ledger_mut().insert(order));
+        entries
+            .orders
+            .iter()
+            .for_each(|order| decided.ledger_mut().insert(order));
         decided.ledger_mut().relink();
         true
     }
--- a/crates/linenthread-consensus/src/proposer.rs
+++ b/crates/linenthread-consensus/src/proposer.rs
@@ -26,8 +26,14 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Phase {
-    Preparing { promised_by: BTreeSet<u64>, newest_accepted: Option<Accepted> },
-    Accepting { value: Value, accepted_by: BTreeSet<u64> },
+    Preparing {
+        promised_by: BTreeSet<u64>,
+        newest_accepted: Option<Accepted>,
+    },
+    Accepting {
+        value: Value,
+        accepted_by: BTreeSet<u64>,
+    },
 }
 
 /// One attempt to decide the next number.
@@ -44,12 +50,14 @@
     /// What it says to the voters now.
     fn request(&self) -> PeerMessage {
         match &self.phase {
-            Phase::Preparing { .. } => {
-                PeerMessage::Prepare(Prepare { number: self.number, ballot: self.ballot })
-            }
-            Phase::Accepting { value, .. } => {
-                PeerMessage::Accept(Accept { ballot: self.ballot, value: value.clone() })
-            }
+            Phase::Preparing { .. } => PeerMessage::Prepare(Prepare {
+                number: self.number,
+                ballot: self.ballot,
+            }),
+            Phase::Accepting { value, .. } => PeerMessage::Accept(Accept {
+                ballot: self.ballot,
+                value: value.clone(),
+            }),
         }
     }
 
@@ -123,7 +131,11 @@
         if self.waiting.len() >= WAITING_JOBS && !goes_first {
             return false;
         }
-        let waiting = WaitingChange { job, wanted: change.into(), until };
+        let waiting = WaitingChange {
+            job,
+            wanted: change.into(),
+            until,
+        };
         if goes_first {
             self.waiting.push_front(waiting);
             // The rest of an order is none of its own.
@@ -148,7 +160,10 @@
         self.waiting.retain(|change| {
             let in_time = change.until > now;
             if !in_time {
-                effects.push(Effect::Reply { job: change.job, outcome: Outcome::Unclear });
+                effects.push(Effect::Reply {
+                    job: change.job,
+                    outcome: Outcome::Unclear,
+                });
             }
             in_time
         });
@@ -160,7 +175,8 @@
             self.round = None;
             return;
         }
-        self.round.take_if(|round| now >= round.began + ROUND_TIMEOUT);
+        self.round
+            .take_if(|round| now >= round.began + ROUND_TIMEOUT);
         match &mut self.round {
             Some(round) if now >= round.last_sent + RESEND_AFTER => {
                 round.last_sent = now;
@@ -175,10 +191,16 @@
         self.highest_round += 1;
         let round = Round {
             number: decided.next(),
-            ballot: Ballot { round: self.highest_round, proposer: self.life },
+            ballot: Ballot {
+                round: self.highest_round,
+                proposer: self.life,
+            },
             began: now,
             last_sent: now,
-            phase: Phase::Preparing { promised_by: BTreeSet::new(), newest_accepted: None },
+            phase: Phase::Preparing {
+                promised_by: BTreeSet::new(),
+                newest_accepted: None,
+            },
         };
         send_to_voters(decided, &round.request(), effects);
         self.round = Some(round);
@@ -199,13 +221,23 @@
         decided: &DecidedState,
         effects: &mut Vec<Effect>,
     ) {
-        let Some(round) = self.round.as_mut().filter(|round| round.is_for(promise.number, promise.ballot))
+        let Some(round) = self
+            .round
+            .as_mut()
+            .filter(|round| round.is_for(promise.number, promise.ballot))
+        else {
+            return;
+        };
+        let Phase::Preparing {
+            promised_by,
+            newest_accepted,
+        } = &mut round.phase
         else {
             return;
         };
-        let Phase::Preparing { promised_by, newest_accepted } = &mut round.phase else { return };
         promised_by.insert(from);
-        let ballot = |accepted: &Option<Accepted>| accepted.as_ref().map(|accepted| accepted.ballot);
+        let ballot =
+            |accepted: &Option<Accepted>| accepted.as_ref().map(|accepted| accepted.ballot);
         if ballot(&promise.accepted) > ballot(newest_accepted) {
             *newest_accepted = promise.accepted;
         }
@@ -221,9 +253,18 @@
         }
     }
 
-    fn propose(&mut self, now: u64, value: Value, decided: &DecidedState, effects: &mut Vec<Effect>) {
+    fn propose(
+        &mut self,
+        now: u64,
+        value: Value,
+        decided: &DecidedState,
+        effects: &mut Vec<Effect>,
+    ) {
         let Some(round) = &mut self.round else { return };
-        round.phase = Phase::Accepting { value, accepted_by: BTreeSet::new() };
+        round.phase = Phase::Accepting {
+            value,
+            accepted_by: BTreeSet::new(),
+        };
         // Each half of a round has its time, or disks that take a quarter of it would end no round.
         (round.began, round.last_sent) = (now, now);
         send_to_voters(decided, &round.request(), effects);
@@ -234,7 +275,10 @@
         while let Some(change) = self.waiting.front() {
             match judge(&change.wanted, decided) {
                 Ok(value) => return Some(value),
-                Err(outcome) => effects.push(Effect::Reply { job: change.job, outcome }),
+                Err(outcome) => effects.push(Effect::Reply {
+                    job: change.job,
+                    outcome,
+                }),
             }
             self.waiting.pop_front();
         }
@@ -249,8 +293,13 @@
         decided: &DecidedState,
     ) -> Option<Value> {
         let (number, ballot) = (acknowledgement.number, acknowledgement.ballot);
-        let round = self.round.as_mut().filter(|round| round.is_for(number, ballot))?;
-        let Phase::Accepting { value, accepted_by } = &mut round.phase else { return None };
+        let round = self
+            .round
+            .as_mut()
+            .filter(|round| round.is_for(number, ballot))?;
+        let Phase::Accepting { value, accepted_by } = &mut round.phase else {
+            return None;
+        };
         accepted_by.insert(from);
         if !decided.is_most(accepted_by.iter().copied()) {
             return None;
@@ -265,7 +314,11 @@
             return;
         }
         self.highest_round = self.highest_round.max(rejected.promised.round);
-        if self.round.as_ref().is_some_and(|round| round.ballot < rejected.promised) {
+        if self
+            .round
+            .as_ref()
+            .is_some_and(|round| round.ballot < rejected.promised)
+        {
             self.round = None;
             self.clashes = (self.clashes + 1).min(MOST_DOUBLINGS);
             self.rest_until = now + self.rest();
@@ -283,7 +336,9 @@
 
     /// What waits first is a change of the voters.
     fn changes_voters(&self) -> bool {
-        self.waiting.front().is_some_and(|change| matches!(change.wanted, Wanted::Voters { .. }))
+        self.waiting
+            .front()
+            .is_some_and(|change| matches!(change.wanted, Wanted::Voters { .. }))
     }
 
     /// How long to rest after a clash. Who overtook is left the time of one round at least; a change of the voters
@@ -311,7 +366,10 @@
         self.waiting.retain(|change| {
             let outcome = settled_by(&change.wanted, decided, learned);
             let settled = outcome.is_some();
-            effects.extend(outcome.map(|outcome| Effect::Reply { job: change.job, outcome }));
+            effects.extend(outcome.map(|outcome| Effect::Reply {
+                job: change.job,
+                outcome,
+            }));
             !settled
         });
     }
@@ -322,7 +380,9 @@
     let revision = decided.value().map_or(0, |value| value.revision);
     match wanted {
         Wanted::Order { identity, document } => match decided.judge(identity) {
-            Verdict::Proposable => decided.with_order(identity, document).ok_or(Outcome::Unclear),
+            Verdict::Proposable => decided
+                .with_order(identity, document)
+                .ok_or(Outcome::Unclear),
             Verdict::Taken => Err(Outcome::Taken(identity.revision)),
             Verdict::Conflict => Err(Outcome::Conflict(revision)),
             Verdict::Unknown => Err(Outcome::Unclear),
@@ -338,12 +398,13 @@
 /// How a change ends by what was just decided, if that needs no round.
 fn settled_by(wanted: &Wanted, decided: &DecidedState, learned: LearnedFrom) -> Option<Outcome> {
     match wanted {
-        Wanted::Order { identity, .. } if learned == LearnedFrom::OwnRound => {
-            decided.ledger().contains(identity).then_some(Outcome::Taken(identity.revision))
-        }
-        Wanted::Voters { on, .. } if *on < decided.number() => {
-            Some(Outcome::Taken(decided.value().map_or(0, |value| value.revision)))
-        }
+        Wanted::Order { identity, .. } if learned == LearnedFrom::OwnRound => decided
+            .ledger()
+            .contains(identity)
+            .then_some(Outcome::Taken(identity.revision)),
+        Wanted::Voters { on, .. } if *on < decided.number() => Some(Outcome::Taken(
+            decided.value().map_or(0, |value| value.revision),
+        )),
         _ => None,
     }
 }
--- a/crates/linenthread-consensus/src/reader.rs
+++ b/crates/linenthread-consensus/src/reader.rs
@@ -52,7 +52,12 @@
 
 impl Reader {
     pub(crate) fn new(life: u64) -> Reader {
-        Reader { waiting: Vec::new(), question: None, question_count: life >> 16 << 16, ask_from: 0 }
+        Reader {
+            waiting: Vec::new(),
+            question: None,
+            question_count: life >> 16 << 16,
+            ask_from: 0,
+        }
     }
 
     /// Takes a read; false if too many wait.
@@ -72,7 +77,9 @@
     /// no answer to a read whose time is over, and none to a question that is too old.
     pub(crate) fn expire(&mut self, now: u64, effects: &mut Vec<Effect>) {
         expire_reads(&mut self.waiting, now, effects);
-        let Some(question) = &mut self.question else { return };
+        let Some(question) = &mut self.question else {
+            return;
+        };
         expire_reads(&mut question.reads, now, effects);
         if question.reads.is_empty() || now >= question.began + ROUND_TIMEOUT {
             self.ask_anew();
@@ -86,7 +93,9 @@
                 question.last_sent = now;
                 question.send(decided, effects);
             }
-            None if !self.waiting.is_empty() && now >= self.ask_from => self.begin(now, decided, effects),
+            None if !self.waiting.is_empty() && now >= self.ask_from => {
+                self.begin(now, decided, effects)
+            }
             _ => {}
         }
     }
@@ -130,7 +139,10 @@
         if reply.decided > decided.number() {
             return ReadStep::Behind;
         }
-        let Some(question) = self.question.as_mut().filter(|question| question.number == reply.question)
+        let Some(question) = self
+            .question
+            .as_mut()
+            .filter(|question| question.number == reply.question)
         else {
             return ReadStep::Nothing;
         };
@@ -149,9 +161,13 @@
     }
 
     fn answer(&mut self, decided: &DecidedState, effects: &mut Vec<Effect>) {
-        let (Some(question), Some(newest)) = (self.question.take(), decided.value()) else { return };
-        let reply =
-            |read: WaitingRead| Effect::Reply { job: read.job, outcome: Outcome::Newest(newest.clone()) };
+        let (Some(question), Some(newest)) = (self.question.take(), decided.value()) else {
+            return;
+        };
+        let reply = |read: WaitingRead| Effect::Reply {
+            job: read.job,
+            outcome: Outcome::Newest(newest.clone()),
+        };
         effects.extend(question.reads.into_iter().map(reply));
     }
 }
@@ -159,14 +175,25 @@
 impl Question {
     /// To the voters that have not answered yet.
     fn send(&self, decided: &DecidedState, effects: &mut Vec<Effect>) {
-        let word = PeerMessage::ReadRequest(ReadRequest { question: self.number });
-        let left = decided.voters().iter().filter(|voter| !self.pending_at.contains_key(&voter.id));
-        effects.extend(left.map(|voter| Effect::Send { to: voter.id, word: word.clone() }));
+        let word = PeerMessage::ReadRequest(ReadRequest {
+            question: self.number,
+        });
+        let left = decided
+            .voters()
+            .iter()
+            .filter(|voter| !self.pending_at.contains_key(&voter.id));
+        effects.extend(left.map(|voter| Effect::Send {
+            to: voter.id,
+            word: word.clone(),
+        }));
     }
 }
 
 fn expire_reads(reads: &mut Vec<WaitingRead>, now: u64, effects: &mut Vec<Effect>) {
     for read in reads.extract_if(.., |read| read.until <= now) {
-        effects.push(Effect::Reply { job: read.job, outcome: Outcome::Unclear });
+        effects.push(Effect::Reply {
+            job: read.job,
+            outcome: Outcome::Unclear,
+        });
     }
 }
--- a/crates/linenthread-consensus/src/register.rs
+++ b/crates/linenthread-consensus/src/register.rs
@@ -114,9 +114,19 @@
     }
 
     /// Wants a change by then.
-    pub fn propose(&mut self, now: u64, job: Job, change: Change, until: u64, effects: &mut Vec<Effect>) {
+    pub fn propose(
+        &mut self,
+        now: u64,
+        job: Job,
+        change: Change,
+        until: u64,
+        effects: &mut Vec<Effect>,
+    ) {
         if self.decided.value().is_none() || !self.proposer.add(job, change, until) {
-            effects.push(Effect::Reply { job, outcome: Outcome::Unclear });
+            effects.push(Effect::Reply {
+                job,
+                outcome: Outcome::Unclear,
+            });
             return;
         }
         self.tick(now, effects);
@@ -125,7 +135,10 @@
     /// Wants the newest value by then.
     pub fn read(&mut self, now: u64, job: Job, until: u64, effects: &mut Vec<Effect>) {
         if self.decided.value().is_none() || !self.reader.add(job, until) {
-            effects.push(Effect::Reply { job, outcome: Outcome::Unclear });
+            effects.push(Effect::Reply {
+                job,
+                outcome: Outcome::Unclear,
+            });
             return;
         }
         self.tick(now, effects);
@@ -159,7 +172,13 @@
 
     /// A message from the node of a disk; what is not for the register is passed over. What is too old by `now` ends
     /// first, so that no message that waited while this node was frozen brings it to an end of another kind.
-    pub fn on_message(&mut self, now: u64, from: u64, message: PeerMessage, effects: &mut Vec<Effect>) {
+    pub fn on_message(
+        &mut self,
+        now: u64,
+        from: u64,
+        message: PeerMessage,
+        effects: &mut Vec<Effect>,
+    ) {
         self.expire(now, effects);
         match message {
             PeerMessage::Prepare(request) => self.on_prepare(now, from, &request, effects),
@@ -169,12 +188,18 @@
                 self.on_accept_ack(now, from, &acknowledgement, effects)
             }
             PeerMessage::Rejected(rejected) => self.on_rejected(now, &rejected),
-            PeerMessage::CatchUpRequest(request) => self.on_catch_up_request(from, &request, effects),
-            PeerMessage::Decided(value) => self.adopt(now, value, LearnedFrom::AnotherNode, effects),
+            PeerMessage::CatchUpRequest(request) => {
+                self.on_catch_up_request(from, &request, effects)
+            }
+            PeerMessage::Decided(value) => {
+                self.adopt(now, value, LearnedFrom::AnotherNode, effects)
+            }
             PeerMessage::ReadRequest(request) => self.on_read_request(from, &request, effects),
             PeerMessage::ReadReply(reply) => self.on_read_reply(now, from, &reply, effects),
             PeerMessage::LedgerRequest(request) => self.on_ledger_request(from, &request, effects),
-            PeerMessage::LedgerEntries(entries) => self.on_ledger_entries(now, from, entries, effects),
+            PeerMessage::LedgerEntries(entries) => {
+                self.on_ledger_entries(now, from, entries, effects)
+            }
             PeerMessage::Synced(synced) if from == self.id => self.on_synced(&synced),
             _ => {}
         }
@@ -190,7 +215,10 @@
             return false;
         };
         if number <= value.number {
-            effects.push(Effect::Send { to: from, word: PeerMessage::Decided(value.clone()) });
+            effects.push(Effect::Send {
+                to: from,
+                word: PeerMessage::Decided(value.clone()),
+            });
             return false;
         }
         if number > value.number + 1 {
@@ -209,7 +237,11 @@
         if from != self.id && result.is_ok() {
             self.proposer.on_round_of_another(now);
         }
-        answer(from, result.map(|(record, promise)| (record, PeerMessage::Promise(promise))), effects);
+        answer(
+            from,
+            result.map(|(record, promise)| (record, PeerMessage::Promise(promise))),
+            effects,
+        );
     }
 
     fn on_accept(&mut self, from: u64, request: Accept, effects: &mut Vec<Effect>) {
@@ -217,18 +249,32 @@
             return;
         }
         let result = self.acceptor.on_accept(request);
-        answer(from, result.map(|(record, accepted)| (record, PeerMessage::AcceptAck(accepted))), effects);
+        answer(
+            from,
+            result.map(|(record, accepted)| (record, PeerMessage::AcceptAck(accepted))),
+            effects,
+        );
     }
 
     // --- proposer ---
 
     fn on_promise(&mut self, now: u64, from: u64, promise: Promise, effects: &mut Vec<Effect>) {
-        self.proposer.on_promise(now, from, promise, &self.decided, effects);
+        self.proposer
+            .on_promise(now, from, promise, &self.decided, effects);
         self.tick(now, effects);
     }
 
-    fn on_accept_ack(&mut self, now: u64, from: u64, acknowledgement: &AcceptAck, effects: &mut Vec<Effect>) {
-        if let Some(value) = self.proposer.on_accept_ack(from, acknowledgement, &self.decided) {
+    fn on_accept_ack(
+        &mut self,
+        now: u64,
+        from: u64,
+        acknowledgement: &AcceptAck,
+        effects: &mut Vec<Effect>,
+    ) {
+        if let Some(value) = self
+            .proposer
+            .on_accept_ack(from, acknowledgement, &self.decided)
+        {
             self.adopt(now, value, LearnedFrom::OwnRound, effects);
         }
     }
@@ -240,18 +286,36 @@
     // --- decided values ---
 
     /// Another node has less than this one: it gets what it lacks, and the request on hand again.
-    fn on_catch_up_request(&mut self, from: u64, request: &CatchUpRequest, effects: &mut Vec<Effect>) {
-        let Some(value) = self.decided.value() else { return };
+    fn on_catch_up_request(
+        &mut self,
+        from: u64,
+        request: &CatchUpRequest,
+        effects: &mut Vec<Effect>,
+    ) {
+        let Some(value) = self.decided.value() else {
+            return;
+        };
         if request.number >= value.number && value.number > 0 {
             return;
         }
-        effects.push(Effect::Send { to: from, word: PeerMessage::Decided(value.clone()) });
-        effects.extend(self.proposer.request().map(|word| Effect::Send { to: from, word }));
+        effects.push(Effect::Send {
+            to: from,
+            word: PeerMessage::Decided(value.clone()),
+        });
+        effects.extend(
+            self.proposer
+                .request()
+                .map(|word| Effect::Send { to: from, word }),
+        );
     }
 
     /// Learns a value that is decided.
     fn adopt(&mut self, now: u64, value: Value, learned: LearnedFrom, effects: &mut Vec<Effect>) {
-        if self.decided.value().is_some_and(|decided| value.number <= decided.number) {
+        if self
+            .decided
+            .value()
+            .is_some_and(|decided| value.number <= decided.number)
+        {
             return;
         }
         self.decided.adopt(value.clone());
@@ -267,17 +331,29 @@
     // --- reader ---
 
     fn on_read_request(&self, from: u64, request: &ReadRequest, effects: &mut Vec<Effect>) {
-        let Some(value) = self.decided.value() else { return };
+        let Some(value) = self.decided.value() else {
+            return;
+        };
         let pending = self.acceptor.in_doubt();
-        let reply = ReadReply { question: request.question, decided: value.number, pending };
-        effects.push(Effect::Send { to: from, word: PeerMessage::ReadReply(reply) });
+        let reply = ReadReply {
+            question: request.question,
+            decided: value.number,
+            pending,
+        };
+        effects.push(Effect::Send {
+            to: from,
+            word: PeerMessage::ReadReply(reply),
+        });
     }
 
     fn on_read_reply(&mut self, now: u64, from: u64, reply: &ReadReply, effects: &mut Vec<Effect>) {
         if self.decided.value().is_none() {
             return;
         }
-        match self.reader.on_reply(now, from, reply, &self.decided, effects) {
+        match self
+            .reader
+            .on_reply(now, from, reply, &self.decided, effects)
+        {
             ReadStep::Nothing => {}
             ReadStep::Behind => effects.push(ask_to_catch_up(from, self.decided.number())),
             ReadStep::HalfDone => {
@@ -292,10 +368,19 @@
 
     fn on_ledger_request(&self, from: u64, request: &LedgerRequest, effects: &mut Vec<Effect>) {
         let entries = self.decided.ledger().answer(request);
-        effects.push(Effect::Send { to: from, word: PeerMessage::LedgerEntries(entries) });
-    }
-
-    fn on_ledger_entries(&mut self, now: u64, from: u64, entries: LedgerEntries, effects: &mut Vec<Effect>) {
+        effects.push(Effect::Send {
+            to: from,
+            word: PeerMessage::LedgerEntries(entries),
+        });
+    }
+
+    fn on_ledger_entries(
+        &mut self,
+        now: u64,
+        from: u64,
+        entries: LedgerEntries,
+        effects: &mut Vec<Effect>,
+    ) {
         if self.catch_up.on_entries(from, &entries, &mut self.decided) {
             self.durability.keep_orders(now, entries.orders, effects);
         }
@@ -308,18 +393,34 @@
 }
 
 fn ask_to_catch_up(to: u64, number: u64) -> Effect {
-    Effect::Send { to, word: PeerMessage::CatchUpRequest(CatchUpRequest { number }) }
+    Effect::Send {
+        to,
+        word: PeerMessage::CatchUpRequest(CatchUpRequest { number }),
+    }
 }
 
 /// What an acceptor says goes out when its record is synced; a refusal at once.
 fn answer(to: u64, result: Result<(Record, PeerMessage), Rejected>, effects: &mut Vec<Effect>) {
     effects.push(match result {
-        Ok((record, word)) => Effect::Keep { record, then: vec![(to, word)] },
-        Err(rejected) => Effect::Send { to, word: PeerMessage::Rejected(rejected) },
+        Ok((record, word)) => Effect::Keep {
+            record,
+            then: vec![(to, word)],
+        },
+        Err(rejected) => Effect::Send {
+            to,
+            word: PeerMessage::Rejected(rejected),
+        },
     });
 }
 
 /// Sends a message to all that count, this node too if it does.
-pub(crate) fn send_to_voters(decided: &DecidedState, word: &PeerMessage, effects: &mut Vec<Effect>) {
-    effects.extend(decided.voters().iter().map(|voter| Effect::Send { to: voter.id, word: word.clone() }));
+pub(crate) fn send_to_voters(
+    decided: &DecidedState,
+    word: &PeerMessage,
+    effects: &mut Vec<Effect>,
+) {
+    effects.extend(decided.voters().iter().map(|voter| Effect::Send {
+        to: voter.id,
+        word: word.clone(),
+    }));
 }
--- a/crates/linenthread-consensus/tests/acceptor_restart.rs
+++ b/crates/linenthread-consensus/tests/acceptor_restart.rs
@@ -4,8 +4,17 @@
 use linenthread_messages::{Accept, Ballot, PeerMessage, Prepare, Record, Value, Voter};
 
 fn value(number: u64) -> Value {
-    let voters = (1..=3).map(|id| Voter { id, address: format!("10.0.0.{id}:80") }).collect();
-    Value { number, voters, ..Value::default() }
+    let voters = (1..=3)
+        .map(|id| Voter {
+            id,
+            address: format!("10.0.0.{id}:80"),
+        })
+        .collect();
+    Value {
+        number,
+        voters,
+        ..Value::default()
+    }
 }
 
 /// The records of a node that learned value 1 and accepted value 2; the disk was behind and dropped value 1.
@@ -14,7 +23,13 @@
     let mut effects = Vec::new();
     register.on_message(0, 2, PeerMessage::Decided(value(1)), &mut effects);
     effects.clear();
-    let accept = Accept { ballot: Ballot { round: 4, proposer: 2 }, value: value(2) };
+    let accept = Accept {
+        ballot: Ballot {
+            round: 4,
+            proposer: 2,
+        },
+        value: value(2),
+    };
     register.on_message(0, 2, PeerMessage::Accept(accept), &mut effects);
     let record = |effect| match effect {
         Effect::Keep { record, .. } => Some(record),
@@ -25,9 +40,14 @@
 
 fn says_a_promise(register: &mut Register, number: u64, round: u64) -> bool {
     let mut effects = Vec::new();
-    let request = Prepare { number, ballot: Ballot { round, proposer: 3 } };
+    let request = Prepare {
+        number,
+        ballot: Ballot { round, proposer: 3 },
+    };
     register.on_message(0, 3, PeerMessage::Prepare(request), &mut effects);
-    effects.iter().any(|effect| matches!(effect, Effect::Keep { .. }))
+    effects
+        .iter()
+        .any(|effect| matches!(effect, Effect::Keep { .. }))
 }
 
 #[test]
--- a/crates/linenthread-consensus/tests/common/mod.rs
+++ b/crates/linenthread-consensus/tests/common/mod.rs
@@ -41,7 +41,11 @@
 
 /// An order whose document is this text.
 pub fn order(base: u64, revision: u64, document: &str) -> Change {
-    Change::Document { base, revision, document: document.into() }
+    Change::Document {
+        base,
+        revision,
+        document: document.into(),
+    }
 }
 
 fn address(at: u64) -> String {
@@ -54,13 +58,30 @@
 
 impl Cluster {
     pub fn new(size: u64) -> Cluster {
-        let voters: Vec<Voter> = (1..=size).map(|at| Voter { id: at, address: address(at) }).collect();
-        let genesis = Value { voters, ..Value::default() };
+        let voters: Vec<Voter> = (1..=size)
+            .map(|at| Voter {
+                id: at,
+                address: address(at),
+            })
+            .collect();
+        let genesis = Value {
+            voters,
+            ..Value::default()
+        };
         let node = |id| Node {
-            register: Register::new(id, DurableState::default(), Some(genesis.clone()), life(id, 1)),
+            register: Register::new(
+                id,
+                DurableState::default(),
+                Some(genesis.clone()),
+                life(id, 1),
+            ),
             id,
             lives: 1,
-            disk: vec![Record { id: Some(id), decided: Some(genesis.clone()), ..Record::default() }],
+            disk: vec![Record {
+                id: Some(id),
+                decided: Some(genesis.clone()),
+                ..Record::default()
+            }],
             unsynced: Vec::new(),
             stalled: false,
             cut_off: false,
@@ -112,7 +133,9 @@
     /// Begins a call; its outcome comes under this job.
     pub fn start_order(&mut self, at: u64, job: Job, change: Change) {
         let until = self.now + CALL;
-        self.drive(at, |register, now, effects| register.propose(now, job, change, until, effects));
+        self.drive(at, |register, now, effects| {
+            register.propose(now, job, change, until, effects)
+        });
     }
 
     /// A call to its end.
@@ -175,11 +198,21 @@
         let value = self.register(other).decided().expect("has one").clone();
         let (on, epoch, mut voters) = (value.number, value.epoch, value.voters.clone());
         let from = self.register(other).id();
-        self.network.push_back(Message { from, to: new, message: PeerMessage::Decided(value) });
+        self.network.push_back(Message {
+            from,
+            to: new,
+            message: PeerMessage::Decided(value),
+        });
         self.settle();
         self.pass_time(1_000);
-        voters.iter_mut().filter(|voter| voter.id == old).for_each(|voter| voter.id = new);
-        assert!(matches!(self.order(other, Change::Voters { on, voters, epoch }), Outcome::Taken(_)));
+        voters
+            .iter_mut()
+            .filter(|voter| voter.id == old)
+            .for_each(|voter| voter.id = new);
+        assert!(matches!(
+            self.order(other, Change::Voters { on, voters, epoch }),
+            Outcome::Taken(_)
+        ));
     }
 
     /// From now on nothing is synced at this node, until [`Cluster::sync_disk`].
@@ -209,7 +242,11 @@
         let ids: Vec<u64> = self.nodes.iter().map(|node| node.id).collect();
         for effect in effects {
             match effect {
-                Effect::Send { to, word } => self.network.push_back(Message { from, to, message: word }),
+                Effect::Send { to, word } => self.network.push_back(Message {
+                    from,
+                    to,
+                    message: word,
+                }),
                 Effect::Keep { record, then } => self.node(at).unsynced.push((record, then)),
                 Effect::Reply { job, outcome } => _ = self.outcomes.insert(job, outcome),
                 // The control part tells all others at once.
@@ -227,15 +264,25 @@
     fn settle(&mut self) {
         loop {
             self.sync();
-            let Some(Message { from, to, message }) = self.network.pop_front() else { return };
+            let Some(Message { from, to, message }) = self.network.pop_front() else {
+                return;
+            };
             let cut_off = |id| self.nodes.iter().any(|node| node.id == id && node.cut_off);
-            let lost = to != from && (cut_off(to) || cut_off(from)) || (self.lost)(from, to, &message);
-            let Some(at) = self.nodes.iter().position(|node| node.id == to).filter(|_| !lost) else {
+            let lost =
+                to != from && (cut_off(to) || cut_off(from)) || (self.lost)(from, to, &message);
+            let Some(at) = self
+                .nodes
+                .iter()
+                .position(|node| node.id == to)
+                .filter(|_| !lost)
+            else {
                 continue;
             };
             self.sent.push(message.clone());
             let (now, mut effects) = (self.now, Vec::new());
-            self.nodes[at].register.on_message(now, from, message, &mut effects);
+            self.nodes[at]
+                .register
+                .on_message(now, from, message, &mut effects);
             self.carry_out(at as u64 + 1, effects);
         }
     }
@@ -245,7 +292,11 @@
             let from = node.id;
             for (record, then) in node.unsynced.drain(..) {
                 node.disk.push(record);
-                self.network.extend(then.into_iter().map(|(to, message)| Message { from, to, message }));
+                self.network
+                    .extend(
+                        then.into_iter()
+                            .map(|(to, message)| Message { from, to, message }),
+                    );
             }
         }
     }
--- a/crates/linenthread-consensus/tests/contention.rs
+++ b/crates/linenthread-consensus/tests/contention.rs
@@ -6,13 +6,27 @@
 const ANOTHER: u64 = 99;
 
 fn value(number: u64) -> Value {
-    let voters = (1..=3).map(|id| Voter { id, address: format!("10.0.0.{id}:80") }).collect();
-    Value { number, revision: number, voters, ..Value::default() }
+    let voters = (1..=3)
+        .map(|id| Voter {
+            id,
+            address: format!("10.0.0.{id}:80"),
+        })
+        .collect();
+    Value {
+        number,
+        revision: number,
+        voters,
+        ..Value::default()
+    }
 }
 
 fn wants_other_voters(register: &mut Register, now: u64) -> Vec<Effect> {
     let on = register.decided().map_or(0, |value| value.number);
-    let change = Change::Voters { on, voters: value(0).voters[..2].to_vec(), epoch: 1 };
+    let change = Change::Voters {
+        on,
+        voters: value(0).voters[..2].to_vec(),
+        epoch: 1,
+    };
     let mut effects = Vec::new();
     register.propose(now, now, change, now + 60_000, &mut effects);
     effects
@@ -20,7 +34,11 @@
 
 fn wants_an_order(register: &mut Register, now: u64) -> Vec<Effect> {
     let base = register.decided().map_or(0, |value| value.revision);
-    let change = Change::Document { base, revision: base + 1_000, document: b"routes".to_vec() };
+    let change = Change::Document {
+        base,
+        revision: base + 1_000,
+        document: b"routes".to_vec(),
+    };
     let mut effects = Vec::new();
     register.propose(now, now, change, now + 60_000, &mut effects);
     effects
@@ -29,7 +47,10 @@
 /// The ballot of the round that these effects begin, if they begin one.
 fn begun(effects: &[Effect]) -> Option<Ballot> {
     effects.iter().find_map(|effect| match effect {
-        Effect::Send { word: PeerMessage::Prepare(prepare), .. } => Some(prepare.ballot),
+        Effect::Send {
+            word: PeerMessage::Prepare(prepare),
+            ..
+        } => Some(prepare.ballot),
         _ => None,
     })
 }
@@ -46,8 +67,16 @@
 }
 
 fn reject(register: &mut Register, now: u64, number: u64, ballot: Ballot) {
-    let promised = Ballot { round: ballot.round + 1, proposer: ANOTHER };
-    register.on_message(now, 2, PeerMessage::Rejected(Rejected { number, promised }), &mut Vec::new());
+    let promised = Ballot {
+        round: ballot.round + 1,
+        proposer: ANOTHER,
+    };
+    register.on_message(
+        now,
+        2,
+        PeerMessage::Rejected(Rejected { number, promised }),
+        &mut Vec::new(),
+    );
 }
 
 #[test]
@@ -59,7 +88,11 @@
         for number in 1..10 {
             reject(&mut register, now, number, ballot);
             let (again, _) = next_round(&mut register, now + 1);
-            assert!(again <= now + 51, "seed {seed}, number {number}: {} ms", again - now);
+            assert!(
+                again <= now + 51,
+                "seed {seed}, number {number}: {} ms",
+                again - now
+            );
             now = again + 500;
             let mut effects = Vec::new();
             register.on_message(now, 2, PeerMessage::Decided(value(number)), &mut effects);
@@ -74,10 +107,22 @@
     let ballot = begun(&wants_other_voters(&mut register, 1_000)).expect("a round begins");
     let mut effects = Vec::new();
     for from in [2, 3] {
-        let promise = Promise { number: 1, ballot, accepted: None };
+        let promise = Promise {
+            number: 1,
+            ballot,
+            accepted: None,
+        };
         register.on_message(1_400, from, PeerMessage::Promise(promise), &mut effects);
     }
-    let asks = |e: &Effect| matches!(e, Effect::Send { word: PeerMessage::Accept(Accept { .. }), .. });
+    let asks = |e: &Effect| {
+        matches!(
+            e,
+            Effect::Send {
+                word: PeerMessage::Accept(Accept { .. }),
+                ..
+            }
+        )
+    };
     assert!(effects.iter().any(asks));
     let (again, _) = next_round(&mut register, 1_401);
     assert!(again >= 1_850, "given up after {} ms", again - 1_400);
@@ -91,15 +136,25 @@
         let mut register = Register::new(1, DurableState::default(), Some(value(0)), seed);
         let ballot = begun(&wants_an_order(&mut register, 1_000)).expect("a round begins");
         for from in [2, 3] {
-            let promise = Promise { number: 1, ballot, accepted: None };
+            let promise = Promise {
+                number: 1,
+                ballot,
+                accepted: None,
+            };
             register.on_message(1_240, from, PeerMessage::Promise(promise), &mut Vec::new());
         }
         reject(&mut register, 1_300, 1, ballot);
         next_round(&mut register, 1_301).0 - 1_300
     };
     let rests: Vec<u64> = (1..50).map(rest).collect();
-    let (shortest, longest) = (rests.iter().min().expect("some"), rests.iter().max().expect("some"));
-    assert!(*shortest >= 240 && (340..=721).contains(longest), "{shortest} to {longest} ms");
+    let (shortest, longest) = (
+        rests.iter().min().expect("some"),
+        rests.iter().max().expect("some"),
+    );
+    assert!(
+        *shortest >= 240 && (340..=721).contains(longest),
+        "{shortest} to {longest} ms"
+    );
 }
 
 #[test]
@@ -120,10 +175,21 @@
 /// A round of another node that this one votes in is left its time, but not by a change of the voters.
 #[test]
 fn an_order_waits_for_the_round_of_another_node() {
-    let prepare = Prepare { number: 1, ballot: Ballot { round: 1, proposer: ANOTHER } };
+    let prepare = Prepare {
+        number: 1,
+        ballot: Ballot {
+            round: 1,
+            proposer: ANOTHER,
+        },
+    };
     let asked = || {
         let mut register = Register::new(1, DurableState::default(), Some(value(0)), 7);
-        register.on_message(1_000, 2, PeerMessage::Prepare(prepare.clone()), &mut Vec::new());
+        register.on_message(
+            1_000,
+            2,
+            PeerMessage::Prepare(prepare.clone()),
+            &mut Vec::new(),
+        );
         register
     };
     let mut register = asked();
--- a/crates/linenthread-consensus/tests/frozen.rs
+++ b/crates/linenthread-consensus/tests/frozen.rs
@@ -4,13 +4,29 @@
 use linenthread_messages::{PeerMessage, Promise, ReadReply, Value, Voter};
 
 fn one_of_three() -> Register {
-    let voters = (1..=3).map(|id| Voter { id, address: format!("10.0.0.{id}:80") }).collect();
-    Register::new(1, DurableState::default(), Some(Value { voters, ..Value::default() }), 77)
+    let voters = (1..=3)
+        .map(|id| Voter {
+            id,
+            address: format!("10.0.0.{id}:80"),
+        })
+        .collect();
+    Register::new(
+        1,
+        DurableState::default(),
+        Some(Value {
+            voters,
+            ..Value::default()
+        }),
+        77,
+    )
 }
 
 fn question_of(effects: &[Effect]) -> u64 {
     let question = |effect: &Effect| match effect {
-        Effect::Send { word: PeerMessage::ReadRequest(request), .. } => Some(request.question),
+        Effect::Send {
+            word: PeerMessage::ReadRequest(request),
+            ..
+        } => Some(request.question),
         _ => None,
     };
     effects.iter().find_map(question).expect("asks")
@@ -19,7 +35,11 @@
 fn answers(register: &mut Register, now: u64, question: u64) -> Vec<Effect> {
     let mut effects = Vec::new();
     for from in [1, 2] {
-        let reply = ReadReply { question, decided: 0, pending: false };
+        let reply = ReadReply {
+            question,
+            decided: 0,
+            pending: false,
+        };
         register.on_message(now, from, PeerMessage::ReadReply(reply), &mut effects);
     }
     effects
@@ -73,18 +93,34 @@
 #[test]
 fn a_change_whose_time_is_over_goes_no_further_on_waking() {
     let (mut register, mut effects) = (one_of_three(), Vec::new());
-    let change = Change::Document { base: 0, revision: 1, document: "1".into() };
+    let change = Change::Document {
+        base: 0,
+        revision: 1,
+        document: "1".into(),
+    };
     register.propose(1_000, 1, change, 1_900, &mut effects);
     let prepare = |effect: &Effect| match effect {
-        Effect::Send { word: PeerMessage::Prepare(prepare), .. } => Some(prepare.clone()),
+        Effect::Send {
+            word: PeerMessage::Prepare(prepare),
+            ..
+        } => Some(prepare.clone()),
         _ => None,
     };
     let prepare = effects.iter().find_map(prepare).expect("asks");
     let mut effects = Vec::new();
     for from in [1, 2] {
-        let promise = Promise { number: prepare.number, ballot: prepare.ballot, accepted: None };
+        let promise = Promise {
+            number: prepare.number,
+            ballot: prepare.ballot,
+            accepted: None,
+        };
         register.on_message(21_000, from, PeerMessage::Promise(promise), &mut effects);
     }
-    assert!(!effects.iter().any(|effect| matches!(effect, Effect::Send { .. })), "{effects:?}");
+    assert!(
+        !effects
+            .iter()
+            .any(|effect| matches!(effect, Effect::Send { .. })),
+        "{effects:?}"
+    );
     assert_eq!(outcomes(effects), [(1, Outcome::Unclear)]);
 }
--- a/crates/linenthread-consensus/tests/lease_release.rs
+++ b/crates/linenthread-consensus/tests/lease_release.rs
@@ -9,13 +9,23 @@
 const LIFE: u64 = 7;
 
 fn request(life: u64, epoch: u64, asked: u64) -> LeaseRequest {
-    LeaseRequest { epoch, asked, lease_ms: 2_000, life, on: 0 }
+    LeaseRequest {
+        epoch,
+        asked,
+        lease_ms: 2_000,
+        life,
+        on: 0,
+    }
 }
 
 /// A voter that supports the holder under epoch 3 since 5,000.
 fn voter() -> LeaderLease {
     let mut voter = LeaderLease::new(3, 9, 0, false, 0);
-    assert!(voter.on_lease_request(5_000, HOLDER, &request(LIFE, 3, 1), Some(0)).yes);
+    assert!(
+        voter
+            .on_lease_request(5_000, HOLDER, &request(LIFE, 3, 1), Some(0))
+            .yes
+    );
     voter
 }
 
@@ -29,22 +39,45 @@
 fn a_release_frees_the_voter_of_that_holder_only(from: u64, life: u64, epoch: u64, free: bool) {
     let mut voter = voter();
     assert_eq!(voter.on_release(from, &LeaseRelease { epoch, life }), free);
-    assert_eq!(voter.on_lease_request(5_100, OTHER, &request(8, 9, 1), Some(0)).yes, free);
+    assert_eq!(
+        voter
+            .on_lease_request(5_100, OTHER, &request(8, 9, 1), Some(0))
+            .yes,
+        free
+    );
 }
 
 #[test]
 fn a_request_that_was_overtaken_by_the_release_is_not_supported() {
     let mut voter = voter();
-    voter.on_release(HOLDER, &LeaseRelease { epoch: 4, life: LIFE });
-    assert!(!voter.on_lease_request(5_100, HOLDER, &request(LIFE, 4, 2), Some(0)).yes);
+    voter.on_release(
+        HOLDER,
+        &LeaseRelease {
+            epoch: 4,
+            life: LIFE,
+        },
+    );
+    assert!(
+        !voter
+            .on_lease_request(5_100, HOLDER, &request(LIFE, 4, 2), Some(0))
+            .yes
+    );
 }
 
 #[test]
 fn a_voter_that_counts_anew_does_not_go_on_with_whom_it_supported_before() {
     let mut voter = voter();
     voter.decided(9_000, 0, true);
-    assert!(!voter.on_lease_request(10_900, HOLDER, &request(LIFE, 4, 2), Some(0)).yes);
-    assert!(voter.on_lease_request(11_000, HOLDER, &request(LIFE, 4, 3), Some(0)).yes);
+    assert!(
+        !voter
+            .on_lease_request(10_900, HOLDER, &request(LIFE, 4, 2), Some(0))
+            .yes
+    );
+    assert!(
+        voter
+            .on_lease_request(11_000, HOLDER, &request(LIFE, 4, 3), Some(0))
+            .yes
+    );
 }
 
 #[parameterized(
@@ -55,8 +88,15 @@
 )]
 fn a_change_of_the_voters_may_be_passed_over(number: u64, voters_since: u64, misses: bool) {
     let mut voter = voter();
-    voter.follow(&Value { number: 7, ..Value::default() });
-    let value = Value { number, voters_since, ..Value::default() };
+    voter.follow(&Value {
+        number: 7,
+        ..Value::default()
+    });
+    let value = Value {
+        number,
+        voters_since,
+        ..Value::default()
+    };
     assert_eq!(voter.misses_change_of_voters(&value), misses);
 }
 
@@ -64,9 +104,23 @@
 fn a_release_does_not_shorten_the_quiet_time_of_a_voter_that_counts_anew() {
     let mut voter = voter();
     voter.decided(5_050, 0, true);
-    assert!(voter.on_release(HOLDER, &LeaseRelease { epoch: 3, life: LIFE }));
-    assert!(!voter.on_lease_request(5_100, OTHER, &request(8, 9, 1), Some(0)).yes);
-    assert!(voter.on_lease_request(7_100, OTHER, &request(8, 9, 2), Some(0)).yes);
+    assert!(voter.on_release(
+        HOLDER,
+        &LeaseRelease {
+            epoch: 3,
+            life: LIFE
+        }
+    ));
+    assert!(
+        !voter
+            .on_lease_request(5_100, OTHER, &request(8, 9, 1), Some(0))
+            .yes
+    );
+    assert!(
+        voter
+            .on_lease_request(7_100, OTHER, &request(8, 9, 2), Some(0))
+            .yes
+    );
 }
 
 #[test]
@@ -74,11 +128,21 @@
     let mut lease = LeaderLease::new(HOLDER, LIFE, 0, true, 0);
     let first = lease.tick(0, true, 0).expect("asks");
     let is_most = |ids: Vec<u64>| ids.len() >= 2;
-    let yes = LeaseVote { epoch: first.epoch, asked: first.asked, yes: true };
+    let yes = LeaseVote {
+        epoch: first.epoch,
+        asked: first.asked,
+        yes: true,
+    };
     lease.on_lease_vote(1, HOLDER, &yes, 0, is_most);
     assert!(lease.on_lease_vote(2, OTHER, &yes, 0, is_most) && lease.holds(3).is_some());
     let release = lease.release(3).expect("held");
-    assert_eq!(release, LeaseRelease { epoch: first.epoch, life: LIFE });
+    assert_eq!(
+        release,
+        LeaseRelease {
+            epoch: first.epoch,
+            life: LIFE
+        }
+    );
     // Votes that were under way give nothing back.
     assert!(!lease.on_lease_vote(4, 3, &yes, 0, is_most) && lease.holds(4).is_none());
     assert!(lease.release(5).is_none());
@@ -90,8 +154,15 @@
 fn an_open_request_is_released_as_well() {
     let mut lease = LeaderLease::new(HOLDER, LIFE, 0, true, 0);
     let open = lease.tick(0, true, 0).expect("asks");
-    assert_eq!(lease.release(1).map(|release| release.epoch), Some(open.epoch));
-    let yes = LeaseVote { epoch: open.epoch, asked: open.asked, yes: true };
+    assert_eq!(
+        lease.release(1).map(|release| release.epoch),
+        Some(open.epoch)
+    );
+    let yes = LeaseVote {
+        epoch: open.epoch,
+        asked: open.asked,
+        yes: true,
+    };
     assert!(!lease.on_lease_vote(2, OTHER, &yes, 0, |_| true) && lease.holds(2).is_none());
 }
 
@@ -99,7 +170,11 @@
 fn a_node_that_was_frozen_past_its_lease_holds_nothing_when_the_votes_come() {
     let mut lease = LeaderLease::new(HOLDER, LIFE, 0, true, 0);
     let open = lease.tick(0, true, 0).expect("asks");
-    let yes = LeaseVote { epoch: open.epoch, asked: open.asked, yes: true };
+    let yes = LeaseVote {
+        epoch: open.epoch,
+        asked: open.asked,
+        yes: true,
+    };
     // The control part would take this for a lease that begins.
     assert!(!lease.on_lease_vote(20_000, OTHER, &yes, 0, |_| true));
     assert_eq!(lease.holds(20_000), None);
--- a/crates/linenthread-consensus/tests/orders.rs
+++ b/crates/linenthread-consensus/tests/orders.rs
@@ -10,7 +10,11 @@
 const LONG_DAY: u64 = 2_000;
 
 fn identity(revision: u64) -> OrderIdentity {
-    OrderIdentity { revision, base: revision - 1, digest: document_digest(format!("{revision}").as_bytes()) }
+    OrderIdentity {
+        revision,
+        base: revision - 1,
+        digest: document_digest(format!("{revision}").as_bytes()),
+    }
 }
 
 #[test]
@@ -18,14 +22,20 @@
     let mut cluster = Cluster::new(3);
     assert_eq!(cluster.order(1, order(0, 1, "first")), Outcome::Taken(1));
     for at in 1..=3 {
-        assert_eq!(cluster.order(at, order(0, 1, "second")), Outcome::Conflict(1));
+        assert_eq!(
+            cluster.order(at, order(0, 1, "second")),
+            Outcome::Conflict(1)
+        );
         assert_eq!(cluster.order(at, order(0, 1, "first")), Outcome::Taken(1));
     }
     cluster.take_orders(2, 2..=100);
     cluster.restart_all();
     cluster.replace_disk(3);
     for at in 1..=3 {
-        assert_eq!(cluster.order(at, order(0, 1, "second")), Outcome::Conflict(100));
+        assert_eq!(
+            cluster.order(at, order(0, 1, "second")),
+            Outcome::Conflict(100)
+        );
         assert_eq!(cluster.order(at, order(0, 1, "first")), Outcome::Taken(1));
     }
 }
@@ -60,7 +70,10 @@
     assert_eq!(cluster.order(2, order(0, 1, "1")), Outcome::Taken(1));
     // And once more from that disk alone.
     cluster.restart(2);
-    assert_eq!(cluster.order(2, order(999, 1_000, "1000")), Outcome::Taken(1_000));
+    assert_eq!(
+        cluster.order(2, order(999, 1_000, "1000")),
+        Outcome::Taken(1_000)
+    );
 }
 
 #[test]
@@ -73,7 +86,10 @@
     cluster.lose(|_, _, _| false);
     assert_eq!(cluster.order(3, order(3, 4, "4")), Outcome::Taken(4));
     assert_eq!(cluster.outcome(500), Some(Outcome::Taken(4)));
-    assert_eq!(cluster.register(3).decided().map(|value| value.taken_count), Some(4));
+    assert_eq!(
+        cluster.register(3).decided().map(|value| value.taken_count),
+        Some(4)
+    );
 }
 
 #[test]
@@ -82,7 +98,10 @@
     cluster.lose(|_, to, message| to == 1 && matches!(message, PeerMessage::AcceptAck(_)));
     cluster.start_order(1, 500, order(0, 1, "first"));
     cluster.lose(|_, _, _| false);
-    assert_eq!(cluster.order(2, order(0, 1, "second")), Outcome::Conflict(1));
+    assert_eq!(
+        cluster.order(2, order(0, 1, "second")),
+        Outcome::Conflict(1)
+    );
     assert_eq!(cluster.order(3, order(0, 1, "first")), Outcome::Taken(1));
 }
 
@@ -106,12 +125,18 @@
     assert!(!cluster.register(3).ledger_complete());
     assert_eq!(cluster.order(3, order(39, 40, "40")), Outcome::Unclear);
     assert_eq!(cluster.order(3, order(39, 40, "other")), Outcome::Unclear);
-    assert_eq!(cluster.order(3, order(94, 95, "other")), Outcome::Conflict(100));
+    assert_eq!(
+        cluster.order(3, order(94, 95, "other")),
+        Outcome::Conflict(100)
+    );
     cluster.lose(|_, _, _| false);
     cluster.pass_time(1_000);
     assert!(cluster.register(3).ledger_complete());
     assert_eq!(cluster.order(3, order(39, 40, "40")), Outcome::Taken(40));
-    assert_eq!(cluster.order(3, order(39, 40, "other")), Outcome::Conflict(100));
+    assert_eq!(
+        cluster.order(3, order(39, 40, "other")),
+        Outcome::Conflict(100)
+    );
 }
 
 #[test]
@@ -131,7 +156,10 @@
     cluster.take_orders(1, 1..=LONG_DAY);
     cluster.stall_disk(3);
     cluster.replace_disk(3);
-    assert!(cluster.register(3).ledger_complete(), "it has all in memory");
+    assert!(
+        cluster.register(3).ledger_complete(),
+        "it has all in memory"
+    );
     assert!(!cluster.register(3).holds_all_durably() && cluster.register(3).durable_number() == 0);
     assert!(!cluster.register(3).ledger_durable());
     cluster.sync_disk(3);
@@ -151,7 +179,10 @@
     cluster.pass_time(6_000);
     assert!(cluster.register(3).holds_all_durably());
     cluster.restart(3);
-    assert!(cluster.register(3).ledger_complete() && cluster.register(3).ledger().len() == LONG_DAY as usize);
+    assert!(
+        cluster.register(3).ledger_complete()
+            && cluster.register(3).ledger().len() == LONG_DAY as usize
+    );
 }
 
 #[test]
@@ -162,8 +193,14 @@
     cluster.replace_disk(3);
     assert!(cluster.register(3).ledger_complete());
     let chunks = 5_000_usize.div_ceil(ORDERS_A_MESSAGE);
-    assert_eq!(cluster.counted(|message| matches!(message, PeerMessage::LedgerRequest(_))), chunks);
-    assert_eq!(cluster.counted(|message| matches!(message, PeerMessage::LedgerEntries(_))), chunks);
+    assert_eq!(
+        cluster.counted(|message| matches!(message, PeerMessage::LedgerRequest(_))),
+        chunks
+    );
+    assert_eq!(
+        cluster.counted(|message| matches!(message, PeerMessage::LedgerEntries(_))),
+        chunks
+    );
 }
 
 #[test]
--- a/crates/linenthread-consensus/tests/register.rs
+++ b/crates/linenthread-consensus/tests/register.rs
@@ -7,8 +7,16 @@
 use yare::parameterized;
 
 fn genesis() -> Value {
-    let voters = (1..=3).map(|id| Voter { id, address: format!("10.0.0.{id}:80") }).collect();
-    Value { voters, ..Value::default() }
+    let voters = (1..=3)
+        .map(|id| Voter {
+            id,
+            address: format!("10.0.0.{id}:80"),
+        })
+        .collect();
+    Value {
+        voters,
+        ..Value::default()
+    }
 }
 
 fn register(id: u64) -> Register {
@@ -49,7 +57,8 @@
                 Effect::Send { to, word } => send(to, word, &mut waiting),
                 Effect::Keep { record, then } => {
                     self.disks[from as usize - 1].push(record);
-                    then.into_iter().for_each(|(to, word)| send(to, word, &mut waiting));
+                    then.into_iter()
+                        .for_each(|(to, word)| send(to, word, &mut waiting));
                 }
                 Effect::Reply { job, outcome } => self.replies.push((job, outcome)),
                 Effect::Decided(_) => {}
@@ -59,7 +68,11 @@
 
     fn replace(&mut self, at: u64, job: u64, base: u64, revision: u64) {
         let mut outs = Vec::new();
-        let change = Change::Document { base, revision, document: format!("{revision}").into() };
+        let change = Change::Document {
+            base,
+            revision,
+            document: format!("{revision}").into(),
+        };
         self.all[at as usize - 1].propose(0, job, change, 900, &mut outs);
         self.settle(at, outs);
         // It may have waited for the round of another node.
@@ -102,21 +115,35 @@
     let mut outs = Vec::new();
     three.all[0].tick(1_000, &mut outs);
     three.settle(1, outs);
-    assert_eq!(three.replies, [(1, Outcome::Unclear), (2, Outcome::Unclear)]);
+    assert_eq!(
+        three.replies,
+        [(1, Outcome::Unclear), (2, Outcome::Unclear)]
+    );
 }
 
 #[test]
 fn a_read_completes_what_is_half_done() {
     // Machine 1 accepted at 1 and 2, then all of its further words were lost.
     let mut three = Three::new();
-    let value = Value { number: 1, revision: 3, document: "3".into(), ..genesis() };
-    let ballot = Ballot { round: 1, proposer: 9 };
+    let value = Value {
+        number: 1,
+        revision: 3,
+        document: "3".into(),
+        ..genesis()
+    };
+    let ballot = Ballot {
+        round: 1,
+        proposer: 9,
+    };
     for to in [1, 2] {
         let mut outs = Vec::new();
         three.all[to - 1].on_message(
             0,
             9,
-            PeerMessage::Accept(Accept { ballot, value: value.clone() }),
+            PeerMessage::Accept(Accept {
+                ballot,
+                value: value.clone(),
+            }),
             &mut outs,
         );
     }
@@ -128,9 +155,24 @@
 
 #[test]
 fn a_read_does_not_ask_on_and_on_while_a_disk_is_slow() {
-    let voters = vec![Voter { id: 1, address: "10.0.0.1:80".into() }];
-    let mut one = Register::new(1, DurableState::default(), Some(Value { voters, ..Value::default() }), 5);
-    let change = Change::Document { base: 0, revision: 3, document: "3".into() };
+    let voters = vec![Voter {
+        id: 1,
+        address: "10.0.0.1:80".into(),
+    }];
+    let mut one = Register::new(
+        1,
+        DurableState::default(),
+        Some(Value {
+            voters,
+            ..Value::default()
+        }),
+        5,
+    );
+    let change = Change::Document {
+        base: 0,
+        revision: 3,
+        document: "3".into(),
+    };
     let (mut outs, mut asked, mut unsynced) = (Vec::new(), 0, Vec::new());
     one.propose(0, 1, change, 900, &mut outs);
     one.read(0, 2, 900, &mut outs);
@@ -156,18 +198,46 @@
     }
     assert!(outs.is_empty() && asked <= 2, "asked {asked} times");
     one.on_message(5, 1, unsynced.remove(0), &mut outs);
-    assert!(outs.iter().any(|o| matches!(o, Effect::Reply { job: 1, outcome: Outcome::Taken(3) })));
+    assert!(outs.iter().any(|o| matches!(
+        o,
+        Effect::Reply {
+            job: 1,
+            outcome: Outcome::Taken(3)
+        }
+    )));
 }
 
 #[test]
 fn a_greater_promise_refuses_an_older_ballot() {
     let (mut one, mut outs) = (register(1), Vec::new());
-    let newer = Ballot { round: 5, proposer: 2 };
-    one.on_message(0, 2, PeerMessage::Prepare(Prepare { number: 1, ballot: newer }), &mut outs);
-    assert!(matches!(&outs[..], [Effect::Keep { then, .. }] if matches!(then[0].1, PeerMessage::Promise(_))));
+    let newer = Ballot {
+        round: 5,
+        proposer: 2,
+    };
+    one.on_message(
+        0,
+        2,
+        PeerMessage::Prepare(Prepare {
+            number: 1,
+            ballot: newer,
+        }),
+        &mut outs,
+    );
+    assert!(
+        matches!(&outs[..], [Effect::Keep { then, .. }] if matches!(then[0].1, PeerMessage::Promise(_)))
+    );
     outs.clear();
-    let value = Value { number: 1, ..genesis() };
-    let accept = Accept { ballot: Ballot { round: 4, proposer: 3 }, value };
+    let value = Value {
+        number: 1,
+        ..genesis()
+    };
+    let accept = Accept {
+        ballot: Ballot {
+            round: 4,
+            proposer: 3,
+        },
+        value,
+    };
     one.on_message(0, 3, PeerMessage::Accept(accept), &mut outs);
     assert!(
         matches!(&outs[..], [Effect::Send { word: PeerMessage::Rejected(r), .. }] if r.promised == newer)
@@ -180,11 +250,26 @@
     behind = { 1, 2, false },
     decided_long_ago = { 1, 0, false },
 )]
-fn only_a_counted_disk_that_has_the_value_before_takes_part(id: u64, number: u64, takes_part: bool) {
+fn only_a_counted_disk_that_has_the_value_before_takes_part(
+    id: u64,
+    number: u64,
+    takes_part: bool,
+) {
     let (mut one, mut outs) = (register(id), Vec::new());
-    let ballot = Ballot { round: 1, proposer: 2 };
-    one.on_message(0, 2, PeerMessage::Prepare(Prepare { number, ballot }), &mut outs);
-    assert_eq!(outs.iter().any(|o| matches!(o, Effect::Keep { .. })), takes_part);
+    let ballot = Ballot {
+        round: 1,
+        proposer: 2,
+    };
+    one.on_message(
+        0,
+        2,
+        PeerMessage::Prepare(Prepare { number, ballot }),
+        &mut outs,
+    );
+    assert_eq!(
+        outs.iter().any(|o| matches!(o, Effect::Keep { .. })),
+        takes_part
+    );
 }
 
 #[test]
@@ -192,24 +277,51 @@
     let mut three = Three::new();
     three.replace(1, 1, 0, 3);
     let mut outs = Vec::new();
-    let ballot = Ballot { round: 9, proposer: 2 };
-    three.all[0].on_message(0, 2, PeerMessage::Prepare(Prepare { number: 2, ballot }), &mut outs);
+    let ballot = Ballot {
+        round: 9,
+        proposer: 2,
+    };
+    three.all[0].on_message(
+        0,
+        2,
+        PeerMessage::Prepare(Prepare { number: 2, ballot }),
+        &mut outs,
+    );
     three.settle(1, outs.split_off(0));
     // Every beginning of what was synced is a state that may be found; whole, it refuses what it promised
     // away.
     for cut in 0..=three.disks[0].len() {
         let mut kept = DurableState::default();
-        three.disks[0][..cut].iter().for_each(|r| kept.add(r.clone()));
+        three.disks[0][..cut]
+            .iter()
+            .for_each(|r| kept.add(r.clone()));
         let mut copy = DurableState::default();
         kept.records().into_iter().for_each(|r| copy.add(r));
         for kept in [kept, copy] {
             let mut again = Register::new(1, kept, Some(genesis()), 5);
-            let older = Ballot { round: 8, proposer: 3 };
+            let older = Ballot {
+                round: 8,
+                proposer: 3,
+            };
             let mut outs = Vec::new();
-            again.on_message(0, 3, PeerMessage::Prepare(Prepare { number: 2, ballot: older }), &mut outs);
+            again.on_message(
+                0,
+                3,
+                PeerMessage::Prepare(Prepare {
+                    number: 2,
+                    ballot: older,
+                }),
+                &mut outs,
+            );
             let whole = cut == three.disks[0].len();
             assert_eq!(
-                outs.iter().any(|o| matches!(o, Effect::Send { word: PeerMessage::Rejected(_), .. })),
+                outs.iter().any(|o| matches!(
+                    o,
+                    Effect::Send {
+                        word: PeerMessage::Rejected(_),
+                        ..
+                    }
+                )),
                 whole
             );
         }
@@ -233,7 +345,13 @@
         lease.on_lease_request(
             5_000,
             1,
-            &LeaseRequest { epoch: 1, asked: 1, lease_ms: 2_000, life: 7, on: 0 },
+            &LeaseRequest {
+                epoch: 1,
+                asked: 1,
+                lease_ms: 2_000,
+                life: 7,
+                on: 0,
+            },
             Some(0),
         );
     }
@@ -242,7 +360,13 @@
             .on_lease_request(
                 now,
                 from,
-                &LeaseRequest { epoch, asked: 2, lease_ms: 2_000, life, on: 0 },
+                &LeaseRequest {
+                    epoch,
+                    asked: 2,
+                    lease_ms: 2_000,
+                    life,
+                    on: 0
+                },
                 Some(0)
             )
             .yes,
@@ -254,7 +378,11 @@
 fn what_has_lapsed_is_not_held_again_by_a_late_word() {
     let mut lease = LeaderLease::new(1, 9, 0, true, 0);
     let ask = lease.tick(0, true, 0).expect("asks");
-    let yes = LeaseVote { epoch: ask.epoch, asked: ask.asked, yes: true };
+    let yes = LeaseVote {
+        epoch: ask.epoch,
+        asked: ask.asked,
+        yes: true,
+    };
     let most = |ids: Vec<u64>| ids.len() >= 2;
     assert!(!lease.on_lease_vote(1, 1, &yes, 0, most));
     assert!(lease.on_lease_vote(2, 2, &yes, 0, most));
@@ -269,7 +397,11 @@
 fn who_counts_is_changed_only_by_the_support_of_those_who_count() {
     let mut lease = LeaderLease::new(1, 9, 0, true, 0);
     let most = |ids: Vec<u64>| ids.len() >= 2;
-    let say = |ask: &LeaseRequest| LeaseVote { epoch: ask.epoch, asked: ask.asked, yes: true };
+    let say = |ask: &LeaseRequest| LeaseVote {
+        epoch: ask.epoch,
+        asked: ask.asked,
+        yes: true,
+    };
     let on_7 = lease.tick(0, true, 7).expect("asks");
     lease.on_lease_vote(1, 1, &say(&on_7), 7, most);
     assert!(lease.on_lease_vote(2, 2, &say(&on_7), 7, most) && lease.holds_on(3, 7));
@@ -288,9 +420,23 @@
     let mut lease = LeaderLease::new(1, 9, 0, true, 0);
     let most = |ids: Vec<u64>| ids.len() >= 2;
     let ask = lease.tick(0, true, 0).expect("asks");
-    let yes = LeaseVote { epoch: ask.epoch, asked: ask.asked, yes: true };
+    let yes = LeaseVote {
+        epoch: ask.epoch,
+        asked: ask.asked,
+        yes: true,
+    };
     lease.on_lease_vote(1, 1, &yes, 0, most);
-    lease.on_lease_vote(2, 2, &LeaseVote { epoch: 6, yes: false, ..yes.clone() }, 0, most);
+    lease.on_lease_vote(
+        2,
+        2,
+        &LeaseVote {
+            epoch: 6,
+            yes: false,
+            ..yes.clone()
+        },
+        0,
+        most,
+    );
     assert!(!lease.on_lease_vote(3, 3, &yes, 0, most));
     let next = lease.tick(500, true, 0).expect("asks above it");
     assert_eq!((next.epoch, lease.holds(500)), (7, None));
@@ -306,10 +452,19 @@
 fn support_waits_for_what_is_decided(number: Option<u64>, anew: bool, above: u64, yes: bool) {
     let mut lease = LeaderLease::new(3, 9, 0, false, 0);
     lease.decided(5_000, 4, anew);
-    let ask = LeaseRequest { epoch: 4 + above, asked: 1, lease_ms: 2_000, life: 7, on: 0 };
+    let ask = LeaseRequest {
+        epoch: 4 + above,
+        asked: 1,
+        lease_ms: 2_000,
+        life: 7,
+        on: 0,
+    };
     assert_eq!(lease.on_lease_request(6_900, 1, &ask, number).yes, yes);
     // Later it waits for nothing but a value that both have, and an epoch above.
-    assert_eq!(lease.on_lease_request(7_100, 1, &ask, Some(0)).yes, above > 0);
+    assert_eq!(
+        lease.on_lease_request(7_100, 1, &ask, Some(0)).yes,
+        above > 0
+    );
 }
 
 #[test]
@@ -317,7 +472,11 @@
     let mut lease = LeaderLease::new(1, 9, 0, true, 0);
     let most = |ids: Vec<u64>| ids.len() >= 2;
     let ask = lease.tick(0, true, 0).expect("asks");
-    let yes = LeaseVote { epoch: ask.epoch, asked: ask.asked, yes: true };
+    let yes = LeaseVote {
+        epoch: ask.epoch,
+        asked: ask.asked,
+        yes: true,
+    };
     lease.on_lease_vote(1, 1, &yes, 0, most);
     // It was frozen meanwhile.
     lease.on_lease_vote(5_000, 2, &yes, 0, most);
--- a/crates/linenthread-control/src/allotments.rs
+++ b/crates/linenthread-control/src/allotments.rs
@@ -19,7 +19,12 @@
 
 impl Allotter {
     pub(crate) fn new(budget: Budget, first_of_all: bool) -> Allotter {
-        Allotter { budget, first_of_all, last_epoch: None, answered: BTreeMap::new() }
+        Allotter {
+            budget,
+            first_of_all,
+            last_epoch: None,
+            answered: BTreeMap::new(),
+        }
     }
 
     /// The lease is this node's from now on. Under the very next epoch nobody can have held it in between:
@@ -59,7 +64,8 @@
                 own: own as u32,
             });
         }
-        self.answered.retain(|(name, life), _| fronts.get(name).is_some_and(|s| s.life == *life));
+        self.answered
+            .retain(|(name, life), _| fronts.get(name).is_some_and(|s| s.life == *life));
         allotments
     }
 }
--- a/crates/linenthread-control/src/budget.rs
+++ b/crates/linenthread-control/src/budget.rs
@@ -27,12 +27,21 @@
 
 impl Budget {
     pub fn new(whole: f64, window: u64) -> Budget {
-        Budget { whole, window, from: u64::MAX, holders: BTreeMap::new() }
+        Budget {
+            whole,
+            window,
+            from: u64::MAX,
+            holders: BTreeMap::new(),
+        }
     }
 
     /// The duty is ours from now on; `first_of_all` if nobody can have held it before.
     pub fn begin(&mut self, now: u64, first_of_all: bool) {
-        self.from = if first_of_all { now } else { now + LEASE + self.window };
+        self.from = if first_of_all {
+            now
+        } else {
+            now + LEASE + self.window
+        };
         self.holders.clear();
     }
 
@@ -46,9 +55,16 @@
             !h.shares.is_empty()
         });
         let key = (name.to_owned(), life);
-        let others: f64 = self.holders.iter().filter(|(k, _)| **k != key).map(|(_, h)| h.most()).sum();
+        let others: f64 = self
+            .holders
+            .iter()
+            .filter(|(k, _)| **k != key)
+            .map(|(_, h)| h.most())
+            .sum();
         // Room for one that comes: a restart's old share is in use for a while.
-        let share = (self.whole / (fronts + 1) as f64).min(self.whole - others).max(0.0);
+        let share = (self.whole / (fronts + 1) as f64)
+            .min(self.whole - others)
+            .max(0.0);
         let shares = &mut self.holders.entry(key).or_default().shares;
         shares.retain(|s| s.0 > share);
         shares.push((share, now + LEASE + self.window));
@@ -57,7 +73,13 @@
 
     /// What may be in use of all that was given.
     pub fn given(&self, now: u64) -> f64 {
-        let most = |h: &Holder| h.shares.iter().filter(|s| s.1 > now).map(|s| s.0).fold(0.0, f64::max);
+        let most = |h: &Holder| {
+            h.shares
+                .iter()
+                .filter(|s| s.1 > now)
+                .map(|s| s.0)
+                .fold(0.0, f64::max)
+        };
         self.holders.values().map(most).sum()
     }
 }
--- a/crates/linenthread-control/src/configuration.rs
+++ b/crates/linenthread-control/src/configuration.rs
@@ -29,8 +29,16 @@
         }
         let job = self.requests.add(Purpose::Call(token));
         let until = now + CALL + document.len() as u64 / BYTES_A_MS;
-        let change = Change::Document { base, revision, document };
-        self.agree(now, |register, agreed| register.propose(now, job, change, until, agreed), effects);
+        let change = Change::Document {
+            base,
+            revision,
+            document,
+        };
+        self.agree(
+            now,
+            |register, agreed| register.propose(now, job, change, until, agreed),
+            effects,
+        );
     }
 
     /// An operator reads the newest configuration.
@@ -41,7 +49,11 @@
             return;
         }
         let job = self.requests.add(Purpose::Call(token));
-        self.agree(now, |register, agreed| register.read(now, job, now + CALL, agreed), effects);
+        self.agree(
+            now,
+            |register, agreed| register.read(now, job, now + CALL, agreed),
+            effects,
+        );
     }
 
     /// Reads what is newest for a front that has just come.
@@ -49,13 +61,19 @@
         if !self.in_contact(now) {
             return;
         }
-        let Some(front) = self.fronts.get_mut(link) else { return };
+        let Some(front) = self.fronts.get_mut(link) else {
+            return;
+        };
         if front.confirmed || front.confirming {
             return;
         }
         front.confirming = true;
         let job = self.requests.add(Purpose::Confirmation(link));
-        self.agree(now, |register, agreed| register.read(now, job, now + CALL, agreed), effects);
+        self.agree(
+            now,
+            |register, agreed| register.read(now, job, now + CALL, agreed),
+            effects,
+        );
     }
 
     /// Tells a front all that it lacks: nothing while out of contact with a majority.
@@ -70,7 +88,10 @@
             settled: self.is_settled(),
         };
         if let Some(update) = self.fronts.update(now, link, &source) {
-            effects.push(Effect::Send { link, word: PeerMessage::FrontUpdate(update) });
+            effects.push(Effect::Send {
+                link,
+                word: PeerMessage::FrontUpdate(update),
+            });
         }
     }
 
@@ -80,15 +101,22 @@
             return;
         }
         for (link, _) in self.members.iter() {
-            effects.push(Effect::Send { link, word: PeerMessage::Allotments(allotments.clone()) });
+            effects.push(Effect::Send {
+                link,
+                word: PeerMessage::Allotments(allotments.clone()),
+            });
         }
         self.pass_allotments(allotments, effects);
     }
 
     pub(crate) fn pass_allotments(&mut self, allotments: Allotments, effects: &mut Vec<Effect>) {
         for allotment in allotments.grants {
-            let Some(link) = self.fronts.link_of(&allotment.name, allotment.life) else { continue };
-            let word = PeerMessage::Allotments(Allotments { grants: vec![allotment] });
+            let Some(link) = self.fronts.link_of(&allotment.name, allotment.life) else {
+                continue;
+            };
+            let word = PeerMessage::Allotments(Allotments {
+                grants: vec![allotment],
+            });
             effects.push(Effect::Send { link, word });
         }
     }
--- a/crates/linenthread-control/src/contact.rs
+++ b/crates/linenthread-control/src/contact.rs
@@ -66,18 +66,26 @@
         if self.leaving.is_some() {
             return Some(self.sent_on(now));
         }
-        (!self.in_contact(now)).then_some(Answer::NotNow("no contact with more than half of the voters"))
+        (!self.in_contact(now)).then_some(Answer::NotNow(
+            "no contact with more than half of the voters",
+        ))
     }
 
     /// The same for calls that a round of the voters settles: while the node starts that may come in time.
     pub(crate) fn refusal_of_round(&self, now: u64) -> Option<Answer> {
-        self.refusal(now).filter(|_| self.leaving.is_some() || now >= self.began + STARTING)
+        self.refusal(now)
+            .filter(|_| self.leaving.is_some() || now >= self.began + STARTING)
     }
 
     /// Calls that come while it leaves go to another control node.
     fn sent_on(&self, now: u64) -> Answer {
-        let other = self.members.contacts(now).find(|peer| peer.takes_calls(now));
-        other.map_or(Answer::NotNow("about to end"), |peer| Answer::Elsewhere(peer.hello.control.clone()))
+        let other = self
+            .members
+            .contacts(now)
+            .find(|peer| peer.takes_calls(now));
+        other.map_or(Answer::NotNow("about to end"), |peer| {
+            Answer::Elsewhere(peer.hello.control.clone())
+        })
     }
 
     // --- heartbeats ---
@@ -96,19 +104,34 @@
         }
     }
 
-    pub(crate) fn send_heartbeat(&self, now: u64, link: Link, echo: Option<u64>, effects: &mut Vec<Effect>) {
-        let word = PeerMessage::Heartbeat(Heartbeat { echo, ..self.heartbeat(now) });
+    pub(crate) fn send_heartbeat(
+        &self,
+        now: u64,
+        link: Link,
+        echo: Option<u64>,
+        effects: &mut Vec<Effect>,
+    ) {
+        let word = PeerMessage::Heartbeat(Heartbeat {
+            echo,
+            ..self.heartbeat(now)
+        });
         effects.push(Effect::Send { link, word });
     }
 
     pub(crate) fn send_heartbeats(&self, now: u64, effects: &mut Vec<Effect>) {
         let heartbeat = self.heartbeat(now);
         for (link, peer) in self.members.iter() {
-            let word = PeerMessage::Heartbeat(Heartbeat { echo: peer.echo, ..heartbeat.clone() });
+            let word = PeerMessage::Heartbeat(Heartbeat {
+                echo: peer.echo,
+                ..heartbeat.clone()
+            });
             effects.push(Effect::Send { link, word });
         }
         for link in self.fronts.links() {
-            effects.push(Effect::Send { link, word: PeerMessage::Heartbeat(heartbeat.clone()) });
+            effects.push(Effect::Send {
+                link,
+                word: PeerMessage::Heartbeat(heartbeat.clone()),
+            });
         }
     }
 
@@ -120,7 +143,9 @@
         effects: &mut Vec<Effect>,
     ) {
         let digest = self.registry.digest();
-        let Some(news) = self.members.on_heartbeat(now, link, heartbeat, digest) else { return };
+        let Some(news) = self.members.on_heartbeat(now, link, heartbeat, digest) else {
+            return;
+        };
         if news.answer {
             self.send_heartbeat(now, link, Some(heartbeat.sent), effects);
         }
@@ -135,14 +160,20 @@
 
     /// Tells the others as soon as the own disk holds all that this node knows.
     pub(crate) fn note_durable(&mut self, now: u64, effects: &mut Vec<Effect>) {
-        let value = self.register.holds_all_durably().then(|| self.value_number());
+        let value = self
+            .register
+            .holds_all_durably()
+            .then(|| self.value_number());
         if value <= self.durable.value {
             return;
         }
         self.durable.value = value;
         let message = PeerMessage::Durable(Durable { value, epoch: 0 });
         for (link, _) in self.members.iter() {
-            effects.push(Effect::Send { link, word: message.clone() });
+            effects.push(Effect::Send {
+                link,
+                word: message.clone(),
+            });
         }
         self.voters_may_change(now);
     }
@@ -156,7 +187,9 @@
 
     /// A standby that has become ready need not wait for the next tick.
     fn voters_may_change(&mut self, now: u64) {
-        if self.lease.holds(now).is_some() && !self.standbys(now, Some(self.value_number())).is_empty() {
+        if self.lease.holds(now).is_some()
+            && !self.standbys(now, Some(self.value_number())).is_empty()
+        {
             self.hurry();
         }
     }
--- a/crates/linenthread-control/src/dialling.rs
+++ b/crates/linenthread-control/src/dialling.rs
@@ -33,9 +33,16 @@
 
 impl Addresses {
     pub(crate) fn new(own: String, bootstrap: Vec<String>, now: u64) -> Addresses {
-        let mut addresses =
-            Addresses { own, bootstrap: bootstrap.clone(), began: now, known: BTreeMap::new(), version: 1 };
-        bootstrap.iter().for_each(|address| addresses.learn(now, address));
+        let mut addresses = Addresses {
+            own,
+            bootstrap: bootstrap.clone(),
+            began: now,
+            known: BTreeMap::new(),
+            version: 1,
+        };
+        bootstrap
+            .iter()
+            .for_each(|address| addresses.learn(now, address));
         addresses
     }
 
@@ -46,21 +53,40 @@
 
     /// All addresses, the own one too.
     pub(crate) fn all(&self) -> Vec<String> {
-        self.known.keys().cloned().chain([self.own.clone()]).collect()
+        self.known
+            .keys()
+            .cloned()
+            .chain([self.own.clone()])
+            .collect()
     }
 
     pub(crate) fn learn(&mut self, now: u64, address: &str) {
         if address == self.own || address.is_empty() || self.known.contains_key(address) {
             return;
         }
-        let wait = if self.own.as_str() < address { 0 } else { YIELD };
-        self.known.insert(address.to_owned(), Attempt { next: now + wait, wait: FIRST_WAIT, since: now });
+        let wait = if self.own.as_str() < address {
+            0
+        } else {
+            YIELD
+        };
+        self.known.insert(
+            address.to_owned(),
+            Attempt {
+                next: now + wait,
+                wait: FIRST_WAIT,
+                since: now,
+            },
+        );
         self.version += 1;
     }
 
     /// An address could not be reached: it is tried less and less often.
     pub(crate) fn unreached(&mut self, now: u64, address: &str) {
-        let most = if now < self.began + STARTING { MOST_WAIT_STARTING } else { MOST_WAIT };
+        let most = if now < self.began + STARTING {
+            MOST_WAIT_STARTING
+        } else {
+            MOST_WAIT
+        };
         if let Some(attempt) = self.known.get_mut(address) {
             attempt.wait = (attempt.wait * 2).clamp(FIRST_WAIT, most);
             attempt.next = now + attempt.wait;
@@ -79,10 +105,15 @@
         let bootstrap = &self.bootstrap;
         self.known.retain(|address, attempt| {
             if is_linked(address) {
-                *attempt = Attempt { next: now + YIELD, wait: FIRST_WAIT, since: now };
+                *attempt = Attempt {
+                    next: now + YIELD,
+                    wait: FIRST_WAIT,
+                    since: now,
+                };
                 return true;
             }
-            let keep = now < attempt.since + FORGET || is_voter(address) || bootstrap.contains(address);
+            let keep =
+                now < attempt.since + FORGET || is_voter(address) || bootstrap.contains(address);
             if keep && now >= attempt.next {
                 attempt.next = now + attempt.wait.max(DIALLING);
                 dial.push(address.clone());
--- a/crates/linenthread-control/src/drains.rs
+++ b/crates/linenthread-control/src/drains.rs
@@ -54,7 +54,11 @@
     }
 
     pub(crate) fn on_receipt(&mut self, disk: u64, receipt: u64) {
-        for drain in self.waiting.iter_mut().filter(|drain| drain.receipt == receipt) {
+        for drain in self
+            .waiting
+            .iter_mut()
+            .filter(|drain| drain.receipt == receipt)
+        {
             drain.known_by.insert(disk);
         }
     }
--- a/crates/linenthread-control/src/fronts.rs
+++ b/crates/linenthread-control/src/fronts.rs
@@ -93,23 +93,36 @@
 
     pub(crate) fn silent(&self, now: u64) -> Vec<Link> {
         let silent = |session: &FrontSession| now > session.heard + SILENT;
-        self.sessions.iter().filter(|(_, s)| silent(s)).map(|(link, _)| *link).collect()
+        self.sessions
+            .iter()
+            .filter(|(_, s)| silent(s))
+            .map(|(link, _)| *link)
+            .collect()
     }
 
     /// Sessions of earlier lives of the same front: they are over, whatever their connections say.
     pub(crate) fn superseded(&self, hello: &Hello) -> Vec<Link> {
         let old = |s: &FrontSession| s.hello.name == hello.name && s.hello.life != hello.life;
-        self.sessions.iter().filter(|(_, s)| old(s)).map(|(link, _)| *link).collect()
+        self.sessions
+            .iter()
+            .filter(|(_, s)| old(s))
+            .map(|(link, _)| *link)
+            .collect()
     }
 
     pub(crate) fn link_of(&self, name: &str, life: u64) -> Option<Link> {
         let is = |s: &FrontSession| s.hello.name == name && s.hello.life == life;
-        self.sessions.iter().find(|(_, s)| is(s)).map(|(link, _)| *link)
+        self.sessions
+            .iter()
+            .find(|(_, s)| is(s))
+            .map(|(link, _)| *link)
     }
 
     /// All fronts hear everything once more.
     pub(crate) fn start_over(&mut self) {
-        self.sessions.values_mut().for_each(|session| session.place = None);
+        self.sessions
+            .values_mut()
+            .for_each(|session| session.place = None);
     }
 
     /// What this node tells the others of its sessions.
@@ -150,10 +163,16 @@
         let since = session.place.and_then(|place| self.changes.since(place));
         let whole = since.is_none();
         let replicas: Vec<Replica> = match since {
-            Some(idents) => {
-                idents.iter().filter_map(|i| source.registry.get(i)).map(|known| known.tell(now)).collect()
-            }
-            None => source.registry.iter().map(|known| known.tell(now)).collect(),
+            Some(idents) => idents
+                .iter()
+                .filter_map(|i| source.registry.get(i))
+                .map(|known| known.tell(now))
+                .collect(),
+            None => source
+                .registry
+                .iter()
+                .map(|known| known.tell(now))
+                .collect(),
         };
         let newer = |value: &&Value| session.confirmed && value.revision > session.told_revision;
         let value = source.decided.filter(newer).cloned();
@@ -162,7 +181,9 @@
         if !whole && replicas.is_empty() && value.is_none() && !confirmed && !new_addresses {
             return None;
         }
-        session.told_revision = value.as_ref().map_or(session.told_revision, |value| value.revision);
+        session.told_revision = value
+            .as_ref()
+            .map_or(session.told_revision, |value| value.revision);
         session.place = Some(place);
         session.told_confirmed = session.confirmed;
         session.addresses_version = source.addresses.version();
@@ -172,7 +193,11 @@
             whole,
             replicas,
             value,
-            hubs: if new_addresses { source.addresses.all() } else { Vec::new() },
+            hubs: if new_addresses {
+                source.addresses.all()
+            } else {
+                Vec::new()
+            },
             confirmed: session.confirmed,
             settled: source.settled,
         })
--- a/crates/linenthread-control/src/leader.rs
+++ b/crates/linenthread-control/src/leader.rs
@@ -11,9 +11,14 @@
             return;
         }
         let first = self.is_first(now);
-        let Some(request) = self.lease.tick(now, first, self.value_number()) else { return };
+        let Some(request) = self.lease.tick(now, first, self.value_number()) else {
+            return;
+        };
         for (link, _) in self.members.iter() {
-            effects.push(Effect::Send { link, word: PeerMessage::LeaseRequest(request.clone()) });
+            effects.push(Effect::Send {
+                link,
+                word: PeerMessage::LeaseRequest(request.clone()),
+            });
         }
         self.on_lease_request(now, self.register.id(), &request, effects);
     }
@@ -23,10 +28,24 @@
     fn is_first(&self, now: u64) -> bool {
         let own = self.register.id();
         let disks = self.disks_in_contact(now);
-        let leaves = |disk: u64| if disk == own { self.leaving.is_some() } else { self.members.leaves(disk) };
-        let in_contact =
-            || self.register.voters().iter().map(|voter| voter.id).filter(|id| disks.contains(id));
-        in_contact().find(|disk| !leaves(*disk)).or_else(|| in_contact().next()) == Some(own)
+        let leaves = |disk: u64| {
+            if disk == own {
+                self.leaving.is_some()
+            } else {
+                self.members.leaves(disk)
+            }
+        };
+        let in_contact = || {
+            self.register
+                .voters()
+                .iter()
+                .map(|voter| voter.id)
+                .filter(|id| disks.contains(id))
+        };
+        in_contact()
+            .find(|disk| !leaves(*disk))
+            .or_else(|| in_contact().next())
+            == Some(own)
     }
 
     /// One that leaves asks for no more time once it has nothing left to do.
@@ -46,23 +65,41 @@
         let vote = PeerMessage::LeaseVote(self.lease.on_lease_request(now, from, request, number));
         let epoch = self.lease.epoch();
         if epoch > self.durable.epoch {
-            self.keep(Record { epoch, ..Record::default() }, vec![(from, vote)], effects);
+            self.keep(
+                Record {
+                    epoch,
+                    ..Record::default()
+                },
+                vec![(from, vote)],
+                effects,
+            );
         } else {
             self.post(from, vote, effects);
             self.agree(now, |_, _| {}, effects);
         }
     }
 
-    pub(crate) fn on_lease_vote(&mut self, now: u64, from: u64, vote: &LeaseVote, effects: &mut Vec<Effect>) {
+    pub(crate) fn on_lease_vote(
+        &mut self,
+        now: u64,
+        from: u64,
+        vote: &LeaseVote,
+        effects: &mut Vec<Effect>,
+    ) {
         let (register, number) = (&self.register, self.value_number());
         let held = self.lease.holds(now).is_some();
-        if !self.lease.on_lease_vote(now, from, vote, number, |disks| register.is_most(disks)) {
+        if !self
+            .lease
+            .on_lease_vote(now, from, vote, number, |disks| register.is_most(disks))
+        {
             return;
         }
         // What it has to do does not wait for the next tick.
         self.hurry();
         // Held already, or the votes came so late that it has ended.
-        let Some(epoch) = self.lease.holds(now).filter(|_| !held) else { return };
+        let Some(epoch) = self.lease.holds(now).filter(|_| !held) else {
+            return;
+        };
         self.allotter.on_lease(now, epoch);
         effects.push(Effect::Note(format!("event=duty_taken epoch={epoch}")));
     }
@@ -79,9 +116,19 @@
         if self.leaving.is_none() || self.next_step_of_leaving(now) != Leave::Release {
             return;
         }
-        let Some(release) = self.lease.release(now) else { return };
-        effects.push(Effect::Note(format!("event=lease_released epoch={}", release.epoch)));
-        let voters: Vec<u64> = self.register.voters().iter().map(|voter| voter.id).collect();
+        let Some(release) = self.lease.release(now) else {
+            return;
+        };
+        effects.push(Effect::Note(format!(
+            "event=lease_released epoch={}",
+            release.epoch
+        )));
+        let voters: Vec<u64> = self
+            .register
+            .voters()
+            .iter()
+            .map(|voter| voter.id)
+            .collect();
         for voter in voters {
             self.post(voter, PeerMessage::LeaseRelease(release.clone()), effects);
         }
--- a/crates/linenthread-control/src/log.rs
+++ b/crates/linenthread-control/src/log.rs
@@ -9,7 +9,11 @@
 
 impl ChangeLog {
     pub fn new(most: usize) -> ChangeLog {
-        ChangeLog { place: 0, entries: VecDeque::new(), most }
+        ChangeLog {
+            place: 0,
+            entries: VecDeque::new(),
+            most,
+        }
     }
 
     pub fn place(&self) -> u64 {
@@ -30,6 +34,13 @@
         if place > self.place || place + 1 < first {
             return None;
         }
-        Some(self.entries.iter().rev().take_while(|(p, _)| *p > place).map(|(_, i)| i.as_str()).collect())
+        Some(
+            self.entries
+                .iter()
+                .rev()
+                .take_while(|(p, _)| *p > place)
+                .map(|(_, i)| i.as_str())
+                .collect(),
+        )
     }
 }
--- a/crates/linenthread-control/src/membership.rs
+++ b/crates/linenthread-control/src/membership.rs
@@ -129,21 +129,35 @@
 
     /// The newest session with the machine of a disk.
     pub(crate) fn link_of(&self, disk: u64) -> Option<Link> {
-        self.iter().filter(|(_, peer)| peer.hello.disk == disk).map(|(link, _)| link).last()
+        self.iter()
+            .filter(|(_, peer)| peer.hello.disk == disk)
+            .map(|(link, _)| link)
+            .last()
     }
 
     /// Sessions of earlier lives of the same machine: they are over, whatever their connections say.
     pub(crate) fn superseded(&self, hello: &Hello) -> Vec<Link> {
-        let old = |peer: &ControlPeer| peer.hello.name == hello.name && peer.hello.life != hello.life;
-        self.iter().filter(|(_, peer)| old(peer)).map(|(link, _)| link).collect()
+        let old =
+            |peer: &ControlPeer| peer.hello.name == hello.name && peer.hello.life != hello.life;
+        self.iter()
+            .filter(|(_, peer)| old(peer))
+            .map(|(link, _)| link)
+            .collect()
     }
 
     pub(crate) fn silent(&self, now: u64) -> Vec<Link> {
-        self.iter().filter(|(_, peer)| now > peer.heard + SILENT).map(|(link, _)| link).collect()
+        self.iter()
+            .filter(|(_, peer)| now > peer.heard + SILENT)
+            .map(|(link, _)| link)
+            .collect()
     }
 
     pub(crate) fn open(&mut self, now: u64, link: Link, hello: Hello) {
-        let sighting = Sighting { disk: hello.disk, counts: hello.counts, at: now };
+        let sighting = Sighting {
+            disk: hello.disk,
+            counts: hello.counts,
+            at: now,
+        };
         self.sightings.insert(hello.control.clone(), sighting);
         self.departed.remove(&hello.disk);
         self.peers.insert(link, ControlPeer::new(now, hello));
@@ -152,7 +166,8 @@
     pub(crate) fn close(&mut self, now: u64, link: Link) -> Option<ControlPeer> {
         let peer = self.peers.remove(&link)?;
         if peer.leaving {
-            self.departed.insert(peer.hello.disk, peer.durable.unwrap_or_default());
+            self.departed
+                .insert(peer.hello.disk, peer.durable.unwrap_or_default());
         }
         if peer.in_contact(now) {
             self.sighted(&peer.hello.control, now.min(peer.heard + TICK));
@@ -188,13 +203,21 @@
         // What it says it heard was sent before now.
         peer.reached = peer.reached.max(heartbeat.echo.map(|echo| echo.min(now)));
         let is_first = peer.echo.replace(heartbeat.sent).is_none();
-        peer.digest_mismatches = if heartbeat.digest == digest { 0 } else { peer.digest_mismatches + 1 };
-        let synchronise = peer.digest_mismatches >= MISMATCHES && now >= peer.synchronised_at + RESYNCHRONISE;
+        peer.digest_mismatches = if heartbeat.digest == digest {
+            0
+        } else {
+            peer.digest_mismatches + 1
+        };
+        let synchronise =
+            peer.digest_mismatches >= MISMATCHES && now >= peer.synchronised_at + RESYNCHRONISE;
         if peer.in_contact(now) {
             let address = peer.hello.control.clone();
             self.sighted(&address, now);
         }
-        Some(HeartbeatNews { answer: is_first || begins_to_leave, synchronise })
+        Some(HeartbeatNews {
+            answer: is_first || begins_to_leave,
+            synchronise,
+        })
     }
 
     /// Whether the machine of a disk is about to end, or ended after it had said so.
@@ -211,7 +234,10 @@
     /// Peers in contact that may vote and stay; with a number only those whose disks hold that value.
     pub(crate) fn candidates(&self, now: u64, number: Option<u64>) -> impl Iterator<Item = Voter> {
         let ready = move |p: &&ControlPeer| p.hello.counts && !p.leaving && p.durable >= number;
-        let voter = |p: &ControlPeer| Voter { id: p.hello.disk, address: p.hello.control.clone() };
+        let voter = |p: &ControlPeer| Voter {
+            id: p.hello.disk,
+            address: p.hello.control.clone(),
+        };
         self.contacts(now).filter(ready).map(voter)
     }
 }
