--- a/crates/linenthread-control/src/node.rs
+++ b/crates/linenthread-control/src/node.rs
@@ -54,10 +54,19 @@
 
 impl Control {
     /// From what the disk holds; `genesis` is value 0 where all start for the first time.
-    pub fn new(local: Local, id: u64, mut kept: DurableState, genesis: Option<Value>, now: u64) -> Control {
+    pub fn new(
+        local: Local,
+        id: u64,
+        mut kept: DurableState,
+        genesis: Option<Value>,
+        now: u64,
+    ) -> Control {
         let replicas = std::mem::take(&mut kept.replicas);
         let budget = Budget::new(local.retry_allowance, local.retry_window);
-        let durable = Durable { value: None, epoch: kept.epoch };
+        let durable = Durable {
+            value: None,
+            epoch: kept.epoch,
+        };
         let mut control = Control {
             lease: LeaderLease::new(id, local.life, now, local.first_of_all, kept.epoch),
             register: Register::new(id, kept, genesis, local.life),
@@ -140,7 +149,10 @@
         if to == self.register.id() {
             self.own_messages.push_back(message);
         } else if let Some(link) = self.members.link_of(to) {
-            effects.push(Effect::Send { link, word: message });
+            effects.push(Effect::Send {
+                link,
+                word: message,
+            });
         }
     }
 
@@ -152,7 +164,10 @@
         effects: &mut Vec<Effect>,
     ) {
         if record.epoch > 0 {
-            let durable = Durable { value: None, epoch: record.epoch };
+            let durable = Durable {
+                value: None,
+                epoch: record.epoch,
+            };
             then.push((self.register.id(), PeerMessage::Durable(durable)));
         }
         effects.push(Effect::Keep { record, then });
@@ -171,7 +186,9 @@
             for effect in std::mem::take(&mut agreed) {
                 self.carry_out(now, effect, effects);
             }
-            let Some(message) = self.own_messages.pop_front() else { break };
+            let Some(message) = self.own_messages.pop_front() else {
+                break;
+            };
             self.on_own_message(now, message, &mut agreed, effects);
         }
         self.note_durable(now, effects);
@@ -197,7 +214,9 @@
         match message {
             PeerMessage::LeaseVote(vote) => self.on_lease_vote(now, own, &vote, effects),
             PeerMessage::LeaseRelease(release) => drop(self.lease.on_release(own, &release)),
-            PeerMessage::Durable(durable) => self.durable.epoch = self.durable.epoch.max(durable.epoch),
+            PeerMessage::Durable(durable) => {
+                self.durable.epoch = self.durable.epoch.max(durable.epoch)
+            }
             message => self.register.on_message(now, own, message, agreed),
         }
     }
@@ -214,7 +233,10 @@
         }
         // The lease is asked for anew, of those who vote now, before another value is in doubt.
         self.hurry();
-        let votes = value.voters.iter().any(|voter| voter.id == self.register.id());
+        let votes = value
+            .voters
+            .iter()
+            .any(|voter| voter.id == self.register.id());
         let counts_anew = votes && (!self.votes || self.lease.misses_change_of_voters(value));
         self.lease.follow(value);
         self.lease.decided(now, value.epoch, counts_anew);
@@ -230,10 +252,17 @@
     /// A job has ended. What one peer has told may be true and the newest there is; but out of contact with a
     /// majority nothing is confirmed, and nothing refused.
     fn on_outcome(&mut self, now: u64, job: Job, outcome: Outcome, effects: &mut Vec<Effect>) {
-        let outcome = if self.in_contact(now) { outcome } else { Outcome::Unclear };
+        let outcome = if self.in_contact(now) {
+            outcome
+        } else {
+            Outcome::Unclear
+        };
         match self.requests.take(job) {
             Some(Purpose::Call(token)) => {
-                effects.push(Effect::Answer { token, answer: answer(outcome) });
+                effects.push(Effect::Answer {
+                    token,
+                    answer: answer(outcome),
+                });
             }
             Some(Purpose::Confirmation(link)) => {
                 if let Some(front) = self.fronts.get_mut(link) {
@@ -270,7 +299,11 @@
     /// When [`Control::tick`] is due at the latest.
     pub fn due(&self, now: u64) -> u64 {
         let waits = self.leaving.is_some() || self.register.is_busy() || !self.drains.is_empty();
-        let soon = if waits || self.searches(now) { self.last_run + SOON } else { u64::MAX };
+        let soon = if waits || self.searches(now) {
+            self.last_run + SOON
+        } else {
+            u64::MAX
+        };
         soon.min(self.last_batch + BATCH)
     }
 
@@ -297,7 +330,12 @@
     }
 
     fn batch(&mut self, now: u64, effects: &mut Vec<Effect>) {
-        for link in self.members.silent(now).into_iter().chain(self.fronts.silent(now)) {
+        for link in self
+            .members
+            .silent(now)
+            .into_iter()
+            .chain(self.fronts.silent(now))
+        {
             self.drop_session(now, link, effects);
         }
         self.note_contact(now, effects);
@@ -310,7 +348,9 @@
     /// Silence counts only where it could have been heard.
     fn expire_replicas(&mut self, now: u64, effects: &mut Vec<Effect>) {
         let silence = 3 * self.local.heartbeat + 1_000;
-        let settled = self.contact_since.is_some_and(|since| now > since + silence);
+        let settled = self
+            .contact_since
+            .is_some_and(|since| now > since + silence);
         if settled && !self.settled {
             // From now on what is not named is not there.
             self.fronts.start_over();
@@ -348,7 +388,11 @@
 
     /// What stays in doubt is decided one way or the other: no lease is voted for meanwhile.
     fn complete_what_is_in_doubt(&mut self, now: u64, effects: &mut Vec<Effect>) {
-        self.doubts = if self.register.in_doubt() { self.doubts + 1 } else { 0 };
+        self.doubts = if self.register.in_doubt() {
+            self.doubts + 1
+        } else {
+            0
+        };
         if self.doubts > 1 {
             self.complete(now, effects);
         }
@@ -373,14 +417,29 @@
         }
         self.written = (place, now);
         let here = self.registry.iter().filter(|known| !known.told.gone);
-        let replicas: Vec<Replica> =
-            here.map(|known| Replica { age_ms: 0, warmup_ms: 0, ..known.tell(now) }).collect();
-        effects.push(Effect::Keep { record: Record { replicas, ..Record::default() }, then: Vec::new() });
+        let replicas: Vec<Replica> = here
+            .map(|known| Replica {
+                age_ms: 0,
+                warmup_ms: 0,
+                ..known.tell(now)
+            })
+            .collect();
+        effects.push(Effect::Keep {
+            record: Record {
+                replicas,
+                ..Record::default()
+            },
+            then: Vec::new(),
+        });
     }
 
     fn dial(&mut self, now: u64, effects: &mut Vec<Effect>) {
         let (members, voters) = (&self.members, self.register.voters());
-        let is_linked = |address: &str| members.iter().any(|(_, peer)| peer.hello.control == address);
+        let is_linked = |address: &str| {
+            members
+                .iter()
+                .any(|(_, peer)| peer.hello.control == address)
+        };
         let is_voter = |address: &str| voters.iter().any(|voter| voter.address == address);
         let dial = self.addresses.dial(now, is_linked, is_voter);
         effects.extend(dial.into_iter().map(Effect::Dial));
--- a/crates/linenthread-control/src/reconfiguration.rs
+++ b/crates/linenthread-control/src/reconfiguration.rs
@@ -41,7 +41,9 @@
 
 impl VotersView {
     fn standby_at(&self, address: &str) -> Option<&Voter> {
-        self.standbys.iter().find(|standby| standby.address == address)
+        self.standbys
+            .iter()
+            .find(|standby| standby.address == address)
     }
 
     fn leaving(&self) -> usize {
@@ -61,7 +63,9 @@
     fn outgoing(&self) -> Option<usize> {
         let replaced = |v: &VoterState| v.replaced && self.standby_at(&v.voter.address).is_some();
         let position = |which: &dyn Fn(&VoterState) -> bool| self.voters.iter().position(which);
-        position(&replaced).or_else(|| position(&|v| v.lost)).or_else(|| position(&|v| v.leaving))
+        position(&replaced)
+            .or_else(|| position(&|v| v.lost))
+            .or_else(|| position(&|v| v.leaving))
     }
 }
 
@@ -70,14 +74,24 @@
 pub fn next_voters(view: &VotersView) -> Option<Vec<Voter>> {
     let mut next: Vec<Voter> = view.voters.iter().map(|v| v.voter.clone()).collect();
     let Some(outgoing) = view.outgoing() else {
-        next.push(view.standbys.first().filter(|_| view.wants_one_more())?.clone());
+        next.push(
+            view.standbys
+                .first()
+                .filter(|_| view.wants_one_more())?
+                .clone(),
+        );
         return Some(next);
     };
     let state = &view.voters[outgoing];
-    match view.standby_at(&state.voter.address).or(view.standbys.first()) {
+    match view
+        .standby_at(&state.voter.address)
+        .or(view.standbys.first())
+    {
         Some(standby) => next[outgoing] = standby.clone(),
         None if state.lost && next.len() > view.least => drop(next.remove(outgoing)),
-        None if takes_leaver_off(next.len(), view.leaving(), view.least) => drop(next.remove(outgoing)),
+        None if takes_leaver_off(next.len(), view.leaving(), view.least) => {
+            drop(next.remove(outgoing))
+        }
         None => return None,
     }
     Some(next)
@@ -135,13 +149,16 @@
 
 impl LeaveView {
     fn own_position(&self) -> Option<usize> {
-        self.voters.iter().position(|holder| holder.disk == self.disk)
+        self.voters
+            .iter()
+            .position(|holder| holder.disk == self.disk)
     }
 
     /// How many of the voters leave, or have left, this machine among them.
     fn leaving(&self) -> usize {
         let leaves = |holder: &&Holder| {
-            holder.disk == self.disk || matches!(holder.presence, Presence::Leaving | Presence::Departed)
+            holder.disk == self.disk
+                || matches!(holder.presence, Presence::Leaving | Presence::Departed)
         };
         self.voters.iter().filter(leaves).count()
     }
@@ -152,7 +169,9 @@
     fn stays(&self, position: usize, nobody_stays: bool) -> bool {
         match self.voters[position].presence {
             Presence::InContact => true,
-            Presence::Leaving => nobody_stays || self.own_position().is_none_or(|own| position > own),
+            Presence::Leaving => {
+                nobody_stays || self.own_position().is_none_or(|own| position > own)
+            }
             Presence::Departed => nobody_stays,
             Presence::Absent => false,
         }
@@ -161,10 +180,15 @@
     /// More than half of the voters hold the newest value without this machine; or all others, where there
     /// are too few of them.
     fn others_hold_all(&self) -> bool {
-        let others: Vec<usize> =
-            (0..self.voters.len()).filter(|&i| self.voters[i].disk != self.disk).collect();
-        let nobody_stays =
-            others.iter().all(|&i| matches!(self.voters[i].presence, Presence::Leaving | Presence::Departed));
+        let others: Vec<usize> = (0..self.voters.len())
+            .filter(|&i| self.voters[i].disk != self.disk)
+            .collect();
+        let nobody_stays = others.iter().all(|&i| {
+            matches!(
+                self.voters[i].presence,
+                Presence::Leaving | Presence::Departed
+            )
+        });
         let holds = |i: usize| self.voters[i].durable && self.stays(i, nobody_stays);
         let holders = others.iter().filter(|&&i| holds(i)).count();
         let majority = self.voters.len() / 2 + 1;
--- a/crates/linenthread-control/src/replica_calls.rs
+++ b/crates/linenthread-control/src/replica_calls.rs
@@ -7,7 +7,14 @@
 
 impl Control {
     /// A replica's heartbeat.
-    pub fn beat(&mut self, now: u64, token: Token, ident: &str, beat: Beat, effects: &mut Vec<Effect>) {
+    pub fn beat(
+        &mut self,
+        now: u64,
+        token: Token,
+        ident: &str,
+        beat: Beat,
+        effects: &mut Vec<Effect>,
+    ) {
         self.awake(now, effects);
         if let Some(answer) = self.refusal(now) {
             effects.push(Effect::Answer { token, answer });
@@ -17,7 +24,10 @@
         let mut also = Vec::new();
         let heard = self.registry.observe(now, &said, &mut also);
         self.spread(ident, heard, &also);
-        let drains = self.registry.get(ident).is_some_and(|known| known.told.draining || known.told.ended);
+        let drains = self
+            .registry
+            .get(ident)
+            .is_some_and(|known| known.told.draining || known.told.ended);
         if said.draining && drains && !self.drains.is_known_by_majority(ident) {
             self.await_receipts(now, token, ident, effects);
         } else {
@@ -42,40 +52,72 @@
             self.spread(ident, Heard::Changed, &[]);
         }
         // It may have ended before, and too few others have said so far that they know.
-        let unknown = self.registry.get(ident).is_some() && !self.drains.is_known_by_majority(ident);
+        let unknown =
+            self.registry.get(ident).is_some() && !self.drains.is_known_by_majority(ident);
         if unknown {
             self.await_receipts(now, token, ident, effects);
             self.flush(now, effects);
         } else {
-            effects.push(Effect::Answer { token, answer: crate::Answer::Heard(None) });
+            effects.push(Effect::Answer {
+                token,
+                answer: crate::Answer::Heard(None),
+            });
         }
     }
 
     /// The call is acknowledged when more than half of the voters' machines have said that they know.
     fn await_receipts(&mut self, now: u64, token: Token, ident: &str, effects: &mut Vec<Effect>) {
         let receipt = self.drains.begin(now, token, ident, self.register.id());
-        let replicas: Vec<Replica> = self.registry.get(ident).iter().map(|known| known.tell(now)).collect();
-        let update = ControlUpdate { replicas, receipt, ..ControlUpdate::default() };
+        let replicas: Vec<Replica> = self
+            .registry
+            .get(ident)
+            .iter()
+            .map(|known| known.tell(now))
+            .collect();
+        let update = ControlUpdate {
+            replicas,
+            receipt,
+            ..ControlUpdate::default()
+        };
         for (link, _) in self.members.iter() {
-            effects.push(Effect::Send { link, word: PeerMessage::ControlUpdate(update.clone()) });
+            effects.push(Effect::Send {
+                link,
+                word: PeerMessage::ControlUpdate(update.clone()),
+            });
         }
         self.settle_drains(now, effects);
     }
 
-    pub(crate) fn on_receipt(&mut self, now: u64, disk: u64, receipt: &Receipt, effects: &mut Vec<Effect>) {
+    pub(crate) fn on_receipt(
+        &mut self,
+        now: u64,
+        disk: u64,
+        receipt: &Receipt,
+        effects: &mut Vec<Effect>,
+    ) {
         self.drains.on_receipt(disk, receipt.receipt);
         self.settle_drains(now, effects);
     }
 
     pub(crate) fn settle_drains(&mut self, now: u64, effects: &mut Vec<Effect>) {
         let register = &self.register;
-        let settled = self.drains.settle(now, |disks| register.is_most(disks.iter().copied()));
-        effects.extend(settled.into_iter().map(|(token, answer)| Effect::Answer { token, answer }));
+        let settled = self
+            .drains
+            .settle(now, |disks| register.is_most(disks.iter().copied()));
+        effects.extend(
+            settled
+                .into_iter()
+                .map(|(token, answer)| Effect::Answer { token, answer }),
+        );
     }
 
     /// One that drains no more must be made known anew when it drains again.
     fn forget_drain(&mut self, ident: &str) {
-        if self.registry.get(ident).is_some_and(|known| !known.told.draining && !known.told.ended) {
+        if self
+            .registry
+            .get(ident)
+            .is_some_and(|known| !known.told.draining && !known.told.ended)
+        {
             self.drains.forget(ident);
         }
     }
@@ -100,8 +142,15 @@
         if self.local.zone == zone {
             return Some(self.local.control.clone());
         }
-        let of_zone = self.members.contacts(now).filter(|peer| peer.hello.zone == zone);
-        of_zone.filter(|peer| peer.takes_calls(now)).map(|peer| &peer.hello.control).min().cloned()
+        let of_zone = self
+            .members
+            .contacts(now)
+            .filter(|peer| peer.hello.zone == zone);
+        of_zone
+            .filter(|peer| peer.takes_calls(now))
+            .map(|peer| &peer.hello.control)
+            .min()
+            .cloned()
     }
 
     // --- between control nodes ---
@@ -109,7 +158,9 @@
     /// Tells a control node all that this one has.
     pub(crate) fn synchronise(&mut self, now: u64, link: Link, effects: &mut Vec<Effect>) {
         let replicas = self.registry.iter().map(|known| known.tell(now)).collect();
-        let Some(peer) = self.members.get_mut(link) else { return };
+        let Some(peer) = self.members.get_mut(link) else {
+            return;
+        };
         peer.changed_replicas.clear();
         (peer.synchronised_at, peer.addresses_version) = (now, self.addresses.version());
         let update = ControlUpdate {
@@ -120,7 +171,10 @@
             receipt: 0,
             whole: true,
         };
-        effects.push(Effect::Send { link, word: PeerMessage::ControlUpdate(update) });
+        effects.push(Effect::Send {
+            link,
+            word: PeerMessage::ControlUpdate(update),
+        });
     }
 
     /// Tells all control nodes of the sessions of this one, and of addresses that they do not know.
@@ -135,19 +189,32 @@
                 hubs: if known { Vec::new() } else { addresses.clone() },
                 ..ControlUpdate::default()
             };
-            effects.push(Effect::Send { link, word: PeerMessage::ControlUpdate(update) });
+            effects.push(Effect::Send {
+                link,
+                word: PeerMessage::ControlUpdate(update),
+            });
         }
     }
 
     /// What all others must know at once.
     pub(crate) fn flush(&mut self, now: u64, effects: &mut Vec<Effect>) {
         let registry = &self.registry;
-        for (link, peer) in self.members.iter_mut().filter(|(_, peer)| !peer.changed_replicas.is_empty()) {
+        for (link, peer) in self
+            .members
+            .iter_mut()
+            .filter(|(_, peer)| !peer.changed_replicas.is_empty())
+        {
             let changed = std::mem::take(&mut peer.changed_replicas);
             let known = changed.iter().filter_map(|ident| registry.get(ident));
             let replicas = known.map(|known| known.tell(now)).collect();
-            let update = ControlUpdate { replicas, ..ControlUpdate::default() };
-            effects.push(Effect::Send { link, word: PeerMessage::ControlUpdate(update) });
+            let update = ControlUpdate {
+                replicas,
+                ..ControlUpdate::default()
+            };
+            effects.push(Effect::Send {
+                link,
+                word: PeerMessage::ControlUpdate(update),
+            });
         }
         for link in self.fronts.links() {
             self.tell(now, link, effects);
@@ -168,7 +235,9 @@
             self.forget_drain(&said.ident);
             // What a node has said goes on to fronts, not to further nodes: each tells all.
             if heard == Heard::Changed {
-                also.iter().chain([&said.ident]).for_each(|ident| self.fronts.changes.add(ident));
+                also.iter()
+                    .chain([&said.ident])
+                    .for_each(|ident| self.fronts.changes.add(ident));
                 changed = true;
             }
         }
@@ -179,8 +248,13 @@
             self.fronts.learn_elsewhere(link, update.sessions);
         }
         if update.receipt > 0 {
-            let receipt = Receipt { receipt: update.receipt };
-            effects.push(Effect::Send { link, word: PeerMessage::Heard(receipt) });
+            let receipt = Receipt {
+                receipt: update.receipt,
+            };
+            effects.push(Effect::Send {
+                link,
+                word: PeerMessage::Heard(receipt),
+            });
         }
         if changed {
             self.flush(now, effects);
--- a/crates/linenthread-control/src/replicas.rs
+++ b/crates/linenthread-control/src/replicas.rs
@@ -120,17 +120,35 @@
                 || known.told.backend != said.backend
                 || known.told.capacity != said.capacity
                 || known.told.zone != said.zone;
-            known.told = Replica { age_ms: 0, warmup_ms: 0, gone: false, ..said.clone() };
-            return if changed { Heard::Changed } else { Heard::Alive };
+            known.told = Replica {
+                age_ms: 0,
+                warmup_ms: 0,
+                gone: false,
+                ..said.clone()
+            };
+            return if changed {
+                Heard::Changed
+            } else {
+                Heard::Alive
+            };
         }
         let mut new = Known {
-            told: Replica { age_ms: 0, warmup_ms: 0, gone: said.ended, ..said.clone() },
+            told: Replica {
+                age_ms: 0,
+                warmup_ms: 0,
+                gone: said.ended,
+                ..said.clone()
+            },
             heard,
             warm_at,
             ended_at: now,
         };
         // Two lives at one address: the one heard of last is there.
-        for other in self.known.values_mut().filter(|k| !k.told.ended && k.told.address == said.address) {
+        for other in self
+            .known
+            .values_mut()
+            .filter(|k| !k.told.ended && k.told.address == said.address)
+        {
             if new.told.ended {
                 break;
             }
@@ -158,7 +176,8 @@
     /// Replicas that were silent for too long are gone from now on, unless most are silent at once: then it
     /// is the news that does not come. What ended long ago is forgotten.
     pub fn expire(&mut self, now: u64, silence: u64) -> Vec<String> {
-        self.known.retain(|_, k| !k.told.ended || now < k.ended_at + REMEMBERED);
+        self.known
+            .retain(|_, k| !k.told.ended || now < k.ended_at + REMEMBERED);
         let here = self.known.values().filter(|k| !k.told.gone).count();
         let silent = |k: &Known| !k.told.gone && now > k.heard + silence;
         let all = self.known.values().filter(|k| silent(k)).count();
@@ -190,6 +209,10 @@
                 format!("{} {} {} {}", r.ident, r.backend, r.address, r.draining).as_bytes(),
             )
         };
-        self.known.values().filter(|k| !k.told.ended).map(one).fold(0, u64::wrapping_add)
+        self.known
+            .values()
+            .filter(|k| !k.told.ended)
+            .map(one)
+            .fold(0, u64::wrapping_add)
     }
 }
--- a/crates/linenthread-control/src/requests.rs
+++ b/crates/linenthread-control/src/requests.rs
@@ -34,7 +34,9 @@
     }
 
     pub(crate) fn has_calls(&self) -> bool {
-        self.waiting.values().any(|purpose| matches!(purpose, Purpose::Call(_)))
+        self.waiting
+            .values()
+            .any(|purpose| matches!(purpose, Purpose::Call(_)))
     }
 }
 
--- a/crates/linenthread-control/src/sessions.rs
+++ b/crates/linenthread-control/src/sessions.rs
@@ -20,16 +20,25 @@
             place: self.fronts.changes.place(),
             value: self.value_number(),
         };
-        effects.push(Effect::Send { link, word: PeerMessage::Hello(hello) });
+        effects.push(Effect::Send {
+            link,
+            word: PeerMessage::Hello(hello),
+        });
     }
 
     /// A connection has ended.
     pub fn closed(&mut self, now: u64, link: Link, effects: &mut Vec<Effect>) {
         if let Some(front) = self.fronts.close(link) {
-            effects.push(Effect::Note(format!("event=session_ended peer={} hub=false", front.hello.name)));
+            effects.push(Effect::Note(format!(
+                "event=session_ended peer={} hub=false",
+                front.hello.name
+            )));
         }
         if let Some(peer) = self.members.close(now, link) {
-            effects.push(Effect::Note(format!("event=session_ended peer={} hub=true", peer.hello.name)));
+            effects.push(Effect::Note(format!(
+                "event=session_ended peer={} hub=true",
+                peer.hello.name
+            )));
             self.drains.disk_gone(peer.hello.disk);
         }
     }
@@ -45,7 +54,13 @@
     }
 
     /// A message of a peer.
-    pub fn on_message(&mut self, now: u64, link: Link, message: PeerMessage, effects: &mut Vec<Effect>) {
+    pub fn on_message(
+        &mut self,
+        now: u64,
+        link: Link,
+        message: PeerMessage,
+        effects: &mut Vec<Effect>,
+    ) {
         self.awake(now, effects);
         if let PeerMessage::Hello(hello) = message {
             self.on_hello(now, link, hello, effects);
@@ -71,13 +86,19 @@
             effects.push(Effect::Drop(link));
             return;
         }
-        let superseded =
-            if is_front { self.fronts.superseded(&hello) } else { self.members.superseded(&hello) };
+        let superseded = if is_front {
+            self.fronts.superseded(&hello)
+        } else {
+            self.members.superseded(&hello)
+        };
         for old in superseded {
             self.drop_session(now, old, effects);
         }
         let (name, zone) = (&hello.name, &hello.zone);
-        effects.push(Effect::Note(format!("event=session peer={name} zone={zone} hub={}", !is_front)));
+        effects.push(Effect::Note(format!(
+            "event=session peer={name} zone={zone} hub={}",
+            !is_front
+        )));
         if is_front {
             self.fronts.open(now, link, hello);
             self.confirm(now, link, effects);
@@ -106,28 +127,47 @@
     ) {
         match message {
             PeerMessage::Heartbeat(heartbeat) => self.on_heartbeat(now, link, &heartbeat, effects),
-            PeerMessage::ControlUpdate(update) => self.on_control_update(now, link, update, effects),
+            PeerMessage::ControlUpdate(update) => {
+                self.on_control_update(now, link, update, effects)
+            }
             PeerMessage::Durable(durable) => self.on_durable(now, link, &durable),
             PeerMessage::Heard(receipt) => self.on_receipt(now, disk, &receipt, effects),
             PeerMessage::Allotments(allotments) => self.pass_allotments(allotments, effects),
-            PeerMessage::LeaseRequest(request) => self.on_lease_request(now, disk, &request, effects),
+            PeerMessage::LeaseRequest(request) => {
+                self.on_lease_request(now, disk, &request, effects)
+            }
             PeerMessage::LeaseRelease(release) => self.on_lease_release(disk, &release),
             PeerMessage::LeaseVote(vote) => self.on_lease_vote(now, disk, &vote, effects),
             message => {
-                if let (PeerMessage::Decided(value), Some(peer)) = (&message, self.members.get_mut(link)) {
+                if let (PeerMessage::Decided(value), Some(peer)) =
+                    (&message, self.members.get_mut(link))
+                {
                     peer.value = peer.value.max(value.number);
                 }
-                self.agree(now, |register, agreed| register.on_message(now, disk, message, agreed), effects);
+                self.agree(
+                    now,
+                    |register, agreed| register.on_message(now, disk, message, agreed),
+                    effects,
+                );
             }
         }
     }
 
     /// A value goes to a control node that is not known to have it.
     pub(crate) fn send_value(&mut self, link: Link, effects: &mut Vec<Effect>) {
-        let Some(value) = self.register.decided().cloned() else { return };
-        if let Some(peer) = self.members.get_mut(link).filter(|peer| peer.lacks(value.number)) {
+        let Some(value) = self.register.decided().cloned() else {
+            return;
+        };
+        if let Some(peer) = self
+            .members
+            .get_mut(link)
+            .filter(|peer| peer.lacks(value.number))
+        {
             peer.value = value.number;
-            effects.push(Effect::Send { link, word: PeerMessage::Decided(value) });
+            effects.push(Effect::Send {
+                link,
+                word: PeerMessage::Decided(value),
+            });
         }
     }
 }
--- a/crates/linenthread-control/src/state_log.rs
+++ b/crates/linenthread-control/src/state_log.rs
@@ -53,8 +53,17 @@
     pub fn open(mut take: T, compact_above: u64) -> Result<OpenedState<F, T>, StateLogError> {
         let opened = open(&mut take)?;
         let state = decode(opened.records)?;
-        let log = StateLog { take, log: Some(opened.log), state: state.clone(), compact_above };
-        Ok(OpenedState { log, state, cut: opened.cut })
+        let log = StateLog {
+            take,
+            log: Some(opened.log),
+            state: state.clone(),
+            compact_above,
+        };
+        Ok(OpenedState {
+            log,
+            state,
+            cut: opened.cut,
+        })
     }
 
     /// Writes and syncs these records. After a failure the next call opens the log anew and writes all that
@@ -83,7 +92,11 @@
 
     /// Bytes of all that is known, written whole.
     pub fn compacted_bytes(&self) -> u64 {
-        self.state.records().iter().map(|record| record.encoded_len() as u64).sum()
+        self.state
+            .records()
+            .iter()
+            .map(|record| record.encoded_len() as u64)
+            .sum()
     }
 }
 
--- a/crates/linenthread-control/src/status.rs
+++ b/crates/linenthread-control/src/status.rs
@@ -27,7 +27,12 @@
 
     /// What this node knows of replicas.
     pub fn replicas(&self, now: u64) -> Json {
-        Json::Array(self.registry.iter().map(|known| replica(known.tell(now))).collect())
+        Json::Array(
+            self.registry
+                .iter()
+                .map(|known| replica(known.tell(now)))
+                .collect(),
+        )
     }
 }
 
--- a/crates/linenthread-control/src/voters.rs
+++ b/crates/linenthread-control/src/voters.rs
@@ -14,18 +14,32 @@
 impl Control {
     /// The holder of the lease keeps the voters to the machines that are there: one change at a time.
     pub(crate) fn keep_voters(&mut self, now: u64, epoch: u64, effects: &mut Vec<Effect>) {
-        if self.changes_voters || !self.in_contact(now) || !self.lease.holds_on(now, self.value_number()) {
+        if self.changes_voters
+            || !self.in_contact(now)
+            || !self.lease.holds_on(now, self.value_number())
+        {
             return;
         }
-        let Some(on) = self.register.decided().map(|value| value.number) else { return };
-        let Some(voters) = next_voters(&self.voters_view(now, on)) else { return };
+        let Some(on) = self.register.decided().map(|value| value.number) else {
+            return;
+        };
+        let Some(voters) = next_voters(&self.voters_view(now, on)) else {
+            return;
+        };
         self.changes_voters = true;
         let names: Vec<&str> = voters.iter().map(|voter| voter.address.as_str()).collect();
-        effects.push(Effect::Note(format!("event=counted_change on={on} counted={}", names.join(","))));
+        effects.push(Effect::Note(format!(
+            "event=counted_change on={on} counted={}",
+            names.join(",")
+        )));
         let job = self.requests.add(Purpose::Voters);
         let change = Change::Voters { on, voters, epoch };
         let until = now + 3 * CALL;
-        self.agree(now, |register, agreed| register.propose(now, job, change, until, agreed), effects);
+        self.agree(
+            now,
+            |register, agreed| register.propose(now, job, change, until, agreed),
+            effects,
+        );
     }
 
     /// It leads, and changes the voters, or will as soon as a standby holds all.
@@ -43,11 +57,20 @@
     /// Machines in contact that may vote, do not yet, and stay; with a number only those that may take a vote
     /// at once, since they hold the value of this number on their disks.
     pub(crate) fn standbys(&self, now: u64, number: Option<u64>) -> Vec<Voter> {
-        let own = Voter { id: self.register.id(), address: self.local.control.clone() };
+        let own = Voter {
+            id: self.register.id(),
+            address: self.local.control.clone(),
+        };
         let own_ready = self.local.counts && self.leaving.is_none() && self.durable.value >= number;
         let others = self.members.candidates(now, number);
         let mut standbys: Vec<Voter> = others.chain(own_ready.then_some(own)).collect();
-        standbys.retain(|standby| !self.register.voters().iter().any(|voter| voter.id == standby.id));
+        standbys.retain(|standby| {
+            !self
+                .register
+                .voters()
+                .iter()
+                .any(|voter| voter.id == standby.id)
+        });
         standbys
     }
 
@@ -70,7 +93,8 @@
             true => self.leaving.is_some(),
             false => self.members.leaves(voter.id),
         };
-        let replaced = sighting.is_some_and(|sighting| sighting.disk != voter.id && sighting.counts);
+        let replaced =
+            sighting.is_some_and(|sighting| sighting.disk != voter.id && sighting.counts);
         // Another disk at its address: the old one does not come back, unless its successor is about to vote.
         let joins = |peer: &ControlPeer| peer.hello.control == voter.address && !peer.leaving;
         let given_up = replaced && !self.members.contacts(now).any(joins);
@@ -115,15 +139,25 @@
     }
 
     pub(crate) fn next_step_of_leaving(&self, now: u64) -> Leave {
-        let Some(number) = self.register.decided().map(|value| value.number) else { return Leave::Go };
+        let Some(number) = self.register.decided().map(|value| value.number) else {
+            return Leave::Go;
+        };
         next_step_of_leaving(&LeaveView {
             disk: self.register.id(),
-            voters: self.register.voters().iter().map(|voter| self.holder(now, voter.id, number)).collect(),
+            voters: self
+                .register
+                .voters()
+                .iter()
+                .map(|voter| self.holder(now, voter.id, number))
+                .collect(),
             // Also one that does not hold all yet: what it lacks it is about to have.
             standby: !self.standbys(now, None).is_empty(),
             least: self.local.least,
             // Who has answered has said as well whether it leaves itself, and whether it changes the voters.
-            unanswered: self.members.contacts(now).any(|peer| peer.reached < self.leaving),
+            unanswered: self
+                .members
+                .contacts(now)
+                .any(|peer| peer.reached < self.leaving),
             reconfiguring: self.reconfigures(now)
                 || self.members.contacts(now).any(|peer| peer.reconfiguring),
             in_doubt: self.register.in_doubt(),
@@ -134,12 +168,28 @@
 
     fn holder(&self, now: u64, disk: u64, number: u64) -> Holder {
         if let Some(peer) = self.members.contact(now, disk) {
-            let presence = if peer.leaving { Presence::Leaving } else { Presence::InContact };
-            return Holder { disk, durable: peer.durable >= Some(number), presence };
+            let presence = if peer.leaving {
+                Presence::Leaving
+            } else {
+                Presence::InContact
+            };
+            return Holder {
+                disk,
+                durable: peer.durable >= Some(number),
+                presence,
+            };
         }
         match self.members.departed(disk) {
-            Some(durable) => Holder { disk, durable: durable >= number, presence: Presence::Departed },
-            None => Holder { disk, durable: false, presence: Presence::Absent },
+            Some(durable) => Holder {
+                disk,
+                durable: durable >= number,
+                presence: Presence::Departed,
+            },
+            None => Holder {
+                disk,
+                durable: false,
+                presence: Presence::Absent,
+            },
         }
     }
 }
--- a/crates/linenthread-control/tests/control.rs
+++ b/crates/linenthread-control/tests/control.rs
@@ -1,12 +1,21 @@
 //! Replicas' lives, the log of changes and shares, each as a table of cases; and what is acknowledged when.
 
 use linenthread_consensus::{DurableState, genesis_id};
-use linenthread_control::{Answer, Beat, Budget, ChangeLog, Control, Effect, Heard, Local, ReplicaRegistry};
-use linenthread_messages::{Heard as Receipt, Heartbeat, Hello, PeerMessage, Replica, VERSION, Value, Voter};
+use linenthread_control::{
+    Answer, Beat, Budget, ChangeLog, Control, Effect, Heard, Local, ReplicaRegistry,
+};
+use linenthread_messages::{
+    Heard as Receipt, Heartbeat, Hello, PeerMessage, Replica, VERSION, Value, Voter,
+};
 use yare::parameterized;
 
 fn said(ident: &str, call_count: u64, address: &str) -> Replica {
-    Replica { ident: ident.into(), address: address.into(), call_count, ..Replica::default() }
+    Replica {
+        ident: ident.into(),
+        address: address.into(),
+        call_count,
+        ..Replica::default()
+    }
 }
 
 #[parameterized(
@@ -50,7 +59,8 @@
         news.ident == "a" && news.address == "x" && !news.draining && !news.ended
     );
     assert!(
-        asked.depart(2_000, &news.ident) != news.ended && silent.depart(2_000, &news.ident) != news.ended
+        asked.depart(2_000, &news.ident) != news.ended
+            && silent.depart(2_000, &news.ident) != news.ended
     );
     assert_eq!(asked.digest(), silent.digest());
 }
@@ -60,7 +70,10 @@
     let mut registry = ReplicaRegistry::default();
     registry.observe(0, &said("a", 2, "x"), &mut Vec::new());
     assert!(registry.depart(10, "a") && !registry.depart(11, "a"));
-    assert_eq!(registry.observe(20, &said("a", 3, "x"), &mut Vec::new()), Heard::Late);
+    assert_eq!(
+        registry.observe(20, &said("a", 3, "x"), &mut Vec::new()),
+        Heard::Late
+    );
     assert!(registry.get("a").unwrap().told.gone);
     registry.expire(70_000, 4_000);
     assert!(registry.is_empty());
@@ -71,11 +84,18 @@
     let mut registry = ReplicaRegistry::default();
     for i in 0..4 {
         let at = if i < silent { 0 } else { 5_000 };
-        registry.observe(at, &said(&format!("r{i}"), 1, &format!("x{i}")), &mut Vec::new());
+        registry.observe(
+            at,
+            &said(&format!("r{i}"), 1, &format!("x{i}")),
+            &mut Vec::new(),
+        );
     }
     assert_eq!(registry.expire(6_000, 4_000).len(), gone);
     if gone > 0 {
-        assert_eq!(registry.observe(6_100, &said("r0", 2, "x0"), &mut Vec::new()), Heard::Changed);
+        assert_eq!(
+            registry.observe(6_100, &said("r0", 2, "x0"), &mut Vec::new()),
+            Heard::Changed
+        );
         assert!(!registry.get("r0").unwrap().told.gone);
     }
 }
@@ -132,8 +152,13 @@
 
 fn hub_of(core: usize) -> Control {
     let bootstrap: Vec<String> = (1..=core).map(address).collect();
-    let voters: Vec<Voter> =
-        bootstrap.iter().map(|a| Voter { id: genesis_id(a), address: a.clone() }).collect();
+    let voters: Vec<Voter> = bootstrap
+        .iter()
+        .map(|a| Voter {
+            id: genesis_id(a),
+            address: a.clone(),
+        })
+        .collect();
     let local = Local {
         name: "hub-1".into(),
         zone: "z".into(),
@@ -147,15 +172,31 @@
         retry_allowance: 10.0,
         retry_window: 10_000,
     };
-    let genesis = Value { voters, ..Value::default() };
-    Control::new(local, genesis_id(&address(1)), DurableState::default(), Some(genesis), 0)
+    let genesis = Value {
+        voters,
+        ..Value::default()
+    };
+    Control::new(
+        local,
+        genesis_id(&address(1)),
+        DurableState::default(),
+        Some(genesis),
+        0,
+    )
 }
 
 fn meet(control: &mut Control, now: u64, link: u64, n: usize, version: u32) -> Vec<Effect> {
     let (name, disk) = (format!("hub-{n}"), genesis_id(&address(n)));
     let mut out = Vec::new();
     let life = n as u64 * 100;
-    let hello = Hello { version, name, life, control: address(n), disk, ..Hello::default() };
+    let hello = Hello {
+        version,
+        name,
+        life,
+        control: address(n),
+        disk,
+        ..Hello::default()
+    };
     control.opened(link, &mut out);
     control.on_message(now, link, PeerMessage::Hello(hello), &mut out);
     control.on_message(now, link, round_trip(now), &mut out);
@@ -164,8 +205,13 @@
 
 /// A heartbeat of a peer that has heard what was said at `now`.
 fn round_trip(now: u64) -> PeerMessage {
-    let beat =
-        Heartbeat { whole: true, sent: now, echo: Some(now), durable: Some(0), ..Heartbeat::default() };
+    let beat = Heartbeat {
+        whole: true,
+        sent: now,
+        echo: Some(now),
+        durable: Some(0),
+        ..Heartbeat::default()
+    };
     PeerMessage::Heartbeat(beat)
 }
 
@@ -178,7 +224,13 @@
 
 fn answers(out: &[Effect]) -> Vec<&Answer> {
     out.iter()
-        .filter_map(|o| if let Effect::Answer { answer, .. } = o { Some(answer) } else { None })
+        .filter_map(|o| {
+            if let Effect::Answer { answer, .. } = o {
+                Some(answer)
+            } else {
+                None
+            }
+        })
         .collect()
 }
 
@@ -199,8 +251,7 @@
     meet(&mut control, 0, 1, 2, VERSION);
     control.beat(0, 1, "i", beat("draining", 1), &mut out);
     assert!(answers(&out).is_empty());
-    let asks =
-        |o: &Effect| matches!(o, Effect::Send { word: PeerMessage::ControlUpdate(g), .. } if g.receipt == 1);
+    let asks = |o: &Effect| matches!(o, Effect::Send { word: PeerMessage::ControlUpdate(g), .. } if g.receipt == 1);
     assert!(out.iter().any(asks));
     out.clear();
     control.on_message(10, 1, PeerMessage::Heard(Receipt { receipt: 1 }), &mut out);
@@ -240,7 +291,12 @@
     let out = meet(&mut control, 0, 1, 2, VERSION + 1);
     assert!(out.iter().any(|o| matches!(o, Effect::Drop(1))));
     let mut out = Vec::new();
-    let own = Hello { version: VERSION, life: 1, control: address(1), ..Hello::default() };
+    let own = Hello {
+        version: VERSION,
+        life: 1,
+        control: address(1),
+        ..Hello::default()
+    };
     control.on_message(0, 2, PeerMessage::Hello(own), &mut out);
     assert!(out.iter().any(|o| matches!(o, Effect::Drop(2))));
 }
@@ -255,8 +311,12 @@
         control.tick(now, &mut out);
     }
     assert!(
-        out.iter().any(|o| matches!(o, Effect::Drop(1))) && !out.iter().any(|o| matches!(o, Effect::Drop(2)))
+        out.iter().any(|o| matches!(o, Effect::Drop(1)))
+            && !out.iter().any(|o| matches!(o, Effect::Drop(2)))
+    );
+    assert!(
+        out.iter()
+            .any(|o| matches!(o, Effect::Dial(a) if *a == address(2)))
     );
-    assert!(out.iter().any(|o| matches!(o, Effect::Dial(a) if *a == address(2))));
     assert!(control.in_contact(2_000));
 }
--- a/crates/linenthread-control/tests/nodes/busy.rs
+++ b/crates/linenthread-control/tests/nodes/busy.rs
@@ -13,9 +13,16 @@
 fn keep_ordering(cluster: &mut Cluster, nodes: [usize; 2], until: u64) -> u64 {
     let mut revision = 0;
     while cluster.now < until {
-        let tokens: Vec<(usize, u64)> =
-            nodes.into_iter().zip(1..).map(|(n, i)| (n, cluster.order(n, revision, revision + i))).collect();
-        let settled = |c: &Cluster| tokens.iter().all(|(n, token)| c.nodes[*n].answers.contains_key(token));
+        let tokens: Vec<(usize, u64)> = nodes
+            .into_iter()
+            .zip(1..)
+            .map(|(n, i)| (n, cluster.order(n, revision, revision + i)))
+            .collect();
+        let settled = |c: &Cluster| {
+            tokens
+                .iter()
+                .all(|(n, token)| c.nodes[*n].answers.contains_key(token))
+        };
         cluster.run_until(1_000, settled);
         for (n, token) in tokens {
             if let Some(Answer::Taken(taken)) = cluster.nodes[n].answers.get(&token) {
@@ -43,5 +50,8 @@
     let taken = keep_ordering(&mut cluster, [leader, others[0]], until);
     assert!(taken > 3, "orders are taken meanwhile: {taken}");
     let voters = cluster.voters(leader);
-    assert!(voters.contains(&address(3)) && voters.len() == 3, "{voters:?}");
+    assert!(
+        voters.contains(&address(3)) && voters.len() == 3,
+        "{voters:?}"
+    );
 }
--- a/crates/linenthread-control/tests/nodes/cluster.rs
+++ b/crates/linenthread-control/tests/nodes/cluster.rs
@@ -10,11 +10,24 @@
 const STEP: u64 = 5;
 
 enum Event {
-    Opened { link: u64 },
-    Message { link: u64, message: PeerMessage },
-    Closed { link: u64 },
-    Unreached { address: String },
-    Synced { life: u64, count: usize, then: Vec<(u64, PeerMessage)> },
+    Opened {
+        link: u64,
+    },
+    Message {
+        link: u64,
+        message: PeerMessage,
+    },
+    Closed {
+        link: u64,
+    },
+    Unreached {
+        address: String,
+    },
+    Synced {
+        life: u64,
+        count: usize,
+        then: Vec<(u64, PeerMessage)>,
+    },
 }
 
 #[derive(Default)]
@@ -50,8 +63,14 @@
 impl Cluster {
     /// So many nodes, the first `voters` of which vote from the start, and 4 s to find each other.
     pub fn new(nodes: usize, voters: usize) -> Cluster {
-        let voter = |n: usize| Voter { id: genesis_id(&address(n)), address: address(n) };
-        let genesis = Value { voters: (0..voters).map(voter).collect(), ..Value::default() };
+        let voter = |n: usize| Voter {
+            id: genesis_id(&address(n)),
+            address: address(n),
+        };
+        let genesis = Value {
+            voters: (0..voters).map(voter).collect(),
+            ..Value::default()
+        };
         let mut cluster = Cluster {
             now: 10_000,
             nodes: Vec::new(),
@@ -63,7 +82,11 @@
             least: voters,
         };
         for n in 0..nodes {
-            cluster.nodes.push(Node { address: address(n), sync_ms: 2, ..Node::default() });
+            cluster.nodes.push(Node {
+                address: address(n),
+                sync_ms: 2,
+                ..Node::default()
+            });
         }
         (0..voters).for_each(|n| cluster.start(n));
         cluster.run(4_000);
@@ -83,9 +106,14 @@
     pub fn start(&mut self, n: usize) {
         let life = self.number() * 1_000 + 1;
         let mut state = DurableState::default();
-        self.nodes[n].disk.iter().for_each(|record| state.add(record.clone()));
+        self.nodes[n]
+            .disk
+            .iter()
+            .for_each(|record| state.add(record.clone()));
         let first = state.id.is_none() && self.now == 10_000;
-        let id = state.id.unwrap_or(if first { genesis_id(&address(n)) } else { life });
+        let id = state
+            .id
+            .unwrap_or(if first { genesis_id(&address(n)) } else { life });
         let genesis = first.then(|| self.genesis.clone());
         let local = Local {
             name: format!("node-{n}"),
@@ -105,7 +133,11 @@
         let node = &mut self.nodes[n];
         (node.control, node.life, node.frozen) = (Some(control), life, false);
         if empty {
-            node.disk.push(Record { id: Some(id), decided: genesis, ..Record::default() });
+            node.disk.push(Record {
+                id: Some(id),
+                decided: genesis,
+                ..Record::default()
+            });
         }
     }
 
@@ -115,8 +147,12 @@
         (node.control, node.life) = (None, 0);
         node.unsynced.clear();
         node.backlog.clear();
-        let links: Vec<u64> =
-            self.links.iter().filter(|(_, ends)| ends.0 == n || ends.1 == n).map(|(l, _)| *l).collect();
+        let links: Vec<u64> = self
+            .links
+            .iter()
+            .filter(|(_, ends)| ends.0 == n || ends.1 == n)
+            .map(|(l, _)| *l)
+            .collect();
         links.into_iter().for_each(|link| self.end_link(link, n));
     }
 
@@ -131,7 +167,9 @@
     }
 
     fn end_link(&mut self, link: u64, by: usize) {
-        let Some((a, b)) = self.links.remove(&link) else { return };
+        let Some((a, b)) = self.links.remove(&link) else {
+            return;
+        };
         self.push(1, if a == by { b } else { a }, Event::Closed { link });
     }
 
@@ -139,7 +177,9 @@
     pub fn at(&mut self, n: usize, run: impl FnOnce(&mut Control, u64, &mut Vec<Effect>)) {
         let now = self.now;
         let mut effects = Vec::new();
-        let Some(control) = self.nodes[n].control.as_mut() else { return };
+        let Some(control) = self.nodes[n].control.as_mut() else {
+            return;
+        };
         run(control, now, &mut effects);
         for effect in effects {
             self.carry_out(n, effect);
@@ -149,22 +189,43 @@
     fn carry_out(&mut self, n: usize, effect: Effect) {
         match effect {
             Effect::Send { link, word } => {
-                let Some(&(a, b)) = self.links.get(&link) else { return };
+                let Some(&(a, b)) = self.links.get(&link) else {
+                    return;
+                };
                 let to = if a == n { b } else { a };
                 if !self.cut.contains(&(n, to)) {
-                    self.push(1, to, Event::Message { link, message: word });
+                    self.push(
+                        1,
+                        to,
+                        Event::Message {
+                            link,
+                            message: word,
+                        },
+                    );
                 }
             }
             Effect::Keep { record, then } => {
                 let node = &mut self.nodes[n];
                 node.unsynced.push(record);
                 let (life, after) = (node.life, node.sync_ms);
-                self.push(after, n, Event::Synced { life, count: 1, then });
+                self.push(
+                    after,
+                    n,
+                    Event::Synced {
+                        life,
+                        count: 1,
+                        then,
+                    },
+                );
             }
             Effect::Answer { token, answer } => drop(self.nodes[n].answers.insert(token, answer)),
             Effect::Dial(to) => {
-                let other = self.nodes.iter().position(|o| o.address == to && o.control.is_some());
-                match other.filter(|&o| !self.cut.contains(&(n, o)) && !self.cut.contains(&(o, n))) {
+                let other = self
+                    .nodes
+                    .iter()
+                    .position(|o| o.address == to && o.control.is_some());
+                match other.filter(|&o| !self.cut.contains(&(n, o)) && !self.cut.contains(&(o, n)))
+                {
                     Some(other) => {
                         let link = self.number();
                         self.links.insert(link, (n, other));
@@ -189,7 +250,9 @@
                 self.at(to, |c, _, effects| c.opened(link, effects));
             }
             Event::Message { link, message } if self.links.contains_key(&link) => {
-                self.at(to, |c, now, effects| c.on_message(now, link, message, effects));
+                self.at(to, |c, now, effects| {
+                    c.on_message(now, link, message, effects)
+                });
             }
             Event::Closed { link } => self.at(to, |c, now, effects| c.closed(now, link, effects)),
             Event::Unreached { address } => self.at(to, |c, now, _| c.unreached(now, &address)),
@@ -215,14 +278,21 @@
         let end = self.now + ms;
         while self.now < end {
             self.now += STEP;
-            while let Some((key, _)) = self.events.first_key_value().filter(|(key, _)| key.0 <= self.now) {
+            while let Some((key, _)) = self
+                .events
+                .first_key_value()
+                .filter(|(key, _)| key.0 <= self.now)
+            {
                 let key = *key;
                 let (to, event) = self.events.remove(&key).expect("was seen");
                 self.take(to, event);
             }
             for n in 0..self.nodes.len() {
                 let now = self.now;
-                let due = self.nodes[n].control.as_ref().is_some_and(|c| now >= c.due(now));
+                let due = self.nodes[n]
+                    .control
+                    .as_ref()
+                    .is_some_and(|c| now >= c.due(now));
                 if due && !self.nodes[n].frozen {
                     self.at(n, |c, now, effects| c.tick(now, effects));
                 }
@@ -243,7 +313,9 @@
     pub fn order(&mut self, n: usize, base: u64, revision: u64) -> u64 {
         let token = self.number();
         let document = format!("document {revision}").into_bytes();
-        self.at(n, |c, now, effects| c.replace(now, token, base, revision, document, effects));
+        self.at(n, |c, now, effects| {
+            c.replace(now, token, base, revision, document, effects)
+        });
         token
     }
 
@@ -259,7 +331,9 @@
             let token = self.order(n, base, revision);
             self.run_until(1_000, |c| c.nodes[n].answers.contains_key(&token));
             match self.nodes[n].answers.get(&token) {
-                Some(answer @ (Answer::Taken(_) | Answer::Conflict(_))) => return Some(answer.clone()),
+                Some(answer @ (Answer::Taken(_) | Answer::Conflict(_))) => {
+                    return Some(answer.clone());
+                }
                 _ => self.run(20),
             }
         }
@@ -267,16 +341,28 @@
     }
 
     pub fn leader(&self) -> Option<usize> {
-        let leads = |n: &Node| n.control.as_ref().is_some_and(|c| c.holds_lease(self.now).is_some());
+        let leads = |n: &Node| {
+            n.control
+                .as_ref()
+                .is_some_and(|c| c.holds_lease(self.now).is_some())
+        };
         self.nodes.iter().position(leads)
     }
 
     /// Addresses of the voters as a node knows them.
     pub fn voters(&self, n: usize) -> Vec<String> {
-        self.control(n).register().voters().iter().map(|v| v.address.clone()).collect()
+        self.control(n)
+            .register()
+            .voters()
+            .iter()
+            .map(|v| v.address.clone())
+            .collect()
     }
 
     pub fn may_leave(&self, n: usize) -> bool {
-        self.nodes[n].control.as_ref().is_some_and(|c| c.may_leave(self.now))
+        self.nodes[n]
+            .control
+            .as_ref()
+            .is_some_and(|c| c.may_leave(self.now))
     }
 }
--- a/crates/linenthread-control/tests/nodes/contact.rs
+++ b/crates/linenthread-control/tests/nodes/contact.rs
@@ -13,7 +13,10 @@
 
 fn node() -> Control {
     let bootstrap: Vec<String> = (0..3).map(address).collect();
-    let voter = |a: &String| Voter { id: genesis_id(a), address: a.clone() };
+    let voter = |a: &String| Voter {
+        id: genesis_id(a),
+        address: a.clone(),
+    };
     let voters = bootstrap.iter().map(voter).collect();
     let local = Local {
         name: "node-0".into(),
@@ -28,8 +31,19 @@
         retry_allowance: 10.0,
         retry_window: 10_000,
     };
-    let value = Value { voters, revision: 7, document: "document".into(), ..Value::default() };
-    Control::new(local, genesis_id(&address(0)), DurableState::default(), Some(value), 0)
+    let value = Value {
+        voters,
+        revision: 7,
+        document: "document".into(),
+        ..Value::default()
+    };
+    Control::new(
+        local,
+        genesis_id(&address(0)),
+        DurableState::default(),
+        Some(value),
+        0,
+    )
 }
 
 fn says(control: &mut Control, now: u64, link: u64, message: PeerMessage) -> Vec<Effect> {
@@ -42,16 +56,33 @@
     let control = address(n);
     let disk = genesis_id(&control);
     let name = format!("node-{n}");
-    PeerMessage::Hello(Hello { version: VERSION, name, life: 100, control, disk, ..Hello::default() })
+    PeerMessage::Hello(Hello {
+        version: VERSION,
+        name,
+        life: 100,
+        control,
+        disk,
+        ..Hello::default()
+    })
 }
 
 fn front_hello() -> PeerMessage {
     let name = "front".to_owned();
-    PeerMessage::Hello(Hello { version: VERSION, name, life: 900, ..Hello::default() })
+    PeerMessage::Hello(Hello {
+        version: VERSION,
+        name,
+        life: 900,
+        ..Hello::default()
+    })
 }
 
 fn heartbeat(sent: u64, echo: Option<u64>) -> PeerMessage {
-    PeerMessage::Heartbeat(Heartbeat { whole: true, sent, echo, ..Heartbeat::default() })
+    PeerMessage::Heartbeat(Heartbeat {
+        whole: true,
+        sent,
+        echo,
+        ..Heartbeat::default()
+    })
 }
 
 fn in_contact_at(now: u64) -> Control {
@@ -70,7 +101,11 @@
 }
 
 fn answer(effect: &Effect) -> Option<&Answer> {
-    if let Effect::Answer { answer, .. } = effect { Some(answer) } else { None }
+    if let Effect::Answer { answer, .. } = effect {
+        Some(answer)
+    } else {
+        None
+    }
 }
 
 fn answers(effects: &[Effect]) -> Vec<&Answer> {
@@ -80,7 +115,10 @@
 /// Whether a front is told of replicas or a configuration, and whether of the configuration.
 fn told(effects: &[Effect]) -> (bool, bool) {
     let update = |e: &Effect| match e {
-        Effect::Send { link: FRONT, word: PeerMessage::FrontUpdate(update) } => Some(update.value.is_some()),
+        Effect::Send {
+            link: FRONT,
+            word: PeerMessage::FrontUpdate(update),
+        } => Some(update.value.is_some()),
         _ => None,
     };
     let updates: Vec<bool> = effects.iter().filter_map(update).collect();
@@ -120,7 +158,13 @@
     effects.clear();
     control.beat(2_250, 1, "i", beat("available", 1), &mut effects);
     control.departure(2_250, 2, "i", &mut effects);
-    assert!(matches!(answers(&effects)[..], [Answer::NotNow(_), Answer::NotNow(_)]), "{effects:?}");
+    assert!(
+        matches!(
+            answers(&effects)[..],
+            [Answer::NotNow(_), Answer::NotNow(_)]
+        ),
+        "{effects:?}"
+    );
 }
 
 #[test]
@@ -133,10 +177,21 @@
     effects.clear();
     // Calls and messages that have waited come before any tick.
     control.beat(20_000, 2, "k", beat("available", 1), &mut effects);
-    effects.extend(says(&mut control, 20_000, PEER, PeerMessage::Heard(Receipt { receipt: 1 })));
+    effects.extend(says(
+        &mut control,
+        20_000,
+        PEER,
+        PeerMessage::Heard(Receipt { receipt: 1 }),
+    ));
     control.departure(20_000, 3, "i", &mut effects);
-    assert!(matches!(answers(&effects)[..], [Answer::NotNow(_), Answer::NotNow(_), Answer::NotNow(_)]));
-    assert!(effects.iter().any(|e| matches!(e, Effect::Drop(FRONT))), "its fronts go elsewhere");
+    assert!(matches!(
+        answers(&effects)[..],
+        [Answer::NotNow(_), Answer::NotNow(_), Answer::NotNow(_)]
+    ));
+    assert!(
+        effects.iter().any(|e| matches!(e, Effect::Drop(FRONT))),
+        "its fronts go elsewhere"
+    );
     effects.extend(says(&mut control, 20_000, 10, front_hello()));
     assert!(!told(&effects).0 && control.holds_lease(20_000).is_none());
 }
@@ -147,10 +202,17 @@
     let mut effects = Vec::new();
     control.read(10, 1, &mut effects);
     let question = effects.iter().find_map(|e| match e {
-        Effect::Send { word: PeerMessage::ReadRequest(request), .. } => Some(request.question),
+        Effect::Send {
+            word: PeerMessage::ReadRequest(request),
+            ..
+        } => Some(request.question),
         _ => None,
     });
-    let reply = ReadReply { question: question.unwrap(), decided: 0, pending: false };
+    let reply = ReadReply {
+        question: question.unwrap(),
+        decided: 0,
+        pending: false,
+    };
     let effects = says(&mut control, 20_000, PEER, PeerMessage::ReadReply(reply));
     assert!(matches!(answers(&effects)[..], [Answer::NotNow(_)]));
 }
@@ -161,10 +223,17 @@
     let effects = says(&mut control, 0, FRONT, front_hello());
     assert_eq!(told(&effects), (true, false));
     let question = effects.iter().find_map(|e| match e {
-        Effect::Send { word: PeerMessage::ReadRequest(request), .. } => Some(request.question),
+        Effect::Send {
+            word: PeerMessage::ReadRequest(request),
+            ..
+        } => Some(request.question),
         _ => None,
     });
-    let reply = ReadReply { question: question.unwrap(), decided: 0, pending: false };
+    let reply = ReadReply {
+        question: question.unwrap(),
+        decided: 0,
+        pending: false,
+    };
     let effects = says(&mut control, 5, PEER, PeerMessage::ReadReply(reply));
     assert_eq!(told(&effects), (true, true));
 }
@@ -182,26 +251,37 @@
     let mut effects = says(&mut control, CONTACT + 500, FRONT, front_hello());
     control.tick(CONTACT + 1_000, &mut effects);
     assert!(!told(&effects).0);
-    let outside =
-        |e: &Effect| matches!(e, Effect::Send { link: FRONT, word: PeerMessage::Heartbeat(h) } if !h.whole);
-    assert!(effects.iter().any(outside), "it says that it is out of contact");
+    let outside = |e: &Effect| matches!(e, Effect::Send { link: FRONT, word: PeerMessage::Heartbeat(h) } if !h.whole);
+    assert!(
+        effects.iter().any(outside),
+        "it says that it is out of contact"
+    );
 }
 
 #[test]
 fn one_that_is_cut_off_refuses_and_confirms_no_order() {
     let mut cluster = Cluster::new(3, 3);
-    assert_eq!(cluster.order_until_answered(1_000, 0, 1), Some(Answer::Taken(1)));
+    assert_eq!(
+        cluster.order_until_answered(1_000, 0, 1),
+        Some(Answer::Taken(1))
+    );
     for other in 1..3 {
         cluster.cut.extend([(0, other), (other, 0)]);
     }
-    assert_eq!(cluster.order_until_answered(5_000, 1, 2), Some(Answer::Taken(2)));
+    assert_eq!(
+        cluster.order_until_answered(5_000, 1, 2),
+        Some(Answer::Taken(2))
+    );
     cluster.run(3_000);
     // It has revision 1 as the newest: neither order is its to judge.
     for (base, revision) in [(0, 1), (0, 9), (1, 3)] {
         let token = cluster.order(0, base, revision);
         cluster.run(1_500);
         let answer = &cluster.nodes[0].answers[&token];
-        assert!(matches!(answer, Answer::NotNow(_)), "{base} {revision}: {answer:?}");
+        assert!(
+            matches!(answer, Answer::NotNow(_)),
+            "{base} {revision}: {answer:?}"
+        );
     }
     assert!(!cluster.control(0).in_contact(cluster.now));
 }
@@ -210,7 +290,9 @@
 fn a_cut_in_one_direction_ends_contact_on_both_sides(outgoing: bool) {
     let mut cluster = Cluster::new(3, 3);
     for other in 1..3 {
-        cluster.cut.insert(if outgoing { (0, other) } else { (other, 0) });
+        cluster
+            .cut
+            .insert(if outgoing { (0, other) } else { (other, 0) });
     }
     let contact = |c: &Cluster, n: usize| c.control(n).in_contact(c.now);
     assert!(cluster.run_until(CONTACT + 100, |c| !contact(c, 0)));
@@ -222,11 +304,17 @@
 #[test]
 fn a_frozen_leader_leads_no_more_when_it_wakes_and_asks_anew() {
     let mut cluster = Cluster::new(3, 3);
-    assert_eq!(cluster.order_until_answered(1_000, 0, 1), Some(Answer::Taken(1)));
+    assert_eq!(
+        cluster.order_until_answered(1_000, 0, 1),
+        Some(Answer::Taken(1))
+    );
     let leader = cluster.leader().unwrap();
     cluster.nodes[leader].frozen = true;
     cluster.run(100);
-    assert_eq!(cluster.order_until_answered(6_000, 1, 2), Some(Answer::Taken(2)));
+    assert_eq!(
+        cluster.order_until_answered(6_000, 1, 2),
+        Some(Answer::Taken(2))
+    );
     cluster.run(12_000);
     cluster.thaw(leader, |control, now, effects| {
         control.replace(now, 1 << 32, 0, 9, b"late".to_vec(), effects);
@@ -236,7 +324,11 @@
     });
     let answers = cluster.nodes[leader].answers.clone();
     for token in [1u64 << 32, 2 << 32, 3 << 32] {
-        assert!(matches!(answers.get(&token), Some(Answer::NotNow(_))), "{:?}", answers.get(&token));
+        assert!(
+            matches!(answers.get(&token), Some(Answer::NotNow(_))),
+            "{:?}",
+            answers.get(&token)
+        );
     }
     assert!(cluster.run_until(3_000, |c| c.control(leader).in_contact(c.now)));
 }
--- a/crates/linenthread-control/tests/nodes/leaving.rs
+++ b/crates/linenthread-control/tests/nodes/leaving.rs
@@ -31,7 +31,10 @@
     assert!(cluster.run_until(900, |c| c.nodes[leader].answers.contains_key(&token)));
     assert_eq!(cluster.nodes[leader].answers[&token], Answer::Taken(1));
     leave(&mut cluster, leaver);
-    assert!(!cluster.run_until(1_500, |c| c.may_leave(leaver)), "only one disk would hold it");
+    assert!(
+        !cluster.run_until(1_500, |c| c.may_leave(leaver)),
+        "only one disk would hold it"
+    );
     assert!(cluster.run_until(6_000, |c| c.may_leave(leaver)));
     // Now the leader may be lost with its disk, while the others lose power.
     cluster.crash(leaver);
@@ -40,7 +43,10 @@
     cluster.nodes[slow].sync_ms = 2;
     cluster.start(slow);
     cluster.start(leaver);
-    assert_eq!(cluster.order_until_answered(8_000, 0, 1), Some(Answer::Taken(1)));
+    assert_eq!(
+        cluster.order_until_answered(8_000, 0, 1),
+        Some(Answer::Taken(1))
+    );
 }
 
 #[test]
@@ -55,7 +61,9 @@
     assert!(cluster.run_until(2_000, |c| c.may_leave(leader)));
     let other = (0..3).find(|n| *n != leader).unwrap();
     let voters = cluster.voters(other);
-    assert!(voters.contains(&address(3)) && !voters.contains(&address(leader)) && voters.len() == 3);
+    assert!(
+        voters.contains(&address(3)) && !voters.contains(&address(leader)) && voters.len() == 3
+    );
     assert_ne!(cluster.leader(), Some(leader));
     // It is no spare while it leaves.
     cluster.run(3_000);
@@ -70,7 +78,10 @@
     assert!(cluster.run_until(100, |c| c.may_leave(leader)));
     // Much sooner than its lease of 2 s would have ended.
     assert!(cluster.run_until(300, |c| c.leader().is_some_and(|n| n != leader)));
-    assert_eq!(cluster.order_until_answered(1_000, 0, 1), Some(Answer::Taken(1)));
+    assert_eq!(
+        cluster.order_until_answered(1_000, 0, 1),
+        Some(Answer::Taken(1))
+    );
 }
 
 #[test]
@@ -109,24 +120,36 @@
     let mut cluster = Cluster::new(3, 3);
     leave(&mut cluster, 0);
     let token = cluster.order(0, 0, 1);
-    let Answer::Elsewhere(to) = cluster.nodes[0].answers[&token].clone() else { panic!("sent on") };
+    let Answer::Elsewhere(to) = cluster.nodes[0].answers[&token].clone() else {
+        panic!("sent on")
+    };
     assert!([address(1), address(2)].contains(&to));
 }
 
 #[test]
 fn a_machine_votes_only_once_its_disk_holds_the_newest_value() {
     let mut cluster = Cluster::new(4, 3);
-    assert_eq!(cluster.order_until_answered(1_000, 0, 1), Some(Answer::Taken(1)));
+    assert_eq!(
+        cluster.order_until_answered(1_000, 0, 1),
+        Some(Answer::Taken(1))
+    );
     cluster.nodes[3].sync_ms = 4_000;
     cluster.start(3);
     cluster.run(1_500);
     let newest = |c: &Cluster, n: usize| c.control(n).register().decided().map(|v| v.number);
-    assert_eq!(newest(&cluster, 3), newest(&cluster, 0), "it holds it in memory");
+    assert_eq!(
+        newest(&cluster, 3),
+        newest(&cluster, 0),
+        "it holds it in memory"
+    );
     let leader = cluster.leader().unwrap();
     let leaver = (leader + 1) % 3;
     leave(&mut cluster, leaver);
     let joined = |c: &Cluster| c.voters(leader).contains(&address(3));
-    assert!(!cluster.run_until(1_500, joined), "its disk does not hold it yet");
+    assert!(
+        !cluster.run_until(1_500, joined),
+        "its disk does not hold it yet"
+    );
     assert!(cluster.run_until(12_000, joined));
     assert_eq!(cluster.voters(leader).len(), 3);
 }
@@ -148,10 +171,19 @@
 /// the core bears are lost with their disks and all others lose power. What was acknowledged is there, and
 /// changes are acknowledged again.
 #[parameterized(fast = { 2, 2 }, slow_voter = { 300, 2 }, slow_joiner = { 2, 300 }, all_slow = { 100, 100 })]
-fn a_second_loss_at_any_moment_of_a_planned_replacement_costs_nothing(voter_sync: u64, joiner_sync: u64) {
+fn a_second_loss_at_any_moment_of_a_planned_replacement_costs_nothing(
+    voter_sync: u64,
+    joiner_sync: u64,
+) {
     for moment in (0..3_000).step_by(60) {
         for lost in [&[0][..], &[1]] {
-            planned_replacement(Plan { voters: 3, voter_sync, joiner_sync, moment, lost });
+            planned_replacement(Plan {
+                voters: 3,
+                voter_sync,
+                joiner_sync,
+                moment,
+                lost,
+            });
         }
     }
 }
@@ -160,7 +192,13 @@
 fn of_five_two_more_losses_at_any_moment_cost_nothing(voter_sync: u64, joiner_sync: u64) {
     for moment in (0..3_000).step_by(200) {
         for lost in [&[0, 1][..], &[0, 3], &[1, 2]] {
-            planned_replacement(Plan { voters: 5, voter_sync, joiner_sync, moment, lost });
+            planned_replacement(Plan {
+                voters: 5,
+                voter_sync,
+                joiner_sync,
+                moment,
+                lost,
+            });
         }
     }
 }
@@ -180,9 +218,16 @@
     cluster.nodes[1].sync_ms = plan.voter_sync;
     cluster.nodes[joiner].sync_ms = plan.joiner_sync;
     cluster.start(joiner);
-    assert_eq!(cluster.order_until_answered(3_000, 0, 1), Some(Answer::Taken(1)), "{plan:?}");
+    assert_eq!(
+        cluster.order_until_answered(3_000, 0, 1),
+        Some(Answer::Taken(1)),
+        "{plan:?}"
+    );
     // The successor has found the others; that it holds nothing yet does not matter.
-    assert!(cluster.run_until(2_000, |c| c.control(joiner).in_contact(c.now)), "{plan:?}");
+    assert!(
+        cluster.run_until(2_000, |c| c.control(joiner).in_contact(c.now)),
+        "{plan:?}"
+    );
     cluster.run(10);
     leave(&mut cluster, leaver);
     let end = cluster.now + plan.moment;
@@ -193,7 +238,11 @@
         }
     }
     lose(&mut cluster, plan.lost);
-    assert_eq!(cluster.order_until_answered(10_000, 1, 2), Some(Answer::Taken(2)), "{plan:?}");
+    assert_eq!(
+        cluster.order_until_answered(10_000, 1, 2),
+        Some(Answer::Taken(2)),
+        "{plan:?}"
+    );
 }
 
 /// Some are lost with their disks, all others lose power and start again.
@@ -214,7 +263,10 @@
 fn a_second_loss_after_an_unplanned_replacement_costs_nothing(successor: usize) {
     for lost in 0..2 {
         let mut cluster = Cluster::new(4, 3);
-        assert_eq!(cluster.order_until_answered(3_000, 0, 1), Some(Answer::Taken(1)));
+        assert_eq!(
+            cluster.order_until_answered(3_000, 0, 1),
+            Some(Answer::Taken(1))
+        );
         cluster.wipe(2);
         cluster.run(100);
         cluster.start(successor);
--- a/crates/linenthread-control/tests/reconfiguration.rs
+++ b/crates/linenthread-control/tests/reconfiguration.rs
@@ -7,7 +7,10 @@
 use yare::parameterized;
 
 fn voter(id: u64) -> Voter {
-    Voter { id, address: format!("address {id}") }
+    Voter {
+        id,
+        address: format!("address {id}"),
+    }
 }
 
 /// Voters 1, 2, 3 and so on: `+` as they should be, `s` silent for a moment, `l` lost, `g` leaving, `r`
@@ -21,7 +24,11 @@
         replaced: c == 'r',
     };
     let standbys = standbys.iter().map(|id| voter(*id)).collect();
-    VotersView { voters: states.chars().enumerate().map(state).collect(), standbys, least }
+    VotersView {
+        voters: states.chars().enumerate().map(state).collect(),
+        standbys,
+        least,
+    }
 }
 
 #[parameterized(
@@ -48,14 +55,18 @@
     replaced_with_no_standby_there = { "+r+", &[], 3, None },
 )]
 fn voters_change_one_at_a_time(states: &str, standbys: &[u64], least: usize, next: Option<&[u64]>) {
-    let ids = next_voters(&view(states, standbys, least)).map(|v| v.iter().map(|v| v.id).collect::<Vec<_>>());
+    let ids = next_voters(&view(states, standbys, least))
+        .map(|v| v.iter().map(|v| v.id).collect::<Vec<_>>());
     assert_eq!(ids.as_deref(), next);
 }
 
 #[test]
 fn who_comes_back_under_another_name_has_its_own_place() {
     let mut view = view("rl+", &[7], 3);
-    view.standbys.push(Voter { id: 8, address: "address 1".into() });
+    view.standbys.push(Voter {
+        id: 8,
+        address: "address 1".into(),
+    });
     let ids: Vec<u64> = next_voters(&view).unwrap().iter().map(|v| v.id).collect();
     assert_eq!(ids, [8, 2, 3]);
 }
@@ -107,7 +118,10 @@
     of_two_that_hold = { 1, "++", true },
 )]
 fn a_machine_goes_when_the_others_hold_all(own: u64, states: &str, goes: bool) {
-    assert_eq!(next_step_of_leaving(&leave_view(own, states)) == Leave::Go, goes);
+    assert_eq!(
+        next_step_of_leaving(&leave_view(own, states)) == Leave::Go,
+        goes
+    );
 }
 
 #[parameterized(
@@ -129,8 +143,14 @@
 
 #[test]
 fn a_leader_releases_its_lease_last() {
-    let view = LeaveView { leads: true, ..leave_view(3, "+++") };
+    let view = LeaveView {
+        leads: true,
+        ..leave_view(3, "+++")
+    };
     assert_eq!(next_step_of_leaving(&view), Leave::Release);
-    let waits = LeaveView { leads: true, ..leave_view(3, "+P+") };
+    let waits = LeaveView {
+        leads: true,
+        ..leave_view(3, "+P+")
+    };
     assert!(matches!(next_step_of_leaving(&waits), Leave::Wait(_)));
 }
--- a/crates/linenthread-control/tests/state_log.rs
+++ b/crates/linenthread-control/tests/state_log.rs
@@ -19,11 +19,21 @@
 
 fn decided(number: u64, bytes: usize) -> Record {
     let document = vec![number as u8; bytes].into();
-    Record { decided: Some(Value { number, document, ..Value::default() }), ..Record::default() }
+    Record {
+        decided: Some(Value {
+            number,
+            document,
+            ..Value::default()
+        }),
+        ..Record::default()
+    }
 }
 
 fn number(opened: &OpenedState<Disk, impl FnMut() -> Result<Disk, String>>) -> u64 {
-    opened.state.records()[0].decided.as_ref().map_or(0, |value| value.number)
+    opened.state.records()[0]
+        .decided
+        .as_ref()
+        .map_or(0, |value| value.number)
 }
 
 #[test]
@@ -35,7 +45,10 @@
         assert!(number(&opened) >= synced, "round {round}");
         synced = number(&opened);
         for _ in 0..chance.rand_range(1..9) {
-            opened.log.write(&[decided(synced + 1, 300)]).expect("there is room");
+            opened
+                .log
+                .write(&[decided(synced + 1, 300)])
+                .expect("there is room");
             synced += 1;
             assert!(opened.log.bytes() < COMPACT_ABOVE + 400);
         }
@@ -57,7 +70,13 @@
         assert!(matches!(refused, Err(StateLogError::Disk { .. })));
     }
     disk.borrow_mut().room = None;
-    opened.log.write(&[Record { epoch: 3, ..Record::default() }]).expect("there is room again");
+    opened
+        .log
+        .write(&[Record {
+            epoch: 3,
+            ..Record::default()
+        }])
+        .expect("there is room again");
     drop(opened);
     let opened = open(&disk);
     assert_eq!((number(&opened), opened.state.epoch), (4, 3));
@@ -67,6 +86,9 @@
 fn a_record_longer_than_an_entry_is_read_back_whole() {
     let disk = Disk::default();
     let record = decided(1, 3 * linenthread_store::LONGEST);
-    open(&disk).log.write(std::slice::from_ref(&record)).expect("there is room");
+    open(&disk)
+        .log
+        .write(std::slice::from_ref(&record))
+        .expect("there is room");
     assert_eq!(open(&disk).state.records()[0].decided, record.decided);
 }
--- a/crates/linenthread-core/src/interface.rs
+++ b/crates/linenthread-core/src/interface.rs
@@ -179,7 +179,10 @@
 impl Ending {
     /// The part call is known not to have run.
     pub fn never_ran(self) -> bool {
-        matches!(self, Ending::TurnedAway | Ending::Unconnected | Ending::Unsent)
+        matches!(
+            self,
+            Ending::TurnedAway | Ending::Unconnected | Ending::Unsent
+        )
     }
 }
 
--- a/crates/linenthread-core/src/policy/gate.rs
+++ b/crates/linenthread-core/src/policy/gate.rs
@@ -5,7 +5,8 @@
 impl Coordinator {
     /// Whether a part call may be made at all. Every send passes here, and nothing else holds the rules.
     pub(super) fn may_call(&self, lookup: &Lookup, part: &Part, r: usize) -> bool {
-        part.out() <= usize::from(self.deployment.allowance.second_copies) && self.may_go(lookup, part, r)
+        part.out() <= usize::from(self.deployment.allowance.second_copies)
+            && self.may_go(lookup, part, r)
     }
 
     /// Whether it may, but for what is out.
@@ -15,7 +16,10 @@
             && part.is_wanted()
             && (self.replicas[r].ready() || self.replicas[r].still_takes(self.now))
             && part.calls.len() < self.deployment.allowance.calls_a_part
-            && part.calls.iter().all(|c| c.ending.is_some() || c.replica != r)
+            && part
+                .calls
+                .iter()
+                .all(|c| c.ending.is_some() || c.replica != r)
             && self.cold_room(r)
             && (part.calls.is_empty() || self.further_room())
             && !self.too_late(lookup, part, r)
@@ -23,9 +27,19 @@
 
     /// It is down to the lookup's end; or the part's next call is a further one that would come too late.
     pub(super) fn too_late(&self, lookup: &Lookup, part: &Part, r: usize) -> bool {
-        let (end, replica) = (given_up_at(lookup, &self.deployment.indexes[lookup.index]), &self.replicas[r]);
+        let (end, replica) = (
+            given_up_at(lookup, &self.deployment.indexes[lookup.index]),
+            &self.replicas[r],
+        );
         replica.down.is_some()
-            && !self.is_up(r, if self.deployment.allowance.probes { end } else { self.now })
+            && !self.is_up(
+                r,
+                if self.deployment.allowance.probes {
+                    end
+                } else {
+                    self.now
+                },
+            )
             || !part.calls.is_empty() && replica.expected > (end - self.now) as f64
     }
 
@@ -33,7 +47,13 @@
     /// probes it parts do, one at a time, soon and then less and less often.
     pub(super) fn is_up(&self, r: usize, at: Tenths) -> bool {
         let (replica, probes) = (&self.replicas[r], self.deployment.allowance.probes);
-        let up = |(since, next)| if probes { at > since + GIVEN_UP } else { at >= next && replica.out == 0 };
+        let up = |(since, next)| {
+            if probes {
+                at > since + GIVEN_UP
+            } else {
+                at >= next && replica.out == 0
+            }
+        };
         replica.down.is_none_or(up)
     }
 
@@ -41,9 +61,9 @@
     pub(super) fn may_run_again(&self, lookup: &Lookup, part: &Part) -> bool {
         match self.deployment.indexes[lookup.index].effect {
             Effect::Idempotent => true,
-            Effect::Fingerprinted(window) => {
-                part.may_have_run().is_none_or(|first| self.now <= first + window)
-            }
+            Effect::Fingerprinted(window) => part
+                .may_have_run()
+                .is_none_or(|first| self.now <= first + window),
             Effect::OnceOnly => part.never_ran(),
         }
     }
@@ -58,7 +78,9 @@
 
     /// Whether a cold replica has room for one more: its share of what warm ones get from here, at most.
     fn cold_room(&self, r: usize) -> bool {
-        let Some(share) = self.cold_share(r) else { return true };
+        let Some(share) = self.cold_share(r) else {
+            return true;
+        };
         let cold = &self.deployment.cold;
         let sent = self.replicas[r].cold_sends.since(self.now - cold.window);
         let told = self.replicas[r].listed.cold_share.unwrap_or(1.0);
@@ -74,11 +96,18 @@
         let turn = (age / cold.window.max(1)) as u64
             + self.deployment.own_number as u64
             + self.replicas[r].listed.id;
-        sent == 0 && turn.is_multiple_of((1.0 / room).ceil().min(self.deployment.co_ordinators as f64) as u64)
+        sent == 0
+            && turn.is_multiple_of(
+                (1.0 / room)
+                    .ceil()
+                    .min(self.deployment.co_ordinators as f64) as u64,
+            )
     }
 
     fn further_room(&self) -> bool {
-        let Some(budget) = &self.deployment.further_calls else { return true };
+        let Some(budget) = &self.deployment.further_calls else {
+            return true;
+        };
         let start = self.now - budget.window;
         let further = (self.fleet.further.since(start) + 1) as f64;
         further <= budget.free + budget.share * self.fleet.taken.since(start + 1) as f64
@@ -93,17 +122,31 @@
         let end = given_up_at(lookup, &self.deployment.indexes[lookup.index]);
         let part = &mut lookup.parts[p];
         let further = !part.calls.is_empty();
-        self.fleet.copies.add(now, RECENT, if part.out() > 0 { 1.0 } else { 0.0 });
+        self.fleet
+            .copies
+            .add(now, RECENT, if part.out() > 0 { 1.0 } else { 0.0 });
         let replica = &mut self.replicas[r];
         let alone = replica.out == 0;
         let rested = alone && now - replica.used > REST;
-        let (old, new) = (self.fleet.rested.shape(ENOUGH), self.fleet.fresh.shape(ENOUGH));
-        let reaped = rested && old.zip(new).is_some_and(|(old, new)| old.0 > new.0 + REAPED);
+        let (old, new) = (
+            self.fleet.rested.shape(ENOUGH),
+            self.fleet.fresh.shape(ENOUGH),
+        );
+        let reaped = rested
+            && old
+                .zip(new)
+                .is_some_and(|(old, new)| old.0 > new.0 + REAPED);
         if reaped {
             writer.close(r);
         }
         let rested = alone.then_some(rested && !reaped);
-        part.calls.push(Call { replica: r, sent: now, rested, ending: None, moved: false });
+        part.calls.push(Call {
+            replica: r,
+            sent: now,
+            rested,
+            ending: None,
+            moved: false,
+        });
         replica.used = now;
         if alone {
             replica.heard = now;
--- a/crates/linenthread-core/src/policy/hear.rs
+++ b/crates/linenthread-core/src/policy/hear.rs
@@ -9,7 +9,10 @@
             RosterNews::Whole(listed) => (listed, true),
             RosterNews::Remembered(listed) => {
                 // Restarts may come together: their questions to the roster are spread out.
-                self.due.ask = self.deployment.watch_roster.then(|| self.now + self.chance_up_to(2_000));
+                self.due.ask = self
+                    .deployment
+                    .watch_roster
+                    .then(|| self.now + self.chance_up_to(2_000));
                 (listed, true)
             }
             RosterNews::Failed => {
@@ -20,14 +23,22 @@
             }
         };
         // Only news that came without delay leaves some of the grace: the rest counts as told before.
-        let grace = if whole || self.due.ask_failures > 0 { 0 } else { self.deployment.drain_grace / 2 };
+        let grace = if whole || self.due.ask_failures > 0 {
+            0
+        } else {
+            self.deployment.drain_grace / 2
+        };
         (self.due.ask_failures, self.due.tick) = (0, self.now);
         if whole {
-            self.replicas.iter_mut().for_each(|r| r.listed.phase = Phase::Gone);
+            self.replicas
+                .iter_mut()
+                .for_each(|r| r.listed.phase = Phase::Gone);
         }
         for entry in listed {
-            self.replicas.resize_with(self.replicas.len().max(entry.replica + 1), Replica::default);
-            self.sites.resize(self.sites.len().max(entry.site + 1), Seen::default());
+            self.replicas
+                .resize_with(self.replicas.len().max(entry.replica + 1), Replica::default);
+            self.sites
+                .resize(self.sites.len().max(entry.site + 1), Seen::default());
             let replica = &mut self.replicas[entry.replica];
             if replica.listed.id != entry.id {
                 *replica = Replica::default(); // Another replica has the index now.
@@ -48,7 +59,8 @@
     }
 
     pub(super) fn take(&mut self, new: &NewLookup) {
-        self.lookups.resize_with(self.lookups.len().max(new.lookup + 1), || None);
+        self.lookups
+            .resize_with(self.lookups.len().max(new.lookup + 1), || None);
         self.lookups[new.lookup] = Some(Lookup {
             index: new.index,
             customer: new.customer,
@@ -65,7 +77,11 @@
 
     pub(super) fn take_part(&mut self, new: &NewPart) {
         if let Some(Some(lookup)) = self.lookups.get_mut(new.lookup) {
-            lookup.parts.push(Part { shard: new.shard, weight: new.weight, ..Part::default() });
+            lookup.parts.push(Part {
+                shard: new.shard,
+                weight: new.weight,
+                ..Part::default()
+            });
         }
     }
 
@@ -81,9 +97,15 @@
 
     pub(super) fn hear(&mut self, back: &Return, writer: &mut impl Writer) {
         let (now, slow, span) = (self.now, self.time_of_most(2.0), self.fleet.span);
-        let Some(Some(lookup)) = self.lookups.get_mut(back.lookup) else { return };
-        let Some(part) = lookup.parts.get_mut(back.part) else { return };
-        let Some(call) = part.calls.get_mut(back.call) else { return };
+        let Some(Some(lookup)) = self.lookups.get_mut(back.lookup) else {
+            return;
+        };
+        let Some(part) = lookup.parts.get_mut(back.part) else {
+            return;
+        };
+        let Some(call) = part.calls.get_mut(back.call) else {
+            return;
+        };
         call.ending = Some(back.ending);
         let (r, took) = (call.replica, back.took.max(1) as f64);
         let came_to = match back.ending {
@@ -94,7 +116,11 @@
             _ => None,
         };
         if let (Some(nothing), Some(rested)) = (came_to, call.rested) {
-            let sort = if rested { &mut self.fleet.rested } else { &mut self.fleet.fresh };
+            let sort = if rested {
+                &mut self.fleet.rested
+            } else {
+                &mut self.fleet.fresh
+            };
             sort.add(now, WARY, nothing);
         }
         let replica = &mut self.replicas[r];
@@ -102,7 +128,10 @@
         replica.out -= 1;
         replica.used = now;
         // A part took what its first call and all after it did: a copy that is quicker mends a slow one.
-        let (delays, age) = (&mut self.fleet.delays, (now - part.calls[0].sent).max(1) as f64);
+        let (delays, age) = (
+            &mut self.fleet.delays,
+            (now - part.calls[0].sent).max(1) as f64,
+        );
         let last = part.out() == 0 && matches!(back.ending, Ending::TimedOut | Ending::Withdrawn);
         if back.ending == Ending::TurnedAway {
             replica.last_call = now;
@@ -111,7 +140,11 @@
         } else if !part.answered && (last || back.ending == Ending::Answered) {
             delays.add(now, RECENT, age.ln());
         }
-        let usual = replica.seen.times.shape(HEARD).or(self.fleet.times.shape(HEARD));
+        let usual = replica
+            .seen
+            .times
+            .shape(HEARD)
+            .or(self.fleet.times.shape(HEARD));
         let late = usual.is_some_and(|(median, _)| took.ln() > median);
         match back.ending {
             Ending::Answered => {
@@ -134,7 +167,9 @@
                 }
             }
             // It would have taken longer still: a client that left early, or a quicker copy, says no more.
-            Ending::Withdrawn | Ending::TimedOut if back.ending == Ending::Withdrawn || took < slow => {
+            Ending::Withdrawn | Ending::TimedOut
+                if back.ending == Ending::Withdrawn || took < slow =>
+            {
                 for seen in [&mut replica.seen, site].into_iter().filter(|_| late) {
                     seen.times.add(now, span, took.ln());
                 }
@@ -153,16 +188,27 @@
         if broken || back.ending == Ending::Unconnected {
             let (since, next) = replica.down.unwrap_or((now, now));
             let trial = now + (TRIAL + (now - since) / 4).min(GIVEN_UP);
-            replica.down = Some((since, if self.deployment.allowance.probes { next } else { trial }));
+            replica.down = Some((
+                since,
+                if self.deployment.allowance.probes {
+                    next
+                } else {
+                    trial
+                },
+            ));
         }
     }
 
     pub(super) fn hear_probe(&mut self, back: &ProbeReturn) {
         let now = self.now;
         self.due.tick = now;
-        let Some(replica) = self.replicas.get_mut(back.replica) else { return };
+        let Some(replica) = self.replicas.get_mut(back.replica) else {
+            return;
+        };
         let since = replica.asked.take().unwrap_or(now);
-        self.fleet.unsure.add(now, SHARES, f64::from(now - since >= ASK));
+        self.fleet
+            .unsure
+            .add(now, SHARES, f64::from(now - since >= ASK));
         // A replica that broke off and is gone may have been brought down; one that answers was not.
         if replica.broke_under && back.ending != Ending::TurnedAway {
             replica.broke_under = false;
@@ -172,7 +218,9 @@
         match back.ending {
             Ending::Answered => replica.answers(now, back.queue),
             _ if replica.told_at >= since => {}
-            Ending::Unconnected | Ending::Broken => _ = replica.down.get_or_insert((now, now + PROBE)),
+            Ending::Unconnected | Ending::Broken => {
+                _ = replica.down.get_or_insert((now, now + PROBE))
+            }
             // Too busy for a probe: nothing is known but that much waits there.
             _ => replica.tell(now, self.soft / self.fleet.quick),
         }
--- a/crates/linenthread-core/src/policy/mod.rs
+++ b/crates/linenthread-core/src/policy/mod.rs
@@ -87,7 +87,11 @@
 
 /// When a lookup is given up.
 fn given_up_at(lookup: &Lookup, index: &Index) -> Tenths {
-    if index.late_share > LATE_PAYS { lookup.hard } else { lookup.soft.min(lookup.hard) }
+    if index.late_share > LATE_PAYS {
+        lookup.hard
+    } else {
+        lookup.soft.min(lookup.hard)
+    }
 }
 
 impl Coordinator {
@@ -120,8 +124,12 @@
 
     /// So many further calls are free in each window from now on; this is one of so many co-ordinators.
     pub fn allot(&mut self, free: f64, own_number: usize, co_ordinators: usize) {
-        (self.deployment.own_number, self.deployment.co_ordinators) = (own_number, co_ordinators.max(1));
-        self.deployment.further_calls.iter_mut().for_each(|f| f.free = free);
+        (self.deployment.own_number, self.deployment.co_ordinators) =
+            (own_number, co_ordinators.max(1));
+        self.deployment
+            .further_calls
+            .iter_mut()
+            .for_each(|f| f.free = free);
     }
 
     /// Takes all that came in and writes what is decided on it.
@@ -130,16 +138,32 @@
         if self.due.reset == 0 {
             (self.due.began, self.due.reset) = (self.now, self.now + RESET);
         }
-        arrivals.roster.iter().for_each(|news| self.hear_roster(news));
-        self.ways = arrivals.ways.clone().unwrap_or(std::mem::take(&mut self.ways));
+        arrivals
+            .roster
+            .iter()
+            .for_each(|news| self.hear_roster(news));
+        self.ways = arrivals
+            .ways
+            .clone()
+            .unwrap_or(std::mem::take(&mut self.ways));
         if let Some(budget) = &self.deployment.further_calls {
-            self.fleet.taken.add(self.now, budget.window, arrivals.lookups.len() + arrivals.parts.len());
+            self.fleet.taken.add(
+                self.now,
+                budget.window,
+                arrivals.lookups.len() + arrivals.parts.len(),
+            );
         }
         arrivals.lookups.iter().for_each(|new| self.take(new));
         arrivals.parts.iter().for_each(|new| self.take_part(new));
-        arrivals.returns.iter().for_each(|back| self.hear(back, writer));
+        arrivals
+            .returns
+            .iter()
+            .for_each(|back| self.hear(back, writer));
         arrivals.onward.iter().for_each(|&(l, p)| self.ask_on(l, p));
-        arrivals.probes.iter().for_each(|back| self.hear_probe(back));
+        arrivals
+            .probes
+            .iter()
+            .for_each(|back| self.hear_probe(back));
         for &lapsed in &arrivals.lapsed {
             if let Some(Some(lookup)) = self.lookups.get_mut(lapsed) {
                 lookup.over = true;
--- a/crates/linenthread-core/src/policy/settle.rs
+++ b/crates/linenthread-core/src/policy/settle.rs
@@ -9,19 +9,29 @@
             return;
         }
         let partless = |k: &Lookup| k.parts.len() == k.step && self.now < k.hard;
-        let Some(lookup) = self.lookups[l].as_ref().filter(|k| !k.over && !partless(k)) else { return };
+        let Some(lookup) = self.lookups[l].as_ref().filter(|k| !k.over && !partless(k)) else {
+            return;
+        };
         let index = &self.deployment.indexes[lookup.index];
         let end = given_up_at(lookup, index);
         let total = lookup.weigh(|_| true).max(ROUNDING);
         let got = lookup.weigh(|p| p.answered) / total;
         let lost = lookup.weigh(|p| self.is_hopeless(lookup, p)) / total;
         let need = if lookup.step > 0 { 1.0 } else { index.need };
-        let floor = if lookup.step > 0 && index.floor >= index.need { 1.0 } else { index.floor };
+        let floor = if lookup.step > 0 && index.floor >= index.need {
+            1.0
+        } else {
+            index.floor
+        };
         let enough = |share: f64, of: f64| share >= of - ROUNDING / 2.0;
         let whole = enough(got, need);
         let partial_pays = index.partial_gain * got / need > index.late_share;
         // A first answer leaves time for the second step.
-        let two = if index.second_step > 0 && lookup.step == 0 { PATIENT } else { 0.0 };
+        let two = if index.second_step > 0 && lookup.step == 0 {
+            PATIENT
+        } else {
+            0.0
+        };
         let by = self.now + (two * self.time_of_most(2.0)) as Tenths;
         let late = by >= end || by >= lookup.soft && partial_pays;
         let answer = whole || enough(got, floor) && (late || !enough(1.0 - lost, need));
@@ -34,7 +44,11 @@
             if asks_on {
                 self.send(l, writer);
                 let lookup = self.lookups[l].as_ref().expect("open");
-                if lookup.parts.iter().any(|p| p.onward.is_some() && p.out() > 0) {
+                if lookup
+                    .parts
+                    .iter()
+                    .any(|p| p.onward.is_some() && p.out() > 0)
+                {
                     return;
                 }
             }
@@ -67,7 +81,12 @@
         let most = usize::from(self.fleet.falls.sum <= 1.0);
         self.deployment.allowance.probes
             && lookup.unanswered()
-            && lookup.broke.iter().filter(|&&r| felled(&self.replicas[r])).count() > most
+            && lookup
+                .broke
+                .iter()
+                .filter(|&&r| felled(&self.replicas[r]))
+                .count()
+                > most
     }
 
     /// No further part call can bring this part's answer.
@@ -76,7 +95,9 @@
             && part.out() == 0
             && (!self.may_run_again(lookup, part)
                 || part.calls.len() >= self.deployment.allowance.calls_a_part
-                || self.holders(lookup, part).all(|r| self.too_late(lookup, part, r)))
+                || self
+                    .holders(lookup, part)
+                    .all(|r| self.too_late(lookup, part, r)))
     }
 
     /// Why a new lookup is not taken on: its slowest part would come too late, or a shard's holders jam.
@@ -84,7 +105,10 @@
         let now = self.now;
         self.fleet.delays.fade(now, RECENT);
         self.fleet.costs.fade(now, SHARES);
-        self.fleet.customers.iter_mut().for_each(|c| c.fade(now, SHARES));
+        self.fleet
+            .customers
+            .iter_mut()
+            .for_each(|c| c.fade(now, SHARES));
         let lookup = self.lookups[l].as_ref()?;
         let (indexes, delays) = (&self.deployment.indexes, &self.fleet.delays);
         let (index, parts) = (&indexes[lookup.index], lookup.parts.len() as f64);
@@ -95,7 +119,11 @@
         // About the mean of the largest of n normal values; those an answer may lack are not waited for.
         let slowest = |parts: f64, index: &Index| {
             let of = |n: f64| (mean + (1.25 * n.max(1.0).ln()).sqrt() * deviation).exp();
-            let second = if index.second_step > 0 { of(index.second_step as f64) } else { 0.0 };
+            let second = if index.second_step > 0 {
+                of(index.second_step as f64)
+            } else {
+                0.0
+            };
             of(parts / (1.0 + (1.0 - index.floor) * parts)) + second
         };
         // Where a shard is slower than the rest, all that need it meet in the queue of its quickest holder.
@@ -104,48 +132,81 @@
         let mut expected: Vec<f64> = lookup.parts.iter().filter_map(quickest).collect();
         expected.sort_by(f64::total_cmp);
         let needed = (index.floor * expected.len() as f64).ceil() as usize;
-        let slower = expected.get(needed.saturating_sub(1)).map_or(1.0, |e| (e / mean.exp()).max(1.0));
-        let slower = slower.powi(if self.deployment.queue_told { 1 } else { UNSEEN });
+        let slower = expected
+            .get(needed.saturating_sub(1))
+            .map_or(1.0, |e| (e / mean.exp()).max(1.0));
+        let slower = slower.powi(if self.deployment.queue_told {
+            1
+        } else {
+            UNSEEN
+        });
         // A client that leaves sooner is not worth the parts.
         let horizon = (lookup.soft.min(lookup.hard) - now).max(1) as f64;
         self.fleet.sizes[lookup.index].add(now, SHARES, parts);
         let own = slowest(parts, index) * slower / horizon;
-        let of = |size: &Fading, i: &Index| Some(slowest(size.shape(HEARD)?.0, i) / i.soft_deadline as f64);
-        let all = self.fleet.sizes.iter().zip(indexes).filter_map(|(size, i)| of(size, i));
+        let of = |size: &Fading, i: &Index| {
+            Some(slowest(size.shape(HEARD)?.0, i) / i.soft_deadline as f64)
+        };
+        let all = self
+            .fleet
+            .sizes
+            .iter()
+            .zip(indexes)
+            .filter_map(|(size, i)| of(size, i));
         let pressure = all.fold(own, f64::max) / IN_TIME;
         // Of what came here of late a customer is owed its share of the quotas, wherever traffic has moved.
         let (quotas, customers) = (&self.deployment.customer_quotas, &self.fleet.customers);
         let all: f64 = customers.iter().map(|c| c.weight).sum();
         let owed = all / quotas.iter().sum::<f64>().max(0.001);
         let over = |(q, came): (&f64, &Fading)| all > 8.0 && came.weight > 1.25 * owed * q;
-        let over_share = quotas.get(lookup.customer).zip(customers.get(lookup.customer)).is_some_and(over);
-        let cost = if self.deployment.gain_by_work { 1.0 } else { parts } / index.gain.max(0.001);
+        let over_share = quotas
+            .get(lookup.customer)
+            .zip(customers.get(lookup.customer))
+            .is_some_and(over);
+        let cost = if self.deployment.gain_by_work {
+            1.0
+        } else {
+            parts
+        } / index.gain.max(0.001);
         let costs = &mut self.fleet.costs;
         (costs.weight, costs.sum) = (costs.weight + parts, costs.sum + parts * cost);
         let dear = cost * costs.weight / costs.sum.max(0.001);
-        let dear = if over_share { dear / self.deployment.over_share_gain.max(0.1) } else { dear };
+        let dear = if over_share {
+            dear / self.deployment.over_share_gain.max(0.1)
+        } else {
+            dear
+        };
         // The dear for their gain are refused first, by chance; none where queues are short.
         if !self.deployment.short_queues && self.chance.rand_float() > pressure.powf(-3.0 * dear) {
             return Some(Why::Slow);
         }
         let favour = if dear < 1.0 { 1.25 } else { 1.0 };
-        let favour = if over_share { self.deployment.over_share_gain.max(0.6) } else { favour };
+        let favour = if over_share {
+            self.deployment.over_share_gain.max(0.6)
+        } else {
+            favour
+        };
         let jammed = |p: &Part| {
             let (mut out, mut told) = (0.0, f64::INFINITY);
             for r in self.holders(lookup, p) {
                 out += self.replicas[r].waiting() - favour * self.fleet.jam;
-                told = self.replicas[r].told(self.now, FRESH, self.fleet.quick).min(told);
+                told = self.replicas[r]
+                    .told(self.now, FRESH, self.fleet.quick)
+                    .min(told);
             }
             out > 0.0 || told.is_finite() && told > favour * self.soft / self.fleet.quick
         };
         let waiting: f64 = self.replicas.iter().map(Replica::waiting).sum();
-        (waiting >= favour * self.fleet.room || lookup.parts.iter().any(jammed)).then_some(Why::Full)
+        (waiting >= favour * self.fleet.room || lookup.parts.iter().any(jammed))
+            .then_some(Why::Full)
     }
 
     /// Holds a lookup while holders that told nothing of late are probed, where each is seen seldom.
     fn asks(&mut self, l: usize, writer: &mut impl Writer) -> bool {
         let (now, most) = (self.now, (ASK_MOST * self.soft) as Tenths);
-        let Some(Some(lookup)) = self.lookups.get(l) else { return false };
+        let Some(Some(lookup)) = self.lookups.get(l) else {
+            return false;
+        };
         let seldom = self.fleet.span > 1.5 * RECENT && self.deployment.allowance.probes;
         let settled = lookup.admitted || lookup.over || now + 2 * most > lookup.hard;
         if !seldom || settled || lookup.parts.is_empty() {
@@ -160,10 +221,16 @@
         }
         // Where no queue is told a probe tells by its delay alone, if at all: few go while all are quick.
         let late = self.fleet.unsure.shape(HEARD).map_or(1.0, |s| s.0);
-        if !self.deployment.queue_told && self.chance.rand_float() >= (PROBING.1 * late).max(PROBING.0) {
+        if !self.deployment.queue_told
+            && self.chance.rand_float() >= (PROBING.1 * late).max(PROBING.0)
+        {
             return false;
         }
-        let mut old: Vec<usize> = lookup.parts.iter().flat_map(|p| self.holders(lookup, p)).collect();
+        let mut old: Vec<usize> = lookup
+            .parts
+            .iter()
+            .flat_map(|p| self.holders(lookup, p))
+            .collect();
         old.retain(|&r| {
             let replica = &mut self.replicas[r];
             let ask = replica.down.is_none() && (now - replica.told_at) as f64 > FRESH;
@@ -179,7 +246,9 @@
         let (now, slow) = (self.now, self.time_of_most(2.0));
         self.fleet.copies.fade(now, RECENT);
         self.fleet.falls.fade(now, WARY);
-        let Some(Some(lookup)) = self.lookups.get(l) else { return };
+        let Some(Some(lookup)) = self.lookups.get(l) else {
+            return;
+        };
         // Replicas that fall may be the work of lookups: one part goes first, the others when it lasts.
         let wary = lookup.unanswered() && self.fleet.falls.sum > 1.0;
         let lasts = |c: &Call, time: f64| c.ending.is_none() && (now - c.sent) as f64 <= time;
@@ -190,11 +259,18 @@
         let alone = wary && !lookup.out();
         // An answer sooner than its soft deadline asks for earns nothing: a copy waits till it must go.
         let urgent = (lookup.soft - now) as f64 <= URGENT * slow;
-        let missing = lookup.parts[lookup.step..].iter().filter(|p| !p.answered).count();
+        let missing = lookup.parts[lookup.step..]
+            .iter()
+            .filter(|p| !p.answered)
+            .count();
         let share = if missing > 1 { COPIES.0 } else { COPIES.1 };
         let mut order: Vec<usize> = (lookup.step..lookup.parts.len()).collect();
         // Where any so many parts make a whole answer, those of the quickest go, and more as some are late.
-        let need = if lookup.step > 0 { 1.0 } else { self.deployment.indexes[lookup.index].need };
+        let need = if lookup.step > 0 {
+            1.0
+        } else {
+            self.deployment.indexes[lookup.index].need
+        };
         let mut wanted = f64::INFINITY;
         if need < 1.0 {
             let coming = |p: &Part| p.answered || p.calls.iter().any(|c| lasts(c, slow));
@@ -209,10 +285,18 @@
                 continue;
             }
             wanted -= if first { part.weight } else { 0.0 };
-            let late = part.calls.last().is_some_and(|c| (now - c.sent) as f64 > slow);
-            let spare = late && urgent && self.fleet.copies.sum < share * self.fleet.copies.weight + 1.0;
+            let late = part
+                .calls
+                .last()
+                .is_some_and(|c| (now - c.sent) as f64 > slow);
+            let spare =
+                late && urgent && self.fleet.copies.sum < share * self.fleet.copies.weight + 1.0;
             if spare && self.moves(l, p, slow) {
-                let c = part.calls.iter().position(|c| c.ending.is_none()).expect("out");
+                let c = part
+                    .calls
+                    .iter()
+                    .position(|c| c.ending.is_none())
+                    .expect("out");
                 writer.withdraw(l, p, c);
                 self.fleet.copies.sum += 1.0;
                 self.lookups[l].as_mut().expect("open").parts[p].calls[c].moved = true;
@@ -240,13 +324,19 @@
 
     /// Ends a lookup without an answer, at once: a nack where asking again is harmless.
     fn give_up(&mut self, l: usize, why: Why, writer: &mut impl Writer) {
-        let Some(Some(lookup)) = self.lookups.get(l) else { return };
+        let Some(Some(lookup)) = self.lookups.get(l) else {
+            return;
+        };
         writer.given_up(l, why);
         let idempotent = self.deployment.indexes[lookup.index].effect == Effect::Idempotent;
         if idempotent || lookup.parts.iter().all(Part::never_ran) {
             let wait = self.time_of_most(2.0) as Tenths;
             let wait = wait / 2 + self.chance_up_to(wait.max(1));
-            let advice = self.deployment.allowance.retry_advice.map(|most| wait.min(most));
+            let advice = self
+                .deployment
+                .allowance
+                .retry_advice
+                .map(|most| wait.min(most));
             writer.nack(l, advice);
         } else {
             writer.abort(l);
@@ -256,8 +346,14 @@
     }
 
     fn withdraw_all(&self, l: usize, writer: &mut impl Writer) {
-        if let (Some(Some(lookup)), true) = (self.lookups.get(l), self.deployment.allowance.withdraw) {
-            lookup.parts.iter().enumerate().for_each(|(p, part)| part.withdraw(l, p, writer));
+        if let (Some(Some(lookup)), true) =
+            (self.lookups.get(l), self.deployment.allowance.withdraw)
+        {
+            lookup
+                .parts
+                .iter()
+                .enumerate()
+                .for_each(|(p, part)| part.withdraw(l, p, writer));
         }
     }
 
--- a/crates/linenthread-core/src/state.rs
+++ b/crates/linenthread-core/src/state.rs
@@ -21,7 +21,8 @@
 impl Fading {
     pub fn fade(&mut self, now: Tenths, span: f64) {
         let keep = kept(self.at, now, span);
-        (self.weight, self.sum, self.square) = (self.weight * keep, self.sum * keep, self.square * keep);
+        (self.weight, self.sum, self.square) =
+            (self.weight * keep, self.sum * keep, self.square * keep);
         self.at = self.at.max(now);
     }
 
@@ -42,7 +43,10 @@
     pub fn shape(&self, least: f64) -> Option<(f64, f64)> {
         (self.weight > least).then(|| {
             let mean = self.sum / self.weight;
-            (mean, (self.square / self.weight - mean * mean).max(0.0).sqrt())
+            (
+                mean,
+                (self.square / self.weight - mean * mean).max(0.0).sqrt(),
+            )
         })
     }
 }
@@ -69,7 +73,11 @@
     }
 
     pub fn since(&self, start: Tenths) -> usize {
-        self.0.iter().filter(|(at, _)| *at >= start).map(|(_, n)| n).sum()
+        self.0
+            .iter()
+            .filter(|(at, _)| *at >= start)
+            .map(|(_, n)| n)
+            .sum()
     }
 }
 
@@ -243,18 +251,28 @@
     }
 
     pub fn withdraw(&self, l: usize, p: usize, writer: &mut impl Writer) {
-        for (c, _) in self.calls.iter().enumerate().filter(|(_, c)| c.ending.is_none()) {
+        for (c, _) in self
+            .calls
+            .iter()
+            .enumerate()
+            .filter(|(_, c)| c.ending.is_none())
+        {
             writer.withdraw(l, p, c);
         }
     }
 
     pub fn never_ran(&self) -> bool {
-        self.calls.iter().all(|c| c.ending.is_some_and(Ending::never_ran))
+        self.calls
+            .iter()
+            .all(|c| c.ending.is_some_and(Ending::never_ran))
     }
 
     /// When the first part call that may have run was sent.
     pub fn may_have_run(&self) -> Option<Tenths> {
-        self.calls.iter().find(|c| !c.ending.is_some_and(Ending::never_ran)).map(|c| c.sent)
+        self.calls
+            .iter()
+            .find(|c| !c.ending.is_some_and(Ending::never_ran))
+            .map(|c| c.sent)
     }
 }
 
@@ -289,7 +307,11 @@
 
     /// The weight of these parts of the step under way.
     pub fn weigh(&self, of: impl Fn(&Part) -> bool) -> f64 {
-        self.parts[self.step..].iter().filter(|p| of(p)).map(|p| p.weight).sum()
+        self.parts[self.step..]
+            .iter()
+            .filter(|p| of(p))
+            .map(|p| p.weight)
+            .sum()
     }
 }
 
--- a/crates/linenthread-core/tests/scenarios.rs
+++ b/crates/linenthread-core/tests/scenarios.rs
@@ -34,21 +34,29 @@
 
 impl Log {
     fn add(&mut self, line: String) {
-        self.lines.push(line.split(' ').map(str::to_string).collect());
+        self.lines
+            .push(line.split(' ').map(str::to_string).collect());
     }
 }
 
 impl Writer for Log {
     fn call(&mut self, lookup: usize, part: usize, replica: usize, time_out: Tenths) {
         assert!(time_out > 0);
-        self.add(format!("call {}.{part} {}", self.names[lookup], self.replicas[replica]));
+        self.add(format!(
+            "call {}.{part} {}",
+            self.names[lookup], self.replicas[replica]
+        ));
         self.calls.push((lookup, part, replica));
     }
     fn withdraw(&mut self, lookup: usize, part: usize, call: usize) {
         self.add(format!("withdraw {}.{part}#{call}", self.names[lookup]));
     }
     fn satisfy(&mut self, lookup: usize, whole: bool) {
-        self.add(format!("{} {}", if whole { "whole" } else { "partial" }, self.names[lookup]));
+        self.add(format!(
+            "{} {}",
+            if whole { "whole" } else { "partial" },
+            self.names[lookup]
+        ));
     }
     fn nack(&mut self, lookup: usize, retry_after: Option<Tenths>) {
         let advice = retry_after.map_or("unadvised", |_| "advised");
@@ -137,7 +145,10 @@
             customer_quotas: Vec::new(),
             over_share_gain: 0.1,
             gain_by_work: false,
-            layout: Layout { cells: 4, in_a_row: 4 },
+            layout: Layout {
+                cells: 4,
+                in_a_row: 4,
+            },
             allowance: Allowance {
                 calls_a_part: 3,
                 second_copies: true,
@@ -145,7 +156,12 @@
                 probes: false,
                 retry_advice: None,
             },
-            cold: ColdStart { share: 0.2, warm_up: 100_000, multiple: 2.0, window: 10_000 },
+            cold: ColdStart {
+                share: 0.2,
+                warm_up: 100_000,
+                multiple: 2.0,
+                window: 10_000,
+            },
             queue_told: true,
             short_queues: false,
             drain_grace: 0,
@@ -170,17 +186,30 @@
         let now = self.now;
         for at in (0..self.out.len()).rev() {
             match self.serve.get(&self.out[at].replica) {
-                Some(&Some((ending, after))) if self.out[at].sent + after <= now => self.back(at, ending),
+                Some(&Some((ending, after))) if self.out[at].sent + after <= now => {
+                    self.back(at, ending)
+                }
                 _ => {}
             }
         }
-        let arrivals = Arrivals { now, ..std::mem::take(&mut self.arrivals) };
+        let arrivals = Arrivals {
+            now,
+            ..std::mem::take(&mut self.arrivals)
+        };
         let deployment = &self.deployment;
-        let coordinator = self.coordinator.get_or_insert_with(|| Coordinator::new(deployment.clone(), 7));
+        let coordinator = self
+            .coordinator
+            .get_or_insert_with(|| Coordinator::new(deployment.clone(), 7));
         coordinator.round(&arrivals, &mut self.log);
         for (lookup, part, replica) in self.log.calls.drain(..) {
             let call = self.calls.entry((lookup, part)).or_default();
-            self.out.push(Out { lookup, part, call: *call, replica, sent: now });
+            self.out.push(Out {
+                lookup,
+                part,
+                call: *call,
+                replica,
+                sent: now,
+            });
             *call += 1;
         }
     }
@@ -194,15 +223,22 @@
     }
 
     fn listed(&mut self, word: &str, phase: &str, started: Option<Tenths>) -> Res<Listed> {
-        let (name, cell) = word.split_once(':').ok_or_else(|| format!("{word} is not name:cell"))?;
+        let (name, cell) = word
+            .split_once(':')
+            .ok_or_else(|| format!("{word} is not name:cell"))?;
         let (name, former) = name.split_once('=').unwrap_or((name, ""));
         if let Some(replica) = self.log.replicas.iter().position(|r| r == former) {
             self.log.replicas[replica] = name.to_string();
         }
-        let replica = self.log.replicas.iter().position(|r| r == name).unwrap_or_else(|| {
-            self.log.replicas.push(name.to_string());
-            self.log.replicas.len() - 1
-        });
+        let replica = self
+            .log
+            .replicas
+            .iter()
+            .position(|r| r == name)
+            .unwrap_or_else(|| {
+                self.log.replicas.push(name.to_string());
+                self.log.replicas.len() - 1
+            });
         let phase = match phase {
             "ready" => Phase::Ready,
             "draining" => Phase::Draining,
@@ -211,30 +247,52 @@
         };
         let site = replica % 3;
         let id = replica as u64 + 77 + 1_000 * former.len() as u64;
-        Ok(Listed { replica, id, site, cell: number(Some(&cell))?, phase, started, cold_share: None })
+        Ok(Listed {
+            replica,
+            id,
+            site,
+            cell: number(Some(&cell))?,
+            phase,
+            started,
+            cold_share: None,
+        })
     }
 
     fn replica(&self, name: &str) -> Res<usize> {
         let name = self.bound.get(name).map_or(name, String::as_str);
-        self.log.replicas.iter().position(|r| r == name).ok_or_else(|| format!("no replica {name}"))
+        self.log
+            .replicas
+            .iter()
+            .position(|r| r == name)
+            .ok_or_else(|| format!("no replica {name}"))
     }
 
     fn named(&self, name: &str) -> Res<usize> {
-        self.log.names.iter().position(|n| n == name).ok_or_else(|| format!("no lookup {name}"))
+        self.log
+            .names
+            .iter()
+            .position(|n| n == name)
+            .ok_or_else(|| format!("no lookup {name}"))
     }
 
     fn shards(&mut self, lookup: usize, words: &[&str]) -> Res<()> {
         for word in words {
             let weight = 1.0 / words.len() as f64;
-            self.arrivals.parts.push(NewPart { lookup, shard: number(Some(word))?, weight });
+            self.arrivals.parts.push(NewPart {
+                lookup,
+                shard: number(Some(word))?,
+                weight,
+            });
         }
         Ok(())
     }
 
     /// Settings by name and value; those of an index go to the last one.
     fn set_up(&mut self, words: &[&str]) -> Res<()> {
-        let (allowance, index) =
-            (&mut self.deployment.allowance, self.deployment.indexes.last_mut().unwrap());
+        let (allowance, index) = (
+            &mut self.deployment.allowance,
+            self.deployment.indexes.last_mut().unwrap(),
+        );
         for pair in words.chunks(2) {
             let value = pair.get(1);
             match (pair[0], value) {
@@ -252,7 +310,11 @@
                 ("roster", Some(&"watched")) => self.deployment.watch_roster = true,
                 ("further", _) => {
                     let free = number(value)?;
-                    self.deployment.further_calls = Some(FurtherCalls { free, share: 0.0, window: 100_000 });
+                    self.deployment.further_calls = Some(FurtherCalls {
+                        free,
+                        share: 0.0,
+                        window: 100_000,
+                    });
                 }
                 ("runs", Some(&"once")) => index.effect = Effect::OnceOnly,
                 ("window", _) => index.effect = Effect::Fingerprinted(ms(value)?),
@@ -268,7 +330,10 @@
     }
 
     fn lookup(&mut self, words: &[&str]) -> Res<()> {
-        let at = words.iter().position(|w| *w == "shards").ok_or("shards are missing")?;
+        let at = words
+            .iter()
+            .position(|w| *w == "shards")
+            .ok_or("shards are missing")?;
         let lookup = self.log.names.len();
         let (mut index, mut key, mut customer, mut hard_deadline) = (0, None, 0, self.now + 40_000);
         for pair in words[1..at].chunks(2) {
@@ -280,7 +345,14 @@
                 other => return Err(format!("{other} is nothing of a lookup")),
             }
         }
-        let new = NewLookup { lookup, index, customer, key, number: lookup as u64, hard_deadline };
+        let new = NewLookup {
+            lookup,
+            index,
+            customer,
+            key,
+            number: lookup as u64,
+            hard_deadline,
+        };
         self.log.names.push(words[0].to_string());
         self.arrivals.lookups.push(new);
         self.shards(lookup, &words[at + 1..])
@@ -288,20 +360,40 @@
 
     fn part_ends(&mut self, word: &str, how: &str) -> Res<()> {
         let (part, call) = word.split_once('#').unwrap_or((word, ""));
-        let (name, part) = part.split_once('.').ok_or_else(|| format!("what is {word}?"))?;
+        let (name, part) = part
+            .split_once('.')
+            .ok_or_else(|| format!("what is {word}?"))?;
         let (lookup, part) = (self.named(name)?, number(Some(&part))?);
         self.round();
-        let is =
-            |o: &Out| (o.lookup, o.part) == (lookup, part) && (call.is_empty() || call == o.call.to_string());
-        let at = self.out.iter().position(is).ok_or_else(|| format!("no call of {word} is out"))?;
+        let is = |o: &Out| {
+            (o.lookup, o.part) == (lookup, part) && (call.is_empty() || call == o.call.to_string())
+        };
+        let at = self
+            .out
+            .iter()
+            .position(is)
+            .ok_or_else(|| format!("no call of {word} is out"))?;
         self.back(at, ending(how)?);
         Ok(())
     }
 
     /// The call at this place among those out comes back.
     fn back(&mut self, at: usize, ending: Ending) {
-        let Out { lookup, part, call, sent, .. } = self.out.remove(at);
-        self.arrivals.returns.push(Return { lookup, part, call, ending, took: self.now - sent, queue: None });
+        let Out {
+            lookup,
+            part,
+            call,
+            sent,
+            ..
+        } = self.out.remove(at);
+        self.arrivals.returns.push(Return {
+            lookup,
+            part,
+            call,
+            ending,
+            took: self.now - sent,
+            queue: None,
+        });
     }
 
     /// Whether a line of the log fits, and what that binds.
@@ -311,7 +403,8 @@
             true => bound.entry(p.to_string()).or_insert_with(|| word.clone()) == word,
             false => p == "*" || p == word,
         };
-        let all = line.len() >= pattern.len() && pattern.iter().zip(line).all(|(p, word)| fits(p, word));
+        let all =
+            line.len() >= pattern.len() && pattern.iter().zip(line).all(|(p, word)| fits(p, word));
         all.then_some(bound)
     }
 
@@ -327,12 +420,22 @@
                 };
                 let listed = rest.iter().map(entry).collect::<Res<_>>()?;
                 let whole = *first == "list";
-                let news = if whole { RosterNews::Whole(listed) } else { RosterNews::Remembered(listed) };
+                let news = if whole {
+                    RosterNews::Whole(listed)
+                } else {
+                    RosterNews::Remembered(listed)
+                };
                 self.arrivals.roster.push(news);
             }
             "change" => {
-                let started = if rest.len() > 2 { Some(START + ms(rest.get(2))?) } else { None };
-                let [word, phase, ..] = rest else { return Err("change NAME:CELL PHASE".into()) };
+                let started = if rest.len() > 2 {
+                    Some(START + ms(rest.get(2))?)
+                } else {
+                    None
+                };
+                let [word, phase, ..] = rest else {
+                    return Err("change NAME:CELL PHASE".into());
+                };
                 let mut listed = self.listed(word, phase, started)?;
                 listed.cold_share = rest.get(3).map(|share| number(Some(share))).transpose()?;
                 self.arrivals.roster.push(RosterNews::Changes(vec![listed]));
@@ -340,7 +443,11 @@
             "probed" => {
                 let replica = self.replica(rest[0])?;
                 let queue = rest.get(2).map(|n| number(Some(n))).transpose()?;
-                self.arrivals.probes.push(ProbeReturn { replica, ending: ending(rest[1])?, queue });
+                self.arrivals.probes.push(ProbeReturn {
+                    replica,
+                    ending: ending(rest[1])?,
+                    queue,
+                });
             }
             "unheard" => self.arrivals.roster.push(RosterNews::Failed),
             "lookup" => self.lookup(rest)?,
@@ -357,7 +464,11 @@
                 let way = |(site, word): (usize, &&str)| {
                     let (distance, open) = word.split_once('/').ok_or("table NEAR/OPEN ...")?;
                     let (distance, open) = (number(Some(&distance))?, number(Some(&open))?);
-                    Ok(WayTo { id: site as u64 + 500, distance, open })
+                    Ok(WayTo {
+                        id: site as u64 + 500,
+                        distance,
+                        open,
+                    })
                 };
                 self.arrivals.ways = Some(rest.iter().enumerate().map(way).collect::<Res<_>>()?);
             }
@@ -390,7 +501,11 @@
             }
             "expect" => {
                 self.round();
-                let found = self.log.lines.iter().position(|line| self.fits(rest, line).is_some());
+                let found = self
+                    .log
+                    .lines
+                    .iter()
+                    .position(|line| self.fits(rest, line).is_some());
                 let at = found.ok_or_else(|| format!("not decided; log: {:?}", self.log.lines))?;
                 let line = self.log.lines.remove(at);
                 self.bound = self.fits(rest, &line).expect("it fits");
@@ -398,14 +513,29 @@
             "never" | "most" | "least" => {
                 self.round();
                 let never = *first == "never";
-                let (limit, pattern) = if never { (0, rest) } else { (number(rest.first())?, &rest[1..]) };
-                let n = self.log.lines.iter().filter(|line| self.fits(pattern, line).is_some()).count();
-                if if *first == "least" { n < limit } else { n > limit } {
+                let (limit, pattern) = if never {
+                    (0, rest)
+                } else {
+                    (number(rest.first())?, &rest[1..])
+                };
+                let n = self
+                    .log
+                    .lines
+                    .iter()
+                    .filter(|line| self.fits(pattern, line).is_some())
+                    .count();
+                if if *first == "least" {
+                    n < limit
+                } else {
+                    n > limit
+                } {
                     return Err(format!("decided {n} times; log: {:?}", self.log.lines));
                 }
             }
             part => {
-                let [how] = rest else { return Err(format!("what is {part}?")) };
+                let [how] = rest else {
+                    return Err(format!("what is {part}?"));
+                };
                 self.part_ends(part, how)?;
             }
         }
@@ -420,7 +550,8 @@
         for said in line.split("# ").next().unwrap_or("").split(';') {
             let words: Vec<&str> = said.split_whitespace().collect();
             if !words.is_empty() {
-                play.line(&words).map_err(|e| format!("{name}:{}: {said}: {e}", i + 1))?;
+                play.line(&words)
+                    .map_err(|e| format!("{name}:{}: {said}: {e}", i + 1))?;
             }
         }
     }
@@ -430,13 +561,20 @@
 #[test]
 fn all_scenarios_play_out() {
     let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/scenarios");
-    let mut files: Vec<_> = fs::read_dir(folder).unwrap().map(|f| f.unwrap().path()).collect();
+    let mut files: Vec<_> = fs::read_dir(folder)
+        .unwrap()
+        .map(|f| f.unwrap().path())
+        .collect();
     files.sort();
     assert!(!files.is_empty());
     let failures: Vec<String> = files
         .iter()
         .filter_map(|f| {
-            play(&f.file_name().unwrap().to_string_lossy(), &fs::read_to_string(f).unwrap()).err()
+            play(
+                &f.file_name().unwrap().to_string_lossy(),
+                &fs::read_to_string(f).unwrap(),
+            )
+            .err()
         })
         .collect();
     assert!(failures.is_empty(), "\n{}", failures.join("\n"));
--- a/crates/linenthread-ctl/src/lib.rs
+++ b/crates/linenthread-ctl/src/lib.rs
@@ -14,7 +14,11 @@
 #[derive(Debug, Snafu)]
 pub enum Fault {
     #[snafu(display("{step} {peer}: {source}"))]
-    Step { step: &'static str, peer: SocketAddr, source: std::io::Error },
+    Step {
+        step: &'static str,
+        peer: SocketAddr,
+        source: std::io::Error,
+    },
     #[snafu(display("{peer} answered what is no answer"))]
     NoAnswer { peer: SocketAddr },
     #[snafu(display("no address is given"))]
@@ -41,11 +45,19 @@
 ) -> Result<Reply, Fault> {
     let by = Instant::now() + within;
     let at = |step: &'static str| move |source| Fault::Step { step, peer, source };
-    let left = || by.saturating_duration_since(Instant::now()).max(Duration::from_millis(1));
+    let left = || {
+        by.saturating_duration_since(Instant::now())
+            .max(Duration::from_millis(1))
+    };
     let mut stream = TcpStream::connect_timeout(&peer, left()).map_err(at("dialling"))?;
-    let mut bytes =
-        format!("{method} {path} HTTP/1.1\r\nContent-Length: {}\r\nConnection: close\r\n", body.len());
-    if !headers.iter().any(|(name, _)| name.eq_ignore_ascii_case("host")) {
+    let mut bytes = format!(
+        "{method} {path} HTTP/1.1\r\nContent-Length: {}\r\nConnection: close\r\n",
+        body.len()
+    );
+    if !headers
+        .iter()
+        .any(|(name, _)| name.eq_ignore_ascii_case("host"))
+    {
         bytes.push_str(&format!("Host: {peer}\r\n"));
     }
     for (name, value) in headers {
@@ -53,7 +65,9 @@
     }
     bytes.push_str("\r\n");
     let bytes = [bytes.as_bytes(), body].concat();
-    stream.set_write_timeout(Some(left())).map_err(at("writing to"))?;
+    stream
+        .set_write_timeout(Some(left()))
+        .map_err(at("writing to"))?;
     stream.write_all(&bytes).map_err(at("writing to"))?;
     let (mut buffer, mut head, mut piece) = (BytesMut::new(), None, [0; 16_384]);
     let mut reading: Option<Body> = None;
@@ -61,17 +75,28 @@
         if head.is_none() {
             head = Head::answer(&mut buffer, HEAD).map_err(|_| Fault::NoAnswer { peer })?;
             if let Some(head) = &head {
-                let framing = answer_framing(head, method == "HEAD").map_err(|_| Fault::NoAnswer { peer })?;
+                let framing =
+                    answer_framing(head, method == "HEAD").map_err(|_| Fault::NoAnswer { peer })?;
                 reading = Some(Body::new(framing, BODY));
             }
         }
         if let Some(body) = &mut reading
-            && body.take(&mut buffer).map_err(|_| Fault::NoAnswer { peer })?
+            && body
+                .take(&mut buffer)
+                .map_err(|_| Fault::NoAnswer { peer })?
         {
-            let (Some(head), Some(body)) = (head, reading) else { return Err(Fault::NoAnswer { peer }) };
-            return Ok(Reply { status: head.status, head, body: body.read });
+            let (Some(head), Some(body)) = (head, reading) else {
+                return Err(Fault::NoAnswer { peer });
+            };
+            return Ok(Reply {
+                status: head.status,
+                head,
+                body: body.read,
+            });
         }
-        stream.set_read_timeout(Some(left())).map_err(at("reading from"))?;
+        stream
+            .set_read_timeout(Some(left()))
+            .map_err(at("reading from"))?;
         match stream.read(&mut piece).map_err(at("reading from"))? {
             0 => return Err(at("reading from")(std::io::ErrorKind::UnexpectedEof.into())),
             n => buffer.extend_from_slice(&piece[..n]),
@@ -104,7 +129,10 @@
         for _ in 0..rounds.max(1) {
             for peer in &self.addresses {
                 last = call(*peer, method, path, headers, body, self.within);
-                if last.as_ref().is_ok_and(|r| r.status < 500 && !matches!(r.status, 408 | 429)) {
+                if last
+                    .as_ref()
+                    .is_ok_and(|r| r.status < 500 && !matches!(r.status, 408 | 429))
+                {
                     return last;
                 }
             }
--- a/crates/linenthread-ctl/src/main.rs
+++ b/crates/linenthread-ctl/src/main.rs
@@ -61,13 +61,20 @@
 
 impl Tool {
     fn get(&self, path: &str) -> Result<Reply, End> {
-        self.client.call("GET", path, &[], &[], 2).map_err(|e| End(3, e.to_string()))
+        self.client
+            .call("GET", path, &[], &[], 2)
+            .map_err(|e| End(3, e.to_string()))
     }
 
     fn value(&self, path: &str) -> Result<Value, End> {
         let reply = self.get(path)?;
-        let value = serde_json::from_slice(&reply.body).map_err(|e| End(3, format!("{path}: {e}")))?;
-        if reply.status == 200 { Ok(value) } else { Err(End(1, format!("{path}: {} {value}", reply.status))) }
+        let value =
+            serde_json::from_slice(&reply.body).map_err(|e| End(3, format!("{path}: {e}")))?;
+        if reply.status == 200 {
+            Ok(value)
+        } else {
+            Err(End(1, format!("{path}: {} {value}", reply.status)))
+        }
     }
 
     /// The configuration in force, if any was taken.
@@ -93,7 +100,11 @@
             "draining": phase("draining"),
             "silent": phase("silent"),
         });
-        Ok(if self.json { summary.to_string() } else { pairs(&summary) })
+        Ok(if self.json {
+            summary.to_string()
+        } else {
+            pairs(&summary)
+        })
     }
 
     fn members(&self) -> Result<String, End> {
@@ -101,9 +112,15 @@
         if self.json {
             return Ok(members.to_string());
         }
-        let mut text = format!("asked={} zone={}\n", word(&members["name"]), word(&members["zone"]));
+        let mut text = format!(
+            "asked={} zone={}\n",
+            word(&members["name"]),
+            word(&members["zone"])
+        );
         for (kind, all) in [("hub", &members["hubs"]), ("front", &members["fronts"])] {
-            list(all).iter().for_each(|m| _ = writeln!(text, "{kind} {}", pairs(m)));
+            list(all)
+                .iter()
+                .for_each(|m| _ = writeln!(text, "{kind} {}", pairs(m)));
         }
         Ok(text.trim_end().to_owned())
     }
@@ -120,7 +137,9 @@
     }
 
     fn read(&self) -> Result<String, End> {
-        let document = self.in_force()?.ok_or(End(1, "no configuration was taken yet".into()))?;
+        let document = self
+            .in_force()?
+            .ok_or(End(1, "no configuration was taken yet".into()))?;
         Ok(String::from_utf8_lossy(&document).into_owned())
     }
 
@@ -128,7 +147,11 @@
         let new = judged(path)?;
         let old = self.in_force()?;
         let changes = changes(old.as_deref(), &new)?;
-        let text = if self.json { Value::from(changes.clone()).to_string() } else { changes.join("\n") };
+        let text = if self.json {
+            Value::from(changes.clone()).to_string()
+        } else {
+            changes.join("\n")
+        };
         Ok((text, !changes.is_empty()))
     }
 
@@ -144,16 +167,27 @@
                 None => 0,
             },
         };
-        let headers =
-            [("X-Base-Revision", in_force.to_string()), ("Content-Type", "application/json".into())];
-        let reply = self.client.call("POST", "/Configuration.Replace", &headers, &document, 5);
+        let headers = [
+            ("X-Base-Revision", in_force.to_string()),
+            ("Content-Type", "application/json".into()),
+        ];
+        let reply = self
+            .client
+            .call("POST", "/Configuration.Replace", &headers, &document, 5);
         let reply = reply.map_err(|e| End(3, format!("not known whether it is in force: {e}")))?;
         let said = String::from_utf8_lossy(&reply.body).into_owned();
         match reply.status {
-            200 => Ok(if self.json { said } else { format!("in force on top of revision {in_force}") }),
+            200 => Ok(if self.json {
+                said
+            } else {
+                format!("in force on top of revision {in_force}")
+            }),
             412 => Err(End(1, format!("another version is in place: {said}"))),
             status @ 400..500 => Err(End(1, format!("refused with {status}: {said}"))),
-            status => Err(End(3, format!("not known whether it is in force: {status} {said}"))),
+            status => Err(End(
+                3,
+                format!("not known whether it is in force: {status} {said}"),
+            )),
         }
     }
 }
@@ -169,13 +203,18 @@
 }
 
 fn word(value: &Value) -> String {
-    value.as_str().map_or_else(|| value.to_string(), str::to_owned)
+    value
+        .as_str()
+        .map_or_else(|| value.to_string(), str::to_owned)
 }
 
 /// key=value pairs of an object.
 fn pairs(value: &Value) -> String {
     let one = |(k, v): (&String, &Value)| format!("{k}={}", word(v));
-    value.as_object().map(|o| o.iter().map(one).collect::<Vec<_>>().join(" ")).unwrap_or_default()
+    value
+        .as_object()
+        .map(|o| o.iter().map(one).collect::<Vec<_>>().join(" "))
+        .unwrap_or_default()
 }
 
 /// What differs, a line each: routes and services by label, the rest by name.
@@ -184,17 +223,23 @@
     let (old, new) = (old.map_or(Ok(Value::Null), parse)?, parse(new)?);
     let mut lines = Vec::new();
     for kind in ["route_table", "backends"] {
-        let find = |all: &Value, label: &Value| list(all).iter().find(|r| r["label"] == *label).cloned();
+        let find =
+            |all: &Value, label: &Value| list(all).iter().find(|r| r["label"] == *label).cloned();
         for entry in list(&new[kind]) {
             match find(&old[kind], &entry["label"]) {
                 None => lines.push(format!("+ {kind} {}", word(&entry["label"]))),
                 Some(was) if was != *entry => {
-                    lines.push(format!("~ {kind} {}: {was} -> {entry}", word(&entry["label"])));
+                    lines.push(format!(
+                        "~ {kind} {}: {was} -> {entry}",
+                        word(&entry["label"])
+                    ));
                 }
                 Some(_) => {}
             }
         }
-        let gone = list(&old[kind]).iter().filter(|e| find(&new[kind], &e["label"]).is_none());
+        let gone = list(&old[kind])
+            .iter()
+            .filter(|e| find(&new[kind], &e["label"]).is_none());
         lines.extend(gone.map(|e| format!("- {kind} {}", word(&e["label"]))));
     }
     for kind in ["revision", "constraints"] {
@@ -206,23 +251,36 @@
 }
 
 fn run(flags: flags::LinenthreadCtl) -> Result<(String, u8), End> {
-    let control = flags.control.or_else(|| std::env::var("LINENTHREAD_CONTROL").ok());
-    let control = control.ok_or(bad("neither --control nor LINENTHREAD_CONTROL names an address"))?;
-    let address = |t: &str| t.parse::<SocketAddr>().map_err(|_| bad(format!("{t} is no address")));
+    let control = flags
+        .control
+        .or_else(|| std::env::var("LINENTHREAD_CONTROL").ok());
+    let control = control.ok_or(bad(
+        "neither --control nor LINENTHREAD_CONTROL names an address",
+    ))?;
+    let address = |t: &str| {
+        t.parse::<SocketAddr>()
+            .map_err(|_| bad(format!("{t} is no address")))
+    };
     let addresses = control.split(',').map(address).collect::<Result<_, _>>()?;
-    let client = Client { addresses, within: Duration::from_secs(3) };
-    let tool = Tool { client, json: flags.json };
+    let client = Client {
+        addresses,
+        within: Duration::from_secs(3),
+    };
+    let tool = Tool {
+        client,
+        json: flags.json,
+    };
     match flags.subcommand {
         flags::LinenthreadCtlCmd::Status(_) => tool.status().map(|t| (t, 0)),
         flags::LinenthreadCtlCmd::Members(_) => tool.members().map(|t| (t, 0)),
         flags::LinenthreadCtlCmd::Replicas(r) => tool.replicas(r.backend).map(|t| (t, 0)),
         flags::LinenthreadCtlCmd::Read(_) => tool.read().map(|t| (t, 0)),
-        flags::LinenthreadCtlCmd::Diff(d) => {
-            tool.diff(&d.configuration).map(|(text, differs)| (text, u8::from(differs)))
-        }
-        flags::LinenthreadCtlCmd::Replace(r) => {
-            tool.replace(&r.configuration, r.base, r.dry_run).map(|t| (t, 0))
-        }
+        flags::LinenthreadCtlCmd::Diff(d) => tool
+            .diff(&d.configuration)
+            .map(|(text, differs)| (text, u8::from(differs))),
+        flags::LinenthreadCtlCmd::Replace(r) => tool
+            .replace(&r.configuration, r.base, r.dry_run)
+            .map(|t| (t, 0)),
     }
 }
 
@@ -251,11 +309,21 @@
 
     #[test]
     fn a_difference_names_what_came_went_and_changed() {
-        let old = br#"{"revision":1,"route_table":[{"label":"a","n":1},{"label":"b"}],"backends":[]}"#;
-        let new = br#"{"revision":2,"route_table":[{"label":"a","n":2},{"label":"c"}],"backends":[]}"#;
+        let old =
+            br#"{"revision":1,"route_table":[{"label":"a","n":1},{"label":"b"}],"backends":[]}"#;
+        let new =
+            br#"{"revision":2,"route_table":[{"label":"a","n":2},{"label":"c"}],"backends":[]}"#;
         let lines = changes(Some(old), new).map_err(|e| e.1).unwrap();
         let begin: Vec<&str> = lines.iter().map(|l| l.split(':').next().unwrap()).collect();
-        assert_eq!(begin, ["~ route_table a", "+ route_table c", "- route_table b", "~ revision"]);
+        assert_eq!(
+            begin,
+            [
+                "~ route_table a",
+                "+ route_table c",
+                "- route_table b",
+                "~ revision"
+            ]
+        );
         assert!(changes(Some(new), new).map_err(|e| e.1).unwrap().is_empty());
     }
 }
--- a/crates/linenthread-dataplane-sim/src/client.rs
+++ b/crates/linenthread-dataplane-sim/src/client.rs
@@ -54,18 +54,34 @@
     let mut http = HttpConnection::new(near);
     let batches = 2 + shared.chance.below(5);
     for number in 0..batches {
-        let count = if shared.chance.per_mille(PIPELINED) { 2 } else { 1 };
-        let batch: Vec<Asked> =
-            (0..count).map(|n| draw(&shared.chance, &format!("{name}-{number}-{n}"))).collect();
+        let count = if shared.chance.per_mille(PIPELINED) {
+            2
+        } else {
+            1
+        };
+        let batch: Vec<Asked> = (0..count)
+            .map(|n| draw(&shared.chance, &format!("{name}-{number}-{n}")))
+            .collect();
         if ask(&shared, &mut http, &batch).await == Next::Ends {
             return;
         }
         tokio::time::sleep(shared.chance.ms(0, 150)).await;
     }
     // Nothing more may come.
-    if timeout(Duration::from_millis(500), http.begun(FOREVER)).await.is_ok() {
-        let last = Asked { attempt: name, path: String::new(), repeatable: true, gathers: false };
-        shared.judge.borrow_mut().unanswered(&last, "something came that nobody asked for");
+    if timeout(Duration::from_millis(500), http.begun(FOREVER))
+        .await
+        .is_ok()
+    {
+        let last = Asked {
+            attempt: name,
+            path: String::new(),
+            repeatable: true,
+            gathers: false,
+        };
+        shared
+            .judge
+            .borrow_mut()
+            .unanswered(&last, "something came that nobody asked for");
     }
 }
 
@@ -75,18 +91,32 @@
         2 => ("/one/", true, false),
         _ => ("/all/", true, true),
     };
-    Asked { attempt: attempt.to_owned(), path: format!("{prefix}{}", chance.below(50)), repeatable, gathers }
+    Asked {
+        attempt: attempt.to_owned(),
+        path: format!("{prefix}{}", chance.below(50)),
+        repeatable,
+        gathers,
+    }
 }
 
 /// Some requests at once, and their answers in the same order if the client waits for them.
 async fn ask(shared: &Shared, http: &mut HttpConnection<DuplexStream>, batch: &[Asked]) -> Next {
     let chance = &shared.chance;
-    let limit = if chance.per_mille(700) { LIMIT_MS } else { 50 + chance.below(LIMIT_MS) };
+    let limit = if chance.per_mille(700) {
+        LIMIT_MS
+    } else {
+        50 + chance.below(LIMIT_MS)
+    };
     for asked in batch {
         shared.judge.borrow_mut().ask(asked);
         shared.runs.log(&["asked", &asked.attempt, &asked.path]);
     }
-    send(chance, http, batch.iter().flat_map(|asked| bytes(asked, limit)).collect()).await;
+    send(
+        chance,
+        http,
+        batch.iter().flat_map(|asked| bytes(asked, limit)).collect(),
+    )
+    .await;
     for asked in batch {
         if receive(shared, http, asked, limit).await == Next::Ends {
             return Next::Ends;
@@ -98,7 +128,11 @@
 /// Writes it, in two pieces at times.
 async fn send(chance: &Chance, http: &mut HttpConnection<DuplexStream>, bytes: Vec<u8>) {
     let by = Instant::now() + FOREVER;
-    let cut = if chance.per_mille(CUT) { chance.below(bytes.len() as u64) as usize } else { 0 };
+    let cut = if chance.per_mille(CUT) {
+        chance.below(bytes.len() as u64) as usize
+    } else {
+        0
+    };
     if cut > 0 {
         let _ = http.write(&bytes[..cut], by).await;
         tokio::time::sleep(chance.ms(0, 50)).await;
@@ -115,20 +149,39 @@
 ) -> Next {
     let chance = &shared.chance;
     let (began, frozen) = (Instant::now(), shared.frozen.get());
-    let patience = if chance.per_mille(IMPATIENT) { chance.ms(1, 200) } else { FOREVER };
+    let patience = if chance.per_mille(IMPATIENT) {
+        chance.ms(1, 200)
+    } else {
+        FOREVER
+    };
     let Ok(answer) = timeout(patience, answer(http)).await else {
         return leave(shared, asked, patience);
     };
     let Some((head, body)) = answer else {
-        shared.judge.borrow_mut().unanswered(asked, "the connection ended");
+        shared
+            .judge
+            .borrow_mut()
+            .unanswered(asked, "the connection ended");
         return Next::Ends;
     };
     let allowed = Duration::from_millis(limit) + SLACK + shared.frozen.get().saturating_sub(frozen);
     let late = began.elapsed().saturating_sub(allowed);
     let status = head.status.to_string();
-    shared.runs.log(&["answered", &asked.attempt, &status, head.header("x-replica-seal").unwrap_or("")]);
-    shared.judge.borrow_mut().answered(asked, &head, &body, late, &shared.runs);
-    if head.keeps() { Next::GoesOn } else { Next::Ends }
+    shared.runs.log(&[
+        "answered",
+        &asked.attempt,
+        &status,
+        head.header("x-replica-seal").unwrap_or(""),
+    ]);
+    shared
+        .judge
+        .borrow_mut()
+        .answered(asked, &head, &body, late, &shared.runs);
+    if head.keeps() {
+        Next::GoesOn
+    } else {
+        Next::Ends
+    }
 }
 
 /// The client has gone, or has waited in vain.
@@ -143,9 +196,17 @@
 }
 
 fn bytes(asked: &Asked, limit: u64) -> Vec<u8> {
-    let Asked { attempt, path, repeatable, .. } = asked;
-    let (method, body) =
-        if *repeatable { ("GET", String::new()) } else { ("POST", format!("order {attempt}")) };
+    let Asked {
+        attempt,
+        path,
+        repeatable,
+        ..
+    } = asked;
+    let (method, body) = if *repeatable {
+        ("GET", String::new())
+    } else {
+        ("POST", format!("order {attempt}"))
+    };
     format!(
         "{method} {path} HTTP/1.1\r\nHost: {HOST}\r\nX-Attempt-Id: {attempt}\r\nX-Remaining-Ms: {limit}\r\n\
          Content-Length: {}\r\n\r\n{body}",
--- a/crates/linenthread-dataplane-sim/src/fate.rs
+++ b/crates/linenthread-dataplane-sim/src/fate.rs
@@ -141,13 +141,21 @@
             5 => RequestFate::AnswerWithoutId,
             6 => RequestFate::AnswerOfAnother,
             7 => RequestFate::AnswerLate,
-            8 => RequestFate::Failed { sealed: chance.per_mille(500) },
-            9 => RequestFate::Rejected { with_id: chance.per_mille(800), closes: chance.per_mille(300) },
+            8 => RequestFate::Failed {
+                sealed: chance.per_mille(500),
+            },
+            9 => RequestFate::Rejected {
+                with_id: chance.per_mille(800),
+                closes: chance.per_mille(300),
+            },
             10 => RequestFate::Silent { ran },
             11 => RequestFate::Reset { ran },
             12 => RequestFate::Closed { ran },
             13 => RequestFate::RejectedTwice,
-            _ => RequestFate::Half { per_mille: chance.below(1_000), end: half_end(chance) },
+            _ => RequestFate::Half {
+                per_mille: chance.below(1_000),
+                end: half_end(chance),
+            },
         }
     }
 
@@ -156,14 +164,29 @@
         if !chance.per_mille(self.writes) {
             return WriteFate::Taken;
         }
-        let some = if chance.per_mille(300) { 0 } else { chance.below(length as u64) as usize };
-        if chance.per_mille(700) { WriteFate::FailsAfter(some) } else { WriteFate::StopsAfter(some) }
+        let some = if chance.per_mille(300) {
+            0
+        } else {
+            chance.below(length as u64) as usize
+        };
+        if chance.per_mille(700) {
+            WriteFate::FailsAfter(some)
+        } else {
+            WriteFate::StopsAfter(some)
+        }
     }
 }
 
 fn stray(chance: &Chance) -> Stray {
     use Stray::{Again, Misdirection, OfAnother, Rejection, RejectionWithoutId, WithoutId};
-    [Again, WithoutId, OfAnother, Rejection, RejectionWithoutId, Misdirection][chance.below(6) as usize]
+    [
+        Again,
+        WithoutId,
+        OfAnother,
+        Rejection,
+        RejectionWithoutId,
+        Misdirection,
+    ][chance.below(6) as usize]
 }
 
 fn stray_time(chance: &Chance) -> StrayTime {
--- a/crates/linenthread-dataplane-sim/src/judge.rs
+++ b/crates/linenthread-dataplane-sim/src/judge.rs
@@ -68,7 +68,12 @@
 
     /// How often anything of a request ran.
     pub fn of(&self, attempt: &str) -> usize {
-        self.0.borrow().by_attempt.get(attempt).copied().unwrap_or(0)
+        self.0
+            .borrow()
+            .by_attempt
+            .get(attempt)
+            .copied()
+            .unwrap_or(0)
     }
 
     /// How many runs there were.
@@ -154,9 +159,19 @@
     }
 
     /// A client got an answer, so much later than it may come at most.
-    pub fn answered(&mut self, asked: &Asked, head: &Head, body: &[u8], late: Duration, runs: &Runs) {
+    pub fn answered(
+        &mut self,
+        asked: &Asked,
+        head: &Head,
+        body: &[u8],
+        late: Duration,
+        runs: &Runs,
+    ) {
         if !late.is_zero() {
-            self.breach(Rule::CompleteOrTold, format!("{} was answered {late:?} too late", asked.attempt));
+            self.breach(
+                Rule::CompleteOrTold,
+                format!("{} was answered {late:?} too late", asked.attempt),
+            );
         }
         let seal = head.header("x-replica-seal");
         match (head.status, asked.gathers, seal) {
@@ -175,53 +190,88 @@
                 self.promised.push(asked.attempt.clone());
             }
             (status, _, seal) => {
-                self.breach(Rule::CompleteOrTold, format!("{} got {status}, seal {seal:?}", asked.attempt));
+                self.breach(
+                    Rule::CompleteOrTold,
+                    format!("{} got {status}, seal {seal:?}", asked.attempt),
+                );
             }
         }
     }
 
     /// The connection ended, or stayed silent, where an answer was due.
     pub fn unanswered(&mut self, asked: &Asked, why: &str) {
-        self.breach(Rule::CompleteOrTold, format!("{} got no answer: {why}", asked.attempt));
+        self.breach(
+            Rule::CompleteOrTold,
+            format!("{} got no answer: {why}", asked.attempt),
+        );
     }
 
     /// One replica's answer as it came.
     fn sealed(&mut self, asked: &Asked, seal: &str, whole: Option<(&Head, &[u8])>, runs: &Runs) {
         let own = |run: &Run| run.attempt == asked.attempt && run.path == asked.path;
         let Some(run) = runs.sealed(seal).filter(own) else {
-            return self.breach(Rule::MineOnly, format!("{} got the seal {seal}", asked.attempt));
+            return self.breach(
+                Rule::MineOnly,
+                format!("{} got the seal {seal}", asked.attempt),
+            );
         };
         let Some((head, body)) = whole else { return };
         if head.header("x-attempt-id") != Some(&asked.attempt) {
-            self.breach(Rule::MineOnly, format!("{} got an answer of another id", asked.attempt));
+            self.breach(
+                Rule::MineOnly,
+                format!("{} got an answer of another id", asked.attempt),
+            );
         }
         if body != answer_body(&run.service, &run.path, &run.attempt) {
-            self.breach(Rule::CompleteOrTold, format!("{} got another body", asked.attempt));
+            self.breach(
+                Rule::CompleteOrTold,
+                format!("{} got another body", asked.attempt),
+            );
         }
     }
 
     /// An answer made of parts.
     fn gathered(&mut self, asked: &Asked, head: &Head, body: &[u8], runs: &Runs) {
-        let seals: Vec<&str> = head.header("x-part-seals").unwrap_or_default().split(", ").collect();
-        let missing = head.header("x-missing-parts").and_then(|m| m.parse::<usize>().ok());
+        let seals: Vec<&str> = head
+            .header("x-part-seals")
+            .unwrap_or_default()
+            .split(", ")
+            .collect();
+        let missing = head
+            .header("x-missing-parts")
+            .and_then(|m| m.parse::<usize>().ok());
         match missing {
             Some(0) => self.counts.whole += 1,
             _ => self.counts.partial += 1,
         }
         if missing != Some(GATHERED_SERVICES.len().saturating_sub(seals.len())) {
-            self.breach(Rule::CompleteOrTold, format!("{} is told {missing:?} missing", asked.attempt));
+            self.breach(
+                Rule::CompleteOrTold,
+                format!("{} is told {missing:?} missing", asked.attempt),
+            );
         }
         let mut services = BTreeSet::new();
         for seal in seals {
-            match runs.sealed(seal).filter(|r| r.attempt == asked.attempt && r.path == asked.path) {
+            match runs
+                .sealed(seal)
+                .filter(|r| r.attempt == asked.attempt && r.path == asked.path)
+            {
                 Some(run) => drop(services.insert(run.service)),
-                None => self.breach(Rule::MineOnly, format!("{} got the part {seal}", asked.attempt)),
+                None => self.breach(
+                    Rule::MineOnly,
+                    format!("{} got the part {seal}", asked.attempt),
+                ),
             }
         }
-        let parts: Vec<Vec<u8>> =
-            services.iter().map(|s| answer_body(s, &asked.path, &asked.attempt)).collect();
+        let parts: Vec<Vec<u8>> = services
+            .iter()
+            .map(|s| answer_body(s, &asked.path, &asked.attempt))
+            .collect();
         if body != greatest(parts.iter().map(Vec::as_slice), LIMIT_OF_RECORDS) {
-            self.breach(Rule::MineOnly, format!("{} got other records", asked.attempt));
+            self.breach(
+                Rule::MineOnly,
+                format!("{} got other records", asked.attempt),
+            );
         }
     }
 
@@ -230,7 +280,10 @@
         for attempt in std::mem::take(&mut self.promised) {
             let ran = runs.of(&attempt);
             if ran > 0 {
-                self.breach(Rule::RejectedNeverRan, format!("{attempt} was refused and ran {ran} times"));
+                self.breach(
+                    Rule::RejectedNeverRan,
+                    format!("{attempt} was refused and ran {ran} times"),
+                );
             }
         }
         for cause in std::mem::take(&mut runs.0.borrow_mut().doubts) {
@@ -239,7 +292,10 @@
         for asked in std::mem::take(&mut self.asked) {
             let ran = runs.of(&asked.attempt);
             if !asked.repeatable && ran > 1 {
-                self.breach(Rule::OnceIfNotRepeatable, format!("{} ran {ran} times", asked.attempt));
+                self.breach(
+                    Rule::OnceIfNotRepeatable,
+                    format!("{} ran {ran} times", asked.attempt),
+                );
             }
         }
     }
--- a/crates/linenthread-dataplane-sim/src/network.rs
+++ b/crates/linenthread-dataplane-sim/src/network.rs
@@ -54,7 +54,9 @@
 
     /// Nothing is there to be read at this moment.
     pub fn is_quiet(&self) -> bool {
-        self.events.front().is_none_or(|(at, _)| *at > Instant::now())
+        self.events
+            .front()
+            .is_none_or(|(at, _)| *at > Instant::now())
     }
 }
 
@@ -93,7 +95,12 @@
         let accepted = listener.ok_or(ErrorKind::ConnectionRefused)?.accept();
         let (after, peer) = accepted.ok_or(ErrorKind::ConnectionRefused)?;
         tokio::time::sleep(after).await;
-        Ok(MemoryStream { inbound: Inbound::default(), peer, write: WriteState::Whole, sleep: None })
+        Ok(MemoryStream {
+            inbound: Inbound::default(),
+            peer,
+            write: WriteState::Whole,
+            sleep: None,
+        })
     }
 }
 
@@ -153,7 +160,9 @@
             return Poll::Pending;
         }
         self.sleep = None;
-        let Some((_, event)) = self.inbound.events.front_mut() else { return Poll::Pending };
+        let Some((_, event)) = self.inbound.events.front_mut() else {
+            return Poll::Pending;
+        };
         match event {
             Event::Close => Poll::Ready(Ok(())),
             Event::Reset => Poll::Ready(Err(Error::from(ErrorKind::ConnectionReset))),
@@ -171,7 +180,11 @@
 }
 
 impl AsyncWrite for MemoryStream {
-    fn poll_write(mut self: Pin<&mut Self>, _: &mut Context<'_>, bytes: &[u8]) -> Poll<Result<usize>> {
+    fn poll_write(
+        mut self: Pin<&mut Self>,
+        _: &mut Context<'_>,
+        bytes: &[u8],
+    ) -> Poll<Result<usize>> {
         match self.write {
             WriteState::Failed => return Poll::Ready(Err(Error::from(ErrorKind::BrokenPipe))),
             WriteState::Stopped => return Poll::Pending,
--- a/crates/linenthread-dataplane-sim/src/replica.rs
+++ b/crates/linenthread-dataplane-sim/src/replica.rs
@@ -38,8 +38,13 @@
 pub fn digest(words: &[&str], number: u64) -> u64 {
     const OFFSET: u64 = 0xcbf2_9ce4_8422_2325;
     const PRIME: u64 = 0x0100_0000_01b3;
-    let bytes = words.iter().flat_map(|word| word.bytes().chain([0])).chain(number.to_be_bytes());
-    bytes.fold(OFFSET, |sum, byte| (sum ^ u64::from(byte)).wrapping_mul(PRIME))
+    let bytes = words
+        .iter()
+        .flat_map(|word| word.bytes().chain([0]))
+        .chain(number.to_be_bytes());
+    bytes.fold(OFFSET, |sum, byte| {
+        (sum ^ u64::from(byte)).wrapping_mul(PRIME)
+    })
 }
 
 /// One life of a replica.
@@ -87,9 +92,9 @@
     }
 
     fn frozen(&self) -> Duration {
-        self.frozen_until
-            .get()
-            .map_or(Duration::ZERO, |until| until.saturating_duration_since(Instant::now()))
+        self.frozen_until.get().map_or(Duration::ZERO, |until| {
+            until.saturating_duration_since(Instant::now())
+        })
     }
 
     /// Notes a run; its seal.
@@ -114,7 +119,11 @@
         if !replica.alive.get() || chance.per_mille(faults.connections) {
             return None;
         }
-        let slow = if chance.per_mille(faults.connections) { chance.ms(50, 600) } else { Duration::ZERO };
+        let slow = if chance.per_mille(faults.connections) {
+            chance.ms(50, 600)
+        } else {
+            Duration::ZERO
+        };
         let forgets = chance.per_mille(faults.idle).then(|| chance.ms(20, 400));
         let connection = Connection {
             replica: replica.clone(),
@@ -166,7 +175,11 @@
     fn receive(&mut self, bytes: &[u8], inbound: &mut Inbound) {
         let unanswered = self.state == State::Silent || self.answer_due > Instant::now();
         if unanswered || !inbound.is_quiet() {
-            self.replica.runs.doubt(&format!("{}: {unanswered}, {}", self.replica.ident, inbound.is_quiet()));
+            self.replica.runs.doubt(&format!(
+                "{}: {unanswered}, {}",
+                self.replica.ident,
+                inbound.is_quiet()
+            ));
         }
         let rested = Instant::now().saturating_duration_since(self.used);
         self.used = Instant::now();
@@ -246,10 +259,17 @@
             RequestFate::Failed { sealed } => {
                 let seal = replica.run(&request.attempt, &request.path);
                 let seal = if sealed { seal.as_str() } else { "" };
-                inbound.push(after, Event::Bytes(message(500, &request.attempt, seal, "", b"failed")));
+                inbound.push(
+                    after,
+                    Event::Bytes(message(500, &request.attempt, seal, "", b"failed")),
+                );
             }
             RequestFate::Rejected { with_id, closes } => {
-                let id = if with_id { request.attempt.as_str() } else { "" };
+                let id = if with_id {
+                    request.attempt.as_str()
+                } else {
+                    ""
+                };
                 inbound.push(after, Event::Bytes(rejection(id)));
                 if closes {
                     inbound.push(Duration::ZERO, Event::Close);
@@ -277,13 +297,24 @@
                     HalfEnd::Reset => inbound.push(after, Event::Reset),
                     HalfEnd::Silence => {}
                 }
-                self.state = if end == HalfEnd::Silence { State::Silent } else { State::Forgotten };
+                self.state = if end == HalfEnd::Silence {
+                    State::Silent
+                } else {
+                    State::Forgotten
+                };
             }
         }
     }
 
     /// Ends the connection with no answer.
-    fn end(&mut self, request: &Request, ran: bool, after: Duration, event: Event, inbound: &mut Inbound) {
+    fn end(
+        &mut self,
+        request: &Request,
+        ran: bool,
+        after: Duration,
+        event: Event,
+        inbound: &mut Inbound,
+    ) {
         if ran {
             self.run(request, "");
         }
--- a/crates/linenthread-dataplane-sim/src/world.rs
+++ b/crates/linenthread-dataplane-sim/src/world.rs
@@ -61,27 +61,48 @@
     let (runs, network) = (Runs::default(), Network::default());
     let plane = DataPlane::new(Rc::new(settings()), seed, network.clone());
     plane.adopt(configuration().as_bytes());
-    plane.allot(Share { free: FURTHER_TRIES, until: u64::MAX, own: 0, fronts: 1, epoch: 1 });
+    plane.allot(Share {
+        free: FURTHER_TRIES,
+        until: u64::MAX,
+        own: 0,
+        fronts: 1,
+        epoch: 1,
+    });
     let judge = Rc::new(RefCell::new(Judge::default()));
     let frozen = Rc::new(Cell::new(Duration::ZERO));
-    let shared = Shared { plane, judge, runs, chance, frozen };
+    let shared = Shared {
+        plane,
+        judge,
+        runs,
+        chance,
+        frozen,
+    };
     let replicas = Replicas::start(&shared, network);
     let mut troubles = vec![spawn_local(replicas.troubles(shared.clone()))];
     troubles.push(spawn_local(freezes(shared.clone())));
     troubles.push(spawn_local(tidying(shared.clone())));
-    let begun: Vec<_> =
-        (0..sessions).map(|n| spawn_local(later(shared.clone(), format!("a{seed}-{n}")))).collect();
+    let begun: Vec<_> = (0..sessions)
+        .map(|n| spawn_local(later(shared.clone(), format!("a{seed}-{n}"))))
+        .collect();
     for session in begun {
         if let Err(e) = session.await {
             let mut judge = shared.judge.borrow_mut();
-            judge.breach(crate::judge::Rule::CompleteOrTold, format!("a session broke off: {e}"));
+            judge.breach(
+                crate::judge::Rule::CompleteOrTold,
+                format!("a session broke off: {e}"),
+            );
         }
     }
     troubles.iter().for_each(|trouble| trouble.abort());
     let mut judge = shared.judge.borrow_mut();
     judge.close(&shared.runs);
     let breaches = std::mem::take(&mut judge.breaches);
-    Verdict { breaches, counts: judge.counts, runs: shared.runs.count(), digest: shared.runs.digest() }
+    Verdict {
+        breaches,
+        counts: judge.counts,
+        runs: shared.runs.count(),
+        digest: shared.runs.digest(),
+    }
 }
 
 async fn later(shared: Shared, name: String) {
@@ -121,7 +142,12 @@
 impl Replicas {
     fn start(shared: &Shared, network: Network) -> Replicas {
         let faults = Faults::draw(&shared.chance);
-        let mut replicas = Replicas { network, faults, here: Vec::new(), lives: 0 };
+        let mut replicas = Replicas {
+            network,
+            faults,
+            here: Vec::new(),
+            lives: 0,
+        };
         for (number, service) in GATHERED_SERVICES.iter().chain([&ONCE_SERVICE]).enumerate() {
             for copy in 0..REPLICAS_A_SERVICE {
                 let address = SocketAddr::from(([10, 128, number as u8, copy + 1], 8_080));
@@ -134,12 +160,19 @@
     }
 
     /// A new replica at an address.
-    fn life(&mut self, shared: &Shared, service: &str, address: SocketAddr, checks: bool) -> Rc<Replica> {
+    fn life(
+        &mut self,
+        shared: &Shared,
+        service: &str,
+        address: SocketAddr,
+        checks: bool,
+    ) -> Rc<Replica> {
         self.lives += 1;
         let ident = format!("i{}", self.lives);
         let more = (self.faults, shared.chance.clone(), shared.runs.clone());
         let replica = Replica::new((ident, service, address), checks, more);
-        self.network.listen(address, Rc::new(Listening(replica.clone())));
+        self.network
+            .listen(address, Rc::new(Listening(replica.clone())));
         replica
     }
 
@@ -175,7 +208,11 @@
         old.end();
         let checks = shared.chance.per_mille(800);
         let stranger = checks && shared.chance.per_mille(300);
-        let service = if stranger { "stranger" } else { old.service.as_str() };
+        let service = if stranger {
+            "stranger"
+        } else {
+            old.service.as_str()
+        };
         let new = self.life(shared, service, old.address, checks);
         if !stranger {
             self.here[which] = new;
@@ -243,7 +280,14 @@
             &format!(r#""fanout":[{all}],"result_limit":{LIMIT_OF_RECORDS},"min_coverage":0.3"#),
         ),
         route("one", "idempotent", r#""backend":"s1""#),
-        route("once", "mutating", &format!(r#""backend":"{ONCE_SERVICE}""#)),
+        route(
+            "once",
+            "mutating",
+            &format!(r#""backend":"{ONCE_SERVICE}""#),
+        ),
     ];
-    format!(r#"{{"revision":1,"route_table":[{}],"backends":[]}}"#, routes.join(","))
+    format!(
+        r#"{{"revision":1,"route_table":[{}],"backends":[]}}"#,
+        routes.join(",")
+    )
 }
--- a/crates/linenthread-dataplane/src/action.rs
+++ b/crates/linenthread-dataplane/src/action.rs
@@ -5,12 +5,28 @@
 
 /// One decision.
 pub enum Action {
-    Call { lookup: usize, part: usize, replica: usize, time_out: Tenths },
-    Satisfy { lookup: usize },
-    Nack { lookup: usize, after: Option<Tenths> },
-    Abort { lookup: usize },
-    Release { lookup: usize },
-    Close { replica: usize },
+    Call {
+        lookup: usize,
+        part: usize,
+        replica: usize,
+        time_out: Tenths,
+    },
+    Satisfy {
+        lookup: usize,
+    },
+    Nack {
+        lookup: usize,
+        after: Option<Tenths>,
+    },
+    Abort {
+        lookup: usize,
+    },
+    Release {
+        lookup: usize,
+    },
+    Close {
+        replica: usize,
+    },
 }
 
 /// Decisions in the order they were taken.
@@ -33,7 +49,12 @@
 
 impl Writer for Actions {
     fn call(&mut self, lookup: usize, part: usize, replica: usize, time_out: Tenths) {
-        self.list.push(Action::Call { lookup, part, replica, time_out });
+        self.list.push(Action::Call {
+            lookup,
+            part,
+            replica,
+            time_out,
+        });
     }
     fn withdraw(&mut self, _: usize, _: usize, _: usize) {}
     fn satisfy(&mut self, lookup: usize, _whole: bool) {
--- a/crates/linenthread-dataplane/src/connection.rs
+++ b/crates/linenthread-dataplane/src/connection.rs
@@ -47,7 +47,10 @@
 impl<S: AsyncRead + AsyncWrite + Unpin> HttpConnection<S> {
     /// A connection on which nothing has been read yet.
     pub fn new(stream: S) -> HttpConnection<S> {
-        HttpConnection { stream, buffer: BytesMut::new() }
+        HttpConnection {
+            stream,
+            buffer: BytesMut::new(),
+        }
     }
 
     /// Reads some more by then.
@@ -69,8 +72,15 @@
     }
 
     /// A request's head: its first byte may take `quiet`, all of it `whole` from there.
-    pub async fn request(&mut self, most: usize, quiet: Duration, whole: Duration) -> Result<Head, Stop> {
-        self.begun(quiet).await.map_err(|s| if s == Stop::Cut { Stop::Closed } else { s })?;
+    pub async fn request(
+        &mut self,
+        most: usize,
+        quiet: Duration,
+        whole: Duration,
+    ) -> Result<Head, Stop> {
+        self.begun(quiet)
+            .await
+            .map_err(|s| if s == Stop::Cut { Stop::Closed } else { s })?;
         let by = Instant::now() + whole;
         loop {
             if let Some(head) = Head::request(&mut self.buffer, most).map_err(Stop::Refused)? {
@@ -87,7 +97,13 @@
             if let Some(head) = Head::answer(&mut self.buffer, most).map_err(Stop::Refused)? {
                 return Ok(head);
             }
-            self.more(by).await.map_err(|s| if s == Stop::Cut && !begun { Stop::Closed } else { s })?;
+            self.more(by).await.map_err(|s| {
+                if s == Stop::Cut && !begun {
+                    Stop::Closed
+                } else {
+                    s
+                }
+            })?;
             begun = true;
         }
     }
@@ -113,7 +129,9 @@
 
     /// Writes a message whole by then.
     pub async fn write(&mut self, bytes: &[u8], by: Instant) -> Result<(), Stop> {
-        self.write_counted(bytes, by).await.map_err(|failed| failed.stop)
+        self.write_counted(bytes, by)
+            .await
+            .map_err(|failed| failed.stop)
     }
 
     /// The same; a failure tells how much of it may have reached the other side.
--- a/crates/linenthread-dataplane/src/data_plane.rs
+++ b/crates/linenthread-dataplane/src/data_plane.rs
@@ -146,7 +146,10 @@
 
     /// What is told of replicas; with `whole`, what is left out is gone.
     pub fn hear(&self, replicas: &[linenthread_messages::Replica], whole: bool) {
-        let mut changed: Pools<C> = replicas.iter().filter_map(|replica| self.hear_one(replica)).collect();
+        let mut changed: Pools<C> = replicas
+            .iter()
+            .filter_map(|replica| self.hear_one(replica))
+            .collect();
         if whole {
             let named: HashSet<&str> = replicas.iter().map(|r| r.ident.as_str()).collect();
             changed.extend(self.lose_all_but(&named));
@@ -154,10 +157,21 @@
         if changed.is_empty() {
             return;
         }
-        changed.iter().filter(|p| p.draining.get() || p.gone.get()).for_each(|p| p.close_idle());
-        let here = self.pools.borrow().values().filter(|p| !p.gone.get()).count();
+        changed
+            .iter()
+            .filter(|p| p.draining.get() || p.gone.get())
+            .for_each(|p| p.close_idle());
+        let here = self
+            .pools
+            .borrow()
+            .values()
+            .filter(|p| !p.gone.get())
+            .count();
         log::info!(here = here, changed = changed.len(); "event=replicas");
-        self.dispatchers.borrow().values().for_each(|d| d.list(&changed, &self.zones));
+        self.dispatchers
+            .borrow()
+            .values()
+            .for_each(|d| d.list(&changed, &self.zones));
         self.bound_connections();
     }
 
@@ -182,16 +196,25 @@
         let mut services = self.services.borrow_mut();
         let backend = services.keys().find(|s| ***s == *replica.backend).cloned();
         let backend = backend.unwrap_or_else(|| Rc::from(replica.backend.as_str()));
-        let pool = Rc::new(ReplicaPool::new(replica, backend.clone(), address, self.connector.clone()));
+        let pool = Rc::new(ReplicaPool::new(
+            replica,
+            backend.clone(),
+            address,
+            self.connector.clone(),
+        ));
         services.entry(backend).or_default().push(pool.clone());
-        self.pools.borrow_mut().insert(replica.ident.clone(), pool.clone());
+        self.pools
+            .borrow_mut()
+            .insert(replica.ident.clone(), pool.clone());
         Some(pool)
     }
 
     /// All replicas that are not named are gone; those that were not before.
     fn lose_all_but(&self, named: &HashSet<&str>) -> Pools<C> {
         let pools = self.pools.borrow();
-        let lost = pools.values().filter(|p| !p.gone.get() && !named.contains(p.ident.as_str()));
+        let lost = pools
+            .values()
+            .filter(|p| !p.gone.get() && !named.contains(p.ident.as_str()));
         lost.inspect(|pool| pool.set_gone(true)).cloned().collect()
     }
 
@@ -201,7 +224,10 @@
         let plan = self.plan.borrow();
         let Some(plan) = plan.as_ref() else { return };
         for (service, pools) in self.services.borrow().iter() {
-            let most = plan.max_conns.get(service).map_or(usize::MAX, |m| (m / fronts).max(2));
+            let most = plan
+                .max_conns
+                .get(service)
+                .map_or(usize::MAX, |m| (m / fronts).max(2));
             pools.iter().for_each(|s| s.most.set(most));
         }
     }
@@ -223,10 +249,17 @@
     fn allot_dispatchers(&self) {
         let (share, dispatchers) = (self.share.get(), self.dispatchers.borrow());
         let overlap = |d: &Rc<Dispatcher<C>>| {
-            let with = |s: &Rc<str>| dispatchers.values().filter(|o| o.services.contains(s)).count();
+            let with = |s: &Rc<str>| {
+                dispatchers
+                    .values()
+                    .filter(|o| o.services.contains(s))
+                    .count()
+            };
             d.services.iter().map(with).max().unwrap_or(1).max(1)
         };
-        dispatchers.values().for_each(|d| d.allot(share.free / overlap(d) as f64, share.own, share.fronts));
+        dispatchers
+            .values()
+            .for_each(|d| d.allot(share.free / overlap(d) as f64, share.own, share.fronts));
     }
 
     fn dispatcher(&self, services: &[Rc<str>], tries: usize) -> Rc<Dispatcher<C>> {
@@ -239,9 +272,17 @@
         let seed = self.seed ^ linenthread_consensus::digest(format!("{key:?}").as_bytes());
         let dispatcher = Dispatcher::new(key.0.as_slice().into(), tries, &self.settings, seed);
         let pools = self.services.borrow();
-        let here: Pools<C> = key.0.iter().filter_map(|s| pools.get(s)).flatten().cloned().collect();
+        let here: Pools<C> = key
+            .0
+            .iter()
+            .filter_map(|s| pools.get(s))
+            .flatten()
+            .cloned()
+            .collect();
         dispatcher.list(&here, &self.zones);
-        self.dispatchers.borrow_mut().insert(key, dispatcher.clone());
+        self.dispatchers
+            .borrow_mut()
+            .insert(key, dispatcher.clone());
         self.allot_dispatchers();
         dispatcher
     }
@@ -277,7 +318,10 @@
         let before = pools.len();
         pools.retain(|_, s| !s.is_past(now));
         if pools.len() < before {
-            self.services.borrow_mut().values_mut().for_each(|all| all.retain(|s| !s.is_past(now)));
+            self.services
+                .borrow_mut()
+                .values_mut()
+                .for_each(|all| all.retain(|s| !s.is_past(now)));
         }
     }
 }
--- a/crates/linenthread-dataplane/src/dispatcher.rs
+++ b/crates/linenthread-dataplane/src/dispatcher.rs
@@ -103,7 +103,12 @@
 
 impl<C: Connector> Dispatcher<C> {
     /// Starts the task that runs the module; within a `LocalSet`.
-    pub fn new(services: Rc<[Rc<str>]>, tries: usize, settings: &Settings, seed: u64) -> Rc<Dispatcher<C>> {
+    pub fn new(
+        services: Rc<[Rc<str>]>,
+        tries: usize,
+        settings: &Settings,
+        seed: u64,
+    ) -> Rc<Dispatcher<C>> {
         let deployment = terms::deployment(services.len(), tries, settings);
         let dispatcher = Rc::new(Dispatcher {
             services,
@@ -171,10 +176,21 @@
         let lookup = state.free_lookup();
         self.taken.set(self.taken.get() + 1);
         let number = self.taken.get();
-        let new = NewLookup { lookup, index, customer: 0, key: Some(key), number, hard_deadline };
+        let new = NewLookup {
+            lookup,
+            index,
+            customer: 0,
+            key: Some(key),
+            number,
+            hard_deadline,
+        };
         state.arrivals.lookups.push(new);
         let parts = self.services.len();
-        state.arrivals.parts.extend((0..parts).map(|shard| NewPart { lookup, shard, weight: 1.0 }));
+        state.arrivals.parts.extend((0..parts).map(|shard| NewPart {
+            lookup,
+            shard,
+            weight: 1.0,
+        }));
         state.lookups[lookup] = Some(OpenLookup {
             number,
             reply: Some(reply),
@@ -185,7 +201,13 @@
         });
         self.open.set(self.open.get() + 1);
         self.notify.notify_one();
-        (LookupId { place: lookup, number }, answer)
+        (
+            LookupId {
+                place: lookup,
+                number,
+            },
+            answer,
+        )
     }
 
     /// Numbers of replicas that are gone are free again when every lookup taken before that has ended.
@@ -193,7 +215,13 @@
         let mut state = self.state.borrow_mut();
         let given_up = std::mem::take(&mut state.actions.given_up);
         if given_up != GivenUp::default() {
-            let GivenUp { late, fells, hopeless, slow, full } = given_up;
+            let GivenUp {
+                late,
+                fells,
+                hopeless,
+                slow,
+                full,
+            } = given_up;
             let service = self.services.first().map_or("", |s| s);
             log::info!(service = service, of = self.services.len(), late = late, fells = fells,
                 hopeless = hopeless, slow = slow, full = full; "event=given_up");
@@ -233,7 +261,14 @@
         }
         let ending = outcome.ending;
         let lookup = lookup.place;
-        state.arrivals.returns.push(Return { lookup, part, call, ending, took, queue: None });
+        state.arrivals.returns.push(Return {
+            lookup,
+            part,
+            call,
+            ending,
+            took,
+            queue: None,
+        });
         self.notify.notify_one();
     }
 
@@ -242,7 +277,12 @@
         let mut state = self.state.borrow_mut();
         for action in state.decide() {
             match action {
-                Action::Call { lookup, part, replica, time_out } => {
+                Action::Call {
+                    lookup,
+                    part,
+                    replica,
+                    time_out,
+                } => {
                     self.call(&mut state, (lookup, part), replica, time_out);
                 }
                 Action::Satisfy { lookup } => state.reply(lookup, satisfied),
@@ -268,16 +308,32 @@
         replica: usize,
         time_out: Tenths,
     ) {
-        let Some(Some(open)) = state.lookups.get_mut(lookup) else { return };
+        let Some(Some(open)) = state.lookups.get_mut(lookup) else {
+            return;
+        };
         let to = &mut open.parts[part];
-        let lookup_id = LookupId { place: lookup, number: open.number };
-        let id = SubRequestId { lookup: lookup_id, part, call: to.calls };
+        let lookup_id = LookupId {
+            place: lookup,
+            number: open.number,
+        };
+        let id = SubRequestId {
+            lookup: lookup_id,
+            part,
+            call: to.calls,
+        };
         let permitted = may_send_again(open.planned.route.mode, to.sent());
         to.calls += 1;
         if !permitted {
             log::error!(route = open.planned.route.label; "event=repeat_refused");
             let ending = Ending::Unsent;
-            state.arrivals.returns.push(Return { lookup, part, call: id.call, ending, took: 0, queue: None });
+            state.arrivals.returns.push(Return {
+                lookup,
+                part,
+                call: id.call,
+                ending,
+                took: 0,
+                queue: None,
+            });
             self.notify.notify_one();
             return;
         }
@@ -313,7 +369,13 @@
 
     /// Numbers of replicas that were gone before the oldest open lookup was taken are free again.
     fn free_numbers(&mut self) {
-        let oldest = self.lookups.iter().flatten().map(|open| open.number).min().unwrap_or(u64::MAX);
+        let oldest = self
+            .lookups
+            .iter()
+            .flatten()
+            .map(|open| open.number)
+            .min()
+            .unwrap_or(u64::MAX);
         let (pools, numbers, spare) = (&self.pools, &mut self.numbers, &mut self.spare);
         self.gone.retain(|&(replica, taken)| {
             let over = taken < oldest;
@@ -370,7 +432,12 @@
 }
 
 /// A replica in the module's terms.
-fn listed<C: Connector>(pool: &ReplicaPool<C>, replica: usize, cell: usize, zones: &Zones) -> Listed {
+fn listed<C: Connector>(
+    pool: &ReplicaPool<C>,
+    replica: usize,
+    cell: usize,
+    zones: &Zones,
+) -> Listed {
     let phase = match (pool.gone.get(), pool.draining.get()) {
         (true, _) => Phase::Gone,
         (_, true) => Phase::Draining,
@@ -378,7 +445,15 @@
     };
     let id = linenthread_consensus::digest(pool.ident.as_bytes());
     let site = zones.number_of(&pool.zone);
-    Listed { replica, id, cell, site, phase, started: None, cold_share: None }
+    Listed {
+        replica,
+        id,
+        cell,
+        site,
+        phase,
+        started: None,
+        cold_share: None,
+    }
 }
 
 /// Rounds of the module, whenever something came or it asked to be woken.
@@ -406,12 +481,21 @@
             None => given_up(open, None),
         };
     }
-    let parts: PartsIn = open.parts.iter().filter_map(|part| part.answer.as_ref()).collect();
+    let parts: PartsIn = open
+        .parts
+        .iter()
+        .filter_map(|part| part.answer.as_ref())
+        .collect();
     if parts.is_empty() {
         drop(parts);
         return given_up(open, None);
     }
-    Reply::gathered(&open.request.attempt, &parts, open.parts.len(), open.planned.route.result_limit)
+    Reply::gathered(
+        &open.request.attempt,
+        &parts,
+        open.parts.len(),
+        open.planned.route.result_limit,
+    )
 }
 
 /// A replica's own failure if there was one, else what may be promised.
--- a/crates/linenthread-dataplane/src/event_log.rs
+++ b/crates/linenthread-dataplane/src/event_log.rs
@@ -18,7 +18,11 @@
     let second = clock::ms() / 1_000;
     let said = SAID.with_borrow_mut(|all| {
         let (at, lines) = all.entry(step).or_default();
-        (*at, *lines) = if *at == second { (second, *lines + 1) } else { (second, 1) };
+        (*at, *lines) = if *at == second {
+            (second, *lines + 1)
+        } else {
+            (second, 1)
+        };
         *lines
     });
     if said <= MOST {
--- a/crates/linenthread-dataplane/src/outcome.rs
+++ b/crates/linenthread-dataplane/src/outcome.rs
@@ -19,7 +19,9 @@
 /// Whether a sub-request may be sent, after one of the same part got so far.
 pub fn may_send_again(mode: Mode, sent: SendState) -> bool {
     match (mode, sent) {
-        (Mode::Idempotent, _) | (Mode::Mutating, SendState::NeverLeft | SendState::Rejected) => true,
+        (Mode::Idempotent, _) | (Mode::Mutating, SendState::NeverLeft | SendState::Rejected) => {
+            true
+        }
         (Mode::Mutating, SendState::MayHaveRun) => false,
     }
 }
@@ -74,11 +76,15 @@
     use SendState::{MayHaveRun, NeverLeft, Rejected};
     match (event, connection) {
         (WireEvent::NoRoom, _) | (WireEvent::NothingWritten, Reused) => (Ending::Unsent, NeverLeft),
-        (WireEvent::NotConnected, _) | (WireEvent::NothingWritten, Fresh) => (Ending::Unconnected, NeverLeft),
+        (WireEvent::NotConnected, _) | (WireEvent::NothingWritten, Fresh) => {
+            (Ending::Unconnected, NeverLeft)
+        }
         (WireEvent::Misdirected, _) => (Ending::Unconnected, Rejected),
         (WireEvent::NotExecuted, _) => (Ending::TurnedAway, Rejected),
         (WireEvent::WriteCut | WireEvent::ClosedUnanswered, Fresh) => (Ending::Broken, MayHaveRun),
-        (WireEvent::WriteCut | WireEvent::ClosedUnanswered, Reused) => (Ending::Errored, MayHaveRun),
+        (WireEvent::WriteCut | WireEvent::ClosedUnanswered, Reused) => {
+            (Ending::Errored, MayHaveRun)
+        }
         (WireEvent::Silent, _) => (Ending::TimedOut, MayHaveRun),
         (WireEvent::Success, _) => (Ending::Answered, MayHaveRun),
         (WireEvent::Refused, _) if !gathers => (Ending::Answered, MayHaveRun),
@@ -115,7 +121,11 @@
     }
     let promised = (own || connection == Connection::Fresh) && !sealed;
     match head.status {
-        421 if promised && head.header("x-replica-id").is_some_and(|other| other != ident) => {
+        421 if promised
+            && head
+                .header("x-replica-id")
+                .is_some_and(|other| other != ident) =>
+        {
             WireEvent::Misdirected
         }
         400.. if promised && head.header("x-not-executed").is_some() => WireEvent::NotExecuted,
--- a/crates/linenthread-dataplane/src/pass_through.rs
+++ b/crates/linenthread-dataplane/src/pass_through.rs
@@ -22,16 +22,27 @@
 impl PassThrough {
     pub fn round(&mut self, arrivals: &Arrivals, writer: &mut impl Writer) {
         for news in &arrivals.roster {
-            let RosterNews::Changes(listed) = news else { continue };
+            let RosterNews::Changes(listed) = news else {
+                continue;
+            };
             for entry in listed {
-                self.replicas.resize_with(self.replicas.len().max(entry.replica + 1), Listed::default);
+                self.replicas
+                    .resize_with(self.replicas.len().max(entry.replica + 1), Listed::default);
                 self.replicas[entry.replica] = entry.clone();
             }
         }
         for new in &arrivals.lookups {
-            self.lookups.resize_with(self.lookups.len().max(new.lookup + 1), || None);
+            self.lookups
+                .resize_with(self.lookups.len().max(new.lookup + 1), || None);
             let (key, hard) = (new.number, new.hard_deadline);
-            let lookup = Lookup { key, hard, shards: Vec::new(), sent: 0, ended: 0, failed: false };
+            let lookup = Lookup {
+                key,
+                hard,
+                shards: Vec::new(),
+                sent: 0,
+                ended: 0,
+                failed: false,
+            };
             self.lookups[new.lookup] = Some(lookup);
         }
         for part in &arrivals.parts {
@@ -46,7 +57,9 @@
             }
         }
         for l in 0..self.lookups.len() {
-            let Some(lookup) = &mut self.lookups[l] else { continue };
+            let Some(lookup) = &mut self.lookups[l] else {
+                continue;
+            };
             for p in lookup.sent..lookup.shards.len() {
                 let here = |r: &&Listed| r.phase == Phase::Ready && r.cell == lookup.shards[p];
                 let mut all: Vec<&Listed> = self.replicas.iter().filter(here).collect();
--- a/crates/linenthread-dataplane/src/pool.rs
+++ b/crates/linenthread-dataplane/src/pool.rs
@@ -118,8 +118,21 @@
 
 impl Request {
     /// `begin` and `end` are what stands before and after the headers that each sub-request has of its own.
-    pub fn new(begin: Vec<u8>, end: Vec<u8>, attempt: String, to_head: bool, gathers: bool) -> Request {
-        Request { begin, end, attempt, to_head, gathers, carried: RefCell::default() }
+    pub fn new(
+        begin: Vec<u8>,
+        end: Vec<u8>,
+        attempt: String,
+        to_head: bool,
+        gathers: bool,
+    ) -> Request {
+        Request {
+            begin,
+            end,
+            attempt,
+            to_head,
+            gathers,
+            carried: RefCell::default(),
+        }
     }
 
     fn was_carried(&self, by: ConnectionNumber) -> bool {
@@ -205,7 +218,9 @@
     /// Lets go of connections that the replica is about to end, or has ended.
     pub fn tidy(&self) {
         let now = Instant::now();
-        self.idle.borrow_mut().retain(|connection| connection.is_good(now));
+        self.idle
+            .borrow_mut()
+            .retain(|connection| connection.is_good(now));
     }
 
     /// One sub-request, from its connection to its whole answer.
@@ -225,11 +240,16 @@
             Err(event) => (event, None),
         };
         let judged = judge(event, age, request.gathers);
-        let Some(answer) = answer else { return outcome(judged, None) };
+        let Some(answer) = answer else {
+            return outcome(judged, None);
+        };
         if event != WireEvent::NotOurs && event != WireEvent::Misdirected {
             self.give_back(lease, &answer.head);
         }
-        outcome(judged, may_be_passed_on(event, &answer.head, request.gathers).then_some(answer))
+        outcome(
+            judged,
+            may_be_passed_on(event, &answer.head, request.gathers).then_some(answer),
+        )
     }
 
     /// A connection for the request: one that waits, else a new one.
@@ -243,7 +263,12 @@
             }
         };
         request.carried.borrow_mut().push(number);
-        Ok(Lease { http, number, age, _open: OpenCount::new(&self.open) })
+        Ok(Lease {
+            http,
+            number,
+            age,
+            _open: OpenCount::new(&self.open),
+        })
     }
 
     /// Room for one more connection: of those that wait and don't fit the oldest goes, if need be.
@@ -294,11 +319,19 @@
         let left = by.saturating_duration_since(Instant::now());
         let by = by + SLACK;
         let bytes = request.bytes(&self.ident, left);
-        lease.http.write_counted(&bytes, by).await.map_err(write_failed)?;
+        lease
+            .http
+            .write_counted(&bytes, by)
+            .await
+            .map_err(write_failed)?;
         let head = lease.http.answer(HEAD, by).await.map_err(head_stopped)?;
         let framing = answer_framing(&head, request.to_head).map_err(|_| WireEvent::Malformed)?;
         let left = by.saturating_duration_since(Instant::now());
-        let body = lease.http.body(framing, BODY, left, Some(by)).await.map_err(body_stopped)?;
+        let body = lease
+            .http
+            .body(framing, BODY, left, Some(by))
+            .await
+            .map_err(body_stopped)?;
         Ok(Answer { head, body })
     }
 
@@ -308,7 +341,11 @@
             return;
         }
         let ends = told_end(head).map(|after| Instant::now() + after.saturating_sub(EARLY));
-        self.idle.borrow_mut().push(IdleConnection { http: lease.http, number: lease.number, ends });
+        self.idle.borrow_mut().push(IdleConnection {
+            http: lease.http,
+            number: lease.number,
+            ends,
+        });
     }
 }
 
@@ -320,14 +357,20 @@
 }
 
 fn outcome((ending, sent): (Ending, SendState), answer: Option<Answer>) -> SubRequestOutcome {
-    SubRequestOutcome { ending, sent, answer }
+    SubRequestOutcome {
+        ending,
+        sent,
+        answer,
+    }
 }
 
 /// An answer that a client may get: one with the replica's seal, and for a part only a success.
 fn may_be_passed_on(event: WireEvent, head: &Head, gathers: bool) -> bool {
     match event {
         WireEvent::Success => true,
-        WireEvent::Refused | WireEvent::Failed => !gathers && head.header("x-replica-seal").is_some(),
+        WireEvent::Refused | WireEvent::Failed => {
+            !gathers && head.header("x-replica-seal").is_some()
+        }
         _ => false,
     }
 }
@@ -335,14 +378,18 @@
 /// How long the replica says that it keeps the connection.
 fn told_end(head: &Head) -> Option<Duration> {
     let words = head.header("keep-alive")?;
-    let seconds = words.split(',').find_map(|word| word.trim().strip_prefix("timeout="))?;
+    let seconds = words
+        .split(',')
+        .find_map(|word| word.trim().strip_prefix("timeout="))?;
     seconds.trim().parse().ok().map(Duration::from_secs)
 }
 
 fn write_failed(failed: WriteFailed) -> WireEvent {
     match failed {
         WriteFailed { written: 0, .. } => WireEvent::NothingWritten,
-        WriteFailed { stop: Stop::Late, .. } => WireEvent::Silent,
+        WriteFailed {
+            stop: Stop::Late, ..
+        } => WireEvent::Silent,
         WriteFailed { .. } => WireEvent::WriteCut,
     }
 }
--- a/crates/linenthread-dataplane/src/reply.rs
+++ b/crates/linenthread-dataplane/src/reply.rs
@@ -22,14 +22,22 @@
 impl Reply {
     /// A status alone.
     pub fn bare(status: u16) -> Reply {
-        Reply { status, headers: Vec::new(), body: Vec::new() }
+        Reply {
+            status,
+            headers: Vec::new(),
+            body: Vec::new(),
+        }
     }
 
     /// A replica's answer as it came.
     pub fn passed_on(answer: Answer) -> Reply {
         let mut headers = Vec::with_capacity(256);
         answer.head.pass_on(&mut headers, &[]);
-        Reply { status: answer.head.status, headers, body: answer.body }
+        Reply {
+            status: answer.head.status,
+            headers,
+            body: answer.body,
+        }
     }
 
     /// The greatest records of the parts that are in, and how many of all are missing.
@@ -42,13 +50,22 @@
             if i > 0 {
                 headers.extend_from_slice(b", ");
             }
-            headers.extend_from_slice(part.head.header("x-replica-seal").unwrap_or_default().as_bytes());
+            headers.extend_from_slice(
+                part.head
+                    .header("x-replica-seal")
+                    .unwrap_or_default()
+                    .as_bytes(),
+            );
         }
         headers.extend_from_slice(b"\r\nX-Missing-Parts: ");
         number(&mut headers, (of - parts.len()) as u64);
         headers.extend_from_slice(b"\r\n");
         let body = greatest(parts.iter().map(|part| part.body.as_slice()), limit);
-        Reply { status: 200, headers, body }
+        Reply {
+            status: 200,
+            headers,
+            body,
+        }
     }
 
     /// Given up: a promise only where nothing of it can have run, and when to come back.
@@ -58,7 +75,11 @@
             let seconds = (after as f64 / TENTHS_A_SECOND).max(SHORTEST_WAIT);
             headers.extend_from_slice(format!("Retry-After: {seconds:.3}\r\n").as_bytes());
         }
-        Reply { status: if may_have_run { 502 } else { 503 }, headers, body: Vec::new() }
+        Reply {
+            status: if may_have_run { 502 } else { 503 },
+            headers,
+            body: Vec::new(),
+        }
     }
 }
 
