--- a/crates/linenthread-dataplane/src/serve.rs
+++ b/crates/linenthread-dataplane/src/serve.rs
@@ -40,7 +40,12 @@
 impl Bounds {
     fn of(plan: Option<&Plan>) -> Bounds {
         let Some(plan) = plan else {
-            return Bounds { head: HEAD, payload: PAYLOAD, whole_head: HEADER, quiet: QUIET };
+            return Bounds {
+                head: HEAD,
+                payload: PAYLOAD,
+                whole_head: HEADER,
+                quiet: QUIET,
+            };
         };
         let told = &plan.constraints;
         Bounds {
@@ -82,7 +87,9 @@
             }
         };
         let to_head = head.method() == "HEAD";
-        let Some(reply) = handle(&mut http, &head, body, &plane).await else { return };
+        let Some(reply) = handle(&mut http, &head, body, &plane).await else {
+            return;
+        };
         let keep = head.keeps() && !plane.ending.get();
         if respond(&mut http, &reply, keep, to_head).await.is_err() || !keep {
             return;
@@ -96,11 +103,18 @@
     bounds: &Bounds,
     peer: SocketAddr,
 ) -> Result<(Head, Vec<u8>), Option<u16>> {
-    let head = match http.request(bounds.head, bounds.quiet, bounds.whole_head).await {
+    let head = match http
+        .request(bounds.head, bounds.quiet, bounds.whole_head)
+        .await
+    {
         Ok(head) => head,
         Err(Stop::Refused(refusal)) => {
             refused("reading a head", peer, format_args!("{refusal:?}"));
-            return Err(Some(if refusal == Refusal::TooLong { 431 } else { 400 }));
+            return Err(Some(if refusal == Refusal::TooLong {
+                431
+            } else {
+                400
+            }));
         }
         Err(_) => return Err(None),
     };
@@ -110,7 +124,9 @@
     })?;
     if head.says("expect", "100-continue") {
         let by = Instant::now() + HEADER;
-        http.write(b"HTTP/1.1 100 Continue\r\n\r\n", by).await.map_err(|_| None)?;
+        http.write(b"HTTP/1.1 100 Continue\r\n\r\n", by)
+            .await
+            .map_err(|_| None)?;
     }
     let body = read_body(http, framing, bounds, peer).await?;
     Ok((head, body))
@@ -133,7 +149,11 @@
 }
 
 fn body_status(refusal: Refusal) -> u16 {
-    if refusal == Refusal::BodyTooLong { 413 } else { 400 }
+    if refusal == Refusal::BodyTooLong {
+        413
+    } else {
+        400
+    }
 }
 
 /// One whole request to its reply; none where the client has left.
@@ -148,12 +168,22 @@
     C: Connector,
 {
     let Some(plan) = plane.plan() else {
-        return Some(Reply { status: 503, headers: b"Retry-After: 0.5\r\n".to_vec(), body: Vec::new() });
+        return Some(Reply {
+            status: 503,
+            headers: b"Retry-After: 0.5\r\n".to_vec(),
+            body: Vec::new(),
+        });
     };
     let host = head.header("host").unwrap_or_default();
-    let Some(planned) = plan.route(host, head.path()) else { return Some(Reply::bare(404)) };
-    let Some(attempt) = attempt(head) else { return Some(Reply::bare(400)) };
-    let Ok(deadline) = deadline(head, planned) else { return Some(Reply::bare(400)) };
+    let Some(planned) = plan.route(host, head.path()) else {
+        return Some(Reply::bare(404));
+    };
+    let Some(attempt) = attempt(head) else {
+        return Some(Reply::bare(400));
+    };
+    let Ok(deadline) = deadline(head, planned) else {
+        return Some(Reply::bare(400));
+    };
     let request = Request::new(
         head_to_replicas(head, host),
         end_to_replicas(head, &body),
@@ -176,7 +206,8 @@
 /// The request's id, by which its answers are known: exactly one.
 fn attempt(head: &Head) -> Option<&str> {
     let only = head.all("x-attempt-id").count() == 1;
-    head.header("x-attempt-id").filter(|attempt| only && !attempt.is_empty())
+    head.header("x-attempt-id")
+        .filter(|attempt| only && !attempt.is_empty())
 }
 
 /// When a request ends: what the client leaves of its time, within the route's own bound.
@@ -192,7 +223,14 @@
 /// A request's head for replicas, but for the headers that each of them gets of its own.
 fn head_to_replicas(head: &Head, host: &str) -> Vec<u8> {
     let mut begin = Vec::with_capacity(256);
-    for piece in [head.method(), " ", head.target(), " HTTP/1.1\r\nHost: ", host, "\r\n"] {
+    for piece in [
+        head.method(),
+        " ",
+        head.target(),
+        " HTTP/1.1\r\nHost: ",
+        host,
+        "\r\n",
+    ] {
         begin.extend_from_slice(piece.as_bytes());
     }
     head.pass_on(&mut begin, &OURS);
--- a/crates/linenthread-dataplane/src/terms.rs
+++ b/crates/linenthread-dataplane/src/terms.rs
@@ -17,7 +17,11 @@
         _ => 1.0,
     };
     Index {
-        effect: if route.mode == Mode::Mutating { Effect::OnceOnly } else { Effect::Idempotent },
+        effect: if route.mode == Mode::Mutating {
+            Effect::OnceOnly
+        } else {
+            Effect::Idempotent
+        },
         soft_deadline: tenths(route.target_ms.unwrap_or(route.limit_ms)),
         gain: 1.0 / (1.0 + route.rank.clamp(0, 1_000) as f64),
         late_share: LATE_SHARE,
@@ -38,7 +42,10 @@
         customer_quotas: Vec::new(),
         over_share_gain: 1.0,
         gain_by_work: false,
-        layout: Layout { cells: services, in_a_row: 1 },
+        layout: Layout {
+            cells: services,
+            in_a_row: 1,
+        },
         allowance: Allowance {
             calls_a_part: tries,
             second_copies: tries > 1,
@@ -47,7 +54,12 @@
             retry_advice: Some(Tenths::MAX),
         },
         // Replicas say when they are slow after their start; nothing says that they fall over.
-        cold: ColdStart { share: 1.0, warm_up: 0, multiple: 1.0, window: 10_000 },
+        cold: ColdStart {
+            share: 1.0,
+            warm_up: 0,
+            multiple: 1.0,
+            window: 10_000,
+        },
         queue_told: false,
         short_queues: true,
         drain_grace: 0,
--- a/crates/linenthread-dataplane/tests/outcome.rs
+++ b/crates/linenthread-dataplane/tests/outcome.rs
@@ -4,7 +4,9 @@
 use linenthread_config::Mode;
 use linenthread_core::interface::Ending;
 use linenthread_dataplane::outcome::SendState::{MayHaveRun, NeverLeft, Rejected};
-use linenthread_dataplane::outcome::{Connection, SendState, WireEvent, classify, judge, may_send_again};
+use linenthread_dataplane::outcome::{
+    Connection, SendState, WireEvent, classify, judge, may_send_again,
+};
 use linenthread_http::Head;
 use yare::parameterized;
 
@@ -55,7 +57,11 @@
         for connection in [Connection::Fresh, Connection::Reused] {
             for gathers in [false, true] {
                 let (ending, sent) = judge(event, connection, gathers);
-                assert_eq!(ending.never_ran(), sent != SendState::MayHaveRun, "{event:?}");
+                assert_eq!(
+                    ending.never_ran(),
+                    sent != SendState::MayHaveRun,
+                    "{event:?}"
+                );
             }
         }
     }
@@ -72,7 +78,8 @@
 }
 
 fn head(text: &str) -> Head {
-    let mut bytes = BytesMut::from(format!("HTTP/1.1 {text}\r\nContent-Length: 0\r\n\r\n").as_bytes());
+    let mut bytes =
+        BytesMut::from(format!("HTTP/1.1 {text}\r\nContent-Length: 0\r\n\r\n").as_bytes());
     Head::answer(&mut bytes, 4_096).unwrap().unwrap()
 }
 
--- a/crates/linenthread-dataplane/tests/pool.rs
+++ b/crates/linenthread-dataplane/tests/pool.rs
@@ -57,23 +57,42 @@
 
 /// A replica whose connections do this, each reply to one request.
 fn rig(connections: Vec<Vec<Reply>>) -> Rig {
-    rig_of(connections.into_iter().map(|replies| (WriteFate::Taken, replies)).collect())
+    rig_of(
+        connections
+            .into_iter()
+            .map(|replies| (WriteFate::Taken, replies))
+            .collect(),
+    )
 }
 
 fn rig_of(connections: Vec<(WriteFate, Vec<Reply>)>) -> Rig {
     let script = Rc::new(Script::default());
-    let scripted =
-        connections.into_iter().map(|(write, replies)| Scripted { write, replies: replies.into() });
+    let scripted = connections.into_iter().map(|(write, replies)| Scripted {
+        write,
+        replies: replies.into(),
+    });
     script.connections.borrow_mut().extend(scripted);
     let (network, address) = (Network::default(), SocketAddr::from(([10, 0, 0, 1], 80)));
     network.listen(address, script.clone());
-    let replica = linenthread_messages::Replica { ident: "i".into(), ..Default::default() };
-    Rig { script, pool: ReplicaPool::new(&replica, "s".into(), address, network) }
+    let replica = linenthread_messages::Replica {
+        ident: "i".into(),
+        ..Default::default()
+    };
+    Rig {
+        script,
+        pool: ReplicaPool::new(&replica, "s".into(), address, network),
+    }
 }
 
 fn request(attempt: &str) -> Request {
     let begin = format!("POST /x HTTP/1.1\r\nHost: h\r\nX-Attempt-Id: {attempt}\r\n").into_bytes();
-    Request::new(begin, b"Content-Length: 2\r\n\r\nhi".to_vec(), attempt.into(), false, false)
+    Request::new(
+        begin,
+        b"Content-Length: 2\r\n\r\nhi".to_vec(),
+        attempt.into(),
+        false,
+        false,
+    )
 }
 
 fn answer(id: &str, body: &str) -> Event {
@@ -101,7 +120,10 @@
 
 #[tokio::test(start_paused = true)]
 async fn a_connection_carries_one_request_after_another() {
-    let rig = rig(vec![vec![vec![(1, answer("a", "1"))], vec![(1, answer("b", "2"))]]]);
+    let rig = rig(vec![vec![
+        vec![(1, answer("a", "1"))],
+        vec![(1, answer("b", "2"))],
+    ]]);
     assert_eq!(rig.body("a").await.unwrap(), b"1");
     assert_eq!(rig.body("b").await.unwrap(), b"2");
     assert_eq!(rig.script.opened.get(), 1);
@@ -131,12 +153,21 @@
 
 #[tokio::test(start_paused = true)]
 async fn a_connection_that_stayed_silent_is_not_used_again() {
-    let rig = rig(vec![vec![vec![(300, answer("a", "late"))]], vec![vec![(1, answer("a", "2"))]]]);
+    let rig = rig(vec![
+        vec![vec![(300, answer("a", "late"))]],
+        vec![vec![(1, answer("a", "2"))]],
+    ]);
     let request = request("a");
-    assert!(may_have_run(&rig.pool.call(&request, TIME).await, Ending::TimedOut));
+    assert!(may_have_run(
+        &rig.pool.call(&request, TIME).await,
+        Ending::TimedOut
+    ));
     assert_eq!(rig.pool.idle(), 0);
     tokio::time::sleep(TIME).await;
-    assert_eq!(rig.pool.call(&request, TIME).await.answer.unwrap().body, b"2");
+    assert_eq!(
+        rig.pool.call(&request, TIME).await.answer.unwrap().body,
+        b"2"
+    );
     assert_eq!(rig.script.opened.get(), 2);
 }
 
@@ -144,7 +175,10 @@
 async fn bytes_behind_an_answer_end_the_connection() {
     let mut two = message(200, "a", "seal", "", b"1");
     two.extend(message(200, "b", "seal", "", b"2"));
-    let rig = rig(vec![vec![vec![(1, Event::Bytes(two))]], vec![vec![(1, answer("b", "3"))]]]);
+    let rig = rig(vec![
+        vec![vec![(1, Event::Bytes(two))]],
+        vec![vec![(1, answer("b", "3"))]],
+    ]);
     assert_eq!(rig.body("a").await.unwrap(), b"1");
     assert_eq!(rig.pool.idle(), 0);
     assert_eq!(rig.body("b").await.unwrap(), b"3");
@@ -163,8 +197,10 @@
 
 #[tokio::test(start_paused = true)]
 async fn an_idle_connection_that_the_replica_closed_is_not_used() {
-    let rig =
-        rig(vec![vec![vec![(1, answer("a", "1")), (20, Event::Close)]], vec![vec![(1, answer("b", "2"))]]]);
+    let rig = rig(vec![
+        vec![vec![(1, answer("a", "1")), (20, Event::Close)]],
+        vec![vec![(1, answer("b", "2"))]],
+    ]);
     rig.call("a").await;
     tokio::time::sleep(TIME).await;
     rig.pool.tidy();
@@ -174,7 +210,10 @@
 
 #[tokio::test(start_paused = true)]
 async fn what_went_out_on_a_forgotten_connection_may_have_run() {
-    let rig = rig(vec![vec![vec![(1, answer("a", "1"))], vec![(1, Event::Reset)]]]);
+    let rig = rig(vec![vec![
+        vec![(1, answer("a", "1"))],
+        vec![(1, Event::Reset)],
+    ]]);
     rig.call("a").await;
     assert!(may_have_run(&rig.call("b").await, Ending::Errored));
 }
@@ -194,7 +233,10 @@
         for end in [Event::Reset, Event::Close] {
             let half = Event::Bytes(whole[..length].to_vec());
             let rig = rig(vec![vec![vec![(1, half), (2, end)]]]);
-            assert!(may_have_run(&rig.call("a").await, Ending::Errored), "{length}");
+            assert!(
+                may_have_run(&rig.call("a").await, Ending::Errored),
+                "{length}"
+            );
             assert_eq!(rig.pool.idle(), 0);
         }
     }
@@ -210,23 +252,36 @@
 
 #[tokio::test(start_paused = true)]
 async fn a_write_that_fails_halfway_may_have_run() {
-    let rig = rig_of(vec![(WriteFate::FailsAfter(30), vec![]), (WriteFate::StopsAfter(30), vec![])]);
+    let rig = rig_of(vec![
+        (WriteFate::FailsAfter(30), vec![]),
+        (WriteFate::StopsAfter(30), vec![]),
+    ]);
     assert!(may_have_run(&rig.call("a").await, Ending::Broken));
     assert!(may_have_run(&rig.call("b").await, Ending::TimedOut));
 }
 
 #[tokio::test(start_paused = true)]
 async fn a_write_of_which_nothing_left_never_ran() {
-    let rig = rig_of(vec![(WriteFate::FailsAfter(0), vec![]), (WriteFate::StopsAfter(0), vec![])]);
+    let rig = rig_of(vec![
+        (WriteFate::FailsAfter(0), vec![]),
+        (WriteFate::StopsAfter(0), vec![]),
+    ]);
     for _ in 0..2 {
         let outcome = rig.call("a").await;
-        assert_eq!((outcome.ending, outcome.sent), (Ending::Unconnected, SendState::NeverLeft));
+        assert_eq!(
+            (outcome.ending, outcome.sent),
+            (Ending::Unconnected, SendState::NeverLeft)
+        );
     }
 }
 
 #[tokio::test(start_paused = true)]
 async fn a_rejection_is_believed_by_its_id_or_on_a_first_request() {
-    let first = vec![vec![(1, rejection(""))], vec![(1, rejection("b"))], vec![(1, rejection(""))]];
+    let first = vec![
+        vec![(1, rejection(""))],
+        vec![(1, rejection("b"))],
+        vec![(1, rejection(""))],
+    ];
     let rig = rig(vec![first]);
     assert_eq!(rig.call("a").await.sent, SendState::Rejected);
     assert_eq!(rig.call("b").await.sent, SendState::Rejected);
@@ -240,9 +295,15 @@
     let rejected_twice = vec![vec![(1, rejection("a"))], vec![(1, rejection("a"))]];
     let rig = rig(vec![rejected_twice, vec![vec![(1, answer("a", "1"))]]]);
     let request = request("a");
-    assert_eq!(rig.pool.call(&request, TIME).await.sent, SendState::Rejected);
+    assert_eq!(
+        rig.pool.call(&request, TIME).await.sent,
+        SendState::Rejected
+    );
     assert_eq!(rig.pool.idle(), 1);
-    assert_eq!(rig.pool.call(&request, TIME).await.answer.unwrap().body, b"1");
+    assert_eq!(
+        rig.pool.call(&request, TIME).await.answer.unwrap().body,
+        b"1"
+    );
     assert_eq!(rig.script.opened.get(), 2);
 }
 
@@ -251,7 +312,10 @@
     let misdirected = Event::Bytes(message(421, "", "", "X-Replica-Id: j\r\n", b""));
     let rig = rig(vec![vec![vec![(1, misdirected)]]]);
     let outcome = rig.call("a").await;
-    assert_eq!((outcome.ending, outcome.sent), (Ending::Unconnected, SendState::Rejected));
+    assert_eq!(
+        (outcome.ending, outcome.sent),
+        (Ending::Unconnected, SendState::Rejected)
+    );
     assert_eq!(rig.pool.idle(), 0);
 }
 
--- a/crates/linenthread-dataplane/tests/serve.rs
+++ b/crates/linenthread-dataplane/tests/serve.rs
@@ -35,7 +35,9 @@
 
     fn receive(&mut self, _: &[u8], inbound: &mut Inbound) {
         self.requests.set(self.requests.get() + 1);
-        self.reply.iter().for_each(|event| inbound.push(Duration::from_millis(2), event.clone()));
+        self.reply
+            .iter()
+            .for_each(|event| inbound.push(Duration::from_millis(2), event.clone()));
     }
 }
 
@@ -45,18 +47,29 @@
     let network = Network::default();
     let plane = DataPlane::new(Rc::new(settings()), 1, network.clone());
     plane.adopt(configuration().as_bytes());
-    plane.allot(Share { free: 100.0, until: u64::MAX, own: 0, fronts: 1, epoch: 1 });
-    let Some(replicas) = replicas else { return plane };
-    let told = ["s1", "s4", "s1", "s4"].iter().zip(1u8..).map(|(service, n)| {
-        let address = SocketAddr::from(([10, 0, 0, n], 80));
-        network.listen(address, Rc::new(replicas.clone()));
-        linenthread_messages::Replica {
-            ident: format!("i{n}"),
-            backend: (*service).into(),
-            address: address.to_string(),
-            ..Default::default()
-        }
+    plane.allot(Share {
+        free: 100.0,
+        until: u64::MAX,
+        own: 0,
+        fronts: 1,
+        epoch: 1,
     });
+    let Some(replicas) = replicas else {
+        return plane;
+    };
+    let told = ["s1", "s4", "s1", "s4"]
+        .iter()
+        .zip(1u8..)
+        .map(|(service, n)| {
+            let address = SocketAddr::from(([10, 0, 0, n], 80));
+            network.listen(address, Rc::new(replicas.clone()));
+            linenthread_messages::Replica {
+                ident: format!("i{n}"),
+                backend: (*service).into(),
+                address: address.to_string(),
+                ..Default::default()
+            }
+        });
     plane.hear(&told.collect::<Vec<_>>(), true);
     plane
 }
@@ -74,8 +87,11 @@
 }
 
 fn simulated<T>(future: impl Future<Output = T>) -> T {
-    let runtime =
-        tokio::runtime::Builder::new_current_thread().enable_time().start_paused(true).build().unwrap();
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_time()
+        .start_paused(true)
+        .build()
+        .unwrap();
     LocalSet::new().block_on(&runtime, future)
 }
 
@@ -117,8 +133,15 @@
     failed_with_a_seal = { vec![Event::Bytes(message(500, "a", "seal", "", b""))], 500 },
 )]
 fn what_may_not_be_repeated_and_may_have_run_is_sent_once(reply: Vec<Event>, expected: u16) {
-    let replicas = Replicas { reply, requests: Rc::default() };
-    let got = simulated(status(Some(replicas.clone()), "/once/x", "X-Attempt-Id: a\r\n"));
+    let replicas = Replicas {
+        reply,
+        requests: Rc::default(),
+    };
+    let got = simulated(status(
+        Some(replicas.clone()),
+        "/once/x",
+        "X-Attempt-Id: a\r\n",
+    ));
     assert_eq!((got, replicas.requests.get()), (expected, 1));
 }
 
@@ -128,16 +151,30 @@
     by_another_at_the_address = { message(421, "", "", "X-Replica-Id: j\r\n", b"") },
 )]
 fn what_never_ran_is_sent_again_and_refused_with_a_promise(reply: Vec<u8>) {
-    let replicas = Replicas { reply: vec![Event::Bytes(reply)], requests: Rc::default() };
-    let got = simulated(status(Some(replicas.clone()), "/once/x", "X-Attempt-Id: a\r\n"));
+    let replicas = Replicas {
+        reply: vec![Event::Bytes(reply)],
+        requests: Rc::default(),
+    };
+    let got = simulated(status(
+        Some(replicas.clone()),
+        "/once/x",
+        "X-Attempt-Id: a\r\n",
+    ));
     assert_eq!(got, 503);
     assert!(replicas.requests.get() > 1);
 }
 
 #[test]
 fn what_may_be_repeated_is_sent_again_after_a_reset() {
-    let replicas = Replicas { reply: vec![Event::Reset], requests: Rc::default() };
-    let got = simulated(status(Some(replicas.clone()), "/one/x", "X-Attempt-Id: a\r\n"));
+    let replicas = Replicas {
+        reply: vec![Event::Reset],
+        requests: Rc::default(),
+    };
+    let got = simulated(status(
+        Some(replicas.clone()),
+        "/one/x",
+        "X-Attempt-Id: a\r\n",
+    ));
     assert_eq!(got, 502);
     assert!(replicas.requests.get() > 1);
 }
--- a/crates/linenthread-demo/src/cluster.rs
+++ b/crates/linenthread-demo/src/cluster.rs
@@ -38,7 +38,8 @@
     /// No folder can be made.
     pub fn new(program: &Path) -> std::io::Result<Cluster> {
         let folder = tempfile::tempdir()?;
-        let draw = std::hash::BuildHasher::hash_one(&std::collections::hash_map::RandomState::new(), 1);
+        let draw =
+            std::hash::BuildHasher::hash_one(&std::collections::hash_map::RandomState::new(), 1);
         Ok(Cluster {
             program: program.to_owned(),
             folder,
@@ -68,7 +69,11 @@
 
     /// Names of all fronts.
     pub fn front_names(&self) -> Vec<String> {
-        self.machines.iter().filter(|m| m.role == Role::Front).map(|m| m.name.clone()).collect()
+        self.machines
+            .iter()
+            .filter(|m| m.role == Role::Front)
+            .map(|m| m.name.clone())
+            .collect()
     }
 
     /// Control addresses of all control nodes.
@@ -78,7 +83,9 @@
 
     /// Control addresses of all control nodes but these.
     pub fn control_without(&self, names: &[&str]) -> Vec<SocketAddr> {
-        let others = self.controls().filter(|m| !names.contains(&m.name.as_str()));
+        let others = self
+            .controls()
+            .filter(|m| !names.contains(&m.name.as_str()));
         others.filter_map(|m| m.at(CONTROL_PORT)).collect()
     }
 
@@ -101,10 +108,20 @@
     fn make(&self, role: Role) -> Machine {
         let index = self.machines.len();
         let number = 1 + self.machines.iter().filter(|m| m.role == role).count();
-        let kind = if role == Role::Control { "control" } else { "front" };
+        let kind = if role == Role::Control {
+            "control"
+        } else {
+            "front"
+        };
         let ip = format!("127.{}.{}.{}", self.net.0, self.net.1, index + 1);
         let zone = format!("zone-{}", index % 3);
-        Machine::new(self.folder.path(), role, &format!("{kind}-{number}"), ip, zone)
+        Machine::new(
+            self.folder.path(),
+            role,
+            &format!("{kind}-{number}"),
+            ip,
+            zone,
+        )
     }
 
     /// Starts so many control nodes and fronts, the whole system for the first time.
@@ -113,7 +130,11 @@
     /// A process can't be started.
     pub fn start(&mut self, controls: usize, fronts: usize) -> std::io::Result<()> {
         for index in 0..controls + fronts {
-            let role = if index < controls { Role::Control } else { Role::Front };
+            let role = if index < controls {
+                Role::Control
+            } else {
+                Role::Front
+            };
             let machine = self.make(role);
             self.machines.push(machine);
         }
@@ -130,7 +151,11 @@
     }
 
     fn bootstrap(&self) -> Vec<String> {
-        self.control().iter().take(BOOTSTRAP).map(ToString::to_string).collect()
+        self.control()
+            .iter()
+            .take(BOOTSTRAP)
+            .map(ToString::to_string)
+            .collect()
     }
 
     /// Starts one control node more, with an empty disk, and says its name.
@@ -152,7 +177,9 @@
     /// It can't be started.
     pub fn run(&mut self, name: &str) -> std::io::Result<()> {
         let program = self.program.clone();
-        let Some(machine) = self.machine_mut(name) else { return Ok(()) };
+        let Some(machine) = self.machine_mut(name) else {
+            return Ok(());
+        };
         if let Some(output) = machine.start(&program)? {
             self.lines.follow(name, output);
         }
@@ -180,7 +207,9 @@
     /// Asks a process to end and waits until it has; true if it ended well within a minute.
     pub fn end(&mut self, name: &str) -> bool {
         self.signal(name, Signal::Terminate)
-            && self.wait_end(name, Duration::from_secs(60)).unwrap_or_default()
+            && self
+                .wait_end(name, Duration::from_secs(60))
+                .unwrap_or_default()
     }
 
     /// Whether its process runs.
@@ -217,8 +246,15 @@
     }
 
     /// Waits until the members as one control node knows them are as wanted; false when the time is up.
-    pub fn wait_members(&self, name: &str, within: Duration, wanted: impl Fn(&Value) -> bool) -> bool {
-        let Some(peer) = self.control_of(name) else { return false };
+    pub fn wait_members(
+        &self,
+        name: &str,
+        within: Duration,
+        wanted: impl Fn(&Value) -> bool,
+    ) -> bool {
+        let Some(peer) = self.control_of(name) else {
+            return false;
+        };
         let by = Instant::now() + within;
         loop {
             if members_at(peer).is_some_and(|members| wanted(&members)) {
@@ -243,11 +279,17 @@
     ///
     /// # Errors
     /// No address can be had.
-    pub fn serve_with(&mut self, service: &str, many: usize, how: Misbehaviour) -> std::io::Result<()> {
+    pub fn serve_with(
+        &mut self,
+        service: &str,
+        many: usize,
+        how: Misbehaviour,
+    ) -> std::io::Result<()> {
         for n in 0..many {
             let ident = format!("i-{service}-{}", self.replicas.len());
             let zone = format!("zone-{}", n % 3);
-            self.replicas.push(Replica::start(service, &ident, &zone, self.control(), how)?);
+            self.replicas
+                .push(Replica::start(service, &ident, &zone, self.control(), how)?);
         }
         Ok(())
     }
@@ -259,9 +301,18 @@
     /// No control node could be asked.
     pub fn configure(&self, base: u64, revision: u64, services: &[&str]) -> Result<Reply, Fault> {
         let order = Order::new(base, revision, services, 0);
-        let client = linenthread_ctl::Client { addresses: self.control(), within: Duration::from_secs(2) };
+        let client = linenthread_ctl::Client {
+            addresses: self.control(),
+            within: Duration::from_secs(2),
+        };
         let headers = [("X-Base-Revision", base.to_string())];
-        client.call("POST", "/Configuration.Replace", &headers, &order.document, 20)
+        client.call(
+            "POST",
+            "/Configuration.Replace",
+            &headers,
+            &order.document,
+            20,
+        )
     }
 
     /// One lookup at a front, as a client asks.
--- a/crates/linenthread-demo/src/lib.rs
+++ b/crates/linenthread-demo/src/lib.rs
@@ -11,5 +11,7 @@
 
 pub use cluster::Cluster;
 pub use machine::Signal;
-pub use operator::{Observed, Order, Writer, Written, drain_at, read_at, replace_anywhere, replace_at};
+pub use operator::{
+    Observed, Order, Writer, Written, drain_at, read_at, replace_anywhere, replace_at,
+};
 pub use replica::{Misbehaviour, Ran, Replica, records};
--- a/crates/linenthread-demo/src/log_lines.rs
+++ b/crates/linenthread-demo/src/log_lines.rs
@@ -20,7 +20,11 @@
 impl LogLines {
     pub fn new() -> LogLines {
         let (sender, receiver) = channel();
-        LogLines { sender, receiver, seen: Vec::new() }
+        LogLines {
+            sender,
+            receiver,
+            seen: Vec::new(),
+        }
     }
 
     /// Collects what a process writes until it ends.
@@ -28,7 +32,10 @@
         let (sender, machine) = (self.sender.clone(), machine.to_owned());
         std::thread::spawn(move || {
             for text in BufReader::new(output).lines().map_while(Result::ok) {
-                let _ = sender.send(Line { machine: machine.clone(), text });
+                let _ = sender.send(Line {
+                    machine: machine.clone(),
+                    text,
+                });
             }
         });
     }
@@ -46,20 +53,28 @@
         while let Ok(line) = self.receiver.try_recv() {
             self.seen.push(line);
         }
-        let is = |line: &&Line| line.machine == machine && words.iter().any(|w| line.text.contains(w));
-        self.seen.iter().filter(is).map(|line| line.text.clone()).collect()
+        let is =
+            |line: &&Line| line.machine == machine && words.iter().any(|w| line.text.contains(w));
+        self.seen
+            .iter()
+            .filter(is)
+            .map(|line| line.text.clone())
+            .collect()
     }
 
     /// Waits until a process has written a line that holds all of these words; false when the time is up.
     pub fn wait_for(&mut self, machine: &str, words: &[&str], within: Duration) -> bool {
         let by = Instant::now() + within;
-        let is = |line: &Line| line.machine == machine && words.iter().all(|w| line.text.contains(w));
+        let is =
+            |line: &Line| line.machine == machine && words.iter().all(|w| line.text.contains(w));
         if self.seen.iter().any(is) {
             return true;
         }
         loop {
             let left = by.saturating_duration_since(Instant::now());
-            let Ok(line) = self.receiver.recv_timeout(left) else { return false };
+            let Ok(line) = self.receiver.recv_timeout(left) else {
+                return false;
+            };
             let found = is(&line);
             self.seen.push(line);
             if found {
--- a/crates/linenthread-demo/src/machine.rs
+++ b/crates/linenthread-demo/src/machine.rs
@@ -124,8 +124,13 @@
 
     /// Sends its process a signal; false if it has none or the signal can't be sent.
     pub fn signal(&self, signal: Signal) -> bool {
-        let Some(child) = &self.process else { return false };
-        let sent = Command::new("kill").arg(signal.option()).arg(child.id().to_string()).status();
+        let Some(child) = &self.process else {
+            return false;
+        };
+        let sent = Command::new("kill")
+            .arg(signal.option())
+            .arg(child.id().to_string())
+            .status();
         sent.is_ok_and(|status| status.success())
     }
 
@@ -155,7 +160,9 @@
 
     /// Whether its process runs, or is stopped and could go on.
     pub fn runs(&mut self) -> bool {
-        self.process.as_mut().is_some_and(|p| matches!(p.try_wait(), Ok(None)))
+        self.process
+            .as_mut()
+            .is_some_and(|p| matches!(p.try_wait(), Ok(None)))
     }
 
     /// Empties its disk.
@@ -183,7 +190,9 @@
 }
 
 fn folder_bytes(folder: &Path) -> u64 {
-    let Ok(entries) = std::fs::read_dir(folder) else { return 0 };
+    let Ok(entries) = std::fs::read_dir(folder) else {
+        return 0;
+    };
     let bytes = |entry: std::fs::DirEntry| match entry.metadata() {
         Ok(metadata) if metadata.is_dir() => folder_bytes(&entry.path()),
         Ok(metadata) => metadata.len(),
--- a/crates/linenthread-demo/src/main.rs
+++ b/crates/linenthread-demo/src/main.rs
@@ -40,14 +40,20 @@
 type Step<T> = Result<T, Box<dyn std::error::Error>>;
 
 fn reached(is: bool, what: &str) -> Step<()> {
-    if is { Ok(()) } else { Err(format!("{what} did not come to be in time").into()) }
+    if is {
+        Ok(())
+    } else {
+        Err(format!("{what} did not come to be in time").into())
+    }
 }
 
 /// Asks until the answer is whole, a bounded number of times, and prints it.
 fn ask(cluster: &Cluster, front: &str, attempt: &str) -> Step<()> {
     for n in 0..500 {
         let attempt = format!("{attempt}-{n}");
-        let Ok(reply) = cluster.ask(front, "/all/example", &attempt) else { continue };
+        let Ok(reply) = cluster.ask(front, "/all/example", &attempt) else {
+            continue;
+        };
         if reply.status != 200 || reply.head.header("x-missing-parts") != Some("0") {
             continue;
         }
@@ -64,50 +70,87 @@
 
 fn show(program: &Path) -> Step<()> {
     let mut cluster = Cluster::new(program)?;
-    println!("three control nodes, two fronts, two stand-in replicas of each of {}", SERVICES.join(", "));
+    println!(
+        "three control nodes, two fronts, two stand-in replicas of each of {}",
+        SERVICES.join(", ")
+    );
     cluster.start(3, 2)?;
     for node in ["control-1", "control-2", "control-3"] {
-        reached(cluster.wait_for(node, &["event=control_open"], SOON), "a control node")?;
+        reached(
+            cluster.wait_for(node, &["event=control_open"], SOON),
+            "a control node",
+        )?;
     }
     for service in SERVICES {
         cluster.serve(service, 2)?;
     }
     println!("an operator sends the first configuration");
-    reached(cluster.configure(0, 1, &SERVICES)?.status == 200, "the configuration")?;
+    reached(
+        cluster.configure(0, 1, &SERVICES)?.status == 200,
+        "the configuration",
+    )?;
     for front in ["front-1", "front-2"] {
         reached(
             cluster.wait_for(front, &["event=configuration", "revision=1"], SOON),
             "its news at a front",
         )?;
-        reached(cluster.wait_for(front, &["event=replicas", "here=6"], SOON), "news of replicas")?;
+        reached(
+            cluster.wait_for(front, &["event=replicas", "here=6"], SOON),
+            "news of replicas",
+        )?;
     }
     println!("a lookup of all shards: the five greatest records of their parts");
     ask(&cluster, "front-1", "first")?;
     println!("a replica crashes; the next lookup is whole all the same");
     cluster.replicas[0].crash();
     ask(&cluster, "front-1", "second")?;
-    println!("control-1 is killed and loses its disk; a configuration is acknowledged by the others");
+    println!(
+        "control-1 is killed and loses its disk; a configuration is acknowledged by the others"
+    );
     cluster.kill("control-1");
     cluster.wipe("control-1")?;
-    reached(cluster.configure(1, 4, &SERVICES)?.status == 200, "the configuration")?;
+    reached(
+        cluster.configure(1, 4, &SERVICES)?.status == 200,
+        "the configuration",
+    )?;
     println!("it comes back empty, is counted under a new name, and another may go");
     cluster.run("control-1")?;
-    reached(cluster.wait_for("control-1", &["event=decided", "number=3", "revision=4"], SOON), "the swap")?;
+    reached(
+        cluster.wait_for(
+            "control-1",
+            &["event=decided", "number=3", "revision=4"],
+            SOON,
+        ),
+        "the swap",
+    )?;
     cluster.kill("control-2");
-    reached(cluster.configure(4, 6, &SERVICES)?.status == 200, "the configuration")?;
+    reached(
+        cluster.configure(4, 6, &SERVICES)?.status == 200,
+        "the configuration",
+    )?;
     println!("front-1 is killed; front-2 goes by the newest configuration and takes its work on");
     cluster.kill("front-1");
-    reached(cluster.wait_for("front-2", &["event=configuration", "revision=6"], SOON), "its news")?;
+    reached(
+        cluster.wait_for("front-2", &["event=configuration", "revision=6"], SOON),
+        "its news",
+    )?;
     ask(&cluster, "front-2", "third")?;
     let control: Vec<String> = cluster.control().iter().map(ToString::to_string).collect();
-    println!("done; such a system is looked at by: linenthread-ctl --control {} status", control.join(","));
+    println!(
+        "done; such a system is looked at by: linenthread-ctl --control {} status",
+        control.join(",")
+    );
     Ok(())
 }
 
 fn play_rounds(program: &Path, flags: &flags::Rounds) -> Step<()> {
     let rounds = flags.rounds.unwrap_or(1);
     let seed = flags.seed.unwrap_or(1);
-    let scale = if flags.brief { Scale::BRIEF } else { Scale::LONG };
+    let scale = if flags.brief {
+        Scale::BRIEF
+    } else {
+        Scale::LONG
+    };
     let mut breaches = 0;
     for round in 0..rounds {
         for scenario in Scenario::ALL {
@@ -117,7 +160,11 @@
         }
     }
     println!("{rounds} rounds checked, {breaches} breaches");
-    if breaches == 0 { Ok(()) } else { Err("there were breaches".into()) }
+    if breaches == 0 {
+        Ok(())
+    } else {
+        Err("there were breaches".into())
+    }
 }
 
 /// Plays one scenario, prints what it found and counts its breaches.
@@ -143,7 +190,11 @@
 
 /// The daemon beside this program.
 fn beside() -> Option<PathBuf> {
-    Some(std::env::current_exe().ok()?.with_file_name("linenthread-node"))
+    Some(
+        std::env::current_exe()
+            .ok()?
+            .with_file_name("linenthread-node"),
+    )
 }
 
 fn main() -> ExitCode {
--- a/crates/linenthread-demo/src/operator.rs
+++ b/crates/linenthread-demo/src/operator.rs
@@ -33,13 +33,25 @@
         for service in services {
             let to = json!({"backend": service});
             routes.push(route(service, &format!("/{service}/"), "idempotent", &to));
-            routes.push(route(&format!("once-{service}"), &format!("/once/{service}/"), "mutating", &to));
+            routes.push(route(
+                &format!("once-{service}"),
+                &format!("/once/{service}/"),
+                "mutating",
+                &to,
+            ));
         }
-        let backends: Vec<_> = services.iter().map(|s| json!({"label": s, "max_conns": 60})).collect();
+        let backends: Vec<_> = services
+            .iter()
+            .map(|s| json!({"label": s, "max_conns": 60}))
+            .collect();
         let document = json!({"revision": revision, "route_table": routes, "backends": backends,
             "constraints": {"header_bytes": 4_096, "payload_bytes": 2_000, "header_ms": 1_000,
                 "quiet_ms": 5_000 + variant}});
-        Order { base, revision, document: document.to_string().into_bytes() }
+        Order {
+            base,
+            revision,
+            document: document.to_string().into_bytes(),
+        }
     }
 }
 
@@ -71,7 +83,8 @@
 
     /// An answer that says what is the case; silence, 307, 5xx, 408 and 429 say nothing of it.
     pub fn is_clear(&self) -> bool {
-        self.status.is_some_and(|s| s < 500 && !matches!(s, 307 | 408 | 429))
+        self.status
+            .is_some_and(|s| s < 500 && !matches!(s, 307 | 408 | 429))
     }
 
     /// The revision that the body names.
@@ -89,15 +102,26 @@
     within: Duration,
 ) -> Observed {
     let began = Instant::now();
-    let headers: Vec<(&str, String)> = base.map(|b| ("X-Base-Revision", b.to_string())).into_iter().collect();
+    let headers: Vec<(&str, String)> = base
+        .map(|b| ("X-Base-Revision", b.to_string()))
+        .into_iter()
+        .collect();
     let reply = call(peer, method, path, &headers, body, within);
     let after = began.elapsed();
     match reply {
         Ok(reply) => {
             let location = reply.head.header("location").and_then(read_location);
-            Observed { status: Some(reply.status), body: reply.body, location, after }
+            Observed {
+                status: Some(reply.status),
+                body: reply.body,
+                location,
+                after,
+            }
         }
-        Err(_) => Observed { after, ..Observed::default() },
+        Err(_) => Observed {
+            after,
+            ..Observed::default()
+        },
     }
 }
 
@@ -109,7 +133,14 @@
 
 /// Sends an order to one control node.
 pub fn replace_at(peer: SocketAddr, order: &Order, within: Duration) -> Observed {
-    observe(peer, "POST", "/Configuration.Replace", Some(order.base), &order.document, within)
+    observe(
+        peer,
+        "POST",
+        "/Configuration.Replace",
+        Some(order.base),
+        &order.document,
+        within,
+    )
 }
 
 /// Reads the configuration at one control node.
@@ -120,7 +151,9 @@
 /// The members as one control node knows them.
 pub fn members_at(peer: SocketAddr) -> Option<Value> {
     let seen = observe(peer, "GET", "/Members.Read", None, &[], CALL);
-    serde_json::from_slice(&seen.body).ok().filter(|_| seen.is(200))
+    serde_json::from_slice(&seen.body)
+        .ok()
+        .filter(|_| seen.is(200))
 }
 
 /// Whether a control node knows that a replica drains.
@@ -136,12 +169,21 @@
     let beat = json!({"backend": service, "address": "127.0.0.1:9", "zone": "zone-0", "revision": "v1",
         "capacity": 3, "phase": "draining", "warmup_ms": 0, "call_count": 1_000_000});
     let path = format!("/Replicas.Heartbeat/{ident}");
-    observe(peer, "POST", &path, None, beat.to_string().as_bytes(), within)
+    observe(
+        peer,
+        "POST",
+        &path,
+        None,
+        beat.to_string().as_bytes(),
+        within,
+    )
 }
 
 /// Sends an order to one address after another until one gives a clear answer, or the time is up.
 pub fn replace_anywhere(addresses: &[SocketAddr], order: &Order, within: Duration) -> Observed {
-    anywhere(addresses, within, |peer, left| replace_at(peer, order, left))
+    anywhere(addresses, within, |peer, left| {
+        replace_at(peer, order, left)
+    })
 }
 
 /// Reads at one address after another until one gives a clear answer, or the time is up.
@@ -160,11 +202,17 @@
         for peer in addresses {
             let left = within.saturating_sub(began.elapsed());
             if left.is_zero() {
-                return Observed { after: began.elapsed(), ..last };
+                return Observed {
+                    after: began.elapsed(),
+                    ..last
+                };
             }
             last = follow(*peer, left.min(CALL), &ask);
             if last.is_clear() {
-                return Observed { after: began.elapsed(), ..last };
+                return Observed {
+                    after: began.elapsed(),
+                    ..last
+                };
             }
         }
         std::thread::sleep(AGAIN);
@@ -172,10 +220,16 @@
 }
 
 /// Asks one address, and where a 307 sends, twice at most.
-fn follow(peer: SocketAddr, within: Duration, ask: &impl Fn(SocketAddr, Duration) -> Observed) -> Observed {
+fn follow(
+    peer: SocketAddr,
+    within: Duration,
+    ask: &impl Fn(SocketAddr, Duration) -> Observed,
+) -> Observed {
     let mut seen = ask(peer, within);
     for _ in 0..REDIRECTS {
-        let Some(next) = seen.location.filter(|_| seen.is(307)) else { break };
+        let Some(next) = seen.location.filter(|_| seen.is(307)) else {
+            break;
+        };
         seen = ask(next, within);
     }
     seen
@@ -204,13 +258,22 @@
 
 impl Writer {
     /// Goes on from an order that was acknowledged.
-    pub fn start(addresses: Vec<SocketAddr>, from: Order, services: &[&str], pause: Duration) -> Writer {
+    pub fn start(
+        addresses: Vec<SocketAddr>,
+        from: Order,
+        services: &[&str],
+        pause: Duration,
+    ) -> Writer {
         let addresses = Arc::new(Mutex::new(addresses));
         let stop: Arc<AtomicBool> = Arc::default();
         let services: Vec<String> = services.iter().map(|s| (*s).to_owned()).collect();
         let (known, ends) = (addresses.clone(), stop.clone());
         let thread = std::thread::spawn(move || write(&known, &ends, from, &services, pause));
-        Writer { addresses, stop, thread }
+        Writer {
+            addresses,
+            stop,
+            thread,
+        }
     }
 
     /// The control nodes that the operator knows from now on.
@@ -235,8 +298,13 @@
     pause: Duration,
 ) -> Written {
     let services: Vec<&str> = services.iter().map(String::as_str).collect();
-    let mut written =
-        Written { last: from, pending: None, acknowledged: 0, refused: None, longest: Duration::ZERO };
+    let mut written = Written {
+        last: from,
+        pending: None,
+        acknowledged: 0,
+        refused: None,
+        longest: Duration::ZERO,
+    };
     let mut acknowledged_at = Instant::now();
     while !stop.load(Ordering::Relaxed) {
         let base = written.last.revision;
--- a/crates/linenthread-demo/src/replica.rs
+++ b/crates/linenthread-demo/src/replica.rs
@@ -84,17 +84,30 @@
         let (beats, stop) = channel::<()>();
         let (beating, zone) = (shared.clone(), zone.to_owned());
         std::thread::spawn(move || beat(&beating, address, &zone, &control, &stop));
-        Ok(Replica { ident: ident.to_owned(), address, shared, beats: Some(beats) })
+        Ok(Replica {
+            ident: ident.to_owned(),
+            address,
+            shared,
+            beats: Some(beats),
+        })
     }
 
     /// All that it ran so far.
     pub fn ran(&self) -> Vec<Ran> {
-        self.shared.ran.lock().map(|r| r.clone()).unwrap_or_default()
+        self.shared
+            .ran
+            .lock()
+            .map(|r| r.clone())
+            .unwrap_or_default()
     }
 
     /// How often it misbehaved so far, by the way in which it did.
     pub fn misbehaved(&self) -> BTreeMap<&'static str, usize> {
-        self.shared.misbehaved.lock().map(|m| m.clone()).unwrap_or_default()
+        self.shared
+            .misbehaved
+            .lock()
+            .map(|m| m.clone())
+            .unwrap_or_default()
     }
 
     /// It crashes: no more beats, its connections end, its port refuses.
@@ -122,7 +135,13 @@
 }
 
 /// Beats until it is stopped, at the control node that acknowledged last, else at the next.
-fn beat(shared: &Shared, address: SocketAddr, zone: &str, control: &[SocketAddr], stop: &Receiver<()>) {
+fn beat(
+    shared: &Shared,
+    address: SocketAddr,
+    zone: &str,
+    control: &[SocketAddr],
+    stop: &Receiver<()>,
+) {
     let path = format!("/Replicas.Heartbeat/{}", shared.ident);
     let mut at = 0;
     for call_count in 1u64.. {
@@ -130,7 +149,14 @@
             "revision": "v1", "capacity": 3, "phase": "available", "warmup_ms": 0,
             "call_count": call_count});
         for _ in control {
-            let reply = call(control[at], "POST", &path, &[], beat.to_string().as_bytes(), PATIENCE);
+            let reply = call(
+                control[at],
+                "POST",
+                &path,
+                &[],
+                beat.to_string().as_bytes(),
+                PATIENCE,
+            );
             if reply.is_ok_and(|r| (200..300).contains(&r.status)) {
                 break;
             }
--- a/crates/linenthread-demo/src/replica/connection.rs
+++ b/crates/linenthread-demo/src/replica/connection.rs
@@ -29,7 +29,10 @@
         if shared.down.load(Ordering::Relaxed) {
             return Ok(());
         }
-        if head.header("x-target-replica").is_some_and(|t| t != shared.ident) {
+        if head
+            .header("x-target-replica")
+            .is_some_and(|t| t != shared.ident)
+        {
             stream.write_all(MISDIRECTED)?;
             continue;
         }
@@ -100,7 +103,9 @@
 
 fn answer(shared: &Shared, id: Option<&str>, attempt: &str, path: &str) -> Vec<u8> {
     let records = records(&shared.service, path);
-    let id = id.map(|id| format!("X-Attempt-Id: {id}\r\n")).unwrap_or_default();
+    let id = id
+        .map(|id| format!("X-Attempt-Id: {id}\r\n"))
+        .unwrap_or_default();
     let head = format!(
         "HTTP/1.1 200 OK\r\n{id}X-Replica-Seal: {}.{}.{attempt}\r\nContent-Length: {}\r\n\r\n",
         shared.service,
@@ -112,7 +117,10 @@
 
 fn note_run(shared: &Shared, attempt: &str, path: &str) {
     if let Ok(mut ran) = shared.ran.lock() {
-        ran.push(Ran { attempt: attempt.to_owned(), path: path.to_owned() });
+        ran.push(Ran {
+            attempt: attempt.to_owned(),
+            path: path.to_owned(),
+        });
     }
 }
 
--- a/crates/linenthread-demo/src/replica/misbehaviour.rs
+++ b/crates/linenthread-demo/src/replica/misbehaviour.rs
@@ -79,7 +79,10 @@
             Misbehaviour::Drawn { seed, share } => (seed, share),
         };
         let seed = u128::from(seed) << 64 | u128::from(connection);
-        Draws { random: Rand64::new(seed), share }
+        Draws {
+            random: Rand64::new(seed),
+            share,
+        }
     }
 
     /// What goes wrong with the next request, if anything.
--- a/crates/linenthread-demo/src/rounds.rs
+++ b/crates/linenthread-demo/src/rounds.rs
@@ -60,7 +60,9 @@
         match self {
             Scenario::FrozenNode | Scenario::Minority => 1,
             Scenario::TwoOperators | Scenario::LateRepeat => 2,
-            Scenario::LossAfterReplacement | Scenario::LossDuringReplacement | Scenario::RollingRestart => 3,
+            Scenario::LossAfterReplacement
+            | Scenario::LossDuringReplacement
+            | Scenario::RollingRestart => 3,
             Scenario::CatchUp => 4,
             Scenario::WrongAnswers => 5,
         }
@@ -70,14 +72,23 @@
     ///
     /// # Errors
     /// The cluster could not be started.
-    pub fn play(self, program: &Path, scale: &Scale, random: &mut Rand64) -> std::io::Result<Findings> {
+    pub fn play(
+        self,
+        program: &Path,
+        scale: &Scale,
+        random: &mut Rand64,
+    ) -> std::io::Result<Findings> {
         match self {
             Scenario::FrozenNode => frozen::play(program, scale, random),
             Scenario::Minority => minority::play(program, scale, random),
             Scenario::TwoOperators => operators::play_rivals(program, scale, random),
             Scenario::LateRepeat => operators::play_late_repeat(program, scale, random),
-            Scenario::LossAfterReplacement => replacement::play(program, replacement::Loss::AfterEnd, random),
-            Scenario::LossDuringReplacement => replacement::play(program, replacement::Loss::AnyTime, random),
+            Scenario::LossAfterReplacement => {
+                replacement::play(program, replacement::Loss::AfterEnd, random)
+            }
+            Scenario::LossDuringReplacement => {
+                replacement::play(program, replacement::Loss::AnyTime, random)
+            }
             Scenario::RollingRestart => restarts::play(program, random),
             Scenario::CatchUp => catch_up::play(program, scale, random),
             Scenario::WrongAnswers => wrong_answers::play(program, scale, random),
@@ -102,8 +113,13 @@
 
 impl Scale {
     /// For the tests: some seconds a scenario.
-    pub const BRIEF: Scale =
-        Scale { pause: Duration::from_secs(6), pairs: 5, later_orders: 100, changes: 300, requests: 600 };
+    pub const BRIEF: Scale = Scale {
+        pause: Duration::from_secs(6),
+        pairs: 5,
+        later_orders: 100,
+        changes: 300,
+        requests: 600,
+    };
     /// For long runs.
     pub const LONG: Scale = Scale {
         pause: Duration::from_secs(20),
--- a/crates/linenthread-demo/src/rounds/catch_up.rs
+++ b/crates/linenthread-demo/src/rounds/catch_up.rs
@@ -19,7 +19,11 @@
 /// Between two reads while it catches up.
 const LOOK: Duration = Duration::from_millis(10);
 
-pub(super) fn play(program: &Path, scale: &Scale, random: &mut Rand64) -> std::io::Result<Findings> {
+pub(super) fn play(
+    program: &Path,
+    scale: &Scale,
+    random: &mut Rand64,
+) -> std::io::Result<Findings> {
     let mut findings = Findings::default();
     let (mut cluster, first) = started(program, 3, 1)?;
     let (absent, others) = draw_one(&cluster.control_names(), random);
@@ -29,18 +33,32 @@
     for _ in 0..scale.changes {
         let order = Order::new(last.revision, last.revision + 1, &SERVICES, 0);
         let seen = replace_anywhere(&running, &order, BOUND);
-        findings.check(seen.is(200), "an order is acknowledged with one node down", || words(&seen));
+        findings.check(
+            seen.is(200),
+            "an order is acknowledged with one node down",
+            || words(&seen),
+        );
         if !seen.is(200) {
             return Ok(findings);
         }
         last = order;
     }
-    let largest = others.iter().map(|name| cluster.disk_bytes(name)).max().unwrap_or_default();
-    findings.check(largest <= DISK, "the disks of the others are bounded", || format!("{largest} bytes"));
+    let largest = others
+        .iter()
+        .map(|name| cluster.disk_bytes(name))
+        .max()
+        .unwrap_or_default();
+    findings.check(
+        largest <= DISK,
+        "the disks of the others are bounded",
+        || format!("{largest} bytes"),
+    );
 
     cluster.run(&absent)?;
     let started_at = Instant::now();
-    let Some(peer) = cluster.control_of(&absent) else { return Ok(findings) };
+    let Some(peer) = cluster.control_of(&absent) else {
+        return Ok(findings);
+    };
     loop {
         let seen = read_at(peer, CATCH_UP);
         if seen.is_clear() {
@@ -54,13 +72,24 @@
         std::thread::sleep(LOOK);
     }
     let took = started_at.elapsed();
-    findings.check(took <= CATCH_UP, "it catches up within the bound", || format!("{took:?}"));
+    findings.check(took <= CATCH_UP, "it catches up within the bound", || {
+        format!("{took:?}")
+    });
     let holds = cluster.wait_members(&absent, CATCH_UP, |m| m["revision"] == last.revision);
-    findings.check(holds, "it holds the newest revision within the bound", || absent.clone());
+    findings.check(
+        holds,
+        "it holds the newest revision within the bound",
+        || absent.clone(),
+    );
     let bytes = cluster.disk_bytes(&absent);
-    findings
-        .check(bytes <= DISK_OF_THE_ABSENT, "its disk holds no missed changes", || format!("{bytes} bytes"));
-    findings.note(format!("caught up after {took:?}; disks: {bytes} bytes, the others {largest} at most"));
+    findings.check(
+        bytes <= DISK_OF_THE_ABSENT,
+        "its disk holds no missed changes",
+        || format!("{bytes} bytes"),
+    );
+    findings.note(format!(
+        "caught up after {took:?}; disks: {bytes} bytes, the others {largest} at most"
+    ));
 
     let (lost, _) = draw_one(&others, random);
     cluster.kill(&lost);
@@ -76,13 +105,19 @@
     for missed in missed_orders(&last, random) {
         let seen = replace_at(peer, &missed, BOUND);
         let fair = seen.is(200) || !seen.is_clear();
-        findings.check(fair, "an order that it missed is not refused when sent again", || {
-            format!("revision {}: {}", missed.revision, words(&seen))
-        });
+        findings.check(
+            fair,
+            "an order that it missed is not refused when sent again",
+            || format!("revision {}: {}", missed.revision, words(&seen)),
+        );
     }
     let next = Order::new(last.revision, last.revision + 1, &SERVICES, 0);
     let seen = replace_anywhere(&survivors, &next, BOUND);
-    findings.check(seen.is(200), "a new order is acknowledged within the bound", || words(&seen));
+    findings.check(
+        seen.is(200),
+        "a new order is acknowledged within the bound",
+        || words(&seen),
+    );
     Ok(findings)
 }
 
--- a/crates/linenthread-demo/src/rounds/frozen.rs
+++ b/crates/linenthread-demo/src/rounds/frozen.rs
@@ -27,20 +27,32 @@
     Drain,
 }
 
-pub(super) fn play(program: &Path, scale: &Scale, random: &mut Rand64) -> std::io::Result<Findings> {
+pub(super) fn play(
+    program: &Path,
+    scale: &Scale,
+    random: &mut Rand64,
+) -> std::io::Result<Findings> {
     let mut findings = Findings::default();
     let (mut cluster, first) = started(program, 3, 1)?;
     let (frozen, _) = draw_one(&cluster.control_names(), random);
     let others = cluster.control_without(&[&frozen]);
-    let Some(peer) = cluster.control_of(&frozen) else { return Ok(findings) };
+    let Some(peer) = cluster.control_of(&frozen) else {
+        return Ok(findings);
+    };
 
     cluster.signal(&frozen, Signal::Stop);
     let until = Instant::now() + scale.pause;
     let second = Order::new(1, 2, &SERVICES, 0);
     let seen = replace_anywhere(&others, &second, BOUND);
-    findings.check(seen.is(200), "the others acknowledge an order", || words(&seen));
+    findings.check(seen.is(200), "the others acknowledge an order", || {
+        words(&seen)
+    });
     let told = cluster.wait_for("front-1", &["event=configuration", "revision=2"], BOUND);
-    findings.check(told, "the front has the new configuration while the node is stopped", || frozen.clone());
+    findings.check(
+        told,
+        "the front has the new configuration while the node is stopped",
+        || frozen.clone(),
+    );
 
     let rival = Order::new(1, 2, &SERVICES, 7);
     let queued = vec![
@@ -53,7 +65,10 @@
         Queued::Drain,
     ];
     let patience = until.saturating_duration_since(Instant::now()) + BOUND;
-    let waiting: Vec<_> = queued.into_iter().map(|call| start_call(peer, call, patience)).collect();
+    let waiting: Vec<_> = queued
+        .into_iter()
+        .map(|call| start_call(peer, call, patience))
+        .collect();
     std::thread::sleep(until.saturating_duration_since(Instant::now()));
     cluster.signal(&frozen, Signal::Continue);
     for call in waiting {
@@ -62,14 +77,25 @@
         }
     }
     let seen = read_anywhere(&[peer], BOUND);
-    findings
-        .check(seen.revision() == Some(2), "it serves the newest again within the bound", || words(&seen));
+    findings.check(
+        seen.revision() == Some(2),
+        "it serves the newest again within the bound",
+        || words(&seen),
+    );
     let seen = replace_anywhere(&[peer], &rival, BOUND);
-    findings.check(seen.is(412), "it refuses the other order once it knows", || words(&seen));
+    findings.check(
+        seen.is(412),
+        "it refuses the other order once it knows",
+        || words(&seen),
+    );
     Ok(findings)
 }
 
-fn start_call(peer: SocketAddr, call: Queued, patience: Duration) -> JoinHandle<(Queued, Observed)> {
+fn start_call(
+    peer: SocketAddr,
+    call: Queued,
+    patience: Duration,
+) -> JoinHandle<(Queued, Observed)> {
     std::thread::spawn(move || {
         let seen = match &call {
             Queued::Read => read_at(peer, patience),
@@ -84,24 +110,32 @@
     match call {
         Queued::Read => {
             let newest = !seen.is_clear() || seen.is(200) && seen.revision() == Some(2);
-            findings.check(newest, "a read on waking is the newest or refused", || words(seen));
+            findings.check(newest, "a read on waking is the newest or refused", || {
+                words(seen)
+            });
             findings.note(format!("read on waking: {}", words(seen)));
         }
         Queued::Repeat(order) => {
             let fair = seen.is(200) || !seen.is_clear();
-            findings.check(fair, "an acknowledged order is not refused on waking", || {
-                format!("revision {}: {}", order.revision, words(seen))
-            });
+            findings.check(
+                fair,
+                "an acknowledged order is not refused on waking",
+                || format!("revision {}: {}", order.revision, words(seen)),
+            );
         }
         Queued::Rival(order) => {
             let fair = seen.is(412) || !seen.is_clear();
-            findings.check(fair, "another order under a taken number is not acknowledged", || {
-                format!("revision {}: {}", order.revision, words(seen))
-            });
+            findings.check(
+                fair,
+                "another order under a taken number is not acknowledged",
+                || format!("revision {}: {}", order.revision, words(seen)),
+            );
         }
         Queued::Drain => {
             let known = !seen.is(200) || others.iter().any(|o| is_draining_at(*o, DRAINING));
-            findings.check(known, "an acknowledged drain is known to another", || words(seen));
+            findings.check(known, "an acknowledged drain is known to another", || {
+                words(seen)
+            });
         }
     }
 }
--- a/crates/linenthread-demo/src/rounds/minority.rs
+++ b/crates/linenthread-demo/src/rounds/minority.rs
@@ -9,7 +9,9 @@
 use oorandom::Rand64;
 
 use crate::cluster::ask_at;
-use crate::operator::{Observed, Order, drain_at, members_at, read_at, replace_anywhere, replace_at};
+use crate::operator::{
+    Observed, Order, drain_at, members_at, read_at, replace_anywhere, replace_at,
+};
 use crate::rounds::setup::{SERVICES, draw_one, started, words};
 use crate::rounds::{BOUND, Findings, Scale};
 use crate::{Cluster, Signal};
@@ -20,11 +22,16 @@
 const GAP: Duration = Duration::from_secs(1);
 const BETWEEN: Duration = Duration::from_millis(20);
 
-pub(super) fn play(program: &Path, scale: &Scale, random: &mut Rand64) -> std::io::Result<Findings> {
+pub(super) fn play(
+    program: &Path,
+    scale: &Scale,
+    random: &mut Rand64,
+) -> std::io::Result<Findings> {
     let mut findings = Findings::default();
     let (mut cluster, first) = started(program, 3, 1)?;
     let (alone, others) = draw_one(&cluster.control_names(), random);
-    let (Some(peer), Some(ingress)) = (cluster.control_of(&alone), cluster.ingress("front-1")) else {
+    let (Some(peer), Some(ingress)) = (cluster.control_of(&alone), cluster.ingress("front-1"))
+    else {
         return Ok(findings);
     };
     let second = Order::new(1, 2, &SERVICES, 0);
@@ -40,26 +47,38 @@
             std::thread::sleep(BETWEEN);
         }
         let alone_known = cluster.wait_members(&alone, REFUSAL, |m| m["whole"] == false);
-        findings.check(alone_known, "it knows that it is without the others", || alone.clone());
+        findings.check(
+            alone_known,
+            "it knows that it is without the others",
+            || alone.clone(),
+        );
         for other in &others {
             cluster.signal(other, Signal::Continue);
         }
         let seen = replace_anywhere(&cluster.control(), &second, BOUND);
-        findings.check(seen.is(200), "the order is taken within the bound when the others are back", || {
-            words(&seen)
-        });
+        findings.check(
+            seen.is(200),
+            "the order is taken within the bound when the others are back",
+            || words(&seen),
+        );
         if !seen.is(200) {
             note_state(&mut findings, &cluster, &second);
         }
         let told = cluster.wait_for("front-1", &["event=configuration", "revision=2"], BOUND);
-        findings.check(told, "the front has it within the bound", || "no news of revision 2".into());
+        findings.check(told, "the front has it within the bound", || {
+            "no news of revision 2".into()
+        });
         done.store(true, Ordering::Relaxed);
         traffic.join().unwrap_or_default()
     });
-    findings.check(traffic.longest <= GAP, "traffic goes on", || format!("{traffic:?}"));
-    findings.check(traffic.failed * 20 <= traffic.asked, "19 of 20 lookups are answered", || {
+    findings.check(traffic.longest <= GAP, "traffic goes on", || {
         format!("{traffic:?}")
     });
+    findings.check(
+        traffic.failed * 20 <= traffic.asked,
+        "19 of 20 lookups are answered",
+        || format!("{traffic:?}"),
+    );
     findings.note(format!("{traffic:?}"));
     Ok(findings)
 }
@@ -68,7 +87,11 @@
 fn note_state(findings: &mut Findings, cluster: &Cluster, order: &Order) {
     for peer in cluster.control() {
         let seen = replace_at(peer, order, BOUND);
-        findings.note(format!("{peer}: {}; members {:?}", words(&seen), members_at(peer)));
+        findings.note(format!(
+            "{peer}: {}; members {:?}",
+            words(&seen),
+            members_at(peer)
+        ));
     }
 }
 
@@ -81,18 +104,30 @@
         ("order", &|| replace_at(peer, second, patience)),
         ("repeat", &|| replace_at(peer, first, patience)),
         ("rival", &|| replace_at(peer, &rival, patience)),
-        ("drain", &|| drain_at(peer, "i-drains", SERVICES[0], patience)),
+        ("drain", &|| {
+            drain_at(peer, "i-drains", SERVICES[0], patience)
+        }),
     ];
     let seen = std::thread::scope(|scope| {
-        let running: Vec<_> = calls.iter().map(|(name, call)| (name, scope.spawn(*call))).collect();
-        running.into_iter().filter_map(|(name, r)| Some((*name, r.join().ok()?))).collect::<Vec<_>>()
+        let running: Vec<_> = calls
+            .iter()
+            .map(|(name, call)| (name, scope.spawn(*call)))
+            .collect();
+        running
+            .into_iter()
+            .filter_map(|(name, r)| Some((*name, r.join().ok()?)))
+            .collect::<Vec<_>>()
     });
     for (name, seen) in seen {
-        findings.check(!seen.is_clear(), "nothing is settled without the others", || {
+        findings.check(
+            !seen.is_clear(),
+            "nothing is settled without the others",
+            || format!("{name}: {}", words(&seen)),
+        );
+        let soon = seen.status.is_none() || seen.after <= REFUSAL;
+        findings.check(soon, "a refusal comes within its bound", || {
             format!("{name}: {}", words(&seen))
         });
-        let soon = seen.status.is_none() || seen.after <= REFUSAL;
-        findings.check(soon, "a refusal comes within its bound", || format!("{name}: {}", words(&seen)));
     }
 }
 
@@ -110,7 +145,13 @@
     let mut answered_at = Instant::now();
     while !done.load(Ordering::Relaxed) {
         let attempt = format!("t-{}", traffic.asked);
-        let reply = ask_at(ingress, "GET", "/all/x", &attempt, Duration::from_millis(900));
+        let reply = ask_at(
+            ingress,
+            "GET",
+            "/all/x",
+            &attempt,
+            Duration::from_millis(900),
+        );
         traffic.asked += 1;
         let gap = answered_at.elapsed();
         if reply.is_ok_and(|r| r.status == 200) {
--- a/crates/linenthread-demo/src/rounds/operators.rs
+++ b/crates/linenthread-demo/src/rounds/operators.rs
@@ -23,24 +23,35 @@
 }
 
 /// Two operators send different documents under one number to different nodes at once.
-pub(super) fn play_rivals(program: &Path, scale: &Scale, random: &mut Rand64) -> std::io::Result<Findings> {
+pub(super) fn play_rivals(
+    program: &Path,
+    scale: &Scale,
+    random: &mut Rand64,
+) -> std::io::Result<Findings> {
     let mut findings = Findings::default();
     let (mut cluster, first) = started(program, 3, 1)?;
     let mut pairs: Vec<Pair> = Vec::new();
     for number in 0..scale.pairs {
         let base = pairs.last().map_or(first.revision, |p| p.taken.revision);
-        let orders = [1, 2].map(|variant| Order::new(base, base + 1, &SERVICES, 2 * number + variant));
+        let orders =
+            [1, 2].map(|variant| Order::new(base, base + 1, &SERVICES, 2 * number + variant));
         let seen = send_both(&cluster.control(), &orders, random);
         let taken = seen.iter().filter(|s| s.is(200)).count();
         let refused = seen.iter().filter(|s| s.is(412)).count();
-        findings.check((taken, refused) == (1, 1), "one of two is taken, the other refused", || {
-            format!("{}; {}", words(&seen[0]), words(&seen[1]))
-        });
+        findings.check(
+            (taken, refused) == (1, 1),
+            "one of two is taken, the other refused",
+            || format!("{}; {}", words(&seen[0]), words(&seen[1])),
+        );
         if taken != 1 {
             return Ok(findings);
         }
         let [left, right] = orders;
-        let (taken, other) = if seen[0].is(200) { (left, right) } else { (right, left) };
+        let (taken, other) = if seen[0].is(200) {
+            (left, right)
+        } else {
+            (right, left)
+        };
         pairs.push(Pair { taken, other });
     }
     check_pairs(&mut findings, &cluster, &pairs);
@@ -66,7 +77,9 @@
             })
         };
         let sent = [send(0), send(1)];
-        sent.into_iter().map(|s| s.join().unwrap_or_default()).collect()
+        sent.into_iter()
+            .map(|s| s.join().unwrap_or_default())
+            .collect()
     })
 }
 
@@ -77,15 +90,23 @@
             let newest = index + 1 == pairs.len();
             let again = replace_at(peer, &pair.taken, PATIENCE);
             let fair = again.is(200) || !again.is_clear();
-            findings.check(fair, "an order that was taken is never refused", || words(&again));
+            findings.check(fair, "an order that was taken is never refused", || {
+                words(&again)
+            });
             let other = replace_at(peer, &pair.other, PATIENCE);
             let fair = other.is(412) || !other.is_clear();
             findings.check(fair, "the other order is never taken", || words(&other));
             if newest {
                 let again = replace_anywhere(&[peer], &pair.taken, BOUND);
-                findings.check(again.is(200), "the newest order is acknowledged again", || words(&again));
+                findings.check(
+                    again.is(200),
+                    "the newest order is acknowledged again",
+                    || words(&again),
+                );
                 let other = replace_anywhere(&[peer], &pair.other, BOUND);
-                findings.check(other.is(412), "its rival is refused at every node", || words(&other));
+                findings.check(other.is(412), "its rival is refused at every node", || {
+                    words(&other)
+                });
             }
         }
     }
@@ -120,20 +141,33 @@
         let base = orders.last().map_or(0, |o| o.revision);
         let order = Order::new(base, base + 1, &SERVICES, 0);
         let seen = replace_anywhere(&cluster.control(), &order, BOUND);
-        findings.check(seen.is(200), "an order is acknowledged within the bound", || words(&seen));
+        findings.check(
+            seen.is(200),
+            "an order is acknowledged within the bound",
+            || words(&seen),
+        );
         if !seen.is(200) {
             return Ok(findings);
         }
         orders.push(order);
     }
     let drawn = random.rand_range(1..orders.len() as u64) as usize;
-    let repeats = [&orders[0], &orders[1], &orders[drawn], &orders[orders.len() - 1]];
+    let repeats = [
+        &orders[0],
+        &orders[1],
+        &orders[drawn],
+        &orders[orders.len() - 1],
+    ];
     check_repeats(&mut findings, &cluster, &repeats);
     restart_all(&mut cluster)?;
     check_repeats(&mut findings, &cluster, &repeats);
     let last = &orders[orders.len() - 1];
     let read = read_anywhere(&cluster.control(), BOUND);
-    findings.check(read.body == last.document, "the newest configuration reads back", || words(&read));
+    findings.check(
+        read.body == last.document,
+        "the newest configuration reads back",
+        || words(&read),
+    );
     Ok(findings)
 }
 
--- a/crates/linenthread-demo/src/rounds/restarts.rs
+++ b/crates/linenthread-demo/src/rounds/restarts.rs
@@ -8,7 +8,9 @@
 use crate::Signal;
 use crate::operator::Writer;
 use crate::rounds::Findings;
-use crate::rounds::setup::{SERVICES, check_next_order, check_written, draw_one, draw_time, started};
+use crate::rounds::setup::{
+    SERVICES, check_next_order, check_written, draw_one, draw_time, started,
+};
 
 /// A node that was asked to end has ended within its grace and a second.
 const GRACE: Duration = Duration::from_secs(7);
@@ -30,16 +32,24 @@
         std::thread::sleep(draw_time(APART, random));
         cluster.signal(&name, Signal::Terminate);
         let ended = cluster.wait_end(&name, GRACE);
-        findings.check(ended == Some(true), "a node that is asked to end ends well in its grace", || {
-            format!("{name}: {ended:?}")
-        });
+        findings.check(
+            ended == Some(true),
+            "a node that is asked to end ends well in its grace",
+            || format!("{name}: {ended:?}"),
+        );
         cluster.run(&name)?;
         let back = cluster.wait_members(&name, BACK, |m| {
             m["whole"] == true && m["revision"].as_u64().is_some_and(|r| r > 0)
         });
-        findings.check(back, "a node that was restarted is in touch within the bound", || name.clone());
+        findings.check(
+            back,
+            "a node that was restarted is in touch within the bound",
+            || name.clone(),
+        );
     }
-    let Some(written) = writer.stop() else { return Ok(findings) };
+    let Some(written) = writer.stop() else {
+        return Ok(findings);
+    };
     check_written(&mut findings, &written, &cluster.control());
     check_next_order(&mut findings, &written, &cluster.control());
     Ok(findings)
--- a/crates/linenthread-demo/src/rounds/setup.rs
+++ b/crates/linenthread-demo/src/rounds/setup.rs
@@ -15,7 +15,11 @@
 const START: Duration = Duration::from_secs(20);
 
 /// A cluster with the first order in force at every front, and that order.
-pub(super) fn started(program: &Path, controls: usize, fronts: usize) -> std::io::Result<(Cluster, Order)> {
+pub(super) fn started(
+    program: &Path,
+    controls: usize,
+    fronts: usize,
+) -> std::io::Result<(Cluster, Order)> {
     let mut cluster = Cluster::new(program)?;
     cluster.start(controls, fronts)?;
     for service in SERVICES {
@@ -41,7 +45,11 @@
     }
     for front in cluster.front_names() {
         let ready = cluster.wait_for(&front, &["event=configuration", "revision=1"], START)
-            && cluster.wait_for(&front, &["event=replicas", &format!("here={replicas}")], START);
+            && cluster.wait_for(
+                &front,
+                &["event=replicas", &format!("here={replicas}")],
+                START,
+            );
         if !ready {
             return Err(late(format!("{front} is not ready")));
         }
@@ -66,17 +74,30 @@
 pub(super) fn words(seen: &Observed) -> String {
     let body = String::from_utf8_lossy(&seen.body);
     let body: String = body.chars().take(60).collect();
-    format!("{:?} after {} ms {body}", seen.status, seen.after.as_millis())
+    format!(
+        "{:?} after {} ms {body}",
+        seen.status,
+        seen.after.as_millis()
+    )
 }
 
 /// The operator who is alone was refused nothing, and everything acknowledged reads back at these addresses.
 pub(super) fn check_written(findings: &mut Findings, written: &Written, addresses: &[SocketAddr]) {
-    findings.check(written.refused.is_none(), "an operator alone is not refused", || {
-        format!("{:?}", written.refused)
-    });
-    findings.check(written.longest <= BOUND, "orders go on within the bound", || {
-        format!("{} ms without an acknowledgement", written.longest.as_millis())
-    });
+    findings.check(
+        written.refused.is_none(),
+        "an operator alone is not refused",
+        || format!("{:?}", written.refused),
+    );
+    findings.check(
+        written.longest <= BOUND,
+        "orders go on within the bound",
+        || {
+            format!(
+                "{} ms without an acknowledgement",
+                written.longest.as_millis()
+            )
+        },
+    );
     let read = read_anywhere(addresses, BOUND);
     let same = |order: &Order| read.is(200) && read.body == order.document;
     let reads_back = same(&written.last) || written.pending.as_ref().is_some_and(same);
@@ -99,13 +120,20 @@
     let mut last = written.last.clone();
     if let Some(pending) = &written.pending {
         let seen = replace_anywhere(addresses, pending, BOUND);
-        findings
-            .check(seen.is(200), "an order without a clear answer is taken when sent again", || words(&seen));
+        findings.check(
+            seen.is(200),
+            "an order without a clear answer is taken when sent again",
+            || words(&seen),
+        );
         last = pending.clone();
     }
     let next = Order::new(last.revision, last.revision + 1, &SERVICES, 0);
     let seen = replace_anywhere(addresses, &next, BOUND);
-    findings.check(seen.is(200), "a new order is acknowledged within the bound", || words(&seen));
+    findings.check(
+        seen.is(200),
+        "a new order is acknowledged within the bound",
+        || words(&seen),
+    );
     findings.note(format!("new order: {}", words(&seen)));
     next
 }
--- a/crates/linenthread-demo/src/rounds/wrong_answers.rs
+++ b/crates/linenthread-demo/src/rounds/wrong_answers.rs
@@ -53,7 +53,12 @@
             Kind::Once => format!("/once/{service}/x-{number}"),
             Kind::Merged => format!("/all/x-{number}"),
         };
-        Request { kind, service, path, attempt: format!("a-{number}") }
+        Request {
+            kind,
+            service,
+            path,
+            attempt: format!("a-{number}"),
+        }
     }
 
     /// Why an answer with success is not this request's own; nothing if it is.
@@ -63,7 +68,10 @@
             Kind::Repeatable | Kind::Once => reply.head.header("x-replica-seal"),
         };
         let seals: Vec<&str> = seals.unwrap_or_default().split(", ").collect();
-        if let Some(seal) = seals.iter().find(|s| s.split('.').next_back() != Some(&*self.attempt)) {
+        if let Some(seal) = seals
+            .iter()
+            .find(|s| s.split('.').next_back() != Some(&*self.attempt))
+        {
             return Some(format!("{} has the seal {seal:?}", self.attempt));
         }
         let expected = match self.kind {
@@ -77,30 +85,54 @@
 /// The greatest records of the services that these seals name.
 fn merged(seals: &[&str], path: &str) -> Vec<u8> {
     let services = seals.iter().filter_map(|seal| seal.split('.').next());
-    let all: Vec<u8> = services.flat_map(|service| records(service, path)).collect();
+    let all: Vec<u8> = services
+        .flat_map(|service| records(service, path))
+        .collect();
     let mut records: Vec<&[u8]> = all.chunks(RECORD).collect();
     records.sort();
-    records.iter().rev().take(LIMIT).flat_map(|r| r.iter().copied()).collect()
+    records
+        .iter()
+        .rev()
+        .take(LIMIT)
+        .flat_map(|r| r.iter().copied())
+        .collect()
 }
 
-pub(super) fn play(program: &Path, scale: &Scale, random: &mut Rand64) -> std::io::Result<Findings> {
+pub(super) fn play(
+    program: &Path,
+    scale: &Scale,
+    random: &mut Rand64,
+) -> std::io::Result<Findings> {
     let mut findings = Findings::default();
     let mut cluster = Cluster::new(program)?;
     cluster.start(1, 1)?;
-    let how = Misbehaviour::Drawn { seed: random.rand_u64(), share: SHARE };
+    let how = Misbehaviour::Drawn {
+        seed: random.rand_u64(),
+        share: SHARE,
+    };
     for service in SERVICES {
         cluster.serve_with(service, REPLICAS, how)?;
     }
     configured(&mut cluster, REPLICAS * SERVICES.len())?;
-    let Some(ingress) = cluster.ingress("front-1") else { return Ok(findings) };
+    let Some(ingress) = cluster.ingress("front-1") else {
+        return Ok(findings);
+    };
     let seen = send_all(ingress, scale.requests);
-    let answered = seen.iter().filter(|(_, status, _)| *status == Some(200)).count();
+    let answered = seen
+        .iter()
+        .filter(|(_, status, _)| *status == Some(200))
+        .count();
     for (_, _, fault) in &seen {
-        findings
-            .check(fault.is_none(), "an answer is the caller's own", || fault.clone().unwrap_or_default());
+        findings.check(fault.is_none(), "an answer is the caller's own", || {
+            fault.clone().unwrap_or_default()
+        });
     }
     check_runs(&mut findings, &cluster, &seen);
-    findings.check(2 * answered >= seen.len(), "half of all requests are answered", || format!("{answered}"));
+    findings.check(
+        2 * answered >= seen.len(),
+        "half of all requests are answered",
+        || format!("{answered}"),
+    );
     note_counts(&mut findings, &cluster, &seen);
     Ok(findings)
 }
@@ -122,34 +154,57 @@
     };
     std::thread::scope(|scope| {
         let clients: Vec<_> = (0..CLIENTS).map(|_| scope.spawn(client)).collect();
-        clients.into_iter().filter_map(|c| c.join().ok()).flatten().collect()
+        clients
+            .into_iter()
+            .filter_map(|c| c.join().ok())
+            .flatten()
+            .collect()
     })
 }
 
 fn send(ingress: SocketAddr, request: Request) -> Seen {
-    let method = if request.kind == Kind::Once { "POST" } else { "GET" };
+    let method = if request.kind == Kind::Once {
+        "POST"
+    } else {
+        "GET"
+    };
     let reply = ask_at(ingress, method, &request.path, &request.attempt, TIME).ok();
     let status = reply.as_ref().map(|r| r.status);
-    let fault = reply.filter(|r| r.status == 200).and_then(|r| request.fault(&r));
+    let fault = reply
+        .filter(|r| r.status == 200)
+        .and_then(|r| request.fault(&r));
     (request, status, fault)
 }
 
 /// How often each request ran at all replicas together.
 fn check_runs(findings: &mut Findings, cluster: &Cluster, seen: &[Seen]) {
     let mut runs: BTreeMap<(String, String), usize> = BTreeMap::new();
-    for (replica, ran) in cluster.replicas.iter().flat_map(|r| r.ran().into_iter().map(move |ran| (r, ran))) {
-        let service = replica.ident.split('-').nth(1).unwrap_or_default().to_owned();
+    for (replica, ran) in cluster
+        .replicas
+        .iter()
+        .flat_map(|r| r.ran().into_iter().map(move |ran| (r, ran)))
+    {
+        let service = replica
+            .ident
+            .split('-')
+            .nth(1)
+            .unwrap_or_default()
+            .to_owned();
         *runs.entry((service, ran.attempt)).or_default() += 1;
     }
     for (request, _, _) in seen {
         let most = if request.kind == Kind::Once { 1 } else { TRIES };
         let count = |service: &str| {
-            runs.get(&(service.to_owned(), request.attempt.clone())).copied().unwrap_or_default()
+            runs.get(&(service.to_owned(), request.attempt.clone()))
+                .copied()
+                .unwrap_or_default()
         };
         let ran = SERVICES.iter().map(|s| count(s)).max().unwrap_or_default();
-        findings.check(ran <= most, "a request runs at most as often as it may", || {
-            format!("{:?} {} ran {ran} times", request.kind, request.attempt)
-        });
+        findings.check(
+            ran <= most,
+            "a request runs at most as often as it may",
+            || format!("{:?} {} ran {ran} times", request.kind, request.attempt),
+        );
     }
 }
 
@@ -162,5 +217,7 @@
     for (way, count) in cluster.replicas.iter().flat_map(|r| r.misbehaved()) {
         *wrong.entry(way).or_default() += count;
     }
-    findings.note(format!("answers by status: {statuses:?}; played: {wrong:?}"));
+    findings.note(format!(
+        "answers by status: {statuses:?}; played: {wrong:?}"
+    ));
 }
--- a/crates/linenthread-drill/src/dataplane.rs
+++ b/crates/linenthread-drill/src/dataplane.rs
@@ -29,7 +29,10 @@
         let (mut counts, mut runs, mut digest, mut breaches) = (Counts::default(), 0, 0u64, 0);
         for (number, (seed, verdict)) in play_all(&worlds).into_iter().enumerate() {
             if breaches == 0 && !verdict.breaches.is_empty() {
-                println!("the first breach came within {} sessions", (number + 1) * SESSIONS);
+                println!(
+                    "the first breach came within {} sessions",
+                    (number + 1) * SESSIONS
+                );
             }
             for breach in &verdict.breaches {
                 breaches += 1;
@@ -43,7 +46,10 @@
         }
         if self.told {
             println!("{counts:?}");
-            println!("{runs} runs, digest {digest:016x}, {:.1} s", began.elapsed().as_secs_f64());
+            println!(
+                "{runs} runs, digest {digest:016x}, {:.1} s",
+                began.elapsed().as_secs_f64()
+            );
         }
         (self.sessions, breaches)
     }
@@ -51,7 +57,9 @@
     fn worlds(&self) -> Vec<World> {
         let count = self.sessions.div_ceil(SESSIONS);
         let of = |n: usize| (self.sessions - n * SESSIONS).min(SESSIONS);
-        (0..count).map(|n| (self.seed.wrapping_add(n as u64), of(n))).collect()
+        (0..count)
+            .map(|n| (self.seed.wrapping_add(n as u64), of(n)))
+            .collect()
     }
 }
 
@@ -59,11 +67,19 @@
 fn play_all(worlds: &[World]) -> Vec<(u64, Verdict)> {
     let share = worlds.len().div_ceil(THREADS).max(1);
     let play_some = |some: &[World]| -> Vec<(u64, Verdict)> {
-        some.iter().map(|&(seed, sessions)| (seed, play(seed, sessions))).collect()
+        some.iter()
+            .map(|&(seed, sessions)| (seed, play(seed, sessions)))
+            .collect()
     };
     std::thread::scope(|scope| {
-        let threads: Vec<_> = worlds.chunks(share).map(|some| scope.spawn(move || play_some(some))).collect();
-        threads.into_iter().flat_map(|thread| thread.join().expect("a world panicked")).collect()
+        let threads: Vec<_> = worlds
+            .chunks(share)
+            .map(|some| scope.spawn(move || play_some(some)))
+            .collect();
+        threads
+            .into_iter()
+            .flat_map(|thread| thread.join().expect("a world panicked"))
+            .collect()
     })
 }
 
--- a/crates/linenthread-drill/src/failover.rs
+++ b/crates/linenthread-drill/src/failover.rs
@@ -7,7 +7,9 @@
 
 use linenthread_core::interface::*;
 use linenthread_core::{Coordinator, Writer};
-use linenthread_zones::{ALL, Decider, Ground, Pattern, Reason, Report, Row, Table, Terms, Watch, Zone, fit};
+use linenthread_zones::{
+    ALL, Decider, Ground, Pattern, Reason, Report, Row, Table, Terms, Watch, Zone, fit,
+};
 use oorandom::Rand64;
 
 const ZONES: usize = 3;
@@ -48,22 +50,58 @@
     Two,
 }
 
-const POLICIES: [Policy; 5] = [Policy::Design, Policy::Near, Policy::Alone, Policy::Common, Policy::Truth];
-const TROUBLES: [Trouble; 6] =
-    [Trouble::Calm, Trouble::ZoneLost, Trouble::ZoneSlow, Trouble::PairCut, Trouble::BackCold, Trouble::Two];
+const POLICIES: [Policy; 5] = [
+    Policy::Design,
+    Policy::Near,
+    Policy::Alone,
+    Policy::Common,
+    Policy::Truth,
+];
+const TROUBLES: [Trouble; 6] = [
+    Trouble::Calm,
+    Trouble::ZoneLost,
+    Trouble::ZoneSlow,
+    Trouble::PairCut,
+    Trouble::BackCold,
+    Trouble::Two,
+];
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
-    Arrive { call: usize },
-    Done { replica: usize, call: usize, life: u32 },
-    Back { call: usize, ending: u8 },
-    TimeOut { call: usize },
-    Probe { from: usize, replica: usize, ending: u8 },
-    Lookup { from: usize },
-    Roster { news: usize },
+    Arrive {
+        call: usize,
+    },
+    Done {
+        replica: usize,
+        call: usize,
+        life: u32,
+    },
+    Back {
+        call: usize,
+        ending: u8,
+    },
+    TimeOut {
+        call: usize,
+    },
+    Probe {
+        from: usize,
+        replica: usize,
+        ending: u8,
+    },
+    Lookup {
+        from: usize,
+    },
+    Roster {
+        news: usize,
+    },
 }
 
-const ENDINGS: [Ending; 4] = [Ending::Answered, Ending::Unconnected, Ending::Broken, Ending::TimedOut];
+const ENDINGS: [Ending; 4] = [
+    Ending::Answered,
+    Ending::Unconnected,
+    Ending::Broken,
+    Ending::TimedOut,
+];
 
 struct Call {
     from: usize,
@@ -179,28 +217,44 @@
 }
 
 fn names() -> Vec<String> {
-    ["palermo", "catania", "messina"].map(str::to_owned).to_vec()
+    ["palermo", "catania", "messina"]
+        .map(str::to_owned)
+        .to_vec()
 }
 
 fn ground(replicas: &[Replica]) -> Ground {
     let mut counts = vec![0; ZONES];
-    (0..REPLICAS).filter(|&r| replicas.get(r).is_some_and(|r| r.up)).for_each(|r| counts[r % ZONES] += 1);
+    (0..REPLICAS)
+        .filter(|&r| replicas.get(r).is_some_and(|r| r.up))
+        .for_each(|r| counts[r % ZONES] += 1);
     let mut patterns: BTreeMap<Vec<u16>, f64> = BTreeMap::new();
     for shard in 0..SHARDS {
         let mut holders = vec![0; ZONES];
         (0..2).for_each(|k| holders[(shard + k) % REPLICAS % ZONES] += 1);
         *patterns.entry(holders).or_default() += 1.0 / SHARDS as f64;
     }
-    let zone = |name: String| Zone { name, region: "sicily".into(), room: None };
+    let zone = |name: String| Zone {
+        name,
+        region: "sicily".into(),
+        room: None,
+    };
     Ground {
         zones: names().into_iter().map(zone).collect(),
         replicas: counts,
-        patterns: patterns.into_iter().map(|(holders, share)| Pattern { holders, share }).collect(),
+        patterns: patterns
+            .into_iter()
+            .map(|(holders, share)| Pattern { holders, share })
+            .collect(),
     }
 }
 
 fn terms() -> Terms {
-    Terms { margin: 0.8, hold: 5 * SECOND, longest_hold: 60 * SECOND, step: 3 * SECOND }
+    Terms {
+        margin: 0.8,
+        hold: 5 * SECOND,
+        longest_hold: 60 * SECOND,
+        step: 3 * SECOND,
+    }
 }
 
 fn ways(own: usize, row: Option<&Row>) -> Vec<WayTo> {
@@ -230,7 +284,10 @@
             customer_quotas: Vec::new(),
             over_share_gain: 0.1,
             gain_by_work: false,
-            layout: Layout { cells: REPLICAS, in_a_row: 2 },
+            layout: Layout {
+                cells: REPLICAS,
+                in_a_row: 2,
+            },
             allowance: Allowance {
                 calls_a_part: 3,
                 second_copies: true,
@@ -238,7 +295,12 @@
                 probes: true,
                 retry_advice: None,
             },
-            cold: ColdStart { share: COLD, warm_up: WARM_UP, multiple: 2.0, window: SECOND },
+            cold: ColdStart {
+                share: COLD,
+                warm_up: WARM_UP,
+                multiple: 2.0,
+                window: SECOND,
+            },
             queue_told: true,
             short_queues: false,
             drain_grace: 0,
@@ -258,7 +320,13 @@
             alone: None,
             coming: VecDeque::new(),
         };
-        let replicas = vec![Replica { up: true, ..Replica::default() }; REPLICAS];
+        let replicas = vec![
+            Replica {
+                up: true,
+                ..Replica::default()
+            };
+            REPLICAS
+        ];
         let takes = REPLICAS as f64 * CORES as f64 / SERVICE;
         let mut world = World {
             now,
@@ -279,7 +347,9 @@
             mended: false,
             outcome: Outcome::default(),
         };
-        let all: Vec<Listed> = (0..REPLICAS).map(|r| world.listed(r, Phase::Ready)).collect();
+        let all: Vec<Listed> = (0..REPLICAS)
+            .map(|r| world.listed(r, Phase::Ready))
+            .collect();
         for one in &mut world.ones {
             one.arrivals.roster.push(RosterNews::Whole(all.clone()));
             if policy != Policy::Design {
@@ -306,7 +376,8 @@
 
     fn after(&mut self, wait: Tenths, event: Event) {
         self.numbers += 1;
-        self.events.push(Reverse((self.now + wait.max(1), self.numbers, event)));
+        self.events
+            .push(Reverse((self.now + wait.max(1), self.numbers, event)));
     }
 
     fn next_lookup(&mut self, from: usize) {
@@ -316,12 +387,18 @@
 
     /// Zones that are out of order by the trouble: lost, slow, the pair that is cut.
     fn lost(&self, zone: usize) -> bool {
-        self.on && matches!(self.trouble, Trouble::ZoneLost | Trouble::BackCold | Trouble::Two) && zone == 2
+        self.on
+            && matches!(
+                self.trouble,
+                Trouble::ZoneLost | Trouble::BackCold | Trouble::Two
+            )
+            && zone == 2
     }
 
     fn slow(&self, zone: usize) -> bool {
         self.on
-            && (self.trouble == Trouble::ZoneSlow && zone == 2 || self.trouble == Trouble::Two && zone == 1)
+            && (self.trouble == Trouble::ZoneSlow && zone == 2
+                || self.trouble == Trouble::Two && zone == 1)
     }
 
     fn cut(&self, a: usize, b: usize) -> bool {
@@ -329,7 +406,11 @@
     }
 
     fn way(&self, from: usize, replica: usize) -> Tenths {
-        if self.ones[from].zone == replica % ZONES { 5 } else { 25 }
+        if self.ones[from].zone == replica % ZONES {
+            5
+        } else {
+            25
+        }
     }
 
     /// The share of its full work that a replica does now.
@@ -353,7 +434,14 @@
             let takes = SERVICE / strength * (0.5 + self.chance.rand_float());
             self.replicas[r].busy.push(call);
             let life = self.replicas[r].life;
-            self.after(takes as Tenths, Event::Done { replica: r, call, life });
+            self.after(
+                takes as Tenths,
+                Event::Done {
+                    replica: r,
+                    call,
+                    life,
+                },
+            );
         }
     }
 
@@ -381,7 +469,11 @@
         let replica = &mut self.replicas[r];
         replica.up = false;
         replica.life += 1;
-        let out: Vec<usize> = replica.busy.drain(..).chain(replica.queue.drain(..)).collect();
+        let out: Vec<usize> = replica
+            .busy
+            .drain(..)
+            .chain(replica.queue.drain(..))
+            .collect();
         for call in out {
             let wait = self.way(self.calls[call].from, r);
             self.after(wait, Event::Back { call, ending: 2 });
@@ -398,12 +490,29 @@
         if std::mem::replace(&mut self.calls[call].over, true) {
             return;
         }
-        let Call { from, lookup, part, number, replica, sent, waiting, .. } = self.calls[call];
+        let Call {
+            from,
+            lookup,
+            part,
+            number,
+            replica,
+            sent,
+            waiting,
+            ..
+        } = self.calls[call];
         let took = self.now - sent;
         let queue = (ending == Ending::Answered).then_some(f64::from(waiting));
         let one = &mut self.ones[from];
-        one.watch.ended((replica % ZONES) as u8, replica, ending, took);
-        one.arrivals.returns.push(Return { lookup, part, call: number, ending, took, queue });
+        one.watch
+            .ended((replica % ZONES) as u8, replica, ending, took);
+        one.arrivals.returns.push(Return {
+            lookup,
+            part,
+            call: number,
+            ending,
+            took,
+            queue,
+        });
     }
 
     fn happen(&mut self, event: Event) {
@@ -422,7 +531,10 @@
                     one.lookups.push(None);
                     one.lookups.len() - 1
                 });
-                one.lookups[lookup] = Some(Lookup { soft: now + SOFT, calls: Vec::new() });
+                one.lookups[lookup] = Some(Lookup {
+                    soft: now + SOFT,
+                    calls: Vec::new(),
+                });
                 one.watch.asked(3);
                 let hard_deadline = now + HARD;
                 one.arrivals.lookups.push(NewLookup {
@@ -433,8 +545,11 @@
                     number: self.numbers,
                     hard_deadline,
                 });
-                let parts =
-                    (0..3).map(|k| NewPart { lookup, shard: (first + 7 * k) % SHARDS, weight: 1.0 / 3.0 });
+                let parts = (0..3).map(|k| NewPart {
+                    lookup,
+                    shard: (first + 7 * k) % SHARDS,
+                    weight: 1.0 / 3.0,
+                });
                 one.arrivals.parts.extend(parts);
                 self.outcome.asked += f64::from(u8::from(now >= 100 * SECOND + BEGIN));
             }
@@ -450,7 +565,11 @@
                 self.press(r);
                 self.begin(r);
             }
-            Event::Done { replica, call, life } => {
+            Event::Done {
+                replica,
+                call,
+                life,
+            } => {
                 if self.replicas[replica].life == life {
                     self.replicas[replica].busy.retain(|c| *c != call);
                     let from = self.calls[call].from;
@@ -463,12 +582,22 @@
             }
             Event::Back { call, ending } => self.end_call(call, ENDINGS[usize::from(ending)]),
             Event::TimeOut { call } => self.end_call(call, Ending::TimedOut),
-            Event::Probe { from, replica, ending } => {
+            Event::Probe {
+                from,
+                replica,
+                ending,
+            } => {
                 let ending = ENDINGS[usize::from(ending)];
-                let queue = (ending == Ending::Answered).then(|| self.replicas[replica].queue.len() as f64);
+                let queue =
+                    (ending == Ending::Answered).then(|| self.replicas[replica].queue.len() as f64);
                 let one = &mut self.ones[from];
-                one.watch.ended((replica % ZONES) as u8, replica, ending, 30);
-                one.arrivals.probes.push(ProbeReturn { replica, ending, queue });
+                one.watch
+                    .ended((replica % ZONES) as u8, replica, ending, 30);
+                one.arrivals.probes.push(ProbeReturn {
+                    replica,
+                    ending,
+                    queue,
+                });
             }
             Event::Roster { news } => {
                 let listed = self.news[news].clone();
@@ -502,8 +631,14 @@
         }
         for (lookup, part, replica, time_out) in log.calls {
             let call = self.calls.len();
-            let Some(Some(l)) = self.ones[n].lookups.get_mut(lookup) else { continue };
-            let number = l.calls.iter().filter(|&&c| self.calls[c].part == part).count();
+            let Some(Some(l)) = self.ones[n].lookups.get_mut(lookup) else {
+                continue;
+            };
+            let number = l
+                .calls
+                .iter()
+                .filter(|&&c| self.calls[c].part == part)
+                .count();
             l.calls.push(call);
             self.calls.push(Call {
                 from: n,
@@ -524,7 +659,9 @@
             }
         }
         for (lookup, part, number) in log.withdrawn {
-            let Some(Some(l)) = self.ones[n].lookups.get(lookup) else { continue };
+            let Some(Some(l)) = self.ones[n].lookups.get(lookup) else {
+                continue;
+            };
             let it = |c: &&usize| self.calls[**c].part == part && self.calls[**c].number == number;
             if let Some(&call) = l.calls.iter().find(it) {
                 self.end_call(call, Ending::Withdrawn);
@@ -537,7 +674,14 @@
                 (_, false) => (2 * self.way(n, replica), 1),
                 _ => (2 * self.way(n, replica) + 5, 0),
             };
-            self.after(wait, Event::Probe { from: n, replica, ending });
+            self.after(
+                wait,
+                Event::Probe {
+                    from: n,
+                    replica,
+                    ending,
+                },
+            );
         }
         for lookup in log.released {
             self.ones[n].lookups[lookup] = None;
@@ -555,7 +699,11 @@
             let listed = lost.iter().map(|&r| self.listed(r, Phase::Gone)).collect();
             self.tell_roster(listed);
         }
-        let length = if self.trouble == Trouble::BackCold { TROUBLE / 3 } else { TROUBLE };
+        let length = if self.trouble == Trouble::BackCold {
+            TROUBLE / 3
+        } else {
+            TROUBLE
+        };
         if self.on && at >= BEGIN + length {
             let lost: Vec<usize> = (0..REPLICAS).filter(|r| self.lost(r % ZONES)).collect();
             (self.on, self.mended) = (false, true);
@@ -581,10 +729,13 @@
             if self.policy == Policy::Alone {
                 let (now, zones) = (self.now, ground.zones.clone());
                 let one = &mut self.ones[n];
-                let decider = one.alone.get_or_insert_with(|| Decider::new(terms(), zones, None, now));
+                let decider = one
+                    .alone
+                    .get_or_insert_with(|| Decider::new(terms(), zones, None, now));
                 decider.hear(&report);
                 if let Some(table) = decider.decide(now, 0, &ground) {
-                    one.coming.push_back((now, ways(one.zone, table.rows.get(one.zone))));
+                    one.coming
+                        .push_back((now, ways(one.zone, table.rows.get(one.zone))));
                 }
             }
             if !self.lost(self.ones[n].zone) {
@@ -596,7 +747,8 @@
             Policy::Common => {
                 self.heard.add(&all);
                 // Who leads is lost with the zone in a third of the cases: then nobody decides for two seconds.
-                let leaderless = self.on && self.now - 100 * SECOND < BEGIN + 2 * SECOND && self.lost(2);
+                let leaderless =
+                    self.on && self.now - 100 * SECOND < BEGIN + 2 * SECOND && self.lost(2);
                 if !leaderless {
                     self.decider.hear(&std::mem::take(&mut self.heard));
                     table = self.decider.decide(self.now, 0, &ground);
@@ -615,18 +767,26 @@
                 let room: Vec<f64> = (0..ZONES)
                     .map(|z| {
                         let of = (0..REPLICAS).filter(|r| r % ZONES == z && self.replicas[*r].up);
-                        of.map(|r| 0.95 * self.strength(r) * CORES as f64 / SERVICE).sum()
+                        of.map(|r| 0.95 * self.strength(r) * CORES as f64 / SERVICE)
+                            .sum()
                     })
                     .collect();
                 if self.on || self.mended {
                     fit(&ground, &asked, &room, &mut rows);
                 }
-                table = Some(Table { rows, ..Table::sound(names()) });
+                table = Some(Table {
+                    rows,
+                    ..Table::sound(names())
+                });
             }
             _ => {}
         }
         if let Some(table) = table {
-            let closed = table.rows.iter().flat_map(|r| &r.open).any(|(share, _)| *share == 0);
+            let closed = table
+                .rows
+                .iter()
+                .flat_map(|r| &r.open)
+                .any(|(share, _)| *share == 0);
             if closed && self.on && self.outcome.table.is_none() {
                 self.outcome.table = Some(self.now - 100 * SECOND - BEGIN);
             }
@@ -637,7 +797,8 @@
                     3_000 + self.chance.rand_range(0..1_000) as Tenths
                 };
                 let one = &mut self.ones[n];
-                one.coming.push_back((self.now + lag, ways(one.zone, table.rows.get(one.zone))));
+                one.coming
+                    .push_back((self.now + lag, ways(one.zone, table.rows.get(one.zone))));
             }
         }
     }
@@ -646,8 +807,14 @@
         let (mut decide_at, end) = (self.now + 5_000, self.now + END);
         while self.now < end {
             self.now += ROUND;
-            while self.events.peek().is_some_and(|Reverse((at, ..))| *at <= self.now) {
-                let Some(Reverse((_, _, event))) = self.events.pop() else { break };
+            while self
+                .events
+                .peek()
+                .is_some_and(|Reverse((at, ..))| *at <= self.now)
+            {
+                let Some(Reverse((_, _, event))) = self.events.pop() else {
+                    break;
+                };
                 self.happen(event);
             }
             self.turn();
@@ -694,20 +861,32 @@
                     })
                 };
                 let all: Vec<_> = POLICIES.into_iter().map(one).collect();
-                all.into_iter().map(|t| t.join().expect("a run ends")).collect()
+                all.into_iter()
+                    .map(|t| t.join().expect("a run ends"))
+                    .collect()
             });
             let sum = |of: &[Outcome], get: fn(&Outcome) -> f64| of.iter().map(get).sum::<f64>();
-            let served: Vec<f64> =
-                all.iter().map(|o| sum(o, |o| o.served) / sum(o, |o| o.asked).max(1.0)).collect();
+            let served: Vec<f64> = all
+                .iter()
+                .map(|o| sum(o, |o| o.served) / sum(o, |o| o.asked).max(1.0))
+                .collect();
             let cell = |n: usize| {
                 let crossing = sum(&all[n], |o| o.crossing) / sum(&all[n], |o| o.parts).max(1.0);
-                format!("{:.3} {:.2} {}", served[n], crossing, sum(&all[n], |o| f64::from(o.fell)))
+                format!(
+                    "{:.3} {:.2} {}",
+                    served[n],
+                    crossing,
+                    sum(&all[n], |o| f64::from(o.fell))
+                )
             };
             let mut tables: Vec<Tenths> = all[3].iter().filter_map(|o| o.table).collect();
             tables.sort_unstable();
-            let table =
-                tables.get(tables.len() / 2).map_or("-".into(), |t| format!("{:.1} s", *t as f64 / 1e4));
-            let cells: Vec<String> = (0..POLICIES.len()).map(|n| format!("{:>20}", cell(n))).collect();
+            let table = tables
+                .get(tables.len() / 2)
+                .map_or("-".into(), |t| format!("{:.1} s", *t as f64 / 1e4));
+            let cells: Vec<String> = (0..POLICIES.len())
+                .map(|n| format!("{:>20}", cell(n)))
+                .collect();
             println!("{:10} {}  {table}", format!("{trouble:?}"), cells.join(" "));
             checked += 1;
             let best = served[..3].iter().copied().fold(0.0, f64::max);
--- a/crates/linenthread-drill/src/fleet.rs
+++ b/crates/linenthread-drill/src/fleet.rs
@@ -11,16 +11,33 @@
 pub const CELLS: usize = 4;
 pub const SHARDS: usize = 12;
 pub const CALLS_A_PART: usize = 3;
-const FURTHER: FurtherCalls = FurtherCalls { free: 20.0, share: 0.5, window: 100_000 };
+const FURTHER: FurtherCalls = FurtherCalls {
+    free: 20.0,
+    share: 0.5,
+    window: 100_000,
+};
 
 /// What was decided on a lookup.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Decision {
-    Call { lookup: usize, part: usize, call: usize },
-    Satisfy { lookup: usize, whole: bool },
-    Nack { lookup: usize },
-    Abort { lookup: usize },
-    Release { lookup: usize },
+    Call {
+        lookup: usize,
+        part: usize,
+        call: usize,
+    },
+    Satisfy {
+        lookup: usize,
+        whole: bool,
+    },
+    Nack {
+        lookup: usize,
+    },
+    Abort {
+        lookup: usize,
+    },
+    Release {
+        lookup: usize,
+    },
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -82,7 +99,11 @@
 impl Writer for Log {
     fn call(&mut self, lookup: usize, part: usize, replica: usize, time_out: Tenths) {
         self.calls.push((lookup, part, replica, time_out));
-        self.decisions.push(Decision::Call { lookup, part, call: 0 });
+        self.decisions.push(Decision::Call {
+            lookup,
+            part,
+            call: 0,
+        });
     }
     fn withdraw(&mut self, lookup: usize, part: usize, call: usize) {
         self.withdrawn.push((lookup, part, call));
@@ -134,7 +155,10 @@
         customer_quotas: Vec::new(),
         over_share_gain: 1.0,
         gain_by_work: false,
-        layout: Layout { cells: CELLS, in_a_row: 2 },
+        layout: Layout {
+            cells: CELLS,
+            in_a_row: 2,
+        },
         allowance: Allowance {
             calls_a_part: CALLS_A_PART,
             second_copies: true,
@@ -142,7 +166,12 @@
             probes: true,
             retry_advice: None,
         },
-        cold: ColdStart { share: 0.5, warm_up: 10_000, multiple: 2.0, window: 10_000 },
+        cold: ColdStart {
+            share: 0.5,
+            warm_up: 10_000,
+            multiple: 2.0,
+            window: 10_000,
+        },
         queue_told: true,
         short_queues: false,
         drain_grace: 20_000,
@@ -176,7 +205,10 @@
             lives: vec![true; listed.len()],
             listed,
         };
-        fleet.arrivals.roster.push(RosterNews::Whole(fleet.listed.clone()));
+        fleet
+            .arrivals
+            .roster
+            .push(RosterNews::Whole(fleet.listed.clone()));
         fleet.schedule(1, Event::Wake);
         if manner.changes {
             fleet.schedule(20_000, Event::Changes);
@@ -187,12 +219,15 @@
     /// An event so long from now.
     pub fn schedule(&mut self, after: Tenths, event: Event) {
         self.numbers += 1;
-        self.events.push(Reverse((self.now + after, self.numbers, event)));
+        self.events
+            .push(Reverse((self.now + after, self.numbers, event)));
     }
 
     /// The next events, all of one moment.
     pub fn next(&mut self) -> Vec<Event> {
-        let Some(Reverse((at, _, _))) = self.events.peek() else { return Vec::new() };
+        let Some(Reverse((at, _, _))) = self.events.peek() else {
+            return Vec::new();
+        };
         self.now = *at;
         let mut events = Vec::new();
         while let Some(Reverse((at, _, _))) = self.events.peek()
@@ -202,8 +237,16 @@
             match event {
                 Event::Changes => self.change(),
                 Event::Probed(replica, answers) => {
-                    let ending = if answers { Ending::Answered } else { Ending::Unconnected };
-                    self.arrivals.probes.push(ProbeReturn { replica, ending, queue: Some(0.0) });
+                    let ending = if answers {
+                        Ending::Answered
+                    } else {
+                        Ending::Unconnected
+                    };
+                    self.arrivals.probes.push(ProbeReturn {
+                        replica,
+                        ending,
+                        queue: Some(0.0),
+                    });
                 }
                 event => events.push(event),
             }
@@ -215,7 +258,14 @@
     pub fn end(&mut self, lookup: usize, part: usize, call: usize, ending: Ending) {
         if let Some(sent) = self.out.remove(&(lookup, part, call)) {
             let took = self.now - sent;
-            self.arrivals.returns.push(Return { lookup, part, call, ending, took, queue: Some(0.0) });
+            self.arrivals.returns.push(Return {
+                lookup,
+                part,
+                call,
+                ending,
+                took,
+                queue: Some(0.0),
+            });
         }
     }
 
@@ -250,7 +300,10 @@
     fn fate(&mut self, replica: usize) -> (Tenths, Fate) {
         let Manner { slow, faults, .. } = self.manner;
         if !self.lives[replica] {
-            return (2 + self.chance.rand_range(0..20) as Tenths, Fate::Unconnected);
+            return (
+                2 + self.chance.rand_range(0..20) as Tenths,
+                Fate::Unconnected,
+            );
         }
         let usual = 10 + (400.0 * self.chance.rand_float().powi(3)) as Tenths;
         if self.chance.rand_float() < slow {
@@ -267,7 +320,10 @@
             Fate::Unconnected,
             Fate::Broken,
         ];
-        (usual, fates[self.chance.rand_range(0..fates.len() as u64) as usize])
+        (
+            usual,
+            fates[self.chance.rand_range(0..fates.len() as u64) as usize],
+        )
     }
 
     /// One round of the module; what it decides, with each call under its number.
@@ -284,7 +340,11 @@
             numbers.push(call);
             let (after, fate) = self.fate(replica);
             self.out.insert((l, p, call), self.now);
-            let (after, fate) = if after < time_out { (after, fate) } else { (time_out, Fate::TimedOut) };
+            let (after, fate) = if after < time_out {
+                (after, fate)
+            } else {
+                (time_out, Fate::TimedOut)
+            };
             self.schedule(after, Event::Ends(l, p, call, fate));
         }
         for (l, p, c) in log.withdrawn {
--- a/crates/linenthread-drill/src/link.rs
+++ b/crates/linenthread-drill/src/link.rs
@@ -175,18 +175,28 @@
     /// How long a frame is on its way; now and then much longer.
     fn travel(&mut self) -> Tenths {
         let usual = self.delay + self.below(self.delay / 2 + 1);
-        if self.chance.rand_float() < self.slow { usual + self.below(600 * MS) } else { usual }
+        if self.chance.rand_float() < self.slow {
+            usual + self.below(600 * MS)
+        } else {
+            usual
+        }
     }
 
     fn send(&mut self, id: u64, way: usize, frame: Frame) {
         let travel = self.travel();
-        let Some(connection) = self.connections.get_mut(&id) else { return };
+        let Some(connection) = self.connections.get_mut(&id) else {
+            return;
+        };
         let at = (self.now + travel).max(connection.last[way] + 1);
         connection.last[way] = at;
         let times = 1 + usize::from(self.chance.rand_float() < self.doubled);
         for _ in 0..times {
             let frame = frame.clone();
-            let event = if way == 0 { Event::ToFar(id, frame) } else { Event::ToNear(id, frame) };
+            let event = if way == 0 {
+                Event::ToFar(id, frame)
+            } else {
+                Event::ToNear(id, frame)
+            };
             self.schedule(at - self.now, event);
         }
     }
@@ -223,7 +233,12 @@
                         self.schedule(at - self.now, Event::Written(id, frame));
                     }
                 }
-                NearDo::Ended { number, ending, value, .. } => self.ended(number, ending, &value),
+                NearDo::Ended {
+                    number,
+                    ending,
+                    value,
+                    ..
+                } => self.ended(number, ending, &value),
                 NearDo::Probed { .. } | NearDo::Members { .. } | NearDo::Up(_) => {}
             }
         }
@@ -234,15 +249,23 @@
     }
 
     fn ended(&mut self, number: u64, ending: Ending, value: &str) {
-        let Some(id) = self.by_number.get(&number).copied() else { return };
-        let Some(record) = self.records.get_mut(&id) else { return };
+        let Some(id) = self.by_number.get(&number).copied() else {
+            return;
+        };
+        let Some(record) = self.records.get_mut(&id) else {
+            return;
+        };
         let twice = record.ended.replace(ending);
         let ran = record.ran;
         if let Some(first) = twice {
-            self.wrong(format!("call {id} ended as {first:?} and then as {ending:?}"));
+            self.wrong(format!(
+                "call {id} ended as {first:?} and then as {ending:?}"
+            ));
         }
         if ending == Ending::Answered && (ran != 1 || value != id.to_string()) {
-            self.wrong(format!("call {id} is answered with {value}, and ran {ran} times"));
+            self.wrong(format!(
+                "call {id} is answered with {value}, and ran {ran} times"
+            ));
         }
     }
 
@@ -254,7 +277,12 @@
                     let after = self.travel();
                     self.schedule(after, Event::NearLost(connection));
                 }
-                FarDo::Start { session, number, call, .. } => {
+                FarDo::Start {
+                    session,
+                    number,
+                    call,
+                    ..
+                } => {
                     let id: u64 = call.text.parse().unwrap_or_default();
                     let ending = match self.below(12) {
                         0 => Ending::TurnedAway,
@@ -271,7 +299,10 @@
                     }
                     let after = 1 + self.below(60 * MS);
                     let life = self.life;
-                    self.schedule(after, Event::Ran(life, session, number, ending, id.to_string()));
+                    self.schedule(
+                        after,
+                        Event::Ran(life, session, number, ending, id.to_string()),
+                    );
                 }
                 FarDo::Stop { .. } | FarDo::Probe { .. } => {}
             }
@@ -334,7 +365,12 @@
             Event::FarWake => self.far.wake(now, &mut far),
             Event::Connected(id, there) if self.current == Some(id) => {
                 if there {
-                    let new = Connection { to_far: true, to_near: true, silent: None, last: [now; 2] };
+                    let new = Connection {
+                        to_far: true,
+                        to_near: true,
+                        silent: None,
+                        last: [now; 2],
+                    };
                     self.connections.insert(id, new);
                     self.near.connected(now);
                     self.far.accepted(now, id, &mut far);
@@ -368,12 +404,20 @@
                 self.far.lost(now, id);
             }
             Event::Ran(life, session, number, ending, value) if life == self.life => {
-                self.far.ended(session, number, ending, None, value, &mut far);
+                self.far
+                    .ended(session, number, ending, None, value, &mut far);
             }
             Event::Ask if now < begun + END - 1_000 * MS => {
                 let id = self.records.len() as u64;
                 let due = now + 100 * MS + self.below(900 * MS);
-                self.records.insert(id, Record { made: now, due, ..Record::default() });
+                self.records.insert(
+                    id,
+                    Record {
+                        made: now,
+                        due,
+                        ..Record::default()
+                    },
+                );
                 let call = Call {
                     replica: "r".into(),
                     lookup: format!("l{id}"),
@@ -427,7 +471,16 @@
             self.wrong("bytes are counted of calls that have ended".into());
         }
         let settled = begun + TROUBLES + RECOVERY;
-        for (id, Record { ran, ended, made, due }) in &self.records {
+        for (
+            id,
+            Record {
+                ran,
+                ended,
+                made,
+                due,
+            },
+        ) in &self.records
+        {
             counts.calls += 1;
             let wrong = match ended {
                 None => Some(format!("call {id} has not ended")),
@@ -438,7 +491,9 @@
                 Some(Ending::Unsent | Ending::Broken | Ending::TimedOut)
                     if *made > settled && due - made > 500 * MS =>
                 {
-                    Some(format!("call {id} ended as {ended:?} with the link whole again"))
+                    Some(format!(
+                        "call {id} ended as {ended:?} with the link whole again"
+                    ))
                 }
                 _ => None,
             };
@@ -466,13 +521,27 @@
                 if breaches <= PRINTED {
                     println!("breach: {why}");
                     let no_resume = if self.no_resume { " --no-resume" } else { "" };
-                    println!("  again: linenthread-drill link --schedules 1 --seed {seed}{no_resume}");
+                    println!(
+                        "  again: linenthread-drill link --schedules 1 --seed {seed}{no_resume}"
+                    );
                 }
             }
         }
-        let Counts { calls, answered, unsent, may_have, timed_out, false_alarms, mut detected } = counts;
+        let Counts {
+            calls,
+            answered,
+            unsent,
+            may_have,
+            timed_out,
+            false_alarms,
+            mut detected,
+        } = counts;
         detected.sort_unstable();
-        let at = |share: f64| detected.get((detected.len() as f64 * share) as usize).map_or(0, |t| t / MS);
+        let at = |share: f64| {
+            detected
+                .get((detected.len() as f64 * share) as usize)
+                .map_or(0, |t| t / MS)
+        };
         let share = |n: usize| 100.0 * n as f64 / calls.max(1) as f64;
         println!(
             "{calls} calls: {:.1}% answered, {:.1}% never ran, {:.1}% may have run, {:.1}% timed out",
--- a/crates/linenthread-drill/src/link_speed.rs
+++ b/crates/linenthread-drill/src/link_speed.rs
@@ -18,7 +18,12 @@
 const EVERY: Duration = Duration::from_millis(10);
 
 /// The operators' defaults, but for outcomes that are waited for longer than any cut, and slow replicas.
-const SLOW: Terms = Terms { keep: 15_000, hold: 250, after: Duration::from_millis(40), second: false };
+const SLOW: Terms = Terms {
+    keep: 15_000,
+    hold: 250,
+    after: Duration::from_millis(40),
+    second: false,
+};
 
 fn at(times: &mut [f64], share: f64) -> f64 {
     times.sort_by(f64::total_cmp);
@@ -55,8 +60,18 @@
 /// Seconds of CPU that a process has taken.
 fn cpu(id: u32) -> f64 {
     let stat = std::fs::read_to_string(format!("/proc/{id}/stat")).unwrap_or_default();
-    let fields: Vec<&str> = stat.rsplit(") ").next().unwrap_or_default().split(' ').collect();
-    let ticks = |at: usize| fields.get(at).and_then(|f| f.parse::<f64>().ok()).unwrap_or_default();
+    let fields: Vec<&str> = stat
+        .rsplit(") ")
+        .next()
+        .unwrap_or_default()
+        .split(' ')
+        .collect();
+    let ticks = |at: usize| {
+        fields
+            .get(at)
+            .and_then(|f| f.parse::<f64>().ok())
+            .unwrap_or_default()
+    };
     (ticks(11) + ticks(12)) / 100.0
 }
 
@@ -84,7 +99,10 @@
         sleep(BUSY);
         over.store(true, Ordering::Relaxed);
     });
-    let (took, done) = (begin.elapsed().as_secs_f64(), done.load(Ordering::Relaxed).max(1));
+    let (took, done) = (
+        begin.elapsed().as_secs_f64(),
+        done.load(Ordering::Relaxed).max(1),
+    );
     let spent: Vec<String> = processes
         .iter()
         .zip(before)
@@ -99,17 +117,31 @@
 
 /// When the first lookup was asked that was answered with the link whole again, in milliseconds after that.
 fn again(told: &[Told], whole: Duration) -> i64 {
-    let answered = told.iter().filter(|t| t.status == Some(200) && t.due >= whole);
-    answered.map(|t| (t.due - whole).as_millis() as i64).min().unwrap_or(-1)
+    let answered = told
+        .iter()
+        .filter(|t| t.status == Some(200) && t.due >= whole);
+    answered
+        .map(|t| (t.due - whole).as_millis() as i64)
+        .min()
+        .unwrap_or(-1)
 }
 
 fn tell(what: &str, verdict: &Verdict, again: i64) -> (usize, usize) {
-    let Verdict { checked, answered, nacked, aborted, breaches } = verdict;
+    let Verdict {
+        checked,
+        answered,
+        nacked,
+        aborted,
+        breaches,
+    } = verdict;
     println!(
         "{what}: {checked} asked, {answered} answered, {nacked} nacked, {aborted} aborted, {} lost; whole again after {again} ms",
         checked - answered - nacked - aborted
     );
-    breaches.iter().take(5).for_each(|why| println!("breach: {why}"));
+    breaches
+        .iter()
+        .take(5)
+        .for_each(|why| println!("breach: {why}"));
     (*checked, breaches.len())
 }
 
@@ -125,20 +157,32 @@
         sleep(length);
         sites.proxy.lead_to(Some(sites.links));
     });
-    tell(&format!("{what}, cut for {} ms", length.as_millis()), &verdict, again(&told, before + length))
+    tell(
+        &format!("{what}, cut for {} ms", length.as_millis()),
+        &verdict,
+        again(&told, before + length),
+    )
 }
 
 /// Two gateways to the same replicas, and one is killed under load.
 fn one_of_two(exe: &str) -> (usize, usize) {
-    let mut sites = Sites::start(exe, Terms { second: true, ..SLOW });
+    let mut sites = Sites::start(
+        exe,
+        Terms {
+            second: true,
+            ..SLOW
+        },
+    );
     let before = Duration::from_millis(1_000);
-    let (verdict, told) = asked_through(&mut sites, "two", &["order"], EVERY, 4 * before, |sites| {
-        sleep(before);
-        sites.far.signal("-KILL");
-    });
+    let (verdict, told) =
+        asked_through(&mut sites, "two", &["order"], EVERY, 4 * before, |sites| {
+            sleep(before);
+            sites.far.signal("-KILL");
+        });
     let (early, late): (Vec<_>, Vec<_>) = told.iter().partition(|t| t.due < before);
-    let share =
-        |of: &[&Told]| of.iter().filter(|t| t.status == Some(200)).count() as f64 / of.len().max(1) as f64;
+    let share = |of: &[&Told]| {
+        of.iter().filter(|t| t.status == Some(200)).count() as f64 / of.len().max(1) as f64
+    };
     println!(
         "one of two gateways killed: {:.1}% answered before, {:.1}% after",
         100.0 * share(&early),
@@ -150,23 +194,48 @@
 /// Two links of which first the one and then the other is slow: the share of lookups that take no longer than on
 /// the sound one, where the best is all of them.
 fn of_the_best(exe: &str) -> (usize, usize) {
-    let mut sites = Sites::start(exe, Terms { after: Duration::ZERO, second: true, ..SLOW });
+    let mut sites = Sites::start(
+        exe,
+        Terms {
+            after: Duration::ZERO,
+            second: true,
+            ..SLOW
+        },
+    );
     let (slow, each) = (Duration::from_millis(20), Duration::from_secs(2));
-    let (verdict, told) =
-        asked_through(&mut sites, "best", &["find"], Duration::from_millis(5), 3 * each, |sites| {
+    let (verdict, told) = asked_through(
+        &mut sites,
+        "best",
+        &["find"],
+        Duration::from_millis(5),
+        3 * each,
+        |sites| {
             sleep(each);
             sites.proxy.slow_by(slow);
             sleep(each);
             sites.proxy.slow_by(Duration::ZERO);
-            sites.second.iter().for_each(|second| second.proxy.slow_by(slow));
+            sites
+                .second
+                .iter()
+                .for_each(|second| second.proxy.slow_by(slow));
             sleep(each);
-        });
-    for (n, what) in
-        ["both sound", "the first slow by 20 ms each way", "the second slow"].into_iter().enumerate()
+        },
+    );
+    for (n, what) in [
+        "both sound",
+        "the first slow by 20 ms each way",
+        "the second slow",
+    ]
+    .into_iter()
+    .enumerate()
     {
         let in_it = |t: &&Told| t.due >= each * n as u32 && t.due < each * (n as u32 + 1);
         let all = told.iter().filter(in_it).count();
-        let quick = told.iter().filter(in_it).filter(|t| t.status == Some(200) && t.took < slow / 2).count();
+        let quick = told
+            .iter()
+            .filter(in_it)
+            .filter(|t| t.status == Some(200) && t.took < slow / 2)
+            .count();
         println!(
             "two links, {what}: {:.1}% of {all} lookups within 10 ms",
             100.0 * quick as f64 / all.max(1) as f64
@@ -179,12 +248,20 @@
 fn held(id: u32) -> f64 {
     let status = std::fs::read_to_string(format!("/proc/{id}/status")).unwrap_or_default();
     let line = status.lines().find_map(|line| line.strip_prefix("VmRSS:"));
-    line.and_then(|l| l.trim().trim_end_matches(" kB").parse::<f64>().ok()).unwrap_or_default() / 1024.0
+    line.and_then(|l| l.trim().trim_end_matches(" kB").parse::<f64>().ok())
+        .unwrap_or_default()
+        / 1024.0
 }
 
 /// Long lookups asked of a link that takes nothing any more.
 fn stalled(exe: &str) {
-    let sites = Sites::start(exe, Terms { after: Duration::ZERO, ..SLOW });
+    let sites = Sites::start(
+        exe,
+        Terms {
+            after: Duration::ZERO,
+            ..SLOW
+        },
+    );
     let near = sites.near.child.id();
     let before = held(near);
     sites.proxy.silence(Way::There, true);
@@ -198,7 +275,13 @@
                 while !over.load(Ordering::Relaxed) {
                     n += 1;
                     let mut client = Client::connect(address);
-                    client.send(&request_with("find", &format!("st{one}-{n}"), &[1], &text, &Value::Null));
+                    client.send(&request_with(
+                        "find",
+                        &format!("st{one}-{n}"),
+                        &[1],
+                        &text,
+                        &Value::Null,
+                    ));
                     client.answer();
                 }
             });
@@ -211,11 +294,19 @@
         over.store(true, Ordering::Relaxed);
     });
     let most = most.into_inner().unwrap_or_default();
-    println!("stalled link, 100 clients with 50 kB each: {before:.0} MB before, {most:.0} MB at the most");
+    println!(
+        "stalled link, 100 clients with 50 kB each: {before:.0} MB before, {most:.0} MB at the most"
+    );
 }
 
 pub fn run(exe: &str) -> (usize, usize) {
-    let sites = Sites::start(exe, Terms { after: Duration::ZERO, ..SLOW });
+    let sites = Sites::start(
+        exe,
+        Terms {
+            after: Duration::ZERO,
+            ..SLOW
+        },
+    );
     latency(&sites);
     let (near, far) = (sites.near.child.id(), sites.far.child.id());
     for at_once in [1, 10, 100, 1_000] {
--- a/crates/linenthread-drill/src/members.rs
+++ b/crates/linenthread-drill/src/members.rs
@@ -18,7 +18,9 @@
 }
 
 fn number(address: SocketAddr) -> Option<usize> {
-    let SocketAddr::V4(v4) = address else { return None };
+    let SocketAddr::V4(v4) = address else {
+        return None;
+    };
     let [_, high, low, _] = v4.ip().octets();
     Some(usize::from(high.checked_sub(1)?) << 8 | usize::from(low))
 }
@@ -42,7 +44,8 @@
             {
                 self.sent += 1;
                 self.bytes += bytes.len() as u64;
-                self.mail.push(Reverse((self.now + 10, self.sent, at, bytes)));
+                self.mail
+                    .push(Reverse((self.now + 10, self.sent, at, bytes)));
             }
         }
     }
@@ -51,7 +54,9 @@
         self.now += STEP;
         let now = self.now;
         while self.mail.peek().is_some_and(|Reverse((at, ..))| *at <= now) {
-            let Some(Reverse((_, _, at, bytes))) = self.mail.pop() else { break };
+            let Some(Reverse((_, _, at, bytes))) = self.mail.pop() else {
+                break;
+            };
             let mut to = Vec::new();
             if let Some(Some(member)) = self.all.get_mut(at) {
                 member.received(now, &bytes, &mut to).ok();
@@ -73,7 +78,12 @@
             for _ in 0..10 {
                 self.step();
             }
-            if self.all.iter().flatten().all(|m| m.alive().count() == known) {
+            if self
+                .all
+                .iter()
+                .flatten()
+                .all(|m| m.alive().count() == known)
+            {
                 return Some(self.now - began);
             }
         }
@@ -90,7 +100,9 @@
     );
     for count in sizes {
         let secrets = Secrets::new(vec![b"a secret of some length".to_vec()]).expect("long enough");
-        let ask: Vec<(String, SocketAddr)> = (0..3).map(|n| (format!("palermo-{n}"), address(n))).collect();
+        let ask: Vec<(String, SocketAddr)> = (0..3)
+            .map(|n| (format!("palermo-{n}"), address(n)))
+            .collect();
         let member = |n: usize| {
             let own = Who {
                 machine: format!("rack-{n}"),
@@ -101,8 +113,18 @@
                 life: 1_700_000_000_000,
                 ..Who::stranger(&format!("palermo-{n}"), address(n))
             };
-            let terms = MembersTerms { own, ask: ask.clone(), expected: count as u32, probe: 5_000 };
-            Some(Members::new(terms, secrets.clone(), seed.wrapping_mul(10_007) + n as u64, 0))
+            let terms = MembersTerms {
+                own,
+                ask: ask.clone(),
+                expected: count as u32,
+                probe: 5_000,
+            };
+            Some(Members::new(
+                terms,
+                secrets.clone(),
+                seed.wrapping_mul(10_007) + n as u64,
+                0,
+            ))
         };
         let mut fleet = Fleet {
             now: 0,
@@ -123,12 +145,22 @@
         }
         let each = count as f64 * 10.0;
         let cpu = began.elapsed().as_micros() as f64 / each;
-        let (sent, bytes) = ((fleet.sent - sent) as f64 / each, (fleet.bytes - bytes) as f64 / each);
+        let (sent, bytes) = (
+            (fleet.sent - sent) as f64 / each,
+            (fleet.bytes - bytes) as f64 / each,
+        );
         fleet.all[count / 2] = None;
         let gone = fleet.until(120 * SECOND, count - 2);
-        let time =
-            |t: Option<Tenths>| t.map_or("never".into(), |t| format!("{:.1} s", t as f64 / SECOND as f64));
-        println!("{count:7}  {:>12}  {sent:11.1}  {bytes:7.0}  {cpu:8.0}  {:>16}", time(whole), time(gone));
+        let time = |t: Option<Tenths>| {
+            t.map_or("never".into(), |t| {
+                format!("{:.1} s", t as f64 / SECOND as f64)
+            })
+        };
+        println!(
+            "{count:7}  {:>12}  {sent:11.1}  {bytes:7.0}  {cpu:8.0}  {:>16}",
+            time(whole),
+            time(gone)
+        );
         breaches += usize::from(whole.is_none()) + usize::from(gone.is_none());
     }
     (sizes.len(), breaches)
--- a/crates/linenthread-drill/src/merged.rs
+++ b/crates/linenthread-drill/src/merged.rs
@@ -5,7 +5,8 @@
 
 use linenthread_core::interface::*;
 use linenthread_merge::{
-    Asked, Figure, First, Form, Groups, Kind, Marks, Measure, Merge, Order, PageWish, Plan, Rows, Taken,
+    Asked, Figure, First, Form, Groups, Kind, Marks, Measure, Merge, Order, PageWish, Plan, Rows,
+    Taken,
 };
 use linenthread_stand_ins::checker::{self, Reading};
 use linenthread_stand_ins::ledger::{Donation, Ledger};
@@ -34,9 +35,18 @@
 
 fn plans() -> Vec<Plan> {
     let measure = |figures: &[Figure]| {
-        vec![Measure { field: "amount".into(), scale: 2, never_negative: true, figures: figures.to_vec() }]
+        vec![Measure {
+            field: "amount".into(),
+            scale: 2,
+            never_negative: true,
+            figures: figures.to_vec(),
+        }]
+    };
+    let order = |field: &str, kind| Order {
+        field: field.into(),
+        kind,
+        descending: true,
     };
-    let order = |field: &str, kind| Order { field: field.into(), kind, descending: true };
     let rows = Rows {
         order: vec![order("date", Kind::Text), order("amount", Kind::Decimal(2))],
         identity: "id".into(),
@@ -45,7 +55,13 @@
         most: 100,
         pages: true,
     };
-    let all = [Figure::Sum, Figure::Count, Figure::Least, Figure::Most, Figure::Mean];
+    let all = [
+        Figure::Sum,
+        Figure::Count,
+        Figure::Least,
+        Figure::Most,
+        Figure::Mean,
+    ];
     let groups = Groups {
         measures: measure(&[Figure::Sum, Figure::Count]),
         most: MOST_GROUPS,
@@ -53,9 +69,18 @@
         held: 100,
     };
     vec![
-        Plan { index: "history".into(), form: Form::Rows(rows) },
-        Plan { index: "pledges".into(), form: Form::Totals(measure(&all)) },
-        Plan { index: "charities".into(), form: Form::Groups(groups) },
+        Plan {
+            index: "history".into(),
+            form: Form::Rows(rows),
+        },
+        Plan {
+            index: "pledges".into(),
+            form: Form::Totals(measure(&all)),
+        },
+        Plan {
+            index: "charities".into(),
+            form: Form::Groups(groups),
+        },
     ]
 }
 
@@ -129,10 +154,15 @@
         let mut chance = Rand64::new(u128::from(self.seed));
         let manner = Manner {
             slow: self.slow.unwrap_or_else(|| chance.rand_float() * 0.1),
-            faults: if self.only_delays { 0.0 } else { 0.02 + 0.2 * chance.rand_float() },
+            faults: if self.only_delays {
+                0.0
+            } else {
+                0.02 + 0.2 * chance.rand_float()
+            },
             changes: !self.only_delays,
         };
-        let marks = Marks::new(vec![b"a secret of the drill".to_vec()], 1 << 40).expect("long enough");
+        let marks =
+            Marks::new(vec![b"a secret of the drill".to_vec()], 1 << 40).expect("long enough");
         let client = |_| Client {
             ledger: Ledger::new(&mut chance, SHARDS, 14),
             asked: Vec::new(),
@@ -143,8 +173,17 @@
             most_rows: 4,
         };
         let clients: Vec<Client> = (0..CLIENTS).map(client).collect();
-        let need = |plan: &Plan| if plan.index == "pledges" { self.floor.max(0.8) } else { 1.0 };
-        let indexes = plans.iter().map(|plan| index(self.floor, need(plan))).collect();
+        let need = |plan: &Plan| {
+            if plan.index == "pledges" {
+                self.floor.max(0.8)
+            } else {
+                1.0
+            }
+        };
+        let indexes = plans
+            .iter()
+            .map(|plan| index(self.floor, need(plan)))
+            .collect();
         let mut play = Play {
             drill: self,
             plans: &plans,
@@ -160,7 +199,16 @@
         while play.counts.asked < self.lookups || !play.open.is_empty() {
             play.step();
         }
-        let Counts { asked, whole, partial, cut, refused, onward, again, breaches } = play.counts;
+        let Counts {
+            asked,
+            whole,
+            partial,
+            cut,
+            refused,
+            onward,
+            again,
+            breaches,
+        } = play.counts;
         let share = |n: usize| 100.0 * n as f64 / asked.max(1) as f64;
         println!(
             "slow {:.3}, faults {:.3}, floor {}: {:.1}% whole, {:.1}% partial, {:.1}% cut, {:.1}% refused; \
@@ -181,7 +229,13 @@
     fn breach(&mut self, lookup: usize, why: &str) {
         self.counts.breaches += 1;
         if self.counts.breaches <= PRINTED {
-            let Drill { seed, lookups, floor, slow, only_delays } = self.drill;
+            let Drill {
+                seed,
+                lookups,
+                floor,
+                slow,
+                only_delays,
+            } = self.drill;
             let mut slow = slow.map_or_else(String::new, |slow| format!(" --slow {slow}"));
             slow.push_str(if *only_delays { " --only-delays" } else { "" });
             println!("breach at lookup {lookup}: {why}");
@@ -218,7 +272,10 @@
             shards.rotate_left(turn);
             let weights: Vec<f64> = shards.iter().map(|_| 1.0 + below(4) as f64).collect();
             let all: f64 = weights.iter().sum();
-            client.asked = shards.into_iter().zip(weights.iter().map(|w| w / all)).collect();
+            client.asked = shards
+                .into_iter()
+                .zip(weights.iter().map(|w| w / all))
+                .collect();
             client.plan = [0, 0, 1, 2][below(4)];
             client.reading = Reading::new(&client.asked);
             client.added.clear();
@@ -234,9 +291,17 @@
         let plan = &self.plans[client.plan];
         let limit = 1 + chance.rand_range(0..9) as usize;
         let is_rows = matches!(plan.form, Form::Rows(_));
-        let wish = PageWish { rows: is_rows.then_some(limit), mark: client.mark.clone() };
-        let asked =
-            Asked { customer: None, key: None, query: &plan.index, slices: &client.asked, shards: SHARDS };
+        let wish = PageWish {
+            rows: is_rows.then_some(limit),
+            mark: client.mark.clone(),
+        };
+        let asked = Asked {
+            customer: None,
+            key: None,
+            query: &plan.index,
+            slices: &client.asked,
+            shards: SHARDS,
+        };
         let lookup = self.free.pop().unwrap_or_else(|| {
             self.indices += 1;
             self.indices - 1
@@ -260,23 +325,46 @@
             hard_deadline: hard,
         };
         self.fleet.arrivals.lookups.push(new);
-        let part = |&(shard, weight): &(usize, f64)| NewPart { lookup, shard, weight };
-        self.fleet.arrivals.parts.extend(client.asked.iter().map(part));
+        let part = |&(shard, weight): &(usize, f64)| NewPart {
+            lookup,
+            shard,
+            weight,
+        };
+        self.fleet
+            .arrivals
+            .parts
+            .extend(client.asked.iter().map(part));
         let (calls, rounds) = (BTreeMap::new(), BTreeMap::new());
-        let open = Open { merge, client: c, limit, hard, answered: false, calls, rounds };
+        let open = Open {
+            merge,
+            client: c,
+            limit,
+            hard,
+            answered: false,
+            calls,
+            rounds,
+        };
         self.open.insert(lookup, open);
     }
 
     fn ends(&mut self, l: usize, p: usize, c: usize, fate: Fate) {
-        let Some(open) = self.open.get_mut(&l).filter(|_| self.fleet.is_out(l, p, c)) else { return };
+        let Some(open) = self.open.get_mut(&l).filter(|_| self.fleet.is_out(l, p, c)) else {
+            return;
+        };
         let client = &self.clients[open.client];
         let (round, text) = open.rounds.get(&(p, c)).cloned().unwrap_or_default();
         let mut ending = fate.ending();
         let mut wrong = None;
         match fate {
             Fate::Answered | Fate::AnsweredTwice | Fate::Unreadable => {
-                let good = client.ledger.answer(client.asked[p].0, &text, client.most_rows);
-                let value = if fate == Fate::Unreadable { "{\"rows\":[{}],\"totals\":1}" } else { &good };
+                let good = client
+                    .ledger
+                    .answer(client.asked[p].0, &text, client.most_rows);
+                let value = if fate == Fate::Unreadable {
+                    "{\"rows\":[{}],\"totals\":1}"
+                } else {
+                    &good
+                };
                 match open.merge.take(p, round, value) {
                     Taken::In | Taken::Again { .. } => ending = Ending::Answered,
                     Taken::Unreadable(why) if fate != Fate::Unreadable => {
@@ -297,7 +385,10 @@
         }
         let onward = open.merge.onward();
         self.counts.onward += onward.len();
-        self.fleet.arrivals.onward.extend(onward.iter().map(|&p| (l, p)));
+        self.fleet
+            .arrivals
+            .onward
+            .extend(onward.iter().map(|&p| (l, p)));
         self.fleet.end(l, p, c, ending);
         if let Some(why) = wrong {
             self.breach(l, &why);
@@ -308,7 +399,9 @@
         let now = self.fleet.now;
         let (lookup, ends) = match *decision {
             Decision::Call { lookup, part, call } => {
-                let Some(open) = self.open.get_mut(&lookup) else { return };
+                let Some(open) = self.open.get_mut(&lookup) else {
+                    return;
+                };
                 let question = (open.merge.round(part), open.merge.text(part));
                 open.rounds.insert((part, call), question);
                 let calls = open.calls.entry(part).or_default();
@@ -329,7 +422,9 @@
             Decision::Satisfy { lookup, .. } => (lookup, false),
             Decision::Nack { lookup } | Decision::Abort { lookup } => (lookup, true),
         };
-        let Some(open) = self.open.get_mut(&lookup) else { return };
+        let Some(open) = self.open.get_mut(&lookup) else {
+            return;
+        };
         let late = std::mem::replace(&mut open.answered, true) || now > open.hard;
         let c = open.client;
         let pause = 1 + self.fleet.chance.rand_range(0..100) as Tenths;
@@ -342,16 +437,23 @@
             self.clients[c].mark = None;
             return;
         }
-        self.judge(lookup, matches!(decision, Decision::Satisfy { whole: true, .. }));
+        self.judge(
+            lookup,
+            matches!(decision, Decision::Satisfy { whole: true, .. }),
+        );
     }
 
     fn judge(&mut self, lookup: usize, whole: bool) {
-        let Some(open) = self.open.get(&lookup) else { return };
+        let Some(open) = self.open.get(&lookup) else {
+            return;
+        };
         let (client, floor) = (&mut self.clients[open.client], self.drill.floor);
         let body = open.merge.answer(whole, Some(&self.marks), 1_000);
         let answer: Value = serde_json::from_slice(&body).unwrap_or_default();
         let judged = match client.plan {
-            0 => client.reading.page(&client.ledger, &client.asked, floor, open.limit, &answer),
+            0 => client
+                .reading
+                .page(&client.ledger, &client.asked, floor, open.limit, &answer),
             1 => checker::totals(&client.ledger, &client.asked, floor, &answer),
             _ => checker::groups(&client.ledger, &client.asked, floor, MOST_GROUPS, &answer),
         };
--- a/crates/linenthread-drill/src/merging_speed.rs
+++ b/crates/linenthread-drill/src/merging_speed.rs
@@ -14,7 +14,9 @@
 fn values(slices: usize, rows: usize) -> Vec<String> {
     let mut chance = Rand64::new(11);
     let value = |slice: usize| {
-        let mut sums: Vec<(u64, usize)> = (0..rows).map(|n| (chance.rand_range(0..1 << 40), n)).collect();
+        let mut sums: Vec<(u64, usize)> = (0..rows)
+            .map(|n| (chance.rand_range(0..1 << 40), n))
+            .collect();
         sums.sort_unstable();
         let row = |(sum, n): &(u64, usize)| json!({"amount": sum, "id": format!("{slice}-{n}"), "note": "a donation"});
         json!({"rows": sums.iter().map(row).collect::<Vec<_>>(), "more": false}).to_string()
@@ -27,19 +29,34 @@
     let mut all: Vec<(u64, String, Value)> = Vec::new();
     for value in values {
         let mut value: Value = serde_json::from_str(value).unwrap_or_default();
-        for row in value["rows"].as_array_mut().map(std::mem::take).unwrap_or_default() {
+        for row in value["rows"]
+            .as_array_mut()
+            .map(std::mem::take)
+            .unwrap_or_default()
+        {
             let id = row["id"].as_str().unwrap_or_default().to_owned();
             all.push((row["amount"].as_u64().unwrap_or_default(), id, row));
         }
     }
     all.sort_by(|a, b| (a.0, &a.1).cmp(&(b.0, &b.1)));
     let held = all.len();
-    (all.into_iter().take(PAGE).map(|(_, _, row)| row).collect(), held)
+    (
+        all.into_iter().take(PAGE).map(|(_, _, row)| row).collect(),
+        held,
+    )
 }
 
 fn merged(plan: &Plan, values: &[String]) -> (Vec<Value>, usize) {
-    let slices: Vec<_> = (0..values.len()).map(|s| (s, 1.0 / values.len() as f64)).collect();
-    let asked = Asked { customer: None, key: None, query: "q", slices: &slices, shards: values.len() };
+    let slices: Vec<_> = (0..values.len())
+        .map(|s| (s, 1.0 / values.len() as f64))
+        .collect();
+    let asked = Asked {
+        customer: None,
+        key: None,
+        query: "q",
+        slices: &slices,
+        shards: values.len(),
+    };
     let Ok(mut merge) = Merge::begin(plan, &asked, &PageWish::default(), None, 0) else {
         return Default::default();
     };
@@ -62,19 +79,42 @@
 /// What merging adds to one lookup, in microseconds: eight slices of 20 rows into a page of 20 with its mark,
 /// beside writing the eight values into an answer as they came.
 fn one_lookup(rounds: usize) -> (f64, f64) {
-    let order = vec![Order { field: "amount".into(), kind: Kind::Decimal(0), descending: false }];
-    let rows = Rows { order, identity: "id".into(), distinct: None, page: 20, most: 20, pages: true };
-    let plan = Plan { index: "i".into(), form: Form::Rows(rows) };
-    let Ok(marks) = Marks::new(vec![vec![7; 32]], 900) else { return (0.0, 0.0) };
+    let order = vec![Order {
+        field: "amount".into(),
+        kind: Kind::Decimal(0),
+        descending: false,
+    }];
+    let rows = Rows {
+        order,
+        identity: "id".into(),
+        distinct: None,
+        page: 20,
+        most: 20,
+        pages: true,
+    };
+    let plan = Plan {
+        index: "i".into(),
+        form: Form::Rows(rows),
+    };
+    let Ok(marks) = Marks::new(vec![vec![7; 32]], 900) else {
+        return (0.0, 0.0);
+    };
     let values = values(8, 20);
     let slices: Vec<_> = (0..8).map(|s| (s, 0.125)).collect();
-    let asked = Asked { customer: None, key: None, query: "q", slices: &slices, shards: 8 };
+    let asked = Asked {
+        customer: None,
+        key: None,
+        query: "q",
+        slices: &slices,
+        shards: 8,
+    };
     let (mut merged, mut passed) = (Vec::new(), Vec::new());
     for _ in 0..rounds.max(1) {
         const TIMES: u32 = 2_000;
         let begin = Instant::now();
         for _ in 0..TIMES {
-            let Ok(mut merge) = Merge::begin(&plan, &asked, &PageWish::default(), Some(&marks), 0) else {
+            let Ok(mut merge) = Merge::begin(&plan, &asked, &PageWish::default(), Some(&marks), 0)
+            else {
                 continue;
             };
             for (slice, value) in values.iter().enumerate() {
@@ -87,7 +127,10 @@
         merged.push(begin.elapsed().as_secs_f64() * 1e6 / f64::from(TIMES));
         let begin = Instant::now();
         for _ in 0..TIMES {
-            black_box(answer(true, values.iter().enumerate().map(|(s, v)| (s, v.as_str()))));
+            black_box(answer(
+                true,
+                values.iter().enumerate().map(|(s, v)| (s, v.as_str())),
+            ));
         }
         passed.push(begin.elapsed().as_secs_f64() * 1e6 / f64::from(TIMES));
     }
@@ -96,9 +139,23 @@
 
 /// Prints a line a size; a page that differs is a breach.
 pub fn run(rounds: usize) -> (usize, usize) {
-    let order = vec![Order { field: "amount".into(), kind: Kind::Decimal(0), descending: false }];
-    let rows = Rows { order, identity: "id".into(), distinct: None, page: PAGE, most: PAGE, pages: false };
-    let plan = Plan { index: "i".into(), form: Form::Rows(rows) };
+    let order = vec![Order {
+        field: "amount".into(),
+        kind: Kind::Decimal(0),
+        descending: false,
+    }];
+    let rows = Rows {
+        order,
+        identity: "id".into(),
+        distinct: None,
+        page: PAGE,
+        most: PAGE,
+        pages: false,
+    };
+    let plan = Plan {
+        index: "i".into(),
+        form: Form::Rows(rows),
+    };
     let (mut checked, mut breaches) = (0, 0);
     println!(
         "a page of {PAGE}; rows a second in millions, rows held; medians of {rounds} runs in turn, of one for the largest"
@@ -106,7 +163,11 @@
     for slices in [10, 100, 1_000] {
         for each in [100, 10_000] {
             // Ten million rows, each kept as a value, take some gigabytes: once is enough.
-            let rounds = if slices * each > 1_000_000 { 1 } else { rounds.max(1) };
+            let rounds = if slices * each > 1_000_000 {
+                1
+            } else {
+                rounds.max(1)
+            };
             let values = values(slices, each);
             let (mut ours, mut theirs, mut held) = (Vec::new(), Vec::new(), (0, 0));
             for _ in 0..rounds {
@@ -134,6 +195,8 @@
         }
     }
     let (merged, passed) = one_lookup(rounds);
-    println!("one lookup of 8 slices, 20 rows each: merged in {merged:.1} us, passed on in {passed:.1} us");
+    println!(
+        "one lookup of 8 slices, 20 rows each: merged in {merged:.1} us, passed on in {passed:.1} us"
+    );
     (checked, breaches)
 }
--- a/crates/linenthread-drill/src/record.rs
+++ b/crates/linenthread-drill/src/record.rs
@@ -162,12 +162,17 @@
     }
 
     fn breach(&mut self, why: String) {
-        self.breaches.push(format!("schedule {}, {:.1} s: {why}", self.seed, self.now as f64 / 1e4));
+        self.breaches.push(format!(
+            "schedule {}, {:.1} s: {why}",
+            self.seed,
+            self.now as f64 / 1e4
+        ));
     }
 
     fn after(&mut self, wait: Tenths, event: Event) {
         self.numbers += 1;
-        self.events.push(Reverse((self.now + wait.max(0), self.numbers, event)));
+        self.events
+            .push(Reverse((self.now + wait.max(0), self.numbers, event)));
     }
 
     fn local(&self, at: usize) -> Tenths {
@@ -179,7 +184,12 @@
     fn way(&mut self) -> Tenths {
         let usual = 5 + self.chance.rand_range(0..20) as Tenths;
         let slow = self.slow.max(1) as u64;
-        usual + if self.slow > 0 { self.chance.rand_range(0..slow) as Tenths } else { 0 }
+        usual
+            + if self.slow > 0 {
+                self.chance.rand_range(0..slow) as Tenths
+            } else {
+                0
+            }
     }
 
     fn start(&mut self, at: usize) {
@@ -199,7 +209,12 @@
             life: 1_000_000 * self.processes[at].starts,
             ..Who::stranger(&name(at), address(at))
         };
-        let terms = FleetTerms { own, voters, expected: self.processes.len() as u32, probe: 5_000 };
+        let terms = FleetTerms {
+            own,
+            voters,
+            expected: self.processes.len() as u32,
+            probe: 5_000,
+        };
         let mut to = Vec::new();
         let disk = self.processes[at].disk.clone();
         match Fleet::new(terms, Some(disk), secrets(), seed, now, &mut to) {
@@ -211,8 +226,13 @@
 
     fn crash(&mut self, at: usize, with_disk: bool) {
         let process = &mut self.processes[at];
-        let Some(fleet) = process.fleet.take() else { return };
-        let life = fleet.voter().filter(|v| v.stage() == Stage::Holding).and_then(|v| v.life());
+        let Some(fleet) = process.fleet.take() else {
+            return;
+        };
+        let life = fleet
+            .voter()
+            .filter(|v| v.stage() == Stage::Holding)
+            .and_then(|v| v.life());
         drop(fleet);
         (process.paused, process.woken_at) = (false, Tenths::MAX);
         process.waits.clear();
@@ -222,42 +242,75 @@
         } else {
             process.disk.borrow_mut().crash(&mut self.chance);
         }
-        let wires: Vec<u64> =
-            self.wires.iter().filter(|(_, w)| w.ends.iter().any(|e| e.0 == at)).map(|(n, _)| *n).collect();
+        let wires: Vec<u64> = self
+            .wires
+            .iter()
+            .filter(|(_, w)| w.ends.iter().any(|e| e.0 == at))
+            .map(|(n, _)| *n)
+            .collect();
         wires.into_iter().for_each(|wire| self.hang_up(wire, at));
     }
 
     /// One side's end of a connection: the other side hears of it, if anything reaches it.
     fn hang_up(&mut self, wire: u64, by: usize) {
-        let Some(w) = self.wires.get_mut(&wire) else { return };
+        let Some(w) = self.wires.get_mut(&wire) else {
+            return;
+        };
         let side = usize::from(w.ends[0].0 != by);
         let (own, other) = (w.ends[side], w.ends[1 - side]);
         w.open = false;
         self.at.remove(&own);
         if !self.cut.contains(&(by, other.0)) {
             let wait = self.way();
-            self.after(wait, Event::Ended { wire, side: 1 - side });
+            self.after(
+                wait,
+                Event::Ended {
+                    wire,
+                    side: 1 - side,
+                },
+            );
         }
     }
 
     fn obey(&mut self, at: usize, all: Vec<FleetDo>) {
         for one in all {
             match one {
-                FleetDo::Dial { connection, address } => {
+                FleetDo::Dial {
+                    connection,
+                    address,
+                } => {
                     let to = usize::from(address.port()) - 7_000;
                     let wait = self.way();
-                    self.after(wait, Event::Connect { from: at, number: connection, to });
+                    self.after(
+                        wait,
+                        Event::Connect {
+                            from: at,
+                            number: connection,
+                            to,
+                        },
+                    );
                 }
                 FleetDo::Write { connection, bytes } => {
-                    let Some(&wire) = self.at.get(&(at, connection)) else { continue };
+                    let Some(&wire) = self.at.get(&(at, connection)) else {
+                        continue;
+                    };
                     let wait = self.way();
-                    let Some(w) = self.wires.get_mut(&wire) else { continue };
+                    let Some(w) = self.wires.get_mut(&wire) else {
+                        continue;
+                    };
                     let side = usize::from(w.ends[0] != (at, connection));
                     w.dead[side] |= self.cut.contains(&(at, w.ends[1 - side].0));
                     if !w.dead[side] {
                         let when = (self.now + wait).max(w.last[side] + 1);
                         w.last[side] = when;
-                        self.after(when - self.now, Event::Bytes { wire, side: 1 - side, bytes });
+                        self.after(
+                            when - self.now,
+                            Event::Bytes {
+                                wire,
+                                side: 1 - side,
+                                bytes,
+                            },
+                        );
                     }
                 }
                 FleetDo::Close { connection, .. } => {
@@ -270,13 +323,30 @@
                     let to = usize::from(to.port()) - 7_000;
                     if !self.cut.contains(&(at, to)) && self.chance.rand_float() >= self.loss {
                         let wait = self.way();
-                        self.after(wait, Event::Datagram { from: at, to, bytes });
+                        self.after(
+                            wait,
+                            Event::Datagram {
+                                from: at,
+                                to,
+                                bytes,
+                            },
+                        );
                     }
                 }
-                FleetDo::Agreed(Agreed { topic, number, value }) => {
-                    let known = self.agreed.entry((topic.clone(), number)).or_insert_with(|| value.clone());
+                FleetDo::Agreed(Agreed {
+                    topic,
+                    number,
+                    value,
+                }) => {
+                    let known = self
+                        .agreed
+                        .entry((topic.clone(), number))
+                        .or_insert_with(|| value.clone());
                     if *known != value {
-                        self.breach(format!("one-value: {topic} {number} is two things, at {}", name(at)));
+                        self.breach(format!(
+                            "one-value: {topic} {number} is two things, at {}",
+                            name(at)
+                        ));
                     } else {
                         self.counts.agreed += 1;
                     }
@@ -288,14 +358,20 @@
                         println!("{:8.2} {}: {line}", self.now as f64 / 1e4, name(at));
                     }
                 }
-                FleetDo::Up(_) | FleetDo::Gone(_) | FleetDo::Report { .. } | FleetDo::Connection(_) => {}
+                FleetDo::Up(_)
+                | FleetDo::Gone(_)
+                | FleetDo::Report { .. }
+                | FleetDo::Connection(_) => {}
             }
         }
         // It is to be woken when it says.
-        let Some(fleet) = &self.processes[at].fleet else { return };
+        let Some(fleet) = &self.processes[at].fleet else {
+            return;
+        };
         let wake = fleet.wake_at();
         let process = &mut self.processes[at];
-        let when = (((wake - process.offset) as f64 / process.rate).ceil() as Tenths).max(self.now + 1);
+        let when =
+            (((wake - process.offset) as f64 / process.rate).ceil() as Tenths).max(self.now + 1);
         if when < process.woken_at || process.woken_at <= self.now {
             process.woken_at = when;
             process.wake += 1;
@@ -318,7 +394,11 @@
     fn judge(&mut self, at: usize) {
         let leads = |at: usize| {
             let process = &self.processes[at];
-            !process.paused && process.fleet.as_ref().is_some_and(|f| f.leads(self.local(at)))
+            !process.paused
+                && process
+                    .fleet
+                    .as_ref()
+                    .is_some_and(|f| f.leads(self.local(at)))
         };
         let leaders: Vec<String> = (0..self.voters).filter(|&at| leads(at)).map(name).collect();
         if leaders.len() > 1 {
@@ -362,10 +442,21 @@
                     // Its number is known before what is said to it is carried.
                     let now = self.local(to);
                     let mut said = Vec::new();
-                    taken = self.processes[to].fleet.as_mut().and_then(|f| f.accepted(now, &mut said));
+                    taken = self.processes[to]
+                        .fleet
+                        .as_mut()
+                        .and_then(|f| f.accepted(now, &mut said));
                     if let Some(theirs) = taken {
                         let ends = [(from, number), (to, theirs)];
-                        self.wires.insert(wire, Wire { ends, last: [0; 2], dead: [false; 2], open: true });
+                        self.wires.insert(
+                            wire,
+                            Wire {
+                                ends,
+                                last: [0; 2],
+                                dead: [false; 2],
+                                open: true,
+                            },
+                        );
                         self.at.extend(ends.map(|end| (end, wire)));
                         self.obey(to, said);
                     }
@@ -375,20 +466,32 @@
                     self.numbers += 1;
                     let wire = self.numbers;
                     let ends = [(from, number), (to, 0)];
-                    self.wires.insert(wire, Wire { ends, last: [0; 2], dead: [true; 2], open: false });
+                    self.wires.insert(
+                        wire,
+                        Wire {
+                            ends,
+                            last: [0; 2],
+                            dead: [true; 2],
+                            open: false,
+                        },
+                    );
                     self.at.insert((from, number), wire);
                     self.after(wait, Event::Ended { wire, side: 0 });
                 }
             }
             Event::Bytes { wire, side, bytes } => {
-                let Some(w) = self.wires.get(&wire) else { return };
+                let Some(w) = self.wires.get(&wire) else {
+                    return;
+                };
                 let (at, number) = w.ends[side];
                 if self.at.get(&(at, number)) == Some(&wire) {
                     self.tell(at, |fleet, now, to| fleet.received(now, number, &bytes, to));
                 }
             }
             Event::Ended { wire, side } => {
-                let Some(w) = self.wires.get(&wire) else { return };
+                let Some(w) = self.wires.get(&wire) else {
+                    return;
+                };
                 let (at, number) = w.ends[side];
                 if self.at.get(&(at, number)) == Some(&wire) {
                     self.at.remove(&(at, number));
@@ -456,7 +559,10 @@
     fn may_lose_disk(&self, at: usize) -> bool {
         let votes = |n: usize| {
             let process = &self.processes[n];
-            process.fleet.as_ref().is_some_and(|f| f.voter().is_some_and(|v| v.votes()))
+            process
+                .fleet
+                .as_ref()
+                .is_some_and(|f| f.voter().is_some_and(|v| v.votes()))
         };
         (0..self.voters).all(|n| n == at || votes(n))
     }
@@ -467,7 +573,8 @@
         let long = |chance: &mut Rand64| chance.rand_range(1_000..80_000) as Tenths;
         match self.chance.rand_range(0..14) {
             0..3 => {
-                let disk = self.chance.rand_range(0..3) == 0 && (at >= self.voters || self.may_lose_disk(at));
+                let disk = self.chance.rand_range(0..3) == 0
+                    && (at >= self.voters || self.may_lose_disk(at));
                 self.crash(at, disk);
                 let wait = long(&mut self.chance);
                 self.after(wait, Event::Start(at));
@@ -481,7 +588,9 @@
             }
             5..8 => {
                 // Two groups, cut one way or both.
-                let group: Vec<bool> = (0..count).map(|_| self.chance.rand_range(0..2) == 0).collect();
+                let group: Vec<bool> = (0..count)
+                    .map(|_| self.chance.rand_range(0..2) == 0)
+                    .collect();
                 let both = self.chance.rand_range(0..2) == 0;
                 for a in 0..count {
                     for b in (0..count).filter(|&b| group[a] != group[b]) {
@@ -551,26 +660,39 @@
     /// Why the fleet is not whole: one leader, one board at all, and all know all.
     fn lacks(&self) -> Option<String> {
         let fleets: Vec<_> = self.processes.iter().map(|p| p.fleet.as_ref()).collect();
-        let leaders =
-            (0..self.voters).filter(|&at| fleets[at].is_some_and(|f| f.leads(self.local(at)))).count();
+        let leaders = (0..self.voters)
+            .filter(|&at| fleets[at].is_some_and(|f| f.leads(self.local(at))))
+            .count();
         if leaders != 1 {
             return Some(format!("{leaders} lead"));
         }
         for (at, fleet) in fleets.iter().enumerate() {
-            let Some(fleet) = fleet else { return Some(format!("{} does not run", name(at))) };
+            let Some(fleet) = fleet else {
+                return Some(format!("{} does not run", name(at)));
+            };
             if at < self.voters && !fleet.voter().is_some_and(|v| v.votes()) {
                 return Some(format!("{} does not vote: {:?}", name(at), fleet.stage()));
             }
             let others = fleet.alive().count();
             if others + 1 != fleets.len() {
                 let known: BTreeSet<&str> = fleet.alive().map(|who| who.name.as_str()).collect();
-                let unknown = (0..fleets.len()).filter(|&n| n != at && !known.contains(name(n).as_str()));
+                let unknown =
+                    (0..fleets.len()).filter(|&n| n != at && !known.contains(name(n).as_str()));
                 let unknown: Vec<String> = unknown.map(name).collect();
-                return Some(format!("{} knows {others} others, not {}", name(at), unknown.join(" ")));
+                return Some(format!(
+                    "{} knows {others} others, not {}",
+                    name(at),
+                    unknown.join(" ")
+                ));
             }
             for topic in TOPICS {
-                let newest =
-                    self.agreed.keys().filter(|(t, _)| t == topic).map(|(_, n)| *n).max().unwrap_or(0);
+                let newest = self
+                    .agreed
+                    .keys()
+                    .filter(|(t, _)| t == topic)
+                    .map(|(_, n)| *n)
+                    .max()
+                    .unwrap_or(0);
                 // One more may be on its way while proposals go on.
                 if fleet.board().number(topic) + 2 < newest {
                     return Some(format!(
@@ -588,18 +710,25 @@
     fn mend(&mut self) {
         self.cut.clear();
         (self.loss, self.slow) = (0.0, 0);
-        self.events
-            .retain(|Reverse((_, _, event))| !matches!(event, Event::Trouble | Event::Heal | Event::Restart));
+        self.events.retain(|Reverse((_, _, event))| {
+            !matches!(event, Event::Trouble | Event::Heal | Event::Restart)
+        });
         for at in 0..self.processes.len() {
             let mut disk = self.processes[at].disk.borrow_mut();
             (disk.room, disk.syncs_left) = (None, None);
             drop(disk);
             self.go(at);
-            if self.processes[at].fleet.as_ref().is_some_and(Fleet::is_stopped) {
+            if self.processes[at]
+                .fleet
+                .as_ref()
+                .is_some_and(Fleet::is_stopped)
+            {
                 // Opened anew, as the program does once the disk takes bytes again.
                 self.processes[at].disk.borrow_mut().crash(&mut self.chance);
                 let disk = self.processes[at].disk.clone();
-                self.tell(at, |fleet, now, to| fleet.take_part(disk, now, to).expect("a sound disk"));
+                self.tell(at, |fleet, now, to| {
+                    fleet.take_part(disk, now, to).expect("a sound disk")
+                });
             }
             self.start(at);
         }
@@ -629,7 +758,10 @@
         self.counts.whole_after = self.now - mended;
         if !whole && self.breaches.is_empty() {
             let why = self.lacks().unwrap_or_else(|| "it does not last".into());
-            self.breach(format!("not whole {} s after all was mended: {why}", MENDED_WITHIN / SECOND));
+            self.breach(format!(
+                "not whole {} s after all was mended: {why}",
+                MENDED_WITHIN / SECOND
+            ));
         }
         if self.proposals > 0 && self.agreed.is_empty() {
             self.breach("nothing was ever agreed on".into());
@@ -648,20 +780,30 @@
         let one = |seed: u64| World::new(seed).play();
         let all: Vec<(Vec<String>, Counts)> = std::thread::scope(|scope| {
             let part = |thread: u64| {
-                let seeds =
-                    (self.seed..self.seed + self.schedules as u64).filter(move |s| s % threads == thread);
+                let seeds = (self.seed..self.seed + self.schedules as u64)
+                    .filter(move |s| s % threads == thread);
                 scope.spawn(move || seeds.map(one).collect::<Vec<_>>())
             };
             let parts: Vec<_> = (0..threads).map(part).collect();
-            parts.into_iter().flat_map(|p| p.join().expect("a schedule ends")).collect()
+            parts
+                .into_iter()
+                .flat_map(|p| p.join().expect("a schedule ends"))
+                .collect()
         });
         let mut breaches: Vec<&String> = all.iter().flat_map(|(b, _)| b).collect();
         breaches.sort_unstable();
-        breaches.iter().take(20).for_each(|why| println!("breach: {why}"));
+        breaches
+            .iter()
+            .take(20)
+            .for_each(|why| println!("breach: {why}"));
         let sum = |of: fn(&Counts) -> u64| all.iter().map(|(_, c)| of(c)).sum::<u64>();
         let mut whole: Vec<Tenths> = all.iter().map(|(_, c)| c.whole_after - SECOND).collect();
         whole.sort_unstable();
-        let at = |share: usize| whole.get(whole.len() * share / 100).map_or(0.0, |t| *t as f64 / 1e4);
+        let at = |share: usize| {
+            whole
+                .get(whole.len() * share / 100)
+                .map_or(0.0, |t| *t as f64 / 1e4)
+        };
         println!(
             "{} values told as agreed, {} times one began to lead, {} selves replaced; whole again after {:.1} s \
              in the median, {:.1} s at the 99th",
--- a/crates/linenthread-drill/src/system/budget.rs
+++ b/crates/linenthread-drill/src/system/budget.rs
@@ -34,12 +34,20 @@
     pub(super) fn lost(&self) -> usize {
         let now = self.now;
         let down = |n: &Node| !n.removed && (n.control.is_none() || n.frozen > now);
-        self.nodes.iter().filter(|n| down(n) || n.lost_until > now).count()
+        self.nodes
+            .iter()
+            .filter(|n| down(n) || n.lost_until > now)
+            .count()
     }
 
     /// One more disk may be lost.
     pub(super) fn may_lose_one(&self) -> bool {
-        let most_voters = self.values.values().map(|value| value.voters.len()).max().unwrap_or(0);
+        let most_voters = self
+            .values
+            .values()
+            .map(|value| value.voters.len())
+            .max()
+            .unwrap_or(0);
         let borne = most_voters.saturating_sub(1) / 2;
         self.lost() < self.budget.min(borne)
     }
@@ -54,13 +62,19 @@
     /// Each machine that is there counts, by its disk's name, or stands by beside enough that do; more than half of
     /// those that count have that on disk: the budget holds from then on, however slow the others are.
     pub(super) fn all_count(&self) -> bool {
-        let Some((_, newest)) = self.values.last_key_value() else { return false };
+        let Some((_, newest)) = self.values.last_key_value() else {
+            return false;
+        };
         let live: Vec<&Node> = self.nodes.iter().filter(|n| !n.removed).collect();
         let voters = newest.voters.len();
         if voters != live.len() && !self.one_stands_by(voters, live.len()) {
             return false;
         }
-        let of = |voter: &Voter| live.iter().map(|n| n.disk.durable()).find(|d| d.id == Some(voter.id));
+        let of = |voter: &Voter| {
+            live.iter()
+                .map(|n| n.disk.durable())
+                .find(|d| d.id == Some(voter.id))
+        };
         let disks: Vec<DurableState> = newest.voters.iter().filter_map(of).collect();
         let decided = |d: &DurableState| d.records().into_iter().find_map(|r| r.decided);
         let has = |d: &&DurableState| decided(d).is_some_and(|value| value.voters == newest.voters);
--- a/crates/linenthread-drill/src/system/catch_up.rs
+++ b/crates/linenthread-drill/src/system/catch_up.rs
@@ -23,19 +23,29 @@
 
 impl CatchUp {
     pub(super) fn new(goal: u64, since: u64) -> CatchUp {
-        CatchUp { goal, since, messages: 0, bytes: 0 }
+        CatchUp {
+            goal,
+            since,
+            messages: 0,
+            bytes: 0,
+        }
     }
 
     pub(super) fn count(&mut self, word: &PeerMessage) {
         self.messages += 1;
-        self.bytes += Envelope { word: Some(word.clone()) }.encoded_len();
+        self.bytes += Envelope {
+            word: Some(word.clone()),
+        }
+        .encoded_len();
     }
 }
 
 impl World {
     /// *catches-up*: with a bounded number of messages and bytes, and in calm in time.
     pub(super) fn judge_catch_up(&mut self, n: usize, number: u64) {
-        let Some(catch_up) = self.nodes[n].catch_up.as_ref().filter(|c| number >= c.goal) else { return };
+        let Some(catch_up) = self.nodes[n].catch_up.as_ref().filter(|c| number >= c.goal) else {
+            return;
+        };
         let (messages, bytes, ms) = (catch_up.messages, catch_up.bytes, self.now - catch_up.since);
         let in_calm = self.calm_from.is_some_and(|calm| catch_up.since >= calm);
         self.nodes[n].catch_up = None;
@@ -44,7 +54,9 @@
         let most = BYTES + BYTES_A_CHANGE * self.history.len();
         // In troubles a machine may be cut off, and hears other things meanwhile.
         if in_calm && (messages > MESSAGES || bytes > most || ms > TIME) {
-            self.breach(format!("catches-up: {n} needed {messages} messages, {bytes} bytes, {ms} ms"));
+            self.breach(format!(
+                "catches-up: {n} needed {messages} messages, {bytes} bytes, {ms} ms"
+            ));
         }
     }
 
--- a/crates/linenthread-drill/src/system/contact.rs
+++ b/crates/linenthread-drill/src/system/contact.rs
@@ -21,9 +21,13 @@
     pub(super) fn judge_contact(&mut self, n: usize, answer: &str) {
         let since = self.now.saturating_sub(CONTACT_BOUND);
         let node = &self.nodes[n];
-        let Some(register) = node.control.as_ref().map(|c| c.register()) else { return };
+        let Some(register) = node.control.as_ref().map(|c| c.register()) else {
+            return;
+        };
         let recent = |disk: &u64| {
-            let sent = |times: &std::collections::BTreeMap<u64, u64>| times.get(disk).copied().unwrap_or(0);
+            let sent = |times: &std::collections::BTreeMap<u64, u64>| {
+                times.get(disk).copied().unwrap_or(0)
+            };
             sent(&node.heard).min(sent(&node.reached)) >= since
         };
         let own = register.id();
@@ -31,7 +35,8 @@
         if !register.is_most(voters.filter(|id| *id == own || recent(id))) {
             let heard = register.voters().iter().filter(|v| recent(&v.id)).count();
             let (of, up) = (register.voters().len(), self.now - node.began);
-            let what = format!("{n}, up for {up} ms, in contact with {heard} of {of}, answers {answer}");
+            let what =
+                format!("{n}, up for {up} ms, in contact with {heard} of {of}, answers {answer}");
             self.breach(format!("a-cut-off-node-confirms-nothing: {what}"));
         }
     }
@@ -44,10 +49,18 @@
             return false;
         };
         let reaches = |m: usize| m == n || self.is_running(m) && !self.is_cut_either_way(n, m);
-        let reached: Vec<u64> =
-            (0..self.nodes.len()).filter(|m| reaches(*m)).filter_map(register).map(Register::id).collect();
+        let reached: Vec<u64> = (0..self.nodes.len())
+            .filter(|m| reaches(*m))
+            .filter_map(register)
+            .map(Register::id)
+            .collect();
         let is_most = |voters: &[Voter]| {
-            voters.iter().filter(|voter| reached.contains(&voter.id)).count() * 2 > voters.len()
+            voters
+                .iter()
+                .filter(|voter| reached.contains(&voter.id))
+                .count()
+                * 2
+                > voters.len()
         };
         self.is_running(n) && is_most(&newest.voters) && is_most(own.voters())
     }
@@ -55,7 +68,9 @@
     /// *fronts-leave*: a front whose control node is cut off has a session elsewhere, if any can be had.
     pub(super) fn look_at_fronts(&mut self) {
         self.push(self.now + LOOK, Event::Look);
-        let good: Vec<bool> = (0..self.nodes.len()).map(|n| self.can_reach_majority(n)).collect();
+        let good: Vec<bool> = (0..self.nodes.len())
+            .map(|n| self.can_reach_majority(n))
+            .collect();
         for f in 0..FRONTS {
             let me = front_number(f);
             // One that leaves has no sessions.
--- a/crates/linenthread-drill/src/system/disk.rs
+++ b/crates/linenthread-drill/src/system/disk.rs
@@ -167,7 +167,9 @@
                 None
             }
             Err(cause) => {
-                self.breach(format!("acknowledged-is-synced: the disk of {n} does not open: {cause}"));
+                self.breach(format!(
+                    "acknowledged-is-synced: the disk of {n} does not open: {cause}"
+                ));
                 None
             }
         }
--- a/crates/linenthread-drill/src/system/fronts.rs
+++ b/crates/linenthread-drill/src/system/fronts.rs
@@ -85,7 +85,11 @@
                 let front = &mut self.fronts[f];
                 front.asked += 1;
                 front.said.insert(front.asked, now);
-                let tick = Heartbeat { asked: front.asked, revision: front.revision, ..Heartbeat::default() };
+                let tick = Heartbeat {
+                    asked: front.asked,
+                    revision: front.revision,
+                    ..Heartbeat::default()
+                };
                 self.send(me, link, PeerMessage::Heartbeat(tick));
             }
             None => {
@@ -109,7 +113,14 @@
                     ..Hello::default()
                 };
                 let at = now + self.delay();
-                self.push(at, Event::Opened { to: n, life: to_life, link });
+                self.push(
+                    at,
+                    Event::Opened {
+                        to: n,
+                        life: to_life,
+                        link,
+                    },
+                );
                 self.wires.get_mut(&link).expect("just made").last = [at, at];
                 self.send(me, link, PeerMessage::Hello(hello));
             }
@@ -122,12 +133,17 @@
         let front = &mut self.fronts[f];
         front.heard = now;
         match word {
-            PeerMessage::Heartbeat(tick) => front.outside = if tick.whole { 0 } else { front.outside + 1 },
+            PeerMessage::Heartbeat(tick) => {
+                front.outside = if tick.whole { 0 } else { front.outside + 1 }
+            }
             PeerMessage::FrontUpdate(news) => {
                 (front.log, front.place) = (news.log, news.place);
                 if let Some(value) = news.value {
                     if value.revision < front.revision {
-                        breach = Some(format!("nothing-goes-back: front {f} is told {}", value.revision));
+                        breach = Some(format!(
+                            "nothing-goes-back: front {f} is told {}",
+                            value.revision
+                        ));
                     }
                     front.revision = value.revision;
                 }
@@ -136,7 +152,8 @@
             PeerMessage::Allotments(grants) => {
                 for grant in grants.grants {
                     let said = front.said.get(&grant.asked).copied();
-                    if let (Some(said), true) = (said, grant.life == front.life && grant.epoch >= front.epoch)
+                    if let (Some(said), true) =
+                        (said, grant.life == front.life && grant.epoch >= front.epoch)
                     {
                         let until = said + u64::from(grant.lease_ms);
                         (front.share, front.until, front.epoch) = (grant.share, until, grant.epoch);
@@ -163,10 +180,15 @@
 
     /// The core machine whose last failure is the longest ago; of several, by chance.
     fn next_to_try(&mut self, f: usize) -> usize {
-        let there: Vec<usize> = (0..self.nodes.len()).filter(|n| !self.nodes[*n].removed).collect();
+        let there: Vec<usize> = (0..self.nodes.len())
+            .filter(|n| !self.nodes[*n].removed)
+            .collect();
         let failed = |w: &World, n: usize| w.fronts[f].failed.get(&n).copied().unwrap_or(0);
         let oldest = there.iter().map(|n| failed(self, *n)).min().unwrap_or(0);
-        let first: Vec<usize> = there.into_iter().filter(|n| failed(self, *n) == oldest).collect();
+        let first: Vec<usize> = there
+            .into_iter()
+            .filter(|n| failed(self, *n) == oldest)
+            .collect();
         first[self.up_to(first.len() as u64) as usize]
     }
 }
--- a/crates/linenthread-drill/src/system/judge.rs
+++ b/crates/linenthread-drill/src/system/judge.rs
@@ -22,22 +22,29 @@
     pub(super) fn breach(&mut self, what: String) {
         self.trace(&what);
         if self.breaches.len() < TOLD {
-            self.breaches.push(format!("at {} ms: {what}", self.now - START));
+            self.breaches
+                .push(format!("at {} ms: {what}", self.now - START));
         }
     }
 
     /// *nothing-goes-back*, *one-value-a-number*: what this machine has decided by now.
     pub(super) fn judge_decided(&mut self, n: usize) {
         let decided = |c: &Control| c.register().decided().cloned();
-        let Some(decided) = self.nodes[n].control.as_ref().and_then(decided) else { return };
+        let Some(decided) = self.nodes[n].control.as_ref().and_then(decided) else {
+            return;
+        };
         let (seen, number) = (self.nodes[n].seen, decided.number);
         if number < seen {
-            self.breach(format!("nothing-goes-back: hub {n} had {seen}, now {number}"));
+            self.breach(format!(
+                "nothing-goes-back: hub {n} had {seen}, now {number}"
+            ));
         }
         self.nodes[n].seen = number;
         match self.values.get(&number) {
             Some(other) if *other != decided => {
-                self.breach(format!("one-value-a-number: two values of number {number}, at hub {n}"));
+                self.breach(format!(
+                    "one-value-a-number: two values of number {number}, at hub {n}"
+                ));
             }
             Some(_) => {}
             None => self.note_value(decided),
@@ -50,41 +57,59 @@
         let is_order = value.revision > 0 && !self.taken.contains_key(&value.revision);
         if is_order {
             self.taken.insert(value.revision, value.document.to_vec());
-            let is = |c: &&Change| c.revision == value.revision && c.document[..] == value.document[..];
+            let is =
+                |c: &&Change| c.revision == value.revision && c.document[..] == value.document[..];
             let sent = self.sent.iter().rev().find(is).cloned();
             if let Some(change) = sent {
-                if self.refused.contains(&(change.revision, change.document.clone())) {
+                if self
+                    .refused
+                    .contains(&(change.revision, change.document.clone()))
+                {
                     let revision = change.revision;
-                    self.breach(format!("taken-is-never-refused: {revision} was refused, and is taken now"));
+                    self.breach(format!(
+                        "taken-is-never-refused: {revision} was refused, and is taken now"
+                    ));
                 }
                 self.history.push(change);
             }
         } else if value.revision > 0 && self.taken[&value.revision][..] != value.document[..] {
-            self.breach(format!("one-a-number: two configurations are decided under {}", value.revision));
+            self.breach(format!(
+                "one-a-number: two configurations are decided under {}",
+                value.revision
+            ));
         }
         self.values.insert(value.number, value);
     }
 
     pub(super) fn newest_number(&self) -> u64 {
-        self.values.last_key_value().map_or(0, |(number, _)| *number)
+        self.values
+            .last_key_value()
+            .map_or(0, |(number, _)| *number)
     }
 
     fn is_taken(&self, change: &Change) -> bool {
-        self.taken.get(&change.revision).is_some_and(|document| *document == change.document)
+        self.taken
+            .get(&change.revision)
+            .is_some_and(|document| *document == change.document)
     }
 
     /// *one-holder-an-epoch*: at no moment two machines hold the lease, and an epoch belongs to one life.
     pub(super) fn judge_holders(&mut self) {
         let held = |n: usize| self.nodes[n].control.as_ref()?.holds_lease(self.clock(n));
-        let holders: Vec<(usize, u64)> =
-            (0..self.nodes.len()).filter_map(|n| held(n).map(|e| (n, e))).collect();
+        let holders: Vec<(usize, u64)> = (0..self.nodes.len())
+            .filter_map(|n| held(n).map(|e| (n, e)))
+            .collect();
         if holders.len() > 1 {
-            self.breach(format!("one-holder-an-epoch: hubs and their epochs {holders:?} at once"));
+            self.breach(format!(
+                "one-holder-an-epoch: hubs and their epochs {holders:?} at once"
+            ));
         }
         for (n, epoch) in holders {
             let life = self.nodes[n].life;
             if *self.holders.entry(epoch).or_insert(life) != life {
-                self.breach(format!("one-holder-an-epoch: {epoch} is held by a second life, of hub {n}"));
+                self.breach(format!(
+                    "one-holder-an-epoch: {epoch} is held by a second life, of hub {n}"
+                ));
             }
         }
     }
@@ -97,25 +122,37 @@
             front.held.retain(|h| h.1 + WINDOW > now);
             sum += front.held.iter().map(|h| h.0).fold(0.0, f64::max);
         }
-        self.past.iter_mut().for_each(|life| life.retain(|h| h.1 + WINDOW > now));
+        self.past
+            .iter_mut()
+            .for_each(|life| life.retain(|h| h.1 + WINDOW > now));
         self.past.retain(|life| !life.is_empty());
-        sum += self.past.iter().map(|life| life.iter().map(|h| h.0).fold(0.0, f64::max)).sum::<f64>();
+        sum += self
+            .past
+            .iter()
+            .map(|life| life.iter().map(|h| h.0).fold(0.0, f64::max))
+            .sum::<f64>();
         if sum > WHOLE + 1e-6 {
-            self.breach(format!("shares-within-the-whole: {sum} of {WHOLE} may be in use"));
+            self.breach(format!(
+                "shares-within-the-whole: {sum} of {WHOLE} may be in use"
+            ));
         }
     }
 
     // --- answers ---
 
     pub(super) fn answered(&mut self, n: usize, token: u64, answer: Answer) {
-        let Some(call) = self.calls.remove(&token) else { return };
+        let Some(call) = self.calls.remove(&token) else {
+            return;
+        };
         match &answer {
             // Only what is decided is acknowledged, see `acknowledged`: a machine that has just started may tell
             // so by the word of one other, which has no contact to have lost.
             Answer::Taken(_) if self.now < self.nodes[n].began + CONTACT_BOUND => {}
             Answer::Taken(revision) => self.judge_contact(n, &format!("Taken {revision}")),
             Answer::Conflict(revision) => self.judge_contact(n, &format!("Conflict {revision}")),
-            Answer::Document(value) => self.judge_contact(n, &format!("Document {}", value.revision)),
+            Answer::Document(value) => {
+                self.judge_contact(n, &format!("Document {}", value.revision))
+            }
             Answer::Heard(_) => self.judge_contact(n, "Heard"),
             _ => {}
         }
@@ -134,11 +171,15 @@
                 self.told.again_taken += 1;
                 self.judge_acknowledgement(n, &change);
             }
-            (Request::Again { change, later }, Answer::Conflict(_)) => self.judge_refusal(n, &change, later),
+            (Request::Again { change, later }, Answer::Conflict(_)) => {
+                self.judge_refusal(n, &change, later)
+            }
             (Request::Again { .. }, _) => self.told.again_unclear += 1,
             (Request::Rival { change }, Answer::Taken(_)) => {
                 let revision = change.revision;
-                self.breach(format!("one-a-number: another order under {revision} is acknowledged by {n}"));
+                self.breach(format!(
+                    "one-a-number: another order under {revision} is acknowledged by {n}"
+                ));
             }
             (Request::Rival { .. }, Answer::Conflict(_)) => self.told.rivals_refused += 1,
             (Request::Read { operator, floor }, Answer::Document(value)) => {
@@ -178,9 +219,14 @@
                 "one-a-number: {revision} is acknowledged by {n} and is not what is decided"
             ));
         }
-        let twin = self.acked_bases.insert(base, revision).filter(|other| *other != revision);
+        let twin = self
+            .acked_bases
+            .insert(base, revision)
+            .filter(|other| *other != revision);
         if let Some(other) = twin {
-            self.breach(format!("one-a-base: {other} and {revision} are both acknowledged on top of {base}"));
+            self.breach(format!(
+                "one-a-base: {other} and {revision} are both acknowledged on top of {base}"
+            ));
         }
         let state = &mut self.operators[operator];
         (state.current, state.change, state.waits) = (revision, None, None);
@@ -195,11 +241,17 @@
     fn judge_read(&mut self, operator: usize, floor: u64, value: &Value) {
         self.told.reads += 1;
         if value.revision < floor {
-            self.breach(format!("reads-are-newest: {} was read, {floor} was acknowledged", value.revision));
+            self.breach(format!(
+                "reads-are-newest: {} was read, {floor} was acknowledged",
+                value.revision
+            ));
         }
         let sent = self.acked.get(&value.revision);
         if sent.is_some_and(|c| c.document != value.document) {
-            self.breach(format!("acked-lasts: {} reads back as another", value.revision));
+            self.breach(format!(
+                "acked-lasts: {} reads back as another",
+                value.revision
+            ));
         }
         self.operators[operator].current = value.revision;
     }
@@ -207,13 +259,21 @@
     /// *drains-are-known*: to more than half of those that count.
     fn judge_drain(&mut self, n: usize, ident: &str) {
         self.told.drains += 1;
-        let Some(register) = self.nodes[n].control.as_ref().map(Control::register) else { return };
+        let Some(register) = self.nodes[n].control.as_ref().map(Control::register) else {
+            return;
+        };
         let voters: Vec<Voter> = register.voters().to_vec();
         let known = voters.iter().filter(|v| self.knows_drain(v, ident)).count();
         // One that knew and died since, even if it is back, counts as knowing.
-        let down = voters.iter().filter(|v| !self.has_run_for_a_while(v)).count();
+        let down = voters
+            .iter()
+            .filter(|v| !self.has_run_for_a_while(v))
+            .count();
         if (known + down) * 2 <= voters.len() {
-            self.breach(format!("drains-are-known: {known} of {} know of {ident}", voters.len()));
+            self.breach(format!(
+                "drains-are-known: {known} of {} know of {ident}",
+                voters.len()
+            ));
         }
     }
 
@@ -227,8 +287,12 @@
     }
 
     fn has_run_for_a_while(&self, voter: &Voter) -> bool {
-        let is = |o: &Node| o.control.as_ref().map(Control::register).map(Register::id) == Some(voter.id);
-        self.nodes.iter().any(|o| is(o) && o.began + 1_500 < self.now)
+        let is = |o: &Node| {
+            o.control.as_ref().map(Control::register).map(Register::id) == Some(voter.id)
+        };
+        self.nodes
+            .iter()
+            .any(|o| is(o) && o.began + 1_500 < self.now)
     }
 
     // --- at the end of a day ---
@@ -238,24 +302,42 @@
         if self.told.acks == acks_before_calm {
             self.breach("all-comes-back: no change was acknowledged after the troubles".into());
         }
-        let newest = self.values.last_key_value().map(|(_, v)| v.clone()).unwrap_or_default();
+        let newest = self
+            .values
+            .last_key_value()
+            .map(|(_, v)| v.clone())
+            .unwrap_or_default();
         let lost = |c: &&Change| !self.is_taken(c);
-        let lost: Vec<u64> = self.acked.values().filter(lost).map(|c| c.revision).collect();
+        let lost: Vec<u64> = self
+            .acked
+            .values()
+            .filter(lost)
+            .map(|c| c.revision)
+            .collect();
         for revision in lost {
             self.breach(format!("acked-lasts: {revision} is not in the chain"));
         }
         for (n, revision) in self.missing_in_ledgers() {
-            self.breach(format!("acked-lasts: {revision} is not in the ledger of {n}"));
+            self.breach(format!(
+                "acked-lasts: {revision} is not in the ledger of {n}"
+            ));
         }
-        let (last_acked, last) = (self.acked.keys().last().copied().unwrap_or(0), newest.revision);
+        let (last_acked, last) = (
+            self.acked.keys().last().copied().unwrap_or(0),
+            newest.revision,
+        );
         if last < last_acked {
-            self.breach(format!("acked-lasts: {last_acked} is acknowledged, {last} is the newest"));
+            self.breach(format!(
+                "acked-lasts: {last_acked} is acknowledged, {last} is the newest"
+            ));
         }
         self.judge_fronts_at_the_end();
         let live = self.nodes.iter().filter(|n| !n.removed).count();
         let count = newest.voters.len();
         if count != live && !self.one_stands_by(count, live) {
-            self.breach(format!("all-comes-back: {count} disks count, {live} machines are there"));
+            self.breach(format!(
+                "all-comes-back: {count} disks count, {live} machines are there"
+            ));
         }
         self.judge_still_behind();
         self.judge_state_bytes();
@@ -264,12 +346,27 @@
     /// Each machine that has got so far knows each acknowledged order, replaced disks too.
     fn missing_in_ledgers(&self) -> Vec<(usize, u64)> {
         let mut missing = Vec::new();
-        for (n, node) in self.nodes.iter().enumerate().filter(|(_, node)| !node.removed) {
-            let Some(register) = node.control.as_ref().map(Control::register) else { continue };
+        for (n, node) in self
+            .nodes
+            .iter()
+            .enumerate()
+            .filter(|(_, node)| !node.removed)
+        {
+            let Some(register) = node.control.as_ref().map(Control::register) else {
+                continue;
+            };
             let newest = register.decided().map_or(0, |d| d.revision);
-            for change in self.acked.values().filter(|change| change.revision <= newest) {
+            for change in self
+                .acked
+                .values()
+                .filter(|change| change.revision <= newest)
+            {
                 let digest = document_digest(&change.document);
-                let order = OrderIdentity { revision: change.revision, base: change.base, digest };
+                let order = OrderIdentity {
+                    revision: change.revision,
+                    base: change.base,
+                    digest,
+                };
                 if !register.ledger().contains(&order) {
                     missing.push((n, change.revision));
                 }
@@ -292,12 +389,18 @@
     }
 
     fn judge_state_bytes(&mut self) {
-        let most_state = (STATE_BYTES + super::catch_up::BYTES_A_CHANGE * self.history.len()) as u64;
+        let most_state =
+            (STATE_BYTES + super::catch_up::BYTES_A_CHANGE * self.history.len()) as u64;
         for n in 0..self.nodes.len() {
-            let (log, state) = (self.nodes[n].disk.log_bytes(), self.nodes[n].disk.state_bytes());
+            let (log, state) = (
+                self.nodes[n].disk.log_bytes(),
+                self.nodes[n].disk.state_bytes(),
+            );
             self.told.most_state_bytes = self.told.most_state_bytes.max(state as usize);
             if state > most_state || log > COMPACT_ABOVE.max(state) + LOG_SLACK {
-                self.breach(format!("bounded-state: {n} keeps {state} bytes, in a log of {log}"));
+                self.breach(format!(
+                    "bounded-state: {n} keeps {state} bytes, in a log of {log}"
+                ));
             }
         }
     }
--- a/crates/linenthread-drill/src/system/leaving.rs
+++ b/crates/linenthread-drill/src/system/leaving.rs
@@ -34,16 +34,25 @@
         if !self.is_running(n) || self.nodes[n].leaving.is_some() {
             return;
         }
-        self.nodes[n].leaving = Some(Leaving { until: self.now + GRACE, then });
+        self.nodes[n].leaving = Some(Leaving {
+            until: self.now + GRACE,
+            then,
+        });
         let life = self.nodes[n].life;
         self.at(n, |control, now, out| control.leave(now, out));
         self.push(self.now + LOOK, Event::MayEnd { node: n, life });
     }
 
     pub(super) fn may_end(&mut self, n: usize, life: u64) {
-        let Some(leaving) = self.nodes[n].leaving.filter(|_| self.nodes[n].life == life) else { return };
+        let Some(leaving) = self.nodes[n].leaving.filter(|_| self.nodes[n].life == life) else {
+            return;
+        };
         let clock = self.clock(n);
-        let may = self.is_running(n) && self.nodes[n].control.as_ref().is_some_and(|c| c.may_leave(clock));
+        let may = self.is_running(n)
+            && self.nodes[n]
+                .control
+                .as_ref()
+                .is_some_and(|c| c.may_leave(clock));
         if !may && self.now < leaving.until {
             self.push(self.now + LOOK, Event::MayEnd { node: n, life });
             return;
