--- a/crates/linenthread-drill/src/system/machines.rs
+++ b/crates/linenthread-drill/src/system/machines.rs
@@ -84,12 +84,16 @@
         if self.nodes[n].removed || self.nodes[n].control.is_some() {
             return;
         }
-        let Some(kept) = self.open_disk(n) else { return };
+        let Some(kept) = self.open_disk(n) else {
+            return;
+        };
         let (life, clock) = (self.chance.rand_u64() | 1, self.clock(n));
         let node = &self.nodes[n];
         let own = node.address.clone();
         let first = kept.id.is_none() && node.initial && self.bootstrap.contains(&own);
-        let id = kept.id.unwrap_or(if first { genesis_id(&own) } else { life });
+        let id = kept
+            .id
+            .unwrap_or(if first { genesis_id(&own) } else { life });
         let genesis = node.initial.then(|| self.genesis.clone());
         let local = Local {
             name: format!("hub-{n}"),
@@ -114,7 +118,15 @@
         (node.heard, node.reached) = (BTreeMap::new(), BTreeMap::new());
         node.catch_up = Some(CatchUp::new(goal, self.now));
         if empty {
-            self.keep(n, Record { id: Some(id), decided: genesis, ..Record::default() }, Vec::new());
+            self.keep(
+                n,
+                Record {
+                    id: Some(id),
+                    decided: genesis,
+                    ..Record::default()
+                },
+                Vec::new(),
+            );
         }
     }
 
@@ -124,8 +136,12 @@
         self.close_disk(n, end == End::Power);
         let node = &mut self.nodes[n];
         (node.control, node.life, node.leaving, node.catch_up) = (None, 0, None, None);
-        let links: Vec<u64> =
-            self.wires.iter().filter(|(_, w)| w.ends.iter().any(|e| e.0 == n)).map(|(l, _)| *l).collect();
+        let links: Vec<u64> = self
+            .wires
+            .iter()
+            .filter(|(_, w)| w.ends.iter().any(|e| e.0 == n))
+            .map(|(l, _)| *l)
+            .collect();
         for link in links {
             self.end_link(link, n);
         }
@@ -146,7 +162,14 @@
     }
 
     /// A word arrives at a core machine: it has proof of contact with who sent it.
-    pub(super) fn deliver(&mut self, from: usize, sent: u64, to: usize, link: u64, word: PeerMessage) {
+    pub(super) fn deliver(
+        &mut self,
+        from: usize,
+        sent: u64,
+        to: usize,
+        link: u64,
+        word: PeerMessage,
+    ) {
         if let Some(catch_up) = &mut self.nodes[to].catch_up {
             catch_up.count(&word);
         }
@@ -167,7 +190,9 @@
     pub(super) fn at(&mut self, n: usize, run: impl FnOnce(&mut Control, u64, &mut Vec<Effect>)) {
         let clock = self.clock(n);
         let mut out = Vec::new();
-        let Some(control) = self.nodes[n].control.as_mut() else { return };
+        let Some(control) = self.nodes[n].control.as_mut() else {
+            return;
+        };
         run(control, clock, &mut out);
         self.judge_decided(n);
         self.judge_holders();
@@ -189,17 +214,34 @@
 
     fn dial(&mut self, n: usize, address: String) {
         let (now, life) = (self.now, self.nodes[n].life);
-        let to = self.nodes.iter().position(|o| o.address == address && !o.removed);
+        let to = self
+            .nodes
+            .iter()
+            .position(|o| o.address == address && !o.removed);
         match to.filter(|&t| self.is_up(t) && !self.is_cut_either_way(n, t)) {
             Some(t) => {
                 let (to_life, delay) = (self.nodes[t].life, self.delay());
                 let link = self.open(n, life, t, to_life);
                 self.push(now + delay, Event::Opened { to: n, life, link });
-                self.push(now + delay, Event::Opened { to: t, life: to_life, link });
+                self.push(
+                    now + delay,
+                    Event::Opened {
+                        to: t,
+                        life: to_life,
+                        link,
+                    },
+                );
             }
             None => {
                 let wait = if to.is_some() { 700 } else { 5 };
-                self.push(now + wait, Event::Unreached { to: n, life, address });
+                self.push(
+                    now + wait,
+                    Event::Unreached {
+                        to: n,
+                        life,
+                        address,
+                    },
+                );
             }
         }
     }
--- a/crates/linenthread-drill/src/system/operators.rs
+++ b/crates/linenthread-drill/src/system/operators.rs
@@ -66,10 +66,17 @@
 
     pub(super) fn operator(&mut self, o: usize) {
         let now = self.now;
-        let wait = if self.is_fast() { 1 + self.up_to(25) } else { 150 + self.up_to(700) };
+        let wait = if self.is_fast() {
+            1 + self.up_to(25)
+        } else {
+            150 + self.up_to(700)
+        };
         self.push(now + wait, Event::Operator { operator: o });
         let n = self.any_node();
-        if self.operators[o].waits.is_some_and(|(_, at)| now < at + 1_000) {
+        if self.operators[o]
+            .waits
+            .is_some_and(|(_, at)| now < at + 1_000)
+        {
             return;
         }
         if let Some((token, _)) = self.operators[o].waits.take() {
@@ -99,7 +106,13 @@
             Some(change) => change,
             None => self.new_change(operator),
         };
-        if let Some(token) = self.call(n, Request::Replace { operator, change: change.clone() }) {
+        if let Some(token) = self.call(
+            n,
+            Request::Replace {
+                operator,
+                change: change.clone(),
+            },
+        ) {
             self.operators[operator].waits = Some((token, self.now));
             self.replace(n, token, change);
         }
@@ -113,22 +126,39 @@
         } else {
             base + 1 + self.operators.len() as u64 * self.up_to(3) + operator as u64
         };
-        let document =
-            format!("{{\"by\":{operator},\"revision\":{revision},\"at\":{}}}", self.now).into_bytes();
-        let change = Change { base, revision, document };
+        let document = format!(
+            "{{\"by\":{operator},\"revision\":{revision},\"at\":{}}}",
+            self.now
+        )
+        .into_bytes();
+        let change = Change {
+            base,
+            revision,
+            document,
+        };
         self.sent.push(change.clone());
         self.operators[operator].change = Some(change.clone());
         change
     }
 
     pub(super) fn replace(&mut self, n: usize, token: u64, change: Change) {
-        let Change { base, revision, document } = change;
-        self.at(n, |c, now, out| c.replace(now, token, base, revision, document, out));
+        let Change {
+            base,
+            revision,
+            document,
+        } = change;
+        self.at(n, |c, now, out| {
+            c.replace(now, token, base, revision, document, out)
+        });
     }
 
     /// An order that was taken is sent again, or another under its number.
     pub(super) fn late_order(&mut self) {
-        let wait = if self.is_fast() { 100 + self.up_to(400) } else { 400 + self.up_to(1_200) };
+        let wait = if self.is_fast() {
+            100 + self.up_to(400)
+        } else {
+            400 + self.up_to(1_200)
+        };
         self.push(self.now + wait, Event::LateOrder);
         let n = self.any_node();
         let later = LATER[self.up_to(LATER.len() as u64) as usize];
@@ -138,13 +168,20 @@
     }
 
     pub(super) fn ask_again(&mut self, n: usize, later: usize) {
-        let Some(index) = self.history.len().checked_sub(later + 1) else { return };
+        let Some(index) = self.history.len().checked_sub(later + 1) else {
+            return;
+        };
         let mut change = self.history[index].clone();
         let request = if self.up_to(3) == 0 {
             change.document.push(b' ');
-            Request::Rival { change: change.clone() }
+            Request::Rival {
+                change: change.clone(),
+            }
         } else {
-            Request::Again { change: change.clone(), later }
+            Request::Again {
+                change: change.clone(),
+                later,
+            }
         };
         if let Some(token) = self.call(n, request) {
             self.replace(n, token, change);
@@ -171,9 +208,17 @@
         self.ask_again(n, 1);
         if let Some(change) = self.history.last().cloned() {
             // It builds on what is no longer the newest version, or on it: no answer may be sure of that.
-            let stale =
-                Change { base: change.base, revision: change.revision + 1_000, document: b"{}".to_vec() };
-            if let Some(token) = self.call(n, Request::Rival { change: stale.clone() }) {
+            let stale = Change {
+                base: change.base,
+                revision: change.revision + 1_000,
+                document: b"{}".to_vec(),
+            };
+            if let Some(token) = self.call(
+                n,
+                Request::Rival {
+                    change: stale.clone(),
+                },
+            ) {
                 self.replace(n, token, stale);
             }
         }
--- a/crates/linenthread-drill/src/system/replicas.rs
+++ b/crates/linenthread-drill/src/system/replicas.rs
@@ -34,7 +34,11 @@
              \"phase\":\"{phase}\",\"call_count\":{count}}}"
         );
         let beat: Beat = serde_json::from_str(&text).expect("a heartbeat in proper form");
-        let request = if drains { Request::Drain(ident.clone()) } else { Request::Beat };
+        let request = if drains {
+            Request::Drain(ident.clone())
+        } else {
+            Request::Beat
+        };
         if let Some(token) = self.call(n, request) {
             self.at(n, |c, now, out| c.beat(now, token, &ident, beat, out));
         }
--- a/crates/linenthread-drill/src/system/schedule.rs
+++ b/crates/linenthread-drill/src/system/schedule.rs
@@ -56,7 +56,9 @@
         self.again_unclear += other.again_unclear;
         self.rivals_refused += other.rivals_refused;
         self.most_changes = self.most_changes.max(other.most_changes);
-        self.most_catch_up_messages = self.most_catch_up_messages.max(other.most_catch_up_messages);
+        self.most_catch_up_messages = self
+            .most_catch_up_messages
+            .max(other.most_catch_up_messages);
         self.most_catch_up_bytes = self.most_catch_up_bytes.max(other.most_catch_up_bytes);
         self.most_state_bytes = self.most_state_bytes.max(other.most_state_bytes);
         for (kind, count) in &other.troubles {
@@ -65,14 +67,20 @@
     }
 
     fn print(&self) {
-        println!("{} changes acknowledged, {} reads, {} drains", self.acks, self.reads, self.drains);
+        println!(
+            "{} changes acknowledged, {} reads, {} drains",
+            self.acks, self.reads, self.drains
+        );
         println!(
             "sent again: {} taken, {} unclear; {} others under one number refused",
             self.again_taken, self.again_unclear, self.rivals_refused
         );
         println!(
             "{} changes on the longest day; to catch up: {} messages, {} bytes; state of {} bytes at most",
-            self.most_changes, self.most_catch_up_messages, self.most_catch_up_bytes, self.most_state_bytes
+            self.most_changes,
+            self.most_catch_up_messages,
+            self.most_catch_up_bytes,
+            self.most_state_bytes
         );
         for (kind, count) in &self.troubles {
             println!("{kind}: {count}");
@@ -100,11 +108,19 @@
     }
 
     fn draw_day(&mut self, changes: Option<usize>) -> u64 {
-        let drawn = if self.up_to(FAST_DAYS) == 0 { Some(500 + self.up_to(1_501) as usize) } else { None };
+        let drawn = if self.up_to(FAST_DAYS) == 0 {
+            Some(500 + self.up_to(1_501) as usize)
+        } else {
+            None
+        };
         self.changes = changes.or(drawn);
         self.same_numbers = self.up_to(3) == 0;
         self.replacements = self.up_to(3) == 0;
-        let gaps = if self.replacements { [6_000, 9_000, 12_000] } else { [1_500, 4_000, 8_000] };
+        let gaps = if self.replacements {
+            [6_000, 9_000, 12_000]
+        } else {
+            [1_500, 4_000, 8_000]
+        };
         self.trouble_gap = gaps[self.up_to(3) as usize];
         match (self.up_to(LONG_DAYS), self.replacements) {
             (0, _) => LONG_DAY,
@@ -144,7 +160,10 @@
                     return;
                 }
                 let result = World::new(self.core, seed, self.traced).run(self.changes);
-                results.lock().expect("no schedule panics while it holds this").insert(seed, result);
+                results
+                    .lock()
+                    .expect("no schedule panics while it holds this")
+                    .insert(seed, result);
             }
         };
         std::thread::scope(|scope| (0..self.jobs.max(1)).for_each(|_| drop(scope.spawn(work))));
--- a/crates/linenthread-drill/src/system/troubles.rs
+++ b/crates/linenthread-drill/src/system/troubles.rs
@@ -69,7 +69,11 @@
 
 impl World {
     fn draw_kind(&mut self) -> Kind {
-        let kinds: &[(Kind, u64)] = if self.replacements { &REPLACEMENT_KINDS } else { &KINDS };
+        let kinds: &[(Kind, u64)] = if self.replacements {
+            &REPLACEMENT_KINDS
+        } else {
+            &KINDS
+        };
         let mut at = self.up_to(kinds.iter().map(|(_, weight)| weight).sum());
         for (kind, weight) in kinds {
             if at < *weight {
@@ -118,9 +122,17 @@
         if !self.is_up(n) {
             return;
         }
-        let end = if self.up_to(2) == 0 { End::Kill } else { End::Power };
+        let end = if self.up_to(2) == 0 {
+            End::Kill
+        } else {
+            End::Power
+        };
         let back = 50 + self.up_to(3_500);
-        self.count(if end == End::Kill { "crash" } else { "loss of power" });
+        self.count(if end == End::Kill {
+            "crash"
+        } else {
+            "loss of power"
+        });
         self.exchange_seeds(n);
         self.crash(n, end, Some(back));
     }
@@ -174,7 +186,13 @@
         self.push(starts, Event::Start { node: new });
         self.count_lost(new, starts);
         let leaves = starts + SYNC + self.up_to(3_000);
-        self.push(leaves, Event::Leave { node: n, successor: new });
+        self.push(
+            leaves,
+            Event::Leave {
+                node: n,
+                successor: new,
+            },
+        );
         self.plan_second_loss(leaves);
     }
 
@@ -189,8 +207,12 @@
     /// A new machine, whose settings name three of those that are there.
     fn new_machine(&mut self) -> usize {
         let address = format!("10.0.1.{}:80", self.nodes.len() + 1);
-        let there: Vec<String> =
-            self.nodes.iter().filter(|n| !n.removed).map(|n| n.address.clone()).collect();
+        let there: Vec<String> = self
+            .nodes
+            .iter()
+            .filter(|n| !n.removed)
+            .map(|n| n.address.clone())
+            .collect();
         let new = self.add_node(address, false);
         let skip = self.up_to(there.len() as u64) as usize;
         self.nodes[new].bootstrap = there.iter().cycle().skip(skip).take(3).cloned().collect();
@@ -219,8 +241,9 @@
             return;
         }
         self.count("seeds exchanged");
-        let there: Vec<usize> =
-            (0..self.nodes.len()).filter(|o| *o != n && !self.nodes[*o].removed).collect();
+        let there: Vec<usize> = (0..self.nodes.len())
+            .filter(|o| *o != n && !self.nodes[*o].removed)
+            .collect();
         let one = there[self.up_to(there.len() as u64) as usize];
         let others = [self.any_node(), self.any_node()];
         let address = |o: usize| self.nodes[o].address.clone();
@@ -260,7 +283,9 @@
         if self.calm || !self.is_up(n) || self.gone() >= self.budget || !self.all_count() {
             return;
         }
-        let others: Vec<usize> = (0..self.nodes.len()).filter(|&o| o != n && self.is_up(o)).collect();
+        let others: Vec<usize> = (0..self.nodes.len())
+            .filter(|&o| o != n && self.is_up(o))
+            .collect();
         if others.is_empty() {
             return;
         }
@@ -382,7 +407,8 @@
         let f = self.up_to(FRONTS as u64) as usize;
         let (life, now) = (self.chance.rand_u64(), self.now);
         let old = std::mem::replace(&mut self.fronts[f], Front::new(life));
-        self.past.push(old.held.iter().map(|h| (h.0, h.1.min(now))).collect());
+        self.past
+            .push(old.held.iter().map(|h| (h.0, h.1.min(now))).collect());
         if let Some(link) = old.link {
             self.end_link(link, front_number(f));
         }
--- a/crates/linenthread-drill/src/system/world.rs
+++ b/crates/linenthread-drill/src/system/world.rs
@@ -146,14 +146,23 @@
     pub(super) fn new(core: usize, seed: u64, traced: bool) -> World {
         let address = |n: usize| format!("10.0.0.{}:80", n + 1);
         let bootstrap: Vec<String> = (0..core.min(3)).map(address).collect();
-        let voters = bootstrap.iter().map(|a| Voter { id: genesis_id(a), address: a.clone() }).collect();
+        let voters = bootstrap
+            .iter()
+            .map(|a| Voter {
+                id: genesis_id(a),
+                address: a.clone(),
+            })
+            .collect();
         let mut world = World {
             now: START,
             events: BTreeMap::new(),
             order: 0,
             chance: Rand64::new(u128::from(seed)),
             nodes: Vec::new(),
-            genesis: Value { voters, ..Value::default() },
+            genesis: Value {
+                voters,
+                ..Value::default()
+            },
             bootstrap,
             wires: BTreeMap::new(),
             next: 0,
@@ -258,8 +267,17 @@
                     self.at(to, |c, _, out| c.opened(link, out));
                 }
             }
-            Event::PeerMessage { from, sent, to, link, word, .. } => match to.checked_sub(FIRST_FRONT) {
-                Some(front) if self.fronts[front].link == Some(link) => self.front_hears(front, word),
+            Event::PeerMessage {
+                from,
+                sent,
+                to,
+                link,
+                word,
+                ..
+            } => match to.checked_sub(FIRST_FRONT) {
+                Some(front) if self.fronts[front].link == Some(link) => {
+                    self.front_hears(front, word)
+                }
                 None if self.wires.contains_key(&link) => self.deliver(from, sent, to, link, word),
                 _ => {}
             },
@@ -268,7 +286,9 @@
                 Some(_) => {}
                 None => self.at(to, |c, now, out| c.closed(now, link, out)),
             },
-            Event::Unreached { to, address, .. } => self.at(to, |c, now, _| c.unreached(now, &address)),
+            Event::Unreached { to, address, .. } => {
+                self.at(to, |c, now, _| c.unreached(now, &address))
+            }
             Event::Written { to, life } => self.written(to, life),
             Event::Synced { to, then, .. } => self.at(to, |c, now, out| c.synced(now, then, out)),
             Event::Start { node } => self.start(node),
@@ -299,7 +319,10 @@
                 self.now = tick.min(end);
                 for n in 0..self.nodes.len() {
                     let clock = self.clock(n);
-                    let due = self.nodes[n].control.as_ref().is_some_and(|c| clock >= c.due(clock));
+                    let due = self.nodes[n]
+                        .control
+                        .as_ref()
+                        .is_some_and(|c| clock >= c.due(clock));
                     if due && self.nodes[n].frozen <= self.now {
                         self.at(n, |c, now, out| c.tick(now, out));
                     }
--- a/crates/linenthread-drill/src/zones.rs
+++ b/crates/linenthread-drill/src/zones.rs
@@ -4,7 +4,9 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use linenthread_core::interface::{Ending, Tenths};
-use linenthread_zones::{ALL, Decider, Ground, Pattern, Reason, Report, Table, Terms, Watch, Zone, loads};
+use linenthread_zones::{
+    ALL, Decider, Ground, Pattern, Reason, Report, Table, Terms, Watch, Zone, loads,
+};
 use oorandom::Rand64;
 
 const SECOND: Tenths = 10_000;
@@ -59,7 +61,12 @@
 }
 
 fn terms() -> Terms {
-    Terms { margin: 0.8, hold: 5 * SECOND, longest_hold: 60 * SECOND, step: 3 * SECOND }
+    Terms {
+        margin: 0.8,
+        hold: 5 * SECOND,
+        longest_hold: 60 * SECOND,
+        step: 3 * SECOND,
+    }
 }
 
 impl World {
@@ -85,7 +92,10 @@
             (0..in_a_row).for_each(|n| holders[(shard + n) % cells % count] += 1);
             *patterns.entry(holders).or_default() += 1.0 / cells as f64;
         }
-        let patterns = patterns.into_iter().map(|(holders, share)| Pattern { holders, share }).collect();
+        let patterns = patterns
+            .into_iter()
+            .map(|(holders, share)| Pattern { holders, share })
+            .collect();
         let ground = Ground {
             zones: (0..count).map(zone).collect(),
             replicas: vec![replicas_each as u32; count],
@@ -94,7 +104,10 @@
         let takes = vec![each * replicas_each as f64; count];
         // From idle to nearly full.
         let busy = 0.15 + 0.45 * chance.rand_float();
-        let asked = takes.iter().map(|t| t * busy * (0.8 + 0.4 * chance.rand_float())).collect();
+        let asked = takes
+            .iter()
+            .map(|t| t * busy * (0.8 + 0.4 * chance.rand_float()))
+            .collect();
         let a = chance.rand_range(0..count as u64) as usize;
         let b = (a + 1 + chance.rand_range(0..(count as u64 - 1).max(1)) as usize) % count;
         let trouble = match chance.rand_range(0..10) {
@@ -103,12 +116,15 @@
             5 => Trouble::PairCut(a, b),
             6 => Trouble::ZoneSlow(a),
             7 => Trouble::ObserversOff(a),
-            8 if count > 2 => [Trouble::Drain(a), Trouble::TwoZones(a, b)][chance.rand_range(0..2) as usize],
+            8 if count > 2 => {
+                [Trouble::Drain(a), Trouble::TwoZones(a, b)][chance.rand_range(0..2) as usize]
+            }
             _ => Trouble::Hostile,
         };
         let observers = 3 + chance.rand_range(0..8) as usize;
-        let watches: Vec<_> =
-            (0..count * observers).map(|n| (n % count, Watch::new((n % count) as u8))).collect();
+        let watches: Vec<_> = (0..count * observers)
+            .map(|n| (n % count, Watch::new((n % count) as u8)))
+            .collect();
         let names = ground.zones.iter().map(|z| z.name.clone()).collect();
         let sound = Table::sound(names);
         World {
@@ -137,7 +153,10 @@
 
     fn breach(&mut self, why: String) {
         let at = self.now as f64 / 1e4;
-        self.breaches.push(format!("schedule {}, {:?}, {at:.1} s: {why}", self.seed, self.trouble));
+        self.breaches.push(format!(
+            "schedule {}, {:?}, {at:.1} s: {why}",
+            self.seed, self.trouble
+        ));
     }
 
     /// Whether what goes from a co-ordinator to a zone comes to nothing.
@@ -172,7 +191,11 @@
     fn traffic(&mut self) {
         let count = self.ground.zones.len();
         let each = self.watches.len() / count;
-        let burst = if self.chance.rand_range(0..20) == 0 { 1.3 } else { 1.0 };
+        let burst = if self.chance.rand_range(0..20) == 0 {
+            1.3
+        } else {
+            1.0
+        };
         // What truly goes where, each co-ordinator by the table that it acts on.
         let mut flows = vec![vec![0.0; count]; self.watches.len()];
         let mut load = vec![0.0; count];
@@ -192,17 +215,25 @@
                 let slow = matches!(self.trouble, Trouble::ZoneSlow(z) if self.on && z == to);
                 let usage = load[to] / (self.takes[to] / if slow { 6.0 } else { 1.0 });
                 // A twentieth fails at any time, and more where too much comes.
-                let fails = if self.fails(n, to) { 1.0 } else { 0.05 + (1.0 - 1.0 / usage.max(1.0)) };
+                let fails = if self.fails(n, to) {
+                    1.0
+                } else {
+                    0.05 + (1.0 - 1.0 / usage.max(1.0))
+                };
                 let queue = 1.0 / (1.0 - usage.min(0.9));
                 let took = self.service_ms * queue * if slow { 6.0 } else { 1.0 };
                 for _ in 0..ended {
                     let ending = match self.chance.rand_float() < fails {
-                        true => [Ending::Broken, Ending::TimedOut][self.chance.rand_range(0..2) as usize],
+                        true => [Ending::Broken, Ending::TimedOut]
+                            [self.chance.rand_range(0..2) as usize],
                         false => Ending::Answered,
                     };
                     let took = took * (0.5 + self.chance.rand_float()) * 10.0;
-                    let replica = 100 * to + self.chance.rand_range(0..replicas[to].into()) as usize;
-                    self.watches[n].1.ended(to as u8, replica, ending, took as Tenths);
+                    let replica =
+                        100 * to + self.chance.rand_range(0..replicas[to].into()) as usize;
+                    self.watches[n]
+                        .1
+                        .ended(to as u8, replica, ending, took as Tenths);
                 }
             }
         }
@@ -212,7 +243,10 @@
         let mut report = Report::default();
         let count = self.ground.zones.len() as u64;
         for _ in 0..self.chance.rand_range(0..12) {
-            let at = (self.chance.rand_range(0..count) as u8, self.chance.rand_range(0..count) as u8);
+            let at = (
+                self.chance.rand_range(0..count) as u8,
+                self.chance.rand_range(0..count) as u8,
+            );
             let voices = self.chance.rand_range(0..9) as u32;
             let ended = self.chance.rand_range(0..1_000) as u32;
             let way = linenthread_zones::Way {
@@ -224,7 +258,9 @@
                 time_ms: self.chance.rand_range(0..100_000),
             };
             report.ways.insert(at, way);
-            report.asked.insert(at.0, (3, self.chance.rand_range(0..5_000) as u32));
+            report
+                .asked
+                .insert(at.0, (3, self.chance.rand_range(0..5_000) as u32));
         }
         Report::decode(&report.encode()).expect("as it went")
     }
@@ -243,7 +279,8 @@
         for n in 0..self.watches.len() {
             let report = self.watches[n].1.report(&self.ground.replicas);
             // Some are lost on the way; those of a zone that is lost don't come at all.
-            let lost = matches!(self.trouble, Trouble::ZoneLost(z) if self.on && self.watches[n].0 == z);
+            let lost =
+                matches!(self.trouble, Trouble::ZoneLost(z) if self.on && self.watches[n].0 == z);
             if !lost && self.chance.rand_range(0..10) > 0 {
                 all.add(&report);
             }
@@ -255,16 +292,32 @@
         // Who leads changes at times, and goes on from the record alone.
         if self.chance.rand_range(0..60) == 0 {
             self.leaders += 1;
-            self.decider = Decider::new(terms(), self.ground.zones.clone(), self.record.as_ref(), self.now);
+            self.decider = Decider::new(
+                terms(),
+                self.ground.zones.clone(),
+                self.record.as_ref(),
+                self.now,
+            );
         }
         let (now, ground) = (self.now, self.ground.clone());
         self.decider.drained(&self.drained, now);
         if let Some(table) = self.decider.decide(now, 0, &ground) {
             let table = Table::decode(&table.encode()).expect("as it went");
-            let cells =
-                |t: &Table| t.rows.iter().flat_map(|r| r.open.clone()).map(|c| c.0).collect::<Vec<_>>();
-            let before = self.record.as_ref().map_or(vec![ALL; ground.zones.len().pow(2)], cells);
-            let opens = cells(&table).iter().zip(&before).any(|(new, old)| new > old);
+            let cells = |t: &Table| {
+                t.rows
+                    .iter()
+                    .flat_map(|r| r.open.clone())
+                    .map(|c| c.0)
+                    .collect::<Vec<_>>()
+            };
+            let before = self
+                .record
+                .as_ref()
+                .map_or(vec![ALL; ground.zones.len().pow(2)], cells);
+            let opens = cells(&table)
+                .iter()
+                .zip(&before)
+                .any(|(new, old)| new > old);
             self.openings += u32::from(opens);
             self.tables += 1;
             if std::env::var_os("SHOW").is_some() {
@@ -274,7 +327,10 @@
                 let cut_off = self.trouble == Trouble::ZoneLost(self.watches[n].0) && self.on;
                 if !cut_off {
                     let lag = self.chance.rand_range(0..9_000) as Tenths;
-                    let at = self.coming[n].last().map_or(0, |(at, _)| *at).max(self.now + lag);
+                    let at = self.coming[n]
+                        .last()
+                        .map_or(0, |(at, _)| *at)
+                        .max(self.now + lag);
                     self.coming[n].push((at, table.clone()));
                 }
             }
@@ -285,10 +341,16 @@
 
     /// What a table must hold when it is made.
     fn judge_table(&mut self) {
-        let Some(table) = self.record.clone() else { return };
+        let Some(table) = self.record.clone() else {
+            return;
+        };
         let count = self.ground.zones.len();
         let load = loads(&self.ground, &self.asked, &table.rows);
-        let usual = loads(&self.ground, &self.asked, &Table::sound(table.zones.clone()).rows);
+        let usual = loads(
+            &self.ground,
+            &self.asked,
+            &Table::sound(table.zones.clone()).rows,
+        );
         // *never-past-room*: by what a zone can truly do, or what it bears anyway when all is sound.
         for to in 0..count {
             let sum = |l: &[Vec<f64>]| l.iter().map(|from| from[to]).sum::<f64>();
@@ -299,7 +361,10 @@
             };
             // Those of a lost zone's clients ask no more, or elsewhere: never more than all asked for.
             let told = self.ground.zones[to].room.is_some();
-            if told && self.trouble != Trouble::Hostile && sum(&load) > truly.max(sum(&usual)) * 1.15 {
+            if told
+                && self.trouble != Trouble::Hostile
+                && sum(&load) > truly.max(sum(&usual)) * 1.15
+            {
                 self.breach(format!(
                     "never-past-room: zone {to} gets {:.0}, takes {truly:.0}, usually gets {:.0}",
                     sum(&load),
@@ -337,7 +402,9 @@
     }
 
     fn shut(&self, from: usize, to: usize) -> bool {
-        self.record.as_ref().is_some_and(|t| t.rows[from].open[to].0 == 0)
+        self.record
+            .as_ref()
+            .is_some_and(|t| t.rows[from].open[to].0 == 0)
     }
 
     /// Whether what is to be left is left by the table.
@@ -345,9 +412,9 @@
         let count = self.ground.zones.len();
         match self.trouble {
             Trouble::ZoneLost(z) => (0..count).filter(|f| *f != z).all(|f| self.shut(f, z)),
-            Trouble::TwoZones(a, b) => {
-                (0..count).filter(|f| *f != a && *f != b).all(|f| self.shut(f, a) && self.shut(f, b))
-            }
+            Trouble::TwoZones(a, b) => (0..count)
+                .filter(|f| *f != a && *f != b)
+                .all(|f| self.shut(f, a) && self.shut(f, b)),
             Trouble::PairCut(a, b) => self.shut(a, b) || self.shut(b, a),
             Trouble::Drain(z) => (0..count).all(|f| self.shut(f, z)),
             _ => true,
@@ -366,7 +433,10 @@
         let mut ordered = true;
         if let Trouble::Drain(z) = self.trouble {
             // Where shards lie there alone, the order is refused.
-            ordered = self.ground.may_drain(&format!("z{z}"), &self.drained).is_ok();
+            ordered = self
+                .ground
+                .may_drain(&format!("z{z}"), &self.drained)
+                .is_ok();
             self.drained.extend(ordered.then(|| format!("z{z}")));
         }
         let long = 40 + self.chance.rand_range(0..120) as usize;
@@ -404,7 +474,9 @@
         if self.trouble != Trouble::Hostile && self.breaches.is_empty() {
             let end = self.now + 2 * (terms().longest_hold + 6 * terms().step) + 20 * SECOND;
             let open = |w: &World| {
-                w.record.as_ref().is_none_or(|t| t.rows.iter().flat_map(|r| &r.open).all(|c| c.0 == ALL))
+                w.record
+                    .as_ref()
+                    .is_none_or(|t| t.rows.iter().flat_map(|r| &r.open).all(|c| c.0 == ALL))
             };
             while self.now < end && !open(&self) {
                 self.step();
@@ -418,7 +490,10 @@
         let minutes = (self.now - 100 * SECOND) as f64 / 60e4;
         let bound = 20.0 + minutes + 5.0 * f64::from(self.leaders);
         if f64::from(self.openings) > bound {
-            self.breach(format!("no-flap: {} openings in {minutes:.1} minutes", self.openings));
+            self.breach(format!(
+                "no-flap: {} openings in {minutes:.1} minutes",
+                self.openings
+            ));
         }
         (self.breaches, self.left_at.filter(|_| seen), self.openings)
     }
@@ -429,18 +504,31 @@
         let threads = std::thread::available_parallelism().map_or(1, |n| n.get()) as u64;
         let all: Vec<_> = std::thread::scope(|scope| {
             let part = |thread: u64| {
-                let seeds =
-                    (self.seed..self.seed + self.schedules as u64).filter(move |s| s % threads == thread);
-                scope.spawn(move || seeds.map(|seed| World::new(seed).play()).collect::<Vec<_>>())
+                let seeds = (self.seed..self.seed + self.schedules as u64)
+                    .filter(move |s| s % threads == thread);
+                scope.spawn(move || {
+                    seeds
+                        .map(|seed| World::new(seed).play())
+                        .collect::<Vec<_>>()
+                })
             };
             let parts: Vec<_> = (0..threads).map(part).collect();
-            parts.into_iter().flat_map(|p| p.join().expect("a schedule ends")).collect()
+            parts
+                .into_iter()
+                .flat_map(|p| p.join().expect("a schedule ends"))
+                .collect()
         });
         let breaches: Vec<&String> = all.iter().flat_map(|(b, ..)| b).collect();
-        breaches.iter().take(20).for_each(|why| println!("breach: {why}"));
+        breaches
+            .iter()
+            .take(20)
+            .for_each(|why| println!("breach: {why}"));
         let mut left: Vec<Tenths> = all.iter().filter_map(|(_, left, _)| *left).collect();
         left.sort_unstable();
-        let at = |share: usize| left.get(left.len() * share / 100).map_or(0.0, |t| *t as f64 / 1e4);
+        let at = |share: usize| {
+            left.get(left.len() * share / 100)
+                .map_or(0.0, |t| *t as f64 / 1e4)
+        };
         println!(
             "{} zones left, by the record after {:.1} s in the median, {:.1} s at the 99th",
             left.len(),
--- a/crates/linenthread-drill/tests/no_wall_clock.rs
+++ b/crates/linenthread-drill/tests/no_wall_clock.rs
@@ -12,12 +12,21 @@
 const READERS: [&str; 2] = ["control.rs", "logs.rs"];
 
 fn sources(package: &str) -> Vec<PathBuf> {
-    let mut folders = vec![Path::new(env!("CARGO_MANIFEST_DIR")).join("..").join(package).join("src")];
+    let mut folders = vec![
+        Path::new(env!("CARGO_MANIFEST_DIR"))
+            .join("..")
+            .join(package)
+            .join("src"),
+    ];
     let mut sources = Vec::new();
     while let Some(folder) = folders.pop() {
         for entry in std::fs::read_dir(folder).expect("the folder of a package") {
             let path = entry.expect("an entry of a folder").path();
-            if path.is_dir() { folders.push(path) } else { sources.push(path) }
+            if path.is_dir() {
+                folders.push(path)
+            } else {
+                sources.push(path)
+            }
         }
     }
     sources
@@ -33,9 +42,12 @@
 
 #[test]
 fn control_and_consensus_read_no_clock() {
-    for package in
-        ["linenthread-control", "linenthread-consensus", "linenthread-messages", "linenthread-store"]
-    {
+    for package in [
+        "linenthread-control",
+        "linenthread-consensus",
+        "linenthread-messages",
+        "linenthread-store",
+    ] {
         let sources = sources(package);
         assert!(!sources.is_empty());
         for path in sources {
@@ -46,9 +58,19 @@
 
 #[test]
 fn the_daemon_reads_the_time_of_day_only_for_the_number_of_a_life_and_its_log() {
-    for path in sources("linenthread-node").into_iter().filter(|path| has(path, &CLOCKS[..2])) {
-        assert!(READERS.iter().any(|reader| path.ends_with(reader)), "{} reads it", path.display());
-        assert_eq!(text(&path).matches("SystemTime::now").count(), usize::from(path.ends_with(READERS[0])));
+    for path in sources("linenthread-node")
+        .into_iter()
+        .filter(|path| has(path, &CLOCKS[..2]))
+    {
+        assert!(
+            READERS.iter().any(|reader| path.ends_with(reader)),
+            "{} reads it",
+            path.display()
+        );
+        assert_eq!(
+            text(&path).matches("SystemTime::now").count(),
+            usize::from(path.ends_with(READERS[0]))
+        );
     }
 }
 
@@ -76,7 +98,9 @@
     let (mut one, mut other) = (node("one", 7), node("other", 7));
     let (mut hello, mut answer) = (Vec::new(), Vec::new());
     one.opened(1, &mut hello);
-    let Some(Effect::Send { word, .. }) = hello.pop() else { panic!("no hello") };
+    let Some(Effect::Send { word, .. }) = hello.pop() else {
+        panic!("no hello")
+    };
     other.on_message(1, 2, word, &mut answer);
     assert!(matches!(answer[..], [Effect::Drop(2)]));
 }
--- a/crates/linenthread-drill/tests/system.rs
+++ b/crates/linenthread-drill/tests/system.rs
@@ -14,6 +14,11 @@
 #[test]
 fn days_do_not_depend_on_how_many_are_played_at_once() {
     let one = days(&["--jobs", "1"]);
-    assert!(one.lines().last().is_some_and(|line| line.starts_with("4 checked, ")), "{one}");
+    assert!(
+        one.lines()
+            .last()
+            .is_some_and(|line| line.starts_with("4 checked, ")),
+        "{one}"
+    );
     assert_eq!(one, days(&["--jobs", "3"]));
 }
--- a/crates/linenthread-fleet/src/board.rs
+++ b/crates/linenthread-fleet/src/board.rs
@@ -24,7 +24,11 @@
     pub fn id(&self) -> u64 {
         let mix = |hash: u64, byte: &u8| (hash ^ u64::from(*byte)).wrapping_mul(0x0100_0000_01b3);
         let name = self.name.as_bytes().iter().fold(0xcbf2_9ce4_8422_2325, mix);
-        self.life.to_be_bytes().iter().fold(mix(name, &0), mix).max(1)
+        self.life
+            .to_be_bytes()
+            .iter()
+            .fold(mix(name, &0), mix)
+            .max(1)
     }
 
     pub fn put(&self, put: &mut Put) {
@@ -33,7 +37,10 @@
     }
 
     pub fn take(take: &mut Take) -> Res<Life> {
-        Ok(Life { name: take.text()?, life: take.u64()? })
+        Ok(Life {
+            name: take.text()?,
+            life: take.u64()?,
+        })
     }
 }
 
@@ -57,8 +64,15 @@
     }
 
     pub fn take(take: &mut Take) -> Res<Write> {
-        let write = Write { topic: take.text()?, based_on: take.u64()?, value: take.lot()?.to_vec() };
-        write.is_sound().then_some(write).ok_or_else(|| "a value is too long for the record".into())
+        let write = Write {
+            topic: take.text()?,
+            based_on: take.u64()?,
+            value: take.lot()?.to_vec(),
+        };
+        write
+            .is_sound()
+            .then_some(write)
+            .ok_or_else(|| "a value is too long for the record".into())
     }
 }
 
@@ -73,7 +87,9 @@
 impl Board {
     /// A topic's value and its number, from 1.
     pub fn value(&self, topic: &str) -> Option<(u64, &[u8])> {
-        self.values.get(topic).map(|(number, value)| (*number, &value[..]))
+        self.values
+            .get(topic)
+            .map(|(number, value)| (*number, &value[..]))
     }
 
     pub fn number(&self, topic: &str) -> u64 {
@@ -81,7 +97,9 @@
     }
 
     pub fn values(&self) -> impl Iterator<Item = (&str, u64, &[u8])> {
-        self.values.iter().map(|(topic, (number, value))| (topic.as_str(), *number, &value[..]))
+        self.values
+            .iter()
+            .map(|(topic, (number, value))| (topic.as_str(), *number, &value[..]))
     }
 
     /// Writes a value that is based on what stands there; its number. One that is not changes nothing.
@@ -99,7 +117,8 @@
         let fits = self.values.contains_key(topic) || self.values.len() < MOST_TOPICS;
         let news = number > self.number(topic) && fits && value.len() <= LONGEST_VALUE;
         if news {
-            self.values.insert(topic.to_owned(), (number, value.to_vec()));
+            self.values
+                .insert(topic.to_owned(), (number, value.to_vec()));
         }
         news
     }
--- a/crates/linenthread-fleet/src/dials.rs
+++ b/crates/linenthread-fleet/src/dials.rs
@@ -43,10 +43,20 @@
         let mut chance = Rand64::new(u128::from(seed));
         let mut begin = |address| {
             let next = now + (chance.rand_float() * FIRST as f64) as Tenths;
-            Dial { address, failures: 0, next, on: None }
+            Dial {
+                address,
+                failures: 0,
+                next,
+                on: None,
+            }
         };
         let all = to.map(|(name, address)| (name, begin(address))).collect();
-        let mut dials = Dials { all, chance, any: None, one_is_enough };
+        let mut dials = Dials {
+            all,
+            chance,
+            any: None,
+            one_is_enough,
+        };
         dials.choose();
         dials
     }
@@ -54,9 +64,16 @@
     fn choose(&mut self) {
         if self.one_is_enough && !self.all.is_empty() {
             // The next one by chance, but not the one that has just failed where there is another.
-            let others: Vec<&String> = self.all.keys().filter(|n| Some(*n) != self.any.as_ref()).collect();
+            let others: Vec<&String> = self
+                .all
+                .keys()
+                .filter(|n| Some(*n) != self.any.as_ref())
+                .collect();
             let at = self.chance.rand_range(0..others.len().max(1) as u64) as usize;
-            self.any = others.get(at).map(|name| (*name).clone()).or(self.any.take());
+            self.any = others
+                .get(at)
+                .map(|name| (*name).clone())
+                .or(self.any.take());
         }
     }
 
@@ -69,15 +86,31 @@
     }
 
     pub fn wake_at(&self) -> Tenths {
-        let waits = self.all.iter().filter(|(name, d)| d.on.is_none() && self.is_wanted(name));
+        let waits = self
+            .all
+            .iter()
+            .filter(|(name, d)| d.on.is_none() && self.is_wanted(name));
         waits.map(|(_, d)| d.next).min().unwrap_or(Tenths::MAX)
     }
 
     /// Those to be dialled now.
-    pub fn due(&mut self, now: Tenths, mut number: impl FnMut() -> u64) -> Vec<(u64, String, SocketAddr)> {
-        let wanted: Vec<String> = self.all.keys().filter(|name| self.is_wanted(name)).cloned().collect();
+    pub fn due(
+        &mut self,
+        now: Tenths,
+        mut number: impl FnMut() -> u64,
+    ) -> Vec<(u64, String, SocketAddr)> {
+        let wanted: Vec<String> = self
+            .all
+            .keys()
+            .filter(|name| self.is_wanted(name))
+            .cloned()
+            .collect();
         let mut due = Vec::new();
-        for (name, dial) in self.all.iter_mut().filter(|(name, _)| wanted.contains(name)) {
+        for (name, dial) in self
+            .all
+            .iter_mut()
+            .filter(|(name, _)| wanted.contains(name))
+        {
             if dial.on.is_none() && dial.next <= now {
                 let connection = number();
                 dial.on = Some((connection, now));
@@ -89,10 +122,20 @@
 
     /// A connection came to nothing or has ended.
     pub fn lost(&mut self, now: Tenths, connection: u64) {
-        let lost = self.all.values_mut().find(|d| d.on.is_some_and(|(number, _)| number == connection));
+        let lost = self
+            .all
+            .values_mut()
+            .find(|d| d.on.is_some_and(|(number, _)| number == connection));
         let Some(dial) = lost else { return };
-        let lasted = dial.on.take().is_some_and(|(_, since)| now - since >= LASTED);
-        dial.failures = if lasted { 1 } else { (dial.failures + 1).min(16) };
+        let lasted = dial
+            .on
+            .take()
+            .is_some_and(|(_, since)| now - since >= LASTED);
+        dial.failures = if lasted {
+            1
+        } else {
+            (dial.failures + 1).min(16)
+        };
         let wait = (FIRST << (dial.failures - 1).min(10)).min(LONGEST);
         dial.next = now + wait / 2 + (self.chance.rand_float() * wait as f64 / 2.0) as Tenths;
         self.choose();
--- a/crates/linenthread-fleet/src/fleet.rs
+++ b/crates/linenthread-fleet/src/fleet.rs
@@ -166,9 +166,17 @@
     /// # Errors
     ///
     /// See [`Voter::new`].
-    pub fn take_part(&mut self, files: F, now: Tenths, to: &mut Vec<FleetDo>) -> Result<(), String> {
+    pub fn take_part(
+        &mut self,
+        files: F,
+        now: Tenths,
+        to: &mut Vec<FleetDo>,
+    ) -> Result<(), String> {
         let voters = self.voters.iter().map(|(name, _)| name.clone()).collect();
-        let terms = VoterTerms { own: self.own.clone(), voters };
+        let terms = VoterTerms {
+            own: self.own.clone(),
+            voters,
+        };
         let mut said = Vec::new();
         let voter = Voter::new(terms, files, self.chance.rand_u64(), now, &mut said)?;
         if !matches!(voter.stage(), Stage::Stopped(_)) {
@@ -186,15 +194,20 @@
         let own = self.own.clone();
         let stopped = self.is_stopped();
         let votes = self.voter.is_some() && !stopped;
-        let to =
-            self.voters.iter().filter(|(name, _)| if votes { *name > own } else { *name != own }).cloned();
+        let to = self
+            .voters
+            .iter()
+            .filter(|(name, _)| if votes { *name > own } else { *name != own })
+            .cloned();
         let to: Vec<_> = to.collect();
         self.dials = Dials::new(to.into_iter(), !votes, self.chance.rand_u64(), now);
     }
 
     /// It is a voter whose disk has failed: see [`Fleet::take_part`].
     pub fn is_stopped(&self) -> bool {
-        self.voter.as_ref().is_some_and(|v| matches!(v.stage(), Stage::Stopped(_)))
+        self.voter
+            .as_ref()
+            .is_some_and(|v| matches!(v.stage(), Stage::Stopped(_)))
     }
 
     /// How far the voter here has come; `None` where there is none.
@@ -238,8 +251,16 @@
             Talk::Ended => Tenths::MAX,
             _ => c.began + GREETING,
         };
-        let connection = self.connections.values().map(beats).min().unwrap_or(Tenths::MAX);
-        voter.min(connection).min(self.dials.wake_at()).min(self.members.wake_at())
+        let connection = self
+            .connections
+            .values()
+            .map(beats)
+            .min()
+            .unwrap_or(Tenths::MAX);
+        voter
+            .min(connection)
+            .min(self.dials.wake_at())
+            .min(self.members.wake_at())
     }
 
     /// Does all that fell due.
@@ -261,27 +282,44 @@
         });
         for (connection, name, address) in due {
             self.begin(now, connection, Talk::Challenged { to: name });
-            to.push(FleetDo::Dial { connection, address });
+            to.push(FleetDo::Dial {
+                connection,
+                address,
+            });
         }
         let mut ends = Vec::new();
         for (&number, connection) in &mut self.connections {
             match connection.talk {
-                Talk::Open { .. } if now >= connection.heard + SILENCE => ends.push((number, "it is silent")),
+                Talk::Open { .. } if now >= connection.heard + SILENCE => {
+                    ends.push((number, "it is silent"))
+                }
                 Talk::Open { .. } if now >= connection.pinged + PING => {
                     connection.pinged = now;
                     let bytes = Frame::Ping { number: now as u64 }.encode();
-                    to.push(FleetDo::Write { connection: number, bytes });
+                    to.push(FleetDo::Write {
+                        connection: number,
+                        bytes,
+                    });
                 }
                 Talk::Open { .. } | Talk::Ended => {}
-                _ if now >= connection.began + GREETING => ends.push((number, "it does not prove itself")),
+                _ if now >= connection.began + GREETING => {
+                    ends.push((number, "it does not prove itself"))
+                }
                 _ => {}
             }
         }
-        ends.into_iter().for_each(|(number, why)| self.close(number, why, to));
+        ends.into_iter()
+            .for_each(|(number, why)| self.close(number, why, to));
     }
 
     fn begin(&mut self, now: Tenths, number: u64, talk: Talk) {
-        let connection = Connection { talk, read: Vec::new(), began: now, heard: now, pinged: now };
+        let connection = Connection {
+            talk,
+            read: Vec::new(),
+            began: now,
+            heard: now,
+            pinged: now,
+        };
         self.connections.insert(number, connection);
     }
 
@@ -301,15 +339,25 @@
         let (number, nonce) = (self.numbers, self.nonce());
         self.begin(now, number, Talk::Asked { nonce });
         let name = self.own.clone();
-        let frame = Frame::Challenge { least: VERSION, most: VERSION, nonce, name };
-        to.push(FleetDo::Write { connection: number, bytes: frame.encode() });
+        let frame = Frame::Challenge {
+            least: VERSION,
+            most: VERSION,
+            nonce,
+            name,
+        };
+        to.push(FleetDo::Write {
+            connection: number,
+            bytes: frame.encode(),
+        });
         Some(number)
     }
 
     /// A connection has ended, or could not be made.
     pub fn lost(&mut self, now: Tenths, number: u64, to: &mut Vec<FleetDo>) {
         self.dials.lost(now, number);
-        let Some(connection) = self.connections.remove(&number) else { return };
+        let Some(connection) = self.connections.remove(&number) else {
+            return;
+        };
         if let Talk::Open { name, .. } = connection.talk
             && self.open.get(&name) == Some(&number)
         {
@@ -317,12 +365,16 @@
             if let Some(voter) = &mut self.voter {
                 voter.lost(&name);
             }
-            to.push(FleetDo::Connection(format!("the connection with {name} has ended")));
+            to.push(FleetDo::Connection(format!(
+                "the connection with {name} has ended"
+            )));
         }
     }
 
     fn close(&mut self, number: u64, why: &str, to: &mut Vec<FleetDo>) {
-        let Some(connection) = self.connections.get_mut(&number) else { return };
+        let Some(connection) = self.connections.get_mut(&number) else {
+            return;
+        };
         let talk = std::mem::replace(&mut connection.talk, Talk::Ended);
         if let Talk::Open { name, .. } = talk
             && self.open.get(&name) == Some(&number)
@@ -332,12 +384,17 @@
                 voter.lost(&name);
             }
         }
-        to.push(FleetDo::Close { connection: number, why: why.to_owned() });
+        to.push(FleetDo::Close {
+            connection: number,
+            why: why.to_owned(),
+        });
     }
 
     /// Bytes came over a connection.
     pub fn received(&mut self, now: Tenths, number: u64, bytes: &[u8], to: &mut Vec<FleetDo>) {
-        let Some(connection) = self.connections.get_mut(&number) else { return };
+        let Some(connection) = self.connections.get_mut(&number) else {
+            return;
+        };
         connection.heard = now;
         connection.read.extend_from_slice(bytes);
         let mut read = std::mem::take(&mut connection.read);
@@ -355,26 +412,50 @@
     }
 
     fn write(&self, number: u64, frame: &Frame, to: &mut Vec<FleetDo>) {
-        to.push(FleetDo::Write { connection: number, bytes: frame.encode() });
+        to.push(FleetDo::Write {
+            connection: number,
+            bytes: frame.encode(),
+        });
     }
 
     fn refuse(&mut self, number: u64, why: &str, to: &mut Vec<FleetDo>) {
         self.refused += 1;
-        self.write(number, &Frame::Refuse { why: why.to_owned() }, to);
+        self.write(
+            number,
+            &Frame::Refuse {
+                why: why.to_owned(),
+            },
+            to,
+        );
         self.close(number, why, to);
     }
 
     /// Takes one frame in.
     fn take(&mut self, now: Tenths, number: u64, frame: Frame, to: &mut Vec<FleetDo>) {
-        let Some(connection) = self.connections.get_mut(&number) else { return };
+        let Some(connection) = self.connections.get_mut(&number) else {
+            return;
+        };
         match (&mut connection.talk, frame) {
             (Talk::Ended, _) => {}
             (_, Frame::Refuse { why }) => {
-                self.close(number, &format!("refused: {}", why.chars().take(160).collect::<String>()), to);
+                self.close(
+                    number,
+                    &format!("refused: {}", why.chars().take(160).collect::<String>()),
+                    to,
+                );
             }
-            (Talk::Challenged { to: name }, Frame::Challenge { least, most, nonce, name: said }) => {
+            (
+                Talk::Challenged { to: name },
+                Frame::Challenge {
+                    least,
+                    most,
+                    nonce,
+                    name: said,
+                },
+            ) => {
                 if !(least..=most).contains(&VERSION) {
-                    let why = format!("it speaks versions {least} to {most}, this process {VERSION}");
+                    let why =
+                        format!("it speaks versions {least} to {most}, this process {VERSION}");
                     return self.refuse(number, &why, to);
                 }
                 if *name != said {
@@ -383,7 +464,10 @@
                 }
                 let name = name.clone();
                 let own = self.nonce();
-                let voter = self.voter.as_ref().is_some_and(|v| !matches!(v.stage(), Stage::Stopped(_)));
+                let voter = self
+                    .voter
+                    .as_ref()
+                    .is_some_and(|v| !matches!(v.stage(), Stage::Stopped(_)));
                 let mut hello = Frame::Hello {
                     version: VERSION,
                     name: self.own.clone(),
@@ -397,17 +481,40 @@
                 }
                 self.write(number, &hello, to);
                 if let Some(connection) = self.connections.get_mut(&number) {
-                    connection.talk = Talk::Greeted { to: name, nonce: own };
+                    connection.talk = Talk::Greeted {
+                        to: name,
+                        nonce: own,
+                    };
                 }
             }
-            (Talk::Asked { nonce }, Frame::Hello { version, name, voter, nonce: theirs, proof }) => {
+            (
+                Talk::Asked { nonce },
+                Frame::Hello {
+                    version,
+                    name,
+                    voter,
+                    nonce: theirs,
+                    proof,
+                },
+            ) => {
                 let nonce = *nonce;
-                let said = Frame::Hello { version, name: name.clone(), voter, nonce: theirs, proof }.said();
+                let said = Frame::Hello {
+                    version,
+                    name: name.clone(),
+                    voter,
+                    nonce: theirs,
+                    proof,
+                }
+                .said();
                 let Some(secret) = self.secrets.proven_by(DIALS, &nonce, &said, &proof) else {
                     return self.refuse(number, "it does not prove the secret", to);
                 };
                 if version != VERSION {
-                    return self.refuse(number, &format!("version {version} is not spoken here"), to);
+                    return self.refuse(
+                        number,
+                        &format!("version {version} is not spoken here"),
+                        to,
+                    );
                 }
                 let is_voter = self.voters.iter().any(|(known, _)| *known == name);
                 if name == self.own || name.is_empty() || name.len() > 64 || voter && !is_voter {
@@ -424,7 +531,11 @@
             (Talk::Greeted { to: name, nonce }, Frame::Welcome { proof }) => {
                 let (name, nonce) = (name.clone(), *nonce);
                 let said = Frame::Welcome { proof }.said();
-                if self.secrets.proven_by(TAKES, &nonce, &said, &proof).is_none() {
+                if self
+                    .secrets
+                    .proven_by(TAKES, &nonce, &said, &proof)
+                    .is_none()
+                {
                     return self.refuse(number, "it does not prove the secret", to);
                 }
                 self.opened(number, name, true, to);
@@ -433,7 +544,10 @@
                 self.write(number, &Frame::Pong { number: beat }, to);
             }
             (Talk::Open { .. }, Frame::Pong { .. }) => {}
-            (Talk::Open { name, voter: true }, frame @ (Frame::Standing { .. } | Frame::Record(_))) => {
+            (
+                Talk::Open { name, voter: true },
+                frame @ (Frame::Standing { .. } | Frame::Record(_)),
+            ) => {
                 let name = name.clone();
                 let mut said = Vec::new();
                 if let Some(voter) = &mut self.voter {
@@ -441,13 +555,27 @@
                 }
                 self.carry_voter(said, now, to);
             }
-            (Talk::Open { voter: true, .. }, Frame::Agreed { topic, number, value }) => {
+            (
+                Talk::Open { voter: true, .. },
+                Frame::Agreed {
+                    topic,
+                    number,
+                    value,
+                },
+            ) => {
                 if self.board.hear(&topic, number, &value) && self.stage() != Some(Stage::Holding) {
-                    to.push(FleetDo::Agreed(Agreed { topic, number, value }));
+                    to.push(FleetDo::Agreed(Agreed {
+                        topic,
+                        number,
+                        value,
+                    }));
                 }
             }
             (Talk::Open { name, .. }, Frame::Report { bytes }) => {
-                to.push(FleetDo::Report { from: name.clone(), bytes });
+                to.push(FleetDo::Report {
+                    from: name.clone(),
+                    bytes,
+                });
             }
             _ => self.refuse(number, "a frame came out of its turn", to),
         }
@@ -456,14 +584,24 @@
     /// Both sides have proven themselves.
     fn opened(&mut self, number: u64, name: String, voter: bool, to: &mut Vec<FleetDo>) {
         if let Some(connection) = self.connections.get_mut(&number) {
-            connection.talk = Talk::Open { name: name.clone(), voter };
+            connection.talk = Talk::Open {
+                name: name.clone(),
+                voter,
+            };
         }
         // One connection a pair: the newer one counts, for the other side has given the older one up.
-        if let Some(before) = self.open.insert(name.clone(), number).filter(|before| *before != number) {
+        if let Some(before) = self
+            .open
+            .insert(name.clone(), number)
+            .filter(|before| *before != number)
+        {
             if let Some(connection) = self.connections.get_mut(&before) {
                 connection.talk = Talk::Ended;
             }
-            to.push(FleetDo::Close { connection: before, why: "a newer connection takes its place".into() });
+            to.push(FleetDo::Close {
+                connection: before,
+                why: "a newer connection takes its place".into(),
+            });
         }
         to.push(FleetDo::Connection(format!("connected with {name}")));
         if voter && let Some(own) = &mut self.voter {
@@ -479,7 +617,9 @@
                 value: value.to_vec(),
             };
             let frames: Vec<Frame> = self.board().values().map(tell).collect();
-            frames.iter().for_each(|frame| self.write(number, frame, to));
+            frames
+                .iter()
+                .for_each(|frame| self.write(number, frame, to));
         }
     }
 
@@ -506,7 +646,10 @@
         let leader = self.leader().map(|(name, _)| name.to_owned());
         let way = match leader {
             Some(leader) if leader == self.own => {
-                to.push(FleetDo::Report { from: self.own.clone(), bytes });
+                to.push(FleetDo::Report {
+                    from: self.own.clone(),
+                    bytes,
+                });
                 return;
             }
             Some(leader) => self.open.get(&leader).copied(),
@@ -531,7 +674,9 @@
         value: Vec<u8>,
         to: &mut Vec<FleetDo>,
     ) -> Result<(), String> {
-        let Some(voter) = &mut self.voter else { return Err("this process is no voter".into()) };
+        let Some(voter) = &mut self.voter else {
+            return Err("this process is no voter".into());
+        };
         let mut said = Vec::new();
         let done = voter.propose(now, topic, based_on, value, &mut said);
         self.carry_voter(said, now, to);
@@ -551,7 +696,9 @@
                 MembersDo::Send { to, bytes } => FleetDo::Datagram { to, bytes },
                 MembersDo::Up(who) => FleetDo::Up(who),
                 MembersDo::Gone(who) => FleetDo::Gone(who),
-                MembersDo::Refuted => FleetDo::Line("was taken for gone, and said that it is not".into()),
+                MembersDo::Refuted => {
+                    FleetDo::Line("was taken for gone, and said that it is not".into())
+                }
             });
         }
     }
@@ -565,9 +712,17 @@
                     }
                 }
                 VoterDo::Agreed(agreed) => {
-                    let Agreed { topic, number, value } = agreed.clone();
+                    let Agreed {
+                        topic,
+                        number,
+                        value,
+                    } = agreed.clone();
                     self.board.hear(&topic, number, &value);
-                    let frame = Frame::Agreed { topic, number, value };
+                    let frame = Frame::Agreed {
+                        topic,
+                        number,
+                        value,
+                    };
                     for (&follower, connection) in &self.connections {
                         if matches!(connection.talk, Talk::Open { voter: false, .. }) {
                             self.write(follower, &frame, to);
@@ -590,7 +745,8 @@
         if steps_down {
             // The others are to hear it as what it now is.
             let open: Vec<u64> = self.open.values().copied().collect();
-            open.into_iter().for_each(|number| self.close(number, "this voter's disk has failed", to));
+            open.into_iter()
+                .for_each(|number| self.close(number, "this voter's disk has failed", to));
             self.dial(now);
         }
     }
--- a/crates/linenthread-fleet/src/frame.rs
+++ b/crates/linenthread-fleet/src/frame.rs
@@ -95,18 +95,42 @@
 ];
 
 fn put_message(message: &Message, put: &mut Put) {
-    let kind = KINDS.iter().position(|k| *k == message.msg_type).unwrap_or(KINDS.len());
+    let kind = KINDS
+        .iter()
+        .position(|k| *k == message.msg_type)
+        .unwrap_or(KINDS.len());
     put.0.push(kind as u8);
-    let Message { to, from, term, log_term, index, commit, commit_term, .. } = message;
-    [*to, *from, *term, *log_term, *index, *commit, *commit_term, message.request_snapshot]
-        .into_iter()
-        .for_each(|number| put.u64(number));
+    let Message {
+        to,
+        from,
+        term,
+        log_term,
+        index,
+        commit,
+        commit_term,
+        ..
+    } = message;
+    [
+        *to,
+        *from,
+        *term,
+        *log_term,
+        *index,
+        *commit,
+        *commit_term,
+        message.request_snapshot,
+    ]
+    .into_iter()
+    .for_each(|number| put.u64(number));
     put.0.push(message.reject.into());
     put.u64(message.reject_hint);
     put.u64(message.priority as u64);
     put.bytes(&message.context);
     put.u16(message.entries.len() as u16);
-    message.entries.iter().for_each(|entry| put_entry(entry, put));
+    message
+        .entries
+        .iter()
+        .for_each(|entry| put_entry(entry, put));
     put.0.push(message.snapshot.is_some().into());
     if let Some(snapshot) = message.snapshot.as_ref() {
         put_snapshot(snapshot, put);
@@ -115,8 +139,13 @@
 
 fn take_message(take: &mut Take) -> Res<Message> {
     let kind = usize::from(take.u8()?);
-    let msg_type = *KINDS.get(kind).ok_or_else(|| format!("no message is of kind {kind}"))?;
-    let mut message = Message { msg_type, ..Message::default() };
+    let msg_type = *KINDS
+        .get(kind)
+        .ok_or_else(|| format!("no message is of kind {kind}"))?;
+    let mut message = Message {
+        msg_type,
+        ..Message::default()
+    };
     let mut number = || take.u64();
     message.to = number()?;
     message.from = number()?;
@@ -147,7 +176,12 @@
     Ok(message)
 }
 
-const STANDINGS: [Standing; 4] = [Standing::Empty, Standing::Founded, Standing::Holding, Standing::Stopped];
+const STANDINGS: [Standing; 4] = [
+    Standing::Empty,
+    Standing::Founded,
+    Standing::Holding,
+    Standing::Stopped,
+];
 
 impl Frame {
     /// What a hello or welcome proves itself by: its bytes without the proof.
@@ -161,13 +195,24 @@
     pub fn encode(&self) -> Vec<u8> {
         let mut put = Put::frame();
         let kind = match self {
-            Frame::Challenge { least, most, nonce, name } => {
+            Frame::Challenge {
+                least,
+                most,
+                nonce,
+                name,
+            } => {
                 put.0.extend([*least, *most]);
                 put.0.extend(nonce);
                 put.text(name);
                 1
             }
-            Frame::Hello { version, name, voter, nonce, proof } => {
+            Frame::Hello {
+                version,
+                name,
+                voter,
+                nonce,
+                proof,
+            } => {
                 put.0.push(*version);
                 put.text(name);
                 put.0.push((*voter).into());
@@ -183,8 +228,17 @@
                 put.text(why);
                 4
             }
-            Frame::Standing { standing, life, founders } => {
-                put.0.push(STANDINGS.iter().position(|s| s == standing).unwrap_or_default() as u8);
+            Frame::Standing {
+                standing,
+                life,
+                founders,
+            } => {
+                put.0.push(
+                    STANDINGS
+                        .iter()
+                        .position(|s| s == standing)
+                        .unwrap_or_default() as u8,
+                );
                 put.u64(*life);
                 put.u64(*founders);
                 5
@@ -193,7 +247,11 @@
                 put_message(message, &mut put);
                 6
             }
-            Frame::Agreed { topic, number, value } => {
+            Frame::Agreed {
+                topic,
+                number,
+                value,
+            } => {
                 put.text(topic);
                 put.u64(*number);
                 put.bytes(value);
@@ -236,24 +294,42 @@
                 nonce: take.array()?,
                 proof: take.array()?,
             },
-            3 => Frame::Welcome { proof: take.array()? },
+            3 => Frame::Welcome {
+                proof: take.array()?,
+            },
             4 => Frame::Refuse { why: take.text()? },
             5 => {
                 let at = usize::from(take.u8()?);
-                let standing = *STANDINGS.get(at).ok_or_else(|| format!("no standing is {at}"))?;
-                Frame::Standing { standing, life: take.u64()?, founders: take.u64()? }
+                let standing = *STANDINGS
+                    .get(at)
+                    .ok_or_else(|| format!("no standing is {at}"))?;
+                Frame::Standing {
+                    standing,
+                    life: take.u64()?,
+                    founders: take.u64()?,
+                }
             }
             6 => Frame::Record(Box::new(take_message(&mut take)?)),
-            7 => Frame::Agreed { topic: take.text()?, number: take.u64()?, value: take.lot()?.to_vec() },
+            7 => Frame::Agreed {
+                topic: take.text()?,
+                number: take.u64()?,
+                value: take.lot()?.to_vec(),
+            },
             8 => {
                 let bytes = take.lot()?;
                 if bytes.len() > LONGEST_REPORT {
                     return Err(format!("a report of {} bytes is too long", bytes.len()));
                 }
-                Frame::Report { bytes: bytes.to_vec() }
+                Frame::Report {
+                    bytes: bytes.to_vec(),
+                }
             }
-            9 => Frame::Ping { number: take.u64()? },
-            10 => Frame::Pong { number: take.u64()? },
+            9 => Frame::Ping {
+                number: take.u64()?,
+            },
+            10 => Frame::Pong {
+                number: take.u64()?,
+            },
             other => return Err(format!("no frame is of kind {other}")),
         };
         take.end()?;
--- a/crates/linenthread-fleet/src/keep.rs
+++ b/crates/linenthread-fleet/src/keep.rs
@@ -29,13 +29,18 @@
 pub(crate) fn put_entry(entry: &Entry, put: &mut Put) {
     put.u64(entry.index);
     put.u64(entry.term);
-    put.0.push(u8::from(entry.entry_type == EntryType::EntryConfChange));
+    put.0
+        .push(u8::from(entry.entry_type == EntryType::EntryConfChange));
     put.bytes(&entry.context);
     put.bytes(&entry.data);
 }
 
 pub(crate) fn take_entry(take: &mut Take) -> Res<Entry> {
-    let mut entry = Entry { index: take.u64()?, term: take.u64()?, ..Entry::default() };
+    let mut entry = Entry {
+        index: take.u64()?,
+        term: take.u64()?,
+        ..Entry::default()
+    };
     if take.flag()? {
         entry.entry_type = EntryType::EntryConfChange;
     }
@@ -100,7 +105,12 @@
             HOLDING => self.holding = true,
             HARD => {
                 let (term, vote, commit) = (take.u64()?, take.u64()?, take.u64()?);
-                self.hard = HardState { term, vote, commit, ..HardState::default() };
+                self.hard = HardState {
+                    term,
+                    vote,
+                    commit,
+                    ..HardState::default()
+                };
             }
             ENTRY => {
                 let entry = take_entry(&mut take)?;
@@ -117,7 +127,11 @@
 
     fn put_in(&mut self, entry: Entry) -> Res<()> {
         let first = self.snapshot.get_metadata().index + 1;
-        let at = entry.index.checked_sub(first).map(|at| at as usize).filter(|at| *at <= self.entries.len());
+        let at = entry
+            .index
+            .checked_sub(first)
+            .map(|at| at as usize)
+            .filter(|at| *at <= self.entries.len());
         let at = at.ok_or("an entry stands where none can be")?;
         self.entries.truncate(at);
         self.entries.push_back(entry);
@@ -157,7 +171,9 @@
 
     fn hard_record(&self) -> Vec<u8> {
         let mut put = Put(vec![HARD]);
-        [self.hard.term, self.hard.vote, self.hard.commit].into_iter().for_each(|n| put.u64(n));
+        [self.hard.term, self.hard.vote, self.hard.commit]
+            .into_iter()
+            .for_each(|n| put.u64(n));
         put.0
     }
 
@@ -197,7 +213,9 @@
         conf: &ConfState,
         board: &Board,
     ) -> std::result::Result<(), Trouble> {
-        let Ok(term) = self.term(applied) else { return Ok(()) };
+        let Ok(term) = self.term(applied) else {
+            return Ok(());
+        };
         let done = applied.saturating_sub(self.snapshot.get_metadata().index) as usize;
         self.entries.drain(..done.min(self.entries.len()));
         self.snapshot = Snapshot::default();
@@ -231,7 +249,11 @@
     }
 
     pub fn board(&self) -> Res<Board> {
-        if self.snapshot.data.is_empty() { Ok(Board::default()) } else { Board::decode(&self.snapshot.data) }
+        if self.snapshot.data.is_empty() {
+            Ok(Board::default())
+        } else {
+            Board::decode(&self.snapshot.data)
+        }
     }
 
     pub fn applied(&self) -> u64 {
@@ -241,7 +263,10 @@
 
 impl<F: Files> Storage for Keep<F> {
     fn initial_state(&self) -> Result<RaftState> {
-        Ok(RaftState::new(self.hard.clone(), self.snapshot.get_metadata().get_conf_state().clone()))
+        Ok(RaftState::new(
+            self.hard.clone(),
+            self.snapshot.get_metadata().get_conf_state().clone(),
+        ))
     }
 
     fn entries(
@@ -266,7 +291,12 @@
             bytes += (entry.data.len() + entry.context.len() + 32) as u64;
             first || bytes <= most
         };
-        Ok(self.entries.range(from..to).take_while(fits).cloned().collect())
+        Ok(self
+            .entries
+            .range(from..to)
+            .take_while(fits)
+            .cloned()
+            .collect())
     }
 
     fn term(&self, index: u64) -> Result<u64> {
@@ -274,8 +304,13 @@
         if index == about.index {
             return Ok(about.term);
         }
-        let at = index.checked_sub(about.index + 1).ok_or(Error::Store(StorageError::Compacted))?;
-        self.entries.get(at as usize).map(|e| e.term).ok_or(Error::Store(StorageError::Unavailable))
+        let at = index
+            .checked_sub(about.index + 1)
+            .ok_or(Error::Store(StorageError::Compacted))?;
+        self.entries
+            .get(at as usize)
+            .map(|e| e.term)
+            .ok_or(Error::Store(StorageError::Unavailable))
     }
 
     fn first_index(&self) -> Result<u64> {
--- a/crates/linenthread-fleet/src/members.rs
+++ b/crates/linenthread-fleet/src/members.rs
@@ -85,7 +85,10 @@
 
 impl Words {
     /// Takes one item off the buffer's front.
-    fn item<T>(mut buf: impl Buf, take: impl FnOnce(&mut Take) -> Result<T, String>) -> Result<T, Unfit> {
+    fn item<T>(
+        mut buf: impl Buf,
+        take: impl FnOnce(&mut Take) -> Result<T, String>,
+    ) -> Result<T, Unfit> {
         let mut rest = Take(buf.chunk());
         let whole = rest.0.len();
         let item = take(&mut rest).map_err(Unfit)?;
@@ -114,10 +117,22 @@
         let (kind, number, other) = match &header.message {
             Message::Ping(number) => (1, *number, None),
             Message::Ack(number) => (2, *number, None),
-            Message::PingReq { target, probe_number } => (3, *probe_number, Some(target)),
-            Message::IndirectPing { origin, probe_number } => (4, *probe_number, Some(origin)),
-            Message::IndirectAck { target, probe_number } => (5, *probe_number, Some(target)),
-            Message::ForwardedAck { origin, probe_number } => (6, *probe_number, Some(origin)),
+            Message::PingReq {
+                target,
+                probe_number,
+            } => (3, *probe_number, Some(target)),
+            Message::IndirectPing {
+                origin,
+                probe_number,
+            } => (4, *probe_number, Some(origin)),
+            Message::IndirectAck {
+                target,
+                probe_number,
+            } => (5, *probe_number, Some(target)),
+            Message::ForwardedAck {
+                origin,
+                probe_number,
+            } => (6, *probe_number, Some(origin)),
             Message::Announce => (7, 0, None),
             Message::Feed => (8, 0, None),
             Message::Gossip => (9, 0, None),
@@ -140,10 +155,22 @@
             let message = match kind {
                 1 => Message::Ping(probe_number),
                 2 => Message::Ack(probe_number),
-                3 => Message::PingReq { target: Who::take(take)?, probe_number },
-                4 => Message::IndirectPing { origin: Who::take(take)?, probe_number },
-                5 => Message::IndirectAck { target: Who::take(take)?, probe_number },
-                6 => Message::ForwardedAck { origin: Who::take(take)?, probe_number },
+                3 => Message::PingReq {
+                    target: Who::take(take)?,
+                    probe_number,
+                },
+                4 => Message::IndirectPing {
+                    origin: Who::take(take)?,
+                    probe_number,
+                },
+                5 => Message::IndirectAck {
+                    target: Who::take(take)?,
+                    probe_number,
+                },
+                6 => Message::ForwardedAck {
+                    origin: Who::take(take)?,
+                    probe_number,
+                },
                 7 => Message::Announce,
                 8 => Message::Feed,
                 9 => Message::Gossip,
@@ -155,7 +182,12 @@
                 return Err("too many names".into());
             }
             self.0.insert(src.name.clone());
-            Ok(Header { src, src_incarnation, dst, message })
+            Ok(Header {
+                src,
+                src_incarnation,
+                dst,
+                message,
+            })
         })
     }
 
@@ -247,8 +279,10 @@
         // Announcing is done from here: see `pick`.
         config.periodic_announce = None;
         let frequency = span(terms.probe * 10);
-        config.periodic_announce_to_down_members =
-            Some(PeriodicParams { frequency, num_members: NonZeroUsize::MIN });
+        config.periodic_announce_to_down_members = Some(PeriodicParams {
+            frequency,
+            num_members: NonZeroUsize::MIN,
+        });
         let mut chance = Rand64::new(u128::from(seed));
         let foca = Foca::new(
             terms.own,
@@ -258,7 +292,11 @@
         );
         let join_at = now + (chance.rand_float() * JOIN_SOON as f64) as Tenths;
         let own = foca.identity().name.clone();
-        let ask = terms.ask.into_iter().filter(|(name, _)| *name != own).collect();
+        let ask = terms
+            .ask
+            .into_iter()
+            .filter(|(name, _)| *name != own)
+            .collect();
         Members {
             foca,
             secrets,
@@ -298,7 +336,11 @@
                 self.run(now, to, |foca, wants| foca.announce(stranger, wants));
             }
         }
-        while let Some(Reverse((_, number))) = self.due.peek().copied().filter(|Reverse((at, _))| *at <= now)
+        while let Some(Reverse((_, number))) = self
+            .due
+            .peek()
+            .copied()
+            .filter(|Reverse((at, _))| *at <= now)
         {
             self.due.pop();
             if let Some(timer) = self.timers.remove(&number).filter(|_| !self.left) {
@@ -312,13 +354,22 @@
     /// not be heard by those it knows, and the gossip's own timers rest until somebody says a word to it.
     fn pick(&mut self) -> Option<Who> {
         let missing = |(name, _): &&(String, SocketAddr)| !self.alive.contains_key(name);
-        let mut some: Vec<(&String, SocketAddr)> =
-            self.ask.iter().filter(missing).map(|(name, at)| (name, *at)).collect();
+        let mut some: Vec<(&String, SocketAddr)> = self
+            .ask
+            .iter()
+            .filter(missing)
+            .map(|(name, at)| (name, *at))
+            .collect();
         if some.is_empty() {
-            some = self.alive.values().map(|who| (&who.name, who.gossip)).collect();
+            some = self
+                .alive
+                .values()
+                .map(|who| (&who.name, who.gossip))
+                .collect();
         }
         let at = self.chance.rand_range(0..some.len().max(1) as u64) as usize;
-        some.get(at).map(|(name, address)| Who::stranger(name, *address))
+        some.get(at)
+            .map(|(name, address)| Who::stranger(name, *address))
     }
 
     /// Takes a datagram in; one that proves nothing, or is of no use, changes nothing.
@@ -326,9 +377,15 @@
     /// # Errors
     ///
     /// Why it was not taken.
-    pub fn received(&mut self, now: Tenths, datagram: &[u8], to: &mut Vec<MembersDo>) -> Result<(), String> {
-        let (said, proof) =
-            datagram.split_last_chunk::<PROOF>().ok_or("a datagram is too short to prove anything")?;
+    pub fn received(
+        &mut self,
+        now: Tenths,
+        datagram: &[u8],
+        to: &mut Vec<MembersDo>,
+    ) -> Result<(), String> {
+        let (said, proof) = datagram
+            .split_last_chunk::<PROOF>()
+            .ok_or("a datagram is too short to prove anything")?;
         if self.secrets.proven_by(SIDE, &[], said, proof).is_none() {
             return Err("a datagram does not prove the secret".into());
         }
@@ -385,12 +442,22 @@
             return;
         }
         // What it tells on the way may be out of date by its end: what counts is who is there now.
-        let alive: BTreeMap<String, Who> =
-            self.foca.iter_members().map(|m| (m.id().name.clone(), m.id().clone())).collect();
-        for (_, who) in self.alive.iter().filter(|(name, _)| !alive.contains_key(*name)) {
+        let alive: BTreeMap<String, Who> = self
+            .foca
+            .iter_members()
+            .map(|m| (m.id().name.clone(), m.id().clone()))
+            .collect();
+        for (_, who) in self
+            .alive
+            .iter()
+            .filter(|(name, _)| !alive.contains_key(*name))
+        {
             to.push(MembersDo::Gone(who.clone()));
         }
-        for (_, who) in alive.iter().filter(|(name, who)| self.alive.get(*name) != Some(who)) {
+        for (_, who) in alive
+            .iter()
+            .filter(|(name, who)| self.alive.get(*name) != Some(who))
+        {
             to.push(MembersDo::Up(who.clone()));
         }
         self.alive = alive;
--- a/crates/linenthread-fleet/src/voter.rs
+++ b/crates/linenthread-fleet/src/voter.rs
@@ -18,7 +18,8 @@
 use linenthread_store::{Files, Trouble};
 use oorandom::Rand64;
 use raft::eraftpb::{
-    ConfChange, ConfChangeType, ConfState, Entry, EntryType, HardState, Message, MessageType, Snapshot,
+    ConfChange, ConfChangeType, ConfState, Entry, EntryType, HardState, Message, MessageType,
+    Snapshot,
 };
 use raft::{RawNode, StateRole, Storage};
 
@@ -117,7 +118,11 @@
 fn sum(voters: &[String]) -> u64 {
     let mut names = voters.to_vec();
     names.sort_unstable();
-    Life { name: names.join("\n"), life: 0 }.id()
+    Life {
+        name: names.join("\n"),
+        life: 0,
+    }
+    .id()
 }
 
 fn change(kind: u8, life: &Life) -> Vec<u8> {
@@ -143,8 +148,10 @@
         let state = match Keep::open(files) {
             Ok((keep, cut)) => {
                 if let Some(cut) = cut {
-                    let line =
-                        format!("a torn end of {} bytes was cut off {} at {}", cut.bytes, cut.file, cut.at);
+                    let line = format!(
+                        "a torn end of {} bytes was cut off {} at {}",
+                        cut.bytes, cut.file, cut.at
+                    );
                     to.push(VoterDo::Line(line));
                 }
                 if let Some(own) = keep.own.as_ref().filter(|own| own.name != terms.own) {
@@ -198,12 +205,15 @@
 
     /// Whether it leads, and a quorum's word for that is still good: nobody else leads at this moment.
     pub fn leads(&self, now: Tenths) -> bool {
-        matches!(&self.state, State::Runs(raw) if raw.raft.state == StateRole::Leader) && now < self.lease
+        matches!(&self.state, State::Runs(raw) if raw.raft.state == StateRole::Leader)
+            && now < self.lease
     }
 
     /// Who leads, as far as it knows.
     pub fn leader(&self) -> Option<&str> {
-        let State::Runs(raw) = &self.state else { return None };
+        let State::Runs(raw) = &self.state else {
+            return None;
+        };
         if raw.raft.leader_id == raw.raft.id {
             return Some(&self.terms.own);
         }
@@ -212,7 +222,11 @@
 
     /// The record's term, 0 where it takes no part.
     pub fn term(&self) -> u64 {
-        if let State::Runs(raw) = &self.state { raw.raft.term } else { 0 }
+        if let State::Runs(raw) = &self.state {
+            raw.raft.term
+        } else {
+            0
+        }
     }
 
     pub fn board(&self) -> &Board {
@@ -239,18 +253,29 @@
     }
 
     fn name(&self, id: u64) -> Option<&str> {
-        self.board.lives.get(&id).map(|life| &life.name).or(self.names.get(&id)).map(String::as_str)
+        self.board
+            .lives
+            .get(&id)
+            .map(|life| &life.name)
+            .or(self.names.get(&id))
+            .map(String::as_str)
     }
 
     fn others(&self) -> impl Iterator<Item = &String> {
-        self.terms.voters.iter().filter(|name| **name != self.terms.own)
+        self.terms
+            .voters
+            .iter()
+            .filter(|name| **name != self.terms.own)
     }
 
     /// The disk has failed: it steps down by saying nothing more, and others lead.
     fn stop(&mut self, trouble: &Trouble, to: &mut Vec<VoterDo>) {
         to.push(VoterDo::Line(format!("this voter steps down: {trouble}")));
         if std::mem::take(&mut self.led) {
-            to.push(VoterDo::Line(format!("does not lead any more, in term {}", self.term())));
+            to.push(VoterDo::Line(format!(
+                "does not lead any more, in term {}",
+                self.term()
+            )));
         }
         self.state = State::Stopped(trouble.to_string());
         self.lease = 0;
@@ -265,18 +290,28 @@
                 None => (Standing::Empty, 0),
                 Some(own) => (Standing::Founded, own.life),
             },
-            State::Runs(raw) => (Standing::Holding, raw.store().own.as_ref().map_or(0, |own| own.life)),
+            State::Runs(raw) => (
+                Standing::Holding,
+                raw.store().own.as_ref().map_or(0, |own| own.life),
+            ),
             // Not empty: what stands on a disk that fails may be all there is of what was agreed on.
             State::Stopped(_) => (Standing::Stopped, 0),
         };
-        Frame::Standing { standing, life, founders: sum(&self.terms.voters) }
+        Frame::Standing {
+            standing,
+            life,
+            founders: sum(&self.terms.voters),
+        }
     }
 
     /// A voter's connection is there: nothing that was said before it counts any more.
     pub fn opened(&mut self, name: &str, to: &mut Vec<VoterDo>) {
         self.lost(name);
         if !matches!(self.state, State::Stopped(_)) {
-            to.push(VoterDo::Say { to: name.to_owned(), frame: self.standing() });
+            to.push(VoterDo::Say {
+                to: name.to_owned(),
+                frame: self.standing(),
+            });
         }
     }
 
@@ -284,7 +319,12 @@
     pub fn lost(&mut self, name: &str) {
         self.standings.remove(name);
         if let State::Runs(raw) = &mut self.state {
-            let ids: Vec<u64> = self.names.iter().filter(|(_, n)| *n == name).map(|(id, _)| *id).collect();
+            let ids: Vec<u64> = self
+                .names
+                .iter()
+                .filter(|(_, n)| *n == name)
+                .map(|(id, _)| *id)
+                .collect();
             for id in ids {
                 raw.report_unreachable(id);
                 // Else it waits for ever for word of a snapshot that went down with the connection.
@@ -295,11 +335,19 @@
 
     /// Goes on to the next stage where what all say allows it.
     fn found(&mut self, now: Tenths, to: &mut Vec<VoterDo>) {
-        let others: Vec<Option<Standing>> =
-            self.others().map(|name| self.standings.get(name).map(|(standing, _)| *standing)).collect();
+        let others: Vec<Option<Standing>> = self
+            .others()
+            .map(|name| self.standings.get(name).map(|(standing, _)| *standing))
+            .collect();
         let one_holds = others.contains(&Some(Standing::Holding));
-        let all = |allowed: &[Standing]| others.iter().all(|s| s.is_some_and(|s| allowed.contains(&s)));
-        let State::Waits(keep) = &mut self.state else { return };
+        let all = |allowed: &[Standing]| {
+            others
+                .iter()
+                .all(|s| s.is_some_and(|s| allowed.contains(&s)))
+        };
+        let State::Waits(keep) = &mut self.state else {
+            return;
+        };
         let name = self.terms.own.clone();
         let done = match keep.own {
             // *former-self*: beside a record that goes on an empty disk gets a self nobody has voted with.
@@ -308,21 +356,36 @@
                 to.push(VoterDo::Line(format!(
                     "its disk is empty beside a record that goes on: new self {life:x}"
                 )));
-                let begun = keep.begin(Life { name, life }, Snapshot::default(), HardState::default());
+                let begun = keep.begin(
+                    Life { name, life },
+                    Snapshot::default(),
+                    HardState::default(),
+                );
                 begun.and_then(|()| keep.hold()).map(|()| true)
             }
             None if all(&[Standing::Empty, Standing::Founded]) => {
-                let founders = self.terms.voters.iter().map(|name| Life { name: name.clone(), life: 0 });
+                let founders = self.terms.voters.iter().map(|name| Life {
+                    name: name.clone(),
+                    life: 0,
+                });
                 let mut board = Board::default();
                 founders.for_each(|life| board.admit(&life));
-                let mut snapshot = Snapshot { data: board.encode().into(), ..Snapshot::default() };
+                let mut snapshot = Snapshot {
+                    data: board.encode().into(),
+                    ..Snapshot::default()
+                };
                 let about = snapshot.mut_metadata();
                 // All founders begin as if they had agreed on one entry: who is a voter.
                 (about.index, about.term) = (1, 1);
                 about.mut_conf_state().voters = board.lives.keys().copied().collect();
-                let hard = HardState { term: 1, commit: 1, ..HardState::default() };
+                let hard = HardState {
+                    term: 1,
+                    commit: 1,
+                    ..HardState::default()
+                };
                 to.push(VoterDo::Line("the record is founded here".into()));
-                keep.begin(Life { name, life: 0 }, snapshot, hard).map(|()| false)
+                keep.begin(Life { name, life: 0 }, snapshot, hard)
+                    .map(|()| false)
             }
             Some(_) if one_holds || all(&[Standing::Founded]) => keep.hold().map(|()| true),
             _ => return,
@@ -346,14 +409,18 @@
             return;
         }
         let frame = self.standing();
-        to.extend(self.others().map(|name| VoterDo::Say { to: name.clone(), frame: frame.clone() }));
+        to.extend(self.others().map(|name| VoterDo::Say {
+            to: name.clone(),
+            frame: frame.clone(),
+        }));
     }
 
     // --- taking part ---
 
     /// Begins to take part with what is on the disk.
     fn run(&mut self, to: &mut Vec<VoterDo>) {
-        let State::Waits(keep) = std::mem::replace(&mut self.state, State::Stopped("it begins".into()))
+        let State::Waits(keep) =
+            std::mem::replace(&mut self.state, State::Stopped("it begins".into()))
         else {
             return;
         };
@@ -374,7 +441,11 @@
         let begun = keep.board().and_then(|board| {
             self.conf = keep.initial_state().map_err(|e| e.to_string())?.conf_state;
             self.applied = keep.applied();
-            let raw = RawNode::new(&config, *keep, &slog::Logger::root(slog::Discard, slog::o!()));
+            let raw = RawNode::new(
+                &config,
+                *keep,
+                &slog::Logger::root(slog::Discard, slog::o!()),
+            );
             Ok((board, raw.map_err(|e| e.to_string())?))
         });
         match begun {
@@ -391,16 +462,23 @@
     /// Tells all that the record says, as after a snapshot.
     fn agreed_all(&self, to: &mut Vec<VoterDo>) {
         to.extend(self.board.values().map(|(topic, number, value)| {
-            VoterDo::Agreed(Agreed { topic: topic.to_owned(), number, value: value.to_vec() })
+            VoterDo::Agreed(Agreed {
+                topic: topic.to_owned(),
+                number,
+                value: value.to_vec(),
+            })
         }));
     }
 
     /// Its election time, by chance of its own: by term and role, so that a seed always gives the same.
     fn set_election_time(&mut self) {
         if let State::Runs(raw) = &mut self.state {
-            let mixed = self.salt ^ raw.raft.term.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ raw.raft.state as u64;
+            let mixed = self.salt
+                ^ raw.raft.term.wrapping_mul(0x9e37_79b9_7f4a_7c15)
+                ^ raw.raft.state as u64;
             let by_chance = Rand64::new(u128::from(mixed)).rand_range(0..ELECTION as u64) as usize;
-            raw.raft.set_randomized_election_timeout(ELECTION + by_chance);
+            raw.raft
+                .set_randomized_election_timeout(ELECTION + by_chance);
         }
     }
 
@@ -414,7 +492,9 @@
             self.tell(now, to);
         }
         self.found(now, to);
-        let State::Runs(raw) = &mut self.state else { return };
+        let State::Runs(raw) = &mut self.state else {
+            return;
+        };
         if raw.raft.state == StateRole::Leader && now >= self.asked_at + ASK {
             self.asked_at = now;
             self.asks += 1;
@@ -451,7 +531,11 @@
     pub fn received(&mut self, now: Tenths, from: &str, frame: Frame, to: &mut Vec<VoterDo>) {
         self.catch_up(now, to);
         match frame {
-            Frame::Standing { standing, life, founders } => {
+            Frame::Standing {
+                standing,
+                life,
+                founders,
+            } => {
                 if founders != sum(&self.terms.voters) {
                     to.push(VoterDo::Line(format!(
                         "{from} names other voters than this one: it is not heard"
@@ -460,9 +544,19 @@
                 }
                 let before = self.standings.insert(from.to_owned(), (standing, life));
                 self.names.retain(|_, name| name != from);
-                self.names.insert(Life { name: from.to_owned(), life }.id(), from.to_owned());
+                self.names.insert(
+                    Life {
+                        name: from.to_owned(),
+                        life,
+                    }
+                    .id(),
+                    from.to_owned(),
+                );
                 if before != Some((standing, life)) {
-                    to.push(VoterDo::Say { to: from.to_owned(), frame: self.standing() });
+                    to.push(VoterDo::Say {
+                        to: from.to_owned(),
+                        frame: self.standing(),
+                    });
                 }
                 self.found(now, to);
                 self.admit(now, to);
@@ -473,7 +567,9 @@
                     self.names.pop_first();
                 }
                 if let Err(why) = self.step(now, *message) {
-                    to.push(VoterDo::Line(format!("a message of {from} is not taken: {why}")));
+                    to.push(VoterDo::Line(format!(
+                        "a message of {from} is not taken: {why}"
+                    )));
                 }
             }
             _ => {}
@@ -483,13 +579,17 @@
     }
 
     fn step(&mut self, now: Tenths, message: Message) -> Result<(), String> {
-        let State::Runs(raw) = &mut self.state else { return Ok(()) };
+        let State::Runs(raw) = &mut self.state else {
+            return Ok(());
+        };
         if message.to != raw.raft.id {
             // Said to a former self.
             return Ok(());
         }
-        let asks_for_vote =
-            matches!(message.msg_type, MessageType::MsgRequestVote | MessageType::MsgRequestPreVote);
+        let asks_for_vote = matches!(
+            message.msg_type,
+            MessageType::MsgRequestVote | MessageType::MsgRequestPreVote
+        );
         // It may have given its word to one that leads and not know it any more: for as long as that can be good
         // it gives no other.
         if asks_for_vote && now < self.started + TICK * ELECTION as Tenths + TICK {
@@ -505,14 +605,24 @@
         for entry in &message.entries {
             index += 1;
             let other = entry.index <= committed
-                && raw.raft.raft_log.term(entry.index).is_ok_and(|term| term != 0 && term != entry.term);
+                && raw
+                    .raft
+                    .raft_log
+                    .term(entry.index)
+                    .is_ok_and(|term| term != 0 && term != entry.term);
             if entry.index != index || entry.term > message.term || other {
-                return Err(format!("entry {} of term {} cannot stand there", entry.index, entry.term));
+                return Err(format!(
+                    "entry {} of term {} cannot stand there",
+                    entry.index, entry.term
+                ));
             }
         }
         match message.msg_type {
             MessageType::MsgHeartbeat if message.commit > last && message.term >= raw.raft.term => {
-                return Err(format!("{} cannot be agreed on where {last} entries are", message.commit));
+                return Err(format!(
+                    "{} cannot be agreed on where {last} entries are",
+                    message.commit
+                ));
             }
             MessageType::MsgSnapshot => {
                 Board::decode(&message.get_snapshot().data)?;
@@ -531,12 +641,17 @@
         if !self.leads(now) {
             return;
         }
-        let State::Runs(raw) = &mut self.state else { return };
+        let State::Runs(raw) = &mut self.state else {
+            return;
+        };
         if raw.raft.has_pending_conf() {
             return;
         }
         for (name, (standing, life)) in &self.standings {
-            let new = Life { name: name.clone(), life: *life };
+            let new = Life {
+                name: name.clone(),
+                life: *life,
+            };
             if *standing != Standing::Holding || *life == 0 || !self.terms.voters.contains(name) {
                 continue;
             }
@@ -544,19 +659,34 @@
             if is_in(&new.id()) || self.replaced.get(name).is_some_and(|at| now < at + REPLACE) {
                 continue;
             }
-            let former = self.board.lives.values().find(|l| l.name == *name && is_in(&l.id()));
+            let former = self
+                .board
+                .lives
+                .values()
+                .find(|l| l.name == *name && is_in(&l.id()));
             let (kind, life) = match former {
                 Some(former) => (REMOVE, former.clone()),
                 None => (ADD, new),
             };
-            let kind_of = if kind == ADD { ConfChangeType::AddNode } else { ConfChangeType::RemoveNode };
-            let asked = ConfChange { change_type: kind_of, node_id: life.id(), ..ConfChange::default() };
+            let kind_of = if kind == ADD {
+                ConfChangeType::AddNode
+            } else {
+                ConfChangeType::RemoveNode
+            };
+            let asked = ConfChange {
+                change_type: kind_of,
+                node_id: life.id(),
+                ..ConfChange::default()
+            };
             if raw.propose_conf_change(change(kind, &life), asked).is_ok() {
                 if kind == ADD {
                     self.replaced.insert(name.clone(), now);
                 }
                 let word = if kind == ADD { "in" } else { "out" };
-                to.push(VoterDo::Line(format!("{name} with self {:x} is to be {word}", life.life)));
+                to.push(VoterDo::Line(format!(
+                    "{name} with self {:x} is to be {word}",
+                    life.life
+                )));
             }
             return;
         }
@@ -576,14 +706,20 @@
         value: Vec<u8>,
         to: &mut Vec<VoterDo>,
     ) -> Result<(), String> {
-        let write = Write { topic: topic.to_owned(), based_on, value };
+        let write = Write {
+            topic: topic.to_owned(),
+            based_on,
+            value,
+        };
         if !write.is_sound() {
             return Err("the value is too long".into());
         }
         if !self.leads(now) {
             return Err("this process does not lead".into());
         }
-        let State::Runs(raw) = &mut self.state else { return Err("this process does not lead".into()) };
+        let State::Runs(raw) = &mut self.state else {
+            return Err("this process does not lead".into());
+        };
         let mut put = Put(Vec::new());
         write.put(&mut put);
         raw.propose(Vec::new(), put.0).map_err(|e| e.to_string())?;
@@ -594,7 +730,9 @@
     /// Does what the node wants: keeps, and says nothing that relies on it before it is synced.
     fn drive(&mut self, to: &mut Vec<VoterDo>) {
         loop {
-            let State::Runs(raw) = &mut self.state else { return };
+            let State::Runs(raw) = &mut self.state else {
+                return;
+            };
             if !raw.has_ready() {
                 break;
             }
@@ -610,7 +748,11 @@
                 if let Some(hard) = ready.hs() {
                     keep.set_hard(hard)?;
                 }
-                if ready.must_sync() { keep.sync() } else { Ok(()) }
+                if ready.must_sync() {
+                    keep.sync()
+                } else {
+                    Ok(())
+                }
             })();
             if let Err(trouble) = kept {
                 return self.stop(&trouble, to);
@@ -628,8 +770,14 @@
                 self.say(message, to);
             }
             for read in reads {
-                let number = read.request_ctx.as_slice().try_into().map_or(0, u64::from_be_bytes);
-                while let Some((asked, at)) = self.asked.front().copied().filter(|(n, _)| *n <= number) {
+                let number = read
+                    .request_ctx
+                    .as_slice()
+                    .try_into()
+                    .map_or(0, u64::from_be_bytes);
+                while let Some((asked, at)) =
+                    self.asked.front().copied().filter(|(n, _)| *n <= number)
+                {
                     self.asked.pop_front();
                     if asked == number {
                         self.lease = self.lease.max(at + LEASE);
@@ -649,7 +797,9 @@
             if let State::Runs(raw) = &mut self.state {
                 raw.advance_apply_to(self.applied);
                 if std::mem::take(&mut self.came_in) || raw.store().is_long(self.applied) {
-                    let done = raw.mut_store().compact(self.applied, &self.conf, &self.board);
+                    let done = raw
+                        .mut_store()
+                        .compact(self.applied, &self.conf, &self.board);
                     if let Err(trouble) = done {
                         return self.stop(&trouble, to);
                     }
@@ -662,14 +812,21 @@
             self.led = leads;
             self.asked.clear();
             self.lease = 0;
-            let line = if leads { "leads from now on" } else { "does not lead any more" };
+            let line = if leads {
+                "leads from now on"
+            } else {
+                "does not lead any more"
+            };
             to.push(VoterDo::Line(format!("{line}, in term {}", self.term())));
         }
     }
 
     fn say(&self, message: Message, to: &mut Vec<VoterDo>) {
         if let Some(name) = self.name(message.to) {
-            to.push(VoterDo::Say { to: name.to_owned(), frame: Frame::Record(Box::new(message)) });
+            to.push(VoterDo::Say {
+                to: name.to_owned(),
+                frame: Frame::Record(Box::new(message)),
+            });
         }
     }
 
@@ -678,11 +835,22 @@
         self.applied = entry.index;
         if entry.entry_type == EntryType::EntryConfChange {
             let mut take = Take(&entry.context);
-            let Ok((kind, life)) = take.u8().and_then(|kind| Ok((kind, Life::take(&mut take)?))) else {
+            let Ok((kind, life)) = take
+                .u8()
+                .and_then(|kind| Ok((kind, Life::take(&mut take)?)))
+            else {
                 return;
             };
-            let kind_of = if kind == ADD { ConfChangeType::AddNode } else { ConfChangeType::RemoveNode };
-            let change = ConfChange { change_type: kind_of, node_id: life.id(), ..ConfChange::default() };
+            let kind_of = if kind == ADD {
+                ConfChangeType::AddNode
+            } else {
+                ConfChangeType::RemoveNode
+            };
+            let change = ConfChange {
+                change_type: kind_of,
+                node_id: life.id(),
+                ..ConfChange::default()
+            };
             if let State::Runs(raw) = &mut self.state
                 && let Ok(conf) = raw.apply_conf_change(&change)
             {
@@ -693,13 +861,20 @@
                 self.came_in = true;
             }
             let word = if kind == ADD { "is in" } else { "is out" };
-            to.push(VoterDo::Line(format!("{} with self {:x} {word}", life.name, life.life)));
+            to.push(VoterDo::Line(format!(
+                "{} with self {:x} {word}",
+                life.name, life.life
+            )));
         } else if !entry.data.is_empty()
             && let Ok(write) = Write::take(&mut Take(&entry.data))
         {
             let Write { topic, value, .. } = write.clone();
             if let Some(number) = self.board.write(write) {
-                to.push(VoterDo::Agreed(Agreed { topic, number, value }));
+                to.push(VoterDo::Agreed(Agreed {
+                    topic,
+                    number,
+                    value,
+                }));
             }
         }
     }
--- a/crates/linenthread-fleet/src/who.rs
+++ b/crates/linenthread-fleet/src/who.rs
@@ -45,7 +45,9 @@
     }
 
     fn is_sound(&self) -> bool {
-        let short = [&self.machine, &self.zone, &self.region].iter().all(|t| t.len() <= LONGEST_NAME);
+        let short = [&self.machine, &self.zone, &self.region]
+            .iter()
+            .all(|t| t.len() <= LONGEST_NAME);
         (1..=LONGEST_NAME).contains(&self.name.len()) && short
     }
 
@@ -62,7 +64,9 @@
             }
         }
         put.u16(self.gossip.port());
-        [&self.machine, &self.zone, &self.region].into_iter().for_each(|text| put.text(text));
+        [&self.machine, &self.zone, &self.region]
+            .into_iter()
+            .for_each(|text| put.text(text));
         put.u16(self.version);
         put.u16(self.share);
         put.u64(self.life);
@@ -87,7 +91,9 @@
             life: take.u64()?,
             turn: take.u32()?,
         };
-        who.is_sound().then_some(who).ok_or_else(|| "a name is too long or empty".into())
+        who.is_sound()
+            .then_some(who)
+            .ok_or_else(|| "a name is too long or empty".into())
     }
 }
 
@@ -98,8 +104,16 @@
     /// one, which starts later, still wins; only where that does not help, since the machine's clock went back,
     /// does it grow, by ever larger steps.
     fn renew(&self) -> Option<Self> {
-        let step = if self.turn < 8 { 0 } else { 1_000_u64 << (self.turn - 8).min(40) };
-        Some(Who { life: self.life.saturating_add(step), turn: self.turn.saturating_add(1), ..self.clone() })
+        let step = if self.turn < 8 {
+            0
+        } else {
+            1_000_u64 << (self.turn - 8).min(40)
+        };
+        Some(Who {
+            life: self.life.saturating_add(step),
+            turn: self.turn.saturating_add(1),
+            ..self.clone()
+        })
     }
 
     fn addr(&self) -> String {
--- a/crates/linenthread-fleet/tests/fleets.rs
+++ b/crates/linenthread-fleet/tests/fleets.rs
@@ -6,7 +6,9 @@
 use std::rc::Rc;
 
 use linenthread_fleet::frame::{Frame, Standing};
-use linenthread_fleet::{Agreed, Members, MembersDo, MembersTerms, Stage, Voter, VoterDo, VoterTerms, Who};
+use linenthread_fleet::{
+    Agreed, Members, MembersDo, MembersTerms, Stage, Voter, VoterDo, VoterTerms, Who,
+};
 use linenthread_frames::Secrets;
 use linenthread_store::Model;
 use proptest::prelude::*;
@@ -32,7 +34,10 @@
         Room {
             now: 1_000_000,
             voters: BTreeMap::new(),
-            disks: NAMES.iter().map(|n| (n.to_string(), Disk::default())).collect(),
+            disks: NAMES
+                .iter()
+                .map(|n| (n.to_string(), Disk::default()))
+                .collect(),
             cut: Vec::new(),
             agreed: BTreeMap::new(),
             lines: Vec::new(),
@@ -41,19 +46,34 @@
     }
 
     fn is_cut(&self, a: &str, b: &str) -> bool {
-        self.cut.iter().any(|(x, y)| (x == a && y == b) || (x == b && y == a))
+        self.cut
+            .iter()
+            .any(|(x, y)| (x == a && y == b) || (x == b && y == a))
     }
 
     /// Nobody reaches this one, nor is reached by it.
     fn cut_off(&mut self, name: &str) {
-        self.cut = NAMES.iter().filter(|n| **n != name).map(|n| (n.to_string(), name.to_owned())).collect();
+        self.cut = NAMES
+            .iter()
+            .filter(|n| **n != name)
+            .map(|n| (n.to_string(), name.to_owned()))
+            .collect();
     }
 
     fn start(&mut self, name: &str) -> Result<(), String> {
         self.starts += 1;
-        let terms = VoterTerms { own: name.into(), voters: NAMES.map(str::to_owned).to_vec() };
+        let terms = VoterTerms {
+            own: name.into(),
+            voters: NAMES.map(str::to_owned).to_vec(),
+        };
         let mut to = Vec::new();
-        let voter = Voter::new(terms, self.disks[name].clone(), self.starts, self.now, &mut to)?;
+        let voter = Voter::new(
+            terms,
+            self.disks[name].clone(),
+            self.starts,
+            self.now,
+            &mut to,
+        )?;
         self.voters.insert(name.into(), voter);
         let others: Vec<String> = self.voters.keys().filter(|n| *n != name).cloned().collect();
         for other in &others {
@@ -66,12 +86,16 @@
     fn stop(&mut self, name: &str) {
         self.voters.remove(name);
         let others: Vec<String> = self.voters.keys().cloned().collect();
-        others.iter().for_each(|other| self.act(other, |voter, _, _| voter.lost(name)));
+        others
+            .iter()
+            .for_each(|other| self.act(other, |voter, _, _| voter.lost(name)));
     }
 
     fn act(&mut self, name: &str, call: impl FnOnce(&mut Voter<Disk>, i64, &mut Vec<VoterDo>)) {
         let mut to = Vec::new();
-        let Some(voter) = self.voters.get_mut(name) else { return };
+        let Some(voter) = self.voters.get_mut(name) else {
+            return;
+        };
         call(voter, self.now, &mut to);
         let mut said: VecDeque<(String, VoterDo)> =
             to.into_iter().map(|one| (name.to_owned(), one)).collect();
@@ -90,8 +114,15 @@
                     said.extend(answers.into_iter().map(|one| (name.clone(), one)));
                 }
                 VoterDo::Say { .. } => {}
-                VoterDo::Agreed(Agreed { topic, number, value }) => {
-                    let known = self.agreed.entry((topic, number)).or_insert_with(|| value.clone());
+                VoterDo::Agreed(Agreed {
+                    topic,
+                    number,
+                    value,
+                }) => {
+                    let known = self
+                        .agreed
+                        .entry((topic, number))
+                        .or_insert_with(|| value.clone());
                     assert_eq!(*known, value, "one-value");
                 }
                 VoterDo::Line(line) => self.lines.push(format!("{from}: {line}")),
@@ -106,18 +137,30 @@
     fn steps(&mut self, steps: i64) {
         for _ in 0..steps {
             self.now += 250;
-            NAMES.iter().for_each(|name| self.act(name, |voter, now, to| voter.wake(now, to)));
+            NAMES
+                .iter()
+                .for_each(|name| self.act(name, |voter, now, to| voter.wake(now, to)));
         }
     }
 
     fn leaders(&self) -> Vec<&str> {
-        NAMES.into_iter().filter(|n| self.voters.get(*n).is_some_and(|v| v.leads(self.now))).collect()
+        NAMES
+            .into_iter()
+            .filter(|n| self.voters.get(*n).is_some_and(|v| v.leads(self.now)))
+            .collect()
     }
 
     fn propose(&mut self, topic: &str, based_on: u64, value: &[u8]) -> Result<(), String> {
-        let leader = self.leaders().first().copied().ok_or("nobody leads")?.to_owned();
+        let leader = self
+            .leaders()
+            .first()
+            .copied()
+            .ok_or("nobody leads")?
+            .to_owned();
         let mut done = Ok(());
-        self.act(&leader, |v, now, to| done = v.propose(now, topic, based_on, value.to_vec(), to));
+        self.act(&leader, |v, now, to| {
+            done = v.propose(now, topic, based_on, value.to_vec(), to)
+        });
         done
     }
 
@@ -141,7 +184,11 @@
     room.start("catania").unwrap();
     room.start("messina").unwrap();
     room.run(30);
-    assert!(room.voters.values().all(|v| v.stage() == Stage::Empty), "{:?}", room.lines);
+    assert!(
+        room.voters.values().all(|v| v.stage() == Stage::Empty),
+        "{:?}",
+        room.lines
+    );
     room.start("palermo").unwrap();
     room.run(5);
     assert_eq!(room.leaders().len(), 1);
@@ -164,12 +211,16 @@
     let new = room.leaders();
     assert!(new.len() == 1 && new[0] != leader, "{new:?}");
     let mut refused = Ok(());
-    room.act(&leader, |v, now, to| refused = v.propose(now, "table", 1, b"alone".to_vec(), to));
+    room.act(&leader, |v, now, to| {
+        refused = v.propose(now, "table", 1, b"alone".to_vec(), to)
+    });
     assert_eq!(refused, Err("this process does not lead".into()));
     room.propose("table", 1, b"second").unwrap();
     NAMES.iter().for_each(|name| room.stop(name));
     let mut chance = oorandom::Rand64::new(5);
-    room.disks.values().for_each(|disk| disk.borrow_mut().crash(&mut chance));
+    room.disks
+        .values()
+        .for_each(|disk| disk.borrow_mut().crash(&mut chance));
     room.cut.clear();
     // Two of three are enough, once there is a record.
     room.start("messina").unwrap();
@@ -198,12 +249,20 @@
     for number in 0..40 {
         room.propose("table", number, b"more").ok();
         room.run(1);
-        if room.voters.values().filter(|v| matches!(v.stage(), Stage::Stopped(_))).count() == 2 {
+        if room
+            .voters
+            .values()
+            .filter(|v| matches!(v.stage(), Stage::Stopped(_)))
+            .count()
+            == 2
+        {
             break;
         }
     }
     assert!(
-        room.lines.iter().any(|l| l.contains("this voter steps down: the disk failed")),
+        room.lines
+            .iter()
+            .any(|l| l.contains("this voter steps down: the disk failed")),
         "{:?}",
         room.lines
     );
@@ -211,7 +270,12 @@
     room.disks.insert("catania".into(), Disk::default());
     room.start("catania").unwrap();
     room.run(20);
-    assert_eq!(room.voters["catania"].stage(), Stage::Empty, "{:?}", room.lines);
+    assert_eq!(
+        room.voters["catania"].stage(),
+        Stage::Empty,
+        "{:?}",
+        room.lines
+    );
     assert!(room.leaders().is_empty());
 }
 
@@ -227,7 +291,14 @@
     assert!(!room.voters[&leader].leads(room.now));
     room.cut_off(&leader);
     room.act(&leader, |v, now, to| v.wake(now, to));
-    assert!(room.lines.last().unwrap().contains("does not lead any more"), "{:?}", room.lines);
+    assert!(
+        room.lines
+            .last()
+            .unwrap()
+            .contains("does not lead any more"),
+        "{:?}",
+        room.lines
+    );
     room.cut.clear();
     room.run(2);
     assert_eq!(room.leaders(), [new]);
@@ -249,7 +320,11 @@
         room.cut_off(&leader);
         for _ in 0..40 {
             room.steps(1);
-            assert!(room.leaders().len() < 2, "one-leader, {offset}: {:?}", room.leaders());
+            assert!(
+                room.leaders().len() < 2,
+                "one-leader, {offset}: {:?}",
+                room.leaders()
+            );
         }
         room.run(5);
         assert!(room.leaders().len() == 1 && others.contains(&room.leaders()[0]));
@@ -265,12 +340,19 @@
     });
     room.stop("catania");
     let mut chance = oorandom::Rand64::new(3);
-    room.disks["catania"].borrow_mut().spoil(&mut chance).unwrap();
+    room.disks["catania"]
+        .borrow_mut()
+        .spoil(&mut chance)
+        .unwrap();
     let said = room.start("catania").unwrap_err();
     assert!(said.contains("is damaged at byte"), "{said}");
-    room.disks.insert("catania".into(), room.disks["messina"].clone());
+    room.disks
+        .insert("catania".into(), room.disks["messina"].clone());
     let said = room.start("catania").unwrap_err();
-    assert_eq!(said, "the folder belongs to the voter messina, not to catania");
+    assert_eq!(
+        said,
+        "the folder belongs to the voter messina, not to catania"
+    );
 }
 
 /// What no sound voter says ends neither the process nor what was agreed on.
@@ -285,22 +367,46 @@
     room.act(&leader, |v, now, to| {
         v.propose(now, "table", 1, b"x".to_vec(), to).unwrap();
         seen = to.iter().find_map(|one| match one {
-            VoterDo::Say { to, frame: Frame::Record(m) } if to == victim => Some(m.clone()),
+            VoterDo::Say {
+                to,
+                frame: Frame::Record(m),
+            } if to == victim => Some(m.clone()),
             _ => None,
         });
     });
     let good = *seen.unwrap();
-    let mut beyond = Message { msg_type: MessageType::MsgHeartbeat, term, ..good.clone() };
+    let mut beyond = Message {
+        msg_type: MessageType::MsgHeartbeat,
+        term,
+        ..good.clone()
+    };
     beyond.commit = 1_000_000;
-    let mut other = Message { index: 1, log_term: 1, ..good.clone() };
-    other.entries = vec![Entry { index: 2, term: 1, ..Entry::default() }].into();
+    let mut other = Message {
+        index: 1,
+        log_term: 1,
+        ..good.clone()
+    };
+    other.entries = vec![Entry {
+        index: 2,
+        term: 1,
+        ..Entry::default()
+    }]
+    .into();
     let mut gap = good.clone();
     gap.entries[0].index += 7;
-    for (message, why) in
-        [(beyond, "cannot be agreed on"), (other, "cannot stand there"), (gap, "cannot stand there")]
-    {
-        room.act(victim, |v, now, to| v.received(now, &leader, Frame::Record(Box::new(message)), to));
-        assert!(room.lines.last().unwrap().contains(why), "{:?}", room.lines.last());
+    for (message, why) in [
+        (beyond, "cannot be agreed on"),
+        (other, "cannot stand there"),
+        (gap, "cannot stand there"),
+    ] {
+        room.act(victim, |v, now, to| {
+            v.received(now, &leader, Frame::Record(Box::new(message)), to)
+        });
+        assert!(
+            room.lines.last().unwrap().contains(why),
+            "{:?}",
+            room.lines.last()
+        );
     }
     room.run(2);
     room.propose("table", 2, b"goes on").unwrap();
@@ -310,9 +416,23 @@
 
 fn member(n: usize, now: i64) -> Members {
     let at = |n: usize| ([127, 0, 0, 1], 4_000 + n as u16).into();
-    let own = Who { life: 1, zone: "z".into(), ..Who::stranger(&format!("m{n}"), at(n)) };
-    let terms = MembersTerms { own, ask: vec![("m0".into(), at(0))], expected: 8, probe: 5_000 };
-    Members::new(terms, Secrets::new(vec![vec![7; 16]]).unwrap(), n as u64, now)
+    let own = Who {
+        life: 1,
+        zone: "z".into(),
+        ..Who::stranger(&format!("m{n}"), at(n))
+    };
+    let terms = MembersTerms {
+        own,
+        ask: vec![("m0".into(), at(0))],
+        expected: 8,
+        probe: 5_000,
+    };
+    Members::new(
+        terms,
+        Secrets::new(vec![vec![7; 16]]).unwrap(),
+        n as u64,
+        now,
+    )
 }
 
 /// Eight members: all know all, one that falls silent is gone for all within seconds, one that leaves at once.
@@ -321,46 +441,59 @@
     let mut now = 0;
     let mut all: Vec<Option<Members>> = (0..8).map(|n| Some(member(n, now))).collect();
     let mut mail = VecDeque::new();
-    let mut run =
-        |all: &mut Vec<Option<Members>>, seconds: i64, until: &dyn Fn(&[Option<Members>]) -> bool| {
-            let end = now + seconds * 10_000;
-            while now < end && !until(all) {
-                now += 500;
-                for one in all.iter_mut().flatten() {
-                    let mut to = Vec::new();
-                    one.wake(now, &mut to);
-                    mail.extend(to);
-                }
-                while let Some(one) = mail.pop_front() {
-                    let MembersDo::Send { to, bytes } = one else { continue };
-                    if let Some(Some(member)) = all.get_mut(usize::from(to.port()) - 4_000) {
-                        let mut answers = Vec::new();
-                        member.received(now, &bytes, &mut answers).unwrap();
-                        // A word that was changed on its way proves nothing.
-                        let mut spoilt = bytes.clone();
-                        spoilt[9] ^= 1;
-                        assert!(member.received(now, &spoilt, &mut answers).is_err());
-                        mail.extend(answers);
-                    }
+    let mut run = |all: &mut Vec<Option<Members>>,
+                   seconds: i64,
+                   until: &dyn Fn(&[Option<Members>]) -> bool| {
+        let end = now + seconds * 10_000;
+        while now < end && !until(all) {
+            now += 500;
+            for one in all.iter_mut().flatten() {
+                let mut to = Vec::new();
+                one.wake(now, &mut to);
+                mail.extend(to);
+            }
+            while let Some(one) = mail.pop_front() {
+                let MembersDo::Send { to, bytes } = one else {
+                    continue;
+                };
+                if let Some(Some(member)) = all.get_mut(usize::from(to.port()) - 4_000) {
+                    let mut answers = Vec::new();
+                    member.received(now, &bytes, &mut answers).unwrap();
+                    // A word that was changed on its way proves nothing.
+                    let mut spoilt = bytes.clone();
+                    spoilt[9] ^= 1;
+                    assert!(member.received(now, &spoilt, &mut answers).is_err());
+                    mail.extend(answers);
                 }
             }
-            until(all)
-        };
-    let known =
-        |n: usize| move |all: &[Option<Members>]| all.iter().flatten().all(|m| m.alive().count() == n);
+        }
+        until(all)
+    };
+    let known = |n: usize| {
+        move |all: &[Option<Members>]| all.iter().flatten().all(|m| m.alive().count() == n)
+    };
     assert!(run(&mut all, 20, &known(7)), "all know all");
     all[3] = None;
-    assert!(run(&mut all, 20, &known(6)), "one that fell silent is gone for all");
+    assert!(
+        run(&mut all, 20, &known(6)),
+        "one that fell silent is gone for all"
+    );
     let mut to = Vec::new();
     all[5].as_mut().unwrap().leave(1_000_000, &mut to);
     assert!(to.iter().any(|one| matches!(one, MembersDo::Send { .. })));
     all[5] = None;
-    assert!(run(&mut all, 20, &known(5)), "one that left is gone for all");
+    assert!(
+        run(&mut all, 20, &known(5)),
+        "one that left is gone for all"
+    );
     // Back under its name, as a later life.
     let mut back = member(3, 0);
     back = Members::new(
         MembersTerms {
-            own: Who { life: 2, ..back.own().clone() },
+            own: Who {
+                life: 2,
+                ..back.own().clone()
+            },
             ask: vec![("m0".into(), ([127, 0, 0, 1], 4_000).into())],
             expected: 8,
             probe: 5_000,
@@ -370,7 +503,10 @@
         0,
     );
     all[3] = Some(back);
-    assert!(run(&mut all, 30, &known(6)), "one that is back is known to all");
+    assert!(
+        run(&mut all, 30, &known(6)),
+        "one that is back is known to all"
+    );
 }
 
 proptest! {
--- a/crates/linenthread-frames/src/lib.rs
+++ b/crates/linenthread-frames/src/lib.rs
@@ -66,13 +66,18 @@
 
 impl<'a> Take<'a> {
     pub fn bytes(&mut self, n: usize) -> Res<&'a [u8]> {
-        let (taken, rest) = self.0.split_at_checked(n).ok_or("a frame ends within a field")?;
+        let (taken, rest) = self
+            .0
+            .split_at_checked(n)
+            .ok_or("a frame ends within a field")?;
         self.0 = rest;
         Ok(taken)
     }
 
     pub fn array<const N: usize>(&mut self) -> Res<[u8; N]> {
-        self.bytes(N)?.try_into().map_err(|_| "a frame ends within a field".into())
+        self.bytes(N)?
+            .try_into()
+            .map_err(|_| "a frame ends within a field".into())
     }
 
     pub fn u8(&mut self) -> Res<u8> {
@@ -142,7 +147,10 @@
 ///
 /// What can be no frame; the connection is of no more use then.
 pub fn whole(read: &[u8], longest: usize) -> Res<Option<(&[u8], usize)>> {
-    let Some(length) = read.first_chunk::<4>().map(|l| u32::from_be_bytes(*l) as usize) else {
+    let Some(length) = read
+        .first_chunk::<4>()
+        .map(|l| u32::from_be_bytes(*l) as usize)
+    else {
         return Ok(None);
     };
     if length == 0 || length > longest {
@@ -156,7 +164,11 @@
 /// # Errors
 ///
 /// What can be no frame; those before it were taken.
-pub fn take_all(read: &mut Vec<u8>, longest: usize, mut take: impl FnMut(&[u8]) -> Res<()>) -> Res<()> {
+pub fn take_all(
+    read: &mut Vec<u8>,
+    longest: usize,
+    mut take: impl FnMut(&[u8]) -> Res<()>,
+) -> Res<()> {
     let mut at = 0;
     let all = loop {
         match whole(&read[at..], longest) {
--- a/crates/linenthread-frames/src/proof.rs
+++ b/crates/linenthread-frames/src/proof.rs
@@ -47,8 +47,13 @@
     /// Proves to the other side, which made up `nonce`, that what is said comes from one that knows the secret:
     /// the first, or the one by which the other side has proven itself.
     pub fn prove(&self, with: usize, side: Side, nonce: &[u8], said: &[u8]) -> Proof {
-        let proof = self.0.get(with).and_then(|secret| mac(secret, side, &[nonce, said]));
-        proof.map(|mac| mac.finalize().into_bytes().into()).unwrap_or_default()
+        let proof = self
+            .0
+            .get(with)
+            .and_then(|secret| mac(secret, side, &[nonce, said]));
+        proof
+            .map(|mac| mac.finalize().into_bytes().into())
+            .unwrap_or_default()
     }
 
     /// Which of the secrets proves what is said, if one does.
--- a/crates/linenthread-hollow/src/api.rs
+++ b/crates/linenthread-hollow/src/api.rs
@@ -60,10 +60,24 @@
     /// A node with an empty disk on the very first start, and the record that its disk holds from then on.
     pub fn first_start(settings: NodeSettings, now: u64) -> (Node, Record) {
         let bootstraps = settings.bootstrap.contains(&settings.address);
-        let id = if bootstraps { genesis_id(&settings.address) } else { settings.life };
-        let voter = |a: &String| Voter { id: genesis_id(a), address: a.clone() };
-        let genesis = Value { voters: settings.bootstrap.iter().map(voter).collect(), ..Value::default() };
-        let record = Record { id: Some(id), decided: Some(genesis.clone()), ..Record::default() };
+        let id = if bootstraps {
+            genesis_id(&settings.address)
+        } else {
+            settings.life
+        };
+        let voter = |a: &String| Voter {
+            id: genesis_id(a),
+            address: a.clone(),
+        };
+        let genesis = Value {
+            voters: settings.bootstrap.iter().map(voter).collect(),
+            ..Value::default()
+        };
+        let record = Record {
+            id: Some(id),
+            decided: Some(genesis.clone()),
+            ..Record::default()
+        };
         let local = Local {
             name: settings.name,
             zone: settings.zone,
@@ -98,7 +112,13 @@
     }
 
     /// Works on one input; says what kind of work it was. `from_front` tells whose link a frame came on.
-    pub fn handle(&mut self, now: u64, input: Input, from_front: bool, out: &mut Vec<Effect>) -> Work {
+    pub fn handle(
+        &mut self,
+        now: u64,
+        input: Input,
+        from_front: bool,
+        out: &mut Vec<Effect>,
+    ) -> Work {
         match input {
             Input::Opened(link) => {
                 self.control.opened(link, out);
@@ -130,9 +150,15 @@
                 self.control.departure(now, token, &ident, out);
                 Work::ReplicaHeartbeats
             }
-            Input::Replace { token, base, revision, document } => {
+            Input::Replace {
+                token,
+                base,
+                revision,
+                document,
+            } => {
                 if Configuration::judge(&document).is_ok() {
-                    self.control.replace(now, token, base, revision, document, out);
+                    self.control
+                        .replace(now, token, base, revision, document, out);
                 }
                 Work::Configuration
             }
@@ -181,7 +207,13 @@
 
 pub fn notice(word: &PeerMessage) -> Notice {
     let work = work_of(word, true);
-    let none = Notice { work, revision: None, confirmed: false, place: None, share: None };
+    let none = Notice {
+        work,
+        revision: None,
+        confirmed: false,
+        place: None,
+        share: None,
+    };
     match word {
         PeerMessage::FrontUpdate(update) => Notice {
             revision: update.value.as_ref().map(|value| value.revision),
@@ -190,7 +222,10 @@
             ..none
         },
         PeerMessage::Allotments(allotments) => {
-            let share = allotments.grants.first().map(|grant| (grant.life, grant.share));
+            let share = allotments
+                .grants
+                .first()
+                .map(|grant| (grant.life, grant.share));
             Notice { share, ..none }
         }
         _ => none,
@@ -219,7 +254,11 @@
 }
 
 pub fn front_heartbeat(asked: u64, revision: u64) -> PeerMessage {
-    PeerMessage::Heartbeat(Heartbeat { asked, revision, ..Heartbeat::default() })
+    PeerMessage::Heartbeat(Heartbeat {
+        asked,
+        revision,
+        ..Heartbeat::default()
+    })
 }
 
 /// One whole frame back into a message.
--- a/crates/linenthread-hollow/src/cost.rs
+++ b/crates/linenthread-hollow/src/cost.rs
@@ -70,7 +70,10 @@
 
 impl Cost {
     pub fn reset(&mut self) {
-        *self = Cost { heap: self.heap, ..Cost::default() };
+        *self = Cost {
+            heap: self.heap,
+            ..Cost::default()
+        };
     }
 
     pub fn receive(&mut self, work: Work, bytes: usize) {
@@ -121,12 +124,18 @@
 
 impl Meter {
     pub fn begin() -> Meter {
-        Meter { before: ALLOCATOR.stats(), began: ThreadTime::now() }
+        Meter {
+            before: ALLOCATOR.stats(),
+            began: ThreadTime::now(),
+        }
     }
 
     pub fn spent(&self) -> Spent {
         let processor = self.began.elapsed();
         let since = ALLOCATOR.stats() - self.before;
-        Spent { processor, heap: since.bytes_allocated as i64 - since.bytes_deallocated as i64 }
+        Spent {
+            processor,
+            heap: since.bytes_allocated as i64 - since.bytes_deallocated as i64,
+        }
     }
 }
--- a/crates/linenthread-hollow/src/events.rs
+++ b/crates/linenthread-hollow/src/events.rs
@@ -34,14 +34,20 @@
 
 impl<E> Default for Events<E> {
     fn default() -> Self {
-        Events { heap: BinaryHeap::new(), order: 0 }
+        Events {
+            heap: BinaryHeap::new(),
+            order: 0,
+        }
     }
 }
 
 impl<E> Events<E> {
     pub fn push(&mut self, at: u64, event: E) {
         self.order += 1;
-        self.heap.push(Reverse(Entry { key: (at, self.order), event }));
+        self.heap.push(Reverse(Entry {
+            key: (at, self.order),
+            event,
+        }));
     }
 
     /// The next event before this time.
--- a/crates/linenthread-hollow/src/kill.rs
+++ b/crates/linenthread-hollow/src/kill.rs
@@ -35,7 +35,10 @@
     world.trace = Some(Vec::new());
     let leads = |world: &World| {
         let now = world.now;
-        world.nodes.iter().position(|slot| slot.node.as_ref().is_some_and(|node| node.is_leader(now)))
+        world
+            .nodes
+            .iter()
+            .position(|slot| slot.node.as_ref().is_some_and(|node| node.is_leader(now)))
     };
     let leader = leads(&world).unwrap_or(0);
     world.kill(leader, loss == Loss::Killed);
@@ -60,7 +63,15 @@
     let since = |at: u64| at as i64 - lost_at as i64;
     let first = trace.iter().find(|(_, line)| line.starts_with("operator:"));
     let first_acknowledgement_ms = first.map(|(at, _)| at - lost_at);
-    let mut lines = vec![(0, format!("control-{leader:02}, which leads, is lost ({loss:?})"))];
+    let mut lines = vec![(
+        0,
+        format!("control-{leader:02}, which leads, is lost ({loss:?})"),
+    )];
     lines.extend(trace.into_iter().map(|(at, line)| (since(at), line)));
-    KillTimeline { loss, lines, first_acknowledgement_ms, next_leader_ms: next_leader }
+    KillTimeline {
+        loss,
+        lines,
+        first_acknowledgement_ms,
+        next_leader_ms: next_leader,
+    }
 }
--- a/crates/linenthread-hollow/src/main.rs
+++ b/crates/linenthread-hollow/src/main.rs
@@ -71,7 +71,10 @@
     let control = flags.control.unwrap_or(default.control).max(3);
     Scale {
         fronts,
-        replicas: flags.replicas.unwrap_or((fronts as f64 * REPLICAS_TO_FRONTS).round() as usize).max(1),
+        replicas: flags
+            .replicas
+            .unwrap_or((fronts as f64 * REPLICAS_TO_FRONTS).round() as usize)
+            .max(1),
         control,
         voters: flags.voters.unwrap_or(5).clamp(3, control),
         seconds: flags.seconds.unwrap_or(default.seconds).max(1),
@@ -103,14 +106,25 @@
 
 fn fit(flags: &flags::Fit) -> Result<(), String> {
     let path = &flags.file;
-    let text = std::fs::read_to_string(path).map_err(|e| format!("reading {}: {e}", path.display()))?;
-    let fitted = fit_csv(&text, flags.by.as_deref().unwrap_or("fronts")).map_err(|e| e.to_string())?;
+    let text =
+        std::fs::read_to_string(path).map_err(|e| format!("reading {}: {e}", path.display()))?;
+    let fitted =
+        fit_csv(&text, flags.by.as_deref().unwrap_or("fronts")).map_err(|e| e.to_string())?;
     let mut lines = Vec::new();
-    let wanted = |role: &str| flags.role.as_ref().is_none_or(|name| role.starts_with(name.as_str()));
+    let wanted = |role: &str| {
+        flags
+            .role
+            .as_ref()
+            .is_none_or(|name| role.starts_with(name.as_str()))
+    };
     let asked = |column: &String| flags.column.as_ref().is_none_or(|name| name == column);
-    for (role, column, power) in fitted.into_iter().filter(|(role, column, _)| wanted(role) && asked(column))
+    for (role, column, power) in fitted
+        .into_iter()
+        .filter(|(role, column, _)| wanted(role) && asked(column))
     {
-        let at = flags.at.map_or(String::new(), |size| format!(", at {size}: {:.4}", power.at(size)));
+        let at = flags.at.map_or(String::new(), |size| {
+            format!(", at {size}: {:.4}", power.at(size))
+        });
         lines.push(format!(
             "{role:<28} {column:<18} power {:>6.3}, worst {:.2} of the fit, {} points{at}",
             power.exponent, power.worst_ratio, power.points
@@ -133,11 +147,19 @@
     };
     let timeline = kill_timeline(&scale, if flags.dark { Loss::Dark } else { Loss::Killed });
     let after = |ms: Option<u64>| ms.map_or("none".to_owned(), |ms| format!("{ms} ms"));
-    let mut lines: Vec<String> =
-        timeline.lines.iter().map(|(at, line)| format!("{at:>6} ms  {line}\n")).collect();
+    let mut lines: Vec<String> = timeline
+        .lines
+        .iter()
+        .map(|(at, line)| format!("{at:>6} ms  {line}\n"))
+        .collect();
     let first = after(timeline.first_acknowledgement_ms);
-    lines.push(format!("first acknowledgement by a survivor after {first}\n"));
-    lines.push(format!("next leader after {}\n", after(timeline.next_leader_ms)));
+    lines.push(format!(
+        "first acknowledgement by a survivor after {first}\n"
+    ));
+    lines.push(format!(
+        "next leader after {}\n",
+        after(timeline.next_leader_ms)
+    ));
     show(&lines.concat());
 }
 
--- a/crates/linenthread-hollow/src/replica.rs
+++ b/crates/linenthread-hollow/src/replica.rs
@@ -16,7 +16,14 @@
 
 impl Replica {
     pub fn new(number: usize, zone: usize, node: usize) -> Replica {
-        Replica { number, zone, life: 0, calls: 0, draining: false, node }
+        Replica {
+            number,
+            zone,
+            life: 0,
+            calls: 0,
+            draining: false,
+            node,
+        }
     }
 
     pub fn ident(&self) -> String {
--- a/crates/linenthread-hollow/src/report.rs
+++ b/crates/linenthread-hollow/src/report.rs
@@ -123,7 +123,11 @@
 }
 
 fn kinds(costs: &[&Cost]) -> BTreeSet<Work> {
-    costs.iter().flat_map(|c| c.traffic.keys().chain(c.processor.keys())).copied().collect()
+    costs
+        .iter()
+        .flat_map(|c| c.traffic.keys().chain(c.processor.keys()))
+        .copied()
+        .collect()
 }
 
 impl Measurement {
@@ -132,20 +136,37 @@
         let mut rows = Vec::new();
         rows.push(front_row(world, None, seconds));
         let fronts: Vec<&Cost> = world.fronts.iter().map(|front| &front.cost).collect();
-        rows.extend(kinds(&fronts).into_iter().map(|work| front_row(world, Some(work), seconds)));
+        rows.extend(
+            kinds(&fronts)
+                .into_iter()
+                .map(|work| front_row(world, Some(work), seconds)),
+        );
         let replicas = [&world.replica_cost];
         rows.push(row(Role::Replica, None, &replicas, scale.replicas, seconds));
         for (role, votes) in [(Role::Voter, true), (Role::Learner, false)] {
             let of_role = |node: &&ControlNode| node.votes == votes;
-            let costs: Vec<&Cost> = world.nodes.iter().filter(of_role).map(|node| &node.cost).collect();
+            let costs: Vec<&Cost> = world
+                .nodes
+                .iter()
+                .filter(of_role)
+                .map(|node| &node.cost)
+                .collect();
             if costs.is_empty() {
                 continue;
             }
             rows.push(row(role, None, &costs, costs.len(), seconds));
             let parts = kinds(&costs);
-            rows.extend(parts.into_iter().map(|work| row(role, Some(work), &costs, costs.len(), seconds)));
+            rows.extend(
+                parts
+                    .into_iter()
+                    .map(|work| row(role, Some(work), &costs, costs.len(), seconds)),
+            );
         }
-        let busiest = world.nodes.iter().map(|node| &node.cost).max_by_key(|cost| cost.total_processor());
+        let busiest = world
+            .nodes
+            .iter()
+            .map(|node| &node.cost)
+            .max_by_key(|cost| cost.total_processor());
         rows.extend(busiest.map(|cost| row(Role::BusiestControl, None, &[cost], 1, seconds)));
         let newest = scale.changes as u64 + 1;
         Measurement {
@@ -154,8 +175,16 @@
             acknowledged: times(&world.acknowledged),
             in_force: times(&world.in_force),
             snapshot: Snapshot::default(),
-            fronts_in_force: world.fronts.iter().filter(|front| front.revision == newest).count(),
-            table_sizes: world.fronts.iter().filter_map(|f| Some(f.table.as_ref()?.len())).collect(),
+            fronts_in_force: world
+                .fronts
+                .iter()
+                .filter(|front| front.revision == newest)
+                .count(),
+            table_sizes: world
+                .fronts
+                .iter()
+                .filter_map(|f| Some(f.table.as_ref()?.len()))
+                .collect(),
             voters_at_end: world
                 .nodes
                 .iter()
@@ -166,38 +195,81 @@
     }
 
     pub fn add_storm(&mut self, world: &World, fronts: usize) {
-        let joined = |cost: &Cost| cost.traffic.get(&Work::FrontJoins).map_or(0, |t| t.bytes_out) as f64;
-        let spent = |cost: &Cost| cost.processor.get(&Work::FrontJoins).map_or(0.0, |d| d.as_secs_f64());
+        let joined = |cost: &Cost| {
+            cost.traffic
+                .get(&Work::FrontJoins)
+                .map_or(0, |t| t.bytes_out) as f64
+        };
+        let spent = |cost: &Cost| {
+            cost.processor
+                .get(&Work::FrontJoins)
+                .map_or(0.0, |d| d.as_secs_f64())
+        };
         let each = |sum: f64, many: usize| sum / many.max(1) as f64;
-        let tables: Vec<&Cost> =
-            world.fronts[..fronts].iter().filter(|f| f.table.is_some()).map(|f| &f.cost).collect();
+        let tables: Vec<&Cost> = world.fronts[..fronts]
+            .iter()
+            .filter(|f| f.table.is_some())
+            .map(|f| &f.cost)
+            .collect();
         // A read of the newest value comes back from the other nodes before the snapshot is confirmed.
         let node = |cost: &Cost| {
-            spent(cost) + cost.processor.get(&Work::Configuration).map_or(0.0, |d| d.as_secs_f64())
+            spent(cost)
+                + cost
+                    .processor
+                    .get(&Work::Configuration)
+                    .map_or(0.0, |d| d.as_secs_f64())
         };
         self.snapshot = Snapshot {
             fronts,
             bytes: each(world.nodes.iter().map(|n| joined(&n.cost)).sum(), fronts),
-            node_ms: each(world.nodes.iter().map(|n| node(&n.cost)).sum::<f64>() * 1e3, fronts),
-            front_ms: each(tables.iter().map(|cost| spent(cost)).sum::<f64>() * 1e3, tables.len()),
+            node_ms: each(
+                world.nodes.iter().map(|n| node(&n.cost)).sum::<f64>() * 1e3,
+                fronts,
+            ),
+            front_ms: each(
+                tables.iter().map(|cost| spent(cost)).sum::<f64>() * 1e3,
+                tables.len(),
+            ),
         };
-        let peak = world.nodes.iter().map(|n| n.cost.transient as f64).fold(0.0, f64::max);
-        for row in self.rows.iter_mut().filter(|row| row.role == Role::BusiestControl) {
+        let peak = world
+            .nodes
+            .iter()
+            .map(|n| n.cost.transient as f64)
+            .fold(0.0, f64::max);
+        for row in self
+            .rows
+            .iter_mut()
+            .filter(|row| row.role == Role::BusiestControl)
+        {
             row.transient_bytes = row.transient_bytes.max(peak);
         }
     }
 
     pub fn row(&self, role: Role) -> Option<&RoleRow> {
-        self.rows.iter().find(|row| row.role == role && row.work.is_none())
+        self.rows
+            .iter()
+            .find(|row| row.role == role && row.work.is_none())
     }
 
     /// The measured traffic without anything that depends on the machine: the same for the same seed.
     pub fn traffic(&self) -> Vec<String> {
         let line = |row: &RoleRow| {
-            let (messages, bytes) = (row.messages_in + row.messages_out, row.bytes_in + row.bytes_out);
-            format!("{} {:?} {messages} {bytes} {}", row.role.name(), row.work, row.disk_bytes)
+            let (messages, bytes) = (
+                row.messages_in + row.messages_out,
+                row.bytes_in + row.bytes_out,
+            );
+            format!(
+                "{} {:?} {messages} {bytes} {}",
+                row.role.name(),
+                row.work,
+                row.disk_bytes
+            )
         };
-        self.rows.iter().filter(|row| row.role != Role::BusiestControl).map(line).collect()
+        self.rows
+            .iter()
+            .filter(|row| row.role != Role::BusiestControl)
+            .map(line)
+            .collect()
     }
 
     pub fn table(&self) -> String {
@@ -314,7 +386,12 @@
 /// Traffic of all fronts; processor time and heap of those that hold a table.
 fn front_row(world: &World, work: Option<Work>, seconds: f64) -> RoleRow {
     let all: Vec<&Cost> = world.fronts.iter().map(|front| &front.cost).collect();
-    let tables: Vec<&Cost> = world.fronts.iter().filter(|f| f.table.is_some()).map(|f| &f.cost).collect();
+    let tables: Vec<&Cost> = world
+        .fronts
+        .iter()
+        .filter(|f| f.table.is_some())
+        .map(|f| &f.cost)
+        .collect();
     let measured = row(Role::Front, work, &tables, tables.len(), seconds);
     RoleRow {
         processor_percent: measured.processor_percent,
--- a/crates/linenthread-hollow/src/world.rs
+++ b/crates/linenthread-hollow/src/world.rs
@@ -6,7 +6,9 @@
 use hdrhistogram::Histogram;
 use oorandom::Rand64;
 
-use crate::api::{self, Answer, Effect, Input, Link, Node, NodeSettings, PeerMessage, Record, Token};
+use crate::api::{
+    self, Answer, Effect, Input, Link, Node, NodeSettings, PeerMessage, Record, Token,
+};
 use crate::cost::{Cost, Meter, Work, held};
 use crate::document::document;
 use crate::events::Events;
@@ -45,14 +47,27 @@
 enum Event {
     StartNode(usize),
     Tick(usize),
-    Input { node: usize, life: u64, input: Input },
-    FrontJoins { front: usize, fresh: bool },
-    FrontHeartbeat { front: usize, link: Link },
+    Input {
+        node: usize,
+        life: u64,
+        input: Input,
+    },
+    FrontJoins {
+        front: usize,
+        fresh: bool,
+    },
+    FrontHeartbeat {
+        front: usize,
+        link: Link,
+    },
     ReplicaHeartbeat(usize),
     ReplicaRestart(usize),
     ReplicaDeparts(usize),
     ReplicaReturns(usize),
-    Change { revision: u64, sent: u64 },
+    Change {
+        revision: u64,
+        sent: u64,
+    },
 }
 
 enum Caller {
@@ -116,8 +131,9 @@
             timer: u64::MAX,
             place: None,
         });
-        let fronts: Vec<Front> =
-            (0..scale.fronts).map(|f| Front::new(f, zone_of(f), chance.rand_u64() | 1)).collect();
+        let fronts: Vec<Front> = (0..scale.fronts)
+            .map(|f| Front::new(f, zone_of(f), chance.rand_u64() | 1))
+            .collect();
         let replica = |r| Replica::new(r, zone_of(r), r % scale.control);
         let mut world = World {
             now: 0,
@@ -153,7 +169,10 @@
             let at = REPLICAS_AT + self.up_to(self.scale.heartbeat_ms);
             self.events.push(at, Event::ReplicaHeartbeat(replica));
         }
-        let change = Event::Change { revision: 1, sent: FIRST_CONFIGURATION_AT };
+        let change = Event::Change {
+            revision: 1,
+            sent: FIRST_CONFIGURATION_AT,
+        };
         self.events.push(FIRST_CONFIGURATION_AT, change);
         let mut met = vec![false; self.nodes.len()];
         for front in 0..self.fronts.len() {
@@ -163,7 +182,11 @@
                 self.fronts[front].table = Some(Table::default());
             }
             let fresh = first || front < TABLES;
-            let at = if fresh { FIRST_FRONTS_AT } else { FRONTS_AT + self.up_to(FRONTS_WITHIN) };
+            let at = if fresh {
+                FIRST_FRONTS_AT
+            } else {
+                FRONTS_AT + self.up_to(FRONTS_WITHIN)
+            };
             self.events.push(at, Event::FrontJoins { front, fresh });
         }
     }
@@ -174,14 +197,18 @@
 
     /// Any node that runs.
     fn any_node(&mut self) -> usize {
-        let up: Vec<usize> = (0..self.nodes.len()).filter(|n| self.nodes[*n].node.is_some()).collect();
+        let up: Vec<usize> = (0..self.nodes.len())
+            .filter(|n| self.nodes[*n].node.is_some())
+            .collect();
         up[self.up_to(up.len() as u64) as usize]
     }
 
     /// A node of the front's zone, else any: fronts are dealt to them in turn.
     fn node_of_front(&self, front: usize) -> usize {
         let zone = self.fronts[front].zone;
-        let same: Vec<usize> = (0..self.nodes.len()).filter(|n| self.nodes[*n].zone == zone).collect();
+        let same: Vec<usize> = (0..self.nodes.len())
+            .filter(|n| self.nodes[*n].zone == zone)
+            .collect();
         match same.len() {
             0 => front % self.nodes.len(),
             many => same[front / crate::geography::ZONES % many],
@@ -214,14 +241,19 @@
             Event::FrontJoins { front, fresh } => self.join(front, fresh),
             Event::FrontHeartbeat { front, link } => self.front_heartbeat(front, link),
             Event::ReplicaHeartbeat(replica) => {
-                self.events.push(self.now + self.scale.heartbeat_ms, Event::ReplicaHeartbeat(replica));
+                self.events.push(
+                    self.now + self.scale.heartbeat_ms,
+                    Event::ReplicaHeartbeat(replica),
+                );
                 self.replica_heartbeat(replica);
             }
             Event::ReplicaRestart(replica) => {
                 self.replicas[replica].draining = true;
                 self.replica_heartbeat(replica);
-                self.events.push(self.now + DRAIN, Event::ReplicaDeparts(replica));
-                self.events.push(self.now + RETURN, Event::ReplicaReturns(replica));
+                self.events
+                    .push(self.now + DRAIN, Event::ReplicaDeparts(replica));
+                self.events
+                    .push(self.now + RETURN, Event::ReplicaReturns(replica));
             }
             Event::ReplicaDeparts(replica) => self.replica_departs(replica),
             Event::ReplicaReturns(replica) => {
@@ -237,7 +269,12 @@
 
     fn start_node(&mut self, n: usize) {
         let life = self.chance.rand_u64() | 1;
-        let bootstrap = self.nodes.iter().take(3).map(|node| node.address.clone()).collect();
+        let bootstrap = self
+            .nodes
+            .iter()
+            .take(3)
+            .map(|node| node.address.clone())
+            .collect();
         let slot = &mut self.nodes[n];
         let settings = NodeSettings {
             name: format!("control-{n:02}"),
@@ -259,8 +296,12 @@
     /// The process of a node ends. Its connections are closed, or hang where nobody says so.
     pub fn kill(&mut self, n: usize, connections_close: bool) {
         (self.nodes[n].node, self.nodes[n].life) = (None, 0);
-        let mut links: Vec<Link> =
-            self.links.iter().filter(|(_, ends)| ends.contains(&End::Node(n))).map(|(l, _)| *l).collect();
+        let mut links: Vec<Link> = self
+            .links
+            .iter()
+            .filter(|(_, ends)| ends.contains(&End::Node(n)))
+            .map(|(l, _)| *l)
+            .collect();
         links.sort_unstable();
         for link in links {
             if connections_close {
@@ -295,7 +336,9 @@
         let mut out = std::mem::take(&mut self.out);
         let room = out.capacity();
         let slot = &mut self.nodes[n];
-        let Some(node) = slot.node.as_mut() else { return };
+        let Some(node) = slot.node.as_mut() else {
+            return;
+        };
         let meter = Meter::begin();
         let work = node.handle(self.now, input, from_front, &mut out);
         let mut spent = meter.spent();
@@ -342,18 +385,30 @@
     fn keep(&mut self, n: usize, record: Record, then: Vec<(u64, PeerMessage)>) {
         let slot = &mut self.nodes[n];
         slot.cost.disk_bytes += prost::Message::encoded_len(&record) as u64;
-        let event = Event::Input { node: n, life: slot.life, input: Input::Synced(then) };
+        let event = Event::Input {
+            node: n,
+            life: slot.life,
+            input: Input::Synced(then),
+        };
         self.events.push(self.now + SYNC, event);
         self.release(n, record);
     }
 
     fn is_front_link(&self, link: Link) -> bool {
-        self.links.get(&link).is_some_and(|ends| ends.iter().any(|end| matches!(end, End::Front(_))))
+        self.links
+            .get(&link)
+            .is_some_and(|ends| ends.iter().any(|end| matches!(end, End::Front(_))))
     }
 
     fn send(&mut self, n: usize, link: Link, word: PeerMessage) {
-        let Some(ends) = self.links.get(&link) else { return self.release(n, word) };
-        let to = if ends[0] == End::Node(n) { ends[1] } else { ends[0] };
+        let Some(ends) = self.links.get(&link) else {
+            return self.release(n, word);
+        };
+        let to = if ends[0] == End::Node(n) {
+            ends[1]
+        } else {
+            ends[0]
+        };
         let notice = api::notice(&word);
         let work = match to {
             End::Front(_) => notice.work,
@@ -379,23 +434,39 @@
                 let arrives = self.now + latency_ms(slot.zone, self.nodes[other].zone);
                 let input = Input::Frame(link, BytesMut::from(&self.scratch[..]));
                 let life = self.nodes[other].life;
-                self.events.push(arrives, Event::Input { node: other, life, input });
+                self.events.push(
+                    arrives,
+                    Event::Input {
+                        node: other,
+                        life,
+                        input,
+                    },
+                );
             }
         }
     }
 
     fn note_in_force(&mut self, front: usize, revision: Option<u64>, arrives: u64) {
-        let Some((awaited, sent)) = self.awaited else { return };
+        let Some((awaited, sent)) = self.awaited else {
+            return;
+        };
         if revision.is_some_and(|r| r >= awaited) && self.fronts[front].revision < awaited {
             self.in_force.saturating_record(arrives - sent);
         }
     }
 
     fn dial(&mut self, n: usize, address: String) {
-        let to = self.nodes.iter().position(|o| o.address == address && o.node.is_some());
+        let to = self
+            .nodes
+            .iter()
+            .position(|o| o.address == address && o.node.is_some());
         let life = self.nodes[n].life;
         let Some(to) = to else {
-            let event = Event::Input { node: n, life, input: Input::Unreached(address) };
+            let event = Event::Input {
+                node: n,
+                life,
+                input: Input::Unreached(address),
+            };
             return self.events.push(self.now + REFUSED_AFTER, event);
         };
         self.release(n, address);
@@ -403,7 +474,14 @@
         let at = self.now + latency_ms(self.nodes[n].zone, self.nodes[to].zone);
         for node in [n, to] {
             let life = self.nodes[node].life;
-            self.events.push(at, Event::Input { node, life, input: Input::Opened(link) });
+            self.events.push(
+                at,
+                Event::Input {
+                    node,
+                    life,
+                    input: Input::Opened(link),
+                },
+            );
         }
     }
 
@@ -415,11 +493,17 @@
 
     /// One end is through with a link; the other learns of it.
     fn end_link(&mut self, link: Link, by: End) {
-        let Some(ends) = self.links.remove(&link) else { return };
+        let Some(ends) = self.links.remove(&link) else {
+            return;
+        };
         let other = if ends[0] == by { ends[1] } else { ends[0] };
         match other {
             End::Node(node) => {
-                let event = Event::Input { node, life: self.nodes[node].life, input: Input::Closed(link) };
+                let event = Event::Input {
+                    node,
+                    life: self.nodes[node].life,
+                    input: Input::Closed(link),
+                };
                 self.events.push(self.now + 1, event);
             }
             End::Front(front) => self.fronts[front].session = None,
@@ -445,29 +529,58 @@
         }
         let place = if fresh { None } else { self.nodes[n].place };
         let revision = if fresh { 0 } else { front.revision };
-        let hello = api::front_hello(&front.name, &zone_name(front.zone), front.life, place, revision);
+        let hello = api::front_hello(
+            &front.name,
+            &zone_name(front.zone),
+            front.life,
+            place,
+            revision,
+        );
         let mut frame = BytesMut::new();
         api::encode(hello, &mut frame);
         front.cost.send(Work::FrontJoins, frame.len());
-        let (at, life) = (self.now + latency_ms(front.zone, self.nodes[n].zone), self.nodes[n].life);
-        self.events.push(at, Event::Input { node: n, life, input: Input::Opened(link) });
+        let (at, life) = (
+            self.now + latency_ms(front.zone, self.nodes[n].zone),
+            self.nodes[n].life,
+        );
+        self.events.push(
+            at,
+            Event::Input {
+                node: n,
+                life,
+                input: Input::Opened(link),
+            },
+        );
         self.send_frame(n, at, link, frame.as_ref());
-        self.events.push(self.now, Event::FrontHeartbeat { front: f, link });
+        self.events
+            .push(self.now, Event::FrontHeartbeat { front: f, link });
     }
 
     fn send_frame(&mut self, n: usize, at: u64, link: Link, frame: &[u8]) {
         let input = Input::Frame(link, BytesMut::from(frame));
-        self.events.push(at, Event::Input { node: n, life: self.nodes[n].life, input });
+        self.events.push(
+            at,
+            Event::Input {
+                node: n,
+                life: self.nodes[n].life,
+                input,
+            },
+        );
     }
 
     fn front_heartbeat(&mut self, f: usize, link: Link) {
         let front = &mut self.fronts[f];
-        let Some((_, n)) = front.session.filter(|(own, _)| *own == link) else { return };
+        let Some((_, n)) = front.session.filter(|(own, _)| *own == link) else {
+            return;
+        };
         let mut frame = BytesMut::with_capacity(64);
         front.heartbeat(&mut frame);
         let at = self.now + latency_ms(front.zone, self.nodes[n].zone);
         self.send_frame(n, at, link, &frame);
-        self.events.push(self.now + FRONT_HEARTBEAT, Event::FrontHeartbeat { front: f, link });
+        self.events.push(
+            self.now + FRONT_HEARTBEAT,
+            Event::FrontHeartbeat { front: f, link },
+        );
     }
 
     // --- replicas ---
@@ -489,7 +602,9 @@
         let (node, ident, body) = (replica.node, replica.ident(), replica.body());
         let bytes = replica::call_bytes(&format!("/Replicas.Heartbeat/{ident}"), body.len());
         self.replica_cost.send(Work::ReplicaHeartbeats, bytes);
-        self.nodes[node].cost.receive(Work::ReplicaHeartbeats, bytes);
+        self.nodes[node]
+            .cost
+            .receive(Work::ReplicaHeartbeats, bytes);
         let token = self.token(Caller::Replica(r));
         self.run_node(node, Input::Beat { token, ident, body });
     }
@@ -499,7 +614,9 @@
         let (node, ident) = (self.replicas[r].node, self.replicas[r].ident());
         let bytes = replica::call_bytes(&format!("/Replicas.Departure/{ident}"), 0);
         self.replica_cost.send(Work::ReplicaHeartbeats, bytes);
-        self.nodes[node].cost.receive(Work::ReplicaHeartbeats, bytes);
+        self.nodes[node]
+            .cost
+            .receive(Work::ReplicaHeartbeats, bytes);
         let token = self.token(Caller::Replica(r));
         self.run_node(node, Input::Departure { token, ident });
     }
@@ -512,11 +629,25 @@
         if sent == self.now {
             self.awaited = Some((revision, sent));
         }
-        self.nodes[node].cost.receive(Work::Configuration, document.len());
+        self.nodes[node]
+            .cost
+            .receive(Work::Configuration, document.len());
         let token = self.token(Caller::Operator { revision, sent });
-        let input = Input::Replace { token, base: revision - 1, revision, document };
+        let input = Input::Replace {
+            token,
+            base: revision - 1,
+            revision,
+            document,
+        };
         let at = self.now + latency_ms(OPERATOR_ZONE, self.nodes[node].zone);
-        self.events.push(at, Event::Input { node, life: self.nodes[node].life, input });
+        self.events.push(
+            at,
+            Event::Input {
+                node,
+                life: self.nodes[node].life,
+                input,
+            },
+        );
     }
 
     /// Sends a change with this revision at this time.
@@ -533,11 +664,14 @@
                     Answer::Taken(_) => {
                         self.acknowledged.saturating_record(self.now + back - sent);
                         if let Some(trace) = &mut self.trace {
-                            let line = format!("operator: {revision} is acknowledged by control-{n:02}");
+                            let line =
+                                format!("operator: {revision} is acknowledged by control-{n:02}");
                             trace.push((self.now + back, line));
                         }
                     }
-                    _ => self.events.push(self.now + CALL_AGAIN, Event::Change { revision, sent }),
+                    _ => self
+                        .events
+                        .push(self.now + CALL_AGAIN, Event::Change { revision, sent }),
                 }
             }
             None => {}
@@ -573,20 +707,25 @@
     /// Sets the changes and restarts of the measured time.
     fn schedule_events(&mut self) {
         let length = self.scale.seconds * 1_000;
-        let spread = |nth: usize, many: usize| MEASURED_FROM + length * nth as u64 / many as u64 + 50;
+        let spread =
+            |nth: usize, many: usize| MEASURED_FROM + length * nth as u64 / many as u64 + 50;
         for nth in 0..self.scale.changes {
             self.change_at(spread(nth, self.scale.changes), nth as u64 + 2);
         }
         for nth in 0..self.scale.restarts {
             let replica = self.up_to(self.replicas.len() as u64) as usize;
-            self.events.push(spread(nth, self.scale.restarts), Event::ReplicaRestart(replica));
+            self.events.push(
+                spread(nth, self.scale.restarts),
+                Event::ReplicaRestart(replica),
+            );
         }
     }
 
     fn storm(&mut self) -> usize {
         let many = self.scale.storm.min(self.fronts.len());
         for front in 0..many {
-            self.events.push(self.now + 1, Event::FrontJoins { front, fresh: true });
+            self.events
+                .push(self.now + 1, Event::FrontJoins { front, fresh: true });
         }
         self.run_until(self.now + STORM);
         many
--- a/crates/linenthread-hollow/tests/hollow.rs
+++ b/crates/linenthread-hollow/tests/hollow.rs
@@ -5,7 +5,15 @@
 use yare::parameterized;
 
 fn small(seed: u64) -> Scale {
-    Scale { fronts: 12, replicas: 60, seconds: 2, seed, document_bytes: 3_000, storm: 4, ..Scale::default() }
+    Scale {
+        fronts: 12,
+        replicas: 60,
+        seconds: 2,
+        seed,
+        document_bytes: 3_000,
+        storm: 4,
+        ..Scale::default()
+    }
 }
 
 #[test]
@@ -22,26 +30,47 @@
     five_voters_of_nine = { 9, 5 },
 )]
 fn a_change_is_acknowledged_and_in_force_at_all_fronts(control: usize, voters: usize) {
-    let scale = Scale { control, voters, changes: 2, ..small(3) };
+    let scale = Scale {
+        control,
+        voters,
+        changes: 2,
+        ..small(3)
+    };
     let measured = measure(&scale);
     assert_eq!(measured.acknowledged.count, 2);
     assert_eq!(measured.fronts_in_force, scale.fronts);
     assert_eq!(measured.in_force.count, 2 * scale.fronts as u64);
     assert_eq!(measured.voters_at_end, voters);
-    assert!(measured.table_sizes.iter().all(|size| *size == scale.replicas), "{:?}", measured.table_sizes);
+    assert!(
+        measured
+            .table_sizes
+            .iter()
+            .all(|size| *size == scale.replicas),
+        "{:?}",
+        measured.table_sizes
+    );
 }
 
 #[test]
 fn what_one_side_sends_the_other_receives() {
-    let measured = measure(&Scale { changes: 0, restarts: 0, ..small(4) });
+    let measured = measure(&Scale {
+        changes: 0,
+        restarts: 0,
+        ..small(4)
+    });
     let row = |role| measured.row(role).expect("is measured");
     let (front, replica, voter) = (row(Role::Front), row(Role::Replica), row(Role::Voter));
     let sum = |messages: f64, machines: usize| messages * machines as f64;
     // Nodes hear fronts, replicas and each other.
-    let sent = sum(front.messages_out, 12) + sum(replica.messages_out, 60) + sum(voter.messages_out, 3);
-    let heard = sum(front.messages_in, 12) + sum(replica.messages_in, 60) + sum(voter.messages_in, 3);
+    let sent =
+        sum(front.messages_out, 12) + sum(replica.messages_out, 60) + sum(voter.messages_out, 3);
+    let heard =
+        sum(front.messages_in, 12) + sum(replica.messages_in, 60) + sum(voter.messages_in, 3);
     // A few are on their way where the measured time begins and ends.
-    assert!((sent - heard).abs() < 0.05 * sent, "{sent} messages a second are sent, {heard} received");
+    assert!(
+        (sent - heard).abs() < 0.05 * sent,
+        "{sent} messages a second are sent, {heard} received"
+    );
 }
 
 #[parameterized(
@@ -49,21 +78,39 @@
     machine_dark = { Loss::Dark },
 )]
 fn the_loss_of_the_leader_does_not_hold_up_an_acknowledgement(loss: Loss) {
-    let scale = Scale { fronts: 6, replicas: 20, document_bytes: 2_000, ..Scale::default() };
+    let scale = Scale {
+        fronts: 6,
+        replicas: 20,
+        document_bytes: 2_000,
+        ..Scale::default()
+    };
     let timeline = kill_timeline(&scale, loss);
     // Far less than any wait for silence or a lease: five ways between regions and two syncs.
-    let first = timeline.first_acknowledgement_ms.expect("a survivor acknowledges");
+    let first = timeline
+        .first_acknowledgement_ms
+        .expect("a survivor acknowledges");
     assert!(first < 500, "{first} ms: {:?}", timeline.lines);
     let leader = timeline.next_leader_ms.expect("another leads");
-    assert!((500..4_000).contains(&leader), "{leader} ms: {:?}", timeline.lines);
+    assert!(
+        (500..4_000).contains(&leader),
+        "{leader} ms: {:?}",
+        timeline.lines
+    );
 }
 
 #[test]
 fn a_configuration_is_valid_and_about_as_long_as_asked_for() {
     for bytes in [1_000, 60_000, 200_000] {
         let made = document(7, bytes);
-        assert_eq!(Configuration::judge(&made).expect("it is valid").revision, 7);
-        assert!(made.len() >= bytes && made.len() < bytes + 1_000, "{} for {bytes}", made.len());
+        assert_eq!(
+            Configuration::judge(&made).expect("it is valid").revision,
+            7
+        );
+        assert!(
+            made.len() >= bytes && made.len() < bytes + 1_000,
+            "{} for {bytes}",
+            made.len()
+        );
     }
 }
 
@@ -75,11 +122,17 @@
 )]
 fn a_known_power_is_found_again(exponent: f64, factor: f64) {
     let sizes = [30.0, 100.0, 300.0, 1_000.0, 7_800.0];
-    let points: Vec<(f64, f64)> = sizes.iter().map(|n: &f64| (*n, factor * n.powf(exponent))).collect();
+    let points: Vec<(f64, f64)> = sizes
+        .iter()
+        .map(|n: &f64| (*n, factor * n.powf(exponent)))
+        .collect();
     let fitted = power(&points).expect("five sizes");
     assert!((fitted.exponent - exponent).abs() < 1e-9, "{fitted:?}");
     assert!((fitted.factor / factor - 1.0).abs() < 1e-9, "{fitted:?}");
-    assert!(fitted.worst_ratio < 1.0 + 1e-9 && fitted.points == 5, "{fitted:?}");
+    assert!(
+        fitted.worst_ratio < 1.0 + 1e-9 && fitted.points == 5,
+        "{fitted:?}"
+    );
     assert!((fitted.at(50.0) / (factor * 50f64.powf(exponent)) - 1.0).abs() < 1e-9);
 }
 
@@ -93,11 +146,19 @@
 fn a_file_is_fitted_by_role_and_column() {
     let text = "fronts,role,a,b\n10,x,1,5\n100,x,10,5\n10,y,2,0\nfronts,role,a,b\n100,y,200,0\n";
     let fitted = fit_csv(text, "fronts").expect("the file is good");
-    let found: Vec<(&str, &str, i64)> =
-        fitted.iter().map(|(r, c, p)| (r.as_str(), c.as_str(), p.exponent.round() as i64)).collect();
+    let found: Vec<(&str, &str, i64)> = fitted
+        .iter()
+        .map(|(r, c, p)| (r.as_str(), c.as_str(), p.exponent.round() as i64))
+        .collect();
     assert_eq!(found, [("x", "a", 1), ("x", "b", 0), ("y", "a", 2)]);
-    assert!(matches!(fit_csv(text, "replicas"), Err(FitError::NoColumn { .. })));
-    assert!(matches!(fit_csv("role,fronts\nx\n", "fronts"), Err(FitError::BadLine { line: 2 })));
+    assert!(matches!(
+        fit_csv(text, "replicas"),
+        Err(FitError::NoColumn { .. })
+    ));
+    assert!(matches!(
+        fit_csv("role,fronts\nx\n", "fronts"),
+        Err(FitError::BadLine { line: 2 })
+    ));
     assert!(matches!(fit_csv("", "fronts"), Err(FitError::NoHeader)));
 }
 
@@ -105,5 +166,10 @@
 fn lines_of_csv_have_the_fields_of_the_header() {
     let measured = measure(&small(5));
     let many = CSV_HEADER.split(',').count();
-    assert!(measured.csv().lines().all(|line| line.split(',').count() == many));
+    assert!(
+        measured
+            .csv()
+            .lines()
+            .all(|line| line.split(',').count() == many)
+    );
 }
--- a/crates/linenthread-http/src/body.rs
+++ b/crates/linenthread-http/src/body.rs
@@ -36,7 +36,11 @@
             Framing::Length(n) => (State::Bytes(n), n.min(65_536) as usize),
             Framing::Chunked => (State::Size, 0),
         };
-        Body { state, most, read: Vec::with_capacity(room) }
+        Body {
+            state,
+            most,
+            read: Vec::with_capacity(room),
+        }
     }
 
     /// Takes what belongs to the body off the buffer; true when it is whole.
@@ -68,7 +72,11 @@
                 State::Size => match httparse::parse_chunk_size(buffer) {
                     Ok(httparse::Status::Complete((used, size))) => {
                         buffer.advance(used);
-                        self.state = if size == 0 { State::Trailers } else { State::Chunk(size) };
+                        self.state = if size == 0 {
+                            State::Trailers
+                        } else {
+                            State::Chunk(size)
+                        };
                     }
                     Ok(_) if buffer.len() > LINE => return Err(Refusal::Malformed),
                     Ok(_) => return Ok(false),
@@ -86,7 +94,11 @@
                 }
                 State::Trailers => {
                     let Some(end) = buffer.windows(2).position(|w| w == b"\r\n") else {
-                        return if buffer.len() > LINE { Err(Refusal::Malformed) } else { Ok(false) };
+                        return if buffer.len() > LINE {
+                            Err(Refusal::Malformed)
+                        } else {
+                            Ok(false)
+                        };
                     };
                     buffer.advance(end + 2);
                     if end == 0 {
--- a/crates/linenthread-http/src/head.rs
+++ b/crates/linenthread-http/src/head.rs
@@ -78,7 +78,14 @@
                 Ok(httparse::Status::Complete(n)) => {
                     let target = parsed.path.unwrap_or_default().as_bytes();
                     let method = parsed.method.unwrap_or_default().as_bytes();
-                    (n, place(raw, method), place(raw, target), 0, parsed.version, &*parsed.headers)
+                    (
+                        n,
+                        place(raw, method),
+                        place(raw, target),
+                        0,
+                        parsed.version,
+                        &*parsed.headers,
+                    )
                 }
                 Ok(_) if raw.len() > most => return Err(Refusal::TooLong),
                 Ok(_) => return Ok(None),
@@ -101,11 +108,20 @@
         if length > most {
             return Err(Refusal::TooLong);
         }
-        let places: SmallVec<[(Span, Span); 12]> =
-            headers.iter().map(|h| (place(raw, h.name.as_bytes()), place(raw, h.value))).collect();
+        let places: SmallVec<[(Span, Span); 12]> = headers
+            .iter()
+            .map(|h| (place(raw, h.name.as_bytes()), place(raw, h.value)))
+            .collect();
         let newer = version == Some(1);
         let raw = buffer.split_to(length).freeze();
-        Ok(Some(Head { raw, method, target, status, newer, headers: places }))
+        Ok(Some(Head {
+            raw,
+            method,
+            target,
+            status,
+            newer,
+            headers: places,
+        }))
     }
 
     fn at(&self, (from, to): Span) -> &[u8] {
@@ -127,40 +143,60 @@
     }
 
     pub fn headers(&self) -> impl Iterator<Item = (&str, &[u8])> {
-        self.headers.iter().map(|&(n, v)| (std::str::from_utf8(self.at(n)).unwrap_or_default(), self.at(v)))
+        self.headers.iter().map(|&(n, v)| {
+            (
+                std::str::from_utf8(self.at(n)).unwrap_or_default(),
+                self.at(v),
+            )
+        })
     }
 
     pub fn all<'a>(&'a self, name: &'a str) -> impl Iterator<Item = &'a [u8]> {
-        self.headers().filter(move |(n, _)| n.eq_ignore_ascii_case(name)).map(|(_, v)| v)
+        self.headers()
+            .filter(move |(n, _)| n.eq_ignore_ascii_case(name))
+            .map(|(_, v)| v)
     }
 
     pub fn header<'a>(&'a self, name: &'a str) -> Option<&'a str> {
-        self.all(name).next().and_then(|v| std::str::from_utf8(v).ok()).map(str::trim)
+        self.all(name)
+            .next()
+            .and_then(|v| std::str::from_utf8(v).ok())
+            .map(str::trim)
     }
 
     /// Whether one of the comma-separated words of a header is this one.
     pub fn says(&self, name: &str, word: &str) -> bool {
         let has = |v: &[u8]| {
-            v.split(|b| *b == b',').any(|part| part.trim_ascii().eq_ignore_ascii_case(word.as_bytes()))
+            v.split(|b| *b == b',')
+                .any(|part| part.trim_ascii().eq_ignore_ascii_case(word.as_bytes()))
         };
         self.all(name).any(has)
     }
 
     /// Whether its sender goes on with the connection after this message.
     pub fn keeps(&self) -> bool {
-        if self.newer { !self.says("connection", "close") } else { self.says("connection", "keep-alive") }
+        if self.newer {
+            !self.says("connection", "close")
+        } else {
+            self.says("connection", "keep-alive")
+        }
     }
 
     /// Writes the headers that concern more than one connection, but for those named.
     pub fn pass_on(&self, to: &mut Vec<u8>, but: &[&str]) {
-        let bound: SmallVec<[&[u8]; 4]> =
-            self.all("connection").flat_map(|v| v.split(|b| *b == b',')).map(<[u8]>::trim_ascii).collect();
+        let bound: SmallVec<[&[u8]; 4]> = self
+            .all("connection")
+            .flat_map(|v| v.split(|b| *b == b','))
+            .map(<[u8]>::trim_ascii)
+            .collect();
         for (name, value) in self.headers() {
             let is = |other: &&str| name.eq_ignore_ascii_case(other);
             if OWN.iter().any(is)
                 || name.eq_ignore_ascii_case("content-length")
                 || but.iter().any(is)
-                || bound.iter().any(|b| name.as_bytes().eq_ignore_ascii_case(b))
+                || bound
+                    .iter()
+                    .any(|b| name.as_bytes().eq_ignore_ascii_case(b))
             {
                 continue;
             }
@@ -191,7 +227,9 @@
 fn stated(head: &Head) -> Result<Option<u64>, Refusal> {
     let mut length = None;
     for value in head.all("content-length") {
-        let text = std::str::from_utf8(value).map_err(|_| Refusal::Malformed)?.trim();
+        let text = std::str::from_utf8(value)
+            .map_err(|_| Refusal::Malformed)?
+            .trim();
         if text.is_empty() || text.len() > 15 || !text.bytes().all(|b| b.is_ascii_digit()) {
             return Err(Refusal::Malformed);
         }
@@ -207,8 +245,13 @@
 /// Whether the body comes in chunks; any other coding is refused.
 fn chunked(head: &Head) -> Result<bool, Refusal> {
     let mut codings = head.all("transfer-encoding");
-    let Some(first) = codings.next() else { return Ok(false) };
-    if codings.next().is_some() || !first.trim_ascii().eq_ignore_ascii_case(b"chunked") || !head.newer {
+    let Some(first) = codings.next() else {
+        return Ok(false);
+    };
+    if codings.next().is_some()
+        || !first.trim_ascii().eq_ignore_ascii_case(b"chunked")
+        || !head.newer
+    {
         return Err(Refusal::Malformed);
     }
     Ok(true)
@@ -219,7 +262,8 @@
 /// # Errors
 /// A framing in doubt, a target that is no path, no host or several, a body over `most` bytes.
 pub fn request_framing(head: &Head, most: usize) -> Result<Framing, Refusal> {
-    if !head.target().starts_with('/') || head.method().is_empty() || head.all("host").count() != 1 {
+    if !head.target().starts_with('/') || head.method().is_empty() || head.all("host").count() != 1
+    {
         return Err(Refusal::Malformed);
     }
     match (chunked(head)?, stated(head)?) {
--- a/crates/linenthread-http/tests/bytes.rs
+++ b/crates/linenthread-http/tests/bytes.rs
@@ -47,7 +47,10 @@
 #[test]
 fn heads_are_bounded_and_whole() {
     let text = format!("GET / HTTP/1.1\r\nHost: h\r\nX-Long: {}", "x".repeat(1_000));
-    assert!(matches!(Head::request(&mut BytesMut::from(text.as_bytes()), 1_000), Err(Refusal::TooLong)));
+    assert!(matches!(
+        Head::request(&mut BytesMut::from(text.as_bytes()), 1_000),
+        Err(Refusal::TooLong)
+    ));
     assert!(matches!(
         Head::request(&mut BytesMut::from(&b"GET / HT\0P"[..]), 1_000),
         Err(Refusal::Malformed)
@@ -55,9 +58,15 @@
     let whole = b"GET /x HTTP/1.1\r\nHost: h\r\n\r\nrest";
     for cut in 0..whole.len() - 4 {
         let mut buffer = BytesMut::from(&whole[..cut]);
-        assert!(Head::request(&mut buffer, 1_000).unwrap().is_none(), "cut at {cut}");
+        assert!(
+            Head::request(&mut buffer, 1_000).unwrap().is_none(),
+            "cut at {cut}"
+        );
         buffer.extend_from_slice(&whole[cut..]);
-        assert_eq!(Head::request(&mut buffer, 1_000).unwrap().unwrap().path(), "/x");
+        assert_eq!(
+            Head::request(&mut buffer, 1_000).unwrap().unwrap().path(),
+            "/x"
+        );
         assert_eq!(&buffer[..], b"rest");
     }
 }
@@ -68,8 +77,13 @@
         Keep-Alive: 5\nTE: x\n\
         Upgrade: y\nContent-Length: 0\nX-Ours: no\nX-Two: 2\n\n";
     let mut passed = Vec::new();
-    head(text).unwrap().pass_on(&mut passed, &["x-ours", "host"]);
-    assert_eq!(String::from_utf8(passed).unwrap(), "X-One: 1\r\nX-Two: 2\r\n");
+    head(text)
+        .unwrap()
+        .pass_on(&mut passed, &["x-ours", "host"]);
+    assert_eq!(
+        String::from_utf8(passed).unwrap(),
+        "X-One: 1\r\nX-Two: 2\r\n"
+    );
     assert!(!head(text).unwrap().keeps());
 }
 
@@ -83,7 +97,9 @@
     nothing_to_say = { "HTTP/1.1 204 No Content\r\n\r\n", Ok(Framing::Length(0)) },
 )]
 fn an_answer_must_say_where_it_ends(text: &str, framing: Result<Framing, Refusal>) {
-    let head = Head::answer(&mut BytesMut::from(text.as_bytes()), 1_000).unwrap().unwrap();
+    let head = Head::answer(&mut BytesMut::from(text.as_bytes()), 1_000)
+        .unwrap()
+        .unwrap();
     assert_eq!(answer_framing(&head, false), framing);
 }
 
@@ -91,7 +107,8 @@
 fn chunks_are_read_however_they_come() {
     let text = b"3;x=y\r\nabc\r\n0a\r\n0123456789\r\n0\r\nTrail: er\r\n\r\nnext";
     for step in 1..text.len() {
-        let (mut body, mut buffer, mut done) = (Body::new(Framing::Chunked, 20), BytesMut::new(), false);
+        let (mut body, mut buffer, mut done) =
+            (Body::new(Framing::Chunked, 20), BytesMut::new(), false);
         for piece in text.chunks(step) {
             buffer.extend_from_slice(piece);
             if !done {
@@ -99,7 +116,10 @@
             }
         }
         assert!(done);
-        assert_eq!((body.read.as_slice(), &buffer[..]), (&b"abc0123456789"[..], &b"next"[..]));
+        assert_eq!(
+            (body.read.as_slice(), &buffer[..]),
+            (&b"abc0123456789"[..], &b"next"[..])
+        );
     }
 }
 
@@ -111,27 +131,40 @@
 )]
 fn bad_chunks_end_the_body(text: &str, refusal: Refusal) {
     let mut buffer = BytesMut::from(text.as_bytes());
-    assert_eq!(Body::new(Framing::Chunked, 20).take(&mut buffer), Err(refusal));
+    assert_eq!(
+        Body::new(Framing::Chunked, 20).take(&mut buffer),
+        Err(refusal)
+    );
 }
 
 #[test]
 fn the_greatest_records_are_those_of_a_plain_sort() {
     let mut x = 7u64;
     let mut next = || {
-        x = x.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
+        x = x
+            .wrapping_mul(6_364_136_223_846_793_005)
+            .wrapping_add(1_442_695_040_888_963_407);
         (x >> 33) as usize
     };
     for _ in 0..200 {
         // Few distinct bytes, so that equal records come often; some parts end in a rest.
         let part = |n: usize, rest: usize, next: &mut dyn FnMut() -> usize| -> Vec<u8> {
-            (0..n * 16 + rest).map(|_| [0, 1, 0xff][next() % 3]).collect()
+            (0..n * 16 + rest)
+                .map(|_| [0, 1, 0xff][next() % 3])
+                .collect()
         };
-        let parts: Vec<Vec<u8>> =
-            (0..1 + next() % 4).map(|_| part(next() % 9, next() % 16, &mut next)).collect();
+        let parts: Vec<Vec<u8>> = (0..1 + next() % 4)
+            .map(|_| part(next() % 9, next() % 16, &mut next))
+            .collect();
         let most = next() % 20;
         let mut all: Vec<&[u8]> = parts.iter().flat_map(|p| p.chunks_exact(16)).collect();
         all.sort();
-        let plain: Vec<u8> = all.iter().rev().take(most).flat_map(|r| r.iter().copied()).collect();
+        let plain: Vec<u8> = all
+            .iter()
+            .rev()
+            .take(most)
+            .flat_map(|r| r.iter().copied())
+            .collect();
         assert_eq!(greatest(parts.iter().map(Vec::as_slice), most), plain);
     }
 }
--- a/crates/linenthread-installation/src/fleet.rs
+++ b/crates/linenthread-installation/src/fleet.rs
@@ -169,14 +169,24 @@
     let mut voters: Vec<Voter> = Vec::new();
     for (said, node) in said.voter.into_iter().zip(node.all("voter")) {
         let address = address(&said.address, node)?;
-        if voters.iter().any(|v| v.name == said.name || v.address == address) {
+        if voters
+            .iter()
+            .any(|v| v.name == said.name || v.address == address)
+        {
             return Err(Fault::new(
                 node.line,
                 format!("the voter {} or its address stands twice", said.name),
             ));
         }
-        let VoterSection { name, zone, region, .. } = said;
-        voters.push(Voter { name, address, zone, region });
+        let VoterSection {
+            name, zone, region, ..
+        } = said;
+        voters.push(Voter {
+            name,
+            address,
+            zone,
+            region,
+        });
     }
     if ![3, 5, 7].contains(&voters.len()) {
         return fault(format!("{} voters: a record needs 3, 5 or 7", voters.len()));
@@ -184,7 +194,9 @@
     let most = |counts: &[(String, usize)]| counts.first().cloned().unwrap_or_default();
     let (zone, count) = most(&counts(voters.iter().map(|v| &v.zone)));
     if 2 * count > voters.len() {
-        return fault(format!("most voters are in zone {zone}: with it nothing could be decided any more"));
+        return fault(format!(
+            "most voters are in zone {zone}: with it nothing could be decided any more"
+        ));
     }
     // Two regions can't tell a cut between them from the loss of one: who has most voters goes on, the other not.
     let regions = counts(voters.iter().map(|v| &v.region));
@@ -205,7 +217,9 @@
     let reach = address(&said.address, node)?;
     Ok(Fleet {
         address: reach,
-        listen: said.listen.map_or(Ok(reach), |listen| address(&listen, node))?,
+        listen: said
+            .listen
+            .map_or(Ok(reach), |listen| address(&listen, node))?,
         secrets: std::iter::once(said.secret).chain(said.before).collect(),
         machine: said.machine,
         zone: said.zone,
@@ -220,16 +234,25 @@
 /// Checks what the schema can't say.
 pub fn zones(said: ZonesSection, node: &Node, fleet: Option<&Fleet>) -> Result<Zones, Fault> {
     let Some(fleet) = fleet else {
-        return Err(Fault::new(node.line, "zones are decided on by a <fleet>, and there is none"));
+        return Err(Fault::new(
+            node.line,
+            "zones are decided on by a <fleet>, and there is none",
+        ));
     };
     let mut names = BTreeSet::new();
     for (zone, node) in said.zone.iter().zip(node.all("zone")) {
         if !names.insert(zone.name.clone()) {
-            return Err(Fault::new(node.line, format!("the zone {} stands twice", zone.name)));
+            return Err(Fault::new(
+                node.line,
+                format!("the zone {} stands twice", zone.name),
+            ));
         }
     }
     if !names.contains(&fleet.zone) {
-        return Err(Fault::new(node.line, format!("the fleet's own zone {} is not among them", fleet.zone)));
+        return Err(Fault::new(
+            node.line,
+            format!("the fleet's own zone {} is not among them", fleet.zone),
+        ));
     }
     if said.longest_hold < said.hold {
         return Err(Fault::new(node.line, "longest-hold is shorter than hold"));
