--- a/crates/linenthread-installation/src/lib.rs
+++ b/crates/linenthread-installation/src/lib.rs
@@ -31,7 +31,10 @@
 
 impl Fault {
     pub(crate) fn new(line: usize, cause: impl Into<String>) -> Self {
-        Fault { line, cause: cause.into() }
+        Fault {
+            line,
+            cause: cause.into(),
+        }
     }
 }
 
@@ -61,7 +64,10 @@
 #[serde(deny_unknown_fields)]
 struct Document {
     #[serde(rename = "@version")]
-    #[allow(dead_code, reason = "the schema holds it; named so that no other attribute passes")]
+    #[allow(
+        dead_code,
+        reason = "the schema holds it; named so that no other attribute passes"
+    )]
     version: String,
     merging: Option<merging::Section>,
     gateway: Option<links::GatewaySection>,
@@ -76,7 +82,10 @@
     /// # Errors
     ///
     /// The first fault found, with its line.
-    pub fn read(text: &str, known: &dyn Fn(&str) -> Option<KnownIndex>) -> Result<Installation, Fault> {
+    pub fn read(
+        text: &str,
+        known: &dyn Fn(&str) -> Option<KnownIndex>,
+    ) -> Result<Installation, Fault> {
         let schema = Schema::read(&tree::read(SCHEMA)?)?;
         let mut root = tree::read(text)?;
         schema.hold(&mut root)?;
@@ -87,14 +96,29 @@
             _ => Merging::default(),
         };
         let gateway = document.gateway.zip(root.all("gateway").next());
-        let gateway = gateway.map(|(said, node)| links::gateway(said, node)).transpose()?;
+        let gateway = gateway
+            .map(|(said, node)| links::gateway(said, node))
+            .transpose()?;
         let peers = document.peers.zip(root.all("peers").next());
-        let peers = peers.map(|(said, node)| links::peers(said, node)).transpose()?.unwrap_or_default();
+        let peers = peers
+            .map(|(said, node)| links::peers(said, node))
+            .transpose()?
+            .unwrap_or_default();
         let fleet = document.fleet.zip(root.all("fleet").next());
-        let fleet = fleet.map(|(said, node)| fleet::fleet(said, node)).transpose()?;
+        let fleet = fleet
+            .map(|(said, node)| fleet::fleet(said, node))
+            .transpose()?;
         let zones = document.zones.zip(root.all("zones").next());
-        let zones = zones.map(|(said, node)| fleet::zones(said, node, fleet.as_ref())).transpose()?;
-        Ok(Installation { merging, gateway, peers, fleet, zones })
+        let zones = zones
+            .map(|(said, node)| fleet::zones(said, node, fleet.as_ref()))
+            .transpose()?;
+        Ok(Installation {
+            merging,
+            gateway,
+            peers,
+            fleet,
+            zones,
+        })
     }
 
     /// Reads a file; see [`Installation::read`].
@@ -102,15 +126,26 @@
     /// # Errors
     ///
     /// One line with the file, the line in it and the cause.
-    pub fn read_file(file: &Path, known: &dyn Fn(&str) -> Option<KnownIndex>) -> Result<Self, String> {
+    pub fn read_file(
+        file: &Path,
+        known: &dyn Fn(&str) -> Option<KnownIndex>,
+    ) -> Result<Self, String> {
         let text = std::fs::read_to_string(file).map_err(|e| format!("{}: {e}", file.display()))?;
-        let mut read = Self::read(&text, known).map_err(|fault| format!("{}:{fault}", file.display()))?;
+        let mut read =
+            Self::read(&text, known).map_err(|fault| format!("{}:{fault}", file.display()))?;
         let folder = file.parent().unwrap_or(Path::new(""));
         let marks = read.merging.marks.iter_mut().flat_map(|m| &mut m.files);
         let gateway = read.gateway.iter_mut().flat_map(|g| &mut g.secrets);
         let peers = read.peers.iter_mut().flat_map(|p| &mut p.secrets);
-        let fleet = read.fleet.iter_mut().flat_map(|f| f.secrets.iter_mut().chain(&mut f.folder));
-        marks.chain(gateway).chain(peers).chain(fleet).for_each(|path| *path = folder.join(&*path));
+        let fleet = read
+            .fleet
+            .iter_mut()
+            .flat_map(|f| f.secrets.iter_mut().chain(&mut f.folder));
+        marks
+            .chain(gateway)
+            .chain(peers)
+            .chain(fleet)
+            .for_each(|path| *path = folder.join(&*path));
         Ok(read)
     }
 }
@@ -151,7 +186,9 @@
 "#;
 
     fn known(index: &str) -> Option<KnownIndex> {
-        ["pledges", "charities", "history"].contains(&index).then_some(KnownIndex { floor: 0.5 })
+        ["pledges", "charities", "history"]
+            .contains(&index)
+            .then_some(KnownIndex { floor: 0.5 })
     }
 
     fn read(text: &str) -> Result<Installation, Fault> {
@@ -163,7 +200,10 @@
         let read = read(EXAMPLE).unwrap();
         assert_eq!(read.merging.plans.len(), 3);
         assert_eq!(read.merging.marks.unwrap().life, 900);
-        assert_eq!(super::tests::read(r#"<installation version="1"/>"#), Ok(Installation::default()));
+        assert_eq!(
+            super::tests::read(r#"<installation version="1"/>"#),
+            Ok(Installation::default())
+        );
     }
 
     #[test]
@@ -171,18 +211,38 @@
         let file = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../deploy/installation.xml");
         let text = std::fs::read_to_string(&file).unwrap();
         // What stands there as a comment is good too.
-        let whole =
-            text.replace("lower bound.\n", "lower bound. -->\n").replace("as one.\n", "as one. -->\n");
-        let whole =
-            whole.replace("</totals>\n    -->", "</totals>").replace("</groups>\n    -->", "</groups>");
+        let whole = text
+            .replace("lower bound.\n", "lower bound. -->\n")
+            .replace("as one.\n", "as one. -->\n");
+        let whole = whole
+            .replace("</totals>\n    -->", "</totals>")
+            .replace("</groups>\n    -->", "</groups>");
         assert_eq!(read(&text).unwrap().merging.plans.len(), 1);
-        let whole =
-            whole.replace("own roster.\n", "own roster. -->\n").replace("this one.\n", "this one. -->\n");
-        let whole = whole.replace("/>\n  -->", "/>").replace("</peers>\n  -->", "</peers>");
-        let whole = whole.replace("in common.\n", "in common. -->\n").replace("</zones>\n  -->", "</zones>");
+        let whole = whole
+            .replace("own roster.\n", "own roster. -->\n")
+            .replace("this one.\n", "this one. -->\n");
+        let whole = whole
+            .replace("/>\n  -->", "/>")
+            .replace("</peers>\n  -->", "</peers>");
+        let whole = whole
+            .replace("in common.\n", "in common. -->\n")
+            .replace("</zones>\n  -->", "</zones>");
         let whole = read(&whole).unwrap();
-        assert_eq!((whole.merging.plans.len(), whole.peers.len(), whole.gateway.is_some()), (3, 1, true));
-        assert_eq!((whole.fleet.unwrap().voters.len(), whole.zones.unwrap().zones.len()), (3, 3));
+        assert_eq!(
+            (
+                whole.merging.plans.len(),
+                whole.peers.len(),
+                whole.gateway.is_some()
+            ),
+            (3, 1, true)
+        );
+        assert_eq!(
+            (
+                whole.fleet.unwrap().voters.len(),
+                whole.zones.unwrap().zones.len()
+            ),
+            (3, 3)
+        );
     }
 
     /// Each fault names its line, and nothing that the schema or a check refuses passes.
@@ -193,14 +253,34 @@
             ("<merging>", "<merging why=\"x\">", 4, "attribute why"),
             ("life=\"900\"", "life=\"9\"", 5, "from 10 to 604800"),
             ("life=\"900\" ", "", 5, "lacks its attribute life"),
-            ("figures=\"sum mean\"", "figures=\"sum mode\"", 6, "none of sum"),
+            (
+                "figures=\"sum mean\"",
+                "figures=\"sum mode\"",
+                6,
+                "none of sum",
+            ),
             ("figures=\"sum mean\"", "figures=\"\"", 6, "empty"),
             ("figures=\"sum mean\"", "figures=\"sum sum\"", 6, "twice"),
-            ("scale=\"2\" negative", "scale=\"13\" negative", 6, "from 0 to 12"),
-            ("<totals index=\"pledges\">", "<totals index=\"gifts\">", 6, "no index gifts"),
+            (
+                "scale=\"2\" negative",
+                "scale=\"13\" negative",
+                6,
+                "from 0 to 12",
+            ),
+            (
+                "<totals index=\"pledges\">",
+                "<totals index=\"gifts\">",
+                6,
+                "no index gifts",
+            ),
             ("index=\"charities\"", "index=\"pledges\"", 7, "twice"),
             ("most=\"20\"", "most=\"0\"", 7, "from 1 to 500"),
-            ("most=\"20\" first=\"largest\"", "most=\"20\" held=\"9\"", 7, "held"),
+            (
+                "most=\"20\" first=\"largest\"",
+                "most=\"20\" held=\"9\"",
+                7,
+                "held",
+            ),
             ("page=\"20\"", "page=\"200\"", 10, "page"),
             ("<identity field=\"id\"/>", "", 10, "lacks a <identity>"),
             (
@@ -209,10 +289,30 @@
                 13,
                 "first order",
             ),
-            ("<identity field=\"id\"/>", "<identity field=\"id\"/><distinct field=\"date\"/>", 13, "floor"),
-            ("<identity field=\"id\"/>", "<identity field=\"id\"/><also/>", 13, "cannot stand here"),
-            ("field=\"date\" ", "field=\"date\" scale=\"1\" ", 11, "scale"),
-            ("<marks life=\"900\" secret=\"marks.key\"/>", "", 10, "marks"),
+            (
+                "<identity field=\"id\"/>",
+                "<identity field=\"id\"/><distinct field=\"date\"/>",
+                13,
+                "floor",
+            ),
+            (
+                "<identity field=\"id\"/>",
+                "<identity field=\"id\"/><also/>",
+                13,
+                "cannot stand here",
+            ),
+            (
+                "field=\"date\" ",
+                "field=\"date\" scale=\"1\" ",
+                11,
+                "scale",
+            ),
+            (
+                "<marks life=\"900\" secret=\"marks.key\"/>",
+                "",
+                10,
+                "marks",
+            ),
             ("<!-- money -->", "money", 2, "text"),
             ("</installation>", "", 30, "begun and ended"),
             (
@@ -222,7 +322,12 @@
                 "3, 5 or 7",
             ),
             ("name=\"n1\" address", "name=\"n0\" address", 22, "twice"),
-            ("zone=\"catania\" region", "zone=\"palermo\" region", 20, "most voters are in zone palermo"),
+            (
+                "zone=\"catania\" region",
+                "zone=\"palermo\" region",
+                20,
+                "most voters are in zone palermo",
+            ),
             (
                 "zone=\"messina\" region=\"sicily\"",
                 "zone=\"messina\" region=\"malta\"",
@@ -230,13 +335,48 @@
                 "wins=\"sicily\"",
             ),
             (" folder=\"record\"", " wins=\"sicily\"", 20, "two regions"),
-            ("folder=\"record\"", "folder=\"record\" members=\"1\"", 20, "from 3 to 1000"),
-            ("<zone name=\"palermo\"", "<zone name=\"malta\"", 25, "own zone palermo"),
-            ("<zone name=\"palermo\"", "<zone name=\"catania\"", 27, "twice"),
-            ("life=\"60000\"", "life=\"60000\" hold=\"5000\" longest-hold=\"400\"", 25, "from 1000 to"),
-            ("life=\"60000\"", "hold=\"60000\" longest-hold=\"4000\"", 25, "shorter than hold"),
-            ("listen=\"127.0.0.1:7400\"", "listen=\"messina\"", 16, "not an address"),
-            ("<?xml version=\"1.0\"?>", "<!DOCTYPE x [<!ENTITY a \"b\">]>", 1, "document type"),
+            (
+                "folder=\"record\"",
+                "folder=\"record\" members=\"1\"",
+                20,
+                "from 3 to 1000",
+            ),
+            (
+                "<zone name=\"palermo\"",
+                "<zone name=\"malta\"",
+                25,
+                "own zone palermo",
+            ),
+            (
+                "<zone name=\"palermo\"",
+                "<zone name=\"catania\"",
+                27,
+                "twice",
+            ),
+            (
+                "life=\"60000\"",
+                "life=\"60000\" hold=\"5000\" longest-hold=\"400\"",
+                25,
+                "from 1000 to",
+            ),
+            (
+                "life=\"60000\"",
+                "hold=\"60000\" longest-hold=\"4000\"",
+                25,
+                "shorter than hold",
+            ),
+            (
+                "listen=\"127.0.0.1:7400\"",
+                "listen=\"messina\"",
+                16,
+                "not an address",
+            ),
+            (
+                "<?xml version=\"1.0\"?>",
+                "<!DOCTYPE x [<!ENTITY a \"b\">]>",
+                1,
+                "document type",
+            ),
             ("secret=\"marks.key\"", "secret=\"&a;\"", 5, ""),
             ("</merging>", "</merge>", 15, ""),
         ];
@@ -249,7 +389,12 @@
             wrong.extend((fault.line != *line).then(|| format!("{to}: {fault}")));
         }
         assert_eq!(wrong, [""; 0]);
-        for deep in ["<a>".repeat(40), "<installation version='1'/>".repeat(2), "".into(), "\u{0}".into()] {
+        for deep in [
+            "<a>".repeat(40),
+            "<installation version='1'/>".repeat(2),
+            "".into(),
+            "\u{0}".into(),
+        ] {
             assert!(read(&deep).is_err());
         }
     }
@@ -259,9 +404,10 @@
     #[test]
     fn the_decoder_takes_what_the_schema_allows() {
         let schema = Schema::read(&tree::read(SCHEMA).unwrap()).unwrap();
-        let whole = EXAMPLE
-            .replace("negative=\"no\" ", "")
-            .replace("<identity field=\"id\"/>", "<identity field=\"id\"/><distinct field=\"date\"/>");
+        let whole = EXAMPLE.replace("negative=\"no\" ", "").replace(
+            "<identity field=\"id\"/>",
+            "<identity field=\"id\"/><distinct field=\"date\"/>",
+        );
         let at = [
             ("Installation", "<installation"),
             ("Marks", "<marks"),
@@ -279,8 +425,12 @@
             ("Zone", "<zone"),
         ];
         let decode = |text: &str| {
-            quick_xml::de::from_str::<Document>(text)
-                .map(|d| format!("{:?}{:?}{:?}{:?}{:?}", d.merging, d.gateway, d.peers, d.fleet, d.zones))
+            quick_xml::de::from_str::<Document>(text).map(|d| {
+                format!(
+                    "{:?}{:?}{:?}{:?}{:?}",
+                    d.merging, d.gateway, d.peers, d.fleet, d.zones
+                )
+            })
         };
         assert!(decode(&whole).is_ok());
         let samples = schema.samples();
@@ -293,15 +443,22 @@
                 let tag = &whole[start..end];
                 let tag = match tag.find(&format!(" {name}=\"")) {
                     Some(from) => {
-                        let length = tag[from..].split('"').take(2).map(|p| p.len() + 1).sum::<usize>();
+                        let length = tag[from..]
+                            .split('"')
+                            .take(2)
+                            .map(|p| p.len() + 1)
+                            .sum::<usize>();
                         format!("{}{}", &tag[..from], &tag[from + length..])
                     }
                     None => tag.to_owned(),
                 };
                 let tag = tag.replacen(element, &format!("{element} {name}=\"{value}\""), 1);
                 let text = format!("{}{tag}{}", &whole[..start], &whole[end..]);
-                schema.hold(&mut tree::read(&text).unwrap()).unwrap_or_else(|e| panic!("{tag}: {e}"));
-                decode(&text).unwrap_or_else(|e| panic!("the schema allows {tag}, the decoder not: {e}"));
+                schema
+                    .hold(&mut tree::read(&text).unwrap())
+                    .unwrap_or_else(|e| panic!("{tag}: {e}"));
+                decode(&text)
+                    .unwrap_or_else(|e| panic!("the schema allows {tag}, the decoder not: {e}"));
                 let other = text.replacen(&format!("{name}=\""), &format!("{name}x=\""), 1);
                 assert!(decode(&other).is_err(), "{other}");
             }
@@ -309,17 +466,27 @@
         assert!(samples.len() > 20);
         // A tree in which the schema has filled in its defaults says just what the decoder reads without.
         fn write(node: &tree::Node) -> String {
-            let attributes: String = node.attributes.iter().map(|(n, v)| format!(" {n}=\"{v}\"")).collect();
+            let attributes: String = node
+                .attributes
+                .iter()
+                .map(|(n, v)| format!(" {n}=\"{v}\""))
+                .collect();
             let inner: String = node.children.iter().map(write).collect();
             format!("<{0}{attributes}>{inner}</{0}>", node.name)
         }
         let mut filled = tree::read(&whole).unwrap();
         schema.hold(&mut filled).unwrap();
         let filled = write(&filled);
-        assert!(filled.len() > whole.replace("  ", "").len() - 60, "defaults were filled in");
+        assert!(
+            filled.len() > whole.replace("  ", "").len() - 60,
+            "defaults were filled in"
+        );
         assert_eq!(decode(&filled).unwrap(), decode(&whole).unwrap());
         for name in schema.element_names() {
-            assert!(whole.contains(&format!("<{name} ")) || whole.contains(&format!("<{name}>")), "{name}");
+            assert!(
+                whole.contains(&format!("<{name} ")) || whole.contains(&format!("<{name}>")),
+                "{name}"
+            );
         }
     }
 }
--- a/crates/linenthread-installation/src/links.rs
+++ b/crates/linenthread-installation/src/links.rs
@@ -115,7 +115,8 @@
 }
 
 pub(crate) fn address(text: &str, node: &Node) -> Result<SocketAddr, Fault> {
-    text.parse().map_err(|_| Fault::new(node.line, format!("{text} is not an address with its port")))
+    text.parse()
+        .map_err(|_| Fault::new(node.line, format!("{text} is not an address with its port")))
 }
 
 /// Checks what the schema can't say.
@@ -136,8 +137,14 @@
     let mut peers: Vec<Peer> = Vec::new();
     for (said, node) in said.peer.into_iter().zip(node.all("peer")) {
         let address = address(&said.address, node)?;
-        if peers.iter().any(|p| p.name == said.name || p.address == address) {
-            return Err(Fault::new(node.line, format!("the peer {} or its address stands twice", said.name)));
+        if peers
+            .iter()
+            .any(|p| p.name == said.name || p.address == address)
+        {
+            return Err(Fault::new(
+                node.line,
+                format!("the peer {} or its address stands twice", said.name),
+            ));
         }
         peers.push(Peer {
             name: said.name,
--- a/crates/linenthread-installation/src/merging.rs
+++ b/crates/linenthread-installation/src/merging.rs
@@ -182,13 +182,23 @@
 
 fn measures(said: Vec<MeasureOf>, node: &Node) -> Result<Vec<Measure>, Fault> {
     for (measure, node) in said.iter().zip(node.all("measure")) {
-        let repeated = measure.figures.iter().enumerate().any(|(i, f)| measure.figures[..i].contains(f));
+        let repeated = measure
+            .figures
+            .iter()
+            .enumerate()
+            .any(|(i, f)| measure.figures[..i].contains(f));
         if repeated {
-            return Err(Fault::new(node.line, format!("a figure of {} is asked for twice", measure.field)));
+            return Err(Fault::new(
+                node.line,
+                format!("a figure of {} is asked for twice", measure.field),
+            ));
         }
     }
     if let Some(field) = twice(said.iter().map(|m| m.field.as_str())) {
-        return Err(Fault::new(node.line, format!("the field {field} is measured twice")));
+        return Err(Fault::new(
+            node.line,
+            format!("the field {field} is measured twice"),
+        ));
     }
     let figure = |word: &FigureWord| match word {
         FigureWord::Sum => Figure::Sum,
@@ -208,7 +218,10 @@
 
 fn groups(said: GroupsOf, node: &Node) -> Result<Plan, Fault> {
     if said.held < said.most {
-        return Err(Fault::new(node.line, "held is less than most: that many groups could not be told"));
+        return Err(Fault::new(
+            node.line,
+            "held is less than most: that many groups could not be told",
+        ));
     }
     let first = match said.first {
         FirstWord::Name => First::Name,
@@ -217,17 +230,28 @@
     let measures = measures(said.measure, node)?;
     Ok(Plan {
         index: said.index,
-        form: Form::Groups(Groups { measures, most: said.most, first, held: said.held }),
+        form: Form::Groups(Groups {
+            measures,
+            most: said.most,
+            first,
+            held: said.held,
+        }),
     })
 }
 
 fn rows(said: RowsOf, node: &Node, known: KnownIndex, has_marks: bool) -> Result<Plan, Fault> {
     let (most, pages) = (said.most.unwrap_or(said.page), said.pages == YesNo::Yes);
     if said.page > most {
-        return Err(Fault::new(node.line, format!("page is {}, more than most, {most}", said.page)));
+        return Err(Fault::new(
+            node.line,
+            format!("page is {}, more than most, {most}", said.page),
+        ));
     }
     if pages && !has_marks {
-        return Err(Fault::new(node.line, "pages need <marks> before them, or pages=\"no\""));
+        return Err(Fault::new(
+            node.line,
+            "pages need <marks> before them, or pages=\"no\"",
+        ));
     }
     for (order, node) in said.order.iter().zip(node.all("order")) {
         if order.kind == KindWord::Text && order.scale > 0 {
@@ -235,7 +259,10 @@
         }
     }
     if let Some(field) = twice(said.order.iter().map(|o| o.field.as_str())) {
-        return Err(Fault::new(node.line, format!("{field} is ordered by twice")));
+        return Err(Fault::new(
+            node.line,
+            format!("{field} is ordered by twice"),
+        ));
     }
     // A page mark says how far each slice was read, not which values were shown: only what stands first in
     // the order can be told as shown, and only while no slice is read later than others.
@@ -256,7 +283,11 @@
         }
     }
     let order = |o: OrderOf| Order {
-        kind: if o.kind == KindWord::Text { Kind::Text } else { Kind::Decimal(o.scale) },
+        kind: if o.kind == KindWord::Text {
+            Kind::Text
+        } else {
+            Kind::Decimal(o.scale)
+        },
         field: o.field,
         descending: o.direction == Direction::Descending,
     };
@@ -264,7 +295,14 @@
     let identity = said.identity.field;
     Ok(Plan {
         index: said.index,
-        form: Form::Rows(Rows { order, identity, distinct, page: said.page, most, pages }),
+        form: Form::Rows(Rows {
+            order,
+            identity,
+            distinct,
+            page: said.page,
+            most,
+            pages,
+        }),
     })
 }
 
@@ -283,15 +321,22 @@
     for (said, node) in section.indexes.into_iter().zip(nodes) {
         let index = node.attribute("index").unwrap_or_default();
         let Some(of) = known(index) else {
-            return Err(Fault::new(node.line, format!("the settings have no index {index}")));
+            return Err(Fault::new(
+                node.line,
+                format!("the settings have no index {index}"),
+            ));
         };
         if plans.iter().any(|p| p.index == index) {
-            return Err(Fault::new(node.line, format!("the index {index} is merged twice")));
+            return Err(Fault::new(
+                node.line,
+                format!("the index {index} is merged twice"),
+            ));
         }
         plans.push(match said {
-            Index::Totals(said) => {
-                Plan { form: Form::Totals(measures(said.measure, node)?), index: said.index }
-            }
+            Index::Totals(said) => Plan {
+                form: Form::Totals(measures(said.measure, node)?),
+                index: said.index,
+            },
             Index::Groups(said) => groups(said, node)?,
             Index::Rows(said) => rows(said, node, of, marks.is_some())?,
         });
--- a/crates/linenthread-installation/src/schema.rs
+++ b/crates/linenthread-installation/src/schema.rs
@@ -61,29 +61,43 @@
 }
 
 fn must<'a>(node: &'a Node, name: &str) -> Result<&'a str, Fault> {
-    node.attribute(name).ok_or_else(|| Fault::new(node.line, format!("<{}> lacks {name}", node.name)))
+    node.attribute(name)
+        .ok_or_else(|| Fault::new(node.line, format!("<{}> lacks {name}", node.name)))
 }
 
 fn unknown(node: &Node) -> Fault {
-    Fault::new(node.line, format!("the schema's <{}> is not known here", node.name))
+    Fault::new(
+        node.line,
+        format!("the schema's <{}> is not known here", node.name),
+    )
 }
 
 fn count(node: &Node, name: &str) -> Result<usize, Fault> {
     match node.attribute(name) {
         None => Ok(1),
         Some("unbounded") => Ok(usize::MAX),
-        Some(n) => n.parse().map_err(|_| Fault::new(node.line, format!("{name} is no number"))),
+        Some(n) => n
+            .parse()
+            .map_err(|_| Fault::new(node.line, format!("{name} is no number"))),
     }
 }
 
 fn number<T: std::str::FromStr>(node: &Node) -> Result<T, Fault> {
-    must(node, "value")?.parse().map_err(|_| Fault::new(node.line, "its value is no number"))
+    must(node, "value")?
+        .parse()
+        .map_err(|_| Fault::new(node.line, "its value is no number"))
 }
 
 fn simple(node: &Node) -> Result<Simple, Fault> {
-    let [inner] = &node.children[..] else { return Err(unknown(node)) };
+    let [inner] = &node.children[..] else {
+        return Err(unknown(node));
+    };
     let mut simple = Simple::default();
-    match (inner.name.as_str(), inner.attribute("base"), inner.attribute("itemType")) {
+    match (
+        inner.name.as_str(),
+        inner.attribute("base"),
+        inner.attribute("itemType"),
+    ) {
         ("xs:list", _, Some(of)) => simple.list_of = Some(of.to_owned()),
         ("xs:restriction", Some("xs:string"), _) => {}
         ("xs:restriction", Some("xs:nonNegativeInteger"), _) => simple.number = true,
@@ -106,17 +120,27 @@
 }
 
 fn particle(node: &Node) -> Result<Particle, Fault> {
-    let all = || node.children.iter().map(particle).collect::<Result<Vec<_>, _>>();
+    let all = || {
+        node.children
+            .iter()
+            .map(particle)
+            .collect::<Result<Vec<_>, _>>()
+    };
     let what = match node.name.as_str() {
-        "xs:element" => {
-            What::Element { name: must(node, "name")?.to_owned(), kind: must(node, "type")?.to_owned() }
-        }
+        "xs:element" => What::Element {
+            name: must(node, "name")?.to_owned(),
+            kind: must(node, "type")?.to_owned(),
+        },
         "xs:sequence" => What::Sequence(all()?),
         "xs:choice" => What::Choice(all()?),
         "xs:all" => What::All(all()?),
         _ => return Err(unknown(node)),
     };
-    Ok(Particle { what, least: count(node, "minOccurs")?, most: count(node, "maxOccurs")? })
+    Ok(Particle {
+        what,
+        least: count(node, "minOccurs")?,
+        most: count(node, "maxOccurs")?,
+    })
 }
 
 fn complex(node: &Node) -> Result<Complex, Fault> {
@@ -154,19 +178,34 @@
             }
         }
         let lists = schema.simple.values().filter_map(|s| s.list_of.as_ref());
-        let attributes = schema.complex.values().flat_map(|c| &c.attributes).map(|a| &a.kind);
-        let of_values = lists.chain(attributes).find(|kind| !schema.simple.contains_key(*kind));
+        let attributes = schema
+            .complex
+            .values()
+            .flat_map(|c| &c.attributes)
+            .map(|a| &a.kind);
+        let of_values = lists
+            .chain(attributes)
+            .find(|kind| !schema.simple.contains_key(*kind));
         let mut of_elements = vec![&schema.root.1];
-        let mut particles: Vec<_> = schema.complex.values().filter_map(|c| c.content.as_ref()).collect();
+        let mut particles: Vec<_> = schema
+            .complex
+            .values()
+            .filter_map(|c| c.content.as_ref())
+            .collect();
         while let Some(particle) = particles.pop() {
             match &particle.what {
                 What::Element { kind, .. } => of_elements.push(kind),
                 What::Sequence(all) | What::Choice(all) | What::All(all) => particles.extend(all),
             }
         }
-        let of_elements = of_elements.into_iter().find(|kind| !schema.complex.contains_key(*kind));
+        let of_elements = of_elements
+            .into_iter()
+            .find(|kind| !schema.complex.contains_key(*kind));
         match of_values.or(of_elements) {
-            Some(kind) => Err(Fault::new(node.line, format!("the schema has no type {kind}"))),
+            Some(kind) => Err(Fault::new(
+                node.line,
+                format!("the schema has no type {kind}"),
+            )),
             None => Ok(schema),
         }
     }
@@ -188,7 +227,10 @@
 
     fn element(&self, node: &mut Node, kind: &str) -> Result<(), Fault> {
         let Some(complex) = self.complex.get(kind) else {
-            return Err(Fault::new(node.line, format!("the schema has no type {kind}")));
+            return Err(Fault::new(
+                node.line,
+                format!("the schema has no type {kind}"),
+            ));
         };
         let fault = |why: String| Fault::new(node.line, format!("<{}> {why}", node.name));
         if node.has_text {
@@ -201,14 +243,17 @@
             self.value(value, &attribute.kind)
                 .map_err(|why| fault(format!("{name}=\"{value:.60}\": {why}")))?;
         }
-        if let Some(lacks) =
-            complex.attributes.iter().find(|a| a.required && node.attribute(&a.name).is_none())
+        if let Some(lacks) = complex
+            .attributes
+            .iter()
+            .find(|a| a.required && node.attribute(&a.name).is_none())
         {
             return Err(fault(format!("lacks its attribute {}", lacks.name)));
         }
         for attribute in &complex.attributes {
             if let (None, Some(default)) = (node.attribute(&attribute.name), &attribute.default) {
-                node.attributes.push((attribute.name.clone(), default.clone()));
+                node.attributes
+                    .push((attribute.name.clone(), default.clone()));
             }
         }
         let mut kinds = Vec::new();
@@ -222,7 +267,10 @@
                 format!("<{}> cannot stand here in <{}>", extra.name, node.name),
             ));
         }
-        node.children.iter_mut().zip(kinds).try_for_each(|(child, kind)| self.element(child, kind))
+        node.children
+            .iter_mut()
+            .zip(kinds)
+            .try_for_each(|(child, kind)| self.element(child, kind))
     }
 
     /// Takes as many children as the particle has room for, from one on; tells where it stopped.
@@ -268,7 +316,10 @@
                 return match &particle.what {
                     What::Element { name, .. } if time < particle.least => {
                         let line = node.children.get(at).map_or(node.line, |c| c.line);
-                        Err(Fault::new(line, format!("<{}> lacks a <{name}> here", node.name)))
+                        Err(Fault::new(
+                            line,
+                            format!("<{}> lacks a <{name}> here", node.name),
+                        ))
                     }
                     _ => Ok(at),
                 };
@@ -278,7 +329,9 @@
     }
 
     fn begins(&self, particle: &Particle, node: &Node, at: usize) -> bool {
-        let Some(child) = node.children.get(at) else { return false };
+        let Some(child) = node.children.get(at) else {
+            return false;
+        };
         match &particle.what {
             What::Element { name, .. } => child.name == *name,
             What::Sequence(all) | What::Choice(all) | What::All(all) => {
@@ -288,11 +341,15 @@
     }
 
     fn value(&self, value: &str, kind: &str) -> Result<(), String> {
-        let Some(simple) = self.simple.get(kind) else { return Err(format!("no type {kind}")) };
+        let Some(simple) = self.simple.get(kind) else {
+            return Err(format!("no type {kind}"));
+        };
         if let Some(of) = &simple.list_of {
             return match value.split_whitespace().count() {
                 0 => Err("is empty".into()),
-                _ => value.split_whitespace().try_for_each(|one| self.value(one, of)),
+                _ => value
+                    .split_whitespace()
+                    .try_for_each(|one| self.value(one, of)),
             };
         }
         if simple.number {
@@ -321,15 +378,25 @@
     pub fn samples(&self) -> Vec<(&str, &str, Vec<String>)> {
         let of = |kind: &str| -> Vec<String> {
             let simple = &self.simple[kind];
-            let simple = simple.list_of.as_ref().map_or(simple, |of| &self.simple[of]);
+            let simple = simple
+                .list_of
+                .as_ref()
+                .map_or(simple, |of| &self.simple[of]);
             match (simple.words.is_empty(), simple.number) {
                 (false, _) => simple.words.clone(),
-                (true, true) => [simple.least, simple.most].iter().flatten().map(u64::to_string).collect(),
+                (true, true) => [simple.least, simple.most]
+                    .iter()
+                    .flatten()
+                    .map(u64::to_string)
+                    .collect(),
                 (true, false) => vec!["a".repeat(simple.shortest.max(1))],
             }
         };
         let attribute = |c: &'_ str, a: &'_ Attribute| (c.to_owned(), a.name.clone(), of(&a.kind));
-        let all = self.complex.iter().flat_map(|(c, complex)| complex.attributes.iter().map(move |a| (c, a)));
+        let all = self
+            .complex
+            .iter()
+            .flat_map(|(c, complex)| complex.attributes.iter().map(move |a| (c, a)));
         all.map(|(c, a)| {
             let (_, _, values) = attribute(c, a);
             (c.as_str(), a.name.as_str(), values)
@@ -340,7 +407,11 @@
     #[cfg(test)]
     pub fn element_names(&self) -> Vec<&str> {
         let mut names = vec![self.root.0.as_str()];
-        let mut particles: Vec<_> = self.complex.values().filter_map(|c| c.content.as_ref()).collect();
+        let mut particles: Vec<_> = self
+            .complex
+            .values()
+            .filter_map(|c| c.content.as_ref())
+            .collect();
         while let Some(particle) = particles.pop() {
             match &particle.what {
                 What::Element { name, .. } => names.push(name),
--- a/crates/linenthread-installation/src/tree.rs
+++ b/crates/linenthread-installation/src/tree.rs
@@ -24,7 +24,10 @@
 
 impl Node {
     pub fn attribute(&self, name: &str) -> Option<&str> {
-        self.attributes.iter().find(|(n, _)| n == name).map(|(_, v)| v.as_str())
+        self.attributes
+            .iter()
+            .find(|(n, _)| n == name)
+            .map(|(_, v)| v.as_str())
     }
 
     pub fn all<'a>(&'a self, name: &'a str) -> impl Iterator<Item = &'a Node> {
@@ -51,11 +54,18 @@
 
 fn element(start: &BytesStart, line: usize) -> Result<Node, Fault> {
     let fault = |e: String| Fault::new(line, e);
-    let mut node = Node { name: start.name().as_ref().to_owned(), line, ..Node::default() };
+    let mut node = Node {
+        name: start.name().as_ref().to_owned(),
+        line,
+        ..Node::default()
+    };
     for attribute in start.attributes() {
         let attribute = attribute.map_err(|e| fault(e.to_string()))?;
-        let value = attribute.normalized_value(XmlVersion::Explicit1_0).map_err(|e| fault(e.to_string()))?;
-        node.attributes.push((attribute.key.as_ref().to_owned(), value.into_owned()));
+        let value = attribute
+            .normalized_value(XmlVersion::Explicit1_0)
+            .map_err(|e| fault(e.to_string()))?;
+        node.attributes
+            .push((attribute.key.as_ref().to_owned(), value.into_owned()));
     }
     Ok(node)
 }
@@ -67,10 +77,17 @@
 /// The line and cause of what is no well-formed XML, or is beyond the bounds.
 pub fn read(text: &str) -> Result<Node, Fault> {
     if text.len() > MOST_BYTES {
-        return Err(Fault::new(1, format!("the file has more than {MOST_BYTES} bytes")));
+        return Err(Fault::new(
+            1,
+            format!("the file has more than {MOST_BYTES} bytes"),
+        ));
     }
     let mut reader = Reader::from_str(text);
-    let mut lines = Lines { text: text.as_bytes(), at: 0, line: 1 };
+    let mut lines = Lines {
+        text: text.as_bytes(),
+        at: 0,
+        line: 1,
+    };
     let mut open: Vec<Node> = vec![Node::default()];
     let mut count = 0;
     loop {
@@ -85,12 +102,17 @@
             Event::Start(start) | Event::Empty(start) => {
                 count += 1;
                 if open.len() > DEEPEST || count > MOST_NODES {
-                    return Err(Fault::new(line, "there are too many elements, or one within another"));
+                    return Err(Fault::new(
+                        line,
+                        "there are too many elements, or one within another",
+                    ));
                 }
                 let node = element(&start, line)?;
                 match is_start {
                     true => open.push(node),
-                    false => open.last_mut().map_or((), |parent| parent.children.push(node)),
+                    false => open
+                        .last_mut()
+                        .map_or((), |parent| parent.children.push(node)),
                 }
             }
             Event::End(_) => {
@@ -118,10 +140,16 @@
         }
     }
     let mut document = open.pop().filter(|_| open.is_empty());
-    let roots = document.as_mut().map(|d| std::mem::take(&mut d.children)).unwrap_or_default();
+    let roots = document
+        .as_mut()
+        .map(|d| std::mem::take(&mut d.children))
+        .unwrap_or_default();
     let stray = document.is_none_or(|d| d.has_text);
     match <[Node; 1]>::try_from(roots) {
         Ok([root]) if !stray => Ok(root),
-        _ => Err(Fault::new(lines.line, "the file is not one element, begun and ended")),
+        _ => Err(Fault::new(
+            lines.line,
+            "the file is not one element, begun and ended",
+        )),
     }
 }
--- a/crates/linenthread-link/src/far.rs
+++ b/crates/linenthread-link/src/far.rs
@@ -136,9 +136,17 @@
 
     pub fn accepted(&mut self, now: Tenths, connection: u64, to: &mut Vec<FarDo>) {
         let mut nonce = Nonce::default();
-        nonce.iter_mut().for_each(|b| *b = self.chance.rand_u64() as u8);
-        self.connections.insert(connection, Connection::Challenged { nonce, since: now });
-        let frame = Frame::Challenge { least: VERSION, most: VERSION, nonce, name: self.terms.name.clone() };
+        nonce
+            .iter_mut()
+            .for_each(|b| *b = self.chance.rand_u64() as u8);
+        self.connections
+            .insert(connection, Connection::Challenged { nonce, since: now });
+        let frame = Frame::Challenge {
+            least: VERSION,
+            most: VERSION,
+            nonce,
+            name: self.terms.name.clone(),
+        };
         to.push(FarDo::Send { connection, frame });
     }
 
@@ -152,8 +160,14 @@
     }
 
     fn close(&mut self, now: Tenths, connection: u64, why: &str, to: &mut Vec<FarDo>) {
-        to.push(FarDo::Send { connection, frame: Frame::Refuse { why: why.into() } });
-        to.push(FarDo::Close { connection, why: why.into() });
+        to.push(FarDo::Send {
+            connection,
+            frame: Frame::Refuse { why: why.into() },
+        });
+        to.push(FarDo::Close {
+            connection,
+            why: why.into(),
+        });
         self.lost(now, connection);
     }
 
@@ -163,22 +177,36 @@
             return;
         }
         // Those that are new or have changed, and those that are left out now.
-        let mut changes: Vec<Member> =
-            members.iter().filter(|m| !self.members.contains(m)).cloned().collect();
+        let mut changes: Vec<Member> = members
+            .iter()
+            .filter(|m| !self.members.contains(m))
+            .cloned()
+            .collect();
         let listed = |id: &str| members.iter().any(|m| m.id == id);
         let gone = self.members.iter().filter(|m| !listed(&m.id));
-        changes.extend(gone.map(|m| Member { phase: Phase::Gone, ..m.clone() }));
+        changes.extend(gone.map(|m| Member {
+            phase: Phase::Gone,
+            ..m.clone()
+        }));
         (self.members, self.revision) = (members, self.revision + 1);
         let revision = self.revision;
         for connection in self.sessions.values().filter_map(|s| s.connection) {
-            let frame = Frame::Members { revision, whole: false, members: changes.clone() };
+            let frame = Frame::Members {
+                revision,
+                whole: false,
+                members: changes.clone(),
+            };
             to.push(FarDo::Send { connection, frame });
         }
     }
 
     /// The whole list, to who has just come.
     fn tell_members(&self, connection: u64, to: &mut Vec<FarDo>) {
-        let frame = Frame::Members { revision: self.revision, whole: true, members: self.members.clone() };
+        let frame = Frame::Members {
+            revision: self.revision,
+            whole: true,
+            members: self.members.clone(),
+        };
         to.push(FarDo::Send { connection, frame });
     }
 
@@ -186,7 +214,10 @@
     pub fn leave(&mut self, to: &mut Vec<FarDo>) {
         self.leaving = true;
         let up = self.sessions.values().filter_map(|s| s.connection);
-        to.extend(up.map(|connection| FarDo::Send { connection, frame: Frame::Goodbye }));
+        to.extend(up.map(|connection| FarDo::Send {
+            connection,
+            frame: Frame::Goodbye,
+        }));
     }
 
     pub fn received(&mut self, now: Tenths, connection: u64, frame: Frame, to: &mut Vec<FarDo>) {
@@ -204,21 +235,49 @@
         }
     }
 
-    fn hello(&mut self, now: Tenths, connection: u64, nonce: &Nonce, frame: &Frame, to: &mut Vec<FarDo>) {
-        let Frame::Hello { version, nonce: theirs, session, attempt, epoch, proof, .. } = frame else {
+    fn hello(
+        &mut self,
+        now: Tenths,
+        connection: u64,
+        nonce: &Nonce,
+        frame: &Frame,
+        to: &mut Vec<FarDo>,
+    ) {
+        let Frame::Hello {
+            version,
+            nonce: theirs,
+            session,
+            attempt,
+            epoch,
+            proof,
+            ..
+        } = frame
+        else {
             return self.close(now, connection, "a hello must come first", to);
         };
         if *version != VERSION {
             return self.close(now, connection, "no such version is spoken here", to);
         }
         let Some(secret) = self.secrets.proven_by(NEAR, nonce, &frame.said(), proof) else {
-            return self.close(now, connection, "the hello does not prove that it knows the secret", to);
+            return self.close(
+                now,
+                connection,
+                "the hello does not prove that it knows the secret",
+                to,
+            );
         };
-        if self.sessions.get(session).is_some_and(|known| *attempt <= known.attempt) {
+        if self
+            .sessions
+            .get(session)
+            .is_some_and(|known| *attempt <= known.attempt)
+        {
             // It was long on its way, and would take the session from a newer connection.
             return self.close(now, connection, "the session has said a newer hello", to);
         }
-        let resumed = self.sessions.get(session).is_some_and(|known| known.epoch == *epoch);
+        let resumed = self
+            .sessions
+            .get(session)
+            .is_some_and(|known| known.epoch == *epoch);
         if !resumed {
             self.forget(*session, to);
             if self.sessions.len() >= self.terms.most_sessions {
@@ -237,7 +296,9 @@
             };
             self.sessions.insert(*session, new);
         }
-        let Some(known) = self.sessions.get_mut(session) else { return };
+        let Some(known) = self.sessions.get_mut(session) else {
+            return;
+        };
         // From now on nothing counts that the older connection may still bring.
         if let Some(old) = known.connection.replace(connection) {
             self.connections.remove(&old);
@@ -256,25 +317,60 @@
                 Held::Running => None,
             })
             .collect();
-        self.connections.insert(connection, Connection::Welcomed { session: *session, heard: now });
-        let mut welcome = Frame::Welcome { epoch, resumed, received, bytes, proof: [0; 32] };
+        self.connections.insert(
+            connection,
+            Connection::Welcomed {
+                session: *session,
+                heard: now,
+            },
+        );
+        let mut welcome = Frame::Welcome {
+            epoch,
+            resumed,
+            received,
+            bytes,
+            proof: [0; 32],
+        };
         let proven = self.secrets.prove(secret, FAR, theirs, &welcome.said());
         if let Frame::Welcome { proof, .. } = &mut welcome {
             *proof = proven;
         }
-        to.push(FarDo::Send { connection, frame: welcome });
+        to.push(FarDo::Send {
+            connection,
+            frame: welcome,
+        });
         self.tell_members(connection, to);
-        to.extend(again.into_iter().map(|frame| FarDo::Send { connection, frame }));
+        to.extend(
+            again
+                .into_iter()
+                .map(|frame| FarDo::Send { connection, frame }),
+        );
         if self.leaving {
-            to.push(FarDo::Send { connection, frame: Frame::Goodbye });
+            to.push(FarDo::Send {
+                connection,
+                frame: Frame::Goodbye,
+            });
         }
         self.tell_credit(*session, to);
     }
 
-    fn of_session(&mut self, now: Tenths, connection: u64, id: u64, frame: Frame, to: &mut Vec<FarDo>) {
-        let Some(session) = self.sessions.get_mut(&id) else { return };
+    fn of_session(
+        &mut self,
+        now: Tenths,
+        connection: u64,
+        id: u64,
+        frame: Frame,
+        to: &mut Vec<FarDo>,
+    ) {
+        let Some(session) = self.sessions.get_mut(&id) else {
+            return;
+        };
         match frame {
-            Frame::Call { number, remaining_ms, call } => {
+            Frame::Call {
+                number,
+                remaining_ms,
+                call,
+            } => {
                 // A number that came before is not run again, whatever brings it a second time.
                 if number <= session.received {
                     return;
@@ -292,22 +388,39 @@
                 if self.leaving {
                     return self.ended(id, number, Ending::TurnedAway, None, String::new(), to);
                 }
-                to.push(FarDo::Start { session: id, number, time_out, call });
+                to.push(FarDo::Start {
+                    session: id,
+                    number,
+                    time_out,
+                    call,
+                });
             }
             Frame::Withdraw { number } => {
                 if let Some((Held::Running, _)) = session.calls.get(&number) {
-                    to.push(FarDo::Stop { session: id, number });
+                    to.push(FarDo::Stop {
+                        session: id,
+                        number,
+                    });
                 }
                 self.let_go(id, number, to);
             }
             Frame::Ack { numbers } => {
                 let done = |n: &u64| matches!(session.calls.get(n), Some((Held::Done(_), _)));
                 let numbers: Vec<u64> = numbers.into_iter().filter(done).collect();
-                numbers.into_iter().for_each(|number| self.let_go(id, number, to));
+                numbers
+                    .into_iter()
+                    .for_each(|number| self.let_go(id, number, to));
             }
-            Frame::Ping { number } => to.push(FarDo::Send { connection, frame: Frame::Pong { number } }),
+            Frame::Ping { number } => to.push(FarDo::Send {
+                connection,
+                frame: Frame::Pong { number },
+            }),
             Frame::Pong { .. } | Frame::Goodbye => {}
-            Frame::Probe { number, replica } => to.push(FarDo::Probe { connection, number, replica }),
+            Frame::Probe { number, replica } => to.push(FarDo::Probe {
+                connection,
+                number,
+                replica,
+            }),
             Frame::Refuse { why } => {
                 to.push(FarDo::Close { connection, why });
                 self.lost(now, connection);
@@ -326,12 +439,24 @@
         value: String,
         to: &mut Vec<FarDo>,
     ) {
-        let Some(known) = self.sessions.get_mut(&session) else { return };
-        let Some((held @ Held::Running, _)) = known.calls.get_mut(&number) else { return };
-        let outcome = Frame::Outcome { number, ending, queue, value };
+        let Some(known) = self.sessions.get_mut(&session) else {
+            return;
+        };
+        let Some((held @ Held::Running, _)) = known.calls.get_mut(&number) else {
+            return;
+        };
+        let outcome = Frame::Outcome {
+            number,
+            ending,
+            queue,
+            value,
+        };
         *held = Held::Done(outcome.clone());
         if let Some(connection) = known.connection {
-            to.push(FarDo::Send { connection, frame: outcome });
+            to.push(FarDo::Send {
+                connection,
+                frame: outcome,
+            });
         }
     }
 
@@ -347,25 +472,47 @@
 
     /// Tells the credit again once a quarter of the window has become free.
     fn tell_credit(&mut self, id: u64, to: &mut Vec<FarDo>) {
-        let Some(session) = self.sessions.get_mut(&id) else { return };
-        let Some(connection) = session.connection else { return };
+        let Some(session) = self.sessions.get_mut(&id) else {
+            return;
+        };
+        let Some(connection) = session.connection else {
+            return;
+        };
         let free = self.terms.window - (session.calls.len() as u64).min(self.terms.window);
-        let (number, bytes) = (session.received + free, session.let_go + self.terms.window_bytes);
+        let (number, bytes) = (
+            session.received + free,
+            session.let_go + self.terms.window_bytes,
+        );
         let quarter = self.terms.window / 4;
         let (told, told_bytes) = session.told;
-        if told == 0 || number > told + quarter || bytes > told_bytes + self.terms.window_bytes / 4 {
+        if told == 0 || number > told + quarter || bytes > told_bytes + self.terms.window_bytes / 4
+        {
             session.told = (number, bytes);
-            to.push(FarDo::Send { connection, frame: Frame::Credit { number, bytes } });
+            to.push(FarDo::Send {
+                connection,
+                frame: Frame::Credit { number, bytes },
+            });
         }
     }
 
     fn forget(&mut self, id: u64, to: &mut Vec<FarDo>) {
-        let Some(session) = self.sessions.remove(&id) else { return };
-        let running = session.calls.iter().filter(|(_, (held, _))| matches!(held, Held::Running));
-        to.extend(running.map(|(number, _)| FarDo::Stop { session: id, number: *number }));
+        let Some(session) = self.sessions.remove(&id) else {
+            return;
+        };
+        let running = session
+            .calls
+            .iter()
+            .filter(|(_, (held, _))| matches!(held, Held::Running));
+        to.extend(running.map(|(number, _)| FarDo::Stop {
+            session: id,
+            number: *number,
+        }));
         if let Some(connection) = session.connection {
             self.connections.remove(&connection);
-            to.push(FarDo::Close { connection, why: "the session is given up".into() });
+            to.push(FarDo::Close {
+                connection,
+                why: "the session is given up".into(),
+            });
         }
     }
 
@@ -375,12 +522,23 @@
             Connection::Challenged { since, .. } => now >= since + self.terms.greeting,
             Connection::Welcomed { heard, .. } => now >= heard + self.terms.silence,
         };
-        let silent: Vec<u64> =
-            self.connections.iter().filter(|(_, c)| silent(c)).map(|(id, _)| *id).collect();
-        silent.into_iter().for_each(|connection| self.close(now, connection, "nothing is heard", to));
+        let silent: Vec<u64> = self
+            .connections
+            .iter()
+            .filter(|(_, c)| silent(c))
+            .map(|(id, _)| *id)
+            .collect();
+        silent
+            .into_iter()
+            .for_each(|connection| self.close(now, connection, "nothing is heard", to));
         let keep = self.terms.keep;
         let over = |s: &Session| s.connection.is_none() && now >= s.since + keep;
-        let over: Vec<u64> = self.sessions.iter().filter(|(_, s)| over(s)).map(|(id, _)| *id).collect();
+        let over: Vec<u64> = self
+            .sessions
+            .iter()
+            .filter(|(_, s)| over(s))
+            .map(|(id, _)| *id)
+            .collect();
         over.into_iter().for_each(|id| self.forget(id, to));
     }
 
@@ -391,6 +549,9 @@
             Connection::Welcomed { heard, .. } => heard + self.terms.silence,
         });
         let sessions = self.sessions.values().filter(|s| s.connection.is_none());
-        connections.chain(sessions.map(|s| s.since + self.terms.keep)).min().unwrap_or(Tenths::MAX)
+        connections
+            .chain(sessions.map(|s| s.since + self.terms.keep))
+            .min()
+            .unwrap_or(Tenths::MAX)
     }
 }
--- a/crates/linenthread-link/src/frame.rs
+++ b/crates/linenthread-link/src/frame.rs
@@ -53,7 +53,9 @@
     /// Whether it can be a replica here: it has a name of some length, and a cell of the layout's so many.
     pub fn is_sound(&self, cells: usize) -> bool {
         let id = 1..=LONGEST_NAME;
-        id.contains(&self.id.len()) && self.site.len() <= LONGEST_NAME && (self.cell as usize) < cells
+        id.contains(&self.id.len())
+            && self.site.len() <= LONGEST_NAME
+            && (self.cell as usize) < cells
     }
 }
 
@@ -149,12 +151,18 @@
 ];
 
 fn ending(ending: Ending) -> u8 {
-    ENDINGS.iter().position(|e| *e == ending).unwrap_or_default() as u8
+    ENDINGS
+        .iter()
+        .position(|e| *e == ending)
+        .unwrap_or_default() as u8
 }
 
 fn take_ending(take: &mut Take) -> Res<Ending> {
     let at = usize::from(take.u8()?);
-    ENDINGS.get(at).copied().ok_or_else(|| format!("an ending cannot be {at}"))
+    ENDINGS
+        .get(at)
+        .copied()
+        .ok_or_else(|| format!("an ending cannot be {at}"))
 }
 
 const PHASES: [Phase; 3] = [Phase::Ready, Phase::Draining, Phase::Gone];
@@ -171,13 +179,26 @@
     pub fn encode(&self) -> Vec<u8> {
         let mut put = Put::frame();
         let kind = match self {
-            Frame::Challenge { least, most, nonce, name } => {
+            Frame::Challenge {
+                least,
+                most,
+                nonce,
+                name,
+            } => {
                 put.0.extend([*least, *most]);
                 put.0.extend(nonce);
                 put.text(name);
                 1
             }
-            Frame::Hello { version, name, nonce, session, attempt, epoch, proof } => {
+            Frame::Hello {
+                version,
+                name,
+                nonce,
+                session,
+                attempt,
+                epoch,
+                proof,
+            } => {
                 put.0.push(*version);
                 put.text(name);
                 put.0.extend(nonce);
@@ -187,7 +208,13 @@
                 put.0.extend(proof);
                 2
             }
-            Frame::Welcome { epoch, resumed, received, bytes, proof } => {
+            Frame::Welcome {
+                epoch,
+                resumed,
+                received,
+                bytes,
+                proof,
+            } => {
                 put.0.extend(epoch.to_be_bytes());
                 put.0.push((*resumed).into());
                 put.0.extend(received.to_be_bytes());
@@ -199,7 +226,11 @@
                 put.text(why);
                 4
             }
-            Frame::Call { number, remaining_ms, call } => {
+            Frame::Call {
+                number,
+                remaining_ms,
+                call,
+            } => {
                 put.0.extend(number.to_be_bytes());
                 put.0.extend(remaining_ms.to_be_bytes());
                 put.text(&call.replica);
@@ -213,7 +244,12 @@
                 put.0.extend(number.to_be_bytes());
                 6
             }
-            Frame::Outcome { number, ending: how, queue, value } => {
+            Frame::Outcome {
+                number,
+                ending: how,
+                queue,
+                value,
+            } => {
                 put.0.extend(number.to_be_bytes());
                 put.0.push(ending(*how));
                 put.maybe(*queue);
@@ -239,7 +275,11 @@
                 put.0.extend(number.to_be_bytes());
                 11
             }
-            Frame::Members { revision, whole, members } => {
+            Frame::Members {
+                revision,
+                whole,
+                members,
+            } => {
                 let members = &members[..members.len().min(MOST_MEMBERS)];
                 put.0.extend(revision.to_be_bytes());
                 put.0.push((*whole).into());
@@ -248,8 +288,14 @@
                     put.text(&member.id);
                     put.text(&member.site);
                     put.0.extend(member.cell.to_be_bytes());
-                    put.0.push(PHASES.iter().position(|p| *p == member.phase).unwrap_or_default() as u8);
-                    put.0.extend(member.age_ms.unwrap_or(u32::MAX).to_be_bytes());
+                    put.0.push(
+                        PHASES
+                            .iter()
+                            .position(|p| *p == member.phase)
+                            .unwrap_or_default() as u8,
+                    );
+                    put.0
+                        .extend(member.age_ms.unwrap_or(u32::MAX).to_be_bytes());
                     put.0.extend(member.share.to_be_bytes());
                 }
                 12
@@ -259,7 +305,11 @@
                 put.text(replica);
                 13
             }
-            Frame::Probed { number, ending: how, queue } => {
+            Frame::Probed {
+                number,
+                ending: how,
+                queue,
+            } => {
                 put.0.extend(number.to_be_bytes());
                 put.0.push(ending(*how));
                 put.maybe(*queue);
@@ -331,7 +381,9 @@
                     text: take.value()?,
                 },
             },
-            6 => Frame::Withdraw { number: take.u64()? },
+            6 => Frame::Withdraw {
+                number: take.u64()?,
+            },
             7 => Frame::Outcome {
                 number: take.u64()?,
                 ending: take_ending(&mut take)?,
@@ -340,11 +392,20 @@
             },
             8 => {
                 let n = take.u16()?;
-                Frame::Ack { numbers: (0..n).map(|_| take.u64()).collect::<Res<_>>()? }
+                Frame::Ack {
+                    numbers: (0..n).map(|_| take.u64()).collect::<Res<_>>()?,
+                }
             }
-            9 => Frame::Credit { number: take.u64()?, bytes: take.u64()? },
-            10 => Frame::Ping { number: take.u64()? },
-            11 => Frame::Pong { number: take.u64()? },
+            9 => Frame::Credit {
+                number: take.u64()?,
+                bytes: take.u64()?,
+            },
+            10 => Frame::Ping {
+                number: take.u64()?,
+            },
+            11 => Frame::Pong {
+                number: take.u64()?,
+            },
             12 => {
                 let (revision, whole, n) = (take.u64()?, take.flag()?, take.u16()?);
                 if usize::from(n) > MOST_MEMBERS {
@@ -357,19 +418,30 @@
                         cell: take.u32()?,
                         phase: {
                             let at = usize::from(take.u8()?);
-                            *PHASES.get(at).ok_or_else(|| format!("a phase cannot be {at}"))?
+                            *PHASES
+                                .get(at)
+                                .ok_or_else(|| format!("a phase cannot be {at}"))?
                         },
                         age_ms: Some(take.u32()?).filter(|age| *age != u32::MAX),
                         share: take.u16()?.min(1_000),
                     })
                 };
                 let members = (0..n).map(|_| member()).collect::<Res<_>>()?;
-                Frame::Members { revision, whole, members }
-            }
-            13 => Frame::Probe { number: take.u64()?, replica: take.text()? },
-            14 => {
-                Frame::Probed { number: take.u64()?, ending: take_ending(&mut take)?, queue: take.maybe()? }
+                Frame::Members {
+                    revision,
+                    whole,
+                    members,
+                }
             }
+            13 => Frame::Probe {
+                number: take.u64()?,
+                replica: take.text()?,
+            },
+            14 => Frame::Probed {
+                number: take.u64()?,
+                ending: take_ending(&mut take)?,
+                queue: take.maybe()?,
+            },
             15 => Frame::Goodbye,
             other => return Err(format!("a frame cannot have the kind {other}")),
         };
@@ -406,7 +478,12 @@
         };
         let sound = member.clone();
         let frames = [
-            Frame::Challenge { least: 1, most: 1, nonce: [7; 16], name: "g".into() },
+            Frame::Challenge {
+                least: 1,
+                most: 1,
+                nonce: [7; 16],
+                name: "g".into(),
+            },
             Frame::Hello {
                 version: 1,
                 name: "n".into(),
@@ -416,23 +493,57 @@
                 epoch: 3,
                 proof: [4; 32],
             },
-            Frame::Welcome { epoch: 1, resumed: true, received: 9, bytes: 8, proof: [5; 32] },
+            Frame::Welcome {
+                epoch: 1,
+                resumed: true,
+                received: 9,
+                bytes: 8,
+                proof: [5; 32],
+            },
             Frame::Refuse { why: "no".into() },
-            Frame::Call { number: 1, remaining_ms: 900, call },
+            Frame::Call {
+                number: 1,
+                remaining_ms: 900,
+                call,
+            },
             Frame::Withdraw { number: 1 },
-            Frame::Outcome { number: 1, ending: Ending::Broken, queue: Some(2.0), value: "v".into() },
-            Frame::Ack { numbers: vec![1, 2] },
-            Frame::Credit { number: 5, bytes: 6 },
+            Frame::Outcome {
+                number: 1,
+                ending: Ending::Broken,
+                queue: Some(2.0),
+                value: "v".into(),
+            },
+            Frame::Ack {
+                numbers: vec![1, 2],
+            },
+            Frame::Credit {
+                number: 5,
+                bytes: 6,
+            },
             Frame::Ping { number: 1 },
             Frame::Pong { number: 1 },
-            Frame::Members { revision: 1, whole: true, members: vec![member] },
-            Frame::Probe { number: 1, replica: "s-1".into() },
-            Frame::Probed { number: 1, ending: Ending::TurnedAway, queue: None },
+            Frame::Members {
+                revision: 1,
+                whole: true,
+                members: vec![member],
+            },
+            Frame::Probe {
+                number: 1,
+                replica: "s-1".into(),
+            },
+            Frame::Probed {
+                number: 1,
+                ending: Ending::TurnedAway,
+                queue: None,
+            },
             Frame::Goodbye,
         ];
         for frame in frames {
             let bytes = frame.encode();
-            assert_eq!(Frame::decode(&bytes), Ok(Some((frame.clone(), bytes.len()))));
+            assert_eq!(
+                Frame::decode(&bytes),
+                Ok(Some((frame.clone(), bytes.len())))
+            );
             for cut in 0..bytes.len() {
                 assert_eq!(Frame::decode(&bytes[..cut]), Ok(None), "cut at {cut}");
                 // The same bytes under a shorter length are no such frame.
@@ -449,13 +560,26 @@
             more[..4].copy_from_slice(&length.to_be_bytes());
             assert_eq!(Frame::decode(&more), Ok(Some((frame, more.len()))));
         }
-        let bad = Member { cell: 4, ..sound.clone() };
+        let bad = Member {
+            cell: 4,
+            ..sound.clone()
+        };
         assert!(
             sound.is_sound(5)
                 && !bad.is_sound(4)
-                && !Member { id: String::new(), ..sound.clone() }.is_sound(5)
+                && !Member {
+                    id: String::new(),
+                    ..sound.clone()
+                }
+                .is_sound(5)
+        );
+        assert!(
+            !Member {
+                site: "x".repeat(129),
+                ..sound
+            }
+            .is_sound(5)
         );
-        assert!(!Member { site: "x".repeat(129), ..sound }.is_sound(5));
         assert!(Frame::decode(&[0, 0, 0, 0]).is_err() && Frame::decode(&[0, 0, 0, 1, 99]).is_err());
         assert!(Frame::decode(&[0x7f, 0, 0, 0]).is_err());
         let spec = Frame::Withdraw { number: 258 }.encode();
@@ -484,11 +608,32 @@
             share: 250,
         };
         let frames = [
-            Frame::Challenge { least: 1, most: 1, nonce: [0x11; 16], name: "messina".into() },
-            Frame::Members { revision: 1, whole: true, members: vec![member] },
-            Frame::Credit { number: 512, bytes: 4_194_304 },
-            Frame::Call { number: 1, remaining_ms: 900, call },
-            Frame::Outcome { number: 1, ending: Ending::Answered, queue: Some(2.0), value: "v".into() },
+            Frame::Challenge {
+                least: 1,
+                most: 1,
+                nonce: [0x11; 16],
+                name: "messina".into(),
+            },
+            Frame::Members {
+                revision: 1,
+                whole: true,
+                members: vec![member],
+            },
+            Frame::Credit {
+                number: 512,
+                bytes: 4_194_304,
+            },
+            Frame::Call {
+                number: 1,
+                remaining_ms: 900,
+                call,
+            },
+            Frame::Outcome {
+                number: 1,
+                ending: Ending::Answered,
+                queue: Some(2.0),
+                value: "v".into(),
+            },
             Frame::Ack { numbers: vec![1] },
         ];
         for frame in frames {
--- a/crates/linenthread-link/src/near.rs
+++ b/crates/linenthread-link/src/near.rs
@@ -253,7 +253,12 @@
             true => (self.one_way(), room),
             false => (self.one_way() + self.terms.hold, self.terms.most_out as u64),
         };
-        Standing { up: self.is_usable(), one_way, out: self.out.len() as u64, room }
+        Standing {
+            up: self.is_usable(),
+            one_way,
+            out: self.out.len() as u64,
+            room,
+        }
     }
 
     /// After so long without a word the connection is taken for dead: two beats and what answers take.
@@ -269,15 +274,34 @@
             State::Greeting { since } => since + self.patience(),
             State::Up { .. } => (self.pinged + self.terms.beat).min(self.heard + self.patience()),
         };
-        let given_up = self.lost_since.map_or(Tenths::MAX, |since| since + self.terms.keep);
-        let due = self.waiting.iter().filter_map(|(_, n)| self.out.get(n)).map(|o| o.holds).min();
-        let down = self.down_since.map_or(Tenths::MAX, |since| since + self.terms.hold);
-        state.min(given_up).min(down).min(due.unwrap_or(Tenths::MAX))
+        let given_up = self
+            .lost_since
+            .map_or(Tenths::MAX, |since| since + self.terms.keep);
+        let due = self
+            .waiting
+            .iter()
+            .filter_map(|(_, n)| self.out.get(n))
+            .map(|o| o.holds)
+            .min();
+        let down = self
+            .down_since
+            .map_or(Tenths::MAX, |since| since + self.terms.hold);
+        state
+            .min(given_up)
+            .min(down)
+            .min(due.unwrap_or(Tenths::MAX))
     }
 
     /// Takes a part call that must be answered by `due`; its number, by which it is ended. Where credit is short
     /// those of the most gain (in any unit) go first.
-    pub fn call(&mut self, now: Tenths, call: Call, due: Tenths, gain: u32, to: &mut Vec<NearDo>) -> u64 {
+    pub fn call(
+        &mut self,
+        now: Tenths,
+        call: Call,
+        due: Tenths,
+        gain: u32,
+        to: &mut Vec<NearDo>,
+    ) -> u64 {
         self.numbers += 1;
         let number = self.numbers;
         let full = self.out.len() >= self.terms.most_out
@@ -288,7 +312,14 @@
         }
         let holds = due.min(now + self.terms.hold);
         self.waiting_bytes += call.size();
-        let out = Out { call: Some(call), way: Way::Waiting, due, sent: None, gain, holds };
+        let out = Out {
+            call: Some(call),
+            way: Way::Waiting,
+            due,
+            sent: None,
+            gain,
+            holds,
+        };
         self.waiting.insert(out.turn(number));
         self.out.insert(number, out);
         self.send_waiting(now, to);
@@ -297,7 +328,9 @@
 
     /// A call is no longer waited for; nothing more is heard of it.
     pub fn withdraw(&mut self, number: u64, to: &mut Vec<NearDo>) {
-        let Some(out) = self.out.remove(&number) else { return };
+        let Some(out) = self.out.remove(&number) else {
+            return;
+        };
         self.waiting.remove(&out.turn(number));
         self.waiting_bytes -= out.call.as_ref().map_or(0, Call::size);
         let Some(sent) = out.sent else { return };
@@ -314,9 +347,16 @@
         self.numbers += 1;
         if self.is_up() && self.probes.len() < self.terms.most_out {
             self.probes.insert(self.numbers);
-            to.push(NearDo::Send(Frame::Probe { number: self.numbers, replica }));
+            to.push(NearDo::Send(Frame::Probe {
+                number: self.numbers,
+                replica,
+            }));
         } else {
-            to.push(NearDo::Probed { number: self.numbers, ending: Ending::Unsent, queue: None });
+            to.push(NearDo::Probed {
+                number: self.numbers,
+                ending: Ending::Unsent,
+                queue: None,
+            });
         }
         self.numbers
     }
@@ -328,7 +368,10 @@
     /// The last byte of a call's frame, by the number in the frame, is written.
     pub fn written(&mut self, sent: u64) {
         let number = self.by_sent.get(&sent);
-        if let Some(out) = number.and_then(|n| self.out.get_mut(n)).filter(|o| o.way == Way::Sending) {
+        if let Some(out) = number
+            .and_then(|n| self.out.get_mut(n))
+            .filter(|o| o.way == Way::Sending)
+        {
             out.way = Way::Written;
         }
     }
@@ -351,9 +394,14 @@
         let wait = wait / 2 + (self.chance.rand_float() * wait as f64) as Tenths;
         self.state = State::Down { again: now + wait };
         self.draining = false;
-        (self.delay.deviation, self.pings) = (self.delay.mean.max(self.delay.deviation), BTreeMap::new());
+        (self.delay.deviation, self.pings) =
+            (self.delay.mean.max(self.delay.deviation), BTreeMap::new());
         for number in std::mem::take(&mut self.probes) {
-            to.push(NearDo::Probed { number, ending: Ending::Broken, queue: None });
+            to.push(NearDo::Probed {
+                number,
+                ending: Ending::Broken,
+                queue: None,
+            });
         }
         let mut gone = Vec::new();
         for (number, out) in &mut self.out {
@@ -376,15 +424,25 @@
 
     /// Time has come on.
     pub fn wake(&mut self, now: Tenths, to: &mut Vec<NearDo>) {
-        if self.lost_since.is_some_and(|since| now >= since + self.terms.keep) {
+        if self
+            .lost_since
+            .is_some_and(|since| now >= since + self.terms.keep)
+        {
             if matches!(self.state, State::Greeting { .. }) {
                 // The hello that is out names the session that is given up.
-                self.break_off(now, "the session has been without a connection for too long".into(), to);
+                self.break_off(
+                    now,
+                    "the session has been without a connection for too long".into(),
+                    to,
+                );
             }
             self.begin_anew(to);
             self.session = self.chance.rand_u64();
         }
-        if self.down_since.is_some_and(|since| now >= since + self.terms.hold) {
+        if self
+            .down_since
+            .is_some_and(|since| now >= since + self.terms.hold)
+        {
             self.say(false, to);
         }
         let late = |n: &u64| self.out.get(n).is_none_or(|out| out.holds <= now);
@@ -412,7 +470,9 @@
                 if self.pings.len() > 16 {
                     self.pings.pop_first();
                 }
-                to.push(NearDo::Send(Frame::Ping { number: self.numbers }));
+                to.push(NearDo::Send(Frame::Ping {
+                    number: self.numbers,
+                }));
             }
             _ => {}
         }
@@ -422,11 +482,22 @@
     pub fn received(&mut self, now: Tenths, frame: Frame, to: &mut Vec<NearDo>) {
         self.heard = now;
         match (self.state, frame) {
-            (State::Greeting { .. }, Frame::Challenge { least, most, nonce, .. }) => {
+            (
+                State::Greeting { .. },
+                Frame::Challenge {
+                    least, most, nonce, ..
+                },
+            ) => {
                 if !(least..=most).contains(&VERSION) {
-                    return self.break_off(now, format!("it speaks {least} to {most}, not {VERSION}"), to);
+                    return self.break_off(
+                        now,
+                        format!("it speaks {least} to {most}, not {VERSION}"),
+                        to,
+                    );
                 }
-                self.nonce.iter_mut().for_each(|b| *b = self.chance.rand_u64() as u8);
+                self.nonce
+                    .iter_mut()
+                    .for_each(|b| *b = self.chance.rand_u64() as u8);
                 self.attempts += 1;
                 let mut hello = Frame::Hello {
                     version: VERSION,
@@ -447,8 +518,18 @@
                 self.welcome(now, since, &welcome, to)
             }
             (_, Frame::Refuse { why }) => self.break_off(now, format!("refused: {why}"), to),
-            (State::Up { .. }, Frame::Outcome { number, ending, queue, value }) => {
-                to.push(NearDo::Send(Frame::Ack { numbers: vec![number] }));
+            (
+                State::Up { .. },
+                Frame::Outcome {
+                    number,
+                    ending,
+                    queue,
+                    value,
+                },
+            ) => {
+                to.push(NearDo::Send(Frame::Ack {
+                    numbers: vec![number],
+                }));
                 // It is of use: what goes wrong next is a new failure.
                 self.failures = 0;
                 if let Some(known) = self.by_sent.get(&number).copied() {
@@ -464,8 +545,17 @@
                     self.delay.add((now - at).max(1));
                 }
             }
-            (State::Up { .. }, Frame::Ping { number }) => to.push(NearDo::Send(Frame::Pong { number })),
-            (State::Up { .. }, Frame::Members { revision, whole, members }) => {
+            (State::Up { .. }, Frame::Ping { number }) => {
+                to.push(NearDo::Send(Frame::Pong { number }))
+            }
+            (
+                State::Up { .. },
+                Frame::Members {
+                    revision,
+                    whole,
+                    members,
+                },
+            ) => {
                 if !whole && revision <= self.revision {
                     return; // Told a second time.
                 }
@@ -476,9 +566,20 @@
                 self.revision = revision;
                 to.push(NearDo::Members { whole, members });
             }
-            (State::Up { .. }, Frame::Probed { number, ending, queue }) => {
+            (
+                State::Up { .. },
+                Frame::Probed {
+                    number,
+                    ending,
+                    queue,
+                },
+            ) => {
                 if self.probes.remove(&number) {
-                    to.push(NearDo::Probed { number, ending, queue });
+                    to.push(NearDo::Probed {
+                        number,
+                        ending,
+                        queue,
+                    });
                 }
             }
             (State::Up { .. }, Frame::Goodbye) => {
@@ -496,8 +597,21 @@
     }
 
     fn welcome(&mut self, now: Tenths, since: Tenths, welcome: &Frame, to: &mut Vec<NearDo>) {
-        let Frame::Welcome { epoch, resumed, received, bytes, proof } = welcome else { return };
-        if self.secrets.proven_by(FAR, &self.nonce, &welcome.said(), proof).is_none() {
+        let Frame::Welcome {
+            epoch,
+            resumed,
+            received,
+            bytes,
+            proof,
+        } = welcome
+        else {
+            return;
+        };
+        if self
+            .secrets
+            .proven_by(FAR, &self.nonce, &welcome.said(), proof)
+            .is_none()
+        {
             return self.break_off(now, "it does not prove that it knows the secret".into(), to);
         }
         let resumed = *resumed && *epoch == self.epoch && *received <= self.last_sent;
@@ -510,13 +624,22 @@
         self.delay.add((now - since).max(1));
         if resumed {
             // What the far side has not got by now it never gets: the old connection is closed there.
-            let never: Vec<u64> = self.by_sent.range(received + 1..).map(|(_, number)| *number).collect();
+            let never: Vec<u64> = self
+                .by_sent
+                .range(received + 1..)
+                .map(|(_, number)| *number)
+                .collect();
             for number in never {
                 self.end(number, Ending::Unsent, None, String::new(), to);
             }
-            self.out.values_mut().filter(|o| o.way == Way::Unsure).for_each(|o| o.way = Way::Written);
+            self.out
+                .values_mut()
+                .filter(|o| o.way == Way::Unsure)
+                .for_each(|o| o.way = Way::Written);
             (self.last_sent, self.sent_bytes) = (*received, *bytes);
-            let given_up = std::mem::take(&mut self.given_up).into_iter().filter(|sent| sent <= received);
+            let given_up = std::mem::take(&mut self.given_up)
+                .into_iter()
+                .filter(|sent| sent <= received);
             to.extend(given_up.map(|number| NearDo::Send(Frame::Withdraw { number })));
         }
         self.say(true, to);
@@ -530,7 +653,11 @@
         let all: Vec<u64> = all.map(|(number, _)| *number).collect();
         for number in all {
             let written = matches!(self.out[&number].way, Way::Written | Way::Unsure);
-            let ending = if written { Ending::Broken } else { Ending::Unsent };
+            let ending = if written {
+                Ending::Broken
+            } else {
+                Ending::Unsent
+            };
             self.end(number, ending, None, String::new(), to);
         }
         (self.epoch, self.lost_since) = (0, None);
@@ -540,12 +667,24 @@
     }
 
     /// The one place where a call ends.
-    fn end(&mut self, number: u64, ending: Ending, queue: Option<f64>, value: String, to: &mut Vec<NearDo>) {
+    fn end(
+        &mut self,
+        number: u64,
+        ending: Ending,
+        queue: Option<f64>,
+        value: String,
+        to: &mut Vec<NearDo>,
+    ) {
         if let Some(out) = self.out.remove(&number) {
             self.waiting.remove(&out.turn(number));
             self.waiting_bytes -= out.call.as_ref().map_or(0, Call::size);
             out.sent.map(|sent| self.by_sent.remove(&sent));
-            to.push(NearDo::Ended { number, ending, queue, value });
+            to.push(NearDo::Ended {
+                number,
+                ending,
+                queue,
+                value,
+            });
         }
     }
 
@@ -575,11 +714,20 @@
             self.waiting.remove(&turn);
             self.by_sent.insert(self.last_sent, number);
             let remaining_ms = (remaining as u64).div_ceil(10).min(u64::from(u32::MAX)) as u32;
-            to.push(NearDo::Send(Frame::Call { number: self.last_sent, remaining_ms, call }));
+            to.push(NearDo::Send(Frame::Call {
+                number: self.last_sent,
+                remaining_ms,
+                call,
+            }));
         }
     }
 }
 
 fn ended(number: u64, ending: Ending) -> NearDo {
-    NearDo::Ended { number, ending, queue: None, value: String::new() }
+    NearDo::Ended {
+        number,
+        ending,
+        queue: None,
+        value: String::new(),
+    }
 }
--- a/crates/linenthread-link/src/routes.rs
+++ b/crates/linenthread-link/src/routes.rs
@@ -50,17 +50,19 @@
 /// What several gateways say of one replica, at its most careful: it drains if one says so, it is as cold as
 /// the coldest word, and of its cold budget the least share counts.
 pub fn most_careful<'m>(said: impl Iterator<Item = &'m Member>) -> Option<Member> {
-    said.filter(|m| m.phase != Phase::Gone).cloned().reduce(|mut one, other| {
-        if other.phase == Phase::Draining {
-            one.phase = Phase::Draining;
-        }
-        one.age_ms = match (one.age_ms, other.age_ms) {
-            (Some(a), Some(b)) => Some(a.min(b)),
-            (a, b) => a.or(b),
-        };
-        one.share = one.share.min(other.share);
-        one
-    })
+    said.filter(|m| m.phase != Phase::Gone)
+        .cloned()
+        .reduce(|mut one, other| {
+            if other.phase == Phase::Draining {
+                one.phase = Phase::Draining;
+            }
+            one.age_ms = match (one.age_ms, other.age_ms) {
+                (Some(a), Some(b)) => Some(a.min(b)),
+                (a, b) => a.or(b),
+            };
+            one.share = one.share.min(other.share);
+            one
+        })
 }
 
 #[cfg(test)]
@@ -69,28 +71,71 @@
 
     #[test]
     fn a_call_takes_the_way_that_is_up_short_and_has_room() {
-        let way = |up, one_way, out| Some(Standing { up, one_way, out, room: 100 });
+        let way = |up, one_way, out| {
+            Some(Standing {
+                up,
+                one_way,
+                out,
+                room: 100,
+            })
+        };
         let take = |ways: &[Option<Standing>], last| {
             let all: Vec<usize> = (0..ways.len()).collect();
             pick(&all, |way| ways[way], last)
         };
         assert_eq!(take(&[way(true, 20, 0), way(true, 100, 0)], None), Some(0));
-        assert_eq!(take(&[way(false, 20, 0), way(true, 100, 0)], Some(0)), Some(1), "down");
-        assert_eq!(take(&[way(true, 20, 100), way(true, 100, 0)], Some(0)), Some(1), "full");
-        assert_eq!(take(&[way(true, 20, 90), way(true, 40, 0)], None), Some(1), "nearly full");
-        assert_eq!(take(&[way(true, 100, 0), way(true, 95, 0)], Some(0)), Some(0), "alike: it stays");
-        assert_eq!(take(&[way(true, 100, 0), way(true, 20, 0)], Some(0)), Some(1), "much better");
+        assert_eq!(
+            take(&[way(false, 20, 0), way(true, 100, 0)], Some(0)),
+            Some(1),
+            "down"
+        );
+        assert_eq!(
+            take(&[way(true, 20, 100), way(true, 100, 0)], Some(0)),
+            Some(1),
+            "full"
+        );
+        assert_eq!(
+            take(&[way(true, 20, 90), way(true, 40, 0)], None),
+            Some(1),
+            "nearly full"
+        );
+        assert_eq!(
+            take(&[way(true, 100, 0), way(true, 95, 0)], Some(0)),
+            Some(0),
+            "alike: it stays"
+        );
+        assert_eq!(
+            take(&[way(true, 100, 0), way(true, 20, 0)], Some(0)),
+            Some(1),
+            "much better"
+        );
         assert_eq!(take(&[way(false, 1, 0), None], Some(0)), None);
     }
 
     #[test]
     fn of_two_words_the_more_careful_counts() {
-        let member =
-            |phase, age_ms, share| Member { id: "s".into(), site: "m".into(), cell: 0, phase, age_ms, share };
-        let (a, b) = (member(Phase::Ready, None, 500), member(Phase::Draining, Some(7), 250));
-        assert_eq!(most_careful([&a, &b].into_iter()), Some(member(Phase::Draining, Some(7), 250)));
+        let member = |phase, age_ms, share| Member {
+            id: "s".into(),
+            site: "m".into(),
+            cell: 0,
+            phase,
+            age_ms,
+            share,
+        };
+        let (a, b) = (
+            member(Phase::Ready, None, 500),
+            member(Phase::Draining, Some(7), 250),
+        );
+        assert_eq!(
+            most_careful([&a, &b].into_iter()),
+            Some(member(Phase::Draining, Some(7), 250))
+        );
         let gone = member(Phase::Gone, None, 0);
-        assert_eq!(most_careful([&gone, &a].into_iter()), Some(a), "a list that is behind");
+        assert_eq!(
+            most_careful([&gone, &a].into_iter()),
+            Some(a),
+            "a list that is behind"
+        );
         assert_eq!(most_careful([&gone].into_iter()), None);
     }
 }
--- a/crates/linenthread-link/tests/ends.rs
+++ b/crates/linenthread-link/tests/ends.rs
@@ -1,7 +1,9 @@
 //! Both ends joined without a socket: each edge of the greeting, of credit and of leaving.
 
 use linenthread_core::interface::{Ending, Phase, Tenths};
-use linenthread_link::{Call, Far, FarDo, FarTerms, Frame, Member, Near, NearDo, NearTerms, Secrets};
+use linenthread_link::{
+    Call, Far, FarDo, FarTerms, Frame, Member, Near, NearDo, NearTerms, Secrets,
+};
 
 const OLD: &[u8] = b"the secret that was used";
 const NEW: &[u8] = b"the secret that is used now";
@@ -37,7 +39,13 @@
 }
 
 fn call(text: &str) -> Call {
-    Call { replica: "r".into(), lookup: "l".into(), shard: 0, round: 0, text: text.into() }
+    Call {
+        replica: "r".into(),
+        lookup: "l".into(),
+        shard: 0,
+        round: 0,
+        text: text.into(),
+    }
 }
 
 /// Two ends and what became of them.
@@ -91,7 +99,10 @@
                 NearDo::Ended { number, ending, .. } => self.ended.push((number, ending)),
                 NearDo::Up(up) => self.up.push(up),
                 NearDo::Members { whole, members } => {
-                    self.lists.push((whole, members.into_iter().map(|m| (m.id, m.phase)).collect()));
+                    self.lists.push((
+                        whole,
+                        members.into_iter().map(|m| (m.id, m.phase)).collect(),
+                    ));
                 }
                 NearDo::Probed { .. } => {}
             }
@@ -108,7 +119,12 @@
                     self.near.received(self.now, frame, &mut to);
                     self.near_does(to);
                 }
-                FarDo::Start { session, number, call, .. } => self.started.push((session, number, call.text)),
+                FarDo::Start {
+                    session,
+                    number,
+                    call,
+                    ..
+                } => self.started.push((session, number, call.text)),
                 FarDo::Close { why, .. } => self.closed.push(why),
                 _ => {}
             }
@@ -123,7 +139,9 @@
 
     fn call(&mut self, text: &str, gain: u32) -> u64 {
         let mut to = Vec::new();
-        let number = self.near.call(self.now, call(text), self.now + 10_000, gain, &mut to);
+        let number = self
+            .near
+            .call(self.now, call(text), self.now + 10_000, gain, &mut to);
         self.near_does(to);
         number
     }
@@ -153,7 +171,12 @@
     ] {
         let mut pair = Pair::new(near(near_knows), far(far_knows, 4));
         pair.wake();
-        assert_eq!(pair.near.is_up(), gets_in, "{near_knows:?} {far_knows:?}: {:?}", pair.closed);
+        assert_eq!(
+            pair.near.is_up(),
+            gets_in,
+            "{near_knows:?} {far_knows:?}: {:?}",
+            pair.closed
+        );
     }
     assert!(Secrets::new(vec![b"too short".to_vec()]).is_err());
 }
@@ -168,9 +191,34 @@
     pair.at_far(|far, now, c, to| far.accepted(now, c, to));
     let mut to = Vec::new();
     pair.far.received(pair.now, 77, hello.clone(), &mut to);
-    assert!(matches!(&to[1], FarDo::Close { why, .. } if why.contains("does not prove")), "{to:?}");
-    let Frame::Hello { name, nonce, session, attempt, epoch, proof, .. } = hello else { panic!("a hello") };
-    for first in [Frame::Hello { version: 9, name, nonce, session, attempt, epoch, proof }, Frame::Goodbye] {
+    assert!(
+        matches!(&to[1], FarDo::Close { why, .. } if why.contains("does not prove")),
+        "{to:?}"
+    );
+    let Frame::Hello {
+        name,
+        nonce,
+        session,
+        attempt,
+        epoch,
+        proof,
+        ..
+    } = hello
+    else {
+        panic!("a hello")
+    };
+    for first in [
+        Frame::Hello {
+            version: 9,
+            name,
+            nonce,
+            session,
+            attempt,
+            epoch,
+            proof,
+        },
+        Frame::Goodbye,
+    ] {
         let mut to = Vec::new();
         pair.far.accepted(pair.now, 78, &mut to);
         pair.far.received(pair.now, 78, first, &mut to);
@@ -181,8 +229,20 @@
     shy.wake(0, &mut to);
     shy.connected(0);
     to.clear();
-    shy.received(0, Frame::Challenge { least: 2, most: 3, nonce: [0; 16], name: "f".into() }, &mut to);
-    assert!(matches!(&to[0], NearDo::Close(why) if why.contains("2 to 3")), "{to:?}");
+    shy.received(
+        0,
+        Frame::Challenge {
+            least: 2,
+            most: 3,
+            nonce: [0; 16],
+            name: "f".into(),
+        },
+        &mut to,
+    );
+    assert!(
+        matches!(&to[0], NearDo::Close(why) if why.contains("2 to 3")),
+        "{to:?}"
+    );
 }
 
 #[test]
@@ -200,15 +260,24 @@
     assert_eq!(texts(&pair), "abde");
     pair.now += 500;
     pair.wake();
-    let ended =
-        [(numbers[0], Ending::Answered), (numbers[1], Ending::TurnedAway), (numbers[2], Ending::Unsent)];
+    let ended = [
+        (numbers[0], Ending::Answered),
+        (numbers[1], Ending::TurnedAway),
+        (numbers[2], Ending::Unsent),
+    ];
     assert_eq!(pair.ended, ended);
     // Bytes are held to a bound as well as calls.
     let long = "x".repeat(6_000);
     for _ in 0..2 {
         pair.call(&long, 1);
     }
-    assert_eq!((pair.ended.len(), pair.near.out()), (4, 3), "{:?} {:?}", pair.ended, pair.closed);
+    assert_eq!(
+        (pair.ended.len(), pair.near.out()),
+        (4, 3),
+        "{:?} {:?}",
+        pair.ended,
+        pair.closed
+    );
     assert_eq!(pair.ended[3].1, Ending::Unsent);
 }
 
@@ -222,7 +291,10 @@
     pair.now += 100;
     pair.wake();
     assert_eq!((pair.up.as_slice(), pair.ended.len()), (&[true][..], 0));
-    assert_eq!(pair.started[1].2, "b", "it went with the link that came back");
+    assert_eq!(
+        pair.started[1].2, "b",
+        "it went with the link that came back"
+    );
     pair.end(0, Ending::Answered);
     pair.end(1, Ending::Answered);
     assert_eq!(pair.ended[1], (waits, Ending::Answered));
@@ -254,10 +326,22 @@
     assert_eq!(pair.ended, [(late, Ending::Unsent)]);
     assert_eq!(pair.far.held(), 1);
     pair.end(0, Ending::Answered);
-    assert_eq!((pair.ended[1], pair.far.held()), ((runs, Ending::Answered), 0));
+    assert_eq!(
+        (pair.ended[1], pair.far.held()),
+        ((runs, Ending::Answered), 0)
+    );
     // One that was on its way when it said so is turned away unseen.
     pair.at_far(|far, now, c, to| {
-        far.received(now, c, Frame::Call { number: 2, remaining_ms: 9, call: call("c") }, to);
+        far.received(
+            now,
+            c,
+            Frame::Call {
+                number: 2,
+                remaining_ms: 9,
+                call: call("c"),
+            },
+            to,
+        );
     });
     assert_eq!(pair.started.len(), 1);
 }
@@ -265,10 +349,26 @@
 #[test]
 fn what_is_out_of_turn_ends_the_connection_and_nothing_else() {
     let bad = [
-        Frame::Call { number: 3, remaining_ms: 9, call: call("x") },
-        Frame::Call { number: 2, remaining_ms: 9, call: call(&"x".repeat(20_000)) },
-        Frame::Credit { number: 1, bytes: 1 },
-        Frame::Challenge { least: 1, most: 1, nonce: [0; 16], name: "n".into() },
+        Frame::Call {
+            number: 3,
+            remaining_ms: 9,
+            call: call("x"),
+        },
+        Frame::Call {
+            number: 2,
+            remaining_ms: 9,
+            call: call(&"x".repeat(20_000)),
+        },
+        Frame::Credit {
+            number: 1,
+            bytes: 1,
+        },
+        Frame::Challenge {
+            least: 1,
+            most: 1,
+            nonce: [0; 16],
+            name: "n".into(),
+        },
     ];
     for frame in bad {
         let mut pair = Pair::new(near(&[NEW]), far(&[NEW], 4));
@@ -280,7 +380,12 @@
         pair.now += 150;
         pair.wake();
         pair.end(0, Ending::Answered);
-        assert_eq!(pair.ended, [(number, Ending::Answered)], "{frame:?}: {:?}", pair.closed);
+        assert_eq!(
+            pair.ended,
+            [(number, Ending::Answered)],
+            "{frame:?}: {:?}",
+            pair.closed
+        );
     }
 }
 
@@ -299,17 +404,32 @@
     pair.at_far(|far, _, _, to| far.members(vec![member("a", ready), member("b", ready)], to));
     pair.wake();
     pair.at_far(|far, _, _, to| far.members(vec![member("a", draining), member("c", ready)], to));
-    let said = |of: &[(&str, Phase)]| of.iter().map(|(id, p)| (id.to_string(), *p)).collect::<Vec<_>>();
+    let said = |of: &[(&str, Phase)]| {
+        of.iter()
+            .map(|(id, p)| (id.to_string(), *p))
+            .collect::<Vec<_>>()
+    };
     let whole = (true, said(&[("a", ready), ("b", ready)]));
     let changes = (false, said(&[("a", draining), ("c", ready), ("b", gone)]));
     assert_eq!(pair.lists, [whole, changes]);
     // A change that does not follow on what is known ends the connection: the whole list comes with the next.
     let mut to = Vec::new();
-    pair.near.received(pair.now, Frame::Members { revision: 9, whole: false, members: Vec::new() }, &mut to);
+    pair.near.received(
+        pair.now,
+        Frame::Members {
+            revision: 9,
+            whole: false,
+            members: Vec::new(),
+        },
+        &mut to,
+    );
     pair.near_does(to);
     assert!(!pair.near.is_up());
     pair.far.lost(pair.now, pair.connection);
     pair.now += 150;
     pair.wake();
-    assert_eq!(pair.lists[2], (true, said(&[("a", draining), ("c", ready)])));
+    assert_eq!(
+        pair.lists[2],
+        (true, said(&[("a", draining), ("c", ready)]))
+    );
 }
--- a/crates/linenthread-merge/src/decimal.rs
+++ b/crates/linenthread-merge/src/decimal.rs
@@ -25,7 +25,9 @@
     }
     let kept = fraction.trim_end_matches('0');
     if kept.len() > scale as usize {
-        return Err(format!("{text:.40?} has more than {scale} digits after the point"));
+        return Err(format!(
+            "{text:.40?} has more than {scale} digits after the point"
+        ));
     }
     if whole.trim_start_matches('0').len() + scale as usize > MOST_DIGITS {
         return Err(format!("{text:.40?} has too many digits"));
@@ -40,10 +42,18 @@
 
 /// Writes it with all digits of its scale.
 pub fn format(units: i128, scale: u32) -> String {
-    let digits = format!("{:0>width$}", units.unsigned_abs(), width = scale as usize + 1);
+    let digits = format!(
+        "{:0>width$}",
+        units.unsigned_abs(),
+        width = scale as usize + 1
+    );
     let (whole, fraction) = digits.split_at(digits.len() - scale as usize);
     let sign = if units < 0 { "-" } else { "" };
-    if fraction.is_empty() { format!("{sign}{whole}") } else { format!("{sign}{whole}.{fraction}") }
+    if fraction.is_empty() {
+        format!("{sign}{whole}")
+    } else {
+        format!("{sign}{whole}.{fraction}")
+    }
 }
 
 /// A quotient rounded to whole units, halves to the even one.
@@ -77,7 +87,19 @@
         ] {
             assert_eq!(parse(text, scale), Ok(units), "{text}");
         }
-        for text in ["", "-", ".5", "1.", "1e3", "+1", " 1", "1,5", "0x1", "1.005", &"9".repeat(29)] {
+        for text in [
+            "",
+            "-",
+            ".5",
+            "1.",
+            "1e3",
+            "+1",
+            " 1",
+            "1,5",
+            "0x1",
+            "1.005",
+            &"9".repeat(29),
+        ] {
             assert!(parse(text, 2).is_err(), "{text}");
         }
         assert_eq!(
--- a/crates/linenthread-merge/src/mark.rs
+++ b/crates/linenthread-merge/src/mark.rs
@@ -42,7 +42,12 @@
 
 impl std::fmt::Debug for Marks {
     fn fmt(&self, f: &mut std::fmt::Formatter) -> std::fmt::Result {
-        write!(f, "Marks {{ secrets: {}, life: {} }}", self.secrets.len(), self.life)
+        write!(
+            f,
+            "Marks {{ secrets: {}, life: {} }}",
+            self.secrets.len(),
+            self.life
+        )
     }
 }
 
@@ -101,7 +106,9 @@
             let at = place.as_ref().and_then(|p| known.binary_search(&p).ok());
             bytes.push(at.map_or(0, |at| at as u8 + 1));
         }
-        let signature = Self::signature(&self.secrets[0], &bytes)?.finalize().into_bytes();
+        let signature = Self::signature(&self.secrets[0], &bytes)?
+            .finalize()
+            .into_bytes();
         bytes.extend(&signature[..SIGNATURE]);
         let mark = BASE64.encode(bytes);
         (mark.len() <= LONGEST).then_some(mark)
@@ -124,16 +131,22 @@
             return Err(UNKNOWN.into());
         }
         let bytes = BASE64.decode(mark).map_err(|_| UNKNOWN)?;
-        let (said, signature) = bytes.split_at_checked(bytes.len().wrapping_sub(SIGNATURE)).ok_or(UNKNOWN)?;
+        let (said, signature) = bytes
+            .split_at_checked(bytes.len().wrapping_sub(SIGNATURE))
+            .ok_or(UNKNOWN)?;
         let signed = |secret: &Vec<u8>| {
-            Self::signature(secret, said).is_some_and(|mac| mac.verify_truncated_left(signature).is_ok())
+            Self::signature(secret, said)
+                .is_some_and(|mac| mac.verify_truncated_left(signature).is_ok())
         };
         if !self.secrets.iter().any(signed) {
             return Err(UNKNOWN.into());
         }
         let (head, mut rest) = said.split_at_checked(HEAD).ok_or(UNKNOWN)?;
         if head[0] != VERSION {
-            return Err(format!("the page mark has version {}, and {VERSION} is known", head[0]));
+            return Err(format!(
+                "the page mark has version {}, and {VERSION} is known",
+                head[0]
+            ));
         }
         let made = u64::from_be_bytes(head[1..9].try_into().map_err(|_| UNKNOWN)?);
         if made > now + CLOCKS_DIFFER || now > made.saturating_add(self.life) {
@@ -163,7 +176,11 @@
         }
         let place = |at: &u8| match at.checked_sub(1) {
             None => Ok(None),
-            Some(at) => places.get(usize::from(at)).cloned().map(Some).ok_or(UNKNOWN.to_owned()),
+            Some(at) => places
+                .get(usize::from(at))
+                .cloned()
+                .map(Some)
+                .ok_or(UNKNOWN.to_owned()),
         };
         of_slices.iter().map(place).collect()
     }
--- a/crates/linenthread-merge/src/merge.rs
+++ b/crates/linenthread-merge/src/merge.rs
@@ -133,7 +133,10 @@
             return Err(format!("more than {MOST_SLICES} shards are asked"));
         }
         let order = by_shard(asked.slices);
-        let layout: Vec<u8> = order.iter().flat_map(|&s| (asked.slices[s].0 as u64).to_be_bytes()).collect();
+        let layout: Vec<u8> = order
+            .iter()
+            .flat_map(|&s| (asked.slices[s].0 as u64).to_be_bytes())
+            .collect();
         let text = |t: Option<&str>| t.map_or_else(Vec::new, |t| [b"+", t.as_bytes()].concat());
         let belongs = Belongs {
             lookup: mark::hash(&[
@@ -149,7 +152,10 @@
             Form::Rows(rows) => {
                 let limit = wish.rows.unwrap_or(rows.page);
                 if limit == 0 || limit > rows.most {
-                    return Err(format!("a page of {} has from 1 to {} rows", plan.index, rows.most));
+                    return Err(format!(
+                        "a page of {} has from 1 to {} rows",
+                        plan.index, rows.most
+                    ));
                 }
                 let mut places = vec![None; order.len()];
                 match (&wish.mark, marks.filter(|_| rows.pages)) {
@@ -157,15 +163,24 @@
                     (Some(_), None) => return Err(format!("{} has no further pages", plan.index)),
                     (Some(mark), Some(marks)) => {
                         let read = marks.read(mark, &belongs, order.len(), now)?;
-                        order.iter().zip(read).for_each(|(&s, place)| places[s] = place);
+                        order
+                            .iter()
+                            .zip(read)
+                            .for_each(|(&s, place)| places[s] = place);
                     }
                 }
-                if places.iter().flatten().any(|place| rows.values(place).is_none()) {
+                if places
+                    .iter()
+                    .flatten()
+                    .any(|place| rows.values(place).is_none())
+                {
                     return Err("the page mark has a place that is none".into());
                 }
                 (Gathered::Rows(Ranked::new(rows, limit, places)), limit)
             }
-            _ if *wish != PageWish::default() => return Err(format!("{} has no pages", plan.index)),
+            _ if *wish != PageWish::default() => {
+                return Err(format!("{} has no pages", plan.index));
+            }
             Form::Totals(measures) => (Gathered::Totals(totals::none(measures)), 0),
             Form::Groups(groups) => (Gathered::Groups(Grouped::new(groups)), 0),
         };
@@ -209,7 +224,9 @@
         if let Some((last, hash)) = known.taken
             && round <= last
         {
-            return Taken::Again { differs: round == last && hash != hash_of(value) };
+            return Taken::Again {
+                differs: round == last && hash != hash_of(value),
+            };
         }
         if round != known.round {
             return Taken::Again { differs: false };
@@ -221,7 +238,9 @@
             (Gathered::Groups(all), Form::Groups(plan)) => {
                 Grouped::read(value, plan).map(|groups| all.take(groups, plan))
             }
-            (Gathered::Rows(page), _) => page.read(slice, value).map(|batch| page.take(slice, batch)),
+            (Gathered::Rows(page), _) => {
+                page.read(slice, value).map(|batch| page.take(slice, batch))
+            }
             _ => Err("no such form".into()),
         };
         match read {
@@ -248,8 +267,14 @@
     /// Slices that must be asked once more before the page can be whole, each named once a round. There are
     /// none before all are in: what is still to come may fill the page.
     pub fn onward(&mut self) -> Vec<usize> {
-        let Gathered::Rows(page) = &self.gathered else { return Vec::new() };
-        if !self.slices.iter().all(|s| s.taken.is_some_and(|(round, _)| round == s.round)) {
+        let Gathered::Rows(page) = &self.gathered else {
+            return Vec::new();
+        };
+        if !self
+            .slices
+            .iter()
+            .all(|s| s.taken.is_some_and(|(round, _)| round == s.round))
+        {
             return Vec::new();
         }
         let behind = page.behind();
@@ -281,7 +306,9 @@
             (Gathered::Totals(all), Form::Totals(measures)) => {
                 body.insert("totals".into(), totals::tell(all, measures, lacks));
             }
-            (Gathered::Groups(all), Form::Groups(plan)) => body.extend(all.tell(plan, lacks, MOST_BYTES)),
+            (Gathered::Groups(all), Form::Groups(plan)) => {
+                body.extend(all.tell(plan, lacks, MOST_BYTES))
+            }
             (Gathered::Rows(page), Form::Rows(rows)) => {
                 let marks = marks.filter(|_| rows.pages);
                 return self.tell_rows(body, page, lacks, marks, now);
@@ -293,7 +320,12 @@
 
     fn tell_slices(&self) -> Value {
         let shards = |of: &dyn Fn(&Slice) -> bool| -> Vec<usize> {
-            let mut shards: Vec<usize> = self.slices.iter().filter(|s| of(s)).map(|s| s.shard).collect();
+            let mut shards: Vec<usize> = self
+                .slices
+                .iter()
+                .filter(|s| of(s))
+                .map(|s| s.shard)
+                .collect();
             shards.sort_unstable();
             shards
         };
@@ -309,7 +341,11 @@
             }
         }
         // Rounded down, so that no share is told that is not in.
-        let share = if missing.is_empty() { 1.0 } else { (is_in / all * 1e4).floor() / 1e4 };
+        let share = if missing.is_empty() {
+            1.0
+        } else {
+            (is_in / all * 1e4).floor() / 1e4
+        };
         json!({"in": shards(&|s| self.is_in(s)), "missing": missing, "share": share})
     }
 
@@ -334,7 +370,10 @@
         let mut next = Value::Null;
         if let (true, Some(marks)) = (goes_on, marks) {
             let slices: Vec<_> = self.slices.iter().map(|s| (s.shard, s.weight)).collect();
-            let places: Vec<_> = by_shard(&slices).into_iter().map(|s| shown.places[s].clone()).collect();
+            let places: Vec<_> = by_shard(&slices)
+                .into_iter()
+                .map(|s| shown.places[s].clone())
+                .collect();
             match marks.make(&self.belongs, &places, now) {
                 Some(mark) => next = mark.into(),
                 None => drop(cut.insert("mark".into(), json!("too long"))),
@@ -342,14 +381,25 @@
         }
         body.insert("goes_on".into(), json!(goes_on));
         body.insert("next".into(), next);
-        body.insert("cut".into(), if cut.is_empty() { Value::Null } else { cut.into() });
+        body.insert(
+            "cut".into(),
+            if cut.is_empty() {
+                Value::Null
+            } else {
+                cut.into()
+            },
+        );
         #[derive(serde::Serialize)]
         struct Page<'r> {
             #[serde(flatten)]
             body: Map<String, Value>,
             rows: Vec<&'r RawValue>,
         }
-        let rows = shown.rows.iter().filter_map(|row| serde_json::from_str(row).ok()).collect();
+        let rows = shown
+            .rows
+            .iter()
+            .filter_map(|row| serde_json::from_str(row).ok())
+            .collect();
         serde_json::to_vec(&Page { body, rows }).unwrap_or_default()
     }
 }
--- a/crates/linenthread-merge/src/place.rs
+++ b/crates/linenthread-merge/src/place.rs
@@ -81,7 +81,11 @@
         let mut found = vec![None; self.wanted.len()];
         while let Some(key) = map.next_key::<Cow<'de, str>>()? {
             let mut raw = None;
-            for (slot, _) in found.iter_mut().zip(self.wanted).filter(|(_, w)| **w == key) {
+            for (slot, _) in found
+                .iter_mut()
+                .zip(self.wanted)
+                .filter(|(_, w)| **w == key)
+            {
                 if slot.is_some() {
                     return Err(serde::de::Error::custom("a field stands twice in a row"));
                 }
@@ -106,7 +110,9 @@
         wanted.push(&self.identity);
         wanted.extend(self.distinct.as_deref());
         let mut json = serde_json::Deserializer::from_str(row);
-        let found = json.deserialize_map(Fields { wanted: &wanted }).map_err(|e| format!("a row: {e}"))?;
+        let found = json
+            .deserialize_map(Fields { wanted: &wanted })
+            .map_err(|e| format!("a row: {e}"))?;
         let mut place = Vec::with_capacity(64);
         // Of an order field the value counts, not how it is written.
         let mut distinct = None;
@@ -117,7 +123,9 @@
             place.push(if value.is_some() { HERE } else { ABSENT });
             match (value, order.kind) {
                 (None, _) => {}
-                (Some(text), Kind::Text) if is_text => put_text(&mut place, &text, order.descending),
+                (Some(text), Kind::Text) if is_text => {
+                    put_text(&mut place, &text, order.descending)
+                }
                 (Some(_), Kind::Text) => return Err(format!("{} is not a text", order.field)),
                 (Some(text), Kind::Decimal(scale)) => {
                     put_number(&mut place, decimal::parse(&text, scale)?, order.descending);
@@ -127,13 +135,30 @@
                 distinct = Some(place[begin..].into());
             }
         }
-        let of = |at: usize| found.get(at).copied().flatten().map(scalar).transpose().map(Option::flatten);
-        let identity = of(self.order.len())?.ok_or_else(|| format!("a row lacks {}", self.identity))?;
+        let of = |at: usize| {
+            found
+                .get(at)
+                .copied()
+                .flatten()
+                .map(scalar)
+                .transpose()
+                .map(Option::flatten)
+        };
+        let identity =
+            of(self.order.len())?.ok_or_else(|| format!("a row lacks {}", self.identity))?;
         put_text(&mut place, &identity, false);
-        if distinct.is_none() && !self.order.iter().any(|o| self.distinct.as_ref() == Some(&o.field)) {
+        if distinct.is_none()
+            && !self
+                .order
+                .iter()
+                .any(|o| self.distinct.as_ref() == Some(&o.field))
+        {
             distinct = of(self.order.len() + 1)?.map(|value| value.as_bytes().into());
         }
-        Ok(Known { place: Place(place.into()), distinct })
+        Ok(Known {
+            place: Place(place.into()),
+            distinct,
+        })
     }
 
     /// A place's values, for a slice to go on from: one a field of the order, then the identity.
@@ -198,32 +223,71 @@
     use crate::plan::Order;
 
     fn rows(kind: Kind, descending: bool) -> Rows {
-        let order = vec![Order { field: "f".into(), kind, descending }];
-        Rows { order, identity: "id".into(), distinct: None, page: 10, most: 10, pages: true }
+        let order = vec![Order {
+            field: "f".into(),
+            kind,
+            descending,
+        }];
+        Rows {
+            order,
+            identity: "id".into(),
+            distinct: None,
+            page: 10,
+            most: 10,
+            pages: true,
+        }
     }
 
     #[test]
     fn places_sort_as_their_values_and_give_them_back() {
-        let texts = ["", "\u{0}", "\u{0}\u{0}", "\u{0}a", "a", "a\u{0}", "aa", "b", "é", "\u{10ffff}"];
-        let numbers = ["-100", "-2.5", "-0.01", "0", "0.01", "2", "10", "99999999999999999999"];
+        let texts = [
+            "",
+            "\u{0}",
+            "\u{0}\u{0}",
+            "\u{0}a",
+            "a",
+            "a\u{0}",
+            "aa",
+            "b",
+            "é",
+            "\u{10ffff}",
+        ];
+        let numbers = [
+            "-100",
+            "-2.5",
+            "-0.01",
+            "0",
+            "0.01",
+            "2",
+            "10",
+            "99999999999999999999",
+        ];
         for (kind, values) in [(Kind::Text, &texts[..]), (Kind::Decimal(2), &numbers[..])] {
             for descending in [false, true] {
                 let rows = rows(kind, descending);
                 let place = |v: &str| {
-                    rows.read(&serde_json::json!({"id": "x", "f": v, "more": [1, {"f": 2}]}).to_string())
-                        .unwrap()
-                        .place
+                    rows.read(
+                        &serde_json::json!({"id": "x", "f": v, "more": [1, {"f": 2}]}).to_string(),
+                    )
+                    .unwrap()
+                    .place
                 };
                 let mut places: Vec<_> = values.iter().map(|v| place(v)).collect();
                 if descending {
                     places.reverse();
                 }
-                assert!(places.is_sorted() && places.windows(2).all(|w| w[0] != w[1]), "{kind:?}");
+                assert!(
+                    places.is_sorted() && places.windows(2).all(|w| w[0] != w[1]),
+                    "{kind:?}"
+                );
                 let absent = rows.read(r#"{"id":"x"}"#).unwrap().place;
                 assert!(places.iter().all(|p| *p < absent), "absent comes last");
                 assert_eq!(rows.values(&absent), Some(vec![Value::Null, "x".into()]));
                 for value in values {
-                    let back = rows.values(&place(value)).unwrap()[0].as_str().unwrap().to_owned();
+                    let back = rows.values(&place(value)).unwrap()[0]
+                        .as_str()
+                        .unwrap()
+                        .to_owned();
                     match kind {
                         Kind::Text => assert_eq!(back, **value),
                         Kind::Decimal(scale) => {
@@ -238,8 +302,13 @@
     #[test]
     fn rows_without_their_fields_are_not_read() {
         let rows = rows(Kind::Text, false);
-        for bad in [r#"{"f":"a"}"#, r#"{"id":"a","f":3}"#, r#"{"id":"a","id":"b"}"#, r#"{"id":["a"]}"#, "[]"]
-        {
+        for bad in [
+            r#"{"f":"a"}"#,
+            r#"{"id":"a","f":3}"#,
+            r#"{"id":"a","id":"b"}"#,
+            r#"{"id":["a"]}"#,
+            "[]",
+        ] {
             assert!(rows.read(bad).is_err(), "{bad}");
         }
         let long = format!(r#"{{"id":"{}"}}"#, "x".repeat(300));
--- a/crates/linenthread-merge/src/ranked.rs
+++ b/crates/linenthread-merge/src/ranked.rs
@@ -68,7 +68,11 @@
 impl<'p> Ranked<'p> {
     /// A page of at most so many rows, with each slice read from a place on.
     pub fn new(plan: &'p Rows, limit: usize, from: Vec<Option<Place>>) -> Self {
-        let reach = |from: Option<Place>| Reach { frontier: from.clone(), from, ..Reach::default() };
+        let reach = |from: Option<Place>| Reach {
+            frontier: from.clone(),
+            from,
+            ..Reach::default()
+        };
         Ranked {
             plan,
             limit: limit.max(1),
@@ -89,7 +93,11 @@
     }
 
     fn is_beyond(&self, place: &Place) -> bool {
-        self.rows.len() >= self.limit && self.rows.last_key_value().is_some_and(|(last, _)| place > last)
+        self.rows.len() >= self.limit
+            && self
+                .rows
+                .last_key_value()
+                .is_some_and(|(last, _)| place > last)
     }
 
     /// Reads a slice's value `{"rows":[...],"more":...}`; nothing of it counts before [`Ranked::take`].
@@ -100,7 +108,10 @@
     /// the place that was asked for.
     pub fn read(&self, slice: usize, value: &str) -> Result<Batch, String> {
         let mut json = serde_json::Deserializer::from_str(value);
-        let reader = Reader { ranked: self, last: self.frontier(slice).cloned() };
+        let reader = Reader {
+            ranked: self,
+            last: self.frontier(slice).cloned(),
+        };
         let batch = json.deserialize_map(reader).map_err(|e| e.to_string())?;
         json.end().map_err(|e| e.to_string())?;
         match batch.more && batch.rows.is_empty() && !batch.trimmed {
@@ -127,7 +138,14 @@
                 };
                 self.by_value.insert(value.clone(), place.clone());
             }
-            self.rows.insert(place, Kept { slice, text, distinct });
+            self.rows.insert(
+                place,
+                Kept {
+                    slice,
+                    text,
+                    distinct,
+                },
+            );
             if self.rows.len() > self.limit
                 && let Some((_, last)) = self.rows.pop_last()
             {
@@ -142,7 +160,10 @@
 
     /// Its value of the distinct field was shown on the page before, as the last one there.
     fn is_seen(&self, slice: usize, place: &Place) -> bool {
-        let from = self.slices[slice].from.as_ref().filter(|_| self.plan.distinct.is_some());
+        let from = self.slices[slice]
+            .from
+            .as_ref()
+            .filter(|_| self.plan.distinct.is_some());
         let value = from.and_then(|from| self.plan.first_field(from));
         value.is_some_and(|value| self.plan.first_field(place) == Some(value))
     }
@@ -154,7 +175,9 @@
             let frontier = s.frontier.as_ref();
             unknown(s) && frontier.is_none_or(|f| self.rows.range(..=f).count() < self.limit)
         };
-        (0..self.slices.len()).filter(|&s| holds_back(&self.slices[s])).collect()
+        (0..self.slices.len())
+            .filter(|&s| holds_back(&self.slices[s]))
+            .collect()
     }
 
     /// The page as far as it is known, within so many bytes.
@@ -162,7 +185,11 @@
         let behind = self.behind();
         let bound = behind.iter().filter_map(|&s| self.frontier(s)).min();
         let (mut rows, mut left, mut last, mut full) = (Vec::new(), bytes, None, false);
-        for (place, kept) in self.rows.iter().take_while(|(p, _)| bound.is_none_or(|b| *p <= b)) {
+        for (place, kept) in self
+            .rows
+            .iter()
+            .take_while(|(p, _)| bound.is_none_or(|b| *p <= b))
+        {
             full = kept.text.len() + 1 > left && !rows.is_empty();
             if full {
                 break;
@@ -171,12 +198,24 @@
             rows.push(&*kept.text);
             last = Some(place);
         }
-        let on = |s: &Reach| if s.is_in { s.from.as_ref().max(last).cloned() } else { s.from.clone() };
-        let goes_on =
-            rows.len() < self.rows.len() || self.slices.iter().any(|s| s.is_in && (s.more || s.trimmed));
+        let on = |s: &Reach| {
+            if s.is_in {
+                s.from.as_ref().max(last).cloned()
+            } else {
+                s.from.clone()
+            }
+        };
+        let goes_on = rows.len() < self.rows.len()
+            || self.slices.iter().any(|s| s.is_in && (s.more || s.trimmed));
         // A page that is full of bytes is not held back by anybody.
         let behind = if full { Vec::new() } else { behind };
-        Shown { behind, full_of_bytes: full, places: self.slices.iter().map(on).collect(), goes_on, rows }
+        Shown {
+            behind,
+            full_of_bytes: full,
+            places: self.slices.iter().map(on).collect(),
+            goes_on,
+            rows,
+        }
     }
 }
 
@@ -199,7 +238,10 @@
         while let Some(key) = map.next_key::<std::borrow::Cow<'de, str>>()? {
             match &*key {
                 "rows" if rows.is_none() => {
-                    rows = Some(map.next_value_seed(RowsOf { ranked: self.ranked, last: last.clone() })?);
+                    rows = Some(map.next_value_seed(RowsOf {
+                        ranked: self.ranked,
+                        last: last.clone(),
+                    })?);
                 }
                 "more" if more.is_none() => more = Some(map.next_value::<bool>()?),
                 "rows" | "more" => return Err(Error::custom(format!("{key} stands twice"))),
@@ -207,7 +249,11 @@
             }
         }
         let (rows, trimmed) = rows.ok_or_else(|| Error::missing_field("rows"))?;
-        Ok(Batch { rows, more: more.ok_or_else(|| Error::missing_field("more"))?, trimmed })
+        Ok(Batch {
+            rows,
+            more: more.ok_or_else(|| Error::missing_field("more"))?,
+            trimmed,
+        })
     }
 }
 
@@ -238,10 +284,14 @@
         while let Some(row) = list.next_element::<&RawValue>()? {
             let known = self.ranked.plan.read(row.get()).map_err(Error::custom)?;
             if row.get().len() > LONGEST_ROW {
-                return Err(Error::custom(format!("a row has more than {LONGEST_ROW} bytes")));
+                return Err(Error::custom(format!(
+                    "a row has more than {LONGEST_ROW} bytes"
+                )));
             }
             if self.last.as_ref().is_some_and(|last| known.place <= *last) {
-                return Err(Error::custom("its rows are not in order, or before what was asked for"));
+                return Err(Error::custom(
+                    "its rows are not in order, or before what was asked for",
+                ));
             }
             if rows.len() >= self.ranked.limit || self.ranked.is_beyond(&known.place) {
                 while list.next_element::<IgnoredAny>()?.is_some() {}
--- a/crates/linenthread-merge/src/totals.rs
+++ b/crates/linenthread-merge/src/totals.rs
@@ -47,7 +47,8 @@
             };
             decimal::parse(&text, measure.scale)
         };
-        let there = |raw: Option<&RawValue>| raw.filter(|r| r.get() != "null").map(number).transpose();
+        let there =
+            |raw: Option<&RawValue>| raw.filter(|r| r.get() != "null").map(number).transpose();
         let (sum, span) = (number(said.sum)?, there(said.least)?.zip(there(said.most)?));
         let is_true = match span {
             None => said.count == 0 && sum == 0,
@@ -60,12 +61,23 @@
             }
         };
         if !is_true {
-            return Err(format!("the totals of {} cannot be true together", measure.field));
+            return Err(format!(
+                "the totals of {} cannot be true together",
+                measure.field
+            ));
         }
         if measure.never_negative && span.is_some_and(|(least, _)| least < 0) {
-            return Err(format!("{} has a value below 0, and is said never to have one", measure.field));
+            return Err(format!(
+                "{} has a value below 0, and is said never to have one",
+                measure.field
+            ));
         }
-        Ok(Total { count: said.count, sum, span, overflown: false })
+        Ok(Total {
+            count: said.count,
+            sum,
+            span,
+            overflown: false,
+        })
     }
 
     /// The figures asked for, each with how it may be off where parts are missing.
@@ -137,8 +149,9 @@
 
 fn of_measures(said: &HashMap<Cow<str>, Said>, measures: &[Measure]) -> Result<Totals, String> {
     let one = |m: &Measure| {
-        let said =
-            said.get(m.field.as_str()).ok_or_else(|| format!("the totals of {} are missing", m.field))?;
+        let said = said
+            .get(m.field.as_str())
+            .ok_or_else(|| format!("the totals of {} are missing", m.field))?;
         Total::read(said, m)
     };
     measures.iter().map(one).collect()
@@ -159,8 +172,11 @@
 }
 
 pub fn tell(totals: &[Total], measures: &[Measure], lacks: bool) -> Value {
-    let all: Map<String, Value> =
-        measures.iter().zip(totals).map(|(m, t)| (m.field.clone(), t.tell(m, lacks))).collect();
+    let all: Map<String, Value> = measures
+        .iter()
+        .zip(totals)
+        .map(|(m, t)| (m.field.clone(), t.tell(m, lacks)))
+        .collect();
     Value::Object(all)
 }
 
@@ -203,19 +219,39 @@
         if said.groups.iter().any(|g| g.of.len() > LONGEST_NAME) {
             return Err(format!("a group's name has more than {LONGEST_NAME} bytes"));
         }
-        let group = |g: &SaidGroup| Ok((g.of.as_ref().into(), of_measures(&g.totals, &plan.measures)?));
-        let groups = said.groups.iter().map(group).collect::<Result<_, String>>()?;
-        let rest = said.rest.map(|rest| of_measures(&rest.totals, &plan.measures)).transpose()?;
+        let group = |g: &SaidGroup| {
+            Ok((
+                g.of.as_ref().into(),
+                of_measures(&g.totals, &plan.measures)?,
+            ))
+        };
+        let groups = said
+            .groups
+            .iter()
+            .map(group)
+            .collect::<Result<_, String>>()?;
+        let rest = said
+            .rest
+            .map(|rest| of_measures(&rest.totals, &plan.measures))
+            .transpose()?;
         Ok(SliceGroups { groups, rest })
     }
 
     /// No more than what may be told, or held where size decides, is kept by name: whichever names come last
     /// go into the rest. The result is the same in whatever order slices come.
     pub fn take(&mut self, slice: SliceGroups, plan: &Groups) {
-        let most = if plan.first == First::Name { plan.most } else { plan.held };
+        let most = if plan.first == First::Name {
+            plan.most
+        } else {
+            plan.held
+        };
         for (name, totals) in slice.groups {
             let full = self.by_name.len() >= most;
-            let is_last = full && self.by_name.last_key_value().is_none_or(|(last, _)| name > *last);
+            let is_last = full
+                && self
+                    .by_name
+                    .last_key_value()
+                    .is_none_or(|(last, _)| name > *last);
             if let Some(known) = self.by_name.get_mut(&name) {
                 add(known, &totals);
             } else if is_last {
@@ -246,7 +282,8 @@
         let mut groups: Vec<_> = self.by_name.iter().collect();
         if plan.first == First::Largest {
             // The sort keeps rising names among those of one size.
-            groups.sort_by_key(|(_, totals)| std::cmp::Reverse(totals.first().map_or(0, |t| t.sum)));
+            groups
+                .sort_by_key(|(_, totals)| std::cmp::Reverse(totals.first().map_or(0, |t| t.sum)));
         }
         let (mut told, mut left) = (Vec::new(), bytes);
         let (mut rest, mut has_rest) = (self.rest.clone(), self.has_rest);
--- a/crates/linenthread-merge/tests/pages.rs
+++ b/crates/linenthread-merge/tests/pages.rs
@@ -63,8 +63,18 @@
         };
         let order = vec![order(self.first), order(1 - self.first)];
         let distinct = self.distinct.then(|| order[0].field.clone());
-        let rows = Rows { order, identity: "id".into(), distinct, page: self.page, most: 100, pages: true };
-        Plan { index: "i".into(), form: Form::Rows(rows) }
+        let rows = Rows {
+            order,
+            identity: "id".into(),
+            distinct,
+            page: self.page,
+            most: 100,
+            pages: true,
+        };
+        Plan {
+            index: "i".into(),
+            form: Form::Rows(rows),
+        }
     }
 
     fn compare(&self, a: &Row, b: &Row) -> Ordering {
@@ -72,7 +82,9 @@
             0 => compare(&a.text, &b.text, self.descending[0]),
             _ => compare(&a.units, &b.units, self.descending[1]),
         };
-        of(self.first).then(of(1 - self.first)).then(a.id.cmp(&b.id))
+        of(self.first)
+            .then(of(1 - self.first))
+            .then(a.id.cmp(&b.id))
     }
 
     fn same_value(&self, a: &Row, b: &Row) -> bool {
@@ -93,7 +105,9 @@
             let place = sorted.iter().position(|r| r.json()["id"] == last).unwrap();
             rows.retain(|r| sorted.iter().position(|s| s.id == r.id).unwrap() > place);
         }
-        let n = self.most_rows.min(question["rows"].as_u64().unwrap() as usize);
+        let n = self
+            .most_rows
+            .min(question["rows"].as_u64().unwrap() as usize);
         let told: Vec<Value> = rows.iter().take(n).map(|r| r.json()).collect();
         json!({"rows": told, "more": rows.len() > n}).to_string()
     }
@@ -102,16 +116,44 @@
 fn cases() -> impl Strategy<Value = Case> {
     let text = proptest::option::weighted(0.9, "[a-c\u{0}é]{0,2}");
     let units = proptest::option::weighted(0.9, -150_i64..150);
-    let row = (0..6_usize, text, units).prop_map(|(slice, text, units)| Row { slice, text, units, id: 0 });
-    let shape = (1..6_usize, 0..2_usize, any::<[bool; 2]>(), 1..12_usize, 1..6_usize, any::<bool>());
-    (vec(row, 0..40), shape).prop_map(|(mut rows, (slices, first, descending, page, most_rows, distinct))| {
-        rows.iter_mut().enumerate().for_each(|(id, row)| (row.id, row.slice) = (id, row.slice % slices));
-        Case { rows, slices, first, descending, page, most_rows, distinct }
-    })
+    let row = (0..6_usize, text, units).prop_map(|(slice, text, units)| Row {
+        slice,
+        text,
+        units,
+        id: 0,
+    });
+    let shape = (
+        1..6_usize,
+        0..2_usize,
+        any::<[bool; 2]>(),
+        1..12_usize,
+        1..6_usize,
+        any::<bool>(),
+    );
+    (vec(row, 0..40), shape).prop_map(
+        |(mut rows, (slices, first, descending, page, most_rows, distinct))| {
+            rows.iter_mut()
+                .enumerate()
+                .for_each(|(id, row)| (row.id, row.slice) = (id, row.slice % slices));
+            Case {
+                rows,
+                slices,
+                first,
+                descending,
+                page,
+                most_rows,
+                distinct,
+            }
+        },
+    )
 }
 
 fn runner(cases: u32) -> TestRunner {
-    let config = Config { cases, failure_persistence: None, ..Config::default() };
+    let config = Config {
+        cases,
+        failure_persistence: None,
+        ..Config::default()
+    };
     TestRunner::new_with_rng(config, TestRng::from_seed(RngAlgorithm::ChaCha, &[7; 32]))
 }
 
@@ -130,7 +172,13 @@
         }
         let want: Vec<Value> = want.into_iter().map(Row::json).collect();
         let slices: Vec<_> = (0..case.slices).map(|s| (case.slices - s, 1.0)).collect();
-        let asked = Asked { customer: None, key: None, query: "q", slices: &slices, shards: 9 };
+        let asked = Asked {
+            customer: None,
+            key: None,
+            query: "q",
+            slices: &slices,
+            shards: 9,
+        };
         let (mut shown, mut mark) = (Vec::new(), None);
         for turn in 0.. {
             let wish = PageWish { rows: None, mark };
@@ -144,10 +192,17 @@
                 prop_assert!(merge.held() <= case.page);
                 ask.extend(merge.onward());
             }
-            let answer: Value = serde_json::from_slice(&merge.answer(true, Some(&marks), 100)).unwrap();
+            let answer: Value =
+                serde_json::from_slice(&merge.answer(true, Some(&marks), 100)).unwrap();
             let rows = answer["rows"].as_array().unwrap();
-            prop_assert!(answer["cut"].is_null() && answer["finished"] == true, "{answer}");
-            prop_assert!(rows.len() == case.page || answer["next"].is_null() || case.distinct, "{answer}");
+            prop_assert!(
+                answer["cut"].is_null() && answer["finished"] == true,
+                "{answer}"
+            );
+            prop_assert!(
+                rows.len() == case.page || answer["next"].is_null() || case.distinct,
+                "{answer}"
+            );
             shown.extend(rows.clone());
             match answer["next"].as_str() {
                 Some(next) => mark = Some(next.to_owned()),
@@ -175,21 +230,42 @@
     };
     let plan = case.plan();
     let slices = [(0, 0.5), (1, 0.5)];
-    let asked = Asked { customer: None, key: None, query: "q", slices: &slices, shards: 9 };
+    let asked = Asked {
+        customer: None,
+        key: None,
+        query: "q",
+        slices: &slices,
+        shards: 9,
+    };
     let begin = |marks: &Marks, mark: Option<String>, now| {
-        Merge::begin(&plan, &asked, &PageWish { rows: None, mark }, Some(marks), now)
+        Merge::begin(
+            &plan,
+            &asked,
+            &PageWish { rows: None, mark },
+            Some(marks),
+            now,
+        )
     };
     let mut merge = begin(&marks, None, 100).unwrap();
     for slice in 0..2 {
-        let value = json!({"rows": [{"id": format!("r{slice}"), "t": "a"}], "more": true}).to_string();
+        let value =
+            json!({"rows": [{"id": format!("r{slice}"), "t": "a"}], "more": true}).to_string();
         assert_eq!(merge.take(slice, 0, &value), Taken::In);
     }
     let answer: Value = serde_json::from_slice(&merge.answer(true, Some(&marks), 100)).unwrap();
     let mark = answer["next"].as_str().unwrap().to_owned();
     assert!(begin(&marks, Some(mark.clone()), 160).is_ok());
-    assert!(begin(&marks, Some(mark.clone()), 40).is_ok(), "clocks may differ by a minute");
+    assert!(
+        begin(&marks, Some(mark.clone()), 40).is_ok(),
+        "clocks may differ by a minute"
+    );
     for (now, why) in [(161, "no longer good"), (39, "no longer good")] {
-        assert!(begin(&marks, Some(mark.clone()), now).err().unwrap().contains(why));
+        assert!(
+            begin(&marks, Some(mark.clone()), now)
+                .err()
+                .unwrap()
+                .contains(why)
+        );
     }
     // A new secret, with the one before still taken, and without.
     let rotated = Marks::new(vec![vec![8; 32], vec![7; 32]], 60).unwrap();
@@ -201,8 +277,14 @@
     for at in 0..mark.len() {
         let mut bad = mark.clone().into_bytes();
         bad[at] = if bad[at] == b'A' { b'B' } else { b'A' };
-        assert!(begin(&marks, Some(String::from_utf8(bad).unwrap()), 100).is_err(), "letter {at}");
-        assert!(begin(&marks, Some(mark[..at].to_owned()), 100).is_err(), "length {at}");
+        assert!(
+            begin(&marks, Some(String::from_utf8(bad).unwrap()), 100).is_err(),
+            "letter {at}"
+        );
+        assert!(
+            begin(&marks, Some(mark[..at].to_owned()), 100).is_err(),
+            "length {at}"
+        );
     }
     let words = "(\\{\"(rows|more|totals|groups|rest)\":)?[\\[\\]{}\",:0-9a-z.\\-]{0,40}";
     runner(3_000)
@@ -225,24 +307,51 @@
     ];
     for value in bad {
         let mut merge = begin(&marks, None, 100).unwrap();
-        assert!(matches!(merge.take(0, 0, value), Taken::Unreadable(_)), "{value}");
+        assert!(
+            matches!(merge.take(0, 0, value), Taken::Unreadable(_)),
+            "{value}"
+        );
     }
     let mut second = begin(&marks, Some(mark), 100).unwrap();
     let again = json!({"rows": [{"id": "r0", "t": "a"}], "more": false}).to_string();
-    assert!(matches!(second.take(0, 0, &again), Taken::Unreadable(_)), "a row of the page before");
+    assert!(
+        matches!(second.take(0, 0, &again), Taken::Unreadable(_)),
+        "a row of the page before"
+    );
 }
 
 #[test]
 fn totals_that_cannot_be_true_are_refused_and_sums_are_exact() {
     use linenthread_merge::{Figure, Measure};
-    let figures = vec![Figure::Sum, Figure::Count, Figure::Least, Figure::Most, Figure::Mean];
-    let measure = Measure { field: "a".into(), scale: 2, never_negative: true, figures };
-    let plan = Plan { index: "i".into(), form: Form::Totals(vec![measure]) };
+    let figures = vec![
+        Figure::Sum,
+        Figure::Count,
+        Figure::Least,
+        Figure::Most,
+        Figure::Mean,
+    ];
+    let measure = Measure {
+        field: "a".into(),
+        scale: 2,
+        never_negative: true,
+        figures,
+    };
+    let plan = Plan {
+        index: "i".into(),
+        form: Form::Totals(vec![measure]),
+    };
     let slices = [(0, 0.5), (1, 0.5)];
-    let asked = Asked { customer: None, key: None, query: "q", slices: &slices, shards: 2 };
+    let asked = Asked {
+        customer: None,
+        key: None,
+        query: "q",
+        slices: &slices,
+        shards: 2,
+    };
     let begin = || Merge::begin(&plan, &asked, &PageWish::default(), None, 0).unwrap();
     let said = |count: u64, sum: &str, least: Value, most: Value| {
-        json!({"totals": {"a": {"count": count, "sum": sum, "least": least, "most": most}}}).to_string()
+        json!({"totals": {"a": {"count": count, "sum": sum, "least": least, "most": most}}})
+            .to_string()
     };
     let bad = [
         said(2, "0.30", json!("0.20"), json!("0.20")),
@@ -253,18 +362,38 @@
         said(1, "-0.30", json!("-0.30"), json!("-0.30")),
         said(1, "0.305", json!("0.305"), json!("0.305")),
         said(1, "1e2", json!("1e2"), json!("1e2")),
-        said(u64::MAX, &"9".repeat(28), json!(&"9".repeat(28)), json!(&"9".repeat(28))),
+        said(
+            u64::MAX,
+            &"9".repeat(28),
+            json!(&"9".repeat(28)),
+            json!(&"9".repeat(28)),
+        ),
         r#"{"totals":{}}"#.to_owned(),
         r#"{"totals":{"a":{"count":-1,"sum":0,"least":null,"most":null}}}"#.to_owned(),
     ];
     for value in bad {
-        assert!(matches!(begin().take(0, 0, &value), Taken::Unreadable(_)), "{value}");
+        assert!(
+            matches!(begin().take(0, 0, &value), Taken::Unreadable(_)),
+            "{value}"
+        );
     }
     let mut merge = begin();
     let big = "9999999999999999999999999999";
-    assert_eq!(merge.take(0, 0, &said(1, big, json!(big), json!(big))), Taken::In);
-    assert_eq!(merge.take(1, 0, &said(1, "0.10", json!(0.10), json!("0.1"))), Taken::In);
+    assert_eq!(
+        merge.take(0, 0, &said(1, big, json!(big), json!(big))),
+        Taken::In
+    );
+    assert_eq!(
+        merge.take(1, 0, &said(1, "0.10", json!(0.10), json!("0.1"))),
+        Taken::In
+    );
     let answer: Value = serde_json::from_slice(&merge.answer(true, None, 0)).unwrap();
-    assert_eq!(answer["totals"]["a"]["sum"], json!({"value": format!("{big}.10"), "is": "exact"}));
-    assert_eq!(answer["totals"]["a"]["mean"]["value"], "4999999999999999999999999999.55");
+    assert_eq!(
+        answer["totals"]["a"]["sum"],
+        json!({"value": format!("{big}.10"), "is": "exact"})
+    );
+    assert_eq!(
+        answer["totals"]["a"]["mean"]["value"],
+        "4999999999999999999999999999.55"
+    );
 }
--- a/crates/linenthread-messages/src/words.rs
+++ b/crates/linenthread-messages/src/words.rs
@@ -446,7 +446,10 @@
 
 #[derive(Clone, PartialEq, Message)]
 pub struct Envelope {
-    #[prost(oneof = "PeerMessage", tags = "1,2,3,4,5,6,7,8,9,10,11,12,13,14,15,16,17,18,19,20,21,23")]
+    #[prost(
+        oneof = "PeerMessage",
+        tags = "1,2,3,4,5,6,7,8,9,10,11,12,13,14,15,16,17,18,19,20,21,23"
+    )]
     pub word: Option<PeerMessage>,
 }
 
--- a/crates/linenthread-messages/tests/frames.rs
+++ b/crates/linenthread-messages/tests/frames.rs
@@ -1,13 +1,25 @@
 //! Frames cut anywhere, and bytes that are none.
 
 use bytes::BytesMut;
-use linenthread_messages::{Ballot, FrameFault, Heartbeat, LONGEST, PeerMessage, Prepare, decode, encode};
+use linenthread_messages::{
+    Ballot, FrameFault, Heartbeat, LONGEST, PeerMessage, Prepare, decode, encode,
+};
 
 #[test]
 fn words_come_through_cut_anywhere() {
     let words = [
-        PeerMessage::Prepare(Prepare { number: 7, ballot: Ballot { round: 2, proposer: 9 } }),
-        PeerMessage::Heartbeat(Heartbeat { asked: 3, whole: true, ..Heartbeat::default() }),
+        PeerMessage::Prepare(Prepare {
+            number: 7,
+            ballot: Ballot {
+                round: 2,
+                proposer: 9,
+            },
+        }),
+        PeerMessage::Heartbeat(Heartbeat {
+            asked: 3,
+            whole: true,
+            ..Heartbeat::default()
+        }),
     ];
     let mut bytes = BytesMut::new();
     words.iter().for_each(|w| encode(w.clone(), &mut bytes));
@@ -28,7 +40,10 @@
 fn what_is_no_frame_ends_the_connection() {
     let mut long = BytesMut::from(&(LONGEST as u32 + 1).to_be_bytes()[..]);
     assert!(matches!(decode(&mut long), Err(FrameFault::TooLong { .. })));
-    assert!(matches!(decode(&mut BytesMut::from(&[0, 0, 0, 0][..])), Err(FrameFault::Empty)));
+    assert!(matches!(
+        decode(&mut BytesMut::from(&[0, 0, 0, 0][..])),
+        Err(FrameFault::Empty)
+    ));
     assert!(matches!(
         decode(&mut BytesMut::from(&[0, 0, 0, 2, 0xff, 0xff][..])),
         Err(FrameFault::Malformed { .. })
--- a/crates/linenthread-node/src/control.rs
+++ b/crates/linenthread-node/src/control.rs
@@ -88,8 +88,11 @@
 
 /// A number that is the same nowhere else.
 pub fn life() -> u64 {
-    let at = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).map_or(0, |d| d.as_nanos());
-    let hash = std::hash::BuildHasher::hash_one(&std::collections::hash_map::RandomState::new(), at);
+    let at = std::time::SystemTime::now()
+        .duration_since(std::time::UNIX_EPOCH)
+        .map_or(0, |d| d.as_nanos());
+    let hash =
+        std::hash::BuildHasher::hash_one(&std::collections::hash_map::RandomState::new(), at);
     hash | 1
 }
 
@@ -99,16 +102,27 @@
     let state = settings.state_dir.as_deref().unwrap_or_default();
     let (disk, kept) = disk::open(state, move |then| drop(synced_tx.send(then)))?;
     let life = life();
-    let bootstrap: Vec<String> = settings.bootstrap_peers.iter().map(SocketAddr::to_string).collect();
+    let bootstrap: Vec<String> = settings
+        .bootstrap_peers
+        .iter()
+        .map(SocketAddr::to_string)
+        .collect();
     let own = address.to_string();
     let empty = kept.id.is_none();
     // An empty disk is nobody that was there before; but on the very first start the address names it.
     let first = empty && settings.initial_boot && bootstrap.contains(&own);
-    let id = kept.id.unwrap_or(if first { linenthread_consensus::genesis_id(&own) } else { life });
+    let id = kept.id.unwrap_or(if first {
+        linenthread_consensus::genesis_id(&own)
+    } else {
+        life
+    });
     let genesis = settings.initial_boot.then(|| Value {
         voters: bootstrap
             .iter()
-            .map(|a| Voter { id: linenthread_consensus::genesis_id(a), address: a.clone() })
+            .map(|a| Voter {
+                id: linenthread_consensus::genesis_id(a),
+                address: a.clone(),
+            })
             .collect(),
         ..Value::default()
     });
@@ -129,13 +143,21 @@
     let control = Control::new(local, id, kept, genesis.clone(), clock::ms());
     if empty {
         disk.keep(
-            linenthread_messages::Record { id: Some(id), decided: genesis, ..Default::default() },
+            linenthread_messages::Record {
+                id: Some(id),
+                decided: genesis,
+                ..Default::default()
+            },
             Vec::new(),
         );
     }
-    let calls = TcpListener::bind(address).await.map_err(step("binding", address))?;
+    let calls = TcpListener::bind(address)
+        .await
+        .map_err(step("binding", address))?;
     let peers = SocketAddr::new(address.ip(), settings.peers_port);
-    let peers = TcpListener::bind(peers).await.map_err(step("binding", peers))?;
+    let peers = TcpListener::bind(peers)
+        .await
+        .map_err(step("binding", peers))?;
     log::info!(calls = address.to_string(), peers = settings.peers_port; "event=control_open");
     let hub = ControlNode {
         control,
@@ -288,9 +310,15 @@
                 let token = self.token(reply);
                 self.control.departure(now, token, &ident, out);
             }
-            Command::Replace { base, revision, document, reply } => {
+            Command::Replace {
+                base,
+                revision,
+                document,
+                reply,
+            } => {
                 let token = self.token(reply);
-                self.control.replace(now, token, base, revision, document, out);
+                self.control
+                    .replace(now, token, base, revision, document, out);
             }
             Command::Read(reply) => {
                 let token = self.token(reply);
@@ -312,7 +340,10 @@
         for o in out.drain(..) {
             match o {
                 Effect::Send { link, word } => {
-                    let full = self.links.get(&link).is_some_and(|to| to.try_send(word).is_err());
+                    let full = self
+                        .links
+                        .get(&link)
+                        .is_some_and(|to| to.try_send(word).is_err());
                     if full {
                         self.links.remove(&link);
                     }
@@ -330,7 +361,9 @@
                 Effect::Dial(address) => {
                     let (commands, port) = (self.commands.clone(), self.port);
                     spawn_local(async move {
-                        let Ok(control) = address.parse::<SocketAddr>() else { return };
+                        let Ok(control) = address.parse::<SocketAddr>() else {
+                            return;
+                        };
                         match links::dial(SocketAddr::new(control.ip(), port), DIAL).await {
                             Ok(stream) => link(stream, address, commands).await,
                             Err(_) => drop(commands.send(Command::Unreached(address)).await),
@@ -362,22 +395,36 @@
             Ok(framing) => framing,
             Err(refusal) => {
                 logs::refused("judging a call's head", from, format_args!("{refusal:?}"));
-                let status = if refusal == linenthread_http::Refusal::BodyTooLong { 413 } else { 400 };
+                let status = if refusal == linenthread_http::Refusal::BodyTooLong {
+                    413
+                } else {
+                    400
+                };
                 let _ = answer(&mut wire, status, &json!({"error": "body refused"}), false).await;
                 return;
             }
         };
         if head.says("expect", "100-continue") {
             let by = Instant::now() + SLOW;
-            if wire.write(b"HTTP/1.1 100 Continue\r\n\r\n", by).await.is_err() {
+            if wire
+                .write(b"HTTP/1.1 100 Continue\r\n\r\n", by)
+                .await
+                .is_err()
+            {
                 return;
             }
         }
-        let Ok(body) = wire.body(framing, BODY, SLOW, None).await else { return };
+        let Ok(body) = wire.body(framing, BODY, SLOW, None).await else {
+            return;
+        };
         let keep = head.keeps();
         let reply = dispatch(&head, body, &commands).await;
         if let Reply::Json(status @ (400 | 404 | 405), value) = &reply {
-            logs::refused("taking a call", from, format_args!("{status} {} {value}", head.path()));
+            logs::refused(
+                "taking a call",
+                from,
+                format_args!("{status} {} {value}", head.path()),
+            );
         }
         let done = match reply {
             Reply::Json(status, value) => answer(&mut wire, status, &value, keep).await,
@@ -426,11 +473,19 @@
         }
         ("POST", ["Configuration.Replace"]) => {
             let base = head.header("x-base-revision").map_or(Ok(0), str::parse);
-            let Ok(base) = base else { return refuse(400, "X-Base-Revision is no number") };
+            let Ok(base) = base else {
+                return refuse(400, "X-Base-Revision is no number");
+            };
             match Configuration::judge(&body) {
                 Ok(read) => {
                     let (revision, document) = (read.revision, body);
-                    asked(commands, |reply| Command::Replace { base, revision, document, reply }).await
+                    asked(commands, |reply| Command::Replace {
+                        base,
+                        revision,
+                        document,
+                        reply,
+                    })
+                    .await
                 }
                 Err(fault) => refuse(400, fault),
             }
@@ -439,9 +494,10 @@
         ("GET", ["Members.Read"]) => told(commands, Command::Members).await,
         ("GET", ["Replicas.Read"]) => told(commands, Command::Replicas).await,
         (_, ["Replicas.Heartbeat" | "Replicas.Departure", _])
-        | (_, ["Configuration.Replace" | "Configuration.Read" | "Members.Read" | "Replicas.Read"]) => {
-            refuse(405, "another method is meant")
-        }
+        | (
+            _,
+            ["Configuration.Replace" | "Configuration.Read" | "Members.Read" | "Replicas.Read"],
+        ) => refuse(405, "another method is meant"),
         _ => refuse(404, "no such call"),
     }
 }
@@ -454,7 +510,9 @@
     if commands.try_send(command(reply)).is_err() {
         return refuse(503, "too much waits");
     }
-    answer.await.map_or_else(|_| refuse(503, "ending"), |value| Reply::Json(200, value))
+    answer
+        .await
+        .map_or_else(|_| refuse(503, "ending"), |value| Reply::Json(200, value))
 }
 
 async fn asked(
@@ -469,11 +527,14 @@
         Ok(Answer::Heard(Some(to))) => Reply::Json(200, json!({"report_to": to})),
         Ok(Answer::Heard(None)) => Reply::Json(200, json!({})),
         Ok(Answer::Taken(revision)) => Reply::Json(200, json!({"revision": revision})),
-        Ok(Answer::Document(value)) if value.revision == 0 => refuse(404, "no configuration was taken yet"),
-        Ok(Answer::Document(value)) => Reply::Raw(value.document.to_vec()),
-        Ok(Answer::Conflict(revision)) => {
-            Reply::Json(412, json!({"error": "another version is in place", "revision": revision}))
+        Ok(Answer::Document(value)) if value.revision == 0 => {
+            refuse(404, "no configuration was taken yet")
         }
+        Ok(Answer::Document(value)) => Reply::Raw(value.document.to_vec()),
+        Ok(Answer::Conflict(revision)) => Reply::Json(
+            412,
+            json!({"error": "another version is in place", "revision": revision}),
+        ),
         Ok(Answer::NotNow(cause)) => refuse(503, cause),
         Ok(Answer::Elsewhere(address)) => Reply::Elsewhere(address),
         Err(_) => refuse(503, "ending"),
@@ -490,7 +551,12 @@
 }
 
 /// Another control node is to be called.
-async fn sent_on(wire: &mut HttpConnection, address: &str, target: &str, keep: bool) -> Result<(), Stop> {
+async fn sent_on(
+    wire: &mut HttpConnection,
+    address: &str,
+    target: &str,
+    keep: bool,
+) -> Result<(), Stop> {
     let close = if keep { "" } else { "Connection: close\r\n" };
     let bytes = format!(
         "HTTP/1.1 307 Temporary Redirect\r\nLocation: http://{address}{target}\r\n\
--- a/crates/linenthread-node/src/disk.rs
+++ b/crates/linenthread-node/src/disk.rs
@@ -29,7 +29,10 @@
 }
 
 /// Opens what the disk holds. `synced` takes what waited, from the disk's own thread.
-pub fn open(path: &str, synced: impl Fn(Then) + Send + 'static) -> Result<(Disk, DurableState), Error> {
+pub fn open(
+    path: &str,
+    synced: impl Fn(Then) + Send + 'static,
+) -> Result<(Disk, DurableState), Error> {
     let path = PathBuf::from(path);
     let (peer, step) = (path.display().to_string(), "opening the state");
     let opened = StateLog::open(move || Folder::take(&path), LONG).map_err(|e| Error::Message {
--- a/crates/linenthread-node/src/errors.rs
+++ b/crates/linenthread-node/src/errors.rs
@@ -6,11 +6,22 @@
     #[snafu(display("neither --settings nor LINENTHREAD_BOOT names the settings file"))]
     NoSettings,
     #[snafu(display("{file}: {source}"))]
-    Fault { file: String, source: linenthread_config::Fault },
+    Fault {
+        file: String,
+        source: linenthread_config::Fault,
+    },
     #[snafu(display("{step} {peer}: {source}"))]
-    Step { step: &'static str, peer: String, source: std::io::Error },
+    Step {
+        step: &'static str,
+        peer: String,
+        source: std::io::Error,
+    },
     #[snafu(display("{step} {peer}: {cause}"))]
-    Message { step: &'static str, peer: String, cause: String },
+    Message {
+        step: &'static str,
+        peer: String,
+        cause: String,
+    },
 }
 
 pub fn step(step: &'static str, peer: impl ToString) -> impl FnOnce(std::io::Error) -> Error {
--- a/crates/linenthread-node/src/follow.rs
+++ b/crates/linenthread-node/src/follow.rs
@@ -70,7 +70,11 @@
             && let Some(settings) = changed.borrow_and_update().clone()
         {
             let mut hubs = following.hubs.borrow_mut();
-            let new = settings.bootstrap_peers.iter().filter(|a| !hubs.contains(a)).copied();
+            let new = settings
+                .bootstrap_peers
+                .iter()
+                .filter(|a| !hubs.contains(a))
+                .copied();
             let new: Vec<SocketAddr> = new.collect();
             hubs.extend(new);
         }
@@ -78,21 +82,40 @@
         let mut hubs = following.hubs.borrow().clone();
         let own = &following.plane.settings.zone;
         let far = |a: &SocketAddr| zones.borrow().get(a).is_none_or(|z| z != own);
-        hubs.sort_by_cached_key(|a| (failed.get(a).copied().unwrap_or(0), far(a), chance.rand_u64()));
-        let Some(hub) = hubs.first().copied() else { return };
+        hubs.sort_by_cached_key(|a| {
+            (
+                failed.get(a).copied().unwrap_or(0),
+                far(a),
+                chance.rand_u64(),
+            )
+        });
+        let Some(hub) = hubs.first().copied() else {
+            return;
+        };
         let began = clock::ms();
         let zone = zones.clone();
-        match session(&following, hub, move |z| drop(zone.borrow_mut().insert(hub, z))).await {
+        match session(&following, hub, move |z| {
+            drop(zone.borrow_mut().insert(hub, z))
+        })
+        .await
+        {
             Ok(why) => log::info!(hub = hub.to_string(), cause = why; "event=session_ended"),
             Err(e) => log::info!(cause = e.to_string(); "event=session_failed"),
         }
         let now = clock::ms();
         failed.insert(hub, now);
-        wait = if now > began + 5_000 { WAIT.0 } else { (wait * 2).min(WAIT.1) };
+        wait = if now > began + 5_000 {
+            WAIT.0
+        } else {
+            (wait * 2).min(WAIT.1)
+        };
         if failed.len() <= hubs.len() / 2 {
             wait = WAIT.0;
         }
-        tokio::time::sleep(Duration::from_millis(wait / 2 + chance.rand_range(0..wait / 2 + 1))).await;
+        tokio::time::sleep(Duration::from_millis(
+            wait / 2 + chance.rand_range(0..wait / 2 + 1),
+        ))
+        .await;
     }
 }
 
@@ -128,7 +151,11 @@
     let ticking = async {
         loop {
             let asked = following.ask();
-            let tick = Heartbeat { asked, revision: plane.revision(), ..Heartbeat::default() };
+            let tick = Heartbeat {
+                asked,
+                revision: plane.revision(),
+                ..Heartbeat::default()
+            };
             if to.try_send(PeerMessage::Heartbeat(tick)).is_err() {
                 return "the hub does not read";
             }
@@ -153,7 +180,12 @@
 }
 
 /// One word of the hub; false ends the session.
-fn hear(following: &Following, word: PeerMessage, outside: &Cell<u32>, met: &impl Fn(String)) -> bool {
+fn hear(
+    following: &Following,
+    word: PeerMessage,
+    outside: &Cell<u32>,
+    met: &impl Fn(String),
+) -> bool {
     let plane = &following.plane;
     match word {
         PeerMessage::Hello(hello) => {
@@ -165,9 +197,14 @@
             following.log.set(news.log);
             following.place.set(news.place);
             if !news.hubs.is_empty() {
-                let mut hubs: Vec<SocketAddr> = news.hubs.iter().filter_map(|h| h.parse().ok()).collect();
+                let mut hubs: Vec<SocketAddr> =
+                    news.hubs.iter().filter_map(|h| h.parse().ok()).collect();
                 hubs.extend(
-                    plane.settings.bootstrap_peers.iter().filter(|b| !news.hubs.contains(&b.to_string())),
+                    plane
+                        .settings
+                        .bootstrap_peers
+                        .iter()
+                        .filter(|b| !news.hubs.contains(&b.to_string())),
                 );
                 *following.hubs.borrow_mut() = hubs;
             }
@@ -185,7 +222,12 @@
             };
             for grant in grants.grants.iter().filter(|g| own(g)) {
                 // Counted from when it was asked for: that was before it was given.
-                let said = following.said.borrow().iter().find(|(n, _)| *n == grant.asked).map(|(_, at)| *at);
+                let said = following
+                    .said
+                    .borrow()
+                    .iter()
+                    .find(|(n, _)| *n == grant.asked)
+                    .map(|(_, at)| *at);
                 if let Some(said) = said {
                     plane.allot(Share {
                         free: grant.share,
--- a/crates/linenthread-node/src/front.rs
+++ b/crates/linenthread-node/src/front.rs
@@ -34,9 +34,13 @@
 ) -> Result<Rc<DataPlane>, Error> {
     let life = life();
     let plane = DataPlane::new(settings.clone(), life, TcpConnector);
-    let clients = TcpListener::bind(address).await.map_err(step("binding", address))?;
+    let clients = TcpListener::bind(address)
+        .await
+        .map_err(step("binding", address))?;
     if let Some(address) = settings.readiness {
-        let asked = TcpListener::bind(address).await.map_err(step("binding", address))?;
+        let asked = TcpListener::bind(address)
+            .await
+            .map_err(step("binding", address))?;
         let plane = plane.clone();
         spawn_local(async move {
             loop {
@@ -96,10 +100,23 @@
     let _ = stream.set_nodelay(true);
     let mut http = HttpConnection::new(stream);
     while let Ok(head) = http.request(HEAD, QUIET, HEADER).await {
-        let status = if plane.is_ready() { "200 OK" } else { "503 Service Unavailable" };
-        let close = if head.keeps() { "" } else { "Connection: close\r\n" };
+        let status = if plane.is_ready() {
+            "200 OK"
+        } else {
+            "503 Service Unavailable"
+        };
+        let close = if head.keeps() {
+            ""
+        } else {
+            "Connection: close\r\n"
+        };
         let answer = format!("HTTP/1.1 {status}\r\nContent-Length: 0\r\n{close}\r\n");
-        if http.write(answer.as_bytes(), Instant::now() + HEADER).await.is_err() || !head.keeps() {
+        if http
+            .write(answer.as_bytes(), Instant::now() + HEADER)
+            .await
+            .is_err()
+            || !head.keeps()
+        {
             return;
         }
     }
--- a/crates/linenthread-node/src/links.rs
+++ b/crates/linenthread-node/src/links.rs
@@ -23,7 +23,9 @@
     let _ = stream.set_nodelay(true);
     let socket = SockRef::from(stream);
     let _ = socket.set_tcp_user_timeout(Some(UNHEARD));
-    let keep = TcpKeepalive::new().with_time(Duration::from_secs(5)).with_interval(Duration::from_secs(2));
+    let keep = TcpKeepalive::new()
+        .with_time(Duration::from_secs(5))
+        .with_interval(Duration::from_secs(2));
     let _ = socket.set_tcp_keepalive(&keep);
 }
 
@@ -32,7 +34,11 @@
 
 /// How long a dial is waited for, by the age of this process.
 fn patience(age: u64, within: Duration) -> Duration {
-    if age < YOUNG.0 { within.min(YOUNG.1) } else { within }
+    if age < YOUNG.0 {
+        within.min(YOUNG.1)
+    } else {
+        within
+    }
 }
 
 pub async fn dial(address: SocketAddr, within: Duration) -> Result<TcpStream, Error> {
@@ -40,7 +46,11 @@
     let connect = TcpStream::connect(address);
     let stream = match tokio::time::timeout(within, connect).await {
         Ok(done) => done.map_err(step("dialling", address))?,
-        Err(_) => return Err(step("dialling", address)(std::io::ErrorKind::TimedOut.into())),
+        Err(_) => {
+            return Err(step("dialling", address)(
+                std::io::ErrorKind::TimedOut.into(),
+            ));
+        }
     };
     prepare(&stream);
     Ok(stream)
@@ -66,7 +76,12 @@
                     return Ok(());
                 }
             }
-            if from.read_buf(&mut buffer).await.map_err(step("reading from", peer))? == 0 {
+            if from
+                .read_buf(&mut buffer)
+                .await
+                .map_err(step("reading from", peer))?
+                == 0
+            {
                 return Ok(());
             }
         }
@@ -78,7 +93,9 @@
                 return Ok(());
             }
             waiting.drain(..).for_each(|word| encode(word, &mut buffer));
-            to.write_all(&buffer).await.map_err(step("writing to", peer))?;
+            to.write_all(&buffer)
+                .await
+                .map_err(step("writing to", peer))?;
             buffer.clear();
             if buffer.capacity() > 65_536 {
                 buffer = BytesMut::new();
--- a/crates/linenthread-node/src/logs.rs
+++ b/crates/linenthread-node/src/logs.rs
@@ -28,7 +28,10 @@
 
 impl Layout for Pairs {
     fn format(&self, record: &Record, _: &[Box<dyn Diagnostic>]) -> Result<Vec<u8>, Error> {
-        let at = record.time().duration_since(std::time::UNIX_EPOCH).map_or(0.0, |d| d.as_secs_f64());
+        let at = record
+            .time()
+            .duration_since(std::time::UNIX_EPOCH)
+            .map_or(0.0, |d| d.as_secs_f64());
         let level = record.level().name().to_ascii_lowercase();
         let mut line = Line(format!("at={at:.3} level={level} {}", record.payload()));
         record.key_values().visit(&mut line)?;
@@ -37,8 +40,9 @@
 }
 
 pub fn start() {
-    let logger =
-        logforth::core::builder().dispatch(|d| d.append(Stdout::default().with_layout(Pairs))).build();
+    let logger = logforth::core::builder()
+        .dispatch(|d| d.append(Stdout::default().with_layout(Pairs)))
+        .build();
     if log::set_boxed_logger(Box::new(logforth::bridge::log::LogBridge::new(logger))).is_ok() {
         log::set_max_level(log::LevelFilter::Info);
     }
--- a/crates/linenthread-node/src/main.rs
+++ b/crates/linenthread-node/src/main.rs
@@ -58,11 +58,16 @@
     };
     let done = match flags.subcommand {
         flags::LinenthreadNodeCmd::Serve(serve) => run(serve.settings, serve.pass_through),
-        flags::LinenthreadNodeCmd::Check(check) => errors::read(&check.configuration).and_then(|bytes| {
-            Configuration::judge(&bytes)
-                .map(drop)
-                .map_err(|source| Error::Fault { file: check.configuration.display().to_string(), source })
-        }),
+        flags::LinenthreadNodeCmd::Check(check) => {
+            errors::read(&check.configuration).and_then(|bytes| {
+                Configuration::judge(&bytes)
+                    .map(drop)
+                    .map_err(|source| Error::Fault {
+                        file: check.configuration.display().to_string(),
+                        source,
+                    })
+            })
+        }
         flags::LinenthreadNodeCmd::CheckSettings(check) => settings(&check.settings).map(drop),
         flags::LinenthreadNodeCmd::Version(_) => {
             println!("linenthread-node {}", env!("CARGO_PKG_VERSION"));
@@ -81,13 +86,20 @@
 pub(crate) fn settings(path: &std::path::Path) -> Result<Settings, Error> {
     let bytes = errors::read(path)?;
     let text = String::from_utf8_lossy(&bytes);
-    Settings::read(&text).map_err(|source| Error::Fault { file: path.display().to_string(), source })
+    Settings::read(&text).map_err(|source| Error::Fault {
+        file: path.display().to_string(),
+        source,
+    })
 }
 
 fn run(path: Option<std::path::PathBuf>, pass_through: bool) -> Result<(), Error> {
-    let path =
-        path.or_else(|| std::env::var_os("LINENTHREAD_BOOT").map(Into::into)).ok_or(Error::NoSettings)?;
-    let settings = Rc::new(Settings { pass_through, ..settings(&path)? });
+    let path = path
+        .or_else(|| std::env::var_os("LINENTHREAD_BOOT").map(Into::into))
+        .ok_or(Error::NoSettings)?;
+    let settings = Rc::new(Settings {
+        pass_through,
+        ..settings(&path)?
+    });
     logs::start();
     log::info!(node = settings.node_name, zone = settings.zone; "event=start");
     let runtime = tokio::runtime::Builder::new_current_thread()
@@ -95,7 +107,11 @@
         .enable_time()
         .event_interval(31)
         .build()
-        .map_err(|source| Error::Step { step: "start of the runtime", peer: String::new(), source })?;
+        .map_err(|source| Error::Step {
+            step: "start of the runtime",
+            peer: String::new(),
+            source,
+        })?;
     let local = LocalSet::new();
     local.block_on(&runtime, serve(settings, path))
 }
--- a/crates/linenthread-node/tests/system.rs
+++ b/crates/linenthread-node/tests/system.rs
@@ -23,7 +23,11 @@
     }
     assert_eq!(cluster.configure(0, 1, &SERVICES).unwrap().status, 200);
     for n in 1..=fronts {
-        assert!(cluster.wait_for(&format!("front-{n}"), &["event=configuration", "revision=1"], SOON));
+        assert!(cluster.wait_for(
+            &format!("front-{n}"),
+            &["event=configuration", "revision=1"],
+            SOON
+        ));
         assert!(cluster.wait_for(&format!("front-{n}"), &["event=confirmed"], SOON));
         assert!(cluster.wait_for(&format!("front-{n}"), &["event=replicas", "here=6"], SOON));
     }
@@ -35,7 +39,12 @@
     let all: Vec<u8> = SERVICES.iter().flat_map(|s| records(s, path)).collect();
     let mut records: Vec<&[u8]> = all.chunks(16).collect();
     records.sort();
-    records.iter().rev().take(5).flat_map(|r| r.iter().copied()).collect()
+    records
+        .iter()
+        .rev()
+        .take(5)
+        .flat_map(|r| r.iter().copied())
+        .collect()
 }
 
 /// Asks until a whole answer comes, a bounded number of times.
@@ -53,14 +62,22 @@
     assert_eq!(reply.body, expected("/all/x?y=1"));
     let attempt = reply.head.header("x-attempt-id").unwrap().to_owned();
     let seals = reply.head.header("x-part-seals").unwrap();
-    let services: BTreeSet<&str> = seals.split(", ").map(|s| s.split('.').next().unwrap()).collect();
+    let services: BTreeSet<&str> = seals
+        .split(", ")
+        .map(|s| s.split('.').next().unwrap())
+        .collect();
     assert_eq!(services, BTreeSet::from(SERVICES));
     let ran = |r: &linenthread_demo::Replica| {
-        r.ran().iter().any(|r| r.attempt == attempt && r.path == "/all/x?y=1")
+        r.ran()
+            .iter()
+            .any(|r| r.attempt == attempt && r.path == "/all/x?y=1")
     };
     for seal in seals.split(", ") {
         let ident = seal.split('.').nth(1).unwrap();
-        assert!(cluster.replicas.iter().any(|r| r.ident == ident && ran(r)), "{seal}");
+        assert!(
+            cluster.replicas.iter().any(|r| r.ident == ident && ran(r)),
+            "{seal}"
+        );
     }
 }
 
@@ -81,9 +98,17 @@
     assert_eq!(cluster.configure(1, 4, &SERVICES).unwrap().status, 200);
     cluster.forget("control-2");
     cluster.run("control-1").unwrap();
-    assert!(cluster.wait_for("control-1", &["event=control_start", "empty=true", "first=false"], SOON));
+    assert!(cluster.wait_for(
+        "control-1",
+        &["event=control_start", "empty=true", "first=false"],
+        SOON
+    ));
     // The swap is a value of its own, which the empty one learns.
-    assert!(cluster.wait_for("control-1", &["event=decided", "number=3", "revision=4"], SOON));
+    assert!(cluster.wait_for(
+        "control-1",
+        &["event=decided", "number=3", "revision=4"],
+        SOON
+    ));
     // Now another may go: the one that came back and the third are more than half.
     cluster.kill("control-2");
     assert_eq!(cluster.configure(4, 9, &SERVICES).unwrap().status, 200);
@@ -104,9 +129,15 @@
     for node in ["control-1", "control-2", "control-3"] {
         assert!(cluster.wait_for(node, &["event=control_open"], SOON));
     }
-    let client = linenthread_ctl::Client { addresses: cluster.control(), within: Duration::from_secs(2) };
+    let client = linenthread_ctl::Client {
+        addresses: cluster.control(),
+        within: Duration::from_secs(2),
+    };
     let read = (0..200).find_map(|_| {
-        client.call("GET", "/Configuration.Read", &[], &[], 5).ok().filter(|r| r.status == 200)
+        client
+            .call("GET", "/Configuration.Read", &[], &[], 5)
+            .ok()
+            .filter(|r| r.status == 200)
     });
     let read: serde_json::Value = serde_json::from_slice(&read.expect("an answer").body).unwrap();
     assert_eq!(read["revision"], 1);
@@ -136,7 +167,10 @@
     let mut answer = Vec::new();
     open.read_to_end(&mut answer).unwrap();
     let answer = String::from_utf8_lossy(&answer).into_owned();
-    assert!(answer.starts_with("HTTP/1.1 200") && answer.contains("s1.i-s1-"), "{answer}");
+    assert!(
+        answer.starts_with("HTTP/1.1 200") && answer.contains("s1.i-s1-"),
+        "{answer}"
+    );
     let mut rest = Vec::new();
     idle.read_to_end(&mut rest).unwrap();
     assert!(rest.is_empty());
@@ -157,7 +191,10 @@
             ),
             "400",
         ),
-        (format!("POST /s1/x HTTP/1.1\r\n{host}X-Attempt-Id: q\r\nContent-Length: 2001\r\n\r\n"), "413"),
+        (
+            format!("POST /s1/x HTTP/1.1\r\n{host}X-Attempt-Id: q\r\nContent-Length: 2001\r\n\r\n"),
+            "413",
+        ),
         (
             format!(
                 "POST /s1/x HTTP/1.1\r\n{host}X-Attempt-Id: q\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n"
@@ -165,11 +202,20 @@
             "400",
         ),
         (
-            format!("GET /s1/x HTTP/1.1\r\n{host}X-Attempt-Id: q\r\nX-Long: {}\r\n\r\n", "x".repeat(5_000)),
+            format!(
+                "GET /s1/x HTTP/1.1\r\n{host}X-Attempt-Id: q\r\nX-Long: {}\r\n\r\n",
+                "x".repeat(5_000)
+            ),
             "431",
         ),
-        (format!("GET /s1/x HTTP/1.1\r\n{host}Connection: close\r\n\r\n"), "400"),
-        (format!("GET /none/x HTTP/1.1\r\n{host}X-Attempt-Id: q\r\nConnection: close\r\n\r\n"), "404"),
+        (
+            format!("GET /s1/x HTTP/1.1\r\n{host}Connection: close\r\n\r\n"),
+            "400",
+        ),
+        (
+            format!("GET /none/x HTTP/1.1\r\n{host}X-Attempt-Id: q\r\nConnection: close\r\n\r\n"),
+            "404",
+        ),
     ];
     let beat = |body: &str| {
         format!(
@@ -181,10 +227,26 @@
     let control = [
         ("\x16\x03\x01\r\n\r\n".to_owned(), "400"),
         (beat("{}"), "400"),
-        (beat(r#"{"backend":"s","address":"here","zone":"z","phase":"available","call_count":1}"#), "400"),
-        (beat(r#"{"backend":"s","address":"1.2.3.4:5","zone":"z","phase":"asleep","call_count":1}"#), "400"),
-        ("GET /Replicas.Heartbeat/i HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n".to_owned(), "405"),
-        ("GET /What.Else HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n".to_owned(), "404"),
+        (
+            beat(
+                r#"{"backend":"s","address":"here","zone":"z","phase":"available","call_count":1}"#,
+            ),
+            "400",
+        ),
+        (
+            beat(
+                r#"{"backend":"s","address":"1.2.3.4:5","zone":"z","phase":"asleep","call_count":1}"#,
+            ),
+            "400",
+        ),
+        (
+            "GET /Replicas.Heartbeat/i HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n".to_owned(),
+            "405",
+        ),
+        (
+            "GET /What.Else HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n".to_owned(),
+            "404",
+        ),
     ];
     let (ingress, calls) = (cluster.ingress("front-1").unwrap(), cluster.control()[0]);
     for (peer, cases) in [(ingress, &front[..]), (calls, &control[..])] {
@@ -194,12 +256,19 @@
             let mut answer = Vec::new();
             let _ = stream.read_to_end(&mut answer);
             let answer = String::from_utf8_lossy(&answer).into_owned();
-            assert!(answer.starts_with(&format!("HTTP/1.1 {status} ")), "{sent:?}: {answer:?}");
+            assert!(
+                answer.starts_with(&format!("HTTP/1.1 {status} ")),
+                "{sent:?}: {answer:?}"
+            );
         }
     }
     // Frames that are none end their connection.
     let peers = std::net::SocketAddr::new(calls.ip(), 17_120);
-    for bytes in [&b"GET / HTTP/1.1\r\n\r\n"[..], &[0, 0, 0, 3, 0xff, 0xff, 0xff], &[0, 0, 0, 0]] {
+    for bytes in [
+        &b"GET / HTTP/1.1\r\n\r\n"[..],
+        &[0, 0, 0, 3, 0xff, 0xff, 0xff],
+        &[0, 0, 0, 0],
+    ] {
         let mut stream = TcpStream::connect(peers).unwrap();
         stream.write_all(bytes).unwrap();
         let mut rest = Vec::new();
@@ -211,5 +280,10 @@
     assert!(cluster.runs("front-1") && cluster.runs("control-1"));
     assert!(whole(&cluster, "front-1", "/all/after", "z").is_some());
     // Nothing of it ran anywhere.
-    assert!(cluster.replicas.iter().all(|r| r.ran().iter().all(|ran| ran.attempt != "q")));
+    assert!(
+        cluster
+            .replicas
+            .iter()
+            .all(|r| r.ran().iter().all(|ran| ran.attempt != "q"))
+    );
 }
--- a/crates/linenthread-node/tests/worst_days.rs
+++ b/crates/linenthread-node/tests/worst_days.rs
@@ -11,9 +11,16 @@
 fn holds(scenario: Scenario, seed: u64) {
     let program = Path::new(env!("CARGO_BIN_EXE_linenthread-node"));
     let mut random = Rand64::new(u128::from(seed));
-    let found = scenario.play(program, &Scale::BRIEF, &mut random).expect("a cluster");
+    let found = scenario
+        .play(program, &Scale::BRIEF, &mut random)
+        .expect("a cluster");
     let breaches: Vec<String> = found.breaches.iter().map(ToString::to_string).collect();
-    assert!(breaches.is_empty(), "{}\n{}", breaches.join("\n"), found.notes.join("\n"));
+    assert!(
+        breaches.is_empty(),
+        "{}\n{}",
+        breaches.join("\n"),
+        found.notes.join("\n")
+    );
     assert!(found.checks > 0);
 }
 
--- a/crates/linenthread-protocol/src/frame.rs
+++ b/crates/linenthread-protocol/src/frame.rs
@@ -60,7 +60,11 @@
 fn queue(report: &[u8]) -> Option<f64> {
     let mut fields = std::str::from_utf8(report).ok()?.split(',');
     let value = fields.find_map(|field| field.trim().strip_prefix("queue="))?;
-    value.parse().ok().filter(|v: &f64| v.is_finite()).map(|v| v.max(0.0))
+    value
+        .parse()
+        .ok()
+        .filter(|v: &f64| v.is_finite())
+        .map(|v| v.max(0.0))
 }
 
 fn ending(word: &str) -> Option<Ending> {
@@ -77,22 +81,41 @@
 }
 
 fn part(mut rest: Bytes) -> Result<Word, String> {
-    let end = rest.iter().position(|b| *b == b'\n').ok_or("an answer without its line")?;
+    let end = rest
+        .iter()
+        .position(|b| *b == b'\n')
+        .ok_or("an answer without its line")?;
     let line = rest.split_to(end);
     let mut fields = line.splitn(4, |b| *b == b' ');
-    let mut next = |field: &str| fields.next().ok_or_else(|| format!("an answer without its {field}"));
-    let (id, how, score) = (text(next("id")?)?, text(next("end")?)?, text(next("score")?)?);
+    let mut next = |field: &str| {
+        fields
+            .next()
+            .ok_or_else(|| format!("an answer without its {field}"))
+    };
+    let (id, how, score) = (
+        text(next("id")?)?,
+        text(next("end")?)?,
+        text(next("score")?)?,
+    );
     let report = next("report")?;
     let ending = ending(how).ok_or_else(|| format!("an answer cannot end with {how:.20?}"))?;
     if score != "-" && !score.parse().is_ok_and(f64::is_finite) {
         return Err(format!("an answer's score cannot be {score:.20?}"));
     }
-    Ok(Word::Part { id: id.into(), ending, queue: queue(report), value: text(&rest[1..])?.into() })
+    Ok(Word::Part {
+        id: id.into(),
+        ending,
+        queue: queue(report),
+        value: text(&rest[1..])?.into(),
+    })
 }
 
 /// Takes the next frame off what was read; `None` while it is not all there.
 pub fn decode(read: &mut BytesMut) -> Result<Option<Word>, String> {
-    let Some(length) = read.first_chunk::<4>().map(|l| u32::from_be_bytes(*l) as usize) else {
+    let Some(length) = read
+        .first_chunk::<4>()
+        .map(|l| u32::from_be_bytes(*l) as usize)
+    else {
         return Ok(None);
     };
     if length == 0 || length > LONGEST {
@@ -108,9 +131,17 @@
         b'E' => part(frame).map(Some),
         b'C' | b'D' => {
             let said = std::str::from_utf8(&frame).ok().and_then(ending);
-            Ok(Some(Word::Probe { ending: said.unwrap_or(Ending::Answered), queue: queue(&frame) }))
+            Ok(Some(Word::Probe {
+                ending: said.unwrap_or(Ending::Answered),
+                queue: queue(&frame),
+            }))
         }
-        b'F' => Ok(Some(Word::Unusable(text(&frame)?.chars().take(80).collect()))),
-        other => Err(format!("a frame cannot have the letter {:?}", char::from(other))),
+        b'F' => Ok(Some(Word::Unusable(
+            text(&frame)?.chars().take(80).collect(),
+        ))),
+        other => Err(format!(
+            "a frame cannot have the letter {:?}",
+            char::from(other)
+        )),
     }
 }
--- a/crates/linenthread-protocol/src/lookup.rs
+++ b/crates/linenthread-protocol/src/lookup.rs
@@ -75,15 +75,23 @@
 /// Reads a request: its headers by name in small letters, and its body.
 pub fn decode<'a>(header: impl Fn(&str) -> Option<&'a str>, body: &[u8]) -> Result<Lookup, String> {
     let id = name(header(ID), ID)?.ok_or_else(|| format!("{ID} is missing"))?;
-    if !id.bytes().all(|b| b.is_ascii_alphanumeric() || b == b'-' || b == b'_') {
+    if !id
+        .bytes()
+        .all(|b| b.is_ascii_alphanumeric() || b == b'-' || b == b'_')
+    {
         return Err(format!("{ID} may hold letters, digits, - and _ only"));
     }
     let expires = header(EXPIRES).ok_or_else(|| format!("{EXPIRES} is missing"))?;
     let expires_in_ms = match expires.trim().parse() {
         Ok(ms) if (1..=LONGEST_WAIT_MS).contains(&ms) => ms,
-        _ => return Err(format!("{EXPIRES} is no number of milliseconds from 1 to {LONGEST_WAIT_MS}")),
+        _ => {
+            return Err(format!(
+                "{EXPIRES} is no number of milliseconds from 1 to {LONGEST_WAIT_MS}"
+            ));
+        }
     };
-    let asked: Asked = serde_json::from_slice(body).map_err(|e| format!("the body does not parse: {e}"))?;
+    let asked: Asked =
+        serde_json::from_slice(body).map_err(|e| format!("the body does not parse: {e}"))?;
     if asked.buckets.is_empty() {
         return Err("no parts are asked for".into());
     }
@@ -94,7 +102,8 @@
     }
     if !asked.buckets.iter().all(Part::is_well_formed) {
         return Err(
-            "a part's share is not above 0 and up to 1, or its effort or seed has no such form".into()
+            "a part's share is not above 0 and up to 1, or its effort or seed has no such form"
+                .into(),
         );
     }
     if (asked.buckets.iter().map(|p| p.weight).sum::<f64>() - 1.0).abs() > ROUNDING {
@@ -129,7 +138,8 @@
     struct Asked {
         page: Option<Page>,
     }
-    let asked: Asked = serde_json::from_slice(body).map_err(|e| format!("the page does not parse: {e}"))?;
+    let asked: Asked =
+        serde_json::from_slice(body).map_err(|e| format!("the page does not parse: {e}"))?;
     Ok(asked.page.unwrap_or_default())
 }
 
@@ -147,8 +157,14 @@
 
 /// The body of an answer: shards with their values, as replicas gave them.
 pub fn answer<'a>(whole: bool, values: impl Iterator<Item = (usize, &'a str)>) -> Vec<u8> {
-    let found = values.map(|(bucket, item)| Found { bucket, item }).collect();
-    serde_json::to_vec(&Body { finished: whole, found }).unwrap_or_default()
+    let found = values
+        .map(|(bucket, item)| Found { bucket, item })
+        .collect();
+    serde_json::to_vec(&Body {
+        finished: whole,
+        found,
+    })
+    .unwrap_or_default()
 }
 
 /// Seconds that a client is asked to wait, with as many decimals as the time has.
--- a/crates/linenthread-protocol/src/roster.rs
+++ b/crates/linenthread-protocol/src/roster.rs
@@ -47,7 +47,9 @@
         "active" => Ok(Phase::Ready),
         "leaving" => Ok(Phase::Draining),
         "left" => Ok(Phase::Gone),
-        other => Err(serde::de::Error::custom(format!("phase cannot be {other:?}"))),
+        other => Err(serde::de::Error::custom(format!(
+            "phase cannot be {other:?}"
+        ))),
     }
 }
 
@@ -64,10 +66,20 @@
 fn held_to(cells: usize, read: serde_json::Result<List>) -> Result<List, String> {
     let list = read.map_err(|e| format!("the list does not parse: {e}"))?;
     if list.replicas.len() > MOST_REPLICAS {
-        return Err(format!("the list has {} replicas, more than {MOST_REPLICAS}", list.replicas.len()));
+        return Err(format!(
+            "the list has {} replicas, more than {MOST_REPLICAS}",
+            list.replicas.len()
+        ));
     }
-    match list.replicas.iter().find(|r| r.cell >= cells || r.id.len() > 128 || r.site.len() > 128) {
-        Some(bad) => Err(format!("the list places {:.40} in cell {} of {cells}", bad.id, bad.cell)),
+    match list
+        .replicas
+        .iter()
+        .find(|r| r.cell >= cells || r.id.len() > 128 || r.site.len() > 128)
+    {
+        Some(bad) => Err(format!(
+            "the list places {:.40} in cell {} of {cells}",
+            bad.id, bad.cell
+        )),
         None => Ok(list),
     }
 }
--- a/crates/linenthread-protocol/tests/messages.rs
+++ b/crates/linenthread-protocol/tests/messages.rs
@@ -10,7 +10,12 @@
 }
 
 fn part(id: &str, ending: Ending, queue: Option<f64>, value: &str) -> Word {
-    Word::Part { id: id.into(), ending, queue, value: value.into() }
+    Word::Part {
+        id: id.into(),
+        ending,
+        queue,
+        value: value.into(),
+    }
 }
 
 #[test]
@@ -20,18 +25,63 @@
             &b"E7f.3 hit 1840277719 inflight=7,queue=2.5,util=0.61\nv 1"[..],
             part("7f.3", Ending::Answered, Some(2.5), "v 1"),
         ),
-        (b"E7f.3 fault 0 -\n", part("7f.3", Ending::Errored, None, "")),
-        (b"E7f.3 overload - queue=-4\n", part("7f.3", Ending::TurnedAway, Some(0.0), "")),
-        (b"E7f.3 hit 1 queue=inf\na\nb", part("7f.3", Ending::Answered, None, "a\nb")),
-        (b"Chit", Word::Probe { ending: Ending::Answered, queue: None }),
-        (b"Dfault", Word::Probe { ending: Ending::Errored, queue: None }),
-        (b"D-", Word::Probe { ending: Ending::Answered, queue: None }),
-        (b"E7f.3 hit 1 \xff queue=1 \nv", part("7f.3", Ending::Answered, None, "v")),
-        (b"D\xff\xfe", Word::Probe { ending: Ending::Answered, queue: None }),
-        (b"Dutil=0.1,queue=3", Word::Probe { ending: Ending::Answered, queue: Some(3.0) }),
+        (
+            b"E7f.3 fault 0 -\n",
+            part("7f.3", Ending::Errored, None, ""),
+        ),
+        (
+            b"E7f.3 overload - queue=-4\n",
+            part("7f.3", Ending::TurnedAway, Some(0.0), ""),
+        ),
+        (
+            b"E7f.3 hit 1 queue=inf\na\nb",
+            part("7f.3", Ending::Answered, None, "a\nb"),
+        ),
+        (
+            b"Chit",
+            Word::Probe {
+                ending: Ending::Answered,
+                queue: None,
+            },
+        ),
+        (
+            b"Dfault",
+            Word::Probe {
+                ending: Ending::Errored,
+                queue: None,
+            },
+        ),
+        (
+            b"D-",
+            Word::Probe {
+                ending: Ending::Answered,
+                queue: None,
+            },
+        ),
+        (
+            b"E7f.3 hit 1 \xff queue=1 \nv",
+            part("7f.3", Ending::Answered, None, "v"),
+        ),
+        (
+            b"D\xff\xfe",
+            Word::Probe {
+                ending: Ending::Answered,
+                queue: None,
+            },
+        ),
+        (
+            b"Dutil=0.1,queue=3",
+            Word::Probe {
+                ending: Ending::Answered,
+                queue: Some(3.0),
+            },
+        ),
         (b"Fno such frame", Word::Unusable("no such frame".into())),
     ];
-    let stream: Vec<u8> = good.iter().flat_map(|(text, _)| framed(text[0], &text[1..])).collect();
+    let stream: Vec<u8> = good
+        .iter()
+        .flat_map(|(text, _)| framed(text[0], &text[1..]))
+        .collect();
     for step in [1, 3, 7, stream.len()] {
         let (mut read, mut words) = (BytesMut::new(), Vec::new());
         for piece in stream.chunks(step) {
@@ -42,7 +92,9 @@
         }
         assert_eq!(
             words,
-            good.iter().map(|(_, word)| word.clone()).collect::<Vec<_>>(),
+            good.iter()
+                .map(|(_, word)| word.clone())
+                .collect::<Vec<_>>(),
             "in steps of {step}"
         );
         assert!(read.is_empty());
@@ -63,7 +115,10 @@
         &framed(b'E', b"7f.3 hit 1 -\n\xff\xfe"),
     ];
     for bytes in bad {
-        assert!(frame::decode(&mut BytesMut::from(bytes)).is_err(), "{bytes:?}");
+        assert!(
+            frame::decode(&mut BytesMut::from(bytes)).is_err(),
+            "{bytes:?}"
+        );
     }
 }
 
@@ -80,8 +135,7 @@
     assert_eq!(frame::probe(), [0, 0, 0, 1, b'D']);
 }
 
-const BODY: &str =
-    r#"{"buckets":[{"bucket":3,"part":0.5,"effort":9000},{"bucket":9,"part":0.5}],"body":"c41e77d0"}"#;
+const BODY: &str = r#"{"buckets":[{"bucket":3,"part":0.5,"effort":9000},{"bucket":9,"part":0.5}],"body":"c41e77d0"}"#;
 
 fn read(changed: &str, value: Option<&'static str>, body: &str) -> Result<lookup::Lookup, String> {
     let header = |name: &str| match name {
@@ -102,8 +156,18 @@
         (asked.id.as_str(), asked.expires_in_ms, asked.text.as_str()),
         ("9b1f03aa5c7e2d41", 480, "c41e77d0")
     );
-    assert_eq!((asked.customer.as_deref(), asked.key.as_deref()), (Some("acme"), Some("7f3a9c21e0b4d655")));
-    assert_eq!(asked.parts.iter().map(|p| (p.shard, p.weight)).collect::<Vec<_>>(), [(3, 0.5), (9, 0.5)]);
+    assert_eq!(
+        (asked.customer.as_deref(), asked.key.as_deref()),
+        (Some("acme"), Some("7f3a9c21e0b4d655"))
+    );
+    assert_eq!(
+        asked
+            .parts
+            .iter()
+            .map(|p| (p.shard, p.weight))
+            .collect::<Vec<_>>(),
+        [(3, 0.5), (9, 0.5)]
+    );
     assert_eq!(read("x-object", None, BODY).unwrap().key, None);
     assert_eq!(lookup::index("/checkout/more"), "checkout");
     let body = lookup::answer(false, [(3, "5be2a07c19f04d63"), (9, "a \"b\"")].into_iter());
@@ -151,25 +215,48 @@
 #[test]
 fn lists_are_read_and_bad_ones_refused() {
     let list = |cell: &str, phase: &str, address: &str| {
-        let place = format!(r#""host_port":"{address}","locality":"a","flavor":"m2","cell":{cell}"#);
-        let member = format!(r#"{{"id":"s-5be2a07c",{place},"phase":"{phase}","size":1.0,"up_since_ms":5}}"#);
+        let place =
+            format!(r#""host_port":"{address}","locality":"a","flavor":"m2","cell":{cell}"#);
+        let member = format!(
+            r#"{{"id":"s-5be2a07c",{place},"phase":"{phase}","size":1.0,"up_since_ms":5}}"#
+        );
         format!(r#"{{"revision":43,"complete":false,"members":[{member}]}}"#)
     };
     let read = |text: &str| roster::decode(text.as_bytes(), 4);
-    for (word, phase) in [("active", Phase::Ready), ("leaving", Phase::Draining), ("left", Phase::Gone)] {
+    for (word, phase) in [
+        ("active", Phase::Ready),
+        ("leaving", Phase::Draining),
+        ("left", Phase::Gone),
+    ] {
         let told = read(&list("3", word, "127.0.0.1:5000")).unwrap();
-        assert_eq!((told.revision, told.whole, told.replicas.len()), (43, false, 1));
+        assert_eq!(
+            (told.revision, told.whole, told.replicas.len()),
+            (43, false, 1)
+        );
         let replica = &told.replicas[0];
-        assert_eq!((replica.phase, replica.cell, replica.started_ms), (phase, 3, 5.0));
-        assert_eq!((replica.id.as_str(), replica.address), ("s-5be2a07c", "127.0.0.1:5000".parse().unwrap()));
+        assert_eq!(
+            (replica.phase, replica.cell, replica.started_ms),
+            (phase, 3, 5.0)
+        );
+        assert_eq!(
+            (replica.id.as_str(), replica.address),
+            ("s-5be2a07c", "127.0.0.1:5000".parse().unwrap())
+        );
     }
     let bad = [
         list("4", "active", "127.0.0.1:5000"),
         list("3", "asleep", "127.0.0.1:5000"),
         list("3", "active", "here"),
     ];
-    for text in bad.iter().map(String::as_str).chain(["", "{}", "[1]", r#"{"revision":1,"complete":true}"#]) {
+    for text in
+        bad.iter()
+            .map(String::as_str)
+            .chain(["", "{}", "[1]", r#"{"revision":1,"complete":true}"#])
+    {
         assert!(read(text).is_err(), "{text}");
     }
-    assert_eq!(roster::watch(41, 20_000), "/v1/servers?from=41&hold_ms=20000");
+    assert_eq!(
+        roster::watch(41, 20_000),
+        "/v1/servers?from=41&hold_ms=20000"
+    );
 }
--- a/crates/linenthread-service/src/carriers/call.rs
+++ b/crates/linenthread-service/src/carriers/call.rs
@@ -18,14 +18,21 @@
 
 impl Ended {
     pub fn without_value(part: usize, call: usize, ending: Ending) -> Ended {
-        Ended { part, call, ending, queue: None, value: String::new() }
+        Ended {
+            part,
+            call,
+            ending,
+            queue: None,
+            value: String::new(),
+        }
     }
 }
 
 /// Ends parts that never left this side.
 pub fn unsent<T>(asked: &[Asked], to: &mpsc::UnboundedSender<Ended>) -> Vec<Option<T>> {
     for Asked { part, call, .. } in asked {
-        to.send(Ended::without_value(*part, *call, Ending::Unsent)).ok();
+        to.send(Ended::without_value(*part, *call, Ending::Unsent))
+            .ok();
     }
     asked.iter().map(|_| None).collect()
 }
