--- a/crates/linenthread-service/src/carriers/frames.rs
+++ b/crates/linenthread-service/src/carriers/frames.rs
@@ -152,7 +152,10 @@
 impl Drop for PartOut {
     fn drop(&mut self) {
         let mut parts = self.link.parts.borrow_mut();
-        if parts.get(&self.id).is_none_or(|waiter| waiter.number != self.number) {
+        if parts
+            .get(&self.id)
+            .is_none_or(|waiter| waiter.number != self.number)
+        {
             return;
         }
         parts.remove(&self.id);
@@ -162,7 +165,11 @@
         match frames.iter().position(alone) {
             Some(unwritten) => drop(frames.remove(unwritten)),
             _ if !self.link.withdraw => {}
-            _ => frames.push_back(Frame { bytes: frame::give_up(&self.id), parts: Vec::new(), probe: false }),
+            _ => frames.push_back(Frame {
+                bytes: frame::give_up(&self.id),
+                parts: Vec::new(),
+                probe: false,
+            }),
         }
         self.link.news.notify_one();
     }
@@ -194,7 +201,9 @@
     /// Whether nothing is open to a replica that is found nowhere: then its index may stand for another.
     pub fn is_vacant(&self, replica: usize) -> bool {
         let places = self.0.places.borrow();
-        places.get(replica).is_none_or(|place| place.address.is_none() && place.links.is_empty())
+        places
+            .get(replica)
+            .is_none_or(|place| place.address.is_none() && place.links.is_empty())
     }
 
     /// Sends parts of one lookup to one replica as one part call.
@@ -206,23 +215,46 @@
         wait_ms: u64,
         to: &mpsc::UnboundedSender<Ended>,
     ) -> Vec<Option<PartOut>> {
-        let ids: Vec<String> = asked.iter().map(|a| frame::part_id(lookup, a.shard, a.round)).collect();
+        let ids: Vec<String> = asked
+            .iter()
+            .map(|a| frame::part_id(lookup, a.shard, a.round))
+            .collect();
         let link = self.link(replica, asked.len(), |link| {
             let parts = link.parts.borrow();
             ids.iter().all(|id| !parts.contains_key(id))
         });
-        let Some(link) = link else { return unsent(asked, to) };
-        let parts = ids.iter().zip(asked).map(|(id, a)| (id.as_str(), a.shard, &*a.text));
+        let Some(link) = link else {
+            return unsent(asked, to);
+        };
+        let parts = ids
+            .iter()
+            .zip(asked)
+            .map(|(id, a)| (id.as_str(), a.shard, &*a.text));
         let bytes = frame::call(parts, wait_ms);
-        let mut frame = Frame { bytes, parts: Vec::new(), probe: false };
+        let mut frame = Frame {
+            bytes,
+            parts: Vec::new(),
+            probe: false,
+        };
         let mut out = Vec::new();
         for (id, &Asked { part, call, .. }) in ids.into_iter().zip(asked) {
             let number = self.0.numbers.get();
             self.0.numbers.set(number + 1);
-            let waiter = Waiter { number, part, call, written: false, to: to.clone() };
+            let waiter = Waiter {
+                number,
+                part,
+                call,
+                written: false,
+                to: to.clone(),
+            };
             link.parts.borrow_mut().insert(id.clone(), waiter);
             frame.parts.push((id.clone(), number));
-            out.push(Some(PartOut { link: link.clone(), id, number, sent: Instant::now() }));
+            out.push(Some(PartOut {
+                link: link.clone(),
+                id,
+                number,
+                sent: Instant::now(),
+            }));
         }
         link.frames.borrow_mut().push_back(frame);
         link.news.notify_one();
@@ -232,16 +264,29 @@
     /// Closes the connections to a replica on which nothing is out.
     pub fn close(&self, replica: usize) {
         let places = self.0.places.borrow();
-        let links = places.get(replica).into_iter().flat_map(|place| &place.links);
-        links.filter(|l| l.out() == 0).for_each(|link| link.retire());
+        let links = places
+            .get(replica)
+            .into_iter()
+            .flat_map(|place| &place.links);
+        links
+            .filter(|l| l.out() == 0)
+            .for_each(|link| link.retire());
     }
 
     /// Asks a replica how it fares.
     pub async fn probe(&self, replica: usize) -> (Ending, Option<f64>) {
-        let Some(link) = self.link(replica, 1, |_| true) else { return (Ending::Unsent, None) };
+        let Some(link) = self.link(replica, 1, |_| true) else {
+            return (Ending::Unsent, None);
+        };
         let (to, answer) = oneshot::channel();
-        link.probes.borrow_mut().push_back(ProbeWaiter { written: false, to });
-        link.frames.borrow_mut().push_back(Frame { bytes: frame::probe(), parts: Vec::new(), probe: true });
+        link.probes
+            .borrow_mut()
+            .push_back(ProbeWaiter { written: false, to });
+        link.frames.borrow_mut().push_back(Frame {
+            bytes: frame::probe(),
+            parts: Vec::new(),
+            probe: true,
+        });
         link.news.notify_one();
         let sent = Instant::now();
         match timeout(self.0.limits.probe, answer).await {
@@ -336,7 +381,9 @@
     /// Keeps whether the last connect to a replica failed, and says whether the one before it did.
     fn unreached(&self, replica: usize, failed: bool) -> bool {
         let mut places = self.0.places.borrow_mut();
-        places.get_mut(replica).is_some_and(|place| std::mem::replace(&mut place.unreached, failed))
+        places
+            .get_mut(replica)
+            .is_some_and(|place| std::mem::replace(&mut place.unreached, failed))
     }
 }
 
@@ -384,8 +431,14 @@
         loop {
             if writing.is_none() {
                 writing = self.frames.borrow_mut().pop_front().map(|frame| {
-                    let held = !frame.parts.is_empty() && self.sound.get() && active.elapsed() > UNUSED;
-                    Writing { frame, at: 0, held, last: None }
+                    let held =
+                        !frame.parts.is_empty() && self.sound.get() && active.elapsed() > UNUSED;
+                    Writing {
+                        frame,
+                        at: 0,
+                        held,
+                        last: None,
+                    }
                 });
             }
             let empty = writing.is_none() && self.empty();
@@ -453,15 +506,29 @@
 
     fn hear(&self, word: Word) -> Result<(), Fault> {
         match word {
-            Word::Part { id, ending, queue, value } => {
+            Word::Part {
+                id,
+                ending,
+                queue,
+                value,
+            } => {
                 if self.parts.borrow().get(&id).is_some_and(|w| !w.written) {
                     return Err(Fault::Spoilt("an answer to a part not yet sent".into()));
                 }
                 if let Some(Waiter { part, call, to, .. }) = self.parts.borrow_mut().remove(&id) {
                     self.remember(&id);
-                    to.send(Ended { part, call, ending, queue, value }).ok();
+                    to.send(Ended {
+                        part,
+                        call,
+                        ending,
+                        queue,
+                        value,
+                    })
+                    .ok();
                 } else if !self.ended.borrow().contains(&number(&id)) {
-                    return Err(Fault::Spoilt("an answer to a part that was never sent".into()));
+                    return Err(Fault::Spoilt(
+                        "an answer to a part that was never sent".into(),
+                    ));
                 }
                 // What has ended was given up or answered before: its late or second answer is dropped.
                 Ok(())
@@ -474,7 +541,9 @@
                 }
                 Ok(())
             }
-            Word::Unusable(words) => Err(Fault::Ended(format!("the replica could not use a frame: {words}"))),
+            Word::Unusable(words) => Err(Fault::Ended(format!(
+                "the replica could not use a frame: {words}"
+            ))),
         }
     }
 
@@ -487,10 +556,22 @@
             false if spoilt || self.sound.get() => Ending::Unsent,
             false => Ending::Unconnected,
         };
-        for Waiter { part, call, written, to, .. } in
-            std::mem::take(&mut *self.parts.borrow_mut()).into_values()
+        for Waiter {
+            part,
+            call,
+            written,
+            to,
+            ..
+        } in std::mem::take(&mut *self.parts.borrow_mut()).into_values()
         {
-            to.send(Ended { part, call, ending: ending(written), queue: None, value: String::new() }).ok();
+            to.send(Ended {
+                part,
+                call,
+                ending: ending(written),
+                queue: None,
+                value: String::new(),
+            })
+            .ok();
         }
         for probe in self.probes.borrow_mut().drain(..) {
             probe.to.send((ending(probe.written), None)).ok();
@@ -508,9 +589,10 @@
     fn parts_end_by_whether_their_last_byte_was_written() {
         // An answer to what was never sent whole is no answer.
         let spoilt: &[u8] = b"\0\0\0\x10El.499 hit 1 -\nv";
-        for (said, whole, cut) in
-            [(spoilt, Ending::Errored, Ending::Unsent), (b"", Ending::Broken, Ending::Unconnected)]
-        {
+        for (said, whole, cut) in [
+            (spoilt, Ending::Errored, Ending::Unsent),
+            (b"", Ending::Broken, Ending::Unconnected),
+        ] {
             actix_rt::System::new().block_on(async {
                 let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
                 let second = Duration::from_secs(20);
@@ -527,8 +609,14 @@
                 let (to, mut ended) = mpsc::unbounded_channel();
                 // More than any socket's buffers hold.
                 let text: Rc<str> = "x".repeat(60_000).into();
-                let asked =
-                    |part| Asked { part, call: 0, shard: part, round: 0, text: text.clone(), gain: 0 };
+                let asked = |part| Asked {
+                    part,
+                    call: 0,
+                    shard: part,
+                    round: 0,
+                    text: text.clone(),
+                    gain: 0,
+                };
                 let call = |part| replicas.call(0, "l", &[asked(part)], 9, &to);
                 let out: Vec<_> = (0..500).map(call).collect();
                 let (mut replica, _) = listener.accept().await.unwrap();
--- a/crates/linenthread-service/src/carriers/link.rs
+++ b/crates/linenthread-service/src/carriers/link.rs
@@ -68,7 +68,14 @@
 
 impl Drop for PartOut {
     fn drop(&mut self) {
-        if self.peer.0.waiters.borrow_mut().remove(&self.number).is_some() {
+        if self
+            .peer
+            .0
+            .waiters
+            .borrow_mut()
+            .remove(&self.number)
+            .is_some()
+        {
             self.peer.act(|near, _, to| near.withdraw(self.number, to));
         }
     }
@@ -117,12 +124,30 @@
                 NearDo::Connect => self.0.connect.set(true),
                 NearDo::Close(why) => drop(self.0.close.replace(Some(why))),
                 NearDo::Send(frame) => self.0.frames.borrow_mut().push_back(frame),
-                NearDo::Ended { number, ending, queue, value } => {
-                    if let Some(Waiter { part, call, to }) = self.0.waiters.borrow_mut().remove(&number) {
-                        to.send(Ended { part, call, ending, queue, value }).ok();
+                NearDo::Ended {
+                    number,
+                    ending,
+                    queue,
+                    value,
+                } => {
+                    if let Some(Waiter { part, call, to }) =
+                        self.0.waiters.borrow_mut().remove(&number)
+                    {
+                        to.send(Ended {
+                            part,
+                            call,
+                            ending,
+                            queue,
+                            value,
+                        })
+                        .ok();
                     }
                 }
-                NearDo::Probed { number, ending, queue } => {
+                NearDo::Probed {
+                    number,
+                    ending,
+                    queue,
+                } => {
                     if let Some(to) = self.0.probes.borrow_mut().remove(&number) {
                         to.send((ending, queue)).ok();
                     }
@@ -162,11 +187,18 @@
             // It may end at once: its waiter stands before that is told.
             self.act(|near, now, to| {
                 number = near.call(now, call, due, asked.gain, &mut ends);
-                let waiter = Waiter { part: asked.part, call: asked.call, to: ended_to.clone() };
+                let waiter = Waiter {
+                    part: asked.part,
+                    call: asked.call,
+                    to: ended_to.clone(),
+                };
                 self.0.waiters.borrow_mut().insert(number, waiter);
                 to.append(&mut ends);
             });
-            PartOut { peer: self.clone(), number }
+            PartOut {
+                peer: self.clone(),
+                number,
+            }
         };
         asked.iter().map(one).collect()
     }
@@ -189,7 +221,12 @@
 
     async fn run(self) {
         loop {
-            let at = self.0.clock.at(self.0.near.borrow().wake_at().min(self.0.clock.now() + 100_000));
+            let at = self.0.clock.at(self
+                .0
+                .near
+                .borrow()
+                .wake_at()
+                .min(self.0.clock.now() + 100_000));
             tokio::select! {
                 _ = sleep_until(at) => self.act(|near, now, to| near.wake(now, to)),
                 _ = self.0.news.notified() => {}
@@ -226,11 +263,22 @@
             if writing.is_none()
                 && let Some(frame) = self.0.frames.borrow_mut().pop_front()
             {
-                let number = if let Frame::Call { number, .. } = &frame { Some(*number) } else { None };
+                let number = if let Frame::Call { number, .. } = &frame {
+                    Some(*number)
+                } else {
+                    None
+                };
                 writing = Some((frame.encode(), 0, number));
             }
-            let wake = self.0.near.borrow().wake_at().min(self.0.clock.now() + 100_000);
-            let rest = writing.as_ref().map_or(&[][..], |(bytes, at, _)| &bytes[*at..]);
+            let wake = self
+                .0
+                .near
+                .borrow()
+                .wake_at()
+                .min(self.0.clock.now() + 100_000);
+            let rest = writing
+                .as_ref()
+                .map_or(&[][..], |(bytes, at, _)| &bytes[*at..]);
             tokio::select! {
                 n = reads.read(&mut buffer) => match n {
                     Ok(0) => return "closed by the gateway".into(),
--- a/crates/linenthread-service/src/carriers/mod.rs
+++ b/crates/linenthread-service/src/carriers/mod.rs
@@ -90,7 +90,14 @@
         let address = match place {
             Some(Place::At(address)) => Some(address),
             Some(Place::Behind(ways, id)) => {
-                behind.insert(replica, Behind { ways, id, last: None });
+                behind.insert(
+                    replica,
+                    Behind {
+                        ways,
+                        id,
+                        last: None,
+                    },
+                );
                 None
             }
             None => None,
@@ -121,12 +128,17 @@
             None => {}
             Some((Some(peer), id)) => {
                 let out = peer.call(&id, lookup, asked, Duration::from_millis(wait_ms), to);
-                return out.into_iter().map(|out| Some(PartOut::Link(out))).collect();
+                return out
+                    .into_iter()
+                    .map(|out| Some(PartOut::Link(out)))
+                    .collect();
             }
             Some((None, _)) => return unsent(asked, to),
         }
         let out = self.0.frames.call(replica, lookup, asked, wait_ms, to);
-        out.into_iter().map(|out| out.map(PartOut::Frames)).collect()
+        out.into_iter()
+            .map(|out| out.map(PartOut::Frames))
+            .collect()
     }
 
     /// Asks a replica how it fares.
--- a/crates/linenthread-service/src/clock.rs
+++ b/crates/linenthread-service/src/clock.rs
@@ -22,8 +22,13 @@
 
 impl Clock {
     pub fn new() -> Self {
-        let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        Clock { start: Instant::now(), unix_ms: unix.as_secs_f64() * 1000.0 }
+        let unix = SystemTime::now()
+            .duration_since(UNIX_EPOCH)
+            .unwrap_or_default();
+        Clock {
+            start: Instant::now(),
+            unix_ms: unix.as_secs_f64() * 1000.0,
+        }
     }
 
     pub fn now(&self) -> Tenths {
--- a/crates/linenthread-service/src/config.rs
+++ b/crates/linenthread-service/src/config.rs
@@ -32,15 +32,24 @@
     }
 
     pub fn parse(text: &[u8]) -> Result<Config, String> {
-        let root: Value = serde_json::from_slice(text).map_err(|e| format!("does not parse: {e}"))?;
+        let root: Value =
+            serde_json::from_slice(text).map_err(|e| format!("does not parse: {e}"))?;
         let field = |name: &str| root.get(name).ok_or_else(|| format!("{name} is missing"));
         let words = |name: &str| {
-            field(name)?.as_str().map(str::to_owned).ok_or_else(|| format!("{name} is not a text"))
+            field(name)?
+                .as_str()
+                .map(str::to_owned)
+                .ok_or_else(|| format!("{name} is not a text"))
+        };
+        let address = |name: &str| {
+            words(name)?
+                .parse()
+                .map_err(|_| format!("{name} is not an address with its port"))
         };
-        let address =
-            |name: &str| words(name)?.parse().map_err(|_| format!("{name} is not an address with its port"));
         let seed = words("seed")?;
-        let sockets = root.pointer("/limits/sockets").ok_or("limits.sockets is missing")?;
+        let sockets = root
+            .pointer("/limits/sockets")
+            .ok_or("limits.sockets is missing")?;
         let settings = field("settings")?;
         let deployment = terms::deployment(settings)?;
         if let Some(i) = deployment.indexes.iter().position(|i| i.second_step > 0) {
@@ -79,9 +88,16 @@
             ("name", new.name != self.name),
             ("listen", new.listen != self.listen),
             ("limits.sockets", new.sockets != self.sockets),
-            ("settings", new.deployment != self.deployment || new.surroundings != self.surroundings),
+            (
+                "settings",
+                new.deployment != self.deployment || new.surroundings != self.surroundings,
+            ),
         ];
-        let later: Vec<_> = later.iter().filter(|(_, differs)| *differs).map(|(name, _)| *name).collect();
+        let later: Vec<_> = later
+            .iter()
+            .filter(|(_, differs)| *differs)
+            .map(|(name, _)| *name)
+            .collect();
         info!(roster = %new.roster, at_next_start = later.join(","), "configuration read again");
         Some(new.roster)
     }
--- a/crates/linenthread-service/src/desk.rs
+++ b/crates/linenthread-service/src/desk.rs
@@ -25,10 +25,21 @@
 /// What was decided for one lookup.
 #[derive(Debug)]
 pub enum Decision {
-    Call { part: usize, replica: usize, time_out: Tenths },
-    Withdraw { part: usize, call: usize },
-    Satisfy { whole: bool },
-    Nack { retry_after: Option<Tenths> },
+    Call {
+        part: usize,
+        replica: usize,
+        time_out: Tenths,
+    },
+    Withdraw {
+        part: usize,
+        call: usize,
+    },
+    Satisfy {
+        whole: bool,
+    },
+    Nack {
+        retry_after: Option<Tenths>,
+    },
     Abort,
 }
 
@@ -73,9 +84,18 @@
         if let Some(known) = self.of.get(id) {
             return *known;
         }
-        let spare = self.held.iter().position(Option::is_none).unwrap_or(self.held.len());
-        self.held.resize_with(self.held.len().max(spare + 1), || None);
-        self.held[spare] = Some(Held { id: id.to_owned(), probes: 0, gone: None });
+        let spare = self
+            .held
+            .iter()
+            .position(Option::is_none)
+            .unwrap_or(self.held.len());
+        self.held
+            .resize_with(self.held.len().max(spare + 1), || None);
+        self.held[spare] = Some(Held {
+            id: id.to_owned(),
+            probes: 0,
+            gone: None,
+        });
         self.of.insert(id.to_owned(), spare);
         spare
     }
@@ -87,8 +107,9 @@
     /// The one place where an index is given back: all lookups are over that were among the first so many.
     fn give_back(&mut self, over: u64, is_vacant: impl Fn(usize) -> bool) {
         for (replica, entry) in self.held.iter_mut().enumerate() {
-            let done =
-                |h: &mut Held| h.gone.is_some_and(|gone| gone <= over) && h.probes == 0 && is_vacant(replica);
+            let done = |h: &mut Held| {
+                h.gone.is_some_and(|gone| gone <= over) && h.probes == 0 && is_vacant(replica)
+            };
             if let Some(held) = entry.take_if(done) {
                 self.of.remove(&held.id);
             }
@@ -156,7 +177,14 @@
 
 impl Writer for Routes<'_> {
     fn call(&mut self, lookup: usize, part: usize, replica: usize, time_out: Tenths) {
-        self.to(lookup, Decision::Call { part, replica, time_out });
+        self.to(
+            lookup,
+            Decision::Call {
+                part,
+                replica,
+                time_out,
+            },
+        );
     }
 
     fn withdraw(&mut self, lookup: usize, part: usize, call: usize) {
@@ -176,7 +204,12 @@
     }
 
     fn release(&mut self, lookup: usize) {
-        if self.lookups.get_mut(lookup).and_then(Option::take).is_some() {
+        if self
+            .lookups
+            .get_mut(lookup)
+            .and_then(Option::take)
+            .is_some()
+        {
             self.free.push(lookup);
         }
     }
@@ -190,7 +223,13 @@
             let sent = desk.0.clock.now();
             let (ending, queue) = desk.0.carriers.probe(replica).await;
             desk.saw(replica, ending, desk.0.clock.now() - sent);
-            desk.arrive(|arrivals| arrivals.probes.push(ProbeReturn { replica, ending, queue }));
+            desk.arrive(|arrivals| {
+                arrivals.probes.push(ProbeReturn {
+                    replica,
+                    ending,
+                    queue,
+                })
+            });
         });
     }
 
@@ -217,7 +256,11 @@
         near: impl FnOnce(&[String]) -> Option<Near>,
     ) -> Self {
         let mut sites = config.surroundings.sites.clone();
-        let further: Vec<String> = zones.iter().filter(|z| !sites.contains(z)).cloned().collect();
+        let further: Vec<String> = zones
+            .iter()
+            .filter(|z| !sites.contains(z))
+            .cloned()
+            .collect();
         sites.extend(further);
         let near = near(&sites);
         let desk = Desk(Rc::new(Inner {
@@ -268,10 +311,37 @@
 
     fn round(&self) {
         let mut state = self.0.state.borrow_mut();
-        let State { coordinator, arrivals, lookups, free, indices, wake_at, .. } = &mut *state;
+        let State {
+            coordinator,
+            arrivals,
+            lookups,
+            free,
+            indices,
+            wake_at,
+            ..
+        } = &mut *state;
         arrivals.now = self.0.clock.now();
-        coordinator.round(arrivals, &mut Routes { desk: self, lookups, free, indices, wake_at });
-        let Arrivals { now: _, roster, ways, lookups, parts, returns, onward, probes, lapsed } = arrivals;
+        coordinator.round(
+            arrivals,
+            &mut Routes {
+                desk: self,
+                lookups,
+                free,
+                indices,
+                wake_at,
+            },
+        );
+        let Arrivals {
+            now: _,
+            roster,
+            ways,
+            lookups,
+            parts,
+            returns,
+            onward,
+            probes,
+            lapsed,
+        } = arrivals;
         onward.clear();
         *ways = None;
         roster.clear();
@@ -304,13 +374,31 @@
             state.lookups.len() - 1
         });
         state.lookups[lookup] = Some(Task { to, before });
-        let HandedIn { index, customer, key, number, expires_in, parts } = new;
+        let HandedIn {
+            index,
+            customer,
+            key,
+            number,
+            expires_in,
+            parts,
+        } = new;
         if let Some(near) = &mut state.near {
             near.asked(parts.len());
         }
         let hard_deadline = self.0.clock.now() + expires_in;
-        state.arrivals.lookups.push(NewLookup { lookup, index, customer, key, number, hard_deadline });
-        let parts = parts.into_iter().map(|(shard, weight)| NewPart { lookup, shard, weight });
+        state.arrivals.lookups.push(NewLookup {
+            lookup,
+            index,
+            customer,
+            key,
+            number,
+            hard_deadline,
+        });
+        let parts = parts.into_iter().map(|(shard, weight)| NewPart {
+            lookup,
+            shard,
+            weight,
+        });
         state.arrivals.parts.extend(parts);
         self.0.came.notify_one();
         (lookup, decisions)
@@ -323,12 +411,21 @@
 
     /// Answered parts of a lookup are wanted once more; said before the round that hears of their answers.
     pub fn ask_on(&self, lookup: usize, parts: &[usize]) {
-        self.arrive(|arrivals| arrivals.onward.extend(parts.iter().map(|&part| (lookup, part))));
+        self.arrive(|arrivals| {
+            arrivals
+                .onward
+                .extend(parts.iter().map(|&part| (lookup, part)))
+        });
     }
 
     /// A replica's id, for the log.
     pub fn name(&self, replica: usize) -> String {
-        self.0.state.borrow_mut().indices.get(replica).map_or_else(String::new, |held| held.id.clone())
+        self.0
+            .state
+            .borrow_mut()
+            .indices
+            .get(replica)
+            .map_or_else(String::new, |held| held.id.clone())
     }
 
     /// A lookup's client has left.
@@ -361,7 +458,13 @@
     /// All act on this table from now on; whether this program does.
     pub fn take_table(&self, table: Table) -> bool {
         let now = self.0.clock.now();
-        let taken = self.0.state.borrow_mut().near.as_mut().is_some_and(|near| near.take(table, now));
+        let taken = self
+            .0
+            .state
+            .borrow_mut()
+            .near
+            .as_mut()
+            .is_some_and(|near| near.take(table, now));
         if taken {
             self.tell_ways();
         }
@@ -395,8 +498,21 @@
     /// Turns a list's ids into indices, and tells where its replicas are found.
     fn listed(&self, list: &roster::List) -> Vec<Listed> {
         let mut state = self.0.state.borrow_mut();
-        let State { lookups, indices, sites, handed_in, local, far, .. } = &mut *state;
-        let over = lookups.iter().flatten().map(|task| task.before).min().unwrap_or(*handed_in);
+        let State {
+            lookups,
+            indices,
+            sites,
+            handed_in,
+            local,
+            far,
+            ..
+        } = &mut *state;
+        let over = lookups
+            .iter()
+            .flatten()
+            .map(|task| task.before)
+            .min()
+            .unwrap_or(*handed_in);
         indices.give_back(over, |replica| self.0.carriers.is_vacant(replica));
         if list.whole {
             local.clear();
@@ -417,13 +533,18 @@
             if let Some(held) = indices.get(replica) {
                 held.gone = gone.then_some(*handed_in);
             }
-            self.0.carriers.place(replica, (!gone).then_some(Place::At(r.address)));
+            self.0
+                .carriers
+                .place(replica, (!gone).then_some(Place::At(r.address)));
             listed.push(Listed {
                 replica,
                 id: number(&r.id),
                 cell: r.cell,
                 // Sites that the settings don't name are one.
-                site: sites.iter().position(|s| *s == r.site).unwrap_or(sites.len()),
+                site: sites
+                    .iter()
+                    .position(|s| *s == r.site)
+                    .unwrap_or(sites.len()),
                 phase: r.phase,
                 started: (r.started_ms > 0.0).then(|| self.0.clock.of_unix(r.started_ms)),
                 cold_share: None,
@@ -494,15 +615,28 @@
     /// reaches, and none of these replicas has to be learnt as failing by itself.
     fn tell_far(&self) {
         let mut state = self.0.state.borrow_mut();
-        let State { indices, sites, handed_in, local, peers, far, .. } = &mut *state;
+        let State {
+            indices,
+            sites,
+            handed_in,
+            local,
+            peers,
+            far,
+            ..
+        } = &mut *state;
         let up = || peers.iter().enumerate().filter(|(_, behind)| behind.up);
-        let ids: BTreeSet<&String> =
-            up().flat_map(|(_, b)| b.members.keys()).filter(|id| !local.contains_key(*id)).collect();
+        let ids: BTreeSet<&String> = up()
+            .flat_map(|(_, b)| b.members.keys())
+            .filter(|id| !local.contains_key(*id))
+            .collect();
         let mut now: BTreeMap<String, (Vec<usize>, Member)> = BTreeMap::new();
         for id in ids {
             let said = || up().filter_map(|(peer, b)| Some((peer, b.members.get(id)?)));
             if let Some(member) = routes::most_careful(said().map(|(_, member)| member)) {
-                let ways = said().filter(|(_, m)| m.phase != Phase::Gone).map(|(peer, _)| peer).collect();
+                let ways = said()
+                    .filter(|(_, m)| m.phase != Phase::Gone)
+                    .map(|(peer, _)| peer)
+                    .collect();
                 now.insert(id.clone(), (ways, member));
             }
         }
@@ -513,13 +647,19 @@
                 // The module need not know by which way.
                 Some((_, same)) if same == member => {
                     let replica = indices.take(id);
-                    self.0.carriers.place(replica, Some(Place::Behind(ways.clone(), id.as_str().into())));
+                    self.0.carriers.place(
+                        replica,
+                        Some(Place::Behind(ways.clone(), id.as_str().into())),
+                    );
                 }
                 _ => listed.push(self.entry(indices, sites, *handed_in, id, Some(ways), member)),
             }
         }
         for (id, (_, member)) in far.iter().filter(|(id, _)| !now.contains_key(*id)) {
-            let gone = Member { phase: Phase::Gone, ..member.clone() };
+            let gone = Member {
+                phase: Phase::Gone,
+                ..member.clone()
+            };
             listed.push(self.entry(indices, sites, *handed_in, id, None, &gone));
         }
         let count = now.len();
@@ -545,14 +685,22 @@
         if let Some(held) = indices.get(replica) {
             held.gone = ways.is_none().then_some(handed_in);
         }
-        self.0.carriers.place(replica, ways.map(|ways| Place::Behind(ways.clone(), id.into())));
+        self.0.carriers.place(
+            replica,
+            ways.map(|ways| Place::Behind(ways.clone(), id.into())),
+        );
         Listed {
             replica,
             id: number(id),
             cell: member.cell as usize,
-            site: sites.iter().position(|s| *s == member.site).unwrap_or(sites.len()),
+            site: sites
+                .iter()
+                .position(|s| *s == member.site)
+                .unwrap_or(sites.len()),
             phase: member.phase,
-            started: member.age_ms.map(|age| self.0.clock.now() - Tenths::from(age) * 10),
+            started: member
+                .age_ms
+                .map(|age| self.0.clock.now() - Tenths::from(age) * 10),
             cold_share: Some(f64::from(member.share) / 1000.0),
         }
     }
@@ -570,7 +718,11 @@
     /// The index of a replica that is reached from here directly.
     pub fn direct(&self, id: &str) -> Option<usize> {
         let state = self.0.state.borrow();
-        let replica = *state.indices.of.get(id).filter(|_| state.local.contains_key(id))?;
+        let replica = *state
+            .indices
+            .of
+            .get(id)
+            .filter(|_| state.local.contains_key(id))?;
         self.0.carriers.is_direct(replica).then_some(replica)
     }
 }
@@ -587,7 +739,8 @@
             site: r.site.clone(),
             cell: r.cell as u32,
             phase: r.phase,
-            age_ms: (r.started_ms > 0.0).then(|| age(r.started_ms).min(Tenths::from(u32::MAX - 1)) as u32),
+            age_ms: (r.started_ms > 0.0)
+                .then(|| age(r.started_ms).min(Tenths::from(u32::MAX - 1)) as u32),
             share: 1_000,
         };
         local.insert(r.id.clone(), member);
@@ -601,16 +754,30 @@
     #[test]
     fn an_index_comes_back_once_nothing_of_its_replica_is_open() {
         let mut indices = Indices::default();
-        assert_eq!((indices.take("a"), indices.take("b"), indices.take("a")), (0, 1, 0));
-        *indices.get(0).unwrap() = Held { id: "a".into(), probes: 1, gone: Some(7) };
+        assert_eq!(
+            (indices.take("a"), indices.take("b"), indices.take("a")),
+            (0, 1, 0)
+        );
+        *indices.get(0).unwrap() = Held {
+            id: "a".into(),
+            probes: 1,
+            gone: Some(7),
+        };
         indices.give_back(7, |_| true);
         assert_eq!(indices.take("c"), 2, "a probe of it is out");
         indices.get(0).unwrap().probes = 0;
         indices.give_back(6, |_| true);
         indices.give_back(7, |replica| replica != 0);
-        assert_eq!(indices.take("d"), 3, "a lookup taken before is open, or a connection");
+        assert_eq!(
+            indices.take("d"),
+            3,
+            "a lookup taken before is open, or a connection"
+        );
         indices.give_back(7, |_| true);
-        assert_eq!((indices.take("e"), indices.take("a"), indices.take("b")), (0, 4, 1));
+        assert_eq!(
+            (indices.take("e"), indices.take("a"), indices.take("b")),
+            (0, 4, 1)
+        );
         // However many come and go, no more indices are used than are needed at once.
         for n in 0..1_000 {
             let replica = indices.take(&format!("n{n}"));
--- a/crates/linenthread-service/src/first_try.rs
+++ b/crates/linenthread-service/src/first_try.rs
@@ -57,11 +57,21 @@
     let asks = [
         ("page one of all donations, latest first", "history"),
         ("page two", "history"),
-        ("the total of all pledges, without slice 5, which comes too late", "pledges"),
-        ("the three charities with the most, and the rest", "charities"),
+        (
+            "the total of all pledges, without slice 5, which comes too late",
+            "pledges",
+        ),
+        (
+            "the three charities with the most, and the rest",
+            "charities",
+        ),
     ];
     for (n, (title, index)) in asks.into_iter().enumerate() {
-        let page = if index == "history" { json!({"rows": 5, "after": mark}) } else { Value::Null };
+        let page = if index == "history" {
+            json!({"rows": 5, "after": mark})
+        } else {
+            Value::Null
+        };
         let (status, answer) =
             Client::connect(address).merged(index, &format!("try-{n}"), &shards, index, &page);
         mark = answer["next"].clone();
@@ -94,12 +104,24 @@
     let file = put("config.json", &config.to_string())?;
     let config = Config::read(&file)?;
     let own = Own::read(&own_file, &config)?;
-    Ok(Prepared { _folder: folder, file, own_file, config, own })
+    Ok(Prepared {
+        _folder: folder,
+        file,
+        own_file,
+        config,
+        own,
+    })
 }
 
 /// Runs one program; `ready` is told where it listens.
 async fn serve_one(prepared: Prepared, ready: impl FnOnce(SocketAddr)) -> Result<(), String> {
-    let Prepared { _folder, file, own_file, config, own } = prepared;
+    let Prepared {
+        _folder,
+        file,
+        own_file,
+        config,
+        own,
+    } = prepared;
     serve::serve(config, &file, (own, Some(&own_file)), ready).await
 }
 
@@ -111,8 +133,17 @@
     };
     let ledger = Ledger::new(&mut Rand64::new(u128::from(seed)), SHARDS, 9);
     let hosts = Hosts::start(CELLS, ledger, 50, cue);
-    let entries = hosts.addresses.iter().enumerate().map(|(i, a)| entry(i, *a, "active"));
-    let class = |name| Class { name, once_only: false, soft_ms: 1_000, floor: 0.5 };
+    let entries = hosts
+        .addresses
+        .iter()
+        .enumerate()
+        .map(|(i, a)| entry(i, *a, "active"));
+    let class = |name| Class {
+        name,
+        once_only: false,
+        soft_ms: 1_000,
+        floor: 0.5,
+    };
     let classes = ["history", "pledges", "charities"].map(class);
     let config = |known: &str| {
         let roster = Roster::start(known.to_owned());
@@ -125,7 +156,9 @@
     if !two_sites {
         return Ok(vec![prepare(&with_replicas, INSTALLATION, seed)?]);
     }
-    let free = TcpListener::bind("127.0.0.1:0").and_then(|l| l.local_addr()).map_err(|e| e.to_string())?;
+    let free = TcpListener::bind("127.0.0.1:0")
+        .and_then(|l| l.local_addr())
+        .map_err(|e| e.to_string())?;
     let gateway = format!(
         "<installation version=\"1\"><gateway listen=\"{free}\" secret=\"link.key\" cold-share=\"500\"/></installation>"
     );
@@ -148,7 +181,9 @@
             return ExitCode::FAILURE;
         }
     };
-    let (Some(asked), gateway) = (programs.next(), programs.next()) else { return ExitCode::FAILURE };
+    let (Some(asked), gateway) = (programs.next(), programs.next()) else {
+        return ExitCode::FAILURE;
+    };
     let (done, shown) = tokio::sync::oneshot::channel();
     let ready = move |address| {
         if two_sites {
@@ -191,7 +226,12 @@
         let to: Vec<String> = names
             .iter()
             .enumerate()
-            .map(|(to, name)| format!("{name} {}", flows.get(&(from, to)).copied().unwrap_or_default()))
+            .map(|(to, name)| {
+                format!(
+                    "{name} {}",
+                    flows.get(&(from, to)).copied().unwrap_or_default()
+                )
+            })
             .collect();
         println!("  parts from {name}: {}", to.join(", "));
     }
@@ -208,9 +248,15 @@
     };
     // What was awaited and did not come ends the thread with its own words.
     let shown = thread::spawn(move || {
-        let plan = Plan { seed, ..Plan::default() };
+        let plan = Plan {
+            seed,
+            ..Plan::default()
+        };
         let names: Vec<&str> = plan.zones.iter().map(|(name, _)| *name).collect();
-        println!("Three co-ordinators in {} found a fleet and a record.", names.join(", "));
+        println!(
+            "Three co-ordinators in {} found a fleet and a record.",
+            names.join(", ")
+        );
         let mut rig = Rig::started(&exe, plan);
         rig.ask_all_along(25);
         rig.whole_again(&[0, 1, 2], 20);
@@ -220,7 +266,10 @@
         print_flows(&rig, &names, since);
         let lost = 2;
         let from = [rig.said(0), rig.said(1)];
-        println!("\n{} is killed, its co-ordinator and its replicas.", names[lost]);
+        println!(
+            "\n{} is killed, its co-ordinator and its replicas.",
+            names[lost]
+        );
         let began = std::time::Instant::now();
         for node in rig.zone(lost) {
             rig.net.down(node, true);
@@ -231,7 +280,10 @@
         for n in [0, 1] {
             rig.acts(n, from[n], (n, lost), |share, _| share == 0);
         }
-        println!("After {:.1} s all others act on a table without it:", began.elapsed().as_secs_f64());
+        println!(
+            "After {:.1} s all others act on a table without it:",
+            began.elapsed().as_secs_f64()
+        );
         let since = rig.ran();
         rig.whole_again(&[0, 1], 30);
         print_flows(&rig, &names, since);
@@ -245,11 +297,20 @@
                 rig.start(node);
             }
         }
-        rig.acts(0, from, (0, lost), |share, reason| share == 1_000 && reason == "Sound");
-        println!("After {:.1} s it was taken back, step by step.", began.elapsed().as_secs_f64());
+        rig.acts(0, from, (0, lost), |share, reason| {
+            share == 1_000 && reason == "Sound"
+        });
+        println!(
+            "After {:.1} s it was taken back, step by step.",
+            began.elapsed().as_secs_f64()
+        );
         rig.whole_again(&[0, 1, 2], 20);
         let breaches = rig.judge();
-        println!("{} lookups, {} breaches of the rules.", rig.told().len(), breaches.len());
+        println!(
+            "{} lookups, {} breaches of the rules.",
+            rig.told().len(),
+            breaches.len()
+        );
         breaches.is_empty()
     });
     match shown.join() {
@@ -262,7 +323,10 @@
 fn reached(address: SocketAddr) -> bool {
     let ask = |n: usize| {
         let id = format!("try-first-{n}");
-        Client::connect(address).merged("charities", &id, &[0], "charities", &Value::Null).0 == 200
+        Client::connect(address)
+            .merged("charities", &id, &[0], "charities", &Value::Null)
+            .0
+            == 200
     };
     (0..100).any(|n| {
         ask(n) || {
--- a/crates/linenthread-service/src/fleet.rs
+++ b/crates/linenthread-service/src/fleet.rs
@@ -123,13 +123,19 @@
 }
 
 pub fn zones_of(zones: &file::Zones) -> Vec<Zone> {
-    let zone =
-        |z: &file::Zone| Zone { name: z.name.clone(), region: z.region.clone(), room: z.room.map(f64::from) };
+    let zone = |z: &file::Zone| Zone {
+        name: z.name.clone(),
+        region: z.region.clone(),
+        room: z.room.map(f64::from),
+    };
     zones.zones.iter().map(zone).collect()
 }
 
 fn unix_ms() -> u64 {
-    SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64
+    SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .unwrap_or_default()
+        .as_millis() as u64
 }
 
 fn tenths(ms: u64) -> Tenths {
@@ -141,17 +147,26 @@
 /// # Errors
 ///
 /// It cannot listen, or what its disk holds must not be used.
-pub fn start(place: Place, clock: Clock, from: mpsc::UnboundedSender<FromFleet>) -> Result<Handle, String> {
+pub fn start(
+    place: Place,
+    clock: Clock,
+    from: mpsc::UnboundedSender<FromFleet>,
+) -> Result<Handle, String> {
     let listen = place.fleet.listen;
     let cannot = |e: io::Error| format!("cannot listen for the fleet on {listen}: {e}");
     let tcp = StdListener::bind(listen).map_err(cannot)?;
     let udp = StdUdp::bind(listen).map_err(cannot)?;
-    tcp.set_nonblocking(true).and_then(|()| udp.set_nonblocking(true)).map_err(cannot)?;
+    tcp.set_nonblocking(true)
+        .and_then(|()| udp.set_nonblocking(true))
+        .map_err(cannot)?;
     let (to, told) = mpsc::unbounded_channel();
     let (done_to, done) = blocking::channel();
     let (begun_to, begun) = blocking::channel();
     let run = move || {
-        let runtime = match tokio::runtime::Builder::new_current_thread().enable_all().build() {
+        let runtime = match tokio::runtime::Builder::new_current_thread()
+            .enable_all()
+            .build()
+        {
             Ok(runtime) => runtime,
             Err(e) => return drop(begun_to.send(Err(e.to_string()))),
         };
@@ -166,8 +181,13 @@
         });
         done_to.send(()).ok();
     };
-    std::thread::Builder::new().name("fleet".into()).spawn(run).map_err(|e| e.to_string())?;
-    begun.recv().map_err(|_| "the fleet's thread ended".to_owned())??;
+    std::thread::Builder::new()
+        .name("fleet".into())
+        .spawn(run)
+        .map_err(|e| e.to_string())?;
+    begun
+        .recv()
+        .map_err(|_| "the fleet's thread ended".to_owned())??;
     Ok(Handle { to, done })
 }
 
@@ -209,7 +229,10 @@
     let is_voter = place.fleet.voters.iter().any(|v| v.name == place.name);
     let Some(path) = place.fleet.folder.clone().filter(|_| is_voter) else {
         return match is_voter {
-            true => Err(format!("{} is a voter, and <fleet> names no folder for its record", place.name)),
+            true => Err(format!(
+                "{} is a voter, and <fleet> names no folder for its record",
+                place.name
+            )),
             false => Ok(None),
         };
     };
@@ -224,7 +247,16 @@
         tcp: StdListener,
         udp: StdUdp,
     ) -> Result<Member, String> {
-        let file::Fleet { address, machine, zone, region, members, probe, voters, .. } = place.fleet.clone();
+        let file::Fleet {
+            address,
+            machine,
+            zone,
+            region,
+            members,
+            probe,
+            voters,
+            ..
+        } = place.fleet.clone();
         let own = Who {
             machine,
             zone,
@@ -235,12 +267,24 @@
             ..Who::stranger(&place.name, address)
         };
         let voters = voters.into_iter().map(|v| (v.name, v.address)).collect();
-        let terms = FleetTerms { own, voters, expected: members, probe: tenths(probe) };
+        let terms = FleetTerms {
+            own,
+            voters,
+            expected: members,
+            probe: tenths(probe),
+        };
         let mut to = Vec::new();
         let now = clock.now();
         let folder = folder(&place)?;
-        let fleet = Fleet::new(terms, folder, place.secrets.clone(), place.seed, now, &mut to)
-            .map_err(|e| format!("the record: {e}"))?;
+        let fleet = Fleet::new(
+            terms,
+            folder,
+            place.secrets.clone(),
+            place.seed,
+            now,
+            &mut to,
+        )
+        .map_err(|e| format!("the record: {e}"))?;
         let udp = UdpSocket::from_std(udp).map_err(|e| e.to_string())?;
         let tcp = TcpListener::from_std(tcp).map_err(|e| e.to_string())?;
         let member = Member(Rc::new(Inner {
@@ -277,7 +321,13 @@
         info!(voter = self.0.fleet.borrow().stage().is_some(), "fleet");
         loop {
             let now = self.0.clock.now();
-            let at = self.0.fleet.borrow().wake_at().min(now + TELL).max(now + 10);
+            let at = self
+                .0
+                .fleet
+                .borrow()
+                .wake_at()
+                .min(now + TELL)
+                .max(now + 10);
             tokio::select! {
                 _ = sleep_until(self.0.clock.at(at)) => {}
                 _ = self.0.woken.notified() => {}
@@ -318,14 +368,18 @@
     fn obey(&self, all: Vec<FleetDo>) {
         for one in all {
             match one {
-                FleetDo::Dial { connection, address } => {
+                FleetDo::Dial {
+                    connection,
+                    address,
+                } => {
                     spawn_local(self.clone().dial(connection, address));
                 }
                 FleetDo::Write { connection, bytes } => {
                     if let Some(wire) = self.0.wires.borrow().get(&connection) {
                         wire.waiting.set(wire.waiting.get() + bytes.len());
                         if wire.waiting.get() > MOST_WAITING {
-                            wire.close.replace(Some("it does not take what it is told".into()));
+                            wire.close
+                                .replace(Some("it does not take what it is told".into()));
                         }
                         wire.frames.borrow_mut().push_back(bytes);
                         wire.news.notify_one();
@@ -419,7 +473,9 @@
             {
                 return why;
             }
-            let rest = writing.as_ref().map_or(&[][..], |(bytes, at)| &bytes[*at..]);
+            let rest = writing
+                .as_ref()
+                .map_or(&[][..], |(bytes, at)| &bytes[*at..]);
             tokio::select! {
                 n = reads.read(&mut buffer) => match n {
                     Ok(0) => return "closed by the other side".into(),
@@ -458,7 +514,8 @@
             return;
         }
         self.0.revived_at.set(now);
-        let taken = folder(&self.0.place).and_then(|folder| folder.ok_or_else(|| "there is none".into()));
+        let taken =
+            folder(&self.0.place).and_then(|folder| folder.ok_or_else(|| "there is none".into()));
         match taken {
             Ok(folder) => self.act(|fleet, now, to| {
                 if let Err(why) = fleet.take_part(folder, now, to) {
@@ -471,7 +528,14 @@
 
     // --- what is decided on zones ---
 
-    fn agreed(&self, Agreed { topic, number, value }: Agreed) {
+    fn agreed(
+        &self,
+        Agreed {
+            topic,
+            number,
+            value,
+        }: Agreed,
+    ) {
         match topic.as_str() {
             TABLE => match Table::decode(&value) {
                 Ok(table) => drop(self.0.from.send(FromFleet::Table { number, table })),
@@ -514,13 +578,17 @@
     fn orders(&self) -> (u64, Orders) {
         let fleet = self.0.fleet.borrow();
         let value = fleet.board().value(ORDERS);
-        value.map_or((0, Orders::default()), |(n, v)| (n, Orders::decode(v).unwrap_or_default()))
+        value.map_or((0, Orders::default()), |(n, v)| {
+            (n, Orders::decode(v).unwrap_or_default())
+        })
     }
 
     /// Passes on what was seen; and where this program leads, decides.
     fn decide(&self) {
         let now = self.0.clock.now();
-        let Some(zones) = &self.0.place.zones else { return };
+        let Some(zones) = &self.0.place.zones else {
+            return;
+        };
         let leads = self.0.fleet.borrow().leads(now);
         if !leads {
             self.0.decider.take();
@@ -536,11 +604,18 @@
             return;
         }
         // Between two spans there is nothing to decide, but for an order.
-        let waits = self.0.decider.borrow().as_ref().is_some_and(|decider| now < decider.wake_at());
+        let waits = self
+            .0
+            .decider
+            .borrow()
+            .as_ref()
+            .is_some_and(|decider| now < decider.wake_at());
         if waits && self.0.orders.borrow().is_empty() {
             return;
         }
-        let Some(ground) = self.0.ground.borrow().clone() else { return };
+        let Some(ground) = self.0.ground.borrow().clone() else {
+            return;
+        };
         let (orders_number, mut orders) = self.orders();
         let asked = std::mem::take(&mut *self.0.orders.borrow_mut());
         if let Some(bytes) = asked.last() {
@@ -553,7 +628,10 @@
         let (number, before) = {
             let fleet = self.0.fleet.borrow();
             let value = fleet.board().value(TABLE);
-            (value.map_or(0, |(n, _)| n), value.and_then(|(_, v)| Table::decode(v).ok()))
+            (
+                value.map_or(0, |(n, _)| n),
+                value.and_then(|(_, v)| Table::decode(v).ok()),
+            )
         };
         let terms = Terms {
             margin: f64::from(zones.margin) / 1_000.0,
@@ -562,8 +640,8 @@
             step: tenths(zones.step),
         };
         let mut decider = self.0.decider.borrow_mut();
-        let decider =
-            decider.get_or_insert_with(|| Decider::new(terms, ground.zones.clone(), before.as_ref(), now));
+        let decider = decider
+            .get_or_insert_with(|| Decider::new(terms, ground.zones.clone(), before.as_ref(), now));
         let seen = self.0.seen.take();
         let against = |(_, way): &(&(u8, u8), &linenthread_zones::Way)| way.down + way.slow > 0;
         let against: Vec<_> = seen.ways.iter().filter(against).collect();
@@ -599,7 +677,9 @@
     fn order(&self, ground: &Ground, orders: &mut Orders, bytes: &[u8]) {
         let mut take = Take(bytes);
         let read = (|| Ok::<_, String>((take.u64()?, take.text()?, take.flag()?)))();
-        let Ok((number, zone, drain)) = read else { return };
+        let Ok((number, zone, drain)) = read else {
+            return;
+        };
         orders.last = number;
         orders.refused.clear();
         if drain {
--- a/crates/linenthread-service/src/fronts/http.rs
+++ b/crates/linenthread-service/src/fronts/http.rs
@@ -12,7 +12,9 @@
 
 use actix_http::body::BoxBody;
 use actix_http::header::HeaderValue;
-use actix_http::{HttpMessage, HttpService, KeepAlive, Method, Request, Response, StatusCode, header};
+use actix_http::{
+    HttpMessage, HttpService, KeepAlive, Method, Request, Response, StatusCode, header,
+};
 use actix_rt::net::{ActixStream, Ready, TcpStream};
 use actix_service::{Service, ServiceFactory, fn_service};
 use bytes::{Bytes, BytesMut};
@@ -122,7 +124,11 @@
 
     /// It has been idle for longer than it is kept.
     fn is_over(&self, crowded: bool) -> bool {
-        let kept = if crowded || !self.known.get() { IDLE_CROWDED } else { IDLE };
+        let kept = if crowded || !self.known.get() {
+            IDLE_CROWDED
+        } else {
+            IDLE
+        };
         self.is_idle() && (self.state.get() == State::Reading || self.since.get().elapsed() > kept)
     }
 
@@ -183,7 +189,11 @@
 }
 
 impl AsyncWrite for ClientStream {
-    fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
+    fn poll_write(
+        mut self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        buf: &[u8],
+    ) -> Poll<io::Result<usize>> {
         Pin::new(&mut self.io).poll_write(cx, buf)
     }
 
@@ -222,7 +232,11 @@
 pub struct Front(Rc<Inner>);
 
 pub fn listen(address: SocketAddr) -> io::Result<TcpListener> {
-    let socket = if address.is_ipv4() { TcpSocket::new_v4()? } else { TcpSocket::new_v6()? };
+    let socket = if address.is_ipv4() {
+        TcpSocket::new_v4()?
+    } else {
+        TcpSocket::new_v6()?
+    };
     socket.set_reuseaddr(true)?;
     socket.bind(address)?;
     socket.listen(BACKLOG)
@@ -269,7 +283,10 @@
 
     /// Takes what still comes for a moment, then answers all that was taken.
     pub async fn stop(&self, listener: TcpListener) {
-        info!(clients = self.0.clients.borrow().len(), "stopping: takes what still comes for a moment");
+        info!(
+            clients = self.0.clients.borrow().len(),
+            "stopping: takes what still comes for a moment"
+        );
         self.0.stopping.set(true);
         let began = Instant::now();
         for after in [STILL_KEEPS, STILL_TAKES] {
@@ -301,9 +318,13 @@
             sweep.tick().await;
             let clients = self.0.clients.borrow();
             let crowded = clients.len() > self.0.most / 2;
-            clients.iter().filter(|c| c.is_over(crowded)).for_each(|c| c.close());
+            clients
+                .iter()
+                .filter(|c| c.is_over(crowded))
+                .for_each(|c| c.close());
             // Clients that ask once and stay would take up all that may be open to those who want to ask.
-            let spent = |c: &&Rc<Client>| c.known.get() && c.state.get() == State::Idle && !c.closing.get();
+            let spent =
+                |c: &&Rc<Client>| c.known.get() && c.state.get() == State::Idle && !c.closing.get();
             let mut spent: Vec<_> = clients.iter().filter(spent).collect();
             spent.sort_by_key(|c| Reverse(c.since.get()));
             spent.iter().skip(self.0.spent).for_each(|c| c.close());
@@ -311,7 +332,11 @@
     }
 
     fn close_idle(&self) {
-        self.0.clients.borrow().iter().for_each(|client| client.close());
+        self.0
+            .clients
+            .borrow()
+            .iter()
+            .for_each(|client| client.close());
     }
 
     /// Ends the connection that has gone without a whole request for longest.
@@ -319,7 +344,8 @@
         if let Some(left_out) = self.0.full.line() {
             warn!(
                 most = self.0.most,
-                left_out, "client connections are full; the one without a request for longest is closed"
+                left_out,
+                "client connections are full; the one without a request for longest is closed"
             );
         }
         let clients = self.0.clients.borrow();
@@ -349,14 +375,20 @@
         actix_rt::spawn(async move {
             front.connection(stream, client.clone()).await;
             // The one place where a client's connection is given back.
-            front.0.clients.borrow_mut().retain(|c| !Rc::ptr_eq(c, &client));
+            front
+                .0
+                .clients
+                .borrow_mut()
+                .retain(|c| !Rc::ptr_eq(c, &client));
             front.0.left.notify_one();
         });
     }
 
     async fn connection(&self, stream: TcpStream, client: Rc<Client>) {
         stream.set_nodelay(true).ok();
-        let Ok(address) = stream.peer_addr() else { return };
+        let Ok(address) = stream.peer_addr() else {
+            return;
+        };
         let (front, asking) = (self.clone(), client.clone());
         let service = HttpService::build()
             .keep_alive(KeepAlive::Os)
@@ -374,7 +406,9 @@
                     Ok::<_, Infallible>(response)
                 }
             }));
-        let Ok(service) = service.new_service(()).await else { return };
+        let Ok(service) = service.new_service(()).await else {
+            return;
+        };
         let stream = ClientStream { io: stream, client };
         // However a client's connection ends, what it asked has had its answer or is told as lapsed.
         service.call((stream, Some(address))).await.ok();
@@ -392,14 +426,19 @@
             _ => Response::new(StatusCode::METHOD_NOT_ALLOWED),
         };
         if self.0.stopping.get() {
-            response.head_mut().set_connection_type(actix_http::ConnectionType::Close);
+            response
+                .head_mut()
+                .set_connection_type(actix_http::ConnectionType::Close);
         }
         response
     }
 
     async fn look_up(&self, mut request: Request, asker: &Client) -> Response<BoxBody> {
         let late = Err((StatusCode::REQUEST_TIMEOUT, "the body does not come"));
-        let body = match timeout_at(asker.whole_by(), whole(&mut request)).await.unwrap_or(late) {
+        let body = match timeout_at(asker.whole_by(), whole(&mut request))
+            .await
+            .unwrap_or(late)
+        {
             Ok(body) => body,
             Err((status, why)) => return self.refuse(asker, status, why.into()),
         };
@@ -420,19 +459,25 @@
         match answer {
             Answer::Satisfied(body) => {
                 let mut response = with(StatusCode::OK, body);
-                response
-                    .headers_mut()
-                    .insert(header::CONTENT_TYPE, HeaderValue::from_static("application/json"));
+                response.headers_mut().insert(
+                    header::CONTENT_TYPE,
+                    HeaderValue::from_static("application/json"),
+                );
                 response
             }
             Answer::Nacked(wait_ms) => {
                 let mut response = with(StatusCode::SERVICE_UNAVAILABLE, Vec::new());
-                let advice = wait_ms.and_then(|ms| HeaderValue::from_str(&protocol::retry_after(ms)).ok());
+                let advice =
+                    wait_ms.and_then(|ms| HeaderValue::from_str(&protocol::retry_after(ms)).ok());
                 advice.map(|advice| response.headers_mut().insert(header::RETRY_AFTER, advice));
                 response
             }
             Answer::Aborted => with(StatusCode::BAD_GATEWAY, Vec::new()),
-            Answer::Open => self.refuse(asker, StatusCode::CONFLICT, "a lookup of this id is open".into()),
+            Answer::Open => self.refuse(
+                asker,
+                StatusCode::CONFLICT,
+                "a lookup of this id is open".into(),
+            ),
             Answer::Bad(why) => self.refuse(asker, StatusCode::BAD_REQUEST, why),
         }
     }
@@ -441,10 +486,16 @@
     /// ends with it, and so does whatever else was sent on it meanwhile.
     fn refuse(&self, asker: &Client, status: StatusCode, why: String) -> Response<BoxBody> {
         if let Some(left_out) = self.0.refused.line() {
-            info!(status = status.as_u16(), left_out, "request not taken: {why}");
+            info!(
+                status = status.as_u16(),
+                left_out, "request not taken: {why}"
+            );
         }
         asker.refused.set(true);
-        Response::build(status).force_close().body(why).map_into_boxed_body()
+        Response::build(status)
+            .force_close()
+            .body(why)
+            .map_into_boxed_body()
     }
 }
 
@@ -460,7 +511,9 @@
     let asked = protocol::decode(header, body).map_err(bad)?;
     let customer = match &asked.customer {
         _ if known.customers.is_empty() => 0,
-        Some(name) => position(&known.customers, name).ok_or_else(|| bad("no such customer".into()))?,
+        Some(name) => {
+            position(&known.customers, name).ok_or_else(|| bad("no such customer".into()))?
+        }
         None => return Err(bad("the customer is missing".into())),
     };
     if let Some(part) = asked.parts.iter().find(|p| p.shard >= known.shards) {
@@ -475,15 +528,22 @@
         parts: asked.parts.iter().map(|p| (p.shard, p.weight)).collect(),
     };
     let is_merged = work.gathering.merging.borrow().is_merged(index);
-    let page = if is_merged { protocol::page(body).map_err(bad)? } else { protocol::Page::default() };
+    let page = if is_merged {
+        protocol::page(body).map_err(bad)?
+    } else {
+        protocol::Page::default()
+    };
     Ok(Question { asked, new, page })
 }
 
 /// The whole body, if it is not too long. One that says so itself is not read at all.
 async fn whole(request: &mut Request) -> Result<Bytes, (StatusCode, &'static str)> {
     const TOO_LONG: (StatusCode, &str) = (StatusCode::PAYLOAD_TOO_LARGE, "the body is too long");
-    let length =
-        request.head().headers().get(header::CONTENT_LENGTH).and_then(|v| v.to_str().ok()?.parse().ok());
+    let length = request
+        .head()
+        .headers()
+        .get(header::CONTENT_LENGTH)
+        .and_then(|v| v.to_str().ok()?.parse().ok());
     if length.is_some_and(|length: u64| length > protocol::MOST_BYTES as u64) {
         return Err(TOO_LONG);
     }
--- a/crates/linenthread-service/src/fronts/link.rs
+++ b/crates/linenthread-service/src/fronts/link.rs
@@ -72,7 +72,11 @@
     /// Lets the machine take something in, and does what it says.
     fn act(&self, take: impl FnOnce(&mut Far, Tenths, &mut Vec<FarDo>)) {
         let mut to = Vec::new();
-        take(&mut self.0.far.borrow_mut(), self.0.desk.clock().now(), &mut to);
+        take(
+            &mut self.0.far.borrow_mut(),
+            self.0.desk.clock().now(),
+            &mut to,
+        );
         for one in to {
             match one {
                 FarDo::Send { connection, frame } => self.send(connection, &frame),
@@ -82,9 +86,17 @@
                         connection.news.notify_one();
                     }
                 }
-                FarDo::Start { session, number, time_out, call } => {
+                FarDo::Start {
+                    session,
+                    number,
+                    time_out,
+                    call,
+                } => {
                     let stop = Rc::new(Notify::new());
-                    self.0.running.borrow_mut().insert((session, number), stop.clone());
+                    self.0
+                        .running
+                        .borrow_mut()
+                        .insert((session, number), stop.clone());
                     actix_rt::spawn(self.clone().start((session, number), time_out, call, stop));
                 }
                 FarDo::Stop { session, number } => {
@@ -92,7 +104,11 @@
                         stop.notify_one();
                     }
                 }
-                FarDo::Probe { connection, number, replica } => {
+                FarDo::Probe {
+                    connection,
+                    number,
+                    replica,
+                } => {
                     actix_rt::spawn(self.clone().probe(connection, number, replica));
                 }
             }
@@ -102,12 +118,16 @@
 
     fn send(&self, id: u64, frame: &Frame) {
         let connections = self.0.connections.borrow();
-        let Some(connection) = connections.get(&id) else { return };
+        let Some(connection) = connections.get(&id) else {
+            return;
+        };
         let bytes = frame.encode();
         let mut waiting = connection.waiting.borrow_mut();
         *waiting += bytes.len();
         if *waiting > MOST_WAITING {
-            connection.close.replace(Some("it does not take what it is told".into()));
+            connection
+                .close
+                .replace(Some("it does not take what it is told".into()));
         }
         connection.frames.borrow_mut().push_back(bytes);
         connection.news.notify_one();
@@ -129,7 +149,10 @@
                 };
                 let wait = clock::span(time_out.max(1));
                 let wait_ms = wait.as_micros().div_ceil(1000) as u64;
-                let out = self.0.carriers.call(replica, &call.lookup, &[asked], wait_ms, &to);
+                let out = self
+                    .0
+                    .carriers
+                    .call(replica, &call.lookup, &[asked], wait_ms, &to);
                 let given_up = |ending| Ended::without_value(0, 0, ending);
                 let end = tokio::select! {
                     Some(end) = ended.recv() => end,
@@ -152,7 +175,14 @@
             Some(replica) => self.0.carriers.probe(replica).await,
             None => (Ending::Unsent, None),
         };
-        self.send(connection, &Frame::Probed { number, ending, queue });
+        self.send(
+            connection,
+            &Frame::Probed {
+                number,
+                ending,
+                queue,
+            },
+        );
     }
 
     /// Takes links for as long as it is polled.
@@ -164,7 +194,13 @@
     async fn tell_members(&self) {
         loop {
             let share = self.0.cold_share;
-            let members = self.0.desk.local().into_iter().map(|m| Member { share, ..m }).collect();
+            let members = self
+                .0
+                .desk
+                .local()
+                .into_iter()
+                .map(|m| Member { share, ..m })
+                .collect();
             self.act(|far, _, to| far.members(members, to));
             self.0.desk.local_changed().await;
         }
@@ -210,7 +246,10 @@
             close: RefCell::default(),
             news: Notify::new(),
         });
-        self.0.connections.borrow_mut().insert(id, connection.clone());
+        self.0
+            .connections
+            .borrow_mut()
+            .insert(id, connection.clone());
         self.act(|far, now, to| far.accepted(now, id, to));
         let why = self.serve(&mut stream, id, &connection).await;
         // The one place where a link's connection is given back.
--- a/crates/linenthread-service/src/gather.rs
+++ b/crates/linenthread-service/src/gather.rs
@@ -21,7 +21,10 @@
 
 /// Seconds since 1970, for the life of page marks.
 fn unix_now() -> u64 {
-    SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_secs()
+    SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .unwrap_or_default()
+        .as_secs()
 }
 
 impl Merging {
@@ -62,7 +65,11 @@
 /// The values of one lookup.
 pub enum Gather<'a> {
     AsTheyCame(Vec<Option<String>>),
-    Merged { merge: Merge<'a>, marks: Option<&'a Marks>, oddities: &'a Oddities },
+    Merged {
+        merge: Merge<'a>,
+        marks: Option<&'a Marks>,
+        oddities: &'a Oddities,
+    },
 }
 
 impl<'a> Gather<'a> {
@@ -93,7 +100,11 @@
         };
         let marks = merging.marks.as_ref();
         let merge = Merge::begin(plan, &said, &PageWish { rows, mark }, marks, unix_now())?;
-        Ok(Gather::Merged { merge, marks, oddities })
+        Ok(Gather::Merged {
+            merge,
+            marks,
+            oddities,
+        })
     }
 
     /// What a part's replica is to be asked now, and how many times it was asked on before.
@@ -112,7 +123,10 @@
         value: String,
         of: impl Fn() -> (String, usize),
     ) -> Ending {
-        let Gather::Merged { merge, oddities, .. } = self else {
+        let Gather::Merged {
+            merge, oddities, ..
+        } = self
+        else {
             if let (Gather::AsTheyCame(values), Ending::Answered) = (self, ending) {
                 values[part].get_or_insert(value);
             }
@@ -132,7 +146,10 @@
                 let all = count(&oddities.differ);
                 if let Some(left_out) = oddities.lines.line() {
                     let (replica, shard) = of();
-                    warn!(replica, shard, all, left_out, "copies of a part differ, the first one counts");
+                    warn!(
+                        replica,
+                        shard, all, left_out, "copies of a part differ, the first one counts"
+                    );
                 }
                 ending
             }
@@ -141,7 +158,10 @@
                 if let Some(left_out) = oddities.lines.line() {
                     let (replica, shard) = of();
                     let why: String = why.chars().take(160).collect();
-                    warn!(replica, shard, all, left_out, "a part's value cannot be merged: {why}");
+                    warn!(
+                        replica,
+                        shard, all, left_out, "a part's value cannot be merged: {why}"
+                    );
                 }
                 Ending::Errored
             }
@@ -161,7 +181,9 @@
         match self {
             Gather::AsTheyCame(values) => {
                 let shards = asked.parts.iter().map(|p| p.shard);
-                let found = shards.zip(values).filter_map(|(s, v)| Some((s, v.as_deref()?)));
+                let found = shards
+                    .zip(values)
+                    .filter_map(|(s, v)| Some((s, v.as_deref()?)));
                 protocol::answer(whole, found)
             }
             Gather::Merged { merge, marks, .. } => merge.answer(whole, *marks, unix_now()),
--- a/crates/linenthread-service/src/log.rs
+++ b/crates/linenthread-service/src/log.rs
@@ -13,10 +13,14 @@
 /// Starts the log. One that nobody reads any more must not bring the program down, and of the libraries' own
 /// lines, which bad input could bring about without bound, there are none.
 pub fn start() {
-    let lines =
-        tracing_subscriber::fmt::layer().with_ansi(false).with_target(false).with_writer(std::io::stderr);
+    let lines = tracing_subscriber::fmt::layer()
+        .with_ansi(false)
+        .with_target(false)
+        .with_writer(std::io::stderr);
     let own = Targets::new().with_target(env!("CARGO_CRATE_NAME"), LevelFilter::INFO);
-    tracing_subscriber::registry().with(lines.log_internal_errors(false).with_filter(own)).init();
+    tracing_subscriber::registry()
+        .with(lines.log_internal_errors(false).with_filter(own))
+        .init();
 }
 
 /// Keeps one kind of line to a bounded rate.
@@ -27,7 +31,10 @@
 
 impl Default for Sparing {
     fn default() -> Self {
-        Sparing { since: Cell::new(Instant::now()), lines: Cell::new(0) }
+        Sparing {
+            since: Cell::new(Instant::now()),
+            lines: Cell::new(0),
+        }
     }
 }
 
--- a/crates/linenthread-service/src/lookup.rs
+++ b/crates/linenthread-service/src/lookup.rs
@@ -87,14 +87,23 @@
 impl Calls<'_> {
     /// The one place where a part call ends. One that was still waited for is given up on its connection.
     fn end(&mut self, part: usize, call: usize, ending: Ending, queue: Option<f64>) {
-        let Some(out) = self.out.remove(&(part, call)) else { return };
+        let Some(out) = self.out.remove(&(part, call)) else {
+            return;
+        };
         let given_up = matches!(ending, Ending::TimedOut | Ending::Withdrawn);
         if let (true, Some(at)) = (given_up && Instant::now() + NEAR >= out.due, &out.at) {
             at.timed_out();
         }
         let took = self.work.desk.clock().now() - out.sent;
         self.work.desk.saw(out.replica, ending, took);
-        self.work.desk.give_back(Return { lookup: self.lookup, part, call, ending, took, queue });
+        self.work.desk.give_back(Return {
+            lookup: self.lookup,
+            part,
+            call,
+            ending,
+            took,
+            queue,
+        });
     }
 
     /// Makes part calls, by replica and time-out.
@@ -110,8 +119,20 @@
             let wait_ms = wait.as_micros().div_ceil(1000) as u64;
             for parts in parts.chunks(self.work.surroundings.parts_a_call) {
                 let at = self.work.carriers.call(replica, id, parts, wait_ms, to);
-                for (Asked { part, call, round, .. }, at) in parts.iter().zip(at) {
-                    let out = Out { sent, due: now + wait, replica, round: *round, at };
+                for (
+                    Asked {
+                        part, call, round, ..
+                    },
+                    at,
+                ) in parts.iter().zip(at)
+                {
+                    let out = Out {
+                        sent,
+                        due: now + wait,
+                        replica,
+                        round: *round,
+                        at,
+                    };
                     self.out.insert((*part, *call), out);
                 }
             }
@@ -124,7 +145,12 @@
 
     fn end_due(&mut self) {
         let now = Instant::now();
-        let due: Vec<_> = self.out.iter().filter(|(_, out)| out.due <= now).map(|(at, _)| *at).collect();
+        let due: Vec<_> = self
+            .out
+            .iter()
+            .filter(|(_, out)| out.due <= now)
+            .map(|(at, _)| *at)
+            .collect();
         for (part, call) in due {
             self.end(part, call, Ending::TimedOut, None);
         }
@@ -156,7 +182,11 @@
     let (lookup, mut decisions) = work.desk.hand_in(new);
     let mut client = Some(client);
     let mut made = vec![0; asked.parts.len()];
-    let mut calls = Calls { work: &work, lookup, out: BTreeMap::new() };
+    let mut calls = Calls {
+        work: &work,
+        lookup,
+        out: BTreeMap::new(),
+    };
     let (to_here, mut ended) = mpsc::unbounded_channel::<Ended>();
     loop {
         let due = calls.due();
@@ -204,11 +234,26 @@
                 calls.send(&mut sends, &asked.id, &to_here);
             }
             match decision {
-                Decision::Call { part, replica, time_out } => {
-                    let (shard, (round, text)) = (asked.parts[part].shard, gather.question(part, &text));
-                    let one = Asked { part, call: made[part], shard, round, text, gain };
+                Decision::Call {
+                    part,
+                    replica,
+                    time_out,
+                } => {
+                    let (shard, (round, text)) =
+                        (asked.parts[part].shard, gather.question(part, &text));
+                    let one = Asked {
+                        part,
+                        call: made[part],
+                        shard,
+                        round,
+                        text,
+                        gain,
+                    };
                     made[part] += 1;
-                    sends.entry((replica, time_out)).or_insert_with(Vec::new).push(one);
+                    sends
+                        .entry((replica, time_out))
+                        .or_insert_with(Vec::new)
+                        .push(one);
                 }
                 Decision::Withdraw { part, call } => {
                     calls.end(part, call, Ending::Withdrawn, None);
@@ -217,7 +262,10 @@
                     answer(&mut client, Answer::Satisfied(gather.answer(whole, &asked)));
                 }
                 Decision::Nack { retry_after } => {
-                    answer(&mut client, Answer::Nacked(retry_after.map(|t| t as f64 / 10.0)));
+                    answer(
+                        &mut client,
+                        Answer::Nacked(retry_after.map(|t| t as f64 / 10.0)),
+                    );
                 }
                 Decision::Abort => answer(&mut client, Answer::Aborted),
             }
--- a/crates/linenthread-service/src/main.rs
+++ b/crates/linenthread-service/src/main.rs
@@ -30,9 +30,21 @@
     Serve(Option<PathBuf>, Option<PathBuf>),
     Check(PathBuf, Option<PathBuf>),
     Schema,
-    Migrate { dry_run: bool, output: Option<PathBuf>, old: PathBuf },
-    Try { show: bool, seed: u64, sites: u8, zones: Option<u8> },
-    Zones { installation: PathBuf, wish: operator::Wish },
+    Migrate {
+        dry_run: bool,
+        output: Option<PathBuf>,
+        old: PathBuf,
+    },
+    Try {
+        show: bool,
+        seed: u64,
+        sites: u8,
+        zones: Option<u8>,
+    },
+    Zones {
+        installation: PathBuf,
+        wish: operator::Wish,
+    },
     Version,
 }
 
@@ -75,9 +87,15 @@
         .footer("Example: linenthread schema > installation.xsd")
         .command("schema")
         .help("Print the schema of the operators' file");
-    let dry_run = long("dry-run").help("Say what would be written and left out, and write nothing").switch();
-    let output = long("output").help("The new file; it must not exist").argument::<PathBuf>("NEW").optional();
-    let old = positional::<PathBuf>("OLD").help("The configuration to carry over; it is not changed");
+    let dry_run = long("dry-run")
+        .help("Say what would be written and left out, and write nothing")
+        .switch();
+    let output = long("output")
+        .help("The new file; it must not exist")
+        .argument::<PathBuf>("NEW")
+        .optional();
+    let old =
+        positional::<PathBuf>("OLD").help("The configuration to carry over; it is not changed");
     let migrate = construct!(Command::Migrate { dry_run, output, old })
         .to_options()
         .descr(
@@ -89,8 +107,13 @@
         .footer("Example: linenthread migrate --dry-run config.json, then --output new.json in its place")
         .command("migrate")
         .help("Carry a configuration over to sets of replicas");
-    let show = long("show").help("Ask some lookups, print their answers and end").switch();
-    let seed = long("seed").help("What the rows come from").argument("S").fallback(5);
+    let show = long("show")
+        .help("Ask some lookups, print their answers and end")
+        .switch();
+    let seed = long("seed")
+        .help("What the rows come from")
+        .argument("S")
+        .fallback(5);
     let sites = long("sites")
         .help("1, or 2: all replicas behind a gateway, over a link")
         .argument::<u8>("N")
@@ -110,20 +133,29 @@
         .footer("Example: linenthread try --show")
         .command("try")
         .help("See it work on this machine, with nothing else set up");
-    let zone = || positional::<String>("ZONE").help("The zone's name, as the operators' file has it");
-    let show =
-        pure(operator::Wish::Show).to_options().descr("Prints the table that all act on").command("show");
+    let zone =
+        || positional::<String>("ZONE").help("The zone's name, as the operators' file has it");
+    let show = pure(operator::Wish::Show)
+        .to_options()
+        .descr("Prints the table that all act on")
+        .command("show");
     let drain = zone().map(operator::Wish::Drain).to_options();
-    let drain = drain.descr("Has all co-ordinators leave a zone").command("drain");
+    let drain = drain
+        .descr("Has all co-ordinators leave a zone")
+        .command("drain");
     let back = zone().map(operator::Wish::Return).to_options();
-    let back = back.descr("Has a zone taken back, step by step").command("return");
+    let back = back
+        .descr("Has a zone taken back, step by step")
+        .command("return");
     let wish = construct!([show, drain, back]);
     let installation = long("installation")
         .help("The operators' own file, which names the fleet's voters and its secret")
         .argument::<PathBuf>("FILE");
     let zones = construct!(Command::Zones { installation, wish })
         .to_options()
-        .descr("Looks at the table of zones that the fleet acts on, or has a zone left or taken back")
+        .descr(
+            "Looks at the table of zones that the fleet acts on, or has a zone left or taken back",
+        )
         .footer("Example: linenthread zones --installation deploy/installation.xml drain palermo")
         .command("zones")
         .help("Show zones, leave one or take it back");
@@ -147,7 +179,10 @@
     let read = || {
         let file = file.ok_or("EDGE_CONFIG is not set and there is no --config")?;
         let config = Config::read(&file)?;
-        let own = own.map(|own| Own::read(own, &config)).transpose()?.unwrap_or_default();
+        let own = own
+            .map(|own| Own::read(own, &config))
+            .transpose()?
+            .unwrap_or_default();
         Ok::<_, String>((config, file, own))
     };
     match read() {
@@ -179,14 +214,36 @@
                 ExitCode::FAILURE
             }
         },
-        Command::Migrate { dry_run, output, old } => migrate::run(&old, output.as_deref(), dry_run),
-        Command::Try { seed, zones: Some(_), .. } => first_try::run_zones(seed),
-        Command::Try { show, seed, sites, zones: None } => first_try::run(seed, show, sites == 2),
+        Command::Migrate {
+            dry_run,
+            output,
+            old,
+        } => migrate::run(&old, output.as_deref(), dry_run),
+        Command::Try {
+            seed,
+            zones: Some(_),
+            ..
+        } => first_try::run_zones(seed),
+        Command::Try {
+            show,
+            seed,
+            sites,
+            zones: None,
+        } => first_try::run(seed, show, sites == 2),
         Command::Check(file, own) => with_files(Some(file), own.as_deref(), |config, _, read| {
-            let (indexes, replicas) = (config.deployment.indexes.len(), config.remembered.replicas.len());
-            let merged =
-                if own.is_some() { format!(", {} merged", read.merging.count()) } else { String::new() };
-            println!("{}: {indexes} indexes{merged}, {replicas} replicas remembered", config.name);
+            let (indexes, replicas) = (
+                config.deployment.indexes.len(),
+                config.remembered.replicas.len(),
+            );
+            let merged = if own.is_some() {
+                format!(", {} merged", read.merging.count())
+            } else {
+                String::new()
+            };
+            println!(
+                "{}: {indexes} indexes{merged}, {replicas} replicas remembered",
+                config.name
+            );
             ExitCode::SUCCESS
         }),
         Command::Serve(file, own) => with_files(file, own.as_deref(), |config, file, read| {
--- a/crates/linenthread-service/src/migrate.rs
+++ b/crates/linenthread-service/src/migrate.rs
@@ -27,7 +27,11 @@
 fn carry(text: &[u8]) -> Result<Option<Carried>, String> {
     let old = Config::parse(text)?;
     let layout = &old.deployment.layout;
-    let (cells, row, shards) = (layout.cells, layout.in_a_row.max(1), old.surroundings.shards);
+    let (cells, row, shards) = (
+        layout.cells,
+        layout.in_a_row.max(1),
+        old.surroundings.shards,
+    );
     if row == 1 && !old.deployment.queue_told {
         return Ok(None);
     }
@@ -36,15 +40,27 @@
             "settings: family-info.cells: {cells} cells cannot be parted into sets of {row} in a row"
         ));
     }
-    let sets = Layout { cells: cells / row, in_a_row: 1 };
-    let mut new: Value = serde_json::from_slice(text).map_err(|e| format!("does not parse: {e}"))?;
+    let sets = Layout {
+        cells: cells / row,
+        in_a_row: 1,
+    };
+    let mut new: Value =
+        serde_json::from_slice(text).map_err(|e| format!("does not parse: {e}"))?;
     let (mut moves, mut left_out) = (Vec::new(), Vec::new());
-    for name in new["settings"]["telemetry"]["names"].as_array().into_iter().flatten() {
-        left_out.push(format!("settings: telemetry.names: {name}: replicas report no load there"));
+    for name in new["settings"]["telemetry"]["names"]
+        .as_array()
+        .into_iter()
+        .flatten()
+    {
+        left_out.push(format!(
+            "settings: telemetry.names: {name}: replicas report no load there"
+        ));
     }
     new["settings"]["telemetry"] = json!({"names": [], "source": "none"});
-    (new["settings"]["family-info"]["cells"], new["settings"]["family-info"]["in-a-row"]) =
-        (json!(sets.cells), json!(sets.in_a_row));
+    (
+        new["settings"]["family-info"]["cells"],
+        new["settings"]["family-info"]["in-a-row"],
+    ) = (json!(sets.cells), json!(sets.in_a_row));
     let members = new["known"]["members"].as_array_mut().into_iter().flatten();
     for (replica, member) in old.remembered.replicas.iter().zip(members) {
         let set = replica.cell / row;
@@ -58,21 +74,38 @@
             }
         }
         let (lacks, drops) = (lacks.join(" "), drops.join(" "));
-        moves.push(format!("{}: set {set}; loads [{lacks}], may then drop [{drops}]", replica.id));
+        moves.push(format!(
+            "{}: set {set}; loads [{lacks}], may then drop [{drops}]",
+            replica.id
+        ));
     }
     let written = serde_json::to_vec(&new).map_err(|e| e.to_string())?;
-    Config::parse(&written).map_err(|e| format!("what would be written is no configuration: {e}"))?;
-    Ok(Some(Carried { new, moves, left_out }))
+    Config::parse(&written)
+        .map_err(|e| format!("what would be written is no configuration: {e}"))?;
+    Ok(Some(Carried {
+        new,
+        moves,
+        left_out,
+    }))
 }
 
 /// Writes a new file whole or not at all; one that exists stays as it is.
 fn write(file: &Path, value: &Value) -> Result<(), String> {
     let failed = |e: std::io::Error| format!("{}: {e}", file.display());
-    let folder = file.parent().filter(|p| !p.as_os_str().is_empty()).unwrap_or(Path::new("."));
+    let folder = file
+        .parent()
+        .filter(|p| !p.as_os_str().is_empty())
+        .unwrap_or(Path::new("."));
     let mut draft = tempfile::NamedTempFile::new_in(folder).map_err(failed)?;
     serde_json::to_writer_pretty(&mut draft, value).map_err(|e| failed(e.into()))?;
-    draft.write_all(b"\n").and_then(|()| draft.as_file().sync_all()).map_err(failed)?;
-    draft.persist_noclobber(file).map(drop).map_err(|e| failed(e.error))
+    draft
+        .write_all(b"\n")
+        .and_then(|()| draft.as_file().sync_all())
+        .map_err(failed)?;
+    draft
+        .persist_noclobber(file)
+        .map(drop)
+        .map_err(|e| failed(e.error))
 }
 
 pub fn run(old: &Path, output: Option<&Path>, dry_run: bool) -> ExitCode {
@@ -85,7 +118,10 @@
     };
     let told = read().and_then(|carried| match carried {
         None => {
-            println!("{}: already of the new shape, nothing is written", old.display());
+            println!(
+                "{}: already of the new shape, nothing is written",
+                old.display()
+            );
             Ok(false)
         }
         Some(carried) => {
@@ -95,8 +131,14 @@
             } else {
                 println!("nothing is written; it would be:\n{:#}", carried.new);
             }
-            carried.moves.iter().for_each(|line| println!("to move: {line}"));
-            carried.left_out.iter().for_each(|line| println!("left out: {line}"));
+            carried
+                .moves
+                .iter()
+                .for_each(|line| println!("to move: {line}"));
+            carried
+                .left_out
+                .iter()
+                .for_each(|line| println!("left out: {line}"));
             Ok(!carried.left_out.is_empty())
         }
     });
--- a/crates/linenthread-service/src/near.rs
+++ b/crates/linenthread-service/src/near.rs
@@ -66,7 +66,8 @@
         }
         for entry in listed {
             // Another process, or another replica under this number: what is known of it is of the one before.
-            if self.known.insert(entry.replica, (entry.id, entry.started)) != Some((entry.id, entry.started))
+            if self.known.insert(entry.replica, (entry.id, entry.started))
+                != Some((entry.id, entry.started))
             {
                 self.watch.gone(entry.replica);
             }
@@ -116,8 +117,18 @@
             }
             *patterns.entry(holders).or_default() += 1.0 / self.shards.max(1) as f64;
         }
-        let patterns = patterns.into_iter().map(|(holders, share)| Pattern { holders, share }).collect();
-        (self.watch.report(&replicas), Ground { zones: self.zones.clone(), replicas, patterns })
+        let patterns = patterns
+            .into_iter()
+            .map(|(holders, share)| Pattern { holders, share })
+            .collect();
+        (
+            self.watch.report(&replicas),
+            Ground {
+                zones: self.zones.clone(),
+                replicas,
+                patterns,
+            },
+        )
     }
 
     /// Acts on a table from now on. One of other zones than this program's file has is not acted on.
@@ -139,16 +150,29 @@
     pub fn ways(&self) -> Vec<WayTo> {
         let way = |(name, zone): &(String, Option<usize>)| {
             let Some(zone) = *zone else {
-                return WayTo { id: number(name), distance: UNNAMED, open: ALL };
+                return WayTo {
+                    id: number(name),
+                    distance: UNNAMED,
+                    open: ALL,
+                };
             };
-            let distance = match (zone == self.own, self.zones[zone].region == self.zones[self.own].region) {
+            let distance = match (
+                zone == self.own,
+                self.zones[zone].region == self.zones[self.own].region,
+            ) {
                 (true, _) => 0,
                 (_, true) => 1,
                 _ => 2,
             };
             let row = self.table.as_ref().and_then(|t| t.rows.get(self.own));
-            let open = row.and_then(|row| row.open.get(zone)).map_or(ALL, |(share, _)| *share);
-            WayTo { id: number(name), distance, open }
+            let open = row
+                .and_then(|row| row.open.get(zone))
+                .map_or(ALL, |(share, _)| *share);
+            WayTo {
+                id: number(name),
+                distance,
+                open,
+            }
         };
         self.sites.iter().map(way).collect()
     }
--- a/crates/linenthread-service/src/operator.rs
+++ b/crates/linenthread-service/src/operator.rs
@@ -46,12 +46,13 @@
             let mut next = Vec::new();
             for one in std::mem::take(&mut todo) {
                 match one {
-                    FleetDo::Dial { connection, address } => {
-                        match TcpStream::connect_timeout(&address, Duration::from_secs(1)) {
-                            Ok(stream) => self.stream = Some((connection, stream)),
-                            Err(_) => self.fleet.lost(self.now(), connection, &mut next),
-                        }
-                    }
+                    FleetDo::Dial {
+                        connection,
+                        address,
+                    } => match TcpStream::connect_timeout(&address, Duration::from_secs(1)) {
+                        Ok(stream) => self.stream = Some((connection, stream)),
+                        Err(_) => self.fleet.lost(self.now(), connection, &mut next),
+                    },
                     FleetDo::Write { connection, bytes } => {
                         let sent = match &mut self.stream {
                             Some((number, stream)) if *number == connection => {
@@ -88,7 +89,9 @@
             return agreed;
         };
         let number = *number;
-        stream.set_read_timeout(Some(Duration::from_millis(50))).ok();
+        stream
+            .set_read_timeout(Some(Duration::from_millis(50)))
+            .ok();
         let read = stream.read(&mut buffer);
         let (now, mut to) = (self.now(), Vec::new());
         match read {
@@ -104,7 +107,11 @@
     }
 
     fn orders(&self) -> Orders {
-        self.fleet.board().value(ORDERS).and_then(|(_, v)| Orders::decode(v).ok()).unwrap_or_default()
+        self.fleet
+            .board()
+            .value(ORDERS)
+            .and_then(|(_, v)| Orders::decode(v).ok())
+            .unwrap_or_default()
     }
 }
 
@@ -112,11 +119,22 @@
     let Some((number, value)) = line.fleet.board().value(TABLE) else {
         return "no table was agreed on yet: all ways are open, the nearest first".into();
     };
-    let Ok(table) = Table::decode(value) else { return "the table cannot be read by this version".into() };
+    let Ok(table) = Table::decode(value) else {
+        return "the table cannot be read by this version".into();
+    };
     let mut text = format!("table {number}; keys of a thousand to which each way is open\n");
-    let width = table.zones.iter().map(String::len).max().unwrap_or(0).max(8);
+    let width = table
+        .zones
+        .iter()
+        .map(String::len)
+        .max()
+        .unwrap_or(0)
+        .max(8);
     text += &format!("{:width$}", "from");
-    table.zones.iter().for_each(|to| text += &format!("  {to:>width$}"));
+    table
+        .zones
+        .iter()
+        .for_each(|to| text += &format!("  {to:>width$}"));
     for (from, row) in table.zones.iter().zip(&table.rows) {
         text += &format!("\n{from:width$}");
         for (share, reason) in &row.open {
@@ -137,19 +155,38 @@
 ///
 /// One line: the file is bad, no voter could be reached, or the order was refused.
 pub fn run(file: &Path, wish: &Wish) -> Result<String, String> {
-    let read = Installation::read_file(file, &|_| Some(linenthread_installation::KnownIndex { floor: 0.0 }))?;
-    let fleet = read.fleet.ok_or_else(|| format!("{}: there is no <fleet>", file.display()))?;
+    let read = Installation::read_file(file, &|_| {
+        Some(linenthread_installation::KnownIndex { floor: 0.0 })
+    })?;
+    let fleet = read
+        .fleet
+        .ok_or_else(|| format!("{}: there is no <fleet>", file.display()))?;
     let secrets = Secrets::new(own::secrets(&fleet.secrets)?)?;
     let own = Who::stranger(&format!("operator-{}", std::process::id()), fleet.address);
-    let voters = fleet.voters.into_iter().map(|v| (v.name, v.address)).collect();
-    let terms = FleetTerms { own, voters, expected: fleet.members, probe: 60_000 };
+    let voters = fleet
+        .voters
+        .into_iter()
+        .map(|v| (v.name, v.address))
+        .collect();
+    let terms = FleetTerms {
+        own,
+        voters,
+        expected: fleet.members,
+        probe: 60_000,
+    };
     let mut to = Vec::new();
     let began = Instant::now();
     // What it makes up in handshakes must be new each time.
-    let seed = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap_or_default();
+    let seed = std::time::SystemTime::now()
+        .duration_since(std::time::UNIX_EPOCH)
+        .unwrap_or_default();
     let seed = seed.as_nanos() as u64 ^ u64::from(std::process::id()) << 40;
     let machine = Fleet::new(terms, None, secrets, seed, 1_000_000, &mut to)?;
-    let mut line = Line { fleet: machine, stream: None, began };
+    let mut line = Line {
+        fleet: machine,
+        stream: None,
+        began,
+    };
     line.obey(to);
     let number = seed | 1;
     let mut asked: Option<Instant> = None;
@@ -184,7 +221,9 @@
         }
     }
     Err(match heard {
-        Some(_) => "nobody who leads has answered: nothing was agreed on, as far as is known here".into(),
+        Some(_) => {
+            "nobody who leads has answered: nothing was agreed on, as far as is known here".into()
+        }
         None => "no voter could be reached, or nothing was agreed on yet".into(),
     })
 }
--- a/crates/linenthread-service/src/own.rs
+++ b/crates/linenthread-service/src/own.rs
@@ -27,7 +27,10 @@
         let secret = secret.trim_ascii_end().to_vec();
         let shortest = linenthread_merge::SHORTEST_SECRET;
         match secret.len() < shortest {
-            true => Err(format!("{}: a secret needs {shortest} bytes or more", path.display())),
+            true => Err(format!(
+                "{}: a secret needs {shortest} bytes or more",
+                path.display()
+            )),
             false => Ok(secret),
         }
     };
@@ -44,10 +47,18 @@
         let indexes = &config.surroundings.indexes;
         let known = |name: &str| {
             let at = indexes.iter().position(|index| index == name)?;
-            Some(KnownIndex { floor: config.deployment.indexes.get(at)?.floor })
+            Some(KnownIndex {
+                floor: config.deployment.indexes.get(at)?.floor,
+            })
         };
         let read = Installation::read_file(file, &known)?;
-        let plan = |name: &String| read.merging.plans.iter().find(|plan| plan.index == *name).cloned();
+        let plan = |name: &String| {
+            read.merging
+                .plans
+                .iter()
+                .find(|plan| plan.index == *name)
+                .cloned()
+        };
         let marks = match &read.merging.marks {
             Some(marks) => Some(Marks::new(secrets(&marks.files)?, marks.life)?),
             None => None,
@@ -64,7 +75,13 @@
             Some(fleet) => Some((fleet.clone(), link(&fleet.secrets)?)),
             None => None,
         };
-        Ok(Own { merging, gateway, peers, fleet, zones: read.zones })
+        Ok(Own {
+            merging,
+            gateway,
+            peers,
+            fleet,
+            zones: read.zones,
+        })
     }
 
     /// Reads it once more for a program that runs: how indexes are merged counts at once, links from the next
--- a/crates/linenthread-service/src/roster.rs
+++ b/crates/linenthread-service/src/roster.rs
@@ -36,13 +36,19 @@
 /// watched on request, the module says when to ask.
 async fn follow(desk: &Desk, address: SocketAddr, cells: usize) {
     let connector = awc::Connector::new().timeout(SLACK).limit(2);
-    let client = awc::Client::builder().connector(connector).disable_timeout().finish();
+    let client = awc::Client::builder()
+        .connector(connector)
+        .disable_timeout()
+        .finish();
     let mut revision = None;
     let mut failing = false;
     loop {
         let (path, wait) = match revision {
             None => (roster::WHOLE.to_owned(), SLACK),
-            Some(revision) => (roster::watch(revision, HOLD.as_millis() as u64), HOLD + SLACK),
+            Some(revision) => (
+                roster::watch(revision, HOLD.as_millis() as u64),
+                HOLD + SLACK,
+            ),
         };
         let url = format!("http://{address}{path}");
         match timeout(wait, ask(&client, &url, cells))
@@ -79,6 +85,10 @@
     if !response.status().is_success() {
         return Err(format!("status {}", response.status().as_u16()));
     }
-    let body = response.body().limit(roster::MOST_BYTES).await.map_err(|e| e.to_string())?;
+    let body = response
+        .body()
+        .limit(roster::MOST_BYTES)
+        .await
+        .map_err(|e| e.to_string())?;
     roster::decode(&body, cells)
 }
--- a/crates/linenthread-service/src/serve.rs
+++ b/crates/linenthread-service/src/serve.rs
@@ -51,16 +51,23 @@
     (own, installation): (Own, Option<&Path>),
     ready: impl FnOnce(SocketAddr),
 ) -> Result<(), String> {
-    let listener =
-        http::listen(config.listen).map_err(|e| format!("cannot listen on {}: {e}", config.listen))?;
-    let [terminate, interrupt, hangup] =
-        [SignalKind::terminate(), SignalKind::interrupt(), SignalKind::hangup()].map(signal);
-    let (Ok(mut terminate), Ok(mut interrupt), Ok(mut hangup)) = (terminate, interrupt, hangup) else {
+    let listener = http::listen(config.listen)
+        .map_err(|e| format!("cannot listen on {}: {e}", config.listen))?;
+    let [terminate, interrupt, hangup] = [
+        SignalKind::terminate(),
+        SignalKind::interrupt(),
+        SignalKind::hangup(),
+    ]
+    .map(signal);
+    let (Ok(mut terminate), Ok(mut interrupt), Ok(mut hangup)) = (terminate, interrupt, hangup)
+    else {
         return Err("cannot watch signals".into());
     };
     // Descriptors for replicas come before those for clients: a quarter of all, or two a replica. The fleet
     // may change, but not beyond what the rest can do without.
-    let for_replicas = (config.sockets / 4).max(config.remembered.replicas.len() * 2).min(config.sockets / 2);
+    let for_replicas = (config.sockets / 4)
+        .max(config.remembered.replicas.len() * 2)
+        .min(config.sockets / 2);
     let (surroundings, layout) = (&config.surroundings, &config.deployment.layout);
     let withdraw = config.deployment.allowance.withdraw;
     let connect = clock::span(surroundings.connect_time_out.max(1));
@@ -73,12 +80,28 @@
         idle: idle - idle / 8,
         connections: for_replicas,
     });
-    let Own { merging, gateway, peers, fleet, zones } = own;
-    let names: Vec<String> = zones.iter().flat_map(|z| &z.zones).map(|z| z.name.clone()).collect();
+    let Own {
+        merging,
+        gateway,
+        peers,
+        fleet,
+        zones,
+    } = own;
+    let names: Vec<String> = zones
+        .iter()
+        .flat_map(|z| &z.zones)
+        .map(|z| z.name.clone())
+        .collect();
     let desk = Desk::new(&config, carriers.clone(), &names, |sites| {
         let ((fleet, _), zones) = (fleet.as_ref()?, zones.as_ref()?);
         let shards = (config.deployment.layout.clone(), surroundings.shards);
-        Some(Near::new(fleet::zones_of(zones), &fleet.zone, tenths(zones.life), sites, shards))
+        Some(Near::new(
+            fleet::zones_of(zones),
+            &fleet.zone,
+            tenths(zones.life),
+            sites,
+            shards,
+        ))
     });
     let fleet = match fleet {
         Some((fleet, secrets)) => Some(join_fleet(&config, &desk, fleet, zones, secrets)?),
@@ -87,11 +110,19 @@
     let ask_first = !config.deployment.watch_roster;
     let mut rounds = actix_rt::spawn(desk.clone().run());
     let (moved, address) = watch::channel(config.roster);
-    let mut watch = actix_rt::spawn(roster::watch(desk.clone(), address, layout.cells, ask_first));
+    let mut watch = actix_rt::spawn(roster::watch(
+        desk.clone(),
+        address,
+        layout.cells,
+        ask_first,
+    ));
     // A link takes one descriptor, a gateway as many as it may have sessions and the listener.
     let for_fleet = fleet.as_ref().map_or(0, |(_, descriptors)| *descriptors);
-    let for_links =
-        for_fleet + peers.len() + gateway.as_ref().map_or(0, |(gateway, _)| 2 * gateway.sessions + 1);
+    let for_links = for_fleet
+        + peers.len()
+        + gateway
+            .as_ref()
+            .map_or(0, |(gateway, _)| 2 * gateway.sessions + 1);
     for (n, (peer, secrets)) in peers.into_iter().enumerate() {
         let number = desk.add_peer();
         let (changes, mut news) = mpsc::unbounded_channel();
@@ -105,7 +136,13 @@
             back_off: (tenths(50), tenths(500)),
         };
         let seed = config.seed.wrapping_add(1 + n as u64);
-        let terms = far::Terms { name: peer.name, address: peer.address, secrets, near, seed };
+        let terms = far::Terms {
+            name: peer.name,
+            address: peer.address,
+            secrets,
+            near,
+            seed,
+        };
         carriers.add_peer(far::Peer::start(terms, desk.clock(), changes));
         let desk = desk.clone();
         actix_rt::spawn(async move {
@@ -139,11 +176,22 @@
         carriers,
         surroundings: surroundings.clone(),
         withdraw,
-        gains: config.deployment.indexes.iter().map(|i| (i.gain * 1_000.0) as u32).collect(),
-        gathering: Gathering { merging: RefCell::new(Rc::new(merging)), ..Gathering::default() },
+        gains: config
+            .deployment
+            .indexes
+            .iter()
+            .map(|i| (i.gain * 1_000.0) as u32)
+            .collect(),
+        gathering: Gathering {
+            merging: RefCell::new(Rc::new(merging)),
+            ..Gathering::default()
+        },
         open: RefCell::default(),
     });
-    let most = config.sockets.saturating_sub(for_replicas + for_links + OWN_DESCRIPTORS).max(1);
+    let most = config
+        .sockets
+        .saturating_sub(for_replicas + for_links + OWN_DESCRIPTORS)
+        .max(1);
     let front = Front::new(work.clone(), most, config.sockets / 6);
     let listen = listener.local_addr().unwrap_or(config.listen);
     let merged = work.gathering.merging.borrow().count();
@@ -194,7 +242,13 @@
     let descriptors = 4 + fleet.voters.len() * 2 + fleet.members as usize;
     let (from, mut told) = mpsc::unbounded_channel();
     let seed = config.seed.rotate_left(17);
-    let place = Place { name: config.name.clone(), fleet, zones, secrets, seed };
+    let place = Place {
+        name: config.name.clone(),
+        fleet,
+        zones,
+        secrets,
+        seed,
+    };
     let handle = fleet::start(place, desk.clock(), from)?;
     let (desk, to) = (desk.clone(), handle.to.clone());
     actix_rt::spawn(async move {
--- a/crates/linenthread-service/tests/link.rs
+++ b/crates/linenthread-service/tests/link.rs
@@ -42,51 +42,79 @@
 fn through_troubles(seed: u64) {
     let mut sites = Sites::start(
         EXE,
-        Terms { after: Duration::from_millis(10), second: seed.is_multiple_of(2), ..Terms::default() },
+        Terms {
+            after: Duration::from_millis(10),
+            second: seed.is_multiple_of(2),
+            ..Terms::default()
+        },
     );
     let mut chance = Rand64::new(u128::from(seed));
     let every = Duration::from_millis(15);
     let lasting = Duration::from_secs(4);
     let indexes = ["order", "find", "order"];
-    let (verdict, _) = asked_through(&mut sites, &format!("t{seed}"), &indexes, every, lasting, |sites| {
-        for turn in 0..8 {
-            let while_it_lasts = Duration::from_millis(chance.rand_range(5..350));
-            match chance.rand_range(0..5) {
-                0 => sites.proxy.cut(),
-                1 => {
-                    let way = [Way::There, Way::Back][chance.rand_range(0..2) as usize];
-                    sites.proxy.silence(way, true);
-                    sleep(while_it_lasts);
-                    sites.proxy.silence(way, false);
-                    // What was swallowed is missing from the stream: nothing good can come on it.
-                    sites.proxy.cut();
+    let (verdict, _) = asked_through(
+        &mut sites,
+        &format!("t{seed}"),
+        &indexes,
+        every,
+        lasting,
+        |sites| {
+            for turn in 0..8 {
+                let while_it_lasts = Duration::from_millis(chance.rand_range(5..350));
+                match chance.rand_range(0..5) {
+                    0 => sites.proxy.cut(),
+                    1 => {
+                        let way = [Way::There, Way::Back][chance.rand_range(0..2) as usize];
+                        sites.proxy.silence(way, true);
+                        sleep(while_it_lasts);
+                        sites.proxy.silence(way, false);
+                        // What was swallowed is missing from the stream: nothing good can come on it.
+                        sites.proxy.cut();
+                    }
+                    2 => {
+                        sites.proxy.lead_to(None);
+                        sites.proxy.cut();
+                        sleep(while_it_lasts);
+                        sites.proxy.lead_to(Some(sites.links));
+                    }
+                    3 => sites
+                        .proxy
+                        .slow_by(Duration::from_millis(chance.rand_range(0..20))),
+                    _ if turn == 6 && seed.is_multiple_of(4) => sites.far.signal("-KILL"),
+                    _ => sites
+                        .proxy
+                        .cut_next(Way::There, chance.rand_range(200..2_000) as usize),
                 }
-                2 => {
-                    sites.proxy.lead_to(None);
-                    sites.proxy.cut();
-                    sleep(while_it_lasts);
-                    sites.proxy.lead_to(Some(sites.links));
-                }
-                3 => sites.proxy.slow_by(Duration::from_millis(chance.rand_range(0..20))),
-                _ if turn == 6 && seed.is_multiple_of(4) => sites.far.signal("-KILL"),
-                _ => sites.proxy.cut_next(Way::There, chance.rand_range(200..2_000) as usize),
+                sleep(Duration::from_millis(chance.rand_range(50..250)));
             }
-            sleep(Duration::from_millis(chance.rand_range(50..250)));
-        }
-    });
+        },
+    );
     assert_eq!(verdict.breaches, [""; 0], "seed {seed}: {verdict:?}");
-    assert!(verdict.checked > 200 && verdict.answered * 10 > verdict.checked, "seed {seed}: {verdict:?}");
+    assert!(
+        verdict.checked > 200 && verdict.answered * 10 > verdict.checked,
+        "seed {seed}: {verdict:?}"
+    );
 }
 
 #[test]
 fn every_lookup_ends_once_in_time_and_truly_through_any_trouble_of_the_link() {
-    let threads: Vec<_> = (1..=4).map(|seed| std::thread::spawn(move || through_troubles(seed))).collect();
-    threads.into_iter().for_each(|thread| thread.join().unwrap());
+    let threads: Vec<_> = (1..=4)
+        .map(|seed| std::thread::spawn(move || through_troubles(seed)))
+        .collect();
+    threads
+        .into_iter()
+        .for_each(|thread| thread.join().unwrap());
 }
 
 #[test]
 fn what_drains_behind_the_link_gets_nothing_new() {
-    let mut sites = Sites::start(EXE, Terms { after: Duration::ZERO, ..Terms::default() });
+    let mut sites = Sites::start(
+        EXE,
+        Terms {
+            after: Duration::ZERO,
+            ..Terms::default()
+        },
+    );
     let mut verdict = Verdict::default();
     for _ in 0..20 {
         sites.ask("find", &mut verdict, "before");
@@ -94,21 +122,41 @@
     let home = if sites.taken_by(0) > 0 { 0 } else { 1 };
     assert!(sites.taken_by(home) > 0);
     // The gateway's roster says that it drains; the near side hears of it over the link.
-    sites.far_roster.tell(&list(2, false, vec![entry(home, sites.replicas[home], "leaving")]));
+    sites.far_roster.tell(&list(
+        2,
+        false,
+        vec![entry(home, sites.replicas[home], "leaving")],
+    ));
     sites.near.logged("replicas behind links");
     let before = sites.taken_by(home);
     for _ in 0..20 {
         sites.ask("find", &mut verdict, "after");
     }
-    assert_eq!((sites.taken_by(home), verdict.answered, verdict.breaches.len()), (before, 40, 0));
+    assert_eq!(
+        (
+            sites.taken_by(home),
+            verdict.answered,
+            verdict.breaches.len()
+        ),
+        (before, 40, 0)
+    );
     // And that it is gone, and back again.
-    sites.far_roster.tell(&list(3, false, vec![entry(home, sites.replicas[home], "left")]));
+    sites.far_roster.tell(&list(
+        3,
+        false,
+        vec![entry(home, sites.replicas[home], "left")],
+    ));
     sites.until(1);
-    sites.far_roster.tell(&list(4, false, vec![entry(home, sites.replicas[home], "active")]));
+    sites.far_roster.tell(&list(
+        4,
+        false,
+        vec![entry(home, sites.replicas[home], "active")],
+    ));
     sites.until(2);
     // Its answers may have been the slower ones: then parts come home with the next reset, 10 s at the most.
     let (begin, mut asked) = (Instant::now(), 40);
-    while asked < 60 || sites.taken_by(home) == before && begin.elapsed() < Duration::from_secs(15) {
+    while asked < 60 || sites.taken_by(home) == before && begin.elapsed() < Duration::from_secs(15)
+    {
         sites.ask("find", &mut verdict, "back");
         asked += 1;
     }
@@ -118,15 +166,30 @@
 
 #[test]
 fn where_two_gateways_lead_to_the_same_replicas_one_may_die() {
-    let mut sites = Sites::start(EXE, Terms { second: true, ..Terms::default() });
+    let mut sites = Sites::start(
+        EXE,
+        Terms {
+            second: true,
+            ..Terms::default()
+        },
+    );
     let every = Duration::from_millis(10);
-    let (verdict, told) =
-        asked_through(&mut sites, "two", &["order"], every, Duration::from_secs(2), |sites| {
+    let (verdict, told) = asked_through(
+        &mut sites,
+        "two",
+        &["order"],
+        every,
+        Duration::from_secs(2),
+        |sites| {
             sleep(Duration::from_millis(500));
             sites.far.signal("-KILL");
-        });
+        },
+    );
     assert_eq!(verdict.breaches, [""; 0], "{verdict:?}");
     let late = told.iter().filter(|t| t.due > Duration::from_millis(1_000));
     let answered = late.clone().filter(|t| t.status == Some(200)).count();
-    assert!(late.clone().count() > 50 && answered * 10 >= late.count() * 9, "{verdict:?}");
+    assert!(
+        late.clone().count() > 50 && answered * 10 >= late.count() * 9,
+        "{verdict:?}"
+    );
 }
--- a/crates/linenthread-service/tests/merged.rs
+++ b/crates/linenthread-service/tests/merged.rs
@@ -23,12 +23,22 @@
 }
 
 fn configuration(roster: &Roster, known: &str, soft_ms: u64) -> Value {
-    let class = |name, floor| Class { name, once_only: false, soft_ms, floor };
+    let class = |name, floor| Class {
+        name,
+        once_only: false,
+        soft_ms,
+        floor,
+    };
     let classes = [
         class("history", FLOOR),
         class("pledges", FLOOR),
         class("charities", FLOOR),
-        Class { name: "order", once_only: true, soft_ms, floor: 1.0 },
+        Class {
+            name: "order",
+            once_only: true,
+            soft_ms,
+            floor: 1.0,
+        },
     ];
     config_of(roster.address, known, &classes, 3, SHARDS)
 }
@@ -52,19 +62,36 @@
     cue: impl FnMut(&Part) -> (Duration, How) + Send + 'static,
 ) -> Rig {
     let hosts = Hosts::start(3, ledger, most_rows, cue);
-    let entries = hosts.addresses.iter().enumerate().map(|(i, a)| entry(i, *a, "active"));
+    let entries = hosts
+        .addresses
+        .iter()
+        .enumerate()
+        .map(|(i, a)| entry(i, *a, "active"));
     let known = list(1, true, entries.collect());
     let roster = Roster::start(known.clone());
     let folder = tempfile::tempdir().unwrap();
     std::fs::write(folder.path().join("marks.key"), "a secret of some length\n").unwrap();
     std::fs::write(folder.path().join("installation.xml"), installation).unwrap();
     let words = ["--installation", "installation.xml"];
-    let service = Service::start_in(folder, EXE, &configuration(&roster, &known, soft_ms), &words);
-    Rig { hosts, service, known, roster }
+    let service = Service::start_in(
+        folder,
+        EXE,
+        &configuration(&roster, &known, soft_ms),
+        &words,
+    );
+    Rig {
+        hosts,
+        service,
+        known,
+        roster,
+    }
 }
 
 fn weights(shards: &[usize]) -> Vec<(usize, f64)> {
-    shards.iter().map(|&s| (s, 1.0 / shards.len() as f64)).collect()
+    shards
+        .iter()
+        .map(|&s| (s, 1.0 / shards.len() as f64))
+        .collect()
 }
 
 fn now(_: &Part) -> (Duration, How) {
@@ -96,23 +123,36 @@
     let rig = start(ledger, 4, INSTALLATION, faulty(Rand64::new(seed + 1)));
     let (mut answered, mut partial, mut asked) = (0, 0, 0);
     while asked < lookups {
-        let mut shards: Vec<usize> = (0..SHARDS).filter(|_| chance.rand_range(0..3) > 0).collect();
+        let mut shards: Vec<usize> = (0..SHARDS)
+            .filter(|_| chance.rand_range(0..3) > 0)
+            .collect();
         if shards.is_empty() {
             shards.push(0);
         }
         let with = weights(&shards);
         let mut reading = Reading::new(&with);
         let (mut added, mut mark) = (Vec::new(), Value::Null);
-        let index = ["history", "history", "pledges", "charities"][chance.rand_range(0..4) as usize];
+        let index =
+            ["history", "history", "pledges", "charities"][chance.rand_range(0..4) as usize];
         loop {
             asked += 1;
             let id = format!("m{seed}-{asked}");
             let limit = 1 + chance.rand_range(0..8) as usize;
-            let page = if index == "history" { json!({"rows": limit, "after": mark}) } else { Value::Null };
-            let (status, answer) = rig.service.connect().merged(index, &id, &shards, index, &page);
+            let page = if index == "history" {
+                json!({"rows": limit, "after": mark})
+            } else {
+                Value::Null
+            };
+            let (status, answer) = rig
+                .service
+                .connect()
+                .merged(index, &id, &shards, index, &page);
             let ledger = rig.hosts.ledger.lock().unwrap().clone();
             if status != 200 {
-                assert!([502, 503].contains(&status), "seed {seed}, lookup {asked}: {status} {answer}");
+                assert!(
+                    [502, 503].contains(&status),
+                    "seed {seed}, lookup {asked}: {status} {answer}"
+                );
                 break;
             }
             answered += 1;
@@ -122,7 +162,9 @@
                 "pledges" => checker::totals(&ledger, &with, FLOOR, &answer),
                 _ => checker::groups(&ledger, &with, FLOOR, 3, &answer),
             };
-            judged.unwrap_or_else(|why| panic!("seed {seed}, lookup {asked}, {index}: {why}\n{answer}"));
+            judged.unwrap_or_else(|why| {
+                panic!("seed {seed}, lookup {asked}, {index}: {why}\n{answer}")
+            });
             mark = answer["next"].clone();
             if index == "history" && mark.is_null() {
                 reading.ends(&ledger, &added).unwrap();
@@ -141,10 +183,17 @@
 
 #[test]
 fn answers_are_what_the_full_data_says_through_delays_and_faults() {
-    let threads: Vec<_> = (0..4).map(|n| std::thread::spawn(move || read_on(7 + 10 * n, 100))).collect();
+    let threads: Vec<_> = (0..4)
+        .map(|n| std::thread::spawn(move || read_on(7 + 10 * n, 100)))
+        .collect();
     let all = threads.into_iter().map(|t| t.join().unwrap());
-    let (answered, partial) = all.fold((0, 0), |(a, p), (answered, partial)| (a + answered, p + partial));
-    assert!(answered > 300 && partial > 0, "{answered} of 400 answered, {partial} partial");
+    let (answered, partial) = all.fold((0, 0), |(a, p), (answered, partial)| {
+        (a + answered, p + partial)
+    });
+    assert!(
+        answered > 300 && partial > 0,
+        "{answered} of 400 answered, {partial} partial"
+    );
 }
 
 #[test]
@@ -152,11 +201,20 @@
     let ledger = Ledger::new(&mut Rand64::new(3), SHARDS, 9);
     let rig = start(ledger, 50, INSTALLATION, now);
     let ask = |shards: &[usize], id: &str, text: &str, mark: &str| {
-        rig.service.connect().merged("history", id, shards, text, &json!({"rows": 3, "after": mark}))
+        rig.service.connect().merged(
+            "history",
+            id,
+            shards,
+            text,
+            &json!({"rows": 3, "after": mark}),
+        )
     };
     let shards = [0, 1, 2, 3];
     let page = json!({"rows": 3});
-    let (status, first) = rig.service.connect().merged("history", "p1", &shards, "all", &page);
+    let (status, first) = rig
+        .service
+        .connect()
+        .merged("history", "p1", &shards, "all", &page);
     assert_eq!(status, 200);
     let mark = first["next"].as_str().unwrap().to_owned();
     // Another program with the same secret serves page two from the mark alone.
@@ -165,18 +223,38 @@
         std::fs::copy(rig.service.file(file), folder.path().join(file)).unwrap();
     }
     let words = ["--installation", "installation.xml"];
-    let other = Service::start_in(folder, EXE, &configuration(&rig.roster, &rig.known, SOFT_MS), &words);
+    let other = Service::start_in(
+        folder,
+        EXE,
+        &configuration(&rig.roster, &rig.known, SOFT_MS),
+        &words,
+    );
     let next = json!({"rows": 3, "after": mark});
-    let (status, second) = other.connect().merged("history", "p2", &shards, "all", &next);
+    let (status, second) = other
+        .connect()
+        .merged("history", "p2", &shards, "all", &next);
     let ledger = rig.hosts.ledger.lock().unwrap().clone();
     let mut reading = Reading::new(&weights(&shards));
-    reading.page(&ledger, &weights(&shards), FLOOR, 3, &first).unwrap();
+    reading
+        .page(&ledger, &weights(&shards), FLOOR, 3, &first)
+        .unwrap();
     assert_eq!(status, 200);
-    reading.page(&ledger, &weights(&shards), FLOOR, 3, &second).unwrap();
+    reading
+        .page(&ledger, &weights(&shards), FLOOR, 3, &second)
+        .unwrap();
     // Whatever is not that mark for that lookup gets a plain 400.
-    let forged = format!("{}{}", &mark[..mark.len() - 2], if mark.ends_with("AA") { "BB" } else { "AA" });
+    let forged = format!(
+        "{}{}",
+        &mark[..mark.len() - 2],
+        if mark.ends_with("AA") { "BB" } else { "AA" }
+    );
     let cases = [
-        (&shards[..], "all", forged.as_str(), "not one that was given here"),
+        (
+            &shards[..],
+            "all",
+            forged.as_str(),
+            "not one that was given here",
+        ),
         (&shards, "all", &mark[..40], "not one that was given here"),
         (&shards, "all", "", "not one that was given here"),
         (&shards, "some", &mark, "another lookup"),
@@ -184,34 +262,68 @@
     ];
     for (n, (shards, text, mark, why)) in cases.into_iter().enumerate() {
         let (status, said) = ask(shards, &format!("bad{n}"), text, mark);
-        assert!(status == 400 && said.to_string().contains(why), "{n}: {status} {said}");
+        assert!(
+            status == 400 && said.to_string().contains(why),
+            "{n}: {status} {said}"
+        );
     }
     let (status, said) =
-        rig.service.connect().merged("history", "rows", &shards, "all", &json!({"rows": 101}));
-    assert!(status == 400 && said.to_string().contains("from 1 to 100"), "{said}");
+        rig.service
+            .connect()
+            .merged("history", "rows", &shards, "all", &json!({"rows": 101}));
+    assert!(
+        status == 400 && said.to_string().contains("from 1 to 100"),
+        "{said}"
+    );
     let (status, said) =
-        rig.service.connect().merged("pledges", "t", &shards, "pledges", &json!({"rows": 1}));
-    assert!(status == 400 && said.to_string().contains("no pages"), "{said}");
+        rig.service
+            .connect()
+            .merged("pledges", "t", &shards, "pledges", &json!({"rows": 1}));
+    assert!(
+        status == 400 && said.to_string().contains("no pages"),
+        "{said}"
+    );
 }
 
 #[test]
 fn the_operators_file_is_judged_and_read_again() {
-    let rig = start(Ledger::new(&mut Rand64::new(5), SHARDS, 9), 50, INSTALLATION, now);
-    let merged = || rig.service.connect().merged("pledges", &fresh(), &[0, 1], "pledges", &Value::Null).1;
+    let rig = start(
+        Ledger::new(&mut Rand64::new(5), SHARDS, 9),
+        50,
+        INSTALLATION,
+        now,
+    );
+    let merged = || {
+        rig.service
+            .connect()
+            .merged("pledges", &fresh(), &[0, 1], "pledges", &Value::Null)
+            .1
+    };
     assert!(merged()["totals"].is_object());
     // A bad file changes nothing; a good one counts from the next lookup on.
     let file = rig.service.file("installation.xml");
-    std::fs::write(&file, INSTALLATION.replace("index=\"pledges\"", "index=\"gifts\"")).unwrap();
+    std::fs::write(
+        &file,
+        INSTALLATION.replace("index=\"pledges\"", "index=\"gifts\""),
+    )
+    .unwrap();
     rig.service.signal("-HUP");
     let line = rig.service.logged("installation not taken");
-    assert!(line.contains("installation.xml:9: the settings have no index gifts"), "{line}");
+    assert!(
+        line.contains("installation.xml:9: the settings have no index gifts"),
+        "{line}"
+    );
     assert!(merged()["totals"].is_object());
     std::fs::write(&file, "<installation version=\"1\"/>").unwrap();
     rig.service.signal("-HUP");
     rig.service.logged("installation read again");
     assert!(merged()["found"].is_array(), "answered as ever");
     // The same fault at the start is one line and exit 2, from check and from serve.
-    std::fs::write(&file, "<installation version=\"1\">\n<merge/></installation>").unwrap();
+    std::fs::write(
+        &file,
+        "<installation version=\"1\">\n<merge/></installation>",
+    )
+    .unwrap();
     let config = rig.service.file("config.json");
     for words in [["check", "--installation"], ["serve", "--installation"]] {
         let mut program = std::process::Command::new(EXE);
@@ -223,7 +335,10 @@
         let output = program.output().unwrap();
         let said = String::from_utf8(output.stderr).unwrap();
         assert_eq!(output.status.code(), Some(2), "{said}");
-        assert!(said.contains("installation.xml:2: <merge>") && said.lines().count() == 1, "{said}");
+        assert!(
+            said.contains("installation.xml:2: <merge>") && said.lines().count() == 1,
+            "{said}"
+        );
     }
 }
 
@@ -236,20 +351,30 @@
 #[test]
 fn what_a_slice_gets_wrong_spoils_nothing_else_and_is_named() {
     let unreadable = |part: &Part| {
-        let how = if part.shard == 2 { How::Unreadable } else { How::Answer };
+        let how = if part.shard == 2 {
+            How::Unreadable
+        } else {
+            How::Answer
+        };
         (Duration::ZERO, how)
     };
     let ledger = Ledger::new(&mut Rand64::new(11), SHARDS, 9);
     let rig = start(ledger, 50, INSTALLATION, unreadable);
     let shards = [0, 1, 2, 3];
-    let (status, answer) = rig.service.connect().merged("pledges", "u1", &shards, "pledges", &Value::Null);
+    let (status, answer) =
+        rig.service
+            .connect()
+            .merged("pledges", "u1", &shards, "pledges", &Value::Null);
     assert_eq!(status, 200, "{answer}");
     assert_eq!(answer["slices"]["missing"], json!({"unreadable": [2]}));
     let ledger = rig.hosts.ledger.lock().unwrap().clone();
     checker::totals(&ledger, &weights(&shards), FLOOR, &answer).unwrap();
     rig.service.logged("a part's value cannot be merged");
     // Under the floor nothing is given.
-    let (status, _) = rig.service.connect().merged("pledges", "u2", &[2], "pledges", &Value::Null);
+    let (status, _) = rig
+        .service
+        .connect()
+        .merged("pledges", "u2", &[2], "pledges", &Value::Null);
     assert_eq!(status, 503);
 }
 
@@ -267,33 +392,62 @@
     let installation = INSTALLATION.replace("index=\"history\"", "index=\"order\"");
     let rig = start_with(AMPLE_MS, ledger.clone(), 2, &installation, count);
     let with = weights(&[0, 1]);
-    let (status, answer) = rig.service.connect().merged("order", "o1", &[0, 1], "all", &json!({"rows": 5}));
+    let (status, answer) =
+        rig.service
+            .connect()
+            .merged("order", "o1", &[0, 1], "all", &json!({"rows": 5}));
     assert_eq!(status, 200, "{answer}");
     // Cut off where a slice is not known to go on, and it says so.
-    assert!(!answer["cut"]["behind"].as_array().unwrap().is_empty(), "{answer}");
-    Reading::new(&with).page(&ledger, &with, 1.0, 5, &answer).unwrap();
+    assert!(
+        !answer["cut"]["behind"].as_array().unwrap().is_empty(),
+        "{answer}"
+    );
+    Reading::new(&with)
+        .page(&ledger, &with, 1.0, 5, &answer)
+        .unwrap();
     assert_eq!(asked.lock().unwrap().len(), 2);
     // The same rows from an idempotent index are asked on, under ids of their own, and the page is full. Answers
     // that take half of the soft deadline leave no time for that: then the page is cut, and says so.
     let rig = start_with(AMPLE_MS, ledger.clone(), 2, INSTALLATION, now);
-    let (_, answer) = rig.service.connect().merged("history", "h1", &[0, 1], "all", &json!({"rows": 5}));
-    assert_eq!((answer["rows"].as_array().unwrap().len(), &answer["cut"]), (5, &Value::Null), "{answer}");
-    Reading::new(&with).page(&ledger, &with, FLOOR, 5, &answer).unwrap();
+    let (_, answer) =
+        rig.service
+            .connect()
+            .merged("history", "h1", &[0, 1], "all", &json!({"rows": 5}));
+    assert_eq!(
+        (answer["rows"].as_array().unwrap().len(), &answer["cut"]),
+        (5, &Value::Null),
+        "{answer}"
+    );
+    Reading::new(&with)
+        .page(&ledger, &with, FLOOR, 5, &answer)
+        .unwrap();
 }
 
 #[test]
 fn a_first_try_shows_pages_and_a_partial_total() {
     // On one site, and with all replicas behind a gateway: the answers are the same.
     let shows = ["1", "2"].map(|sites| {
-        let output =
-            std::process::Command::new(EXE).args(["try", "--show", "--sites", sites]).output().unwrap();
+        let output = std::process::Command::new(EXE)
+            .args(["try", "--show", "--sites", sites])
+            .output()
+            .unwrap();
         let said = String::from_utf8(output.stdout).unwrap();
         assert!(output.status.success(), "{said}");
         let partial = said.split("# the total").nth(1).unwrap();
-        assert!(partial.contains("\"at-least\"") && partial.contains("\"unanswered\""), "{partial}");
-        assert_eq!(said.matches("\"d000").count(), 10, "two pages of five: {said}");
+        assert!(
+            partial.contains("\"at-least\"") && partial.contains("\"unanswered\""),
+            "{partial}"
+        );
+        assert_eq!(
+            said.matches("\"d000").count(),
+            10,
+            "two pages of five: {said}"
+        );
         let of_rows = |line: &&str| !line.contains("\"next\"") && !line.starts_with("Two sites");
-        said.lines().filter(of_rows).map(str::to_owned).collect::<Vec<_>>()
+        said.lines()
+            .filter(of_rows)
+            .map(str::to_owned)
+            .collect::<Vec<_>>()
     });
     assert_eq!(shows[0], shows[1]);
 }
--- a/crates/linenthread-service/tests/migrate.rs
+++ b/crates/linenthread-service/tests/migrate.rs
@@ -8,21 +8,43 @@
 use serde_json::{Value, json};
 
 const EXE: &str = env!("CARGO_BIN_EXE_linenthread");
-const FIND: Class = Class { name: "find", once_only: false, soft_ms: 15_000, floor: 1.0 };
+const FIND: Class = Class {
+    name: "find",
+    once_only: false,
+    soft_ms: 15_000,
+    floor: 1.0,
+};
 
 fn migrate(folder: &Path, words: &[&str]) -> (Option<i32>, String, String) {
-    let Output { status, stdout, stderr } =
-        Command::new(EXE).arg("migrate").args(words).current_dir(folder).output().unwrap();
+    let Output {
+        status,
+        stdout,
+        stderr,
+    } = Command::new(EXE)
+        .arg("migrate")
+        .args(words)
+        .current_dir(folder)
+        .output()
+        .unwrap();
     let said = |bytes| String::from_utf8(bytes).unwrap();
     (status.code(), said(stdout), said(stderr))
 }
 
 /// Four cells in a ring, each shard of six in two in a row, one replica a cell.
 fn old(fleet: &Fleet) -> Value {
-    let entries = fleet.addresses.iter().enumerate().map(|(i, address)| entry(i, *address, "active"));
+    let entries = fleet
+        .addresses
+        .iter()
+        .enumerate()
+        .map(|(i, address)| entry(i, *address, "active"));
     let known = list(1, true, entries.collect());
     let mut config = config_of("127.0.0.1:9".parse().unwrap(), &known, &[FIND], 4, 6);
-    for (i, member) in config["known"]["members"].as_array_mut().unwrap().iter_mut().enumerate() {
+    for (i, member) in config["known"]["members"]
+        .as_array_mut()
+        .unwrap()
+        .iter_mut()
+        .enumerate()
+    {
         member["cell"] = json!(i);
     }
     config["settings"]["an-unknown-one"] = json!({"kept": [1, 2]});
@@ -33,32 +55,68 @@
 fn an_old_configuration_is_carried_over_and_serves() {
     let fleet = Fleet::start(4);
     let folder = tempfile::tempdir().unwrap();
-    let (from, to) = (folder.path().join("old.json"), folder.path().join("new.json"));
+    let (from, to) = (
+        folder.path().join("old.json"),
+        folder.path().join("new.json"),
+    );
     let text = old(&fleet).to_string();
     fs::write(&from, &text).unwrap();
     // Nothing is written by a dry run, and the same is said.
     let (code, dry, _) = migrate(folder.path(), &["--dry-run", "old.json"]);
-    assert_eq!((code, to.exists(), fs::read_dir(&folder).unwrap().count()), (Some(3), false, 1), "{dry}");
+    assert_eq!(
+        (code, to.exists(), fs::read_dir(&folder).unwrap().count()),
+        (Some(3), false, 1),
+        "{dry}"
+    );
     let (code, said, _) = migrate(folder.path(), &["--output", "new.json", "old.json"]);
     assert_eq!((code, fs::read_to_string(&from).unwrap()), (Some(3), text));
     let lists = |said: &str| {
-        let list = said.lines().filter(|line| line.starts_with("to move") || line.starts_with("left out"));
+        let list = said
+            .lines()
+            .filter(|line| line.starts_with("to move") || line.starts_with("left out"));
         list.map(str::to_owned).collect::<Vec<_>>()
     };
     assert_eq!(lists(&said).len(), 5, "{said}");
     assert_eq!(lists(&said), lists(&dry));
-    assert!(said.contains("left out: settings: telemetry.names: \"queue\""), "{said}");
+    assert!(
+        said.contains("left out: settings: telemetry.names: \"queue\""),
+        "{said}"
+    );
     // The replica of cell 1 held shards 0, 1, 4 and 5; its set 0 holds 0, 2 and 4.
-    assert!(said.contains(": set 0; loads [2], may then drop [1 5]"), "{said}");
+    assert!(
+        said.contains(": set 0; loads [2], may then drop [1 5]"),
+        "{said}"
+    );
     let mut new: Value = serde_json::from_str(&fs::read_to_string(&to).unwrap()).unwrap();
-    let cells: Vec<_> =
-        new["known"]["members"].as_array().unwrap().iter().map(|m| m["cell"].clone()).collect();
-    assert_eq!((json!(cells), &new["settings"]["family-info"]["cells"]), (json!([0, 0, 1, 1]), &json!(2)));
-    assert_eq!(new["settings"]["an-unknown-one"], json!({"kept": [1, 2]}), "what is not read is kept");
+    let cells: Vec<_> = new["known"]["members"]
+        .as_array()
+        .unwrap()
+        .iter()
+        .map(|m| m["cell"].clone())
+        .collect();
+    assert_eq!(
+        (json!(cells), &new["settings"]["family-info"]["cells"]),
+        (json!([0, 0, 1, 1]), &json!(2))
+    );
+    assert_eq!(
+        new["settings"]["an-unknown-one"],
+        json!({"kept": [1, 2]}),
+        "what is not read is kept"
+    );
     // It passes the check, is of the new shape, and is never written over.
-    assert!(Command::new(EXE).arg("check").arg(&to).status().unwrap().success());
+    assert!(
+        Command::new(EXE)
+            .arg("check")
+            .arg(&to)
+            .status()
+            .unwrap()
+            .success()
+    );
     let (code, said, _) = migrate(folder.path(), &["--output", "newer.json", "new.json"]);
-    assert_eq!((code, folder.path().join("newer.json").exists()), (Some(0), false));
+    assert_eq!(
+        (code, folder.path().join("newer.json").exists()),
+        (Some(0), false)
+    );
     assert!(said.contains("already of the new shape"), "{said}");
     for taken in ["new.json", "old.json"] {
         let before = fs::read(folder.path().join(taken)).unwrap();
@@ -92,15 +150,31 @@
     let bad = [
         ("parse", "{".to_string()),
         ("seed", with("/seed", Value::Null)),
-        ("family-info.cells", with("/settings/family-info/in-a-row", json!(3))),
-        ("telemetry.source", with("/settings/telemetry/source", json!("guessed"))),
-        ("telemetry.names", with("/settings/telemetry/names", json!("queue"))),
+        (
+            "family-info.cells",
+            with("/settings/family-info/in-a-row", json!(3)),
+        ),
+        (
+            "telemetry.source",
+            with("/settings/telemetry/source", json!("guessed")),
+        ),
+        (
+            "telemetry.names",
+            with("/settings/telemetry/names", json!("queue")),
+        ),
     ];
     for (field, text) in bad {
         fs::write(folder.path().join("bad.json"), text).unwrap();
         let (code, _, said) = migrate(folder.path(), &["--output", "new.json", "bad.json"]);
-        assert_eq!((code, said.lines().count()), (Some(2), 1), "{field}: {said}");
-        assert!(said.contains(field) && said.contains("bad.json"), "{field}: {said}");
+        assert_eq!(
+            (code, said.lines().count()),
+            (Some(2), 1),
+            "{field}: {said}"
+        );
+        assert!(
+            said.contains(field) && said.contains("bad.json"),
+            "{field}: {said}"
+        );
     }
     fs::write(folder.path().join("old.json"), good.to_string()).unwrap();
     for words in [
@@ -109,7 +183,11 @@
         vec!["--output", "no/new.json", "old.json"],
     ] {
         let (code, _, said) = migrate(folder.path(), &words);
-        assert_eq!((code, said.lines().count()), (Some(2), 1), "{words:?}: {said}");
+        assert_eq!(
+            (code, said.lines().count()),
+            (Some(2), 1),
+            "{words:?}: {said}"
+        );
     }
     assert!(!folder.path().join("new.json").exists());
 }
--- a/crates/linenthread-service/tests/processes.rs
+++ b/crates/linenthread-service/tests/processes.rs
@@ -10,7 +10,12 @@
     let (_, script) = scenarios::ALL.iter().find(|(n, _)| *n == name).unwrap();
     let mut rig = script(EXE, 1);
     let breaches = rig.judge();
-    assert!(breaches.is_empty(), "{} breaches: {:#?}", breaches.len(), &breaches[..breaches.len().min(5)]);
+    assert!(
+        breaches.is_empty(),
+        "{} breaches: {:#?}",
+        breaches.len(),
+        &breaches[..breaches.len().min(5)]
+    );
     assert!(rig.answered() > 40, "{} answered", rig.answered());
 }
 
@@ -71,8 +76,18 @@
 
 #[test]
 fn a_first_try_shows_a_zone_killed_and_traffic_whole_again() {
-    let output = std::process::Command::new(EXE).args(["try", "--zones", "3"]).output().unwrap();
+    let output = std::process::Command::new(EXE)
+        .args(["try", "--zones", "3"])
+        .output()
+        .unwrap();
     let said = String::from_utf8(output.stdout).unwrap();
-    assert!(output.status.success(), "{said}{}", String::from_utf8_lossy(&output.stderr));
-    assert!(said.contains("Service is whole again") && said.contains(", 0 breaches of the rules"), "{said}");
+    assert!(
+        output.status.success(),
+        "{said}{}",
+        String::from_utf8_lossy(&output.stderr)
+    );
+    assert!(
+        said.contains("Service is whole again") && said.contains(", 0 breaches of the rules"),
+        "{said}"
+    );
 }
--- a/crates/linenthread-service/tests/service.rs
+++ b/crates/linenthread-service/tests/service.rs
@@ -13,7 +13,11 @@
 /// A program with replicas of its own, all ready, on a configuration changed at one place.
 fn start_with(replicas: usize, place: &str, value: Value) -> (Fleet, Roster, Service) {
     let fleet = Fleet::start(replicas);
-    let entries = fleet.addresses.iter().enumerate().map(|(i, a)| entry(i, *a, "active"));
+    let entries = fleet
+        .addresses
+        .iter()
+        .enumerate()
+        .map(|(i, a)| entry(i, *a, "active"));
     let known = list(1, true, entries.collect());
     let roster = Roster::start(known.clone());
     let mut config = config(roster.address, &known);
@@ -32,22 +36,33 @@
     let mut client = service.ask("find", "7f", &[0, 3]);
     for _ in 0..2 {
         let part = fleet.part();
-        assert_eq!((part.id.as_str(), part.text.as_str()), (&*format!("7f.{}", part.shard), "what is asked"));
+        assert_eq!(
+            (part.id.as_str(), part.text.as_str()),
+            (&*format!("7f.{}", part.shard), "what is asked")
+        );
         let wait: u64 = part.list.strip_prefix("d=").unwrap().parse().unwrap();
         assert!((10_000..=15_000).contains(&wait), "waits {wait} ms");
         // Its load report cannot be read; the answer can.
-        part.say(b'E', &format!("{} hit 17 queue=x; no=report\nvalue of {}", part.id, part.shard));
+        part.say(
+            b'E',
+            &format!(
+                "{} hit 17 queue=x; no=report\nvalue of {}",
+                part.id, part.shard
+            ),
+        );
         part.answer("a second copy, taken for nothing");
     }
     let (status, _, body) = client.answer().unwrap();
-    let text =
-        r#"{"finished":true,"found":[{"bucket":0,"item":"value of 0"},{"bucket":3,"item":"value of 3"}]}"#;
+    let text = r#"{"finished":true,"found":[{"bucket":0,"item":"value of 0"},{"bucket":3,"item":"value of 3"}]}"#;
     assert_eq!((status, body.as_str()), (200, text));
     // The connection stays, and a body may come in chunks.
-    let chunked =
-        request("find", "80", &[1]).replace("Content-Length: ", "Transfer-Encoding: chunked\r\nX-Was: ");
+    let chunked = request("find", "80", &[1])
+        .replace("Content-Length: ", "Transfer-Encoding: chunked\r\nX-Was: ");
     let (head, body) = chunked.split_once("\r\n\r\n").unwrap();
-    client.send(&format!("{head}\r\n\r\n{:x}\r\n{body}\r\n0\r\n\r\n", body.len()));
+    client.send(&format!(
+        "{head}\r\n\r\n{:x}\r\n{body}\r\n0\r\n\r\n",
+        body.len()
+    ));
     let part = fleet.part();
     assert_eq!(part.id, "80.1");
     part.answer("once more");
@@ -149,7 +164,14 @@
 fn a_once_only_part_that_never_left_goes_to_the_twin() {
     let fleet = Fleet::start(1);
     let nobody = "127.0.0.9:1".parse().unwrap();
-    let known = list(1, true, vec![entry(0, nobody, "active"), entry(1, fleet.addresses[0], "active")]);
+    let known = list(
+        1,
+        true,
+        vec![
+            entry(0, nobody, "active"),
+            entry(1, fleet.addresses[0], "active"),
+        ],
+    );
     let roster = Roster::start(known.clone());
     let service = Service::start(EXE, &config(roster.address, &known));
     for id in 0..8 {
@@ -167,7 +189,10 @@
     let part = fleet.part();
     let (status, headers, _) = client.answer().unwrap();
     assert_eq!(status, 503);
-    assert!(headers.iter().any(|h| h.starts_with("retry-after: ")), "{headers:?}");
+    assert!(
+        headers.iter().any(|h| h.starts_with("retry-after: ")),
+        "{headers:?}"
+    );
     assert_eq!(fleet.given_up(), part.id);
     service.logged("silent");
 }
@@ -190,12 +215,16 @@
 fn connections_are_shared_filled_and_left_in_time() {
     // One part a connection at first, then as many as there may be on each, then more connections again.
     let (fleet, _roster, service) = start_with(1, "/settings/allowed/streams-per-conn", 2.into());
-    let mut clients: Vec<_> = ["l1", "l4", "l5"].map(|id| service.ask("find", id, &[0, 1, 2])).into();
+    let mut clients: Vec<_> = ["l1", "l4", "l5"]
+        .map(|id| service.ask("find", id, &[0, 1, 2]))
+        .into();
     let parts: Vec<_> = (0..9).map(|_| fleet.part()).collect();
     let from: BTreeSet<_> = parts.iter().map(|p| p.from()).collect();
     assert_eq!(from.len(), 5);
     parts.iter().for_each(|part| part.answer("v"));
-    clients.iter_mut().for_each(|client| assert_eq!(client.status(), 200));
+    clients
+        .iter_mut()
+        .for_each(|client| assert_eq!(client.status(), 200));
     // Parts go apart: of a connection that is spoilt, none of the others knows.
     let (fleet, _roster, service) = start(1);
     let mut client = service.ask("order", "l6", &[0, 1]);
@@ -214,7 +243,10 @@
         let part = fleet.part();
         part.answer("v");
         assert_eq!(client.status(), 200);
-        assert!(part.ended(), "an idle one is closed before the replica closes it");
+        assert!(
+            part.ended(),
+            "an idle one is closed before the replica closes it"
+        );
     }
 }
 
@@ -247,7 +279,11 @@
 #[test]
 fn a_drain_told_by_the_watch_and_a_roster_that_talks_nonsense() {
     let (fleet, roster, service) = start(2);
-    roster.tell(&list(2, false, vec![entry(0, fleet.addresses[0], "leaving")]));
+    roster.tell(&list(
+        2,
+        false,
+        vec![entry(0, fleet.addresses[0], "leaving")],
+    ));
     service.logged("revision=2");
     roster.tell("no list at all");
     service.logged("roster failed");
@@ -283,11 +319,17 @@
         list(
             revision,
             true,
-            vec![entry(0, fleet.addresses[0], phase), entry(1, fleet.addresses[1], "active")],
+            vec![
+                entry(0, fleet.addresses[0], phase),
+                entry(1, fleet.addresses[1], "active"),
+            ],
         )
     };
     // The new roster counts from a lower revision.
-    let (old, new) = (Roster::start(known(9, "active")), Roster::start(known(2, "leaving")));
+    let (old, new) = (
+        Roster::start(known(9, "active")),
+        Roster::start(known(2, "leaving")),
+    );
     let good = config(old.address, &known(9, "active"));
     let mut service = Service::start(EXE, &good);
     let mut held = service.ask("order", "n1", &[0]);
@@ -301,7 +343,11 @@
     moved["discovery"] = new.address.to_string().into();
     moved["limits"]["sockets"] = 512.into();
     service.reload(&moved.to_string());
-    assert!(service.logged("read again").contains(r#"at_next_start="limits.sockets""#));
+    assert!(
+        service
+            .logged("read again")
+            .contains(r#"at_next_start="limits.sockets""#)
+    );
     service.logged("revision=2");
     assert!(old.left(), "the watch at the old one is ended");
     for id in 0..4 {
@@ -346,8 +392,14 @@
     fleet.part().answer("v");
     let (status, headers, _) = kept.answer().unwrap();
     assert_eq!(status, 200);
-    assert!(headers.contains(&"connection: close".to_owned()), "{headers:?}");
-    assert!(idle.answer().is_none() && kept.answer().is_none() && late.answer().is_none(), "idle ones end");
+    assert!(
+        headers.contains(&"connection: close".to_owned()),
+        "{headers:?}"
+    );
+    assert!(
+        idle.answer().is_none() && kept.answer().is_none() && late.answer().is_none(),
+        "idle ones end"
+    );
     part.answer("v");
     assert_eq!(held.status(), 200);
     assert!(half.answer().is_none(), "half a request holds up nothing");
@@ -362,10 +414,13 @@
     let with = |was: &str, is: &str| {
         let length = |n: usize| format!("Content-Length: {n}\r\n");
         let was_long = good.split_once("\r\n\r\n").unwrap().1.len();
-        good.replace(was, is).replace(&length(was_long), &length(was_long + is.len() - was.len()))
+        good.replace(was, is)
+            .replace(&length(was_long), &length(was_long + is.len() - was.len()))
     };
-    let long =
-        format!("POST /find HTTP/1.1\r\nHost: s\r\nContent-Length: 70000\r\n\r\n{}", "x".repeat(70_000));
+    let long = format!(
+        "POST /find HTTP/1.1\r\nHost: s\r\nContent-Length: 70000\r\n\r\n{}",
+        "x".repeat(70_000)
+    );
     let bad = [
         (404, good.replace("/find", "/nothing")),
         (400, good.replace("acme", "nobody")),
@@ -379,12 +434,30 @@
         (405, "GET /find HTTP/1.1\r\nHost: s\r\n\r\n".into()),
         (400, "nonsense\r\n\r\n".into()),
         (413, long),
-        (413, good.replace("Content-Length: ", "Content-Length: 9999")),
-        (400, good.replace("Content-Length: ", "Transfer-Encoding: chunked\r\nContent-Length: ")),
+        (
+            413,
+            good.replace("Content-Length: ", "Content-Length: 9999"),
+        ),
+        (
+            400,
+            good.replace(
+                "Content-Length: ",
+                "Transfer-Encoding: chunked\r\nContent-Length: ",
+            ),
+        ),
         (400, good.replace("Content-Length: ", "Content-Length: -")),
-        (400, good.replace("Content-Length: ", "Content-Length: 5\r\nContent-Length: ")),
-        (400, good.replace("Content-Length: ", "Content-Length: 99999999999999999999")),
-        (400, with(r#""bucket":0,"part":0.5"#, r#""bucket":0,"part":0.3"#)),
+        (
+            400,
+            good.replace("Content-Length: ", "Content-Length: 5\r\nContent-Length: "),
+        ),
+        (
+            400,
+            good.replace("Content-Length: ", "Content-Length: 99999999999999999999"),
+        ),
+        (
+            400,
+            with(r#""bucket":0,"part":0.5"#, r#""bucket":0,"part":0.3"#),
+        ),
         (400, with(r#""bucket":1"#, r#""effort":-1,"bucket":1"#)),
     ];
     for (status, text) in bad {
@@ -411,16 +484,29 @@
     let (fleet, _roster, service) = start(2);
     let start = std::time::Instant::now();
     let good = request("find", "p1", &[0]);
-    let begun = ["", "POST /find HT", good.split_once("\r\n\r\n").unwrap().0, &good[..good.len() - 9]];
-    let mut clients: Vec<_> = begun.iter().map(|text| (service.connect(), *text)).collect();
-    clients.iter_mut().for_each(|(client, text)| client.send(text));
+    let begun = [
+        "",
+        "POST /find HT",
+        good.split_once("\r\n\r\n").unwrap().0,
+        &good[..good.len() - 9],
+    ];
+    let mut clients: Vec<_> = begun
+        .iter()
+        .map(|text| (service.connect(), *text))
+        .collect();
+    clients
+        .iter_mut()
+        .for_each(|(client, text)| client.send(text));
     // One that has had its answer is kept for longer.
     let mut kept = service.ask("find", "p2", &[0]);
     fleet.part().answer("v");
     assert_eq!(kept.status(), 200);
     for (client, text) in &mut clients {
         let answer = client.answer();
-        assert!(answer.is_none_or(|(status, _, _)| status == 408), "after {text:?}");
+        assert!(
+            answer.is_none_or(|(status, _, _)| status == 408),
+            "after {text:?}"
+        );
     }
     assert!(start.elapsed().as_secs_f64() < 3.0);
     kept.ask("find", "p3", &[0]);
@@ -461,7 +547,12 @@
     let mut halves: Vec<_> = (0..23).map(half).collect();
     std::thread::sleep(std::time::Duration::from_millis(300));
     let mut client = service.connect();
-    assert!(halves[0].answer().is_none_or(|(status, _, _)| status == 400), "the oldest gives way");
+    assert!(
+        halves[0]
+            .answer()
+            .is_none_or(|(status, _, _)| status == 400),
+        "the oldest gives way"
+    );
     client.ask("find", "v2", &[0]);
     fleet.part().answer("v");
     assert_eq!(client.status(), 200);
@@ -470,7 +561,10 @@
 #[test]
 fn what_follows_a_request_does_not_cost_it_its_answer() {
     let (fleet, _roster, service) = start(2);
-    for next in ["nonsense\r\n\r\n".to_owned(), request("find", "q2", &[9]).repeat(300)] {
+    for next in [
+        "nonsense\r\n\r\n".to_owned(),
+        request("find", "q2", &[9]).repeat(300),
+    ] {
         // At once, and while the request waits.
         let mut client = service.connect();
         client.send(&format!("{}{next}", request("order", "q0", &[0])));
@@ -485,8 +579,13 @@
         assert_eq!(other.status(), 200);
         part.answer("v");
         assert_eq!(client.status(), 200);
-        let rest: Vec<u16> = std::iter::from_fn(|| client.answer()).map(|(status, _, _)| status).collect();
-        assert!(!rest.is_empty() && rest.iter().all(|s| *s == 400), "{rest:?}");
+        let rest: Vec<u16> = std::iter::from_fn(|| client.answer())
+            .map(|(status, _, _)| status)
+            .collect();
+        assert!(
+            !rest.is_empty() && rest.iter().all(|s| *s == 400),
+            "{rest:?}"
+        );
     }
 }
 
@@ -497,7 +596,10 @@
     let mut client = service.ask("find", "i1", &[0]);
     fleet.part().answer("v");
     assert_eq!(client.status(), 200);
-    assert!(idle[0].answer().is_none(), "the one idle for longest was closed");
+    assert!(
+        idle[0].answer().is_none(),
+        "the one idle for longest was closed"
+    );
 }
 
 #[test]
@@ -514,8 +616,14 @@
         ("limits.sockets", without("/limits/sockets", 3.into())),
         ("seed", without("/seed", "xyz".into())),
         ("known", without("/known/revision", Value::Null)),
-        ("allowed.max-attempts", without("/settings/allowed/max-attempts", "many".into())),
-        ("fetch-parts", without("/settings/family-info/fetch-parts/0", 3.into())),
+        (
+            "allowed.max-attempts",
+            without("/settings/allowed/max-attempts", "many".into()),
+        ),
+        (
+            "fetch-parts",
+            without("/settings/family-info/fetch-parts/0", 3.into()),
+        ),
         ("parse", "{".into()),
     ];
     for (field, text) in bad {
@@ -523,13 +631,23 @@
             let output = program(EXE, &[command], &text);
             let said = String::from_utf8(output.stderr).unwrap();
             assert_eq!(output.status.code(), Some(2), "{command} {field}: {said}");
-            assert!(said.contains(field) && said.lines().count() == 1, "{command} {field}: {said}");
+            assert!(
+                said.contains(field) && said.lines().count() == 1,
+                "{command} {field}: {said}"
+            );
         }
     }
-    let output = Command::new(EXE).arg("serve").env_remove("EDGE_CONFIG").output();
+    let output = Command::new(EXE)
+        .arg("serve")
+        .env_remove("EDGE_CONFIG")
+        .output();
     let output = output.unwrap();
     assert_eq!(output.status.code(), Some(2));
-    assert!(String::from_utf8(output.stderr).unwrap().contains("EDGE_CONFIG"));
+    assert!(
+        String::from_utf8(output.stderr)
+            .unwrap()
+            .contains("EDGE_CONFIG")
+    );
     let output = program(EXE, &["check"], &good.to_string());
     assert!(output.status.success());
 }
--- a/crates/linenthread-stand-ins/src/client.rs
+++ b/crates/linenthread-stand-ins/src/client.rs
@@ -26,7 +26,9 @@
     let body = body.to_string();
     let headers = "X-Customer: acme\r\nX-Object: 7f3a9c21e0b4d655\r\nX-Expires-In-Ms: 20000";
     let length = format!("Content-Length: {}", body.len());
-    format!("POST /{index} HTTP/1.1\r\nHost: s\r\nX-Trace-Id: {id}\r\n{headers}\r\n{length}\r\n\r\n{body}")
+    format!(
+        "POST /{index} HTTP/1.1\r\nHost: s\r\nX-Trace-Id: {id}\r\n{headers}\r\n{length}\r\n\r\n{body}"
+    )
 }
 
 impl Client {
@@ -66,7 +68,10 @@
     ) -> (u16, Value) {
         self.send(&request_with(index, id, shards, text, page));
         let (status, _, body) = self.answer().expect("an answer");
-        (status, serde_json::from_str(&body).unwrap_or(Value::String(body)))
+        (
+            status,
+            serde_json::from_str(&body).unwrap_or(Value::String(body)),
+        )
     }
 
     /// The next answer: status, headers, body. `None` where the connection ends without one.
--- a/crates/linenthread-stand-ins/src/fleet.rs
+++ b/crates/linenthread-stand-ins/src/fleet.rs
@@ -25,7 +25,14 @@
 impl Part {
     pub fn say(&self, letter: u8, rest: &str) {
         assert!(
-            self.bytes(&[&(rest.len() as u32 + 1).to_be_bytes()[..], &[letter], rest.as_bytes()].concat())
+            self.bytes(
+                &[
+                    &(rest.len() as u32 + 1).to_be_bytes()[..],
+                    &[letter],
+                    rest.as_bytes()
+                ]
+                .concat()
+            )
         );
     }
 
@@ -83,7 +90,11 @@
             });
             address
         };
-        Fleet { addresses: (0..n).map(start).collect(), faint, heard }
+        Fleet {
+            addresses: (0..n).map(start).collect(),
+            faint,
+            heard,
+        }
     }
 
     pub fn part(&self) -> Part {
@@ -122,7 +133,9 @@
 fn parts(mut rest: &str) -> Vec<[&str; 4]> {
     let mut parts = Vec::new();
     while let Some((head, tail)) = rest.split_once('\n') {
-        let [id, shard, list, length] = head.split(' ').collect::<Vec<_>>()[..] else { panic!("{head}") };
+        let [id, shard, list, length] = head.split(' ').collect::<Vec<_>>()[..] else {
+            panic!("{head}")
+        };
         let (text, next) = tail.split_at(length.parse().unwrap());
         parts.push([id, shard, list, text]);
         rest = next;
@@ -137,7 +150,9 @@
         let came = line.peek(&mut [0]).is_ok_and(|n| n > 0);
         if came
             && frames > 0
-            && faint.fetch_update(Ordering::SeqCst, Ordering::SeqCst, |n| n.checked_sub(1)).is_ok()
+            && faint
+                .fetch_update(Ordering::SeqCst, Ordering::SeqCst, |n| n.checked_sub(1))
+                .is_ok()
         {
             line.shutdown(Shutdown::Both).ok();
             return;
@@ -156,7 +171,15 @@
                 for part in parts(&rest) {
                     let [id, shard, list, text] = part.map(str::to_owned);
                     let (shard, line) = (shard.parse().unwrap(), line.try_clone().unwrap());
-                    let part = Part { replica, frame: frames, id, shard, list, text, line };
+                    let part = Part {
+                        replica,
+                        frame: frames,
+                        id,
+                        shard,
+                        list,
+                        text,
+                        line,
+                    };
                     if to.send(Heard::Part(part)).is_err() {
                         return;
                     }
--- a/crates/linenthread-stand-ins/src/ledger.rs
+++ b/crates/linenthread-stand-ins/src/ledger.rs
@@ -53,7 +53,11 @@
 
     /// What rows are ordered by: the least comes first.
     pub fn rank(&self) -> (std::cmp::Reverse<String>, i64, String) {
-        (std::cmp::Reverse(self.date.clone()), -self.cents, self.id.clone())
+        (
+            std::cmp::Reverse(self.date.clone()),
+            -self.cents,
+            self.id.clone(),
+        )
     }
 }
 
@@ -74,7 +78,10 @@
 impl Ledger {
     /// So many slices with up to so many rows each; dates and amounts often meet.
     pub fn new(chance: &mut Rand64, slices: usize, most: u64) -> Ledger {
-        let mut ledger = Ledger { slices: vec![Vec::new(); slices], made: 0 };
+        let mut ledger = Ledger {
+            slices: vec![Vec::new(); slices],
+            made: 0,
+        };
         for slice in 0..slices {
             for _ in 0..chance.rand_range(0..most + 1) {
                 ledger.add(chance, slice);
@@ -109,17 +116,22 @@
                     let cents: i64 = word(1).replace('.', "").parse().unwrap_or_default();
                     (std::cmp::Reverse(word(0)), -cents, word(2))
                 });
-                let rows: Vec<_> =
-                    rows.iter().filter(|d| after.as_ref().is_none_or(|after| d.rank() > *after)).collect();
+                let rows: Vec<_> = rows
+                    .iter()
+                    .filter(|d| after.as_ref().is_none_or(|after| d.rank() > *after))
+                    .collect();
                 let n = most_rows.min(asked["rows"].as_u64().unwrap_or(0) as usize);
                 let told: Vec<_> = rows.iter().take(n).map(|d| d.row()).collect();
                 json!({"rows": told, "more": rows.len() > n}).to_string()
             }
             _ if text == "charities" => {
                 let mut by: BTreeMap<&str, Vec<&Donation>> = BTreeMap::new();
-                rows.iter().for_each(|d| by.entry(&d.charity).or_default().push(d));
-                let groups: Vec<_> =
-                    by.iter().map(|(of, rows)| json!({"of": of, "totals": totals(rows)})).collect();
+                rows.iter()
+                    .for_each(|d| by.entry(&d.charity).or_default().push(d));
+                let groups: Vec<_> = by
+                    .iter()
+                    .map(|(of, rows)| json!({"of": of, "totals": totals(rows)}))
+                    .collect();
                 json!({"groups": groups}).to_string()
             }
             _ => json!({"totals": totals(&rows.iter().collect::<Vec<_>>())}).to_string(),
@@ -128,8 +140,17 @@
 
     /// The sum, count, least and most over some slices, from the full data.
     pub fn true_totals(&self, slices: &[usize]) -> (i64, usize, Option<i64>, Option<i64>) {
-        let cents: Vec<i64> = slices.iter().flat_map(|&s| &self.slices[s]).map(|d| d.cents).collect();
-        (cents.iter().sum(), cents.len(), cents.iter().min().copied(), cents.iter().max().copied())
+        let cents: Vec<i64> = slices
+            .iter()
+            .flat_map(|&s| &self.slices[s])
+            .map(|d| d.cents)
+            .collect();
+        (
+            cents.iter().sum(),
+            cents.len(),
+            cents.iter().min().copied(),
+            cents.iter().max().copied(),
+        )
     }
 
     /// Sum and count by charity over some slices, from the full data.
@@ -180,10 +201,17 @@
                 let ((after, how), data) = (cue(&part), data.clone());
                 spawn(move || {
                     sleep(after);
-                    let value = data.lock().unwrap().answer(part.shard, &part.text, most_rows);
+                    let value = data
+                        .lock()
+                        .unwrap()
+                        .answer(part.shard, &part.text, most_rows);
                     let says = |how: &str, value: &str| {
                         let rest = format!("{} {how} 17 queue=0\n{value}", part.id);
-                        let frame = [&(rest.len() as u32 + 1).to_be_bytes()[..], b"E", rest.as_bytes()];
+                        let frame = [
+                            &(rest.len() as u32 + 1).to_be_bytes()[..],
+                            b"E",
+                            rest.as_bytes(),
+                        ];
                         part.bytes(&frame.concat());
                     };
                     match how {
--- a/crates/linenthread-stand-ins/src/lib.rs
+++ b/crates/linenthread-stand-ins/src/lib.rs
@@ -25,5 +25,6 @@
 pub const PATIENCE: Duration = Duration::from_secs(10);
 
 fn wait<T>(from: &Receiver<T>, for_what: &str) -> T {
-    from.recv_timeout(PATIENCE).unwrap_or_else(|_| panic!("{for_what} did not come"))
+    from.recv_timeout(PATIENCE)
+        .unwrap_or_else(|_| panic!("{for_what} did not come"))
 }
--- a/crates/linenthread-stand-ins/src/net.rs
+++ b/crates/linenthread-stand-ins/src/net.rs
@@ -40,7 +40,9 @@
     pub fn cut(&self, from: &[usize], to: &[usize]) {
         let mut state = self.0.lock().unwrap();
         for &a in from {
-            state.cut.extend(to.iter().filter(|b| **b != a).map(|&b| (a, b)));
+            state
+                .cut
+                .extend(to.iter().filter(|b| **b != a).map(|&b| (a, b)));
         }
     }
 
@@ -57,7 +59,9 @@
         state.loss = 0;
         state.delay = Duration::ZERO;
         for open in state.open.values().filter(|open| open.spoilt) {
-            open.streams.iter().for_each(|stream| drop(stream.shutdown(Shutdown::Both)));
+            open.streams
+                .iter()
+                .for_each(|stream| drop(stream.shutdown(Shutdown::Both)));
         }
     }
 
@@ -69,8 +73,14 @@
             return;
         }
         state.down.insert(node);
-        for open in state.open.values().filter(|open| open.ends.0 == node || open.ends.1 == node) {
-            open.streams.iter().for_each(|stream| drop(stream.shutdown(Shutdown::Both)));
+        for open in state
+            .open
+            .values()
+            .filter(|open| open.ends.0 == node || open.ends.1 == node)
+        {
+            open.streams
+                .iter()
+                .for_each(|stream| drop(stream.shutdown(Shutdown::Both)));
         }
     }
 
@@ -102,22 +112,41 @@
         }
         let cut = self.is_cut(from, to) || self.is_cut(to, from);
         // Into a cut nothing answers; the other side is not even asked.
-        let far = if cut { near.try_clone().ok() } else { TcpStream::connect(upstream).ok() };
+        let far = if cut {
+            near.try_clone().ok()
+        } else {
+            TcpStream::connect(upstream).ok()
+        };
         let Some(far) = far else { return };
         near.set_nodelay(true).ok();
         far.set_nodelay(true).ok();
-        let ways =
-            [(from, to, near.try_clone(), far.try_clone()), (to, from, far.try_clone(), near.try_clone())];
+        let ways = [
+            (from, to, near.try_clone(), far.try_clone()),
+            (to, from, far.try_clone(), near.try_clone()),
+        ];
         let number = {
             let mut state = self.0.lock().unwrap();
             state.numbers += 1;
             let number = state.numbers;
-            state.open.insert(number, Open { ends: (from, to), streams: [near, far], spoilt: cut });
+            state.open.insert(
+                number,
+                Open {
+                    ends: (from, to),
+                    streams: [near, far],
+                    spoilt: cut,
+                },
+            );
             number
         };
         if cut {
             // Its end is the heal's.
-            let Ok(mut near) = ways.into_iter().next().map_or(Err(()), |w| w.2.map_err(drop)) else { return };
+            let Ok(mut near) = ways
+                .into_iter()
+                .next()
+                .map_or(Err(()), |w| w.2.map_err(drop))
+            else {
+                return;
+            };
             while near.read(&mut [0; 4096]).is_ok_and(|n| n > 0) {}
             self.0.lock().unwrap().open.remove(&number);
             return;
@@ -134,7 +163,13 @@
         self.0.lock().unwrap().open.remove(&number);
     }
 
-    fn carry(&self, number: u64, (a, b): (usize, usize), mut read: TcpStream, mut write: TcpStream) {
+    fn carry(
+        &self,
+        number: u64,
+        (a, b): (usize, usize),
+        mut read: TcpStream,
+        mut write: TcpStream,
+    ) {
         let mut buffer = [0; 16 * 1024];
         while let Ok(n) = read.read(&mut buffer) {
             if n == 0 {
@@ -145,7 +180,9 @@
                 let cut = state.cut.contains(&(a, b));
                 let delay = state.delay;
                 // A word of its end would not come through either.
-                let Some(open) = state.open.get_mut(&number) else { break };
+                let Some(open) = state.open.get_mut(&number) else {
+                    break;
+                };
                 open.spoilt |= cut;
                 (open.spoilt, delay)
             };
@@ -177,8 +214,12 @@
         spawn(move || {
             let mut buffer = [0; 2_048];
             loop {
-                let Ok((n, from)) = socket.recv_from(&mut buffer) else { continue };
-                let Some(&from) = senders.get(&from) else { continue };
+                let Ok((n, from)) = socket.recv_from(&mut buffer) else {
+                    continue;
+                };
+                let Some(&from) = senders.get(&from) else {
+                    continue;
+                };
                 let lost = {
                     let state = net.0.lock().unwrap();
                     state.cut.contains(&(from, to)) || chance.rand_range(0..1_000) < state.loss
--- a/crates/linenthread-stand-ins/src/program.rs
+++ b/crates/linenthread-stand-ins/src/program.rs
@@ -23,9 +23,24 @@
 
 /// The indexes `find`, `order` (once-only), `swift` (700 ms), all whole only.
 const CLASSES: [Class; 3] = [
-    Class { name: "find", once_only: false, soft_ms: 15_000, floor: 1.0 },
-    Class { name: "order", once_only: true, soft_ms: 15_000, floor: 1.0 },
-    Class { name: "swift", once_only: false, soft_ms: 700, floor: 1.0 },
+    Class {
+        name: "find",
+        once_only: false,
+        soft_ms: 15_000,
+        floor: 1.0,
+    },
+    Class {
+        name: "order",
+        once_only: true,
+        soft_ms: 15_000,
+        floor: 1.0,
+    },
+    Class {
+        name: "swift",
+        once_only: false,
+        soft_ms: 700,
+        floor: 1.0,
+    },
 ];
 
 /// Settings of so many cells, each with shards of two in a row.
@@ -57,7 +72,13 @@
     config_of(roster, known, &CLASSES, 2, 4)
 }
 
-pub fn config_of(roster: SocketAddr, known: &str, classes: &[Class], cells: usize, shards: usize) -> Value {
+pub fn config_of(
+    roster: SocketAddr,
+    known: &str,
+    classes: &[Class],
+    cells: usize,
+    shards: usize,
+) -> Value {
     json!({"name": "n0", "listen": "127.0.0.1:0", "discovery": roster.to_string(), "seed": "8c1f30d27a5be964",
            "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
            "known": serde_json::from_str::<Value>(known).unwrap(),
@@ -96,14 +117,37 @@
         let file = folder.path().join("config.json");
         std::fs::write(&file, config.to_string()).unwrap();
         let mut program = Command::new(exe);
-        program.arg("serve").args(words).env("EDGE_CONFIG", &file).current_dir(folder.path());
-        let mut child = program.stdout(Stdio::piped()).stderr(Stdio::piped()).spawn().unwrap();
+        program
+            .arg("serve")
+            .args(words)
+            .env("EDGE_CONFIG", &file)
+            .current_dir(folder.path());
+        let mut child = program
+            .stdout(Stdio::piped())
+            .stderr(Stdio::piped())
+            .spawn()
+            .unwrap();
         let (to, lines) = channel();
         let log = BufReader::new(child.stderr.take().unwrap());
-        spawn(move || log.lines().map_while(Result::ok).try_for_each(|line| to.send(line)));
-        let mut service = Service { child, address: ([127, 0, 0, 1], 0).into(), folder, lines };
+        spawn(move || {
+            log.lines()
+                .map_while(Result::ok)
+                .try_for_each(|line| to.send(line))
+        });
+        let mut service = Service {
+            child,
+            address: ([127, 0, 0, 1], 0).into(),
+            folder,
+            lines,
+        };
         let line = service.logged("serving");
-        let listen = line.split("listen=").nth(1).unwrap().split(' ').next().unwrap();
+        let listen = line
+            .split("listen=")
+            .nth(1)
+            .unwrap()
+            .split(' ')
+            .next()
+            .unwrap();
         service.address = listen.parse().unwrap();
         service
     }
@@ -130,7 +174,13 @@
 
     pub fn signal(&self, name: &str) {
         let id = self.child.id().to_string();
-        assert!(Command::new("kill").args([name, &id]).status().unwrap().success());
+        assert!(
+            Command::new("kill")
+                .args([name, &id])
+                .status()
+                .unwrap()
+                .success()
+        );
     }
 
     /// Has the program read a new configuration.
@@ -155,7 +205,10 @@
     fn drop(&mut self) {
         self.child.kill().ok();
         // What it said is of use where a test has failed.
-        self.lines.iter().filter(|_| std::thread::panicking()).for_each(|line| println!("{line}"));
+        self.lines
+            .iter()
+            .filter(|_| std::thread::panicking())
+            .for_each(|line| println!("{line}"));
         self.child.wait().ok();
     }
 }
--- a/crates/linenthread-stand-ins/src/proxy.rs
+++ b/crates/linenthread-stand-ins/src/proxy.rs
@@ -37,7 +37,10 @@
     pub fn start(upstream: SocketAddr) -> Proxy {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
-        let state = Arc::new(Mutex::new(State { upstream: Some(upstream), ..State::default() }));
+        let state = Arc::new(Mutex::new(State {
+            upstream: Some(upstream),
+            ..State::default()
+        }));
         let proxy = Proxy { address, state };
         let here = proxy.clone();
         spawn(move || {
@@ -50,14 +53,18 @@
 
     fn connect(&self, near: TcpStream) {
         let mut state = self.state.lock().unwrap();
-        let Some(far) = state.upstream.and_then(|to| TcpStream::connect(to).ok()) else { return };
+        let Some(far) = state.upstream.and_then(|to| TcpStream::connect(to).ok()) else {
+            return;
+        };
         near.set_nodelay(true).ok();
         far.set_nodelay(true).ok();
         state.connections += 1;
         state.crossed = [0; 2];
         let (number, cut) = (state.connections, state.cut.take());
         for (way, from, to) in [(Way::There, &near, &far), (Way::Back, &far, &near)] {
-            let (Ok(from), Ok(to)) = (from.try_clone(), to.try_clone()) else { return };
+            let (Ok(from), Ok(to)) = (from.try_clone(), to.try_clone()) else {
+                return;
+            };
             let most = cut.filter(|(w, _)| *w == way).map(|(_, most)| most);
             let here = self.clone();
             spawn(move || here.carry(number, way, from, to, most));
@@ -66,7 +73,14 @@
         state.open.push(far);
     }
 
-    fn carry(&self, number: usize, way: Way, mut from: TcpStream, mut to: TcpStream, most: Option<usize>) {
+    fn carry(
+        &self,
+        number: usize,
+        way: Way,
+        mut from: TcpStream,
+        mut to: TcpStream,
+        most: Option<usize>,
+    ) {
         let (mut buffer, mut crossed) = ([0; 4096], 0);
         loop {
             if most == Some(crossed) {
--- a/crates/linenthread-stand-ins/src/rig.rs
+++ b/crates/linenthread-stand-ins/src/rig.rs
@@ -36,8 +36,18 @@
 
 impl Default for Plan {
     fn default() -> Self {
-        let zones = vec![("palermo", "sicily"), ("catania", "sicily"), ("messina", "sicily")];
-        Plan { zones, co_ordinators: 1, replicas: 2, voters: 3, seed: 1 }
+        let zones = vec![
+            ("palermo", "sicily"),
+            ("catania", "sicily"),
+            ("messina", "sicily"),
+        ];
+        Plan {
+            zones,
+            co_ordinators: 1,
+            replicas: 2,
+            voters: 3,
+            seed: 1,
+        }
     }
 }
 
@@ -113,10 +123,22 @@
         let senders: BTreeMap<SocketAddr, usize> = (0..count).map(|n| (real(n), n)).collect();
         let pair = |a: usize, b: usize| at(10_000 + 100 * a + b);
         for b in 0..count {
-            net.datagrams(at(7_300 + b), b, real(b), senders.clone(), plan.seed + b as u64);
+            net.datagrams(
+                at(7_300 + b),
+                b,
+                real(b),
+                senders.clone(),
+                plan.seed + b as u64,
+            );
             for a in (0..count).filter(|a| *a != b && b < plan.voters) {
                 net.connections(a, pair(a, b), b, real(b));
-                net.datagrams(pair(a, b), b, real(b), senders.clone(), plan.seed + (100 * a + b) as u64);
+                net.datagrams(
+                    pair(a, b),
+                    b,
+                    real(b),
+                    senders.clone(),
+                    plan.seed + (100 * a + b) as u64,
+                );
             }
         }
         let ran = Ran::default();
@@ -133,7 +155,12 @@
                     sleep(SERVICE);
                     let value = format!("{} hit 17 queue=0\nv{}", part.id, part.shard);
                     part.bytes(
-                        &[&(value.len() as u32 + 1).to_be_bytes()[..], b"E", value.as_bytes()].concat(),
+                        &[
+                            &(value.len() as u32 + 1).to_be_bytes()[..],
+                            b"E",
+                            value.as_bytes(),
+                        ]
+                        .concat(),
                     );
                 });
             }
@@ -152,7 +179,12 @@
             });
             let known = list(1, true, entries.collect());
             let roster = Roster::start(known.clone());
-            let class = |name, once_only| Class { name, once_only, soft_ms: SOFT_MS, floor: 1.0 };
+            let class = |name, once_only| Class {
+                name,
+                once_only,
+                soft_ms: SOFT_MS,
+                floor: 1.0,
+            };
             let classes = [class("find", false), class("order", true)];
             let mut config = config_of(roster.address, &known, &classes, replicas, SHARDS);
             config["name"] = json!(name);
@@ -162,7 +194,11 @@
             config["settings"]["me"] = json!(n);
             config["settings"]["balancers"] = json!(count);
             let folder = tempfile::tempdir().unwrap();
-            std::fs::write(folder.path().join("fleet.key"), "a secret of the rig's fleet\n").unwrap();
+            std::fs::write(
+                folder.path().join("fleet.key"),
+                "a secret of the rig's fleet\n",
+            )
+            .unwrap();
             std::fs::write(folder.path().join("config.json"), config.to_string()).unwrap();
             let voter = |v: usize| {
                 let address = if v == n { at(7_300 + v) } else { pair(n, v) };
@@ -173,7 +209,9 @@
                 )
             };
             let voters: String = (0..plan.voters).map(voter).collect();
-            let zone = |(name, region): &(&str, &str)| format!("<zone name=\"{name}\" region=\"{region}\"/>");
+            let zone = |(name, region): &(&str, &str)| {
+                format!("<zone name=\"{name}\" region=\"{region}\"/>")
+            };
             let all: String = plan.zones.iter().map(zone).collect();
             let installation = format!(
                 "<installation version=\"1\"><fleet address=\"{}\" listen=\"{}\" secret=\"fleet.key\" \
@@ -214,7 +252,9 @@
     pub fn started(exe: &str, plan: Plan) -> Rig {
         let mut rig = Rig::new(exe, plan);
         rig.all().into_iter().for_each(|n| rig.start(n));
-        rig.all().into_iter().for_each(|n| drop(rig.logged(n, "acts on a table")));
+        rig.all()
+            .into_iter()
+            .for_each(|n| drop(rig.logged(n, "acts on a table")));
         rig
     }
 
@@ -229,13 +269,20 @@
     /// Co-ordinators of a zone, and its replicas, by their numbers in the network.
     pub fn zone(&self, zone: usize) -> Vec<usize> {
         let zones = self.plan.zones.len();
-        let replicas =
-            (0..zones * self.plan.replicas).filter(|r| r % zones == zone).map(|r| self.count() + r);
-        self.co_ordinators(zone).into_iter().chain(replicas).collect()
+        let replicas = (0..zones * self.plan.replicas)
+            .filter(|r| r % zones == zone)
+            .map(|r| self.count() + r);
+        self.co_ordinators(zone)
+            .into_iter()
+            .chain(replicas)
+            .collect()
     }
 
     pub fn co_ordinators(&self, zone: usize) -> Vec<usize> {
-        self.all().into_iter().filter(|&n| self.processes[n].zone == zone).collect()
+        self.all()
+            .into_iter()
+            .filter(|&n| self.processes[n].zone == zone)
+            .collect()
     }
 
     pub fn name(&self, n: usize) -> &str {
@@ -260,8 +307,17 @@
         let process = &mut self.processes[n];
         process.from = process.log.lines.lock().unwrap().len();
         let mut command = Command::new(exe);
-        command.args(["serve", "--installation", "installation.xml", "--config", "config.json"]);
-        command.current_dir(process.folder.path()).stdout(Stdio::null()).stderr(Stdio::piped());
+        command.args([
+            "serve",
+            "--installation",
+            "installation.xml",
+            "--config",
+            "config.json",
+        ]);
+        command
+            .current_dir(process.folder.path())
+            .stdout(Stdio::null())
+            .stderr(Stdio::piped());
         let mut child = command.spawn().unwrap();
         let said = child.stderr.take().unwrap();
         let log = process.log.clone();
@@ -278,7 +334,13 @@
     pub fn signal(&self, n: usize, name: &str) {
         if let Some(child) = &self.processes[n].child {
             let id = child.id().to_string();
-            assert!(Command::new("kill").args([name, &id]).status().unwrap().success());
+            assert!(
+                Command::new("kill")
+                    .args([name, &id])
+                    .status()
+                    .unwrap()
+                    .success()
+            );
         }
     }
 
@@ -303,7 +365,10 @@
     pub fn end(&mut self, n: usize) -> bool {
         self.up.lock().unwrap()[n] = false;
         self.signal(n, "-TERM");
-        self.processes[n].child.take().is_some_and(|mut c| c.wait().is_ok_and(|s| s.success()))
+        self.processes[n]
+            .child
+            .take()
+            .is_some_and(|mut c| c.wait().is_ok_and(|s| s.success()))
     }
 
     /// Lines that a process has said so far, all its lives together.
@@ -334,7 +399,11 @@
             if left.is_zero() {
                 let tail: Vec<_> = lines.iter().rev().take(30).rev().cloned().collect();
                 drop(lines);
-                panic!("'{what}' did not come from {}; its last lines:\n{}", self.name(n), tail.join("\n"));
+                panic!(
+                    "'{what}' did not come from {}; its last lines:\n{}",
+                    self.name(n),
+                    tail.join("\n")
+                );
             }
             lines = log.more.wait_timeout(lines, left).unwrap().0;
         }
@@ -348,7 +417,10 @@
         way: (usize, usize),
         is_so: impl Fn(u16, &str) -> bool,
     ) -> String {
-        let what = format!("a table with the wanted way from zone {} to {}", way.0, way.1);
+        let what = format!(
+            "a table with the wanted way from zone {} to {}",
+            way.0, way.1
+        );
         self.awaited(n, from, &what, &|line| {
             line.contains("acts on a table")
                 && cell(line, way).is_some_and(|(share, reason)| is_so(share, &reason))
@@ -358,7 +430,8 @@
     /// Waits until a process acts on a table by which a pair of zones is cut, whichever of the two was heard.
     pub fn awaited_cut(&self, n: usize, from: usize, (a, b): (usize, usize)) -> String {
         self.awaited(n, from, "a table with a pair of zones cut", &|line| {
-            let shut = |way| cell(line, way).is_some_and(|(share, reason)| share == 0 && reason == "Cut");
+            let shut =
+                |way| cell(line, way).is_some_and(|(share, reason)| share == 0 && reason == "Cut");
             line.contains("acts on a table") && (shut((a, b)) || shut((b, a)))
         })
     }
@@ -369,10 +442,12 @@
         while Instant::now() < end {
             let leads = |n: &usize| {
                 let lines = self.processes[*n].log.lines.lock().unwrap();
-                let word =
-                    |l: &&String| l.contains("leads from now on") || l.contains("does not lead any more");
+                let word = |l: &&String| {
+                    l.contains("leads from now on") || l.contains("does not lead any more")
+                };
                 let last = lines.iter().skip(self.processes[*n].from).rev().find(word);
-                self.processes[*n].child.is_some() && last.is_some_and(|l| l.contains("leads from now on"))
+                self.processes[*n].child.is_some()
+                    && last.is_some_and(|l| l.contains("leads from now on"))
             };
             let leaders: Vec<usize> = (0..self.plan.voters).filter(leads).collect();
             if let [one] = leaders[..] {
@@ -387,7 +462,15 @@
     pub fn fill_disk(&self, n: usize, most: Option<u64>) {
         use rustix::process::{Pid, Resource, Rlimit, prlimit};
         if let Some(pid) = self.id(n).and_then(|id| Pid::from_raw(id as i32)) {
-            prlimit(Some(pid), Resource::Fsize, Rlimit { current: most, maximum: None }).unwrap();
+            prlimit(
+                Some(pid),
+                Resource::Fsize,
+                Rlimit {
+                    current: most,
+                    maximum: None,
+                },
+            )
+            .unwrap();
         }
     }
 
@@ -399,14 +482,23 @@
     /// Runs an operator's command at a process's files.
     pub fn operator(&self, n: usize, words: &[&str]) -> Output {
         let mut command = Command::new(&self.exe);
-        command.args(["zones", "--installation", "installation.xml"]).args(words);
-        command.current_dir(self.processes[n].folder.path()).output().unwrap()
+        command
+            .args(["zones", "--installation", "installation.xml"])
+            .args(words);
+        command
+            .current_dir(self.processes[n].folder.path())
+            .output()
+            .unwrap()
     }
 
     /// Clients in every zone begin to ask, one lookup after another, so many a second in each.
     pub fn ask_all_along(&mut self, a_second: u64) {
         for n in self.all() {
-            let (zone, http, up) = (self.processes[n].zone, self.processes[n].http, self.up.clone());
+            let (zone, http, up) = (
+                self.processes[n].zone,
+                self.processes[n].http,
+                self.up.clone(),
+            );
             let (told, stopping) = (self.told.clone(), self.stopping.clone());
             let mut chance = oorandom::Rand64::new(u128::from(self.plan.seed) * 977 + n as u128);
             let wait = Duration::from_micros(1_000_000 / a_second.max(1));
@@ -436,7 +528,12 @@
 
     /// How many lookups were answered so far.
     pub fn answered(&self) -> usize {
-        self.told.lock().unwrap().iter().filter(|t| t.status == Some(200)).count()
+        self.told
+            .lock()
+            .unwrap()
+            .iter()
+            .filter(|t| t.status == Some(200))
+            .count()
     }
 
     /// Waits until so many lookups of these zones' clients in a row were answered, by those who began to ask from
@@ -446,10 +543,16 @@
         while began.elapsed() < 4 * PATIENCE {
             let whole = zones.iter().all(|zone| {
                 let told = self.told.lock().unwrap();
-                let of_zone: Vec<_> =
-                    told.iter().filter(|t| t.zone == *zone && t.asked >= began && t.alive).collect();
+                let of_zone: Vec<_> = told
+                    .iter()
+                    .filter(|t| t.zone == *zone && t.asked >= began && t.alive)
+                    .collect();
                 of_zone.len() >= in_a_row
-                    && of_zone.iter().rev().take(in_a_row).all(|t| t.status == Some(200))
+                    && of_zone
+                        .iter()
+                        .rev()
+                        .take(in_a_row)
+                        .all(|t| t.status == Some(200))
             });
             if whole {
                 return began.elapsed();
@@ -457,7 +560,12 @@
             sleep(Duration::from_millis(20));
         }
         let told = self.told.lock().unwrap();
-        let last: Vec<_> = told.iter().rev().take(12).map(|t| (t.zone, t.status, t.once_only)).collect();
+        let last: Vec<_> = told
+            .iter()
+            .rev()
+            .take(12)
+            .map(|t| (t.zone, t.status, t.once_only))
+            .collect();
         panic!("service did not become whole in zones {zones:?}; the last: {last:?}");
     }
 
@@ -471,8 +579,13 @@
     pub fn flows(&self, since: usize) -> (BTreeMap<(usize, usize), usize>, usize) {
         let zones = self.plan.zones.len();
         let cells = zones * self.plan.replicas;
-        let of: BTreeMap<String, usize> =
-            self.told.lock().unwrap().iter().map(|t| (t.id.clone(), t.zone)).collect();
+        let of: BTreeMap<String, usize> = self
+            .told
+            .lock()
+            .unwrap()
+            .iter()
+            .map(|t| (t.id.clone(), t.zone))
+            .collect();
         let (mut flows, mut strays) = (BTreeMap::new(), 0);
         for (lookup, shard, replica) in self.ran.lock().unwrap().iter().skip(since) {
             if let Some(&zone) = of.get(lookup) {
@@ -487,7 +600,9 @@
     /// Stops the clients and judges all they were told by what truly ran.
     pub fn judge(&mut self) -> Vec<String> {
         self.stopping.store(true, Ordering::SeqCst);
-        self.clients.drain(..).for_each(|client| client.join().unwrap());
+        self.clients
+            .drain(..)
+            .for_each(|client| client.join().unwrap());
         judge(&self.told.lock().unwrap(), &self.ran.lock().unwrap())
     }
 
@@ -503,7 +618,11 @@
             self.signal(n, "-CONT");
             self.kill(n, false);
             if std::thread::panicking() {
-                let lines = self.processes[n].log.lines.lock().unwrap_or_else(PoisonError::into_inner);
+                let lines = self.processes[n]
+                    .log
+                    .lines
+                    .lock()
+                    .unwrap_or_else(PoisonError::into_inner);
                 let last: Vec<_> = lines.iter().rev().take(40).rev().collect();
                 println!("--- {}", self.processes[n].name);
                 last.iter().for_each(|line| println!("{line}"));
@@ -539,10 +658,11 @@
     if let Some(mut client) = Client::try_connect(http) {
         let index = if once_only { "order" } else { "find" };
         // Each lookup has a key of its own, so that all replicas are asked.
-        let key = id
-            .bytes()
-            .fold(0xcbf2_9ce4_8422_2325_u64, |h, b| (h ^ u64::from(b)).wrapping_mul(0x0100_0000_01b3));
-        let request = crate::request(index, id, shards).replace("7f3a9c21e0b4d655", &format!("{key:016x}"));
+        let key = id.bytes().fold(0xcbf2_9ce4_8422_2325_u64, |h, b| {
+            (h ^ u64::from(b)).wrapping_mul(0x0100_0000_01b3)
+        });
+        let request =
+            crate::request(index, id, shards).replace("7f3a9c21e0b4d655", &format!("{key:016x}"));
         if client.try_send(&request)
             && let Some((status, _, body)) = client.answer()
         {
@@ -555,7 +675,9 @@
                 .filter_map(|f| {
                     let shard = f["bucket"].as_u64()? as usize;
                     // A value that is another shard's is none.
-                    f.to_string().contains(&format!("v{shard}")).then_some(shard)
+                    f.to_string()
+                        .contains(&format!("v{shard}"))
+                        .then_some(shard)
                 })
                 .collect();
         }
@@ -568,7 +690,8 @@
 pub fn judge(told: &[Told], ran: &[(String, usize, usize)]) -> Vec<String> {
     let mut breaches = Vec::new();
     let mut times: BTreeMap<(&str, usize), usize> = BTreeMap::new();
-    ran.iter().for_each(|(lookup, shard, _)| *times.entry((lookup, *shard)).or_default() += 1);
+    ran.iter()
+        .for_each(|(lookup, shard, _)| *times.entry((lookup, *shard)).or_default() += 1);
     for one in told {
         let Told { id, status, .. } = one;
         // Rule 1: one final answer in time from a process that lives.
@@ -578,7 +701,12 @@
         if one.alive && one.took > Duration::from_millis(SOFT_MS) + PATIENCE / 5 {
             breaches.push(format!("rule 1: {id} was answered after {:?}", one.took));
         }
-        let ran = |shard: &usize| times.get(&(id.as_str(), *shard)).copied().unwrap_or_default();
+        let ran = |shard: &usize| {
+            times
+                .get(&(id.as_str(), *shard))
+                .copied()
+                .unwrap_or_default()
+        };
         // Rule 2: no effect twice, and a nack only where nothing ran.
         if one.once_only && one.shards.iter().any(|s| ran(s) > 1) {
             breaches.push(format!("rule 2: a once-only part of {id} ran twice"));
@@ -588,12 +716,20 @@
         }
         // Rule 5: whole only when whole, and only what ran.
         if *status == Some(200) {
-            let missing: Vec<_> = one.shards.iter().filter(|s| !one.found.contains(s)).collect();
+            let missing: Vec<_> = one
+                .shards
+                .iter()
+                .filter(|s| !one.found.contains(s))
+                .collect();
             if one.whole && !missing.is_empty() {
-                breaches.push(format!("rule 5: {id} is said to be whole and lacks {missing:?}"));
+                breaches.push(format!(
+                    "rule 5: {id} is said to be whole and lacks {missing:?}"
+                ));
             }
             if let Some(shard) = one.found.iter().find(|s| ran(s) == 0) {
-                breaches.push(format!("rule 5: {id} has a value of shard {shard}, which never ran"));
+                breaches.push(format!(
+                    "rule 5: {id} has a value of shard {shard}, which never ran"
+                ));
             }
         }
     }
