--- a/crates/linenthread-stand-ins/src/scenarios.rs
+++ b/crates/linenthread-stand-ins/src/scenarios.rs
@@ -27,7 +27,10 @@
 ];
 
 fn plan(seed: u64) -> Plan {
-    Plan { seed, ..Plan::default() }
+    Plan {
+        seed,
+        ..Plan::default()
+    }
 }
 
 fn asked(exe: &str, plan: Plan) -> Rig {
@@ -54,12 +57,21 @@
 /// that leave a replica for its score: calls on loopback take a millisecond or so, and what else the machine does
 /// shows in them. Up to an eighth left so, a third or more where nothing keeps them near.
 fn near(exe: &str, seed: u64) -> Rig {
-    let rig = asked(exe, Plan { co_ordinators: 2, ..plan(seed) });
+    let rig = asked(
+        exe,
+        Plan {
+            co_ordinators: 2,
+            ..plan(seed)
+        },
+    );
     let since = rig.ran();
     rig.whole_again(&[0, 1, 2], 80);
     let (flows, strays) = rig.flows(since);
     let all: usize = flows.values().sum();
-    assert!(all > 300 && strays * 5 < all, "{strays} of {all} parts left a zone that holds them: {flows:?}");
+    assert!(
+        all > 300 && strays * 5 < all,
+        "{strays} of {all} parts left a zone that holds them: {flows:?}"
+    );
     rig
 }
 
@@ -72,7 +84,9 @@
     let new = rig.leader();
     assert_ne!(new, leader);
     let from: Vec<usize> = rest.iter().map(|&n| rig.said(n)).collect();
-    rest.iter().zip(from).for_each(|(&n, from)| drop(rig.logged_since(n, from, "acts on a table")));
+    rest.iter()
+        .zip(from)
+        .for_each(|(&n, from)| drop(rig.logged_since(n, from, "acts on a table")));
     rig.whole_again(&rest, 20);
     rig.start(leader);
     rig.logged(leader, "acts on a table");
@@ -90,7 +104,9 @@
     let rest = others(&rig, &[leader]);
     let began = Instant::now();
     let from: Vec<usize> = rest.iter().map(|&n| rig.said(n)).collect();
-    rest.iter().zip(&from).for_each(|(&n, &from)| drop(rig.logged_since(n, from, "acts on a table")));
+    rest.iter()
+        .zip(&from)
+        .for_each(|(&n, &from)| drop(rig.logged_since(n, from, "acts on a table")));
     rig.whole_again(&rest, 20);
     sleep(Duration::from_secs(10).saturating_sub(began.elapsed()));
     let from = rig.said(leader);
@@ -117,7 +133,9 @@
     }
     for &zone in &rest {
         for n in rig.co_ordinators(zone) {
-            rig.acts(n, from[n], (zone, lost), |share, reason| share == 0 && reason == "Down");
+            rig.acts(n, from[n], (zone, lost), |share, reason| {
+                share == 0 && reason == "Down"
+            });
         }
     }
     rig.whole_again(&rest, 20);
@@ -125,15 +143,21 @@
     rig.whole_again(&rest, 20);
     // What still goes there is a probe's or a first step's matter, not a part's.
     let (flows, _) = rig.flows(since);
-    let to_lost: usize = rest.iter().filter_map(|zone| flows.get(&(*zone, lost))).sum();
+    let to_lost: usize = rest
+        .iter()
+        .filter_map(|zone| flows.get(&(*zone, lost)))
+        .sum();
     assert!(to_lost <= 3, "{flows:?}");
     mend_zone(&mut rig, lost);
     let from: Vec<usize> = rig.all().iter().map(|&n| rig.said(n)).collect();
     for n in rig.all() {
         let zone = n % 3;
-        rig.acts(n, from[n].min(rig.said(n)), (zone, lost), |share, reason| {
-            share == 1_000 && reason == "Sound"
-        });
+        rig.acts(
+            n,
+            from[n].min(rig.said(n)),
+            (zone, lost),
+            |share, reason| share == 1_000 && reason == "Sound",
+        );
     }
     rig.whole_again(&[0, 1, 2], 20);
     rig
@@ -151,11 +175,16 @@
     rig.awaited_cut(n, from[n], (a, b));
     rig.whole_again(&[third], 20);
     let line = rig.acts(n, from[n], (third, a), |share, _| share > 0);
-    assert!(!line.contains("Down"), "a zone is left for a pair that is cut: {line}");
+    assert!(
+        !line.contains("Down"),
+        "a zone is left for a pair that is cut: {line}"
+    );
     rig.whole_again(&[0, 1, 2], 20);
     rig.net.heal();
     let from: Vec<usize> = rig.all().iter().map(|&n| rig.said(n)).collect();
-    rig.acts(n, from[n], (a, b), |share, reason| share == 1_000 && reason == "Sound");
+    rig.acts(n, from[n], (a, b), |share, reason| {
+        share == 1_000 && reason == "Sound"
+    });
     rig.whole_again(&[0, 1, 2], 20);
     rig
 }
@@ -170,7 +199,8 @@
     let from: Vec<usize> = rig.all().iter().map(|&n| rig.said(n)).collect();
     rig.start(lost);
     rig.logged(lost, "its disk is empty beside a record that goes on");
-    rest.iter().for_each(|&n| drop(rig.logged_since(n, from[n], "is in")));
+    rest.iter()
+        .for_each(|&n| drop(rig.logged_since(n, from[n], "is in")));
     rig.logged(lost, "acts on a table");
     rig.whole_again(&[0, 1, 2], 20);
     // With another one gone its vote is needed.
@@ -242,7 +272,9 @@
     let from = rig.said(0);
     let output = rig.operator(1, &["drain", "messina"]);
     assert!(output.status.success(), "{}", said(&output));
-    rig.acts(0, from, (0, 2), |share, reason| share == 0 && reason == "Drained");
+    rig.acts(0, from, (0, 2), |share, reason| {
+        share == 0 && reason == "Drained"
+    });
     rig.whole_again(&[0, 1], 20);
     let output = rig.operator(0, &["show"]);
     assert!(
@@ -252,7 +284,11 @@
     );
     // With another one gone some shards would lie nowhere.
     let output = rig.operator(2, &["drain", "catania"]);
-    assert!(!output.status.success() && said(&output).contains("no replica left"), "{}", said(&output));
+    assert!(
+        !output.status.success() && said(&output).contains("no replica left"),
+        "{}",
+        said(&output)
+    );
     let output = rig.operator(0, &["drain", "malta"]);
     assert!(
         !output.status.success() && said(&output).contains("there is no zone malta"),
@@ -262,7 +298,9 @@
     let from = rig.said(0);
     let output = rig.operator(1, &["return", "messina"]);
     assert!(output.status.success(), "{}", said(&output));
-    rig.acts(0, from, (0, 2), |share, reason| share == 1_000 && reason == "Sound");
+    rig.acts(0, from, (0, 2), |share, reason| {
+        share == 1_000 && reason == "Sound"
+    });
     rig.whole_again(&[0, 1, 2], 20);
     rig
 }
@@ -281,7 +319,13 @@
 /// Random troubles, one round after the other, and all mended after each.
 pub fn rounds(exe: &str, rounds: usize, seed: u64) -> (usize, Vec<String>) {
     let mut chance = Rand64::new(u128::from(seed));
-    let mut rig = asked(exe, Plan { co_ordinators: 1 + (seed % 2) as usize, ..plan(seed) });
+    let mut rig = asked(
+        exe,
+        Plan {
+            co_ordinators: 1 + (seed % 2) as usize,
+            ..plan(seed)
+        },
+    );
     for round in 0..rounds {
         let one = chance.rand_range(0..rig.count() as u64) as usize;
         let zone = chance.rand_range(0..3) as usize;
@@ -330,7 +374,10 @@
                 rig.start(one);
             }
             _ => {
-                rig.net.worsen(Duration::from_millis(chance.rand_range(1..60)), chance.rand_range(0..400));
+                rig.net.worsen(
+                    Duration::from_millis(chance.rand_range(1..60)),
+                    chance.rand_range(0..400),
+                );
                 sleep(Duration::from_millis(chance.rand_range(500..4_000)));
             }
         }
--- a/crates/linenthread-stand-ins/src/sites.rs
+++ b/crates/linenthread-stand-ins/src/sites.rs
@@ -42,7 +42,12 @@
 
 impl Default for Terms {
     fn default() -> Self {
-        Terms { keep: 3_000, hold: 50, after: Duration::from_millis(3), second: false }
+        Terms {
+            keep: 3_000,
+            hold: 50,
+            after: Duration::from_millis(3),
+            second: false,
+        }
     }
 }
 
@@ -79,12 +84,22 @@
 pub(crate) fn own_loopback() -> Ipv4Addr {
     static GIVEN: AtomicU8 = AtomicU8::new(2);
     let [.., middle, low] = std::process::id().to_be_bytes();
-    Ipv4Addr::new(127, middle, low, GIVEN.fetch_add(1, Ordering::Relaxed).max(2))
+    Ipv4Addr::new(
+        127,
+        middle,
+        low,
+        GIVEN.fetch_add(1, Ordering::Relaxed).max(2),
+    )
 }
 
 impl Sites {
     pub fn start(exe: &str, terms: Terms) -> Sites {
-        let Terms { keep, hold, after, second } = terms;
+        let Terms {
+            keep,
+            hold,
+            after,
+            second,
+        } = terms;
         let fleet = Fleet::start(REPLICAS);
         let addresses = fleet.addresses.clone();
         let ran: Arc<Mutex<Vec<(String, usize)>>> = Arc::default();
@@ -95,13 +110,28 @@
                 spawn(move || {
                     sleep(after);
                     let rest = format!("{} hit 17 queue=0\nv", part.id);
-                    part.bytes(&[&(rest.len() as u32 + 1).to_be_bytes()[..], b"E", rest.as_bytes()].concat());
+                    part.bytes(
+                        &[
+                            &(rest.len() as u32 + 1).to_be_bytes()[..],
+                            b"E",
+                            rest.as_bytes(),
+                        ]
+                        .concat(),
+                    );
                 });
             }
         });
-        let class = |name, once_only| Class { name, once_only, soft_ms: SOFT.as_millis() as u64, floor: 1.0 };
+        let class = |name, once_only| Class {
+            name,
+            once_only,
+            soft_ms: SOFT.as_millis() as u64,
+            floor: 1.0,
+        };
         let classes = [class("find", false), class("order", true)];
-        let entries = addresses.iter().enumerate().map(|(i, a)| entry(i, *a, "active"));
+        let entries = addresses
+            .iter()
+            .enumerate()
+            .map(|(i, a)| entry(i, *a, "active"));
         let (all, none) = (list(1, true, entries.collect()), list(1, true, Vec::new()));
         let (far_roster, near_roster) = (Roster::start(all.clone()), Roster::start(none.clone()));
         let folder = |own: &str| {
@@ -115,7 +145,10 @@
         let gateway = |roster: &Roster| {
             // A port that was free a moment ago, on an address that nothing else here binds: on 127.0.0.1 any
             // connection of another test may have taken it meanwhile, and the gateway fails to start.
-            let links = TcpListener::bind((own_loopback(), 0)).unwrap().local_addr().unwrap();
+            let links = TcpListener::bind((own_loopback(), 0))
+                .unwrap()
+                .local_addr()
+                .unwrap();
             let own = format!("<gateway listen=\"{links}\" secret=\"link.key\"/>");
             let mut config = config_of(roster.address, &all, &classes, REPLICAS, 4);
             config["limits"]["sockets"] = SOCKETS.into();
@@ -126,7 +159,11 @@
         let second = second.then(|| {
             let roster = Roster::start(all.clone());
             let (far, proxy, _) = gateway(&roster);
-            Second { far, proxy, _roster: roster }
+            Second {
+                far,
+                proxy,
+                _roster: roster,
+            }
         });
         let proxies = [Some(&proxy), second.as_ref().map(|s| &s.proxy)];
         let peer = |(n, proxy): (usize, &Proxy)| {
@@ -135,10 +172,20 @@
                 proxy.address
             )
         };
-        let peers: String = proxies.into_iter().flatten().enumerate().map(peer).collect();
+        let peers: String = proxies
+            .into_iter()
+            .flatten()
+            .enumerate()
+            .map(peer)
+            .collect();
         let mut config = config_of(near_roster.address, &none, &classes, REPLICAS, 4);
         config["limits"]["sockets"] = SOCKETS.into();
-        let near = Service::start_in(folder(&format!("<peers>{peers}</peers>")), exe, &config, &words);
+        let near = Service::start_in(
+            folder(&format!("<peers>{peers}</peers>")),
+            exe,
+            &config,
+            &words,
+        );
         let mut sites = Sites {
             near,
             far,
@@ -179,22 +226,42 @@
     /// How many times each part was taken by a replica, by its id.
     pub fn ran(&self) -> BTreeMap<String, usize> {
         let mut ran = BTreeMap::new();
-        self.ran.lock().unwrap().iter().for_each(|(id, _)| *ran.entry(id.clone()).or_default() += 1);
+        self.ran
+            .lock()
+            .unwrap()
+            .iter()
+            .for_each(|(id, _)| *ran.entry(id.clone()).or_default() += 1);
         ran
     }
 
     /// Parts that a replica has taken.
     pub fn taken_by(&self, replica: usize) -> usize {
-        self.ran.lock().unwrap().iter().filter(|(_, r)| *r == replica).count()
+        self.ran
+            .lock()
+            .unwrap()
+            .iter()
+            .filter(|(_, r)| *r == replica)
+            .count()
     }
 
     /// Asks a lookup of one part, and holds its answer to what ran.
     pub fn ask(&mut self, index: &str, verdict: &mut Verdict, what: &str) {
         self.asked += 1;
         let id = format!("{index}{}", self.asked);
-        let answer = self.near.ask(index, &id, &[1]).answer().map(|(status, ..)| status);
+        let answer = self
+            .near
+            .ask(index, &id, &[1])
+            .answer()
+            .map(|(status, ..)| status);
         let part = format!("{id}.1");
-        let ran = || self.ran.lock().unwrap().iter().filter(|(id, _)| *id == part).count();
+        let ran = || {
+            self.ran
+                .lock()
+                .unwrap()
+                .iter()
+                .filter(|(id, _)| *id == part)
+                .count()
+        };
         verdict.checked += 1;
         let wrong = match answer {
             Some(200) => {
@@ -215,7 +282,10 @@
         };
         let twice = (index == "order" && ran() > 1).then_some("ran twice");
         for why in wrong.into_iter().chain(twice) {
-            verdict.breaches.push(format!("{what}: {id} {why} (answer {answer:?}, ran {})", ran()));
+            verdict.breaches.push(format!(
+                "{what}: {id} {why} (answer {answer:?}, ran {})",
+                ran()
+            ));
         }
     }
 
@@ -231,13 +301,21 @@
         for after in bytes {
             self.proxy.cut_next(way, after);
             self.begin_anew();
-            self.ask("order", verdict, &format!("cut {way:?} after {after} bytes"));
+            self.ask(
+                "order",
+                verdict,
+                &format!("cut {way:?} after {after} bytes"),
+            );
         }
         // Whatever came late is there by now.
         sleep(Duration::from_millis(100));
         let ran = self.ran();
-        let twice = ran.iter().filter(|(id, n)| id.starts_with("order") && **n > 1);
-        verdict.breaches.extend(twice.map(|(id, n)| format!("{id} ran {n} times")));
+        let twice = ran
+            .iter()
+            .filter(|(id, n)| id.starts_with("order") && **n > 1);
+        verdict
+            .breaches
+            .extend(twice.map(|(id, n)| format!("{id} ran {n} times")));
     }
 }
 
@@ -264,7 +342,13 @@
                 let mut client = Client::connect(near);
                 client.ask(index, &id, &[1]);
                 let status = client.answer().map(|(status, ..)| status);
-                to.send(Told { id, index, due, status, took: begin.elapsed().saturating_sub(due) })
+                to.send(Told {
+                    id,
+                    index,
+                    due,
+                    status,
+                    took: begin.elapsed().saturating_sub(due),
+                })
             });
         }
     });
@@ -274,8 +358,18 @@
     // What came late to a replica is there by now.
     sleep(Duration::from_millis(200));
     let ran = sites.ran();
-    let mut verdict = Verdict { checked: told.len(), ..Verdict::default() };
-    for Told { id, index, status, took, .. } in &told {
+    let mut verdict = Verdict {
+        checked: told.len(),
+        ..Verdict::default()
+    };
+    for Told {
+        id,
+        index,
+        status,
+        took,
+        ..
+    } in &told
+    {
         let n = ran.get(&format!("{id}.1")).copied().unwrap_or_default();
         match status {
             Some(200) => verdict.answered += 1,
@@ -292,9 +386,9 @@
             Some(200 | 502 | 503) => None,
             _ => Some("no final answer"),
         };
-        verdict
-            .breaches
-            .extend(wrong.map(|why| format!("{id} ({index}) {why}: {status:?}, ran {n}, {took:?}")));
+        verdict.breaches.extend(
+            wrong.map(|why| format!("{id} ({index}) {why}: {status:?}, ran {n}, {took:?}")),
+        );
     }
     (verdict, told)
 }
@@ -314,7 +408,11 @@
 /// Cuts a once-only exchange after every so manieth byte both ways, with several pairs of sites at once.
 pub fn cut_everywhere(exe: &str, keep: u64, step: usize, at_once: usize) -> Verdict {
     // Without resume a short flap is to be seen as well.
-    let terms = Terms { keep, hold: if keep < 100 { 10 } else { 50 }, ..Terms::default() };
+    let terms = Terms {
+        keep,
+        hold: if keep < 100 { 10 } else { 50 },
+        ..Terms::default()
+    };
     let [there, back] = Sites::start(exe, terms).exchange();
     // A cut beyond the exchange meets the beats after it, which is no cut of the exchange.
     let all: Vec<(Way, usize)> = (0..=there)
--- a/crates/linenthread-store/src/files.rs
+++ b/crates/linenthread-store/src/files.rs
@@ -44,7 +44,11 @@
     pub fn take(path: &Path) -> Result<Folder, String> {
         let said = |e: &dyn std::fmt::Display| format!("{}: {e}", path.display());
         std::fs::create_dir_all(path).map_err(|e| said(&e))?;
-        let lock = OpenOptions::new().create(true).truncate(false).write(true).open(path.join(LOCK));
+        let lock = OpenOptions::new()
+            .create(true)
+            .truncate(false)
+            .write(true)
+            .open(path.join(LOCK));
         let lock = lock.map_err(|e| said(&e))?;
         match lock.try_lock() {
             Ok(()) => {}
@@ -55,14 +59,23 @@
         }
         // The folder's own name is to last as well.
         if let Some(above) = path.parent().filter(|above| !above.as_os_str().is_empty()) {
-            File::open(above).and_then(|above| above.sync_all()).map_err(|e| said(&e))?;
+            File::open(above)
+                .and_then(|above| above.sync_all())
+                .map_err(|e| said(&e))?;
         }
-        Ok(Folder { path: path.to_owned(), _lock: lock, open: None })
+        Ok(Folder {
+            path: path.to_owned(),
+            _lock: lock,
+            open: None,
+        })
     }
 
     fn opened(&mut self, name: &str) -> io::Result<&mut File> {
         if self.open.as_ref().is_none_or(|(open, _)| open != name) {
-            let file = OpenOptions::new().create(true).append(true).open(self.path.join(name))?;
+            let file = OpenOptions::new()
+                .create(true)
+                .append(true)
+                .open(self.path.join(name))?;
             self.open = Some((name.to_owned(), file));
         }
         match &mut self.open {
--- a/crates/linenthread-store/src/log.rs
+++ b/crates/linenthread-store/src/log.rs
@@ -35,13 +35,20 @@
 impl fmt::Display for Trouble {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            Trouble::Damaged { file, at, why } => write!(f, "{file} is damaged at byte {at}: {why}"),
+            Trouble::Damaged { file, at, why } => {
+                write!(f, "{file} is damaged at byte {at}: {why}")
+            }
             Trouble::Version { file, version } => {
-                write!(f, "{file} is of version {version}, this program reads {VERSION}")
+                write!(
+                    f,
+                    "{file} is of version {version}, this program reads {VERSION}"
+                )
             }
             Trouble::Disk(why) => write!(f, "the disk failed: {why}"),
             Trouble::Stopped => write!(f, "the disk failed before"),
-            Trouble::TooLong(bytes) => write!(f, "a record of {bytes} bytes is too long to be kept"),
+            Trouble::TooLong(bytes) => {
+                write!(f, "a record of {bytes} bytes is too long to be kept")
+            }
         }
     }
 }
@@ -82,7 +89,9 @@
 }
 
 fn generation(name: &str) -> Option<u64> {
-    let digits = name.strip_suffix(".log").filter(|digits| digits.len() == 16)?;
+    let digits = name
+        .strip_suffix(".log")
+        .filter(|digits| digits.len() == 16)?;
     u64::from_str_radix(digits, 16).ok()
 }
 
@@ -119,7 +128,9 @@
 fn parse(bytes: &[u8]) -> Option<Record<'_>> {
     let head = bytes.first_chunk::<RECORD>()?;
     let length = u32::from_be_bytes(head[..4].try_into().ok()?) as usize;
-    let data = bytes.get(RECORD..RECORD + length).filter(|_| length <= LONGEST)?;
+    let data = bytes
+        .get(RECORD..RECORD + length)
+        .filter(|_| length <= LONGEST)?;
     let mut sum = crc32fast::Hasher::new();
     sum.update(&head[..RECORD - 4]);
     sum.update(data);
@@ -148,19 +159,38 @@
 /// A later record says that a sync had taken the bad one: then it was promised, and is damaged.
 fn read(file: &str, bytes: &[u8], of: u64) -> Result<Read, Trouble> {
     let damaged = |at: usize, why: &str| {
-        Err(Trouble::Damaged { file: file.to_owned(), at: at as u64, why: why.to_owned() })
+        Err(Trouble::Damaged {
+            file: file.to_owned(),
+            at: at as u64,
+            why: why.to_owned(),
+        })
     };
-    let mut read = Read { records: Vec::new(), is_whole: false, next: 0, good: 0 };
-    let first = bytes.get(13..21).and_then(|n| n.try_into().ok()).map_or(0, u64::from_be_bytes);
+    let mut read = Read {
+        records: Vec::new(),
+        is_whole: false,
+        next: 0,
+        good: 0,
+    };
+    let first = bytes
+        .get(13..21)
+        .and_then(|n| n.try_into().ok())
+        .map_or(0, u64::from_be_bytes);
     if bytes.get(..HEAD).is_none_or(|h| h != head(of, first)) {
         // The head of any version has its checksum there: one that is only spoilt is of no other version.
-        let summed = bytes.get(..HEAD).is_some_and(|h| crc32fast::hash(&h[..21]).to_be_bytes() == h[21..]);
+        let summed = bytes
+            .get(..HEAD)
+            .is_some_and(|h| crc32fast::hash(&h[..21]).to_be_bytes() == h[21..]);
         if summed && bytes.starts_with(b"LTLG") && bytes[4] != VERSION {
-            return Err(Trouble::Version { file: file.to_owned(), version: bytes[4] });
+            return Err(Trouble::Version {
+                file: file.to_owned(),
+                version: bytes[4],
+            });
         }
         // A record that was written after a sync had taken what the file begins with tells that it was there.
         let records = || (0..bytes.len()).filter_map(|at| parse(&bytes[at..]));
-        let base = records().find(|r| r.kind == BASE).map_or(u64::MAX, |r| r.number);
+        let base = records()
+            .find(|r| r.kind == BASE)
+            .map_or(u64::MAX, |r| r.number);
         return match records().any(|r| r.synced >= base) {
             true => damaged(0, "its beginning is not readable"),
             false => Ok(read),
@@ -180,8 +210,9 @@
         }
     }
     // What follows is torn, unless something behind it was written after a sync had taken it.
-    let promised =
-        |at: usize| parse(&bytes[at..]).is_some_and(|r| r.number > read.next && r.synced >= read.next);
+    let promised = |at: usize| {
+        parse(&bytes[at..]).is_some_and(|r| r.number > read.next && r.synced >= read.next)
+    };
     if (read.good..bytes.len()).any(promised) {
         return damaged(read.good, "a record that was synced is not readable");
     }
@@ -197,8 +228,12 @@
     /// torn end that may be cut.
     pub fn open(mut files: F) -> Result<Opened<F>, Trouble> {
         let failed = |e: io::Error| Trouble::Disk(e.to_string());
-        let mut generations: Vec<u64> =
-            files.names().map_err(failed)?.iter().filter_map(|n| generation(n)).collect();
+        let mut generations: Vec<u64> = files
+            .names()
+            .map_err(failed)?
+            .iter()
+            .filter_map(|n| generation(n))
+            .collect();
         generations.sort_unstable();
         let mut found: Option<(u64, Read, usize)> = None;
         // The newest generation that is whole counts: one that is not was under way when all stopped, and the
@@ -215,7 +250,11 @@
             // Every generation but the first is begun while the one before it is there.
             if let Some(&lost) = generations.iter().find(|of| **of > 1) {
                 let why = "what it begins with is not whole, and no file before it is there".into();
-                return Err(Trouble::Damaged { file: name(lost), at: 0, why });
+                return Err(Trouble::Damaged {
+                    file: name(lost),
+                    at: 0,
+                    why,
+                });
             }
             // Nothing was ever promised here: what may lie here is a beginning.
             for of in generations {
@@ -231,7 +270,11 @@
                 stopped: false,
             };
             log.rewrite(&[])?;
-            return Ok(Opened { log, records: Vec::new(), cut: None });
+            return Ok(Opened {
+                log,
+                records: Vec::new(),
+                cut: None,
+            });
         };
         for other in generations.into_iter().filter(|other| *other != of) {
             files.remove(&name(other)).map_err(failed)?;
@@ -245,7 +288,10 @@
             files.cut(&name(of), read.good as u64).map_err(failed)?;
         }
         // What is read now is relied on from now on: it may not have been synced before the crash.
-        files.sync(&name(of)).and_then(|()| files.sync_names()).map_err(failed)?;
+        files
+            .sync(&name(of))
+            .and_then(|()| files.sync_names())
+            .map_err(failed)?;
         let log = Log {
             files,
             generation: of,
@@ -255,7 +301,11 @@
             bytes: read.good as u64,
             stopped: false,
         };
-        Ok(Opened { log, records: read.records, cut })
+        Ok(Opened {
+            log,
+            records: read.records,
+            cut,
+        })
     }
 
     fn add(&mut self, kind: u8, data: &[u8]) {
@@ -285,7 +335,10 @@
     }
 
     /// The one place where the disk is written to: a failure is final, for what it holds then is not known.
-    fn write(&mut self, do_it: impl FnOnce(&mut F, &[u8]) -> io::Result<()>) -> Result<(), Trouble> {
+    fn write(
+        &mut self,
+        do_it: impl FnOnce(&mut F, &[u8]) -> io::Result<()>,
+    ) -> Result<(), Trouble> {
         if self.stopped {
             return Err(Trouble::Stopped);
         }
--- a/crates/linenthread-store/src/model.rs
+++ b/crates/linenthread-store/src/model.rs
@@ -45,7 +45,8 @@
                 self.files.entry(name).or_insert(kept);
             }
         }
-        self.files.retain(|_, kept| kept.named || chance.rand_range(0..2) == 0);
+        self.files
+            .retain(|_, kept| kept.named || chance.rand_range(0..2) == 0);
         for kept in self.files.values_mut() {
             let at_least = kept.synced as u64;
             let end = chance.rand_range(at_least..kept.bytes.len() as u64 + 1) as usize;
@@ -73,7 +74,12 @@
 
     /// Turns one bit of what is there for good, and says where; `None` where there is nothing.
     pub fn spoil(&mut self, chance: &mut Rand64) -> Option<(String, usize)> {
-        let name = self.files.iter().find(|(_, kept)| kept.synced > 0)?.0.clone();
+        let name = self
+            .files
+            .iter()
+            .find(|(_, kept)| kept.synced > 0)?
+            .0
+            .clone();
         let kept = self.files.get_mut(&name)?;
         let at = chance.rand_range(0..kept.synced as u64) as usize;
         kept.bytes[at] ^= 1 << chance.rand_range(0..8);
@@ -91,16 +97,25 @@
     }
 
     fn read(&mut self, name: &str) -> io::Result<Vec<u8>> {
-        self.files.get(name).map(|kept| kept.bytes.clone()).ok_or_else(missing)
+        self.files
+            .get(name)
+            .map(|kept| kept.bytes.clone())
+            .ok_or_else(missing)
     }
 
     fn append(&mut self, name: &str, bytes: &[u8]) -> io::Result<()> {
         let held: usize = self.files.values().map(|kept| kept.bytes.len()).sum();
-        let room = self.room.map_or(usize::MAX, |room| room.saturating_sub(held));
+        let room = self
+            .room
+            .map_or(usize::MAX, |room| room.saturating_sub(held));
         let kept = self.files.entry(name.to_owned()).or_default();
         // A full disk takes what it has room for.
         kept.bytes.extend(&bytes[..bytes.len().min(room)]);
-        if bytes.len() > room { Err(full()) } else { Ok(()) }
+        if bytes.len() > room {
+            Err(full())
+        } else {
+            Ok(())
+        }
     }
 
     fn sync(&mut self, name: &str) -> io::Result<()> {
--- a/crates/linenthread-store/tests/crashes.rs
+++ b/crates/linenthread-store/tests/crashes.rs
@@ -9,7 +9,10 @@
 
 fn content(n: u64) -> Vec<u8> {
     let length = Rand64::new(u128::from(n)).rand_range(0..150) as usize;
-    n.to_be_bytes().into_iter().chain(std::iter::repeat_n(n as u8, length)).collect()
+    n.to_be_bytes()
+        .into_iter()
+        .chain(std::iter::repeat_n(n as u8, length))
+        .collect()
 }
 
 /// One life after the other over one disk: each begins with what was promised and a beginning of the rest.
@@ -22,8 +25,14 @@
         let opened = Log::open(disk).unwrap_or_else(|e| panic!("seed {seed}, life {life}: {e}"));
         let (mut log, records) = (opened.log, opened.records);
         let whole: Vec<_> = promised.iter().chain(&added).cloned().collect();
-        assert!(records.len() >= promised.len(), "seed {seed}, life {life}: promised ones are lost");
-        assert!(whole.starts_with(&records), "seed {seed}, life {life}: what is there was never added so");
+        assert!(
+            records.len() >= promised.len(),
+            "seed {seed}, life {life}: promised ones are lost"
+        );
+        assert!(
+            whole.starts_with(&records),
+            "seed {seed}, life {life}: what is there was never added so"
+        );
         (promised, added) = (records, Vec::new());
         if chance.rand_range(0..4) == 0 {
             log.files().syncs_left = Some(chance.rand_range(0..4) as usize);
@@ -59,7 +68,10 @@
                             disk = log.into_files();
                             disk.crash(&mut chance);
                             let records = Log::open(disk.clone()).unwrap().records;
-                            assert!(records == rest || records == promised, "seed {seed}, life {life}");
+                            assert!(
+                                records == rest || records == promised,
+                                "seed {seed}, life {life}"
+                            );
                             (promised, added) = (records, Vec::new());
                             log = Log::open(disk).unwrap().log;
                             Ok(())
@@ -70,7 +82,11 @@
             if done.is_err() {
                 assert!(log.is_stopped());
                 assert_eq!(log.append(&[]), Err(Trouble::Stopped));
-                assert_eq!(log.sync(), Err(Trouble::Stopped), "seed {seed}: a failed sync is tried again");
+                assert_eq!(
+                    log.sync(),
+                    Err(Trouble::Stopped),
+                    "seed {seed}: a failed sync is tried again"
+                );
                 break;
             }
         }
@@ -101,13 +117,23 @@
         let mut disk = log.into_files();
         let (file, at) = disk.spoil(&mut chance).unwrap();
         match Log::open(disk) {
-            Err(Trouble::Damaged { file: said, at: from, .. }) => {
-                assert!(said == file && from <= at as u64, "seed {seed}: {from} for {at}");
+            Err(Trouble::Damaged {
+                file: said,
+                at: from,
+                ..
+            }) => {
+                assert!(
+                    said == file && from <= at as u64,
+                    "seed {seed}: {from} for {at}"
+                );
                 named += 1;
             }
             Err(other) => panic!("seed {seed}: {other}"),
             Ok(opened) => {
-                assert!(at as u64 >= last && opened.cut.is_some(), "seed {seed}: damage at {at} passed over");
+                assert!(
+                    at as u64 >= last && opened.cut.is_some(),
+                    "seed {seed}: damage at {at} passed over"
+                );
                 assert_eq!(opened.records, records[..11]);
                 cut += 1;
             }
@@ -125,7 +151,10 @@
     assert!(said.contains("another process has this folder"), "{said}");
     log.append(b"one").unwrap();
     log.sync().unwrap();
-    assert_eq!(log.append(&vec![0; LONGEST + 1]), Err(Trouble::TooLong(LONGEST + 1)));
+    assert_eq!(
+        log.append(&vec![0; LONGEST + 1]),
+        Err(Trouble::TooLong(LONGEST + 1))
+    );
     log.append(b"never synced").unwrap();
     drop(log);
     let opened = Log::open(Folder::take(&folder).unwrap()).unwrap();
@@ -147,8 +176,13 @@
     later.extend([0; 16]);
     later.extend(crc32fast::hash(&later).to_be_bytes());
     files.append("00000000000000ff.log", &later).unwrap();
-    let Err(said) = Log::open(files).map(|_| ()) else { panic!("it was read") };
-    assert_eq!(said.to_string(), "00000000000000ff.log is of version 7, this program reads 1");
+    let Err(said) = Log::open(files).map(|_| ()) else {
+        panic!("it was read")
+    };
+    assert_eq!(
+        said.to_string(),
+        "00000000000000ff.log is of version 7, this program reads 1"
+    );
     std::fs::remove_dir_all(&folder).unwrap();
 }
 
--- a/crates/linenthread-terms/src/lib.rs
+++ b/crates/linenthread-terms/src/lib.rs
@@ -12,10 +12,16 @@
 
 /// The value at a dotted path, where there is one.
 fn find<'a>(root: &'a Value, path: &str) -> Option<&'a Value> {
-    path.split('.').try_fold(root, |v, key| v.get(key)).filter(|v| !v.is_null())
+    path.split('.')
+        .try_fold(root, |v, key| v.get(key))
+        .filter(|v| !v.is_null())
 }
 
-fn need<'a, T>(root: &'a Value, path: &str, read: impl Fn(&'a Value) -> Option<T>) -> Result<T, String> {
+fn need<'a, T>(
+    root: &'a Value,
+    path: &str,
+    read: impl Fn(&'a Value) -> Option<T>,
+) -> Result<T, String> {
     let value = find(root, path).ok_or_else(|| format!("settings lack {path}"))?;
     read(value).ok_or_else(|| format!("settings: {path} cannot be {value}"))
 }
@@ -37,12 +43,17 @@
 }
 
 fn numbers(root: &Value, path: &str) -> Result<Vec<f64>, String> {
-    need(root, path, |v| v.as_array()?.iter().map(Value::as_f64).collect())
+    need(root, path, |v| {
+        v.as_array()?.iter().map(Value::as_f64).collect()
+    })
 }
 
 fn index(root: &Value, i: usize, class: &Value) -> Result<Index, String> {
     let of = |path: &str| {
-        numbers(root, path)?.get(i).copied().ok_or_else(|| format!("settings: {path} is too short"))
+        numbers(root, path)?
+            .get(i)
+            .copied()
+            .ok_or_else(|| format!("settings: {path} is too short"))
     };
     let effect = match need(class, "idempotency", Value::as_str)? {
         "safe" => Effect::Idempotent,
@@ -84,7 +95,10 @@
 
 /// Where among the values of a load report the waiting parts stand, if they are told.
 pub fn queue_at(root: &Value) -> Option<usize> {
-    find(root, "telemetry.names")?.as_array()?.iter().position(|name| name == "queue")
+    find(root, "telemetry.names")?
+        .as_array()?
+        .iter()
+        .position(|name| name == "queue")
 }
 
 /// Whether replicas tell how many parts wait at them. Settings that say nothing of load reports are taken as
@@ -94,7 +108,10 @@
         return Ok(true);
     }
     let names = need(root, "telemetry.names", |v| {
-        v.as_array()?.iter().map(Value::as_str).collect::<Option<Vec<_>>>()
+        v.as_array()?
+            .iter()
+            .map(Value::as_str)
+            .collect::<Option<Vec<_>>>()
     })?;
     match need(root, "telemetry.source", Value::as_str)? {
         "none" => Ok(false),
@@ -105,13 +122,22 @@
 
 /// The things listed at a path; there may be no such list.
 fn listed<'a>(root: &'a Value, path: &str) -> &'a [Value] {
-    find(root, path).and_then(Value::as_array).map_or(&[], Vec::as_slice)
+    find(root, path)
+        .and_then(Value::as_array)
+        .map_or(&[], Vec::as_slice)
 }
 
 /// The names of the things listed at a path.
-fn names(root: &Value, path: &str, of: impl Fn(&Value) -> Option<&str>) -> Result<Vec<String>, String> {
-    let name =
-        |v| of(v).map(str::to_owned).ok_or_else(|| format!("settings: {path} has an entry with no name"));
+fn names(
+    root: &Value,
+    path: &str,
+    of: impl Fn(&Value) -> Option<&str>,
+) -> Result<Vec<String>, String> {
+    let name = |v| {
+        of(v)
+            .map(str::to_owned)
+            .ok_or_else(|| format!("settings: {path} has an entry with no name"))
+    };
     listed(root, path).iter().map(name).collect()
 }
 
@@ -133,7 +159,9 @@
     let further_calls = match find(root, "safety.repeat-ratio") {
         None => None,
         Some(_) => Some(FurtherCalls {
-            free: find(root, "safety.free-resends").and_then(Value::as_f64).unwrap_or(0.0),
+            free: find(root, "safety.free-resends")
+                .and_then(Value::as_f64)
+                .unwrap_or(0.0),
             share: number(root, "safety.repeat-ratio")?,
             window: time(root, "safety.budget-span-ms")?,
         }),
@@ -141,12 +169,18 @@
     Ok(Deployment {
         own_number: count(root, "me")?,
         co_ordinators: count(root, "balancers")?.max(1),
-        indexes: classes.iter().enumerate().map(|(i, c)| index(root, i, c)).collect::<Result<_, _>>()?,
+        indexes: classes
+            .iter()
+            .enumerate()
+            .map(|(i, c)| index(root, i, c))
+            .collect::<Result<_, _>>()?,
         customer_quotas: listed(root, "accounts")
             .iter()
             .map(|account| number(account, "quota-rps"))
             .collect::<Result<_, _>>()?,
-        over_share_gain: find(root, "over-share-worth").and_then(Value::as_f64).unwrap_or(1.0),
+        over_share_gain: find(root, "over-share-worth")
+            .and_then(Value::as_f64)
+            .unwrap_or(1.0),
         gain_by_work: find(root, "counted-by").and_then(Value::as_str) == Some("work"),
         layout: Layout {
             cells: count(root, "family-info.cells")?.max(1),
@@ -170,7 +204,9 @@
         },
         queue_told: queue_told(root)?,
         short_queues: false,
-        drain_grace: find(root, "safety.drain-grace-ms").and_then(Value::as_f64).map_or(0, tenths),
+        drain_grace: find(root, "safety.drain-grace-ms")
+            .and_then(Value::as_f64)
+            .map_or(0, tenths),
         further_calls,
         watch_roster: need(root, "membership-mode", Value::as_str)? == "on_request",
     })
--- a/crates/linenthread-terms/tests/settings.rs
+++ b/crates/linenthread-terms/tests/settings.rs
@@ -1,6 +1,8 @@
 //! What settings of the old shape give, and those of the new one.
 
-use linenthread_core::interface::{Allowance, ColdStart, Deployment, Effect, FurtherCalls, Index, Layout};
+use linenthread_core::interface::{
+    Allowance, ColdStart, Deployment, Effect, FurtherCalls, Index, Layout,
+};
 use linenthread_terms::deployment;
 use serde_json::{Value, json};
 
@@ -39,7 +41,10 @@
         customer_quotas: vec![7.5],
         over_share_gain: 0.2,
         gain_by_work: false,
-        layout: Layout { cells: 6, in_a_row: 2 },
+        layout: Layout {
+            cells: 6,
+            in_a_row: 2,
+        },
         allowance: Allowance {
             calls_a_part: 3,
             second_copies: true,
@@ -47,11 +52,20 @@
             probes: true,
             retry_advice: Some(4_000),
         },
-        cold: ColdStart { share: 0.3, warm_up: 60_000, multiple: 2.5, window: 8_000 },
+        cold: ColdStart {
+            share: 0.3,
+            warm_up: 60_000,
+            multiple: 2.5,
+            window: 8_000,
+        },
         queue_told: true,
         short_queues: false,
         drain_grace: 6_000,
-        further_calls: Some(FurtherCalls { free: 4.0, share: 0.1, window: 30_000 }),
+        further_calls: Some(FurtherCalls {
+            free: 4.0,
+            share: 0.1,
+            window: 30_000,
+        }),
         watch_roster: false,
     };
     assert_eq!(deployment(&old()), Ok(told.clone()));
@@ -69,9 +83,15 @@
         deployment(&settings).map(|d| d.queue_told)
     };
     assert_eq!(with(json!({"names": [], "source": "none"})), Ok(false));
-    assert_eq!(with(json!({"names": ["util"], "source": "answers"})), Ok(false));
+    assert_eq!(
+        with(json!({"names": ["util"], "source": "answers"})),
+        Ok(false)
+    );
     for (field, bad) in [
-        ("telemetry.source", json!({"names": [], "source": "perhaps"})),
+        (
+            "telemetry.source",
+            json!({"names": [], "source": "perhaps"}),
+        ),
         ("telemetry.source", json!({"names": []})),
         ("telemetry.names", json!({"names": [1], "source": "none"})),
     ] {
--- a/crates/linenthread-zones/src/decide.rs
+++ b/crates/linenthread-zones/src/decide.rs
@@ -61,12 +61,24 @@
     ///
     /// There is no such zone, or shards lie nowhere else: what asks for them would be refused.
     pub fn may_drain(&self, zone: &str, drained: &BTreeSet<String>) -> Result<(), String> {
-        let at = self.zones.iter().position(|z| z.name == zone).ok_or(format!("there is no zone {zone}"))?;
+        let at = self
+            .zones
+            .iter()
+            .position(|z| z.name == zone)
+            .ok_or(format!("there is no zone {zone}"))?;
         let left = |w: usize| w == at || drained.contains(&self.zones[w].name);
-        let only = |p: &&Pattern| !p.holders.iter().enumerate().any(|(w, n)| *n > 0 && !left(w));
+        let only = |p: &&Pattern| {
+            !p.holders
+                .iter()
+                .enumerate()
+                .any(|(w, n)| *n > 0 && !left(w))
+        };
         let alone: f64 = self.patterns.iter().filter(only).map(|p| p.share).sum();
         match alone > 0.0 {
-            true => Err(format!("{:.0}% of parts would have no replica left", (alone * 100.0).ceil())),
+            true => Err(format!(
+                "{:.0}% of parts would have no replica left",
+                (alone * 100.0).ceil()
+            )),
             false => Ok(()),
         }
     }
@@ -126,7 +138,13 @@
 
 impl Standing {
     fn new(state: State, now: Tenths) -> Standing {
-        Standing { state, against: 0, slow: 0, flaps: 0, sound_since: now }
+        Standing {
+            state,
+            against: 0,
+            slow: 0,
+            flaps: 0,
+            sound_since: now,
+        }
     }
 
     fn leave(&mut self, now: Tenths, terms: &Terms) {
@@ -146,13 +164,19 @@
             }
             State::Left { until } if now >= until => {
                 self.against = 0;
-                self.state = State::Returning { step: 0, until: now + terms.step };
+                self.state = State::Returning {
+                    step: 0,
+                    until: now + terms.step,
+                };
             }
             // Few keys go there now: what they meet is word enough.
             State::Returning { .. } if against => self.leave(now, terms),
             State::Returning { step, until } if now >= until => {
                 self.state = match step + 1 < STEPS.len() {
-                    true => State::Returning { step: step + 1, until: now + terms.step },
+                    true => State::Returning {
+                        step: step + 1,
+                        until: now + terms.step,
+                    },
                     false => {
                         self.sound_since = now;
                         State::Sound
@@ -186,17 +210,31 @@
         let before = before.filter(|t| t.zones == names && t.rows.len() == count);
         let rows = before.map_or_else(|| Table::sound(names).rows, |t| t.rows.clone());
         let again = |(share, reason): (u16, Reason)| {
-            let returning = |step| State::Returning { step, until: now + terms.step };
+            let returning = |step| State::Returning {
+                step,
+                until: now + terms.step,
+            };
             let state = match reason {
-                Reason::Down | Reason::Cut => State::Left { until: now + terms.hold },
+                Reason::Down | Reason::Cut => State::Left {
+                    until: now + terms.hold,
+                },
                 Reason::Drained => State::Drained,
-                Reason::Returning => {
-                    returning(STEPS.iter().position(|s| *s >= share).unwrap_or(STEPS.len() - 1))
-                }
+                Reason::Returning => returning(
+                    STEPS
+                        .iter()
+                        .position(|s| *s >= share)
+                        .unwrap_or(STEPS.len() - 1),
+                ),
                 Reason::Sound | Reason::Room | Reason::Slow => State::Sound,
             };
-            let flaps = u32::from(matches!(reason, Reason::Down | Reason::Cut | Reason::Returning));
-            Standing { flaps, ..Standing::new(state, now) }
+            let flaps = u32::from(matches!(
+                reason,
+                Reason::Down | Reason::Cut | Reason::Returning
+            ));
+            Standing {
+                flaps,
+                ..Standing::new(state, now)
+            }
         };
         let mut standings = vec![Standing::new(State::Sound, now); count];
         let mut pairs = BTreeMap::new();
@@ -250,7 +288,10 @@
             match (drained.contains(&zone.name), standing.state) {
                 (true, _) => standing.state = State::Drained,
                 (false, State::Drained) => {
-                    standing.state = State::Returning { step: 0, until: now + self.terms.step };
+                    standing.state = State::Returning {
+                        step: 0,
+                        until: now + self.terms.step,
+                    };
                 }
                 _ => {}
             }
@@ -274,15 +315,27 @@
     /// What stands, as a table.
     pub fn table(&self, from_ms: u64) -> Table {
         let zones = self.zones.iter().map(|z| z.name.clone()).collect();
-        Table { from_ms, zones, rows: self.rows.clone() }
+        Table {
+            from_ms,
+            zones,
+            rows: self.rows.clone(),
+        }
     }
 
     fn measure(&mut self, span: &Report, seconds: f64) {
         for zone in 0..self.zones.len() {
-            let asked = span.asked.get(&(zone as u8)).map_or(0.0, |(_, parts)| f64::from(*parts) / seconds);
+            let asked = span
+                .asked
+                .get(&(zone as u8))
+                .map_or(0.0, |(_, parts)| f64::from(*parts) / seconds);
             // Up at once, down slowly: some reports are lost, and what comes in bursts comes again.
             self.asked[zone] = asked.max(self.asked[zone] + SMOOTH * (asked - self.asked[zone]));
-            let to = || span.ways.iter().filter(|((_, w), _)| usize::from(*w) == zone).map(|(_, way)| way);
+            let to = || {
+                span.ways
+                    .iter()
+                    .filter(|((_, w), _)| usize::from(*w) == zone)
+                    .map(|(_, way)| way)
+            };
             let answered: f64 = to().map(|way| f64::from(way.answered)).sum();
             let time: f64 = to().map(|way| way.time_ms as f64).sum();
             if answered < 20.0 {
@@ -303,28 +356,52 @@
         let count = self.zones.len();
         // It takes most of a zone's observers: a few that see nothing are themselves what is cut off.
         let way = |from: usize, to: usize| {
-            let way = span.ways.get(&(from as u8, to as u8)).copied().unwrap_or_default();
-            (way, span.asked.get(&(from as u8)).map_or(0, |(observers, _)| *observers))
+            let way = span
+                .ways
+                .get(&(from as u8, to as u8))
+                .copied()
+                .unwrap_or_default();
+            (
+                way,
+                span.asked
+                    .get(&(from as u8))
+                    .map_or(0, |(observers, _)| *observers),
+            )
         };
         let bad = |(w, observers): (Way, u32)| most(w.down, w.voices) && most(w.down, observers);
         let good = |(w, _): (Way, u32)| w.voices > 0 && !most(w.down, w.voices);
         // A zone that reaches nothing well, itself neither, has no say on others: it is what is cut off.
         let blind = |f: usize| !(0..count).any(|to| good(way(f, to)));
         for to in 0..self.zones.len() {
-            let others = || (0..count).filter(|f| *f != to && !blind(*f)).map(|from| way(from, to));
-            let (against, with) =
-                (others().filter(|w| bad(*w)).count(), others().filter(|w| good(*w)).count());
+            let others = || {
+                (0..count)
+                    .filter(|f| *f != to && !blind(*f))
+                    .map(|from| way(from, to))
+            };
+            let (against, with) = (
+                others().filter(|w| bad(*w)).count(),
+                others().filter(|w| good(*w)).count(),
+            );
             let own = way(to, to);
             // Its own co-ordinators reach it: then it is not down, however many others can't.
             let down = !good(own) && (against > with || bad(own) && with == 0);
             let (slow, voices) = (0..count)
                 .map(|f| way(f, to).0)
                 .fold((0, 0), |(s, v), w| (s + w.slow, v + w.voices - w.down));
-            let Some(standing) = self.standings.get_mut(to) else { break };
+            let Some(standing) = self.standings.get_mut(to) else {
+                break;
+            };
             standing.go_on(now, down, &self.terms);
-            standing.slow = if most(slow, voices) { standing.slow + 1 } else { 0 };
-            if standing.slow >= AGAIN && matches!(standing.state, State::Sound | State::Slow { .. }) {
-                standing.state = State::Slow { until: now + self.terms.hold };
+            standing.slow = if most(slow, voices) {
+                standing.slow + 1
+            } else {
+                0
+            };
+            if standing.slow >= AGAIN && matches!(standing.state, State::Sound | State::Slow { .. })
+            {
+                standing.state = State::Slow {
+                    until: now + self.terms.hold,
+                };
             } else if matches!(standing.state, State::Slow { until } if now >= until) {
                 standing.state = State::Sound;
             }
@@ -335,7 +412,8 @@
                     let fresh = Standing::new(State::Sound, now);
                     let pair = self.pairs.entry((from, to)).or_insert(fresh);
                     pair.go_on(now, against, &self.terms);
-                    let forgotten = pair.state == State::Sound && pair.flaps == 0 && pair.against == 0;
+                    let forgotten =
+                        pair.state == State::Sound && pair.flaps == 0 && pair.against == 0;
                     if forgotten {
                         self.pairs.remove(&(from, to));
                     }
@@ -350,11 +428,13 @@
     /// that is not told; what is too much then each co-ordinator turns away by itself. For a zone that is slow, less
     /// by as much.
     fn room(&self, ground: &Ground, zone: usize) -> f64 {
-        let told = ground.zones[zone]
-            .room
-            .map_or(f64::INFINITY, |each| each * f64::from(ground.replicas[zone]) * self.terms.margin);
+        let told = ground.zones[zone].room.map_or(f64::INFINITY, |each| {
+            each * f64::from(ground.replicas[zone]) * self.terms.margin
+        });
         match self.standings[zone].state {
-            State::Slow { .. } => told * (self.usual[zone] / self.now_takes[zone].max(0.1)).clamp(0.1, 1.0),
+            State::Slow { .. } => {
+                told * (self.usual[zone] / self.now_takes[zone].max(0.1)).clamp(0.1, 1.0)
+            }
             _ => told,
         }
     }
@@ -378,9 +458,14 @@
                     (State::Sound, None) => (ALL, Reason::Sound),
                 }
             };
-            rows.push(Row { open: (0..count).map(cell).collect() });
+            rows.push(Row {
+                open: (0..count).map(cell).collect(),
+            });
         }
-        let troubled = rows.iter().flat_map(|r| &r.open).any(|(_, reason)| *reason != Reason::Sound);
+        let troubled = rows
+            .iter()
+            .flat_map(|r| &r.open)
+            .any(|(_, reason)| *reason != Reason::Sound);
         if troubled {
             let sound = Table::sound(vec![String::new(); count]).rows;
             let usual = loads(ground, &self.asked, &sound);
@@ -390,7 +475,11 @@
                     // What it bears when all is sound it bears now, unless it is slow.
                     let bears: f64 = usual.iter().map(|from| from[zone]).sum();
                     let slow = matches!(self.standings[zone].state, State::Slow { .. });
-                    if slow || ground.zones[zone].room.is_some() { room } else { room.max(bears) }
+                    if slow || ground.zones[zone].room.is_some() {
+                        room
+                    } else {
+                        room.max(bears)
+                    }
                 })
                 .collect();
             fit(ground, &self.asked, &room, &mut rows);
@@ -404,13 +493,18 @@
         self.openings += (now - self.refilled) as f64 / MINUTE as f64;
         self.openings = self.openings.min(MOST_OPENINGS);
         self.refilled = now;
-        let cells = || rows.iter().flat_map(|r| &r.open).zip(self.rows.iter().flat_map(|r| &r.open));
+        let cells = || {
+            rows.iter()
+                .flat_map(|r| &r.open)
+                .zip(self.rows.iter().flat_map(|r| &r.open))
+        };
         let differs = |a: u16, b: u16| {
             let (a, b) = (f64::from(a), f64::from(b));
             (a - b).abs() > WORTH * a.max(b)
         };
         let closes = cells().any(|(new, old)| new.0 < old.0 && differs(new.0, old.0));
-        let opens = cells().any(|(new, old)| new.0 > old.0 && (new.0 == ALL || differs(new.0, old.0)));
+        let opens =
+            cells().any(|(new, old)| new.0 > old.0 && (new.0 == ALL || differs(new.0, old.0)));
         let states = cells().any(|(new, old)| new.1 != old.1);
         // Room that comes and goes is followed upwards no faster than a zone returns.
         let only_room = !states;
@@ -425,8 +519,10 @@
             return false;
         }
         // What closes is closed; what would open stays as it is.
-        for (new, old) in
-            rows.iter().flat_map(|r| &r.open).zip(self.rows.iter_mut().flat_map(|r| &mut r.open))
+        for (new, old) in rows
+            .iter()
+            .flat_map(|r| &r.open)
+            .zip(self.rows.iter_mut().flat_map(|r| &mut r.open))
         {
             if new.0 <= old.0 {
                 *old = *new;
--- a/crates/linenthread-zones/src/report.rs
+++ b/crates/linenthread-zones/src/report.rs
@@ -55,7 +55,10 @@
     pub fn add(&mut self, other: &Report) {
         for (zone, (observers, parts)) in &other.asked {
             let sum = self.asked.entry(*zone).or_default();
-            *sum = (sum.0.saturating_add(*observers).min(MOST_VOICES), sum.1.saturating_add(*parts));
+            *sum = (
+                sum.0.saturating_add(*observers).min(MOST_VOICES),
+                sum.1.saturating_add(*parts),
+            );
         }
         for (at, way) in &other.ways {
             let sum = self.ways.entry(*at).or_default();
@@ -79,7 +82,9 @@
         put.u16(self.ways.len() as u16);
         for ((from, to), way) in &self.ways {
             put.0.extend([*from, *to]);
-            [way.voices, way.down, way.slow, way.ended, way.answered].into_iter().for_each(|n| put.u32(n));
+            [way.voices, way.down, way.slow, way.ended, way.answered]
+                .into_iter()
+                .for_each(|n| put.u32(n));
             put.u64(way.time_ms);
         }
         put.0
@@ -93,7 +98,9 @@
         let mut report = Report::default();
         let zone = |take: &mut Take| {
             let zone = take.u8()?;
-            (usize::from(zone) < MOST_ZONES).then_some(zone).ok_or_else(|| format!("there is no zone {zone}"))
+            (usize::from(zone) < MOST_ZONES)
+                .then_some(zone)
+                .ok_or_else(|| format!("there is no zone {zone}"))
         };
         for _ in 0..take.u16()? {
             let at = zone(&mut take)?;
@@ -157,16 +164,24 @@
     /// A part call to a replica of a zone has ended. What was given up from here, or turned away by a full replica,
     /// says nothing of whether the zone can be reached.
     pub fn ended(&mut self, zone: u8, replica: usize, ending: Ending, took: Tenths) {
-        let usual_ms = if self.usual.1 > 0.0 { self.usual.0 / self.usual.1 } else { f64::INFINITY };
+        let usual_ms = if self.usual.1 > 0.0 {
+            self.usual.0 / self.usual.1
+        } else {
+            f64::INFINITY
+        };
         // One that was given up since another was quicker says nothing, unless it had been silent for long: that is
         // how a way on which nothing comes through is met.
         let silent = ending == Ending::Withdrawn && took as f64 / 10.0 > SILENT * usual_ms.max(1.0);
-        if matches!(ending, Ending::Withdrawn | Ending::Unsent | Ending::TurnedAway) && !silent
+        if matches!(
+            ending,
+            Ending::Withdrawn | Ending::Unsent | Ending::TurnedAway
+        ) && !silent
             || usize::from(zone) >= MOST_ZONES
         {
             return;
         }
-        self.last.insert((zone, replica), (ending == Ending::Answered, self.reports));
+        self.last
+            .insert((zone, replica), (ending == Ending::Answered, self.reports));
         let way = self.ways.entry(zone).or_default();
         way.ended = way.ended.saturating_add(1);
         if ending == Ending::Answered {
@@ -182,7 +197,11 @@
 
     /// What was seen since the last report; `replicas` are those of each zone that take parts.
     pub fn report(&mut self, replicas: &[u32]) -> Report {
-        let usual = if self.usual.1 > 0.0 { self.usual.0 / self.usual.1 } else { f64::INFINITY };
+        let usual = if self.usual.1 > 0.0 {
+            self.usual.0 / self.usual.1
+        } else {
+            f64::INFINITY
+        };
         let ways = std::mem::take(&mut self.ways);
         for way in ways.values() {
             self.usual.0 = self.usual.0 * KEEP + way.time_ms as f64;
@@ -196,7 +215,8 @@
         }
         let mut judged = BTreeMap::new();
         self.reports += 1;
-        self.last.retain(|_, (_, report)| *report + FRESH > self.reports);
+        self.last
+            .retain(|_, (_, report)| *report + FRESH > self.reports);
         for to in self.last.keys().map(|(zone, _)| *zone) {
             self.late.entry(to).or_default();
         }
@@ -204,17 +224,26 @@
             let way = ways.get(to).copied().unwrap_or_default();
             // Most of its replicas were tried, and none of them answers any more.
             let tried = self.last.iter().filter(|((zone, _), _)| zone == to);
-            let (tried, failed) = tried.fold((0, 0), |(t, f), (_, ok)| (t + 1, f + u32::from(!ok.0)));
-            let none =
-                failed == tried && 2 * tried > replicas.get(usize::from(*to)).copied().unwrap_or(u32::MAX);
+            let (tried, failed) =
+                tried.fold((0, 0), |(t, f), (_, ok)| (t + 1, f + u32::from(!ok.0)));
+            let none = failed == tried
+                && 2 * tried > replicas.get(usize::from(*to)).copied().unwrap_or(u32::MAX);
             let down = none || 1.0 - late.1 / late.0.max(1.0) >= DOWN;
             let slow = !down && late.1 > 0.0 && late.2 / late.1 > SLOW * usual.max(1.0);
             let voices = u32::from(none || late.0 >= FEW);
-            let way = Way { voices, down: voices * u32::from(down), slow: voices * u32::from(slow), ..way };
+            let way = Way {
+                voices,
+                down: voices * u32::from(down),
+                slow: voices * u32::from(slow),
+                ..way
+            };
             judged.insert((self.own, *to), way);
             *late = (late.0 * LATE, late.1 * LATE, late.2 * LATE);
         }
         self.late.retain(|_, late| late.0 > 0.1);
-        Report { asked: BTreeMap::from([(self.own, (1, std::mem::take(&mut self.asked)))]), ways: judged }
+        Report {
+            asked: BTreeMap::from([(self.own, (1, std::mem::take(&mut self.asked)))]),
+            ways: judged,
+        }
     }
 }
--- a/crates/linenthread-zones/src/solve.rs
+++ b/crates/linenthread-zones/src/solve.rs
@@ -13,7 +13,10 @@
 
 /// How near a zone is to another: itself, its region, elsewhere.
 pub(crate) fn nearness(ground: &Ground, from: usize, to: usize) -> u8 {
-    match (from == to, ground.zones[from].region == ground.zones[to].region) {
+    match (
+        from == to,
+        ground.zones[from].region == ground.zones[to].region,
+    ) {
         (true, _) => 0,
         (_, true) => 1,
         _ => 2,
@@ -30,7 +33,9 @@
         let mut left = pattern.share;
         for near in 0..3 {
             let there: Vec<usize> = (0..count)
-                .filter(|&w| pattern.holders[w] > 0 && nearness(ground, from, w) == near && row.open[w].0 > 0)
+                .filter(|&w| {
+                    pattern.holders[w] > 0 && nearness(ground, from, w) == near && row.open[w].0 > 0
+                })
                 .collect();
             let mut passed = 0.0;
             // Every way in which those can be open or closed to a key.
@@ -59,7 +64,12 @@
 
 /// Parts a second that go to each zone from each, by the rows of a table: `[from][to]`.
 pub fn loads(ground: &Ground, asked: &[f64], rows: &[Row]) -> Vec<Vec<f64>> {
-    let one = |from: usize| spread(ground, from, &rows[from]).into_iter().map(|s| s * asked[from]).collect();
+    let one = |from: usize| {
+        spread(ground, from, &rows[from])
+            .into_iter()
+            .map(|s| s * asked[from])
+            .collect()
+    };
     (0..ground.zones.len()).map(one).collect()
 }
 
@@ -87,11 +97,18 @@
                 let less = (f64::from(*share) * keeps) as u16;
                 if keeps < 1.0 && *share > 0 {
                     *share = less.min(*share - 1);
-                    *reason = if *reason == Reason::Sound { Reason::Room } else { *reason };
+                    *reason = if *reason == Reason::Sound {
+                        Reason::Room
+                    } else {
+                        *reason
+                    };
                 }
             }
             if round == 62 {
-                rows.iter_mut().enumerate().filter(|(f, _)| *f != to).for_each(|(_, r)| r.open[to].0 = 0);
+                rows.iter_mut()
+                    .enumerate()
+                    .filter(|(f, _)| *f != to)
+                    .for_each(|(_, r)| r.open[to].0 = 0);
             }
         }
         if !over {
--- a/crates/linenthread-zones/src/table.rs
+++ b/crates/linenthread-zones/src/table.rs
@@ -51,8 +51,14 @@
 impl Table {
     /// All ways open.
     pub fn sound(zones: Vec<String>) -> Table {
-        let row = Row { open: vec![(ALL, Reason::Sound); zones.len()] };
-        Table { from_ms: 0, rows: vec![row; zones.len()], zones }
+        let row = Row {
+            open: vec![(ALL, Reason::Sound); zones.len()],
+        };
+        Table {
+            from_ms: 0,
+            rows: vec![row; zones.len()],
+            zones,
+        }
     }
 
     pub fn encode(&self) -> Vec<u8> {
@@ -62,7 +68,8 @@
         self.zones.iter().for_each(|name| put.text(name));
         for (share, reason) in self.rows.iter().flat_map(|row| &row.open) {
             put.u16(*share);
-            put.0.push(REASONS.iter().position(|r| r == reason).unwrap_or_default() as u8);
+            put.0
+                .push(REASONS.iter().position(|r| r == reason).unwrap_or_default() as u8);
         }
         put.0
     }
@@ -77,14 +84,18 @@
         if count > MOST_ZONES {
             return Err(format!("{count} zones are too many"));
         }
-        let zones = (0..count).map(|_| take.text()).collect::<Res<Vec<String>>>()?;
+        let zones = (0..count)
+            .map(|_| take.text())
+            .collect::<Res<Vec<String>>>()?;
         let mut rows = Vec::with_capacity(count);
         for _ in 0..count {
             let mut open = Vec::with_capacity(count);
             for _ in 0..count {
                 let share = take.u16()?;
                 let reason = usize::from(take.u8()?);
-                let reason = REASONS.get(reason).ok_or_else(|| format!("no reason is {reason}"))?;
+                let reason = REASONS
+                    .get(reason)
+                    .ok_or_else(|| format!("no reason is {reason}"))?;
                 if share > ALL {
                     return Err(format!("{share} of {ALL} keys are too many"));
                 }
@@ -93,12 +104,22 @@
             rows.push(Row { open });
         }
         take.end()?;
-        Ok(Table { from_ms, zones, rows })
+        Ok(Table {
+            from_ms,
+            zones,
+            rows,
+        })
     }
 
     /// Whether it sends keys elsewhere than another does.
     pub fn moves(&self, other: &Table) -> bool {
-        let shares = |t: &Table| t.rows.iter().flat_map(|r| &r.open).map(|(s, _)| *s).collect::<Vec<_>>();
+        let shares = |t: &Table| {
+            t.rows
+                .iter()
+                .flat_map(|r| &r.open)
+                .map(|(s, _)| *s)
+                .collect::<Vec<_>>()
+        };
         self.zones != other.zones || shares(self) != shares(other)
     }
 }
