--- a/crates/linenthread-adapter/src/frame.rs
+++ b/crates/linenthread-adapter/src/frame.rs
@@ -3,20 +3,20 @@
 use std::io::{self, Read};
 
 /// Reads fields off a frame; running out is an error that names the field.
-pub struct Fields<'a> {
+pub(crate) struct Fields<'a> {
     rest: &'a [u8],
 }
 
 impl<'a> Fields<'a> {
-    pub fn new(bytes: &'a [u8]) -> Self {
+    pub(crate) fn new(bytes: &'a [u8]) -> Self {
         Fields { rest: bytes }
     }
 
-    pub fn is_empty(&self) -> bool {
+    pub(crate) fn is_empty(&self) -> bool {
         self.rest.is_empty()
     }
 
-    pub fn bytes(&mut self, n: usize, field: &str) -> Result<&'a [u8], String> {
+    pub(crate) fn bytes(&mut self, n: usize, field: &str) -> Result<&'a [u8], String> {
         let (head, tail) = self.rest.split_at_checked(n).ok_or_else(|| {
             format!(
                 "truncated frame: {field} needs {n} bytes, {} left",
@@ -31,23 +31,23 @@
         Ok(self.bytes(N, field)?.try_into().expect("split to length"))
     }
 
-    pub fn u8(&mut self, field: &str) -> Result<u8, String> {
+    pub(crate) fn u8(&mut self, field: &str) -> Result<u8, String> {
         Ok(self.array::<1>(field)?[0])
     }
 
-    pub fn u16(&mut self, field: &str) -> Result<u16, String> {
+    pub(crate) fn u16(&mut self, field: &str) -> Result<u16, String> {
         Ok(u16::from_be_bytes(self.array(field)?))
     }
 
-    pub fn u32(&mut self, field: &str) -> Result<u32, String> {
+    pub(crate) fn u32(&mut self, field: &str) -> Result<u32, String> {
         Ok(u32::from_be_bytes(self.array(field)?))
     }
 
-    pub fn u64(&mut self, field: &str) -> Result<u64, String> {
+    pub(crate) fn u64(&mut self, field: &str) -> Result<u64, String> {
         Ok(u64::from_be_bytes(self.array(field)?))
     }
 
-    pub fn f32(&mut self, field: &str) -> Result<f32, String> {
+    pub(crate) fn f32(&mut self, field: &str) -> Result<f32, String> {
         let value = f32::from_be_bytes(self.array(field)?);
         if value.is_finite() {
             Ok(value)
@@ -56,7 +56,7 @@
         }
     }
 
-    pub fn f64(&mut self, field: &str) -> Result<f64, String> {
+    pub(crate) fn f64(&mut self, field: &str) -> Result<f64, String> {
         let value = f64::from_be_bytes(self.array(field)?);
         if value.is_finite() {
             Ok(value)
@@ -67,37 +67,37 @@
 }
 
 /// A reply frame under way; the header is filled in at the end.
-pub struct Reply {
+pub(crate) struct Reply {
     bytes: Vec<u8>,
     records: u32,
 }
 
 impl Reply {
-    pub fn new() -> Self {
+    pub(crate) fn new() -> Self {
         Reply {
             bytes: vec![0; 8],
             records: 0,
         }
     }
 
-    pub fn record(&mut self, code: u8, who: u32) -> &mut Self {
+    pub(crate) fn record(&mut self, code: u8, who: u32) -> &mut Self {
         self.records += 1;
         self.bytes.push(code);
         self.put(&who.to_be_bytes())
     }
 
-    pub fn put(&mut self, field: &[u8]) -> &mut Self {
+    pub(crate) fn put(&mut self, field: &[u8]) -> &mut Self {
         self.bytes.extend_from_slice(field);
         self
     }
 
     /// A text with its length before it, cut to what the length can say.
-    pub fn put_text(&mut self, text: &str) -> &mut Self {
+    pub(crate) fn put_text(&mut self, text: &str) -> &mut Self {
         let bytes = &text.as_bytes()[..text.len().min(usize::from(u16::MAX))];
         self.put(&(bytes.len() as u16).to_be_bytes()).put(bytes)
     }
 
-    pub fn finish(mut self) -> Vec<u8> {
+    pub(crate) fn finish(mut self) -> Vec<u8> {
         let length = self.bytes.len() as u32;
         self.bytes[..4].copy_from_slice(&length.to_be_bytes());
         self.bytes[4..8].copy_from_slice(&self.records.to_be_bytes());
@@ -106,7 +106,7 @@
 }
 
 /// The next frame without its length, or `None` where the input ends between frames.
-pub fn read_frame(input: &mut impl Read) -> Result<Option<Vec<u8>>, String> {
+pub(crate) fn read_frame(input: &mut impl Read) -> Result<Option<Vec<u8>>, String> {
     let mut length = [0; 4];
     let mut got = 0;
     while got < 4 {
--- a/crates/linenthread-adapter/src/host.rs
+++ b/crates/linenthread-adapter/src/host.rs
@@ -56,15 +56,12 @@
             number,
             parts: Vec::new(),
         };
-        let lookup = match self.free.pop() {
-            Some(free) => {
-                self.lookups[free] = ids;
-                free
-            }
-            None => {
-                self.lookups.push(ids);
-                self.lookups.len() - 1
-            }
+        let lookup = if let Some(free) = self.free.pop() {
+            self.lookups[free] = ids;
+            free
+        } else {
+            self.lookups.push(ids);
+            self.lookups.len() - 1
         };
         self.by_number.insert(number, lookup);
         self.by_id.insert(id, (lookup, None));
@@ -209,7 +206,7 @@
 
 /// All instances of one process, and the lists that they share.
 #[derive(Default)]
-pub struct Host {
+pub(crate) struct Host {
     lists: HashMap<u16, Vec<Entry>>,
     /// In order of number, so that replies come out the same whatever else the process hosts.
     instances: BTreeMap<u32, Instance>,
@@ -219,7 +216,7 @@
 
 impl Host {
     /// Takes one frame (without its length) and makes the reply to it.
-    pub fn batch(&mut self, frame: &[u8]) -> Result<Vec<u8>, String> {
+    pub(crate) fn batch(&mut self, frame: &[u8]) -> Result<Vec<u8>, String> {
         let mut f = Fields::new(frame);
         let now = tenths(f.f64("clock")?);
         self.touched.clear();
@@ -241,7 +238,7 @@
             };
             let (coordinator, arrivals) = (&mut instance.coordinator, &instance.arrivals);
             if let Err(cause) = catch_unwind(AssertUnwindSafe(|| {
-                coordinator.round(arrivals, &mut encoder)
+                coordinator.round(arrivals, &mut encoder);
             })) {
                 let text = match (cause.downcast_ref::<String>(), cause.downcast_ref::<&str>()) {
                     (Some(text), _) => text.as_str(),
--- a/crates/linenthread-checker/src/lease.rs
+++ b/crates/linenthread-checker/src/lease.rs
@@ -134,7 +134,7 @@
                     .insert((from, to, Message::Vote { epoch, asked, yes }));
             }
             Message::Vote { epoch, asked, yes } => {
-                self.on_vote(to, from, &LeaseVote { epoch, asked, yes })
+                self.on_vote(to, from, &LeaseVote { epoch, asked, yes });
             }
             Message::Release { epoch, life } => {
                 self.leases[to].on_release(from as u64, &LeaseRelease { epoch, life });
--- a/crates/linenthread-checker/src/lib.rs
+++ b/crates/linenthread-checker/src/lib.rs
@@ -14,6 +14,10 @@
 //! A message in flight may be delivered at any time or never, which covers loss and any order. Time is abstract: a
 //! tick of a node moves its clock past each time-out. A set of 128-bit fingerprints stands for the states that were
 //! seen.
+#![expect(
+    missing_docs,
+    reason = "public items of this package are not all documented yet"
+)]
 
 mod fingerprint;
 mod instance;
--- a/crates/linenthread-checker/src/step.rs
+++ b/crates/linenthread-checker/src/step.rs
@@ -135,15 +135,13 @@
         };
         let mut effects = Vec::new();
         let node = self.node(place);
-        match change {
-            Some(change) => node
-                .register
-                .propose(node.now, job, change, NEVER, &mut effects),
-            None => {
-                node.register.read(node.now, job, NEVER, &mut effects);
-                let told = self.history().told;
-                self.change_history(|history| _ = history.read_floors.insert(job, told));
-            }
+        if let Some(change) = change {
+            node.register
+                .propose(node.now, job, change, NEVER, &mut effects);
+        } else {
+            node.register.read(node.now, job, NEVER, &mut effects);
+            let told = self.history().told;
+            self.change_history(|history| _ = history.read_floors.insert(job, told));
         }
         self.carry_out(place, effects);
         place
@@ -265,7 +263,7 @@
         {
             let key = (record.number, accepted.ballot);
             self.change_history(|history| {
-                _ = history.accepted_by.entry(key).or_default().insert(id)
+                _ = history.accepted_by.entry(key).or_default().insert(id);
             });
         }
         self.node(place).disk.add(record);
@@ -296,7 +294,7 @@
         let call = self.instance.calls[job as usize].1;
         match (outcome, call.order()) {
             (Outcome::Taken(_), Some((order, _))) => {
-                self.change_history(|history| acknowledge(history, order))
+                self.change_history(|history| acknowledge(history, order));
             }
             (Outcome::Conflict(_), Some((order, _)))
                 if !self.history().refused.contains(&order) =>
@@ -304,7 +302,7 @@
                 self.change_history(|history| history.refused.push(order));
             }
             (Outcome::Newest(value), _) => {
-                self.change_history(|history| answer_read(history, job, value))
+                self.change_history(|history| answer_read(history, job, value));
             }
             _ => {}
         }
--- a/crates/linenthread-ci/src/lib.rs
+++ b/crates/linenthread-ci/src/lib.rs
@@ -2,6 +2,10 @@
 //!
 //! Those tests must fail and all others must pass. What cannot be read with certainty (a test program that ended
 //! without its summary, a summary that does not agree with the lines before it) fails the check as well.
+#![expect(
+    missing_docs,
+    reason = "public items of this package are not all documented yet"
+)]
 
 mod judge;
 mod known;
--- a/crates/linenthread-config/src/lib.rs
+++ b/crates/linenthread-config/src/lib.rs
@@ -1,6 +1,10 @@
 //! What the system is told: the settings file of each process, and the operator's configuration. Both are
 //! held to a schema file that stands beside the code, then to what no schema says, and each fault names its
 //! place.
+#![expect(
+    missing_docs,
+    reason = "public items of this package are not all documented yet"
+)]
 
 mod configuration;
 mod settings;
--- a/crates/linenthread-config/tests/told.rs
+++ b/crates/linenthread-config/tests/told.rs
@@ -128,7 +128,12 @@
         Configuration::judge(configuration(&route("h", "/", shares)).as_bytes()).unwrap(),
     );
     let target = &plan.routes[0].target;
-    let drawn = |n: f64| target.drawn(n).map(|s| s.to_string()).unwrap();
+    let drawn = |n: f64| {
+        target
+            .drawn(n)
+            .map(std::string::ToString::to_string)
+            .unwrap()
+    };
     assert_eq!(
         [drawn(0.0), drawn(0.249), drawn(0.25), drawn(0.999)],
         ["s1", "s1", "s3", "s3"]
--- a/crates/linenthread-consensus/src/lib.rs
+++ b/crates/linenthread-consensus/src/lib.rs
@@ -20,6 +20,10 @@
 //! Named rules: *one-value-a-number*, *an-empty-disk-is-nobody*, *no-ack-before-half-the-disks*,
 //! *reads-are-newest*, *nothing-goes-back*, *one-holder-an-epoch* (`docs/system-design.md`); *one-a-base*,
 //! *acked-lasts*, *never-refused-when-taken* (`docs/control-orders.md`).
+#![expect(
+    missing_docs,
+    reason = "public items of this package are not all documented yet"
+)]
 
 mod acceptor;
 mod decided_state;
--- a/crates/linenthread-consensus/src/reader.rs
+++ b/crates/linenthread-consensus/src/reader.rs
@@ -94,7 +94,7 @@
                 question.send(decided, effects);
             }
             None if !self.waiting.is_empty() && now >= self.ask_from => {
-                self.begin(now, decided, effects)
+                self.begin(now, decided, effects);
             }
             _ => {}
         }
--- a/crates/linenthread-consensus/src/register.rs
+++ b/crates/linenthread-consensus/src/register.rs
@@ -185,20 +185,20 @@
             PeerMessage::Accept(request) => self.on_accept(from, request, effects),
             PeerMessage::Promise(promise) => self.on_promise(now, from, promise, effects),
             PeerMessage::AcceptAck(acknowledgement) => {
-                self.on_accept_ack(now, from, &acknowledgement, effects)
+                self.on_accept_ack(now, from, &acknowledgement, effects);
             }
             PeerMessage::Rejected(rejected) => self.on_rejected(now, &rejected),
             PeerMessage::CatchUpRequest(request) => {
-                self.on_catch_up_request(from, &request, effects)
+                self.on_catch_up_request(from, &request, effects);
             }
             PeerMessage::Decided(value) => {
-                self.adopt(now, value, LearnedFrom::AnotherNode, effects)
+                self.adopt(now, value, LearnedFrom::AnotherNode, effects);
             }
             PeerMessage::ReadRequest(request) => self.on_read_request(from, &request, effects),
             PeerMessage::ReadReply(reply) => self.on_read_reply(now, from, &reply, effects),
             PeerMessage::LedgerRequest(request) => self.on_ledger_request(from, &request, effects),
             PeerMessage::LedgerEntries(entries) => {
-                self.on_ledger_entries(now, from, entries, effects)
+                self.on_ledger_entries(now, from, entries, effects);
             }
             PeerMessage::Synced(synced) if from == self.id => self.on_synced(&synced),
             _ => {}
--- a/crates/linenthread-consensus/tests/common/mod.rs
+++ b/crates/linenthread-consensus/tests/common/mod.rs
@@ -29,7 +29,7 @@
 }
 
 /// Nodes 1 to n; messages and syncs happen at once, unless they are lost or a disk is stalled.
-pub struct Cluster {
+pub(crate) struct Cluster {
     nodes: Vec<Node>,
     now: u64,
     jobs: Job,
@@ -40,7 +40,7 @@
 }
 
 /// An order whose document is this text.
-pub fn order(base: u64, revision: u64, document: &str) -> Change {
+pub(crate) fn order(base: u64, revision: u64, document: &str) -> Change {
     Change::Document {
         base,
         revision,
@@ -57,7 +57,7 @@
 }
 
 impl Cluster {
-    pub fn new(size: u64) -> Cluster {
+    pub(crate) fn new(size: u64) -> Cluster {
         let voters: Vec<Voter> = (1..=size)
             .map(|at| Voter {
                 id: at,
@@ -97,32 +97,32 @@
         }
     }
 
-    pub fn register(&self, at: u64) -> &Register {
+    pub(crate) fn register(&self, at: u64) -> &Register {
         &self.nodes[at as usize - 1].register
     }
 
-    pub fn outcome(&self, job: Job) -> Option<Outcome> {
+    pub(crate) fn outcome(&self, job: Job) -> Option<Outcome> {
         self.outcomes.get(&job).cloned()
     }
 
     /// From now on messages are lost by this rule of sender, receiver and message.
-    pub fn lose(&mut self, lost: impl Fn(u64, u64, &PeerMessage) -> bool + 'static) {
+    pub(crate) fn lose(&mut self, lost: impl Fn(u64, u64, &PeerMessage) -> bool + 'static) {
         self.lost = Box::new(lost);
     }
 
-    pub fn cut_off(&mut self, nodes: &[u64]) {
+    pub(crate) fn cut_off(&mut self, nodes: &[u64]) {
         nodes.iter().for_each(|at| self.node(*at).cut_off = true);
     }
 
-    pub fn heal(&mut self) {
+    pub(crate) fn heal(&mut self) {
         self.nodes.iter_mut().for_each(|node| node.cut_off = false);
     }
 
-    pub fn count_messages(&mut self) {
+    pub(crate) fn count_messages(&mut self) {
         self.sent.clear();
     }
 
-    pub fn counted(&self, of: impl Fn(&PeerMessage) -> bool) -> usize {
+    pub(crate) fn counted(&self, of: impl Fn(&PeerMessage) -> bool) -> usize {
         self.sent.iter().filter(|message| of(message)).count()
     }
 
@@ -131,15 +131,15 @@
     }
 
     /// Begins a call; its outcome comes under this job.
-    pub fn start_order(&mut self, at: u64, job: Job, change: Change) {
+    pub(crate) fn start_order(&mut self, at: u64, job: Job, change: Change) {
         let until = self.now + CALL;
         self.drive(at, |register, now, effects| {
-            register.propose(now, job, change, until, effects)
+            register.propose(now, job, change, until, effects);
         });
     }
 
     /// A call to its end.
-    pub fn order(&mut self, at: u64, change: Change) -> Outcome {
+    pub(crate) fn order(&mut self, at: u64, change: Change) -> Outcome {
         self.jobs += 1;
         let job = self.jobs;
         self.start_order(at, job, change);
@@ -155,25 +155,25 @@
     }
 
     /// Orders in a row, each on the one before it.
-    pub fn take_orders(&mut self, at: u64, revisions: std::ops::RangeInclusive<u64>) {
+    pub(crate) fn take_orders(&mut self, at: u64, revisions: std::ops::RangeInclusive<u64>) {
         for revision in revisions {
             let change = order(revision - 1, revision, &revision.to_string());
             assert_eq!(self.order(at, change), Outcome::Taken(revision));
         }
     }
 
-    pub fn pass_time(&mut self, time: u64) {
+    pub(crate) fn pass_time(&mut self, time: u64) {
         let end = self.now + time;
         while self.now < end {
             self.now += STEP;
             for at in 1..=self.nodes.len() as u64 {
-                self.drive(at, |register, now, effects| register.tick(now, effects));
+                self.drive(at, linenthread_consensus::Register::tick);
             }
         }
     }
 
     /// What was not synced is gone.
-    pub fn restart(&mut self, at: u64) {
+    pub(crate) fn restart(&mut self, at: u64) {
         let node = self.node(at);
         node.lives += 1;
         node.unsynced.clear();
@@ -182,12 +182,12 @@
         node.register = Register::new(node.id, kept, None, life(node.id, node.lives));
     }
 
-    pub fn restart_all(&mut self) {
+    pub(crate) fn restart_all(&mut self) {
         (1..=self.nodes.len() as u64).for_each(|at| self.restart(at));
     }
 
     /// The disk is lost, an empty one learns what is decided, then another node makes it count in its place.
-    pub fn replace_disk(&mut self, at: u64) {
+    pub(crate) fn replace_disk(&mut self, at: u64) {
         let other = at % self.nodes.len() as u64 + 1;
         let node = self.node(at);
         let old = node.id;
@@ -216,17 +216,17 @@
     }
 
     /// From now on nothing is synced at this node, until [`Cluster::sync_disk`].
-    pub fn stall_disk(&mut self, at: u64) {
+    pub(crate) fn stall_disk(&mut self, at: u64) {
         self.node(at).stalled = true;
     }
 
-    pub fn sync_disk(&mut self, at: u64) {
+    pub(crate) fn sync_disk(&mut self, at: u64) {
         self.node(at).stalled = false;
         self.settle();
     }
 
     /// The disk was behind: records that wait for it are dropped, and what waits on them.
-    pub fn drop_unsynced(&mut self, at: u64) {
+    pub(crate) fn drop_unsynced(&mut self, at: u64) {
         self.node(at).unsynced.clear();
     }
 
--- a/crates/linenthread-control/src/budget.rs
+++ b/crates/linenthread-control/src/budget.rs
@@ -1,7 +1,7 @@
 use std::collections::BTreeMap;
 
 /// A share is given for so long, counted by its holder from when it asked.
-pub const LEASE: u64 = 5_000;
+pub(crate) const LEASE: u64 = 5_000;
 
 #[derive(Default)]
 struct Holder {
--- a/crates/linenthread-control/src/lib.rs
+++ b/crates/linenthread-control/src/lib.rs
@@ -13,6 +13,10 @@
 //! (routing), `contact` (what may be said without a majority,
 //! or after a freeze), `replica_calls`, `configuration` (orders, reads, updates of fronts), `leader` (the
 //! lease), `voters` (who votes, leaving) by the pure decisions of [`reconfiguration`].
+#![expect(
+    missing_docs,
+    reason = "public items of this package are not all documented yet"
+)]
 
 mod allotments;
 mod budget;
--- a/crates/linenthread-control/src/node.rs
+++ b/crates/linenthread-control/src/node.rs
@@ -215,7 +215,7 @@
             PeerMessage::LeaseVote(vote) => self.on_lease_vote(now, own, &vote, effects),
             PeerMessage::LeaseRelease(release) => drop(self.lease.on_release(own, &release)),
             PeerMessage::Durable(durable) => {
-                self.durable.epoch = self.durable.epoch.max(durable.epoch)
+                self.durable.epoch = self.durable.epoch.max(durable.epoch);
             }
             message => self.register.on_message(now, own, message, agreed),
         }
--- a/crates/linenthread-control/src/reconfiguration.rs
+++ b/crates/linenthread-control/src/reconfiguration.rs
@@ -90,7 +90,7 @@
         Some(standby) => next[outgoing] = standby.clone(),
         None if state.lost && next.len() > view.least => drop(next.remove(outgoing)),
         None if takes_leaver_off(next.len(), view.leaving(), view.least) => {
-            drop(next.remove(outgoing))
+            drop(next.remove(outgoing));
         }
         None => return None,
     }
--- a/crates/linenthread-control/src/sessions.rs
+++ b/crates/linenthread-control/src/sessions.rs
@@ -128,13 +128,13 @@
         match message {
             PeerMessage::Heartbeat(heartbeat) => self.on_heartbeat(now, link, &heartbeat, effects),
             PeerMessage::ControlUpdate(update) => {
-                self.on_control_update(now, link, update, effects)
+                self.on_control_update(now, link, update, effects);
             }
             PeerMessage::Durable(durable) => self.on_durable(now, link, &durable),
             PeerMessage::Heard(receipt) => self.on_receipt(now, disk, &receipt, effects),
             PeerMessage::Allotments(allotments) => self.pass_allotments(allotments, effects),
             PeerMessage::LeaseRequest(request) => {
-                self.on_lease_request(now, disk, &request, effects)
+                self.on_lease_request(now, disk, &request, effects);
             }
             PeerMessage::LeaseRelease(release) => self.on_lease_release(disk, &release),
             PeerMessage::LeaseVote(vote) => self.on_lease_vote(now, disk, &vote, effects),
--- a/crates/linenthread-control/tests/nodes/cluster.rs
+++ b/crates/linenthread-control/tests/nodes/cluster.rs
@@ -31,7 +31,7 @@
 }
 
 #[derive(Default)]
-pub struct Node {
+pub(crate) struct Node {
     pub control: Option<Control>,
     address: String,
     life: u64,
@@ -44,7 +44,7 @@
     pub notes: Vec<String>,
 }
 
-pub struct Cluster {
+pub(crate) struct Cluster {
     pub now: u64,
     pub nodes: Vec<Node>,
     genesis: Value,
@@ -56,13 +56,13 @@
     least: usize,
 }
 
-pub fn address(n: usize) -> String {
+pub(crate) fn address(n: usize) -> String {
     format!("10.0.0.{n}:80")
 }
 
 impl Cluster {
     /// So many nodes, the first `voters` of which vote from the start, and 4 s to find each other.
-    pub fn new(nodes: usize, voters: usize) -> Cluster {
+    pub(crate) fn new(nodes: usize, voters: usize) -> Cluster {
         let voter = |n: usize| Voter {
             id: genesis_id(&address(n)),
             address: address(n),
@@ -98,12 +98,12 @@
         self.numbers
     }
 
-    pub fn control(&self, n: usize) -> &Control {
+    pub(crate) fn control(&self, n: usize) -> &Control {
         self.nodes[n].control.as_ref().expect("runs")
     }
 
     /// Starts a node from what its disk holds.
-    pub fn start(&mut self, n: usize) {
+    pub(crate) fn start(&mut self, n: usize) {
         let life = self.number() * 1_000 + 1;
         let mut state = DurableState::default();
         self.nodes[n]
@@ -142,7 +142,7 @@
     }
 
     /// Ends a node without a word; what its disk has not synced is gone.
-    pub fn crash(&mut self, n: usize) {
+    pub(crate) fn crash(&mut self, n: usize) {
         let node = &mut self.nodes[n];
         (node.control, node.life) = (None, 0);
         node.unsynced.clear();
@@ -156,7 +156,7 @@
         links.into_iter().for_each(|link| self.end_link(link, n));
     }
 
-    pub fn wipe(&mut self, n: usize) {
+    pub(crate) fn wipe(&mut self, n: usize) {
         self.crash(n);
         self.nodes[n].disk.clear();
     }
@@ -174,7 +174,7 @@
     }
 
     /// Runs something at a node and carries out its effects.
-    pub fn at(&mut self, n: usize, run: impl FnOnce(&mut Control, u64, &mut Vec<Effect>)) {
+    pub(crate) fn at(&mut self, n: usize, run: impl FnOnce(&mut Control, u64, &mut Vec<Effect>)) {
         let now = self.now;
         let mut effects = Vec::new();
         let Some(control) = self.nodes[n].control.as_mut() else {
@@ -251,7 +251,7 @@
             }
             Event::Message { link, message } if self.links.contains_key(&link) => {
                 self.at(to, |c, now, effects| {
-                    c.on_message(now, link, message, effects)
+                    c.on_message(now, link, message, effects);
                 });
             }
             Event::Closed { link } => self.at(to, |c, now, effects| c.closed(now, link, effects)),
@@ -266,7 +266,11 @@
     }
 
     /// A frozen node goes on: `before` comes to it first, then what has waited.
-    pub fn thaw(&mut self, n: usize, before: impl FnOnce(&mut Control, u64, &mut Vec<Effect>)) {
+    pub(crate) fn thaw(
+        &mut self,
+        n: usize,
+        before: impl FnOnce(&mut Control, u64, &mut Vec<Effect>),
+    ) {
         self.nodes[n].frozen = false;
         self.at(n, before);
         for event in std::mem::take(&mut self.nodes[n].backlog) {
@@ -274,7 +278,7 @@
         }
     }
 
-    pub fn run(&mut self, ms: u64) {
+    pub(crate) fn run(&mut self, ms: u64) {
         let end = self.now + ms;
         while self.now < end {
             self.now += STEP;
@@ -294,14 +298,14 @@
                     .as_ref()
                     .is_some_and(|c| now >= c.due(now));
                 if due && !self.nodes[n].frozen {
-                    self.at(n, |c, now, effects| c.tick(now, effects));
+                    self.at(n, linenthread_control::Control::tick);
                 }
             }
         }
     }
 
     /// Runs until it holds, at most so long; whether it came to hold.
-    pub fn run_until(&mut self, ms: u64, holds: impl Fn(&Cluster) -> bool) -> bool {
+    pub(crate) fn run_until(&mut self, ms: u64, holds: impl Fn(&Cluster) -> bool) -> bool {
         let end = self.now + ms;
         while self.now < end && !holds(self) {
             self.run(STEP);
@@ -310,17 +314,22 @@
     }
 
     /// Sends an order to a node, and tells its token.
-    pub fn order(&mut self, n: usize, base: u64, revision: u64) -> u64 {
+    pub(crate) fn order(&mut self, n: usize, base: u64, revision: u64) -> u64 {
         let token = self.number();
         let document = format!("document {revision}").into_bytes();
         self.at(n, |c, now, effects| {
-            c.replace(now, token, base, revision, document, effects)
+            c.replace(now, token, base, revision, document, effects);
         });
         token
     }
 
     /// Sends an order until some node acknowledges it, at most so long; the last clear answer.
-    pub fn order_until_answered(&mut self, ms: u64, base: u64, revision: u64) -> Option<Answer> {
+    pub(crate) fn order_until_answered(
+        &mut self,
+        ms: u64,
+        base: u64,
+        revision: u64,
+    ) -> Option<Answer> {
         let end = self.now + ms;
         let mut n = 0;
         while self.now < end {
@@ -340,7 +349,7 @@
         None
     }
 
-    pub fn leader(&self) -> Option<usize> {
+    pub(crate) fn leader(&self) -> Option<usize> {
         let leads = |n: &Node| {
             n.control
                 .as_ref()
@@ -350,7 +359,7 @@
     }
 
     /// Addresses of the voters as a node knows them.
-    pub fn voters(&self, n: usize) -> Vec<String> {
+    pub(crate) fn voters(&self, n: usize) -> Vec<String> {
         self.control(n)
             .register()
             .voters()
@@ -359,7 +368,7 @@
             .collect()
     }
 
-    pub fn may_leave(&self, n: usize) -> bool {
+    pub(crate) fn may_leave(&self, n: usize) -> bool {
         self.nodes[n]
             .control
             .as_ref()
--- a/crates/linenthread-control/tests/nodes/leaving.rs
+++ b/crates/linenthread-control/tests/nodes/leaving.rs
@@ -5,7 +5,7 @@
 use yare::parameterized;
 
 fn leave(cluster: &mut Cluster, n: usize) {
-    cluster.at(n, |c, now, effects| c.leave(now, effects));
+    cluster.at(n, linenthread_control::Control::leave);
 }
 
 #[test]
--- a/crates/linenthread-core/src/lib.rs
+++ b/crates/linenthread-core/src/lib.rs
@@ -2,6 +2,10 @@
 //!
 //! [`Coordinator`] decides; [`interface`] holds the plain types that go in and the [`Writer`] that
 //! decisions come out through. Nothing here does I/O, reads a clock or knows a protocol.
+#![expect(
+    missing_docs,
+    reason = "public items of this package are not all documented yet"
+)]
 
 pub mod interface;
 pub mod policy;
--- a/crates/linenthread-core/src/policy/gate.rs
+++ b/crates/linenthread-core/src/policy/gate.rs
@@ -1,6 +1,9 @@
 //! The gate: whether a part call may be made at all. Every send passes here.
 
-use super::*;
+use super::{
+    COLD_USE, Call, Coordinator, ENOUGH, Effect, GIVEN_UP, Lookup, Part, REAPED, RECENT, REST,
+    TURNS, Tenths, Writer, given_up_at,
+};
 
 impl Coordinator {
     /// Whether a part call may be made at all. Every send passes here, and nothing else holds the rules.
--- a/crates/linenthread-core/src/policy/hear.rs
+++ b/crates/linenthread-core/src/policy/hear.rs
@@ -1,6 +1,10 @@
 //! What comes in: the roster's news, lookups, parts, their returns and probes.
 
-use super::*;
+use super::{
+    ASK, Call, Coordinator, Effect, Ending, GIVEN_UP, HEARD, Lookup, MARGIN, NewLookup, NewPart,
+    PROBE, Part, Phase, ProbeReturn, RECENT, Replica, Return, RosterNews, SHARES, Seen, TRIAL,
+    Tenths, WARY, Writer, mix,
+};
 
 impl Coordinator {
     pub(super) fn hear_roster(&mut self, news: &RosterNews) {
@@ -219,7 +223,7 @@
             Ending::Answered => replica.answers(now, back.queue),
             _ if replica.told_at >= since => {}
             Ending::Unconnected | Ending::Broken => {
-                _ = replica.down.get_or_insert((now, now + PROBE))
+                _ = replica.down.get_or_insert((now, now + PROBE));
             }
             // Too busy for a probe: nothing is known but that much waits there.
             _ => replica.tell(now, self.soft / self.fleet.quick),
--- a/crates/linenthread-core/src/policy/mod.rs
+++ b/crates/linenthread-core/src/policy/mod.rs
@@ -13,8 +13,11 @@
 
 use oorandom::Rand64;
 
-use crate::interface::*;
-use crate::state::*;
+use crate::interface::{
+    Arrivals, Deployment, Effect, Ending, Index, NewLookup, NewPart, Phase, ProbeReturn, Return,
+    RosterNews, Tenths, WayTo, Why, Writer,
+};
+use crate::state::{Call, Due, Fading, Fleet, Lookup, Part, Replica, Seen, kept, mix};
 
 const TICK: Tenths = 50; // Scores are made anew this often.
 const RESET: Tenths = 100_000; // All scores are forgotten this often: each replica gets a fair shot again.
--- a/crates/linenthread-core/src/policy/score.rs
+++ b/crates/linenthread-core/src/policy/score.rs
@@ -1,6 +1,10 @@
 //! The design's ordinary path: scores on a timer, and the choice by hash, threshold and score.
 
-use super::*;
+use super::{
+    ASK, BADNESS, Call, Coordinator, ENOUGH, Ending, FEW, FRESH, Fading, HEARD, JAM, LEAN, LOAD,
+    LONGEST, Lookup, PAUSE, Part, QUICK, RECENT, RESET, ROOM, Replica, SEVERITY, SITE_LEAN, Seen,
+    TICK, TOLD, Tenths, UNSURE, kept, mix,
+};
 
 impl Coordinator {
     /// Makes the scores anew, once a tick.
--- a/crates/linenthread-core/src/policy/settle.rs
+++ b/crates/linenthread-core/src/policy/settle.rs
@@ -1,6 +1,10 @@
 //! Lookups: taken on or not, answered, sent on, given up.
 
-use super::*;
+use super::{
+    ASK, ASK_MOST, COPIES, Call, Coordinator, Effect, FRESH, Fading, HEARD, IN_TIME, Index, Lookup,
+    PATIENT, PROBING, Part, RECENT, ROUNDING, Replica, SHARES, SPARE, Tenths, UNSEEN, UNTOLD,
+    URGENT, USUAL, WARY, Why, Writer, given_up_at,
+};
 
 impl Coordinator {
     /// Answers a lookup, gives it up, or sends what it still needs.
@@ -61,11 +65,11 @@
             return;
         }
         let why = match () {
-            _ if self.now >= end => Some(Why::Late),
-            _ if self.fells(lookup, true) && !lookup.out() => Some(Why::Fells),
-            _ if !enough(1.0 - lost, floor) => Some(Why::Hopeless),
-            _ if !lookup.admitted => self.refuses(l),
-            _ => None,
+            () if self.now >= end => Some(Why::Late),
+            () if self.fells(lookup, true) && !lookup.out() => Some(Why::Fells),
+            () if !enough(1.0 - lost, floor) => Some(Why::Hopeless),
+            () if !lookup.admitted => self.refuses(l),
+            () => None,
         };
         if let Some(why) = why {
             return self.give_up(l, why, writer);
--- a/crates/linenthread-core/src/state.rs
+++ b/crates/linenthread-core/src/state.rs
@@ -2,16 +2,16 @@
 
 use std::collections::VecDeque;
 
-use crate::interface::*;
+use crate::interface::{Ending, Listed, Phase, Tenths, Writer};
 
 /// The share of what was seen then that still counts now.
-pub fn kept(then: Tenths, now: Tenths, span: f64) -> f64 {
+pub(crate) fn kept(then: Tenths, now: Tenths, span: f64) -> f64 {
     (-((now - then).max(0) as f64) / span).exp()
 }
 
 /// Sums over recent values, fading with age and brought up to date when they are read.
 #[derive(Clone, Copy, Default)]
-pub struct Fading {
+pub(crate) struct Fading {
     pub at: Tenths,
     pub weight: f64,
     pub sum: f64,
@@ -19,14 +19,14 @@
 }
 
 impl Fading {
-    pub fn fade(&mut self, now: Tenths, span: f64) {
+    pub(crate) fn fade(&mut self, now: Tenths, span: f64) {
         let keep = kept(self.at, now, span);
         (self.weight, self.sum, self.square) =
             (self.weight * keep, self.sum * keep, self.square * keep);
         self.at = self.at.max(now);
     }
 
-    pub fn add(&mut self, now: Tenths, span: f64, value: f64) {
+    pub(crate) fn add(&mut self, now: Tenths, span: f64, value: f64) {
         self.fade(now, span);
         self.weight += 1.0;
         self.sum += value;
@@ -34,13 +34,13 @@
     }
 
     /// Takes so much off the sum, at most until it is as far below none as the weight is above.
-    pub fn relieve(&mut self, now: Tenths, span: f64, by: f64) {
+    pub(crate) fn relieve(&mut self, now: Tenths, span: f64, by: f64) {
         self.fade(now, span);
         self.sum = (self.sum - by).max(-self.weight);
     }
 
     /// Mean and deviation, where more than so much was heard of late.
-    pub fn shape(&self, least: f64) -> Option<(f64, f64)> {
+    pub(crate) fn shape(&self, least: f64) -> Option<(f64, f64)> {
         (self.weight > least).then(|| {
             let mean = self.sum / self.weight;
             (
@@ -53,7 +53,7 @@
 
 /// What was seen of one replica, or of all of a site.
 #[derive(Clone, Default)]
-pub struct Seen {
+pub(crate) struct Seen {
     /// Logarithms of answer times: their mean is the median's, since the times are about log-normal.
     pub times: Fading,
     /// 1 for each failure, 0 for each answer.
@@ -62,17 +62,17 @@
 
 /// What was counted at which moment, within a window that a rule speaks of.
 #[derive(Default)]
-pub struct Counts(VecDeque<(Tenths, usize)>);
+pub(crate) struct Counts(VecDeque<(Tenths, usize)>);
 
 impl Counts {
-    pub fn add(&mut self, now: Tenths, window: Tenths, n: usize) {
+    pub(crate) fn add(&mut self, now: Tenths, window: Tenths, n: usize) {
         if n > 0 {
             self.0.retain(|(at, _)| *at >= now - window);
             self.0.push_back((now, n));
         }
     }
 
-    pub fn since(&self, start: Tenths) -> usize {
+    pub(crate) fn since(&self, start: Tenths) -> usize {
         self.0
             .iter()
             .filter(|(at, _)| *at >= start)
@@ -83,7 +83,7 @@
 
 /// What was seen of the fleet as a whole.
 #[derive(Default)]
-pub struct Fleet {
+pub(crate) struct Fleet {
     pub times: Fading,
     /// Logarithms of how long parts took or were waited for: where turned away, a whole soft deadline.
     pub delays: Fading,
@@ -120,7 +120,7 @@
 
 impl Fleet {
     /// Of so many customers; replicas are remembered for so long at first, and nothing is bounded yet.
-    pub fn new(customers: usize, span: f64) -> Fleet {
+    pub(crate) fn new(customers: usize, span: f64) -> Fleet {
         Fleet {
             customers: vec![Fading::default(); customers],
             span,
@@ -134,7 +134,7 @@
 
 /// When things began, and are due again.
 #[derive(Default)]
-pub struct Due {
+pub(crate) struct Due {
     pub began: Tenths,
     pub tick: Tenths,
     pub reset: Tenths,
@@ -145,7 +145,7 @@
 }
 
 #[derive(Default)]
-pub struct Replica {
+pub(crate) struct Replica {
     pub listed: Listed,
     /// Until then it may get parts although it drains.
     pub last_call: Tenths,
@@ -180,31 +180,31 @@
 }
 
 impl Replica {
-    pub fn ready(&self) -> bool {
+    pub(crate) fn ready(&self) -> bool {
         self.listed.phase == Phase::Ready
     }
 
     /// When its process began, by the roster's word or by its first answer after it was gone.
-    pub fn began(&self) -> Option<Tenths> {
+    pub(crate) fn began(&self) -> Option<Tenths> {
         self.listed.started.max(self.returned)
     }
 
-    pub fn still_takes(&self, now: Tenths) -> bool {
+    pub(crate) fn still_takes(&self, now: Tenths) -> bool {
         self.listed.phase == Phase::Draining && now < self.last_call
     }
 
     /// Parts out that may still be answered.
-    pub fn waiting(&self) -> f64 {
+    pub(crate) fn waiting(&self) -> f64 {
         f64::from(self.out.saturating_sub(self.lost))
     }
 
     /// Parts that it last said were waiting; old word fades, and one part is worked off in so long.
-    pub fn told(&self, now: Tenths, span: f64, each: f64) -> f64 {
+    pub(crate) fn told(&self, now: Tenths, span: f64, each: f64) -> f64 {
         let worked_off = (now - self.since) as f64 / each;
         (self.queue - worked_off).max(0.0) * kept(self.since, now, span)
     }
 
-    pub fn tell(&mut self, now: Tenths, queue: f64) {
+    pub(crate) fn tell(&mut self, now: Tenths, queue: f64) {
         if queue != self.queue {
             (self.queue, self.since) = (queue, now);
         }
@@ -212,7 +212,7 @@
     }
 
     /// It answered a part or a probe; one without a report tells nothing of what waits there.
-    pub fn answers(&mut self, now: Tenths, queue: Option<f64>) {
+    pub(crate) fn answers(&mut self, now: Tenths, queue: Option<f64>) {
         self.down = None;
         if std::mem::take(&mut self.died) {
             self.returned = Some(now);
@@ -221,7 +221,7 @@
     }
 }
 
-pub struct Call {
+pub(crate) struct Call {
     pub replica: usize,
     pub sent: Tenths,
     /// It went on a connection that had rested, or not; `None` where others were out on it.
@@ -232,7 +232,7 @@
 }
 
 #[derive(Default)]
-pub struct Part {
+pub(crate) struct Part {
     pub shard: usize,
     pub weight: f64,
     pub calls: Vec<Call>,
@@ -242,15 +242,15 @@
 }
 
 impl Part {
-    pub fn is_wanted(&self) -> bool {
+    pub(crate) fn is_wanted(&self) -> bool {
         !self.answered || self.onward.is_some()
     }
 
-    pub fn out(&self) -> usize {
+    pub(crate) fn out(&self) -> usize {
         self.calls.iter().filter(|c| c.ending.is_none()).count()
     }
 
-    pub fn withdraw(&self, l: usize, p: usize, writer: &mut impl Writer) {
+    pub(crate) fn withdraw(&self, l: usize, p: usize, writer: &mut impl Writer) {
         for (c, _) in self
             .calls
             .iter()
@@ -261,14 +261,14 @@
         }
     }
 
-    pub fn never_ran(&self) -> bool {
+    pub(crate) fn never_ran(&self) -> bool {
         self.calls
             .iter()
             .all(|c| c.ending.is_some_and(Ending::never_ran))
     }
 
     /// When the first part call that may have run was sent.
-    pub fn may_have_run(&self) -> Option<Tenths> {
+    pub(crate) fn may_have_run(&self) -> Option<Tenths> {
         self.calls
             .iter()
             .find(|c| !c.ending.is_some_and(Ending::never_ran))
@@ -277,7 +277,7 @@
 }
 
 #[derive(Default)]
-pub struct Lookup {
+pub(crate) struct Lookup {
     pub index: usize,
     pub customer: usize,
     pub key: u64,
@@ -297,16 +297,16 @@
 }
 
 impl Lookup {
-    pub fn unanswered(&self) -> bool {
+    pub(crate) fn unanswered(&self) -> bool {
         !self.parts.iter().any(|p| p.answered)
     }
 
-    pub fn out(&self) -> bool {
+    pub(crate) fn out(&self) -> bool {
         self.parts.iter().any(|p| p.out() > 0)
     }
 
     /// The weight of these parts of the step under way.
-    pub fn weigh(&self, of: impl Fn(&Part) -> bool) -> f64 {
+    pub(crate) fn weigh(&self, of: impl Fn(&Part) -> bool) -> f64 {
         self.parts[self.step..]
             .iter()
             .filter(|p| of(p))
@@ -316,7 +316,7 @@
 }
 
 /// A hash of ids that all co-ordinators agree on.
-pub fn mix(words: [u64; 3]) -> u64 {
+pub(crate) fn mix(words: [u64; 3]) -> u64 {
     words.iter().fold(0x9e37_79b9_7f4a_7c15, |h: u64, w| {
         let x = (h ^ w).wrapping_mul(0xbf58_476d_1ce4_e5b9);
         let x = (x ^ (x >> 29)).wrapping_mul(0x94d0_49bb_1331_11eb);
--- a/crates/linenthread-core/tests/scenarios.rs
+++ b/crates/linenthread-core/tests/scenarios.rs
@@ -187,7 +187,7 @@
         for at in (0..self.out.len()).rev() {
             match self.serve.get(&self.out[at].replica) {
                 Some(&Some((ending, after))) if self.out[at].sent + after <= now => {
-                    self.back(at, ending)
+                    self.back(at, ending);
                 }
                 _ => {}
             }
--- a/crates/linenthread-ctl/src/lib.rs
+++ b/crates/linenthread-ctl/src/lib.rs
@@ -1,4 +1,8 @@
 //! Calls of the system's control, one after another, at the first of several addresses that can answer.
+#![expect(
+    missing_docs,
+    reason = "public items of this package are not all documented yet"
+)]
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
--- a/crates/linenthread-dataplane-sim/src/lib.rs
+++ b/crates/linenthread-dataplane-sim/src/lib.rs
@@ -3,6 +3,10 @@
 //!
 //! [`network`] is the connections, [`replica`] what listens on them, [`fate`] the faults, [`client`] the
 //! sessions, [`judge`] the rules, and [`world`] puts one front, its replicas and its clients together.
+#![expect(
+    missing_docs,
+    reason = "public items of this package are not all documented yet"
+)]
 
 pub mod client;
 pub mod fate;
--- a/crates/linenthread-dataplane-sim/src/world.rs
+++ b/crates/linenthread-dataplane-sim/src/world.rs
@@ -93,7 +93,7 @@
             );
         }
     }
-    troubles.iter().for_each(|trouble| trouble.abort());
+    troubles.iter().for_each(tokio::task::JoinHandle::abort);
     let mut judge = shared.judge.borrow_mut();
     judge.close(&shared.runs);
     let breaches = std::mem::take(&mut judge.breaches);
--- a/crates/linenthread-dataplane/src/action.rs
+++ b/crates/linenthread-dataplane/src/action.rs
@@ -4,7 +4,7 @@
 use linenthread_core::interface::{Tenths, Why};
 
 /// One decision.
-pub enum Action {
+pub(crate) enum Action {
     Call {
         lookup: usize,
         part: usize,
@@ -31,7 +31,7 @@
 
 /// Decisions in the order they were taken.
 #[derive(Default)]
-pub struct Actions {
+pub(crate) struct Actions {
     pub list: Vec<Action>,
     pub wake: Option<Tenths>,
     pub given_up: GivenUp,
@@ -39,7 +39,7 @@
 
 /// Lookups that were turned away or given up, by cause.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct GivenUp {
+pub(crate) struct GivenUp {
     pub late: u64,
     pub fells: u64,
     pub hopeless: u64,
--- a/crates/linenthread-dataplane/src/data_plane.rs
+++ b/crates/linenthread-dataplane/src/data_plane.rs
@@ -62,10 +62,10 @@
 }
 
 /// One client's connection.
-pub struct Client<C: Connector>(Rc<DataPlane<C>>);
+pub(crate) struct Client<C: Connector>(Rc<DataPlane<C>>);
 
 impl<C: Connector> Client<C> {
-    pub fn new(plane: &Rc<DataPlane<C>>) -> Client<C> {
+    pub(crate) fn new(plane: &Rc<DataPlane<C>>) -> Client<C> {
         plane.clients.set(plane.clients.get() + 1);
         Client(plane.clone())
     }
@@ -78,10 +78,10 @@
 }
 
 /// One request at work.
-pub struct AtWork<C: Connector>(Rc<DataPlane<C>>);
+pub(crate) struct AtWork<C: Connector>(Rc<DataPlane<C>>);
 
 impl<C: Connector> AtWork<C> {
-    pub fn new(plane: &Rc<DataPlane<C>>) -> AtWork<C> {
+    pub(crate) fn new(plane: &Rc<DataPlane<C>>) -> AtWork<C> {
         plane.at_work.set(plane.at_work.get() + 1);
         AtWork(plane.clone())
     }
--- a/crates/linenthread-dataplane/src/pass_through.rs
+++ b/crates/linenthread-dataplane/src/pass_through.rs
@@ -14,13 +14,13 @@
 }
 
 #[derive(Default)]
-pub struct PassThrough {
+pub(crate) struct PassThrough {
     replicas: Vec<Listed>,
     lookups: Vec<Option<Lookup>>,
 }
 
 impl PassThrough {
-    pub fn round(&mut self, arrivals: &Arrivals, writer: &mut impl Writer) {
+    pub(crate) fn round(&mut self, arrivals: &Arrivals, writer: &mut impl Writer) {
         for news in &arrivals.roster {
             let RosterNews::Changes(listed) = news else {
                 continue;
@@ -66,19 +66,18 @@
                 let nearest = all.iter().map(|r| usize::from(r.site > 0)).min();
                 all.retain(|r| Some(usize::from(r.site > 0)) == nearest);
                 lookup.sent += 1;
-                match all.get(lookup.key as usize % all.len().max(1)) {
-                    Some(r) => writer.call(l, p, r.replica, (lookup.hard - arrivals.now).max(1)),
-                    None => {
-                        lookup.ended += 1;
-                        lookup.failed = true;
-                    }
+                if let Some(r) = all.get(lookup.key as usize % all.len().max(1)) {
+                    writer.call(l, p, r.replica, (lookup.hard - arrivals.now).max(1));
+                } else {
+                    lookup.ended += 1;
+                    lookup.failed = true;
                 }
             }
             if lookup.ended == lookup.shards.len() {
                 if lookup.failed {
-                    writer.abort(l)
+                    writer.abort(l);
                 } else {
-                    writer.satisfy(l, true)
+                    writer.satisfy(l, true);
                 }
                 writer.release(l);
                 self.lookups[l] = None;
--- a/crates/linenthread-dataplane/src/pool.rs
+++ b/crates/linenthread-dataplane/src/pool.rs
@@ -254,13 +254,12 @@
 
     /// A connection for the request: one that waits, else a new one.
     async fn lease(&self, request: &Request, time: Duration) -> Result<Lease<'_, C>, WireEvent> {
-        let (http, number, age) = match self.take_idle(request) {
-            Some(idle) => (idle.http, idle.number, Connection::Reused),
-            None => {
-                self.make_room()?;
-                let (http, number) = self.connect(time).await?;
-                (http, number, Connection::Fresh)
-            }
+        let (http, number, age) = if let Some(idle) = self.take_idle(request) {
+            (idle.http, idle.number, Connection::Reused)
+        } else {
+            self.make_room()?;
+            let (http, number) = self.connect(time).await?;
+            (http, number, Connection::Fresh)
         };
         request.carried.borrow_mut().push(number);
         Ok(Lease {
--- a/crates/linenthread-dataplane/src/reply.rs
+++ b/crates/linenthread-dataplane/src/reply.rs
@@ -84,4 +84,4 @@
 }
 
 /// The parts of a gathered answer that are in.
-pub type PartsIn<'a> = SmallVec<[&'a Answer; 8]>;
+pub(crate) type PartsIn<'a> = SmallVec<[&'a Answer; 8]>;
--- a/crates/linenthread-dataplane/src/terms.rs
+++ b/crates/linenthread-dataplane/src/terms.rs
@@ -10,7 +10,7 @@
     (ms.clamp(1.0, 1e9) * 10.0) as Tenths
 }
 
-pub fn index(planned: &Planned) -> Index {
+pub(crate) fn index(planned: &Planned) -> Index {
     let route = &planned.route;
     let floor = match planned.target {
         Target::All(_) if route.min_coverage > 0.0 => route.min_coverage.min(1.0),
@@ -34,7 +34,7 @@
 
 /// For so many services that are asked together, each part of which may go to so many replicas. The budget is
 /// kept at each service: that all further calls went to one of them is allowed for.
-pub fn deployment(services: usize, tries: usize, settings: &Settings) -> Deployment {
+pub(crate) fn deployment(services: usize, tries: usize, settings: &Settings) -> Deployment {
     Deployment {
         own_number: 0,
         co_ordinators: 1,
--- a/crates/linenthread-demo/src/cluster.rs
+++ b/crates/linenthread-demo/src/cluster.rs
@@ -329,7 +329,7 @@
 ///
 /// # Errors
 /// The front could not be asked, or what it sent is no answer.
-pub fn ask_at(
+pub(crate) fn ask_at(
     peer: SocketAddr,
     method: &str,
     path: &str,
--- a/crates/linenthread-demo/src/lib.rs
+++ b/crates/linenthread-demo/src/lib.rs
@@ -1,6 +1,10 @@
 //! The system at work on loopback: control nodes and fronts as real processes, each at an address of its own
 //! in 127.0.0.0/8, stand-in replicas that note what they ran and misbehave on cue, calls as clients and
 //! operators make them, and rounds that bring about the worst days of a deployment.
+#![expect(
+    missing_docs,
+    reason = "public items of this package are not all documented yet"
+)]
 
 mod cluster;
 mod log_lines;
--- a/crates/linenthread-demo/src/log_lines.rs
+++ b/crates/linenthread-demo/src/log_lines.rs
@@ -11,14 +11,14 @@
 }
 
 /// Lines of all processes, in the order in which they came.
-pub struct LogLines {
+pub(crate) struct LogLines {
     sender: Sender<Line>,
     receiver: Receiver<Line>,
     seen: Vec<Line>,
 }
 
 impl LogLines {
-    pub fn new() -> LogLines {
+    pub(crate) fn new() -> LogLines {
         let (sender, receiver) = channel();
         LogLines {
             sender,
@@ -28,7 +28,7 @@
     }
 
     /// Collects what a process writes until it ends.
-    pub fn follow(&self, machine: &str, output: impl Read + Send + 'static) {
+    pub(crate) fn follow(&self, machine: &str, output: impl Read + Send + 'static) {
         let (sender, machine) = (self.sender.clone(), machine.to_owned());
         std::thread::spawn(move || {
             for text in BufReader::new(output).lines().map_while(Result::ok) {
@@ -41,7 +41,7 @@
     }
 
     /// What a process wrote before is not waited for any more.
-    pub fn forget(&mut self, machine: &str) {
+    pub(crate) fn forget(&mut self, machine: &str) {
         while let Ok(line) = self.receiver.try_recv() {
             self.seen.push(line);
         }
@@ -49,7 +49,7 @@
     }
 
     /// The lines of a process so far that hold one of these words.
-    pub fn of(&mut self, machine: &str, words: &[&str]) -> Vec<String> {
+    pub(crate) fn of(&mut self, machine: &str, words: &[&str]) -> Vec<String> {
         while let Ok(line) = self.receiver.try_recv() {
             self.seen.push(line);
         }
@@ -63,7 +63,7 @@
     }
 
     /// Waits until a process has written a line that holds all of these words; false when the time is up.
-    pub fn wait_for(&mut self, machine: &str, words: &[&str], within: Duration) -> bool {
+    pub(crate) fn wait_for(&mut self, machine: &str, words: &[&str], within: Duration) -> bool {
         let by = Instant::now() + within;
         let is =
             |line: &Line| line.machine == machine && words.iter().all(|w| line.text.contains(w));
--- a/crates/linenthread-demo/src/machine.rs
+++ b/crates/linenthread-demo/src/machine.rs
@@ -5,16 +5,16 @@
 use std::process::{Child, ChildStdout, Command, Stdio};
 use std::time::{Duration, Instant};
 
-pub const CONTROL_PORT: u16 = 18_729;
-pub const INGRESS_PORT: u16 = 18_726;
-pub const READINESS_PORT: u16 = 18_723;
+pub(crate) const CONTROL_PORT: u16 = 18_729;
+pub(crate) const INGRESS_PORT: u16 = 18_726;
+pub(crate) const READINESS_PORT: u16 = 18_723;
 const PEERS_PORT: u16 = 17_120;
 /// How often a process that is to end is looked at.
 const LOOK: Duration = Duration::from_millis(5);
 
 /// What a machine serves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Role {
+pub(crate) enum Role {
     Control,
     Front,
 }
@@ -41,7 +41,7 @@
 }
 
 /// One machine.
-pub struct Machine {
+pub(crate) struct Machine {
     pub name: String,
     pub role: Role,
     pub ip: String,
@@ -55,7 +55,7 @@
 
 impl Machine {
     /// A machine that does not run yet; its files lie in a folder.
-    pub fn new(folder: &Path, role: Role, name: &str, ip: String, zone: String) -> Machine {
+    pub(crate) fn new(folder: &Path, role: Role, name: &str, ip: String, zone: String) -> Machine {
         Machine {
             name: name.to_owned(),
             role,
@@ -69,12 +69,12 @@
     }
 
     /// Its address for calls at this port.
-    pub fn at(&self, port: u16) -> Option<SocketAddr> {
+    pub(crate) fn at(&self, port: u16) -> Option<SocketAddr> {
         format!("{}:{port}", self.ip).parse().ok()
     }
 
     /// The folder of its disk.
-    pub fn state(&self) -> PathBuf {
+    pub(crate) fn state(&self) -> PathBuf {
         self.folder.join(&self.name)
     }
 
@@ -106,7 +106,7 @@
     ///
     /// # Errors
     /// Its file can't be written, or the program can't be started.
-    pub fn start(&mut self, program: &Path) -> std::io::Result<Option<ChildStdout>> {
+    pub(crate) fn start(&mut self, program: &Path) -> std::io::Result<Option<ChildStdout>> {
         let file = self.folder.join(format!("{}.conf", self.name));
         std::fs::write(&file, self.settings())?;
         let mut child = Command::new(program)
@@ -123,7 +123,7 @@
     }
 
     /// Sends its process a signal; false if it has none or the signal can't be sent.
-    pub fn signal(&self, signal: Signal) -> bool {
+    pub(crate) fn signal(&self, signal: Signal) -> bool {
         let Some(child) = &self.process else {
             return false;
         };
@@ -135,7 +135,7 @@
     }
 
     /// Ends its process at once, stopped or not.
-    pub fn kill(&mut self) {
+    pub(crate) fn kill(&mut self) {
         if let Some(mut child) = self.process.take() {
             let _ = child.kill();
             let _ = child.wait();
@@ -143,7 +143,7 @@
     }
 
     /// Waits until its process has ended by itself: whether it ended well; nothing when the time is up.
-    pub fn wait_end(&mut self, within: Duration) -> Option<bool> {
+    pub(crate) fn wait_end(&mut self, within: Duration) -> Option<bool> {
         let by = Instant::now() + within;
         loop {
             let ended = self.process.as_mut()?.try_wait();
@@ -159,7 +159,7 @@
     }
 
     /// Whether its process runs, or is stopped and could go on.
-    pub fn runs(&mut self) -> bool {
+    pub(crate) fn runs(&mut self) -> bool {
         self.process
             .as_mut()
             .is_some_and(|p| matches!(p.try_wait(), Ok(None)))
@@ -169,7 +169,7 @@
     ///
     /// # Errors
     /// A file can't be removed.
-    pub fn wipe(&mut self) -> std::io::Result<()> {
+    pub(crate) fn wipe(&mut self) -> std::io::Result<()> {
         self.initial_boot = false;
         match std::fs::remove_dir_all(self.state()) {
             Err(e) if e.kind() != std::io::ErrorKind::NotFound => Err(e),
@@ -178,7 +178,7 @@
     }
 
     /// The bytes of all files on its disk.
-    pub fn disk_bytes(&self) -> u64 {
+    pub(crate) fn disk_bytes(&self) -> u64 {
         folder_bytes(&self.state())
     }
 }
--- a/crates/linenthread-demo/src/operator.rs
+++ b/crates/linenthread-demo/src/operator.rs
@@ -10,7 +10,7 @@
 use serde_json::{Value, json};
 
 /// One call at one address is waited for so long.
-pub const CALL: Duration = Duration::from_secs(2);
+pub(crate) const CALL: Duration = Duration::from_secs(2);
 /// A caller follows so many 307 one after another.
 const REDIRECTS: usize = 2;
 /// Between two calls without a clear answer.
@@ -149,7 +149,7 @@
 }
 
 /// The members as one control node knows them.
-pub fn members_at(peer: SocketAddr) -> Option<Value> {
+pub(crate) fn members_at(peer: SocketAddr) -> Option<Value> {
     let seen = observe(peer, "GET", "/Members.Read", None, &[], CALL);
     serde_json::from_slice(&seen.body)
         .ok()
@@ -157,7 +157,7 @@
 }
 
 /// Whether a control node knows that a replica drains.
-pub fn is_draining_at(peer: SocketAddr, ident: &str) -> bool {
+pub(crate) fn is_draining_at(peer: SocketAddr, ident: &str) -> bool {
     let seen = observe(peer, "GET", "/Replicas.Read", None, &[], CALL);
     let known: Value = serde_json::from_slice(&seen.body).unwrap_or_default();
     let drains = |r: &Value| r["ident"] == ident && r["phase"] == "draining";
@@ -187,7 +187,7 @@
 }
 
 /// Reads at one address after another until one gives a clear answer, or the time is up.
-pub fn read_anywhere(addresses: &[SocketAddr], within: Duration) -> Observed {
+pub(crate) fn read_anywhere(addresses: &[SocketAddr], within: Duration) -> Observed {
     anywhere(addresses, within, read_at)
 }
 
--- a/crates/linenthread-demo/src/replica/misbehaviour.rs
+++ b/crates/linenthread-demo/src/replica/misbehaviour.rs
@@ -15,7 +15,7 @@
 
 /// What a replica does wrong with one request. It has run the request in each case.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Wrong {
+pub(super) enum Wrong {
     /// The whole answer comes twice in one piece.
     TwiceAtOnce,
     /// It comes again a little later, unasked.
@@ -51,7 +51,7 @@
 
 impl Wrong {
     /// Its name in counts.
-    pub fn name(self) -> &'static str {
+    pub(super) fn name(self) -> &'static str {
         match self {
             Wrong::TwiceAtOnce => "twice at once",
             Wrong::TwiceLate => "twice, late",
@@ -67,13 +67,13 @@
 }
 
 /// Draws for the requests of one connection.
-pub struct Draws {
+pub(super) struct Draws {
     random: Rand64,
     share: f64,
 }
 
 impl Draws {
-    pub fn new(how: Misbehaviour, connection: u64) -> Draws {
+    pub(super) fn new(how: Misbehaviour, connection: u64) -> Draws {
         let (seed, share) = match how {
             Misbehaviour::None => (0, 0.0),
             Misbehaviour::Drawn { seed, share } => (seed, share),
@@ -86,7 +86,7 @@
     }
 
     /// What goes wrong with the next request, if anything.
-    pub fn next(&mut self) -> Option<Wrong> {
+    pub(super) fn next(&mut self) -> Option<Wrong> {
         if self.random.rand_float() >= self.share {
             return None;
         }
--- a/crates/linenthread-demo/src/rounds/wrong_answers.rs
+++ b/crates/linenthread-demo/src/rounds/wrong_answers.rs
@@ -214,7 +214,11 @@
         *statuses.entry(*status).or_default() += 1;
     }
     let mut wrong: BTreeMap<&str, usize> = BTreeMap::new();
-    for (way, count) in cluster.replicas.iter().flat_map(|r| r.misbehaved()) {
+    for (way, count) in cluster
+        .replicas
+        .iter()
+        .flat_map(super::super::replica::Replica::misbehaved)
+    {
         *wrong.entry(way).or_default() += count;
     }
     findings.note(format!(
--- a/crates/linenthread-drill/src/dataplane.rs
+++ b/crates/linenthread-drill/src/dataplane.rs
@@ -12,7 +12,7 @@
 
 /// What was asked for.
 #[derive(Clone, Debug)]
-pub struct Drill {
+pub(crate) struct Drill {
     pub sessions: usize,
     pub seed: u64,
     pub told: bool,
@@ -23,7 +23,7 @@
 
 impl Drill {
     /// Plays all; how many sessions were checked, and how many breaches there were.
-    pub fn run(&self) -> (usize, usize) {
+    pub(crate) fn run(&self) -> (usize, usize) {
         let began = Instant::now();
         let worlds = self.worlds();
         let (mut counts, mut runs, mut digest, mut breaches) = (Counts::default(), 0, 0u64, 0);
--- a/crates/linenthread-drill/src/failover.rs
+++ b/crates/linenthread-drill/src/failover.rs
@@ -5,7 +5,10 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, VecDeque};
 
-use linenthread_core::interface::*;
+use linenthread_core::interface::{
+    Allowance, Arrivals, ColdStart, Deployment, Effect, Ending, Index, Layout, Listed, NewLookup,
+    NewPart, Phase, ProbeReturn, Return, RosterNews, Tenths, WayTo,
+};
 use linenthread_core::{Coordinator, Writer};
 use linenthread_zones::{
     ALL, Decider, Ground, Pattern, Reason, Report, Row, Table, Terms, Watch, Zone, fit,
@@ -32,7 +35,7 @@
 const ROUND: Tenths = 10;
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Policy {
+pub(crate) enum Policy {
     Design,
     Near,
     Alone,
@@ -41,7 +44,7 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Trouble {
+pub(crate) enum Trouble {
     Calm,
     ZoneLost,
     ZoneSlow,
@@ -186,7 +189,7 @@
 
 /// What a run came to.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Outcome {
+pub(crate) struct Outcome {
     pub asked: f64,
     pub served: f64,
     pub parts: f64,
@@ -840,7 +843,7 @@
 
 /// Plays all; how many comparisons, and in how many deciding in common is worse than the best of the others that
 /// know no more by over 0.01.
-pub fn run(seeds: usize, seed: u64) -> (usize, usize) {
+pub(crate) fn run(seeds: usize, seed: u64) -> (usize, usize) {
     let mut breaches = 0;
     let mut checked = 0;
     for busy in [0.45, 0.6] {
--- a/crates/linenthread-drill/src/fleet.rs
+++ b/crates/linenthread-drill/src/fleet.rs
@@ -3,14 +3,17 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
 
-use linenthread_core::interface::*;
+use linenthread_core::interface::{
+    Allowance, Arrivals, ColdStart, Deployment, Ending, FurtherCalls, Index, Layout, Listed, Phase,
+    ProbeReturn, Return, RosterNews, Tenths,
+};
 use linenthread_core::{Coordinator, Writer};
 use oorandom::Rand64;
 
 /// Cells, of which each shard lies in two; a replica stands in each, and one more may come in its place.
-pub const CELLS: usize = 4;
-pub const SHARDS: usize = 12;
-pub const CALLS_A_PART: usize = 3;
+pub(crate) const CELLS: usize = 4;
+pub(crate) const SHARDS: usize = 12;
+pub(crate) const CALLS_A_PART: usize = 3;
 const FURTHER: FurtherCalls = FurtherCalls {
     free: 20.0,
     share: 0.5,
@@ -19,7 +22,7 @@
 
 /// What was decided on a lookup.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Decision {
+pub(crate) enum Decision {
     Call {
         lookup: usize,
         part: usize,
@@ -41,7 +44,7 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Event {
+pub(crate) enum Event {
     /// A part call ends; a value is to be had where it is answered.
     Ends(usize, usize, usize, Fate),
     Probed(usize, bool),
@@ -52,7 +55,7 @@
 
 /// What becomes of a part call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Fate {
+pub(crate) enum Fate {
     Answered,
     AnsweredTwice,
     Unreadable,
@@ -65,7 +68,7 @@
 }
 
 impl Fate {
-    pub fn ending(self) -> Ending {
+    pub(crate) fn ending(self) -> Ending {
         match self {
             Fate::Answered | Fate::AnsweredTwice => Ending::Answered,
             Fate::Unreadable | Fate::Errored => Ending::Errored,
@@ -80,7 +83,7 @@
 
 /// How replicas behave: shares of their part calls.
 #[derive(Clone, Copy, Debug)]
-pub struct Manner {
+pub(crate) struct Manner {
     pub slow: f64,
     pub faults: f64,
     /// Replicas die, drain, restart and come back.
@@ -130,7 +133,7 @@
     }
 }
 
-pub struct Fleet {
+pub(crate) struct Fleet {
     pub now: Tenths,
     pub arrivals: Arrivals,
     pub chance: Rand64,
@@ -147,7 +150,7 @@
 }
 
 /// Settings with these indexes.
-pub fn deployment(indexes: Vec<Index>) -> Deployment {
+pub(crate) fn deployment(indexes: Vec<Index>) -> Deployment {
     Deployment {
         own_number: 0,
         co_ordinators: 1,
@@ -181,7 +184,7 @@
 }
 
 impl Fleet {
-    pub fn new(indexes: Vec<Index>, seed: u64, manner: Manner) -> Fleet {
+    pub(crate) fn new(indexes: Vec<Index>, seed: u64, manner: Manner) -> Fleet {
         let entry = |n: usize| Listed {
             replica: n,
             id: 900 + n as u64,
@@ -217,14 +220,14 @@
     }
 
     /// An event so long from now.
-    pub fn schedule(&mut self, after: Tenths, event: Event) {
+    pub(crate) fn schedule(&mut self, after: Tenths, event: Event) {
         self.numbers += 1;
         self.events
             .push(Reverse((self.now + after, self.numbers, event)));
     }
 
     /// The next events, all of one moment.
-    pub fn next(&mut self) -> Vec<Event> {
+    pub(crate) fn next(&mut self) -> Vec<Event> {
         let Some(Reverse((at, _, _))) = self.events.peek() else {
             return Vec::new();
         };
@@ -255,7 +258,7 @@
     }
 
     /// A part call has ended: the module is told.
-    pub fn end(&mut self, lookup: usize, part: usize, call: usize, ending: Ending) {
+    pub(crate) fn end(&mut self, lookup: usize, part: usize, call: usize, ending: Ending) {
         if let Some(sent) = self.out.remove(&(lookup, part, call)) {
             let took = self.now - sent;
             self.arrivals.returns.push(Return {
@@ -270,7 +273,7 @@
     }
 
     /// Whether a part call has not ended yet.
-    pub fn is_out(&self, lookup: usize, part: usize, call: usize) -> bool {
+    pub(crate) fn is_out(&self, lookup: usize, part: usize, call: usize) -> bool {
         self.out.contains_key(&(lookup, part, call))
     }
 
@@ -327,7 +330,7 @@
     }
 
     /// One round of the module; what it decides, with each call under its number.
-    pub fn round(&mut self) -> Vec<Decision> {
+    pub(crate) fn round(&mut self) -> Vec<Decision> {
         self.arrivals.now = self.now;
         let arrivals = std::mem::take(&mut self.arrivals);
         let mut log = Log::default();
--- a/crates/linenthread-drill/src/link.rs
+++ b/crates/linenthread-drill/src/link.rs
@@ -20,7 +20,7 @@
 const PRINTED: usize = 10;
 
 #[derive(Clone, Debug)]
-pub struct Drill {
+pub(crate) struct Drill {
     pub schedules: usize,
     pub seed: u64,
     pub no_resume: bool,
@@ -64,7 +64,7 @@
 }
 
 #[derive(Default)]
-pub struct Counts {
+pub(crate) struct Counts {
     /// Connections given up for silence while frames got through, and how long it took where they did not.
     false_alarms: usize,
     detected: Vec<Tenths>,
@@ -512,7 +512,7 @@
 }
 
 impl Drill {
-    pub fn run(&self) -> (usize, usize) {
+    pub(crate) fn run(&self) -> (usize, usize) {
         let (mut counts, mut breaches) = (Counts::default(), 0);
         for n in 0..self.schedules as u64 {
             let seed = self.seed.wrapping_add(n);
--- a/crates/linenthread-drill/src/link_speed.rs
+++ b/crates/linenthread-drill/src/link_speed.rs
@@ -38,7 +38,7 @@
 /// Microseconds, asked in turn: straight at the gateway's own front, and across the link.
 fn latency(sites: &Sites) {
     let mut times = [Vec::new(), Vec::new()];
-    let mut clients = [&sites.far, &sites.near].map(|service| service.connect());
+    let mut clients = [&sites.far, &sites.near].map(linenthread_stand_ins::Service::connect);
     for n in 0..ALTERNATING {
         for (which, client) in clients.iter_mut().enumerate() {
             let begin = Instant::now();
@@ -299,7 +299,7 @@
     );
 }
 
-pub fn run(exe: &str) -> (usize, usize) {
+pub(crate) fn run(exe: &str) -> (usize, usize) {
     let sites = Sites::start(
         exe,
         Terms {
--- a/crates/linenthread-drill/src/members.rs
+++ b/crates/linenthread-drill/src/members.rs
@@ -92,7 +92,7 @@
 }
 
 /// Measures; how many sizes, and how many of them did not come to know all.
-pub fn run(seed: u64) -> (usize, usize) {
+pub(crate) fn run(seed: u64) -> (usize, usize) {
     let mut breaches = 0;
     let sizes = [10, 100];
     println!(
--- a/crates/linenthread-drill/src/merged.rs
+++ b/crates/linenthread-drill/src/merged.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeMap;
 
-use linenthread_core::interface::*;
+use linenthread_core::interface::{Effect, Ending, Index, NewLookup, NewPart, Tenths};
 use linenthread_merge::{
     Asked, Figure, First, Form, Groups, Kind, Marks, Measure, Merge, Order, PageWish, Plan, Rows,
     Taken,
@@ -25,7 +25,7 @@
 const PRINTED: usize = 10;
 
 #[derive(Clone, Debug)]
-pub struct Drill {
+pub(crate) struct Drill {
     pub lookups: usize,
     pub seed: u64,
     pub slow: Option<f64>,
@@ -149,7 +149,7 @@
 
 impl Drill {
     /// Asks all lookups; how many there were and how many breaches were found.
-    pub fn run(&self) -> (usize, usize) {
+    pub(crate) fn run(&self) -> (usize, usize) {
         let plans = plans();
         let mut chance = Rand64::new(u128::from(self.seed));
         let manner = Manner {
--- a/crates/linenthread-drill/src/merging_speed.rs
+++ b/crates/linenthread-drill/src/merging_speed.rs
@@ -138,7 +138,7 @@
 }
 
 /// Prints a line a size; a page that differs is a breach.
-pub fn run(rounds: usize) -> (usize, usize) {
+pub(crate) fn run(rounds: usize) -> (usize, usize) {
     let order = vec![Order {
         field: "amount".into(),
         kind: Kind::Decimal(0),
--- a/crates/linenthread-drill/src/record.rs
+++ b/crates/linenthread-drill/src/record.rs
@@ -22,7 +22,7 @@
 const TOPICS: [&str; 2] = ["table", "orders"];
 
 #[derive(Clone, Debug)]
-pub struct Drill {
+pub(crate) struct Drill {
     pub schedules: usize,
     pub seed: u64,
 }
@@ -104,7 +104,7 @@
 }
 
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Counts {
+pub(crate) struct Counts {
     pub agreed: u64,
     pub leaders: u64,
     pub replaced: u64,
@@ -232,7 +232,7 @@
         let life = fleet
             .voter()
             .filter(|v| v.stage() == Stage::Holding)
-            .and_then(|v| v.life());
+            .and_then(linenthread_fleet::Voter::life);
         drop(fleet);
         (process.paused, process.woken_at) = (false, Tenths::MAX);
         process.waits.clear();
@@ -342,13 +342,13 @@
                         .agreed
                         .entry((topic.clone(), number))
                         .or_insert_with(|| value.clone());
-                    if *known != value {
+                    if *known == value {
+                        self.counts.agreed += 1;
+                    } else {
                         self.breach(format!(
                             "one-value: {topic} {number} is two things, at {}",
                             name(at)
                         ));
-                    } else {
-                        self.counts.agreed += 1;
                     }
                 }
                 FleetDo::Line(line) => {
@@ -429,7 +429,7 @@
             Event::Wake(at, number) => {
                 if self.processes[at].wake == number {
                     self.processes[at].woken_at = Tenths::MAX;
-                    self.tell(at, |fleet, now, to| fleet.wake(now, to));
+                    self.tell(at, linenthread_fleet::Fleet::wake);
                 }
             }
             Event::Connect { from, number, to } => {
@@ -528,11 +528,11 @@
         let mut waits = std::mem::take(&mut self.processes[at].waits);
         // Which of its own timers or its sockets it looks at first is for chance.
         if self.chance.rand_range(0..2) == 0 {
-            self.tell(at, |fleet, now, to| fleet.wake(now, to));
+            self.tell(at, linenthread_fleet::Fleet::wake);
         }
         waits.retain(|event| !matches!(event, Event::Wake(..)));
         waits.into_iter().for_each(|event| self.happen(event));
-        self.tell(at, |fleet, now, to| fleet.wake(now, to));
+        self.tell(at, linenthread_fleet::Fleet::wake);
     }
 
     fn propose(&mut self) {
@@ -562,7 +562,7 @@
             process
                 .fleet
                 .as_ref()
-                .is_some_and(|f| f.voter().is_some_and(|v| v.votes()))
+                .is_some_and(|f| f.voter().is_some_and(linenthread_fleet::Voter::votes))
         };
         (0..self.voters).all(|n| n == at || votes(n))
     }
@@ -670,7 +670,7 @@
             let Some(fleet) = fleet else {
                 return Some(format!("{} does not run", name(at)));
             };
-            if at < self.voters && !fleet.voter().is_some_and(|v| v.votes()) {
+            if at < self.voters && !fleet.voter().is_some_and(linenthread_fleet::Voter::votes) {
                 return Some(format!("{} does not vote: {:?}", name(at), fleet.stage()));
             }
             let others = fleet.alive().count();
@@ -727,7 +727,7 @@
                 self.processes[at].disk.borrow_mut().crash(&mut self.chance);
                 let disk = self.processes[at].disk.clone();
                 self.tell(at, |fleet, now, to| {
-                    fleet.take_part(disk, now, to).expect("a sound disk")
+                    fleet.take_part(disk, now, to).expect("a sound disk");
                 });
             }
             self.start(at);
@@ -775,8 +775,8 @@
 }
 
 impl Drill {
-    pub fn run(&self) -> (usize, usize) {
-        let threads = std::thread::available_parallelism().map_or(1, |n| n.get()) as u64;
+    pub(crate) fn run(&self) -> (usize, usize) {
+        let threads = std::thread::available_parallelism().map_or(1, std::num::NonZero::get) as u64;
         let one = |seed: u64| World::new(seed).play();
         let all: Vec<(Vec<String>, Counts)> = std::thread::scope(|scope| {
             let part = |thread: u64| {
--- a/crates/linenthread-drill/src/system/contact.rs
+++ b/crates/linenthread-drill/src/system/contact.rs
@@ -21,7 +21,11 @@
     pub(super) fn judge_contact(&mut self, n: usize, answer: &str) {
         let since = self.now.saturating_sub(CONTACT_BOUND);
         let node = &self.nodes[n];
-        let Some(register) = node.control.as_ref().map(|c| c.register()) else {
+        let Some(register) = node
+            .control
+            .as_ref()
+            .map(linenthread_control::Control::register)
+        else {
             return;
         };
         let recent = |disk: &u64| {
--- a/crates/linenthread-drill/src/system/fronts.rs
+++ b/crates/linenthread-drill/src/system/fronts.rs
@@ -80,50 +80,47 @@
                 self.front_is_closed(f);
             }
         }
-        match self.fronts[f].link {
-            Some(link) => {
-                let front = &mut self.fronts[f];
-                front.asked += 1;
-                front.said.insert(front.asked, now);
-                let tick = Heartbeat {
-                    asked: front.asked,
-                    revision: front.revision,
-                    ..Heartbeat::default()
-                };
-                self.send(me, link, PeerMessage::Heartbeat(tick));
-            }
-            None => {
-                let n = self.next_to_try(f);
-                if !self.is_up(n) || self.is_cut_either_way(me, n) {
-                    self.fronts[f].failed.insert(n, now);
-                    return;
-                }
-                let (life, to_life) = (self.fronts[f].life, self.nodes[n].life);
-                let link = self.open(me, life, n, to_life);
-                let front = &mut self.fronts[f];
-                (front.link, front.hub, front.heard, front.outside) = (Some(link), n, now, 0);
-                let hello = Hello {
-                    version: VERSION,
-                    name: format!("front-{f}"),
-                    zone: "z0".into(),
-                    life,
-                    log: front.log,
-                    place: front.place,
-                    value: front.revision,
-                    ..Hello::default()
-                };
-                let at = now + self.delay();
-                self.push(
-                    at,
-                    Event::Opened {
-                        to: n,
-                        life: to_life,
-                        link,
-                    },
-                );
-                self.wires.get_mut(&link).expect("just made").last = [at, at];
-                self.send(me, link, PeerMessage::Hello(hello));
+        if let Some(link) = self.fronts[f].link {
+            let front = &mut self.fronts[f];
+            front.asked += 1;
+            front.said.insert(front.asked, now);
+            let tick = Heartbeat {
+                asked: front.asked,
+                revision: front.revision,
+                ..Heartbeat::default()
+            };
+            self.send(me, link, PeerMessage::Heartbeat(tick));
+        } else {
+            let n = self.next_to_try(f);
+            if !self.is_up(n) || self.is_cut_either_way(me, n) {
+                self.fronts[f].failed.insert(n, now);
+                return;
             }
+            let (life, to_life) = (self.fronts[f].life, self.nodes[n].life);
+            let link = self.open(me, life, n, to_life);
+            let front = &mut self.fronts[f];
+            (front.link, front.hub, front.heard, front.outside) = (Some(link), n, now, 0);
+            let hello = Hello {
+                version: VERSION,
+                name: format!("front-{f}"),
+                zone: "z0".into(),
+                life,
+                log: front.log,
+                place: front.place,
+                value: front.revision,
+                ..Hello::default()
+            };
+            let at = now + self.delay();
+            self.push(
+                at,
+                Event::Opened {
+                    to: n,
+                    life: to_life,
+                    link,
+                },
+            );
+            self.wires.get_mut(&link).expect("just made").last = [at, at];
+            self.send(me, link, PeerMessage::Hello(hello));
         }
     }
 
--- a/crates/linenthread-drill/src/system/judge.rs
+++ b/crates/linenthread-drill/src/system/judge.rs
@@ -151,7 +151,7 @@
             Answer::Taken(revision) => self.judge_contact(n, &format!("Taken {revision}")),
             Answer::Conflict(revision) => self.judge_contact(n, &format!("Conflict {revision}")),
             Answer::Document(value) => {
-                self.judge_contact(n, &format!("Document {}", value.revision))
+                self.judge_contact(n, &format!("Document {}", value.revision));
             }
             Answer::Heard(_) => self.judge_contact(n, "Heard"),
             _ => {}
@@ -172,7 +172,7 @@
                 self.judge_acknowledgement(n, &change);
             }
             (Request::Again { change, later }, Answer::Conflict(_)) => {
-                self.judge_refusal(n, &change, later)
+                self.judge_refusal(n, &change, later);
             }
             (Request::Again { .. }, _) => self.told.again_unclear += 1,
             (Request::Rival { change }, Answer::Taken(_)) => {
--- a/crates/linenthread-drill/src/system/machines.rs
+++ b/crates/linenthread-drill/src/system/machines.rs
@@ -218,31 +218,28 @@
             .nodes
             .iter()
             .position(|o| o.address == address && !o.removed);
-        match to.filter(|&t| self.is_up(t) && !self.is_cut_either_way(n, t)) {
-            Some(t) => {
-                let (to_life, delay) = (self.nodes[t].life, self.delay());
-                let link = self.open(n, life, t, to_life);
-                self.push(now + delay, Event::Opened { to: n, life, link });
-                self.push(
-                    now + delay,
-                    Event::Opened {
-                        to: t,
-                        life: to_life,
-                        link,
-                    },
-                );
-            }
-            None => {
-                let wait = if to.is_some() { 700 } else { 5 };
-                self.push(
-                    now + wait,
-                    Event::Unreached {
-                        to: n,
-                        life,
-                        address,
-                    },
-                );
-            }
+        if let Some(t) = to.filter(|&t| self.is_up(t) && !self.is_cut_either_way(n, t)) {
+            let (to_life, delay) = (self.nodes[t].life, self.delay());
+            let link = self.open(n, life, t, to_life);
+            self.push(now + delay, Event::Opened { to: n, life, link });
+            self.push(
+                now + delay,
+                Event::Opened {
+                    to: t,
+                    life: to_life,
+                    link,
+                },
+            );
+        } else {
+            let wait = if to.is_some() { 700 } else { 5 };
+            self.push(
+                now + wait,
+                Event::Unreached {
+                    to: n,
+                    life,
+                    address,
+                },
+            );
         }
     }
 }
--- a/crates/linenthread-drill/src/system/mod.rs
+++ b/crates/linenthread-drill/src/system/mod.rs
@@ -34,4 +34,4 @@
 mod troubles;
 mod world;
 
-pub use schedule::Drill;
+pub(crate) use schedule::Drill;
--- a/crates/linenthread-drill/src/system/operators.rs
+++ b/crates/linenthread-drill/src/system/operators.rs
@@ -148,7 +148,7 @@
             document,
         } = change;
         self.at(n, |c, now, out| {
-            c.replace(now, token, base, revision, document, out)
+            c.replace(now, token, base, revision, document, out);
         });
     }
 
--- a/crates/linenthread-drill/src/system/schedule.rs
+++ b/crates/linenthread-drill/src/system/schedule.rs
@@ -20,7 +20,7 @@
 
 /// Options of the drill.
 #[derive(Clone, Debug)]
-pub struct Drill {
+pub(crate) struct Drill {
     pub schedules: usize,
     pub seed: u64,
     pub core: usize,
@@ -150,7 +150,7 @@
 
 impl Drill {
     /// Plays all schedules; how many, and how many breaches there were.
-    pub fn run(&self) -> (usize, usize) {
+    pub(crate) fn run(&self) -> (usize, usize) {
         let end = self.seed + self.schedules as u64;
         let (next, results) = (AtomicU64::new(self.seed), Mutex::new(BTreeMap::new()));
         let work = || {
--- a/crates/linenthread-drill/src/system/world.rs
+++ b/crates/linenthread-drill/src/system/world.rs
@@ -276,7 +276,7 @@
                 ..
             } => match to.checked_sub(FIRST_FRONT) {
                 Some(front) if self.fronts[front].link == Some(link) => {
-                    self.front_hears(front, word)
+                    self.front_hears(front, word);
                 }
                 None if self.wires.contains_key(&link) => self.deliver(from, sent, to, link, word),
                 _ => {}
@@ -287,7 +287,7 @@
                 None => self.at(to, |c, now, out| c.closed(now, link, out)),
             },
             Event::Unreached { to, address, .. } => {
-                self.at(to, |c, now, _| c.unreached(now, &address))
+                self.at(to, |c, now, _| c.unreached(now, &address));
             }
             Event::Written { to, life } => self.written(to, life),
             Event::Synced { to, then, .. } => self.at(to, |c, now, out| c.synced(now, then, out)),
@@ -324,7 +324,7 @@
                         .as_ref()
                         .is_some_and(|c| clock >= c.due(clock));
                     if due && self.nodes[n].frozen <= self.now {
-                        self.at(n, |c, now, out| c.tick(now, out));
+                        self.at(n, linenthread_control::Control::tick);
                     }
                 }
                 continue;
--- a/crates/linenthread-drill/src/zones.rs
+++ b/crates/linenthread-drill/src/zones.rs
@@ -13,7 +13,7 @@
 const STEP: Tenths = 5_000;
 
 #[derive(Clone, Debug)]
-pub struct Drill {
+pub(crate) struct Drill {
     pub schedules: usize,
     pub seed: u64,
 }
@@ -500,8 +500,8 @@
 }
 
 impl Drill {
-    pub fn run(&self) -> (usize, usize) {
-        let threads = std::thread::available_parallelism().map_or(1, |n| n.get()) as u64;
+    pub(crate) fn run(&self) -> (usize, usize) {
+        let threads = std::thread::available_parallelism().map_or(1, std::num::NonZero::get) as u64;
         let all: Vec<_> = std::thread::scope(|scope| {
             let part = |thread: u64| {
                 let seeds = (self.seed..self.seed + self.schedules as u64)
--- a/crates/linenthread-drill/tests/no_wall_clock.rs
+++ b/crates/linenthread-drill/tests/no_wall_clock.rs
@@ -23,9 +23,9 @@
         for entry in std::fs::read_dir(folder).expect("the folder of a package") {
             let path = entry.expect("an entry of a folder").path();
             if path.is_dir() {
-                folders.push(path)
+                folders.push(path);
             } else {
-                sources.push(path)
+                sources.push(path);
             }
         }
     }
--- a/crates/linenthread-fleet/src/board.rs
+++ b/crates/linenthread-fleet/src/board.rs
@@ -21,7 +21,7 @@
 
 impl Life {
     /// The id by which voters know it (FNV-1a); never 0.
-    pub fn id(&self) -> u64 {
+    pub(crate) fn id(&self) -> u64 {
         let mix = |hash: u64, byte: &u8| (hash ^ u64::from(*byte)).wrapping_mul(0x0100_0000_01b3);
         let name = self.name.as_bytes().iter().fold(0xcbf2_9ce4_8422_2325, mix);
         self.life
@@ -31,12 +31,12 @@
             .max(1)
     }
 
-    pub fn put(&self, put: &mut Put) {
+    pub(crate) fn put(&self, put: &mut Put) {
         put.text(&self.name);
         put.u64(self.life);
     }
 
-    pub fn take(take: &mut Take) -> Res<Life> {
+    pub(crate) fn take(take: &mut Take) -> Res<Life> {
         Ok(Life {
             name: take.text()?,
             life: take.u64()?,
@@ -53,17 +53,17 @@
 }
 
 impl Write {
-    pub fn is_sound(&self) -> bool {
+    pub(crate) fn is_sound(&self) -> bool {
         (1..=LONGEST_TOPIC).contains(&self.topic.len()) && self.value.len() <= LONGEST_VALUE
     }
 
-    pub fn put(&self, put: &mut Put) {
+    pub(crate) fn put(&self, put: &mut Put) {
         put.text(&self.topic);
         put.u64(self.based_on);
         put.bytes(&self.value);
     }
 
-    pub fn take(take: &mut Take) -> Res<Write> {
+    pub(crate) fn take(take: &mut Take) -> Res<Write> {
         let write = Write {
             topic: take.text()?,
             based_on: take.u64()?,
--- a/crates/linenthread-fleet/src/dials.rs
+++ b/crates/linenthread-fleet/src/dials.rs
@@ -34,7 +34,7 @@
 
 impl Dials {
     /// `one_is_enough` where any one of them serves.
-    pub fn new(
+    pub(crate) fn new(
         to: impl Iterator<Item = (String, SocketAddr)>,
         one_is_enough: bool,
         seed: u64,
@@ -81,11 +81,11 @@
         !self.one_is_enough || self.any.as_deref() == Some(name)
     }
 
-    pub fn is_one_enough(&self) -> bool {
+    pub(crate) fn is_one_enough(&self) -> bool {
         self.one_is_enough
     }
 
-    pub fn wake_at(&self) -> Tenths {
+    pub(crate) fn wake_at(&self) -> Tenths {
         let waits = self
             .all
             .iter()
@@ -94,7 +94,7 @@
     }
 
     /// Those to be dialled now.
-    pub fn due(
+    pub(crate) fn due(
         &mut self,
         now: Tenths,
         mut number: impl FnMut() -> u64,
@@ -121,7 +121,7 @@
     }
 
     /// A connection came to nothing or has ended.
-    pub fn lost(&mut self, now: Tenths, connection: u64) {
+    pub(crate) fn lost(&mut self, now: Tenths, connection: u64) {
         let lost = self
             .all
             .values_mut()
--- a/crates/linenthread-fleet/src/fleet.rs
+++ b/crates/linenthread-fleet/src/fleet.rs
@@ -291,7 +291,7 @@
         for (&number, connection) in &mut self.connections {
             match connection.talk {
                 Talk::Open { .. } if now >= connection.heard + SILENCE => {
-                    ends.push((number, "it is silent"))
+                    ends.push((number, "it is silent"));
                 }
                 Talk::Open { .. } if now >= connection.pinged + PING => {
                     connection.pinged = now;
@@ -303,7 +303,7 @@
                 }
                 Talk::Open { .. } | Talk::Ended => {}
                 _ if now >= connection.began + GREETING => {
-                    ends.push((number, "it does not prove itself"))
+                    ends.push((number, "it does not prove itself"));
                 }
                 _ => {}
             }
--- a/crates/linenthread-fleet/src/keep.rs
+++ b/crates/linenthread-fleet/src/keep.rs
@@ -78,7 +78,7 @@
     /// # Errors
     ///
     /// As [`Log::open`].
-    pub fn open(files: F) -> std::result::Result<(Keep<F>, Option<Cut>), Trouble> {
+    pub(crate) fn open(files: F) -> std::result::Result<(Keep<F>, Option<Cut>), Trouble> {
         let opened = Log::open(files)?;
         let mut keep = Keep {
             log: opened.log,
@@ -139,7 +139,7 @@
     }
 
     /// A new self, with what it begins from. What was kept before is gone.
-    pub fn begin(
+    pub(crate) fn begin(
         &mut self,
         own: Life,
         snapshot: Snapshot,
@@ -153,13 +153,13 @@
     }
 
     /// It takes part from now on.
-    pub fn hold(&mut self) -> std::result::Result<(), Trouble> {
+    pub(crate) fn hold(&mut self) -> std::result::Result<(), Trouble> {
         self.holding = true;
         self.log.append(&[HOLDING])?;
         self.log.sync()
     }
 
-    pub fn append(&mut self, entries: &[Entry]) -> std::result::Result<(), Trouble> {
+    pub(crate) fn append(&mut self, entries: &[Entry]) -> std::result::Result<(), Trouble> {
         for entry in entries {
             let mut put = Put(vec![ENTRY]);
             put_entry(entry, &mut put);
@@ -177,17 +177,17 @@
         put.0
     }
 
-    pub fn set_hard(&mut self, hard: &HardState) -> std::result::Result<(), Trouble> {
+    pub(crate) fn set_hard(&mut self, hard: &HardState) -> std::result::Result<(), Trouble> {
         self.hard = hard.clone();
         self.log.append(&self.hard_record())
     }
 
     /// Further commits count at once; on the disk they come with the next that is written.
-    pub fn committed(&mut self, commit: u64) {
+    pub(crate) fn committed(&mut self, commit: u64) {
         self.hard.commit = commit;
     }
 
-    pub fn install(&mut self, snapshot: Snapshot) -> std::result::Result<(), Trouble> {
+    pub(crate) fn install(&mut self, snapshot: Snapshot) -> std::result::Result<(), Trouble> {
         let about = snapshot.get_metadata();
         self.hard.commit = self.hard.commit.max(about.index);
         self.hard.term = self.hard.term.max(about.term);
@@ -196,18 +196,18 @@
         self.rewrite()
     }
 
-    pub fn sync(&mut self) -> std::result::Result<(), Trouble> {
+    pub(crate) fn sync(&mut self) -> std::result::Result<(), Trouble> {
         self.log.sync()
     }
 
     /// Whether the log is long enough to be made short.
-    pub fn is_long(&self, applied: u64) -> bool {
+    pub(crate) fn is_long(&self, applied: u64) -> bool {
         let done = applied.saturating_sub(self.snapshot.get_metadata().index);
         done >= 256 || done > 0 && self.log.bytes() > 2 * 1024 * 1024
     }
 
     /// Makes a snapshot of what was agreed up to there, and drops what led to it.
-    pub fn compact(
+    pub(crate) fn compact(
         &mut self,
         applied: u64,
         conf: &ConfState,
@@ -248,7 +248,7 @@
         self.log.rewrite(&records)
     }
 
-    pub fn board(&self) -> Res<Board> {
+    pub(crate) fn board(&self) -> Res<Board> {
         if self.snapshot.data.is_empty() {
             Ok(Board::default())
         } else {
@@ -256,7 +256,7 @@
         }
     }
 
-    pub fn applied(&self) -> u64 {
+    pub(crate) fn applied(&self) -> u64 {
         self.snapshot.get_metadata().index
     }
 }
--- a/crates/linenthread-fleet/src/lib.rs
+++ b/crates/linenthread-fleet/src/lib.rs
@@ -10,6 +10,10 @@
 //! number), *agreed-stays* (what one process was told as agreed is never undone while a majority of voters has
 //! its disks), *one-leader* (at no moment do two processes hold the lease), *former-self* (a voter that lost its
 //! disk never votes as the one it was). The messages stand byte by byte in `docs/fleet.md`.
+#![expect(
+    missing_docs,
+    reason = "public items of this package are not all documented yet"
+)]
 
 mod board;
 mod dials;
--- a/crates/linenthread-fleet/tests/fleets.rs
+++ b/crates/linenthread-fleet/tests/fleets.rs
@@ -139,7 +139,7 @@
             self.now += 250;
             NAMES
                 .iter()
-                .for_each(|name| self.act(name, |voter, now, to| voter.wake(now, to)));
+                .for_each(|name| self.act(name, linenthread_fleet::Voter::wake));
         }
     }
 
@@ -159,7 +159,7 @@
             .to_owned();
         let mut done = Ok(());
         self.act(&leader, |v, now, to| {
-            done = v.propose(now, topic, based_on, value.to_vec(), to)
+            done = v.propose(now, topic, based_on, value.to_vec(), to);
         });
         done
     }
@@ -212,7 +212,7 @@
     assert!(new.len() == 1 && new[0] != leader, "{new:?}");
     let mut refused = Ok(());
     room.act(&leader, |v, now, to| {
-        refused = v.propose(now, "table", 1, b"alone".to_vec(), to)
+        refused = v.propose(now, "table", 1, b"alone".to_vec(), to);
     });
     assert_eq!(refused, Err("this process does not lead".into()));
     room.propose("table", 1, b"second").unwrap();
@@ -290,7 +290,7 @@
     // Before a word reaches it, by its own clock alone.
     assert!(!room.voters[&leader].leads(room.now));
     room.cut_off(&leader);
-    room.act(&leader, |v, now, to| v.wake(now, to));
+    room.act(&leader, linenthread_fleet::Voter::wake);
     assert!(
         room.lines
             .last()
@@ -400,7 +400,7 @@
         (gap, "cannot stand there"),
     ] {
         room.act(victim, |v, now, to| {
-            v.received(now, &leader, Frame::Record(Box::new(message)), to)
+            v.received(now, &leader, Frame::Record(Box::new(message)), to);
         });
         assert!(
             room.lines.last().unwrap().contains(why),
--- a/crates/linenthread-frames/src/lib.rs
+++ b/crates/linenthread-frames/src/lib.rs
@@ -1,6 +1,10 @@
 //! What linenthread's own programs say to each other is made of frames: four bytes of length, most significant
 //! first, a byte for the kind, and fields. Here stand the fields and the lengths, whatever the frames mean, and
 //! the proof that the other side knows a shared secret.
+#![expect(
+    missing_docs,
+    reason = "public items of this package are not all documented yet"
+)]
 
 mod proof;
 
--- a/crates/linenthread-hollow/src/api.rs
+++ b/crates/linenthread-hollow/src/api.rs
@@ -6,8 +6,8 @@
 use linenthread_control::{Beat, Control, Local};
 use linenthread_messages::{Heartbeat, Hello, VERSION, Value, Voter, decode};
 
-pub use linenthread_control::{Answer, Effect, Link, Token};
-pub use linenthread_messages::{FrontUpdate, PeerMessage, Record, Replica, encode};
+pub(crate) use linenthread_control::{Answer, Effect, Link, Token};
+pub(crate) use linenthread_messages::{FrontUpdate, PeerMessage, Record, Replica, encode};
 
 use crate::cost::Work;
 
@@ -175,7 +175,7 @@
 }
 
 /// What a message is about.
-pub fn work_of(word: &PeerMessage, with_front: bool) -> Work {
+pub(crate) fn work_of(word: &PeerMessage, with_front: bool) -> Work {
     match word {
         PeerMessage::Hello(_) if with_front => Work::FrontJoins,
         PeerMessage::Hello(_) => Work::Sessions,
@@ -205,7 +205,7 @@
     pub share: Option<(u64, f64)>,
 }
 
-pub fn notice(word: &PeerMessage) -> Notice {
+pub(crate) fn notice(word: &PeerMessage) -> Notice {
     let work = work_of(word, true);
     let none = Notice {
         work,
@@ -233,7 +233,7 @@
 }
 
 /// A front's first word. `place` is how far it followed which node's log.
-pub fn front_hello(
+pub(crate) fn front_hello(
     name: &str,
     zone: &str,
     life: u64,
@@ -253,7 +253,7 @@
     })
 }
 
-pub fn front_heartbeat(asked: u64, revision: u64) -> PeerMessage {
+pub(crate) fn front_heartbeat(asked: u64, revision: u64) -> PeerMessage {
     PeerMessage::Heartbeat(Heartbeat {
         asked,
         revision,
@@ -262,6 +262,6 @@
 }
 
 /// One whole frame back into a message.
-pub fn read_frame(frame: &[u8]) -> Option<PeerMessage> {
+pub(crate) fn read_frame(frame: &[u8]) -> Option<PeerMessage> {
     decode(&mut BytesMut::from(frame)).ok().flatten()
 }
--- a/crates/linenthread-hollow/src/cost.rs
+++ b/crates/linenthread-hollow/src/cost.rs
@@ -111,7 +111,7 @@
 }
 
 /// Bytes that are held now, by all.
-pub fn held() -> i64 {
+pub(crate) fn held() -> i64 {
     let stats = ALLOCATOR.stats();
     stats.bytes_allocated as i64 - stats.bytes_deallocated as i64
 }
--- a/crates/linenthread-hollow/src/events.rs
+++ b/crates/linenthread-hollow/src/events.rs
@@ -2,7 +2,7 @@
 use std::collections::BinaryHeap;
 
 /// Events by time, then in the order in which they were put in.
-pub struct Events<E> {
+pub(crate) struct Events<E> {
     heap: BinaryHeap<Reverse<Entry<E>>>,
     order: u64,
 }
@@ -42,7 +42,7 @@
 }
 
 impl<E> Events<E> {
-    pub fn push(&mut self, at: u64, event: E) {
+    pub(crate) fn push(&mut self, at: u64, event: E) {
         self.order += 1;
         self.heap.push(Reverse(Entry {
             key: (at, self.order),
@@ -51,7 +51,7 @@
     }
 
     /// The next event before this time.
-    pub fn pop_before(&mut self, end: u64) -> Option<(u64, E)> {
+    pub(crate) fn pop_before(&mut self, end: u64) -> Option<(u64, E)> {
         if self.heap.peek()?.0.key.0 >= end {
             return None;
         }
--- a/crates/linenthread-hollow/src/lib.rs
+++ b/crates/linenthread-hollow/src/lib.rs
@@ -4,6 +4,10 @@
 //! fronts is encoded as on a socket and counted. The network, the disks and the clock are simulated, so that a
 //! seed gives the same messages and bytes each time. Processor time and heap are measured around the calls of a
 //! state machine with the coding of its messages: sockets, HTTP heads and wake-ups are not in them.
+#![expect(
+    missing_docs,
+    reason = "public items of this package are not all documented yet"
+)]
 
 mod api;
 mod cost;
--- a/crates/linenthread-hollow/src/replica.rs
+++ b/crates/linenthread-hollow/src/replica.rs
@@ -4,7 +4,7 @@
 
 use crate::geography::zone_name;
 
-pub struct Replica {
+pub(crate) struct Replica {
     number: usize,
     pub zone: usize,
     life: u64,
@@ -15,7 +15,7 @@
 }
 
 impl Replica {
-    pub fn new(number: usize, zone: usize, node: usize) -> Replica {
+    pub(crate) fn new(number: usize, zone: usize, node: usize) -> Replica {
         Replica {
             number,
             zone,
@@ -26,18 +26,18 @@
         }
     }
 
-    pub fn ident(&self) -> String {
+    pub(crate) fn ident(&self) -> String {
         format!("i-{:06}-{:04}", self.number, self.life)
     }
 
     /// Ended and started anew at its address.
-    pub fn restart(&mut self) {
+    pub(crate) fn restart(&mut self) {
         self.life += 1;
         (self.calls, self.draining) = (0, false);
     }
 
     /// The body of its next heartbeat.
-    pub fn body(&mut self) -> Vec<u8> {
+    pub(crate) fn body(&mut self) -> Vec<u8> {
         self.calls += 1;
         let number = self.number;
         json!({
@@ -56,7 +56,7 @@
 }
 
 /// Bytes of a call with this body, as our own client writes it.
-pub fn call_bytes(path: &str, body: usize) -> usize {
+pub(crate) fn call_bytes(path: &str, body: usize) -> usize {
     format!(
         "POST {path} HTTP/1.1\r\nHost: 10.0.0.1:8080\r\nContent-Type: application/json\r\n\
          Content-Length: {body}\r\n\r\n"
@@ -66,7 +66,7 @@
 }
 
 /// Bytes of the acknowledgement that names an address for later heartbeats.
-pub fn answer_bytes(address: &str) -> usize {
+pub(crate) fn answer_bytes(address: &str) -> usize {
     let body = json!({"report_to": address}).to_string();
     format!(
         "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: {}\r\n\r\n{body}",
--- a/crates/linenthread-hollow/src/report.rs
+++ b/crates/linenthread-hollow/src/report.rs
@@ -203,7 +203,7 @@
         let spent = |cost: &Cost| {
             cost.processor
                 .get(&Work::FrontJoins)
-                .map_or(0.0, |d| d.as_secs_f64())
+                .map_or(0.0, std::time::Duration::as_secs_f64)
         };
         let each = |sum: f64, many: usize| sum / many.max(1) as f64;
         let tables: Vec<&Cost> = world.fronts[..fronts]
@@ -217,7 +217,7 @@
                 + cost
                     .processor
                     .get(&Work::Configuration)
-                    .map_or(0.0, |d| d.as_secs_f64())
+                    .map_or(0.0, std::time::Duration::as_secs_f64)
         };
         self.snapshot = Snapshot {
             fronts,
--- a/crates/linenthread-hollow/src/world.rs
+++ b/crates/linenthread-hollow/src/world.rs
@@ -25,7 +25,7 @@
 const FIRST_FRONTS_AT: u64 = 6_500;
 const FRONTS_AT: u64 = 6_800;
 const FRONTS_WITHIN: u64 = 400;
-pub const MEASURED_FROM: u64 = 7_600;
+pub(crate) const MEASURED_FROM: u64 = 7_600;
 /// A storm's snapshots are through, or not, after so long.
 const STORM: u64 = 400;
 const FRONT_HEARTBEAT: u64 = 500;
@@ -679,12 +679,11 @@
     }
 
     fn replica_answered(&mut self, n: usize, r: usize, answer: &Answer) {
-        let address = match answer {
-            Answer::Heard(report_to) => report_to.as_deref(),
-            _ => {
-                self.replicas[r].node = self.any_node();
-                None
-            }
+        let address = if let Answer::Heard(report_to) = answer {
+            report_to.as_deref()
+        } else {
+            self.replicas[r].node = self.any_node();
+            None
         };
         let bytes = replica::answer_bytes(address.unwrap_or(""));
         self.replica_cost.receive(Work::ReplicaHeartbeats, bytes);
--- a/crates/linenthread-hollow/tests/hollow.rs
+++ b/crates/linenthread-hollow/tests/hollow.rs
@@ -1,3 +1,5 @@
+//! Hollow nodes: what control costs by size, and whether the tables of a run add up.
+
 use linenthread_config::Configuration;
 use linenthread_hollow::{
     CSV_HEADER, FitError, Loss, Role, Scale, document, fit_csv, kill_timeline, measure, power,
--- a/crates/linenthread-installation/src/fleet.rs
+++ b/crates/linenthread-installation/src/fleet.rs
@@ -60,7 +60,7 @@
 
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct FleetSection {
+pub(crate) struct FleetSection {
     #[serde(rename = "@address")]
     address: String,
     #[serde(rename = "@listen")]
@@ -109,7 +109,7 @@
 
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct ZonesSection {
+pub(crate) struct ZonesSection {
     #[serde(rename = "@life", default = "life")]
     life: u64,
     #[serde(rename = "@margin", default = "margin")]
@@ -164,7 +164,7 @@
 }
 
 /// Checks what the schema can't say.
-pub fn fleet(said: FleetSection, node: &Node) -> Result<Fleet, Fault> {
+pub(crate) fn fleet(said: FleetSection, node: &Node) -> Result<Fleet, Fault> {
     let fault = |why: String| Err(Fault::new(node.line, why));
     let mut voters: Vec<Voter> = Vec::new();
     for (said, node) in said.voter.into_iter().zip(node.all("voter")) {
@@ -232,7 +232,11 @@
 }
 
 /// Checks what the schema can't say.
-pub fn zones(said: ZonesSection, node: &Node, fleet: Option<&Fleet>) -> Result<Zones, Fault> {
+pub(crate) fn zones(
+    said: ZonesSection,
+    node: &Node,
+    fleet: Option<&Fleet>,
+) -> Result<Zones, Fault> {
     let Some(fleet) = fleet else {
         return Err(Fault::new(
             node.line,
--- a/crates/linenthread-installation/src/lib.rs
+++ b/crates/linenthread-installation/src/lib.rs
@@ -2,6 +2,10 @@
 //!
 //! [`Installation::read`] takes the file's text and what the platform's settings know of their indexes; it
 //! gives typed values or one [`Fault`] with line and cause. Each subsystem has a section and a module here.
+#![expect(
+    missing_docs,
+    reason = "public items of this package are not all documented yet"
+)]
 
 mod fleet;
 mod links;
@@ -399,6 +403,16 @@
         }
     }
 
+    fn write(node: &tree::Node) -> String {
+        let attributes: String = node
+            .attributes
+            .iter()
+            .map(|(n, v)| format!(" {n}=\"{v}\""))
+            .collect();
+        let inner: String = node.children.iter().map(write).collect();
+        format!("<{0}{attributes}>{inner}</{0}>", node.name)
+    }
+
     /// The decoder and the schema hold the same: every value that the schema has is decoded, each attribute
     /// can be left out just where its default then counts, and no other name passes the decoder alone.
     #[test]
@@ -465,15 +479,6 @@
         }
         assert!(samples.len() > 20);
         // A tree in which the schema has filled in its defaults says just what the decoder reads without.
-        fn write(node: &tree::Node) -> String {
-            let attributes: String = node
-                .attributes
-                .iter()
-                .map(|(n, v)| format!(" {n}=\"{v}\""))
-                .collect();
-            let inner: String = node.children.iter().map(write).collect();
-            format!("<{0}{attributes}>{inner}</{0}>", node.name)
-        }
         let mut filled = tree::read(&whole).unwrap();
         schema.hold(&mut filled).unwrap();
         let filled = write(&filled);
--- a/crates/linenthread-installation/src/links.rs
+++ b/crates/linenthread-installation/src/links.rs
@@ -36,7 +36,7 @@
 
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct GatewaySection {
+pub(crate) struct GatewaySection {
     #[serde(rename = "@listen")]
     listen: String,
     #[serde(rename = "@secret")]
@@ -77,7 +77,7 @@
 
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct PeersSection {
+pub(crate) struct PeersSection {
     peer: Vec<PeerSection>,
 }
 
@@ -120,7 +120,7 @@
 }
 
 /// Checks what the schema can't say.
-pub fn gateway(said: GatewaySection, node: &Node) -> Result<Gateway, Fault> {
+pub(crate) fn gateway(said: GatewaySection, node: &Node) -> Result<Gateway, Fault> {
     Ok(Gateway {
         listen: address(&said.listen, node)?,
         secrets: std::iter::once(said.secret).chain(said.before).collect(),
@@ -133,7 +133,7 @@
 }
 
 /// Checks what the schema can't say.
-pub fn peers(said: PeersSection, node: &Node) -> Result<Vec<Peer>, Fault> {
+pub(crate) fn peers(said: PeersSection, node: &Node) -> Result<Vec<Peer>, Fault> {
     let mut peers: Vec<Peer> = Vec::new();
     for (said, node) in said.peer.into_iter().zip(node.all("peer")) {
         let address = address(&said.address, node)?;
--- a/crates/linenthread-installation/src/merging.rs
+++ b/crates/linenthread-installation/src/merging.rs
@@ -26,7 +26,7 @@
 
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Section {
+pub(crate) struct Section {
     marks: Option<Marks>,
     #[serde(rename = "$value", default)]
     indexes: Vec<Index>,
@@ -307,7 +307,7 @@
 }
 
 /// Checks what the schema can't say.
-pub fn check(
+pub(crate) fn check(
     section: Section,
     node: &Node,
     known: &dyn Fn(&str) -> Option<KnownIndex>,
--- a/crates/linenthread-installation/src/schema.rs
+++ b/crates/linenthread-installation/src/schema.rs
@@ -54,7 +54,7 @@
 
 /// A schema, read.
 #[derive(Debug, Default)]
-pub struct Schema {
+pub(crate) struct Schema {
     root: (String, String),
     simple: BTreeMap<String, Simple>,
     complex: BTreeMap<String, Complex>,
@@ -166,7 +166,7 @@
     /// # Errors
     ///
     /// The line and cause of what is not known here, types that are not there included.
-    pub fn read(node: &Node) -> Result<Schema, Fault> {
+    pub(crate) fn read(node: &Node) -> Result<Schema, Fault> {
         let mut schema = Schema::default();
         for child in &node.children {
             let name = must(child, "name")?.to_owned();
@@ -215,7 +215,7 @@
     /// # Errors
     ///
     /// The first fault, by line.
-    pub fn hold(&self, root: &mut Node) -> Result<(), Fault> {
+    pub(crate) fn hold(&self, root: &mut Node) -> Result<(), Fault> {
         if root.name != self.root.0 {
             return Err(Fault::new(
                 root.line,
@@ -375,7 +375,7 @@
     /// Every attribute value that the schema has by name: each word of an enumeration, else one that fits;
     /// as (type of the element, attribute, values). For the test that holds the decoder to the schema.
     #[cfg(test)]
-    pub fn samples(&self) -> Vec<(&str, &str, Vec<String>)> {
+    pub(crate) fn samples(&self) -> Vec<(&str, &str, Vec<String>)> {
         let of = |kind: &str| -> Vec<String> {
             let simple = &self.simple[kind];
             let simple = simple
@@ -405,7 +405,7 @@
     }
 
     #[cfg(test)]
-    pub fn element_names(&self) -> Vec<&str> {
+    pub(crate) fn element_names(&self) -> Vec<&str> {
         let mut names = vec![self.root.0.as_str()];
         let mut particles: Vec<_> = self
             .complex
--- a/crates/linenthread-installation/src/tree.rs
+++ b/crates/linenthread-installation/src/tree.rs
@@ -14,7 +14,7 @@
 
 /// An element, with its line in the file from 1.
 #[derive(Debug, Default)]
-pub struct Node {
+pub(crate) struct Node {
     pub name: String,
     pub line: usize,
     pub attributes: Vec<(String, String)>,
@@ -23,14 +23,14 @@
 }
 
 impl Node {
-    pub fn attribute(&self, name: &str) -> Option<&str> {
+    pub(crate) fn attribute(&self, name: &str) -> Option<&str> {
         self.attributes
             .iter()
             .find(|(n, _)| n == name)
             .map(|(_, v)| v.as_str())
     }
 
-    pub fn all<'a>(&'a self, name: &'a str) -> impl Iterator<Item = &'a Node> {
+    pub(crate) fn all<'a>(&'a self, name: &'a str) -> impl Iterator<Item = &'a Node> {
         self.children.iter().filter(move |c| c.name == name)
     }
 }
@@ -75,7 +75,7 @@
 /// # Errors
 ///
 /// The line and cause of what is no well-formed XML, or is beyond the bounds.
-pub fn read(text: &str) -> Result<Node, Fault> {
+pub(crate) fn read(text: &str) -> Result<Node, Fault> {
     if text.len() > MOST_BYTES {
         return Err(Fault::new(
             1,
--- a/crates/linenthread-link/src/lib.rs
+++ b/crates/linenthread-link/src/lib.rs
@@ -5,6 +5,10 @@
 //! events and `now` go in, actions come out, chance comes from a seed. [`frame`] holds the messages, byte by
 //! byte in `docs/link.md`. What may have run is never said not to have: a call never ran only if its frame was
 //! never written whole, or the far side says that it never came or was never sent on.
+#![expect(
+    missing_docs,
+    reason = "public items of this package are not all documented yet"
+)]
 
 mod far;
 pub mod frame;
--- a/crates/linenthread-link/src/near.rs
+++ b/crates/linenthread-link/src/near.rs
@@ -515,7 +515,7 @@
                 to.push(NearDo::Send(hello));
             }
             (State::Greeting { since }, welcome @ Frame::Welcome { .. }) => {
-                self.welcome(now, since, &welcome, to)
+                self.welcome(now, since, &welcome, to);
             }
             (_, Frame::Refuse { why }) => self.break_off(now, format!("refused: {why}"), to),
             (
@@ -546,7 +546,7 @@
                 }
             }
             (State::Up { .. }, Frame::Ping { number }) => {
-                to.push(NearDo::Send(Frame::Pong { number }))
+                to.push(NearDo::Send(Frame::Pong { number }));
             }
             (
                 State::Up { .. },
--- a/crates/linenthread-link/tests/ends.rs
+++ b/crates/linenthread-link/tests/ends.rs
@@ -86,7 +86,7 @@
                 NearDo::Connect => {
                     self.connection += 1;
                     self.near.connected(self.now);
-                    self.at_far(|far, now, c, to| far.accepted(now, c, to));
+                    self.at_far(linenthread_link::Far::accepted);
                 }
                 NearDo::Send(frame) => {
                     if let Frame::Call { number, .. } = &frame {
@@ -188,7 +188,7 @@
     let hello = pair.sent[0].clone();
     // On a connection of its own, with a nonce of its own.
     pair.connection = 77;
-    pair.at_far(|far, now, c, to| far.accepted(now, c, to));
+    pair.at_far(linenthread_link::Far::accepted);
     let mut to = Vec::new();
     pair.far.received(pair.now, 77, hello.clone(), &mut to);
     assert!(
--- a/crates/linenthread-merge/src/decimal.rs
+++ b/crates/linenthread-merge/src/decimal.rs
@@ -12,7 +12,7 @@
 ///
 /// Anything that is not such a number, has more digits after the point than the scale (zeros aside), or
 /// more than 30 in all.
-pub fn parse(text: &str, scale: u32) -> Result<i128, String> {
+pub(crate) fn parse(text: &str, scale: u32) -> Result<i128, String> {
     let bad = || format!("{text:.40?} is no decimal number");
     let (negative, digits) = match text.strip_prefix('-') {
         Some(rest) => (true, rest),
@@ -41,7 +41,7 @@
 }
 
 /// Writes it with all digits of its scale.
-pub fn format(units: i128, scale: u32) -> String {
+pub(crate) fn format(units: i128, scale: u32) -> String {
     let digits = format!(
         "{:0>width$}",
         units.unsigned_abs(),
@@ -57,7 +57,7 @@
 }
 
 /// A quotient rounded to whole units, halves to the even one.
-pub fn mean(sum: i128, count: u64) -> Option<i128> {
+pub(crate) fn mean(sum: i128, count: u64) -> Option<i128> {
     let count = i128::from(count);
     if count == 0 {
         return None;
--- a/crates/linenthread-merge/src/lib.rs
+++ b/crates/linenthread-merge/src/lib.rs
@@ -4,6 +4,10 @@
 //! takes the slices' values in any order, says which slices must be asked once more, and writes the answer
 //! with a plain statement of what is in it. It does no I/O and reads no clock; when to answer is decided
 //! elsewhere. The forms of values and answers are in `docs/merged-answers.md`.
+#![expect(
+    missing_docs,
+    reason = "public items of this package are not all documented yet"
+)]
 
 mod decimal;
 mod mark;
--- a/crates/linenthread-merge/src/mark.rs
+++ b/crates/linenthread-merge/src/mark.rs
@@ -23,13 +23,13 @@
 const HEAD: usize = 41;
 const SIGNATURE: usize = 16;
 /// A mark that would be longer, in letters, is not made and not read.
-pub const LONGEST: usize = 8 * 1024;
+pub(crate) const LONGEST: usize = 8 * 1024;
 /// Clocks of two co-ordinators may differ by so many seconds.
 const CLOCKS_DIFFER: u64 = 60;
 /// A shorter secret could be guessed.
 pub const SHORTEST_SECRET: usize = 16;
 
-pub type Hash = [u8; 16];
+pub(crate) type Hash = [u8; 16];
 
 /// Makes and reads page marks.
 #[derive(Clone, PartialEq)]
@@ -52,7 +52,7 @@
 }
 
 /// A hash of words that keeps them apart.
-pub fn hash(words: &[&[u8]]) -> Hash {
+pub(crate) fn hash(words: &[&[u8]]) -> Hash {
     let mut hash = Sha256::new();
     for word in words {
         hash.update((word.len() as u64).to_be_bytes());
--- a/crates/linenthread-merge/src/merge.rs
+++ b/crates/linenthread-merge/src/merge.rs
@@ -307,7 +307,7 @@
                 body.insert("totals".into(), totals::tell(all, measures, lacks));
             }
             (Gathered::Groups(all), Form::Groups(plan)) => {
-                body.extend(all.tell(plan, lacks, MOST_BYTES))
+                body.extend(all.tell(plan, lacks, MOST_BYTES));
             }
             (Gathered::Rows(page), Form::Rows(rows)) => {
                 let marks = marks.filter(|_| rows.pages);
@@ -389,12 +389,6 @@
                 cut.into()
             },
         );
-        #[derive(serde::Serialize)]
-        struct Page<'r> {
-            #[serde(flatten)]
-            body: Map<String, Value>,
-            rows: Vec<&'r RawValue>,
-        }
         let rows = shown
             .rows
             .iter()
@@ -403,3 +397,11 @@
         serde_json::to_vec(&Page { body, rows }).unwrap_or_default()
     }
 }
+
+/// A ranked answer with the rows as the shards wrote them.
+#[derive(serde::Serialize)]
+struct Page<'r> {
+    #[serde(flatten)]
+    body: Map<String, Value>,
+    rows: Vec<&'r RawValue>,
+}
--- a/crates/linenthread-merge/src/place.rs
+++ b/crates/linenthread-merge/src/place.rs
@@ -124,7 +124,7 @@
             match (value, order.kind) {
                 (None, _) => {}
                 (Some(text), Kind::Text) if is_text => {
-                    put_text(&mut place, &text, order.descending)
+                    put_text(&mut place, &text, order.descending);
                 }
                 (Some(_), Kind::Text) => return Err(format!("{} is not a text", order.field)),
                 (Some(text), Kind::Decimal(scale)) => {
--- a/crates/linenthread-merge/src/totals.rs
+++ b/crates/linenthread-merge/src/totals.rs
@@ -15,7 +15,7 @@
 
 /// What is known of one measure's values.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Total {
+pub(crate) struct Total {
     count: u64,
     sum: i128,
     /// The least and the most, where there is any value.
@@ -112,7 +112,7 @@
 }
 
 /// One total a measure, in the plan's order.
-pub type Totals = Vec<Total>;
+pub(crate) type Totals = Vec<Total>;
 
 #[derive(Deserialize)]
 struct Said<'a> {
@@ -158,20 +158,20 @@
 }
 
 /// Reads a slice's value `{"totals":{FIELD:{"count":..,"sum":..,"least":..,"most":..}}}`.
-pub fn read(value: &str, measures: &[Measure]) -> Result<Totals, String> {
+pub(crate) fn read(value: &str, measures: &[Measure]) -> Result<Totals, String> {
     let said: SaidTotals = serde_json::from_str(value).map_err(|e| e.to_string())?;
     of_measures(&said.totals, measures)
 }
 
-pub fn add(to: &mut Totals, other: &[Total]) {
+pub(crate) fn add(to: &mut Totals, other: &[Total]) {
     to.iter_mut().zip(other).for_each(|(a, b)| a.add(b));
 }
 
-pub fn none(measures: &[Measure]) -> Totals {
+pub(crate) fn none(measures: &[Measure]) -> Totals {
     vec![Total::default(); measures.len()]
 }
 
-pub fn tell(totals: &[Total], measures: &[Measure], lacks: bool) -> Value {
+pub(crate) fn tell(totals: &[Total], measures: &[Measure], lacks: bool) -> Value {
     let all: Map<String, Value> = measures
         .iter()
         .zip(totals)
@@ -181,13 +181,13 @@
 }
 
 /// A slice's groups as it told them.
-pub struct SliceGroups {
+pub(crate) struct SliceGroups {
     groups: Vec<(Box<str>, Totals)>,
     rest: Option<Totals>,
 }
 
 /// Groups of all slices, so many by themselves and the rest as one.
-pub struct Grouped {
+pub(crate) struct Grouped {
     by_name: BTreeMap<Box<str>, Totals>,
     rest: Totals,
     /// Some groups went into the rest, here or at a slice.
@@ -199,7 +199,7 @@
 }
 
 impl Grouped {
-    pub fn new(plan: &Groups) -> Self {
+    pub(crate) fn new(plan: &Groups) -> Self {
         Grouped {
             by_name: BTreeMap::new(),
             rest: none(&plan.measures),
@@ -211,7 +211,7 @@
 
     /// Reads a slice's value `{"groups":[{"of":NAME,"totals":{...}},...],"rest":{"totals":{...}}}`, its groups
     /// by rising name. Nothing of it counts before [`Grouped::take`].
-    pub fn read(value: &str, plan: &Groups) -> Result<SliceGroups, String> {
+    pub(crate) fn read(value: &str, plan: &Groups) -> Result<SliceGroups, String> {
         let said: SaidGroups = serde_json::from_str(value).map_err(|e| e.to_string())?;
         if said.groups.windows(2).any(|pair| pair[0].of >= pair[1].of) {
             return Err("its groups are not in order, or one stands twice".into());
@@ -239,7 +239,7 @@
 
     /// No more than what may be told, or held where size decides, is kept by name: whichever names come last
     /// go into the rest. The result is the same in whatever order slices come.
-    pub fn take(&mut self, slice: SliceGroups, plan: &Groups) {
+    pub(crate) fn take(&mut self, slice: SliceGroups, plan: &Groups) {
         let most = if plan.first == First::Name {
             plan.most
         } else {
@@ -278,7 +278,7 @@
     }
 
     /// The groups told by themselves, within so many bytes, and the rest.
-    pub fn tell(&self, plan: &Groups, lacks: bool, bytes: usize) -> Map<String, Value> {
+    pub(crate) fn tell(&self, plan: &Groups, lacks: bool, bytes: usize) -> Map<String, Value> {
         let mut groups: Vec<_> = self.by_name.iter().collect();
         if plan.first == First::Largest {
             // The sort keeps rising names among those of one size.
--- a/crates/linenthread-messages/src/lib.rs
+++ b/crates/linenthread-messages/src/lib.rs
@@ -2,6 +2,10 @@
 //!
 //! A frame is a length of four bytes, greatest first, and one [`Envelope`]. The first word on a connection is
 //! [`Hello`] from the side that opened it; another version than [`VERSION`] ends the connection.
+#![expect(
+    missing_docs,
+    reason = "public items of this package are not all documented yet"
+)]
 
 mod frame;
 mod words;
--- a/crates/linenthread-node/src/control.rs
+++ b/crates/linenthread-node/src/control.rs
@@ -53,13 +53,13 @@
     Stop(oneshot::Sender<()>),
 }
 
-pub struct ControlServer {
+pub(crate) struct ControlServer {
     commands: mpsc::Sender<Command>,
 }
 
 impl ControlServer {
     /// Serves on until others hold what this node holds and it leads no more, or that takes too long.
-    pub async fn leave(&self, within: Duration) {
+    pub(crate) async fn leave(&self, within: Duration) {
         let began = Instant::now();
         let (done, may_go) = oneshot::channel();
         if self.commands.send(Command::Leave(done)).await.is_err() {
@@ -78,7 +78,7 @@
     }
 
     /// Ends all sessions, so that the others need not wait for silence.
-    pub async fn stop(&self) {
+    pub(crate) async fn stop(&self) {
         let (done, ended) = oneshot::channel();
         if self.commands.send(Command::Stop(done)).await.is_ok() {
             let _ = ended.await;
@@ -87,7 +87,7 @@
 }
 
 /// A number that is the same nowhere else.
-pub fn life() -> u64 {
+pub(crate) fn life() -> u64 {
     let at = std::time::SystemTime::now()
         .duration_since(std::time::UNIX_EPOCH)
         .map_or(0, |d| d.as_nanos());
@@ -96,7 +96,10 @@
     hash | 1
 }
 
-pub async fn start(settings: &Rc<Settings>, address: SocketAddr) -> Result<ControlServer, Error> {
+pub(crate) async fn start(
+    settings: &Rc<Settings>,
+    address: SocketAddr,
+) -> Result<ControlServer, Error> {
     let (commands, queue) = mpsc::channel(COMMANDS);
     let (synced_tx, mut synced) = mpsc::unbounded_channel();
     let state = settings.state_dir.as_deref().unwrap_or_default();
@@ -202,7 +205,7 @@
 }
 
 /// No descriptor is left, or the like: it will pass.
-pub async fn pause(e: &std::io::Error) {
+pub(crate) async fn pause(e: &std::io::Error) {
     log::warn!(cause = e.to_string(); "event=accept_failed");
     tokio::time::sleep(Duration::from_millis(50)).await;
 }
@@ -493,10 +496,10 @@
         ("GET", ["Configuration.Read"]) => asked(commands, Command::Read).await,
         ("GET", ["Members.Read"]) => told(commands, Command::Members).await,
         ("GET", ["Replicas.Read"]) => told(commands, Command::Replicas).await,
-        (_, ["Replicas.Heartbeat" | "Replicas.Departure", _])
-        | (
+        (
             _,
-            ["Configuration.Replace" | "Configuration.Read" | "Members.Read" | "Replicas.Read"],
+            ["Replicas.Heartbeat" | "Replicas.Departure", _]
+            | ["Configuration.Replace" | "Configuration.Read" | "Members.Read" | "Replicas.Read"],
         ) => refuse(405, "another method is meant"),
         _ => refuse(404, "no such call"),
     }
--- a/crates/linenthread-node/src/disk.rs
+++ b/crates/linenthread-node/src/disk.rs
@@ -17,19 +17,19 @@
 
 type Then = Vec<(u64, PeerMessage)>;
 
-pub struct Disk {
+pub(crate) struct Disk {
     to: mpsc::SyncSender<(Record, Then)>,
 }
 
 impl Disk {
     /// Hands a record over; what waits on it comes back when it is synced. False if too much waits already.
-    pub fn keep(&self, record: Record, then: Then) -> bool {
+    pub(crate) fn keep(&self, record: Record, then: Then) -> bool {
         self.to.try_send((record, then)).is_ok()
     }
 }
 
 /// Opens what the disk holds. `synced` takes what waited, from the disk's own thread.
-pub fn open(
+pub(crate) fn open(
     path: &str,
     synced: impl Fn(Then) + Send + 'static,
 ) -> Result<(Disk, DurableState), Error> {
--- a/crates/linenthread-node/src/errors.rs
+++ b/crates/linenthread-node/src/errors.rs
@@ -2,7 +2,7 @@
 
 /// What ends the program, or a connection: the step and the peer at which it arose.
 #[derive(Debug, Snafu)]
-pub enum Error {
+pub(crate) enum Error {
     #[snafu(display("neither --settings nor LINENTHREAD_BOOT names the settings file"))]
     NoSettings,
     #[snafu(display("{file}: {source}"))]
@@ -24,11 +24,14 @@
     },
 }
 
-pub fn step(step: &'static str, peer: impl ToString) -> impl FnOnce(std::io::Error) -> Error {
+pub(crate) fn step(
+    step: &'static str,
+    peer: impl ToString,
+) -> impl FnOnce(std::io::Error) -> Error {
     let peer = peer.to_string();
     move |source| Error::Step { step, peer, source }
 }
 
-pub fn read(path: &std::path::Path) -> Result<Vec<u8>, Error> {
+pub(crate) fn read(path: &std::path::Path) -> Result<Vec<u8>, Error> {
     std::fs::read(path).map_err(step("reading", path.display()))
 }
--- a/crates/linenthread-node/src/follow.rs
+++ b/crates/linenthread-node/src/follow.rs
@@ -46,7 +46,7 @@
     }
 }
 
-pub async fn follow(
+pub(crate) async fn follow(
     plane: Rc<DataPlane>,
     life: u64,
     mut changed: watch::Receiver<Option<Rc<linenthread_config::Settings>>>,
@@ -95,7 +95,7 @@
         let began = clock::ms();
         let zone = zones.clone();
         match session(&following, hub, move |z| {
-            drop(zone.borrow_mut().insert(hub, z))
+            drop(zone.borrow_mut().insert(hub, z));
         })
         .await
         {
--- a/crates/linenthread-node/src/front.rs
+++ b/crates/linenthread-node/src/front.rs
@@ -27,7 +27,7 @@
 /// second.
 const STILL_COMING: Duration = Duration::from_millis(2_600);
 
-pub async fn start(
+pub(crate) async fn start(
     settings: &Rc<Settings>,
     address: SocketAddr,
     ends: &Ends,
@@ -61,7 +61,7 @@
             };
             match accepted {
                 Ok(_) if serving.clients.get() >= CLIENTS => {
-                    refused("accepting", address, "too many clients")
+                    refused("accepting", address, "too many clients");
                 }
                 Ok((stream, peer)) => {
                     let _ = stream.set_nodelay(true);
@@ -83,7 +83,7 @@
 }
 
 /// Serves on until nothing new comes and all is answered.
-pub async fn stop(plane: &DataPlane, grace_ms: u64) {
+pub(crate) async fn stop(plane: &DataPlane, grace_ms: u64) {
     plane.ending.set(true);
     let began = Instant::now();
     let latest = began + Duration::from_millis(grace_ms.saturating_sub(600));
--- a/crates/linenthread-node/src/links.rs
+++ b/crates/linenthread-node/src/links.rs
@@ -14,12 +14,12 @@
 use crate::errors::{Error, step};
 
 /// Words that may wait to be written; a peer that lets more wait is let go.
-pub const WAITING: usize = 512;
+pub(crate) const WAITING: usize = 512;
 /// What is sent and not acknowledged for so long ends the connection.
 const UNHEARD: Duration = Duration::from_millis(1_600);
 
 /// A stream whose other end may vanish without a word.
-pub fn prepare(stream: &TcpStream) {
+pub(crate) fn prepare(stream: &TcpStream) {
     let _ = stream.set_nodelay(true);
     let socket = SockRef::from(stream);
     let _ = socket.set_tcp_user_timeout(Some(UNHEARD));
@@ -41,7 +41,7 @@
     }
 }
 
-pub async fn dial(address: SocketAddr, within: Duration) -> Result<TcpStream, Error> {
+pub(crate) async fn dial(address: SocketAddr, within: Duration) -> Result<TcpStream, Error> {
     let within = patience(clock::age_ms(), within);
     let connect = TcpStream::connect(address);
     let stream = match tokio::time::timeout(within, connect).await {
@@ -57,7 +57,7 @@
 }
 
 /// Reads and writes until either side ends. Each word that comes goes to `take`, which may end it.
-pub async fn carry(
+pub(crate) async fn carry(
     stream: TcpStream,
     peer: &str,
     mut words: mpsc::Receiver<PeerMessage>,
--- a/crates/linenthread-node/src/logs.rs
+++ b/crates/linenthread-node/src/logs.rs
@@ -4,7 +4,7 @@
 use logforth::kv::{KeyView, ValueView, Visitor};
 use logforth::layout::Layout;
 
-pub use linenthread_dataplane::refused;
+pub(crate) use linenthread_dataplane::refused;
 use logforth::record::Record;
 use logforth::{Diagnostic, Error};
 
@@ -39,7 +39,7 @@
     }
 }
 
-pub fn start() {
+pub(crate) fn start() {
     let logger = logforth::core::builder()
         .dispatch(|d| d.append(Stdout::default().with_layout(Pairs)))
         .build();
--- a/crates/linenthread-node/src/signals.rs
+++ b/crates/linenthread-node/src/signals.rs
@@ -10,24 +10,24 @@
 
 /// The end that was asked for, and settings that were read anew.
 #[derive(Clone)]
-pub struct Ends {
+pub(crate) struct Ends {
     end: watch::Receiver<bool>,
     settings: watch::Receiver<Option<Rc<linenthread_config::Settings>>>,
 }
 
 impl Ends {
-    pub async fn asked(&self) {
+    pub(crate) async fn asked(&self) {
         let mut end = self.end.clone();
         let _ = end.wait_for(|asked| *asked).await;
     }
 
     /// The settings as they were read last, each time they are read anew.
-    pub fn settings(&self) -> watch::Receiver<Option<Rc<linenthread_config::Settings>>> {
+    pub(crate) fn settings(&self) -> watch::Receiver<Option<Rc<linenthread_config::Settings>>> {
         self.settings.clone()
     }
 }
 
-pub fn listen(path: PathBuf) -> Result<Ends, Error> {
+pub(crate) fn listen(path: PathBuf) -> Result<Ends, Error> {
     let of = |kind| signal(kind).map_err(step("listening for signals", ""));
     let (mut term, mut int) = (of(SignalKind::terminate())?, of(SignalKind::interrupt())?);
     let mut hangup = of(SignalKind::hangup())?;
--- a/crates/linenthread-service/src/carriers/call.rs
+++ b/crates/linenthread-service/src/carriers/call.rs
@@ -8,7 +8,7 @@
 
 /// How a part call ended, told to its lookup.
 #[derive(Debug)]
-pub struct Ended {
+pub(crate) struct Ended {
     pub part: usize,
     pub call: usize,
     pub ending: Ending,
@@ -17,7 +17,7 @@
 }
 
 impl Ended {
-    pub fn without_value(part: usize, call: usize, ending: Ending) -> Ended {
+    pub(crate) fn without_value(part: usize, call: usize, ending: Ending) -> Ended {
         Ended {
             part,
             call,
@@ -29,7 +29,7 @@
 }
 
 /// Ends parts that never left this side.
-pub fn unsent<T>(asked: &[Asked], to: &mpsc::UnboundedSender<Ended>) -> Vec<Option<T>> {
+pub(crate) fn unsent<T>(asked: &[Asked], to: &mpsc::UnboundedSender<Ended>) -> Vec<Option<T>> {
     for Asked { part, call, .. } in asked {
         to.send(Ended::without_value(*part, *call, Ending::Unsent))
             .ok();
@@ -39,7 +39,7 @@
 
 /// One part of a part call.
 #[derive(Clone, Debug)]
-pub struct Asked {
+pub(crate) struct Asked {
     pub part: usize,
     pub call: usize,
     pub shard: usize,
@@ -52,7 +52,7 @@
 
 /// What connections may do.
 #[derive(Clone, Copy, Debug)]
-pub struct Limits {
+pub(crate) struct Limits {
     /// Part calls that one connection carries at once.
     pub streams: usize,
     /// Replicas may be told of parts that are given up.
--- a/crates/linenthread-service/src/carriers/frames.rs
+++ b/crates/linenthread-service/src/carriers/frames.rs
@@ -123,7 +123,7 @@
 }
 
 #[derive(Clone)]
-pub struct Replicas(Rc<Inner>);
+pub(crate) struct Replicas(Rc<Inner>);
 
 /// Why a connection ended that was still wanted.
 enum Fault {
@@ -135,7 +135,7 @@
 }
 
 /// A part out at a replica. Dropping it gives the part up, unless it has ended.
-pub struct PartOut {
+pub(crate) struct PartOut {
     link: Rc<Link>,
     id: String,
     number: u64,
@@ -144,7 +144,7 @@
 
 impl PartOut {
     /// Its time is up: a connection on which nothing came meanwhile is not trusted with more.
-    pub fn timed_out(&self) {
+    pub(crate) fn timed_out(&self) {
         self.link.unheard_since(self.sent);
     }
 }
@@ -176,7 +176,7 @@
 }
 
 impl Replicas {
-    pub fn new(limits: Limits) -> Self {
+    pub(crate) fn new(limits: Limits) -> Self {
         Replicas(Rc::new(Inner {
             limits,
             places: RefCell::default(),
@@ -187,7 +187,7 @@
     }
 
     /// Where a replica is found from now on; connections to where it was before end when they are done.
-    pub fn place(&self, replica: usize, address: Option<SocketAddr>) {
+    pub(crate) fn place(&self, replica: usize, address: Option<SocketAddr>) {
         let mut places = self.0.places.borrow_mut();
         let len = places.len().max(replica + 1);
         places.resize_with(len, Place::default);
@@ -199,7 +199,7 @@
     }
 
     /// Whether nothing is open to a replica that is found nowhere: then its index may stand for another.
-    pub fn is_vacant(&self, replica: usize) -> bool {
+    pub(crate) fn is_vacant(&self, replica: usize) -> bool {
         let places = self.0.places.borrow();
         places
             .get(replica)
@@ -207,7 +207,7 @@
     }
 
     /// Sends parts of one lookup to one replica as one part call.
-    pub fn call(
+    pub(crate) fn call(
         &self,
         replica: usize,
         lookup: &str,
@@ -262,7 +262,7 @@
     }
 
     /// Closes the connections to a replica on which nothing is out.
-    pub fn close(&self, replica: usize) {
+    pub(crate) fn close(&self, replica: usize) {
         let places = self.0.places.borrow();
         let links = places
             .get(replica)
@@ -274,7 +274,7 @@
     }
 
     /// Asks a replica how it fares.
-    pub async fn probe(&self, replica: usize) -> (Ending, Option<f64>) {
+    pub(crate) async fn probe(&self, replica: usize) -> (Ending, Option<f64>) {
         let Some(link) = self.link(replica, 1, |_| true) else {
             return (Ending::Unsent, None);
         };
@@ -478,13 +478,13 @@
                         self.written(&done.frame);
                     }
                 }
-                _ = sleep_until(last.unwrap_or(active)), if last.is_some() => {}
-                _ = self.news.notified() => {}
+                () = sleep_until(last.unwrap_or(active)), if last.is_some() => {}
+                () = self.news.notified() => {}
                 // A frame takes no longer than a connect: one that does will never be whole.
-                _ = sleep_until(begun + limits.connect), if !read.is_empty() => {
+                () = sleep_until(begun + limits.connect), if !read.is_empty() => {
                     return Err(Fault::Spoilt("a frame does not come whole".into()));
                 }
-                _ = sleep_until(active + limits.idle), if empty => return Ok(()),
+                () = sleep_until(active + limits.idle), if empty => return Ok(()),
             }
         }
     }
--- a/crates/linenthread-service/src/carriers/link.rs
+++ b/crates/linenthread-service/src/carriers/link.rs
@@ -35,7 +35,7 @@
 type ProbeWaiter = oneshot::Sender<(Ending, Option<f64>)>;
 
 /// What lies behind a link has changed: all of it, or that it cannot be reached.
-pub enum News {
+pub(crate) enum News {
     /// All of it, or only what has changed.
     Members(bool, Vec<Member>),
     Up(bool),
@@ -58,10 +58,10 @@
 
 /// One peer's link.
 #[derive(Clone)]
-pub struct Peer(Rc<Inner>);
+pub(crate) struct Peer(Rc<Inner>);
 
 /// A part call out over a link. Dropping it gives it up, unless it has ended.
-pub struct PartOut {
+pub(crate) struct PartOut {
     peer: Peer,
     number: u64,
 }
@@ -82,7 +82,7 @@
 }
 
 /// What a link's peer is set to.
-pub struct Terms {
+pub(crate) struct Terms {
     pub name: String,
     pub address: SocketAddr,
     pub secrets: Secrets,
@@ -92,7 +92,7 @@
 
 impl Peer {
     /// A link that is kept up from now on; what lies behind it is told to `changes`.
-    pub fn start(terms: Terms, clock: Clock, changes: mpsc::UnboundedSender<News>) -> Peer {
+    pub(crate) fn start(terms: Terms, clock: Clock, changes: mpsc::UnboundedSender<News>) -> Peer {
         let peer = Peer(Rc::new(Inner {
             name: terms.name,
             address: terms.address,
@@ -111,7 +111,7 @@
         peer
     }
 
-    pub fn standing(&self) -> Standing {
+    pub(crate) fn standing(&self) -> Standing {
         self.0.near.borrow().standing()
     }
 
@@ -165,7 +165,7 @@
     }
 
     /// Sends parts of one lookup to one replica, each as a call of its own.
-    pub fn call(
+    pub(crate) fn call(
         &self,
         replica: &str,
         lookup: &str,
@@ -204,7 +204,7 @@
     }
 
     /// Asks a replica behind the link how it fares.
-    pub async fn probe(&self, replica: &str, wait: Duration) -> (Ending, Option<f64>) {
+    pub(crate) async fn probe(&self, replica: &str, wait: Duration) -> (Ending, Option<f64>) {
         let (done, answer) = oneshot::channel();
         let mut ends = Vec::new();
         self.act(|near, _, to| {
@@ -228,8 +228,8 @@
                 .wake_at()
                 .min(self.0.clock.now() + 100_000));
             tokio::select! {
-                _ = sleep_until(at) => self.act(|near, now, to| near.wake(now, to)),
-                _ = self.0.news.notified() => {}
+                () = sleep_until(at) => self.act(linenthread_link::Near::wake),
+                () = self.0.news.notified() => {}
             }
             if self.0.connect.take() {
                 let why = match timeout(CONNECT, TcpStream::connect(self.0.address)).await {
@@ -242,7 +242,7 @@
                 }
                 self.0.frames.borrow_mut().clear();
                 self.0.close.take();
-                self.act(|near, now, to| near.lost(now, to));
+                self.act(linenthread_link::Near::lost);
             }
         }
     }
@@ -305,8 +305,8 @@
                     }
                     Err(e) => return e.to_string(),
                 },
-                _ = sleep_until(self.0.clock.at(wake)) => self.act(|near, now, to| near.wake(now, to)),
-                _ = self.0.news.notified() => {}
+                () = sleep_until(self.0.clock.at(wake)) => self.act(linenthread_link::Near::wake),
+                () = self.0.news.notified() => {}
             }
         }
     }
--- a/crates/linenthread-service/src/carriers/mod.rs
+++ b/crates/linenthread-service/src/carriers/mod.rs
@@ -1,9 +1,9 @@
 //! The ways on which part calls travel. A carrier ends each part call exactly once, and its ending says honestly
 //! whether the part ran, may have run, or never left.
 
-pub mod call;
-pub mod frames;
-pub mod link;
+pub(crate) mod call;
+pub(crate) mod frames;
+pub(crate) mod link;
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -20,7 +20,7 @@
 
 /// Where a replica is found.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Place {
+pub(crate) enum Place {
     At(SocketAddr),
     /// Behind the peers of these numbers, under this id.
     Behind(Vec<usize>, Rc<str>),
@@ -28,7 +28,7 @@
 
 /// Every replica, whichever way it is reached.
 #[derive(Clone)]
-pub struct Carriers(Rc<Inner>);
+pub(crate) struct Carriers(Rc<Inner>);
 
 struct Inner {
     frames: Replicas,
@@ -46,7 +46,7 @@
 }
 
 /// A part out at a replica. Dropping it gives the part up, unless it has ended.
-pub enum PartOut {
+pub(crate) enum PartOut {
     Frames(frames::PartOut),
     Link(#[allow(dead_code, reason = "held for its drop")] link::PartOut),
 }
@@ -54,7 +54,7 @@
 impl PartOut {
     /// Its time is up: a connection on which nothing came meanwhile is not trusted with more. A link judges
     /// itself by its beats.
-    pub fn timed_out(&self) {
+    pub(crate) fn timed_out(&self) {
         match self {
             PartOut::Frames(out) => out.timed_out(),
             PartOut::Link(_) => {}
@@ -63,7 +63,7 @@
 }
 
 impl Carriers {
-    pub fn new(limits: Limits) -> Self {
+    pub(crate) fn new(limits: Limits) -> Self {
         Carriers(Rc::new(Inner {
             frames: Replicas::new(limits),
             probe: limits.probe,
@@ -73,18 +73,18 @@
     }
 
     /// One more peer's link; its number.
-    pub fn add_peer(&self, peer: link::Peer) -> usize {
+    pub(crate) fn add_peer(&self, peer: link::Peer) -> usize {
         self.0.peers.borrow_mut().push(peer);
         self.0.peers.borrow().len() - 1
     }
 
     /// Closes the connections to a replica on which nothing is out. A link judges its own by beats.
-    pub fn close(&self, replica: usize) {
+    pub(crate) fn close(&self, replica: usize) {
         self.0.frames.close(replica);
     }
 
     /// Where a replica is found from now on.
-    pub fn place(&self, replica: usize, place: Option<Place>) {
+    pub(crate) fn place(&self, replica: usize, place: Option<Place>) {
         let mut behind = self.0.behind.borrow_mut();
         behind.remove(&replica);
         let address = match place {
@@ -106,17 +106,17 @@
     }
 
     /// Whether a replica is reached from here, and not over a link: what comes over one never goes back.
-    pub fn is_direct(&self, replica: usize) -> bool {
+    pub(crate) fn is_direct(&self, replica: usize) -> bool {
         !self.0.behind.borrow().contains_key(&replica)
     }
 
     /// Whether nothing is open to a replica that is found nowhere: then its index may stand for another.
-    pub fn is_vacant(&self, replica: usize) -> bool {
+    pub(crate) fn is_vacant(&self, replica: usize) -> bool {
         self.is_direct(replica) && self.0.frames.is_vacant(replica)
     }
 
     /// Sends parts of one lookup to one replica as one part call.
-    pub fn call(
+    pub(crate) fn call(
         &self,
         replica: usize,
         lookup: &str,
@@ -142,7 +142,7 @@
     }
 
     /// Asks a replica how it fares.
-    pub async fn probe(&self, replica: usize) -> (Ending, Option<f64>) {
+    pub(crate) async fn probe(&self, replica: usize) -> (Ending, Option<f64>) {
         match self.behind(replica) {
             Some((Some(peer), id)) => peer.probe(&id, self.0.probe).await,
             Some((None, _)) => (Ending::Unsent, None),
--- a/crates/linenthread-service/src/clock.rs
+++ b/crates/linenthread-service/src/clock.rs
@@ -9,19 +9,19 @@
 const EPOCH: Tenths = 36_000_000;
 
 /// A length of the module's time.
-pub fn span(tenths: Tenths) -> Duration {
+pub(crate) fn span(tenths: Tenths) -> Duration {
     Duration::from_micros(tenths.max(0) as u64 * 100)
 }
 
 /// Monotonic time as the module has it, and the system's time on the same scale.
 #[derive(Clone, Copy)]
-pub struct Clock {
+pub(crate) struct Clock {
     start: Instant,
     unix_ms: f64,
 }
 
 impl Clock {
-    pub fn new() -> Self {
+    pub(crate) fn new() -> Self {
         let unix = SystemTime::now()
             .duration_since(UNIX_EPOCH)
             .unwrap_or_default();
@@ -31,16 +31,16 @@
         }
     }
 
-    pub fn now(&self) -> Tenths {
+    pub(crate) fn now(&self) -> Tenths {
         EPOCH + (self.start.elapsed().as_micros() / 100) as Tenths
     }
 
-    pub fn at(&self, moment: Tenths) -> Instant {
+    pub(crate) fn at(&self, moment: Tenths) -> Instant {
         self.start + span(moment - EPOCH)
     }
 
     /// A moment of the system's time on the module's scale.
-    pub fn of_unix(&self, ms: f64) -> Tenths {
+    pub(crate) fn of_unix(&self, ms: f64) -> Tenths {
         EPOCH + ((ms - self.unix_ms) * 10.0).round() as Tenths
     }
 }
--- a/crates/linenthread-service/src/config.rs
+++ b/crates/linenthread-service/src/config.rs
@@ -13,7 +13,7 @@
 const FEWEST_SOCKETS: usize = 64;
 
 #[derive(Clone, Debug)]
-pub struct Config {
+pub(crate) struct Config {
     pub name: String,
     pub listen: SocketAddr,
     pub roster: SocketAddr,
@@ -26,12 +26,12 @@
 
 impl Config {
     /// Reads the file; what is wrong with it is said in one line that names the field.
-    pub fn read(file: &Path) -> Result<Config, String> {
+    pub(crate) fn read(file: &Path) -> Result<Config, String> {
         let text = std::fs::read(file).map_err(|e| format!("{}: {e}", file.display()))?;
         Config::parse(&text).map_err(|e| format!("{}: {e}", file.display()))
     }
 
-    pub fn parse(text: &[u8]) -> Result<Config, String> {
+    pub(crate) fn parse(text: &[u8]) -> Result<Config, String> {
         let root: Value =
             serde_json::from_slice(text).map_err(|e| format!("does not parse: {e}"))?;
         let field = |name: &str| root.get(name).ok_or_else(|| format!("{name} is missing"));
@@ -76,7 +76,7 @@
 
     /// Reads the file once more, for a program that runs: where the roster is found now. All else is as it
     /// was until the next start, which is said where it matters; and all of it where the file can't be used.
-    pub fn again(&self, file: &Path) -> Option<SocketAddr> {
+    pub(crate) fn again(&self, file: &Path) -> Option<SocketAddr> {
         let new = match Config::read(file) {
             Ok(new) => new,
             Err(message) => {
--- a/crates/linenthread-service/src/desk.rs
+++ b/crates/linenthread-service/src/desk.rs
@@ -24,7 +24,7 @@
 
 /// What was decided for one lookup.
 #[derive(Debug)]
-pub enum Decision {
+pub(crate) enum Decision {
     Call {
         part: usize,
         replica: usize,
@@ -44,7 +44,7 @@
 }
 
 /// A lookup to be handed in, already checked.
-pub struct HandedIn {
+pub(crate) struct HandedIn {
     pub index: usize,
     pub customer: usize,
     pub key: Option<u64>,
@@ -156,7 +156,7 @@
 }
 
 #[derive(Clone)]
-pub struct Desk(Rc<Inner>);
+pub(crate) struct Desk(Rc<Inner>);
 
 /// Routes decisions to the lookups' tasks.
 struct Routes<'a> {
@@ -228,7 +228,7 @@
                     replica,
                     ending,
                     queue,
-                })
+                });
             });
         });
     }
@@ -249,7 +249,7 @@
 impl Desk {
     /// `near` makes what is kept of zones, from the sites' names in their order; the operators' zones that the
     /// settings do not name come after those they do.
-    pub fn new(
+    pub(crate) fn new(
         config: &Config,
         carriers: Carriers,
         zones: &[String],
@@ -291,17 +291,17 @@
         desk
     }
 
-    pub fn clock(&self) -> Clock {
+    pub(crate) fn clock(&self) -> Clock {
         self.0.clock
     }
 
     /// Rounds for as long as the program runs.
-    pub async fn run(self) {
+    pub(crate) async fn run(self) {
         loop {
             let wake_at = self.0.state.borrow().wake_at;
             tokio::select! {
-                _ = self.0.came.notified() => {}
-                _ = sleep_until(self.0.clock.at(wake_at.unwrap_or(0))), if wake_at.is_some() => {
+                () = self.0.came.notified() => {}
+                () = sleep_until(self.0.clock.at(wake_at.unwrap_or(0))), if wake_at.is_some() => {
                     self.0.state.borrow_mut().wake_at = None;
                 }
             }
@@ -364,7 +364,7 @@
 
     /// Takes a lookup on: its index, and where decisions on it come. They end when it is over and nothing
     /// of it is out.
-    pub fn hand_in(&self, new: HandedIn) -> (usize, mpsc::UnboundedReceiver<Decision>) {
+    pub(crate) fn hand_in(&self, new: HandedIn) -> (usize, mpsc::UnboundedReceiver<Decision>) {
         let (to, decisions) = mpsc::unbounded_channel();
         let mut state = self.0.state.borrow_mut();
         let before = state.handed_in;
@@ -405,21 +405,21 @@
     }
 
     /// A part call ended.
-    pub fn give_back(&self, back: Return) {
+    pub(crate) fn give_back(&self, back: Return) {
         self.arrive(|arrivals| arrivals.returns.push(back));
     }
 
     /// Answered parts of a lookup are wanted once more; said before the round that hears of their answers.
-    pub fn ask_on(&self, lookup: usize, parts: &[usize]) {
+    pub(crate) fn ask_on(&self, lookup: usize, parts: &[usize]) {
         self.arrive(|arrivals| {
             arrivals
                 .onward
-                .extend(parts.iter().map(|&part| (lookup, part)))
+                .extend(parts.iter().map(|&part| (lookup, part)));
         });
     }
 
     /// A replica's id, for the log.
-    pub fn name(&self, replica: usize) -> String {
+    pub(crate) fn name(&self, replica: usize) -> String {
         self.0
             .state
             .borrow_mut()
@@ -429,12 +429,12 @@
     }
 
     /// A lookup's client has left.
-    pub fn lapse(&self, lookup: usize) {
+    pub(crate) fn lapse(&self, lookup: usize) {
         self.arrive(|arrivals| arrivals.lapsed.push(lookup));
     }
 
     /// News of the roster; `None` where it could not be had.
-    pub fn roster(&self, list: Option<&roster::List>) {
+    pub(crate) fn roster(&self, list: Option<&roster::List>) {
         self.hear_roster(match list {
             None => RosterNews::Failed,
             Some(list) if list.whole => RosterNews::Whole(self.listed(list)),
@@ -443,7 +443,7 @@
     }
 
     /// Waits until the module wants the roster asked.
-    pub async fn roster_wanted(&self) {
+    pub(crate) async fn roster_wanted(&self) {
         self.0.roster_wanted.notified().await;
     }
 
@@ -456,7 +456,7 @@
     }
 
     /// All act on this table from now on; whether this program does.
-    pub fn take_table(&self, table: Table) -> bool {
+    pub(crate) fn take_table(&self, table: Table) -> bool {
         let now = self.0.clock.now();
         let taken = self
             .0
@@ -472,7 +472,7 @@
     }
 
     /// What was seen of zones since the last time, and what there is.
-    pub fn seen(&self) -> Option<(Report, Ground)> {
+    pub(crate) fn seen(&self) -> Option<(Report, Ground)> {
         let now = self.0.clock.now();
         if self.0.state.borrow_mut().near.as_mut()?.ends(now) {
             warn!("no word of the table for its life: all ways are open again, the nearest first");
@@ -482,7 +482,7 @@
     }
 
     /// A part call or a probe to a replica has ended so.
-    pub fn saw(&self, replica: usize, ending: Ending, took: Tenths) {
+    pub(crate) fn saw(&self, replica: usize, ending: Ending, took: Tenths) {
         if let Some(near) = &mut self.0.state.borrow_mut().near {
             near.ended(replica, ending, took);
         }
@@ -570,14 +570,14 @@
     }
 
     /// One more peer; its number.
-    pub fn add_peer(&self) -> usize {
+    pub(crate) fn add_peer(&self) -> usize {
         let mut state = self.0.state.borrow_mut();
         state.peers.push(Behind::default());
         state.peers.len() - 1
     }
 
     /// What a peer's link tells.
-    pub fn hear_peer(&self, peer: usize, news: News) {
+    pub(crate) fn hear_peer(&self, peer: usize, news: News) {
         if let Some(behind) = self.0.state.borrow_mut().peers.get_mut(peer) {
             match news {
                 News::Up(up) => behind.up = up,
@@ -706,17 +706,17 @@
     }
 
     /// Waits until the roster's list has changed.
-    pub async fn local_changed(&self) {
+    pub(crate) async fn local_changed(&self) {
         self.0.listed.notified().await;
     }
 
     /// What the roster lists, for those behind a link.
-    pub fn local(&self) -> Vec<Member> {
+    pub(crate) fn local(&self) -> Vec<Member> {
         self.0.state.borrow().local.values().cloned().collect()
     }
 
     /// The index of a replica that is reached from here directly.
-    pub fn direct(&self, id: &str) -> Option<usize> {
+    pub(crate) fn direct(&self, id: &str) -> Option<usize> {
         let state = self.0.state.borrow();
         let replica = *state
             .indices
--- a/crates/linenthread-service/src/first_try.rs
+++ b/crates/linenthread-service/src/first_try.rs
@@ -173,7 +173,7 @@
 }
 
 /// Runs until SIGINT or SIGTERM, or shows some answers and ends.
-pub fn run(seed: u64, show_only: bool, two_sites: bool) -> ExitCode {
+pub(crate) fn run(seed: u64, show_only: bool, two_sites: bool) -> ExitCode {
     let mut programs = match programs(seed, two_sites) {
         Ok(programs) => programs.into_iter(),
         Err(message) => {
@@ -238,7 +238,7 @@
 }
 
 /// Three zones of a co-ordinator and two replicas each, which decide in common: one is killed and comes back.
-pub fn run_zones(seed: u64) -> ExitCode {
+pub(crate) fn run_zones(seed: u64) -> ExitCode {
     let exe = match std::env::current_exe() {
         Ok(exe) => exe.to_string_lossy().into_owned(),
         Err(e) => {
--- a/crates/linenthread-service/src/fleet.rs
+++ b/crates/linenthread-service/src/fleet.rs
@@ -41,14 +41,14 @@
 const LEAVE: Duration = Duration::from_millis(150);
 
 /// The record's topics that are known here.
-pub const TABLE: &str = "zones.table";
-pub const ORDERS: &str = "zones.orders";
+pub(crate) const TABLE: &str = "zones.table";
+pub(crate) const ORDERS: &str = "zones.orders";
 const SEEN: u8 = 1;
 const ORDER: u8 = 2;
 
 /// Which zones the operators have had left, and what became of the last order.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Orders {
+pub(crate) struct Orders {
     pub drained: BTreeSet<String>,
     /// The order's number, and why it was refused, if it was.
     pub last: u64,
@@ -65,7 +65,7 @@
         put.0
     }
 
-    pub fn decode(bytes: &[u8]) -> Res<Orders> {
+    pub(crate) fn decode(bytes: &[u8]) -> Res<Orders> {
         let mut take = Take(bytes);
         let mut orders = Orders::default();
         for _ in 0..take.u16()? {
@@ -78,7 +78,7 @@
 }
 
 /// An operator's order on its way to who leads.
-pub fn order(number: u64, zone: &str, drain: bool) -> Vec<u8> {
+pub(crate) fn order(number: u64, zone: &str, drain: bool) -> Vec<u8> {
     let mut put = Put(vec![ORDER]);
     put.u64(number);
     put.text(zone);
@@ -87,20 +87,20 @@
 }
 
 /// What the thread is told.
-pub enum ToFleet {
+pub(crate) enum ToFleet {
     /// What was seen here since the last time, and what there is.
     Seen(Report, Ground),
     Leave,
 }
 
 /// What it tells.
-pub enum FromFleet {
+pub(crate) enum FromFleet {
     Table { number: u64, table: Table },
 }
 
 /// What is needed to take part.
 #[derive(Clone)]
-pub struct Place {
+pub(crate) struct Place {
     pub name: String,
     pub fleet: file::Fleet,
     pub zones: Option<file::Zones>,
@@ -109,20 +109,20 @@
 }
 
 /// The way to the thread.
-pub struct Handle {
+pub(crate) struct Handle {
     pub to: mpsc::UnboundedSender<ToFleet>,
     done: blocking::Receiver<()>,
 }
 
 impl Handle {
     /// Leaves the fleet, and waits until that is said, for a moment at the most.
-    pub fn leave(&self) {
+    pub(crate) fn leave(&self) {
         self.to.send(ToFleet::Leave).ok();
         self.done.recv_timeout(LEAVE * 4).ok();
     }
 }
 
-pub fn zones_of(zones: &file::Zones) -> Vec<Zone> {
+pub(crate) fn zones_of(zones: &file::Zones) -> Vec<Zone> {
     let zone = |z: &file::Zone| Zone {
         name: z.name.clone(),
         region: z.region.clone(),
@@ -147,7 +147,7 @@
 /// # Errors
 ///
 /// It cannot listen, or what its disk holds must not be used.
-pub fn start(
+pub(crate) fn start(
     place: Place,
     clock: Clock,
     from: mpsc::UnboundedSender<FromFleet>,
@@ -329,15 +329,15 @@
                 .min(now + TELL)
                 .max(now + 10);
             tokio::select! {
-                _ = sleep_until(self.0.clock.at(at)) => {}
-                _ = self.0.woken.notified() => {}
+                () = sleep_until(self.0.clock.at(at)) => {}
+                () = self.0.woken.notified() => {}
                 one = told.recv() => match one {
                     Some(ToFleet::Seen(report, ground)) => {
                         self.0.seen.borrow_mut().add(&report);
                         self.0.ground.replace(Some(ground));
                     }
                     Some(ToFleet::Leave) | None => {
-                        self.act(|fleet, now, to| fleet.leave(now, to));
+                        self.act(linenthread_fleet::Fleet::leave);
                         sleep(LEAVE).await;
                         return;
                     }
@@ -345,7 +345,7 @@
             }
             let due = self.0.fleet.borrow().wake_at() <= self.0.clock.now();
             if due {
-                self.act_here(|fleet, now, to| fleet.wake(now, to));
+                self.act_here(linenthread_fleet::Fleet::wake);
             }
             self.revive();
             self.decide();
@@ -489,9 +489,9 @@
                     }
                     Err(e) => return e.to_string(),
                 },
-                _ = wire.news.notified() => {}
+                () = wire.news.notified() => {}
                 // One that takes nothing is not waited for when it is to end.
-                _ = sleep(CONNECT), if wire.close.borrow().is_some() => return "it takes nothing".into(),
+                () = sleep(CONNECT), if wire.close.borrow().is_some() => return "it takes nothing".into(),
             }
         }
     }
--- a/crates/linenthread-service/src/fronts/http.rs
+++ b/crates/linenthread-service/src/fronts/http.rs
@@ -229,9 +229,9 @@
 }
 
 #[derive(Clone)]
-pub struct Front(Rc<Inner>);
+pub(crate) struct Front(Rc<Inner>);
 
-pub fn listen(address: SocketAddr) -> io::Result<TcpListener> {
+pub(crate) fn listen(address: SocketAddr) -> io::Result<TcpListener> {
     let socket = if address.is_ipv4() {
         TcpSocket::new_v4()?
     } else {
@@ -244,7 +244,7 @@
 
 impl Front {
     /// With so many client connections at the most, and of those that have had an answer and ask no more.
-    pub fn new(work: Rc<Work>, most: usize, spent: usize) -> Self {
+    pub(crate) fn new(work: Rc<Work>, most: usize, spent: usize) -> Self {
         Front(Rc::new(Inner {
             work,
             clients: RefCell::default(),
@@ -258,13 +258,13 @@
     }
 
     /// Accepts connections for as long as it is polled; full, it lets idle ones go first.
-    pub async fn accept(&self, listener: &TcpListener) {
+    pub(crate) async fn accept(&self, listener: &TcpListener) {
         loop {
             if self.0.clients.borrow().len() >= self.0.most {
                 self.make_room();
                 tokio::select! {
-                    _ = self.0.left.notified() => {}
-                    _ = sleep(Duration::from_millis(100)) => {}
+                    () = self.0.left.notified() => {}
+                    () = sleep(Duration::from_millis(100)) => {}
                 }
                 continue;
             }
@@ -282,7 +282,7 @@
     }
 
     /// Takes what still comes for a moment, then answers all that was taken.
-    pub async fn stop(&self, listener: TcpListener) {
+    pub(crate) async fn stop(&self, listener: TcpListener) {
         info!(
             clients = self.0.clients.borrow().len(),
             "stopping: takes what still comes for a moment"
@@ -291,8 +291,8 @@
         let began = Instant::now();
         for after in [STILL_KEEPS, STILL_TAKES] {
             tokio::select! {
-                _ = self.accept(&listener) => {}
-                _ = sleep_until(began + after) => {}
+                () = self.accept(&listener) => {}
+                () = sleep_until(began + after) => {}
             }
             self.close_idle();
         }
@@ -304,15 +304,15 @@
         while !self.0.clients.borrow().is_empty() {
             // Again and again: a request may stop coming on only now.
             tokio::select! {
-                _ = self.0.left.notified() => {}
-                _ = sleep(STILL_TAKES) => self.close_idle(),
+                () = self.0.left.notified() => {}
+                () = sleep(STILL_TAKES) => self.close_idle(),
             }
         }
         info!("stopped: all that was taken is answered");
     }
 
     /// Closes what is idle for too long, for as long as it is polled.
-    pub async fn sweep(&self) {
+    pub(crate) async fn sweep(&self) {
         let mut sweep = interval(SWEEP);
         loop {
             sweep.tick().await;
@@ -454,7 +454,7 @@
         let answer = tokio::select! {
             answer = answer => answer.unwrap_or(Answer::Aborted),
             // Nobody reads this; the lookup learns of it as its way here is dropped.
-            _ = asker.left.notified() => Answer::Aborted,
+            () = asker.left.notified() => Answer::Aborted,
         };
         match answer {
             Answer::Satisfied(body) => {
@@ -554,7 +554,7 @@
         match next {
             None => return Ok(body.freeze()),
             Some(Ok(bytes)) if body.len() + bytes.len() <= protocol::MOST_BYTES => {
-                body.extend_from_slice(&bytes)
+                body.extend_from_slice(&bytes);
             }
             Some(Ok(_)) => return Err(TOO_LONG),
             Some(Err(_)) => return Err((StatusCode::BAD_REQUEST, "the body cannot be read")),
--- a/crates/linenthread-service/src/fronts/link.rs
+++ b/crates/linenthread-service/src/fronts/link.rs
@@ -52,10 +52,10 @@
 }
 
 #[derive(Clone)]
-pub struct Gateway(Rc<Inner>);
+pub(crate) struct Gateway(Rc<Inner>);
 
 impl Gateway {
-    pub fn new(desk: Desk, carriers: Carriers, far: Far, cold_share: u16) -> Gateway {
+    pub(crate) fn new(desk: Desk, carriers: Carriers, far: Far, cold_share: u16) -> Gateway {
         Gateway(Rc::new(Inner {
             desk,
             carriers,
@@ -156,11 +156,11 @@
                 let given_up = |ending| Ended::without_value(0, 0, ending);
                 let end = tokio::select! {
                     Some(end) = ended.recv() => end,
-                    _ = sleep(wait) => {
-                        out.iter().flatten().for_each(|out| out.timed_out());
+                    () = sleep(wait) => {
+                        out.iter().flatten().for_each(super::super::carriers::PartOut::timed_out);
                         given_up(Ending::TimedOut)
                     }
-                    _ = stop.notified() => given_up(Ending::Withdrawn),
+                    () = stop.notified() => given_up(Ending::Withdrawn),
                 };
                 drop(out);
                 end
@@ -186,7 +186,7 @@
     }
 
     /// Takes links for as long as it is polled.
-    pub async fn run(&self, listener: &TcpListener) {
+    pub(crate) async fn run(&self, listener: &TcpListener) {
         tokio::join!(self.accept(listener), self.wakes(), self.tell_members());
     }
 
@@ -211,8 +211,8 @@
         loop {
             let at = self.0.far.borrow().wake_at().min(clock.now() + 100_000);
             tokio::select! {
-                _ = sleep_until(clock.at(at)) => self.act(|far, now, to| far.wake(now, to)),
-                _ = self.0.woken.notified() => {}
+                () = sleep_until(clock.at(at)) => self.act(linenthread_link::Far::wake),
+                () = self.0.woken.notified() => {}
             }
         }
     }
@@ -290,13 +290,13 @@
                     }
                     Err(e) => return e.to_string(),
                 },
-                _ = connection.news.notified() => {}
+                () = connection.news.notified() => {}
             }
         }
     }
 
     /// Takes nothing new, and waits until what runs has its outcome held, for so long at the most.
-    pub async fn leave(&self, most: Duration) {
+    pub(crate) async fn leave(&self, most: Duration) {
         self.act(|far, _, to| far.leave(to));
         let drained = async {
             while self.0.far.borrow().held() > 0 {
@@ -308,6 +308,6 @@
 }
 
 /// Where links come in.
-pub fn listen(address: SocketAddr) -> io::Result<TcpListener> {
+pub(crate) fn listen(address: SocketAddr) -> io::Result<TcpListener> {
     crate::fronts::http::listen(address)
 }
--- a/crates/linenthread-service/src/gather.rs
+++ b/crates/linenthread-service/src/gather.rs
@@ -13,7 +13,7 @@
 
 /// Which indexes are merged, and how.
 #[derive(Default)]
-pub struct Merging {
+pub(crate) struct Merging {
     /// By the settings' numbers of indexes.
     plans: Vec<Option<Plan>>,
     marks: Option<Marks>,
@@ -29,16 +29,16 @@
 
 impl Merging {
     /// Plans by the settings' numbers of indexes.
-    pub fn new(plans: Vec<Option<Plan>>, marks: Option<Marks>) -> Merging {
+    pub(crate) fn new(plans: Vec<Option<Plan>>, marks: Option<Marks>) -> Merging {
         Merging { plans, marks }
     }
 
     /// How many indexes are merged.
-    pub fn count(&self) -> usize {
+    pub(crate) fn count(&self) -> usize {
         self.plans.iter().flatten().count()
     }
 
-    pub fn is_merged(&self, index: usize) -> bool {
+    pub(crate) fn is_merged(&self, index: usize) -> bool {
         self.plan(index).is_some()
     }
 
@@ -49,7 +49,7 @@
 
 /// What was odd about slices' values, counted for the log.
 #[derive(Default)]
-pub struct Oddities {
+pub(crate) struct Oddities {
     differ: Cell<u64>,
     unreadable: Cell<u64>,
     lines: Sparing,
@@ -57,13 +57,13 @@
 
 /// What every lookup gathers by.
 #[derive(Default)]
-pub struct Gathering {
+pub(crate) struct Gathering {
     pub merging: RefCell<Rc<Merging>>,
     pub oddities: Oddities,
 }
 
 /// The values of one lookup.
-pub enum Gather<'a> {
+pub(crate) enum Gather<'a> {
     AsTheyCame(Vec<Option<String>>),
     Merged {
         merge: Merge<'a>,
@@ -78,7 +78,7 @@
     /// # Errors
     ///
     /// A page that can't be had, where its index is merged.
-    pub fn begin(
+    pub(crate) fn begin(
         merging: &'a Merging,
         oddities: &'a Oddities,
         index: usize,
@@ -108,7 +108,7 @@
     }
 
     /// What a part's replica is to be asked now, and how many times it was asked on before.
-    pub fn question(&self, part: usize, text: &Rc<str>) -> (u32, Rc<str>) {
+    pub(crate) fn question(&self, part: usize, text: &Rc<str>) -> (u32, Rc<str>) {
         match self {
             Gather::AsTheyCame(_) => (0, text.clone()),
             Gather::Merged { merge, .. } => (merge.round(part), merge.text(part).into()),
@@ -116,7 +116,7 @@
     }
 
     /// Takes what a part call brought, and says how it truly ended: a value that is none has run and failed.
-    pub fn take(
+    pub(crate) fn take(
         &mut self,
         (part, round): (usize, u32),
         ending: Ending,
@@ -169,7 +169,7 @@
     }
 
     /// Parts that are to be asked on, each named once.
-    pub fn onward(&mut self) -> Vec<usize> {
+    pub(crate) fn onward(&mut self) -> Vec<usize> {
         match self {
             Gather::AsTheyCame(_) => Vec::new(),
             Gather::Merged { merge, .. } => merge.onward(),
@@ -177,7 +177,7 @@
     }
 
     /// The body of the answer from what is in.
-    pub fn answer(&self, whole: bool, asked: &Lookup) -> Vec<u8> {
+    pub(crate) fn answer(&self, whole: bool, asked: &Lookup) -> Vec<u8> {
         match self {
             Gather::AsTheyCame(values) => {
                 let shards = asked.parts.iter().map(|p| p.shard);
--- a/crates/linenthread-service/src/log.rs
+++ b/crates/linenthread-service/src/log.rs
@@ -12,7 +12,7 @@
 
 /// Starts the log. One that nobody reads any more must not bring the program down, and of the libraries' own
 /// lines, which bad input could bring about without bound, there are none.
-pub fn start() {
+pub(crate) fn start() {
     let lines = tracing_subscriber::fmt::layer()
         .with_ansi(false)
         .with_target(false)
@@ -24,7 +24,7 @@
 }
 
 /// Keeps one kind of line to a bounded rate.
-pub struct Sparing {
+pub(crate) struct Sparing {
     since: Cell<Instant>,
     lines: Cell<u32>,
 }
@@ -40,7 +40,7 @@
 
 impl Sparing {
     /// Whether a line may be written now, and how many were left out before it.
-    pub fn line(&self) -> Option<u32> {
+    pub(crate) fn line(&self) -> Option<u32> {
         let mut left_out = 0;
         if self.since.get().elapsed() >= Duration::from_secs(1) {
             left_out = self.lines.get().saturating_sub(MOST);
--- a/crates/linenthread-service/src/lookup.rs
+++ b/crates/linenthread-service/src/lookup.rs
@@ -22,7 +22,7 @@
 
 /// What a client is answered.
 #[derive(Debug, PartialEq)]
-pub enum Answer {
+pub(crate) enum Answer {
     Satisfied(Vec<u8>),
     /// Asking again is harmless, after so many milliseconds where they are given.
     Nacked(Option<f64>),
@@ -34,7 +34,7 @@
 }
 
 /// What every lookup works with.
-pub struct Work {
+pub(crate) struct Work {
     pub desk: Desk,
     pub carriers: Carriers,
     pub surroundings: Surroundings,
@@ -158,7 +158,7 @@
 }
 
 /// What a front has read, and held to what the deployment has.
-pub struct Question {
+pub(crate) struct Question {
     pub asked: Lookup,
     pub new: HandedIn,
     /// Which page, where its index is merged.
@@ -166,7 +166,7 @@
 }
 
 /// A lookup from its question to its end. `client` takes the one answer; it closes where the client leaves.
-pub async fn live(work: Rc<Work>, question: Question, client: oneshot::Sender<Answer>) {
+pub(crate) async fn live(work: Rc<Work>, question: Question, client: oneshot::Sender<Answer>) {
     let Question { asked, new, page } = question;
     let merging = work.gathering.merging.borrow().clone();
     let (shards, oddities) = (work.surroundings.shards, &work.gathering.oddities);
@@ -209,11 +209,11 @@
                 }
                 continue;
             }
-            _ = sleep_until(due.unwrap_or_else(Instant::now)), if due.is_some() => {
+            () = sleep_until(due.unwrap_or_else(Instant::now)), if due.is_some() => {
                 calls.end_due();
                 continue;
             }
-            _ = closed(&mut client) => {
+            () = closed(&mut client) => {
                 client = None;
                 work.desk.lapse(lookup);
                 if work.withdraw {
--- a/crates/linenthread-service/src/migrate.rs
+++ b/crates/linenthread-service/src/migrate.rs
@@ -108,7 +108,7 @@
         .map_err(|e| failed(e.error))
 }
 
-pub fn run(old: &Path, output: Option<&Path>, dry_run: bool) -> ExitCode {
+pub(crate) fn run(old: &Path, output: Option<&Path>, dry_run: bool) -> ExitCode {
     let read = || -> Result<Option<Carried>, String> {
         if output.is_none() && !dry_run {
             return Err("say --output NEW, or --dry-run".into());
--- a/crates/linenthread-service/src/near.rs
+++ b/crates/linenthread-service/src/near.rs
@@ -10,7 +10,7 @@
 /// Nearer than a site that the operators' file does not name, farther than one it does.
 const UNNAMED: u8 = 3;
 
-pub struct Near {
+pub(crate) struct Near {
     zones: Vec<Zone>,
     /// Where this program's clients are.
     own: usize,
@@ -30,7 +30,7 @@
 
 impl Near {
     /// `sites` are the desk's, in its order; `own` is the fleet's own zone.
-    pub fn new(
+    pub(crate) fn new(
         zones: Vec<Zone>,
         own: &str,
         life: Tenths,
@@ -55,7 +55,7 @@
     }
 
     /// The roster's news, as the module hears it.
-    pub fn hear(&mut self, news: &RosterNews) {
+    pub(crate) fn hear(&mut self, news: &RosterNews) {
         let (listed, whole) = match news {
             RosterNews::Changes(listed) => (listed, false),
             RosterNews::Whole(listed) | RosterNews::Remembered(listed) => (listed, true),
@@ -85,18 +85,18 @@
         self.sites.get(self.listed.get(&replica)?.site)?.1
     }
 
-    pub fn asked(&mut self, parts: usize) {
+    pub(crate) fn asked(&mut self, parts: usize) {
         self.watch.asked(parts);
     }
 
-    pub fn ended(&mut self, replica: usize, ending: Ending, took: Tenths) {
+    pub(crate) fn ended(&mut self, replica: usize, ending: Ending, took: Tenths) {
         if let Some(zone) = self.zone(replica) {
             self.watch.ended(zone as u8, replica, ending, took);
         }
     }
 
     /// What was seen since the last time, and what there is.
-    pub fn report(&mut self) -> (Report, Ground) {
+    pub(crate) fn report(&mut self) -> (Report, Ground) {
         let count = self.zones.len();
         let mut replicas = vec![0; count];
         // By cell, replicas that take parts, by zone.
@@ -132,7 +132,7 @@
     }
 
     /// Acts on a table from now on. One of other zones than this program's file has is not acted on.
-    pub fn take(&mut self, table: Table, now: Tenths) -> bool {
+    pub(crate) fn take(&mut self, table: Table, now: Tenths) -> bool {
         let same = table.zones.iter().eq(self.zones.iter().map(|z| &z.name));
         if same {
             self.table = Some(table);
@@ -142,12 +142,12 @@
     }
 
     /// Whether the table has just been without word for too long: then all ways are open again, near first.
-    pub fn ends(&mut self, now: Tenths) -> bool {
+    pub(crate) fn ends(&mut self, now: Tenths) -> bool {
         now >= self.until && self.table.take().is_some()
     }
 
     /// What the module is told.
-    pub fn ways(&self) -> Vec<WayTo> {
+    pub(crate) fn ways(&self) -> Vec<WayTo> {
         let way = |(name, zone): &(String, Option<usize>)| {
             let Some(zone) = *zone else {
                 return WayTo {
--- a/crates/linenthread-service/src/operator.rs
+++ b/crates/linenthread-service/src/operator.rs
@@ -21,7 +21,7 @@
 const QUIET: Duration = Duration::from_millis(400);
 
 #[derive(Clone, Debug)]
-pub enum Wish {
+pub(crate) enum Wish {
     Show,
     Drain(String),
     Return(String),
@@ -154,7 +154,7 @@
 /// # Errors
 ///
 /// One line: the file is bad, no voter could be reached, or the order was refused.
-pub fn run(file: &Path, wish: &Wish) -> Result<String, String> {
+pub(crate) fn run(file: &Path, wish: &Wish) -> Result<String, String> {
     let read = Installation::read_file(file, &|_| {
         Some(linenthread_installation::KnownIndex { floor: 0.0 })
     })?;
--- a/crates/linenthread-service/src/own.rs
+++ b/crates/linenthread-service/src/own.rs
@@ -13,7 +13,7 @@
 
 /// What the file switches on. Nothing of it where there is none.
 #[derive(Default)]
-pub struct Own {
+pub(crate) struct Own {
     pub merging: Merging,
     pub gateway: Option<(Gateway, Secrets)>,
     pub peers: Vec<(Peer, Secrets)>,
@@ -21,7 +21,7 @@
     pub zones: Option<Zones>,
 }
 
-pub fn secrets(files: &[PathBuf]) -> Result<Vec<Vec<u8>>, String> {
+pub(crate) fn secrets(files: &[PathBuf]) -> Result<Vec<Vec<u8>>, String> {
     let secret = |path: &PathBuf| {
         let secret = std::fs::read(path).map_err(|e| format!("{}: {e}", path.display()))?;
         let secret = secret.trim_ascii_end().to_vec();
@@ -43,7 +43,7 @@
     /// # Errors
     ///
     /// One line: file, line in it and cause.
-    pub fn read(file: &Path, config: &Config) -> Result<Own, String> {
+    pub(crate) fn read(file: &Path, config: &Config) -> Result<Own, String> {
         let indexes = &config.surroundings.indexes;
         let known = |name: &str| {
             let at = indexes.iter().position(|index| index == name)?;
@@ -86,7 +86,7 @@
 
     /// Reads it once more for a program that runs: how indexes are merged counts at once, links from the next
     /// start on. A bad file changes nothing.
-    pub fn again(file: &Path, config: &Config) -> Option<Rc<Merging>> {
+    pub(crate) fn again(file: &Path, config: &Config) -> Option<Rc<Merging>> {
         match Own::read(file, config) {
             Ok(new) => {
                 info!(merged = new.merging.count(), "installation read again");
--- a/crates/linenthread-service/src/roster.rs
+++ b/crates/linenthread-service/src/roster.rs
@@ -19,14 +19,19 @@
 /// Follows the roster for as long as the program runs, wherever it is said to be found. A new address gives
 /// up at once what is asked at the old one, and starts there with the whole list: revisions of two rosters
 /// can't be compared. The last list is kept meanwhile.
-pub async fn watch(desk: Desk, mut address: Receiver<SocketAddr>, cells: usize, ask_first: bool) {
+pub(crate) async fn watch(
+    desk: Desk,
+    mut address: Receiver<SocketAddr>,
+    cells: usize,
+    ask_first: bool,
+) {
     if !ask_first {
         desk.roster_wanted().await;
     }
     loop {
         let at = *address.borrow_and_update();
         tokio::select! {
-            _ = follow(&desk, at, cells) => {}
+            () = follow(&desk, at, cells) => {}
             Ok(()) = address.changed() => info!(roster = %*address.borrow(), "the roster has moved"),
         }
     }
--- a/crates/linenthread-service/src/serve.rs
+++ b/crates/linenthread-service/src/serve.rs
@@ -45,7 +45,7 @@
 
 /// Serves until told to stop, then answers all it has taken. Told to, it reads its files again. `ready` is
 /// told the address that is listened on.
-pub async fn serve(
+pub(crate) async fn serve(
     config: Config,
     file: &Path,
     (own, installation): (Own, Option<&Path>),
@@ -198,8 +198,8 @@
     info!(name = config.name, %listen, roster = %config.roster, merged, "serving");
     ready(listen);
     tokio::select! {
-        _ = front.accept(&listener) => {}
-        _ = front.sweep() => {}
+        () = front.accept(&listener) => {}
+        () = front.sweep() => {}
         _ = &mut rounds => return Err("the decision module failed".into()),
         _ = &mut watch => return Err("the roster's watch failed".into()),
         _ = terminate.recv() => {}
--- a/crates/linenthread-service/tests/service.rs
+++ b/crates/linenthread-service/tests/service.rs
@@ -219,7 +219,10 @@
         .map(|id| service.ask("find", id, &[0, 1, 2]))
         .into();
     let parts: Vec<_> = (0..9).map(|_| fleet.part()).collect();
-    let from: BTreeSet<_> = parts.iter().map(|p| p.from()).collect();
+    let from: BTreeSet<_> = parts
+        .iter()
+        .map(linenthread_stand_ins::Part::from)
+        .collect();
     assert_eq!(from.len(), 5);
     parts.iter().for_each(|part| part.answer("v"));
     clients
@@ -463,7 +466,7 @@
     for (status, text) in bad {
         let mut client = service.connect();
         client.send(&text);
-        assert_eq!(client.status(), status, "{:.60}", text);
+        assert_eq!(client.status(), status, "{text:.60}");
     }
     assert_eq!(fleet.rest(), [""; 0]);
     // An id that is open, and free again afterwards.
--- a/crates/linenthread-stand-ins/src/http.rs
+++ b/crates/linenthread-stand-ins/src/http.rs
@@ -3,7 +3,7 @@
 use std::io::{BufRead, Write};
 use std::net::TcpStream;
 
-pub fn respond(mut line: &TcpStream, body: &str) {
+pub(crate) fn respond(mut line: &TcpStream, body: &str) {
     line.write_all(
         format!(
             "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}",
@@ -15,7 +15,7 @@
 }
 
 /// One HTTP message: its first line, its headers in small letters, its body.
-pub fn message(from: &mut impl BufRead) -> Option<(String, Vec<String>, String)> {
+pub(crate) fn message(from: &mut impl BufRead) -> Option<(String, Vec<String>, String)> {
     let mut lines = Vec::new();
     loop {
         let mut line = String::new();
--- a/crates/linenthread-stand-ins/src/lib.rs
+++ b/crates/linenthread-stand-ins/src/lib.rs
@@ -1,5 +1,9 @@
 //! Stand-ins for what is round a co-ordinator: replicas, the roster, a client, and ledgers that hold real rows.
 //! They use threads and blocking sockets on loopback, wait for what happens, and for at most [`PATIENCE`].
+#![expect(
+    missing_docs,
+    reason = "public items of this package are not all documented yet"
+)]
 
 pub mod checker;
 mod client;
--- a/crates/linenthread-store/src/lib.rs
+++ b/crates/linenthread-store/src/lib.rs
@@ -9,6 +9,10 @@
 //! *torn-tail-only* (only what no sync had taken is ever cut off; damage elsewhere is named by file and offset
 //! and never passed over), *failed-sync-is-final* (after a write or sync has failed the log takes nothing more:
 //! what the disk holds of it is not known until it is opened anew).
+#![expect(
+    missing_docs,
+    reason = "public items of this package are not all documented yet"
+)]
 
 mod files;
 mod log;
--- a/crates/linenthread-terms/src/lib.rs
+++ b/crates/linenthread-terms/src/lib.rs
@@ -1,5 +1,9 @@
 //! Decodes the settings a co-ordinator is handed at its start: what the decisions need into a [`Deployment`],
 //! what only its connections need into [`Surroundings`].
+#![expect(
+    missing_docs,
+    reason = "public items of this package are not all documented yet"
+)]
 
 use linenthread_core::interface::{
     Allowance, ColdStart, Deployment, Effect, FurtherCalls, Index, Layout, Tenths,
--- a/crates/linenthread-zones/src/lib.rs
+++ b/crates/linenthread-zones/src/lib.rs
@@ -11,6 +11,10 @@
 //! *same-key-same-home* (a share that falls or grows moves the same keys at all, and back). That there is one table,
 //! and that a minority moves nothing, the record holds. Why all this is as it is stands in
 //! `docs/failover-design.md`.
+#![expect(
+    missing_docs,
+    reason = "public items of this package are not all documented yet"
+)]
 
 mod decide;
 mod report;
