--- a/crates/linenthread-checker/src/invariants.rs
+++ b/crates/linenthread-checker/src/invariants.rs
@@ -41,7 +41,7 @@
     history
         .decided
         .last_key_value()
-        .map_or(&[], |(_, value)| &value.recent)
+        .map_or(&[], |(_, value)| &value.recent_orders)
 }
 
 fn acknowledged_is_lost(world: &World) -> bool {
--- a/crates/linenthread-checker/src/lease.rs
+++ b/crates/linenthread-checker/src/lease.rs
@@ -100,7 +100,10 @@
             return;
         };
         let LeaseRequest {
-            epoch, asked, life, ..
+            epoch,
+            request_id: asked,
+            incarnation: life,
+            ..
         } = request;
         self.send_to_others(node, &Message::Request { epoch, asked, life });
         let vote = self.vote(node, node, &request);
@@ -124,20 +127,38 @@
             Message::Request { epoch, asked, life } => {
                 let request = LeaseRequest {
                     epoch,
-                    asked,
+                    request_id: asked,
                     lease_ms: 2_000,
-                    life,
-                    on: NUMBER,
+                    incarnation: life,
+                    value_number: NUMBER,
                 };
-                let LeaseVote { epoch, asked, yes } = self.vote(to, from, &request);
+                let LeaseVote {
+                    epoch,
+                    request_id: asked,
+                    granted: yes,
+                } = self.vote(to, from, &request);
                 self.network
                     .insert((from, to, Message::Vote { epoch, asked, yes }));
             }
             Message::Vote { epoch, asked, yes } => {
-                self.on_vote(to, from, &LeaseVote { epoch, asked, yes });
+                self.on_vote(
+                    to,
+                    from,
+                    &LeaseVote {
+                        epoch,
+                        request_id: asked,
+                        granted: yes,
+                    },
+                );
             }
             Message::Release { epoch, life } => {
-                self.leases[to].on_release(from as u64, &LeaseRelease { epoch, life });
+                self.leases[to].on_release(
+                    from as u64,
+                    &LeaseRelease {
+                        epoch,
+                        incarnation: life,
+                    },
+                );
             }
         }
     }
@@ -156,11 +177,21 @@
     }
 
     fn release(&mut self, node: usize) {
-        let Some(LeaseRelease { epoch, life }) = self.leases[node].release(self.now) else {
+        let Some(LeaseRelease {
+            epoch,
+            incarnation: life,
+        }) = self.leases[node].release(self.now)
+        else {
             return;
         };
         self.released = true;
-        self.leases[node].on_release(node as u64, &LeaseRelease { epoch, life });
+        self.leases[node].on_release(
+            node as u64,
+            &LeaseRelease {
+                epoch,
+                incarnation: life,
+            },
+        );
         self.send_to_others(node, &Message::Release { epoch, life });
     }
 
@@ -175,8 +206,8 @@
                 leases[*to].clone(),
                 LeaseVote {
                     epoch: *epoch,
-                    asked: *asked,
-                    yes: *yes,
+                    request_id: *asked,
+                    granted: *yes,
                 },
             );
             lease.on_lease_vote(now, *from as u64, &vote, NUMBER, |voters| {
--- a/crates/linenthread-checker/src/step.rs
+++ b/crates/linenthread-checker/src/step.rs
@@ -393,7 +393,7 @@
     let of = history
         .decided
         .iter()
-        .find(|(_, value)| value.recent.contains(&order));
+        .find(|(_, value)| value.recent_orders.contains(&order));
     history.told = history.told.max(of.map_or(0, |(number, _)| *number));
 }
 
--- a/crates/linenthread-checker/src/world.rs
+++ b/crates/linenthread-checker/src/world.rs
@@ -77,7 +77,7 @@
             from
         };
         let bytes = Envelope {
-            word: Some(message.clone()),
+            message: Some(message.clone()),
         }
         .encode_to_vec();
         let mark = fingerprint(&(to, from, &bytes));
--- a/crates/linenthread-consensus/src/decided_state.rs
+++ b/crates/linenthread-consensus/src/decided_state.rs
@@ -85,7 +85,7 @@
     /// Takes a value that is newer; its last orders join the ledger.
     pub(crate) fn adopt(&mut self, value: Value) {
         value
-            .recent
+            .recent_orders
             .iter()
             .for_each(|order| self.ledger.insert(order));
         self.ledger.link(value.revision);
@@ -119,8 +119,8 @@
         document: &prost::bytes::Bytes,
     ) -> Option<Value> {
         let value = self.value.as_ref()?;
-        let earlier = value.recent.len().saturating_sub(RECENT_ORDERS - 1);
-        let recent = value.recent[earlier..]
+        let earlier = value.recent_orders.len().saturating_sub(RECENT_ORDERS - 1);
+        let recent = value.recent_orders[earlier..]
             .iter()
             .chain([order])
             .copied()
@@ -129,8 +129,8 @@
             number: value.number + 1,
             revision: order.revision,
             document: document.clone(),
-            taken_count: value.taken_count + 1,
-            recent,
+            order_count: value.order_count + 1,
+            recent_orders: recent,
             ..value.clone()
         })
     }
--- a/crates/linenthread-consensus/src/durability.rs
+++ b/crates/linenthread-consensus/src/durability.rs
@@ -67,7 +67,7 @@
             record,
             Synced {
                 number: value.number,
-                ledger_record: 0,
+                order_log_record: 0,
             },
             effects,
         );
@@ -88,14 +88,14 @@
         self.ledger_at = now;
         self.ledger_handed_over += 1;
         let record = Record {
-            ledger: orders,
+            order_log: orders,
             ..Record::default()
         };
         self.keep(
             record,
             Synced {
                 number: 0,
-                ledger_record: self.ledger_handed_over,
+                order_log_record: self.ledger_handed_over,
             },
             effects,
         );
@@ -110,10 +110,10 @@
     pub(crate) fn on_synced(&mut self, synced: &Synced) {
         self.number = self.number.max(synced.number);
         let next = self.ledger_synced + 1;
-        let is_whole =
-            synced.ledger_record > self.ledger_needed || synced.ledger_record == self.ledger_whole;
-        if synced.ledger_record == next || is_whole {
-            self.ledger_synced = self.ledger_synced.max(synced.ledger_record);
+        let is_whole = synced.order_log_record > self.ledger_needed
+            || synced.order_log_record == self.ledger_whole;
+        if synced.order_log_record == next || is_whole {
+            self.ledger_synced = self.ledger_synced.max(synced.order_log_record);
         }
     }
 
--- a/crates/linenthread-consensus/src/durable_state.rs
+++ b/crates/linenthread-consensus/src/durable_state.rs
@@ -28,7 +28,7 @@
             self.replicas = record.replicas;
         }
         record
-            .ledger
+            .order_log
             .iter()
             .for_each(|order| self.ledger.insert(order));
         if let Some(value) = record.decided {
@@ -41,7 +41,7 @@
 
     fn add_decided(&mut self, value: Value) {
         value
-            .recent
+            .recent_orders
             .iter()
             .for_each(|order| self.ledger.insert(order));
         if self
@@ -71,7 +71,7 @@
                 decided: self.decided.clone(),
                 epoch: self.epoch,
                 replicas: self.replicas.clone(),
-                ledger: self.ledger.iter().collect(),
+                order_log: self.ledger.iter().collect(),
                 ..Record::default()
             },
             Record {
--- a/crates/linenthread-consensus/src/lease.rs
+++ b/crates/linenthread-consensus/src/lease.rs
@@ -97,7 +97,7 @@
         if self
             .request
             .as_ref()
-            .is_some_and(|(request, at)| now < at + RENEW && request.on == number)
+            .is_some_and(|(request, at)| now < at + RENEW && request.value_number == number)
         {
             return None;
         }
@@ -106,10 +106,10 @@
         let (asked, life) = (self.request_count, self.life);
         let request = LeaseRequest {
             epoch,
-            asked,
+            request_id: asked,
             lease_ms: LEASE as u32,
-            life,
-            on: number,
+            incarnation: life,
+            value_number: number,
         };
         self.request = Some((request.clone(), now));
         self.votes.clear();
@@ -166,10 +166,10 @@
         request: &LeaseRequest,
         number: Option<u64>,
     ) -> LeaseVote {
-        let yes = number == Some(request.on) && self.may_support(now, from, request);
+        let yes = number == Some(request.value_number) && self.may_support(now, from, request);
         if yes {
             let until = now + u64::from(request.lease_ms).min(LEASE);
-            let (life, epoch) = (request.life, request.epoch);
+            let (life, epoch) = (request.incarnation, request.epoch);
             self.support = Some(Support {
                 holder: from,
                 life,
@@ -180,8 +180,8 @@
         }
         LeaseVote {
             epoch: self.epoch,
-            asked: request.asked,
-            yes,
+            request_id: request.request_id,
+            granted: yes,
         }
     }
 
@@ -191,7 +191,8 @@
         if now < self.quiet_until {
             return false;
         }
-        let same_life = |support: Support| (support.holder, support.life) == (from, request.life);
+        let same_life =
+            |support: Support| (support.holder, support.life) == (from, request.incarnation);
         if self.support.is_some_and(same_life) && request.epoch >= self.epoch {
             return true;
         }
@@ -217,14 +218,14 @@
         // A vote for a request whose time is over gives nothing: the node may have been frozen meanwhile. What
         // has lapsed is not held again under the same epoch.
         let lapsed = now >= until || self.held.is_some_and(|held| now >= held.until);
-        if vote.asked != request.asked || request.on != number || lapsed {
+        if vote.request_id != request.request_id || request.value_number != number || lapsed {
             return false;
         }
-        if !vote.yes {
+        if !vote.granted {
             self.on_refusal(vote);
             return false;
         }
-        let (epoch, on) = (request.epoch, request.on);
+        let (epoch, on) = (request.epoch, request.value_number);
         self.votes.insert(from);
         if !is_most(self.votes.iter().copied().collect()) {
             return false;
@@ -256,7 +257,7 @@
         self.past_epoch = self.past_epoch.max(epoch);
         Some(LeaseRelease {
             epoch,
-            life: self.life,
+            incarnation: self.life,
         })
     }
 
@@ -272,7 +273,8 @@
     /// [`release`]: LeaderLease::release
     pub fn on_release(&mut self, from: u64, release: &LeaseRelease) -> bool {
         let released = |support: &Support| {
-            (support.holder, support.life) == (from, release.life) && support.epoch <= release.epoch
+            (support.holder, support.life) == (from, release.incarnation)
+                && support.epoch <= release.epoch
         };
         let ended = self.support.as_ref().is_some_and(released);
         if ended {
--- a/crates/linenthread-consensus/src/ledger.rs
+++ b/crates/linenthread-consensus/src/ledger.rs
@@ -1,12 +1,12 @@
 use std::collections::BTreeMap;
 
-use linenthread_messages::{DocumentDigest, LedgerEntries, LedgerRequest, OrderIdentity};
+use linenthread_messages::{DocumentDigest, OrderIdentity, OrderLogEntries, OrderLogRequest};
 
 /// So many orders are kept at least; a record of one takes about 32 bytes on disk, an entry about 50 in memory.
 pub const KEPT_ORDERS: usize = 65_536;
 /// The oldest are forgotten so many at once, when there are so many too many.
 const FORGOTTEN_AT_ONCE: usize = 1_024;
-/// So many go into one [`LedgerEntries`].
+/// So many go into one [`OrderLogEntries`].
 pub const ORDERS_A_MESSAGE: usize = 1_024;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
@@ -132,7 +132,7 @@
     }
 
     /// What to ask others for, if anything.
-    pub(crate) fn request(&self) -> Option<LedgerRequest> {
+    pub(crate) fn request(&self) -> Option<OrderLogRequest> {
         if self.is_complete() {
             return None;
         }
@@ -141,14 +141,14 @@
             .range(..self.missing)
             .next_back()
             .map_or(0, |(revision, _)| *revision);
-        Some(LedgerRequest {
+        Some(OrderLogRequest {
             newest: self.missing,
             above,
         })
     }
 
     /// The answer to what another asks for.
-    pub(crate) fn answer(&self, request: &LedgerRequest) -> LedgerEntries {
+    pub(crate) fn answer(&self, request: &OrderLogRequest) -> OrderLogEntries {
         let mut orders = Vec::new();
         let mut revision = request.newest;
         while revision > request.above && orders.len() < ORDERS_A_MESSAGE {
@@ -162,7 +162,7 @@
             });
             revision = entry.base;
         }
-        LedgerEntries {
+        OrderLogEntries {
             newest: request.newest,
             orders,
         }
--- a/crates/linenthread-consensus/src/ledger_catch_up.rs
+++ b/crates/linenthread-consensus/src/ledger_catch_up.rs
@@ -1,6 +1,6 @@
 use std::collections::BTreeSet;
 
-use linenthread_messages::{LedgerEntries, LedgerRequest, PeerMessage};
+use linenthread_messages::{OrderLogEntries, OrderLogRequest, PeerMessage};
 
 use crate::decided_state::DecidedState;
 use crate::effects::Effect;
@@ -12,7 +12,7 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Asked {
-    request: LedgerRequest,
+    request: OrderLogRequest,
     at: u64,
 }
 
@@ -78,7 +78,7 @@
     fn ask(
         &mut self,
         now: u64,
-        request: LedgerRequest,
+        request: OrderLogRequest,
         decided: &DecidedState,
         effects: &mut Vec<Effect>,
     ) {
@@ -102,7 +102,7 @@
         });
         effects.push(Effect::Send {
             to,
-            word: PeerMessage::LedgerRequest(request),
+            word: PeerMessage::OrderLogRequest(request),
         });
     }
 
@@ -110,7 +110,7 @@
     pub(crate) fn on_entries(
         &mut self,
         from: u64,
-        entries: &LedgerEntries,
+        entries: &OrderLogEntries,
         decided: &mut DecidedState,
     ) -> bool {
         let awaited = self
--- a/crates/linenthread-consensus/src/reader.rs
+++ b/crates/linenthread-consensus/src/reader.rs
@@ -142,7 +142,7 @@
         let Some(question) = self
             .question
             .as_mut()
-            .filter(|question| question.number == reply.question)
+            .filter(|question| question.number == reply.read_id)
         else {
             return ReadStep::Nothing;
         };
@@ -176,7 +176,7 @@
     /// To the voters that have not answered yet.
     fn send(&self, decided: &DecidedState, effects: &mut Vec<Effect>) {
         let word = PeerMessage::ReadRequest(ReadRequest {
-            question: self.number,
+            read_id: self.number,
         });
         let left = decided
             .voters()
--- a/crates/linenthread-consensus/src/register.rs
+++ b/crates/linenthread-consensus/src/register.rs
@@ -1,6 +1,6 @@
 use linenthread_messages::{
-    Accept, AcceptAck, CatchUpRequest, LedgerEntries, LedgerRequest, PeerMessage, Prepare, Promise,
-    ReadReply, ReadRequest, Record, Rejected, Synced, Value, Voter,
+    Accept, AcceptAck, CatchUpRequest, OrderLogEntries, OrderLogRequest, PeerMessage, Prepare,
+    Promise, ReadReply, ReadRequest, Record, Rejected, Synced, Value, Voter,
 };
 
 use crate::acceptor::Acceptor;
@@ -196,8 +196,10 @@
             }
             PeerMessage::ReadRequest(request) => self.on_read_request(from, &request, effects),
             PeerMessage::ReadReply(reply) => self.on_read_reply(now, from, &reply, effects),
-            PeerMessage::LedgerRequest(request) => self.on_ledger_request(from, &request, effects),
-            PeerMessage::LedgerEntries(entries) => {
+            PeerMessage::OrderLogRequest(request) => {
+                self.on_ledger_request(from, &request, effects)
+            }
+            PeerMessage::OrderLogEntries(entries) => {
                 self.on_ledger_entries(now, from, entries, effects);
             }
             PeerMessage::Synced(synced) if from == self.id => self.on_synced(&synced),
@@ -336,7 +338,7 @@
         };
         let pending = self.acceptor.in_doubt();
         let reply = ReadReply {
-            question: request.question,
+            read_id: request.read_id,
             decided: value.number,
             pending,
         };
@@ -366,11 +368,11 @@
 
     // --- ledger ---
 
-    fn on_ledger_request(&self, from: u64, request: &LedgerRequest, effects: &mut Vec<Effect>) {
+    fn on_ledger_request(&self, from: u64, request: &OrderLogRequest, effects: &mut Vec<Effect>) {
         let entries = self.decided.ledger().answer(request);
         effects.push(Effect::Send {
             to: from,
-            word: PeerMessage::LedgerEntries(entries),
+            word: PeerMessage::OrderLogEntries(entries),
         });
     }
 
@@ -378,7 +380,7 @@
         &mut self,
         now: u64,
         from: u64,
-        entries: LedgerEntries,
+        entries: OrderLogEntries,
         effects: &mut Vec<Effect>,
     ) {
         if self.catch_up.on_entries(from, &entries, &mut self.decided) {
--- a/crates/linenthread-consensus/tests/frozen.rs
+++ b/crates/linenthread-consensus/tests/frozen.rs
@@ -26,7 +26,7 @@
         Effect::Send {
             word: PeerMessage::ReadRequest(request),
             ..
-        } => Some(request.question),
+        } => Some(request.read_id),
         _ => None,
     };
     effects.iter().find_map(question).expect("asks")
@@ -36,7 +36,7 @@
     let mut effects = Vec::new();
     for from in [1, 2] {
         let reply = ReadReply {
-            question,
+            read_id: question,
             decided: 0,
             pending: false,
         };
--- a/crates/linenthread-consensus/tests/lease_release.rs
+++ b/crates/linenthread-consensus/tests/lease_release.rs
@@ -11,10 +11,10 @@
 fn request(life: u64, epoch: u64, asked: u64) -> LeaseRequest {
     LeaseRequest {
         epoch,
-        asked,
+        request_id: asked,
         lease_ms: 2_000,
-        life,
-        on: 0,
+        incarnation: life,
+        value_number: 0,
     }
 }
 
@@ -24,7 +24,7 @@
     assert!(
         voter
             .on_lease_request(5_000, HOLDER, &request(LIFE, 3, 1), Some(0))
-            .yes
+            .granted
     );
     voter
 }
@@ -38,11 +38,20 @@
 )]
 fn a_release_frees_the_voter_of_that_holder_only(from: u64, life: u64, epoch: u64, free: bool) {
     let mut voter = voter();
-    assert_eq!(voter.on_release(from, &LeaseRelease { epoch, life }), free);
+    assert_eq!(
+        voter.on_release(
+            from,
+            &LeaseRelease {
+                epoch,
+                incarnation: life
+            }
+        ),
+        free
+    );
     assert_eq!(
         voter
             .on_lease_request(5_100, OTHER, &request(8, 9, 1), Some(0))
-            .yes,
+            .granted,
         free
     );
 }
@@ -54,13 +63,13 @@
         HOLDER,
         &LeaseRelease {
             epoch: 4,
-            life: LIFE,
+            incarnation: LIFE,
         },
     );
     assert!(
         !voter
             .on_lease_request(5_100, HOLDER, &request(LIFE, 4, 2), Some(0))
-            .yes
+            .granted
     );
 }
 
@@ -71,12 +80,12 @@
     assert!(
         !voter
             .on_lease_request(10_900, HOLDER, &request(LIFE, 4, 2), Some(0))
-            .yes
+            .granted
     );
     assert!(
         voter
             .on_lease_request(11_000, HOLDER, &request(LIFE, 4, 3), Some(0))
-            .yes
+            .granted
     );
 }
 
@@ -108,18 +117,18 @@
         HOLDER,
         &LeaseRelease {
             epoch: 3,
-            life: LIFE
+            incarnation: LIFE
         }
     ));
     assert!(
         !voter
             .on_lease_request(5_100, OTHER, &request(8, 9, 1), Some(0))
-            .yes
+            .granted
     );
     assert!(
         voter
             .on_lease_request(7_100, OTHER, &request(8, 9, 2), Some(0))
-            .yes
+            .granted
     );
 }
 
@@ -130,8 +139,8 @@
     let is_most = |ids: Vec<u64>| ids.len() >= 2;
     let yes = LeaseVote {
         epoch: first.epoch,
-        asked: first.asked,
-        yes: true,
+        request_id: first.request_id,
+        granted: true,
     };
     lease.on_lease_vote(1, HOLDER, &yes, 0, is_most);
     assert!(lease.on_lease_vote(2, OTHER, &yes, 0, is_most) && lease.holds(3).is_some());
@@ -140,7 +149,7 @@
         release,
         LeaseRelease {
             epoch: first.epoch,
-            life: LIFE
+            incarnation: LIFE
         }
     );
     // Votes that were under way give nothing back.
@@ -160,8 +169,8 @@
     );
     let yes = LeaseVote {
         epoch: open.epoch,
-        asked: open.asked,
-        yes: true,
+        request_id: open.request_id,
+        granted: true,
     };
     assert!(!lease.on_lease_vote(2, OTHER, &yes, 0, |_| true) && lease.holds(2).is_none());
 }
@@ -172,8 +181,8 @@
     let open = lease.tick(0, true, 0).expect("asks");
     let yes = LeaseVote {
         epoch: open.epoch,
-        asked: open.asked,
-        yes: true,
+        request_id: open.request_id,
+        granted: true,
     };
     // The control part would take this for a lease that begins.
     assert!(!lease.on_lease_vote(20_000, OTHER, &yes, 0, |_| true));
--- a/crates/linenthread-consensus/tests/orders.rs
+++ b/crates/linenthread-consensus/tests/orders.rs
@@ -87,7 +87,7 @@
     assert_eq!(cluster.order(3, order(3, 4, "4")), Outcome::Taken(4));
     assert_eq!(cluster.outcome(500), Some(Outcome::Taken(4)));
     assert_eq!(
-        cluster.register(3).decided().map(|value| value.taken_count),
+        cluster.register(3).decided().map(|value| value.order_count),
         Some(4)
     );
 }
@@ -120,7 +120,7 @@
     cluster.take_orders(1, 1..=100);
     cluster.heal();
     // It learns the newest value, and gets no answer about the orders before its last ones.
-    cluster.lose(|_, _, message| matches!(message, PeerMessage::LedgerEntries(_)));
+    cluster.lose(|_, _, message| matches!(message, PeerMessage::OrderLogEntries(_)));
     assert_eq!(cluster.order(3, order(99, 100, "100")), Outcome::Taken(100));
     assert!(!cluster.register(3).ledger_complete());
     assert_eq!(cluster.order(3, order(39, 40, "40")), Outcome::Unclear);
@@ -194,11 +194,11 @@
     assert!(cluster.register(3).ledger_complete());
     let chunks = 5_000_usize.div_ceil(ORDERS_A_MESSAGE);
     assert_eq!(
-        cluster.counted(|message| matches!(message, PeerMessage::LedgerRequest(_))),
+        cluster.counted(|message| matches!(message, PeerMessage::OrderLogRequest(_))),
         chunks
     );
     assert_eq!(
-        cluster.counted(|message| matches!(message, PeerMessage::LedgerEntries(_))),
+        cluster.counted(|message| matches!(message, PeerMessage::OrderLogEntries(_))),
         chunks
     );
 }
--- a/crates/linenthread-consensus/tests/register.rs
+++ b/crates/linenthread-consensus/tests/register.rs
@@ -347,10 +347,10 @@
             1,
             &LeaseRequest {
                 epoch: 1,
-                asked: 1,
+                request_id: 1,
                 lease_ms: 2_000,
-                life: 7,
-                on: 0,
+                incarnation: 7,
+                value_number: 0,
             },
             Some(0),
         );
@@ -362,14 +362,14 @@
                 from,
                 &LeaseRequest {
                     epoch,
-                    asked: 2,
+                    request_id: 2,
                     lease_ms: 2_000,
-                    life,
-                    on: 0
+                    incarnation: life,
+                    value_number: 0
                 },
                 Some(0)
             )
-            .yes,
+            .granted,
         yes
     );
 }
@@ -380,8 +380,8 @@
     let ask = lease.tick(0, true, 0).expect("asks");
     let yes = LeaseVote {
         epoch: ask.epoch,
-        asked: ask.asked,
-        yes: true,
+        request_id: ask.request_id,
+        granted: true,
     };
     let most = |ids: Vec<u64>| ids.len() >= 2;
     assert!(!lease.on_lease_vote(1, 1, &yes, 0, most));
@@ -399,8 +399,8 @@
     let most = |ids: Vec<u64>| ids.len() >= 2;
     let say = |ask: &LeaseRequest| LeaseVote {
         epoch: ask.epoch,
-        asked: ask.asked,
-        yes: true,
+        request_id: ask.request_id,
+        granted: true,
     };
     let on_7 = lease.tick(0, true, 7).expect("asks");
     lease.on_lease_vote(1, 1, &say(&on_7), 7, most);
@@ -422,8 +422,8 @@
     let ask = lease.tick(0, true, 0).expect("asks");
     let yes = LeaseVote {
         epoch: ask.epoch,
-        asked: ask.asked,
-        yes: true,
+        request_id: ask.request_id,
+        granted: true,
     };
     lease.on_lease_vote(1, 1, &yes, 0, most);
     lease.on_lease_vote(
@@ -431,7 +431,7 @@
         2,
         &LeaseVote {
             epoch: 6,
-            yes: false,
+            granted: false,
             ..yes.clone()
         },
         0,
@@ -454,15 +454,15 @@
     lease.decided(5_000, 4, anew);
     let ask = LeaseRequest {
         epoch: 4 + above,
-        asked: 1,
+        request_id: 1,
         lease_ms: 2_000,
-        life: 7,
-        on: 0,
+        incarnation: 7,
+        value_number: 0,
     };
-    assert_eq!(lease.on_lease_request(6_900, 1, &ask, number).yes, yes);
+    assert_eq!(lease.on_lease_request(6_900, 1, &ask, number).granted, yes);
     // Later it waits for nothing but a value that both have, and an epoch above.
     assert_eq!(
-        lease.on_lease_request(7_100, 1, &ask, Some(0)).yes,
+        lease.on_lease_request(7_100, 1, &ask, Some(0)).granted,
         above > 0
     );
 }
@@ -474,8 +474,8 @@
     let ask = lease.tick(0, true, 0).expect("asks");
     let yes = LeaseVote {
         epoch: ask.epoch,
-        asked: ask.asked,
-        yes: true,
+        request_id: ask.request_id,
+        granted: true,
     };
     lease.on_lease_vote(1, 1, &yes, 0, most);
     // It was frozen meanwhile.
--- a/crates/linenthread-control/src/allotments.rs
+++ b/crates/linenthread-control/src/allotments.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use linenthread_messages::{Allotment, Session};
+use linenthread_messages::{IngressSession, QuotaGrant};
 
 use crate::Budget;
 use crate::budget::LEASE;
@@ -42,30 +42,33 @@
         &mut self,
         now: u64,
         epoch: u64,
-        fronts: &BTreeMap<String, Session>,
-    ) -> Vec<Allotment> {
+        fronts: &BTreeMap<String, IngressSession>,
+    ) -> Vec<QuotaGrant> {
         let many = fronts.len();
         let mut allotments = Vec::new();
         for (own, session) in fronts.values().enumerate() {
-            let key = (session.name.clone(), session.life);
-            if session.asked == 0 || self.answered.get(&key) == Some(&session.asked) {
+            let key = (session.name.clone(), session.incarnation);
+            if session.quota_request == 0 || self.answered.get(&key) == Some(&session.quota_request)
+            {
                 continue;
             }
-            let share = self.budget.give(now, &session.name, session.life, many);
-            self.answered.insert(key, session.asked);
-            allotments.push(Allotment {
+            let share = self
+                .budget
+                .give(now, &session.name, session.incarnation, many);
+            self.answered.insert(key, session.quota_request);
+            allotments.push(QuotaGrant {
                 name: session.name.clone(),
-                life: session.life,
-                asked: session.asked,
+                incarnation: session.incarnation,
+                quota_request: session.quota_request,
                 epoch,
                 share,
                 lease_ms: LEASE as u32,
-                fronts: many as u32,
-                own: own as u32,
+                ingress_count: many as u32,
+                ingress_index: own as u32,
             });
         }
         self.answered
-            .retain(|(name, life), _| fronts.get(name).is_some_and(|s| s.life == *life));
+            .retain(|(name, life), _| fronts.get(name).is_some_and(|s| s.incarnation == *life));
         allotments
     }
 }
--- a/crates/linenthread-control/src/configuration.rs
+++ b/crates/linenthread-control/src/configuration.rs
@@ -1,7 +1,7 @@
 //! Orders and reads of operators, and the configuration on its way to fronts.
 
 use linenthread_consensus::Change;
-use linenthread_messages::{Allotments, PeerMessage};
+use linenthread_messages::{PeerMessage, QuotaGrants};
 
 use crate::fronts::Source;
 use crate::requests::Purpose;
@@ -90,31 +90,31 @@
         if let Some(update) = self.fronts.update(now, link, &source) {
             effects.push(Effect::Send {
                 link,
-                word: PeerMessage::FrontUpdate(update),
+                word: PeerMessage::IngressUpdate(update),
             });
         }
     }
 
     /// The leader's allotments go to the fronts here, and to the nodes that hold the sessions of others.
-    pub(crate) fn send_allotments(&mut self, allotments: Allotments, effects: &mut Vec<Effect>) {
+    pub(crate) fn send_allotments(&mut self, allotments: QuotaGrants, effects: &mut Vec<Effect>) {
         if allotments.grants.is_empty() {
             return;
         }
         for (link, _) in self.members.iter() {
             effects.push(Effect::Send {
                 link,
-                word: PeerMessage::Allotments(allotments.clone()),
+                word: PeerMessage::QuotaGrants(allotments.clone()),
             });
         }
         self.pass_allotments(allotments, effects);
     }
 
-    pub(crate) fn pass_allotments(&mut self, allotments: Allotments, effects: &mut Vec<Effect>) {
+    pub(crate) fn pass_allotments(&mut self, allotments: QuotaGrants, effects: &mut Vec<Effect>) {
         for allotment in allotments.grants {
-            let Some(link) = self.fronts.link_of(&allotment.name, allotment.life) else {
+            let Some(link) = self.fronts.link_of(&allotment.name, allotment.incarnation) else {
                 continue;
             };
-            let word = PeerMessage::Allotments(Allotments {
+            let word = PeerMessage::QuotaGrants(QuotaGrants {
                 grants: vec![allotment],
             });
             effects.push(Effect::Send { link, word });
--- a/crates/linenthread-control/src/contact.rs
+++ b/crates/linenthread-control/src/contact.rs
@@ -1,6 +1,6 @@
 //! Contact with a majority of the voters: what a node may say without it, and after a freeze.
 
-use linenthread_messages::{Durable, Heartbeat, PeerMessage};
+use linenthread_messages::{DurableProgress, Heartbeat, PeerMessage};
 
 use crate::timing::{PAUSE, STARTING};
 use crate::{Answer, Control, Effect, Link};
@@ -8,7 +8,7 @@
 impl Control {
     /// Disks in contact, this one too.
     pub(crate) fn disks_in_contact(&self, now: u64) -> Vec<u64> {
-        let others = self.members.contacts(now).map(|peer| peer.hello.disk);
+        let others = self.members.contacts(now).map(|peer| peer.hello.node_id);
         others.chain([self.register.id()]).collect()
     }
 
@@ -84,7 +84,7 @@
             .contacts(now)
             .find(|peer| peer.takes_calls(now));
         other.map_or(Answer::NotNow("about to end"), |peer| {
-            Answer::Elsewhere(peer.hello.control.clone())
+            Answer::Elsewhere(peer.hello.control_address.clone())
         })
     }
 
@@ -92,13 +92,13 @@
 
     fn heartbeat(&self, now: u64) -> Heartbeat {
         Heartbeat {
-            asked: self.value_number(),
-            whole: self.in_contact(now) && self.leaving.is_none(),
-            digest: self.registry.digest(),
+            quota_request_or_value_number: self.value_number(),
+            has_quorum: self.in_contact(now) && self.leaving.is_none(),
+            registry_digest: self.registry.digest(),
             revision: 0,
-            durable: self.durable.value,
-            sent: now,
-            echo: None,
+            durable_value_number: self.durable.value_number,
+            sent_at: now,
+            echoed_sent_at: None,
             leaving: self.leaving.is_some(),
             reconfiguring: self.reconfigures(now),
         }
@@ -112,7 +112,7 @@
         effects: &mut Vec<Effect>,
     ) {
         let word = PeerMessage::Heartbeat(Heartbeat {
-            echo,
+            echoed_sent_at: echo,
             ..self.heartbeat(now)
         });
         effects.push(Effect::Send { link, word });
@@ -122,7 +122,7 @@
         let heartbeat = self.heartbeat(now);
         for (link, peer) in self.members.iter() {
             let word = PeerMessage::Heartbeat(Heartbeat {
-                echo: peer.echo,
+                echoed_sent_at: peer.echo,
                 ..heartbeat.clone()
             });
             effects.push(Effect::Send { link, word });
@@ -147,7 +147,7 @@
             return;
         };
         if news.answer {
-            self.send_heartbeat(now, link, Some(heartbeat.sent), effects);
+            self.send_heartbeat(now, link, Some(heartbeat.sent_at), effects);
         }
         self.note_contact(now, effects);
         if news.synchronise {
@@ -164,11 +164,14 @@
             .register
             .holds_all_durably()
             .then(|| self.value_number());
-        if value <= self.durable.value {
+        if value <= self.durable.value_number {
             return;
         }
-        self.durable.value = value;
-        let message = PeerMessage::Durable(Durable { value, epoch: 0 });
+        self.durable.value_number = value;
+        let message = PeerMessage::DurableProgress(DurableProgress {
+            value_number: value,
+            epoch: 0,
+        });
         for (link, _) in self.members.iter() {
             effects.push(Effect::Send {
                 link,
@@ -178,9 +181,9 @@
         self.voters_may_change(now);
     }
 
-    pub(crate) fn on_durable(&mut self, now: u64, link: Link, durable: &Durable) {
+    pub(crate) fn on_durable(&mut self, now: u64, link: Link, durable: &DurableProgress) {
         if let Some(peer) = self.members.get_mut(link) {
-            peer.durable = peer.durable.max(durable.value);
+            peer.durable = peer.durable.max(durable.value_number);
         }
         self.voters_may_change(now);
     }
--- a/crates/linenthread-control/src/fronts.rs
+++ b/crates/linenthread-control/src/fronts.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use linenthread_messages::{FrontUpdate, Hello, Replica, Session, Value};
+use linenthread_messages::{Hello, IngressSession, IngressUpdate, Replica, Value};
 
 use crate::dialling::Addresses;
 use crate::timing::SILENT;
@@ -43,7 +43,7 @@
     life: u64,
     sessions: BTreeMap<Link, FrontSession>,
     /// Sessions that other control nodes hold, by the link with each.
-    elsewhere: BTreeMap<Link, Vec<Session>>,
+    elsewhere: BTreeMap<Link, Vec<IngressSession>>,
     pub(crate) changes: ChangeLog,
 }
 
@@ -60,8 +60,8 @@
     pub(crate) fn open(&mut self, now: u64, link: Link, hello: Hello) {
         let session = FrontSession {
             heard: now,
-            told_revision: hello.value,
-            place: Some(hello.place).filter(|_| hello.log == self.life),
+            told_revision: hello.value_number,
+            place: Some(hello.change_log_offset).filter(|_| hello.change_log_id == self.life),
             addresses_version: 0,
             confirmed: false,
             confirming: false,
@@ -102,7 +102,9 @@
 
     /// Sessions of earlier lives of the same front: they are over, whatever their connections say.
     pub(crate) fn superseded(&self, hello: &Hello) -> Vec<Link> {
-        let old = |s: &FrontSession| s.hello.name == hello.name && s.hello.life != hello.life;
+        let old = |s: &FrontSession| {
+            s.hello.name == hello.name && s.hello.incarnation != hello.incarnation
+        };
         self.sessions
             .iter()
             .filter(|(_, s)| old(s))
@@ -111,7 +113,7 @@
     }
 
     pub(crate) fn link_of(&self, name: &str, life: u64) -> Option<Link> {
-        let is = |s: &FrontSession| s.hello.name == name && s.hello.life == life;
+        let is = |s: &FrontSession| s.hello.name == name && s.hello.incarnation == life;
         self.sessions
             .iter()
             .find(|(_, s)| is(s))
@@ -126,29 +128,31 @@
     }
 
     /// What this node tells the others of its sessions.
-    pub(crate) fn own(&self) -> Vec<Session> {
-        let told = |s: &FrontSession| Session {
+    pub(crate) fn own(&self) -> Vec<IngressSession> {
+        let told = |s: &FrontSession| IngressSession {
             name: s.hello.name.clone(),
             zone: s.hello.zone.clone(),
-            life: s.hello.life,
-            asked: s.asked,
+            incarnation: s.hello.incarnation,
+            quota_request: s.asked,
             address: String::new(),
             revision: s.revision,
         };
         self.sessions.values().map(told).collect()
     }
 
-    pub(crate) fn learn_elsewhere(&mut self, link: Link, sessions: Vec<Session>) {
+    pub(crate) fn learn_elsewhere(&mut self, link: Link, sessions: Vec<IngressSession>) {
         self.elsewhere.insert(link, sessions);
     }
 
     /// All fronts with a session anywhere, by name: the newest heartbeat that asked counts.
-    pub(crate) fn all(&self) -> BTreeMap<String, Session> {
-        let mut all: BTreeMap<String, Session> = BTreeMap::new();
+    pub(crate) fn all(&self) -> BTreeMap<String, IngressSession> {
+        let mut all: BTreeMap<String, IngressSession> = BTreeMap::new();
         let own = self.own();
         for session in own.iter().chain(self.elsewhere.values().flatten()) {
             let known = all.get(&session.name);
-            if known.is_none_or(|s| s.life != session.life || s.asked <= session.asked) {
+            if known.is_none_or(|s| {
+                s.incarnation != session.incarnation || s.quota_request <= session.quota_request
+            }) {
                 all.insert(session.name.clone(), session.clone());
             }
         }
@@ -157,7 +161,12 @@
 
     /// All that a front lacks; none if that is nothing. The configuration is in it only once it was read anew
     /// for this session.
-    pub(crate) fn update(&mut self, now: u64, link: Link, source: &Source) -> Option<FrontUpdate> {
+    pub(crate) fn update(
+        &mut self,
+        now: u64,
+        link: Link,
+        source: &Source,
+    ) -> Option<IngressUpdate> {
         let place = self.changes.place();
         let session = self.sessions.get_mut(&link)?;
         let since = session.place.and_then(|place| self.changes.since(place));
@@ -187,19 +196,19 @@
         session.place = Some(place);
         session.told_confirmed = session.confirmed;
         session.addresses_version = source.addresses.version();
-        Some(FrontUpdate {
-            log: self.life,
-            place,
-            whole,
+        Some(IngressUpdate {
+            change_log_id: self.life,
+            change_log_offset: place,
+            complete: whole,
             replicas,
             value,
-            hubs: if new_addresses {
+            control_addresses: if new_addresses {
                 source.addresses.all()
             } else {
                 Vec::new()
             },
             confirmed: session.confirmed,
-            settled: source.settled,
+            registry_settled: source.settled,
         })
     }
 }
--- a/crates/linenthread-control/src/membership.rs
+++ b/crates/linenthread-control/src/membership.rs
@@ -43,7 +43,7 @@
         ControlPeer {
             heard: now,
             has_quorum: false,
-            value: hello.value,
+            value: hello.value_number,
             durable: None,
             leaving: false,
             reconfiguring: false,
@@ -124,21 +124,22 @@
     }
 
     pub(crate) fn contact(&self, now: u64, disk: u64) -> Option<&ControlPeer> {
-        self.contacts(now).find(|peer| peer.hello.disk == disk)
+        self.contacts(now).find(|peer| peer.hello.node_id == disk)
     }
 
     /// The newest session with the machine of a disk.
     pub(crate) fn link_of(&self, disk: u64) -> Option<Link> {
         self.iter()
-            .filter(|(_, peer)| peer.hello.disk == disk)
+            .filter(|(_, peer)| peer.hello.node_id == disk)
             .map(|(link, _)| link)
             .last()
     }
 
     /// Sessions of earlier lives of the same machine: they are over, whatever their connections say.
     pub(crate) fn superseded(&self, hello: &Hello) -> Vec<Link> {
-        let old =
-            |peer: &ControlPeer| peer.hello.name == hello.name && peer.hello.life != hello.life;
+        let old = |peer: &ControlPeer| {
+            peer.hello.name == hello.name && peer.hello.incarnation != hello.incarnation
+        };
         self.iter()
             .filter(|(_, peer)| old(peer))
             .map(|(link, _)| link)
@@ -154,12 +155,13 @@
 
     pub(crate) fn open(&mut self, now: u64, link: Link, hello: Hello) {
         let sighting = Sighting {
-            disk: hello.disk,
-            counts: hello.counts,
+            disk: hello.node_id,
+            counts: hello.is_voter,
             at: now,
         };
-        self.sightings.insert(hello.control.clone(), sighting);
-        self.departed.remove(&hello.disk);
+        self.sightings
+            .insert(hello.control_address.clone(), sighting);
+        self.departed.remove(&hello.node_id);
         self.peers.insert(link, ControlPeer::new(now, hello));
     }
 
@@ -167,10 +169,10 @@
         let peer = self.peers.remove(&link)?;
         if peer.leaving {
             self.departed
-                .insert(peer.hello.disk, peer.durable.unwrap_or_default());
+                .insert(peer.hello.node_id, peer.durable.unwrap_or_default());
         }
         if peer.in_contact(now) {
-            self.sighted(&peer.hello.control, now.min(peer.heard + TICK));
+            self.sighted(&peer.hello.control_address, now.min(peer.heard + TICK));
         }
         Some(peer)
     }
@@ -195,15 +197,17 @@
     ) -> Option<HeartbeatNews> {
         let peer = self.peers.get_mut(&link)?;
         let begins_to_leave = heartbeat.leaving && !peer.leaving;
-        peer.has_quorum = heartbeat.whole;
-        peer.value = heartbeat.asked;
-        peer.durable = peer.durable.max(heartbeat.durable);
+        peer.has_quorum = heartbeat.has_quorum;
+        peer.value = heartbeat.quota_request_or_value_number;
+        peer.durable = peer.durable.max(heartbeat.durable_value_number);
         peer.leaving = heartbeat.leaving;
         peer.reconfiguring = heartbeat.reconfiguring;
         // What it says it heard was sent before now.
-        peer.reached = peer.reached.max(heartbeat.echo.map(|echo| echo.min(now)));
-        let is_first = peer.echo.replace(heartbeat.sent).is_none();
-        peer.digest_mismatches = if heartbeat.digest == digest {
+        peer.reached = peer
+            .reached
+            .max(heartbeat.echoed_sent_at.map(|echo| echo.min(now)));
+        let is_first = peer.echo.replace(heartbeat.sent_at).is_none();
+        peer.digest_mismatches = if heartbeat.registry_digest == digest {
             0
         } else {
             peer.digest_mismatches + 1
@@ -211,7 +215,7 @@
         let synchronise =
             peer.digest_mismatches >= MISMATCHES && now >= peer.synchronised_at + RESYNCHRONISE;
         if peer.in_contact(now) {
-            let address = peer.hello.control.clone();
+            let address = peer.hello.control_address.clone();
             self.sighted(&address, now);
         }
         Some(HeartbeatNews {
@@ -222,7 +226,7 @@
 
     /// Whether the machine of a disk is about to end, or ended after it had said so.
     pub(crate) fn leaves(&self, disk: u64) -> bool {
-        let leaving = |peer: &ControlPeer| peer.leaving && peer.hello.disk == disk;
+        let leaving = |peer: &ControlPeer| peer.leaving && peer.hello.node_id == disk;
         self.departed.contains_key(&disk) || self.peers.values().any(leaving)
     }
 
@@ -233,10 +237,10 @@
 
     /// Peers in contact that may vote and stay; with a number only those whose disks hold that value.
     pub(crate) fn candidates(&self, now: u64, number: Option<u64>) -> impl Iterator<Item = Voter> {
-        let ready = move |p: &&ControlPeer| p.hello.counts && !p.leaving && p.durable >= number;
+        let ready = move |p: &&ControlPeer| p.hello.is_voter && !p.leaving && p.durable >= number;
         let voter = |p: &ControlPeer| Voter {
-            id: p.hello.disk,
-            address: p.hello.control.clone(),
+            id: p.hello.node_id,
+            address: p.hello.control_address.clone(),
         };
         self.contacts(now).filter(ready).map(voter)
     }
--- a/crates/linenthread-control/src/node.rs
+++ b/crates/linenthread-control/src/node.rs
@@ -4,7 +4,9 @@
 use std::collections::VecDeque;
 
 use linenthread_consensus::{DurableState, Effect as Agreed, Job, LeaderLease, Outcome, Register};
-use linenthread_messages::{Allotments, Durable, PeerMessage, Record, Replica, Session, Value};
+use linenthread_messages::{
+    DurableProgress, IngressSession, PeerMessage, QuotaGrants, Record, Replica, Value,
+};
 
 use crate::allotments::Allotter;
 use crate::dialling::Addresses;
@@ -35,7 +37,7 @@
     /// Since when it is to end.
     pub(crate) leaving: Option<u64>,
     /// What its own disk is known to hold.
-    pub(crate) durable: Durable,
+    pub(crate) durable: DurableProgress,
     /// A change of the voters is on its way.
     pub(crate) changes_voters: bool,
     /// Its disk votes, by the newest value.
@@ -63,8 +65,8 @@
     ) -> Control {
         let replicas = std::mem::take(&mut kept.replicas);
         let budget = Budget::new(local.retry_allowance, local.retry_window);
-        let durable = Durable {
-            value: None,
+        let durable = DurableProgress {
+            value_number: None,
             epoch: kept.epoch,
         };
         let mut control = Control {
@@ -124,7 +126,7 @@
     }
 
     /// All fronts with a session anywhere, by name.
-    pub fn fronts(&self) -> std::collections::BTreeMap<String, Session> {
+    pub fn fronts(&self) -> std::collections::BTreeMap<String, IngressSession> {
         self.fronts.all()
     }
 
@@ -164,11 +166,11 @@
         effects: &mut Vec<Effect>,
     ) {
         if record.epoch > 0 {
-            let durable = Durable {
-                value: None,
+            let durable = DurableProgress {
+                value_number: None,
                 epoch: record.epoch,
             };
-            then.push((self.register.id(), PeerMessage::Durable(durable)));
+            then.push((self.register.id(), PeerMessage::DurableProgress(durable)));
         }
         effects.push(Effect::Keep { record, then });
     }
@@ -214,7 +216,7 @@
         match message {
             PeerMessage::LeaseVote(vote) => self.on_lease_vote(now, own, &vote, effects),
             PeerMessage::LeaseRelease(release) => drop(self.lease.on_release(own, &release)),
-            PeerMessage::Durable(durable) => {
+            PeerMessage::DurableProgress(durable) => {
                 self.durable.epoch = self.durable.epoch.max(durable.epoch);
             }
             message => self.register.on_message(now, own, message, agreed),
@@ -381,7 +383,7 @@
         self.ask_for_lease(now, effects);
         if let Some(epoch) = self.lease.holds(now) {
             let allotments = self.allotter.allot(now, epoch, &self.fronts.all());
-            self.send_allotments(Allotments { grants: allotments }, effects);
+            self.send_allotments(QuotaGrants { grants: allotments }, effects);
             self.keep_voters(now, epoch, effects);
         }
     }
@@ -416,7 +418,7 @@
             return;
         }
         self.written = (place, now);
-        let here = self.registry.iter().filter(|known| !known.told.gone);
+        let here = self.registry.iter().filter(|known| !known.told.removed);
         let replicas: Vec<Replica> = here
             .map(|known| Replica {
                 age_ms: 0,
@@ -438,7 +440,7 @@
         let is_linked = |address: &str| {
             members
                 .iter()
-                .any(|(_, peer)| peer.hello.control == address)
+                .any(|(_, peer)| peer.hello.control_address == address)
         };
         let is_voter = |address: &str| voters.iter().any(|voter| voter.address == address);
         let dial = self.addresses.dial(now, is_linked, is_voter);
--- a/crates/linenthread-control/src/replica_calls.rs
+++ b/crates/linenthread-control/src/replica_calls.rs
@@ -1,6 +1,6 @@
 //! Calls of replicas, and what control nodes tell each other of them.
 
-use linenthread_messages::{ControlUpdate, Heard as Receipt, PeerMessage, Replica};
+use linenthread_messages::{ControlUpdate, PeerMessage, Replica, UpdateAck};
 
 use crate::replicas::{Beat, Heard, Phase};
 use crate::{Control, Effect, Link, Token};
@@ -27,7 +27,7 @@
         let drains = self
             .registry
             .get(ident)
-            .is_some_and(|known| known.told.draining || known.told.ended);
+            .is_some_and(|known| known.told.draining || known.told.removed_for_good);
         if said.draining && drains && !self.drains.is_known_by_majority(ident) {
             self.await_receipts(now, token, ident, effects);
         } else {
@@ -76,7 +76,7 @@
             .collect();
         let update = ControlUpdate {
             replicas,
-            receipt,
+            update_id: receipt,
             ..ControlUpdate::default()
         };
         for (link, _) in self.members.iter() {
@@ -92,10 +92,10 @@
         &mut self,
         now: u64,
         disk: u64,
-        receipt: &Receipt,
+        receipt: &UpdateAck,
         effects: &mut Vec<Effect>,
     ) {
-        self.drains.on_receipt(disk, receipt.receipt);
+        self.drains.on_receipt(disk, receipt.update_id);
         self.settle_drains(now, effects);
     }
 
@@ -116,7 +116,7 @@
         if self
             .registry
             .get(ident)
-            .is_some_and(|known| !known.told.draining && !known.told.ended)
+            .is_some_and(|known| !known.told.draining && !known.told.removed_for_good)
         {
             self.drains.forget(ident);
         }
@@ -148,7 +148,7 @@
             .filter(|peer| peer.hello.zone == zone);
         of_zone
             .filter(|peer| peer.takes_calls(now))
-            .map(|peer| &peer.hello.control)
+            .map(|peer| &peer.hello.control_address)
             .min()
             .cloned()
     }
@@ -167,9 +167,9 @@
             replicas,
             sessions: self.fronts.own(),
             has_sessions: true,
-            hubs: self.addresses.all(),
-            receipt: 0,
-            whole: true,
+            control_addresses: self.addresses.all(),
+            update_id: 0,
+            complete: true,
         };
         effects.push(Effect::Send {
             link,
@@ -186,7 +186,7 @@
             let update = ControlUpdate {
                 sessions: sessions.clone(),
                 has_sessions: true,
-                hubs: if known { Vec::new() } else { addresses.clone() },
+                control_addresses: if known { Vec::new() } else { addresses.clone() },
                 ..ControlUpdate::default()
             };
             effects.push(Effect::Send {
@@ -232,28 +232,28 @@
         for said in &update.replicas {
             let mut also = Vec::new();
             let heard = self.registry.observe(now, said, &mut also);
-            self.forget_drain(&said.ident);
+            self.forget_drain(&said.id);
             // What a node has said goes on to fronts, not to further nodes: each tells all.
             if heard == Heard::Changed {
                 also.iter()
-                    .chain([&said.ident])
+                    .chain([&said.id])
                     .for_each(|ident| self.fronts.changes.add(ident));
                 changed = true;
             }
         }
-        for address in &update.hubs {
+        for address in &update.control_addresses {
             self.addresses.learn(now, address);
         }
         if update.has_sessions {
             self.fronts.learn_elsewhere(link, update.sessions);
         }
-        if update.receipt > 0 {
-            let receipt = Receipt {
-                receipt: update.receipt,
+        if update.update_id > 0 {
+            let receipt = UpdateAck {
+                update_id: update.update_id,
             };
             effects.push(Effect::Send {
                 link,
-                word: PeerMessage::Heard(receipt),
+                word: PeerMessage::UpdateAck(receipt),
             });
         }
         if changed {
@@ -264,7 +264,7 @@
 
 fn replica(ident: &str, beat: Beat) -> Replica {
     Replica {
-        ident: ident.to_owned(),
+        id: ident.to_owned(),
         backend: beat.backend,
         address: beat.address,
         zone: beat.zone,
--- a/crates/linenthread-control/src/replicas.rs
+++ b/crates/linenthread-control/src/replicas.rs
@@ -97,12 +97,16 @@
     fn take_in(&mut self, now: u64, said: &Replica, also: &mut Vec<String>) -> Heard {
         let heard = now.saturating_sub(u64::from(said.age_ms));
         let warm_at = now + u64::from(said.warmup_ms);
-        if let Some(known) = self.known.get_mut(&said.ident) {
-            if known.told.ended {
+        if let Some(known) = self.known.get_mut(&said.id) {
+            if known.told.removed_for_good {
                 return Heard::Late;
             }
-            if said.ended {
-                (known.told.ended, known.told.gone, known.ended_at) = (true, true, now);
+            if said.removed_for_good {
+                (
+                    known.told.removed_for_good,
+                    known.told.removed,
+                    known.ended_at,
+                ) = (true, true, now);
                 return Heard::Changed;
             }
             if said.call_count < known.told.call_count {
@@ -113,7 +117,7 @@
             if same {
                 return Heard::Late;
             }
-            let back = known.told.gone;
+            let back = known.told.removed;
             let changed = back
                 || known.told.draining != said.draining
                 || known.told.address != said.address
@@ -123,7 +127,7 @@
             known.told = Replica {
                 age_ms: 0,
                 warmup_ms: 0,
-                gone: false,
+                removed: false,
                 ..said.clone()
             };
             return if changed {
@@ -136,7 +140,7 @@
             told: Replica {
                 age_ms: 0,
                 warmup_ms: 0,
-                gone: said.ended,
+                removed: said.removed_for_good,
                 ..said.clone()
             },
             heard,
@@ -147,25 +151,29 @@
         for other in self
             .known
             .values_mut()
-            .filter(|k| !k.told.ended && k.told.address == said.address)
+            .filter(|k| !k.told.removed_for_good && k.told.address == said.address)
         {
-            if new.told.ended {
+            if new.told.removed_for_good {
                 break;
             }
             let old = if other.heard > heard { &mut new } else { other };
-            (old.told.ended, old.told.gone, old.ended_at) = (true, true, now);
-            also.push(old.told.ident.clone());
+            (old.told.removed_for_good, old.told.removed, old.ended_at) = (true, true, now);
+            also.push(old.told.id.clone());
         }
-        also.retain(|i| *i != said.ident);
-        self.known.insert(said.ident.clone(), new);
+        also.retain(|i| *i != said.id);
+        self.known.insert(said.id.clone(), new);
         Heard::Changed
     }
 
     /// A departure; true if it was there.
     pub fn depart(&mut self, now: u64, ident: &str) -> bool {
         match self.known.get_mut(ident) {
-            Some(known) if !known.told.ended => {
-                (known.told.ended, known.told.gone, known.ended_at) = (true, true, now);
+            Some(known) if !known.told.removed_for_good => {
+                (
+                    known.told.removed_for_good,
+                    known.told.removed,
+                    known.ended_at,
+                ) = (true, true, now);
                 self.digest.set(None);
                 true
             }
@@ -177,17 +185,17 @@
     /// is the news that does not come. What ended long ago is forgotten.
     pub fn expire(&mut self, now: u64, silence: u64) -> Vec<String> {
         self.known
-            .retain(|_, k| !k.told.ended || now < k.ended_at + REMEMBERED);
-        let here = self.known.values().filter(|k| !k.told.gone).count();
-        let silent = |k: &Known| !k.told.gone && now > k.heard + silence;
+            .retain(|_, k| !k.told.removed_for_good || now < k.ended_at + REMEMBERED);
+        let here = self.known.values().filter(|k| !k.told.removed).count();
+        let silent = |k: &Known| !k.told.removed && now > k.heard + silence;
         let all = self.known.values().filter(|k| silent(k)).count();
         if all * 2 > here {
             return Vec::new();
         }
         let mut gone = Vec::new();
         for known in self.known.values_mut().filter(|k| silent(k)) {
-            known.told.gone = true;
-            gone.push(known.told.ident.clone());
+            known.told.removed = true;
+            gone.push(known.told.id.clone());
         }
         gone
     }
@@ -206,12 +214,12 @@
         let one = |k: &Known| {
             let r = &k.told;
             linenthread_consensus::digest(
-                format!("{} {} {} {}", r.ident, r.backend, r.address, r.draining).as_bytes(),
+                format!("{} {} {} {}", r.id, r.backend, r.address, r.draining).as_bytes(),
             )
         };
         self.known
             .values()
-            .filter(|k| !k.told.ended)
+            .filter(|k| !k.told.removed_for_good)
             .map(one)
             .fold(0, u64::wrapping_add)
     }
--- a/crates/linenthread-control/src/sessions.rs
+++ b/crates/linenthread-control/src/sessions.rs
@@ -12,13 +12,13 @@
             version: VERSION,
             name: self.local.name.clone(),
             zone: self.local.zone.clone(),
-            life: self.local.life,
-            control: self.local.control.clone(),
-            disk: self.register.id(),
-            counts: self.local.counts,
-            log: self.local.life,
-            place: self.fronts.changes.place(),
-            value: self.value_number(),
+            incarnation: self.local.life,
+            control_address: self.local.control.clone(),
+            node_id: self.register.id(),
+            is_voter: self.local.counts,
+            change_log_id: self.local.life,
+            change_log_offset: self.fronts.changes.place(),
+            value_number: self.value_number(),
         };
         effects.push(Effect::Send {
             link,
@@ -39,7 +39,7 @@
                 "event=session_ended peer={} hub=true",
                 peer.hello.name
             )));
-            self.drains.disk_gone(peer.hello.disk);
+            self.drains.disk_gone(peer.hello.node_id);
         }
     }
 
@@ -67,11 +67,12 @@
         } else if let Some(front) = self.fronts.get_mut(link) {
             front.heard = now;
             if let PeerMessage::Heartbeat(heartbeat) = message {
-                (front.asked, front.revision) = (heartbeat.asked, heartbeat.revision);
+                (front.asked, front.revision) =
+                    (heartbeat.quota_request_or_value_number, heartbeat.revision);
             }
         } else if let Some(peer) = self.members.get_mut(link) {
             peer.heard = now;
-            let disk = peer.hello.disk;
+            let disk = peer.hello.node_id;
             self.on_control_message(now, link, disk, message, effects);
         } else {
             effects.push(Effect::Drop(link));
@@ -80,8 +81,8 @@
 
     fn on_hello(&mut self, now: u64, link: Link, hello: Hello, effects: &mut Vec<Effect>) {
         let known = self.members.get(link).is_some() || self.fronts.get(link).is_some();
-        let is_front = hello.control.is_empty();
-        let refused = hello.version != VERSION || hello.life == self.local.life || known;
+        let is_front = hello.control_address.is_empty();
+        let refused = hello.version != VERSION || hello.incarnation == self.local.life || known;
         if refused || is_front && !self.takes_fronts(now) {
             effects.push(Effect::Drop(link));
             return;
@@ -104,7 +105,7 @@
             self.confirm(now, link, effects);
             self.tell(now, link, effects);
         } else {
-            self.addresses.learn(now, &hello.control);
+            self.addresses.learn(now, &hello.control_address);
             self.members.open(now, link, hello);
             self.send_heartbeat(now, link, None, effects);
             self.synchronise(now, link, effects);
@@ -130,9 +131,9 @@
             PeerMessage::ControlUpdate(update) => {
                 self.on_control_update(now, link, update, effects);
             }
-            PeerMessage::Durable(durable) => self.on_durable(now, link, &durable),
-            PeerMessage::Heard(receipt) => self.on_receipt(now, disk, &receipt, effects),
-            PeerMessage::Allotments(allotments) => self.pass_allotments(allotments, effects),
+            PeerMessage::DurableProgress(durable) => self.on_durable(now, link, &durable),
+            PeerMessage::UpdateAck(receipt) => self.on_receipt(now, disk, &receipt, effects),
+            PeerMessage::QuotaGrants(allotments) => self.pass_allotments(allotments, effects),
             PeerMessage::LeaseRequest(request) => {
                 self.on_lease_request(now, disk, &request, effects);
             }
--- a/crates/linenthread-control/src/status.rs
+++ b/crates/linenthread-control/src/status.rs
@@ -1,6 +1,6 @@
 //! What a control node tells operators of machines and replicas: its own view, not confirmed by others.
 
-use linenthread_messages::{Replica, Session};
+use linenthread_messages::{IngressSession, Replica};
 use serde_json::{Value as Json, json};
 
 use crate::Control;
@@ -9,7 +9,8 @@
 impl Control {
     /// What this node knows of machines.
     pub fn members(&self, now: u64) -> Json {
-        let front = |s: &Session| json!({"name": s.name, "zone": s.zone, "revision": s.revision});
+        let front =
+            |s: &IngressSession| json!({"name": s.name, "zone": s.zone, "revision": s.revision});
         let decided = self.register.decided();
         json!({
             "name": self.local.name,
@@ -37,18 +38,18 @@
 }
 
 fn control_node(now: u64, peer: &ControlPeer) -> Json {
-    json!({"name": peer.hello.name, "zone": peer.hello.zone, "control": peer.hello.control,
+    json!({"name": peer.hello.name, "zone": peer.hello.zone, "control": peer.hello.control_address,
         "whole": peer.has_quorum, "value": peer.value, "leaving": peer.leaving,
         "heard_ms": now.saturating_sub(peer.heard)})
 }
 
 fn replica(told: Replica) -> Json {
-    let phase = match (told.ended, told.gone, told.draining) {
+    let phase = match (told.removed_for_good, told.removed, told.draining) {
         (true, _, _) => "ended",
         (_, true, _) => "silent",
         (_, _, true) => "draining",
         _ => "available",
     };
-    json!({"ident": told.ident, "backend": told.backend, "address": told.address, "zone": told.zone,
+    json!({"ident": told.id, "backend": told.backend, "address": told.address, "zone": told.zone,
         "phase": phase, "heard_ms": told.age_ms})
 }
--- a/crates/linenthread-control/src/voters.rs
+++ b/crates/linenthread-control/src/voters.rs
@@ -61,7 +61,8 @@
             id: self.register.id(),
             address: self.local.control.clone(),
         };
-        let own_ready = self.local.counts && self.leaving.is_none() && self.durable.value >= number;
+        let own_ready =
+            self.local.counts && self.leaving.is_none() && self.durable.value_number >= number;
         let others = self.members.candidates(now, number);
         let mut standbys: Vec<Voter> = others.chain(own_ready.then_some(own)).collect();
         standbys.retain(|standby| {
@@ -96,7 +97,8 @@
         let replaced =
             sighting.is_some_and(|sighting| sighting.disk != voter.id && sighting.counts);
         // Another disk at its address: the old one does not come back, unless its successor is about to vote.
-        let joins = |peer: &ControlPeer| peer.hello.control == voter.address && !peer.leaving;
+        let joins =
+            |peer: &ControlPeer| peer.hello.control_address == voter.address && !peer.leaving;
         let given_up = replaced && !self.members.contacts(now).any(joins);
         VoterState {
             voter: voter.clone(),
--- a/crates/linenthread-control/tests/control.rs
+++ b/crates/linenthread-control/tests/control.rs
@@ -5,13 +5,13 @@
     Answer, Beat, Budget, ChangeLog, Control, Effect, Heard, Local, ReplicaRegistry,
 };
 use linenthread_messages::{
-    Heard as Receipt, Heartbeat, Hello, PeerMessage, Replica, VERSION, Value, Voter,
+    Heartbeat, Hello, PeerMessage, Replica, UpdateAck, VERSION, Value, Voter,
 };
 use yare::parameterized;
 
 fn said(ident: &str, call_count: u64, address: &str) -> Replica {
     Replica {
-        ident: ident.into(),
+        id: ident.into(),
         address: address.into(),
         call_count,
         ..Replica::default()
@@ -23,7 +23,7 @@
     drains = { Replica { draining: true, ..said("a", 3, "x") }, Heard::Changed, false },
     late = { Replica { draining: true, ..said("a", 1, "x") }, Heard::Late, false },
     told_again = { said("a", 2, "x"), Heard::Late, false },
-    ended = { Replica { ended: true, ..said("a", 1, "x") }, Heard::Changed, true },
+    ended = { Replica { removed_for_good: true, ..said("a", 1, "x") }, Heard::Changed, true },
     another_at_its_address = { said("b", 1, "x"), Heard::Changed, true },
     another_heard_of_earlier = { Replica { age_ms: 900, ..said("b", 1, "x") }, Heard::Changed, false },
     another_elsewhere = { said("b", 1, "y"), Heard::Changed, false },
@@ -32,7 +32,10 @@
     let mut registry = ReplicaRegistry::default();
     registry.observe(1_000, &said("a", 2, "x"), &mut Vec::new());
     assert_eq!(registry.observe(1_500, &news, &mut Vec::new()), heard);
-    assert_eq!(registry.get("a").unwrap().told.ended, a_has_ended);
+    assert_eq!(
+        registry.get("a").unwrap().told.removed_for_good,
+        a_has_ended
+    );
 }
 
 /// The digest is kept until something of it changes: it is the same for who asked for it before each change.
@@ -40,7 +43,7 @@
     newer = { said("a", 3, "x") },
     drains = { Replica { draining: true, ..said("a", 3, "x") } },
     moved = { said("a", 3, "z") },
-    ended = { Replica { ended: true, ..said("a", 1, "x") } },
+    ended = { Replica { removed_for_good: true, ..said("a", 1, "x") } },
     another_at_its_address = { said("b", 1, "x") },
     another_elsewhere = { said("b", 1, "y") },
 )]
@@ -56,11 +59,11 @@
     assert_eq!(asked.digest(), silent.digest());
     assert_eq!(
         asked.digest() == before,
-        news.ident == "a" && news.address == "x" && !news.draining && !news.ended
+        news.id == "a" && news.address == "x" && !news.draining && !news.removed_for_good
     );
     assert!(
-        asked.depart(2_000, &news.ident) != news.ended
-            && silent.depart(2_000, &news.ident) != news.ended
+        asked.depart(2_000, &news.id) != news.removed_for_good
+            && silent.depart(2_000, &news.id) != news.removed_for_good
     );
     assert_eq!(asked.digest(), silent.digest());
 }
@@ -74,7 +77,7 @@
         registry.observe(20, &said("a", 3, "x"), &mut Vec::new()),
         Heard::Late
     );
-    assert!(registry.get("a").unwrap().told.gone);
+    assert!(registry.get("a").unwrap().told.removed);
     registry.expire(70_000, 4_000);
     assert!(registry.is_empty());
 }
@@ -96,7 +99,7 @@
             registry.observe(6_100, &said("r0", 2, "x0"), &mut Vec::new()),
             Heard::Changed
         );
-        assert!(!registry.get("r0").unwrap().told.gone);
+        assert!(!registry.get("r0").unwrap().told.removed);
     }
 }
 
@@ -192,9 +195,9 @@
     let hello = Hello {
         version,
         name,
-        life,
-        control: address(n),
-        disk,
+        incarnation: life,
+        control_address: address(n),
+        node_id: disk,
         ..Hello::default()
     };
     control.opened(link, &mut out);
@@ -206,10 +209,10 @@
 /// A heartbeat of a peer that has heard what was said at `now`.
 fn round_trip(now: u64) -> PeerMessage {
     let beat = Heartbeat {
-        whole: true,
-        sent: now,
-        echo: Some(now),
-        durable: Some(0),
+        has_quorum: true,
+        sent_at: now,
+        echoed_sent_at: Some(now),
+        durable_value_number: Some(0),
         ..Heartbeat::default()
     };
     PeerMessage::Heartbeat(beat)
@@ -251,10 +254,15 @@
     meet(&mut control, 0, 1, 2, VERSION);
     control.beat(0, 1, "i", beat("draining", 1), &mut out);
     assert!(answers(&out).is_empty());
-    let asks = |o: &Effect| matches!(o, Effect::Send { word: PeerMessage::ControlUpdate(g), .. } if g.receipt == 1);
+    let asks = |o: &Effect| matches!(o, Effect::Send { word: PeerMessage::ControlUpdate(g), .. } if g.update_id == 1);
     assert!(out.iter().any(asks));
     out.clear();
-    control.on_message(10, 1, PeerMessage::Heard(Receipt { receipt: 1 }), &mut out);
+    control.on_message(
+        10,
+        1,
+        PeerMessage::UpdateAck(UpdateAck { update_id: 1 }),
+        &mut out,
+    );
     assert_eq!(answers(&out), [&Answer::Heard(None)]);
 }
 
@@ -264,7 +272,12 @@
     meet(&mut control, 0, 1, 2, VERSION);
     control.beat(0, 1, "i", beat("draining", 1), &mut out);
     control.closed(5, 1, &mut out);
-    control.on_message(10, 1, PeerMessage::Heard(Receipt { receipt: 1 }), &mut out);
+    control.on_message(
+        10,
+        1,
+        PeerMessage::UpdateAck(UpdateAck { update_id: 1 }),
+        &mut out,
+    );
     assert!(answers(&out).is_empty());
     control.tick(1_000, &mut out);
     assert!(matches!(answers(&out)[..], [Answer::NotNow(_)]));
@@ -277,11 +290,26 @@
         meet(&mut control, 0, n as u64, n, VERSION);
     }
     control.beat(0, 1, "i", beat("draining", 1), &mut out);
-    control.on_message(10, 2, PeerMessage::Heard(Receipt { receipt: 1 }), &mut out);
+    control.on_message(
+        10,
+        2,
+        PeerMessage::UpdateAck(UpdateAck { update_id: 1 }),
+        &mut out,
+    );
     control.closed(20, 2, &mut out);
-    control.on_message(30, 3, PeerMessage::Heard(Receipt { receipt: 1 }), &mut out);
+    control.on_message(
+        30,
+        3,
+        PeerMessage::UpdateAck(UpdateAck { update_id: 1 }),
+        &mut out,
+    );
     assert!(answers(&out).is_empty());
-    control.on_message(40, 4, PeerMessage::Heard(Receipt { receipt: 1 }), &mut out);
+    control.on_message(
+        40,
+        4,
+        PeerMessage::UpdateAck(UpdateAck { update_id: 1 }),
+        &mut out,
+    );
     assert_eq!(answers(&out), [&Answer::Heard(None)]);
 }
 
@@ -293,8 +321,8 @@
     let mut out = Vec::new();
     let own = Hello {
         version: VERSION,
-        life: 1,
-        control: address(1),
+        incarnation: 1,
+        control_address: address(1),
         ..Hello::default()
     };
     control.on_message(0, 2, PeerMessage::Hello(own), &mut out);
--- a/crates/linenthread-control/tests/nodes/contact.rs
+++ b/crates/linenthread-control/tests/nodes/contact.rs
@@ -4,7 +4,7 @@
 use linenthread_consensus::{DurableState, genesis_id};
 use linenthread_control::{Answer, Beat, CONTACT, Control, Effect, Local};
 use linenthread_messages::{
-    Heard as Receipt, Heartbeat, Hello, PeerMessage, ReadReply, VERSION, Value, Voter,
+    Heartbeat, Hello, PeerMessage, ReadReply, UpdateAck, VERSION, Value, Voter,
 };
 use yare::parameterized;
 
@@ -59,9 +59,9 @@
     PeerMessage::Hello(Hello {
         version: VERSION,
         name,
-        life: 100,
-        control,
-        disk,
+        incarnation: 100,
+        control_address: control,
+        node_id: disk,
         ..Hello::default()
     })
 }
@@ -71,16 +71,16 @@
     PeerMessage::Hello(Hello {
         version: VERSION,
         name,
-        life: 900,
+        incarnation: 900,
         ..Hello::default()
     })
 }
 
 fn heartbeat(sent: u64, echo: Option<u64>) -> PeerMessage {
     PeerMessage::Heartbeat(Heartbeat {
-        whole: true,
-        sent,
-        echo,
+        has_quorum: true,
+        sent_at: sent,
+        echoed_sent_at: echo,
         ..Heartbeat::default()
     })
 }
@@ -117,7 +117,7 @@
     let update = |e: &Effect| match e {
         Effect::Send {
             link: FRONT,
-            word: PeerMessage::FrontUpdate(update),
+            word: PeerMessage::IngressUpdate(update),
         } => Some(update.value.is_some()),
         _ => None,
     };
@@ -181,7 +181,7 @@
         &mut control,
         20_000,
         PEER,
-        PeerMessage::Heard(Receipt { receipt: 1 }),
+        PeerMessage::UpdateAck(UpdateAck { update_id: 1 }),
     ));
     control.departure(20_000, 3, "i", &mut effects);
     assert!(matches!(
@@ -205,11 +205,11 @@
         Effect::Send {
             word: PeerMessage::ReadRequest(request),
             ..
-        } => Some(request.question),
+        } => Some(request.read_id),
         _ => None,
     });
     let reply = ReadReply {
-        question: question.unwrap(),
+        read_id: question.unwrap(),
         decided: 0,
         pending: false,
     };
@@ -226,11 +226,11 @@
         Effect::Send {
             word: PeerMessage::ReadRequest(request),
             ..
-        } => Some(request.question),
+        } => Some(request.read_id),
         _ => None,
     });
     let reply = ReadReply {
-        question: question.unwrap(),
+        read_id: question.unwrap(),
         decided: 0,
         pending: false,
     };
@@ -251,7 +251,7 @@
     let mut effects = says(&mut control, CONTACT + 500, FRONT, front_hello());
     control.tick(CONTACT + 1_000, &mut effects);
     assert!(!told(&effects).0);
-    let outside = |e: &Effect| matches!(e, Effect::Send { link: FRONT, word: PeerMessage::Heartbeat(h) } if !h.whole);
+    let outside = |e: &Effect| matches!(e, Effect::Send { link: FRONT, word: PeerMessage::Heartbeat(h) } if !h.has_quorum);
     assert!(
         effects.iter().any(outside),
         "it says that it is out of contact"
--- a/crates/linenthread-dataplane-sim/src/world.rs
+++ b/crates/linenthread-dataplane-sim/src/world.rs
@@ -230,7 +230,7 @@
 
 fn listed(replica: &Replica) -> linenthread_messages::Replica {
     linenthread_messages::Replica {
-        ident: replica.ident.clone(),
+        id: replica.ident.clone(),
         backend: replica.service.clone(),
         address: replica.address.to_string(),
         zone: "z".into(),
--- a/crates/linenthread-dataplane/src/data_plane.rs
+++ b/crates/linenthread-dataplane/src/data_plane.rs
@@ -151,7 +151,7 @@
             .filter_map(|replica| self.hear_one(replica))
             .collect();
         if whole {
-            let named: HashSet<&str> = replicas.iter().map(|r| r.ident.as_str()).collect();
+            let named: HashSet<&str> = replicas.iter().map(|r| r.id.as_str()).collect();
             changed.extend(self.lose_all_but(&named));
         }
         if changed.is_empty() {
@@ -177,8 +177,8 @@
 
     /// What is told of one replica; its pool, if that is news.
     fn hear_one(&self, replica: &linenthread_messages::Replica) -> Option<Rc<ReplicaPool<C>>> {
-        let gone = replica.gone || replica.ended;
-        let known = self.pools.borrow().get(&replica.ident).cloned();
+        let gone = replica.removed || replica.removed_for_good;
+        let known = self.pools.borrow().get(&replica.id).cloned();
         let Some(pool) = known else {
             return if gone { None } else { self.add(replica) };
         };
@@ -205,7 +205,7 @@
         services.entry(backend).or_default().push(pool.clone());
         self.pools
             .borrow_mut()
-            .insert(replica.ident.clone(), pool.clone());
+            .insert(replica.id.clone(), pool.clone());
         Some(pool)
     }
 
--- a/crates/linenthread-dataplane/src/pool.rs
+++ b/crates/linenthread-dataplane/src/pool.rs
@@ -180,12 +180,12 @@
         connector: C,
     ) -> ReplicaPool<C> {
         ReplicaPool {
-            ident: replica.ident.clone(),
+            ident: replica.id.clone(),
             backend,
             address,
             zone: replica.zone.clone(),
             draining: Cell::new(replica.draining),
-            gone: Cell::new(replica.gone),
+            gone: Cell::new(replica.removed),
             most: Cell::new(usize::MAX),
             gone_at: Cell::new(0),
             connector,
--- a/crates/linenthread-dataplane/tests/pool.rs
+++ b/crates/linenthread-dataplane/tests/pool.rs
@@ -75,7 +75,7 @@
     let (network, address) = (Network::default(), SocketAddr::from(([10, 0, 0, 1], 80)));
     network.listen(address, script.clone());
     let replica = linenthread_messages::Replica {
-        ident: "i".into(),
+        id: "i".into(),
         ..Default::default()
     };
     Rig {
--- a/crates/linenthread-dataplane/tests/serve.rs
+++ b/crates/linenthread-dataplane/tests/serve.rs
@@ -64,7 +64,7 @@
             let address = SocketAddr::from(([10, 0, 0, n], 80));
             network.listen(address, Rc::new(replicas.clone()));
             linenthread_messages::Replica {
-                ident: format!("i{n}"),
+                id: format!("i{n}"),
                 backend: (*service).into(),
                 address: address.to_string(),
                 ..Default::default()
--- a/crates/linenthread-drill/src/system/catch_up.rs
+++ b/crates/linenthread-drill/src/system/catch_up.rs
@@ -34,7 +34,7 @@
     pub(super) fn count(&mut self, word: &PeerMessage) {
         self.messages += 1;
         self.bytes += Envelope {
-            word: Some(word.clone()),
+            message: Some(word.clone()),
         }
         .encoded_len();
     }
--- a/crates/linenthread-drill/src/system/fronts.rs
+++ b/crates/linenthread-drill/src/system/fronts.rs
@@ -85,7 +85,7 @@
             front.asked += 1;
             front.said.insert(front.asked, now);
             let tick = Heartbeat {
-                asked: front.asked,
+                quota_request_or_value_number: front.asked,
                 revision: front.revision,
                 ..Heartbeat::default()
             };
@@ -104,10 +104,10 @@
                 version: VERSION,
                 name: format!("front-{f}"),
                 zone: "z0".into(),
-                life,
-                log: front.log,
-                place: front.place,
-                value: front.revision,
+                incarnation: life,
+                change_log_id: front.log,
+                change_log_offset: front.place,
+                value_number: front.revision,
                 ..Hello::default()
             };
             let at = now + self.delay();
@@ -131,10 +131,14 @@
         front.heard = now;
         match word {
             PeerMessage::Heartbeat(tick) => {
-                front.outside = if tick.whole { 0 } else { front.outside + 1 }
+                front.outside = if tick.has_quorum {
+                    0
+                } else {
+                    front.outside + 1
+                }
             }
-            PeerMessage::FrontUpdate(news) => {
-                (front.log, front.place) = (news.log, news.place);
+            PeerMessage::IngressUpdate(news) => {
+                (front.log, front.place) = (news.change_log_id, news.change_log_offset);
                 if let Some(value) = news.value {
                     if value.revision < front.revision {
                         breach = Some(format!(
@@ -146,12 +150,13 @@
                 }
                 front.confirmed |= news.confirmed;
             }
-            PeerMessage::Allotments(grants) => {
+            PeerMessage::QuotaGrants(grants) => {
                 for grant in grants.grants {
-                    let said = front.said.get(&grant.asked).copied();
-                    if let (Some(said), true) =
-                        (said, grant.life == front.life && grant.epoch >= front.epoch)
-                    {
+                    let said = front.said.get(&grant.quota_request).copied();
+                    if let (Some(said), true) = (
+                        said,
+                        grant.incarnation == front.life && grant.epoch >= front.epoch,
+                    ) {
                         let until = said + u64::from(grant.lease_ms);
                         (front.share, front.until, front.epoch) = (grant.share, until, grant.epoch);
                         if until > now {
--- a/crates/linenthread-drill/src/system/judge.rs
+++ b/crates/linenthread-drill/src/system/judge.rs
@@ -280,7 +280,7 @@
     fn knows_drain(&self, voter: &Voter, ident: &str) -> bool {
         let knows = |c: &Control| {
             let told = c.registry().get(ident).map(|known| &known.told);
-            told.is_some_and(|t| t.draining || t.ended)
+            told.is_some_and(|t| t.draining || t.removed_for_good)
         };
         let mut controls = self.nodes.iter().filter_map(|o| o.control.as_ref());
         controls.any(|c| c.register().id() == voter.id && knows(c))
--- a/crates/linenthread-hollow/src/api.rs
+++ b/crates/linenthread-hollow/src/api.rs
@@ -7,7 +7,7 @@
 use linenthread_messages::{Heartbeat, Hello, VERSION, Value, Voter, decode};
 
 pub(crate) use linenthread_control::{Answer, Effect, Link, Token};
-pub(crate) use linenthread_messages::{FrontUpdate, PeerMessage, Record, Replica, encode};
+pub(crate) use linenthread_messages::{IngressUpdate, PeerMessage, Record, Replica, encode};
 
 use crate::cost::Work;
 
@@ -181,14 +181,14 @@
         PeerMessage::Hello(_) => Work::Sessions,
         PeerMessage::Heartbeat(_) if with_front => Work::FrontHeartbeats,
         PeerMessage::Heartbeat(_) => Work::PeerHeartbeats,
-        PeerMessage::FrontUpdate(update) if update.whole => Work::FrontJoins,
-        PeerMessage::FrontUpdate(update) if update.value.is_some() => Work::Configuration,
-        PeerMessage::FrontUpdate(_) => Work::FrontUpdates,
+        PeerMessage::IngressUpdate(update) if update.complete => Work::FrontJoins,
+        PeerMessage::IngressUpdate(update) if update.value.is_some() => Work::Configuration,
+        PeerMessage::IngressUpdate(_) => Work::FrontUpdates,
         PeerMessage::ControlUpdate(update) if update.has_sessions => Work::PeerSessions,
         PeerMessage::ControlUpdate(_) => Work::PeerReplicas,
-        PeerMessage::Heard(_) => Work::PeerReplicas,
+        PeerMessage::UpdateAck(_) => Work::PeerReplicas,
         PeerMessage::LeaseRequest(_) | PeerMessage::LeaseVote(_) => Work::Lease,
-        PeerMessage::Allotments(_) => Work::RetryBudget,
+        PeerMessage::QuotaGrants(_) => Work::RetryBudget,
         _ => Work::Configuration,
     }
 }
@@ -215,17 +215,17 @@
         share: None,
     };
     match word {
-        PeerMessage::FrontUpdate(update) => Notice {
+        PeerMessage::IngressUpdate(update) => Notice {
             revision: update.value.as_ref().map(|value| value.revision),
             confirmed: update.confirmed,
-            place: Some((update.log, update.place)),
+            place: Some((update.change_log_id, update.change_log_offset)),
             ..none
         },
-        PeerMessage::Allotments(allotments) => {
+        PeerMessage::QuotaGrants(allotments) => {
             let share = allotments
                 .grants
                 .first()
-                .map(|grant| (grant.life, grant.share));
+                .map(|grant| (grant.incarnation, grant.share));
             Notice { share, ..none }
         }
         _ => none,
@@ -245,17 +245,17 @@
         version: VERSION,
         name: name.to_owned(),
         zone: zone.to_owned(),
-        life,
-        log,
-        place,
-        value: revision,
+        incarnation: life,
+        change_log_id: log,
+        change_log_offset: place,
+        value_number: revision,
         ..Hello::default()
     })
 }
 
 pub(crate) fn front_heartbeat(asked: u64, revision: u64) -> PeerMessage {
     PeerMessage::Heartbeat(Heartbeat {
-        asked,
+        quota_request_or_value_number: asked,
         revision,
         ..Heartbeat::default()
     })
--- a/crates/linenthread-hollow/src/front.rs
+++ b/crates/linenthread-hollow/src/front.rs
@@ -35,15 +35,15 @@
         self.replicas.len()
     }
 
-    fn apply(&mut self, update: api::FrontUpdate) {
-        if update.whole {
+    fn apply(&mut self, update: api::IngressUpdate) {
+        if update.complete {
             self.replicas.clear();
         }
         for replica in update.replicas {
-            if replica.ended {
-                self.replicas.remove(&replica.ident);
+            if replica.removed_for_good {
+                self.replicas.remove(&replica.id);
             } else {
-                self.replicas.insert(replica.ident.clone(), replica);
+                self.replicas.insert(replica.id.clone(), replica);
             }
         }
         if let Some(value) = update.value {
@@ -79,7 +79,7 @@
         }
         let Some(table) = &mut self.table else { return };
         let meter = Meter::begin();
-        if let Some(PeerMessage::FrontUpdate(update)) = api::read_frame(frame) {
+        if let Some(PeerMessage::IngressUpdate(update)) = api::read_frame(frame) {
             table.apply(update);
         }
         self.cost.charge(notice.work, &meter.spent());
--- /dev/null
+++ b/crates/linenthread-messages/src/lease.rs
@@ -0,0 +1,48 @@
+//! Messages of the leader lease.
+
+use prost::Message;
+
+/// Asks a voter to grant the leader lease for `lease_ms` from when it receives this.
+#[derive(Clone, PartialEq, Eq, Hash, Message)]
+pub struct LeaseRequest {
+    /// The epoch, which serves as fencing token.
+    #[prost(uint64, tag = "1")]
+    pub epoch: u64,
+    /// Counts the sender's requests; the vote repeats it.
+    #[prost(uint64, tag = "2")]
+    pub request_id: u64,
+    /// The lease's duration in milliseconds.
+    #[prost(uint32, tag = "3")]
+    pub lease_ms: u32,
+    /// The sender's incarnation: no two share an epoch.
+    #[prost(fixed64, tag = "4")]
+    pub incarnation: u64,
+    /// The newest value that the sender has: it names the voters whose votes count.
+    #[prost(uint64, tag = "5")]
+    pub value_number: u64,
+}
+
+/// The reply to a [`LeaseRequest`].
+#[derive(Clone, PartialEq, Eq, Hash, Message)]
+pub struct LeaseVote {
+    /// The greatest epoch that the sender has voted for.
+    #[prost(uint64, tag = "1")]
+    pub epoch: u64,
+    /// The request's identity.
+    #[prost(uint64, tag = "2")]
+    pub request_id: u64,
+    /// Whether the sender grants the lease.
+    #[prost(bool, tag = "3")]
+    pub granted: bool,
+}
+
+/// The sender gives up the lease under this epoch and every earlier one of its incarnation.
+#[derive(Clone, PartialEq, Eq, Hash, Message)]
+pub struct LeaseRelease {
+    /// The released epoch.
+    #[prost(uint64, tag = "1")]
+    pub epoch: u64,
+    /// The sender's incarnation.
+    #[prost(fixed64, tag = "2")]
+    pub incarnation: u64,
+}
--- a/crates/linenthread-messages/tests/frames.rs
+++ b/crates/linenthread-messages/tests/frames.rs
@@ -2,7 +2,7 @@
 
 use bytes::BytesMut;
 use linenthread_messages::{
-    Ballot, FrameFault, Heartbeat, LONGEST, PeerMessage, Prepare, decode, encode,
+    Ballot, FrameError, Heartbeat, MAX_FRAME_LENGTH, PeerMessage, Prepare, decode, encode,
 };
 
 #[test]
@@ -16,8 +16,8 @@
             },
         }),
         PeerMessage::Heartbeat(Heartbeat {
-            asked: 3,
-            whole: true,
+            quota_request_or_value_number: 3,
+            has_quorum: true,
             ..Heartbeat::default()
         }),
     ];
@@ -38,15 +38,15 @@
 
 #[test]
 fn what_is_no_frame_ends_the_connection() {
-    let mut long = BytesMut::from(&(LONGEST as u32 + 1).to_be_bytes()[..]);
-    assert!(matches!(decode(&mut long), Err(FrameFault::TooLong { .. })));
+    let mut long = BytesMut::from(&(MAX_FRAME_LENGTH as u32 + 1).to_be_bytes()[..]);
+    assert!(matches!(decode(&mut long), Err(FrameError::TooLong { .. })));
     assert!(matches!(
         decode(&mut BytesMut::from(&[0, 0, 0, 0][..])),
-        Err(FrameFault::Empty)
+        Err(FrameError::Empty)
     ));
     assert!(matches!(
         decode(&mut BytesMut::from(&[0, 0, 0, 2, 0xff, 0xff][..])),
-        Err(FrameFault::Malformed { .. })
+        Err(FrameError::Malformed { .. })
     ));
     // A request of a client that has lost its way is too long for a frame.
     assert!(decode(&mut BytesMut::from(&b"GET / HTTP/1.1\r\n"[..])).is_err());
--- a/crates/linenthread-node/src/follow.rs
+++ b/crates/linenthread-node/src/follow.rs
@@ -132,10 +132,10 @@
         version: VERSION,
         name: plane.settings.node_name.clone(),
         zone: plane.settings.zone.clone(),
-        life: following.life,
-        log: following.log.get(),
-        place: following.place.get(),
-        value: plane.revision(),
+        incarnation: following.life,
+        change_log_id: following.log.get(),
+        change_log_offset: following.place.get(),
+        value_number: plane.revision(),
         ..Hello::default()
     };
     let _ = to.try_send(PeerMessage::Hello(hello));
@@ -152,7 +152,7 @@
         loop {
             let asked = following.ask();
             let tick = Heartbeat {
-                asked,
+                quota_request_or_value_number: asked,
                 revision: plane.revision(),
                 ..Heartbeat::default()
             };
@@ -192,23 +192,30 @@
             met(hello.zone);
             return hello.version == VERSION;
         }
-        PeerMessage::Heartbeat(tick) => outside.set(if tick.whole { 0 } else { outside.get() + 1 }),
-        PeerMessage::FrontUpdate(news) => {
-            following.log.set(news.log);
-            following.place.set(news.place);
-            if !news.hubs.is_empty() {
-                let mut hubs: Vec<SocketAddr> =
-                    news.hubs.iter().filter_map(|h| h.parse().ok()).collect();
+        PeerMessage::Heartbeat(tick) => outside.set(if tick.has_quorum {
+            0
+        } else {
+            outside.get() + 1
+        }),
+        PeerMessage::IngressUpdate(news) => {
+            following.log.set(news.change_log_id);
+            following.place.set(news.change_log_offset);
+            if !news.control_addresses.is_empty() {
+                let mut hubs: Vec<SocketAddr> = news
+                    .control_addresses
+                    .iter()
+                    .filter_map(|h| h.parse().ok())
+                    .collect();
                 hubs.extend(
                     plane
                         .settings
                         .bootstrap_peers
                         .iter()
-                        .filter(|b| !news.hubs.contains(&b.to_string())),
+                        .filter(|b| !news.control_addresses.contains(&b.to_string())),
                 );
                 *following.hubs.borrow_mut() = hubs;
             }
-            plane.hear(&news.replicas, news.whole && news.settled);
+            plane.hear(&news.replicas, news.complete && news.registry_settled);
             if let Some(value) = news.value {
                 plane.adopt(&value.document);
             }
@@ -216,9 +223,9 @@
                 log::info!(revision = plane.revision(); "event=confirmed");
             }
         }
-        PeerMessage::Allotments(grants) => {
-            let own = |g: &linenthread_messages::Allotment| {
-                g.life == following.life && g.epoch >= plane.share().epoch
+        PeerMessage::QuotaGrants(grants) => {
+            let own = |g: &linenthread_messages::QuotaGrant| {
+                g.incarnation == following.life && g.epoch >= plane.share().epoch
             };
             for grant in grants.grants.iter().filter(|g| own(g)) {
                 // Counted from when it was asked for: that was before it was given.
@@ -226,14 +233,14 @@
                     .said
                     .borrow()
                     .iter()
-                    .find(|(n, _)| *n == grant.asked)
+                    .find(|(n, _)| *n == grant.quota_request)
                     .map(|(_, at)| *at);
                 if let Some(said) = said {
                     plane.allot(Share {
                         free: grant.share,
                         until: said + u64::from(grant.lease_ms),
-                        own: grant.own as usize,
-                        fronts: grant.fronts as usize,
+                        own: grant.ingress_index as usize,
+                        fronts: grant.ingress_count as usize,
                         epoch: grant.epoch,
                     });
                 }
