--- a/crates/linenthread-consensus/src/register.rs
+++ b/crates/linenthread-consensus/src/register.rs
@@ -197,7 +197,7 @@
             PeerMessage::ReadRequest(request) => self.on_read_request(from, &request, effects),
             PeerMessage::ReadReply(reply) => self.on_read_reply(now, from, &reply, effects),
             PeerMessage::OrderLogRequest(request) => {
-                self.on_ledger_request(from, &request, effects)
+                self.on_ledger_request(from, &request, effects);
             }
             PeerMessage::OrderLogEntries(entries) => {
                 self.on_ledger_entries(now, from, entries, effects);
