--- a/crates/linenthread-checker/src/invariants.rs
+++ b/crates/linenthread-checker/src/invariants.rs
@@ -86,6 +86,6 @@
             .map_or(0, |value| value.revision);
         let due = taken.iter().filter(|order| order.revision <= revision);
         due.into_iter()
-            .any(|order| !node.inner.register.ledger().contains(order))
+            .any(|order| !node.inner.register.order_log().contains(order))
     })
 }
--- a/crates/linenthread-checker/src/step.rs
+++ b/crates/linenthread-checker/src/step.rs
@@ -225,8 +225,8 @@
         let from = self.world.nodes[place].inner.id;
         for effect in effects {
             match effect {
-                Effect::Send { to, word } => self.post(from, InFlight::new(from, to, word)),
-                Effect::Keep { record, then } => self.keep(place, record, then),
+                Effect::Send { to, message: word } => self.post(from, InFlight::new(from, to, word)),
+                Effect::Persist { record, then } => self.keep(place, record, then),
                 Effect::Decided(value) => self.decided(from, &value),
                 Effect::Reply { job, outcome } => self.reply(job, &outcome),
             }
@@ -293,7 +293,7 @@
     fn reply(&mut self, job: u64, outcome: &Outcome) {
         let call = self.instance.calls[job as usize].1;
         match (outcome, call.order()) {
-            (Outcome::Taken(_), Some((order, _))) => {
+            (Outcome::Committed(_), Some((order, _))) => {
                 self.change_history(|history| acknowledge(history, order));
             }
             (Outcome::Conflict(_), Some((order, _)))
--- a/crates/linenthread-consensus/src/acceptor.rs
+++ b/crates/linenthread-consensus/src/acceptor.rs
@@ -31,7 +31,7 @@
     }
 
     /// It accepted something that, as far as it knows, is not decided.
-    pub(crate) fn in_doubt(&self) -> bool {
+    pub(crate) fn has_undecided(&self) -> bool {
         self.accepted.is_some()
     }
 
--- a/crates/linenthread-consensus/src/decided_state.rs
+++ b/crates/linenthread-consensus/src/decided_state.rs
@@ -2,7 +2,7 @@
 
 use linenthread_messages::{OrderIdentity, Value, Voter};
 
-use crate::ledger::{Ledger, LedgerVerdict};
+use crate::order_log::{OrderLog, OrderLogVerdict};
 
 /// So many of the last orders are in each value; a node that misses no more values than these hold finds the others
 /// in its own ledger.
@@ -14,7 +14,7 @@
     /// It builds on the newest revision: it may be proposed.
     Proposable,
     /// It was taken.
-    Taken,
+    Committed,
     /// It was not taken and never will be.
     Conflict,
     /// This node cannot tell: the part of the ledger that would tell is missing or forgotten, or the order builds
@@ -26,15 +26,15 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct DecidedState {
     value: Option<Value>,
-    ledger: Ledger,
+    order_log: OrderLog,
 }
 
 impl DecidedState {
     /// From what a disk holds.
-    pub(crate) fn new(value: Option<Value>, ledger: Ledger) -> DecidedState {
+    pub(crate) fn new(value: Option<Value>, order_log: OrderLog) -> DecidedState {
         let mut state = DecidedState {
             value: None,
-            ledger,
+            order_log,
         };
         if let Some(value) = value {
             state.adopt(value);
@@ -48,12 +48,12 @@
     }
 
     /// The orders that were taken, as far as this node knows them.
-    pub fn ledger(&self) -> &Ledger {
-        &self.ledger
+    pub fn order_log(&self) -> &OrderLog {
+        &self.order_log
     }
 
-    pub(crate) fn ledger_mut(&mut self) -> &mut Ledger {
-        &mut self.ledger
+    pub(crate) fn ledger_mut(&mut self) -> &mut OrderLog {
+        &mut self.order_log
     }
 
     /// Number of the newest value; 0 if none is known.
@@ -77,7 +77,7 @@
     }
 
     /// Whether these are more than half of the counted disks.
-    pub(crate) fn is_most(&self, ids: impl IntoIterator<Item = u64>) -> bool {
+    pub(crate) fn is_majority(&self, ids: impl IntoIterator<Item = u64>) -> bool {
         let known: BTreeSet<u64> = ids.into_iter().filter(|id| self.counts(*id)).collect();
         known.len() * 2 > self.voters().len()
     }
@@ -87,8 +87,8 @@
         value
             .recent_orders
             .iter()
-            .for_each(|order| self.ledger.insert(order));
-        self.ledger.link(value.revision);
+            .for_each(|order| self.order_log.insert(order));
+        self.order_log.link(value.revision);
         self.value = Some(value);
     }
 
@@ -96,10 +96,10 @@
     pub fn judge(&self, order: &OrderIdentity) -> Verdict {
         let newest = self.value.as_ref().map_or(0, |value| value.revision);
         if order.revision <= newest {
-            return match self.ledger.judge(order) {
-                LedgerVerdict::Taken => Verdict::Taken,
-                LedgerVerdict::NotTaken => Verdict::Conflict,
-                LedgerVerdict::Unknown => Verdict::Unknown,
+            return match self.order_log.judge(order) {
+                OrderLogVerdict::Committed => Verdict::Committed,
+                OrderLogVerdict::NotCommitted => Verdict::Conflict,
+                OrderLogVerdict::Unknown => Verdict::Unknown,
             };
         }
         if order.base == newest {
--- a/crates/linenthread-consensus/src/durability.rs
+++ b/crates/linenthread-consensus/src/durability.rs
@@ -13,13 +13,13 @@
     id: u64,
     /// Number of the newest decided value that is synced.
     number: u64,
-    /// Records of the ledger in this life: handed over, and synced without one missing in between.
+    /// Records of the ledger in this incarnation: handed over, and synced without one missing in between.
     ledger_handed_over: u64,
     ledger_synced: u64,
     /// The last record that told of new orders: those behind it say the same once more, and each of them is whole.
     ledger_needed: u64,
     /// The last record that holds the whole ledger: all before it may be missing.
-    ledger_whole: u64,
+    order_log_complete: u64,
     /// When a value, and when a record of the ledger, was last handed over.
     value_at: u64,
     ledger_at: u64,
@@ -34,7 +34,7 @@
             ledger_handed_over: 0,
             ledger_synced: 0,
             ledger_needed: 0,
-            ledger_whole: 0,
+            order_log_complete: 0,
             value_at: 0,
             ledger_at: 0,
             wait: REWRITE,
@@ -47,17 +47,17 @@
     }
 
     /// Whether all records of the ledger are synced.
-    pub(crate) fn holds_ledger(&self) -> bool {
+    pub(crate) fn holds_order_log(&self) -> bool {
         self.ledger_synced >= self.ledger_needed
     }
 
     /// Whether the value of this number and all records of the ledger are synced.
     pub(crate) fn holds(&self, number: u64) -> bool {
-        self.number >= number && self.holds_ledger()
+        self.number >= number && self.holds_order_log()
     }
 
     /// Hands a decided value over to the disk.
-    pub(crate) fn keep_value(&mut self, now: u64, value: &Value, effects: &mut Vec<Effect>) {
+    pub(crate) fn persist_value(&mut self, now: u64, value: &Value, effects: &mut Vec<Effect>) {
         self.value_at = now;
         let record = Record {
             decided: Some(value.clone()),
@@ -74,17 +74,17 @@
     }
 
     /// Hands orders that were fetched over to the disk.
-    pub(crate) fn keep_orders(
+    pub(crate) fn persist_orders(
         &mut self,
         now: u64,
         orders: Vec<OrderIdentity>,
         effects: &mut Vec<Effect>,
     ) {
         self.ledger_needed = self.ledger_handed_over + 1;
-        self.keep_ledger(now, orders, effects);
+        self.persist_order_log(now, orders, effects);
     }
 
-    fn keep_ledger(&mut self, now: u64, orders: Vec<OrderIdentity>, effects: &mut Vec<Effect>) {
+    fn persist_order_log(&mut self, now: u64, orders: Vec<OrderIdentity>, effects: &mut Vec<Effect>) {
         self.ledger_at = now;
         self.ledger_handed_over += 1;
         let record = Record {
@@ -103,7 +103,7 @@
 
     fn keep(&self, record: Record, synced: Synced, effects: &mut Vec<Effect>) {
         let then = vec![(self.id, PeerMessage::Synced(synced))];
-        effects.push(Effect::Keep { record, then });
+        effects.push(Effect::Persist { record, then });
     }
 
     /// A record is on disk.
@@ -111,7 +111,7 @@
         self.number = self.number.max(synced.number);
         let next = self.ledger_synced + 1;
         let is_whole = synced.order_log_record > self.ledger_needed
-            || synced.order_log_record == self.ledger_whole;
+            || synced.order_log_record == self.order_log_complete;
         if synced.order_log_record == next || is_whole {
             self.ledger_synced = self.ledger_synced.max(synced.order_log_record);
         }
@@ -125,7 +125,7 @@
         }
         // New values come again and again, and say nothing of a record of the ledger that was dropped.
         let value_overdue = self.number < number && now >= self.value_at + self.wait;
-        let ledger_overdue = !self.holds_ledger() && now >= self.ledger_at + self.wait;
+        let ledger_overdue = !self.holds_order_log() && now >= self.ledger_at + self.wait;
         let overdue = value_overdue || ledger_overdue;
         if overdue {
             self.wait = (self.wait * 2).min(REWRITE_MOST);
@@ -134,13 +134,13 @@
     }
 
     /// Hands all orders over in one record.
-    pub(crate) fn keep_whole_ledger(
+    pub(crate) fn persist_complete_order_log(
         &mut self,
         now: u64,
         orders: Vec<OrderIdentity>,
         effects: &mut Vec<Effect>,
     ) {
-        self.ledger_whole = self.ledger_handed_over + 1;
-        self.keep_ledger(now, orders, effects);
+        self.order_log_complete = self.ledger_handed_over + 1;
+        self.persist_order_log(now, orders, effects);
     }
 }
--- a/crates/linenthread-consensus/src/durable_state.rs
+++ b/crates/linenthread-consensus/src/durable_state.rs
@@ -1,7 +1,7 @@
 use linenthread_messages::{Accepted, Ballot, Record, Replica, Value};
 
 use crate::acceptor::Acceptor;
-use crate::ledger::Ledger;
+use crate::order_log::OrderLog;
 
 /// What a disk holds, record by record.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
@@ -9,7 +9,7 @@
     /// The disk's name.
     pub id: Option<u64>,
     decided: Option<Value>,
-    ledger: Ledger,
+    order_log: OrderLog,
     number: u64,
     promised: Option<Ballot>,
     accepted: Option<Accepted>,
@@ -30,7 +30,7 @@
         record
             .order_log
             .iter()
-            .for_each(|order| self.ledger.insert(order));
+            .for_each(|order| self.order_log.insert(order));
         if let Some(value) = record.decided {
             self.add_decided(value);
         }
@@ -43,7 +43,7 @@
         value
             .recent_orders
             .iter()
-            .for_each(|order| self.ledger.insert(order));
+            .for_each(|order| self.order_log.insert(order));
         if self
             .decided
             .as_ref()
@@ -71,7 +71,7 @@
                 decided: self.decided.clone(),
                 epoch: self.epoch,
                 replicas: self.replicas.clone(),
-                order_log: self.ledger.iter().collect(),
+                order_log: self.order_log.iter().collect(),
                 ..Record::default()
             },
             Record {
@@ -84,7 +84,7 @@
     }
 
     /// The newest decided value, the ledger, and what was promised above it.
-    pub(crate) fn into_parts(self, genesis: Option<Value>) -> (Option<Value>, Ledger, Acceptor) {
+    pub(crate) fn into_parts(self, genesis: Option<Value>) -> (Option<Value>, OrderLog, Acceptor) {
         let decided = self.decided.or(genesis);
         let next = decided.as_ref().map_or(0, |value| value.number + 1);
         let acceptor = if self.number >= next {
@@ -92,7 +92,7 @@
         } else {
             Acceptor::new(next, None, None)
         };
-        (decided, self.ledger, acceptor)
+        (decided, self.order_log, acceptor)
     }
 
     /// Number of the newest decided value that it holds; 0 if none.
--- a/crates/linenthread-consensus/src/effects.rs
+++ b/crates/linenthread-consensus/src/effects.rs
@@ -7,23 +7,23 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Outcome {
     /// It is decided, or was before.
-    Taken(u64),
+    Committed(u64),
     /// Another revision is in place; the order was not taken and never will be.
     Conflict(u64),
     /// The newest value, as of some moment since it was asked for.
     Newest(Value),
     /// No message of more than half of the counted disks in time, too much waits, or what would tell whether the
     /// order was taken is not here: it may or may not come to be.
-    Unclear,
+    Unknown,
 }
 
 /// What whoever drives the register has to do, in this order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
     /// To the node of this disk.
-    Send { to: u64, word: PeerMessage },
+    Send { to: u64, message: PeerMessage },
     /// To be synced before the messages behind it go out.
-    Keep {
+    Persist {
         record: Record,
         then: Vec<(u64, PeerMessage)>,
     },
--- a/crates/linenthread-consensus/src/lease.rs
+++ b/crates/linenthread-consensus/src/lease.rs
@@ -22,7 +22,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct Support {
     holder: u64,
-    life: u64,
+    incarnation: u64,
     epoch: u64,
     until: u64,
 }
@@ -32,10 +32,10 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct LeaderLease {
     id: u64,
-    life: u64,
+    incarnation: u64,
     /// The last support that was given; over when its time is.
     support: Option<Support>,
-    /// Nobody new is supported before then: support of which this life does not know may last so long.
+    /// Nobody new is supported before then: support of which this incarnation does not know may last so long.
     quiet_until: u64,
     /// The greatest epoch that was supported, or under which others are known to be.
     epoch: u64,
@@ -51,12 +51,12 @@
 }
 
 impl LeaderLease {
-    /// Whom an earlier life supported is not known any more, only under which epoch: nobody new is supported
+    /// Whom an earlier incarnation supported is not known any more, only under which epoch: nobody new is supported
     /// until that has ended.
-    pub fn new(id: u64, life: u64, now: u64, first_of_all: bool, epoch: u64) -> LeaderLease {
+    pub fn new(id: u64, incarnation: u64, now: u64, first_of_all: bool, epoch: u64) -> LeaderLease {
         LeaderLease {
             id,
-            life,
+            incarnation,
             support: None,
             quiet_until: if first_of_all { now } else { now + LEASE },
             epoch,
@@ -103,12 +103,12 @@
         }
         let epoch = self.epoch_to_ask();
         self.request_count += 1;
-        let (asked, life) = (self.request_count, self.life);
+        let (asked, incarnation) = (self.request_count, self.incarnation);
         let request = LeaseRequest {
             epoch,
             request_id: asked,
             lease_ms: LEASE as u32,
-            incarnation: life,
+            incarnation: incarnation,
             value_number: number,
         };
         self.request = Some((request.clone(), now));
@@ -169,10 +169,10 @@
         let yes = number == Some(request.value_number) && self.may_support(now, from, request);
         if yes {
             let until = now + u64::from(request.lease_ms).min(LEASE);
-            let (life, epoch) = (request.incarnation, request.epoch);
+            let (incarnation, epoch) = (request.incarnation, request.epoch);
             self.support = Some(Support {
                 holder: from,
-                life,
+                incarnation,
                 epoch,
                 until,
             });
@@ -186,13 +186,13 @@
     }
 
     /// Whom one supports may go on, under a new epoch as well: two that wait for each other's leases to end would
-    /// else never end together. A new life of it needs an epoch of its own.
+    /// else never end together. A new incarnation of it needs an epoch of its own.
     fn may_support(&self, now: u64, from: u64, request: &LeaseRequest) -> bool {
         if now < self.quiet_until {
             return false;
         }
         let same_life =
-            |support: Support| (support.holder, support.life) == (from, request.incarnation);
+            |support: Support| (support.holder, support.incarnation) == (from, request.incarnation);
         if self.support.is_some_and(same_life) && request.epoch >= self.epoch {
             return true;
         }
@@ -209,7 +209,7 @@
         from: u64,
         vote: &LeaseVote,
         number: u64,
-        is_most: impl Fn(Vec<u64>) -> bool,
+        is_majority: impl Fn(Vec<u64>) -> bool,
     ) -> bool {
         let Some((request, asked_at)) = &self.request else {
             return false;
@@ -227,7 +227,7 @@
         }
         let (epoch, on) = (request.epoch, request.value_number);
         self.votes.insert(from);
-        if !is_most(self.votes.iter().copied().collect()) {
+        if !is_majority(self.votes.iter().copied().collect()) {
             return false;
         }
         let new = self.held.is_none_or(|held| held.on != number);
@@ -257,23 +257,23 @@
         self.past_epoch = self.past_epoch.max(epoch);
         Some(LeaseRelease {
             epoch,
-            incarnation: self.life,
+            incarnation: self.incarnation,
         })
     }
 
     /// The node `from` has released the lease: whoever supports it may support another at once. Returns whether
     /// a support ended.
     ///
-    /// Why this keeps *one-holder-an-epoch*: only the holder itself says it, of its own life, after [`release`]
-    /// has put the lease down; from then on it asks only above `epoch`. So no vote that was given to this life up to
+    /// Why this keeps *one-holder-an-epoch*: only the holder itself says it, of its own incarnation, after [`release`]
+    /// has put the lease down; from then on it asks only above `epoch`. So no vote that was given to this incarnation up to
     /// `epoch` can make it hold again: a vote counts only for the request on hand, and that is gone. A support
-    /// under a later epoch of the same life is not ended by it, however late the message comes; neither is the
-    /// quiet time after a start or after joining, which stands for support that this life does not know of.
+    /// under a later epoch of the same incarnation is not ended by it, however late the message comes; neither is the
+    /// quiet time after a start or after joining, which stands for support that this incarnation does not know of.
     ///
     /// [`release`]: LeaderLease::release
     pub fn on_release(&mut self, from: u64, release: &LeaseRelease) -> bool {
         let released = |support: &Support| {
-            (support.holder, support.life) == (from, release.incarnation)
+            (support.holder, support.incarnation) == (from, release.incarnation)
                 && support.epoch <= release.epoch
         };
         let ended = self.support.as_ref().is_some_and(released);
--- a/crates/linenthread-consensus/src/lib.rs
+++ b/crates/linenthread-consensus/src/lib.rs
@@ -12,7 +12,7 @@
 //! | `proposer` | orders and other changes that wait, and the round that decides one |
 //! | `reader` | reads that wait, and the question that confirms the newest value |
 //! | `ledger` | the orders that were taken, apart from the value |
-//! | `ledger_catch_up` | asks others for orders that the ledger lacks |
+//! | `order_log_catch_up` | asks others for orders that the ledger lacks |
 //! | `durability` | which of the decided values and orders are synced |
 //! | `durable_state` | what a disk holds, from its records |
 //! | `lease` | the leader lease |
@@ -32,8 +32,8 @@
 mod effects;
 mod hash;
 mod lease;
-mod ledger;
-mod ledger_catch_up;
+mod order_log;
+mod order_log_catch_up;
 mod order;
 mod proposer;
 mod reader;
@@ -42,8 +42,8 @@
 pub use decided_state::{DecidedState, RECENT_ORDERS, Verdict};
 pub use durable_state::DurableState;
 pub use effects::{Effect, Job, Outcome};
-pub use hash::{fnv1a_64, fnv1a_64 as digest, genesis_id};
+pub use hash::{fnv1a_64, genesis_id};
 pub use lease::LeaderLease;
-pub use ledger::{KEPT_ORDERS, Ledger, ORDERS_A_MESSAGE};
+pub use order_log::{MAX_LOGGED_ORDERS, OrderLog, MAX_ORDERS_PER_MESSAGE};
 pub use order::{Change, document_digest};
 pub use register::Register;
--- a/crates/linenthread-consensus/src/ledger.rs
+++ b/crates/linenthread-consensus/src/order_log.rs
@@ -3,11 +3,11 @@
 use linenthread_messages::{DocumentDigest, OrderIdentity, OrderLogEntries, OrderLogRequest};
 
 /// So many orders are kept at least; a record of one takes about 32 bytes on disk, an entry about 50 in memory.
-pub const KEPT_ORDERS: usize = 65_536;
+pub const MAX_LOGGED_ORDERS: usize = 65_536;
 /// The oldest are forgotten so many at once, when there are so many too many.
 const FORGOTTEN_AT_ONCE: usize = 1_024;
 /// So many go into one [`OrderLogEntries`].
-pub const ORDERS_A_MESSAGE: usize = 1_024;
+pub const MAX_ORDERS_PER_MESSAGE: usize = 1_024;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct Entry {
@@ -17,11 +17,11 @@
 
 /// What the ledger alone can say about a revision that is not above the newest one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum LedgerVerdict {
+pub(crate) enum OrderLogVerdict {
     /// This very order was taken.
-    Taken,
+    Committed,
     /// Another order was taken under this revision, or none was and none can be.
-    NotTaken,
+    NotCommitted,
     /// What would tell is missing or forgotten.
     Unknown,
 }
@@ -31,7 +31,7 @@
 /// Revisions rise from one taken order to the next, and the base of each is the revision taken before it: so the
 /// ledger is a chain, and two neighbours prove that nothing between them was taken, whatever else is missing.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
-pub struct Ledger {
+pub struct OrderLog {
     entries: BTreeMap<u64, Entry>,
     /// The newest revision that was taken, as far as this node knows.
     newest: u64,
@@ -39,7 +39,7 @@
     missing: u64,
 }
 
-impl Ledger {
+impl OrderLog {
     /// Adds an order, wherever its place is; forgets the oldest ones above the bound.
     pub fn insert(&mut self, order: &OrderIdentity) {
         self.entries.insert(
@@ -49,7 +49,7 @@
                 digest: order.digest,
             },
         );
-        if self.entries.len() >= KEPT_ORDERS + FORGOTTEN_AT_ONCE {
+        if self.entries.len() >= MAX_LOGGED_ORDERS + FORGOTTEN_AT_ONCE {
             (0..FORGOTTEN_AT_ONCE).for_each(|_| _ = self.entries.pop_first());
         }
     }
@@ -66,7 +66,7 @@
 
     /// Whether this very order is known to have been taken.
     pub fn contains(&self, order: &OrderIdentity) -> bool {
-        self.judge(order) == LedgerVerdict::Taken
+        self.judge(order) == OrderLogVerdict::Committed
     }
 
     /// All orders, oldest first.
@@ -80,22 +80,22 @@
 
     /// Nothing that was ever taken is missing, but for what was forgotten by the bound or is known to nobody.
     pub fn is_complete(&self) -> bool {
-        self.missing == 0 || self.entries.len() >= KEPT_ORDERS
+        self.missing == 0 || self.entries.len() >= MAX_LOGGED_ORDERS
     }
 
     /// Judges an order whose revision is not above the newest one that was taken.
-    pub(crate) fn judge(&self, order: &OrderIdentity) -> LedgerVerdict {
+    pub(crate) fn judge(&self, order: &OrderIdentity) -> OrderLogVerdict {
         match self.entries.range(order.revision..).next() {
             Some((revision, entry)) if *revision == order.revision => {
                 if (entry.base, entry.digest) == (order.base, order.digest) {
-                    LedgerVerdict::Taken
+                    OrderLogVerdict::Committed
                 } else {
-                    LedgerVerdict::NotTaken
+                    OrderLogVerdict::NotCommitted
                 }
             }
             // The next one was taken on top of one below this: this was passed over.
-            Some((_, entry)) if entry.base < order.revision => LedgerVerdict::NotTaken,
-            _ => LedgerVerdict::Unknown,
+            Some((_, entry)) if entry.base < order.revision => OrderLogVerdict::NotCommitted,
+            _ => OrderLogVerdict::Unknown,
         }
     }
 
@@ -151,7 +151,7 @@
     pub(crate) fn answer(&self, request: &OrderLogRequest) -> OrderLogEntries {
         let mut orders = Vec::new();
         let mut revision = request.newest;
-        while revision > request.above && orders.len() < ORDERS_A_MESSAGE {
+        while revision > request.above && orders.len() < MAX_ORDERS_PER_MESSAGE {
             let Some(entry) = self.entries.get(&revision) else {
                 break;
             };
--- a/crates/linenthread-consensus/src/ledger_catch_up.rs
+++ b/crates/linenthread-consensus/src/order_log_catch_up.rs
@@ -18,7 +18,7 @@
 
 /// Asks other voters for the orders that the ledger lacks, one request at a time.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub(crate) struct LedgerCatchUp {
+pub(crate) struct OrderLogCatchUp {
     id: u64,
     asked: Option<Asked>,
     /// Who answered that it has nothing of what is missing, and since when it is asked for.
@@ -27,9 +27,9 @@
     turn: usize,
 }
 
-impl LedgerCatchUp {
-    pub(crate) fn new(id: u64) -> LedgerCatchUp {
-        LedgerCatchUp {
+impl OrderLogCatchUp {
+    pub(crate) fn new(id: u64) -> OrderLogCatchUp {
+        OrderLogCatchUp {
             id,
             asked: None,
             without: BTreeSet::new(),
@@ -40,7 +40,7 @@
 
     /// Asks for what is missing, or gives it up.
     pub(crate) fn tick(&mut self, now: u64, decided: &mut DecidedState, effects: &mut Vec<Effect>) {
-        while let Some(request) = decided.ledger().request() {
+        while let Some(request) = decided.order_log().request() {
             if self
                 .missing_since
                 .is_none_or(|(missing, _)| missing != request.newest)
@@ -71,7 +71,7 @@
         let waited = self
             .missing_since
             .is_some_and(|(_, since)| now >= since + GIVE_UP);
-        let most = decided.is_most(self.without.iter().copied().chain([self.id]));
+        let most = decided.is_majority(self.without.iter().copied().chain([self.id]));
         self.others(decided).all(|id| self.without.contains(&id)) || most && waited
     }
 
@@ -102,7 +102,7 @@
         });
         effects.push(Effect::Send {
             to,
-            word: PeerMessage::OrderLogRequest(request),
+            message: PeerMessage::OrderLogRequest(request),
         });
     }
 
--- a/crates/linenthread-consensus/src/proposer.rs
+++ b/crates/linenthread-consensus/src/proposer.rs
@@ -12,10 +12,10 @@
 use crate::register::{RESEND_AFTER, ROUND_TIMEOUT, WAITING_JOBS, send_to_voters};
 
 /// Two proposers that clash wait up to so long, more with each clash.
-const BACK_OFF: u64 = 25;
-const MOST_DOUBLINGS: u32 = 6;
+const BACKOFF: u64 = 25;
+const MAX_DOUBLINGS: u32 = 6;
 /// No rest is longer, in milliseconds.
-const LONGEST_REST: u64 = BACK_OFF << MOST_DOUBLINGS;
+const LONGEST_REST: u64 = BACKOFF << MAX_DOUBLINGS;
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct WaitingChange {
@@ -68,17 +68,17 @@
 
 /// Draws how long to back off. States that differ in it alone are alike to whoever hashes them.
 #[derive(Clone, Debug)]
-struct BackOff(Rand64);
+struct Backoff(Rand64);
 
-impl PartialEq for BackOff {
-    fn eq(&self, _: &BackOff) -> bool {
+impl PartialEq for Backoff {
+    fn eq(&self, _: &Backoff) -> bool {
         true
     }
 }
 
-impl Eq for BackOff {}
+impl Eq for Backoff {}
 
-impl Hash for BackOff {
+impl Hash for Backoff {
     fn hash<H: Hasher>(&self, _: &mut H) {}
 }
 
@@ -94,8 +94,8 @@
 /// Changes that wait, and the round that decides one of them.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Proposer {
-    /// Tells this life's ballots from those of all others, earlier ones of the same disk too.
-    life: u64,
+    /// Tells this incarnation's ballots from those of all others, earlier ones of the same disk too.
+    incarnation: u64,
     waiting: VecDeque<WaitingChange>,
     round: Option<Round>,
     /// No round before this.
@@ -106,13 +106,13 @@
     highest_round: u64,
     /// Something was seen to be half done.
     completion_wanted: bool,
-    back_off: BackOff,
+    backoff: Backoff,
 }
 
 impl Proposer {
-    pub(crate) fn new(life: u64) -> Proposer {
+    pub(crate) fn new(incarnation: u64) -> Proposer {
         Proposer {
-            life,
+            incarnation,
             waiting: VecDeque::new(),
             round: None,
             rest_until: 0,
@@ -120,7 +120,7 @@
             pace: 0,
             highest_round: 0,
             completion_wanted: false,
-            back_off: BackOff(Rand64::new(u128::from(life))),
+            backoff: Backoff(Rand64::new(u128::from(incarnation))),
         }
     }
 
@@ -162,7 +162,7 @@
             if !in_time {
                 effects.push(Effect::Reply {
                     job: change.job,
-                    outcome: Outcome::Unclear,
+                    outcome: Outcome::Unknown,
                 });
             }
             in_time
@@ -193,7 +193,7 @@
             number: decided.next(),
             ballot: Ballot {
                 round: self.highest_round,
-                proposer: self.life,
+                proposer: self.incarnation,
             },
             began: now,
             last_sent: now,
@@ -241,7 +241,7 @@
         if ballot(&promise.accepted) > ballot(newest_accepted) {
             *newest_accepted = promise.accepted;
         }
-        if !decided.is_most(promised_by.iter().copied()) {
+        if !decided.is_majority(promised_by.iter().copied()) {
             return;
         }
         self.pace = now.saturating_sub(round.began);
@@ -301,7 +301,7 @@
             return None;
         };
         accepted_by.insert(from);
-        if !decided.is_most(accepted_by.iter().copied()) {
+        if !decided.is_majority(accepted_by.iter().copied()) {
             return None;
         }
         self.clashes = 0;
@@ -320,7 +320,7 @@
             .is_some_and(|round| round.ballot < rejected.promised)
         {
             self.round = None;
-            self.clashes = (self.clashes + 1).min(MOST_DOUBLINGS);
+            self.clashes = (self.clashes + 1).min(MAX_DOUBLINGS);
             self.rest_until = now + self.rest();
         }
     }
@@ -329,7 +329,7 @@
     /// both halves before a round of this node is begun.
     pub(crate) fn on_round_of_another(&mut self, now: u64) {
         if self.round.is_none() && !self.changes_voters() {
-            let both_halves = 2 * self.pace.clamp(BACK_OFF, LONGEST_REST);
+            let both_halves = 2 * self.pace.clamp(BACKOFF, LONGEST_REST);
             self.rest_until = self.rest_until.max(now + both_halves);
         }
     }
@@ -345,10 +345,10 @@
     /// leaves none, since a second loss may come before the successor of the first one counts.
     fn rest(&mut self) -> u64 {
         if self.changes_voters() {
-            return 1 + self.back_off.0.rand_range(0..BACK_OFF);
+            return 1 + self.backoff.0.rand_range(0..BACKOFF);
         }
-        let most = (self.pace.max(BACK_OFF) << self.clashes).min(LONGEST_REST);
-        1 + self.pace.min(LONGEST_REST) + self.back_off.0.rand_range(0..most)
+        let most = (self.pace.max(BACKOFF) << self.clashes).min(LONGEST_REST);
+        1 + self.pace.min(LONGEST_REST) + self.backoff.0.rand_range(0..most)
     }
 
     /// A value was decided: rounds begin anew, and changes that it settles are answered. An order that was taken by
@@ -382,16 +382,16 @@
         Wanted::Order { identity, document } => match decided.judge(identity) {
             Verdict::Proposable => decided
                 .with_order(identity, document)
-                .ok_or(Outcome::Unclear),
-            Verdict::Taken => Err(Outcome::Taken(identity.revision)),
+                .ok_or(Outcome::Unknown),
+            Verdict::Committed => Err(Outcome::Committed(identity.revision)),
             Verdict::Conflict => Err(Outcome::Conflict(revision)),
-            Verdict::Unknown => Err(Outcome::Unclear),
+            Verdict::Unknown => Err(Outcome::Unknown),
         },
         Wanted::Voters { on, voters, epoch } if *on == decided.number() && !voters.is_empty() => {
-            decided.with_voters(voters, *epoch).ok_or(Outcome::Unclear)
+            decided.with_voters(voters, *epoch).ok_or(Outcome::Unknown)
         }
         Wanted::Voters { .. } => Err(Outcome::Conflict(revision)),
-        Wanted::Completion => Err(Outcome::Taken(revision)),
+        Wanted::Completion => Err(Outcome::Committed(revision)),
     }
 }
 
@@ -399,10 +399,10 @@
 fn settled_by(wanted: &Wanted, decided: &DecidedState, learned: LearnedFrom) -> Option<Outcome> {
     match wanted {
         Wanted::Order { identity, .. } if learned == LearnedFrom::OwnRound => decided
-            .ledger()
+            .order_log()
             .contains(identity)
-            .then_some(Outcome::Taken(identity.revision)),
-        Wanted::Voters { on, .. } if *on < decided.number() => Some(Outcome::Taken(
+            .then_some(Outcome::Committed(identity.revision)),
+        Wanted::Voters { on, .. } if *on < decided.number() => Some(Outcome::Committed(
             decided.value().map_or(0, |value| value.revision),
         )),
         _ => None,
--- a/crates/linenthread-consensus/src/reader.rs
+++ b/crates/linenthread-consensus/src/reader.rs
@@ -51,11 +51,11 @@
 }
 
 impl Reader {
-    pub(crate) fn new(life: u64) -> Reader {
+    pub(crate) fn new(incarnation: u64) -> Reader {
         Reader {
             waiting: Vec::new(),
             question: None,
-            question_count: life >> 16 << 16,
+            question_count: incarnation >> 16 << 16,
             ask_from: 0,
         }
     }
@@ -148,7 +148,7 @@
         };
         let pending = reply.pending && reply.decided == decided.number();
         question.pending_at.insert(from, pending);
-        if !decided.is_most(question.pending_at.keys().copied()) {
+        if !decided.is_majority(question.pending_at.keys().copied()) {
             return ReadStep::Nothing;
         }
         if question.pending_at.values().any(|pending| *pending) {
@@ -175,7 +175,7 @@
 impl Question {
     /// To the voters that have not answered yet.
     fn send(&self, decided: &DecidedState, effects: &mut Vec<Effect>) {
-        let word = PeerMessage::ReadRequest(ReadRequest {
+        let message = PeerMessage::ReadRequest(ReadRequest {
             read_id: self.number,
         });
         let left = decided
@@ -184,7 +184,7 @@
             .filter(|voter| !self.pending_at.contains_key(&voter.id));
         effects.extend(left.map(|voter| Effect::Send {
             to: voter.id,
-            word: word.clone(),
+            message: message.clone(),
         }));
     }
 }
@@ -193,7 +193,7 @@
     for read in reads.extract_if(.., |read| read.until <= now) {
         effects.push(Effect::Reply {
             job: read.job,
-            outcome: Outcome::Unclear,
+            outcome: Outcome::Unknown,
         });
     }
 }
--- a/crates/linenthread-consensus/src/register.rs
+++ b/crates/linenthread-consensus/src/register.rs
@@ -8,8 +8,8 @@
 use crate::durability::Durability;
 use crate::durable_state::DurableState;
 use crate::effects::{Effect, Job, Outcome};
-use crate::ledger::Ledger;
-use crate::ledger_catch_up::LedgerCatchUp;
+use crate::order_log::OrderLog;
+use crate::order_log_catch_up::OrderLogCatchUp;
 use crate::order::Change;
 use crate::proposer::{LearnedFrom, Proposer};
 use crate::reader::{ReadStep, Reader};
@@ -29,23 +29,23 @@
     acceptor: Acceptor,
     proposer: Proposer,
     reader: Reader,
-    catch_up: LedgerCatchUp,
+    catch_up: OrderLogCatchUp,
     durability: Durability,
 }
 
 impl Register {
-    /// From what the disk holds; `genesis` is value 0 where all start for the first time. `life` is the same in no
-    /// other life of any node.
-    pub fn new(id: u64, kept: DurableState, genesis: Option<Value>, life: u64) -> Register {
+    /// From what the disk holds; `genesis` is value 0 where all start for the first time. `incarnation` is the same in no
+    /// other incarnation of any node.
+    pub fn new(id: u64, kept: DurableState, genesis: Option<Value>, incarnation: u64) -> Register {
         let durability = Durability::new(id, kept.decided_number());
-        let (value, ledger, acceptor) = kept.into_parts(genesis);
+        let (value, order_log, acceptor) = kept.into_parts(genesis);
         Register {
             id,
-            decided: DecidedState::new(value, ledger),
+            decided: DecidedState::new(value, order_log),
             acceptor,
-            proposer: Proposer::new(life),
-            reader: Reader::new(life),
-            catch_up: LedgerCatchUp::new(id),
+            proposer: Proposer::new(incarnation),
+            reader: Reader::new(incarnation),
+            catch_up: OrderLogCatchUp::new(id),
             durability,
         }
     }
@@ -66,18 +66,18 @@
     }
 
     /// Whether these are more than half of the counted disks.
-    pub fn is_most(&self, ids: impl IntoIterator<Item = u64>) -> bool {
-        self.decided.is_most(ids)
+    pub fn is_majority(&self, ids: impl IntoIterator<Item = u64>) -> bool {
+        self.decided.is_majority(ids)
     }
 
     /// Its disk took part in a value that, as far as it knows, is not decided.
-    pub fn in_doubt(&self) -> bool {
-        self.acceptor.in_doubt()
+    pub fn has_undecided(&self) -> bool {
+        self.acceptor.has_undecided()
     }
 
     /// Sees to it that what is in doubt is decided.
     pub fn complete(&mut self) {
-        if self.acceptor.in_doubt() {
+        if self.acceptor.has_undecided() {
             self.proposer.complete();
         }
     }
@@ -88,8 +88,8 @@
     }
 
     /// The orders that were taken, as far as this node knows them.
-    pub fn ledger(&self) -> &Ledger {
-        self.decided.ledger()
+    pub fn order_log(&self) -> &OrderLog {
+        self.decided.order_log()
     }
 
     /// Number of the newest decided value that is synced on this node's disk; 0 if none.
@@ -98,19 +98,19 @@
     }
 
     /// The ledger lacks nothing that others have, within its bound.
-    pub fn ledger_complete(&self) -> bool {
-        self.decided.value().is_some() && self.decided.ledger().is_complete()
+    pub fn order_log_complete(&self) -> bool {
+        self.decided.value().is_some() && self.decided.order_log().is_complete()
     }
 
     /// The ledger is complete, and all of it that came apart from values is synced on this node's disk.
-    pub fn ledger_durable(&self) -> bool {
-        self.ledger_complete() && self.durability.holds_ledger()
+    pub fn order_log_durable(&self) -> bool {
+        self.order_log_complete() && self.durability.holds_order_log()
     }
 
     /// The newest decided value that this node knows and all of the ledger are synced on its disk: only then may
     /// it begin to count.
     pub fn holds_all_durably(&self) -> bool {
-        self.ledger_durable() && self.durability.holds(self.decided.number())
+        self.order_log_durable() && self.durability.holds(self.decided.number())
     }
 
     /// Wants a change by then.
@@ -125,7 +125,7 @@
         if self.decided.value().is_none() || !self.proposer.add(job, change, until) {
             effects.push(Effect::Reply {
                 job,
-                outcome: Outcome::Unclear,
+                outcome: Outcome::Unknown,
             });
             return;
         }
@@ -137,7 +137,7 @@
         if self.decided.value().is_none() || !self.reader.add(job, until) {
             effects.push(Effect::Reply {
                 job,
-                outcome: Outcome::Unclear,
+                outcome: Outcome::Unknown,
             });
             return;
         }
@@ -150,7 +150,7 @@
         self.reader.tick(now, &self.decided, effects);
         self.proposer.tick(now, &self.decided, effects);
         self.catch_up.tick(now, &mut self.decided, effects);
-        self.keep_again(now, effects);
+        self.persist_again(now, effects);
     }
 
     fn expire(&mut self, now: u64, effects: &mut Vec<Effect>) {
@@ -159,15 +159,15 @@
     }
 
     /// The disk drops records when too many wait: they are handed over again.
-    fn keep_again(&mut self, now: u64, effects: &mut Vec<Effect>) {
+    fn persist_again(&mut self, now: u64, effects: &mut Vec<Effect>) {
         if !self.durability.is_overdue(now, self.decided.number()) {
             return;
         }
         if let Some(value) = self.decided.value() {
-            self.durability.keep_value(now, value, effects);
+            self.durability.persist_value(now, value, effects);
         }
-        let orders = self.decided.ledger().iter().collect();
-        self.durability.keep_whole_ledger(now, orders, effects);
+        let orders = self.decided.order_log().iter().collect();
+        self.durability.persist_complete_order_log(now, orders, effects);
     }
 
     /// A message from the node of a disk; what is not for the register is passed over. What is too old by `now` ends
@@ -219,7 +219,7 @@
         if number <= value.number {
             effects.push(Effect::Send {
                 to: from,
-                word: PeerMessage::Decided(value.clone()),
+                message: PeerMessage::Decided(value.clone()),
             });
             return false;
         }
@@ -302,12 +302,12 @@
         }
         effects.push(Effect::Send {
             to: from,
-            word: PeerMessage::Decided(value.clone()),
+            message: PeerMessage::Decided(value.clone()),
         });
         effects.extend(
             self.proposer
                 .request()
-                .map(|word| Effect::Send { to: from, word }),
+                .map(|message| Effect::Send { to: from, message }),
         );
     }
 
@@ -322,7 +322,7 @@
         }
         self.decided.adopt(value.clone());
         self.acceptor.advance_to(value.number + 1);
-        self.durability.keep_value(now, &value, effects);
+        self.durability.persist_value(now, &value, effects);
         effects.push(Effect::Decided(value));
         // What was asked before this is asked anew, and changes see whether they are done.
         self.reader.on_decided();
@@ -336,7 +336,7 @@
         let Some(value) = self.decided.value() else {
             return;
         };
-        let pending = self.acceptor.in_doubt();
+        let pending = self.acceptor.has_undecided();
         let reply = ReadReply {
             read_id: request.read_id,
             decided: value.number,
@@ -344,7 +344,7 @@
         };
         effects.push(Effect::Send {
             to: from,
-            word: PeerMessage::ReadReply(reply),
+            message: PeerMessage::ReadReply(reply),
         });
     }
 
@@ -369,10 +369,10 @@
     // --- ledger ---
 
     fn on_ledger_request(&self, from: u64, request: &OrderLogRequest, effects: &mut Vec<Effect>) {
-        let entries = self.decided.ledger().answer(request);
+        let entries = self.decided.order_log().answer(request);
         effects.push(Effect::Send {
             to: from,
-            word: PeerMessage::OrderLogEntries(entries),
+            message: PeerMessage::OrderLogEntries(entries),
         });
     }
 
@@ -384,7 +384,7 @@
         effects: &mut Vec<Effect>,
     ) {
         if self.catch_up.on_entries(from, &entries, &mut self.decided) {
-            self.durability.keep_orders(now, entries.orders, effects);
+            self.durability.persist_orders(now, entries.orders, effects);
         }
         self.tick(now, effects);
     }
@@ -397,20 +397,20 @@
 fn ask_to_catch_up(to: u64, number: u64) -> Effect {
     Effect::Send {
         to,
-        word: PeerMessage::CatchUpRequest(CatchUpRequest { number }),
+        message: PeerMessage::CatchUpRequest(CatchUpRequest { number }),
     }
 }
 
 /// What an acceptor says goes out when its record is synced; a refusal at once.
 fn answer(to: u64, result: Result<(Record, PeerMessage), Rejected>, effects: &mut Vec<Effect>) {
     effects.push(match result {
-        Ok((record, word)) => Effect::Keep {
+        Ok((record, message)) => Effect::Persist {
             record,
-            then: vec![(to, word)],
+            then: vec![(to, message)],
         },
         Err(rejected) => Effect::Send {
             to,
-            word: PeerMessage::Rejected(rejected),
+            message: PeerMessage::Rejected(rejected),
         },
     });
 }
@@ -418,11 +418,11 @@
 /// Sends a message to all that count, this node too if it does.
 pub(crate) fn send_to_voters(
     decided: &DecidedState,
-    word: &PeerMessage,
+    message: &PeerMessage,
     effects: &mut Vec<Effect>,
 ) {
     effects.extend(decided.voters().iter().map(|voter| Effect::Send {
         to: voter.id,
-        word: word.clone(),
+        message: message.clone(),
     }));
 }
--- a/crates/linenthread-consensus/tests/acceptor_restart.rs
+++ b/crates/linenthread-consensus/tests/acceptor_restart.rs
@@ -32,7 +32,7 @@
     };
     register.on_message(0, 2, PeerMessage::Accept(accept), &mut effects);
     let record = |effect| match effect {
-        Effect::Keep { record, .. } => Some(record),
+        Effect::Persist { record, .. } => Some(record),
         _ => None,
     };
     effects.into_iter().filter_map(record).collect()
@@ -47,7 +47,7 @@
     register.on_message(0, 3, PeerMessage::Prepare(request), &mut effects);
     effects
         .iter()
-        .any(|effect| matches!(effect, Effect::Keep { .. }))
+        .any(|effect| matches!(effect, Effect::Persist { .. }))
 }
 
 #[test]
@@ -61,5 +61,5 @@
     again.on_message(0, 2, PeerMessage::Decided(value(1)), &mut Vec::new());
     assert!(!says_a_promise(&mut again, 2, 3));
     assert!(says_a_promise(&mut again, 2, 5));
-    assert!(again.in_doubt());
+    assert!(again.has_undecided());
 }
--- a/crates/linenthread-consensus/tests/common/mod.rs
+++ b/crates/linenthread-consensus/tests/common/mod.rs
@@ -158,7 +158,7 @@
     pub(crate) fn take_orders(&mut self, at: u64, revisions: std::ops::RangeInclusive<u64>) {
         for revision in revisions {
             let change = order(revision - 1, revision, &revision.to_string());
-            assert_eq!(self.order(at, change), Outcome::Taken(revision));
+            assert_eq!(self.order(at, change), Outcome::Committed(revision));
         }
     }
 
@@ -211,7 +211,7 @@
             .for_each(|voter| voter.id = new);
         assert!(matches!(
             self.order(other, Change::Voters { on, voters, epoch }),
-            Outcome::Taken(_)
+            Outcome::Committed(_)
         ));
     }
 
@@ -242,12 +242,12 @@
         let ids: Vec<u64> = self.nodes.iter().map(|node| node.id).collect();
         for effect in effects {
             match effect {
-                Effect::Send { to, word } => self.network.push_back(Message {
+                Effect::Send { to, message: word } => self.network.push_back(Message {
                     from,
                     to,
                     message: word,
                 }),
-                Effect::Keep { record, then } => self.node(at).unsynced.push((record, then)),
+                Effect::Persist { record, then } => self.node(at).unsynced.push((record, then)),
                 Effect::Reply { job, outcome } => _ = self.outcomes.insert(job, outcome),
                 // The control part tells all others at once.
                 Effect::Decided(value) => {
--- a/crates/linenthread-consensus/tests/contention.rs
+++ b/crates/linenthread-consensus/tests/contention.rs
@@ -48,7 +48,7 @@
 fn begun(effects: &[Effect]) -> Option<Ballot> {
     effects.iter().find_map(|effect| match effect {
         Effect::Send {
-            word: PeerMessage::Prepare(prepare),
+            message: PeerMessage::Prepare(prepare),
             ..
         } => Some(prepare.ballot),
         _ => None,
@@ -118,7 +118,7 @@
         matches!(
             e,
             Effect::Send {
-                word: PeerMessage::Accept(Accept { .. }),
+                message: PeerMessage::Accept(Accept { .. }),
                 ..
             }
         )
--- a/crates/linenthread-consensus/tests/frozen.rs
+++ b/crates/linenthread-consensus/tests/frozen.rs
@@ -24,7 +24,7 @@
 fn question_of(effects: &[Effect]) -> u64 {
     let question = |effect: &Effect| match effect {
         Effect::Send {
-            word: PeerMessage::ReadRequest(request),
+            message: PeerMessage::ReadRequest(request),
             ..
         } => Some(request.read_id),
         _ => None,
@@ -58,7 +58,7 @@
     let (mut register, mut effects) = (one_of_three(), Vec::new());
     register.read(1_000, 1, 1_900, &mut effects);
     let effects = answers(&mut register, 21_000, question_of(&effects));
-    assert_eq!(outcomes(effects), [(1, Outcome::Unclear)]);
+    assert_eq!(outcomes(effects), [(1, Outcome::Unknown)]);
 }
 
 #[test]
@@ -101,7 +101,7 @@
     register.propose(1_000, 1, change, 1_900, &mut effects);
     let prepare = |effect: &Effect| match effect {
         Effect::Send {
-            word: PeerMessage::Prepare(prepare),
+            message: PeerMessage::Prepare(prepare),
             ..
         } => Some(prepare.clone()),
         _ => None,
@@ -122,5 +122,5 @@
             .any(|effect| matches!(effect, Effect::Send { .. })),
         "{effects:?}"
     );
-    assert_eq!(outcomes(effects), [(1, Outcome::Unclear)]);
+    assert_eq!(outcomes(effects), [(1, Outcome::Unknown)]);
 }
--- a/crates/linenthread-consensus/tests/orders.rs
+++ b/crates/linenthread-consensus/tests/orders.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::{Cluster, order};
-use linenthread_consensus::{KEPT_ORDERS, Ledger, ORDERS_A_MESSAGE, Outcome, document_digest};
+use linenthread_consensus::{MAX_LOGGED_ORDERS, OrderLog, MAX_ORDERS_PER_MESSAGE, Outcome, document_digest};
 use linenthread_messages::{OrderIdentity, PeerMessage};
 use yare::parameterized;
 
@@ -20,13 +20,13 @@
 #[test]
 fn of_two_orders_under_one_number_one_wins_and_the_other_is_refused_at_each_node() {
     let mut cluster = Cluster::new(3);
-    assert_eq!(cluster.order(1, order(0, 1, "first")), Outcome::Taken(1));
+    assert_eq!(cluster.order(1, order(0, 1, "first")), Outcome::Committed(1));
     for at in 1..=3 {
         assert_eq!(
             cluster.order(at, order(0, 1, "second")),
             Outcome::Conflict(1)
         );
-        assert_eq!(cluster.order(at, order(0, 1, "first")), Outcome::Taken(1));
+        assert_eq!(cluster.order(at, order(0, 1, "first")), Outcome::Committed(1));
     }
     cluster.take_orders(2, 2..=100);
     cluster.restart_all();
@@ -36,7 +36,7 @@
             cluster.order(at, order(0, 1, "second")),
             Outcome::Conflict(100)
         );
-        assert_eq!(cluster.order(at, order(0, 1, "first")), Outcome::Taken(1));
+        assert_eq!(cluster.order(at, order(0, 1, "first")), Outcome::Committed(1));
     }
 }
 
@@ -48,7 +48,7 @@
 fn what_was_not_taken_is_refused_long_after(change: linenthread_consensus::Change) {
     let mut cluster = Cluster::new(3);
     cluster.take_orders(1, 1..=7);
-    assert_eq!(cluster.order(1, order(7, 9, "9")), Outcome::Taken(9));
+    assert_eq!(cluster.order(1, order(7, 9, "9")), Outcome::Committed(9));
     cluster.take_orders(1, 10..=40);
     for at in 1..=3 {
         assert_eq!(cluster.order(at, change.clone()), Outcome::Conflict(40));
@@ -60,19 +60,19 @@
     let mut cluster = Cluster::new(3);
     cluster.take_orders(1, 1..=LONG_DAY + 1);
     for at in 1..=3 {
-        assert_eq!(cluster.order(at, order(0, 1, "1")), Outcome::Taken(1));
+        assert_eq!(cluster.order(at, order(0, 1, "1")), Outcome::Committed(1));
     }
     cluster.restart_all();
     for at in 1..=3 {
-        assert_eq!(cluster.order(at, order(0, 1, "1")), Outcome::Taken(1));
+        assert_eq!(cluster.order(at, order(0, 1, "1")), Outcome::Committed(1));
     }
     cluster.replace_disk(2);
-    assert_eq!(cluster.order(2, order(0, 1, "1")), Outcome::Taken(1));
+    assert_eq!(cluster.order(2, order(0, 1, "1")), Outcome::Committed(1));
     // And once more from that disk alone.
     cluster.restart(2);
     assert_eq!(
         cluster.order(2, order(999, 1_000, "1000")),
-        Outcome::Taken(1_000)
+        Outcome::Committed(1_000)
     );
 }
 
@@ -84,8 +84,8 @@
     cluster.lose(|_, to, message| to == 1 && matches!(message, PeerMessage::AcceptAck(_)));
     cluster.start_order(1, 500, order(3, 4, "4"));
     cluster.lose(|_, _, _| false);
-    assert_eq!(cluster.order(3, order(3, 4, "4")), Outcome::Taken(4));
-    assert_eq!(cluster.outcome(500), Some(Outcome::Taken(4)));
+    assert_eq!(cluster.order(3, order(3, 4, "4")), Outcome::Committed(4));
+    assert_eq!(cluster.outcome(500), Some(Outcome::Committed(4)));
     assert_eq!(
         cluster.register(3).decided().map(|value| value.order_count),
         Some(4)
@@ -102,7 +102,7 @@
         cluster.order(2, order(0, 1, "second")),
         Outcome::Conflict(1)
     );
-    assert_eq!(cluster.order(3, order(0, 1, "first")), Outcome::Taken(1));
+    assert_eq!(cluster.order(3, order(0, 1, "first")), Outcome::Committed(1));
 }
 
 #[parameterized(taken = { "1" }, refused = { "other" })]
@@ -110,7 +110,7 @@
     let mut cluster = Cluster::new(3);
     cluster.take_orders(1, 1..=30);
     cluster.cut_off(&[3]);
-    assert_eq!(cluster.order(3, order(0, 1, document)), Outcome::Unclear);
+    assert_eq!(cluster.order(3, order(0, 1, document)), Outcome::Unknown);
 }
 
 #[test]
@@ -121,18 +121,18 @@
     cluster.heal();
     // It learns the newest value, and gets no answer about the orders before its last ones.
     cluster.lose(|_, _, message| matches!(message, PeerMessage::OrderLogEntries(_)));
-    assert_eq!(cluster.order(3, order(99, 100, "100")), Outcome::Taken(100));
-    assert!(!cluster.register(3).ledger_complete());
-    assert_eq!(cluster.order(3, order(39, 40, "40")), Outcome::Unclear);
-    assert_eq!(cluster.order(3, order(39, 40, "other")), Outcome::Unclear);
+    assert_eq!(cluster.order(3, order(99, 100, "100")), Outcome::Committed(100));
+    assert!(!cluster.register(3).order_log_complete());
+    assert_eq!(cluster.order(3, order(39, 40, "40")), Outcome::Unknown);
+    assert_eq!(cluster.order(3, order(39, 40, "other")), Outcome::Unknown);
     assert_eq!(
         cluster.order(3, order(94, 95, "other")),
         Outcome::Conflict(100)
     );
     cluster.lose(|_, _, _| false);
     cluster.pass_time(1_000);
-    assert!(cluster.register(3).ledger_complete());
-    assert_eq!(cluster.order(3, order(39, 40, "40")), Outcome::Taken(40));
+    assert!(cluster.register(3).order_log_complete());
+    assert_eq!(cluster.order(3, order(39, 40, "40")), Outcome::Committed(40));
     assert_eq!(
         cluster.order(3, order(39, 40, "other")),
         Outcome::Conflict(100)
@@ -143,9 +143,9 @@
 fn an_order_on_a_base_that_may_come_yet_is_not_refused() {
     let mut cluster = Cluster::new(3);
     cluster.take_orders(1, 1..=3);
-    assert_eq!(cluster.order(2, order(4, 5, "5")), Outcome::Unclear);
-    assert_eq!(cluster.order(1, order(3, 4, "4")), Outcome::Taken(4));
-    assert_eq!(cluster.order(2, order(4, 5, "5")), Outcome::Taken(5));
+    assert_eq!(cluster.order(2, order(4, 5, "5")), Outcome::Unknown);
+    assert_eq!(cluster.order(1, order(3, 4, "4")), Outcome::Committed(4));
+    assert_eq!(cluster.order(2, order(4, 5, "5")), Outcome::Committed(5));
     // One that can never be taken is refused at once.
     assert_eq!(cluster.order(2, order(9, 9, "9")), Outcome::Conflict(5));
 }
@@ -157,13 +157,13 @@
     cluster.stall_disk(3);
     cluster.replace_disk(3);
     assert!(
-        cluster.register(3).ledger_complete(),
+        cluster.register(3).order_log_complete(),
         "it has all in memory"
     );
     assert!(!cluster.register(3).holds_all_durably() && cluster.register(3).durable_number() == 0);
-    assert!(!cluster.register(3).ledger_durable());
+    assert!(!cluster.register(3).order_log_durable());
     cluster.sync_disk(3);
-    assert!(cluster.register(3).holds_all_durably() && cluster.register(3).ledger_durable());
+    assert!(cluster.register(3).holds_all_durably() && cluster.register(3).order_log_durable());
     assert_eq!(cluster.register(3).durable_number(), LONG_DAY + 1);
 }
 
@@ -180,8 +180,8 @@
     assert!(cluster.register(3).holds_all_durably());
     cluster.restart(3);
     assert!(
-        cluster.register(3).ledger_complete()
-            && cluster.register(3).ledger().len() == LONG_DAY as usize
+        cluster.register(3).order_log_complete()
+            && cluster.register(3).order_log().len() == LONG_DAY as usize
     );
 }
 
@@ -191,8 +191,8 @@
     cluster.take_orders(1, 1..=5_000);
     cluster.count_messages();
     cluster.replace_disk(3);
-    assert!(cluster.register(3).ledger_complete());
-    let chunks = 5_000_usize.div_ceil(ORDERS_A_MESSAGE);
+    assert!(cluster.register(3).order_log_complete());
+    let chunks = 5_000_usize.div_ceil(MAX_ORDERS_PER_MESSAGE);
     assert_eq!(
         cluster.counted(|message| matches!(message, PeerMessage::OrderLogRequest(_))),
         chunks
@@ -205,12 +205,12 @@
 
 #[test]
 fn the_ledger_is_bounded_and_what_it_forgot_is_unclear() {
-    let mut ledger = Ledger::default();
+    let mut ledger = OrderLog::default();
     for revision in 1..=100_000 {
         ledger.insert(&identity(revision));
-        assert!(ledger.len() < KEPT_ORDERS + 1_024);
+        assert!(ledger.len() < MAX_LOGGED_ORDERS + 1_024);
     }
-    assert!(ledger.len() >= KEPT_ORDERS && ledger.is_complete());
-    assert!(ledger.contains(&identity(100_000 - KEPT_ORDERS as u64 + 1)));
+    assert!(ledger.len() >= MAX_LOGGED_ORDERS && ledger.is_complete());
+    assert!(ledger.contains(&identity(100_000 - MAX_LOGGED_ORDERS as u64 + 1)));
     assert!(!ledger.contains(&identity(1)));
 }
--- a/crates/linenthread-consensus/tests/register.rs
+++ b/crates/linenthread-consensus/tests/register.rs
@@ -54,8 +54,8 @@
                 waiting.extend(outs.into_iter().map(|o| (to, o)));
             };
             match out {
-                Effect::Send { to, word } => send(to, word, &mut waiting),
-                Effect::Keep { record, then } => {
+                Effect::Send { to, message: word } => send(to, word, &mut waiting),
+                Effect::Persist { record, then } => {
                     self.disks[from as usize - 1].push(record);
                     then.into_iter()
                         .for_each(|(to, word)| send(to, word, &mut waiting));
@@ -93,8 +93,8 @@
 }
 
 #[parameterized(
-    on_top = { 3, 5, Outcome::Taken(5) },
-    again = { 0, 3, Outcome::Taken(3) },
+    on_top = { 3, 5, Outcome::Committed(5) },
+    again = { 0, 3, Outcome::Committed(3) },
     on_another = { 0, 5, Outcome::Conflict(3) },
     not_above = { 3, 2, Outcome::Conflict(3) },
 )]
@@ -117,7 +117,7 @@
     three.settle(1, outs);
     assert_eq!(
         three.replies,
-        [(1, Outcome::Unclear), (2, Outcome::Unclear)]
+        [(1, Outcome::Unknown), (2, Outcome::Unknown)]
     );
 }
 
@@ -180,11 +180,11 @@
     for _ in 0..100 {
         for out in std::mem::take(&mut outs) {
             match out {
-                Effect::Send { word, .. } => {
+                Effect::Send { message: word, .. } => {
                     asked += usize::from(matches!(word, PeerMessage::ReadRequest(_)));
                     one.on_message(0, 1, word, &mut outs);
                 }
-                Effect::Keep { then, .. } => {
+                Effect::Persist { then, .. } => {
                     for (_, word) in then {
                         match word {
                             PeerMessage::AcceptAck(_) => unsynced.push(word),
@@ -202,7 +202,7 @@
         o,
         Effect::Reply {
             job: 1,
-            outcome: Outcome::Taken(3)
+            outcome: Outcome::Committed(3)
         }
     )));
 }
@@ -224,7 +224,7 @@
         &mut outs,
     );
     assert!(
-        matches!(&outs[..], [Effect::Keep { then, .. }] if matches!(then[0].1, PeerMessage::Promise(_)))
+        matches!(&outs[..], [Effect::Persist { then, .. }] if matches!(then[0].1, PeerMessage::Promise(_)))
     );
     outs.clear();
     let value = Value {
@@ -240,7 +240,7 @@
     };
     one.on_message(0, 3, PeerMessage::Accept(accept), &mut outs);
     assert!(
-        matches!(&outs[..], [Effect::Send { word: PeerMessage::Rejected(r), .. }] if r.promised == newer)
+        matches!(&outs[..], [Effect::Send { message: PeerMessage::Rejected(r), .. }] if r.promised == newer)
     );
 }
 
@@ -267,7 +267,7 @@
         &mut outs,
     );
     assert_eq!(
-        outs.iter().any(|o| matches!(o, Effect::Keep { .. })),
+        outs.iter().any(|o| matches!(o, Effect::Persist { .. })),
         takes_part
     );
 }
@@ -318,7 +318,7 @@
                 outs.iter().any(|o| matches!(
                     o,
                     Effect::Send {
-                        word: PeerMessage::Rejected(_),
+                        message: PeerMessage::Rejected(_),
                         ..
                     }
                 )),
--- a/crates/linenthread-control/src/contact.rs
+++ b/crates/linenthread-control/src/contact.rs
@@ -14,7 +14,7 @@
 
     /// More than half of the voters hear this node and are heard by it.
     pub fn in_contact(&self, now: u64) -> bool {
-        self.register.is_most(self.disks_in_contact(now))
+        self.register.is_majority(self.disks_in_contact(now))
     }
 
     /// Runs before all that comes: after a pause everything that rests on contact is stale, so all sessions
--- a/crates/linenthread-control/src/leader.rs
+++ b/crates/linenthread-control/src/leader.rs
@@ -61,7 +61,7 @@
         request: &LeaseRequest,
         effects: &mut Vec<Effect>,
     ) {
-        let number = Some(self.value_number()).filter(|_| !self.register.in_doubt());
+        let number = Some(self.value_number()).filter(|_| !self.register.has_undecided());
         let vote = PeerMessage::LeaseVote(self.lease.on_lease_request(now, from, request, number));
         let epoch = self.lease.epoch();
         if epoch > self.durable.epoch {
@@ -90,7 +90,7 @@
         let held = self.lease.holds(now).is_some();
         if !self
             .lease
-            .on_lease_vote(now, from, vote, number, |disks| register.is_most(disks))
+            .on_lease_vote(now, from, vote, number, |disks| register.is_majority(disks))
         {
             return;
         }
--- a/crates/linenthread-control/src/node.rs
+++ b/crates/linenthread-control/src/node.rs
@@ -198,8 +198,8 @@
 
     fn carry_out(&mut self, now: u64, effect: Agreed, effects: &mut Vec<Effect>) {
         match effect {
-            Agreed::Send { to, word } => self.post(to, word, effects),
-            Agreed::Keep { record, then } => effects.push(Effect::Keep { record, then }),
+            Agreed::Send { to, message: word } => self.post(to, word, effects),
+            Agreed::Persist { record, then } => effects.push(Effect::Keep { record, then }),
             Agreed::Decided(value) => self.on_decided(now, &value, effects),
             Agreed::Reply { job, outcome } => self.on_outcome(now, job, outcome, effects),
         }
@@ -257,7 +257,7 @@
         let outcome = if self.in_contact(now) {
             outcome
         } else {
-            Outcome::Unclear
+            Outcome::Unknown
         };
         match self.requests.take(job) {
             Some(Purpose::Call(token)) => {
@@ -390,7 +390,7 @@
 
     /// What stays in doubt is decided one way or the other: no lease is voted for meanwhile.
     fn complete_what_is_in_doubt(&mut self, now: u64, effects: &mut Vec<Effect>) {
-        self.doubts = if self.register.in_doubt() {
+        self.doubts = if self.register.has_undecided() {
             self.doubts + 1
         } else {
             0
--- a/crates/linenthread-control/src/replica_calls.rs
+++ b/crates/linenthread-control/src/replica_calls.rs
@@ -103,7 +103,7 @@
         let register = &self.register;
         let settled = self
             .drains
-            .settle(now, |disks| register.is_most(disks.iter().copied()));
+            .settle(now, |disks| register.is_majority(disks.iter().copied()));
         effects.extend(
             settled
                 .into_iter()
--- a/crates/linenthread-control/src/replicas.rs
+++ b/crates/linenthread-control/src/replicas.rs
@@ -213,7 +213,7 @@
     fn sum(&self) -> u64 {
         let one = |k: &Known| {
             let r = &k.told;
-            linenthread_consensus::digest(
+            linenthread_consensus::fnv1a_64(
                 format!("{} {} {} {}", r.id, r.backend, r.address, r.draining).as_bytes(),
             )
         };
--- a/crates/linenthread-control/src/requests.rs
+++ b/crates/linenthread-control/src/requests.rs
@@ -43,9 +43,9 @@
 /// The answer to an operator's call.
 pub(crate) fn answer(outcome: Outcome) -> Answer {
     match outcome {
-        Outcome::Taken(revision) => Answer::Taken(revision),
+        Outcome::Committed(revision) => Answer::Taken(revision),
         Outcome::Conflict(revision) => Answer::Conflict(revision),
         Outcome::Newest(value) => Answer::Document(value),
-        Outcome::Unclear => Answer::NotNow("no word of more than half of the voters"),
+        Outcome::Unknown => Answer::NotNow("no word of more than half of the voters"),
     }
 }
--- a/crates/linenthread-control/src/voters.rs
+++ b/crates/linenthread-control/src/voters.rs
@@ -162,7 +162,7 @@
                 .any(|peer| peer.reached < self.leaving),
             reconfiguring: self.reconfigures(now)
                 || self.members.contacts(now).any(|peer| peer.reconfiguring),
-            in_doubt: self.register.in_doubt(),
+            in_doubt: self.register.has_undecided(),
             busy: self.requests.has_calls() || self.changes_voters || !self.drains.is_empty(),
             leads: self.lease.holds(now).is_some(),
         })
--- a/crates/linenthread-dataplane/src/data_plane.rs
+++ b/crates/linenthread-dataplane/src/data_plane.rs
@@ -269,7 +269,7 @@
         if let Some(dispatcher) = self.dispatchers.borrow().get(&key) {
             return dispatcher.clone();
         }
-        let seed = self.seed ^ linenthread_consensus::digest(format!("{key:?}").as_bytes());
+        let seed = self.seed ^ linenthread_consensus::fnv1a_64(format!("{key:?}").as_bytes());
         let dispatcher = Dispatcher::new(key.0.as_slice().into(), tries, &self.settings, seed);
         let pools = self.services.borrow();
         let here: Pools<C> = key
@@ -299,7 +299,7 @@
         let dispatcher = match &planned.target {
             Target::All(services) => self.dispatcher(services, tries),
             one => {
-                let drawn = linenthread_consensus::digest(request.attempt.as_bytes()) >> 11;
+                let drawn = linenthread_consensus::fnv1a_64(request.attempt.as_bytes()) >> 11;
                 let service = one.drawn(drawn as f64 / (1u64 << 53) as f64);
                 self.dispatcher(service.map_or(&[][..], std::slice::from_ref), tries)
             }
--- a/crates/linenthread-dataplane/src/dispatcher.rs
+++ b/crates/linenthread-dataplane/src/dispatcher.rs
@@ -443,7 +443,7 @@
         (_, true) => Phase::Draining,
         _ => Phase::Ready,
     };
-    let id = linenthread_consensus::digest(pool.ident.as_bytes());
+    let id = linenthread_consensus::fnv1a_64(pool.ident.as_bytes());
     let site = zones.number_of(&pool.zone);
     Listed {
         replica,
--- a/crates/linenthread-dataplane/src/serve.rs
+++ b/crates/linenthread-dataplane/src/serve.rs
@@ -191,7 +191,7 @@
         head.method() == "HEAD",
         planned.route.fanout.is_some(),
     );
-    let key = linenthread_consensus::digest(head.target().as_bytes());
+    let key = linenthread_consensus::fnv1a_64(head.target().as_bytes());
     let (dispatcher, lookup, mut answer) = plane.take(Rc::new(request), planned, key, deadline);
     tokio::select! {
         biased;
--- a/crates/linenthread-dataplane/src/zones.rs
+++ b/crates/linenthread-dataplane/src/zones.rs
@@ -24,7 +24,7 @@
     /// Near ones first.
     pub fn ways(&self) -> Vec<WayTo> {
         let way = |(number, zone): (usize, &String)| WayTo {
-            id: linenthread_consensus::digest(zone.as_bytes()),
+            id: linenthread_consensus::fnv1a_64(zone.as_bytes()),
             distance: u8::from(number > 0),
             open: OPEN,
         };
--- a/crates/linenthread-drill/src/system/contact.rs
+++ b/crates/linenthread-drill/src/system/contact.rs
@@ -36,7 +36,7 @@
         };
         let own = register.id();
         let voters = register.voters().iter().map(|v| v.id);
-        if !register.is_most(voters.filter(|id| *id == own || recent(id))) {
+        if !register.is_majority(voters.filter(|id| *id == own || recent(id))) {
             let heard = register.voters().iter().filter(|v| recent(&v.id)).count();
             let (of, up) = (register.voters().len(), self.now - node.began);
             let what =
--- a/crates/linenthread-drill/src/system/judge.rs
+++ b/crates/linenthread-drill/src/system/judge.rs
@@ -367,7 +367,7 @@
                     base: change.base,
                     digest,
                 };
-                if !register.ledger().contains(&order) {
+                if !register.order_log().contains(&order) {
                     missing.push((n, change.revision));
                 }
             }
