--- a/crates/linenthread-checker/src/step.rs
+++ b/crates/linenthread-checker/src/step.rs
@@ -225,7 +225,9 @@
         let from = self.world.nodes[place].inner.id;
         for effect in effects {
             match effect {
-                Effect::Send { to, message: word } => self.post(from, InFlight::new(from, to, word)),
+                Effect::Send { to, message: word } => {
+                    self.post(from, InFlight::new(from, to, word));
+                }
                 Effect::Persist { record, then } => self.keep(place, record, then),
                 Effect::Decided(value) => self.decided(from, &value),
                 Effect::Reply { job, outcome } => self.reply(job, &outcome),
--- a/crates/linenthread-consensus/src/durability.rs
+++ b/crates/linenthread-consensus/src/durability.rs
@@ -84,7 +84,12 @@
         self.persist_order_log(now, orders, effects);
     }
 
-    fn persist_order_log(&mut self, now: u64, orders: Vec<OrderIdentity>, effects: &mut Vec<Effect>) {
+    fn persist_order_log(
+        &mut self,
+        now: u64,
+        orders: Vec<OrderIdentity>,
+        effects: &mut Vec<Effect>,
+    ) {
         self.ledger_at = now;
         self.ledger_handed_over += 1;
         let record = Record {
--- a/crates/linenthread-consensus/src/lease.rs
+++ b/crates/linenthread-consensus/src/lease.rs
@@ -108,7 +108,7 @@
             epoch,
             request_id: asked,
             lease_ms: LEASE as u32,
-            incarnation: incarnation,
+            incarnation,
             value_number: number,
         };
         self.request = Some((request.clone(), now));
--- a/crates/linenthread-consensus/src/register.rs
+++ b/crates/linenthread-consensus/src/register.rs
@@ -8,9 +8,9 @@
 use crate::durability::Durability;
 use crate::durable_state::DurableState;
 use crate::effects::{Effect, Job, Outcome};
+use crate::order::Change;
 use crate::order_log::OrderLog;
 use crate::order_log_catch_up::OrderLogCatchUp;
-use crate::order::Change;
 use crate::proposer::{LearnedFrom, Proposer};
 use crate::reader::{ReadStep, Reader};
 
@@ -167,7 +167,8 @@
             self.durability.persist_value(now, value, effects);
         }
         let orders = self.decided.order_log().iter().collect();
-        self.durability.persist_complete_order_log(now, orders, effects);
+        self.durability
+            .persist_complete_order_log(now, orders, effects);
     }
 
     /// A message from the node of a disk; what is not for the register is passed over. What is too old by `now` ends
--- a/crates/linenthread-consensus/tests/orders.rs
+++ b/crates/linenthread-consensus/tests/orders.rs
@@ -3,7 +3,9 @@
 mod common;
 
 use common::{Cluster, order};
-use linenthread_consensus::{MAX_LOGGED_ORDERS, OrderLog, MAX_ORDERS_PER_MESSAGE, Outcome, document_digest};
+use linenthread_consensus::{
+    MAX_LOGGED_ORDERS, MAX_ORDERS_PER_MESSAGE, OrderLog, Outcome, document_digest,
+};
 use linenthread_messages::{OrderIdentity, PeerMessage};
 use yare::parameterized;
 
@@ -20,13 +22,19 @@
 #[test]
 fn of_two_orders_under_one_number_one_wins_and_the_other_is_refused_at_each_node() {
     let mut cluster = Cluster::new(3);
-    assert_eq!(cluster.order(1, order(0, 1, "first")), Outcome::Committed(1));
+    assert_eq!(
+        cluster.order(1, order(0, 1, "first")),
+        Outcome::Committed(1)
+    );
     for at in 1..=3 {
         assert_eq!(
             cluster.order(at, order(0, 1, "second")),
             Outcome::Conflict(1)
         );
-        assert_eq!(cluster.order(at, order(0, 1, "first")), Outcome::Committed(1));
+        assert_eq!(
+            cluster.order(at, order(0, 1, "first")),
+            Outcome::Committed(1)
+        );
     }
     cluster.take_orders(2, 2..=100);
     cluster.restart_all();
@@ -36,7 +44,10 @@
             cluster.order(at, order(0, 1, "second")),
             Outcome::Conflict(100)
         );
-        assert_eq!(cluster.order(at, order(0, 1, "first")), Outcome::Committed(1));
+        assert_eq!(
+            cluster.order(at, order(0, 1, "first")),
+            Outcome::Committed(1)
+        );
     }
 }
 
@@ -102,7 +113,10 @@
         cluster.order(2, order(0, 1, "second")),
         Outcome::Conflict(1)
     );
-    assert_eq!(cluster.order(3, order(0, 1, "first")), Outcome::Committed(1));
+    assert_eq!(
+        cluster.order(3, order(0, 1, "first")),
+        Outcome::Committed(1)
+    );
 }
 
 #[parameterized(taken = { "1" }, refused = { "other" })]
@@ -121,7 +135,10 @@
     cluster.heal();
     // It learns the newest value, and gets no answer about the orders before its last ones.
     cluster.lose(|_, _, message| matches!(message, PeerMessage::OrderLogEntries(_)));
-    assert_eq!(cluster.order(3, order(99, 100, "100")), Outcome::Committed(100));
+    assert_eq!(
+        cluster.order(3, order(99, 100, "100")),
+        Outcome::Committed(100)
+    );
     assert!(!cluster.register(3).order_log_complete());
     assert_eq!(cluster.order(3, order(39, 40, "40")), Outcome::Unknown);
     assert_eq!(cluster.order(3, order(39, 40, "other")), Outcome::Unknown);
@@ -132,7 +149,10 @@
     cluster.lose(|_, _, _| false);
     cluster.pass_time(1_000);
     assert!(cluster.register(3).order_log_complete());
-    assert_eq!(cluster.order(3, order(39, 40, "40")), Outcome::Committed(40));
+    assert_eq!(
+        cluster.order(3, order(39, 40, "40")),
+        Outcome::Committed(40)
+    );
     assert_eq!(
         cluster.order(3, order(39, 40, "other")),
         Outcome::Conflict(100)
--- a/crates/linenthread-control/src/log.rs
+++ b/crates/linenthread-control/src/change_log.rs
@@ -16,7 +16,7 @@
         }
     }
 
-    pub fn place(&self) -> u64 {
+    pub fn offset(&self) -> u64 {
         self.place
     }
 
--- a/crates/linenthread-control/src/contact.rs
+++ b/crates/linenthread-control/src/contact.rs
@@ -3,9 +3,9 @@
 use linenthread_messages::{DurableProgress, Heartbeat, PeerMessage};
 
 use crate::timing::{PAUSE, STARTING};
-use crate::{Answer, Control, Effect, Link};
+use crate::{ControlNode, Effect, Response, SessionId};
 
-impl Control {
+impl ControlNode {
     /// Disks in contact, this one too.
     pub(crate) fn disks_in_contact(&self, now: u64) -> Vec<u64> {
         let others = self.members.contacts(now).map(|peer| peer.hello.node_id);
@@ -25,7 +25,7 @@
         if paused <= PAUSE {
             return;
         }
-        effects.push(Effect::Note(format!("event=woken paused_ms={paused}")));
+        effects.push(Effect::Log(format!("event=woken paused_ms={paused}")));
         for link in self.members.links().into_iter().chain(self.fronts.links()) {
             self.drop_session(now, link, effects);
         }
@@ -41,12 +41,12 @@
                 self.contact_since = Some(now);
                 for link in self.fronts.links() {
                     self.confirm(now, link, effects);
-                    self.tell(now, link, effects);
+                    self.update_ingress_node(now, link, effects);
                 }
             }
             (false, Some(_)) => {
                 self.contact_since = None;
-                effects.push(Effect::Note("event=contact_lost".into()));
+                effects.push(Effect::Log("event=contact_lost".into()));
                 self.drop_fronts(now, effects);
             }
             _ => {}
@@ -62,29 +62,29 @@
     // --- calls ---
 
     /// Why a call is not taken at all, if so: this node leaves, or is out of contact with a majority.
-    pub(crate) fn refusal(&self, now: u64) -> Option<Answer> {
+    pub(crate) fn refusal(&self, now: u64) -> Option<Response> {
         if self.leaving.is_some() {
             return Some(self.sent_on(now));
         }
-        (!self.in_contact(now)).then_some(Answer::NotNow(
+        (!self.in_contact(now)).then_some(Response::Unavailable(
             "no contact with more than half of the voters",
         ))
     }
 
     /// The same for calls that a round of the voters settles: while the node starts that may come in time.
-    pub(crate) fn refusal_of_round(&self, now: u64) -> Option<Answer> {
+    pub(crate) fn refusal_of_round(&self, now: u64) -> Option<Response> {
         self.refusal(now)
             .filter(|_| self.leaving.is_some() || now >= self.began + STARTING)
     }
 
     /// Calls that come while it leaves go to another control node.
-    fn sent_on(&self, now: u64) -> Answer {
+    fn sent_on(&self, now: u64) -> Response {
         let other = self
             .members
             .contacts(now)
             .find(|peer| peer.takes_calls(now));
-        other.map_or(Answer::NotNow("about to end"), |peer| {
-            Answer::Elsewhere(peer.hello.control_address.clone())
+        other.map_or(Response::Unavailable("about to end"), |peer| {
+            Response::Redirect(peer.hello.control_address.clone())
         })
     }
 
@@ -107,7 +107,7 @@
     pub(crate) fn send_heartbeat(
         &self,
         now: u64,
-        link: Link,
+        link: SessionId,
         echo: Option<u64>,
         effects: &mut Vec<Effect>,
     ) {
@@ -115,7 +115,10 @@
             echoed_sent_at: echo,
             ..self.heartbeat(now)
         });
-        effects.push(Effect::Send { link, word });
+        effects.push(Effect::Send {
+            session: link,
+            message: word,
+        });
     }
 
     pub(crate) fn send_heartbeats(&self, now: u64, effects: &mut Vec<Effect>) {
@@ -125,12 +128,15 @@
                 echoed_sent_at: peer.echo,
                 ..heartbeat.clone()
             });
-            effects.push(Effect::Send { link, word });
+            effects.push(Effect::Send {
+                session: link,
+                message: word,
+            });
         }
         for link in self.fronts.links() {
             effects.push(Effect::Send {
-                link,
-                word: PeerMessage::Heartbeat(heartbeat.clone()),
+                session: link,
+                message: PeerMessage::Heartbeat(heartbeat.clone()),
             });
         }
     }
@@ -138,7 +144,7 @@
     pub(crate) fn on_heartbeat(
         &mut self,
         now: u64,
-        link: Link,
+        link: SessionId,
         heartbeat: &Heartbeat,
         effects: &mut Vec<Effect>,
     ) {
@@ -174,14 +180,14 @@
         });
         for (link, _) in self.members.iter() {
             effects.push(Effect::Send {
-                link,
-                word: message.clone(),
+                session: link,
+                message: message.clone(),
             });
         }
         self.voters_may_change(now);
     }
 
-    pub(crate) fn on_durable(&mut self, now: u64, link: Link, durable: &DurableProgress) {
+    pub(crate) fn on_durable(&mut self, now: u64, link: SessionId, durable: &DurableProgress) {
         if let Some(peer) = self.members.get_mut(link) {
             peer.durable = peer.durable.max(durable.value_number);
         }
--- a/crates/linenthread-control/src/node.rs
+++ b/crates/linenthread-control/src/control_node.rs
@@ -8,23 +8,23 @@
     DurableProgress, IngressSession, PeerMessage, QuotaGrants, Record, Replica, Value,
 };
 
-use crate::allotments::Allotter;
 use crate::dialling::Addresses;
 use crate::drains::Drains;
-use crate::fronts::Fronts;
+use crate::ingress_nodes::IngressNodes;
 use crate::membership::Membership;
+use crate::quota::QuotaAllocator;
 use crate::requests::{Purpose, Requests, answer};
 use crate::timing::{BATCH, SOON, STARTING, TICK, WRITE_REPLICAS};
-use crate::{Budget, Effect, Local, ReplicaRegistry};
+use crate::{Effect, NodeConfig, ReplicaRegistry, RetryBudget};
 
 /// One control node.
-pub struct Control {
-    pub(crate) local: Local,
+pub struct ControlNode {
+    pub(crate) local: NodeConfig,
     pub(crate) register: Register,
     pub(crate) lease: LeaderLease,
-    pub(crate) allotter: Allotter,
+    pub(crate) quota_allocator: QuotaAllocator,
     pub(crate) registry: ReplicaRegistry,
-    pub(crate) fronts: Fronts,
+    pub(crate) fronts: IngressNodes,
     pub(crate) members: Membership,
     pub(crate) addresses: Addresses,
     pub(crate) requests: Requests,
@@ -54,29 +54,29 @@
     last_tick: u64,
 }
 
-impl Control {
+impl ControlNode {
     /// From what the disk holds; `genesis` is value 0 where all start for the first time.
     pub fn new(
-        local: Local,
+        local: NodeConfig,
         id: u64,
         mut kept: DurableState,
         genesis: Option<Value>,
         now: u64,
-    ) -> Control {
+    ) -> ControlNode {
         let replicas = std::mem::take(&mut kept.replicas);
-        let budget = Budget::new(local.retry_allowance, local.retry_window);
+        let budget = RetryBudget::new(local.retry_allowance, local.retry_window);
         let durable = DurableProgress {
             value_number: None,
             epoch: kept.epoch,
         };
-        let mut control = Control {
-            lease: LeaderLease::new(id, local.life, now, local.first_of_all, kept.epoch),
-            register: Register::new(id, kept, genesis, local.life),
-            allotter: Allotter::new(budget, local.first_of_all),
+        let mut control = ControlNode {
+            lease: LeaderLease::new(id, local.incarnation, now, local.is_genesis, kept.epoch),
+            register: Register::new(id, kept, genesis, local.incarnation),
+            quota_allocator: QuotaAllocator::new(budget, local.is_genesis),
             registry: ReplicaRegistry::default(),
-            fronts: Fronts::new(local.life),
+            fronts: IngressNodes::new(local.incarnation),
             members: Membership::default(),
-            addresses: Addresses::new(local.control.clone(), local.bootstrap.clone(), now),
+            addresses: Addresses::new(local.control_address.clone(), local.bootstrap.clone(), now),
             requests: Requests::default(),
             drains: Drains::default(),
             began: now,
@@ -126,7 +126,7 @@
     }
 
     /// All fronts with a session anywhere, by name.
-    pub fn fronts(&self) -> std::collections::BTreeMap<String, IngressSession> {
+    pub fn ingress_sessions(&self) -> std::collections::BTreeMap<String, IngressSession> {
         self.fronts.all()
     }
 
@@ -152,8 +152,8 @@
             self.own_messages.push_back(message);
         } else if let Some(link) = self.members.link_of(to) {
             effects.push(Effect::Send {
-                link,
-                word: message,
+                session: link,
+                message,
             });
         }
     }
@@ -172,7 +172,7 @@
             };
             then.push((self.register.id(), PeerMessage::DurableProgress(durable)));
         }
-        effects.push(Effect::Keep { record, then });
+        effects.push(Effect::Persist { record, then });
     }
 
     /// Drives the register until it has nothing more to say.
@@ -199,7 +199,7 @@
     fn carry_out(&mut self, now: u64, effect: Agreed, effects: &mut Vec<Effect>) {
         match effect {
             Agreed::Send { to, message: word } => self.post(to, word, effects),
-            Agreed::Persist { record, then } => effects.push(Effect::Keep { record, then }),
+            Agreed::Persist { record, then } => effects.push(Effect::Persist { record, then }),
             Agreed::Decided(value) => self.on_decided(now, &value, effects),
             Agreed::Reply { job, outcome } => self.on_outcome(now, job, outcome, effects),
         }
@@ -224,7 +224,7 @@
     }
 
     fn on_decided(&mut self, now: u64, value: &Value, effects: &mut Vec<Effect>) {
-        effects.push(Effect::Note(format!(
+        effects.push(Effect::Log(format!(
             "event=decided number={} revision={} counted={}",
             value.number,
             value.revision,
@@ -247,7 +247,7 @@
             self.send_value(link, effects);
         }
         for link in self.fronts.links() {
-            self.tell(now, link, effects);
+            self.update_ingress_node(now, link, effects);
         }
     }
 
@@ -260,17 +260,17 @@
             Outcome::Unknown
         };
         match self.requests.take(job) {
-            Some(Purpose::Call(token)) => {
-                effects.push(Effect::Answer {
-                    token,
-                    answer: answer(outcome),
+            Some(Purpose::Call(call)) => {
+                effects.push(Effect::Respond {
+                    call,
+                    response: answer(outcome),
                 });
             }
             Some(Purpose::Confirmation(link)) => {
                 if let Some(front) = self.fronts.get_mut(link) {
                     front.confirming = false;
                     front.confirmed |= matches!(outcome, Outcome::Newest(_));
-                    self.tell(now, link, effects);
+                    self.update_ingress_node(now, link, effects);
                 }
             }
             Some(Purpose::Voters) => {
@@ -298,8 +298,8 @@
         now < self.began + STARTING && !self.in_contact(now)
     }
 
-    /// When [`Control::tick`] is due at the latest.
-    pub fn due(&self, now: u64) -> u64 {
+    /// When [`ControlNode::tick`] is due at the latest.
+    pub fn next_tick_at(&self, now: u64) -> u64 {
         let waits = self.leaving.is_some() || self.register.is_busy() || !self.drains.is_empty();
         let soon = if waits || self.searches(now) {
             self.last_run + SOON
@@ -349,7 +349,7 @@
 
     /// Silence counts only where it could have been heard.
     fn expire_replicas(&mut self, now: u64, effects: &mut Vec<Effect>) {
-        let silence = 3 * self.local.heartbeat + 1_000;
+        let silence = 3 * self.local.heartbeat_interval + 1_000;
         let settled = self
             .contact_since
             .is_some_and(|since| now > since + silence);
@@ -362,7 +362,7 @@
             return;
         }
         for ident in self.registry.expire(now, silence) {
-            effects.push(Effect::Note(format!("event=replica_silent ident={ident}")));
+            effects.push(Effect::Log(format!("event=replica_silent ident={ident}")));
             self.fronts.changes.add(&ident);
         }
     }
@@ -382,8 +382,13 @@
         self.complete_what_is_in_doubt(now, effects);
         self.ask_for_lease(now, effects);
         if let Some(epoch) = self.lease.holds(now) {
-            let allotments = self.allotter.allot(now, epoch, &self.fronts.all());
-            self.send_allotments(QuotaGrants { grants: allotments }, effects);
+            let quota_grants = self.quota_allocator.allot(now, epoch, &self.fronts.all());
+            self.send_quota_grants(
+                QuotaGrants {
+                    grants: quota_grants,
+                },
+                effects,
+            );
             self.keep_voters(now, epoch, effects);
         }
     }
@@ -413,20 +418,20 @@
 
     /// Replicas are on disk so that a start of all machines at once need not wait for their heartbeats.
     fn write_replicas(&mut self, now: u64, effects: &mut Vec<Effect>) {
-        let place = self.fronts.changes.place();
+        let place = self.fronts.changes.offset();
         if place == self.written.0 || now < self.written.1 + WRITE_REPLICAS {
             return;
         }
         self.written = (place, now);
-        let here = self.registry.iter().filter(|known| !known.told.removed);
+        let here = self.registry.iter().filter(|known| !known.replica.removed);
         let replicas: Vec<Replica> = here
             .map(|known| Replica {
                 age_ms: 0,
                 warmup_ms: 0,
-                ..known.tell(now)
+                ..known.snapshot(now)
             })
             .collect();
-        effects.push(Effect::Keep {
+        effects.push(Effect::Persist {
             record: Record {
                 replicas,
                 ..Record::default()
--- a/crates/linenthread-control/src/drains.rs
+++ b/crates/linenthread-control/src/drains.rs
@@ -4,10 +4,10 @@
 use std::collections::BTreeSet;
 
 use crate::timing::CALL;
-use crate::{Answer, Token};
+use crate::{CallId, Response};
 
 struct Drain {
-    token: Token,
+    call: CallId,
     ident: String,
     receipt: u64,
     until: u64,
@@ -41,10 +41,10 @@
     }
 
     /// A call waits from now on; the number that receipts of it are to name.
-    pub(crate) fn begin(&mut self, now: u64, token: Token, ident: &str, own_disk: u64) -> u64 {
+    pub(crate) fn begin(&mut self, now: u64, call: CallId, ident: &str, own_disk: u64) -> u64 {
         self.receipts += 1;
         self.waiting.push(Drain {
-            token,
+            call,
             ident: ident.to_owned(),
             receipt: self.receipts,
             until: now + CALL,
@@ -75,20 +75,20 @@
         &mut self,
         now: u64,
         is_majority: impl Fn(&BTreeSet<u64>) -> bool,
-    ) -> Vec<(Token, Answer)> {
+    ) -> Vec<(CallId, Response)> {
         let known = &mut self.known_by_majority;
         let mut answers = Vec::new();
         self.waiting.retain(|drain| {
             // What waited through a freeze is late, whoever may have said since that it knows.
             let answer = if now >= drain.until {
-                Answer::NotNow("too few others know of it")
+                Response::Unavailable("too few others know of it")
             } else if is_majority(&drain.known_by) {
                 known.insert(drain.ident.clone());
-                Answer::Heard(None)
+                Response::Acknowledged(None)
             } else {
                 return true;
             };
-            answers.push((drain.token, answer));
+            answers.push((drain.call, answer));
             false
         });
         answers
--- a/crates/linenthread-control/src/fronts.rs
+++ b/crates/linenthread-control/src/ingress_nodes.rs
@@ -6,7 +6,7 @@
 
 use crate::dialling::Addresses;
 use crate::timing::SILENT;
-use crate::{ChangeLog, Link, ReplicaRegistry};
+use crate::{ChangeLog, ReplicaRegistry, SessionId};
 
 /// Places that the log of changes remembers.
 const PLACES: usize = 4_096;
@@ -39,17 +39,17 @@
 }
 
 /// All sessions of fronts, and the log of changes that they follow.
-pub(crate) struct Fronts {
+pub(crate) struct IngressNodes {
     life: u64,
-    sessions: BTreeMap<Link, FrontSession>,
+    sessions: BTreeMap<SessionId, FrontSession>,
     /// Sessions that other control nodes hold, by the link with each.
-    elsewhere: BTreeMap<Link, Vec<IngressSession>>,
+    elsewhere: BTreeMap<SessionId, Vec<IngressSession>>,
     pub(crate) changes: ChangeLog,
 }
 
-impl Fronts {
-    pub(crate) fn new(life: u64) -> Fronts {
-        Fronts {
+impl IngressNodes {
+    pub(crate) fn new(life: u64) -> IngressNodes {
+        IngressNodes {
             life,
             sessions: BTreeMap::new(),
             elsewhere: BTreeMap::new(),
@@ -57,7 +57,7 @@
         }
     }
 
-    pub(crate) fn open(&mut self, now: u64, link: Link, hello: Hello) {
+    pub(crate) fn open(&mut self, now: u64, link: SessionId, hello: Hello) {
         let session = FrontSession {
             heard: now,
             told_revision: hello.value_number,
@@ -74,24 +74,24 @@
     }
 
     /// The link has ended, with a front or with a control node that told of its fronts.
-    pub(crate) fn close(&mut self, link: Link) -> Option<FrontSession> {
+    pub(crate) fn close(&mut self, link: SessionId) -> Option<FrontSession> {
         self.elsewhere.remove(&link);
         self.sessions.remove(&link)
     }
 
-    pub(crate) fn get(&self, link: Link) -> Option<&FrontSession> {
+    pub(crate) fn get(&self, link: SessionId) -> Option<&FrontSession> {
         self.sessions.get(&link)
     }
 
-    pub(crate) fn get_mut(&mut self, link: Link) -> Option<&mut FrontSession> {
+    pub(crate) fn get_mut(&mut self, link: SessionId) -> Option<&mut FrontSession> {
         self.sessions.get_mut(&link)
     }
 
-    pub(crate) fn links(&self) -> Vec<Link> {
+    pub(crate) fn links(&self) -> Vec<SessionId> {
         self.sessions.keys().copied().collect()
     }
 
-    pub(crate) fn silent(&self, now: u64) -> Vec<Link> {
+    pub(crate) fn silent(&self, now: u64) -> Vec<SessionId> {
         let silent = |session: &FrontSession| now > session.heard + SILENT;
         self.sessions
             .iter()
@@ -101,7 +101,7 @@
     }
 
     /// Sessions of earlier lives of the same front: they are over, whatever their connections say.
-    pub(crate) fn superseded(&self, hello: &Hello) -> Vec<Link> {
+    pub(crate) fn superseded(&self, hello: &Hello) -> Vec<SessionId> {
         let old = |s: &FrontSession| {
             s.hello.name == hello.name && s.hello.incarnation != hello.incarnation
         };
@@ -112,7 +112,7 @@
             .collect()
     }
 
-    pub(crate) fn link_of(&self, name: &str, life: u64) -> Option<Link> {
+    pub(crate) fn link_of(&self, name: &str, life: u64) -> Option<SessionId> {
         let is = |s: &FrontSession| s.hello.name == name && s.hello.incarnation == life;
         self.sessions
             .iter()
@@ -129,7 +129,7 @@
 
     /// What this node tells the others of its sessions.
     pub(crate) fn own(&self) -> Vec<IngressSession> {
-        let told = |s: &FrontSession| IngressSession {
+        let replica = |s: &FrontSession| IngressSession {
             name: s.hello.name.clone(),
             zone: s.hello.zone.clone(),
             incarnation: s.hello.incarnation,
@@ -137,10 +137,10 @@
             address: String::new(),
             revision: s.revision,
         };
-        self.sessions.values().map(told).collect()
+        self.sessions.values().map(replica).collect()
     }
 
-    pub(crate) fn learn_elsewhere(&mut self, link: Link, sessions: Vec<IngressSession>) {
+    pub(crate) fn learn_elsewhere(&mut self, link: SessionId, sessions: Vec<IngressSession>) {
         self.elsewhere.insert(link, sessions);
     }
 
@@ -164,10 +164,10 @@
     pub(crate) fn update(
         &mut self,
         now: u64,
-        link: Link,
+        link: SessionId,
         source: &Source,
     ) -> Option<IngressUpdate> {
-        let place = self.changes.place();
+        let place = self.changes.offset();
         let session = self.sessions.get_mut(&link)?;
         let since = session.place.and_then(|place| self.changes.since(place));
         let whole = since.is_none();
@@ -175,12 +175,12 @@
             Some(idents) => idents
                 .iter()
                 .filter_map(|i| source.registry.get(i))
-                .map(|known| known.tell(now))
+                .map(|known| known.snapshot(now))
                 .collect(),
             None => source
                 .registry
                 .iter()
-                .map(|known| known.tell(now))
+                .map(|known| known.snapshot(now))
                 .collect(),
         };
         let newer = |value: &&Value| session.confirmed && value.revision > session.told_revision;
--- a/crates/linenthread-control/src/leader.rs
+++ b/crates/linenthread-control/src/leader.rs
@@ -3,9 +3,9 @@
 use linenthread_messages::{LeaseRelease, LeaseRequest, LeaseVote, PeerMessage, Record};
 
 use crate::reconfiguration::Leave;
-use crate::{Control, Effect};
+use crate::{ControlNode, Effect};
 
-impl Control {
+impl ControlNode {
     pub(crate) fn ask_for_lease(&mut self, now: u64, effects: &mut Vec<Effect>) {
         if !self.may_lead(now) {
             return;
@@ -16,8 +16,8 @@
         };
         for (link, _) in self.members.iter() {
             effects.push(Effect::Send {
-                link,
-                word: PeerMessage::LeaseRequest(request.clone()),
+                session: link,
+                message: PeerMessage::LeaseRequest(request.clone()),
             });
         }
         self.on_lease_request(now, self.register.id(), &request, effects);
@@ -100,8 +100,8 @@
         let Some(epoch) = self.lease.holds(now).filter(|_| !held) else {
             return;
         };
-        self.allotter.on_lease(now, epoch);
-        effects.push(Effect::Note(format!("event=duty_taken epoch={epoch}")));
+        self.quota_allocator.on_lease(now, epoch);
+        effects.push(Effect::Log(format!("event=duty_taken epoch={epoch}")));
     }
 
     pub(crate) fn on_lease_release(&mut self, from: u64, release: &LeaseRelease) {
@@ -119,7 +119,7 @@
         let Some(release) = self.lease.release(now) else {
             return;
         };
-        effects.push(Effect::Note(format!(
+        effects.push(Effect::Log(format!(
             "event=lease_released epoch={}",
             release.epoch
         )));
--- a/crates/linenthread-control/src/lib.rs
+++ b/crates/linenthread-control/src/lib.rs
@@ -1,5 +1,5 @@
-//! Control of the system as state machines; no I/O, and no clock is read. Times are milliseconds of a steady
-//! clock. [`Control`] is one node. It owns these tables, and routes each message to one of them:
+//! ControlNode of the system as state machines; no I/O, and no clock is read. Times are milliseconds of a steady
+//! clock. [`ControlNode`] is one node. It owns these tables, and routes each message to one of them:
 //!
 //! | table | module |
 //! | --- | --- |
@@ -18,37 +18,37 @@
     reason = "public items of this package are not all documented yet"
 )]
 
-mod allotments;
-mod budget;
-mod configuration;
+mod change_log;
+mod config;
 mod contact;
+mod control_node;
 mod dialling;
 mod drains;
-mod fronts;
-mod interface;
+mod ingress_nodes;
 mod leader;
-mod log;
 mod membership;
-mod node;
+mod orders;
+mod quota;
 pub mod reconfiguration;
-mod replica_calls;
-mod replicas;
+mod replica_registry;
+mod replica_requests;
 mod requests;
+mod retry_budget;
 mod sessions;
 mod state_log;
 mod status;
 mod timing;
 mod voters;
 
-pub use budget::Budget;
-pub use interface::{Answer, Effect, Local};
-pub use log::ChangeLog;
-pub use node::Control;
-pub use replicas::{Beat, Heard, Known, ReplicaRegistry};
+pub use change_log::ChangeLog;
+pub use config::{Effect, NodeConfig, Response};
+pub use control_node::ControlNode;
+pub use replica_registry::{HeartbeatOutcome, KnownReplica, ReplicaHeartbeat, ReplicaRegistry};
+pub use retry_budget::RetryBudget;
 pub use state_log::{OpenedState, StateLog, StateLogError};
 pub use timing::CONTACT;
 
 /// A connection with a peer, named by whoever owns the sockets.
-pub type Link = u64;
+pub type SessionId = u64;
 /// A call that waits for its answer, named by whoever took it.
-pub type Token = u64;
+pub type CallId = u64;
--- a/crates/linenthread-control/src/membership.rs
+++ b/crates/linenthread-control/src/membership.rs
@@ -4,7 +4,7 @@
 
 use linenthread_messages::{Heartbeat, Hello, Voter};
 
-use crate::Link;
+use crate::SessionId;
 use crate::timing::{CONTACT, SILENT, TICK};
 
 /// How often all replicas go to a node that knows something else.
@@ -91,30 +91,30 @@
 /// All sessions with other control nodes, and what is remembered of those that have ended.
 #[derive(Default)]
 pub(crate) struct Membership {
-    peers: BTreeMap<Link, ControlPeer>,
+    peers: BTreeMap<SessionId, ControlPeer>,
     sightings: BTreeMap<String, Sighting>,
     /// Disks of nodes that ended after they had said that they would, and the newest value that each held.
     departed: BTreeMap<u64, u64>,
 }
 
 impl Membership {
-    pub(crate) fn get(&self, link: Link) -> Option<&ControlPeer> {
+    pub(crate) fn get(&self, link: SessionId) -> Option<&ControlPeer> {
         self.peers.get(&link)
     }
 
-    pub(crate) fn get_mut(&mut self, link: Link) -> Option<&mut ControlPeer> {
+    pub(crate) fn get_mut(&mut self, link: SessionId) -> Option<&mut ControlPeer> {
         self.peers.get_mut(&link)
     }
 
-    pub(crate) fn iter(&self) -> impl Iterator<Item = (Link, &ControlPeer)> {
+    pub(crate) fn iter(&self) -> impl Iterator<Item = (SessionId, &ControlPeer)> {
         self.peers.iter().map(|(link, peer)| (*link, peer))
     }
 
-    pub(crate) fn iter_mut(&mut self) -> impl Iterator<Item = (Link, &mut ControlPeer)> {
+    pub(crate) fn iter_mut(&mut self) -> impl Iterator<Item = (SessionId, &mut ControlPeer)> {
         self.peers.iter_mut().map(|(link, peer)| (*link, peer))
     }
 
-    pub(crate) fn links(&self) -> Vec<Link> {
+    pub(crate) fn links(&self) -> Vec<SessionId> {
         self.peers.keys().copied().collect()
     }
 
@@ -128,7 +128,7 @@
     }
 
     /// The newest session with the machine of a disk.
-    pub(crate) fn link_of(&self, disk: u64) -> Option<Link> {
+    pub(crate) fn link_of(&self, disk: u64) -> Option<SessionId> {
         self.iter()
             .filter(|(_, peer)| peer.hello.node_id == disk)
             .map(|(link, _)| link)
@@ -136,7 +136,7 @@
     }
 
     /// Sessions of earlier lives of the same machine: they are over, whatever their connections say.
-    pub(crate) fn superseded(&self, hello: &Hello) -> Vec<Link> {
+    pub(crate) fn superseded(&self, hello: &Hello) -> Vec<SessionId> {
         let old = |peer: &ControlPeer| {
             peer.hello.name == hello.name && peer.hello.incarnation != hello.incarnation
         };
@@ -146,14 +146,14 @@
             .collect()
     }
 
-    pub(crate) fn silent(&self, now: u64) -> Vec<Link> {
+    pub(crate) fn silent(&self, now: u64) -> Vec<SessionId> {
         self.iter()
             .filter(|(_, peer)| now > peer.heard + SILENT)
             .map(|(link, _)| link)
             .collect()
     }
 
-    pub(crate) fn open(&mut self, now: u64, link: Link, hello: Hello) {
+    pub(crate) fn open(&mut self, now: u64, link: SessionId, hello: Hello) {
         let sighting = Sighting {
             disk: hello.node_id,
             counts: hello.is_voter,
@@ -165,7 +165,7 @@
         self.peers.insert(link, ControlPeer::new(now, hello));
     }
 
-    pub(crate) fn close(&mut self, now: u64, link: Link) -> Option<ControlPeer> {
+    pub(crate) fn close(&mut self, now: u64, link: SessionId) -> Option<ControlPeer> {
         let peer = self.peers.remove(&link)?;
         if peer.leaving {
             self.departed
@@ -191,7 +191,7 @@
     pub(crate) fn on_heartbeat(
         &mut self,
         now: u64,
-        link: Link,
+        link: SessionId,
         heartbeat: &Heartbeat,
         digest: u64,
     ) -> Option<HeartbeatNews> {
--- a/crates/linenthread-control/src/configuration.rs
+++ b/crates/linenthread-control/src/orders.rs
@@ -3,20 +3,20 @@
 use linenthread_consensus::Change;
 use linenthread_messages::{PeerMessage, QuotaGrants};
 
-use crate::fronts::Source;
+use crate::ingress_nodes::Source;
 use crate::requests::Purpose;
 use crate::timing::CALL;
-use crate::{Control, Effect, Link, Token};
+use crate::{CallId, ControlNode, Effect, SessionId};
 
 /// A document may take a millisecond more for so many bytes.
 const BYTES_A_MS: u64 = 1_000;
 
-impl Control {
+impl ControlNode {
     /// An operator's order: a whole configuration on top of the revision `base`.
     pub fn replace(
         &mut self,
         now: u64,
-        token: Token,
+        call: CallId,
         base: u64,
         revision: u64,
         document: Vec<u8>,
@@ -24,10 +24,13 @@
     ) {
         self.awake(now, effects);
         if let Some(answer) = self.refusal_of_round(now) {
-            effects.push(Effect::Answer { token, answer });
+            effects.push(Effect::Respond {
+                call,
+                response: answer,
+            });
             return;
         }
-        let job = self.requests.add(Purpose::Call(token));
+        let job = self.requests.add(Purpose::Call(call));
         let until = now + CALL + document.len() as u64 / BYTES_A_MS;
         let change = Change::Document {
             base,
@@ -42,13 +45,16 @@
     }
 
     /// An operator reads the newest configuration.
-    pub fn read(&mut self, now: u64, token: Token, effects: &mut Vec<Effect>) {
+    pub fn read(&mut self, now: u64, call: CallId, effects: &mut Vec<Effect>) {
         self.awake(now, effects);
         if let Some(answer) = self.refusal_of_round(now) {
-            effects.push(Effect::Answer { token, answer });
+            effects.push(Effect::Respond {
+                call,
+                response: answer,
+            });
             return;
         }
-        let job = self.requests.add(Purpose::Call(token));
+        let job = self.requests.add(Purpose::Call(call));
         self.agree(
             now,
             |register, agreed| register.read(now, job, now + CALL, agreed),
@@ -57,7 +63,7 @@
     }
 
     /// Reads what is newest for a front that has just come.
-    pub(crate) fn confirm(&mut self, now: u64, link: Link, effects: &mut Vec<Effect>) {
+    pub(crate) fn confirm(&mut self, now: u64, link: SessionId, effects: &mut Vec<Effect>) {
         if !self.in_contact(now) {
             return;
         }
@@ -77,7 +83,12 @@
     }
 
     /// Tells a front all that it lacks: nothing while out of contact with a majority.
-    pub(crate) fn tell(&mut self, now: u64, link: Link, effects: &mut Vec<Effect>) {
+    pub(crate) fn update_ingress_node(
+        &mut self,
+        now: u64,
+        link: SessionId,
+        effects: &mut Vec<Effect>,
+    ) {
         if !self.in_contact(now) {
             return;
         }
@@ -89,35 +100,42 @@
         };
         if let Some(update) = self.fronts.update(now, link, &source) {
             effects.push(Effect::Send {
-                link,
-                word: PeerMessage::IngressUpdate(update),
+                session: link,
+                message: PeerMessage::IngressUpdate(update),
             });
         }
     }
 
     /// The leader's allotments go to the fronts here, and to the nodes that hold the sessions of others.
-    pub(crate) fn send_allotments(&mut self, allotments: QuotaGrants, effects: &mut Vec<Effect>) {
-        if allotments.grants.is_empty() {
+    pub(crate) fn send_quota_grants(
+        &mut self,
+        quota_grants: QuotaGrants,
+        effects: &mut Vec<Effect>,
+    ) {
+        if quota_grants.grants.is_empty() {
             return;
         }
         for (link, _) in self.members.iter() {
             effects.push(Effect::Send {
-                link,
-                word: PeerMessage::QuotaGrants(allotments.clone()),
+                session: link,
+                message: PeerMessage::QuotaGrants(quota_grants.clone()),
             });
         }
-        self.pass_allotments(allotments, effects);
+        self.pass_allotments(quota_grants, effects);
     }
 
-    pub(crate) fn pass_allotments(&mut self, allotments: QuotaGrants, effects: &mut Vec<Effect>) {
-        for allotment in allotments.grants {
+    pub(crate) fn pass_allotments(&mut self, quota_grants: QuotaGrants, effects: &mut Vec<Effect>) {
+        for allotment in quota_grants.grants {
             let Some(link) = self.fronts.link_of(&allotment.name, allotment.incarnation) else {
                 continue;
             };
             let word = PeerMessage::QuotaGrants(QuotaGrants {
                 grants: vec![allotment],
             });
-            effects.push(Effect::Send { link, word });
+            effects.push(Effect::Send {
+                session: link,
+                message: word,
+            });
         }
     }
 }
--- a/crates/linenthread-control/src/allotments.rs
+++ b/crates/linenthread-control/src/quota.rs
@@ -4,12 +4,12 @@
 
 use linenthread_messages::{IngressSession, QuotaGrant};
 
-use crate::Budget;
-use crate::budget::LEASE;
+use crate::RetryBudget;
+use crate::retry_budget::LEASE;
 
 /// The allotments under the leases that this node held.
-pub(crate) struct Allotter {
-    budget: Budget,
+pub(crate) struct QuotaAllocator {
+    budget: RetryBudget,
     first_of_all: bool,
     /// The epoch under which this life last held the lease.
     last_epoch: Option<u64>,
@@ -17,9 +17,9 @@
     answered: BTreeMap<(String, u64), u64>,
 }
 
-impl Allotter {
-    pub(crate) fn new(budget: Budget, first_of_all: bool) -> Allotter {
-        Allotter {
+impl QuotaAllocator {
+    pub(crate) fn new(budget: RetryBudget, first_of_all: bool) -> QuotaAllocator {
+        QuotaAllocator {
             budget,
             first_of_all,
             last_epoch: None,
@@ -45,7 +45,7 @@
         fronts: &BTreeMap<String, IngressSession>,
     ) -> Vec<QuotaGrant> {
         let many = fronts.len();
-        let mut allotments = Vec::new();
+        let mut quota_grants = Vec::new();
         for (own, session) in fronts.values().enumerate() {
             let key = (session.name.clone(), session.incarnation);
             if session.quota_request == 0 || self.answered.get(&key) == Some(&session.quota_request)
@@ -54,9 +54,9 @@
             }
             let share = self
                 .budget
-                .give(now, &session.name, session.incarnation, many);
+                .grant(now, &session.name, session.incarnation, many);
             self.answered.insert(key, session.quota_request);
-            allotments.push(QuotaGrant {
+            quota_grants.push(QuotaGrant {
                 name: session.name.clone(),
                 incarnation: session.incarnation,
                 quota_request: session.quota_request,
@@ -69,6 +69,6 @@
         }
         self.answered
             .retain(|(name, life), _| fronts.get(name).is_some_and(|s| s.incarnation == *life));
-        allotments
+        quota_grants
     }
 }
--- a/crates/linenthread-control/src/replicas.rs
+++ b/crates/linenthread-control/src/replica_registry.rs
@@ -6,7 +6,7 @@
 
 /// What a replica says of itself with each beat.
 #[derive(Clone, Debug, Deserialize)]
-pub struct Beat {
+pub struct ReplicaHeartbeat {
     pub backend: String,
     pub address: String,
     pub zone: String,
@@ -29,31 +29,36 @@
 
 /// One replica's life. What is told of it is in `told`, but for ages, which are made when it is told.
 #[derive(Clone, Debug)]
-pub struct Known {
-    pub told: Replica,
-    pub heard: u64,
-    pub warm_at: u64,
-    ended_at: u64,
+pub struct KnownReplica {
+    pub replica: Replica,
+    pub last_heartbeat_at: u64,
+    pub warmed_up_at: u64,
+    removed_at: u64,
 }
 
-impl Known {
-    pub fn tell(&self, now: u64) -> Replica {
+impl KnownReplica {
+    pub fn snapshot(&self, now: u64) -> Replica {
         Replica {
-            age_ms: now.saturating_sub(self.heard).min(u64::from(u32::MAX)) as u32,
-            warmup_ms: self.warm_at.saturating_sub(now).min(u64::from(u32::MAX)) as u32,
-            ..self.told.clone()
+            age_ms: now
+                .saturating_sub(self.last_heartbeat_at)
+                .min(u64::from(u32::MAX)) as u32,
+            warmup_ms: self
+                .warmed_up_at
+                .saturating_sub(now)
+                .min(u64::from(u32::MAX)) as u32,
+            ..self.replica.clone()
         }
     }
 }
 
 /// What a piece of news was worth.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Heard {
+pub enum HeartbeatOutcome {
     /// Older than what is known.
-    Late,
+    Stale,
     /// Nothing but a sign of life.
-    Alive,
-    /// Fronts must know.
+    Refreshed,
+    /// IngressNodes must know.
     Changed,
 }
 
@@ -63,17 +68,17 @@
 /// The replicas of all cells, by ident.
 #[derive(Default)]
 pub struct ReplicaRegistry {
-    known: BTreeMap<String, Known>,
+    known: BTreeMap<String, KnownReplica>,
     /// The last digest; none once what it sums up has changed.
     digest: Cell<Option<u64>>,
 }
 
 impl ReplicaRegistry {
-    pub fn get(&self, ident: &str) -> Option<&Known> {
+    pub fn get(&self, ident: &str) -> Option<&KnownReplica> {
         self.known.get(ident)
     }
 
-    pub fn iter(&self) -> impl Iterator<Item = &Known> {
+    pub fn iter(&self) -> impl Iterator<Item = &KnownReplica> {
         self.known.values()
     }
 
@@ -86,93 +91,106 @@
     }
 
     /// Takes what a replica, or another hub, says of it; the idents that changed beside it go to `also`.
-    pub fn observe(&mut self, now: u64, said: &Replica, also: &mut Vec<String>) -> Heard {
+    pub fn observe(
+        &mut self,
+        now: u64,
+        said: &Replica,
+        also: &mut Vec<String>,
+    ) -> HeartbeatOutcome {
         let heard = self.take_in(now, said, also);
-        if heard == Heard::Changed {
+        if heard == HeartbeatOutcome::Changed {
             self.digest.set(None);
         }
         heard
     }
 
-    fn take_in(&mut self, now: u64, said: &Replica, also: &mut Vec<String>) -> Heard {
+    fn take_in(&mut self, now: u64, said: &Replica, also: &mut Vec<String>) -> HeartbeatOutcome {
         let heard = now.saturating_sub(u64::from(said.age_ms));
         let warm_at = now + u64::from(said.warmup_ms);
         if let Some(known) = self.known.get_mut(&said.id) {
-            if known.told.removed_for_good {
-                return Heard::Late;
+            if known.replica.removed_for_good {
+                return HeartbeatOutcome::Stale;
             }
             if said.removed_for_good {
                 (
-                    known.told.removed_for_good,
-                    known.told.removed,
-                    known.ended_at,
+                    known.replica.removed_for_good,
+                    known.replica.removed,
+                    known.removed_at,
                 ) = (true, true, now);
-                return Heard::Changed;
+                return HeartbeatOutcome::Changed;
             }
-            if said.call_count < known.told.call_count {
-                return Heard::Late;
+            if said.call_count < known.replica.call_count {
+                return HeartbeatOutcome::Stale;
             }
-            let same = said.call_count == known.told.call_count;
-            known.heard = known.heard.max(heard);
+            let same = said.call_count == known.replica.call_count;
+            known.last_heartbeat_at = known.last_heartbeat_at.max(heard);
             if same {
-                return Heard::Late;
+                return HeartbeatOutcome::Stale;
             }
-            let back = known.told.removed;
+            let back = known.replica.removed;
             let changed = back
-                || known.told.draining != said.draining
-                || known.told.address != said.address
-                || known.told.backend != said.backend
-                || known.told.capacity != said.capacity
-                || known.told.zone != said.zone;
-            known.told = Replica {
+                || known.replica.draining != said.draining
+                || known.replica.address != said.address
+                || known.replica.backend != said.backend
+                || known.replica.capacity != said.capacity
+                || known.replica.zone != said.zone;
+            known.replica = Replica {
                 age_ms: 0,
                 warmup_ms: 0,
                 removed: false,
                 ..said.clone()
             };
             return if changed {
-                Heard::Changed
+                HeartbeatOutcome::Changed
             } else {
-                Heard::Alive
+                HeartbeatOutcome::Refreshed
             };
         }
-        let mut new = Known {
-            told: Replica {
+        let mut new = KnownReplica {
+            replica: Replica {
                 age_ms: 0,
                 warmup_ms: 0,
                 removed: said.removed_for_good,
                 ..said.clone()
             },
-            heard,
-            warm_at,
-            ended_at: now,
+            last_heartbeat_at: heard,
+            warmed_up_at: warm_at,
+            removed_at: now,
         };
         // Two lives at one address: the one heard of last is there.
         for other in self
             .known
             .values_mut()
-            .filter(|k| !k.told.removed_for_good && k.told.address == said.address)
+            .filter(|k| !k.replica.removed_for_good && k.replica.address == said.address)
         {
-            if new.told.removed_for_good {
+            if new.replica.removed_for_good {
                 break;
             }
-            let old = if other.heard > heard { &mut new } else { other };
-            (old.told.removed_for_good, old.told.removed, old.ended_at) = (true, true, now);
-            also.push(old.told.id.clone());
+            let old = if other.last_heartbeat_at > heard {
+                &mut new
+            } else {
+                other
+            };
+            (
+                old.replica.removed_for_good,
+                old.replica.removed,
+                old.removed_at,
+            ) = (true, true, now);
+            also.push(old.replica.id.clone());
         }
         also.retain(|i| *i != said.id);
         self.known.insert(said.id.clone(), new);
-        Heard::Changed
+        HeartbeatOutcome::Changed
     }
 
     /// A departure; true if it was there.
     pub fn depart(&mut self, now: u64, ident: &str) -> bool {
         match self.known.get_mut(ident) {
-            Some(known) if !known.told.removed_for_good => {
+            Some(known) if !known.replica.removed_for_good => {
                 (
-                    known.told.removed_for_good,
-                    known.told.removed,
-                    known.ended_at,
+                    known.replica.removed_for_good,
+                    known.replica.removed,
+                    known.removed_at,
                 ) = (true, true, now);
                 self.digest.set(None);
                 true
@@ -185,17 +203,17 @@
     /// is the news that does not come. What ended long ago is forgotten.
     pub fn expire(&mut self, now: u64, silence: u64) -> Vec<String> {
         self.known
-            .retain(|_, k| !k.told.removed_for_good || now < k.ended_at + REMEMBERED);
-        let here = self.known.values().filter(|k| !k.told.removed).count();
-        let silent = |k: &Known| !k.told.removed && now > k.heard + silence;
+            .retain(|_, k| !k.replica.removed_for_good || now < k.removed_at + REMEMBERED);
+        let here = self.known.values().filter(|k| !k.replica.removed).count();
+        let silent = |k: &KnownReplica| !k.replica.removed && now > k.last_heartbeat_at + silence;
         let all = self.known.values().filter(|k| silent(k)).count();
         if all * 2 > here {
             return Vec::new();
         }
         let mut gone = Vec::new();
         for known in self.known.values_mut().filter(|k| silent(k)) {
-            known.told.removed = true;
-            gone.push(known.told.id.clone());
+            known.replica.removed = true;
+            gone.push(known.replica.id.clone());
         }
         gone
     }
@@ -211,15 +229,15 @@
     }
 
     fn sum(&self) -> u64 {
-        let one = |k: &Known| {
-            let r = &k.told;
+        let one = |k: &KnownReplica| {
+            let r = &k.replica;
             linenthread_consensus::fnv1a_64(
                 format!("{} {} {} {}", r.id, r.backend, r.address, r.draining).as_bytes(),
             )
         };
         self.known
             .values()
-            .filter(|k| !k.told.removed_for_good)
+            .filter(|k| !k.replica.removed_for_good)
             .map(one)
             .fold(0, u64::wrapping_add)
     }
--- a/crates/linenthread-control/src/replica_calls.rs
+++ b/crates/linenthread-control/src/replica_requests.rs
@@ -2,22 +2,25 @@
 
 use linenthread_messages::{ControlUpdate, PeerMessage, Replica, UpdateAck};
 
-use crate::replicas::{Beat, Heard, Phase};
-use crate::{Control, Effect, Link, Token};
+use crate::replica_registry::{HeartbeatOutcome, Phase, ReplicaHeartbeat};
+use crate::{CallId, ControlNode, Effect, SessionId};
 
-impl Control {
+impl ControlNode {
     /// A replica's heartbeat.
-    pub fn beat(
+    pub fn on_replica_heartbeat(
         &mut self,
         now: u64,
-        token: Token,
+        call: CallId,
         ident: &str,
-        beat: Beat,
+        beat: ReplicaHeartbeat,
         effects: &mut Vec<Effect>,
     ) {
         self.awake(now, effects);
         if let Some(answer) = self.refusal(now) {
-            effects.push(Effect::Answer { token, answer });
+            effects.push(Effect::Respond {
+                call,
+                response: answer,
+            });
             return;
         }
         let said = replica(ident, beat);
@@ -27,52 +30,64 @@
         let drains = self
             .registry
             .get(ident)
-            .is_some_and(|known| known.told.draining || known.told.removed_for_good);
+            .is_some_and(|known| known.replica.draining || known.replica.removed_for_good);
         if said.draining && drains && !self.drains.is_known_by_majority(ident) {
-            self.await_receipts(now, token, ident, effects);
+            self.await_receipts(now, call, ident, effects);
         } else {
-            let answer = crate::Answer::Heard(self.report_to(now, &said.zone));
-            effects.push(Effect::Answer { token, answer });
+            let answer = crate::Response::Acknowledged(self.report_to(now, &said.zone));
+            effects.push(Effect::Respond {
+                call,
+                response: answer,
+            });
         }
-        if heard == Heard::Changed {
+        if heard == HeartbeatOutcome::Changed {
             self.flush(now, effects);
         }
     }
 
     /// A replica says that it ends.
-    pub fn departure(&mut self, now: u64, token: Token, ident: &str, effects: &mut Vec<Effect>) {
+    pub fn on_replica_departure(
+        &mut self,
+        now: u64,
+        call: CallId,
+        ident: &str,
+        effects: &mut Vec<Effect>,
+    ) {
         self.awake(now, effects);
         if let Some(answer) = self.refusal(now) {
-            effects.push(Effect::Answer { token, answer });
+            effects.push(Effect::Respond {
+                call,
+                response: answer,
+            });
             return;
         }
         let departs = self.registry.depart(now, ident);
         if departs {
             self.drains.forget(ident);
-            self.spread(ident, Heard::Changed, &[]);
+            self.spread(ident, HeartbeatOutcome::Changed, &[]);
         }
         // It may have ended before, and too few others have said so far that they know.
         let unknown =
             self.registry.get(ident).is_some() && !self.drains.is_known_by_majority(ident);
         if unknown {
-            self.await_receipts(now, token, ident, effects);
+            self.await_receipts(now, call, ident, effects);
             self.flush(now, effects);
         } else {
-            effects.push(Effect::Answer {
-                token,
-                answer: crate::Answer::Heard(None),
+            effects.push(Effect::Respond {
+                call,
+                response: crate::Response::Acknowledged(None),
             });
         }
     }
 
     /// The call is acknowledged when more than half of the voters' machines have said that they know.
-    fn await_receipts(&mut self, now: u64, token: Token, ident: &str, effects: &mut Vec<Effect>) {
-        let receipt = self.drains.begin(now, token, ident, self.register.id());
+    fn await_receipts(&mut self, now: u64, call: CallId, ident: &str, effects: &mut Vec<Effect>) {
+        let receipt = self.drains.begin(now, call, ident, self.register.id());
         let replicas: Vec<Replica> = self
             .registry
             .get(ident)
             .iter()
-            .map(|known| known.tell(now))
+            .map(|known| known.snapshot(now))
             .collect();
         let update = ControlUpdate {
             replicas,
@@ -81,8 +96,8 @@
         };
         for (link, _) in self.members.iter() {
             effects.push(Effect::Send {
-                link,
-                word: PeerMessage::ControlUpdate(update.clone()),
+                session: link,
+                message: PeerMessage::ControlUpdate(update.clone()),
             });
         }
         self.settle_drains(now, effects);
@@ -104,11 +119,10 @@
         let settled = self
             .drains
             .settle(now, |disks| register.is_majority(disks.iter().copied()));
-        effects.extend(
-            settled
-                .into_iter()
-                .map(|(token, answer)| Effect::Answer { token, answer }),
-        );
+        effects.extend(settled.into_iter().map(|(call, answer)| Effect::Respond {
+            call,
+            response: answer,
+        }));
     }
 
     /// One that drains no more must be made known anew when it drains again.
@@ -116,15 +130,15 @@
         if self
             .registry
             .get(ident)
-            .is_some_and(|known| !known.told.draining && !known.told.removed_for_good)
+            .is_some_and(|known| !known.replica.draining && !known.replica.removed_for_good)
         {
             self.drains.forget(ident);
         }
     }
 
     /// Notes who is to be told what.
-    fn spread(&mut self, ident: &str, heard: Heard, also: &[String]) {
-        if heard == Heard::Late {
+    fn spread(&mut self, ident: &str, heard: HeartbeatOutcome, also: &[String]) {
+        if heard == HeartbeatOutcome::Stale {
             return;
         }
         self.forget_drain(ident);
@@ -132,7 +146,7 @@
         for (_, peer) in self.members.iter_mut() {
             peer.changed_replicas.extend(all().map(str::to_owned));
         }
-        if heard == Heard::Changed {
+        if heard == HeartbeatOutcome::Changed {
             all().for_each(|ident| self.fronts.changes.add(ident));
         }
     }
@@ -140,7 +154,7 @@
     /// The control address of the first node of a zone that takes calls; this one's if the zone is its own.
     fn report_to(&self, now: u64, zone: &str) -> Option<String> {
         if self.local.zone == zone {
-            return Some(self.local.control.clone());
+            return Some(self.local.control_address.clone());
         }
         let of_zone = self
             .members
@@ -156,8 +170,12 @@
     // --- between control nodes ---
 
     /// Tells a control node all that this one has.
-    pub(crate) fn synchronise(&mut self, now: u64, link: Link, effects: &mut Vec<Effect>) {
-        let replicas = self.registry.iter().map(|known| known.tell(now)).collect();
+    pub(crate) fn synchronise(&mut self, now: u64, link: SessionId, effects: &mut Vec<Effect>) {
+        let replicas = self
+            .registry
+            .iter()
+            .map(|known| known.snapshot(now))
+            .collect();
         let Some(peer) = self.members.get_mut(link) else {
             return;
         };
@@ -172,8 +190,8 @@
             complete: true,
         };
         effects.push(Effect::Send {
-            link,
-            word: PeerMessage::ControlUpdate(update),
+            session: link,
+            message: PeerMessage::ControlUpdate(update),
         });
     }
 
@@ -190,8 +208,8 @@
                 ..ControlUpdate::default()
             };
             effects.push(Effect::Send {
-                link,
-                word: PeerMessage::ControlUpdate(update),
+                session: link,
+                message: PeerMessage::ControlUpdate(update),
             });
         }
     }
@@ -206,25 +224,25 @@
         {
             let changed = std::mem::take(&mut peer.changed_replicas);
             let known = changed.iter().filter_map(|ident| registry.get(ident));
-            let replicas = known.map(|known| known.tell(now)).collect();
+            let replicas = known.map(|known| known.snapshot(now)).collect();
             let update = ControlUpdate {
                 replicas,
                 ..ControlUpdate::default()
             };
             effects.push(Effect::Send {
-                link,
-                word: PeerMessage::ControlUpdate(update),
+                session: link,
+                message: PeerMessage::ControlUpdate(update),
             });
         }
         for link in self.fronts.links() {
-            self.tell(now, link, effects);
+            self.update_ingress_node(now, link, effects);
         }
     }
 
     pub(crate) fn on_control_update(
         &mut self,
         now: u64,
-        link: Link,
+        link: SessionId,
         update: ControlUpdate,
         effects: &mut Vec<Effect>,
     ) {
@@ -234,7 +252,7 @@
             let heard = self.registry.observe(now, said, &mut also);
             self.forget_drain(&said.id);
             // What a node has said goes on to fronts, not to further nodes: each tells all.
-            if heard == Heard::Changed {
+            if heard == HeartbeatOutcome::Changed {
                 also.iter()
                     .chain([&said.id])
                     .for_each(|ident| self.fronts.changes.add(ident));
@@ -252,8 +270,8 @@
                 update_id: update.update_id,
             };
             effects.push(Effect::Send {
-                link,
-                word: PeerMessage::UpdateAck(receipt),
+                session: link,
+                message: PeerMessage::UpdateAck(receipt),
             });
         }
         if changed {
@@ -262,7 +280,7 @@
     }
 }
 
-fn replica(ident: &str, beat: Beat) -> Replica {
+fn replica(ident: &str, beat: ReplicaHeartbeat) -> Replica {
     Replica {
         id: ident.to_owned(),
         backend: beat.backend,
--- a/crates/linenthread-control/src/requests.rs
+++ b/crates/linenthread-control/src/requests.rs
@@ -4,13 +4,13 @@
 
 use linenthread_consensus::{Job, Outcome};
 
-use crate::{Answer, Link, Token};
+use crate::{CallId, Response, SessionId};
 
 /// Whom the outcome of a job is for.
 pub(crate) enum Purpose {
-    Call(Token),
+    Call(CallId),
     /// A front's session is told the configuration once it was read.
-    Confirmation(Link),
+    Confirmation(SessionId),
     /// A change of the voters.
     Voters,
 }
@@ -41,11 +41,11 @@
 }
 
 /// The answer to an operator's call.
-pub(crate) fn answer(outcome: Outcome) -> Answer {
+pub(crate) fn answer(outcome: Outcome) -> Response {
     match outcome {
-        Outcome::Committed(revision) => Answer::Taken(revision),
-        Outcome::Conflict(revision) => Answer::Conflict(revision),
-        Outcome::Newest(value) => Answer::Document(value),
-        Outcome::Unknown => Answer::NotNow("no word of more than half of the voters"),
+        Outcome::Committed(revision) => Response::Committed(revision),
+        Outcome::Conflict(revision) => Response::Conflict(revision),
+        Outcome::Newest(value) => Response::Document(value),
+        Outcome::Unknown => Response::Unavailable("no word of more than half of the voters"),
     }
 }
--- a/crates/linenthread-control/src/budget.rs
+++ b/crates/linenthread-control/src/retry_budget.rs
@@ -17,7 +17,7 @@
 
 /// What the holder of the duty has given of the further tries that all may make together in any window. The
 /// sum of what may be in use is never over the whole: *shares-within-the-whole*.
-pub struct Budget {
+pub struct RetryBudget {
     whole: f64,
     window: u64,
     /// Nothing is given before: what an earlier holder gave may be in use.
@@ -25,9 +25,9 @@
     holders: BTreeMap<(String, u64), Holder>,
 }
 
-impl Budget {
-    pub fn new(whole: f64, window: u64) -> Budget {
-        Budget {
+impl RetryBudget {
+    pub fn new(whole: f64, window: u64) -> RetryBudget {
+        RetryBudget {
             whole,
             window,
             from: u64::MAX,
@@ -46,7 +46,7 @@
     }
 
     /// A share for one life of a front, among so many fronts.
-    pub fn give(&mut self, now: u64, name: &str, life: u64, fronts: usize) -> f64 {
+    pub fn grant(&mut self, now: u64, name: &str, life: u64, fronts: usize) -> f64 {
         if now < self.from {
             return 0.0;
         }
@@ -72,7 +72,7 @@
     }
 
     /// What may be in use of all that was given.
-    pub fn given(&self, now: u64) -> f64 {
+    pub fn granted(&self, now: u64) -> f64 {
         let most = |h: &Holder| {
             h.shares
                 .iter()
--- a/crates/linenthread-control/src/sessions.rs
+++ b/crates/linenthread-control/src/sessions.rs
@@ -3,39 +3,39 @@
 use linenthread_messages::{Hello, PeerMessage, VERSION};
 
 use crate::timing::STARTING;
-use crate::{Control, Effect, Link};
+use crate::{ControlNode, Effect, SessionId};
 
-impl Control {
+impl ControlNode {
     /// A connection with a peer stands, whoever opened it.
-    pub fn opened(&mut self, link: Link, effects: &mut Vec<Effect>) {
+    pub fn opened(&mut self, link: SessionId, effects: &mut Vec<Effect>) {
         let hello = Hello {
             version: VERSION,
             name: self.local.name.clone(),
             zone: self.local.zone.clone(),
-            incarnation: self.local.life,
-            control_address: self.local.control.clone(),
+            incarnation: self.local.incarnation,
+            control_address: self.local.control_address.clone(),
             node_id: self.register.id(),
-            is_voter: self.local.counts,
-            change_log_id: self.local.life,
-            change_log_offset: self.fronts.changes.place(),
+            is_voter: self.local.may_vote,
+            change_log_id: self.local.incarnation,
+            change_log_offset: self.fronts.changes.offset(),
             value_number: self.value_number(),
         };
         effects.push(Effect::Send {
-            link,
-            word: PeerMessage::Hello(hello),
+            session: link,
+            message: PeerMessage::Hello(hello),
         });
     }
 
     /// A connection has ended.
-    pub fn closed(&mut self, now: u64, link: Link, effects: &mut Vec<Effect>) {
+    pub fn closed(&mut self, now: u64, link: SessionId, effects: &mut Vec<Effect>) {
         if let Some(front) = self.fronts.close(link) {
-            effects.push(Effect::Note(format!(
+            effects.push(Effect::Log(format!(
                 "event=session_ended peer={} hub=false",
                 front.hello.name
             )));
         }
         if let Some(peer) = self.members.close(now, link) {
-            effects.push(Effect::Note(format!(
+            effects.push(Effect::Log(format!(
                 "event=session_ended peer={} hub=true",
                 peer.hello.name
             )));
@@ -43,9 +43,9 @@
         }
     }
 
-    pub(crate) fn drop_session(&mut self, now: u64, link: Link, effects: &mut Vec<Effect>) {
+    pub(crate) fn drop_session(&mut self, now: u64, link: SessionId, effects: &mut Vec<Effect>) {
         self.closed(now, link, effects);
-        effects.push(Effect::Drop(link));
+        effects.push(Effect::Close(link));
     }
 
     /// An address could not be reached.
@@ -57,7 +57,7 @@
     pub fn on_message(
         &mut self,
         now: u64,
-        link: Link,
+        link: SessionId,
         message: PeerMessage,
         effects: &mut Vec<Effect>,
     ) {
@@ -75,16 +75,17 @@
             let disk = peer.hello.node_id;
             self.on_control_message(now, link, disk, message, effects);
         } else {
-            effects.push(Effect::Drop(link));
+            effects.push(Effect::Close(link));
         }
     }
 
-    fn on_hello(&mut self, now: u64, link: Link, hello: Hello, effects: &mut Vec<Effect>) {
+    fn on_hello(&mut self, now: u64, link: SessionId, hello: Hello, effects: &mut Vec<Effect>) {
         let known = self.members.get(link).is_some() || self.fronts.get(link).is_some();
         let is_front = hello.control_address.is_empty();
-        let refused = hello.version != VERSION || hello.incarnation == self.local.life || known;
+        let refused =
+            hello.version != VERSION || hello.incarnation == self.local.incarnation || known;
         if refused || is_front && !self.takes_fronts(now) {
-            effects.push(Effect::Drop(link));
+            effects.push(Effect::Close(link));
             return;
         }
         let superseded = if is_front {
@@ -96,14 +97,14 @@
             self.drop_session(now, old, effects);
         }
         let (name, zone) = (&hello.name, &hello.zone);
-        effects.push(Effect::Note(format!(
+        effects.push(Effect::Log(format!(
             "event=session peer={name} zone={zone} hub={}",
             !is_front
         )));
         if is_front {
             self.fronts.open(now, link, hello);
             self.confirm(now, link, effects);
-            self.tell(now, link, effects);
+            self.update_ingress_node(now, link, effects);
         } else {
             self.addresses.learn(now, &hello.control_address);
             self.members.open(now, link, hello);
@@ -121,7 +122,7 @@
     fn on_control_message(
         &mut self,
         now: u64,
-        link: Link,
+        link: SessionId,
         disk: u64,
         message: PeerMessage,
         effects: &mut Vec<Effect>,
@@ -133,7 +134,7 @@
             }
             PeerMessage::DurableProgress(durable) => self.on_durable(now, link, &durable),
             PeerMessage::UpdateAck(receipt) => self.on_receipt(now, disk, &receipt, effects),
-            PeerMessage::QuotaGrants(allotments) => self.pass_allotments(allotments, effects),
+            PeerMessage::QuotaGrants(quota_grants) => self.pass_allotments(quota_grants, effects),
             PeerMessage::LeaseRequest(request) => {
                 self.on_lease_request(now, disk, &request, effects);
             }
@@ -155,7 +156,7 @@
     }
 
     /// A value goes to a control node that is not known to have it.
-    pub(crate) fn send_value(&mut self, link: Link, effects: &mut Vec<Effect>) {
+    pub(crate) fn send_value(&mut self, link: SessionId, effects: &mut Vec<Effect>) {
         let Some(value) = self.register.decided().cloned() else {
             return;
         };
@@ -166,8 +167,8 @@
         {
             peer.value = value.number;
             effects.push(Effect::Send {
-                link,
-                word: PeerMessage::Decided(value),
+                session: link,
+                message: PeerMessage::Decided(value),
             });
         }
     }
--- a/crates/linenthread-control/src/status.rs
+++ b/crates/linenthread-control/src/status.rs
@@ -3,10 +3,10 @@
 use linenthread_messages::{IngressSession, Replica};
 use serde_json::{Value as Json, json};
 
-use crate::Control;
+use crate::ControlNode;
 use crate::membership::ControlPeer;
 
-impl Control {
+impl ControlNode {
     /// What this node knows of machines.
     pub fn members(&self, now: u64) -> Json {
         let front =
@@ -31,7 +31,7 @@
         Json::Array(
             self.registry
                 .iter()
-                .map(|known| replica(known.tell(now)))
+                .map(|known| replica(known.snapshot(now)))
                 .collect(),
         )
     }
@@ -43,13 +43,13 @@
         "heard_ms": now.saturating_sub(peer.heard)})
 }
 
-fn replica(told: Replica) -> Json {
-    let phase = match (told.removed_for_good, told.removed, told.draining) {
+fn replica(replica: Replica) -> Json {
+    let phase = match (replica.removed_for_good, replica.removed, replica.draining) {
         (true, _, _) => "ended",
         (_, true, _) => "silent",
         (_, _, true) => "draining",
         _ => "available",
     };
-    json!({"ident": told.id, "backend": told.backend, "address": told.address, "zone": told.zone,
-        "phase": phase, "heard_ms": told.age_ms})
+    json!({"ident": replica.id, "backend": replica.backend, "address": replica.address, "zone": replica.zone,
+        "phase": phase, "heard_ms": replica.age_ms})
 }
--- a/crates/linenthread-control/src/voters.rs
+++ b/crates/linenthread-control/src/voters.rs
@@ -9,9 +9,9 @@
 };
 use crate::requests::Purpose;
 use crate::timing::{CALL, LOST};
-use crate::{Control, Effect};
+use crate::{ControlNode, Effect};
 
-impl Control {
+impl ControlNode {
     /// The holder of the lease keeps the voters to the machines that are there: one change at a time.
     pub(crate) fn keep_voters(&mut self, now: u64, epoch: u64, effects: &mut Vec<Effect>) {
         if self.changes_voters
@@ -28,7 +28,7 @@
         };
         self.changes_voters = true;
         let names: Vec<&str> = voters.iter().map(|voter| voter.address.as_str()).collect();
-        effects.push(Effect::Note(format!(
+        effects.push(Effect::Log(format!(
             "event=counted_change on={on} counted={}",
             names.join(",")
         )));
@@ -59,10 +59,10 @@
     pub(crate) fn standbys(&self, now: u64, number: Option<u64>) -> Vec<Voter> {
         let own = Voter {
             id: self.register.id(),
-            address: self.local.control.clone(),
+            address: self.local.control_address.clone(),
         };
         let own_ready =
-            self.local.counts && self.leaving.is_none() && self.durable.value_number >= number;
+            self.local.may_vote && self.leaving.is_none() && self.durable.value_number >= number;
         let others = self.members.candidates(now, number);
         let mut standbys: Vec<Voter> = others.chain(own_ready.then_some(own)).collect();
         standbys.retain(|standby| {
@@ -81,7 +81,7 @@
         VotersView {
             voters: self.register.voters().iter().map(state).collect(),
             standbys: self.standbys(now, Some(number)),
-            least: self.local.least,
+            least: self.local.min_voters,
         }
     }
 
@@ -118,7 +118,7 @@
             return;
         }
         self.leaving = Some(now);
-        effects.push(Effect::Note("event=leaving".into()));
+        effects.push(Effect::Log("event=leaving".into()));
         self.drop_fronts(now, effects);
         self.send_heartbeats(now, effects);
         self.complete(now, effects);
@@ -154,7 +154,7 @@
                 .collect(),
             // Also one that does not hold all yet: what it lacks it is about to have.
             standby: !self.standbys(now, None).is_empty(),
-            least: self.local.least,
+            least: self.local.min_voters,
             // Who has answered has said as well whether it leaves itself, and whether it changes the voters.
             unanswered: self
                 .members
--- a/crates/linenthread-control/tests/control.rs
+++ b/crates/linenthread-control/tests/control.rs
@@ -2,7 +2,8 @@
 
 use linenthread_consensus::{DurableState, genesis_id};
 use linenthread_control::{
-    Answer, Beat, Budget, ChangeLog, Control, Effect, Heard, Local, ReplicaRegistry,
+    ChangeLog, ControlNode, Effect, HeartbeatOutcome, NodeConfig, ReplicaHeartbeat,
+    ReplicaRegistry, Response, RetryBudget,
 };
 use linenthread_messages::{
     Heartbeat, Hello, PeerMessage, Replica, UpdateAck, VERSION, Value, Voter,
@@ -19,21 +20,21 @@
 }
 
 #[parameterized(
-    newer = { said("a", 3, "x"), Heard::Alive, false },
-    drains = { Replica { draining: true, ..said("a", 3, "x") }, Heard::Changed, false },
-    late = { Replica { draining: true, ..said("a", 1, "x") }, Heard::Late, false },
-    told_again = { said("a", 2, "x"), Heard::Late, false },
-    ended = { Replica { removed_for_good: true, ..said("a", 1, "x") }, Heard::Changed, true },
-    another_at_its_address = { said("b", 1, "x"), Heard::Changed, true },
-    another_heard_of_earlier = { Replica { age_ms: 900, ..said("b", 1, "x") }, Heard::Changed, false },
-    another_elsewhere = { said("b", 1, "y"), Heard::Changed, false },
+    newer = { said("a", 3, "x"), HeartbeatOutcome::Refreshed, false },
+    drains = { Replica { draining: true, ..said("a", 3, "x") }, HeartbeatOutcome::Changed, false },
+    late = { Replica { draining: true, ..said("a", 1, "x") }, HeartbeatOutcome::Stale, false },
+    told_again = { said("a", 2, "x"), HeartbeatOutcome::Stale, false },
+    ended = { Replica { removed_for_good: true, ..said("a", 1, "x") }, HeartbeatOutcome::Changed, true },
+    another_at_its_address = { said("b", 1, "x"), HeartbeatOutcome::Changed, true },
+    another_heard_of_earlier = { Replica { age_ms: 900, ..said("b", 1, "x") }, HeartbeatOutcome::Changed, false },
+    another_elsewhere = { said("b", 1, "y"), HeartbeatOutcome::Changed, false },
 )]
-fn beats_merge_in_any_order(news: Replica, heard: Heard, a_has_ended: bool) {
+fn beats_merge_in_any_order(news: Replica, heard: HeartbeatOutcome, a_has_ended: bool) {
     let mut registry = ReplicaRegistry::default();
     registry.observe(1_000, &said("a", 2, "x"), &mut Vec::new());
     assert_eq!(registry.observe(1_500, &news, &mut Vec::new()), heard);
     assert_eq!(
-        registry.get("a").unwrap().told.removed_for_good,
+        registry.get("a").unwrap().replica.removed_for_good,
         a_has_ended
     );
 }
@@ -75,9 +76,9 @@
     assert!(registry.depart(10, "a") && !registry.depart(11, "a"));
     assert_eq!(
         registry.observe(20, &said("a", 3, "x"), &mut Vec::new()),
-        Heard::Late
+        HeartbeatOutcome::Stale
     );
-    assert!(registry.get("a").unwrap().told.removed);
+    assert!(registry.get("a").unwrap().replica.removed);
     registry.expire(70_000, 4_000);
     assert!(registry.is_empty());
 }
@@ -97,9 +98,9 @@
     if gone > 0 {
         assert_eq!(
             registry.observe(6_100, &said("r0", 2, "x0"), &mut Vec::new()),
-            Heard::Changed
+            HeartbeatOutcome::Changed
         );
-        assert!(!registry.get("r0").unwrap().told.removed);
+        assert!(!registry.get("r0").unwrap().replica.removed);
     }
 }
 
@@ -119,41 +120,41 @@
 
 #[test]
 fn shares_stay_within_the_whole_as_fronts_come_and_go() {
-    let mut budget = Budget::new(12.0, 10_000);
+    let mut budget = RetryBudget::new(12.0, 10_000);
     budget.begin(0, true);
-    assert_eq!(budget.give(0, "a", 1, 1), 6.0);
-    assert_eq!(budget.give(0, "b", 1, 2), 4.0);
+    assert_eq!(budget.grant(0, "a", 1, 1), 6.0);
+    assert_eq!(budget.grant(0, "b", 1, 2), 4.0);
     // Of a's greater share all may be in use until its lease and a window have passed.
-    assert_eq!(budget.give(100, "a", 1, 2), 4.0);
-    assert_eq!(budget.give(100, "c", 1, 3), 2.0);
-    assert!(budget.given(100) <= 12.0);
+    assert_eq!(budget.grant(100, "a", 1, 2), 4.0);
+    assert_eq!(budget.grant(100, "c", 1, 3), 2.0);
+    assert!(budget.granted(100) <= 12.0);
     // A new life has what the old one cannot have in use.
-    assert_eq!(budget.give(200, "a", 2, 3), 0.0);
+    assert_eq!(budget.grant(200, "a", 2, 3), 0.0);
     for at in [5_000, 10_000, 14_000] {
-        budget.give(at, "b", 1, 3);
-        budget.give(at, "c", 1, 3);
+        budget.grant(at, "b", 1, 3);
+        budget.grant(at, "c", 1, 3);
     }
-    assert_eq!(budget.give(15_300, "a", 2, 3), 3.0);
-    assert!(budget.given(15_300) <= 12.0);
+    assert_eq!(budget.grant(15_300, "a", 2, 3), 3.0);
+    assert!(budget.granted(15_300) <= 12.0);
 }
 
 #[test]
 fn a_new_holder_waits_until_all_that_was_given_has_ended() {
-    let mut budget = Budget::new(12.0, 10_000);
+    let mut budget = RetryBudget::new(12.0, 10_000);
     budget.begin(1_000, false);
-    assert_eq!(budget.give(15_999, "a", 1, 1), 0.0);
-    assert_eq!(budget.give(16_000, "a", 1, 1), 6.0);
+    assert_eq!(budget.grant(15_999, "a", 1, 1), 0.0);
+    assert_eq!(budget.grant(16_000, "a", 1, 1), 6.0);
 }
 
 fn address(n: usize) -> String {
     format!("10.0.0.{n}:80")
 }
 
-fn hub() -> Control {
+fn hub() -> ControlNode {
     hub_of(3)
 }
 
-fn hub_of(core: usize) -> Control {
+fn hub_of(core: usize) -> ControlNode {
     let bootstrap: Vec<String> = (1..=core).map(address).collect();
     let voters: Vec<Voter> = bootstrap
         .iter()
@@ -162,16 +163,16 @@
             address: a.clone(),
         })
         .collect();
-    let local = Local {
+    let local = NodeConfig {
         name: "hub-1".into(),
         zone: "z".into(),
-        life: 1,
-        control: address(1),
-        counts: true,
-        least: 3,
-        heartbeat: 1_000,
+        incarnation: 1,
+        control_address: address(1),
+        may_vote: true,
+        min_voters: 3,
+        heartbeat_interval: 1_000,
         bootstrap,
-        first_of_all: true,
+        is_genesis: true,
         retry_allowance: 10.0,
         retry_window: 10_000,
     };
@@ -179,7 +180,7 @@
         voters,
         ..Value::default()
     };
-    Control::new(
+    ControlNode::new(
         local,
         genesis_id(&address(1)),
         DurableState::default(),
@@ -188,7 +189,7 @@
     )
 }
 
-fn meet(control: &mut Control, now: u64, link: u64, n: usize, version: u32) -> Vec<Effect> {
+fn meet(control: &mut ControlNode, now: u64, link: u64, n: usize, version: u32) -> Vec<Effect> {
     let (name, disk) = (format!("hub-{n}"), genesis_id(&address(n)));
     let mut out = Vec::new();
     let life = n as u64 * 100;
@@ -218,17 +219,20 @@
     PeerMessage::Heartbeat(beat)
 }
 
-fn beat(phase: &str, call_count: u64) -> Beat {
+fn beat(phase: &str, call_count: u64) -> ReplicaHeartbeat {
     let text = format!(
         r#"{{"backend":"s","address":"10.9.0.1:1","zone":"z","phase":"{phase}","call_count":{call_count}}}"#
     );
     serde_json::from_str(&text).unwrap()
 }
 
-fn answers(out: &[Effect]) -> Vec<&Answer> {
+fn answers(out: &[Effect]) -> Vec<&Response> {
     out.iter()
         .filter_map(|o| {
-            if let Effect::Answer { answer, .. } = o {
+            if let Effect::Respond {
+                response: answer, ..
+            } = o
+            {
                 Some(answer)
             } else {
                 None
@@ -240,21 +244,21 @@
 #[test]
 fn alone_a_hub_takes_no_beats() {
     let (mut control, mut out) = (hub(), Vec::new());
-    control.beat(0, 1, "i", beat("available", 1), &mut out);
-    assert!(matches!(answers(&out)[..], [Answer::NotNow(_)]));
+    control.on_replica_heartbeat(0, 1, "i", beat("available", 1), &mut out);
+    assert!(matches!(answers(&out)[..], [Response::Unavailable(_)]));
     meet(&mut control, 0, 1, 2, VERSION);
     out.clear();
-    control.beat(0, 2, "i", beat("available", 1), &mut out);
-    assert_eq!(answers(&out), [&Answer::Heard(Some(address(1)))]);
+    control.on_replica_heartbeat(0, 2, "i", beat("available", 1), &mut out);
+    assert_eq!(answers(&out), [&Response::Acknowledged(Some(address(1)))]);
 }
 
 #[test]
 fn a_drain_is_acknowledged_when_more_than_half_know() {
     let (mut control, mut out) = (hub(), Vec::new());
     meet(&mut control, 0, 1, 2, VERSION);
-    control.beat(0, 1, "i", beat("draining", 1), &mut out);
+    control.on_replica_heartbeat(0, 1, "i", beat("draining", 1), &mut out);
     assert!(answers(&out).is_empty());
-    let asks = |o: &Effect| matches!(o, Effect::Send { word: PeerMessage::ControlUpdate(g), .. } if g.update_id == 1);
+    let asks = |o: &Effect| matches!(o, Effect::Send { message: PeerMessage::ControlUpdate(g), .. } if g.update_id == 1);
     assert!(out.iter().any(asks));
     out.clear();
     control.on_message(
@@ -263,14 +267,14 @@
         PeerMessage::UpdateAck(UpdateAck { update_id: 1 }),
         &mut out,
     );
-    assert_eq!(answers(&out), [&Answer::Heard(None)]);
+    assert_eq!(answers(&out), [&Response::Acknowledged(None)]);
 }
 
 #[test]
 fn a_drain_that_nobody_else_knows_is_not_acknowledged() {
     let (mut control, mut out) = (hub(), Vec::new());
     meet(&mut control, 0, 1, 2, VERSION);
-    control.beat(0, 1, "i", beat("draining", 1), &mut out);
+    control.on_replica_heartbeat(0, 1, "i", beat("draining", 1), &mut out);
     control.closed(5, 1, &mut out);
     control.on_message(
         10,
@@ -280,7 +284,7 @@
     );
     assert!(answers(&out).is_empty());
     control.tick(1_000, &mut out);
-    assert!(matches!(answers(&out)[..], [Answer::NotNow(_)]));
+    assert!(matches!(answers(&out)[..], [Response::Unavailable(_)]));
 }
 
 #[test]
@@ -289,7 +293,7 @@
     for n in 2..=4 {
         meet(&mut control, 0, n as u64, n, VERSION);
     }
-    control.beat(0, 1, "i", beat("draining", 1), &mut out);
+    control.on_replica_heartbeat(0, 1, "i", beat("draining", 1), &mut out);
     control.on_message(
         10,
         2,
@@ -310,14 +314,14 @@
         PeerMessage::UpdateAck(UpdateAck { update_id: 1 }),
         &mut out,
     );
-    assert_eq!(answers(&out), [&Answer::Heard(None)]);
+    assert_eq!(answers(&out), [&Response::Acknowledged(None)]);
 }
 
 #[test]
 fn another_version_and_its_own_life_are_let_go() {
     let mut control = hub();
     let out = meet(&mut control, 0, 1, 2, VERSION + 1);
-    assert!(out.iter().any(|o| matches!(o, Effect::Drop(1))));
+    assert!(out.iter().any(|o| matches!(o, Effect::Close(1))));
     let mut out = Vec::new();
     let own = Hello {
         version: VERSION,
@@ -326,7 +330,7 @@
         ..Hello::default()
     };
     control.on_message(0, 2, PeerMessage::Hello(own), &mut out);
-    assert!(out.iter().any(|o| matches!(o, Effect::Drop(2))));
+    assert!(out.iter().any(|o| matches!(o, Effect::Close(2))));
 }
 
 #[test]
@@ -339,8 +343,8 @@
         control.tick(now, &mut out);
     }
     assert!(
-        out.iter().any(|o| matches!(o, Effect::Drop(1)))
-            && !out.iter().any(|o| matches!(o, Effect::Drop(2)))
+        out.iter().any(|o| matches!(o, Effect::Close(1)))
+            && !out.iter().any(|o| matches!(o, Effect::Close(2)))
     );
     assert!(
         out.iter()
--- a/crates/linenthread-control/tests/nodes/busy.rs
+++ b/crates/linenthread-control/tests/nodes/busy.rs
@@ -1,6 +1,6 @@
 //! A voter is replaced while operators send one order after another.
 
-use linenthread_control::Answer;
+use linenthread_control::Response;
 use yare::parameterized;
 
 use crate::cluster::{Cluster, address};
@@ -25,7 +25,7 @@
         };
         cluster.run_until(1_000, settled);
         for (n, token) in tokens {
-            if let Some(Answer::Taken(taken)) = cluster.nodes[n].answers.get(&token) {
+            if let Some(Response::Committed(taken)) = cluster.nodes[n].answers.get(&token) {
                 revision = revision.max(*taken);
             }
         }
--- a/crates/linenthread-control/tests/nodes/cluster.rs
+++ b/crates/linenthread-control/tests/nodes/cluster.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use linenthread_consensus::{DurableState, genesis_id};
-use linenthread_control::{Answer, Control, Effect, Local};
+use linenthread_control::{ControlNode, Effect, NodeConfig, Response};
 use linenthread_messages::{PeerMessage, Record, Value, Voter};
 
 const STEP: u64 = 5;
@@ -32,7 +32,7 @@
 
 #[derive(Default)]
 pub(crate) struct Node {
-    pub control: Option<Control>,
+    pub control: Option<ControlNode>,
     address: String,
     life: u64,
     disk: Vec<Record>,
@@ -40,7 +40,7 @@
     pub sync_ms: u64,
     pub frozen: bool,
     backlog: Vec<Event>,
-    pub answers: BTreeMap<u64, Answer>,
+    pub answers: BTreeMap<u64, Response>,
     pub notes: Vec<String>,
 }
 
@@ -98,7 +98,7 @@
         self.numbers
     }
 
-    pub(crate) fn control(&self, n: usize) -> &Control {
+    pub(crate) fn control(&self, n: usize) -> &ControlNode {
         self.nodes[n].control.as_ref().expect("runs")
     }
 
@@ -115,21 +115,21 @@
             .id
             .unwrap_or(if first { genesis_id(&address(n)) } else { life });
         let genesis = first.then(|| self.genesis.clone());
-        let local = Local {
+        let local = NodeConfig {
             name: format!("node-{n}"),
             zone: "z".into(),
-            life,
-            control: address(n),
-            counts: true,
-            least: self.least,
-            heartbeat: 1_000,
+            incarnation: life,
+            control_address: address(n),
+            may_vote: true,
+            min_voters: self.least,
+            heartbeat_interval: 1_000,
             bootstrap: (0..3).map(address).collect(),
-            first_of_all: first,
+            is_genesis: first,
             retry_allowance: 10.0,
             retry_window: 10_000,
         };
         let empty = state.id.is_none();
-        let control = Control::new(local, id, state, genesis.clone(), self.now);
+        let control = ControlNode::new(local, id, state, genesis.clone(), self.now);
         let node = &mut self.nodes[n];
         (node.control, node.life, node.frozen) = (Some(control), life, false);
         if empty {
@@ -174,7 +174,11 @@
     }
 
     /// Runs something at a node and carries out its effects.
-    pub(crate) fn at(&mut self, n: usize, run: impl FnOnce(&mut Control, u64, &mut Vec<Effect>)) {
+    pub(crate) fn at(
+        &mut self,
+        n: usize,
+        run: impl FnOnce(&mut ControlNode, u64, &mut Vec<Effect>),
+    ) {
         let now = self.now;
         let mut effects = Vec::new();
         let Some(control) = self.nodes[n].control.as_mut() else {
@@ -188,7 +192,10 @@
 
     fn carry_out(&mut self, n: usize, effect: Effect) {
         match effect {
-            Effect::Send { link, word } => {
+            Effect::Send {
+                session: link,
+                message: word,
+            } => {
                 let Some(&(a, b)) = self.links.get(&link) else {
                     return;
                 };
@@ -204,7 +211,7 @@
                     );
                 }
             }
-            Effect::Keep { record, then } => {
+            Effect::Persist { record, then } => {
                 let node = &mut self.nodes[n];
                 node.unsynced.push(record);
                 let (life, after) = (node.life, node.sync_ms);
@@ -218,7 +225,10 @@
                     },
                 );
             }
-            Effect::Answer { token, answer } => drop(self.nodes[n].answers.insert(token, answer)),
+            Effect::Respond {
+                call: token,
+                response: answer,
+            } => drop(self.nodes[n].answers.insert(token, answer)),
             Effect::Dial(to) => {
                 let other = self
                     .nodes
@@ -235,8 +245,8 @@
                     None => self.push(1, n, Event::Unreached { address: to }),
                 }
             }
-            Effect::Drop(link) => self.end_link(link, n),
-            Effect::Note(line) => self.nodes[n].notes.push(line),
+            Effect::Close(link) => self.end_link(link, n),
+            Effect::Log(line) => self.nodes[n].notes.push(line),
         }
     }
 
@@ -269,7 +279,7 @@
     pub(crate) fn thaw(
         &mut self,
         n: usize,
-        before: impl FnOnce(&mut Control, u64, &mut Vec<Effect>),
+        before: impl FnOnce(&mut ControlNode, u64, &mut Vec<Effect>),
     ) {
         self.nodes[n].frozen = false;
         self.at(n, before);
@@ -296,9 +306,9 @@
                 let due = self.nodes[n]
                     .control
                     .as_ref()
-                    .is_some_and(|c| now >= c.due(now));
+                    .is_some_and(|c| now >= c.next_tick_at(now));
                 if due && !self.nodes[n].frozen {
-                    self.at(n, linenthread_control::Control::tick);
+                    self.at(n, linenthread_control::ControlNode::tick);
                 }
             }
         }
@@ -329,7 +339,7 @@
         ms: u64,
         base: u64,
         revision: u64,
-    ) -> Option<Answer> {
+    ) -> Option<Response> {
         let end = self.now + ms;
         let mut n = 0;
         while self.now < end {
@@ -340,7 +350,7 @@
             let token = self.order(n, base, revision);
             self.run_until(1_000, |c| c.nodes[n].answers.contains_key(&token));
             match self.nodes[n].answers.get(&token) {
-                Some(answer @ (Answer::Taken(_) | Answer::Conflict(_))) => {
+                Some(answer @ (Response::Committed(_) | Response::Conflict(_))) => {
                     return Some(answer.clone());
                 }
                 _ => self.run(20),
--- a/crates/linenthread-control/tests/nodes/contact.rs
+++ b/crates/linenthread-control/tests/nodes/contact.rs
@@ -2,7 +2,7 @@
 
 use crate::cluster::{Cluster, address};
 use linenthread_consensus::{DurableState, genesis_id};
-use linenthread_control::{Answer, Beat, CONTACT, Control, Effect, Local};
+use linenthread_control::{CONTACT, ControlNode, Effect, NodeConfig, ReplicaHeartbeat, Response};
 use linenthread_messages::{
     Heartbeat, Hello, PeerMessage, ReadReply, UpdateAck, VERSION, Value, Voter,
 };
@@ -11,23 +11,23 @@
 const PEER: u64 = 1;
 const FRONT: u64 = 9;
 
-fn node() -> Control {
+fn node() -> ControlNode {
     let bootstrap: Vec<String> = (0..3).map(address).collect();
     let voter = |a: &String| Voter {
         id: genesis_id(a),
         address: a.clone(),
     };
     let voters = bootstrap.iter().map(voter).collect();
-    let local = Local {
+    let local = NodeConfig {
         name: "node-0".into(),
         zone: "z".into(),
-        life: 1,
-        control: address(0),
-        counts: true,
-        least: 3,
-        heartbeat: 1_000,
+        incarnation: 1,
+        control_address: address(0),
+        may_vote: true,
+        min_voters: 3,
+        heartbeat_interval: 1_000,
         bootstrap,
-        first_of_all: true,
+        is_genesis: true,
         retry_allowance: 10.0,
         retry_window: 10_000,
     };
@@ -37,7 +37,7 @@
         document: "document".into(),
         ..Value::default()
     };
-    Control::new(
+    ControlNode::new(
         local,
         genesis_id(&address(0)),
         DurableState::default(),
@@ -46,7 +46,7 @@
     )
 }
 
-fn says(control: &mut Control, now: u64, link: u64, message: PeerMessage) -> Vec<Effect> {
+fn says(control: &mut ControlNode, now: u64, link: u64, message: PeerMessage) -> Vec<Effect> {
     let mut effects = Vec::new();
     control.on_message(now, link, message, &mut effects);
     effects
@@ -85,7 +85,7 @@
     })
 }
 
-fn in_contact_at(now: u64) -> Control {
+fn in_contact_at(now: u64) -> ControlNode {
     let mut control = node();
     control.opened(PEER, &mut Vec::new());
     says(&mut control, now, PEER, hello(1));
@@ -93,22 +93,25 @@
     control
 }
 
-fn beat(phase: &str, call_count: u64) -> Beat {
+fn beat(phase: &str, call_count: u64) -> ReplicaHeartbeat {
     let text = format!(
         r#"{{"backend":"s","address":"10.9.0.1:1","zone":"z","phase":"{phase}","call_count":{call_count}}}"#
     );
     serde_json::from_str(&text).unwrap()
 }
 
-fn answer(effect: &Effect) -> Option<&Answer> {
-    if let Effect::Answer { answer, .. } = effect {
+fn answer(effect: &Effect) -> Option<&Response> {
+    if let Effect::Respond {
+        response: answer, ..
+    } = effect
+    {
         Some(answer)
     } else {
         None
     }
 }
 
-fn answers(effects: &[Effect]) -> Vec<&Answer> {
+fn answers(effects: &[Effect]) -> Vec<&Response> {
     effects.iter().filter_map(answer).collect()
 }
 
@@ -116,8 +119,8 @@
 fn told(effects: &[Effect]) -> (bool, bool) {
     let update = |e: &Effect| match e {
         Effect::Send {
-            link: FRONT,
-            word: PeerMessage::IngressUpdate(update),
+            session: FRONT,
+            message: PeerMessage::IngressUpdate(update),
         } => Some(update.value.is_some()),
         _ => None,
     };
@@ -156,12 +159,12 @@
         control.tick(now, &mut effects);
     }
     effects.clear();
-    control.beat(2_250, 1, "i", beat("available", 1), &mut effects);
-    control.departure(2_250, 2, "i", &mut effects);
+    control.on_replica_heartbeat(2_250, 1, "i", beat("available", 1), &mut effects);
+    control.on_replica_departure(2_250, 2, "i", &mut effects);
     assert!(
         matches!(
             answers(&effects)[..],
-            [Answer::NotNow(_), Answer::NotNow(_)]
+            [Response::Unavailable(_), Response::Unavailable(_)]
         ),
         "{effects:?}"
     );
@@ -172,24 +175,28 @@
     let mut control = in_contact_at(0);
     says(&mut control, 0, FRONT, front_hello());
     let mut effects = Vec::new();
-    control.beat(10, 1, "i", beat("draining", 1), &mut effects);
+    control.on_replica_heartbeat(10, 1, "i", beat("draining", 1), &mut effects);
     assert!(answers(&effects).is_empty());
     effects.clear();
     // Calls and messages that have waited come before any tick.
-    control.beat(20_000, 2, "k", beat("available", 1), &mut effects);
+    control.on_replica_heartbeat(20_000, 2, "k", beat("available", 1), &mut effects);
     effects.extend(says(
         &mut control,
         20_000,
         PEER,
         PeerMessage::UpdateAck(UpdateAck { update_id: 1 }),
     ));
-    control.departure(20_000, 3, "i", &mut effects);
+    control.on_replica_departure(20_000, 3, "i", &mut effects);
     assert!(matches!(
         answers(&effects)[..],
-        [Answer::NotNow(_), Answer::NotNow(_), Answer::NotNow(_)]
+        [
+            Response::Unavailable(_),
+            Response::Unavailable(_),
+            Response::Unavailable(_)
+        ]
     ));
     assert!(
-        effects.iter().any(|e| matches!(e, Effect::Drop(FRONT))),
+        effects.iter().any(|e| matches!(e, Effect::Close(FRONT))),
         "its fronts go elsewhere"
     );
     effects.extend(says(&mut control, 20_000, 10, front_hello()));
@@ -203,7 +210,7 @@
     control.read(10, 1, &mut effects);
     let question = effects.iter().find_map(|e| match e {
         Effect::Send {
-            word: PeerMessage::ReadRequest(request),
+            message: PeerMessage::ReadRequest(request),
             ..
         } => Some(request.read_id),
         _ => None,
@@ -214,7 +221,7 @@
         pending: false,
     };
     let effects = says(&mut control, 20_000, PEER, PeerMessage::ReadReply(reply));
-    assert!(matches!(answers(&effects)[..], [Answer::NotNow(_)]));
+    assert!(matches!(answers(&effects)[..], [Response::Unavailable(_)]));
 }
 
 #[test]
@@ -224,7 +231,7 @@
     assert_eq!(told(&effects), (true, false));
     let question = effects.iter().find_map(|e| match e {
         Effect::Send {
-            word: PeerMessage::ReadRequest(request),
+            message: PeerMessage::ReadRequest(request),
             ..
         } => Some(request.read_id),
         _ => None,
@@ -247,11 +254,11 @@
         says(&mut control, now, FRONT, heartbeat(now, None));
         control.tick(now, &mut effects);
     }
-    assert!(effects.iter().any(|e| matches!(e, Effect::Drop(FRONT))));
+    assert!(effects.iter().any(|e| matches!(e, Effect::Close(FRONT))));
     let mut effects = says(&mut control, CONTACT + 500, FRONT, front_hello());
     control.tick(CONTACT + 1_000, &mut effects);
     assert!(!told(&effects).0);
-    let outside = |e: &Effect| matches!(e, Effect::Send { link: FRONT, word: PeerMessage::Heartbeat(h) } if !h.has_quorum);
+    let outside = |e: &Effect| matches!(e, Effect::Send { session: FRONT, message: PeerMessage::Heartbeat(h) } if !h.has_quorum);
     assert!(
         effects.iter().any(outside),
         "it says that it is out of contact"
@@ -263,14 +270,14 @@
     let mut cluster = Cluster::new(3, 3);
     assert_eq!(
         cluster.order_until_answered(1_000, 0, 1),
-        Some(Answer::Taken(1))
+        Some(Response::Committed(1))
     );
     for other in 1..3 {
         cluster.cut.extend([(0, other), (other, 0)]);
     }
     assert_eq!(
         cluster.order_until_answered(5_000, 1, 2),
-        Some(Answer::Taken(2))
+        Some(Response::Committed(2))
     );
     cluster.run(3_000);
     // It has revision 1 as the newest: neither order is its to judge.
@@ -279,7 +286,7 @@
         cluster.run(1_500);
         let answer = &cluster.nodes[0].answers[&token];
         assert!(
-            matches!(answer, Answer::NotNow(_)),
+            matches!(answer, Response::Unavailable(_)),
             "{base} {revision}: {answer:?}"
         );
     }
@@ -306,26 +313,26 @@
     let mut cluster = Cluster::new(3, 3);
     assert_eq!(
         cluster.order_until_answered(1_000, 0, 1),
-        Some(Answer::Taken(1))
+        Some(Response::Committed(1))
     );
     let leader = cluster.leader().unwrap();
     cluster.nodes[leader].frozen = true;
     cluster.run(100);
     assert_eq!(
         cluster.order_until_answered(6_000, 1, 2),
-        Some(Answer::Taken(2))
+        Some(Response::Committed(2))
     );
     cluster.run(12_000);
     cluster.thaw(leader, |control, now, effects| {
         control.replace(now, 1 << 32, 0, 9, b"late".to_vec(), effects);
         control.read(now, 2 << 32, effects);
-        control.beat(now, 3 << 32, "i", beat("available", 1), effects);
+        control.on_replica_heartbeat(now, 3 << 32, "i", beat("available", 1), effects);
         assert!(control.holds_lease(now).is_none() && !control.in_contact(now));
     });
     let answers = cluster.nodes[leader].answers.clone();
     for token in [1u64 << 32, 2 << 32, 3 << 32] {
         assert!(
-            matches!(answers.get(&token), Some(Answer::NotNow(_))),
+            matches!(answers.get(&token), Some(Response::Unavailable(_))),
             "{:?}",
             answers.get(&token)
         );
--- a/crates/linenthread-control/tests/nodes/leaving.rs
+++ b/crates/linenthread-control/tests/nodes/leaving.rs
@@ -1,11 +1,11 @@
 //! Nodes that leave and join, and a second loss at each moment of it.
 
 use crate::cluster::{Cluster, address};
-use linenthread_control::Answer;
+use linenthread_control::Response;
 use yare::parameterized;
 
 fn leave(cluster: &mut Cluster, n: usize) {
-    cluster.at(n, linenthread_control::Control::leave);
+    cluster.at(n, linenthread_control::ControlNode::leave);
 }
 
 #[test]
@@ -29,7 +29,10 @@
     cluster.nodes[slow].sync_ms = 3_000;
     let token = cluster.order(leader, 0, 1);
     assert!(cluster.run_until(900, |c| c.nodes[leader].answers.contains_key(&token)));
-    assert_eq!(cluster.nodes[leader].answers[&token], Answer::Taken(1));
+    assert_eq!(
+        cluster.nodes[leader].answers[&token],
+        Response::Committed(1)
+    );
     leave(&mut cluster, leaver);
     assert!(
         !cluster.run_until(1_500, |c| c.may_leave(leaver)),
@@ -45,7 +48,7 @@
     cluster.start(leaver);
     assert_eq!(
         cluster.order_until_answered(8_000, 0, 1),
-        Some(Answer::Taken(1))
+        Some(Response::Committed(1))
     );
 }
 
@@ -80,7 +83,7 @@
     assert!(cluster.run_until(300, |c| c.leader().is_some_and(|n| n != leader)));
     assert_eq!(
         cluster.order_until_answered(1_000, 0, 1),
-        Some(Answer::Taken(1))
+        Some(Response::Committed(1))
     );
 }
 
@@ -120,7 +123,7 @@
     let mut cluster = Cluster::new(3, 3);
     leave(&mut cluster, 0);
     let token = cluster.order(0, 0, 1);
-    let Answer::Elsewhere(to) = cluster.nodes[0].answers[&token].clone() else {
+    let Response::Redirect(to) = cluster.nodes[0].answers[&token].clone() else {
         panic!("sent on")
     };
     assert!([address(1), address(2)].contains(&to));
@@ -131,7 +134,7 @@
     let mut cluster = Cluster::new(4, 3);
     assert_eq!(
         cluster.order_until_answered(1_000, 0, 1),
-        Some(Answer::Taken(1))
+        Some(Response::Committed(1))
     );
     cluster.nodes[3].sync_ms = 4_000;
     cluster.start(3);
@@ -220,7 +223,7 @@
     cluster.start(joiner);
     assert_eq!(
         cluster.order_until_answered(3_000, 0, 1),
-        Some(Answer::Taken(1)),
+        Some(Response::Committed(1)),
         "{plan:?}"
     );
     // The successor has found the others; that it holds nothing yet does not matter.
@@ -240,7 +243,7 @@
     lose(&mut cluster, plan.lost);
     assert_eq!(
         cluster.order_until_answered(10_000, 1, 2),
-        Some(Answer::Taken(2)),
+        Some(Response::Committed(2)),
         "{plan:?}"
     );
 }
@@ -265,7 +268,7 @@
         let mut cluster = Cluster::new(4, 3);
         assert_eq!(
             cluster.order_until_answered(3_000, 0, 1),
-            Some(Answer::Taken(1))
+            Some(Response::Committed(1))
         );
         cluster.wipe(2);
         cluster.run(100);
@@ -274,6 +277,6 @@
         cluster.run(2_500);
         lose(&mut cluster, &[lost]);
         let answer = cluster.order_until_answered(10_000, 1, 2);
-        assert_eq!(answer, Some(Answer::Taken(2)), "node {lost} lost");
+        assert_eq!(answer, Some(Response::Committed(2)), "node {lost} lost");
     }
 }
--- a/crates/linenthread-drill/src/system/contact.rs
+++ b/crates/linenthread-drill/src/system/contact.rs
@@ -1,7 +1,7 @@
 //! Who is in contact with whom, by what the drill knows: words that truly arrived, cuts, pauses and ends.
 
 use linenthread_consensus::Register;
-use linenthread_control::Control;
+use linenthread_control::ControlNode;
 use linenthread_messages::Voter;
 
 use super::fronts::{FRONTS, front_number};
@@ -24,7 +24,7 @@
         let Some(register) = node
             .control
             .as_ref()
-            .map(linenthread_control::Control::register)
+            .map(linenthread_control::ControlNode::register)
         else {
             return;
         };
@@ -48,7 +48,7 @@
     /// Whether words get to and from more than half of those that count, by the newest value of all and by the newest
     /// that the node itself has: a change of the voters that nobody in reach knows of leaves it without contact.
     fn can_reach_majority(&self, n: usize) -> bool {
-        let register = |m: usize| self.nodes[m].control.as_ref().map(Control::register);
+        let register = |m: usize| self.nodes[m].control.as_ref().map(ControlNode::register);
         let (Some((_, newest)), Some(own)) = (self.values.last_key_value(), register(n)) else {
             return false;
         };
--- a/crates/linenthread-drill/src/system/judge.rs
+++ b/crates/linenthread-drill/src/system/judge.rs
@@ -1,7 +1,7 @@
 //! The named rules, each judged where it can be seen.
 
 use linenthread_consensus::{Register, document_digest};
-use linenthread_control::{Answer, Control};
+use linenthread_control::{ControlNode, Response};
 use linenthread_messages::{OrderIdentity, Value, Voter};
 
 use super::contact::CONTACT_BOUND;
@@ -29,7 +29,7 @@
 
     /// *nothing-goes-back*, *one-value-a-number*: what this machine has decided by now.
     pub(super) fn judge_decided(&mut self, n: usize) {
-        let decided = |c: &Control| c.register().decided().cloned();
+        let decided = |c: &ControlNode| c.register().decided().cloned();
         let Some(decided) = self.nodes[n].control.as_ref().and_then(decided) else {
             return;
         };
@@ -140,52 +140,52 @@
 
     // --- answers ---
 
-    pub(super) fn answered(&mut self, n: usize, token: u64, answer: Answer) {
+    pub(super) fn answered(&mut self, n: usize, token: u64, answer: Response) {
         let Some(call) = self.calls.remove(&token) else {
             return;
         };
         match &answer {
             // Only what is decided is acknowledged, see `acknowledged`: a machine that has just started may tell
             // so by the word of one other, which has no contact to have lost.
-            Answer::Taken(_) if self.now < self.nodes[n].began + CONTACT_BOUND => {}
-            Answer::Taken(revision) => self.judge_contact(n, &format!("Taken {revision}")),
-            Answer::Conflict(revision) => self.judge_contact(n, &format!("Conflict {revision}")),
-            Answer::Document(value) => {
+            Response::Committed(_) if self.now < self.nodes[n].began + CONTACT_BOUND => {}
+            Response::Committed(revision) => self.judge_contact(n, &format!("Taken {revision}")),
+            Response::Conflict(revision) => self.judge_contact(n, &format!("Conflict {revision}")),
+            Response::Document(value) => {
                 self.judge_contact(n, &format!("Document {}", value.revision));
             }
-            Answer::Heard(_) => self.judge_contact(n, "Heard"),
+            Response::Acknowledged(_) => self.judge_contact(n, "Heard"),
             _ => {}
         }
         match (call.request, answer) {
-            (Request::Replace { operator, change }, Answer::Taken(_)) => {
+            (Request::Replace { operator, change }, Response::Committed(_)) => {
                 self.acknowledged(n, operator, change);
             }
-            (Request::Replace { operator, change }, Answer::Conflict(revision)) => {
+            (Request::Replace { operator, change }, Response::Conflict(revision)) => {
                 self.judge_refusal(n, &change, 0);
                 self.refused.insert((change.revision, change.document));
                 let operator = &mut self.operators[operator];
                 (operator.current, operator.change, operator.waits) = (revision, None, None);
             }
             (Request::Replace { operator, .. }, _) => self.operators[operator].waits = None,
-            (Request::Again { change, .. }, Answer::Taken(_)) => {
+            (Request::Again { change, .. }, Response::Committed(_)) => {
                 self.told.again_taken += 1;
                 self.judge_acknowledgement(n, &change);
             }
-            (Request::Again { change, later }, Answer::Conflict(_)) => {
+            (Request::Again { change, later }, Response::Conflict(_)) => {
                 self.judge_refusal(n, &change, later);
             }
             (Request::Again { .. }, _) => self.told.again_unclear += 1,
-            (Request::Rival { change }, Answer::Taken(_)) => {
+            (Request::Rival { change }, Response::Committed(_)) => {
                 let revision = change.revision;
                 self.breach(format!(
                     "one-a-number: another order under {revision} is acknowledged by {n}"
                 ));
             }
-            (Request::Rival { .. }, Answer::Conflict(_)) => self.told.rivals_refused += 1,
-            (Request::Read { operator, floor }, Answer::Document(value)) => {
+            (Request::Rival { .. }, Response::Conflict(_)) => self.told.rivals_refused += 1,
+            (Request::Read { operator, floor }, Response::Document(value)) => {
                 self.judge_read(operator, floor, &value);
             }
-            (Request::Drain(ident), Answer::Heard(_)) => self.judge_drain(n, &ident),
+            (Request::Drain(ident), Response::Acknowledged(_)) => self.judge_drain(n, &ident),
             _ => {}
         }
     }
@@ -259,7 +259,7 @@
     /// *drains-are-known*: to more than half of those that count.
     fn judge_drain(&mut self, n: usize, ident: &str) {
         self.told.drains += 1;
-        let Some(register) = self.nodes[n].control.as_ref().map(Control::register) else {
+        let Some(register) = self.nodes[n].control.as_ref().map(ControlNode::register) else {
             return;
         };
         let voters: Vec<Voter> = register.voters().to_vec();
@@ -278,8 +278,8 @@
     }
 
     fn knows_drain(&self, voter: &Voter, ident: &str) -> bool {
-        let knows = |c: &Control| {
-            let told = c.registry().get(ident).map(|known| &known.told);
+        let knows = |c: &ControlNode| {
+            let told = c.registry().get(ident).map(|known| &known.replica);
             told.is_some_and(|t| t.draining || t.removed_for_good)
         };
         let mut controls = self.nodes.iter().filter_map(|o| o.control.as_ref());
@@ -288,7 +288,11 @@
 
     fn has_run_for_a_while(&self, voter: &Voter) -> bool {
         let is = |o: &Node| {
-            o.control.as_ref().map(Control::register).map(Register::id) == Some(voter.id)
+            o.control
+                .as_ref()
+                .map(ControlNode::register)
+                .map(Register::id)
+                == Some(voter.id)
         };
         self.nodes
             .iter()
@@ -352,7 +356,7 @@
             .enumerate()
             .filter(|(_, node)| !node.removed)
         {
-            let Some(register) = node.control.as_ref().map(Control::register) else {
+            let Some(register) = node.control.as_ref().map(ControlNode::register) else {
                 continue;
             };
             let newest = register.decided().map_or(0, |d| d.revision);
--- a/crates/linenthread-drill/src/system/leaving.rs
+++ b/crates/linenthread-drill/src/system/leaving.rs
@@ -39,7 +39,7 @@
             then,
         });
         let life = self.nodes[n].life;
-        self.at(n, linenthread_control::Control::leave);
+        self.at(n, linenthread_control::ControlNode::leave);
         self.push(self.now + LOOK, Event::MayEnd { node: n, life });
     }
 
--- a/crates/linenthread-drill/src/system/machines.rs
+++ b/crates/linenthread-drill/src/system/machines.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use linenthread_consensus::genesis_id;
-use linenthread_control::{Control, Effect, Local};
+use linenthread_control::{ControlNode, Effect, NodeConfig};
 use linenthread_messages::{PeerMessage, Record};
 
 use super::catch_up::CatchUp;
@@ -14,7 +14,7 @@
 
 pub(super) struct Node {
     pub(super) address: String,
-    pub(super) control: Option<Control>,
+    pub(super) control: Option<ControlNode>,
     pub(super) life: u64,
     pub(super) disk: Disk,
     /// The addresses that its settings name.
@@ -95,21 +95,21 @@
             .id
             .unwrap_or(if first { genesis_id(&own) } else { life });
         let genesis = node.initial.then(|| self.genesis.clone());
-        let local = Local {
+        let local = NodeConfig {
             name: format!("hub-{n}"),
             zone: format!("z{}", n % 3),
-            life,
-            control: own,
-            counts: true,
-            least: 2 * self.budget + 1,
-            heartbeat: 1_000,
+            incarnation: life,
+            control_address: own,
+            may_vote: true,
+            min_voters: 2 * self.budget + 1,
+            heartbeat_interval: 1_000,
             bootstrap: node.bootstrap.clone(),
-            first_of_all: node.initial && kept.id.is_none(),
+            is_genesis: node.initial && kept.id.is_none(),
             retry_allowance: WHOLE,
             retry_window: WINDOW,
         };
         let empty = kept.id.is_none();
-        let control = Control::new(local, id, kept, genesis.clone(), clock);
+        let control = ControlNode::new(local, id, kept, genesis.clone(), clock);
         self.trace(&format!("{n} starts"));
         let goal = self.newest_number();
         let node = &mut self.nodes[n];
@@ -187,7 +187,11 @@
     }
 
     /// Runs something at a core machine and carries out what it says.
-    pub(super) fn at(&mut self, n: usize, run: impl FnOnce(&mut Control, u64, &mut Vec<Effect>)) {
+    pub(super) fn at(
+        &mut self,
+        n: usize,
+        run: impl FnOnce(&mut ControlNode, u64, &mut Vec<Effect>),
+    ) {
         let clock = self.clock(n);
         let mut out = Vec::new();
         let Some(control) = self.nodes[n].control.as_mut() else {
@@ -203,12 +207,18 @@
 
     fn carry_out(&mut self, n: usize, effect: Effect) {
         match effect {
-            Effect::Send { link, word } => self.send(n, link, word),
-            Effect::Keep { record, then } => self.keep(n, record, then),
-            Effect::Answer { token, answer } => self.answered(n, token, answer),
+            Effect::Send {
+                session: link,
+                message: word,
+            } => self.send(n, link, word),
+            Effect::Persist { record, then } => self.keep(n, record, then),
+            Effect::Respond {
+                call: token,
+                response: answer,
+            } => self.answered(n, token, answer),
             Effect::Dial(address) => self.dial(n, address),
-            Effect::Drop(link) => self.end_link(link, n),
-            Effect::Note(note) => self.trace(&format!("{n}: {note}")),
+            Effect::Close(link) => self.end_link(link, n),
+            Effect::Log(note) => self.trace(&format!("{n}: {note}")),
         }
     }
 
--- a/crates/linenthread-drill/src/system/replicas.rs
+++ b/crates/linenthread-drill/src/system/replicas.rs
@@ -1,6 +1,6 @@
 //! Replicas that send heartbeats, some of which drain.
 
-use linenthread_control::Beat;
+use linenthread_control::ReplicaHeartbeat;
 
 use super::operators::Request;
 use super::world::{Event, START, World};
@@ -33,14 +33,17 @@
             "{{\"backend\":\"b{backend}\",\"address\":\"10.9.0.{r}:1\",\"zone\":\"z{zone}\",\
              \"phase\":\"{phase}\",\"call_count\":{count}}}"
         );
-        let beat: Beat = serde_json::from_str(&text).expect("a heartbeat in proper form");
+        let beat: ReplicaHeartbeat =
+            serde_json::from_str(&text).expect("a heartbeat in proper form");
         let request = if drains {
             Request::Drain(ident.clone())
         } else {
             Request::Beat
         };
         if let Some(token) = self.call(n, request) {
-            self.at(n, |c, now, out| c.beat(now, token, &ident, beat, out));
+            self.at(n, |c, now, out| {
+                c.on_replica_heartbeat(now, token, &ident, beat, out);
+            });
         }
     }
 }
--- a/crates/linenthread-drill/src/system/world.rs
+++ b/crates/linenthread-drill/src/system/world.rs
@@ -322,9 +322,9 @@
                     let due = self.nodes[n]
                         .control
                         .as_ref()
-                        .is_some_and(|c| clock >= c.due(clock));
+                        .is_some_and(|c| clock >= c.next_tick_at(clock));
                     if due && self.nodes[n].frozen <= self.now {
-                        self.at(n, linenthread_control::Control::tick);
+                        self.at(n, linenthread_control::ControlNode::tick);
                     }
                 }
                 continue;
--- a/crates/linenthread-drill/tests/no_wall_clock.rs
+++ b/crates/linenthread-drill/tests/no_wall_clock.rs
@@ -4,7 +4,7 @@
 use std::path::{Path, PathBuf};
 
 use linenthread_consensus::DurableState;
-use linenthread_control::{Control, Effect, Local};
+use linenthread_control::{ControlNode, Effect, NodeConfig};
 
 /// What reads a clock; the first is the time of day.
 const CLOCKS: [&str; 3] = ["SystemTime", "UNIX_EPOCH", "Instant"];
@@ -74,21 +74,21 @@
     }
 }
 
-fn node(name: &str, life: u64) -> Control {
-    let local = Local {
+fn node(name: &str, life: u64) -> ControlNode {
+    let local = NodeConfig {
         name: name.into(),
         zone: "z0".into(),
-        life,
-        control: format!("{name}:80"),
-        counts: true,
-        least: 3,
-        heartbeat: 1_000,
+        incarnation: life,
+        control_address: format!("{name}:80"),
+        may_vote: true,
+        min_voters: 3,
+        heartbeat_interval: 1_000,
         bootstrap: Vec::new(),
-        first_of_all: false,
+        is_genesis: false,
         retry_allowance: 1.0,
         retry_window: 1_000,
     };
-    Control::new(local, life, DurableState::default(), None, 0)
+    ControlNode::new(local, life, DurableState::default(), None, 0)
 }
 
 /// Two lives that draw one number hold no session with each other: neither votes for the other's ballots or
@@ -98,9 +98,9 @@
     let (mut one, mut other) = (node("one", 7), node("other", 7));
     let (mut hello, mut answer) = (Vec::new(), Vec::new());
     one.opened(1, &mut hello);
-    let Some(Effect::Send { word, .. }) = hello.pop() else {
+    let Some(Effect::Send { message: word, .. }) = hello.pop() else {
         panic!("no hello")
     };
     other.on_message(1, 2, word, &mut answer);
-    assert!(matches!(answer[..], [Effect::Drop(2)]));
+    assert!(matches!(answer[..], [Effect::Close(2)]));
 }
--- a/crates/linenthread-hollow/src/api.rs
+++ b/crates/linenthread-hollow/src/api.rs
@@ -3,10 +3,10 @@
 use bytes::BytesMut;
 use linenthread_config::Configuration;
 use linenthread_consensus::{DurableState, genesis_id};
-use linenthread_control::{Beat, Control, Local};
+use linenthread_control::{ControlNode, NodeConfig, ReplicaHeartbeat};
 use linenthread_messages::{Heartbeat, Hello, VERSION, Value, Voter, decode};
 
-pub(crate) use linenthread_control::{Answer, Effect, Link, Token};
+pub(crate) use linenthread_control::{CallId, Effect, Response, SessionId};
 pub(crate) use linenthread_messages::{IngressUpdate, PeerMessage, Record, Replica, encode};
 
 use crate::cost::Work;
@@ -27,22 +27,22 @@
 
 /// What happens to a control node.
 pub enum Input {
-    Opened(Link),
-    Closed(Link),
+    Opened(SessionId),
+    Closed(SessionId),
     Unreached(String),
-    Frame(Link, BytesMut),
+    Frame(SessionId, BytesMut),
     /// A replica's heartbeat, as the body of its call.
     Beat {
-        token: Token,
+        token: CallId,
         ident: String,
         body: Vec<u8>,
     },
     Departure {
-        token: Token,
+        token: CallId,
         ident: String,
     },
     Replace {
-        token: Token,
+        token: CallId,
         base: u64,
         revision: u64,
         document: Vec<u8>,
@@ -53,7 +53,7 @@
 
 /// One real control state machine.
 pub struct Node {
-    control: Control,
+    control: ControlNode,
 }
 
 impl Node {
@@ -78,25 +78,25 @@
             decided: Some(genesis.clone()),
             ..Record::default()
         };
-        let local = Local {
+        let local = NodeConfig {
             name: settings.name,
             zone: settings.zone,
-            life: settings.life,
-            control: settings.address,
-            counts: settings.votes,
-            least: 3,
-            heartbeat: settings.heartbeat_ms,
+            incarnation: settings.life,
+            control_address: settings.address,
+            may_vote: settings.votes,
+            min_voters: 3,
+            heartbeat_interval: settings.heartbeat_ms,
             bootstrap: settings.bootstrap,
-            first_of_all: true,
+            is_genesis: true,
             retry_allowance: RETRY_ALLOWANCE,
             retry_window: RETRY_WINDOW_MS,
         };
-        let control = Control::new(local, id, DurableState::default(), Some(genesis), now);
+        let control = ControlNode::new(local, id, DurableState::default(), Some(genesis), now);
         (Node { control }, record)
     }
 
     pub fn due(&self, now: u64) -> u64 {
-        self.control.due(now)
+        self.control.next_tick_at(now)
     }
 
     pub fn is_leader(&self, now: u64) -> bool {
@@ -141,13 +141,14 @@
                 _ => Work::Sessions,
             },
             Input::Beat { token, ident, body } => {
-                if let Ok(beat) = serde_json::from_slice::<Beat>(&body) {
-                    self.control.beat(now, token, &ident, beat, out);
+                if let Ok(beat) = serde_json::from_slice::<ReplicaHeartbeat>(&body) {
+                    self.control
+                        .on_replica_heartbeat(now, token, &ident, beat, out);
                 }
                 Work::ReplicaHeartbeats
             }
             Input::Departure { token, ident } => {
-                self.control.departure(now, token, &ident, out);
+                self.control.on_replica_departure(now, token, &ident, out);
                 Work::ReplicaHeartbeats
             }
             Input::Replace {
--- a/crates/linenthread-hollow/src/world.rs
+++ b/crates/linenthread-hollow/src/world.rs
@@ -7,7 +7,7 @@
 use oorandom::Rand64;
 
 use crate::api::{
-    self, Answer, Effect, Input, Link, Node, NodeSettings, PeerMessage, Record, Token,
+    self, CallId, Effect, Input, Node, NodeSettings, PeerMessage, Record, Response, SessionId,
 };
 use crate::cost::{Cost, Meter, Work, held};
 use crate::document::document;
@@ -58,7 +58,7 @@
     },
     FrontHeartbeat {
         front: usize,
-        link: Link,
+        link: SessionId,
     },
     ReplicaHeartbeat(usize),
     ReplicaRestart(usize),
@@ -99,10 +99,10 @@
     away: Vec<bool>,
     /// What all replicas spend together.
     pub replica_cost: Cost,
-    links: HashMap<Link, [End; 2]>,
-    next_link: Link,
-    calls: HashMap<Token, Caller>,
-    next_token: Token,
+    links: HashMap<SessionId, [End; 2]>,
+    next_link: SessionId,
+    calls: HashMap<CallId, Caller>,
+    next_token: CallId,
     scratch: BytesMut,
     out: Vec<Effect>,
     /// From the operator's call to its acknowledgement.
@@ -296,7 +296,7 @@
     /// The process of a node ends. Its connections are closed, or hang where nobody says so.
     pub fn kill(&mut self, n: usize, connections_close: bool) {
         (self.nodes[n].node, self.nodes[n].life) = (None, 0);
-        let mut links: Vec<Link> = self
+        let mut links: Vec<SessionId> = self
             .links
             .iter()
             .filter(|(_, ends)| ends.contains(&End::Node(n)))
@@ -358,15 +358,21 @@
 
     fn carry_out(&mut self, n: usize, effect: Effect) {
         match effect {
-            Effect::Send { link, word } => self.send(n, link, word),
-            Effect::Keep { record, then } => self.keep(n, record, then),
-            Effect::Answer { token, answer } => {
+            Effect::Send {
+                session: link,
+                message: word,
+            } => self.send(n, link, word),
+            Effect::Persist { record, then } => self.keep(n, record, then),
+            Effect::Respond {
+                call: token,
+                response: answer,
+            } => {
                 self.answered(n, token, &answer);
                 self.release(n, answer);
             }
             Effect::Dial(address) => self.dial(n, address),
-            Effect::Drop(link) => self.end_link(link, End::Node(n)),
-            Effect::Note(line) => {
+            Effect::Close(link) => self.end_link(link, End::Node(n)),
+            Effect::Log(line) => {
                 if let Some(trace) = &mut self.trace {
                     trace.push((self.now, format!("control-{n:02} {line}")));
                 }
@@ -394,13 +400,13 @@
         self.release(n, record);
     }
 
-    fn is_front_link(&self, link: Link) -> bool {
+    fn is_front_link(&self, link: SessionId) -> bool {
         self.links
             .get(&link)
             .is_some_and(|ends| ends.iter().any(|end| matches!(end, End::Front(_))))
     }
 
-    fn send(&mut self, n: usize, link: Link, word: PeerMessage) {
+    fn send(&mut self, n: usize, link: SessionId, word: PeerMessage) {
         let Some(ends) = self.links.get(&link) else {
             return self.release(n, word);
         };
@@ -485,14 +491,14 @@
         }
     }
 
-    fn open(&mut self, ends: [End; 2]) -> Link {
+    fn open(&mut self, ends: [End; 2]) -> SessionId {
         self.next_link += 1;
         self.links.insert(self.next_link, ends);
         self.next_link
     }
 
     /// One end is through with a link; the other learns of it.
-    fn end_link(&mut self, link: Link, by: End) {
+    fn end_link(&mut self, link: SessionId, by: End) {
         let Some(ends) = self.links.remove(&link) else {
             return;
         };
@@ -556,7 +562,7 @@
             .push(self.now, Event::FrontHeartbeat { front: f, link });
     }
 
-    fn send_frame(&mut self, n: usize, at: u64, link: Link, frame: &[u8]) {
+    fn send_frame(&mut self, n: usize, at: u64, link: SessionId, frame: &[u8]) {
         let input = Input::Frame(link, BytesMut::from(frame));
         self.events.push(
             at,
@@ -568,7 +574,7 @@
         );
     }
 
-    fn front_heartbeat(&mut self, f: usize, link: Link) {
+    fn front_heartbeat(&mut self, f: usize, link: SessionId) {
         let front = &mut self.fronts[f];
         let Some((_, n)) = front.session.filter(|(own, _)| *own == link) else {
             return;
@@ -585,7 +591,7 @@
 
     // --- replicas ---
 
-    fn token(&mut self, caller: Caller) -> Token {
+    fn token(&mut self, caller: Caller) -> CallId {
         self.next_token += 1;
         self.calls.insert(self.next_token, caller);
         self.next_token
@@ -655,13 +661,13 @@
         self.events.push(at, Event::Change { revision, sent: at });
     }
 
-    fn answered(&mut self, n: usize, token: Token, answer: &Answer) {
+    fn answered(&mut self, n: usize, token: CallId, answer: &Response) {
         match self.calls.remove(&token) {
             Some(Caller::Replica(r)) => self.replica_answered(n, r, answer),
             Some(Caller::Operator { revision, sent }) => {
                 let back = latency_ms(OPERATOR_ZONE, self.nodes[n].zone);
                 match answer {
-                    Answer::Taken(_) => {
+                    Response::Committed(_) => {
                         self.acknowledged.saturating_record(self.now + back - sent);
                         if let Some(trace) = &mut self.trace {
                             let line =
@@ -678,8 +684,8 @@
         }
     }
 
-    fn replica_answered(&mut self, n: usize, r: usize, answer: &Answer) {
-        let address = if let Answer::Heard(report_to) = answer {
+    fn replica_answered(&mut self, n: usize, r: usize, answer: &Response) {
+        let address = if let Response::Acknowledged(report_to) = answer {
             report_to.as_deref()
         } else {
             self.replicas[r].node = self.any_node();
--- a/crates/linenthread-node/src/control.rs
+++ b/crates/linenthread-node/src/control.rs
@@ -7,7 +7,9 @@
 use std::time::Duration;
 
 use linenthread_config::{Configuration, Settings};
-use linenthread_control::{Answer, Beat, Control, Effect, Link, Local, Token};
+use linenthread_control::{
+    CallId, ControlNode, Effect, NodeConfig, ReplicaHeartbeat, Response, SessionId,
+};
 use linenthread_dataplane::connection::{HttpConnection, Stop};
 use linenthread_http::{Head, request_framing};
 use linenthread_messages::{PeerMessage, Value, Voter};
@@ -30,19 +32,19 @@
 const DIAL: Duration = Duration::from_millis(700);
 
 enum Command {
-    Opened(Link, mpsc::Sender<PeerMessage>),
-    PeerMessage(Link, PeerMessage),
-    Closed(Link),
+    Opened(SessionId, mpsc::Sender<PeerMessage>),
+    PeerMessage(SessionId, PeerMessage),
+    Closed(SessionId),
     Unreached(String),
-    Beat(String, Beat, oneshot::Sender<Answer>),
-    Departure(String, oneshot::Sender<Answer>),
+    Beat(String, ReplicaHeartbeat, oneshot::Sender<Response>),
+    Departure(String, oneshot::Sender<Response>),
     Replace {
         base: u64,
         revision: u64,
         document: Vec<u8>,
-        reply: oneshot::Sender<Answer>,
+        reply: oneshot::Sender<Response>,
     },
-    Read(oneshot::Sender<Answer>),
+    Read(oneshot::Sender<Response>),
     Members(oneshot::Sender<serde_json::Value>),
     Replicas(oneshot::Sender<serde_json::Value>),
     Synced(Vec<(u64, PeerMessage)>),
@@ -129,21 +131,21 @@
             .collect(),
         ..Value::default()
     });
-    let local = Local {
+    let local = NodeConfig {
         name: settings.node_name.clone(),
         zone: settings.zone.clone(),
-        life,
-        control: own,
-        counts: settings.quorum_member,
-        least: 2 * settings.machine_faults + 1,
-        heartbeat: settings.heartbeat_ms,
+        incarnation: life,
+        control_address: own,
+        may_vote: settings.quorum_member,
+        min_voters: 2 * settings.machine_faults + 1,
+        heartbeat_interval: settings.heartbeat_ms,
         bootstrap,
-        first_of_all: settings.initial_boot && empty,
+        is_genesis: settings.initial_boot && empty,
         retry_allowance: settings.retry_allowance,
         retry_window: settings.retry_window_ms,
     };
     log::info!(disk = id, empty = empty, first = first; "event=control_start");
-    let control = Control::new(local, id, kept, genesis.clone(), clock::ms());
+    let control = ControlNode::new(local, id, kept, genesis.clone(), clock::ms());
     if empty {
         disk.keep(
             linenthread_messages::Record {
@@ -162,7 +164,7 @@
         .await
         .map_err(step("binding", peers))?;
     log::info!(calls = address.to_string(), peers = settings.peers_port; "event=control_open");
-    let hub = ControlNode {
+    let hub = ControlTask {
         control,
         disk,
         links: HashMap::new(),
@@ -226,12 +228,12 @@
     let _ = commands.send(Command::Closed(link)).await;
 }
 
-struct ControlNode {
-    control: Control,
+struct ControlTask {
+    control: ControlNode,
     disk: Disk,
-    links: HashMap<Link, mpsc::Sender<PeerMessage>>,
-    calls: HashMap<Token, oneshot::Sender<Answer>>,
-    tokens: Token,
+    links: HashMap<SessionId, mpsc::Sender<PeerMessage>>,
+    calls: HashMap<CallId, oneshot::Sender<Response>>,
+    tokens: CallId,
     commands: mpsc::Sender<Command>,
     port: u16,
     /// Who waits for this node to be free to go.
@@ -240,14 +242,14 @@
     gone: bool,
 }
 
-impl ControlNode {
+impl ControlTask {
     async fn run(mut self, mut queue: mpsc::Receiver<Command>) {
         let (mut waiting, mut out) = (Vec::new(), Vec::new());
         loop {
             if self.gone {
                 queue.recv_many(&mut waiting, 64).await;
             } else {
-                let due = clock::at_ms(self.control.due(clock::ms())).into();
+                let due = clock::at_ms(self.control.next_tick_at(clock::ms())).into();
                 let _ = tokio::time::timeout_at(due, queue.recv_many(&mut waiting, 64)).await;
             }
             let now = clock::ms();
@@ -267,7 +269,7 @@
                 out.clear();
                 continue;
             }
-            if now >= self.control.due(now) {
+            if now >= self.control.next_tick_at(now) {
                 self.control.tick(now, &mut out);
             }
             self.carry_out(&mut out);
@@ -287,7 +289,7 @@
         }
     }
 
-    fn token(&mut self, reply: oneshot::Sender<Answer>) -> Token {
+    fn token(&mut self, reply: oneshot::Sender<Response>) -> CallId {
         self.tokens += 1;
         self.calls.insert(self.tokens, reply);
         self.tokens
@@ -307,11 +309,12 @@
             Command::Unreached(address) => self.control.unreached(now, &address),
             Command::Beat(ident, beat, reply) => {
                 let token = self.token(reply);
-                self.control.beat(now, token, &ident, beat, out);
+                self.control
+                    .on_replica_heartbeat(now, token, &ident, beat, out);
             }
             Command::Departure(ident, reply) => {
                 let token = self.token(reply);
-                self.control.departure(now, token, &ident, out);
+                self.control.on_replica_departure(now, token, &ident, out);
             }
             Command::Replace {
                 base,
@@ -342,7 +345,10 @@
     fn carry_out(&mut self, out: &mut Vec<Effect>) {
         for o in out.drain(..) {
             match o {
-                Effect::Send { link, word } => {
+                Effect::Send {
+                    session: link,
+                    message: word,
+                } => {
                     let full = self
                         .links
                         .get(&link)
@@ -351,12 +357,15 @@
                         self.links.remove(&link);
                     }
                 }
-                Effect::Keep { record, then } => {
+                Effect::Persist { record, then } => {
                     if !self.disk.keep(record, then) {
                         log::warn!("event=disk_behind");
                     }
                 }
-                Effect::Answer { token, answer } => {
+                Effect::Respond {
+                    call: token,
+                    response: answer,
+                } => {
                     if let Some(reply) = self.calls.remove(&token) {
                         let _ = reply.send(answer);
                     }
@@ -373,8 +382,8 @@
                         }
                     });
                 }
-                Effect::Drop(link) => drop(self.links.remove(&link)),
-                Effect::Note(line) => log::info!("{line}"),
+                Effect::Close(link) => drop(self.links.remove(&link)),
+                Effect::Log(line) => log::info!("{line}"),
             }
         }
     }
@@ -460,7 +469,7 @@
     let segments: Vec<&str> = path.trim_matches('/').split('/').collect();
     match (head.method(), segments.as_slice()) {
         ("POST", ["Replicas.Heartbeat", ident]) if !ident.is_empty() && ident.len() <= 256 => {
-            let beat: Beat = match serde_json::from_slice(&body) {
+            let beat: ReplicaHeartbeat = match serde_json::from_slice(&body) {
                 Ok(beat) => beat,
                 Err(e) => return refuse(400, e),
             };
@@ -520,26 +529,26 @@
 
 async fn asked(
     commands: &mpsc::Sender<Command>,
-    command: impl FnOnce(oneshot::Sender<Answer>) -> Command,
+    command: impl FnOnce(oneshot::Sender<Response>) -> Command,
 ) -> Reply {
     let (reply, answer) = oneshot::channel();
     if commands.try_send(command(reply)).is_err() {
         return refuse(503, "too much waits");
     }
     match answer.await {
-        Ok(Answer::Heard(Some(to))) => Reply::Json(200, json!({"report_to": to})),
-        Ok(Answer::Heard(None)) => Reply::Json(200, json!({})),
-        Ok(Answer::Taken(revision)) => Reply::Json(200, json!({"revision": revision})),
-        Ok(Answer::Document(value)) if value.revision == 0 => {
+        Ok(Response::Acknowledged(Some(to))) => Reply::Json(200, json!({"report_to": to})),
+        Ok(Response::Acknowledged(None)) => Reply::Json(200, json!({})),
+        Ok(Response::Committed(revision)) => Reply::Json(200, json!({"revision": revision})),
+        Ok(Response::Document(value)) if value.revision == 0 => {
             refuse(404, "no configuration was taken yet")
         }
-        Ok(Answer::Document(value)) => Reply::Raw(value.document.to_vec()),
-        Ok(Answer::Conflict(revision)) => Reply::Json(
+        Ok(Response::Document(value)) => Reply::Raw(value.document.to_vec()),
+        Ok(Response::Conflict(revision)) => Reply::Json(
             412,
             json!({"error": "another version is in place", "revision": revision}),
         ),
-        Ok(Answer::NotNow(cause)) => refuse(503, cause),
-        Ok(Answer::Elsewhere(address)) => Reply::Elsewhere(address),
+        Ok(Response::Unavailable(cause)) => refuse(503, cause),
+        Ok(Response::Redirect(address)) => Reply::Elsewhere(address),
         Err(_) => refuse(503, "ending"),
     }
 }
