--- a/crates/linenthread-control/src/contact.rs
+++ b/crates/linenthread-control/src/contact.rs
@@ -25,7 +25,9 @@
         if paused <= PAUSE {
             return;
         }
-        effects.push(Effect::Log(format!("event=woken paused_ms={paused}")));
+        effects.push(Effect::Log(format!(
+            "event=resumed_after_pause paused_ms={paused}"
+        )));
         for link in self.members.links().into_iter().chain(self.fronts.links()) {
             self.drop_session(now, link, effects);
         }
@@ -46,7 +48,7 @@
             }
             (false, Some(_)) => {
                 self.contact_since = None;
-                effects.push(Effect::Log("event=contact_lost".into()));
+                effects.push(Effect::Log("event=quorum_lost".into()));
                 self.drop_fronts(now, effects);
             }
             _ => {}
--- a/crates/linenthread-control/src/control_node.rs
+++ b/crates/linenthread-control/src/control_node.rs
@@ -225,7 +225,7 @@
 
     fn on_decided(&mut self, now: u64, value: &Value, effects: &mut Vec<Effect>) {
         effects.push(Effect::Log(format!(
-            "event=decided number={} revision={} counted={}",
+            "event=value_decided number={} revision={} voters={}",
             value.number,
             value.revision,
             value.voters.len()
@@ -362,7 +362,9 @@
             return;
         }
         for ident in self.registry.expire(now, silence) {
-            effects.push(Effect::Log(format!("event=replica_silent ident={ident}")));
+            effects.push(Effect::Log(format!(
+                "event=replica_timed_out ident={ident}"
+            )));
             self.fronts.changes.add(&ident);
         }
     }
--- a/crates/linenthread-control/src/leader.rs
+++ b/crates/linenthread-control/src/leader.rs
@@ -101,7 +101,7 @@
             return;
         };
         self.quota_allocator.on_lease(now, epoch);
-        effects.push(Effect::Log(format!("event=duty_taken epoch={epoch}")));
+        effects.push(Effect::Log(format!("event=lease_acquired epoch={epoch}")));
     }
 
     pub(crate) fn on_lease_release(&mut self, from: u64, release: &LeaseRelease) {
--- a/crates/linenthread-control/src/sessions.rs
+++ b/crates/linenthread-control/src/sessions.rs
@@ -30,13 +30,13 @@
     pub fn closed(&mut self, now: u64, link: SessionId, effects: &mut Vec<Effect>) {
         if let Some(front) = self.fronts.close(link) {
             effects.push(Effect::Log(format!(
-                "event=session_ended peer={} hub=false",
+                "event=session_closed peer={} control_node=false",
                 front.hello.name
             )));
         }
         if let Some(peer) = self.members.close(now, link) {
             effects.push(Effect::Log(format!(
-                "event=session_ended peer={} hub=true",
+                "event=session_closed peer={} control_node=true",
                 peer.hello.name
             )));
             self.drains.disk_gone(peer.hello.node_id);
@@ -98,7 +98,7 @@
         }
         let (name, zone) = (&hello.name, &hello.zone);
         effects.push(Effect::Log(format!(
-            "event=session peer={name} zone={zone} hub={}",
+            "event=session_opened peer={name} zone={zone} control_node={}",
             !is_front
         )));
         if is_front {
--- a/crates/linenthread-control/src/voters.rs
+++ b/crates/linenthread-control/src/voters.rs
@@ -29,7 +29,7 @@
         self.changes_voters = true;
         let names: Vec<&str> = voters.iter().map(|voter| voter.address.as_str()).collect();
         effects.push(Effect::Log(format!(
-            "event=counted_change on={on} counted={}",
+            "event=voters_changed on={on} voters={}",
             names.join(",")
         )));
         let job = self.requests.add(Purpose::Voters);
@@ -118,7 +118,7 @@
             return;
         }
         self.leaving = Some(now);
-        effects.push(Effect::Log("event=leaving".into()));
+        effects.push(Effect::Log("event=shutdown_requested".into()));
         self.drop_fronts(now, effects);
         self.send_heartbeats(now, effects);
         self.complete(now, effects);
--- a/crates/linenthread-dataplane/src/data_plane.rs
+++ b/crates/linenthread-dataplane/src/data_plane.rs
@@ -135,12 +135,12 @@
     pub fn adopt(&self, document: &[u8]) {
         match Configuration::read(document) {
             Ok(read) if read.revision > self.revision() => {
-                log::info!(revision = read.revision, routes = read.route_table.len(); "event=configuration");
+                log::info!(revision = read.revision, routes = read.route_table.len(); "event=configuration_applied");
                 *self.plan.borrow_mut() = Some(Rc::new(Plan::new(read)));
                 self.bound_connections();
             }
             Ok(_) => {}
-            Err(e) => log::error!(cause = e.to_string(); "event=configuration_unread"),
+            Err(e) => log::error!(cause = e.to_string(); "event=configuration_invalid"),
         }
     }
 
@@ -161,13 +161,13 @@
             .iter()
             .filter(|p| p.draining.get() || p.gone.get())
             .for_each(|p| p.close_idle());
-        let here = self
+        let available = self
             .pools
             .borrow()
             .values()
             .filter(|p| !p.gone.get())
             .count();
-        log::info!(here = here, changed = changed.len(); "event=replicas");
+        log::info!(available = available, changed = changed.len(); "event=replicas_updated");
         self.dispatchers
             .borrow()
             .values()
--- a/crates/linenthread-dataplane/src/dispatcher.rs
+++ b/crates/linenthread-dataplane/src/dispatcher.rs
@@ -224,7 +224,7 @@
             } = given_up;
             let service = self.services.first().map_or("", |s| s);
             log::info!(service = service, of = self.services.len(), late = late, fells = fells,
-                hopeless = hopeless, slow = slow, full = full; "event=given_up");
+                hopeless = hopeless, slow = slow, full = full; "event=request_abandoned");
         }
         if !state.gone.is_empty() {
             state.free_numbers();
@@ -245,7 +245,7 @@
         let SubRequestId { lookup, part, call } = id;
         let mut state = self.state.borrow_mut();
         let Some(open) = state.open(lookup) else {
-            log::error!(lookup = lookup.number; "event=outcome_without_lookup");
+            log::error!(lookup = lookup.number; "event=orphaned_outcome");
             return;
         };
         let to = &mut open.parts[part];
@@ -324,7 +324,7 @@
         let permitted = may_send_again(open.planned.route.mode, to.sent());
         to.calls += 1;
         if !permitted {
-            log::error!(route = open.planned.route.label; "event=repeat_refused");
+            log::error!(route = open.planned.route.label; "event=retry_rejected");
             let ending = Ending::Unsent;
             state.arrivals.returns.push(Return {
                 lookup,
--- a/crates/linenthread-dataplane/src/event_log.rs
+++ b/crates/linenthread-dataplane/src/event_log.rs
@@ -27,6 +27,6 @@
     });
     if said <= MOST {
         let (peer, cause) = (peer.to_string(), cause.to_string());
-        log::warn!(step = step, peer = peer, cause = cause; "event=refused");
+        log::warn!(step = step, peer = peer, cause = cause; "event=input_rejected");
     }
 }
--- a/crates/linenthread-demo/src/main.rs
+++ b/crates/linenthread-demo/src/main.rs
@@ -77,7 +77,7 @@
     cluster.start(3, 2)?;
     for node in ["control-1", "control-2", "control-3"] {
         reached(
-            cluster.wait_for(node, &["event=control_open"], SOON),
+            cluster.wait_for(node, &["event=control_listening"], SOON),
             "a control node",
         )?;
     }
@@ -91,11 +91,11 @@
     )?;
     for front in ["front-1", "front-2"] {
         reached(
-            cluster.wait_for(front, &["event=configuration", "revision=1"], SOON),
+            cluster.wait_for(front, &["event=configuration_applied", "revision=1"], SOON),
             "its news at a front",
         )?;
         reached(
-            cluster.wait_for(front, &["event=replicas", "here=6"], SOON),
+            cluster.wait_for(front, &["event=replicas_updated", "available=6"], SOON),
             "news of replicas",
         )?;
     }
@@ -118,7 +118,7 @@
     reached(
         cluster.wait_for(
             "control-1",
-            &["event=decided", "number=3", "revision=4"],
+            &["event=value_decided", "number=3", "revision=4"],
             SOON,
         ),
         "the swap",
@@ -131,7 +131,11 @@
     println!("front-1 is killed; front-2 goes by the newest configuration and takes its work on");
     cluster.kill("front-1");
     reached(
-        cluster.wait_for("front-2", &["event=configuration", "revision=6"], SOON),
+        cluster.wait_for(
+            "front-2",
+            &["event=configuration_applied", "revision=6"],
+            SOON,
+        ),
         "its news",
     )?;
     ask(&cluster, "front-2", "third")?;
--- a/crates/linenthread-demo/src/rounds/frozen.rs
+++ b/crates/linenthread-demo/src/rounds/frozen.rs
@@ -47,7 +47,11 @@
     findings.check(seen.is(200), "the others acknowledge an order", || {
         words(&seen)
     });
-    let told = cluster.wait_for("front-1", &["event=configuration", "revision=2"], BOUND);
+    let told = cluster.wait_for(
+        "front-1",
+        &["event=configuration_applied", "revision=2"],
+        BOUND,
+    );
     findings.check(
         told,
         "the front has the new configuration while the node is stopped",
--- a/crates/linenthread-demo/src/rounds/minority.rs
+++ b/crates/linenthread-demo/src/rounds/minority.rs
@@ -64,7 +64,11 @@
         if !seen.is(200) {
             note_state(&mut findings, &cluster, &second);
         }
-        let told = cluster.wait_for("front-1", &["event=configuration", "revision=2"], BOUND);
+        let told = cluster.wait_for(
+            "front-1",
+            &["event=configuration_applied", "revision=2"],
+            BOUND,
+        );
         findings.check(told, "the front has it within the bound", || {
             "no news of revision 2".into()
         });
--- a/crates/linenthread-demo/src/rounds/operators.rs
+++ b/crates/linenthread-demo/src/rounds/operators.rs
@@ -122,7 +122,7 @@
         cluster.run(name)?;
     }
     for name in &names {
-        cluster.wait_for(name, &["event=control_open"], BOUND);
+        cluster.wait_for(name, &["event=control_listening"], BOUND);
         cluster.wait_members(name, BOUND, |m| m["whole"] == true);
     }
     Ok(())
--- a/crates/linenthread-demo/src/rounds/replacement.rs
+++ b/crates/linenthread-demo/src/rounds/replacement.rs
@@ -28,8 +28,8 @@
 const WINDOW: Duration = Duration::from_secs(3);
 /// What control nodes log of a replacement.
 const REPLACEMENT_EVENTS: [&str; 4] = [
-    "event=counted_change",
-    "event=left",
+    "event=voters_changed",
+    "event=shutdown_complete",
     "event=stopping",
     "event=stopped",
 ];
--- a/crates/linenthread-demo/src/rounds/setup.rs
+++ b/crates/linenthread-demo/src/rounds/setup.rs
@@ -33,7 +33,7 @@
 pub(super) fn configured(cluster: &mut Cluster, replicas: usize) -> std::io::Result<Order> {
     let late = |what: String| std::io::Error::new(std::io::ErrorKind::TimedOut, what);
     for name in cluster.control_names() {
-        let open = cluster.wait_for(&name, &["event=control_open"], START)
+        let open = cluster.wait_for(&name, &["event=control_listening"], START)
             && cluster.wait_members(&name, START, |m| m["whole"] == true);
         if !open {
             return Err(late(format!("{name} is not in touch")));
@@ -44,12 +44,15 @@
         return Err(late("the first order is not acknowledged".into()));
     }
     for front in cluster.front_names() {
-        let ready = cluster.wait_for(&front, &["event=configuration", "revision=1"], START)
-            && cluster.wait_for(
-                &front,
-                &["event=replicas", &format!("here={replicas}")],
-                START,
-            );
+        let ready = cluster.wait_for(
+            &front,
+            &["event=configuration_applied", "revision=1"],
+            START,
+        ) && cluster.wait_for(
+            &front,
+            &["event=replicas_updated", &format!("available={replicas}")],
+            START,
+        );
         if !ready {
             return Err(late(format!("{front} is not ready")));
         }
--- a/crates/linenthread-node/src/control.rs
+++ b/crates/linenthread-node/src/control.rs
@@ -69,14 +69,14 @@
         }
         let took = |began: Instant| began.elapsed().as_millis() as u64;
         if tokio::time::timeout(within, may_go).await.is_ok() {
-            log::info!(ms = took(began); "event=left");
+            log::info!(ms = took(began); "event=shutdown_complete");
             return;
         }
         let (tell, cause) = oneshot::channel();
         let _ = self.commands.send(Command::LeaveWaits(tell)).await;
         let cause = tokio::time::timeout(Duration::from_millis(100), cause).await;
         let cause = cause.ok().and_then(Result::ok).unwrap_or("no answer");
-        log::warn!(ms = took(began), waits_for = cause; "event=left_unready");
+        log::warn!(ms = took(began), waits_for = cause; "event=shutdown_incomplete");
     }
 
     /// Ends all sessions, so that the others need not wait for silence.
@@ -144,7 +144,7 @@
         retry_allowance: settings.retry_allowance,
         retry_window: settings.retry_window_ms,
     };
-    log::info!(disk = id, empty = empty, first = first; "event=control_start");
+    log::info!(disk = id, empty = empty, first = first; "event=control_started");
     let control = ControlNode::new(local, id, kept, genesis.clone(), clock::ms());
     if empty {
         disk.keep(
@@ -163,7 +163,7 @@
     let peers = TcpListener::bind(peers)
         .await
         .map_err(step("binding", peers))?;
-    log::info!(calls = address.to_string(), peers = settings.peers_port; "event=control_open");
+    log::info!(calls = address.to_string(), peers = settings.peers_port; "event=control_listening");
     let hub = ControlTask {
         control,
         disk,
@@ -223,7 +223,7 @@
     let queue = commands.clone();
     let take = move |word| queue.try_send(Command::PeerMessage(link, word)).is_ok();
     if let Err(e) = links::carry(stream, &peer, words, take).await {
-        log::info!(cause = e.to_string(); "event=link_ended");
+        log::info!(cause = e.to_string(); "event=connection_closed");
     }
     let _ = commands.send(Command::Closed(link)).await;
 }
@@ -359,7 +359,7 @@
                 }
                 Effect::Persist { record, then } => {
                     if !self.disk.keep(record, then) {
-                        log::warn!("event=disk_behind");
+                        log::warn!("event=disk_backlogged");
                     }
                 }
                 Effect::Respond {
@@ -445,7 +445,7 @@
         };
         if done.is_err() || !keep {
             if done.is_err() {
-                log::info!(peer = from.to_string(); "event=caller_gone");
+                log::info!(peer = from.to_string(); "event=client_disconnected");
             }
             return;
         }
--- a/crates/linenthread-node/src/disk.rs
+++ b/crates/linenthread-node/src/disk.rs
@@ -41,7 +41,7 @@
         cause: e.to_string(),
     })?;
     if let Some(cut) = &opened.cut {
-        log::info!(file = cut.file, at = cut.at, bytes = cut.bytes; "event=torn_end_cut");
+        log::info!(file = cut.file, at = cut.at, bytes = cut.bytes; "event=torn_record_truncated");
     }
     let (to, from) = mpsc::sync_channel::<(Record, Then)>(WAITING);
     let mut state_log = opened.log;
--- a/crates/linenthread-node/src/follow.rs
+++ b/crates/linenthread-node/src/follow.rs
@@ -99,7 +99,7 @@
         })
         .await
         {
-            Ok(why) => log::info!(hub = hub.to_string(), cause = why; "event=session_ended"),
+            Ok(why) => log::info!(hub = hub.to_string(), cause = why; "event=session_closed"),
             Err(e) => log::info!(cause = e.to_string(); "event=session_failed"),
         }
         let now = clock::ms();
@@ -220,7 +220,7 @@
                 plane.adopt(&value.document);
             }
             if news.confirmed && !plane.confirmed.replace(true) {
-                log::info!(revision = plane.revision(); "event=confirmed");
+                log::info!(revision = plane.revision(); "event=configuration_confirmed");
             }
         }
         PeerMessage::QuotaGrants(grants) => {
--- a/crates/linenthread-node/src/main.rs
+++ b/crates/linenthread-node/src/main.rs
@@ -101,7 +101,7 @@
         ..settings(&path)?
     });
     logs::start();
-    log::info!(node = settings.node_name, zone = settings.zone; "event=start");
+    log::info!(node = settings.node_name, zone = settings.zone; "event=started");
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_io()
         .enable_time()
--- a/crates/linenthread-node/src/signals.rs
+++ b/crates/linenthread-node/src/signals.rs
@@ -40,11 +40,11 @@
                 _ = int.recv() => { let _ = end_tx.send(true); }
                 _ = hangup.recv() => match crate::settings(&path) {
                     Ok(read) => {
-                        log::info!("event=settings_read");
+                        log::info!("event=settings_reloaded");
                         let _ = settings_tx.send(Some(Rc::new(read)));
                     }
                     // A bad file changes nothing.
-                    Err(e) => log::warn!(cause = e.to_string(); "event=settings_refused"),
+                    Err(e) => log::warn!(cause = e.to_string(); "event=settings_rejected"),
                 },
             }
         }
--- a/crates/linenthread-node/tests/system.rs
+++ b/crates/linenthread-node/tests/system.rs
@@ -16,7 +16,7 @@
     let mut cluster = Cluster::new(Path::new(env!("CARGO_BIN_EXE_linenthread-node"))).unwrap();
     cluster.start(controls, fronts).unwrap();
     for n in 1..=controls {
-        assert!(cluster.wait_for(&format!("control-{n}"), &["event=control_open"], SOON));
+        assert!(cluster.wait_for(&format!("control-{n}"), &["event=control_listening"], SOON));
     }
     for service in SERVICES {
         cluster.serve(service, 2).unwrap();
@@ -25,11 +25,19 @@
     for n in 1..=fronts {
         assert!(cluster.wait_for(
             &format!("front-{n}"),
-            &["event=configuration", "revision=1"],
+            &["event=configuration_applied", "revision=1"],
+            SOON
+        ));
+        assert!(cluster.wait_for(
+            &format!("front-{n}"),
+            &["event=configuration_confirmed"],
+            SOON
+        ));
+        assert!(cluster.wait_for(
+            &format!("front-{n}"),
+            &["event=replicas_updated", "available=6"],
             SOON
         ));
-        assert!(cluster.wait_for(&format!("front-{n}"), &["event=confirmed"], SOON));
-        assert!(cluster.wait_for(&format!("front-{n}"), &["event=replicas", "here=6"], SOON));
     }
     cluster
 }
@@ -100,19 +108,23 @@
     cluster.run("control-1").unwrap();
     assert!(cluster.wait_for(
         "control-1",
-        &["event=control_start", "empty=true", "first=false"],
+        &["event=control_started", "empty=true", "first=false"],
         SOON
     ));
     // The swap is a value of its own, which the empty one learns.
     assert!(cluster.wait_for(
         "control-1",
-        &["event=decided", "number=3", "revision=4"],
+        &["event=value_decided", "number=3", "revision=4"],
         SOON
     ));
     // Now another may go: the one that came back and the third are more than half.
     cluster.kill("control-2");
     assert_eq!(cluster.configure(4, 9, &SERVICES).unwrap().status, 200);
-    assert!(cluster.wait_for("front-1", &["event=configuration", "revision=9"], SOON));
+    assert!(cluster.wait_for(
+        "front-1",
+        &["event=configuration_applied", "revision=9"],
+        SOON
+    ));
 }
 
 #[test]
@@ -127,7 +139,7 @@
         cluster.run(node).unwrap();
     }
     for node in ["control-1", "control-2", "control-3"] {
-        assert!(cluster.wait_for(node, &["event=control_open"], SOON));
+        assert!(cluster.wait_for(node, &["event=control_listening"], SOON));
     }
     let client = linenthread_ctl::Client {
         addresses: cluster.control(),
@@ -274,9 +286,13 @@
         let mut rest = Vec::new();
         let _ = stream.read_to_end(&mut rest);
     }
-    assert!(cluster.wait_for("front-1", &["event=refused", "peer="], SOON));
-    assert!(cluster.wait_for("control-1", &["event=refused", "taking a call"], SOON));
-    assert!(cluster.wait_for("control-1", &["event=link_ended", "frame"], SOON));
+    assert!(cluster.wait_for("front-1", &["event=input_rejected", "peer="], SOON));
+    assert!(cluster.wait_for(
+        "control-1",
+        &["event=input_rejected", "taking a call"],
+        SOON
+    ));
+    assert!(cluster.wait_for("control-1", &["event=connection_closed", "frame"], SOON));
     assert!(cluster.runs("front-1") && cluster.runs("control-1"));
     assert!(whole(&cluster, "front-1", "/all/after", "z").is_some());
     // Nothing of it ran anywhere.
