--- a/crates/linenthread-checker/src/lease.rs
+++ b/crates/linenthread-checker/src/lease.rs
@@ -1,8 +1,10 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
+use std::time::Duration;
 
 use linenthread_consensus::LeaderLease;
 use linenthread_messages::{LeaseRelease, LeaseRequest, LeaseVote};
+use linenthread_time::Instant;
 
 use crate::fingerprint::fingerprint;
 use crate::search::Model;
@@ -11,7 +13,7 @@
 /// Nodes 0 and 1 ask for the lease; which they are makes no difference.
 const ASKING: usize = 2;
 /// Time passes in such steps, on all clocks alike: shorter than a lease, longer than the time to renew it.
-const STEP: u64 = 700;
+const STEP: Duration = Duration::from_millis(700);
 /// The number of the value whose voters are asked; it stays the same.
 const NUMBER: u64 = 0;
 
@@ -38,7 +40,7 @@
 /// One state of the nodes, their disks and the network.
 #[derive(Clone, Debug, Hash)]
 pub struct LeaseState {
-    now: u64,
+    now: Instant,
     leases: [LeaderLease; NODES],
     lives: [u64; NODES],
     /// The greatest epoch that each disk holds; it is synced before a vote is said.
@@ -180,7 +182,7 @@
         let Some(LeaseRelease {
             epoch,
             incarnation: life,
-        }) = self.leases[node].release(self.now)
+        }) = self.leases[node].release()
         else {
             return;
         };
@@ -237,9 +239,10 @@
     type Action = LeaseAction;
 
     fn start(&self) -> LeaseState {
-        let lease = |node: usize| LeaderLease::new(node as u64, 10 + node as u64, 0, true, 0);
+        let lease =
+            |node: usize| LeaderLease::new(node as u64, 10 + node as u64, Instant::START, true, 0);
         LeaseState {
-            now: 0,
+            now: Instant::START,
             leases: [0, 1, 2].map(lease),
             lives: [1; NODES],
             durable_epochs: [0; NODES],
--- a/crates/linenthread-checker/src/step.rs
+++ b/crates/linenthread-checker/src/step.rs
@@ -1,17 +1,17 @@
 use std::collections::VecDeque;
 use std::fmt;
 use std::sync::Arc;
+use std::time::Duration;
 
-use linenthread_consensus::{Change, DurableState, Effect, Outcome, Register};
+use linenthread_consensus::{Change, DurableState, Effect, JobId, Outcome, Register};
 use linenthread_messages::{OrderIdentity, PeerMessage, Record, Value};
+use linenthread_time::Instant;
 
 use crate::instance::{Call, Instance, NEW_DISK, voter};
 use crate::world::{History, InFlight, Node, Unsynced, World, life};
 
 /// A tick moves the clock past each time-out.
-const TICK: u64 = 2_000;
-/// No call ends by time: that would only leave it unclear.
-const NEVER: u64 = u64::MAX / 2;
+const TICK: Duration = Duration::from_secs(2);
 
 /// One thing that may happen next. Nodes are named by place, messages and calls by their index.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -127,7 +127,8 @@
     fn make(&mut self, call: usize) -> usize {
         let (place, wanted) = self.instance.calls[call];
         self.world.calls_left &= !(1 << call);
-        let job = call as u64;
+        // No call ends by time: that would only leave it unclear.
+        let job = JobId(call as u64);
         let change = match wanted {
             Call::Read => None,
             Call::Replace => Some(self.replacement(place)),
@@ -137,9 +138,10 @@
         let node = self.node(place);
         if let Some(change) = change {
             node.register
-                .propose(node.now, job, change, NEVER, &mut effects);
+                .propose(node.now, job, change, Instant::NEVER, &mut effects);
         } else {
-            node.register.read(node.now, job, NEVER, &mut effects);
+            node.register
+                .read(node.now, job, Instant::NEVER, &mut effects);
             let told = self.history().told;
             self.change_history(|history| _ = history.read_floors.insert(job, told));
         }
@@ -292,8 +294,8 @@
         }
     }
 
-    fn reply(&mut self, job: u64, outcome: &Outcome) {
-        let call = self.instance.calls[job as usize].1;
+    fn reply(&mut self, job: JobId, outcome: &Outcome) {
+        let call = self.instance.calls[job.0 as usize].1;
         match (outcome, call.order()) {
             (Outcome::Committed(_), Some((order, _))) => {
                 self.change_history(|history| acknowledge(history, order));
@@ -399,7 +401,7 @@
     history.told = history.told.max(of.map_or(0, |(number, _)| *number));
 }
 
-fn answer_read(history: &mut History, job: u64, value: &Value) {
+fn answer_read(history: &mut History, job: JobId, value: &Value) {
     let floor = history.read_floors.remove(&job).unwrap_or(0);
     history.stale_read |= value.number < floor;
     history.told = history.told.max(value.number);
--- a/crates/linenthread-checker/src/world.rs
+++ b/crates/linenthread-checker/src/world.rs
@@ -2,8 +2,9 @@
 use std::hash::{Hash, Hasher};
 use std::sync::Arc;
 
-use linenthread_consensus::{DurableState, Register};
+use linenthread_consensus::{DurableState, JobId, Register};
 use linenthread_messages::{Ballot, Envelope, OrderIdentity, PeerMessage, Record, Value};
+use linenthread_time::Instant;
 use prost::Message as _;
 
 use crate::fingerprint::fingerprint;
@@ -51,7 +52,7 @@
 pub(crate) struct Node {
     pub id: u64,
     pub lives: u64,
-    pub now: u64,
+    pub now: Instant,
     pub register: Register,
     pub disk: DurableState,
     pub unsynced: Vec<Unsynced>,
@@ -123,7 +124,7 @@
     pub refused: Vec<OrderIdentity>,
     /// The newest number that a caller was told of, and that number when each read under way began.
     pub told: u64,
-    pub read_floors: BTreeMap<u64, u64>,
+    pub read_floors: BTreeMap<JobId, u64>,
     pub stale_read: bool,
     pub reads: u8,
 }
@@ -168,7 +169,7 @@
             Arc::new(Marked::new(Node {
                 id,
                 lives: 1,
-                now: 0,
+                now: Instant::START,
                 register,
                 disk,
                 unsynced: Vec::new(),
--- a/crates/linenthread-consensus/src/durability.rs
+++ b/crates/linenthread-consensus/src/durability.rs
@@ -1,11 +1,14 @@
+use std::time::Duration;
+
 use linenthread_messages::{OrderIdentity, PeerMessage, Record, Synced, Value};
+use linenthread_time::Instant;
 
 use crate::effects::Effect;
 
 /// What was handed over and is not synced after so long is handed over again, then after twice as long: the disk
 /// drops records when too many wait, or when it is full. It holds all again so long after there is room at most.
-const REWRITE: u64 = 1_500;
-const REWRITE_MOST: u64 = 3_000;
+const REWRITE: Duration = Duration::from_millis(1_500);
+const REWRITE_MOST: Duration = Duration::from_millis(3_000);
 
 /// Which of the decided values and of the ledger's records are on this node's disk.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -21,9 +24,9 @@
     /// The last record that holds the whole ledger: all before it may be missing.
     order_log_complete: u64,
     /// When a value, and when a record of the ledger, was last handed over.
-    value_at: u64,
-    ledger_at: u64,
-    wait: u64,
+    value_at: Instant,
+    ledger_at: Instant,
+    wait: Duration,
 }
 
 impl Durability {
@@ -35,8 +38,8 @@
             ledger_synced: 0,
             ledger_needed: 0,
             order_log_complete: 0,
-            value_at: 0,
-            ledger_at: 0,
+            value_at: Instant::START,
+            ledger_at: Instant::START,
             wait: REWRITE,
         }
     }
@@ -57,7 +60,7 @@
     }
 
     /// Hands a decided value over to the disk.
-    pub(crate) fn persist_value(&mut self, now: u64, value: &Value, effects: &mut Vec<Effect>) {
+    pub(crate) fn persist_value(&mut self, now: Instant, value: &Value, effects: &mut Vec<Effect>) {
         self.value_at = now;
         let record = Record {
             decided: Some(value.clone()),
@@ -76,7 +79,7 @@
     /// Hands orders that were fetched over to the disk.
     pub(crate) fn persist_orders(
         &mut self,
-        now: u64,
+        now: Instant,
         orders: Vec<OrderIdentity>,
         effects: &mut Vec<Effect>,
     ) {
@@ -86,7 +89,7 @@
 
     fn persist_order_log(
         &mut self,
-        now: u64,
+        now: Instant,
         orders: Vec<OrderIdentity>,
         effects: &mut Vec<Effect>,
     ) {
@@ -123,7 +126,7 @@
     }
 
     /// Whether what was handed over is to be handed over again.
-    pub(crate) fn is_overdue(&mut self, now: u64, number: u64) -> bool {
+    pub(crate) fn is_overdue(&mut self, now: Instant, number: u64) -> bool {
         if self.holds(number) {
             self.wait = REWRITE;
             return false;
@@ -141,7 +144,7 @@
     /// Hands all orders over in one record.
     pub(crate) fn persist_complete_order_log(
         &mut self,
-        now: u64,
+        now: Instant,
         orders: Vec<OrderIdentity>,
         effects: &mut Vec<Effect>,
     ) {
--- a/crates/linenthread-consensus/src/effects.rs
+++ b/crates/linenthread-consensus/src/effects.rs
@@ -1,7 +1,8 @@
 use linenthread_messages::{PeerMessage, Record, Value};
 
-/// Names a job to whoever asked for it.
-pub type Job = u64;
+/// Identifies a proposal or a read to the caller that submitted it; chosen by that caller.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub struct JobId(pub u64);
 
 /// How a job ended.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -30,5 +31,5 @@
     /// The newest value now.
     Decided(Value),
     /// A job has ended.
-    Reply { job: Job, outcome: Outcome },
+    Reply { job: JobId, outcome: Outcome },
 }
--- a/crates/linenthread-consensus/src/lease.rs
+++ b/crates/linenthread-consensus/src/lease.rs
@@ -1,19 +1,22 @@
 use std::collections::BTreeSet;
+use std::time::Duration;
 
 use linenthread_messages::{LeaseRelease, LeaseRequest, LeaseVote, Value, Voter};
+use linenthread_time::Instant;
 
 /// A vote supports the holder for so long, from when the voter hears the request; the holder counts from
 /// when it asked.
-const LEASE: u64 = 2_000;
+const LEASE_MS: u32 = 2_000;
+const LEASE: Duration = Duration::from_millis(LEASE_MS as u64);
 /// The holder asks anew after so long, and gives up its lease so much before the lease ends.
-const RENEW: u64 = 450;
-const EARLY: u64 = 200;
+const RENEW: Duration = Duration::from_millis(450);
+const EARLY: Duration = Duration::from_millis(200);
 
 /// The lease that this node holds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct Held {
     epoch: u64,
-    until: u64,
+    until: Instant,
     /// Number of the value whose voters gave it.
     on: u64,
 }
@@ -24,7 +27,7 @@
     holder: u64,
     incarnation: u64,
     epoch: u64,
-    until: u64,
+    until: Instant,
 }
 
 /// One node's part in the leader lease: as a voter it supports one holder at a time, and it may hold the lease
@@ -36,11 +39,11 @@
     /// The last support that was given; over when its time is.
     support: Option<Support>,
     /// Nobody new is supported before then: support of which this incarnation does not know may last so long.
-    quiet_until: u64,
+    quiet_until: Instant,
     /// The greatest epoch that was supported, or under which others are known to be.
     epoch: u64,
     /// What it asks for itself, and since when.
-    request: Option<(LeaseRequest, u64)>,
+    request: Option<(LeaseRequest, Instant)>,
     request_count: u64,
     votes: BTreeSet<u64>,
     held: Option<Held>,
@@ -53,7 +56,13 @@
 impl LeaderLease {
     /// Whom an earlier incarnation supported is not known any more, only under which epoch: nobody new is supported
     /// until that has ended.
-    pub fn new(id: u64, incarnation: u64, now: u64, first_of_all: bool, epoch: u64) -> LeaderLease {
+    pub fn new(
+        id: u64,
+        incarnation: u64,
+        now: Instant,
+        first_of_all: bool,
+        epoch: u64,
+    ) -> LeaderLease {
         LeaderLease {
             id,
             incarnation,
@@ -70,7 +79,7 @@
     }
 
     /// The epoch under which this node holds the lease now.
-    pub fn holds(&self, now: u64) -> Option<u64> {
+    pub fn holds(&self, now: Instant) -> Option<u64> {
         self.held
             .filter(|held| now < held.until)
             .map(|held| held.epoch)
@@ -78,14 +87,14 @@
 
     /// Whether it holds it by the votes of those whom the value of this number names. Only then may it change
     /// who they are, *one-holder-an-epoch*.
-    pub fn holds_on(&self, now: u64, number: u64) -> bool {
+    pub fn holds_on(&self, now: Instant, number: u64) -> bool {
         self.held
             .is_some_and(|held| now < held.until && held.on == number)
     }
 
     /// Asks for the lease, or for more time, of those whom the value of this number names; `first` says that
     /// nobody before it in the order is in touch.
-    pub fn tick(&mut self, now: u64, first: bool, number: u64) -> Option<LeaseRequest> {
+    pub fn tick(&mut self, now: Instant, first: bool, number: u64) -> Option<LeaseRequest> {
         let holds = self.holds(now).is_some();
         if let Some(held) = self.held.filter(|_| !holds) {
             (self.held, self.request, self.past_epoch) = (None, None, held.epoch);
@@ -97,7 +106,7 @@
         if self
             .request
             .as_ref()
-            .is_some_and(|(request, at)| now < at + RENEW && request.value_number == number)
+            .is_some_and(|(request, at)| now < *at + RENEW && request.value_number == number)
         {
             return None;
         }
@@ -107,7 +116,7 @@
         let request = LeaseRequest {
             epoch,
             request_id: asked,
-            lease_ms: LEASE as u32,
+            lease_ms: LEASE_MS,
             incarnation,
             value_number: number,
         };
@@ -150,7 +159,7 @@
     /// A value is decided: nothing below its epoch is supported. A disk that counts only from now on has not been
     /// asked so far, and supports nobody while others' earlier support may last: not even whom it supported when it
     /// last counted, since another may have come to hold the lease without it.
-    pub fn decided(&mut self, now: u64, epoch: u64, counts_anew: bool) {
+    pub fn decided(&mut self, now: Instant, epoch: u64, counts_anew: bool) {
         self.epoch = self.epoch.max(epoch);
         if counts_anew {
             self.quiet_until = self.quiet_until.max(now + LEASE);
@@ -161,14 +170,14 @@
     /// value is in doubt. Both must have the same one.
     pub fn on_lease_request(
         &mut self,
-        now: u64,
+        now: Instant,
         from: u64,
         request: &LeaseRequest,
         number: Option<u64>,
     ) -> LeaseVote {
         let yes = number == Some(request.value_number) && self.may_support(now, from, request);
         if yes {
-            let until = now + u64::from(request.lease_ms).min(LEASE);
+            let until = now + Duration::from_millis(u64::from(request.lease_ms)).min(LEASE);
             let (incarnation, epoch) = (request.incarnation, request.epoch);
             self.support = Some(Support {
                 holder: from,
@@ -187,7 +196,7 @@
 
     /// Whom one supports may go on, under a new epoch as well: two that wait for each other's leases to end would
     /// else never end together. A new incarnation of it needs an epoch of its own.
-    fn may_support(&self, now: u64, from: u64, request: &LeaseRequest) -> bool {
+    fn may_support(&self, now: Instant, from: u64, request: &LeaseRequest) -> bool {
         if now < self.quiet_until {
             return false;
         }
@@ -205,7 +214,7 @@
     /// was not before.
     pub fn on_lease_vote(
         &mut self,
-        now: u64,
+        now: Instant,
         from: u64,
         vote: &LeaseVote,
         number: u64,
@@ -214,7 +223,7 @@
         let Some((request, asked_at)) = &self.request else {
             return false;
         };
-        let until = *asked_at + LEASE - EARLY;
+        let until = *asked_at + LEASE.saturating_sub(EARLY);
         // A vote for a request whose time is over gives nothing: the node may have been frozen meanwhile. What
         // has lapsed is not held again under the same epoch.
         let lapsed = now >= until || self.held.is_some_and(|held| now >= held.until);
@@ -249,7 +258,7 @@
 
     /// The holder leaves: from now on it holds nothing, and never again under any epoch that it asked for so far.
     /// What is returned goes to all voters, itself too; none if it neither holds the lease nor has asked for it.
-    pub fn release(&mut self, _now: u64) -> Option<LeaseRelease> {
+    pub fn release(&mut self) -> Option<LeaseRelease> {
         let asked = self.request.take().map(|(request, _)| request.epoch);
         let held = self.held.take().map(|held| held.epoch);
         let epoch = asked.max(held)?;
--- a/crates/linenthread-consensus/src/lib.rs
+++ b/crates/linenthread-consensus/src/lib.rs
@@ -1,7 +1,7 @@
 //! Agreement of the counted disks. [`Register`] decides one [`linenthread_messages::Value`] after another: value n
 //! names the disks that decide value n + 1, each value is a Paxos instance of its own. [`LeaderLease`] is a lease
-//! that more than half of them give to one node under an epoch. Both are state machines: `now` in milliseconds of a
-//! steady clock and messages in, messages and records out; whoever drives them syncs a record before it sends what
+//! that more than half of them give to one node under an epoch. Both are state machines: `now` as an
+//! [`linenthread_time::Instant`] and messages in, messages and records out; whoever drives them syncs a record before it sends what
 //! waits on it.
 //!
 //! | module | job |
@@ -41,7 +41,7 @@
 
 pub use decided_state::{DecidedState, RECENT_ORDERS, Verdict};
 pub use durable_state::DurableState;
-pub use effects::{Effect, Job, Outcome};
+pub use effects::{Effect, JobId, Outcome};
 pub use hash::{fnv1a_64, genesis_id};
 pub use lease::LeaderLease;
 pub use order::{Change, document_digest};
--- a/crates/linenthread-consensus/src/order_log_catch_up.rs
+++ b/crates/linenthread-consensus/src/order_log_catch_up.rs
@@ -1,19 +1,21 @@
 use std::collections::BTreeSet;
+use std::time::Duration;
 
 use linenthread_messages::{OrderLogEntries, OrderLogRequest, PeerMessage};
+use linenthread_time::Instant;
 
 use crate::decided_state::DecidedState;
 use crate::effects::Effect;
 
 /// A request without an answer goes to another voter after so long.
-const AGAIN: u64 = 450;
+const AGAIN: Duration = Duration::from_millis(450);
 /// More than half of the voters have nothing, the others do not answer for so long: what is missing is given up.
-const GIVE_UP: u64 = 10_000;
+const GIVE_UP: Duration = Duration::from_secs(10);
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Asked {
     request: OrderLogRequest,
-    at: u64,
+    at: Instant,
 }
 
 /// Asks other voters for the orders that the ledger lacks, one request at a time.
@@ -23,7 +25,7 @@
     asked: Option<Asked>,
     /// Who answered that it has nothing of what is missing, and since when it is asked for.
     without: BTreeSet<u64>,
-    missing_since: Option<(u64, u64)>,
+    missing_since: Option<(u64, Instant)>,
     turn: usize,
 }
 
@@ -39,7 +41,12 @@
     }
 
     /// Asks for what is missing, or gives it up.
-    pub(crate) fn tick(&mut self, now: u64, decided: &mut DecidedState, effects: &mut Vec<Effect>) {
+    pub(crate) fn tick(
+        &mut self,
+        now: Instant,
+        decided: &mut DecidedState,
+        effects: &mut Vec<Effect>,
+    ) {
         while let Some(request) = decided.order_log().request() {
             if self
                 .missing_since
@@ -67,7 +74,7 @@
             .filter(move |id| *id != own)
     }
 
-    fn is_hopeless(&self, now: u64, decided: &DecidedState) -> bool {
+    fn is_hopeless(&self, now: Instant, decided: &DecidedState) -> bool {
         let waited = self
             .missing_since
             .is_some_and(|(_, since)| now >= since + GIVE_UP);
@@ -77,7 +84,7 @@
 
     fn ask(
         &mut self,
-        now: u64,
+        now: Instant,
         request: OrderLogRequest,
         decided: &DecidedState,
         effects: &mut Vec<Effect>,
--- a/crates/linenthread-consensus/src/proposer.rs
+++ b/crates/linenthread-consensus/src/proposer.rs
@@ -1,27 +1,31 @@
 use std::collections::{BTreeSet, VecDeque};
 use std::hash::{Hash, Hasher};
+use std::time::Duration;
 
 use linenthread_messages::{
     Accept, AcceptAck, Accepted, Ballot, PeerMessage, Prepare, Promise, Rejected, Value,
 };
+use linenthread_time::{Instant, whole_millis};
 use oorandom::Rand64;
 
 use crate::decided_state::{DecidedState, Verdict};
-use crate::effects::{Effect, Job, Outcome};
+use crate::effects::{Effect, JobId, Outcome};
 use crate::order::{Change, Wanted};
 use crate::register::{RESEND_AFTER, ROUND_TIMEOUT, WAITING_JOBS, send_to_voters};
 
 /// Two proposers that clash wait up to so long, more with each clash.
-const BACKOFF: u64 = 25;
+const BACKOFF: Duration = Duration::from_millis(25);
 const MAX_DOUBLINGS: u32 = 6;
-/// No rest is longer, in milliseconds.
-const LONGEST_REST: u64 = BACKOFF << MAX_DOUBLINGS;
+/// No rest is shorter: a round never begins again at the very instant of its rejection.
+const SHORTEST_REST: Duration = Duration::from_millis(1);
+/// No rest is longer.
+const LONGEST_REST: Duration = BACKOFF.saturating_mul(1 << MAX_DOUBLINGS);
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct WaitingChange {
-    job: Job,
+    job: JobId,
     wanted: Wanted,
-    until: u64,
+    until: Instant,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -41,8 +45,8 @@
 struct Round {
     number: u64,
     ballot: Ballot,
-    began: u64,
-    last_sent: u64,
+    began: Instant,
+    last_sent: Instant,
     phase: Phase,
 }
 
@@ -70,6 +74,13 @@
 #[derive(Clone, Debug)]
 struct Backoff(Rand64);
 
+impl Backoff {
+    /// A random duration below `limit`, in whole milliseconds.
+    fn up_to(&mut self, limit: Duration) -> Duration {
+        Duration::from_millis(self.0.rand_range(0..whole_millis(limit)))
+    }
+}
+
 impl PartialEq for Backoff {
     fn eq(&self, _: &Backoff) -> bool {
         true
@@ -99,10 +110,10 @@
     waiting: VecDeque<WaitingChange>,
     round: Option<Round>,
     /// No round before this.
-    rest_until: u64,
+    rest_until: Instant,
     clashes: u32,
     /// How long the voters took for the last half of a round: who rests for less clashes again.
-    pace: u64,
+    pace: Duration,
     highest_round: u64,
     /// Something was seen to be half done.
     completion_wanted: bool,
@@ -115,9 +126,9 @@
             incarnation,
             waiting: VecDeque::new(),
             round: None,
-            rest_until: 0,
+            rest_until: Instant::START,
             clashes: 0,
-            pace: 0,
+            pace: Duration::ZERO,
             highest_round: 0,
             completion_wanted: false,
             backoff: Backoff(Rand64::new(u128::from(incarnation))),
@@ -126,7 +137,7 @@
 
     /// Takes a change; false if too many wait. Other voters come before all orders: each value that is decided
     /// first makes them void.
-    pub(crate) fn add(&mut self, job: Job, change: Change, until: u64) -> bool {
+    pub(crate) fn add(&mut self, job: JobId, change: Change, until: Instant) -> bool {
         let goes_first = matches!(change, Change::Voters { .. });
         if self.waiting.len() >= WAITING_JOBS && !goes_first {
             return false;
@@ -139,7 +150,7 @@
         if goes_first {
             self.waiting.push_front(waiting);
             // The rest of an order is none of its own.
-            self.rest_until = 0;
+            self.rest_until = Instant::START;
         } else {
             self.waiting.push_back(waiting);
         }
@@ -156,7 +167,7 @@
     }
 
     /// Ends changes whose time is over.
-    pub(crate) fn expire(&mut self, now: u64, effects: &mut Vec<Effect>) {
+    pub(crate) fn expire(&mut self, now: Instant, effects: &mut Vec<Effect>) {
         self.waiting.retain(|change| {
             let in_time = change.until > now;
             if !in_time {
@@ -170,7 +181,7 @@
     }
 
     /// Begins or repeats a round, or gives it up.
-    pub(crate) fn tick(&mut self, now: u64, decided: &DecidedState, effects: &mut Vec<Effect>) {
+    pub(crate) fn tick(&mut self, now: Instant, decided: &DecidedState, effects: &mut Vec<Effect>) {
         if !self.is_busy() {
             self.round = None;
             return;
@@ -187,7 +198,7 @@
         }
     }
 
-    fn begin(&mut self, now: u64, decided: &DecidedState, effects: &mut Vec<Effect>) {
+    fn begin(&mut self, now: Instant, decided: &DecidedState, effects: &mut Vec<Effect>) {
         self.highest_round += 1;
         let round = Round {
             number: decided.next(),
@@ -215,7 +226,7 @@
     /// none, nothing can be half done, and what waits is judged by the newest decided value.
     pub(crate) fn on_promise(
         &mut self,
-        now: u64,
+        now: Instant,
         from: u64,
         promise: Promise,
         decided: &DecidedState,
@@ -244,7 +255,7 @@
         if !decided.is_majority(promised_by.iter().copied()) {
             return;
         }
-        self.pace = now.saturating_sub(round.began);
+        self.pace = now.since(round.began);
         let half_done = newest_accepted.take().map(|accepted| accepted.value);
         match half_done.or_else(|| self.next_value(decided, effects)) {
             Some(value) => self.propose(now, value, decided, effects),
@@ -255,7 +266,7 @@
 
     fn propose(
         &mut self,
-        now: u64,
+        now: Instant,
         value: Value,
         decided: &DecidedState,
         effects: &mut Vec<Effect>,
@@ -309,7 +320,12 @@
     }
 
     /// A greater ballot is about: the round is given up, and the next one comes after a pause.
-    pub(crate) fn on_rejected(&mut self, now: u64, rejected: &Rejected, decided: &DecidedState) {
+    pub(crate) fn on_rejected(
+        &mut self,
+        now: Instant,
+        rejected: &Rejected,
+        decided: &DecidedState,
+    ) {
         if rejected.number != decided.next() {
             return;
         }
@@ -327,7 +343,7 @@
 
     /// Another node begins or goes on with a round, in which this one takes part as a voter: it is left the time of
     /// both halves before a round of this node is begun.
-    pub(crate) fn on_round_of_another(&mut self, now: u64) {
+    pub(crate) fn on_round_of_another(&mut self, now: Instant) {
         if self.round.is_none() && !self.changes_voters() {
             let both_halves = 2 * self.pace.clamp(BACKOFF, LONGEST_REST);
             self.rest_until = self.rest_until.max(now + both_halves);
@@ -343,12 +359,16 @@
 
     /// How long to rest after a clash. Who overtook is left the time of one round at least; a change of the voters
     /// leaves none, since a second loss may come before the successor of the first one counts.
-    fn rest(&mut self) -> u64 {
+    fn rest(&mut self) -> Duration {
         if self.changes_voters() {
-            return 1 + self.backoff.0.rand_range(0..BACKOFF);
+            return SHORTEST_REST + self.backoff.up_to(BACKOFF);
         }
-        let most = (self.pace.max(BACKOFF) << self.clashes).min(LONGEST_REST);
-        1 + self.pace.min(LONGEST_REST) + self.backoff.0.rand_range(0..most)
+        let most = self
+            .pace
+            .max(BACKOFF)
+            .saturating_mul(1 << self.clashes)
+            .min(LONGEST_REST);
+        SHORTEST_REST + self.pace.min(LONGEST_REST) + self.backoff.up_to(most)
     }
 
     /// A value was decided: rounds begin anew, and changes that it settles are answered. An order that was taken by
@@ -362,7 +382,7 @@
     ) {
         (self.round, self.completion_wanted) = (None, false);
         // Those who clashed have one less to settle: who lost most often would else wait longest, each time anew.
-        (self.highest_round, self.rest_until, self.clashes) = (0, 0, 0);
+        (self.highest_round, self.rest_until, self.clashes) = (0, Instant::START, 0);
         self.waiting.retain(|change| {
             let outcome = settled_by(&change.wanted, decided, learned);
             let settled = outcome.is_some();
--- a/crates/linenthread-consensus/src/reader.rs
+++ b/crates/linenthread-consensus/src/reader.rs
@@ -1,26 +1,28 @@
 use std::collections::BTreeMap;
+use std::time::Duration;
 
 use linenthread_messages::{PeerMessage, ReadReply, ReadRequest};
+use linenthread_time::Instant;
 
 use crate::decided_state::DecidedState;
-use crate::effects::{Effect, Job, Outcome};
+use crate::effects::{Effect, JobId, Outcome};
 use crate::register::{RESEND_AFTER, ROUND_TIMEOUT, WAITING_JOBS};
 
 /// A read that finds something half done asks again after so long, or when it is decided.
-const HALF_DONE: u64 = 20;
+const HALF_DONE: Duration = Duration::from_millis(20);
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct WaitingRead {
-    job: Job,
-    until: u64,
+    job: JobId,
+    until: Instant,
 }
 
 /// One question to all voters; it answers just the reads that were there when it began.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Question {
     number: u64,
-    began: u64,
-    last_sent: u64,
+    began: Instant,
+    last_sent: Instant,
     reads: Vec<WaitingRead>,
     /// Whether who answered has accepted something that is not decided.
     pending_at: BTreeMap<u64, bool>,
@@ -47,7 +49,7 @@
     /// Number of the last question; other lives begin elsewhere.
     question_count: u64,
     /// No question before this: what is half done takes a while.
-    ask_from: u64,
+    ask_from: Instant,
 }
 
 impl Reader {
@@ -56,12 +58,12 @@
             waiting: Vec::new(),
             question: None,
             question_count: incarnation >> 16 << 16,
-            ask_from: 0,
+            ask_from: Instant::START,
         }
     }
 
     /// Takes a read; false if too many wait.
-    pub(crate) fn add(&mut self, job: Job, until: u64) -> bool {
+    pub(crate) fn add(&mut self, job: JobId, until: Instant) -> bool {
         let room = self.waiting.len() < WAITING_JOBS;
         if room {
             self.waiting.push(WaitingRead { job, until });
@@ -75,7 +77,7 @@
 
     /// Ends what took too long. It comes before each message: an answer that waited while this node was frozen is
     /// no answer to a read whose time is over, and none to a question that is too old.
-    pub(crate) fn expire(&mut self, now: u64, effects: &mut Vec<Effect>) {
+    pub(crate) fn expire(&mut self, now: Instant, effects: &mut Vec<Effect>) {
         expire_reads(&mut self.waiting, now, effects);
         let Some(question) = &mut self.question else {
             return;
@@ -87,7 +89,7 @@
     }
 
     /// Begins or repeats the question.
-    pub(crate) fn tick(&mut self, now: u64, decided: &DecidedState, effects: &mut Vec<Effect>) {
+    pub(crate) fn tick(&mut self, now: Instant, decided: &DecidedState, effects: &mut Vec<Effect>) {
         match &mut self.question {
             Some(question) if now >= question.last_sent + RESEND_AFTER => {
                 question.last_sent = now;
@@ -100,7 +102,7 @@
         }
     }
 
-    fn begin(&mut self, now: u64, decided: &DecidedState, effects: &mut Vec<Effect>) {
+    fn begin(&mut self, now: Instant, decided: &DecidedState, effects: &mut Vec<Effect>) {
         self.question_count += 1;
         let question = Question {
             number: self.question_count,
@@ -122,7 +124,7 @@
 
     /// A value was decided: there is nothing to wait for.
     pub(crate) fn on_decided(&mut self) {
-        self.ask_from = 0;
+        self.ask_from = Instant::START;
         self.ask_anew();
     }
 
@@ -130,7 +132,7 @@
     /// came, know of nothing newer and of nothing half done.
     pub(crate) fn on_reply(
         &mut self,
-        now: u64,
+        now: Instant,
         from: u64,
         reply: &ReadReply,
         decided: &DecidedState,
@@ -189,7 +191,7 @@
     }
 }
 
-fn expire_reads(reads: &mut Vec<WaitingRead>, now: u64, effects: &mut Vec<Effect>) {
+fn expire_reads(reads: &mut Vec<WaitingRead>, now: Instant, effects: &mut Vec<Effect>) {
     for read in reads.extract_if(.., |read| read.until <= now) {
         effects.push(Effect::Reply {
             job: read.job,
--- a/crates/linenthread-consensus/src/register.rs
+++ b/crates/linenthread-consensus/src/register.rs
@@ -1,13 +1,16 @@
+use std::time::Duration;
+
 use linenthread_messages::{
     Accept, AcceptAck, CatchUpRequest, OrderLogEntries, OrderLogRequest, PeerMessage, Prepare,
     Promise, ReadReply, ReadRequest, Record, Rejected, Synced, Value, Voter,
 };
+use linenthread_time::Instant;
 
 use crate::acceptor::Acceptor;
 use crate::decided_state::DecidedState;
 use crate::durability::Durability;
 use crate::durable_state::DurableState;
-use crate::effects::{Effect, Job, Outcome};
+use crate::effects::{Effect, JobId, Outcome};
 use crate::order::Change;
 use crate::order_log::OrderLog;
 use crate::order_log_catch_up::OrderLogCatchUp;
@@ -15,9 +18,9 @@
 use crate::reader::{ReadStep, Reader};
 
 /// A message that got no answer is sent again after so long.
-pub(crate) const RESEND_AFTER: u64 = 150;
+pub(crate) const RESEND_AFTER: Duration = Duration::from_millis(150);
 /// A round or question that comes to nothing is begun anew after so long.
-pub(crate) const ROUND_TIMEOUT: u64 = 450;
+pub(crate) const ROUND_TIMEOUT: Duration = Duration::from_millis(450);
 /// Jobs that may wait, of each kind.
 pub(crate) const WAITING_JOBS: usize = 64;
 
@@ -116,10 +119,10 @@
     /// Wants a change by then.
     pub fn propose(
         &mut self,
-        now: u64,
-        job: Job,
+        now: Instant,
+        job: JobId,
         change: Change,
-        until: u64,
+        until: Instant,
         effects: &mut Vec<Effect>,
     ) {
         if self.decided.value().is_none() || !self.proposer.add(job, change, until) {
@@ -133,7 +136,7 @@
     }
 
     /// Wants the newest value by then.
-    pub fn read(&mut self, now: u64, job: Job, until: u64, effects: &mut Vec<Effect>) {
+    pub fn read(&mut self, now: Instant, job: JobId, until: Instant, effects: &mut Vec<Effect>) {
         if self.decided.value().is_none() || !self.reader.add(job, until) {
             effects.push(Effect::Reply {
                 job,
@@ -145,7 +148,7 @@
     }
 
     /// Ends what took too long, sends again what got no answer, begins what waits.
-    pub fn tick(&mut self, now: u64, effects: &mut Vec<Effect>) {
+    pub fn tick(&mut self, now: Instant, effects: &mut Vec<Effect>) {
         self.expire(now, effects);
         self.reader.tick(now, &self.decided, effects);
         self.proposer.tick(now, &self.decided, effects);
@@ -153,13 +156,13 @@
         self.persist_again(now, effects);
     }
 
-    fn expire(&mut self, now: u64, effects: &mut Vec<Effect>) {
+    fn expire(&mut self, now: Instant, effects: &mut Vec<Effect>) {
         self.proposer.expire(now, effects);
         self.reader.expire(now, effects);
     }
 
     /// The disk drops records when too many wait: they are handed over again.
-    fn persist_again(&mut self, now: u64, effects: &mut Vec<Effect>) {
+    fn persist_again(&mut self, now: Instant, effects: &mut Vec<Effect>) {
         if !self.durability.is_overdue(now, self.decided.number()) {
             return;
         }
@@ -175,7 +178,7 @@
     /// first, so that no message that waited while this node was frozen brings it to an end of another kind.
     pub fn on_message(
         &mut self,
-        now: u64,
+        now: Instant,
         from: u64,
         message: PeerMessage,
         effects: &mut Vec<Effect>,
@@ -232,7 +235,13 @@
         number >= self.acceptor.number() && self.decided.counts(self.id)
     }
 
-    fn on_prepare(&mut self, now: u64, from: u64, request: &Prepare, effects: &mut Vec<Effect>) {
+    fn on_prepare(
+        &mut self,
+        now: Instant,
+        from: u64,
+        request: &Prepare,
+        effects: &mut Vec<Effect>,
+    ) {
         if !self.takes_part(from, request.number, effects) {
             return;
         }
@@ -261,7 +270,7 @@
 
     // --- proposer ---
 
-    fn on_promise(&mut self, now: u64, from: u64, promise: Promise, effects: &mut Vec<Effect>) {
+    fn on_promise(&mut self, now: Instant, from: u64, promise: Promise, effects: &mut Vec<Effect>) {
         self.proposer
             .on_promise(now, from, promise, &self.decided, effects);
         self.tick(now, effects);
@@ -269,7 +278,7 @@
 
     fn on_accept_ack(
         &mut self,
-        now: u64,
+        now: Instant,
         from: u64,
         acknowledgement: &AcceptAck,
         effects: &mut Vec<Effect>,
@@ -282,7 +291,7 @@
         }
     }
 
-    fn on_rejected(&mut self, now: u64, rejected: &Rejected) {
+    fn on_rejected(&mut self, now: Instant, rejected: &Rejected) {
         self.proposer.on_rejected(now, rejected, &self.decided);
     }
 
@@ -313,7 +322,13 @@
     }
 
     /// Learns a value that is decided.
-    fn adopt(&mut self, now: u64, value: Value, learned: LearnedFrom, effects: &mut Vec<Effect>) {
+    fn adopt(
+        &mut self,
+        now: Instant,
+        value: Value,
+        learned: LearnedFrom,
+        effects: &mut Vec<Effect>,
+    ) {
         if self
             .decided
             .value()
@@ -349,7 +364,13 @@
         });
     }
 
-    fn on_read_reply(&mut self, now: u64, from: u64, reply: &ReadReply, effects: &mut Vec<Effect>) {
+    fn on_read_reply(
+        &mut self,
+        now: Instant,
+        from: u64,
+        reply: &ReadReply,
+        effects: &mut Vec<Effect>,
+    ) {
         if self.decided.value().is_none() {
             return;
         }
@@ -379,7 +400,7 @@
 
     fn on_ledger_entries(
         &mut self,
-        now: u64,
+        now: Instant,
         from: u64,
         entries: OrderLogEntries,
         effects: &mut Vec<Effect>,
--- a/crates/linenthread-consensus/tests/acceptor_restart.rs
+++ b/crates/linenthread-consensus/tests/acceptor_restart.rs
@@ -2,6 +2,12 @@
 
 use linenthread_consensus::{DurableState, Effect, Register};
 use linenthread_messages::{Accept, Ballot, PeerMessage, Prepare, Record, Value, Voter};
+use linenthread_time::Instant;
+
+/// The instant this many milliseconds after the clock's start.
+fn at(millis: u64) -> Instant {
+    Instant::from_millis(millis)
+}
 
 fn value(number: u64) -> Value {
     let voters = (1..=3)
@@ -21,7 +27,7 @@
 fn records() -> Vec<Record> {
     let mut register = Register::new(1, DurableState::default(), Some(value(0)), 5);
     let mut effects = Vec::new();
-    register.on_message(0, 2, PeerMessage::Decided(value(1)), &mut effects);
+    register.on_message(at(0), 2, PeerMessage::Decided(value(1)), &mut effects);
     effects.clear();
     let accept = Accept {
         ballot: Ballot {
@@ -30,7 +36,7 @@
         },
         value: value(2),
     };
-    register.on_message(0, 2, PeerMessage::Accept(accept), &mut effects);
+    register.on_message(at(0), 2, PeerMessage::Accept(accept), &mut effects);
     let record = |effect| match effect {
         Effect::Persist { record, .. } => Some(record),
         _ => None,
@@ -44,7 +50,7 @@
         number,
         ballot: Ballot { round, proposer: 3 },
     };
-    register.on_message(0, 3, PeerMessage::Prepare(request), &mut effects);
+    register.on_message(at(0), 3, PeerMessage::Prepare(request), &mut effects);
     effects
         .iter()
         .any(|effect| matches!(effect, Effect::Persist { .. }))
@@ -58,7 +64,7 @@
     // Value 1 was decided; another one must not get this node's vote.
     assert!(!says_a_promise(&mut again, 1, 9));
     // When it has value 1 again, what it promised for value 2 still binds.
-    again.on_message(0, 2, PeerMessage::Decided(value(1)), &mut Vec::new());
+    again.on_message(at(0), 2, PeerMessage::Decided(value(1)), &mut Vec::new());
     assert!(!says_a_promise(&mut again, 2, 3));
     assert!(says_a_promise(&mut again, 2, 5));
     assert!(again.has_undecided());
--- a/crates/linenthread-consensus/tests/common/mod.rs
+++ b/crates/linenthread-consensus/tests/common/mod.rs
@@ -1,13 +1,15 @@
 //! A few registers on modelled disks and a modelled network, one clock for all.
 
 use std::collections::{BTreeMap, VecDeque};
+use std::time::Duration;
 
-use linenthread_consensus::{Change, DurableState, Effect, Job, Outcome, Register};
+use linenthread_consensus::{Change, DurableState, Effect, JobId, Outcome, Register};
 use linenthread_messages::{PeerMessage, Record, Value, Voter};
+use linenthread_time::Instant;
 
 /// How long a call is worked on, as in the control part.
-const CALL: u64 = 900;
-const STEP: u64 = 25;
+const CALL: Duration = Duration::from_millis(900);
+const STEP: Duration = Duration::from_millis(25);
 
 type Loss = Box<dyn Fn(u64, u64, &PeerMessage) -> bool>;
 type Then = Vec<(u64, PeerMessage)>;
@@ -31,9 +33,9 @@
 /// Nodes 1 to n; messages and syncs happen at once, unless they are lost or a disk is stalled.
 pub(crate) struct Cluster {
     nodes: Vec<Node>,
-    now: u64,
-    jobs: Job,
-    outcomes: BTreeMap<Job, Outcome>,
+    now: Instant,
+    jobs: u64,
+    outcomes: BTreeMap<JobId, Outcome>,
     network: VecDeque<Message>,
     lost: Loss,
     sent: Vec<PeerMessage>,
@@ -88,7 +90,7 @@
         };
         Cluster {
             nodes: (1..=size).map(node).collect(),
-            now: 1_000,
+            now: Instant::from_millis(1_000),
             jobs: 1_000,
             outcomes: BTreeMap::new(),
             network: VecDeque::new(),
@@ -101,7 +103,7 @@
         &self.nodes[at as usize - 1].register
     }
 
-    pub(crate) fn outcome(&self, job: Job) -> Option<Outcome> {
+    pub(crate) fn outcome(&self, job: JobId) -> Option<Outcome> {
         self.outcomes.get(&job).cloned()
     }
 
@@ -131,7 +133,7 @@
     }
 
     /// Begins a call; its outcome comes under this job.
-    pub(crate) fn start_order(&mut self, at: u64, job: Job, change: Change) {
+    pub(crate) fn start_order(&mut self, at: u64, job: JobId, change: Change) {
         let until = self.now + CALL;
         self.drive(at, |register, now, effects| {
             register.propose(now, job, change, until, effects);
@@ -141,13 +143,13 @@
     /// A call to its end.
     pub(crate) fn order(&mut self, at: u64, change: Change) -> Outcome {
         self.jobs += 1;
-        let job = self.jobs;
+        let job = JobId(self.jobs);
         self.start_order(at, job, change);
         self.await_outcome(job)
     }
 
-    fn await_outcome(&mut self, job: Job) -> Outcome {
-        let end = self.now + 2 * CALL;
+    fn await_outcome(&mut self, job: JobId) -> Outcome {
+        let end = self.now + CALL * 2;
         while !self.outcomes.contains_key(&job) && self.now < end {
             self.pass_time(STEP);
         }
@@ -162,7 +164,7 @@
         }
     }
 
-    pub(crate) fn pass_time(&mut self, time: u64) {
+    pub(crate) fn pass_time(&mut self, time: Duration) {
         let end = self.now + time;
         while self.now < end {
             self.now += STEP;
@@ -204,7 +206,7 @@
             message: PeerMessage::Decided(value),
         });
         self.settle();
-        self.pass_time(1_000);
+        self.pass_time(Duration::from_secs(1));
         voters
             .iter_mut()
             .filter(|voter| voter.id == old)
@@ -230,7 +232,7 @@
         self.node(at).unsynced.clear();
     }
 
-    fn drive(&mut self, at: u64, step: impl FnOnce(&mut Register, u64, &mut Vec<Effect>)) {
+    fn drive(&mut self, at: u64, step: impl FnOnce(&mut Register, Instant, &mut Vec<Effect>)) {
         let (now, mut effects) = (self.now, Vec::new());
         step(&mut self.node(at).register, now, &mut effects);
         self.carry_out(at, effects);
--- a/crates/linenthread-consensus/tests/contention.rs
+++ b/crates/linenthread-consensus/tests/contention.rs
@@ -1,7 +1,13 @@
 //! A proposer that clashes with others: how long it rests, and how much time a round has.
 
-use linenthread_consensus::{Change, DurableState, Effect, Register};
+use linenthread_consensus::{Change, DurableState, Effect, JobId, Register};
 use linenthread_messages::{Accept, Ballot, PeerMessage, Prepare, Promise, Rejected, Value, Voter};
+use linenthread_time::Instant;
+
+/// The instant this many milliseconds after the clock's start.
+fn at(millis: u64) -> Instant {
+    Instant::from_millis(millis)
+}
 
 const ANOTHER: u64 = 99;
 
@@ -28,7 +34,7 @@
         epoch: 1,
     };
     let mut effects = Vec::new();
-    register.propose(now, now, change, now + 60_000, &mut effects);
+    register.propose(at(now), JobId(now), change, at(now + 60_000), &mut effects);
     effects
 }
 
@@ -40,7 +46,7 @@
         document: b"routes".to_vec(),
     };
     let mut effects = Vec::new();
-    register.propose(now, now, change, now + 60_000, &mut effects);
+    register.propose(at(now), JobId(now), change, at(now + 60_000), &mut effects);
     effects
 }
 
@@ -60,7 +66,7 @@
     (from..from + 10_000)
         .find_map(|now| {
             let mut effects = Vec::new();
-            register.tick(now, &mut effects);
+            register.tick(at(now), &mut effects);
             Some((now, begun(&effects)?))
         })
         .expect("a round begins")
@@ -72,7 +78,7 @@
         proposer: ANOTHER,
     };
     register.on_message(
-        now,
+        at(now),
         2,
         PeerMessage::Rejected(Rejected { number, promised }),
         &mut Vec::new(),
@@ -95,7 +101,12 @@
             );
             now = again + 500;
             let mut effects = Vec::new();
-            register.on_message(now, 2, PeerMessage::Decided(value(number)), &mut effects);
+            register.on_message(
+                at(now),
+                2,
+                PeerMessage::Decided(value(number)),
+                &mut effects,
+            );
             ballot = begun(&effects).expect("the order waits on, and a round begins");
         }
     }
@@ -112,7 +123,7 @@
             ballot,
             accepted: None,
         };
-        register.on_message(1_400, from, PeerMessage::Promise(promise), &mut effects);
+        register.on_message(at(1_400), from, PeerMessage::Promise(promise), &mut effects);
     }
     let asks = |e: &Effect| {
         matches!(
@@ -141,7 +152,12 @@
                 ballot,
                 accepted: None,
             };
-            register.on_message(1_240, from, PeerMessage::Promise(promise), &mut Vec::new());
+            register.on_message(
+                at(1_240),
+                from,
+                PeerMessage::Promise(promise),
+                &mut Vec::new(),
+            );
         }
         reject(&mut register, 1_300, 1, ballot);
         next_round(&mut register, 1_301).0 - 1_300
@@ -185,7 +201,7 @@
     let asked = || {
         let mut register = Register::new(1, DurableState::default(), Some(value(0)), 7);
         register.on_message(
-            1_000,
+            at(1_000),
             2,
             PeerMessage::Prepare(prepare.clone()),
             &mut Vec::new(),
--- a/crates/linenthread-consensus/tests/frozen.rs
+++ b/crates/linenthread-consensus/tests/frozen.rs
@@ -1,7 +1,13 @@
 //! A node that was frozen: what waited for it meanwhile neither makes a read nor a lease of what is old.
 
-use linenthread_consensus::{Change, DurableState, Effect, Outcome, Register};
+use linenthread_consensus::{Change, DurableState, Effect, JobId, Outcome, Register};
 use linenthread_messages::{PeerMessage, Promise, ReadReply, Value, Voter};
+use linenthread_time::Instant;
+
+/// The instant this many milliseconds after the clock's start.
+fn at(millis: u64) -> Instant {
+    Instant::from_millis(millis)
+}
 
 fn one_of_three() -> Register {
     let voters = (1..=3)
@@ -40,12 +46,12 @@
             decided: 0,
             pending: false,
         };
-        register.on_message(now, from, PeerMessage::ReadReply(reply), &mut effects);
+        register.on_message(at(now), from, PeerMessage::ReadReply(reply), &mut effects);
     }
     effects
 }
 
-fn outcomes(effects: Vec<Effect>) -> Vec<(u64, Outcome)> {
+fn outcomes(effects: Vec<Effect>) -> Vec<(JobId, Outcome)> {
     let outcome = |effect| match effect {
         Effect::Reply { job, outcome } => Some((job, outcome)),
         _ => None,
@@ -56,38 +62,47 @@
 #[test]
 fn a_read_whose_time_is_over_is_not_answered_by_what_waited_while_the_node_was_frozen() {
     let (mut register, mut effects) = (one_of_three(), Vec::new());
-    register.read(1_000, 1, 1_900, &mut effects);
+    register.read(at(1_000), JobId(1), at(1_900), &mut effects);
     let effects = answers(&mut register, 21_000, question_of(&effects));
-    assert_eq!(outcomes(effects), [(1, Outcome::Unknown)]);
+    assert_eq!(outcomes(effects), [(JobId(1), Outcome::Unknown)]);
 }
 
 #[test]
 fn a_question_of_before_the_freeze_confirms_nothing() {
     let (mut register, mut effects) = (one_of_three(), Vec::new());
     // A read without an end, so that only the age of its question can tell.
-    register.read(1_000, 1, u64::MAX, &mut effects);
+    register.read(at(1_000), JobId(1), Instant::NEVER, &mut effects);
     let old = question_of(&effects);
     let effects = answers(&mut register, 21_000, old);
     assert!(outcomes(effects).is_empty());
     let mut effects = Vec::new();
-    register.tick(21_000, &mut effects);
+    register.tick(at(21_000), &mut effects);
     let new = question_of(&effects);
     assert!(new > old);
     let effects = answers(&mut register, 21_010, new);
-    assert!(matches!(outcomes(effects)[..], [(1, Outcome::Newest(_))]));
+    assert!(matches!(
+        outcomes(effects)[..],
+        [(JobId(1), Outcome::Newest(_))]
+    ));
 }
 
 #[test]
 fn a_read_is_answered_only_by_a_question_that_began_after_it() {
     let (mut register, mut effects) = (one_of_three(), Vec::new());
-    register.read(1_000, 1, 1_900, &mut effects);
+    register.read(at(1_000), JobId(1), at(1_900), &mut effects);
     let first = question_of(&effects);
-    register.read(1_010, 2, 1_910, &mut Vec::new());
+    register.read(at(1_010), JobId(2), at(1_910), &mut Vec::new());
     let effects = answers(&mut register, 1_020, first);
     let second = question_of(&effects);
-    assert!(matches!(outcomes(effects)[..], [(1, Outcome::Newest(_))]));
+    assert!(matches!(
+        outcomes(effects)[..],
+        [(JobId(1), Outcome::Newest(_))]
+    ));
     let effects = answers(&mut register, 1_030, second);
-    assert!(matches!(outcomes(effects)[..], [(2, Outcome::Newest(_))]));
+    assert!(matches!(
+        outcomes(effects)[..],
+        [(JobId(2), Outcome::Newest(_))]
+    ));
 }
 
 #[test]
@@ -98,7 +113,7 @@
         revision: 1,
         document: "1".into(),
     };
-    register.propose(1_000, 1, change, 1_900, &mut effects);
+    register.propose(at(1_000), JobId(1), change, at(1_900), &mut effects);
     let prepare = |effect: &Effect| match effect {
         Effect::Send {
             message: PeerMessage::Prepare(prepare),
@@ -114,7 +129,12 @@
             ballot: prepare.ballot,
             accepted: None,
         };
-        register.on_message(21_000, from, PeerMessage::Promise(promise), &mut effects);
+        register.on_message(
+            at(21_000),
+            from,
+            PeerMessage::Promise(promise),
+            &mut effects,
+        );
     }
     assert!(
         !effects
@@ -122,5 +142,5 @@
             .any(|effect| matches!(effect, Effect::Send { .. })),
         "{effects:?}"
     );
-    assert_eq!(outcomes(effects), [(1, Outcome::Unknown)]);
+    assert_eq!(outcomes(effects), [(JobId(1), Outcome::Unknown)]);
 }
--- a/crates/linenthread-consensus/tests/lease_release.rs
+++ b/crates/linenthread-consensus/tests/lease_release.rs
@@ -2,8 +2,14 @@
 
 use linenthread_consensus::LeaderLease;
 use linenthread_messages::{LeaseRelease, LeaseRequest, LeaseVote, Value};
+use linenthread_time::Instant;
 use yare::parameterized;
 
+/// The instant this many milliseconds after the clock's start.
+fn at(millis: u64) -> Instant {
+    Instant::from_millis(millis)
+}
+
 const HOLDER: u64 = 1;
 const OTHER: u64 = 2;
 const LIFE: u64 = 7;
@@ -20,10 +26,10 @@
 
 /// A voter that supports the holder under epoch 3 since 5,000.
 fn voter() -> LeaderLease {
-    let mut voter = LeaderLease::new(3, 9, 0, false, 0);
+    let mut voter = LeaderLease::new(3, 9, at(0), false, 0);
     assert!(
         voter
-            .on_lease_request(5_000, HOLDER, &request(LIFE, 3, 1), Some(0))
+            .on_lease_request(at(5_000), HOLDER, &request(LIFE, 3, 1), Some(0))
             .granted
     );
     voter
@@ -50,7 +56,7 @@
     );
     assert_eq!(
         voter
-            .on_lease_request(5_100, OTHER, &request(8, 9, 1), Some(0))
+            .on_lease_request(at(5_100), OTHER, &request(8, 9, 1), Some(0))
             .granted,
         free
     );
@@ -68,7 +74,7 @@
     );
     assert!(
         !voter
-            .on_lease_request(5_100, HOLDER, &request(LIFE, 4, 2), Some(0))
+            .on_lease_request(at(5_100), HOLDER, &request(LIFE, 4, 2), Some(0))
             .granted
     );
 }
@@ -76,15 +82,15 @@
 #[test]
 fn a_voter_that_counts_anew_does_not_go_on_with_whom_it_supported_before() {
     let mut voter = voter();
-    voter.decided(9_000, 0, true);
+    voter.decided(at(9_000), 0, true);
     assert!(
         !voter
-            .on_lease_request(10_900, HOLDER, &request(LIFE, 4, 2), Some(0))
+            .on_lease_request(at(10_900), HOLDER, &request(LIFE, 4, 2), Some(0))
             .granted
     );
     assert!(
         voter
-            .on_lease_request(11_000, HOLDER, &request(LIFE, 4, 3), Some(0))
+            .on_lease_request(at(11_000), HOLDER, &request(LIFE, 4, 3), Some(0))
             .granted
     );
 }
@@ -112,7 +118,7 @@
 #[test]
 fn a_release_does_not_shorten_the_quiet_time_of_a_voter_that_counts_anew() {
     let mut voter = voter();
-    voter.decided(5_050, 0, true);
+    voter.decided(at(5_050), 0, true);
     assert!(voter.on_release(
         HOLDER,
         &LeaseRelease {
@@ -122,29 +128,29 @@
     ));
     assert!(
         !voter
-            .on_lease_request(5_100, OTHER, &request(8, 9, 1), Some(0))
+            .on_lease_request(at(5_100), OTHER, &request(8, 9, 1), Some(0))
             .granted
     );
     assert!(
         voter
-            .on_lease_request(7_100, OTHER, &request(8, 9, 2), Some(0))
+            .on_lease_request(at(7_100), OTHER, &request(8, 9, 2), Some(0))
             .granted
     );
 }
 
 #[test]
 fn who_has_released_holds_nothing_and_asks_above_it() {
-    let mut lease = LeaderLease::new(HOLDER, LIFE, 0, true, 0);
-    let first = lease.tick(0, true, 0).expect("asks");
+    let mut lease = LeaderLease::new(HOLDER, LIFE, at(0), true, 0);
+    let first = lease.tick(at(0), true, 0).expect("asks");
     let is_most = |ids: Vec<u64>| ids.len() >= 2;
     let yes = LeaseVote {
         epoch: first.epoch,
         request_id: first.request_id,
         granted: true,
     };
-    lease.on_lease_vote(1, HOLDER, &yes, 0, is_most);
-    assert!(lease.on_lease_vote(2, OTHER, &yes, 0, is_most) && lease.holds(3).is_some());
-    let release = lease.release(3).expect("held");
+    lease.on_lease_vote(at(1), HOLDER, &yes, 0, is_most);
+    assert!(lease.on_lease_vote(at(2), OTHER, &yes, 0, is_most) && lease.holds(at(3)).is_some());
+    let release = lease.release().expect("held");
     assert_eq!(
         release,
         LeaseRelease {
@@ -153,18 +159,18 @@
         }
     );
     // Votes that were under way give nothing back.
-    assert!(!lease.on_lease_vote(4, 3, &yes, 0, is_most) && lease.holds(4).is_none());
-    assert!(lease.release(5).is_none());
-    let next = lease.tick(6, true, 0).expect("asks anew");
+    assert!(!lease.on_lease_vote(at(4), 3, &yes, 0, is_most) && lease.holds(at(4)).is_none());
+    assert!(lease.release().is_none());
+    let next = lease.tick(at(6), true, 0).expect("asks anew");
     assert!(next.epoch > release.epoch);
 }
 
 #[test]
 fn an_open_request_is_released_as_well() {
-    let mut lease = LeaderLease::new(HOLDER, LIFE, 0, true, 0);
-    let open = lease.tick(0, true, 0).expect("asks");
+    let mut lease = LeaderLease::new(HOLDER, LIFE, at(0), true, 0);
+    let open = lease.tick(at(0), true, 0).expect("asks");
     assert_eq!(
-        lease.release(1).map(|release| release.epoch),
+        lease.release().map(|release| release.epoch),
         Some(open.epoch)
     );
     let yes = LeaseVote {
@@ -172,20 +178,20 @@
         request_id: open.request_id,
         granted: true,
     };
-    assert!(!lease.on_lease_vote(2, OTHER, &yes, 0, |_| true) && lease.holds(2).is_none());
+    assert!(!lease.on_lease_vote(at(2), OTHER, &yes, 0, |_| true) && lease.holds(at(2)).is_none());
 }
 
 #[test]
 fn a_node_that_was_frozen_past_its_lease_holds_nothing_when_the_votes_come() {
-    let mut lease = LeaderLease::new(HOLDER, LIFE, 0, true, 0);
-    let open = lease.tick(0, true, 0).expect("asks");
+    let mut lease = LeaderLease::new(HOLDER, LIFE, at(0), true, 0);
+    let open = lease.tick(at(0), true, 0).expect("asks");
     let yes = LeaseVote {
         epoch: open.epoch,
         request_id: open.request_id,
         granted: true,
     };
     // The control part would take this for a lease that begins.
-    assert!(!lease.on_lease_vote(20_000, OTHER, &yes, 0, |_| true));
-    assert_eq!(lease.holds(20_000), None);
-    assert!(!lease.holds_on(20_000, 0));
+    assert!(!lease.on_lease_vote(at(20_000), OTHER, &yes, 0, |_| true));
+    assert_eq!(lease.holds(at(20_000)), None);
+    assert!(!lease.holds_on(at(20_000), 0));
 }
--- a/crates/linenthread-consensus/tests/orders.rs
+++ b/crates/linenthread-consensus/tests/orders.rs
@@ -2,9 +2,11 @@
 
 mod common;
 
+use std::time::Duration;
+
 use common::{Cluster, order};
 use linenthread_consensus::{
-    MAX_LOGGED_ORDERS, MAX_ORDERS_PER_MESSAGE, OrderLog, Outcome, document_digest,
+    JobId, MAX_LOGGED_ORDERS, MAX_ORDERS_PER_MESSAGE, OrderLog, Outcome, document_digest,
 };
 use linenthread_messages::{OrderIdentity, PeerMessage};
 use yare::parameterized;
@@ -93,10 +95,10 @@
     cluster.take_orders(1, 1..=3);
     // Node 1 gets its order accepted at 1 and 2, and hears no acknowledgement.
     cluster.lose(|_, to, message| to == 1 && matches!(message, PeerMessage::AcceptAck(_)));
-    cluster.start_order(1, 500, order(3, 4, "4"));
+    cluster.start_order(1, JobId(500), order(3, 4, "4"));
     cluster.lose(|_, _, _| false);
     assert_eq!(cluster.order(3, order(3, 4, "4")), Outcome::Committed(4));
-    assert_eq!(cluster.outcome(500), Some(Outcome::Committed(4)));
+    assert_eq!(cluster.outcome(JobId(500)), Some(Outcome::Committed(4)));
     assert_eq!(
         cluster.register(3).decided().map(|value| value.order_count),
         Some(4)
@@ -107,7 +109,7 @@
 fn a_rival_of_a_half_done_order_is_refused_only_when_that_one_is_decided() {
     let mut cluster = Cluster::new(3);
     cluster.lose(|_, to, message| to == 1 && matches!(message, PeerMessage::AcceptAck(_)));
-    cluster.start_order(1, 500, order(0, 1, "first"));
+    cluster.start_order(1, JobId(500), order(0, 1, "first"));
     cluster.lose(|_, _, _| false);
     assert_eq!(
         cluster.order(2, order(0, 1, "second")),
@@ -147,7 +149,7 @@
         Outcome::Conflict(100)
     );
     cluster.lose(|_, _, _| false);
-    cluster.pass_time(1_000);
+    cluster.pass_time(Duration::from_secs(1));
     assert!(cluster.register(3).order_log_complete());
     assert_eq!(
         cluster.order(3, order(39, 40, "40")),
@@ -196,7 +198,7 @@
     cluster.drop_unsynced(3);
     cluster.sync_disk(3);
     assert!(!cluster.register(3).holds_all_durably());
-    cluster.pass_time(6_000);
+    cluster.pass_time(Duration::from_secs(6));
     assert!(cluster.register(3).holds_all_durably());
     cluster.restart(3);
     assert!(
--- a/crates/linenthread-consensus/tests/register.rs
+++ b/crates/linenthread-consensus/tests/register.rs
@@ -1,11 +1,17 @@
 //! One step at a time what the drill plays at random: who takes part, what is promised, what a read must see.
 
-use linenthread_consensus::{Change, DurableState, Effect, LeaderLease, Outcome, Register};
+use linenthread_consensus::{Change, DurableState, Effect, JobId, LeaderLease, Outcome, Register};
 use linenthread_messages::{
     Accept, Ballot, LeaseRequest, LeaseVote, PeerMessage, Prepare, Record, Value, Voter,
 };
+use linenthread_time::Instant;
 use yare::parameterized;
 
+/// The instant this many milliseconds after the clock's start.
+fn at(millis: u64) -> Instant {
+    Instant::from_millis(millis)
+}
+
 fn genesis() -> Value {
     let voters = (1..=3)
         .map(|id| Voter {
@@ -27,7 +33,7 @@
 struct Three {
     all: Vec<Register>,
     off: Vec<u64>,
-    replies: Vec<(u64, Outcome)>,
+    replies: Vec<(JobId, Outcome)>,
     disks: Vec<Vec<Record>>,
 }
 
@@ -50,7 +56,7 @@
                     return;
                 }
                 let mut outs = Vec::new();
-                self.all[to as usize - 1].on_message(0, from, word, &mut outs);
+                self.all[to as usize - 1].on_message(at(0), from, word, &mut outs);
                 waiting.extend(outs.into_iter().map(|o| (to, o)));
             };
             match out {
@@ -66,25 +72,25 @@
         }
     }
 
-    fn replace(&mut self, at: u64, job: u64, base: u64, revision: u64) {
+    fn replace(&mut self, node: u64, job: u64, base: u64, revision: u64) {
         let mut outs = Vec::new();
         let change = Change::Document {
             base,
             revision,
             document: format!("{revision}").into(),
         };
-        self.all[at as usize - 1].propose(0, job, change, 900, &mut outs);
-        self.settle(at, outs);
+        self.all[node as usize - 1].propose(at(0), JobId(job), change, at(900), &mut outs);
+        self.settle(node, outs);
         // It may have waited for the round of another node.
         let mut outs = Vec::new();
-        self.all[at as usize - 1].tick(60, &mut outs);
-        self.settle(at, outs);
+        self.all[node as usize - 1].tick(at(60), &mut outs);
+        self.settle(node, outs);
     }
 
-    fn read(&mut self, at: u64, job: u64) {
+    fn read(&mut self, node: u64, job: u64) {
         let mut outs = Vec::new();
-        self.all[at as usize - 1].read(0, job, 900, &mut outs);
-        self.settle(at, outs);
+        self.all[node as usize - 1].read(at(0), JobId(job), at(900), &mut outs);
+        self.settle(node, outs);
     }
 
     fn last(&self) -> &Outcome {
@@ -113,11 +119,11 @@
     three.read(1, 2);
     assert!(three.replies.is_empty());
     let mut outs = Vec::new();
-    three.all[0].tick(1_000, &mut outs);
+    three.all[0].tick(at(1_000), &mut outs);
     three.settle(1, outs);
     assert_eq!(
         three.replies,
-        [(1, Outcome::Unknown), (2, Outcome::Unknown)]
+        [(JobId(1), Outcome::Unknown), (JobId(2), Outcome::Unknown)]
     );
 }
 
@@ -138,7 +144,7 @@
     for to in [1, 2] {
         let mut outs = Vec::new();
         three.all[to - 1].on_message(
-            0,
+            at(0),
             9,
             PeerMessage::Accept(Accept {
                 ballot,
@@ -174,21 +180,21 @@
         document: "3".into(),
     };
     let (mut outs, mut asked, mut unsynced) = (Vec::new(), 0, Vec::new());
-    one.propose(0, 1, change, 900, &mut outs);
-    one.read(0, 2, 900, &mut outs);
+    one.propose(at(0), JobId(1), change, at(900), &mut outs);
+    one.read(at(0), JobId(2), at(900), &mut outs);
     // Words to itself arrive at once; what waits for the disk's second sync does not.
     for _ in 0..100 {
         for out in std::mem::take(&mut outs) {
             match out {
                 Effect::Send { message: word, .. } => {
                     asked += usize::from(matches!(word, PeerMessage::ReadRequest(_)));
-                    one.on_message(0, 1, word, &mut outs);
+                    one.on_message(at(0), 1, word, &mut outs);
                 }
                 Effect::Persist { then, .. } => {
                     for (_, word) in then {
                         match word {
                             PeerMessage::AcceptAck(_) => unsynced.push(word),
-                            word => one.on_message(0, 1, word, &mut outs),
+                            word => one.on_message(at(0), 1, word, &mut outs),
                         }
                     }
                 }
@@ -197,11 +203,11 @@
         }
     }
     assert!(outs.is_empty() && asked <= 2, "asked {asked} times");
-    one.on_message(5, 1, unsynced.remove(0), &mut outs);
+    one.on_message(at(5), 1, unsynced.remove(0), &mut outs);
     assert!(outs.iter().any(|o| matches!(
         o,
         Effect::Reply {
-            job: 1,
+            job: JobId(1),
             outcome: Outcome::Committed(3)
         }
     )));
@@ -215,7 +221,7 @@
         proposer: 2,
     };
     one.on_message(
-        0,
+        at(0),
         2,
         PeerMessage::Prepare(Prepare {
             number: 1,
@@ -238,7 +244,7 @@
         },
         value,
     };
-    one.on_message(0, 3, PeerMessage::Accept(accept), &mut outs);
+    one.on_message(at(0), 3, PeerMessage::Accept(accept), &mut outs);
     assert!(
         matches!(&outs[..], [Effect::Send { message: PeerMessage::Rejected(r), .. }] if r.promised == newer)
     );
@@ -261,7 +267,7 @@
         proposer: 2,
     };
     one.on_message(
-        0,
+        at(0),
         2,
         PeerMessage::Prepare(Prepare { number, ballot }),
         &mut outs,
@@ -282,7 +288,7 @@
         proposer: 2,
     };
     three.all[0].on_message(
-        0,
+        at(0),
         2,
         PeerMessage::Prepare(Prepare { number: 2, ballot }),
         &mut outs,
@@ -305,7 +311,7 @@
             };
             let mut outs = Vec::new();
             again.on_message(
-                0,
+                at(0),
                 3,
                 PeerMessage::Prepare(Prepare {
                     number: 2,
@@ -340,10 +346,10 @@
     a_new_life_under_a_new_one = { 5_100, 1, 6, 2, true },
 )]
 fn a_duty_is_supported_for_one_at_a_time(now: u64, from: u64, life: u64, epoch: u64, yes: bool) {
-    let mut lease = LeaderLease::new(3, 9, 0, false, 0);
+    let mut lease = LeaderLease::new(3, 9, at(0), false, 0);
     if now > 5_000 {
         lease.on_lease_request(
-            5_000,
+            at(5_000),
             1,
             &LeaseRequest {
                 epoch: 1,
@@ -358,7 +364,7 @@
     assert_eq!(
         lease
             .on_lease_request(
-                now,
+                at(now),
                 from,
                 &LeaseRequest {
                     epoch,
@@ -376,58 +382,61 @@
 
 #[test]
 fn what_has_lapsed_is_not_held_again_by_a_late_word() {
-    let mut lease = LeaderLease::new(1, 9, 0, true, 0);
-    let ask = lease.tick(0, true, 0).expect("asks");
+    let mut lease = LeaderLease::new(1, 9, at(0), true, 0);
+    let ask = lease.tick(at(0), true, 0).expect("asks");
     let yes = LeaseVote {
         epoch: ask.epoch,
         request_id: ask.request_id,
         granted: true,
     };
     let most = |ids: Vec<u64>| ids.len() >= 2;
-    assert!(!lease.on_lease_vote(1, 1, &yes, 0, most));
-    assert!(lease.on_lease_vote(2, 2, &yes, 0, most));
-    assert_eq!(lease.holds(1_000), Some(1));
-    assert_eq!(lease.holds(3_000), None);
-    assert!(!lease.on_lease_vote(3_000, 3, &yes, 0, most));
-    let next = lease.tick(3_000, true, 0).expect("asks anew");
+    assert!(!lease.on_lease_vote(at(1), 1, &yes, 0, most));
+    assert!(lease.on_lease_vote(at(2), 2, &yes, 0, most));
+    assert_eq!(lease.holds(at(1_000)), Some(1));
+    assert_eq!(lease.holds(at(3_000)), None);
+    assert!(!lease.on_lease_vote(at(3_000), 3, &yes, 0, most));
+    let next = lease.tick(at(3_000), true, 0).expect("asks anew");
     assert!(next.epoch > ask.epoch);
 }
 
 #[test]
 fn who_counts_is_changed_only_by_the_support_of_those_who_count() {
-    let mut lease = LeaderLease::new(1, 9, 0, true, 0);
+    let mut lease = LeaderLease::new(1, 9, at(0), true, 0);
     let most = |ids: Vec<u64>| ids.len() >= 2;
     let say = |ask: &LeaseRequest| LeaseVote {
         epoch: ask.epoch,
         request_id: ask.request_id,
         granted: true,
     };
-    let on_7 = lease.tick(0, true, 7).expect("asks");
-    lease.on_lease_vote(1, 1, &say(&on_7), 7, most);
-    assert!(lease.on_lease_vote(2, 2, &say(&on_7), 7, most) && lease.holds_on(3, 7));
+    let on_7 = lease.tick(at(0), true, 7).expect("asks");
+    lease.on_lease_vote(at(1), 1, &say(&on_7), 7, most);
+    assert!(lease.on_lease_vote(at(2), 2, &say(&on_7), 7, most) && lease.holds_on(at(3), 7));
     // The next value may name others: they are asked at once, and words about the last one count for nothing.
-    assert!(lease.holds(3).is_some() && !lease.holds_on(3, 8));
-    let on_8 = lease.tick(4, true, 8).expect("asks anew");
-    lease.on_lease_vote(5, 1, &say(&on_7), 8, most);
-    assert!(!lease.on_lease_vote(5, 2, &say(&on_7), 8, most));
-    lease.on_lease_vote(6, 1, &say(&on_8), 8, most);
-    assert!(lease.on_lease_vote(6, 2, &say(&on_8), 8, most) && lease.holds_on(7, 8));
-    assert_eq!((on_8.epoch, lease.holds(7)), (on_7.epoch, Some(on_7.epoch)));
+    assert!(lease.holds(at(3)).is_some() && !lease.holds_on(at(3), 8));
+    let on_8 = lease.tick(at(4), true, 8).expect("asks anew");
+    lease.on_lease_vote(at(5), 1, &say(&on_7), 8, most);
+    assert!(!lease.on_lease_vote(at(5), 2, &say(&on_7), 8, most));
+    lease.on_lease_vote(at(6), 1, &say(&on_8), 8, most);
+    assert!(lease.on_lease_vote(at(6), 2, &say(&on_8), 8, most) && lease.holds_on(at(7), 8));
+    assert_eq!(
+        (on_8.epoch, lease.holds(at(7))),
+        (on_7.epoch, Some(on_7.epoch))
+    );
 }
 
 #[test]
 fn support_under_one_epoch_does_not_count_under_another() {
-    let mut lease = LeaderLease::new(1, 9, 0, true, 0);
+    let mut lease = LeaderLease::new(1, 9, at(0), true, 0);
     let most = |ids: Vec<u64>| ids.len() >= 2;
-    let ask = lease.tick(0, true, 0).expect("asks");
+    let ask = lease.tick(at(0), true, 0).expect("asks");
     let yes = LeaseVote {
         epoch: ask.epoch,
         request_id: ask.request_id,
         granted: true,
     };
-    lease.on_lease_vote(1, 1, &yes, 0, most);
+    lease.on_lease_vote(at(1), 1, &yes, 0, most);
     lease.on_lease_vote(
-        2,
+        at(2),
         2,
         &LeaseVote {
             epoch: 6,
@@ -437,9 +446,9 @@
         0,
         most,
     );
-    assert!(!lease.on_lease_vote(3, 3, &yes, 0, most));
-    let next = lease.tick(500, true, 0).expect("asks above it");
-    assert_eq!((next.epoch, lease.holds(500)), (7, None));
+    assert!(!lease.on_lease_vote(at(3), 3, &yes, 0, most));
+    let next = lease.tick(at(500), true, 0).expect("asks above it");
+    assert_eq!((next.epoch, lease.holds(at(500))), (7, None));
 }
 
 #[parameterized(
@@ -450,8 +459,8 @@
     below_the_values_epoch = { Some(0), false, 0, false },
 )]
 fn support_waits_for_what_is_decided(number: Option<u64>, anew: bool, above: u64, yes: bool) {
-    let mut lease = LeaderLease::new(3, 9, 0, false, 0);
-    lease.decided(5_000, 4, anew);
+    let mut lease = LeaderLease::new(3, 9, at(0), false, 0);
+    lease.decided(at(5_000), 4, anew);
     let ask = LeaseRequest {
         epoch: 4 + above,
         request_id: 1,
@@ -459,27 +468,30 @@
         incarnation: 7,
         value_number: 0,
     };
-    assert_eq!(lease.on_lease_request(6_900, 1, &ask, number).granted, yes);
+    assert_eq!(
+        lease.on_lease_request(at(6_900), 1, &ask, number).granted,
+        yes
+    );
     // Later it waits for nothing but a value that both have, and an epoch above.
     assert_eq!(
-        lease.on_lease_request(7_100, 1, &ask, Some(0)).granted,
+        lease.on_lease_request(at(7_100), 1, &ask, Some(0)).granted,
         above > 0
     );
 }
 
 #[test]
 fn words_that_come_after_the_lease_give_no_duty() {
-    let mut lease = LeaderLease::new(1, 9, 0, true, 0);
+    let mut lease = LeaderLease::new(1, 9, at(0), true, 0);
     let most = |ids: Vec<u64>| ids.len() >= 2;
-    let ask = lease.tick(0, true, 0).expect("asks");
+    let ask = lease.tick(at(0), true, 0).expect("asks");
     let yes = LeaseVote {
         epoch: ask.epoch,
         request_id: ask.request_id,
         granted: true,
     };
-    lease.on_lease_vote(1, 1, &yes, 0, most);
+    lease.on_lease_vote(at(1), 1, &yes, 0, most);
     // It was frozen meanwhile.
-    lease.on_lease_vote(5_000, 2, &yes, 0, most);
-    assert_eq!(lease.holds(5_000), None);
-    assert!(!lease.holds_on(5_000, 0));
+    lease.on_lease_vote(at(5_000), 2, &yes, 0, most);
+    assert_eq!(lease.holds(at(5_000)), None);
+    assert!(!lease.holds_on(at(5_000), 0));
 }
