--- a/crates/linenthread-control/src/contact.rs
+++ b/crates/linenthread-control/src/contact.rs
@@ -1,6 +1,7 @@
 //! Contact with a majority of the voters: what a node may say without it, and after a freeze.
 
 use linenthread_messages::{DurableProgress, Heartbeat, PeerMessage};
+use linenthread_time::Instant;
 
 use crate::timing::{PAUSE, STARTING};
 use crate::{ControlNode, Effect, Response, SessionId};
@@ -33,7 +34,11 @@
         }
         self.contact_since = None;
         self.settle_drains(now, effects);
-        self.agree(now, |register, agreed| register.tick(now, agreed), effects);
+        self.agree(
+            now,
+            |register, agreed| register.tick(Instant::from_millis(now), agreed),
+            effects,
+        );
     }
 
     /// From no contact to contact fronts that came before are told; from contact to none all are let go.
@@ -198,7 +203,7 @@
 
     /// A standby that has become ready need not wait for the next tick.
     fn voters_may_change(&mut self, now: u64) {
-        if self.lease.holds(now).is_some()
+        if self.lease.holds(Instant::from_millis(now)).is_some()
             && !self.standbys(now, Some(self.value_number())).is_empty()
         {
             self.hurry();
--- a/crates/linenthread-control/src/control_node.rs
+++ b/crates/linenthread-control/src/control_node.rs
@@ -3,10 +3,13 @@
 
 use std::collections::VecDeque;
 
-use linenthread_consensus::{DurableState, Effect as Agreed, Job, LeaderLease, Outcome, Register};
+use linenthread_consensus::{
+    DurableState, Effect as Agreed, JobId, LeaderLease, Outcome, Register,
+};
 use linenthread_messages::{
     DurableProgress, IngressSession, PeerMessage, QuotaGrants, Record, Replica, Value,
 };
+use linenthread_time::Instant;
 
 use crate::dialling::Addresses;
 use crate::drains::Drains;
@@ -70,7 +73,13 @@
             epoch: kept.epoch,
         };
         let mut control = ControlNode {
-            lease: LeaderLease::new(id, local.incarnation, now, local.is_genesis, kept.epoch),
+            lease: LeaderLease::new(
+                id,
+                local.incarnation,
+                Instant::from_millis(now),
+                local.is_genesis,
+                kept.epoch,
+            ),
             register: Register::new(id, kept, genesis, local.incarnation),
             quota_allocator: QuotaAllocator::new(budget, local.is_genesis),
             registry: ReplicaRegistry::default(),
@@ -101,7 +110,9 @@
         control.votes = control.register.voters().iter().any(|voter| voter.id == id);
         if let Some(value) = control.register.decided() {
             control.lease.follow(value);
-            control.lease.decided(now, value.epoch, false);
+            control
+                .lease
+                .decided(Instant::from_millis(now), value.epoch, false);
         }
         // Replicas of before may be there still: they have as long as any to say so.
         for replica in &replicas {
@@ -122,7 +133,7 @@
 
     /// The epoch under which this node holds the leader lease.
     pub fn holds_lease(&self, now: u64) -> Option<u64> {
-        self.lease.holds(now)
+        self.lease.holds(Instant::from_millis(now))
     }
 
     /// All fronts with a session anywhere, by name.
@@ -219,7 +230,9 @@
             PeerMessage::DurableProgress(durable) => {
                 self.durable.epoch = self.durable.epoch.max(durable.epoch);
             }
-            message => self.register.on_message(now, own, message, agreed),
+            message => self
+                .register
+                .on_message(Instant::from_millis(now), own, message, agreed),
         }
     }
 
@@ -241,7 +254,8 @@
             .any(|voter| voter.id == self.register.id());
         let counts_anew = votes && (!self.votes || self.lease.misses_change_of_voters(value));
         self.lease.follow(value);
-        self.lease.decided(now, value.epoch, counts_anew);
+        self.lease
+            .decided(Instant::from_millis(now), value.epoch, counts_anew);
         self.votes = votes;
         for link in self.members.links() {
             self.send_value(link, effects);
@@ -253,7 +267,7 @@
 
     /// A job has ended. What one peer has told may be true and the newest there is; but out of contact with a
     /// majority nothing is confirmed, and nothing refused.
-    fn on_outcome(&mut self, now: u64, job: Job, outcome: Outcome, effects: &mut Vec<Effect>) {
+    fn on_outcome(&mut self, now: u64, job: JobId, outcome: Outcome, effects: &mut Vec<Effect>) {
         let outcome = if self.in_contact(now) {
             outcome
         } else {
@@ -278,7 +292,7 @@
                 // Who leaves waits to hear of it.
                 self.hurry();
                 // An order was decided first: at once again, before the next one.
-                if let Some(epoch) = self.lease.holds(now) {
+                if let Some(epoch) = self.lease.holds(Instant::from_millis(now)) {
                     self.keep_voters(now, epoch, effects);
                 }
             }
@@ -313,7 +327,11 @@
     pub fn tick(&mut self, now: u64, effects: &mut Vec<Effect>) {
         self.awake(now, effects);
         self.last_run = now;
-        self.agree(now, |register, agreed| register.tick(now, agreed), effects);
+        self.agree(
+            now,
+            |register, agreed| register.tick(Instant::from_millis(now), agreed),
+            effects,
+        );
         self.settle_drains(now, effects);
         self.release_when_free(now, effects);
         if self.searches(now) {
@@ -383,7 +401,7 @@
         }
         self.complete_what_is_in_doubt(now, effects);
         self.ask_for_lease(now, effects);
-        if let Some(epoch) = self.lease.holds(now) {
+        if let Some(epoch) = self.lease.holds(Instant::from_millis(now)) {
             let quota_grants = self.quota_allocator.allot(now, epoch, &self.fronts.all());
             self.send_quota_grants(
                 QuotaGrants {
@@ -412,7 +430,7 @@
             now,
             |register, agreed| {
                 register.complete();
-                register.tick(now, agreed);
+                register.tick(Instant::from_millis(now), agreed);
             },
             effects,
         );
--- a/crates/linenthread-control/src/leader.rs
+++ b/crates/linenthread-control/src/leader.rs
@@ -1,6 +1,7 @@
 //! The leader lease of this node, and its vote for another's.
 
 use linenthread_messages::{LeaseRelease, LeaseRequest, LeaseVote, PeerMessage, Record};
+use linenthread_time::Instant;
 
 use crate::reconfiguration::Leave;
 use crate::{ControlNode, Effect};
@@ -11,7 +12,10 @@
             return;
         }
         let first = self.is_first(now);
-        let Some(request) = self.lease.tick(now, first, self.value_number()) else {
+        let Some(request) = self
+            .lease
+            .tick(Instant::from_millis(now), first, self.value_number())
+        else {
             return;
         };
         for (link, _) in self.members.iter() {
@@ -62,7 +66,12 @@
         effects: &mut Vec<Effect>,
     ) {
         let number = Some(self.value_number()).filter(|_| !self.register.has_undecided());
-        let vote = PeerMessage::LeaseVote(self.lease.on_lease_request(now, from, request, number));
+        let vote = PeerMessage::LeaseVote(self.lease.on_lease_request(
+            Instant::from_millis(now),
+            from,
+            request,
+            number,
+        ));
         let epoch = self.lease.epoch();
         if epoch > self.durable.epoch {
             self.keep(
@@ -87,17 +96,23 @@
         effects: &mut Vec<Effect>,
     ) {
         let (register, number) = (&self.register, self.value_number());
-        let held = self.lease.holds(now).is_some();
+        let held = self.lease.holds(Instant::from_millis(now)).is_some();
         if !self
             .lease
-            .on_lease_vote(now, from, vote, number, |disks| register.is_majority(disks))
+            .on_lease_vote(Instant::from_millis(now), from, vote, number, |disks| {
+                register.is_majority(disks)
+            })
         {
             return;
         }
         // What it has to do does not wait for the next tick.
         self.hurry();
         // Held already, or the votes came so late that it has ended.
-        let Some(epoch) = self.lease.holds(now).filter(|_| !held) else {
+        let Some(epoch) = self
+            .lease
+            .holds(Instant::from_millis(now))
+            .filter(|_| !held)
+        else {
             return;
         };
         self.quota_allocator.on_lease(now, epoch);
@@ -116,7 +131,7 @@
         if self.leaving.is_none() || self.next_step_of_leaving(now) != Leave::Release {
             return;
         }
-        let Some(release) = self.lease.release(now) else {
+        let Some(release) = self.lease.release() else {
             return;
         };
         effects.push(Effect::Log(format!(
--- a/crates/linenthread-control/src/orders.rs
+++ b/crates/linenthread-control/src/orders.rs
@@ -2,6 +2,7 @@
 
 use linenthread_consensus::Change;
 use linenthread_messages::{PeerMessage, QuotaGrants};
+use linenthread_time::Instant;
 
 use crate::ingress_nodes::Source;
 use crate::requests::Purpose;
@@ -31,7 +32,7 @@
             return;
         }
         let job = self.requests.add(Purpose::Call(call));
-        let until = now + CALL + document.len() as u64 / BYTES_A_MS;
+        let until = Instant::from_millis(now + CALL + document.len() as u64 / BYTES_A_MS);
         let change = Change::Document {
             base,
             revision,
@@ -39,7 +40,9 @@
         };
         self.agree(
             now,
-            |register, agreed| register.propose(now, job, change, until, agreed),
+            |register, agreed| {
+                register.propose(Instant::from_millis(now), job, change, until, agreed);
+            },
             effects,
         );
     }
@@ -57,7 +60,14 @@
         let job = self.requests.add(Purpose::Call(call));
         self.agree(
             now,
-            |register, agreed| register.read(now, job, now + CALL, agreed),
+            |register, agreed| {
+                register.read(
+                    Instant::from_millis(now),
+                    job,
+                    Instant::from_millis(now + CALL),
+                    agreed,
+                );
+            },
             effects,
         );
     }
@@ -77,7 +87,14 @@
         let job = self.requests.add(Purpose::Confirmation(link));
         self.agree(
             now,
-            |register, agreed| register.read(now, job, now + CALL, agreed),
+            |register, agreed| {
+                register.read(
+                    Instant::from_millis(now),
+                    job,
+                    Instant::from_millis(now + CALL),
+                    agreed,
+                );
+            },
             effects,
         );
     }
--- a/crates/linenthread-control/src/requests.rs
+++ b/crates/linenthread-control/src/requests.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use linenthread_consensus::{Job, Outcome};
+use linenthread_consensus::{JobId, Outcome};
 
 use crate::{CallId, Response, SessionId};
 
@@ -18,18 +18,19 @@
 /// The jobs on hand.
 #[derive(Default)]
 pub(crate) struct Requests {
-    last: Job,
-    waiting: BTreeMap<Job, Purpose>,
+    last: u64,
+    waiting: BTreeMap<JobId, Purpose>,
 }
 
 impl Requests {
-    pub(crate) fn add(&mut self, purpose: Purpose) -> Job {
+    pub(crate) fn add(&mut self, purpose: Purpose) -> JobId {
         self.last += 1;
-        self.waiting.insert(self.last, purpose);
-        self.last
+        let job = JobId(self.last);
+        self.waiting.insert(job, purpose);
+        job
     }
 
-    pub(crate) fn take(&mut self, job: Job) -> Option<Purpose> {
+    pub(crate) fn take(&mut self, job: JobId) -> Option<Purpose> {
         self.waiting.remove(&job)
     }
 
--- a/crates/linenthread-control/src/sessions.rs
+++ b/crates/linenthread-control/src/sessions.rs
@@ -1,6 +1,7 @@
 //! Sessions with peers: how they begin and end, and where each message goes.
 
 use linenthread_messages::{Hello, PeerMessage, VERSION};
+use linenthread_time::Instant;
 
 use crate::timing::STARTING;
 use crate::{ControlNode, Effect, SessionId};
@@ -148,7 +149,9 @@
                 }
                 self.agree(
                     now,
-                    |register, agreed| register.on_message(now, disk, message, agreed),
+                    |register, agreed| {
+                        register.on_message(Instant::from_millis(now), disk, message, agreed);
+                    },
                     effects,
                 );
             }
--- a/crates/linenthread-control/src/status.rs
+++ b/crates/linenthread-control/src/status.rs
@@ -1,6 +1,7 @@
 //! What a control node tells operators of machines and replicas: its own view, not confirmed by others.
 
 use linenthread_messages::{IngressSession, Replica};
+use linenthread_time::Instant;
 use serde_json::{Value as Json, json};
 
 use crate::ControlNode;
@@ -17,7 +18,7 @@
             "zone": self.local.zone,
             "whole": self.in_contact(now),
             "leaving": self.leaving.is_some(),
-            "duty_epoch": self.lease.holds(now),
+            "duty_epoch": self.lease.holds(Instant::from_millis(now)),
             "value": self.value_number(),
             "revision": decided.map_or(0, |value| value.revision),
             "counted": self.register.voters().iter().map(|voter| &voter.address).collect::<Vec<_>>(),
--- a/crates/linenthread-control/src/voters.rs
+++ b/crates/linenthread-control/src/voters.rs
@@ -2,6 +2,7 @@
 
 use linenthread_consensus::Change;
 use linenthread_messages::Voter;
+use linenthread_time::Instant;
 
 use crate::membership::ControlPeer;
 use crate::reconfiguration::{
@@ -16,7 +17,9 @@
     pub(crate) fn keep_voters(&mut self, now: u64, epoch: u64, effects: &mut Vec<Effect>) {
         if self.changes_voters
             || !self.in_contact(now)
-            || !self.lease.holds_on(now, self.value_number())
+            || !self
+                .lease
+                .holds_on(Instant::from_millis(now), self.value_number())
         {
             return;
         }
@@ -34,10 +37,12 @@
         )));
         let job = self.requests.add(Purpose::Voters);
         let change = Change::Voters { on, voters, epoch };
-        let until = now + 3 * CALL;
+        let until = Instant::from_millis(now + 3 * CALL);
         self.agree(
             now,
-            |register, agreed| register.propose(now, job, change, until, agreed),
+            |register, agreed| {
+                register.propose(Instant::from_millis(now), job, change, until, agreed);
+            },
             effects,
         );
     }
@@ -45,13 +50,13 @@
     /// It leads, and changes the voters, or will as soon as a standby holds all.
     pub(crate) fn reconfigures(&self, now: u64) -> bool {
         let wants = || !self.standbys(now, None).is_empty() || self.wants_other_voters(now);
-        self.lease.holds(now).is_some() && (self.changes_voters || wants())
+        self.lease.holds(Instant::from_millis(now)).is_some() && (self.changes_voters || wants())
     }
 
     /// It leads, and others should vote: the change can be made at once.
     pub(crate) fn wants_other_voters(&self, now: u64) -> bool {
         let view = || self.voters_view(now, self.value_number());
-        self.lease.holds(now).is_some() && next_voters(&view()).is_some()
+        self.lease.holds(Instant::from_millis(now)).is_some() && next_voters(&view()).is_some()
     }
 
     /// Machines in contact that may vote, do not yet, and stay; with a number only those that may take a vote
@@ -164,7 +169,7 @@
                 || self.members.contacts(now).any(|peer| peer.reconfiguring),
             in_doubt: self.register.has_undecided(),
             busy: self.requests.has_calls() || self.changes_voters || !self.drains.is_empty(),
-            leads: self.lease.holds(now).is_some(),
+            leads: self.lease.holds(Instant::from_millis(now)).is_some(),
         })
     }
 
