--- a/crates/linenthread-adapter/src/host.rs
+++ b/crates/linenthread-adapter/src/host.rs
@@ -5,10 +5,11 @@
 use std::panic::{AssertUnwindSafe, catch_unwind};
 
 use linenthread_core::interface::{
-    Arrivals, Ending, Listed, NewLookup, NewPart, Phase, ProbeReturn, Return, RosterNews, Tenths,
+    AttemptOutcome, AttemptResult, Inputs, MembershipEntry, MembershipUpdate, NewQuery,
+    NewSubRequest, Phase, ProbeResult, TenthMillis,
 };
-use linenthread_core::{Coordinator, Writer};
-use linenthread_terms::{self as terms, tenths};
+use linenthread_core::{Coordinator, DecisionSink};
+use linenthread_terms::{self as terms, tenth_millis};
 
 use crate::frame::{Fields, Reply};
 
@@ -74,7 +75,7 @@
     names: Names,
     indexes: usize,
     queue_at: Option<usize>,
-    arrivals: Arrivals,
+    arrivals: Inputs,
 }
 
 /// Encodes one co-ordinator's decisions into the reply.
@@ -84,7 +85,7 @@
     reply: &'a mut Reply,
 }
 
-fn ms(time: Tenths) -> [u8; 8] {
+fn ms(time: TenthMillis) -> [u8; 8] {
     (time as f64 / 10.0).to_be_bytes()
 }
 
@@ -100,27 +101,27 @@
     }
 }
 
-impl Writer for Encoder<'_> {
-    fn call(&mut self, lookup: usize, part: usize, replica: usize, time_out: Tenths) {
+impl DecisionSink for Encoder<'_> {
+    fn send(&mut self, lookup: usize, part: usize, replica: usize, time_out: TenthMillis) {
         let id = self.names.replicas[replica];
         self.on_part(12, lookup, part)
             .put(&id.to_be_bytes())
             .put(&ms(time_out));
     }
 
-    fn withdraw(&mut self, lookup: usize, part: usize, call: usize) {
+    fn cancel(&mut self, lookup: usize, part: usize, call: usize) {
         self.on_part(4, lookup, part).put(&[call as u8]);
     }
 
-    fn satisfy(&mut self, lookup: usize, whole: bool) {
+    fn respond(&mut self, lookup: usize, whole: bool) {
         self.on_lookup(8, lookup).put(&[u8::from(whole)]);
     }
 
-    fn nack(&mut self, lookup: usize, retry_after: Option<Tenths>) {
+    fn reject(&mut self, lookup: usize, retry_after: Option<TenthMillis>) {
         self.on_lookup(5, lookup).put(&ms(retry_after.unwrap_or(0)));
     }
 
-    fn abort(&mut self, lookup: usize) {
+    fn fail(&mut self, lookup: usize) {
         self.on_lookup(1, lookup);
     }
 
@@ -140,16 +141,16 @@
         self.reply.record(13, self.who).put(&id.to_be_bytes());
     }
 
-    fn close(&mut self, replica: usize) {
+    fn close_idle(&mut self, replica: usize) {
         let id = self.names.replicas[replica];
         self.reply.record(10, self.who).put(&id.to_be_bytes());
     }
 
-    fn watch_roster(&mut self) {
+    fn watch_membership(&mut self) {
         self.reply.record(11, self.who).put(&[1]);
     }
 
-    fn wake_at(&mut self, at: Tenths) {
+    fn wake_at(&mut self, at: TenthMillis) {
         self.reply
             .record(2, self.who)
             .put(&0u64.to_be_bytes())
@@ -157,16 +158,16 @@
     }
 }
 
-fn ending(code: u16) -> Result<Ending, String> {
+fn ending(code: u16) -> Result<AttemptOutcome, String> {
     Ok(match code {
-        100 => Ending::Answered,
-        301 => Ending::Errored,
-        302 => Ending::TurnedAway,
-        303 => Ending::TimedOut,
-        304 => Ending::Unconnected,
-        305 => Ending::Broken,
-        306 => Ending::Withdrawn,
-        307 => Ending::Unsent,
+        100 => AttemptOutcome::Success,
+        301 => AttemptOutcome::Error,
+        302 => AttemptOutcome::Rejected,
+        303 => AttemptOutcome::TimedOut,
+        304 => AttemptOutcome::ConnectFailed,
+        305 => AttemptOutcome::ConnectionLost,
+        306 => AttemptOutcome::Cancelled,
+        307 => AttemptOutcome::NotSent,
         _ => return Err(format!("unknown outcome {code}")),
     })
 }
@@ -177,7 +178,7 @@
     f.u16("sku")?;
     let cell = f.u16("set-no")?;
     let phase = match f.u8("phase")? {
-        0 => Phase::Gone,
+        0 => Phase::Removed,
         1 => Phase::Ready,
         2 => Phase::Draining,
         other => return Err(format!("unknown phase {other}")),
@@ -218,7 +219,7 @@
     /// Takes one frame (without its length) and makes the reply to it.
     pub(crate) fn batch(&mut self, frame: &[u8]) -> Result<Vec<u8>, String> {
         let mut f = Fields::new(frame);
-        let now = tenths(f.f64("clock")?);
+        let now = tenth_millis(f.f64("clock")?);
         self.touched.clear();
         while !f.is_empty() {
             self.event(&mut f)?;
@@ -238,7 +239,7 @@
             };
             let (coordinator, arrivals) = (&mut instance.coordinator, &instance.arrivals);
             if let Err(cause) = catch_unwind(AssertUnwindSafe(|| {
-                coordinator.round(arrivals, &mut encoder);
+                coordinator.step(arrivals, &mut encoder);
             })) {
                 let text = match (cause.downcast_ref::<String>(), cause.downcast_ref::<&str>()) {
                     (Some(text), _) => text.as_str(),
@@ -247,7 +248,7 @@
                 };
                 reply.record(3, who).put_text(text);
             }
-            instance.arrivals = Arrivals::default();
+            instance.arrivals = Inputs::default();
         }
         Ok(reply.finish())
     }
@@ -268,12 +269,14 @@
         if code == 1 {
             let seed = f.u64("init-seed")?;
             let n = f.u32("config")? as usize;
-            let settings = terms::parse(f.bytes(n, "config")?)?;
-            let (deployment, queue_at) =
-                (terms::deployment(&settings)?, terms::queue_at(&settings));
+            let settings = terms::parse_settings(f.bytes(n, "config")?)?;
+            let (deployment, queue_at) = (
+                terms::coordinator_config(&settings)?,
+                terms::queue_position(&settings),
+            );
             let indexes = deployment.indexes.len();
             let coordinator = Coordinator::new(deployment, seed);
-            let (names, arrivals) = (Names::default(), Arrivals::default());
+            let (names, arrivals) = (Names::default(), Inputs::default());
             self.instances.insert(
                 who,
                 Instance {
@@ -299,7 +302,7 @@
                 f.u64("rev")?;
                 let number = f.u16("ref")?;
                 if mode == 3 {
-                    arrivals.roster.push(RosterNews::Failed);
+                    arrivals.membership.push(MembershipUpdate::Unavailable);
                     return Ok(());
                 }
                 let entries = self
@@ -308,20 +311,20 @@
                     .ok_or_else(|| format!("unknown list {number}"))?;
                 let listed = entries
                     .iter()
-                    .map(|e| Listed {
+                    .map(|e| MembershipEntry {
                         replica: names.replica(e.replica),
                         id: u64::from(e.replica),
-                        cell: usize::from(e.cell),
-                        site: usize::from(e.site),
+                        replica_group: usize::from(e.cell),
+                        zone: usize::from(e.site),
                         phase: e.phase,
-                        started: (e.started != 0.0).then(|| tenths(e.started)),
-                        cold_share: None,
+                        started_at: (e.started != 0.0).then(|| tenth_millis(e.started)),
+                        slow_start_share: None,
                     })
                     .collect();
-                arrivals.roster.push(match mode {
-                    0 => RosterNews::Changes(listed),
-                    1 => RosterNews::Whole(listed),
-                    2 => RosterNews::Remembered(listed),
+                arrivals.membership.push(match mode {
+                    0 => MembershipUpdate::Delta(listed),
+                    1 => MembershipUpdate::Snapshot(listed),
+                    2 => MembershipUpdate::Cached(listed),
                     other => return Err(format!("unknown registry mode {other}")),
                 });
             }
@@ -334,24 +337,24 @@
                 let call = usize::from(f.u8("try")?);
                 f.u32("replica")?;
                 let ending = ending(f.u16("rc")?)?;
-                let took = tenths(f.f64("delay-seen-ms")?);
+                let took = tenth_millis(f.f64("delay-seen-ms")?);
                 f.u8("no-more")?;
                 let queue = read_queue(f, instance.queue_at)?;
                 if let Some(&(lookup, Some(part))) = names.by_id.get(&id) {
-                    arrivals.returns.push(Return {
-                        lookup,
-                        part,
-                        call,
-                        ending,
-                        took,
-                        queue,
+                    arrivals.results.push(AttemptResult {
+                        query: lookup,
+                        sub_request: part,
+                        attempt: call,
+                        outcome: ending,
+                        elapsed: took,
+                        queue_depth: queue,
                     });
                 }
             }
             6 => {
                 let id = f.u64("request-id")?;
                 if let Some(&(lookup, None)) = names.by_id.get(&id) {
-                    arrivals.lapsed.push(lookup);
+                    arrivals.abandoned.push(lookup);
                 }
             }
             7 => {
@@ -362,10 +365,10 @@
                 let ending = ending(f.u16("rc")?)?;
                 f.f64("delay-seen-ms")?;
                 let queue = read_queue(f, instance.queue_at)?;
-                arrivals.probes.push(ProbeReturn {
+                arrivals.probes.push(ProbeResult {
                     replica,
-                    ending,
-                    queue,
+                    outcome: ending,
+                    queue_depth: queue,
                 });
             }
             9 => {
@@ -385,7 +388,7 @@
     f: &mut Fields,
     indexes: usize,
     names: &mut Names,
-    arrivals: &mut Arrivals,
+    arrivals: &mut Inputs,
 ) -> Result<(), String> {
     let id = f.u64("request-id")?;
     let index = usize::from(f.u16("class")?);
@@ -394,7 +397,7 @@
     }
     let customer = f.u32("client-group")? as usize;
     let key = f.u64("partition-key")?;
-    let hard_deadline = (f.f64("deadline-ms")? * 10.0).floor() as Tenths;
+    let hard_deadline = (f.f64("deadline-ms")? * 10.0).floor() as TenthMillis;
     f.f64("expected-ms")?;
     let number = f.f32("whole-no")?;
     let shard = f.f32("segment-no")?;
@@ -404,20 +407,20 @@
         let lookup = names.add_lookup(id, number.to_bits());
         let key = (key != 0).then_some(key);
         let number = u64::from(number.to_bits());
-        arrivals.lookups.push(NewLookup {
-            lookup,
+        arrivals.queries.push(NewQuery {
+            query: lookup,
             index,
             customer,
             key,
-            number,
+            sequence_number: number,
             hard_deadline,
         });
     } else if let Some(&lookup) = names.by_number.get(&number.to_bits()) {
         let parts = &mut names.lookups[lookup].parts;
         names.by_id.insert(id, (lookup, Some(parts.len())));
         parts.push(id);
-        arrivals.parts.push(NewPart {
-            lookup,
+        arrivals.sub_requests.push(NewSubRequest {
+            query: lookup,
             shard: shard as usize,
             weight: amount,
         });
--- /dev/null
+++ b/crates/linenthread-core/src/interface/query.rs
@@ -0,0 +1,31 @@
+//! Queries and their sub-requests as they arrive.
+
+use super::TenthMillis;
+
+/// A query that has arrived.
+#[derive(Clone, Debug)]
+pub struct NewQuery {
+    /// The query's index at this co-ordinator.
+    pub query: usize,
+    /// The number of the index it is for.
+    pub index: usize,
+    /// The number of the customer it is from.
+    pub customer: usize,
+    /// The routing key; `None` where the query carries none.
+    pub key: Option<u64>,
+    /// The query's own number, which replaces a routing key that it lacks.
+    pub sequence_number: u64,
+    /// When the client gives this attempt up.
+    pub hard_deadline: TenthMillis,
+}
+
+/// One more sub-request of a query.
+#[derive(Clone, Debug)]
+pub struct NewSubRequest {
+    /// The query it belongs to.
+    pub query: usize,
+    /// The shard it is for.
+    pub shard: usize,
+    /// Its share of the query's whole weight, above 0 and up to 1.
+    pub weight: f64,
+}
--- a/crates/linenthread-core/src/lib.rs
+++ b/crates/linenthread-core/src/lib.rs
@@ -1,6 +1,6 @@
 //! The decisions of a co-ordinator of lookups over replicated shards.
 //!
-//! [`Coordinator`] decides; [`interface`] holds the plain types that go in and the [`Writer`] that
+//! [`Coordinator`] decides; [`interface`] holds the plain types that go in and the [`DecisionSink`] that
 //! decisions come out through. Nothing here does I/O, reads a clock or knows a protocol.
 #![expect(
     missing_docs,
@@ -11,5 +11,5 @@
 pub mod policy;
 mod state;
 
-pub use interface::Writer;
+pub use interface::DecisionSink;
 pub use policy::Coordinator;
--- a/crates/linenthread-core/src/policy/mod.rs
+++ b/crates/linenthread-core/src/policy/mod.rs
@@ -14,13 +14,14 @@
 use oorandom::Rand64;
 
 use crate::interface::{
-    Arrivals, Deployment, Effect, Ending, Index, NewLookup, NewPart, Phase, ProbeReturn, Return,
-    RosterNews, Tenths, WayTo, Why, Writer,
+    AttemptOutcome, AttemptResult, CoordinatorConfig, DecisionSink, FailureCause, Idempotency,
+    IndexConfig, Inputs, MembershipUpdate, NewQuery, NewSubRequest, Phase, ProbeResult,
+    TenthMillis, ZoneRoute,
 };
 use crate::state::{Call, Due, Fading, Fleet, Lookup, Part, Replica, Seen, kept, mix};
 
-const TICK: Tenths = 50; // Scores are made anew this often.
-const RESET: Tenths = 100_000; // All scores are forgotten this often: each replica gets a fair shot again.
+const TICK: TenthMillis = 50; // Scores are made anew this often.
+const RESET: TenthMillis = 100_000; // All scores are forgotten this often: each replica gets a fair shot again.
 const BADNESS: f64 = 0.6; // How much worse than the best a natural replica may score and keep its parts.
 const RECENT: f64 = 30_000.0; // Within so long an observation loses most of its weight.
 const HEARD: f64 = 0.1; // With less weight left than this nothing was heard.
@@ -33,15 +34,15 @@
 const TOLD: f64 = 0.5; // and each that it says it has waiting.
 const SEVERITY: f64 = 8.0; // What only failing adds to a score, against 1 for the slowest median.
 const FRESH: f64 = 10_000.0; // Word older than this is old: the replica is probed before a lookup's parts go.
-const ASK: Tenths = 250; // So long probes are waited for;
+const ASK: TenthMillis = 250; // So long probes are waited for;
 const ASK_MOST: f64 = 0.05; // up to this share of a soft deadline while all holders of a shard owe one.
 const PROBING: (f64, f64) = (0.1, 12.0); // No queue told: least share of lookups that ask, times late probes.
 const UNSURE: f64 = 4.0; // What a probe that is not answered by then adds to a score.
 /// What is down is probed after so long, and as much again by chance, times a quarter of the co-ordinators.
-const PROBE: Tenths = 1_500;
-const GIVEN_UP: Tenths = 30_000; // After so long parts may try what is down: it may be bad to probes only.
-const TRIAL: Tenths = 2_500; // Where nothing probes, the first part tries it so soon.
-const PAUSE: Tenths = 1_000; // Before a replica that failed a part is asked for the same part again.
+const PROBE: TenthMillis = 1_500;
+const GIVEN_UP: TenthMillis = 30_000; // After so long parts may try what is down: it may be bad to probes only.
+const TRIAL: TenthMillis = 2_500; // Where nothing probes, the first part tries it so soon.
+const PAUSE: TenthMillis = 1_000; // Before a replica that failed a part is asked for the same part again.
 /// Share of parts that may have a second copy sent because the first is late, and of a lookup's last ones ...
 const COPIES: (f64, f64) = (0.005, 0.02);
 const URGENT: f64 = 2.5; // ... when no more than so many slow answers' time is left.
@@ -64,33 +65,33 @@
 const IN_TIME: f64 = 0.75; // Share of the time left within which a lookup's slowest part is to be expected.
 const UNSEEN: i32 = 3; // How often a slower shard counts where no queue is told: it shows by delay, late.
 /// A connection has rested after so long. Where rested ones fail more often, by so much, they go.
-const REST: Tenths = 7_500;
+const REST: TenthMillis = 7_500;
 const REAPED: f64 = 0.08;
-const MARGIN: Tenths = 150; // A client's answer leaves this long before the moment that it must be there.
-const BEAT: Tenths = 100; // The module asks to be woken at least this often.
+const MARGIN: TenthMillis = 150; // A client's answer leaves this long before the moment that it must be there.
+const BEAT: TenthMillis = 100; // The module asks to be woken at least this often.
 const ROUNDING: f64 = 0.0001; // Weights are sums of rounded shares.
-pub const LATE_SHARE: f64 = 0.3; // What late answers earn where no settings tell.
-pub const PARTIAL_GAIN: f64 = 0.6; // What parts earn that earn by the square of their share, about.
-pub const BUDGET_USE: f64 = 0.85; // How much of a budget is used that others count by other clocks.
-pub const CONNECT: Tenths = 3_000; // A connection that is not up by then counts as a replica that is away.
+pub const DEFAULT_LATE_VALUE_SHARE: f64 = 0.3; // What late answers earn where no settings tell.
+pub const DEFAULT_PARTIAL_VALUE: f64 = 0.6; // What parts earn that earn by the square of their share, about.
+pub const BUDGET_UTILIZATION: f64 = 0.85; // How much of a budget is used that others count by other clocks.
+pub const CONNECT_TIMEOUT: TenthMillis = 3_000; // A connection that is not up by then counts as a replica that is away.
 
 pub struct Coordinator {
-    deployment: Deployment,
+    deployment: CoordinatorConfig,
     soft: f64, // The shortest soft deadline of all indexes.
     chance: Rand64,
-    now: Tenths,
+    now: TenthMillis,
     fleet: Fleet,
     replicas: Vec<Replica>,
     sites: Vec<Seen>,
-    ways: Vec<WayTo>, // By site, while all act on a table.
+    ways: Vec<ZoneRoute>, // By site, while all act on a table.
     lookups: Vec<Option<Lookup>>,
     open: Vec<usize>, // Lookups not yet released, oldest first.
     due: Due,
 }
 
 /// When a lookup is given up.
-fn given_up_at(lookup: &Lookup, index: &Index) -> Tenths {
-    if index.late_share > LATE_PAYS {
+fn given_up_at(lookup: &Lookup, index: &IndexConfig) -> TenthMillis {
+    if index.late_value_share > LATE_PAYS {
         lookup.hard
     } else {
         lookup.soft.min(lookup.hard)
@@ -98,7 +99,7 @@
 }
 
 impl Coordinator {
-    pub fn new(mut deployment: Deployment, seed: u64) -> Self {
+    pub fn new(mut deployment: CoordinatorConfig, seed: u64) -> Self {
         let indexes = std::mem::take(&mut deployment.indexes);
         let mut new = Coordinator {
             soft: f64::INFINITY,
@@ -118,7 +119,7 @@
     }
 
     /// One more index, for lookups taken from now on.
-    pub fn add_index(&mut self, index: Index) -> usize {
+    pub fn add_index(&mut self, index: IndexConfig) -> usize {
         self.soft = self.soft.min(index.soft_deadline.max(1) as f64);
         self.fleet.sizes.push(Fading::default());
         self.deployment.indexes.push(index);
@@ -126,48 +127,56 @@
     }
 
     /// So many further calls are free in each window from now on; this is one of so many co-ordinators.
-    pub fn allot(&mut self, free: f64, own_number: usize, co_ordinators: usize) {
-        (self.deployment.own_number, self.deployment.co_ordinators) =
-            (own_number, co_ordinators.max(1));
+    pub fn set_retry_quota(&mut self, free: f64, own_number: usize, co_ordinators: usize) {
+        (
+            self.deployment.coordinator_number,
+            self.deployment.coordinator_count,
+        ) = (own_number, co_ordinators.max(1));
         self.deployment
-            .further_calls
+            .retry_budget
             .iter_mut()
-            .for_each(|f| f.free = free);
+            .for_each(|f| f.reserve = free);
     }
 
     /// Takes all that came in and writes what is decided on it.
-    pub fn round(&mut self, arrivals: &Arrivals, writer: &mut impl Writer) {
+    pub fn step(&mut self, arrivals: &Inputs, writer: &mut impl DecisionSink) {
         self.now = arrivals.now;
         if self.due.reset == 0 {
             (self.due.began, self.due.reset) = (self.now, self.now + RESET);
         }
         arrivals
-            .roster
+            .membership
             .iter()
             .for_each(|news| self.hear_roster(news));
         self.ways = arrivals
-            .ways
+            .zone_routes
             .clone()
             .unwrap_or(std::mem::take(&mut self.ways));
-        if let Some(budget) = &self.deployment.further_calls {
+        if let Some(budget) = &self.deployment.retry_budget {
             self.fleet.taken.add(
                 self.now,
                 budget.window,
-                arrivals.lookups.len() + arrivals.parts.len(),
+                arrivals.queries.len() + arrivals.sub_requests.len(),
             );
         }
-        arrivals.lookups.iter().for_each(|new| self.take(new));
-        arrivals.parts.iter().for_each(|new| self.take_part(new));
+        arrivals.queries.iter().for_each(|new| self.take(new));
         arrivals
-            .returns
+            .sub_requests
+            .iter()
+            .for_each(|new| self.take_part(new));
+        arrivals
+            .results
             .iter()
             .for_each(|back| self.hear(back, writer));
-        arrivals.onward.iter().for_each(|&(l, p)| self.ask_on(l, p));
+        arrivals
+            .continuations
+            .iter()
+            .for_each(|&(l, p)| self.ask_on(l, p));
         arrivals
             .probes
             .iter()
             .for_each(|back| self.hear_probe(back));
-        for &lapsed in &arrivals.lapsed {
+        for &lapsed in &arrivals.abandoned {
             if let Some(Some(lookup)) = self.lookups.get_mut(lapsed) {
                 lookup.over = true;
             }
@@ -179,7 +188,7 @@
         self.release(writer);
         self.probe(writer);
         if self.due.ask.take_if(|at| *at <= self.now).is_some() {
-            writer.watch_roster();
+            writer.watch_membership();
         }
         if self.due.wake <= self.now {
             self.due.wake = self.now + BEAT;
@@ -187,7 +196,7 @@
         }
     }
 
-    fn chance_up_to(&mut self, most: Tenths) -> Tenths {
-        (self.chance.rand_float() * most as f64) as Tenths
+    fn chance_up_to(&mut self, most: TenthMillis) -> TenthMillis {
+        (self.chance.rand_float() * most as f64) as TenthMillis
     }
 }
--- a/crates/linenthread-core/src/policy/score.rs
+++ b/crates/linenthread-core/src/policy/score.rs
@@ -1,9 +1,9 @@
 //! The design's ordinary path: scores on a timer, and the choice by hash, threshold and score.
 
 use super::{
-    ASK, BADNESS, Call, Coordinator, ENOUGH, Ending, FEW, FRESH, Fading, HEARD, JAM, LEAN, LOAD,
-    LONGEST, Lookup, PAUSE, Part, QUICK, RECENT, RESET, ROOM, Replica, SEVERITY, SITE_LEAN, Seen,
-    TICK, TOLD, Tenths, UNSURE, kept, mix,
+    ASK, AttemptOutcome, BADNESS, Call, Coordinator, ENOUGH, FEW, FRESH, Fading, HEARD, JAM, LEAN,
+    LOAD, LONGEST, Lookup, PAUSE, Part, QUICK, RECENT, RESET, ROOM, Replica, SEVERITY, SITE_LEAN,
+    Seen, TICK, TOLD, TenthMillis, UNSURE, kept, mix,
 };
 
 impl Coordinator {
@@ -50,18 +50,18 @@
         let apart = !self.ways.is_empty();
         let out = |s: usize| {
             ready()
-                .filter(move |r| !apart || r.listed.site == s)
+                .filter(move |r| !apart || r.listed.zone == s)
                 .map(|r| f64::from(r.out))
         };
         let usual: Vec<_> = (0..sites.len())
             .map(|s| out(s).sum::<f64>() / out(s).count() as f64)
             .collect();
         let largest = ready()
-            .map(|r| median(&r.seen, &sites[r.listed.site]))
+            .map(|r| median(&r.seen, &sites[r.listed.zone]))
             .fold(1.0, f64::max);
         for replica in self.replicas.iter_mut().filter(|r| r.ready()) {
-            let site = &sites[replica.listed.site];
-            let load = (f64::from(replica.out) - usual[replica.listed.site]).max(0.0)
+            let site = &sites[replica.listed.zone];
+            let load = (f64::from(replica.out) - usual[replica.listed.zone]).max(0.0)
                 + TOLD * replica.told(now, FRESH, quick);
             replica.expected = median(&replica.seen, site);
             let median = replica.expected * (1.0 + LOAD * load);
@@ -82,7 +82,7 @@
             replica.score = median / largest + SEVERITY * severity + silence + unsure;
         }
         if now >= self.due.reset {
-            self.due.reset = now + (RESET as f64 * span / RECENT) as Tenths;
+            self.due.reset = now + (RESET as f64 * span / RECENT) as TenthMillis;
             self.replicas
                 .iter_mut()
                 .for_each(|r| r.seen = Seen::default());
@@ -92,7 +92,7 @@
 
     /// Reckons from what was answered of late how many parts may be out, and what a warm replica can take.
     fn learn_capacity(&mut self, ready: f64) {
-        let (now, window) = (self.now, self.deployment.cold.window as f64);
+        let (now, window) = (self.now, self.deployment.slow_start.window as f64);
         let median = self.time_of_most(0.0);
         let warm = |&r: &usize| self.replicas[r].ready() && self.cold_share(r).is_none();
         let answers = |r: usize| self.replicas[r].seen.times.weight;
@@ -102,7 +102,7 @@
         let slowly = TICK as f64 / RESET as f64;
         fleet.quick = median.min(fleet.quick * (1.0 + slowly));
         // Only answered parts tell what a replica can do; a core does at least one in the quickest time.
-        let least = window / fleet.quick / self.deployment.co_ordinators as f64;
+        let least = window / fleet.quick / self.deployment.coordinator_count as f64;
         let seen = mean * window / fleet.span;
         fleet.usual = (fleet.usual * (1.0 - slowly)).max(least).max(seen);
         fleet.flow = fleet.copies.weight * window / RECENT / ready; // What is sent: a jam answers little.
@@ -115,7 +115,7 @@
             let back_in_time = fleet.times.weight / seen * self.soft * ease;
             fleet.jam = (back_in_time * JAM / ready).max(FEW);
             fleet.room = (back_in_time * JAM)
-                .max(ready * ROOM / (self.deployment.co_ordinators as f64).sqrt());
+                .max(ready * ROOM / (self.deployment.coordinator_count as f64).sqrt());
         }
     }
 
@@ -163,15 +163,15 @@
             .filter(|&r| self.may_call(lookup, part, r))
             .collect();
         // One that answered is no worse for being asked on.
-        let fail = |c: &Call| c.ending != Some(Ending::Answered);
+        let fail = |c: &Call| c.ending != Some(AttemptOutcome::Success);
         let tried = |r: usize| part.calls.iter().any(|c| c.replica == r && fail(c));
         // Full queues don't empty at once: each further call waits twice as long as the one before.
         let turned = part
             .calls
             .iter()
-            .filter(|c| c.ending == Some(Ending::TurnedAway))
+            .filter(|c| c.ending == Some(AttemptOutcome::Rejected))
             .count();
-        let within = |wait: Tenths| {
+        let within = |wait: TenthMillis| {
             part.calls
                 .last()
                 .is_some_and(|c| fail(c) && self.now < c.sent + wait)
@@ -205,16 +205,16 @@
 
     /// How near a replica is by the table, if its way is open to this key; without a table all are alike.
     fn near(&self, key: u64, r: &Replica) -> Option<u8> {
-        let Some(way) = self.ways.get(r.listed.site) else {
+        let Some(way) = self.ways.get(r.listed.zone) else {
             return Some(u8::MAX);
         };
-        (mix([key, way.id, 0]) % 1_000 < way.open.into()).then_some(way.distance)
+        (mix([key, way.id, 0]) % 1_000 < way.open_per_mille.into()).then_some(way.distance)
     }
 
     pub(super) fn holders(&self, lookup: &Lookup, part: &Part) -> impl Iterator<Item = usize> {
         let (layout, key) = (&self.deployment.layout, lookup.key);
         let cell = move |r: &Replica| {
-            layout.holds(r.listed.cell, part.shard) && self.near(key, r).is_some()
+            layout.holds(r.listed.replica_group, part.shard) && self.near(key, r).is_some()
         };
         // Where none is ready, one that drains serves as the last resort, until it turns a part away.
         let (now, any) = (self.now, self.replicas.iter().any(|r| r.ready() && cell(r)));
--- a/crates/linenthread-core/src/policy/settle.rs
+++ b/crates/linenthread-core/src/policy/settle.rs
@@ -1,14 +1,14 @@
 //! Lookups: taken on or not, answered, sent on, given up.
 
 use super::{
-    ASK, ASK_MOST, COPIES, Call, Coordinator, Effect, FRESH, Fading, HEARD, IN_TIME, Index, Lookup,
-    PATIENT, PROBING, Part, RECENT, ROUNDING, Replica, SHARES, SPARE, Tenths, UNSEEN, UNTOLD,
-    URGENT, USUAL, WARY, Why, Writer, given_up_at,
+    ASK, ASK_MOST, COPIES, Call, Coordinator, DecisionSink, FRESH, Fading, FailureCause, HEARD,
+    IN_TIME, Idempotency, IndexConfig, Lookup, PATIENT, PROBING, Part, RECENT, ROUNDING, Replica,
+    SHARES, SPARE, TenthMillis, UNSEEN, UNTOLD, URGENT, USUAL, WARY, given_up_at,
 };
 
 impl Coordinator {
     /// Answers a lookup, gives it up, or sends what it still needs.
-    pub(super) fn settle(&mut self, l: usize, writer: &mut impl Writer) {
+    pub(super) fn settle(&mut self, l: usize, writer: &mut impl DecisionSink) {
         if self.asks(l, writer) {
             return;
         }
@@ -21,22 +21,26 @@
         let total = lookup.weigh(|_| true).max(ROUNDING);
         let got = lookup.weigh(|p| p.answered) / total;
         let lost = lookup.weigh(|p| self.is_hopeless(lookup, p)) / total;
-        let need = if lookup.step > 0 { 1.0 } else { index.need };
-        let floor = if lookup.step > 0 && index.floor >= index.need {
+        let need = if lookup.step > 0 {
             1.0
         } else {
-            index.floor
+            index.complete_share
+        };
+        let floor = if lookup.step > 0 && index.min_share >= index.complete_share {
+            1.0
+        } else {
+            index.min_share
         };
         let enough = |share: f64, of: f64| share >= of - ROUNDING / 2.0;
         let whole = enough(got, need);
-        let partial_pays = index.partial_gain * got / need > index.late_share;
+        let partial_pays = index.partial_value * got / need > index.late_value_share;
         // A first answer leaves time for the second step.
-        let two = if index.second_step > 0 && lookup.step == 0 {
+        let two = if index.fetch_sub_requests > 0 && lookup.step == 0 {
             PATIENT
         } else {
             0.0
         };
-        let by = self.now + (two * self.time_of_most(2.0)) as Tenths;
+        let by = self.now + (two * self.time_of_most(2.0)) as TenthMillis;
         let late = by >= end || by >= lookup.soft && partial_pays;
         let answer = whole || enough(got, floor) && (late || !enough(1.0 - lost, need));
         let marked_whole = whole && lookup.first_whole.unwrap_or(true);
@@ -44,7 +48,7 @@
         let onward = |k: &Lookup| k.parts.iter().any(|p| p.onward.is_some());
         let asks_on = onward(lookup) && self.now < end.min(lookup.soft);
         if answer {
-            let ends = lookup.first_whole.is_some() || index.second_step == 0;
+            let ends = lookup.first_whole.is_some() || index.fetch_sub_requests == 0;
             if asks_on {
                 self.send(l, writer);
                 let lookup = self.lookups[l].as_ref().expect("open");
@@ -56,7 +60,7 @@
                     return;
                 }
             }
-            writer.satisfy(l, marked_whole);
+            writer.respond(l, marked_whole);
             self.withdraw_all(l, writer);
             let lookup = self.lookups[l].as_mut().expect("open");
             lookup.over = ends;
@@ -65,9 +69,9 @@
             return;
         }
         let why = match () {
-            () if self.now >= end => Some(Why::Late),
-            () if self.fells(lookup, true) && !lookup.out() => Some(Why::Fells),
-            () if !enough(1.0 - lost, floor) => Some(Why::Hopeless),
+            () if self.now >= end => Some(FailureCause::DeadlineExceeded),
+            () if self.fells(lookup, true) && !lookup.out() => Some(FailureCause::QueryOfDeath),
+            () if !enough(1.0 - lost, floor) => Some(FailureCause::Unanswerable),
             () if !lookup.admitted => self.refuses(l),
             () => None,
         };
@@ -83,7 +87,7 @@
     fn fells(&self, lookup: &Lookup, proven: bool) -> bool {
         let felled = |r: &Replica| r.down.is_some() && (!proven || !r.broke_under);
         let most = usize::from(self.fleet.falls.sum <= 1.0);
-        self.deployment.allowance.probes
+        self.deployment.permissions.health_probes
             && lookup.unanswered()
             && lookup
                 .broke
@@ -98,14 +102,14 @@
         !part.answered
             && part.out() == 0
             && (!self.may_run_again(lookup, part)
-                || part.calls.len() >= self.deployment.allowance.calls_a_part
+                || part.calls.len() >= self.deployment.permissions.max_attempts
                 || self
                     .holders(lookup, part)
                     .all(|r| self.too_late(lookup, part, r)))
     }
 
     /// Why a new lookup is not taken on: its slowest part would come too late, or a shard's holders jam.
-    fn refuses(&mut self, l: usize) -> Option<Why> {
+    fn refuses(&mut self, l: usize) -> Option<FailureCause> {
         let now = self.now;
         self.fleet.delays.fade(now, RECENT);
         self.fleet.costs.fade(now, SHARES);
@@ -121,25 +125,25 @@
         let mean = known * mean + (1.0 - known) * (USUAL.0 * self.soft).ln();
         let deviation = known * deviation + (1.0 - known) * USUAL.1;
         // About the mean of the largest of n normal values; those an answer may lack are not waited for.
-        let slowest = |parts: f64, index: &Index| {
+        let slowest = |parts: f64, index: &IndexConfig| {
             let of = |n: f64| (mean + (1.25 * n.max(1.0).ln()).sqrt() * deviation).exp();
-            let second = if index.second_step > 0 {
-                of(index.second_step as f64)
+            let second = if index.fetch_sub_requests > 0 {
+                of(index.fetch_sub_requests as f64)
             } else {
                 0.0
             };
-            of(parts / (1.0 + (1.0 - index.floor) * parts)) + second
+            of(parts / (1.0 + (1.0 - index.min_share) * parts)) + second
         };
         // Where a shard is slower than the rest, all that need it meet in the queue of its quickest holder.
         let of = |r: usize| self.replicas[r].expected;
         let quickest = |p: &Part| self.holders(lookup, p).map(of).min_by(f64::total_cmp);
         let mut expected: Vec<f64> = lookup.parts.iter().filter_map(quickest).collect();
         expected.sort_by(f64::total_cmp);
-        let needed = (index.floor * expected.len() as f64).ceil() as usize;
+        let needed = (index.min_share * expected.len() as f64).ceil() as usize;
         let slower = expected
             .get(needed.saturating_sub(1))
             .map_or(1.0, |e| (e / mean.exp()).max(1.0));
-        let slower = slower.powi(if self.deployment.queue_told {
+        let slower = slower.powi(if self.deployment.reports_queue {
             1
         } else {
             UNSEEN
@@ -148,7 +152,7 @@
         let horizon = (lookup.soft.min(lookup.hard) - now).max(1) as f64;
         self.fleet.sizes[lookup.index].add(now, SHARES, parts);
         let own = slowest(parts, index) * slower / horizon;
-        let of = |size: &Fading, i: &Index| {
+        let of = |size: &Fading, i: &IndexConfig| {
             Some(slowest(size.shape(HEARD)?.0, i) / i.soft_deadline as f64)
         };
         let all = self
@@ -167,26 +171,26 @@
             .get(lookup.customer)
             .zip(customers.get(lookup.customer))
             .is_some_and(over);
-        let cost = if self.deployment.gain_by_work {
+        let cost = if self.deployment.value_by_work {
             1.0
         } else {
             parts
-        } / index.gain.max(0.001);
+        } / index.value.max(0.001);
         let costs = &mut self.fleet.costs;
         (costs.weight, costs.sum) = (costs.weight + parts, costs.sum + parts * cost);
         let dear = cost * costs.weight / costs.sum.max(0.001);
         let dear = if over_share {
-            dear / self.deployment.over_share_gain.max(0.1)
+            dear / self.deployment.over_quota_value.max(0.1)
         } else {
             dear
         };
         // The dear for their gain are refused first, by chance; none where queues are short.
         if !self.deployment.short_queues && self.chance.rand_float() > pressure.powf(-3.0 * dear) {
-            return Some(Why::Slow);
+            return Some(FailureCause::ExpectedLate);
         }
         let favour = if dear < 1.0 { 1.25 } else { 1.0 };
         let favour = if over_share {
-            self.deployment.over_share_gain.max(0.6)
+            self.deployment.over_quota_value.max(0.6)
         } else {
             favour
         };
@@ -202,16 +206,16 @@
         };
         let waiting: f64 = self.replicas.iter().map(Replica::waiting).sum();
         (waiting >= favour * self.fleet.room || lookup.parts.iter().any(jammed))
-            .then_some(Why::Full)
+            .then_some(FailureCause::Saturated)
     }
 
     /// Holds a lookup while holders that told nothing of late are probed, where each is seen seldom.
-    fn asks(&mut self, l: usize, writer: &mut impl Writer) -> bool {
-        let (now, most) = (self.now, (ASK_MOST * self.soft) as Tenths);
+    fn asks(&mut self, l: usize, writer: &mut impl DecisionSink) -> bool {
+        let (now, most) = (self.now, (ASK_MOST * self.soft) as TenthMillis);
         let Some(Some(lookup)) = self.lookups.get(l) else {
             return false;
         };
-        let seldom = self.fleet.span > 1.5 * RECENT && self.deployment.allowance.probes;
+        let seldom = self.fleet.span > 1.5 * RECENT && self.deployment.permissions.health_probes;
         let settled = lookup.admitted || lookup.over || now + 2 * most > lookup.hard;
         if !seldom || settled || lookup.parts.is_empty() {
             return false;
@@ -225,7 +229,7 @@
         }
         // Where no queue is told a probe tells by its delay alone, if at all: few go while all are quick.
         let late = self.fleet.unsure.shape(HEARD).map_or(1.0, |s| s.0);
-        if !self.deployment.queue_told
+        if !self.deployment.reports_queue
             && self.chance.rand_float() >= (PROBING.1 * late).max(PROBING.0)
         {
             return false;
@@ -246,7 +250,7 @@
     }
 
     /// Sends parts not yet asked for, those that failed, and second copies of those that are late.
-    fn send(&mut self, l: usize, writer: &mut impl Writer) {
+    fn send(&mut self, l: usize, writer: &mut impl DecisionSink) {
         let (now, slow) = (self.now, self.time_of_most(2.0));
         self.fleet.copies.fade(now, RECENT);
         self.fleet.falls.fade(now, WARY);
@@ -273,7 +277,7 @@
         let need = if lookup.step > 0 {
             1.0
         } else {
-            self.deployment.indexes[lookup.index].need
+            self.deployment.indexes[lookup.index].complete_share
         };
         let mut wanted = f64::INFINITY;
         if need < 1.0 {
@@ -301,7 +305,7 @@
                     .iter()
                     .position(|c| c.ending.is_none())
                     .expect("out");
-                writer.withdraw(l, p, c);
+                writer.cancel(l, p, c);
                 self.fleet.copies.sum += 1.0;
                 self.lookups[l].as_mut().expect("open").parts[p].calls[c].moved = true;
             } else if part.out() == 0 || part.out() == 1 && spare {
@@ -317,8 +321,8 @@
     fn moves(&self, l: usize, p: usize, slow: f64) -> bool {
         let lookup = self.lookups[l].as_ref().expect("open");
         let part = &lookup.parts[p];
-        self.deployment.allowance.withdraw
-            && part.out() > usize::from(self.deployment.allowance.second_copies)
+        self.deployment.permissions.cancellation
+            && part.out() > usize::from(self.deployment.permissions.hedging)
             && part.calls.iter().any(|c| self.is_lost(c, slow))
             && part.calls.iter().all(|c| !c.moved || c.ending.is_some())
             && self
@@ -327,32 +331,34 @@
     }
 
     /// Ends a lookup without an answer, at once: a nack where asking again is harmless.
-    fn give_up(&mut self, l: usize, why: Why, writer: &mut impl Writer) {
+    fn give_up(&mut self, l: usize, why: FailureCause, writer: &mut impl DecisionSink) {
         let Some(Some(lookup)) = self.lookups.get(l) else {
             return;
         };
-        writer.given_up(l, why);
-        let idempotent = self.deployment.indexes[lookup.index].effect == Effect::Idempotent;
+        writer.failure_cause(l, why);
+        let idempotent =
+            self.deployment.indexes[lookup.index].idempotency == Idempotency::Idempotent;
         if idempotent || lookup.parts.iter().all(Part::never_ran) {
-            let wait = self.time_of_most(2.0) as Tenths;
+            let wait = self.time_of_most(2.0) as TenthMillis;
             let wait = wait / 2 + self.chance_up_to(wait.max(1));
             let advice = self
                 .deployment
-                .allowance
-                .retry_advice
+                .permissions
+                .max_retry_after
                 .map(|most| wait.min(most));
-            writer.nack(l, advice);
+            writer.reject(l, advice);
         } else {
-            writer.abort(l);
+            writer.fail(l);
         }
         self.withdraw_all(l, writer);
         self.lookups[l].as_mut().expect("open").over = true;
     }
 
-    fn withdraw_all(&self, l: usize, writer: &mut impl Writer) {
-        if let (Some(Some(lookup)), true) =
-            (self.lookups.get(l), self.deployment.allowance.withdraw)
-        {
+    fn withdraw_all(&self, l: usize, writer: &mut impl DecisionSink) {
+        if let (Some(Some(lookup)), true) = (
+            self.lookups.get(l),
+            self.deployment.permissions.cancellation,
+        ) {
             lookup
                 .parts
                 .iter()
@@ -361,7 +367,7 @@
         }
     }
 
-    pub(super) fn release(&mut self, writer: &mut impl Writer) {
+    pub(super) fn release(&mut self, writer: &mut impl DecisionSink) {
         let lookups = &mut self.lookups;
         self.open.retain(|&l| {
             let done = lookups[l].as_ref().is_none_or(|k| k.over && !k.out());
--- a/crates/linenthread-core/src/state.rs
+++ b/crates/linenthread-core/src/state.rs
@@ -2,31 +2,31 @@
 
 use std::collections::VecDeque;
 
-use crate::interface::{Ending, Listed, Phase, Tenths, Writer};
+use crate::interface::{AttemptOutcome, DecisionSink, MembershipEntry, Phase, TenthMillis};
 
 /// The share of what was seen then that still counts now.
-pub(crate) fn kept(then: Tenths, now: Tenths, span: f64) -> f64 {
+pub(crate) fn kept(then: TenthMillis, now: TenthMillis, span: f64) -> f64 {
     (-((now - then).max(0) as f64) / span).exp()
 }
 
 /// Sums over recent values, fading with age and brought up to date when they are read.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct Fading {
-    pub at: Tenths,
+    pub at: TenthMillis,
     pub weight: f64,
     pub sum: f64,
     pub square: f64,
 }
 
 impl Fading {
-    pub(crate) fn fade(&mut self, now: Tenths, span: f64) {
+    pub(crate) fn fade(&mut self, now: TenthMillis, span: f64) {
         let keep = kept(self.at, now, span);
         (self.weight, self.sum, self.square) =
             (self.weight * keep, self.sum * keep, self.square * keep);
         self.at = self.at.max(now);
     }
 
-    pub(crate) fn add(&mut self, now: Tenths, span: f64, value: f64) {
+    pub(crate) fn add(&mut self, now: TenthMillis, span: f64, value: f64) {
         self.fade(now, span);
         self.weight += 1.0;
         self.sum += value;
@@ -34,7 +34,7 @@
     }
 
     /// Takes so much off the sum, at most until it is as far below none as the weight is above.
-    pub(crate) fn relieve(&mut self, now: Tenths, span: f64, by: f64) {
+    pub(crate) fn relieve(&mut self, now: TenthMillis, span: f64, by: f64) {
         self.fade(now, span);
         self.sum = (self.sum - by).max(-self.weight);
     }
@@ -62,17 +62,17 @@
 
 /// What was counted at which moment, within a window that a rule speaks of.
 #[derive(Default)]
-pub(crate) struct Counts(VecDeque<(Tenths, usize)>);
+pub(crate) struct Counts(VecDeque<(TenthMillis, usize)>);
 
 impl Counts {
-    pub(crate) fn add(&mut self, now: Tenths, window: Tenths, n: usize) {
+    pub(crate) fn add(&mut self, now: TenthMillis, window: TenthMillis, n: usize) {
         if n > 0 {
             self.0.retain(|(at, _)| *at >= now - window);
             self.0.push_back((now, n));
         }
     }
 
-    pub(crate) fn since(&self, start: Tenths) -> usize {
+    pub(crate) fn since(&self, start: TenthMillis) -> usize {
         self.0
             .iter()
             .filter(|(at, _)| *at >= start)
@@ -135,44 +135,44 @@
 /// When things began, and are due again.
 #[derive(Default)]
 pub(crate) struct Due {
-    pub began: Tenths,
-    pub tick: Tenths,
-    pub reset: Tenths,
-    pub wake: Tenths,
+    pub began: TenthMillis,
+    pub tick: TenthMillis,
+    pub reset: TenthMillis,
+    pub wake: TenthMillis,
     /// The roster is to be asked then, and so many times it could not be had.
-    pub ask: Option<Tenths>,
+    pub ask: Option<TenthMillis>,
     pub ask_failures: u32,
 }
 
 #[derive(Default)]
 pub(crate) struct Replica {
-    pub listed: Listed,
+    pub listed: MembershipEntry,
     /// Until then it may get parts although it drains.
-    pub last_call: Tenths,
+    pub last_call: TenthMillis,
     pub seen: Seen,
     pub out: u32,
     /// Of those out, the ones that are as good as lost.
     pub lost: u32,
     /// Its connections fail or broke: since when, and when it is next probed. It gets no parts until a probe
     /// or a part is answered.
-    pub down: Option<(Tenths, Tenths)>,
+    pub down: Option<(TenthMillis, TenthMillis)>,
     /// Its connection broke under a part, and no probe has told more yet.
     pub broke_under: bool,
     /// Its process is gone, as a probe found after that; and when a new one first answered.
     pub died: bool,
-    pub returned: Option<Tenths>,
+    pub returned: Option<TenthMillis>,
     /// When it last answered, or was sent a part with none out.
-    pub heard: Tenths,
+    pub heard: TenthMillis,
     /// When a part last went there or came back.
-    pub used: Tenths,
+    pub used: TenthMillis,
     /// When it last told anything, by an answer or a probe.
-    pub told_at: Tenths,
+    pub told_at: TenthMillis,
     /// The parts it said were waiting, and when it first said just that: a report that is told again is no
     /// newer for it.
     pub queue: f64,
-    pub since: Tenths,
+    pub since: TenthMillis,
     /// A probe is out since then.
-    pub asked: Option<Tenths>,
+    pub asked: Option<TenthMillis>,
     pub score: f64,
     /// How long a part there takes by now.
     pub expected: f64,
@@ -185,11 +185,11 @@
     }
 
     /// When its process began, by the roster's word or by its first answer after it was gone.
-    pub(crate) fn began(&self) -> Option<Tenths> {
-        self.listed.started.max(self.returned)
+    pub(crate) fn began(&self) -> Option<TenthMillis> {
+        self.listed.started_at.max(self.returned)
     }
 
-    pub(crate) fn still_takes(&self, now: Tenths) -> bool {
+    pub(crate) fn still_takes(&self, now: TenthMillis) -> bool {
         self.listed.phase == Phase::Draining && now < self.last_call
     }
 
@@ -199,12 +199,12 @@
     }
 
     /// Parts that it last said were waiting; old word fades, and one part is worked off in so long.
-    pub(crate) fn told(&self, now: Tenths, span: f64, each: f64) -> f64 {
+    pub(crate) fn told(&self, now: TenthMillis, span: f64, each: f64) -> f64 {
         let worked_off = (now - self.since) as f64 / each;
         (self.queue - worked_off).max(0.0) * kept(self.since, now, span)
     }
 
-    pub(crate) fn tell(&mut self, now: Tenths, queue: f64) {
+    pub(crate) fn tell(&mut self, now: TenthMillis, queue: f64) {
         if queue != self.queue {
             (self.queue, self.since) = (queue, now);
         }
@@ -212,7 +212,7 @@
     }
 
     /// It answered a part or a probe; one without a report tells nothing of what waits there.
-    pub(crate) fn answers(&mut self, now: Tenths, queue: Option<f64>) {
+    pub(crate) fn answers(&mut self, now: TenthMillis, queue: Option<f64>) {
         self.down = None;
         if std::mem::take(&mut self.died) {
             self.returned = Some(now);
@@ -223,12 +223,12 @@
 
 pub(crate) struct Call {
     pub replica: usize,
-    pub sent: Tenths,
+    pub sent: TenthMillis,
     /// It went on a connection that had rested, or not; `None` where others were out on it.
     pub rested: Option<bool>,
     /// It was called off so that its part may go elsewhere.
     pub moved: bool,
-    pub ending: Option<Ending>,
+    pub ending: Option<AttemptOutcome>,
 }
 
 #[derive(Default)]
@@ -250,28 +250,28 @@
         self.calls.iter().filter(|c| c.ending.is_none()).count()
     }
 
-    pub(crate) fn withdraw(&self, l: usize, p: usize, writer: &mut impl Writer) {
+    pub(crate) fn withdraw(&self, l: usize, p: usize, writer: &mut impl DecisionSink) {
         for (c, _) in self
             .calls
             .iter()
             .enumerate()
             .filter(|(_, c)| c.ending.is_none())
         {
-            writer.withdraw(l, p, c);
+            writer.cancel(l, p, c);
         }
     }
 
     pub(crate) fn never_ran(&self) -> bool {
         self.calls
             .iter()
-            .all(|c| c.ending.is_some_and(Ending::never_ran))
+            .all(|c| c.ending.is_some_and(AttemptOutcome::never_ran))
     }
 
     /// When the first part call that may have run was sent.
-    pub(crate) fn may_have_run(&self) -> Option<Tenths> {
+    pub(crate) fn may_have_run(&self) -> Option<TenthMillis> {
         self.calls
             .iter()
-            .find(|c| !c.ending.is_some_and(Ending::never_ran))
+            .find(|c| !c.ending.is_some_and(AttemptOutcome::never_ran))
             .map(|c| c.sent)
     }
 }
@@ -281,10 +281,10 @@
     pub index: usize,
     pub customer: usize,
     pub key: u64,
-    pub soft: Tenths,
-    pub hard: Tenths,
+    pub soft: TenthMillis,
+    pub hard: TenthMillis,
     /// When its replicas were probed before its first parts.
-    pub asked: Option<Tenths>,
+    pub asked: Option<TenthMillis>,
     pub parts: Vec<Part>,
     /// Where the parts of the step under way begin.
     pub step: usize,
--- a/crates/linenthread-core/tests/scenarios.rs
+++ b/crates/linenthread-core/tests/scenarios.rs
@@ -20,7 +20,7 @@
 use std::path::Path;
 
 use linenthread_core::interface::*;
-use linenthread_core::{Coordinator, Writer};
+use linenthread_core::{Coordinator, DecisionSink};
 
 type Res<T> = Result<T, String>;
 
@@ -39,8 +39,8 @@
     }
 }
 
-impl Writer for Log {
-    fn call(&mut self, lookup: usize, part: usize, replica: usize, time_out: Tenths) {
+impl DecisionSink for Log {
+    fn send(&mut self, lookup: usize, part: usize, replica: usize, time_out: TenthMillis) {
         assert!(time_out > 0);
         self.add(format!(
             "call {}.{part} {}",
@@ -48,21 +48,21 @@
         ));
         self.calls.push((lookup, part, replica));
     }
-    fn withdraw(&mut self, lookup: usize, part: usize, call: usize) {
+    fn cancel(&mut self, lookup: usize, part: usize, call: usize) {
         self.add(format!("withdraw {}.{part}#{call}", self.names[lookup]));
     }
-    fn satisfy(&mut self, lookup: usize, whole: bool) {
+    fn respond(&mut self, lookup: usize, whole: bool) {
         self.add(format!(
             "{} {}",
             if whole { "whole" } else { "partial" },
             self.names[lookup]
         ));
     }
-    fn nack(&mut self, lookup: usize, retry_after: Option<Tenths>) {
+    fn reject(&mut self, lookup: usize, retry_after: Option<TenthMillis>) {
         let advice = retry_after.map_or("unadvised", |_| "advised");
         self.add(format!("nack {} {advice}", self.names[lookup]));
     }
-    fn abort(&mut self, lookup: usize) {
+    fn fail(&mut self, lookup: usize) {
         self.add(format!("abort {}", self.names[lookup]));
     }
     fn release(&mut self, lookup: usize) {
@@ -71,13 +71,13 @@
     fn probe(&mut self, replica: usize) {
         self.add(format!("probe {}", self.replicas[replica]));
     }
-    fn close(&mut self, replica: usize) {
+    fn close_idle(&mut self, replica: usize) {
         self.add(format!("close {}", self.replicas[replica]));
     }
-    fn watch_roster(&mut self) {
+    fn watch_membership(&mut self) {
         self.add("watch".into());
     }
-    fn wake_at(&mut self, _: Tenths) {}
+    fn wake_at(&mut self, _: TenthMillis) {}
 }
 
 struct Out {
@@ -85,18 +85,18 @@
     part: usize,
     call: usize,
     replica: usize,
-    sent: Tenths,
+    sent: TenthMillis,
 }
 
 struct Play {
-    deployment: Deployment,
+    deployment: CoordinatorConfig,
     coordinator: Option<Coordinator>,
-    arrivals: Arrivals,
-    now: Tenths,
+    arrivals: Inputs,
+    now: TenthMillis,
     log: Log,
     calls: HashMap<(usize, usize), usize>,
     out: Vec<Out>,
-    serve: HashMap<usize, Option<(Ending, Tenths)>>,
+    serve: HashMap<usize, Option<(AttemptOutcome, TenthMillis)>>,
     bound: HashMap<String, String>,
 }
 
@@ -105,73 +105,73 @@
     word.parse().map_err(|_| format!("{word} is no number"))
 }
 
-fn ms(word: Option<&&str>) -> Res<Tenths> {
-    Ok((number::<f64>(word)? * 10.0) as Tenths)
+fn ms(word: Option<&&str>) -> Res<TenthMillis> {
+    Ok((number::<f64>(word)? * 10.0) as TenthMillis)
 }
 
-fn ending(word: &str) -> Res<Ending> {
+fn ending(word: &str) -> Res<AttemptOutcome> {
     Ok(match word {
-        "answered" => Ending::Answered,
-        "errored" => Ending::Errored,
-        "full" => Ending::TurnedAway,
-        "unconnected" => Ending::Unconnected,
-        "broken" => Ending::Broken,
-        "timed-out" => Ending::TimedOut,
-        "withdrawn" => Ending::Withdrawn,
+        "answered" => AttemptOutcome::Success,
+        "errored" => AttemptOutcome::Error,
+        "full" => AttemptOutcome::Rejected,
+        "unconnected" => AttemptOutcome::ConnectFailed,
+        "broken" => AttemptOutcome::ConnectionLost,
+        "timed-out" => AttemptOutcome::TimedOut,
+        "withdrawn" => AttemptOutcome::Cancelled,
         _ => return Err(format!("{word} is no ending")),
     })
 }
 
 /// The clock when a scenario begins.
-const START: Tenths = 10_000_000;
+const START: TenthMillis = 10_000_000;
 
-const INDEX: Index = Index {
-    effect: Effect::Idempotent,
+const INDEX: IndexConfig = IndexConfig {
+    idempotency: Idempotency::Idempotent,
     soft_deadline: 10_000,
-    gain: 1.0,
-    late_share: 0.1,
-    need: 1.0,
-    floor: 1.0,
-    partial_gain: 0.9,
-    second_step: 0,
+    value: 1.0,
+    late_value_share: 0.1,
+    complete_share: 1.0,
+    min_share: 1.0,
+    partial_value: 0.9,
+    fetch_sub_requests: 0,
 };
 
 impl Play {
     fn new() -> Self {
-        let deployment = Deployment {
-            own_number: 0,
-            co_ordinators: 1,
+        let deployment = CoordinatorConfig {
+            coordinator_number: 0,
+            coordinator_count: 1,
             indexes: vec![INDEX],
             customer_quotas: Vec::new(),
-            over_share_gain: 0.1,
-            gain_by_work: false,
-            layout: Layout {
-                cells: 4,
-                in_a_row: 4,
+            over_quota_value: 0.1,
+            value_by_work: false,
+            layout: ShardLayout {
+                replica_groups: 4,
+                replication_factor: 4,
             },
-            allowance: Allowance {
-                calls_a_part: 3,
-                second_copies: true,
-                withdraw: true,
-                probes: false,
-                retry_advice: None,
+            permissions: Permissions {
+                max_attempts: 3,
+                hedging: true,
+                cancellation: true,
+                health_probes: false,
+                max_retry_after: None,
             },
-            cold: ColdStart {
-                share: 0.2,
-                warm_up: 100_000,
-                multiple: 2.0,
+            slow_start: SlowStart {
+                initial_share: 0.2,
+                duration: 100_000,
+                budget_multiple: 2.0,
                 window: 10_000,
             },
-            queue_told: true,
+            reports_queue: true,
             short_queues: false,
             drain_grace: 0,
-            further_calls: None,
-            watch_roster: false,
+            retry_budget: None,
+            watch_membership: false,
         };
         Play {
             deployment,
             coordinator: None,
-            arrivals: Arrivals::default(),
+            arrivals: Inputs::default(),
             now: START,
             log: Log::default(),
             calls: HashMap::new(),
@@ -192,7 +192,7 @@
                 _ => {}
             }
         }
-        let arrivals = Arrivals {
+        let arrivals = Inputs {
             now,
             ..std::mem::take(&mut self.arrivals)
         };
@@ -200,7 +200,7 @@
         let coordinator = self
             .coordinator
             .get_or_insert_with(|| Coordinator::new(deployment.clone(), 7));
-        coordinator.round(&arrivals, &mut self.log);
+        coordinator.step(&arrivals, &mut self.log);
         for (lookup, part, replica) in self.log.calls.drain(..) {
             let call = self.calls.entry((lookup, part)).or_default();
             self.out.push(Out {
@@ -214,7 +214,7 @@
         }
     }
 
-    fn run_to(&mut self, end: Tenths) {
+    fn run_to(&mut self, end: TenthMillis) {
         self.round();
         while self.now < end {
             self.now += 50;
@@ -222,7 +222,12 @@
         }
     }
 
-    fn listed(&mut self, word: &str, phase: &str, started: Option<Tenths>) -> Res<Listed> {
+    fn listed(
+        &mut self,
+        word: &str,
+        phase: &str,
+        started: Option<TenthMillis>,
+    ) -> Res<MembershipEntry> {
         let (name, cell) = word
             .split_once(':')
             .ok_or_else(|| format!("{word} is not name:cell"))?;
@@ -242,19 +247,19 @@
         let phase = match phase {
             "ready" => Phase::Ready,
             "draining" => Phase::Draining,
-            "gone" => Phase::Gone,
+            "gone" => Phase::Removed,
             _ => return Err(format!("{phase} is no phase")),
         };
         let site = replica % 3;
         let id = replica as u64 + 77 + 1_000 * former.len() as u64;
-        Ok(Listed {
+        Ok(MembershipEntry {
             replica,
             id,
-            site,
-            cell: number(Some(&cell))?,
+            zone: site,
+            replica_group: number(Some(&cell))?,
             phase,
-            started,
-            cold_share: None,
+            started_at: started,
+            slow_start_share: None,
         })
     }
 
@@ -278,8 +283,8 @@
     fn shards(&mut self, lookup: usize, words: &[&str]) -> Res<()> {
         for word in words {
             let weight = 1.0 / words.len() as f64;
-            self.arrivals.parts.push(NewPart {
-                lookup,
+            self.arrivals.sub_requests.push(NewSubRequest {
+                query: lookup,
                 shard: number(Some(word))?,
                 weight,
             });
@@ -290,39 +295,39 @@
     /// Settings by name and value; those of an index go to the last one.
     fn set_up(&mut self, words: &[&str]) -> Res<()> {
         let (allowance, index) = (
-            &mut self.deployment.allowance,
+            &mut self.deployment.permissions,
             self.deployment.indexes.last_mut().unwrap(),
         );
         for pair in words.chunks(2) {
             let value = pair.get(1);
             match (pair[0], value) {
-                ("cells", _) => self.deployment.layout.cells = number(value)?,
-                ("row", _) => self.deployment.layout.in_a_row = number(value)?,
-                ("calls", _) => allowance.calls_a_part = number(value)?,
-                ("queues", Some(&"untold")) => self.deployment.queue_told = false,
+                ("cells", _) => self.deployment.layout.replica_groups = number(value)?,
+                ("row", _) => self.deployment.layout.replication_factor = number(value)?,
+                ("calls", _) => allowance.max_attempts = number(value)?,
+                ("queues", Some(&"untold")) => self.deployment.reports_queue = false,
                 ("queues", Some(&"short")) => self.deployment.short_queues = true,
-                ("probes", Some(&"on")) => allowance.probes = true,
-                ("copies", Some(&"none")) => allowance.second_copies = false,
+                ("probes", Some(&"on")) => allowance.health_probes = true,
+                ("copies", Some(&"none")) => allowance.hedging = false,
                 ("grace", _) => self.deployment.drain_grace = ms(value)?,
-                ("advice", _) => allowance.retry_advice = Some(ms(value)?),
-                ("of", _) => self.deployment.co_ordinators = number(value)?,
+                ("advice", _) => allowance.max_retry_after = Some(ms(value)?),
+                ("of", _) => self.deployment.coordinator_count = number(value)?,
                 ("quota", _) => self.deployment.customer_quotas.push(number(value)?),
-                ("roster", Some(&"watched")) => self.deployment.watch_roster = true,
+                ("roster", Some(&"watched")) => self.deployment.watch_membership = true,
                 ("further", _) => {
                     let free = number(value)?;
-                    self.deployment.further_calls = Some(FurtherCalls {
-                        free,
-                        share: 0.0,
+                    self.deployment.retry_budget = Some(RetryBudget {
+                        reserve: free,
+                        ratio: 0.0,
                         window: 100_000,
                     });
                 }
-                ("runs", Some(&"once")) => index.effect = Effect::OnceOnly,
-                ("window", _) => index.effect = Effect::Fingerprinted(ms(value)?),
+                ("runs", Some(&"once")) => index.idempotency = Idempotency::AtMostOnce,
+                ("window", _) => index.idempotency = Idempotency::Deduplicated(ms(value)?),
                 ("soft", _) => index.soft_deadline = ms(value)?,
-                ("late", _) => index.late_share = number(value)?,
-                ("floor", _) => index.floor = number(value)?,
-                ("need", _) => index.need = number(value)?,
-                ("step", _) => index.second_step = number(value)?,
+                ("late", _) => index.late_value_share = number(value)?,
+                ("floor", _) => index.min_share = number(value)?,
+                ("need", _) => index.complete_share = number(value)?,
+                ("step", _) => index.fetch_sub_requests = number(value)?,
                 (other, _) => return Err(format!("{other} cannot be set")),
             }
         }
@@ -345,16 +350,16 @@
                 other => return Err(format!("{other} is nothing of a lookup")),
             }
         }
-        let new = NewLookup {
-            lookup,
+        let new = NewQuery {
+            query: lookup,
             index,
             customer,
             key,
-            number: lookup as u64,
+            sequence_number: lookup as u64,
             hard_deadline,
         };
         self.log.names.push(words[0].to_string());
-        self.arrivals.lookups.push(new);
+        self.arrivals.queries.push(new);
         self.shards(lookup, &words[at + 1..])
     }
 
@@ -378,7 +383,7 @@
     }
 
     /// The call at this place among those out comes back.
-    fn back(&mut self, at: usize, ending: Ending) {
+    fn back(&mut self, at: usize, ending: AttemptOutcome) {
         let Out {
             lookup,
             part,
@@ -386,13 +391,13 @@
             sent,
             ..
         } = self.out.remove(at);
-        self.arrivals.returns.push(Return {
-            lookup,
-            part,
-            call,
-            ending,
-            took: self.now - sent,
-            queue: None,
+        self.arrivals.results.push(AttemptResult {
+            query: lookup,
+            sub_request: part,
+            attempt: call,
+            outcome: ending,
+            elapsed: self.now - sent,
+            queue_depth: None,
         });
     }
 
@@ -421,11 +426,11 @@
                 let listed = rest.iter().map(entry).collect::<Res<_>>()?;
                 let whole = *first == "list";
                 let news = if whole {
-                    RosterNews::Whole(listed)
+                    MembershipUpdate::Snapshot(listed)
                 } else {
-                    RosterNews::Remembered(listed)
+                    MembershipUpdate::Cached(listed)
                 };
-                self.arrivals.roster.push(news);
+                self.arrivals.membership.push(news);
             }
             "change" => {
                 let started = if rest.len() > 2 {
@@ -437,19 +442,22 @@
                     return Err("change NAME:CELL PHASE".into());
                 };
                 let mut listed = self.listed(word, phase, started)?;
-                listed.cold_share = rest.get(3).map(|share| number(Some(share))).transpose()?;
-                self.arrivals.roster.push(RosterNews::Changes(vec![listed]));
+                listed.slow_start_share =
+                    rest.get(3).map(|share| number(Some(share))).transpose()?;
+                self.arrivals
+                    .membership
+                    .push(MembershipUpdate::Delta(vec![listed]));
             }
             "probed" => {
                 let replica = self.replica(rest[0])?;
                 let queue = rest.get(2).map(|n| number(Some(n))).transpose()?;
-                self.arrivals.probes.push(ProbeReturn {
+                self.arrivals.probes.push(ProbeResult {
                     replica,
-                    ending: ending(rest[1])?,
-                    queue,
+                    outcome: ending(rest[1])?,
+                    queue_depth: queue,
                 });
             }
-            "unheard" => self.arrivals.roster.push(RosterNews::Failed),
+            "unheard" => self.arrivals.membership.push(MembershipUpdate::Unavailable),
             "lookup" => self.lookup(rest)?,
             "more" => {
                 let lookup = self.named(rest[0])?;
@@ -458,21 +466,22 @@
             "onward" => {
                 let (name, part) = rest[0].split_once('.').ok_or("onward LOOKUP.PART")?;
                 let asked = (self.named(name)?, number(Some(&part))?);
-                self.arrivals.onward.push(asked);
+                self.arrivals.continuations.push(asked);
             }
             "table" => {
                 let way = |(site, word): (usize, &&str)| {
                     let (distance, open) = word.split_once('/').ok_or("table NEAR/OPEN ...")?;
                     let (distance, open) = (number(Some(&distance))?, number(Some(&open))?);
-                    Ok(WayTo {
+                    Ok(ZoneRoute {
                         id: site as u64 + 500,
                         distance,
-                        open,
+                        open_per_mille: open,
                     })
                 };
-                self.arrivals.ways = Some(rest.iter().enumerate().map(way).collect::<Res<_>>()?);
+                self.arrivals.zone_routes =
+                    Some(rest.iter().enumerate().map(way).collect::<Res<_>>()?);
             }
-            "lapsed" => self.arrivals.lapsed.push(self.named(rest[0])?),
+            "lapsed" => self.arrivals.abandoned.push(self.named(rest[0])?),
             "serve" => {
                 let (how, names) = rest.split_first().ok_or("serve HOW REPLICA ...")?;
                 for name in names {
@@ -480,7 +489,7 @@
                     let service = match (*how, ending(how)) {
                         ("never", _) => None,
                         (_, Ok(ending)) => Some((ending, 500)),
-                        (after, Err(_)) => Some((Ending::Answered, ms(Some(&after))?)),
+                        (after, Err(_)) => Some((AttemptOutcome::Success, ms(Some(&after))?)),
                     };
                     self.serve.insert(replica, service);
                 }
--- a/crates/linenthread-protocol/src/frame.rs
+++ b/crates/linenthread-protocol/src/frame.rs
@@ -1,7 +1,7 @@
 //! The frames to and from replicas: four bytes of length, most significant first, a letter, the rest.
 
 use bytes::{Buf, Bytes, BytesMut};
-use linenthread_core::interface::Ending;
+use linenthread_core::interface::AttemptOutcome;
 
 /// Longer frames from a replica are not read: no answer to a client has room for more than 64 KiB.
 const LONGEST: usize = 65 * 1024;
@@ -11,7 +11,7 @@
 }
 
 /// A part that is asked on has another id each time, so that late answers to the first question are known.
-pub fn part_id(lookup: &str, shard: usize, round: u32) -> String {
+pub fn sub_request_id(lookup: &str, shard: usize, round: u32) -> String {
     match round {
         0 => format!("{lookup}.{shard}"),
         _ => format!("{lookup}.{shard}.{round}"),
@@ -19,7 +19,10 @@
 }
 
 /// One part call of so many parts, each an id, a shard and a text.
-pub fn call<'a>(parts: impl Iterator<Item = (&'a str, usize, &'a str)>, wait_ms: u64) -> Vec<u8> {
+pub fn encode_requests<'a>(
+    parts: impl Iterator<Item = (&'a str, usize, &'a str)>,
+    wait_ms: u64,
+) -> Vec<u8> {
     let mut rest = Vec::new();
     for (id, shard, text) in parts {
         rest.extend_from_slice(format!("{id} {shard} d={wait_ms} {}\n", text.len()).as_bytes());
@@ -29,30 +32,30 @@
 }
 
 /// Word that a part is no longer waited for.
-pub fn give_up(id: &str) -> Vec<u8> {
+pub fn encode_cancel(id: &str) -> Vec<u8> {
     framed(b'B', id.as_bytes())
 }
 
 /// A probe that asks for the load.
-pub fn probe() -> Vec<u8> {
+pub fn encode_probe() -> Vec<u8> {
     framed(b'D', b"")
 }
 
 /// What a replica says.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Word {
-    Part {
+pub enum ReplicaMessage {
+    Response {
         id: String,
-        ending: Ending,
-        queue: Option<f64>,
+        outcome: AttemptOutcome,
+        queue_depth: Option<f64>,
         value: String,
     },
-    Probe {
-        ending: Ending,
-        queue: Option<f64>,
+    ProbeResponse {
+        outcome: AttemptOutcome,
+        queue_depth: Option<f64>,
     },
     /// The frame before could not be used; the connection is closed.
-    Unusable(String),
+    ProtocolError(String),
 }
 
 /// Of a load report only the waiting parts are read. One that can't be read is no report, and spoils
@@ -67,11 +70,11 @@
         .map(|v| v.max(0.0))
 }
 
-fn ending(word: &str) -> Option<Ending> {
+fn ending(word: &str) -> Option<AttemptOutcome> {
     match word {
-        "hit" => Some(Ending::Answered),
-        "fault" => Some(Ending::Errored),
-        "overload" => Some(Ending::TurnedAway),
+        "hit" => Some(AttemptOutcome::Success),
+        "fault" => Some(AttemptOutcome::Error),
+        "overload" => Some(AttemptOutcome::Rejected),
         _ => None,
     }
 }
@@ -80,7 +83,7 @@
     std::str::from_utf8(bytes).map_err(|_| "a frame's text is not UTF-8".into())
 }
 
-fn part(mut rest: Bytes) -> Result<Word, String> {
+fn part(mut rest: Bytes) -> Result<ReplicaMessage, String> {
     let end = rest
         .iter()
         .position(|b| *b == b'\n')
@@ -102,16 +105,16 @@
     if score != "-" && !score.parse().is_ok_and(f64::is_finite) {
         return Err(format!("an answer's score cannot be {score:.20?}"));
     }
-    Ok(Word::Part {
+    Ok(ReplicaMessage::Response {
         id: id.into(),
-        ending,
-        queue: queue(report),
+        outcome: ending,
+        queue_depth: queue(report),
         value: text(&rest[1..])?.into(),
     })
 }
 
 /// Takes the next frame off what was read; `None` while it is not all there.
-pub fn decode(read: &mut BytesMut) -> Result<Option<Word>, String> {
+pub fn decode(read: &mut BytesMut) -> Result<Option<ReplicaMessage>, String> {
     let Some(length) = read
         .first_chunk::<4>()
         .map(|l| u32::from_be_bytes(*l) as usize)
@@ -131,12 +134,12 @@
         b'E' => part(frame).map(Some),
         b'C' | b'D' => {
             let said = std::str::from_utf8(&frame).ok().and_then(ending);
-            Ok(Some(Word::Probe {
-                ending: said.unwrap_or(Ending::Answered),
-                queue: queue(&frame),
+            Ok(Some(ReplicaMessage::ProbeResponse {
+                outcome: said.unwrap_or(AttemptOutcome::Success),
+                queue_depth: queue(&frame),
             }))
         }
-        b'F' => Ok(Some(Word::Unusable(
+        b'F' => Ok(Some(ReplicaMessage::ProtocolError(
             text(&frame)?.chars().take(80).collect(),
         ))),
         other => Err(format!(
--- a/crates/linenthread-protocol/src/lib.rs
+++ b/crates/linenthread-protocol/src/lib.rs
@@ -7,11 +7,11 @@
 )]
 
 pub mod frame;
-pub mod lookup;
-pub mod roster;
+pub mod membership;
+pub mod query;
 
 /// A number for an id that is the same at every co-ordinator.
-pub fn number(id: &str) -> u64 {
+pub fn hash_id(id: &str) -> u64 {
     id.bytes().fold(0xcbf2_9ce4_8422_2325, |h, b| {
         (h ^ u64::from(b)).wrapping_mul(0x0000_0100_0000_01b3)
     })
--- a/crates/linenthread-protocol/src/lookup.rs
+++ b/crates/linenthread-protocol/src/query.rs
@@ -3,8 +3,8 @@
 use serde::{Deserialize, Serialize};
 
 /// Where a front or the operators ask whether lookups are taken.
-pub const HEALTH: &str = "/healthz";
-pub const MOST_BYTES: usize = 64 * 1024;
+pub const HEALTH_PATH: &str = "/healthz";
+pub const MAX_BODY_BYTES: usize = 64 * 1024;
 
 const ID: &str = "x-trace-id";
 const CUSTOMER: &str = "x-customer";
@@ -19,18 +19,18 @@
 
 /// One lookup as its client asked it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Lookup {
+pub struct Query {
     pub id: String,
     pub customer: Option<String>,
     pub key: Option<String>,
     pub expires_in_ms: u64,
-    pub parts: Vec<Part>,
+    pub sub_requests: Vec<SubRequest>,
     /// What each part call carries, unchanged.
-    pub text: String,
+    pub body: String,
 }
 
 #[derive(Clone, Debug, PartialEq, Deserialize)]
-pub struct Part {
+pub struct SubRequest {
     #[serde(rename = "bucket")]
     pub shard: usize,
     #[serde(rename = "part")]
@@ -42,7 +42,7 @@
     seed: Option<String>,
 }
 
-impl Part {
+impl SubRequest {
     fn is_well_formed(&self) -> bool {
         let hex = |s: &String| s.len() == 16 && s.bytes().all(|b| b.is_ascii_hexdigit());
         self.weight > 0.0
@@ -54,7 +54,7 @@
 
 #[derive(Deserialize)]
 struct Asked {
-    buckets: Vec<Part>,
+    buckets: Vec<SubRequest>,
     body: String,
 }
 
@@ -68,12 +68,12 @@
 }
 
 /// The index that a path names.
-pub fn index(path: &str) -> &str {
+pub fn index_name(path: &str) -> &str {
     path.trim_start_matches('/').split('/').next().unwrap_or("")
 }
 
 /// Reads a request: its headers by name in small letters, and its body.
-pub fn decode<'a>(header: impl Fn(&str) -> Option<&'a str>, body: &[u8]) -> Result<Lookup, String> {
+pub fn decode<'a>(header: impl Fn(&str) -> Option<&'a str>, body: &[u8]) -> Result<Query, String> {
     let id = name(header(ID), ID)?.ok_or_else(|| format!("{ID} is missing"))?;
     if !id
         .bytes()
@@ -100,7 +100,7 @@
     if shards.windows(2).any(|pair| pair[0] == pair[1]) {
         return Err("a shard is named twice".into());
     }
-    if !asked.buckets.iter().all(Part::is_well_formed) {
+    if !asked.buckets.iter().all(SubRequest::is_well_formed) {
         return Err(
             "a part's share is not above 0 and up to 1, or its effort or seed has no such form"
                 .into(),
@@ -109,13 +109,13 @@
     if (asked.buckets.iter().map(|p| p.weight).sum::<f64>() - 1.0).abs() > ROUNDING {
         return Err("the parts' shares don't add up to 1".into());
     }
-    Ok(Lookup {
+    Ok(Query {
         id,
         customer: name(header(CUSTOMER), CUSTOMER)?,
         key: name(header(KEY), KEY)?,
         expires_in_ms,
-        parts: asked.buckets,
-        text: asked.body,
+        sub_requests: asked.buckets,
+        body: asked.body,
     })
 }
 
@@ -125,7 +125,7 @@
 pub struct Page {
     pub rows: Option<usize>,
     #[serde(rename = "after")]
-    pub mark: Option<String>,
+    pub cursor: Option<String>,
 }
 
 /// Reads the page from a request's body; other indexes than merged ones take no notice of it.
@@ -133,7 +133,7 @@
 /// # Errors
 ///
 /// A page that has another form.
-pub fn page(body: &[u8]) -> Result<Page, String> {
+pub fn decode_page(body: &[u8]) -> Result<Page, String> {
     #[derive(Deserialize)]
     struct Asked {
         page: Option<Page>,
@@ -156,7 +156,7 @@
 }
 
 /// The body of an answer: shards with their values, as replicas gave them.
-pub fn answer<'a>(whole: bool, values: impl Iterator<Item = (usize, &'a str)>) -> Vec<u8> {
+pub fn encode_response<'a>(whole: bool, values: impl Iterator<Item = (usize, &'a str)>) -> Vec<u8> {
     let found = values
         .map(|(bucket, item)| Found { bucket, item })
         .collect();
@@ -168,6 +168,6 @@
 }
 
 /// Seconds that a client is asked to wait, with as many decimals as the time has.
-pub fn retry_after(ms: f64) -> String {
+pub fn retry_after_seconds(ms: f64) -> String {
     format!("{:.3}", ms / 1000.0)
 }
--- a/crates/linenthread-protocol/tests/messages.rs
+++ b/crates/linenthread-protocol/tests/messages.rs
@@ -1,19 +1,19 @@
 //! Every message on good, cut and hostile bytes.
 
 use bytes::BytesMut;
-use linenthread_core::interface::{Ending, Phase};
-use linenthread_protocol::frame::{self, Word};
-use linenthread_protocol::{lookup, roster};
+use linenthread_core::interface::{AttemptOutcome, Phase};
+use linenthread_protocol::frame::{self, ReplicaMessage};
+use linenthread_protocol::{membership, query};
 
 fn framed(letter: u8, rest: &[u8]) -> Vec<u8> {
     [&(rest.len() as u32 + 1).to_be_bytes()[..], &[letter], rest].concat()
 }
 
-fn part(id: &str, ending: Ending, queue: Option<f64>, value: &str) -> Word {
-    Word::Part {
+fn part(id: &str, ending: AttemptOutcome, queue: Option<f64>, value: &str) -> ReplicaMessage {
+    ReplicaMessage::Response {
         id: id.into(),
-        ending,
-        queue,
+        outcome: ending,
+        queue_depth: queue,
         value: value.into(),
     }
 }
@@ -23,60 +23,63 @@
     let good = [
         (
             &b"E7f.3 hit 1840277719 inflight=7,queue=2.5,util=0.61\nv 1"[..],
-            part("7f.3", Ending::Answered, Some(2.5), "v 1"),
+            part("7f.3", AttemptOutcome::Success, Some(2.5), "v 1"),
         ),
         (
             b"E7f.3 fault 0 -\n",
-            part("7f.3", Ending::Errored, None, ""),
+            part("7f.3", AttemptOutcome::Error, None, ""),
         ),
         (
             b"E7f.3 overload - queue=-4\n",
-            part("7f.3", Ending::TurnedAway, Some(0.0), ""),
+            part("7f.3", AttemptOutcome::Rejected, Some(0.0), ""),
         ),
         (
             b"E7f.3 hit 1 queue=inf\na\nb",
-            part("7f.3", Ending::Answered, None, "a\nb"),
+            part("7f.3", AttemptOutcome::Success, None, "a\nb"),
         ),
         (
             b"Chit",
-            Word::Probe {
-                ending: Ending::Answered,
-                queue: None,
+            ReplicaMessage::ProbeResponse {
+                outcome: AttemptOutcome::Success,
+                queue_depth: None,
             },
         ),
         (
             b"Dfault",
-            Word::Probe {
-                ending: Ending::Errored,
-                queue: None,
+            ReplicaMessage::ProbeResponse {
+                outcome: AttemptOutcome::Error,
+                queue_depth: None,
             },
         ),
         (
             b"D-",
-            Word::Probe {
-                ending: Ending::Answered,
-                queue: None,
+            ReplicaMessage::ProbeResponse {
+                outcome: AttemptOutcome::Success,
+                queue_depth: None,
             },
         ),
         (
             b"E7f.3 hit 1 \xff queue=1 \nv",
-            part("7f.3", Ending::Answered, None, "v"),
+            part("7f.3", AttemptOutcome::Success, None, "v"),
         ),
         (
             b"D\xff\xfe",
-            Word::Probe {
-                ending: Ending::Answered,
-                queue: None,
+            ReplicaMessage::ProbeResponse {
+                outcome: AttemptOutcome::Success,
+                queue_depth: None,
             },
         ),
         (
             b"Dutil=0.1,queue=3",
-            Word::Probe {
-                ending: Ending::Answered,
-                queue: Some(3.0),
+            ReplicaMessage::ProbeResponse {
+                outcome: AttemptOutcome::Success,
+                queue_depth: Some(3.0),
             },
         ),
-        (b"Fno such frame", Word::Unusable("no such frame".into())),
+        (
+            b"Fno such frame",
+            ReplicaMessage::ProtocolError("no such frame".into()),
+        ),
     ];
     let stream: Vec<u8> = good
         .iter()
@@ -124,20 +127,20 @@
 
 #[test]
 fn frames_are_written_as_the_page_has_them() {
-    let id = frame::part_id("9b1f", 3, 0);
+    let id = frame::sub_request_id("9b1f", 3, 0);
     assert_eq!(
-        frame::call([(&*id, 3, "c41e77d0")].into_iter(), 240),
+        frame::encode_requests([(&*id, 3, "c41e77d0")].into_iter(), 240),
         framed(b'A', b"9b1f.3 3 d=240 8\nc41e77d0")
     );
-    let two = frame::call([("a.1", 1, "x"), ("a.2", 2, "x")].into_iter(), 5);
+    let two = frame::encode_requests([("a.1", 1, "x"), ("a.2", 2, "x")].into_iter(), 5);
     assert_eq!(two, framed(b'A', b"a.1 1 d=5 1\nxa.2 2 d=5 1\nx"));
-    assert_eq!(frame::give_up(&id), framed(b'B', b"9b1f.3"));
-    assert_eq!(frame::probe(), [0, 0, 0, 1, b'D']);
+    assert_eq!(frame::encode_cancel(&id), framed(b'B', b"9b1f.3"));
+    assert_eq!(frame::encode_probe(), [0, 0, 0, 1, b'D']);
 }
 
 const BODY: &str = r#"{"buckets":[{"bucket":3,"part":0.5,"effort":9000},{"bucket":9,"part":0.5}],"body":"c41e77d0"}"#;
 
-fn read(changed: &str, value: Option<&'static str>, body: &str) -> Result<lookup::Lookup, String> {
+fn read(changed: &str, value: Option<&'static str>, body: &str) -> Result<query::Query, String> {
     let header = |name: &str| match name {
         _ if name == changed => value,
         "x-trace-id" => Some("9b1f03aa5c7e2d41"),
@@ -146,14 +149,14 @@
         "x-expires-in-ms" => Some("480"),
         _ => None,
     };
-    lookup::decode(header, body.as_bytes())
+    query::decode(header, body.as_bytes())
 }
 
 #[test]
 fn lookups_are_read_and_answered() {
     let asked = read("", None, BODY).unwrap();
     assert_eq!(
-        (asked.id.as_str(), asked.expires_in_ms, asked.text.as_str()),
+        (asked.id.as_str(), asked.expires_in_ms, asked.body.as_str()),
         ("9b1f03aa5c7e2d41", 480, "c41e77d0")
     );
     assert_eq!(
@@ -162,19 +165,19 @@
     );
     assert_eq!(
         asked
-            .parts
+            .sub_requests
             .iter()
             .map(|p| (p.shard, p.weight))
             .collect::<Vec<_>>(),
         [(3, 0.5), (9, 0.5)]
     );
     assert_eq!(read("x-object", None, BODY).unwrap().key, None);
-    assert_eq!(lookup::index("/checkout/more"), "checkout");
-    let body = lookup::answer(false, [(3, "5be2a07c19f04d63"), (9, "a \"b\"")].into_iter());
+    assert_eq!(query::index_name("/checkout/more"), "checkout");
+    let body = query::encode_response(false, [(3, "5be2a07c19f04d63"), (9, "a \"b\"")].into_iter());
     let found = r#"[{"bucket":3,"item":"5be2a07c19f04d63"},{"bucket":9,"item":"a \"b\""}]"#;
     let text = format!(r#"{{"finished":false,"found":{found}}}"#);
     assert_eq!(String::from_utf8(body).unwrap(), text);
-    assert_eq!(lookup::retry_after(1250.0), "1.250");
+    assert_eq!(query::retry_after_seconds(1250.0), "1.250");
 }
 
 #[test]
@@ -222,20 +225,20 @@
         );
         format!(r#"{{"revision":43,"complete":false,"members":[{member}]}}"#)
     };
-    let read = |text: &str| roster::decode(text.as_bytes(), 4);
+    let read = |text: &str| membership::decode(text.as_bytes(), 4);
     for (word, phase) in [
         ("active", Phase::Ready),
         ("leaving", Phase::Draining),
-        ("left", Phase::Gone),
+        ("left", Phase::Removed),
     ] {
         let told = read(&list("3", word, "127.0.0.1:5000")).unwrap();
         assert_eq!(
-            (told.revision, told.whole, told.replicas.len()),
+            (told.revision, told.complete, told.replicas.len()),
             (43, false, 1)
         );
         let replica = &told.replicas[0];
         assert_eq!(
-            (replica.phase, replica.cell, replica.started_ms),
+            (replica.phase, replica.replica_group, replica.started_at_ms),
             (phase, 3, 5.0)
         );
         assert_eq!(
@@ -256,7 +259,7 @@
         assert!(read(text).is_err(), "{text}");
     }
     assert_eq!(
-        roster::watch(41, 20_000),
+        membership::watch_path(41, 20_000),
         "/v1/servers?from=41&hold_ms=20000"
     );
 }
--- a/crates/linenthread-terms/src/lib.rs
+++ b/crates/linenthread-terms/src/lib.rs
@@ -6,12 +6,13 @@
 )]
 
 use linenthread_core::interface::{
-    Allowance, ColdStart, Deployment, Effect, FurtherCalls, Index, Layout, Tenths,
+    CoordinatorConfig, Idempotency, IndexConfig, Permissions, RetryBudget, ShardLayout, SlowStart,
+    TenthMillis,
 };
 use serde_json::Value;
 
-pub fn tenths(ms: f64) -> Tenths {
-    (ms * 10.0).round() as Tenths
+pub fn tenth_millis(ms: f64) -> TenthMillis {
+    (ms * 10.0).round() as TenthMillis
 }
 
 /// The value at a dotted path, where there is one.
@@ -34,8 +35,8 @@
     need(root, path, Value::as_f64)
 }
 
-fn time(root: &Value, path: &str) -> Result<Tenths, String> {
-    number(root, path).map(tenths)
+fn time(root: &Value, path: &str) -> Result<TenthMillis, String> {
+    number(root, path).map(tenth_millis)
 }
 
 fn count(root: &Value, path: &str) -> Result<usize, String> {
@@ -52,7 +53,7 @@
     })
 }
 
-fn index(root: &Value, i: usize, class: &Value) -> Result<Index, String> {
+fn index(root: &Value, i: usize, class: &Value) -> Result<IndexConfig, String> {
     let of = |path: &str| {
         numbers(root, path)?
             .get(i)
@@ -60,45 +61,45 @@
             .ok_or_else(|| format!("settings: {path} is too short"))
     };
     let effect = match need(class, "idempotency", Value::as_str)? {
-        "safe" => Effect::Idempotent,
-        "keyed" => Effect::Fingerprinted(time(class, "window-ms")?),
-        "unsafe" => Effect::OnceOnly,
+        "safe" => Idempotency::Idempotent,
+        "keyed" => Idempotency::Deduplicated(time(class, "window-ms")?),
+        "unsafe" => Idempotency::AtMostOnce,
         other => return Err(format!("settings: idempotency cannot be {other}")),
     };
-    Ok(Index {
-        effect,
+    Ok(IndexConfig {
+        idempotency: effect,
         soft_deadline: time(class, "promise-ms")?,
-        gain: number(class, "worth")?,
-        late_share: number(class, "late-share")?,
-        need: of("family-info.need-by-class")?,
-        floor: of("family-info.floor-by-class")?,
-        partial_gain: of("family-info.incomplete-worth")?,
-        second_step: of("family-info.fetch-parts")? as usize,
+        value: number(class, "worth")?,
+        late_value_share: number(class, "late-share")?,
+        complete_share: of("family-info.need-by-class")?,
+        min_share: of("family-info.floor-by-class")?,
+        partial_value: of("family-info.incomplete-worth")?,
+        fetch_sub_requests: of("family-info.fetch-parts")? as usize,
     })
 }
 
 /// What a deployment calls its own, and what connections to its replicas may do.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Surroundings {
-    pub indexes: Vec<String>,
-    pub customers: Vec<String>,
-    pub sites: Vec<String>,
-    pub shards: usize,
+pub struct ClusterConfig {
+    pub index_names: Vec<String>,
+    pub customer_names: Vec<String>,
+    pub zone_names: Vec<String>,
+    pub shard_count: usize,
     /// Parts that one call to a replica carries at most.
-    pub parts_a_call: usize,
+    pub max_sub_requests_per_call: usize,
     /// Calls that one connection carries at once.
-    pub streams: usize,
-    pub connect_time_out: Tenths,
+    pub max_streams: usize,
+    pub connect_timeout: TenthMillis,
     /// A connection idle for so long is closed by the replica.
-    pub idle: Tenths,
+    pub idle_timeout: TenthMillis,
 }
 
-pub fn parse(text: &[u8]) -> Result<Value, String> {
+pub fn parse_settings(text: &[u8]) -> Result<Value, String> {
     serde_json::from_slice(text).map_err(|e| format!("settings do not parse: {e}"))
 }
 
 /// Where among the values of a load report the waiting parts stand, if they are told.
-pub fn queue_at(root: &Value) -> Option<usize> {
+pub fn queue_position(root: &Value) -> Option<usize> {
     find(root, "telemetry.names")?
         .as_array()?
         .iter()
@@ -145,34 +146,34 @@
     listed(root, path).iter().map(name).collect()
 }
 
-pub fn surroundings(root: &Value) -> Result<Surroundings, String> {
-    Ok(Surroundings {
-        indexes: names(root, "classes", |v| v.get("name")?.as_str())?,
-        customers: names(root, "accounts", |v| v.get("name")?.as_str())?,
-        sites: names(root, "dcs", Value::as_str)?,
-        shards: count(root, "family-info.ranges")?,
-        parts_a_call: count(root, "family-info.parts-a-call")?.max(1),
-        streams: count(root, "allowed.streams-per-conn")?.max(1),
-        connect_time_out: time(root, "allowed.connect-timeout-ms")?,
-        idle: time(root, "allowed.conn-idle-ms")?,
+pub fn cluster_config(root: &Value) -> Result<ClusterConfig, String> {
+    Ok(ClusterConfig {
+        index_names: names(root, "classes", |v| v.get("name")?.as_str())?,
+        customer_names: names(root, "accounts", |v| v.get("name")?.as_str())?,
+        zone_names: names(root, "dcs", Value::as_str)?,
+        shard_count: count(root, "family-info.ranges")?,
+        max_sub_requests_per_call: count(root, "family-info.parts-a-call")?.max(1),
+        max_streams: count(root, "allowed.streams-per-conn")?.max(1),
+        connect_timeout: time(root, "allowed.connect-timeout-ms")?,
+        idle_timeout: time(root, "allowed.conn-idle-ms")?,
     })
 }
 
-pub fn deployment(root: &Value) -> Result<Deployment, String> {
+pub fn coordinator_config(root: &Value) -> Result<CoordinatorConfig, String> {
     let classes = need(root, "classes", Value::as_array)?;
     let further_calls = match find(root, "safety.repeat-ratio") {
         None => None,
-        Some(_) => Some(FurtherCalls {
-            free: find(root, "safety.free-resends")
+        Some(_) => Some(RetryBudget {
+            reserve: find(root, "safety.free-resends")
                 .and_then(Value::as_f64)
                 .unwrap_or(0.0),
-            share: number(root, "safety.repeat-ratio")?,
+            ratio: number(root, "safety.repeat-ratio")?,
             window: time(root, "safety.budget-span-ms")?,
         }),
     };
-    Ok(Deployment {
-        own_number: count(root, "me")?,
-        co_ordinators: count(root, "balancers")?.max(1),
+    Ok(CoordinatorConfig {
+        coordinator_number: count(root, "me")?,
+        coordinator_count: count(root, "balancers")?.max(1),
         indexes: classes
             .iter()
             .enumerate()
@@ -182,36 +183,36 @@
             .iter()
             .map(|account| number(account, "quota-rps"))
             .collect::<Result<_, _>>()?,
-        over_share_gain: find(root, "over-share-worth")
+        over_quota_value: find(root, "over-share-worth")
             .and_then(Value::as_f64)
             .unwrap_or(1.0),
-        gain_by_work: find(root, "counted-by").and_then(Value::as_str) == Some("work"),
-        layout: Layout {
-            cells: count(root, "family-info.cells")?.max(1),
-            in_a_row: count(root, "family-info.in-a-row")?,
+        value_by_work: find(root, "counted-by").and_then(Value::as_str) == Some("work"),
+        layout: ShardLayout {
+            replica_groups: count(root, "family-info.cells")?.max(1),
+            replication_factor: count(root, "family-info.in-a-row")?,
         },
-        allowance: Allowance {
-            calls_a_part: count(root, "allowed.max-attempts")?,
-            second_copies: flag(root, "allowed.second-copies")?,
-            withdraw: flag(root, "allowed.cancel")?,
-            probes: flag(root, "allowed.probes")?,
-            retry_advice: match flag(root, "allowed.retry-after")? {
+        permissions: Permissions {
+            max_attempts: count(root, "allowed.max-attempts")?,
+            hedging: flag(root, "allowed.second-copies")?,
+            cancellation: flag(root, "allowed.cancel")?,
+            health_probes: flag(root, "allowed.probes")?,
+            max_retry_after: match flag(root, "allowed.retry-after")? {
                 true => Some(time(root, "allowed.max-retry-after-ms")?),
                 false => None,
             },
         },
-        cold: ColdStart {
-            share: number(root, "safety.cold-share")?,
-            warm_up: time(root, "safety.warm-up-ms")?,
-            multiple: number(root, "safety.fall-multiple")?,
+        slow_start: SlowStart {
+            initial_share: number(root, "safety.cold-share")?,
+            duration: time(root, "safety.warm-up-ms")?,
+            budget_multiple: number(root, "safety.fall-multiple")?,
             window: time(root, "safety.tip-after-ms")?,
         },
-        queue_told: queue_told(root)?,
+        reports_queue: queue_told(root)?,
         short_queues: false,
         drain_grace: find(root, "safety.drain-grace-ms")
             .and_then(Value::as_f64)
-            .map_or(0, tenths),
-        further_calls,
-        watch_roster: need(root, "membership-mode", Value::as_str)? == "on_request",
+            .map_or(0, tenth_millis),
+        retry_budget: further_calls,
+        watch_membership: need(root, "membership-mode", Value::as_str)? == "on_request",
     })
 }
--- a/crates/linenthread-terms/tests/settings.rs
+++ b/crates/linenthread-terms/tests/settings.rs
@@ -1,9 +1,9 @@
 //! What settings of the old shape give, and those of the new one.
 
 use linenthread_core::interface::{
-    Allowance, ColdStart, Deployment, Effect, FurtherCalls, Index, Layout,
+    CoordinatorConfig, Idempotency, IndexConfig, Permissions, RetryBudget, ShardLayout, SlowStart,
 };
-use linenthread_terms::deployment;
+use linenthread_terms::coordinator_config;
 use serde_json::{Value, json};
 
 fn old() -> Value {
@@ -25,54 +25,54 @@
 
 #[test]
 fn old_settings_give_what_they_gave() {
-    let told = Deployment {
-        own_number: 1,
-        co_ordinators: 3,
-        indexes: vec![Index {
-            effect: Effect::Fingerprinted(7_000),
+    let told = CoordinatorConfig {
+        coordinator_number: 1,
+        coordinator_count: 3,
+        indexes: vec![IndexConfig {
+            idempotency: Idempotency::Deduplicated(7_000),
             soft_deadline: 9_000,
-            gain: 2.0,
-            late_share: 0.3,
-            need: 1.0,
-            floor: 0.8,
-            partial_gain: 0.7,
-            second_step: 0,
+            value: 2.0,
+            late_value_share: 0.3,
+            complete_share: 1.0,
+            min_share: 0.8,
+            partial_value: 0.7,
+            fetch_sub_requests: 0,
         }],
         customer_quotas: vec![7.5],
-        over_share_gain: 0.2,
-        gain_by_work: false,
-        layout: Layout {
-            cells: 6,
-            in_a_row: 2,
+        over_quota_value: 0.2,
+        value_by_work: false,
+        layout: ShardLayout {
+            replica_groups: 6,
+            replication_factor: 2,
         },
-        allowance: Allowance {
-            calls_a_part: 3,
-            second_copies: true,
-            withdraw: true,
-            probes: true,
-            retry_advice: Some(4_000),
+        permissions: Permissions {
+            max_attempts: 3,
+            hedging: true,
+            cancellation: true,
+            health_probes: true,
+            max_retry_after: Some(4_000),
         },
-        cold: ColdStart {
-            share: 0.3,
-            warm_up: 60_000,
-            multiple: 2.5,
+        slow_start: SlowStart {
+            initial_share: 0.3,
+            duration: 60_000,
+            budget_multiple: 2.5,
             window: 8_000,
         },
-        queue_told: true,
+        reports_queue: true,
         short_queues: false,
         drain_grace: 6_000,
-        further_calls: Some(FurtherCalls {
-            free: 4.0,
-            share: 0.1,
+        retry_budget: Some(RetryBudget {
+            reserve: 4.0,
+            ratio: 0.1,
             window: 30_000,
         }),
-        watch_roster: false,
+        watch_membership: false,
     };
-    assert_eq!(deployment(&old()), Ok(told.clone()));
+    assert_eq!(coordinator_config(&old()), Ok(told.clone()));
     // Settings from before load reports were looked at say nothing of them: all is as it was.
     let mut silent = old();
     silent.as_object_mut().unwrap().remove("telemetry");
-    assert_eq!(deployment(&silent), Ok(told));
+    assert_eq!(coordinator_config(&silent), Ok(told));
 }
 
 #[test]
@@ -80,7 +80,7 @@
     let with = |telemetry: Value| {
         let mut settings = old();
         settings["telemetry"] = telemetry;
-        deployment(&settings).map(|d| d.queue_told)
+        coordinator_config(&settings).map(|d| d.reports_queue)
     };
     assert_eq!(with(json!({"names": [], "source": "none"})), Ok(false));
     assert_eq!(
