--- a/crates/linenthread-dataplane/src/action.rs
+++ b/crates/linenthread-dataplane/src/action.rs
@@ -1,7 +1,7 @@
 //! What the decision module decides in one round, as a list that the dispatcher carries out.
 
-use linenthread_core::Writer;
-use linenthread_core::interface::{Tenths, Why};
+use linenthread_core::DecisionSink;
+use linenthread_core::interface::{FailureCause, TenthMillis};
 
 /// One decision.
 pub(crate) enum Action {
@@ -9,14 +9,14 @@
         lookup: usize,
         part: usize,
         replica: usize,
-        time_out: Tenths,
+        time_out: TenthMillis,
     },
     Satisfy {
         lookup: usize,
     },
     Nack {
         lookup: usize,
-        after: Option<Tenths>,
+        after: Option<TenthMillis>,
     },
     Abort {
         lookup: usize,
@@ -33,7 +33,7 @@
 #[derive(Default)]
 pub(crate) struct Actions {
     pub list: Vec<Action>,
-    pub wake: Option<Tenths>,
+    pub wake: Option<TenthMillis>,
     pub given_up: GivenUp,
 }
 
@@ -47,8 +47,8 @@
     pub full: u64,
 }
 
-impl Writer for Actions {
-    fn call(&mut self, lookup: usize, part: usize, replica: usize, time_out: Tenths) {
+impl DecisionSink for Actions {
+    fn send(&mut self, lookup: usize, part: usize, replica: usize, time_out: TenthMillis) {
         self.list.push(Action::Call {
             lookup,
             part,
@@ -56,34 +56,34 @@
             time_out,
         });
     }
-    fn withdraw(&mut self, _: usize, _: usize, _: usize) {}
-    fn satisfy(&mut self, lookup: usize, _whole: bool) {
+    fn cancel(&mut self, _: usize, _: usize, _: usize) {}
+    fn respond(&mut self, lookup: usize, _whole: bool) {
         self.list.push(Action::Satisfy { lookup });
     }
-    fn given_up(&mut self, _: usize, why: Why) {
+    fn failure_cause(&mut self, _: usize, why: FailureCause) {
         *match why {
-            Why::Late => &mut self.given_up.late,
-            Why::Fells => &mut self.given_up.fells,
-            Why::Hopeless => &mut self.given_up.hopeless,
-            Why::Slow => &mut self.given_up.slow,
-            Why::Full => &mut self.given_up.full,
+            FailureCause::DeadlineExceeded => &mut self.given_up.late,
+            FailureCause::QueryOfDeath => &mut self.given_up.fells,
+            FailureCause::Unanswerable => &mut self.given_up.hopeless,
+            FailureCause::ExpectedLate => &mut self.given_up.slow,
+            FailureCause::Saturated => &mut self.given_up.full,
         } += 1;
     }
-    fn nack(&mut self, lookup: usize, after: Option<Tenths>) {
+    fn reject(&mut self, lookup: usize, after: Option<TenthMillis>) {
         self.list.push(Action::Nack { lookup, after });
     }
-    fn abort(&mut self, lookup: usize) {
+    fn fail(&mut self, lookup: usize) {
         self.list.push(Action::Abort { lookup });
     }
     fn release(&mut self, lookup: usize) {
         self.list.push(Action::Release { lookup });
     }
     fn probe(&mut self, _: usize) {}
-    fn close(&mut self, replica: usize) {
+    fn close_idle(&mut self, replica: usize) {
         self.list.push(Action::Close { replica });
     }
-    fn watch_roster(&mut self) {}
-    fn wake_at(&mut self, at: Tenths) {
+    fn watch_membership(&mut self) {}
+    fn wake_at(&mut self, at: TenthMillis) {
         self.wake = Some(self.wake.map_or(at, |w| w.min(at)));
     }
 }
--- a/crates/linenthread-dataplane/src/data_plane.rs
+++ b/crates/linenthread-dataplane/src/data_plane.rs
@@ -6,7 +6,7 @@
 use std::rc::Rc;
 
 use linenthread_config::{Configuration, Plan, Planned, Settings, Target};
-use linenthread_core::interface::Tenths;
+use linenthread_core::interface::TenthMillis;
 use tokio::sync::{oneshot, watch};
 
 use crate::clock;
@@ -293,7 +293,7 @@
         request: Rc<Request>,
         planned: &Rc<Planned>,
         key: u64,
-        deadline: Tenths,
+        deadline: TenthMillis,
     ) -> (Rc<Dispatcher<C>>, LookupId, oneshot::Receiver<Reply>) {
         let tries = planned.route.tries;
         let dispatcher = match &planned.target {
--- a/crates/linenthread-dataplane/src/dispatcher.rs
+++ b/crates/linenthread-dataplane/src/dispatcher.rs
@@ -9,7 +9,8 @@
 use linenthread_config::{Planned, Settings, Target};
 use linenthread_core::Coordinator;
 use linenthread_core::interface::{
-    Arrivals, Ending, Index, Listed, NewLookup, NewPart, Phase, Return, RosterNews, Tenths,
+    AttemptOutcome, AttemptResult, IndexConfig, Inputs, MembershipEntry, MembershipUpdate,
+    NewQuery, NewSubRequest, Phase, TenthMillis,
 };
 use smallvec::SmallVec;
 use tokio::sync::{Notify, oneshot};
@@ -25,7 +26,7 @@
 use crate::{clock, terms};
 
 /// A sub-request has so long at least.
-const SHORTEST: Tenths = 10;
+const SHORTEST: TenthMillis = 10;
 const MICROS_A_TENTH: u64 = 100;
 
 /// One part of a request and its sub-requests.
@@ -79,8 +80,8 @@
     coordinator: Coordinator,
     /// Decides in its place while something is measured.
     stand_in: Option<PassThrough>,
-    indexes: Vec<Index>,
-    arrivals: Arrivals,
+    indexes: Vec<IndexConfig>,
+    arrivals: Inputs,
     pools: Vec<Rc<ReplicaPool<C>>>,
     numbers: HashMap<String, usize>,
     /// Numbers of replicas that are gone, and how many lookups had been taken by then; and those free again.
@@ -116,7 +117,7 @@
                 coordinator: Coordinator::new(deployment, seed),
                 stand_in: settings.pass_through.then(PassThrough::default),
                 indexes: Vec::new(),
-                arrivals: Arrivals::default(),
+                arrivals: Inputs::default(),
                 pools: Vec::new(),
                 numbers: HashMap::new(),
                 gone: Vec::new(),
@@ -135,13 +136,16 @@
 
     /// So many further tries are free, and this front is one of so many.
     pub fn allot(&self, free: f64, own: usize, fronts: usize) {
-        self.state.borrow_mut().coordinator.allot(free, own, fronts);
+        self.state
+            .borrow_mut()
+            .coordinator
+            .set_retry_quota(free, own, fronts);
     }
 
     /// News of replicas of these services.
     pub fn list(&self, pools: &[Rc<ReplicaPool<C>>], zones: &Zones) {
         let mut state = self.state.borrow_mut();
-        let listed: Vec<Listed> = pools
+        let listed: Vec<MembershipEntry> = pools
             .iter()
             .filter_map(|pool| {
                 let cell = self.services.iter().position(|s| *s == pool.backend)?;
@@ -156,8 +160,11 @@
         if listed.is_empty() {
             return;
         }
-        state.arrivals.roster.push(RosterNews::Changes(listed));
-        state.arrivals.ways = Some(zones.ways());
+        state
+            .arrivals
+            .membership
+            .push(MembershipUpdate::Delta(listed));
+        state.arrivals.zone_routes = Some(zones.ways());
         drop(state);
         self.notify.notify_one();
     }
@@ -168,7 +175,7 @@
         request: Rc<Request>,
         planned: &Rc<Planned>,
         key: u64,
-        hard_deadline: Tenths,
+        hard_deadline: TenthMillis,
     ) -> (LookupId, oneshot::Receiver<Reply>) {
         let (reply, answer) = oneshot::channel();
         let mut state = self.state.borrow_mut();
@@ -176,21 +183,24 @@
         let lookup = state.free_lookup();
         self.taken.set(self.taken.get() + 1);
         let number = self.taken.get();
-        let new = NewLookup {
-            lookup,
+        let new = NewQuery {
+            query: lookup,
             index,
             customer: 0,
             key: Some(key),
-            number,
+            sequence_number: number,
             hard_deadline,
         };
-        state.arrivals.lookups.push(new);
+        state.arrivals.queries.push(new);
         let parts = self.services.len();
-        state.arrivals.parts.extend((0..parts).map(|shard| NewPart {
-            lookup,
-            shard,
-            weight: 1.0,
-        }));
+        state
+            .arrivals
+            .sub_requests
+            .extend((0..parts).map(|shard| NewSubRequest {
+                query: lookup,
+                shard,
+                weight: 1.0,
+            }));
         state.lookups[lookup] = Some(OpenLookup {
             number,
             reply: Some(reply),
@@ -235,13 +245,13 @@
     pub fn lapse(&self, lookup: LookupId) {
         let mut state = self.state.borrow_mut();
         if state.open(lookup).is_some() {
-            state.arrivals.lapsed.push(lookup.place);
+            state.arrivals.abandoned.push(lookup.place);
             self.notify.notify_one();
         }
     }
 
     /// A sub-request has ended.
-    fn ended(&self, id: SubRequestId, took: Tenths, outcome: SubRequestOutcome) {
+    fn ended(&self, id: SubRequestId, took: TenthMillis, outcome: SubRequestOutcome) {
         let SubRequestId { lookup, part, call } = id;
         let mut state = self.state.borrow_mut();
         let Some(open) = state.open(lookup) else {
@@ -253,7 +263,7 @@
             to.may_have_run -= 1;
         }
         match outcome.answer {
-            Some(answer) if outcome.ending == Ending::Answered => {
+            Some(answer) if outcome.ending == AttemptOutcome::Success => {
                 to.answer.get_or_insert(answer);
             }
             Some(answer) => open.failure = Some(answer),
@@ -261,19 +271,19 @@
         }
         let ending = outcome.ending;
         let lookup = lookup.place;
-        state.arrivals.returns.push(Return {
-            lookup,
-            part,
-            call,
-            ending,
-            took,
-            queue: None,
+        state.arrivals.results.push(AttemptResult {
+            query: lookup,
+            sub_request: part,
+            attempt: call,
+            outcome: ending,
+            elapsed: took,
+            queue_depth: None,
         });
         self.notify.notify_one();
     }
 
     /// One round of the module, and what it decided.
-    fn round(self: &Rc<Self>) -> Option<Tenths> {
+    fn round(self: &Rc<Self>) -> Option<TenthMillis> {
         let mut state = self.state.borrow_mut();
         for action in state.decide() {
             match action {
@@ -306,7 +316,7 @@
         state: &mut State<C>,
         (lookup, part): (usize, usize),
         replica: usize,
-        time_out: Tenths,
+        time_out: TenthMillis,
     ) {
         let Some(Some(open)) = state.lookups.get_mut(lookup) else {
             return;
@@ -325,14 +335,14 @@
         to.calls += 1;
         if !permitted {
             log::error!(route = open.planned.route.label; "event=retry_rejected");
-            let ending = Ending::Unsent;
-            state.arrivals.returns.push(Return {
-                lookup,
-                part,
-                call: id.call,
-                ending,
-                took: 0,
-                queue: None,
+            let ending = AttemptOutcome::NotSent;
+            state.arrivals.results.push(AttemptResult {
+                query: lookup,
+                sub_request: part,
+                attempt: id.call,
+                outcome: ending,
+                elapsed: 0,
+                queue_depth: None,
             });
             self.notify.notify_one();
             return;
@@ -394,7 +404,7 @@
     }
 
     /// The number of a sort of lookup.
-    fn index(&mut self, index: Index) -> usize {
+    fn index(&mut self, index: IndexConfig) -> usize {
         if let Some(known) = self.indexes.iter().position(|i| *i == index) {
             return known;
         }
@@ -415,7 +425,7 @@
         let arrivals = std::mem::take(&mut self.arrivals);
         self.actions.wake = None;
         match &mut self.stand_in {
-            None => self.coordinator.round(&arrivals, &mut self.actions),
+            None => self.coordinator.step(&arrivals, &mut self.actions),
             Some(stand_in) => stand_in.round(&arrivals, &mut self.actions),
         }
         std::mem::take(&mut self.actions.list)
@@ -437,28 +447,28 @@
     replica: usize,
     cell: usize,
     zones: &Zones,
-) -> Listed {
+) -> MembershipEntry {
     let phase = match (pool.gone.get(), pool.draining.get()) {
-        (true, _) => Phase::Gone,
+        (true, _) => Phase::Removed,
         (_, true) => Phase::Draining,
         _ => Phase::Ready,
     };
     let id = linenthread_consensus::fnv1a_64(pool.ident.as_bytes());
     let site = zones.number_of(&pool.zone);
-    Listed {
+    MembershipEntry {
         replica,
         id,
-        cell,
-        site,
+        replica_group: cell,
+        zone: site,
         phase,
-        started: None,
-        cold_share: None,
+        started_at: None,
+        slow_start_share: None,
     }
 }
 
 /// Rounds of the module, whenever something came or it asked to be woken.
 async fn run<C: Connector>(dispatcher: Rc<Dispatcher<C>>) {
-    let mut wake: Option<Tenths> = None;
+    let mut wake: Option<TenthMillis> = None;
     loop {
         match wake.filter(|_| dispatcher.open.get() > 0) {
             Some(at) => {
@@ -499,7 +509,7 @@
 }
 
 /// A replica's own failure if there was one, else what may be promised.
-fn given_up(open: &mut OpenLookup, after: Option<Tenths>) -> Reply {
+fn given_up(open: &mut OpenLookup, after: Option<TenthMillis>) -> Reply {
     if let Some(failure) = open.failure.take() {
         return Reply::passed_on(failure);
     }
--- a/crates/linenthread-dataplane/src/outcome.rs
+++ b/crates/linenthread-dataplane/src/outcome.rs
@@ -2,7 +2,7 @@
 //! decides whether a sub-request may have run, and whether it may be sent again.
 
 use linenthread_config::Mode;
-use linenthread_core::interface::Ending;
+use linenthread_core::interface::AttemptOutcome;
 use linenthread_http::Head;
 
 /// How far a sub-request got.
@@ -71,23 +71,31 @@
 }
 
 /// How a sub-request that met this ended for the decision module, and how far it got.
-pub fn judge(event: WireEvent, connection: Connection, gathers: bool) -> (Ending, SendState) {
+pub fn judge(
+    event: WireEvent,
+    connection: Connection,
+    gathers: bool,
+) -> (AttemptOutcome, SendState) {
     use Connection::{Fresh, Reused};
     use SendState::{MayHaveRun, NeverLeft, Rejected};
     match (event, connection) {
-        (WireEvent::NoRoom, _) | (WireEvent::NothingWritten, Reused) => (Ending::Unsent, NeverLeft),
+        (WireEvent::NoRoom, _) | (WireEvent::NothingWritten, Reused) => {
+            (AttemptOutcome::NotSent, NeverLeft)
+        }
         (WireEvent::NotConnected, _) | (WireEvent::NothingWritten, Fresh) => {
-            (Ending::Unconnected, NeverLeft)
+            (AttemptOutcome::ConnectFailed, NeverLeft)
+        }
+        (WireEvent::Misdirected, _) => (AttemptOutcome::ConnectFailed, Rejected),
+        (WireEvent::NotExecuted, _) => (AttemptOutcome::Rejected, Rejected),
+        (WireEvent::WriteCut | WireEvent::ClosedUnanswered, Fresh) => {
+            (AttemptOutcome::ConnectionLost, MayHaveRun)
         }
-        (WireEvent::Misdirected, _) => (Ending::Unconnected, Rejected),
-        (WireEvent::NotExecuted, _) => (Ending::TurnedAway, Rejected),
-        (WireEvent::WriteCut | WireEvent::ClosedUnanswered, Fresh) => (Ending::Broken, MayHaveRun),
         (WireEvent::WriteCut | WireEvent::ClosedUnanswered, Reused) => {
-            (Ending::Errored, MayHaveRun)
+            (AttemptOutcome::Error, MayHaveRun)
         }
-        (WireEvent::Silent, _) => (Ending::TimedOut, MayHaveRun),
-        (WireEvent::Success, _) => (Ending::Answered, MayHaveRun),
-        (WireEvent::Refused, _) if !gathers => (Ending::Answered, MayHaveRun),
+        (WireEvent::Silent, _) => (AttemptOutcome::TimedOut, MayHaveRun),
+        (WireEvent::Success, _) => (AttemptOutcome::Success, MayHaveRun),
+        (WireEvent::Refused, _) if !gathers => (AttemptOutcome::Success, MayHaveRun),
         (
             WireEvent::Refused
             | WireEvent::Failed
@@ -96,7 +104,7 @@
             | WireEvent::Malformed
             | WireEvent::NotOurs,
             _,
-        ) => (Ending::Errored, MayHaveRun),
+        ) => (AttemptOutcome::Error, MayHaveRun),
     }
 }
 
--- a/crates/linenthread-dataplane/src/pass_through.rs
+++ b/crates/linenthread-dataplane/src/pass_through.rs
@@ -1,12 +1,14 @@
 //! A stand-in for the decision module, to measure what it costs beside: each part goes once to the replica
 //! that a hash names, nothing is scored, repeated or refused. Not for service.
 
-use linenthread_core::Writer;
-use linenthread_core::interface::{Arrivals, Ending, Listed, Phase, RosterNews, Tenths};
+use linenthread_core::DecisionSink;
+use linenthread_core::interface::{
+    AttemptOutcome, Inputs, MembershipEntry, MembershipUpdate, Phase, TenthMillis,
+};
 
 struct Lookup {
     key: u64,
-    hard: Tenths,
+    hard: TenthMillis,
     shards: Vec<usize>,
     sent: usize,
     ended: usize,
@@ -15,26 +17,28 @@
 
 #[derive(Default)]
 pub(crate) struct PassThrough {
-    replicas: Vec<Listed>,
+    replicas: Vec<MembershipEntry>,
     lookups: Vec<Option<Lookup>>,
 }
 
 impl PassThrough {
-    pub(crate) fn round(&mut self, arrivals: &Arrivals, writer: &mut impl Writer) {
-        for news in &arrivals.roster {
-            let RosterNews::Changes(listed) = news else {
+    pub(crate) fn round(&mut self, arrivals: &Inputs, writer: &mut impl DecisionSink) {
+        for news in &arrivals.membership {
+            let MembershipUpdate::Delta(listed) = news else {
                 continue;
             };
             for entry in listed {
-                self.replicas
-                    .resize_with(self.replicas.len().max(entry.replica + 1), Listed::default);
+                self.replicas.resize_with(
+                    self.replicas.len().max(entry.replica + 1),
+                    MembershipEntry::default,
+                );
                 self.replicas[entry.replica] = entry.clone();
             }
         }
-        for new in &arrivals.lookups {
+        for new in &arrivals.queries {
             self.lookups
-                .resize_with(self.lookups.len().max(new.lookup + 1), || None);
-            let (key, hard) = (new.number, new.hard_deadline);
+                .resize_with(self.lookups.len().max(new.query + 1), || None);
+            let (key, hard) = (new.sequence_number, new.hard_deadline);
             let lookup = Lookup {
                 key,
                 hard,
@@ -43,17 +47,17 @@
                 ended: 0,
                 failed: false,
             };
-            self.lookups[new.lookup] = Some(lookup);
+            self.lookups[new.query] = Some(lookup);
         }
-        for part in &arrivals.parts {
-            if let Some(Some(lookup)) = self.lookups.get_mut(part.lookup) {
+        for part in &arrivals.sub_requests {
+            if let Some(Some(lookup)) = self.lookups.get_mut(part.query) {
                 lookup.shards.push(part.shard);
             }
         }
-        for back in &arrivals.returns {
-            if let Some(Some(lookup)) = self.lookups.get_mut(back.lookup) {
+        for back in &arrivals.results {
+            if let Some(Some(lookup)) = self.lookups.get_mut(back.query) {
                 lookup.ended += 1;
-                lookup.failed |= back.ending != Ending::Answered;
+                lookup.failed |= back.outcome != AttemptOutcome::Success;
             }
         }
         for l in 0..self.lookups.len() {
@@ -61,13 +65,15 @@
                 continue;
             };
             for p in lookup.sent..lookup.shards.len() {
-                let here = |r: &&Listed| r.phase == Phase::Ready && r.cell == lookup.shards[p];
-                let mut all: Vec<&Listed> = self.replicas.iter().filter(here).collect();
-                let nearest = all.iter().map(|r| usize::from(r.site > 0)).min();
-                all.retain(|r| Some(usize::from(r.site > 0)) == nearest);
+                let here = |r: &&MembershipEntry| {
+                    r.phase == Phase::Ready && r.replica_group == lookup.shards[p]
+                };
+                let mut all: Vec<&MembershipEntry> = self.replicas.iter().filter(here).collect();
+                let nearest = all.iter().map(|r| usize::from(r.zone > 0)).min();
+                all.retain(|r| Some(usize::from(r.zone > 0)) == nearest);
                 lookup.sent += 1;
                 if let Some(r) = all.get(lookup.key as usize % all.len().max(1)) {
-                    writer.call(l, p, r.replica, (lookup.hard - arrivals.now).max(1));
+                    writer.send(l, p, r.replica, (lookup.hard - arrivals.now).max(1));
                 } else {
                     lookup.ended += 1;
                     lookup.failed = true;
@@ -75,9 +81,9 @@
             }
             if lookup.ended == lookup.shards.len() {
                 if lookup.failed {
-                    writer.abort(l);
+                    writer.fail(l);
                 } else {
-                    writer.satisfy(l, true);
+                    writer.respond(l, true);
                 }
                 writer.release(l);
                 self.lookups[l] = None;
--- a/crates/linenthread-dataplane/src/pool.rs
+++ b/crates/linenthread-dataplane/src/pool.rs
@@ -9,8 +9,8 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use linenthread_core::interface::Ending;
-use linenthread_core::policy::CONNECT;
+use linenthread_core::interface::AttemptOutcome;
+use linenthread_core::policy::CONNECT_TIMEOUT;
 use linenthread_http::{Head, answer_framing, number};
 use smallvec::SmallVec;
 use tokio::time::{Instant, timeout};
@@ -164,7 +164,7 @@
 /// How a sub-request ended, and the replica's answer where it gave one that may be passed on.
 pub struct SubRequestOutcome {
     /// For the decision module.
-    pub ending: Ending,
+    pub ending: AttemptOutcome,
     /// For the rules of repeating.
     pub sent: SendState,
     /// Only one that a client may get.
@@ -301,7 +301,9 @@
         &self,
         time: Duration,
     ) -> Result<(HttpConnection<C::Transport>, ConnectionNumber), WireEvent> {
-        let within = time.min(Duration::from_micros(CONNECT as u64 * MICROS_A_TENTH));
+        let within = time.min(Duration::from_micros(
+            CONNECT_TIMEOUT as u64 * MICROS_A_TENTH,
+        ));
         match timeout(within, self.connector.connect(self.address)).await {
             Ok(Ok(stream)) => Ok((HttpConnection::new(stream), ConnectionNumber::next())),
             _ => Err(WireEvent::NotConnected),
@@ -355,7 +357,10 @@
     }
 }
 
-fn outcome((ending, sent): (Ending, SendState), answer: Option<Answer>) -> SubRequestOutcome {
+fn outcome(
+    (ending, sent): (AttemptOutcome, SendState),
+    answer: Option<Answer>,
+) -> SubRequestOutcome {
     SubRequestOutcome {
         ending,
         sent,
--- a/crates/linenthread-dataplane/src/reply.rs
+++ b/crates/linenthread-dataplane/src/reply.rs
@@ -1,6 +1,6 @@
 //! What a client gets.
 
-use linenthread_core::interface::Tenths;
+use linenthread_core::interface::TenthMillis;
 use linenthread_http::{greatest, number};
 use smallvec::SmallVec;
 
@@ -69,7 +69,7 @@
     }
 
     /// Given up: a promise only where nothing of it can have run, and when to come back.
-    pub fn given_up(may_have_run: bool, after: Option<Tenths>) -> Reply {
+    pub fn given_up(may_have_run: bool, after: Option<TenthMillis>) -> Reply {
         let mut headers = Vec::new();
         if let Some(after) = after {
             let seconds = (after as f64 / TENTHS_A_SECOND).max(SHORTEST_WAIT);
--- a/crates/linenthread-dataplane/src/serve.rs
+++ b/crates/linenthread-dataplane/src/serve.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use linenthread_config::{Plan, Planned};
-use linenthread_core::interface::Tenths;
+use linenthread_core::interface::TenthMillis;
 use linenthread_http::{Framing, Head, Refusal, number, request_framing};
 use tokio::io::{AsyncRead, AsyncWrite};
 use tokio::time::Instant;
@@ -211,13 +211,13 @@
 }
 
 /// When a request ends: what the client leaves of its time, within the route's own bound.
-fn deadline(head: &Head, planned: &Planned) -> Result<Tenths, std::num::ParseIntError> {
+fn deadline(head: &Head, planned: &Planned) -> Result<TenthMillis, std::num::ParseIntError> {
     let limit = planned.route.limit_ms;
     let remaining = match head.header("x-remaining-ms") {
         Some(told) => told.parse::<u64>()? as f64,
         None => limit,
     };
-    Ok(clock::tenths() + (remaining.min(limit) * TENTHS_A_MS) as Tenths)
+    Ok(clock::tenths() + (remaining.min(limit) * TENTHS_A_MS) as TenthMillis)
 }
 
 /// A request's head for replicas, but for the headers that each of them gets of its own.
--- a/crates/linenthread-dataplane/src/terms.rs
+++ b/crates/linenthread-dataplane/src/terms.rs
@@ -2,72 +2,75 @@
 
 use linenthread_config::{Mode, Planned, Settings, Target};
 use linenthread_core::interface::{
-    Allowance, ColdStart, Deployment, Effect, FurtherCalls, Index, Layout, Tenths,
+    CoordinatorConfig, Idempotency, IndexConfig, Permissions, RetryBudget, ShardLayout, SlowStart,
+    TenthMillis,
+};
+use linenthread_core::policy::{
+    BUDGET_UTILIZATION, DEFAULT_LATE_VALUE_SHARE, DEFAULT_PARTIAL_VALUE,
 };
-use linenthread_core::policy::{BUDGET_USE, LATE_SHARE, PARTIAL_GAIN};
 
-fn tenths(ms: f64) -> Tenths {
-    (ms.clamp(1.0, 1e9) * 10.0) as Tenths
+fn tenths(ms: f64) -> TenthMillis {
+    (ms.clamp(1.0, 1e9) * 10.0) as TenthMillis
 }
 
-pub(crate) fn index(planned: &Planned) -> Index {
+pub(crate) fn index(planned: &Planned) -> IndexConfig {
     let route = &planned.route;
     let floor = match planned.target {
         Target::All(_) if route.min_coverage > 0.0 => route.min_coverage.min(1.0),
         _ => 1.0,
     };
-    Index {
-        effect: if route.mode == Mode::Mutating {
-            Effect::OnceOnly
+    IndexConfig {
+        idempotency: if route.mode == Mode::Mutating {
+            Idempotency::AtMostOnce
         } else {
-            Effect::Idempotent
+            Idempotency::Idempotent
         },
         soft_deadline: tenths(route.target_ms.unwrap_or(route.limit_ms)),
-        gain: 1.0 / (1.0 + route.rank.clamp(0, 1_000) as f64),
-        late_share: LATE_SHARE,
-        need: 1.0,
-        floor,
-        partial_gain: PARTIAL_GAIN,
-        second_step: 0,
+        value: 1.0 / (1.0 + route.rank.clamp(0, 1_000) as f64),
+        late_value_share: DEFAULT_LATE_VALUE_SHARE,
+        complete_share: 1.0,
+        min_share: floor,
+        partial_value: DEFAULT_PARTIAL_VALUE,
+        fetch_sub_requests: 0,
     }
 }
 
 /// For so many services that are asked together, each part of which may go to so many replicas. The budget is
 /// kept at each service: that all further calls went to one of them is allowed for.
-pub(crate) fn deployment(services: usize, tries: usize, settings: &Settings) -> Deployment {
-    Deployment {
-        own_number: 0,
-        co_ordinators: 1,
+pub(crate) fn deployment(services: usize, tries: usize, settings: &Settings) -> CoordinatorConfig {
+    CoordinatorConfig {
+        coordinator_number: 0,
+        coordinator_count: 1,
         indexes: Vec::new(),
         customer_quotas: Vec::new(),
-        over_share_gain: 1.0,
-        gain_by_work: false,
-        layout: Layout {
-            cells: services,
-            in_a_row: 1,
+        over_quota_value: 1.0,
+        value_by_work: false,
+        layout: ShardLayout {
+            replica_groups: services,
+            replication_factor: 1,
         },
-        allowance: Allowance {
-            calls_a_part: tries,
-            second_copies: tries > 1,
-            withdraw: false,
-            probes: false,
-            retry_advice: Some(Tenths::MAX),
+        permissions: Permissions {
+            max_attempts: tries,
+            hedging: tries > 1,
+            cancellation: false,
+            health_probes: false,
+            max_retry_after: Some(TenthMillis::MAX),
         },
         // Replicas say when they are slow after their start; nothing says that they fall over.
-        cold: ColdStart {
-            share: 1.0,
-            warm_up: 0,
-            multiple: 1.0,
+        slow_start: SlowStart {
+            initial_share: 1.0,
+            duration: 0,
+            budget_multiple: 1.0,
             window: 10_000,
         },
-        queue_told: false,
+        reports_queue: false,
         short_queues: true,
         drain_grace: 0,
-        further_calls: Some(FurtherCalls {
-            free: 0.0,
-            share: BUDGET_USE * settings.retry_ratio / (1 + services) as f64,
+        retry_budget: Some(RetryBudget {
+            reserve: 0.0,
+            ratio: BUDGET_UTILIZATION * settings.retry_ratio / (1 + services) as f64,
             window: tenths(settings.retry_window_ms as f64),
         }),
-        watch_roster: false,
+        watch_membership: false,
     }
 }
--- a/crates/linenthread-dataplane/src/zones.rs
+++ b/crates/linenthread-dataplane/src/zones.rs
@@ -2,7 +2,7 @@
 
 use std::cell::RefCell;
 
-use linenthread_core::interface::WayTo;
+use linenthread_core::interface::ZoneRoute;
 
 /// To how many keys of a thousand each zone is open.
 const OPEN: u16 = 1_000;
@@ -22,11 +22,11 @@
     }
 
     /// Near ones first.
-    pub fn ways(&self) -> Vec<WayTo> {
-        let way = |(number, zone): (usize, &String)| WayTo {
+    pub fn ways(&self) -> Vec<ZoneRoute> {
+        let way = |(number, zone): (usize, &String)| ZoneRoute {
             id: linenthread_consensus::fnv1a_64(zone.as_bytes()),
             distance: u8::from(number > 0),
-            open: OPEN,
+            open_per_mille: OPEN,
         };
         self.0.borrow().iter().enumerate().map(way).collect()
     }
--- a/crates/linenthread-dataplane/tests/outcome.rs
+++ b/crates/linenthread-dataplane/tests/outcome.rs
@@ -2,7 +2,7 @@
 
 use bytes::BytesMut;
 use linenthread_config::Mode;
-use linenthread_core::interface::Ending;
+use linenthread_core::interface::AttemptOutcome;
 use linenthread_dataplane::outcome::SendState::{MayHaveRun, NeverLeft, Rejected};
 use linenthread_dataplane::outcome::{
     Connection, SendState, WireEvent, classify, judge, may_send_again,
@@ -29,23 +29,28 @@
 ];
 
 #[parameterized(
-    no_room = { WireEvent::NoRoom, Ending::Unsent, Ending::Unsent, NeverLeft },
-    not_connected = { WireEvent::NotConnected, Ending::Unconnected, Ending::Unconnected, NeverLeft },
-    nothing_written = { WireEvent::NothingWritten, Ending::Unconnected, Ending::Unsent, NeverLeft },
-    write_cut = { WireEvent::WriteCut, Ending::Broken, Ending::Errored, MayHaveRun },
-    closed_unanswered = { WireEvent::ClosedUnanswered, Ending::Broken, Ending::Errored, MayHaveRun },
-    answer_cut = { WireEvent::AnswerCut, Ending::Errored, Ending::Errored, MayHaveRun },
-    silent = { WireEvent::Silent, Ending::TimedOut, Ending::TimedOut, MayHaveRun },
-    malformed = { WireEvent::Malformed, Ending::Errored, Ending::Errored, MayHaveRun },
-    not_ours = { WireEvent::NotOurs, Ending::Errored, Ending::Errored, MayHaveRun },
-    misdirected = { WireEvent::Misdirected, Ending::Unconnected, Ending::Unconnected, Rejected },
-    not_executed = { WireEvent::NotExecuted, Ending::TurnedAway, Ending::TurnedAway, Rejected },
-    success = { WireEvent::Success, Ending::Answered, Ending::Answered, MayHaveRun },
-    unsealed = { WireEvent::Unsealed, Ending::Errored, Ending::Errored, MayHaveRun },
-    refused = { WireEvent::Refused, Ending::Answered, Ending::Answered, MayHaveRun },
-    failed = { WireEvent::Failed, Ending::Errored, Ending::Errored, MayHaveRun },
+    no_room = { WireEvent::NoRoom, AttemptOutcome::NotSent, AttemptOutcome::NotSent, NeverLeft },
+    not_connected = { WireEvent::NotConnected, AttemptOutcome::ConnectFailed, AttemptOutcome::ConnectFailed, NeverLeft },
+    nothing_written = { WireEvent::NothingWritten, AttemptOutcome::ConnectFailed, AttemptOutcome::NotSent, NeverLeft },
+    write_cut = { WireEvent::WriteCut, AttemptOutcome::ConnectionLost, AttemptOutcome::Error, MayHaveRun },
+    closed_unanswered = { WireEvent::ClosedUnanswered, AttemptOutcome::ConnectionLost, AttemptOutcome::Error, MayHaveRun },
+    answer_cut = { WireEvent::AnswerCut, AttemptOutcome::Error, AttemptOutcome::Error, MayHaveRun },
+    silent = { WireEvent::Silent, AttemptOutcome::TimedOut, AttemptOutcome::TimedOut, MayHaveRun },
+    malformed = { WireEvent::Malformed, AttemptOutcome::Error, AttemptOutcome::Error, MayHaveRun },
+    not_ours = { WireEvent::NotOurs, AttemptOutcome::Error, AttemptOutcome::Error, MayHaveRun },
+    misdirected = { WireEvent::Misdirected, AttemptOutcome::ConnectFailed, AttemptOutcome::ConnectFailed, Rejected },
+    not_executed = { WireEvent::NotExecuted, AttemptOutcome::Rejected, AttemptOutcome::Rejected, Rejected },
+    success = { WireEvent::Success, AttemptOutcome::Success, AttemptOutcome::Success, MayHaveRun },
+    unsealed = { WireEvent::Unsealed, AttemptOutcome::Error, AttemptOutcome::Error, MayHaveRun },
+    refused = { WireEvent::Refused, AttemptOutcome::Success, AttemptOutcome::Success, MayHaveRun },
+    failed = { WireEvent::Failed, AttemptOutcome::Error, AttemptOutcome::Error, MayHaveRun },
 )]
-fn each_event_has_its_ending(event: WireEvent, fresh: Ending, reused: Ending, sent: SendState) {
+fn each_event_has_its_ending(
+    event: WireEvent,
+    fresh: AttemptOutcome,
+    reused: AttemptOutcome,
+    sent: SendState,
+) {
     assert_eq!(judge(event, Connection::Fresh, false), (fresh, sent));
     assert_eq!(judge(event, Connection::Reused, false), (reused, sent));
 }
--- a/crates/linenthread-dataplane/tests/pool.rs
+++ b/crates/linenthread-dataplane/tests/pool.rs
@@ -6,7 +6,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use linenthread_core::interface::Ending;
+use linenthread_core::interface::AttemptOutcome;
 use linenthread_dataplane::outcome::SendState;
 use linenthread_dataplane::pool::{ReplicaPool, Request, SubRequestOutcome};
 use linenthread_dataplane_sim::network::{Event, Inbound, Listener, Network, Peer, WriteFate};
@@ -114,7 +114,7 @@
     }
 }
 
-fn may_have_run(outcome: &SubRequestOutcome, ending: Ending) -> bool {
+fn may_have_run(outcome: &SubRequestOutcome, ending: AttemptOutcome) -> bool {
     outcome.ending == ending && outcome.sent == SendState::MayHaveRun && outcome.answer.is_none()
 }
 
@@ -134,7 +134,7 @@
     let late = vec![(1, answer("a", "1")), (5, answer("b", "2"))];
     let rig = rig(vec![vec![vec![(1, answer("a", "1"))], late]]);
     rig.call("a").await;
-    assert!(may_have_run(&rig.call("b").await, Ending::Errored));
+    assert!(may_have_run(&rig.call("b").await, AttemptOutcome::Error));
     assert_eq!(rig.pool.idle(), 0);
 }
 
@@ -144,10 +144,13 @@
         vec![vec![(1, answer("", "1"))]],
         vec![vec![(1, answer("a", "1"))], vec![(1, answer("", "2"))]],
     ]);
-    assert!(may_have_run(&rig.call("fresh").await, Ending::Errored));
+    assert!(may_have_run(
+        &rig.call("fresh").await,
+        AttemptOutcome::Error
+    ));
     assert_eq!(rig.pool.idle(), 0);
     rig.call("a").await;
-    assert!(may_have_run(&rig.call("b").await, Ending::Errored));
+    assert!(may_have_run(&rig.call("b").await, AttemptOutcome::Error));
     assert_eq!(rig.pool.idle(), 0);
 }
 
@@ -160,7 +163,7 @@
     let request = request("a");
     assert!(may_have_run(
         &rig.pool.call(&request, TIME).await,
-        Ending::TimedOut
+        AttemptOutcome::TimedOut
     ));
     assert_eq!(rig.pool.idle(), 0);
     tokio::time::sleep(TIME).await;
@@ -215,14 +218,17 @@
         vec![(1, Event::Reset)],
     ]]);
     rig.call("a").await;
-    assert!(may_have_run(&rig.call("b").await, Ending::Errored));
+    assert!(may_have_run(&rig.call("b").await, AttemptOutcome::Error));
 }
 
 #[tokio::test(start_paused = true)]
 async fn what_a_reset_or_a_close_answers_may_have_run() {
     for end in [Event::Reset, Event::Close] {
         let rig = rig(vec![vec![vec![(1, end)]]]);
-        assert!(may_have_run(&rig.call("a").await, Ending::Broken));
+        assert!(may_have_run(
+            &rig.call("a").await,
+            AttemptOutcome::ConnectionLost
+        ));
     }
 }
 
@@ -234,7 +240,7 @@
             let half = Event::Bytes(whole[..length].to_vec());
             let rig = rig(vec![vec![vec![(1, half), (2, end)]]]);
             assert!(
-                may_have_run(&rig.call("a").await, Ending::Errored),
+                may_have_run(&rig.call("a").await, AttemptOutcome::Error),
                 "{length}"
             );
             assert_eq!(rig.pool.idle(), 0);
@@ -246,7 +252,7 @@
 async fn an_answer_that_stops_midway_may_have_run() {
     let half = Event::Bytes(message(200, "a", "seal", "", b"whole")[..40].to_vec());
     let rig = rig(vec![vec![vec![(1, half)]]]);
-    assert!(may_have_run(&rig.call("a").await, Ending::TimedOut));
+    assert!(may_have_run(&rig.call("a").await, AttemptOutcome::TimedOut));
     assert_eq!(rig.pool.idle(), 0);
 }
 
@@ -256,8 +262,11 @@
         (WriteFate::FailsAfter(30), vec![]),
         (WriteFate::StopsAfter(30), vec![]),
     ]);
-    assert!(may_have_run(&rig.call("a").await, Ending::Broken));
-    assert!(may_have_run(&rig.call("b").await, Ending::TimedOut));
+    assert!(may_have_run(
+        &rig.call("a").await,
+        AttemptOutcome::ConnectionLost
+    ));
+    assert!(may_have_run(&rig.call("b").await, AttemptOutcome::TimedOut));
 }
 
 #[tokio::test(start_paused = true)]
@@ -270,7 +279,7 @@
         let outcome = rig.call("a").await;
         assert_eq!(
             (outcome.ending, outcome.sent),
-            (Ending::Unconnected, SendState::NeverLeft)
+            (AttemptOutcome::ConnectFailed, SendState::NeverLeft)
         );
     }
 }
@@ -285,7 +294,7 @@
     let rig = rig(vec![first]);
     assert_eq!(rig.call("a").await.sent, SendState::Rejected);
     assert_eq!(rig.call("b").await.sent, SendState::Rejected);
-    assert!(may_have_run(&rig.call("c").await, Ending::Errored));
+    assert!(may_have_run(&rig.call("c").await, AttemptOutcome::Error));
     assert_eq!(rig.pool.idle(), 0);
 }
 
@@ -314,7 +323,7 @@
     let outcome = rig.call("a").await;
     assert_eq!(
         (outcome.ending, outcome.sent),
-        (Ending::Unconnected, SendState::Rejected)
+        (AttemptOutcome::ConnectFailed, SendState::Rejected)
     );
     assert_eq!(rig.pool.idle(), 0);
 }
--- a/crates/linenthread-drill/src/failover.rs
+++ b/crates/linenthread-drill/src/failover.rs
@@ -6,10 +6,11 @@
 use std::collections::{BTreeMap, BinaryHeap, VecDeque};
 
 use linenthread_core::interface::{
-    Allowance, Arrivals, ColdStart, Deployment, Effect, Ending, Index, Layout, Listed, NewLookup,
-    NewPart, Phase, ProbeReturn, Return, RosterNews, Tenths, WayTo,
+    AttemptOutcome, AttemptResult, CoordinatorConfig, Idempotency, IndexConfig, Inputs,
+    MembershipEntry, MembershipUpdate, NewQuery, NewSubRequest, Permissions, Phase, ProbeResult,
+    ShardLayout, SlowStart, TenthMillis, ZoneRoute,
 };
-use linenthread_core::{Coordinator, Writer};
+use linenthread_core::{Coordinator, DecisionSink};
 use linenthread_zones::{
     ALL, Decider, Ground, Pattern, Reason, Report, Row, Table, Terms, Watch, Zone, fit,
 };
@@ -22,17 +23,17 @@
 const SHARDS: usize = 24;
 const CORES: usize = 2;
 const SERVICE: f64 = 200.0;
-const SECOND: Tenths = 10_000;
-const SOFT: Tenths = 5_000;
-const HARD: Tenths = 15_000;
-const WARM_UP: Tenths = 10 * SECOND;
+const SECOND: TenthMillis = 10_000;
+const SOFT: TenthMillis = 5_000;
+const HARD: TenthMillis = 15_000;
+const WARM_UP: TenthMillis = 10 * SECOND;
 const COLD: f64 = 0.2;
 /// The roster tells so long after something has happened.
-const LAG: Tenths = 2 * SECOND;
-const BEGIN: Tenths = 15 * SECOND;
-const TROUBLE: Tenths = 15 * SECOND;
-const END: Tenths = 60 * SECOND;
-const ROUND: Tenths = 10;
+const LAG: TenthMillis = 2 * SECOND;
+const BEGIN: TenthMillis = 15 * SECOND;
+const TROUBLE: TenthMillis = 15 * SECOND;
+const END: TenthMillis = 60 * SECOND;
+const ROUND: TenthMillis = 10;
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum Policy {
@@ -99,11 +100,11 @@
     },
 }
 
-const ENDINGS: [Ending; 4] = [
-    Ending::Answered,
-    Ending::Unconnected,
-    Ending::Broken,
-    Ending::TimedOut,
+const ENDINGS: [AttemptOutcome; 4] = [
+    AttemptOutcome::Success,
+    AttemptOutcome::ConnectFailed,
+    AttemptOutcome::ConnectionLost,
+    AttemptOutcome::TimedOut,
 ];
 
 struct Call {
@@ -112,7 +113,7 @@
     part: usize,
     number: usize,
     replica: usize,
-    sent: Tenths,
+    sent: TenthMillis,
     over: bool,
     waiting: u32,
 }
@@ -121,68 +122,68 @@
 struct Replica {
     up: bool,
     life: u32,
-    started: Option<Tenths>,
+    started: Option<TenthMillis>,
     busy: Vec<usize>,
     queue: VecDeque<usize>,
     /// Parts that came within the last second, and since when it gets more than it bears.
-    came: VecDeque<Tenths>,
-    over_since: Option<Tenths>,
+    came: VecDeque<TenthMillis>,
+    over_since: Option<TenthMillis>,
     fell: bool,
 }
 
 struct Lookup {
-    soft: Tenths,
+    soft: TenthMillis,
     calls: Vec<usize>,
 }
 
 struct One {
     zone: usize,
     module: Coordinator,
-    arrivals: Arrivals,
+    arrivals: Inputs,
     lookups: Vec<Option<Lookup>>,
     free: Vec<usize>,
-    wake: Tenths,
+    wake: TenthMillis,
     watch: Watch,
     alone: Option<Decider>,
-    coming: VecDeque<(Tenths, Vec<WayTo>)>,
+    coming: VecDeque<(TenthMillis, Vec<ZoneRoute>)>,
 }
 
 #[derive(Default)]
 struct Log {
-    calls: Vec<(usize, usize, usize, Tenths)>,
+    calls: Vec<(usize, usize, usize, TenthMillis)>,
     satisfied: Vec<usize>,
     ended: Vec<usize>,
     released: Vec<usize>,
     withdrawn: Vec<(usize, usize, usize)>,
     probes: Vec<usize>,
-    wake: Option<Tenths>,
+    wake: Option<TenthMillis>,
 }
 
-impl Writer for Log {
-    fn call(&mut self, lookup: usize, part: usize, replica: usize, time_out: Tenths) {
+impl DecisionSink for Log {
+    fn send(&mut self, lookup: usize, part: usize, replica: usize, time_out: TenthMillis) {
         self.calls.push((lookup, part, replica, time_out));
     }
-    fn withdraw(&mut self, lookup: usize, part: usize, call: usize) {
+    fn cancel(&mut self, lookup: usize, part: usize, call: usize) {
         self.withdrawn.push((lookup, part, call));
     }
-    fn satisfy(&mut self, lookup: usize, _: bool) {
+    fn respond(&mut self, lookup: usize, _: bool) {
         self.satisfied.push(lookup);
     }
-    fn nack(&mut self, lookup: usize, _: Option<Tenths>) {
+    fn reject(&mut self, lookup: usize, _: Option<TenthMillis>) {
         self.ended.push(lookup);
     }
-    fn abort(&mut self, lookup: usize) {
+    fn fail(&mut self, lookup: usize) {
         self.ended.push(lookup);
     }
     fn release(&mut self, lookup: usize) {
         self.released.push(lookup);
     }
-    fn close(&mut self, _: usize) {}
+    fn close_idle(&mut self, _: usize) {}
     fn probe(&mut self, replica: usize) {
         self.probes.push(replica);
     }
-    fn watch_roster(&mut self) {}
-    fn wake_at(&mut self, at: Tenths) {
+    fn watch_membership(&mut self) {}
+    fn wake_at(&mut self, at: TenthMillis) {
         self.wake = Some(at);
     }
 }
@@ -197,20 +198,20 @@
     /// Cold replicas that were pushed over.
     pub fell: u32,
     /// From the trouble's beginning to the table that meets it, where one does.
-    pub table: Option<Tenths>,
+    pub table: Option<TenthMillis>,
 }
 
 struct World {
-    now: Tenths,
+    now: TenthMillis,
     policy: Policy,
     trouble: Trouble,
     chance: Rand64,
-    events: BinaryHeap<Reverse<(Tenths, u64, Event)>>,
+    events: BinaryHeap<Reverse<(TenthMillis, u64, Event)>>,
     numbers: u64,
     calls: Vec<Call>,
     replicas: Vec<Replica>,
     ones: Vec<One>,
-    news: Vec<Vec<Listed>>,
+    news: Vec<Vec<MembershipEntry>>,
     rate: f64,
     decider: Decider,
     heard: Report,
@@ -260,62 +261,62 @@
     }
 }
 
-fn ways(own: usize, row: Option<&Row>) -> Vec<WayTo> {
-    let way = |zone: usize| WayTo {
+fn ways(own: usize, row: Option<&Row>) -> Vec<ZoneRoute> {
+    let way = |zone: usize| ZoneRoute {
         id: 77 + zone as u64,
         distance: u8::from(zone != own),
-        open: row.map_or(ALL, |row| row.open[zone].0),
+        open_per_mille: row.map_or(ALL, |row| row.open[zone].0),
     };
     (0..ZONES).map(way).collect()
 }
 
 impl World {
     fn new(policy: Policy, trouble: Trouble, busy: f64, seed: u64) -> World {
-        let deployment = |own_number| Deployment {
-            own_number,
-            co_ordinators: ZONES * EACH,
-            indexes: vec![Index {
-                effect: Effect::Idempotent,
+        let deployment = |own_number| CoordinatorConfig {
+            coordinator_number: own_number,
+            coordinator_count: ZONES * EACH,
+            indexes: vec![IndexConfig {
+                idempotency: Idempotency::Idempotent,
                 soft_deadline: SOFT,
-                gain: 1.0,
-                late_share: 0.0,
-                need: 1.0,
-                floor: 1.0,
-                partial_gain: 0.0,
-                second_step: 0,
+                value: 1.0,
+                late_value_share: 0.0,
+                complete_share: 1.0,
+                min_share: 1.0,
+                partial_value: 0.0,
+                fetch_sub_requests: 0,
             }],
             customer_quotas: Vec::new(),
-            over_share_gain: 0.1,
-            gain_by_work: false,
-            layout: Layout {
-                cells: REPLICAS,
-                in_a_row: 2,
+            over_quota_value: 0.1,
+            value_by_work: false,
+            layout: ShardLayout {
+                replica_groups: REPLICAS,
+                replication_factor: 2,
             },
-            allowance: Allowance {
-                calls_a_part: 3,
-                second_copies: true,
-                withdraw: true,
-                probes: true,
-                retry_advice: None,
+            permissions: Permissions {
+                max_attempts: 3,
+                hedging: true,
+                cancellation: true,
+                health_probes: true,
+                max_retry_after: None,
             },
-            cold: ColdStart {
-                share: COLD,
-                warm_up: WARM_UP,
-                multiple: 2.0,
+            slow_start: SlowStart {
+                initial_share: COLD,
+                duration: WARM_UP,
+                budget_multiple: 2.0,
                 window: SECOND,
             },
-            queue_told: true,
+            reports_queue: true,
             short_queues: false,
             drain_grace: 0,
-            further_calls: None,
-            watch_roster: false,
+            retry_budget: None,
+            watch_membership: false,
         };
         let zones = ground(&[]).zones;
         let now = 100 * SECOND;
         let one = |n: usize| One {
             zone: n % ZONES,
             module: Coordinator::new(deployment(n), seed.wrapping_mul(31) + n as u64),
-            arrivals: Arrivals::default(),
+            arrivals: Inputs::default(),
             lookups: Vec::new(),
             free: Vec::new(),
             wake: now,
@@ -350,13 +351,15 @@
             mended: false,
             outcome: Outcome::default(),
         };
-        let all: Vec<Listed> = (0..REPLICAS)
+        let all: Vec<MembershipEntry> = (0..REPLICAS)
             .map(|r| world.listed(r, Phase::Ready))
             .collect();
         for one in &mut world.ones {
-            one.arrivals.roster.push(RosterNews::Whole(all.clone()));
+            one.arrivals
+                .membership
+                .push(MembershipUpdate::Snapshot(all.clone()));
             if policy != Policy::Design {
-                one.arrivals.ways = Some(ways(one.zone, None));
+                one.arrivals.zone_routes = Some(ways(one.zone, None));
             }
         }
         for from in 0..world.ones.len() {
@@ -365,19 +368,19 @@
         world
     }
 
-    fn listed(&self, r: usize, phase: Phase) -> Listed {
-        Listed {
+    fn listed(&self, r: usize, phase: Phase) -> MembershipEntry {
+        MembershipEntry {
             replica: r,
             id: 1_000 + r as u64,
-            cell: r,
-            site: r % ZONES,
+            replica_group: r,
+            zone: r % ZONES,
             phase,
-            started: self.replicas[r].started,
-            cold_share: None,
+            started_at: self.replicas[r].started,
+            slow_start_share: None,
         }
     }
 
-    fn after(&mut self, wait: Tenths, event: Event) {
+    fn after(&mut self, wait: TenthMillis, event: Event) {
         self.numbers += 1;
         self.events
             .push(Reverse((self.now + wait.max(1), self.numbers, event)));
@@ -385,7 +388,7 @@
 
     fn next_lookup(&mut self, from: usize) {
         let wait = -(1.0 - self.chance.rand_float()).ln() / self.rate;
-        self.after(wait as Tenths, Event::Lookup { from });
+        self.after(wait as TenthMillis, Event::Lookup { from });
     }
 
     /// Zones that are out of order by the trouble: lost, slow, the pair that is cut.
@@ -408,7 +411,7 @@
         self.on && self.trouble == Trouble::PairCut && (a, b).min((b, a)) == (1, 2)
     }
 
-    fn way(&self, from: usize, replica: usize) -> Tenths {
+    fn way(&self, from: usize, replica: usize) -> TenthMillis {
         if self.ones[from].zone == replica % ZONES {
             5
         } else {
@@ -438,7 +441,7 @@
             self.replicas[r].busy.push(call);
             let life = self.replicas[r].life;
             self.after(
-                takes as Tenths,
+                takes as TenthMillis,
                 Event::Done {
                     replica: r,
                     call,
@@ -483,13 +486,13 @@
         }
     }
 
-    fn tell_roster(&mut self, listed: Vec<Listed>) {
+    fn tell_roster(&mut self, listed: Vec<MembershipEntry>) {
         self.news.push(listed);
         let news = self.news.len() - 1;
         self.after(LAG, Event::Roster { news });
     }
 
-    fn end_call(&mut self, call: usize, ending: Ending) {
+    fn end_call(&mut self, call: usize, ending: AttemptOutcome) {
         if std::mem::replace(&mut self.calls[call].over, true) {
             return;
         }
@@ -504,17 +507,17 @@
             ..
         } = self.calls[call];
         let took = self.now - sent;
-        let queue = (ending == Ending::Answered).then_some(f64::from(waiting));
+        let queue = (ending == AttemptOutcome::Success).then_some(f64::from(waiting));
         let one = &mut self.ones[from];
         one.watch
             .ended((replica % ZONES) as u8, replica, ending, took);
-        one.arrivals.returns.push(Return {
-            lookup,
-            part,
-            call: number,
-            ending,
-            took,
-            queue,
+        one.arrivals.results.push(AttemptResult {
+            query: lookup,
+            sub_request: part,
+            attempt: number,
+            outcome: ending,
+            elapsed: took,
+            queue_depth: queue,
         });
     }
 
@@ -540,20 +543,20 @@
                 });
                 one.watch.asked(3);
                 let hard_deadline = now + HARD;
-                one.arrivals.lookups.push(NewLookup {
-                    lookup,
+                one.arrivals.queries.push(NewQuery {
+                    query: lookup,
                     index: 0,
                     customer: 0,
                     key: Some(key),
-                    number: self.numbers,
+                    sequence_number: self.numbers,
                     hard_deadline,
                 });
-                let parts = (0..3).map(|k| NewPart {
-                    lookup,
+                let parts = (0..3).map(|k| NewSubRequest {
+                    query: lookup,
                     shard: (first + 7 * k) % SHARDS,
                     weight: 1.0 / 3.0,
                 });
-                one.arrivals.parts.extend(parts);
+                one.arrivals.sub_requests.extend(parts);
                 self.outcome.asked += f64::from(u8::from(now >= 100 * SECOND + BEGIN));
             }
             Event::Arrive { call } => {
@@ -584,29 +587,31 @@
                 }
             }
             Event::Back { call, ending } => self.end_call(call, ENDINGS[usize::from(ending)]),
-            Event::TimeOut { call } => self.end_call(call, Ending::TimedOut),
+            Event::TimeOut { call } => self.end_call(call, AttemptOutcome::TimedOut),
             Event::Probe {
                 from,
                 replica,
                 ending,
             } => {
                 let ending = ENDINGS[usize::from(ending)];
-                let queue =
-                    (ending == Ending::Answered).then(|| self.replicas[replica].queue.len() as f64);
+                let queue = (ending == AttemptOutcome::Success)
+                    .then(|| self.replicas[replica].queue.len() as f64);
                 let one = &mut self.ones[from];
                 one.watch
                     .ended((replica % ZONES) as u8, replica, ending, 30);
-                one.arrivals.probes.push(ProbeReturn {
+                one.arrivals.probes.push(ProbeResult {
                     replica,
-                    ending,
-                    queue,
+                    outcome: ending,
+                    queue_depth: queue,
                 });
             }
             Event::Roster { news } => {
                 let listed = self.news[news].clone();
-                self.ones
-                    .iter_mut()
-                    .for_each(|o| o.arrivals.roster.push(RosterNews::Changes(listed.clone())));
+                self.ones.iter_mut().for_each(|o| {
+                    o.arrivals
+                        .membership
+                        .push(MembershipUpdate::Delta(listed.clone()));
+                });
             }
         }
     }
@@ -615,12 +620,12 @@
         let now = self.now;
         let one = &mut self.ones[n];
         while one.coming.front().is_some_and(|(at, _)| *at <= now) {
-            one.arrivals.ways = one.coming.pop_front().map(|(_, ways)| ways);
+            one.arrivals.zone_routes = one.coming.pop_front().map(|(_, ways)| ways);
         }
         let mut arrivals = std::mem::take(&mut one.arrivals);
         arrivals.now = now;
         let mut log = Log::default();
-        one.module.round(&arrivals, &mut log);
+        one.module.step(&arrivals, &mut log);
         if let Some(wake) = log.wake {
             one.wake = wake;
         }
@@ -667,7 +672,7 @@
             };
             let it = |c: &&usize| self.calls[**c].part == part && self.calls[**c].number == number;
             if let Some(&call) = l.calls.iter().find(it) {
-                self.end_call(call, Ending::Withdrawn);
+                self.end_call(call, AttemptOutcome::Cancelled);
             }
         }
         for replica in log.probes {
@@ -699,7 +704,10 @@
             self.on = true;
             let lost: Vec<usize> = (0..REPLICAS).filter(|r| self.lost(r % ZONES)).collect();
             lost.iter().for_each(|&r| self.stop(r));
-            let listed = lost.iter().map(|&r| self.listed(r, Phase::Gone)).collect();
+            let listed = lost
+                .iter()
+                .map(|&r| self.listed(r, Phase::Removed))
+                .collect();
             self.tell_roster(listed);
         }
         let length = if self.trouble == Trouble::BackCold {
@@ -797,7 +805,7 @@
                 let lag = if self.policy == Policy::Truth {
                     0
                 } else {
-                    3_000 + self.chance.rand_range(0..1_000) as Tenths
+                    3_000 + self.chance.rand_range(0..1_000) as TenthMillis
                 };
                 let one = &mut self.ones[n];
                 one.coming
@@ -828,10 +836,10 @@
             for n in 0..self.ones.len() {
                 let one = &self.ones[n];
                 let arrivals = &one.arrivals;
-                let came = !(arrivals.lookups.is_empty()
-                    && arrivals.returns.is_empty()
+                let came = !(arrivals.queries.is_empty()
+                    && arrivals.results.is_empty()
                     && arrivals.probes.is_empty()
-                    && arrivals.roster.is_empty());
+                    && arrivals.membership.is_empty());
                 if came || one.wake <= self.now || !one.coming.is_empty() {
                     self.round(n);
                 }
@@ -882,7 +890,7 @@
                     sum(&all[n], |o| f64::from(o.fell))
                 )
             };
-            let mut tables: Vec<Tenths> = all[3].iter().filter_map(|o| o.table).collect();
+            let mut tables: Vec<TenthMillis> = all[3].iter().filter_map(|o| o.table).collect();
             tables.sort_unstable();
             let table = tables
                 .get(tables.len() / 2)
--- a/crates/linenthread-drill/src/fleet.rs
+++ b/crates/linenthread-drill/src/fleet.rs
@@ -4,19 +4,20 @@
 use std::collections::{BTreeMap, BinaryHeap};
 
 use linenthread_core::interface::{
-    Allowance, Arrivals, ColdStart, Deployment, Ending, FurtherCalls, Index, Layout, Listed, Phase,
-    ProbeReturn, Return, RosterNews, Tenths,
+    AttemptOutcome, AttemptResult, CoordinatorConfig, IndexConfig, Inputs, MembershipEntry,
+    MembershipUpdate, Permissions, Phase, ProbeResult, RetryBudget, ShardLayout, SlowStart,
+    TenthMillis,
 };
-use linenthread_core::{Coordinator, Writer};
+use linenthread_core::{Coordinator, DecisionSink};
 use oorandom::Rand64;
 
 /// Cells, of which each shard lies in two; a replica stands in each, and one more may come in its place.
 pub(crate) const CELLS: usize = 4;
 pub(crate) const SHARDS: usize = 12;
 pub(crate) const CALLS_A_PART: usize = 3;
-const FURTHER: FurtherCalls = FurtherCalls {
-    free: 20.0,
-    share: 0.5,
+const FURTHER: RetryBudget = RetryBudget {
+    reserve: 20.0,
+    ratio: 0.5,
     window: 100_000,
 };
 
@@ -68,15 +69,15 @@
 }
 
 impl Fate {
-    pub(crate) fn ending(self) -> Ending {
+    pub(crate) fn ending(self) -> AttemptOutcome {
         match self {
-            Fate::Answered | Fate::AnsweredTwice => Ending::Answered,
-            Fate::Unreadable | Fate::Errored => Ending::Errored,
-            Fate::TurnedAway => Ending::TurnedAway,
-            Fate::Unconnected => Ending::Unconnected,
-            Fate::Broken => Ending::Broken,
-            Fate::TimedOut => Ending::TimedOut,
-            Fate::Withdrawn => Ending::Withdrawn,
+            Fate::Answered | Fate::AnsweredTwice => AttemptOutcome::Success,
+            Fate::Unreadable | Fate::Errored => AttemptOutcome::Error,
+            Fate::TurnedAway => AttemptOutcome::Rejected,
+            Fate::Unconnected => AttemptOutcome::ConnectFailed,
+            Fate::Broken => AttemptOutcome::ConnectionLost,
+            Fate::TimedOut => AttemptOutcome::TimedOut,
+            Fate::Withdrawn => AttemptOutcome::Cancelled,
         }
     }
 }
@@ -93,14 +94,14 @@
 #[derive(Default)]
 struct Log {
     decisions: Vec<Decision>,
-    calls: Vec<(usize, usize, usize, Tenths)>,
+    calls: Vec<(usize, usize, usize, TenthMillis)>,
     withdrawn: Vec<(usize, usize, usize)>,
     probes: Vec<usize>,
-    wake: Option<Tenths>,
+    wake: Option<TenthMillis>,
 }
 
-impl Writer for Log {
-    fn call(&mut self, lookup: usize, part: usize, replica: usize, time_out: Tenths) {
+impl DecisionSink for Log {
+    fn send(&mut self, lookup: usize, part: usize, replica: usize, time_out: TenthMillis) {
         self.calls.push((lookup, part, replica, time_out));
         self.decisions.push(Decision::Call {
             lookup,
@@ -108,96 +109,96 @@
             call: 0,
         });
     }
-    fn withdraw(&mut self, lookup: usize, part: usize, call: usize) {
+    fn cancel(&mut self, lookup: usize, part: usize, call: usize) {
         self.withdrawn.push((lookup, part, call));
     }
-    fn satisfy(&mut self, lookup: usize, whole: bool) {
+    fn respond(&mut self, lookup: usize, whole: bool) {
         self.decisions.push(Decision::Satisfy { lookup, whole });
     }
-    fn nack(&mut self, lookup: usize, _: Option<Tenths>) {
+    fn reject(&mut self, lookup: usize, _: Option<TenthMillis>) {
         self.decisions.push(Decision::Nack { lookup });
     }
-    fn abort(&mut self, lookup: usize) {
+    fn fail(&mut self, lookup: usize) {
         self.decisions.push(Decision::Abort { lookup });
     }
     fn release(&mut self, lookup: usize) {
         self.decisions.push(Decision::Release { lookup });
     }
-    fn close(&mut self, _: usize) {}
+    fn close_idle(&mut self, _: usize) {}
     fn probe(&mut self, replica: usize) {
         self.probes.push(replica);
     }
-    fn watch_roster(&mut self) {}
-    fn wake_at(&mut self, at: Tenths) {
+    fn watch_membership(&mut self) {}
+    fn wake_at(&mut self, at: TenthMillis) {
         self.wake = Some(at);
     }
 }
 
 pub(crate) struct Fleet {
-    pub now: Tenths,
-    pub arrivals: Arrivals,
+    pub now: TenthMillis,
+    pub arrivals: Inputs,
     pub chance: Rand64,
     manner: Manner,
     coordinator: Coordinator,
-    events: BinaryHeap<Reverse<(Tenths, u64, Event)>>,
+    events: BinaryHeap<Reverse<(TenthMillis, u64, Event)>>,
     numbers: u64,
     /// Part calls out, each since when, and how many were made of each part.
-    out: BTreeMap<(usize, usize, usize), Tenths>,
+    out: BTreeMap<(usize, usize, usize), TenthMillis>,
     made: BTreeMap<(usize, usize), usize>,
     /// Replicas as listed, and whether each lives.
-    listed: Vec<Listed>,
+    listed: Vec<MembershipEntry>,
     lives: Vec<bool>,
 }
 
 /// Settings with these indexes.
-pub(crate) fn deployment(indexes: Vec<Index>) -> Deployment {
-    Deployment {
-        own_number: 0,
-        co_ordinators: 1,
+pub(crate) fn deployment(indexes: Vec<IndexConfig>) -> CoordinatorConfig {
+    CoordinatorConfig {
+        coordinator_number: 0,
+        coordinator_count: 1,
         indexes,
         customer_quotas: Vec::new(),
-        over_share_gain: 1.0,
-        gain_by_work: false,
-        layout: Layout {
-            cells: CELLS,
-            in_a_row: 2,
+        over_quota_value: 1.0,
+        value_by_work: false,
+        layout: ShardLayout {
+            replica_groups: CELLS,
+            replication_factor: 2,
         },
-        allowance: Allowance {
-            calls_a_part: CALLS_A_PART,
-            second_copies: true,
-            withdraw: true,
-            probes: true,
-            retry_advice: None,
+        permissions: Permissions {
+            max_attempts: CALLS_A_PART,
+            hedging: true,
+            cancellation: true,
+            health_probes: true,
+            max_retry_after: None,
         },
-        cold: ColdStart {
-            share: 0.5,
-            warm_up: 10_000,
-            multiple: 2.0,
+        slow_start: SlowStart {
+            initial_share: 0.5,
+            duration: 10_000,
+            budget_multiple: 2.0,
             window: 10_000,
         },
-        queue_told: true,
+        reports_queue: true,
         short_queues: false,
         drain_grace: 20_000,
-        further_calls: Some(FURTHER),
-        watch_roster: false,
+        retry_budget: Some(FURTHER),
+        watch_membership: false,
     }
 }
 
 impl Fleet {
-    pub(crate) fn new(indexes: Vec<Index>, seed: u64, manner: Manner) -> Fleet {
-        let entry = |n: usize| Listed {
+    pub(crate) fn new(indexes: Vec<IndexConfig>, seed: u64, manner: Manner) -> Fleet {
+        let entry = |n: usize| MembershipEntry {
             replica: n,
             id: 900 + n as u64,
-            cell: n,
-            site: n % 2,
+            replica_group: n,
+            zone: n % 2,
             phase: Phase::Ready,
-            started: None,
-            cold_share: None,
+            started_at: None,
+            slow_start_share: None,
         };
         let listed: Vec<_> = (0..CELLS).map(entry).collect();
         let mut fleet = Fleet {
             now: 36_000_000,
-            arrivals: Arrivals::default(),
+            arrivals: Inputs::default(),
             chance: Rand64::new(u128::from(seed)),
             manner,
             coordinator: Coordinator::new(deployment(indexes), seed),
@@ -210,8 +211,8 @@
         };
         fleet
             .arrivals
-            .roster
-            .push(RosterNews::Whole(fleet.listed.clone()));
+            .membership
+            .push(MembershipUpdate::Snapshot(fleet.listed.clone()));
         fleet.schedule(1, Event::Wake);
         if manner.changes {
             fleet.schedule(20_000, Event::Changes);
@@ -220,7 +221,7 @@
     }
 
     /// An event so long from now.
-    pub(crate) fn schedule(&mut self, after: Tenths, event: Event) {
+    pub(crate) fn schedule(&mut self, after: TenthMillis, event: Event) {
         self.numbers += 1;
         self.events
             .push(Reverse((self.now + after, self.numbers, event)));
@@ -241,14 +242,14 @@
                 Event::Changes => self.change(),
                 Event::Probed(replica, answers) => {
                     let ending = if answers {
-                        Ending::Answered
+                        AttemptOutcome::Success
                     } else {
-                        Ending::Unconnected
+                        AttemptOutcome::ConnectFailed
                     };
-                    self.arrivals.probes.push(ProbeReturn {
+                    self.arrivals.probes.push(ProbeResult {
                         replica,
-                        ending,
-                        queue: Some(0.0),
+                        outcome: ending,
+                        queue_depth: Some(0.0),
                     });
                 }
                 event => events.push(event),
@@ -258,16 +259,16 @@
     }
 
     /// A part call has ended: the module is told.
-    pub(crate) fn end(&mut self, lookup: usize, part: usize, call: usize, ending: Ending) {
+    pub(crate) fn end(&mut self, lookup: usize, part: usize, call: usize, ending: AttemptOutcome) {
         if let Some(sent) = self.out.remove(&(lookup, part, call)) {
             let took = self.now - sent;
-            self.arrivals.returns.push(Return {
-                lookup,
-                part,
-                call,
-                ending,
-                took,
-                queue: Some(0.0),
+            self.arrivals.results.push(AttemptResult {
+                query: lookup,
+                sub_request: part,
+                attempt: call,
+                outcome: ending,
+                elapsed: took,
+                queue_depth: Some(0.0),
             });
         }
     }
@@ -285,30 +286,30 @@
             (Phase::Ready, 0) => entry.phase = Phase::Draining,
             (Phase::Ready, 1) => {
                 // Another process in its place, cold.
-                entry.started = Some(self.now);
+                entry.started_at = Some(self.now);
                 self.lives[n] = true;
             }
             (Phase::Ready, _) => self.lives[n] = !self.lives[n],
             (_, _) => {
-                (entry.phase, entry.started) = (Phase::Ready, Some(self.now));
+                (entry.phase, entry.started_at) = (Phase::Ready, Some(self.now));
                 self.lives[n] = true;
             }
         }
-        let news = RosterNews::Changes(vec![entry.clone()]);
-        self.arrivals.roster.push(news);
-        let after = 5_000 + self.chance.rand_range(0..40_000) as Tenths;
+        let news = MembershipUpdate::Delta(vec![entry.clone()]);
+        self.arrivals.membership.push(news);
+        let after = 5_000 + self.chance.rand_range(0..40_000) as TenthMillis;
         self.schedule(after, Event::Changes);
     }
 
-    fn fate(&mut self, replica: usize) -> (Tenths, Fate) {
+    fn fate(&mut self, replica: usize) -> (TenthMillis, Fate) {
         let Manner { slow, faults, .. } = self.manner;
         if !self.lives[replica] {
             return (
-                2 + self.chance.rand_range(0..20) as Tenths,
+                2 + self.chance.rand_range(0..20) as TenthMillis,
                 Fate::Unconnected,
             );
         }
-        let usual = 10 + (400.0 * self.chance.rand_float().powi(3)) as Tenths;
+        let usual = 10 + (400.0 * self.chance.rand_float().powi(3)) as TenthMillis;
         if self.chance.rand_float() < slow {
             return (1_000_000, Fate::Answered);
         }
@@ -334,7 +335,7 @@
         self.arrivals.now = self.now;
         let arrivals = std::mem::take(&mut self.arrivals);
         let mut log = Log::default();
-        self.coordinator.round(&arrivals, &mut log);
+        self.coordinator.step(&arrivals, &mut log);
         let mut numbers = Vec::new();
         for (l, p, replica, time_out) in log.calls {
             let made = self.made.entry((l, p)).or_default();
--- a/crates/linenthread-drill/src/link.rs
+++ b/crates/linenthread-drill/src/link.rs
@@ -4,16 +4,16 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
 
-use linenthread_core::interface::{Ending, Tenths};
+use linenthread_core::interface::{AttemptOutcome, TenthMillis};
 use linenthread_link::{Call, Far, FarDo, FarTerms, Frame, Near, NearDo, NearTerms, Secrets};
 use oorandom::Rand64;
 
-const MS: Tenths = 10;
+const MS: TenthMillis = 10;
 /// Calls a schedule makes, and how long troubles go on.
-const TROUBLES: Tenths = 3_000 * MS;
+const TROUBLES: TenthMillis = 3_000 * MS;
 /// After the troubles the link must be whole again within so long.
-const RECOVERY: Tenths = 4_000 * MS;
-const END: Tenths = TROUBLES + RECOVERY + 3_000 * MS;
+const RECOVERY: TenthMillis = 4_000 * MS;
+const END: TenthMillis = TROUBLES + RECOVERY + 3_000 * MS;
 const MOST_OUT: usize = 64;
 const MOST_WAITING: u64 = 1_000;
 const WINDOW: u64 = 16;
@@ -39,7 +39,7 @@
     /// An end learns that the connection is gone.
     NearLost(u64),
     FarLost(u64),
-    Ran(u64, u64, u64, Ending, String),
+    Ran(u64, u64, u64, AttemptOutcome, String),
     Ask,
     Due(u64),
     Trouble,
@@ -50,24 +50,24 @@
     to_far: bool,
     to_near: bool,
     /// Since when frames are lost, said to nobody.
-    silent: Option<Tenths>,
+    silent: Option<TenthMillis>,
     /// When the last frame of each way arrives: they keep their order.
-    last: [Tenths; 2],
+    last: [TenthMillis; 2],
 }
 
 #[derive(Default, Debug)]
 struct Record {
     ran: usize,
-    ended: Option<Ending>,
-    made: Tenths,
-    due: Tenths,
+    ended: Option<AttemptOutcome>,
+    made: TenthMillis,
+    due: TenthMillis,
 }
 
 #[derive(Default)]
 pub(crate) struct Counts {
     /// Connections given up for silence while frames got through, and how long it took where they did not.
     false_alarms: usize,
-    detected: Vec<Tenths>,
+    detected: Vec<TenthMillis>,
     calls: usize,
     answered: usize,
     unsent: usize,
@@ -76,9 +76,9 @@
 }
 
 struct Play {
-    now: Tenths,
+    now: TenthMillis,
     chance: Rand64,
-    events: BinaryHeap<Reverse<(Tenths, u64)>>,
+    events: BinaryHeap<Reverse<(TenthMillis, u64)>>,
     what: BTreeMap<u64, Event>,
     numbers: u64,
     near: Near,
@@ -91,20 +91,20 @@
     records: BTreeMap<u64, Record>,
     /// Calls by the near side's number.
     by_number: BTreeMap<u64, u64>,
-    delay: Tenths,
+    delay: TenthMillis,
     slow: f64,
     doubled: f64,
     seeds: u64,
     breach: Option<String>,
     false_alarms: usize,
-    detected: Vec<Tenths>,
+    detected: Vec<TenthMillis>,
 }
 
 fn secrets() -> Secrets {
     Secrets::new(vec![b"a secret of the drill".to_vec()]).expect("long enough")
 }
 
-fn far(seed: u64, keep: Tenths) -> Far {
+fn far(seed: u64, keep: TenthMillis) -> Far {
     let terms = FarTerms {
         name: "far".into(),
         window: WINDOW,
@@ -132,7 +132,7 @@
         let (near_seed, far_seed) = (chance.rand_u64(), chance.rand_u64());
         let mut play = Play {
             now: 1_000 * MS,
-            delay: 1 + chance.rand_range(0..300) as Tenths,
+            delay: 1 + chance.rand_range(0..300) as TenthMillis,
             slow: chance.rand_float() * 0.05,
             doubled: chance.rand_float() * 0.02,
             chance,
@@ -158,14 +158,14 @@
         play
     }
 
-    fn schedule(&mut self, after: Tenths, event: Event) {
+    fn schedule(&mut self, after: TenthMillis, event: Event) {
         self.numbers += 1;
         self.events.push(Reverse((self.now + after, self.numbers)));
         self.what.insert(self.numbers, event);
     }
 
-    fn below(&mut self, n: Tenths) -> Tenths {
-        self.chance.rand_range(0..n.max(1) as u64) as Tenths
+    fn below(&mut self, n: TenthMillis) -> TenthMillis {
+        self.chance.rand_range(0..n.max(1) as u64) as TenthMillis
     }
 
     fn wrong(&mut self, why: String) {
@@ -173,7 +173,7 @@
     }
 
     /// How long a frame is on its way; now and then much longer.
-    fn travel(&mut self) -> Tenths {
+    fn travel(&mut self) -> TenthMillis {
         let usual = self.delay + self.below(self.delay / 2 + 1);
         if self.chance.rand_float() < self.slow {
             usual + self.below(600 * MS)
@@ -243,12 +243,12 @@
             }
         }
         let at = self.near.wake_at();
-        if at < Tenths::MAX {
+        if at < TenthMillis::MAX {
             self.schedule((at - self.now).max(1), Event::NearWake);
         }
     }
 
-    fn ended(&mut self, number: u64, ending: Ending, value: &str) {
+    fn ended(&mut self, number: u64, ending: AttemptOutcome, value: &str) {
         let Some(id) = self.by_number.get(&number).copied() else {
             return;
         };
@@ -262,7 +262,7 @@
                 "call {id} ended as {first:?} and then as {ending:?}"
             ));
         }
-        if ending == Ending::Answered && (ran != 1 || value != id.to_string()) {
+        if ending == AttemptOutcome::Success && (ran != 1 || value != id.to_string()) {
             self.wrong(format!(
                 "call {id} is answered with {value}, and ran {ran} times"
             ));
@@ -285,9 +285,9 @@
                 } => {
                     let id: u64 = call.text.parse().unwrap_or_default();
                     let ending = match self.below(12) {
-                        0 => Ending::TurnedAway,
-                        1 => Ending::Errored,
-                        _ => Ending::Answered,
+                        0 => AttemptOutcome::Rejected,
+                        1 => AttemptOutcome::Error,
+                        _ => AttemptOutcome::Success,
                     };
                     if !ending.never_ran()
                         && let Some(record) = self.records.get_mut(&id)
@@ -308,13 +308,13 @@
             }
         }
         let at = self.far.wake_at();
-        if at < Tenths::MAX {
+        if at < TenthMillis::MAX {
             self.schedule((at - self.now).max(1), Event::FarWake);
         }
     }
 
     /// Cuts the connection: at once or one way first, said to both ends, to one, or to none.
-    fn trouble(&mut self, begun: Tenths) {
+    fn trouble(&mut self, begun: TenthMillis) {
         if self.now > begun + TROUBLES {
             (self.slow, self.doubled) = (0.0, 0.0);
             return;
@@ -356,7 +356,7 @@
         }
     }
 
-    fn event(&mut self, event: Event, begun: Tenths) {
+    fn event(&mut self, event: Event, begun: TenthMillis) {
         let (now, mut near, mut far) = (self.now, Vec::new(), Vec::new());
         match event {
             Event::NearWake if self.near.wake_at() > now => return,
@@ -437,7 +437,7 @@
             Event::Due(number) => {
                 let id = self.by_number.get(&number).copied().unwrap_or_default();
                 if let Some(record) = self.records.get_mut(&id).filter(|r| r.ended.is_none()) {
-                    record.ended = Some(Ending::TimedOut);
+                    record.ended = Some(AttemptOutcome::TimedOut);
                     self.near.withdraw(number, &mut near);
                 }
             }
@@ -488,18 +488,18 @@
                     Some(format!("call {id} ended as {ending:?}, and ran"))
                 }
                 // Time enough for both ways, the queue before it and its own run.
-                Some(Ending::Unsent | Ending::Broken | Ending::TimedOut)
-                    if *made > settled && due - made > 500 * MS =>
-                {
-                    Some(format!(
-                        "call {id} ended as {ended:?} with the link whole again"
-                    ))
-                }
+                Some(
+                    AttemptOutcome::NotSent
+                    | AttemptOutcome::ConnectionLost
+                    | AttemptOutcome::TimedOut,
+                ) if *made > settled && due - made > 500 * MS => Some(format!(
+                    "call {id} ended as {ended:?} with the link whole again"
+                )),
                 _ => None,
             };
             match ended {
-                Some(Ending::Answered) => counts.answered += 1,
-                Some(Ending::TimedOut) => counts.timed_out += 1,
+                Some(AttemptOutcome::Success) => counts.answered += 1,
+                Some(AttemptOutcome::TimedOut) => counts.timed_out += 1,
                 Some(ending) if ending.never_ran() => counts.unsent += 1,
                 _ => counts.may_have += 1,
             }
--- a/crates/linenthread-drill/src/members.rs
+++ b/crates/linenthread-drill/src/members.rs
@@ -6,12 +6,12 @@
 use std::net::SocketAddr;
 use std::time::Instant;
 
-use linenthread_core::interface::Tenths;
+use linenthread_core::interface::TenthMillis;
 use linenthread_fleet::{Members, MembersDo, MembersTerms, Who};
 use linenthread_frames::Secrets;
 
-const SECOND: Tenths = 10_000;
-const STEP: Tenths = 250;
+const SECOND: TenthMillis = 10_000;
+const STEP: TenthMillis = 250;
 
 fn address(n: usize) -> SocketAddr {
     ([127, (n >> 8) as u8 + 1, n as u8, 1], 7_500).into()
@@ -26,10 +26,10 @@
 }
 
 /// A datagram on its way: when it is there, its number, to whom, and its bytes.
-type Mail = (Tenths, u64, usize, Vec<u8>);
+type Mail = (TenthMillis, u64, usize, Vec<u8>);
 
 struct Fleet {
-    now: Tenths,
+    now: TenthMillis,
     all: Vec<Option<Members>>,
     mail: BinaryHeap<Reverse<Mail>>,
     sent: u64,
@@ -72,7 +72,7 @@
         }
     }
 
-    fn until(&mut self, end: Tenths, known: usize) -> Option<Tenths> {
+    fn until(&mut self, end: TenthMillis, known: usize) -> Option<TenthMillis> {
         let began = self.now;
         while self.now < began + end {
             for _ in 0..10 {
@@ -151,7 +151,7 @@
         );
         fleet.all[count / 2] = None;
         let gone = fleet.until(120 * SECOND, count - 2);
-        let time = |t: Option<Tenths>| {
+        let time = |t: Option<TenthMillis>| {
             t.map_or("never".into(), |t| {
                 format!("{:.1} s", t as f64 / SECOND as f64)
             })
--- a/crates/linenthread-drill/src/merged.rs
+++ b/crates/linenthread-drill/src/merged.rs
@@ -3,7 +3,9 @@
 
 use std::collections::BTreeMap;
 
-use linenthread_core::interface::{Effect, Ending, Index, NewLookup, NewPart, Tenths};
+use linenthread_core::interface::{
+    AttemptOutcome, Idempotency, IndexConfig, NewQuery, NewSubRequest, TenthMillis,
+};
 use linenthread_merge::{
     Asked, Figure, First, Form, Groups, Kind, Marks, Measure, Merge, Order, PageWish, Plan, Rows,
     Taken,
@@ -17,8 +19,8 @@
 
 /// Clients at once, each with rows of its own.
 const CLIENTS: usize = 6;
-const SOFT: Tenths = 4_000;
-const HARD: Tenths = 9_000;
+const SOFT: TenthMillis = 4_000;
+const HARD: TenthMillis = 9_000;
 /// Groups told by themselves at the most.
 const MOST_GROUPS: usize = 3;
 /// Breaches that are printed.
@@ -85,16 +87,16 @@
 }
 
 /// Totals are whole for the module from less than all parts on: their answer must not say so.
-fn index(floor: f64, need: f64) -> Index {
-    Index {
-        effect: Effect::Idempotent,
+fn index(floor: f64, need: f64) -> IndexConfig {
+    IndexConfig {
+        idempotency: Idempotency::Idempotent,
         soft_deadline: SOFT,
-        gain: 1.0,
-        late_share: 0.1,
-        need,
-        floor,
-        partial_gain: 0.9,
-        second_step: 0,
+        value: 1.0,
+        late_value_share: 0.1,
+        complete_share: need,
+        min_share: floor,
+        partial_value: 0.9,
+        fetch_sub_requests: 0,
     }
 }
 
@@ -103,7 +105,7 @@
     merge: Merge<'p>,
     client: usize,
     limit: usize,
-    hard: Tenths,
+    hard: TenthMillis,
     answered: bool,
     calls: BTreeMap<usize, usize>,
     /// The round of each part call, and what it asked.
@@ -195,7 +197,7 @@
             free: Vec::new(),
             indices: 0,
         };
-        (0..CLIENTS).for_each(|c| play.fleet.schedule(1 + c as Tenths, Event::Client(c)));
+        (0..CLIENTS).for_each(|c| play.fleet.schedule(1 + c as TenthMillis, Event::Client(c)));
         while play.counts.asked < self.lookups || !play.open.is_empty() {
             play.step();
         }
@@ -316,23 +318,23 @@
             }
         };
         let hard = self.fleet.now + HARD;
-        let new = NewLookup {
-            lookup,
+        let new = NewQuery {
+            query: lookup,
             index: client.plan,
             customer: 0,
             key: Some(c as u64),
-            number: lookup as u64,
+            sequence_number: lookup as u64,
             hard_deadline: hard,
         };
-        self.fleet.arrivals.lookups.push(new);
-        let part = |&(shard, weight): &(usize, f64)| NewPart {
-            lookup,
+        self.fleet.arrivals.queries.push(new);
+        let part = |&(shard, weight): &(usize, f64)| NewSubRequest {
+            query: lookup,
             shard,
             weight,
         };
         self.fleet
             .arrivals
-            .parts
+            .sub_requests
             .extend(client.asked.iter().map(part));
         let (calls, rounds) = (BTreeMap::new(), BTreeMap::new());
         let open = Open {
@@ -366,11 +368,11 @@
                     &good
                 };
                 match open.merge.take(p, round, value) {
-                    Taken::In | Taken::Again { .. } => ending = Ending::Answered,
+                    Taken::In | Taken::Again { .. } => ending = AttemptOutcome::Success,
                     Taken::Unreadable(why) if fate != Fate::Unreadable => {
                         wrong = Some(format!("a good value is not read: {why}: {value}"));
                     }
-                    Taken::Unreadable(_) => ending = Ending::Errored,
+                    Taken::Unreadable(_) => ending = AttemptOutcome::Error,
                 }
                 // A second copy, with other words: it must count for nothing.
                 if fate == Fate::AnsweredTwice && wrong.is_none() {
@@ -387,7 +389,7 @@
         self.counts.onward += onward.len();
         self.fleet
             .arrivals
-            .onward
+            .continuations
             .extend(onward.iter().map(|&p| (l, p)));
         self.fleet.end(l, p, c, ending);
         if let Some(why) = wrong {
@@ -427,7 +429,7 @@
         };
         let late = std::mem::replace(&mut open.answered, true) || now > open.hard;
         let c = open.client;
-        let pause = 1 + self.fleet.chance.rand_range(0..100) as Tenths;
+        let pause = 1 + self.fleet.chance.rand_range(0..100) as TenthMillis;
         self.fleet.schedule(pause, Event::Client(c));
         if late {
             self.breach(lookup, "answered late or a second time");
--- a/crates/linenthread-drill/src/merging_speed.rs
+++ b/crates/linenthread-drill/src/merging_speed.rs
@@ -4,7 +4,7 @@
 use std::time::Instant;
 
 use linenthread_merge::{Asked, Form, Kind, Marks, Merge, Order, PageWish, Plan, Rows, Taken};
-use linenthread_protocol::lookup::answer;
+use linenthread_protocol::query::encode_response;
 use oorandom::Rand64;
 use serde_json::{Value, json};
 
@@ -127,7 +127,7 @@
         merged.push(begin.elapsed().as_secs_f64() * 1e6 / f64::from(TIMES));
         let begin = Instant::now();
         for _ in 0..TIMES {
-            black_box(answer(
+            black_box(encode_response(
                 true,
                 values.iter().enumerate().map(|(s, v)| (s, v.as_str())),
             ));
--- a/crates/linenthread-drill/src/record.rs
+++ b/crates/linenthread-drill/src/record.rs
@@ -7,7 +7,7 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-use linenthread_core::interface::Tenths;
+use linenthread_core::interface::TenthMillis;
 use linenthread_fleet::{Agreed, Fleet, FleetDo, FleetTerms, Stage, Who};
 use linenthread_frames::Secrets;
 use linenthread_store::Model;
@@ -15,10 +15,10 @@
 
 type Disk = Rc<RefCell<Model>>;
 
-const SECOND: Tenths = 10_000;
+const SECOND: TenthMillis = 10_000;
 /// Troubles come for so long, then all is mended, and within so long all must be one again.
-const TROUBLES: Tenths = 40 * SECOND;
-const MENDED_WITHIN: Tenths = 25 * SECOND;
+const TROUBLES: TenthMillis = 40 * SECOND;
+const MENDED_WITHIN: TenthMillis = 25 * SECOND;
 const TOPICS: [&str; 2] = ["table", "orders"];
 
 #[derive(Clone, Debug)]
@@ -61,7 +61,7 @@
 /// A connection: at each side which process and under which number; bytes arrive in their order.
 struct Wire {
     ends: [(usize, u64); 2],
-    last: [Tenths; 2],
+    last: [TenthMillis; 2],
     /// What goes that way is lost from now on: it was sent into a cut.
     dead: [bool; 2],
     open: bool,
@@ -71,21 +71,21 @@
     fleet: Option<Fleet<Disk>>,
     disk: Disk,
     rate: f64,
-    offset: Tenths,
+    offset: TenthMillis,
     /// It is stopped, and what comes waits.
     paused: bool,
     waits: Vec<Event>,
     wake: u64,
-    woken_at: Tenths,
+    woken_at: TenthMillis,
     starts: u64,
     /// Its self before its disk was lost, where it had taken part.
     former: Option<u64>,
 }
 
 struct World {
-    now: Tenths,
+    now: TenthMillis,
     chance: Rand64,
-    events: BinaryHeap<Reverse<(Tenths, u64, Event)>>,
+    events: BinaryHeap<Reverse<(TenthMillis, u64, Event)>>,
     numbers: u64,
     wires: BTreeMap<u64, Wire>,
     at: BTreeMap<(usize, u64), u64>,
@@ -94,7 +94,7 @@
     /// Ways that are cut.
     cut: BTreeSet<(usize, usize)>,
     loss: f64,
-    slow: Tenths,
+    slow: TenthMillis,
     seed: u64,
     // What is true.
     agreed: BTreeMap<(String, u64), Vec<u8>>,
@@ -108,7 +108,7 @@
     pub agreed: u64,
     pub leaders: u64,
     pub replaced: u64,
-    pub whole_after: Tenths,
+    pub whole_after: TenthMillis,
 }
 
 fn name(at: usize) -> String {
@@ -132,11 +132,11 @@
             fleet: None,
             disk: Rc::default(),
             rate: 0.95 + 0.1 * chance.rand_float(),
-            offset: chance.rand_range(1_000_000..9_000_000) as Tenths,
+            offset: chance.rand_range(1_000_000..9_000_000) as TenthMillis,
             paused: false,
             waits: Vec::new(),
             wake: 0,
-            woken_at: Tenths::MAX,
+            woken_at: TenthMillis::MAX,
             starts: 0,
             former: None,
         };
@@ -169,24 +169,24 @@
         ));
     }
 
-    fn after(&mut self, wait: Tenths, event: Event) {
+    fn after(&mut self, wait: TenthMillis, event: Event) {
         self.numbers += 1;
         self.events
             .push(Reverse((self.now + wait.max(0), self.numbers, event)));
     }
 
-    fn local(&self, at: usize) -> Tenths {
+    fn local(&self, at: usize) -> TenthMillis {
         let process = &self.processes[at];
-        process.offset + (self.now as f64 * process.rate) as Tenths
+        process.offset + (self.now as f64 * process.rate) as TenthMillis
     }
 
     /// How long a way takes now.
-    fn way(&mut self) -> Tenths {
-        let usual = 5 + self.chance.rand_range(0..20) as Tenths;
+    fn way(&mut self) -> TenthMillis {
+        let usual = 5 + self.chance.rand_range(0..20) as TenthMillis;
         let slow = self.slow.max(1) as u64;
         usual
             + if self.slow > 0 {
-                self.chance.rand_range(0..slow) as Tenths
+                self.chance.rand_range(0..slow) as TenthMillis
             } else {
                 0
             }
@@ -234,7 +234,7 @@
             .filter(|v| v.stage() == Stage::Holding)
             .and_then(linenthread_fleet::Voter::life);
         drop(fleet);
-        (process.paused, process.woken_at) = (false, Tenths::MAX);
+        (process.paused, process.woken_at) = (false, TenthMillis::MAX);
         process.waits.clear();
         if with_disk {
             process.disk = Rc::default();
@@ -370,8 +370,8 @@
         };
         let wake = fleet.wake_at();
         let process = &mut self.processes[at];
-        let when =
-            (((wake - process.offset) as f64 / process.rate).ceil() as Tenths).max(self.now + 1);
+        let when = (((wake - process.offset) as f64 / process.rate).ceil() as TenthMillis)
+            .max(self.now + 1);
         if when < process.woken_at || process.woken_at <= self.now {
             process.woken_at = when;
             process.wake += 1;
@@ -380,7 +380,11 @@
         }
     }
 
-    fn tell(&mut self, at: usize, call: impl FnOnce(&mut Fleet<Disk>, Tenths, &mut Vec<FleetDo>)) {
+    fn tell(
+        &mut self,
+        at: usize,
+        call: impl FnOnce(&mut Fleet<Disk>, TenthMillis, &mut Vec<FleetDo>),
+    ) {
         let now = self.local(at);
         let mut to = Vec::new();
         if let Some(fleet) = &mut self.processes[at].fleet {
@@ -428,7 +432,7 @@
         match event {
             Event::Wake(at, number) => {
                 if self.processes[at].wake == number {
-                    self.processes[at].woken_at = Tenths::MAX;
+                    self.processes[at].woken_at = TenthMillis::MAX;
                     self.tell(at, linenthread_fleet::Fleet::wake);
                 }
             }
@@ -509,7 +513,7 @@
             Event::Restart => {
                 let at = self.chance.rand_range(0..self.processes.len() as u64) as usize;
                 self.crash(at, false);
-                let wait = self.chance.rand_range(10..500) as Tenths;
+                let wait = self.chance.rand_range(10..500) as TenthMillis;
                 self.after(wait, Event::Start(at));
             }
             Event::Heal => self.cut.clear(),
@@ -524,7 +528,7 @@
             return;
         }
         self.processes[at].paused = false;
-        self.processes[at].woken_at = Tenths::MAX;
+        self.processes[at].woken_at = TenthMillis::MAX;
         let mut waits = std::mem::take(&mut self.processes[at].waits);
         // Which of its own timers or its sockets it looks at first is for chance.
         if self.chance.rand_range(0..2) == 0 {
@@ -551,7 +555,7 @@
                 fleet.propose(now, topic, number, value, to).ok();
             });
         }
-        let wait = 500 + self.chance.rand_range(0..2_000) as Tenths;
+        let wait = 500 + self.chance.rand_range(0..2_000) as TenthMillis;
         self.after(wait, Event::Propose);
     }
 
@@ -570,7 +574,7 @@
     fn trouble(&mut self) {
         let count = self.processes.len();
         let at = self.chance.rand_range(0..count as u64) as usize;
-        let long = |chance: &mut Rand64| chance.rand_range(1_000..80_000) as Tenths;
+        let long = |chance: &mut Rand64| chance.rand_range(1_000..80_000) as TenthMillis;
         match self.chance.rand_range(0..14) {
             0..3 => {
                 let disk = self.chance.rand_range(0..3) == 0
@@ -614,7 +618,7 @@
                 self.cut.extend([(at, b), (b, at)]);
                 let wait = long(&mut self.chance);
                 self.after(wait, Event::Heal);
-                let wait = self.chance.rand_range(5_000..30_000) as Tenths;
+                let wait = self.chance.rand_range(5_000..30_000) as TenthMillis;
                 self.after(wait, Event::Restart);
             }
             13 => self.happen(Event::Restart),
@@ -628,14 +632,14 @@
             }
             _ => {
                 self.loss = self.chance.rand_float() * 0.3;
-                self.slow = self.chance.rand_range(0..3_000) as Tenths;
+                self.slow = self.chance.rand_range(0..3_000) as TenthMillis;
             }
         }
-        let wait = self.chance.rand_range(500..40_000) as Tenths;
+        let wait = self.chance.rand_range(500..40_000) as TenthMillis;
         self.after(wait, Event::Trouble);
     }
 
-    fn run_until(&mut self, end: Tenths, mut stop: impl FnMut(&World) -> bool) -> bool {
+    fn run_until(&mut self, end: TenthMillis, mut stop: impl FnMut(&World) -> bool) -> bool {
         let mut looked = self.now;
         while let Some(Reverse((at, _, event))) = self.events.pop() {
             if at > end {
@@ -736,12 +740,12 @@
 
     fn play(mut self) -> (Vec<String>, Counts) {
         for at in 0..self.processes.len() {
-            let wait = self.chance.rand_range(0..20_000) as Tenths;
+            let wait = self.chance.rand_range(0..20_000) as TenthMillis;
             self.after(wait, Event::Start(at));
         }
         self.after(SECOND, Event::Propose);
         // Troubles may come while it is founded.
-        let first = self.chance.rand_range(0..100_000) as Tenths;
+        let first = self.chance.rand_range(0..100_000) as TenthMillis;
         self.after(first, Event::Trouble);
         self.run_until(TROUBLES, |_| false);
         self.mend();
@@ -797,7 +801,7 @@
             .take(20)
             .for_each(|why| println!("breach: {why}"));
         let sum = |of: fn(&Counts) -> u64| all.iter().map(|(_, c)| of(c)).sum::<u64>();
-        let mut whole: Vec<Tenths> = all.iter().map(|(_, c)| c.whole_after - SECOND).collect();
+        let mut whole: Vec<TenthMillis> = all.iter().map(|(_, c)| c.whole_after - SECOND).collect();
         whole.sort_unstable();
         let at = |share: usize| {
             whole
--- a/crates/linenthread-drill/src/zones.rs
+++ b/crates/linenthread-drill/src/zones.rs
@@ -3,14 +3,14 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use linenthread_core::interface::{Ending, Tenths};
+use linenthread_core::interface::{AttemptOutcome, TenthMillis};
 use linenthread_zones::{
     ALL, Decider, Ground, Pattern, Reason, Report, Table, Terms, Watch, Zone, loads,
 };
 use oorandom::Rand64;
 
-const SECOND: Tenths = 10_000;
-const STEP: Tenths = 5_000;
+const SECOND: TenthMillis = 10_000;
+const STEP: TenthMillis = 5_000;
 
 #[derive(Clone, Debug)]
 pub(crate) struct Drill {
@@ -35,7 +35,7 @@
 }
 
 struct World {
-    now: Tenths,
+    now: TenthMillis,
     seed: u64,
     chance: Rand64,
     ground: Ground,
@@ -45,7 +45,7 @@
     service_ms: f64,
     watches: Vec<(usize, Watch)>,
     /// By co-ordinator: the tables on their way to it, and the one it acts on.
-    coming: Vec<Vec<(Tenths, Table)>>,
+    coming: Vec<Vec<(TenthMillis, Table)>>,
     acts: Vec<Table>,
     record: Option<Table>,
     decider: Decider,
@@ -57,7 +57,7 @@
     openings: u32,
     leaders: u32,
     tables: u32,
-    left_at: Option<Tenths>,
+    left_at: Option<TenthMillis>,
 }
 
 fn terms() -> Terms {
@@ -224,16 +224,16 @@
                 let took = self.service_ms * queue * if slow { 6.0 } else { 1.0 };
                 for _ in 0..ended {
                     let ending = match self.chance.rand_float() < fails {
-                        true => [Ending::Broken, Ending::TimedOut]
+                        true => [AttemptOutcome::ConnectionLost, AttemptOutcome::TimedOut]
                             [self.chance.rand_range(0..2) as usize],
-                        false => Ending::Answered,
+                        false => AttemptOutcome::Success,
                     };
                     let took = took * (0.5 + self.chance.rand_float()) * 10.0;
                     let replica =
                         100 * to + self.chance.rand_range(0..replicas[to].into()) as usize;
                     self.watches[n]
                         .1
-                        .ended(to as u8, replica, ending, took as Tenths);
+                        .ended(to as u8, replica, ending, took as TenthMillis);
                 }
             }
         }
@@ -326,7 +326,7 @@
             for n in 0..self.watches.len() {
                 let cut_off = self.trouble == Trouble::ZoneLost(self.watches[n].0) && self.on;
                 if !cut_off {
-                    let lag = self.chance.rand_range(0..9_000) as Tenths;
+                    let lag = self.chance.rand_range(0..9_000) as TenthMillis;
                     let at = self.coming[n]
                         .last()
                         .map_or(0, |(at, _)| *at)
@@ -421,7 +421,7 @@
         }
     }
 
-    fn play(mut self) -> (Vec<String>, Option<Tenths>, u32) {
+    fn play(mut self) -> (Vec<String>, Option<TenthMillis>, u32) {
         for _ in 0..40 {
             self.step();
         }
@@ -523,7 +523,7 @@
             .iter()
             .take(20)
             .for_each(|why| println!("breach: {why}"));
-        let mut left: Vec<Tenths> = all.iter().filter_map(|(_, left, _)| *left).collect();
+        let mut left: Vec<TenthMillis> = all.iter().filter_map(|(_, left, _)| *left).collect();
         left.sort_unstable();
         let at = |share: usize| {
             left.get(left.len() * share / 100)
--- a/crates/linenthread-fleet/src/dials.rs
+++ b/crates/linenthread-fleet/src/dials.rs
@@ -3,23 +3,23 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-use linenthread_core::interface::Tenths;
+use linenthread_core::interface::TenthMillis;
 use oorandom::Rand64;
 
 /// The first wait after a loss, and the longest: each is twice the one before, and half of it by chance, so that
 /// those who lost one process don't all come back to it at once.
-const FIRST: Tenths = 1_000;
-const LONGEST: Tenths = 50_000;
+const FIRST: TenthMillis = 1_000;
+const LONGEST: TenthMillis = 50_000;
 /// A connection that lasted so long begins the waits anew.
-const LASTED: Tenths = 50_000;
+const LASTED: TenthMillis = 50_000;
 
 #[derive(Clone, Debug)]
 struct Dial {
     address: SocketAddr,
     failures: u32,
-    next: Tenths,
+    next: TenthMillis,
     /// The connection that is being made or open, since when.
-    on: Option<(u64, Tenths)>,
+    on: Option<(u64, TenthMillis)>,
 }
 
 /// The processes that are dialled from here.
@@ -38,11 +38,11 @@
         to: impl Iterator<Item = (String, SocketAddr)>,
         one_is_enough: bool,
         seed: u64,
-        now: Tenths,
+        now: TenthMillis,
     ) -> Dials {
         let mut chance = Rand64::new(u128::from(seed));
         let mut begin = |address| {
-            let next = now + (chance.rand_float() * FIRST as f64) as Tenths;
+            let next = now + (chance.rand_float() * FIRST as f64) as TenthMillis;
             Dial {
                 address,
                 failures: 0,
@@ -85,18 +85,18 @@
         self.one_is_enough
     }
 
-    pub(crate) fn wake_at(&self) -> Tenths {
+    pub(crate) fn wake_at(&self) -> TenthMillis {
         let waits = self
             .all
             .iter()
             .filter(|(name, d)| d.on.is_none() && self.is_wanted(name));
-        waits.map(|(_, d)| d.next).min().unwrap_or(Tenths::MAX)
+        waits.map(|(_, d)| d.next).min().unwrap_or(TenthMillis::MAX)
     }
 
     /// Those to be dialled now.
     pub(crate) fn due(
         &mut self,
-        now: Tenths,
+        now: TenthMillis,
         mut number: impl FnMut() -> u64,
     ) -> Vec<(u64, String, SocketAddr)> {
         let wanted: Vec<String> = self
@@ -121,7 +121,7 @@
     }
 
     /// A connection came to nothing or has ended.
-    pub(crate) fn lost(&mut self, now: Tenths, connection: u64) {
+    pub(crate) fn lost(&mut self, now: TenthMillis, connection: u64) {
         let lost = self
             .all
             .values_mut()
@@ -137,7 +137,7 @@
             (dial.failures + 1).min(16)
         };
         let wait = (FIRST << (dial.failures - 1).min(10)).min(LONGEST);
-        dial.next = now + wait / 2 + (self.chance.rand_float() * wait as f64 / 2.0) as Tenths;
+        dial.next = now + wait / 2 + (self.chance.rand_float() * wait as f64 / 2.0) as TenthMillis;
         self.choose();
     }
 }
--- a/crates/linenthread-fleet/src/fleet.rs
+++ b/crates/linenthread-fleet/src/fleet.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-use linenthread_core::interface::Tenths;
+use linenthread_core::interface::TenthMillis;
 use linenthread_frames::{Nonce, Secrets};
 use linenthread_store::Files;
 use oorandom::Rand64;
@@ -16,9 +16,9 @@
 use crate::who::Who;
 
 /// A connection must prove itself within so long, and say something at least this often.
-const GREETING: Tenths = 20_000;
-const SILENCE: Tenths = 50_000;
-const PING: Tenths = 10_000;
+const GREETING: TenthMillis = 20_000;
+const SILENCE: TenthMillis = 50_000;
+const PING: TenthMillis = 10_000;
 /// Connections at once: a fleet's members at the most, and some that are being proven.
 const MOST_CONNECTIONS: usize = 1_280;
 
@@ -30,7 +30,7 @@
     pub voters: Vec<(String, SocketAddr)>,
     /// About how many members there are.
     pub expected: u32,
-    pub probe: Tenths,
+    pub probe: TenthMillis,
 }
 
 #[derive(Clone, Debug, PartialEq)]
@@ -89,9 +89,9 @@
 struct Connection {
     talk: Talk,
     read: Vec<u8>,
-    began: Tenths,
-    heard: Tenths,
-    pinged: Tenths,
+    began: TenthMillis,
+    heard: TenthMillis,
+    pinged: TenthMillis,
 }
 
 pub struct Fleet<F: Files> {
@@ -122,7 +122,7 @@
         files: Option<F>,
         secrets: Secrets,
         seed: u64,
-        now: Tenths,
+        now: TenthMillis,
         to: &mut Vec<FleetDo>,
     ) -> Result<Fleet<F>, String> {
         let mut chance = Rand64::new(u128::from(seed));
@@ -169,7 +169,7 @@
     pub fn take_part(
         &mut self,
         files: F,
-        now: Tenths,
+        now: TenthMillis,
         to: &mut Vec<FleetDo>,
     ) -> Result<(), String> {
         let voters = self.voters.iter().map(|(name, _)| name.clone()).collect();
@@ -190,7 +190,7 @@
 
     /// Whom this process connects to: as a voter to those after it by name, so that each pair of voters has one
     /// connection; else to any one voter.
-    fn dial(&mut self, now: Tenths) {
+    fn dial(&mut self, now: TenthMillis) {
         let own = self.own.clone();
         let stopped = self.is_stopped();
         let votes = self.voter.is_some() && !stopped;
@@ -221,7 +221,7 @@
     }
 
     /// Whether this process leads, and nobody else does at this moment.
-    pub fn leads(&self, now: Tenths) -> bool {
+    pub fn leads(&self, now: TenthMillis) -> bool {
         self.voter.as_ref().is_some_and(|v| v.leads(now))
     }
 
@@ -243,12 +243,12 @@
         }
     }
 
-    pub fn wake_at(&self) -> Tenths {
-        let voter = self.voter.as_ref().map_or(Tenths::MAX, Voter::wake_at);
+    pub fn wake_at(&self) -> TenthMillis {
+        let voter = self.voter.as_ref().map_or(TenthMillis::MAX, Voter::wake_at);
         let beats = |c: &Connection| match c.talk {
             Talk::Open { .. } => (c.heard + SILENCE).min(c.pinged + PING),
             // Its end is on its way; nothing more falls due.
-            Talk::Ended => Tenths::MAX,
+            Talk::Ended => TenthMillis::MAX,
             _ => c.began + GREETING,
         };
         let connection = self
@@ -256,7 +256,7 @@
             .values()
             .map(beats)
             .min()
-            .unwrap_or(Tenths::MAX);
+            .unwrap_or(TenthMillis::MAX);
         voter
             .min(connection)
             .min(self.dials.wake_at())
@@ -264,7 +264,7 @@
     }
 
     /// Does all that fell due.
-    pub fn wake(&mut self, now: Tenths, to: &mut Vec<FleetDo>) {
+    pub fn wake(&mut self, now: TenthMillis, to: &mut Vec<FleetDo>) {
         let mut said = Vec::new();
         if let Some(voter) = &mut self.voter
             && now >= voter.wake_at()
@@ -312,7 +312,7 @@
             .for_each(|(number, why)| self.close(number, why, to));
     }
 
-    fn begin(&mut self, now: Tenths, number: u64, talk: Talk) {
+    fn begin(&mut self, now: TenthMillis, number: u64, talk: Talk) {
         let connection = Connection {
             talk,
             read: Vec::new(),
@@ -331,7 +331,7 @@
     }
 
     /// A connection came in: its number, or `None` where there is no room for it.
-    pub fn accepted(&mut self, now: Tenths, to: &mut Vec<FleetDo>) -> Option<u64> {
+    pub fn accepted(&mut self, now: TenthMillis, to: &mut Vec<FleetDo>) -> Option<u64> {
         if self.connections.len() >= MOST_CONNECTIONS {
             return None;
         }
@@ -353,7 +353,7 @@
     }
 
     /// A connection has ended, or could not be made.
-    pub fn lost(&mut self, now: Tenths, number: u64, to: &mut Vec<FleetDo>) {
+    pub fn lost(&mut self, now: TenthMillis, number: u64, to: &mut Vec<FleetDo>) {
         self.dials.lost(now, number);
         let Some(connection) = self.connections.remove(&number) else {
             return;
@@ -391,7 +391,7 @@
     }
 
     /// Bytes came over a connection.
-    pub fn received(&mut self, now: Tenths, number: u64, bytes: &[u8], to: &mut Vec<FleetDo>) {
+    pub fn received(&mut self, now: TenthMillis, number: u64, bytes: &[u8], to: &mut Vec<FleetDo>) {
         let Some(connection) = self.connections.get_mut(&number) else {
             return;
         };
@@ -431,7 +431,7 @@
     }
 
     /// Takes one frame in.
-    fn take(&mut self, now: Tenths, number: u64, frame: Frame, to: &mut Vec<FleetDo>) {
+    fn take(&mut self, now: TenthMillis, number: u64, frame: Frame, to: &mut Vec<FleetDo>) {
         let Some(connection) = self.connections.get_mut(&number) else {
             return;
         };
@@ -624,7 +624,7 @@
     }
 
     /// A datagram came. One that is of no use changes nothing, and is counted.
-    pub fn datagram(&mut self, now: Tenths, bytes: &[u8], to: &mut Vec<FleetDo>) {
+    pub fn datagram(&mut self, now: TenthMillis, bytes: &[u8], to: &mut Vec<FleetDo>) {
         let mut said = Vec::new();
         if self.members.received(now, bytes, &mut said).is_err() {
             self.refused += 1;
@@ -668,7 +668,7 @@
     /// See [`Voter::propose`].
     pub fn propose(
         &mut self,
-        now: Tenths,
+        now: TenthMillis,
         topic: &str,
         based_on: u64,
         value: Vec<u8>,
@@ -684,7 +684,7 @@
     }
 
     /// Leaves for good.
-    pub fn leave(&mut self, now: Tenths, to: &mut Vec<FleetDo>) {
+    pub fn leave(&mut self, now: TenthMillis, to: &mut Vec<FleetDo>) {
         let mut said = Vec::new();
         self.members.leave(now, &mut said);
         self.carry_members(said, to);
@@ -736,7 +736,7 @@
     }
 
     /// As [`Fleet::carry`]; and a voter whose disk has failed meanwhile follows from now on.
-    fn carry_voter(&mut self, said: Vec<VoterDo>, now: Tenths, to: &mut Vec<FleetDo>) {
+    fn carry_voter(&mut self, said: Vec<VoterDo>, now: TenthMillis, to: &mut Vec<FleetDo>) {
         if said.is_empty() {
             return;
         }
--- a/crates/linenthread-fleet/src/members.rs
+++ b/crates/linenthread-fleet/src/members.rs
@@ -8,7 +8,7 @@
 
 use bytes::{Buf, BufMut};
 use foca::{Foca, Header, Message, Notification, PeriodicParams, State, Timer};
-use linenthread_core::interface::Tenths;
+use linenthread_core::interface::TenthMillis;
 use linenthread_frames::{Put, Secrets, Side, Take};
 use oorandom::Rand64;
 use rand::rand_core::{Infallible, TryRng};
@@ -22,9 +22,9 @@
 /// Names that are ever heard of, gone ones included; further ones are not taken.
 const MOST_NAMES: usize = 4_096;
 /// So often one is asked for all others, and half as much again by chance: while nobody is known, and else.
-const JOIN: Tenths = 10_000;
-const SEEK: Tenths = 40_000;
-const JOIN_SOON: Tenths = 500;
+const JOIN: TenthMillis = 10_000;
+const SEEK: TenthMillis = 40_000;
+const JOIN_SOON: TenthMillis = 500;
 
 /// How the fleet is watched.
 #[derive(Clone, Debug)]
@@ -35,7 +35,7 @@
     /// About how many members there are: it sets how long a suspicion lasts.
     pub expected: u32,
     /// How often one member by chance is asked for a sign of life.
-    pub probe: Tenths,
+    pub probe: TenthMillis,
 }
 
 #[derive(Clone, Debug, PartialEq)]
@@ -255,20 +255,20 @@
     secrets: Secrets,
     ask: Vec<(String, SocketAddr)>,
     chance: Rand64,
-    due: BinaryHeap<Reverse<(Tenths, u64)>>,
+    due: BinaryHeap<Reverse<(TenthMillis, u64)>>,
     timers: BTreeMap<u64, Timer<Who>>,
     numbers: u64,
     alive: BTreeMap<String, Who>,
-    join_at: Tenths,
+    join_at: TenthMillis,
     left: bool,
 }
 
-fn span(tenths: Tenths) -> Duration {
+fn span(tenths: TenthMillis) -> Duration {
     Duration::from_micros(tenths.max(1) as u64 * 100)
 }
 
 impl Members {
-    pub fn new(terms: MembersTerms, secrets: Secrets, seed: u64, now: Tenths) -> Members {
+    pub fn new(terms: MembersTerms, secrets: Secrets, seed: u64, now: TenthMillis) -> Members {
         let expected = NonZeroU32::new(terms.expected.max(2)).unwrap_or(NonZeroU32::MIN);
         let mut config = foca::Config::new_lan(expected);
         let slower = terms.probe as f64 / 10_000.0;
@@ -290,7 +290,7 @@
             Chance(Rand64::new(chance.rand_u64().into())),
             Words(BTreeSet::new()),
         );
-        let join_at = now + (chance.rand_float() * JOIN_SOON as f64) as Tenths;
+        let join_at = now + (chance.rand_float() * JOIN_SOON as f64) as TenthMillis;
         let own = foca.identity().name.clone();
         let ask = terms
             .ask
@@ -320,16 +320,20 @@
         self.foca.identity()
     }
 
-    pub fn wake_at(&self) -> Tenths {
-        let timer = self.due.peek().map_or(Tenths::MAX, |Reverse((at, _))| *at);
+    pub fn wake_at(&self) -> TenthMillis {
+        let timer = self
+            .due
+            .peek()
+            .map_or(TenthMillis::MAX, |Reverse((at, _))| *at);
         timer.min(self.join_at)
     }
 
     /// Does what fell due.
-    pub fn wake(&mut self, now: Tenths, to: &mut Vec<MembersDo>) {
+    pub fn wake(&mut self, now: TenthMillis, to: &mut Vec<MembersDo>) {
         if self.join_at <= now {
             let wait = if self.alive.is_empty() { JOIN } else { SEEK };
-            self.join_at = now + wait + (self.chance.rand_float() * wait as f64 / 2.0) as Tenths;
+            self.join_at =
+                now + wait + (self.chance.rand_float() * wait as f64 / 2.0) as TenthMillis;
             if !self.left
                 && let Some(stranger) = self.pick()
             {
@@ -379,7 +383,7 @@
     /// Why it was not taken.
     pub fn received(
         &mut self,
-        now: Tenths,
+        now: TenthMillis,
         datagram: &[u8],
         to: &mut Vec<MembersDo>,
     ) -> Result<(), String> {
@@ -405,7 +409,7 @@
     }
 
     /// Leaves for good: the others are told, and need not find out.
-    pub fn leave(&mut self, now: Tenths, to: &mut Vec<MembersDo>) {
+    pub fn leave(&mut self, now: TenthMillis, to: &mut Vec<MembersDo>) {
         if !self.left {
             self.run(now, to, |foca, wants| foca.leave_cluster(wants));
             self.left = true;
@@ -414,7 +418,7 @@
 
     fn run(
         &mut self,
-        now: Tenths,
+        now: TenthMillis,
         to: &mut Vec<MembersDo>,
         call: impl FnOnce(
             &mut Foca<Who, Words, Chance, foca::NoCustomBroadcast>,
@@ -431,7 +435,7 @@
         }
         for (after, timer) in wants.timers {
             self.numbers += 1;
-            let at = now + (after.as_micros() / 100).max(1) as Tenths;
+            let at = now + (after.as_micros() / 100).max(1) as TenthMillis;
             self.timers.insert(self.numbers, timer);
             self.due.push(Reverse((at, self.numbers)));
         }
--- a/crates/linenthread-fleet/src/voter.rs
+++ b/crates/linenthread-fleet/src/voter.rs
@@ -13,7 +13,7 @@
 
 use std::collections::{BTreeMap, VecDeque};
 
-use linenthread_core::interface::Tenths;
+use linenthread_core::interface::TenthMillis;
 use linenthread_frames::{Put, Take};
 use linenthread_store::{Files, Trouble};
 use oorandom::Rand64;
@@ -28,18 +28,18 @@
 use crate::keep::Keep;
 
 /// The record's own time: this many tenths of a millisecond.
-const TICK: Tenths = 500;
+const TICK: TenthMillis = 500;
 /// An election begins after so many ticks without a word from who leads, and up to as many more.
 const ELECTION: usize = 20;
 const HEARTBEAT: usize = 4;
 /// How long a quorum's word is good for, from when it was asked: less than an election takes on clocks that run
 /// apart by a tenth, whichever way.
-const LEASE: Tenths = TICK * ELECTION as Tenths * 3 / 4;
+const LEASE: TenthMillis = TICK * ELECTION as TenthMillis * 3 / 4;
 /// So often a quorum is asked, and voters tell how far they have come while they don't all hold.
-const ASK: Tenths = 1_000;
-const TELL: Tenths = 2_500;
+const ASK: TenthMillis = 1_000;
+const TELL: TenthMillis = 2_500;
 /// A voter's self is replaced no more often than this.
-const REPLACE: Tenths = 50_000;
+const REPLACE: TenthMillis = 50_000;
 /// Proposals that wait to be agreed on, at the most.
 const MOST_WAITING: u64 = 1024 * 1024;
 const ADD: u8 = 1;
@@ -96,19 +96,19 @@
     chance: Rand64,
     /// Mixed into its election times.
     salt: u64,
-    started: Tenths,
-    ticked: Tenths,
+    started: TenthMillis,
+    ticked: TenthMillis,
     /// What the others said last, over the connections they have now.
     standings: BTreeMap<String, (Standing, u64)>,
-    told_at: Tenths,
+    told_at: TenthMillis,
     /// Which name goes by which id, as far as its messages told.
     names: BTreeMap<u64, String>,
     /// Questions to the quorum that are out, oldest first, and until when its last word is good.
-    asked: VecDeque<(u64, Tenths)>,
+    asked: VecDeque<(u64, TenthMillis)>,
     asks: u64,
-    asked_at: Tenths,
-    lease: Tenths,
-    replaced: BTreeMap<String, Tenths>,
+    asked_at: TenthMillis,
+    lease: TenthMillis,
+    replaced: BTreeMap<String, TenthMillis>,
     /// A new self came in: what it begins from must name it.
     came_in: bool,
     led: bool,
@@ -141,7 +141,7 @@
         terms: VoterTerms,
         files: F,
         seed: u64,
-        now: Tenths,
+        now: TenthMillis,
         to: &mut Vec<VoterDo>,
     ) -> Result<Voter<F>, String> {
         let mut chance = Rand64::new(u128::from(seed));
@@ -204,7 +204,7 @@
     }
 
     /// Whether it leads, and a quorum's word for that is still good: nobody else leads at this moment.
-    pub fn leads(&self, now: Tenths) -> bool {
+    pub fn leads(&self, now: TenthMillis) -> bool {
         matches!(&self.state, State::Runs(raw) if raw.raft.state == StateRole::Leader)
             && now < self.lease
     }
@@ -248,7 +248,7 @@
         matches!(&self.state, State::Runs(raw) if self.conf.voters.contains(&raw.raft.id))
     }
 
-    pub fn wake_at(&self) -> Tenths {
+    pub fn wake_at(&self) -> TenthMillis {
         self.ticked + TICK
     }
 
@@ -334,7 +334,7 @@
     }
 
     /// Goes on to the next stage where what all say allows it.
-    fn found(&mut self, now: Tenths, to: &mut Vec<VoterDo>) {
+    fn found(&mut self, now: TenthMillis, to: &mut Vec<VoterDo>) {
         let others: Vec<Option<Standing>> = self
             .others()
             .map(|name| self.standings.get(name).map(|(standing, _)| *standing))
@@ -403,7 +403,7 @@
         self.tell(now, to);
     }
 
-    fn tell(&mut self, now: Tenths, to: &mut Vec<VoterDo>) {
+    fn tell(&mut self, now: TenthMillis, to: &mut Vec<VoterDo>) {
         self.told_at = now;
         if matches!(self.state, State::Stopped(_)) {
             return;
@@ -484,7 +484,7 @@
 
     /// Does all that fell due. One that was stopped for a while first lives through what it missed: who led
     /// steps down, for its quorum has not been heard meanwhile.
-    pub fn wake(&mut self, now: Tenths, to: &mut Vec<VoterDo>) {
+    pub fn wake(&mut self, now: TenthMillis, to: &mut Vec<VoterDo>) {
         self.catch_up(now, to);
         let all_said =
             matches!(self.stage(), Stage::Holding) && self.standings.len() == self.others().count();
@@ -508,13 +508,13 @@
         self.drive(to);
     }
 
-    fn catch_up(&mut self, now: Tenths, to: &mut Vec<VoterDo>) {
+    fn catch_up(&mut self, now: TenthMillis, to: &mut Vec<VoterDo>) {
         let State::Runs(raw) = &mut self.state else {
             self.ticked = now;
             return;
         };
         let missed = ((now - self.ticked) / TICK).max(0) as usize;
-        self.ticked += missed as Tenths * TICK;
+        self.ticked += missed as TenthMillis * TICK;
         let leads = raw.raft.state == StateRole::Leader;
         // Two checks of its quorum make who leads step down; the others need not hurry to an election.
         let ticks = missed.min(if leads { 2 * ELECTION + 2 } else { HEARTBEAT });
@@ -528,7 +528,7 @@
     }
 
     /// Takes in what another voter says.
-    pub fn received(&mut self, now: Tenths, from: &str, frame: Frame, to: &mut Vec<VoterDo>) {
+    pub fn received(&mut self, now: TenthMillis, from: &str, frame: Frame, to: &mut Vec<VoterDo>) {
         self.catch_up(now, to);
         match frame {
             Frame::Standing {
@@ -578,7 +578,7 @@
         self.drive(to);
     }
 
-    fn step(&mut self, now: Tenths, message: Message) -> Result<(), String> {
+    fn step(&mut self, now: TenthMillis, message: Message) -> Result<(), String> {
         let State::Runs(raw) = &mut self.state else {
             return Ok(());
         };
@@ -592,7 +592,7 @@
         );
         // It may have given its word to one that leads and not know it any more: for as long as that can be good
         // it gives no other.
-        if asks_for_vote && now < self.started + TICK * ELECTION as Tenths + TICK {
+        if asks_for_vote && now < self.started + TICK * ELECTION as TenthMillis + TICK {
             return Ok(());
         }
         let known = |id: u64| self.conf.voters.is_empty() || self.conf.voters.contains(&id);
@@ -637,7 +637,7 @@
 
     /// Who leads puts a voter's new self in its former one's place: first out with the one, which answers no
     /// more, then in with the other; never two changes at once.
-    fn admit(&mut self, now: Tenths, to: &mut Vec<VoterDo>) {
+    fn admit(&mut self, now: TenthMillis, to: &mut Vec<VoterDo>) {
         if !self.leads(now) {
             return;
         }
@@ -700,7 +700,7 @@
     /// This process does not lead, the value is too long, or too much waits.
     pub fn propose(
         &mut self,
-        now: Tenths,
+        now: TenthMillis,
         topic: &str,
         based_on: u64,
         value: Vec<u8>,
--- a/crates/linenthread-link/src/far.rs
+++ b/crates/linenthread-link/src/far.rs
@@ -19,7 +19,7 @@
 
 use std::collections::BTreeMap;
 
-use linenthread_core::interface::{Ending, Phase, Tenths};
+use linenthread_core::interface::{AttemptOutcome, Phase, TenthMillis};
 use linenthread_frames::{Nonce, Secrets};
 use oorandom::Rand64;
 
@@ -33,12 +33,12 @@
     pub window: u64,
     pub window_bytes: u64,
     /// How long a session without a connection is kept.
-    pub keep: Tenths,
+    pub keep: TenthMillis,
     pub most_sessions: usize,
     /// A connection that has not proven itself by then is closed.
-    pub greeting: Tenths,
+    pub greeting: TenthMillis,
     /// One on which nothing is heard for so long is closed.
-    pub silence: Tenths,
+    pub silence: TenthMillis,
 }
 
 /// What is to be done for the links.
@@ -56,7 +56,7 @@
     Start {
         session: u64,
         number: u64,
-        time_out: Tenths,
+        time_out: TenthMillis,
         call: Call,
     },
     /// A call is no longer waited for.
@@ -90,12 +90,12 @@
     bytes: u64,
     let_go: u64,
     told: (u64, u64),
-    since: Tenths,
+    since: TenthMillis,
 }
 
 enum Connection {
-    Challenged { nonce: Nonce, since: Tenths },
-    Welcomed { session: u64, heard: Tenths },
+    Challenged { nonce: Nonce, since: TenthMillis },
+    Welcomed { session: u64, heard: TenthMillis },
 }
 
 pub struct Far {
@@ -134,7 +134,7 @@
         self.sessions.len()
     }
 
-    pub fn accepted(&mut self, now: Tenths, connection: u64, to: &mut Vec<FarDo>) {
+    pub fn accepted(&mut self, now: TenthMillis, connection: u64, to: &mut Vec<FarDo>) {
         let mut nonce = Nonce::default();
         nonce
             .iter_mut()
@@ -150,7 +150,7 @@
         to.push(FarDo::Send { connection, frame });
     }
 
-    pub fn lost(&mut self, now: Tenths, connection: u64) {
+    pub fn lost(&mut self, now: TenthMillis, connection: u64) {
         if let Some(Connection::Welcomed { session, .. }) = self.connections.remove(&connection)
             && let Some(session) = self.sessions.get_mut(&session)
             && session.connection == Some(connection)
@@ -159,7 +159,7 @@
         }
     }
 
-    fn close(&mut self, now: Tenths, connection: u64, why: &str, to: &mut Vec<FarDo>) {
+    fn close(&mut self, now: TenthMillis, connection: u64, why: &str, to: &mut Vec<FarDo>) {
         to.push(FarDo::Send {
             connection,
             frame: Frame::Refuse { why: why.into() },
@@ -185,7 +185,7 @@
         let listed = |id: &str| members.iter().any(|m| m.id == id);
         let gone = self.members.iter().filter(|m| !listed(&m.id));
         changes.extend(gone.map(|m| Member {
-            phase: Phase::Gone,
+            phase: Phase::Removed,
             ..m.clone()
         }));
         (self.members, self.revision) = (members, self.revision + 1);
@@ -220,7 +220,13 @@
         }));
     }
 
-    pub fn received(&mut self, now: Tenths, connection: u64, frame: Frame, to: &mut Vec<FarDo>) {
+    pub fn received(
+        &mut self,
+        now: TenthMillis,
+        connection: u64,
+        frame: Frame,
+        to: &mut Vec<FarDo>,
+    ) {
         match self.connections.get_mut(&connection) {
             None => {}
             Some(Connection::Challenged { nonce, .. }) => {
@@ -237,7 +243,7 @@
 
     fn hello(
         &mut self,
-        now: Tenths,
+        now: TenthMillis,
         connection: u64,
         nonce: &Nonce,
         frame: &Frame,
@@ -356,7 +362,7 @@
 
     fn of_session(
         &mut self,
-        now: Tenths,
+        now: TenthMillis,
         connection: u64,
         id: u64,
         frame: Frame,
@@ -384,9 +390,16 @@
                 session.received = number;
                 session.bytes += call.size();
                 session.calls.insert(number, (Held::Running, call.size()));
-                let time_out = Tenths::from(remaining_ms) * 10;
+                let time_out = TenthMillis::from(remaining_ms) * 10;
                 if self.leaving {
-                    return self.ended(id, number, Ending::TurnedAway, None, String::new(), to);
+                    return self.ended(
+                        id,
+                        number,
+                        AttemptOutcome::Rejected,
+                        None,
+                        String::new(),
+                        to,
+                    );
                 }
                 to.push(FarDo::Start {
                     session: id,
@@ -434,7 +447,7 @@
         &mut self,
         session: u64,
         number: u64,
-        ending: Ending,
+        ending: AttemptOutcome,
         queue: Option<f64>,
         value: String,
         to: &mut Vec<FarDo>,
@@ -517,7 +530,7 @@
     }
 
     /// Time has come on: what is silent, late or kept for too long is let go.
-    pub fn wake(&mut self, now: Tenths, to: &mut Vec<FarDo>) {
+    pub fn wake(&mut self, now: TenthMillis, to: &mut Vec<FarDo>) {
         let silent = |c: &Connection| match c {
             Connection::Challenged { since, .. } => now >= since + self.terms.greeting,
             Connection::Welcomed { heard, .. } => now >= heard + self.terms.silence,
@@ -543,7 +556,7 @@
     }
 
     /// When it is to be woken.
-    pub fn wake_at(&self) -> Tenths {
+    pub fn wake_at(&self) -> TenthMillis {
         let connections = self.connections.values().map(|c| match c {
             Connection::Challenged { since, .. } => since + self.terms.greeting,
             Connection::Welcomed { heard, .. } => heard + self.terms.silence,
@@ -552,6 +565,6 @@
         connections
             .chain(sessions.map(|s| s.since + self.terms.keep))
             .min()
-            .unwrap_or(Tenths::MAX)
+            .unwrap_or(TenthMillis::MAX)
     }
 }
--- a/crates/linenthread-link/src/frame.rs
+++ b/crates/linenthread-link/src/frame.rs
@@ -2,7 +2,7 @@
 //! fields; numbers are big-endian, texts have two bytes of length before them, values four. After the fields
 //! may stand options, each a byte for its kind and two for its length: those that are not known are skipped.
 
-use linenthread_core::interface::{Ending, Phase};
+use linenthread_core::interface::{AttemptOutcome, Phase};
 use linenthread_frames::{self as frames, Nonce, Proof, Put, Res, Side, Take};
 
 /// The version spoken here.
@@ -101,7 +101,7 @@
     },
     Outcome {
         number: u64,
-        ending: Ending,
+        ending: AttemptOutcome,
         queue: Option<f64>,
         value: String,
     },
@@ -131,7 +131,7 @@
     },
     Probed {
         number: u64,
-        ending: Ending,
+        ending: AttemptOutcome,
         queue: Option<f64>,
     },
     /// Either: nothing new is to come or will be taken.
@@ -139,25 +139,25 @@
 }
 
 /// Endings by their number on the link.
-const ENDINGS: [Ending; 8] = [
-    Ending::Answered,
-    Ending::Errored,
-    Ending::TurnedAway,
-    Ending::TimedOut,
-    Ending::Unconnected,
-    Ending::Broken,
-    Ending::Withdrawn,
-    Ending::Unsent,
+const ENDINGS: [AttemptOutcome; 8] = [
+    AttemptOutcome::Success,
+    AttemptOutcome::Error,
+    AttemptOutcome::Rejected,
+    AttemptOutcome::TimedOut,
+    AttemptOutcome::ConnectFailed,
+    AttemptOutcome::ConnectionLost,
+    AttemptOutcome::Cancelled,
+    AttemptOutcome::NotSent,
 ];
 
-fn ending(ending: Ending) -> u8 {
+fn ending(ending: AttemptOutcome) -> u8 {
     ENDINGS
         .iter()
         .position(|e| *e == ending)
         .unwrap_or_default() as u8
 }
 
-fn take_ending(take: &mut Take) -> Res<Ending> {
+fn take_ending(take: &mut Take) -> Res<AttemptOutcome> {
     let at = usize::from(take.u8()?);
     ENDINGS
         .get(at)
@@ -165,7 +165,7 @@
         .ok_or_else(|| format!("an ending cannot be {at}"))
 }
 
-const PHASES: [Phase; 3] = [Phase::Ready, Phase::Draining, Phase::Gone];
+const PHASES: [Phase; 3] = [Phase::Ready, Phase::Draining, Phase::Removed];
 
 impl Frame {
     /// What a hello or welcome proves itself by: its bytes without the proof.
@@ -509,7 +509,7 @@
             Frame::Withdraw { number: 1 },
             Frame::Outcome {
                 number: 1,
-                ending: Ending::Broken,
+                ending: AttemptOutcome::ConnectionLost,
                 queue: Some(2.0),
                 value: "v".into(),
             },
@@ -533,7 +533,7 @@
             },
             Frame::Probed {
                 number: 1,
-                ending: Ending::TurnedAway,
+                ending: AttemptOutcome::Rejected,
                 queue: None,
             },
             Frame::Goodbye,
@@ -630,7 +630,7 @@
             },
             Frame::Outcome {
                 number: 1,
-                ending: Ending::Answered,
+                ending: AttemptOutcome::Success,
                 queue: Some(2.0),
                 value: "v".into(),
             },
--- a/crates/linenthread-link/src/near.rs
+++ b/crates/linenthread-link/src/near.rs
@@ -18,7 +18,7 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
 
-use linenthread_core::interface::{Ending, Tenths};
+use linenthread_core::interface::{AttemptOutcome, TenthMillis};
 use linenthread_frames::{Nonce, Secrets};
 use oorandom::Rand64;
 
@@ -34,14 +34,14 @@
     /// Bytes of calls that wait to be sent at the most: a stalled link must not fill the memory.
     pub most_waiting: u64,
     /// How long a session outlives its connection: until then outcomes may still come.
-    pub keep: Tenths,
+    pub keep: TenthMillis,
     /// A ping is sent after so long without one.
-    pub beat: Tenths,
+    pub beat: TenthMillis,
     /// A call waits so long for credit, or for a link that has just been lost, at the most: what can't be sent
     /// soon is better sent elsewhere. A link that is back sooner was never down for those who use it.
-    pub hold: Tenths,
+    pub hold: TenthMillis,
     /// What is tried again is tried after so long, twice as long each time, up to so long; with chance.
-    pub back_off: (Tenths, Tenths),
+    pub back_off: (TenthMillis, TenthMillis),
 }
 
 /// What is to be done for a link.
@@ -55,13 +55,13 @@
     /// A call has ended, once.
     Ended {
         number: u64,
-        ending: Ending,
+        ending: AttemptOutcome,
         queue: Option<f64>,
         value: String,
     },
     Probed {
         number: u64,
-        ending: Ending,
+        ending: AttemptOutcome,
         queue: Option<f64>,
     },
     /// What lies behind the link, all of it or what has changed.
@@ -76,15 +76,15 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum State {
     Down {
-        again: Tenths,
+        again: TenthMillis,
     },
     Connecting,
     /// Connected; until the welcome is here nothing else is sent.
     Greeting {
-        since: Tenths,
+        since: TenthMillis,
     },
     Up {
-        since: Tenths,
+        since: TenthMillis,
     },
 }
 
@@ -103,12 +103,12 @@
 struct Out {
     call: Option<Call>,
     way: Way,
-    due: Tenths,
+    due: TenthMillis,
     /// Its number in the session, once it is given to a connection.
     sent: Option<u64>,
     gain: u32,
     /// Until then it may wait for credit.
-    holds: Tenths,
+    holds: TenthMillis,
 }
 
 impl Out {
@@ -125,7 +125,7 @@
 }
 
 impl Delay {
-    fn add(&mut self, took: Tenths) {
+    fn add(&mut self, took: TenthMillis) {
         let took = took as f64;
         if self.mean == 0.0 {
             (self.mean, self.deviation) = (took, took / 2.0);
@@ -166,15 +166,15 @@
     draining: bool,
     /// What was last said of it, and since when that is no longer so.
     said_up: bool,
-    down_since: Option<Tenths>,
+    down_since: Option<TenthMillis>,
     failures: u32,
     delay: Delay,
-    heard: Tenths,
-    pinged: Tenths,
-    pings: BTreeMap<u64, Tenths>,
+    heard: TenthMillis,
+    pinged: TenthMillis,
+    pings: BTreeMap<u64, TenthMillis>,
     probes: BTreeSet<u64>,
     /// When the session is given up.
-    lost_since: Option<Tenths>,
+    lost_since: Option<TenthMillis>,
 }
 
 impl Near {
@@ -240,8 +240,8 @@
     }
 
     /// How long a frame takes one way, as far as is known.
-    pub fn one_way(&self) -> Tenths {
-        (self.delay.mean / 2.0) as Tenths
+    pub fn one_way(&self) -> TenthMillis {
+        (self.delay.mean / 2.0) as TenthMillis
     }
 
     /// How the link stands, for the choice among several.
@@ -262,21 +262,21 @@
     }
 
     /// After so long without a word the connection is taken for dead: two beats and what answers take.
-    pub fn patience(&self) -> Tenths {
-        2 * self.terms.beat + (self.delay.mean + 4.0 * self.delay.deviation) as Tenths
+    pub fn patience(&self) -> TenthMillis {
+        2 * self.terms.beat + (self.delay.mean + 4.0 * self.delay.deviation) as TenthMillis
     }
 
     /// When it is to be woken.
-    pub fn wake_at(&self) -> Tenths {
+    pub fn wake_at(&self) -> TenthMillis {
         let state = match self.state {
             State::Down { again } => again,
-            State::Connecting => Tenths::MAX,
+            State::Connecting => TenthMillis::MAX,
             State::Greeting { since } => since + self.patience(),
             State::Up { .. } => (self.pinged + self.terms.beat).min(self.heard + self.patience()),
         };
         let given_up = self
             .lost_since
-            .map_or(Tenths::MAX, |since| since + self.terms.keep);
+            .map_or(TenthMillis::MAX, |since| since + self.terms.keep);
         let due = self
             .waiting
             .iter()
@@ -285,20 +285,20 @@
             .min();
         let down = self
             .down_since
-            .map_or(Tenths::MAX, |since| since + self.terms.hold);
+            .map_or(TenthMillis::MAX, |since| since + self.terms.hold);
         state
             .min(given_up)
             .min(down)
-            .min(due.unwrap_or(Tenths::MAX))
+            .min(due.unwrap_or(TenthMillis::MAX))
     }
 
     /// Takes a part call that must be answered by `due`; its number, by which it is ended. Where credit is short
     /// those of the most gain (in any unit) go first.
     pub fn call(
         &mut self,
-        now: Tenths,
+        now: TenthMillis,
         call: Call,
-        due: Tenths,
+        due: TenthMillis,
         gain: u32,
         to: &mut Vec<NearDo>,
     ) -> u64 {
@@ -307,7 +307,7 @@
         let full = self.out.len() >= self.terms.most_out
             || self.waiting_bytes + call.size() > self.terms.most_waiting;
         if full || !self.is_usable() {
-            to.push(ended(number, Ending::Unsent));
+            to.push(ended(number, AttemptOutcome::NotSent));
             return number;
         }
         let holds = due.min(now + self.terms.hold);
@@ -354,14 +354,14 @@
         } else {
             to.push(NearDo::Probed {
                 number: self.numbers,
-                ending: Ending::Unsent,
+                ending: AttemptOutcome::NotSent,
                 queue: None,
             });
         }
         self.numbers
     }
 
-    pub fn connected(&mut self, now: Tenths) {
+    pub fn connected(&mut self, now: TenthMillis) {
         (self.state, self.heard) = (State::Greeting { since: now }, now);
     }
 
@@ -377,7 +377,7 @@
     }
 
     /// The connection is gone, or could not be had.
-    pub fn lost(&mut self, now: Tenths, to: &mut Vec<NearDo>) {
+    pub fn lost(&mut self, now: TenthMillis, to: &mut Vec<NearDo>) {
         if matches!(self.state, State::Down { .. }) {
             return;
         }
@@ -391,7 +391,7 @@
         let (least, most) = self.terms.back_off;
         let wait = (least << self.failures.min(16)).min(most).max(1);
         self.failures += 1;
-        let wait = wait / 2 + (self.chance.rand_float() * wait as f64) as Tenths;
+        let wait = wait / 2 + (self.chance.rand_float() * wait as f64) as TenthMillis;
         self.state = State::Down { again: now + wait };
         self.draining = false;
         (self.delay.deviation, self.pings) =
@@ -399,7 +399,7 @@
         for number in std::mem::take(&mut self.probes) {
             to.push(NearDo::Probed {
                 number,
-                ending: Ending::Broken,
+                ending: AttemptOutcome::ConnectionLost,
                 queue: None,
             });
         }
@@ -412,7 +412,7 @@
             }
         }
         for number in gone {
-            self.end(number, Ending::Unsent, None, String::new(), to);
+            self.end(number, AttemptOutcome::NotSent, None, String::new(), to);
         }
         if was_up {
             self.down_since = Some(now);
@@ -423,7 +423,7 @@
     }
 
     /// Time has come on.
-    pub fn wake(&mut self, now: Tenths, to: &mut Vec<NearDo>) {
+    pub fn wake(&mut self, now: TenthMillis, to: &mut Vec<NearDo>) {
         if self
             .lost_since
             .is_some_and(|since| now >= since + self.terms.keep)
@@ -448,7 +448,7 @@
         let late = |n: &u64| self.out.get(n).is_none_or(|out| out.holds <= now);
         let late: Vec<u64> = self.waiting.iter().map(|(_, n)| *n).filter(late).collect();
         for number in late {
-            self.end(number, Ending::Unsent, None, String::new(), to);
+            self.end(number, AttemptOutcome::NotSent, None, String::new(), to);
         }
         match self.state {
             State::Down { again } if again <= now => {
@@ -479,7 +479,7 @@
     }
 
     /// A frame came.
-    pub fn received(&mut self, now: Tenths, frame: Frame, to: &mut Vec<NearDo>) {
+    pub fn received(&mut self, now: TenthMillis, frame: Frame, to: &mut Vec<NearDo>) {
         self.heard = now;
         match (self.state, frame) {
             (
@@ -591,12 +591,18 @@
         }
     }
 
-    fn break_off(&mut self, now: Tenths, why: String, to: &mut Vec<NearDo>) {
+    fn break_off(&mut self, now: TenthMillis, why: String, to: &mut Vec<NearDo>) {
         to.push(NearDo::Close(why));
         self.lost(now, to);
     }
 
-    fn welcome(&mut self, now: Tenths, since: Tenths, welcome: &Frame, to: &mut Vec<NearDo>) {
+    fn welcome(
+        &mut self,
+        now: TenthMillis,
+        since: TenthMillis,
+        welcome: &Frame,
+        to: &mut Vec<NearDo>,
+    ) {
         let Frame::Welcome {
             epoch,
             resumed,
@@ -630,7 +636,7 @@
                 .map(|(_, number)| *number)
                 .collect();
             for number in never {
-                self.end(number, Ending::Unsent, None, String::new(), to);
+                self.end(number, AttemptOutcome::NotSent, None, String::new(), to);
             }
             self.out
                 .values_mut()
@@ -654,9 +660,9 @@
         for number in all {
             let written = matches!(self.out[&number].way, Way::Written | Way::Unsure);
             let ending = if written {
-                Ending::Broken
+                AttemptOutcome::ConnectionLost
             } else {
-                Ending::Unsent
+                AttemptOutcome::NotSent
             };
             self.end(number, ending, None, String::new(), to);
         }
@@ -670,7 +676,7 @@
     fn end(
         &mut self,
         number: u64,
-        ending: Ending,
+        ending: AttemptOutcome,
         queue: Option<f64>,
         value: String,
         to: &mut Vec<NearDo>,
@@ -689,7 +695,7 @@
     }
 
     /// Sends what credit allows, in the order it came; what would come too late is not sent at all.
-    fn send_waiting(&mut self, now: Tenths, to: &mut Vec<NearDo>) {
+    fn send_waiting(&mut self, now: TenthMillis, to: &mut Vec<NearDo>) {
         while let (true, Some(turn)) = (self.is_up(), self.waiting.first().copied()) {
             let number = turn.1;
             let one_way = self.one_way();
@@ -699,7 +705,7 @@
             };
             let remaining = out.due - now - one_way;
             if remaining <= 0 {
-                self.end(number, Ending::Unsent, None, String::new(), to);
+                self.end(number, AttemptOutcome::NotSent, None, String::new(), to);
                 continue;
             }
             let size = out.call.as_ref().map_or(0, Call::size);
@@ -723,7 +729,7 @@
     }
 }
 
-fn ended(number: u64, ending: Ending) -> NearDo {
+fn ended(number: u64, ending: AttemptOutcome) -> NearDo {
     NearDo::Ended {
         number,
         ending,
--- a/crates/linenthread-link/src/routes.rs
+++ b/crates/linenthread-link/src/routes.rs
@@ -5,7 +5,7 @@
 //! that was taken last keeps its calls while no other is better by more than a quarter, so that calls don't
 //! swing between two alike. What several gateways say of one replica is taken at its most careful.
 
-use linenthread_core::interface::{Phase, Tenths};
+use linenthread_core::interface::{Phase, TenthMillis};
 
 use crate::frame::Member;
 
@@ -14,7 +14,7 @@
 pub struct Standing {
     pub up: bool,
     /// How long a frame takes one way; 0 while it is not known.
-    pub one_way: Tenths,
+    pub one_way: TenthMillis,
     /// Calls that have not ended, and how many there may be.
     pub out: u64,
     pub room: u64,
@@ -50,7 +50,7 @@
 /// What several gateways say of one replica, at its most careful: it drains if one says so, it is as cold as
 /// the coldest word, and of its cold budget the least share counts.
 pub fn most_careful<'m>(said: impl Iterator<Item = &'m Member>) -> Option<Member> {
-    said.filter(|m| m.phase != Phase::Gone)
+    said.filter(|m| m.phase != Phase::Removed)
         .cloned()
         .reduce(|mut one, other| {
             if other.phase == Phase::Draining {
@@ -130,7 +130,7 @@
             most_careful([&a, &b].into_iter()),
             Some(member(Phase::Draining, Some(7), 250))
         );
-        let gone = member(Phase::Gone, None, 0);
+        let gone = member(Phase::Removed, None, 0);
         assert_eq!(
             most_careful([&gone, &a].into_iter()),
             Some(a),
--- a/crates/linenthread-link/tests/ends.rs
+++ b/crates/linenthread-link/tests/ends.rs
@@ -1,6 +1,6 @@
 //! Both ends joined without a socket: each edge of the greeting, of credit and of leaving.
 
-use linenthread_core::interface::{Ending, Phase, Tenths};
+use linenthread_core::interface::{AttemptOutcome, Phase, TenthMillis};
 use linenthread_link::{
     Call, Far, FarDo, FarTerms, Frame, Member, Near, NearDo, NearTerms, Secrets,
 };
@@ -52,10 +52,10 @@
 struct Pair {
     near: Near,
     far: Far,
-    now: Tenths,
+    now: TenthMillis,
     connection: u64,
     started: Vec<(u64, u64, String)>,
-    ended: Vec<(u64, Ending)>,
+    ended: Vec<(u64, AttemptOutcome)>,
     up: Vec<bool>,
     closed: Vec<String>,
     /// The far side's list, as it was told.
@@ -109,7 +109,7 @@
         }
     }
 
-    fn at_far(&mut self, take: impl FnOnce(&mut Far, Tenths, u64, &mut Vec<FarDo>)) {
+    fn at_far(&mut self, take: impl FnOnce(&mut Far, TenthMillis, u64, &mut Vec<FarDo>)) {
         let mut to = Vec::new();
         take(&mut self.far, self.now, self.connection, &mut to);
         for one in to {
@@ -146,7 +146,7 @@
         number
     }
 
-    fn end(&mut self, at: usize, ending: Ending) {
+    fn end(&mut self, at: usize, ending: AttemptOutcome) {
         let (session, number, text) = self.started[at].clone();
         self.at_far(|far, _, _, to| far.ended(session, number, ending, None, text, to));
     }
@@ -255,15 +255,15 @@
         .collect();
     let texts = |pair: &Pair| pair.started.iter().map(|s| s.2.clone()).collect::<String>();
     assert_eq!(texts(&pair), "ab");
-    pair.end(0, Ending::Answered);
-    pair.end(1, Ending::TurnedAway);
+    pair.end(0, AttemptOutcome::Success);
+    pair.end(1, AttemptOutcome::Rejected);
     assert_eq!(texts(&pair), "abde");
     pair.now += 500;
     pair.wake();
     let ended = [
-        (numbers[0], Ending::Answered),
-        (numbers[1], Ending::TurnedAway),
-        (numbers[2], Ending::Unsent),
+        (numbers[0], AttemptOutcome::Success),
+        (numbers[1], AttemptOutcome::Rejected),
+        (numbers[2], AttemptOutcome::NotSent),
     ];
     assert_eq!(pair.ended, ended);
     // Bytes are held to a bound as well as calls.
@@ -278,7 +278,7 @@
         pair.ended,
         pair.closed
     );
-    assert_eq!(pair.ended[3].1, Ending::Unsent);
+    assert_eq!(pair.ended[3].1, AttemptOutcome::NotSent);
 }
 
 #[test]
@@ -295,9 +295,9 @@
         pair.started[1].2, "b",
         "it went with the link that came back"
     );
-    pair.end(0, Ending::Answered);
-    pair.end(1, Ending::Answered);
-    assert_eq!(pair.ended[1], (waits, Ending::Answered));
+    pair.end(0, AttemptOutcome::Success);
+    pair.end(1, AttemptOutcome::Success);
+    assert_eq!(pair.ended[1], (waits, AttemptOutcome::Success));
     pair.lose();
     pair.call("c", 1);
     // It cannot be connected to; once the hold is over that is said, and what waited never ran.
@@ -310,9 +310,9 @@
         pair.near_does(to);
     }
     assert_eq!(pair.up, [true, false]);
-    assert_eq!(pair.ended.last().unwrap().1, Ending::Unsent);
+    assert_eq!(pair.ended.last().unwrap().1, AttemptOutcome::NotSent);
     let refused = pair.call("d", 1);
-    assert_eq!(pair.ended.last(), Some(&(refused, Ending::Unsent)));
+    assert_eq!(pair.ended.last(), Some(&(refused, AttemptOutcome::NotSent)));
 }
 
 #[test]
@@ -323,12 +323,12 @@
     pair.at_far(|far, _, _, to| far.leave(to));
     assert_eq!(pair.up, [true, false]);
     let late = pair.call("b", 1);
-    assert_eq!(pair.ended, [(late, Ending::Unsent)]);
+    assert_eq!(pair.ended, [(late, AttemptOutcome::NotSent)]);
     assert_eq!(pair.far.held(), 1);
-    pair.end(0, Ending::Answered);
+    pair.end(0, AttemptOutcome::Success);
     assert_eq!(
         (pair.ended[1], pair.far.held()),
-        ((runs, Ending::Answered), 0)
+        ((runs, AttemptOutcome::Success), 0)
     );
     // One that was on its way when it said so is turned away unseen.
     pair.at_far(|far, now, c, to| {
@@ -379,10 +379,10 @@
         // The session goes on, and the outcome with it.
         pair.now += 150;
         pair.wake();
-        pair.end(0, Ending::Answered);
+        pair.end(0, AttemptOutcome::Success);
         assert_eq!(
             pair.ended,
-            [(number, Ending::Answered)],
+            [(number, AttemptOutcome::Success)],
             "{frame:?}: {:?}",
             pair.closed
         );
@@ -399,7 +399,7 @@
         age_ms: None,
         share: 250,
     };
-    let (ready, draining, gone) = (Phase::Ready, Phase::Draining, Phase::Gone);
+    let (ready, draining, gone) = (Phase::Ready, Phase::Draining, Phase::Removed);
     let mut pair = Pair::new(near(&[NEW]), far(&[NEW], 4));
     pair.at_far(|far, _, _, to| far.members(vec![member("a", ready), member("b", ready)], to));
     pair.wake();
--- a/crates/linenthread-service/src/carriers/call.rs
+++ b/crates/linenthread-service/src/carriers/call.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use linenthread_core::interface::Ending;
+use linenthread_core::interface::AttemptOutcome;
 use tokio::sync::mpsc;
 
 /// How a part call ended, told to its lookup.
@@ -11,13 +11,13 @@
 pub(crate) struct Ended {
     pub part: usize,
     pub call: usize,
-    pub ending: Ending,
+    pub ending: AttemptOutcome,
     pub queue: Option<f64>,
     pub value: String,
 }
 
 impl Ended {
-    pub(crate) fn without_value(part: usize, call: usize, ending: Ending) -> Ended {
+    pub(crate) fn without_value(part: usize, call: usize, ending: AttemptOutcome) -> Ended {
         Ended {
             part,
             call,
@@ -31,7 +31,7 @@
 /// Ends parts that never left this side.
 pub(crate) fn unsent<T>(asked: &[Asked], to: &mpsc::UnboundedSender<Ended>) -> Vec<Option<T>> {
     for Asked { part, call, .. } in asked {
-        to.send(Ended::without_value(*part, *call, Ending::Unsent))
+        to.send(Ended::without_value(*part, *call, AttemptOutcome::NotSent))
             .ok();
     }
     asked.iter().map(|_| None).collect()
--- a/crates/linenthread-service/src/carriers/frames.rs
+++ b/crates/linenthread-service/src/carriers/frames.rs
@@ -8,9 +8,9 @@
 use std::time::Duration;
 
 use bytes::BytesMut;
-use linenthread_core::interface::Ending;
-use linenthread_protocol::frame::{self, Word};
-use linenthread_protocol::number;
+use linenthread_core::interface::AttemptOutcome;
+use linenthread_protocol::frame::{self, ReplicaMessage};
+use linenthread_protocol::hash_id;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 use tokio::sync::{Notify, mpsc, oneshot};
@@ -43,7 +43,7 @@
 
 struct ProbeWaiter {
     written: bool,
-    to: oneshot::Sender<(Ending, Option<f64>)>,
+    to: oneshot::Sender<(AttemptOutcome, Option<f64>)>,
 }
 
 /// A frame to be written, and the ids of the parts in it with their numbers.
@@ -166,7 +166,7 @@
             Some(unwritten) => drop(frames.remove(unwritten)),
             _ if !self.link.withdraw => {}
             _ => frames.push_back(Frame {
-                bytes: frame::give_up(&self.id),
+                bytes: frame::encode_cancel(&self.id),
                 parts: Vec::new(),
                 probe: false,
             }),
@@ -217,7 +217,7 @@
     ) -> Vec<Option<PartOut>> {
         let ids: Vec<String> = asked
             .iter()
-            .map(|a| frame::part_id(lookup, a.shard, a.round))
+            .map(|a| frame::sub_request_id(lookup, a.shard, a.round))
             .collect();
         let link = self.link(replica, asked.len(), |link| {
             let parts = link.parts.borrow();
@@ -230,7 +230,7 @@
             .iter()
             .zip(asked)
             .map(|(id, a)| (id.as_str(), a.shard, &*a.text));
-        let bytes = frame::call(parts, wait_ms);
+        let bytes = frame::encode_requests(parts, wait_ms);
         let mut frame = Frame {
             bytes,
             parts: Vec::new(),
@@ -274,16 +274,16 @@
     }
 
     /// Asks a replica how it fares.
-    pub(crate) async fn probe(&self, replica: usize) -> (Ending, Option<f64>) {
+    pub(crate) async fn probe(&self, replica: usize) -> (AttemptOutcome, Option<f64>) {
         let Some(link) = self.link(replica, 1, |_| true) else {
-            return (Ending::Unsent, None);
+            return (AttemptOutcome::NotSent, None);
         };
         let (to, answer) = oneshot::channel();
         link.probes
             .borrow_mut()
             .push_back(ProbeWaiter { written: false, to });
         link.frames.borrow_mut().push_back(Frame {
-            bytes: frame::probe(),
+            bytes: frame::encode_probe(),
             parts: Vec::new(),
             probe: true,
         });
@@ -291,10 +291,10 @@
         let sent = Instant::now();
         match timeout(self.0.limits.probe, answer).await {
             Ok(Ok(answer)) => answer,
-            Ok(Err(_)) => (Ending::Broken, None),
+            Ok(Err(_)) => (AttemptOutcome::ConnectionLost, None),
             Err(_) => {
                 link.unheard_since(sent);
-                (Ending::TimedOut, None)
+                (AttemptOutcome::TimedOut, None)
             }
         }
     }
@@ -416,7 +416,7 @@
         if ended.len() >= ENDED {
             ended.pop_front();
         }
-        ended.push_back(number(id));
+        ended.push_back(hash_id(id));
     }
 
     /// Writes and reads until one side ends; an ending that was not wanted is told.
@@ -504,12 +504,12 @@
         }
     }
 
-    fn hear(&self, word: Word) -> Result<(), Fault> {
+    fn hear(&self, word: ReplicaMessage) -> Result<(), Fault> {
         match word {
-            Word::Part {
+            ReplicaMessage::Response {
                 id,
-                ending,
-                queue,
+                outcome: ending,
+                queue_depth: queue,
                 value,
             } => {
                 if self.parts.borrow().get(&id).is_some_and(|w| !w.written) {
@@ -525,7 +525,7 @@
                         value,
                     })
                     .ok();
-                } else if !self.ended.borrow().contains(&number(&id)) {
+                } else if !self.ended.borrow().contains(&hash_id(&id)) {
                     return Err(Fault::Spoilt(
                         "an answer to a part that was never sent".into(),
                     ));
@@ -533,7 +533,10 @@
                 // What has ended was given up or answered before: its late or second answer is dropped.
                 Ok(())
             }
-            Word::Probe { ending, queue } => {
+            ReplicaMessage::ProbeResponse {
+                outcome: ending,
+                queue_depth: queue,
+            } => {
                 // One that nobody asked for, or not yet, tells nothing.
                 let mut probes = self.probes.borrow_mut();
                 if let Some(probe) = probes.pop_front_if(|probe| probe.written) {
@@ -541,7 +544,7 @@
                 }
                 Ok(())
             }
-            Word::Unusable(words) => Err(Fault::Ended(format!(
+            ReplicaMessage::ProtocolError(words) => Err(Fault::Ended(format!(
                 "the replica could not use a frame: {words}"
             ))),
         }
@@ -551,10 +554,10 @@
     fn end_all(&self, spoilt: bool) {
         // A connection that was sound and is gone says nothing against its replica.
         let ending = |written: bool| match written {
-            true if spoilt => Ending::Errored,
-            true => Ending::Broken,
-            false if spoilt || self.sound.get() => Ending::Unsent,
-            false => Ending::Unconnected,
+            true if spoilt => AttemptOutcome::Error,
+            true => AttemptOutcome::ConnectionLost,
+            false if spoilt || self.sound.get() => AttemptOutcome::NotSent,
+            false => AttemptOutcome::ConnectFailed,
         };
         for Waiter {
             part,
@@ -590,8 +593,12 @@
         // An answer to what was never sent whole is no answer.
         let spoilt: &[u8] = b"\0\0\0\x10El.499 hit 1 -\nv";
         for (said, whole, cut) in [
-            (spoilt, Ending::Errored, Ending::Unsent),
-            (b"", Ending::Broken, Ending::Unconnected),
+            (spoilt, AttemptOutcome::Error, AttemptOutcome::NotSent),
+            (
+                b"",
+                AttemptOutcome::ConnectionLost,
+                AttemptOutcome::ConnectFailed,
+            ),
         ] {
             actix_rt::System::new().block_on(async {
                 let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
--- a/crates/linenthread-service/src/carriers/link.rs
+++ b/crates/linenthread-service/src/carriers/link.rs
@@ -7,7 +7,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use linenthread_core::interface::{Ending, Tenths};
+use linenthread_core::interface::{AttemptOutcome, TenthMillis};
 use linenthread_link::routes::Standing;
 use linenthread_link::{Call, Frame, Member, Near, NearDo, NearTerms, Secrets};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -32,7 +32,7 @@
     to: mpsc::UnboundedSender<Ended>,
 }
 
-type ProbeWaiter = oneshot::Sender<(Ending, Option<f64>)>;
+type ProbeWaiter = oneshot::Sender<(AttemptOutcome, Option<f64>)>;
 
 /// What lies behind a link has changed: all of it, or that it cannot be reached.
 pub(crate) enum News {
@@ -116,7 +116,7 @@
     }
 
     /// Lets the machine take something in, and does what it says.
-    fn act(&self, take: impl FnOnce(&mut Near, Tenths, &mut Vec<NearDo>)) {
+    fn act(&self, take: impl FnOnce(&mut Near, TenthMillis, &mut Vec<NearDo>)) {
         let mut to = Vec::new();
         take(&mut self.0.near.borrow_mut(), self.0.clock.now(), &mut to);
         for one in to {
@@ -173,7 +173,7 @@
         wait: Duration,
         ended_to: &mpsc::UnboundedSender<Ended>,
     ) -> Vec<PartOut> {
-        let due = self.0.clock.now() + (wait.as_micros() / 100) as Tenths;
+        let due = self.0.clock.now() + (wait.as_micros() / 100) as TenthMillis;
         let one = |asked: &Asked| {
             let call = Call {
                 replica: replica.to_owned(),
@@ -204,7 +204,11 @@
     }
 
     /// Asks a replica behind the link how it fares.
-    pub(crate) async fn probe(&self, replica: &str, wait: Duration) -> (Ending, Option<f64>) {
+    pub(crate) async fn probe(
+        &self,
+        replica: &str,
+        wait: Duration,
+    ) -> (AttemptOutcome, Option<f64>) {
         let (done, answer) = oneshot::channel();
         let mut ends = Vec::new();
         self.act(|near, _, to| {
@@ -214,8 +218,8 @@
         });
         match timeout(wait, answer).await {
             Ok(Ok(answer)) => answer,
-            Ok(Err(_)) => (Ending::Broken, None),
-            Err(_) => (Ending::TimedOut, None),
+            Ok(Err(_)) => (AttemptOutcome::ConnectionLost, None),
+            Err(_) => (AttemptOutcome::TimedOut, None),
         }
     }
 
--- a/crates/linenthread-service/src/carriers/mod.rs
+++ b/crates/linenthread-service/src/carriers/mod.rs
@@ -11,7 +11,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use linenthread_core::interface::Ending;
+use linenthread_core::interface::AttemptOutcome;
 use linenthread_link::routes;
 use tokio::sync::mpsc;
 
@@ -142,10 +142,10 @@
     }
 
     /// Asks a replica how it fares.
-    pub(crate) async fn probe(&self, replica: usize) -> (Ending, Option<f64>) {
+    pub(crate) async fn probe(&self, replica: usize) -> (AttemptOutcome, Option<f64>) {
         match self.behind(replica) {
             Some((Some(peer), id)) => peer.probe(&id, self.0.probe).await,
-            Some((None, _)) => (Ending::Unsent, None),
+            Some((None, _)) => (AttemptOutcome::NotSent, None),
             None => self.0.frames.probe(replica).await,
         }
     }
--- a/crates/linenthread-service/src/clock.rs
+++ b/crates/linenthread-service/src/clock.rs
@@ -2,14 +2,14 @@
 
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-use linenthread_core::interface::Tenths;
+use linenthread_core::interface::TenthMillis;
 use tokio::time::Instant;
 
 /// The clock starts this far from 0, which stands for long ago.
-const EPOCH: Tenths = 36_000_000;
+const EPOCH: TenthMillis = 36_000_000;
 
 /// A length of the module's time.
-pub(crate) fn span(tenths: Tenths) -> Duration {
+pub(crate) fn span(tenths: TenthMillis) -> Duration {
     Duration::from_micros(tenths.max(0) as u64 * 100)
 }
 
@@ -31,16 +31,16 @@
         }
     }
 
-    pub(crate) fn now(&self) -> Tenths {
-        EPOCH + (self.start.elapsed().as_micros() / 100) as Tenths
+    pub(crate) fn now(&self) -> TenthMillis {
+        EPOCH + (self.start.elapsed().as_micros() / 100) as TenthMillis
     }
 
-    pub(crate) fn at(&self, moment: Tenths) -> Instant {
+    pub(crate) fn at(&self, moment: TenthMillis) -> Instant {
         self.start + span(moment - EPOCH)
     }
 
     /// A moment of the system's time on the module's scale.
-    pub(crate) fn of_unix(&self, ms: f64) -> Tenths {
-        EPOCH + ((ms - self.unix_ms) * 10.0).round() as Tenths
+    pub(crate) fn of_unix(&self, ms: f64) -> TenthMillis {
+        EPOCH + ((ms - self.unix_ms) * 10.0).round() as TenthMillis
     }
 }
--- a/crates/linenthread-service/src/config.rs
+++ b/crates/linenthread-service/src/config.rs
@@ -3,9 +3,9 @@
 use std::net::SocketAddr;
 use std::path::Path;
 
-use linenthread_core::interface::Deployment;
-use linenthread_protocol::roster;
-use linenthread_terms::{self as terms, Surroundings};
+use linenthread_core::interface::CoordinatorConfig;
+use linenthread_protocol::membership;
+use linenthread_terms::{self as terms, ClusterConfig};
 use serde_json::Value;
 use tracing::{info, warn};
 
@@ -19,9 +19,9 @@
     pub roster: SocketAddr,
     pub seed: u64,
     pub sockets: usize,
-    pub remembered: roster::List,
-    pub deployment: Deployment,
-    pub surroundings: Surroundings,
+    pub remembered: membership::MembershipList,
+    pub deployment: CoordinatorConfig,
+    pub surroundings: ClusterConfig,
 }
 
 impl Config {
@@ -51,8 +51,12 @@
             .pointer("/limits/sockets")
             .ok_or("limits.sockets is missing")?;
         let settings = field("settings")?;
-        let deployment = terms::deployment(settings)?;
-        if let Some(i) = deployment.indexes.iter().position(|i| i.second_step > 0) {
+        let deployment = terms::coordinator_config(settings)?;
+        if let Some(i) = deployment
+            .indexes
+            .iter()
+            .position(|i| i.fetch_sub_requests > 0)
+        {
             return Err(format!(
                 "settings: family-info.fetch-parts: a second step, as index {i} has, has no protocol"
             ));
@@ -67,9 +71,9 @@
                 .map(|n| n as usize)
                 .filter(|n| *n >= FEWEST_SOCKETS)
                 .ok_or_else(|| format!("limits.sockets is no number from {FEWEST_SOCKETS}"))?,
-            remembered: roster::from_value(field("known")?, deployment.layout.cells)
+            remembered: membership::from_value(field("known")?, deployment.layout.replica_groups)
                 .map_err(|e| format!("known: {e}"))?,
-            surroundings: terms::surroundings(settings)?,
+            surroundings: terms::cluster_config(settings)?,
             deployment,
         })
     }
--- a/crates/linenthread-service/src/desk.rs
+++ b/crates/linenthread-service/src/desk.rs
@@ -6,11 +6,12 @@
 use std::rc::Rc;
 
 use linenthread_core::interface::{
-    Arrivals, Ending, Listed, NewLookup, NewPart, Phase, ProbeReturn, Return, RosterNews, Tenths,
+    AttemptOutcome, AttemptResult, Inputs, MembershipEntry, MembershipUpdate, NewQuery,
+    NewSubRequest, Phase, ProbeResult, TenthMillis,
 };
-use linenthread_core::{Coordinator, Writer};
+use linenthread_core::{Coordinator, DecisionSink};
 use linenthread_link::{Member, routes};
-use linenthread_protocol::{number, roster};
+use linenthread_protocol::{hash_id, membership};
 use linenthread_zones::{Ground, Report, Table};
 use tokio::sync::{Notify, mpsc};
 use tokio::time::sleep_until;
@@ -28,7 +29,7 @@
     Call {
         part: usize,
         replica: usize,
-        time_out: Tenths,
+        time_out: TenthMillis,
     },
     Withdraw {
         part: usize,
@@ -38,7 +39,7 @@
         whole: bool,
     },
     Nack {
-        retry_after: Option<Tenths>,
+        retry_after: Option<TenthMillis>,
     },
     Abort,
 }
@@ -49,7 +50,7 @@
     pub customer: usize,
     pub key: Option<u64>,
     pub number: u64,
-    pub expires_in: Tenths,
+    pub expires_in: TenthMillis,
     /// Shards and weights.
     pub parts: Vec<(usize, f64)>,
 }
@@ -119,14 +120,14 @@
 
 struct State {
     coordinator: Coordinator,
-    arrivals: Arrivals,
+    arrivals: Inputs,
     /// The way to each open lookup's task; the lookup is over when it is dropped.
     lookups: Vec<Option<Task>>,
     free: Vec<usize>,
     handed_in: u64,
     indices: Indices,
     sites: Vec<String>,
-    wake_at: Option<Tenths>,
+    wake_at: Option<TenthMillis>,
     /// What the roster lists, for those who reach it through this program.
     local: BTreeMap<String, Member>,
     /// What lies behind each peer, and whether it can be reached now.
@@ -164,7 +165,7 @@
     lookups: &'a mut Vec<Option<Task>>,
     free: &'a mut Vec<usize>,
     indices: &'a mut Indices,
-    wake_at: &'a mut Option<Tenths>,
+    wake_at: &'a mut Option<TenthMillis>,
 }
 
 impl Routes<'_> {
@@ -175,8 +176,8 @@
     }
 }
 
-impl Writer for Routes<'_> {
-    fn call(&mut self, lookup: usize, part: usize, replica: usize, time_out: Tenths) {
+impl DecisionSink for Routes<'_> {
+    fn send(&mut self, lookup: usize, part: usize, replica: usize, time_out: TenthMillis) {
         self.to(
             lookup,
             Decision::Call {
@@ -187,19 +188,19 @@
         );
     }
 
-    fn withdraw(&mut self, lookup: usize, part: usize, call: usize) {
+    fn cancel(&mut self, lookup: usize, part: usize, call: usize) {
         self.to(lookup, Decision::Withdraw { part, call });
     }
 
-    fn satisfy(&mut self, lookup: usize, whole: bool) {
+    fn respond(&mut self, lookup: usize, whole: bool) {
         self.to(lookup, Decision::Satisfy { whole });
     }
 
-    fn nack(&mut self, lookup: usize, retry_after: Option<Tenths>) {
+    fn reject(&mut self, lookup: usize, retry_after: Option<TenthMillis>) {
         self.to(lookup, Decision::Nack { retry_after });
     }
 
-    fn abort(&mut self, lookup: usize) {
+    fn fail(&mut self, lookup: usize) {
         self.to(lookup, Decision::Abort);
     }
 
@@ -224,24 +225,24 @@
             let (ending, queue) = desk.0.carriers.probe(replica).await;
             desk.saw(replica, ending, desk.0.clock.now() - sent);
             desk.arrive(|arrivals| {
-                arrivals.probes.push(ProbeReturn {
+                arrivals.probes.push(ProbeResult {
                     replica,
-                    ending,
-                    queue,
+                    outcome: ending,
+                    queue_depth: queue,
                 });
             });
         });
     }
 
-    fn close(&mut self, replica: usize) {
+    fn close_idle(&mut self, replica: usize) {
         self.desk.0.carriers.close(replica);
     }
 
-    fn watch_roster(&mut self) {
+    fn watch_membership(&mut self) {
         self.desk.0.roster_wanted.notify_one();
     }
 
-    fn wake_at(&mut self, at: Tenths) {
+    fn wake_at(&mut self, at: TenthMillis) {
         *self.wake_at = Some(at);
     }
 }
@@ -255,7 +256,7 @@
         zones: &[String],
         near: impl FnOnce(&[String]) -> Option<Near>,
     ) -> Self {
-        let mut sites = config.surroundings.sites.clone();
+        let mut sites = config.surroundings.zone_names.clone();
         let further: Vec<String> = zones
             .iter()
             .filter(|z| !sites.contains(z))
@@ -267,7 +268,7 @@
             clock: Clock::new(),
             state: RefCell::new(State {
                 coordinator: Coordinator::new(config.deployment.clone(), config.seed),
-                arrivals: Arrivals::default(),
+                arrivals: Inputs::default(),
                 lookups: Vec::new(),
                 free: Vec::new(),
                 handed_in: 0,
@@ -283,10 +284,10 @@
             roster_wanted: Notify::new(),
             listed: Notify::new(),
             carriers,
-            cells: config.deployment.layout.cells,
+            cells: config.deployment.layout.replica_groups,
         }));
         let listed = desk.listed(&config.remembered);
-        desk.hear_roster(RosterNews::Remembered(listed));
+        desk.hear_roster(MembershipUpdate::Cached(listed));
         desk.tell_ways();
         desk
     }
@@ -321,7 +322,7 @@
             ..
         } = &mut *state;
         arrivals.now = self.0.clock.now();
-        coordinator.round(
+        coordinator.step(
             arrivals,
             &mut Routes {
                 desk: self,
@@ -331,16 +332,16 @@
                 wake_at,
             },
         );
-        let Arrivals {
+        let Inputs {
             now: _,
-            roster,
-            ways,
-            lookups,
-            parts,
-            returns,
-            onward,
+            membership: roster,
+            zone_routes: ways,
+            queries: lookups,
+            sub_requests: parts,
+            results: returns,
+            continuations: onward,
             probes,
-            lapsed,
+            abandoned: lapsed,
         } = arrivals;
         onward.clear();
         *ways = None;
@@ -348,7 +349,7 @@
         lookups.clear();
         parts.clear();
         returns.clear();
-        for ProbeReturn { replica, .. } in probes.drain(..) {
+        for ProbeResult { replica, .. } in probes.drain(..) {
             if let Some(held) = indices.get(replica) {
                 held.probes -= 1;
             }
@@ -357,7 +358,7 @@
     }
 
     /// Puts what came in into the next round.
-    fn arrive(&self, put: impl FnOnce(&mut Arrivals)) {
+    fn arrive(&self, put: impl FnOnce(&mut Inputs)) {
         put(&mut self.0.state.borrow_mut().arrivals);
         self.0.came.notify_one();
     }
@@ -386,34 +387,34 @@
             near.asked(parts.len());
         }
         let hard_deadline = self.0.clock.now() + expires_in;
-        state.arrivals.lookups.push(NewLookup {
-            lookup,
+        state.arrivals.queries.push(NewQuery {
+            query: lookup,
             index,
             customer,
             key,
-            number,
+            sequence_number: number,
             hard_deadline,
         });
-        let parts = parts.into_iter().map(|(shard, weight)| NewPart {
-            lookup,
+        let parts = parts.into_iter().map(|(shard, weight)| NewSubRequest {
+            query: lookup,
             shard,
             weight,
         });
-        state.arrivals.parts.extend(parts);
+        state.arrivals.sub_requests.extend(parts);
         self.0.came.notify_one();
         (lookup, decisions)
     }
 
     /// A part call ended.
-    pub(crate) fn give_back(&self, back: Return) {
-        self.arrive(|arrivals| arrivals.returns.push(back));
+    pub(crate) fn give_back(&self, back: AttemptResult) {
+        self.arrive(|arrivals| arrivals.results.push(back));
     }
 
     /// Answered parts of a lookup are wanted once more; said before the round that hears of their answers.
     pub(crate) fn ask_on(&self, lookup: usize, parts: &[usize]) {
         self.arrive(|arrivals| {
             arrivals
-                .onward
+                .continuations
                 .extend(parts.iter().map(|&part| (lookup, part)));
         });
     }
@@ -430,15 +431,15 @@
 
     /// A lookup's client has left.
     pub(crate) fn lapse(&self, lookup: usize) {
-        self.arrive(|arrivals| arrivals.lapsed.push(lookup));
+        self.arrive(|arrivals| arrivals.abandoned.push(lookup));
     }
 
     /// News of the roster; `None` where it could not be had.
-    pub(crate) fn roster(&self, list: Option<&roster::List>) {
+    pub(crate) fn roster(&self, list: Option<&membership::MembershipList>) {
         self.hear_roster(match list {
-            None => RosterNews::Failed,
-            Some(list) if list.whole => RosterNews::Whole(self.listed(list)),
-            Some(list) => RosterNews::Changes(self.listed(list)),
+            None => MembershipUpdate::Unavailable,
+            Some(list) if list.complete => MembershipUpdate::Snapshot(self.listed(list)),
+            Some(list) => MembershipUpdate::Delta(self.listed(list)),
         });
     }
 
@@ -451,7 +452,7 @@
     fn tell_ways(&self) {
         let ways = self.0.state.borrow().near.as_ref().map(Near::ways);
         if let Some(ways) = ways {
-            self.arrive(|arrivals| arrivals.ways = Some(ways));
+            self.arrive(|arrivals| arrivals.zone_routes = Some(ways));
         }
     }
 
@@ -482,21 +483,21 @@
     }
 
     /// A part call or a probe to a replica has ended so.
-    pub(crate) fn saw(&self, replica: usize, ending: Ending, took: Tenths) {
+    pub(crate) fn saw(&self, replica: usize, ending: AttemptOutcome, took: TenthMillis) {
         if let Some(near) = &mut self.0.state.borrow_mut().near {
             near.ended(replica, ending, took);
         }
     }
 
-    fn hear_roster(&self, news: RosterNews) {
+    fn hear_roster(&self, news: MembershipUpdate) {
         if let Some(near) = &mut self.0.state.borrow_mut().near {
             near.hear(&news);
         }
-        self.arrive(|arrivals| arrivals.roster.push(news));
+        self.arrive(|arrivals| arrivals.membership.push(news));
     }
 
     /// Turns a list's ids into indices, and tells where its replicas are found.
-    fn listed(&self, list: &roster::List) -> Vec<Listed> {
+    fn listed(&self, list: &membership::MembershipList) -> Vec<MembershipEntry> {
         let mut state = self.0.state.borrow_mut();
         let State {
             lookups,
@@ -514,13 +515,13 @@
             .min()
             .unwrap_or(*handed_in);
         indices.give_back(over, |replica| self.0.carriers.is_vacant(replica));
-        if list.whole {
+        if list.complete {
             local.clear();
         }
         let mut named = vec![false; indices.held.len()];
         let mut listed = Vec::with_capacity(list.replicas.len());
         for r in &list.replicas {
-            let gone = r.phase == Phase::Gone;
+            let gone = r.phase == Phase::Removed;
             self.0.keep_local(local, r);
             // What the roster lists is reached directly, whoever else lists it.
             far.remove(&r.id);
@@ -536,21 +537,21 @@
             self.0
                 .carriers
                 .place(replica, (!gone).then_some(Place::At(r.address)));
-            listed.push(Listed {
+            listed.push(MembershipEntry {
                 replica,
-                id: number(&r.id),
-                cell: r.cell,
+                id: hash_id(&r.id),
+                replica_group: r.replica_group,
                 // Sites that the settings don't name are one.
-                site: sites
+                zone: sites
                     .iter()
-                    .position(|s| *s == r.site)
+                    .position(|s| *s == r.zone)
                     .unwrap_or(sites.len()),
                 phase: r.phase,
-                started: (r.started_ms > 0.0).then(|| self.0.clock.of_unix(r.started_ms)),
-                cold_share: None,
+                started_at: (r.started_at_ms > 0.0).then(|| self.0.clock.of_unix(r.started_at_ms)),
+                slow_start_share: None,
             });
         }
-        if list.whole {
+        if list.complete {
             // A whole list leaves out what only peers reach.
             for (id, (ways, member)) in far.iter() {
                 let entry = self.entry(indices, sites, *handed_in, id, Some(ways), member);
@@ -560,7 +561,7 @@
             }
         }
         self.0.listed.notify_one();
-        for replica in (0..named.len()).filter(|r| list.whole && !named[*r]) {
+        for replica in (0..named.len()).filter(|r| list.complete && !named[*r]) {
             if let Some(held) = indices.get(replica) {
                 held.gone = held.gone.or(Some(*handed_in));
             }
@@ -596,9 +597,9 @@
                     }
                     // No gateway has more to list than a roster may; what is known of those listed always counts.
                     for member in sound {
-                        let fits = behind.members.len() < roster::MOST_REPLICAS;
+                        let fits = behind.members.len() < membership::MAX_REPLICAS;
                         match member.phase {
-                            Phase::Gone => drop(behind.members.remove(&member.id)),
+                            Phase::Removed => drop(behind.members.remove(&member.id)),
                             _ if fits || behind.members.contains_key(&member.id) => {
                                 behind.members.insert(member.id.clone(), member);
                             }
@@ -634,7 +635,7 @@
             let said = || up().filter_map(|(peer, b)| Some((peer, b.members.get(id)?)));
             if let Some(member) = routes::most_careful(said().map(|(_, member)| member)) {
                 let ways = said()
-                    .filter(|(_, m)| m.phase != Phase::Gone)
+                    .filter(|(_, m)| m.phase != Phase::Removed)
                     .map(|(peer, _)| peer)
                     .collect();
                 now.insert(id.clone(), (ways, member));
@@ -657,7 +658,7 @@
         }
         for (id, (_, member)) in far.iter().filter(|(id, _)| !now.contains_key(*id)) {
             let gone = Member {
-                phase: Phase::Gone,
+                phase: Phase::Removed,
                 ..member.clone()
             };
             listed.push(self.entry(indices, sites, *handed_in, id, None, &gone));
@@ -667,7 +668,7 @@
         drop(state);
         if !listed.is_empty() {
             info!(far = count, "replicas behind links");
-            self.hear_roster(RosterNews::Changes(listed));
+            self.hear_roster(MembershipUpdate::Delta(listed));
         }
     }
 
@@ -680,7 +681,7 @@
         id: &str,
         ways: Option<&Vec<usize>>,
         member: &Member,
-    ) -> Listed {
+    ) -> MembershipEntry {
         let replica = indices.take(id);
         if let Some(held) = indices.get(replica) {
             held.gone = ways.is_none().then_some(handed_in);
@@ -689,19 +690,19 @@
             replica,
             ways.map(|ways| Place::Behind(ways.clone(), id.into())),
         );
-        Listed {
+        MembershipEntry {
             replica,
-            id: number(id),
-            cell: member.cell as usize,
-            site: sites
+            id: hash_id(id),
+            replica_group: member.cell as usize,
+            zone: sites
                 .iter()
                 .position(|s| *s == member.site)
                 .unwrap_or(sites.len()),
             phase: member.phase,
-            started: member
+            started_at: member
                 .age_ms
-                .map(|age| self.0.clock.now() - Tenths::from(age) * 10),
-            cold_share: Some(f64::from(member.share) / 1000.0),
+                .map(|age| self.0.clock.now() - TenthMillis::from(age) * 10),
+            slow_start_share: Some(f64::from(member.share) / 1000.0),
         }
     }
 
@@ -728,19 +729,19 @@
 }
 
 impl Inner {
-    fn keep_local(&self, local: &mut BTreeMap<String, Member>, r: &roster::Replica) {
-        if r.phase == Phase::Gone {
+    fn keep_local(&self, local: &mut BTreeMap<String, Member>, r: &membership::Member) {
+        if r.phase == Phase::Removed {
             local.remove(&r.id);
             return;
         }
         let age = |ms: f64| (self.clock.now() - self.clock.of_unix(ms)).max(0) / 10;
         let member = Member {
             id: r.id.clone(),
-            site: r.site.clone(),
-            cell: r.cell as u32,
+            site: r.zone.clone(),
+            cell: r.replica_group as u32,
             phase: r.phase,
-            age_ms: (r.started_ms > 0.0)
-                .then(|| age(r.started_ms).min(Tenths::from(u32::MAX - 1)) as u32),
+            age_ms: (r.started_at_ms > 0.0)
+                .then(|| age(r.started_at_ms).min(TenthMillis::from(u32::MAX - 1)) as u32),
             share: 1_000,
         };
         local.insert(r.id.clone(), member);
--- a/crates/linenthread-service/src/fleet.rs
+++ b/crates/linenthread-service/src/fleet.rs
@@ -9,7 +9,7 @@
 use std::sync::mpsc as blocking;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-use linenthread_core::interface::Tenths;
+use linenthread_core::interface::TenthMillis;
 use linenthread_fleet::{Agreed, Fleet, FleetDo, FleetTerms, Who};
 use linenthread_frames::{Put, Res, Secrets, Take};
 use linenthread_installation as file;
@@ -34,9 +34,9 @@
 /// Bytes that wait on one connection at the most; beyond that it is ended.
 const MOST_WAITING: usize = 4 * 1024 * 1024;
 /// What was seen is passed on this often.
-const TELL: Tenths = 5_000;
+const TELL: TenthMillis = 5_000;
 /// A voter whose disk has failed looks this often whether it is sound again.
-const REVIVE: Tenths = 100_000;
+const REVIVE: TenthMillis = 100_000;
 /// What has been said at the end may take so long to leave.
 const LEAVE: Duration = Duration::from_millis(150);
 
@@ -138,8 +138,8 @@
         .as_millis() as u64
 }
 
-fn tenths(ms: u64) -> Tenths {
-    ms as Tenths * 10
+fn tenths(ms: u64) -> TenthMillis {
+    ms as TenthMillis * 10
 }
 
 /// Starts the thread.
@@ -216,9 +216,9 @@
     decider: RefCell<Option<Decider>>,
     /// Orders that wait for who leads, which this program is.
     orders: RefCell<Vec<Vec<u8>>>,
-    told_at: Cell<Tenths>,
-    proposed_at: Cell<Tenths>,
-    revived_at: Cell<Tenths>,
+    told_at: Cell<TenthMillis>,
+    proposed_at: Cell<TenthMillis>,
+    revived_at: Cell<TenthMillis>,
 }
 
 #[derive(Clone)]
@@ -353,13 +353,13 @@
     }
 
     /// Lets the machine take something in, and does what it says.
-    fn act(&self, take: impl FnOnce(&mut Fleet<Folder>, Tenths, &mut Vec<FleetDo>)) {
+    fn act(&self, take: impl FnOnce(&mut Fleet<Folder>, TenthMillis, &mut Vec<FleetDo>)) {
         self.act_here(take);
         self.0.woken.notify_one();
     }
 
     /// As [`Member::act`], from where it is looked next at when to wake: it need not be woken for that.
-    fn act_here(&self, take: impl FnOnce(&mut Fleet<Folder>, Tenths, &mut Vec<FleetDo>)) {
+    fn act_here(&self, take: impl FnOnce(&mut Fleet<Folder>, TenthMillis, &mut Vec<FleetDo>)) {
         let mut to = Vec::new();
         take(&mut self.0.fleet.borrow_mut(), self.0.clock.now(), &mut to);
         self.obey(to);
--- a/crates/linenthread-service/src/fronts/http.rs
+++ b/crates/linenthread-service/src/fronts/http.rs
@@ -19,9 +19,9 @@
 use actix_service::{Service, ServiceFactory, fn_service};
 use bytes::{Bytes, BytesMut};
 use futures_core::Stream;
-use linenthread_core::interface::Tenths;
-use linenthread_protocol::lookup as protocol;
-use linenthread_protocol::number;
+use linenthread_core::interface::TenthMillis;
+use linenthread_protocol::hash_id;
+use linenthread_protocol::query as protocol;
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::{TcpListener, TcpSocket};
 use tokio::sync::{Notify, oneshot};
@@ -416,11 +416,11 @@
 
     async fn respond(&self, request: Request, client: &Client) -> Response<BoxBody> {
         let mut response = match (request.path(), request.method()) {
-            (protocol::HEALTH, &Method::GET) if self.0.stopping.get() => {
+            (protocol::HEALTH_PATH, &Method::GET) if self.0.stopping.get() => {
                 Response::new(StatusCode::SERVICE_UNAVAILABLE)
             }
-            (protocol::HEALTH, &Method::GET) => Response::ok(),
-            (protocol::HEALTH, _) => Response::new(StatusCode::METHOD_NOT_ALLOWED),
+            (protocol::HEALTH_PATH, &Method::GET) => Response::ok(),
+            (protocol::HEALTH_PATH, _) => Response::new(StatusCode::METHOD_NOT_ALLOWED),
             _ if client.refused.get() => Response::new(StatusCode::BAD_REQUEST),
             (_, &Method::POST) => self.look_up(request, client).await,
             _ => Response::new(StatusCode::METHOD_NOT_ALLOWED),
@@ -467,8 +467,8 @@
             }
             Answer::Nacked(wait_ms) => {
                 let mut response = with(StatusCode::SERVICE_UNAVAILABLE, Vec::new());
-                let advice =
-                    wait_ms.and_then(|ms| HeaderValue::from_str(&protocol::retry_after(ms)).ok());
+                let advice = wait_ms
+                    .and_then(|ms| HeaderValue::from_str(&protocol::retry_after_seconds(ms)).ok());
                 advice.map(|advice| response.headers_mut().insert(header::RETRY_AFTER, advice));
                 response
             }
@@ -505,31 +505,39 @@
     let bad = |why: String| (StatusCode::BAD_REQUEST, why);
     let header = |name: &str| request.headers().get(name).and_then(|v| v.to_str().ok());
     let position = |names: &[String], name: &str| names.iter().position(|n| n == name);
-    let Some(index) = position(&known.indexes, protocol::index(request.path())) else {
+    let Some(index) = position(&known.index_names, protocol::index_name(request.path())) else {
         return Err((StatusCode::NOT_FOUND, "no such index".into()));
     };
     let asked = protocol::decode(header, body).map_err(bad)?;
     let customer = match &asked.customer {
-        _ if known.customers.is_empty() => 0,
+        _ if known.customer_names.is_empty() => 0,
         Some(name) => {
-            position(&known.customers, name).ok_or_else(|| bad("no such customer".into()))?
+            position(&known.customer_names, name).ok_or_else(|| bad("no such customer".into()))?
         }
         None => return Err(bad("the customer is missing".into())),
     };
-    if let Some(part) = asked.parts.iter().find(|p| p.shard >= known.shards) {
+    if let Some(part) = asked
+        .sub_requests
+        .iter()
+        .find(|p| p.shard >= known.shard_count)
+    {
         return Err(bad(format!("no such shard: {}", part.shard)));
     }
     let new = HandedIn {
         index,
         customer,
-        key: asked.key.as_deref().map(number),
-        number: number(&asked.id),
-        expires_in: asked.expires_in_ms as Tenths * 10,
-        parts: asked.parts.iter().map(|p| (p.shard, p.weight)).collect(),
+        key: asked.key.as_deref().map(hash_id),
+        number: hash_id(&asked.id),
+        expires_in: asked.expires_in_ms as TenthMillis * 10,
+        parts: asked
+            .sub_requests
+            .iter()
+            .map(|p| (p.shard, p.weight))
+            .collect(),
     };
     let is_merged = work.gathering.merging.borrow().is_merged(index);
     let page = if is_merged {
-        protocol::page(body).map_err(bad)?
+        protocol::decode_page(body).map_err(bad)?
     } else {
         protocol::Page::default()
     };
@@ -544,7 +552,7 @@
         .headers()
         .get(header::CONTENT_LENGTH)
         .and_then(|v| v.to_str().ok()?.parse().ok());
-    if length.is_some_and(|length: u64| length > protocol::MOST_BYTES as u64) {
+    if length.is_some_and(|length: u64| length > protocol::MAX_BODY_BYTES as u64) {
         return Err(TOO_LONG);
     }
     let mut payload = request.take_payload();
@@ -553,7 +561,7 @@
         let next = std::future::poll_fn(|cx| Pin::new(&mut payload).poll_next(cx)).await;
         match next {
             None => return Ok(body.freeze()),
-            Some(Ok(bytes)) if body.len() + bytes.len() <= protocol::MOST_BYTES => {
+            Some(Ok(bytes)) if body.len() + bytes.len() <= protocol::MAX_BODY_BYTES => {
                 body.extend_from_slice(&bytes);
             }
             Some(Ok(_)) => return Err(TOO_LONG),
--- a/crates/linenthread-service/src/fronts/link.rs
+++ b/crates/linenthread-service/src/fronts/link.rs
@@ -8,7 +8,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use linenthread_core::interface::{Ending, Tenths};
+use linenthread_core::interface::{AttemptOutcome, TenthMillis};
 use linenthread_link::{Call, Far, FarDo, Frame, Member};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
@@ -70,7 +70,7 @@
     }
 
     /// Lets the machine take something in, and does what it says.
-    fn act(&self, take: impl FnOnce(&mut Far, Tenths, &mut Vec<FarDo>)) {
+    fn act(&self, take: impl FnOnce(&mut Far, TenthMillis, &mut Vec<FarDo>)) {
         let mut to = Vec::new();
         take(
             &mut self.0.far.borrow_mut(),
@@ -134,10 +134,10 @@
     }
 
     /// One call's way to its replica and back.
-    async fn start(self, at: (u64, u64), time_out: Tenths, call: Call, stop: Rc<Notify>) {
+    async fn start(self, at: (u64, u64), time_out: TenthMillis, call: Call, stop: Rc<Notify>) {
         let (to, mut ended) = mpsc::unbounded_channel::<Ended>();
         let end = match self.0.desk.direct(&call.replica) {
-            None => Ended::without_value(0, 0, Ending::Unsent),
+            None => Ended::without_value(0, 0, AttemptOutcome::NotSent),
             Some(replica) => {
                 let asked = Asked {
                     part: 0,
@@ -158,9 +158,9 @@
                     Some(end) = ended.recv() => end,
                     () = sleep(wait) => {
                         out.iter().flatten().for_each(super::super::carriers::PartOut::timed_out);
-                        given_up(Ending::TimedOut)
+                        given_up(AttemptOutcome::TimedOut)
                     }
-                    () = stop.notified() => given_up(Ending::Withdrawn),
+                    () = stop.notified() => given_up(AttemptOutcome::Cancelled),
                 };
                 drop(out);
                 end
@@ -173,7 +173,7 @@
     async fn probe(self, connection: u64, number: u64, replica: String) {
         let (ending, queue) = match self.0.desk.direct(&replica) {
             Some(replica) => self.0.carriers.probe(replica).await,
-            None => (Ending::Unsent, None),
+            None => (AttemptOutcome::NotSent, None),
         };
         self.send(
             connection,
--- a/crates/linenthread-service/src/gather.rs
+++ b/crates/linenthread-service/src/gather.rs
@@ -4,9 +4,9 @@
 use std::rc::Rc;
 use std::time::{SystemTime, UNIX_EPOCH};
 
-use linenthread_core::interface::Ending;
+use linenthread_core::interface::AttemptOutcome;
 use linenthread_merge::{self as merge, Marks, Merge, PageWish, Plan, Taken};
-use linenthread_protocol::lookup::{self as protocol, Lookup, Page};
+use linenthread_protocol::query::{self as protocol, Page, Query};
 use tracing::warn;
 
 use crate::log::Sparing;
@@ -83,18 +83,22 @@
         oddities: &'a Oddities,
         index: usize,
         shards: usize,
-        asked: &Lookup,
+        asked: &Query,
         page: Page,
     ) -> Result<Self, String> {
         let Some(plan) = merging.plan(index) else {
-            return Ok(Gather::AsTheyCame(vec![None; asked.parts.len()]));
+            return Ok(Gather::AsTheyCame(vec![None; asked.sub_requests.len()]));
         };
-        let Page { rows, mark } = page;
-        let slices: Vec<_> = asked.parts.iter().map(|p| (p.shard, p.weight)).collect();
+        let Page { rows, cursor: mark } = page;
+        let slices: Vec<_> = asked
+            .sub_requests
+            .iter()
+            .map(|p| (p.shard, p.weight))
+            .collect();
         let said = merge::Asked {
             customer: asked.customer.as_deref(),
             key: asked.key.as_deref(),
-            query: &asked.text,
+            query: &asked.body,
             slices: &slices,
             shards,
         };
@@ -119,20 +123,20 @@
     pub(crate) fn take(
         &mut self,
         (part, round): (usize, u32),
-        ending: Ending,
+        ending: AttemptOutcome,
         value: String,
         of: impl Fn() -> (String, usize),
-    ) -> Ending {
+    ) -> AttemptOutcome {
         let Gather::Merged {
             merge, oddities, ..
         } = self
         else {
-            if let (Gather::AsTheyCame(values), Ending::Answered) = (self, ending) {
+            if let (Gather::AsTheyCame(values), AttemptOutcome::Success) = (self, ending) {
                 values[part].get_or_insert(value);
             }
             return ending;
         };
-        if ending != Ending::Answered {
+        if ending != AttemptOutcome::Success {
             merge.fail(part);
             return ending;
         }
@@ -163,7 +167,7 @@
                         shard, all, left_out, "a part's value cannot be merged: {why}"
                     );
                 }
-                Ending::Errored
+                AttemptOutcome::Error
             }
         }
     }
@@ -177,14 +181,14 @@
     }
 
     /// The body of the answer from what is in.
-    pub(crate) fn answer(&self, whole: bool, asked: &Lookup) -> Vec<u8> {
+    pub(crate) fn answer(&self, whole: bool, asked: &Query) -> Vec<u8> {
         match self {
             Gather::AsTheyCame(values) => {
-                let shards = asked.parts.iter().map(|p| p.shard);
+                let shards = asked.sub_requests.iter().map(|p| p.shard);
                 let found = shards
                     .zip(values)
                     .filter_map(|(s, v)| Some((s, v.as_deref()?)));
-                protocol::answer(whole, found)
+                protocol::encode_response(whole, found)
             }
             Gather::Merged { merge, marks, .. } => merge.answer(whole, *marks, unix_now()),
         }
--- a/crates/linenthread-service/src/lookup.rs
+++ b/crates/linenthread-service/src/lookup.rs
@@ -5,9 +5,9 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use linenthread_core::interface::{Ending, Return, Tenths};
-use linenthread_protocol::lookup::{Lookup, Page};
-use linenthread_terms::Surroundings;
+use linenthread_core::interface::{AttemptOutcome, AttemptResult, TenthMillis};
+use linenthread_protocol::query::{Page, Query};
+use linenthread_terms::ClusterConfig;
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::{Instant, sleep_until};
 
@@ -37,7 +37,7 @@
 pub(crate) struct Work {
     pub desk: Desk,
     pub carriers: Carriers,
-    pub surroundings: Surroundings,
+    pub surroundings: ClusterConfig,
     /// Part calls may be given up.
     pub withdraw: bool,
     pub gathering: Gathering,
@@ -69,7 +69,7 @@
 
 /// A part call that is out.
 struct Out {
-    sent: Tenths,
+    sent: TenthMillis,
     due: Instant,
     replica: usize,
     /// How many times the part was asked on before.
@@ -86,30 +86,30 @@
 
 impl Calls<'_> {
     /// The one place where a part call ends. One that was still waited for is given up on its connection.
-    fn end(&mut self, part: usize, call: usize, ending: Ending, queue: Option<f64>) {
+    fn end(&mut self, part: usize, call: usize, ending: AttemptOutcome, queue: Option<f64>) {
         let Some(out) = self.out.remove(&(part, call)) else {
             return;
         };
-        let given_up = matches!(ending, Ending::TimedOut | Ending::Withdrawn);
+        let given_up = matches!(ending, AttemptOutcome::TimedOut | AttemptOutcome::Cancelled);
         if let (true, Some(at)) = (given_up && Instant::now() + NEAR >= out.due, &out.at) {
             at.timed_out();
         }
         let took = self.work.desk.clock().now() - out.sent;
         self.work.desk.saw(out.replica, ending, took);
-        self.work.desk.give_back(Return {
-            lookup: self.lookup,
-            part,
-            call,
-            ending,
-            took,
-            queue,
+        self.work.desk.give_back(AttemptResult {
+            query: self.lookup,
+            sub_request: part,
+            attempt: call,
+            outcome: ending,
+            elapsed: took,
+            queue_depth: queue,
         });
     }
 
     /// Makes part calls, by replica and time-out.
     fn send(
         &mut self,
-        sends: &mut BTreeMap<(usize, Tenths), Vec<Asked>>,
+        sends: &mut BTreeMap<(usize, TenthMillis), Vec<Asked>>,
         id: &str,
         to: &mpsc::UnboundedSender<Ended>,
     ) {
@@ -117,7 +117,7 @@
         for ((replica, time_out), parts) in std::mem::take(sends) {
             let wait = clock::span(time_out.max(1));
             let wait_ms = wait.as_micros().div_ceil(1000) as u64;
-            for parts in parts.chunks(self.work.surroundings.parts_a_call) {
+            for parts in parts.chunks(self.work.surroundings.max_sub_requests_per_call) {
                 let at = self.work.carriers.call(replica, id, parts, wait_ms, to);
                 for (
                     Asked {
@@ -152,14 +152,14 @@
             .map(|(at, _)| *at)
             .collect();
         for (part, call) in due {
-            self.end(part, call, Ending::TimedOut, None);
+            self.end(part, call, AttemptOutcome::TimedOut, None);
         }
     }
 }
 
 /// What a front has read, and held to what the deployment has.
 pub(crate) struct Question {
-    pub asked: Lookup,
+    pub asked: Query,
     pub new: HandedIn,
     /// Which page, where its index is merged.
     pub page: Page,
@@ -169,19 +169,19 @@
 pub(crate) async fn live(work: Rc<Work>, question: Question, client: oneshot::Sender<Answer>) {
     let Question { asked, new, page } = question;
     let merging = work.gathering.merging.borrow().clone();
-    let (shards, oddities) = (work.surroundings.shards, &work.gathering.oddities);
+    let (shards, oddities) = (work.surroundings.shard_count, &work.gathering.oddities);
     let mut gather = match Gather::begin(&merging, oddities, new.index, shards, &asked, page) {
         Ok(gather) => gather,
         Err(why) => return drop(client.send(Answer::Bad(why))),
     };
-    let text: Rc<str> = asked.text.as_str().into();
+    let text: Rc<str> = asked.body.as_str().into();
     let gain = work.gains.get(new.index).copied().unwrap_or_default();
     let Some(_open) = OpenId::take(&work, &asked.id) else {
         return drop(client.send(Answer::Open));
     };
     let (lookup, mut decisions) = work.desk.hand_in(new);
     let mut client = Some(client);
-    let mut made = vec![0; asked.parts.len()];
+    let mut made = vec![0; asked.sub_requests.len()];
     let mut calls = Calls {
         work: &work,
         lookup,
@@ -199,7 +199,7 @@
             Some(Ended { part, call, ending, queue, value }) = ended.recv() => {
                 if let Some(out) = calls.out.get(&(part, call)) {
                     let (replica, round) = (out.replica, out.round);
-                    let of = || (work.desk.name(replica), asked.parts[part].shard);
+                    let of = || (work.desk.name(replica), asked.sub_requests[part].shard);
                     let ending = gather.take((part, round), ending, value, of);
                     calls.end(part, call, ending, queue);
                     let onward = gather.onward();
@@ -219,7 +219,7 @@
                 if work.withdraw {
                     let out: Vec<_> = calls.out.keys().copied().collect();
                     for (part, call) in out {
-                        calls.end(part, call, Ending::Withdrawn, None);
+                        calls.end(part, call, AttemptOutcome::Cancelled, None);
                     }
                 }
                 continue;
@@ -240,7 +240,7 @@
                     time_out,
                 } => {
                     let (shard, (round, text)) =
-                        (asked.parts[part].shard, gather.question(part, &text));
+                        (asked.sub_requests[part].shard, gather.question(part, &text));
                     let one = Asked {
                         part,
                         call: made[part],
@@ -256,7 +256,7 @@
                         .push(one);
                 }
                 Decision::Withdraw { part, call } => {
-                    calls.end(part, call, Ending::Withdrawn, None);
+                    calls.end(part, call, AttemptOutcome::Cancelled, None);
                 }
                 Decision::Satisfy { whole } => {
                     answer(&mut client, Answer::Satisfied(gather.answer(whole, &asked)));
--- a/crates/linenthread-service/src/migrate.rs
+++ b/crates/linenthread-service/src/migrate.rs
@@ -6,7 +6,7 @@
 use std::path::Path;
 use std::process::ExitCode;
 
-use linenthread_core::interface::Layout;
+use linenthread_core::interface::ShardLayout;
 use serde_json::{Value, json};
 
 use crate::config::Config;
@@ -28,11 +28,11 @@
     let old = Config::parse(text)?;
     let layout = &old.deployment.layout;
     let (cells, row, shards) = (
-        layout.cells,
-        layout.in_a_row.max(1),
-        old.surroundings.shards,
+        layout.replica_groups,
+        layout.replication_factor.max(1),
+        old.surroundings.shard_count,
     );
-    if row == 1 && !old.deployment.queue_told {
+    if row == 1 && !old.deployment.reports_queue {
         return Ok(None);
     }
     if cells % row != 0 {
@@ -40,9 +40,9 @@
             "settings: family-info.cells: {cells} cells cannot be parted into sets of {row} in a row"
         ));
     }
-    let sets = Layout {
-        cells: cells / row,
-        in_a_row: 1,
+    let sets = ShardLayout {
+        replica_groups: cells / row,
+        replication_factor: 1,
     };
     let mut new: Value =
         serde_json::from_slice(text).map_err(|e| format!("does not parse: {e}"))?;
@@ -60,14 +60,14 @@
     (
         new["settings"]["family-info"]["cells"],
         new["settings"]["family-info"]["in-a-row"],
-    ) = (json!(sets.cells), json!(sets.in_a_row));
+    ) = (json!(sets.replica_groups), json!(sets.replication_factor));
     let members = new["known"]["members"].as_array_mut().into_iter().flatten();
     for (replica, member) in old.remembered.replicas.iter().zip(members) {
-        let set = replica.cell / row;
+        let set = replica.replica_group / row;
         member["cell"] = json!(set);
         let (mut lacks, mut drops) = (Vec::new(), Vec::new());
         for s in 0..shards {
-            match (layout.holds(replica.cell, s), sets.holds(set, s)) {
+            match (layout.holds(replica.replica_group, s), sets.holds(set, s)) {
                 (false, true) => lacks.push(s.to_string()),
                 (true, false) => drops.push(s.to_string()),
                 _ => {}
