--- a/crates/linenthread-service/src/near.rs
+++ b/crates/linenthread-service/src/near.rs
@@ -3,8 +3,10 @@
 
 use std::collections::BTreeMap;
 
-use linenthread_core::interface::{Ending, Layout, Listed, Phase, RosterNews, Tenths, WayTo};
-use linenthread_protocol::number;
+use linenthread_core::interface::{
+    AttemptOutcome, MembershipEntry, MembershipUpdate, Phase, ShardLayout, TenthMillis, ZoneRoute,
+};
+use linenthread_protocol::hash_id;
 use linenthread_zones::{ALL, Ground, Pattern, Report, Table, Watch, Zone};
 
 /// Nearer than a site that the operators' file does not name, farther than one it does.
@@ -16,16 +18,16 @@
     own: usize,
     /// By the desk's number of a site: its name, and its zone if the operators' file names one.
     sites: Vec<(String, Option<usize>)>,
-    layout: Layout,
+    layout: ShardLayout,
     /// Shards of the layout.
     shards: usize,
     watch: Watch,
-    listed: BTreeMap<usize, Listed>,
-    known: BTreeMap<usize, (u64, Option<Tenths>)>,
+    listed: BTreeMap<usize, MembershipEntry>,
+    known: BTreeMap<usize, (u64, Option<TenthMillis>)>,
     table: Option<Table>,
     /// Until then the table is acted on without further word of it.
-    until: Tenths,
-    life: Tenths,
+    until: TenthMillis,
+    life: TenthMillis,
 }
 
 impl Near {
@@ -33,9 +35,9 @@
     pub(crate) fn new(
         zones: Vec<Zone>,
         own: &str,
-        life: Tenths,
+        life: TenthMillis,
         sites: &[String],
-        (layout, shards): (Layout, usize),
+        (layout, shards): (ShardLayout, usize),
     ) -> Near {
         let zone = |name: &String| (name.clone(), zones.iter().position(|z| z.name == *name));
         let own = zones.iter().position(|z| z.name == own).unwrap_or_default();
@@ -55,24 +57,26 @@
     }
 
     /// The roster's news, as the module hears it.
-    pub(crate) fn hear(&mut self, news: &RosterNews) {
+    pub(crate) fn hear(&mut self, news: &MembershipUpdate) {
         let (listed, whole) = match news {
-            RosterNews::Changes(listed) => (listed, false),
-            RosterNews::Whole(listed) | RosterNews::Remembered(listed) => (listed, true),
-            RosterNews::Failed => return,
+            MembershipUpdate::Delta(listed) => (listed, false),
+            MembershipUpdate::Snapshot(listed) | MembershipUpdate::Cached(listed) => (listed, true),
+            MembershipUpdate::Unavailable => return,
         };
         if whole {
             self.listed.clear();
         }
         for entry in listed {
             // Another process, or another replica under this number: what is known of it is of the one before.
-            if self.known.insert(entry.replica, (entry.id, entry.started))
-                != Some((entry.id, entry.started))
+            if self
+                .known
+                .insert(entry.replica, (entry.id, entry.started_at))
+                != Some((entry.id, entry.started_at))
             {
                 self.watch.gone(entry.replica);
             }
             match entry.phase {
-                Phase::Gone => {
+                Phase::Removed => {
                     self.watch.gone(entry.replica);
                     self.listed.remove(&entry.replica);
                 }
@@ -82,14 +86,14 @@
     }
 
     fn zone(&self, replica: usize) -> Option<usize> {
-        self.sites.get(self.listed.get(&replica)?.site)?.1
+        self.sites.get(self.listed.get(&replica)?.zone)?.1
     }
 
     pub(crate) fn asked(&mut self, parts: usize) {
         self.watch.asked(parts);
     }
 
-    pub(crate) fn ended(&mut self, replica: usize, ending: Ending, took: Tenths) {
+    pub(crate) fn ended(&mut self, replica: usize, ending: AttemptOutcome, took: TenthMillis) {
         if let Some(zone) = self.zone(replica) {
             self.watch.ended(zone as u8, replica, ending, took);
         }
@@ -100,11 +104,11 @@
         let count = self.zones.len();
         let mut replicas = vec![0; count];
         // By cell, replicas that take parts, by zone.
-        let mut cells = vec![vec![0_u16; count]; self.layout.cells];
+        let mut cells = vec![vec![0_u16; count]; self.layout.replica_groups];
         for (&replica, listed) in self.listed.iter().filter(|(_, l)| l.phase == Phase::Ready) {
             if let Some(zone) = self.zone(replica) {
                 replicas[zone] += 1;
-                if let Some(cell) = cells.get_mut(listed.cell) {
+                if let Some(cell) = cells.get_mut(listed.replica_group) {
                     cell[zone] += 1;
                 }
             }
@@ -112,7 +116,9 @@
         let mut patterns: BTreeMap<Vec<u16>, f64> = BTreeMap::new();
         for shard in 0..self.shards {
             let mut holders = vec![0; count];
-            for cell in (0..self.layout.cells).filter(|&cell| self.layout.holds(cell, shard)) {
+            for cell in
+                (0..self.layout.replica_groups).filter(|&cell| self.layout.holds(cell, shard))
+            {
                 (0..count).for_each(|zone| holders[zone] += cells[cell][zone]);
             }
             *patterns.entry(holders).or_default() += 1.0 / self.shards.max(1) as f64;
@@ -132,7 +138,7 @@
     }
 
     /// Acts on a table from now on. One of other zones than this program's file has is not acted on.
-    pub(crate) fn take(&mut self, table: Table, now: Tenths) -> bool {
+    pub(crate) fn take(&mut self, table: Table, now: TenthMillis) -> bool {
         let same = table.zones.iter().eq(self.zones.iter().map(|z| &z.name));
         if same {
             self.table = Some(table);
@@ -142,18 +148,18 @@
     }
 
     /// Whether the table has just been without word for too long: then all ways are open again, near first.
-    pub(crate) fn ends(&mut self, now: Tenths) -> bool {
+    pub(crate) fn ends(&mut self, now: TenthMillis) -> bool {
         now >= self.until && self.table.take().is_some()
     }
 
     /// What the module is told.
-    pub(crate) fn ways(&self) -> Vec<WayTo> {
+    pub(crate) fn ways(&self) -> Vec<ZoneRoute> {
         let way = |(name, zone): &(String, Option<usize>)| {
             let Some(zone) = *zone else {
-                return WayTo {
-                    id: number(name),
+                return ZoneRoute {
+                    id: hash_id(name),
                     distance: UNNAMED,
-                    open: ALL,
+                    open_per_mille: ALL,
                 };
             };
             let distance = match (
@@ -168,10 +174,10 @@
             let open = row
                 .and_then(|row| row.open.get(zone))
                 .map_or(ALL, |(share, _)| *share);
-            WayTo {
-                id: number(name),
+            ZoneRoute {
+                id: hash_id(name),
                 distance,
-                open,
+                open_per_mille: open,
             }
         };
         self.sites.iter().map(way).collect()
--- a/crates/linenthread-service/src/operator.rs
+++ b/crates/linenthread-service/src/operator.rs
@@ -6,7 +6,7 @@
 use std::path::Path;
 use std::time::{Duration, Instant};
 
-use linenthread_core::interface::Tenths;
+use linenthread_core::interface::TenthMillis;
 use linenthread_fleet::{Fleet, FleetDo, FleetTerms, Who};
 use linenthread_frames::Secrets;
 use linenthread_installation::Installation;
@@ -34,8 +34,8 @@
 }
 
 impl Line {
-    fn now(&self) -> Tenths {
-        1_000_000 + (self.began.elapsed().as_micros() / 100) as Tenths
+    fn now(&self) -> TenthMillis {
+        1_000_000 + (self.began.elapsed().as_micros() / 100) as TenthMillis
     }
 
     /// Does what the machine says. Gossip is not for one that stays a moment.
--- a/crates/linenthread-service/src/own.rs
+++ b/crates/linenthread-service/src/own.rs
@@ -44,11 +44,11 @@
     ///
     /// One line: file, line in it and cause.
     pub(crate) fn read(file: &Path, config: &Config) -> Result<Own, String> {
-        let indexes = &config.surroundings.indexes;
+        let indexes = &config.surroundings.index_names;
         let known = |name: &str| {
             let at = indexes.iter().position(|index| index == name)?;
             Some(KnownIndex {
-                floor: config.deployment.indexes.get(at)?.floor,
+                floor: config.deployment.indexes.get(at)?.min_share,
             })
         };
         let read = Installation::read_file(file, &known)?;
--- a/crates/linenthread-service/src/roster.rs
+++ b/crates/linenthread-service/src/roster.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use linenthread_protocol::roster::{self, List};
+use linenthread_protocol::membership::{self, MembershipList};
 use tokio::sync::watch::Receiver;
 use tokio::time::timeout;
 use tracing::{info, warn};
@@ -49,9 +49,9 @@
     let mut failing = false;
     loop {
         let (path, wait) = match revision {
-            None => (roster::WHOLE.to_owned(), SLACK),
+            None => (membership::LIST_PATH.to_owned(), SLACK),
             Some(revision) => (
-                roster::watch(revision, HOLD.as_millis() as u64),
+                membership::watch_path(revision, HOLD.as_millis() as u64),
                 HOLD + SLACK,
             ),
         };
@@ -61,10 +61,10 @@
             .unwrap_or_else(|_| Err("no answer in time".into()))
         {
             Ok(list) => {
-                if list.whole || !list.replicas.is_empty() || failing {
+                if list.complete || !list.replicas.is_empty() || failing {
                     info!(
                         revision = list.revision,
-                        whole = list.whole,
+                        whole = list.complete,
                         entries = list.replicas.len(),
                         "roster told"
                     );
@@ -85,15 +85,15 @@
     }
 }
 
-async fn ask(client: &awc::Client, url: &str, cells: usize) -> Result<List, String> {
+async fn ask(client: &awc::Client, url: &str, cells: usize) -> Result<MembershipList, String> {
     let mut response = client.get(url).send().await.map_err(|e| e.to_string())?;
     if !response.status().is_success() {
         return Err(format!("status {}", response.status().as_u16()));
     }
     let body = response
         .body()
-        .limit(roster::MOST_BYTES)
+        .limit(membership::MAX_BYTES)
         .await
         .map_err(|e| e.to_string())?;
-    roster::decode(&body, cells)
+    membership::decode(&body, cells)
 }
--- a/crates/linenthread-service/src/serve.rs
+++ b/crates/linenthread-service/src/serve.rs
@@ -6,7 +6,7 @@
 use std::rc::Rc;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-use linenthread_core::interface::Tenths;
+use linenthread_core::interface::TenthMillis;
 use linenthread_link::{Far, FarTerms, NearTerms, Secrets};
 use tokio::signal::unix::{SignalKind, signal};
 use tokio::sync::{mpsc, watch};
@@ -39,8 +39,8 @@
 /// What the desk sees of zones is passed on this often.
 const SEEN: Duration = Duration::from_millis(500);
 
-fn tenths(ms: u64) -> Tenths {
-    ms as Tenths * 10
+fn tenths(ms: u64) -> TenthMillis {
+    ms as TenthMillis * 10
 }
 
 /// Serves until told to stop, then answers all it has taken. Told to, it reads its files again. `ready` is
@@ -69,11 +69,11 @@
         .max(config.remembered.replicas.len() * 2)
         .min(config.sockets / 2);
     let (surroundings, layout) = (&config.surroundings, &config.deployment.layout);
-    let withdraw = config.deployment.allowance.withdraw;
-    let connect = clock::span(surroundings.connect_time_out.max(1));
-    let idle = clock::span(surroundings.idle.max(1));
+    let withdraw = config.deployment.permissions.cancellation;
+    let connect = clock::span(surroundings.connect_timeout.max(1));
+    let idle = clock::span(surroundings.idle_timeout.max(1));
     let carriers = Carriers::new(Limits {
-        streams: surroundings.streams,
+        streams: surroundings.max_streams,
         withdraw,
         connect,
         probe: connect,
@@ -94,7 +94,7 @@
         .collect();
     let desk = Desk::new(&config, carriers.clone(), &names, |sites| {
         let ((fleet, _), zones) = (fleet.as_ref()?, zones.as_ref()?);
-        let shards = (config.deployment.layout.clone(), surroundings.shards);
+        let shards = (config.deployment.layout.clone(), surroundings.shard_count);
         Some(Near::new(
             fleet::zones_of(zones),
             &fleet.zone,
@@ -107,13 +107,13 @@
         Some((fleet, secrets)) => Some(join_fleet(&config, &desk, fleet, zones, secrets)?),
         None => None,
     };
-    let ask_first = !config.deployment.watch_roster;
+    let ask_first = !config.deployment.watch_membership;
     let mut rounds = actix_rt::spawn(desk.clone().run());
     let (moved, address) = watch::channel(config.roster);
     let mut watch = actix_rt::spawn(roster::watch(
         desk.clone(),
         address,
-        layout.cells,
+        layout.replica_groups,
         ask_first,
     ));
     // A link takes one descriptor, a gateway as many as it may have sessions and the listener.
@@ -180,7 +180,7 @@
             .deployment
             .indexes
             .iter()
-            .map(|i| (i.gain * 1_000.0) as u32)
+            .map(|i| (i.value * 1_000.0) as u32)
             .collect(),
         gathering: Gathering {
             merging: RefCell::new(Rc::new(merging)),
--- a/crates/linenthread-zones/src/decide.rs
+++ b/crates/linenthread-zones/src/decide.rs
@@ -14,7 +14,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use linenthread_core::interface::Tenths;
+use linenthread_core::interface::TenthMillis;
 
 use crate::report::{Report, Way};
 use crate::solve::{Pattern, fit, loads};
@@ -22,7 +22,7 @@
 use crate::{ALL, MOST_ZONES};
 
 /// Evidence is gathered for so long before it is judged.
-pub const SPAN: Tenths = 10_000;
+pub const SPAN: TenthMillis = 10_000;
 /// So many spans in a row must say the same.
 const AGAIN: u32 = 2;
 /// Keys of a thousand that a zone which returns gets, step by step.
@@ -31,7 +31,7 @@
 const MOST_OPENINGS: f64 = 20.0;
 /// Who takes over begins with so many of them.
 const FIRST_OPENINGS: f64 = 5.0;
-const MINUTE: Tenths = 600_000;
+const MINUTE: TenthMillis = 600_000;
 /// Shares that differ by less than this are not worth a table.
 const WORTH: f64 = 0.05;
 /// So much of the way down to what is asked for now is gone with each span.
@@ -90,19 +90,19 @@
     /// What is moved to a zone may fill this share of its room, beside its own.
     pub margin: f64,
     /// How long a zone is left at first, and at the longest.
-    pub hold: Tenths,
-    pub longest_hold: Tenths,
+    pub hold: TenthMillis,
+    pub longest_hold: TenthMillis,
     /// How long each step of a return takes: no less than a cold replica needs to become warmer.
-    pub step: Tenths,
+    pub step: TenthMillis,
 }
 
 /// What a zone, or the way between a pair of them, goes through.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum State {
     Sound,
-    Slow { until: Tenths },
-    Left { until: Tenths },
-    Returning { step: usize, until: Tenths },
+    Slow { until: TenthMillis },
+    Left { until: TenthMillis },
+    Returning { step: usize, until: TenthMillis },
     Drained,
 }
 
@@ -114,7 +114,7 @@
     slow: u32,
     /// How often it was left of late, and since when it is sound.
     flaps: u32,
-    sound_since: Tenths,
+    sound_since: TenthMillis,
 }
 
 /// Decides for the whole fleet.
@@ -125,19 +125,19 @@
     standings: Vec<Standing>,
     pairs: BTreeMap<(usize, usize), Standing>,
     span: Report,
-    span_began: Tenths,
+    span_began: TenthMillis,
     asked: Vec<f64>,
     /// By zone: what its answers take, at their usual and now.
     usual: Vec<f64>,
     now_takes: Vec<f64>,
     rows: Vec<Row>,
     openings: f64,
-    refilled: Tenths,
-    opened: Tenths,
+    refilled: TenthMillis,
+    opened: TenthMillis,
 }
 
 impl Standing {
-    fn new(state: State, now: Tenths) -> Standing {
+    fn new(state: State, now: TenthMillis) -> Standing {
         Standing {
             state,
             against: 0,
@@ -147,7 +147,7 @@
         }
     }
 
-    fn leave(&mut self, now: Tenths, terms: &Terms) {
+    fn leave(&mut self, now: TenthMillis, terms: &Terms) {
         let hold = (terms.hold << self.flaps.min(16)).min(terms.longest_hold);
         self.flaps += 1;
         self.against = 0;
@@ -155,7 +155,7 @@
     }
 
     /// One span's evidence, and what the time brings.
-    fn go_on(&mut self, now: Tenths, against: bool, terms: &Terms) {
+    fn go_on(&mut self, now: TenthMillis, against: bool, terms: &Terms) {
         self.against = if against { self.against + 1 } else { 0 };
         match self.state {
             State::Sound | State::Slow { .. } if self.against >= AGAIN => self.leave(now, terms),
@@ -203,7 +203,12 @@
 impl Decider {
     /// Takes over from whoever led before: what the last table left is left, for a hold from now on, and what was on
     /// its way back goes on from its step.
-    pub fn new(terms: Terms, zones: Vec<Zone>, before: Option<&Table>, now: Tenths) -> Decider {
+    pub fn new(
+        terms: Terms,
+        zones: Vec<Zone>,
+        before: Option<&Table>,
+        now: TenthMillis,
+    ) -> Decider {
         let zones: Vec<Zone> = zones.into_iter().take(MOST_ZONES).collect();
         let count = zones.len();
         let names: Vec<String> = zones.iter().map(|z| z.name.clone()).collect();
@@ -273,7 +278,7 @@
     }
 
     /// When it is next to be asked.
-    pub fn wake_at(&self) -> Tenths {
+    pub fn wake_at(&self) -> TenthMillis {
         self.span_began + SPAN
     }
 
@@ -283,7 +288,7 @@
     }
 
     /// Which zones are to be left by the operators' order, as the record has it; those no longer named return.
-    pub fn drained(&mut self, drained: &BTreeSet<String>, now: Tenths) {
+    pub fn drained(&mut self, drained: &BTreeSet<String>, now: TenthMillis) {
         for (zone, standing) in self.zones.iter().zip(&mut self.standings) {
             match (drained.contains(&zone.name), standing.state) {
                 (true, _) => standing.state = State::Drained,
@@ -299,7 +304,7 @@
     }
 
     /// Judges the span that is over, if one is, and gives the table to be agreed on where it moves anything.
-    pub fn decide(&mut self, now: Tenths, from_ms: u64, ground: &Ground) -> Option<Table> {
+    pub fn decide(&mut self, now: TenthMillis, from_ms: u64, ground: &Ground) -> Option<Table> {
         if now < self.wake_at() || ground.zones.len() != self.zones.len() {
             return None;
         }
@@ -352,7 +357,7 @@
         }
     }
 
-    fn judge(&mut self, span: &Report, now: Tenths) {
+    fn judge(&mut self, span: &Report, now: TenthMillis) {
         let count = self.zones.len();
         // It takes most of a zone's observers: a few that see nothing are themselves what is cut off.
         let way = |from: usize, to: usize| {
@@ -489,7 +494,7 @@
 
     /// Whether these rows are to stand from now on. Closing is done at once; opening further no more often than the
     /// bound allows, and what only wavers is left.
-    fn adopt(&mut self, rows: Vec<Row>, now: Tenths) -> bool {
+    fn adopt(&mut self, rows: Vec<Row>, now: TenthMillis) -> bool {
         self.openings += (now - self.refilled) as f64 / MINUTE as f64;
         self.openings = self.openings.min(MOST_OPENINGS);
         self.refilled = now;
--- a/crates/linenthread-zones/src/report.rs
+++ b/crates/linenthread-zones/src/report.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use linenthread_core::interface::{Ending, Tenths};
+use linenthread_core::interface::{AttemptOutcome, TenthMillis};
 use linenthread_frames::{Put, Res, Take};
 
 use crate::MOST_ZONES;
@@ -163,7 +163,7 @@
 
     /// A part call to a replica of a zone has ended. What was given up from here, or turned away by a full replica,
     /// says nothing of whether the zone can be reached.
-    pub fn ended(&mut self, zone: u8, replica: usize, ending: Ending, took: Tenths) {
+    pub fn ended(&mut self, zone: u8, replica: usize, ending: AttemptOutcome, took: TenthMillis) {
         let usual_ms = if self.usual.1 > 0.0 {
             self.usual.0 / self.usual.1
         } else {
@@ -171,20 +171,23 @@
         };
         // One that was given up since another was quicker says nothing, unless it had been silent for long: that is
         // how a way on which nothing comes through is met.
-        let silent = ending == Ending::Withdrawn && took as f64 / 10.0 > SILENT * usual_ms.max(1.0);
+        let silent =
+            ending == AttemptOutcome::Cancelled && took as f64 / 10.0 > SILENT * usual_ms.max(1.0);
         if matches!(
             ending,
-            Ending::Withdrawn | Ending::Unsent | Ending::TurnedAway
+            AttemptOutcome::Cancelled | AttemptOutcome::NotSent | AttemptOutcome::Rejected
         ) && !silent
             || usize::from(zone) >= MOST_ZONES
         {
             return;
         }
-        self.last
-            .insert((zone, replica), (ending == Ending::Answered, self.reports));
+        self.last.insert(
+            (zone, replica),
+            (ending == AttemptOutcome::Success, self.reports),
+        );
         let way = self.ways.entry(zone).or_default();
         way.ended = way.ended.saturating_add(1);
-        if ending == Ending::Answered {
+        if ending == AttemptOutcome::Success {
             way.answered += 1;
             way.time_ms += (took.max(0) / 10) as u64;
         }
