--- a/crates/linenthread-core/src/lib.rs
+++ b/crates/linenthread-core/src/lib.rs
@@ -1,11 +1,13 @@
-//! The decisions of a co-ordinator of lookups over replicated shards.
+//! The decisions of a co-ordinator of queries over replicated shards.
 //!
-//! [`Coordinator`] decides; [`interface`] holds the plain types that go in and the [`DecisionSink`] that
-//! decisions come out through. Nothing here does I/O, reads a clock or knows a protocol.
-#![expect(
-    missing_docs,
-    reason = "public items of this package are not all documented yet"
-)]
+//! [`Coordinator`] is a deterministic state machine: each [`step`](Coordinator::step) takes what has arrived
+//! since the last one ([`interface::Inputs`]) and writes its decisions to a [`DecisionSink`]. The package does
+//! no I/O, reads no clock, and knows no protocol: its callers decode requests and settings, hand out indices
+//! for replicas and queries, and carry the decisions out.
+//!
+//! Start reading with [`interface`], the plain types that go in and come out, then [`policy`], where one module
+//! stands for each decision. The records and sums that decisions are based on are in `state`; nothing is
+//! decided there.
 
 pub mod interface;
 pub mod policy;
--- /dev/null
+++ b/crates/linenthread-core/src/policy/admission.rs
@@ -0,0 +1,236 @@
+//! Which queries are refused: those whose slowest sub-request is expected too late, and those that would add to
+//! a saturated fleet.
+
+use super::Coordinator;
+use super::windows::{FRESH_REPORT, LONG_TERM, MIN_WEIGHT, RECENT};
+use crate::interface::{FailureCause, IndexConfig};
+use crate::state::{DecayingSums, Query, Replica, SubRequest};
+
+/// While little was observed, so many sub-requests of usual delay weigh in the estimate of delays.
+const USUAL_DELAY_WEIGHT: f64 = 6.0;
+
+/// The usual delay, as a share of the shortest soft deadline.
+const USUAL_DELAY_SHARE: f64 = 0.2;
+
+/// The standard deviation of the logarithm of the usual delay.
+const USUAL_LOG_DEVIATION: f64 = 0.6;
+
+/// Share of the time left within which a query's slowest sub-request is to be expected.
+const IN_TIME_SHARE: f64 = 0.75;
+
+/// How often a slower shard counts where replicas report no queue: there saturation shows by delay alone, late.
+const UNREPORTED_SLOWDOWN_POWER: i32 = 3;
+
+/// The probability to admit a query falls with this power of the pressure, times its relative cost.
+const REFUSAL_POWER: f64 = -3.0;
+
+/// A customer is over its quota above this multiple of its share of the queries.
+const OVER_QUOTA_FACTOR: f64 = 1.25;
+
+/// No customer is over its quota before more queries than this were observed.
+const MIN_QUERIES_FOR_QUOTAS: f64 = 8.0;
+
+/// The limits on attempts in flight count this much for queries that cost less than the average.
+const CHEAP_LIMIT_FACTOR: f64 = 1.25;
+
+/// The limits on attempts in flight count at least this much for customers over their quota.
+const MIN_OVER_QUOTA_LIMIT_FACTOR: f64 = 0.6;
+
+/// A customer over its quota is worth at least this share of the value.
+const MIN_OVER_QUOTA_VALUE: f64 = 0.1;
+
+/// The least value, cost or quota that is divided by.
+const MIN_DIVISOR: f64 = 0.001;
+
+/// The distribution of sub-requests' delays, which is about log-normal.
+struct DelayEstimate {
+    /// The mean logarithm, in tenths of a millisecond.
+    log_mean: f64,
+    /// The standard deviation of the logarithm.
+    log_deviation: f64,
+}
+
+impl DelayEstimate {
+    /// The expected delay, in tenths of a millisecond, of the slowest of so many sub-requests: about the mean
+    /// of the largest of n normal values.
+    fn slowest_of(&self, count: f64) -> f64 {
+        let deviations = (1.25 * count.max(1.0).ln()).sqrt();
+        (self.log_mean + deviations * self.log_deviation).exp()
+    }
+
+    /// The expected delay, in tenths of a millisecond, of a query with so many sub-requests, both phases
+    /// counted. Those that a response may lack are not waited for.
+    fn of_query(&self, sub_request_count: f64, index: &IndexConfig) -> f64 {
+        let fetch_phase = if index.fetch_sub_requests > 0 {
+            self.slowest_of(index.fetch_sub_requests as f64)
+        } else {
+            0.0
+        };
+        let needed = sub_request_count / (1.0 + (1.0 - index.min_share) * sub_request_count);
+        self.slowest_of(needed) + fetch_phase
+    }
+}
+
+impl Coordinator {
+    /// Why a query is not admitted; `None` if it is. Counts the query in the statistics of admission.
+    pub(super) fn refusal(&mut self, query_index: usize) -> Option<FailureCause> {
+        self.decay_admission_statistics();
+        let query = self.queries[query_index].as_ref()?;
+        let customer = query.customer;
+        let delays = self.delay_estimate();
+        let slowdown = self.shard_slowdown(query, &delays);
+        self.record_size(query_index);
+        let pressure = self.pressure(self.open_query(query_index), &delays, slowdown);
+        let is_over_quota = self.is_over_quota(customer);
+        let relative_cost = self.relative_cost(query_index, is_over_quota);
+        // Those that cost much for their value are refused first, at random; none where queues are short.
+        if !self.config.short_queues
+            && self.rng.rand_float() > pressure.powf(REFUSAL_POWER * relative_cost)
+        {
+            return Some(FailureCause::ExpectedLate);
+        }
+        let limit_factor = if is_over_quota {
+            self.config
+                .over_quota_value
+                .max(MIN_OVER_QUOTA_LIMIT_FACTOR)
+        } else if relative_cost < 1.0 {
+            CHEAP_LIMIT_FACTOR
+        } else {
+            1.0
+        };
+        self.is_saturated(self.open_query(query_index), limit_factor)
+            .then_some(FailureCause::Saturated)
+    }
+
+    fn decay_admission_statistics(&mut self) {
+        let now = self.now;
+        self.fleet.log_delays.decay(now, RECENT);
+        self.fleet.costs.decay(now, LONG_TERM);
+        for queries in &mut self.fleet.customer_queries {
+            queries.decay(now, LONG_TERM);
+        }
+    }
+
+    fn record_size(&mut self, query_index: usize) {
+        let query = self.open_query(query_index);
+        let (index, count) = (query.index, query.sub_requests.len() as f64);
+        self.fleet.query_sizes[index].record(self.now, LONG_TERM, count);
+    }
+
+    fn delay_estimate(&self) -> DelayEstimate {
+        let log_delays = &self.fleet.log_delays;
+        let (mean, deviation) = log_delays
+            .mean_and_deviation(MIN_WEIGHT)
+            .unwrap_or((0.0, 0.0));
+        let observed = log_delays.weight / (log_delays.weight + USUAL_DELAY_WEIGHT);
+        let usual = (USUAL_DELAY_SHARE * self.min_soft_deadline).ln();
+        DelayEstimate {
+            log_mean: observed * mean + (1.0 - observed) * usual,
+            log_deviation: observed * deviation + (1.0 - observed) * USUAL_LOG_DEVIATION,
+        }
+    }
+
+    /// How many times slower than the mean the quickest holder of the slowest shard is that the query cannot do
+    /// without: all queries that need a slow shard meet in the queue of its quickest holder.
+    fn shard_slowdown(&self, query: &Query, delays: &DelayEstimate) -> f64 {
+        let latency = |replica: usize| self.replicas[replica].expected_latency;
+        let quickest = |sub_request: &SubRequest| {
+            let latencies = self.holders(query, sub_request).map(latency);
+            latencies.min_by(f64::total_cmp)
+        };
+        let mut expected: Vec<f64> = query.sub_requests.iter().filter_map(quickest).collect();
+        expected.sort_by(f64::total_cmp);
+        let needed = (self.index_of(query).min_share * expected.len() as f64).ceil() as usize;
+        let slowdown = expected
+            .get(needed.saturating_sub(1))
+            .map_or(1.0, |latency| (latency / delays.log_mean.exp()).max(1.0));
+        slowdown.powi(if self.config.reports_queue {
+            1
+        } else {
+            UNREPORTED_SLOWDOWN_POWER
+        })
+    }
+
+    /// The expected delay of the query, or of the worst index if that is greater, as a share of the time that
+    /// it is to come in.
+    fn pressure(&self, query: &Query, delays: &DelayEstimate, slowdown: f64) -> f64 {
+        let count = query.sub_requests.len() as f64;
+        // A client that leaves sooner is not worth the attempts.
+        let end = query.soft_deadline.min(query.hard_deadline);
+        let time_left = (end - self.now).max(1) as f64;
+        let own = delays.of_query(count, self.index_of(query)) * slowdown / time_left;
+        let of_index = |(size, index): (&DecayingSums, &IndexConfig)| {
+            Some(delays.of_query(size.mean(MIN_WEIGHT)?, index) / index.soft_deadline as f64)
+        };
+        let indexes = self.fleet.query_sizes.iter().zip(&self.config.indexes);
+        indexes.filter_map(of_index).fold(own, f64::max) / IN_TIME_SHARE
+    }
+
+    /// Of the queries that arrived here of late, a customer is owed its share of the quotas: so traffic that
+    /// moves here from another co-ordinator puts nobody over.
+    fn is_over_quota(&self, customer: usize) -> bool {
+        let (quotas, queries) = (&self.config.customer_quotas, &self.fleet.customer_queries);
+        let all: f64 = queries.iter().map(|sums| sums.weight).sum();
+        let owed_per_quota = all / quotas.iter().sum::<f64>().max(MIN_DIVISOR);
+        quotas
+            .get(customer)
+            .zip(queries.get(customer))
+            .is_some_and(|(quota, sums)| {
+                all > MIN_QUERIES_FOR_QUOTAS
+                    && sums.weight > OVER_QUOTA_FACTOR * owed_per_quota * quota
+            })
+    }
+
+    /// What the query's sub-requests cost for its value, relative to the average. Counts it in that average.
+    fn relative_cost(&mut self, query_index: usize, is_over_quota: bool) -> f64 {
+        let query = self.open_query(query_index);
+        let count = query.sub_requests.len() as f64;
+        let work = if self.config.value_by_work {
+            1.0
+        } else {
+            count
+        };
+        let cost = work / self.index_of(query).value.max(MIN_DIVISOR);
+        let costs = &mut self.fleet.costs;
+        costs.weight += count;
+        costs.sum += count * cost;
+        let relative_cost = cost * costs.weight / costs.sum.max(MIN_DIVISOR);
+        if is_over_quota {
+            relative_cost / self.config.over_quota_value.max(MIN_OVER_QUOTA_VALUE)
+        } else {
+            relative_cost
+        }
+    }
+
+    /// Whether too much is in flight from here, in all or at the holders of a shard.
+    fn is_saturated(&self, query: &Query, limit_factor: f64) -> bool {
+        let pending: f64 = self.replicas.iter().map(Replica::pending).sum();
+        pending >= limit_factor * self.fleet.max_in_flight
+            || query
+                .sub_requests
+                .iter()
+                .any(|sub_request| self.is_shard_saturated(query, sub_request, limit_factor))
+    }
+
+    /// Whether the holders of a shard have more pending than their limits together, or all report more queued
+    /// than can be served one by one within the shortest soft deadline.
+    fn is_shard_saturated(
+        &self,
+        query: &Query,
+        sub_request: &SubRequest,
+        limit_factor: f64,
+    ) -> bool {
+        let lowest_median = self.fleet.lowest_median;
+        let mut excess = 0.0;
+        let mut shortest_queue = f64::INFINITY;
+        for replica in self.holders(query, sub_request) {
+            let replica = &self.replicas[replica];
+            excess += replica.pending() - limit_factor * self.fleet.max_in_flight_per_replica;
+            shortest_queue = replica
+                .estimated_queue(self.now, FRESH_REPORT, lowest_median)
+                .min(shortest_queue);
+        }
+        let max_queue = limit_factor * self.min_soft_deadline / lowest_median;
+        excess > 0.0 || shortest_queue.is_finite() && shortest_queue > max_queue
+    }
+}
--- /dev/null
+++ b/crates/linenthread-core/src/policy/coordinator.rs
@@ -0,0 +1,167 @@
+//! The state machine: what it consists of, and the order of the decisions within a step.
+
+use oorandom::Rand64;
+
+use super::windows::{RECENT, RESET_INTERVAL};
+use crate::interface::{
+    CoordinatorConfig, DecisionSink, IndexConfig, Inputs, TenthMillis, ZoneRoute,
+};
+use crate::state::{DecayingSums, FleetStatistics, Observations, Query, Replica, Timers};
+
+/// A step is requested at least this often, in tenths of a millisecond.
+const MAX_STEP_INTERVAL: TenthMillis = 100;
+
+/// One co-ordinator: a deterministic state machine without I/O or clock.
+///
+/// Make one of a configuration and a seed, then call [`step`](Self::step) with all that arrived since and a
+/// sink for the decisions. It asks to be woken by itself.
+pub struct Coordinator {
+    pub(super) config: CoordinatorConfig,
+    /// The shortest soft deadline of all indexes, in tenths of a millisecond.
+    pub(super) min_soft_deadline: f64,
+    pub(super) rng: Rand64,
+    /// The time of the present step.
+    pub(super) now: TenthMillis,
+    pub(super) fleet: FleetStatistics,
+    /// By the replicas' indices.
+    pub(super) replicas: Vec<Replica>,
+    /// Observations by zone.
+    pub(super) zones: Vec<Observations>,
+    /// By zone; empty while there is no table.
+    pub(super) zone_routes: Vec<ZoneRoute>,
+    /// By the queries' indices; `None` where an index is not in use.
+    pub(super) queries: Vec<Option<Query>>,
+    /// The indices of the queries that are not released, oldest first.
+    pub(super) open_queries: Vec<usize>,
+    pub(super) timers: Timers,
+}
+
+impl Coordinator {
+    /// A co-ordinator that has received nothing yet. The seed determines all its random choices.
+    pub fn new(mut config: CoordinatorConfig, seed: u64) -> Self {
+        let indexes = std::mem::take(&mut config.indexes);
+        let mut coordinator = Coordinator {
+            min_soft_deadline: f64::INFINITY,
+            fleet: FleetStatistics::new(config.customer_quotas.len(), RECENT),
+            config,
+            rng: Rand64::new(u128::from(seed)),
+            now: 0,
+            replicas: Vec::new(),
+            zones: Vec::new(),
+            zone_routes: Vec::new(),
+            queries: Vec::new(),
+            open_queries: Vec::new(),
+            timers: Timers::default(),
+        };
+        for index in indexes {
+            coordinator.add_index(index);
+        }
+        coordinator
+    }
+
+    /// Adds an index for queries accepted from now on, and returns its number.
+    pub fn add_index(&mut self, index: IndexConfig) -> usize {
+        let soft_deadline = index.soft_deadline.max(1) as f64;
+        self.min_soft_deadline = self.min_soft_deadline.min(soft_deadline);
+        self.fleet.query_sizes.push(DecayingSums::default());
+        self.config.indexes.push(index);
+        self.config.indexes.len() - 1
+    }
+
+    /// Sets this co-ordinator's part of the retry budget: the attempts permitted whatever the load, its number,
+    /// and the number of co-ordinators.
+    pub fn set_retry_quota(
+        &mut self,
+        reserve: f64,
+        coordinator_number: usize,
+        coordinator_count: usize,
+    ) {
+        self.config.coordinator_number = coordinator_number;
+        self.config.coordinator_count = coordinator_count.max(1);
+        if let Some(budget) = &mut self.config.retry_budget {
+            budget.reserve = reserve;
+        }
+    }
+
+    /// Takes all that arrived and writes what is decided on it.
+    pub fn step(&mut self, inputs: &Inputs, sink: &mut impl DecisionSink) {
+        self.now = inputs.now;
+        if self.timers.next_reset == 0 {
+            self.timers.started_at = self.now;
+            self.timers.next_reset = self.now + RESET_INTERVAL;
+        }
+        self.apply(inputs, sink);
+        self.update_scores();
+        for query_index in self.open_queries.clone() {
+            self.resolve(query_index, sink);
+        }
+        self.release_ended(sink);
+        self.probe_outages(sink);
+        self.run_timers(sink);
+    }
+
+    /// Records the inputs. Those of one kind follow those of another in this order, so that a query's
+    /// sub-requests find it recorded and an attempt that ended no longer counts as in flight.
+    fn apply(&mut self, inputs: &Inputs, sink: &mut impl DecisionSink) {
+        for update in &inputs.membership {
+            self.on_membership_update(update);
+        }
+        if let Some(zone_routes) = &inputs.zone_routes {
+            self.zone_routes.clone_from(zone_routes);
+        }
+        self.count_accepted(inputs.queries.len() + inputs.sub_requests.len());
+        for query in &inputs.queries {
+            self.on_query(query);
+        }
+        for sub_request in &inputs.sub_requests {
+            self.on_sub_request(sub_request);
+        }
+        for result in &inputs.results {
+            self.on_attempt_result(result, sink);
+        }
+        for &(query_index, sub_request_index) in &inputs.continuations {
+            self.on_continuation(query_index, sub_request_index);
+        }
+        for result in &inputs.probes {
+            self.on_probe_result(result);
+        }
+        for &query_index in &inputs.abandoned {
+            self.on_abandoned(query_index);
+        }
+    }
+
+    fn run_timers(&mut self, sink: &mut impl DecisionSink) {
+        let watch_due = self.timers.next_watch.take_if(|at| *at <= self.now);
+        if watch_due.is_some() {
+            sink.watch_membership();
+        }
+        if self.timers.next_wake <= self.now {
+            self.timers.next_wake = self.now + MAX_STEP_INTERVAL;
+            sink.wake_at(self.timers.next_wake);
+        }
+    }
+
+    /// A random time below a limit.
+    pub(super) fn random_time(&mut self, limit: TenthMillis) -> TenthMillis {
+        (self.rng.rand_float() * limit as f64) as TenthMillis
+    }
+
+    /// The record of a query that is not released.
+    pub(super) fn open_query(&self, query_index: usize) -> &Query {
+        self.queries[query_index]
+            .as_ref()
+            .expect("a query has its record until it is released")
+    }
+
+    /// The record of a query that is not released.
+    pub(super) fn open_query_mut(&mut self, query_index: usize) -> &mut Query {
+        self.queries[query_index]
+            .as_mut()
+            .expect("a query has its record until it is released")
+    }
+
+    /// The index a query is for.
+    pub(super) fn index_of(&self, query: &Query) -> &IndexConfig {
+        &self.config.indexes[query.index]
+    }
+}
--- /dev/null
+++ b/crates/linenthread-core/src/policy/latency.rs
@@ -0,0 +1,45 @@
+//! Which response times are slow, and which attempts are as good as lost.
+
+use super::Coordinator;
+use super::windows::{MIN_WEIGHT, SLOW_DEVIATIONS};
+use crate::state::Attempt;
+
+impl Coordinator {
+    /// The response time over all replicas that lies so many standard deviations above the median, in tenths
+    /// of a millisecond. While nothing was observed, half of the shortest soft deadline.
+    pub(super) fn latency_at(&self, deviations: f64) -> f64 {
+        self.fleet
+            .log_latencies
+            .mean_and_deviation(MIN_WEIGHT)
+            .map_or(self.min_soft_deadline / 2.0, |(mean, deviation)| {
+                (mean + deviations * deviation).exp()
+            })
+    }
+
+    /// The response time from which on an attempt is slow, in tenths of a millisecond.
+    pub(super) fn slow_latency(&self) -> f64 {
+        self.latency_at(SLOW_DEVIATIONS)
+    }
+
+    /// The attempt is slow, and its replica has not responded for twice that time.
+    pub(super) fn is_lost(&self, attempt: &Attempt, slow: f64) -> bool {
+        let silence = (self.now - self.replicas[attempt.replica].last_response_at) as f64;
+        attempt.is_in_flight() && (self.now - attempt.sent_at) as f64 > slow && silence > 2.0 * slow
+    }
+
+    /// Counts the attempts at each replica that are lost.
+    pub(super) fn count_lost(&mut self, slow: f64) {
+        for replica in &mut self.replicas {
+            replica.lost = 0;
+        }
+        for &query_index in &self.open_queries {
+            let Some(query) = &self.queries[query_index] else {
+                continue;
+            };
+            for attempt in query.sub_requests.iter().flat_map(|s| &s.attempts) {
+                let is_lost = self.is_lost(attempt, slow);
+                self.replicas[attempt.replica].lost += u32::from(is_lost);
+            }
+        }
+    }
+}
--- /dev/null
+++ b/crates/linenthread-core/src/policy/membership_update.rs
@@ -0,0 +1,90 @@
+//! What an update from service discovery changes.
+
+use super::Coordinator;
+use super::windows::CRASH_MEMORY;
+use crate::interface::{MembershipEntry, MembershipUpdate, Phase, TenthMillis};
+use crate::state::{Observations, Replica};
+
+/// After a start from a cached list, service discovery is watched within this time, in tenths of a millisecond.
+/// Restarts may come together: their requests are spread out at random.
+const WATCH_SPREAD: TenthMillis = 2_000;
+
+/// The backoff after service discovery was unavailable, in tenths of a millisecond; it doubles with each
+/// failure.
+const WATCH_BACKOFF: TenthMillis = 2_500;
+
+/// The backoff doubles at most so many times.
+const MAX_WATCH_BACKOFF_DOUBLINGS: u32 = 4;
+
+impl Coordinator {
+    pub(super) fn on_membership_update(&mut self, update: &MembershipUpdate) {
+        let (entries, is_complete) = match update {
+            MembershipUpdate::Delta(entries) => (entries, false),
+            MembershipUpdate::Snapshot(entries) => (entries, true),
+            MembershipUpdate::Cached(entries) => {
+                self.schedule_first_watch();
+                (entries, true)
+            }
+            MembershipUpdate::Unavailable => return self.back_off_watch(),
+        };
+        // Only an update that came without delay leaves a part of the drain grace: otherwise the replica may
+        // have been draining for longer.
+        let grace = if is_complete || self.timers.watch_failures > 0 {
+            0
+        } else {
+            self.config.drain_grace / 2
+        };
+        self.timers.watch_failures = 0;
+        self.timers.next_score = self.now;
+        if is_complete {
+            for replica in &mut self.replicas {
+                replica.entry.phase = Phase::Removed;
+            }
+        }
+        for entry in entries {
+            self.apply_entry(entry, is_complete, grace);
+        }
+    }
+
+    fn schedule_first_watch(&mut self) {
+        self.timers.next_watch = self
+            .config
+            .watch_membership
+            .then(|| self.now + self.random_time(WATCH_SPREAD));
+    }
+
+    fn back_off_watch(&mut self) {
+        let failures = (self.timers.watch_failures + 1).min(MAX_WATCH_BACKOFF_DOUBLINGS);
+        self.timers.watch_failures = failures;
+        let backoff = WATCH_BACKOFF << failures;
+        self.timers.next_watch = Some(self.now + backoff / 2 + self.random_time(backoff / 2));
+    }
+
+    fn apply_entry(&mut self, entry: &MembershipEntry, is_complete: bool, grace: TenthMillis) {
+        let replica_count = self.replicas.len().max(entry.replica + 1);
+        self.replicas.resize_with(replica_count, Replica::default);
+        let zone_count = self.zones.len().max(entry.zone + 1);
+        self.zones.resize(zone_count, Observations::default());
+
+        let replica = &mut self.replicas[entry.replica];
+        if replica.entry.id != entry.id {
+            // Another replica has the index now.
+            *replica = Replica::default();
+        }
+        if replica.entry.started_at != entry.started_at {
+            // A new process: no observation of the old one counts against it.
+            replica.observations = Observations::default();
+            replica.outage = None;
+            replica.returned_at = None;
+        }
+        let was_ready = replica.is_ready();
+        let reports_crashes = self.config.permissions.health_probes && !is_complete;
+        if reports_crashes && was_ready && entry.phase == Phase::Removed {
+            self.fleet.crashes.record(self.now, CRASH_MEMORY, 1.0);
+        }
+        if was_ready {
+            replica.last_resort_until = self.now + grace;
+        }
+        replica.entry = entry.clone();
+    }
+}
--- /dev/null
+++ b/crates/linenthread-core/src/policy/natural_replica.rs
@@ -0,0 +1,177 @@
+//! The replica of an attempt: the natural one, unless that scores too badly.
+
+use super::Coordinator;
+use crate::interface::{AttemptOutcome, TenthMillis};
+use crate::state::{Attempt, Query, Replica, SubRequest, hash_ids};
+
+/// How much worse than the best a natural replica may score and keep its sub-requests, as a share.
+const BADNESS_THRESHOLD: f64 = 0.6;
+
+/// A sub-request leaves its natural replica for one of good score that has more than so many fewer attempts
+/// pending.
+const MAX_PENDING_IMBALANCE: f64 = 1.0;
+
+/// A replica that failed a sub-request is sent the same one again after this time, in tenths of a millisecond.
+const RETRY_BACKOFF: TenthMillis = 1_000;
+
+/// The distance of a zone that the table lacks.
+const FARTHEST: u8 = u8::MAX;
+
+/// Which of the permitted replicas are considered; the next step only if the ones before found none.
+#[derive(Clone, Copy)]
+enum Eligibility {
+    /// It is up, has not failed this sub-request and is not saturated.
+    Good,
+    /// It is up and has not failed this sub-request.
+    Untried,
+    /// It is up, and the sub-request's last failure is long enough ago.
+    AfterBackoff,
+}
+
+/// One that succeeded is no worse for being asked once more.
+fn has_failed(attempt: &Attempt) -> bool {
+    attempt.outcome != Some(AttemptOutcome::Success)
+}
+
+impl Coordinator {
+    /// The replica for a sub-request's next attempt; `None` if there is none to be sent to now.
+    pub(super) fn choose_replica(
+        &self,
+        query_index: usize,
+        sub_request_index: usize,
+    ) -> Option<usize> {
+        let query = self.queries[query_index].as_ref()?;
+        let sub_request = &query.sub_requests[sub_request_index];
+        if self.backs_off_from_full_queues(sub_request) {
+            return None;
+        }
+        let permitted: Vec<usize> = self
+            .holders(query, sub_request)
+            .filter(|&replica| self.may_send(query, sub_request, replica))
+            .collect();
+        let steps = [
+            Eligibility::Good,
+            Eligibility::Untried,
+            Eligibility::AfterBackoff,
+        ];
+        steps.into_iter().find_map(|eligibility| {
+            let candidates: Vec<usize> = permitted
+                .iter()
+                .copied()
+                .filter(|&replica| self.is_eligible(sub_request, replica, eligibility))
+                .collect();
+            self.preferred(query, sub_request, &candidates)
+        })
+    }
+
+    /// Full queues don't empty at once: after two rejections each further attempt waits twice as long as the
+    /// one before.
+    fn backs_off_from_full_queues(&self, sub_request: &SubRequest) -> bool {
+        let rejections = sub_request
+            .attempts
+            .iter()
+            .filter(|attempt| attempt.outcome == Some(AttemptOutcome::Rejected))
+            .count();
+        rejections > 1 && self.has_failed_within(sub_request, RETRY_BACKOFF << rejections)
+    }
+
+    /// The sub-request's last attempt has failed or is in flight, and was sent less than this time ago.
+    fn has_failed_within(&self, sub_request: &SubRequest, backoff: TenthMillis) -> bool {
+        sub_request
+            .attempts
+            .last()
+            .is_some_and(|last| has_failed(last) && self.now < last.sent_at + backoff)
+    }
+
+    fn is_eligible(
+        &self,
+        sub_request: &SubRequest,
+        replica: usize,
+        eligibility: Eligibility,
+    ) -> bool {
+        let is_untried = || {
+            !sub_request
+                .attempts
+                .iter()
+                .any(|attempt| attempt.replica == replica && has_failed(attempt))
+        };
+        let is_saturated =
+            || self.replicas[replica].pending() > self.fleet.max_in_flight_per_replica;
+        self.is_up(replica, self.now)
+            && match eligibility {
+                Eligibility::Good => is_untried() && !is_saturated(),
+                Eligibility::Untried => is_untried(),
+                Eligibility::AfterBackoff => !self.has_failed_within(sub_request, RETRY_BACKOFF),
+            }
+    }
+
+    /// Of the candidates that score well enough, those of the nearest zone; of these, the first in hash order
+    /// that has few attempts pending.
+    fn preferred(
+        &self,
+        query: &Query,
+        sub_request: &SubRequest,
+        candidates: &[usize],
+    ) -> Option<usize> {
+        let score = |replica: usize| self.replicas[replica].score;
+        let pending = |replica: usize| self.replicas[replica].pending();
+        let distance = |replica: usize| self.distance(query.key, &self.replicas[replica]);
+
+        let best_score = candidates
+            .iter()
+            .copied()
+            .map(score)
+            .min_by(f64::total_cmp)?;
+        let mut good: Vec<usize> = candidates
+            .iter()
+            .copied()
+            .filter(|&replica| score(replica) <= best_score * (1.0 + BADNESS_THRESHOLD))
+            .collect();
+        let nearest = good.iter().copied().filter_map(distance).min();
+        good.retain(|&replica| distance(replica) == nearest);
+        let least_pending = good
+            .iter()
+            .copied()
+            .map(pending)
+            .fold(f64::INFINITY, f64::min);
+        good.into_iter()
+            .filter(|&replica| pending(replica) <= least_pending + MAX_PENDING_IMBALANCE)
+            .max_by_key(|&replica| self.hash_rank(query, sub_request, replica))
+    }
+
+    /// The rank of a replica in rendezvous hashing: all co-ordinators agree on it, and a replica that comes or
+    /// goes moves only its own keys.
+    fn hash_rank(&self, query: &Query, sub_request: &SubRequest, replica: usize) -> u64 {
+        let shard = sub_request.shard as u64 + 1;
+        hash_ids([query.key, shard, self.replicas[replica].entry.id])
+    }
+
+    /// The distance of a replica's zone, if its route is open to this key. Without a table all are alike.
+    fn distance(&self, key: u64, replica: &Replica) -> Option<u8> {
+        let Some(route) = self.zone_routes.get(replica.entry.zone) else {
+            return Some(FARTHEST);
+        };
+        let is_open = hash_ids([key, route.id, 0]) % 1_000 < route.open_per_mille.into();
+        is_open.then_some(route.distance)
+    }
+
+    /// The replicas that hold a sub-request's shard and are open to its key. Where none is ready, one that
+    /// drains serves as the last resort, until it rejects a sub-request.
+    pub(super) fn holders(
+        &self,
+        query: &Query,
+        sub_request: &SubRequest,
+    ) -> impl Iterator<Item = usize> {
+        let (key, shard, now) = (query.key, sub_request.shard, self.now);
+        let has_shard = move |replica: &Replica| {
+            let holds = self.config.layout.holds(replica.entry.replica_group, shard);
+            holds && self.distance(key, replica).is_some()
+        };
+        let any_ready = self.replicas.iter().any(|r| r.is_ready() && has_shard(r));
+        let is_holder = move |replica: &Replica| {
+            let serves = replica.is_ready() || !any_ready && replica.is_last_resort(now);
+            serves && has_shard(replica)
+        };
+        (0..self.replicas.len()).filter(move |&replica| is_holder(&self.replicas[replica]))
+    }
+}
--- /dev/null
+++ b/crates/linenthread-core/src/policy/query_of_death.rs
@@ -0,0 +1,48 @@
+//! Queries that may be what makes replicas crash, and how the others are sent while replicas crash.
+
+use super::Coordinator;
+use crate::state::{Query, Replica};
+
+/// With more crashes remembered than this, queries send one sub-request first, and one lost replica is enough
+/// to suspect a query.
+const MANY_CRASHES: f64 = 1.0;
+
+/// What makes a lost connection count against a query.
+#[derive(Clone, Copy, PartialEq, Eq)]
+pub(super) enum CrashEvidence {
+    /// The replica is down.
+    Outage,
+    /// A probe found that the replica is gone.
+    Proven,
+}
+
+impl Coordinator {
+    /// Whether a query may be what makes replicas crash: two replicas were lost under it while none of its
+    /// sub-requests has succeeded; while other replicas crash, one. Where no probes are permitted there is no
+    /// proof, and a lost connection alone ends nothing.
+    pub(super) fn may_be_query_of_death(&self, query: &Query, evidence: CrashEvidence) -> bool {
+        let is_lost = |replica: &Replica| {
+            let is_proven = !replica.suspected_crash;
+            replica.outage.is_some() && (evidence == CrashEvidence::Outage || is_proven)
+        };
+        let tolerated = usize::from(!self.replicas_crash());
+        self.config.permissions.health_probes
+            && query.has_no_success()
+            && query
+                .lost_connections
+                .iter()
+                .filter(|&&replica| is_lost(&self.replicas[replica]))
+                .count()
+                > tolerated
+    }
+
+    /// Whether a query sends one sub-request first and the others when that one lasts: replicas that crash may
+    /// be the work of queries.
+    pub(super) fn sends_one_first(&self, query: &Query) -> bool {
+        query.has_no_success() && self.replicas_crash()
+    }
+
+    fn replicas_crash(&self) -> bool {
+        self.fleet.crashes.sum > MANY_CRASHES
+    }
+}
--- /dev/null
+++ b/crates/linenthread-core/src/policy/resolution.rs
@@ -0,0 +1,227 @@
+//! When a query is responded to, rejected or failed, and when it is released.
+
+use super::Coordinator;
+use super::query_of_death::CrashEvidence;
+use super::windows::WEIGHT_ROUNDING;
+use crate::interface::{DecisionSink, FailureCause, Idempotency, IndexConfig, TenthMillis};
+use crate::state::{Query, SubRequest};
+
+/// An index whose late responses earn no more than this share of the value is given up at its soft deadline.
+const MIN_LATE_VALUE_SHARE: f64 = 0.15;
+
+/// A first response leaves this multiple of a slow response time for the fetch phase.
+const FETCH_PHASE_TIME: f64 = 1.4;
+
+/// When a query is given up.
+pub(super) fn gives_up_at(query: &Query, index: &IndexConfig) -> TenthMillis {
+    if index.late_value_share > MIN_LATE_VALUE_SHARE {
+        query.hard_deadline
+    } else {
+        query.soft_deadline.min(query.hard_deadline)
+    }
+}
+
+/// Whether a share reaches a required one, but for the rounding of weights.
+fn reaches(share: f64, required: f64) -> bool {
+    share >= required - WEIGHT_ROUNDING / 2.0
+}
+
+/// How far the present phase of a query is.
+struct Progress {
+    /// When the query is given up.
+    end: TenthMillis,
+    /// The share of the weight that makes a complete response.
+    complete_share: f64,
+    /// The share of the weight under which no response may be given.
+    min_share: f64,
+    /// The share of the weight that has succeeded.
+    succeeded_share: f64,
+    /// The share of the weight that no further attempt can bring.
+    hopeless_share: f64,
+}
+
+impl Progress {
+    fn is_complete(&self) -> bool {
+        reaches(self.succeeded_share, self.complete_share)
+    }
+
+    fn can_become_complete(&self) -> bool {
+        reaches(1.0 - self.hopeless_share, self.complete_share)
+    }
+
+    fn can_reach_min(&self) -> bool {
+        reaches(1.0 - self.hopeless_share, self.min_share)
+    }
+}
+
+impl Coordinator {
+    /// Responds to a query, gives it up, or sends what it still needs.
+    pub(super) fn resolve(&mut self, query_index: usize, sink: &mut impl DecisionSink) {
+        if self.probe_before_first_attempts(query_index, sink) {
+            return;
+        }
+        let now = self.now;
+        // While a phase has no sub-requests yet, they are waited for.
+        let is_open = |query: &&Query| {
+            !query.ended && (!query.present_phase().is_empty() || now >= query.hard_deadline)
+        };
+        let Some(query) = self.queries[query_index].as_ref().filter(is_open) else {
+            return;
+        };
+        let progress = self.progress(query);
+        if self.should_respond(query, &progress) {
+            return self.respond(query_index, &progress, sink);
+        }
+        if let Some(cause) = self.failure_cause(query_index, &progress) {
+            return self.give_up(query_index, cause, sink);
+        }
+        self.open_query_mut(query_index).admitted = true;
+        self.send_missing(query_index, sink);
+    }
+
+    /// The share of the present phase's weight that makes a complete response; all of the fetch phase's.
+    pub(super) fn complete_share(&self, query: &Query) -> f64 {
+        if query.is_fetching() {
+            1.0
+        } else {
+            self.index_of(query).complete_share
+        }
+    }
+
+    fn progress(&self, query: &Query) -> Progress {
+        let index = self.index_of(query);
+        let total = query.phase_weight(|_| true).max(WEIGHT_ROUNDING);
+        let allows_partial_fetch = index.min_share < index.complete_share;
+        Progress {
+            end: gives_up_at(query, index),
+            complete_share: self.complete_share(query),
+            min_share: if query.is_fetching() && !allows_partial_fetch {
+                1.0
+            } else {
+                index.min_share
+            },
+            succeeded_share: query.phase_weight(|s| s.succeeded) / total,
+            hopeless_share: query.phase_weight(|s| self.is_hopeless(query, s)) / total,
+        }
+    }
+
+    /// No further attempt can bring this sub-request's response.
+    fn is_hopeless(&self, query: &Query, sub_request: &SubRequest) -> bool {
+        !sub_request.succeeded
+            && sub_request.in_flight() == 0
+            && (!self.may_run_again(query, sub_request)
+                || sub_request.attempts.len() >= self.config.permissions.max_attempts
+                || self
+                    .holders(query, sub_request)
+                    .all(|replica| self.is_out_of_reach(query, sub_request, replica)))
+    }
+
+    /// A complete response is given at once; a partial one when it can no longer become complete, or when
+    /// waiting longer earns less.
+    fn should_respond(&self, query: &Query, progress: &Progress) -> bool {
+        let index = self.index_of(query);
+        let partial_value =
+            index.partial_value * progress.succeeded_share / progress.complete_share;
+        let partial_pays = partial_value > index.late_value_share;
+        let fetch_phase_follows = index.fetch_sub_requests > 0 && !query.is_fetching();
+        let fetch_time = if fetch_phase_follows {
+            FETCH_PHASE_TIME
+        } else {
+            0.0
+        };
+        let ready_at = self.now + (fetch_time * self.slow_latency()) as TenthMillis;
+        let is_late = ready_at >= progress.end || ready_at >= query.soft_deadline && partial_pays;
+        progress.is_complete()
+            || reaches(progress.succeeded_share, progress.min_share)
+                && (is_late || !progress.can_become_complete())
+    }
+
+    /// Responds, unless a continuation is in flight: that is waited for up to the soft deadline, but not for
+    /// room to send it.
+    fn respond(&mut self, query_index: usize, progress: &Progress, sink: &mut impl DecisionSink) {
+        let query = self.open_query(query_index);
+        let is_complete = progress.is_complete() && query.first_response_complete.unwrap_or(true);
+        let has_fetch_phase = self.index_of(query).fetch_sub_requests > 0;
+        let is_final = query.first_response_complete.is_some() || !has_fetch_phase;
+        if query.is_continued() && self.now < progress.end.min(query.soft_deadline) {
+            self.send_missing(query_index, sink);
+            let is_awaited = |s: &SubRequest| s.continued_from.is_some() && s.in_flight() > 0;
+            let query = self.open_query(query_index);
+            if query.sub_requests.iter().any(is_awaited) {
+                return;
+            }
+        }
+        sink.respond(query_index, is_complete);
+        self.cancel_all(query_index, sink);
+        let query = self.open_query_mut(query_index);
+        query.ended = is_final;
+        query.first_response_complete = Some(is_complete);
+        query.phase_start = query.sub_requests.len();
+    }
+
+    /// Why a query without a response is given up; `None` if it is not.
+    fn failure_cause(&mut self, query_index: usize, progress: &Progress) -> Option<FailureCause> {
+        let query = self.open_query(query_index);
+        let is_query_of_death = || self.may_be_query_of_death(query, CrashEvidence::Proven);
+        if self.now >= progress.end {
+            Some(FailureCause::DeadlineExceeded)
+        } else if is_query_of_death() && !query.is_in_flight() {
+            Some(FailureCause::QueryOfDeath)
+        } else if !progress.can_reach_min() {
+            Some(FailureCause::Unanswerable)
+        } else if query.admitted {
+            None
+        } else {
+            self.refusal(query_index)
+        }
+    }
+
+    /// Ends a query without a response, at once: rejected where sending it again is harmless, else failed.
+    fn give_up(&mut self, query_index: usize, cause: FailureCause, sink: &mut impl DecisionSink) {
+        sink.failure_cause(query_index, cause);
+        let query = self.open_query(query_index);
+        let is_idempotent = self.index_of(query).idempotency == Idempotency::Idempotent;
+        if is_idempotent || query.sub_requests.iter().all(SubRequest::never_ran) {
+            let retry_after = self.draw_retry_after();
+            sink.reject(query_index, retry_after);
+        } else {
+            sink.fail(query_index);
+        }
+        self.cancel_all(query_index, sink);
+        self.open_query_mut(query_index).ended = true;
+    }
+
+    /// Advice to come back after about one slow response time, spread at random; `None` where clients receive
+    /// none.
+    fn draw_retry_after(&mut self) -> Option<TenthMillis> {
+        let slow = self.slow_latency() as TenthMillis;
+        let wait = slow / 2 + self.random_time(slow.max(1));
+        let max_retry_after = self.config.permissions.max_retry_after;
+        max_retry_after.map(|max| wait.min(max))
+    }
+
+    fn cancel_all(&self, query_index: usize, sink: &mut impl DecisionSink) {
+        if !self.config.permissions.cancellation {
+            return;
+        }
+        let sub_requests = &self.open_query(query_index).sub_requests;
+        for (sub_request_index, sub_request) in sub_requests.iter().enumerate() {
+            sub_request.cancel(query_index, sub_request_index, sink);
+        }
+    }
+
+    /// Releases the queries that have ended and have no attempt in flight.
+    pub(super) fn release_ended(&mut self, sink: &mut impl DecisionSink) {
+        let queries = &mut self.queries;
+        self.open_queries.retain(|&query_index| {
+            let is_done = queries[query_index]
+                .as_ref()
+                .is_none_or(|query| query.ended && !query.is_in_flight());
+            if is_done {
+                queries[query_index] = None;
+                sink.release(query_index);
+            }
+            !is_done
+        });
+    }
+}
--- /dev/null
+++ b/crates/linenthread-core/src/policy/sending.rs
@@ -0,0 +1,86 @@
+//! How an attempt is sent, and when idle connections are closed first.
+
+use super::Coordinator;
+use super::resolution::gives_up_at;
+use super::windows::{RECENT, REMEMBERED_RESPONSES};
+use crate::interface::{DecisionSink, TenthMillis};
+use crate::state::Attempt;
+
+/// A connection is idle after this time without use, in tenths of a millisecond.
+const IDLE_AFTER: TenthMillis = 7_500;
+
+/// Idle connections are closed before use where they fail more often than others by this share of attempts:
+/// something drops them unnoticed.
+const IDLE_FAILURE_MARGIN: f64 = 0.08;
+
+impl Coordinator {
+    /// Sends an attempt of a sub-request, if a replica may take it.
+    pub(super) fn send_attempt(
+        &mut self,
+        query_index: usize,
+        sub_request_index: usize,
+        sink: &mut impl DecisionSink,
+    ) {
+        let Some(replica_index) = self.choose_replica(query_index, sub_request_index) else {
+            return;
+        };
+        let now = self.now;
+        let is_slow_start = self.slow_start_capacity(replica_index).is_some();
+        let query = self.open_query(query_index);
+        let end = gives_up_at(query, self.index_of(query));
+        let sub_request = &query.sub_requests[sub_request_index];
+        let is_retry = !sub_request.attempts.is_empty();
+        let is_hedge = sub_request.in_flight() > 0;
+        self.fleet.hedges.record(now, RECENT, f64::from(is_hedge));
+
+        let idle_connection = self.prepare_connection(replica_index, sink);
+        let sub_request = &mut self.open_query_mut(query_index).sub_requests[sub_request_index];
+        sub_request.attempts.push(Attempt {
+            replica: replica_index,
+            sent_at: now,
+            idle_connection,
+            outcome: None,
+            moved: false,
+        });
+        let replica = &mut self.replicas[replica_index];
+        replica.last_used_at = now;
+        if replica.in_flight == 0 {
+            replica.last_response_at = now;
+        }
+        replica.in_flight += 1;
+        if is_slow_start {
+            let window = self.config.slow_start.window;
+            replica.slow_start_sends.add(now, window, 1);
+        }
+        if is_retry {
+            self.count_retry();
+        }
+        let timeout = (end - now).max(1);
+        sink.send(query_index, sub_request_index, replica_index, timeout);
+    }
+
+    /// Closes the idle connections to a replica where such connections fail. Returns whether the attempt's
+    /// connection will have been idle; `None` where other attempts are in flight.
+    fn prepare_connection(
+        &self,
+        replica_index: usize,
+        sink: &mut impl DecisionSink,
+    ) -> Option<bool> {
+        let replica = &self.replicas[replica_index];
+        let is_alone = replica.in_flight == 0;
+        let is_idle = is_alone && self.now - replica.last_used_at > IDLE_AFTER;
+        let closes = is_idle && self.idle_connections_fail();
+        if closes {
+            sink.close_idle(replica_index);
+        }
+        is_alone.then_some(is_idle && !closes)
+    }
+
+    fn idle_connections_fail(&self) -> bool {
+        let idle = self.fleet.idle_connection_failures;
+        let active = self.fleet.active_connection_failures;
+        idle.mean(REMEMBERED_RESPONSES)
+            .zip(active.mean(REMEMBERED_RESPONSES))
+            .is_some_and(|(idle, active)| idle > active + IDLE_FAILURE_MARGIN)
+    }
+}
--- /dev/null
+++ b/crates/linenthread-core/src/policy/slow_start.rs
@@ -0,0 +1,62 @@
+//! How many attempts a replica gets that has just started.
+
+use super::Coordinator;
+
+/// Share of the slow-start budget that is used.
+const BUDGET_USE: f64 = 0.8;
+
+/// Where co-ordinators take turns, turns come so often that this share of them is used.
+const USED_TURNS: f64 = 0.5;
+
+/// Turns come more often by this factor at most.
+const MAX_TURN_FACTOR: f64 = 2.0;
+
+impl Coordinator {
+    /// What share of its full capacity a replica has at least while it is in slow start; `None` once it is
+    /// warm.
+    pub(super) fn slow_start_capacity(&self, replica: usize) -> Option<f64> {
+        let slow_start = &self.config.slow_start;
+        let age = self.now - self.replicas[replica].started_at()?;
+        (age < slow_start.duration).then(|| {
+            slow_start.initial_share
+                + (1.0 - slow_start.initial_share) * age.max(0) as f64 / slow_start.duration as f64
+        })
+    }
+
+    /// Whether a replica's slow-start budget has room for one more attempt: this co-ordinator's share of the
+    /// budget, from what warm replicas serve from here.
+    pub(super) fn has_slow_start_budget(&self, replica_index: usize) -> bool {
+        let Some(capacity_share) = self.slow_start_capacity(replica_index) else {
+            return true;
+        };
+        let replica = &self.replicas[replica_index];
+        let slow_start = &self.config.slow_start;
+        let sent = replica.slow_start_sends.since(self.now - slow_start.window);
+        let own_share = replica.entry.slow_start_share.unwrap_or(1.0);
+        let budget = slow_start.budget_multiple
+            * BUDGET_USE
+            * capacity_share
+            * own_share
+            * self.fleet.warm_capacity;
+        if budget >= 1.0 {
+            return (sent + 1) as f64 <= budget;
+        }
+        sent == 0 && self.is_turn(replica_index, budget)
+    }
+
+    /// With a budget of less than one attempt in each window, the co-ordinators take turns, window by window
+    /// since the replica's start. One that sees little seldom has an attempt for it in its turn: there more
+    /// co-ordinators have theirs at once, so that the budget is not left unused.
+    fn is_turn(&self, replica_index: usize, budget: f64) -> bool {
+        let replica = &self.replicas[replica_index];
+        let age = self.now - replica.started_at().unwrap_or(0);
+        let used_share = 1.0 - (-self.fleet.sent_per_window).exp();
+        let budget = budget * (USED_TURNS / used_share).clamp(1.0, MAX_TURN_FACTOR);
+        let window = self.config.slow_start.window.max(1);
+        let turn = (age / window) as u64 + self.config.coordinator_number as u64 + replica.entry.id;
+        let windows_per_turn = (1.0 / budget)
+            .ceil()
+            .min(self.config.coordinator_count as f64);
+        turn.is_multiple_of(windows_per_turn as u64)
+    }
+}
--- /dev/null
+++ b/crates/linenthread-core/src/state/query.rs
@@ -0,0 +1,145 @@
+//! Queries, their sub-requests and the attempts of these.
+
+use crate::interface::{AttemptOutcome, DecisionSink, TenthMillis};
+
+/// One attempt of a sub-request.
+pub(crate) struct Attempt {
+    /// Where it was sent.
+    pub replica: usize,
+    pub sent_at: TenthMillis,
+    /// Whether its connection had been idle; `None` where other attempts were in flight at the replica.
+    pub idle_connection: Option<bool>,
+    /// It was cancelled so that its sub-request can be sent elsewhere.
+    pub moved: bool,
+    /// How it ended; `None` while it is in flight.
+    pub outcome: Option<AttemptOutcome>,
+}
+
+impl Attempt {
+    pub(crate) fn is_in_flight(&self) -> bool {
+        self.outcome.is_none()
+    }
+
+    /// It has ended and is known not to have run.
+    pub(crate) fn never_ran(&self) -> bool {
+        self.outcome.is_some_and(AttemptOutcome::never_ran)
+    }
+
+    /// It is in flight, for no longer than this.
+    pub(crate) fn is_in_flight_within(&self, now: TenthMillis, limit: f64) -> bool {
+        self.is_in_flight() && (now - self.sent_at) as f64 <= limit
+    }
+}
+
+/// One sub-request of a query.
+#[derive(Default)]
+pub(crate) struct SubRequest {
+    pub shard: usize,
+    /// Its share of the query.
+    pub weight: f64,
+    /// Its attempts, in the order they were sent.
+    pub attempts: Vec<Attempt>,
+    pub succeeded: bool,
+    /// It has succeeded and is wanted once more, from its attempt of this number on.
+    pub continued_from: Option<usize>,
+}
+
+impl SubRequest {
+    /// A response to it is still wanted.
+    pub(crate) fn is_wanted(&self) -> bool {
+        !self.succeeded || self.continued_from.is_some()
+    }
+
+    /// Number of its attempts in flight.
+    pub(crate) fn in_flight(&self) -> usize {
+        self.attempts.iter().filter(|a| a.is_in_flight()).count()
+    }
+
+    /// Cancels its attempts in flight.
+    pub(crate) fn cancel(
+        &self,
+        query_index: usize,
+        sub_request_index: usize,
+        sink: &mut impl DecisionSink,
+    ) {
+        for (number, attempt) in self.attempts.iter().enumerate() {
+            if attempt.is_in_flight() {
+                sink.cancel(query_index, sub_request_index, number);
+            }
+        }
+    }
+
+    /// All its attempts are known not to have run.
+    pub(crate) fn never_ran(&self) -> bool {
+        self.attempts.iter().all(Attempt::never_ran)
+    }
+
+    /// When the first attempt that may have run was sent.
+    pub(crate) fn may_have_run_since(&self) -> Option<TenthMillis> {
+        self.attempts
+            .iter()
+            .find(|attempt| !attempt.never_ran())
+            .map(|attempt| attempt.sent_at)
+    }
+}
+
+/// One query that is not released yet.
+#[derive(Default)]
+pub(crate) struct Query {
+    /// The number of its index.
+    pub index: usize,
+    pub customer: usize,
+    /// Its routing key, or what replaces it.
+    pub key: u64,
+    pub soft_deadline: TenthMillis,
+    pub hard_deadline: TenthMillis,
+    /// When its replicas were probed before its first attempts.
+    pub probed_at: Option<TenthMillis>,
+    pub sub_requests: Vec<SubRequest>,
+    /// The first sub-request of the present phase.
+    pub phase_start: usize,
+    /// Set once the first phase has a response: whether that was complete.
+    pub first_response_complete: Option<bool>,
+    /// Replicas whose connection was lost under one of its attempts.
+    pub lost_connections: Vec<usize>,
+    /// It has passed admission control.
+    pub admitted: bool,
+    /// It has ended: it only waits for its attempts in flight.
+    pub ended: bool,
+}
+
+impl Query {
+    /// None of its sub-requests has succeeded.
+    pub(crate) fn has_no_success(&self) -> bool {
+        !self.sub_requests.iter().any(|s| s.succeeded)
+    }
+
+    /// An attempt of it is in flight.
+    pub(crate) fn is_in_flight(&self) -> bool {
+        self.sub_requests.iter().any(|s| s.in_flight() > 0)
+    }
+
+    /// A sub-request that has succeeded is wanted once more.
+    pub(crate) fn is_continued(&self) -> bool {
+        self.sub_requests.iter().any(|s| s.continued_from.is_some())
+    }
+
+    /// The sub-requests of the present phase.
+    pub(crate) fn present_phase(&self) -> &[SubRequest] {
+        &self.sub_requests[self.phase_start..]
+    }
+
+    /// It is in its fetch phase.
+    pub(crate) fn is_fetching(&self) -> bool {
+        self.phase_start > 0
+    }
+
+    /// The weight of those sub-requests of the present phase that satisfy a condition.
+    pub(crate) fn phase_weight(&self, condition: impl Fn(&SubRequest) -> bool) -> f64 {
+        self.present_phase()
+            .iter()
+            .filter(|sub_request| condition(sub_request))
+            .map(|sub_request| sub_request.weight)
+            .sum()
+    }
+}
