--- a/crates/linenthread-core/src/policy/admission.rs
+++ b/crates/linenthread-core/src/policy/admission.rs
@@ -135,7 +135,7 @@
     fn shard_slowdown(&self, query: &Query, delays: &DelayEstimate) -> f64 {
         let latency = |replica: usize| self.replicas[replica].expected_latency;
         let quickest = |sub_request: &SubRequest| {
-            let latencies = self.holders(query, sub_request).map(latency);
+            let latencies = self.shard_replicas(query, sub_request).map(latency);
             latencies.min_by(f64::total_cmp)
         };
         let mut expected: Vec<f64> = query.sub_requests.iter().filter_map(quickest).collect();
@@ -223,7 +223,7 @@
         let lowest_median = self.fleet.lowest_median;
         let mut excess = 0.0;
         let mut shortest_queue = f64::INFINITY;
-        for replica in self.holders(query, sub_request) {
+        for replica in self.shard_replicas(query, sub_request) {
             let replica = &self.replicas[replica];
             excess += replica.pending() - limit_factor * self.fleet.max_in_flight_per_replica;
             shortest_queue = replica
--- a/crates/linenthread-core/src/policy/arrival.rs
+++ b/crates/linenthread-core/src/policy/arrival.rs
@@ -53,7 +53,7 @@
     /// The client of a query has left: nothing more is sent or responded.
     pub(super) fn on_abandoned(&mut self, query_index: usize) {
         if let Some(Some(query)) = self.queries.get_mut(query_index) {
-            query.ended = true;
+            query.finished = true;
         }
     }
 }
--- a/crates/linenthread-core/src/policy/attempt_result.rs
+++ b/crates/linenthread-core/src/policy/attempt_result.rs
@@ -16,7 +16,7 @@
 const HEDGES_PER_WIN: f64 = 2.0;
 
 /// An attempt that has just ended, with what its evaluation needs.
-struct EndedAttempt {
+struct FinishedAttempt {
     replica: usize,
     outcome: AttemptOutcome,
     /// From its sending to its end, in tenths of a millisecond.
@@ -27,9 +27,9 @@
     idle_connection: Option<bool>,
 }
 
-impl EndedAttempt {
+impl FinishedAttempt {
     /// It was given up, from here or by its time-out.
-    fn was_given_up(&self) -> bool {
+    fn was_cancelled_or_timed_out(&self) -> bool {
         matches!(
             self.outcome,
             AttemptOutcome::TimedOut | AttemptOutcome::Cancelled
@@ -43,7 +43,7 @@
             AttemptOutcome::Success => Some(0.0),
             AttemptOutcome::ConnectionLost if self.idle_connection == Some(true) => Some(1.0),
             AttemptOutcome::ConnectFailed if self.idle_connection == Some(false) => Some(1.0),
-            _ if self.was_given_up() && self.elapsed >= self.slow => Some(1.0),
+            _ if self.was_cancelled_or_timed_out() && self.elapsed >= self.slow => Some(1.0),
             _ => None,
         }
     }
@@ -60,26 +60,28 @@
             return;
         };
         attempt.outcome = Some(result.outcome);
-        let ended = EndedAttempt {
+        let finished = FinishedAttempt {
             replica: attempt.replica,
             outcome: result.outcome,
             elapsed: result.elapsed.max(1) as f64,
             slow,
             idle_connection: attempt.idle_connection,
         };
-        self.record_connection(&ended);
-        let replica = &mut self.replicas[ended.replica];
+        self.record_connection(&finished);
+        let replica = &mut self.replicas[finished.replica];
         replica.in_flight -= 1;
         replica.last_used_at = self.now;
-        self.record_delay(result, &ended);
-        match ended.outcome {
-            AttemptOutcome::Success => self.on_success(result, &ended, sink),
-            AttemptOutcome::Cancelled => self.record_lower_bound(&ended),
-            AttemptOutcome::TimedOut if ended.elapsed < slow => self.record_lower_bound(&ended),
+        self.record_delay(result, &finished);
+        match finished.outcome {
+            AttemptOutcome::Success => self.on_success(result, &finished, sink),
+            AttemptOutcome::Cancelled => self.record_lower_bound(&finished),
+            AttemptOutcome::TimedOut if finished.elapsed < slow => {
+                self.record_lower_bound(&finished);
+            }
             AttemptOutcome::NotSent => {}
-            _ => self.record_failure(&ended),
+            _ => self.record_failure(&finished),
         }
-        self.record_outage(result.query, &ended);
+        self.record_outage(result.query, &finished);
     }
 
     fn attempt_mut(&mut self, result: &AttemptResult) -> Option<&mut Attempt> {
@@ -89,8 +91,8 @@
     }
 
     /// Counts how often idle connections fail, and how often others do.
-    fn record_connection(&mut self, ended: &EndedAttempt) {
-        let (Some(failure), Some(idle)) = (ended.connection_failure(), ended.idle_connection)
+    fn record_connection(&mut self, finished: &FinishedAttempt) {
+        let (Some(failure), Some(idle)) = (finished.connection_failure(), finished.idle_connection)
         else {
             return;
         };
@@ -105,21 +107,23 @@
     /// Records how long the sub-request took or was waited for, counted from its first attempt: a hedged
     /// request that is quicker makes up for a slow attempt. A rejection counts as a whole soft deadline, and
     /// ends the replica's time as a last resort.
-    fn record_delay(&mut self, result: &AttemptResult, ended: &EndedAttempt) {
+    fn record_delay(&mut self, result: &AttemptResult, finished: &FinishedAttempt) {
         let now = self.now;
         let query = self.queries[result.query].as_ref();
         let query = query.expect("the query of an attempt that has just ended");
         let sub_request = &query.sub_requests[result.sub_request];
         let log_delays = &mut self.fleet.log_delays;
-        let was_last = sub_request.in_flight() == 0 && ended.was_given_up();
-        if ended.outcome == AttemptOutcome::Rejected {
+        let was_last = sub_request.in_flight() == 0 && finished.was_cancelled_or_timed_out();
+        if finished.outcome == AttemptOutcome::Rejected {
             let log_deadline = self.min_soft_deadline.ln();
-            let replica = &mut self.replicas[ended.replica];
+            let replica = &mut self.replicas[finished.replica];
             replica.last_resort_until = now;
             log_delays.record(now, RECENT, log_deadline);
             let log_latencies = &mut replica.observations.log_latencies;
             log_latencies.record(now, self.fleet.time_constant, log_deadline);
-        } else if !sub_request.succeeded && (was_last || ended.outcome == AttemptOutcome::Success) {
+        } else if !sub_request.succeeded
+            && (was_last || finished.outcome == AttemptOutcome::Success)
+        {
             let age = (now - sub_request.attempts[0].sent_at).max(1) as f64;
             log_delays.record(now, RECENT, age.ln());
         }
@@ -128,7 +132,7 @@
     fn on_success(
         &mut self,
         result: &AttemptResult,
-        ended: &EndedAttempt,
+        finished: &FinishedAttempt,
         sink: &mut impl DecisionSink,
     ) {
         let (now, time_constant) = (self.now, self.fleet.time_constant);
@@ -136,7 +140,7 @@
         let query = query.expect("the query of an attempt that has just ended");
         let sub_request = &mut query.sub_requests[result.sub_request];
         let is_overtaken = |earlier: &Attempt| {
-            earlier.is_in_flight() || earlier.moved && ended.elapsed < ended.slow
+            earlier.is_in_flight() || earlier.moved && finished.elapsed < finished.slow
         };
         if !sub_request.succeeded
             && sub_request.attempts[..result.attempt]
@@ -145,15 +149,15 @@
         {
             self.fleet.hedges.subtract(now, RECENT, HEDGES_PER_WIN);
         }
-        sub_request.succeeded |= !query.ended;
+        sub_request.succeeded |= !query.finished;
         sub_request.continued_from = sub_request
             .continued_from
             .filter(|first| result.attempt < *first);
 
-        let replica = &mut self.replicas[ended.replica];
+        let replica = &mut self.replicas[finished.replica];
         replica.last_response_at = now;
         replica.on_response(now, result.queue_depth);
-        let log_latency = ended.elapsed.ln();
+        let log_latency = finished.elapsed.ln();
         let zone = &mut self.zones[replica.entry.zone];
         for observations in [&mut replica.observations, zone] {
             observations.failures.record(now, time_constant, 0.0);
@@ -161,22 +165,22 @@
             log_latencies.record(now, time_constant, log_latency);
         }
         self.fleet.log_latencies.record(now, RECENT, log_latency);
-        if self.config.permissions.cancellation && !query.ended {
+        if self.config.permissions.cancellation && !query.finished {
             sub_request.cancel(result.query, result.sub_request, sink);
         }
     }
 
     /// An attempt that was given up would have taken longer still. That says something of the replica only if
     /// it had already taken longer than usual.
-    fn record_lower_bound(&mut self, ended: &EndedAttempt) {
+    fn record_lower_bound(&mut self, finished: &FinishedAttempt) {
         let (now, time_constant) = (self.now, self.fleet.time_constant);
-        let replica = &mut self.replicas[ended.replica];
+        let replica = &mut self.replicas[finished.replica];
         let usual = replica
             .observations
             .log_latencies
             .mean(MIN_WEIGHT)
             .or(self.fleet.log_latencies.mean(MIN_WEIGHT));
-        let log_elapsed = ended.elapsed.ln();
+        let log_elapsed = finished.elapsed.ln();
         if usual.is_some_and(|log_median| log_elapsed > log_median) {
             let zone = &mut self.zones[replica.entry.zone];
             for observations in [&mut replica.observations, zone] {
@@ -186,8 +190,8 @@
         }
     }
 
-    fn record_failure(&mut self, ended: &EndedAttempt) {
-        let replica = &mut self.replicas[ended.replica];
+    fn record_failure(&mut self, finished: &FinishedAttempt) {
+        let replica = &mut self.replicas[finished.replica];
         let zone = &mut self.zones[replica.entry.zone];
         for observations in [&mut replica.observations, zone] {
             let failures = &mut observations.failures;
@@ -196,20 +200,20 @@
     }
 
     /// A lost connection or a failed connect makes the replica count as down.
-    fn record_outage(&mut self, query_index: usize, ended: &EndedAttempt) {
+    fn record_outage(&mut self, query_index: usize, finished: &FinishedAttempt) {
         let now = self.now;
         let health_probes = self.config.permissions.health_probes;
-        let replica = &mut self.replicas[ended.replica];
-        let connection_lost = ended.outcome == AttemptOutcome::ConnectionLost;
+        let replica = &mut self.replicas[finished.replica];
+        let connection_lost = finished.outcome == AttemptOutcome::ConnectionLost;
         if connection_lost {
             let query: Option<&mut Query> = self.queries[query_index].as_mut();
             let query = query.expect("the query of an attempt that has just ended");
-            if !query.lost_connections.contains(&ended.replica) {
-                query.lost_connections.push(ended.replica);
+            if !query.lost_connections.contains(&finished.replica) {
+                query.lost_connections.push(finished.replica);
                 replica.suspected_crash = health_probes;
             }
         }
-        if connection_lost || ended.outcome == AttemptOutcome::ConnectFailed {
+        if connection_lost || finished.outcome == AttemptOutcome::ConnectFailed {
             let outage = replica.outage.unwrap_or(Outage {
                 since: now,
                 retry_at: now,
--- a/crates/linenthread-core/src/policy/coordinator.rs
+++ b/crates/linenthread-core/src/policy/coordinator.rs
@@ -95,7 +95,7 @@
         for query_index in self.open_queries.clone() {
             self.resolve(query_index, sink);
         }
-        self.release_ended(sink);
+        self.release_finished(sink);
         self.probe_outages(sink);
         self.run_timers(sink);
     }
--- a/crates/linenthread-core/src/policy/dispatch.rs
+++ b/crates/linenthread-core/src/policy/dispatch.rs
@@ -17,7 +17,7 @@
 const HEDGE_WITHIN: f64 = 2.5;
 
 /// Where a share of the sub-requests makes a complete response: share of the others that is sent at first.
-const SPARE_SHARE: f64 = 0.25;
+const EXTRA_SHARE: f64 = 0.25;
 
 /// Scores are compared in thousandths when sub-requests are ordered.
 const SCORE_SCALE: f64 = 1_000.0;
@@ -27,7 +27,7 @@
     /// The sub-requests in the order they are sent.
     order: Vec<usize>,
     /// The weight of first attempts that is still wanted; infinite where all are.
-    wanted: f64,
+    unsent_weight: f64,
     /// A response time from which on attempts are slow.
     slow: f64,
     /// Little time is left before the soft deadline.
@@ -48,17 +48,17 @@
             return;
         };
         let slow = self.slow_latency();
-        if self.is_held_back(query, slow) {
+        if self.is_deferred(query, slow) {
             return;
         }
         let mut plan = self.dispatch_plan(query, slow);
         for sub_request_index in std::mem::take(&mut plan.order) {
             let sub_request = &self.open_query(query_index).sub_requests[sub_request_index];
             let is_first = sub_request.attempts.is_empty();
-            if !sub_request.is_wanted() || is_first && plan.wanted <= WEIGHT_ROUNDING / 2.0 {
+            if !sub_request.is_needed() || is_first && plan.unsent_weight <= WEIGHT_ROUNDING / 2.0 {
                 continue;
             }
-            plan.wanted -= if is_first { sub_request.weight } else { 0.0 };
+            plan.unsent_weight -= if is_first { sub_request.weight } else { 0.0 };
             let in_flight = sub_request.in_flight();
             let hedges = self.may_hedge(sub_request, &plan);
             if hedges && self.should_move(query_index, sub_request_index, slow) {
@@ -73,7 +73,7 @@
     }
 
     /// Nothing of the query is sent: it may make replicas crash, or its first sub-request has not yet lasted.
-    fn is_held_back(&self, query: &Query, slow: f64) -> bool {
+    fn is_deferred(&self, query: &Query, slow: f64) -> bool {
         let mut attempts = query.sub_requests.iter().flat_map(|s| &s.attempts);
         self.may_be_query_of_death(query, CrashEvidence::Outage)
             || self.sends_one_first(query)
@@ -85,7 +85,7 @@
         let is_last = missing.count() <= 1;
         let mut plan = DispatchPlan {
             order: (query.phase_start..query.sub_requests.len()).collect(),
-            wanted: f64::INFINITY,
+            unsent_weight: f64::INFINITY,
             slow,
             is_urgent: (query.soft_deadline - self.now) as f64 <= HEDGE_WITHIN * slow,
             hedge_share: if is_last {
@@ -102,7 +102,7 @@
                 let is_quick = |attempt: &Attempt| attempt.is_in_flight_within(self.now, slow);
                 sub_request.succeeded || sub_request.attempts.iter().any(is_quick)
             };
-            plan.wanted = (complete_share + SPARE_SHARE * (1.0 - complete_share))
+            plan.unsent_weight = (complete_share + EXTRA_SHARE * (1.0 - complete_share))
                 * query.phase_weight(|_| true)
                 - query.phase_weight(is_coming);
             plan.order.sort_by_cached_key(|&sub_request_index| {
@@ -114,7 +114,7 @@
 
     /// The best score of the holders of a sub-request's shard, in thousandths.
     fn best_score(&self, query: &Query, sub_request: &SubRequest) -> Option<u64> {
-        self.holders(query, sub_request)
+        self.shard_replicas(query, sub_request)
             .map(|replica| (SCORE_SCALE * self.replicas[replica].score) as u64)
             .min()
     }
@@ -140,13 +140,13 @@
                 .attempts
                 .iter()
                 .all(|attempt| !attempt.moved || !attempt.is_in_flight())
-            && self.holders(query, sub_request).any(|replica| {
+            && self.shard_replicas(query, sub_request).any(|replica| {
                 self.replicas[replica].outage.is_none()
                     && self.may_replace(query, sub_request, replica)
             })
     }
 
-    /// Cancels the oldest attempt in flight; its sub-request is sent elsewhere once it has ended. That counts
+    /// Cancels the oldest attempt in flight; its sub-request is sent elsewhere once it has finished. That counts
     /// as a hedged request.
     fn cancel_to_move(
         &mut self,
--- a/crates/linenthread-core/src/policy/health_probe.rs
+++ b/crates/linenthread-core/src/policy/health_probe.rs
@@ -15,7 +15,7 @@
 
 /// Replicas are probed before a query's first attempts where they are remembered for longer than this multiple
 /// of [`RECENT`], since each is seen too seldom to be known.
-const SELDOM_SEEN: f64 = 1.5;
+const SELDOM_OBSERVED: f64 = 1.5;
 
 /// Where replicas report no queue, at least this share of queries probes first.
 const MIN_PROBING_SHARE: f64 = 0.1;
@@ -90,10 +90,10 @@
         let Some(Some(query)) = self.queries.get(query_index) else {
             return false;
         };
-        let is_seldom_seen = self.fleet.time_constant > SELDOM_SEEN * RECENT;
+        let is_seldom_observed = self.fleet.time_constant > SELDOM_OBSERVED * RECENT;
         let is_too_late =
-            query.admitted || query.ended || self.now + 2 * max_wait > query.hard_deadline;
-        if !is_seldom_seen
+            query.admitted || query.finished || self.now + 2 * max_wait > query.hard_deadline;
+        if !is_seldom_observed
             || !self.config.permissions.health_probes
             || is_too_late
             || query.sub_requests.is_empty()
@@ -106,7 +106,7 @@
         if !self.config.reports_queue && !self.draws_probing() {
             return false;
         }
-        self.probe_holders(query_index, sink)
+        self.probe_shard_replicas(query_index, sink)
     }
 
     fn waits_for_probes(
@@ -117,8 +117,8 @@
     ) -> bool {
         let waited = self.now - probed_at;
         let is_probed = |replica: usize| self.replicas[replica].probe_sent_at.is_some();
-        let any_probed = |s: &SubRequest| self.holders(query, s).any(is_probed);
-        let all_probed = |s: &SubRequest| self.holders(query, s).all(is_probed);
+        let any_probed = |s: &SubRequest| self.shard_replicas(query, s).any(is_probed);
+        let all_probed = |s: &SubRequest| self.shard_replicas(query, s).all(is_probed);
         waited < PROBE_TIMEOUT && query.sub_requests.iter().any(any_probed)
             || waited < max_wait && query.sub_requests.iter().any(all_probed)
     }
@@ -132,13 +132,13 @@
 
     /// Probes those holders of the query's shards that are up and have not reported of late. Returns whether
     /// there was any.
-    fn probe_holders(&mut self, query_index: usize, sink: &mut impl DecisionSink) -> bool {
+    fn probe_shard_replicas(&mut self, query_index: usize, sink: &mut impl DecisionSink) -> bool {
         let now = self.now;
         let query = self.open_query(query_index);
         let mut replicas: Vec<usize> = query
             .sub_requests
             .iter()
-            .flat_map(|sub_request| self.holders(query, sub_request))
+            .flat_map(|sub_request| self.shard_replicas(query, sub_request))
             .collect();
         replicas.retain(|&replica_index| {
             let replica = &mut self.replicas[replica_index];
--- a/crates/linenthread-core/src/policy/natural_replica.rs
+++ b/crates/linenthread-core/src/policy/natural_replica.rs
@@ -46,7 +46,7 @@
             return None;
         }
         let permitted: Vec<usize> = self
-            .holders(query, sub_request)
+            .shard_replicas(query, sub_request)
             .filter(|&replica| self.may_send(query, sub_request, replica))
             .collect();
         let steps = [
@@ -157,7 +157,7 @@
 
     /// The replicas that hold a sub-request's shard and are open to its key. Where none is ready, one that
     /// drains serves as the last resort, until it rejects a sub-request.
-    pub(super) fn holders(
+    pub(super) fn shard_replicas(
         &self,
         query: &Query,
         sub_request: &SubRequest,
--- a/crates/linenthread-core/src/policy/resolution.rs
+++ b/crates/linenthread-core/src/policy/resolution.rs
@@ -63,7 +63,7 @@
         let now = self.now;
         // While a phase has no sub-requests yet, they are waited for.
         let is_open = |query: &&Query| {
-            !query.ended && (!query.present_phase().is_empty() || now >= query.hard_deadline)
+            !query.finished && (!query.present_phase().is_empty() || now >= query.hard_deadline)
         };
         let Some(query) = self.queries[query_index].as_ref().filter(is_open) else {
             return;
@@ -112,7 +112,7 @@
             && (!self.may_run_again(query, sub_request)
                 || sub_request.attempts.len() >= self.config.permissions.max_attempts
                 || self
-                    .holders(query, sub_request)
+                    .shard_replicas(query, sub_request)
                     .all(|replica| self.is_out_of_reach(query, sub_request, replica)))
     }
 
@@ -154,7 +154,7 @@
         sink.respond(query_index, is_complete);
         self.cancel_all(query_index, sink);
         let query = self.open_query_mut(query_index);
-        query.ended = is_final;
+        query.finished = is_final;
         query.first_response_complete = Some(is_complete);
         query.phase_start = query.sub_requests.len();
     }
@@ -188,7 +188,7 @@
             sink.fail(query_index);
         }
         self.cancel_all(query_index, sink);
-        self.open_query_mut(query_index).ended = true;
+        self.open_query_mut(query_index).finished = true;
     }
 
     /// Advice to come back after about one slow response time, spread at random; `None` where clients receive
@@ -211,12 +211,12 @@
     }
 
     /// Releases the queries that have ended and have no attempt in flight.
-    pub(super) fn release_ended(&mut self, sink: &mut impl DecisionSink) {
+    pub(super) fn release_finished(&mut self, sink: &mut impl DecisionSink) {
         let queries = &mut self.queries;
         self.open_queries.retain(|&query_index| {
             let is_done = queries[query_index]
                 .as_ref()
-                .is_none_or(|query| query.ended && !query.is_in_flight());
+                .is_none_or(|query| query.finished && !query.is_in_flight());
             if is_done {
                 queries[query_index] = None;
                 sink.release(query_index);
--- a/crates/linenthread-core/src/policy/send_guard.rs
+++ b/crates/linenthread-core/src/policy/send_guard.rs
@@ -25,8 +25,8 @@
         replica: usize,
     ) -> bool {
         self.may_run_again(query, sub_request)
-            && !query.ended
-            && sub_request.is_wanted()
+            && !query.finished
+            && sub_request.is_needed()
             && self.is_member(replica)
             && sub_request.attempts.len() < self.config.permissions.max_attempts
             && sub_request
--- a/crates/linenthread-core/src/state/query.rs
+++ b/crates/linenthread-core/src/state/query.rs
@@ -46,7 +46,7 @@
 
 impl SubRequest {
     /// A response to it is still wanted.
-    pub(crate) fn is_wanted(&self) -> bool {
+    pub(crate) fn is_needed(&self) -> bool {
         !self.succeeded || self.continued_from.is_some()
     }
 
@@ -105,7 +105,7 @@
     /// It has passed admission control.
     pub admitted: bool,
     /// It has ended: it only waits for its attempts in flight.
-    pub ended: bool,
+    pub finished: bool,
 }
 
 impl Query {
--- a/crates/linenthread-terms/tests/settings.rs
+++ b/crates/linenthread-terms/tests/settings.rs
@@ -1,4 +1,4 @@
-//! What settings of the old shape give, and those of the new one.
+//! Settings and what they are decoded to.
 
 use linenthread_core::interface::{
     CoordinatorConfig, Idempotency, IndexConfig, Permissions, RetryBudget, ShardLayout, SlowStart,
@@ -6,7 +6,7 @@
 use linenthread_terms::coordinator_config;
 use serde_json::{Value, json};
 
-fn old() -> Value {
+fn settings() -> Value {
     json!({
         "me": 1, "balancers": 3, "membership-mode": "pushed", "over-share-worth": 0.2, "kinds": ["x"],
         "classes": [{"name": "a", "idempotency": "keyed", "window-ms": 700.0, "promise-ms": 900.0, "worth": 2.0,
@@ -24,8 +24,8 @@
 }
 
 #[test]
-fn old_settings_give_what_they_gave() {
-    let told = CoordinatorConfig {
+fn all_settings_are_decoded_and_telemetry_may_be_missing() {
+    let expected = CoordinatorConfig {
         coordinator_number: 1,
         coordinator_count: 3,
         indexes: vec![IndexConfig {
@@ -68,25 +68,25 @@
         }),
         watch_membership: false,
     };
-    assert_eq!(coordinator_config(&old()), Ok(told.clone()));
-    // Settings from before load reports were looked at say nothing of them: all is as it was.
-    let mut silent = old();
-    silent.as_object_mut().unwrap().remove("telemetry");
-    assert_eq!(coordinator_config(&silent), Ok(told));
+    assert_eq!(coordinator_config(&settings()).unwrap(), expected);
+    // Older settings say nothing of load reports: replicas report their queue.
+    let mut without_telemetry = settings();
+    without_telemetry
+        .as_object_mut()
+        .unwrap()
+        .remove("telemetry");
+    assert_eq!(coordinator_config(&without_telemetry).unwrap(), expected);
 }
 
 #[test]
-fn how_load_is_told_is_read_and_held_to_its_words() {
+fn load_reports_are_decoded_and_unknown_words_refused() {
     let with = |telemetry: Value| {
-        let mut settings = old();
-        settings["telemetry"] = telemetry;
-        coordinator_config(&settings).map(|d| d.reports_queue)
+        let mut changed = settings();
+        changed["telemetry"] = telemetry;
+        coordinator_config(&changed).map(|config| config.reports_queue)
     };
-    assert_eq!(with(json!({"names": [], "source": "none"})), Ok(false));
-    assert_eq!(
-        with(json!({"names": ["util"], "source": "answers"})),
-        Ok(false)
-    );
+    assert!(!with(json!({"names": [], "source": "none"})).unwrap());
+    assert!(!with(json!({"names": ["util"], "source": "answers"})).unwrap());
     for (field, bad) in [
         (
             "telemetry.source",
@@ -95,7 +95,10 @@
         ("telemetry.source", json!({"names": []})),
         ("telemetry.names", json!({"names": [1], "source": "none"})),
     ] {
-        let said = with(bad).unwrap_err();
-        assert!(said.contains(field) && said.lines().count() == 1, "{said}");
+        let message = with(bad).unwrap_err().to_string();
+        assert!(
+            message.contains(field) && message.lines().count() == 1,
+            "{message}"
+        );
     }
 }
