--- a/crates/linenthread-config/src/configuration.rs
+++ b/crates/linenthread-config/src/configuration.rs
@@ -1,268 +1,231 @@
-use std::collections::{HashMap, HashSet};
-use std::rc::Rc;
+//! The configuration that operators replace while the system runs: routes, backends and limits.
+
+use std::collections::HashSet;
 use std::sync::LazyLock;
+use std::time::Duration;
 
-use serde::Deserialize;
+use serde::{Deserialize, Deserializer};
+use snafu::{ResultExt, ensure};
 
-use crate::{Fault, Schema, fault, hold, schema};
+use crate::error::{
+    ConfigurationError, DecodeSnafu, DuplicateBackendSnafu, DuplicateRouteSnafu,
+    MutatingFanOutSnafu, UnknownBackendSnafu, ZeroWeightsSnafu,
+};
+use crate::schema::Schema;
 
 static SCHEMA: LazyLock<Schema> =
-    LazyLock::new(|| schema(include_str!("../configuration.schema.json")));
+    LazyLock::new(|| Schema::compile(include_str!("../configuration.schema.json")));
 
+/// Whether requests of a route may be sent more than once.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "lowercase")]
 pub enum Mode {
+    /// Requests may be repeated: they can be retried, hedged and fanned out.
     Idempotent,
+    /// Requests change state: one that may have reached a replica is not sent again.
     Mutating,
 }
 
+/// One of the backends between which a route splits its traffic.
 #[derive(Clone, Debug, Deserialize)]
-pub struct Share {
+pub struct WeightedBackend {
+    /// Name of the backend.
     pub backend: String,
-    pub share: f64,
+    /// Its weight relative to the other backends of the route; 0 for no traffic.
+    #[serde(rename = "share")]
+    pub weight: f64,
 }
 
+/// Which requests go where, and how. Exactly one of `backend`, `weighted_backends` and `fanout` is given.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Route {
-    pub label: String,
+    /// Name of the route, for logs.
+    #[serde(rename = "label")]
+    pub name: String,
+    /// The `Host` that requests are for; case and port don't matter.
     pub host: String,
+    /// Prefix of the request path; begins and ends with `/`. The longest that matches wins.
     pub path_prefix: String,
+    /// Whether requests may be sent more than once.
     pub mode: Mode,
-    pub limit_ms: f64,
-    #[serde(default)]
-    pub target_ms: Option<f64>,
-    #[serde(default)]
-    pub rank: i64,
-    #[serde(default = "one")]
-    pub tries: usize,
+    /// How long a request may take, in milliseconds; fractions are permitted.
+    #[serde(rename = "limit_ms")]
+    pub timeout_ms: f64,
+    /// The latency that responses should keep to, in milliseconds; absent: the time-out.
+    #[serde(default, rename = "target_ms")]
+    pub latency_target_ms: Option<f64>,
+    /// Priority under load; 0 is the highest.
+    #[serde(default, rename = "rank")]
+    pub priority: i64,
+    /// How many attempts each sub-request may have, the first included.
+    #[serde(default = "one_attempt", rename = "tries")]
+    pub max_attempts: usize,
+    /// The only backend of the route.
     #[serde(default)]
     pub backend: Option<String>,
-    #[serde(default)]
-    pub apportion: Option<Vec<Share>>,
+    /// The backends between which requests are split.
+    #[serde(default, rename = "apportion")]
+    pub weighted_backends: Option<Vec<WeightedBackend>>,
+    /// The backends that are all sent each request; their responses are gathered.
     #[serde(default)]
     pub fanout: Option<Vec<String>>,
+    /// The most records that a gathered response holds.
     #[serde(default)]
     pub result_limit: usize,
+    /// The least fraction of backends, from 0 to 1, that a gathered response may be made of.
     #[serde(default)]
     pub min_coverage: f64,
 }
 
-fn one() -> usize {
+fn one_attempt() -> usize {
     1
 }
 
+impl Route {
+    /// Names of all backends that a request on this route may go to.
+    pub fn backends(&self) -> impl Iterator<Item = &str> {
+        let weighted = self.weighted_backends.iter().flatten();
+        self.backend
+            .as_deref()
+            .into_iter()
+            .chain(weighted.map(|weighted| weighted.backend.as_str()))
+            .chain(self.fanout.iter().flatten().map(String::as_str))
+    }
+
+    /// Whether the route splits its traffic and no backend has a positive weight.
+    fn has_zero_weights(&self) -> bool {
+        self.weighted_backends
+            .as_ref()
+            .is_some_and(|all| all.iter().map(|w| w.weight).sum::<f64>() <= 0.0)
+    }
+}
+
+/// A service, all replicas of which do the same work.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Backend {
-    pub label: String,
-    #[serde(default)]
-    pub probe_path: Option<String>,
-    #[serde(default)]
-    pub max_conns: Option<usize>,
+    /// Name of the backend, by which routes and replicas refer to it.
+    #[serde(rename = "label")]
+    pub name: String,
+    /// Path of its replicas' health check.
+    #[serde(default, rename = "probe_path")]
+    pub health_check_path: Option<String>,
+    /// How many connections a replica accepts from all ingress nodes together; absent: no limit.
+    #[serde(default, rename = "max_conns")]
+    pub max_connections: Option<usize>,
 }
 
-/// What clients may send, and how long it may take; in bytes and milliseconds.
+/// What clients may send, and how long it may take.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(default)]
-pub struct Constraints {
-    pub header_bytes: usize,
-    pub payload_bytes: usize,
-    pub header_ms: u64,
-    pub quiet_ms: u64,
+pub struct RequestLimits {
+    /// The longest request head, in bytes.
+    #[serde(rename = "header_bytes")]
+    pub max_header_bytes: usize,
+    /// The longest request body, in bytes.
+    #[serde(rename = "payload_bytes")]
+    pub max_body_bytes: usize,
+    /// How long a request head may take from its first byte to its last.
+    #[serde(rename = "header_ms", deserialize_with = "milliseconds")]
+    pub header_timeout: Duration,
+    /// How long a connection may be idle.
+    #[serde(rename = "quiet_ms", deserialize_with = "milliseconds")]
+    pub idle_timeout: Duration,
 }
 
-impl Default for Constraints {
+fn milliseconds<'de, D: Deserializer<'de>>(deserializer: D) -> Result<Duration, D::Error> {
+    u64::deserialize(deserializer).map(Duration::from_millis)
+}
+
+impl Default for RequestLimits {
     fn default() -> Self {
-        Constraints {
-            header_bytes: 16_384,
-            payload_bytes: 262_144,
-            header_ms: 3_000,
-            quiet_ms: 15_000,
+        RequestLimits {
+            max_header_bytes: 16_384,
+            max_body_bytes: 262_144,
+            header_timeout: Duration::from_secs(3),
+            idle_timeout: Duration::from_secs(15),
         }
     }
 }
 
+/// One revision of the configuration.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Configuration {
+    /// Number of the revision, from 1; each replacement has a higher one.
     pub revision: u64,
-    pub route_table: Vec<Route>,
+    /// The routes. Requests that match none are rejected.
+    #[serde(rename = "route_table")]
+    pub routes: Vec<Route>,
+    /// The backends that routes may name.
     pub backends: Vec<Backend>,
-    #[serde(default)]
-    pub constraints: Constraints,
+    /// Limits on all clients' requests.
+    #[serde(default, rename = "constraints")]
+    pub limits: RequestLimits,
 }
 
-impl Route {
-    /// All services that a request on this route may go to.
-    pub fn services(&self) -> impl Iterator<Item = &str> {
-        let shares = self.apportion.iter().flatten().map(|s| s.backend.as_str());
-        self.backend
-            .as_deref()
-            .into_iter()
-            .chain(shares)
-            .chain(self.fanout.iter().flatten().map(String::as_str))
+impl Configuration {
+    /// Decodes a configuration that was validated before, such as one that control nodes have agreed on.
+    ///
+    /// # Errors
+    /// [`ConfigurationError::Decode`] if the document isn't one.
+    pub fn decode(document: &[u8]) -> Result<Configuration, ConfigurationError> {
+        serde_json::from_slice(document).context(DecodeSnafu)
     }
-}
 
-impl Configuration {
-    /// Reads a configuration that has been judged before.
+    /// Decodes and validates what an operator sends: against the schema first, then by [`Configuration::validate`].
     ///
     /// # Errors
-    /// What cannot be decoded.
-    pub fn read(document: &[u8]) -> Result<Configuration, Fault> {
-        serde_json::from_slice(document).map_err(|e| fault("configuration", e.to_string()))
+    /// The first violation, with its place in the document.
+    pub fn parse(document: &[u8]) -> Result<Configuration, ConfigurationError> {
+        let value: serde_json::Value =
+            serde_json::from_slice(document).map_err(|source| ConfigurationError::Syntax {
+                line: source.line(),
+                column: source.column(),
+                source,
+            })?;
+        SCHEMA
+            .check(&value)
+            .map_err(|violation| ConfigurationError::Schema {
+                path: violation.path,
+                reason: violation.reason,
+            })?;
+        let configuration = Configuration::decode(document)?;
+        configuration.validate()?;
+        Ok(configuration)
     }
 
-    /// Reads and judges what an operator sends: the schema first, then what it cannot say.
+    /// Checks what the schema can't express: names refer to something, and no two routes match the same requests.
     ///
     /// # Errors
-    /// The path of what is wrong, and why.
-    pub fn judge(document: &[u8]) -> Result<Configuration, Fault> {
-        let value: serde_json::Value = serde_json::from_slice(document).map_err(|e| {
-            fault(
-                format!("line {} column {}", e.line(), e.column()),
-                e.to_string(),
-            )
-        })?;
-        hold(&SCHEMA, &value)?;
-        let read = Configuration::read(document)?;
-        let mut known = HashSet::new();
-        for (i, backend) in read.backends.iter().enumerate() {
-            if !known.insert(backend.label.as_str()) {
-                return Err(fault(
-                    format!("/backends/{i}"),
-                    format!("{} is named twice", backend.label),
-                ));
-            }
+    /// The first violation, with its place in the document.
+    pub fn validate(&self) -> Result<(), ConfigurationError> {
+        let mut backends = HashSet::new();
+        for (index, Backend { name, .. }) in self.backends.iter().enumerate() {
+            let is_new = backends.insert(name.as_str());
+            ensure!(is_new, DuplicateBackendSnafu { index, name });
         }
-        let mut places = HashSet::new();
-        for (i, route) in read.route_table.iter().enumerate() {
-            let at = || format!("/route_table/{i}");
-            if let Some(service) = route.services().find(|s| !known.contains(s)) {
-                return Err(fault(at(), format!("no backend is named {service}")));
-            }
-            if !places.insert((route.host.to_ascii_lowercase(), route.path_prefix.as_str())) {
-                let cause = format!("host {} has prefix {} twice", route.host, route.path_prefix);
-                return Err(fault(at(), cause));
-            }
-            if route
-                .apportion
-                .iter()
-                .flatten()
-                .map(|s| s.share)
-                .sum::<f64>()
-                <= 0.0
-                && route.apportion.is_some()
-            {
-                return Err(fault(at(), "the shares sum to 0"));
+        let mut matches = HashSet::new();
+        for (index, route) in self.routes.iter().enumerate() {
+            let unknown = route.backends().find(|name| !backends.contains(name));
+            if let Some(backend) = unknown {
+                return UnknownBackendSnafu { index, backend }.fail();
             }
-            if route.fanout.is_some() && route.mode != Mode::Idempotent {
-                return Err(fault(at(), "a route with fanout is idempotent"));
-            }
-        }
-        Ok(read)
-    }
-}
-
-/// Where a request goes.
-#[derive(Clone, Debug)]
-pub enum Target {
-    /// To one of these, by its share of the whole, which is the last number.
-    One(Vec<(Rc<str>, f64)>),
-    /// To one replica of each.
-    All(Rc<[Rc<str>]>),
-}
-
-#[derive(Debug)]
-pub struct Planned {
-    pub route: Route,
-    pub target: Target,
-}
-
-/// A configuration as requests are matched against it.
-#[derive(Debug)]
-pub struct Plan {
-    pub revision: u64,
-    pub constraints: Constraints,
-    pub routes: Vec<Rc<Planned>>,
-    pub max_conns: HashMap<Rc<str>, usize>,
-    hosts: HashMap<String, HashMap<String, usize>>,
-}
-
-impl Plan {
-    pub fn new(configuration: Configuration) -> Plan {
-        let mut hosts: HashMap<String, HashMap<String, usize>> = HashMap::new();
-        let names: HashMap<String, Rc<str>> = configuration
-            .backends
-            .iter()
-            .map(|b| (b.label.clone(), Rc::from(b.label.as_str())))
-            .collect();
-        let name = |label: &String| {
-            names
-                .get(label)
-                .cloned()
-                .unwrap_or_else(|| Rc::from(label.as_str()))
-        };
-        let limits = configuration
-            .backends
-            .iter()
-            .filter_map(|b| Some((name(&b.label), b.max_conns?)));
-        let max_conns = limits.collect();
-        let mut routes = Vec::new();
-        for (i, route) in configuration.route_table.into_iter().enumerate() {
-            let host = hosts.entry(route.host.to_ascii_lowercase()).or_default();
-            host.insert(route.path_prefix.clone(), i);
-            let target = match (&route.fanout, &route.apportion, &route.backend) {
-                (Some(all), _, _) => Target::All(all.iter().map(name).collect()),
-                (_, Some(shares), _) => {
-                    let mut upto = 0.0;
-                    let one = |s: &Share| {
-                        upto += s.share;
-                        (name(&s.backend), upto)
-                    };
-                    Target::One(shares.iter().filter(|s| s.share > 0.0).map(one).collect())
+            let is_new =
+                matches.insert((route.host.to_ascii_lowercase(), route.path_prefix.as_str()));
+            ensure!(
+                is_new,
+                DuplicateRouteSnafu {
+                    index,
+                    host: &route.host,
+                    path_prefix: &route.path_prefix,
                 }
-                (_, _, only) => Target::One(only.iter().map(|b| (name(b), 1.0)).collect()),
-            };
-            routes.push(Rc::new(Planned { route, target }));
+            );
+            ensure!(!route.has_zero_weights(), ZeroWeightsSnafu { index });
+            let fans_out = route.fanout.is_some();
+            ensure!(
+                !fans_out || route.mode == Mode::Idempotent,
+                MutatingFanOutSnafu { index }
+            );
         }
-        Plan {
-            revision: configuration.revision,
-            constraints: configuration.constraints,
-            routes,
-            max_conns,
-            hosts,
-        }
-    }
-
-    /// The route of a request: the longest prefix of its path among those of its host.
-    pub fn route(&self, host: &str, path: &str) -> Option<&Rc<Planned>> {
-        let host = host.split_once(':').map_or(host, |(name, _)| name);
-        let prefixes = match self.hosts.get(host) {
-            Some(found) => found,
-            None => self.hosts.get(&host.to_ascii_lowercase())?,
-        };
-        let cuts = path
-            .bytes()
-            .enumerate()
-            .rev()
-            .filter(|(_, b)| *b == b'/')
-            .map(|(i, _)| &path[..=i]);
-        cuts.filter_map(|prefix| prefixes.get(prefix))
-            .map(|&i| &self.routes[i])
-            .next()
-    }
-}
-
-impl Target {
-    /// The one service for a request that draws this number, from 0 up to 1.
-    pub fn drawn(&self, number: f64) -> Option<&Rc<str>> {
-        let Target::One(shares) = self else {
-            return None;
-        };
-        let whole = shares.last()?.1;
-        shares
-            .iter()
-            .find(|(_, upto)| number * whole < *upto)
-            .or(shares.last())
-            .map(|(name, _)| name)
+        Ok(())
     }
 }
