--- a/crates/linenthread-ctl/src/main.rs
+++ b/crates/linenthread-ctl/src/main.rs
@@ -163,7 +163,7 @@
         let in_force = match (base, self.in_force()) {
             (Some(base), _) => base,
             (None, old) => match old? {
-                Some(old) => Configuration::read(&old).map_err(bad)?.revision,
+                Some(old) => Configuration::decode(&old).map_err(bad)?.revision,
                 None => 0,
             },
         };
@@ -194,7 +194,7 @@
 
 fn judged(path: &Path) -> Result<Vec<u8>, End> {
     let document = std::fs::read(path).map_err(|e| bad(format!("{}: {e}", path.display())))?;
-    Configuration::judge(&document).map_err(|e| bad(format!("{}: {e}", path.display())))?;
+    Configuration::parse(&document).map_err(|e| bad(format!("{}: {e}", path.display())))?;
     Ok(document)
 }
 
