--- /dev/null
+++ b/crates/linenthread-ctl/src/request.rs
@@ -0,0 +1,195 @@
+//! One HTTP request at one address, over a connection of its own.
+
+use std::fmt::Write as _;
+use std::io::{self, Read, Write};
+use std::net::{SocketAddr, TcpStream};
+use std::time::{Duration, Instant};
+
+use bytes::BytesMut;
+use linenthread_http::{Body, Head, answer_framing};
+use snafu::Snafu;
+
+/// The longest response head that is read, in bytes.
+const MAX_HEAD_BYTES: usize = 16_384;
+/// The longest response body that is read, in bytes: a list of all replicas fits many times over.
+const MAX_BODY_BYTES: usize = 64 << 20;
+/// Bytes that are read from the connection at once.
+const READ_BYTES: usize = 16_384;
+/// The operating system takes a time-out of zero for none at all.
+const MIN_TIMEOUT: Duration = Duration::from_millis(1);
+
+/// Why a request has no response.
+#[derive(Debug, Snafu)]
+pub enum RequestError {
+    /// The connection failed, or the time was over.
+    #[snafu(display("{step} {peer}: {source}"))]
+    Connection {
+        /// What was being done.
+        step: &'static str,
+        /// The address that was called.
+        peer: SocketAddr,
+        /// What the operating system reports.
+        source: io::Error,
+    },
+    /// The peer sent something that is not an HTTP response, or one that is too long.
+    #[snafu(display("{peer} sent no valid HTTP response"))]
+    InvalidResponse {
+        /// The address that was called.
+        peer: SocketAddr,
+    },
+    /// There is no address to call.
+    #[snafu(display("no address is given"))]
+    NoAddress,
+}
+
+/// A request of the control API, or one that a client sends to an ingress node.
+#[derive(Clone, Copy, Debug, Default)]
+pub struct Request<'a> {
+    /// The HTTP method.
+    pub method: &'a str,
+    /// The path, with the query if there is one.
+    pub path: &'a str,
+    /// Headers beside `Content-Length` and `Connection`; without a `Host`, the address is sent as such.
+    pub headers: &'a [(&'a str, String)],
+    /// The body; may be empty.
+    pub body: &'a [u8],
+}
+
+/// A complete response.
+#[derive(Debug)]
+pub struct Response {
+    /// The HTTP status.
+    pub status: u16,
+    /// The status line and the headers.
+    pub head: Head,
+    /// The body, without transfer coding.
+    pub body: Vec<u8>,
+}
+
+impl<'a> Request<'a> {
+    /// A `GET` without headers.
+    pub fn get(path: &'a str) -> Request<'a> {
+        Request {
+            method: "GET",
+            path,
+            ..Request::default()
+        }
+    }
+
+    /// Sends the request and waits for the whole response.
+    ///
+    /// # Errors
+    /// The step at which it failed; [`io::ErrorKind::WouldBlock`] or `TimedOut` if `timeout` was over.
+    pub fn send_to(&self, peer: SocketAddr, timeout: Duration) -> Result<Response, RequestError> {
+        let mut connection = Connection::open(peer, timeout)?;
+        connection.write(&self.encode(peer))?;
+        connection.read_response(self.method == "HEAD")
+    }
+
+    fn encode(&self, peer: SocketAddr) -> Vec<u8> {
+        let (method, path, length) = (self.method, self.path, self.body.len());
+        let mut head = format!(
+            "{method} {path} HTTP/1.1\r\nContent-Length: {length}\r\nConnection: close\r\n"
+        );
+        let mut names = self.headers.iter().map(|(name, _)| name);
+        if !names.any(|name| name.eq_ignore_ascii_case("host")) {
+            let _ = write!(head, "Host: {peer}\r\n");
+        }
+        for (name, value) in self.headers {
+            let _ = write!(head, "{name}: {value}\r\n");
+        }
+        head.push_str("\r\n");
+        [head.as_bytes(), self.body].concat()
+    }
+}
+
+/// A connection with a deadline for all that is done on it.
+struct Connection {
+    peer: SocketAddr,
+    stream: TcpStream,
+    deadline: Instant,
+    /// What was read and belongs to no message yet.
+    buffer: BytesMut,
+}
+
+impl Connection {
+    fn open(peer: SocketAddr, timeout: Duration) -> Result<Connection, RequestError> {
+        let deadline = Instant::now() + timeout;
+        let stream = TcpStream::connect_timeout(&peer, timeout.max(MIN_TIMEOUT))
+            .map_err(failed("connecting to", peer))?;
+        Ok(Connection {
+            peer,
+            stream,
+            deadline,
+            buffer: BytesMut::new(),
+        })
+    }
+
+    fn remaining(&self) -> Duration {
+        self.deadline
+            .saturating_duration_since(Instant::now())
+            .max(MIN_TIMEOUT)
+    }
+
+    fn write(&mut self, bytes: &[u8]) -> Result<(), RequestError> {
+        let timeout = self.remaining();
+        self.stream
+            .set_write_timeout(Some(timeout))
+            .and_then(|()| self.stream.write_all(bytes))
+            .map_err(failed("writing to", self.peer))
+    }
+
+    /// Reads more bytes into the buffer.
+    fn fill(&mut self) -> Result<(), RequestError> {
+        let timeout = self.remaining();
+        let mut chunk = [0; READ_BYTES];
+        let read = self
+            .stream
+            .set_read_timeout(Some(timeout))
+            .and_then(|()| self.stream.read(&mut chunk))
+            .and_then(|count| match count {
+                0 => Err(io::ErrorKind::UnexpectedEof.into()),
+                count => Ok(count),
+            })
+            .map_err(failed("reading from", self.peer))?;
+        self.buffer.extend_from_slice(&chunk[..read]);
+        Ok(())
+    }
+
+    fn read_response(&mut self, to_head_request: bool) -> Result<Response, RequestError> {
+        let head = self.read_head()?;
+        let body = self.read_body(&head, to_head_request)?;
+        Ok(Response {
+            status: head.status,
+            head,
+            body,
+        })
+    }
+
+    fn read_head(&mut self) -> Result<Head, RequestError> {
+        loop {
+            let head = Head::answer(&mut self.buffer, MAX_HEAD_BYTES);
+            if let Some(head) = head.map_err(|_| self.invalid())? {
+                return Ok(head);
+            }
+            self.fill()?;
+        }
+    }
+
+    fn read_body(&mut self, head: &Head, to_head_request: bool) -> Result<Vec<u8>, RequestError> {
+        let framing = answer_framing(head, to_head_request).map_err(|_| self.invalid())?;
+        let mut body = Body::new(framing, MAX_BODY_BYTES);
+        while !body.take(&mut self.buffer).map_err(|_| self.invalid())? {
+            self.fill()?;
+        }
+        Ok(body.read)
+    }
+
+    fn invalid(&self) -> RequestError {
+        RequestError::InvalidResponse { peer: self.peer }
+    }
+}
+
+fn failed(step: &'static str, peer: SocketAddr) -> impl FnOnce(io::Error) -> RequestError {
+    move |source| RequestError::Connection { step, peer, source }
+}
--- /dev/null
+++ b/crates/linenthread-ctl/src/status.rs
@@ -0,0 +1,232 @@
+//! What a control node reports of nodes and replicas, and how operators see it.
+//!
+//! The JSON keys of the control API are older than the terms that operators read here: `serde` maps them when a
+//! report is decoded, and the fields' own names are printed.
+
+use std::fmt;
+
+use serde::{Deserialize, Serialize};
+
+/// The view of the control node that was asked, not confirmed by others.
+#[derive(Clone, Debug, Default, Deserialize, Serialize)]
+#[serde(default)]
+pub struct MembersStatus {
+    /// Name of the control node that reports.
+    pub name: String,
+    /// Its zone.
+    pub zone: String,
+    /// Whether it is in contact with a majority of the voters.
+    #[serde(rename(deserialize = "whole"))]
+    pub quorum: bool,
+    /// Whether it is shutting down.
+    pub leaving: bool,
+    /// The epoch of the leader lease that it holds, if it holds one.
+    #[serde(rename(deserialize = "duty_epoch"))]
+    pub lease_epoch: Option<u64>,
+    /// Number of the last value that it knows to be committed.
+    pub value: u64,
+    /// Revision of the configuration in force; 0 for none.
+    pub revision: u64,
+    /// Control addresses of the voters.
+    #[serde(rename(deserialize = "counted"))]
+    pub voters: Vec<String>,
+    /// The other control nodes with which it has a session.
+    #[serde(rename(deserialize = "hubs"))]
+    pub control_nodes: Vec<ControlNodeStatus>,
+    /// The ingress nodes with a session at any control node.
+    #[serde(rename(deserialize = "fronts"))]
+    pub ingress_nodes: Vec<IngressStatus>,
+}
+
+/// Another control node, as the one that reports sees it.
+#[derive(Clone, Debug, Default, Deserialize, Serialize)]
+#[serde(default)]
+pub struct ControlNodeStatus {
+    /// Its name.
+    pub name: String,
+    /// Its zone.
+    pub zone: String,
+    /// Its control address.
+    #[serde(rename(deserialize = "control"))]
+    pub address: String,
+    /// Whether it says that it is in contact with a majority of the voters.
+    #[serde(rename(deserialize = "whole"))]
+    pub quorum: bool,
+    /// Number of the last value that it knows to be committed.
+    pub value: u64,
+    /// Whether it is shutting down.
+    pub leaving: bool,
+    /// How long ago its last message was received, in milliseconds.
+    #[serde(rename(deserialize = "heard_ms"))]
+    pub last_message_ms: u64,
+}
+
+/// An ingress node.
+#[derive(Clone, Debug, Default, Deserialize, Serialize)]
+#[serde(default)]
+pub struct IngressStatus {
+    /// Its name.
+    pub name: String,
+    /// Its zone.
+    pub zone: String,
+    /// Revision of the configuration that it has applied.
+    pub revision: u64,
+}
+
+/// Whether requests are sent to a replica.
+#[derive(Clone, Copy, Debug, Default, Deserialize, Serialize, PartialEq, Eq)]
+#[serde(rename_all = "snake_case")]
+pub enum ReplicaPhase {
+    /// It takes requests.
+    Available,
+    /// It finishes what it has, and takes nothing new.
+    Draining,
+    /// Its heartbeats stopped.
+    #[serde(rename(deserialize = "silent"))]
+    TimedOut,
+    /// It has departed, or another took its address.
+    Ended,
+    /// The control node reports a phase that this client doesn't know.
+    #[default]
+    #[serde(other)]
+    Unknown,
+}
+
+/// A replica of a backend.
+#[derive(Clone, Debug, Default, Deserialize, Serialize)]
+#[serde(default)]
+pub struct ReplicaStatus {
+    /// Its id.
+    #[serde(rename(deserialize = "ident"))]
+    pub id: String,
+    /// Name of its backend.
+    pub backend: String,
+    /// Its address.
+    pub address: String,
+    /// Its zone.
+    pub zone: String,
+    /// Whether requests are sent to it.
+    pub phase: ReplicaPhase,
+    /// How long ago its last heartbeat was received, in milliseconds.
+    #[serde(rename(deserialize = "heard_ms"))]
+    pub last_heartbeat_ms: u64,
+}
+
+/// The system at a glance.
+#[derive(Clone, Debug, Serialize)]
+pub struct Summary {
+    /// Control nodes that the one that reports is in contact with, itself included.
+    pub control_nodes: usize,
+    /// Nodes whose disk votes.
+    pub voters: usize,
+    /// Ingress nodes with a session.
+    pub ingress_nodes: usize,
+    /// Whether the control node that reports is in contact with a majority of the voters.
+    pub quorum: bool,
+    /// Revision of the configuration in force; 0 for none.
+    pub revision: u64,
+    /// Replicas that take requests.
+    pub available: usize,
+    /// Replicas that finish what they have.
+    pub draining: usize,
+    /// Replicas whose heartbeats stopped.
+    pub timed_out: usize,
+}
+
+impl Summary {
+    /// Counts what a control node reports.
+    pub fn new(members: &MembersStatus, replicas: &[ReplicaStatus]) -> Summary {
+        let in_phase = |phase| replicas.iter().filter(|r| r.phase == phase).count();
+        Summary {
+            control_nodes: members.control_nodes.len() + 1,
+            voters: members.voters.len(),
+            ingress_nodes: members.ingress_nodes.len(),
+            quorum: members.quorum,
+            revision: members.revision,
+            available: in_phase(ReplicaPhase::Available),
+            draining: in_phase(ReplicaPhase::Draining),
+            timed_out: in_phase(ReplicaPhase::TimedOut),
+        }
+    }
+}
+
+impl fmt::Display for Summary {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        write!(
+            f,
+            "control_nodes={} voters={} ingress_nodes={} quorum={} revision={} available={} draining={} \
+             timed_out={}",
+            self.control_nodes,
+            self.voters,
+            self.ingress_nodes,
+            self.quorum,
+            self.revision,
+            self.available,
+            self.draining,
+            self.timed_out
+        )
+    }
+}
+
+/// A line for the node that reports, then one for each other node.
+impl fmt::Display for MembersStatus {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        write!(f, "reported_by={} zone={}", self.name, self.zone)?;
+        for node in &self.control_nodes {
+            write!(f, "\ncontrol_node {node}")?;
+        }
+        for node in &self.ingress_nodes {
+            write!(f, "\ningress_node {node}")?;
+        }
+        Ok(())
+    }
+}
+
+impl fmt::Display for ControlNodeStatus {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        write!(
+            f,
+            "name={} zone={} address={} quorum={} value={} leaving={} last_message_ms={}",
+            self.name,
+            self.zone,
+            self.address,
+            self.quorum,
+            self.value,
+            self.leaving,
+            self.last_message_ms
+        )
+    }
+}
+
+impl fmt::Display for IngressStatus {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        let IngressStatus {
+            name,
+            zone,
+            revision,
+        } = self;
+        write!(f, "name={name} zone={zone} revision={revision}")
+    }
+}
+
+impl fmt::Display for ReplicaPhase {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.write_str(match self {
+            ReplicaPhase::Available => "available",
+            ReplicaPhase::Draining => "draining",
+            ReplicaPhase::TimedOut => "timed_out",
+            ReplicaPhase::Ended => "ended",
+            ReplicaPhase::Unknown => "unknown",
+        })
+    }
+}
+
+impl fmt::Display for ReplicaStatus {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        write!(
+            f,
+            "id={} backend={} address={} zone={} phase={} last_heartbeat_ms={}",
+            self.id, self.backend, self.address, self.zone, self.phase, self.last_heartbeat_ms
+        )
+    }
+}
