--- a/crates/linenthread-dataplane/src/data_plane.rs
+++ b/crates/linenthread-dataplane/src/data_plane.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-use linenthread_config::{Configuration, Plan, Planned, Settings, Target};
+use linenthread_config::{Configuration, Destination, ResolvedRoute, RoutingTable, Settings};
 use linenthread_core::interface::TenthMillis;
 use tokio::sync::{oneshot, watch};
 
@@ -41,7 +41,7 @@
     /// Of this process.
     pub settings: Rc<Settings>,
     seed: u64,
-    plan: RefCell<Option<Rc<Plan>>>,
+    plan: RefCell<Option<Rc<RoutingTable>>>,
     connector: C,
     pools: RefCell<BTreeMap<String, Rc<ReplicaPool<C>>>>,
     services: RefCell<HashMap<Rc<str>, Pools<C>>>,
@@ -117,7 +117,7 @@
     }
 
     /// The configuration in force, if there is one.
-    pub fn plan(&self) -> Option<Rc<Plan>> {
+    pub fn plan(&self) -> Option<Rc<RoutingTable>> {
         self.plan.borrow().clone()
     }
 
@@ -133,10 +133,10 @@
 
     /// A configuration that was agreed on. Never an older one.
     pub fn adopt(&self, document: &[u8]) {
-        match Configuration::read(document) {
+        match Configuration::decode(document) {
             Ok(read) if read.revision > self.revision() => {
-                log::info!(revision = read.revision, routes = read.route_table.len(); "event=configuration_applied");
-                *self.plan.borrow_mut() = Some(Rc::new(Plan::new(read)));
+                log::info!(revision = read.revision, routes = read.routes.len(); "event=configuration_applied");
+                *self.plan.borrow_mut() = Some(Rc::new(RoutingTable::new(read)));
                 self.bound_connections();
             }
             Ok(_) => {}
@@ -225,7 +225,7 @@
         let Some(plan) = plan.as_ref() else { return };
         for (service, pools) in self.services.borrow().iter() {
             let most = plan
-                .max_conns
+                .max_connections
                 .get(service)
                 .map_or(usize::MAX, |m| (m / fronts).max(2));
             pools.iter().for_each(|s| s.most.set(most));
@@ -291,16 +291,16 @@
     pub fn take(
         &self,
         request: Rc<Request>,
-        planned: &Rc<Planned>,
+        planned: &Rc<ResolvedRoute>,
         key: u64,
         deadline: TenthMillis,
     ) -> (Rc<Dispatcher<C>>, LookupId, oneshot::Receiver<Reply>) {
-        let tries = planned.route.tries;
-        let dispatcher = match &planned.target {
-            Target::All(services) => self.dispatcher(services, tries),
+        let tries = planned.route.max_attempts;
+        let dispatcher = match &planned.destination {
+            Destination::FanOut(services) => self.dispatcher(services, tries),
             one => {
                 let drawn = linenthread_consensus::fnv1a_64(request.attempt.as_bytes()) >> 11;
-                let service = one.drawn(drawn as f64 / (1u64 << 53) as f64);
+                let service = one.pick(drawn as f64 / (1u64 << 53) as f64);
                 self.dispatcher(service.map_or(&[][..], std::slice::from_ref), tries)
             }
         };
--- a/crates/linenthread-dataplane/src/dispatcher.rs
+++ b/crates/linenthread-dataplane/src/dispatcher.rs
@@ -6,7 +6,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use linenthread_config::{Planned, Settings, Target};
+use linenthread_config::{Destination, ResolvedRoute, Settings};
 use linenthread_core::Coordinator;
 use linenthread_core::interface::{
     AttemptOutcome, AttemptResult, IndexConfig, Inputs, MembershipEntry, MembershipUpdate,
@@ -55,7 +55,7 @@
     number: u64,
     reply: Option<oneshot::Sender<Reply>>,
     request: Rc<Request>,
-    planned: Rc<Planned>,
+    planned: Rc<ResolvedRoute>,
     parts: SmallVec<[Part; 4]>,
     /// A replica's own failure, passed on where nothing better comes.
     failure: Option<Answer>,
@@ -173,7 +173,7 @@
     pub fn take(
         &self,
         request: Rc<Request>,
-        planned: &Rc<Planned>,
+        planned: &Rc<ResolvedRoute>,
         key: u64,
         hard_deadline: TenthMillis,
     ) -> (LookupId, oneshot::Receiver<Reply>) {
@@ -334,7 +334,7 @@
         let permitted = may_send_again(open.planned.route.mode, to.sent());
         to.calls += 1;
         if !permitted {
-            log::error!(route = open.planned.route.label; "event=retry_rejected");
+            log::error!(route = open.planned.route.name; "event=retry_rejected");
             let ending = AttemptOutcome::NotSent;
             state.arrivals.results.push(AttemptResult {
                 query: lookup,
@@ -485,7 +485,7 @@
 
 /// The replica's answer as it came, or the greatest records of the parts that are in.
 fn satisfied(open: &mut OpenLookup) -> Reply {
-    if let Target::One(_) = open.planned.target {
+    if let Destination::Weighted(_) = open.planned.destination {
         return match open.parts[0].answer.take() {
             Some(answer) => Reply::passed_on(answer),
             None => given_up(open, None),
--- a/crates/linenthread-dataplane/src/serve.rs
+++ b/crates/linenthread-dataplane/src/serve.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use linenthread_config::{Plan, Planned};
+use linenthread_config::{ResolvedRoute, RoutingTable};
 use linenthread_core::interface::TenthMillis;
 use linenthread_http::{Framing, Head, Refusal, number, request_framing};
 use tokio::io::{AsyncRead, AsyncWrite};
@@ -38,7 +38,7 @@
 }
 
 impl Bounds {
-    fn of(plan: Option<&Plan>) -> Bounds {
+    fn of(plan: Option<&RoutingTable>) -> Bounds {
         let Some(plan) = plan else {
             return Bounds {
                 head: HEAD,
@@ -47,12 +47,12 @@
                 quiet: QUIET,
             };
         };
-        let told = &plan.constraints;
+        let told = &plan.limits;
         Bounds {
-            head: told.header_bytes,
-            payload: told.payload_bytes,
-            whole_head: Duration::from_millis(told.header_ms),
-            quiet: Duration::from_millis(told.quiet_ms),
+            head: told.max_header_bytes,
+            payload: told.max_body_bytes,
+            whole_head: told.header_timeout,
+            quiet: told.idle_timeout,
         }
     }
 }
@@ -175,7 +175,7 @@
         });
     };
     let host = head.header("host").unwrap_or_default();
-    let Some(planned) = plan.route(host, head.path()) else {
+    let Some(planned) = plan.find(host, head.path()) else {
         return Some(Reply::bare(404));
     };
     let Some(attempt) = attempt(head) else {
@@ -211,8 +211,8 @@
 }
 
 /// When a request ends: what the client leaves of its time, within the route's own bound.
-fn deadline(head: &Head, planned: &Planned) -> Result<TenthMillis, std::num::ParseIntError> {
-    let limit = planned.route.limit_ms;
+fn deadline(head: &Head, planned: &ResolvedRoute) -> Result<TenthMillis, std::num::ParseIntError> {
+    let limit = planned.route.timeout_ms;
     let remaining = match head.header("x-remaining-ms") {
         Some(told) => told.parse::<u64>()? as f64,
         None => limit,
--- a/crates/linenthread-dataplane/src/terms.rs
+++ b/crates/linenthread-dataplane/src/terms.rs
@@ -1,6 +1,6 @@
 //! What a route and the limits of the settings say, in the terms of the decision module.
 
-use linenthread_config::{Mode, Planned, Settings, Target};
+use linenthread_config::{Destination, Mode, ResolvedRoute, Settings};
 use linenthread_core::interface::{
     CoordinatorConfig, Idempotency, IndexConfig, Permissions, RetryBudget, ShardLayout, SlowStart,
     TenthMillis,
@@ -13,10 +13,10 @@
     (ms.clamp(1.0, 1e9) * 10.0) as TenthMillis
 }
 
-pub(crate) fn index(planned: &Planned) -> IndexConfig {
+pub(crate) fn index(planned: &ResolvedRoute) -> IndexConfig {
     let route = &planned.route;
-    let floor = match planned.target {
-        Target::All(_) if route.min_coverage > 0.0 => route.min_coverage.min(1.0),
+    let floor = match planned.destination {
+        Destination::FanOut(_) if route.min_coverage > 0.0 => route.min_coverage.min(1.0),
         _ => 1.0,
     };
     IndexConfig {
@@ -25,8 +25,8 @@
         } else {
             Idempotency::Idempotent
         },
-        soft_deadline: tenths(route.target_ms.unwrap_or(route.limit_ms)),
-        value: 1.0 / (1.0 + route.rank.clamp(0, 1_000) as f64),
+        soft_deadline: tenths(route.latency_target_ms.unwrap_or(route.timeout_ms)),
+        value: 1.0 / (1.0 + route.priority.clamp(0, 1_000) as f64),
         late_value_share: DEFAULT_LATE_VALUE_SHARE,
         complete_share: 1.0,
         min_share: floor,
@@ -69,7 +69,7 @@
         retry_budget: Some(RetryBudget {
             reserve: 0.0,
             ratio: BUDGET_UTILIZATION * settings.retry_ratio / (1 + services) as f64,
-            window: tenths(settings.retry_window_ms as f64),
+            window: tenths(settings.retry_window.as_millis() as f64),
         }),
         watch_membership: false,
     }
--- a/crates/linenthread-demo/src/cluster.rs
+++ b/crates/linenthread-demo/src/cluster.rs
@@ -4,7 +4,7 @@
 use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant};
 
-use linenthread_ctl::{Fault, Reply, call};
+use linenthread_ctl::{Request, RequestError, Response};
 use serde_json::Value;
 
 use crate::log_lines::LogLines;
@@ -299,18 +299,25 @@
     ///
     /// # Errors
     /// No control node could be asked.
-    pub fn configure(&self, base: u64, revision: u64, services: &[&str]) -> Result<Reply, Fault> {
+    pub fn configure(
+        &self,
+        base: u64,
+        revision: u64,
+        services: &[&str],
+    ) -> Result<Response, RequestError> {
         let order = Order::new(base, revision, services, 0);
         let client = linenthread_ctl::Client {
             addresses: self.control(),
-            within: Duration::from_secs(2),
+            timeout: Duration::from_secs(2),
         };
         let headers = [("X-Base-Revision", base.to_string())];
-        client.call(
-            "POST",
-            "/Configuration.Replace",
-            &headers,
-            &order.document,
+        client.send(
+            &linenthread_ctl::Request {
+                method: "POST",
+                path: "/Configuration.Replace",
+                headers: &headers,
+                body: &order.document,
+            },
             20,
         )
     }
@@ -319,8 +326,8 @@
     ///
     /// # Errors
     /// The front could not be asked, or what it sent is no answer.
-    pub fn ask(&self, front: &str, path: &str, attempt: &str) -> Result<Reply, Fault> {
-        let peer = self.ingress(front).ok_or(Fault::NoAddress)?;
+    pub fn ask(&self, front: &str, path: &str, attempt: &str) -> Result<Response, RequestError> {
+        let peer = self.ingress(front).ok_or(RequestError::NoAddress)?;
         ask_at(peer, "GET", path, attempt, ASK)
     }
 }
@@ -335,11 +342,17 @@
     path: &str,
     attempt: &str,
     time: Duration,
-) -> Result<Reply, Fault> {
+) -> Result<Response, RequestError> {
     let headers = [
         ("Host", "index.example".to_owned()),
         ("X-Attempt-Id", attempt.to_owned()),
         ("X-Remaining-Ms", time.as_millis().to_string()),
     ];
-    call(peer, method, path, &headers, &[], time + SLACK)
+    Request {
+        method,
+        path,
+        headers: &headers,
+        body: &[],
+    }
+    .send_to(peer, time + SLACK)
 }
--- a/crates/linenthread-demo/src/operator.rs
+++ b/crates/linenthread-demo/src/operator.rs
@@ -6,7 +6,7 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-use linenthread_ctl::call;
+use linenthread_ctl::Request;
 use serde_json::{Value, json};
 
 /// One call at one address is waited for so long.
@@ -106,7 +106,13 @@
         .map(|b| ("X-Base-Revision", b.to_string()))
         .into_iter()
         .collect();
-    let reply = call(peer, method, path, &headers, body, within);
+    let reply = Request {
+        method,
+        path,
+        headers: &headers,
+        body,
+    }
+    .send_to(peer, within);
     let after = began.elapsed();
     match reply {
         Ok(reply) => {
--- a/crates/linenthread-demo/src/replica.rs
+++ b/crates/linenthread-demo/src/replica.rs
@@ -11,7 +11,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-use linenthread_ctl::call;
+use linenthread_ctl::Request;
 use serde_json::json;
 
 pub use misbehaviour::Misbehaviour;
@@ -149,14 +149,13 @@
             "revision": "v1", "capacity": 3, "phase": "available", "warmup_ms": 0,
             "call_count": call_count});
         for _ in control {
-            let reply = call(
-                control[at],
-                "POST",
-                &path,
-                &[],
-                beat.to_string().as_bytes(),
-                PATIENCE,
-            );
+            let reply = Request {
+                method: "POST",
+                path: &path,
+                headers: &[],
+                body: beat.to_string().as_bytes(),
+            }
+            .send_to(control[at], PATIENCE);
             if reply.is_ok_and(|r| (200..300).contains(&r.status)) {
                 break;
             }
--- a/crates/linenthread-demo/src/rounds/wrong_answers.rs
+++ b/crates/linenthread-demo/src/rounds/wrong_answers.rs
@@ -7,7 +7,7 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::Duration;
 
-use linenthread_ctl::Reply;
+use linenthread_ctl::Response;
 use oorandom::Rand64;
 
 use crate::Cluster;
@@ -62,7 +62,7 @@
     }
 
     /// Why an answer with success is not this request's own; nothing if it is.
-    fn fault(&self, reply: &Reply) -> Option<String> {
+    fn fault(&self, reply: &Response) -> Option<String> {
         let seals = match self.kind {
             Kind::Merged => reply.head.header("x-part-seals"),
             Kind::Repeatable | Kind::Once => reply.head.header("x-replica-seal"),
--- a/crates/linenthread-hollow/src/api.rs
+++ b/crates/linenthread-hollow/src/api.rs
@@ -157,7 +157,7 @@
                 revision,
                 document,
             } => {
-                if Configuration::judge(&document).is_ok() {
+                if Configuration::parse(&document).is_ok() {
                     self.control
                         .replace(now, token, base, revision, document, out);
                 }
--- a/crates/linenthread-hollow/src/front.rs
+++ b/crates/linenthread-hollow/src/front.rs
@@ -2,7 +2,7 @@
 
 use std::collections::HashMap;
 
-use linenthread_config::{Configuration, Plan};
+use linenthread_config::{Configuration, RoutingTable};
 
 use crate::api::{self, Notice, PeerMessage, Replica};
 use crate::cost::{Cost, Meter, Work};
@@ -27,7 +27,7 @@
 pub struct Table {
     replicas: HashMap<String, Replica>,
     document: Vec<u8>,
-    plan: Option<Plan>,
+    plan: Option<RoutingTable>,
 }
 
 impl Table {
@@ -48,7 +48,9 @@
         }
         if let Some(value) = update.value {
             self.document = value.document.to_vec();
-            self.plan = Configuration::read(&self.document).ok().map(Plan::new);
+            self.plan = Configuration::decode(&self.document)
+                .ok()
+                .map(RoutingTable::new);
         }
     }
 }
--- a/crates/linenthread-hollow/tests/hollow.rs
+++ b/crates/linenthread-hollow/tests/hollow.rs
@@ -105,7 +105,7 @@
     for bytes in [1_000, 60_000, 200_000] {
         let made = document(7, bytes);
         assert_eq!(
-            Configuration::judge(&made).expect("it is valid").revision,
+            Configuration::parse(&made).expect("it is valid").revision,
             7
         );
         assert!(
--- a/crates/linenthread-node/src/control.rs
+++ b/crates/linenthread-node/src/control.rs
@@ -138,11 +138,19 @@
         control_address: own,
         may_vote: settings.quorum_member,
         min_voters: 2 * settings.machine_faults + 1,
-        heartbeat_interval: settings.heartbeat_ms,
+        heartbeat_interval: settings
+            .heartbeat_interval
+            .as_millis()
+            .try_into()
+            .unwrap_or(u64::MAX),
         bootstrap,
         is_genesis: settings.initial_boot && empty,
         retry_allowance: settings.retry_allowance,
-        retry_window: settings.retry_window_ms,
+        retry_window: settings
+            .retry_window
+            .as_millis()
+            .try_into()
+            .unwrap_or(u64::MAX),
     };
     log::info!(disk = id, empty = empty, first = first; "event=control_started");
     let control = ControlNode::new(local, id, kept, genesis.clone(), clock::ms());
@@ -488,7 +496,7 @@
             let Ok(base) = base else {
                 return refuse(400, "X-Base-Revision is no number");
             };
-            match Configuration::judge(&body) {
+            match Configuration::parse(&body) {
                 Ok(read) => {
                     let (revision, document) = (read.revision, body);
                     asked(commands, |reply| Command::Replace {
--- a/crates/linenthread-node/src/errors.rs
+++ b/crates/linenthread-node/src/errors.rs
@@ -6,9 +6,14 @@
     #[snafu(display("neither --settings nor LINENTHREAD_BOOT names the settings file"))]
     NoSettings,
     #[snafu(display("{file}: {source}"))]
-    Fault {
+    Configuration {
         file: String,
-        source: linenthread_config::Fault,
+        source: linenthread_config::ConfigurationError,
+    },
+    #[snafu(display("{file}: {source}"))]
+    Settings {
+        file: String,
+        source: linenthread_config::SettingsError,
     },
     #[snafu(display("{step} {peer}: {source}"))]
     Step {
--- a/crates/linenthread-node/src/front.rs
+++ b/crates/linenthread-node/src/front.rs
@@ -37,7 +37,7 @@
     let clients = TcpListener::bind(address)
         .await
         .map_err(step("binding", address))?;
-    if let Some(address) = settings.readiness {
+    if let Some(address) = settings.readiness_bind {
         let asked = TcpListener::bind(address)
             .await
             .map_err(step("binding", address))?;
@@ -83,10 +83,10 @@
 }
 
 /// Serves on until nothing new comes and all is answered.
-pub(crate) async fn stop(plane: &DataPlane, grace_ms: u64) {
+pub(crate) async fn stop(plane: &DataPlane, grace: Duration) {
     plane.ending.set(true);
     let began = Instant::now();
-    let latest = began + Duration::from_millis(grace_ms.saturating_sub(600));
+    let latest = began + grace.saturating_sub(Duration::from_millis(600));
     tokio::time::sleep_until((began + STILL_COMING).min(latest)).await;
     // From here on connections end between two requests, and what was begun is answered.
     plane.closing.send_replace(true);
--- a/crates/linenthread-node/src/main.rs
+++ b/crates/linenthread-node/src/main.rs
@@ -49,7 +49,7 @@
 }
 
 /// So long before the end of its grace a control node stops waiting for others.
-const LEAVE_MARGIN_MS: u64 = 1_000;
+const LEAVE_MARGIN: Duration = Duration::from_secs(1);
 
 fn main() -> ExitCode {
     let flags = match flags::LinenthreadNode::from_env() {
@@ -60,9 +60,9 @@
         flags::LinenthreadNodeCmd::Serve(serve) => run(serve.settings, serve.pass_through),
         flags::LinenthreadNodeCmd::Check(check) => {
             errors::read(&check.configuration).and_then(|bytes| {
-                Configuration::judge(&bytes)
+                Configuration::parse(&bytes)
                     .map(drop)
-                    .map_err(|source| Error::Fault {
+                    .map_err(|source| Error::Configuration {
                         file: check.configuration.display().to_string(),
                         source,
                     })
@@ -86,7 +86,7 @@
 pub(crate) fn settings(path: &std::path::Path) -> Result<Settings, Error> {
     let bytes = errors::read(path)?;
     let text = String::from_utf8_lossy(&bytes);
-    Settings::read(&text).map_err(|source| Error::Fault {
+    Settings::parse(&text).map_err(|source| Error::Settings {
         file: path.display().to_string(),
         source,
     })
@@ -117,17 +117,17 @@
 }
 
 /// How long a control node may take to leave: what is left of the grace is for its end.
-fn leave_within(grace_ms: u64) -> Duration {
-    Duration::from_millis(grace_ms.saturating_sub(LEAVE_MARGIN_MS).max(grace_ms / 2))
+fn leave_within(grace: Duration) -> Duration {
+    grace.saturating_sub(LEAVE_MARGIN).max(grace / 2)
 }
 
 async fn serve(settings: Rc<Settings>, path: std::path::PathBuf) -> Result<(), Error> {
     let ends = signals::listen(path)?;
-    let control = match settings.control {
+    let control = match settings.control_bind {
         Some(address) => Some(control::start(&settings, address).await?),
         None => None,
     };
-    let plane = match settings.ingress {
+    let plane = match settings.ingress_bind {
         Some(address) => Some(front::start(&settings, address, &ends).await?),
         None => None,
     };
@@ -135,12 +135,12 @@
     log::info!(node = settings.node_name; "event=stopping");
     let front_stops = async {
         if let Some(plane) = &plane {
-            front::stop(plane, settings.grace_ms).await;
+            front::stop(plane, settings.shutdown_grace).await;
         }
     };
     let control_leaves = async {
         if let Some(control) = &control {
-            control.leave(leave_within(settings.grace_ms)).await;
+            control.leave(leave_within(settings.shutdown_grace)).await;
         }
     };
     tokio::join!(front_stops, control_leaves);
--- a/crates/linenthread-node/tests/system.rs
+++ b/crates/linenthread-node/tests/system.rs
@@ -56,7 +56,12 @@
 }
 
 /// Asks until a whole answer comes, a bounded number of times.
-fn whole(cluster: &Cluster, front: &str, path: &str, name: &str) -> Option<linenthread_ctl::Reply> {
+fn whole(
+    cluster: &Cluster,
+    front: &str,
+    path: &str,
+    name: &str,
+) -> Option<linenthread_ctl::Response> {
     (0..200).find_map(|n| {
         let reply = cluster.ask(front, path, &format!("{name}-{n}")).ok()?;
         (reply.status == 200 && reply.head.header("x-missing-parts") == Some("0")).then_some(reply)
@@ -143,11 +148,11 @@
     }
     let client = linenthread_ctl::Client {
         addresses: cluster.control(),
-        within: Duration::from_secs(2),
+        timeout: Duration::from_secs(2),
     };
     let read = (0..200).find_map(|_| {
         client
-            .call("GET", "/Configuration.Read", &[], &[], 5)
+            .send(&linenthread_ctl::Request::get("/Configuration.Read"), 5)
             .ok()
             .filter(|r| r.status == 200)
     });
