--- /dev/null
+++ b/crates/linenthread-control/tests/golden.rs
@@ -0,0 +1,299 @@
+//! State folders that an earlier version wrote: they open with the state that was written, and writing the same
+//! records again gives the same bytes.
+//!
+//! The files under `tests/golden/` were written by commit 464716d. They must never be regenerated to make a test
+//! pass: the disks of control nodes that are being upgraded hold such bytes.
+
+use std::cell::RefCell;
+use std::rc::Rc;
+
+use linenthread_consensus::DurableState;
+use linenthread_control::{OpenedState, StateLog};
+use linenthread_messages::{
+    Accepted, Ballot, DocumentDigest, OrderIdentity, Record, Replica, Value, Voter,
+};
+use linenthread_store::{Files, Model};
+
+/// The only file of a log that was never compacted.
+const FIRST_FILE: &str = "0000000000000001.log";
+/// The file after the first compaction.
+const SECOND_FILE: &str = "0000000000000002.log";
+/// Longer than any log of these tests.
+const NEVER_COMPACT: u64 = u64::MAX;
+/// So many bytes of the record that did not fit were written before the disk was full.
+const TORN_BYTES: usize = 60;
+/// A document whose record takes two entries of the log.
+const LONG_DOCUMENT: usize = 600_000;
+
+type Disk = Rc<RefCell<Model>>;
+
+fn open(
+    disk: &Disk,
+    compact_above: u64,
+) -> OpenedState<Disk, impl FnMut() -> Result<Disk, String> + use<>> {
+    let disk = disk.clone();
+    StateLog::open(move || Ok(disk.clone()), compact_above).expect("the folder opens")
+}
+
+fn disk_with(name: &str, bytes: &[u8]) -> Disk {
+    let disk = Disk::default();
+    disk.borrow_mut()
+        .append(name, bytes)
+        .expect("there is room");
+    disk
+}
+
+/// The one file on the disk.
+fn file(disk: &Disk) -> (String, Vec<u8>) {
+    let names = disk.borrow_mut().names().expect("a folder");
+    assert_eq!(names.len(), 1, "{names:?}");
+    let bytes = disk.borrow_mut().read(&names[0]).expect("a file");
+    (names[0].clone(), bytes)
+}
+
+/// Bytes in hexadecimal, in groups; `00*5` stands for a byte that is there five times.
+fn bytes_of(text: &str) -> Vec<u8> {
+    let mut bytes = Vec::new();
+    for group in text.split_whitespace() {
+        let (digits, times) = group.split_once('*').unwrap_or((group, "1"));
+        let times = times.parse().expect("a count");
+        let byte = |at| u8::from_str_radix(&digits[at..at + 2], 16).expect("two digits");
+        let part: Vec<u8> = (0..digits.len()).step_by(2).map(byte).collect();
+        bytes.extend(part.repeat(times));
+    }
+    bytes
+}
+
+fn order(revision: u64) -> OrderIdentity {
+    OrderIdentity {
+        revision,
+        base: revision - 2,
+        digest: DocumentDigest {
+            high: 0x0102_0304_0506_0708 + revision,
+            low: 0x1112_1314_1516_1718 + revision,
+        },
+    }
+}
+
+fn voter(id: u64, address: &str) -> Voter {
+    Voter {
+        id,
+        address: address.to_owned(),
+    }
+}
+
+fn value(number: u64, document: Vec<u8>) -> Value {
+    Value {
+        number,
+        revision: 2 * number,
+        document: document.into(),
+        voters: vec![
+            voter(0xa1a2_a3a4_a5a6_a7a8, "10.0.0.1:7100"),
+            voter(2, "10.0.0.2:7200"),
+            voter(3, "[fd00::3]:7300"),
+        ],
+        epoch: 4,
+        order_count: number,
+        recent_orders: vec![order(2 * number - 2), order(2 * number)],
+        voters_since: 1,
+    }
+}
+
+fn ballot(round: u64) -> Ballot {
+    Ballot {
+        round,
+        proposer: 0xb1b2_b3b4_b5b6_b7b8,
+    }
+}
+
+fn replica(id: &str) -> Replica {
+    Replica {
+        id: id.to_owned(),
+        backend: "shard-7".to_owned(),
+        address: "10.1.2.3:9000".to_owned(),
+        zone: "zone-c".to_owned(),
+        revision: "r2026.05".to_owned(),
+        capacity: 48,
+        call_count: 987_654,
+        draining: true,
+        removed: false,
+        age_ms: 1_234,
+        warmup_ms: 56_789,
+        removed_for_good: false,
+    }
+}
+
+/// What a control node wrote, one call after another: its identity, decided values, orders, replicas, a vote for
+/// the leader lease, and last a promise and an accepted value that is not decided.
+fn writes() -> Vec<Vec<Record>> {
+    let identity = Record {
+        id: Some(0xa1a2_a3a4_a5a6_a7a8),
+        ..Record::default()
+    };
+    let decided = |number| Record {
+        decided: Some(value(number, b"{\"routes\":[]}".to_vec())),
+        ..Record::default()
+    };
+    let orders = Record {
+        order_log: vec![order(5), order(3), order(7)],
+        ..Record::default()
+    };
+    let vote = Record {
+        epoch: 45,
+        ..Record::default()
+    };
+    let replicas = Record {
+        replicas: vec![replica("replica-1"), replica("replica-2")],
+        ..Record::default()
+    };
+    let promise = Record {
+        number: 13,
+        promised: Some(ballot(7)),
+        ..Record::default()
+    };
+    let accepted = Record {
+        number: 13,
+        promised: Some(ballot(8)),
+        accepted: Some(Accepted {
+            ballot: ballot(8),
+            value: value(13, b"{\"routes\":[1]}".to_vec()),
+        }),
+        ..Record::default()
+    };
+    vec![
+        vec![identity],
+        vec![decided(11), orders],
+        vec![vote, replicas, decided(12)],
+        vec![promise],
+        vec![accepted],
+    ]
+}
+
+/// A record of which the disk took only the beginning.
+fn torn_write() -> Record {
+    Record {
+        decided: Some(value(13, b"{\"routes\":[1]}".to_vec())),
+        ..Record::default()
+    }
+}
+
+/// What is written after the torn end was cut off.
+fn write_after_torn() -> Record {
+    Record {
+        number: 13,
+        promised: Some(ballot(9)),
+        ..Record::default()
+    }
+}
+
+fn long_write(number: u64) -> Record {
+    Record {
+        decided: Some(value(number, vec![0xab; LONG_DOCUMENT])),
+        ..Record::default()
+    }
+}
+
+/// The state that records add up to.
+fn state_of(records: impl IntoIterator<Item = Record>) -> DurableState {
+    let mut state = DurableState::default();
+    records.into_iter().for_each(|record| state.add(record));
+    state
+}
+
+/// The two records that hold the state of [`writes`], written out: what consensus starts from.
+fn expected_records() -> Vec<Record> {
+    let kept = Record {
+        id: Some(0xa1a2_a3a4_a5a6_a7a8),
+        decided: Some(value(12, b"{\"routes\":[]}".to_vec())),
+        epoch: 45,
+        replicas: vec![replica("replica-1"), replica("replica-2")],
+        order_log: [3, 5, 7, 20, 22, 24].map(order).to_vec(),
+        ..Record::default()
+    };
+    let accepted = writes().pop().expect("writes").pop().expect("a record");
+    vec![kept, accepted]
+}
+
+#[test]
+fn a_state_folder_of_version_464716d_opens_with_its_state() {
+    let bytes = bytes_of(include_str!("golden/state.hex"));
+    let opened = open(&disk_with(FIRST_FILE, &bytes), NEVER_COMPACT);
+    assert_eq!(opened.cut, None);
+    assert_eq!(opened.state, state_of(writes().into_iter().flatten()));
+    assert_eq!(opened.state.records(), expected_records());
+}
+
+#[test]
+fn writing_the_same_records_gives_the_bytes_of_version_464716d() {
+    let disk = Disk::default();
+    let mut opened = open(&disk, NEVER_COMPACT);
+    for records in writes() {
+        opened.log.write(&records).expect("there is room");
+    }
+    let bytes = bytes_of(include_str!("golden/state.hex"));
+    assert_eq!(file(&disk), (FIRST_FILE.to_owned(), bytes));
+}
+
+#[test]
+fn compaction_gives_the_bytes_of_version_464716d() {
+    let disk = disk_with(FIRST_FILE, &bytes_of(include_str!("golden/state.hex")));
+    open(&disk, 0).log.write(&[]).expect("there is room");
+    let compacted = bytes_of(include_str!("golden/state_compacted.hex"));
+    assert_eq!(file(&disk), (SECOND_FILE.to_owned(), compacted.clone()));
+    let opened = open(&disk_with(SECOND_FILE, &compacted), NEVER_COMPACT);
+    assert_eq!(opened.state.records(), expected_records());
+}
+
+#[test]
+fn a_torn_end_of_version_464716d_is_cut_and_written_over_as_it_did() {
+    let complete = bytes_of(include_str!("golden/state.hex"));
+    let torn = bytes_of(include_str!("golden/state_torn.hex"));
+    let disk = disk_with(FIRST_FILE, &torn);
+    let mut opened = open(&disk, NEVER_COMPACT);
+    let cut = opened.cut.as_ref().expect("a torn end");
+    assert_eq!(cut.file, FIRST_FILE);
+    assert_eq!(cut.at, complete.len() as u64);
+    assert_eq!(cut.bytes, TORN_BYTES as u64);
+    assert_eq!(opened.state.records(), expected_records());
+    assert_eq!(file(&disk).1, complete);
+    let written = opened.log.write(&[write_after_torn()]);
+    written.expect("there is room");
+    let after = bytes_of(include_str!("golden/state_after_torn.hex"));
+    assert_eq!(file(&disk).1, after);
+    let state = open(&disk, NEVER_COMPACT).state;
+    let promised = state.records()[1].promised;
+    assert_eq!(promised, Some(ballot(9)));
+}
+
+#[test]
+fn a_full_disk_is_left_with_the_torn_end_of_version_464716d() {
+    let complete = bytes_of(include_str!("golden/state.hex"));
+    let disk = disk_with(FIRST_FILE, &complete);
+    let mut opened = open(&disk, NEVER_COMPACT);
+    disk.borrow_mut().leave_room(TORN_BYTES);
+    opened
+        .log
+        .write(&[torn_write()])
+        .expect_err("the disk is full");
+    let torn = bytes_of(include_str!("golden/state_torn.hex"));
+    assert_eq!(file(&disk).1, torn);
+}
+
+#[test]
+fn a_record_in_pieces_has_the_bytes_of_version_464716d() {
+    let bytes = bytes_of(include_str!("golden/state_pieces.hex"));
+    let opened = open(&disk_with(FIRST_FILE, &bytes), NEVER_COMPACT);
+    assert_eq!(opened.state, state_of([long_write(11)]));
+    let disk = Disk::default();
+    let written = open(&disk, NEVER_COMPACT).log.write(&[long_write(11)]);
+    written.expect("there is room");
+    assert!(file(&disk).1 == bytes, "the bytes differ");
+}
+
+#[test]
+fn a_record_of_which_version_464716d_wrote_only_the_first_piece_is_left_out() {
+    let bytes = bytes_of(include_str!("golden/state_first_piece.hex"));
+    let opened = open(&disk_with(FIRST_FILE, &bytes), NEVER_COMPACT);
+    assert!(opened.cut.is_some());
+    assert_eq!(opened.state, state_of([long_write(11)]));
+}
