--- /dev/null
+++ b/crates/linenthread-fleet/tests/golden.rs
@@ -0,0 +1,441 @@
+//! The fleet's wire and disk format, held fast by bytes that an earlier version wrote.
+//!
+//! The files under `tests/golden/` were written by commit 464716d. They must never be regenerated to make a test
+//! pass: processes of a fleet that is being upgraded, and voters' disks written before, hold such bytes.
+
+use std::cell::RefCell;
+use std::collections::{BTreeMap, VecDeque};
+use std::net::SocketAddr;
+use std::rc::Rc;
+
+use linenthread_fleet::frame::{Frame, Standing};
+use linenthread_fleet::{Members, MembersDo, MembersTerms, Voter, VoterDo, VoterTerms, Who};
+use linenthread_frames::Secrets;
+use linenthread_store::{Files, Model};
+use raft::eraftpb::{Entry, EntryType, Message, MessageType, Snapshot};
+
+/// The lines of a golden file: a name, a space, and bytes in hexadecimal.
+fn golden(text: &str) -> Vec<(String, Vec<u8>)> {
+    text.lines()
+        .map(|line| {
+            let (name, hex) = line.rsplit_once(' ').expect("a name and its bytes");
+            let byte = |at| u8::from_str_radix(&hex[at..at + 2], 16).expect("two digits");
+            let bytes = (0..hex.len()).step_by(2).map(byte).collect();
+            (name.to_owned(), bytes)
+        })
+        .collect()
+}
+
+// --- frames ---
+
+fn entry(index: u64, entry_type: EntryType) -> Entry {
+    Entry {
+        index,
+        term: 41,
+        entry_type,
+        context: vec![1, 2, 3].into(),
+        data: b"entry".to_vec().into(),
+        ..Entry::default()
+    }
+}
+
+fn snapshot() -> Snapshot {
+    let mut snapshot = Snapshot::default();
+    snapshot.data = b"snapshot".to_vec().into();
+    let metadata = snapshot.mut_metadata();
+    (metadata.index, metadata.term) = (900, 40);
+    metadata.mut_conf_state().voters = vec![0x0102_0304_0506_0708, 2, 3];
+    snapshot
+}
+
+fn message(msg_type: MessageType) -> Message {
+    Message {
+        msg_type,
+        to: 0x1112_1314_1516_1718,
+        from: 0x2122_2324_2526_2728,
+        term: 42,
+        log_term: 39,
+        index: 1_000,
+        commit: 999,
+        commit_term: 38,
+        request_snapshot: 950,
+        reject: true,
+        reject_hint: 980,
+        priority: -5,
+        context: b"context".to_vec().into(),
+        ..Message::default()
+    }
+}
+
+fn frames() -> Vec<(String, Frame)> {
+    let nonce = std::array::from_fn(|i| 0x30 + i as u8);
+    let proof = std::array::from_fn(|i| 0x80 + i as u8);
+    let mut frames = vec![
+        (
+            "challenge".to_owned(),
+            Frame::Challenge {
+                least: 1,
+                most: 3,
+                nonce,
+                name: "catania".to_owned(),
+            },
+        ),
+        (
+            "hello".to_owned(),
+            Frame::Hello {
+                version: 2,
+                name: "messina".to_owned(),
+                voter: true,
+                nonce,
+                proof,
+            },
+        ),
+        ("welcome".to_owned(), Frame::Welcome { proof }),
+        (
+            "refuse".to_owned(),
+            Frame::Refuse {
+                why: "not \u{e9}xpected".to_owned(),
+            },
+        ),
+        (
+            "agreed".to_owned(),
+            Frame::Agreed {
+                topic: "table".to_owned(),
+                number: 77,
+                value: vec![0, 0xff, 7],
+            },
+        ),
+        (
+            "report".to_owned(),
+            Frame::Report {
+                bytes: vec![9, 0, 8],
+            },
+        ),
+        ("ping".to_owned(), Frame::Ping { number: 1_234_567 }),
+        ("pong".to_owned(), Frame::Pong { number: 1_234_568 }),
+    ];
+    let standings = [
+        Standing::Empty,
+        Standing::Founded,
+        Standing::Holding,
+        Standing::Stopped,
+    ];
+    for (number, standing) in standings.into_iter().enumerate() {
+        let frame = Frame::Standing {
+            standing,
+            life: 0x4142_4344_4546_4748,
+            founders: 0x5152_5354_5556_5758,
+        };
+        frames.push((format!("standing_{number}"), frame));
+    }
+    let kinds = [
+        MessageType::MsgAppend,
+        MessageType::MsgAppendResponse,
+        MessageType::MsgRequestVote,
+        MessageType::MsgRequestVoteResponse,
+        MessageType::MsgSnapshot,
+        MessageType::MsgHeartbeat,
+        MessageType::MsgHeartbeatResponse,
+        MessageType::MsgRequestPreVote,
+        MessageType::MsgRequestPreVoteResponse,
+        MessageType::MsgUnreachable,
+    ];
+    for kind in kinds {
+        let frame = Frame::Record(Box::new(message(kind)));
+        frames.push((format!("record_{kind:?}"), frame));
+    }
+    let mut full = message(MessageType::MsgAppend);
+    full.entries = vec![
+        entry(1_001, EntryType::EntryNormal),
+        entry(1_002, EntryType::EntryConfChange),
+    ]
+    .into();
+    full.set_snapshot(snapshot());
+    frames.push(("record_full".to_owned(), Frame::Record(Box::new(full))));
+    frames
+}
+
+// --- voters' disks ---
+
+const NAMES: [&str; 3] = ["catania", "messina", "palermo"];
+/// Tenths of a millisecond between two wake-ups.
+const STEP: i64 = 250;
+const STEPS_PER_SECOND: i64 = 40;
+
+type Disk = Rc<RefCell<Model>>;
+
+/// Voters on one clock whose messages arrive at once.
+struct Room {
+    now: i64,
+    voters: BTreeMap<String, Voter<Disk>>,
+    disks: BTreeMap<String, Disk>,
+    starts: u64,
+}
+
+impl Room {
+    fn new() -> Room {
+        let disks = NAMES.map(|name| (name.to_owned(), Disk::default()));
+        Room {
+            now: 1_000_000,
+            voters: BTreeMap::new(),
+            disks: BTreeMap::from(disks),
+            starts: 0,
+        }
+    }
+
+    fn start(&mut self, name: &str) {
+        self.starts += 1;
+        let terms = VoterTerms {
+            own: name.to_owned(),
+            voters: NAMES.map(str::to_owned).to_vec(),
+        };
+        let disk = self.disks[name].clone();
+        let voter = Voter::new(terms, disk, self.starts, self.now, &mut Vec::new());
+        self.voters
+            .insert(name.to_owned(), voter.expect("a disk without damage"));
+        let others: Vec<String> = self.voters.keys().filter(|n| *n != name).cloned().collect();
+        for other in &others {
+            self.act(name, |voter, _, to| voter.opened(other, to));
+            self.act(other, |voter, _, to| voter.opened(name, to));
+        }
+    }
+
+    fn stop(&mut self, name: &str) {
+        self.voters.remove(name);
+        let others: Vec<String> = self.voters.keys().cloned().collect();
+        for other in &others {
+            self.act(other, |voter, _, _| voter.lost(name));
+        }
+    }
+
+    fn act(&mut self, name: &str, call: impl FnOnce(&mut Voter<Disk>, i64, &mut Vec<VoterDo>)) {
+        let mut to = Vec::new();
+        let Some(voter) = self.voters.get_mut(name) else {
+            return;
+        };
+        call(voter, self.now, &mut to);
+        let mut actions: VecDeque<_> = to.into_iter().map(|one| (name.to_owned(), one)).collect();
+        while let Some((from, action)) = actions.pop_front() {
+            let VoterDo::Say { to: name, frame } = action else {
+                continue;
+            };
+            let mut bytes = frame.encode();
+            let mut more = Vec::new();
+            Frame::take_all(&mut bytes, |frame| {
+                if let Some(voter) = self.voters.get_mut(&name) {
+                    voter.received(self.now, &from, frame, &mut more);
+                }
+            })
+            .expect("a frame of ours");
+            actions.extend(more.into_iter().map(|one| (name.clone(), one)));
+        }
+    }
+
+    fn run(&mut self, seconds: i64) {
+        for _ in 0..seconds * STEPS_PER_SECOND {
+            self.now += STEP;
+            for name in NAMES {
+                self.act(name, |voter, now, to| voter.wake(now, to));
+            }
+        }
+    }
+
+    fn propose(&mut self, topic: &str, based_on: u64, value: &[u8]) {
+        let leads = |name: &&str| self.voters.get(*name).is_some_and(|v| v.leads(self.now));
+        let leader = NAMES.into_iter().find(leads).expect("one leads");
+        self.act(leader, |voter, now, to| {
+            let proposed = voter.propose(now, topic, based_on, value.to_vec(), to);
+            proposed.expect("the leader takes it");
+        });
+    }
+
+    /// Each voter's files with their bytes.
+    fn files(&self) -> Vec<(String, Vec<u8>)> {
+        let mut files = Vec::new();
+        for (voter, disk) in &self.disks {
+            let mut disk = disk.borrow_mut();
+            for name in disk.names().expect("a folder") {
+                let bytes = disk.read(&name).expect("a file");
+                files.push((format!("{voter}/{name}"), bytes));
+            }
+        }
+        files
+    }
+}
+
+/// A fleet is founded and writes some values.
+fn founded() -> Room {
+    let mut room = Room::new();
+    NAMES.iter().for_each(|name| room.start(name));
+    room.run(5);
+    room.propose("table", 0, b"first");
+    room.propose("members", 0, &[0xff; 300]);
+    room.propose("table", 1, b"second");
+    room.run(1);
+    room
+}
+
+/// Then one voter loses its disk and comes back as another one, and so many values are written that the logs
+/// are compacted.
+fn grown() -> Room {
+    let mut room = founded();
+    room.stop("catania");
+    room.disks.insert("catania".to_owned(), Disk::default());
+    room.start("catania");
+    room.run(10);
+    for number in 2..280 {
+        room.propose("table", number, &number.to_be_bytes());
+    }
+    room.run(1);
+    room
+}
+
+/// Voters started from these files.
+fn restarted(files: Vec<(String, Vec<u8>)>) -> Room {
+    let mut room = Room::new();
+    for (path, bytes) in files {
+        let (voter, name) = path.split_once('/').expect("a voter and a file");
+        let mut disk = room.disks[voter].borrow_mut();
+        disk.append(name, &bytes).expect("there is room");
+    }
+    NAMES.iter().for_each(|name| room.start(name));
+    room
+}
+
+/// What a voter holds, to compare one that was started from a golden disk with one that wrote such a disk.
+fn held(room: &Room, name: &str) -> (Option<u64>, u64, bool, Vec<(String, u64, Vec<u8>)>) {
+    let voter = &room.voters[name];
+    let values = voter.board().values();
+    let values = values.map(|(topic, number, value)| (topic.to_owned(), number, value.to_vec()));
+    (voter.life(), voter.term(), voter.votes(), values.collect())
+}
+
+// --- gossip ---
+
+fn member(name: &str, gossip: &str, life: u64) -> Who {
+    Who {
+        name: name.to_owned(),
+        gossip: gossip.parse().expect("an address"),
+        machine: "machine-1".to_owned(),
+        zone: "zone-b".to_owned(),
+        region: "region-c".to_owned(),
+        version: 0x0102,
+        share: 750,
+        life,
+        turn: 0x0a0b_0c0d,
+    }
+}
+
+/// Three members find each other, then one falls silent and is suspected and taken for gone. Each datagram with
+/// whom it goes to.
+fn gossip() -> Vec<(String, Vec<u8>)> {
+    let all = [
+        member("catania", "10.0.0.1:7001", 0x6162_6364_6566_6768),
+        member("messina", "10.0.0.2:7002", 7),
+        member("palermo", "[fd00::3]:7003", 8),
+    ];
+    let ask: Vec<(String, SocketAddr)> = all.iter().map(|m| (m.name.clone(), m.gossip)).collect();
+    let secrets = Secrets::new(vec![b"a secret of this test".to_vec()]).expect("it is long enough");
+    let mut members: BTreeMap<SocketAddr, Members> = BTreeMap::new();
+    for (seed, own) in all.iter().enumerate() {
+        let terms = MembersTerms {
+            own: own.clone(),
+            ask: ask.clone(),
+            expected: 3,
+            probe: 10_000,
+        };
+        let one = Members::new(terms, secrets.clone(), seed as u64 + 1, 0);
+        members.insert(own.gossip, one);
+    }
+    let mut sent = Vec::new();
+    for now in (0..120_000).step_by(100) {
+        if now == 30_000 {
+            members.remove(&all[2].gossip);
+        }
+        let mut actions = VecDeque::new();
+        for one in members.values_mut() {
+            let mut to = Vec::new();
+            one.wake(now, &mut to);
+            actions.extend(to);
+        }
+        while let Some(action) = actions.pop_front() {
+            let MembersDo::Send { to: address, bytes } = action else {
+                continue;
+            };
+            if let Some(one) = members.get_mut(&address) {
+                let mut to = Vec::new();
+                let received = one.received(now, &bytes, &mut to);
+                received.expect("a datagram of ours");
+                actions.extend(to);
+            }
+            sent.push((address.to_string(), bytes));
+        }
+    }
+    sent
+}
+
+#[test]
+fn frames_have_the_bytes_of_version_464716d() {
+    let golden = golden(include_str!("golden/frames.hex"));
+    let frames = frames();
+    assert_eq!(golden.len(), frames.len());
+    for ((name, frame), (golden_name, bytes)) in frames.into_iter().zip(golden) {
+        assert_eq!(name, golden_name);
+        assert_eq!(frame.encode(), bytes, "{name} encodes");
+        let mut read = bytes;
+        let mut decoded = Vec::new();
+        let taken = Frame::take_all(&mut read, |frame| decoded.push(frame));
+        taken.unwrap_or_else(|error| panic!("{name}: {error}"));
+        assert!(read.is_empty(), "{name} leaves bytes behind");
+        assert_eq!(decoded, [frame], "{name} decodes");
+    }
+}
+
+#[test]
+fn a_founded_fleet_writes_the_bytes_of_version_464716d() {
+    let golden = golden(include_str!("golden/founded.hex"));
+    let room = founded();
+    assert!(room.files() == golden, "the bytes differ");
+    assert_eq!(
+        room.voters["catania"].board().value("table"),
+        Some((2, &b"second"[..]))
+    );
+}
+
+#[test]
+fn a_fleet_that_replaced_a_voter_and_compacted_writes_the_bytes_of_version_464716d() {
+    let golden = golden(include_str!("golden/grown.hex"));
+    let room = grown();
+    assert!(room.files() == golden, "the bytes differ");
+    assert_ne!(room.voters["catania"].life(), Some(0));
+}
+
+#[test]
+fn voters_start_from_disks_of_version_464716d() {
+    for (text, expected) in [
+        (include_str!("golden/founded.hex"), founded()),
+        (include_str!("golden/grown.hex"), grown()),
+    ] {
+        let mut room = restarted(golden(text));
+        // Three of three start at once: the term that each holds is the one on its disk.
+        for name in NAMES {
+            let (life, term, votes, _) = held(&room, name);
+            let wrote = held(&expected, name);
+            assert_eq!((life, term, votes), (wrote.0, wrote.1, wrote.2), "{name}");
+        }
+        room.run(10);
+        for name in NAMES {
+            assert_eq!(held(&room, name).3, held(&expected, name).3, "{name}");
+        }
+    }
+}
+
+#[test]
+fn gossip_has_the_bytes_of_version_464716d() {
+    let golden = golden(include_str!("golden/gossip.hex"));
+    let sent = gossip();
+    assert_eq!(sent.len(), golden.len());
+    for (number, (one, other)) in sent.into_iter().zip(golden).enumerate() {
+        assert_eq!(one, other, "datagram {number}");
+    }
+}
--- /dev/null
+++ b/crates/linenthread-frames/tests/golden.rs
@@ -0,0 +1,106 @@
+//! The fields of frames and the proof of a shared secret, held fast by bytes that an earlier version wrote.
+//!
+//! The files under `tests/golden/` were written by commit 464716d. They must never be regenerated to make a test
+//! pass: the peers of a program that is being upgraded speak these bytes.
+
+use linenthread_frames::{Put, Secrets, Side, Take, take_all, whole};
+
+/// The lines of a golden file: a name, a space, and bytes in hexadecimal.
+fn golden(text: &str) -> Vec<(String, Vec<u8>)> {
+    text.lines()
+        .map(|line| {
+            let (name, hex) = line.rsplit_once(' ').expect("a name and its bytes");
+            let byte = |at| u8::from_str_radix(&hex[at..at + 2], 16).expect("two digits");
+            let bytes = (0..hex.len()).step_by(2).map(byte).collect();
+            (name.to_owned(), bytes)
+        })
+        .collect()
+}
+
+const KIND: u8 = 0xee;
+const MAX_LENGTH: usize = 1_000;
+const SIDE: Side = *b"linenthread test";
+
+/// A frame with each sort of field.
+fn frame() -> Vec<u8> {
+    let mut put = Put::frame();
+    put.u16(0x0102);
+    put.u32(0x0304_0506);
+    put.u64(0x0708_090a_0b0c_0d0e);
+    put.bytes(&[0xff, 0, 1]);
+    put.text("t\u{e9}xt");
+    put.value("v\u{e4}lue");
+    put.maybe(Some(2.5));
+    put.maybe(None);
+    put.finish(KIND)
+}
+
+/// Proofs by each of two secrets.
+fn proofs() -> Vec<(String, Vec<u8>)> {
+    let secrets = secrets();
+    let proof = |secret, nonce: &[u8]| secrets.prove(secret, SIDE, nonce, b"what is said").to_vec();
+    vec![
+        ("first".to_owned(), proof(0, &[7; 16])),
+        ("second".to_owned(), proof(1, &[7; 16])),
+        ("without_nonce".to_owned(), proof(0, &[])),
+    ]
+}
+
+fn secrets() -> Secrets {
+    let secrets = vec![
+        b"the first secret of this test".to_vec(),
+        b"the second secret of it".to_vec(),
+    ];
+    Secrets::new(secrets).expect("they are long enough")
+}
+
+#[test]
+fn fields_have_the_bytes_of_version_464716d() {
+    let golden = golden(include_str!("golden/fields.hex"));
+    let [(_, bytes)] = &golden[..] else {
+        panic!("one frame");
+    };
+    assert_eq!(frame(), *bytes);
+    let (fields, length) = whole(bytes, MAX_LENGTH)
+        .expect("a frame")
+        .expect("all of it");
+    assert_eq!(length, bytes.len());
+    let mut take = Take(fields);
+    assert_eq!(take.u8(), Ok(KIND));
+    assert_eq!(take.u16(), Ok(0x0102));
+    assert_eq!(take.u32(), Ok(0x0304_0506));
+    assert_eq!(take.u64(), Ok(0x0708_090a_0b0c_0d0e));
+    assert_eq!(take.lot(), Ok(&[0xff, 0, 1][..]));
+    assert_eq!(take.text().as_deref(), Ok("t\u{e9}xt"));
+    assert_eq!(take.value().as_deref(), Ok("v\u{e4}lue"));
+    assert_eq!(take.maybe(), Ok(Some(2.5)));
+    assert_eq!(take.maybe(), Ok(None));
+    assert_eq!(take.end(), Ok(()));
+}
+
+#[test]
+fn frames_of_version_464716d_are_taken_off_a_stream() {
+    let golden = golden(include_str!("golden/fields.hex"));
+    let frame = &golden[0].1;
+    let mut read = [&frame[..], &frame[..], &frame[..frame.len() - 1]].concat();
+    let mut taken = Vec::new();
+    let all = take_all(&mut read, MAX_LENGTH, |fields| {
+        taken.push(fields.to_vec());
+        Ok(())
+    });
+    assert_eq!(all, Ok(()));
+    assert_eq!(taken, [&frame[4..], &frame[4..]]);
+    assert_eq!(read, frame[..frame.len() - 1]);
+}
+
+#[test]
+fn proofs_have_the_bytes_of_version_464716d() {
+    let golden = golden(include_str!("golden/proofs.hex"));
+    assert_eq!(proofs(), golden);
+    let expected = [(0, &[7; 16][..]), (1, &[7; 16][..]), (0, &[][..])];
+    for ((name, bytes), (secret, nonce)) in golden.into_iter().zip(expected) {
+        let proof = bytes.try_into().expect("a proof's length");
+        let proven = secrets().proven_by(SIDE, nonce, b"what is said", &proof);
+        assert_eq!(proven, Some(secret), "{name}");
+    }
+}
--- /dev/null
+++ b/crates/linenthread-http/tests/golden.rs
@@ -0,0 +1,108 @@
+//! Heads, framing and merged records, held fast by bytes that an earlier version wrote.
+//!
+//! The files under `tests/golden/` were written by commit 464716d. They must never be regenerated to make a test
+//! pass: clients and replicas depend on what is passed on to them.
+
+use bytes::BytesMut;
+use linenthread_http::{Body, Framing, Head, answer_framing, greatest, number, request_framing};
+
+const MAX_HEAD: usize = 4_096;
+const MAX_BODY: usize = 1_000;
+
+const REQUEST: &str = "POST /search/find?q=a%20b&x=1 HTTP/1.1\r\nHost: search.example\r\n\
+    X-One: 1\r\nx-Two:  two words \r\nAccept: */*\r\nX-Bytes: \u{e9}\r\nConnection: keep-alive, X-Hop\r\n\
+    X-Hop: no\r\nKeep-Alive: timeout=5\r\nTE: trailers\r\nTrailer: x\r\nUpgrade: h2c\r\n\
+    Proxy-Authorization: secret\r\nX-Ours: no\r\nTransfer-Encoding: chunked\r\nX-One: again\r\n\r\n";
+const REQUEST_BODY: &str = "5;ext=1\r\nhello\r\n7\r\n, world\r\n0\r\nTrail: er\r\n\r\n";
+const RESPONSE: &str = "HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\nHTTP/1.1 206 Partial Content\r\n\
+    Content-Type: application/octet-stream\r\nContent-Length: 32\r\nConnection: close\r\n\
+    X-Load: 0.5,queue=3\r\n\r\n";
+
+/// What of these heads goes on to the next connection.
+fn passed_on() -> Vec<(&'static str, Vec<u8>)> {
+    let mut request = Vec::new();
+    request_head().pass_on(&mut request, &["x-ours"]);
+    let mut response = Vec::new();
+    response_head().pass_on(&mut response, &[]);
+    vec![("request", request), ("response", response)]
+}
+
+fn request_head() -> Head {
+    let mut buffer = BytesMut::from(REQUEST.as_bytes());
+    let head = Head::request(&mut buffer, MAX_HEAD).expect("a head");
+    head.expect("all of it")
+}
+
+fn response_head() -> Head {
+    let mut buffer = BytesMut::from(RESPONSE.as_bytes());
+    let head = Head::answer(&mut buffer, MAX_HEAD).expect("a head");
+    head.expect("all of it")
+}
+
+/// The greatest of many records, as they are answered.
+fn merged() -> Vec<u8> {
+    let part = |first: u8, records: u8| -> Vec<u8> {
+        let record = |n: u8| [first.wrapping_mul(n), n, first].into_iter().chain([n; 13]);
+        (0..records).flat_map(record).collect()
+    };
+    let parts = [part(17, 9), part(91, 7), part(200, 5), part(17, 2)];
+    greatest(parts.iter().map(Vec::as_slice), 10)
+}
+
+/// The lines of a golden file: a name, a space, and bytes in hexadecimal.
+fn golden(text: &str) -> Vec<(&str, Vec<u8>)> {
+    text.lines()
+        .map(|line| {
+            let (name, hex) = line.rsplit_once(' ').expect("a name and its bytes");
+            let byte = |at| u8::from_str_radix(&hex[at..at + 2], 16).expect("two digits");
+            (name, (0..hex.len()).step_by(2).map(byte).collect())
+        })
+        .collect()
+}
+
+#[test]
+fn heads_are_read_as_version_464716d_read_them() {
+    let head = request_head();
+    assert_eq!(
+        (head.method(), head.target()),
+        ("POST", "/search/find?q=a%20b&x=1")
+    );
+    assert_eq!(
+        (head.path(), head.newer, head.keeps()),
+        ("/search/find", true, true)
+    );
+    assert_eq!(head.header("X-TWO"), Some("two words"));
+    assert_eq!(request_framing(&head, MAX_BODY), Ok(Framing::Chunked));
+    let head = response_head();
+    assert_eq!((head.status, head.newer, head.keeps()), (206, true, false));
+    assert_eq!(answer_framing(&head, false), Ok(Framing::Length(32)));
+    assert_eq!(answer_framing(&head, true), Ok(Framing::Length(0)));
+    let mut body = Body::new(Framing::Chunked, MAX_BODY);
+    let mut buffer = BytesMut::from(REQUEST_BODY.as_bytes());
+    assert_eq!(body.take(&mut buffer), Ok(true));
+    assert_eq!(
+        (&body.read[..], &buffer[..]),
+        (&b"hello, world"[..], &b""[..])
+    );
+}
+
+#[test]
+fn heads_are_passed_on_with_the_bytes_of_version_464716d() {
+    let golden = golden(include_str!("golden/passed_on.hex"));
+    assert_eq!(passed_on(), golden);
+}
+
+#[test]
+fn records_are_merged_to_the_bytes_of_version_464716d() {
+    let golden = golden(include_str!("golden/merged.hex"));
+    assert_eq!(vec![("merged", merged())], golden);
+}
+
+#[test]
+fn numbers_are_written_in_decimal() {
+    for n in [0, 9, 10, 206, u64::from(u32::MAX), u64::MAX] {
+        let mut bytes = Vec::new();
+        number(&mut bytes, n);
+        assert_eq!(bytes, n.to_string().as_bytes());
+    }
+}
--- /dev/null
+++ b/crates/linenthread-protocol/tests/golden.rs
@@ -0,0 +1,140 @@
+//! The messages to and from replicas and clients, held fast by bytes that an earlier version wrote.
+//!
+//! The file under `tests/golden/` was written by commit 464716d. It must never be regenerated to make a test pass:
+//! replicas and clients depend on these bytes.
+
+use bytes::BytesMut;
+use linenthread_core::interface::{Ending, Phase};
+use linenthread_protocol::frame::{self, Word};
+use linenthread_protocol::{lookup, number, roster};
+
+/// The lines of a golden file: a name, a space, and bytes in hexadecimal.
+fn golden(text: &str) -> Vec<(&str, Vec<u8>)> {
+    text.lines()
+        .map(|line| {
+            let (name, hex) = line.rsplit_once(' ').expect("a name and its bytes");
+            let byte = |at| u8::from_str_radix(&hex[at..at + 2], 16).expect("two digits");
+            (name, (0..hex.len()).step_by(2).map(byte).collect())
+        })
+        .collect()
+}
+
+/// Everything that is written to replicas and clients.
+fn written() -> Vec<(&'static str, Vec<u8>)> {
+    let first = frame::part_id("9b1f03aa5c7e2d41", 3, 0);
+    let again = frame::part_id("9b1f03aa5c7e2d41", 12, 2);
+    let two = [
+        (&*first, 3, "c41e77d0"),
+        (&*again, 12, "a text\nwith \u{e9}"),
+    ];
+    let found = [(3, "5be2a07c19f04d63"), (12, "a \"b\" \u{e9}")];
+    vec![
+        ("call_of_one", frame::call(two[..1].iter().copied(), 240)),
+        ("call_of_two", frame::call(two.into_iter(), 1_250)),
+        ("give_up", frame::give_up(&again)),
+        ("probe", frame::probe()),
+        ("answer", lookup::answer(true, found.into_iter())),
+        ("answer_partial", lookup::answer(false, std::iter::empty())),
+        ("retry_after", lookup::retry_after(1_250.5).into_bytes()),
+        ("watch", roster::watch(312, 30_000).into_bytes()),
+        ("number", number("9b1f03aa5c7e2d41").to_be_bytes().to_vec()),
+    ]
+}
+
+#[test]
+fn messages_are_written_with_the_bytes_of_version_464716d() {
+    assert_eq!(written(), golden(include_str!("golden/written.hex")));
+}
+
+#[test]
+fn frames_of_replicas_are_read_as_version_464716d_read_them() {
+    let part = |ending, queue, value: &str| Word::Part {
+        id: "9b1f.3".to_owned(),
+        ending,
+        queue,
+        value: value.to_owned(),
+    };
+    let frames: [(&[u8], Word); 6] = [
+        (
+            b"E9b1f.3 hit 1840277719 inflight=7,queue=2.5\nv 1",
+            part(Ending::Answered, Some(2.5), "v 1"),
+        ),
+        (b"E9b1f.3 fault 0 -\n", part(Ending::Errored, None, "")),
+        (
+            b"E9b1f.3 overload - queue=4\n",
+            part(Ending::TurnedAway, Some(4.0), ""),
+        ),
+        (
+            b"Chit",
+            Word::Probe {
+                ending: Ending::Answered,
+                queue: None,
+            },
+        ),
+        (
+            b"Dutil=0.1,queue=3.5",
+            Word::Probe {
+                ending: Ending::Answered,
+                queue: Some(3.5),
+            },
+        ),
+        (
+            b"Fno such frame",
+            Word::Unusable("no such frame".to_owned()),
+        ),
+    ];
+    for (bytes, word) in frames {
+        let mut read = BytesMut::new();
+        let length = u32::try_from(bytes.len()).expect("a short frame");
+        read.extend_from_slice(&length.to_be_bytes());
+        read.extend_from_slice(bytes);
+        assert_eq!(frame::decode(&mut read), Ok(Some(word)));
+        assert!(read.is_empty());
+    }
+}
+
+#[test]
+fn requests_of_clients_are_read_by_their_headers_and_keys() {
+    let header = |name: &str| match name {
+        "x-trace-id" => Some("9b1f03aa5c7e2d41"),
+        "x-customer" => Some("acme"),
+        "x-object" => Some("7f3a9c21e0b4d655"),
+        "x-expires-in-ms" => Some("480"),
+        _ => None,
+    };
+    let body = br#"{"buckets":[{"bucket":3,"part":0.25,"effort":9000,"seed":"0123456789abcdef"},
+        {"bucket":9,"part":0.75}],"body":"c41e77d0","page":{"rows":20,"after":"MARK"}}"#;
+    let read = lookup::decode(header, body).expect("a request");
+    assert_eq!(read.id, "9b1f03aa5c7e2d41");
+    assert_eq!(read.customer.as_deref(), Some("acme"));
+    assert_eq!(read.key.as_deref(), Some("7f3a9c21e0b4d655"));
+    assert_eq!((read.expires_in_ms, read.text.as_str()), (480, "c41e77d0"));
+    let parts: Vec<_> = read
+        .parts
+        .iter()
+        .map(|part| (part.shard, part.weight))
+        .collect();
+    assert_eq!(parts, [(3, 0.25), (9, 0.75)]);
+    let page = lookup::page(body).expect("a page");
+    assert_eq!((page.rows, page.mark.as_deref()), (Some(20), Some("MARK")));
+    assert_eq!(lookup::HEALTH, "/healthz");
+    assert_eq!(lookup::index("/checkout/more"), "checkout");
+}
+
+#[test]
+fn lists_of_replicas_are_read_by_their_keys() {
+    let list = br#"{"revision":7,"complete":true,"members":[
+        {"id":"s-1","host_port":"10.0.0.1:9001","locality":"messina","cell":2,"phase":"active",
+         "up_since_ms":1700000000123.5},
+        {"id":"s-2","host_port":"[fd00::2]:9002","locality":"catania","cell":0,"phase":"leaving"},
+        {"id":"s-3","host_port":"10.0.0.3:9003","locality":"catania","cell":1,"phase":"left"}]}"#;
+    let list = roster::decode(list, 3).expect("a list");
+    assert_eq!((list.revision, list.whole), (7, true));
+    let phases: Vec<_> = list.replicas.iter().map(|replica| replica.phase).collect();
+    assert_eq!(phases, [Phase::Ready, Phase::Draining, Phase::Gone]);
+    let first = &list.replicas[0];
+    assert_eq!((first.id.as_str(), first.site.as_str()), ("s-1", "messina"));
+    assert_eq!((first.cell, first.started_ms), (2, 1_700_000_000_123.5));
+    assert_eq!(list.replicas[1].address.to_string(), "[fd00::2]:9002");
+    assert_eq!(roster::WHOLE, "/v1/servers");
+}
