--- a/crates/linenthread-fleet/tests/golden.rs
+++ b/crates/linenthread-fleet/tests/golden.rs
@@ -235,7 +235,7 @@
         for _ in 0..seconds * STEPS_PER_SECOND {
             self.now += STEP;
             for name in NAMES {
-                self.act(name, |voter, now, to| voter.wake(now, to));
+                self.act(name, linenthread_fleet::Voter::wake);
             }
         }
     }
