--- a/crates/linenthread-link/tests/golden.rs
+++ b/crates/linenthread-link/tests/golden.rs
@@ -3,7 +3,7 @@
 //! The file under `tests/golden/` was written by commit 464716d. It must never be regenerated to make a test pass:
 //! the other side of a link may run an older version.
 
-use linenthread_core::interface::{Ending, Phase};
+use linenthread_core::interface::{AttemptOutcome, Phase};
 use linenthread_link::{Call, Frame, Member};
 
 /// The lines of a golden file: a name, a space, and bytes in hexadecimal.
@@ -110,7 +110,7 @@
                 members: vec![
                     member("replica-1", Phase::Ready, None),
                     member("replica-2", Phase::Draining, Some(1_234)),
-                    member("replica-3", Phase::Gone, Some(0)),
+                    member("replica-3", Phase::Removed, Some(0)),
                 ],
             },
         ),
@@ -124,14 +124,14 @@
         ("goodbye".to_owned(), Frame::Goodbye),
     ];
     let endings = [
-        Ending::Answered,
-        Ending::Errored,
-        Ending::TurnedAway,
-        Ending::TimedOut,
-        Ending::Unconnected,
-        Ending::Broken,
-        Ending::Withdrawn,
-        Ending::Unsent,
+        AttemptOutcome::Success,
+        AttemptOutcome::Error,
+        AttemptOutcome::Rejected,
+        AttemptOutcome::TimedOut,
+        AttemptOutcome::ConnectFailed,
+        AttemptOutcome::ConnectionLost,
+        AttemptOutcome::Cancelled,
+        AttemptOutcome::NotSent,
     ];
     for (at, ending) in endings.into_iter().enumerate() {
         let outcome = Frame::Outcome {
