--- a/crates/linenthread-config/tests/golden.rs
+++ b/crates/linenthread-config/tests/golden.rs
@@ -2,6 +2,8 @@
 //!
 //! The texts must never be changed to make a test pass: operators' files and state folders hold such documents.
 
+use std::time::Duration;
+
 use linenthread_config::{Configuration, Mode, Settings};
 
 const SETTINGS: &str = "# a comment\nnode_name=control-1\nzone=zone-a\nip_addr=10.1.0.3\nprovides=control\n\
@@ -32,26 +34,26 @@
 
 #[test]
 fn each_setting_is_read_by_its_key() {
-    let read = Settings::read(SETTINGS).expect("good settings");
+    let read = Settings::parse(SETTINGS).expect("good settings");
     let address = |text: &str| text.parse().expect("an address");
     let expected = Settings {
         node_name: "control-1".to_owned(),
         zone: "zone-a".to_owned(),
         ip_addr: "10.1.0.3".parse().expect("an address"),
-        ingress: Some(address("10.1.0.3:8080")),
-        readiness: Some(address("10.1.0.3:8081")),
-        control: Some(address("10.1.0.3:8729")),
+        ingress_bind: Some(address("10.1.0.3:8080")),
+        readiness_bind: Some(address("10.1.0.3:8081")),
+        control_bind: Some(address("10.1.0.3:8729")),
         peers_port: 7_120,
         bootstrap_peers: vec![address("10.1.0.3:8729"), address("10.2.0.4:8729")],
         initial_boot: true,
         quorum_member: true,
         machine_faults: 2,
         state_dir: Some("/data/control".to_owned()),
-        heartbeat_ms: 1_200,
-        drain_ms: 3_100,
-        grace_ms: 6_500,
+        heartbeat_interval: Duration::from_millis(1_200),
+        drain_timeout: Duration::from_millis(3_100),
+        shutdown_grace: Duration::from_millis(6_500),
         retry_ratio: 0.2,
-        retry_window_ms: 11_000,
+        retry_window: Duration::from_millis(11_000),
         retry_allowance: 4.5,
         pass_through: false,
     };
@@ -60,42 +62,54 @@
 
 #[test]
 fn each_field_of_a_configuration_is_read_by_its_key() {
-    let read = Configuration::judge(CONFIGURATION.as_bytes()).expect("a good configuration");
+    let read = Configuration::parse(CONFIGURATION.as_bytes()).expect("a good configuration");
     assert_eq!(read.revision, 312);
-    let [find, put, mixed] = &read.route_table[..] else {
+    let [find, put, mixed] = &read.routes[..] else {
         panic!("three routes");
     };
     assert_eq!(
-        (find.label.as_str(), find.host.as_str()),
+        (find.name.as_str(), find.host.as_str()),
         ("find", "search.example")
     );
     assert_eq!(
         (find.path_prefix.as_str(), find.mode),
         ("/find/", Mode::Idempotent)
     );
-    assert_eq!((find.limit_ms, find.target_ms), (600.0, Some(250.5)));
-    assert_eq!((find.rank, find.tries), (-3, 2));
+    assert_eq!(
+        (find.timeout_ms, find.latency_target_ms),
+        (600.0, Some(250.5))
+    );
+    assert_eq!((find.priority, find.max_attempts), (-3, 2));
     let shards = ["shard-1".to_owned(), "shard-2".to_owned()];
     assert_eq!(find.fanout.as_deref(), Some(&shards[..]));
     assert_eq!((find.result_limit, find.min_coverage), (40, 0.75));
-    assert_eq!((put.mode, put.tries, put.rank), (Mode::Mutating, 1, 0));
+    assert_eq!(
+        (put.mode, put.max_attempts, put.priority),
+        (Mode::Mutating, 1, 0)
+    );
     assert_eq!(put.backend.as_deref(), Some("shard-1"));
-    let shares = mixed.apportion.as_ref().expect("shares");
+    let shares = mixed.weighted_backends.as_ref().expect("shares");
     let shares: Vec<_> = shares
         .iter()
-        .map(|s| (s.backend.as_str(), s.share))
+        .map(|s| (s.backend.as_str(), s.weight))
         .collect();
     assert_eq!(shares, [("shard-1", 0.25), ("shard-2", 0.75)]);
     let [first, second] = &read.backends[..] else {
         panic!("two backends");
     };
-    assert_eq!(first.label, "shard-1");
-    assert_eq!(first.probe_path.as_deref(), Some("/ready"));
-    assert_eq!((first.max_conns, second.max_conns), (Some(68), None));
-    let limits = &read.constraints;
+    assert_eq!(first.name, "shard-1");
+    assert_eq!(first.health_check_path.as_deref(), Some("/ready"));
     assert_eq!(
-        (limits.header_bytes, limits.payload_bytes),
+        (first.max_connections, second.max_connections),
+        (Some(68), None)
+    );
+    let limits = &read.limits;
+    assert_eq!(
+        (limits.max_header_bytes, limits.max_body_bytes),
         (8_000, 100_000)
     );
-    assert_eq!((limits.header_ms, limits.quiet_ms), (2_000, 9_000));
+    assert_eq!(
+        (limits.header_timeout, limits.idle_timeout),
+        (Duration::from_millis(2_000), Duration::from_millis(9_000))
+    );
 }
