--- /dev/null
+++ b/crates/linenthread-frames/src/encoder.rs
@@ -0,0 +1,85 @@
+//! Fields put together to bytes.
+
+use crate::stream::LENGTH_BYTES;
+
+/// Appends fields to bytes. Its counterpart is [`crate::Decoder`].
+#[derive(Debug, Default)]
+pub struct Encoder(Vec<u8>);
+
+impl Encoder {
+    /// Without a length or a kind: for records and values that are no frames.
+    pub fn new() -> Encoder {
+        Encoder::default()
+    }
+
+    /// The beginning of a frame, with space for its length and its kind.
+    pub fn frame() -> Encoder {
+        Encoder(vec![0; LENGTH_BYTES + 1])
+    }
+
+    /// The complete frame, its length first; only for an encoder that [`Encoder::frame`] made.
+    pub fn into_frame(mut self, kind: u8) -> Vec<u8> {
+        self.0[LENGTH_BYTES] = kind;
+        let length = u32::try_from(self.0.len() - LENGTH_BYTES).unwrap_or(u32::MAX);
+        self.0[..LENGTH_BYTES].copy_from_slice(&length.to_be_bytes());
+        self.0
+    }
+
+    /// The bytes so far.
+    pub fn into_bytes(self) -> Vec<u8> {
+        self.0
+    }
+
+    /// One byte.
+    pub fn u8(&mut self, number: u8) {
+        self.0.push(number);
+    }
+
+    /// Two bytes.
+    pub fn u16(&mut self, number: u16) {
+        self.0.extend(number.to_be_bytes());
+    }
+
+    /// Four bytes.
+    pub fn u32(&mut self, number: u32) {
+        self.0.extend(number.to_be_bytes());
+    }
+
+    /// Eight bytes.
+    pub fn u64(&mut self, number: u64) {
+        self.0.extend(number.to_be_bytes());
+    }
+
+    /// One byte, 0 or 1.
+    pub fn flag(&mut self, flag: bool) {
+        self.0.push(flag.into());
+    }
+
+    /// Bytes as they are, without their length.
+    pub fn raw(&mut self, bytes: impl AsRef<[u8]>) {
+        self.0.extend_from_slice(bytes.as_ref());
+    }
+
+    /// Bytes behind their length in four bytes.
+    pub fn bytes(&mut self, bytes: &[u8]) {
+        self.u32(u32::try_from(bytes.len()).unwrap_or(u32::MAX));
+        self.raw(bytes);
+    }
+
+    /// A text behind its length in two bytes. A longer one is truncated; no text of ours is.
+    pub fn text(&mut self, text: &str) {
+        let bytes = &text.as_bytes()[..text.len().min(usize::from(u16::MAX))];
+        self.u16(u16::try_from(bytes.len()).unwrap_or(u16::MAX));
+        self.raw(bytes);
+    }
+
+    /// A text behind its length in four bytes.
+    pub fn long_text(&mut self, text: &str) {
+        self.bytes(text.as_bytes());
+    }
+
+    /// A number that may be absent: eight bytes, not-a-number where it is.
+    pub fn optional_f64(&mut self, number: Option<f64>) {
+        self.raw(number.unwrap_or(f64::NAN).to_be_bytes());
+    }
+}
--- a/crates/linenthread-frames/src/proof.rs
+++ b/crates/linenthread-frames/src/proof.rs
@@ -1,16 +1,30 @@
-//! Peers prove that they know a shared secret, each over what the other has just made up: a hello that was
-//! heard before proves nothing.
+//! Proofs that a peer knows a shared secret.
+//!
+//! Each side proves it over a nonce that the other has just made up, so that a recorded handshake proves nothing.
 
 use hmac::{Hmac, KeyInit, Mac};
 use sha2::Sha256;
+use snafu::{Snafu, ensure};
 
+/// Random bytes that a side makes up for its peer's proof.
 pub type Nonce = [u8; 16];
+
+/// An HMAC-SHA-256 over the domain, the nonce and the message.
 pub type Proof = [u8; 32];
 
-/// A shorter secret could be guessed.
-pub const SHORTEST: usize = 16;
+/// Names a protocol and the role in it, so that a proof of one role is none for another.
+pub type ProofDomain = [u8; 16];
+
+/// The shortest secret in bytes: a shorter one could be guessed.
+pub const MIN_SECRET_LENGTH: usize = 16;
+
+/// There is no secret, or one of them is too short.
+#[derive(Clone, Debug, PartialEq, Eq, Snafu)]
+#[snafu(display("a secret needs {MIN_SECRET_LENGTH} bytes or more"))]
+pub struct SecretError;
 
-/// The secrets between programs: the first is used, all are taken, so that two can be valid while one is changed.
+/// The secrets between programs. The first is used for proofs, all are accepted, so that two are valid while one is
+/// replaced.
 #[derive(Clone, PartialEq)]
 pub struct Secrets(Vec<Vec<u8>>);
 
@@ -20,47 +34,59 @@
     }
 }
 
-/// Which side of which protocol proves: the proof of one is none for another. 16 bytes.
-pub type Side = [u8; 16];
-
-fn mac(secret: &[u8], side: Side, parts: &[&[u8]]) -> Option<Hmac<Sha256>> {
-    let mut mac = <Hmac<Sha256> as KeyInit>::new_from_slice(secret).ok()?;
-    mac.update(&side);
-    for part in parts {
-        mac.update(&(part.len() as u64).to_be_bytes());
-        mac.update(part);
-    }
-    Some(mac)
-}
-
 impl Secrets {
-    /// # Errors
+    /// From one secret or more.
     ///
-    /// No secret, or one that is too short.
-    pub fn new(secrets: Vec<Vec<u8>>) -> Result<Secrets, String> {
-        match !secrets.is_empty() && secrets.iter().all(|s| s.len() >= SHORTEST) {
-            true => Ok(Secrets(secrets)),
-            false => Err(format!("a secret needs {SHORTEST} bytes or more")),
-        }
+    /// # Errors
+    /// There is none, or one is shorter than [`MIN_SECRET_LENGTH`].
+    pub fn new(secrets: Vec<Vec<u8>>) -> Result<Secrets, SecretError> {
+        let is_long = |secret: &Vec<u8>| secret.len() >= MIN_SECRET_LENGTH;
+        ensure!(
+            !secrets.is_empty() && secrets.iter().all(is_long),
+            SecretSnafu
+        );
+        Ok(Secrets(secrets))
     }
 
-    /// Proves to the other side, which made up `nonce`, that what is said comes from one that knows the secret:
-    /// the first, or the one by which the other side has proven itself.
-    pub fn prove(&self, with: usize, side: Side, nonce: &[u8], said: &[u8]) -> Proof {
-        let proof = self
+    /// Proves that a message comes from one that knows the secret. `secret` is its index: 0, or that of the secret by
+    /// which the peer has proven itself.
+    pub fn prove(&self, secret: usize, domain: ProofDomain, nonce: &[u8], message: &[u8]) -> Proof {
+        let mac = self
             .0
-            .get(with)
-            .and_then(|secret| mac(secret, side, &[nonce, said]));
-        proof
-            .map(|mac| mac.finalize().into_bytes().into())
+            .get(secret)
+            .and_then(|secret| mac(secret, domain, &[nonce, message]));
+        mac.map(|mac| mac.finalize().into_bytes().into())
             .unwrap_or_default()
     }
 
-    /// Which of the secrets proves what is said, if one does.
-    pub fn proven_by(&self, side: Side, nonce: &[u8], said: &[u8], proof: &Proof) -> Option<usize> {
+    /// The index of the secret that proves a message, if one does.
+    pub fn verify(
+        &self,
+        domain: ProofDomain,
+        nonce: &[u8],
+        message: &[u8],
+        proof: &Proof,
+    ) -> Option<usize> {
         let proves = |secret: &Vec<u8>| {
-            mac(secret, side, &[nonce, said]).is_some_and(|m| m.verify_slice(proof).is_ok())
+            mac(secret, domain, &[nonce, message])
+                .is_some_and(|mac| mac.verify_slice(proof).is_ok())
         };
         self.0.iter().position(proves)
     }
 }
+
+fn mac(secret: &[u8], domain: ProofDomain, parts: &[&[u8]]) -> Option<Hmac<Sha256>> {
+    let mut mac = <Hmac<Sha256> as KeyInit>::new_from_slice(secret).ok()?;
+    mac.update(&domain);
+    for part in parts {
+        mac.update(&(part.len() as u64).to_be_bytes());
+        mac.update(part);
+    }
+    Some(mac)
+}
+
+/// What the proof at the end of a frame covers: the frame without it.
+pub fn without_proof(mut frame: Vec<u8>) -> Vec<u8> {
+    frame.truncate(frame.len().saturating_sub(size_of::<Proof>()));
+    frame
+}
--- a/crates/linenthread-frames/tests/golden.rs
+++ b/crates/linenthread-frames/tests/golden.rs
@@ -3,7 +3,9 @@
 //! The files under `tests/golden/` were written by commit 464716d. They must never be regenerated to make a test
 //! pass: the peers of a program that is being upgraded speak these bytes.
 
-use linenthread_frames::{Put, Secrets, Side, Take, take_all, whole};
+use linenthread_frames::{
+    DecodeError, Decoder, Encoder, ProofDomain, Secrets, drain_frames, first_frame,
+};
 
 /// The lines of a golden file: a name, a space, and bytes in hexadecimal.
 fn golden(text: &str) -> Vec<(String, Vec<u8>)> {
@@ -19,26 +21,30 @@
 
 const KIND: u8 = 0xee;
 const MAX_LENGTH: usize = 1_000;
-const SIDE: Side = *b"linenthread test";
+const DOMAIN: ProofDomain = *b"linenthread test";
 
 /// A frame with each sort of field.
 fn frame() -> Vec<u8> {
-    let mut put = Put::frame();
-    put.u16(0x0102);
-    put.u32(0x0304_0506);
-    put.u64(0x0708_090a_0b0c_0d0e);
-    put.bytes(&[0xff, 0, 1]);
-    put.text("t\u{e9}xt");
-    put.value("v\u{e4}lue");
-    put.maybe(Some(2.5));
-    put.maybe(None);
-    put.finish(KIND)
+    let mut encoder = Encoder::frame();
+    encoder.u16(0x0102);
+    encoder.u32(0x0304_0506);
+    encoder.u64(0x0708_090a_0b0c_0d0e);
+    encoder.bytes(&[0xff, 0, 1]);
+    encoder.text("t\u{e9}xt");
+    encoder.long_text("v\u{e4}lue");
+    encoder.optional_f64(Some(2.5));
+    encoder.optional_f64(None);
+    encoder.into_frame(KIND)
 }
 
 /// Proofs by each of two secrets.
 fn proofs() -> Vec<(String, Vec<u8>)> {
     let secrets = secrets();
-    let proof = |secret, nonce: &[u8]| secrets.prove(secret, SIDE, nonce, b"what is said").to_vec();
+    let proof = |secret, nonce: &[u8]| {
+        secrets
+            .prove(secret, DOMAIN, nonce, b"what is said")
+            .to_vec()
+    };
     vec![
         ("first".to_owned(), proof(0, &[7; 16])),
         ("second".to_owned(), proof(1, &[7; 16])),
@@ -61,32 +67,32 @@
         panic!("one frame");
     };
     assert_eq!(frame(), *bytes);
-    let (fields, length) = whole(bytes, MAX_LENGTH)
+    let (fields, length) = first_frame(bytes, MAX_LENGTH)
         .expect("a frame")
         .expect("all of it");
     assert_eq!(length, bytes.len());
-    let mut take = Take(fields);
-    assert_eq!(take.u8(), Ok(KIND));
-    assert_eq!(take.u16(), Ok(0x0102));
-    assert_eq!(take.u32(), Ok(0x0304_0506));
-    assert_eq!(take.u64(), Ok(0x0708_090a_0b0c_0d0e));
-    assert_eq!(take.lot(), Ok(&[0xff, 0, 1][..]));
-    assert_eq!(take.text().as_deref(), Ok("t\u{e9}xt"));
-    assert_eq!(take.value().as_deref(), Ok("v\u{e4}lue"));
-    assert_eq!(take.maybe(), Ok(Some(2.5)));
-    assert_eq!(take.maybe(), Ok(None));
-    assert_eq!(take.end(), Ok(()));
+    let mut decoder = Decoder::new(fields);
+    assert_eq!(decoder.u8(), Ok(KIND));
+    assert_eq!(decoder.u16(), Ok(0x0102));
+    assert_eq!(decoder.u32(), Ok(0x0304_0506));
+    assert_eq!(decoder.u64(), Ok(0x0708_090a_0b0c_0d0e));
+    assert_eq!(decoder.bytes(), Ok(&[0xff, 0, 1][..]));
+    assert_eq!(decoder.text().as_deref(), Ok("t\u{e9}xt"));
+    assert_eq!(decoder.long_text().as_deref(), Ok("v\u{e4}lue"));
+    assert_eq!(decoder.optional_f64(), Ok(Some(2.5)));
+    assert_eq!(decoder.optional_f64(), Ok(None));
+    assert_eq!(decoder.finish(), Ok(()));
 }
 
 #[test]
-fn frames_of_version_464716d_are_taken_off_a_stream() {
+fn frames_of_version_464716d_are_drained_from_a_stream() {
     let golden = golden(include_str!("golden/fields.hex"));
     let frame = &golden[0].1;
     let mut read = [&frame[..], &frame[..], &frame[..frame.len() - 1]].concat();
     let mut taken = Vec::new();
-    let all = take_all(&mut read, MAX_LENGTH, |fields| {
+    let all = drain_frames(&mut read, MAX_LENGTH, |fields| {
         taken.push(fields.to_vec());
-        Ok(())
+        Ok::<(), DecodeError>(())
     });
     assert_eq!(all, Ok(()));
     assert_eq!(taken, [&frame[4..], &frame[4..]]);
@@ -100,7 +106,7 @@
     let expected = [(0, &[7; 16][..]), (1, &[7; 16][..]), (0, &[][..])];
     for ((name, bytes), (secret, nonce)) in golden.into_iter().zip(expected) {
         let proof = bytes.try_into().expect("a proof's length");
-        let proven = secrets().proven_by(SIDE, nonce, b"what is said", &proof);
+        let proven = secrets().verify(DOMAIN, nonce, b"what is said", &proof);
         assert_eq!(proven, Some(secret), "{name}");
     }
 }
