--- a/crates/linenthread-checker/src/lease.rs
+++ b/crates/linenthread-checker/src/lease.rs
@@ -221,7 +221,7 @@
 
     fn holding(&self) -> impl Iterator<Item = (usize, u64)> {
         let held = self.leases.iter().enumerate();
-        held.filter_map(|(node, lease)| lease.holds(self.now).map(|epoch| (node, epoch)))
+        held.filter_map(|(node, lease)| lease.held_epoch(self.now).map(|epoch| (node, epoch)))
     }
 
     fn note_holders(&mut self) {
--- a/crates/linenthread-checker/src/step.rs
+++ b/crates/linenthread-checker/src/step.rs
@@ -156,7 +156,7 @@
         let lost = self.world.lost_disk.unwrap_or(3);
         let swap = |id| if id == lost { NEW_DISK } else { id };
         Change::Voters {
-            on,
+            base_number: on,
             voters: register
                 .voters()
                 .iter()
@@ -230,7 +230,10 @@
                 Effect::Send { to, message: word } => {
                     self.post(from, InFlight::new(from, to, word));
                 }
-                Effect::Persist { record, then } => self.keep(place, record, then),
+                Effect::Persist {
+                    record,
+                    after_sync: then,
+                } => self.keep(place, record, then),
                 Effect::Decided(value) => self.decided(from, &value),
                 Effect::Reply { job, outcome } => self.reply(job, &outcome),
             }
--- a/crates/linenthread-consensus/src/durability.rs
+++ b/crates/linenthread-consensus/src/durability.rs
@@ -111,7 +111,10 @@
 
     fn keep(&self, record: Record, synced: Synced, effects: &mut Vec<Effect>) {
         let then = vec![(self.id, PeerMessage::Synced(synced))];
-        effects.push(Effect::Persist { record, then });
+        effects.push(Effect::Persist {
+            record,
+            after_sync: then,
+        });
     }
 
     /// A record is on disk.
--- a/crates/linenthread-consensus/src/effects.rs
+++ b/crates/linenthread-consensus/src/effects.rs
@@ -26,7 +26,7 @@
     /// To be synced before the messages behind it go out.
     Persist {
         record: Record,
-        then: Vec<(u64, PeerMessage)>,
+        after_sync: Vec<(u64, PeerMessage)>,
     },
     /// The newest value now.
     Decided(Value),
--- a/crates/linenthread-consensus/src/lease.rs
+++ b/crates/linenthread-consensus/src/lease.rs
@@ -79,7 +79,7 @@
     }
 
     /// The epoch under which this node holds the lease now.
-    pub fn holds(&self, now: Instant) -> Option<u64> {
+    pub fn held_epoch(&self, now: Instant) -> Option<u64> {
         self.held
             .filter(|held| now < held.until)
             .map(|held| held.epoch)
@@ -87,7 +87,7 @@
 
     /// Whether it holds it by the votes of those whom the value of this number names. Only then may it change
     /// who they are, *one-holder-an-epoch*.
-    pub fn holds_on(&self, now: Instant, number: u64) -> bool {
+    pub fn is_held_at(&self, now: Instant, number: u64) -> bool {
         self.held
             .is_some_and(|held| now < held.until && held.on == number)
     }
@@ -95,7 +95,7 @@
     /// Asks for the lease, or for more time, of those whom the value of this number names; `first` says that
     /// nobody before it in the order is in touch.
     pub fn tick(&mut self, now: Instant, first: bool, number: u64) -> Option<LeaseRequest> {
-        let holds = self.holds(now).is_some();
+        let holds = self.held_epoch(now).is_some();
         if let Some(held) = self.held.filter(|_| !holds) {
             (self.held, self.request, self.past_epoch) = (None, None, held.epoch);
         }
@@ -140,7 +140,7 @@
 
     /// This value follows the one before: a lease that was given by the same voters holds on it as well, so that
     /// orders which come without a pause do not keep the holder from changing who votes.
-    pub fn follow(&mut self, value: &Value) {
+    pub fn on_decided(&mut self, value: &Value) {
         let (number, voters) = &self.newest;
         let same = number + 1 == value.number && *voters == value.voters;
         if let Some(held) = self.held.as_mut().filter(|held| same && held.on == *number) {
@@ -151,7 +151,7 @@
 
     /// Whether the voters changed between the newest value here and this one, in values that this node passes over: it
     /// may have been taken off and counted again without knowing, and others may have come to hold the lease.
-    pub fn misses_change_of_voters(&self, value: &Value) -> bool {
+    pub fn skips_voter_change(&self, value: &Value) -> bool {
         let (number, _) = &self.newest;
         value.number > number + 1 && value.voters_since > *number
     }
@@ -159,7 +159,7 @@
     /// A value is decided: nothing below its epoch is supported. A disk that counts only from now on has not been
     /// asked so far, and supports nobody while others' earlier support may last: not even whom it supported when it
     /// last counted, since another may have come to hold the lease without it.
-    pub fn decided(&mut self, now: Instant, epoch: u64, counts_anew: bool) {
+    pub fn observe_epoch(&mut self, now: Instant, epoch: u64, counts_anew: bool) {
         self.epoch = self.epoch.max(epoch);
         if counts_anew {
             self.quiet_until = self.quiet_until.max(now + LEASE);
--- a/crates/linenthread-consensus/src/order.rs
+++ b/crates/linenthread-consensus/src/order.rs
@@ -12,7 +12,7 @@
     },
     /// Other disks to count, on top of the value of this number.
     Voters {
-        on: u64,
+        base_number: u64,
         voters: Vec<Voter>,
         epoch: u64,
     },
@@ -67,7 +67,11 @@
                     document: document.into(),
                 }
             }
-            Change::Voters { on, voters, epoch } => Wanted::Voters { on, voters, epoch },
+            Change::Voters {
+                base_number: on,
+                voters,
+                epoch,
+            } => Wanted::Voters { on, voters, epoch },
             Change::Completion => Wanted::Completion,
         }
     }
--- a/crates/linenthread-consensus/src/register.rs
+++ b/crates/linenthread-consensus/src/register.rs
@@ -79,7 +79,7 @@
     }
 
     /// Sees to it that what is in doubt is decided.
-    pub fn complete(&mut self) {
+    pub fn complete_undecided(&mut self) {
         if self.acceptor.has_undecided() {
             self.proposer.complete();
         }
@@ -112,7 +112,7 @@
 
     /// The newest decided value that this node knows and all of the ledger are synced on its disk: only then may
     /// it begin to count.
-    pub fn holds_all_durably(&self) -> bool {
+    pub fn is_fully_durable(&self) -> bool {
         self.order_log_durable() && self.durability.holds(self.decided.number())
     }
 
@@ -428,7 +428,7 @@
     effects.push(match result {
         Ok((record, message)) => Effect::Persist {
             record,
-            then: vec![(to, message)],
+            after_sync: vec![(to, message)],
         },
         Err(rejected) => Effect::Send {
             to,
--- a/crates/linenthread-consensus/tests/common/mod.rs
+++ b/crates/linenthread-consensus/tests/common/mod.rs
@@ -212,7 +212,14 @@
             .filter(|voter| voter.id == old)
             .for_each(|voter| voter.id = new);
         assert!(matches!(
-            self.order(other, Change::Voters { on, voters, epoch }),
+            self.order(
+                other,
+                Change::Voters {
+                    base_number: on,
+                    voters,
+                    epoch
+                }
+            ),
             Outcome::Committed(_)
         ));
     }
@@ -249,7 +256,10 @@
                     to,
                     message: word,
                 }),
-                Effect::Persist { record, then } => self.node(at).unsynced.push((record, then)),
+                Effect::Persist {
+                    record,
+                    after_sync: then,
+                } => self.node(at).unsynced.push((record, then)),
                 Effect::Reply { job, outcome } => _ = self.outcomes.insert(job, outcome),
                 // The control part tells all others at once.
                 Effect::Decided(value) => {
--- a/crates/linenthread-consensus/tests/contention.rs
+++ b/crates/linenthread-consensus/tests/contention.rs
@@ -29,7 +29,7 @@
 fn wants_other_voters(register: &mut Register, now: u64) -> Vec<Effect> {
     let on = register.decided().map_or(0, |value| value.number);
     let change = Change::Voters {
-        on,
+        base_number: on,
         voters: value(0).voters[..2].to_vec(),
         epoch: 1,
     };
--- a/crates/linenthread-consensus/tests/lease_release.rs
+++ b/crates/linenthread-consensus/tests/lease_release.rs
@@ -82,7 +82,7 @@
 #[test]
 fn a_voter_that_counts_anew_does_not_go_on_with_whom_it_supported_before() {
     let mut voter = voter();
-    voter.decided(at(9_000), 0, true);
+    voter.observe_epoch(at(9_000), 0, true);
     assert!(
         !voter
             .on_lease_request(at(10_900), HOLDER, &request(LIFE, 4, 2), Some(0))
@@ -103,7 +103,7 @@
 )]
 fn a_change_of_the_voters_may_be_passed_over(number: u64, voters_since: u64, misses: bool) {
     let mut voter = voter();
-    voter.follow(&Value {
+    voter.on_decided(&Value {
         number: 7,
         ..Value::default()
     });
@@ -112,13 +112,13 @@
         voters_since,
         ..Value::default()
     };
-    assert_eq!(voter.misses_change_of_voters(&value), misses);
+    assert_eq!(voter.skips_voter_change(&value), misses);
 }
 
 #[test]
 fn a_release_does_not_shorten_the_quiet_time_of_a_voter_that_counts_anew() {
     let mut voter = voter();
-    voter.decided(at(5_050), 0, true);
+    voter.observe_epoch(at(5_050), 0, true);
     assert!(voter.on_release(
         HOLDER,
         &LeaseRelease {
@@ -149,7 +149,9 @@
         granted: true,
     };
     lease.on_lease_vote(at(1), HOLDER, &yes, 0, is_most);
-    assert!(lease.on_lease_vote(at(2), OTHER, &yes, 0, is_most) && lease.holds(at(3)).is_some());
+    assert!(
+        lease.on_lease_vote(at(2), OTHER, &yes, 0, is_most) && lease.held_epoch(at(3)).is_some()
+    );
     let release = lease.release().expect("held");
     assert_eq!(
         release,
@@ -159,7 +161,7 @@
         }
     );
     // Votes that were under way give nothing back.
-    assert!(!lease.on_lease_vote(at(4), 3, &yes, 0, is_most) && lease.holds(at(4)).is_none());
+    assert!(!lease.on_lease_vote(at(4), 3, &yes, 0, is_most) && lease.held_epoch(at(4)).is_none());
     assert!(lease.release().is_none());
     let next = lease.tick(at(6), true, 0).expect("asks anew");
     assert!(next.epoch > release.epoch);
@@ -178,7 +180,9 @@
         request_id: open.request_id,
         granted: true,
     };
-    assert!(!lease.on_lease_vote(at(2), OTHER, &yes, 0, |_| true) && lease.holds(at(2)).is_none());
+    assert!(
+        !lease.on_lease_vote(at(2), OTHER, &yes, 0, |_| true) && lease.held_epoch(at(2)).is_none()
+    );
 }
 
 #[test]
@@ -192,6 +196,6 @@
     };
     // The control part would take this for a lease that begins.
     assert!(!lease.on_lease_vote(at(20_000), OTHER, &yes, 0, |_| true));
-    assert_eq!(lease.holds(at(20_000)), None);
-    assert!(!lease.holds_on(at(20_000), 0));
+    assert_eq!(lease.held_epoch(at(20_000)), None);
+    assert!(!lease.is_held_at(at(20_000), 0));
 }
--- a/crates/linenthread-consensus/tests/orders.rs
+++ b/crates/linenthread-consensus/tests/orders.rs
@@ -182,10 +182,10 @@
         cluster.register(3).order_log_complete(),
         "it has all in memory"
     );
-    assert!(!cluster.register(3).holds_all_durably() && cluster.register(3).durable_number() == 0);
+    assert!(!cluster.register(3).is_fully_durable() && cluster.register(3).durable_number() == 0);
     assert!(!cluster.register(3).order_log_durable());
     cluster.sync_disk(3);
-    assert!(cluster.register(3).holds_all_durably() && cluster.register(3).order_log_durable());
+    assert!(cluster.register(3).is_fully_durable() && cluster.register(3).order_log_durable());
     assert_eq!(cluster.register(3).durable_number(), LONG_DAY + 1);
 }
 
@@ -197,9 +197,9 @@
     cluster.replace_disk(3);
     cluster.drop_unsynced(3);
     cluster.sync_disk(3);
-    assert!(!cluster.register(3).holds_all_durably());
+    assert!(!cluster.register(3).is_fully_durable());
     cluster.pass_time(Duration::from_secs(6));
-    assert!(cluster.register(3).holds_all_durably());
+    assert!(cluster.register(3).is_fully_durable());
     cluster.restart(3);
     assert!(
         cluster.register(3).order_log_complete()
--- a/crates/linenthread-consensus/tests/register.rs
+++ b/crates/linenthread-consensus/tests/register.rs
@@ -61,7 +61,10 @@
             };
             match out {
                 Effect::Send { to, message: word } => send(to, word, &mut waiting),
-                Effect::Persist { record, then } => {
+                Effect::Persist {
+                    record,
+                    after_sync: then,
+                } => {
                     self.disks[from as usize - 1].push(record);
                     then.into_iter()
                         .for_each(|(to, word)| send(to, word, &mut waiting));
@@ -190,7 +193,9 @@
                     asked += usize::from(matches!(word, PeerMessage::ReadRequest(_)));
                     one.on_message(at(0), 1, word, &mut outs);
                 }
-                Effect::Persist { then, .. } => {
+                Effect::Persist {
+                    after_sync: then, ..
+                } => {
                     for (_, word) in then {
                         match word {
                             PeerMessage::AcceptAck(_) => unsynced.push(word),
@@ -230,7 +235,7 @@
         &mut outs,
     );
     assert!(
-        matches!(&outs[..], [Effect::Persist { then, .. }] if matches!(then[0].1, PeerMessage::Promise(_)))
+        matches!(&outs[..], [Effect::Persist { after_sync: then, .. }] if matches!(then[0].1, PeerMessage::Promise(_)))
     );
     outs.clear();
     let value = Value {
@@ -392,8 +397,8 @@
     let most = |ids: Vec<u64>| ids.len() >= 2;
     assert!(!lease.on_lease_vote(at(1), 1, &yes, 0, most));
     assert!(lease.on_lease_vote(at(2), 2, &yes, 0, most));
-    assert_eq!(lease.holds(at(1_000)), Some(1));
-    assert_eq!(lease.holds(at(3_000)), None);
+    assert_eq!(lease.held_epoch(at(1_000)), Some(1));
+    assert_eq!(lease.held_epoch(at(3_000)), None);
     assert!(!lease.on_lease_vote(at(3_000), 3, &yes, 0, most));
     let next = lease.tick(at(3_000), true, 0).expect("asks anew");
     assert!(next.epoch > ask.epoch);
@@ -410,16 +415,16 @@
     };
     let on_7 = lease.tick(at(0), true, 7).expect("asks");
     lease.on_lease_vote(at(1), 1, &say(&on_7), 7, most);
-    assert!(lease.on_lease_vote(at(2), 2, &say(&on_7), 7, most) && lease.holds_on(at(3), 7));
+    assert!(lease.on_lease_vote(at(2), 2, &say(&on_7), 7, most) && lease.is_held_at(at(3), 7));
     // The next value may name others: they are asked at once, and words about the last one count for nothing.
-    assert!(lease.holds(at(3)).is_some() && !lease.holds_on(at(3), 8));
+    assert!(lease.held_epoch(at(3)).is_some() && !lease.is_held_at(at(3), 8));
     let on_8 = lease.tick(at(4), true, 8).expect("asks anew");
     lease.on_lease_vote(at(5), 1, &say(&on_7), 8, most);
     assert!(!lease.on_lease_vote(at(5), 2, &say(&on_7), 8, most));
     lease.on_lease_vote(at(6), 1, &say(&on_8), 8, most);
-    assert!(lease.on_lease_vote(at(6), 2, &say(&on_8), 8, most) && lease.holds_on(at(7), 8));
+    assert!(lease.on_lease_vote(at(6), 2, &say(&on_8), 8, most) && lease.is_held_at(at(7), 8));
     assert_eq!(
-        (on_8.epoch, lease.holds(at(7))),
+        (on_8.epoch, lease.held_epoch(at(7))),
         (on_7.epoch, Some(on_7.epoch))
     );
 }
@@ -448,7 +453,7 @@
     );
     assert!(!lease.on_lease_vote(at(3), 3, &yes, 0, most));
     let next = lease.tick(at(500), true, 0).expect("asks above it");
-    assert_eq!((next.epoch, lease.holds(at(500))), (7, None));
+    assert_eq!((next.epoch, lease.held_epoch(at(500))), (7, None));
 }
 
 #[parameterized(
@@ -460,7 +465,7 @@
 )]
 fn support_waits_for_what_is_decided(number: Option<u64>, anew: bool, above: u64, yes: bool) {
     let mut lease = LeaderLease::new(3, 9, at(0), false, 0);
-    lease.decided(at(5_000), 4, anew);
+    lease.observe_epoch(at(5_000), 4, anew);
     let ask = LeaseRequest {
         epoch: 4 + above,
         request_id: 1,
@@ -492,6 +497,6 @@
     lease.on_lease_vote(at(1), 1, &yes, 0, most);
     // It was frozen meanwhile.
     lease.on_lease_vote(at(5_000), 2, &yes, 0, most);
-    assert_eq!(lease.holds(at(5_000)), None);
-    assert!(!lease.holds_on(at(5_000), 0));
+    assert_eq!(lease.held_epoch(at(5_000)), None);
+    assert!(!lease.is_held_at(at(5_000), 0));
 }
