--- a/crates/linenthread-consensus/src/acceptor.rs
+++ b/crates/linenthread-consensus/src/acceptor.rs
@@ -1,12 +1,18 @@
+//! The Paxos acceptor for one number.
+
 use linenthread_messages::{
     Accept, AcceptAck, Accepted, Ballot, Prepare, Promise, Record, Rejected,
 };
 
-/// Promises and acceptances of this node's disk, for one number.
+/// What this node has promised and accepted for one number.
+///
+/// Both methods return the record that must be synced before the reply leaves: what another node relies on survives a
+/// restart (*one-value-a-number*).
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Acceptor {
-    /// What all below is for. It may be above the next number, if the disk holds less of what is decided than of
-    /// what was accepted: every number below is decided then, and none of them is accepted anew.
+    /// The number that the other fields belong to. After a restart it may be above the number after the newest decided
+    /// value, if the disk dropped the record of a decided value. Every number below is decided then, and this node
+    /// accepts nothing for it any more.
     number: u64,
     promised: Option<Ballot>,
     accepted: Option<Accepted>,
@@ -25,32 +31,34 @@
         }
     }
 
-    /// The least number that it may take part in.
+    /// The lowest number that it may vote on.
     pub(crate) fn number(&self) -> u64 {
         self.number
     }
 
-    /// It accepted something that, as far as it knows, is not decided.
+    /// Whether it has accepted a value that is not known to be decided.
     pub(crate) fn has_undecided(&self) -> bool {
         self.accepted.is_some()
     }
 
-    /// All below this number is decided: nothing that was promised for it binds any more.
+    /// Everything below this number is decided: promises for it bind no more.
     pub(crate) fn advance_to(&mut self, number: u64) {
         if number > self.number {
             *self = Acceptor::new(number, None, None);
         }
     }
 
-    /// Promises to accept nothing under an earlier ballot; the record is synced before the promise is said.
+    /// Phase 1: promises to accept nothing under a lower ballot.
+    ///
+    /// # Errors
+    /// A higher ballot is promised already.
     pub(crate) fn on_prepare(&mut self, request: &Prepare) -> Result<(Record, Promise), Rejected> {
-        self.refuse_older(request.ballot)?;
+        self.check_ballot(request.ballot)?;
         self.promised = Some(request.ballot);
-        let accepted = self.accepted.clone();
         let promise = Promise {
             number: self.number,
             ballot: request.ballot,
-            accepted,
+            accepted: self.accepted.clone(),
         };
         let record = Record {
             number: self.number,
@@ -60,30 +68,31 @@
         Ok((record, promise))
     }
 
-    /// Accepts a value; the record is synced before the acknowledgement is said.
+    /// Phase 2: accepts a value.
+    ///
+    /// # Errors
+    /// A higher ballot is promised.
     pub(crate) fn on_accept(&mut self, request: Accept) -> Result<(Record, AcceptAck), Rejected> {
-        self.refuse_older(request.ballot)?;
+        self.check_ballot(request.ballot)?;
         self.promised = Some(request.ballot);
         self.accepted = Some(Accepted {
             ballot: request.ballot,
             value: request.value,
         });
+        let ack = AcceptAck {
+            number: self.number,
+            ballot: request.ballot,
+        };
         let record = Record {
             number: self.number,
             promised: self.promised,
             accepted: self.accepted.clone(),
             ..Record::default()
         };
-        Ok((
-            record,
-            AcceptAck {
-                number: self.number,
-                ballot: request.ballot,
-            },
-        ))
+        Ok((record, ack))
     }
 
-    fn refuse_older(&self, ballot: Ballot) -> Result<(), Rejected> {
+    fn check_ballot(&self, ballot: Ballot) -> Result<(), Rejected> {
         match self.promised.filter(|promised| *promised > ballot) {
             Some(promised) => Err(Rejected {
                 number: self.number,
--- /dev/null
+++ b/crates/linenthread-consensus/src/change.rs
@@ -0,0 +1,43 @@
+//! The changes that a caller may propose.
+
+use linenthread_messages::{DocumentDigest, Voter};
+use sha2::{Digest, Sha256};
+
+/// A proposed change of the replicated value.
+#[derive(Clone, Debug, PartialEq, Eq, Hash)]
+pub enum Change {
+    /// An order: a new configuration document.
+    Document {
+        /// The revision that it builds on; it can only be decided while that is the newest one.
+        base: u64,
+        /// Its own revision, greater than `base`.
+        revision: u64,
+        /// The document.
+        document: Vec<u8>,
+    },
+    /// A new set of voters.
+    Voters {
+        /// Number of the value that it builds on; it can only be decided as the next one.
+        base_number: u64,
+        /// The voters that decide the values after it.
+        voters: Vec<Voter>,
+        /// The epoch of the leader lease under which it is proposed.
+        epoch: u64,
+    },
+    /// No change of its own: whatever some acceptor has accepted for the next number is to be decided.
+    Completion,
+}
+
+/// The digest that identifies a document: the first 128 bits of its SHA-256.
+pub fn document_digest(document: &[u8]) -> DocumentDigest {
+    let hash = Sha256::digest(document);
+    let big_endian = |bytes: &[u8]| {
+        bytes
+            .iter()
+            .fold(0, |sum: u64, byte| sum << 8 | u64::from(*byte))
+    };
+    DocumentDigest {
+        high: big_endian(&hash[..8]),
+        low: big_endian(&hash[8..16]),
+    }
+}
--- a/crates/linenthread-consensus/src/decided_state.rs
+++ b/crates/linenthread-consensus/src/decided_state.rs
@@ -1,36 +1,39 @@
+//! What this node knows to be decided, and how an order is judged by it.
+
 use std::collections::BTreeSet;
 
 use linenthread_messages::{OrderIdentity, Value, Voter};
+use prost::bytes::Bytes;
 
 use crate::order_log::{OrderLog, OrderLogVerdict};
 
-/// So many of the last orders are in each value; a node that misses no more values than these hold finds the others
-/// in its own ledger.
-pub const RECENT_ORDERS: usize = 16;
+/// Number of the newest orders that each value carries. A node that skips no more values than this finds their orders
+/// in the value itself; it fetches others from the order logs of its peers.
+const RECENT_ORDERS: usize = 16;
 
-/// What a decided state says about an order.
+/// What the decided state tells of an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Verdict {
+pub(crate) enum Verdict {
     /// It builds on the newest revision: it may be proposed.
     Proposable,
-    /// It was taken.
+    /// It was accepted.
     Committed,
-    /// It was not taken and never will be.
+    /// It was not accepted and never will be.
     Conflict,
-    /// This node cannot tell: the part of the ledger that would tell is missing or forgotten, or the order builds
-    /// on a revision that is not decided yet.
+    /// This node cannot tell: the order log lacks the part that would tell, or the order builds on a revision that
+    /// may be decided yet.
     Unknown,
 }
 
-/// The newest decided value and the ledger of the orders that were taken up to it.
+/// The newest decided value, and the log of the orders that were accepted up to it.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
-pub struct DecidedState {
+pub(crate) struct DecidedState {
     value: Option<Value>,
     order_log: OrderLog,
 }
 
 impl DecidedState {
-    /// From what a disk holds.
+    /// The state that a disk holds.
     pub(crate) fn new(value: Option<Value>, order_log: OrderLog) -> DecidedState {
         let mut state = DecidedState {
             value: None,
@@ -43,16 +46,16 @@
     }
 
     /// The newest value that this node knows to be decided.
-    pub fn value(&self) -> Option<&Value> {
+    pub(crate) fn value(&self) -> Option<&Value> {
         self.value.as_ref()
     }
 
-    /// The orders that were taken, as far as this node knows them.
-    pub fn order_log(&self) -> &OrderLog {
+    /// The accepted orders that this node knows of.
+    pub(crate) fn order_log(&self) -> &OrderLog {
         &self.order_log
     }
 
-    pub(crate) fn ledger_mut(&mut self) -> &mut OrderLog {
+    pub(crate) fn order_log_mut(&mut self) -> &mut OrderLog {
         &mut self.order_log
     }
 
@@ -61,40 +64,43 @@
         self.value.as_ref().map_or(0, |value| value.number)
     }
 
-    /// The number to be decided next.
-    pub(crate) fn next(&self) -> u64 {
+    /// The number to be decided next; 0 if no value is known.
+    pub(crate) fn next_number(&self) -> u64 {
         self.value.as_ref().map_or(0, |value| value.number + 1)
     }
 
-    /// Those whose disks decide the next value.
+    /// The newest revision of the configuration; 0 if none is known.
+    pub(crate) fn revision(&self) -> u64 {
+        self.value.as_ref().map_or(0, |value| value.revision)
+    }
+
+    /// The nodes that decide the next value.
     pub(crate) fn voters(&self) -> &[Voter] {
         self.value.as_ref().map_or(&[], |value| &value.voters)
     }
 
-    /// Whether a disk counts.
-    pub(crate) fn counts(&self, id: u64) -> bool {
+    /// Whether a node votes on the next value.
+    pub(crate) fn is_voter(&self, id: u64) -> bool {
         self.voters().iter().any(|voter| voter.id == id)
     }
 
-    /// Whether these are more than half of the counted disks.
+    /// Whether these nodes include more than half of the voters (*decided-by-those-who-count*).
     pub(crate) fn is_majority(&self, ids: impl IntoIterator<Item = u64>) -> bool {
-        let known: BTreeSet<u64> = ids.into_iter().filter(|id| self.counts(*id)).collect();
-        known.len() * 2 > self.voters().len()
+        let votes: BTreeSet<u64> = ids.into_iter().filter(|id| self.is_voter(*id)).collect();
+        votes.len() * 2 > self.voters().len()
     }
 
-    /// Takes a value that is newer; its last orders join the ledger.
+    /// Replaces the value by a newer one, whose recent orders join the log.
     pub(crate) fn adopt(&mut self, value: Value) {
-        value
-            .recent_orders
-            .iter()
-            .for_each(|order| self.order_log.insert(order));
+        self.order_log.extend(&value.recent_orders);
         self.order_log.link(value.revision);
         self.value = Some(value);
     }
 
-    /// Judges an order by what is decided. Only where nothing can be half done at the next number is it an answer.
-    pub fn judge(&self, order: &OrderIdentity) -> Verdict {
-        let newest = self.value.as_ref().map_or(0, |value| value.revision);
+    /// Judges an order by what is decided. The verdict is final only where no voter of a majority has accepted
+    /// anything for the next number.
+    pub(crate) fn judge(&self, order: &OrderIdentity) -> Verdict {
+        let newest = self.revision();
         if order.revision <= newest {
             return match self.order_log.judge(order) {
                 OrderLogVerdict::Committed => Verdict::Committed,
@@ -105,7 +111,7 @@
         if order.base == newest {
             Verdict::Proposable
         } else if newest < order.base && order.base < order.revision {
-            // Its base may be decided yet, and then the order be taken.
+            // Its base may be decided yet, and then the order accepted.
             Verdict::Unknown
         } else {
             Verdict::Conflict
@@ -113,14 +119,10 @@
     }
 
     /// The value that an order makes of the newest one.
-    pub(crate) fn with_order(
-        &self,
-        order: &OrderIdentity,
-        document: &prost::bytes::Bytes,
-    ) -> Option<Value> {
+    pub(crate) fn with_order(&self, order: &OrderIdentity, document: &Bytes) -> Option<Value> {
         let value = self.value.as_ref()?;
-        let earlier = value.recent_orders.len().saturating_sub(RECENT_ORDERS - 1);
-        let recent = value.recent_orders[earlier..]
+        let dropped = value.recent_orders.len().saturating_sub(RECENT_ORDERS - 1);
+        let recent_orders = value.recent_orders[dropped..]
             .iter()
             .chain([order])
             .copied()
@@ -130,12 +132,12 @@
             revision: order.revision,
             document: document.clone(),
             order_count: value.order_count + 1,
-            recent_orders: recent,
+            recent_orders,
             ..value.clone()
         })
     }
 
-    /// The value that other voters make of the newest one.
+    /// The value that a change of the voters makes of the newest one.
     pub(crate) fn with_voters(&self, voters: &[Voter], epoch: u64) -> Option<Value> {
         let value = self.value.as_ref()?;
         let number = value.number + 1;
--- a/crates/linenthread-consensus/src/durability.rs
+++ b/crates/linenthread-consensus/src/durability.rs
@@ -1,46 +1,48 @@
+//! Which decided values and which records of the order log are synced to this node's disk.
+
 use std::time::Duration;
 
 use linenthread_messages::{OrderIdentity, PeerMessage, Record, Synced, Value};
 use linenthread_time::Instant;
 
 use crate::effects::Effect;
+use crate::timing::{MAX_REWRITE_INTERVAL, REWRITE_INTERVAL};
 
-/// What was handed over and is not synced after so long is handed over again, then after twice as long: the disk
-/// drops records when too many wait, or when it is full. It holds all again so long after there is room at most.
-const REWRITE: Duration = Duration::from_millis(1_500);
-const REWRITE_MOST: Duration = Duration::from_millis(3_000);
-
-/// Which of the decided values and of the ledger's records are on this node's disk.
+/// Writes decided values and orders, and tracks which of them are synced.
+///
+/// Records of the order log are counted from 1 within this incarnation. A record may be dropped by the disk, so one
+/// is known to be durable only if all before it are, or if it repeats everything before it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Durability {
     id: u64,
     /// Number of the newest decided value that is synced.
     number: u64,
-    /// Records of the ledger in this incarnation: handed over, and synced without one missing in between.
-    ledger_handed_over: u64,
-    ledger_synced: u64,
-    /// The last record that told of new orders: those behind it say the same once more, and each of them is whole.
-    ledger_needed: u64,
-    /// The last record that holds the whole ledger: all before it may be missing.
-    order_log_complete: u64,
-    /// When a value, and when a record of the ledger, was last handed over.
-    value_at: Instant,
-    ledger_at: Instant,
-    wait: Duration,
+    /// The last record of the order log that was written.
+    order_log_written: u64,
+    /// The last record of the order log up to which nothing is missing on the disk.
+    order_log_synced: u64,
+    /// The last record that held new orders: each one after it repeats the whole log.
+    order_log_required: u64,
+    /// The last record that repeats the whole log.
+    order_log_snapshot: u64,
+    value_written_at: Instant,
+    order_log_written_at: Instant,
+    rewrite_interval: Duration,
 }
 
 impl Durability {
+    /// For a disk that holds the decided value of this number.
     pub(crate) fn new(id: u64, number: u64) -> Durability {
         Durability {
             id,
             number,
-            ledger_handed_over: 0,
-            ledger_synced: 0,
-            ledger_needed: 0,
-            order_log_complete: 0,
-            value_at: Instant::START,
-            ledger_at: Instant::START,
-            wait: REWRITE,
+            order_log_written: 0,
+            order_log_synced: 0,
+            order_log_required: 0,
+            order_log_snapshot: 0,
+            value_written_at: Instant::START,
+            order_log_written_at: Instant::START,
+            rewrite_interval: REWRITE_INTERVAL,
         }
     }
 
@@ -49,109 +51,102 @@
         self.number
     }
 
-    /// Whether all records of the ledger are synced.
-    pub(crate) fn holds_order_log(&self) -> bool {
-        self.ledger_synced >= self.ledger_needed
+    /// Whether all records of the order log are synced.
+    pub(crate) fn is_order_log_synced(&self) -> bool {
+        self.order_log_synced >= self.order_log_required
     }
 
-    /// Whether the value of this number and all records of the ledger are synced.
-    pub(crate) fn holds(&self, number: u64) -> bool {
-        self.number >= number && self.holds_order_log()
+    /// Whether the value of this number and all records of the order log are synced.
+    pub(crate) fn is_synced(&self, number: u64) -> bool {
+        self.number >= number && self.is_order_log_synced()
     }
 
-    /// Hands a decided value over to the disk.
+    /// Writes a decided value.
     pub(crate) fn persist_value(&mut self, now: Instant, value: &Value, effects: &mut Vec<Effect>) {
-        self.value_at = now;
+        self.value_written_at = now;
         let record = Record {
             decided: Some(value.clone()),
             ..Record::default()
         };
-        self.keep(
-            record,
-            Synced {
-                number: value.number,
-                order_log_record: 0,
-            },
-            effects,
-        );
+        let synced = Synced {
+            number: value.number,
+            order_log_record: 0,
+        };
+        self.persist(record, synced, effects);
     }
 
-    /// Hands orders that were fetched over to the disk.
+    /// Writes orders that were fetched from another node.
     pub(crate) fn persist_orders(
         &mut self,
         now: Instant,
         orders: Vec<OrderIdentity>,
         effects: &mut Vec<Effect>,
     ) {
-        self.ledger_needed = self.ledger_handed_over + 1;
-        self.persist_order_log(now, orders, effects);
+        self.order_log_required = self.order_log_written + 1;
+        self.persist_order_log_record(now, orders, effects);
+    }
+
+    /// Writes the whole order log in one record.
+    pub(crate) fn persist_complete_order_log(
+        &mut self,
+        now: Instant,
+        orders: Vec<OrderIdentity>,
+        effects: &mut Vec<Effect>,
+    ) {
+        self.order_log_snapshot = self.order_log_written + 1;
+        self.persist_order_log_record(now, orders, effects);
     }
 
-    fn persist_order_log(
+    fn persist_order_log_record(
         &mut self,
         now: Instant,
         orders: Vec<OrderIdentity>,
         effects: &mut Vec<Effect>,
     ) {
-        self.ledger_at = now;
-        self.ledger_handed_over += 1;
+        self.order_log_written_at = now;
+        self.order_log_written += 1;
         let record = Record {
             order_log: orders,
             ..Record::default()
         };
-        self.keep(
-            record,
-            Synced {
-                number: 0,
-                order_log_record: self.ledger_handed_over,
-            },
-            effects,
-        );
+        let synced = Synced {
+            number: 0,
+            order_log_record: self.order_log_written,
+        };
+        self.persist(record, synced, effects);
     }
 
-    fn keep(&self, record: Record, synced: Synced, effects: &mut Vec<Effect>) {
-        let then = vec![(self.id, PeerMessage::Synced(synced))];
-        effects.push(Effect::Persist {
-            record,
-            after_sync: then,
-        });
+    fn persist(&self, record: Record, synced: Synced, effects: &mut Vec<Effect>) {
+        let after_sync = vec![(self.id, PeerMessage::Synced(synced))];
+        effects.push(Effect::Persist { record, after_sync });
     }
 
-    /// A record is on disk.
+    /// A record is synced.
     pub(crate) fn on_synced(&mut self, synced: &Synced) {
         self.number = self.number.max(synced.number);
-        let next = self.ledger_synced + 1;
-        let is_whole = synced.order_log_record > self.ledger_needed
-            || synced.order_log_record == self.order_log_complete;
-        if synced.order_log_record == next || is_whole {
-            self.ledger_synced = self.ledger_synced.max(synced.order_log_record);
+        let record = synced.order_log_record;
+        let repeats_all = record > self.order_log_required || record == self.order_log_snapshot;
+        if record == self.order_log_synced + 1 || repeats_all {
+            self.order_log_synced = self.order_log_synced.max(record);
         }
     }
 
-    /// Whether what was handed over is to be handed over again.
-    pub(crate) fn is_overdue(&mut self, now: Instant, number: u64) -> bool {
-        if self.holds(number) {
-            self.wait = REWRITE;
+    /// Whether the value of this number and the order log are to be written again. The interval doubles each time.
+    pub(crate) fn is_rewrite_due(&mut self, now: Instant, number: u64) -> bool {
+        if self.is_synced(number) {
+            self.rewrite_interval = REWRITE_INTERVAL;
             return false;
         }
-        // New values come again and again, and say nothing of a record of the ledger that was dropped.
-        let value_overdue = self.number < number && now >= self.value_at + self.wait;
-        let ledger_overdue = !self.holds_order_log() && now >= self.ledger_at + self.wait;
-        let overdue = value_overdue || ledger_overdue;
-        if overdue {
-            self.wait = (self.wait * 2).min(REWRITE_MOST);
+        // Both are considered apart: new values are written again and again, while a record of the order log that was
+        // dropped is not.
+        let value_due =
+            self.number < number && now >= self.value_written_at + self.rewrite_interval;
+        let order_log_due =
+            !self.is_order_log_synced() && now >= self.order_log_written_at + self.rewrite_interval;
+        let due = value_due || order_log_due;
+        if due {
+            self.rewrite_interval = (self.rewrite_interval * 2).min(MAX_REWRITE_INTERVAL);
         }
-        overdue
-    }
-
-    /// Hands all orders over in one record.
-    pub(crate) fn persist_complete_order_log(
-        &mut self,
-        now: Instant,
-        orders: Vec<OrderIdentity>,
-        effects: &mut Vec<Effect>,
-    ) {
-        self.order_log_complete = self.ledger_handed_over + 1;
-        self.persist_order_log(now, orders, effects);
+        due
     }
 }
--- a/crates/linenthread-consensus/src/durable_state.rs
+++ b/crates/linenthread-consensus/src/durable_state.rs
@@ -1,36 +1,36 @@
+//! The state that a node's disk holds, rebuilt from its records.
+
 use linenthread_messages::{Accepted, Ballot, Record, Replica, Value};
 
 use crate::acceptor::Acceptor;
 use crate::order_log::OrderLog;
 
-/// What a disk holds, record by record.
+/// What the records on a disk add up to.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct DurableState {
-    /// The disk's name.
+    /// The node's identity; none on an empty disk.
     pub id: Option<u64>,
     decided: Option<Value>,
     order_log: OrderLog,
+    /// The number that `promised` and `accepted` belong to.
     number: u64,
     promised: Option<Ballot>,
     accepted: Option<Accepted>,
-    /// The greatest epoch of the lease that was supported.
+    /// The greatest epoch of the leader lease that was voted for.
     pub epoch: u64,
-    /// Replicas as they were last written.
+    /// The replicas as of the last record that lists them.
     pub replicas: Vec<Replica>,
 }
 
 impl DurableState {
-    /// Takes the next record, oldest first.
+    /// Adds the next record, oldest first.
     pub fn add(&mut self, record: Record) {
         self.id = record.id.or(self.id);
         self.epoch = self.epoch.max(record.epoch);
         if !record.replicas.is_empty() {
             self.replicas = record.replicas;
         }
-        record
-            .order_log
-            .iter()
-            .for_each(|order| self.order_log.insert(order));
+        self.order_log.extend(&record.order_log);
         if let Some(value) = record.decided {
             self.add_decided(value);
         }
@@ -40,10 +40,7 @@
     }
 
     fn add_decided(&mut self, value: Value) {
-        value
-            .recent_orders
-            .iter()
-            .for_each(|order| self.order_log.insert(order));
+        self.order_log.extend(&value.recent_orders);
         if self
             .decided
             .as_ref()
@@ -63,7 +60,7 @@
         }
     }
 
-    /// The records that hold all of it.
+    /// The records that hold this state, for a compacted log.
     pub fn records(&self) -> Vec<Record> {
         vec![
             Record {
@@ -83,7 +80,7 @@
         ]
     }
 
-    /// The newest decided value, the ledger, and what was promised above it.
+    /// The newest decided value, the order log, and the acceptor for the number after the value.
     pub(crate) fn into_parts(self, genesis: Option<Value>) -> (Option<Value>, OrderLog, Acceptor) {
         let decided = self.decided.or(genesis);
         let next = decided.as_ref().map_or(0, |value| value.number + 1);
@@ -95,7 +92,7 @@
         (decided, self.order_log, acceptor)
     }
 
-    /// Number of the newest decided value that it holds; 0 if none.
+    /// Number of the newest decided value; 0 if none.
     pub(crate) fn decided_number(&self) -> u64 {
         self.decided.as_ref().map_or(0, |value| value.number)
     }
--- a/crates/linenthread-consensus/src/effects.rs
+++ b/crates/linenthread-consensus/src/effects.rs
@@ -1,35 +1,41 @@
-use linenthread_messages::{PeerMessage, Record, Value};
+//! What the state machines ask of their driver.
 
-/// Identifies a proposal or a read to the caller that submitted it; chosen by that caller.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct JobId(pub u64);
+use linenthread_messages::{PeerMessage, Record, Value, Voter};
 
-/// How a job ended.
-#[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub enum Outcome {
-    /// It is decided, or was before.
-    Committed(u64),
-    /// Another revision is in place; the order was not taken and never will be.
-    Conflict(u64),
-    /// The newest value, as of some moment since it was asked for.
-    Newest(Value),
-    /// No message of more than half of the counted disks in time, too much waits, or what would tell whether the
-    /// order was taken is not here: it may or may not come to be.
-    Unknown,
-}
+use crate::jobs::{JobId, Outcome};
 
-/// What whoever drives the register has to do, in this order.
+/// One step for the driver of a [`crate::Register`], which carries out effects in the order it receives them.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
-    /// To the node of this disk.
-    Send { to: u64, message: PeerMessage },
-    /// To be synced before the messages behind it go out.
+    /// A message is to be sent to a node, perhaps to this one.
+    Send {
+        /// The receiving node.
+        to: u64,
+        /// The message.
+        message: PeerMessage,
+    },
+    /// A record is to be appended to this node's disk.
     Persist {
+        /// The record.
         record: Record,
+        /// Messages to be sent once the record is synced, not before, each with the receiving node.
         after_sync: Vec<(u64, PeerMessage)>,
     },
-    /// The newest value now.
+    /// This node has learned a newer decided value.
     Decided(Value),
-    /// A job has ended.
-    Reply { job: JobId, outcome: Outcome },
+    /// A job is completed.
+    Reply {
+        /// The job.
+        job: JobId,
+        /// Its result.
+        outcome: Outcome,
+    },
+}
+
+/// Sends a message to each of the voters, this node included if it is one.
+pub(crate) fn send_to_all(voters: &[Voter], message: &PeerMessage, effects: &mut Vec<Effect>) {
+    effects.extend(voters.iter().map(|voter| Effect::Send {
+        to: voter.id,
+        message: message.clone(),
+    }));
 }
--- a/crates/linenthread-consensus/src/hash.rs
+++ b/crates/linenthread-consensus/src/hash.rs
@@ -1,12 +1,17 @@
-/// A hash of 64 bits that is the same in each process and version (FNV-1a). It spreads names and keys; it does not
-/// tell documents apart, for that see [`crate::document_digest`].
+//! A hash that is the same in each process and version.
+
+/// The 64-bit FNV-1a hash of `bytes`, for names and keys. It is not collision-resistant; documents are identified by
+/// [`crate::document_digest`].
 pub fn fnv1a_64(bytes: &[u8]) -> u64 {
-    bytes.iter().fold(0xcbf2_9ce4_8422_2325, |hash, byte| {
-        (hash ^ u64::from(*byte)).wrapping_mul(0x0100_0000_01b3)
+    const OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
+    const PRIME: u64 = 0x0100_0000_01b3;
+    bytes.iter().fold(OFFSET_BASIS, |hash, byte| {
+        (hash ^ u64::from(*byte)).wrapping_mul(PRIME)
     })
 }
 
-/// The name of the disk at an address on the very first start of all.
+/// The identity of the node at an address on the very first start of a cluster, where all nodes must know each
+/// other's before they have talked. Never 0.
 pub fn genesis_id(address: &str) -> u64 {
     fnv1a_64(format!("first {address}").as_bytes()) | 1
 }
--- /dev/null
+++ b/crates/linenthread-consensus/src/jobs.rs
@@ -0,0 +1,22 @@
+//! Jobs, which are proposals and reads on behalf of a caller, and their outcomes.
+
+use linenthread_messages::Value;
+
+/// Identifies a job to the caller that submitted it; chosen by that caller.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub struct JobId(pub u64);
+
+/// The result of a job.
+#[derive(Clone, Debug, PartialEq, Eq, Hash)]
+pub enum Outcome {
+    /// The change is decided now, or was decided before; carries a revision of the configuration: the order's own,
+    /// or the newest one where the change was no order.
+    Committed(u64),
+    /// The change is not decided and never will be; carries the newest revision of the configuration.
+    Conflict(u64),
+    /// The newest value, as of a moment after the read was submitted.
+    Newest(Value),
+    /// It is not known whether the change is or will be decided, or which value is the newest: no majority of the
+    /// voters replied in time, too many jobs are pending, or this node's order log lacks the part that would tell.
+    Unknown,
+}
--- a/crates/linenthread-consensus/src/lease.rs
+++ b/crates/linenthread-consensus/src/lease.rs
@@ -1,301 +1,366 @@
+//! The leader lease: a majority of the voters grants it to one node at a time, under an epoch.
+
 use std::collections::BTreeSet;
 use std::time::Duration;
 
 use linenthread_messages::{LeaseRelease, LeaseRequest, LeaseVote, Value, Voter};
 use linenthread_time::Instant;
 
-/// A vote supports the holder for so long, from when the voter hears the request; the holder counts from
-/// when it asked.
-const LEASE_MS: u32 = 2_000;
-const LEASE: Duration = Duration::from_millis(LEASE_MS as u64);
-/// The holder asks anew after so long, and gives up its lease so much before the lease ends.
-const RENEW: Duration = Duration::from_millis(450);
-const EARLY: Duration = Duration::from_millis(200);
+use crate::timing::{LEASE_DURATION, LEASE_MARGIN, LEASE_MILLIS, LEASE_RENEWAL_INTERVAL};
 
 /// The lease that this node holds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-struct Held {
+struct HeldLease {
     epoch: u64,
-    until: Instant,
-    /// Number of the value whose voters gave it.
-    on: u64,
+    expires_at: Instant,
+    /// Number of the value whose voters granted it.
+    value_number: u64,
 }
 
-/// Whom this node supports as a voter.
+/// A vote of this node for a candidate.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-struct Support {
-    holder: u64,
+struct Grant {
+    candidate: u64,
     incarnation: u64,
     epoch: u64,
-    until: Instant,
+    expires_at: Instant,
+}
+
+impl Grant {
+    fn is_for(&self, candidate: u64, incarnation: u64) -> bool {
+        (self.candidate, self.incarnation) == (candidate, incarnation)
+    }
+}
+
+/// This node's own request for the lease.
+#[derive(Clone, Debug, PartialEq, Eq, Hash)]
+struct OwnRequest {
+    request: LeaseRequest,
+    sent_at: Instant,
+}
+
+/// The newest decided value, as far as the lease needs it.
+#[derive(Clone, Debug, PartialEq, Eq, Hash)]
+struct NewestValue {
+    number: u64,
+    voters: Vec<Voter>,
 }
 
-/// One node's part in the leader lease: as a voter it supports one holder at a time, and it may hold the lease
-/// itself.
+/// One node's part in the leader lease: as a voter it grants the lease to one candidate at a time, as a candidate it
+/// may hold the lease.
+///
+/// At most one node holds the lease under an epoch, and at most one at any time (*one-holder-an-epoch*). What this
+/// rests on:
+/// - a grant lasts the lease duration from when the voter received the request; the lease lasts that long, less a
+///   margin, from when the candidate sent the request, which was earlier;
+/// - a voter that has restarted, or has become a voter anew, waits for as long as grants it does not know of may last;
+/// - candidate and voter have the same newest value, and the voter has accepted no other one: the majorities of two
+///   candidates are majorities of the same voters.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct LeaderLease {
     id: u64,
     incarnation: u64,
-    /// The last support that was given; over when its time is.
-    support: Option<Support>,
-    /// Nobody new is supported before then: support of which this incarnation does not know may last so long.
-    quiet_until: Instant,
-    /// The greatest epoch that was supported, or under which others are known to be.
+    /// The last grant, which may have expired.
+    grant: Option<Grant>,
+    /// No grant before this: grants that this incarnation does not know of may last until then.
+    grants_from: Instant,
+    /// The greatest epoch that was granted, or that others are known to use.
     epoch: u64,
-    /// What it asks for itself, and since when.
-    request: Option<(LeaseRequest, Instant)>,
-    request_count: u64,
-    votes: BTreeSet<u64>,
-    held: Option<Held>,
-    /// The last epoch that it held and lost, or asked for and released.
-    past_epoch: u64,
-    /// The newest value's number, and whom it names.
-    newest: (u64, Vec<Voter>),
+    request: Option<OwnRequest>,
+    last_request_id: u64,
+    granted_by: BTreeSet<u64>,
+    held: Option<HeldLease>,
+    /// The greatest epoch under which this node must not hold the lease again: it lost or released it.
+    retired_epoch: u64,
+    newest: NewestValue,
 }
 
 impl LeaderLease {
-    /// Whom an earlier incarnation supported is not known any more, only under which epoch: nobody new is supported
-    /// until that has ended.
+    /// A node that starts. `epoch` is the greatest one that its disk holds. Unless this is the very first start of
+    /// all nodes (`is_genesis`), an earlier incarnation may have granted the lease: its grants must end first.
     pub fn new(
         id: u64,
         incarnation: u64,
         now: Instant,
-        first_of_all: bool,
+        is_genesis: bool,
         epoch: u64,
     ) -> LeaderLease {
         LeaderLease {
             id,
             incarnation,
-            support: None,
-            quiet_until: if first_of_all { now } else { now + LEASE },
+            grant: None,
+            grants_from: if is_genesis {
+                now
+            } else {
+                now + LEASE_DURATION
+            },
             epoch,
             request: None,
-            request_count: 0,
-            votes: BTreeSet::new(),
+            last_request_id: 0,
+            granted_by: BTreeSet::new(),
             held: None,
-            past_epoch: 0,
-            newest: (0, Vec::new()),
+            retired_epoch: 0,
+            newest: NewestValue {
+                number: 0,
+                voters: Vec::new(),
+            },
         }
     }
 
-    /// The epoch under which this node holds the lease now.
+    /// This node's identity.
+    pub fn id(&self) -> u64 {
+        self.id
+    }
+
+    /// The epoch under which this node holds the lease, if it does.
     pub fn held_epoch(&self, now: Instant) -> Option<u64> {
         self.held
-            .filter(|held| now < held.until)
+            .filter(|held| now < held.expires_at)
             .map(|held| held.epoch)
     }
 
-    /// Whether it holds it by the votes of those whom the value of this number names. Only then may it change
-    /// who they are, *one-holder-an-epoch*.
-    pub fn is_held_at(&self, now: Instant, number: u64) -> bool {
+    /// Whether this node holds the lease by the votes of the voters that the value of this number names. Only then may
+    /// it change the voters (*one-holder-an-epoch*).
+    pub fn is_held_at(&self, now: Instant, value_number: u64) -> bool {
         self.held
-            .is_some_and(|held| now < held.until && held.on == number)
+            .is_some_and(|held| now < held.expires_at && held.value_number == value_number)
     }
 
-    /// Asks for the lease, or for more time, of those whom the value of this number names; `first` says that
-    /// nobody before it in the order is in touch.
-    pub fn tick(&mut self, now: Instant, first: bool, number: u64) -> Option<LeaseRequest> {
+    /// Requests the lease, or its renewal, of the voters that the value of this number names. `is_candidate` says that
+    /// no voter before this one, in the order of the value, is in contact.
+    pub fn tick(
+        &mut self,
+        now: Instant,
+        is_candidate: bool,
+        value_number: u64,
+    ) -> Option<LeaseRequest> {
         let holds = self.held_epoch(now).is_some();
-        if let Some(held) = self.held.filter(|_| !holds) {
-            (self.held, self.request, self.past_epoch) = (None, None, held.epoch);
+        if !holds {
+            self.retire_expired();
         }
-        if !first && !holds {
+        if !is_candidate && !holds {
             self.request = None;
             return None;
         }
-        if self
-            .request
-            .as_ref()
-            .is_some_and(|(request, at)| now < *at + RENEW && request.value_number == number)
-        {
+        let is_current = self.request.as_ref().is_some_and(|own| {
+            now < own.sent_at + LEASE_RENEWAL_INTERVAL && own.request.value_number == value_number
+        });
+        if is_current {
             return None;
         }
-        let epoch = self.epoch_to_ask();
-        self.request_count += 1;
-        let (asked, incarnation) = (self.request_count, self.incarnation);
+        Some(self.start_request(now, value_number))
+    }
+
+    /// Forgets a lease that has expired: its epoch is not used again.
+    fn retire_expired(&mut self) {
+        if let Some(expired) = self.held.take() {
+            self.request = None;
+            self.retired_epoch = expired.epoch;
+        }
+    }
+
+    fn start_request(&mut self, now: Instant, value_number: u64) -> LeaseRequest {
+        let epoch = self.epoch_to_request();
+        self.last_request_id += 1;
         let request = LeaseRequest {
             epoch,
-            request_id: asked,
-            lease_ms: LEASE_MS,
-            incarnation,
-            value_number: number,
+            request_id: self.last_request_id,
+            lease_ms: LEASE_MILLIS,
+            incarnation: self.incarnation,
+            value_number,
         };
-        self.request = Some((request.clone(), now));
-        self.votes.clear();
-        Some(request)
+        self.request = Some(OwnRequest {
+            request: request.clone(),
+            sent_at: now,
+        });
+        self.granted_by.clear();
+        request
     }
 
-    fn epoch_to_ask(&self) -> u64 {
+    fn epoch_to_request(&self) -> u64 {
         match (self.held, &self.request) {
             (Some(held), _) => held.epoch,
-            (None, Some((request, _))) if request.epoch > self.epoch => request.epoch,
-            _ => self.epoch.max(self.past_epoch) + 1,
+            (None, Some(own)) if own.request.epoch > self.epoch => own.request.epoch,
+            _ => self.epoch.max(self.retired_epoch) + 1,
         }
     }
 
-    /// The greatest epoch that was supported, to be synced before a support under a new one is said.
+    /// The greatest epoch that was granted. It must be synced to disk before a vote under a new epoch is sent.
     pub fn epoch(&self) -> u64 {
         self.epoch
     }
 
-    /// This value follows the one before: a lease that was given by the same voters holds on it as well, so that
-    /// orders which come without a pause do not keep the holder from changing who votes.
+    /// A value was decided. If it directly follows the one that the lease was granted at, and names the same voters,
+    /// the lease counts as granted at the new value: else orders in quick succession would keep the lease holder from
+    /// changing the voters.
     pub fn on_decided(&mut self, value: &Value) {
-        let (number, voters) = &self.newest;
-        let same = number + 1 == value.number && *voters == value.voters;
-        if let Some(held) = self.held.as_mut().filter(|held| same && held.on == *number) {
-            held.on = value.number;
+        let newest = &self.newest;
+        let same_voters = newest.number + 1 == value.number && newest.voters == value.voters;
+        if let Some(held) = self
+            .held
+            .as_mut()
+            .filter(|held| same_voters && held.value_number == newest.number)
+        {
+            held.value_number = value.number;
         }
-        self.newest = (value.number, value.voters.clone());
+        self.newest = NewestValue {
+            number: value.number,
+            voters: value.voters.clone(),
+        };
     }
 
-    /// Whether the voters changed between the newest value here and this one, in values that this node passes over: it
-    /// may have been taken off and counted again without knowing, and others may have come to hold the lease.
+    /// Whether the voters changed between the newest value and this one, in values that this node skips. It may have
+    /// been removed and added again without noticing, and another node may hold the lease since.
     pub fn skips_voter_change(&self, value: &Value) -> bool {
-        let (number, _) = &self.newest;
-        value.number > number + 1 && value.voters_since > *number
+        value.number > self.newest.number + 1 && value.voters_since > self.newest.number
     }
 
-    /// A value is decided: nothing below its epoch is supported. A disk that counts only from now on has not been
-    /// asked so far, and supports nobody while others' earlier support may last: not even whom it supported when it
-    /// last counted, since another may have come to hold the lease without it.
-    pub fn observe_epoch(&mut self, now: Instant, epoch: u64, counts_anew: bool) {
+    /// A value with this epoch was decided: no lower epoch is granted from now on.
+    ///
+    /// A node that has become a voter anew (`is_new_voter`) does not know what the other voters granted so far. It
+    /// grants nothing while that may last, not even to the candidate that it granted the lease to when it last was a
+    /// voter: another one may have got the lease without it.
+    pub fn observe_epoch(&mut self, now: Instant, epoch: u64, is_new_voter: bool) {
         self.epoch = self.epoch.max(epoch);
-        if counts_anew {
-            self.quiet_until = self.quiet_until.max(now + LEASE);
+        if is_new_voter {
+            self.grants_from = self.grants_from.max(now + LEASE_DURATION);
         }
     }
 
-    /// A request of another node, or its own, where the newest value here has this number; none while another
-    /// value is in doubt. Both must have the same one.
+    /// Votes on a request of another node or of this one. `value_number` is the number of this node's newest value,
+    /// or none if it has accepted a value that it does not know to be decided: only a request at the same value is
+    /// granted.
     pub fn on_lease_request(
         &mut self,
         now: Instant,
         from: u64,
         request: &LeaseRequest,
-        number: Option<u64>,
+        value_number: Option<u64>,
     ) -> LeaseVote {
-        let yes = number == Some(request.value_number) && self.may_support(now, from, request);
-        if yes {
-            let until = now + Duration::from_millis(u64::from(request.lease_ms)).min(LEASE);
-            let (incarnation, epoch) = (request.incarnation, request.epoch);
-            self.support = Some(Support {
-                holder: from,
-                incarnation,
-                epoch,
-                until,
+        let granted =
+            value_number == Some(request.value_number) && self.may_grant(now, from, request);
+        if granted {
+            let requested = Duration::from_millis(u64::from(request.lease_ms));
+            self.grant = Some(Grant {
+                candidate: from,
+                incarnation: request.incarnation,
+                epoch: request.epoch,
+                expires_at: now + requested.min(LEASE_DURATION),
             });
-            self.epoch = epoch;
+            self.epoch = request.epoch;
         }
         LeaseVote {
             epoch: self.epoch,
             request_id: request.request_id,
-            granted: yes,
+            granted,
         }
     }
 
-    /// Whom one supports may go on, under a new epoch as well: two that wait for each other's leases to end would
-    /// else never end together. A new incarnation of it needs an epoch of its own.
-    fn may_support(&self, now: Instant, from: u64, request: &LeaseRequest) -> bool {
-        if now < self.quiet_until {
+    /// The candidate that has this node's grant may renew it, under a new epoch as well: else two candidates, each
+    /// with some of the votes, would wait for each other's grants to expire again and again. A new incarnation of the
+    /// candidate needs a new epoch.
+    fn may_grant(&self, now: Instant, from: u64, request: &LeaseRequest) -> bool {
+        if now < self.grants_from {
             return false;
         }
-        let same_life =
-            |support: Support| (support.holder, support.incarnation) == (from, request.incarnation);
-        if self.support.is_some_and(same_life) && request.epoch >= self.epoch {
+        let renews = self
+            .grant
+            .is_some_and(|grant| grant.is_for(from, request.incarnation));
+        if renews && request.epoch >= self.epoch {
             return true;
         }
-        let same_holder = self.support.is_some_and(|support| support.holder == from);
-        let lapsed = self.support.is_none_or(|support| now >= support.until);
-        request.epoch > self.epoch && (same_holder || lapsed)
+        let same_candidate = self.grant.is_some_and(|grant| grant.candidate == from);
+        let expired = self.grant.is_none_or(|grant| now >= grant.expires_at);
+        request.epoch > self.epoch && (same_candidate || expired)
     }
 
-    /// An answer; true if the lease is this node's from now on, or by the votes that this value asks for, and
-    /// was not before.
+    /// Counts a vote. Returns whether this node holds the lease from now on and did not before, or holds it now by
+    /// the votes of the voters that the value of this number names.
     pub fn on_lease_vote(
         &mut self,
         now: Instant,
         from: u64,
         vote: &LeaseVote,
-        number: u64,
+        value_number: u64,
         is_majority: impl Fn(Vec<u64>) -> bool,
     ) -> bool {
-        let Some((request, asked_at)) = &self.request else {
+        let Some(OwnRequest { request, sent_at }) = &self.request else {
             return false;
         };
-        let until = *asked_at + LEASE.saturating_sub(EARLY);
-        // A vote for a request whose time is over gives nothing: the node may have been frozen meanwhile. What
-        // has lapsed is not held again under the same epoch.
-        let lapsed = now >= until || self.held.is_some_and(|held| now >= held.until);
-        if vote.request_id != request.request_id || request.value_number != number || lapsed {
+        let expires_at = *sent_at + LEASE_DURATION.saturating_sub(LEASE_MARGIN);
+        // The process may have been suspended since the request. A lease that has expired is not held again under the
+        // same epoch.
+        let expired = now >= expires_at || self.held.is_some_and(|held| now >= held.expires_at);
+        let is_current =
+            vote.request_id == request.request_id && request.value_number == value_number;
+        if !is_current || expired {
             return false;
         }
         if !vote.granted {
-            self.on_refusal(vote);
+            self.on_denied(vote);
             return false;
         }
-        let (epoch, on) = (request.epoch, request.value_number);
-        self.votes.insert(from);
-        if !is_majority(self.votes.iter().copied().collect()) {
+        let epoch = request.epoch;
+        self.granted_by.insert(from);
+        if !is_majority(self.granted_by.iter().copied().collect()) {
             return false;
         }
-        let new = self.held.is_none_or(|held| held.on != number);
-        self.held = Some(Held { epoch, until, on });
-        new
+        let is_new = self
+            .held
+            .is_none_or(|held| held.value_number != value_number);
+        self.held = Some(HeldLease {
+            epoch,
+            expires_at,
+            value_number,
+        });
+        is_new
     }
 
-    /// Another epoch is ahead: the next request asks above it, and votes for this one are void.
-    fn on_refusal(&mut self, vote: &LeaseVote) {
-        let behind = self
+    /// A voter has granted a higher epoch: the next request uses one above it, and votes for the current one are void.
+    fn on_denied(&mut self, vote: &LeaseVote) {
+        let is_outdated = self
             .request
             .as_ref()
-            .is_some_and(|(request, _)| vote.epoch >= request.epoch);
-        if self.held.is_none() && behind {
+            .is_some_and(|own| vote.epoch >= own.request.epoch);
+        if self.held.is_none() && is_outdated {
             self.epoch = self.epoch.max(vote.epoch);
             self.request = None;
         }
     }
 
-    /// The holder leaves: from now on it holds nothing, and never again under any epoch that it asked for so far.
-    /// What is returned goes to all voters, itself too; none if it neither holds the lease nor has asked for it.
+    /// Gives up the lease, and all requests for it: this node does not hold it again under any epoch that it has
+    /// requested so far. Returns the message for all voters, this node included; none if it neither holds the lease
+    /// nor has requested it.
     pub fn release(&mut self) -> Option<LeaseRelease> {
-        let asked = self.request.take().map(|(request, _)| request.epoch);
+        let requested = self.request.take().map(|own| own.request.epoch);
         let held = self.held.take().map(|held| held.epoch);
-        let epoch = asked.max(held)?;
-        self.votes.clear();
-        self.past_epoch = self.past_epoch.max(epoch);
+        let epoch = requested.max(held)?;
+        self.granted_by.clear();
+        self.retired_epoch = self.retired_epoch.max(epoch);
         Some(LeaseRelease {
             epoch,
             incarnation: self.incarnation,
         })
     }
 
-    /// The node `from` has released the lease: whoever supports it may support another at once. Returns whether
-    /// a support ended.
+    /// The node `from` has released the lease: this voter may grant it to another candidate at once. Returns whether a
+    /// grant ended.
     ///
-    /// Why this keeps *one-holder-an-epoch*: only the holder itself says it, of its own incarnation, after [`release`]
-    /// has put the lease down; from then on it asks only above `epoch`. So no vote that was given to this incarnation up to
-    /// `epoch` can make it hold again: a vote counts only for the request on hand, and that is gone. A support
-    /// under a later epoch of the same incarnation is not ended by it, however late the message comes; neither is the
-    /// quiet time after a start or after joining, which stands for support that this incarnation does not know of.
-    ///
-    /// [`release`]: LeaderLease::release
+    /// This keeps *one-holder-an-epoch*. Only the lease holder itself sends it, for its own incarnation, after
+    /// [`LeaderLease::release`]; from then on it requests only epochs above the released one. No vote that this
+    /// incarnation got up to that epoch can make it hold the lease again, since a vote counts only for the current
+    /// request, and that is gone. However late the message arrives, it ends no grant under a later epoch; nor does it
+    /// shorten the wait after a restart or after becoming a voter, which stands for grants that this incarnation does
+    /// not know of.
     pub fn on_release(&mut self, from: u64, release: &LeaseRelease) -> bool {
-        let released = |support: &Support| {
-            (support.holder, support.incarnation) == (from, release.incarnation)
-                && support.epoch <= release.epoch
-        };
-        let ended = self.support.as_ref().is_some_and(released);
+        let ended = self.grant.is_some_and(|grant| {
+            grant.is_for(from, release.incarnation) && grant.epoch <= release.epoch
+        });
         if ended {
-            self.support = None;
-            // A request of before, should it come yet, finds its epoch used up.
+            self.grant = None;
+            // A request that was sent before the release, and arrives after it, must not be granted.
             self.epoch = self.epoch.max(release.epoch);
         }
         ended
     }
-
-    /// The name of this node's disk.
-    pub fn id(&self) -> u64 {
-        self.id
-    }
 }
--- a/crates/linenthread-consensus/src/lib.rs
+++ b/crates/linenthread-consensus/src/lib.rs
@@ -1,49 +1,79 @@
-//! Agreement of the counted disks. [`Register`] decides one [`linenthread_messages::Value`] after another: value n
-//! names the disks that decide value n + 1, each value is a Paxos instance of its own. [`LeaderLease`] is a lease
-//! that more than half of them give to one node under an epoch. Both are state machines: `now` as an
-//! [`linenthread_time::Instant`] and messages in, messages and records out; whoever drives them syncs a record before it sends what
-//! waits on it.
+//! Consensus of the control nodes: a replicated register, and a leader lease.
+//!
+//! [`Register`] decides one [`linenthread_messages::Value`] after another. Each value is a Paxos instance of its own,
+//! identified by its number; value n names the voters that decide value n + 1. [`LeaderLease`] is a lease that a
+//! majority of the voters grants to one node under an epoch, which serves as fencing token.
+//!
+//! Both are state machines without I/O. They are given messages and the time, as [`linenthread_time::Instant`], and
+//! return messages and records; the driver syncs a record before it sends the messages that depend on it
+//! ([`Effect::Persist`]). This package knows nothing of sockets, disks, clocks, replicas or what a configuration
+//! document means. `linenthread-control` drives it in the daemons, `linenthread-checker` explores it exhaustively.
+//!
+//! Start reading at [`Register::on_message`]. The way of an order: [`Register::propose`], `Proposer::tick` (prepare),
+//! `Acceptor::on_prepare` (promise), `Proposer::on_promise` (accept), `Acceptor::on_accept` (acknowledgement),
+//! `Register::adopt` (decided).
 //!
 //! | module | job |
 //! | --- | --- |
-//! | `register` | the whole: takes messages and time, passes them to the parts, adopts decided values |
-//! | `decided_state` | the newest decided value and the ledger, and how an order is judged by them |
-//! | `acceptor` | promises and acceptances for the next number |
-//! | `proposer` | orders and other changes that wait, and the round that decides one |
-//! | `reader` | reads that wait, and the question that confirms the newest value |
-//! | `ledger` | the orders that were taken, apart from the value |
-//! | `order_log_catch_up` | asks others for orders that the ledger lacks |
-//! | `durability` | which of the decided values and orders are synced |
+//! | `register` | routes messages and time to the other modules, adopts decided values |
+//! | `decided_state` | the newest decided value and the order log, and how an order is judged by them |
+//! | `acceptor` | what this node has promised and accepted for the next number |
+//! | `proposer` | pending changes, and the round that decides one of them |
+//! | `round` | both phases of Paxos for one number, from the proposer's side |
+//! | `backoff` | when a proposer may start a round that competes with others |
+//! | `proposal` | what a pending change makes of the newest value |
+//! | `reader` | pending reads, and the round that confirms the newest value |
+//! | `order_log` | the accepted orders of the past, apart from the value |
+//! | `catch_up` | fetches orders that the order log lacks from other voters |
+//! | `durability` | which decided values and orders are synced |
 //! | `durable_state` | what a disk holds, from its records |
 //! | `lease` | the leader lease |
+//! | `timing` | time-outs and intervals, each with its reason |
+//!
+//! # Invariants
+//!
+//! By the names that `docs/system-design.md` and `docs/control-orders.md` give them:
 //!
-//! Named rules: *one-value-a-number*, *an-empty-disk-is-nobody*, *no-ack-before-half-the-disks*,
-//! *reads-are-newest*, *nothing-goes-back*, *one-holder-an-epoch* (`docs/system-design.md`); *one-a-base*,
-//! *acked-lasts*, *never-refused-when-taken* (`docs/control-orders.md`).
-#![expect(
-    missing_docs,
-    reason = "public items of this package are not all documented yet"
-)]
+//! - *one-value-a-number*: no two values are decided under one number. Paxos for each number; its voters are fixed by
+//!   the value before, and promises and acceptances are synced before they are sent.
+//! - *decided-by-those-who-count*: only the voters that value n names decide value n + 1.
+//! - *an-empty-disk-is-nobody*: a node's identity belongs to its disk; a node with a new disk has a new identity, which
+//!   no value names yet.
+//! - *no-ack-before-half-the-disks*: an order is acknowledged only after a majority of the voters has synced it.
+//! - *a-cut-off-node-confirms-nothing*: nothing is acknowledged, rejected or read without a round that a majority of
+//!   the voters took part in.
+//! - *reads-are-newest*: a read returns no value older than any that was acknowledged or read before it was submitted.
+//! - *nothing-goes-back*: a node replaces its newest value only by one with a greater number.
+//! - *one-a-base*: of all orders on one base at most one is accepted.
+//! - *acked-lasts*: an acknowledged order is part of the history of every later value.
+//! - *never-refused-when-taken*: an accepted order is never reported as a conflict, however late it is sent again.
+//! - *known-at-each-node*: each node knows the orders of its newest value's history, or knows that some are missing.
+//! - *one-holder-an-epoch*: under each epoch at most one incarnation of one node holds the leader lease.
 
 mod acceptor;
+mod backoff;
+mod catch_up;
+mod change;
 mod decided_state;
 mod durability;
 mod durable_state;
 mod effects;
 mod hash;
+mod jobs;
 mod lease;
-mod order;
 mod order_log;
-mod order_log_catch_up;
+mod proposal;
 mod proposer;
 mod reader;
 mod register;
+mod round;
+mod timing;
 
-pub use decided_state::{DecidedState, RECENT_ORDERS, Verdict};
+pub use change::{Change, document_digest};
 pub use durable_state::DurableState;
-pub use effects::{Effect, JobId, Outcome};
+pub use effects::Effect;
 pub use hash::{fnv1a_64, genesis_id};
+pub use jobs::{JobId, Outcome};
 pub use lease::LeaderLease;
-pub use order::{Change, document_digest};
 pub use order_log::{MAX_LOGGED_ORDERS, MAX_ORDERS_PER_MESSAGE, OrderLog};
 pub use register::Register;
--- a/crates/linenthread-consensus/src/order_log.rs
+++ b/crates/linenthread-consensus/src/order_log.rs
@@ -1,12 +1,17 @@
+//! The accepted orders of the past, apart from the replicated value.
+
 use std::collections::BTreeMap;
 
 use linenthread_messages::{DocumentDigest, OrderIdentity, OrderLogEntries, OrderLogRequest};
 
-/// So many orders are kept at least; a record of one takes about 32 bytes on disk, an entry about 50 in memory.
+/// Number of the newest orders that are retained at least. One takes about 32 bytes on disk and 50 in memory.
 pub const MAX_LOGGED_ORDERS: usize = 65_536;
-/// The oldest are forgotten so many at once, when there are so many too many.
-const FORGOTTEN_AT_ONCE: usize = 1_024;
-/// So many go into one [`OrderLogEntries`].
+
+/// Number of orders that are dropped at once, oldest first, when the log holds that many more than
+/// [`MAX_LOGGED_ORDERS`].
+const DROPPED_AT_ONCE: usize = 1_024;
+
+/// Number of orders in one [`OrderLogEntries`] at most, which bounds it to about 33 KB.
 pub const MAX_ORDERS_PER_MESSAGE: usize = 1_024;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
@@ -15,32 +20,33 @@
     digest: DocumentDigest,
 }
 
-/// What the ledger alone can say about a revision that is not above the newest one.
+/// What the order log alone tells of a revision that is not above the newest one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum OrderLogVerdict {
-    /// This very order was taken.
+    /// This very order was accepted.
     Committed,
-    /// Another order was taken under this revision, or none was and none can be.
+    /// Another order was accepted under this revision, or none was and none can be.
     NotCommitted,
-    /// What would tell is missing or forgotten.
+    /// The entries that would tell are missing or dropped.
     Unknown,
 }
 
-/// The orders that were taken, by revision.
+/// The accepted orders, by revision.
 ///
-/// Revisions rise from one taken order to the next, and the base of each is the revision taken before it: so the
-/// ledger is a chain, and two neighbours prove that nothing between them was taken, whatever else is missing.
+/// Revisions rise from one accepted order to the next, and the base of each is the revision accepted before it. So
+/// the log is a chain: an entry proves that nothing between its base and itself was accepted, whatever else is
+/// missing.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct OrderLog {
     entries: BTreeMap<u64, Entry>,
-    /// The newest revision that was taken, as far as this node knows.
+    /// The newest accepted revision that this node knows of.
     newest: u64,
-    /// The chain from the newest downwards is whole above this revision, which is missing; 0 if nothing is.
+    /// The newest missing revision: above it the chain is complete. 0 if none is missing.
     missing: u64,
 }
 
 impl OrderLog {
-    /// Adds an order, wherever its place is; forgets the oldest ones above the bound.
+    /// Adds an order, in any sequence; drops the oldest ones beyond the bound.
     pub fn insert(&mut self, order: &OrderIdentity) {
         self.entries.insert(
             order.revision,
@@ -49,41 +55,44 @@
                 digest: order.digest,
             },
         );
-        if self.entries.len() >= MAX_LOGGED_ORDERS + FORGOTTEN_AT_ONCE {
-            (0..FORGOTTEN_AT_ONCE).for_each(|_| _ = self.entries.pop_first());
+        if self.entries.len() >= MAX_LOGGED_ORDERS + DROPPED_AT_ONCE {
+            (0..DROPPED_AT_ONCE).for_each(|_| _ = self.entries.pop_first());
         }
     }
 
-    /// How many orders are known.
+    /// Adds orders, as [`OrderLog::insert`].
+    pub(crate) fn extend(&mut self, orders: &[OrderIdentity]) {
+        orders.iter().for_each(|order| self.insert(order));
+    }
+
+    /// Number of orders in the log.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether no order is known.
+    /// Whether the log holds no order.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// Whether this very order is known to have been taken.
+    /// Whether this very order is known to be accepted.
     pub fn contains(&self, order: &OrderIdentity) -> bool {
         self.judge(order) == OrderLogVerdict::Committed
     }
 
     /// All orders, oldest first.
     pub fn iter(&self) -> impl Iterator<Item = OrderIdentity> {
-        self.entries.iter().map(|(revision, entry)| OrderIdentity {
-            revision: *revision,
-            base: entry.base,
-            digest: entry.digest,
-        })
+        self.entries
+            .iter()
+            .map(|(revision, entry)| identity(*revision, entry))
     }
 
-    /// Nothing that was ever taken is missing, but for what was forgotten by the bound or is known to nobody.
+    /// Whether no accepted order is missing, but for those that were dropped or that no voter has.
     pub fn is_complete(&self) -> bool {
         self.missing == 0 || self.entries.len() >= MAX_LOGGED_ORDERS
     }
 
-    /// Judges an order whose revision is not above the newest one that was taken.
+    /// Judges an order whose revision is not above the newest accepted one.
     pub(crate) fn judge(&self, order: &OrderIdentity) -> OrderLogVerdict {
         match self.entries.range(order.revision..).next() {
             Some((revision, entry)) if *revision == order.revision => {
@@ -93,13 +102,13 @@
                     OrderLogVerdict::NotCommitted
                 }
             }
-            // The next one was taken on top of one below this: this was passed over.
+            // The next accepted order builds on one below this revision, which was skipped.
             Some((_, entry)) if entry.base < order.revision => OrderLogVerdict::NotCommitted,
             _ => OrderLogVerdict::Unknown,
         }
     }
 
-    /// The newest revision that was taken is known to be this one: finds what is missing below it.
+    /// Notes the newest accepted revision, and finds the newest one that is missing below it.
     pub(crate) fn link(&mut self, newest: u64) {
         let known = std::mem::replace(&mut self.newest, newest);
         if let Some(missing) = self.first_missing(newest, known) {
@@ -107,19 +116,19 @@
         }
     }
 
-    /// Goes on from where something was missing, after orders were added.
+    /// Follows the chain on from the missing revision, after orders were added.
     pub(crate) fn relink(&mut self) {
         self.missing = self.first_missing(self.missing, 0).unwrap_or(0);
     }
 
-    /// Nobody has what is missing: what is known below it is all there is.
+    /// No voter has the missing orders: the chain goes on with the next lower entry.
     pub(crate) fn give_up_missing(&mut self) {
         let next = self.entries.range(..self.missing).next_back();
         self.missing = next.map_or(0, |(revision, _)| *revision);
         self.relink();
     }
 
-    /// Goes down the chain from a revision; none if it gets to `until`.
+    /// Follows the chain downwards from a revision; none if it is complete down to `until`.
     fn first_missing(&self, from: u64, until: u64) -> Option<u64> {
         let mut revision = from;
         while revision > until {
@@ -131,8 +140,8 @@
         None
     }
 
-    /// What to ask others for, if anything.
-    pub(crate) fn request(&self) -> Option<OrderLogRequest> {
+    /// The request for the newest missing orders; none if the log is complete.
+    pub(crate) fn missing(&self) -> Option<OrderLogRequest> {
         if self.is_complete() {
             return None;
         }
@@ -147,19 +156,15 @@
         })
     }
 
-    /// The answer to what another asks for.
-    pub(crate) fn answer(&self, request: &OrderLogRequest) -> OrderLogEntries {
+    /// The reply to another node's request.
+    pub(crate) fn entries_for(&self, request: &OrderLogRequest) -> OrderLogEntries {
         let mut orders = Vec::new();
         let mut revision = request.newest;
         while revision > request.above && orders.len() < MAX_ORDERS_PER_MESSAGE {
             let Some(entry) = self.entries.get(&revision) else {
                 break;
             };
-            orders.push(OrderIdentity {
-                revision,
-                base: entry.base,
-                digest: entry.digest,
-            });
+            orders.push(identity(revision, entry));
             revision = entry.base;
         }
         OrderLogEntries {
@@ -168,3 +173,11 @@
         }
     }
 }
+
+fn identity(revision: u64, entry: &Entry) -> OrderIdentity {
+    OrderIdentity {
+        revision,
+        base: entry.base,
+        digest: entry.digest,
+    }
+}
--- /dev/null
+++ b/crates/linenthread-consensus/src/proposal.rs
@@ -0,0 +1,132 @@
+//! A change on its way through the proposer: what it makes of the newest value, and when it is resolved.
+
+use linenthread_messages::{OrderIdentity, Value, Voter};
+use linenthread_time::Instant;
+use prost::bytes::Bytes;
+
+use crate::change::{Change, document_digest};
+use crate::decided_state::{DecidedState, Verdict};
+use crate::jobs::{JobId, Outcome};
+
+/// How this node has learned that a value is decided.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum LearnedFrom {
+    /// A majority of the voters has just accepted it in a round of this node.
+    LocalRound,
+    /// Another node sent it, at some earlier time; the connection may work in one direction only.
+    Peer,
+}
+
+/// A change that waits for its round.
+#[derive(Clone, Debug, PartialEq, Eq, Hash)]
+pub(crate) struct PendingChange {
+    pub(crate) job: JobId,
+    pub(crate) proposal: Proposal,
+    /// When it is completed as [`Outcome::Unknown`].
+    pub(crate) deadline: Instant,
+}
+
+/// A [`Change`] as the proposer holds it, with the document's digest computed once.
+#[derive(Clone, Debug, PartialEq, Eq, Hash)]
+pub(crate) enum Proposal {
+    Order {
+        identity: OrderIdentity,
+        document: Bytes,
+    },
+    Voters {
+        base_number: u64,
+        voters: Vec<Voter>,
+        epoch: u64,
+    },
+    Completion,
+}
+
+impl Proposal {
+    pub(crate) fn is_voter_change(&self) -> bool {
+        matches!(self, Proposal::Voters { .. })
+    }
+
+    /// The value that this change makes of the newest one.
+    ///
+    /// To be called only after a majority of the voters has promised and none of them had accepted anything for the
+    /// next number: only then is the newest value that this node knows the newest one there is.
+    ///
+    /// # Errors
+    /// The outcome of the change, if it needs no round or can never be decided.
+    pub(crate) fn next_value(&self, decided: &DecidedState) -> Result<Value, Outcome> {
+        let revision = decided.revision();
+        match self {
+            Proposal::Order { identity, document } => match decided.judge(identity) {
+                Verdict::Proposable => decided
+                    .with_order(identity, document)
+                    .ok_or(Outcome::Unknown),
+                Verdict::Committed => Err(Outcome::Committed(identity.revision)),
+                Verdict::Conflict => Err(Outcome::Conflict(revision)),
+                Verdict::Unknown => Err(Outcome::Unknown),
+            },
+            Proposal::Voters {
+                base_number,
+                voters,
+                epoch,
+            } if *base_number == decided.number() && !voters.is_empty() => {
+                decided.with_voters(voters, *epoch).ok_or(Outcome::Unknown)
+            }
+            Proposal::Voters { .. } => Err(Outcome::Conflict(revision)),
+            Proposal::Completion => Err(Outcome::Committed(revision)),
+        }
+    }
+
+    /// The outcome of this change after a value was decided, if that value resolves it without a further round.
+    ///
+    /// An order that was decided in another node's round is not acknowledged here until a round of this node's own:
+    /// an acknowledgement needs contact with a majority of the voters (*a-cut-off-node-confirms-nothing*).
+    pub(crate) fn outcome_after(
+        &self,
+        decided: &DecidedState,
+        learned: LearnedFrom,
+    ) -> Option<Outcome> {
+        match self {
+            Proposal::Order { identity, .. } if learned == LearnedFrom::LocalRound => decided
+                .order_log()
+                .contains(identity)
+                .then_some(Outcome::Committed(identity.revision)),
+            Proposal::Voters { base_number, .. } if *base_number < decided.number() => {
+                Some(Outcome::Committed(decided.revision()))
+            }
+            _ => None,
+        }
+    }
+}
+
+impl From<Change> for Proposal {
+    fn from(change: Change) -> Proposal {
+        match change {
+            Change::Document {
+                base,
+                revision,
+                document,
+            } => {
+                let digest = document_digest(&document);
+                let identity = OrderIdentity {
+                    revision,
+                    base,
+                    digest,
+                };
+                Proposal::Order {
+                    identity,
+                    document: document.into(),
+                }
+            }
+            Change::Voters {
+                base_number,
+                voters,
+                epoch,
+            } => Proposal::Voters {
+                base_number,
+                voters,
+                epoch,
+            },
+            Change::Completion => Proposal::Completion,
+        }
+    }
+}
--- a/crates/linenthread-consensus/src/proposer.rs
+++ b/crates/linenthread-consensus/src/proposer.rs
@@ -1,175 +1,78 @@
-use std::collections::{BTreeSet, VecDeque};
-use std::hash::{Hash, Hasher};
-use std::time::Duration;
+//! Pending changes, and the round that decides one of them.
 
-use linenthread_messages::{
-    Accept, AcceptAck, Accepted, Ballot, PeerMessage, Prepare, Promise, Rejected, Value,
-};
-use linenthread_time::{Instant, whole_millis};
-use oorandom::Rand64;
+use std::collections::VecDeque;
 
-use crate::decided_state::{DecidedState, Verdict};
-use crate::effects::{Effect, JobId, Outcome};
-use crate::order::{Change, Wanted};
-use crate::register::{RESEND_AFTER, ROUND_TIMEOUT, WAITING_JOBS, send_to_voters};
+use linenthread_messages::{AcceptAck, Ballot, PeerMessage, Promise, Rejected, Value};
+use linenthread_time::Instant;
 
-/// Two proposers that clash wait up to so long, more with each clash.
-const BACKOFF: Duration = Duration::from_millis(25);
-const MAX_DOUBLINGS: u32 = 6;
-/// No rest is shorter: a round never begins again at the very instant of its rejection.
-const SHORTEST_REST: Duration = Duration::from_millis(1);
-/// No rest is longer.
-const LONGEST_REST: Duration = BACKOFF.saturating_mul(1 << MAX_DOUBLINGS);
+use crate::backoff::Backoff;
+use crate::change::Change;
+use crate::decided_state::DecidedState;
+use crate::effects::{Effect, send_to_all};
+use crate::jobs::{JobId, Outcome};
+use crate::proposal::{LearnedFrom, PendingChange};
+use crate::round::Round;
+use crate::timing::MAX_PENDING_JOBS;
 
-#[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct WaitingChange {
-    job: JobId,
-    wanted: Wanted,
-    until: Instant,
-}
-
-#[derive(Clone, Debug, PartialEq, Eq, Hash)]
-enum Phase {
-    Preparing {
-        promised_by: BTreeSet<u64>,
-        newest_accepted: Option<Accepted>,
-    },
-    Accepting {
-        value: Value,
-        accepted_by: BTreeSet<u64>,
-    },
-}
-
-/// One attempt to decide the next number.
-#[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Round {
-    number: u64,
-    ballot: Ballot,
-    began: Instant,
-    last_sent: Instant,
-    phase: Phase,
-}
-
-impl Round {
-    /// What it says to the voters now.
-    fn request(&self) -> PeerMessage {
-        match &self.phase {
-            Phase::Preparing { .. } => PeerMessage::Prepare(Prepare {
-                number: self.number,
-                ballot: self.ballot,
-            }),
-            Phase::Accepting { value, .. } => PeerMessage::Accept(Accept {
-                ballot: self.ballot,
-                value: value.clone(),
-            }),
-        }
-    }
-
-    fn is_for(&self, number: u64, ballot: Ballot) -> bool {
-        (self.number, self.ballot) == (number, ballot)
-    }
-}
-
-/// Draws how long to back off. States that differ in it alone are alike to whoever hashes them.
-#[derive(Clone, Debug)]
-struct Backoff(Rand64);
-
-impl Backoff {
-    /// A random duration below `limit`, in whole milliseconds.
-    fn up_to(&mut self, limit: Duration) -> Duration {
-        Duration::from_millis(self.0.rand_range(0..whole_millis(limit)))
-    }
-}
-
-impl PartialEq for Backoff {
-    fn eq(&self, _: &Backoff) -> bool {
-        true
-    }
-}
-
-impl Eq for Backoff {}
-
-impl Hash for Backoff {
-    fn hash<H: Hasher>(&self, _: &mut H) {}
-}
-
-/// How this node came to know of a decided value.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum LearnedFrom {
-    /// More than half of the voters acknowledged it to this node, just now.
-    OwnRound,
-    /// It was told, at some time and perhaps one way only.
-    AnotherNode,
-}
-
-/// Changes that wait, and the round that decides one of them.
+/// The Paxos proposer of one node: at most one round at a time.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Proposer {
-    /// Tells this incarnation's ballots from those of all others, earlier ones of the same disk too.
+    /// Makes the ballots unique: no two incarnations of any nodes share it.
     incarnation: u64,
-    waiting: VecDeque<WaitingChange>,
+    pending: VecDeque<PendingChange>,
     round: Option<Round>,
-    /// No round before this.
-    rest_until: Instant,
-    clashes: u32,
-    /// How long the voters took for the last half of a round: who rests for less clashes again.
-    pace: Duration,
-    highest_round: u64,
-    /// Something was seen to be half done.
-    completion_wanted: bool,
     backoff: Backoff,
+    /// The highest ballot round for the next number, of this node or reported by a rejection.
+    highest_round: u64,
+    /// An undecided value was seen, which is to be decided even if no change is pending.
+    completion_requested: bool,
 }
 
 impl Proposer {
     pub(crate) fn new(incarnation: u64) -> Proposer {
         Proposer {
             incarnation,
-            waiting: VecDeque::new(),
+            pending: VecDeque::new(),
             round: None,
-            rest_until: Instant::START,
-            clashes: 0,
-            pace: Duration::ZERO,
+            backoff: Backoff::new(incarnation),
             highest_round: 0,
-            completion_wanted: false,
-            backoff: Backoff(Rand64::new(u128::from(incarnation))),
+            completion_requested: false,
         }
     }
 
-    /// Takes a change; false if too many wait. Other voters come before all orders: each value that is decided
-    /// first makes them void.
-    pub(crate) fn add(&mut self, job: JobId, change: Change, until: Instant) -> bool {
-        let goes_first = matches!(change, Change::Voters { .. });
-        if self.waiting.len() >= WAITING_JOBS && !goes_first {
-            return false;
-        }
-        let waiting = WaitingChange {
+    /// Submits a change; false if too many are pending. A change of the voters goes before all orders, since each
+    /// value that is decided before it makes it void.
+    pub(crate) fn submit(&mut self, job: JobId, change: Change, deadline: Instant) -> bool {
+        let pending = PendingChange {
             job,
-            wanted: change.into(),
-            until,
+            proposal: change.into(),
+            deadline,
         };
-        if goes_first {
-            self.waiting.push_front(waiting);
-            // The rest of an order is none of its own.
-            self.rest_until = Instant::START;
-        } else {
-            self.waiting.push_back(waiting);
+        if pending.proposal.is_voter_change() {
+            self.pending.push_front(pending);
+            self.backoff.skip_pause();
+            return true;
+        }
+        let has_room = self.pending.len() < MAX_PENDING_JOBS;
+        if has_room {
+            self.pending.push_back(pending);
         }
-        true
+        has_room
     }
 
-    /// Something half done is to be decided.
-    pub(crate) fn complete(&mut self) {
-        self.completion_wanted = true;
+    /// Requests a round that decides what some acceptor has accepted.
+    pub(crate) fn request_completion(&mut self) {
+        self.completion_requested = true;
     }
 
     pub(crate) fn is_busy(&self) -> bool {
-        !self.waiting.is_empty() || self.completion_wanted
+        !self.pending.is_empty() || self.completion_requested
     }
 
-    /// Ends changes whose time is over.
+    /// Completes changes whose deadline has passed.
     pub(crate) fn expire(&mut self, now: Instant, effects: &mut Vec<Effect>) {
-        self.waiting.retain(|change| {
-            let in_time = change.until > now;
+        self.pending.retain(|change| {
+            let in_time = change.deadline > now;
             if !in_time {
                 effects.push(Effect::Reply {
                     job: change.job,
@@ -180,50 +83,41 @@
         });
     }
 
-    /// Begins or repeats a round, or gives it up.
+    /// Starts a round, sends its request again, or abandons it.
     pub(crate) fn tick(&mut self, now: Instant, decided: &DecidedState, effects: &mut Vec<Effect>) {
         if !self.is_busy() {
             self.round = None;
             return;
         }
-        self.round
-            .take_if(|round| now >= round.began + ROUND_TIMEOUT);
+        self.round.take_if(|round| round.is_timed_out(now));
         match &mut self.round {
-            Some(round) if now >= round.last_sent + RESEND_AFTER => {
-                round.last_sent = now;
-                send_to_voters(decided, &round.request(), effects);
+            Some(round) if round.is_resend_due(now) => {
+                round.resent(now);
+                send_to_all(decided.voters(), &round.request(), effects);
             }
-            None if now >= self.rest_until => self.begin(now, decided, effects),
+            None if self.backoff.allows_round(now) => self.start_round(now, decided, effects),
             _ => {}
         }
     }
 
-    fn begin(&mut self, now: Instant, decided: &DecidedState, effects: &mut Vec<Effect>) {
+    fn start_round(&mut self, now: Instant, decided: &DecidedState, effects: &mut Vec<Effect>) {
         self.highest_round += 1;
-        let round = Round {
-            number: decided.next(),
-            ballot: Ballot {
-                round: self.highest_round,
-                proposer: self.incarnation,
-            },
-            began: now,
-            last_sent: now,
-            phase: Phase::Preparing {
-                promised_by: BTreeSet::new(),
-                newest_accepted: None,
-            },
+        let ballot = Ballot {
+            round: self.highest_round,
+            proposer: self.incarnation,
         };
-        send_to_voters(decided, &round.request(), effects);
+        let round = Round::new(decided.next_number(), ballot, now);
+        send_to_all(decided.voters(), &round.request(), effects);
         self.round = Some(round);
     }
 
-    /// What the round on hand says, for a node that has caught up.
-    pub(crate) fn request(&self) -> Option<PeerMessage> {
+    /// The request of the current round, for a voter that has just caught up.
+    pub(crate) fn current_request(&self) -> Option<PeerMessage> {
         self.round.as_ref().map(Round::request)
     }
 
-    /// A promise. With those of more than half of the voters the newest accepted value is proposed; if there is
-    /// none, nothing can be half done, and what waits is judged by the newest decided value.
+    /// A promise. Once a majority has promised, the value with the highest accepted ballot is proposed. If there is
+    /// none, the newest decided value is the newest there is, and the pending changes are judged by it.
     pub(crate) fn on_promise(
         &mut self,
         now: Instant,
@@ -232,199 +126,110 @@
         decided: &DecidedState,
         effects: &mut Vec<Effect>,
     ) {
-        let Some(round) = self
+        let prepared = self
             .round
             .as_mut()
-            .filter(|round| round.is_for(promise.number, promise.ballot))
-        else {
-            return;
-        };
-        let Phase::Preparing {
-            promised_by,
-            newest_accepted,
-        } = &mut round.phase
-        else {
+            .and_then(|round| round.on_promise(from, promise, decided));
+        let Some(prepared) = prepared else {
             return;
         };
-        promised_by.insert(from);
-        let ballot =
-            |accepted: &Option<Accepted>| accepted.as_ref().map(|accepted| accepted.ballot);
-        if ballot(&promise.accepted) > ballot(newest_accepted) {
-            *newest_accepted = promise.accepted;
-        }
-        if !decided.is_majority(promised_by.iter().copied()) {
-            return;
-        }
-        self.pace = now.since(round.began);
-        let half_done = newest_accepted.take().map(|accepted| accepted.value);
-        match half_done.or_else(|| self.next_value(decided, effects)) {
-            Some(value) => self.propose(now, value, decided, effects),
-            // Nothing is half done and nothing is wanted any more.
-            None => (self.round, self.completion_wanted) = (None, false),
+        self.backoff
+            .observe_phase_latency(now.since(prepared.started_at));
+        let value = prepared
+            .accepted
+            .or_else(|| self.next_value(decided, effects));
+        match (&mut self.round, value) {
+            (Some(round), Some(value)) => {
+                round.propose(now, value);
+                send_to_all(decided.voters(), &round.request(), effects);
+            }
+            // Nothing is accepted and nothing is pending any more.
+            _ => self.abandon_round(),
         }
     }
 
-    fn propose(
-        &mut self,
-        now: Instant,
-        value: Value,
-        decided: &DecidedState,
-        effects: &mut Vec<Effect>,
-    ) {
-        let Some(round) = &mut self.round else { return };
-        round.phase = Phase::Accepting {
-            value,
-            accepted_by: BTreeSet::new(),
-        };
-        // Each half of a round has its time, or disks that take a quarter of it would end no round.
-        (round.began, round.last_sent) = (now, now);
-        send_to_voters(decided, &round.request(), effects);
+    fn abandon_round(&mut self) {
+        (self.round, self.completion_requested) = (None, false);
     }
 
-    /// The value that the first change makes of the newest one; changes that come to nothing are answered.
+    /// The value that the first change makes of the newest one; changes that make none are completed.
     fn next_value(&mut self, decided: &DecidedState, effects: &mut Vec<Effect>) -> Option<Value> {
-        while let Some(change) = self.waiting.front() {
-            match judge(&change.wanted, decided) {
+        while let Some(change) = self.pending.front() {
+            match change.proposal.next_value(decided) {
                 Ok(value) => return Some(value),
                 Err(outcome) => effects.push(Effect::Reply {
                     job: change.job,
                     outcome,
                 }),
             }
-            self.waiting.pop_front();
+            self.pending.pop_front();
         }
         None
     }
 
-    /// An acknowledgement; the value, if more than half of the voters have accepted it now.
+    /// An acceptance; returns the value if a majority has accepted it, which decides it.
     pub(crate) fn on_accept_ack(
         &mut self,
         from: u64,
-        acknowledgement: &AcceptAck,
+        ack: &AcceptAck,
         decided: &DecidedState,
     ) -> Option<Value> {
-        let (number, ballot) = (acknowledgement.number, acknowledgement.ballot);
-        let round = self
-            .round
-            .as_mut()
-            .filter(|round| round.is_for(number, ballot))?;
-        let Phase::Accepting { value, accepted_by } = &mut round.phase else {
-            return None;
-        };
-        accepted_by.insert(from);
-        if !decided.is_majority(accepted_by.iter().copied()) {
-            return None;
-        }
-        self.clashes = 0;
-        Some(value.clone())
+        let value = self.round.as_mut()?.on_accept_ack(from, ack, decided)?;
+        self.backoff.on_accepted();
+        Some(value)
     }
 
-    /// A greater ballot is about: the round is given up, and the next one comes after a pause.
+    /// A voter has promised a higher ballot: the round is abandoned, and the next one starts after a pause.
     pub(crate) fn on_rejected(
         &mut self,
         now: Instant,
         rejected: &Rejected,
         decided: &DecidedState,
     ) {
-        if rejected.number != decided.next() {
+        if rejected.number != decided.next_number() {
             return;
         }
         self.highest_round = self.highest_round.max(rejected.promised.round);
-        if self
+        let superseded = self
             .round
-            .as_ref()
-            .is_some_and(|round| round.ballot < rejected.promised)
-        {
-            self.round = None;
-            self.clashes = (self.clashes + 1).min(MAX_DOUBLINGS);
-            self.rest_until = now + self.rest();
+            .take_if(|round| round.ballot() < rejected.promised);
+        if superseded.is_some() {
+            self.backoff.on_rejected(now, self.has_voter_change_first());
         }
     }
 
-    /// Another node begins or goes on with a round, in which this one takes part as a voter: it is left the time of
-    /// both halves before a round of this node is begun.
-    pub(crate) fn on_round_of_another(&mut self, now: Instant) {
-        if self.round.is_none() && !self.changes_voters() {
-            let both_halves = 2 * self.pace.clamp(BACKOFF, LONGEST_REST);
-            self.rest_until = self.rest_until.max(now + both_halves);
+    /// This node votes in a round of another one.
+    pub(crate) fn on_competing_round(&mut self, now: Instant) {
+        if self.round.is_none() && !self.has_voter_change_first() {
+            self.backoff.yield_to_competing_round(now);
         }
     }
 
-    /// What waits first is a change of the voters.
-    fn changes_voters(&self) -> bool {
-        self.waiting
+    fn has_voter_change_first(&self) -> bool {
+        self.pending
             .front()
-            .is_some_and(|change| matches!(change.wanted, Wanted::Voters { .. }))
-    }
-
-    /// How long to rest after a clash. Who overtook is left the time of one round at least; a change of the voters
-    /// leaves none, since a second loss may come before the successor of the first one counts.
-    fn rest(&mut self) -> Duration {
-        if self.changes_voters() {
-            return SHORTEST_REST + self.backoff.up_to(BACKOFF);
-        }
-        let most = self
-            .pace
-            .max(BACKOFF)
-            .saturating_mul(1 << self.clashes)
-            .min(LONGEST_REST);
-        SHORTEST_REST + self.pace.min(LONGEST_REST) + self.backoff.up_to(most)
+            .is_some_and(|change| change.proposal.is_voter_change())
     }
 
-    /// A value was decided: rounds begin anew, and changes that it settles are answered. An order that was taken by
-    /// another node's round waits for a round of its own: what is acknowledged here rests on contact with more
-    /// than half of the voters, *a-cut-off-node-confirms-nothing*.
+    /// A value was decided: ballots count from the start for the next number, and changes that it resolves are
+    /// completed.
     pub(crate) fn on_decided(
         &mut self,
         decided: &DecidedState,
         learned: LearnedFrom,
         effects: &mut Vec<Effect>,
     ) {
-        (self.round, self.completion_wanted) = (None, false);
-        // Those who clashed have one less to settle: who lost most often would else wait longest, each time anew.
-        (self.highest_round, self.rest_until, self.clashes) = (0, Instant::START, 0);
-        self.waiting.retain(|change| {
-            let outcome = settled_by(&change.wanted, decided, learned);
-            let settled = outcome.is_some();
+        self.abandon_round();
+        self.highest_round = 0;
+        self.backoff.reset();
+        self.pending.retain(|change| {
+            let outcome = change.proposal.outcome_after(decided, learned);
+            let resolved = outcome.is_some();
             effects.extend(outcome.map(|outcome| Effect::Reply {
                 job: change.job,
                 outcome,
             }));
-            !settled
+            !resolved
         });
     }
 }
-
-/// The value that a change makes of the newest one, or how it ends.
-fn judge(wanted: &Wanted, decided: &DecidedState) -> Result<Value, Outcome> {
-    let revision = decided.value().map_or(0, |value| value.revision);
-    match wanted {
-        Wanted::Order { identity, document } => match decided.judge(identity) {
-            Verdict::Proposable => decided
-                .with_order(identity, document)
-                .ok_or(Outcome::Unknown),
-            Verdict::Committed => Err(Outcome::Committed(identity.revision)),
-            Verdict::Conflict => Err(Outcome::Conflict(revision)),
-            Verdict::Unknown => Err(Outcome::Unknown),
-        },
-        Wanted::Voters { on, voters, epoch } if *on == decided.number() && !voters.is_empty() => {
-            decided.with_voters(voters, *epoch).ok_or(Outcome::Unknown)
-        }
-        Wanted::Voters { .. } => Err(Outcome::Conflict(revision)),
-        Wanted::Completion => Err(Outcome::Committed(revision)),
-    }
-}
-
-/// How a change ends by what was just decided, if that needs no round.
-fn settled_by(wanted: &Wanted, decided: &DecidedState, learned: LearnedFrom) -> Option<Outcome> {
-    match wanted {
-        Wanted::Order { identity, .. } if learned == LearnedFrom::OwnRound => decided
-            .order_log()
-            .contains(identity)
-            .then_some(Outcome::Committed(identity.revision)),
-        Wanted::Voters { on, .. } if *on < decided.number() => Some(Outcome::Committed(
-            decided.value().map_or(0, |value| value.revision),
-        )),
-        _ => None,
-    }
-}
--- a/crates/linenthread-consensus/src/reader.rs
+++ b/crates/linenthread-consensus/src/reader.rs
@@ -1,135 +1,152 @@
+//! Linearizable reads: a majority of the voters confirms that no newer value is decided.
+
 use std::collections::BTreeMap;
-use std::time::Duration;
 
 use linenthread_messages::{PeerMessage, ReadReply, ReadRequest};
 use linenthread_time::Instant;
 
 use crate::decided_state::DecidedState;
-use crate::effects::{Effect, JobId, Outcome};
-use crate::register::{RESEND_AFTER, ROUND_TIMEOUT, WAITING_JOBS};
-
-/// A read that finds something half done asks again after so long, or when it is decided.
-const HALF_DONE: Duration = Duration::from_millis(20);
+use crate::effects::Effect;
+use crate::jobs::{JobId, Outcome};
+use crate::timing::{MAX_PENDING_JOBS, READ_RETRY_DELAY, RESEND_INTERVAL, ROUND_TIMEOUT};
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-struct WaitingRead {
+struct PendingRead {
     job: JobId,
-    until: Instant,
+    /// When it is completed as [`Outcome::Unknown`].
+    deadline: Instant,
 }
 
-/// One question to all voters; it answers just the reads that were there when it began.
+/// One request to all voters, on behalf of the reads that were pending when it started.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Question {
-    number: u64,
-    began: Instant,
+struct ReadRound {
+    read_id: u64,
+    started_at: Instant,
     last_sent: Instant,
-    reads: Vec<WaitingRead>,
-    /// Whether who answered has accepted something that is not decided.
-    pending_at: BTreeMap<u64, bool>,
+    reads: Vec<PendingRead>,
+    /// The voters that replied, and whether each has accepted a value that is not known to be decided.
+    replies: BTreeMap<u64, bool>,
+}
+
+impl ReadRound {
+    /// Sends the request to the voters that have not replied yet.
+    fn send(&self, decided: &DecidedState, effects: &mut Vec<Effect>) {
+        let message = PeerMessage::ReadRequest(ReadRequest {
+            read_id: self.read_id,
+        });
+        let missing = decided
+            .voters()
+            .iter()
+            .filter(|voter| !self.replies.contains_key(&voter.id));
+        effects.extend(missing.map(|voter| Effect::Send {
+            to: voter.id,
+            message: message.clone(),
+        }));
+    }
 }
 
-/// What an answer to a question led to.
+/// What a reply led to.
 #[derive(Debug, PartialEq, Eq)]
-pub(crate) enum ReadStep {
-    /// More answers are needed, or it was none that is waited for.
-    Nothing,
-    /// The other node knows of a newer value.
-    Behind,
-    /// Something is half done: it is to be completed first.
-    HalfDone,
-    /// Reads were answered.
-    Answered,
+pub(crate) enum ReadProgress {
+    /// Further replies are needed, or this one belongs to no current round.
+    Incomplete,
+    /// The voter knows a newer value than this node.
+    Lagging,
+    /// A voter has accepted an undecided value, which has to be decided first.
+    Undecided,
+    /// The round's reads are completed.
+    Completed,
 }
 
-/// Reads that wait, and the question that confirms the newest value for some of them.
+/// Pending reads, and the round that confirms the newest value for some of them.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Reader {
-    waiting: Vec<WaitingRead>,
-    question: Option<Question>,
-    /// Number of the last question; other lives begin elsewhere.
-    question_count: u64,
-    /// No question before this: what is half done takes a while.
-    ask_from: Instant,
+    pending: Vec<PendingRead>,
+    round: Option<ReadRound>,
+    /// Identity of the last round; each incarnation counts from another start.
+    last_read_id: u64,
+    /// No round starts before this: an undecided value takes a while to be decided.
+    not_before: Instant,
 }
 
 impl Reader {
     pub(crate) fn new(incarnation: u64) -> Reader {
         Reader {
-            waiting: Vec::new(),
-            question: None,
-            question_count: incarnation >> 16 << 16,
-            ask_from: Instant::START,
+            pending: Vec::new(),
+            round: None,
+            last_read_id: incarnation >> 16 << 16,
+            not_before: Instant::START,
         }
     }
 
-    /// Takes a read; false if too many wait.
-    pub(crate) fn add(&mut self, job: JobId, until: Instant) -> bool {
-        let room = self.waiting.len() < WAITING_JOBS;
-        if room {
-            self.waiting.push(WaitingRead { job, until });
+    /// Submits a read; false if too many are pending.
+    pub(crate) fn submit(&mut self, job: JobId, deadline: Instant) -> bool {
+        let has_room = self.pending.len() < MAX_PENDING_JOBS;
+        if has_room {
+            self.pending.push(PendingRead { job, deadline });
         }
-        room
+        has_room
     }
 
     pub(crate) fn is_busy(&self) -> bool {
-        !self.waiting.is_empty() || self.question.is_some()
+        !self.pending.is_empty() || self.round.is_some()
     }
 
-    /// Ends what took too long. It comes before each message: an answer that waited while this node was frozen is
-    /// no answer to a read whose time is over, and none to a question that is too old.
+    /// Completes reads whose deadline has passed, and abandons a round that is too old. To be called before each
+    /// message is handled: a reply that waited while this process was suspended confirms nothing.
     pub(crate) fn expire(&mut self, now: Instant, effects: &mut Vec<Effect>) {
-        expire_reads(&mut self.waiting, now, effects);
-        let Some(question) = &mut self.question else {
+        expire_reads(&mut self.pending, now, effects);
+        let Some(round) = &mut self.round else {
             return;
         };
-        expire_reads(&mut question.reads, now, effects);
-        if question.reads.is_empty() || now >= question.began + ROUND_TIMEOUT {
-            self.ask_anew();
+        expire_reads(&mut round.reads, now, effects);
+        if round.reads.is_empty() || now >= round.started_at + ROUND_TIMEOUT {
+            self.abandon_round();
         }
     }
 
-    /// Begins or repeats the question.
+    /// Starts a round, or sends its request again.
     pub(crate) fn tick(&mut self, now: Instant, decided: &DecidedState, effects: &mut Vec<Effect>) {
-        match &mut self.question {
-            Some(question) if now >= question.last_sent + RESEND_AFTER => {
-                question.last_sent = now;
-                question.send(decided, effects);
+        match &mut self.round {
+            Some(round) if now >= round.last_sent + RESEND_INTERVAL => {
+                round.last_sent = now;
+                round.send(decided, effects);
             }
-            None if !self.waiting.is_empty() && now >= self.ask_from => {
-                self.begin(now, decided, effects);
+            None if !self.pending.is_empty() && now >= self.not_before => {
+                self.start_round(now, decided, effects);
             }
             _ => {}
         }
     }
 
-    fn begin(&mut self, now: Instant, decided: &DecidedState, effects: &mut Vec<Effect>) {
-        self.question_count += 1;
-        let question = Question {
-            number: self.question_count,
-            began: now,
+    fn start_round(&mut self, now: Instant, decided: &DecidedState, effects: &mut Vec<Effect>) {
+        self.last_read_id += 1;
+        let round = ReadRound {
+            read_id: self.last_read_id,
+            started_at: now,
             last_sent: now,
-            reads: std::mem::take(&mut self.waiting),
-            pending_at: BTreeMap::new(),
+            reads: std::mem::take(&mut self.pending),
+            replies: BTreeMap::new(),
         };
-        question.send(decided, effects);
-        self.question = Some(question);
+        round.send(decided, effects);
+        self.round = Some(round);
     }
 
-    /// What was asked on an older value is asked anew.
-    pub(crate) fn ask_anew(&mut self) {
-        if let Some(question) = self.question.take() {
-            self.waiting.extend(question.reads);
+    /// The reads of the current round become pending again.
+    fn abandon_round(&mut self) {
+        if let Some(round) = self.round.take() {
+            self.pending.extend(round.reads);
         }
     }
 
-    /// A value was decided: there is nothing to wait for.
+    /// A value was decided: replies about an older one count no more, and there is nothing to wait for.
     pub(crate) fn on_decided(&mut self) {
-        self.ask_from = Instant::START;
-        self.ask_anew();
+        self.not_before = Instant::START;
+        self.abandon_round();
     }
 
-    /// An answer. Reads are answered when more than half of the voters of the newest value, asked after the reads
-    /// came, know of nothing newer and of nothing half done.
+    /// A reply. Reads are completed when a majority of the voters of the newest value, asked after the reads were
+    /// submitted, know no newer value and have accepted none (*reads-are-newest*).
     pub(crate) fn on_reply(
         &mut self,
         now: Instant,
@@ -137,62 +154,44 @@
         reply: &ReadReply,
         decided: &DecidedState,
         effects: &mut Vec<Effect>,
-    ) -> ReadStep {
+    ) -> ReadProgress {
         if reply.decided > decided.number() {
-            return ReadStep::Behind;
+            return ReadProgress::Lagging;
         }
-        let Some(question) = self
-            .question
+        let Some(round) = self
+            .round
             .as_mut()
-            .filter(|question| question.number == reply.read_id)
+            .filter(|round| round.read_id == reply.read_id)
         else {
-            return ReadStep::Nothing;
+            return ReadProgress::Incomplete;
         };
-        let pending = reply.pending && reply.decided == decided.number();
-        question.pending_at.insert(from, pending);
-        if !decided.is_majority(question.pending_at.keys().copied()) {
-            return ReadStep::Nothing;
+        let has_undecided = reply.pending && reply.decided == decided.number();
+        round.replies.insert(from, has_undecided);
+        if !decided.is_majority(round.replies.keys().copied()) {
+            return ReadProgress::Incomplete;
         }
-        if question.pending_at.values().any(|pending| *pending) {
-            self.ask_anew();
-            self.ask_from = now + HALF_DONE;
-            return ReadStep::HalfDone;
+        if round.replies.values().any(|has_undecided| *has_undecided) {
+            self.abandon_round();
+            self.not_before = now + READ_RETRY_DELAY;
+            return ReadProgress::Undecided;
         }
-        self.answer(decided, effects);
-        ReadStep::Answered
+        self.complete_round(decided, effects);
+        ReadProgress::Completed
     }
 
-    fn answer(&mut self, decided: &DecidedState, effects: &mut Vec<Effect>) {
-        let (Some(question), Some(newest)) = (self.question.take(), decided.value()) else {
+    fn complete_round(&mut self, decided: &DecidedState, effects: &mut Vec<Effect>) {
+        let (Some(round), Some(newest)) = (self.round.take(), decided.value()) else {
             return;
         };
-        let reply = |read: WaitingRead| Effect::Reply {
+        effects.extend(round.reads.into_iter().map(|read| Effect::Reply {
             job: read.job,
             outcome: Outcome::Newest(newest.clone()),
-        };
-        effects.extend(question.reads.into_iter().map(reply));
-    }
-}
-
-impl Question {
-    /// To the voters that have not answered yet.
-    fn send(&self, decided: &DecidedState, effects: &mut Vec<Effect>) {
-        let message = PeerMessage::ReadRequest(ReadRequest {
-            read_id: self.number,
-        });
-        let left = decided
-            .voters()
-            .iter()
-            .filter(|voter| !self.pending_at.contains_key(&voter.id));
-        effects.extend(left.map(|voter| Effect::Send {
-            to: voter.id,
-            message: message.clone(),
         }));
     }
 }
 
-fn expire_reads(reads: &mut Vec<WaitingRead>, now: Instant, effects: &mut Vec<Effect>) {
-    for read in reads.extract_if(.., |read| read.until <= now) {
+fn expire_reads(reads: &mut Vec<PendingRead>, now: Instant, effects: &mut Vec<Effect>) {
+    for read in reads.extract_if(.., |read| read.deadline <= now) {
         effects.push(Effect::Reply {
             job: read.job,
             outcome: Outcome::Unknown,
--- a/crates/linenthread-consensus/src/register.rs
+++ b/crates/linenthread-consensus/src/register.rs
@@ -1,30 +1,29 @@
-use std::time::Duration;
+//! The replicated register: routes messages and time to its parts, and adopts decided values.
 
 use linenthread_messages::{
     Accept, AcceptAck, CatchUpRequest, OrderLogEntries, OrderLogRequest, PeerMessage, Prepare,
-    Promise, ReadReply, ReadRequest, Record, Rejected, Synced, Value, Voter,
+    Promise, ReadReply, ReadRequest, Record, Rejected, Value, Voter,
 };
 use linenthread_time::Instant;
 
 use crate::acceptor::Acceptor;
+use crate::catch_up::OrderLogCatchUp;
+use crate::change::Change;
 use crate::decided_state::DecidedState;
 use crate::durability::Durability;
 use crate::durable_state::DurableState;
-use crate::effects::{Effect, JobId, Outcome};
-use crate::order::Change;
+use crate::effects::Effect;
+use crate::jobs::{JobId, Outcome};
 use crate::order_log::OrderLog;
-use crate::order_log_catch_up::OrderLogCatchUp;
-use crate::proposer::{LearnedFrom, Proposer};
-use crate::reader::{ReadStep, Reader};
-
-/// A message that got no answer is sent again after so long.
-pub(crate) const RESEND_AFTER: Duration = Duration::from_millis(150);
-/// A round or question that comes to nothing is begun anew after so long.
-pub(crate) const ROUND_TIMEOUT: Duration = Duration::from_millis(450);
-/// Jobs that may wait, of each kind.
-pub(crate) const WAITING_JOBS: usize = 64;
-
-/// One node's part in the agreement: acceptor, if its disk counts, proposer and reader.
+use crate::proposal::LearnedFrom;
+use crate::proposer::Proposer;
+use crate::reader::{ReadProgress, Reader};
+
+/// One node's part in a register whose value is decided by a majority of the voters: proposer and reader, and acceptor
+/// if the node is a voter.
+///
+/// Each method that may lead to effects appends them to `effects`; the driver carries them out in that order. All
+/// instants come from one steady clock and never go back.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Register {
     id: u64,
@@ -37,11 +36,13 @@
 }
 
 impl Register {
-    /// From what the disk holds; `genesis` is value 0 where all start for the first time. `incarnation` is the same in no
-    /// other incarnation of any node.
-    pub fn new(id: u64, kept: DurableState, genesis: Option<Value>, incarnation: u64) -> Register {
-        let durability = Durability::new(id, kept.decided_number());
-        let (value, order_log, acceptor) = kept.into_parts(genesis);
+    /// A node that starts with the state that its disk holds.
+    ///
+    /// `genesis` is value 0 where all nodes start for the first time. `incarnation` must be shared with no other
+    /// incarnation of any node.
+    pub fn new(id: u64, state: DurableState, genesis: Option<Value>, incarnation: u64) -> Register {
+        let durability = Durability::new(id, state.decided_number());
+        let (value, order_log, acceptor) = state.into_parts(genesis);
         Register {
             id,
             decided: DecidedState::new(value, order_log),
@@ -53,7 +54,7 @@
         }
     }
 
-    /// The name of this node's disk.
+    /// This node's identity, which belongs to its disk: a node whose disk was replaced is another one.
     pub fn id(&self) -> u64 {
         self.id
     }
@@ -63,97 +64,104 @@
         self.decided.value()
     }
 
-    /// Those whose disks decide the next value.
+    /// The nodes that decide the next value, as the newest value that this node knows names them.
     pub fn voters(&self) -> &[Voter] {
         self.decided.voters()
     }
 
-    /// Whether these are more than half of the counted disks.
+    /// Whether these nodes include more than half of the voters.
     pub fn is_majority(&self, ids: impl IntoIterator<Item = u64>) -> bool {
         self.decided.is_majority(ids)
     }
 
-    /// Its disk took part in a value that, as far as it knows, is not decided.
+    /// Whether this node has accepted a value that it does not know to be decided.
     pub fn has_undecided(&self) -> bool {
         self.acceptor.has_undecided()
     }
 
-    /// Sees to it that what is in doubt is decided.
+    /// Has the value decided that this node has accepted, if there is one that it does not know to be decided.
     pub fn complete_undecided(&mut self) {
         if self.acceptor.has_undecided() {
-            self.proposer.complete();
+            self.proposer.request_completion();
         }
     }
 
-    /// Something waits for messages that may be lost.
+    /// Whether a job or round is pending, so that [`Register::tick`] is needed soon.
     pub fn is_busy(&self) -> bool {
         self.proposer.is_busy() || self.reader.is_busy()
     }
 
-    /// The orders that were taken, as far as this node knows them.
+    /// The accepted orders that this node knows of.
     pub fn order_log(&self) -> &OrderLog {
         self.decided.order_log()
     }
 
-    /// Number of the newest decided value that is synced on this node's disk; 0 if none.
+    /// Number of the newest decided value that is synced to this node's disk; 0 if none.
     pub fn durable_number(&self) -> u64 {
         self.durability.number()
     }
 
-    /// The ledger lacks nothing that others have, within its bound.
+    /// Whether the order log, within its bound, lacks no order that other voters have.
     pub fn order_log_complete(&self) -> bool {
         self.decided.value().is_some() && self.decided.order_log().is_complete()
     }
 
-    /// The ledger is complete, and all of it that came apart from values is synced on this node's disk.
+    /// Whether the order log is complete and synced to this node's disk.
     pub fn order_log_durable(&self) -> bool {
-        self.order_log_complete() && self.durability.holds_order_log()
+        self.order_log_complete() && self.durability.is_order_log_synced()
     }
 
-    /// The newest decided value that this node knows and all of the ledger are synced on its disk: only then may
-    /// it begin to count.
+    /// Whether the newest decided value and the complete order log are synced to this node's disk. A node may become a
+    /// voter only then (*known-at-each-node*).
     pub fn is_fully_durable(&self) -> bool {
-        self.order_log_durable() && self.durability.holds(self.decided.number())
+        self.order_log_durable() && self.durability.is_synced(self.decided.number())
     }
 
-    /// Wants a change by then.
+    /// Proposes a change. The job is completed by an [`Effect::Reply`], as [`Outcome::Unknown`] at `deadline` at the
+    /// latest.
     pub fn propose(
         &mut self,
         now: Instant,
         job: JobId,
         change: Change,
-        until: Instant,
+        deadline: Instant,
         effects: &mut Vec<Effect>,
     ) {
-        if self.decided.value().is_none() || !self.proposer.add(job, change, until) {
-            effects.push(Effect::Reply {
-                job,
-                outcome: Outcome::Unknown,
-            });
-            return;
-        }
-        self.tick(now, effects);
+        let submitted =
+            self.decided.value().is_some() && self.proposer.submit(job, change, deadline);
+        self.start_or_reject(now, job, submitted, effects);
     }
 
-    /// Wants the newest value by then.
-    pub fn read(&mut self, now: Instant, job: JobId, until: Instant, effects: &mut Vec<Effect>) {
-        if self.decided.value().is_none() || !self.reader.add(job, until) {
-            effects.push(Effect::Reply {
-                job,
-                outcome: Outcome::Unknown,
-            });
-            return;
+    /// Reads the newest value. The job is completed by an [`Effect::Reply`], as [`Outcome::Unknown`] at `deadline` at
+    /// the latest.
+    pub fn read(&mut self, now: Instant, job: JobId, deadline: Instant, effects: &mut Vec<Effect>) {
+        let submitted = self.decided.value().is_some() && self.reader.submit(job, deadline);
+        self.start_or_reject(now, job, submitted, effects);
+    }
+
+    fn start_or_reject(
+        &mut self,
+        now: Instant,
+        job: JobId,
+        submitted: bool,
+        effects: &mut Vec<Effect>,
+    ) {
+        if submitted {
+            self.tick(now, effects);
+        } else {
+            let outcome = Outcome::Unknown;
+            effects.push(Effect::Reply { job, outcome });
         }
-        self.tick(now, effects);
     }
 
-    /// Ends what took too long, sends again what got no answer, begins what waits.
+    /// Does what is due: completes jobs whose deadline has passed, sends requests again, starts rounds. To be called
+    /// every few milliseconds while [`Register::is_busy`], and every now and then otherwise.
     pub fn tick(&mut self, now: Instant, effects: &mut Vec<Effect>) {
         self.expire(now, effects);
         self.reader.tick(now, &self.decided, effects);
         self.proposer.tick(now, &self.decided, effects);
         self.catch_up.tick(now, &mut self.decided, effects);
-        self.persist_again(now, effects);
+        self.rewrite_if_due(now, effects);
     }
 
     fn expire(&mut self, now: Instant, effects: &mut Vec<Effect>) {
@@ -161,9 +169,9 @@
         self.reader.expire(now, effects);
     }
 
-    /// The disk drops records when too many wait: they are handed over again.
-    fn persist_again(&mut self, now: Instant, effects: &mut Vec<Effect>) {
-        if !self.durability.is_overdue(now, self.decided.number()) {
+    /// Writes the decided state again, where the disk has dropped records.
+    fn rewrite_if_due(&mut self, now: Instant, effects: &mut Vec<Effect>) {
+        if !self.durability.is_rewrite_due(now, self.decided.number()) {
             return;
         }
         if let Some(value) = self.decided.value() {
@@ -174,8 +182,10 @@
             .persist_complete_order_log(now, orders, effects);
     }
 
-    /// A message from the node of a disk; what is not for the register is passed over. What is too old by `now` ends
-    /// first, so that no message that waited while this node was frozen brings it to an end of another kind.
+    /// Handles a message of another node, or of this node to itself; ignores messages that are not the register's.
+    ///
+    /// Jobs and rounds whose time has passed end first, so that a message that waited while this process was suspended
+    /// does not complete them.
     pub fn on_message(
         &mut self,
         now: Instant,
@@ -186,38 +196,32 @@
         self.expire(now, effects);
         match message {
             PeerMessage::Prepare(request) => self.on_prepare(now, from, &request, effects),
-            PeerMessage::Accept(request) => self.on_accept(from, request, effects),
             PeerMessage::Promise(promise) => self.on_promise(now, from, promise, effects),
-            PeerMessage::AcceptAck(acknowledgement) => {
-                self.on_accept_ack(now, from, &acknowledgement, effects);
-            }
+            PeerMessage::Accept(request) => self.on_accept(from, request, effects),
+            PeerMessage::AcceptAck(ack) => self.on_accept_ack(now, from, &ack, effects),
             PeerMessage::Rejected(rejected) => self.on_rejected(now, &rejected),
+            PeerMessage::Decided(value) => self.adopt(now, value, LearnedFrom::Peer, effects),
             PeerMessage::CatchUpRequest(request) => {
                 self.on_catch_up_request(from, &request, effects);
             }
-            PeerMessage::Decided(value) => {
-                self.adopt(now, value, LearnedFrom::AnotherNode, effects);
-            }
             PeerMessage::ReadRequest(request) => self.on_read_request(from, &request, effects),
             PeerMessage::ReadReply(reply) => self.on_read_reply(now, from, &reply, effects),
             PeerMessage::OrderLogRequest(request) => {
-                self.on_ledger_request(from, &request, effects);
+                self.on_order_log_request(from, &request, effects);
             }
             PeerMessage::OrderLogEntries(entries) => {
-                self.on_ledger_entries(now, from, entries, effects);
+                self.on_order_log_entries(now, from, entries, effects);
             }
-            PeerMessage::Synced(synced) if from == self.id => self.on_synced(&synced),
+            PeerMessage::Synced(synced) if from == self.id => self.durability.on_synced(&synced),
             _ => {}
         }
     }
 
-    // --- acceptor ---
-
-    /// Whether this disk may say anything on a number; otherwise the other side is told what it lacks, or this
-    /// one asks for it.
-    fn takes_part(&self, from: u64, number: u64, effects: &mut Vec<Effect>) -> bool {
+    /// Whether this node may vote on a number. Otherwise the sender is sent what it lacks, or asked for what this node
+    /// lacks.
+    fn may_vote_on(&self, from: u64, number: u64, effects: &mut Vec<Effect>) -> bool {
         let Some(value) = self.decided.value() else {
-            effects.push(ask_to_catch_up(from, 0));
+            effects.push(catch_up_request(from, 0));
             return false;
         };
         if number <= value.number {
@@ -228,11 +232,11 @@
             return false;
         }
         if number > value.number + 1 {
-            effects.push(ask_to_catch_up(from, value.number));
+            effects.push(catch_up_request(from, value.number));
             return false;
         }
-        // Its disk may hold acceptances for a later number: this one is decided then, and another node says what.
-        number >= self.acceptor.number() && self.decided.counts(self.id)
+        // A number below the acceptor's is decided, though the record of that value is lost: another node has it.
+        number >= self.acceptor.number() && self.decided.is_voter(self.id)
     }
 
     fn on_prepare(
@@ -242,34 +246,26 @@
         request: &Prepare,
         effects: &mut Vec<Effect>,
     ) {
-        if !self.takes_part(from, request.number, effects) {
+        if !self.may_vote_on(from, request.number, effects) {
             return;
         }
         let result = self.acceptor.on_prepare(request);
         if from != self.id && result.is_ok() {
-            self.proposer.on_round_of_another(now);
+            self.proposer.on_competing_round(now);
         }
-        answer(
-            from,
-            result.map(|(record, promise)| (record, PeerMessage::Promise(promise))),
-            effects,
-        );
+        let reply = result.map(|(record, promise)| (record, PeerMessage::Promise(promise)));
+        effects.push(acceptor_reply(from, reply));
     }
 
     fn on_accept(&mut self, from: u64, request: Accept, effects: &mut Vec<Effect>) {
-        if !self.takes_part(from, request.value.number, effects) {
+        if !self.may_vote_on(from, request.value.number, effects) {
             return;
         }
         let result = self.acceptor.on_accept(request);
-        answer(
-            from,
-            result.map(|(record, accepted)| (record, PeerMessage::AcceptAck(accepted))),
-            effects,
-        );
+        let reply = result.map(|(record, ack)| (record, PeerMessage::AcceptAck(ack)));
+        effects.push(acceptor_reply(from, reply));
     }
 
-    // --- proposer ---
-
     fn on_promise(&mut self, now: Instant, from: u64, promise: Promise, effects: &mut Vec<Effect>) {
         self.proposer
             .on_promise(now, from, promise, &self.decided, effects);
@@ -280,14 +276,11 @@
         &mut self,
         now: Instant,
         from: u64,
-        acknowledgement: &AcceptAck,
+        ack: &AcceptAck,
         effects: &mut Vec<Effect>,
     ) {
-        if let Some(value) = self
-            .proposer
-            .on_accept_ack(from, acknowledgement, &self.decided)
-        {
-            self.adopt(now, value, LearnedFrom::OwnRound, effects);
+        if let Some(value) = self.proposer.on_accept_ack(from, ack, &self.decided) {
+            self.adopt(now, value, LearnedFrom::LocalRound, effects);
         }
     }
 
@@ -295,9 +288,7 @@
         self.proposer.on_rejected(now, rejected, &self.decided);
     }
 
-    // --- decided values ---
-
-    /// Another node has less than this one: it gets what it lacks, and the request on hand again.
+    /// Another node has an older value: it is sent the newest one, and the request that it could not handle again.
     fn on_catch_up_request(
         &mut self,
         from: u64,
@@ -314,14 +305,11 @@
             to: from,
             message: PeerMessage::Decided(value.clone()),
         });
-        effects.extend(
-            self.proposer
-                .request()
-                .map(|message| Effect::Send { to: from, message }),
-        );
+        let request = self.proposer.current_request();
+        effects.extend(request.map(|message| Effect::Send { to: from, message }));
     }
 
-    /// Learns a value that is decided.
+    /// Learns a decided value; an older one than the newest known is ignored (*nothing-goes-back*).
     fn adopt(
         &mut self,
         now: Instant,
@@ -329,34 +317,30 @@
         learned: LearnedFrom,
         effects: &mut Vec<Effect>,
     ) {
-        if self
+        let is_newer = self
             .decided
             .value()
-            .is_some_and(|decided| value.number <= decided.number)
-        {
+            .is_none_or(|decided| value.number > decided.number);
+        if !is_newer {
             return;
         }
         self.decided.adopt(value.clone());
         self.acceptor.advance_to(value.number + 1);
         self.durability.persist_value(now, &value, effects);
         effects.push(Effect::Decided(value));
-        // What was asked before this is asked anew, and changes see whether they are done.
         self.reader.on_decided();
         self.proposer.on_decided(&self.decided, learned, effects);
         self.tick(now, effects);
     }
 
-    // --- reader ---
-
     fn on_read_request(&self, from: u64, request: &ReadRequest, effects: &mut Vec<Effect>) {
         let Some(value) = self.decided.value() else {
             return;
         };
-        let pending = self.acceptor.has_undecided();
         let reply = ReadReply {
             read_id: request.read_id,
             decided: value.number,
-            pending,
+            pending: self.acceptor.has_undecided(),
         };
         effects.push(Effect::Send {
             to: from,
@@ -374,31 +358,34 @@
         if self.decided.value().is_none() {
             return;
         }
-        match self
+        let progress = self
             .reader
-            .on_reply(now, from, reply, &self.decided, effects)
-        {
-            ReadStep::Nothing => {}
-            ReadStep::Behind => effects.push(ask_to_catch_up(from, self.decided.number())),
-            ReadStep::HalfDone => {
-                self.proposer.complete();
+            .on_reply(now, from, reply, &self.decided, effects);
+        match progress {
+            ReadProgress::Incomplete => {}
+            ReadProgress::Lagging => effects.push(catch_up_request(from, self.decided.number())),
+            ReadProgress::Undecided => {
+                self.proposer.request_completion();
                 self.tick(now, effects);
             }
-            ReadStep::Answered => self.tick(now, effects),
+            ReadProgress::Completed => self.tick(now, effects),
         }
     }
 
-    // --- ledger ---
-
-    fn on_ledger_request(&self, from: u64, request: &OrderLogRequest, effects: &mut Vec<Effect>) {
-        let entries = self.decided.order_log().answer(request);
+    fn on_order_log_request(
+        &self,
+        from: u64,
+        request: &OrderLogRequest,
+        effects: &mut Vec<Effect>,
+    ) {
+        let entries = self.decided.order_log().entries_for(request);
         effects.push(Effect::Send {
             to: from,
             message: PeerMessage::OrderLogEntries(entries),
         });
     }
 
-    fn on_ledger_entries(
+    fn on_order_log_entries(
         &mut self,
         now: Instant,
         from: u64,
@@ -410,22 +397,19 @@
         }
         self.tick(now, effects);
     }
-
-    fn on_synced(&mut self, synced: &Synced) {
-        self.durability.on_synced(synced);
-    }
 }
 
-fn ask_to_catch_up(to: u64, number: u64) -> Effect {
+/// Asks a node for the values after the one of this number.
+fn catch_up_request(to: u64, number: u64) -> Effect {
     Effect::Send {
         to,
         message: PeerMessage::CatchUpRequest(CatchUpRequest { number }),
     }
 }
 
-/// What an acceptor says goes out when its record is synced; a refusal at once.
-fn answer(to: u64, result: Result<(Record, PeerMessage), Rejected>, effects: &mut Vec<Effect>) {
-    effects.push(match result {
+/// An acceptor's reply leaves once its record is synced; a rejection, which needs none, at once.
+fn acceptor_reply(to: u64, reply: Result<(Record, PeerMessage), Rejected>) -> Effect {
+    match reply {
         Ok((record, message)) => Effect::Persist {
             record,
             after_sync: vec![(to, message)],
@@ -434,17 +418,5 @@
             to,
             message: PeerMessage::Rejected(rejected),
         },
-    });
-}
-
-/// Sends a message to all that count, this node too if it does.
-pub(crate) fn send_to_voters(
-    decided: &DecidedState,
-    message: &PeerMessage,
-    effects: &mut Vec<Effect>,
-) {
-    effects.extend(decided.voters().iter().map(|voter| Effect::Send {
-        to: voter.id,
-        message: message.clone(),
-    }));
+    }
 }
--- /dev/null
+++ b/crates/linenthread-consensus/src/round.rs
@@ -0,0 +1,155 @@
+//! One attempt to decide the next number: both phases of Paxos, from the proposer's side.
+
+use std::collections::BTreeSet;
+
+use linenthread_messages::{
+    Accept, AcceptAck, Accepted, Ballot, PeerMessage, Prepare, Promise, Value,
+};
+use linenthread_time::Instant;
+
+use crate::decided_state::DecidedState;
+use crate::timing::{RESEND_INTERVAL, ROUND_TIMEOUT};
+
+/// A round under one ballot.
+#[derive(Clone, Debug, PartialEq, Eq, Hash)]
+pub(crate) struct Round {
+    number: u64,
+    ballot: Ballot,
+    /// When the current phase began: each has the whole time-out, or disks that take a quarter of it would complete
+    /// no round.
+    phase_started_at: Instant,
+    last_sent: Instant,
+    phase: Phase,
+}
+
+#[derive(Clone, Debug, PartialEq, Eq, Hash)]
+enum Phase {
+    Prepare {
+        promised_by: BTreeSet<u64>,
+        /// Of what the promises report, the one with the greatest ballot.
+        highest_accepted: Option<Accepted>,
+    },
+    Accept {
+        value: Value,
+        accepted_by: BTreeSet<u64>,
+    },
+}
+
+/// A majority of the voters has promised.
+pub(crate) struct Prepared {
+    /// The value that must be proposed: one of the voters has accepted it, and it may be decided already. If there is
+    /// none, no value is decided for this number, nor can be under a lower ballot.
+    pub(crate) accepted: Option<Value>,
+    /// When the phase began.
+    pub(crate) started_at: Instant,
+}
+
+impl Round {
+    /// A round in its first phase.
+    pub(crate) fn new(number: u64, ballot: Ballot, now: Instant) -> Round {
+        Round {
+            number,
+            ballot,
+            phase_started_at: now,
+            last_sent: now,
+            phase: Phase::Prepare {
+                promised_by: BTreeSet::new(),
+                highest_accepted: None,
+            },
+        }
+    }
+
+    pub(crate) fn ballot(&self) -> Ballot {
+        self.ballot
+    }
+
+    /// The current phase's request to the voters.
+    pub(crate) fn request(&self) -> PeerMessage {
+        match &self.phase {
+            Phase::Prepare { .. } => PeerMessage::Prepare(Prepare {
+                number: self.number,
+                ballot: self.ballot,
+            }),
+            Phase::Accept { value, .. } => PeerMessage::Accept(Accept {
+                ballot: self.ballot,
+                value: value.clone(),
+            }),
+        }
+    }
+
+    pub(crate) fn is_timed_out(&self, now: Instant) -> bool {
+        now >= self.phase_started_at + ROUND_TIMEOUT
+    }
+
+    pub(crate) fn is_resend_due(&self, now: Instant) -> bool {
+        now >= self.last_sent + RESEND_INTERVAL
+    }
+
+    pub(crate) fn resent(&mut self, now: Instant) {
+        self.last_sent = now;
+    }
+
+    /// Counts a promise; returns the result of the phase once a majority has promised.
+    pub(crate) fn on_promise(
+        &mut self,
+        from: u64,
+        promise: Promise,
+        decided: &DecidedState,
+    ) -> Option<Prepared> {
+        if !self.is_for(promise.number, promise.ballot) {
+            return None;
+        }
+        let Phase::Prepare {
+            promised_by,
+            highest_accepted,
+        } = &mut self.phase
+        else {
+            return None;
+        };
+        promised_by.insert(from);
+        if ballot_of(&promise.accepted) > ballot_of(highest_accepted) {
+            *highest_accepted = promise.accepted;
+        }
+        let has_majority = decided.is_majority(promised_by.iter().copied());
+        has_majority.then(|| Prepared {
+            accepted: highest_accepted.take().map(|accepted| accepted.value),
+            started_at: self.phase_started_at,
+        })
+    }
+
+    /// Enters the second phase with the value to propose.
+    pub(crate) fn propose(&mut self, now: Instant, value: Value) {
+        self.phase = Phase::Accept {
+            value,
+            accepted_by: BTreeSet::new(),
+        };
+        (self.phase_started_at, self.last_sent) = (now, now);
+    }
+
+    /// Counts an acceptance; returns the value once a majority has accepted it, which decides it.
+    pub(crate) fn on_accept_ack(
+        &mut self,
+        from: u64,
+        ack: &AcceptAck,
+        decided: &DecidedState,
+    ) -> Option<Value> {
+        if !self.is_for(ack.number, ack.ballot) {
+            return None;
+        }
+        let Phase::Accept { value, accepted_by } = &mut self.phase else {
+            return None;
+        };
+        accepted_by.insert(from);
+        decided
+            .is_majority(accepted_by.iter().copied())
+            .then(|| value.clone())
+    }
+
+    fn is_for(&self, number: u64, ballot: Ballot) -> bool {
+        (self.number, self.ballot) == (number, ballot)
+    }
+}
+
+fn ballot_of(accepted: &Option<Accepted>) -> Option<Ballot> {
+    accepted.as_ref().map(|accepted| accepted.ballot)
+}
