--- /dev/null
+++ b/crates/linenthread-fleet/src/dialer.rs
@@ -0,0 +1,176 @@
+//! Whom this process connects to, and when again after a loss.
+
+use std::collections::BTreeMap;
+use std::net::SocketAddr;
+
+use linenthread_core::interface::TenthMillis;
+use oorandom::Rand64;
+
+/// The first backoff after a loss. Each further one is twice as long, and half of it is random, so that those who
+/// lost one process do not all come back to it at once.
+const FIRST_BACKOFF: TenthMillis = 1_000;
+/// The longest backoff.
+const MAX_BACKOFF: TenthMillis = 50_000;
+/// A connection that lasted so long resets the backoff.
+const STABLE_AFTER: TenthMillis = 50_000;
+/// Failures are counted up to this.
+const MAX_FAILURES: u32 = 16;
+/// The backoff doubles so often at most.
+const MAX_DOUBLINGS: u32 = 10;
+
+/// A connection that is being made, or is open.
+#[derive(Clone, Copy, Debug)]
+struct Attempt {
+    connection: u64,
+    started_at: TenthMillis,
+}
+
+#[derive(Clone, Debug)]
+struct Target {
+    address: SocketAddr,
+    failures: u32,
+    /// When it may be dialled next.
+    next_attempt_at: TenthMillis,
+    attempt: Option<Attempt>,
+}
+
+/// A process that is to be connected to now.
+pub(crate) struct DueDial {
+    pub(crate) connection: u64,
+    pub(crate) name: String,
+    pub(crate) address: SocketAddr,
+}
+
+/// Which of its targets a process keeps a connection to.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum DialMode {
+    /// All of them.
+    All,
+    /// Any one: it is used until it fails.
+    AnyOne,
+}
+
+/// The processes that are dialled from here.
+#[derive(Debug)]
+pub(crate) struct Dialer {
+    targets: BTreeMap<String, Target>,
+    rng: Rand64,
+    mode: DialMode,
+    /// The target in use where any one will do.
+    selected: Option<String>,
+}
+
+impl Dialer {
+    /// Dials these processes, each after a short random time.
+    pub(crate) fn new(
+        targets: impl Iterator<Item = (String, SocketAddr)>,
+        mode: DialMode,
+        seed: u64,
+        now: TenthMillis,
+    ) -> Dialer {
+        let mut rng = Rand64::new(u128::from(seed));
+        let mut target = |address| Target {
+            address,
+            failures: 0,
+            next_attempt_at: now + (rng.rand_float() * FIRST_BACKOFF as f64) as TenthMillis,
+            attempt: None,
+        };
+        let targets = targets
+            .map(|(name, address)| (name, target(address)))
+            .collect();
+        let mut dialer = Dialer {
+            targets,
+            rng,
+            mode,
+            selected: None,
+        };
+        dialer.select();
+        dialer
+    }
+
+    /// Nobody is dialled.
+    pub(crate) fn idle(now: TenthMillis) -> Dialer {
+        Dialer::new(std::iter::empty(), DialMode::AnyOne, 0, now)
+    }
+
+    /// Selects a random target, but not the one that has just failed where there is another.
+    fn select(&mut self) {
+        if self.mode == DialMode::All || self.targets.is_empty() {
+            return;
+        }
+        let names = self.targets.keys();
+        let others: Vec<&String> = names
+            .filter(|name| Some(*name) != self.selected.as_ref())
+            .collect();
+        let index = self.rng.rand_range(0..others.len().max(1) as u64) as usize;
+        if let Some(name) = others.get(index) {
+            self.selected = Some((*name).clone());
+        }
+    }
+
+    fn is_wanted(&self, name: &str) -> bool {
+        self.mode == DialMode::All || self.selected.as_deref() == Some(name)
+    }
+
+    pub(crate) fn mode(&self) -> DialMode {
+        self.mode
+    }
+
+    /// When [`Dialer::due`] has something to dial.
+    pub(crate) fn wake_at(&self) -> TenthMillis {
+        self.targets
+            .iter()
+            .filter(|(name, target)| target.attempt.is_none() && self.is_wanted(name))
+            .map(|(_, target)| target.next_attempt_at)
+            .min()
+            .unwrap_or(TenthMillis::MAX)
+    }
+
+    /// Those to be dialled now; `next_connection` numbers their connections.
+    pub(crate) fn due(
+        &mut self,
+        now: TenthMillis,
+        mut next_connection: impl FnMut() -> u64,
+    ) -> Vec<DueDial> {
+        let (mode, selected) = (self.mode, self.selected.as_deref());
+        let mut due = Vec::new();
+        for (name, target) in &mut self.targets {
+            let is_wanted = mode == DialMode::All || selected == Some(name);
+            if !is_wanted || target.attempt.is_some() || target.next_attempt_at > now {
+                continue;
+            }
+            let connection = next_connection();
+            target.attempt = Some(Attempt {
+                connection,
+                started_at: now,
+            });
+            due.push(DueDial {
+                connection,
+                name: name.clone(),
+                address: target.address,
+            });
+        }
+        due
+    }
+
+    /// A connection could not be made, or has ended.
+    pub(crate) fn on_closed(&mut self, now: TenthMillis, connection: u64) {
+        let is_it = |attempt: Attempt| attempt.connection == connection;
+        let mut targets = self.targets.values_mut();
+        let Some(target) = targets.find(|target| target.attempt.is_some_and(is_it)) else {
+            return;
+        };
+        let attempt = target.attempt.take();
+        let was_stable = attempt.is_some_and(|attempt| now - attempt.started_at >= STABLE_AFTER);
+        target.failures = if was_stable {
+            1
+        } else {
+            (target.failures + 1).min(MAX_FAILURES)
+        };
+        let doublings = (target.failures - 1).min(MAX_DOUBLINGS);
+        let backoff = (FIRST_BACKOFF << doublings).min(MAX_BACKOFF);
+        let random_part = (self.rng.rand_float() * backoff as f64 / 2.0) as TenthMillis;
+        target.next_attempt_at = now + backoff / 2 + random_part;
+        self.select();
+    }
+}
--- /dev/null
+++ b/crates/linenthread-fleet/src/error.rs
@@ -0,0 +1,186 @@
+//! Why something of the fleet cannot be decoded, opened or proposed.
+
+use linenthread_frames::DecodeError;
+use linenthread_store::Trouble;
+use snafu::Snafu;
+
+/// Why bytes are no frame of the fleet, no record of a voter's disk, or no datagram.
+#[derive(Clone, Debug, PartialEq, Snafu)]
+#[snafu(visibility(pub(crate)))]
+pub enum RecordError {
+    /// A field does not decode.
+    #[snafu(transparent)]
+    Field {
+        /// What the decoder found.
+        source: DecodeError,
+    },
+    /// The kind of a frame is unknown.
+    #[snafu(display("no frame is of kind {kind}"))]
+    UnknownFrame {
+        /// The byte that stands for the kind.
+        kind: u8,
+    },
+    /// The kind of a Raft message is unknown.
+    #[snafu(display("no message is of kind {kind}"))]
+    UnknownMessage {
+        /// The byte that stands for the kind.
+        kind: u8,
+    },
+    /// The kind of a record on disk is unknown.
+    #[snafu(display("no record is of kind {kind}"))]
+    UnknownRecord {
+        /// The byte that stands for the kind.
+        kind: u8,
+    },
+    /// A voter's progress is unknown.
+    #[snafu(display("no standing is {code}"))]
+    UnknownProgress {
+        /// The byte that stands for the progress.
+        code: u8,
+    },
+    /// A gossip message is of an unknown kind.
+    #[snafu(display("no gossip is of kind {kind}"))]
+    UnknownGossip {
+        /// The byte that stands for the kind.
+        kind: u8,
+    },
+    /// A member's state is unknown.
+    #[snafu(display("no state is {code}"))]
+    UnknownMemberState {
+        /// The byte that stands for the state.
+        code: u8,
+    },
+    /// An address is of an unknown family.
+    #[snafu(display("an address cannot be of kind {kind}"))]
+    UnknownAddressFamily {
+        /// The byte that stands for the family.
+        kind: u8,
+    },
+    /// The context of a Raft message is longer than the limit.
+    #[snafu(display("a message's context is too long"))]
+    ContextTooLong,
+    /// A Raft message has more entries than the limit.
+    #[snafu(display("{count} entries are too many"))]
+    TooManyEntries {
+        /// How many.
+        count: u16,
+    },
+    /// A report is longer than the limit.
+    #[snafu(display("a report of {length} bytes is too long"))]
+    ReportTooLong {
+        /// Its length in bytes.
+        length: usize,
+    },
+    /// A topic or a value is longer than the limit.
+    #[snafu(display("a value is too long for the record"))]
+    ValueTooLong,
+    /// An entry does not follow those before it.
+    #[snafu(display("an entry stands where none can be"))]
+    MisplacedEntry,
+    /// A name is empty, or longer than the limit.
+    #[snafu(display("a name is too long or empty"))]
+    InvalidName,
+    /// More names were received than are remembered.
+    #[snafu(display("too many names"))]
+    TooManyNames,
+}
+
+/// Why a voter cannot be opened. It must not take part with less than it promised.
+#[derive(Clone, Debug, PartialEq, Snafu)]
+#[snafu(visibility(pub(crate)))]
+pub enum OpenError {
+    /// What was written is damaged, or of another version.
+    #[snafu(display("{cause}"))]
+    OpenStorage {
+        /// What the log found.
+        cause: Trouble,
+    },
+    /// The folder is another voter's.
+    #[snafu(display("the folder belongs to the voter {owner}, not to {local}"))]
+    ForeignFolder {
+        /// The voter that wrote the folder.
+        owner: String,
+        /// The voter that was to be opened.
+        local: String,
+    },
+}
+
+/// Why a value cannot be proposed.
+#[derive(Debug, PartialEq, Snafu)]
+#[snafu(visibility(pub(crate)))]
+pub enum ProposeError {
+    /// This process has no voter.
+    #[snafu(display("this process is no voter"))]
+    NotVoter,
+    /// This process does not hold the leader's lease.
+    #[snafu(display("this process does not lead"))]
+    NotLeader,
+    /// The topic or the value is longer than the limit.
+    #[snafu(display("the value is too long"))]
+    TooLong,
+    /// Raft refused it, mostly since too much waits to be committed.
+    #[snafu(display("{source}"))]
+    Refused {
+        /// Raft's cause.
+        source: raft::Error,
+    },
+}
+
+/// Why a datagram was not accepted.
+#[derive(Debug, Snafu)]
+#[snafu(visibility(pub(crate)))]
+pub enum DatagramError {
+    /// It is shorter than a proof.
+    #[snafu(display("a datagram is too short to prove anything"))]
+    TooShort,
+    /// It does not prove the secret.
+    #[snafu(display("a datagram does not prove the secret"))]
+    Unproven,
+    /// The gossip protocol refused it.
+    #[snafu(display("{source}"))]
+    Gossip {
+        /// The protocol's cause.
+        source: foca::Error,
+    },
+}
+
+/// Why a peer's Raft message is not passed to Raft: no correct voter sends it, and the library would panic on it.
+#[derive(Clone, Debug, PartialEq, Snafu)]
+#[snafu(visibility(pub(crate)))]
+pub enum MessageError {
+    /// An entry does not follow the one before it, or contradicts a committed one.
+    #[snafu(display("entry {index} of term {term} cannot stand there"))]
+    ImpossibleEntry {
+        /// The entry's index.
+        index: u64,
+        /// The entry's term.
+        term: u64,
+    },
+    /// The commit index is beyond the entries that this voter has acknowledged.
+    #[snafu(display("{commit} cannot be agreed on where {last_index} entries are"))]
+    ImpossibleCommit {
+        /// The message's commit index.
+        commit: u64,
+        /// The index of the last entry here.
+        last_index: u64,
+    },
+    /// The state in a snapshot does not decode.
+    #[snafu(display("{source}"))]
+    MalformedSnapshot {
+        /// What the decoder found.
+        source: DecodeError,
+    },
+    /// A message that is only for a voter's own use.
+    #[snafu(display("nobody says that of itself"))]
+    LocalMessage,
+}
+
+/// Why a voter cannot begin to take part in Raft with what its disk holds.
+#[derive(Debug, Snafu)]
+#[snafu(visibility(pub(crate)))]
+pub(crate) enum StartError {
+    #[snafu(display("{source}"))]
+    State { source: DecodeError },
+    #[snafu(display("{source}"))]
+    Raft { source: raft::Error },
+}
--- /dev/null
+++ b/crates/linenthread-fleet/src/frame/mod.rs
@@ -0,0 +1,326 @@
+//! The messages between two processes of a fleet; byte by byte in `docs/fleet.md`.
+
+mod raft_message;
+
+use linenthread_frames::{
+    Decoder, Encoder, Nonce, Proof, ProofDomain, Secrets, drain_frames, without_proof,
+};
+use raft::eraftpb::Message;
+use snafu::{OptionExt, ensure};
+
+use crate::error::{RecordError, ReportTooLongSnafu, UnknownFrameSnafu, UnknownProgressSnafu};
+pub(crate) use raft_message::{decode_entry, decode_snapshot, encode_entry, encode_snapshot};
+
+/// The protocol version that this package speaks.
+pub const VERSION: u8 = 1;
+/// The longest frame in bytes; a longer one ends the connection.
+pub const MAX_FRAME_BYTES: usize = 1024 * 1024;
+/// The longest report in bytes.
+pub const MAX_REPORT_BYTES: usize = 64 * 1024;
+
+/// Domains of the proofs of the side that connects and of the one that accepts. These bytes go into the proof.
+const CONNECTING: ProofDomain = *b"linenthread dial";
+const ACCEPTING: ProofDomain = *b"linenthread take";
+/// The secret by which a connecting side proves itself: the first that is configured.
+const FIRST_SECRET: usize = 0;
+
+/// The byte of a frame that says what it is.
+mod kind {
+    pub(super) const CHALLENGE: u8 = 1;
+    pub(super) const HELLO: u8 = 2;
+    pub(super) const WELCOME: u8 = 3;
+    pub(super) const REFUSE: u8 = 4;
+    pub(super) const PROGRESS: u8 = 5;
+    pub(super) const RAFT: u8 = 6;
+    pub(super) const COMMITTED: u8 = 7;
+    pub(super) const REPORT: u8 = 8;
+    pub(super) const PING: u8 = 9;
+    pub(super) const PONG: u8 = 10;
+}
+
+/// How far a voter has come.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Progress {
+    /// Its disk is empty, and it has no identity yet.
+    Empty,
+    /// It is a founder of the fleet and waits until all others are founders too.
+    Founded,
+    /// It takes part in Raft.
+    Active,
+    /// Its disk has failed: what it holds is unknown.
+    Stopped,
+}
+
+/// A voter's progress by its number in a frame.
+const PROGRESSES: [Progress; 4] = [
+    Progress::Empty,
+    Progress::Founded,
+    Progress::Active,
+    Progress::Stopped,
+];
+
+impl Progress {
+    fn code(self) -> u8 {
+        match self {
+            Progress::Empty => 0,
+            Progress::Founded => 1,
+            Progress::Active => 2,
+            Progress::Stopped => 3,
+        }
+    }
+}
+
+/// The first frame of the side that connects.
+#[derive(Clone, Debug, PartialEq)]
+pub struct Hello {
+    /// The protocol version that it has chosen.
+    pub version: u8,
+    /// Its name.
+    pub name: String,
+    /// Whether it connects as a voter.
+    pub voter: bool,
+    /// What the welcome has to prove itself over.
+    pub nonce: Nonce,
+    /// Proves the shared secret.
+    pub proof: Proof,
+}
+
+/// One message of the protocol.
+#[derive(Clone, Debug, PartialEq)]
+pub enum Frame {
+    /// The first frame of the side that accepts.
+    Challenge {
+        /// The lowest version that it speaks.
+        min_version: u8,
+        /// The highest one.
+        max_version: u8,
+        /// What the hello has to prove itself over.
+        nonce: Nonce,
+        /// Its name.
+        name: String,
+    },
+    /// The reply to the challenge.
+    Hello(Hello),
+    /// The reply to the hello; the connection is established.
+    Welcome {
+        /// Proves the shared secret.
+        proof: Proof,
+    },
+    /// From either: its sender closes the connection.
+    Refuse {
+        /// Why, for the peer's log.
+        reason: String,
+    },
+    /// Between voters: how far the sender has come.
+    Progress {
+        /// How far.
+        progress: Progress,
+        /// The incarnation of its identity, 0 for a founder's.
+        incarnation: u64,
+        /// A digest of the founders' names.
+        founders: u64,
+    },
+    /// Between voters: a message of Raft.
+    Raft(Box<Message>),
+    /// From a voter to a process that is none: a committed value.
+    Committed {
+        /// The value's topic.
+        topic: String,
+        /// The value's number within its topic.
+        number: u64,
+        /// The value.
+        value: Vec<u8>,
+    },
+    /// A report on its way to the leader.
+    Report {
+        /// The report.
+        bytes: Vec<u8>,
+    },
+    /// Asks for a [`Frame::Pong`].
+    Ping {
+        /// Repeated in the pong.
+        number: u64,
+    },
+    /// The answer to a [`Frame::Ping`].
+    Pong {
+        /// The ping's number.
+        number: u64,
+    },
+}
+
+impl Hello {
+    /// Sets the proof for a peer that has sent this nonce.
+    pub(crate) fn prove(&mut self, secrets: &Secrets, nonce: &Nonce) {
+        let transcript = without_proof(Frame::Hello(self.clone()).encode());
+        self.proof = secrets.prove(FIRST_SECRET, CONNECTING, nonce, &transcript);
+    }
+
+    /// The index of the secret that the proof was made with; `None` if it proves nothing.
+    pub(crate) fn verify(&self, secrets: &Secrets, nonce: &Nonce) -> Option<usize> {
+        let transcript = without_proof(Frame::Hello(self.clone()).encode());
+        secrets.verify(CONNECTING, nonce, &transcript, &self.proof)
+    }
+}
+
+impl Frame {
+    /// A welcome, proven over the hello's nonce with the secret that the hello used.
+    pub(crate) fn proven_welcome(secrets: &Secrets, secret: usize, nonce: &Nonce) -> Frame {
+        let proof = secrets.prove(secret, ACCEPTING, nonce, &welcome_transcript());
+        Frame::Welcome { proof }
+    }
+
+    /// Whether a welcome's proof was made with one of the secrets.
+    pub(crate) fn verifies_welcome(secrets: &Secrets, nonce: &Nonce, proof: &Proof) -> bool {
+        let secret = secrets.verify(ACCEPTING, nonce, &welcome_transcript(), proof);
+        secret.is_some()
+    }
+
+    /// The encoded frame, its length first.
+    pub fn encode(&self) -> Vec<u8> {
+        let mut encoder = Encoder::frame();
+        self.encode_fields(&mut encoder);
+        encoder.into_frame(self.kind())
+    }
+
+    fn kind(&self) -> u8 {
+        match self {
+            Frame::Challenge { .. } => kind::CHALLENGE,
+            Frame::Hello(_) => kind::HELLO,
+            Frame::Welcome { .. } => kind::WELCOME,
+            Frame::Refuse { .. } => kind::REFUSE,
+            Frame::Progress { .. } => kind::PROGRESS,
+            Frame::Raft(_) => kind::RAFT,
+            Frame::Committed { .. } => kind::COMMITTED,
+            Frame::Report { .. } => kind::REPORT,
+            Frame::Ping { .. } => kind::PING,
+            Frame::Pong { .. } => kind::PONG,
+        }
+    }
+
+    fn encode_fields(&self, encoder: &mut Encoder) {
+        match self {
+            Frame::Challenge {
+                min_version,
+                max_version,
+                nonce,
+                name,
+            } => {
+                encoder.raw([*min_version, *max_version]);
+                encoder.raw(nonce);
+                encoder.text(name);
+            }
+            Frame::Hello(hello) => {
+                encoder.u8(hello.version);
+                encoder.text(&hello.name);
+                encoder.flag(hello.voter);
+                encoder.raw(hello.nonce);
+                encoder.raw(hello.proof);
+            }
+            Frame::Welcome { proof } => encoder.raw(proof),
+            Frame::Refuse { reason } => encoder.text(reason),
+            Frame::Progress {
+                progress,
+                incarnation,
+                founders,
+            } => {
+                encoder.u8(progress.code());
+                encoder.u64(*incarnation);
+                encoder.u64(*founders);
+            }
+            Frame::Raft(message) => raft_message::encode_message(message, encoder),
+            Frame::Committed {
+                topic,
+                number,
+                value,
+            } => {
+                encoder.text(topic);
+                encoder.u64(*number);
+                encoder.bytes(value);
+            }
+            Frame::Report { bytes } => encoder.bytes(bytes),
+            Frame::Ping { number } | Frame::Pong { number } => encoder.u64(*number),
+        }
+    }
+
+    /// The frame of these fields, its kind first and without its length.
+    ///
+    /// # Errors
+    /// The fields are no frame.
+    pub fn decode(fields: &[u8]) -> Result<Frame, RecordError> {
+        let mut decoder = Decoder::new(fields);
+        let frame = match decoder.u8()? {
+            kind::CHALLENGE => Frame::Challenge {
+                min_version: decoder.u8()?,
+                max_version: decoder.u8()?,
+                nonce: decoder.array()?,
+                name: decoder.text()?,
+            },
+            kind::HELLO => Frame::Hello(Hello {
+                version: decoder.u8()?,
+                name: decoder.text()?,
+                voter: decoder.flag()?,
+                nonce: decoder.array()?,
+                proof: decoder.array()?,
+            }),
+            kind::WELCOME => Frame::Welcome {
+                proof: decoder.array()?,
+            },
+            kind::REFUSE => Frame::Refuse {
+                reason: decoder.text()?,
+            },
+            kind::PROGRESS => Frame::Progress {
+                progress: decode_progress(&mut decoder)?,
+                incarnation: decoder.u64()?,
+                founders: decoder.u64()?,
+            },
+            kind::RAFT => Frame::Raft(Box::new(raft_message::decode_message(&mut decoder)?)),
+            kind::COMMITTED => Frame::Committed {
+                topic: decoder.text()?,
+                number: decoder.u64()?,
+                value: decoder.bytes()?.to_vec(),
+            },
+            kind::REPORT => Frame::Report {
+                bytes: decode_report(&mut decoder)?,
+            },
+            kind::PING => Frame::Ping {
+                number: decoder.u64()?,
+            },
+            kind::PONG => Frame::Pong {
+                number: decoder.u64()?,
+            },
+            kind => return UnknownFrameSnafu { kind }.fail(),
+        };
+        decoder.finish()?;
+        Ok(frame)
+    }
+
+    /// Removes all complete frames from the buffer and hands them to `handle` in their order; an incomplete one stays.
+    ///
+    /// # Errors
+    /// The bytes are no frame; those before it were handed over.
+    pub fn drain(buffer: &mut Vec<u8>, mut handle: impl FnMut(Frame)) -> Result<(), RecordError> {
+        drain_frames(buffer, MAX_FRAME_BYTES, |fields| {
+            handle(Frame::decode(fields)?);
+            Ok(())
+        })
+    }
+}
+
+/// A welcome proves itself over its own bytes, which are only its kind and length.
+fn welcome_transcript() -> Vec<u8> {
+    let proof = Proof::default();
+    without_proof(Frame::Welcome { proof }.encode())
+}
+
+fn decode_progress(decoder: &mut Decoder) -> Result<Progress, RecordError> {
+    let code = decoder.u8()?;
+    let progress = PROGRESSES.get(usize::from(code));
+    progress.copied().context(UnknownProgressSnafu { code })
+}
+
+fn decode_report(decoder: &mut Decoder) -> Result<Vec<u8>, RecordError> {
+    let bytes = decoder.bytes()?;
+    let length = bytes.len();
+    ensure!(length <= MAX_REPORT_BYTES, ReportTooLongSnafu { length });
+    Ok(bytes.to_vec())
+}
--- a/crates/linenthread-fleet/src/lib.rs
+++ b/crates/linenthread-fleet/src/lib.rs
@@ -1,31 +1,35 @@
-//! How many processes behave as one fleet: who is a member and alive, and a small record that all agree on.
+//! How many processes act as one fleet: who is a member and alive, and a small state that is replicated to all.
 //!
-//! [`Fleet`] is one process's part in it, a state machine without I/O or clock: events and `now` go in, actions
-//! come out, chance comes from a told seed. Inside, [`Members`] is gossip with suspicion (SWIM, by `foca`),
-//! [`Voter`] the record among 3, 5 or 7 voters (Raft, by `raft`), kept by `linenthread-store`; all others follow
-//! what the voters have agreed on. The record holds numbered values by topic: who writes one says on which
-//! number it is based, so that no two values ever have one number. What a value means is not known here.
+//! [`Fleet`] is one process's part in it, a state machine without I/O or clock: events and the time go in, actions
+//! come out, and all that is random depends on a seed. It consists of [`Members`], gossip with suspicion (SWIM, by
+//! `foca`), and [`Voter`], the replicated state among 3, 5 or 7 voters (Raft, by `raft`), whose disk is a log of
+//! `linenthread-store`. All other processes follow what the voters commit. The state holds numbered values by topic:
+//! a write names the number that it is based on, so that no two values ever have one number. This package must not
+//! know what a value means.
 //!
-//! Named rules, held by the drill `linenthread-drill fleet`: *one-value* (no two values under one topic and
-//! number), *agreed-stays* (what one process was told as agreed is never undone while a majority of voters has
-//! its disks), *one-leader* (at no moment do two processes hold the lease), *former-self* (a voter that lost its
-//! disk never votes as the one it was). The messages stand byte by byte in `docs/fleet.md`.
-#![expect(
-    missing_docs,
-    reason = "public items of this package are not all documented yet"
-)]
+//! Start reading at [`Fleet`]; `voter` has the table of a voter's stages. The messages are in [`frame`], and byte by
+//! byte in `docs/fleet.md`.
+//!
+//! Invariants, checked by the simulation of fleets: *one-value* (no two values under one topic and number),
+//! *agreed-stays* (what was reported as committed is never undone while a majority of voters has its disks),
+//! *one-leader* (at no moment do two processes hold the lease), *former-self* (a voter that lost its disk never votes
+//! under its former identity).
 
-mod board;
-mod dials;
+mod dialer;
+mod error;
+mod event;
 mod fleet;
 pub mod frame;
-mod keep;
 mod members;
+mod node_identity;
+mod state_table;
+mod storage;
 mod voter;
-mod who;
 
-pub use board::{Board, LONGEST_VALUE, MOST_TOPICS};
-pub use fleet::{Fleet, FleetDo, FleetTerms};
-pub use members::{Members, MembersDo, MembersTerms};
-pub use voter::{Agreed, Stage, Voter, VoterDo, VoterTerms};
-pub use who::Who;
+pub use error::{DatagramError, MessageError, OpenError, ProposeError, RecordError};
+pub use event::{ConnectionEvent, FleetEvent, VoterChange, VoterChangeKind};
+pub use fleet::{Fleet, FleetAction, FleetConfig};
+pub use members::{Members, MembersAction, MembersConfig};
+pub use node_identity::NodeIdentity;
+pub use state_table::{MAX_TOPICS, MAX_VALUE_BYTES, StateTable};
+pub use voter::{CommittedValue, Stage, Voter, VoterAction, VoterConfig};
--- /dev/null
+++ b/crates/linenthread-fleet/src/node_identity.rs
@@ -0,0 +1,138 @@
+//! A member's identity, and its bytes in gossip.
+
+use std::net::{IpAddr, Ipv4Addr, Ipv6Addr, SocketAddr};
+
+use linenthread_frames::{Decoder, Encoder};
+use snafu::ensure;
+
+use crate::error::{InvalidNameSnafu, RecordError, UnknownAddressFamilySnafu};
+
+/// The longest name of a member, machine, zone or region, in bytes.
+const MAX_NAME_BYTES: usize = 64;
+
+const IPV4: u8 = 4;
+const IPV6: u8 = 6;
+
+/// From this renewal on, renewing an identity raises its incarnation too.
+const RENEWALS_BEFORE_INCARNATION: u32 = 8;
+/// The first step by which a renewal raises the incarnation; each further one is twice as large.
+const FIRST_INCARNATION_STEP: u64 = 1_000;
+/// The steps grow no further after so many.
+const MAX_STEP_DOUBLINGS: u32 = 40;
+
+/// Who a member is, and where it runs.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct NodeIdentity {
+    /// Its name, unique in the fleet.
+    pub name: String,
+    /// Where it receives gossip.
+    pub gossip: SocketAddr,
+    /// The machine that it runs on.
+    pub machine: String,
+    /// The zone of that machine.
+    pub zone: String,
+    /// The region of that zone.
+    pub region: String,
+    /// The version of what it speaks.
+    pub version: u16,
+    /// Its weight among the fleet's members, in thousandths.
+    pub weight: u16,
+    /// Rises with each start of the process: of two members with one name the later one counts.
+    pub incarnation: u64,
+    /// How often it was declared down in this incarnation and came back.
+    pub renewals: u32,
+}
+
+impl NodeIdentity {
+    /// As much as is known of a member that is only to be asked for the others.
+    pub fn unknown(name: &str, gossip: SocketAddr) -> NodeIdentity {
+        NodeIdentity {
+            name: name.into(),
+            gossip,
+            machine: String::new(),
+            zone: String::new(),
+            region: String::new(),
+            version: 0,
+            weight: 0,
+            incarnation: 0,
+            renewals: 0,
+        }
+    }
+
+    fn has_valid_names(&self) -> bool {
+        let places = [&self.machine, &self.zone, &self.region];
+        (1..=MAX_NAME_BYTES).contains(&self.name.len())
+            && places.iter().all(|text| text.len() <= MAX_NAME_BYTES)
+    }
+
+    pub(crate) fn encode(&self, encoder: &mut Encoder) {
+        encoder.text(&self.name);
+        match self.gossip.ip() {
+            IpAddr::V4(ip) => {
+                encoder.u8(IPV4);
+                encoder.raw(ip.octets());
+            }
+            IpAddr::V6(ip) => {
+                encoder.u8(IPV6);
+                encoder.raw(ip.octets());
+            }
+        }
+        encoder.u16(self.gossip.port());
+        encoder.text(&self.machine);
+        encoder.text(&self.zone);
+        encoder.text(&self.region);
+        encoder.u16(self.version);
+        encoder.u16(self.weight);
+        encoder.u64(self.incarnation);
+        encoder.u32(self.renewals);
+    }
+
+    pub(crate) fn decode(decoder: &mut Decoder) -> Result<NodeIdentity, RecordError> {
+        let name = decoder.text()?;
+        let ip = match decoder.u8()? {
+            IPV4 => IpAddr::V4(Ipv4Addr::from(decoder.array::<4>()?)),
+            IPV6 => IpAddr::V6(Ipv6Addr::from(decoder.array::<16>()?)),
+            kind => return UnknownAddressFamilySnafu { kind }.fail(),
+        };
+        let identity = NodeIdentity {
+            name,
+            gossip: SocketAddr::new(ip, decoder.u16()?),
+            machine: decoder.text()?,
+            zone: decoder.text()?,
+            region: decoder.text()?,
+            version: decoder.u16()?,
+            weight: decoder.u16()?,
+            incarnation: decoder.u64()?,
+            renewals: decoder.u32()?,
+        };
+        ensure!(identity.has_valid_names(), InvalidNameSnafu);
+        Ok(identity)
+    }
+}
+
+impl foca::Identity for NodeIdentity {
+    type Addr = String;
+
+    /// Declared down though it lives, the member comes back under an identity that wins over the former one. Its
+    /// incarnation stays, so that a later start of the process still wins. Only where that does not help, since the
+    /// machine's clock was set back, the incarnation rises too, by ever larger steps.
+    fn renew(&self) -> Option<Self> {
+        let step = match self.renewals.checked_sub(RENEWALS_BEFORE_INCARNATION) {
+            None => 0,
+            Some(doublings) => FIRST_INCARNATION_STEP << doublings.min(MAX_STEP_DOUBLINGS),
+        };
+        Some(NodeIdentity {
+            incarnation: self.incarnation.saturating_add(step),
+            renewals: self.renewals.saturating_add(1),
+            ..self.clone()
+        })
+    }
+
+    fn addr(&self) -> String {
+        self.name.clone()
+    }
+
+    fn win_addr_conflict(&self, other: &Self) -> bool {
+        (self.incarnation, self.renewals) > (other.incarnation, other.renewals)
+    }
+}
--- /dev/null
+++ b/crates/linenthread-fleet/src/voter/message_check.rs
@@ -0,0 +1,88 @@
+//! What is checked of a peer's Raft message before Raft gets it.
+
+use linenthread_core::interface::TenthMillis;
+use linenthread_store::Files;
+use raft::Raft;
+use raft::eraftpb::{Message, MessageType};
+use snafu::{ResultExt, ensure};
+
+use super::{ELECTION_TIMEOUT, State, TICK, Voter};
+use crate::error::{
+    ImpossibleCommitSnafu, ImpossibleEntrySnafu, LocalMessageSnafu, MalformedSnapshotSnafu,
+    MessageError,
+};
+use crate::state_table::StateTable;
+use crate::storage::VoterStorage;
+
+impl<F: Files> Voter<F> {
+    /// Passes a message to Raft.
+    pub(super) fn step(&mut self, now: TenthMillis, message: Message) -> Result<(), MessageError> {
+        if self.ignores_vote_request(now, &message) {
+            return Ok(());
+        }
+        let State::Active(node) = &mut self.state else {
+            return Ok(());
+        };
+        if message.to != node.raft.id {
+            // Sent to a former identity.
+            return Ok(());
+        }
+        check(&node.raft, &message)?;
+        // Raft refuses answers of one that does not vote any more; nothing depends on them.
+        let _ = node.step(message);
+        Ok(())
+    }
+
+    fn ignores_vote_request(&self, now: TenthMillis, message: &Message) -> bool {
+        let requests_vote = matches!(
+            message.msg_type,
+            MessageType::MsgRequestVote | MessageType::MsgRequestPreVote
+        );
+        // Before a restart it may have confirmed a leader's lease, which it does not remember: until that has
+        // expired it votes for nobody.
+        let may_be_bound = now < self.started_at + ELECTION_TIMEOUT + TICK;
+        let is_known = self.conf_state.voters.is_empty() || self.is_voter_id(message.from);
+        requests_vote && (may_be_bound || !is_known)
+    }
+}
+
+fn check<F: Files>(raft: &Raft<VoterStorage<F>>, message: &Message) -> Result<(), MessageError> {
+    check_entries(raft, message)?;
+    let (commit, last_index) = (message.commit, raft.raft_log.last_index());
+    match message.msg_type {
+        MessageType::MsgHeartbeat => {
+            let is_current = message.term >= raft.term;
+            ensure!(
+                commit <= last_index || !is_current,
+                ImpossibleCommitSnafu { commit, last_index }
+            );
+        }
+        MessageType::MsgSnapshot => {
+            let data = &message.get_snapshot().data;
+            StateTable::decode(data).context(MalformedSnapshotSnafu)?;
+        }
+        MessageType::MsgUnreachable => return LocalMessageSnafu.fail(),
+        _ => {}
+    }
+    Ok(())
+}
+
+/// Entries follow each other and contradict no committed one.
+fn check_entries<F: Files>(
+    raft: &Raft<VoterStorage<F>>,
+    message: &Message,
+) -> Result<(), MessageError> {
+    let mut expected_index = message.index;
+    for entry in &message.entries {
+        expected_index += 1;
+        let (index, term) = (entry.index, entry.term);
+        let is_committed = index <= raft.raft_log.committed;
+        let differs = |known: u64| known != 0 && known != term;
+        let contradicts = is_committed && raft.raft_log.term(index).is_ok_and(differs);
+        ensure!(
+            index == expected_index && term <= message.term && !contradicts,
+            ImpossibleEntrySnafu { index, term }
+        );
+    }
+    Ok(())
+}
--- /dev/null
+++ b/crates/linenthread-fleet/src/voter/reconfiguration.rs
@@ -0,0 +1,154 @@
+//! Changes of the voters: the leader replaces a voter's former identity by its new one.
+
+use linenthread_core::interface::TenthMillis;
+use linenthread_frames::{DecodeError, Decoder, Encoder};
+use linenthread_store::Files;
+use raft::eraftpb::{ConfChange, ConfChangeType, Entry};
+
+use super::{State, Voter, VoterAction};
+use crate::event::{FleetEvent, VoterChange, VoterChangeKind};
+use crate::frame::Progress;
+use crate::state_table::VoterIdentity;
+
+/// A voter's identity is replaced no more often than this.
+const REPLACE_INTERVAL: TenthMillis = 50_000;
+
+/// Changes by their number in an entry's context.
+const ADD: u8 = 1;
+const REMOVE: u8 = 2;
+
+/// A change of the voters, as an entry's context has it.
+struct IdentityChange {
+    kind: VoterChangeKind,
+    identity: VoterIdentity,
+}
+
+impl IdentityChange {
+    fn encode(&self) -> Vec<u8> {
+        let mut encoder = Encoder::new();
+        encoder.u8(match self.kind {
+            VoterChangeKind::Add => ADD,
+            VoterChangeKind::Remove => REMOVE,
+        });
+        self.identity.encode(&mut encoder);
+        encoder.into_bytes()
+    }
+
+    fn decode(context: &[u8]) -> Result<IdentityChange, DecodeError> {
+        let mut decoder = Decoder::new(context);
+        let kind = match decoder.u8()? {
+            ADD => VoterChangeKind::Add,
+            _ => VoterChangeKind::Remove,
+        };
+        let identity = VoterIdentity::decode(&mut decoder)?;
+        Ok(IdentityChange { kind, identity })
+    }
+
+    fn conf_change(&self) -> ConfChange {
+        let change_type = match self.kind {
+            VoterChangeKind::Add => ConfChangeType::AddNode,
+            VoterChangeKind::Remove => ConfChangeType::RemoveNode,
+        };
+        ConfChange {
+            change_type,
+            node_id: self.identity.id(),
+            ..ConfChange::default()
+        }
+    }
+
+    /// For the log.
+    fn describe(&self) -> VoterChange {
+        VoterChange {
+            name: self.identity.name.clone(),
+            incarnation: self.identity.incarnation,
+            kind: self.kind,
+        }
+    }
+}
+
+impl<F: Files> Voter<F> {
+    /// As the leader: proposes the next change where a voter takes part under a new identity. First the former one
+    /// leaves, which answers no more, then the new one joins; never two changes at once.
+    pub(super) fn replace_voters(&mut self, now: TenthMillis, actions: &mut Vec<VoterAction>) {
+        if !self.is_leader(now) {
+            return;
+        }
+        let Some(change) = self.next_change(now) else {
+            return;
+        };
+        let State::Active(node) = &mut self.state else {
+            return;
+        };
+        if node.raft.has_pending_conf() {
+            return;
+        }
+        let proposed = node.propose_conf_change(change.encode(), change.conf_change());
+        if proposed.is_err() {
+            return;
+        }
+        if change.kind == VoterChangeKind::Add {
+            let name = change.identity.name.clone();
+            self.replaced_at.insert(name, now);
+        }
+        actions.push(VoterAction::Log(FleetEvent::VoterChangeProposed(
+            change.describe(),
+        )));
+    }
+
+    fn next_change(&self, now: TenthMillis) -> Option<IdentityChange> {
+        let identity = self.new_identity(now)?;
+        let mut known = self.table.voter_identities();
+        let former =
+            known.find(|known| known.name == identity.name && self.is_voter_id(known.id()));
+        Some(match former {
+            Some(former) => IdentityChange {
+                kind: VoterChangeKind::Remove,
+                identity: former.clone(),
+            },
+            None => IdentityChange {
+                kind: VoterChangeKind::Add,
+                identity,
+            },
+        })
+    }
+
+    /// The first voter, by name, that takes part under an identity which does not vote yet.
+    fn new_identity(&self, now: TenthMillis) -> Option<VoterIdentity> {
+        let peers = self.peers.iter();
+        let candidates = peers.filter(|(name, peer)| {
+            peer.progress == Progress::Active
+                && peer.incarnation != 0
+                && self.config.voters.contains(name)
+                && !self.was_replaced_lately(name, now)
+        });
+        let mut identities = candidates.map(|(name, peer)| VoterIdentity {
+            name: name.clone(),
+            incarnation: peer.incarnation,
+        });
+        identities.find(|identity| !self.is_voter_id(identity.id()))
+    }
+
+    fn was_replaced_lately(&self, name: &str, now: TenthMillis) -> bool {
+        let replaced_at = self.replaced_at.get(name);
+        replaced_at.is_some_and(|at| now < at + REPLACE_INTERVAL)
+    }
+
+    /// Applies a committed change of the voters.
+    pub(super) fn apply_change(&mut self, entry: &Entry, actions: &mut Vec<VoterAction>) {
+        let Ok(change) = IdentityChange::decode(&entry.context) else {
+            return;
+        };
+        if let State::Active(node) = &mut self.state
+            && let Ok(conf_state) = node.apply_conf_change(&change.conf_change())
+        {
+            self.conf_state = conf_state;
+        }
+        if change.kind == VoterChangeKind::Add {
+            self.table.admit(&change.identity);
+            self.voter_added = true;
+        }
+        actions.push(VoterAction::Log(FleetEvent::VoterChanged(
+            change.describe(),
+        )));
+    }
+}
--- a/crates/linenthread-fleet/tests/golden.rs
+++ b/crates/linenthread-fleet/tests/golden.rs
@@ -8,8 +8,10 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-use linenthread_fleet::frame::{Frame, Standing};
-use linenthread_fleet::{Members, MembersDo, MembersTerms, Voter, VoterDo, VoterTerms, Who};
+use linenthread_fleet::frame::{Frame, Hello, Progress};
+use linenthread_fleet::{
+    Members, MembersAction, MembersConfig, NodeIdentity, Voter, VoterAction, VoterConfig,
+};
 use linenthread_frames::Secrets;
 use linenthread_store::{Files, Model};
 use raft::eraftpb::{Entry, EntryType, Message, MessageType, Snapshot};
@@ -76,32 +78,32 @@
         (
             "challenge".to_owned(),
             Frame::Challenge {
-                least: 1,
-                most: 3,
+                min_version: 1,
+                max_version: 3,
                 nonce,
                 name: "catania".to_owned(),
             },
         ),
         (
             "hello".to_owned(),
-            Frame::Hello {
+            Frame::Hello(Hello {
                 version: 2,
                 name: "messina".to_owned(),
                 voter: true,
                 nonce,
                 proof,
-            },
+            }),
         ),
         ("welcome".to_owned(), Frame::Welcome { proof }),
         (
             "refuse".to_owned(),
             Frame::Refuse {
-                why: "not \u{e9}xpected".to_owned(),
+                reason: "not \u{e9}xpected".to_owned(),
             },
         ),
         (
             "agreed".to_owned(),
-            Frame::Agreed {
+            Frame::Committed {
                 topic: "table".to_owned(),
                 number: 77,
                 value: vec![0, 0xff, 7],
@@ -116,16 +118,16 @@
         ("ping".to_owned(), Frame::Ping { number: 1_234_567 }),
         ("pong".to_owned(), Frame::Pong { number: 1_234_568 }),
     ];
-    let standings = [
-        Standing::Empty,
-        Standing::Founded,
-        Standing::Holding,
-        Standing::Stopped,
+    let progresses = [
+        Progress::Empty,
+        Progress::Founded,
+        Progress::Active,
+        Progress::Stopped,
     ];
-    for (number, standing) in standings.into_iter().enumerate() {
-        let frame = Frame::Standing {
-            standing,
-            life: 0x4142_4344_4546_4748,
+    for (number, progress) in progresses.into_iter().enumerate() {
+        let frame = Frame::Progress {
+            progress,
+            incarnation: 0x4142_4344_4546_4748,
             founders: 0x5152_5354_5556_5758,
         };
         frames.push((format!("standing_{number}"), frame));
@@ -143,7 +145,7 @@
         MessageType::MsgUnreachable,
     ];
     for kind in kinds {
-        let frame = Frame::Record(Box::new(message(kind)));
+        let frame = Frame::Raft(Box::new(message(kind)));
         frames.push((format!("record_{kind:?}"), frame));
     }
     let mut full = message(MessageType::MsgAppend);
@@ -153,7 +155,7 @@
     ]
     .into();
     full.set_snapshot(snapshot());
-    frames.push(("record_full".to_owned(), Frame::Record(Box::new(full))));
+    frames.push(("record_full".to_owned(), Frame::Raft(Box::new(full))));
     frames
 }
 
@@ -167,17 +169,17 @@
 type Disk = Rc<RefCell<Model>>;
 
 /// Voters on one clock whose messages arrive at once.
-struct Room {
+struct Cluster {
     now: i64,
     voters: BTreeMap<String, Voter<Disk>>,
     disks: BTreeMap<String, Disk>,
     starts: u64,
 }
 
-impl Room {
-    fn new() -> Room {
+impl Cluster {
+    fn new() -> Cluster {
         let disks = NAMES.map(|name| (name.to_owned(), Disk::default()));
-        Room {
+        Cluster {
             now: 1_000_000,
             voters: BTreeMap::new(),
             disks: BTreeMap::from(disks),
@@ -187,8 +189,8 @@
 
     fn start(&mut self, name: &str) {
         self.starts += 1;
-        let terms = VoterTerms {
-            own: name.to_owned(),
+        let terms = VoterConfig {
+            name: name.to_owned(),
             voters: NAMES.map(str::to_owned).to_vec(),
         };
         let disk = self.disks[name].clone();
@@ -197,8 +199,8 @@
             .insert(name.to_owned(), voter.expect("a disk without damage"));
         let others: Vec<String> = self.voters.keys().filter(|n| *n != name).cloned().collect();
         for other in &others {
-            self.act(name, |voter, _, to| voter.opened(other, to));
-            self.act(other, |voter, _, to| voter.opened(name, to));
+            self.act(name, |voter, _, to| voter.on_connected(other, to));
+            self.act(other, |voter, _, to| voter.on_connected(name, to));
         }
     }
 
@@ -206,11 +208,11 @@
         self.voters.remove(name);
         let others: Vec<String> = self.voters.keys().cloned().collect();
         for other in &others {
-            self.act(other, |voter, _, _| voter.lost(name));
+            self.act(other, |voter, _, _| voter.on_disconnected(name));
         }
     }
 
-    fn act(&mut self, name: &str, call: impl FnOnce(&mut Voter<Disk>, i64, &mut Vec<VoterDo>)) {
+    fn act(&mut self, name: &str, call: impl FnOnce(&mut Voter<Disk>, i64, &mut Vec<VoterAction>)) {
         let mut to = Vec::new();
         let Some(voter) = self.voters.get_mut(name) else {
             return;
@@ -218,14 +220,14 @@
         call(voter, self.now, &mut to);
         let mut actions: VecDeque<_> = to.into_iter().map(|one| (name.to_owned(), one)).collect();
         while let Some((from, action)) = actions.pop_front() {
-            let VoterDo::Say { to: name, frame } = action else {
+            let VoterAction::Send { to: name, frame } = action else {
                 continue;
             };
             let mut bytes = frame.encode();
             let mut more = Vec::new();
-            Frame::take_all(&mut bytes, |frame| {
+            Frame::drain(&mut bytes, |frame| {
                 if let Some(voter) = self.voters.get_mut(&name) {
-                    voter.received(self.now, &from, frame, &mut more);
+                    voter.on_frame(self.now, &from, frame, &mut more);
                 }
             })
             .expect("a frame of ours");
@@ -243,7 +245,11 @@
     }
 
     fn propose(&mut self, topic: &str, based_on: u64, value: &[u8]) {
-        let leads = |name: &&str| self.voters.get(*name).is_some_and(|v| v.leads(self.now));
+        let leads = |name: &&str| {
+            self.voters
+                .get(*name)
+                .is_some_and(|v| v.is_leader(self.now))
+        };
         let leader = NAMES.into_iter().find(leads).expect("one leads");
         self.act(leader, |voter, now, to| {
             let proposed = voter.propose(now, topic, based_on, value.to_vec(), to);
@@ -266,68 +272,73 @@
 }
 
 /// A fleet is founded and writes some values.
-fn founded() -> Room {
-    let mut room = Room::new();
-    NAMES.iter().for_each(|name| room.start(name));
-    room.run(5);
-    room.propose("table", 0, b"first");
-    room.propose("members", 0, &[0xff; 300]);
-    room.propose("table", 1, b"second");
-    room.run(1);
-    room
+fn founded() -> Cluster {
+    let mut cluster = Cluster::new();
+    NAMES.iter().for_each(|name| cluster.start(name));
+    cluster.run(5);
+    cluster.propose("table", 0, b"first");
+    cluster.propose("members", 0, &[0xff; 300]);
+    cluster.propose("table", 1, b"second");
+    cluster.run(1);
+    cluster
 }
 
 /// Then one voter loses its disk and comes back as another one, and so many values are written that the logs
 /// are compacted.
-fn grown() -> Room {
-    let mut room = founded();
-    room.stop("catania");
-    room.disks.insert("catania".to_owned(), Disk::default());
-    room.start("catania");
-    room.run(10);
+fn grown() -> Cluster {
+    let mut cluster = founded();
+    cluster.stop("catania");
+    cluster.disks.insert("catania".to_owned(), Disk::default());
+    cluster.start("catania");
+    cluster.run(10);
     for number in 2..280 {
-        room.propose("table", number, &number.to_be_bytes());
+        cluster.propose("table", number, &number.to_be_bytes());
     }
-    room.run(1);
-    room
+    cluster.run(1);
+    cluster
 }
 
 /// Voters started from these files.
-fn restarted(files: Vec<(String, Vec<u8>)>) -> Room {
-    let mut room = Room::new();
+fn restarted(files: Vec<(String, Vec<u8>)>) -> Cluster {
+    let mut cluster = Cluster::new();
     for (path, bytes) in files {
         let (voter, name) = path.split_once('/').expect("a voter and a file");
-        let mut disk = room.disks[voter].borrow_mut();
-        disk.append(name, &bytes).expect("there is room");
+        let mut disk = cluster.disks[voter].borrow_mut();
+        disk.append(name, &bytes).expect("there is cluster");
     }
-    NAMES.iter().for_each(|name| room.start(name));
-    room
+    NAMES.iter().for_each(|name| cluster.start(name));
+    cluster
 }
 
 /// A value of the record: its topic, its number and its bytes.
 type RecordedValue = (String, u64, Vec<u8>);
 
 /// What a voter holds, to compare one that was started from a golden disk with one that wrote such a disk.
-fn held(room: &Room, name: &str) -> (Option<u64>, u64, bool, Vec<RecordedValue>) {
-    let voter = &room.voters[name];
-    let values = voter.board().values();
+fn held(cluster: &Cluster, name: &str) -> (Option<u64>, u64, bool, Vec<RecordedValue>) {
+    let voter = &cluster.voters[name];
+    let values = voter.table().values();
     let values = values.map(|(topic, number, value)| (topic.to_owned(), number, value.to_vec()));
-    (voter.life(), voter.term(), voter.votes(), values.collect())
+    (
+        voter.incarnation(),
+        voter.term(),
+        voter.votes(),
+        values.collect(),
+    )
 }
 
 // --- gossip ---
 
-fn member(name: &str, gossip: &str, life: u64) -> Who {
-    Who {
+fn member(name: &str, gossip: &str, life: u64) -> NodeIdentity {
+    NodeIdentity {
         name: name.to_owned(),
         gossip: gossip.parse().expect("an address"),
         machine: "machine-1".to_owned(),
         zone: "zone-b".to_owned(),
         region: "region-c".to_owned(),
         version: 0x0102,
-        share: 750,
-        life,
-        turn: 0x0a0b_0c0d,
+        weight: 750,
+        incarnation: life,
+        renewals: 0x0a0b_0c0d,
     }
 }
 
@@ -343,11 +354,11 @@
     let secrets = Secrets::new(vec![b"a secret of this test".to_vec()]).expect("it is long enough");
     let mut members: BTreeMap<SocketAddr, Members> = BTreeMap::new();
     for (seed, own) in all.iter().enumerate() {
-        let terms = MembersTerms {
-            own: own.clone(),
-            ask: ask.clone(),
-            expected: 3,
-            probe: 10_000,
+        let terms = MembersConfig {
+            local: own.clone(),
+            seeds: ask.clone(),
+            expected_members: 3,
+            probe_interval: 10_000,
         };
         let one = Members::new(terms, secrets.clone(), seed as u64 + 1, 0);
         members.insert(own.gossip, one);
@@ -364,12 +375,12 @@
             actions.extend(to);
         }
         while let Some(action) = actions.pop_front() {
-            let MembersDo::Send { to: address, bytes } = action else {
+            let MembersAction::Send { to: address, bytes } = action else {
                 continue;
             };
             if let Some(one) = members.get_mut(&address) {
                 let mut to = Vec::new();
-                let received = one.received(now, &bytes, &mut to);
+                let received = one.on_datagram(now, &bytes, &mut to);
                 received.expect("a datagram of ours");
                 actions.extend(to);
             }
@@ -389,7 +400,7 @@
         assert_eq!(frame.encode(), bytes, "{name} encodes");
         let mut read = bytes;
         let mut decoded = Vec::new();
-        let taken = Frame::take_all(&mut read, |frame| decoded.push(frame));
+        let taken = Frame::drain(&mut read, |frame| decoded.push(frame));
         taken.unwrap_or_else(|error| panic!("{name}: {error}"));
         assert!(read.is_empty(), "{name} leaves bytes behind");
         assert_eq!(decoded, [frame], "{name} decodes");
@@ -399,10 +410,10 @@
 #[test]
 fn a_founded_fleet_writes_the_bytes_of_version_464716d() {
     let golden = golden(include_str!("golden/founded.hex"));
-    let room = founded();
-    assert!(room.files() == golden, "the bytes differ");
+    let cluster = founded();
+    assert!(cluster.files() == golden, "the bytes differ");
     assert_eq!(
-        room.voters["catania"].board().value("table"),
+        cluster.voters["catania"].table().value("table"),
         Some((2, &b"second"[..]))
     );
 }
@@ -410,9 +421,9 @@
 #[test]
 fn a_fleet_that_replaced_a_voter_and_compacted_writes_the_bytes_of_version_464716d() {
     let golden = golden(include_str!("golden/grown.hex"));
-    let room = grown();
-    assert!(room.files() == golden, "the bytes differ");
-    assert_ne!(room.voters["catania"].life(), Some(0));
+    let cluster = grown();
+    assert!(cluster.files() == golden, "the bytes differ");
+    assert_ne!(cluster.voters["catania"].incarnation(), Some(0));
 }
 
 #[test]
@@ -421,16 +432,16 @@
         (include_str!("golden/founded.hex"), founded()),
         (include_str!("golden/grown.hex"), grown()),
     ] {
-        let mut room = restarted(golden(text));
+        let mut cluster = restarted(golden(text));
         // Three of three start at once: the term that each holds is the one on its disk.
         for name in NAMES {
-            let (life, term, votes, _) = held(&room, name);
+            let (life, term, votes, _) = held(&cluster, name);
             let wrote = held(&expected, name);
             assert_eq!((life, term, votes), (wrote.0, wrote.1, wrote.2), "{name}");
         }
-        room.run(10);
+        cluster.run(10);
         for name in NAMES {
-            assert_eq!(held(&room, name).3, held(&expected, name).3, "{name}");
+            assert_eq!(held(&cluster, name).3, held(&expected, name).3, "{name}");
         }
     }
 }
