--- a/crates/linenthread-consensus/tests/common/mod.rs
+++ b/crates/linenthread-consensus/tests/consensus/cluster.rs
@@ -1,27 +1,31 @@
-//! A few registers on modelled disks and a modelled network, one clock for all.
+//! Registers on modelled disks and a modelled network, with one clock for all.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
 use linenthread_consensus::{Change, DurableState, Effect, JobId, Outcome, Register};
-use linenthread_messages::{PeerMessage, Record, Value, Voter};
+use linenthread_messages::{PeerMessage, Record, Value};
 use linenthread_time::Instant;
 
-/// How long a call is worked on, as in the control part.
-const CALL: Duration = Duration::from_millis(900);
+use crate::fixtures::voter;
+
+/// The deadline of a job, as `linenthread-control` sets it.
+const JOB_TIMEOUT: Duration = Duration::from_millis(900);
+/// Time between two ticks.
 const STEP: Duration = Duration::from_millis(25);
 
-type Loss = Box<dyn Fn(u64, u64, &PeerMessage) -> bool>;
-type Then = Vec<(u64, PeerMessage)>;
+/// Whether a message from one node to another is lost.
+type LossRule = Box<dyn Fn(u64, u64, &PeerMessage) -> bool>;
+type AfterSync = Vec<(u64, PeerMessage)>;
 
 struct Node {
     register: Register,
     id: u64,
-    lives: u64,
+    incarnations: u64,
     disk: Vec<Record>,
-    unsynced: Vec<(Record, Then)>,
-    stalled: bool,
-    cut_off: bool,
+    unsynced: Vec<(Record, AfterSync)>,
+    is_stalled: bool,
+    is_isolated: bool,
 }
 
 struct Message {
@@ -34,10 +38,10 @@
 pub(crate) struct Cluster {
     nodes: Vec<Node>,
     now: Instant,
-    jobs: u64,
+    last_job: u64,
     outcomes: BTreeMap<JobId, Outcome>,
     network: VecDeque<Message>,
-    lost: Loss,
+    lost: LossRule,
     sent: Vec<PeerMessage>,
 }
 
@@ -50,24 +54,14 @@
     }
 }
 
-fn address(at: u64) -> String {
-    format!("10.0.0.{at}:80")
-}
-
-fn life(id: u64, lives: u64) -> u64 {
-    id * 1_000 + lives
+fn incarnation(id: u64, count: u64) -> u64 {
+    id * 1_000 + count
 }
 
 impl Cluster {
     pub(crate) fn new(size: u64) -> Cluster {
-        let voters: Vec<Voter> = (1..=size)
-            .map(|at| Voter {
-                id: at,
-                address: address(at),
-            })
-            .collect();
         let genesis = Value {
-            voters,
+            voters: (1..=size).map(voter).collect(),
             ..Value::default()
         };
         let node = |id| Node {
@@ -75,23 +69,23 @@
                 id,
                 DurableState::default(),
                 Some(genesis.clone()),
-                life(id, 1),
+                incarnation(id, 1),
             ),
             id,
-            lives: 1,
+            incarnations: 1,
             disk: vec![Record {
                 id: Some(id),
                 decided: Some(genesis.clone()),
                 ..Record::default()
             }],
             unsynced: Vec::new(),
-            stalled: false,
-            cut_off: false,
+            is_stalled: false,
+            is_isolated: false,
         };
         Cluster {
             nodes: (1..=size).map(node).collect(),
             now: Instant::from_millis(1_000),
-            jobs: 1_000,
+            last_job: 1_000,
             outcomes: BTreeMap::new(),
             network: VecDeque::new(),
             lost: Box::new(|_, _, _| false),
@@ -112,52 +106,56 @@
         self.lost = Box::new(lost);
     }
 
-    pub(crate) fn cut_off(&mut self, nodes: &[u64]) {
-        nodes.iter().for_each(|at| self.node(*at).cut_off = true);
+    pub(crate) fn isolate(&mut self, nodes: &[u64]) {
+        nodes
+            .iter()
+            .for_each(|at| self.node(*at).is_isolated = true);
     }
 
     pub(crate) fn heal(&mut self) {
-        self.nodes.iter_mut().for_each(|node| node.cut_off = false);
+        self.nodes
+            .iter_mut()
+            .for_each(|node| node.is_isolated = false);
     }
 
-    pub(crate) fn count_messages(&mut self) {
+    pub(crate) fn clear_sent(&mut self) {
         self.sent.clear();
     }
 
-    pub(crate) fn counted(&self, of: impl Fn(&PeerMessage) -> bool) -> usize {
-        self.sent.iter().filter(|message| of(message)).count()
+    pub(crate) fn count_sent(&self, matches: impl Fn(&PeerMessage) -> bool) -> usize {
+        self.sent.iter().filter(|message| matches(message)).count()
     }
 
     fn node(&mut self, at: u64) -> &mut Node {
         &mut self.nodes[at as usize - 1]
     }
 
-    /// Begins a call; its outcome comes under this job.
+    /// Submits an order as this job.
     pub(crate) fn start_order(&mut self, at: u64, job: JobId, change: Change) {
-        let until = self.now + CALL;
+        let until = self.now + JOB_TIMEOUT;
         self.drive(at, |register, now, effects| {
             register.propose(now, job, change, until, effects);
         });
     }
 
-    /// A call to its end.
+    /// Submits an order, and waits for its outcome.
     pub(crate) fn order(&mut self, at: u64, change: Change) -> Outcome {
-        self.jobs += 1;
-        let job = JobId(self.jobs);
+        self.last_job += 1;
+        let job = JobId(self.last_job);
         self.start_order(at, job, change);
         self.await_outcome(job)
     }
 
     fn await_outcome(&mut self, job: JobId) -> Outcome {
-        let end = self.now + CALL * 2;
+        let end = self.now + JOB_TIMEOUT * 2;
         while !self.outcomes.contains_key(&job) && self.now < end {
             self.pass_time(STEP);
         }
-        self.outcome(job).expect("each call ends in time")
+        self.outcome(job).expect("each job is completed in time")
     }
 
-    /// Orders in a row, each on the one before it.
-    pub(crate) fn take_orders(&mut self, at: u64, revisions: std::ops::RangeInclusive<u64>) {
+    /// Commits orders in a row, each on the one before it.
+    pub(crate) fn commit_orders(&mut self, at: u64, revisions: std::ops::RangeInclusive<u64>) {
         for revision in revisions {
             let change = order(revision - 1, revision, &revision.to_string());
             assert_eq!(self.order(at, change), Outcome::Committed(revision));
@@ -174,28 +172,41 @@
         }
     }
 
-    /// What was not synced is gone.
+    /// Starts a new incarnation; what was not synced is lost.
     pub(crate) fn restart(&mut self, at: u64) {
         let node = self.node(at);
-        node.lives += 1;
+        node.incarnations += 1;
         node.unsynced.clear();
-        let mut kept = DurableState::default();
-        node.disk.iter().for_each(|record| kept.add(record.clone()));
-        node.register = Register::new(node.id, kept, None, life(node.id, node.lives));
+        let mut state = DurableState::default();
+        node.disk
+            .iter()
+            .for_each(|record| state.add(record.clone()));
+        node.register = Register::new(
+            node.id,
+            state,
+            None,
+            incarnation(node.id, node.incarnations),
+        );
     }
 
     pub(crate) fn restart_all(&mut self) {
         (1..=self.nodes.len() as u64).for_each(|at| self.restart(at));
     }
 
-    /// The disk is lost, an empty one learns what is decided, then another node makes it count in its place.
+    /// Replaces a disk by an empty one, which learns what is decided; then another node makes it a voter in the place of
+    /// the old one.
     pub(crate) fn replace_disk(&mut self, at: u64) {
         let other = at % self.nodes.len() as u64 + 1;
         let node = self.node(at);
         let old = node.id;
         node.id += 100;
-        (node.lives, node.disk, node.unsynced) = (1, Vec::new(), Vec::new());
-        node.register = Register::new(node.id, DurableState::default(), None, life(node.id, 1));
+        (node.incarnations, node.disk, node.unsynced) = (1, Vec::new(), Vec::new());
+        node.register = Register::new(
+            node.id,
+            DurableState::default(),
+            None,
+            incarnation(node.id, 1),
+        );
         let new = node.id;
         let value = self.register(other).decided().expect("has one").clone();
         let (on, epoch, mut voters) = (value.number, value.epoch, value.voters.clone());
@@ -205,7 +216,7 @@
             to: new,
             message: PeerMessage::Decided(value),
         });
-        self.settle();
+        self.deliver_all();
         self.pass_time(Duration::from_secs(1));
         voters
             .iter_mut()
@@ -224,17 +235,17 @@
         ));
     }
 
-    /// From now on nothing is synced at this node, until [`Cluster::sync_disk`].
+    /// From now on no record is synced at this node, until [`Cluster::sync_disk`].
     pub(crate) fn stall_disk(&mut self, at: u64) {
-        self.node(at).stalled = true;
+        self.node(at).is_stalled = true;
     }
 
     pub(crate) fn sync_disk(&mut self, at: u64) {
-        self.node(at).stalled = false;
-        self.settle();
+        self.node(at).is_stalled = false;
+        self.deliver_all();
     }
 
-    /// The disk was behind: records that wait for it are dropped, and what waits on them.
+    /// Drops the records that wait for a stalled disk, and the messages that wait for them.
     pub(crate) fn drop_unsynced(&mut self, at: u64) {
         self.node(at).unsynced.clear();
     }
@@ -243,7 +254,7 @@
         let (now, mut effects) = (self.now, Vec::new());
         step(&mut self.node(at).register, now, &mut effects);
         self.carry_out(at, effects);
-        self.settle();
+        self.deliver_all();
     }
 
     fn carry_out(&mut self, at: u64, effects: Vec<Effect>) {
@@ -251,17 +262,14 @@
         let ids: Vec<u64> = self.nodes.iter().map(|node| node.id).collect();
         for effect in effects {
             match effect {
-                Effect::Send { to, message: word } => self.network.push_back(Message {
-                    from,
-                    to,
-                    message: word,
-                }),
-                Effect::Persist {
-                    record,
-                    after_sync: then,
-                } => self.node(at).unsynced.push((record, then)),
+                Effect::Send { to, message } => {
+                    self.network.push_back(Message { from, to, message });
+                }
+                Effect::Persist { record, after_sync } => {
+                    self.node(at).unsynced.push((record, after_sync));
+                }
                 Effect::Reply { job, outcome } => _ = self.outcomes.insert(job, outcome),
-                // The control part tells all others at once.
+                // The control node sends it to all others at once.
                 Effect::Decided(value) => {
                     for to in ids.iter().copied().filter(|to| *to != from) {
                         let message = PeerMessage::Decided(value.clone());
@@ -272,16 +280,20 @@
         }
     }
 
-    /// Until nothing is under way.
-    fn settle(&mut self) {
+    /// Delivers messages until none is in flight.
+    fn deliver_all(&mut self) {
         loop {
             self.sync();
             let Some(Message { from, to, message }) = self.network.pop_front() else {
                 return;
             };
-            let cut_off = |id| self.nodes.iter().any(|node| node.id == id && node.cut_off);
-            let lost =
-                to != from && (cut_off(to) || cut_off(from)) || (self.lost)(from, to, &message);
+            let is_isolated = |id| {
+                self.nodes
+                    .iter()
+                    .any(|node| node.id == id && node.is_isolated)
+            };
+            let lost = to != from && (is_isolated(to) || is_isolated(from))
+                || (self.lost)(from, to, &message);
             let Some(at) = self
                 .nodes
                 .iter()
@@ -300,15 +312,16 @@
     }
 
     fn sync(&mut self) {
-        for node in self.nodes.iter_mut().filter(|node| !node.stalled) {
+        for node in self.nodes.iter_mut().filter(|node| !node.is_stalled) {
             let from = node.id;
-            for (record, then) in node.unsynced.drain(..) {
+            for (record, after_sync) in node.unsynced.drain(..) {
                 node.disk.push(record);
                 self.network
-                    .extend(
-                        then.into_iter()
-                            .map(|(to, message)| Message { from, to, message }),
-                    );
+                    .extend(after_sync.into_iter().map(|(to, message)| Message {
+                        from,
+                        to,
+                        message,
+                    }));
             }
         }
     }
--- a/crates/linenthread-consensus/tests/contention.rs
+++ b/crates/linenthread-consensus/tests/consensus/contention.rs
@@ -1,35 +1,23 @@
-//! A proposer that clashes with others: how long it rests, and how much time a round has.
+//! Proposers that compete: how long one pauses after a rejection, and how much time a round has.
 
 use linenthread_consensus::{Change, DurableState, Effect, JobId, Register};
-use linenthread_messages::{Accept, Ballot, PeerMessage, Prepare, Promise, Rejected, Value, Voter};
-use linenthread_time::Instant;
+use linenthread_messages::{Accept, Ballot, PeerMessage, Prepare, Promise, Rejected, Value};
 
-/// The instant this many milliseconds after the clock's start.
-fn at(millis: u64) -> Instant {
-    Instant::from_millis(millis)
-}
+use crate::fixtures::{self, at};
 
-const ANOTHER: u64 = 99;
+const OTHER_PROPOSER: u64 = 99;
 
 fn value(number: u64) -> Value {
-    let voters = (1..=3)
-        .map(|id| Voter {
-            id,
-            address: format!("10.0.0.{id}:80"),
-        })
-        .collect();
     Value {
-        number,
         revision: number,
-        voters,
-        ..Value::default()
+        ..fixtures::value(number)
     }
 }
 
-fn wants_other_voters(register: &mut Register, now: u64) -> Vec<Effect> {
-    let on = register.decided().map_or(0, |value| value.number);
+fn propose_other_voters(register: &mut Register, now: u64) -> Vec<Effect> {
+    let base_number = register.decided().map_or(0, |value| value.number);
     let change = Change::Voters {
-        base_number: on,
+        base_number,
         voters: value(0).voters[..2].to_vec(),
         epoch: 1,
     };
@@ -38,7 +26,7 @@
     effects
 }
 
-fn wants_an_order(register: &mut Register, now: u64) -> Vec<Effect> {
+fn propose_an_order(register: &mut Register, now: u64) -> Vec<Effect> {
     let base = register.decided().map_or(0, |value| value.revision);
     let change = Change::Document {
         base,
@@ -50,8 +38,8 @@
     effects
 }
 
-/// The ballot of the round that these effects begin, if they begin one.
-fn begun(effects: &[Effect]) -> Option<Ballot> {
+/// The ballot of the round that these effects start, if they start one.
+fn started_round(effects: &[Effect]) -> Option<Ballot> {
     effects.iter().find_map(|effect| match effect {
         Effect::Send {
             message: PeerMessage::Prepare(prepare),
@@ -61,21 +49,21 @@
     })
 }
 
-/// Ticks until a round begins, and when.
+/// Ticks until a round starts; returns when, and its ballot.
 fn next_round(register: &mut Register, from: u64) -> (u64, Ballot) {
     (from..from + 10_000)
         .find_map(|now| {
             let mut effects = Vec::new();
             register.tick(at(now), &mut effects);
-            Some((now, begun(&effects)?))
+            Some((now, started_round(&effects)?))
         })
-        .expect("a round begins")
+        .expect("a round starts")
 }
 
 fn reject(register: &mut Register, now: u64, number: u64, ballot: Ballot) {
     let promised = Ballot {
         round: ballot.round + 1,
-        proposer: ANOTHER,
+        proposer: OTHER_PROPOSER,
     };
     register.on_message(
         at(now),
@@ -86,20 +74,21 @@
 }
 
 #[test]
-fn who_lost_to_many_values_rests_no_longer_than_who_lost_once() {
+fn a_proposer_rejected_for_many_values_pauses_no_longer_than_after_one() {
     for seed in 1..100 {
         let mut register = Register::new(1, DurableState::default(), Some(value(0)), seed);
         let mut now = 1_000;
-        let mut ballot = begun(&wants_an_order(&mut register, now)).expect("a round begins");
+        let mut ballot =
+            started_round(&propose_an_order(&mut register, now)).expect("a round starts");
         for number in 1..10 {
             reject(&mut register, now, number, ballot);
-            let (again, _) = next_round(&mut register, now + 1);
+            let (restarted_at, _) = next_round(&mut register, now + 1);
             assert!(
-                again <= now + 51,
+                restarted_at <= now + 51,
                 "seed {seed}, number {number}: {} ms",
-                again - now
+                restarted_at - now
             );
-            now = again + 500;
+            now = restarted_at + 500;
             let mut effects = Vec::new();
             register.on_message(
                 at(now),
@@ -107,15 +96,17 @@
                 PeerMessage::Decided(value(number)),
                 &mut effects,
             );
-            ballot = begun(&effects).expect("the order waits on, and a round begins");
+            ballot =
+                started_round(&effects).expect("the order is still pending, and a round starts");
         }
     }
 }
 
 #[test]
-fn each_half_of_a_round_has_its_time() {
+fn each_phase_of_a_round_has_the_whole_time_out() {
     let mut register = Register::new(1, DurableState::default(), Some(value(0)), 7);
-    let ballot = begun(&wants_other_voters(&mut register, 1_000)).expect("a round begins");
+    let ballot =
+        started_round(&propose_other_voters(&mut register, 1_000)).expect("a round starts");
     let mut effects = Vec::new();
     for from in [2, 3] {
         let promise = Promise {
@@ -125,27 +116,32 @@
         };
         register.on_message(at(1_400), from, PeerMessage::Promise(promise), &mut effects);
     }
-    let asks = |e: &Effect| {
+    let is_accept = |effect: &Effect| {
         matches!(
-            e,
+            effect,
             Effect::Send {
                 message: PeerMessage::Accept(Accept { .. }),
                 ..
             }
         )
     };
-    assert!(effects.iter().any(asks));
-    let (again, _) = next_round(&mut register, 1_401);
-    assert!(again >= 1_850, "given up after {} ms", again - 1_400);
+    assert!(effects.iter().any(is_accept));
+    let (restarted_at, _) = next_round(&mut register, 1_401);
+    assert!(
+        restarted_at >= 1_850,
+        "abandoned after {} ms",
+        restarted_at - 1_400
+    );
 }
 
-/// Voters that take 240 ms for half a round: who overtook is left that time, and the next ones that clash come apart
-/// by more than the least rest.
+/// Voters that take 240 ms for a phase: the competing round is left that time, and the next rounds of two proposers that
+/// were both rejected start further apart than the shortest pause.
 #[test]
-fn a_rest_goes_by_how_long_the_voters_take() {
-    let rest = |seed| {
+fn the_pause_follows_the_latency_of_the_voters() {
+    let pause = |seed| {
         let mut register = Register::new(1, DurableState::default(), Some(value(0)), seed);
-        let ballot = begun(&wants_an_order(&mut register, 1_000)).expect("a round begins");
+        let ballot =
+            started_round(&propose_an_order(&mut register, 1_000)).expect("a round starts");
         for from in [2, 3] {
             let promise = Promise {
                 number: 1,
@@ -162,10 +158,10 @@
         reject(&mut register, 1_300, 1, ballot);
         next_round(&mut register, 1_301).0 - 1_300
     };
-    let rests: Vec<u64> = (1..50).map(rest).collect();
+    let pauses: Vec<u64> = (1..50).map(pause).collect();
     let (shortest, longest) = (
-        rests.iter().min().expect("some"),
-        rests.iter().max().expect("some"),
+        pauses.iter().min().expect("pauses"),
+        pauses.iter().max().expect("pauses"),
     );
     assert!(
         *shortest >= 240 && (340..=721).contains(longest),
@@ -174,31 +170,36 @@
 }
 
 #[test]
-fn a_change_of_the_voters_hardly_rests() {
+fn a_change_of_the_voters_hardly_pauses() {
     for seed in 1..50 {
         let mut register = Register::new(1, DurableState::default(), Some(value(0)), seed);
         let mut now = 1_000;
-        let mut ballot = begun(&wants_other_voters(&mut register, now)).expect("a round begins");
+        let mut ballot =
+            started_round(&propose_other_voters(&mut register, now)).expect("a round starts");
         for _ in 0..8 {
             reject(&mut register, now, 1, ballot);
-            let (again, next) = next_round(&mut register, now + 1);
-            assert!(again <= now + 26, "seed {seed}: {} ms", again - now);
-            (now, ballot) = (again, next);
+            let (restarted_at, next) = next_round(&mut register, now + 1);
+            assert!(
+                restarted_at <= now + 26,
+                "seed {seed}: {} ms",
+                restarted_at - now
+            );
+            (now, ballot) = (restarted_at, next);
         }
     }
 }
 
-/// A round of another node that this one votes in is left its time, but not by a change of the voters.
+/// A round of another node that this one votes in is left its time, though not by a change of the voters.
 #[test]
-fn an_order_waits_for_the_round_of_another_node() {
+fn an_order_waits_for_a_competing_round() {
     let prepare = Prepare {
         number: 1,
         ballot: Ballot {
             round: 1,
-            proposer: ANOTHER,
+            proposer: OTHER_PROPOSER,
         },
     };
-    let asked = || {
+    let voted = || {
         let mut register = Register::new(1, DurableState::default(), Some(value(0)), 7);
         register.on_message(
             at(1_000),
@@ -208,8 +209,8 @@
         );
         register
     };
-    let mut register = asked();
-    assert_eq!(begun(&wants_an_order(&mut register, 1_001)), None);
+    let mut register = voted();
+    assert_eq!(started_round(&propose_an_order(&mut register, 1_001)), None);
     assert_eq!(next_round(&mut register, 1_002).0, 1_050);
-    assert!(begun(&wants_other_voters(&mut asked(), 1_001)).is_some());
+    assert!(started_round(&propose_other_voters(&mut voted(), 1_001)).is_some());
 }
--- /dev/null
+++ b/crates/linenthread-consensus/tests/consensus/fixtures.rs
@@ -0,0 +1,32 @@
+//! Values, registers and instants that several tests start from.
+
+use linenthread_consensus::{DurableState, Register};
+use linenthread_messages::{Value, Voter};
+use linenthread_time::Instant;
+
+/// The instant this many milliseconds after the clock's start.
+pub(crate) fn at(millis: u64) -> Instant {
+    Instant::from_millis(millis)
+}
+
+/// A voter with an address of its own.
+pub(crate) fn voter(id: u64) -> Voter {
+    Voter {
+        id,
+        address: format!("10.0.0.{id}:80"),
+    }
+}
+
+/// A value whose voters are the nodes 1, 2 and 3.
+pub(crate) fn value(number: u64) -> Value {
+    Value {
+        number,
+        voters: (1..=3).map(voter).collect(),
+        ..Value::default()
+    }
+}
+
+/// A register with an empty disk that starts from value 0 of the nodes 1, 2 and 3.
+pub(crate) fn register(id: u64, incarnation: u64) -> Register {
+    Register::new(id, DurableState::default(), Some(value(0)), incarnation)
+}
--- /dev/null
+++ b/crates/linenthread-consensus/tests/consensus/lease.rs
@@ -0,0 +1,151 @@
+//! Granting and holding the leader lease.
+
+use linenthread_consensus::LeaderLease;
+use linenthread_messages::{LeaseRequest, LeaseVote};
+use yare::parameterized;
+
+use crate::fixtures::at;
+
+fn request(incarnation: u64, epoch: u64, request_id: u64) -> LeaseRequest {
+    LeaseRequest {
+        epoch,
+        request_id,
+        lease_ms: 2_000,
+        incarnation,
+        value_number: 0,
+    }
+}
+
+fn granted(request: &LeaseRequest) -> LeaseVote {
+    LeaseVote {
+        epoch: request.epoch,
+        request_id: request.request_id,
+        granted: true,
+    }
+}
+
+fn is_majority(ids: Vec<u64>) -> bool {
+    ids.len() >= 2
+}
+
+/// A candidate of three voters, on the very first start.
+fn candidate() -> LeaderLease {
+    LeaderLease::new(1, 9, at(0), true, 0)
+}
+
+#[parameterized(
+    no_grant_yet = { 5_000, 1, 7, 1, true },
+    just_started = { 500, 1, 7, 1, false },
+    another_within_the_grant = { 5_100, 2, 8, 2, false },
+    another_after_the_grant = { 8_000, 2, 8, 2, true },
+    an_earlier_epoch = { 8_000, 2, 8, 1, false },
+    the_same_again = { 5_100, 1, 7, 1, true },
+    the_same_under_a_new_epoch = { 5_100, 1, 7, 4, true },
+    a_new_incarnation_under_the_old_epoch = { 5_100, 1, 6, 1, false },
+    a_new_incarnation_under_a_new_epoch = { 5_100, 1, 6, 2, true },
+)]
+fn the_lease_is_granted_to_one_candidate_at_a_time(
+    now: u64,
+    from: u64,
+    incarnation: u64,
+    epoch: u64,
+    granted: bool,
+) {
+    let mut lease = LeaderLease::new(3, 9, at(0), false, 0);
+    if now > 5_000 {
+        lease.on_lease_request(at(5_000), 1, &request(7, 1, 1), Some(0));
+    }
+    let vote = lease.on_lease_request(at(now), from, &request(incarnation, epoch, 2), Some(0));
+    assert_eq!(vote.granted, granted);
+}
+
+#[test]
+fn an_expired_lease_is_not_held_again_by_a_late_vote() {
+    let mut lease = candidate();
+    let first = lease.tick(at(0), true, 0).expect("a request");
+    let vote = granted(&first);
+    assert!(!lease.on_lease_vote(at(1), 1, &vote, 0, is_majority));
+    assert!(lease.on_lease_vote(at(2), 2, &vote, 0, is_majority));
+    assert_eq!(lease.held_epoch(at(1_000)), Some(1));
+    assert_eq!(lease.held_epoch(at(3_000)), None);
+    assert!(!lease.on_lease_vote(at(3_000), 3, &vote, 0, is_majority));
+    let next = lease.tick(at(3_000), true, 0).expect("a new request");
+    assert!(next.epoch > first.epoch);
+}
+
+#[test]
+fn voters_are_changed_only_under_a_lease_of_the_newest_voters() {
+    let mut lease = candidate();
+    let at_7 = lease.tick(at(0), true, 7).expect("a request");
+    lease.on_lease_vote(at(1), 1, &granted(&at_7), 7, is_majority);
+    assert!(
+        lease.on_lease_vote(at(2), 2, &granted(&at_7), 7, is_majority)
+            && lease.is_held_at(at(3), 7)
+    );
+    // The next value may name other voters: they are asked at once, and votes at the last value count no more.
+    assert!(lease.held_epoch(at(3)).is_some() && !lease.is_held_at(at(3), 8));
+    let at_8 = lease.tick(at(4), true, 8).expect("a new request");
+    lease.on_lease_vote(at(5), 1, &granted(&at_7), 8, is_majority);
+    assert!(!lease.on_lease_vote(at(5), 2, &granted(&at_7), 8, is_majority));
+    lease.on_lease_vote(at(6), 1, &granted(&at_8), 8, is_majority);
+    assert!(
+        lease.on_lease_vote(at(6), 2, &granted(&at_8), 8, is_majority)
+            && lease.is_held_at(at(7), 8)
+    );
+    assert_eq!(
+        (at_8.epoch, lease.held_epoch(at(7))),
+        (at_7.epoch, Some(at_7.epoch))
+    );
+}
+
+#[test]
+fn votes_under_one_epoch_do_not_count_under_another() {
+    let mut lease = candidate();
+    let first = lease.tick(at(0), true, 0).expect("a request");
+    let vote = granted(&first);
+    lease.on_lease_vote(at(1), 1, &vote, 0, is_majority);
+    let denied = LeaseVote {
+        epoch: 6,
+        granted: false,
+        ..vote.clone()
+    };
+    lease.on_lease_vote(at(2), 2, &denied, 0, is_majority);
+    assert!(!lease.on_lease_vote(at(3), 3, &vote, 0, is_majority));
+    let next = lease.tick(at(500), true, 0).expect("a new request");
+    assert_eq!((next.epoch, lease.held_epoch(at(500))), (7, None));
+}
+
+#[parameterized(
+    same_value = { Some(0), false, 1, true },
+    a_value_is_undecided = { None, false, 1, false },
+    another_value = { Some(1), false, 1, false },
+    a_new_voter = { Some(0), true, 1, false },
+    not_above_the_epoch_of_the_value = { Some(0), false, 0, false },
+)]
+fn a_grant_waits_for_what_is_decided(
+    value_number: Option<u64>,
+    is_new_voter: bool,
+    above: u64,
+    granted: bool,
+) {
+    let mut lease = LeaderLease::new(3, 9, at(0), false, 0);
+    lease.observe_epoch(at(5_000), 4, is_new_voter);
+    let request = request(7, 4 + above, 1);
+    let vote = lease.on_lease_request(at(6_900), 1, &request, value_number);
+    assert_eq!(vote.granted, granted);
+    // Later it waits only for the same value on both sides, and for a higher epoch.
+    let vote = lease.on_lease_request(at(7_100), 1, &request, Some(0));
+    assert_eq!(vote.granted, above > 0);
+}
+
+#[test]
+fn votes_that_arrive_after_the_lease_would_have_ended_do_not_count() {
+    let mut lease = candidate();
+    let request = lease.tick(at(0), true, 0).expect("a request");
+    let vote = granted(&request);
+    lease.on_lease_vote(at(1), 1, &vote, 0, is_majority);
+    // The process was suspended meanwhile.
+    lease.on_lease_vote(at(5_000), 2, &vote, 0, is_majority);
+    assert_eq!(lease.held_epoch(at(5_000)), None);
+    assert!(!lease.is_held_at(at(5_000), 0));
+}
--- /dev/null
+++ b/crates/linenthread-consensus/tests/consensus/lease_release.rs
@@ -0,0 +1,166 @@
+//! A lease holder that shuts down: it holds nothing from then on, and its voters need not wait for their grants to end.
+
+use linenthread_consensus::LeaderLease;
+use linenthread_messages::{LeaseRelease, LeaseRequest, LeaseVote, Value};
+use yare::parameterized;
+
+use crate::fixtures::at;
+
+const LEASE_HOLDER: u64 = 1;
+const OTHER: u64 = 2;
+const INCARNATION: u64 = 7;
+
+fn request(incarnation: u64, epoch: u64, request_id: u64) -> LeaseRequest {
+    LeaseRequest {
+        epoch,
+        request_id,
+        lease_ms: 2_000,
+        incarnation,
+        value_number: 0,
+    }
+}
+
+fn release(incarnation: u64, epoch: u64) -> LeaseRelease {
+    LeaseRelease { epoch, incarnation }
+}
+
+fn granted(request: &LeaseRequest) -> LeaseVote {
+    LeaseVote {
+        epoch: request.epoch,
+        request_id: request.request_id,
+        granted: true,
+    }
+}
+
+/// Whether a voter at value 0 grants the request.
+fn grants(voter: &mut LeaderLease, now: u64, from: u64, request: &LeaseRequest) -> bool {
+    voter
+        .on_lease_request(at(now), from, request, Some(0))
+        .granted
+}
+
+/// A candidate on the very first start.
+fn candidate() -> LeaderLease {
+    LeaderLease::new(LEASE_HOLDER, INCARNATION, at(0), true, 0)
+}
+
+/// A voter that granted the lease under epoch 3 at 5 s.
+fn voter() -> LeaderLease {
+    let mut voter = LeaderLease::new(3, 9, at(0), false, 0);
+    let request = request(INCARNATION, 3, 1);
+    assert!(grants(&mut voter, 5_000, LEASE_HOLDER, &request));
+    voter
+}
+
+#[parameterized(
+    by_the_lease_holder = { LEASE_HOLDER, INCARNATION, 3, true },
+    under_a_later_epoch = { LEASE_HOLDER, INCARNATION, 4, true },
+    under_an_earlier_epoch = { LEASE_HOLDER, INCARNATION, 2, false },
+    of_another_incarnation = { LEASE_HOLDER, 6, 3, false },
+    by_another_node = { OTHER, INCARNATION, 3, false },
+)]
+fn a_release_frees_only_the_voters_of_that_lease_holder(
+    from: u64,
+    incarnation: u64,
+    epoch: u64,
+    is_free: bool,
+) {
+    let mut voter = voter();
+    assert_eq!(
+        voter.on_release(from, &release(incarnation, epoch)),
+        is_free
+    );
+    assert_eq!(grants(&mut voter, 5_100, OTHER, &request(8, 9, 1)), is_free);
+}
+
+#[test]
+fn a_request_that_arrives_after_the_release_is_not_granted() {
+    let mut voter = voter();
+    voter.on_release(LEASE_HOLDER, &release(INCARNATION, 4));
+    let overtaken = request(INCARNATION, 4, 2);
+    assert!(!grants(&mut voter, 5_100, LEASE_HOLDER, &overtaken));
+}
+
+#[test]
+fn a_new_voter_does_not_renew_its_earlier_grant() {
+    let mut voter = voter();
+    voter.observe_epoch(at(9_000), 0, true);
+    let renewal = |request_id| request(INCARNATION, 4, request_id);
+    assert!(!grants(&mut voter, 10_900, LEASE_HOLDER, &renewal(2)));
+    assert!(grants(&mut voter, 11_000, LEASE_HOLDER, &renewal(3)));
+}
+
+#[parameterized(
+    the_next_value = { 8, 8, false },
+    skipped_values_without_a_change = { 12, 7, false },
+    a_skipped_change = { 12, 9, true },
+    a_change_by_the_value_itself = { 12, 12, true },
+)]
+fn a_skipped_change_of_the_voters_is_noticed(number: u64, voters_since: u64, skips: bool) {
+    let mut voter = voter();
+    voter.on_decided(&Value {
+        number: 7,
+        ..Value::default()
+    });
+    let value = Value {
+        number,
+        voters_since,
+        ..Value::default()
+    };
+    assert_eq!(voter.skips_voter_change(&value), skips);
+}
+
+#[test]
+fn a_release_does_not_shorten_the_wait_of_a_new_voter() {
+    let mut voter = voter();
+    voter.observe_epoch(at(5_050), 0, true);
+    assert!(voter.on_release(LEASE_HOLDER, &release(INCARNATION, 3)));
+    assert!(!grants(&mut voter, 5_100, OTHER, &request(8, 9, 1)));
+    assert!(grants(&mut voter, 7_100, OTHER, &request(8, 9, 2)));
+}
+
+#[test]
+fn after_a_release_nothing_is_held_and_the_next_epoch_is_higher() {
+    let mut lease = candidate();
+    let first = lease.tick(at(0), true, 0).expect("a request");
+    let is_majority = |ids: Vec<u64>| ids.len() >= 2;
+    let vote = granted(&first);
+    lease.on_lease_vote(at(1), LEASE_HOLDER, &vote, 0, is_majority);
+    assert!(
+        lease.on_lease_vote(at(2), OTHER, &vote, 0, is_majority)
+            && lease.held_epoch(at(3)).is_some()
+    );
+    let released = lease.release().expect("a held lease");
+    assert_eq!(released, release(INCARNATION, first.epoch));
+    // Votes that were in flight do not bring it back.
+    assert!(
+        !lease.on_lease_vote(at(4), 3, &vote, 0, is_majority) && lease.held_epoch(at(4)).is_none()
+    );
+    assert!(lease.release().is_none());
+    let next = lease.tick(at(6), true, 0).expect("a new request");
+    assert!(next.epoch > released.epoch);
+}
+
+#[test]
+fn a_pending_request_is_released_as_well() {
+    let mut lease = candidate();
+    let pending = lease.tick(at(0), true, 0).expect("a request");
+    assert_eq!(
+        lease.release().map(|release| release.epoch),
+        Some(pending.epoch)
+    );
+    let vote = granted(&pending);
+    assert!(
+        !lease.on_lease_vote(at(2), OTHER, &vote, 0, |_| true) && lease.held_epoch(at(2)).is_none()
+    );
+}
+
+#[test]
+fn a_suspended_candidate_does_not_get_a_lease_that_has_ended() {
+    let mut lease = candidate();
+    let pending = lease.tick(at(0), true, 0).expect("a request");
+    // The driver would take this for a lease that begins.
+    assert!(!lease.on_lease_vote(at(20_000), OTHER, &granted(&pending), 0, |_| true));
+    assert_eq!(lease.held_epoch(at(20_000)), None);
+    assert!(!lease.is_held_at(at(20_000), 0));
+}
--- a/crates/linenthread-consensus/tests/orders.rs
+++ b/crates/linenthread-consensus/tests/consensus/orders.rs
@@ -1,16 +1,16 @@
-//! What becomes of an order that is sent again: acknowledged or left unclear, never refused, if it was taken.
-
-mod common;
+//! An order that is submitted again: acknowledged or left unclear, never rejected, if it was accepted.
 
 use std::time::Duration;
 
-use common::{Cluster, order};
 use linenthread_consensus::{
     JobId, MAX_LOGGED_ORDERS, MAX_ORDERS_PER_MESSAGE, OrderLog, Outcome, document_digest,
 };
 use linenthread_messages::{OrderIdentity, PeerMessage};
 use yare::parameterized;
 
+use crate::cluster::{Cluster, order};
+
+/// As many orders as one long day brings.
 const LONG_DAY: u64 = 2_000;
 
 fn identity(revision: u64) -> OrderIdentity {
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn of_two_orders_under_one_number_one_wins_and_the_other_is_refused_at_each_node() {
+fn of_two_orders_under_one_revision_one_wins_at_each_node() {
     let mut cluster = Cluster::new(3);
     assert_eq!(
         cluster.order(1, order(0, 1, "first")),
@@ -38,7 +38,7 @@
             Outcome::Committed(1)
         );
     }
-    cluster.take_orders(2, 2..=100);
+    cluster.commit_orders(2, 2..=100);
     cluster.restart_all();
     cluster.replace_disk(3);
     for at in 1..=3 {
@@ -56,22 +56,22 @@
 #[parameterized(
     same_document_on_another_base = { order(3, 7, "7") },
     another_document = { order(6, 7, "other") },
-    a_number_that_was_passed_over = { order(6, 8, "8") },
+    a_skipped_revision = { order(6, 8, "8") },
 )]
-fn what_was_not_taken_is_refused_long_after(change: linenthread_consensus::Change) {
+fn an_order_that_was_not_accepted_conflicts_long_after(change: linenthread_consensus::Change) {
     let mut cluster = Cluster::new(3);
-    cluster.take_orders(1, 1..=7);
+    cluster.commit_orders(1, 1..=7);
     assert_eq!(cluster.order(1, order(7, 9, "9")), Outcome::Committed(9));
-    cluster.take_orders(1, 10..=40);
+    cluster.commit_orders(1, 10..=40);
     for at in 1..=3 {
         assert_eq!(cluster.order(at, change.clone()), Outcome::Conflict(40));
     }
 }
 
 #[test]
-fn an_order_is_known_after_two_thousand_later_ones_a_restart_of_all_and_a_replaced_disk() {
+fn an_order_is_known_after_two_thousand_later_ones_restarts_and_a_replaced_disk() {
     let mut cluster = Cluster::new(3);
-    cluster.take_orders(1, 1..=LONG_DAY + 1);
+    cluster.commit_orders(1, 1..=LONG_DAY + 1);
     for at in 1..=3 {
         assert_eq!(cluster.order(at, order(0, 1, "1")), Outcome::Committed(1));
     }
@@ -90,10 +90,10 @@
 }
 
 #[test]
-fn an_order_sent_again_while_its_first_copy_is_half_done_is_taken_once() {
+fn an_order_resubmitted_while_its_first_copy_is_undecided_is_accepted_once() {
     let mut cluster = Cluster::new(3);
-    cluster.take_orders(1, 1..=3);
-    // Node 1 gets its order accepted at 1 and 2, and hears no acknowledgement.
+    cluster.commit_orders(1, 1..=3);
+    // Node 1 gets its order accepted at 1 and 2, and receives no acknowledgement.
     cluster.lose(|_, to, message| to == 1 && matches!(message, PeerMessage::AcceptAck(_)));
     cluster.start_order(1, JobId(500), order(3, 4, "4"));
     cluster.lose(|_, _, _| false);
@@ -106,7 +106,7 @@
 }
 
 #[test]
-fn a_rival_of_a_half_done_order_is_refused_only_when_that_one_is_decided() {
+fn a_rival_of_an_undecided_order_conflicts_only_once_that_one_is_decided() {
     let mut cluster = Cluster::new(3);
     cluster.lose(|_, to, message| to == 1 && matches!(message, PeerMessage::AcceptAck(_)));
     cluster.start_order(1, JobId(500), order(0, 1, "first"));
@@ -121,21 +121,21 @@
     );
 }
 
-#[parameterized(taken = { "1" }, refused = { "other" })]
-fn a_node_in_a_minority_neither_confirms_nor_refuses(document: &str) {
+#[parameterized(accepted = { "1" }, conflicting = { "other" })]
+fn a_node_in_a_minority_neither_acknowledges_nor_rejects(document: &str) {
     let mut cluster = Cluster::new(3);
-    cluster.take_orders(1, 1..=30);
-    cluster.cut_off(&[3]);
+    cluster.commit_orders(1, 1..=30);
+    cluster.isolate(&[3]);
     assert_eq!(cluster.order(3, order(0, 1, document)), Outcome::Unknown);
 }
 
 #[test]
-fn a_node_that_lacks_part_of_the_ledger_does_not_refuse_what_it_cannot_know() {
+fn a_node_with_an_incomplete_order_log_does_not_reject_what_it_cannot_know() {
     let mut cluster = Cluster::new(3);
-    cluster.cut_off(&[3]);
-    cluster.take_orders(1, 1..=100);
+    cluster.isolate(&[3]);
+    cluster.commit_orders(1, 1..=100);
     cluster.heal();
-    // It learns the newest value, and gets no answer about the orders before its last ones.
+    // It learns the newest value, and gets no reply about the orders before the recent ones.
     cluster.lose(|_, _, message| matches!(message, PeerMessage::OrderLogEntries(_)));
     assert_eq!(
         cluster.order(3, order(99, 100, "100")),
@@ -162,25 +162,25 @@
 }
 
 #[test]
-fn an_order_on_a_base_that_may_come_yet_is_not_refused() {
+fn an_order_on_a_base_that_may_be_decided_yet_is_not_rejected() {
     let mut cluster = Cluster::new(3);
-    cluster.take_orders(1, 1..=3);
+    cluster.commit_orders(1, 1..=3);
     assert_eq!(cluster.order(2, order(4, 5, "5")), Outcome::Unknown);
     assert_eq!(cluster.order(1, order(3, 4, "4")), Outcome::Committed(4));
     assert_eq!(cluster.order(2, order(4, 5, "5")), Outcome::Committed(5));
-    // One that can never be taken is refused at once.
+    // One that can never be accepted is rejected at once.
     assert_eq!(cluster.order(2, order(9, 9, "9")), Outcome::Conflict(5));
 }
 
 #[test]
-fn a_joiner_is_ready_only_when_value_and_ledger_are_on_its_disk() {
+fn a_new_node_is_ready_only_with_value_and_order_log_on_its_disk() {
     let mut cluster = Cluster::new(3);
-    cluster.take_orders(1, 1..=LONG_DAY);
+    cluster.commit_orders(1, 1..=LONG_DAY);
     cluster.stall_disk(3);
     cluster.replace_disk(3);
     assert!(
         cluster.register(3).order_log_complete(),
-        "it has all in memory"
+        "it has everything in memory"
     );
     assert!(!cluster.register(3).is_fully_durable() && cluster.register(3).durable_number() == 0);
     assert!(!cluster.register(3).order_log_durable());
@@ -190,9 +190,9 @@
 }
 
 #[test]
-fn records_that_the_disk_dropped_are_handed_over_again() {
+fn records_that_the_disk_dropped_are_written_again() {
     let mut cluster = Cluster::new(3);
-    cluster.take_orders(1, 1..=LONG_DAY);
+    cluster.commit_orders(1, 1..=LONG_DAY);
     cluster.stall_disk(3);
     cluster.replace_disk(3);
     cluster.drop_unsynced(3);
@@ -210,29 +210,29 @@
 #[test]
 fn catching_up_takes_a_bounded_number_of_messages() {
     let mut cluster = Cluster::new(3);
-    cluster.take_orders(1, 1..=5_000);
-    cluster.count_messages();
+    cluster.commit_orders(1, 1..=5_000);
+    cluster.clear_sent();
     cluster.replace_disk(3);
     assert!(cluster.register(3).order_log_complete());
     let chunks = 5_000_usize.div_ceil(MAX_ORDERS_PER_MESSAGE);
     assert_eq!(
-        cluster.counted(|message| matches!(message, PeerMessage::OrderLogRequest(_))),
+        cluster.count_sent(|message| matches!(message, PeerMessage::OrderLogRequest(_))),
         chunks
     );
     assert_eq!(
-        cluster.counted(|message| matches!(message, PeerMessage::OrderLogEntries(_))),
+        cluster.count_sent(|message| matches!(message, PeerMessage::OrderLogEntries(_))),
         chunks
     );
 }
 
 #[test]
-fn the_ledger_is_bounded_and_what_it_forgot_is_unclear() {
-    let mut ledger = OrderLog::default();
+fn the_order_log_is_bounded_and_dropped_orders_are_unknown() {
+    let mut order_log = OrderLog::default();
     for revision in 1..=100_000 {
-        ledger.insert(&identity(revision));
-        assert!(ledger.len() < MAX_LOGGED_ORDERS + 1_024);
+        order_log.insert(&identity(revision));
+        assert!(order_log.len() < MAX_LOGGED_ORDERS + 1_024);
     }
-    assert!(ledger.len() >= MAX_LOGGED_ORDERS && ledger.is_complete());
-    assert!(ledger.contains(&identity(100_000 - MAX_LOGGED_ORDERS as u64 + 1)));
-    assert!(!ledger.contains(&identity(1)));
+    assert!(order_log.len() >= MAX_LOGGED_ORDERS && order_log.is_complete());
+    assert!(order_log.contains(&identity(100_000 - MAX_LOGGED_ORDERS as u64 + 1)));
+    assert!(!order_log.contains(&identity(1)));
 }
--- /dev/null
+++ b/crates/linenthread-consensus/tests/consensus/register.rs
@@ -0,0 +1,36 @@
+//! Orders on their base, with and without a majority.
+
+use linenthread_consensus::{JobId, Outcome};
+use yare::parameterized;
+
+use crate::fixtures::at;
+use crate::trio::Trio;
+
+#[parameterized(
+    on_the_newest_revision = { 3, 5, Outcome::Committed(5) },
+    resubmitted = { 0, 3, Outcome::Committed(3) },
+    on_another_base = { 0, 5, Outcome::Conflict(3) },
+    not_above_the_newest_revision = { 3, 2, Outcome::Conflict(3) },
+)]
+fn a_change_is_committed_once_on_its_base(base: u64, revision: u64, outcome: Outcome) {
+    let mut trio = Trio::new();
+    trio.order(1, 1, 0, 3);
+    trio.order(2, 2, base, revision);
+    assert_eq!(trio.last_outcome(), &outcome);
+}
+
+#[test]
+fn a_minority_acknowledges_nothing_and_reads_nothing() {
+    let mut trio = Trio::new();
+    trio.isolated = vec![2, 3];
+    trio.order(1, 1, 0, 3);
+    trio.read(1, 2);
+    assert!(trio.replies.is_empty());
+    let mut effects = Vec::new();
+    trio.register(1).tick(at(1_000), &mut effects);
+    trio.carry_out(1, effects);
+    assert_eq!(
+        trio.replies,
+        [(JobId(1), Outcome::Unknown), (JobId(2), Outcome::Unknown)]
+    );
+}
--- a/crates/linenthread-consensus/tests/frozen.rs
+++ b/crates/linenthread-consensus/tests/consensus/suspension.rs
@@ -1,48 +1,29 @@
-//! A node that was frozen: what waited for it meanwhile neither makes a read nor a lease of what is old.
+//! A process that was suspended: messages that waited for it meanwhile complete no job and no round.
 
-use linenthread_consensus::{Change, DurableState, Effect, JobId, Outcome, Register};
-use linenthread_messages::{PeerMessage, Promise, ReadReply, Value, Voter};
+use linenthread_consensus::{Change, Effect, JobId, Outcome, Register};
+use linenthread_messages::{PeerMessage, Promise, ReadReply};
 use linenthread_time::Instant;
 
-/// The instant this many milliseconds after the clock's start.
-fn at(millis: u64) -> Instant {
-    Instant::from_millis(millis)
-}
-
-fn one_of_three() -> Register {
-    let voters = (1..=3)
-        .map(|id| Voter {
-            id,
-            address: format!("10.0.0.{id}:80"),
-        })
-        .collect();
-    Register::new(
-        1,
-        DurableState::default(),
-        Some(Value {
-            voters,
-            ..Value::default()
-        }),
-        77,
-    )
-}
+use crate::fixtures::{at, register};
 
-fn question_of(effects: &[Effect]) -> u64 {
-    let question = |effect: &Effect| match effect {
+/// The identity of the read round that these effects start.
+fn read_id_of(effects: &[Effect]) -> u64 {
+    let read_id = |effect: &Effect| match effect {
         Effect::Send {
             message: PeerMessage::ReadRequest(request),
             ..
         } => Some(request.read_id),
         _ => None,
     };
-    effects.iter().find_map(question).expect("asks")
+    effects.iter().find_map(read_id).expect("a read round")
 }
 
-fn answers(register: &mut Register, now: u64, question: u64) -> Vec<Effect> {
+/// Two voters reply that they know nothing newer.
+fn reply_twice(register: &mut Register, now: u64, read_id: u64) -> Vec<Effect> {
     let mut effects = Vec::new();
     for from in [1, 2] {
         let reply = ReadReply {
-            read_id: question,
+            read_id,
             decided: 0,
             pending: false,
         };
@@ -60,26 +41,26 @@
 }
 
 #[test]
-fn a_read_whose_time_is_over_is_not_answered_by_what_waited_while_the_node_was_frozen() {
-    let (mut register, mut effects) = (one_of_three(), Vec::new());
+fn a_read_past_its_deadline_is_not_completed_by_delayed_replies() {
+    let (mut register, mut effects) = (register(1, 77), Vec::new());
     register.read(at(1_000), JobId(1), at(1_900), &mut effects);
-    let effects = answers(&mut register, 21_000, question_of(&effects));
+    let effects = reply_twice(&mut register, 21_000, read_id_of(&effects));
     assert_eq!(outcomes(effects), [(JobId(1), Outcome::Unknown)]);
 }
 
 #[test]
-fn a_question_of_before_the_freeze_confirms_nothing() {
-    let (mut register, mut effects) = (one_of_three(), Vec::new());
-    // A read without an end, so that only the age of its question can tell.
+fn replies_to_a_request_from_before_the_suspension_confirm_nothing() {
+    let (mut register, mut effects) = (register(1, 77), Vec::new());
+    // A read without a deadline, so that only the age of its round can tell.
     register.read(at(1_000), JobId(1), Instant::NEVER, &mut effects);
-    let old = question_of(&effects);
-    let effects = answers(&mut register, 21_000, old);
+    let old = read_id_of(&effects);
+    let effects = reply_twice(&mut register, 21_000, old);
     assert!(outcomes(effects).is_empty());
     let mut effects = Vec::new();
     register.tick(at(21_000), &mut effects);
-    let new = question_of(&effects);
+    let new = read_id_of(&effects);
     assert!(new > old);
-    let effects = answers(&mut register, 21_010, new);
+    let effects = reply_twice(&mut register, 21_010, new);
     assert!(matches!(
         outcomes(effects)[..],
         [(JobId(1), Outcome::Newest(_))]
@@ -87,18 +68,18 @@
 }
 
 #[test]
-fn a_read_is_answered_only_by_a_question_that_began_after_it() {
-    let (mut register, mut effects) = (one_of_three(), Vec::new());
+fn a_read_is_completed_only_by_a_round_that_started_after_it() {
+    let (mut register, mut effects) = (register(1, 77), Vec::new());
     register.read(at(1_000), JobId(1), at(1_900), &mut effects);
-    let first = question_of(&effects);
+    let first = read_id_of(&effects);
     register.read(at(1_010), JobId(2), at(1_910), &mut Vec::new());
-    let effects = answers(&mut register, 1_020, first);
-    let second = question_of(&effects);
+    let effects = reply_twice(&mut register, 1_020, first);
+    let second = read_id_of(&effects);
     assert!(matches!(
         outcomes(effects)[..],
         [(JobId(1), Outcome::Newest(_))]
     ));
-    let effects = answers(&mut register, 1_030, second);
+    let effects = reply_twice(&mut register, 1_030, second);
     assert!(matches!(
         outcomes(effects)[..],
         [(JobId(2), Outcome::Newest(_))]
@@ -106,8 +87,8 @@
 }
 
 #[test]
-fn a_change_whose_time_is_over_goes_no_further_on_waking() {
-    let (mut register, mut effects) = (one_of_three(), Vec::new());
+fn a_change_past_its_deadline_goes_no_further() {
+    let (mut register, mut effects) = (register(1, 77), Vec::new());
     let change = Change::Document {
         base: 0,
         revision: 1,
@@ -121,7 +102,7 @@
         } => Some(prepare.clone()),
         _ => None,
     };
-    let prepare = effects.iter().find_map(prepare).expect("asks");
+    let prepare = effects.iter().find_map(prepare).expect("a prepare request");
     let mut effects = Vec::new();
     for from in [1, 2] {
         let promise = Promise {
--- /dev/null
+++ b/crates/linenthread-consensus/tests/consensus/trio.rs
@@ -0,0 +1,92 @@
+//! Three registers whose messages arrive at once, and whose nodes do not announce decided values.
+
+use linenthread_consensus::{Change, Effect, JobId, Outcome, Register};
+use linenthread_messages::{PeerMessage, Record};
+
+use crate::fixtures::{at, register};
+
+/// The nodes 1, 2 and 3.
+pub(crate) struct Trio {
+    registers: Vec<Register>,
+    /// Nodes that neither send nor receive anything.
+    pub(crate) isolated: Vec<u64>,
+    pub(crate) replies: Vec<(JobId, Outcome)>,
+    records: Vec<Vec<Record>>,
+}
+
+impl Trio {
+    pub(crate) fn new() -> Trio {
+        Trio {
+            registers: (1..=3).map(|id| register(id, id * 77)).collect(),
+            isolated: Vec::new(),
+            replies: Vec::new(),
+            records: vec![Vec::new(); 3],
+        }
+    }
+
+    pub(crate) fn register(&mut self, node: u64) -> &mut Register {
+        &mut self.registers[node as usize - 1]
+    }
+
+    /// The records of a node, in the order in which they were synced.
+    pub(crate) fn records(&self, node: u64) -> &[Record] {
+        &self.records[node as usize - 1]
+    }
+
+    /// Carries out the effects of a node, and all that follow.
+    pub(crate) fn carry_out(&mut self, node: u64, effects: Vec<Effect>) {
+        let mut pending: Vec<(u64, Effect)> =
+            effects.into_iter().map(|effect| (node, effect)).collect();
+        while !pending.is_empty() {
+            let (from, effect) = pending.remove(0);
+            match effect {
+                Effect::Send { to, message } => pending.extend(self.deliver(from, to, message)),
+                Effect::Persist { record, after_sync } => {
+                    self.records[from as usize - 1].push(record);
+                    for (to, message) in after_sync {
+                        pending.extend(self.deliver(from, to, message));
+                    }
+                }
+                Effect::Reply { job, outcome } => self.replies.push((job, outcome)),
+                Effect::Decided(_) => {}
+            }
+        }
+    }
+
+    fn deliver(&mut self, from: u64, to: u64, message: PeerMessage) -> Vec<(u64, Effect)> {
+        if to != from && (self.isolated.contains(&to) || self.isolated.contains(&from)) {
+            return Vec::new();
+        }
+        let mut effects = Vec::new();
+        self.register(to)
+            .on_message(at(0), from, message, &mut effects);
+        effects.into_iter().map(|effect| (to, effect)).collect()
+    }
+
+    pub(crate) fn order(&mut self, node: u64, job: u64, base: u64, revision: u64) {
+        let mut effects = Vec::new();
+        let change = Change::Document {
+            base,
+            revision,
+            document: format!("{revision}").into(),
+        };
+        self.register(node)
+            .propose(at(0), JobId(job), change, at(900), &mut effects);
+        self.carry_out(node, effects);
+        // It may have waited for the round of another node.
+        let mut effects = Vec::new();
+        self.register(node).tick(at(60), &mut effects);
+        self.carry_out(node, effects);
+    }
+
+    pub(crate) fn read(&mut self, node: u64, job: u64) {
+        let mut effects = Vec::new();
+        self.register(node)
+            .read(at(0), JobId(job), at(900), &mut effects);
+        self.carry_out(node, effects);
+    }
+
+    pub(crate) fn last_outcome(&self) -> &Outcome {
+        &self.replies.last().expect("a reply").1
+    }
+}
