--- a/crates/linenthread-control/src/contact.rs
+++ b/crates/linenthread-control/src/contact.rs
@@ -175,7 +175,7 @@
     pub(crate) fn note_durable(&mut self, now: u64, effects: &mut Vec<Effect>) {
         let value = self
             .register
-            .holds_all_durably()
+            .is_fully_durable()
             .then(|| self.value_number());
         if value <= self.durable.value_number {
             return;
@@ -203,7 +203,7 @@
 
     /// A standby that has become ready need not wait for the next tick.
     fn voters_may_change(&mut self, now: u64) {
-        if self.lease.holds(Instant::from_millis(now)).is_some()
+        if self.lease.held_epoch(Instant::from_millis(now)).is_some()
             && !self.standbys(now, Some(self.value_number())).is_empty()
         {
             self.hurry();
--- a/crates/linenthread-control/src/control_node.rs
+++ b/crates/linenthread-control/src/control_node.rs
@@ -109,10 +109,10 @@
         }
         control.votes = control.register.voters().iter().any(|voter| voter.id == id);
         if let Some(value) = control.register.decided() {
-            control.lease.follow(value);
+            control.lease.on_decided(value);
             control
                 .lease
-                .decided(Instant::from_millis(now), value.epoch, false);
+                .observe_epoch(Instant::from_millis(now), value.epoch, false);
         }
         // Replicas of before may be there still: they have as long as any to say so.
         for replica in &replicas {
@@ -133,7 +133,7 @@
 
     /// The epoch under which this node holds the leader lease.
     pub fn holds_lease(&self, now: u64) -> Option<u64> {
-        self.lease.holds(Instant::from_millis(now))
+        self.lease.held_epoch(Instant::from_millis(now))
     }
 
     /// All fronts with a session anywhere, by name.
@@ -210,7 +210,10 @@
     fn carry_out(&mut self, now: u64, effect: Agreed, effects: &mut Vec<Effect>) {
         match effect {
             Agreed::Send { to, message: word } => self.post(to, word, effects),
-            Agreed::Persist { record, then } => effects.push(Effect::Persist { record, then }),
+            Agreed::Persist {
+                record,
+                after_sync: then,
+            } => effects.push(Effect::Persist { record, then }),
             Agreed::Decided(value) => self.on_decided(now, &value, effects),
             Agreed::Reply { job, outcome } => self.on_outcome(now, job, outcome, effects),
         }
@@ -252,10 +255,10 @@
             .voters
             .iter()
             .any(|voter| voter.id == self.register.id());
-        let counts_anew = votes && (!self.votes || self.lease.misses_change_of_voters(value));
-        self.lease.follow(value);
+        let counts_anew = votes && (!self.votes || self.lease.skips_voter_change(value));
+        self.lease.on_decided(value);
         self.lease
-            .decided(Instant::from_millis(now), value.epoch, counts_anew);
+            .observe_epoch(Instant::from_millis(now), value.epoch, counts_anew);
         self.votes = votes;
         for link in self.members.links() {
             self.send_value(link, effects);
@@ -292,7 +295,7 @@
                 // Who leaves waits to hear of it.
                 self.hurry();
                 // An order was decided first: at once again, before the next one.
-                if let Some(epoch) = self.lease.holds(Instant::from_millis(now)) {
+                if let Some(epoch) = self.lease.held_epoch(Instant::from_millis(now)) {
                     self.keep_voters(now, epoch, effects);
                 }
             }
@@ -401,7 +404,7 @@
         }
         self.complete_what_is_in_doubt(now, effects);
         self.ask_for_lease(now, effects);
-        if let Some(epoch) = self.lease.holds(Instant::from_millis(now)) {
+        if let Some(epoch) = self.lease.held_epoch(Instant::from_millis(now)) {
             let quota_grants = self.quota_allocator.allot(now, epoch, &self.fronts.all());
             self.send_quota_grants(
                 QuotaGrants {
@@ -429,7 +432,7 @@
         self.agree(
             now,
             |register, agreed| {
-                register.complete();
+                register.complete_undecided();
                 register.tick(Instant::from_millis(now), agreed);
             },
             effects,
--- a/crates/linenthread-control/src/leader.rs
+++ b/crates/linenthread-control/src/leader.rs
@@ -96,7 +96,7 @@
         effects: &mut Vec<Effect>,
     ) {
         let (register, number) = (&self.register, self.value_number());
-        let held = self.lease.holds(Instant::from_millis(now)).is_some();
+        let held = self.lease.held_epoch(Instant::from_millis(now)).is_some();
         if !self
             .lease
             .on_lease_vote(Instant::from_millis(now), from, vote, number, |disks| {
@@ -110,7 +110,7 @@
         // Held already, or the votes came so late that it has ended.
         let Some(epoch) = self
             .lease
-            .holds(Instant::from_millis(now))
+            .held_epoch(Instant::from_millis(now))
             .filter(|_| !held)
         else {
             return;
--- a/crates/linenthread-control/src/status.rs
+++ b/crates/linenthread-control/src/status.rs
@@ -18,7 +18,7 @@
             "zone": self.local.zone,
             "whole": self.in_contact(now),
             "leaving": self.leaving.is_some(),
-            "duty_epoch": self.lease.holds(Instant::from_millis(now)),
+            "duty_epoch": self.lease.held_epoch(Instant::from_millis(now)),
             "value": self.value_number(),
             "revision": decided.map_or(0, |value| value.revision),
             "counted": self.register.voters().iter().map(|voter| &voter.address).collect::<Vec<_>>(),
--- a/crates/linenthread-control/src/voters.rs
+++ b/crates/linenthread-control/src/voters.rs
@@ -19,7 +19,7 @@
             || !self.in_contact(now)
             || !self
                 .lease
-                .holds_on(Instant::from_millis(now), self.value_number())
+                .is_held_at(Instant::from_millis(now), self.value_number())
         {
             return;
         }
@@ -36,7 +36,11 @@
             names.join(",")
         )));
         let job = self.requests.add(Purpose::Voters);
-        let change = Change::Voters { on, voters, epoch };
+        let change = Change::Voters {
+            base_number: on,
+            voters,
+            epoch,
+        };
         let until = Instant::from_millis(now + 3 * CALL);
         self.agree(
             now,
@@ -50,13 +54,14 @@
     /// It leads, and changes the voters, or will as soon as a standby holds all.
     pub(crate) fn reconfigures(&self, now: u64) -> bool {
         let wants = || !self.standbys(now, None).is_empty() || self.wants_other_voters(now);
-        self.lease.holds(Instant::from_millis(now)).is_some() && (self.changes_voters || wants())
+        self.lease.held_epoch(Instant::from_millis(now)).is_some()
+            && (self.changes_voters || wants())
     }
 
     /// It leads, and others should vote: the change can be made at once.
     pub(crate) fn wants_other_voters(&self, now: u64) -> bool {
         let view = || self.voters_view(now, self.value_number());
-        self.lease.holds(Instant::from_millis(now)).is_some() && next_voters(&view()).is_some()
+        self.lease.held_epoch(Instant::from_millis(now)).is_some() && next_voters(&view()).is_some()
     }
 
     /// Machines in contact that may vote, do not yet, and stay; with a number only those that may take a vote
@@ -169,7 +174,7 @@
                 || self.members.contacts(now).any(|peer| peer.reconfiguring),
             in_doubt: self.register.has_undecided(),
             busy: self.requests.has_calls() || self.changes_voters || !self.drains.is_empty(),
-            leads: self.lease.holds(Instant::from_millis(now)).is_some(),
+            leads: self.lease.held_epoch(Instant::from_millis(now)).is_some(),
         })
     }
 
