--- a/crates/linenthread-ci/src/bin/linenthread-known-red.rs
+++ b/crates/linenthread-ci/src/bin/linenthread-known-red.rs
@@ -1,16 +1,21 @@
-//! `linenthread-known-red`: judges a run of `cargo test` against `KNOWN-RED.txt`. Exit codes: 0 only listed
-//! tests failed, and all of them; 1 anything else; 2 a file can't be read.
+//! `linenthread-known-red`: checks a run of `cargo test` against `KNOWN-RED.txt`. Exit codes: 0 only listed tests
+//! failed, and all of them; 1 anything else; 2 a file can't be read.
 
-use std::path::Path;
+use std::io::{self, Write};
+use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
-use linenthread_ci::{Report, judge, read_known, read_output, read_programs};
+use linenthread_ci::{
+    CargoMessageError, KnownFailuresError, Report, check, parse_known_failures, parse_test_output,
+    parse_test_programs,
+};
+use snafu::{ResultExt, Snafu};
 
 mod flags {
     use std::path::PathBuf;
 
     xflags::xflags! {
-        /// Judges a run of `cargo test` against the list of tests that are known to fail.
+        /// Checks a run of `cargo test` against the list of tests that are known to fail.
         cmd linenthread-known-red {
             /// The list, `package::target::test | cause | issue` a line; it may be absent.
             required --known path: PathBuf
@@ -24,72 +29,89 @@
     }
 }
 
-fn read(path: &Path) -> Result<String, String> {
-    let bytes = std::fs::read(path).map_err(|e| format!("{}: {e}", path.display()))?;
+/// Why the run can't be checked.
+#[derive(Debug, Snafu)]
+enum Error {
+    #[snafu(display("{}: {source}", path.display()))]
+    ReadFile { path: PathBuf, source: io::Error },
+    #[snafu(display("{}: {source}", path.display()))]
+    KnownFailures {
+        path: PathBuf,
+        source: KnownFailuresError,
+    },
+    #[snafu(display("{source}"))]
+    CargoMessages { source: CargoMessageError },
+    #[snafu(display("printing the report: {source}"))]
+    Print { source: io::Error },
+}
+
+fn read(path: &Path) -> Result<String, Error> {
+    let bytes = std::fs::read(path).context(ReadFileSnafu { path })?;
     Ok(String::from_utf8_lossy(&bytes).into_owned())
 }
 
-/// The list's text; none if there is no such file.
-fn read_list(path: &Path) -> Result<String, String> {
+/// The text of the list; empty if there is no such file.
+fn read_list(path: &Path) -> Result<String, Error> {
     match std::fs::read_to_string(path) {
-        Err(e) if e.kind() == std::io::ErrorKind::NotFound => Ok(String::new()),
-        Err(e) => Err(format!("{}: {e}", path.display())),
-        Ok(text) => Ok(text),
+        Err(error) if error.kind() == io::ErrorKind::NotFound => Ok(String::new()),
+        read => read.context(ReadFileSnafu { path }),
     }
 }
 
-fn run(flags: &flags::LinenthreadKnownRed) -> Result<Report, String> {
-    let known = read_known(&read_list(&flags.known)?);
-    let known = known.map_err(|e| format!("{}: {e}", flags.known.display()))?;
-    let programs = read_programs(&read(&flags.programs)?).map_err(|e| e.to_string())?;
-    let output = read_output(&read(&flags.output)?);
-    Ok(judge(&known, &programs, &output, flags.status))
+fn run(flags: &flags::LinenthreadKnownRed) -> Result<Report, Error> {
+    let path = &flags.known;
+    let known = parse_known_failures(&read_list(path)?).context(KnownFailuresSnafu { path })?;
+    let programs = parse_test_programs(&read(&flags.programs)?).context(CargoMessagesSnafu)?;
+    let output = parse_test_output(&read(&flags.output)?);
+    Ok(check(&known, &programs, &output, flags.status))
 }
 
-fn print(report: &Report) {
+fn write_report(report: &Report, out: &mut impl Write) -> io::Result<()> {
     for line in &report.summaries {
-        println!("{line}");
+        writeln!(out, "{line}")?;
     }
-    for entry in &report.known {
-        println!(
-            "known red: {} | {} | {}",
-            entry.test, entry.cause, entry.issue
-        );
+    for failure in &report.known {
+        let (test, cause, issue) = (&failure.test, &failure.cause, &failure.issue);
+        writeln!(out, "known red: {test} | {cause} | {issue}")?;
     }
-    for fault in &report.faults {
-        println!("fault: {fault}");
+    for violation in &report.violations {
+        writeln!(out, "fault: {violation}")?;
     }
-    let total = report.total;
-    let word = match (report.faults.is_empty(), report.known.is_empty()) {
+    let result = match (report.violations.is_empty(), report.known.is_empty()) {
         (true, true) => "ok",
         (true, false) => "known red only",
         (false, _) => "FAILED",
     };
-    println!(
-        "all tests: {word}. {} passed; {} failed; {} ignored; {} known red",
+    let total = report.total;
+    writeln!(
+        out,
+        "all tests: {result}. {} passed; {} failed; {} ignored; {} known red",
         total.passed,
         total.failed,
         total.ignored,
         report.known.len()
-    );
+    )
+}
+
+/// Prints a report. A reader that closes the pipe has read enough.
+fn print(report: &Report) -> Result<(), Error> {
+    match write_report(report, &mut io::stdout().lock()) {
+        Err(error) if error.kind() == io::ErrorKind::BrokenPipe => Ok(()),
+        written => written.context(PrintSnafu),
+    }
 }
 
 fn main() -> ExitCode {
     let flags = match flags::LinenthreadKnownRed::from_env() {
         Ok(flags) => flags,
-        Err(e) => e.exit(),
+        Err(error) => error.exit(),
     };
-    match run(&flags) {
-        Ok(report) => {
-            print(&report);
-            if report.faults.is_empty() {
-                ExitCode::SUCCESS
-            } else {
-                ExitCode::from(1)
-            }
-        }
-        Err(e) => {
-            eprintln!("linenthread-known-red: {e}");
+    let report = run(&flags).and_then(|report| print(&report).map(|()| report));
+    match report {
+        Ok(report) if report.violations.is_empty() => ExitCode::SUCCESS,
+        Ok(_) => ExitCode::from(1),
+        Err(error) => {
+            eprintln!("linenthread-known-red: {error}");
             ExitCode::from(2)
         }
     }
--- a/crates/linenthread-ci/src/known.rs
+++ b/crates/linenthread-ci/src/known_failures.rs
@@ -4,57 +4,69 @@
 
 use snafu::Snafu;
 
-/// No more tests than these may be known to fail.
-pub const MOST: usize = 3;
+/// How many tests may be listed, so that the list stays an exception.
+pub const MAX_KNOWN_FAILURES: usize = 3;
 
 /// One line of the list: `package::target::test | cause | issue`.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Entry {
+pub struct KnownFailure {
     /// The test's full name, `package::target::test`.
     pub test: String,
     /// Why it fails.
     pub cause: String,
-    /// Where the mending is followed.
+    /// The issue that tracks the fix.
     pub issue: String,
 }
 
-/// What is wrong with the list itself.
+/// Why the list itself is invalid.
 #[derive(Debug, Snafu, PartialEq, Eq)]
-pub enum KnownFault {
+pub enum KnownFailuresError {
+    /// A line hasn't three fields, or a field is empty.
     #[snafu(display("line {line} is not `package::target::test | cause | issue`"))]
-    Malformed { line: usize },
+    Malformed {
+        /// Line of the list, from 1.
+        line: usize,
+    },
+    /// A test is listed twice.
     #[snafu(display("{test} is listed twice"))]
-    Twice { test: String },
-    #[snafu(display("{count} tests are listed, {MOST} is the most"))]
-    TooMany { count: usize },
+    Duplicate {
+        /// `package::target::test`.
+        test: String,
+    },
+    /// More than [`MAX_KNOWN_FAILURES`] tests are listed.
+    #[snafu(display("{count} tests are listed, {MAX_KNOWN_FAILURES} is the most"))]
+    TooMany {
+        /// How many are listed.
+        count: usize,
+    },
 }
 
-/// Reads the list; blank lines are passed over.
+/// Parses the list; blank lines are ignored.
 ///
 /// # Errors
 /// The first line that is malformed or repeated, or too many of them.
-pub fn read_known(text: &str) -> Result<Vec<Entry>, KnownFault> {
+pub fn parse_known_failures(text: &str) -> Result<Vec<KnownFailure>, KnownFailuresError> {
     let mut entries = Vec::new();
     let mut names = BTreeSet::new();
     for (index, line) in text.lines().enumerate() {
         if line.trim().is_empty() {
             continue;
         }
-        let entry = read_line(line).ok_or(KnownFault::Malformed { line: index + 1 })?;
+        let entry = parse_line(line).ok_or(KnownFailuresError::Malformed { line: index + 1 })?;
         if !names.insert(entry.test.clone()) {
-            return Err(KnownFault::Twice { test: entry.test });
+            return Err(KnownFailuresError::Duplicate { test: entry.test });
         }
         entries.push(entry);
     }
-    if entries.len() > MOST {
-        return Err(KnownFault::TooMany {
+    if entries.len() > MAX_KNOWN_FAILURES {
+        return Err(KnownFailuresError::TooMany {
             count: entries.len(),
         });
     }
     Ok(entries)
 }
 
-fn read_line(line: &str) -> Option<Entry> {
+fn parse_line(line: &str) -> Option<KnownFailure> {
     let fields: Vec<&str> = line.split('|').map(str::trim).collect();
     let [test, cause, issue] = fields[..] else {
         return None;
@@ -63,7 +75,7 @@
     if !named || cause.is_empty() || issue.is_empty() {
         return None;
     }
-    Some(Entry {
+    Some(KnownFailure {
         test: test.to_owned(),
         cause: cause.to_owned(),
         issue: issue.to_owned(),
--- a/crates/linenthread-ci/src/lib.rs
+++ b/crates/linenthread-ci/src/lib.rs
@@ -1,18 +1,19 @@
-//! Judges a run of `cargo test` against `KNOWN-RED.txt`, the list of tests that may fail for now.
+//! Checks a run of `cargo test` against `KNOWN-RED.txt`, the list of tests that may fail for now.
 //!
-//! Those tests must fail and all others must pass. What cannot be read with certainty (a test program that ended
-//! without its summary, a summary that does not agree with the lines before it) fails the check as well.
-#![expect(
-    missing_docs,
-    reason = "public items of this package are not all documented yet"
-)]
+//! Those tests must fail and all others must pass. What can't be read with certainty, such as a test program that
+//! ended without a summary or a summary that contradicts the lines before it, fails the check as well.
+//!
+//! The crate knows the text and the messages of cargo, and nothing of the rest of the workspace. Start reading at
+//! [`check`]; its inputs come from [`parse_known_failures`], [`parse_test_programs`] and [`parse_test_output`].
 
-mod judge;
-mod known;
-mod output;
-mod programs;
+mod check;
+mod known_failures;
+mod test_output;
+mod test_programs;
 
-pub use judge::{Fault, Report, judge};
-pub use known::{Entry, KnownFault, MOST, read_known};
-pub use output::{Outcome, Output, Run, Summary, read_output};
-pub use programs::{Program, ProgramsFault, read_programs};
+pub use check::{Report, Violation, check};
+pub use known_failures::{
+    KnownFailure, KnownFailuresError, MAX_KNOWN_FAILURES, parse_known_failures,
+};
+pub use test_output::{ProgramRun, TestCounts, TestOutcome, TestOutput, parse_test_output};
+pub use test_programs::{CargoMessageError, TestProgram, parse_test_programs};
--- a/crates/linenthread-ci/src/programs.rs
+++ b/crates/linenthread-ci/src/test_programs.rs
@@ -6,7 +6,7 @@
 
 /// One test program that cargo built.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Program {
+pub struct TestProgram {
     /// The file's name, with cargo's hash, so that it is the only one of its name.
     pub file: String,
     /// The package it tests.
@@ -15,21 +15,22 @@
     pub target: String,
 }
 
-/// A line of cargo's messages that is not as it documents them.
+/// A line of cargo's messages that differs from their documented format.
 #[derive(Debug, Snafu, PartialEq, Eq)]
 #[snafu(display("line {line} of cargo's messages cannot be read"))]
-pub struct ProgramsFault {
+pub struct CargoMessageError {
+    /// Line of the messages, from 1.
     line: usize,
 }
 
-/// Reads the test programs out of cargo's messages.
+/// Extracts the test programs from cargo's messages.
 ///
 /// # Errors
-/// The first line that is no message of cargo.
-pub fn read_programs(messages: &str) -> Result<Vec<Program>, ProgramsFault> {
+/// The first line that is not a message of cargo.
+pub fn parse_test_programs(messages: &str) -> Result<Vec<TestProgram>, CargoMessageError> {
     let mut programs = Vec::new();
     for (index, line) in messages.lines().enumerate() {
-        let unreadable = || ProgramsFault { line: index + 1 };
+        let unreadable = || CargoMessageError { line: index + 1 };
         let message: Value = serde_json::from_str(line).map_err(|_| unreadable())?;
         let is_test = message["profile"]["test"] == true;
         if message["reason"] != "compiler-artifact" || !is_test {
@@ -38,15 +39,15 @@
         let Some(executable) = message["executable"].as_str() else {
             continue;
         };
-        programs.push(read_program(&message, executable).ok_or_else(unreadable)?);
+        programs.push(parse_artifact(&message, executable).ok_or_else(unreadable)?);
     }
     Ok(programs)
 }
 
-fn read_program(message: &Value, executable: &str) -> Option<Program> {
+fn parse_artifact(message: &Value, executable: &str) -> Option<TestProgram> {
     let package = package_name(message["package_id"].as_str()?)?;
     let target = message["target"]["name"].as_str()?.to_owned();
-    Some(Program {
+    Some(TestProgram {
         file: file_name(executable).to_owned(),
         package,
         target,
--- a/crates/linenthread-ci/tests/known_red.rs
+++ b/crates/linenthread-ci/tests/known_red.rs
@@ -1,6 +1,9 @@
-//! The verdict on whole runs of `cargo test`, each as text, with its list and its exit status.
+//! The check of whole runs of `cargo test`, each as text, with its list and its exit status.
 
-use linenthread_ci::{Fault, KnownFault, Report, judge, read_known, read_output, read_programs};
+use linenthread_ci::{
+    KnownFailuresError, Report, Violation, check, parse_known_failures, parse_test_output,
+    parse_test_programs,
+};
 use yare::parameterized;
 
 /// Cargo's message of one program that it built.
@@ -30,17 +33,17 @@
         .iter()
         .map(|(name, outcome)| format!("test {name} ... {outcome}\n"))
         .collect();
-    let word = if failed > 0 { "FAILED" } else { "ok" };
+    let result = if failed > 0 { "FAILED" } else { "ok" };
     format!(
         "     Running tests/system.rs (target/debug/deps/{file})\n\nrunning {} tests\n{lines}\n\
-         test result: {word}. {passed} passed; {failed} failed; {ignored} ignored; 0 measured; \
+         test result: {result}. {passed} passed; {failed} failed; {ignored} ignored; 0 measured; \
          0 filtered out; finished in 0.01s\n\n",
         tests.len()
     )
 }
 
-/// The two programs, cargo's last words, and the verdict.
-fn verdict(known: &str, left: &[(&str, &str)], right: &[(&str, &str)], status: i32) -> Report {
+/// The report on the two programs, with the lines that cargo prints last.
+fn report_on(known: &str, left: &[(&str, &str)], right: &[(&str, &str)], status: i32) -> Report {
     let mut text = program("system-1", left) + &program("system-2", right);
     let failed = [left, right]
         .iter()
@@ -52,14 +55,14 @@
             if failed > 1 { "s" } else { "" }
         );
     }
-    verdict_of(known, &text, status)
+    report_on_text(known, &text, status)
 }
 
-fn verdict_of(known: &str, text: &str, status: i32) -> Report {
-    judge(
-        &read_known(known).unwrap(),
-        &read_programs(&programs()).unwrap(),
-        &read_output(text),
+fn report_on_text(known: &str, text: &str, status: i32) -> Report {
+    check(
+        &parse_known_failures(known).unwrap(),
+        &parse_test_programs(&programs()).unwrap(),
+        &parse_test_output(text),
         status,
     )
 }
@@ -72,12 +75,12 @@
     nothing_listed = { "", OK, OK, 0 },
     blank_list = { "\n\n", OK, OK, 0 },
     one_listed_fails = { RED, A_FAILS, OK, 101 },
-    both_of_one_name_listed = { "left::system::a | x | 1\nright::system::a | y | 2\n", A_FAILS, A_FAILS, 101 },
-    ignored_ones_are_no_matter = { "", &[("a", "ignored"), ("b", "ignored, slow")], OK, 0 },
+    both_tests_of_one_name_listed = { "left::system::a | x | 1\nright::system::a | y | 2\n", A_FAILS, A_FAILS, 101 },
+    ignored_tests_are_permitted = { "", &[("a", "ignored"), ("b", "ignored, slow")], OK, 0 },
 )]
 fn passes(known: &str, left: &[(&str, &str)], right: &[(&str, &str)], status: i32) {
-    let report = verdict(known, left, right, status);
-    assert_eq!(report.faults, []);
+    let report = report_on(known, left, right, status);
+    assert_eq!(report.violations, []);
     assert_eq!(
         report.known.len(),
         known.lines().filter(|l| !l.is_empty()).count()
@@ -85,29 +88,38 @@
     assert_eq!(report.summaries.len(), 2);
 }
 
-fn failed(test: &str) -> Fault {
-    Fault::Failed {
+fn failed(test: &str) -> Violation {
+    Violation::Failed {
         test: test.to_owned(),
     }
 }
 
 #[parameterized(
     not_listed = { "", A_FAILS, OK, 101, failed("left::system::a") },
-    another_of_its_name_is_listed = { RED, A_FAILS, A_FAILS, 101, failed("right::system::a") },
+    test_of_the_same_name_is_listed = { RED, A_FAILS, A_FAILS, 101, failed("right::system::a") },
     another_test_is_listed = { RED, &[("a", "FAILED"), ("b", "FAILED")], OK, 101, failed("left::system::b") },
-    listed_passes = { RED, OK, OK, 0, Fault::ListedPasses { test: "left::system::a".into() } },
+    listed_passes = { RED, OK, OK, 0, Violation::KnownFailurePassed { test: "left::system::a".into() } },
     listed_is_ignored = {
-        RED, &[("a", "ignored, slow")], OK, 0, Fault::ListedIgnored { test: "left::system::a".into() }
+        RED, &[("a", "ignored, slow")], OK, 0, Violation::KnownFailureIgnored { test: "left::system::a".into() }
     },
     listed_is_no_test = {
-        "left::system::c | x | 1", OK, OK, 0, Fault::ListedUnknown { test: "left::system::c".into() }
+        "left::system::c | x | 1", OK, OK, 0, Violation::KnownFailureMissing { test: "left::system::c".into() }
     },
-    status_without_a_failed_test = { "", OK, OK, 101, Fault::Status { status: 101 } },
-    failed_test_without_status = { RED, A_FAILS, OK, 0, Fault::Status { status: 0 } },
-    killed_by_a_signal = { RED, A_FAILS, OK, 137, Fault::Status { status: 137 } },
+    status_without_a_failed_test = { "", OK, OK, 101, Violation::ExitStatus { status: 101 } },
+    failed_test_without_status = { RED, A_FAILS, OK, 0, Violation::ExitStatus { status: 0 } },
+    killed_by_a_signal = { RED, A_FAILS, OK, 137, Violation::ExitStatus { status: 137 } },
 )]
-fn fails(known: &str, left: &[(&str, &str)], right: &[(&str, &str)], status: i32, fault: Fault) {
-    assert_eq!(verdict(known, left, right, status).faults, [fault]);
+fn fails(
+    known: &str,
+    left: &[(&str, &str)],
+    right: &[(&str, &str)],
+    status: i32,
+    violation: Violation,
+) {
+    assert_eq!(
+        report_on(known, left, right, status).violations,
+        [violation]
+    );
 }
 
 #[parameterized(
@@ -116,7 +128,10 @@
 )]
 fn nothing_ran(text: &str) {
     for known in ["", RED] {
-        assert_eq!(verdict_of(known, text, 101).faults, [Fault::NothingRan]);
+        assert_eq!(
+            report_on_text(known, text, 101).violations,
+            [Violation::NothingRan]
+        );
     }
 }
 
@@ -128,9 +143,9 @@
         .to_owned()
         + &program("system-2", OK)
         + "error: 1 target failed:\n";
-    let report = verdict_of(RED, &text, 101);
+    let report = report_on_text(RED, &text, 101);
     assert!(
-        report.faults.contains(&Fault::NoSummary {
+        report.violations.contains(&Violation::MissingSummary {
             program: "left::system".into()
         }),
         "{report:?}"
@@ -143,10 +158,10 @@
         .replace("test a ... FAILED", "test a ... words in between")
         + &program("system-2", OK)
         + "error: 1 target failed:\n";
-    let faults = verdict_of("", &text, 101).faults;
+    let violations = report_on_text("", &text, 101).violations;
     assert_eq!(
-        faults,
-        [Fault::Unclear {
+        violations,
+        [Violation::InconsistentSummary {
             program: "left::system".into()
         }]
     );
@@ -155,15 +170,15 @@
 #[test]
 fn a_program_that_did_not_run_or_is_unknown_fails() {
     let text = program("system-1", OK) + &program("system-3", OK);
-    let faults = verdict_of("", &text, 0).faults;
-    let unknown = Fault::UnknownProgram {
+    let violations = report_on_text("", &text, 0).violations;
+    let unknown = Violation::UnknownProgram {
         program: "system-3".into(),
     };
     assert_eq!(
-        faults,
+        violations,
         [
             unknown,
-            Fault::NotRun {
+            Violation::NotRun {
                 program: "right::system".into()
             }
         ]
@@ -177,29 +192,29 @@
         error: 1 target failed:\n    `-p two-words --doc`\n";
     let text = program("system-1", OK) + &program("system-2", OK) + doc;
     assert_eq!(
-        verdict_of("", &text, 101).faults,
+        report_on_text("", &text, 101).violations,
         [failed("two-words::doc::src/lib.rs - f (line 3)")]
     );
 }
 
 #[test]
 fn the_counts_are_of_all_programs() {
-    let total = verdict(RED, A_FAILS, &[("a", "ignored")], 101).total;
+    let total = report_on(RED, A_FAILS, &[("a", "ignored")], 101).total;
     assert_eq!((total.passed, total.failed, total.ignored), (1, 1, 1));
 }
 
 #[parameterized(
-    no_cause = { "p::t::a\n", KnownFault::Malformed { line: 1 } },
-    no_issue = { "p::t::a | cause\n", KnownFault::Malformed { line: 1 } },
-    empty_issue = { "p::t::a | cause | \n", KnownFault::Malformed { line: 1 } },
-    empty_cause = { "p::t::a | | 43\n", KnownFault::Malformed { line: 1 } },
-    four_fields = { "p::t::a | cause | 43 | more\n", KnownFault::Malformed { line: 1 } },
-    no_package = { "\na | cause | 43\n", KnownFault::Malformed { line: 2 } },
-    no_test = { "p::t:: | cause | 43\n", KnownFault::Malformed { line: 1 } },
-    comment = { "# p::t::a | cause | 43\n p::t | c | 43", KnownFault::Malformed { line: 2 } },
-    twice = { "p::t::a | x | 1\np::t::a | y | 2\n", KnownFault::Twice { test: "p::t::a".into() } },
-    four = { "p::t::a|x|1\np::t::b|x|1\np::t::c|x|1\np::t::d|x|1\n", KnownFault::TooMany { count: 4 } },
+    no_cause = { "p::t::a\n", KnownFailuresError::Malformed { line: 1 } },
+    no_issue = { "p::t::a | cause\n", KnownFailuresError::Malformed { line: 1 } },
+    empty_issue = { "p::t::a | cause | \n", KnownFailuresError::Malformed { line: 1 } },
+    empty_cause = { "p::t::a | | 43\n", KnownFailuresError::Malformed { line: 1 } },
+    four_fields = { "p::t::a | cause | 43 | more\n", KnownFailuresError::Malformed { line: 1 } },
+    no_package = { "\na | cause | 43\n", KnownFailuresError::Malformed { line: 2 } },
+    no_test = { "p::t:: | cause | 43\n", KnownFailuresError::Malformed { line: 1 } },
+    comment = { "# p::t::a | cause | 43\n p::t | c | 43", KnownFailuresError::Malformed { line: 2 } },
+    twice = { "p::t::a | x | 1\np::t::a | y | 2\n", KnownFailuresError::Duplicate { test: "p::t::a".into() } },
+    four = { "p::t::a|x|1\np::t::b|x|1\np::t::c|x|1\np::t::d|x|1\n", KnownFailuresError::TooMany { count: 4 } },
 )]
-fn bad_list(text: &str, fault: KnownFault) {
-    assert_eq!(read_known(text), Err(fault));
+fn bad_list(text: &str, error: KnownFailuresError) {
+    assert_eq!(parse_known_failures(text), Err(error));
 }
