--- a/crates/linenthread-zones/src/decide.rs
+++ b/crates/linenthread-zones/src/decide.rs
@@ -15,7 +15,9 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use linenthread_core::interface::TenthMillis;
+use snafu::{OptionExt, ensure};
 
+use crate::error::{DrainError, NoReplicaLeftSnafu, NoSuchZoneSnafu};
 use crate::report::{Report, Way};
 use crate::solve::{Pattern, fit, loads};
 use crate::table::{Reason, Row, Table};
@@ -60,12 +62,12 @@
     /// # Errors
     ///
     /// There is no such zone, or shards lie nowhere else: what asks for them would be refused.
-    pub fn may_drain(&self, zone: &str, drained: &BTreeSet<String>) -> Result<(), String> {
+    pub fn may_drain(&self, zone: &str, drained: &BTreeSet<String>) -> Result<(), DrainError> {
         let at = self
             .zones
             .iter()
             .position(|z| z.name == zone)
-            .ok_or(format!("there is no zone {zone}"))?;
+            .context(NoSuchZoneSnafu { zone })?;
         let left = |w: usize| w == at || drained.contains(&self.zones[w].name);
         let only = |p: &&Pattern| {
             !p.holders
@@ -74,13 +76,9 @@
                 .any(|(w, n)| *n > 0 && !left(w))
         };
         let alone: f64 = self.patterns.iter().filter(only).map(|p| p.share).sum();
-        match alone > 0.0 {
-            true => Err(format!(
-                "{:.0}% of parts would have no replica left",
-                (alone * 100.0).ceil()
-            )),
-            false => Ok(()),
-        }
+        let percent = (alone * 100.0).ceil();
+        ensure!(alone <= 0.0, NoReplicaLeftSnafu { percent });
+        Ok(())
     }
 }
 
--- a/crates/linenthread-zones/src/lib.rs
+++ b/crates/linenthread-zones/src/lib.rs
@@ -17,11 +17,13 @@
 )]
 
 mod decide;
+mod error;
 mod report;
 mod solve;
 mod table;
 
 pub use decide::{Decider, Ground, SPAN, Terms, Zone};
+pub use error::{DrainError, FormatError};
 pub use report::{Report, Watch, Way};
 pub use solve::{Pattern, fit, loads};
 pub use table::{Reason, Row, Table};
--- a/crates/linenthread-zones/src/report.rs
+++ b/crates/linenthread-zones/src/report.rs
@@ -3,9 +3,11 @@
 use std::collections::BTreeMap;
 
 use linenthread_core::interface::{AttemptOutcome, TenthMillis};
-use linenthread_frames::{Put, Res, Take};
+use linenthread_frames::{Decoder, Encoder};
+use snafu::ensure;
 
 use crate::MOST_ZONES;
+use crate::error::{FormatError, InconsistentCountsSnafu, UnknownZoneSnafu};
 
 /// With fewer parts than this of late an observer has no opinion of a zone; of what it saw half is left with each
 /// report.
@@ -72,35 +74,34 @@
     }
 
     pub fn encode(&self) -> Vec<u8> {
-        let mut put = Put(Vec::new());
+        let mut put = Encoder::new();
         put.u16(self.asked.len() as u16);
         for (zone, (observers, parts)) in &self.asked {
-            put.0.push(*zone);
+            put.u8(*zone);
             put.u32(*observers);
             put.u32(*parts);
         }
         put.u16(self.ways.len() as u16);
         for ((from, to), way) in &self.ways {
-            put.0.extend([*from, *to]);
+            put.raw([*from, *to]);
             [way.voices, way.down, way.slow, way.ended, way.answered]
                 .into_iter()
                 .for_each(|n| put.u32(n));
             put.u64(way.time_ms);
         }
-        put.0
+        put.into_bytes()
     }
 
     /// # Errors
     ///
     /// What can be no report.
-    pub fn decode(bytes: &[u8]) -> Res<Report> {
-        let mut take = Take(bytes);
+    pub fn decode(bytes: &[u8]) -> Result<Report, FormatError> {
+        let mut take = Decoder::new(bytes);
         let mut report = Report::default();
-        let zone = |take: &mut Take| {
+        let zone = |take: &mut Decoder| -> Result<u8, FormatError> {
             let zone = take.u8()?;
-            (usize::from(zone) < MOST_ZONES)
-                .then_some(zone)
-                .ok_or_else(|| format!("there is no zone {zone}"))
+            ensure!(usize::from(zone) < MOST_ZONES, UnknownZoneSnafu { zone });
+            Ok(zone)
         };
         for _ in 0..take.u16()? {
             let at = zone(&mut take)?;
@@ -117,11 +118,11 @@
                 time_ms: take.u64()?,
             };
             if way.down > way.voices || way.slow > way.voices || way.answered > way.ended {
-                return Err("a way's numbers don't add up".into());
+                return InconsistentCountsSnafu.fail();
             }
             report.ways.insert(at, way);
         }
-        take.end()?;
+        take.finish()?;
         Ok(report)
     }
 }
--- a/crates/linenthread-zones/src/table.rs
+++ b/crates/linenthread-zones/src/table.rs
@@ -1,7 +1,9 @@
 //! The table that all act on.
 
-use linenthread_frames::{Put, Res, Take};
+use linenthread_frames::{DecodeError, Decoder, Encoder};
+use snafu::{OptionExt, ensure};
 
+use crate::error::{FormatError, ShareTooLargeSnafu, TooManyZonesSnafu, UnknownReasonSnafu};
 use crate::{ALL, MOST_ZONES};
 
 /// Why a way is not open to all keys.
@@ -62,48 +64,43 @@
     }
 
     pub fn encode(&self) -> Vec<u8> {
-        let mut put = Put(Vec::new());
+        let mut put = Encoder::new();
         put.u64(self.from_ms);
-        put.0.push(self.zones.len() as u8);
+        put.u8(self.zones.len() as u8);
         self.zones.iter().for_each(|name| put.text(name));
         for (share, reason) in self.rows.iter().flat_map(|row| &row.open) {
             put.u16(*share);
-            put.0
-                .push(REASONS.iter().position(|r| r == reason).unwrap_or_default() as u8);
+            put.u8(REASONS.iter().position(|r| r == reason).unwrap_or_default() as u8);
         }
-        put.0
+        put.into_bytes()
     }
 
     /// # Errors
     ///
     /// What can be no table.
-    pub fn decode(bytes: &[u8]) -> Res<Table> {
-        let mut take = Take(bytes);
+    pub fn decode(bytes: &[u8]) -> Result<Table, FormatError> {
+        let mut take = Decoder::new(bytes);
         let from_ms = take.u64()?;
         let count = usize::from(take.u8()?);
-        if count > MOST_ZONES {
-            return Err(format!("{count} zones are too many"));
-        }
+        ensure!(count <= MOST_ZONES, TooManyZonesSnafu { count });
         let zones = (0..count)
             .map(|_| take.text())
-            .collect::<Res<Vec<String>>>()?;
+            .collect::<Result<Vec<String>, DecodeError>>()?;
         let mut rows = Vec::with_capacity(count);
         for _ in 0..count {
             let mut open = Vec::with_capacity(count);
             for _ in 0..count {
                 let share = take.u16()?;
-                let reason = usize::from(take.u8()?);
+                let code = take.u8()?;
                 let reason = REASONS
-                    .get(reason)
-                    .ok_or_else(|| format!("no reason is {reason}"))?;
-                if share > ALL {
-                    return Err(format!("{share} of {ALL} keys are too many"));
-                }
+                    .get(usize::from(code))
+                    .context(UnknownReasonSnafu { code })?;
+                ensure!(share <= ALL, ShareTooLargeSnafu { share });
                 open.push((share, *reason));
             }
             rows.push(Row { open });
         }
-        take.end()?;
+        take.finish()?;
         Ok(Table {
             from_ms,
             zones,
