--- /dev/null
+++ b/crates/linenthread-control/src/address_book.rs
@@ -0,0 +1,138 @@
+//! The control addresses of all known control nodes, and when each is dialled.
+
+use std::collections::BTreeMap;
+use std::time::Duration;
+
+use linenthread_time::Instant;
+
+use crate::timing::STARTUP_GRACE;
+
+/// An address that cannot be reached for so long is forgotten.
+const FORGET_AFTER: Duration = Duration::from_millis(20_000);
+
+/// Backoff after the first failed dial of an address.
+const MIN_BACKOFF: Duration = Duration::from_millis(50);
+
+/// The longest backoff while nodes start: they are expected to be there soon.
+const MAX_STARTUP_BACKOFF: Duration = Duration::from_millis(100);
+
+/// The longest backoff later on.
+const MAX_BACKOFF: Duration = Duration::from_millis(1_600);
+
+/// The node with the higher address waits so long for the other to dial, so that not both do.
+const YIELD: Duration = Duration::from_millis(300);
+
+/// A dial in progress is not repeated for so long.
+const DIAL_TIMEOUT: Duration = Duration::from_millis(600);
+
+struct DialState {
+    next_dial_at: Instant,
+    backoff: Duration,
+    /// When the address was last connected to, or else learnt.
+    last_seen_at: Instant,
+}
+
+/// The table of addresses.
+pub(crate) struct AddressBook {
+    own: String,
+    bootstrap: Vec<String>,
+    started_at: Instant,
+    known: BTreeMap<String, DialState>,
+    version: u64,
+}
+
+impl AddressBook {
+    pub(crate) fn new(own: String, bootstrap: Vec<String>, now: Instant) -> AddressBook {
+        let mut addresses = AddressBook {
+            own,
+            bootstrap: bootstrap.clone(),
+            started_at: now,
+            known: BTreeMap::new(),
+            version: 1,
+        };
+        for address in &bootstrap {
+            addresses.learn(now, address);
+        }
+        addresses
+    }
+
+    /// Increases when an address is learnt or forgotten.
+    pub(crate) fn version(&self) -> u64 {
+        self.version
+    }
+
+    /// All addresses, the own one included.
+    pub(crate) fn all(&self) -> Vec<String> {
+        self.known
+            .keys()
+            .cloned()
+            .chain([self.own.clone()])
+            .collect()
+    }
+
+    /// Adds an address if it is a new one.
+    pub(crate) fn learn(&mut self, now: Instant, address: &str) {
+        if address == self.own || address.is_empty() || self.known.contains_key(address) {
+            return;
+        }
+        let delay = if self.own.as_str() < address {
+            Duration::ZERO
+        } else {
+            YIELD
+        };
+        self.known.insert(
+            address.to_owned(),
+            DialState {
+                next_dial_at: now + delay,
+                backoff: MIN_BACKOFF,
+                last_seen_at: now,
+            },
+        );
+        self.version += 1;
+    }
+
+    /// A dial failed: the address is dialled less and less often.
+    pub(crate) fn on_dial_failed(&mut self, now: Instant, address: &str) {
+        let max_backoff = if now < self.started_at + STARTUP_GRACE {
+            MAX_STARTUP_BACKOFF
+        } else {
+            MAX_BACKOFF
+        };
+        if let Some(state) = self.known.get_mut(address) {
+            state.backoff = (state.backoff * 2).clamp(MIN_BACKOFF, max_backoff);
+            state.next_dial_at = now + state.backoff;
+        }
+    }
+
+    /// The addresses to dial now. Those of voters and of the bootstrap are never forgotten.
+    pub(crate) fn next_to_dial(
+        &mut self,
+        now: Instant,
+        is_connected: impl Fn(&str) -> bool,
+        is_voter: impl Fn(&str) -> bool,
+    ) -> Vec<String> {
+        let mut to_dial = Vec::new();
+        let count_before = self.known.len();
+        let bootstrap = &self.bootstrap;
+        self.known.retain(|address, state| {
+            if is_connected(address) {
+                *state = DialState {
+                    next_dial_at: now + YIELD,
+                    backoff: MIN_BACKOFF,
+                    last_seen_at: now,
+                };
+                return true;
+            }
+            let remember = now < state.last_seen_at + FORGET_AFTER
+                || is_voter(address)
+                || bootstrap.contains(address);
+            if remember && now >= state.next_dial_at {
+                state.next_dial_at = now + state.backoff.max(DIAL_TIMEOUT);
+                to_dial.push(address.clone());
+            }
+            remember
+        });
+        self.version += u64::from(self.known.len() < count_before);
+        to_dial
+    }
+}
--- a/crates/linenthread-control/src/change_log.rs
+++ b/crates/linenthread-control/src/change_log.rs
@@ -1,45 +1,56 @@
+//! The log of changes of the replica registry that ingress nodes follow.
+
 use std::collections::{BTreeSet, VecDeque};
 
-/// The log of changes: which replicas changed, place by place. It forgets the oldest.
+/// Which replicas changed, in order. Each change has an offset, counted from 1; the oldest changes are forgotten.
 pub struct ChangeLog {
-    place: u64,
+    /// Offset of the newest change.
+    offset: u64,
+    /// The remembered changes, the oldest first: offset and id of the replica.
     entries: VecDeque<(u64, String)>,
-    most: usize,
+    max_entries: usize,
 }
 
 impl ChangeLog {
-    pub fn new(most: usize) -> ChangeLog {
+    /// An empty log that remembers so many changes.
+    pub fn new(max_entries: usize) -> ChangeLog {
         ChangeLog {
-            place: 0,
+            offset: 0,
             entries: VecDeque::new(),
-            most,
+            max_entries,
         }
     }
 
+    /// Offset of the newest change; 0 if there was none.
     pub fn offset(&self) -> u64 {
-        self.place
+        self.offset
     }
 
-    pub fn add(&mut self, ident: &str) {
-        self.place += 1;
-        self.entries.push_back((self.place, ident.to_owned()));
-        if self.entries.len() > self.most {
+    /// Appends a change of a replica.
+    pub fn append(&mut self, replica_id: &str) {
+        self.offset += 1;
+        self.entries.push_back((self.offset, replica_id.to_owned()));
+        if self.entries.len() > self.max_entries {
             self.entries.pop_front();
         }
     }
 
-    /// What changed after a place; `None` where that is forgotten, or was never reached.
-    pub fn since(&self, place: u64) -> Option<BTreeSet<&str>> {
-        let first = self.entries.front().map_or(self.place + 1, |(p, _)| *p);
-        if place > self.place || place + 1 < first {
+    /// The replicas that changed after an offset; `None` if changes since then are forgotten, or the offset was never
+    /// reached.
+    pub fn since(&self, offset: u64) -> Option<BTreeSet<&str>> {
+        let oldest = self
+            .entries
+            .front()
+            .map_or(self.offset + 1, |(oldest, _)| *oldest);
+        if offset > self.offset || offset + 1 < oldest {
             return None;
         }
         Some(
             self.entries
                 .iter()
                 .rev()
-                .take_while(|(p, _)| *p > place)
-                .map(|(_, i)| i.as_str())
+                .take_while(|(entry_offset, _)| *entry_offset > offset)
+                .map(|(_, replica_id)| replica_id.as_str())
                 .collect(),
         )
     }
--- /dev/null
+++ b/crates/linenthread-control/src/effect.rs
@@ -0,0 +1,46 @@
+//! What a control node asks of its driver.
+
+use linenthread_messages::{PeerMessage, Record};
+
+use crate::{CallId, ControlEvent, Response, SessionId};
+
+/// A message that may be sent only once the record it was handed over with is durable.
+#[derive(Clone, Debug, PartialEq)]
+pub struct DeferredMessage {
+    /// Id of the node that it goes to, which may be the sender itself.
+    pub to: u64,
+    /// The message.
+    pub message: PeerMessage,
+}
+
+/// What whoever drives a control node has to do, in the order in which the effects were returned.
+#[derive(Debug)]
+pub enum Effect {
+    /// Send a message over a session; it may be lost.
+    Send {
+        /// The session, as the driver named it.
+        session: SessionId,
+        /// The message.
+        message: PeerMessage,
+    },
+    /// Write and sync a record, then call [`crate::ControlNode::on_synced`] with `after_sync`.
+    Persist {
+        /// The record.
+        record: Record,
+        /// The messages that wait until the record is durable.
+        after_sync: Vec<DeferredMessage>,
+    },
+    /// Answer a call.
+    Respond {
+        /// The call, as the driver named it.
+        call: CallId,
+        /// The answer.
+        response: Response,
+    },
+    /// Connect to the control node at this control address.
+    Dial(String),
+    /// Close a session's connection.
+    Close(SessionId),
+    /// Write an event to the log.
+    Log(ControlEvent),
+}
--- a/crates/linenthread-control/src/ingress_nodes.rs
+++ b/crates/linenthread-control/src/ingress_nodes.rs
@@ -1,214 +1,266 @@
-//! Sessions of fronts, here and at other control nodes, and the updates that each front lacks.
+//! Sessions with ingress nodes, at this and at other control nodes, and the updates that each ingress node lacks.
 
 use std::collections::BTreeMap;
 
 use linenthread_messages::{Hello, IngressSession, IngressUpdate, Replica, Value};
+use linenthread_time::Instant;
 
-use crate::dialling::Addresses;
-use crate::timing::SILENT;
+use crate::address_book::AddressBook;
+use crate::timing::SESSION_TIMEOUT;
 use crate::{ChangeLog, ReplicaRegistry, SessionId};
 
-/// Places that the log of changes remembers.
-const PLACES: usize = 4_096;
+/// How many changes of replicas are remembered. An ingress node that lacks more is sent the whole registry.
+const MAX_LOGGED_CHANGES: usize = 4_096;
 
-/// A session with a front.
-pub(crate) struct FrontSession {
+/// How far the read of the newest configuration for a session has come.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum Confirmation {
+    /// Not read yet.
+    Missing,
+    /// The read is in flight.
+    InFlight,
+    /// Read.
+    Confirmed,
+}
+
+/// A session with an ingress node.
+pub(crate) struct IngressPeer {
     pub(crate) hello: Hello,
-    pub(crate) heard: u64,
-    /// The revision that it was told, or came with.
-    told_revision: u64,
-    /// The place in the log of changes that it has got to.
-    place: Option<u64>,
+    pub(crate) last_received_at: Instant,
+    /// The newest revision that was sent to it, or that it came with.
+    sent_revision: u64,
+    /// Offset in the change log up to which it was sent everything; `None` if it needs the whole registry.
+    sent_offset: Option<u64>,
+    /// Version of the address book that it was sent.
     addresses_version: u64,
-    /// The newest value was read for this session.
-    pub(crate) confirmed: bool,
-    pub(crate) confirming: bool,
-    told_confirmed: bool,
-    /// Its heartbeat that asks for an allotment.
-    pub(crate) asked: u64,
-    /// The revision it goes by.
-    pub(crate) revision: u64,
+    confirmation: Confirmation,
+    /// It was sent that the configuration is confirmed.
+    sent_confirmed: bool,
+    /// The heartbeat, by the ingress node's count, with which it last requested a quota.
+    quota_request: u64,
+    /// The revision of the configuration that it applies.
+    revision: u64,
+}
+
+impl IngressPeer {
+    fn is_confirmed(&self) -> bool {
+        self.confirmation == Confirmation::Confirmed
+    }
+
+    /// Whether a read of the newest configuration for it has to be started.
+    pub(crate) fn needs_confirmation(&self) -> bool {
+        self.confirmation == Confirmation::Missing
+    }
+
+    /// The read has been started.
+    pub(crate) fn start_confirmation(&mut self) {
+        self.confirmation = Confirmation::InFlight;
+    }
+
+    /// The read has ended.
+    pub(crate) fn on_confirmation(&mut self, succeeded: bool) {
+        self.confirmation = if succeeded {
+            Confirmation::Confirmed
+        } else {
+            Confirmation::Missing
+        };
+    }
+
+    /// A heartbeat of the ingress node.
+    pub(crate) fn on_heartbeat(&mut self, quota_request: u64, revision: u64) {
+        (self.quota_request, self.revision) = (quota_request, revision);
+    }
+
+    fn to_message(&self) -> IngressSession {
+        IngressSession {
+            name: self.hello.name.clone(),
+            zone: self.hello.zone.clone(),
+            incarnation: self.hello.incarnation,
+            quota_request: self.quota_request,
+            address: String::new(),
+            revision: self.revision,
+        }
+    }
 }
 
 /// What an update is made from.
-pub(crate) struct Source<'a> {
+pub(crate) struct UpdateSource<'a> {
     pub(crate) registry: &'a ReplicaRegistry,
     pub(crate) decided: Option<&'a Value>,
-    pub(crate) addresses: &'a Addresses,
-    pub(crate) settled: bool,
+    pub(crate) address_book: &'a AddressBook,
+    pub(crate) registry_settled: bool,
 }
 
-/// All sessions of fronts, and the log of changes that they follow.
+/// All sessions with ingress nodes, and the log of changes that they follow.
 pub(crate) struct IngressNodes {
-    life: u64,
-    sessions: BTreeMap<SessionId, FrontSession>,
-    /// Sessions that other control nodes hold, by the link with each.
-    elsewhere: BTreeMap<SessionId, Vec<IngressSession>>,
+    /// The control node's incarnation, which identifies its change log.
+    change_log_id: u64,
+    peers: BTreeMap<SessionId, IngressPeer>,
+    /// Sessions that other control nodes have, by this node's session with each of those.
+    remote: BTreeMap<SessionId, Vec<IngressSession>>,
     pub(crate) changes: ChangeLog,
 }
 
 impl IngressNodes {
-    pub(crate) fn new(life: u64) -> IngressNodes {
+    pub(crate) fn new(incarnation: u64) -> IngressNodes {
         IngressNodes {
-            life,
-            sessions: BTreeMap::new(),
-            elsewhere: BTreeMap::new(),
-            changes: ChangeLog::new(PLACES),
+            change_log_id: incarnation,
+            peers: BTreeMap::new(),
+            remote: BTreeMap::new(),
+            changes: ChangeLog::new(MAX_LOGGED_CHANGES),
         }
     }
 
-    pub(crate) fn open(&mut self, now: u64, link: SessionId, hello: Hello) {
-        let session = FrontSession {
-            heard: now,
-            told_revision: hello.value_number,
-            place: Some(hello.change_log_offset).filter(|_| hello.change_log_id == self.life),
+    pub(crate) fn open(&mut self, now: Instant, session: SessionId, hello: Hello) {
+        let follows_this_log = hello.change_log_id == self.change_log_id;
+        let peer = IngressPeer {
+            last_received_at: now,
+            sent_revision: hello.value_number,
+            sent_offset: follows_this_log.then_some(hello.change_log_offset),
             addresses_version: 0,
-            confirmed: false,
-            confirming: false,
-            told_confirmed: false,
-            asked: 0,
+            confirmation: Confirmation::Missing,
+            sent_confirmed: false,
+            quota_request: 0,
             revision: 0,
             hello,
         };
-        self.sessions.insert(link, session);
+        self.peers.insert(session, peer);
     }
 
-    /// The link has ended, with a front or with a control node that told of its fronts.
-    pub(crate) fn close(&mut self, link: SessionId) -> Option<FrontSession> {
-        self.elsewhere.remove(&link);
-        self.sessions.remove(&link)
+    /// A session has ended, with an ingress node or with a control node that sent the sessions it has.
+    pub(crate) fn close(&mut self, session: SessionId) -> Option<IngressPeer> {
+        self.remote.remove(&session);
+        self.peers.remove(&session)
     }
 
-    pub(crate) fn get(&self, link: SessionId) -> Option<&FrontSession> {
-        self.sessions.get(&link)
+    pub(crate) fn get(&self, session: SessionId) -> Option<&IngressPeer> {
+        self.peers.get(&session)
     }
 
-    pub(crate) fn get_mut(&mut self, link: SessionId) -> Option<&mut FrontSession> {
-        self.sessions.get_mut(&link)
+    pub(crate) fn get_mut(&mut self, session: SessionId) -> Option<&mut IngressPeer> {
+        self.peers.get_mut(&session)
     }
 
-    pub(crate) fn links(&self) -> Vec<SessionId> {
-        self.sessions.keys().copied().collect()
+    pub(crate) fn sessions(&self) -> Vec<SessionId> {
+        self.peers.keys().copied().collect()
     }
 
-    pub(crate) fn silent(&self, now: u64) -> Vec<SessionId> {
-        let silent = |session: &FrontSession| now > session.heard + SILENT;
-        self.sessions
+    fn sessions_where(&self, predicate: impl Fn(&IngressPeer) -> bool) -> Vec<SessionId> {
+        self.peers
             .iter()
-            .filter(|(_, s)| silent(s))
-            .map(|(link, _)| *link)
+            .filter(|(_, peer)| predicate(peer))
+            .map(|(session, _)| *session)
             .collect()
     }
 
-    /// Sessions of earlier lives of the same front: they are over, whatever their connections say.
+    /// Sessions on which nothing was received for too long.
+    pub(crate) fn timed_out(&self, now: Instant) -> Vec<SessionId> {
+        self.sessions_where(|peer| now > peer.last_received_at + SESSION_TIMEOUT)
+    }
+
+    /// Sessions of earlier incarnations of an ingress node: they are over, whatever their connections look like.
     pub(crate) fn superseded(&self, hello: &Hello) -> Vec<SessionId> {
-        let old = |s: &FrontSession| {
-            s.hello.name == hello.name && s.hello.incarnation != hello.incarnation
-        };
-        self.sessions
-            .iter()
-            .filter(|(_, s)| old(s))
-            .map(|(link, _)| *link)
-            .collect()
+        self.sessions_where(|peer| {
+            peer.hello.name == hello.name && peer.hello.incarnation != hello.incarnation
+        })
     }
 
-    pub(crate) fn link_of(&self, name: &str, life: u64) -> Option<SessionId> {
-        let is = |s: &FrontSession| s.hello.name == name && s.hello.incarnation == life;
-        self.sessions
+    /// The session with one incarnation of an ingress node.
+    pub(crate) fn session_with(&self, name: &str, incarnation: u64) -> Option<SessionId> {
+        self.peers
             .iter()
-            .find(|(_, s)| is(s))
-            .map(|(link, _)| *link)
+            .find(|(_, peer)| peer.hello.name == name && peer.hello.incarnation == incarnation)
+            .map(|(session, _)| *session)
     }
 
-    /// All fronts hear everything once more.
-    pub(crate) fn start_over(&mut self) {
-        self.sessions
-            .values_mut()
-            .for_each(|session| session.place = None);
+    /// All ingress nodes are sent the whole registry once more.
+    pub(crate) fn resend_all(&mut self) {
+        for peer in self.peers.values_mut() {
+            peer.sent_offset = None;
+        }
     }
 
-    /// What this node tells the others of its sessions.
-    pub(crate) fn own(&self) -> Vec<IngressSession> {
-        let replica = |s: &FrontSession| IngressSession {
-            name: s.hello.name.clone(),
-            zone: s.hello.zone.clone(),
-            incarnation: s.hello.incarnation,
-            quota_request: s.asked,
-            address: String::new(),
-            revision: s.revision,
-        };
-        self.sessions.values().map(replica).collect()
+    /// This node's own sessions, as it sends them to the other control nodes.
+    pub(crate) fn local(&self) -> Vec<IngressSession> {
+        self.peers.values().map(IngressPeer::to_message).collect()
     }
 
-    pub(crate) fn learn_elsewhere(&mut self, link: SessionId, sessions: Vec<IngressSession>) {
-        self.elsewhere.insert(link, sessions);
+    /// Takes in the sessions that another control node has.
+    pub(crate) fn set_remote(&mut self, session: SessionId, sessions: Vec<IngressSession>) {
+        self.remote.insert(session, sessions);
     }
 
-    /// All fronts with a session anywhere, by name: the newest heartbeat that asked counts.
+    /// All ingress nodes with a session anywhere, by name. Of several sessions of one incarnation the one with the
+    /// newest quota request counts.
     pub(crate) fn all(&self) -> BTreeMap<String, IngressSession> {
         let mut all: BTreeMap<String, IngressSession> = BTreeMap::new();
-        let own = self.own();
-        for session in own.iter().chain(self.elsewhere.values().flatten()) {
-            let known = all.get(&session.name);
-            if known.is_none_or(|s| {
-                s.incarnation != session.incarnation || s.quota_request <= session.quota_request
-            }) {
+        let local = self.local();
+        for session in local.iter().chain(self.remote.values().flatten()) {
+            let replaces = all.get(&session.name).is_none_or(|known| {
+                known.incarnation != session.incarnation
+                    || known.quota_request <= session.quota_request
+            });
+            if replaces {
                 all.insert(session.name.clone(), session.clone());
             }
         }
         all
     }
 
-    /// All that a front lacks; none if that is nothing. The configuration is in it only once it was read anew
-    /// for this session.
-    pub(crate) fn update(
+    /// All that an ingress node lacks; `None` if it lacks nothing. The configuration is part of it only once it was
+    /// read for this session, so that none older than the newest is applied anew.
+    pub(crate) fn next_update(
         &mut self,
-        now: u64,
-        link: SessionId,
-        source: &Source,
+        now: Instant,
+        session: SessionId,
+        source: &UpdateSource,
     ) -> Option<IngressUpdate> {
-        let place = self.changes.offset();
-        let session = self.sessions.get_mut(&link)?;
-        let since = session.place.and_then(|place| self.changes.since(place));
-        let whole = since.is_none();
-        let replicas: Vec<Replica> = match since {
-            Some(idents) => idents
+        let offset = self.changes.offset();
+        let peer = self.peers.get_mut(&session)?;
+        let changed = peer.sent_offset.and_then(|sent| self.changes.since(sent));
+        let complete = changed.is_none();
+        let replicas: Vec<Replica> = match changed {
+            Some(replica_ids) => replica_ids
                 .iter()
-                .filter_map(|i| source.registry.get(i))
-                .map(|known| known.snapshot(now))
+                .filter_map(|replica_id| source.registry.get(replica_id))
+                .map(|registered| registered.snapshot(now))
                 .collect(),
             None => source
                 .registry
                 .iter()
-                .map(|known| known.snapshot(now))
+                .map(|registered| registered.snapshot(now))
                 .collect(),
         };
-        let newer = |value: &&Value| session.confirmed && value.revision > session.told_revision;
-        let value = source.decided.filter(newer).cloned();
-        let confirmed = session.confirmed && !session.told_confirmed;
-        let new_addresses = session.addresses_version != source.addresses.version();
-        if !whole && replicas.is_empty() && value.is_none() && !confirmed && !new_addresses {
+        let confirmed = peer.is_confirmed();
+        let value = source
+            .decided
+            .filter(|value| confirmed && value.revision > peer.sent_revision)
+            .cloned();
+        let newly_confirmed = confirmed && !peer.sent_confirmed;
+        let new_addresses = peer.addresses_version != source.address_book.version();
+        if !complete && replicas.is_empty() && value.is_none() && !newly_confirmed && !new_addresses
+        {
             return None;
         }
-        session.told_revision = value
-            .as_ref()
-            .map_or(session.told_revision, |value| value.revision);
-        session.place = Some(place);
-        session.told_confirmed = session.confirmed;
-        session.addresses_version = source.addresses.version();
+        if let Some(value) = &value {
+            peer.sent_revision = value.revision;
+        }
+        peer.sent_offset = Some(offset);
+        peer.sent_confirmed = confirmed;
+        peer.addresses_version = source.address_book.version();
         Some(IngressUpdate {
-            change_log_id: self.life,
-            change_log_offset: place,
-            complete: whole,
+            change_log_id: self.change_log_id,
+            change_log_offset: offset,
+            complete,
             replicas,
             value,
             control_addresses: if new_addresses {
-                source.addresses.all()
+                source.address_book.all()
             } else {
                 Vec::new()
             },
-            confirmed: session.confirmed,
-            registry_settled: source.settled,
+            confirmed,
+            registry_settled: source.registry_settled,
         })
     }
 }
--- /dev/null
+++ b/crates/linenthread-control/src/ingress_updates.rs
@@ -0,0 +1,94 @@
+//! The configuration, the replicas and the quota grants on their way to ingress nodes.
+
+use linenthread_messages::{PeerMessage, QuotaGrants};
+use linenthread_time::Instant;
+
+use crate::ingress_nodes::UpdateSource;
+use crate::pending_jobs::JobOwner;
+use crate::timing::CALL_TIMEOUT;
+use crate::{ControlNode, Effect, SessionId};
+
+impl ControlNode {
+    /// Reads the newest configuration for an ingress node that has just connected.
+    pub(crate) fn confirm_configuration(
+        &mut self,
+        now: Instant,
+        session: SessionId,
+        effects: &mut Vec<Effect>,
+    ) {
+        if !self.has_quorum(now) {
+            return;
+        }
+        let Some(ingress) = self
+            .ingress_nodes
+            .get_mut(session)
+            .filter(|ingress| ingress.needs_confirmation())
+        else {
+            return;
+        };
+        ingress.start_confirmation();
+        let job = self.pending_jobs.add(JobOwner::Confirmation(session));
+        let deadline = now + CALL_TIMEOUT;
+        self.drive_register(
+            now,
+            |register, actions| {
+                register.read(now.as_millis(), job, deadline.as_millis(), actions);
+            },
+            effects,
+        );
+    }
+
+    /// Sends an ingress node all that it lacks; nothing while out of contact with a majority.
+    pub(crate) fn update_ingress_node(
+        &mut self,
+        now: Instant,
+        session: SessionId,
+        effects: &mut Vec<Effect>,
+    ) {
+        if !self.has_quorum(now) {
+            return;
+        }
+        let source = UpdateSource {
+            registry: &self.registry,
+            decided: self.register.decided(),
+            address_book: &self.address_book,
+            registry_settled: self.registry_settled,
+        };
+        if let Some(update) = self.ingress_nodes.next_update(now, session, &source) {
+            effects.push(Effect::Send {
+                session,
+                message: PeerMessage::IngressUpdate(update),
+            });
+        }
+    }
+
+    /// Sends the leader's grants to the ingress nodes here, and to the control nodes that the others are connected to.
+    pub(crate) fn send_quota_grants(&self, grants: QuotaGrants, effects: &mut Vec<Effect>) {
+        if grants.grants.is_empty() {
+            return;
+        }
+        for (session, _) in self.membership.iter() {
+            effects.push(Effect::Send {
+                session,
+                message: PeerMessage::QuotaGrants(grants.clone()),
+            });
+        }
+        self.forward_quota_grants(grants, effects);
+    }
+
+    /// Forwards to the ingress nodes with a session here the grants that are theirs.
+    pub(crate) fn forward_quota_grants(&self, grants: QuotaGrants, effects: &mut Vec<Effect>) {
+        for grant in grants.grants {
+            let Some(session) = self
+                .ingress_nodes
+                .session_with(&grant.name, grant.incarnation)
+            else {
+                continue;
+            };
+            let message = PeerMessage::QuotaGrants(QuotaGrants {
+                grants: vec![grant],
+            });
+            effects.push(Effect::Send { session, message });
+        }
+    }
+}
--- /dev/null
+++ b/crates/linenthread-control/src/leader_lease.rs
@@ -0,0 +1,146 @@
+//! The leader lease of this node, and its vote for that of another.
+
+use linenthread_messages::{LeaseRelease, LeaseRequest, LeaseVote, PeerMessage, Record};
+use linenthread_time::Instant;
+
+use crate::graceful_shutdown::ShutdownStep;
+use crate::{ControlEvent, ControlNode, DeferredMessage, Effect};
+
+impl ControlNode {
+    /// Requests the lease, or more time of it, if this node may lead.
+    pub(crate) fn request_lease(&mut self, now: Instant, effects: &mut Vec<Effect>) {
+        if !self.may_lead(now) {
+            return;
+        }
+        let is_preferred = self.is_preferred_leader(now);
+        let Some(request) = self
+            .lease
+            .tick(now.as_millis(), is_preferred, self.value_number())
+        else {
+            return;
+        };
+        for (session, _) in self.membership.iter() {
+            effects.push(Effect::Send {
+                session,
+                message: PeerMessage::LeaseRequest(request.clone()),
+            });
+        }
+        self.on_lease_request(now, self.register.id(), &request, effects);
+    }
+
+    /// Whether this node is the first voter in contact, in the order of the newest value, of those that do not shut
+    /// down; if all do, of all: without a leader no standby could replace any of them.
+    fn is_preferred_leader(&self, now: Instant) -> bool {
+        let own_id = self.register.id();
+        let in_contact = self.nodes_in_contact(now);
+        let candidates = || {
+            self.register
+                .voters()
+                .iter()
+                .map(|voter| voter.id)
+                .filter(|id| in_contact.contains(id))
+        };
+        let preferred = candidates()
+            .find(|id| !self.node_is_shutting_down(*id))
+            .or_else(|| candidates().next());
+        preferred == Some(own_id)
+    }
+
+    /// A node that shuts down requests no more time once it has nothing left to do as the leader.
+    fn may_lead(&self, now: Instant) -> bool {
+        !self.is_shutting_down() || matches!(self.next_shutdown_step(now), ShutdownStep::Wait(_))
+    }
+
+    /// Votes for the requesting node, or against. A vote under a new epoch is sent only once that epoch is durable.
+    pub(crate) fn on_lease_request(
+        &mut self,
+        now: Instant,
+        from: u64,
+        request: &LeaseRequest,
+        effects: &mut Vec<Effect>,
+    ) {
+        let value_number = Some(self.value_number()).filter(|_| !self.register.has_undecided());
+        let vote = self
+            .lease
+            .on_lease_request(now.as_millis(), from, request, value_number);
+        let vote = PeerMessage::LeaseVote(vote);
+        let epoch = self.lease.epoch();
+        if self.durability.holds_epoch(epoch) {
+            self.send_to_node(from, vote, effects);
+            self.drive_register(now, |_, _| {}, effects);
+        } else {
+            let record = Record {
+                epoch,
+                ..Record::default()
+            };
+            let vote = DeferredMessage {
+                to: from,
+                message: vote,
+            };
+            self.persist(record, vec![vote], effects);
+        }
+    }
+
+    /// A vote on this node's own request.
+    pub(crate) fn on_lease_vote(
+        &mut self,
+        now: Instant,
+        from: u64,
+        vote: &LeaseVote,
+        effects: &mut Vec<Effect>,
+    ) {
+        let was_leader = self.is_leader(now);
+        let (register, value_number) = (&self.register, self.value_number());
+        let has_majority =
+            self.lease
+                .on_lease_vote(now.as_millis(), from, vote, value_number, |voters| {
+                    register.is_majority(voters)
+                });
+        if !has_majority {
+            return;
+        }
+        // The work of a leader does not wait for the next tick.
+        self.ticks.expedite();
+        // The votes may have arrived so late that the lease is over already.
+        let Some(epoch) = self.lease_epoch(now).filter(|_| !was_leader) else {
+            return;
+        };
+        self.quota_allocator.on_lease_acquired(now, epoch);
+        effects.push(Effect::Log(ControlEvent::LeaseAcquired { epoch }));
+    }
+
+    /// Another node gave the lease back.
+    pub(crate) fn on_lease_release(&mut self, from: u64, release: &LeaseRelease) {
+        if self.lease.on_release(from, release) {
+            // Whoever leads next need not wait for its tick.
+            self.ticks.expedite();
+        }
+    }
+
+    /// A leader that shuts down and has nothing left to do lets another lead at once.
+    pub(crate) fn release_lease_for_shutdown(&mut self, now: Instant, effects: &mut Vec<Effect>) {
+        if !self.is_shutting_down() || self.next_shutdown_step(now) != ShutdownStep::ReleaseLease {
+            return;
+        }
+        let Some(release) = self.lease.release(now.as_millis()) else {
+            return;
+        };
+        effects.push(Effect::Log(ControlEvent::LeaseReleased {
+            epoch: release.epoch,
+        }));
+        let voter_ids: Vec<u64> = self
+            .register
+            .voters()
+            .iter()
+            .map(|voter| voter.id)
+            .collect();
+        for voter_id in voter_ids {
+            self.send_to_node(
+                voter_id,
+                PeerMessage::LeaseRelease(release.clone()),
+                effects,
+            );
+        }
+        self.drive_register(now, |_, _| {}, effects);
+    }
+}
--- a/crates/linenthread-control/src/membership.rs
+++ b/crates/linenthread-control/src/membership.rs
@@ -1,247 +1,278 @@
-//! The other control nodes: sessions with them, who is in contact, who leaves.
+//! The other control nodes: sessions with them, which are in contact, which shut down.
 
 use std::collections::{BTreeMap, BTreeSet};
+use std::time::Duration;
 
 use linenthread_messages::{Heartbeat, Hello, Voter};
+use linenthread_time::Instant;
 
 use crate::SessionId;
-use crate::timing::{CONTACT, SILENT, TICK};
+use crate::timing::{CONTACT_TIMEOUT, SESSION_TIMEOUT, TICK_INTERVAL};
 
-/// How often all replicas go to a node that knows something else.
-const RESYNCHRONISE: u64 = 1_500;
-/// So many heartbeats in a row must tell another digest before that.
-const MISMATCHES: u32 = 2;
+/// How often the whole registry is sent, at most, to a peer whose own differs.
+const RESYNCHRONIZE_INTERVAL: Duration = Duration::from_millis(1_500);
+
+/// So many heartbeats in a row must carry another digest first: a difference that is merely on its way is over by
+/// then.
+const MIN_DIGEST_MISMATCHES: u32 = 2;
 
 /// A session with another control node.
 pub(crate) struct ControlPeer {
     pub(crate) hello: Hello,
-    pub(crate) heard: u64,
-    /// It is in contact with a majority of the voters itself.
+    pub(crate) last_received_at: Instant,
+    /// The peer is itself in contact with a majority of the voters.
     pub(crate) has_quorum: bool,
-    /// Number of the newest value that it is known to have, in memory.
-    pub(crate) value: u64,
-    /// Number of the newest value up to which its disk holds all.
-    pub(crate) durable: Option<u64>,
-    /// It is about to end.
-    pub(crate) leaving: bool,
-    /// It leads, and is about to change the voters.
+    /// Number of the newest value that the peer is known to have, in memory.
+    pub(crate) value_number: u64,
+    /// Number of the newest value up to which the peer's disk holds everything.
+    pub(crate) durable_value_number: Option<u64>,
+    pub(crate) shutting_down: bool,
+    /// The peer leads, and is about to change the voters.
     pub(crate) reconfiguring: bool,
-    /// When, by this node's clock, the last heartbeat was sent that it is known to have heard.
-    pub(crate) reached: Option<u64>,
-    /// When, by its clock, its last heartbeat was sent.
-    pub(crate) echo: Option<u64>,
-    /// The version of the table of addresses that it was told.
+    /// When the newest heartbeat was sent, by this node, that the peer is known to have received.
+    pub(crate) acknowledged_sent_at: Option<Instant>,
+    /// When the peer, by its own clock, sent its newest heartbeat; echoed to it.
+    pub(crate) last_sent_at: Option<u64>,
+    /// Version of the address book that the peer was sent.
     pub(crate) addresses_version: u64,
-    /// Replicas to tell it of with the next batch.
+    /// Replicas to send to the peer with the next batch.
     pub(crate) changed_replicas: BTreeSet<String>,
-    pub(crate) synchronised_at: u64,
+    /// When the peer was last sent the whole registry.
+    pub(crate) synchronized_at: Instant,
     digest_mismatches: u32,
 }
 
 impl ControlPeer {
-    fn new(now: u64, hello: Hello) -> ControlPeer {
+    fn new(now: Instant, hello: Hello) -> ControlPeer {
         ControlPeer {
-            heard: now,
+            last_received_at: now,
             has_quorum: false,
-            value: hello.value_number,
-            durable: None,
-            leaving: false,
+            value_number: hello.value_number,
+            durable_value_number: None,
+            shutting_down: false,
             reconfiguring: false,
-            reached: None,
-            echo: None,
+            acknowledged_sent_at: None,
+            last_sent_at: None,
             addresses_version: 0,
             changed_replicas: BTreeSet::new(),
-            synchronised_at: 0,
+            synchronized_at: Instant::START,
             digest_mismatches: 0,
             hello,
         }
     }
 
-    /// A round trip was made of late: it hears this node and is heard by it.
-    pub(crate) fn in_contact(&self, now: u64) -> bool {
-        self.reached.is_some_and(|reached| now <= reached + CONTACT)
+    /// A message went to the peer and back lately.
+    pub(crate) fn in_contact(&self, now: Instant) -> bool {
+        self.acknowledged_sent_at
+            .is_some_and(|sent_at| now <= sent_at + CONTACT_TIMEOUT)
     }
 
-    /// It takes calls that this node sends on.
-    pub(crate) fn takes_calls(&self, now: u64) -> bool {
-        self.in_contact(now) && self.has_quorum && !self.leaving
+    /// Whether calls may be redirected to the peer.
+    pub(crate) fn accepts_calls(&self, now: Instant) -> bool {
+        self.in_contact(now) && self.has_quorum && !self.shutting_down
     }
 
-    /// It lacks the value of this number. The first value of all has the number that stands for none as well.
-    pub(crate) fn lacks(&self, number: u64) -> bool {
-        self.value < number || number == 0 && self.durable.is_none()
+    /// Whether the peer lacks the value of this number. The number of the first value of all is also the one that
+    /// stands for none.
+    pub(crate) fn lacks(&self, value_number: u64) -> bool {
+        self.value_number < value_number || value_number == 0 && self.durable_value_number.is_none()
     }
 }
 
-/// What a heartbeat calls for.
-pub(crate) struct HeartbeatNews {
-    /// It is to learn at once that it was heard.
-    pub(crate) answer: bool,
-    /// It has other replicas for some time: it is told all.
-    pub(crate) synchronise: bool,
+/// What a heartbeat of a peer demands.
+pub(crate) struct HeartbeatDemand {
+    /// The peer is to learn at once that its heartbeat was received.
+    pub(crate) reply: bool,
+    /// The peer's registry has differed for some time: it is to be sent the whole one.
+    pub(crate) synchronize: bool,
 }
 
-/// When the machine at an address was last in contact, with which disk.
-pub(crate) struct Sighting {
-    pub(crate) disk: u64,
-    pub(crate) counts: bool,
-    pub(crate) at: u64,
+/// Which node was last in contact at an address, and when.
+pub(crate) struct LastContact {
+    pub(crate) node_id: u64,
+    pub(crate) may_vote: bool,
+    pub(crate) at: Instant,
 }
 
 /// All sessions with other control nodes, and what is remembered of those that have ended.
 #[derive(Default)]
 pub(crate) struct Membership {
     peers: BTreeMap<SessionId, ControlPeer>,
-    sightings: BTreeMap<String, Sighting>,
-    /// Disks of nodes that ended after they had said that they would, and the newest value that each held.
+    /// By control address.
+    last_contacts: BTreeMap<String, LastContact>,
+    /// Nodes that ended after a graceful shutdown, and the newest value that the disk of each held.
     departed: BTreeMap<u64, u64>,
 }
 
 impl Membership {
-    pub(crate) fn get(&self, link: SessionId) -> Option<&ControlPeer> {
-        self.peers.get(&link)
+    pub(crate) fn get(&self, session: SessionId) -> Option<&ControlPeer> {
+        self.peers.get(&session)
     }
 
-    pub(crate) fn get_mut(&mut self, link: SessionId) -> Option<&mut ControlPeer> {
-        self.peers.get_mut(&link)
+    pub(crate) fn get_mut(&mut self, session: SessionId) -> Option<&mut ControlPeer> {
+        self.peers.get_mut(&session)
     }
 
     pub(crate) fn iter(&self) -> impl Iterator<Item = (SessionId, &ControlPeer)> {
-        self.peers.iter().map(|(link, peer)| (*link, peer))
+        self.peers.iter().map(|(session, peer)| (*session, peer))
     }
 
     pub(crate) fn iter_mut(&mut self) -> impl Iterator<Item = (SessionId, &mut ControlPeer)> {
-        self.peers.iter_mut().map(|(link, peer)| (*link, peer))
+        self.peers
+            .iter_mut()
+            .map(|(session, peer)| (*session, peer))
     }
 
-    pub(crate) fn links(&self) -> Vec<SessionId> {
+    pub(crate) fn sessions(&self) -> Vec<SessionId> {
         self.peers.keys().copied().collect()
     }
 
-    /// Peers in contact.
-    pub(crate) fn contacts(&self, now: u64) -> impl Iterator<Item = &ControlPeer> {
+    /// The peers in contact.
+    pub(crate) fn contacts(&self, now: Instant) -> impl Iterator<Item = &ControlPeer> {
         self.peers.values().filter(move |peer| peer.in_contact(now))
     }
 
-    pub(crate) fn contact(&self, now: u64, disk: u64) -> Option<&ControlPeer> {
-        self.contacts(now).find(|peer| peer.hello.node_id == disk)
+    /// The peer of a node id, if it is in contact.
+    pub(crate) fn contact(&self, now: Instant, node_id: u64) -> Option<&ControlPeer> {
+        self.contacts(now)
+            .find(|peer| peer.hello.node_id == node_id)
     }
 
-    /// The newest session with the machine of a disk.
-    pub(crate) fn link_of(&self, disk: u64) -> Option<SessionId> {
+    /// The newest session with a node.
+    pub(crate) fn session_with(&self, node_id: u64) -> Option<SessionId> {
         self.iter()
-            .filter(|(_, peer)| peer.hello.node_id == disk)
-            .map(|(link, _)| link)
+            .filter(|(_, peer)| peer.hello.node_id == node_id)
+            .map(|(session, _)| session)
             .last()
     }
 
-    /// Sessions of earlier lives of the same machine: they are over, whatever their connections say.
+    /// Sessions of earlier incarnations of a node: they are over, whatever their connections look like.
     pub(crate) fn superseded(&self, hello: &Hello) -> Vec<SessionId> {
-        let old = |peer: &ControlPeer| {
-            peer.hello.name == hello.name && peer.hello.incarnation != hello.incarnation
-        };
         self.iter()
-            .filter(|(_, peer)| old(peer))
-            .map(|(link, _)| link)
+            .filter(|(_, peer)| {
+                peer.hello.name == hello.name && peer.hello.incarnation != hello.incarnation
+            })
+            .map(|(session, _)| session)
             .collect()
     }
 
-    pub(crate) fn silent(&self, now: u64) -> Vec<SessionId> {
+    /// Sessions on which nothing was received for too long.
+    pub(crate) fn timed_out(&self, now: Instant) -> Vec<SessionId> {
         self.iter()
-            .filter(|(_, peer)| now > peer.heard + SILENT)
-            .map(|(link, _)| link)
+            .filter(|(_, peer)| now > peer.last_received_at + SESSION_TIMEOUT)
+            .map(|(session, _)| session)
             .collect()
     }
 
-    pub(crate) fn open(&mut self, now: u64, link: SessionId, hello: Hello) {
-        let sighting = Sighting {
-            disk: hello.node_id,
-            counts: hello.is_voter,
+    pub(crate) fn open(&mut self, now: Instant, session: SessionId, hello: Hello) {
+        let contact = LastContact {
+            node_id: hello.node_id,
+            may_vote: hello.is_voter,
             at: now,
         };
-        self.sightings
-            .insert(hello.control_address.clone(), sighting);
+        self.last_contacts
+            .insert(hello.control_address.clone(), contact);
         self.departed.remove(&hello.node_id);
-        self.peers.insert(link, ControlPeer::new(now, hello));
+        self.peers.insert(session, ControlPeer::new(now, hello));
     }
 
-    pub(crate) fn close(&mut self, now: u64, link: SessionId) -> Option<ControlPeer> {
-        let peer = self.peers.remove(&link)?;
-        if peer.leaving {
-            self.departed
-                .insert(peer.hello.node_id, peer.durable.unwrap_or_default());
+    pub(crate) fn close(&mut self, now: Instant, session: SessionId) -> Option<ControlPeer> {
+        let peer = self.peers.remove(&session)?;
+        if peer.shutting_down {
+            self.departed.insert(
+                peer.hello.node_id,
+                peer.durable_value_number.unwrap_or_default(),
+            );
         }
         if peer.in_contact(now) {
-            self.sighted(&peer.hello.control_address, now.min(peer.heard + TICK));
+            self.note_contact(
+                &peer.hello.control_address,
+                now.min(peer.last_received_at + TICK_INTERVAL),
+            );
         }
         Some(peer)
     }
 
-    fn sighted(&mut self, address: &str, at: u64) {
-        if let Some(sighting) = self.sightings.get_mut(address) {
-            sighting.at = at;
+    fn note_contact(&mut self, address: &str, at: Instant) {
+        if let Some(contact) = self.last_contacts.get_mut(address) {
+            contact.at = at;
         }
     }
 
-    pub(crate) fn sighting(&self, address: &str) -> Option<&Sighting> {
-        self.sightings.get(address)
+    /// The last contact with whichever node was at an address.
+    pub(crate) fn last_contact(&self, address: &str) -> Option<&LastContact> {
+        self.last_contacts.get(address)
     }
 
-    /// Takes a heartbeat of a peer; `digest` is of the replicas that this node knows.
+    /// Takes in a heartbeat of a peer; `digest` is that of this node's registry.
     pub(crate) fn on_heartbeat(
         &mut self,
-        now: u64,
-        link: SessionId,
+        now: Instant,
+        session: SessionId,
         heartbeat: &Heartbeat,
         digest: u64,
-    ) -> Option<HeartbeatNews> {
-        let peer = self.peers.get_mut(&link)?;
-        let begins_to_leave = heartbeat.leaving && !peer.leaving;
+    ) -> Option<HeartbeatDemand> {
+        let peer = self.peers.get_mut(&session)?;
+        let begins_shutdown = heartbeat.leaving && !peer.shutting_down;
         peer.has_quorum = heartbeat.has_quorum;
-        peer.value = heartbeat.quota_request_or_value_number;
-        peer.durable = peer.durable.max(heartbeat.durable_value_number);
-        peer.leaving = heartbeat.leaving;
+        peer.value_number = heartbeat.quota_request_or_value_number;
+        peer.durable_value_number = peer
+            .durable_value_number
+            .max(heartbeat.durable_value_number);
+        peer.shutting_down = heartbeat.leaving;
         peer.reconfiguring = heartbeat.reconfiguring;
-        // What it says it heard was sent before now.
-        peer.reached = peer
-            .reached
-            .max(heartbeat.echoed_sent_at.map(|echo| echo.min(now)));
-        let is_first = peer.echo.replace(heartbeat.sent_at).is_none();
+        // A heartbeat that the peer received was sent before now, whatever the peer says.
+        let echoed_sent_at = heartbeat.echoed_sent_at.map(Instant::from_millis);
+        peer.acknowledged_sent_at = peer
+            .acknowledged_sent_at
+            .max(echoed_sent_at.map(|sent_at| sent_at.min(now)));
+        let is_first = peer.last_sent_at.replace(heartbeat.sent_at).is_none();
         peer.digest_mismatches = if heartbeat.registry_digest == digest {
             0
         } else {
             peer.digest_mismatches + 1
         };
-        let synchronise =
-            peer.digest_mismatches >= MISMATCHES && now >= peer.synchronised_at + RESYNCHRONISE;
+        let synchronize = peer.digest_mismatches >= MIN_DIGEST_MISMATCHES
+            && now >= peer.synchronized_at + RESYNCHRONIZE_INTERVAL;
         if peer.in_contact(now) {
             let address = peer.hello.control_address.clone();
-            self.sighted(&address, now);
+            self.note_contact(&address, now);
         }
-        Some(HeartbeatNews {
-            answer: is_first || begins_to_leave,
-            synchronise,
+        Some(HeartbeatDemand {
+            reply: is_first || begins_shutdown,
+            synchronize,
         })
     }
 
-    /// Whether the machine of a disk is about to end, or ended after it had said so.
-    pub(crate) fn leaves(&self, disk: u64) -> bool {
-        let leaving = |peer: &ControlPeer| peer.leaving && peer.hello.node_id == disk;
-        self.departed.contains_key(&disk) || self.peers.values().any(leaving)
+    /// Whether a node shuts down, or ended after a graceful shutdown.
+    pub(crate) fn is_shutting_down(&self, node_id: u64) -> bool {
+        self.departed.contains_key(&node_id)
+            || self
+                .peers
+                .values()
+                .any(|peer| peer.shutting_down && peer.hello.node_id == node_id)
     }
 
-    /// The newest value that the disk of a departed machine held.
-    pub(crate) fn departed(&self, disk: u64) -> Option<u64> {
-        self.departed.get(&disk).copied()
+    /// The newest value that the disk of a departed node held.
+    pub(crate) fn departed(&self, node_id: u64) -> Option<u64> {
+        self.departed.get(&node_id).copied()
     }
 
-    /// Peers in contact that may vote and stay; with a number only those whose disks hold that value.
-    pub(crate) fn candidates(&self, now: u64, number: Option<u64>) -> impl Iterator<Item = Voter> {
-        let ready = move |p: &&ControlPeer| p.hello.is_voter && !p.leaving && p.durable >= number;
-        let voter = |p: &ControlPeer| Voter {
-            id: p.hello.node_id,
-            address: p.hello.control_address.clone(),
-        };
-        self.contacts(now).filter(ready).map(voter)
+    /// Peers in contact that may vote and do not shut down; with a number only those whose disks hold that value.
+    pub(crate) fn candidates(
+        &self,
+        now: Instant,
+        value_number: Option<u64>,
+    ) -> impl Iterator<Item = Voter> {
+        self.contacts(now)
+            .filter(move |peer| {
+                peer.hello.is_voter
+                    && !peer.shutting_down
+                    && peer.durable_value_number >= value_number
+            })
+            .map(|peer| Voter {
+                id: peer.hello.node_id,
+                address: peer.hello.control_address.clone(),
+            })
     }
 }
--- /dev/null
+++ b/crates/linenthread-control/src/operator_calls.rs
@@ -0,0 +1,65 @@
+//! Calls of operators: replacing and reading the configuration.
+
+use std::time::Duration;
+
+use linenthread_consensus::Change;
+use linenthread_time::Instant;
+
+use crate::pending_jobs::JobOwner;
+use crate::timing::CALL_TIMEOUT;
+use crate::{CallId, ControlNode, Effect};
+
+/// A configuration's call may take a millisecond longer for each so many bytes.
+const BYTES_PER_MILLISECOND: u64 = 1_000;
+
+impl ControlNode {
+    /// An operator replaces the configuration of revision `base` by this document, of another revision.
+    pub fn replace_configuration(
+        &mut self,
+        now: Instant,
+        call: CallId,
+        base: u64,
+        revision: u64,
+        document: Vec<u8>,
+        effects: &mut Vec<Effect>,
+    ) {
+        self.detect_pause(now, effects);
+        if let Some(response) = self.rejection_of_agreement(now) {
+            effects.push(Effect::Respond { call, response });
+            return;
+        }
+        let job = self.pending_jobs.add(JobOwner::Call(call));
+        let transfer = Duration::from_millis(document.len() as u64 / BYTES_PER_MILLISECOND);
+        let deadline = now + CALL_TIMEOUT + transfer;
+        let change = Change::Document {
+            base,
+            revision,
+            document,
+        };
+        self.drive_register(
+            now,
+            |register, actions| {
+                register.propose(now.as_millis(), job, change, deadline.as_millis(), actions);
+            },
+            effects,
+        );
+    }
+
+    /// An operator reads the newest configuration.
+    pub fn read_configuration(&mut self, now: Instant, call: CallId, effects: &mut Vec<Effect>) {
+        self.detect_pause(now, effects);
+        if let Some(response) = self.rejection_of_agreement(now) {
+            effects.push(Effect::Respond { call, response });
+            return;
+        }
+        let job = self.pending_jobs.add(JobOwner::Call(call));
+        let deadline = now + CALL_TIMEOUT;
+        self.drive_register(
+            now,
+            |register, actions| {
+                register.read(now.as_millis(), job, deadline.as_millis(), actions);
+            },
+            effects,
+        );
+    }
+}
--- /dev/null
+++ b/crates/linenthread-control/src/pending_drains.rs
@@ -0,0 +1,110 @@
+//! Calls of replicas that drain or depart, each acknowledged once a majority of the voters know of it.
+
+use std::collections::BTreeSet;
+
+use linenthread_time::Instant;
+
+use crate::timing::CALL_TIMEOUT;
+use crate::{CallId, Response, UnavailableReason};
+
+struct PendingDrain {
+    call: CallId,
+    replica_id: String,
+    /// Id of the update that was sent to the other control nodes.
+    update_id: u64,
+    deadline: Instant,
+    /// Ids of the nodes that acknowledged the update.
+    acknowledged_by: BTreeSet<u64>,
+}
+
+/// The calls that wait, and the replicas that a majority knows to drain or to have departed.
+#[derive(Default)]
+pub(crate) struct PendingDrains {
+    /// The oldest first.
+    pending: Vec<PendingDrain>,
+    known_by_majority: BTreeSet<String>,
+    last_update_id: u64,
+}
+
+impl PendingDrains {
+    /// Whether no call waits.
+    pub(crate) fn is_empty(&self) -> bool {
+        self.pending.is_empty()
+    }
+
+    pub(crate) fn is_known_by_majority(&self, replica_id: &str) -> bool {
+        self.known_by_majority.contains(replica_id)
+    }
+
+    /// The replica's next drain has to be made known again.
+    pub(crate) fn forget(&mut self, replica_id: &str) {
+        self.known_by_majority.remove(replica_id);
+    }
+
+    /// Forgets the replicas for which `is_registered` does not hold.
+    pub(crate) fn retain(&mut self, is_registered: impl Fn(&str) -> bool) {
+        self.known_by_majority
+            .retain(|replica_id| is_registered(replica_id));
+    }
+
+    /// A call waits from now on; the id of the update that the other nodes are to acknowledge.
+    pub(crate) fn begin(
+        &mut self,
+        now: Instant,
+        call: CallId,
+        replica_id: &str,
+        own_id: u64,
+    ) -> u64 {
+        self.last_update_id += 1;
+        self.pending.push(PendingDrain {
+            call,
+            replica_id: replica_id.to_owned(),
+            update_id: self.last_update_id,
+            deadline: now + CALL_TIMEOUT,
+            acknowledged_by: BTreeSet::from([own_id]),
+        });
+        self.last_update_id
+    }
+
+    /// A node acknowledged an update.
+    pub(crate) fn on_ack(&mut self, node_id: u64, update_id: u64) {
+        let drain = self
+            .pending
+            .iter_mut()
+            .find(|drain| drain.update_id == update_id);
+        if let Some(drain) = drain {
+            drain.acknowledged_by.insert(node_id);
+        }
+    }
+
+    /// A node's session ended: what the node knew may be lost with it.
+    pub(crate) fn on_node_gone(&mut self, node_id: u64) {
+        for drain in &mut self.pending {
+            drain.acknowledged_by.remove(&node_id);
+        }
+    }
+
+    /// Removes the calls that end now, the oldest first, each with its response.
+    pub(crate) fn take_completed(
+        &mut self,
+        now: Instant,
+        is_majority: impl Fn(&BTreeSet<u64>) -> bool,
+    ) -> Vec<(CallId, Response)> {
+        let known_by_majority = &mut self.known_by_majority;
+        let mut completed = Vec::new();
+        self.pending.retain(|drain| {
+            // The deadline comes first: after a freeze, acknowledgements that are there by now are too late.
+            let response = if now >= drain.deadline {
+                Response::Unavailable(UnavailableReason::NotReplicated)
+            } else if is_majority(&drain.acknowledged_by) {
+                known_by_majority.insert(drain.replica_id.clone());
+                Response::Acknowledged(None)
+            } else {
+                return true;
+            };
+            completed.push((drain.call, response));
+            false
+        });
+        completed
+    }
+}
--- /dev/null
+++ b/crates/linenthread-control/src/pending_jobs.rs
@@ -0,0 +1,57 @@
+//! Jobs of the register that are in flight, and who waits for the outcome of each.
+
+use std::collections::BTreeMap;
+
+use linenthread_consensus::{Job, Outcome};
+
+use crate::{CallId, Response, SessionId, UnavailableReason};
+
+/// Who waits for the outcome of a job.
+pub(crate) enum JobOwner {
+    /// An operator's call.
+    Call(CallId),
+    /// A session with an ingress node, which is sent the configuration once it was read for it.
+    Confirmation(SessionId),
+    /// A change of the voters by this node as the leader.
+    VoterChange,
+}
+
+/// The jobs in flight.
+#[derive(Default)]
+pub(crate) struct PendingJobs {
+    last: Job,
+    owners: BTreeMap<Job, JobOwner>,
+}
+
+impl PendingJobs {
+    /// Numbers a new job.
+    pub(crate) fn add(&mut self, owner: JobOwner) -> Job {
+        self.last += 1;
+        self.owners.insert(self.last, owner);
+        self.last
+    }
+
+    /// Removes a job that has ended.
+    pub(crate) fn take(&mut self, job: Job) -> Option<JobOwner> {
+        self.owners.remove(&job)
+    }
+
+    /// Whether any operator waits.
+    pub(crate) fn has_calls(&self) -> bool {
+        self.owners
+            .values()
+            .any(|owner| matches!(owner, JobOwner::Call(_)))
+    }
+}
+
+/// An outcome as the response to an operator's call.
+impl From<Outcome> for Response {
+    fn from(outcome: Outcome) -> Response {
+        match outcome {
+            Outcome::Committed(revision) => Response::Committed(revision),
+            Outcome::Conflict(revision) => Response::Conflict(revision),
+            Outcome::Newest(value) => Response::Document(value),
+            Outcome::Unknown => Response::Unavailable(UnavailableReason::QuorumTimedOut),
+        }
+    }
+}
--- /dev/null
+++ b/crates/linenthread-control/src/register_driver.rs
@@ -0,0 +1,186 @@
+//! Drives the register: carries out what it asks for, and takes in what it decided.
+
+use linenthread_consensus::{Effect as RegisterEffect, Job, Outcome, Register};
+use linenthread_messages::{DurableProgress, PeerMessage, Record, Value};
+use linenthread_time::Instant;
+
+use crate::pending_jobs::JobOwner;
+use crate::{ControlEvent, ControlNode, DeferredMessage, Effect};
+
+impl ControlNode {
+    /// A record is durable: `messages` are those that waited for it.
+    pub fn on_synced(
+        &mut self,
+        now: Instant,
+        messages: Vec<DeferredMessage>,
+        effects: &mut Vec<Effect>,
+    ) {
+        self.detect_pause(now, effects);
+        for DeferredMessage { to, message } in messages {
+            self.send_to_node(to, message, effects);
+        }
+        self.drive_register(now, |_, _| {}, effects);
+    }
+
+    /// Sends a message to the node of an id, which may be this one. It is lost if there is no session with it.
+    pub(crate) fn send_to_node(
+        &mut self,
+        to: u64,
+        message: PeerMessage,
+        effects: &mut Vec<Effect>,
+    ) {
+        if to == self.register.id() {
+            self.loopback.push_back(message);
+        } else if let Some(session) = self.membership.session_with(to) {
+            effects.push(Effect::Send { session, message });
+        }
+    }
+
+    /// Hands a record to the disk. If there is a new epoch in it, this node is notified when that is durable.
+    pub(crate) fn persist(
+        &mut self,
+        record: Record,
+        mut after_sync: Vec<DeferredMessage>,
+        effects: &mut Vec<Effect>,
+    ) {
+        if record.epoch > 0 {
+            after_sync.push(DeferredMessage {
+                to: self.register.id(),
+                message: PeerMessage::DurableProgress(DurableProgress {
+                    value_number: None,
+                    epoch: record.epoch,
+                }),
+            });
+        }
+        effects.push(Effect::Persist { record, after_sync });
+    }
+
+    /// Runs `first` on the register, then drives it until it has nothing more to do.
+    pub(crate) fn drive_register(
+        &mut self,
+        now: Instant,
+        first: impl FnOnce(&mut Register, &mut Vec<RegisterEffect>),
+        effects: &mut Vec<Effect>,
+    ) {
+        let mut actions = Vec::new();
+        first(&mut self.register, &mut actions);
+        loop {
+            for action in std::mem::take(&mut actions) {
+                self.carry_out(now, action, effects);
+            }
+            let Some(message) = self.loopback.pop_front() else {
+                break;
+            };
+            self.on_own_message(now, message, &mut actions, effects);
+        }
+        self.announce_durability(now, effects);
+    }
+
+    fn carry_out(&mut self, now: Instant, action: RegisterEffect, effects: &mut Vec<Effect>) {
+        match action {
+            RegisterEffect::Send { to, message } => self.send_to_node(to, message, effects),
+            RegisterEffect::Persist { record, then } => effects.push(Effect::Persist {
+                record,
+                after_sync: then
+                    .into_iter()
+                    .map(|(to, message)| DeferredMessage { to, message })
+                    .collect(),
+            }),
+            RegisterEffect::Decided(value) => self.on_decided(now, &value, effects),
+            RegisterEffect::Reply { job, outcome } => self.on_outcome(now, job, outcome, effects),
+        }
+    }
+
+    fn on_own_message(
+        &mut self,
+        now: Instant,
+        message: PeerMessage,
+        actions: &mut Vec<RegisterEffect>,
+        effects: &mut Vec<Effect>,
+    ) {
+        let own_id = self.register.id();
+        match message {
+            PeerMessage::LeaseVote(vote) => self.on_lease_vote(now, own_id, &vote, effects),
+            PeerMessage::LeaseRelease(release) => drop(self.lease.on_release(own_id, &release)),
+            PeerMessage::DurableProgress(progress) => {
+                self.durability.on_epoch_synced(progress.epoch);
+            }
+            message => self
+                .register
+                .on_message(now.as_millis(), own_id, message, actions),
+        }
+    }
+
+    fn on_decided(&mut self, now: Instant, value: &Value, effects: &mut Vec<Effect>) {
+        effects.push(Effect::Log(ControlEvent::ValueDecided {
+            number: value.number,
+            revision: value.revision,
+            voters: value.voters.len(),
+        }));
+        for voter in &value.voters {
+            self.address_book.learn(now, &voter.address);
+        }
+        // The lease is requested again, from those who vote now, before another value is undecided.
+        self.ticks.expedite();
+        let is_voter = value
+            .voters
+            .iter()
+            .any(|voter| voter.id == self.register.id());
+        let votes_again =
+            is_voter && (!self.voting.is_voter || self.lease.misses_change_of_voters(value));
+        self.lease.follow(value);
+        self.lease
+            .decided(now.as_millis(), value.epoch, votes_again);
+        self.voting.is_voter = is_voter;
+        for session in self.membership.sessions() {
+            self.send_value(session, effects);
+        }
+        for session in self.ingress_nodes.sessions() {
+            self.update_ingress_node(now, session, effects);
+        }
+    }
+
+    /// A job has ended. What one peer has sent may be true and the newest there is; but out of contact with a majority
+    /// nothing is confirmed, and nothing conclusively rejected.
+    fn on_outcome(&mut self, now: Instant, job: Job, outcome: Outcome, effects: &mut Vec<Effect>) {
+        let outcome = if self.has_quorum(now) {
+            outcome
+        } else {
+            Outcome::Unknown
+        };
+        match self.pending_jobs.take(job) {
+            Some(JobOwner::Call(call)) => {
+                let response = outcome.into();
+                effects.push(Effect::Respond { call, response });
+            }
+            Some(JobOwner::Confirmation(session)) => {
+                if let Some(ingress) = self.ingress_nodes.get_mut(session) {
+                    ingress.on_confirmation(matches!(outcome, Outcome::Newest(_)));
+                    self.update_ingress_node(now, session, effects);
+                }
+            }
+            Some(JobOwner::VoterChange) => {
+                self.voting.change_in_flight = false;
+                // Nodes that shut down wait for this news.
+                self.ticks.expedite();
+                // If an order was decided first, the change is tried again at once, before the next order.
+                if let Some(epoch) = self.lease_epoch(now) {
+                    self.adjust_voters(now, epoch, effects);
+                }
+            }
+            None => {}
+        }
+    }
+
+    /// Has an undecided value decided, one way or the other.
+    pub(crate) fn complete_undecided(&mut self, now: Instant, effects: &mut Vec<Effect>) {
+        self.drive_register(
+            now,
+            |register, actions| {
+                register.complete();
+                register.tick(now.as_millis(), actions);
+            },
+            effects,
+        );
+    }
+}
--- /dev/null
+++ b/crates/linenthread-control/src/replica_calls.rs
@@ -0,0 +1,147 @@
+//! Calls of replicas: heartbeats and departures.
+
+use linenthread_messages::{ControlUpdate, PeerMessage, UpdateAck};
+use linenthread_time::Instant;
+
+use crate::{CallId, ControlNode, Effect, HeartbeatOutcome, ReplicaHeartbeat, Response};
+
+impl ControlNode {
+    /// A replica's heartbeat.
+    pub fn on_replica_heartbeat(
+        &mut self,
+        now: Instant,
+        call: CallId,
+        replica_id: &str,
+        heartbeat: ReplicaHeartbeat,
+        effects: &mut Vec<Effect>,
+    ) {
+        self.detect_pause(now, effects);
+        if let Some(response) = self.rejection(now) {
+            effects.push(Effect::Respond { call, response });
+            return;
+        }
+        let replica = heartbeat.into_replica(replica_id);
+        let mut superseded = Vec::new();
+        let outcome = self.registry.observe(now, &replica, &mut superseded);
+        self.record_change(replica_id, outcome, &superseded);
+        let is_draining = self
+            .registry
+            .get(replica_id)
+            .is_some_and(|known| known.replica.draining || known.replica.removed_for_good);
+        let awaits_majority = replica.draining
+            && is_draining
+            && !self.pending_drains.is_known_by_majority(replica_id);
+        if awaits_majority {
+            self.await_majority(now, call, replica_id, effects);
+        } else {
+            let report_to = self.report_address(now, &replica.zone);
+            effects.push(Effect::Respond {
+                call,
+                response: Response::Acknowledged(report_to),
+            });
+        }
+        if outcome == HeartbeatOutcome::Changed {
+            self.flush_changed_replicas(now, effects);
+        }
+    }
+
+    /// A replica announces that it ends.
+    pub fn on_replica_departure(
+        &mut self,
+        now: Instant,
+        call: CallId,
+        replica_id: &str,
+        effects: &mut Vec<Effect>,
+    ) {
+        self.detect_pause(now, effects);
+        if let Some(response) = self.rejection(now) {
+            effects.push(Effect::Respond { call, response });
+            return;
+        }
+        if self.registry.mark_departed(now, replica_id) {
+            self.pending_drains.forget(replica_id);
+            self.record_change(replica_id, HeartbeatOutcome::Changed, &[]);
+        }
+        // It may have departed before, and too few others have acknowledged that so far.
+        let awaits_majority = self.registry.get(replica_id).is_some()
+            && !self.pending_drains.is_known_by_majority(replica_id);
+        if awaits_majority {
+            self.await_majority(now, call, replica_id, effects);
+            self.flush_changed_replicas(now, effects);
+        } else {
+            effects.push(Effect::Respond {
+                call,
+                response: Response::Acknowledged(None),
+            });
+        }
+    }
+
+    /// The call is acknowledged once more than half of the voters have acknowledged the replica's state.
+    fn await_majority(
+        &mut self,
+        now: Instant,
+        call: CallId,
+        replica_id: &str,
+        effects: &mut Vec<Effect>,
+    ) {
+        let update_id = self
+            .pending_drains
+            .begin(now, call, replica_id, self.register.id());
+        let replicas = self
+            .registry
+            .get(replica_id)
+            .iter()
+            .map(|known| known.snapshot(now))
+            .collect();
+        let update = ControlUpdate {
+            replicas,
+            update_id,
+            ..ControlUpdate::default()
+        };
+        for (session, _) in self.membership.iter() {
+            effects.push(Effect::Send {
+                session,
+                message: PeerMessage::ControlUpdate(update.clone()),
+            });
+        }
+        self.complete_drains(now, effects);
+    }
+
+    /// Another control node acknowledged an update.
+    pub(crate) fn on_update_ack(
+        &mut self,
+        now: Instant,
+        node_id: u64,
+        ack: &UpdateAck,
+        effects: &mut Vec<Effect>,
+    ) {
+        self.pending_drains.on_ack(node_id, ack.update_id);
+        self.complete_drains(now, effects);
+    }
+
+    /// Responds to the calls that a majority acknowledged by now, or that have timed out.
+    pub(crate) fn complete_drains(&mut self, now: Instant, effects: &mut Vec<Effect>) {
+        let register = &self.register;
+        let completed = self
+            .pending_drains
+            .take_completed(now, |nodes| register.is_majority(nodes.iter().copied()));
+        effects.extend(
+            completed
+                .into_iter()
+                .map(|(call, response)| Effect::Respond { call, response }),
+        );
+    }
+
+    /// Control address of a node of a zone that takes calls: this one's if the zone is its own, else the first one's.
+    fn report_address(&self, now: Instant, zone: &str) -> Option<String> {
+        if self.config.zone == zone {
+            return Some(self.config.control_address.clone());
+        }
+        self.membership
+            .contacts(now)
+            .filter(|peer| peer.hello.zone == zone && peer.accepts_calls(now))
+            .map(|peer| &peer.hello.control_address)
+            .min()
+            .cloned()
+    }
+}
--- a/crates/linenthread-control/src/replica_registry.rs
+++ b/crates/linenthread-control/src/replica_registry.rs
@@ -1,197 +1,240 @@
+//! The registry of replicas: what is known of each, merged from heartbeats in whatever order they arrive.
+
 use std::cell::Cell;
 use std::collections::BTreeMap;
+use std::time::Duration;
 
 use linenthread_messages::Replica;
+use linenthread_time::{Instant, whole_millis};
 use serde::Deserialize;
 
-/// What a replica says of itself with each beat.
+/// An ended replica is remembered for so long, so that a late heartbeat does not bring it back.
+const REMEMBER_ENDED: Duration = Duration::from_millis(60_000);
+
+/// What a replica says of itself with each heartbeat: the body of its call, in JSON.
 #[derive(Clone, Debug, Deserialize)]
 pub struct ReplicaHeartbeat {
+    /// Name of the backend that it is a replica of.
     pub backend: String,
+    /// `host:port` at which it serves requests.
     pub address: String,
+    /// The failure domain that it runs in.
     pub zone: String,
+    /// The version of the backend that it runs.
     #[serde(default)]
     pub revision: String,
+    /// How many requests it can work on at once; 0 if it does not say.
     #[serde(default)]
     pub capacity: u32,
-    pub phase: Phase,
+    /// Whether it takes requests.
+    pub phase: ReplicaPhase,
+    /// How much longer it warms up, in milliseconds.
     #[serde(default)]
     pub warmup_ms: u32,
+    /// Its count of calls to control nodes, which orders them.
     pub call_count: u64,
 }
 
+impl ReplicaHeartbeat {
+    /// The heartbeat as control nodes send it to each other.
+    pub(crate) fn into_replica(self, id: &str) -> Replica {
+        Replica {
+            id: id.to_owned(),
+            backend: self.backend,
+            address: self.address,
+            zone: self.zone,
+            revision: self.revision,
+            capacity: self.capacity,
+            call_count: self.call_count,
+            draining: self.phase == ReplicaPhase::Draining,
+            warmup_ms: self.warmup_ms,
+            ..Replica::default()
+        }
+    }
+}
+
+/// Whether a replica takes requests, as it says itself.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "lowercase")]
-pub enum Phase {
+pub enum ReplicaPhase {
+    /// It takes requests.
     Available,
+    /// It takes no new requests and is about to end.
     Draining,
 }
 
-/// One replica's life. What is told of it is in `told`, but for ages, which are made when it is told.
+/// One incarnation of a replica, as the registry knows it.
 #[derive(Clone, Debug)]
-pub struct KnownReplica {
+pub struct RegisteredReplica {
+    /// What is known of it, but for ages, which [`RegisteredReplica::snapshot`] fills in.
     pub replica: Replica,
-    pub last_heartbeat_at: u64,
-    pub warmed_up_at: u64,
-    removed_at: u64,
+    /// When its newest heartbeat was received, here or at another control node.
+    pub last_heartbeat_at: Instant,
+    /// When it is warm.
+    pub warmed_up_at: Instant,
+    /// When it ended, if it has.
+    ended_at: Instant,
 }
 
-impl KnownReplica {
-    pub fn snapshot(&self, now: u64) -> Replica {
+impl RegisteredReplica {
+    /// What is known of the replica, with ages as of now.
+    pub fn snapshot(&self, now: Instant) -> Replica {
         Replica {
-            age_ms: now
-                .saturating_sub(self.last_heartbeat_at)
-                .min(u64::from(u32::MAX)) as u32,
-            warmup_ms: self
-                .warmed_up_at
-                .saturating_sub(now)
-                .min(u64::from(u32::MAX)) as u32,
+            age_ms: saturating_millis(now.since(self.last_heartbeat_at)),
+            warmup_ms: saturating_millis(self.warmed_up_at.since(now)),
             ..self.replica.clone()
         }
     }
+
+    fn end(&mut self, now: Instant) {
+        self.replica.removed_for_good = true;
+        self.replica.removed = true;
+        self.ended_at = now;
+    }
+
+    /// Takes in a report of the same replica.
+    fn merge(&mut self, now: Instant, report: &Replica) -> HeartbeatOutcome {
+        if self.replica.removed_for_good {
+            return HeartbeatOutcome::Stale;
+        }
+        if report.removed_for_good {
+            self.end(now);
+            return HeartbeatOutcome::Changed;
+        }
+        if report.call_count < self.replica.call_count {
+            return HeartbeatOutcome::Stale;
+        }
+        self.last_heartbeat_at = self.last_heartbeat_at.max(reported_at(now, report));
+        if report.call_count == self.replica.call_count {
+            return HeartbeatOutcome::Stale;
+        }
+        let changed = self.replica.removed
+            || self.replica.draining != report.draining
+            || self.replica.address != report.address
+            || self.replica.backend != report.backend
+            || self.replica.capacity != report.capacity
+            || self.replica.zone != report.zone;
+        self.replica = Replica {
+            age_ms: 0,
+            warmup_ms: 0,
+            removed: false,
+            ..report.clone()
+        };
+        if changed {
+            HeartbeatOutcome::Changed
+        } else {
+            HeartbeatOutcome::Refreshed
+        }
+    }
+}
+
+fn saturating_millis(duration: Duration) -> u32 {
+    u32::try_from(whole_millis(duration)).unwrap_or(u32::MAX)
+}
+
+/// When the heartbeat that a report rests on was received.
+fn reported_at(now: Instant, report: &Replica) -> Instant {
+    now.saturating_sub(Duration::from_millis(u64::from(report.age_ms)))
 }
 
-/// What a piece of news was worth.
+/// What a report of a replica changed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HeartbeatOutcome {
-    /// Older than what is known.
+    /// It is older than what is known.
     Stale,
-    /// Nothing but a sign of life.
+    /// The replica still runs; nothing else is new.
     Refreshed,
-    /// IngressNodes must know.
+    /// Ingress nodes must be notified.
     Changed,
 }
 
-/// What has ended is remembered for so long, so that what comes late does not bring it back.
-const REMEMBERED: u64 = 60_000;
-
-/// The replicas of all cells, by ident.
+/// The replicas of all backends, by id.
 #[derive(Default)]
 pub struct ReplicaRegistry {
-    known: BTreeMap<String, KnownReplica>,
-    /// The last digest; none once what it sums up has changed.
+    replicas: BTreeMap<String, RegisteredReplica>,
+    /// The last digest; `None` once what it covers has changed.
     digest: Cell<Option<u64>>,
 }
 
 impl ReplicaRegistry {
-    pub fn get(&self, ident: &str) -> Option<&KnownReplica> {
-        self.known.get(ident)
+    /// The replica of an id, also if it has ended lately.
+    pub fn get(&self, id: &str) -> Option<&RegisteredReplica> {
+        self.replicas.get(id)
     }
 
-    pub fn iter(&self) -> impl Iterator<Item = &KnownReplica> {
-        self.known.values()
+    /// All replicas in the order of their ids, those that ended lately included.
+    pub fn iter(&self) -> impl Iterator<Item = &RegisteredReplica> {
+        self.replicas.values()
     }
 
+    /// How many replicas are known, those that ended lately included.
     pub fn len(&self) -> usize {
-        self.known.len()
+        self.replicas.len()
     }
 
+    /// Whether no replica is known.
     pub fn is_empty(&self) -> bool {
-        self.known.is_empty()
+        self.replicas.is_empty()
     }
 
-    /// Takes what a replica, or another hub, says of it; the idents that changed beside it go to `also`.
+    /// Takes in what a replica, or another control node, reports of it. The ids of other replicas that ended by this
+    /// are added to `superseded`.
     pub fn observe(
         &mut self,
-        now: u64,
-        said: &Replica,
-        also: &mut Vec<String>,
+        now: Instant,
+        report: &Replica,
+        superseded: &mut Vec<String>,
     ) -> HeartbeatOutcome {
-        let heard = self.take_in(now, said, also);
-        if heard == HeartbeatOutcome::Changed {
+        let outcome = match self.replicas.get_mut(&report.id) {
+            Some(known) => known.merge(now, report),
+            None => {
+                self.insert(now, report, superseded);
+                HeartbeatOutcome::Changed
+            }
+        };
+        if outcome == HeartbeatOutcome::Changed {
             self.digest.set(None);
         }
-        heard
+        outcome
     }
 
-    fn take_in(&mut self, now: u64, said: &Replica, also: &mut Vec<String>) -> HeartbeatOutcome {
-        let heard = now.saturating_sub(u64::from(said.age_ms));
-        let warm_at = now + u64::from(said.warmup_ms);
-        if let Some(known) = self.known.get_mut(&said.id) {
-            if known.replica.removed_for_good {
-                return HeartbeatOutcome::Stale;
-            }
-            if said.removed_for_good {
-                (
-                    known.replica.removed_for_good,
-                    known.replica.removed,
-                    known.removed_at,
-                ) = (true, true, now);
-                return HeartbeatOutcome::Changed;
-            }
-            if said.call_count < known.replica.call_count {
-                return HeartbeatOutcome::Stale;
-            }
-            let same = said.call_count == known.replica.call_count;
-            known.last_heartbeat_at = known.last_heartbeat_at.max(heard);
-            if same {
-                return HeartbeatOutcome::Stale;
-            }
-            let back = known.replica.removed;
-            let changed = back
-                || known.replica.draining != said.draining
-                || known.replica.address != said.address
-                || known.replica.backend != said.backend
-                || known.replica.capacity != said.capacity
-                || known.replica.zone != said.zone;
-            known.replica = Replica {
-                age_ms: 0,
-                warmup_ms: 0,
-                removed: false,
-                ..said.clone()
-            };
-            return if changed {
-                HeartbeatOutcome::Changed
-            } else {
-                HeartbeatOutcome::Refreshed
-            };
-        }
-        let mut new = KnownReplica {
+    /// Adds a replica that was not known.
+    fn insert(&mut self, now: Instant, report: &Replica, superseded: &mut Vec<String>) {
+        let mut new = RegisteredReplica {
             replica: Replica {
                 age_ms: 0,
                 warmup_ms: 0,
-                removed: said.removed_for_good,
-                ..said.clone()
+                removed: report.removed_for_good,
+                ..report.clone()
             },
-            last_heartbeat_at: heard,
-            warmed_up_at: warm_at,
-            removed_at: now,
+            last_heartbeat_at: reported_at(now, report),
+            warmed_up_at: now + Duration::from_millis(u64::from(report.warmup_ms)),
+            ended_at: now,
         };
-        // Two lives at one address: the one heard of last is there.
-        for other in self
-            .known
-            .values_mut()
-            .filter(|k| !k.replica.removed_for_good && k.replica.address == said.address)
-        {
+        // Of two incarnations at one address, the one with the newer heartbeat runs.
+        for other in self.replicas.values_mut().filter(|other| {
+            !other.replica.removed_for_good && other.replica.address == report.address
+        }) {
             if new.replica.removed_for_good {
                 break;
             }
-            let old = if other.last_heartbeat_at > heard {
+            let ended = if other.last_heartbeat_at > new.last_heartbeat_at {
                 &mut new
             } else {
                 other
             };
-            (
-                old.replica.removed_for_good,
-                old.replica.removed,
-                old.removed_at,
-            ) = (true, true, now);
-            also.push(old.replica.id.clone());
+            ended.end(now);
+            superseded.push(ended.replica.id.clone());
         }
-        also.retain(|i| *i != said.id);
-        self.known.insert(said.id.clone(), new);
-        HeartbeatOutcome::Changed
+        superseded.retain(|id| *id != report.id);
+        self.replicas.insert(report.id.clone(), new);
     }
 
-    /// A departure; true if it was there.
-    pub fn depart(&mut self, now: u64, ident: &str) -> bool {
-        match self.known.get_mut(ident) {
+    /// A replica announced that it ends; true if it had not before.
+    pub fn mark_departed(&mut self, now: Instant, id: &str) -> bool {
+        match self.replicas.get_mut(id) {
             Some(known) if !known.replica.removed_for_good => {
-                (
-                    known.replica.removed_for_good,
-                    known.replica.removed,
-                    known.removed_at,
-                ) = (true, true, now);
+                known.end(now);
                 self.digest.set(None);
                 true
             }
@@ -199,46 +242,61 @@
         }
     }
 
-    /// Replicas that were silent for too long are gone from now on, unless most are silent at once: then it
-    /// is the news that does not come. What ended long ago is forgotten.
-    pub fn expire(&mut self, now: u64, silence: u64) -> Vec<String> {
-        self.known
-            .retain(|_, k| !k.replica.removed_for_good || now < k.removed_at + REMEMBERED);
-        let here = self.known.values().filter(|k| !k.replica.removed).count();
-        let silent = |k: &KnownReplica| !k.replica.removed && now > k.last_heartbeat_at + silence;
-        let all = self.known.values().filter(|k| silent(k)).count();
-        if all * 2 > here {
+    /// Removes the replicas without a heartbeat for longer than `timeout`, and returns their ids; none if more than
+    /// half time out at once, since then it is rather the heartbeats that do not arrive. Forgets what ended long ago.
+    pub fn expire(&mut self, now: Instant, timeout: Duration) -> Vec<String> {
+        self.replicas.retain(|_, known| {
+            !known.replica.removed_for_good || now < known.ended_at + REMEMBER_ENDED
+        });
+        let timed_out = |known: &RegisteredReplica| {
+            !known.replica.removed && now > known.last_heartbeat_at + timeout
+        };
+        let present = self
+            .replicas
+            .values()
+            .filter(|known| !known.replica.removed)
+            .count();
+        let timed_out_count = self
+            .replicas
+            .values()
+            .filter(|known| timed_out(known))
+            .count();
+        if timed_out_count * 2 > present {
             return Vec::new();
         }
-        let mut gone = Vec::new();
-        for known in self.known.values_mut().filter(|k| silent(k)) {
+        let mut expired = Vec::new();
+        for known in self.replicas.values_mut().filter(|known| timed_out(known)) {
             known.replica.removed = true;
-            gone.push(known.replica.id.clone());
+            expired.push(known.replica.id.clone());
         }
-        gone
+        expired
     }
 
-    /// A sum that is the same where the same is known, in any order.
+    /// A checksum that is equal where the same replicas are known, whatever the order in which they were reported.
     pub fn digest(&self) -> u64 {
         if let Some(digest) = self.digest.get() {
             return digest;
         }
-        let digest = self.sum();
+        let digest = self.compute_digest();
         self.digest.set(Some(digest));
         digest
     }
 
-    fn sum(&self) -> u64 {
-        let one = |k: &KnownReplica| {
-            let r = &k.replica;
-            linenthread_consensus::fnv1a_64(
-                format!("{} {} {} {}", r.id, r.backend, r.address, r.draining).as_bytes(),
-            )
-        };
-        self.known
+    fn compute_digest(&self) -> u64 {
+        self.replicas
             .values()
-            .filter(|k| !k.replica.removed_for_good)
-            .map(one)
+            .filter(|known| !known.replica.removed_for_good)
+            .map(|known| {
+                let Replica {
+                    id,
+                    backend,
+                    address,
+                    draining,
+                    ..
+                } = &known.replica;
+                let text = format!("{id} {backend} {address} {draining}");
+                linenthread_consensus::fnv1a_64(text.as_bytes())
+            })
             .fold(0, u64::wrapping_add)
     }
 }
--- /dev/null
+++ b/crates/linenthread-control/src/replica_snapshot.rs
@@ -0,0 +1,63 @@
+//! The registry of replicas on disk, so that a start of all nodes at once need not wait for their heartbeats.
+
+use linenthread_messages::{Record, Replica};
+use linenthread_time::Instant;
+
+use crate::timing::SNAPSHOT_INTERVAL;
+use crate::{ChangeLog, ControlNode, Effect, ReplicaRegistry};
+
+/// Decides when the registry is written to disk.
+pub(crate) struct ReplicaSnapshotWriter {
+    /// Offset in the change log up to which changes are on disk.
+    written_offset: u64,
+    /// When the registry was last written.
+    written_at: Instant,
+}
+
+impl ReplicaSnapshotWriter {
+    pub(crate) fn new(now: Instant) -> ReplicaSnapshotWriter {
+        ReplicaSnapshotWriter {
+            written_offset: 0,
+            written_at: now,
+        }
+    }
+
+    /// A record of the replicas that are there, if they changed and the last one is old enough.
+    fn next_record(
+        &mut self,
+        now: Instant,
+        changes: &ChangeLog,
+        registry: &ReplicaRegistry,
+    ) -> Option<Record> {
+        let offset = changes.offset();
+        if offset == self.written_offset || now < self.written_at + SNAPSHOT_INTERVAL {
+            return None;
+        }
+        (self.written_offset, self.written_at) = (offset, now);
+        let replicas = registry
+            .iter()
+            .filter(|registered| !registered.replica.removed)
+            .map(|registered| Replica {
+                age_ms: 0,
+                warmup_ms: 0,
+                ..registered.snapshot(now)
+            })
+            .collect();
+        Some(Record {
+            replicas,
+            ..Record::default()
+        })
+    }
+}
+
+impl ControlNode {
+    pub(crate) fn write_replica_snapshot(&mut self, now: Instant, effects: &mut Vec<Effect>) {
+        let record =
+            self.snapshot_writer
+                .next_record(now, &self.ingress_nodes.changes, &self.registry);
+        effects.extend(record.map(|record| Effect::Persist {
+            record,
+            after_sync: Vec::new(),
+        }));
+    }
+}
--- /dev/null
+++ b/crates/linenthread-control/src/replica_updates.rs
@@ -0,0 +1,164 @@
+//! What control nodes send each other of replicas, of ingress nodes' sessions, and of addresses.
+
+use linenthread_messages::{ControlUpdate, PeerMessage, UpdateAck};
+use linenthread_time::Instant;
+
+use crate::{ControlNode, Effect, HeartbeatOutcome, SessionId};
+
+impl ControlNode {
+    /// Notes a replica's change for the next batch to the other control nodes, and for the ingress nodes.
+    /// `superseded` are the replicas that ended by it.
+    pub(crate) fn record_change(
+        &mut self,
+        replica_id: &str,
+        outcome: HeartbeatOutcome,
+        superseded: &[String],
+    ) {
+        if outcome == HeartbeatOutcome::Stale {
+            return;
+        }
+        self.forget_ended_drain(replica_id);
+        let changed = || superseded.iter().map(String::as_str).chain([replica_id]);
+        for (_, peer) in self.membership.iter_mut() {
+            peer.changed_replicas.extend(changed().map(str::to_owned));
+        }
+        if outcome == HeartbeatOutcome::Changed {
+            for id in changed() {
+                self.ingress_nodes.changes.append(id);
+            }
+        }
+    }
+
+    /// A replica that drains no more has to be made known again when it drains the next time.
+    fn forget_ended_drain(&mut self, replica_id: &str) {
+        let is_available = self
+            .registry
+            .get(replica_id)
+            .is_some_and(|known| !known.replica.draining && !known.replica.removed_for_good);
+        if is_available {
+            self.pending_drains.forget(replica_id);
+        }
+    }
+
+    /// Sends a control node all that this one has.
+    pub(crate) fn synchronize_peer(
+        &mut self,
+        now: Instant,
+        session: SessionId,
+        effects: &mut Vec<Effect>,
+    ) {
+        let Some(peer) = self.membership.get_mut(session) else {
+            return;
+        };
+        peer.changed_replicas.clear();
+        peer.synchronized_at = now;
+        peer.addresses_version = self.address_book.version();
+        let update = ControlUpdate {
+            replicas: self
+                .registry
+                .iter()
+                .map(|known| known.snapshot(now))
+                .collect(),
+            sessions: self.ingress_nodes.local(),
+            has_sessions: true,
+            control_addresses: self.address_book.all(),
+            update_id: 0,
+            complete: true,
+        };
+        effects.push(Effect::Send {
+            session,
+            message: PeerMessage::ControlUpdate(update),
+        });
+    }
+
+    /// Sends all control nodes the sessions that this one has with ingress nodes, and addresses that they lack.
+    pub(crate) fn send_ingress_sessions(&mut self, effects: &mut Vec<Effect>) {
+        let sessions = self.ingress_nodes.local();
+        let addresses = self.address_book.all();
+        let version = self.address_book.version();
+        for (session, peer) in self.membership.iter_mut() {
+            let sent_version = std::mem::replace(&mut peer.addresses_version, version);
+            let update = ControlUpdate {
+                sessions: sessions.clone(),
+                has_sessions: true,
+                control_addresses: if sent_version == version {
+                    Vec::new()
+                } else {
+                    addresses.clone()
+                },
+                ..ControlUpdate::default()
+            };
+            effects.push(Effect::Send {
+                session,
+                message: PeerMessage::ControlUpdate(update),
+            });
+        }
+    }
+
+    /// Sends the changed replicas to all control nodes and ingress nodes.
+    pub(crate) fn flush_changed_replicas(&mut self, now: Instant, effects: &mut Vec<Effect>) {
+        let registry = &self.registry;
+        for (session, peer) in self.membership.iter_mut() {
+            if peer.changed_replicas.is_empty() {
+                continue;
+            }
+            let changed = std::mem::take(&mut peer.changed_replicas);
+            let update = ControlUpdate {
+                replicas: changed
+                    .iter()
+                    .filter_map(|replica_id| registry.get(replica_id))
+                    .map(|known| known.snapshot(now))
+                    .collect(),
+                ..ControlUpdate::default()
+            };
+            effects.push(Effect::Send {
+                session,
+                message: PeerMessage::ControlUpdate(update),
+            });
+        }
+        for session in self.ingress_nodes.sessions() {
+            self.update_ingress_node(now, session, effects);
+        }
+    }
+
+    /// An update of another control node.
+    pub(crate) fn on_control_update(
+        &mut self,
+        now: Instant,
+        session: SessionId,
+        update: ControlUpdate,
+        effects: &mut Vec<Effect>,
+    ) {
+        let mut any_changed = false;
+        for replica in &update.replicas {
+            let mut superseded = Vec::new();
+            let outcome = self.registry.observe(now, replica, &mut superseded);
+            self.forget_ended_drain(&replica.id);
+            // This goes on to ingress nodes, but not to further control nodes: each node sends to all others what it
+            // received itself.
+            if outcome == HeartbeatOutcome::Changed {
+                for id in superseded.iter().chain([&replica.id]) {
+                    self.ingress_nodes.changes.append(id);
+                }
+                any_changed = true;
+            }
+        }
+        for address in &update.control_addresses {
+            self.address_book.learn(now, address);
+        }
+        if update.has_sessions {
+            self.ingress_nodes.set_remote(session, update.sessions);
+        }
+        if update.update_id > 0 {
+            effects.push(Effect::Send {
+                session,
+                message: PeerMessage::UpdateAck(UpdateAck {
+                    update_id: update.update_id,
+                }),
+            });
+        }
+        if any_changed {
+            self.flush_changed_replicas(now, effects);
+        }
+    }
+}
--- /dev/null
+++ b/crates/linenthread-control/src/response.rs
@@ -0,0 +1,46 @@
+//! Answers to the calls of replicas and operators.
+
+use std::fmt;
+
+use linenthread_messages::Value;
+
+/// The answer to a call of a replica or an operator.
+#[derive(Clone, Debug, PartialEq)]
+pub enum Response {
+    /// A replica's call was recorded; the address, if any, is where its later heartbeats should go.
+    Acknowledged(Option<String>),
+    /// The configuration of this revision was committed.
+    Committed(u64),
+    /// The newest configuration.
+    Document(Value),
+    /// Another revision, this one, is in place; the order was not taken and never will be.
+    Conflict(u64),
+    /// This node can't tell; another may.
+    Unavailable(UnavailableReason),
+    /// This node shuts down; the one at this control address takes calls.
+    Redirect(String),
+}
+
+/// Why a control node can't answer a call. [`fmt::Display`] gives the text that the caller receives.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum UnavailableReason {
+    /// The node is out of contact with a majority of the voters.
+    NoQuorum,
+    /// A majority of the voters did not reply in time: what was ordered may come into force or not.
+    QuorumTimedOut,
+    /// The change was recorded here, but a majority did not acknowledge it in time.
+    NotReplicated,
+    /// The node shuts down, and knows no other that takes calls.
+    ShuttingDown,
+}
+
+impl fmt::Display for UnavailableReason {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.write_str(match self {
+            UnavailableReason::NoQuorum => "no contact with more than half of the voters",
+            UnavailableReason::QuorumTimedOut => "no word of more than half of the voters",
+            UnavailableReason::NotReplicated => "too few others know of it",
+            UnavailableReason::ShuttingDown => "about to end",
+        })
+    }
+}
--- a/crates/linenthread-control/src/retry_budget.rs
+++ b/crates/linenthread-control/src/retry_budget.rs
@@ -1,85 +1,112 @@
+//! The retry budget of the whole system, and the shares of it that are in use.
+
 use std::collections::BTreeMap;
+use std::time::Duration;
+
+use linenthread_time::Instant;
 
-/// A share is given for so long, counted by its holder from when it asked.
-pub(crate) const LEASE: u64 = 5_000;
+/// How long a grant may be used, counted by the ingress node from when it requested it.
+pub(crate) const GRANT_LIFETIME: Duration = Duration::from_millis(5_000);
+
+/// A grant that may still be in use.
+#[derive(Clone, Copy)]
+struct Grant {
+    /// Retries in any window.
+    share: f64,
+    /// Until when retries under it may fall into a window.
+    in_use_until: Instant,
+}
 
+/// The grants of one incarnation of an ingress node.
 #[derive(Default)]
-struct Holder {
-    /// Shares that may be in use, and until when.
-    shares: Vec<(f64, u64)>,
+struct Grantee {
+    grants: Vec<Grant>,
 }
 
-impl Holder {
-    fn most(&self) -> f64 {
-        self.shares.iter().map(|s| s.0).fold(0.0, f64::max)
+impl Grantee {
+    /// The largest share among some of the grants: only one of them is used at a time.
+    fn max_share(&self, counts: impl Fn(&Grant) -> bool) -> f64 {
+        self.grants
+            .iter()
+            .filter(|grant| counts(grant))
+            .map(|grant| grant.share)
+            .fold(0.0, f64::max)
     }
 }
 
-/// What the holder of the duty has given of the further tries that all may make together in any window. The
-/// sum of what may be in use is never over the whole: *shares-within-the-whole*.
+/// What the leader has granted of the retries that all ingress nodes together may make in any window. The sum of what
+/// may be in use never exceeds the allowance (rule *shares-within-the-whole*).
 pub struct RetryBudget {
-    whole: f64,
-    window: u64,
-    /// Nothing is given before: what an earlier holder gave may be in use.
-    from: u64,
-    holders: BTreeMap<(String, u64), Holder>,
+    allowance: f64,
+    window: Duration,
+    /// Nothing is granted before: grants of an earlier leader may be in use.
+    available_from: Instant,
+    /// By name and incarnation.
+    grantees: BTreeMap<(String, u64), Grantee>,
 }
 
 impl RetryBudget {
-    pub fn new(whole: f64, window: u64) -> RetryBudget {
+    /// A budget of `allowance` retries in any `window`, of which nothing is granted before [`RetryBudget::begin`].
+    pub fn new(allowance: f64, window: Duration) -> RetryBudget {
         RetryBudget {
-            whole,
+            allowance,
             window,
-            from: u64::MAX,
-            holders: BTreeMap::new(),
+            available_from: Instant::NEVER,
+            grantees: BTreeMap::new(),
         }
     }
 
-    /// The duty is ours from now on; `first_of_all` if nobody can have held it before.
-    pub fn begin(&mut self, now: u64, first_of_all: bool) {
-        self.from = if first_of_all {
+    /// The budget is this node's to grant from now on; `is_first_leader` if nobody can have granted any of it before.
+    pub fn begin(&mut self, now: Instant, is_first_leader: bool) {
+        self.available_from = if is_first_leader {
             now
         } else {
-            now + LEASE + self.window
+            now + GRANT_LIFETIME + self.window
         };
-        self.holders.clear();
+        self.grantees.clear();
     }
 
-    /// A share for one life of a front, among so many fronts.
-    pub fn grant(&mut self, now: u64, name: &str, life: u64, fronts: usize) -> f64 {
-        if now < self.from {
+    /// Grants a share, in retries in any window, to one incarnation of an ingress node, where there are
+    /// `ingress_count` ingress nodes. 0 if nothing is available.
+    pub fn grant(
+        &mut self,
+        now: Instant,
+        name: &str,
+        incarnation: u64,
+        ingress_count: usize,
+    ) -> f64 {
+        if now < self.available_from {
             return 0.0;
         }
-        self.holders.retain(|_, h| {
-            h.shares.retain(|s| s.1 > now);
-            !h.shares.is_empty()
+        self.grantees.retain(|_, grantee| {
+            grantee.grants.retain(|grant| grant.in_use_until > now);
+            !grantee.grants.is_empty()
         });
-        let key = (name.to_owned(), life);
+        let key = (name.to_owned(), incarnation);
         let others: f64 = self
-            .holders
+            .grantees
             .iter()
-            .filter(|(k, _)| **k != key)
-            .map(|(_, h)| h.most())
+            .filter(|(other, _)| **other != key)
+            .map(|(_, grantee)| grantee.max_share(|_| true))
             .sum();
-        // Room for one that comes: a restart's old share is in use for a while.
-        let share = (self.whole / (fronts + 1) as f64)
-            .min(self.whole - others)
+        // Room for one more ingress node: the old share of one that restarts stays in use for a while.
+        let share = (self.allowance / (ingress_count + 1) as f64)
+            .min(self.allowance - others)
             .max(0.0);
-        let shares = &mut self.holders.entry(key).or_default().shares;
-        shares.retain(|s| s.0 > share);
-        shares.push((share, now + LEASE + self.window));
+        let grants = &mut self.grantees.entry(key).or_default().grants;
+        grants.retain(|grant| grant.share > share);
+        grants.push(Grant {
+            share,
+            in_use_until: now + GRANT_LIFETIME + self.window,
+        });
         share
     }
 
-    /// What may be in use of all that was given.
-    pub fn granted(&self, now: u64) -> f64 {
-        let most = |h: &Holder| {
-            h.shares
-                .iter()
-                .filter(|s| s.1 > now)
-                .map(|s| s.0)
-                .fold(0.0, f64::max)
-        };
-        self.holders.values().map(most).sum()
+    /// How many retries in any window may be in use of all that was granted.
+    pub fn granted(&self, now: Instant) -> f64 {
+        self.grantees
+            .values()
+            .map(|grantee| grantee.max_share(|grant| grant.in_use_until > now))
+            .sum()
     }
 }
--- a/crates/linenthread-control/src/sessions.rs
+++ b/crates/linenthread-control/src/sessions.rs
@@ -1,173 +1,210 @@
-//! Sessions with peers: how they begin and end, and where each message goes.
+//! Sessions with peers: how they begin and end, and which table each message goes to.
 
 use linenthread_messages::{Hello, PeerMessage, VERSION};
+use linenthread_time::Instant;
 
-use crate::timing::STARTING;
-use crate::{ControlNode, Effect, SessionId};
+use crate::{ControlEvent, ControlNode, Effect, SessionId};
 
 impl ControlNode {
-    /// A connection with a peer stands, whoever opened it.
-    pub fn opened(&mut self, link: SessionId, effects: &mut Vec<Effect>) {
+    /// A connection with a peer was established, by either side.
+    pub fn on_session_opened(&mut self, session: SessionId, effects: &mut Vec<Effect>) {
         let hello = Hello {
             version: VERSION,
-            name: self.local.name.clone(),
-            zone: self.local.zone.clone(),
-            incarnation: self.local.incarnation,
-            control_address: self.local.control_address.clone(),
+            name: self.config.name.clone(),
+            zone: self.config.zone.clone(),
+            incarnation: self.config.incarnation,
+            control_address: self.config.control_address.clone(),
             node_id: self.register.id(),
-            is_voter: self.local.may_vote,
-            change_log_id: self.local.incarnation,
-            change_log_offset: self.fronts.changes.offset(),
+            is_voter: self.config.may_vote,
+            change_log_id: self.config.incarnation,
+            change_log_offset: self.ingress_nodes.changes.offset(),
             value_number: self.value_number(),
         };
         effects.push(Effect::Send {
-            session: link,
+            session,
             message: PeerMessage::Hello(hello),
         });
     }
 
     /// A connection has ended.
-    pub fn closed(&mut self, now: u64, link: SessionId, effects: &mut Vec<Effect>) {
-        if let Some(front) = self.fronts.close(link) {
-            effects.push(Effect::Log(format!(
-                "event=session_closed peer={} control_node=false",
-                front.hello.name
-            )));
+    pub fn on_session_closed(
+        &mut self,
+        now: Instant,
+        session: SessionId,
+        effects: &mut Vec<Effect>,
+    ) {
+        if let Some(ingress) = self.ingress_nodes.close(session) {
+            effects.push(Effect::Log(ControlEvent::SessionClosed {
+                peer: ingress.hello.name,
+                is_control_node: false,
+            }));
         }
-        if let Some(peer) = self.members.close(now, link) {
-            effects.push(Effect::Log(format!(
-                "event=session_closed peer={} control_node=true",
-                peer.hello.name
-            )));
-            self.drains.disk_gone(peer.hello.node_id);
+        if let Some(peer) = self.membership.close(now, session) {
+            self.pending_drains.on_node_gone(peer.hello.node_id);
+            effects.push(Effect::Log(ControlEvent::SessionClosed {
+                peer: peer.hello.name,
+                is_control_node: true,
+            }));
         }
     }
 
-    pub(crate) fn drop_session(&mut self, now: u64, link: SessionId, effects: &mut Vec<Effect>) {
-        self.closed(now, link, effects);
-        effects.push(Effect::Close(link));
+    /// Ends a session from this side.
+    pub(crate) fn drop_session(
+        &mut self,
+        now: Instant,
+        session: SessionId,
+        effects: &mut Vec<Effect>,
+    ) {
+        self.on_session_closed(now, session, effects);
+        effects.push(Effect::Close(session));
+    }
+
+    /// Ends all sessions with ingress nodes: they connect to another control node.
+    pub(crate) fn drop_ingress_sessions(&mut self, now: Instant, effects: &mut Vec<Effect>) {
+        for session in self.ingress_nodes.sessions() {
+            self.drop_session(now, session, effects);
+        }
     }
 
-    /// An address could not be reached.
-    pub fn unreached(&mut self, now: u64, address: &str) {
-        self.addresses.unreached(now, address);
+    /// A control node could not be dialled.
+    pub fn on_dial_failed(&mut self, now: Instant, address: &str) {
+        self.address_book.on_dial_failed(now, address);
     }
 
-    /// A message of a peer.
+    /// A message of a peer. The first one of a session must be a [`Hello`].
     pub fn on_message(
         &mut self,
-        now: u64,
-        link: SessionId,
+        now: Instant,
+        session: SessionId,
         message: PeerMessage,
         effects: &mut Vec<Effect>,
     ) {
-        self.awake(now, effects);
+        self.detect_pause(now, effects);
         if let PeerMessage::Hello(hello) = message {
-            self.on_hello(now, link, hello, effects);
-        } else if let Some(front) = self.fronts.get_mut(link) {
-            front.heard = now;
+            self.on_hello(now, session, hello, effects);
+        } else if let Some(ingress) = self.ingress_nodes.get_mut(session) {
+            ingress.last_received_at = now;
             if let PeerMessage::Heartbeat(heartbeat) = message {
-                (front.asked, front.revision) =
-                    (heartbeat.quota_request_or_value_number, heartbeat.revision);
+                ingress.on_heartbeat(heartbeat.quota_request_or_value_number, heartbeat.revision);
             }
-        } else if let Some(peer) = self.members.get_mut(link) {
-            peer.heard = now;
-            let disk = peer.hello.node_id;
-            self.on_control_message(now, link, disk, message, effects);
+        } else if let Some(peer) = self.membership.get_mut(session) {
+            peer.last_received_at = now;
+            let node_id = peer.hello.node_id;
+            self.on_control_message(now, session, node_id, message, effects);
         } else {
-            effects.push(Effect::Close(link));
+            effects.push(Effect::Close(session));
         }
     }
 
-    fn on_hello(&mut self, now: u64, link: SessionId, hello: Hello, effects: &mut Vec<Effect>) {
-        let known = self.members.get(link).is_some() || self.fronts.get(link).is_some();
-        let is_front = hello.control_address.is_empty();
-        let refused =
-            hello.version != VERSION || hello.incarnation == self.local.incarnation || known;
-        if refused || is_front && !self.takes_fronts(now) {
-            effects.push(Effect::Close(link));
+    fn on_hello(
+        &mut self,
+        now: Instant,
+        session: SessionId,
+        hello: Hello,
+        effects: &mut Vec<Effect>,
+    ) {
+        let is_ingress_node = hello.control_address.is_empty();
+        if !self.accepts_hello(session, &hello)
+            || is_ingress_node && !self.accepts_ingress_sessions(now)
+        {
+            effects.push(Effect::Close(session));
             return;
         }
-        let superseded = if is_front {
-            self.fronts.superseded(&hello)
+        let superseded = if is_ingress_node {
+            self.ingress_nodes.superseded(&hello)
         } else {
-            self.members.superseded(&hello)
+            self.membership.superseded(&hello)
         };
-        for old in superseded {
-            self.drop_session(now, old, effects);
+        for old_session in superseded {
+            self.drop_session(now, old_session, effects);
         }
-        let (name, zone) = (&hello.name, &hello.zone);
-        effects.push(Effect::Log(format!(
-            "event=session_opened peer={name} zone={zone} control_node={}",
-            !is_front
-        )));
-        if is_front {
-            self.fronts.open(now, link, hello);
-            self.confirm(now, link, effects);
-            self.update_ingress_node(now, link, effects);
+        effects.push(Effect::Log(ControlEvent::SessionOpened {
+            peer: hello.name.clone(),
+            zone: hello.zone.clone(),
+            is_control_node: !is_ingress_node,
+        }));
+        if is_ingress_node {
+            self.ingress_nodes.open(now, session, hello);
+            self.confirm_configuration(now, session, effects);
+            self.update_ingress_node(now, session, effects);
         } else {
-            self.addresses.learn(now, &hello.control_address);
-            self.members.open(now, link, hello);
-            self.send_heartbeat(now, link, None, effects);
-            self.synchronise(now, link, effects);
-            self.send_value(link, effects);
+            self.address_book.learn(now, &hello.control_address);
+            self.membership.open(now, session, hello);
+            self.send_heartbeat(now, session, None, effects);
+            self.synchronize_peer(now, session, effects);
+            self.send_value(session, effects);
         }
     }
 
-    /// A front that would have to wait for contact goes elsewhere at once; while this node starts it waits.
-    fn takes_fronts(&self, now: u64) -> bool {
-        self.leaving.is_none() && (self.in_contact(now) || now < self.began + STARTING)
+    /// A peer must be of the same version, not this process itself, and introduce itself once.
+    fn accepts_hello(&self, session: SessionId, hello: &Hello) -> bool {
+        let is_known =
+            self.membership.get(session).is_some() || self.ingress_nodes.get(session).is_some();
+        hello.version == VERSION && hello.incarnation != self.config.incarnation && !is_known
     }
 
     fn on_control_message(
         &mut self,
-        now: u64,
-        link: SessionId,
-        disk: u64,
+        now: Instant,
+        session: SessionId,
+        node_id: u64,
         message: PeerMessage,
         effects: &mut Vec<Effect>,
     ) {
         match message {
-            PeerMessage::Heartbeat(heartbeat) => self.on_heartbeat(now, link, &heartbeat, effects),
+            PeerMessage::Heartbeat(heartbeat) => {
+                self.on_heartbeat(now, session, &heartbeat, effects);
+            }
             PeerMessage::ControlUpdate(update) => {
-                self.on_control_update(now, link, update, effects);
+                self.on_control_update(now, session, update, effects);
             }
-            PeerMessage::DurableProgress(durable) => self.on_durable(now, link, &durable),
-            PeerMessage::UpdateAck(receipt) => self.on_receipt(now, disk, &receipt, effects),
-            PeerMessage::QuotaGrants(quota_grants) => self.pass_allotments(quota_grants, effects),
-            PeerMessage::LeaseRequest(request) => {
-                self.on_lease_request(now, disk, &request, effects);
+            PeerMessage::DurableProgress(progress) => {
+                self.on_durable_progress(now, session, &progress);
             }
-            PeerMessage::LeaseRelease(release) => self.on_lease_release(disk, &release),
-            PeerMessage::LeaseVote(vote) => self.on_lease_vote(now, disk, &vote, effects),
-            message => {
-                if let (PeerMessage::Decided(value), Some(peer)) =
-                    (&message, self.members.get_mut(link))
-                {
-                    peer.value = peer.value.max(value.number);
-                }
-                self.agree(
-                    now,
-                    |register, agreed| register.on_message(now, disk, message, agreed),
-                    effects,
-                );
+            PeerMessage::UpdateAck(ack) => self.on_update_ack(now, node_id, &ack, effects),
+            PeerMessage::QuotaGrants(grants) => self.forward_quota_grants(grants, effects),
+            PeerMessage::LeaseRequest(request) => {
+                self.on_lease_request(now, node_id, &request, effects);
             }
+            PeerMessage::LeaseRelease(release) => self.on_lease_release(node_id, &release),
+            PeerMessage::LeaseVote(vote) => self.on_lease_vote(now, node_id, &vote, effects),
+            message => self.on_register_message(now, session, node_id, message, effects),
+        }
+    }
+
+    fn on_register_message(
+        &mut self,
+        now: Instant,
+        session: SessionId,
+        node_id: u64,
+        message: PeerMessage,
+        effects: &mut Vec<Effect>,
+    ) {
+        if let (PeerMessage::Decided(value), Some(peer)) =
+            (&message, self.membership.get_mut(session))
+        {
+            peer.value_number = peer.value_number.max(value.number);
         }
+        self.drive_register(
+            now,
+            |register, actions| register.on_message(now.as_millis(), node_id, message, actions),
+            effects,
+        );
     }
 
-    /// A value goes to a control node that is not known to have it.
-    pub(crate) fn send_value(&mut self, link: SessionId, effects: &mut Vec<Effect>) {
+    /// Sends the newest value to a control node that is not known to have it.
+    pub(crate) fn send_value(&mut self, session: SessionId, effects: &mut Vec<Effect>) {
         let Some(value) = self.register.decided().cloned() else {
             return;
         };
         if let Some(peer) = self
-            .members
-            .get_mut(link)
+            .membership
+            .get_mut(session)
             .filter(|peer| peer.lacks(value.number))
         {
-            peer.value = value.number;
+            peer.value_number = value.number;
             effects.push(Effect::Send {
-                session: link,
+                session,
                 message: PeerMessage::Decided(value),
             });
         }
--- /dev/null
+++ b/crates/linenthread-control/src/shutdown.rs
@@ -0,0 +1,104 @@
+//! The graceful shutdown of a control node.
+
+use linenthread_time::Instant;
+
+use crate::graceful_shutdown::{
+    PeerVoter, Presence, ShutdownBlocker, ShutdownStep, ShutdownView, next_shutdown_step,
+};
+use crate::{ControlEvent, ControlNode, Effect};
+
+impl ControlNode {
+    /// A graceful shutdown was requested. A second request changes nothing.
+    pub fn begin_shutdown(&mut self, now: Instant, effects: &mut Vec<Effect>) {
+        self.detect_pause(now, effects);
+        if self.is_shutting_down() {
+            return;
+        }
+        self.shutdown_requested_at = Some(now);
+        effects.push(Effect::Log(ControlEvent::ShutdownRequested));
+        self.drop_ingress_sessions(now, effects);
+        self.send_heartbeats(now, effects);
+        self.complete_undecided(now, effects);
+        self.ticks.expedite();
+    }
+
+    /// Whether the process may exit now: other disks hold what this node holds, and it leads no more. Once this has
+    /// returned true the node must send nothing more: others may exit because this one had not yet.
+    pub fn may_exit(&self, now: Instant) -> bool {
+        self.is_shutting_down() && self.next_shutdown_step(now) == ShutdownStep::Exit
+    }
+
+    /// Why the process may not exit yet; `None` if nothing keeps it.
+    pub fn shutdown_blocker(&self, now: Instant) -> Option<ShutdownBlocker> {
+        match self.next_shutdown_step(now) {
+            ShutdownStep::Wait(blocker) => Some(blocker),
+            ShutdownStep::ReleaseLease => Some(ShutdownBlocker::LeaderLease),
+            ShutdownStep::Exit => None,
+        }
+    }
+
+    /// Whether a node, which may be this one, shuts down, or ended after a graceful shutdown.
+    pub(crate) fn node_is_shutting_down(&self, node_id: u64) -> bool {
+        if node_id == self.register.id() {
+            self.is_shutting_down()
+        } else {
+            self.membership.is_shutting_down(node_id)
+        }
+    }
+
+    pub(crate) fn next_shutdown_step(&self, now: Instant) -> ShutdownStep {
+        let Some(value_number) = self.register.decided().map(|value| value.number) else {
+            return ShutdownStep::Exit;
+        };
+        next_shutdown_step(&ShutdownView {
+            node_id: self.register.id(),
+            voters: self
+                .register
+                .voters()
+                .iter()
+                .map(|voter| self.peer_voter(now, voter.id, value_number))
+                .collect(),
+            // Also one whose disk does not hold everything yet: it is about to.
+            standby: !self.standbys(now, None).is_empty(),
+            min_voters: self.config.min_voters,
+            // The acknowledging heartbeat also says whether its sender shuts down, and whether it changes the voters.
+            unacknowledged: self
+                .membership
+                .contacts(now)
+                .any(|peer| peer.acknowledged_sent_at < self.shutdown_requested_at),
+            reconfiguring: self.is_reconfiguring(now)
+                || self.membership.contacts(now).any(|peer| peer.reconfiguring),
+            undecided: self.register.has_undecided(),
+            busy: self.pending_jobs.has_calls()
+                || self.voting.change_in_flight
+                || !self.pending_drains.is_empty(),
+            is_leader: self.is_leader(now),
+        })
+    }
+
+    fn peer_voter(&self, now: Instant, node_id: u64, value_number: u64) -> PeerVoter {
+        if let Some(peer) = self.membership.contact(now, node_id) {
+            return PeerVoter {
+                node_id,
+                durable: peer.durable_value_number >= Some(value_number),
+                presence: if peer.shutting_down {
+                    Presence::Leaving
+                } else {
+                    Presence::InContact
+                },
+            };
+        }
+        match self.membership.departed(node_id) {
+            Some(durable_value_number) => PeerVoter {
+                node_id,
+                durable: durable_value_number >= value_number,
+                presence: Presence::Departed,
+            },
+            None => PeerVoter {
+                node_id,
+                durable: false,
+                presence: Presence::Absent,
+            },
+        }
+    }
+}
--- a/crates/linenthread-control/src/status.rs
+++ b/crates/linenthread-control/src/status.rs
@@ -1,46 +1,57 @@
-//! What a control node tells operators of machines and replicas: its own view, not confirmed by others.
+//! The status calls of operators: this node's own view, which no other node has confirmed. The JSON keys are part of
+//! the control API.
 
 use linenthread_messages::{IngressSession, Replica};
+use linenthread_time::{Instant, whole_millis};
 use serde_json::{Value as Json, json};
 
 use crate::ControlNode;
 use crate::membership::ControlPeer;
 
 impl ControlNode {
-    /// What this node knows of machines.
-    pub fn members(&self, now: u64) -> Json {
-        let front =
-            |s: &IngressSession| json!({"name": s.name, "zone": s.zone, "revision": s.revision});
+    /// What this node knows of control nodes and ingress nodes.
+    pub fn members_status(&self, now: Instant) -> Json {
         let decided = self.register.decided();
+        let voters = self.register.voters();
         json!({
-            "name": self.local.name,
-            "zone": self.local.zone,
-            "whole": self.in_contact(now),
-            "leaving": self.leaving.is_some(),
-            "duty_epoch": self.lease.holds(now),
+            "name": self.config.name,
+            "zone": self.config.zone,
+            "whole": self.has_quorum(now),
+            "leaving": self.is_shutting_down(),
+            "duty_epoch": self.lease_epoch(now),
             "value": self.value_number(),
             "revision": decided.map_or(0, |value| value.revision),
-            "counted": self.register.voters().iter().map(|voter| &voter.address).collect::<Vec<_>>(),
-            "hubs": self.members.iter().map(|(_, peer)| control_node(now, peer)).collect::<Vec<_>>(),
-            "fronts": self.fronts.all().values().map(front).collect::<Vec<_>>(),
+            "counted": voters.iter().map(|voter| &voter.address).collect::<Vec<_>>(),
+            "hubs": self.membership.iter().map(|(_, peer)| control_node(now, peer)).collect::<Vec<_>>(),
+            "fronts": self.ingress_nodes.all().values().map(ingress_node).collect::<Vec<_>>(),
         })
     }
 
     /// What this node knows of replicas.
-    pub fn replicas(&self, now: u64) -> Json {
+    pub fn replicas_status(&self, now: Instant) -> Json {
         Json::Array(
             self.registry
                 .iter()
-                .map(|known| replica(known.snapshot(now)))
+                .map(|registered| replica(registered.snapshot(now)))
                 .collect(),
         )
     }
 }
 
-fn control_node(now: u64, peer: &ControlPeer) -> Json {
-    json!({"name": peer.hello.name, "zone": peer.hello.zone, "control": peer.hello.control_address,
-        "whole": peer.has_quorum, "value": peer.value, "leaving": peer.leaving,
-        "heard_ms": now.saturating_sub(peer.heard)})
+fn ingress_node(session: &IngressSession) -> Json {
+    json!({"name": session.name, "zone": session.zone, "revision": session.revision})
+}
+
+fn control_node(now: Instant, peer: &ControlPeer) -> Json {
+    json!({
+        "name": peer.hello.name,
+        "zone": peer.hello.zone,
+        "control": peer.hello.control_address,
+        "whole": peer.has_quorum,
+        "value": peer.value_number,
+        "leaving": peer.shutting_down,
+        "heard_ms": whole_millis(now.since(peer.last_received_at)),
+    })
 }
 
 fn replica(replica: Replica) -> Json {
@@ -50,6 +61,12 @@
         (_, _, true) => "draining",
         _ => "available",
     };
-    json!({"ident": replica.id, "backend": replica.backend, "address": replica.address, "zone": replica.zone,
-        "phase": phase, "heard_ms": replica.age_ms})
+    json!({
+        "ident": replica.id,
+        "backend": replica.backend,
+        "address": replica.address,
+        "zone": replica.zone,
+        "phase": phase,
+        "heard_ms": replica.age_ms,
+    })
 }
--- /dev/null
+++ b/crates/linenthread-control/src/ticks.rs
@@ -0,0 +1,130 @@
+//! What a control node does as time passes.
+
+use std::time::Duration;
+
+use linenthread_messages::QuotaGrants;
+use linenthread_time::Instant;
+
+use crate::{ControlEvent, ControlNode, Effect};
+
+/// A replica has timed out after this many heartbeat intervals without a heartbeat, and [`REPLICA_TIMEOUT_MARGIN`].
+const MISSED_HEARTBEATS: u32 = 3;
+
+/// Time for a heartbeat to reach this node by way of another control node.
+const REPLICA_TIMEOUT_MARGIN: Duration = Duration::from_millis(1_000);
+
+impl ControlNode {
+    /// When [`ControlNode::tick`] is due at the latest.
+    pub fn next_tick_at(&self, now: Instant) -> Instant {
+        let waits =
+            self.is_shutting_down() || self.register.is_busy() || !self.pending_drains.is_empty();
+        self.ticks.next_run_at(waits || self.is_discovering(now))
+    }
+
+    /// Does all that is due by time.
+    pub fn tick(&mut self, now: Instant, effects: &mut Vec<Effect>) {
+        self.detect_pause(now, effects);
+        self.ticks.start_run(now);
+        self.drive_register(
+            now,
+            |register, actions| register.tick(now.as_millis(), actions),
+            effects,
+        );
+        self.complete_drains(now, effects);
+        self.release_lease_for_shutdown(now, effects);
+        if self.is_discovering(now) {
+            self.dial(now, effects);
+        }
+        if !self.ticks.start_batch(now) {
+            return;
+        }
+        self.batch(now, effects);
+        if self.ticks.start_full_tick(now) {
+            self.full_tick(now, effects);
+        }
+    }
+
+    /// The node has just started, and has not found a majority yet.
+    fn is_discovering(&self, now: Instant) -> bool {
+        self.contact.is_starting(now) && !self.has_quorum(now)
+    }
+
+    fn batch(&mut self, now: Instant, effects: &mut Vec<Effect>) {
+        let timed_out = self
+            .membership
+            .timed_out(now)
+            .into_iter()
+            .chain(self.ingress_nodes.timed_out(now));
+        for session in timed_out {
+            self.drop_session(now, session, effects);
+        }
+        self.update_contact(now, effects);
+        self.expire_replicas(now, effects);
+        self.dial(now, effects);
+        self.flush_changed_replicas(now, effects);
+        self.write_replica_snapshot(now, effects);
+    }
+
+    /// Replicas time out only while this node has been in contact for as long as their time-out: before, their
+    /// heartbeats might not have reached it.
+    fn expire_replicas(&mut self, now: Instant, effects: &mut Vec<Effect>) {
+        let timeout = MISSED_HEARTBEATS * self.config.heartbeat_interval + REPLICA_TIMEOUT_MARGIN;
+        let settled = self
+            .contact
+            .since()
+            .is_some_and(|since| now > since + timeout);
+        if settled && !self.registry_settled {
+            // From now on a replica that an update does not name does not run.
+            self.ingress_nodes.resend_all();
+        }
+        self.registry_settled = settled;
+        if !settled {
+            return;
+        }
+        for id in self.registry.expire(now, timeout) {
+            self.ingress_nodes.changes.append(&id);
+            effects.push(Effect::Log(ControlEvent::ReplicaTimedOut { id }));
+        }
+    }
+
+    fn full_tick(&mut self, now: Instant, effects: &mut Vec<Effect>) {
+        self.send_heartbeats(now, effects);
+        self.send_ingress_sessions(effects);
+        let registry = &self.registry;
+        self.pending_drains
+            .retain(|replica_id| registry.get(replica_id).is_some());
+        for session in self.ingress_nodes.sessions() {
+            self.confirm_configuration(now, session, effects);
+        }
+        self.resolve_lasting_doubt(now, effects);
+        self.request_lease(now, effects);
+        if let Some(epoch) = self.lease_epoch(now) {
+            let grants = self
+                .quota_allocator
+                .allocate(now, epoch, &self.ingress_nodes.all());
+            self.send_quota_grants(QuotaGrants { grants }, effects);
+            self.adjust_voters(now, epoch, effects);
+        }
+    }
+
+    /// A value that is still undecided at the second full tick in a row is completed: no vote for a lease is cast
+    /// meanwhile.
+    fn resolve_lasting_doubt(&mut self, now: Instant, effects: &mut Vec<Effect>) {
+        let has_undecided = self.register.has_undecided();
+        if self.voting.on_full_tick(has_undecided) {
+            self.complete_undecided(now, effects);
+        }
+    }
+
+    fn dial(&mut self, now: Instant, effects: &mut Vec<Effect>) {
+        let (membership, voters) = (&self.membership, self.register.voters());
+        let is_connected = |address: &str| {
+            membership
+                .iter()
+                .any(|(_, peer)| peer.hello.control_address == address)
+        };
+        let is_voter = |address: &str| voters.iter().any(|voter| voter.address == address);
+        let addresses = self.address_book.next_to_dial(now, is_connected, is_voter);
+        effects.extend(addresses.into_iter().map(Effect::Dial));
+    }
+}
--- a/crates/linenthread-control/src/timing.rs
+++ b/crates/linenthread-control/src/timing.rs
@@ -1,22 +1,34 @@
-//! The bounds of a control node, in milliseconds of its steady clock.
-
-/// A heartbeat at least so often, both ways.
-pub(crate) const TICK: u64 = 500;
-/// A session that hears nothing for so long has ended.
-pub(crate) const SILENT: u64 = 1_600;
-/// A peer is in contact for so long from a heartbeat of ours that it is known to have heard.
-pub const CONTACT: u64 = 2_000;
-/// A process that ran nothing for so long was frozen: what it knew of its peers is stale.
-pub(crate) const PAUSE: u64 = SILENT;
-/// How long a call of the operator or a replica is worked on before it is told to go elsewhere.
-pub(crate) const CALL: u64 = 900;
-/// What waits for messages that may be lost is looked at this often.
-pub(crate) const SOON: u64 = 25;
-/// News of replicas goes to the other control nodes in batches.
-pub(crate) const BATCH: u64 = 200;
-/// So long from its start machines still find each other.
-pub(crate) const STARTING: u64 = 3_000;
-/// A voter that is out of contact for so long gives way to a standby.
-pub(crate) const LOST: u64 = 1_500;
-/// How often replicas are written to disk at most.
-pub(crate) const WRITE_REPLICAS: u64 = 1_000;
+//! Intervals and time-outs of a control node, on its steady clock.
+
+use std::time::Duration;
+
+/// How often heartbeats are sent, at least, in both directions of a session.
+pub(crate) const TICK_INTERVAL: Duration = Duration::from_millis(500);
+
+/// A session on which nothing was received for so long has ended.
+pub(crate) const SESSION_TIMEOUT: Duration = Duration::from_millis(1_600);
+
+/// A peer counts as in contact for so long after a heartbeat of ours was sent that it has acknowledged.
+pub const CONTACT_TIMEOUT: Duration = Duration::from_millis(2_000);
+
+/// A process that did not run for longer was frozen: its peers have ended their sessions with it by now, and what it
+/// knew of them is stale.
+pub(crate) const PAUSE_TIMEOUT: Duration = SESSION_TIMEOUT;
+
+/// How long a call of an operator or a replica is worked on before the caller is told to try another node.
+pub(crate) const CALL_TIMEOUT: Duration = Duration::from_millis(900);
+
+/// How often anything that waits for messages which may be lost is looked at again.
+pub(crate) const RETRY_INTERVAL: Duration = Duration::from_millis(25);
+
+/// Changed replicas are sent to the other control nodes in batches, this often.
+pub(crate) const BATCH_INTERVAL: Duration = Duration::from_millis(200);
+
+/// For so long from its start a node waits for the others to be found before it rejects calls.
+pub(crate) const STARTUP_GRACE: Duration = Duration::from_millis(3_000);
+
+/// A voter that is out of contact for longer is replaced by a standby.
+pub(crate) const VOTER_TIMEOUT: Duration = Duration::from_millis(1_500);
+
+/// How often the replicas are written to disk, at most.
+pub(crate) const SNAPSHOT_INTERVAL: Duration = Duration::from_millis(1_000);
--- a/crates/linenthread-control/src/voters.rs
+++ b/crates/linenthread-control/src/voters.rs
@@ -1,197 +1,147 @@
-//! Who votes: what the leader sees and proposes, and how a node leaves.
+//! Who votes: what the leader sees of the voters, and the changes that it proposes.
 
 use linenthread_consensus::Change;
 use linenthread_messages::Voter;
+use linenthread_time::Instant;
 
 use crate::membership::ControlPeer;
-use crate::reconfiguration::{
-    Holder, Leave, LeaveView, Presence, VoterState, VotersView, next_step_of_leaving, next_voters,
-};
-use crate::requests::Purpose;
-use crate::timing::{CALL, LOST};
-use crate::{ControlNode, Effect};
+use crate::pending_jobs::JobOwner;
+use crate::reconfiguration::{VoterState, VotersView, next_voters};
+use crate::timing::{CALL_TIMEOUT, VOTER_TIMEOUT};
+use crate::{ControlEvent, ControlNode, Effect};
+
+/// A change of the voters is given so many call time-outs: nobody waits for it who could try another node.
+const VOTER_CHANGE_TIMEOUT_CALLS: u32 = 3;
+
+/// A value must be undecided at so many full ticks in a row before this node completes it.
+const MAX_UNDECIDED_TICKS: u32 = 2;
+
+/// This node's part in the votes.
+#[derive(Default)]
+pub(crate) struct VotingState {
+    /// This node is one of the newest value's voters.
+    pub(crate) is_voter: bool,
+    /// A change of the voters, proposed by this node as the leader, is not decided yet.
+    pub(crate) change_in_flight: bool,
+    /// At how many full ticks in a row a value was undecided.
+    undecided_ticks: u32,
+}
+
+impl VotingState {
+    /// Takes in whether a value is undecided at a full tick; whether it has been for too long.
+    pub(crate) fn on_full_tick(&mut self, has_undecided: bool) -> bool {
+        self.undecided_ticks = if has_undecided {
+            self.undecided_ticks + 1
+        } else {
+            0
+        };
+        self.undecided_ticks >= MAX_UNDECIDED_TICKS
+    }
+}
 
 impl ControlNode {
-    /// The holder of the lease keeps the voters to the machines that are there: one change at a time.
-    pub(crate) fn keep_voters(&mut self, now: u64, epoch: u64, effects: &mut Vec<Effect>) {
-        if self.changes_voters
-            || !self.in_contact(now)
-            || !self.lease.holds_on(now, self.value_number())
-        {
+    /// Whether this node is one of the newest value's voters.
+    pub(crate) fn is_voter(&self) -> bool {
+        let own_id = self.register.id();
+        self.register
+            .voters()
+            .iter()
+            .any(|voter| voter.id == own_id)
+    }
+
+    /// As the leader under `epoch`, proposes the next voters if they should be others: one change at a time.
+    pub(crate) fn adjust_voters(&mut self, now: Instant, epoch: u64, effects: &mut Vec<Effect>) {
+        let may_propose = !self.voting.change_in_flight
+            && self.has_quorum(now)
+            && self.lease.holds_on(now.as_millis(), self.value_number());
+        if !may_propose {
             return;
         }
-        let Some(on) = self.register.decided().map(|value| value.number) else {
+        let Some(based_on) = self.register.decided().map(|value| value.number) else {
             return;
         };
-        let Some(voters) = next_voters(&self.voters_view(now, on)) else {
+        let Some(voters) = next_voters(&self.voters_view(now, based_on)) else {
             return;
         };
-        self.changes_voters = true;
-        let names: Vec<&str> = voters.iter().map(|voter| voter.address.as_str()).collect();
-        effects.push(Effect::Log(format!(
-            "event=voters_changed on={on} voters={}",
-            names.join(",")
-        )));
-        let job = self.requests.add(Purpose::Voters);
-        let change = Change::Voters { on, voters, epoch };
-        let until = now + 3 * CALL;
-        self.agree(
+        self.voting.change_in_flight = true;
+        effects.push(Effect::Log(ControlEvent::VotersChanged {
+            based_on,
+            voters: voters.iter().map(|voter| voter.address.clone()).collect(),
+        }));
+        let job = self.pending_jobs.add(JobOwner::VoterChange);
+        let change = Change::Voters {
+            on: based_on,
+            voters,
+            epoch,
+        };
+        let deadline = now + VOTER_CHANGE_TIMEOUT_CALLS * CALL_TIMEOUT;
+        self.drive_register(
             now,
-            |register, agreed| register.propose(now, job, change, until, agreed),
+            |register, actions| {
+                register.propose(now.as_millis(), job, change, deadline.as_millis(), actions);
+            },
             effects,
         );
     }
 
-    /// It leads, and changes the voters, or will as soon as a standby holds all.
-    pub(crate) fn reconfigures(&self, now: u64) -> bool {
-        let wants = || !self.standbys(now, None).is_empty() || self.wants_other_voters(now);
-        self.lease.holds(now).is_some() && (self.changes_voters || wants())
+    /// Whether this node leads, and changes the voters, or will as soon as a standby's disk holds everything.
+    pub(crate) fn is_reconfiguring(&self, now: Instant) -> bool {
+        self.is_leader(now)
+            && (self.voting.change_in_flight
+                || !self.standbys(now, None).is_empty()
+                || next_voters(&self.voters_view(now, self.value_number())).is_some())
     }
 
-    /// It leads, and others should vote: the change can be made at once.
-    pub(crate) fn wants_other_voters(&self, now: u64) -> bool {
-        let view = || self.voters_view(now, self.value_number());
-        self.lease.holds(now).is_some() && next_voters(&view()).is_some()
-    }
-
-    /// Machines in contact that may vote, do not yet, and stay; with a number only those that may take a vote
-    /// at once, since they hold the value of this number on their disks.
-    pub(crate) fn standbys(&self, now: u64, number: Option<u64>) -> Vec<Voter> {
-        let own = Voter {
+    /// Nodes in contact that may vote, do not yet, and do not shut down; with a number only those that may vote at
+    /// once, since their disks hold the value of that number.
+    pub(crate) fn standbys(&self, now: Instant, value_number: Option<u64>) -> Vec<Voter> {
+        let is_ready = self.config.may_vote
+            && !self.is_shutting_down()
+            && self.durability.value_number() >= value_number;
+        let this_node = is_ready.then(|| Voter {
             id: self.register.id(),
-            address: self.local.control_address.clone(),
-        };
-        let own_ready =
-            self.local.may_vote && self.leaving.is_none() && self.durable.value_number >= number;
-        let others = self.members.candidates(now, number);
-        let mut standbys: Vec<Voter> = others.chain(own_ready.then_some(own)).collect();
-        standbys.retain(|standby| {
-            !self
-                .register
-                .voters()
-                .iter()
-                .any(|voter| voter.id == standby.id)
+            address: self.config.control_address.clone(),
         });
-        standbys
+        let voters = self.register.voters();
+        self.membership
+            .candidates(now, value_number)
+            .chain(this_node)
+            .filter(|standby| voters.iter().all(|voter| voter.id != standby.id))
+            .collect()
     }
 
-    fn voters_view(&self, now: u64, number: u64) -> VotersView {
-        let disks = self.disks_in_contact(now);
-        let state = |voter: &Voter| self.voter_state(now, voter, disks.contains(&voter.id));
+    fn voters_view(&self, now: Instant, value_number: u64) -> VotersView {
+        let in_contact = self.nodes_in_contact(now);
         VotersView {
-            voters: self.register.voters().iter().map(state).collect(),
-            standbys: self.standbys(now, Some(number)),
-            least: self.local.min_voters,
+            voters: self
+                .register
+                .voters()
+                .iter()
+                .map(|voter| self.voter_state(now, voter, in_contact.contains(&voter.id)))
+                .collect(),
+            standbys: self.standbys(now, Some(value_number)),
+            min_voters: self.config.min_voters,
         }
     }
 
-    fn voter_state(&self, now: u64, voter: &Voter, in_contact: bool) -> VoterState {
-        let sighting = self.members.sighting(&voter.address);
-        let last_contact = sighting.map_or(self.began, |sighting| sighting.at);
-        // Who was out of contact itself could not tell.
-        let since = last_contact.max(self.contact_since.unwrap_or(now));
-        let leaves = match voter.id == self.register.id() {
-            true => self.leaving.is_some(),
-            false => self.members.leaves(voter.id),
-        };
+    fn voter_state(&self, now: Instant, voter: &Voter, in_contact: bool) -> VoterState {
+        let last_contact = self.membership.last_contact(&voter.address);
+        let last_contact_at = last_contact.map_or(self.contact.started_at(), |contact| contact.at);
+        // While this node was out of contact itself it could not tell whether the voter was there.
+        let out_of_contact_since = last_contact_at.max(self.contact.since().unwrap_or(now));
         let replaced =
-            sighting.is_some_and(|sighting| sighting.disk != voter.id && sighting.counts);
-        // Another disk at its address: the old one does not come back, unless its successor is about to vote.
-        let joins =
-            |peer: &ControlPeer| peer.hello.control_address == voter.address && !peer.leaving;
-        let given_up = replaced && !self.members.contacts(now).any(joins);
+            last_contact.is_some_and(|contact| contact.node_id != voter.id && contact.may_vote);
+        // With another node at its address the old one does not come back. It stays for the moment if that node is
+        // in contact: its successor is about to vote in its place.
+        let successor_joins =
+            |peer: &ControlPeer| peer.hello.control_address == voter.address && !peer.shutting_down;
+        let is_gone = replaced && !self.membership.contacts(now).any(successor_joins);
         VoterState {
             voter: voter.clone(),
             in_contact,
             replaced,
-            lost: !in_contact && (given_up || now > since + LOST),
-            leaving: leaves,
-        }
-    }
-
-    // --- leaving ---
-
-    /// A planned end was asked for. Asked again it changes nothing.
-    pub fn leave(&mut self, now: u64, effects: &mut Vec<Effect>) {
-        self.awake(now, effects);
-        if self.leaving.is_some() {
-            return;
-        }
-        self.leaving = Some(now);
-        effects.push(Effect::Log("event=shutdown_requested".into()));
-        self.drop_fronts(now, effects);
-        self.send_heartbeats(now, effects);
-        self.complete(now, effects);
-        self.hurry();
-    }
-
-    /// Whether this control node may end now: others hold durably what it holds, and it leads no more. Who
-    /// has been told so must end without a further message: others may go because this node was still to go.
-    pub fn may_leave(&self, now: u64) -> bool {
-        self.leaving.is_some() && self.next_step_of_leaving(now) == Leave::Go
-    }
-
-    /// Why it may not end yet, for the log.
-    pub fn leave_waits_for(&self, now: u64) -> &'static str {
-        match self.next_step_of_leaving(now) {
-            Leave::Wait(cause) => cause,
-            Leave::Release => "the leader lease is to be released",
-            Leave::Go => "nothing",
-        }
-    }
-
-    pub(crate) fn next_step_of_leaving(&self, now: u64) -> Leave {
-        let Some(number) = self.register.decided().map(|value| value.number) else {
-            return Leave::Go;
-        };
-        next_step_of_leaving(&LeaveView {
-            disk: self.register.id(),
-            voters: self
-                .register
-                .voters()
-                .iter()
-                .map(|voter| self.holder(now, voter.id, number))
-                .collect(),
-            // Also one that does not hold all yet: what it lacks it is about to have.
-            standby: !self.standbys(now, None).is_empty(),
-            least: self.local.min_voters,
-            // Who has answered has said as well whether it leaves itself, and whether it changes the voters.
-            unanswered: self
-                .members
-                .contacts(now)
-                .any(|peer| peer.reached < self.leaving),
-            reconfiguring: self.reconfigures(now)
-                || self.members.contacts(now).any(|peer| peer.reconfiguring),
-            in_doubt: self.register.has_undecided(),
-            busy: self.requests.has_calls() || self.changes_voters || !self.drains.is_empty(),
-            leads: self.lease.holds(now).is_some(),
-        })
-    }
-
-    fn holder(&self, now: u64, disk: u64, number: u64) -> Holder {
-        if let Some(peer) = self.members.contact(now, disk) {
-            let presence = if peer.leaving {
-                Presence::Leaving
-            } else {
-                Presence::InContact
-            };
-            return Holder {
-                disk,
-                durable: peer.durable >= Some(number),
-                presence,
-            };
-        }
-        match self.members.departed(disk) {
-            Some(durable) => Holder {
-                disk,
-                durable: durable >= number,
-                presence: Presence::Departed,
-            },
-            None => Holder {
-                disk,
-                durable: false,
-                presence: Presence::Absent,
-            },
+            lost: !in_contact && (is_gone || now > out_of_contact_since + VOTER_TIMEOUT),
+            leaving: self.node_is_shutting_down(voter.id),
         }
     }
 }
--- a/crates/linenthread-control/tests/control.rs
+++ b/crates/linenthread-control/tests/control.rs
@@ -1,18 +1,30 @@
-//! Replicas' lives, the log of changes and shares, each as a table of cases; and what is acknowledged when.
+//! The replica registry, the change log and the retry budget, each as a table of cases; and what one control node
+//! acknowledges when.
+
+use std::time::Duration;
 
 use linenthread_consensus::{DurableState, genesis_id};
 use linenthread_control::{
-    ChangeLog, ControlNode, Effect, HeartbeatOutcome, NodeConfig, ReplicaHeartbeat,
-    ReplicaRegistry, Response, RetryBudget,
+    CallId, ChangeLog, ControlNode, Effect, HeartbeatOutcome, NodeConfig, ReplicaHeartbeat,
+    ReplicaRegistry, Response, RetryBudget, SessionId,
 };
 use linenthread_messages::{
     Heartbeat, Hello, PeerMessage, Replica, UpdateAck, VERSION, Value, Voter,
 };
+use linenthread_time::Instant;
 use yare::parameterized;
 
-fn said(ident: &str, call_count: u64, address: &str) -> Replica {
+fn at(millis: u64) -> Instant {
+    Instant::from_millis(millis)
+}
+
+fn ms(millis: u64) -> Duration {
+    Duration::from_millis(millis)
+}
+
+fn report(id: &str, call_count: u64, address: &str) -> Replica {
     Replica {
-        id: ident.into(),
+        id: id.into(),
         address: address.into(),
         call_count,
         ..Replica::default()
@@ -20,84 +32,84 @@
 }
 
 #[parameterized(
-    newer = { said("a", 3, "x"), HeartbeatOutcome::Refreshed, false },
-    drains = { Replica { draining: true, ..said("a", 3, "x") }, HeartbeatOutcome::Changed, false },
-    late = { Replica { draining: true, ..said("a", 1, "x") }, HeartbeatOutcome::Stale, false },
-    told_again = { said("a", 2, "x"), HeartbeatOutcome::Stale, false },
-    ended = { Replica { removed_for_good: true, ..said("a", 1, "x") }, HeartbeatOutcome::Changed, true },
-    another_at_its_address = { said("b", 1, "x"), HeartbeatOutcome::Changed, true },
-    another_heard_of_earlier = { Replica { age_ms: 900, ..said("b", 1, "x") }, HeartbeatOutcome::Changed, false },
-    another_elsewhere = { said("b", 1, "y"), HeartbeatOutcome::Changed, false },
+    newer = { report("a", 3, "x"), HeartbeatOutcome::Refreshed, false },
+    drains = { Replica { draining: true, ..report("a", 3, "x") }, HeartbeatOutcome::Changed, false },
+    late = { Replica { draining: true, ..report("a", 1, "x") }, HeartbeatOutcome::Stale, false },
+    repeated = { report("a", 2, "x"), HeartbeatOutcome::Stale, false },
+    ended = { Replica { removed_for_good: true, ..report("a", 1, "x") }, HeartbeatOutcome::Changed, true },
+    another_at_its_address = { report("b", 1, "x"), HeartbeatOutcome::Changed, true },
+    another_with_an_older_heartbeat = { Replica { age_ms: 900, ..report("b", 1, "x") }, HeartbeatOutcome::Changed, false },
+    another_elsewhere = { report("b", 1, "y"), HeartbeatOutcome::Changed, false },
 )]
-fn beats_merge_in_any_order(news: Replica, heard: HeartbeatOutcome, a_has_ended: bool) {
+fn heartbeats_merge_in_any_order(news: Replica, outcome: HeartbeatOutcome, a_has_ended: bool) {
     let mut registry = ReplicaRegistry::default();
-    registry.observe(1_000, &said("a", 2, "x"), &mut Vec::new());
-    assert_eq!(registry.observe(1_500, &news, &mut Vec::new()), heard);
+    registry.observe(at(1_000), &report("a", 2, "x"), &mut Vec::new());
+    assert_eq!(registry.observe(at(1_500), &news, &mut Vec::new()), outcome);
     assert_eq!(
         registry.get("a").unwrap().replica.removed_for_good,
         a_has_ended
     );
 }
 
-/// The digest is kept until something of it changes: it is the same for who asked for it before each change.
+/// The digest is cached until something that it covers changes: it is the same as if it had not been read before.
 #[parameterized(
-    newer = { said("a", 3, "x") },
-    drains = { Replica { draining: true, ..said("a", 3, "x") } },
-    moved = { said("a", 3, "z") },
-    ended = { Replica { removed_for_good: true, ..said("a", 1, "x") } },
-    another_at_its_address = { said("b", 1, "x") },
-    another_elsewhere = { said("b", 1, "y") },
+    newer = { report("a", 3, "x") },
+    drains = { Replica { draining: true, ..report("a", 3, "x") } },
+    moved = { report("a", 3, "z") },
+    ended = { Replica { removed_for_good: true, ..report("a", 1, "x") } },
+    another_at_its_address = { report("b", 1, "x") },
+    another_elsewhere = { report("b", 1, "y") },
 )]
-fn a_digest_that_is_kept_is_the_one_made_anew(news: Replica) {
-    let (mut asked, mut silent) = (ReplicaRegistry::default(), ReplicaRegistry::default());
-    for registry in [&mut asked, &mut silent] {
-        registry.observe(1_000, &said("a", 2, "x"), &mut Vec::new());
+fn a_cached_digest_equals_a_computed_one(news: Replica) {
+    let (mut cached, mut computed) = (ReplicaRegistry::default(), ReplicaRegistry::default());
+    for registry in [&mut cached, &mut computed] {
+        registry.observe(at(1_000), &report("a", 2, "x"), &mut Vec::new());
     }
-    let before = asked.digest();
-    for registry in [&mut asked, &mut silent] {
-        registry.observe(1_500, &news, &mut Vec::new());
+    let before = cached.digest();
+    for registry in [&mut cached, &mut computed] {
+        registry.observe(at(1_500), &news, &mut Vec::new());
     }
-    assert_eq!(asked.digest(), silent.digest());
+    assert_eq!(cached.digest(), computed.digest());
     assert_eq!(
-        asked.digest() == before,
+        cached.digest() == before,
         news.id == "a" && news.address == "x" && !news.draining && !news.removed_for_good
     );
     assert!(
-        asked.depart(2_000, &news.id) != news.removed_for_good
-            && silent.depart(2_000, &news.id) != news.removed_for_good
+        cached.mark_departed(at(2_000), &news.id) != news.removed_for_good
+            && computed.mark_departed(at(2_000), &news.id) != news.removed_for_good
     );
-    assert_eq!(asked.digest(), silent.digest());
+    assert_eq!(cached.digest(), computed.digest());
 }
 
 #[test]
-fn an_ended_life_does_not_come_back() {
+fn an_ended_incarnation_does_not_come_back() {
     let mut registry = ReplicaRegistry::default();
-    registry.observe(0, &said("a", 2, "x"), &mut Vec::new());
-    assert!(registry.depart(10, "a") && !registry.depart(11, "a"));
+    registry.observe(at(0), &report("a", 2, "x"), &mut Vec::new());
+    assert!(registry.mark_departed(at(10), "a") && !registry.mark_departed(at(11), "a"));
     assert_eq!(
-        registry.observe(20, &said("a", 3, "x"), &mut Vec::new()),
+        registry.observe(at(20), &report("a", 3, "x"), &mut Vec::new()),
         HeartbeatOutcome::Stale
     );
     assert!(registry.get("a").unwrap().replica.removed);
-    registry.expire(70_000, 4_000);
+    registry.expire(at(70_000), ms(4_000));
     assert!(registry.is_empty());
 }
 
 #[parameterized(one = { 1, 1 }, half = { 2, 2 }, most = { 3, 0 })]
-fn silence_ends_a_few_and_never_most(silent: usize, gone: usize) {
+fn a_few_replicas_time_out_and_never_most(silent: usize, gone: usize) {
     let mut registry = ReplicaRegistry::default();
     for i in 0..4 {
-        let at = if i < silent { 0 } else { 5_000 };
+        let last_heartbeat = if i < silent { 0 } else { 5_000 };
         registry.observe(
-            at,
-            &said(&format!("r{i}"), 1, &format!("x{i}")),
+            at(last_heartbeat),
+            &report(&format!("r{i}"), 1, &format!("x{i}")),
             &mut Vec::new(),
         );
     }
-    assert_eq!(registry.expire(6_000, 4_000).len(), gone);
+    assert_eq!(registry.expire(at(6_000), ms(4_000)).len(), gone);
     if gone > 0 {
         assert_eq!(
-            registry.observe(6_100, &said("r0", 2, "x0"), &mut Vec::new()),
+            registry.observe(at(6_100), &report("r0", 2, "x0"), &mut Vec::new()),
             HeartbeatOutcome::Changed
         );
         assert!(!registry.get("r0").unwrap().replica.removed);
@@ -112,50 +124,52 @@
     all = { 5, Some(0) },
     ahead = { 6, None },
 )]
-fn the_log_tells_what_came_after_a_place(place: u64, changes: Option<usize>) {
+fn the_change_log_has_what_changed_after_an_offset(offset: u64, changes: Option<usize>) {
     let mut log = ChangeLog::new(3);
-    ["a", "b", "c", "d", "e"].iter().for_each(|i| log.add(i));
-    assert_eq!(log.since(place).map(|c| c.len()), changes);
+    ["a", "b", "c", "d", "e"]
+        .iter()
+        .for_each(|id| log.append(id));
+    assert_eq!(log.since(offset).map(|c| c.len()), changes);
 }
 
 #[test]
-fn shares_stay_within_the_whole_as_fronts_come_and_go() {
-    let mut budget = RetryBudget::new(12.0, 10_000);
-    budget.begin(0, true);
-    assert_eq!(budget.grant(0, "a", 1, 1), 6.0);
-    assert_eq!(budget.grant(0, "b", 1, 2), 4.0);
-    // Of a's greater share all may be in use until its lease and a window have passed.
-    assert_eq!(budget.grant(100, "a", 1, 2), 4.0);
-    assert_eq!(budget.grant(100, "c", 1, 3), 2.0);
-    assert!(budget.granted(100) <= 12.0);
-    // A new life has what the old one cannot have in use.
-    assert_eq!(budget.grant(200, "a", 2, 3), 0.0);
-    for at in [5_000, 10_000, 14_000] {
-        budget.grant(at, "b", 1, 3);
-        budget.grant(at, "c", 1, 3);
+fn shares_stay_within_the_allowance_as_ingress_nodes_come_and_go() {
+    let mut budget = RetryBudget::new(12.0, ms(10_000));
+    budget.begin(at(0), true);
+    assert_eq!(budget.grant(at(0), "a", 1, 1), 6.0);
+    assert_eq!(budget.grant(at(0), "b", 1, 2), 4.0);
+    // All of a's larger share may be in use until its lifetime and a window have passed.
+    assert_eq!(budget.grant(at(100), "a", 1, 2), 4.0);
+    assert_eq!(budget.grant(at(100), "c", 1, 3), 2.0);
+    assert!(budget.granted(at(100)) <= 12.0);
+    // A new incarnation is granted what the old one cannot have in use.
+    assert_eq!(budget.grant(at(200), "a", 2, 3), 0.0);
+    for now in [5_000, 10_000, 14_000].map(at) {
+        budget.grant(now, "b", 1, 3);
+        budget.grant(now, "c", 1, 3);
     }
-    assert_eq!(budget.grant(15_300, "a", 2, 3), 3.0);
-    assert!(budget.granted(15_300) <= 12.0);
+    assert_eq!(budget.grant(at(15_300), "a", 2, 3), 3.0);
+    assert!(budget.granted(at(15_300)) <= 12.0);
 }
 
 #[test]
-fn a_new_holder_waits_until_all_that_was_given_has_ended() {
-    let mut budget = RetryBudget::new(12.0, 10_000);
-    budget.begin(1_000, false);
-    assert_eq!(budget.grant(15_999, "a", 1, 1), 0.0);
-    assert_eq!(budget.grant(16_000, "a", 1, 1), 6.0);
+fn a_new_leader_waits_until_all_earlier_grants_have_ended() {
+    let mut budget = RetryBudget::new(12.0, ms(10_000));
+    budget.begin(at(1_000), false);
+    assert_eq!(budget.grant(at(15_999), "a", 1, 1), 0.0);
+    assert_eq!(budget.grant(at(16_000), "a", 1, 1), 6.0);
 }
 
 fn address(n: usize) -> String {
     format!("10.0.0.{n}:80")
 }
 
-fn hub() -> ControlNode {
-    hub_of(3)
+fn node() -> ControlNode {
+    node_among(3)
 }
 
-fn hub_of(core: usize) -> ControlNode {
-    let bootstrap: Vec<String> = (1..=core).map(address).collect();
+fn node_among(voters: usize) -> ControlNode {
+    let bootstrap: Vec<String> = (1..=voters).map(address).collect();
     let voters: Vec<Voter> = bootstrap
         .iter()
         .map(|a| Voter {
@@ -164,17 +178,17 @@
         })
         .collect();
     let local = NodeConfig {
-        name: "hub-1".into(),
+        name: "node-1".into(),
         zone: "z".into(),
         incarnation: 1,
         control_address: address(1),
         may_vote: true,
         min_voters: 3,
-        heartbeat_interval: 1_000,
+        heartbeat_interval: ms(1_000),
         bootstrap,
         is_genesis: true,
         retry_allowance: 10.0,
-        retry_window: 10_000,
+        retry_window: ms(10_000),
     };
     let genesis = Value {
         voters,
@@ -185,55 +199,59 @@
         genesis_id(&address(1)),
         DurableState::default(),
         Some(genesis),
-        0,
+        Instant::START,
     )
 }
 
-fn meet(control: &mut ControlNode, now: u64, link: u64, n: usize, version: u32) -> Vec<Effect> {
-    let (name, disk) = (format!("hub-{n}"), genesis_id(&address(n)));
-    let mut out = Vec::new();
-    let life = n as u64 * 100;
+/// Opens a session with control node `n`, which acknowledges at once.
+fn connect(
+    control: &mut ControlNode,
+    now: u64,
+    session: u64,
+    n: usize,
+    version: u32,
+) -> Vec<Effect> {
+    let session = SessionId(session);
+    let mut effects = Vec::new();
     let hello = Hello {
         version,
-        name,
-        incarnation: life,
+        name: format!("node-{n}"),
+        incarnation: n as u64 * 100,
         control_address: address(n),
-        node_id: disk,
+        node_id: genesis_id(&address(n)),
         ..Hello::default()
     };
-    control.opened(link, &mut out);
-    control.on_message(now, link, PeerMessage::Hello(hello), &mut out);
-    control.on_message(now, link, round_trip(now), &mut out);
-    out
+    control.on_session_opened(session, &mut effects);
+    control.on_message(at(now), session, PeerMessage::Hello(hello), &mut effects);
+    control.on_message(at(now), session, round_trip(now), &mut effects);
+    effects
 }
 
-/// A heartbeat of a peer that has heard what was said at `now`.
+/// A heartbeat of a peer that has received what was sent at `now`.
 fn round_trip(now: u64) -> PeerMessage {
-    let beat = Heartbeat {
+    let heartbeat = Heartbeat {
         has_quorum: true,
         sent_at: now,
         echoed_sent_at: Some(now),
         durable_value_number: Some(0),
         ..Heartbeat::default()
     };
-    PeerMessage::Heartbeat(beat)
+    PeerMessage::Heartbeat(heartbeat)
 }
 
-fn beat(phase: &str, call_count: u64) -> ReplicaHeartbeat {
+fn replica_heartbeat(phase: &str, call_count: u64) -> ReplicaHeartbeat {
     let text = format!(
         r#"{{"backend":"s","address":"10.9.0.1:1","zone":"z","phase":"{phase}","call_count":{call_count}}}"#
     );
     serde_json::from_str(&text).unwrap()
 }
 
-fn answers(out: &[Effect]) -> Vec<&Response> {
-    out.iter()
-        .filter_map(|o| {
-            if let Effect::Respond {
-                response: answer, ..
-            } = o
-            {
-                Some(answer)
+fn responses(effects: &[Effect]) -> Vec<&Response> {
+    effects
+        .iter()
+        .filter_map(|effect| {
+            if let Effect::Respond { response, .. } = effect {
+                Some(response)
             } else {
                 None
             }
@@ -242,113 +260,165 @@
 }
 
 #[test]
-fn alone_a_hub_takes_no_beats() {
-    let (mut control, mut out) = (hub(), Vec::new());
-    control.on_replica_heartbeat(0, 1, "i", beat("available", 1), &mut out);
-    assert!(matches!(answers(&out)[..], [Response::Unavailable(_)]));
-    meet(&mut control, 0, 1, 2, VERSION);
-    out.clear();
-    control.on_replica_heartbeat(0, 2, "i", beat("available", 1), &mut out);
-    assert_eq!(answers(&out), [&Response::Acknowledged(Some(address(1)))]);
+fn without_a_quorum_a_node_takes_no_heartbeats() {
+    let (mut control, mut effects) = (node(), Vec::new());
+    control.on_replica_heartbeat(
+        at(0),
+        CallId(1),
+        "i",
+        replica_heartbeat("available", 1),
+        &mut effects,
+    );
+    assert!(matches!(
+        responses(&effects)[..],
+        [Response::Unavailable(_)]
+    ));
+    connect(&mut control, 0, 1, 2, VERSION);
+    effects.clear();
+    control.on_replica_heartbeat(
+        at(0),
+        CallId(2),
+        "i",
+        replica_heartbeat("available", 1),
+        &mut effects,
+    );
+    assert_eq!(
+        responses(&effects),
+        [&Response::Acknowledged(Some(address(1)))]
+    );
 }
 
 #[test]
-fn a_drain_is_acknowledged_when_more_than_half_know() {
-    let (mut control, mut out) = (hub(), Vec::new());
-    meet(&mut control, 0, 1, 2, VERSION);
-    control.on_replica_heartbeat(0, 1, "i", beat("draining", 1), &mut out);
-    assert!(answers(&out).is_empty());
-    let asks = |o: &Effect| matches!(o, Effect::Send { message: PeerMessage::ControlUpdate(g), .. } if g.update_id == 1);
-    assert!(out.iter().any(asks));
-    out.clear();
+fn a_drain_is_acknowledged_when_a_majority_knows() {
+    let (mut control, mut effects) = (node(), Vec::new());
+    connect(&mut control, 0, 1, 2, VERSION);
+    control.on_replica_heartbeat(
+        at(0),
+        CallId(1),
+        "i",
+        replica_heartbeat("draining", 1),
+        &mut effects,
+    );
+    assert!(responses(&effects).is_empty());
+    let asks = |effect: &Effect| matches!(effect, Effect::Send { message: PeerMessage::ControlUpdate(g), .. } if g.update_id == 1);
+    assert!(effects.iter().any(asks));
+    effects.clear();
     control.on_message(
-        10,
-        1,
+        at(10),
+        SessionId(1),
         PeerMessage::UpdateAck(UpdateAck { update_id: 1 }),
-        &mut out,
+        &mut effects,
     );
-    assert_eq!(answers(&out), [&Response::Acknowledged(None)]);
+    assert_eq!(responses(&effects), [&Response::Acknowledged(None)]);
 }
 
 #[test]
-fn a_drain_that_nobody_else_knows_is_not_acknowledged() {
-    let (mut control, mut out) = (hub(), Vec::new());
-    meet(&mut control, 0, 1, 2, VERSION);
-    control.on_replica_heartbeat(0, 1, "i", beat("draining", 1), &mut out);
-    control.closed(5, 1, &mut out);
+fn a_drain_that_no_other_node_knows_is_not_acknowledged() {
+    let (mut control, mut effects) = (node(), Vec::new());
+    connect(&mut control, 0, 1, 2, VERSION);
+    control.on_replica_heartbeat(
+        at(0),
+        CallId(1),
+        "i",
+        replica_heartbeat("draining", 1),
+        &mut effects,
+    );
+    control.on_session_closed(at(5), SessionId(1), &mut effects);
     control.on_message(
-        10,
-        1,
+        at(10),
+        SessionId(1),
         PeerMessage::UpdateAck(UpdateAck { update_id: 1 }),
-        &mut out,
+        &mut effects,
     );
-    assert!(answers(&out).is_empty());
-    control.tick(1_000, &mut out);
-    assert!(matches!(answers(&out)[..], [Response::Unavailable(_)]));
+    assert!(responses(&effects).is_empty());
+    control.tick(at(1_000), &mut effects);
+    assert!(matches!(
+        responses(&effects)[..],
+        [Response::Unavailable(_)]
+    ));
 }
 
 #[test]
-fn a_drain_is_not_acknowledged_by_the_word_of_one_that_has_gone() {
-    let (mut control, mut out) = (hub_of(5), Vec::new());
+fn the_acknowledgement_of_a_node_that_has_gone_does_not_count() {
+    let (mut control, mut effects) = (node_among(5), Vec::new());
     for n in 2..=4 {
-        meet(&mut control, 0, n as u64, n, VERSION);
+        connect(&mut control, 0, n as u64, n, VERSION);
     }
-    control.on_replica_heartbeat(0, 1, "i", beat("draining", 1), &mut out);
+    control.on_replica_heartbeat(
+        at(0),
+        CallId(1),
+        "i",
+        replica_heartbeat("draining", 1),
+        &mut effects,
+    );
     control.on_message(
-        10,
-        2,
+        at(10),
+        SessionId(2),
         PeerMessage::UpdateAck(UpdateAck { update_id: 1 }),
-        &mut out,
+        &mut effects,
     );
-    control.closed(20, 2, &mut out);
+    control.on_session_closed(at(20), SessionId(2), &mut effects);
     control.on_message(
-        30,
-        3,
+        at(30),
+        SessionId(3),
         PeerMessage::UpdateAck(UpdateAck { update_id: 1 }),
-        &mut out,
+        &mut effects,
     );
-    assert!(answers(&out).is_empty());
+    assert!(responses(&effects).is_empty());
     control.on_message(
-        40,
-        4,
+        at(40),
+        SessionId(4),
         PeerMessage::UpdateAck(UpdateAck { update_id: 1 }),
-        &mut out,
+        &mut effects,
     );
-    assert_eq!(answers(&out), [&Response::Acknowledged(None)]);
+    assert_eq!(responses(&effects), [&Response::Acknowledged(None)]);
 }
 
 #[test]
-fn another_version_and_its_own_life_are_let_go() {
-    let mut control = hub();
-    let out = meet(&mut control, 0, 1, 2, VERSION + 1);
-    assert!(out.iter().any(|o| matches!(o, Effect::Close(1))));
-    let mut out = Vec::new();
+fn sessions_with_another_version_or_itself_are_closed() {
+    let mut control = node();
+    let effects = connect(&mut control, 0, 1, 2, VERSION + 1);
+    assert!(
+        effects
+            .iter()
+            .any(|effect| matches!(effect, Effect::Close(SessionId(1))))
+    );
+    let mut effects = Vec::new();
     let own = Hello {
         version: VERSION,
         incarnation: 1,
         control_address: address(1),
         ..Hello::default()
     };
-    control.on_message(0, 2, PeerMessage::Hello(own), &mut out);
-    assert!(out.iter().any(|o| matches!(o, Effect::Close(2))));
+    control.on_message(at(0), SessionId(2), PeerMessage::Hello(own), &mut effects);
+    assert!(
+        effects
+            .iter()
+            .any(|effect| matches!(effect, Effect::Close(SessionId(2))))
+    );
 }
 
 #[test]
-fn a_silent_session_ends_and_its_hub_is_dialled_again() {
-    let (mut control, mut out) = (hub(), Vec::new());
-    meet(&mut control, 0, 1, 2, VERSION);
-    meet(&mut control, 0, 2, 3, VERSION);
+fn a_session_times_out_and_its_node_is_dialled_again() {
+    let (mut control, mut effects) = (node(), Vec::new());
+    connect(&mut control, 0, 1, 2, VERSION);
+    connect(&mut control, 0, 2, 3, VERSION);
     for now in (200..2_200).step_by(200) {
-        control.on_message(now, 2, round_trip(now), &mut out);
-        control.tick(now, &mut out);
+        control.on_message(at(now), SessionId(2), round_trip(now), &mut effects);
+        control.tick(at(now), &mut effects);
     }
     assert!(
-        out.iter().any(|o| matches!(o, Effect::Close(1)))
-            && !out.iter().any(|o| matches!(o, Effect::Close(2)))
+        effects
+            .iter()
+            .any(|effect| matches!(effect, Effect::Close(SessionId(1))))
+            && !effects
+                .iter()
+                .any(|effect| matches!(effect, Effect::Close(SessionId(2))))
     );
     assert!(
-        out.iter()
-            .any(|o| matches!(o, Effect::Dial(a) if *a == address(2)))
+        effects
+            .iter()
+            .any(|effect| matches!(effect, Effect::Dial(a) if *a == address(2)))
     );
-    assert!(control.in_contact(2_000));
+    assert!(control.has_quorum(at(2_000)));
 }
--- a/crates/linenthread-control/tests/nodes/busy.rs
+++ b/crates/linenthread-control/tests/nodes/busy.rs
@@ -1,32 +1,35 @@
 //! A voter is replaced while operators send one order after another.
 
-use linenthread_control::Response;
+use std::time::Duration;
+
+use linenthread_control::{CallId, Response};
+use linenthread_time::Instant;
 use yare::parameterized;
 
-use crate::cluster::{Cluster, address};
+use crate::cluster::{Cluster, address, ms};
 
-/// So long after its start a successor counts.
-const SYNC: u64 = 4_000;
+/// A successor votes within this time from its start.
+const SUCCESSOR_JOINS_WITHIN: Duration = ms(4_000);
 
-/// Orders at both of these nodes, the next ones as soon as the last are settled, until the time is over; the
-/// last one that was taken.
-fn keep_ordering(cluster: &mut Cluster, nodes: [usize; 2], until: u64) -> u64 {
+/// Sends orders to both of these nodes, the next ones as soon as the last are answered, until the time is over; the
+/// last revision that was committed.
+fn keep_ordering(cluster: &mut Cluster, nodes: [usize; 2], until: Instant) -> u64 {
     let mut revision = 0;
     while cluster.now < until {
-        let tokens: Vec<(usize, u64)> = nodes
+        let calls: Vec<(usize, CallId)> = nodes
             .into_iter()
             .zip(1..)
             .map(|(n, i)| (n, cluster.order(n, revision, revision + i)))
             .collect();
-        let settled = |c: &Cluster| {
-            tokens
+        let answered = |c: &Cluster| {
+            calls
                 .iter()
-                .all(|(n, token)| c.nodes[*n].answers.contains_key(token))
+                .all(|(n, call)| c.nodes[*n].responses.contains_key(call))
         };
-        cluster.run_until(1_000, settled);
-        for (n, token) in tokens {
-            if let Some(Response::Committed(taken)) = cluster.nodes[n].answers.get(&token) {
-                revision = revision.max(*taken);
+        cluster.run_until(ms(1_000), answered);
+        for (n, call) in calls {
+            if let Some(Response::Committed(committed)) = cluster.nodes[n].responses.get(&call) {
+                revision = revision.max(*committed);
             }
         }
     }
@@ -43,12 +46,15 @@
     let mut cluster = Cluster::new(4, 3);
     let leader = cluster.leader().expect("one leads");
     let others: Vec<usize> = (0..3).filter(|n| *n != leader).collect();
-    cluster.nodes.iter_mut().for_each(|n| n.sync_ms = sync_ms);
+    cluster
+        .nodes
+        .iter_mut()
+        .for_each(|n| n.sync_time = ms(sync_ms));
     cluster.wipe(others[1]);
     cluster.start(3);
-    let until = cluster.now + SYNC;
-    let taken = keep_ordering(&mut cluster, [leader, others[0]], until);
-    assert!(taken > 3, "orders are taken meanwhile: {taken}");
+    let until = cluster.now + SUCCESSOR_JOINS_WITHIN;
+    let committed = keep_ordering(&mut cluster, [leader, others[0]], until);
+    assert!(committed > 3, "orders are committed meanwhile: {committed}");
     let voters = cluster.voters(leader);
     assert!(
         voters.contains(&address(3)) && voters.len() == 3,
--- a/crates/linenthread-control/tests/nodes/cluster.rs
+++ b/crates/linenthread-control/tests/nodes/cluster.rs
@@ -1,32 +1,47 @@
-//! A few control nodes stepped by hand in one clock: messages take a millisecond, disks forget what they have
-//! not synced, links can be cut in one direction, nodes can be frozen.
+//! A few control nodes stepped by hand on one clock: messages take a millisecond, disks lose what they have not
+//! synced, connections can be cut in one direction, nodes can be frozen.
 
 use std::collections::{BTreeMap, BTreeSet};
+use std::time::Duration;
 
 use linenthread_consensus::{DurableState, genesis_id};
-use linenthread_control::{ControlNode, Effect, NodeConfig, Response};
+use linenthread_control::{
+    CallId, ControlEvent, ControlNode, DeferredMessage, Effect, NodeConfig, Response, SessionId,
+};
 use linenthread_messages::{PeerMessage, Record, Value, Voter};
+use linenthread_time::Instant;
 
-const STEP: u64 = 5;
+/// How far the clock moves at a time.
+const STEP: Duration = ms(5);
+
+/// How long a message, or the news of a connection, takes.
+const LATENCY: Duration = ms(1);
+
+/// When the nodes of the first start begin to run.
+const FIRST_START: Instant = Instant::from_millis(10_000);
+
+pub(crate) const fn ms(millis: u64) -> Duration {
+    Duration::from_millis(millis)
+}
 
 enum Event {
     Opened {
-        link: u64,
+        session: SessionId,
     },
     Message {
-        link: u64,
+        session: SessionId,
         message: PeerMessage,
     },
     Closed {
-        link: u64,
+        session: SessionId,
     },
-    Unreached {
+    DialFailed {
         address: String,
     },
     Synced {
-        life: u64,
+        incarnation: u64,
         count: usize,
-        then: Vec<(u64, PeerMessage)>,
+        after_sync: Vec<DeferredMessage>,
     },
 }
 
@@ -34,26 +49,26 @@
 pub(crate) struct Node {
     pub control: Option<ControlNode>,
     address: String,
-    life: u64,
+    incarnation: u64,
     disk: Vec<Record>,
     unsynced: Vec<Record>,
-    pub sync_ms: u64,
+    pub sync_time: Duration,
     pub frozen: bool,
     backlog: Vec<Event>,
-    pub answers: BTreeMap<u64, Response>,
-    pub notes: Vec<String>,
+    pub responses: BTreeMap<CallId, Response>,
+    pub events: Vec<ControlEvent>,
 }
 
 pub(crate) struct Cluster {
-    pub now: u64,
+    pub now: Instant,
     pub nodes: Vec<Node>,
     genesis: Value,
-    links: BTreeMap<u64, (usize, usize)>,
-    events: BTreeMap<(u64, u64), (usize, Event)>,
+    connections: BTreeMap<SessionId, (usize, usize)>,
+    events: BTreeMap<(Instant, u64), (usize, Event)>,
     pub cut: BTreeSet<(usize, usize)>,
     numbers: u64,
-    /// Never fewer voters: what may be lost at once is borne by so many.
-    least: usize,
+    /// The set of voters is never made smaller.
+    min_voters: usize,
 }
 
 pub(crate) fn address(n: usize) -> String {
@@ -61,7 +76,7 @@
 }
 
 impl Cluster {
-    /// So many nodes, the first `voters` of which vote from the start, and 4 s to find each other.
+    /// So many nodes, the first `voters` of which are started and vote, after 4 s to find each other.
     pub(crate) fn new(nodes: usize, voters: usize) -> Cluster {
         let voter = |n: usize| Voter {
             id: genesis_id(&address(n)),
@@ -72,24 +87,24 @@
             ..Value::default()
         };
         let mut cluster = Cluster {
-            now: 10_000,
+            now: FIRST_START,
             nodes: Vec::new(),
             genesis,
-            links: BTreeMap::new(),
+            connections: BTreeMap::new(),
             events: BTreeMap::new(),
             cut: BTreeSet::new(),
             numbers: 0,
-            least: voters,
+            min_voters: voters,
         };
         for n in 0..nodes {
             cluster.nodes.push(Node {
                 address: address(n),
-                sync_ms: 2,
+                sync_time: ms(2),
                 ..Node::default()
             });
         }
         (0..voters).for_each(|n| cluster.start(n));
-        cluster.run(4_000);
+        cluster.run(ms(4_000));
         cluster
     }
 
@@ -104,34 +119,36 @@
 
     /// Starts a node from what its disk holds.
     pub(crate) fn start(&mut self, n: usize) {
-        let life = self.number() * 1_000 + 1;
+        let incarnation = self.number() * 1_000 + 1;
         let mut state = DurableState::default();
         self.nodes[n]
             .disk
             .iter()
             .for_each(|record| state.add(record.clone()));
-        let first = state.id.is_none() && self.now == 10_000;
-        let id = state
-            .id
-            .unwrap_or(if first { genesis_id(&address(n)) } else { life });
+        let first = state.id.is_none() && self.now == FIRST_START;
+        let id = state.id.unwrap_or(if first {
+            genesis_id(&address(n))
+        } else {
+            incarnation
+        });
         let genesis = first.then(|| self.genesis.clone());
         let local = NodeConfig {
             name: format!("node-{n}"),
             zone: "z".into(),
-            incarnation: life,
+            incarnation,
             control_address: address(n),
             may_vote: true,
-            min_voters: self.least,
-            heartbeat_interval: 1_000,
+            min_voters: self.min_voters,
+            heartbeat_interval: ms(1_000),
             bootstrap: (0..3).map(address).collect(),
             is_genesis: first,
             retry_allowance: 10.0,
-            retry_window: 10_000,
+            retry_window: ms(10_000),
         };
         let empty = state.id.is_none();
         let control = ControlNode::new(local, id, state, genesis.clone(), self.now);
         let node = &mut self.nodes[n];
-        (node.control, node.life, node.frozen) = (Some(control), life, false);
+        (node.control, node.incarnation, node.frozen) = (Some(control), incarnation, false);
         if empty {
             node.disk.push(Record {
                 id: Some(id),
@@ -141,19 +158,21 @@
         }
     }
 
-    /// Ends a node without a word; what its disk has not synced is gone.
+    /// Kills a node; what its disk has not synced is gone.
     pub(crate) fn crash(&mut self, n: usize) {
         let node = &mut self.nodes[n];
-        (node.control, node.life) = (None, 0);
+        (node.control, node.incarnation) = (None, 0);
         node.unsynced.clear();
         node.backlog.clear();
-        let links: Vec<u64> = self
-            .links
+        let sessions: Vec<SessionId> = self
+            .connections
             .iter()
             .filter(|(_, ends)| ends.0 == n || ends.1 == n)
-            .map(|(l, _)| *l)
+            .map(|(session, _)| *session)
             .collect();
-        links.into_iter().for_each(|link| self.end_link(link, n));
+        for session in sessions {
+            self.disconnect(session, n);
+        }
     }
 
     pub(crate) fn wipe(&mut self, n: usize) {
@@ -161,23 +180,27 @@
         self.nodes[n].disk.clear();
     }
 
-    fn push(&mut self, after: u64, to: usize, event: Event) {
+    fn push(&mut self, after: Duration, to: usize, event: Event) {
         let key = (self.now + after, self.number());
         self.events.insert(key, (to, event));
     }
 
-    fn end_link(&mut self, link: u64, by: usize) {
-        let Some((a, b)) = self.links.remove(&link) else {
+    fn disconnect(&mut self, session: SessionId, by: usize) {
+        let Some((a, b)) = self.connections.remove(&session) else {
             return;
         };
-        self.push(1, if a == by { b } else { a }, Event::Closed { link });
+        self.push(
+            LATENCY,
+            if a == by { b } else { a },
+            Event::Closed { session },
+        );
     }
 
     /// Runs something at a node and carries out its effects.
     pub(crate) fn at(
         &mut self,
         n: usize,
-        run: impl FnOnce(&mut ControlNode, u64, &mut Vec<Effect>),
+        run: impl FnOnce(&mut ControlNode, Instant, &mut Vec<Effect>),
     ) {
         let now = self.now;
         let mut effects = Vec::new();
@@ -192,43 +215,32 @@
 
     fn carry_out(&mut self, n: usize, effect: Effect) {
         match effect {
-            Effect::Send {
-                session: link,
-                message: word,
-            } => {
-                let Some(&(a, b)) = self.links.get(&link) else {
+            Effect::Send { session, message } => {
+                let Some(&(a, b)) = self.connections.get(&session) else {
                     return;
                 };
                 let to = if a == n { b } else { a };
                 if !self.cut.contains(&(n, to)) {
-                    self.push(
-                        1,
-                        to,
-                        Event::Message {
-                            link,
-                            message: word,
-                        },
-                    );
+                    self.push(LATENCY, to, Event::Message { session, message });
                 }
             }
-            Effect::Persist { record, then } => {
+            Effect::Persist { record, after_sync } => {
                 let node = &mut self.nodes[n];
                 node.unsynced.push(record);
-                let (life, after) = (node.life, node.sync_ms);
+                let (incarnation, sync_time) = (node.incarnation, node.sync_time);
                 self.push(
-                    after,
+                    sync_time,
                     n,
                     Event::Synced {
-                        life,
+                        incarnation,
                         count: 1,
-                        then,
+                        after_sync,
                     },
                 );
             }
-            Effect::Respond {
-                call: token,
-                response: answer,
-            } => drop(self.nodes[n].answers.insert(token, answer)),
+            Effect::Respond { call, response } => {
+                self.nodes[n].responses.insert(call, response);
+            }
             Effect::Dial(to) => {
                 let other = self
                     .nodes
@@ -237,16 +249,16 @@
                 match other.filter(|&o| !self.cut.contains(&(n, o)) && !self.cut.contains(&(o, n)))
                 {
                     Some(other) => {
-                        let link = self.number();
-                        self.links.insert(link, (n, other));
-                        self.push(1, n, Event::Opened { link });
-                        self.push(1, other, Event::Opened { link });
+                        let session = SessionId(self.number());
+                        self.connections.insert(session, (n, other));
+                        self.push(LATENCY, n, Event::Opened { session });
+                        self.push(LATENCY, other, Event::Opened { session });
                     }
-                    None => self.push(1, n, Event::Unreached { address: to }),
+                    None => self.push(LATENCY, n, Event::DialFailed { address: to }),
                 }
             }
-            Effect::Close(link) => self.end_link(link, n),
-            Effect::Log(line) => self.nodes[n].notes.push(line),
+            Effect::Close(session) => self.disconnect(session, n),
+            Effect::Log(event) => self.nodes[n].events.push(event),
         }
     }
 
@@ -256,30 +268,38 @@
             return;
         }
         match event {
-            Event::Opened { link } if self.links.contains_key(&link) => {
-                self.at(to, |c, _, effects| c.opened(link, effects));
+            Event::Opened { session } if self.connections.contains_key(&session) => {
+                self.at(to, |c, _, effects| c.on_session_opened(session, effects));
             }
-            Event::Message { link, message } if self.links.contains_key(&link) => {
+            Event::Message { session, message } if self.connections.contains_key(&session) => {
                 self.at(to, |c, now, effects| {
-                    c.on_message(now, link, message, effects);
+                    c.on_message(now, session, message, effects);
                 });
             }
-            Event::Closed { link } => self.at(to, |c, now, effects| c.closed(now, link, effects)),
-            Event::Unreached { address } => self.at(to, |c, now, _| c.unreached(now, &address)),
-            Event::Synced { life, count, then } if self.nodes[to].life == life => {
+            Event::Closed { session } => self.at(to, |c, now, effects| {
+                c.on_session_closed(now, session, effects)
+            }),
+            Event::DialFailed { address } => {
+                self.at(to, |c, now, _| c.on_dial_failed(now, &address))
+            }
+            Event::Synced {
+                incarnation,
+                count,
+                after_sync,
+            } if self.nodes[to].incarnation == incarnation => {
                 let done: Vec<Record> = self.nodes[to].unsynced.drain(..count).collect();
                 self.nodes[to].disk.extend(done);
-                self.at(to, |c, now, effects| c.synced(now, then, effects));
+                self.at(to, |c, now, effects| c.on_synced(now, after_sync, effects));
             }
             _ => {}
         }
     }
 
-    /// A frozen node goes on: `before` comes to it first, then what has waited.
+    /// A frozen node resumes: `before` runs first, then what was queued meanwhile.
     pub(crate) fn thaw(
         &mut self,
         n: usize,
-        before: impl FnOnce(&mut ControlNode, u64, &mut Vec<Effect>),
+        before: impl FnOnce(&mut ControlNode, Instant, &mut Vec<Effect>),
     ) {
         self.nodes[n].frozen = false;
         self.at(n, before);
@@ -288,8 +308,8 @@
         }
     }
 
-    pub(crate) fn run(&mut self, ms: u64) {
-        let end = self.now + ms;
+    pub(crate) fn run(&mut self, duration: Duration) {
+        let end = self.now + duration;
         while self.now < end {
             self.now += STEP;
             while let Some((key, _)) = self
@@ -314,46 +334,50 @@
         }
     }
 
-    /// Runs until it holds, at most so long; whether it came to hold.
-    pub(crate) fn run_until(&mut self, ms: u64, holds: impl Fn(&Cluster) -> bool) -> bool {
-        let end = self.now + ms;
+    /// Runs until `holds` is true, at most for `timeout`; whether it became true.
+    pub(crate) fn run_until(
+        &mut self,
+        timeout: Duration,
+        holds: impl Fn(&Cluster) -> bool,
+    ) -> bool {
+        let end = self.now + timeout;
         while self.now < end && !holds(self) {
             self.run(STEP);
         }
         holds(self)
     }
 
-    /// Sends an order to a node, and tells its token.
-    pub(crate) fn order(&mut self, n: usize, base: u64, revision: u64) -> u64 {
-        let token = self.number();
+    /// Sends an order to a node, and returns its call.
+    pub(crate) fn order(&mut self, n: usize, base: u64, revision: u64) -> CallId {
+        let call = CallId(self.number());
         let document = format!("document {revision}").into_bytes();
         self.at(n, |c, now, effects| {
-            c.replace(now, token, base, revision, document, effects);
+            c.replace_configuration(now, call, base, revision, document, effects);
         });
-        token
+        call
     }
 
-    /// Sends an order until some node acknowledges it, at most so long; the last clear answer.
+    /// Sends an order until some node acknowledges it, at most for `timeout`; the last conclusive response.
     pub(crate) fn order_until_answered(
         &mut self,
-        ms: u64,
+        timeout: Duration,
         base: u64,
         revision: u64,
     ) -> Option<Response> {
-        let end = self.now + ms;
+        let end = self.now + timeout;
         let mut n = 0;
         while self.now < end {
             n = (n + 1) % self.nodes.len();
             if self.nodes[n].control.is_none() {
                 continue;
             }
-            let token = self.order(n, base, revision);
-            self.run_until(1_000, |c| c.nodes[n].answers.contains_key(&token));
-            match self.nodes[n].answers.get(&token) {
-                Some(answer @ (Response::Committed(_) | Response::Conflict(_))) => {
-                    return Some(answer.clone());
+            let call = self.order(n, base, revision);
+            self.run_until(ms(1_000), |c| c.nodes[n].responses.contains_key(&call));
+            match self.nodes[n].responses.get(&call) {
+                Some(response @ (Response::Committed(_) | Response::Conflict(_))) => {
+                    return Some(response.clone());
                 }
-                _ => self.run(20),
+                _ => self.run(ms(20)),
             }
         }
         None
@@ -363,7 +387,7 @@
         let leads = |n: &Node| {
             n.control
                 .as_ref()
-                .is_some_and(|c| c.holds_lease(self.now).is_some())
+                .is_some_and(|c| c.lease_epoch(self.now).is_some())
         };
         self.nodes.iter().position(leads)
     }
@@ -378,10 +402,10 @@
             .collect()
     }
 
-    pub(crate) fn may_leave(&self, n: usize) -> bool {
+    pub(crate) fn may_exit(&self, n: usize) -> bool {
         self.nodes[n]
             .control
             .as_ref()
-            .is_some_and(|c| c.may_leave(self.now))
+            .is_some_and(|c| c.may_exit(self.now))
     }
 }
