--- a/crates/linenthread-control/tests/nodes/contact.rs
+++ b/crates/linenthread-control/tests/nodes/contact.rs
@@ -1,15 +1,23 @@
-//! What a node that is cut off, or was frozen, still says: nothing that it cannot know.
+//! What a node that is partitioned off, or was frozen, still confirms: nothing that it cannot know.
 
-use crate::cluster::{Cluster, address};
+use crate::cluster::{Cluster, address, ms};
 use linenthread_consensus::{DurableState, genesis_id};
-use linenthread_control::{CONTACT, ControlNode, Effect, NodeConfig, ReplicaHeartbeat, Response};
+use linenthread_control::{
+    CONTACT_TIMEOUT, CallId, ControlNode, Effect, NodeConfig, ReplicaHeartbeat, Response, SessionId,
+};
 use linenthread_messages::{
     Heartbeat, Hello, PeerMessage, ReadReply, UpdateAck, VERSION, Value, Voter,
 };
+use linenthread_time::Instant;
 use yare::parameterized;
 
-const PEER: u64 = 1;
-const FRONT: u64 = 9;
+const PEER: SessionId = SessionId(1);
+const INGRESS_NODE: SessionId = SessionId(9);
+const CONTACT_TIMEOUT_MS: u64 = CONTACT_TIMEOUT.as_millis() as u64;
+
+fn at(millis: u64) -> Instant {
+    Instant::from_millis(millis)
+}
 
 fn node() -> ControlNode {
     let bootstrap: Vec<String> = (0..3).map(address).collect();
@@ -25,11 +33,11 @@
         control_address: address(0),
         may_vote: true,
         min_voters: 3,
-        heartbeat_interval: 1_000,
+        heartbeat_interval: ms(1_000),
         bootstrap,
         is_genesis: true,
         retry_allowance: 10.0,
-        retry_window: 10_000,
+        retry_window: ms(10_000),
     };
     let value = Value {
         voters,
@@ -42,32 +50,37 @@
         genesis_id(&address(0)),
         DurableState::default(),
         Some(value),
-        0,
+        Instant::START,
     )
 }
 
-fn says(control: &mut ControlNode, now: u64, link: u64, message: PeerMessage) -> Vec<Effect> {
+fn receive(
+    control: &mut ControlNode,
+    now: u64,
+    session: SessionId,
+    message: PeerMessage,
+) -> Vec<Effect> {
     let mut effects = Vec::new();
-    control.on_message(now, link, message, &mut effects);
+    control.on_message(at(now), session, message, &mut effects);
     effects
 }
 
 fn hello(n: usize) -> PeerMessage {
     let control = address(n);
-    let disk = genesis_id(&control);
+    let node_id = genesis_id(&control);
     let name = format!("node-{n}");
     PeerMessage::Hello(Hello {
         version: VERSION,
         name,
         incarnation: 100,
         control_address: control,
-        node_id: disk,
+        node_id,
         ..Hello::default()
     })
 }
 
-fn front_hello() -> PeerMessage {
-    let name = "front".to_owned();
+fn ingress_hello() -> PeerMessage {
+    let name = "ingress".to_owned();
     PeerMessage::Hello(Hello {
         version: VERSION,
         name,
@@ -85,85 +98,101 @@
     })
 }
 
-fn in_contact_at(now: u64) -> ControlNode {
+fn node_with_quorum(now: u64) -> ControlNode {
     let mut control = node();
-    control.opened(PEER, &mut Vec::new());
-    says(&mut control, now, PEER, hello(1));
-    says(&mut control, now, PEER, heartbeat(now, Some(now)));
+    control.on_session_opened(PEER, &mut Vec::new());
+    receive(&mut control, now, PEER, hello(1));
+    receive(&mut control, now, PEER, heartbeat(now, Some(now)));
     control
 }
 
-fn beat(phase: &str, call_count: u64) -> ReplicaHeartbeat {
+fn replica_heartbeat(phase: &str, call_count: u64) -> ReplicaHeartbeat {
     let text = format!(
         r#"{{"backend":"s","address":"10.9.0.1:1","zone":"z","phase":"{phase}","call_count":{call_count}}}"#
     );
     serde_json::from_str(&text).unwrap()
 }
 
-fn answer(effect: &Effect) -> Option<&Response> {
-    if let Effect::Respond {
-        response: answer, ..
-    } = effect
-    {
-        Some(answer)
+fn response(effect: &Effect) -> Option<&Response> {
+    if let Effect::Respond { response, .. } = effect {
+        Some(response)
     } else {
         None
     }
 }
 
-fn answers(effects: &[Effect]) -> Vec<&Response> {
-    effects.iter().filter_map(answer).collect()
+fn responses(effects: &[Effect]) -> Vec<&Response> {
+    effects.iter().filter_map(response).collect()
+}
+
+/// The most that an ingress node was sent.
+#[derive(Debug, PartialEq)]
+enum Sent {
+    Nothing,
+    Replicas,
+    Configuration,
 }
 
-/// Whether a front is told of replicas or a configuration, and whether of the configuration.
-fn told(effects: &[Effect]) -> (bool, bool) {
+fn sent(effects: &[Effect]) -> Sent {
     let update = |e: &Effect| match e {
         Effect::Send {
-            session: FRONT,
+            session: INGRESS_NODE,
             message: PeerMessage::IngressUpdate(update),
         } => Some(update.value.is_some()),
         _ => None,
     };
-    let updates: Vec<bool> = effects.iter().filter_map(update).collect();
-    (!updates.is_empty(), updates.contains(&true))
+    let has_configuration: Vec<bool> = effects.iter().filter_map(update).collect();
+    if has_configuration.is_empty() {
+        Sent::Nothing
+    } else if has_configuration.contains(&true) {
+        Sent::Configuration
+    } else {
+        Sent::Replicas
+    }
 }
 
 #[parameterized(
-    answered = { Some(0), 100, true },
-    just_in_time = { Some(0), CONTACT, true },
-    too_long_ago = { Some(0), CONTACT + 1, false },
-    heard_and_not_heard_by_it = { None, 100, false },
-    from_the_time_to_come = { Some(1 << 40), CONTACT + 1, false },
+    acknowledged = { Some(0), 100, true },
+    just_in_time = { Some(0), CONTACT_TIMEOUT_MS, true },
+    too_long_ago = { Some(0), CONTACT_TIMEOUT_MS + 1, false },
+    received_from_and_not_by_it = { None, 100, false },
+    from_the_future = { Some(1 << 40), CONTACT_TIMEOUT_MS + 1, false },
 )]
 fn contact_rests_on_round_trips(echo: Option<u64>, now: u64, is: bool) {
     let mut control = node();
-    control.opened(PEER, &mut Vec::new());
-    says(&mut control, 0, PEER, hello(1));
-    says(&mut control, 0, PEER, heartbeat(0, echo));
-    assert_eq!(control.in_contact(now), is);
-    // That it is heard says nothing of whether it is heard itself.
+    control.on_session_opened(PEER, &mut Vec::new());
+    receive(&mut control, 0, PEER, hello(1));
+    receive(&mut control, 0, PEER, heartbeat(0, echo));
+    assert_eq!(control.has_quorum(at(now)), is);
+    // That its messages arrive here says nothing of whether ours arrive there.
     if echo.is_none() {
-        for at in (500..5_000).step_by(500) {
-            says(&mut control, at, PEER, heartbeat(at, None));
-            assert!(!control.in_contact(at));
+        for now in (500..5_000).step_by(500) {
+            receive(&mut control, now, PEER, heartbeat(now, None));
+            assert!(!control.has_quorum(at(now)));
         }
     }
 }
 
 #[test]
-fn one_that_hears_and_is_not_heard_acknowledges_nothing() {
-    let mut control = in_contact_at(0);
+fn a_node_that_receives_but_does_not_reach_others_acknowledges_nothing() {
+    let mut control = node_with_quorum(0);
     let mut effects = Vec::new();
     for now in (200..=2_200).step_by(200) {
-        says(&mut control, now, PEER, heartbeat(now, Some(0)));
-        control.tick(now, &mut effects);
+        receive(&mut control, now, PEER, heartbeat(now, Some(0)));
+        control.tick(at(now), &mut effects);
     }
     effects.clear();
-    control.on_replica_heartbeat(2_250, 1, "i", beat("available", 1), &mut effects);
-    control.on_replica_departure(2_250, 2, "i", &mut effects);
+    control.on_replica_heartbeat(
+        at(2_250),
+        CallId(1),
+        "i",
+        replica_heartbeat("available", 1),
+        &mut effects,
+    );
+    control.on_replica_departure(at(2_250), CallId(2), "i", &mut effects);
     assert!(
         matches!(
-            answers(&effects)[..],
+            responses(&effects)[..],
             [Response::Unavailable(_), Response::Unavailable(_)]
         ),
         "{effects:?}"
@@ -171,24 +200,36 @@
 }
 
 #[test]
-fn one_that_wakes_answers_nothing_by_what_it_knew() {
-    let mut control = in_contact_at(0);
-    says(&mut control, 0, FRONT, front_hello());
+fn a_node_that_resumes_answers_nothing_by_what_it_knew() {
+    let mut control = node_with_quorum(0);
+    receive(&mut control, 0, INGRESS_NODE, ingress_hello());
     let mut effects = Vec::new();
-    control.on_replica_heartbeat(10, 1, "i", beat("draining", 1), &mut effects);
-    assert!(answers(&effects).is_empty());
+    control.on_replica_heartbeat(
+        at(10),
+        CallId(1),
+        "i",
+        replica_heartbeat("draining", 1),
+        &mut effects,
+    );
+    assert!(responses(&effects).is_empty());
     effects.clear();
     // Calls and messages that have waited come before any tick.
-    control.on_replica_heartbeat(20_000, 2, "k", beat("available", 1), &mut effects);
-    effects.extend(says(
+    control.on_replica_heartbeat(
+        at(20_000),
+        CallId(2),
+        "k",
+        replica_heartbeat("available", 1),
+        &mut effects,
+    );
+    effects.extend(receive(
         &mut control,
         20_000,
         PEER,
         PeerMessage::UpdateAck(UpdateAck { update_id: 1 }),
     ));
-    control.on_replica_departure(20_000, 3, "i", &mut effects);
+    control.on_replica_departure(at(20_000), CallId(3), "i", &mut effects);
     assert!(matches!(
-        answers(&effects)[..],
+        responses(&effects)[..],
         [
             Response::Unavailable(_),
             Response::Unavailable(_),
@@ -196,19 +237,26 @@
         ]
     ));
     assert!(
-        effects.iter().any(|e| matches!(e, Effect::Close(FRONT))),
-        "its fronts go elsewhere"
+        effects
+            .iter()
+            .any(|e| matches!(e, Effect::Close(INGRESS_NODE))),
+        "its ingress nodes go elsewhere"
     );
-    effects.extend(says(&mut control, 20_000, 10, front_hello()));
-    assert!(!told(&effects).0 && control.holds_lease(20_000).is_none());
+    effects.extend(receive(
+        &mut control,
+        20_000,
+        SessionId(10),
+        ingress_hello(),
+    ));
+    assert!(sent(&effects) == Sent::Nothing && control.lease_epoch(at(20_000)).is_none());
 }
 
 #[test]
-fn a_read_that_waited_through_a_freeze_has_no_answer() {
-    let mut control = in_contact_at(0);
+fn a_read_that_waited_through_a_freeze_is_unavailable() {
+    let mut control = node_with_quorum(0);
     let mut effects = Vec::new();
-    control.read(10, 1, &mut effects);
-    let question = effects.iter().find_map(|e| match e {
+    control.read_configuration(at(10), CallId(1), &mut effects);
+    let read_id = effects.iter().find_map(|e| match e {
         Effect::Send {
             message: PeerMessage::ReadRequest(request),
             ..
@@ -216,20 +264,23 @@
         _ => None,
     });
     let reply = ReadReply {
-        read_id: question.unwrap(),
+        read_id: read_id.unwrap(),
         decided: 0,
         pending: false,
     };
-    let effects = says(&mut control, 20_000, PEER, PeerMessage::ReadReply(reply));
-    assert!(matches!(answers(&effects)[..], [Response::Unavailable(_)]));
+    let effects = receive(&mut control, 20_000, PEER, PeerMessage::ReadReply(reply));
+    assert!(matches!(
+        responses(&effects)[..],
+        [Response::Unavailable(_)]
+    ));
 }
 
 #[test]
-fn a_front_is_told_the_configuration_only_once_it_was_read_anew() {
-    let mut control = in_contact_at(0);
-    let effects = says(&mut control, 0, FRONT, front_hello());
-    assert_eq!(told(&effects), (true, false));
-    let question = effects.iter().find_map(|e| match e {
+fn an_ingress_node_is_sent_the_configuration_only_once_it_was_read_for_it() {
+    let mut control = node_with_quorum(0);
+    let effects = receive(&mut control, 0, INGRESS_NODE, ingress_hello());
+    assert_eq!(sent(&effects), Sent::Replicas);
+    let read_id = effects.iter().find_map(|e| match e {
         Effect::Send {
             message: PeerMessage::ReadRequest(request),
             ..
@@ -237,60 +288,69 @@
         _ => None,
     });
     let reply = ReadReply {
-        read_id: question.unwrap(),
+        read_id: read_id.unwrap(),
         decided: 0,
         pending: false,
     };
-    let effects = says(&mut control, 5, PEER, PeerMessage::ReadReply(reply));
-    assert_eq!(told(&effects), (true, true));
+    let effects = receive(&mut control, 5, PEER, PeerMessage::ReadReply(reply));
+    assert_eq!(sent(&effects), Sent::Configuration);
 }
 
 #[test]
-fn out_of_contact_it_lets_its_fronts_go_and_tells_new_ones_nothing() {
-    let mut control = in_contact_at(0);
-    says(&mut control, 0, FRONT, front_hello());
+fn out_of_contact_it_drops_its_ingress_nodes_and_sends_new_ones_nothing() {
+    let mut control = node_with_quorum(0);
+    receive(&mut control, 0, INGRESS_NODE, ingress_hello());
     let mut effects = Vec::new();
-    for now in (200..=CONTACT + 400).step_by(200) {
-        says(&mut control, now, FRONT, heartbeat(now, None));
-        control.tick(now, &mut effects);
+    for now in (200..=CONTACT_TIMEOUT_MS + 400).step_by(200) {
+        receive(&mut control, now, INGRESS_NODE, heartbeat(now, None));
+        control.tick(at(now), &mut effects);
     }
-    assert!(effects.iter().any(|e| matches!(e, Effect::Close(FRONT))));
-    let mut effects = says(&mut control, CONTACT + 500, FRONT, front_hello());
-    control.tick(CONTACT + 1_000, &mut effects);
-    assert!(!told(&effects).0);
-    let outside = |e: &Effect| matches!(e, Effect::Send { session: FRONT, message: PeerMessage::Heartbeat(h) } if !h.has_quorum);
+    assert!(
+        effects
+            .iter()
+            .any(|e| matches!(e, Effect::Close(INGRESS_NODE)))
+    );
+    let mut effects = receive(
+        &mut control,
+        CONTACT_TIMEOUT_MS + 500,
+        INGRESS_NODE,
+        ingress_hello(),
+    );
+    control.tick(at(CONTACT_TIMEOUT_MS + 1_000), &mut effects);
+    assert_eq!(sent(&effects), Sent::Nothing);
+    let outside = |e: &Effect| matches!(e, Effect::Send { session: INGRESS_NODE, message: PeerMessage::Heartbeat(h) } if !h.has_quorum);
     assert!(
         effects.iter().any(outside),
-        "it says that it is out of contact"
+        "its heartbeat says that it is out of contact"
     );
 }
 
 #[test]
-fn one_that_is_cut_off_refuses_and_confirms_no_order() {
+fn a_partitioned_node_rejects_and_confirms_no_order() {
     let mut cluster = Cluster::new(3, 3);
     assert_eq!(
-        cluster.order_until_answered(1_000, 0, 1),
+        cluster.order_until_answered(ms(1_000), 0, 1),
         Some(Response::Committed(1))
     );
     for other in 1..3 {
         cluster.cut.extend([(0, other), (other, 0)]);
     }
     assert_eq!(
-        cluster.order_until_answered(5_000, 1, 2),
+        cluster.order_until_answered(ms(5_000), 1, 2),
         Some(Response::Committed(2))
     );
-    cluster.run(3_000);
+    cluster.run(ms(3_000));
     // It has revision 1 as the newest: neither order is its to judge.
     for (base, revision) in [(0, 1), (0, 9), (1, 3)] {
-        let token = cluster.order(0, base, revision);
-        cluster.run(1_500);
-        let answer = &cluster.nodes[0].answers[&token];
+        let call = cluster.order(0, base, revision);
+        cluster.run(ms(1_500));
+        let response = &cluster.nodes[0].responses[&call];
         assert!(
-            matches!(answer, Response::Unavailable(_)),
-            "{base} {revision}: {answer:?}"
+            matches!(response, Response::Unavailable(_)),
+            "{base} {revision}: {response:?}"
         );
     }
-    assert!(!cluster.control(0).in_contact(cluster.now));
+    assert!(!cluster.control(0).has_quorum(cluster.now));
 }
 
 #[parameterized(out = { true }, inward = { false })]
@@ -301,41 +361,47 @@
             .cut
             .insert(if outgoing { (0, other) } else { (other, 0) });
     }
-    let contact = |c: &Cluster, n: usize| c.control(n).in_contact(c.now);
-    assert!(cluster.run_until(CONTACT + 100, |c| !contact(c, 0)));
+    let contact = |c: &Cluster, n: usize| c.control(n).has_quorum(c.now);
+    assert!(cluster.run_until(CONTACT_TIMEOUT + ms(100), |c| !contact(c, 0)));
     assert!(contact(&cluster, 1) && contact(&cluster, 2));
-    cluster.run(4_000);
+    cluster.run(ms(4_000));
     assert!(cluster.leader().is_some_and(|n| n != 0) && !contact(&cluster, 0));
 }
 
 #[test]
-fn a_frozen_leader_leads_no_more_when_it_wakes_and_asks_anew() {
+fn a_frozen_leader_leads_no_more_when_it_resumes_and_finds_the_others_again() {
     let mut cluster = Cluster::new(3, 3);
     assert_eq!(
-        cluster.order_until_answered(1_000, 0, 1),
+        cluster.order_until_answered(ms(1_000), 0, 1),
         Some(Response::Committed(1))
     );
     let leader = cluster.leader().unwrap();
     cluster.nodes[leader].frozen = true;
-    cluster.run(100);
+    cluster.run(ms(100));
     assert_eq!(
-        cluster.order_until_answered(6_000, 1, 2),
+        cluster.order_until_answered(ms(6_000), 1, 2),
         Some(Response::Committed(2))
     );
-    cluster.run(12_000);
+    cluster.run(ms(12_000));
     cluster.thaw(leader, |control, now, effects| {
-        control.replace(now, 1 << 32, 0, 9, b"late".to_vec(), effects);
-        control.read(now, 2 << 32, effects);
-        control.on_replica_heartbeat(now, 3 << 32, "i", beat("available", 1), effects);
-        assert!(control.holds_lease(now).is_none() && !control.in_contact(now));
+        control.replace_configuration(now, CallId(1 << 32), 0, 9, b"late".to_vec(), effects);
+        control.read_configuration(now, CallId(2 << 32), effects);
+        control.on_replica_heartbeat(
+            now,
+            CallId(3 << 32),
+            "i",
+            replica_heartbeat("available", 1),
+            effects,
+        );
+        assert!(control.lease_epoch(now).is_none() && !control.has_quorum(now));
     });
-    let answers = cluster.nodes[leader].answers.clone();
-    for token in [1u64 << 32, 2 << 32, 3 << 32] {
+    let responses = cluster.nodes[leader].responses.clone();
+    for call in [1 << 32, 2 << 32, 3 << 32].map(CallId) {
         assert!(
-            matches!(answers.get(&token), Some(Response::Unavailable(_))),
+            matches!(responses.get(&call), Some(Response::Unavailable(_))),
             "{:?}",
-            answers.get(&token)
+            responses.get(&call)
         );
     }
-    assert!(cluster.run_until(3_000, |c| c.control(leader).in_contact(c.now)));
+    assert!(cluster.run_until(ms(3_000), |c| c.control(leader).has_quorum(c.now)));
 }
--- a/crates/linenthread-control/tests/nodes/leaving.rs
+++ b/crates/linenthread-control/tests/nodes/leaving.rs
@@ -1,11 +1,11 @@
 //! Nodes that leave and join, and a second loss at each moment of it.
 
-use crate::cluster::{Cluster, address};
+use crate::cluster::{Cluster, address, ms};
 use linenthread_control::Response;
 use yare::parameterized;
 
-fn leave(cluster: &mut Cluster, n: usize) {
-    cluster.at(n, linenthread_control::ControlNode::leave);
+fn shut_down(cluster: &mut Cluster, n: usize) {
+    cluster.at(n, linenthread_control::ControlNode::begin_shutdown);
 }
 
 #[test]
@@ -13,12 +13,12 @@
     let mut cluster = Cluster::new(3, 3);
     let leader = cluster.leader().unwrap();
     let other = (0..3).find(|n| *n != leader).unwrap();
-    leave(&mut cluster, other);
-    assert!(cluster.run_until(100, |c| c.may_leave(other)));
+    shut_down(&mut cluster, other);
+    assert!(cluster.run_until(ms(100), |c| c.may_exit(other)));
     assert_eq!(cluster.voters(leader).len(), 3);
     // Asked again it changes nothing.
-    leave(&mut cluster, other);
-    assert!(cluster.may_leave(other));
+    shut_down(&mut cluster, other);
+    assert!(cluster.may_exit(other));
 }
 
 #[test]
@@ -26,28 +26,28 @@
     let mut cluster = Cluster::new(3, 3);
     let leader = cluster.leader().unwrap();
     let (leaver, slow) = ((leader + 1) % 3, (leader + 2) % 3);
-    cluster.nodes[slow].sync_ms = 3_000;
-    let token = cluster.order(leader, 0, 1);
-    assert!(cluster.run_until(900, |c| c.nodes[leader].answers.contains_key(&token)));
+    cluster.nodes[slow].sync_time = ms(3_000);
+    let call = cluster.order(leader, 0, 1);
+    assert!(cluster.run_until(ms(900), |c| c.nodes[leader].responses.contains_key(&call)));
     assert_eq!(
-        cluster.nodes[leader].answers[&token],
+        cluster.nodes[leader].responses[&call],
         Response::Committed(1)
     );
-    leave(&mut cluster, leaver);
+    shut_down(&mut cluster, leaver);
     assert!(
-        !cluster.run_until(1_500, |c| c.may_leave(leaver)),
+        !cluster.run_until(ms(1_500), |c| c.may_exit(leaver)),
         "only one disk would hold it"
     );
-    assert!(cluster.run_until(6_000, |c| c.may_leave(leaver)));
+    assert!(cluster.run_until(ms(6_000), |c| c.may_exit(leaver)));
     // Now the leader may be lost with its disk, while the others lose power.
     cluster.crash(leaver);
     cluster.wipe(leader);
     cluster.crash(slow);
-    cluster.nodes[slow].sync_ms = 2;
+    cluster.nodes[slow].sync_time = ms(2);
     cluster.start(slow);
     cluster.start(leaver);
     assert_eq!(
-        cluster.order_until_answered(8_000, 0, 1),
+        cluster.order_until_answered(ms(8_000), 0, 1),
         Some(Response::Committed(1))
     );
 }
@@ -56,12 +56,12 @@
 fn a_leader_gives_its_vote_to_a_standby_and_its_lease_back_before_it_goes() {
     let mut cluster = Cluster::new(4, 3);
     let leader = cluster.leader().unwrap();
-    cluster.nodes[3].sync_ms = 300;
+    cluster.nodes[3].sync_time = ms(300);
     cluster.start(3);
-    assert!(cluster.run_until(2_000, |c| c.control(3).in_contact(c.now)));
-    cluster.run(10);
-    leave(&mut cluster, leader);
-    assert!(cluster.run_until(2_000, |c| c.may_leave(leader)));
+    assert!(cluster.run_until(ms(2_000), |c| c.control(3).has_quorum(c.now)));
+    cluster.run(ms(10));
+    shut_down(&mut cluster, leader);
+    assert!(cluster.run_until(ms(2_000), |c| c.may_exit(leader)));
     let other = (0..3).find(|n| *n != leader).unwrap();
     let voters = cluster.voters(other);
     assert!(
@@ -69,7 +69,7 @@
     );
     assert_ne!(cluster.leader(), Some(leader));
     // It is no spare while it leaves.
-    cluster.run(3_000);
+    cluster.run(ms(3_000));
     assert!(cluster.voters(other).len() == 3 && cluster.leader().is_some());
 }
 
@@ -77,12 +77,12 @@
 fn a_leader_with_no_standby_hands_over_soon() {
     let mut cluster = Cluster::new(3, 3);
     let leader = cluster.leader().unwrap();
-    leave(&mut cluster, leader);
-    assert!(cluster.run_until(100, |c| c.may_leave(leader)));
+    shut_down(&mut cluster, leader);
+    assert!(cluster.run_until(ms(100), |c| c.may_exit(leader)));
     // Much sooner than its lease of 2 s would have ended.
-    assert!(cluster.run_until(300, |c| c.leader().is_some_and(|n| n != leader)));
+    assert!(cluster.run_until(ms(300), |c| c.leader().is_some_and(|n| n != leader)));
     assert_eq!(
-        cluster.order_until_answered(1_000, 0, 1),
+        cluster.order_until_answered(ms(1_000), 0, 1),
         Some(Response::Committed(1))
     );
 }
@@ -92,25 +92,25 @@
     let mut cluster = Cluster::new(3, 3);
     let leader = cluster.leader().unwrap();
     let leavers: Vec<usize> = (0..3).filter(|n| *n != leader).collect();
-    leavers.iter().for_each(|n| leave(&mut cluster, *n));
-    assert!(cluster.run_until(500, |c| leavers.iter().any(|n| c.may_leave(*n))));
-    let first = *leavers.iter().find(|n| cluster.may_leave(**n)).unwrap();
+    leavers.iter().for_each(|n| shut_down(&mut cluster, *n));
+    assert!(cluster.run_until(ms(500), |c| leavers.iter().any(|n| c.may_exit(*n))));
+    let first = *leavers.iter().find(|n| cluster.may_exit(**n)).unwrap();
     let second = *leavers.iter().find(|n| **n != first).unwrap();
     cluster.crash(first);
-    assert!(!cluster.run_until(3_000, |c| c.may_leave(second)));
+    assert!(!cluster.run_until(ms(3_000), |c| c.may_exit(second)));
     cluster.start(first);
-    assert!(cluster.run_until(4_000, |c| c.may_leave(second)));
+    assert!(cluster.run_until(ms(4_000), |c| c.may_exit(second)));
 }
 
 #[test]
 fn where_all_leave_all_may_go() {
     let mut cluster = Cluster::new(3, 3);
-    (0..3).for_each(|n| leave(&mut cluster, n));
+    (0..3).for_each(|n| shut_down(&mut cluster, n));
     let begins = cluster.now;
-    while cluster.nodes.iter().any(|n| n.control.is_some()) && cluster.now < begins + 6_000 {
-        cluster.run(5);
+    while cluster.nodes.iter().any(|n| n.control.is_some()) && cluster.now < begins + ms(6_000) {
+        cluster.run(ms(5));
         for n in 0..3 {
-            if cluster.may_leave(n) {
+            if cluster.may_exit(n) {
                 cluster.crash(n);
             }
         }
@@ -121,9 +121,9 @@
 #[test]
 fn a_call_at_one_that_leaves_is_sent_on() {
     let mut cluster = Cluster::new(3, 3);
-    leave(&mut cluster, 0);
-    let token = cluster.order(0, 0, 1);
-    let Response::Redirect(to) = cluster.nodes[0].answers[&token].clone() else {
+    shut_down(&mut cluster, 0);
+    let call = cluster.order(0, 0, 1);
+    let Response::Redirect(to) = cluster.nodes[0].responses[&call].clone() else {
         panic!("sent on")
     };
     assert!([address(1), address(2)].contains(&to));
@@ -133,12 +133,12 @@
 fn a_machine_votes_only_once_its_disk_holds_the_newest_value() {
     let mut cluster = Cluster::new(4, 3);
     assert_eq!(
-        cluster.order_until_answered(1_000, 0, 1),
+        cluster.order_until_answered(ms(1_000), 0, 1),
         Some(Response::Committed(1))
     );
-    cluster.nodes[3].sync_ms = 4_000;
+    cluster.nodes[3].sync_time = ms(4_000);
     cluster.start(3);
-    cluster.run(1_500);
+    cluster.run(ms(1_500));
     let newest = |c: &Cluster, n: usize| c.control(n).register().decided().map(|v| v.number);
     assert_eq!(
         newest(&cluster, 3),
@@ -147,13 +147,13 @@
     );
     let leader = cluster.leader().unwrap();
     let leaver = (leader + 1) % 3;
-    leave(&mut cluster, leaver);
+    shut_down(&mut cluster, leaver);
     let joined = |c: &Cluster| c.voters(leader).contains(&address(3));
     assert!(
-        !cluster.run_until(1_500, joined),
+        !cluster.run_until(ms(1_500), joined),
         "its disk does not hold it yet"
     );
-    assert!(cluster.run_until(12_000, joined));
+    assert!(cluster.run_until(ms(12_000), joined));
     assert_eq!(cluster.voters(leader).len(), 3);
 }
 
@@ -163,10 +163,10 @@
     let leader = cluster.leader().unwrap();
     let lost = (leader + 1) % 3;
     cluster.start(3);
-    cluster.run(3_000);
+    cluster.run(ms(3_000));
     assert!(cluster.voters(leader).len() == 3 && !cluster.voters(leader).contains(&address(3)));
     cluster.crash(lost);
-    assert!(cluster.run_until(4_000, |c| c.voters(leader).contains(&address(3))));
+    assert!(cluster.run_until(ms(4_000), |c| c.voters(leader).contains(&address(3))));
     assert!(cluster.voters(leader).len() == 3 && !cluster.voters(leader).contains(&address(lost)));
 }
 
@@ -218,31 +218,31 @@
 fn planned_replacement(plan: Plan) {
     let (leaver, joiner) = (plan.voters - 1, plan.voters);
     let mut cluster = Cluster::new(plan.voters + 1, plan.voters);
-    cluster.nodes[1].sync_ms = plan.voter_sync;
-    cluster.nodes[joiner].sync_ms = plan.joiner_sync;
+    cluster.nodes[1].sync_time = ms(plan.voter_sync);
+    cluster.nodes[joiner].sync_time = ms(plan.joiner_sync);
     cluster.start(joiner);
     assert_eq!(
-        cluster.order_until_answered(3_000, 0, 1),
+        cluster.order_until_answered(ms(3_000), 0, 1),
         Some(Response::Committed(1)),
         "{plan:?}"
     );
     // The successor has found the others; that it holds nothing yet does not matter.
     assert!(
-        cluster.run_until(2_000, |c| c.control(joiner).in_contact(c.now)),
+        cluster.run_until(ms(2_000), |c| c.control(joiner).has_quorum(c.now)),
         "{plan:?}"
     );
-    cluster.run(10);
-    leave(&mut cluster, leaver);
-    let end = cluster.now + plan.moment;
+    cluster.run(ms(10));
+    shut_down(&mut cluster, leaver);
+    let end = cluster.now + ms(plan.moment);
     while cluster.now < end {
-        cluster.run(5);
-        if cluster.may_leave(leaver) {
+        cluster.run(ms(5));
+        if cluster.may_exit(leaver) {
             cluster.wipe(leaver);
         }
     }
     lose(&mut cluster, plan.lost);
     assert_eq!(
-        cluster.order_until_answered(10_000, 1, 2),
+        cluster.order_until_answered(ms(10_000), 1, 2),
         Some(Response::Committed(2)),
         "{plan:?}"
     );
@@ -256,7 +256,7 @@
         .collect();
     rest.iter().for_each(|n| cluster.crash(*n));
     for n in rest {
-        cluster.nodes[n].sync_ms = 2;
+        cluster.nodes[n].sync_time = ms(2);
         cluster.start(n);
     }
 }
@@ -267,16 +267,16 @@
     for lost in 0..2 {
         let mut cluster = Cluster::new(4, 3);
         assert_eq!(
-            cluster.order_until_answered(3_000, 0, 1),
+            cluster.order_until_answered(ms(3_000), 0, 1),
             Some(Response::Committed(1))
         );
         cluster.wipe(2);
-        cluster.run(100);
+        cluster.run(ms(100));
         cluster.start(successor);
         // Out of contact for 1.5 s, a tick, and a value with its syncs.
-        cluster.run(2_500);
+        cluster.run(ms(2_500));
         lose(&mut cluster, &[lost]);
-        let answer = cluster.order_until_answered(10_000, 1, 2);
+        let answer = cluster.order_until_answered(ms(10_000), 1, 2);
         assert_eq!(answer, Some(Response::Committed(2)), "node {lost} lost");
     }
 }
--- a/crates/linenthread-control/tests/reconfiguration.rs
+++ b/crates/linenthread-control/tests/reconfiguration.rs
@@ -1,8 +1,9 @@
-//! Who votes next and when a machine may go, as tables of cases.
+//! Who votes next, and when a node that shuts down may exit, as tables of cases.
 
-use linenthread_control::reconfiguration::{
-    Holder, Leave, LeaveView, Presence, VoterState, VotersView, next_step_of_leaving, next_voters,
+use linenthread_control::graceful_shutdown::{
+    PeerVoter, Presence, ShutdownStep, ShutdownView, next_shutdown_step,
 };
+use linenthread_control::reconfiguration::{VoterState, VotersView, next_voters};
 use linenthread_messages::Voter;
 use yare::parameterized;
 
@@ -15,7 +16,7 @@
 
 /// Voters 1, 2, 3 and so on: `+` as they should be, `s` silent for a moment, `l` lost, `g` leaving, `r`
 /// replaced at their address.
-fn view(states: &str, standbys: &[u64], least: usize) -> VotersView {
+fn view(states: &str, standbys: &[u64], min_voters: usize) -> VotersView {
     let state = |(i, c): (usize, char)| VoterState {
         voter: voter(i as u64 + 1),
         in_contact: !"slr".contains(c),
@@ -27,7 +28,7 @@
     VotersView {
         voters: states.chars().enumerate().map(state).collect(),
         standbys,
-        least,
+        min_voters,
     }
 }
 
@@ -54,8 +55,13 @@
     lost_before_leaving = { "+gl", &[7], 3, Some(&[1, 2, 7]) },
     replaced_with_no_standby_there = { "+r+", &[], 3, None },
 )]
-fn voters_change_one_at_a_time(states: &str, standbys: &[u64], least: usize, next: Option<&[u64]>) {
-    let ids = next_voters(&view(states, standbys, least))
+fn voters_change_one_at_a_time(
+    states: &str,
+    standbys: &[u64],
+    min_voters: usize,
+    next: Option<&[u64]>,
+) {
+    let ids = next_voters(&view(states, standbys, min_voters))
         .map(|v| v.iter().map(|v| v.id).collect::<Vec<_>>());
     assert_eq!(ids.as_deref(), next);
 }
@@ -71,11 +77,11 @@
     assert_eq!(ids, [8, 2, 3]);
 }
 
-/// Voters 1, 2, 3 and so on, of which this machine is `own`: `+` in contact, `l` leaving, `d` departed, `a`
+/// Voters 1, 2, 3 and so on, of which this node is `own`: `+` in contact, `l` leaving, `d` departed, `a`
 /// absent; upper case (`P` for `+`) where its disk does not hold the newest value.
-fn leave_view(own: u64, states: &str) -> LeaveView {
-    let holder = |(i, c): (usize, char)| Holder {
-        disk: i as u64 + 1,
+fn shutdown_view(own: u64, states: &str) -> ShutdownView {
+    let voter = |(i, c): (usize, char)| PeerVoter {
+        node_id: i as u64 + 1,
         durable: !c.is_uppercase(),
         presence: match c.to_ascii_lowercase() {
             'l' => Presence::Leaving,
@@ -84,17 +90,17 @@
             _ => Presence::InContact,
         },
     };
-    let voters = states.chars().enumerate().map(holder).collect();
-    LeaveView {
-        disk: own,
+    let voters = states.chars().enumerate().map(voter).collect();
+    ShutdownView {
+        node_id: own,
         voters,
         standby: false,
-        least: 3,
-        unanswered: false,
+        min_voters: 3,
+        unacknowledged: false,
         reconfiguring: false,
-        in_doubt: false,
+        undecided: false,
         busy: false,
-        leads: false,
+        is_leader: false,
     }
 }
 
@@ -119,38 +125,38 @@
 )]
 fn a_machine_goes_when_the_others_hold_all(own: u64, states: &str, goes: bool) {
     assert_eq!(
-        next_step_of_leaving(&leave_view(own, states)) == Leave::Go,
+        next_shutdown_step(&shutdown_view(own, states)) == ShutdownStep::Exit,
         goes
     );
 }
 
 #[parameterized(
-    in_doubt = { LeaveView { in_doubt: true, ..leave_view(3, "+++") }, false },
-    busy = { LeaveView { busy: true, ..leave_view(3, "+++") }, false },
-    a_standby_comes = { LeaveView { standby: true, ..leave_view(3, "+++") }, false },
-    unanswered = { LeaveView { unanswered: true, ..leave_view(3, "+++") }, false },
-    voters_change = { LeaveView { reconfiguring: true, ..leave_view(3, "+++") }, false },
-    others_change = { LeaveView { reconfiguring: true, ..leave_view(9, "+++") }, false },
-    a_standby_for_others = { LeaveView { standby: true, ..leave_view(9, "+++") }, true },
-    one_too_many = { leave_view(3, "++++"), false },
-    five_that_bear_one_down = { leave_view(3, "+++++"), true },
-    five_with_two_that_go = { leave_view(3, "++++l"), false },
-    five_with_one_that_went = { leave_view(3, "++++d"), false },
+    in_doubt = { ShutdownView { undecided: true, ..shutdown_view(3, "+++") }, false },
+    busy = { ShutdownView { busy: true, ..shutdown_view(3, "+++") }, false },
+    a_standby_comes = { ShutdownView { standby: true, ..shutdown_view(3, "+++") }, false },
+    unanswered = { ShutdownView { unacknowledged: true, ..shutdown_view(3, "+++") }, false },
+    voters_change = { ShutdownView { reconfiguring: true, ..shutdown_view(3, "+++") }, false },
+    others_change = { ShutdownView { reconfiguring: true, ..shutdown_view(9, "+++") }, false },
+    a_standby_for_others = { ShutdownView { standby: true, ..shutdown_view(9, "+++") }, true },
+    one_too_many = { shutdown_view(3, "++++"), false },
+    five_that_bear_one_down = { shutdown_view(3, "+++++"), true },
+    five_with_two_that_go = { shutdown_view(3, "++++l"), false },
+    five_with_one_that_went = { shutdown_view(3, "++++d"), false },
 )]
-fn what_else_it_waits_for(view: LeaveView, goes: bool) {
-    assert_eq!(next_step_of_leaving(&view) == Leave::Go, goes);
+fn what_else_it_waits_for(view: ShutdownView, goes: bool) {
+    assert_eq!(next_shutdown_step(&view) == ShutdownStep::Exit, goes);
 }
 
 #[test]
 fn a_leader_releases_its_lease_last() {
-    let view = LeaveView {
-        leads: true,
-        ..leave_view(3, "+++")
+    let view = ShutdownView {
+        is_leader: true,
+        ..shutdown_view(3, "+++")
     };
-    assert_eq!(next_step_of_leaving(&view), Leave::Release);
-    let waits = LeaveView {
-        leads: true,
-        ..leave_view(3, "+P+")
+    assert_eq!(next_shutdown_step(&view), ShutdownStep::ReleaseLease);
+    let waits = ShutdownView {
+        is_leader: true,
+        ..shutdown_view(3, "+P+")
     };
-    assert!(matches!(next_step_of_leaving(&waits), Leave::Wait(_)));
+    assert!(matches!(next_shutdown_step(&waits), ShutdownStep::Wait(_)));
 }
