--- a/crates/linenthread-control/src/control_node.rs
+++ b/crates/linenthread-control/src/control_node.rs
@@ -59,13 +59,7 @@
         let epoch = durable_state.epoch;
         let budget = RetryBudget::new(config.retry_allowance, config.retry_window);
         let mut control = ControlNode {
-            lease: LeaderLease::new(
-                id,
-                config.incarnation,
-                now.as_millis(),
-                config.is_genesis,
-                epoch,
-            ),
+            lease: LeaderLease::new(id, config.incarnation, now, config.is_genesis, epoch),
             register: Register::new(id, durable_state, genesis, config.incarnation),
             voting: VotingState::default(),
             loopback: VecDeque::new(),
@@ -103,7 +97,7 @@
         self.voting.is_voter = self.is_voter();
         if let Some(value) = self.register.decided() {
             self.lease.follow(value);
-            self.lease.decided(now.as_millis(), value.epoch, false);
+            self.lease.decided(now, value.epoch, false);
         }
     }
 
@@ -119,7 +113,7 @@
 
     /// The epoch under which this node holds the leader lease; `None` if it does not lead.
     pub fn lease_epoch(&self, now: Instant) -> Option<u64> {
-        self.lease.holds(now.as_millis())
+        self.lease.holds(now)
     }
 
     /// All ingress nodes with a session at any control node, by name.
--- a/crates/linenthread-control/src/ingress_updates.rs
+++ b/crates/linenthread-control/src/ingress_updates.rs
@@ -32,7 +32,7 @@
         self.drive_register(
             now,
             |register, actions| {
-                register.read(now.as_millis(), job, deadline.as_millis(), actions);
+                register.read(now, job, deadline, actions);
             },
             effects,
         );
--- a/crates/linenthread-control/src/leader_lease.rs
+++ b/crates/linenthread-control/src/leader_lease.rs
@@ -13,10 +13,7 @@
             return;
         }
         let is_preferred = self.is_preferred_leader(now);
-        let Some(request) = self
-            .lease
-            .tick(now.as_millis(), is_preferred, self.value_number())
-        else {
+        let Some(request) = self.lease.tick(now, is_preferred, self.value_number()) else {
             return;
         };
         for (session, _) in self.membership.iter() {
@@ -62,7 +59,7 @@
         let value_number = Some(self.value_number()).filter(|_| !self.register.has_undecided());
         let vote = self
             .lease
-            .on_lease_request(now.as_millis(), from, request, value_number);
+            .on_lease_request(now, from, request, value_number);
         let vote = PeerMessage::LeaseVote(vote);
         let epoch = self.lease.epoch();
         if self.durability.holds_epoch(epoch) {
@@ -91,11 +88,11 @@
     ) {
         let was_leader = self.is_leader(now);
         let (register, value_number) = (&self.register, self.value_number());
-        let has_majority =
-            self.lease
-                .on_lease_vote(now.as_millis(), from, vote, value_number, |voters| {
-                    register.is_majority(voters)
-                });
+        let has_majority = self
+            .lease
+            .on_lease_vote(now, from, vote, value_number, |voters| {
+                register.is_majority(voters)
+            });
         if !has_majority {
             return;
         }
@@ -122,7 +119,7 @@
         if !self.is_shutting_down() || self.next_shutdown_step(now) != ShutdownStep::ReleaseLease {
             return;
         }
-        let Some(release) = self.lease.release(now.as_millis()) else {
+        let Some(release) = self.lease.release() else {
             return;
         };
         effects.push(Effect::Log(ControlEvent::LeaseReleased {
--- a/crates/linenthread-control/src/operator_calls.rs
+++ b/crates/linenthread-control/src/operator_calls.rs
@@ -39,7 +39,7 @@
         self.drive_register(
             now,
             |register, actions| {
-                register.propose(now.as_millis(), job, change, deadline.as_millis(), actions);
+                register.propose(now, job, change, deadline, actions);
             },
             effects,
         );
@@ -57,7 +57,7 @@
         self.drive_register(
             now,
             |register, actions| {
-                register.read(now.as_millis(), job, deadline.as_millis(), actions);
+                register.read(now, job, deadline, actions);
             },
             effects,
         );
--- a/crates/linenthread-control/src/pending_jobs.rs
+++ b/crates/linenthread-control/src/pending_jobs.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use linenthread_consensus::{Job, Outcome};
+use linenthread_consensus::{JobId, Outcome};
 
 use crate::{CallId, Response, SessionId, UnavailableReason};
 
@@ -19,20 +19,21 @@
 /// The jobs in flight.
 #[derive(Default)]
 pub(crate) struct PendingJobs {
-    last: Job,
-    owners: BTreeMap<Job, JobOwner>,
+    last: u64,
+    owners: BTreeMap<JobId, JobOwner>,
 }
 
 impl PendingJobs {
     /// Numbers a new job.
-    pub(crate) fn add(&mut self, owner: JobOwner) -> Job {
+    pub(crate) fn add(&mut self, owner: JobOwner) -> JobId {
         self.last += 1;
-        self.owners.insert(self.last, owner);
-        self.last
+        let job = JobId(self.last);
+        self.owners.insert(job, owner);
+        job
     }
 
     /// Removes a job that has ended.
-    pub(crate) fn take(&mut self, job: Job) -> Option<JobOwner> {
+    pub(crate) fn take(&mut self, job: JobId) -> Option<JobOwner> {
         self.owners.remove(&job)
     }
 
--- a/crates/linenthread-control/src/quorum_contact.rs
+++ b/crates/linenthread-control/src/quorum_contact.rs
@@ -79,7 +79,7 @@
         self.complete_drains(now, effects);
         self.drive_register(
             now,
-            |register, actions| register.tick(now.as_millis(), actions),
+            |register, actions| register.tick(now, actions),
             effects,
         );
     }
--- a/crates/linenthread-control/src/register_driver.rs
+++ b/crates/linenthread-control/src/register_driver.rs
@@ -1,6 +1,6 @@
 //! Drives the register: carries out what it asks for, and takes in what it decided.
 
-use linenthread_consensus::{Effect as RegisterEffect, Job, Outcome, Register};
+use linenthread_consensus::{Effect as RegisterEffect, JobId, Outcome, Register};
 use linenthread_messages::{DurableProgress, PeerMessage, Record, Value};
 use linenthread_time::Instant;
 
@@ -105,9 +105,7 @@
             PeerMessage::DurableProgress(progress) => {
                 self.durability.on_epoch_synced(progress.epoch);
             }
-            message => self
-                .register
-                .on_message(now.as_millis(), own_id, message, actions),
+            message => self.register.on_message(now, own_id, message, actions),
         }
     }
 
@@ -129,8 +127,7 @@
         let votes_again =
             is_voter && (!self.voting.is_voter || self.lease.misses_change_of_voters(value));
         self.lease.follow(value);
-        self.lease
-            .decided(now.as_millis(), value.epoch, votes_again);
+        self.lease.decided(now, value.epoch, votes_again);
         self.voting.is_voter = is_voter;
         for session in self.membership.sessions() {
             self.send_value(session, effects);
@@ -142,7 +139,13 @@
 
     /// A job has ended. What one peer has sent may be true and the newest there is; but out of contact with a majority
     /// nothing is confirmed, and nothing conclusively rejected.
-    fn on_outcome(&mut self, now: Instant, job: Job, outcome: Outcome, effects: &mut Vec<Effect>) {
+    fn on_outcome(
+        &mut self,
+        now: Instant,
+        job: JobId,
+        outcome: Outcome,
+        effects: &mut Vec<Effect>,
+    ) {
         let outcome = if self.has_quorum(now) {
             outcome
         } else {
@@ -178,7 +181,7 @@
             now,
             |register, actions| {
                 register.complete();
-                register.tick(now.as_millis(), actions);
+                register.tick(now, actions);
             },
             effects,
         );
--- a/crates/linenthread-control/src/sessions.rs
+++ b/crates/linenthread-control/src/sessions.rs
@@ -187,7 +187,7 @@
         }
         self.drive_register(
             now,
-            |register, actions| register.on_message(now.as_millis(), node_id, message, actions),
+            |register, actions| register.on_message(now, node_id, message, actions),
             effects,
         );
     }
--- a/crates/linenthread-control/src/ticks.rs
+++ b/crates/linenthread-control/src/ticks.rs
@@ -27,7 +27,7 @@
         self.ticks.start_run(now);
         self.drive_register(
             now,
-            |register, actions| register.tick(now.as_millis(), actions),
+            |register, actions| register.tick(now, actions),
             effects,
         );
         self.complete_drains(now, effects);
--- a/crates/linenthread-control/src/voters.rs
+++ b/crates/linenthread-control/src/voters.rs
@@ -53,7 +53,7 @@
     pub(crate) fn adjust_voters(&mut self, now: Instant, epoch: u64, effects: &mut Vec<Effect>) {
         let may_propose = !self.voting.change_in_flight
             && self.has_quorum(now)
-            && self.lease.holds_on(now.as_millis(), self.value_number());
+            && self.lease.holds_on(now, self.value_number());
         if !may_propose {
             return;
         }
@@ -78,7 +78,7 @@
         self.drive_register(
             now,
             |register, actions| {
-                register.propose(now.as_millis(), job, change, deadline.as_millis(), actions);
+                register.propose(now, job, change, deadline, actions);
             },
             effects,
         );
--- a/crates/linenthread-node/src/control.rs
+++ b/crates/linenthread-node/src/control.rs
@@ -7,12 +7,14 @@
 use std::time::Duration;
 
 use linenthread_config::{Configuration, Settings};
+use linenthread_control::graceful_shutdown::ShutdownBlocker;
 use linenthread_control::{
-    CallId, ControlNode, Effect, NodeConfig, ReplicaHeartbeat, Response, SessionId,
+    CallId, ControlNode, DeferredMessage, Effect, NodeConfig, ReplicaHeartbeat, Response, SessionId,
 };
 use linenthread_dataplane::connection::{HttpConnection, Stop};
 use linenthread_http::{Head, request_framing};
 use linenthread_messages::{PeerMessage, Value, Voter};
+use linenthread_time::Instant as ClockInstant;
 use serde_json::json;
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{mpsc, oneshot};
@@ -47,11 +49,11 @@
     Read(oneshot::Sender<Response>),
     Members(oneshot::Sender<serde_json::Value>),
     Replicas(oneshot::Sender<serde_json::Value>),
-    Synced(Vec<(u64, PeerMessage)>),
+    Synced(Vec<DeferredMessage>),
     /// A planned end was asked for; the answer comes when this node may go.
     Leave(oneshot::Sender<()>),
     /// Why it may not go yet.
-    LeaveWaits(oneshot::Sender<&'static str>),
+    LeaveWaits(oneshot::Sender<Option<ShutdownBlocker>>),
     Stop(oneshot::Sender<()>),
 }
 
@@ -75,7 +77,12 @@
         let (tell, cause) = oneshot::channel();
         let _ = self.commands.send(Command::LeaveWaits(tell)).await;
         let cause = tokio::time::timeout(Duration::from_millis(100), cause).await;
-        let cause = cause.ok().and_then(Result::ok).unwrap_or("no answer");
+        let cause = cause
+            .ok()
+            .and_then(Result::ok)
+            .map_or("no answer".to_owned(), |blocker| {
+                blocker.map_or("nothing".to_owned(), |blocker| blocker.to_string())
+            });
         log::warn!(ms = took(began), waits_for = cause; "event=shutdown_incomplete");
     }
 
@@ -88,6 +95,11 @@
     }
 }
 
+/// The present moment of the process's steady clock.
+fn clock_now() -> ClockInstant {
+    ClockInstant::from_millis(clock::ms())
+}
+
 /// A number that is the same nowhere else.
 pub(crate) fn life() -> u64 {
     let at = std::time::SystemTime::now()
@@ -138,14 +150,14 @@
         control_address: own,
         may_vote: settings.quorum_member,
         min_voters: 2 * settings.machine_faults + 1,
-        heartbeat_interval: settings.heartbeat_ms,
+        heartbeat_interval: Duration::from_millis(settings.heartbeat_ms),
         bootstrap,
         is_genesis: settings.initial_boot && empty,
         retry_allowance: settings.retry_allowance,
-        retry_window: settings.retry_window_ms,
+        retry_window: Duration::from_millis(settings.retry_window_ms),
     };
     log::info!(disk = id, empty = empty, first = first; "event=control_started");
-    let control = ControlNode::new(local, id, kept, genesis.clone(), clock::ms());
+    let control = ControlNode::new(local, id, kept, genesis.clone(), clock_now());
     if empty {
         disk.keep(
             linenthread_messages::Record {
@@ -169,7 +181,7 @@
         disk,
         links: HashMap::new(),
         calls: HashMap::new(),
-        tokens: 0,
+        tokens: CallId(0),
         commands: commands.clone(),
         port: settings.peers_port,
         leaves: Vec::new(),
@@ -215,7 +227,7 @@
 /// One link for as long as it lasts.
 async fn link(stream: TcpStream, peer: String, commands: mpsc::Sender<Command>) {
     static LINKS: std::sync::atomic::AtomicU64 = std::sync::atomic::AtomicU64::new(1);
-    let link = LINKS.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
+    let link = SessionId(LINKS.fetch_add(1, std::sync::atomic::Ordering::Relaxed));
     let (to, words) = mpsc::channel(links::WAITING);
     if commands.send(Command::Opened(link, to)).await.is_err() {
         return;
@@ -249,10 +261,10 @@
             if self.gone {
                 queue.recv_many(&mut waiting, 64).await;
             } else {
-                let due = clock::at_ms(self.control.next_tick_at(clock::ms())).into();
+                let due = clock::at_ms(self.control.next_tick_at(clock_now()).as_millis()).into();
                 let _ = tokio::time::timeout_at(due, queue.recv_many(&mut waiting, 64)).await;
             }
-            let now = clock::ms();
+            let now = clock_now();
             for command in waiting.drain(..) {
                 if let Command::Stop(done) = command {
                     self.links.clear();
@@ -273,7 +285,7 @@
                 self.control.tick(now, &mut out);
             }
             self.carry_out(&mut out);
-            if !self.leaves.is_empty() && self.control.may_leave(now) {
+            if !self.leaves.is_empty() && self.control.may_exit(now) {
                 self.go();
             }
         }
@@ -290,23 +302,23 @@
     }
 
     fn token(&mut self, reply: oneshot::Sender<Response>) -> CallId {
-        self.tokens += 1;
+        self.tokens.0 += 1;
         self.calls.insert(self.tokens, reply);
         self.tokens
     }
 
-    fn take(&mut self, now: u64, command: Command, out: &mut Vec<Effect>) {
+    fn take(&mut self, now: ClockInstant, command: Command, out: &mut Vec<Effect>) {
         match command {
             Command::Opened(link, to) => {
                 self.links.insert(link, to);
-                self.control.opened(link, out);
+                self.control.on_session_opened(link, out);
             }
             Command::PeerMessage(link, word) => self.control.on_message(now, link, word, out),
             Command::Closed(link) => {
                 self.links.remove(&link);
-                self.control.closed(now, link, out);
+                self.control.on_session_closed(now, link, out);
             }
-            Command::Unreached(address) => self.control.unreached(now, &address),
+            Command::Unreached(address) => self.control.on_dial_failed(now, &address),
             Command::Beat(ident, beat, reply) => {
                 let token = self.token(reply);
                 self.control
@@ -324,20 +336,20 @@
             } => {
                 let token = self.token(reply);
                 self.control
-                    .replace(now, token, base, revision, document, out);
+                    .replace_configuration(now, token, base, revision, document, out);
             }
             Command::Read(reply) => {
                 let token = self.token(reply);
-                self.control.read(now, token, out);
+                self.control.read_configuration(now, token, out);
             }
-            Command::Members(reply) => drop(reply.send(self.control.members(now))),
-            Command::Replicas(reply) => drop(reply.send(self.control.replicas(now))),
-            Command::Synced(then) => self.control.synced(now, then, out),
+            Command::Members(reply) => drop(reply.send(self.control.members_status(now))),
+            Command::Replicas(reply) => drop(reply.send(self.control.replicas_status(now))),
+            Command::Synced(then) => self.control.on_synced(now, then, out),
             Command::Leave(done) => {
-                self.control.leave(now, out);
+                self.control.begin_shutdown(now, out);
                 self.leaves.push(done);
             }
-            Command::LeaveWaits(reply) => drop(reply.send(self.control.leave_waits_for(now))),
+            Command::LeaveWaits(reply) => drop(reply.send(self.control.shutdown_blocker(now))),
             Command::Stop(_) => {}
         }
     }
@@ -357,8 +369,8 @@
                         self.links.remove(&link);
                     }
                 }
-                Effect::Persist { record, then } => {
-                    if !self.disk.keep(record, then) {
+                Effect::Persist { record, after_sync } => {
+                    if !self.disk.keep(record, after_sync) {
                         log::warn!("event=disk_backlogged");
                     }
                 }
--- a/crates/linenthread-node/src/disk.rs
+++ b/crates/linenthread-node/src/disk.rs
@@ -4,8 +4,8 @@
 use std::sync::mpsc;
 
 use linenthread_consensus::DurableState;
-use linenthread_control::StateLog;
-use linenthread_messages::{PeerMessage, Record};
+use linenthread_control::{DeferredMessage, StateLog};
+use linenthread_messages::Record;
 use linenthread_store::Folder;
 
 use crate::errors::Error;
@@ -15,7 +15,7 @@
 /// Records that may wait; above, the register's words are dropped and said again later.
 const WAITING: usize = 256;
 
-type Then = Vec<(u64, PeerMessage)>;
+type Then = Vec<DeferredMessage>;
 
 pub(crate) struct Disk {
     to: mpsc::SyncSender<(Record, Then)>,
