--- a/crates/linenthread-node/src/control.rs
+++ b/crates/linenthread-node/src/control.rs
@@ -150,11 +150,11 @@
         control_address: own,
         may_vote: settings.quorum_member,
         min_voters: 2 * settings.machine_faults + 1,
-        heartbeat_interval: Duration::from_millis(settings.heartbeat_ms),
+        heartbeat_interval: settings.heartbeat_interval,
         bootstrap,
         is_genesis: settings.initial_boot && empty,
         retry_allowance: settings.retry_allowance,
-        retry_window: Duration::from_millis(settings.retry_window_ms),
+        retry_window: settings.retry_window,
     };
     log::info!(disk = id, empty = empty, first = first; "event=control_started");
     let control = ControlNode::new(local, id, kept, genesis.clone(), clock_now());
@@ -500,7 +500,7 @@
             let Ok(base) = base else {
                 return refuse(400, "X-Base-Revision is no number");
             };
-            match Configuration::judge(&body) {
+            match Configuration::parse(&body) {
                 Ok(read) => {
                     let (revision, document) = (read.revision, body);
                     asked(commands, |reply| Command::Replace {
