--- a/crates/linenthread-control/tests/golden_json.rs
+++ b/crates/linenthread-control/tests/golden_json.rs
@@ -3,9 +3,14 @@
 //! The files under `tests/golden/` were written by commit 464716d. They must never be regenerated to make a test
 //! pass: replicas, the client and the operators' own tools depend on these keys.
 
+use std::time::Duration;
+
 use linenthread_consensus::{DurableState, genesis_id};
-use linenthread_control::{ControlNode, Effect, NodeConfig, ReplicaHeartbeat, ReplicaRegistry};
+use linenthread_control::{
+    CallId, ControlNode, Effect, NodeConfig, ReplicaHeartbeat, ReplicaRegistry, SessionId,
+};
 use linenthread_messages::{Heartbeat, Hello, PeerMessage, Replica, VERSION, Value, Voter};
+use linenthread_time::Instant;
 
 /// A replica's heartbeat as it is posted, with each key.
 const HEARTBEAT: &str = r#"{"backend":"shard-7","address":"10.9.0.1:9000","zone":"zone-b",
@@ -14,8 +19,10 @@
 const SHORT_HEARTBEAT: &str = r#"{"backend":"shard-8","address":"10.9.0.2:9000","zone":"zone-c",
     "phase":"available","call_count":1}"#;
 
-/// A moment in milliseconds of the steady clock.
-const NOW: u64 = 1_000;
+/// When the messages and calls arrive.
+const NOW: Instant = Instant::from_millis(1_000);
+/// How long after that the status is read.
+const READ_AFTER: Duration = Duration::from_millis(50);
 
 fn address(n: usize) -> String {
     format!("10.0.0.{n}:80")
@@ -34,11 +41,11 @@
         control_address: address(1),
         may_vote: true,
         min_voters: 3,
-        heartbeat_interval: 1_000,
+        heartbeat_interval: Duration::from_millis(1_000),
         bootstrap: bootstrap.clone(),
         is_genesis: true,
         retry_allowance: 10.0,
-        retry_window: 10_000,
+        retry_window: Duration::from_millis(10_000),
     };
     let genesis = Value {
         revision: 312,
@@ -46,7 +53,13 @@
         ..Value::default()
     };
     let id = genesis_id(&address(1));
-    ControlNode::new(local, id, DurableState::default(), Some(genesis), 0)
+    ControlNode::new(
+        local,
+        id,
+        DurableState::default(),
+        Some(genesis),
+        Instant::START,
+    )
 }
 
 /// A control node with a peer, an ingress node and two replicas.
@@ -72,13 +85,14 @@
     let heartbeat = |revision| Heartbeat {
         has_quorum: true,
         revision,
-        sent_at: NOW,
-        echoed_sent_at: Some(NOW),
+        sent_at: NOW.as_millis(),
+        echoed_sent_at: Some(NOW.as_millis()),
         durable_value_number: Some(0),
         ..Heartbeat::default()
     };
     for (session, hello, revision) in [(1, peer, 0), (2, ingress, 311)] {
-        control.opened(session, &mut effects);
+        let session = SessionId(session);
+        control.on_session_opened(session, &mut effects);
         control.on_message(NOW, session, PeerMessage::Hello(hello), &mut effects);
         let heartbeat = PeerMessage::Heartbeat(heartbeat(revision));
         control.on_message(NOW, session, heartbeat, &mut effects);
@@ -88,7 +102,7 @@
         (2, "replica-2", SHORT_HEARTBEAT),
     ] {
         let heartbeat: ReplicaHeartbeat = serde_json::from_str(text).expect("a heartbeat");
-        control.on_replica_heartbeat(NOW, call, id, heartbeat, &mut effects);
+        control.on_replica_heartbeat(NOW, CallId(call), id, heartbeat, &mut effects);
     }
     control
 }
@@ -116,7 +130,7 @@
     let mut registry = ReplicaRegistry::default();
     registry.observe(NOW, &replica, &mut Vec::new());
     registry.observe(NOW, &other, &mut Vec::new());
-    registry.depart(NOW, "replica-2");
+    registry.mark_departed(NOW, "replica-2");
     registry.digest()
 }
 
@@ -124,7 +138,9 @@
 fn members_have_the_keys_of_version_464716d() {
     let golden = include_str!("golden/members.json");
     assert_eq!(
-        busy_control_node().members(NOW + 50).to_string(),
+        busy_control_node()
+            .members_status(NOW + READ_AFTER)
+            .to_string(),
         golden.trim_end()
     );
 }
@@ -133,7 +149,9 @@
 fn replicas_have_the_keys_of_version_464716d() {
     let golden = include_str!("golden/replicas.json");
     assert_eq!(
-        busy_control_node().replicas(NOW + 50).to_string(),
+        busy_control_node()
+            .replicas_status(NOW + READ_AFTER)
+            .to_string(),
         golden.trim_end()
     );
 }
