--- a/crates/linenthread-control/src/state_log.rs
+++ b/crates/linenthread-control/src/state_log.rs
@@ -1,60 +1,82 @@
-//! The durable state of a core machine as a log on disk: records in pieces, compaction, and a new start of
-//! the log after the disk failed. Generic over the files, so that the daemon and the drill run the same code.
+//! The durable state of a control node as a log on disk: records in parts, compaction, and recovery after the disk
+//! failed. Generic over the files, so that the daemon and the simulation run the same code.
 
 use linenthread_consensus::DurableState;
 use linenthread_messages::Record;
-use linenthread_store::{Cut, Files, LONGEST, Log, Trouble};
+use linenthread_store::{
+    DirectoryError, Files, Log, LogError, MAX_RECORD_BYTES, OpenedLog, TornTail,
+};
 use prost::Message;
-use snafu::{ResultExt, Snafu};
+use snafu::{OptionExt, ResultExt, Snafu};
 
-/// The longest piece of a record that one entry of the log holds, without its mark.
-const PIECE: usize = LONGEST / 2;
-/// The first byte of an entry: whether the record goes on in the next one.
-const GOES_ON: u8 = 0;
-const ENDS: u8 = 1;
+/// Longest part of a record that one entry of the log holds, in bytes, without its marker.
+const MAX_PART_BYTES: usize = MAX_RECORD_BYTES / 2;
 
-/// Why the state can't be read or written.
+/// First byte of an entry: the record goes on in the next entry.
+const PART: u8 = 0;
+
+/// First byte of an entry: the record ends with this entry.
+const LAST_PART: u8 = 1;
+
+/// Why the durable state can't be read or written.
 #[derive(Debug, Snafu)]
 pub enum StateLogError {
-    #[snafu(display("the folder can't be taken: {cause}"))]
-    Take { cause: String },
-    #[snafu(display("{trouble}"))]
-    Disk { trouble: Trouble },
+    /// The directory can't be opened.
+    #[snafu(display("the folder can't be taken: {source}"))]
+    OpenDirectory {
+        /// What the directory reported.
+        source: DirectoryError,
+    },
+    /// The log can't be read or written.
+    #[snafu(display("{source}"))]
+    Log {
+        /// What the log reported.
+        source: LogError,
+    },
+    /// The log holds an entry without a marker.
     #[snafu(display("the log holds an empty entry"))]
     EmptyEntry,
+    /// The log holds a record that does not decode.
     #[snafu(display("a record does not decode: {source}"))]
-    Decode { source: prost::DecodeError },
+    Decode {
+        /// What is wrong with it.
+        source: prost::DecodeError,
+    },
 }
 
 /// What [`StateLog::open`] found.
-pub struct OpenedState<F: Files, T: FnMut() -> Result<F, String>> {
-    pub log: StateLog<F, T>,
+pub struct OpenedState<F: Files, O: FnMut() -> Result<F, DirectoryError>> {
+    /// The log, ready to be written.
+    pub log: StateLog<F, O>,
+    /// The durable state.
     pub state: DurableState,
-    /// A torn end that a crash had left.
-    pub cut: Option<Cut>,
+    /// What a crash had left unfinished, and was truncated.
+    pub torn_tail: Option<TornTail>,
 }
 
-/// The log of one machine's durable state. `take` takes hold of its files, anew after each failure.
-pub struct StateLog<F: Files, T: FnMut() -> Result<F, String>> {
-    take: T,
-    /// None after a failure: what the disk holds then is not known.
+/// The log of one node's durable state.
+pub struct StateLog<F: Files, O: FnMut() -> Result<F, DirectoryError>> {
+    /// Opens the node's files; called again after each failure.
+    open_files: O,
+    /// `None` after a failure: what the disk holds is unknown then.
     log: Option<Log<F>>,
     /// All that was handed over, synced or not.
     state: DurableState,
     compact_above: u64,
 }
 
-impl<F: Files, T: FnMut() -> Result<F, String>> StateLog<F, T> {
-    /// Opens what the disk holds; the log is compacted when it is longer than `compact_above` bytes.
+impl<F: Files, O: FnMut() -> Result<F, DirectoryError>> StateLog<F, O> {
+    /// Opens what the disk holds. The log is compacted once it is longer than `compact_above` bytes. `open_files` opens
+    /// the node's files; after a failed write it is called again.
     ///
     /// # Errors
     ///
-    /// The files can't be taken, or what was synced once is not readable any more.
-    pub fn open(mut take: T, compact_above: u64) -> Result<OpenedState<F, T>, StateLogError> {
-        let opened = open(&mut take)?;
+    /// The files can't be opened, or what was synced is not readable any more.
+    pub fn open(mut open_files: O, compact_above: u64) -> Result<OpenedState<F, O>, StateLogError> {
+        let opened = open_log(&mut open_files)?;
         let state = decode(opened.records)?;
         let log = StateLog {
-            take,
+            open_files,
             log: Some(opened.log),
             state: state.clone(),
             compact_above,
@@ -62,16 +84,16 @@
         Ok(OpenedState {
             log,
             state,
-            cut: opened.cut,
+            torn_tail: opened.torn_tail,
         })
     }
 
-    /// Writes and syncs these records. After a failure the next call opens the log anew and writes all that
-    /// is known whole: records whose write failed may be on disk or not until then.
+    /// Writes and syncs these records. After a failure the next call opens the log again and writes the complete state:
+    /// until then, records whose write failed may be on disk or not.
     ///
     /// # Errors
     ///
-    /// The disk failed or is full: nothing that waits on these records may be said.
+    /// The disk failed or is full: no message that waits for these records may be sent.
     pub fn write(&mut self, records: &[Record]) -> Result<(), StateLogError> {
         for record in records {
             self.state.add(record.clone());
@@ -79,18 +101,20 @@
         let result = match self.log.take() {
             Some(log) if log.bytes() < self.compact_above => append(log, records),
             Some(log) => rewrite(log, &self.state),
-            None => open(&mut self.take).and_then(|opened| rewrite(opened.log, &self.state)),
+            None => {
+                open_log(&mut self.open_files).and_then(|opened| rewrite(opened.log, &self.state))
+            }
         };
         self.log = Some(result?);
         Ok(())
     }
 
-    /// Bytes of the log on disk; none while it is not open.
+    /// Bytes of the log on disk; 0 while it is not open.
     pub fn bytes(&self) -> u64 {
         self.log.as_ref().map_or(0, Log::bytes)
     }
 
-    /// Bytes of all that is known, written whole.
+    /// Bytes of the complete state as records.
     pub fn compacted_bytes(&self) -> u64 {
         self.state
             .records()
@@ -100,53 +124,55 @@
     }
 }
 
-fn open<F: Files>(
-    take: &mut impl FnMut() -> Result<F, String>,
-) -> Result<linenthread_store::Opened<F>, StateLogError> {
-    let files = take().map_err(|cause| StateLogError::Take { cause })?;
-    Log::open(files).map_err(disk)
+fn open_log<F: Files>(
+    open_files: &mut impl FnMut() -> Result<F, DirectoryError>,
+) -> Result<OpenedLog<F>, StateLogError> {
+    let files = open_files().context(OpenDirectorySnafu)?;
+    Log::open(files).context(LogSnafu)
 }
 
 fn append<F: Files>(mut log: Log<F>, records: &[Record]) -> Result<Log<F>, StateLogError> {
     for entry in records.iter().flat_map(entries) {
-        log.append(&entry).map_err(disk)?;
+        log.append(&entry).context(LogSnafu)?;
     }
-    log.sync().map_err(disk)?;
+    log.sync().context(LogSnafu)?;
     Ok(log)
 }
 
 fn rewrite<F: Files>(mut log: Log<F>, state: &DurableState) -> Result<Log<F>, StateLogError> {
-    let whole: Vec<Vec<u8>> = state.records().iter().flat_map(entries).collect();
-    log.rewrite(&whole).map_err(disk)?;
+    let complete: Vec<Vec<u8>> = state.records().iter().flat_map(entries).collect();
+    log.rewrite(&complete).context(LogSnafu)?;
     Ok(log)
 }
 
-fn disk(trouble: Trouble) -> StateLogError {
-    StateLogError::Disk { trouble }
-}
-
-/// A record as entries of the log: pieces, each behind its mark.
+/// A record as entries of the log: its parts, each behind a marker.
 fn entries(record: &Record) -> Vec<Vec<u8>> {
     let bytes = record.encode_to_vec();
-    let count = bytes.len().div_ceil(PIECE).max(1);
-    let entry = |index: usize| {
-        let end = bytes.len().min((index + 1) * PIECE);
-        let mut entry = vec![if index + 1 == count { ENDS } else { GOES_ON }];
-        entry.extend_from_slice(&bytes[index * PIECE..end]);
-        entry
-    };
-    (0..count).map(entry).collect()
+    if bytes.is_empty() {
+        return vec![vec![LAST_PART]];
+    }
+    let count = bytes.len().div_ceil(MAX_PART_BYTES);
+    bytes
+        .chunks(MAX_PART_BYTES)
+        .enumerate()
+        .map(|(index, part)| {
+            let marker = if index + 1 == count { LAST_PART } else { PART };
+            let mut entry = vec![marker];
+            entry.extend_from_slice(part);
+            entry
+        })
+        .collect()
 }
 
 fn decode(entries: Vec<Vec<u8>>) -> Result<DurableState, StateLogError> {
     let mut state = DurableState::default();
-    let mut whole = Vec::new();
+    let mut bytes = Vec::new();
     for entry in entries {
-        let (mark, piece) = entry.split_first().ok_or(StateLogError::EmptyEntry)?;
-        whole.extend_from_slice(piece);
-        if *mark == ENDS {
-            state.add(Record::decode(&whole[..]).context(DecodeSnafu)?);
-            whole.clear();
+        let (marker, part) = entry.split_first().context(EmptyEntrySnafu)?;
+        bytes.extend_from_slice(part);
+        if *marker == LAST_PART {
+            state.add(Record::decode(&bytes[..]).context(DecodeSnafu)?);
+            bytes.clear();
         }
     }
     Ok(state)
--- a/crates/linenthread-control/tests/golden.rs
+++ b/crates/linenthread-control/tests/golden.rs
@@ -12,7 +12,7 @@
 use linenthread_messages::{
     Accepted, Ballot, DocumentDigest, OrderIdentity, Record, Replica, Value, Voter,
 };
-use linenthread_store::{Files, Model};
+use linenthread_store::{DirectoryError, Files, SimulatedDisk};
 
 /// The only file of a log that was never compacted.
 const FIRST_FILE: &str = "0000000000000001.log";
@@ -25,12 +25,12 @@
 /// A document whose record takes two entries of the log.
 const LONG_DOCUMENT: usize = 600_000;
 
-type Disk = Rc<RefCell<Model>>;
+type Disk = Rc<RefCell<SimulatedDisk>>;
 
 fn open(
     disk: &Disk,
     compact_above: u64,
-) -> OpenedState<Disk, impl FnMut() -> Result<Disk, String> + use<>> {
+) -> OpenedState<Disk, impl FnMut() -> Result<Disk, DirectoryError> + use<>> {
     let disk = disk.clone();
     StateLog::open(move || Ok(disk.clone()), compact_above).expect("the folder opens")
 }
@@ -45,7 +45,7 @@
 
 /// The one file on the disk.
 fn file(disk: &Disk) -> (String, Vec<u8>) {
-    let names = disk.borrow_mut().names().expect("a folder");
+    let names = disk.borrow_mut().list().expect("a folder");
     assert_eq!(names.len(), 1, "{names:?}");
     let bytes = disk.borrow_mut().read(&names[0]).expect("a file");
     (names[0].clone(), bytes)
@@ -218,7 +218,7 @@
 fn a_state_folder_of_version_464716d_opens_with_its_state() {
     let bytes = bytes_of(include_str!("golden/state.hex"));
     let opened = open(&disk_with(FIRST_FILE, &bytes), NEVER_COMPACT);
-    assert_eq!(opened.cut, None);
+    assert_eq!(opened.torn_tail, None);
     assert_eq!(opened.state, state_of(writes().into_iter().flatten()));
     assert_eq!(opened.state.records(), expected_records());
 }
@@ -250,10 +250,10 @@
     let torn = bytes_of(include_str!("golden/state_torn.hex"));
     let disk = disk_with(FIRST_FILE, &torn);
     let mut opened = open(&disk, NEVER_COMPACT);
-    let cut = opened.cut.as_ref().expect("a torn end");
-    assert_eq!(cut.file, FIRST_FILE);
-    assert_eq!(cut.at, complete.len() as u64);
-    assert_eq!(cut.bytes, TORN_BYTES as u64);
+    let torn_tail = opened.torn_tail.as_ref().expect("a torn end");
+    assert_eq!(torn_tail.file, FIRST_FILE);
+    assert_eq!(torn_tail.offset, complete.len() as u64);
+    assert_eq!(torn_tail.bytes, TORN_BYTES as u64);
     assert_eq!(opened.state.records(), expected_records());
     assert_eq!(file(&disk).1, complete);
     let written = opened.log.write(&[write_after_torn()]);
@@ -270,7 +270,7 @@
     let complete = bytes_of(include_str!("golden/state.hex"));
     let disk = disk_with(FIRST_FILE, &complete);
     let mut opened = open(&disk, NEVER_COMPACT);
-    disk.borrow_mut().leave_room(TORN_BYTES);
+    disk.borrow_mut().limit_free_bytes(TORN_BYTES);
     opened
         .log
         .write(&[torn_write()])
@@ -294,6 +294,6 @@
 fn a_record_of_which_version_464716d_wrote_only_the_first_piece_is_left_out() {
     let bytes = bytes_of(include_str!("golden/state_first_piece.hex"));
     let opened = open(&disk_with(FIRST_FILE, &bytes), NEVER_COMPACT);
-    assert!(opened.cut.is_some());
+    assert!(opened.torn_tail.is_some());
     assert_eq!(opened.state, state_of([long_write(11)]));
 }
--- a/crates/linenthread-control/tests/state_log.rs
+++ b/crates/linenthread-control/tests/state_log.rs
@@ -5,14 +5,14 @@
 
 use linenthread_control::{OpenedState, StateLog, StateLogError};
 use linenthread_messages::{Record, Value};
-use linenthread_store::Model;
+use linenthread_store::{DirectoryError, SimulatedDisk};
 use oorandom::Rand64;
 
 const COMPACT_ABOVE: u64 = 4_000;
 
-type Disk = Rc<RefCell<Model>>;
+type Disk = Rc<RefCell<SimulatedDisk>>;
 
-fn open(disk: &Disk) -> OpenedState<Disk, impl FnMut() -> Result<Disk, String> + use<>> {
+fn open(disk: &Disk) -> OpenedState<Disk, impl FnMut() -> Result<Disk, DirectoryError> + use<>> {
     let disk = disk.clone();
     StateLog::open(move || Ok(disk.clone()), COMPACT_ABOVE).expect("a disk without damage opens")
 }
@@ -29,7 +29,7 @@
     }
 }
 
-fn number(opened: &OpenedState<Disk, impl FnMut() -> Result<Disk, String>>) -> u64 {
+fn number(opened: &OpenedState<Disk, impl FnMut() -> Result<Disk, DirectoryError>>) -> u64 {
     opened.state.records()[0]
         .decided
         .as_ref()
@@ -53,7 +53,7 @@
             assert!(opened.log.bytes() < COMPACT_ABOVE + 400);
         }
         // The last write of this life is cut off by the loss of power.
-        disk.borrow_mut().syncs_left = Some(chance.rand_range(0..3) as usize);
+        disk.borrow_mut().syncs_until_failure = Some(chance.rand_range(0..3) as usize);
         let _ = opened.log.write(&[decided(synced + 1, 300)]);
         disk.borrow_mut().crash(&mut chance);
     }
@@ -64,12 +64,12 @@
     let disk = Disk::default();
     let mut opened = open(&disk);
     opened.log.write(&[decided(1, 300)]).expect("there is room");
-    disk.borrow_mut().room = Some(0);
+    disk.borrow_mut().capacity = Some(0);
     for number in 2..5 {
         let refused = opened.log.write(&[decided(number, 300)]);
-        assert!(matches!(refused, Err(StateLogError::Disk { .. })));
+        assert!(matches!(refused, Err(StateLogError::Log { .. })));
     }
-    disk.borrow_mut().room = None;
+    disk.borrow_mut().capacity = None;
     opened
         .log
         .write(&[Record {
@@ -85,7 +85,7 @@
 #[test]
 fn a_record_longer_than_an_entry_is_read_back_whole() {
     let disk = Disk::default();
-    let record = decided(1, 3 * linenthread_store::LONGEST);
+    let record = decided(1, 3 * linenthread_store::MAX_RECORD_BYTES);
     open(&disk)
         .log
         .write(std::slice::from_ref(&record))
--- a/crates/linenthread-node/src/disk.rs
+++ b/crates/linenthread-node/src/disk.rs
@@ -6,7 +6,7 @@
 use linenthread_consensus::DurableState;
 use linenthread_control::{DeferredMessage, StateLog};
 use linenthread_messages::Record;
-use linenthread_store::Folder;
+use linenthread_store::Directory;
 
 use crate::errors::Error;
 
@@ -35,13 +35,13 @@
 ) -> Result<(Disk, DurableState), Error> {
     let path = PathBuf::from(path);
     let (peer, step) = (path.display().to_string(), "opening the state");
-    let opened = StateLog::open(move || Folder::take(&path), LONG).map_err(|e| Error::Message {
+    let opened = StateLog::open(move || Directory::open(&path), LONG).map_err(|e| Error::Message {
         step,
         peer,
         cause: e.to_string(),
     })?;
-    if let Some(cut) = &opened.cut {
-        log::info!(file = cut.file, at = cut.at, bytes = cut.bytes; "event=torn_record_truncated");
+    if let Some(torn_tail) = &opened.torn_tail {
+        log::info!(file = torn_tail.file, at = torn_tail.offset, bytes = torn_tail.bytes; "event=torn_record_truncated");
     }
     let (to, from) = mpsc::sync_channel::<(Record, Then)>(WAITING);
     let mut state_log = opened.log;
--- /dev/null
+++ b/crates/linenthread-store/src/directory.rs
@@ -0,0 +1,140 @@
+//! A directory of the file system.
+
+use std::fs::{File, OpenOptions, TryLockError};
+use std::io::{self, Write};
+use std::path::{Path, PathBuf};
+
+use snafu::{ResultExt, Snafu};
+
+use crate::Files;
+
+/// Name of the file whose lock the owner of a directory holds.
+const LOCK_FILE: &str = "lock";
+
+/// Why a directory can't be used.
+#[derive(Debug, Snafu)]
+pub enum DirectoryError {
+    /// It can't be created, read or written.
+    #[snafu(display("{}: {step}: {source}", path.display()))]
+    Io {
+        /// What was being done.
+        step: &'static str,
+        /// The directory.
+        path: PathBuf,
+        /// What the system reported.
+        source: io::Error,
+    },
+    /// Another process uses it.
+    #[snafu(display("{}: another process has this folder", path.display()))]
+    Locked {
+        /// The directory.
+        path: PathBuf,
+    },
+}
+
+/// A directory on the disk, used by one process at a time.
+#[derive(Debug)]
+pub struct Directory {
+    path: PathBuf,
+    /// Held as long as the directory is used.
+    _lock: File,
+    /// The file that was last appended to, and its name.
+    open_file: Option<(String, File)>,
+}
+
+impl Directory {
+    /// Locks a directory, which is created if there is none.
+    ///
+    /// # Errors
+    ///
+    /// It can't be created, read or written, or another process has locked it.
+    pub fn open(path: &Path) -> Result<Directory, DirectoryError> {
+        let failed = |step| IoSnafu { step, path };
+        std::fs::create_dir_all(path).context(failed("creating it"))?;
+        let lock = OpenOptions::new()
+            .create(true)
+            .truncate(false)
+            .write(true)
+            .open(path.join(LOCK_FILE))
+            .context(failed("opening its lock"))?;
+        match lock.try_lock() {
+            Ok(()) => {}
+            Err(TryLockError::WouldBlock) => return LockedSnafu { path }.fail(),
+            Err(TryLockError::Error(error)) => {
+                return Err(error).context(failed("locking it"));
+            }
+        }
+        // The directory's own name has to be durable as well.
+        let parent = path
+            .parent()
+            .filter(|parent| !parent.as_os_str().is_empty());
+        if let Some(parent) = parent {
+            File::open(parent)
+                .and_then(|parent| parent.sync_all())
+                .context(failed("syncing its name"))?;
+        }
+        Ok(Directory {
+            path: path.to_owned(),
+            _lock: lock,
+            open_file: None,
+        })
+    }
+
+    /// The file of a name, open for appending.
+    fn file(&mut self, name: &str) -> io::Result<&mut File> {
+        let is_open = self
+            .open_file
+            .as_ref()
+            .is_some_and(|(open, _)| open == name);
+        if !is_open {
+            self.open_file = None;
+        }
+        let path = self.path.join(name);
+        match &mut self.open_file {
+            Some((_, file)) => Ok(file),
+            slot @ None => {
+                let file = OpenOptions::new().create(true).append(true).open(path)?;
+                Ok(&mut slot.insert((name.to_owned(), file)).1)
+            }
+        }
+    }
+}
+
+impl Files for Directory {
+    fn list(&mut self) -> io::Result<Vec<String>> {
+        let mut names = Vec::new();
+        for entry in std::fs::read_dir(&self.path)? {
+            let name = entry?.file_name().to_string_lossy().into_owned();
+            names.extend((name != LOCK_FILE).then_some(name));
+        }
+        Ok(names)
+    }
+
+    fn read(&mut self, name: &str) -> io::Result<Vec<u8>> {
+        std::fs::read(self.path.join(name))
+    }
+
+    fn append(&mut self, name: &str, bytes: &[u8]) -> io::Result<()> {
+        self.file(name)?.write_all(bytes)
+    }
+
+    fn sync(&mut self, name: &str) -> io::Result<()> {
+        self.file(name)?.sync_data()
+    }
+
+    fn sync_directory(&mut self) -> io::Result<()> {
+        File::open(&self.path)?.sync_all()
+    }
+
+    fn truncate(&mut self, name: &str, length: u64) -> io::Result<()> {
+        self.open_file = None;
+        let file = OpenOptions::new().write(true).open(self.path.join(name))?;
+        file.set_len(length)?;
+        file.sync_all()
+    }
+
+    fn remove(&mut self, name: &str) -> io::Result<()> {
+        self.open_file = None;
+        std::fs::remove_file(self.path.join(name))
+    }
+}
--- a/crates/linenthread-store/tests/crashes.rs
+++ b/crates/linenthread-store/tests/crashes.rs
@@ -1,6 +1,8 @@
 //! The log through crashes at any moment, full and failing disks and damage, judged by what was promised.
 
-use linenthread_store::{Files, Folder, LONGEST, Log, Model, Trouble};
+use linenthread_store::{
+    Directory, DirectoryError, Files, Log, LogError, MAX_RECORD_BYTES, SimulatedDisk,
+};
 use oorandom::Rand64;
 use proptest::prelude::*;
 
@@ -18,7 +20,7 @@
 /// One life after the other over one disk: each begins with what was promised and a beginning of the rest.
 fn lives(seed: u64) {
     let mut chance = Rand64::new(u128::from(seed));
-    let mut disk = Model::default();
+    let mut disk = SimulatedDisk::default();
     // What the log held when it was last synced, and all that was added since.
     let (mut promised, mut added, mut number) = (Vec::<Vec<u8>>::new(), Vec::<Vec<u8>>::new(), 0);
     for life in 0..6 {
@@ -35,11 +37,11 @@
         );
         (promised, added) = (records, Vec::new());
         if chance.rand_range(0..4) == 0 {
-            log.files().syncs_left = Some(chance.rand_range(0..4) as usize);
+            log.files().syncs_until_failure = Some(chance.rand_range(0..4) as usize);
         }
         if chance.rand_range(0..4) == 0 {
             let room = log.bytes() as usize + chance.rand_range(0..600) as usize;
-            log.files().room = Some(room);
+            log.files().capacity = Some(room);
         }
         for _ in 0..chance.rand_range(0..25) {
             let done = match chance.rand_range(0..8) {
@@ -81,10 +83,9 @@
             };
             if done.is_err() {
                 assert!(log.is_stopped());
-                assert_eq!(log.append(&[]), Err(Trouble::Stopped));
-                assert_eq!(
-                    log.sync(),
-                    Err(Trouble::Stopped),
+                assert!(matches!(log.append(&[]), Err(LogError::Stopped)));
+                assert!(
+                    matches!(log.sync(), Err(LogError::Stopped)),
                     "seed {seed}: a failed sync is tried again"
                 );
                 break;
@@ -107,7 +108,7 @@
     let (mut named, mut cut) = (0, 0);
     for seed in 0..500 {
         let mut chance = Rand64::new(seed);
-        let mut log = Log::open(Model::default()).unwrap().log;
+        let mut log = Log::open(SimulatedDisk::default()).unwrap().log;
         let records: Vec<_> = (0..12).map(content).collect();
         for data in &records {
             log.append(data).unwrap();
@@ -115,11 +116,11 @@
         }
         let last = log.bytes() - (25 + records[11].len()) as u64;
         let mut disk = log.into_files();
-        let (file, at) = disk.spoil(&mut chance).unwrap();
+        let (file, at) = disk.flip_bit(&mut chance).unwrap();
         match Log::open(disk) {
-            Err(Trouble::Damaged {
+            Err(LogError::Damaged {
                 file: said,
-                at: from,
+                offset: from,
                 ..
             }) => {
                 assert!(
@@ -131,7 +132,7 @@
             Err(other) => panic!("seed {seed}: {other}"),
             Ok(opened) => {
                 assert!(
-                    at as u64 >= last && opened.cut.is_some(),
+                    at as u64 >= last && opened.torn_tail.is_some(),
                     "seed {seed}: damage at {at} passed over"
                 );
                 assert_eq!(opened.records, records[..11]);
@@ -146,30 +147,37 @@
 fn a_folder_is_held_by_one_and_its_log_survives() {
     let folder = std::env::temp_dir().join(format!("linenthread-store-{}", std::process::id()));
     std::fs::remove_dir_all(&folder).ok();
-    let mut log = Log::open(Folder::take(&folder).unwrap()).unwrap().log;
-    let said = Folder::take(&folder).unwrap_err();
-    assert!(said.contains("another process has this folder"), "{said}");
+    let mut log = Log::open(Directory::open(&folder).unwrap()).unwrap().log;
+    let said = Directory::open(&folder).unwrap_err();
+    assert!(
+        matches!(&said, DirectoryError::Locked { path } if *path == folder)
+            && said.to_string().contains("another process has this folder"),
+        "{said}"
+    );
     log.append(b"one").unwrap();
     log.sync().unwrap();
-    assert_eq!(
-        log.append(&vec![0; LONGEST + 1]),
-        Err(Trouble::TooLong(LONGEST + 1))
-    );
+    assert!(matches!(
+        log.append(&vec![0; MAX_RECORD_BYTES + 1]),
+        Err(LogError::RecordTooLong { bytes }) if bytes == MAX_RECORD_BYTES + 1
+    ));
     log.append(b"never synced").unwrap();
     drop(log);
-    let opened = Log::open(Folder::take(&folder).unwrap()).unwrap();
-    assert_eq!((opened.records, opened.cut), (vec![b"one".to_vec()], None));
+    let opened = Log::open(Directory::open(&folder).unwrap()).unwrap();
+    assert_eq!(
+        (opened.records, opened.torn_tail),
+        (vec![b"one".to_vec()], None)
+    );
     let mut log = opened.log;
     log.rewrite(&[b"two".to_vec(), b"three".to_vec()]).unwrap();
     let mut files = log.into_files();
-    assert_eq!(files.names().unwrap().len(), 1);
+    assert_eq!(files.list().unwrap().len(), 1);
     // A torn end, as a crash in the midst of a write leaves it.
-    let name = files.names().unwrap().remove(0);
+    let name = files.list().unwrap().remove(0);
     files.append(&name, &[0, 0, 0, 9, 1, 2]).unwrap();
     drop(files);
-    let opened = Log::open(Folder::take(&folder).unwrap()).unwrap();
+    let opened = Log::open(Directory::open(&folder).unwrap()).unwrap();
     assert_eq!(opened.records, [b"two".to_vec(), b"three".to_vec()]);
-    assert_eq!(opened.cut.unwrap().bytes, 6);
+    assert_eq!(opened.torn_tail.unwrap().bytes, 6);
     // A file of a later version is refused as that, whatever else stands in it.
     let mut files = opened.log.into_files();
     let mut later = b"LTLG\x07".to_vec();
@@ -192,8 +200,8 @@
     /// Whatever lies in the folder, opening ends with a log or with one plain error.
     #[test]
     fn any_bytes_are_read_or_refused(bytes in proptest::collection::vec(any::<u8>(), 0..400), good in any::<bool>()) {
-        let mut disk = Model::default();
-        let mut log = Log::open(Model::default()).unwrap().log;
+        let mut disk = SimulatedDisk::default();
+        let mut log = Log::open(SimulatedDisk::default()).unwrap().log;
         log.append(b"good").unwrap();
         log.sync().unwrap();
         let mut whole = log.into_files();
--- a/crates/linenthread-store/tests/golden.rs
+++ b/crates/linenthread-store/tests/golden.rs
@@ -4,7 +4,7 @@
 //! The files under `tests/golden/` were written by commit 464716d. They must never be regenerated to make a test
 //! pass: disks that were written before an upgrade hold such bytes.
 
-use linenthread_store::{Files, Folder, Log, Model};
+use linenthread_store::{Directory, Files, Log, SimulatedDisk};
 
 /// The only file of a log that was never rewritten.
 const FIRST_FILE: &str = "0000000000000001.log";
@@ -21,16 +21,16 @@
     (0..digits.len()).step_by(2).map(byte).collect()
 }
 
-fn disk_with(name: &str, bytes: &[u8]) -> Model {
-    let mut disk = Model::default();
+fn disk_with(name: &str, bytes: &[u8]) -> SimulatedDisk {
+    let mut disk = SimulatedDisk::default();
     disk.append(name, bytes).expect("there is room");
     disk
 }
 
 /// The one file on the disk.
-fn file(log: Log<Model>) -> (String, Vec<u8>) {
+fn file(log: Log<SimulatedDisk>) -> (String, Vec<u8>) {
     let mut disk = log.into_files();
-    let names = disk.names().expect("a folder");
+    let names = disk.list().expect("a folder");
     assert_eq!(names.len(), 1, "{names:?}");
     let bytes = disk.read(&names[0]).expect("a file");
     (names[0].clone(), bytes)
@@ -54,7 +54,7 @@
 /// What was added after the torn end was cut off.
 const AFTER_TORN: &[u8] = b"after the torn end";
 
-fn add(log: &mut Log<Model>, group: &[Vec<u8>]) {
+fn add(log: &mut Log<SimulatedDisk>, group: &[Vec<u8>]) {
     for record in group {
         log.append(record).expect("a short record");
     }
@@ -64,7 +64,7 @@
 fn a_log_of_version_464716d_opens_with_its_records() {
     let bytes = bytes_of(include_str!("golden/log.hex"));
     let opened = Log::open(disk_with(FIRST_FILE, &bytes)).expect("the log opens");
-    assert_eq!(opened.cut, None);
+    assert_eq!(opened.torn_tail, None);
     assert_eq!(opened.records, groups().concat());
     assert_eq!(file(opened.log), (FIRST_FILE.to_owned(), bytes));
 }
@@ -75,7 +75,7 @@
     let bytes = bytes_of(include_str!("golden/log.hex"));
     std::fs::create_dir_all(&path).expect("a folder");
     std::fs::write(path.join(FIRST_FILE), &bytes).expect("there is room");
-    let folder = Folder::take(&path).expect("the folder is free");
+    let folder = Directory::open(&path).expect("the folder is free");
     let opened = Log::open(folder).expect("the log opens");
     assert_eq!(opened.records, groups().concat());
     drop(opened);
@@ -88,7 +88,9 @@
 
 #[test]
 fn adding_the_same_records_gives_the_bytes_of_version_464716d() {
-    let mut log = Log::open(Model::default()).expect("an empty disk").log;
+    let mut log = Log::open(SimulatedDisk::default())
+        .expect("an empty disk")
+        .log;
     for group in groups() {
         add(&mut log, &group);
         log.sync().expect("there is room");
@@ -116,7 +118,7 @@
     let mut log = Log::open(disk_with(FIRST_FILE, &bytes))
         .expect("the log opens")
         .log;
-    log.files().leave_room(TORN_BYTES);
+    log.files().limit_free_bytes(TORN_BYTES);
     add(&mut log, &torn_group());
     log.sync().expect_err("the disk is full");
     let torn = bytes_of(include_str!("golden/log_torn.hex"));
@@ -131,10 +133,10 @@
     let mut records = groups().concat();
     records.push(torn_group().remove(0));
     assert_eq!(opened.records, records);
-    let cut = opened.cut.expect("a torn end");
-    assert_eq!(cut.file, FIRST_FILE);
-    assert_eq!(cut.at + cut.bytes, torn.len() as u64);
-    assert!(cut.at > complete.len() as u64);
+    let torn_tail = opened.torn_tail.expect("a torn end");
+    assert_eq!(torn_tail.file, FIRST_FILE);
+    assert_eq!(torn_tail.offset + torn_tail.bytes, torn.len() as u64);
+    assert!(torn_tail.offset > complete.len() as u64);
     let mut log = opened.log;
     log.append(AFTER_TORN).expect("a short record");
     log.sync().expect("there is room");
