--- a/crates/linenthread-control/tests/nodes/cluster.rs
+++ b/crates/linenthread-control/tests/nodes/cluster.rs
@@ -277,10 +277,10 @@
                 });
             }
             Event::Closed { session } => self.at(to, |c, now, effects| {
-                c.on_session_closed(now, session, effects)
+                c.on_session_closed(now, session, effects);
             }),
             Event::DialFailed { address } => {
-                self.at(to, |c, now, _| c.on_dial_failed(now, &address))
+                self.at(to, |c, now, _| c.on_dial_failed(now, &address));
             }
             Event::Synced {
                 incarnation,
