--- a/crates/linenthread-control/src/control_node.rs
+++ b/crates/linenthread-control/src/control_node.rs
@@ -96,8 +96,8 @@
         }
         self.voting.is_voter = self.is_voter();
         if let Some(value) = self.register.decided() {
-            self.lease.follow(value);
-            self.lease.decided(now, value.epoch, false);
+            self.lease.on_decided(value);
+            self.lease.observe_epoch(now, value.epoch, false);
         }
     }
 
@@ -113,7 +113,7 @@
 
     /// The epoch under which this node holds the leader lease; `None` if it does not lead.
     pub fn lease_epoch(&self, now: Instant) -> Option<u64> {
-        self.lease.holds(now)
+        self.lease.held_epoch(now)
     }
 
     /// All ingress nodes with a session at any control node, by name.
--- a/crates/linenthread-control/src/own_durability.rs
+++ b/crates/linenthread-control/src/own_durability.rs
@@ -52,7 +52,7 @@
     pub(crate) fn announce_durability(&mut self, now: Instant, effects: &mut Vec<Effect>) {
         let value_number = self
             .register
-            .holds_all_durably()
+            .is_fully_durable()
             .then(|| self.value_number());
         if !self.durability.advance(value_number) {
             return;
--- a/crates/linenthread-control/src/register_driver.rs
+++ b/crates/linenthread-control/src/register_driver.rs
@@ -79,9 +79,9 @@
     fn carry_out(&mut self, now: Instant, action: RegisterEffect, effects: &mut Vec<Effect>) {
         match action {
             RegisterEffect::Send { to, message } => self.send_to_node(to, message, effects),
-            RegisterEffect::Persist { record, then } => effects.push(Effect::Persist {
+            RegisterEffect::Persist { record, after_sync } => effects.push(Effect::Persist {
                 record,
-                after_sync: then
+                after_sync: after_sync
                     .into_iter()
                     .map(|(to, message)| DeferredMessage { to, message })
                     .collect(),
@@ -125,9 +125,9 @@
             .iter()
             .any(|voter| voter.id == self.register.id());
         let votes_again =
-            is_voter && (!self.voting.is_voter || self.lease.misses_change_of_voters(value));
-        self.lease.follow(value);
-        self.lease.decided(now, value.epoch, votes_again);
+            is_voter && (!self.voting.is_voter || self.lease.skips_voter_change(value));
+        self.lease.on_decided(value);
+        self.lease.observe_epoch(now, value.epoch, votes_again);
         self.voting.is_voter = is_voter;
         for session in self.membership.sessions() {
             self.send_value(session, effects);
@@ -180,7 +180,7 @@
         self.drive_register(
             now,
             |register, actions| {
-                register.complete();
+                register.complete_undecided();
                 register.tick(now, actions);
             },
             effects,
--- a/crates/linenthread-control/src/voters.rs
+++ b/crates/linenthread-control/src/voters.rs
@@ -53,7 +53,7 @@
     pub(crate) fn adjust_voters(&mut self, now: Instant, epoch: u64, effects: &mut Vec<Effect>) {
         let may_propose = !self.voting.change_in_flight
             && self.has_quorum(now)
-            && self.lease.holds_on(now, self.value_number());
+            && self.lease.is_held_at(now, self.value_number());
         if !may_propose {
             return;
         }
@@ -70,7 +70,7 @@
         }));
         let job = self.pending_jobs.add(JobOwner::VoterChange);
         let change = Change::Voters {
-            on: based_on,
+            base_number: based_on,
             voters,
             epoch,
         };
