--- a/crates/linenthread-node/src/disk.rs
+++ b/crates/linenthread-node/src/disk.rs
@@ -35,11 +35,12 @@
 ) -> Result<(Disk, DurableState), Error> {
     let path = PathBuf::from(path);
     let (peer, step) = (path.display().to_string(), "opening the state");
-    let opened = StateLog::open(move || Directory::open(&path), LONG).map_err(|e| Error::Message {
-        step,
-        peer,
-        cause: e.to_string(),
-    })?;
+    let opened =
+        StateLog::open(move || Directory::open(&path), LONG).map_err(|e| Error::Message {
+            step,
+            peer,
+            cause: e.to_string(),
+        })?;
     if let Some(torn_tail) = &opened.torn_tail {
         log::info!(file = torn_tail.file, at = torn_tail.offset, bytes = torn_tail.bytes; "event=torn_record_truncated");
     }
