--- a/crates/linenthread-fleet/src/error.rs
+++ b/crates/linenthread-fleet/src/error.rs
@@ -1,7 +1,7 @@
 //! Why something of the fleet cannot be decoded, opened or proposed.
 
 use linenthread_frames::DecodeError;
-use linenthread_store::Trouble;
+use linenthread_store::LogError;
 use snafu::Snafu;
 
 /// Why bytes are no frame of the fleet, no record of a voter's disk, or no datagram.
@@ -85,15 +85,47 @@
     TooManyNames,
 }
 
+/// Why a voter's disk cannot be used.
+#[derive(Debug, Snafu)]
+#[snafu(visibility(pub(crate)))]
+pub enum StorageError {
+    /// The log failed, or cannot be opened.
+    #[snafu(transparent)]
+    Log {
+        /// What the log reports.
+        source: LogError,
+    },
+    /// A record in the log does not decode.
+    #[snafu(display("record {number} of the voter's log is damaged: {source}"))]
+    DamagedRecord {
+        /// The record's number in the log, from 0.
+        number: usize,
+        /// What is wrong with it.
+        source: RecordError,
+    },
+    /// An entry that Raft wanted written does not follow those before it.
+    #[snafu(display("the disk failed: {source}"))]
+    Append {
+        /// What is wrong with it.
+        source: RecordError,
+    },
+    /// Raft cannot start from what the disk holds.
+    #[snafu(display("the disk failed: {source}"))]
+    Start {
+        /// What is wrong.
+        source: StartError,
+    },
+}
+
 /// Why a voter cannot be opened. It must not take part with less than it promised.
-#[derive(Clone, Debug, PartialEq, Snafu)]
+#[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum OpenError {
     /// What was written is damaged, or of another version.
-    #[snafu(display("{cause}"))]
+    #[snafu(display("{source}"))]
     OpenStorage {
-        /// What the log found.
-        cause: Trouble,
+        /// What was found.
+        source: StorageError,
     },
     /// The folder is another voter's.
     #[snafu(display("the folder belongs to the voter {owner}, not to {local}"))]
@@ -178,9 +210,17 @@
 /// Why a voter cannot begin to take part in Raft with what its disk holds.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
-pub(crate) enum StartError {
+pub enum StartError {
+    /// The replicated state in the snapshot does not decode.
     #[snafu(display("{source}"))]
-    State { source: DecodeError },
+    State {
+        /// What the decoder found.
+        source: DecodeError,
+    },
+    /// Raft refuses the state that was written.
     #[snafu(display("{source}"))]
-    Raft { source: raft::Error },
+    Raft {
+        /// Raft's cause.
+        source: raft::Error,
+    },
 }
--- a/crates/linenthread-fleet/src/event.rs
+++ b/crates/linenthread-fleet/src/event.rs
@@ -2,15 +2,15 @@
 
 use std::fmt;
 
-use linenthread_store::{Cut, Trouble};
+use linenthread_store::TornTail;
 
-use crate::error::MessageError;
+use crate::error::{MessageError, StorageError};
 
 /// Something that an operator should find in the log; its `Display` is the log line.
-#[derive(Clone, Debug, PartialEq)]
+#[derive(Debug)]
 pub enum FleetEvent {
     /// A torn end of the voter's log, which a crash had left, was cut off.
-    TornEndCut(Cut),
+    TornTailTruncated(TornTail),
     /// A voter was opened here.
     VoterOpened,
     /// The fleet is founded, with this voter as one of its founders.
@@ -37,7 +37,7 @@
     /// The voter's disk has failed.
     SteppedDown {
         /// How it failed.
-        cause: Trouble,
+        cause: StorageError,
     },
     /// A peer that was configured with other voters is ignored.
     OtherFounders {
@@ -93,8 +93,15 @@
 impl fmt::Display for FleetEvent {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            FleetEvent::TornEndCut(Cut { file, at, bytes }) => {
-                write!(f, "a torn end of {bytes} bytes was cut off {file} at {at}")
+            FleetEvent::TornTailTruncated(TornTail {
+                file,
+                offset,
+                bytes,
+            }) => {
+                write!(
+                    f,
+                    "a torn end of {bytes} bytes was cut off {file} at {offset}"
+                )
             }
             FleetEvent::VoterOpened => write!(f, "takes part as a voter"),
             FleetEvent::Founded => write!(f, "the record is founded here"),
--- a/crates/linenthread-fleet/src/fleet/mod.rs
+++ b/crates/linenthread-fleet/src/fleet/mod.rs
@@ -38,7 +38,7 @@
 }
 
 /// What the caller has to do, in order.
-#[derive(Clone, Debug, PartialEq)]
+#[derive(Debug)]
 pub enum FleetAction {
     /// Open a connection.
     Dial {
--- a/crates/linenthread-fleet/src/lib.rs
+++ b/crates/linenthread-fleet/src/lib.rs
@@ -26,7 +26,9 @@
 mod storage;
 mod voter;
 
-pub use error::{DatagramError, MessageError, OpenError, ProposeError, RecordError};
+pub use error::{
+    DatagramError, MessageError, OpenError, ProposeError, RecordError, StartError, StorageError,
+};
 pub use event::{ConnectionEvent, FleetEvent, VoterChange, VoterChangeKind};
 pub use fleet::{Fleet, FleetAction, FleetConfig};
 pub use members::{Members, MembersAction, MembersConfig};
--- a/crates/linenthread-fleet/src/storage.rs
+++ b/crates/linenthread-fleet/src/storage.rs
@@ -3,12 +3,15 @@
 use std::collections::VecDeque;
 
 use linenthread_frames::{DecodeError, Decoder, Encoder};
-use linenthread_store::{Cut, Files, Log, Trouble};
+use linenthread_store::{Files, Log, TornTail};
 use raft::eraftpb::{ConfState, Entry, HardState, Snapshot};
-use raft::{GetEntriesContext, RaftState, Storage, StorageError};
-use snafu::OptionExt;
+use raft::{GetEntriesContext, RaftState, Storage, StorageError as RaftStorageError};
+use snafu::{OptionExt, ResultExt};
 
-use crate::error::{MisplacedEntrySnafu, RecordError, UnknownRecordSnafu};
+use crate::error::{
+    AppendSnafu, DamagedRecordSnafu, MisplacedEntrySnafu, RecordError, StorageError,
+    UnknownRecordSnafu,
+};
 use crate::frame::{decode_entry, decode_snapshot, encode_entry, encode_snapshot};
 use crate::state_table::{StateTable, VoterIdentity};
 
@@ -28,9 +31,6 @@
 /// What an entry counts beside its data and context when a message is filled, in bytes.
 const ENTRY_OVERHEAD_BYTES: usize = 32;
 
-/// The log that a voter's storage is written to, as error messages name it.
-const LOG_NAME: &str = "the voter's log";
-
 /// A voter's disk and what is on it. All of it is in memory as well, since it is small.
 pub(crate) struct VoterStorage<F> {
     log: Log<F>,
@@ -46,8 +46,8 @@
     /// Opens what is on the disk, and tells what a crash had left unfinished.
     ///
     /// # Errors
-    /// As [`Log::open`], and for records that do not decode.
-    pub(crate) fn open(files: F) -> Result<(VoterStorage<F>, Option<Cut>), Trouble> {
+    /// As [`Log::open`], and for a record that does not decode.
+    pub(crate) fn open(files: F) -> Result<(VoterStorage<F>, Option<TornTail>), StorageError> {
         let opened = Log::open(files)?;
         let mut storage = VoterStorage {
             log: opened.log,
@@ -57,14 +57,12 @@
             snapshot: Snapshot::default(),
             entries: VecDeque::new(),
         };
-        for (number, record) in (0..).zip(&opened.records) {
-            storage.replay(record).map_err(|error| Trouble::Damaged {
-                file: LOG_NAME.into(),
-                at: number,
-                why: format!("its record of that number: {error}"),
-            })?;
+        for (number, record) in opened.records.iter().enumerate() {
+            storage
+                .replay(record)
+                .context(DamagedRecordSnafu { number })?;
         }
-        Ok((storage, opened.cut))
+        Ok((storage, opened.torn_tail))
     }
 
     /// Takes over a record that was written before.
@@ -133,7 +131,7 @@
         identity: VoterIdentity,
         snapshot: Snapshot,
         hard_state: HardState,
-    ) -> Result<(), Trouble> {
+    ) -> Result<(), StorageError> {
         self.identity = Some(identity);
         self.is_active = false;
         (self.snapshot, self.hard_state) = (snapshot, hard_state);
@@ -142,26 +140,25 @@
     }
 
     /// The voter takes part in Raft from now on.
-    pub(crate) fn activate(&mut self) -> Result<(), Trouble> {
+    pub(crate) fn activate(&mut self) -> Result<(), StorageError> {
         self.is_active = true;
         self.log.append(&[kind::ACTIVE])?;
-        self.log.sync()
+        Ok(self.log.sync()?)
     }
 
     /// Appends entries; they last once [`VoterStorage::sync`] has returned.
-    pub(crate) fn append(&mut self, entries: &[Entry]) -> Result<(), Trouble> {
+    pub(crate) fn append(&mut self, entries: &[Entry]) -> Result<(), StorageError> {
         for entry in entries {
             self.log.append(&entry_record(entry))?;
-            self.insert(entry.clone())
-                .map_err(|error| Trouble::Disk(error.to_string()))?;
+            self.insert(entry.clone()).context(AppendSnafu)?;
         }
         Ok(())
     }
 
     /// Writes Raft's hard state; it lasts once [`VoterStorage::sync`] has returned.
-    pub(crate) fn set_hard_state(&mut self, hard_state: &HardState) -> Result<(), Trouble> {
+    pub(crate) fn set_hard_state(&mut self, hard_state: &HardState) -> Result<(), StorageError> {
         self.hard_state = hard_state.clone();
-        self.log.append(&self.hard_state_record())
+        Ok(self.log.append(&self.hard_state_record())?)
     }
 
     /// A commit index counts at once; it is written with the next record.
@@ -170,7 +167,7 @@
     }
 
     /// Replaces all entries by a snapshot of the leader's.
-    pub(crate) fn install(&mut self, snapshot: Snapshot) -> Result<(), Trouble> {
+    pub(crate) fn install(&mut self, snapshot: Snapshot) -> Result<(), StorageError> {
         let metadata = snapshot.get_metadata();
         self.hard_state.commit = self.hard_state.commit.max(metadata.index);
         self.hard_state.term = self.hard_state.term.max(metadata.term);
@@ -180,8 +177,8 @@
     }
 
     /// Returns once all that was appended is on the disk for good.
-    pub(crate) fn sync(&mut self) -> Result<(), Trouble> {
-        self.log.sync()
+    pub(crate) fn sync(&mut self) -> Result<(), StorageError> {
+        Ok(self.log.sync()?)
     }
 
     /// Whether the log is so long that it should be compacted.
@@ -196,7 +193,7 @@
         applied: u64,
         conf_state: &ConfState,
         state: &StateTable,
-    ) -> Result<(), Trouble> {
+    ) -> Result<(), StorageError> {
         let Ok(term) = self.term(applied) else {
             return Ok(());
         };
@@ -214,7 +211,7 @@
         self.rewrite()
     }
 
-    fn rewrite(&mut self) -> Result<(), Trouble> {
+    fn rewrite(&mut self) -> Result<(), StorageError> {
         let mut records = Vec::new();
         if let Some(identity) = &self.identity {
             let mut encoder = record(kind::IDENTITY);
@@ -229,7 +226,7 @@
         records.push(encoder.into_bytes());
         records.extend(self.entries.iter().map(entry_record));
         records.push(self.hard_state_record());
-        self.log.rewrite(&records)
+        Ok(self.log.rewrite(&records)?)
     }
 
     fn hard_state_record(&self) -> Vec<u8> {
@@ -280,10 +277,10 @@
         max_size: impl Into<Option<u64>>,
         _: GetEntriesContext,
     ) -> raft::Result<Vec<Entry>> {
-        let from = self.position(low).ok_or(StorageError::Compacted)?;
-        let to = self.position(high).ok_or(StorageError::Compacted)?;
+        let from = self.position(low).ok_or(RaftStorageError::Compacted)?;
+        let to = self.position(high).ok_or(RaftStorageError::Compacted)?;
         if to > self.entries.len() {
-            return Err(StorageError::Unavailable.into());
+            return Err(RaftStorageError::Unavailable.into());
         }
         let max_size = max_size.into().unwrap_or(u64::MAX);
         let mut bytes = 0;
@@ -300,9 +297,9 @@
         if index == self.applied() {
             return Ok(self.snapshot.get_metadata().term);
         }
-        let position = self.position(index).ok_or(StorageError::Compacted)?;
+        let position = self.position(index).ok_or(RaftStorageError::Compacted)?;
         let entry = self.entries.get(position);
-        Ok(entry.ok_or(StorageError::Unavailable)?.term)
+        Ok(entry.ok_or(RaftStorageError::Unavailable)?.term)
     }
 
     fn first_index(&self) -> raft::Result<u64> {
--- a/crates/linenthread-fleet/src/voter/driver.rs
+++ b/crates/linenthread-fleet/src/voter/driver.rs
@@ -2,14 +2,14 @@
 
 use linenthread_core::interface::TenthMillis;
 use linenthread_frames::Decoder;
-use linenthread_store::{Files, Trouble};
+use linenthread_store::Files;
 use oorandom::Rand64;
 use raft::eraftpb::{Entry, EntryType, Message, Snapshot};
 use raft::{RawNode, Ready, Storage};
 use snafu::ResultExt;
 
 use super::{CommittedValue, ELECTION_TICKS, HEARTBEAT_TICKS, State, TICK, Voter, VoterAction};
-use crate::error::{RaftSnafu, StartError, StateSnafu};
+use crate::error::{RaftSnafu, StartError, StateSnafu, StorageError};
 use crate::event::FleetEvent;
 use crate::frame::Frame;
 use crate::state_table::{ConditionalWrite, StateTable};
@@ -58,7 +58,7 @@
                 self.report_all_values(actions);
                 self.drive(actions);
             }
-            Err(error) => self.stop(Trouble::Disk(error.to_string()), actions),
+            Err(source) => self.stop(StorageError::Start { source }, actions),
         }
     }
 
@@ -131,14 +131,14 @@
                 State::Active(_) => break,
                 State::Waiting(_) | State::Stopped(_) => return,
             }
-            if let Err(trouble) = self.handle_ready(actions) {
-                return self.stop(trouble, actions);
+            if let Err(cause) = self.handle_ready(actions) {
+                return self.stop(cause, actions);
             }
         }
         self.note_leadership(actions);
     }
 
-    fn handle_ready(&mut self, actions: &mut Vec<VoterAction>) -> Result<(), Trouble> {
+    fn handle_ready(&mut self, actions: &mut Vec<VoterAction>) -> Result<(), StorageError> {
         let State::Active(node) = &mut self.state else {
             return Ok(());
         };
@@ -214,7 +214,7 @@
     }
 
     /// Tells Raft how far entries are applied, and compacts the log where it is long.
-    fn finish_applying(&mut self) -> Result<(), Trouble> {
+    fn finish_applying(&mut self) -> Result<(), StorageError> {
         let State::Active(node) = &mut self.state else {
             return Ok(());
         };
@@ -248,7 +248,7 @@
     storage: &mut VoterStorage<F>,
     ready: &Ready,
     snapshot: Option<Snapshot>,
-) -> Result<(), Trouble> {
+) -> Result<(), StorageError> {
     if let Some(snapshot) = snapshot {
         storage.install(snapshot)?;
     }
--- a/crates/linenthread-fleet/src/voter/founding.rs
+++ b/crates/linenthread-fleet/src/voter/founding.rs
@@ -1,10 +1,11 @@
 //! How voters come to take part: as founders together, or under a new identity beside an existing fleet.
 
 use linenthread_core::interface::TenthMillis;
-use linenthread_store::{Files, Trouble};
+use linenthread_store::Files;
 use raft::eraftpb::{HardState, Snapshot};
 
 use super::{PeerProgress, State, Voter, VoterAction, founders_digest};
+use crate::error::StorageError;
 use crate::event::FleetEvent;
 use crate::frame::{Frame, Progress};
 use crate::state_table::{StateTable, VoterIdentity};
@@ -89,8 +90,8 @@
             Step::Found => self.found(actions),
             Step::Activate => self.activate(),
         };
-        if let Err(trouble) = result {
-            return self.stop(trouble, actions);
+        if let Err(cause) = result {
+            return self.stop(cause, actions);
         }
         if !matches!(step, Step::Found) {
             // What it promised before a restart is on its disk. What a former identity promised is not, and does
@@ -127,7 +128,7 @@
     }
 
     /// *former-self*: beside an existing fleet an empty disk gets an identity that has never voted.
-    fn join(&mut self, actions: &mut Vec<VoterAction>) -> Result<(), Trouble> {
+    fn join(&mut self, actions: &mut Vec<VoterAction>) -> Result<(), StorageError> {
         let State::Waiting(storage) = &mut self.state else {
             return Ok(());
         };
@@ -144,7 +145,7 @@
     }
 
     /// Becomes a founder.
-    fn found(&mut self, actions: &mut Vec<VoterAction>) -> Result<(), Trouble> {
+    fn found(&mut self, actions: &mut Vec<VoterAction>) -> Result<(), StorageError> {
         let State::Waiting(storage) = &mut self.state else {
             return Ok(());
         };
@@ -169,7 +170,7 @@
         storage.initialize(identity, snapshot, hard_state)
     }
 
-    fn activate(&mut self) -> Result<(), Trouble> {
+    fn activate(&mut self) -> Result<(), StorageError> {
         match &mut self.state {
             State::Waiting(storage) => storage.activate(),
             State::Active(_) | State::Stopped(_) => Ok(()),
--- a/crates/linenthread-fleet/src/voter/mod.rs
+++ b/crates/linenthread-fleet/src/voter/mod.rs
@@ -21,13 +21,15 @@
 
 use linenthread_core::interface::TenthMillis;
 use linenthread_frames::Encoder;
-use linenthread_store::{Files, Trouble};
+use linenthread_store::{Files, LogError};
 use oorandom::Rand64;
 use raft::eraftpb::ConfState;
 use raft::{RawNode, StateRole};
 use snafu::{ResultExt, ensure};
 
-use crate::error::{NotLeaderSnafu, OpenError, ProposeError, RefusedSnafu, TooLongSnafu};
+use crate::error::{
+    NotLeaderSnafu, OpenError, ProposeError, RefusedSnafu, StorageError, TooLongSnafu,
+};
 use crate::event::FleetEvent;
 use crate::frame::{Frame, Progress};
 use crate::state_table::{ConditionalWrite, StateTable, VoterIdentity};
@@ -67,7 +69,7 @@
 }
 
 /// What the caller has to do, in order.
-#[derive(Clone, Debug, PartialEq)]
+#[derive(Debug)]
 pub enum VoterAction {
     /// Send a frame to another voter.
     Send {
@@ -265,7 +267,7 @@
     }
 
     /// The disk has failed: it steps down by sending nothing more, and others lead.
-    fn stop(&mut self, cause: Trouble, actions: &mut Vec<VoterAction>) {
+    fn stop(&mut self, cause: StorageError, actions: &mut Vec<VoterAction>) {
         let stopped = State::Stopped(cause.to_string());
         actions.push(VoterAction::Log(FleetEvent::SteppedDown { cause }));
         if std::mem::take(&mut self.was_leader) {
@@ -401,12 +403,15 @@
     files: F,
     actions: &mut Vec<VoterAction>,
 ) -> Result<State<F>, OpenError> {
-    let (storage, cut) = match VoterStorage::open(files) {
+    let (storage, torn_tail) = match VoterStorage::open(files) {
         Ok(opened) => opened,
-        Err(Trouble::Disk(cause)) => return Ok(State::Stopped(cause)),
-        Err(cause) => return Err(OpenError::OpenStorage { cause }),
+        Err(StorageError::Log {
+            source: cause @ LogError::Disk { .. },
+        }) => return Ok(State::Stopped(cause.to_string())),
+        Err(source) => return Err(OpenError::OpenStorage { source }),
     };
-    actions.extend(cut.map(|cut| VoterAction::Log(FleetEvent::TornEndCut(cut))));
+    let truncated = torn_tail.map(FleetEvent::TornTailTruncated);
+    actions.extend(truncated.map(VoterAction::Log));
     let owner = storage.identity().map(|identity| &identity.name);
     if let Some(owner) = owner.filter(|owner| **owner != config.name) {
         return Err(OpenError::ForeignFolder {
--- a/crates/linenthread-fleet/tests/voters.rs
+++ b/crates/linenthread-fleet/tests/voters.rs
@@ -9,9 +9,9 @@
 use linenthread_fleet::{
     CommittedValue, FleetEvent, OpenError, ProposeError, Stage, Voter, VoterAction, VoterConfig,
 };
-use linenthread_store::Model;
+use linenthread_store::SimulatedDisk;
 
-type Disk = Rc<RefCell<Model>>;
+type Disk = Rc<RefCell<SimulatedDisk>>;
 
 /// Voters on one clock; what is said arrives at once, but over ways that are cut.
 struct Cluster {
@@ -250,7 +250,7 @@
     assert!(cluster.voters["catania"].votes(), "{:?}", cluster.events);
     // Both others' disks fail; then this one is lost again. What they hold is not known: nothing is founded anew.
     for name in ["messina", "palermo"] {
-        cluster.disks[name].borrow_mut().syncs_left = Some(0);
+        cluster.disks[name].borrow_mut().syncs_until_failure = Some(0);
     }
     for number in 0..40 {
         cluster.propose("table", number, b"more").ok();
@@ -351,7 +351,7 @@
     let mut chance = oorandom::Rand64::new(3);
     cluster.disks["catania"]
         .borrow_mut()
-        .spoil(&mut chance)
+        .flip_bit(&mut chance)
         .unwrap();
     let said = cluster.start("catania").unwrap_err().to_string();
     assert!(said.contains("is damaged at byte"), "{said}");
