--- a/crates/linenthread-drill/src/members.rs
+++ b/crates/linenthread-drill/src/members.rs
@@ -7,7 +7,7 @@
 use std::time::Instant;
 
 use linenthread_core::interface::TenthMillis;
-use linenthread_fleet::{Members, MembersDo, MembersTerms, Who};
+use linenthread_fleet::{Members, MembersAction, MembersConfig, NodeIdentity};
 use linenthread_frames::Secrets;
 
 const SECOND: TenthMillis = 10_000;
@@ -37,9 +37,9 @@
 }
 
 impl Fleet {
-    fn carry(&mut self, to: Vec<MembersDo>) {
+    fn carry(&mut self, to: Vec<MembersAction>) {
         for one in to {
-            if let MembersDo::Send { to, bytes } = one
+            if let MembersAction::Send { to, bytes } = one
                 && let Some(at) = number(to)
             {
                 self.sent += 1;
@@ -59,7 +59,7 @@
             };
             let mut to = Vec::new();
             if let Some(Some(member)) = self.all.get_mut(at) {
-                member.received(now, &bytes, &mut to).ok();
+                member.on_datagram(now, &bytes, &mut to).ok();
             }
             self.carry(to);
         }
@@ -104,20 +104,20 @@
             .map(|n| (format!("palermo-{n}"), address(n)))
             .collect();
         let member = |n: usize| {
-            let own = Who {
+            let own = NodeIdentity {
                 machine: format!("rack-{n}"),
                 zone: "palermo".into(),
                 region: "sicily".into(),
                 version: 1,
-                share: 1_000,
-                life: 1_700_000_000_000,
-                ..Who::stranger(&format!("palermo-{n}"), address(n))
+                weight: 1_000,
+                incarnation: 1_700_000_000_000,
+                ..NodeIdentity::unknown(&format!("palermo-{n}"), address(n))
             };
-            let terms = MembersTerms {
-                own,
-                ask: ask.clone(),
-                expected: count as u32,
-                probe: 5_000,
+            let terms = MembersConfig {
+                local: own,
+                seeds: ask.clone(),
+                expected_members: count as u32,
+                probe_interval: 5_000,
             };
             Some(Members::new(
                 terms,
--- a/crates/linenthread-drill/src/record.rs
+++ b/crates/linenthread-drill/src/record.rs
@@ -8,12 +8,12 @@
 use std::rc::Rc;
 
 use linenthread_core::interface::TenthMillis;
-use linenthread_fleet::{Agreed, Fleet, FleetDo, FleetTerms, Stage, Who};
+use linenthread_fleet::{CommittedValue, Fleet, FleetAction, FleetConfig, FleetEvent, Stage, NodeIdentity};
 use linenthread_frames::Secrets;
-use linenthread_store::Model;
+use linenthread_store::SimulatedDisk;
 use oorandom::Rand64;
 
-type Disk = Rc<RefCell<Model>>;
+type Disk = Rc<RefCell<SimulatedDisk>>;
 
 const SECOND: TenthMillis = 10_000;
 /// Troubles come for so long, then all is mended, and within so long all must be one again.
@@ -200,20 +200,20 @@
         let seed = self.chance.rand_u64();
         self.processes[at].starts += 1;
         let voters = (0..self.voters).map(|n| (name(n), address(n))).collect();
-        let own = Who {
+        let own = NodeIdentity {
             machine: name(at),
             zone: format!("z{}", at % 3),
             region: "r".into(),
             version: 1,
-            share: 1_000,
-            life: 1_000_000 * self.processes[at].starts,
-            ..Who::stranger(&name(at), address(at))
+            weight: 1_000,
+            incarnation: 1_000_000 * self.processes[at].starts,
+            ..NodeIdentity::unknown(&name(at), address(at))
         };
-        let terms = FleetTerms {
-            own,
+        let terms = FleetConfig {
+            local: own,
             voters,
-            expected: self.processes.len() as u32,
-            probe: 5_000,
+            expected_members: self.processes.len() as u32,
+            probe_interval: 5_000,
         };
         let mut to = Vec::new();
         let disk = self.processes[at].disk.clone();
@@ -231,8 +231,8 @@
         };
         let life = fleet
             .voter()
-            .filter(|v| v.stage() == Stage::Holding)
-            .and_then(linenthread_fleet::Voter::life);
+            .filter(|v| v.stage() == Stage::Active)
+            .and_then(linenthread_fleet::Voter::incarnation);
         drop(fleet);
         (process.paused, process.woken_at) = (false, TenthMillis::MAX);
         process.waits.clear();
@@ -272,10 +272,10 @@
         }
     }
 
-    fn obey(&mut self, at: usize, all: Vec<FleetDo>) {
+    fn obey(&mut self, at: usize, all: Vec<FleetAction>) {
         for one in all {
             match one {
-                FleetDo::Dial {
+                FleetAction::Dial {
                     connection,
                     address,
                 } => {
@@ -290,7 +290,7 @@
                         },
                     );
                 }
-                FleetDo::Write { connection, bytes } => {
+                FleetAction::Write { connection, bytes } => {
                     let Some(&wire) = self.at.get(&(at, connection)) else {
                         continue;
                     };
@@ -313,13 +313,13 @@
                         );
                     }
                 }
-                FleetDo::Close { connection, .. } => {
+                FleetAction::Close { connection, .. } => {
                     if let Some(&wire) = self.at.get(&(at, connection)) {
                         self.hang_up(wire, at);
                     }
-                    self.tell(at, |fleet, now, to| fleet.lost(now, connection, to));
+                    self.tell(at, |fleet, now, to| fleet.on_closed(now, connection, to));
                 }
-                FleetDo::Datagram { to, bytes } => {
+                FleetAction::Datagram { to, bytes } => {
                     let to = usize::from(to.port()) - 7_000;
                     if !self.cut.contains(&(at, to)) && self.chance.rand_float() >= self.loss {
                         let wait = self.way();
@@ -333,7 +333,7 @@
                         );
                     }
                 }
-                FleetDo::Agreed(Agreed {
+                FleetAction::Committed(CommittedValue {
                     topic,
                     number,
                     value,
@@ -351,17 +351,20 @@
                         ));
                     }
                 }
-                FleetDo::Line(line) => {
-                    self.counts.leaders += u64::from(line.starts_with("leads"));
-                    self.counts.replaced += u64::from(line.starts_with("its disk is empty beside"));
+                FleetAction::Log(event) => {
+                    match event {
+                        FleetEvent::LeadershipAcquired { .. } => self.counts.leaders += 1,
+                        FleetEvent::IdentityReplaced { .. } => self.counts.replaced += 1,
+                        _ => {}
+                    }
                     if std::env::var_os("SHOW").is_some() {
-                        println!("{:8.2} {}: {line}", self.now as f64 / 1e4, name(at));
+                        println!("{:8.2} {}: {event}", self.now as f64 / 1e4, name(at));
                     }
                 }
-                FleetDo::Up(_)
-                | FleetDo::Gone(_)
-                | FleetDo::Report { .. }
-                | FleetDo::Connection(_) => {}
+                FleetAction::MemberUp(_)
+                | FleetAction::MemberDown(_)
+                | FleetAction::Report { .. }
+                | FleetAction::LogConnection(_) => {}
             }
         }
         // It is to be woken when it says.
@@ -383,7 +386,7 @@
     fn tell(
         &mut self,
         at: usize,
-        call: impl FnOnce(&mut Fleet<Disk>, TenthMillis, &mut Vec<FleetDo>),
+        call: impl FnOnce(&mut Fleet<Disk>, TenthMillis, &mut Vec<FleetAction>),
     ) {
         let now = self.local(at);
         let mut to = Vec::new();
@@ -402,14 +405,14 @@
                 && process
                     .fleet
                     .as_ref()
-                    .is_some_and(|f| f.leads(self.local(at)))
+                    .is_some_and(|f| f.is_leader(self.local(at)))
         };
         let leaders: Vec<String> = (0..self.voters).filter(|&at| leads(at)).map(name).collect();
         if leaders.len() > 1 {
             self.breach(format!("one-leader: {}", leaders.join(" and ")));
         }
         let process = &self.processes[at];
-        let life = process.fleet.as_ref().and_then(|f| f.voter()?.life());
+        let life = process.fleet.as_ref().and_then(|f| f.voter()?.incarnation());
         if process.former.is_some() && life == process.former {
             self.breach(format!("former-self: {} is {life:?} again", name(at)));
         }
@@ -449,7 +452,7 @@
                     taken = self.processes[to]
                         .fleet
                         .as_mut()
-                        .and_then(|f| f.accepted(now, &mut said));
+                        .and_then(|f| f.on_accepted(now, &mut said));
                     if let Some(theirs) = taken {
                         let ends = [(from, number), (to, theirs)];
                         self.wires.insert(
@@ -489,7 +492,7 @@
                 };
                 let (at, number) = w.ends[side];
                 if self.at.get(&(at, number)) == Some(&wire) {
-                    self.tell(at, |fleet, now, to| fleet.received(now, number, &bytes, to));
+                    self.tell(at, |fleet, now, to| fleet.on_received(now, number, &bytes, to));
                 }
             }
             Event::Ended { wire, side } => {
@@ -499,14 +502,14 @@
                 let (at, number) = w.ends[side];
                 if self.at.get(&(at, number)) == Some(&wire) {
                     self.at.remove(&(at, number));
-                    self.tell(at, |fleet, now, to| fleet.lost(now, number, to));
+                    self.tell(at, |fleet, now, to| fleet.on_closed(now, number, to));
                 }
                 if w_is_over(&self.wires[&wire], &self.at, wire) {
                     self.wires.remove(&wire);
                 }
             }
             Event::Datagram { from: _, to, bytes } => {
-                self.tell(to, |fleet, now, said| fleet.datagram(now, &bytes, said));
+                self.tell(to, |fleet, now, said| fleet.on_datagram(now, &bytes, said));
             }
             Event::Start(at) => self.start(at),
             Event::Go(at) => self.go(at),
@@ -543,7 +546,7 @@
         for at in 0..self.voters {
             let now = self.local(at);
             let process = &self.processes[at];
-            if process.paused || !process.fleet.as_ref().is_some_and(|f| f.leads(now)) {
+            if process.paused || !process.fleet.as_ref().is_some_and(|f| f.is_leader(now)) {
                 continue;
             }
             self.proposals += 1;
@@ -551,7 +554,7 @@
             let mut value = self.proposals.to_be_bytes().to_vec();
             value.resize(8 + self.chance.rand_range(0..200) as usize, 7);
             self.tell(at, |fleet, now, to| {
-                let number = fleet.board().number(topic);
+                let number = fleet.table().number(topic);
                 fleet.propose(now, topic, number, value, to).ok();
             });
         }
@@ -624,11 +627,11 @@
             13 => self.happen(Event::Restart),
             9 => {
                 let left = self.chance.rand_range(0..5) as usize;
-                self.processes[at].disk.borrow_mut().syncs_left = Some(left);
+                self.processes[at].disk.borrow_mut().syncs_until_failure = Some(left);
             }
             10 => {
                 let room = self.chance.rand_range(200..6_000) as usize;
-                self.processes[at].disk.borrow_mut().room = Some(room);
+                self.processes[at].disk.borrow_mut().capacity = Some(room);
             }
             _ => {
                 self.loss = self.chance.rand_float() * 0.3;
@@ -665,7 +668,7 @@
     fn lacks(&self) -> Option<String> {
         let fleets: Vec<_> = self.processes.iter().map(|p| p.fleet.as_ref()).collect();
         let leaders = (0..self.voters)
-            .filter(|&at| fleets[at].is_some_and(|f| f.leads(self.local(at))))
+            .filter(|&at| fleets[at].is_some_and(|f| f.is_leader(self.local(at))))
             .count();
         if leaders != 1 {
             return Some(format!("{leaders} lead"));
@@ -698,11 +701,11 @@
                     .max()
                     .unwrap_or(0);
                 // One more may be on its way while proposals go on.
-                if fleet.board().number(topic) + 2 < newest {
+                if fleet.table().number(topic) + 2 < newest {
                     return Some(format!(
                         "{} has {topic} {} of {newest}",
                         name(at),
-                        fleet.board().number(topic)
+                        fleet.table().number(topic)
                     ));
                 }
             }
@@ -719,7 +722,7 @@
         });
         for at in 0..self.processes.len() {
             let mut disk = self.processes[at].disk.borrow_mut();
-            (disk.room, disk.syncs_left) = (None, None);
+            (disk.capacity, disk.syncs_until_failure) = (None, None);
             drop(disk);
             self.go(at);
             if self.processes[at]
@@ -731,7 +734,7 @@
                 self.processes[at].disk.borrow_mut().crash(&mut self.chance);
                 let disk = self.processes[at].disk.clone();
                 self.tell(at, |fleet, now, to| {
-                    fleet.take_part(disk, now, to).expect("a sound disk");
+                    fleet.open_voter(disk, now, to).expect("a sound disk");
                 });
             }
             self.start(at);
