--- a/crates/linenthread-drill/src/record.rs
+++ b/crates/linenthread-drill/src/record.rs
@@ -10,10 +10,10 @@
 use linenthread_core::interface::TenthMillis;
 use linenthread_fleet::{Agreed, Fleet, FleetDo, FleetTerms, Stage, Who};
 use linenthread_frames::Secrets;
-use linenthread_store::Model;
+use linenthread_store::SimulatedDisk;
 use oorandom::Rand64;
 
-type Disk = Rc<RefCell<Model>>;
+type Disk = Rc<RefCell<SimulatedDisk>>;
 
 const SECOND: TenthMillis = 10_000;
 /// Troubles come for so long, then all is mended, and within so long all must be one again.
@@ -624,11 +624,11 @@
             13 => self.happen(Event::Restart),
             9 => {
                 let left = self.chance.rand_range(0..5) as usize;
-                self.processes[at].disk.borrow_mut().syncs_left = Some(left);
+                self.processes[at].disk.borrow_mut().syncs_until_failure = Some(left);
             }
             10 => {
                 let room = self.chance.rand_range(200..6_000) as usize;
-                self.processes[at].disk.borrow_mut().room = Some(room);
+                self.processes[at].disk.borrow_mut().capacity = Some(room);
             }
             _ => {
                 self.loss = self.chance.rand_float() * 0.3;
@@ -719,7 +719,7 @@
         });
         for at in 0..self.processes.len() {
             let mut disk = self.processes[at].disk.borrow_mut();
-            (disk.room, disk.syncs_left) = (None, None);
+            (disk.capacity, disk.syncs_until_failure) = (None, None);
             drop(disk);
             self.go(at);
             if self.processes[at]
--- a/crates/linenthread-drill/src/system/disk.rs
+++ b/crates/linenthread-drill/src/system/disk.rs
@@ -6,9 +6,9 @@
 use std::rc::Rc;
 
 use linenthread_consensus::DurableState;
-use linenthread_control::StateLog;
-use linenthread_messages::{PeerMessage, Record};
-use linenthread_store::Model;
+use linenthread_control::{DeferredMessage, StateLog};
+use linenthread_messages::Record;
+use linenthread_store::{DirectoryError, SimulatedDisk};
 
 use super::world::{Event, World};
 
@@ -19,10 +19,10 @@
 /// A process whose disk does not open ends, and is started again after so long.
 const START_AGAIN: u64 = 500;
 
-type Files = Rc<RefCell<Model>>;
-type Take = Box<dyn FnMut() -> Result<Files, String>>;
+type Files = Rc<RefCell<SimulatedDisk>>;
+type Take = Box<dyn FnMut() -> Result<Files, DirectoryError>>;
 /// What may be sent once a record is synced.
-type Then = Vec<(u64, PeerMessage)>;
+type Then = Vec<DeferredMessage>;
 
 pub(super) struct Disk {
     files: Files,
@@ -69,7 +69,7 @@
     /// No write is taken any more, or there is room again.
     pub(super) fn set_full(&mut self, full: bool) {
         self.full = full;
-        self.files.borrow_mut().room = full.then_some(0);
+        self.files.borrow_mut().capacity = full.then_some(0);
     }
 
     pub(super) fn log_bytes(&self) -> u64 {
@@ -84,7 +84,7 @@
     /// What a process that starts now would find; the disk stays as it is.
     pub(super) fn durable(&self) -> DurableState {
         let copy: Files = Rc::new(RefCell::new(self.files.borrow().clone()));
-        copy.borrow_mut().room = None;
+        copy.borrow_mut().capacity = None;
         let opened = StateLog::open(Box::new(move || Ok(copy.clone())) as Take, COMPACT_ABOVE);
         opened.map(|opened| opened.state).unwrap_or_default()
     }
@@ -141,13 +141,13 @@
         let log = disk.log.take();
         if let Some(mut log) = log.filter(|_| !records.is_empty() && way > 0 && !disk.full) {
             if way == 1 {
-                disk.files.borrow_mut().leave_room(cut);
+                disk.files.borrow_mut().limit_free_bytes(cut);
             } else {
-                disk.files.borrow_mut().syncs_left = Some(cut % 3);
+                disk.files.borrow_mut().syncs_until_failure = Some(cut % 3);
             }
             let _ = log.write(&records);
             let mut files = disk.files.borrow_mut();
-            (files.room, files.syncs_left) = (None, None);
+            (files.capacity, files.syncs_until_failure) = (None, None);
             drop(files);
             self.count("a write cut off by a crash");
         }
--- a/crates/linenthread-drill/src/system/judge.rs
+++ b/crates/linenthread-drill/src/system/judge.rs
@@ -3,6 +3,7 @@
 use linenthread_consensus::{Register, document_digest};
 use linenthread_control::{ControlNode, Response};
 use linenthread_messages::{OrderIdentity, Value, Voter};
+use linenthread_time::Instant;
 
 use super::contact::CONTACT_BOUND;
 use super::disk::COMPACT_ABOVE;
@@ -95,7 +96,12 @@
 
     /// *one-holder-an-epoch*: at no moment two machines hold the lease, and an epoch belongs to one life.
     pub(super) fn judge_holders(&mut self) {
-        let held = |n: usize| self.nodes[n].control.as_ref()?.holds_lease(self.clock(n));
+        let held = |n: usize| {
+            self.nodes[n]
+                .control
+                .as_ref()?
+                .lease_epoch(Instant::from_millis(self.clock(n)))
+        };
         let holders: Vec<(usize, u64)> = (0..self.nodes.len())
             .filter_map(|n| held(n).map(|e| (n, e)))
             .collect();
--- a/crates/linenthread-drill/src/system/leaving.rs
+++ b/crates/linenthread-drill/src/system/leaving.rs
@@ -1,6 +1,8 @@
 //! Planned ends: SIGTERM, then the end when control says so or when the grace is over; a new start
 //! afterwards, or the end of the machine. Rolling restarts, machine by machine.
 
+use linenthread_time::Instant;
+
 use super::budget::SYNC;
 use super::machines::End;
 use super::world::{Event, World};
@@ -39,7 +41,7 @@
             then,
         });
         let life = self.nodes[n].life;
-        self.at(n, linenthread_control::ControlNode::leave);
+        self.at(n, linenthread_control::ControlNode::begin_shutdown);
         self.push(self.now + LOOK, Event::MayEnd { node: n, life });
     }
 
@@ -47,12 +49,12 @@
         let Some(leaving) = self.nodes[n].leaving.filter(|_| self.nodes[n].life == life) else {
             return;
         };
-        let clock = self.clock(n);
+        let clock = Instant::from_millis(self.clock(n));
         let may = self.is_running(n)
             && self.nodes[n]
                 .control
                 .as_ref()
-                .is_some_and(|c| c.may_leave(clock));
+                .is_some_and(|c| c.may_exit(clock));
         if !may && self.now < leaving.until {
             self.push(self.now + LOOK, Event::MayEnd { node: n, life });
             return;
--- a/crates/linenthread-drill/src/system/machines.rs
+++ b/crates/linenthread-drill/src/system/machines.rs
@@ -1,9 +1,10 @@
 //! Core machines: start and end of their processes, and what a control state machine asks for, carried out.
 
 use std::collections::BTreeMap;
+use std::time::Duration;
 
 use linenthread_consensus::genesis_id;
-use linenthread_control::{ControlNode, Effect, NodeConfig};
+use linenthread_control::{ControlNode, Effect, NodeConfig, SessionId};
 use linenthread_messages::{PeerMessage, Record};
 
 use super::catch_up::CatchUp;
@@ -11,6 +12,7 @@
 use super::fronts::{WHOLE, WINDOW};
 use super::leaving::Leaving;
 use super::world::{Event, World};
+use linenthread_time::Instant;
 
 pub(super) struct Node {
     pub(super) address: String,
@@ -102,14 +104,20 @@
             control_address: own,
             may_vote: true,
             min_voters: 2 * self.budget + 1,
-            heartbeat_interval: 1_000,
+            heartbeat_interval: Duration::from_millis(1_000),
             bootstrap: node.bootstrap.clone(),
             is_genesis: node.initial && kept.id.is_none(),
             retry_allowance: WHOLE,
-            retry_window: WINDOW,
+            retry_window: Duration::from_millis(WINDOW),
         };
         let empty = kept.id.is_none();
-        let control = ControlNode::new(local, id, kept, genesis.clone(), clock);
+        let control = ControlNode::new(
+            local,
+            id,
+            kept,
+            genesis.clone(),
+            Instant::from_millis(clock),
+        );
         self.trace(&format!("{n} starts"));
         let goal = self.newest_number();
         let node = &mut self.nodes[n];
@@ -183,16 +191,18 @@
                 }
             }
         }
-        self.at(to, |c, now, out| c.on_message(now, link, word, out));
+        self.at(to, |c, now, out| {
+            c.on_message(now, SessionId(link), word, out);
+        });
     }
 
     /// Runs something at a core machine and carries out what it says.
     pub(super) fn at(
         &mut self,
         n: usize,
-        run: impl FnOnce(&mut ControlNode, u64, &mut Vec<Effect>),
+        run: impl FnOnce(&mut ControlNode, Instant, &mut Vec<Effect>),
     ) {
-        let clock = self.clock(n);
+        let clock = Instant::from_millis(self.clock(n));
         let mut out = Vec::new();
         let Some(control) = self.nodes[n].control.as_mut() else {
             return;
@@ -207,18 +217,12 @@
 
     fn carry_out(&mut self, n: usize, effect: Effect) {
         match effect {
-            Effect::Send {
-                session: link,
-                message: word,
-            } => self.send(n, link, word),
-            Effect::Persist { record, then } => self.keep(n, record, then),
-            Effect::Respond {
-                call: token,
-                response: answer,
-            } => self.answered(n, token, answer),
+            Effect::Send { session, message } => self.send(n, session.0, message),
+            Effect::Persist { record, after_sync } => self.keep(n, record, after_sync),
+            Effect::Respond { call, response } => self.answered(n, call.0, response),
             Effect::Dial(address) => self.dial(n, address),
-            Effect::Close(link) => self.end_link(link, n),
-            Effect::Log(note) => self.trace(&format!("{n}: {note}")),
+            Effect::Close(session) => self.end_link(session.0, n),
+            Effect::Log(event) => self.trace(&format!("{n}: {event}")),
         }
     }
 
--- a/crates/linenthread-drill/src/system/operators.rs
+++ b/crates/linenthread-drill/src/system/operators.rs
@@ -1,6 +1,8 @@
 //! Operators that race: each sends a change until it has a clear answer, and reads back. Orders that were
 //! taken long ago are sent again, to any machine, and so are others under their numbers.
 
+use linenthread_control::CallId;
+
 use super::world::{Event, World};
 
 /// How many later orders have been taken when one is sent again.
@@ -97,7 +99,9 @@
         let floor = self.acked.keys().last().copied().unwrap_or(0);
         if let Some(token) = self.call(n, Request::Read { operator, floor }) {
             self.operators[operator].waits = Some((token, self.now));
-            self.at(n, |c, now, out| c.read(now, token, out));
+            self.at(n, |c, now, out| {
+                c.read_configuration(now, CallId(token), out);
+            });
         }
     }
 
@@ -148,7 +152,7 @@
             document,
         } = change;
         self.at(n, |c, now, out| {
-            c.replace(now, token, base, revision, document, out);
+            c.replace_configuration(now, CallId(token), base, revision, document, out);
         });
     }
 
@@ -224,7 +228,9 @@
         }
         let floor = self.acked.keys().last().copied().unwrap_or(0);
         if let Some(token) = self.call(n, Request::Read { operator: 0, floor }) {
-            self.at(n, |c, now, out| c.read(now, token, out));
+            self.at(n, |c, now, out| {
+                c.read_configuration(now, CallId(token), out);
+            });
         }
         self.beat_at(n);
     }
--- a/crates/linenthread-drill/src/system/replicas.rs
+++ b/crates/linenthread-drill/src/system/replicas.rs
@@ -1,6 +1,6 @@
 //! Replicas that send heartbeats, some of which drain.
 
-use linenthread_control::ReplicaHeartbeat;
+use linenthread_control::{CallId, ReplicaHeartbeat};
 
 use super::operators::Request;
 use super::world::{Event, START, World};
@@ -42,7 +42,7 @@
         };
         if let Some(token) = self.call(n, request) {
             self.at(n, |c, now, out| {
-                c.on_replica_heartbeat(now, token, &ident, beat, out);
+                c.on_replica_heartbeat(now, CallId(token), &ident, beat, out);
             });
         }
     }
--- a/crates/linenthread-drill/src/system/world.rs
+++ b/crates/linenthread-drill/src/system/world.rs
@@ -3,7 +3,9 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use linenthread_consensus::genesis_id;
+use linenthread_control::{DeferredMessage, SessionId};
 use linenthread_messages::{PeerMessage, Value, Voter};
+use linenthread_time::Instant;
 use oorandom::Rand64;
 
 use super::fronts::{FIRST_FRONT, FRONTS, Front};
@@ -50,7 +52,7 @@
     Synced {
         to: usize,
         life: u64,
-        then: Vec<(u64, PeerMessage)>,
+        then: Vec<DeferredMessage>,
     },
     Start {
         node: usize,
@@ -264,7 +266,7 @@
         match event {
             Event::Opened { to, link, .. } => {
                 if to < FIRST_FRONT && self.wires.contains_key(&link) {
-                    self.at(to, |c, _, out| c.opened(link, out));
+                    self.at(to, |c, _, out| c.on_session_opened(SessionId(link), out));
                 }
             }
             Event::PeerMessage {
@@ -284,13 +286,17 @@
             Event::Closed { to, link, .. } => match to.checked_sub(FIRST_FRONT) {
                 Some(front) if self.fronts[front].link == Some(link) => self.front_is_closed(front),
                 Some(_) => {}
-                None => self.at(to, |c, now, out| c.closed(now, link, out)),
+                None => self.at(to, |c, now, out| {
+                    c.on_session_closed(now, SessionId(link), out);
+                }),
             },
             Event::Unreached { to, address, .. } => {
-                self.at(to, |c, now, _| c.unreached(now, &address));
+                self.at(to, |c, now, _| c.on_dial_failed(now, &address));
             }
             Event::Written { to, life } => self.written(to, life),
-            Event::Synced { to, then, .. } => self.at(to, |c, now, out| c.synced(now, then, out)),
+            Event::Synced { to, then, .. } => {
+                self.at(to, |c, now, out| c.on_synced(now, then, out));
+            }
             Event::Start { node } => self.start(node),
             Event::Front { front } => self.front(front),
             Event::Operator { operator } => self.operator(operator),
@@ -318,7 +324,7 @@
             if next > tick {
                 self.now = tick.min(end);
                 for n in 0..self.nodes.len() {
-                    let clock = self.clock(n);
+                    let clock = Instant::from_millis(self.clock(n));
                     let due = self.nodes[n]
                         .control
                         .as_ref()
--- a/crates/linenthread-drill/tests/no_wall_clock.rs
+++ b/crates/linenthread-drill/tests/no_wall_clock.rs
@@ -2,9 +2,11 @@
 //! time of day only to draw the number of a life, and for the times in its log.
 
 use std::path::{Path, PathBuf};
+use std::time::Duration;
 
 use linenthread_consensus::DurableState;
-use linenthread_control::{ControlNode, Effect, NodeConfig};
+use linenthread_control::{ControlNode, Effect, NodeConfig, SessionId};
+use linenthread_time::Instant;
 
 /// What reads the time of day.
 const TIME_OF_DAY: [&str; 2] = ["SystemTime", "UNIX_EPOCH"];
@@ -109,13 +111,13 @@
         control_address: format!("{name}:80"),
         may_vote: true,
         min_voters: 3,
-        heartbeat_interval: 1_000,
+        heartbeat_interval: Duration::from_millis(1_000),
         bootstrap: Vec::new(),
         is_genesis: false,
         retry_allowance: 1.0,
-        retry_window: 1_000,
+        retry_window: Duration::from_millis(1_000),
     };
-    ControlNode::new(local, life, DurableState::default(), None, 0)
+    ControlNode::new(local, life, DurableState::default(), None, Instant::START)
 }
 
 /// Two lives that draw one number hold no session with each other: neither votes for the other's ballots or
@@ -124,10 +126,10 @@
 fn two_lives_of_one_number_refuse_each_other() {
     let (mut one, mut other) = (node("one", 7), node("other", 7));
     let (mut hello, mut answer) = (Vec::new(), Vec::new());
-    one.opened(1, &mut hello);
+    one.on_session_opened(SessionId(1), &mut hello);
     let Some(Effect::Send { message: word, .. }) = hello.pop() else {
         panic!("no hello")
     };
-    other.on_message(1, 2, word, &mut answer);
-    assert!(matches!(answer[..], [Effect::Close(2)]));
+    other.on_message(Instant::from_millis(1), SessionId(2), word, &mut answer);
+    assert!(matches!(answer[..], [Effect::Close(SessionId(2))]));
 }
--- a/crates/linenthread-fleet/src/keep.rs
+++ b/crates/linenthread-fleet/src/keep.rs
@@ -3,7 +3,7 @@
 use std::collections::VecDeque;
 
 use linenthread_frames::{Put, Res, Take};
-use linenthread_store::{Cut, Files, Log, Trouble};
+use linenthread_store::{Files, Log, LogError, TornTail};
 use raft::eraftpb::{ConfState, Entry, EntryType, HardState, Snapshot};
 use raft::{Error, GetEntriesContext, RaftState, Result, Storage, StorageError};
 
@@ -78,7 +78,7 @@
     /// # Errors
     ///
     /// As [`Log::open`].
-    pub(crate) fn open(files: F) -> std::result::Result<(Keep<F>, Option<Cut>), Trouble> {
+    pub(crate) fn open(files: F) -> std::result::Result<(Keep<F>, Option<TornTail>), LogError> {
         let opened = Log::open(files)?;
         let mut keep = Keep {
             log: opened.log,
@@ -89,13 +89,13 @@
             entries: VecDeque::new(),
         };
         for (n, record) in opened.records.iter().enumerate() {
-            keep.recall(record).map_err(|why| Trouble::Damaged {
+            keep.recall(record).map_err(|why| LogError::Damaged {
                 file: "the voter's log".into(),
-                at: n as u64,
-                why: format!("its record of that number: {why}"),
+                offset: n as u64,
+                reason: format!("its record of that number: {why}"),
             })?;
         }
-        Ok((keep, opened.cut))
+        Ok((keep, opened.torn_tail))
     }
 
     fn recall(&mut self, record: &[u8]) -> Res<()> {
@@ -144,7 +144,7 @@
         own: Life,
         snapshot: Snapshot,
         hard: HardState,
-    ) -> std::result::Result<(), Trouble> {
+    ) -> std::result::Result<(), LogError> {
         self.own = Some(own);
         self.holding = false;
         (self.snapshot, self.hard) = (snapshot, hard);
@@ -153,18 +153,23 @@
     }
 
     /// It takes part from now on.
-    pub(crate) fn hold(&mut self) -> std::result::Result<(), Trouble> {
+    pub(crate) fn hold(&mut self) -> std::result::Result<(), LogError> {
         self.holding = true;
         self.log.append(&[HOLDING])?;
         self.log.sync()
     }
 
-    pub(crate) fn append(&mut self, entries: &[Entry]) -> std::result::Result<(), Trouble> {
+    pub(crate) fn append(&mut self, entries: &[Entry]) -> std::result::Result<(), LogError> {
         for entry in entries {
             let mut put = Put(vec![ENTRY]);
             put_entry(entry, &mut put);
             self.log.append(&put.0)?;
-            self.put_in(entry.clone()).map_err(Trouble::Disk)?;
+            self.put_in(entry.clone())
+                .map_err(|reason| LogError::Damaged {
+                    file: "the voter's log".into(),
+                    offset: self.log.bytes(),
+                    reason,
+                })?;
         }
         Ok(())
     }
@@ -177,7 +182,7 @@
         put.0
     }
 
-    pub(crate) fn set_hard(&mut self, hard: &HardState) -> std::result::Result<(), Trouble> {
+    pub(crate) fn set_hard(&mut self, hard: &HardState) -> std::result::Result<(), LogError> {
         self.hard = hard.clone();
         self.log.append(&self.hard_record())
     }
@@ -187,7 +192,7 @@
         self.hard.commit = commit;
     }
 
-    pub(crate) fn install(&mut self, snapshot: Snapshot) -> std::result::Result<(), Trouble> {
+    pub(crate) fn install(&mut self, snapshot: Snapshot) -> std::result::Result<(), LogError> {
         let about = snapshot.get_metadata();
         self.hard.commit = self.hard.commit.max(about.index);
         self.hard.term = self.hard.term.max(about.term);
@@ -196,7 +201,7 @@
         self.rewrite()
     }
 
-    pub(crate) fn sync(&mut self) -> std::result::Result<(), Trouble> {
+    pub(crate) fn sync(&mut self) -> std::result::Result<(), LogError> {
         self.log.sync()
     }
 
@@ -212,7 +217,7 @@
         applied: u64,
         conf: &ConfState,
         board: &Board,
-    ) -> std::result::Result<(), Trouble> {
+    ) -> std::result::Result<(), LogError> {
         let Ok(term) = self.term(applied) else {
             return Ok(());
         };
@@ -226,7 +231,7 @@
         self.rewrite()
     }
 
-    fn rewrite(&mut self) -> std::result::Result<(), Trouble> {
+    fn rewrite(&mut self) -> std::result::Result<(), LogError> {
         let mut records = Vec::new();
         if let Some(own) = &self.own {
             let mut put = Put(vec![SELF]);
--- a/crates/linenthread-fleet/src/voter.rs
+++ b/crates/linenthread-fleet/src/voter.rs
@@ -15,7 +15,7 @@
 
 use linenthread_core::interface::TenthMillis;
 use linenthread_frames::{Put, Take};
-use linenthread_store::{Files, Trouble};
+use linenthread_store::{Files, LogError};
 use oorandom::Rand64;
 use raft::eraftpb::{
     ConfChange, ConfChangeType, ConfState, Entry, EntryType, HardState, Message, MessageType,
@@ -150,7 +150,7 @@
                 if let Some(cut) = cut {
                     let line = format!(
                         "a torn end of {} bytes was cut off {} at {}",
-                        cut.bytes, cut.file, cut.at
+                        cut.bytes, cut.file, cut.offset
                     );
                     to.push(VoterDo::Line(line));
                 }
@@ -162,7 +162,7 @@
                 }
                 State::Waits(Box::new(keep))
             }
-            Err(Trouble::Disk(why)) => State::Stopped(why),
+            Err(error @ LogError::Disk { .. }) => State::Stopped(error.to_string()),
             Err(other) => return Err(other.to_string()),
         };
         let mut voter = Voter {
@@ -269,7 +269,7 @@
     }
 
     /// The disk has failed: it steps down by saying nothing more, and others lead.
-    fn stop(&mut self, trouble: &Trouble, to: &mut Vec<VoterDo>) {
+    fn stop(&mut self, trouble: &LogError, to: &mut Vec<VoterDo>) {
         to.push(VoterDo::Line(format!("this voter steps down: {trouble}")));
         if std::mem::take(&mut self.led) {
             to.push(VoterDo::Line(format!(
@@ -455,7 +455,14 @@
                 self.agreed_all(to);
                 self.drive(to);
             }
-            Err(why) => self.stop(&Trouble::Disk(why), to),
+            Err(why) => self.stop(
+                &LogError::Damaged {
+                    file: "the voter's log".into(),
+                    offset: 0,
+                    reason: why,
+                },
+                to,
+            ),
         }
     }
 
--- a/crates/linenthread-fleet/tests/fleets.rs
+++ b/crates/linenthread-fleet/tests/fleets.rs
@@ -10,10 +10,10 @@
     Agreed, Members, MembersDo, MembersTerms, Stage, Voter, VoterDo, VoterTerms, Who,
 };
 use linenthread_frames::Secrets;
-use linenthread_store::Model;
+use linenthread_store::SimulatedDisk;
 use proptest::prelude::*;
 
-type Disk = Rc<RefCell<Model>>;
+type Disk = Rc<RefCell<SimulatedDisk>>;
 
 /// Voters on one clock; what is said arrives at once, but over ways that are cut.
 struct Room {
@@ -244,7 +244,7 @@
     assert!(room.voters["catania"].votes(), "{:?}", room.lines);
     // Both others' disks fail; then this one is lost again. What they hold is not known: nothing is founded anew.
     for name in ["messina", "palermo"] {
-        room.disks[name].borrow_mut().syncs_left = Some(0);
+        room.disks[name].borrow_mut().syncs_until_failure = Some(0);
     }
     for number in 0..40 {
         room.propose("table", number, b"more").ok();
@@ -342,7 +342,7 @@
     let mut chance = oorandom::Rand64::new(3);
     room.disks["catania"]
         .borrow_mut()
-        .spoil(&mut chance)
+        .flip_bit(&mut chance)
         .unwrap();
     let said = room.start("catania").unwrap_err();
     assert!(said.contains("is damaged at byte"), "{said}");
--- a/crates/linenthread-fleet/tests/golden.rs
+++ b/crates/linenthread-fleet/tests/golden.rs
@@ -11,7 +11,7 @@
 use linenthread_fleet::frame::{Frame, Standing};
 use linenthread_fleet::{Members, MembersDo, MembersTerms, Voter, VoterDo, VoterTerms, Who};
 use linenthread_frames::Secrets;
-use linenthread_store::{Files, Model};
+use linenthread_store::{Files, SimulatedDisk};
 use raft::eraftpb::{Entry, EntryType, Message, MessageType, Snapshot};
 
 /// The lines of a golden file: a name, a space, and bytes in hexadecimal.
@@ -164,7 +164,7 @@
 const STEP: i64 = 250;
 const STEPS_PER_SECOND: i64 = 40;
 
-type Disk = Rc<RefCell<Model>>;
+type Disk = Rc<RefCell<SimulatedDisk>>;
 
 /// Voters on one clock whose messages arrive at once.
 struct Room {
@@ -256,7 +256,7 @@
         let mut files = Vec::new();
         for (voter, disk) in &self.disks {
             let mut disk = disk.borrow_mut();
-            for name in disk.names().expect("a folder") {
+            for name in disk.list().expect("a folder") {
                 let bytes = disk.read(&name).expect("a file");
                 files.push((format!("{voter}/{name}"), bytes));
             }
--- a/crates/linenthread-hollow/src/api.rs
+++ b/crates/linenthread-hollow/src/api.rs
@@ -1,12 +1,15 @@
 //! All that is used of `linenthread-control`, `-consensus` and `-messages`: a rename there changes this file only.
 
+use std::time::Duration;
+
 use bytes::BytesMut;
 use linenthread_config::Configuration;
 use linenthread_consensus::{DurableState, genesis_id};
 use linenthread_control::{ControlNode, NodeConfig, ReplicaHeartbeat};
 use linenthread_messages::{Heartbeat, Hello, VERSION, Value, Voter, decode};
+use linenthread_time::Instant;
 
-pub(crate) use linenthread_control::{CallId, Effect, Response, SessionId};
+pub(crate) use linenthread_control::{CallId, DeferredMessage, Effect, Response, SessionId};
 pub(crate) use linenthread_messages::{IngressUpdate, PeerMessage, Record, Replica, encode};
 
 use crate::cost::Work;
@@ -47,7 +50,7 @@
         revision: u64,
         document: Vec<u8>,
     },
-    Synced(Vec<(u64, PeerMessage)>),
+    Synced(Vec<DeferredMessage>),
     Tick,
 }
 
@@ -85,22 +88,32 @@
             control_address: settings.address,
             may_vote: settings.votes,
             min_voters: 3,
-            heartbeat_interval: settings.heartbeat_ms,
+            heartbeat_interval: Duration::from_millis(settings.heartbeat_ms),
             bootstrap: settings.bootstrap,
             is_genesis: true,
             retry_allowance: RETRY_ALLOWANCE,
-            retry_window: RETRY_WINDOW_MS,
+            retry_window: Duration::from_millis(RETRY_WINDOW_MS),
         };
-        let control = ControlNode::new(local, id, DurableState::default(), Some(genesis), now);
+        let control = ControlNode::new(
+            local,
+            id,
+            DurableState::default(),
+            Some(genesis),
+            Instant::from_millis(now),
+        );
         (Node { control }, record)
     }
 
     pub fn due(&self, now: u64) -> u64 {
-        self.control.next_tick_at(now)
+        self.control
+            .next_tick_at(Instant::from_millis(now))
+            .as_millis()
     }
 
     pub fn is_leader(&self, now: u64) -> bool {
-        self.control.holds_lease(now).is_some()
+        self.control
+            .lease_epoch(Instant::from_millis(now))
+            .is_some()
     }
 
     pub fn voters(&self) -> usize {
@@ -119,17 +132,18 @@
         from_front: bool,
         out: &mut Vec<Effect>,
     ) -> Work {
+        let now = Instant::from_millis(now);
         match input {
             Input::Opened(link) => {
-                self.control.opened(link, out);
+                self.control.on_session_opened(link, out);
                 Work::Sessions
             }
             Input::Closed(link) => {
-                self.control.closed(now, link, out);
+                self.control.on_session_closed(now, link, out);
                 Work::Sessions
             }
             Input::Unreached(address) => {
-                self.control.unreached(now, &address);
+                self.control.on_dial_failed(now, &address);
                 Work::Sessions
             }
             Input::Frame(link, mut frame) => match decode(&mut frame) {
@@ -159,12 +173,12 @@
             } => {
                 if Configuration::parse(&document).is_ok() {
                     self.control
-                        .replace(now, token, base, revision, document, out);
+                        .replace_configuration(now, token, base, revision, document, out);
                 }
                 Work::Configuration
             }
             Input::Synced(then) => {
-                self.control.synced(now, then, out);
+                self.control.on_synced(now, then, out);
                 Work::Configuration
             }
             Input::Tick => {
--- a/crates/linenthread-hollow/src/front.rs
+++ b/crates/linenthread-hollow/src/front.rs
@@ -4,7 +4,7 @@
 
 use linenthread_config::{Configuration, RoutingTable};
 
-use crate::api::{self, Notice, PeerMessage, Replica};
+use crate::api::{self, Notice, PeerMessage, Replica, SessionId};
 use crate::cost::{Cost, Meter, Work};
 
 pub struct Front {
@@ -12,7 +12,7 @@
     pub zone: usize,
     pub life: u64,
     /// Its session: link and control node.
-    pub session: Option<(u64, usize)>,
+    pub session: Option<(SessionId, usize)>,
     pub asked: u64,
     pub revision: u64,
     pub confirmed: bool,
--- a/crates/linenthread-hollow/src/world.rs
+++ b/crates/linenthread-hollow/src/world.rs
@@ -7,7 +7,8 @@
 use oorandom::Rand64;
 
 use crate::api::{
-    self, CallId, Effect, Input, Node, NodeSettings, PeerMessage, Record, Response, SessionId,
+    self, CallId, DeferredMessage, Effect, Input, Node, NodeSettings, PeerMessage, Record,
+    Response, SessionId,
 };
 use crate::cost::{Cost, Meter, Work, held};
 use crate::document::document;
@@ -144,9 +145,9 @@
             away: vec![false; scale.replicas],
             replica_cost: Cost::default(),
             links: HashMap::new(),
-            next_link: 0,
+            next_link: SessionId(0),
             calls: HashMap::new(),
-            next_token: 0,
+            next_token: CallId(0),
             scratch: BytesMut::new(),
             out: Vec::new(),
             acknowledged: histogram(),
@@ -358,25 +359,19 @@
 
     fn carry_out(&mut self, n: usize, effect: Effect) {
         match effect {
-            Effect::Send {
-                session: link,
-                message: word,
-            } => self.send(n, link, word),
-            Effect::Persist { record, then } => self.keep(n, record, then),
-            Effect::Respond {
-                call: token,
-                response: answer,
-            } => {
-                self.answered(n, token, &answer);
-                self.release(n, answer);
+            Effect::Send { session, message } => self.send(n, session, message),
+            Effect::Persist { record, after_sync } => self.keep(n, record, after_sync),
+            Effect::Respond { call, response } => {
+                self.answered(n, call, &response);
+                self.release(n, response);
             }
             Effect::Dial(address) => self.dial(n, address),
             Effect::Close(link) => self.end_link(link, End::Node(n)),
-            Effect::Log(line) => {
+            Effect::Log(event) => {
                 if let Some(trace) = &mut self.trace {
-                    trace.push((self.now, format!("control-{n:02} {line}")));
+                    trace.push((self.now, format!("control-{n:02} {event}")));
                 }
-                self.release(n, line);
+                self.release(n, event);
             }
         }
     }
@@ -388,7 +383,7 @@
         self.nodes[n].cost.heap += held() - before;
     }
 
-    fn keep(&mut self, n: usize, record: Record, then: Vec<(u64, PeerMessage)>) {
+    fn keep(&mut self, n: usize, record: Record, then: Vec<DeferredMessage>) {
         let slot = &mut self.nodes[n];
         slot.cost.disk_bytes += prost::Message::encoded_len(&record) as u64;
         let event = Event::Input {
@@ -492,7 +487,7 @@
     }
 
     fn open(&mut self, ends: [End; 2]) -> SessionId {
-        self.next_link += 1;
+        self.next_link.0 += 1;
         self.links.insert(self.next_link, ends);
         self.next_link
     }
@@ -592,7 +587,7 @@
     // --- replicas ---
 
     fn token(&mut self, caller: Caller) -> CallId {
-        self.next_token += 1;
+        self.next_token.0 += 1;
         self.calls.insert(self.next_token, caller);
         self.next_token
     }
--- a/crates/linenthread-service/src/fleet.rs
+++ b/crates/linenthread-service/src/fleet.rs
@@ -13,7 +13,7 @@
 use linenthread_fleet::{Agreed, Fleet, FleetDo, FleetTerms, Who};
 use linenthread_frames::{Put, Res, Secrets, Take};
 use linenthread_installation as file;
-use linenthread_store::Folder;
+use linenthread_store::Directory;
 use linenthread_zones::{Decider, Ground, Report, Table, Terms, Zone};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream, UdpSocket};
@@ -202,7 +202,7 @@
     name: String,
     place: Place,
     clock: Clock,
-    fleet: RefCell<Fleet<Folder>>,
+    fleet: RefCell<Fleet<Directory>>,
     udp: UdpSocket,
     wires: RefCell<BTreeMap<u64, Rc<Wire>>>,
     from: mpsc::UnboundedSender<FromFleet>,
@@ -225,7 +225,7 @@
 struct Member(Rc<Inner>);
 
 /// A voter's folder; `None` for who keeps nothing.
-fn folder(place: &Place) -> Result<Option<Folder>, String> {
+fn folder(place: &Place) -> Result<Option<Directory>, String> {
     let is_voter = place.fleet.voters.iter().any(|v| v.name == place.name);
     let Some(path) = place.fleet.folder.clone().filter(|_| is_voter) else {
         return match is_voter {
@@ -236,7 +236,9 @@
             false => Ok(None),
         };
     };
-    Folder::take(&path).map(Some)
+    Directory::open(&path)
+        .map_err(|error| error.to_string())
+        .map(Some)
 }
 
 impl Member {
@@ -353,13 +355,13 @@
     }
 
     /// Lets the machine take something in, and does what it says.
-    fn act(&self, take: impl FnOnce(&mut Fleet<Folder>, TenthMillis, &mut Vec<FleetDo>)) {
+    fn act(&self, take: impl FnOnce(&mut Fleet<Directory>, TenthMillis, &mut Vec<FleetDo>)) {
         self.act_here(take);
         self.0.woken.notify_one();
     }
 
     /// As [`Member::act`], from where it is looked next at when to wake: it need not be woken for that.
-    fn act_here(&self, take: impl FnOnce(&mut Fleet<Folder>, TenthMillis, &mut Vec<FleetDo>)) {
+    fn act_here(&self, take: impl FnOnce(&mut Fleet<Directory>, TenthMillis, &mut Vec<FleetDo>)) {
         let mut to = Vec::new();
         take(&mut self.0.fleet.borrow_mut(), self.0.clock.now(), &mut to);
         self.obey(to);
--- a/crates/linenthread-service/src/operator.rs
+++ b/crates/linenthread-service/src/operator.rs
@@ -10,7 +10,7 @@
 use linenthread_fleet::{Fleet, FleetDo, FleetTerms, Who};
 use linenthread_frames::Secrets;
 use linenthread_installation::Installation;
-use linenthread_store::Folder;
+use linenthread_store::Directory;
 use linenthread_zones::Table;
 
 use crate::fleet::{ORDERS, Orders, TABLE, order};
@@ -28,7 +28,7 @@
 }
 
 struct Line {
-    fleet: Fleet<Folder>,
+    fleet: Fleet<Directory>,
     stream: Option<(u64, TcpStream)>,
     began: Instant,
 }
