--- a/crates/linenthread-protocol/src/frame.rs
+++ b/crates/linenthread-protocol/src/frame.rs
@@ -1,150 +1,228 @@
-//! The frames to and from replicas: four bytes of length, most significant first, a letter, the rest.
+//! The frames to and from replicas: four bytes of length, most significant first, a letter for the kind, and
+//! the payload. The length counts the letter.
+
+use std::str::Utf8Error;
 
 use bytes::{Buf, Bytes, BytesMut};
 use linenthread_core::interface::AttemptOutcome;
+use snafu::{OptionExt, ResultExt, Snafu, ensure};
 
-/// Longer frames from a replica are not read: no answer to a client has room for more than 64 KiB.
-const LONGEST: usize = 65 * 1024;
+/// The bytes of a frame's length.
+const LENGTH_BYTES: usize = 4;
 
-fn framed(letter: u8, rest: &[u8]) -> Vec<u8> {
-    [&(rest.len() as u32 + 1).to_be_bytes()[..], &[letter], rest].concat()
-}
+/// Longer frames from a replica, in bytes, are not read: no response to a client has room for more than 64 KiB.
+const MAX_FRAME_BYTES: usize = 65 * 1024;
 
-/// A part that is asked on has another id each time, so that late answers to the first question are known.
-pub fn sub_request_id(lookup: &str, shard: usize, round: u32) -> String {
-    match round {
-        0 => format!("{lookup}.{shard}"),
-        _ => format!("{lookup}.{shard}.{round}"),
-    }
-}
+/// Of a replica's complaint, so many characters are kept.
+const MAX_COMPLAINT_CHARACTERS: usize = 80;
 
-/// One part call of so many parts, each an id, a shard and a text.
-pub fn encode_requests<'a>(
-    parts: impl Iterator<Item = (&'a str, usize, &'a str)>,
-    wait_ms: u64,
-) -> Vec<u8> {
-    let mut rest = Vec::new();
-    for (id, shard, text) in parts {
-        rest.extend_from_slice(format!("{id} {shard} d={wait_ms} {}\n", text.len()).as_bytes());
-        rest.extend_from_slice(text.as_bytes());
-    }
-    framed(b'A', &rest)
+/// The kinds of frames.
+mod kind {
+    /// To a replica: sub-requests.
+    pub(super) const REQUESTS: u8 = b'A';
+    /// To a replica: a sub-request is cancelled.
+    pub(super) const CANCEL: u8 = b'B';
+    /// From a replica: the end of a probe, of the older form.
+    pub(super) const PROBE_RESULT: u8 = b'C';
+    /// To a replica: a probe that asks for a load report. From a replica: the response to it.
+    pub(super) const PROBE: u8 = b'D';
+    /// From a replica: the response to a sub-request.
+    pub(super) const RESPONSE: u8 = b'E';
+    /// From a replica: the frame before could not be used.
+    pub(super) const COMPLAINT: u8 = b'F';
 }
 
-/// Word that a part is no longer waited for.
-pub fn encode_cancel(id: &str) -> Vec<u8> {
-    framed(b'B', id.as_bytes())
-}
-
-/// A probe that asks for the load.
-pub fn encode_probe() -> Vec<u8> {
-    framed(b'D', b"")
-}
-
-/// What a replica says.
+/// What a replica sends.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ReplicaMessage {
+    /// The response to a sub-request.
     Response {
+        /// The sub-request, see [`sub_request_id`].
         id: String,
+        /// Success, error or rejection.
         outcome: AttemptOutcome,
+        /// Sub-requests that the replica reports as queued, where it does.
         queue_depth: Option<f64>,
+        /// The value, empty unless it succeeded.
         value: String,
     },
+    /// The response to a probe.
     ProbeResponse {
+        /// Success, error or rejection.
         outcome: AttemptOutcome,
+        /// Sub-requests that the replica reports as queued, where it does.
         queue_depth: Option<f64>,
     },
-    /// The frame before could not be used; the connection is closed.
+    /// The frame before could not be used, with the replica's reason; the connection is closed.
     ProtocolError(String),
 }
 
-/// Of a load report only the waiting parts are read. One that can't be read is no report, and spoils
-/// nothing of the answer that it came with.
-fn queue(report: &[u8]) -> Option<f64> {
-    let mut fields = std::str::from_utf8(report).ok()?.split(',');
-    let value = fields.find_map(|field| field.trim().strip_prefix("queue="))?;
-    value
-        .parse()
-        .ok()
-        .filter(|v: &f64| v.is_finite())
-        .map(|v| v.max(0.0))
+/// Why a frame cannot be read. Nothing that follows it on its connection can be.
+#[derive(Debug, Snafu)]
+pub enum FrameError {
+    /// The length is 0 or too large.
+    #[snafu(display("a frame cannot be of {length} bytes"))]
+    Length {
+        /// The length in bytes.
+        length: usize,
+    },
+    /// There are no frames of this kind.
+    #[snafu(display("a frame cannot have the letter {letter:?}"))]
+    Kind {
+        /// The letter.
+        letter: char,
+    },
+    /// Its text is not UTF-8.
+    #[snafu(display("a frame's text is not UTF-8"))]
+    Text {
+        /// Where it is not.
+        source: Utf8Error,
+    },
+    /// The first line of a response is incomplete.
+    #[snafu(display("an answer without its {field}"))]
+    MissingField {
+        /// The first field that is missing.
+        field: &'static str,
+    },
+    /// A response's outcome is none of the protocol's words.
+    #[snafu(display("an answer cannot end with {word:.20?}"))]
+    Outcome {
+        /// The word.
+        word: String,
+    },
+    /// A response's score is no number.
+    #[snafu(display("an answer's score cannot be {score:.20?}"))]
+    Score {
+        /// The score.
+        score: String,
+    },
 }
 
-fn ending(word: &str) -> Option<AttemptOutcome> {
-    match word {
-        "hit" => Some(AttemptOutcome::Success),
-        "fault" => Some(AttemptOutcome::Error),
-        "overload" => Some(AttemptOutcome::Rejected),
-        _ => None,
+fn encode(kind: u8, payload: &[u8]) -> Vec<u8> {
+    let length = u32::try_from(payload.len() + 1).expect("a frame's payload is under 4 GiB");
+    [&length.to_be_bytes()[..], &[kind], payload].concat()
+}
+
+/// The id of a sub-request on the wire. One that is sent once more, for a continuation, has another id each
+/// time, so that a late response to an earlier round is recognised.
+pub fn sub_request_id(query: &str, shard: usize, round: u32) -> String {
+    match round {
+        0 => format!("{query}.{shard}"),
+        _ => format!("{query}.{shard}.{round}"),
     }
 }
 
-fn text(bytes: &[u8]) -> Result<&str, String> {
-    std::str::from_utf8(bytes).map_err(|_| "a frame's text is not UTF-8".into())
+/// Encodes sub-requests, each an id, a shard and a body, that are waited for `wait_ms` milliseconds.
+pub fn encode_requests<'a>(
+    sub_requests: impl Iterator<Item = (&'a str, usize, &'a str)>,
+    wait_ms: u64,
+) -> Vec<u8> {
+    let mut payload = Vec::new();
+    for (id, shard, body) in sub_requests {
+        let line = format!("{id} {shard} d={wait_ms} {}\n", body.len());
+        payload.extend_from_slice(line.as_bytes());
+        payload.extend_from_slice(body.as_bytes());
+    }
+    encode(kind::REQUESTS, &payload)
 }
 
-fn part(mut rest: Bytes) -> Result<ReplicaMessage, String> {
-    let end = rest
-        .iter()
-        .position(|b| *b == b'\n')
-        .ok_or("an answer without its line")?;
-    let line = rest.split_to(end);
-    let mut fields = line.splitn(4, |b| *b == b' ');
-    let mut next = |field: &str| {
-        fields
-            .next()
-            .ok_or_else(|| format!("an answer without its {field}"))
+/// Encodes that a sub-request is no longer waited for.
+pub fn encode_cancel(id: &str) -> Vec<u8> {
+    encode(kind::CANCEL, id.as_bytes())
+}
+
+/// Encodes a probe that asks for a load report.
+pub fn encode_probe() -> Vec<u8> {
+    encode(kind::PROBE, b"")
+}
+
+/// Takes the next frame off what was read; `None` while it is incomplete.
+///
+/// # Errors
+///
+/// [`FrameError`] if the frame cannot be read.
+pub fn decode(read: &mut BytesMut) -> Result<Option<ReplicaMessage>, FrameError> {
+    let Some(length) = read.first_chunk::<LENGTH_BYTES>() else {
+        return Ok(None);
     };
-    let (id, how, score) = (
-        text(next("id")?)?,
-        text(next("end")?)?,
-        text(next("score")?)?,
+    let length = u32::from_be_bytes(*length) as usize;
+    ensure!(
+        (1..=MAX_FRAME_BYTES).contains(&length),
+        LengthSnafu { length }
     );
-    let report = next("report")?;
-    let ending = ending(how).ok_or_else(|| format!("an answer cannot end with {how:.20?}"))?;
-    if score != "-" && !score.parse().is_ok_and(f64::is_finite) {
-        return Err(format!("an answer's score cannot be {score:.20?}"));
+    if read.len() < LENGTH_BYTES + length {
+        return Ok(None);
     }
+    read.advance(LENGTH_BYTES);
+    let mut payload = read.split_to(length).freeze();
+    let kind = payload.get_u8();
+    match kind {
+        kind::RESPONSE => decode_response(payload).map(Some),
+        kind::PROBE_RESULT | kind::PROBE => Ok(Some(decode_probe_response(&payload))),
+        kind::COMPLAINT => {
+            let complaint = text(&payload)?.chars().take(MAX_COMPLAINT_CHARACTERS);
+            Ok(Some(ReplicaMessage::ProtocolError(complaint.collect())))
+        }
+        other => KindSnafu { letter: other }.fail(),
+    }
+}
+
+/// Decodes a response: a line with id, outcome, score and load report, then the value.
+fn decode_response(mut payload: Bytes) -> Result<ReplicaMessage, FrameError> {
+    let line_length = payload
+        .iter()
+        .position(|byte| *byte == b'\n')
+        .context(MissingFieldSnafu { field: "line" })?;
+    let line = payload.split_to(line_length);
+    let mut fields = line.splitn(4, |byte| *byte == b' ');
+    let mut next = |field: &'static str| fields.next().context(MissingFieldSnafu { field });
+    let id = text(next("id")?)?;
+    let word = text(next("end")?)?;
+    let score = text(next("score")?)?;
+    let report = next("report")?;
+    let outcome = outcome(word).context(OutcomeSnafu { word })?;
+    let is_score = score == "-" || score.parse().is_ok_and(f64::is_finite);
+    ensure!(is_score, ScoreSnafu { score });
+    // The line's end is still there.
+    let value = text(&payload[1..])?;
     Ok(ReplicaMessage::Response {
         id: id.into(),
-        outcome: ending,
-        queue_depth: queue(report),
-        value: text(&rest[1..])?.into(),
+        outcome,
+        queue_depth: queue_depth(report),
+        value: value.into(),
     })
 }
 
-/// Takes the next frame off what was read; `None` while it is not all there.
-pub fn decode(read: &mut BytesMut) -> Result<Option<ReplicaMessage>, String> {
-    let Some(length) = read
-        .first_chunk::<4>()
-        .map(|l| u32::from_be_bytes(*l) as usize)
-    else {
-        return Ok(None);
-    };
-    if length == 0 || length > LONGEST {
-        return Err(format!("a frame cannot be of {length} bytes"));
+/// Decodes a probe's end: an outcome, or a load report from a replica that responds.
+fn decode_probe_response(payload: &[u8]) -> ReplicaMessage {
+    let outcome = std::str::from_utf8(payload).ok().and_then(outcome);
+    ReplicaMessage::ProbeResponse {
+        outcome: outcome.unwrap_or(AttemptOutcome::Success),
+        queue_depth: queue_depth(payload),
     }
-    if read.len() < 4 + length {
-        return Ok(None);
-    }
-    read.advance(4);
-    let mut frame = read.split_to(length).freeze();
-    let letter = frame.get_u8();
-    match letter {
-        b'E' => part(frame).map(Some),
-        b'C' | b'D' => {
-            let said = std::str::from_utf8(&frame).ok().and_then(ending);
-            Ok(Some(ReplicaMessage::ProbeResponse {
-                outcome: said.unwrap_or(AttemptOutcome::Success),
-                queue_depth: queue(&frame),
-            }))
-        }
-        b'F' => Ok(Some(ReplicaMessage::ProtocolError(
-            text(&frame)?.chars().take(80).collect(),
-        ))),
-        other => Err(format!(
-            "a frame cannot have the letter {:?}",
-            char::from(other)
-        )),
+}
+
+fn outcome(word: &str) -> Option<AttemptOutcome> {
+    match word {
+        "hit" => Some(AttemptOutcome::Success),
+        "fault" => Some(AttemptOutcome::Error),
+        "overload" => Some(AttemptOutcome::Rejected),
+        _ => None,
     }
 }
+
+/// The number of queued sub-requests of a load report. A report that cannot be read counts as none, and spoils
+/// nothing of the response that it came with.
+fn queue_depth(report: &[u8]) -> Option<f64> {
+    let mut fields = std::str::from_utf8(report).ok()?.split(',');
+    let value = fields.find_map(|field| field.trim().strip_prefix("queue="))?;
+    value
+        .parse()
+        .ok()
+        .filter(|depth: &f64| depth.is_finite())
+        .map(|depth| depth.max(0.0))
+}
+
+fn text(bytes: &[u8]) -> Result<&str, FrameError> {
+    std::str::from_utf8(bytes).context(TextSnafu)
+}
--- a/crates/linenthread-protocol/src/membership.rs
+++ b/crates/linenthread-protocol/src/membership.rs
@@ -1,50 +1,92 @@
-//! The roster's lists of replicas.
+//! The lists of replicas that service discovery serves.
 
 use std::net::SocketAddr;
 
 use linenthread_core::interface::Phase;
 use serde::Deserialize;
+use snafu::{ResultExt, Snafu, ensure};
 
-/// More replicas than these are no list to go by, and a longer body is not read.
+/// A list of more replicas than these is not accepted.
 pub const MAX_REPLICAS: usize = 4096;
+
+/// A longer body, in bytes, is not read.
 pub const MAX_BYTES: usize = 2 * 1024 * 1024;
 
-/// The path of the whole list.
+/// The path of the complete list.
 pub const LIST_PATH: &str = "/v1/servers";
 
-/// The path of a watch for what is newer than a revision.
+/// The longest id of a replica, and the longest name of a zone, in bytes.
+const MAX_NAME_BYTES: usize = 128;
+
+/// The path of a watch for what is newer than a revision; the response is held back for up to `hold_ms`
+/// milliseconds while there is nothing.
 pub fn watch_path(revision: u64, hold_ms: u64) -> String {
     format!("{LIST_PATH}?from={revision}&hold_ms={hold_ms}")
 }
 
+/// A list of replicas, or of those that have changed.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 pub struct MembershipList {
+    /// Rises with each change.
     pub revision: u64,
-    /// What the list leaves out is gone.
-    #[serde(rename = "complete")]
+    /// Replicas that the list leaves out are removed.
     pub complete: bool,
+    /// The entries.
     #[serde(rename = "members")]
     pub replicas: Vec<Member>,
 }
 
+/// One replica as a list has it.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 pub struct Member {
+    /// Its id, the same at every co-ordinator.
     pub id: String,
+    /// Where it listens.
     #[serde(rename = "host_port")]
     pub address: SocketAddr,
+    /// The zone it runs in.
     #[serde(rename = "locality")]
     pub zone: String,
+    /// The number of its replica group.
     #[serde(rename = "cell")]
     pub replica_group: usize,
+    /// Whether it serves.
     #[serde(deserialize_with = "phase")]
     pub phase: Phase,
-    /// When it last started, by the system's clock; 0 for long ago.
+    /// When it last started, in milliseconds since 1970; 0 for long ago.
     #[serde(rename = "up_since_ms", default)]
     pub started_at_ms: f64,
 }
 
-fn phase<'de, D: serde::Deserializer<'de>>(from: D) -> Result<Phase, D::Error> {
-    match String::deserialize(from)?.as_str() {
+/// Why a list cannot be used.
+#[derive(Debug, Snafu)]
+pub enum MembershipError {
+    /// It is not JSON, or has another form.
+    #[snafu(display("the list does not parse: {source}"))]
+    Parse {
+        /// What is wrong with it.
+        source: serde_json::Error,
+    },
+    /// It has more than [`MAX_REPLICAS`] entries.
+    #[snafu(display("the list has {count} replicas, more than {MAX_REPLICAS}"))]
+    TooManyReplicas {
+        /// Number of its entries.
+        count: usize,
+    },
+    /// An entry names a replica group that does not exist, or has too long a name.
+    #[snafu(display("the list places {id:.40} in cell {replica_group} of {replica_groups}"))]
+    BadPlace {
+        /// The replica.
+        id: String,
+        /// Its replica group.
+        replica_group: usize,
+        /// Number of replica groups.
+        replica_groups: usize,
+    },
+}
+
+fn phase<'de, D: serde::Deserializer<'de>>(deserializer: D) -> Result<Phase, D::Error> {
+    match String::deserialize(deserializer)?.as_str() {
         "active" => Ok(Phase::Ready),
         "leaving" => Ok(Phase::Draining),
         "left" => Ok(Phase::Removed),
@@ -54,36 +96,46 @@
     }
 }
 
-/// Reads a list, and holds it to the number of cells that the deployment has.
-pub fn decode(text: &[u8], cells: usize) -> Result<MembershipList, String> {
-    held_to(cells, serde_json::from_slice(text))
+/// Decodes a list, for a cluster with so many replica groups.
+///
+/// # Errors
+///
+/// [`MembershipError`] if it does not parse or does not fit the cluster.
+pub fn decode(text: &[u8], replica_groups: usize) -> Result<MembershipList, MembershipError> {
+    let list = serde_json::from_slice(text).context(ParseSnafu)?;
+    validate(list, replica_groups)
 }
 
-/// The same for a list that stands in a larger text, already read.
-pub fn from_value(value: &serde_json::Value, cells: usize) -> Result<MembershipList, String> {
-    held_to(cells, MembershipList::deserialize(value))
+/// Decodes a list that is part of a larger document.
+///
+/// # Errors
+///
+/// As [`decode`].
+pub fn from_value(
+    value: &serde_json::Value,
+    replica_groups: usize,
+) -> Result<MembershipList, MembershipError> {
+    let list = MembershipList::deserialize(value).context(ParseSnafu)?;
+    validate(list, replica_groups)
 }
 
-fn held_to(
-    cells: usize,
-    read: serde_json::Result<MembershipList>,
-) -> Result<MembershipList, String> {
-    let list = read.map_err(|e| format!("the list does not parse: {e}"))?;
-    if list.replicas.len() > MAX_REPLICAS {
-        return Err(format!(
-            "the list has {} replicas, more than {MAX_REPLICAS}",
-            list.replicas.len()
-        ));
-    }
-    match list
-        .replicas
-        .iter()
-        .find(|r| r.replica_group >= cells || r.id.len() > 128 || r.zone.len() > 128)
-    {
-        Some(bad) => Err(format!(
-            "the list places {:.40} in cell {} of {cells}",
-            bad.id, bad.replica_group
-        )),
-        None => Ok(list),
+fn validate(
+    list: MembershipList,
+    replica_groups: usize,
+) -> Result<MembershipList, MembershipError> {
+    let count = list.replicas.len();
+    ensure!(count <= MAX_REPLICAS, TooManyReplicasSnafu { count });
+    for member in &list.replicas {
+        ensure!(
+            member.replica_group < replica_groups
+                && member.id.len() <= MAX_NAME_BYTES
+                && member.zone.len() <= MAX_NAME_BYTES,
+            BadPlaceSnafu {
+                id: &member.id,
+                replica_group: member.replica_group,
+                replica_groups,
+            }
+        );
     }
+    Ok(list)
 }
--- a/crates/linenthread-protocol/src/query.rs
+++ b/crates/linenthread-protocol/src/query.rs
@@ -1,173 +1,228 @@
-//! What clients ask, and what they are answered.
+//! What clients request, and what they get.
 
-use serde::{Deserialize, Serialize};
+mod wire;
 
-/// Where a front or the operators ask whether lookups are taken.
+use serde::Deserialize;
+use snafu::{OptionExt, ResultExt, Snafu, ensure};
+
+/// Where the load balancer and the operators ask whether queries are accepted.
 pub const HEALTH_PATH: &str = "/healthz";
+
+/// A longer request body, in bytes, is not accepted.
 pub const MAX_BODY_BYTES: usize = 64 * 1024;
 
-const ID: &str = "x-trace-id";
-const CUSTOMER: &str = "x-customer";
-const KEY: &str = "x-object";
-const EXPIRES: &str = "x-expires-in-ms";
-/// Ids go into frames and are kept while their lookup is open.
-const LONGEST_NAME: usize = 128;
-/// Shares are rounded, each on its own.
-const ROUNDING: f64 = 0.01;
-/// No client waits longer: a day.
-const LONGEST_WAIT_MS: u64 = 86_400_000;
-
-/// One lookup as its client asked it.
+const ID_HEADER: &str = "x-trace-id";
+const CUSTOMER_HEADER: &str = "x-customer";
+const KEY_HEADER: &str = "x-object";
+const EXPIRY_HEADER: &str = "x-expires-in-ms";
+
+/// The longest id, customer or key, in bytes: ids go into frames and are stored while their query is open.
+const MAX_NAME_BYTES: usize = 128;
+
+/// The weights of a query may miss 1 by this much: each is rounded on its own.
+const WEIGHT_ROUNDING: f64 = 0.01;
+
+/// The longest time, in milliseconds, that a client may wait: a day.
+const MAX_WAIT_MS: u64 = 86_400_000;
+
+/// One query as its client sent it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Query {
+    /// Its id, unique among open queries.
     pub id: String,
+    /// The customer it is from, where it names one.
     pub customer: Option<String>,
+    /// Its routing key, where it has one.
     pub key: Option<String>,
+    /// How long its client waits, in milliseconds.
     pub expires_in_ms: u64,
+    /// Its sub-requests, at least one, each for a shard of its own.
     pub sub_requests: Vec<SubRequest>,
-    /// What each part call carries, unchanged.
+    /// What each sub-request carries, unchanged.
     pub body: String,
 }
 
-#[derive(Clone, Debug, PartialEq, Deserialize)]
+/// One sub-request of a query.
+#[derive(Clone, Debug, PartialEq)]
 pub struct SubRequest {
-    #[serde(rename = "bucket")]
+    /// The shard it is for.
     pub shard: usize,
-    #[serde(rename = "part")]
+    /// Its share of the query, above 0 and up to 1.
     pub weight: f64,
-    /// An estimate of the work, in microseconds, and a seed of 16 hex digits: held to their form only.
-    #[serde(default)]
-    effort: Option<f64>,
-    #[serde(default)]
-    seed: Option<String>,
-}
-
-impl SubRequest {
-    fn is_well_formed(&self) -> bool {
-        let hex = |s: &String| s.len() == 16 && s.bytes().all(|b| b.is_ascii_hexdigit());
-        self.weight > 0.0
-            && self.weight <= 1.0
-            && self.effort.is_none_or(|e| e >= 0.0)
-            && self.seed.as_ref().is_none_or(hex)
-    }
 }
 
-#[derive(Deserialize)]
-struct Asked {
-    buckets: Vec<SubRequest>,
-    body: String,
+/// Which page of a merged index is requested: `"page":{"rows":20,"after":"CURSOR"}` in a request's body.
+#[derive(Clone, Debug, Default, PartialEq, Deserialize)]
+#[serde(deny_unknown_fields)]
+pub struct Page {
+    /// Number of rows.
+    pub rows: Option<usize>,
+    /// Where the page before ended.
+    #[serde(rename = "after")]
+    pub cursor: Option<String>,
 }
 
-fn name(value: Option<&str>, field: &str) -> Result<Option<String>, String> {
-    match value {
-        Some(v) if v.is_empty() || v.len() > LONGEST_NAME => {
-            Err(format!("{field} cannot be of {} bytes", v.len()))
-        }
-        other => Ok(other.map(str::to_owned)),
-    }
+/// Why a request is not accepted. The message is sent to the client.
+#[derive(Debug, Snafu)]
+pub enum QueryError {
+    /// A required header is missing.
+    #[snafu(display("{header} is missing"))]
+    MissingHeader {
+        /// The header.
+        header: &'static str,
+    },
+    /// A header's value is empty or too long.
+    #[snafu(display("{header} cannot be of {length} bytes"))]
+    HeaderLength {
+        /// The header.
+        header: &'static str,
+        /// The length of its value.
+        length: usize,
+    },
+    /// The id has characters that ids cannot have.
+    #[snafu(display("{ID_HEADER} may hold letters, digits, - and _ only"))]
+    BadId,
+    /// The client's wait is no number, or out of range.
+    #[snafu(display("{EXPIRY_HEADER} is no number of milliseconds from 1 to {MAX_WAIT_MS}"))]
+    BadExpiry,
+    /// The body is not JSON, or has another form.
+    #[snafu(display("the body does not parse: {source}"))]
+    Body {
+        /// What is wrong with it.
+        source: serde_json::Error,
+    },
+    /// The page has another form.
+    #[snafu(display("the page does not parse: {source}"))]
+    Page {
+        /// What is wrong with it.
+        source: serde_json::Error,
+    },
+    /// There is no sub-request.
+    #[snafu(display("no parts are asked for"))]
+    NoSubRequests,
+    /// Two sub-requests are for the same shard.
+    #[snafu(display("a shard is named twice"))]
+    RepeatedShard,
+    /// A sub-request's weight, effort or seed has another form.
+    #[snafu(display(
+        "a part's share is not above 0 and up to 1, or its effort or seed has no such form"
+    ))]
+    BadSubRequest,
+    /// The weights' sum is not 1.
+    #[snafu(display("the parts' shares don't add up to 1"))]
+    BadWeights,
 }
 
-/// The index that a path names.
+/// The name of the index that a path is for.
 pub fn index_name(path: &str) -> &str {
     path.trim_start_matches('/').split('/').next().unwrap_or("")
 }
 
-/// Reads a request: its headers by name in small letters, and its body.
-pub fn decode<'a>(header: impl Fn(&str) -> Option<&'a str>, body: &[u8]) -> Result<Query, String> {
-    let id = name(header(ID), ID)?.ok_or_else(|| format!("{ID} is missing"))?;
-    if !id
-        .bytes()
-        .all(|b| b.is_ascii_alphanumeric() || b == b'-' || b == b'_')
-    {
-        return Err(format!("{ID} may hold letters, digits, - and _ only"));
-    }
-    let expires = header(EXPIRES).ok_or_else(|| format!("{EXPIRES} is missing"))?;
-    let expires_in_ms = match expires.trim().parse() {
-        Ok(ms) if (1..=LONGEST_WAIT_MS).contains(&ms) => ms,
-        _ => {
-            return Err(format!(
-                "{EXPIRES} is no number of milliseconds from 1 to {LONGEST_WAIT_MS}"
-            ));
-        }
-    };
-    let asked: Asked =
-        serde_json::from_slice(body).map_err(|e| format!("the body does not parse: {e}"))?;
-    if asked.buckets.is_empty() {
-        return Err("no parts are asked for".into());
-    }
-    let mut shards: Vec<usize> = asked.buckets.iter().map(|p| p.shard).collect();
-    shards.sort_unstable();
-    if shards.windows(2).any(|pair| pair[0] == pair[1]) {
-        return Err("a shard is named twice".into());
-    }
-    if !asked.buckets.iter().all(SubRequest::is_well_formed) {
-        return Err(
-            "a part's share is not above 0 and up to 1, or its effort or seed has no such form"
-                .into(),
-        );
-    }
-    if (asked.buckets.iter().map(|p| p.weight).sum::<f64>() - 1.0).abs() > ROUNDING {
-        return Err("the parts' shares don't add up to 1".into());
-    }
+/// Decodes a request: its headers by their names in lower case, and its body.
+///
+/// # Errors
+///
+/// [`QueryError`] if a header or the body is missing or has another form.
+pub fn decode<'a>(
+    header: impl Fn(&str) -> Option<&'a str>,
+    body: &[u8],
+) -> Result<Query, QueryError> {
+    let id = name(&header, ID_HEADER)?.context(MissingHeaderSnafu { header: ID_HEADER })?;
+    let is_id_character = |b: u8| b.is_ascii_alphanumeric() || b == b'-' || b == b'_';
+    ensure!(id.bytes().all(is_id_character), BadIdSnafu);
+    let expires_in_ms = expiry(&header)?;
+    let request: wire::Asked = serde_json::from_slice(body).context(BodySnafu)?;
+    validate(&request.buckets)?;
+    let sub_requests = request.buckets.iter().map(|part| SubRequest {
+        shard: part.bucket,
+        weight: part.part,
+    });
     Ok(Query {
         id,
-        customer: name(header(CUSTOMER), CUSTOMER)?,
-        key: name(header(KEY), KEY)?,
+        customer: name(&header, CUSTOMER_HEADER)?,
+        key: name(&header, KEY_HEADER)?,
         expires_in_ms,
-        sub_requests: asked.buckets,
-        body: asked.body,
+        sub_requests: sub_requests.collect(),
+        body: request.body,
     })
 }
 
-/// Which page of a merged index is wanted: `"page":{"rows":20,"after":"MARK"}` in a request's body.
-#[derive(Clone, Debug, Default, PartialEq, Deserialize)]
-#[serde(deny_unknown_fields)]
-pub struct Page {
-    pub rows: Option<usize>,
-    #[serde(rename = "after")]
-    pub cursor: Option<String>,
+/// The value of a header that may be missing.
+fn name<'a>(
+    header: &impl Fn(&str) -> Option<&'a str>,
+    header_name: &'static str,
+) -> Result<Option<String>, QueryError> {
+    let Some(value) = header(header_name) else {
+        return Ok(None);
+    };
+    ensure!(
+        (1..=MAX_NAME_BYTES).contains(&value.len()),
+        HeaderLengthSnafu {
+            header: header_name,
+            length: value.len(),
+        }
+    );
+    Ok(Some(value.to_owned()))
+}
+
+/// How long the client waits, in milliseconds.
+fn expiry<'a>(header: &impl Fn(&str) -> Option<&'a str>) -> Result<u64, QueryError> {
+    let value = header(EXPIRY_HEADER).context(MissingHeaderSnafu {
+        header: EXPIRY_HEADER,
+    })?;
+    value
+        .trim()
+        .parse()
+        .ok()
+        .filter(|ms| (1..=MAX_WAIT_MS).contains(ms))
+        .context(BadExpirySnafu)
+}
+
+fn validate(parts: &[wire::Part]) -> Result<(), QueryError> {
+    ensure!(!parts.is_empty(), NoSubRequestsSnafu);
+    let mut shards: Vec<usize> = parts.iter().map(|part| part.bucket).collect();
+    shards.sort_unstable();
+    let is_repeated = shards.windows(2).any(|pair| pair[0] == pair[1]);
+    ensure!(!is_repeated, RepeatedShardSnafu);
+    let is_well_formed = parts.iter().all(wire::Part::is_well_formed);
+    ensure!(is_well_formed, BadSubRequestSnafu);
+    let total: f64 = parts.iter().map(|part| part.part).sum();
+    let misses_one = (total - 1.0).abs() > WEIGHT_ROUNDING;
+    ensure!(!misses_one, BadWeightsSnafu);
+    Ok(())
 }
 
-/// Reads the page from a request's body; other indexes than merged ones take no notice of it.
+/// Decodes the page from a request's body; only merged indexes have pages.
 ///
 /// # Errors
 ///
-/// A page that has another form.
-pub fn decode_page(body: &[u8]) -> Result<Page, String> {
+/// [`QueryError::Page`] if the page has another form.
+pub fn decode_page(body: &[u8]) -> Result<Page, QueryError> {
+    /// Named as clients know it, like [`wire`]'s types.
     #[derive(Deserialize)]
     struct Asked {
         page: Option<Page>,
     }
-    let asked: Asked =
-        serde_json::from_slice(body).map_err(|e| format!("the page does not parse: {e}"))?;
+    let asked: Asked = serde_json::from_slice(body).context(PageSnafu)?;
     Ok(asked.page.unwrap_or_default())
 }
 
-#[derive(Serialize)]
-struct Found<'a> {
-    bucket: usize,
-    item: &'a str,
-}
-
-#[derive(Serialize)]
-struct Body<'a> {
-    finished: bool,
-    found: Vec<Found<'a>>,
-}
-
-/// The body of an answer: shards with their values, as replicas gave them.
-pub fn encode_response<'a>(whole: bool, values: impl Iterator<Item = (usize, &'a str)>) -> Vec<u8> {
+/// The body of a response: shards with their values, as replicas gave them.
+pub fn encode_response<'a>(
+    complete: bool,
+    values: impl Iterator<Item = (usize, &'a str)>,
+) -> Vec<u8> {
     let found = values
-        .map(|(bucket, item)| Found { bucket, item })
+        .map(|(bucket, item)| wire::Found { bucket, item })
         .collect();
-    serde_json::to_vec(&Body {
-        finished: whole,
+    let body = wire::Body {
+        finished: complete,
         found,
-    })
-    .unwrap_or_default()
+    };
+    serde_json::to_vec(&body).unwrap_or_default()
 }
 
-/// Seconds that a client is asked to wait, with as many decimals as the time has.
+/// The value of `Retry-After`: seconds with three decimals, of a time in milliseconds.
 pub fn retry_after_seconds(ms: f64) -> String {
     format!("{:.3}", ms / 1000.0)
 }
--- a/crates/linenthread-protocol/tests/messages.rs
+++ b/crates/linenthread-protocol/tests/messages.rs
@@ -1,41 +1,47 @@
-//! Every message on good, cut and hostile bytes.
+//! Every message from valid, truncated and invalid bytes.
 
 use bytes::BytesMut;
 use linenthread_core::interface::{AttemptOutcome, Phase};
 use linenthread_protocol::frame::{self, ReplicaMessage};
+use linenthread_protocol::query::{Query, QueryError};
 use linenthread_protocol::{membership, query};
 
 fn framed(letter: u8, rest: &[u8]) -> Vec<u8> {
     [&(rest.len() as u32 + 1).to_be_bytes()[..], &[letter], rest].concat()
 }
 
-fn part(id: &str, ending: AttemptOutcome, queue: Option<f64>, value: &str) -> ReplicaMessage {
+fn response(
+    id: &str,
+    outcome: AttemptOutcome,
+    queue_depth: Option<f64>,
+    value: &str,
+) -> ReplicaMessage {
     ReplicaMessage::Response {
         id: id.into(),
-        outcome: ending,
-        queue_depth: queue,
+        outcome,
+        queue_depth,
         value: value.into(),
     }
 }
 
 #[test]
-fn frames_are_read_whole_however_they_come() {
+fn frames_are_decoded_from_chunks_of_any_size() {
     let good = [
         (
             &b"E7f.3 hit 1840277719 inflight=7,queue=2.5,util=0.61\nv 1"[..],
-            part("7f.3", AttemptOutcome::Success, Some(2.5), "v 1"),
+            response("7f.3", AttemptOutcome::Success, Some(2.5), "v 1"),
         ),
         (
             b"E7f.3 fault 0 -\n",
-            part("7f.3", AttemptOutcome::Error, None, ""),
+            response("7f.3", AttemptOutcome::Error, None, ""),
         ),
         (
             b"E7f.3 overload - queue=-4\n",
-            part("7f.3", AttemptOutcome::Rejected, Some(0.0), ""),
+            response("7f.3", AttemptOutcome::Rejected, Some(0.0), ""),
         ),
         (
             b"E7f.3 hit 1 queue=inf\na\nb",
-            part("7f.3", AttemptOutcome::Success, None, "a\nb"),
+            response("7f.3", AttemptOutcome::Success, None, "a\nb"),
         ),
         (
             b"Chit",
@@ -60,7 +66,7 @@
         ),
         (
             b"E7f.3 hit 1 \xff queue=1 \nv",
-            part("7f.3", AttemptOutcome::Success, None, "v"),
+            response("7f.3", AttemptOutcome::Success, None, "v"),
         ),
         (
             b"D\xff\xfe",
@@ -86,17 +92,17 @@
         .flat_map(|(text, _)| framed(text[0], &text[1..]))
         .collect();
     for step in [1, 3, 7, stream.len()] {
-        let (mut read, mut words) = (BytesMut::new(), Vec::new());
-        for piece in stream.chunks(step) {
-            read.extend_from_slice(piece);
-            while let Some(word) = frame::decode(&mut read).unwrap() {
-                words.push(word);
+        let (mut read, mut messages) = (BytesMut::new(), Vec::new());
+        for chunk in stream.chunks(step) {
+            read.extend_from_slice(chunk);
+            while let Some(message) = frame::decode(&mut read).unwrap() {
+                messages.push(message);
             }
         }
         assert_eq!(
-            words,
+            messages,
             good.iter()
-                .map(|(_, word)| word.clone())
+                .map(|(_, message)| message.clone())
                 .collect::<Vec<_>>(),
             "in steps of {step}"
         );
@@ -105,7 +111,7 @@
 }
 
 #[test]
-fn hostile_frames_are_refused() {
+fn invalid_frames_are_rejected() {
     let bad: [&[u8]; 9] = [
         &[0, 0, 0, 0],
         &[0xff, 0xff, 0xff, 0xff],
@@ -126,7 +132,7 @@
 }
 
 #[test]
-fn frames_are_written_as_the_page_has_them() {
+fn frames_are_encoded_as_documented() {
     let id = frame::sub_request_id("9b1f", 3, 0);
     assert_eq!(
         frame::encode_requests([(&*id, 3, "c41e77d0")].into_iter(), 240),
@@ -140,7 +146,7 @@
 
 const BODY: &str = r#"{"buckets":[{"bucket":3,"part":0.5,"effort":9000},{"bucket":9,"part":0.5}],"body":"c41e77d0"}"#;
 
-fn read(changed: &str, value: Option<&'static str>, body: &str) -> Result<query::Query, String> {
+fn read(changed: &str, value: Option<&'static str>, body: &str) -> Result<Query, QueryError> {
     let header = |name: &str| match name {
         _ if name == changed => value,
         "x-trace-id" => Some("9b1f03aa5c7e2d41"),
@@ -153,18 +159,18 @@
 }
 
 #[test]
-fn lookups_are_read_and_answered() {
-    let asked = read("", None, BODY).unwrap();
+fn queries_are_decoded_and_responses_encoded() {
+    let query = read("", None, BODY).unwrap();
     assert_eq!(
-        (asked.id.as_str(), asked.expires_in_ms, asked.body.as_str()),
+        (query.id.as_str(), query.expires_in_ms, query.body.as_str()),
         ("9b1f03aa5c7e2d41", 480, "c41e77d0")
     );
     assert_eq!(
-        (asked.customer.as_deref(), asked.key.as_deref()),
+        (query.customer.as_deref(), query.key.as_deref()),
         (Some("acme"), Some("7f3a9c21e0b4d655"))
     );
     assert_eq!(
-        asked
+        query
             .sub_requests
             .iter()
             .map(|p| (p.shard, p.weight))
@@ -181,7 +187,7 @@
 }
 
 #[test]
-fn bad_lookups_are_refused() {
+fn invalid_queries_are_rejected() {
     let headers = [
         ("x-trace-id", None),
         ("x-trace-id", Some("")),
@@ -215,8 +221,52 @@
     }
 }
 
+/// Clients get these messages: they are part of the wire.
 #[test]
-fn lists_are_read_and_bad_ones_refused() {
+fn messages_to_clients_stay_as_they_are() {
+    let cases = [
+        (
+            "[]",
+            "the body does not parse: invalid length 0, expected struct Asked with 2 elements at line 1 column 2",
+        ),
+        (
+            r#"{"buckets":[3],"body":"x"}"#,
+            "the body does not parse: invalid type: integer `3`, expected struct Part at line 1 column 13",
+        ),
+        (
+            r#"{"buckets":[[3]],"body":"x"}"#,
+            "the body does not parse: invalid length 1, expected struct Part with 4 elements at line 1 column 15",
+        ),
+        (
+            r#"{"buckets":[{"bucket":3}],"body":"x"}"#,
+            "the body does not parse: missing field `part` at line 1 column 24",
+        ),
+        (r#"{"buckets":[],"body":"x"}"#, "no parts are asked for"),
+        (
+            r#"{"buckets":[{"bucket":3,"part":0.9}],"body":"x"}"#,
+            "the parts' shares don't add up to 1",
+        ),
+        (
+            r#"{"buckets":[{"bucket":3,"part":2}],"body":"x"}"#,
+            "a part's share is not above 0 and up to 1, or its effort or seed has no such form",
+        ),
+    ];
+    for (body, message) in cases {
+        assert_eq!(read("", None, body).unwrap_err().to_string(), message);
+    }
+    let page = |body: &str| query::decode_page(body.as_bytes()).unwrap_err().to_string();
+    assert_eq!(
+        page("7"),
+        "the page does not parse: invalid type: integer `7`, expected struct Asked at line 1 column 1"
+    );
+    assert_eq!(
+        page(r#"{"page":7}"#),
+        "the page does not parse: invalid type: integer `7`, expected struct Page at line 1 column 9"
+    );
+}
+
+#[test]
+fn lists_are_decoded_and_invalid_ones_rejected() {
     let list = |cell: &str, phase: &str, address: &str| {
         let place =
             format!(r#""host_port":"{address}","locality":"a","flavor":"m2","cell":{cell}"#);
@@ -231,12 +281,12 @@
         ("leaving", Phase::Draining),
         ("left", Phase::Removed),
     ] {
-        let told = read(&list("3", word, "127.0.0.1:5000")).unwrap();
+        let decoded = read(&list("3", word, "127.0.0.1:5000")).unwrap();
         assert_eq!(
-            (told.revision, told.complete, told.replicas.len()),
+            (decoded.revision, decoded.complete, decoded.replicas.len()),
             (43, false, 1)
         );
-        let replica = &told.replicas[0];
+        let replica = &decoded.replicas[0];
         assert_eq!(
             (replica.phase, replica.replica_group, replica.started_at_ms),
             (phase, 3, 5.0)
