--- a/crates/linenthread-adapter/src/host.rs
+++ b/crates/linenthread-adapter/src/host.rs
@@ -269,9 +269,10 @@
         if code == 1 {
             let seed = f.u64("init-seed")?;
             let n = f.u32("config")? as usize;
-            let settings = terms::parse_settings(f.bytes(n, "config")?)?;
+            let settings =
+                terms::parse_settings(f.bytes(n, "config")?).map_err(|e| e.to_string())?;
             let (deployment, queue_at) = (
-                terms::coordinator_config(&settings)?,
+                terms::coordinator_config(&settings).map_err(|e| e.to_string())?,
                 terms::queue_position(&settings),
             );
             let indexes = deployment.indexes.len();
--- a/crates/linenthread-protocol/tests/golden.rs
+++ b/crates/linenthread-protocol/tests/golden.rs
@@ -4,9 +4,9 @@
 //! replicas and clients depend on these bytes.
 
 use bytes::BytesMut;
-use linenthread_core::interface::{Ending, Phase};
-use linenthread_protocol::frame::{self, Word};
-use linenthread_protocol::{lookup, number, roster};
+use linenthread_core::interface::{AttemptOutcome, Phase};
+use linenthread_protocol::frame::{self, ReplicaMessage};
+use linenthread_protocol::{hash_id, membership, query};
 
 /// The lines of a golden file: a name, a space, and bytes in hexadecimal.
 fn golden(text: &str) -> Vec<(&str, Vec<u8>)> {
@@ -21,23 +21,35 @@
 
 /// Everything that is written to replicas and clients.
 fn written() -> Vec<(&'static str, Vec<u8>)> {
-    let first = frame::part_id("9b1f03aa5c7e2d41", 3, 0);
-    let again = frame::part_id("9b1f03aa5c7e2d41", 12, 2);
+    let first = frame::sub_request_id("9b1f03aa5c7e2d41", 3, 0);
+    let again = frame::sub_request_id("9b1f03aa5c7e2d41", 12, 2);
     let two = [
         (&*first, 3, "c41e77d0"),
         (&*again, 12, "a text\nwith \u{e9}"),
     ];
     let found = [(3, "5be2a07c19f04d63"), (12, "a \"b\" \u{e9}")];
     vec![
-        ("call_of_one", frame::call(two[..1].iter().copied(), 240)),
-        ("call_of_two", frame::call(two.into_iter(), 1_250)),
-        ("give_up", frame::give_up(&again)),
-        ("probe", frame::probe()),
-        ("answer", lookup::answer(true, found.into_iter())),
-        ("answer_partial", lookup::answer(false, std::iter::empty())),
-        ("retry_after", lookup::retry_after(1_250.5).into_bytes()),
-        ("watch", roster::watch(312, 30_000).into_bytes()),
-        ("number", number("9b1f03aa5c7e2d41").to_be_bytes().to_vec()),
+        (
+            "call_of_one",
+            frame::encode_requests(two[..1].iter().copied(), 240),
+        ),
+        (
+            "call_of_two",
+            frame::encode_requests(two.into_iter(), 1_250),
+        ),
+        ("give_up", frame::encode_cancel(&again)),
+        ("probe", frame::encode_probe()),
+        ("answer", query::encode_response(true, found.into_iter())),
+        (
+            "answer_partial",
+            query::encode_response(false, std::iter::empty()),
+        ),
+        (
+            "retry_after",
+            query::retry_after_seconds(1_250.5).into_bytes(),
+        ),
+        ("watch", membership::watch_path(312, 30_000).into_bytes()),
+        ("number", hash_id("9b1f03aa5c7e2d41").to_be_bytes().to_vec()),
     ]
 }
 
@@ -48,39 +60,42 @@
 
 #[test]
 fn frames_of_replicas_are_read_as_version_464716d_read_them() {
-    let part = |ending, queue, value: &str| Word::Part {
+    let part = |ending, queue, value: &str| ReplicaMessage::Response {
         id: "9b1f.3".to_owned(),
-        ending,
-        queue,
+        outcome: ending,
+        queue_depth: queue,
         value: value.to_owned(),
     };
-    let frames: [(&[u8], Word); 6] = [
+    let frames: [(&[u8], ReplicaMessage); 6] = [
         (
             b"E9b1f.3 hit 1840277719 inflight=7,queue=2.5\nv 1",
-            part(Ending::Answered, Some(2.5), "v 1"),
+            part(AttemptOutcome::Success, Some(2.5), "v 1"),
+        ),
+        (
+            b"E9b1f.3 fault 0 -\n",
+            part(AttemptOutcome::Error, None, ""),
         ),
-        (b"E9b1f.3 fault 0 -\n", part(Ending::Errored, None, "")),
         (
             b"E9b1f.3 overload - queue=4\n",
-            part(Ending::TurnedAway, Some(4.0), ""),
+            part(AttemptOutcome::Rejected, Some(4.0), ""),
         ),
         (
             b"Chit",
-            Word::Probe {
-                ending: Ending::Answered,
-                queue: None,
+            ReplicaMessage::ProbeResponse {
+                outcome: AttemptOutcome::Success,
+                queue_depth: None,
             },
         ),
         (
             b"Dutil=0.1,queue=3.5",
-            Word::Probe {
-                ending: Ending::Answered,
-                queue: Some(3.5),
+            ReplicaMessage::ProbeResponse {
+                outcome: AttemptOutcome::Success,
+                queue_depth: Some(3.5),
             },
         ),
         (
             b"Fno such frame",
-            Word::Unusable("no such frame".to_owned()),
+            ReplicaMessage::ProtocolError("no such frame".to_owned()),
         ),
     ];
     for (bytes, word) in frames {
@@ -88,7 +103,7 @@
         let length = u32::try_from(bytes.len()).expect("a short frame");
         read.extend_from_slice(&length.to_be_bytes());
         read.extend_from_slice(bytes);
-        assert_eq!(frame::decode(&mut read), Ok(Some(word)));
+        assert_eq!(frame::decode(&mut read).unwrap(), Some(word));
         assert!(read.is_empty());
     }
 }
@@ -104,21 +119,24 @@
     };
     let body = br#"{"buckets":[{"bucket":3,"part":0.25,"effort":9000,"seed":"0123456789abcdef"},
         {"bucket":9,"part":0.75}],"body":"c41e77d0","page":{"rows":20,"after":"MARK"}}"#;
-    let read = lookup::decode(header, body).expect("a request");
+    let read = query::decode(header, body).expect("a request");
     assert_eq!(read.id, "9b1f03aa5c7e2d41");
     assert_eq!(read.customer.as_deref(), Some("acme"));
     assert_eq!(read.key.as_deref(), Some("7f3a9c21e0b4d655"));
-    assert_eq!((read.expires_in_ms, read.text.as_str()), (480, "c41e77d0"));
+    assert_eq!((read.expires_in_ms, read.body.as_str()), (480, "c41e77d0"));
     let parts: Vec<_> = read
-        .parts
+        .sub_requests
         .iter()
         .map(|part| (part.shard, part.weight))
         .collect();
     assert_eq!(parts, [(3, 0.25), (9, 0.75)]);
-    let page = lookup::page(body).expect("a page");
-    assert_eq!((page.rows, page.mark.as_deref()), (Some(20), Some("MARK")));
-    assert_eq!(lookup::HEALTH, "/healthz");
-    assert_eq!(lookup::index("/checkout/more"), "checkout");
+    let page = query::decode_page(body).expect("a page");
+    assert_eq!(
+        (page.rows, page.cursor.as_deref()),
+        (Some(20), Some("MARK"))
+    );
+    assert_eq!(query::HEALTH_PATH, "/healthz");
+    assert_eq!(query::index_name("/checkout/more"), "checkout");
 }
 
 #[test]
@@ -128,13 +146,16 @@
          "up_since_ms":1700000000123.5},
         {"id":"s-2","host_port":"[fd00::2]:9002","locality":"catania","cell":0,"phase":"leaving"},
         {"id":"s-3","host_port":"10.0.0.3:9003","locality":"catania","cell":1,"phase":"left"}]}"#;
-    let list = roster::decode(list, 3).expect("a list");
-    assert_eq!((list.revision, list.whole), (7, true));
+    let list = membership::decode(list, 3).expect("a list");
+    assert_eq!((list.revision, list.complete), (7, true));
     let phases: Vec<_> = list.replicas.iter().map(|replica| replica.phase).collect();
-    assert_eq!(phases, [Phase::Ready, Phase::Draining, Phase::Gone]);
+    assert_eq!(phases, [Phase::Ready, Phase::Draining, Phase::Removed]);
     let first = &list.replicas[0];
-    assert_eq!((first.id.as_str(), first.site.as_str()), ("s-1", "messina"));
-    assert_eq!((first.cell, first.started_ms), (2, 1_700_000_000_123.5));
+    assert_eq!((first.id.as_str(), first.zone.as_str()), ("s-1", "messina"));
+    assert_eq!(
+        (first.replica_group, first.started_at_ms),
+        (2, 1_700_000_000_123.5)
+    );
     assert_eq!(list.replicas[1].address.to_string(), "[fd00::2]:9002");
-    assert_eq!(roster::WHOLE, "/v1/servers");
+    assert_eq!(membership::LIST_PATH, "/v1/servers");
 }
