--- /dev/null
+++ b/crates/linenthread-adapter/src/event.rs
@@ -0,0 +1,101 @@
+//! The codes of events, and the values within them.
+
+use linenthread_core::interface::{AttemptOutcome, MembershipEntry, Phase};
+use linenthread_terms::tenth_millis;
+
+use crate::error::{AdapterError, UnknownOutcomeSnafu, UnknownPhaseSnafu};
+use crate::fields::Fields;
+use crate::ids::IdTable;
+
+/// The codes of events.
+pub(crate) mod code {
+    pub(crate) const BOOT: u8 = 1;
+    pub(crate) const MEMBERSHIP: u8 = 2;
+    pub(crate) const REQUEST: u8 = 3;
+    pub(crate) const STREAMING: u8 = 4;
+    pub(crate) const ATTEMPT_RESULT: u8 = 5;
+    pub(crate) const ABANDONED: u8 = 6;
+    pub(crate) const TIMER: u8 = 7;
+    pub(crate) const PROBE_RESULT: u8 = 8;
+    pub(crate) const PEER_MESSAGE: u8 = 9;
+    pub(crate) const KILLED: u8 = 10;
+    pub(crate) const LIST: u8 = 11;
+}
+
+/// The bytes of a streaming event after the instance; no index of this family streams.
+pub(crate) const STREAMING_BYTES: usize = 21;
+
+/// An entry of a list as it came. It is given an instance's index only when a membership event refers to it.
+pub(crate) struct ListEntry {
+    replica: u32,
+    zone: u16,
+    replica_group: u16,
+    phase: Phase,
+    /// In milliseconds; 0 for long ago.
+    started_at: f64,
+}
+
+impl ListEntry {
+    pub(crate) fn read(fields: &mut Fields) -> Result<ListEntry, AdapterError> {
+        let replica = fields.u32("replica")?;
+        let zone = fields.u16("site")?;
+        fields.u16("sku")?;
+        let replica_group = fields.u16("set-no")?;
+        let phase = match fields.u8("phase")? {
+            0 => Phase::Removed,
+            1 => Phase::Ready,
+            2 => Phase::Draining,
+            phase => return UnknownPhaseSnafu { phase }.fail(),
+        };
+        fields.f32("size")?;
+        Ok(ListEntry {
+            replica,
+            zone,
+            replica_group,
+            phase,
+            started_at: fields.f64("online-since-ms")?,
+        })
+    }
+
+    pub(crate) fn to_membership(&self, ids: &mut IdTable) -> MembershipEntry {
+        MembershipEntry {
+            replica: ids.replica_index(self.replica),
+            id: u64::from(self.replica),
+            replica_group: usize::from(self.replica_group),
+            zone: usize::from(self.zone),
+            phase: self.phase,
+            started_at: (self.started_at != 0.0).then(|| tenth_millis(self.started_at)),
+            slow_start_share: None,
+        }
+    }
+}
+
+/// How an attempt or a probe ended.
+pub(crate) fn read_outcome(fields: &mut Fields) -> Result<AttemptOutcome, AdapterError> {
+    Ok(match fields.u16("rc")? {
+        100 => AttemptOutcome::Success,
+        301 => AttemptOutcome::Error,
+        302 => AttemptOutcome::Rejected,
+        303 => AttemptOutcome::TimedOut,
+        304 => AttemptOutcome::ConnectFailed,
+        305 => AttemptOutcome::ConnectionLost,
+        306 => AttemptOutcome::Cancelled,
+        307 => AttemptOutcome::NotSent,
+        code => return UnknownOutcomeSnafu { code }.fail(),
+    })
+}
+
+/// The number of queued sub-requests of a load report, where it is at a position.
+pub(crate) fn read_queue_depth(
+    fields: &mut Fields,
+    position: Option<usize>,
+) -> Result<Option<f64>, AdapterError> {
+    let mut queue_depth = None;
+    for at in 0..usize::from(fields.u8("stats")?) {
+        let value = f64::from(fields.f32("stats")?);
+        if Some(at) == position {
+            queue_depth = Some(value.max(0.0));
+        }
+    }
+    Ok(queue_depth)
+}
--- /dev/null
+++ b/crates/linenthread-adapter/src/instance.rs
@@ -0,0 +1,206 @@
+//! One co-ordinator: decodes its events into inputs, and runs its steps.
+
+use std::collections::HashMap;
+use std::panic::{AssertUnwindSafe, catch_unwind};
+
+use linenthread_core::Coordinator;
+use linenthread_core::interface::{
+    AttemptResult, Inputs, MembershipEntry, MembershipUpdate, NewQuery, NewSubRequest, ProbeResult,
+    TenthMillis,
+};
+use linenthread_terms::{self as terms, tenth_millis};
+use snafu::{OptionExt, ensure};
+
+use crate::encoder::Encoder;
+use crate::error::{
+    AdapterError, UnknownClassSnafu, UnknownEventSnafu, UnknownListSnafu, UnknownModeSnafu,
+};
+use crate::event::{ListEntry, STREAMING_BYTES, code, read_outcome, read_queue_depth};
+use crate::fields::Fields;
+use crate::ids::{IdTable, Target};
+use crate::reply::{Reply, action};
+
+/// The lists that membership events refer to, by their numbers.
+pub(crate) type Lists = HashMap<u16, Vec<ListEntry>>;
+
+/// One co-ordinator with its ids.
+pub(crate) struct Instance {
+    coordinator: Coordinator,
+    ids: IdTable,
+    index_count: usize,
+    /// Where the number of queued sub-requests is in a load report.
+    queue_position: Option<usize>,
+    /// What arrived in the present batch.
+    inputs: Inputs,
+}
+
+impl Instance {
+    /// Reads the event that starts an instance.
+    pub(crate) fn boot(fields: &mut Fields) -> Result<Instance, AdapterError> {
+        let seed = fields.u64("init-seed")?;
+        let length = fields.count("config")?;
+        let settings = terms::parse_settings(fields.bytes(length, "config")?)?;
+        let config = terms::coordinator_config(&settings)?;
+        Ok(Instance {
+            index_count: config.indexes.len(),
+            coordinator: Coordinator::new(config, seed),
+            ids: IdTable::default(),
+            queue_position: terms::queue_position(&settings),
+            inputs: Inputs::default(),
+        })
+    }
+
+    /// Reads an event of a running instance.
+    pub(crate) fn on_event(
+        &mut self,
+        code: u8,
+        fields: &mut Fields,
+        lists: &Lists,
+    ) -> Result<(), AdapterError> {
+        match code {
+            code::MEMBERSHIP => self.on_membership(fields, lists)?,
+            code::REQUEST => self.on_request(fields)?,
+            code::STREAMING => _ = fields.bytes(STREAMING_BYTES, "streaming")?,
+            code::ATTEMPT_RESULT => self.on_attempt_result(fields)?,
+            code::ABANDONED => self.on_abandoned(fields)?,
+            // There is one timer; that the instance is run is the event's whole meaning.
+            code::TIMER => _ = fields.u64("label")?,
+            code::PROBE_RESULT => self.on_probe_result(fields)?,
+            code::PEER_MESSAGE => skip_peer_message(fields)?,
+            _ => return UnknownEventSnafu { code }.fail(),
+        }
+        Ok(())
+    }
+
+    /// Runs a step on what arrived and writes its decisions into the reply.
+    pub(crate) fn step(&mut self, number: u32, now: TenthMillis, reply: &mut Reply) {
+        self.inputs.now = now;
+        let (coordinator, inputs) = (&mut self.coordinator, &self.inputs);
+        let mut encoder = Encoder {
+            instance: number,
+            ids: &mut self.ids,
+            reply,
+        };
+        let result = catch_unwind(AssertUnwindSafe(|| {
+            coordinator.step(inputs, &mut encoder);
+        }));
+        if let Err(cause) = result {
+            let text = match (cause.downcast_ref::<String>(), cause.downcast_ref::<&str>()) {
+                (Some(text), _) => text.as_str(),
+                (None, Some(text)) => text,
+                (None, None) => "the decision module panicked",
+            };
+            reply.record(action::PANICKED, number).put_text(text);
+        }
+        self.inputs = Inputs::default();
+    }
+
+    fn on_membership(&mut self, fields: &mut Fields, lists: &Lists) -> Result<(), AdapterError> {
+        /// The update that an event's mode stands for.
+        type Update = fn(Vec<MembershipEntry>) -> MembershipUpdate;
+        const UNAVAILABLE: u8 = 3;
+
+        let mode = fields.u8("mode")?;
+        fields.u64("rev")?;
+        let list = fields.u16("ref")?;
+        if mode == UNAVAILABLE {
+            self.inputs.membership.push(MembershipUpdate::Unavailable);
+            return Ok(());
+        }
+        let entries = lists.get(&list).context(UnknownListSnafu { list })?;
+        let update: Update = match mode {
+            0 => MembershipUpdate::Delta,
+            1 => MembershipUpdate::Snapshot,
+            2 => MembershipUpdate::Cached,
+            mode => return UnknownModeSnafu { mode }.fail(),
+        };
+        let entries = entries
+            .iter()
+            .map(|entry| entry.to_membership(&mut self.ids));
+        let update = update(entries.collect());
+        self.inputs.membership.push(update);
+        Ok(())
+    }
+
+    /// A query, or one of its sub-requests: those name their shard.
+    fn on_request(&mut self, fields: &mut Fields) -> Result<(), AdapterError> {
+        let id = fields.u64("request-id")?;
+        let index = usize::from(fields.u16("class")?);
+        ensure!(index < self.index_count, UnknownClassSnafu { class: index });
+        let customer = fields.count("client-group")?;
+        let key = fields.u64("partition-key")?;
+        let hard_deadline = (fields.f64("deadline-ms")? * 10.0).floor() as TenthMillis;
+        fields.f64("expected-ms")?;
+        let number = fields.f32("whole-no")?.to_bits();
+        let shard = fields.f32("segment-no")?;
+        let weight = f64::from(fields.f32("size-or-weight")?);
+        fields.u16("marks")?;
+        if shard < 0.0 {
+            self.inputs.queries.push(NewQuery {
+                query: self.ids.add_query(id, number),
+                index,
+                customer,
+                key: (key != 0).then_some(key),
+                sequence_number: u64::from(number),
+                hard_deadline,
+            });
+        } else if let Some(query) = self.ids.add_sub_request(id, number) {
+            self.inputs.sub_requests.push(NewSubRequest {
+                query,
+                shard: shard as usize,
+                weight,
+            });
+        }
+        Ok(())
+    }
+
+    fn on_attempt_result(&mut self, fields: &mut Fields) -> Result<(), AdapterError> {
+        let id = fields.u64("request-id")?;
+        let attempt = usize::from(fields.u8("try")?);
+        fields.u32("replica")?;
+        let outcome = read_outcome(fields)?;
+        let elapsed = tenth_millis(fields.f64("delay-seen-ms")?);
+        fields.u8("no-more")?;
+        let queue_depth = read_queue_depth(fields, self.queue_position)?;
+        if let Some(Target::SubRequest { query, sub_request }) = self.ids.target(id) {
+            self.inputs.results.push(AttemptResult {
+                query,
+                sub_request,
+                attempt,
+                outcome,
+                elapsed,
+                queue_depth,
+            });
+        }
+        Ok(())
+    }
+
+    fn on_abandoned(&mut self, fields: &mut Fields) -> Result<(), AdapterError> {
+        let id = fields.u64("request-id")?;
+        if let Some(Target::Query(query)) = self.ids.target(id) {
+            self.inputs.abandoned.push(query);
+        }
+        Ok(())
+    }
+
+    fn on_probe_result(&mut self, fields: &mut Fields) -> Result<(), AdapterError> {
+        let replica = self.ids.replica_index(fields.u32("replica")?);
+        let outcome = read_outcome(fields)?;
+        fields.f64("delay-seen-ms")?;
+        let queue_depth = read_queue_depth(fields, self.queue_position)?;
+        self.inputs.probes.push(ProbeResult {
+            replica,
+            outcome,
+            queue_depth,
+        });
+        Ok(())
+    }
+}
+
+/// Co-ordinators share nothing: what another one sends is not read.
+fn skip_peer_message(fields: &mut Fields) -> Result<(), AdapterError> {
+    fields.u32("from")?;
+    let length = usize::from(fields.u16("body")?);
+    fields.bytes(length, "body")?;
+    Ok(())
+}
--- a/crates/linenthread-adapter/src/main.rs
+++ b/crates/linenthread-adapter/src/main.rs
@@ -1,21 +1,40 @@
-//! `linenthread-adapter`: the simulator's wire on standard input and output.
+//! `linenthread-adapter`: hosts many independent co-ordinators for the simulator, on its wire on standard input
+//! and output.
+//!
+//! Each batch of events that comes in is answered by one reply with the decisions. The adapter decides nothing
+//! itself, reads no clock and keeps the instances apart. Start reading with [`host`].
 
+mod encoder;
+mod error;
+mod event;
+mod fields;
 mod frame;
 mod host;
+mod ids;
+mod instance;
+mod reply;
 
 use std::io::{self, BufReader, Write};
 use std::process::ExitCode;
 
-fn serve() -> Result<(), String> {
-    let mut input = BufReader::with_capacity(1 << 16, io::stdin().lock());
+use snafu::ResultExt;
+
+use crate::error::{AdapterError, WriteSnafu};
+use crate::host::Host;
+
+/// The size of the buffer on standard input, in bytes.
+const INPUT_BUFFER: usize = 1 << 16;
+
+fn serve() -> Result<(), AdapterError> {
+    let mut input = BufReader::with_capacity(INPUT_BUFFER, io::stdin().lock());
     let mut output = io::stdout().lock();
-    let mut host = host::Host::default();
-    while let Some(frame) = frame::read_frame(&mut input)? {
-        let reply = host.batch(&frame)?;
+    let mut host = Host::default();
+    while let Some(batch) = frame::read(&mut input)? {
+        let reply = host.on_batch(&batch)?;
         output
             .write_all(&reply)
             .and_then(|()| output.flush())
-            .map_err(|e| format!("cannot write standard output: {e}"))?;
+            .context(WriteSnafu)?;
     }
     Ok(())
 }
@@ -25,8 +44,8 @@
     std::panic::set_hook(Box::new(|_| {}));
     match serve() {
         Ok(()) => ExitCode::SUCCESS,
-        Err(message) => {
-            eprintln!("linenthread-adapter: {message}");
+        Err(error) => {
+            eprintln!("linenthread-adapter: {error}");
             ExitCode::FAILURE
         }
     }
--- a/crates/linenthread-adapter/tests/wire.rs
+++ b/crates/linenthread-adapter/tests/wire.rs
@@ -1,4 +1,4 @@
-//! Feeds the adapter bytes and reads what it writes, exits with and complains of.
+//! Runs the adapter on bytes, and checks its output, exit status and error message.
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
@@ -37,16 +37,16 @@
     record
 }
 
-/// One ready replica, in the wire page's layout of a list, and the news that it is all there is.
-fn roster() -> Vec<u8> {
+/// One ready replica in a list, and the event that the list is complete.
+fn membership() -> Vec<u8> {
     bytes(
         "0b 0000 00000001 03124a07 0000 0000 0000 01 3f800000 0000000000000000 \
          02 00000003 02 0000000000000029 0000",
     )
 }
 
-/// A lookup of one part, both due at 13000 ms.
-fn lookup() -> Vec<u8> {
+/// A query of one sub-request, with a deadline at 13000 ms.
+fn query() -> Vec<u8> {
     bytes(
         "03 00000003 000643ee0e6f2b19 0000 00000000 91f03b7c55d20a64 40c9640000000000 0000000000000000 \
          43560000 bf800000 3f800000 0000 \
@@ -62,7 +62,7 @@
         .stderr(Stdio::piped())
         .spawn()
         .unwrap();
-    // The adapter may stop reading at bad input: that the rest is not taken is no fault.
+    // The adapter stops reading at invalid input, so writing the rest may fail.
     let _ = child.stdin.take().unwrap().write_all(input);
     child.wait_with_output().unwrap()
 }
@@ -82,15 +82,15 @@
 }
 
 #[test]
-fn a_part_is_routed_answered_and_its_lookup_concluded() {
-    let reply = bytes(
+fn a_sub_request_is_sent_and_its_query_responded_to() {
+    let result = bytes(
         "05 00000003 000a7e015d3a91c4 00 03124a07 0064 4032800000000000 01 02 3f800000 3f800000",
     );
-    let ended = bytes("06 00000003 000643ee0e6f2b19");
+    let abandoned = bytes("06 00000003 000643ee0e6f2b19");
     let output = run(&[
-        frame(10_000.0, &[boot(SETTINGS), roster(), lookup()]),
-        frame(10_018.5, &[reply]),
-        frame(10_020.0, &[ended]),
+        frame(10_000.0, &[boot(SETTINGS), membership(), query()]),
+        frame(10_018.5, &[result]),
+        frame(10_020.0, &[abandoned]),
     ]
     .concat());
     assert_eq!(
@@ -107,17 +107,17 @@
 }
 
 #[test]
-fn a_killed_instance_starts_anew_in_the_same_batch() {
+fn a_killed_instance_starts_afresh_in_the_same_batch() {
     let killed = bytes("0a 00000003");
     let output = run(&frame(
         10_000.0,
         &[
             boot(SETTINGS),
-            roster(),
-            lookup(),
+            membership(),
+            query(),
             killed,
             boot(SETTINGS),
-            roster(),
+            membership(),
         ],
     ));
     assert_eq!(output.status.code(), Some(0));
@@ -125,8 +125,8 @@
 }
 
 #[test]
-fn bad_input_is_named_in_one_line() {
-    let lacking = SETTINGS.replace("\"cold-share\": 0.2, ", "");
+fn invalid_input_is_reported_in_one_line() {
+    let incomplete = SETTINGS.replace("\"cold-share\": 0.2, ", "");
     let cases = [
         (bytes("0000000c 40c06e20"), "truncated frame"),
         (bytes("0000"), "truncated frame"),
@@ -137,7 +137,7 @@
         ),
         (frame(1.0, &[boot("{")]), "settings do not parse"),
         (
-            frame(1.0, &[boot(&lacking)]),
+            frame(1.0, &[boot(&incomplete)]),
             "settings lack safety.cold-share",
         ),
         (
@@ -157,10 +157,10 @@
     ];
     for (input, message) in cases {
         let output = run(&input);
-        let said = String::from_utf8_lossy(&output.stderr);
+        let error = String::from_utf8_lossy(&output.stderr);
         assert!(
-            said.contains(message) && said.lines().count() == 1,
-            "{message}: {said}"
+            error.contains(message) && error.lines().count() == 1,
+            "{message}: {error}"
         );
         assert_eq!(output.status.code(), Some(1), "{message}");
     }
