--- /dev/null
+++ b/crates/linenthread-core/tests/scenarios/decision_log.rs
@@ -0,0 +1,151 @@
+//! The decisions of a scenario as lines of words, and the patterns they are matched with.
+
+use std::collections::HashMap;
+
+use linenthread_core::DecisionSink;
+use linenthread_core::interface::TenthMillis;
+
+/// The first words of the log's lines.
+const DECISIONS: [&str; 10] = [
+    "send",
+    "cancel",
+    "complete",
+    "partial",
+    "reject",
+    "fail",
+    "release",
+    "probe",
+    "close-idle",
+    "watch",
+];
+
+/// The words that `$x` and the like stand for.
+pub(crate) type Bindings = HashMap<String, String>;
+
+/// An attempt that was sent in the present step.
+pub(crate) struct SentAttempt {
+    pub(crate) query: usize,
+    pub(crate) sub_request: usize,
+    pub(crate) replica: usize,
+}
+
+/// What was decided and not taken off the log.
+#[derive(Default)]
+pub(crate) struct DecisionLog {
+    pub(crate) lines: Vec<Vec<String>>,
+    /// Attempts sent since they were last taken.
+    pub(crate) sent: Vec<SentAttempt>,
+    /// Names by the queries' indices.
+    pub(crate) queries: Vec<String>,
+    /// Names by the replicas' indices.
+    pub(crate) replicas: Vec<String>,
+}
+
+impl DecisionLog {
+    fn add(&mut self, line: String) {
+        let words = line.split(' ').map(str::to_string);
+        self.lines.push(words.collect());
+    }
+
+    /// How many lines match.
+    pub(crate) fn count(&self, pattern: &[&str], bindings: &Bindings) -> Result<usize, String> {
+        check_pattern(pattern)?;
+        let matches = |line: &&Vec<String>| match_line(pattern, line, bindings).is_some();
+        Ok(self.lines.iter().filter(matches).count())
+    }
+
+    /// Takes the first line that matches off the log, and returns the bindings with those of the match.
+    pub(crate) fn take(
+        &mut self,
+        pattern: &[&str],
+        bindings: &Bindings,
+    ) -> Result<Bindings, String> {
+        check_pattern(pattern)?;
+        let found = self.lines.iter().enumerate().find_map(|(at, line)| {
+            let bindings = match_line(pattern, line, bindings)?;
+            Some((at, bindings))
+        });
+        let (at, bindings) = found.ok_or_else(|| format!("not decided; log: {:?}", self.lines))?;
+        self.lines.remove(at);
+        Ok(bindings)
+    }
+}
+
+/// A pattern that can match nothing is a mistake in the scenario.
+fn check_pattern(pattern: &[&str]) -> Result<(), String> {
+    let first = pattern.first().ok_or("a decision is missing")?;
+    if DECISIONS.contains(first) || *first == "*" {
+        Ok(())
+    } else {
+        Err(format!("{first} is no decision"))
+    }
+}
+
+/// The bindings after a match of the line's first words.
+fn match_line(pattern: &[&str], line: &[String], bindings: &Bindings) -> Option<Bindings> {
+    let mut bindings = bindings.clone();
+    let mut matches = |pattern: &str, word: &String| {
+        if pattern.starts_with('$') {
+            let bound = bindings.entry(pattern.to_string());
+            bound.or_insert_with(|| word.clone()) == word
+        } else {
+            pattern == "*" || pattern == word
+        }
+    };
+    let all_match = line.len() >= pattern.len()
+        && pattern
+            .iter()
+            .zip(line)
+            .all(|(pattern, word)| matches(pattern, word));
+    all_match.then_some(bindings)
+}
+
+impl DecisionSink for DecisionLog {
+    fn send(&mut self, query: usize, sub_request: usize, replica: usize, timeout: TenthMillis) {
+        assert!(timeout > 0);
+        let (query_name, replica_name) = (&self.queries[query], &self.replicas[replica]);
+        self.add(format!("send {query_name}.{sub_request} {replica_name}"));
+        self.sent.push(SentAttempt {
+            query,
+            sub_request,
+            replica,
+        });
+    }
+
+    fn cancel(&mut self, query: usize, sub_request: usize, attempt: usize) {
+        let query = &self.queries[query];
+        self.add(format!("cancel {query}.{sub_request}#{attempt}"));
+    }
+
+    fn respond(&mut self, query: usize, complete: bool) {
+        let response = if complete { "complete" } else { "partial" };
+        self.add(format!("{response} {}", self.queries[query]));
+    }
+
+    fn reject(&mut self, query: usize, retry_after: Option<TenthMillis>) {
+        let advice = retry_after.map_or("unadvised", |_| "advised");
+        self.add(format!("reject {} {advice}", self.queries[query]));
+    }
+
+    fn fail(&mut self, query: usize) {
+        self.add(format!("fail {}", self.queries[query]));
+    }
+
+    fn release(&mut self, query: usize) {
+        self.add(format!("release {}", self.queries[query]));
+    }
+
+    fn probe(&mut self, replica: usize) {
+        self.add(format!("probe {}", self.replicas[replica]));
+    }
+
+    fn close_idle(&mut self, replica: usize) {
+        self.add(format!("close-idle {}", self.replicas[replica]));
+    }
+
+    fn watch_membership(&mut self) {
+        self.add("watch".into());
+    }
+
+    fn wake_at(&mut self, _: TenthMillis) {}
+}
--- /dev/null
+++ b/crates/linenthread-core/tests/scenarios/player.rs
@@ -0,0 +1,403 @@
+//! Runs the statements of a scenario against a co-ordinator.
+
+use std::collections::HashMap;
+
+use linenthread_core::Coordinator;
+use linenthread_core::interface::{
+    AttemptOutcome, AttemptResult, CoordinatorConfig, Inputs, MembershipEntry, MembershipUpdate,
+    NewQuery, NewSubRequest, ProbeResult, TenthMillis, ZoneRoute,
+};
+
+use crate::decision_log::{Bindings, DecisionLog, SentAttempt};
+use crate::setup::{INDEX, configure, default_config};
+use crate::values::{number, outcome, phase, time};
+
+/// The clock when a scenario begins.
+const START: TenthMillis = 10_000_000;
+
+/// Steps run this often, in tenths of a millisecond.
+const STEP: TenthMillis = 50;
+
+/// A replica that fails attempts takes this long, in tenths of a millisecond.
+const FAILURE_TIME: TenthMillis = 500;
+
+/// A query's hard deadline where it states none, in tenths of a millisecond from its arrival.
+const HARD_DEADLINE: TenthMillis = 40_000;
+
+/// The seed of the co-ordinator.
+const SEED: u64 = 7;
+
+/// Replicas are in zones by turns: a's, b's, c's.
+const ZONE_COUNT: usize = 3;
+
+/// An attempt in flight.
+struct InFlight {
+    query: usize,
+    sub_request: usize,
+    attempt: usize,
+    replica: usize,
+    sent_at: TenthMillis,
+}
+
+/// How a replica ends its attempts by itself; `None` if it hangs.
+type Service = Option<(AttemptOutcome, TenthMillis)>;
+
+pub(crate) struct Player {
+    config: CoordinatorConfig,
+    /// Made at the first step, so that it can be configured before.
+    coordinator: Option<Coordinator>,
+    /// What arrived since the last step.
+    inputs: Inputs,
+    now: TenthMillis,
+    log: DecisionLog,
+    /// Attempts so far by query and sub-request.
+    attempt_counts: HashMap<(usize, usize), usize>,
+    /// In the order they were sent.
+    in_flight: Vec<InFlight>,
+    services: HashMap<usize, Service>,
+    bindings: Bindings,
+}
+
+impl Player {
+    pub(crate) fn new() -> Self {
+        Player {
+            config: default_config(),
+            coordinator: None,
+            inputs: Inputs::default(),
+            now: START,
+            log: DecisionLog::default(),
+            attempt_counts: HashMap::new(),
+            in_flight: Vec::new(),
+            services: HashMap::new(),
+            bindings: Bindings::new(),
+        }
+    }
+
+    pub(crate) fn run_statement(&mut self, words: &[&str]) -> Result<(), String> {
+        let (first, rest) = words.split_first().ok_or("an empty statement")?;
+        match *first {
+            "with" => configure(&mut self.config, rest)?,
+            "index" if rest.is_empty() => self.config.indexes.push(INDEX),
+            "snapshot" => self.list(rest, MembershipUpdate::Snapshot)?,
+            "cached" => self.list(rest, MembershipUpdate::Cached)?,
+            "delta" => self.delta(rest)?,
+            "unavailable" => self.inputs.membership.push(MembershipUpdate::Unavailable),
+            "routes" => self.routes(rest)?,
+            "query" => self.query(rest)?,
+            "sub-requests" => {
+                let query = self.query_index(rest[0])?;
+                self.sub_requests(query, &rest[1..])?;
+            }
+            "continue" => {
+                let target = self.sub_request_at(rest[0])?;
+                self.inputs.continuations.push(target);
+            }
+            "abandoned" => {
+                let query = self.query_index(rest[0])?;
+                self.inputs.abandoned.push(query);
+            }
+            "probed" => self.probed(rest)?,
+            "serve" => self.serve(rest)?,
+            "stream" => self.stream(rest)?,
+            "at" => self.run_to(START + time(rest.first())?),
+            "forget" => {
+                self.step();
+                self.log.lines.clear();
+            }
+            "expect" => {
+                self.step();
+                self.bindings = self.log.take(rest, &self.bindings)?;
+            }
+            "never" => self.check_count(rest, |count| count == 0)?,
+            "at-most" => {
+                let limit: usize = number(rest.first())?;
+                self.check_count(&rest[1..], |count| count <= limit)?;
+            }
+            "at-least" => {
+                let limit: usize = number(rest.first())?;
+                self.check_count(&rest[1..], |count| count >= limit)?;
+            }
+            target => {
+                let [how] = rest else {
+                    return Err(format!("what is {target}?"));
+                };
+                self.end_attempt(target, how)?;
+            }
+        }
+        Ok(())
+    }
+
+    /// One step with all that has arrived.
+    fn step(&mut self) {
+        let now = self.now;
+        for at in (0..self.in_flight.len()).rev() {
+            let attempt = &self.in_flight[at];
+            match self.services.get(&attempt.replica) {
+                Some(&Some((outcome, after))) if attempt.sent_at + after <= now => {
+                    self.end(at, outcome);
+                }
+                _ => {}
+            }
+        }
+        let inputs = Inputs {
+            now,
+            ..std::mem::take(&mut self.inputs)
+        };
+        let config = &self.config;
+        let coordinator = self
+            .coordinator
+            .get_or_insert_with(|| Coordinator::new(config.clone(), SEED));
+        coordinator.step(&inputs, &mut self.log);
+        for sent in self.log.sent.drain(..) {
+            let SentAttempt {
+                query,
+                sub_request,
+                replica,
+            } = sent;
+            let count = self.attempt_counts.entry((query, sub_request)).or_default();
+            self.in_flight.push(InFlight {
+                query,
+                sub_request,
+                attempt: *count,
+                replica,
+                sent_at: now,
+            });
+            *count += 1;
+        }
+    }
+
+    fn run_to(&mut self, end: TenthMillis) {
+        self.step();
+        while self.now < end {
+            self.now += STEP;
+            self.step();
+        }
+    }
+
+    /// `NAME:GROUP`, or `NAME=FORMER:GROUP` for a replica that gets the index of a former one.
+    fn entry(
+        &mut self,
+        word: &str,
+        phase_word: &str,
+        started_at: Option<TenthMillis>,
+    ) -> Result<MembershipEntry, String> {
+        let (name, replica_group) = word
+            .split_once(':')
+            .ok_or_else(|| format!("{word} is not NAME:GROUP"))?;
+        let (name, former) = name.split_once('=').unwrap_or((name, ""));
+        let replicas = &mut self.log.replicas;
+        if let Some(replica) = replicas.iter().position(|r| r == former) {
+            replicas[replica] = name.to_string();
+        }
+        let replica = replicas.iter().position(|r| r == name).unwrap_or_else(|| {
+            replicas.push(name.to_string());
+            replicas.len() - 1
+        });
+        Ok(MembershipEntry {
+            replica,
+            id: replica as u64 + 77 + 1_000 * former.len() as u64,
+            zone: replica % ZONE_COUNT,
+            replica_group: number(Some(&replica_group))?,
+            phase: phase(phase_word)?,
+            started_at,
+            slow_start_share: None,
+        })
+    }
+
+    fn list(
+        &mut self,
+        words: &[&str],
+        update: impl Fn(Vec<MembershipEntry>) -> MembershipUpdate,
+    ) -> Result<(), String> {
+        let entries = words
+            .iter()
+            .map(|word| {
+                let (word, phase) = word.split_once('/').unwrap_or((word, "ready"));
+                self.entry(word, phase, None)
+            })
+            .collect::<Result<_, _>>()?;
+        self.inputs.membership.push(update(entries));
+        Ok(())
+    }
+
+    fn delta(&mut self, words: &[&str]) -> Result<(), String> {
+        let [word, phase, options @ ..] = words else {
+            return Err("delta NAME:GROUP PHASE".into());
+        };
+        let started_at = match options.first() {
+            Some(_) => Some(START + time(options.first())?),
+            None => None,
+        };
+        let mut entry = self.entry(word, phase, started_at)?;
+        entry.slow_start_share = options
+            .get(1)
+            .map(|share| number(Some(share)))
+            .transpose()?;
+        let update = MembershipUpdate::Delta(vec![entry]);
+        self.inputs.membership.push(update);
+        Ok(())
+    }
+
+    fn routes(&mut self, words: &[&str]) -> Result<(), String> {
+        let route = |(zone, word): (usize, &&str)| {
+            let (distance, open) = word.split_once('/').ok_or("routes DISTANCE/OPEN ...")?;
+            Ok::<_, String>(ZoneRoute {
+                id: zone as u64 + 500,
+                distance: number(Some(&distance))?,
+                open_per_mille: number(Some(&open))?,
+            })
+        };
+        let routes = words.iter().enumerate().map(route);
+        self.inputs.zone_routes = Some(routes.collect::<Result<_, _>>()?);
+        Ok(())
+    }
+
+    fn query(&mut self, words: &[&str]) -> Result<(), String> {
+        let shards_at = words
+            .iter()
+            .position(|word| *word == "shards")
+            .ok_or("shards are missing")?;
+        let query = self.log.queries.len();
+        let mut new = NewQuery {
+            query,
+            index: 0,
+            customer: 0,
+            key: None,
+            sequence_number: query as u64,
+            hard_deadline: self.now + HARD_DEADLINE,
+        };
+        for pair in words[1..shards_at].chunks(2) {
+            let value = pair.get(1);
+            match pair[0] {
+                "key" => new.key = Some(number(value)?),
+                "index" => new.index = number(value)?,
+                "customer" => new.customer = number(value)?,
+                "hard" => new.hard_deadline = self.now + time(value)?,
+                other => return Err(format!("a query has no {other}")),
+            }
+        }
+        self.log.queries.push(words[0].to_string());
+        self.inputs.queries.push(new);
+        self.sub_requests(query, &words[shards_at + 1..])
+    }
+
+    /// Sub-requests for these shards, of equal weight.
+    fn sub_requests(&mut self, query: usize, shards: &[&str]) -> Result<(), String> {
+        for shard in shards {
+            self.inputs.sub_requests.push(NewSubRequest {
+                query,
+                shard: number(Some(shard))?,
+                weight: 1.0 / shards.len() as f64,
+            });
+        }
+        Ok(())
+    }
+
+    fn probed(&mut self, words: &[&str]) -> Result<(), String> {
+        let [name, how, options @ ..] = words else {
+            return Err("probed REPLICA OUTCOME".into());
+        };
+        let queue_depth = options.first().map(|depth| number(Some(depth)));
+        let result = ProbeResult {
+            replica: self.replica_index(name)?,
+            outcome: outcome(how)?,
+            queue_depth: queue_depth.transpose()?,
+        };
+        self.inputs.probes.push(result);
+        Ok(())
+    }
+
+    fn serve(&mut self, words: &[&str]) -> Result<(), String> {
+        let (how, names) = words.split_first().ok_or("serve HOW REPLICA ...")?;
+        for name in names {
+            let replica = self.replica_index(name)?;
+            let service = match (*how, outcome(how)) {
+                ("never", _) => None,
+                (_, Ok(outcome)) => Some((outcome, FAILURE_TIME)),
+                (after, Err(_)) => Some((AttemptOutcome::Success, time(Some(&after))?)),
+            };
+            self.services.insert(replica, service);
+        }
+        Ok(())
+    }
+
+    /// `stream INTERVAL END ...` starts queries of their own names and keys.
+    fn stream(&mut self, words: &[&str]) -> Result<(), String> {
+        let end = START + time(words.get(1))?;
+        while self.now < end {
+            let number = self.log.queries.len();
+            let (name, key) = (format!("s{number}"), (number + 1000).to_string());
+            self.query(&[&[&name, "key", &key], &words[2..]].concat())?;
+            self.run_to(self.now + time(words.first())?);
+        }
+        Ok(())
+    }
+
+    fn check_count(
+        &mut self,
+        pattern: &[&str],
+        is_expected: impl Fn(usize) -> bool,
+    ) -> Result<(), String> {
+        self.step();
+        let count = self.log.count(pattern, &self.bindings)?;
+        if is_expected(count) {
+            Ok(())
+        } else {
+            Err(format!("decided {count} times; log: {:?}", self.log.lines))
+        }
+    }
+
+    /// Ends the oldest attempt in flight of `QUERY.SUB_REQUEST`, or `QUERY.SUB_REQUEST#ATTEMPT`.
+    fn end_attempt(&mut self, target: &str, how: &str) -> Result<(), String> {
+        let (sub_request, attempt) = match target.split_once('#') {
+            Some((sub_request, attempt)) => (sub_request, Some(number(Some(&attempt))?)),
+            None => (target, None),
+        };
+        let (query, sub_request) = self.sub_request_at(sub_request)?;
+        self.step();
+        let at = self
+            .in_flight
+            .iter()
+            .position(|a| {
+                (a.query, a.sub_request) == (query, sub_request)
+                    && attempt.is_none_or(|number: usize| number == a.attempt)
+            })
+            .ok_or_else(|| format!("no attempt of {target} is in flight"))?;
+        self.end(at, outcome(how)?);
+        Ok(())
+    }
+
+    /// The attempt at this place among those in flight ends.
+    fn end(&mut self, at: usize, outcome: AttemptOutcome) {
+        let ended = self.in_flight.remove(at);
+        self.inputs.results.push(AttemptResult {
+            query: ended.query,
+            sub_request: ended.sub_request,
+            attempt: ended.attempt,
+            outcome,
+            elapsed: self.now - ended.sent_at,
+            queue_depth: None,
+        });
+    }
+
+    fn replica_index(&self, name: &str) -> Result<usize, String> {
+        let name = self.bindings.get(name).map_or(name, String::as_str);
+        let replicas = &self.log.replicas;
+        let index = replicas.iter().position(|replica| replica == name);
+        index.ok_or_else(|| format!("no replica {name}"))
+    }
+
+    fn query_index(&self, name: &str) -> Result<usize, String> {
+        let queries = &self.log.queries;
+        let index = queries.iter().position(|query| query == name);
+        index.ok_or_else(|| format!("no query {name}"))
+    }
+
+    /// `QUERY.SUB_REQUEST`.
+    fn sub_request_at(&self, word: &str) -> Result<(usize, usize), String> {
+        let (name, sub_request) = word
+            .split_once('.')
+            .ok_or_else(|| format!("what is {word}?"))?;
+        Ok((self.query_index(name)?, number(Some(&sub_request))?))
+    }
+}
--- /dev/null
+++ b/crates/linenthread-core/tests/scenarios/values.rs
@@ -0,0 +1,37 @@
+//! Values within statements.
+
+use std::str::FromStr;
+
+use linenthread_core::interface::{AttemptOutcome, Phase, TenthMillis};
+
+pub(crate) fn number<T: FromStr>(word: Option<&&str>) -> Result<T, String> {
+    let word = word.ok_or("a number is missing")?;
+    word.parse().map_err(|_| format!("{word} is no number"))
+}
+
+/// A time stated in milliseconds.
+pub(crate) fn time(word: Option<&&str>) -> Result<TenthMillis, String> {
+    Ok((number::<f64>(word)? * 10.0) as TenthMillis)
+}
+
+pub(crate) fn outcome(word: &str) -> Result<AttemptOutcome, String> {
+    Ok(match word {
+        "success" => AttemptOutcome::Success,
+        "error" => AttemptOutcome::Error,
+        "rejected" => AttemptOutcome::Rejected,
+        "connect-failed" => AttemptOutcome::ConnectFailed,
+        "connection-lost" => AttemptOutcome::ConnectionLost,
+        "timed-out" => AttemptOutcome::TimedOut,
+        "cancelled" => AttemptOutcome::Cancelled,
+        _ => return Err(format!("{word} is no outcome")),
+    })
+}
+
+pub(crate) fn phase(word: &str) -> Result<Phase, String> {
+    Ok(match word {
+        "ready" => Phase::Ready,
+        "draining" => Phase::Draining,
+        "removed" => Phase::Removed,
+        _ => return Err(format!("{word} is no phase")),
+    })
+}
