--- a/crates/linenthread-service/src/carriers/frames.rs
+++ b/crates/linenthread-service/src/carriers/frames.rs
@@ -457,7 +457,7 @@
                         Ok(_) => {}
                     }
                     active = Instant::now();
-                    while let Some(word) = frame::decode(&mut read).map_err(Fault::Spoilt)? {
+                    while let Some(word) = frame::decode(&mut read).map_err(|e| Fault::Spoilt(e.to_string()))? {
                         begun = active;
                         // Only whole frames show that it is sound.
                         self.last_read.set(active);
--- a/crates/linenthread-service/src/fronts/http.rs
+++ b/crates/linenthread-service/src/fronts/http.rs
@@ -508,7 +508,7 @@
     let Some(index) = position(&known.index_names, protocol::index_name(request.path())) else {
         return Err((StatusCode::NOT_FOUND, "no such index".into()));
     };
-    let asked = protocol::decode(header, body).map_err(bad)?;
+    let asked = protocol::decode(header, body).map_err(|e| bad(e.to_string()))?;
     let customer = match &asked.customer {
         _ if known.customer_names.is_empty() => 0,
         Some(name) => {
@@ -537,7 +537,7 @@
     };
     let is_merged = work.gathering.merging.borrow().is_merged(index);
     let page = if is_merged {
-        protocol::decode_page(body).map_err(bad)?
+        protocol::decode_page(body).map_err(|e| bad(e.to_string()))?
     } else {
         protocol::Page::default()
     };
--- a/crates/linenthread-service/src/roster.rs
+++ b/crates/linenthread-service/src/roster.rs
@@ -95,5 +95,5 @@
         .limit(membership::MAX_BYTES)
         .await
         .map_err(|e| e.to_string())?;
-    membership::decode(&body, cells)
+    membership::decode(&body, cells).map_err(|e| e.to_string())
 }
