--- a/crates/linenthread-checker/src/fingerprint.rs
+++ b/crates/linenthread-checker/src/fingerprint.rs
@@ -1,17 +1,34 @@
+//! Fingerprints stand for states in the set of those that were visited.
+
 use std::collections::hash_map::DefaultHasher;
 use std::hash::{Hash, Hasher};
 
-/// 128 bits that stand for something: two hashes of 64 bits, one of them begun otherwise.
-pub(crate) fn fingerprint(of: &impl Hash) -> u128 {
-    let mut hasher = TwoHashers(DefaultHasher::new(), DefaultHasher::new());
-    hasher.1.write_u8(1);
-    of.hash(&mut hasher);
-    u128::from(hasher.0.finish()) << 64 | u128::from(hasher.1.finish())
+/// 128 bits of a hash. With a million states, two different ones share a fingerprint with a probability of about 10^-27.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
+pub struct Fingerprint(u128);
+
+impl Fingerprint {
+    /// The fingerprint of a value.
+    pub fn of(value: &impl Hash) -> Fingerprint {
+        let mut hasher = PairHasher::new();
+        value.hash(&mut hasher);
+        let PairHasher(high, low) = hasher;
+        Fingerprint(u128::from(high.finish()) << 64 | u128::from(low.finish()))
+    }
 }
 
-struct TwoHashers(DefaultHasher, DefaultHasher);
+/// Two 64-bit hashers with different initial states.
+struct PairHasher(DefaultHasher, DefaultHasher);
+
+impl PairHasher {
+    fn new() -> PairHasher {
+        let mut second = DefaultHasher::new();
+        second.write_u8(1);
+        PairHasher(DefaultHasher::new(), second)
+    }
+}
 
-impl Hasher for TwoHashers {
+impl Hasher for PairHasher {
     fn finish(&self) -> u64 {
         self.0.finish()
     }
@@ -21,3 +38,36 @@
         self.1.write(bytes);
     }
 }
+
+/// A value together with its fingerprint, which is computed once for all states that share the value.
+#[derive(Clone, Debug)]
+pub(crate) struct Fingerprinted<T> {
+    value: T,
+    fingerprint: Fingerprint,
+}
+
+impl<T: Hash> Fingerprinted<T> {
+    pub(crate) fn new(value: T) -> Fingerprinted<T> {
+        let fingerprint = Fingerprint::of(&value);
+        Fingerprinted { value, fingerprint }
+    }
+
+    pub(crate) fn get(&self) -> &T {
+        &self.value
+    }
+
+    /// To be followed by [`Fingerprinted::refresh`] once all changes are made.
+    pub(crate) fn get_mut(&mut self) -> &mut T {
+        &mut self.value
+    }
+
+    pub(crate) fn refresh(&mut self) {
+        self.fingerprint = Fingerprint::of(&self.value);
+    }
+}
+
+impl<T> Hash for Fingerprinted<T> {
+    fn hash<H: Hasher>(&self, state: &mut H) {
+        self.fingerprint.hash(state);
+    }
+}
--- /dev/null
+++ b/crates/linenthread-checker/src/lease/state.rs
@@ -0,0 +1,361 @@
+//! One state of the leader lease at all nodes, and what an action changes.
+
+use std::collections::{BTreeMap, BTreeSet};
+use std::time::Duration;
+
+use linenthread_consensus::LeaderLease;
+use linenthread_messages::{LeaseRelease, LeaseRequest, LeaseVote};
+use linenthread_time::Instant;
+
+use crate::lease::LeaseScenario;
+use crate::lease::action::LeaseAction;
+use crate::node_index::{NODE_COUNT, NodeIndex};
+
+/// Only the first two nodes request the lease: which two they are makes no difference.
+const CANDIDATES: [NodeIndex; 2] = [NodeIndex::ALL[0], NodeIndex::ALL[1]];
+
+/// How much time passes at once: less than a lease, more than the interval of its renewal.
+const TIME_STEP: Duration = Duration::from_millis(700);
+
+/// The duration that requests ask for, in milliseconds.
+const LEASE_MILLIS: u32 = 2_000;
+
+/// Number of the value whose voters are asked; it does not change.
+const VALUE_NUMBER: u64 = 0;
+
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
+enum Message {
+    Request {
+        epoch: u64,
+        request_id: u64,
+        incarnation: u64,
+    },
+    Vote {
+        epoch: u64,
+        request_id: u64,
+        granted: bool,
+    },
+    Release {
+        epoch: u64,
+        incarnation: u64,
+    },
+}
+
+impl From<&LeaseRequest> for Message {
+    fn from(request: &LeaseRequest) -> Message {
+        Message::Request {
+            epoch: request.epoch,
+            request_id: request.request_id,
+            incarnation: request.incarnation,
+        }
+    }
+}
+
+impl From<&LeaseVote> for Message {
+    fn from(vote: &LeaseVote) -> Message {
+        Message::Vote {
+            epoch: vote.epoch,
+            request_id: vote.request_id,
+            granted: vote.granted,
+        }
+    }
+}
+
+impl From<&LeaseRelease> for Message {
+    fn from(release: &LeaseRelease) -> Message {
+        Message::Release {
+            epoch: release.epoch,
+            incarnation: release.incarnation,
+        }
+    }
+}
+
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
+struct InFlight {
+    to: NodeIndex,
+    from: NodeIndex,
+    message: Message,
+}
+
+/// One incarnation of a node.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
+struct Holder {
+    node: NodeIndex,
+    incarnation_count: u64,
+}
+
+/// One state of a [`LeaseScenario`].
+#[derive(Clone, Debug, Hash)]
+pub struct LeaseState {
+    now: Instant,
+    leases: [LeaderLease; NODE_COUNT],
+    incarnation_counts: [u64; NODE_COUNT],
+    /// The greatest epoch that each disk holds, which is synced before a vote is sent.
+    durable_epochs: [u64; NODE_COUNT],
+    network: BTreeSet<InFlight>,
+    /// Who has held the lease, by epoch.
+    holders: BTreeMap<u64, BTreeSet<Holder>>,
+    /// How often what may still happen.
+    remaining: LeaseScenario,
+    has_restarted: bool,
+    was_released: bool,
+}
+
+/// An incarnation that no two incarnations of any nodes share.
+fn incarnation(node: NodeIndex, count: u64) -> u64 {
+    count * 10 + u64::from(node)
+}
+
+fn is_majority(voters: Vec<u64>) -> bool {
+    voters.len() * 2 > NODE_COUNT
+}
+
+impl LeaseState {
+    pub(crate) fn new(scenario: LeaseScenario) -> LeaseState {
+        let lease = |node: NodeIndex| {
+            LeaderLease::new(node.into(), incarnation(node, 1), Instant::START, true, 0)
+        };
+        LeaseState {
+            now: Instant::START,
+            leases: NodeIndex::ALL.map(lease),
+            incarnation_counts: [1; NODE_COUNT],
+            durable_epochs: [0; NODE_COUNT],
+            network: BTreeSet::new(),
+            holders: BTreeMap::new(),
+            remaining: scenario,
+            has_restarted: false,
+            was_released: false,
+        }
+    }
+
+    /// The nodes that hold the lease now.
+    pub(crate) fn current_holders(&self) -> impl Iterator<Item = NodeIndex> {
+        self.current_leases().map(|(node, _)| node)
+    }
+
+    /// The nodes that hold the lease now, each with the epoch.
+    fn current_leases(&self) -> impl Iterator<Item = (NodeIndex, u64)> {
+        NodeIndex::ALL.into_iter().filter_map(|node| {
+            let epoch = self.leases[node.get()].held_epoch(self.now)?;
+            Some((node, epoch))
+        })
+    }
+
+    /// Number of the epochs under which the lease has been held.
+    pub(crate) fn held_epochs(&self) -> usize {
+        self.holders.len()
+    }
+
+    pub(crate) fn has_epoch_with_two_holders(&self) -> bool {
+        self.holders.values().any(|holders| holders.len() > 1)
+    }
+
+    pub(crate) fn was_released(&self) -> bool {
+        self.was_released
+    }
+
+    pub(crate) fn has_restarted(&self) -> bool {
+        self.has_restarted
+    }
+
+    /// All enabled actions, in a fixed order.
+    pub(crate) fn enabled_actions(&self) -> Vec<LeaseAction> {
+        let LeaseScenario {
+            steps,
+            requests,
+            crashes,
+            releases,
+        } = self.remaining;
+        let deliveries = (0..self.network.len()).map(LeaseAction::Deliver);
+        let mut actions: Vec<LeaseAction> = deliveries.collect();
+        actions.extend((steps > 0).then_some(LeaseAction::PassTime));
+        for node in NodeIndex::ALL {
+            let is_candidate = CANDIDATES.contains(&node);
+            let all = [
+                (requests > 0 && is_candidate, LeaseAction::Request(node)),
+                (crashes > 0, LeaseAction::Crash(node)),
+                (releases > 0 && is_candidate, LeaseAction::Release(node)),
+            ];
+            let enabled = all.into_iter().filter(|(is_enabled, _)| *is_enabled);
+            actions.extend(enabled.map(|(_, action)| action));
+        }
+        actions
+    }
+
+    /// Changes the state by an enabled action.
+    pub(crate) fn apply(&mut self, action: LeaseAction) {
+        match action {
+            LeaseAction::Deliver(index) => self.deliver(index),
+            LeaseAction::PassTime => {
+                self.remaining.steps -= 1;
+                self.now += TIME_STEP;
+            }
+            LeaseAction::Request(node) => {
+                self.remaining.requests -= 1;
+                self.request(node);
+            }
+            LeaseAction::Crash(node) => {
+                self.remaining.crashes -= 1;
+                self.crash(node);
+            }
+            LeaseAction::Release(node) => {
+                self.remaining.releases -= 1;
+                self.release(node);
+            }
+        }
+        self.record_holders();
+        self.discard_void_votes();
+    }
+
+    fn request(&mut self, node: NodeIndex) {
+        let Some(request) = self.leases[node.get()].tick(self.now, true, VALUE_NUMBER) else {
+            return;
+        };
+        self.send_to_others(node, &Message::from(&request));
+        let vote = self.vote(node, node, &request);
+        self.on_vote(node, node, &vote);
+    }
+
+    fn vote(&mut self, voter: NodeIndex, from: NodeIndex, request: &LeaseRequest) -> LeaseVote {
+        let lease = &mut self.leases[voter.get()];
+        let vote = lease.on_lease_request(self.now, from.into(), request, Some(VALUE_NUMBER));
+        self.durable_epochs[voter.get()] = lease.epoch();
+        vote
+    }
+
+    fn on_vote(&mut self, node: NodeIndex, from: NodeIndex, vote: &LeaseVote) {
+        let lease = &mut self.leases[node.get()];
+        lease.on_lease_vote(self.now, from.into(), vote, VALUE_NUMBER, is_majority);
+    }
+
+    fn send_to_others(&mut self, from: NodeIndex, message: &Message) {
+        let others = NodeIndex::ALL.into_iter().filter(|to| *to != from);
+        self.network.extend(others.map(|to| InFlight {
+            to,
+            from,
+            message: message.clone(),
+        }));
+    }
+
+    fn deliver(&mut self, index: usize) {
+        let in_flight = self.network.iter().nth(index);
+        let InFlight { to, from, message } = in_flight.expect("it is in flight").clone();
+        self.network.remove(&InFlight {
+            to,
+            from,
+            message: message.clone(),
+        });
+        match message {
+            Message::Request {
+                epoch,
+                request_id,
+                incarnation,
+            } => {
+                let request = LeaseRequest {
+                    epoch,
+                    request_id,
+                    lease_ms: LEASE_MILLIS,
+                    incarnation,
+                    value_number: VALUE_NUMBER,
+                };
+                let vote = self.vote(to, from, &request);
+                self.network.insert(InFlight {
+                    to: from,
+                    from: to,
+                    message: Message::from(&vote),
+                });
+            }
+            Message::Vote {
+                epoch,
+                request_id,
+                granted,
+            } => {
+                let vote = LeaseVote {
+                    epoch,
+                    request_id,
+                    granted,
+                };
+                self.on_vote(to, from, &vote);
+            }
+            Message::Release { epoch, incarnation } => {
+                let release = LeaseRelease { epoch, incarnation };
+                self.leases[to.get()].on_release(from.into(), &release);
+            }
+        }
+    }
+
+    /// A connection ends with the process at its end: messages in flight to the node or from it are lost.
+    fn crash(&mut self, node: NodeIndex) {
+        self.has_restarted = true;
+        let count = &mut self.incarnation_counts[node.get()];
+        *count += 1;
+        self.leases[node.get()] = LeaderLease::new(
+            node.into(),
+            incarnation(node, *count),
+            self.now,
+            false,
+            self.durable_epochs[node.get()],
+        );
+        self.network
+            .retain(|in_flight| in_flight.to != node && in_flight.from != node);
+    }
+
+    fn release(&mut self, node: NodeIndex) {
+        let lease = &mut self.leases[node.get()];
+        let Some(release) = lease.release() else {
+            return;
+        };
+        self.was_released = true;
+        lease.on_release(node.into(), &release);
+        self.send_to_others(node, &Message::from(&release));
+    }
+
+    fn record_holders(&mut self) {
+        for (node, epoch) in self.current_leases().collect::<Vec<_>>() {
+            self.holders.entry(epoch).or_default().insert(Holder {
+                node,
+                incarnation_count: self.incarnation_counts[node.get()],
+            });
+        }
+    }
+
+    /// Votes for a request that is over have no effect, now or later: states that differ in them alone are one state.
+    fn discard_void_votes(&mut self) {
+        let (now, leases) = (self.now, &self.leases);
+        self.network.retain(|in_flight| {
+            let Message::Vote {
+                epoch,
+                request_id,
+                granted,
+            } = in_flight.message
+            else {
+                return true;
+            };
+            let vote = LeaseVote {
+                epoch,
+                request_id,
+                granted,
+            };
+            let receiver = &leases[in_flight.to.get()];
+            let mut after = receiver.clone();
+            after.on_lease_vote(now, in_flight.from.into(), &vote, VALUE_NUMBER, is_majority);
+            after != *receiver
+        });
+    }
+
+    /// An action as a line of a trace.
+    pub(crate) fn describe(&self, action: LeaseAction) -> String {
+        match action {
+            LeaseAction::Deliver(index) => match self.network.iter().nth(index) {
+                Some(InFlight { to, from, message }) => {
+                    format!("node {to} receives from {from}: {message:?}")
+                }
+                None => format!("no message {index}"),
+            },
+            LeaseAction::PassTime => format!("{} ms pass", TIME_STEP.as_millis()),
+            LeaseAction::Request(node) => format!("node {node} requests the lease"),
+            LeaseAction::Crash(node) => format!("node {node} restarts"),
+            LeaseAction::Release(node) => format!("node {node} releases the lease"),
+        }
+    }
+}
--- a/crates/linenthread-checker/src/lib.rs
+++ b/crates/linenthread-checker/src/lib.rs
@@ -1,32 +1,33 @@
-//! Exhaustive checking of the agreement in the small: every interleaving of a bounded instance, over the very state
-//! machines that the daemons run ([`linenthread_consensus::Register`], [`linenthread_consensus::LeaderLease`]).
+//! Exhaustive checks of the consensus: every interleaving of bounded scenarios, over the very state machines that the
+//! daemons run ([`linenthread_consensus::Register`], [`linenthread_consensus::LeaderLease`]).
+//!
+//! A message in flight may be delivered at any time or never, which covers loss, delay and reordering. Time is abstract:
+//! a tick moves a node's clock past every time-out. The invariants are those of `docs/control-orders.md`.
+//!
+//! This package knows nothing of the control node around the state machines, of sessions, or of real disks; for those
+//! see the simulation of the whole system. Start reading at [`Model`] and [`explore`], then at [`Scenario`].
 //!
 //! | module | job |
 //! | --- | --- |
-//! | `instance` | what is explored: calls, and how often what may happen |
-//! | `world` | one state of all nodes, their disks, the network, and what was answered so far |
-//! | `step` | what can happen next, and what the world is then |
-//! | `invariants` | what must hold in each state |
-//! | `fingerprint` | 128 bits that stand for a state |
-//! | `lease` | the leader lease as a second model: [`LeaseInstance`] |
-//! | `search` | breadth-first search with a set of the states that were seen |
-//!
-//! A message in flight may be delivered at any time or never, which covers loss and any order. Time is abstract: a
-//! tick of a node moves its clock past each time-out. A set of 128-bit fingerprints stands for the states that were
-//! seen.
-#![expect(
-    missing_docs,
-    reason = "public items of this package are not all documented yet"
-)]
+//! | `model` | what can be explored |
+//! | `search` | breadth-first search over the states of a model |
+//! | `fingerprint` | what stands for a state in the set of the visited ones |
+//! | `node_index` | the nodes of a model |
+//! | `register` | the register as a model: [`Scenario`] |
+//! | `lease` | the leader lease as a model: [`LeaseScenario`] |
 
 mod fingerprint;
-mod instance;
-mod invariants;
 mod lease;
+mod model;
+mod node_index;
+mod register;
 mod search;
-mod step;
-mod world;
 
-pub use instance::{Call, CallFault, Instance};
-pub use lease::LeaseInstance;
-pub use search::{Breach, Model, Report, explore};
+pub use fingerprint::Fingerprint;
+pub use lease::{LeaseAction, LeaseScenario, LeaseState};
+pub use model::Model;
+pub use node_index::NodeIndex;
+pub use register::{
+    Action, Call, EventBudget, ParseCallError, Scenario, ScheduledCall, SystemState,
+};
+pub use search::{Report, Violation, explore};
--- a/crates/linenthread-checker/src/main.rs
+++ b/crates/linenthread-checker/src/main.rs
@@ -1,17 +1,23 @@
-//! Explores a small instance of the agreement and prints what it found; ends with 1 if an invariant was broken.
+//! Explores scenarios of the consensus and prints what it found. Exits with 1 if an invariant is violated, with 2 if
+//! the command line is wrong.
 
-use std::fmt;
+use std::io::{self, ErrorKind, Write};
 use std::process::ExitCode;
 use std::time::Instant;
 
-use linenthread_checker::{CallFault, Instance, LeaseInstance, Model, Report, explore};
+use linenthread_checker::{
+    EventBudget, LeaseScenario, Model, ParseCallError, Report, Scenario, explore,
+};
 
 /// A state takes about 2 KB while it waits to be expanded.
-const MOST_STATES: usize = 1_500_000;
+const DEFAULT_MAX_STATES: usize = 1_500_000;
+
+/// The exit status of a program whose reader has closed the pipe, as shells report SIGPIPE.
+const OUTPUT_CLOSED: u8 = 141;
 
 mod flags {
     xflags::xflags! {
-        /// Explores every interleaving of a small instance of the agreement
+        /// Explores every interleaving of bounded scenarios of the consensus
         cmd linenthread-checker {
             /// Calls as NODE:CALL,...; call is a, b, c, replace or read. Without them the whole suite is explored
             optional --calls calls: String
@@ -19,91 +25,128 @@
             optional --ticks count: u8
             /// How many messages are delivered twice
             optional --duplicates count: u8
-            /// How many nodes start anew from their disk
+            /// How many nodes restart from their disk
             optional --crashes count: u8
             /// How many nodes lose their disk, 0 or 1
             optional --lost-disks count: u8
-            /// Records are synced some time after they were handed over
+            /// Records are synced some time after they were written
             optional --slow-disks
-            /// The search ends when so many states were seen
-            optional --most-states count: usize
+            /// The search ends when so many states were visited
+            optional --max-states count: usize
+        }
+    }
+}
+
+fn main() -> ExitCode {
+    let flags = flags::LinenthreadChecker::from_env_or_exit();
+    let scenarios = match scenarios(&flags) {
+        Ok(scenarios) => scenarios,
+        Err(error) => {
+            eprintln!("--calls: {error}");
+            return ExitCode::from(2);
+        }
+    };
+    let lease_scenarios = match flags.calls {
+        Some(_) => Vec::new(),
+        None => LeaseScenario::suite(),
+    };
+    let mut checker = Checker {
+        output: io::stdout(),
+        max_states: flags.max_states.unwrap_or(DEFAULT_MAX_STATES),
+        states: 0,
+        violations: 0,
+    };
+    match checker.check_all(&scenarios, &lease_scenarios) {
+        Ok(()) => ExitCode::from(u8::from(checker.violations > 0)),
+        Err(error) if error.kind() == ErrorKind::BrokenPipe => ExitCode::from(OUTPUT_CLOSED),
+        Err(error) => {
+            eprintln!("cannot write to standard output: {error}");
+            ExitCode::from(2)
         }
     }
 }
 
-fn instances(flags: &flags::LinenthreadChecker) -> Result<Vec<Instance>, CallFault> {
+/// The scenario of the command line, or the suite.
+fn scenarios(flags: &flags::LinenthreadChecker) -> Result<Vec<Scenario>, ParseCallError> {
     let Some(calls) = &flags.calls else {
-        return Ok(Instance::suite());
+        return Ok(Scenario::suite());
     };
-    Ok(vec![Instance {
-        calls: Instance::parse_calls(calls)?,
-        ticks: flags.ticks.unwrap_or(0),
-        duplicates: flags.duplicates.unwrap_or(0),
-        crashes: flags.crashes.unwrap_or(0),
-        lost_disks: flags.lost_disks.unwrap_or(0).min(1),
+    Ok(vec![Scenario {
+        calls: Scenario::parse_calls(calls)?,
+        budget: EventBudget {
+            ticks: flags.ticks.unwrap_or(0),
+            duplicates: flags.duplicates.unwrap_or(0),
+            crashes: flags.crashes.unwrap_or(0),
+            lost_disks: flags.lost_disks.unwrap_or(0).min(1),
+        },
         slow_disks: flags.slow_disks,
     }])
 }
 
-fn print(report: &Report) {
-    println!(
-        "  depth {}, transitions {}",
-        report.depth, report.transitions
-    );
-    let landmarks = report
-        .landmarks
-        .iter()
-        .map(|(name, states)| format!("{name} in {states}"));
-    println!(
-        "  states reached: {}",
-        landmarks.collect::<Vec<_>>().join(", ")
-    );
-    for breach in &report.breaches {
-        println!(
-            "  {} is broken after {} states:",
-            breach.invariant, breach.states
-        );
-        breach.trace.iter().for_each(|line| println!("    {line}"));
-    }
-    if !report.complete {
-        println!("  not complete: the search ended before all states were seen");
-    }
+/// Explores models one after another, prints a report of each, and sums them up.
+struct Checker<W> {
+    output: W,
+    max_states: usize,
+    states: usize,
+    violations: usize,
 }
 
-fn main() -> ExitCode {
-    let flags = flags::LinenthreadChecker::from_env_or_exit();
-    let instances = match instances(&flags) {
-        Ok(instances) => instances,
-        Err(fault) => {
-            eprintln!("{fault}");
-            return ExitCode::from(2);
+impl<W: Write> Checker<W> {
+    fn check_all(
+        &mut self,
+        scenarios: &[Scenario],
+        lease_scenarios: &[LeaseScenario],
+    ) -> io::Result<()> {
+        for scenario in scenarios {
+            self.check(scenario)?;
         }
-    };
-    let most_states = flags.most_states.unwrap_or(MOST_STATES);
-    let mut sums = (0, 0);
-    instances
-        .iter()
-        .for_each(|instance| run(instance, most_states, &mut sums));
-    if flags.calls.is_none() {
-        LeaseInstance::suite()
-            .iter()
-            .for_each(|instance| run(instance, most_states, &mut sums));
+        for scenario in lease_scenarios {
+            self.check(scenario)?;
+        }
+        let (states, violations) = (self.states, self.violations);
+        writeln!(self.output, "{states} states, {violations} violations")
     }
-    let (states, breaches) = sums;
-    println!("{states} states, {breaches} breaches");
-    ExitCode::from(u8::from(breaches > 0))
-}
 
-/// Explores an instance; adds its states and breaches to the sums.
-fn run<M: Model + fmt::Display>(instance: &M, most_states: usize, sums: &mut (usize, usize)) {
-    println!("{instance}");
-    let began = Instant::now();
-    let report = explore(instance, most_states);
-    println!(
-        "  {} states in {:.1} s",
-        report.states,
-        began.elapsed().as_secs_f64()
-    );
-    print(&report);
-    *sums = (sums.0 + report.states, sums.1 + report.breaches.len());
+    fn check(&mut self, model: &impl Model) -> io::Result<()> {
+        writeln!(self.output, "{model}")?;
+        let started_at = Instant::now();
+        let report = explore(model, self.max_states);
+        let elapsed = started_at.elapsed().as_secs_f64();
+        writeln!(self.output, "  {} states in {elapsed:.1} s", report.states)?;
+        self.states += report.states;
+        self.violations += report.violations.len();
+        self.print(&report)
+    }
+
+    fn print(&mut self, report: &Report) -> io::Result<()> {
+        let output = &mut self.output;
+        writeln!(
+            output,
+            "  depth {}, transitions {}",
+            report.depth, report.transitions
+        )?;
+        let situations: Vec<String> = report
+            .situations
+            .iter()
+            .map(|(name, states)| format!("{name} in {states}"))
+            .collect();
+        writeln!(output, "  states reached: {}", situations.join(", "))?;
+        for violation in &report.violations {
+            writeln!(
+                output,
+                "  {} is violated after {} states:",
+                violation.invariant, violation.states
+            )?;
+            for line in &violation.trace {
+                writeln!(output, "    {line}")?;
+            }
+        }
+        if !report.complete {
+            writeln!(
+                output,
+                "  not complete: the search ended before all states were visited"
+            )?;
+        }
+        Ok(())
+    }
 }
--- /dev/null
+++ b/crates/linenthread-checker/src/register/history.rs
@@ -0,0 +1,153 @@
+//! What has happened so far that later states are judged by.
+
+use std::collections::{BTreeMap, BTreeSet};
+
+use linenthread_consensus::JobId;
+use linenthread_messages::{Ballot, OrderIdentity, Value};
+
+/// The decided values, and what callers were told.
+#[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
+pub(crate) struct History {
+    /// Each value that some node took for decided, by number.
+    decided: BTreeMap<u64, Value>,
+    /// Two nodes took different values under one number for decided.
+    has_conflicting_values: bool,
+    /// A node took a value for decided that no majority of its voters had accepted.
+    has_minority_decision: bool,
+    /// The disks that have synced an acceptance, by number and ballot, for numbers that are not decided.
+    accepted_by: BTreeMap<(u64, Ballot), BTreeSet<u64>>,
+    acknowledged: Vec<OrderIdentity>,
+    rejected: Vec<OrderIdentity>,
+    /// The greatest number of a value that a caller was told of.
+    newest_reported: u64,
+    /// `newest_reported` as of when each pending read was submitted.
+    read_floors: BTreeMap<JobId, u64>,
+    /// A read returned a value older than one that was reported before it was submitted.
+    has_stale_read: bool,
+    completed_reads: u8,
+}
+
+impl History {
+    /// The history of nodes that all start with this value.
+    pub(crate) fn new(genesis: Value) -> History {
+        History {
+            decided: BTreeMap::from([(genesis.number, genesis)]),
+            ..History::default()
+        }
+    }
+
+    pub(crate) fn has_conflicting_values(&self) -> bool {
+        self.has_conflicting_values
+    }
+
+    pub(crate) fn has_minority_decision(&self) -> bool {
+        self.has_minority_decision
+    }
+
+    pub(crate) fn has_stale_read(&self) -> bool {
+        self.has_stale_read
+    }
+
+    pub(crate) fn acknowledged(&self) -> &[OrderIdentity] {
+        &self.acknowledged
+    }
+
+    pub(crate) fn rejected(&self) -> &[OrderIdentity] {
+        &self.rejected
+    }
+
+    pub(crate) fn completed_reads(&self) -> u8 {
+        self.completed_reads
+    }
+
+    /// Whether a change of the voters was decided.
+    pub(crate) fn has_voter_change(&self) -> bool {
+        self.decided.values().any(|value| value.epoch > 0)
+    }
+
+    /// The accepted orders: those of the newest value, since no scenario has so many that they leave it.
+    pub(crate) fn accepted_orders(&self) -> &[OrderIdentity] {
+        self.decided
+            .last_key_value()
+            .map_or(&[], |(_, value)| &value.recent_orders)
+    }
+
+    pub(crate) fn is_decided(&self, number: u64) -> bool {
+        self.decided.contains_key(&number)
+    }
+
+    /// Whether [`History::record_decided`] would change anything.
+    pub(crate) fn is_known(&self, value: &Value) -> bool {
+        self.decided.get(&value.number) == Some(value)
+    }
+
+    /// A disk has synced an acceptance.
+    pub(crate) fn record_accepted(&mut self, number: u64, ballot: Ballot, disk: u64) {
+        self.accepted_by
+            .entry((number, ballot))
+            .or_default()
+            .insert(disk);
+    }
+
+    /// A node takes a value for decided.
+    pub(crate) fn record_decided(&mut self, value: &Value) {
+        if self.is_decided(value.number) {
+            self.has_conflicting_values |= !self.is_known(value);
+            return;
+        }
+        self.has_minority_decision |= !self.is_accepted_by_majority(value.number);
+        self.accepted_by
+            .retain(|(number, _), _| *number != value.number);
+        self.decided.insert(value.number, value.clone());
+    }
+
+    /// Whether, under some ballot, a majority of the voters of the value before has accepted a value of this number.
+    fn is_accepted_by_majority(&self, number: u64) -> bool {
+        let Some(previous) = self.decided.get(&(number - 1)) else {
+            return false;
+        };
+        let is_voter = |disk: &u64| previous.voters.iter().any(|voter| voter.id == *disk);
+        self.accepted_by
+            .iter()
+            .filter(|((accepted_number, _), _)| *accepted_number == number)
+            .any(|(_, disks)| {
+                let votes = disks.iter().filter(|disk| is_voter(disk)).count();
+                votes * 2 > previous.voters.len()
+            })
+    }
+
+    /// A caller was told that its order is committed.
+    pub(crate) fn record_acknowledged(&mut self, order: OrderIdentity) {
+        if !self.acknowledged.contains(&order) {
+            self.acknowledged.push(order);
+            self.acknowledged
+                .sort_by_key(|order| (order.revision, order.digest));
+        }
+        let first_number = self
+            .decided
+            .iter()
+            .find(|(_, value)| value.recent_orders.contains(&order))
+            .map_or(0, |(number, _)| *number);
+        self.newest_reported = self.newest_reported.max(first_number);
+    }
+
+    /// A caller was told that its order conflicts.
+    pub(crate) fn record_rejected(&mut self, order: OrderIdentity) {
+        if !self.rejected.contains(&order) {
+            self.rejected.push(order);
+        }
+    }
+
+    /// A read was submitted.
+    pub(crate) fn record_read_submitted(&mut self, job: JobId) {
+        self.read_floors.insert(job, self.newest_reported);
+    }
+
+    /// A read returned a value.
+    pub(crate) fn record_read(&mut self, job: JobId, value: &Value) {
+        let floor = self.read_floors.remove(&job).unwrap_or(0);
+        self.has_stale_read |= value.number < floor;
+        self.newest_reported = self.newest_reported.max(value.number);
+        self.completed_reads += 1;
+    }
+}
--- /dev/null
+++ b/crates/linenthread-checker/src/register/obsolete.rs
@@ -0,0 +1,65 @@
+//! Messages that cannot have an effect any more.
+//!
+//! They are taken out of the network, so that states which differ in them alone are one state.
+
+use linenthread_messages::PeerMessage;
+
+use crate::node_index::NodeIndex;
+use crate::register::state::{InFlight, Node, SystemState};
+
+/// Discards the obsolete messages, after a node has acted.
+pub(crate) fn discard(state: &mut SystemState, acted: NodeIndex) {
+    let mut network = std::mem::take(&mut state.network);
+    let acted = state.node(acted);
+    network.retain(|message| {
+        let is_obsolete = is_about_decided_number(state, message)
+            || message.to == acted.id && is_ignored_reply(acted, message);
+        !is_obsolete
+    });
+    state.network = network;
+}
+
+/// Number of the newest value of the node with this identity.
+fn newest_number(state: &SystemState, id: u64) -> Option<u64> {
+    let node = state.nodes().find(|node| node.id == id)?;
+    node.register.decided().map(|value| value.number)
+}
+
+/// The receiver has a value of the message's number. A request would be answered by that value, and is obsolete only if
+/// its sender has it as well.
+fn is_about_decided_number(state: &SystemState, message: &InFlight) -> bool {
+    let receiver = newest_number(state, message.to);
+    let receiver_has = |number: u64| receiver >= Some(number);
+    let sender_has_as_much = || newest_number(state, message.from) >= receiver;
+    match &message.message {
+        PeerMessage::Prepare(request) => receiver_has(request.number) && sender_has_as_much(),
+        PeerMessage::Accept(request) => receiver_has(request.value.number) && sender_has_as_much(),
+        PeerMessage::Promise(promise) => receiver_has(promise.number),
+        PeerMessage::AcceptAck(ack) => receiver_has(ack.number),
+        PeerMessage::Rejected(rejected) => receiver_has(rejected.number),
+        PeerMessage::Decided(value) => receiver_has(value.number),
+        _ => false,
+    }
+}
+
+/// The reply belongs to a round that is over, and changes nothing at its receiver.
+fn is_ignored_reply(receiver: &Node, message: &InFlight) -> bool {
+    let is_reply = matches!(
+        message.message,
+        PeerMessage::Promise(_)
+            | PeerMessage::AcceptAck(_)
+            | PeerMessage::Rejected(_)
+            | PeerMessage::ReadReply(_)
+    );
+    if !is_reply {
+        return false;
+    }
+    let (mut register, mut effects) = (receiver.register.clone(), Vec::new());
+    register.on_message(
+        receiver.now,
+        message.from,
+        message.message.clone(),
+        &mut effects,
+    );
+    effects.is_empty() && register == receiver.register
+}
--- /dev/null
+++ b/crates/linenthread-checker/src/register/state.rs
@@ -0,0 +1,243 @@
+//! One state of all nodes, their disks and the network.
+
+use std::hash::{Hash, Hasher};
+use std::sync::Arc;
+
+use linenthread_consensus::{DurableState, Register};
+use linenthread_messages::{Envelope, PeerMessage, Record, Value, Voter};
+use linenthread_time::Instant;
+use prost::Message as _;
+
+use crate::fingerprint::{Fingerprint, Fingerprinted};
+use crate::node_index::{NODE_COUNT, NodeIndex};
+use crate::register::history::History;
+use crate::register::scenario::{EventBudget, Scenario};
+
+/// The identities of the nodes at first: they are the voters of value 0.
+const INITIAL_IDS: [u64; NODE_COUNT] = [1, 2, 3];
+
+/// The identity of a node whose lost disk was replaced by the spare one.
+const SPARE_DISK_ID: u64 = 4;
+
+/// An incarnation that no two incarnations of any nodes share. Their count is in the upper half, since read identities
+/// begin with it.
+fn incarnation(id: u64, count: u64) -> u64 {
+    count << 32 | id
+}
+
+pub(crate) fn voter(id: u64) -> Voter {
+    Voter {
+        id,
+        address: String::new(),
+    }
+}
+
+/// A record that is not synced yet, with the messages that wait for it.
+#[derive(Clone, Debug, PartialEq, Eq, Hash)]
+pub(crate) struct UnsyncedRecord {
+    pub(crate) record: Record,
+    pub(crate) after_sync: Vec<InFlight>,
+}
+
+/// A node: what it has in memory, and what its disk holds.
+#[derive(Clone, Debug, Hash)]
+pub(crate) struct Node {
+    pub(crate) id: u64,
+    incarnation_count: u64,
+    pub(crate) now: Instant,
+    pub(crate) register: Register,
+    pub(crate) disk: DurableState,
+    pub(crate) unsynced: Vec<UnsyncedRecord>,
+}
+
+impl Node {
+    fn new(id: u64, disk: DurableState) -> Node {
+        Node {
+            id,
+            incarnation_count: 1,
+            now: Instant::START,
+            register: Register::new(id, disk.clone(), None, incarnation(id, 1)),
+            disk,
+            unsynced: Vec::new(),
+        }
+    }
+
+    /// Restarts the process; what was not synced is lost.
+    pub(crate) fn restart(&mut self) {
+        self.incarnation_count += 1;
+        self.unsynced.clear();
+        let incarnation = incarnation(self.id, self.incarnation_count);
+        self.register = Register::new(self.id, self.disk.clone(), None, incarnation);
+    }
+
+    /// Restarts the process with the spare disk, which is empty.
+    pub(crate) fn replace_disk(&mut self) {
+        *self = Node {
+            now: self.now,
+            ..Node::new(SPARE_DISK_ID, DurableState::default())
+        };
+    }
+}
+
+/// A message in flight; a second copy of the same one makes no difference.
+#[derive(Clone, Debug)]
+pub(crate) struct InFlight {
+    pub(crate) to: u64,
+    pub(crate) from: u64,
+    pub(crate) message: PeerMessage,
+    bytes: Vec<u8>,
+    fingerprint: Fingerprint,
+}
+
+impl InFlight {
+    pub(crate) fn new(from: u64, to: u64, message: PeerMessage) -> InFlight {
+        // It makes no difference who announces a decided value.
+        let from = if matches!(message, PeerMessage::Decided(_)) {
+            0
+        } else {
+            from
+        };
+        let envelope = Envelope {
+            message: Some(message.clone()),
+        };
+        let bytes = envelope.encode_to_vec();
+        let fingerprint = Fingerprint::of(&(to, from, &bytes));
+        InFlight {
+            to,
+            from,
+            message,
+            bytes,
+            fingerprint,
+        }
+    }
+
+    fn key(&self) -> (u64, u64, &[u8]) {
+        (self.to, self.from, &self.bytes)
+    }
+}
+
+impl PartialEq for InFlight {
+    fn eq(&self, other: &InFlight) -> bool {
+        self.key() == other.key()
+    }
+}
+
+impl Eq for InFlight {}
+
+impl Hash for InFlight {
+    fn hash<H: Hasher>(&self, state: &mut H) {
+        self.fingerprint.hash(state);
+    }
+}
+
+/// One state of a [`Scenario`]. Parts that an action does not change are shared with the state before it.
+#[derive(Clone, Debug, Hash)]
+pub struct SystemState {
+    nodes: [Arc<Fingerprinted<Node>>; NODE_COUNT],
+    /// Sorted, so that equal networks compare equal.
+    pub(crate) network: Vec<Arc<InFlight>>,
+    history: Arc<Fingerprinted<History>>,
+    /// How often what may still happen.
+    pub(crate) budget: EventBudget,
+    /// The calls that were not made yet, one bit each.
+    pending_calls: u32,
+    /// The identity of the disk that was lost.
+    lost_disk: Option<u64>,
+}
+
+impl SystemState {
+    pub(crate) fn new(scenario: &Scenario) -> SystemState {
+        let genesis = Value {
+            voters: INITIAL_IDS.map(voter).to_vec(),
+            ..Value::default()
+        };
+        let node = |id| {
+            let mut disk = DurableState::default();
+            disk.add(Record {
+                id: Some(id),
+                decided: Some(genesis.clone()),
+                ..Record::default()
+            });
+            Arc::new(Fingerprinted::new(Node::new(id, disk)))
+        };
+        SystemState {
+            nodes: INITIAL_IDS.map(node),
+            network: Vec::new(),
+            history: Arc::new(Fingerprinted::new(History::new(genesis.clone()))),
+            budget: scenario.budget.clone(),
+            pending_calls: (1 << scenario.calls.len()) - 1,
+            lost_disk: None,
+        }
+    }
+
+    pub(crate) fn node(&self, node: NodeIndex) -> &Node {
+        self.nodes[node.get()].get()
+    }
+
+    /// To be followed by [`SystemState::refresh`] once all changes of the node are made.
+    pub(crate) fn node_mut(&mut self, node: NodeIndex) -> &mut Node {
+        Arc::make_mut(&mut self.nodes[node.get()]).get_mut()
+    }
+
+    pub(crate) fn refresh(&mut self, node: NodeIndex) {
+        Arc::make_mut(&mut self.nodes[node.get()]).refresh();
+    }
+
+    pub(crate) fn nodes(&self) -> impl Iterator<Item = &Node> {
+        self.nodes.iter().map(|node| node.get())
+    }
+
+    /// The node whose disk has this identity.
+    pub(crate) fn find_node(&self, id: u64) -> Option<NodeIndex> {
+        NodeIndex::ALL
+            .into_iter()
+            .find(|node| self.node(*node).id == id)
+    }
+
+    pub(crate) fn history(&self) -> &History {
+        self.history.get()
+    }
+
+    pub(crate) fn update_history(&mut self, update: impl FnOnce(&mut History)) {
+        let history = Arc::make_mut(&mut self.history);
+        update(history.get_mut());
+        history.refresh();
+    }
+
+    pub(crate) fn is_call_pending(&self, call: usize) -> bool {
+        self.pending_calls & 1 << call != 0
+    }
+
+    pub(crate) fn clear_pending_call(&mut self, call: usize) {
+        self.pending_calls &= !(1 << call);
+    }
+
+    /// Puts a message into the network, unless the same one is in flight.
+    pub(crate) fn send(&mut self, message: InFlight) {
+        if let Err(index) = self
+            .network
+            .binary_search_by(|other| other.key().cmp(&message.key()))
+        {
+            self.network.insert(index, Arc::new(message));
+        }
+    }
+
+    /// A node loses its disk, and with it its identity: messages to that are lost as well.
+    pub(crate) fn lose_disk(&mut self, node: NodeIndex) {
+        let lost = self.node(node).id;
+        self.lost_disk = Some(lost);
+        self.node_mut(node).replace_disk();
+        self.network.retain(|message| message.to != lost);
+    }
+
+    /// The voters with the spare disk in place of the lost one, or of the third one if none is lost.
+    pub(crate) fn with_replaced_voter(&self, voters: &[Voter]) -> Vec<Voter> {
+        let [.., third] = INITIAL_IDS;
+        let lost = self.lost_disk.unwrap_or(third);
+        let replace = |id| if id == lost { SPARE_DISK_ID } else { id };
+        voters
+            .iter()
+            .map(|current| voter(replace(current.id)))
+            .collect()
+    }
+}
--- a/crates/linenthread-checker/src/search.rs
+++ b/crates/linenthread-checker/src/search.rs
@@ -1,115 +1,109 @@
+//! Breadth-first search over the states of a model.
+
 use std::collections::hash_map::Entry;
 use std::collections::{BTreeMap, HashMap};
 
-/// States that are expanded at once, and by how many threads.
-const BATCH: usize = 8_192;
-const THREADS: usize = 3;
-
-/// Something whose states can be explored.
-pub trait Model: Sync {
-    type State: Send + Sync;
-    type Action: Copy + Send + Sync;
-
-    /// Where it begins.
-    fn start(&self) -> Self::State;
-
-    /// 128 bits that stand for a state.
-    fn fingerprint(&self, state: &Self::State) -> u128;
-
-    /// All that may happen in a state.
-    fn actions(&self, state: &Self::State) -> Vec<Self::Action>;
-
-    /// The state after an action.
-    fn apply(&self, state: &Self::State, action: Self::Action) -> Self::State;
+use crate::fingerprint::Fingerprint;
+use crate::model::Model;
 
-    /// The names of the invariants that a state breaks.
-    fn broken(&self, state: &Self::State) -> Vec<&'static str>;
+/// States that are expanded together. It bounds how many successors wait in memory to be compared with the visited
+/// states.
+const BATCH_SIZE: usize = 8_192;
 
-    /// What has come about in a state, of what the instance is about: where nothing does, it says little.
-    fn landmarks(&self, state: &Self::State) -> Vec<&'static str>;
-
-    /// An action as a line of a trace.
-    fn describe(&self, state: &Self::State, action: Self::Action) -> String;
-}
+/// Threads that expand a batch.
+const THREADS: usize = 3;
 
-/// A state that breaks an invariant, and a shortest way to it.
+/// A state that violates an invariant, and a shortest path to it.
 #[derive(Debug)]
-pub struct Breach {
+pub struct Violation {
+    /// The invariant's name.
     pub invariant: &'static str,
-    /// How many states were seen before.
+    /// Number of states that were visited until then.
     pub states: usize,
+    /// The actions that lead to the state, one a line.
     pub trace: Vec<String>,
 }
 
-/// What was found.
+/// The result of a search.
 #[derive(Debug, Default)]
 pub struct Report {
+    /// Number of different states that were visited.
     pub states: usize,
+    /// Number of actions that were applied.
     pub transitions: usize,
+    /// Length of the longest of the shortest paths to the visited states.
     pub depth: usize,
-    /// Nothing is left to explore.
+    /// Whether all reachable states were visited.
     pub complete: bool,
-    /// In how many states what has come about.
-    pub landmarks: BTreeMap<&'static str, usize>,
-    pub breaches: Vec<Breach>,
+    /// In how many states each situation was met.
+    pub situations: BTreeMap<&'static str, usize>,
+    /// The violations of the first state that has any; the search ends there.
+    pub violations: Vec<Violation>,
 }
 
 impl Report {
-    /// In how many states this has come about.
-    pub fn reached(&self, landmark: &str) -> usize {
-        self.landmarks.get(landmark).copied().unwrap_or(0)
+    /// In how many states a situation was met.
+    pub fn reached(&self, situation: &str) -> usize {
+        self.situations.get(situation).copied().unwrap_or(0)
     }
 }
 
-/// Explores every interleaving, shortest first, until all is explored, an invariant is broken, or so many states were
-/// seen.
-pub fn explore<M: Model>(model: &M, most_states: usize) -> Report {
-    let start = model.start();
+/// Explores every interleaving, shortest paths first, until all reachable states are visited, an invariant is violated,
+/// or at least `max_states` were visited.
+pub fn explore<M: Model>(model: &M, max_states: usize) -> Report {
+    let initial = model.initial_state();
     let mut search = Search {
         model,
-        seen: HashMap::new(),
+        visited: HashMap::new(),
         report: Report {
             states: 1,
             ..Report::default()
         },
     };
-    search.seen.insert(model.fingerprint(&start), None);
-    let mut frontier = vec![start];
+    search.visited.insert(model.fingerprint(&initial), None);
+    let mut frontier = vec![initial];
     while !frontier.is_empty()
-        && search.report.breaches.is_empty()
-        && search.report.states < most_states
+        && search.report.violations.is_empty()
+        && search.report.states < max_states
     {
-        frontier = search.next_depth(&frontier);
+        frontier = search.next_frontier(&frontier);
         search.report.depth += usize::from(!frontier.is_empty());
     }
-    search.report.complete = frontier.is_empty() && search.report.breaches.is_empty();
+    search.report.complete = frontier.is_empty() && search.report.violations.is_empty();
     search.report
 }
 
-/// Each state that was seen, with the state before it and the action that led from there.
-type Seen<A> = HashMap<u128, Option<(u128, A)>>;
+/// The visited states, each with its predecessor and the action that led from there; none for the initial state.
+type Visited<A> = HashMap<Fingerprint, Option<(Fingerprint, A)>>;
 
 struct Search<'a, M: Model> {
     model: &'a M,
-    seen: Seen<M::Action>,
+    visited: Visited<M::Action>,
     report: Report,
 }
 
-/// A state that was not seen at an earlier depth.
+/// A state that was not visited at a lower depth.
 struct Successor<M: Model> {
     state: M::State,
-    fingerprint: u128,
-    from: u128,
+    fingerprint: Fingerprint,
+    predecessor: Fingerprint,
     action: M::Action,
 }
 
+/// What the expansion of some states led to.
+struct Expansion<M: Model> {
+    successors: Vec<Successor<M>>,
+    transitions: usize,
+}
+
 impl<M: Model> Search<'_, M> {
-    fn next_depth(&mut self, frontier: &[M::State]) -> Vec<M::State> {
+    /// The states one action further; none if one of them violates an invariant.
+    fn next_frontier(&mut self, frontier: &[M::State]) -> Vec<M::State> {
         let mut next = Vec::new();
-        for batch in frontier.chunks(BATCH) {
+        for batch in frontier.chunks(BATCH_SIZE) {
             for successor in self.successors(batch) {
-                next.extend(self.take(successor));
-                if !self.report.breaches.is_empty() {
+                next.extend(self.visit(successor));
+                if !self.report.violations.is_empty() {
                     return Vec::new();
                 }
             }
@@ -117,41 +111,43 @@
         next
     }
 
-    /// Computed by a few threads; in the order of the batch, so that each run finds the same.
+    /// Computed by several threads, and returned in the order of the batch, so that each run finds the same.
     fn successors(&mut self, batch: &[M::State]) -> Vec<Successor<M>> {
-        let share = batch.len().div_ceil(THREADS).max(1);
-        let (model, seen) = (self.model, &self.seen);
-        let results: Vec<(Vec<Successor<M>>, usize)> = std::thread::scope(|scope| {
-            let of = |part| scope.spawn(move || expand(model, part, seen));
-            let threads: Vec<_> = batch.chunks(share).map(of).collect();
+        let states_per_thread = batch.len().div_ceil(THREADS).max(1);
+        let (model, visited) = (self.model, &self.visited);
+        let expansions: Vec<Expansion<M>> = std::thread::scope(|scope| {
+            let threads: Vec<_> = batch
+                .chunks(states_per_thread)
+                .map(|states| scope.spawn(move || expand(model, states, visited)))
+                .collect();
             threads
                 .into_iter()
                 .map(|thread| thread.join().expect("a thread of the search panicked"))
                 .collect()
         });
-        self.report.transitions += results
+        self.report.transitions += expansions
             .iter()
-            .map(|(_, transitions)| transitions)
+            .map(|expansion| expansion.transitions)
             .sum::<usize>();
-        results
+        expansions
             .into_iter()
-            .flat_map(|(successors, _)| successors)
+            .flat_map(|expansion| expansion.successors)
             .collect()
     }
 
-    /// Judges a state, if it is new.
-    fn take(&mut self, successor: Successor<M>) -> Option<M::State> {
-        let Entry::Vacant(entry) = self.seen.entry(successor.fingerprint) else {
+    /// Checks a state, and returns it if it was not visited before.
+    fn visit(&mut self, successor: Successor<M>) -> Option<M::State> {
+        let Entry::Vacant(entry) = self.visited.entry(successor.fingerprint) else {
             return None;
         };
-        entry.insert(Some((successor.from, successor.action)));
+        entry.insert(Some((successor.predecessor, successor.action)));
         self.report.states += 1;
-        for landmark in self.model.landmarks(&successor.state) {
-            *self.report.landmarks.entry(landmark).or_default() += 1;
+        for situation in self.model.situations(&successor.state) {
+            *self.report.situations.entry(situation).or_default() += 1;
         }
-        for invariant in self.model.broken(&successor.state) {
+        for invariant in self.model.violated_invariants(&successor.state) {
             let trace = self.trace(successor.fingerprint);
-            self.report.breaches.push(Breach {
+            self.report.violations.push(Violation {
                 invariant,
                 states: self.report.states,
                 trace,
@@ -160,14 +156,14 @@
         Some(successor.state)
     }
 
-    /// The way to a state, by the actions that led there first.
-    fn trace(&self, to: u128) -> Vec<String> {
-        let (mut at, mut path) = (to, Vec::new());
-        while let Some(Some((before, action))) = self.seen.get(&at) {
+    /// The actions on the path by which a state was first reached.
+    fn trace(&self, to: Fingerprint) -> Vec<String> {
+        let (mut current, mut path) = (to, Vec::new());
+        while let Some(Some((predecessor, action))) = self.visited.get(&current) {
             path.push(*action);
-            at = *before;
+            current = *predecessor;
         }
-        let (mut state, mut lines) = (self.model.start(), Vec::new());
+        let (mut state, mut lines) = (self.model.initial_state(), Vec::new());
         for action in path.into_iter().rev() {
             lines.push(self.model.describe(&state, action));
             state = self.model.apply(&state, action);
@@ -176,27 +172,26 @@
     }
 }
 
-fn expand<M: Model>(
-    model: &M,
-    states: &[M::State],
-    seen: &Seen<M::Action>,
-) -> (Vec<Successor<M>>, usize) {
-    let (mut successors, mut transitions) = (Vec::new(), 0);
-    for before in states {
-        let from = model.fingerprint(before);
-        for action in model.actions(before) {
-            transitions += 1;
-            let state = model.apply(before, action);
-            let fingerprint = model.fingerprint(&state);
-            if !seen.contains_key(&fingerprint) {
-                successors.push(Successor {
-                    state,
+fn expand<M: Model>(model: &M, states: &[M::State], visited: &Visited<M::Action>) -> Expansion<M> {
+    let mut expansion = Expansion {
+        successors: Vec::new(),
+        transitions: 0,
+    };
+    for state in states {
+        let predecessor = model.fingerprint(state);
+        for action in model.enabled_actions(state) {
+            expansion.transitions += 1;
+            let next = model.apply(state, action);
+            let fingerprint = model.fingerprint(&next);
+            if !visited.contains_key(&fingerprint) {
+                expansion.successors.push(Successor {
+                    state: next,
                     fingerprint,
-                    from,
+                    predecessor,
                     action,
                 });
             }
         }
     }
-    (successors, transitions)
+    expansion
 }
--- /dev/null
+++ b/crates/linenthread-checker/tests/command.rs
@@ -0,0 +1,28 @@
+//! The program `linenthread-checker`.
+
+use std::process::{Command, Stdio};
+
+fn checker(arguments: &[&str]) -> Command {
+    let mut command = Command::new(env!("CARGO_BIN_EXE_linenthread-checker"));
+    command
+        .args(arguments)
+        .stdout(Stdio::piped())
+        .stderr(Stdio::piped());
+    command
+}
+
+#[test]
+fn a_closed_output_pipe_ends_it_quietly() {
+    let mut child = checker(&["--calls", "1:a,2:b"]).spawn().expect("spawned");
+    drop(child.stdout.take());
+    let output = child.wait_with_output().expect("ended");
+    assert_eq!(String::from_utf8_lossy(&output.stderr), "");
+    assert_eq!(output.status.code(), Some(141));
+}
+
+#[test]
+fn a_malformed_call_is_reported() {
+    let output = checker(&["--calls", "1:d"]).output().expect("ended");
+    assert!(String::from_utf8_lossy(&output.stderr).contains("1:d"));
+    assert_eq!(output.status.code(), Some(2));
+}
--- /dev/null
+++ b/crates/linenthread-checker/tests/scenarios.rs
@@ -0,0 +1,100 @@
+//! Small scenarios, explored completely: no invariant is violated, and what they are about does happen.
+
+use linenthread_checker::{
+    EventBudget, LeaseScenario, Model, Report, Scenario, ScheduledCall, explore,
+};
+use yare::parameterized;
+
+const MAX_STATES: usize = 100_000;
+
+fn scenario(calls: &str) -> Scenario {
+    Scenario {
+        calls: Scenario::parse_calls(calls).expect("calls"),
+        ..Scenario::default()
+    }
+}
+
+fn explore_all(model: &impl Model) -> Report {
+    let report = explore(model, MAX_STATES);
+    assert!(report.complete, "after {} states", report.states);
+    for violation in &report.violations {
+        println!("{}: {}", violation.invariant, violation.trace.join("\n"));
+    }
+    assert!(report.violations.is_empty());
+    report
+}
+
+#[test]
+fn two_orders_compete_for_one_base() {
+    let report = explore_all(&scenario("1:a,2:b"));
+    assert!(report.reached("acknowledged") > 0 && report.reached("rejected") > 0);
+}
+
+#[test]
+fn one_order_is_submitted_to_two_nodes() {
+    let report = explore_all(&scenario("1:a,2:a"));
+    assert!(report.reached("acknowledged") > 0 && report.reached("rejected") == 0);
+}
+
+#[test]
+fn a_node_restarts_during_an_order() {
+    let report = explore_all(&Scenario {
+        budget: EventBudget {
+            crashes: 1,
+            ..EventBudget::default()
+        },
+        slow_disks: true,
+        ..scenario("1:a")
+    });
+    assert!(report.reached("acknowledged") > 0);
+}
+
+#[test]
+fn a_read_during_an_order() {
+    let report = explore_all(&scenario("1:a,1:read"));
+    assert!(report.reached("acknowledged") > 0 && report.reached("read") > 0);
+}
+
+#[test]
+fn a_lost_disk_is_replaced() {
+    let report = explore_all(&Scenario {
+        budget: EventBudget {
+            lost_disks: 1,
+            ..EventBudget::default()
+        },
+        ..scenario("1:a,1:replace")
+    });
+    assert!(report.reached("acknowledged") > 0 && report.reached("voter replaced") > 0);
+}
+
+#[test]
+fn a_lease_is_released_and_granted_to_another_node() {
+    let report = explore_all(&LeaseScenario {
+        steps: 1,
+        requests: 2,
+        crashes: 0,
+        releases: 1,
+    });
+    assert!(
+        report.reached("held after a release") > 0 && report.reached("held by two in turn") > 0
+    );
+}
+
+#[test]
+fn an_incomplete_search_says_so() {
+    let report = explore(&scenario("1:a,2:b"), 100);
+    assert!(!report.complete && report.violations.is_empty());
+}
+
+#[parameterized(no_such_node = { "4:a" }, node_zero = { "0:a" }, no_such_call = { "1:d" }, empty = { "" })]
+fn a_malformed_call_is_rejected(text: &str) {
+    assert!(Scenario::parse_calls(text).is_err());
+}
+
+#[test]
+fn a_call_is_written_as_it_is_parsed() {
+    let list = "1:a,2:b,1:c,2:replace,3:read";
+    let calls = Scenario::parse_calls(list).expect("calls");
+    let written: Vec<String> = calls.iter().map(ScheduledCall::to_string).collect();
+    assert_eq!(written.join(","), list);
+}
