--- a/crates/linenthread-drill/src/failover.rs
+++ b/crates/linenthread-drill/src/failover.rs
@@ -12,7 +12,8 @@
 };
 use linenthread_core::{Coordinator, DecisionSink};
 use linenthread_zones::{
-    ALL, Decider, Ground, Pattern, Reason, Report, Row, Table, Terms, Watch, Zone, fit,
+    ALL_KEYS, FailoverConfig, FailoverController, Placement, Reason, Report, Route, RoutingTable,
+    Row, Topology, Zone, ZoneObserver, limit_to_capacity,
 };
 use oorandom::Rand64;
 
@@ -143,8 +144,8 @@
     lookups: Vec<Option<Lookup>>,
     free: Vec<usize>,
     wake: TenthMillis,
-    watch: Watch,
-    alone: Option<Decider>,
+    watch: ZoneObserver,
+    alone: Option<FailoverController>,
     coming: VecDeque<(TenthMillis, Vec<ZoneRoute>)>,
 }
 
@@ -213,7 +214,7 @@
     ones: Vec<One>,
     news: Vec<Vec<MembershipEntry>>,
     rate: f64,
-    decider: Decider,
+    decider: FailoverController,
     heard: Report,
     on: bool,
     mended: bool,
@@ -226,7 +227,7 @@
         .to_vec()
 }
 
-fn ground(replicas: &[Replica]) -> Ground {
+fn ground(replicas: &[Replica]) -> Topology {
     let mut counts = vec![0; ZONES];
     (0..REPLICAS)
         .filter(|&r| replicas.get(r).is_some_and(|r| r.up))
@@ -240,24 +241,27 @@
     let zone = |name: String| Zone {
         name,
         region: "sicily".into(),
-        room: None,
+        replica_capacity: None,
     };
-    Ground {
+    Topology {
         zones: names().into_iter().map(zone).collect(),
         replicas: counts,
-        patterns: patterns
+        placements: patterns
             .into_iter()
-            .map(|(holders, share)| Pattern { holders, share })
+            .map(|(holders, share)| Placement {
+                replicas: holders,
+                share,
+            })
             .collect(),
     }
 }
 
-fn terms() -> Terms {
-    Terms {
-        margin: 0.8,
+fn terms() -> FailoverConfig {
+    FailoverConfig {
+        capacity_margin: 0.8,
         hold: 5 * SECOND,
-        longest_hold: 60 * SECOND,
-        step: 3 * SECOND,
+        max_hold: 60 * SECOND,
+        return_step: 3 * SECOND,
     }
 }
 
@@ -265,7 +269,7 @@
     let way = |zone: usize| ZoneRoute {
         id: 77 + zone as u64,
         distance: u8::from(zone != own),
-        open_per_mille: row.map_or(ALL, |row| row.open[zone].0),
+        open_per_mille: row.map_or(ALL_KEYS, |row| row.routes[zone].share),
     };
     (0..ZONES).map(way).collect()
 }
@@ -320,7 +324,7 @@
             lookups: Vec::new(),
             free: Vec::new(),
             wake: now,
-            watch: Watch::new((n % ZONES) as u8),
+            watch: ZoneObserver::new((n % ZONES) as u8),
             alone: None,
             coming: VecDeque::new(),
         };
@@ -345,7 +349,7 @@
             news: Vec::new(),
             // Lookups of three parts, a tenth of a millisecond, at one co-ordinator.
             rate: takes * busy / 3.0 / (ZONES * EACH) as f64,
-            decider: Decider::new(terms(), zones, None, now),
+            decider: FailoverController::new(terms(), zones, None, now),
             heard: Report::default(),
             on: false,
             mended: false,
@@ -510,7 +514,7 @@
         let queue = (ending == AttemptOutcome::Success).then_some(f64::from(waiting));
         let one = &mut self.ones[from];
         one.watch
-            .ended((replica % ZONES) as u8, replica, ending, took);
+            .on_outcome((replica % ZONES) as u8, replica, ending, took);
         one.arrivals.results.push(AttemptResult {
             query: lookup,
             sub_request: part,
@@ -541,7 +545,7 @@
                     soft: now + SOFT,
                     calls: Vec::new(),
                 });
-                one.watch.asked(3);
+                one.watch.on_query(3);
                 let hard_deadline = now + HARD;
                 one.arrivals.queries.push(NewQuery {
                     query: lookup,
@@ -598,7 +602,7 @@
                     .then(|| self.replicas[replica].queue.len() as f64);
                 let one = &mut self.ones[from];
                 one.watch
-                    .ended((replica % ZONES) as u8, replica, ending, 30);
+                    .on_outcome((replica % ZONES) as u8, replica, ending, 30);
                 one.arrivals.probes.push(ProbeResult {
                     replica,
                     outcome: ending,
@@ -742,8 +746,8 @@
                 let one = &mut self.ones[n];
                 let decider = one
                     .alone
-                    .get_or_insert_with(|| Decider::new(terms(), zones, None, now));
-                decider.hear(&report);
+                    .get_or_insert_with(|| FailoverController::new(terms(), zones, None, now));
+                decider.add_report(&report);
                 if let Some(table) = decider.decide(now, 0, &ground) {
                     one.coming
                         .push_back((now, ways(one.zone, table.rows.get(one.zone))));
@@ -753,7 +757,7 @@
                 all.add(&report);
             }
         }
-        let mut table: Option<Table> = None;
+        let mut table: Option<RoutingTable> = None;
         match self.policy {
             Policy::Common => {
                 self.heard.add(&all);
@@ -761,16 +765,16 @@
                 let leaderless =
                     self.on && self.now - 100 * SECOND < BEGIN + 2 * SECOND && self.lost(2);
                 if !leaderless {
-                    self.decider.hear(&std::mem::take(&mut self.heard));
+                    self.decider.add_report(&std::mem::take(&mut self.heard));
                     table = self.decider.decide(self.now, 0, &ground);
                 }
             }
             Policy::Truth => {
-                let mut rows = Table::sound(names()).rows;
+                let mut rows = RoutingTable::open(names()).rows;
                 for (from, row) in rows.iter_mut().enumerate() {
-                    for (to, cell) in row.open.iter_mut().enumerate() {
+                    for (to, route) in row.routes.iter_mut().enumerate() {
                         if self.lost(to) || self.cut(from, to) {
-                            *cell = (0, Reason::Down);
+                            *route = Route::closed(Reason::ZoneDown);
                         }
                     }
                 }
@@ -783,11 +787,11 @@
                     })
                     .collect();
                 if self.on || self.mended {
-                    fit(&ground, &asked, &room, &mut rows);
+                    limit_to_capacity(&ground, &asked, &room, &mut rows);
                 }
-                table = Some(Table {
+                table = Some(RoutingTable {
                     rows,
-                    ..Table::sound(names())
+                    ..RoutingTable::open(names())
                 });
             }
             _ => {}
@@ -796,8 +800,8 @@
             let closed = table
                 .rows
                 .iter()
-                .flat_map(|r| &r.open)
-                .any(|(share, _)| *share == 0);
+                .flat_map(|r| &r.routes)
+                .any(|route| route.share == 0);
             if closed && self.on && self.outcome.table.is_none() {
                 self.outcome.table = Some(self.now - 100 * SECOND - BEGIN);
             }
--- a/crates/linenthread-drill/src/zones.rs
+++ b/crates/linenthread-drill/src/zones.rs
@@ -5,7 +5,8 @@
 
 use linenthread_core::interface::{AttemptOutcome, TenthMillis};
 use linenthread_zones::{
-    ALL, Decider, Ground, Pattern, Reason, Report, Table, Terms, Watch, Zone, loads,
+    ALL_KEYS, Demand, FailoverConfig, FailoverController, Placement, Reason, Report, RoutingTable,
+    Topology, Zone, ZoneObserver, loads,
 };
 use oorandom::Rand64;
 
@@ -38,17 +39,17 @@
     now: TenthMillis,
     seed: u64,
     chance: Rand64,
-    ground: Ground,
+    ground: Topology,
     /// Parts a second that each zone's replicas do, and that its clients ask for; how long a part takes there.
     takes: Vec<f64>,
     asked: Vec<f64>,
     service_ms: f64,
-    watches: Vec<(usize, Watch)>,
+    watches: Vec<(usize, ZoneObserver)>,
     /// By co-ordinator: the tables on their way to it, and the one it acts on.
-    coming: Vec<Vec<(TenthMillis, Table)>>,
-    acts: Vec<Table>,
-    record: Option<Table>,
-    decider: Decider,
+    coming: Vec<Vec<(TenthMillis, RoutingTable)>>,
+    acts: Vec<RoutingTable>,
+    record: Option<RoutingTable>,
+    decider: FailoverController,
     trouble: Trouble,
     /// Orders, as the record has them.
     drained: BTreeSet<String>,
@@ -60,12 +61,12 @@
     left_at: Option<TenthMillis>,
 }
 
-fn terms() -> Terms {
-    Terms {
-        margin: 0.8,
+fn terms() -> FailoverConfig {
+    FailoverConfig {
+        capacity_margin: 0.8,
         hold: 5 * SECOND,
-        longest_hold: 60 * SECOND,
-        step: 3 * SECOND,
+        max_hold: 60 * SECOND,
+        return_step: 3 * SECOND,
     }
 }
 
@@ -81,7 +82,7 @@
         let zone = |n: usize| Zone {
             name: format!("z{n}"),
             region: format!("r{}", n % regions),
-            room: told.then_some(each),
+            replica_capacity: told.then_some(each),
         };
         // A ring: shard s lies in cells s, s + 1, ...; cells go round the zones.
         let cells = replicas_each * count;
@@ -94,12 +95,15 @@
         }
         let patterns = patterns
             .into_iter()
-            .map(|(holders, share)| Pattern { holders, share })
+            .map(|(holders, share)| Placement {
+                replicas: holders,
+                share,
+            })
             .collect();
-        let ground = Ground {
+        let ground = Topology {
             zones: (0..count).map(zone).collect(),
             replicas: vec![replicas_each as u32; count],
-            patterns,
+            placements: patterns,
         };
         let takes = vec![each * replicas_each as f64; count];
         // From idle to nearly full.
@@ -123,14 +127,14 @@
         };
         let observers = 3 + chance.rand_range(0..8) as usize;
         let watches: Vec<_> = (0..count * observers)
-            .map(|n| (n % count, Watch::new((n % count) as u8)))
+            .map(|n| (n % count, ZoneObserver::new((n % count) as u8)))
             .collect();
         let names = ground.zones.iter().map(|z| z.name.clone()).collect();
-        let sound = Table::sound(names);
+        let sound = RoutingTable::open(names);
         World {
             now: 100 * SECOND,
             seed,
-            decider: Decider::new(terms(), ground.zones.clone(), None, 100 * SECOND),
+            decider: FailoverController::new(terms(), ground.zones.clone(), None, 100 * SECOND),
             coming: vec![Vec::new(); watches.len()],
             acts: vec![sound; watches.len()],
             record: None,
@@ -209,7 +213,7 @@
         let replicas = self.ground.replicas.clone();
         for (n, flow) in flows.iter().enumerate() {
             let parts = self.poisson(self.asked[self.watches[n].0] / each as f64 * 0.5 * burst);
-            self.watches[n].1.asked(parts as usize);
+            self.watches[n].1.on_query(parts as usize);
             for to in 0..count {
                 let ended = self.poisson(flow[to] * 0.5).min(400);
                 let slow = matches!(self.trouble, Trouble::ZoneSlow(z) if self.on && z == to);
@@ -233,7 +237,7 @@
                         100 * to + self.chance.rand_range(0..replicas[to].into()) as usize;
                     self.watches[n]
                         .1
-                        .ended(to as u8, replica, ending, took as TenthMillis);
+                        .on_outcome(to as u8, replica, ending, took as TenthMillis);
                 }
             }
         }
@@ -249,18 +253,20 @@
             );
             let voices = self.chance.rand_range(0..9) as u32;
             let ended = self.chance.rand_range(0..1_000) as u32;
-            let way = linenthread_zones::Way {
-                voices,
+            let way = linenthread_zones::RouteStats {
+                observers: voices,
                 down: (self.chance.rand_range(0..2) as u32) * voices,
                 slow: (self.chance.rand_range(0..2) as u32) * voices,
-                ended,
-                answered: self.chance.rand_range(0..u64::from(ended) + 1) as u32,
-                time_ms: self.chance.rand_range(0..100_000),
+                completed: ended,
+                succeeded: self.chance.rand_range(0..u64::from(ended) + 1) as u32,
+                latency_sum_ms: self.chance.rand_range(0..100_000),
+            };
+            report.routes.insert(at, way);
+            let demand = Demand {
+                observers: 3,
+                sub_requests: self.chance.rand_range(0..5_000) as u32,
             };
-            report.ways.insert(at, way);
-            report
-                .asked
-                .insert(at.0, (3, self.chance.rand_range(0..5_000) as u32));
+            report.demand.insert(at.0, demand);
         }
         Report::decode(&report.encode()).expect("as it went")
     }
@@ -288,11 +294,11 @@
         if self.trouble == Trouble::Hostile {
             all.add(&self.hostile());
         }
-        self.decider.hear(&all);
+        self.decider.add_report(&all);
         // Who leads changes at times, and goes on from the record alone.
         if self.chance.rand_range(0..60) == 0 {
             self.leaders += 1;
-            self.decider = Decider::new(
+            self.decider = FailoverController::new(
                 terms(),
                 self.ground.zones.clone(),
                 self.record.as_ref(),
@@ -300,20 +306,14 @@
             );
         }
         let (now, ground) = (self.now, self.ground.clone());
-        self.decider.drained(&self.drained, now);
+        self.decider.set_drained(&self.drained, now);
         if let Some(table) = self.decider.decide(now, 0, &ground) {
-            let table = Table::decode(&table.encode()).expect("as it went");
-            let cells = |t: &Table| {
-                t.rows
-                    .iter()
-                    .flat_map(|r| r.open.clone())
-                    .map(|c| c.0)
-                    .collect::<Vec<_>>()
-            };
+            let table = RoutingTable::decode(&table.encode()).expect("as it went");
+            let cells = |t: &RoutingTable| t.routes().map(|route| route.share).collect::<Vec<_>>();
             let before = self
                 .record
                 .as_ref()
-                .map_or(vec![ALL; ground.zones.len().pow(2)], cells);
+                .map_or(vec![ALL_KEYS; ground.zones.len().pow(2)], cells);
             let opens = cells(&table)
                 .iter()
                 .zip(&before)
@@ -349,7 +349,7 @@
         let usual = loads(
             &self.ground,
             &self.asked,
-            &Table::sound(table.zones.clone()).rows,
+            &RoutingTable::open(table.zones.clone()).rows,
         );
         // *never-past-room*: by what a zone can truly do, or what it bears anyway when all is sound.
         for to in 0..count {
@@ -360,7 +360,7 @@
                 self.takes[to]
             };
             // Those of a lost zone's clients ask no more, or elsewhere: never more than all asked for.
-            let told = self.ground.zones[to].room.is_some();
+            let told = self.ground.zones[to].replica_capacity.is_some();
             if told
                 && self.trouble != Trouble::Hostile
                 && sum(&load) > truly.max(sum(&usual)) * 1.15
@@ -373,13 +373,13 @@
             }
         }
         let closed = |reasons: &[Reason]| {
-            let cell = |f: usize, t: usize| reasons.contains(&table.rows[f].open[t].1);
+            let cell = |f: usize, t: usize| reasons.contains(&table.rows[f].routes[t].reason);
             (0..count)
                 .flat_map(|f| (0..count).map(move |t| (f, t)))
                 .filter(|(f, t)| cell(*f, *t))
                 .collect::<Vec<_>>()
         };
-        let left = closed(&[Reason::Down, Reason::Cut]);
+        let left = closed(&[Reason::ZoneDown, Reason::Partitioned]);
         let strays: Vec<_> = left
             .iter()
             .filter(|(f, t)| match self.trouble {
@@ -396,7 +396,7 @@
         if !strays.is_empty() {
             self.breach(format!("wrongly left, from and to: {strays:?}"));
         }
-        if self.trouble == Trouble::Noise && !closed(&[Reason::Room, Reason::Slow]).is_empty() {
+        if self.trouble == Trouble::Noise && !closed(&[Reason::Capacity, Reason::Slow]).is_empty() {
             self.breach("near-while-safe: ways are closed though nothing is wrong".into());
         }
     }
@@ -404,7 +404,7 @@
     fn shut(&self, from: usize, to: usize) -> bool {
         self.record
             .as_ref()
-            .is_some_and(|t| t.rows[from].open[to].0 == 0)
+            .is_some_and(|t| t.rows[from].routes[to].share == 0)
     }
 
     /// Whether what is to be left is left by the table.
@@ -452,7 +452,7 @@
         let usual = loads(
             &self.ground,
             &self.asked,
-            &Table::sound(vec![String::new(); self.ground.zones.len()]).rows,
+            &RoutingTable::open(vec![String::new(); self.ground.zones.len()]).rows,
         );
         let each = (self.watches.len() / self.ground.zones.len()) as f64;
         // Only where parts enough go that way can it be seen.
@@ -472,11 +472,14 @@
         self.drained.clear();
         // All is well again: after the longest hold and all steps, with what wavers meanwhile, all is open.
         if self.trouble != Trouble::Hostile && self.breaches.is_empty() {
-            let end = self.now + 2 * (terms().longest_hold + 6 * terms().step) + 20 * SECOND;
+            let end = self.now + 2 * (terms().max_hold + 6 * terms().return_step) + 20 * SECOND;
             let open = |w: &World| {
-                w.record
-                    .as_ref()
-                    .is_none_or(|t| t.rows.iter().flat_map(|r| &r.open).all(|c| c.0 == ALL))
+                w.record.as_ref().is_none_or(|t| {
+                    t.rows
+                        .iter()
+                        .flat_map(|r| &r.routes)
+                        .all(|route| route.share == ALL_KEYS)
+                })
             };
             while self.now < end && !open(&self) {
                 self.step();
--- a/crates/linenthread-zones/src/error.rs
+++ b/crates/linenthread-zones/src/error.rs
@@ -3,7 +3,7 @@
 use linenthread_frames::DecodeError;
 use snafu::Snafu;
 
-use crate::ALL;
+use crate::ALL_KEYS;
 
 /// Why bytes are no table, or no report.
 #[derive(Clone, Debug, PartialEq, Snafu)]
@@ -21,7 +21,7 @@
         /// The number.
         zone: u8,
     },
-    /// A table has more zones than [`crate::MOST_ZONES`].
+    /// A table has more zones than [`crate::MAX_ZONES`].
     #[snafu(display("{count} zones are too many"))]
     TooManyZones {
         /// How many.
@@ -33,8 +33,8 @@
         /// The byte that stands for the reason.
         code: u8,
     },
-    /// A share is over [`ALL`].
-    #[snafu(display("{share} of {ALL} keys are too many"))]
+    /// A share is over [`ALL_KEYS`].
+    #[snafu(display("{share} of {ALL_KEYS} keys are too many"))]
     ShareTooLarge {
         /// The share, in thousandths.
         share: u16,
--- /dev/null
+++ b/crates/linenthread-zones/src/health.rs
@@ -0,0 +1,165 @@
+//! The states that a zone, or the route between a pair of zones, goes through.
+
+use linenthread_core::interface::TenthMillis;
+
+use crate::ALL_KEYS;
+
+/// So many consecutive evaluations must say the same.
+pub(crate) const CONFIRMATIONS: u32 = 2;
+/// The share of keys, in thousandths, that a returning zone gets, step by step.
+pub(crate) const RETURN_SHARES: [u16; 3] = [50, 150, 400];
+/// A hold is doubled so often at most.
+const MAX_DOUBLINGS: u32 = 16;
+
+/// How failover behaves.
+#[derive(Clone, Debug, PartialEq)]
+pub struct FailoverConfig {
+    /// The share of a zone's capacity that may be used, for its own clients and for those that are moved there.
+    pub capacity_margin: f64,
+    /// How long a zone is ejected for the first time; each further time is twice as long.
+    pub hold: TenthMillis,
+    /// How long it is ejected at most.
+    pub max_hold: TenthMillis,
+    /// How long each step of a return takes: no less than a replica that starts cold needs to warm up.
+    pub return_step: TenthMillis,
+}
+
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub(crate) enum State {
+    Healthy,
+    /// Open as far as its capacity at its present latency goes.
+    Slow {
+        until: TenthMillis,
+    },
+    Ejected {
+        until: TenthMillis,
+    },
+    Returning {
+        /// An index of [`RETURN_SHARES`].
+        step: usize,
+        until: TenthMillis,
+    },
+    Drained,
+}
+
+impl State {
+    /// The first step of a return.
+    pub(crate) fn returning(now: TenthMillis, config: &FailoverConfig) -> State {
+        State::returning_at(0, now, config)
+    }
+
+    pub(crate) fn returning_at(step: usize, now: TenthMillis, config: &FailoverConfig) -> State {
+        State::Returning {
+            step,
+            until: now + config.return_step,
+        }
+    }
+
+    /// Healthy or slow: clients may go there.
+    pub(crate) fn is_serving(self) -> bool {
+        matches!(self, State::Healthy | State::Slow { .. })
+    }
+}
+
+/// The state of a zone, or of the route between a pair of zones, and the evidence for its next one.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct Health {
+    pub(crate) state: State,
+    /// Consecutive evaluations that found it down.
+    down_count: u32,
+    /// Consecutive evaluations that found it slow.
+    slow_count: u32,
+    /// How often it was ejected lately.
+    ejections: u32,
+    /// Since when it is healthy, or since when one ejection less counts.
+    healthy_since: TenthMillis,
+}
+
+impl Health {
+    pub(crate) fn new(state: State, now: TenthMillis) -> Health {
+        Health {
+            state,
+            down_count: 0,
+            slow_count: 0,
+            ejections: 0,
+            healthy_since: now,
+        }
+    }
+
+    /// As a former leader's table had it: an ejected or returning one counts as ejected once.
+    pub(crate) fn restored(state: State, was_ejected: bool, now: TenthMillis) -> Health {
+        Health {
+            ejections: u32::from(was_ejected),
+            ..Health::new(state, now)
+        }
+    }
+
+    fn eject(&mut self, now: TenthMillis, config: &FailoverConfig) {
+        let hold = config.hold << self.ejections.min(MAX_DOUBLINGS);
+        self.ejections += 1;
+        self.down_count = 0;
+        self.state = State::Ejected {
+            until: now + hold.min(config.max_hold),
+        };
+    }
+
+    /// Takes in one evaluation, and what the time brings.
+    pub(crate) fn evaluate(&mut self, now: TenthMillis, is_down: bool, config: &FailoverConfig) {
+        self.down_count = if is_down { self.down_count + 1 } else { 0 };
+        match self.state {
+            State::Healthy | State::Slow { .. } if self.down_count >= CONFIRMATIONS => {
+                self.eject(now, config);
+            }
+            State::Healthy if self.ejections > 0 && now - self.healthy_since >= config.max_hold => {
+                self.ejections -= 1;
+                self.healthy_since = now;
+            }
+            State::Ejected { until } if now >= until => {
+                self.down_count = 0;
+                self.state = State::returning(now, config);
+            }
+            // Few keys go there now: one evaluation is enough.
+            State::Returning { .. } if is_down => self.eject(now, config),
+            State::Returning { step, until } if now >= until => {
+                if step + 1 < RETURN_SHARES.len() {
+                    self.state = State::returning_at(step + 1, now, config);
+                } else {
+                    self.healthy_since = now;
+                    self.state = State::Healthy;
+                }
+            }
+            _ => {}
+        }
+    }
+
+    /// Takes in whether the zone was found slow.
+    pub(crate) fn evaluate_latency(
+        &mut self,
+        now: TenthMillis,
+        is_slow: bool,
+        config: &FailoverConfig,
+    ) {
+        self.slow_count = if is_slow { self.slow_count + 1 } else { 0 };
+        if self.slow_count >= CONFIRMATIONS && self.state.is_serving() {
+            self.state = State::Slow {
+                until: now + config.hold,
+            };
+        } else if matches!(self.state, State::Slow { until } if now >= until) {
+            self.state = State::Healthy;
+        }
+    }
+
+    /// Whether nothing is left to remember of it.
+    pub(crate) fn is_unremarkable(&self) -> bool {
+        self.state == State::Healthy && self.ejections == 0 && self.down_count == 0
+    }
+
+    /// The share of keys, in thousandths, that it is open to.
+    pub(crate) fn share(&self) -> u16 {
+        match self.state {
+            State::Healthy | State::Slow { .. } => ALL_KEYS,
+            State::Ejected { .. } | State::Drained => 0,
+            State::Returning { step, .. } => RETURN_SHARES[step],
+        }
+    }
+}
--- a/crates/linenthread-zones/src/lib.rs
+++ b/crates/linenthread-zones/src/lib.rs
@@ -1,34 +1,38 @@
-//! Which zone serves whose keys: decided in common, from what all co-ordinators see.
+//! Which zone serves whose keys: decided for all coordinators together, from what all of them observe.
 //!
-//! A [`Watch`] at each co-ordinator counts what became of its parts, zone by zone, and says now and then what it
-//! saw: a [`Report`] of a few numbers, added up with others' on the way. Who leads the fleet's record feeds them to
-//! its [`Decider`], which makes a [`Table`]: for each zone where clients ask and each zone where replicas stand, for
-//! what share of keys that way is open. All act on one table; the decision module reads one row of it.
+//! A [`ZoneObserver`] at each coordinator counts the outcomes of its sub-requests by zone and makes a [`Report`] of a
+//! few numbers at intervals; reports are added up on their way. The fleet's leader feeds them to its
+//! [`FailoverController`], which makes a [`RoutingTable`]: for each zone of clients and each zone of replicas, for
+//! what share of keys the route between them is open. All act on one table; each coordinator's policy uses one row.
 //!
-//! Named rules, held by `linenthread-drill zones`: *never-past-room* (no more is sent to a zone by a table than it
-//! has room for beside its own), *near-while-safe* (while all is sound every way is open, so that each part stays in
-//! the nearest zone that holds its shard), *no-flap* (a bound on moves an hour under any evidence),
-//! *same-key-same-home* (a share that falls or grows moves the same keys at all, and back). That there is one table,
-//! and that a minority moves nothing, the record holds. Why all this is as it is stands in
-//! `docs/failover-design.md`.
-#![expect(
-    missing_docs,
-    reason = "public items of this package are not all documented yet"
-)]
+//! This package must not know how reports and tables are carried: `linenthread-fleet` replicates the table, and takes
+//! care that a minority changes nothing. Start reading at [`FailoverController::decide`]; `docs/failover-design.md`
+//! has the reasons.
+//!
+//! Invariants, checked by the simulation of zones: *never-past-room* (a table sends no zone more than its capacity
+//! beside its own clients' requests), *near-while-safe* (while all is healthy every route is open, so that each
+//! sub-request stays in the nearest zone with its shard), *no-flap* (a bound on changes an hour under any evidence),
+//! *same-key-same-home* (a share that falls or grows moves the same keys, and moves them back).
 
-mod decide;
+mod controller;
 mod error;
+mod health;
+mod load;
+mod observer;
 mod report;
-mod solve;
 mod table;
+mod topology;
 
-pub use decide::{Decider, Ground, SPAN, Terms, Zone};
+pub use controller::{EVALUATION_INTERVAL, FailoverController};
 pub use error::{DrainError, FormatError};
-pub use report::{Report, Watch, Way};
-pub use solve::{Pattern, fit, loads};
-pub use table::{Reason, Row, Table};
+pub use health::FailoverConfig;
+pub use load::{limit_to_capacity, loads};
+pub use observer::ZoneObserver;
+pub use report::{Demand, Report, RouteStats};
+pub use table::{Reason, Route, RoutingTable, Row};
+pub use topology::{Placement, Topology, Zone};
 
-/// Zones at the most.
-pub const MOST_ZONES: usize = 16;
-/// All keys.
-pub const ALL: u16 = 1_000;
+/// The most zones.
+pub const MAX_ZONES: usize = 16;
+/// A share in thousandths: all keys.
+pub const ALL_KEYS: u16 = 1_000;
--- a/crates/linenthread-zones/src/table.rs
+++ b/crates/linenthread-zones/src/table.rs
@@ -1,122 +1,184 @@
-//! The table that all act on.
+//! The routing table that all coordinators act on.
+
+use std::fmt;
 
 use linenthread_frames::{DecodeError, Decoder, Encoder};
 use snafu::{OptionExt, ensure};
 
 use crate::error::{FormatError, ShareTooLargeSnafu, TooManyZonesSnafu, UnknownReasonSnafu};
-use crate::{ALL, MOST_ZONES};
+use crate::{ALL_KEYS, MAX_ZONES};
 
-/// Why a way is not open to all keys.
+/// Why a route is not open to all keys.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reason {
-    Sound,
-    /// The zone is down, by the word of most who see it.
-    Down,
-    /// Only this pair of zones can't reach each other.
-    Cut,
-    /// An operator's order.
+    /// It is open: nothing is wrong.
+    Healthy,
+    /// The zone is down, as a majority of its observers sees it.
+    ZoneDown,
+    /// Only this pair of zones is partitioned.
+    Partitioned,
+    /// An operator drains the zone.
     Drained,
-    /// It was left and is taken back step by step.
+    /// The zone was ejected and is taken back step by step.
     Returning,
-    /// There is no room there for more than that.
-    Room,
-    /// The zone is slow, and has room for less.
+    /// The zone has no capacity for more.
+    Capacity,
+    /// The zone is slow, and has less capacity for that.
     Slow,
 }
 
+/// Reasons by their number in an encoded table.
 const REASONS: [Reason; 7] = [
-    Reason::Sound,
-    Reason::Down,
-    Reason::Cut,
+    Reason::Healthy,
+    Reason::ZoneDown,
+    Reason::Partitioned,
     Reason::Drained,
     Reason::Returning,
-    Reason::Room,
+    Reason::Capacity,
     Reason::Slow,
 ];
 
-/// One zone of clients: by zone of replicas for how many keys of a thousand the way there is open, and why.
+impl Reason {
+    fn code(self) -> u8 {
+        match self {
+            Reason::Healthy => 0,
+            Reason::ZoneDown => 1,
+            Reason::Partitioned => 2,
+            Reason::Drained => 3,
+            Reason::Returning => 4,
+            Reason::Capacity => 5,
+            Reason::Slow => 6,
+        }
+    }
+}
+
+/// The words of the operators' page.
+impl fmt::Display for Reason {
+    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
+        f.write_str(match self {
+            Reason::Healthy => "sound",
+            Reason::ZoneDown => "down",
+            Reason::Partitioned => "cut",
+            Reason::Drained => "drained",
+            Reason::Returning => "returning",
+            Reason::Capacity => "room",
+            Reason::Slow => "slow",
+        })
+    }
+}
+
+/// The route from a zone of clients to a zone of replicas.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct Route {
+    /// For how many keys it is open, in thousandths.
+    pub share: u16,
+    /// Why not for all.
+    pub reason: Reason,
+}
+
+impl Route {
+    /// Open to all keys.
+    pub const OPEN: Route = Route {
+        share: ALL_KEYS,
+        reason: Reason::Healthy,
+    };
+
+    /// Closed to all keys.
+    pub const fn closed(reason: Reason) -> Route {
+        Route { share: 0, reason }
+    }
+}
+
+/// The routes of one zone of clients.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Row {
-    pub open: Vec<(u16, Reason)>,
+    /// By zone of replicas.
+    pub routes: Vec<Route>,
 }
 
-/// What all act on.
+/// The routing table.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Table {
-    /// From when on, in milliseconds since 1970 on the clock of who made it.
-    pub from_ms: u64,
-    /// Zones by name: a number means the same to all by this.
+pub struct RoutingTable {
+    /// From when on it is valid, in milliseconds since 1970 by the clock of the leader that made it.
+    pub valid_from_ms: u64,
+    /// The zones' names: they say which zone an index means.
     pub zones: Vec<String>,
+    /// By zone of clients.
     pub rows: Vec<Row>,
 }
 
-impl Table {
-    /// All ways open.
-    pub fn sound(zones: Vec<String>) -> Table {
+impl RoutingTable {
+    /// All routes are open.
+    pub fn open(zones: Vec<String>) -> RoutingTable {
         let row = Row {
-            open: vec![(ALL, Reason::Sound); zones.len()],
+            routes: vec![Route::OPEN; zones.len()],
         };
-        Table {
-            from_ms: 0,
+        RoutingTable {
+            valid_from_ms: 0,
             rows: vec![row; zones.len()],
             zones,
         }
     }
 
+    /// All routes, row by row.
+    pub fn routes(&self) -> impl Iterator<Item = &Route> {
+        self.rows.iter().flat_map(|row| &row.routes)
+    }
+
+    /// The table's bytes.
     pub fn encode(&self) -> Vec<u8> {
-        let mut put = Encoder::new();
-        put.u64(self.from_ms);
-        put.u8(self.zones.len() as u8);
-        self.zones.iter().for_each(|name| put.text(name));
-        for (share, reason) in self.rows.iter().flat_map(|row| &row.open) {
-            put.u16(*share);
-            put.u8(REASONS.iter().position(|r| r == reason).unwrap_or_default() as u8);
+        let mut encoder = Encoder::new();
+        encoder.u64(self.valid_from_ms);
+        encoder.u8(u8::try_from(self.zones.len()).unwrap_or(u8::MAX));
+        for name in &self.zones {
+            encoder.text(name);
         }
-        put.into_bytes()
+        for route in self.routes() {
+            encoder.u16(route.share);
+            encoder.u8(route.reason.code());
+        }
+        encoder.into_bytes()
     }
 
-    /// # Errors
+    /// The table of these bytes.
     ///
-    /// What can be no table.
-    pub fn decode(bytes: &[u8]) -> Result<Table, FormatError> {
-        let mut take = Decoder::new(bytes);
-        let from_ms = take.u64()?;
-        let count = usize::from(take.u8()?);
-        ensure!(count <= MOST_ZONES, TooManyZonesSnafu { count });
+    /// # Errors
+    /// They are no table.
+    pub fn decode(bytes: &[u8]) -> Result<RoutingTable, FormatError> {
+        let mut decoder = Decoder::new(bytes);
+        let valid_from_ms = decoder.u64()?;
+        let count = usize::from(decoder.u8()?);
+        ensure!(count <= MAX_ZONES, TooManyZonesSnafu { count });
         let zones = (0..count)
-            .map(|_| take.text())
+            .map(|_| decoder.text())
             .collect::<Result<Vec<String>, DecodeError>>()?;
         let mut rows = Vec::with_capacity(count);
         for _ in 0..count {
-            let mut open = Vec::with_capacity(count);
-            for _ in 0..count {
-                let share = take.u16()?;
-                let code = take.u8()?;
-                let reason = REASONS
-                    .get(usize::from(code))
-                    .context(UnknownReasonSnafu { code })?;
-                ensure!(share <= ALL, ShareTooLargeSnafu { share });
-                open.push((share, *reason));
-            }
-            rows.push(Row { open });
+            let routes = (0..count).map(|_| decode_route(&mut decoder));
+            rows.push(Row {
+                routes: routes.collect::<Result<Vec<Route>, FormatError>>()?,
+            });
         }
-        take.finish()?;
-        Ok(Table {
-            from_ms,
+        decoder.finish()?;
+        Ok(RoutingTable {
+            valid_from_ms,
             zones,
             rows,
         })
     }
 
-    /// Whether it sends keys elsewhere than another does.
-    pub fn moves(&self, other: &Table) -> bool {
-        let shares = |t: &Table| {
-            t.rows
-                .iter()
-                .flat_map(|r| &r.open)
-                .map(|(s, _)| *s)
-                .collect::<Vec<_>>()
-        };
-        self.zones != other.zones || shares(self) != shares(other)
+    /// Whether it routes keys differently from another table.
+    pub fn routes_differently(&self, other: &RoutingTable) -> bool {
+        let shares = self.routes().map(|route| route.share);
+        self.zones != other.zones || shares.ne(other.routes().map(|route| route.share))
     }
 }
+
+fn decode_route(decoder: &mut Decoder) -> Result<Route, FormatError> {
+    let share = decoder.u16()?;
+    let code = decoder.u8()?;
+    let reason = REASONS.get(usize::from(code));
+    let reason = *reason.context(UnknownReasonSnafu { code })?;
+    ensure!(share <= ALL_KEYS, ShareTooLargeSnafu { share });
+    Ok(Route { share, reason })
+}
--- a/crates/linenthread-zones/tests/golden.rs
+++ b/crates/linenthread-zones/tests/golden.rs
@@ -5,7 +5,7 @@
 
 use std::collections::BTreeMap;
 
-use linenthread_zones::{Reason, Report, Row, Table, Way};
+use linenthread_zones::{Demand, Reason, Report, Route, RouteStats, RoutingTable, Row};
 
 /// The lines of a golden file: a name, a space, and bytes in hexadecimal.
 fn golden(text: &str) -> BTreeMap<&str, Vec<u8>> {
@@ -19,28 +19,32 @@
 }
 
 /// A table in which each reason stands.
-fn table() -> Table {
+fn table() -> RoutingTable {
     let rows = [
-        [(1_000, Reason::Sound), (0, Reason::Down), (1, Reason::Cut)],
+        [
+            (1_000, Reason::Healthy),
+            (0, Reason::ZoneDown),
+            (1, Reason::Partitioned),
+        ],
         [
             (0, Reason::Drained),
             (150, Reason::Returning),
-            (730, Reason::Room),
+            (730, Reason::Capacity),
         ],
         [
             (400, Reason::Slow),
-            (1_000, Reason::Sound),
-            (999, Reason::Room),
+            (1_000, Reason::Healthy),
+            (999, Reason::Capacity),
         ],
     ];
-    Table {
-        from_ms: 1_700_000_000_123,
+    RoutingTable {
+        valid_from_ms: 1_700_000_000_123,
         zones: ["catania", "messina", "paler\u{e9}mo"]
             .map(str::to_owned)
             .to_vec(),
         rows: rows
-            .map(|open| Row {
-                open: open.to_vec(),
+            .map(|row| Row {
+                routes: row.map(|(share, reason)| Route { share, reason }).to_vec(),
             })
             .to_vec(),
     }
@@ -48,17 +52,21 @@
 
 /// A report with each number set to a value of its own.
 fn report() -> Report {
-    let way = |voices| Way {
-        voices,
+    let way = |observers| RouteStats {
+        observers,
         down: 2,
         slow: 3,
-        ended: 1_000_004,
-        answered: 1_000_003,
-        time_ms: 5_000_000_005,
+        completed: 1_000_004,
+        succeeded: 1_000_003,
+        latency_sum_ms: 5_000_000_005,
+    };
+    let demand = |observers, sub_requests| Demand {
+        observers,
+        sub_requests,
     };
     Report {
-        asked: BTreeMap::from([(0, (6, 7_000_007)), (2, (8, 9))]),
-        ways: BTreeMap::from([((0, 1), way(10)), ((2, 0), way(11)), ((2, 2), way(12))]),
+        demand: BTreeMap::from([(0, demand(6, 7_000_007)), (2, demand(8, 9))]),
+        routes: BTreeMap::from([((0, 1), way(10)), ((2, 0), way(11)), ((2, 2), way(12))]),
     }
 }
 
@@ -66,7 +74,10 @@
 fn tables_have_the_bytes_of_version_464716d() {
     let golden = golden(include_str!("golden/bytes.hex"));
     assert_eq!(table().encode(), golden["table"]);
-    assert_eq!(Table::decode(&golden["table"]).as_ref(), Ok(&table()));
+    assert_eq!(
+        RoutingTable::decode(&golden["table"]).as_ref(),
+        Ok(&table())
+    );
 }
 
 #[test]
