--- a/crates/linenthread-http/src/body.rs
+++ b/crates/linenthread-http/src/body.rs
@@ -1,111 +1,155 @@
+//! Reading a body off a buffer, piece by piece.
+
 use bytes::{Buf, BytesMut};
 
-use crate::Refusal;
+use crate::{Framing, ParseError};
 
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Framing {
-    Length(u64),
-    Chunked,
-}
+/// The longest size line of a chunk, or trailer line, in bytes: both are ignored but for the size itself.
+const MAX_LINE_BYTES: usize = 4_096;
+/// The most memory that is reserved in advance for a body of stated length, in bytes: the length is the peer's
+/// claim.
+const MAX_RESERVED_BYTES: usize = 65_536;
+/// The end of a line.
+const LINE_END: &[u8] = b"\r\n";
 
+/// What is due next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum State {
+    /// This many bytes of a body of stated length.
     Bytes(u64),
-    Size,
+    /// The size line of a chunk.
+    ChunkSize,
+    /// This many bytes of a chunk.
     Chunk(u64),
+    /// The line end behind a chunk.
     ChunkEnd,
+    /// Trailer lines, up to an empty one.
     Trailers,
-    Done,
+    /// Nothing.
+    Complete,
 }
 
-/// A body that is being read.
+/// The decoder of one body. It owns the bytes of the body that have been read so far.
 #[derive(Debug)]
-pub struct Body {
+pub struct BodyReader {
     state: State,
-    most: usize,
-    pub read: Vec<u8>,
+    max_bytes: usize,
+    bytes: Vec<u8>,
 }
 
-/// A chunk's size line and a trailer line are never longer than this.
-const LINE: usize = 4_096;
-
-impl Body {
-    pub fn new(framing: Framing, most: usize) -> Body {
-        let (state, room) = match framing {
-            Framing::Length(0) => (State::Done, 0),
-            Framing::Length(n) => (State::Bytes(n), n.min(65_536) as usize),
-            Framing::Chunked => (State::Size, 0),
+impl BodyReader {
+    /// A body of this framing, of at most `max_bytes` bytes.
+    pub fn new(framing: Framing, max_bytes: usize) -> BodyReader {
+        let (state, reserved) = match framing {
+            Framing::Length(0) => (State::Complete, 0),
+            Framing::Length(length) => (State::Bytes(length), at_most(length, MAX_RESERVED_BYTES)),
+            Framing::Chunked => (State::ChunkSize, 0),
         };
-        Body {
+        BodyReader {
             state,
-            most,
-            read: Vec::with_capacity(room),
+            max_bytes,
+            bytes: Vec::with_capacity(reserved),
         }
     }
 
-    /// Takes what belongs to the body off the buffer; true when it is whole.
+    /// Takes what belongs to the body off the buffer; true once the body is complete.
     ///
     /// # Errors
-    /// Chunks that are none, or more bytes than allowed.
-    pub fn take(&mut self, buffer: &mut BytesMut) -> Result<bool, Refusal> {
+    /// Malformed chunks, or more bytes than allowed.
+    pub fn read_from(&mut self, buffer: &mut BytesMut) -> Result<bool, ParseError> {
         loop {
-            match self.state {
-                State::Done => return Ok(true),
-                State::Bytes(left) | State::Chunk(left) => {
-                    let n = left.min(buffer.len() as u64) as usize;
-                    if self.read.len() + n > self.most || left > self.most as u64 {
-                        return Err(Refusal::BodyTooLong);
+            let next = match self.state {
+                State::Complete => return Ok(true),
+                State::Bytes(left) => match self.copy(left, buffer)? {
+                    0 => Some(State::Complete),
+                    left => {
+                        self.state = State::Bytes(left);
+                        None
                     }
-                    self.read.extend_from_slice(&buffer[..n]);
-                    buffer.advance(n);
-                    let left = left - n as u64;
-                    self.state = match (self.state, left) {
-                        (State::Bytes(_), 0) => State::Done,
-                        (State::Bytes(_), left) => State::Bytes(left),
-                        (_, 0) => State::ChunkEnd,
-                        (_, left) => State::Chunk(left),
-                    };
-                    if left > 0 {
-                        return Ok(false);
-                    }
-                }
-                State::Size => match httparse::parse_chunk_size(buffer) {
-                    Ok(httparse::Status::Complete((used, size))) => {
-                        buffer.advance(used);
-                        self.state = if size == 0 {
-                            State::Trailers
-                        } else {
-                            State::Chunk(size)
-                        };
-                    }
-                    Ok(_) if buffer.len() > LINE => return Err(Refusal::Malformed),
-                    Ok(_) => return Ok(false),
-                    Err(_) => return Err(Refusal::Malformed),
                 },
-                State::ChunkEnd => {
-                    if buffer.len() < 2 {
-                        return Ok(false);
-                    }
-                    if &buffer[..2] != b"\r\n" {
-                        return Err(Refusal::Malformed);
+                State::Chunk(left) => match self.copy(left, buffer)? {
+                    0 => Some(State::ChunkEnd),
+                    left => {
+                        self.state = State::Chunk(left);
+                        None
                     }
-                    buffer.advance(2);
-                    self.state = State::Size;
-                }
-                State::Trailers => {
-                    let Some(end) = buffer.windows(2).position(|w| w == b"\r\n") else {
-                        return if buffer.len() > LINE {
-                            Err(Refusal::Malformed)
-                        } else {
-                            Ok(false)
-                        };
-                    };
-                    buffer.advance(end + 2);
-                    if end == 0 {
-                        self.state = State::Done;
-                    }
-                }
+                },
+                State::ChunkSize => read_chunk_size(buffer)?,
+                State::ChunkEnd => read_chunk_end(buffer)?,
+                State::Trailers => read_trailer(buffer)?,
+            };
+            match next {
+                Some(state) => self.state = state,
+                None => return Ok(false),
             }
         }
     }
+
+    /// The bytes read so far, without the framing.
+    pub fn into_bytes(self) -> Vec<u8> {
+        self.bytes
+    }
+
+    /// Copies up to `left` bytes of the buffer to the body; how many are still missing.
+    fn copy(&mut self, left: u64, buffer: &mut BytesMut) -> Result<u64, ParseError> {
+        let count = at_most(left, buffer.len());
+        if self.bytes.len() + count > self.max_bytes || left > self.max_bytes as u64 {
+            return Err(ParseError::BodyTooLong);
+        }
+        self.bytes.extend_from_slice(&buffer[..count]);
+        buffer.advance(count);
+        Ok(left - count as u64)
+    }
+}
+
+/// The lesser of both.
+fn at_most(length: u64, limit: usize) -> usize {
+    usize::try_from(length).map_or(limit, |length| length.min(limit))
+}
+
+/// Takes the size line of a chunk off the buffer, if it is there; what follows it.
+fn read_chunk_size(buffer: &mut BytesMut) -> Result<Option<State>, ParseError> {
+    match httparse::parse_chunk_size(buffer) {
+        Ok(httparse::Status::Complete((length, size))) => {
+            buffer.advance(length);
+            Ok(Some(match size {
+                0 => State::Trailers,
+                size => State::Chunk(size),
+            }))
+        }
+        Ok(httparse::Status::Partial) if buffer.len() <= MAX_LINE_BYTES => Ok(None),
+        Ok(httparse::Status::Partial) | Err(_) => Err(ParseError::Malformed),
+    }
+}
+
+/// Takes the line end behind a chunk off the buffer, if it is there; what follows it.
+fn read_chunk_end(buffer: &mut BytesMut) -> Result<Option<State>, ParseError> {
+    if buffer.len() < LINE_END.len() {
+        return Ok(None);
+    }
+    if !buffer.starts_with(LINE_END) {
+        return Err(ParseError::Malformed);
+    }
+    buffer.advance(LINE_END.len());
+    Ok(Some(State::ChunkSize))
+}
+
+/// Takes one trailer line off the buffer, if it is there; what follows it.
+fn read_trailer(buffer: &mut BytesMut) -> Result<Option<State>, ParseError> {
+    let Some(length) = buffer
+        .windows(LINE_END.len())
+        .position(|window| window == LINE_END)
+    else {
+        return if buffer.len() > MAX_LINE_BYTES {
+            Err(ParseError::Malformed)
+        } else {
+            Ok(None)
+        };
+    };
+    buffer.advance(length + LINE_END.len());
+    Ok(Some(if length == 0 {
+        State::Complete
+    } else {
+        State::Trailers
+    }))
 }
--- /dev/null
+++ b/crates/linenthread-http/src/framing.rs
@@ -0,0 +1,91 @@
+//! How the body of a message is delimited.
+
+use crate::{Head, ParseError};
+
+/// The most digits of a `Content-Length`; every number of so many fits a `u64`.
+const MAX_LENGTH_DIGITS: usize = 15;
+
+/// How the end of a body is found.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Framing {
+    /// It has this many bytes.
+    Length(u64),
+    /// It comes in chunks, the last of which is empty.
+    Chunked,
+}
+
+/// The framing of a request's body.
+///
+/// # Errors
+/// An ambiguous framing, a target that is not a path, no `Host` header or several, a stated length over
+/// `max_body_bytes`.
+pub fn request_framing(head: &Head, max_body_bytes: usize) -> Result<Framing, ParseError> {
+    if !head.target().starts_with('/')
+        || head.method().is_empty()
+        || head.header_values("host").count() != 1
+    {
+        return Err(ParseError::Malformed);
+    }
+    match (is_chunked(head)?, content_length(head)?) {
+        (true, Some(_)) => Err(ParseError::Malformed),
+        (true, None) => Ok(Framing::Chunked),
+        (false, Some(length)) if length > max_body_bytes as u64 => Err(ParseError::BodyTooLong),
+        (false, length) => Ok(Framing::Length(length.unwrap_or(0))),
+    }
+}
+
+/// The framing of a response's body; `to_head_request` says that the request was a `HEAD`, so that there is none.
+///
+/// # Errors
+/// An ambiguous framing, or none: a body that lasts until the connection ends cannot be told from a truncated one.
+pub fn response_framing(head: &Head, to_head_request: bool) -> Result<Framing, ParseError> {
+    if to_head_request || matches!(head.status(), 204 | 304) {
+        return Ok(Framing::Length(0));
+    }
+    match (is_chunked(head)?, content_length(head)?) {
+        (true, Some(_)) | (false, None) => Err(ParseError::Malformed),
+        (true, None) => Ok(Framing::Chunked),
+        (false, Some(length)) => Ok(Framing::Length(length)),
+    }
+}
+
+/// The one length that a head states, if it states any.
+fn content_length(head: &Head) -> Result<Option<u64>, ParseError> {
+    let mut length = None;
+    for value in head.header_values("content-length") {
+        let stated = parse_length(value)?;
+        if length.is_some_and(|other| other != stated) {
+            return Err(ParseError::Malformed);
+        }
+        length = Some(stated);
+    }
+    Ok(length)
+}
+
+/// A length in digits alone: no sign, no list.
+fn parse_length(value: &[u8]) -> Result<u64, ParseError> {
+    let text = std::str::from_utf8(value)
+        .map_err(|_| ParseError::Malformed)?
+        .trim();
+    let is_length = (1..=MAX_LENGTH_DIGITS).contains(&text.len())
+        && text.bytes().all(|byte| byte.is_ascii_digit());
+    if !is_length {
+        return Err(ParseError::Malformed);
+    }
+    text.parse().map_err(|_| ParseError::Malformed)
+}
+
+/// Whether the body comes in chunks; every other transfer coding is rejected.
+fn is_chunked(head: &Head) -> Result<bool, ParseError> {
+    let mut codings = head.header_values("transfer-encoding");
+    let Some(first) = codings.next() else {
+        return Ok(false);
+    };
+    if codings.next().is_some()
+        || !first.trim_ascii().eq_ignore_ascii_case(b"chunked")
+        || !head.is_http_1_1()
+    {
+        return Err(ParseError::Malformed);
+    }
+    Ok(true)
+}
--- a/crates/linenthread-http/src/head.rs
+++ b/crates/linenthread-http/src/head.rs
@@ -1,10 +1,13 @@
+//! The first line and the headers of a message.
+
 use bytes::{Bytes, BytesMut};
 use smallvec::SmallVec;
 
-use crate::Framing;
+use crate::ParseError;
 
-/// Headers of one connection only: they are not passed on. `content-length` is written anew.
-const OWN: [&str; 9] = [
+/// Headers that concern one connection only and are not forwarded, nor is `content-length`, which whoever writes
+/// the body writes anew.
+const HOP_BY_HOP_HEADERS: [&str; 10] = [
     "connection",
     "keep-alive",
     "proxy-connection",
@@ -14,277 +17,245 @@
     "trailer",
     "transfer-encoding",
     "upgrade",
+    "content-length",
 ];
-const MOST_HEADERS: usize = 64;
+/// A head with more headers is rejected.
+const MAX_HEADERS: usize = 64;
+/// Heads with no more headers than this need no allocation for their spans.
+const INLINE_HEADERS: usize = 12;
+/// The status that announces another protocol; the other 1xx announce another head.
+const SWITCHING_PROTOCOLS: u16 = 101;
+
+/// A range of bytes of a head.
+#[derive(Clone, Copy, Debug, Default)]
+struct Span {
+    start: u32,
+    end: u32,
+}
 
-/// Why a head cannot be taken.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Refusal {
-    /// It is not in the protocol, or its framing is in doubt.
-    Malformed,
-    /// It is longer than is allowed.
-    TooLong,
-    /// Its body is longer than is allowed.
-    BodyTooLong,
+impl Span {
+    /// Where `part` lies in `raw`; empty if it is empty.
+    fn of(raw: &[u8], part: &[u8]) -> Span {
+        let bounds = || {
+            let start = part.as_ptr().addr().checked_sub(raw.as_ptr().addr())?;
+            let start = u32::try_from(start).ok()?;
+            let end = start.checked_add(u32::try_from(part.len()).ok()?)?;
+            Some(Span { start, end })
+        };
+        if part.is_empty() {
+            return Span::default();
+        }
+        bounds().expect("parts of a head lie within it, and no head is longer than 4 GiB")
+    }
 }
 
-type Span = (u32, u32);
+/// Where the name and the value of a header lie.
+#[derive(Clone, Copy, Debug)]
+struct HeaderSpan {
+    name: Span,
+    value: Span,
+}
 
-/// A request's or answer's first line and headers: one piece of memory, with places in it.
+/// A request's or response's first line and headers, in one piece of memory.
 #[derive(Clone, Debug)]
 pub struct Head {
     raw: Bytes,
     method: Span,
     target: Span,
-    pub status: u16,
-    /// HTTP/1.1, else 1.0.
-    pub newer: bool,
-    headers: SmallVec<[(Span, Span); 12]>,
-}
-
-fn place(raw: &[u8], part: &[u8]) -> Span {
-    let start = part.as_ptr() as usize - raw.as_ptr() as usize;
-    (start as u32, (start + part.len()) as u32)
+    status: u16,
+    is_http_1_1: bool,
+    headers: SmallVec<[HeaderSpan; INLINE_HEADERS]>,
 }
 
 impl Head {
-    /// Takes a whole request head off the buffer, if one is there.
+    /// Takes a complete request head of at most `max_bytes` bytes off the buffer, if one is there.
     ///
     /// # Errors
-    /// What is no head, or longer than `most` bytes.
-    pub fn request(buffer: &mut BytesMut, most: usize) -> Result<Option<Head>, Refusal> {
-        Head::take(buffer, most, true)
+    /// A malformed head, or one that is too long.
+    pub fn parse_request(
+        buffer: &mut BytesMut,
+        max_bytes: usize,
+    ) -> Result<Option<Head>, ParseError> {
+        let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
+        let mut parsed = httparse::Request::new(&mut headers);
+        let Some(length) = complete_length(parsed.parse(buffer), buffer.len(), max_bytes)? else {
+            return Ok(None);
+        };
+        let mut head = Head {
+            raw: Bytes::new(),
+            method: Span::of(buffer, parsed.method.unwrap_or_default().as_bytes()),
+            target: Span::of(buffer, parsed.path.unwrap_or_default().as_bytes()),
+            status: 0,
+            is_http_1_1: parsed.version == Some(1),
+            headers: header_spans(buffer, parsed.headers),
+        };
+        head.raw = buffer.split_to(length).freeze();
+        Ok(Some(head))
     }
 
-    /// The same for an answer's head; those that only announce another (1xx) are passed over.
+    /// Takes a complete response head of at most `max_bytes` bytes off the buffer, if one is there. Heads that
+    /// only announce another (1xx) are skipped.
     ///
     /// # Errors
-    /// What is no head, or longer than `most` bytes.
-    pub fn answer(buffer: &mut BytesMut, most: usize) -> Result<Option<Head>, Refusal> {
+    /// A malformed head, or one that is too long.
+    pub fn parse_response(
+        buffer: &mut BytesMut,
+        max_bytes: usize,
+    ) -> Result<Option<Head>, ParseError> {
         loop {
-            match Head::take(buffer, most, false)? {
-                Some(head) if head.status < 200 && head.status != 101 => {}
+            match Head::parse_any_response(buffer, max_bytes)? {
+                Some(head) if head.status < 200 && head.status != SWITCHING_PROTOCOLS => {}
                 other => return Ok(other),
             }
         }
     }
 
-    fn take(buffer: &mut BytesMut, most: usize, request: bool) -> Result<Option<Head>, Refusal> {
-        let mut room = [httparse::EMPTY_HEADER; MOST_HEADERS];
-        let raw: &[u8] = buffer;
-        let (length, method, target, status, version, headers) = if request {
-            let mut parsed = httparse::Request::new(&mut room);
-            match parsed.parse(raw) {
-                Ok(httparse::Status::Complete(n)) => {
-                    let target = parsed.path.unwrap_or_default().as_bytes();
-                    let method = parsed.method.unwrap_or_default().as_bytes();
-                    (
-                        n,
-                        place(raw, method),
-                        place(raw, target),
-                        0,
-                        parsed.version,
-                        &*parsed.headers,
-                    )
-                }
-                Ok(_) if raw.len() > most => return Err(Refusal::TooLong),
-                Ok(_) => return Ok(None),
-                Err(httparse::Error::TooManyHeaders) => return Err(Refusal::TooLong),
-                Err(_) => return Err(Refusal::Malformed),
-            }
-        } else {
-            let mut parsed = httparse::Response::new(&mut room);
-            match parsed.parse(raw) {
-                Ok(httparse::Status::Complete(n)) => {
-                    let status = parsed.code.unwrap_or_default();
-                    (n, (0, 0), (0, 0), status, parsed.version, &*parsed.headers)
-                }
-                Ok(_) if raw.len() > most => return Err(Refusal::TooLong),
-                Ok(_) => return Ok(None),
-                Err(httparse::Error::TooManyHeaders) => return Err(Refusal::TooLong),
-                Err(_) => return Err(Refusal::Malformed),
-            }
+    /// Takes a response head off the buffer, whatever its status is.
+    fn parse_any_response(
+        buffer: &mut BytesMut,
+        max_bytes: usize,
+    ) -> Result<Option<Head>, ParseError> {
+        let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
+        let mut parsed = httparse::Response::new(&mut headers);
+        let Some(length) = complete_length(parsed.parse(buffer), buffer.len(), max_bytes)? else {
+            return Ok(None);
         };
-        if length > most {
-            return Err(Refusal::TooLong);
-        }
-        let places: SmallVec<[(Span, Span); 12]> = headers
-            .iter()
-            .map(|h| (place(raw, h.name.as_bytes()), place(raw, h.value)))
-            .collect();
-        let newer = version == Some(1);
-        let raw = buffer.split_to(length).freeze();
-        Ok(Some(Head {
-            raw,
-            method,
-            target,
-            status,
-            newer,
-            headers: places,
-        }))
-    }
-
-    fn at(&self, (from, to): Span) -> &[u8] {
-        &self.raw[from as usize..to as usize]
+        let mut head = Head {
+            raw: Bytes::new(),
+            method: Span::default(),
+            target: Span::default(),
+            status: parsed.code.unwrap_or_default(),
+            is_http_1_1: parsed.version == Some(1),
+            headers: header_spans(buffer, parsed.headers),
+        };
+        head.raw = buffer.split_to(length).freeze();
+        Ok(Some(head))
     }
 
+    /// The method of a request; empty for a response.
     pub fn method(&self) -> &str {
-        std::str::from_utf8(self.at(self.method)).unwrap_or_default()
+        self.text(self.method)
     }
 
-    /// Path and query.
+    /// Path and query of a request; empty for a response.
     pub fn target(&self) -> &str {
-        std::str::from_utf8(self.at(self.target)).unwrap_or_default()
+        self.text(self.target)
     }
 
+    /// The target without its query.
     pub fn path(&self) -> &str {
         let target = self.target();
         target.split_once('?').map_or(target, |(path, _)| path)
     }
 
+    /// The status code of a response; 0 for a request.
+    pub fn status(&self) -> u16 {
+        self.status
+    }
+
+    /// Whether it is HTTP/1.1; else it is 1.0.
+    pub fn is_http_1_1(&self) -> bool {
+        self.is_http_1_1
+    }
+
+    /// All headers in their order: names as sent, and values with no white space around them.
     pub fn headers(&self) -> impl Iterator<Item = (&str, &[u8])> {
-        self.headers.iter().map(|&(n, v)| {
-            (
-                std::str::from_utf8(self.at(n)).unwrap_or_default(),
-                self.at(v),
-            )
-        })
+        self.headers
+            .iter()
+            .map(|header| (self.text(header.name), self.bytes(header.value)))
     }
 
-    pub fn all<'a>(&'a self, name: &'a str) -> impl Iterator<Item = &'a [u8]> {
+    /// The values of all headers of this name, whatever its case.
+    pub fn header_values<'a>(&'a self, name: &'a str) -> impl Iterator<Item = &'a [u8]> {
         self.headers()
-            .filter(move |(n, _)| n.eq_ignore_ascii_case(name))
-            .map(|(_, v)| v)
+            .filter(move |(other, _)| other.eq_ignore_ascii_case(name))
+            .map(|(_, value)| value)
     }
 
+    /// The value of the first header of this name, if it is text.
     pub fn header<'a>(&'a self, name: &'a str) -> Option<&'a str> {
-        self.all(name)
+        self.header_values(name)
             .next()
-            .and_then(|v| std::str::from_utf8(v).ok())
+            .and_then(|value| std::str::from_utf8(value).ok())
             .map(str::trim)
     }
 
-    /// Whether one of the comma-separated words of a header is this one.
-    pub fn says(&self, name: &str, word: &str) -> bool {
-        let has = |v: &[u8]| {
-            v.split(|b| *b == b',')
-                .any(|part| part.trim_ascii().eq_ignore_ascii_case(word.as_bytes()))
-        };
-        self.all(name).any(has)
+    /// Whether this token is in the comma-separated list of a header, whatever its case.
+    pub fn has_token(&self, name: &str, token: &str) -> bool {
+        self.header_values(name)
+            .flat_map(list_items)
+            .any(|item| item.eq_ignore_ascii_case(token.as_bytes()))
     }
 
-    /// Whether its sender goes on with the connection after this message.
-    pub fn keeps(&self) -> bool {
-        if self.newer {
-            !self.says("connection", "close")
+    /// Whether its sender keeps the connection open after this message.
+    pub fn keeps_alive(&self) -> bool {
+        if self.is_http_1_1 {
+            !self.has_token("connection", "close")
         } else {
-            self.says("connection", "keep-alive")
+            self.has_token("connection", "keep-alive")
         }
     }
 
-    /// Writes the headers that concern more than one connection, but for those named.
-    pub fn pass_on(&self, to: &mut Vec<u8>, but: &[&str]) {
-        let bound: SmallVec<[&[u8]; 4]> = self
-            .all("connection")
-            .flat_map(|v| v.split(|b| *b == b','))
-            .map(<[u8]>::trim_ascii)
+    /// Appends the header lines that concern more than one connection, except those named.
+    pub fn forward_headers(&self, to: &mut Vec<u8>, except: &[&str]) {
+        let connection_options: SmallVec<[&[u8]; 4]> = self
+            .header_values("connection")
+            .flat_map(list_items)
             .collect();
-        for (name, value) in self.headers() {
-            let is = |other: &&str| name.eq_ignore_ascii_case(other);
-            if OWN.iter().any(is)
-                || name.eq_ignore_ascii_case("content-length")
-                || but.iter().any(is)
-                || bound
+        let is_forwarded = |name: &str| {
+            !HOP_BY_HOP_HEADERS
+                .iter()
+                .chain(except)
+                .any(|other| name.eq_ignore_ascii_case(other))
+                && !connection_options
                     .iter()
-                    .any(|b| name.as_bytes().eq_ignore_ascii_case(b))
-            {
-                continue;
-            }
+                    .any(|option| name.as_bytes().eq_ignore_ascii_case(option))
+        };
+        for (name, value) in self.headers().filter(|(name, _)| is_forwarded(name)) {
             to.extend_from_slice(name.as_bytes());
             to.extend_from_slice(b": ");
             to.extend_from_slice(value);
             to.extend_from_slice(b"\r\n");
         }
     }
-}
 
-/// Writes a decimal number.
-pub fn number(to: &mut Vec<u8>, n: u64) {
-    let mut digits = [0u8; 20];
-    let (mut at, mut n) = (digits.len(), n);
-    loop {
-        at -= 1;
-        digits[at] = b'0' + (n % 10) as u8;
-        n /= 10;
-        if n == 0 {
-            break;
-        }
+    fn bytes(&self, span: Span) -> &[u8] {
+        &self.raw[span.start as usize..span.end as usize]
     }
-    to.extend_from_slice(&digits[at..]);
-}
 
-/// The one length that a head states, if it states any.
-fn stated(head: &Head) -> Result<Option<u64>, Refusal> {
-    let mut length = None;
-    for value in head.all("content-length") {
-        let text = std::str::from_utf8(value)
-            .map_err(|_| Refusal::Malformed)?
-            .trim();
-        if text.is_empty() || text.len() > 15 || !text.bytes().all(|b| b.is_ascii_digit()) {
-            return Err(Refusal::Malformed);
-        }
-        let n: u64 = text.parse().map_err(|_| Refusal::Malformed)?;
-        if length.is_some_and(|other| other != n) {
-            return Err(Refusal::Malformed);
-        }
-        length = Some(n);
+    fn text(&self, span: Span) -> &str {
+        std::str::from_utf8(self.bytes(span)).unwrap_or_default()
     }
-    Ok(length)
 }
 
-/// Whether the body comes in chunks; any other coding is refused.
-fn chunked(head: &Head) -> Result<bool, Refusal> {
-    let mut codings = head.all("transfer-encoding");
-    let Some(first) = codings.next() else {
-        return Ok(false);
-    };
-    if codings.next().is_some()
-        || !first.trim_ascii().eq_ignore_ascii_case(b"chunked")
-        || !head.newer
-    {
-        return Err(Refusal::Malformed);
+/// The length of a head that was parsed; none if it is not complete yet.
+fn complete_length(
+    parsed: httparse::Result<usize>,
+    buffered: usize,
+    max_bytes: usize,
+) -> Result<Option<usize>, ParseError> {
+    match parsed {
+        Ok(httparse::Status::Complete(length)) if length <= max_bytes => Ok(Some(length)),
+        Ok(httparse::Status::Partial) if buffered <= max_bytes => Ok(None),
+        Ok(_) | Err(httparse::Error::TooManyHeaders) => Err(ParseError::HeadTooLong),
+        Err(_) => Err(ParseError::Malformed),
     }
-    Ok(true)
 }
 
-/// How a request's body comes; what could be read in two ways is refused, and so is what no replica may get.
-///
-/// # Errors
-/// A framing in doubt, a target that is no path, no host or several, a body over `most` bytes.
-pub fn request_framing(head: &Head, most: usize) -> Result<Framing, Refusal> {
-    if !head.target().starts_with('/') || head.method().is_empty() || head.all("host").count() != 1
-    {
-        return Err(Refusal::Malformed);
-    }
-    match (chunked(head)?, stated(head)?) {
-        (true, Some(_)) => Err(Refusal::Malformed),
-        (true, None) => Ok(Framing::Chunked),
-        (false, Some(n)) if n > most as u64 => Err(Refusal::BodyTooLong),
-        (false, length) => Ok(Framing::Length(length.unwrap_or(0))),
-    }
+fn header_spans(
+    raw: &[u8],
+    headers: &[httparse::Header<'_>],
+) -> SmallVec<[HeaderSpan; INLINE_HEADERS]> {
+    headers
+        .iter()
+        .map(|header| HeaderSpan {
+            name: Span::of(raw, header.name.as_bytes()),
+            value: Span::of(raw, header.value),
+        })
+        .collect()
 }
 
-/// How an answer's body comes. One that lasts until the connection ends cannot be told from one cut short.
-///
-/// # Errors
-/// A framing in doubt, or none at all.
-pub fn answer_framing(head: &Head, to_head_request: bool) -> Result<Framing, Refusal> {
-    if to_head_request || matches!(head.status, 204 | 304) {
-        return Ok(Framing::Length(0));
-    }
-    match (chunked(head)?, stated(head)?) {
-        (true, Some(_)) | (false, None) => Err(Refusal::Malformed),
-        (true, None) => Ok(Framing::Chunked),
-        (false, Some(n)) => Ok(Framing::Length(n)),
-    }
+/// The items of a comma-separated list.
+fn list_items(value: &[u8]) -> impl Iterator<Item = &[u8]> {
+    value.split(|byte| *byte == b',').map(<[u8]>::trim_ascii)
 }
--- a/crates/linenthread-http/tests/bytes.rs
+++ b/crates/linenthread-http/tests/messages.rs
@@ -1,12 +1,14 @@
-//! Heads and bodies byte by byte, and the greatest records against a plain sort.
+//! Heads and bodies byte by byte, and the merge of records against a plain sort.
 
 use bytes::BytesMut;
-use linenthread_http::{Body, Framing, Head, Refusal, answer_framing, greatest, request_framing};
+use linenthread_http::{
+    BodyReader, Framing, Head, ParseError, merge_top_records, request_framing, response_framing,
+};
 use yare::parameterized;
 
-fn head(text: &str) -> Result<Head, Refusal> {
+fn head(text: &str) -> Result<Head, ParseError> {
     let mut buffer = BytesMut::from(text.replace('\n', "\r\n").as_bytes());
-    Head::request(&mut buffer, 1_000).map(|h| h.expect("a whole head"))
+    Head::parse_request(&mut buffer, 1_000).map(|h| h.expect("a complete head"))
 }
 
 #[parameterized(
@@ -18,53 +20,56 @@
     },
     two_lengths = {
         "POST /a HTTP/1.1\nHost: h\nContent-Length: 7\nContent-Length: 8\n\n",
-        Err(Refusal::Malformed)
+        Err(ParseError::Malformed)
     },
     chunks = { "POST /a HTTP/1.1\nHost: h\nTransfer-Encoding: chunked\n\n", Ok(Framing::Chunked) },
     both = {
         "POST /a HTTP/1.1\nHost: h\nContent-Length: 7\nTransfer-Encoding: chunked\n\n",
-        Err(Refusal::Malformed)
+        Err(ParseError::Malformed)
     },
     other_coding = {
         "POST /a HTTP/1.1\nHost: h\nTransfer-Encoding: gzip, chunked\n\n",
-        Err(Refusal::Malformed)
+        Err(ParseError::Malformed)
     },
     two_codings = {
         "POST /a HTTP/1.1\nHost: h\nTransfer-Encoding: chunked\nTransfer-Encoding: x\n\n",
-        Err(Refusal::Malformed)
+        Err(ParseError::Malformed)
     },
-    old_chunks = { "POST /a HTTP/1.0\nHost: h\nTransfer-Encoding: chunked\n\n", Err(Refusal::Malformed) },
-    signed = { "POST /a HTTP/1.1\nHost: h\nContent-Length: +7\n\n", Err(Refusal::Malformed) },
-    no_host = { "GET /a HTTP/1.1\n\n", Err(Refusal::Malformed) },
-    two_hosts = { "GET /a HTTP/1.1\nHost: h\nHost: g\n\n", Err(Refusal::Malformed) },
-    no_path = { "GET http://h/a HTTP/1.1\nHost: h\n\n", Err(Refusal::Malformed) },
-    too_much = { "POST /a HTTP/1.1\nHost: h\nContent-Length: 501\n\n", Err(Refusal::BodyTooLong) },
+    old_chunks = { "POST /a HTTP/1.0\nHost: h\nTransfer-Encoding: chunked\n\n", Err(ParseError::Malformed) },
+    signed = { "POST /a HTTP/1.1\nHost: h\nContent-Length: +7\n\n", Err(ParseError::Malformed) },
+    no_host = { "GET /a HTTP/1.1\n\n", Err(ParseError::Malformed) },
+    two_hosts = { "GET /a HTTP/1.1\nHost: h\nHost: g\n\n", Err(ParseError::Malformed) },
+    no_path = { "GET http://h/a HTTP/1.1\nHost: h\n\n", Err(ParseError::Malformed) },
+    too_much = { "POST /a HTTP/1.1\nHost: h\nContent-Length: 501\n\n", Err(ParseError::BodyTooLong) },
 )]
-fn a_framing_in_doubt_is_refused(text: &str, framing: Result<Framing, Refusal>) {
+fn an_ambiguous_framing_is_rejected(text: &str, framing: Result<Framing, ParseError>) {
     assert_eq!(request_framing(&head(text).unwrap(), 500), framing);
 }
 
 #[test]
-fn heads_are_bounded_and_whole() {
+fn heads_are_bounded_and_complete() {
     let text = format!("GET / HTTP/1.1\r\nHost: h\r\nX-Long: {}", "x".repeat(1_000));
     assert!(matches!(
-        Head::request(&mut BytesMut::from(text.as_bytes()), 1_000),
-        Err(Refusal::TooLong)
+        Head::parse_request(&mut BytesMut::from(text.as_bytes()), 1_000),
+        Err(ParseError::HeadTooLong)
     ));
     assert!(matches!(
-        Head::request(&mut BytesMut::from(&b"GET / HT\0P"[..]), 1_000),
-        Err(Refusal::Malformed)
+        Head::parse_request(&mut BytesMut::from(&b"GET / HT\0P"[..]), 1_000),
+        Err(ParseError::Malformed)
     ));
-    let whole = b"GET /x HTTP/1.1\r\nHost: h\r\n\r\nrest";
-    for cut in 0..whole.len() - 4 {
-        let mut buffer = BytesMut::from(&whole[..cut]);
+    let complete = b"GET /x HTTP/1.1\r\nHost: h\r\n\r\nrest";
+    for cut in 0..complete.len() - 4 {
+        let mut buffer = BytesMut::from(&complete[..cut]);
         assert!(
-            Head::request(&mut buffer, 1_000).unwrap().is_none(),
+            Head::parse_request(&mut buffer, 1_000).unwrap().is_none(),
             "cut at {cut}"
         );
-        buffer.extend_from_slice(&whole[cut..]);
+        buffer.extend_from_slice(&complete[cut..]);
         assert_eq!(
-            Head::request(&mut buffer, 1_000).unwrap().unwrap().path(),
+            Head::parse_request(&mut buffer, 1_000)
+                .unwrap()
+                .unwrap()
+                .path(),
             "/x"
         );
         assert_eq!(&buffer[..], b"rest");
@@ -72,73 +77,76 @@
 }
 
 #[test]
-fn what_concerns_one_connection_is_not_passed_on() {
+fn hop_by_hop_headers_are_not_forwarded() {
     let text = "GET / HTTP/1.1\nHost: h\nX-One: 1\nConnection: close, X-Hop\nX-Hop: no\n\
         Keep-Alive: 5\nTE: x\n\
         Upgrade: y\nContent-Length: 0\nX-Ours: no\nX-Two: 2\n\n";
-    let mut passed = Vec::new();
+    let mut forwarded = Vec::new();
     head(text)
         .unwrap()
-        .pass_on(&mut passed, &["x-ours", "host"]);
+        .forward_headers(&mut forwarded, &["x-ours", "host"]);
     assert_eq!(
-        String::from_utf8(passed).unwrap(),
+        String::from_utf8(forwarded).unwrap(),
         "X-One: 1\r\nX-Two: 2\r\n"
     );
-    assert!(!head(text).unwrap().keeps());
+    assert!(!head(text).unwrap().keeps_alive());
 }
 
 #[parameterized(
-    whole = { "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\n", Ok(Framing::Length(3)) },
-    until_the_end = { "HTTP/1.1 200 OK\r\n\r\n", Err(Refusal::Malformed) },
+    with_length = { "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\n", Ok(Framing::Length(3)) },
+    until_the_end = { "HTTP/1.1 200 OK\r\n\r\n", Err(ParseError::Malformed) },
     after_a_hint = {
         "HTTP/1.1 103 Hint\r\n\r\nHTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n",
         Ok(Framing::Chunked)
     },
-    nothing_to_say = { "HTTP/1.1 204 No Content\r\n\r\n", Ok(Framing::Length(0)) },
+    no_content = { "HTTP/1.1 204 No Content\r\n\r\n", Ok(Framing::Length(0)) },
 )]
-fn an_answer_must_say_where_it_ends(text: &str, framing: Result<Framing, Refusal>) {
-    let head = Head::answer(&mut BytesMut::from(text.as_bytes()), 1_000)
+fn a_response_needs_an_explicit_end(text: &str, framing: Result<Framing, ParseError>) {
+    let head = Head::parse_response(&mut BytesMut::from(text.as_bytes()), 1_000)
         .unwrap()
         .unwrap();
-    assert_eq!(answer_framing(&head, false), framing);
+    assert_eq!(response_framing(&head, false), framing);
 }
 
 #[test]
-fn chunks_are_read_however_they_come() {
+fn chunks_are_read_however_they_are_split() {
     let text = b"3;x=y\r\nabc\r\n0a\r\n0123456789\r\n0\r\nTrail: er\r\n\r\nnext";
     for step in 1..text.len() {
-        let (mut body, mut buffer, mut done) =
-            (Body::new(Framing::Chunked, 20), BytesMut::new(), false);
+        let (mut body, mut buffer, mut done) = (
+            BodyReader::new(Framing::Chunked, 20),
+            BytesMut::new(),
+            false,
+        );
         for piece in text.chunks(step) {
             buffer.extend_from_slice(piece);
             if !done {
-                done = body.take(&mut buffer).unwrap();
+                done = body.read_from(&mut buffer).unwrap();
             }
         }
         assert!(done);
         assert_eq!(
-            (body.read.as_slice(), &buffer[..]),
+            (body.into_bytes().as_slice(), &buffer[..]),
             (&b"abc0123456789"[..], &b"next"[..])
         );
     }
 }
 
 #[parameterized(
-    no_size = { "x\r\n", Refusal::Malformed },
-    no_end = { "3\r\nabcd\r\n", Refusal::Malformed },
-    over = { "15\r\n0123456789012345678901234\r\n", Refusal::BodyTooLong },
-    vast = { "ffffffffffffffff\r\n", Refusal::BodyTooLong },
+    no_size = { "x\r\n", ParseError::Malformed },
+    no_end = { "3\r\nabcd\r\n", ParseError::Malformed },
+    over = { "15\r\n0123456789012345678901234\r\n", ParseError::BodyTooLong },
+    vast = { "ffffffffffffffff\r\n", ParseError::BodyTooLong },
 )]
-fn bad_chunks_end_the_body(text: &str, refusal: Refusal) {
+fn bad_chunks_end_the_body(text: &str, error: ParseError) {
     let mut buffer = BytesMut::from(text.as_bytes());
     assert_eq!(
-        Body::new(Framing::Chunked, 20).take(&mut buffer),
-        Err(refusal)
+        BodyReader::new(Framing::Chunked, 20).read_from(&mut buffer),
+        Err(error)
     );
 }
 
 #[test]
-fn the_greatest_records_are_those_of_a_plain_sort() {
+fn the_merged_records_are_those_of_a_plain_sort() {
     let mut x = 7u64;
     let mut next = || {
         x = x
@@ -156,15 +164,18 @@
         let parts: Vec<Vec<u8>> = (0..1 + next() % 4)
             .map(|_| part(next() % 9, next() % 16, &mut next))
             .collect();
-        let most = next() % 20;
+        let limit = next() % 20;
         let mut all: Vec<&[u8]> = parts.iter().flat_map(|p| p.chunks_exact(16)).collect();
         all.sort();
         let plain: Vec<u8> = all
             .iter()
             .rev()
-            .take(most)
+            .take(limit)
             .flat_map(|r| r.iter().copied())
             .collect();
-        assert_eq!(greatest(parts.iter().map(Vec::as_slice), most), plain);
+        assert_eq!(
+            merge_top_records(parts.iter().map(Vec::as_slice), limit),
+            plain
+        );
     }
 }
