--- a/crates/linenthread-dataplane-sim/src/client.rs
+++ b/crates/linenthread-dataplane-sim/src/client.rs
@@ -6,7 +6,7 @@
 
 use linenthread_dataplane::connection::HttpConnection;
 use linenthread_dataplane::{DataPlane, serve};
-use linenthread_http::{Head, answer_framing};
+use linenthread_http::{Head, response_framing};
 use tokio::io::DuplexStream;
 use tokio::task::spawn_local;
 use tokio::time::{Instant, timeout};
@@ -68,7 +68,7 @@
         tokio::time::sleep(shared.chance.ms(0, 150)).await;
     }
     // Nothing more may come.
-    if timeout(Duration::from_millis(500), http.begun(FOREVER))
+    if timeout(Duration::from_millis(500), http.wait_for_data(FOREVER))
         .await
         .is_ok()
     {
@@ -166,7 +166,7 @@
     };
     let allowed = Duration::from_millis(limit) + SLACK + shared.frozen.get().saturating_sub(frozen);
     let late = began.elapsed().saturating_sub(allowed);
-    let status = head.status.to_string();
+    let status = head.status().to_string();
     shared.runs.log(&[
         "answered",
         &asked.attempt,
@@ -177,7 +177,7 @@
         .judge
         .borrow_mut()
         .answered(asked, &head, &body, late, &shared.runs);
-    if head.keeps() {
+    if head.keeps_alive() {
         Next::GoesOn
     } else {
         Next::Ends
@@ -217,8 +217,11 @@
 
 async fn answer(http: &mut HttpConnection<DuplexStream>) -> Option<(Head, Vec<u8>)> {
     let by = Instant::now() + FOREVER;
-    let head = http.answer(LONGEST, by).await.ok()?;
-    let framing = answer_framing(&head, false).ok()?;
-    let body = http.body(framing, LONGEST, FOREVER, Some(by)).await.ok()?;
+    let head = http.read_response_head(LONGEST, by).await.ok()?;
+    let framing = response_framing(&head, false).ok()?;
+    let body = http
+        .read_body(framing, LONGEST, FOREVER, Some(by))
+        .await
+        .ok()?;
     Some((head, body))
 }
--- a/crates/linenthread-dataplane-sim/src/judge.rs
+++ b/crates/linenthread-dataplane-sim/src/judge.rs
@@ -14,7 +14,7 @@
 use std::time::Duration;
 
 use linenthread_dataplane::clock;
-use linenthread_http::{Head, greatest};
+use linenthread_http::{Head, merge_top_records};
 
 use crate::replica::{answer_body, digest};
 use crate::world::{GATHERED_SERVICES, LIMIT_OF_RECORDS};
@@ -58,7 +58,10 @@
     /// Adds what happened to the digest, with its time.
     pub fn log(&self, words: &[&str]) {
         let mut notes = self.0.borrow_mut();
-        notes.digest = digest(words, notes.digest.rotate_left(7) ^ clock::tenths() as u64);
+        notes.digest = digest(
+            words,
+            notes.digest.rotate_left(7) ^ clock::now_tenths() as u64,
+        );
     }
 
     /// The digest of all that happened.
@@ -174,7 +177,7 @@
             );
         }
         let seal = head.header("x-replica-seal");
-        match (head.status, asked.gathers, seal) {
+        match (head.status(), asked.gathers, seal) {
             (200, true, _) => self.gathered(asked, head, body, runs),
             (200..=299, false, Some(seal)) => {
                 self.counts.whole += 1;
@@ -267,7 +270,7 @@
             .iter()
             .map(|s| answer_body(s, &asked.path, &asked.attempt))
             .collect();
-        if body != greatest(parts.iter().map(Vec::as_slice), LIMIT_OF_RECORDS) {
+        if body != merge_top_records(parts.iter().map(Vec::as_slice), LIMIT_OF_RECORDS) {
             self.breach(
                 Rule::MineOnly,
                 format!("{} got other records", asked.attempt),
--- a/crates/linenthread-dataplane-sim/src/network.rs
+++ b/crates/linenthread-dataplane-sim/src/network.rs
@@ -53,7 +53,7 @@
     }
 
     /// Nothing is there to be read at this moment.
-    pub fn is_quiet(&self) -> bool {
+    pub fn is_idle(&self) -> bool {
         self.events
             .front()
             .is_none_or(|(at, _)| *at > Instant::now())
@@ -126,8 +126,8 @@
 }
 
 impl ReplicaTransport for MemoryStream {
-    fn is_quiet(&self) -> bool {
-        self.inbound.is_quiet()
+    fn is_idle(&self) -> bool {
+        self.inbound.is_idle()
     }
 }
 
--- a/crates/linenthread-dataplane-sim/src/replica.rs
+++ b/crates/linenthread-dataplane-sim/src/replica.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use bytes::BytesMut;
-use linenthread_http::{Body, Head, RECORD, request_framing};
+use linenthread_http::{BodyReader, Head, RECORD_BYTES, request_framing};
 use tokio::time::Instant;
 
 use crate::fate::{Chance, Faults, HalfEnd, RequestFate, Stray, StrayTime};
@@ -26,7 +26,7 @@
     if !path.starts_with(GATHERED) {
         return format!("{service}|{path}|{attempt}").into_bytes();
     }
-    let mut body = Vec::with_capacity(RECORDS as usize * RECORD);
+    let mut body = Vec::with_capacity(RECORDS as usize * RECORD_BYTES);
     for number in 0..RECORDS {
         body.extend_from_slice(&digest(&[service, path, attempt], number).to_be_bytes());
         body.extend_from_slice(&digest(&[attempt, path, service], number).to_be_bytes());
@@ -174,11 +174,11 @@
 
     fn receive(&mut self, bytes: &[u8], inbound: &mut Inbound) {
         let unanswered = self.state == State::Silent || self.answer_due > Instant::now();
-        if unanswered || !inbound.is_quiet() {
+        if unanswered || !inbound.is_idle() {
             self.replica.runs.doubt(&format!(
                 "{}: {unanswered}, {}",
                 self.replica.ident,
-                inbound.is_quiet()
+                inbound.is_idle()
             ));
         }
         let rested = Instant::now().saturating_duration_since(self.used);
@@ -205,9 +205,9 @@
     /// A whole request off the buffer.
     fn take(&mut self) -> Option<Request> {
         let mut rest = self.buffer.clone();
-        let head = Head::request(&mut rest, REQUEST).ok()??;
-        let mut body = Body::new(request_framing(&head, REQUEST).ok()?, REQUEST);
-        if !body.take(&mut rest).ok()? {
+        let head = Head::parse_request(&mut rest, REQUEST).ok()??;
+        let mut body = BodyReader::new(request_framing(&head, REQUEST).ok()?, REQUEST);
+        if !body.read_from(&mut rest).ok()? {
             return None;
         }
         self.buffer = rest;
--- a/crates/linenthread-dataplane-sim/src/world.rs
+++ b/crates/linenthread-dataplane-sim/src/world.rs
@@ -6,7 +6,8 @@
 use std::time::Duration;
 
 use linenthread_config::Settings;
-use linenthread_dataplane::{DataPlane, Share, clock};
+use linenthread_dataplane::{DataPlane, RetryQuota, UpdateScope, clock};
+use linenthread_time::Instant;
 use tokio::task::{LocalSet, spawn_local};
 
 use crate::client::{Shared, session};
@@ -60,12 +61,12 @@
     let chance = Chance::new(seed);
     let (runs, network) = (Runs::default(), Network::default());
     let plane = DataPlane::new(Rc::new(settings()), seed, network.clone());
-    plane.adopt(configuration().as_bytes());
-    plane.allot(Share {
-        free: FURTHER_TRIES,
-        until: u64::MAX,
-        own: 0,
-        fronts: 1,
+    plane.apply_configuration(configuration().as_bytes());
+    plane.set_retry_quota(RetryQuota {
+        retries_per_window: FURTHER_TRIES,
+        expires_at: Instant::NEVER,
+        ingress_index: 0,
+        ingress_count: 1,
         epoch: 1,
     });
     let judge = Rc::new(RefCell::new(Judge::default()));
@@ -127,7 +128,7 @@
 async fn tidying(shared: Shared) {
     loop {
         tokio::time::sleep(TIDY).await;
-        shared.plane.tidy();
+        shared.plane.maintain();
     }
 }
 
@@ -179,7 +180,7 @@
     /// Tells the front who is there.
     fn tell(&self, shared: &Shared) {
         let told: Vec<_> = self.here.iter().map(|r| listed(r)).collect();
-        shared.plane.hear(&told, true);
+        shared.plane.update_replicas(&told, UpdateScope::Complete);
     }
 
     /// Replicas freeze, and end and are followed by others at their addresses, of which the front hears late.
--- a/crates/linenthread-dataplane/src/clock.rs
+++ b/crates/linenthread-dataplane/src/clock.rs
@@ -1,56 +1,78 @@
-//! The steady clock of a thread, counted from when it was first asked. It is tokio's clock, so that it stands
-//! still and jumps with a paused runtime.
+//! The steady clock of a thread, which begins when it is first read.
+//!
+//! It follows tokio's clock, so that it stands still and jumps with a paused runtime.
 
 use std::cell::Cell;
 use std::time::Duration;
 
-use tokio::time::Instant;
+use linenthread_core::interface::Tenths;
+use linenthread_time::{Instant, whole_millis};
 
-/// What the counts begin with: not 0, so that ages can be taken off.
-const FIRST_MS: u64 = 1_000_000;
-const TENTHS_A_MS: i64 = 10;
-const FIRST_TENTHS: i64 = FIRST_MS as i64 * TENTHS_A_MS;
-const MICROS_A_TENTH: u64 = 100;
+/// What the clock shows at its start, in milliseconds: not 0, so that durations can be subtracted from its first
+/// moments.
+const START_MS: u64 = 1_000_000;
+/// The unit of the decision module, in microseconds.
+const MICROS_PER_TENTH: u64 = 100;
+/// Units of the decision module in a millisecond.
+const TENTHS_PER_MS: f64 = 10.0;
+/// [`START_MS`] in the unit of the decision module.
+const START_TENTHS: Tenths = 10_000_000;
 
 thread_local! {
-    static START: Cell<Option<Instant>> = const { Cell::new(None) };
+    static START: Cell<Option<tokio::time::Instant>> = const { Cell::new(None) };
 }
 
-fn start() -> Instant {
+fn start() -> tokio::time::Instant {
     START.get().unwrap_or_else(|| {
-        let now = Instant::now();
+        let now = tokio::time::Instant::now();
         START.set(Some(now));
         now
     })
 }
 
-/// Counts from now on; for simulations, each of which has a clock of its own.
+/// Starts the clock anew; for simulations, each of which has a clock of its own.
 pub fn restart() {
-    START.set(Some(Instant::now()));
+    START.set(Some(tokio::time::Instant::now()));
 }
 
-/// Milliseconds since this thread first asked, about the start of the process.
-pub fn age_ms() -> u64 {
-    start().elapsed().as_millis() as u64
+/// How long this thread's clock has been running: about the age of the process.
+pub fn uptime() -> Duration {
+    start().elapsed()
 }
 
-/// Milliseconds of the steady clock.
-pub fn ms() -> u64 {
-    FIRST_MS + age_ms()
+/// The present moment.
+pub fn now() -> Instant {
+    Instant::from_millis(START_MS + whole_millis(uptime()))
 }
 
-/// Tenths of a millisecond, as the decision module counts.
-pub fn tenths() -> i64 {
-    FIRST_TENTHS + (start().elapsed().as_micros() / u128::from(MICROS_A_TENTH)) as i64
+/// The operating system's instant at this moment; the clock's start if it is earlier.
+pub fn to_std(at: Instant) -> std::time::Instant {
+    start().into_std() + at.since(Instant::from_millis(START_MS))
 }
 
-/// The moment of such a count.
-pub fn at_tenths(tenths: i64) -> std::time::Instant {
-    let age = (tenths - FIRST_TENTHS).max(0) as u64;
-    start().into_std() + Duration::from_micros(age * MICROS_A_TENTH)
+/// The present moment as the decision module counts, in tenths of a millisecond.
+pub fn now_tenths() -> Tenths {
+    START_TENTHS + duration_to_tenths(uptime())
 }
 
-/// The moment of a count of milliseconds.
-pub fn at_ms(ms: u64) -> std::time::Instant {
-    start().into_std() + Duration::from_millis(ms.saturating_sub(FIRST_MS))
+/// The operating system's instant at this moment of the decision module; the clock's start if it is earlier.
+pub(crate) fn tenths_to_std(at: Tenths) -> std::time::Instant {
+    start().into_std() + tenths_to_duration(at - START_TENTHS)
+}
+
+/// A length of time in the unit of the decision module, rounded down.
+fn duration_to_tenths(duration: Duration) -> Tenths {
+    Tenths::try_from(duration.as_micros() / u128::from(MICROS_PER_TENTH)).unwrap_or(Tenths::MAX)
+}
+
+/// A length of time of the decision module; zero if it is negative.
+pub(crate) fn tenths_to_duration(tenths: Tenths) -> Duration {
+    let tenths = u64::try_from(tenths).unwrap_or(0);
+    Duration::from_micros(tenths.saturating_mul(MICROS_PER_TENTH))
+}
+
+/// Milliseconds of a configuration in the unit of the decision module, rounded down; it saturates, as every
+/// conversion from a float does.
+pub(crate) fn ms_to_tenths(ms: f64) -> Tenths {
+    (ms * TENTHS_PER_MS) as Tenths
 }
--- a/crates/linenthread-dataplane/src/connection.rs
+++ b/crates/linenthread-dataplane/src/connection.rs
@@ -1,47 +1,63 @@
-//! One HTTP/1.1 connection: whole heads and bodies off it, whole messages onto it.
+//! One HTTP/1.1 connection: complete heads and bodies are read off it, complete messages are written to it.
 
 use std::io;
 use std::time::Duration;
 
 use bytes::BytesMut;
-use linenthread_http::{Body, Framing, Head, Refusal};
+use linenthread_http::{BodyReader, Framing, Head, ParseError};
+use snafu::Snafu;
 use tokio::io::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt};
 use tokio::net::TcpStream;
 use tokio::time::{Instant, timeout_at};
 
 use crate::transport::ReplicaTransport;
 
-/// How much room is made for each read.
-const READ: usize = 2_048;
-/// A buffer that has grown beyond this is let go after the message; so much of a next message may wait in it.
-const KEPT: usize = 16_384;
-
-/// A connection and what was read off it and not taken yet.
-pub struct HttpConnection<S = TcpStream> {
-    stream: S,
-    buffer: BytesMut,
+/// Space that is reserved for each read, in bytes.
+const READ_BYTES: usize = 2_048;
+/// An empty buffer that has grown beyond this is freed after the message, and no more than this of a next message
+/// is read ahead, in bytes.
+const MAX_IDLE_BUFFER_BYTES: usize = 16_384;
+
+/// Why a message could not be read or written.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Snafu)]
+pub enum ConnectionError {
+    /// The other side closed or reset the connection before any byte of the message arrived.
+    #[snafu(display("the connection was closed"))]
+    Closed,
+    /// The connection failed, or was closed, in the middle of a message.
+    #[snafu(display("the connection broke within a message"))]
+    Broken,
+    /// The message did not arrive, or was not accepted by the other side, in time.
+    #[snafu(display("timed out"))]
+    TimedOut,
+    /// What arrived is not in the protocol, or is longer than allowed.
+    #[snafu(display("{source}"))]
+    Invalid {
+        /// What is wrong with it.
+        source: ParseError,
+    },
 }
 
-/// Why nothing more can be read.
-#[derive(Debug, PartialEq, Eq)]
-pub enum Stop {
-    /// The other side closed, or reset, before anything of the message came.
-    Closed,
-    /// The same, in the middle.
-    Cut,
-    /// It did not come in time.
-    Late,
-    /// It is not in the protocol, or over its bounds.
-    Refused(Refusal),
+impl From<ParseError> for ConnectionError {
+    fn from(source: ParseError) -> ConnectionError {
+        ConnectionError::Invalid { source }
+    }
 }
 
-/// A message was not written whole.
-#[derive(Debug, PartialEq, Eq)]
-pub struct WriteFailed {
-    /// Why.
-    pub stop: Stop,
-    /// Bytes that this side has let go of.
+/// A message was not written completely.
+#[derive(Debug, PartialEq, Eq, Snafu)]
+#[snafu(display("after {written} bytes: {source}"))]
+pub struct WriteError {
+    /// How many bytes this side has handed over: so many may have reached the other side.
     pub written: usize,
+    /// Why the rest was not.
+    pub source: ConnectionError,
+}
+
+/// A connection and the bytes that were read off it and not consumed yet.
+pub struct HttpConnection<S = TcpStream> {
+    stream: S,
+    buffer: BytesMut,
 }
 
 impl<S: AsyncRead + AsyncWrite + Unpin> HttpConnection<S> {
@@ -53,111 +69,140 @@
         }
     }
 
-    /// Reads some more by then.
-    async fn more(&mut self, by: Instant) -> Result<(), Stop> {
-        self.buffer.reserve(READ);
-        match timeout_at(by, self.stream.read_buf(&mut self.buffer)).await {
-            Err(_) => Err(Stop::Late),
-            Ok(Ok(0) | Err(_)) => Err(Stop::Cut),
+    /// Reads some bytes into the buffer.
+    async fn fill(&mut self, deadline: Instant) -> Result<(), ConnectionError> {
+        self.buffer.reserve(READ_BYTES);
+        match timeout_at(deadline, self.stream.read_buf(&mut self.buffer)).await {
+            Err(_) => Err(ConnectionError::TimedOut),
+            Ok(Ok(0) | Err(_)) => Err(ConnectionError::Broken),
             Ok(Ok(_)) => Ok(()),
         }
     }
 
-    /// Something of the next message has come within so long.
-    pub async fn begun(&mut self, quiet: Duration) -> Result<(), Stop> {
+    /// Waits until some bytes of the next message have arrived.
+    ///
+    /// # Errors
+    /// None arrived within `idle_timeout`, or the connection ended.
+    pub async fn wait_for_data(&mut self, idle_timeout: Duration) -> Result<(), ConnectionError> {
         if self.buffer.is_empty() {
-            self.more(Instant::now() + quiet).await?;
+            self.fill(Instant::now() + idle_timeout).await?;
         }
         Ok(())
     }
 
-    /// A request's head: its first byte may take `quiet`, all of it `whole` from there.
-    pub async fn request(
+    /// Reads a request head of at most `max_bytes` bytes. Its first byte may take `idle_timeout`, and all of it
+    /// `head_timeout` from there on.
+    ///
+    /// # Errors
+    /// The connection ended, the time is over, or what arrived is not a request head.
+    pub async fn read_request_head(
         &mut self,
-        most: usize,
-        quiet: Duration,
-        whole: Duration,
-    ) -> Result<Head, Stop> {
-        self.begun(quiet)
+        max_bytes: usize,
+        idle_timeout: Duration,
+        head_timeout: Duration,
+    ) -> Result<Head, ConnectionError> {
+        self.wait_for_data(idle_timeout)
             .await
-            .map_err(|s| if s == Stop::Cut { Stop::Closed } else { s })?;
-        let by = Instant::now() + whole;
+            .map_err(before_any_byte)?;
+        let deadline = Instant::now() + head_timeout;
         loop {
-            if let Some(head) = Head::request(&mut self.buffer, most).map_err(Stop::Refused)? {
+            if let Some(head) = Head::parse_request(&mut self.buffer, max_bytes)? {
                 return Ok(head);
             }
-            self.more(by).await?;
+            self.fill(deadline).await?;
         }
     }
 
-    /// An answer's head.
-    pub async fn answer(&mut self, most: usize, by: Instant) -> Result<Head, Stop> {
-        let mut begun = false;
+    /// Reads a response head of at most `max_bytes` bytes.
+    ///
+    /// # Errors
+    /// The connection ended, the time is over, or what arrived is not a response head.
+    pub async fn read_response_head(
+        &mut self,
+        max_bytes: usize,
+        deadline: Instant,
+    ) -> Result<Head, ConnectionError> {
+        let mut is_begun = false;
         loop {
-            if let Some(head) = Head::answer(&mut self.buffer, most).map_err(Stop::Refused)? {
+            if let Some(head) = Head::parse_response(&mut self.buffer, max_bytes)? {
                 return Ok(head);
             }
-            self.more(by).await.map_err(|s| {
-                if s == Stop::Cut && !begun {
-                    Stop::Closed
-                } else {
-                    s
-                }
-            })?;
-            begun = true;
+            let filled = self.fill(deadline).await;
+            if is_begun {
+                filled?;
+            } else {
+                filled.map_err(before_any_byte)?;
+            }
+            is_begun = true;
         }
     }
 
-    /// A body; between two pieces of it so long may pass, and all of it is there by then.
-    pub async fn body(
+    /// Reads a body of at most `max_bytes` bytes: no gap within it may last `idle_timeout`, and all of it arrives
+    /// before the deadline, if there is one.
+    ///
+    /// # Errors
+    /// The connection ended, the time is over, or what arrived is not a body of this framing.
+    pub async fn read_body(
         &mut self,
         framing: Framing,
-        most: usize,
-        quiet: Duration,
-        by: Option<Instant>,
-    ) -> Result<Vec<u8>, Stop> {
-        let mut body = Body::new(framing, most);
-        while !body.take(&mut self.buffer).map_err(Stop::Refused)? {
-            let next = Instant::now() + quiet;
-            self.more(by.map_or(next, |by| by.min(next))).await?;
+        max_bytes: usize,
+        idle_timeout: Duration,
+        deadline: Option<Instant>,
+    ) -> Result<Vec<u8>, ConnectionError> {
+        let mut body = BodyReader::new(framing, max_bytes);
+        while !body.read_from(&mut self.buffer)? {
+            let idle_deadline = Instant::now() + idle_timeout;
+            let next = deadline.map_or(idle_deadline, |deadline| deadline.min(idle_deadline));
+            self.fill(next).await?;
         }
-        if self.buffer.is_empty() && self.buffer.capacity() > KEPT {
+        if self.buffer.is_empty() && self.buffer.capacity() > MAX_IDLE_BUFFER_BYTES {
             self.buffer = BytesMut::new();
         }
-        Ok(body.read)
+        Ok(body.into_bytes())
     }
 
-    /// Writes a message whole by then.
-    pub async fn write(&mut self, bytes: &[u8], by: Instant) -> Result<(), Stop> {
-        self.write_counted(bytes, by)
+    /// Writes a complete message.
+    ///
+    /// # Errors
+    /// The connection failed, or did not accept all of it before the deadline.
+    pub async fn write(&mut self, bytes: &[u8], deadline: Instant) -> Result<(), ConnectionError> {
+        self.write_with_progress(bytes, deadline)
             .await
-            .map_err(|failed| failed.stop)
+            .map_err(|error| error.source)
     }
 
-    /// The same; a failure tells how much of it may have reached the other side.
-    pub async fn write_counted(&mut self, bytes: &[u8], by: Instant) -> Result<(), WriteFailed> {
+    /// Writes a complete message; the error says how much of it may have reached the other side.
+    ///
+    /// # Errors
+    /// The connection failed, or did not accept all of it before the deadline.
+    pub async fn write_with_progress(
+        &mut self,
+        bytes: &[u8],
+        deadline: Instant,
+    ) -> Result<(), WriteError> {
         let mut written = 0;
         let writing = async {
             while written < bytes.len() {
                 match self.stream.write(&bytes[written..]).await? {
                     0 => return Err(io::Error::from(io::ErrorKind::WriteZero)),
-                    some => written += some,
+                    count => written += count,
                 }
             }
             Ok(())
         };
-        let stop = match timeout_at(by, writing).await {
+        let source = match timeout_at(deadline, writing).await {
             Ok(Ok(())) => return Ok(()),
-            Ok(Err(_)) => Stop::Cut,
-            Err(_) => Stop::Late,
+            Ok(Err(_)) => ConnectionError::Broken,
+            Err(_) => ConnectionError::TimedOut,
         };
-        Err(WriteFailed { stop, written })
+        Err(WriteError { written, source })
     }
 
-    /// Returns when the other side has closed; what it sends meanwhile waits, up to a bound.
-    pub async fn closed(&mut self) {
+    /// Returns when the other side has closed the connection. What it sends meanwhile stays in the buffer; once
+    /// that is full, an end is no longer noticed.
+    pub async fn wait_closed(&mut self) {
         loop {
-            if self.buffer.len() > KEPT {
+            if self.buffer.len() > MAX_IDLE_BUFFER_BYTES {
                 std::future::pending::<()>().await;
             }
             match self.stream.read_buf(&mut self.buffer).await {
@@ -169,8 +214,16 @@
 }
 
 impl<S: ReplicaTransport> HttpConnection<S> {
-    /// Nothing waits on it and the other side has not closed.
-    pub fn is_quiet(&self) -> bool {
-        self.buffer.is_empty() && self.stream.is_quiet()
+    /// Whether no byte waits on it and the other side has not closed it.
+    pub fn is_idle(&self) -> bool {
+        self.buffer.is_empty() && self.stream.is_idle()
+    }
+}
+
+/// A connection that ends before any byte of a message was closed, not broken.
+fn before_any_byte(error: ConnectionError) -> ConnectionError {
+    match error {
+        ConnectionError::Broken => ConnectionError::Closed,
+        other => other,
     }
 }
--- a/crates/linenthread-dataplane/src/data_plane.rs
+++ b/crates/linenthread-dataplane/src/data_plane.rs
@@ -1,327 +1,280 @@
-//! The data plane's tables: the plan in force, the replicas, and a dispatcher for each group of services.
+//! The data plane: the configuration in force, the replicas, and a dispatcher for each group of services.
 
 use std::cell::{Cell, RefCell};
-use std::collections::{BTreeMap, HashMap, HashSet};
-use std::net::SocketAddr;
+use std::collections::BTreeMap;
 use std::rc::Rc;
 
 use linenthread_config::{Configuration, Plan, Planned, Settings, Target};
+use linenthread_consensus::fnv1a_64;
 use linenthread_core::interface::Tenths;
-use tokio::sync::{oneshot, watch};
 
 use crate::clock;
-use crate::dispatcher::{Dispatcher, LookupId};
-use crate::pool::{ReplicaPool, Request};
-use crate::reply::Reply;
+use crate::counter::{Counter, CounterGuard};
+use crate::dispatcher::{Dispatcher, PendingResponse};
+use crate::pool::ReplicaRequest;
+use crate::replica_table::{ReplicaTable, UpdateScope};
+use crate::retry_quota::RetryQuota;
+use crate::shutdown::{ClosingWatch, Shutdown};
 use crate::transport::{Connector, TcpConnector};
 use crate::zones::Zones;
 
-/// What of the budget is this front's, and until when.
-#[derive(Clone, Copy, Default, PartialEq)]
-pub struct Share {
-    /// Further tries in each window.
-    pub free: f64,
-    /// Milliseconds of the steady clock.
-    pub until: u64,
-    /// This front's number among them.
-    pub own: usize,
-    /// How many fronts there are.
-    pub fronts: usize,
-    /// Under which lease of the duty it was given.
-    pub epoch: u64,
+/// The fewest connections that this process may have to a replica, however many share its limit.
+const MIN_CONNECTIONS: usize = 2;
+/// An `f64` holds integers of so many bits exactly.
+const F64_BITS: u32 = 53;
+
+/// Which dispatcher: the services that are queried together, in the order of their names, and how often each part
+/// may be sent.
+#[derive(Clone, PartialEq, Eq, PartialOrd, Ord)]
+struct DispatcherKey {
+    services: Vec<Rc<str>>,
+    max_attempts: usize,
 }
 
-/// The services that are asked together, by name, and how many tries each part has.
-type DispatcherKey = (Vec<Rc<str>>, usize);
+impl DispatcherKey {
+    fn new(services: &[Rc<str>], max_attempts: usize) -> DispatcherKey {
+        let mut services = services.to_vec();
+        services.sort();
+        DispatcherKey {
+            services,
+            max_attempts,
+        }
+    }
 
-type Pools<C> = Vec<Rc<ReplicaPool<C>>>;
+    /// The same for equal keys in every process. Simulations depend on the text that is hashed.
+    fn hash(&self) -> u64 {
+        fnv1a_64(format!("{:?}", (&self.services, self.max_attempts)).as_bytes())
+    }
+}
 
-/// What a front knows and where its traffic goes.
+/// What an ingress node knows, and where its traffic goes.
 pub struct DataPlane<C: Connector = TcpConnector> {
-    /// Of this process.
-    pub settings: Rc<Settings>,
+    settings: Rc<Settings>,
     seed: u64,
     plan: RefCell<Option<Rc<Plan>>>,
-    connector: C,
-    pools: RefCell<BTreeMap<String, Rc<ReplicaPool<C>>>>,
-    services: RefCell<HashMap<Rc<str>, Pools<C>>>,
+    replicas: RefCell<ReplicaTable<C>>,
     dispatchers: RefCell<BTreeMap<DispatcherKey, Rc<Dispatcher<C>>>>,
-    /// By number.
-    pub zones: Zones,
-    share: Cell<Share>,
-    /// The newest configuration was in hand at some moment of this life.
-    pub confirmed: Cell<bool>,
-    /// The end was asked for.
-    pub ending: Cell<bool>,
-    /// Nothing new is read any more.
-    pub closing: watch::Sender<bool>,
-    /// Requests of which something was read and whose answers are not written yet.
-    pub at_work: Cell<usize>,
+    zones: Zones,
+    retry_quota: Cell<RetryQuota>,
+    /// At some moment of this incarnation it had the newest configuration.
+    is_confirmed: Cell<bool>,
+    shutdown: Shutdown,
+    /// Requests of which a byte was read and whose responses are not written yet.
+    requests: Counter,
     /// Clients' connections.
-    pub clients: Cell<usize>,
-}
-
-/// One client's connection.
-pub(crate) struct Client<C: Connector>(Rc<DataPlane<C>>);
-
-impl<C: Connector> Client<C> {
-    pub(crate) fn new(plane: &Rc<DataPlane<C>>) -> Client<C> {
-        plane.clients.set(plane.clients.get() + 1);
-        Client(plane.clone())
-    }
-}
-
-impl<C: Connector> Drop for Client<C> {
-    fn drop(&mut self) {
-        self.0.clients.set(self.0.clients.get() - 1);
-    }
-}
-
-/// One request at work.
-pub(crate) struct AtWork<C: Connector>(Rc<DataPlane<C>>);
-
-impl<C: Connector> AtWork<C> {
-    pub(crate) fn new(plane: &Rc<DataPlane<C>>) -> AtWork<C> {
-        plane.at_work.set(plane.at_work.get() + 1);
-        AtWork(plane.clone())
-    }
-}
-
-impl<C: Connector> Drop for AtWork<C> {
-    fn drop(&mut self) {
-        self.0.at_work.set(self.0.at_work.get() - 1);
-    }
+    clients: Counter,
 }
 
 impl<C: Connector> DataPlane<C> {
-    /// A front that knows nothing yet.
+    /// A data plane with no configuration and no replicas. Every random choice follows from the seed.
     pub fn new(settings: Rc<Settings>, seed: u64, connector: C) -> Rc<DataPlane<C>> {
-        let zones = Zones::default();
-        zones.number_of(&settings.zone);
+        let zones = Zones::new(&settings.zone);
         Rc::new(DataPlane {
             settings,
             seed,
             plan: RefCell::default(),
-            connector,
-            pools: RefCell::default(),
-            services: RefCell::default(),
+            replicas: RefCell::new(ReplicaTable::new(connector)),
             dispatchers: RefCell::default(),
             zones,
-            share: Cell::default(),
-            confirmed: Cell::new(false),
-            ending: Cell::new(false),
-            closing: watch::Sender::new(false),
-            at_work: Cell::new(0),
-            clients: Cell::new(0),
+            retry_quota: Cell::default(),
+            is_confirmed: Cell::new(false),
+            shutdown: Shutdown::new(),
+            requests: Counter::default(),
+            clients: Counter::default(),
         })
     }
 
+    /// The settings of this process.
+    pub fn settings(&self) -> &Settings {
+        &self.settings
+    }
+
     /// The configuration in force, if there is one.
     pub fn plan(&self) -> Option<Rc<Plan>> {
         self.plan.borrow().clone()
     }
 
-    /// Its version; 0 for none.
+    /// The revision of the configuration in force; 0 for none.
     pub fn revision(&self) -> u64 {
-        self.plan.borrow().as_ref().map_or(0, |p| p.revision)
+        self.plan.borrow().as_ref().map_or(0, |plan| plan.revision)
     }
 
-    /// Whether the platform may send traffic here.
+    /// Whether clients may be sent here.
     pub fn is_ready(&self) -> bool {
-        self.confirmed.get() && !self.ending.get() && self.plan.borrow().is_some()
+        self.is_confirmed.get() && !self.shutdown.is_draining() && self.plan.borrow().is_some()
     }
 
-    /// A configuration that was agreed on. Never an older one.
-    pub fn adopt(&self, document: &[u8]) {
+    /// Applies a configuration that was committed, unless one at least as new is in force. One that cannot be read
+    /// is logged.
+    pub fn apply_configuration(&self, document: &[u8]) {
         match Configuration::read(document) {
             Ok(read) if read.revision > self.revision() => {
                 log::info!(revision = read.revision, routes = read.route_table.len(); "event=configuration_applied");
                 *self.plan.borrow_mut() = Some(Rc::new(Plan::new(read)));
-                self.bound_connections();
+                self.limit_connections();
             }
             Ok(_) => {}
             Err(e) => log::error!(cause = e.to_string(); "event=configuration_invalid"),
         }
     }
 
-    /// What is told of replicas; with `whole`, what is left out is gone.
-    pub fn hear(&self, replicas: &[linenthread_messages::Replica], whole: bool) {
-        let mut changed: Pools<C> = replicas
-            .iter()
-            .filter_map(|replica| self.hear_one(replica))
-            .collect();
-        if whole {
-            let named: HashSet<&str> = replicas.iter().map(|r| r.id.as_str()).collect();
-            changed.extend(self.lose_all_but(&named));
+    /// Notes that no newer configuration than the one in force was committed at some moment since the start.
+    pub fn confirm_configuration(&self) {
+        if !self.is_confirmed.replace(true) {
+            log::info!(revision = self.revision(); "event=configuration_confirmed");
         }
+    }
+
+    /// Takes in what service discovery says of replicas.
+    pub fn update_replicas(&self, replicas: &[linenthread_messages::Replica], scope: UpdateScope) {
+        let changed = self.replicas.borrow_mut().update(replicas, scope);
         if changed.is_empty() {
             return;
         }
-        changed
-            .iter()
-            .filter(|p| p.draining.get() || p.gone.get())
-            .for_each(|p| p.close_idle());
-        let available = self
-            .pools
-            .borrow()
-            .values()
-            .filter(|p| !p.gone.get())
-            .count();
+        for pool in &changed {
+            let status = pool.status();
+            if status.draining || status.departed {
+                pool.close_idle();
+            }
+        }
+        let available = self.replicas.borrow().available();
         log::info!(available = available, changed = changed.len(); "event=replicas_updated");
-        self.dispatchers
-            .borrow()
-            .values()
-            .for_each(|d| d.list(&changed, &self.zones));
-        self.bound_connections();
-    }
-
-    /// What is told of one replica; its pool, if that is news.
-    fn hear_one(&self, replica: &linenthread_messages::Replica) -> Option<Rc<ReplicaPool<C>>> {
-        let gone = replica.removed || replica.removed_for_good;
-        let known = self.pools.borrow().get(&replica.id).cloned();
-        let Some(pool) = known else {
-            return if gone { None } else { self.add(replica) };
-        };
-        if pool.draining.get() == replica.draining && pool.gone.get() == gone {
-            return None;
+        for dispatcher in self.dispatchers.borrow().values() {
+            dispatcher.update_replicas(&changed, &self.zones);
         }
-        pool.draining.set(replica.draining);
-        pool.set_gone(gone);
-        Some(pool)
-    }
-
-    /// A pool for a replica that is new, if its address can be read.
-    fn add(&self, replica: &linenthread_messages::Replica) -> Option<Rc<ReplicaPool<C>>> {
-        let address = replica.address.parse::<SocketAddr>().ok()?;
-        let mut services = self.services.borrow_mut();
-        let backend = services.keys().find(|s| ***s == *replica.backend).cloned();
-        let backend = backend.unwrap_or_else(|| Rc::from(replica.backend.as_str()));
-        let pool = Rc::new(ReplicaPool::new(
-            replica,
-            backend.clone(),
-            address,
-            self.connector.clone(),
-        ));
-        services.entry(backend).or_default().push(pool.clone());
-        self.pools
-            .borrow_mut()
-            .insert(replica.id.clone(), pool.clone());
-        Some(pool)
-    }
-
-    /// All replicas that are not named are gone; those that were not before.
-    fn lose_all_but(&self, named: &HashSet<&str>) -> Pools<C> {
-        let pools = self.pools.borrow();
-        let lost = pools
-            .values()
-            .filter(|p| !p.gone.get() && !named.contains(p.ident.as_str()));
-        lost.inspect(|pool| pool.set_gone(true)).cloned().collect()
+        self.limit_connections();
     }
 
-    /// Each replica accepts so many connections of all fronts together.
-    fn bound_connections(&self) {
-        let fronts = self.share.get().fronts.max(1);
+    /// The limits of the configuration are for all ingress nodes together.
+    fn limit_connections(&self) {
+        let ingress_count = self.retry_quota.get().ingress_count.max(1);
         let plan = self.plan.borrow();
         let Some(plan) = plan.as_ref() else { return };
-        for (service, pools) in self.services.borrow().iter() {
-            let most = plan
-                .max_conns
-                .get(service)
-                .map_or(usize::MAX, |m| (m / fronts).max(2));
-            pools.iter().for_each(|s| s.most.set(most));
-        }
+        self.replicas.borrow().limit_connections(|service| {
+            plan.max_conns.get(service).map_or(usize::MAX, |limit| {
+                (limit / ingress_count).max(MIN_CONNECTIONS)
+            })
+        });
     }
 
-    /// This front's share of the budget from now on.
-    pub fn allot(&self, share: Share) {
-        if share != self.share.get() {
-            self.share.set(share);
-            self.allot_dispatchers();
-            self.bound_connections();
+    /// Sets this process's part of the retry budget.
+    pub fn set_retry_quota(&self, quota: RetryQuota) {
+        if quota != self.retry_quota.get() {
+            self.retry_quota.set(quota);
+            self.share_retry_quota();
+            self.limit_connections();
         }
     }
 
-    /// The share in force.
-    pub fn share(&self) -> Share {
-        self.share.get()
+    /// The retry quota in force.
+    pub fn retry_quota(&self) -> RetryQuota {
+        self.retry_quota.get()
     }
 
-    fn allot_dispatchers(&self) {
-        let (share, dispatchers) = (self.share.get(), self.dispatchers.borrow());
-        let overlap = |d: &Rc<Dispatcher<C>>| {
-            let with = |s: &Rc<str>| {
-                dispatchers
-                    .values()
-                    .filter(|o| o.services.contains(s))
-                    .count()
-            };
-            d.services.iter().map(with).max().unwrap_or(1).max(1)
+    /// Divides the quota among the dispatchers: it holds at each service, so those that share one share it, too.
+    fn share_retry_quota(&self) {
+        let (quota, dispatchers) = (self.retry_quota.get(), self.dispatchers.borrow());
+        let sharing = |service: &Rc<str>| {
+            dispatchers
+                .values()
+                .filter(|dispatcher| dispatcher.queries(service))
+                .count()
         };
-        dispatchers
-            .values()
-            .for_each(|d| d.allot(share.free / overlap(d) as f64, share.own, share.fronts));
+        for (key, dispatcher) in dispatchers.iter() {
+            let sharing = key.services.iter().map(sharing).max().unwrap_or(1).max(1);
+            dispatcher.set_retry_quota(&quota, quota.retries_per_window / sharing as f64);
+        }
     }
 
-    fn dispatcher(&self, services: &[Rc<str>], tries: usize) -> Rc<Dispatcher<C>> {
-        let mut names = services.to_vec();
-        names.sort();
-        let key = (names, tries);
+    /// The dispatcher of these services, which is started if there is none.
+    fn dispatcher(&self, services: &[Rc<str>], max_attempts: usize) -> Rc<Dispatcher<C>> {
+        let key = DispatcherKey::new(services, max_attempts);
         if let Some(dispatcher) = self.dispatchers.borrow().get(&key) {
             return dispatcher.clone();
         }
-        let seed = self.seed ^ linenthread_consensus::fnv1a_64(format!("{key:?}").as_bytes());
-        let dispatcher = Dispatcher::new(key.0.as_slice().into(), tries, &self.settings, seed);
-        let pools = self.services.borrow();
-        let here: Pools<C> = key
-            .0
-            .iter()
-            .filter_map(|s| pools.get(s))
-            .flatten()
-            .cloned()
-            .collect();
-        dispatcher.list(&here, &self.zones);
+        let seed = self.seed ^ key.hash();
+        let services = key.services.as_slice().into();
+        let dispatcher = Dispatcher::new(services, max_attempts, &self.settings, seed);
+        let pools = self.replicas.borrow().pools_of(&key.services);
+        dispatcher.update_replicas(&pools, &self.zones);
         self.dispatchers
             .borrow_mut()
             .insert(key, dispatcher.clone());
-        self.allot_dispatchers();
+        self.share_retry_quota();
         dispatcher
     }
 
-    /// Hands a request to its dispatcher.
-    pub fn take(
+    /// Hands a request to the dispatcher of its route. `key` decides which replicas are preferred.
+    pub(crate) fn dispatch(
         &self,
-        request: Rc<Request>,
+        request: Rc<ReplicaRequest>,
         planned: &Rc<Planned>,
         key: u64,
         deadline: Tenths,
-    ) -> (Rc<Dispatcher<C>>, LookupId, oneshot::Receiver<Reply>) {
-        let tries = planned.route.tries;
+    ) -> PendingResponse<C> {
+        let max_attempts = planned.route.tries;
         let dispatcher = match &planned.target {
-            Target::All(services) => self.dispatcher(services, tries),
-            one => {
-                let drawn = linenthread_consensus::fnv1a_64(request.attempt.as_bytes()) >> 11;
-                let service = one.drawn(drawn as f64 / (1u64 << 53) as f64);
-                self.dispatcher(service.map_or(&[][..], std::slice::from_ref), tries)
+            Target::All(services) => self.dispatcher(services, max_attempts),
+            weighted @ Target::One(_) => {
+                let service =
+                    weighted.drawn(unit_interval(fnv1a_64(request.attempt_id.as_bytes())));
+                self.dispatcher(service.map_or(&[], std::slice::from_ref), max_attempts)
             }
         };
-        let (lookup, reply) = dispatcher.take(request, planned, key, deadline);
-        (dispatcher, lookup, reply)
+        dispatcher.dispatch(request, planned, key, deadline)
     }
 
-    /// Lets go of connections that their replicas are about to end, and of replicas that have been gone for
-    /// long.
-    pub fn tidy(&self) {
-        self.dispatchers.borrow().values().for_each(|d| d.tidy());
-        let mut pools = self.pools.borrow_mut();
-        pools.values().for_each(|s| s.tidy());
-        let now = clock::ms();
-        let before = pools.len();
-        pools.retain(|_, s| !s.is_past(now));
-        if pools.len() < before {
-            self.services
-                .borrow_mut()
-                .values_mut()
-                .for_each(|all| all.retain(|s| !s.is_past(now)));
+    /// To be called about once a second: closes connections that their replicas are about to close, and forgets
+    /// replicas that departed long ago.
+    pub fn maintain(&self) {
+        for dispatcher in self.dispatchers.borrow().values() {
+            dispatcher.maintain();
         }
+        self.replicas.borrow_mut().maintain(clock::now());
+    }
+
+    /// First step of a shutdown: it is not ready any more, and connections end with their next response.
+    pub fn begin_drain(&self) {
+        self.shutdown.begin_drain();
     }
+
+    /// Second step of a shutdown: nothing new is accepted, and connections between two requests end.
+    pub fn close(&self) {
+        self.shutdown.close();
+    }
+
+    /// For those who wait for [`DataPlane::close`].
+    pub fn watch_closing(&self) -> ClosingWatch {
+        self.shutdown.watch()
+    }
+
+    pub(crate) fn is_draining(&self) -> bool {
+        self.shutdown.is_draining()
+    }
+
+    /// How many requests are in flight: a byte was read, and the response is not written yet.
+    pub fn requests_in_flight(&self) -> usize {
+        self.requests.get()
+    }
+
+    /// How many clients' connections there are.
+    pub fn client_connections(&self) -> usize {
+        self.clients.get()
+    }
+
+    /// Counts a request for as long as the guard lives.
+    pub(crate) fn count_request(&self) -> CounterGuard {
+        self.requests.enter()
+    }
+
+    /// Counts a client's connection for as long as the guard lives.
+    pub(crate) fn count_client(&self) -> CounterGuard {
+        self.clients.enter()
+    }
+}
+
+/// A hash as a number from 0 up to 1.
+fn unit_interval(hash: u64) -> f64 {
+    let bits = hash >> (u64::BITS - F64_BITS);
+    bits as f64 / (1u64 << F64_BITS) as f64
 }
--- a/crates/linenthread-dataplane/src/dispatcher.rs
+++ b/crates/linenthread-dataplane/src/dispatcher.rs
@@ -1,156 +1,93 @@
-//! The dispatcher of services that are asked together: it owns their decision module, hands in what came and
-//! carries out what is decided.
+//! The dispatcher of services that are queried together: it owns their decision module, hands it what arrived and
+//! carries out what it decides.
+
+mod decisions;
+mod pass_through;
+mod policy_inputs;
+mod query;
+mod replica_slots;
+mod state;
 
 use std::cell::{Cell, RefCell};
-use std::collections::HashMap;
 use std::rc::Rc;
-use std::time::Duration;
 
-use linenthread_config::{Planned, Settings, Target};
-use linenthread_core::Coordinator;
+use linenthread_config::{Planned, Settings};
 use linenthread_core::interface::{
-    Arrivals, Ending, Index, Listed, NewLookup, NewPart, Phase, Return, RosterNews, Tenths,
+    Ending, Listed, NewLookup, NewPart, Phase, Return, RosterNews, Tenths,
 };
-use smallvec::SmallVec;
 use tokio::sync::{Notify, oneshot};
 use tokio::task::spawn_local;
 
-use crate::action::{Action, Actions, GivenUp};
-use crate::outcome::{SendState, may_send_again};
-use crate::pass_through::PassThrough;
-use crate::pool::{Answer, ReplicaPool, Request, SubRequestOutcome};
-use crate::reply::{PartsIn, Reply};
-use crate::transport::{Connector, TcpConnector};
+use self::decisions::Decision;
+use self::query::{OpenQuery, Permission, QueryId, SubRequestId};
+use self::state::State;
+use crate::clock;
+use crate::counter::Counter;
+use crate::pool::{ReplicaPool, ReplicaRequest, ReplicaStatus, SubRequestOutcome};
+use crate::response::Response;
+use crate::retry_quota::RetryQuota;
+use crate::transport::Connector;
 use crate::zones::Zones;
-use crate::{clock, terms};
-
-/// A sub-request has so long at least.
-const SHORTEST: Tenths = 10;
-const MICROS_A_TENTH: u64 = 100;
-
-/// One part of a request and its sub-requests.
-#[derive(Default)]
-struct Part {
-    answer: Option<Answer>,
-    calls: usize,
-    /// Sub-requests of which it is not known that they did not run; those that are out count.
-    may_have_run: usize,
-}
-
-impl Part {
-    /// How far any of its sub-requests got at most.
-    fn sent(&self) -> SendState {
-        match (self.may_have_run, self.calls) {
-            (0, 0) => SendState::NeverLeft,
-            (0, _) => SendState::Rejected,
-            _ => SendState::MayHaveRun,
-        }
-    }
-}
 
-/// A request that has not ended.
-struct OpenLookup {
-    /// How manieth it is.
-    number: u64,
-    reply: Option<oneshot::Sender<Reply>>,
-    request: Rc<Request>,
-    planned: Rc<Planned>,
-    parts: SmallVec<[Part; 4]>,
-    /// A replica's own failure, passed on where nothing better comes.
-    failure: Option<Answer>,
-}
-
-/// Which lookup: its place, which is used again after its end, and its number, which is not.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct LookupId {
-    place: usize,
-    number: u64,
-}
-
-/// Which sub-request: its lookup, its part, and its number among those of the part.
-#[derive(Clone, Copy)]
-struct SubRequestId {
-    lookup: LookupId,
-    part: usize,
-    call: usize,
-}
-
-struct State<C: Connector> {
-    coordinator: Coordinator,
-    /// Decides in its place while something is measured.
-    stand_in: Option<PassThrough>,
-    indexes: Vec<Index>,
-    arrivals: Arrivals,
-    pools: Vec<Rc<ReplicaPool<C>>>,
-    numbers: HashMap<String, usize>,
-    /// Numbers of replicas that are gone, and how many lookups had been taken by then; and those free again.
-    gone: Vec<(usize, u64)>,
-    spare: Vec<usize>,
-    lookups: Vec<Option<OpenLookup>>,
-    free: Vec<usize>,
-    actions: Actions,
-}
+/// The least time that a sub-request gets, in tenths of a millisecond.
+const MIN_TIMEOUT: Tenths = 10;
 
 /// Hands requests to the decision module and its decisions to the replicas' pools.
-pub struct Dispatcher<C: Connector = TcpConnector> {
-    /// What is asked together, by name.
-    pub services: Rc<[Rc<str>]>,
+pub(crate) struct Dispatcher<C: Connector> {
+    /// What is queried together, by name: the parts of each query in their order.
+    services: Rc<[Rc<str>]>,
     state: RefCell<State<C>>,
-    notify: Notify,
-    open: Cell<usize>,
-    taken: Cell<u64>,
+    /// Something arrived for the decision module.
+    arrived: Notify,
+    open_queries: Counter,
+    /// The sequence number of the last query that was opened.
+    last_query: Cell<u64>,
 }
 
 impl<C: Connector> Dispatcher<C> {
-    /// Starts the task that runs the module; within a `LocalSet`.
-    pub fn new(
+    /// Starts the task that runs the decision module; within a `LocalSet`. Each part may be sent `max_attempts`
+    /// times.
+    pub(crate) fn new(
         services: Rc<[Rc<str>]>,
-        tries: usize,
+        max_attempts: usize,
         settings: &Settings,
         seed: u64,
     ) -> Rc<Dispatcher<C>> {
-        let deployment = terms::deployment(services.len(), tries, settings);
+        let state = State::new(services.len(), max_attempts, settings, seed);
         let dispatcher = Rc::new(Dispatcher {
             services,
-            state: RefCell::new(State {
-                coordinator: Coordinator::new(deployment, seed),
-                stand_in: settings.pass_through.then(PassThrough::default),
-                indexes: Vec::new(),
-                arrivals: Arrivals::default(),
-                pools: Vec::new(),
-                numbers: HashMap::new(),
-                gone: Vec::new(),
-                spare: Vec::new(),
-                lookups: Vec::new(),
-                free: Vec::new(),
-                actions: Actions::default(),
-            }),
-            notify: Notify::new(),
-            open: Cell::new(0),
-            taken: Cell::new(0),
+            state: RefCell::new(state),
+            arrived: Notify::new(),
+            open_queries: Counter::default(),
+            last_query: Cell::new(0),
         });
         spawn_local(run(dispatcher.clone()));
         dispatcher
     }
 
-    /// So many further tries are free, and this front is one of so many.
-    pub fn allot(&self, free: f64, own: usize, fronts: usize) {
-        self.state.borrow_mut().coordinator.allot(free, own, fronts);
+    /// Whether it sends anything to this service.
+    pub(crate) fn queries(&self, service: &Rc<str>) -> bool {
+        self.services.contains(service)
     }
 
-    /// News of replicas of these services.
-    pub fn list(&self, pools: &[Rc<ReplicaPool<C>>], zones: &Zones) {
+    /// Sets the retries of each window that are this process's; `share` is the part of them that this dispatcher
+    /// may use.
+    pub(crate) fn set_retry_quota(&self, quota: &RetryQuota, share: f64) {
+        self.state
+            .borrow_mut()
+            .coordinator
+            .allot(share, quota.ingress_index, quota.ingress_count);
+    }
+
+    /// Takes in the status of replicas; those of other services are left out.
+    pub(crate) fn update_replicas(&self, pools: &[Rc<ReplicaPool<C>>], zones: &Zones) {
         let mut state = self.state.borrow_mut();
         let listed: Vec<Listed> = pools
             .iter()
             .filter_map(|pool| {
-                let cell = self.services.iter().position(|s| *s == pool.backend)?;
-                let replica = state.number(pool)?;
-                state.gone.retain(|(number, _)| *number != replica);
-                if pool.gone.get() {
-                    state.gone.push((replica, self.taken.get()));
-                }
-                Some(listed(pool, replica, cell, zones))
+                let service = self.services.iter().position(|s| s == pool.service())?;
+                let slot = state.replicas.update(pool, self.last_query.get())?;
+                Some(listed(pool, slot, service, zones))
             })
             .collect();
         if listed.is_empty() {
@@ -158,350 +95,232 @@
         }
         state.arrivals.roster.push(RosterNews::Changes(listed));
         state.arrivals.ways = Some(zones.ways());
-        drop(state);
-        self.notify.notify_one();
+        self.arrived.notify_one();
     }
 
-    /// Takes a request in; its number, and where its reply comes.
-    pub fn take(
-        &self,
-        request: Rc<Request>,
+    /// Opens a query for a request. `key` decides which replicas are preferred, so that equal requests meet warm
+    /// caches.
+    pub(crate) fn dispatch(
+        self: &Rc<Self>,
+        request: Rc<ReplicaRequest>,
         planned: &Rc<Planned>,
         key: u64,
-        hard_deadline: Tenths,
-    ) -> (LookupId, oneshot::Receiver<Reply>) {
-        let (reply, answer) = oneshot::channel();
+        deadline: Tenths,
+    ) -> PendingResponse<C> {
+        let (client, response) = oneshot::channel();
         let mut state = self.state.borrow_mut();
-        let index = state.index(terms::index(planned));
-        let lookup = state.free_lookup();
-        self.taken.set(self.taken.get() + 1);
-        let number = self.taken.get();
-        let new = NewLookup {
-            lookup,
-            index,
+        let kind = state.query_kind(policy_inputs::index(planned));
+        let slot = state.free_query_slot();
+        let sequence = self.last_query.get() + 1;
+        self.last_query.set(sequence);
+        state.arrivals.lookups.push(NewLookup {
+            lookup: slot,
+            index: kind,
             customer: 0,
             key: Some(key),
-            number,
-            hard_deadline,
-        };
-        state.arrivals.lookups.push(new);
-        let parts = self.services.len();
-        state.arrivals.parts.extend((0..parts).map(|shard| NewPart {
-            lookup,
+            number: sequence,
+            hard_deadline: deadline,
+        });
+        let part_count = self.services.len();
+        let parts = (0..part_count).map(|shard| NewPart {
+            lookup: slot,
             shard,
             weight: 1.0,
-        }));
-        state.lookups[lookup] = Some(OpenLookup {
-            number,
-            reply: Some(reply),
-            request,
-            planned: planned.clone(),
-            parts: (0..parts).map(|_| Part::default()).collect(),
-            failure: None,
         });
-        self.open.set(self.open.get() + 1);
-        self.notify.notify_one();
-        (
-            LookupId {
-                place: lookup,
-                number,
-            },
-            answer,
-        )
-    }
-
-    /// Numbers of replicas that are gone are free again when every lookup taken before that has ended.
-    pub fn tidy(&self) {
-        let mut state = self.state.borrow_mut();
-        let given_up = std::mem::take(&mut state.actions.given_up);
-        if given_up != GivenUp::default() {
-            let GivenUp {
-                late,
-                fells,
-                hopeless,
-                slow,
-                full,
-            } = given_up;
-            let service = self.services.first().map_or("", |s| s);
-            log::info!(service = service, of = self.services.len(), late = late, fells = fells,
-                hopeless = hopeless, slow = slow, full = full; "event=request_abandoned");
-        }
-        if !state.gone.is_empty() {
-            state.free_numbers();
+        state.arrivals.parts.extend(parts);
+        let query = OpenQuery::new(
+            sequence,
+            request,
+            planned.clone(),
+            part_count,
+            client,
+            self.open_queries.enter(),
+        );
+        state.open_query(slot, query);
+        self.arrived.notify_one();
+        PendingResponse {
+            dispatcher: self.clone(),
+            query: QueryId { slot, sequence },
+            response,
         }
     }
 
-    /// The client has left.
-    pub fn lapse(&self, lookup: LookupId) {
+    /// Logs the queries that were abandoned, and frees the indices of replicas that departed.
+    pub(crate) fn maintain(&self) {
         let mut state = self.state.borrow_mut();
-        if state.open(lookup).is_some() {
-            state.arrivals.lapsed.push(lookup.place);
-            self.notify.notify_one();
+        let abandoned = std::mem::take(&mut state.decisions.abandoned);
+        if !abandoned.is_empty() {
+            let service = self.services.first().map_or("", |service| service);
+            log::info!(service = service, services = self.services.len(),
+                deadline_exceeded = abandoned.deadline_exceeded, crash_suspected = abandoned.crash_suspected,
+                unanswerable = abandoned.unanswerable, too_slow = abandoned.too_slow,
+                saturated = abandoned.saturated; "event=request_abandoned");
         }
+        state.free_departed_replicas();
     }
 
-    /// A sub-request has ended.
-    fn ended(&self, id: SubRequestId, took: Tenths, outcome: SubRequestOutcome) {
-        let SubRequestId { lookup, part, call } = id;
+    /// The client of a query has left.
+    fn cancel(&self, query: QueryId) {
         let mut state = self.state.borrow_mut();
-        let Some(open) = state.open(lookup) else {
-            log::error!(lookup = lookup.number; "event=orphaned_outcome");
-            return;
-        };
-        let to = &mut open.parts[part];
-        if outcome.sent != SendState::MayHaveRun {
-            to.may_have_run -= 1;
-        }
-        match outcome.answer {
-            Some(answer) if outcome.ending == Ending::Answered => {
-                to.answer.get_or_insert(answer);
-            }
-            Some(answer) => open.failure = Some(answer),
-            None => {}
+        if state.query(query).is_some() {
+            state.arrivals.lapsed.push(query.slot);
+            self.arrived.notify_one();
         }
-        let ending = outcome.ending;
-        let lookup = lookup.place;
-        state.arrivals.returns.push(Return {
-            lookup,
-            part,
-            call,
-            ending,
-            took,
-            queue: None,
-        });
-        self.notify.notify_one();
     }
 
-    /// One round of the module, and what it decided.
+    /// One round of the decision module, and its decisions; when to run the next one at the latest.
     fn round(self: &Rc<Self>) -> Option<Tenths> {
         let mut state = self.state.borrow_mut();
-        for action in state.decide() {
-            match action {
-                Action::Call {
-                    lookup,
+        for decision in state.decide() {
+            match decision {
+                Decision::Call {
+                    query,
                     part,
                     replica,
-                    time_out,
-                } => {
-                    self.call(&mut state, (lookup, part), replica, time_out);
+                    timeout,
+                } => self.call(&mut state, query, part, replica, timeout),
+                Decision::Complete { query } => {
+                    if let Some(query) = state.query_in(query) {
+                        query.complete();
+                    }
                 }
-                Action::Satisfy { lookup } => state.reply(lookup, satisfied),
-                Action::Nack { lookup, after } => state.reply(lookup, |open| given_up(open, after)),
-                Action::Abort { lookup } => state.reply(lookup, |open| given_up(open, None)),
-                Action::Release { lookup } => {
-                    if state.lookups[lookup].take().is_some() {
-                        state.free.push(lookup);
-                        self.open.set(self.open.get() - 1);
+                Decision::Reject { query, retry_after } => {
+                    if let Some(query) = state.query_in(query) {
+                        query.abandon(retry_after);
                     }
                 }
-                Action::Close { replica } => state.pools[replica].close_idle(),
+                Decision::Abort { query } => {
+                    if let Some(query) = state.query_in(query) {
+                        query.abandon(None);
+                    }
+                }
+                Decision::Release { query } => state.release_query(query),
+                Decision::CloseIdle { replica } => state.replicas.pool(replica).close_idle(),
             }
         }
-        state.actions.wake
+        state.decisions.wake_at
     }
 
-    /// Sends a sub-request, unless an earlier one of the part may have run and it may not be repeated.
+    /// Sends a part to a replica, if it may be sent (again).
     fn call(
         self: &Rc<Self>,
         state: &mut State<C>,
-        (lookup, part): (usize, usize),
+        slot: usize,
+        part: usize,
         replica: usize,
-        time_out: Tenths,
+        timeout: Tenths,
     ) {
-        let Some(Some(open)) = state.lookups.get_mut(lookup) else {
+        let Some(query) = state.query_in(slot) else {
             return;
         };
-        let to = &mut open.parts[part];
-        let lookup_id = LookupId {
-            place: lookup,
-            number: open.number,
-        };
+        let (attempt, permission) = query.begin_attempt(part);
         let id = SubRequestId {
-            lookup: lookup_id,
+            query: QueryId {
+                slot,
+                sequence: query.sequence,
+            },
             part,
-            call: to.calls,
+            attempt,
         };
-        let permitted = may_send_again(open.planned.route.mode, to.sent());
-        to.calls += 1;
-        if !permitted {
-            log::error!(route = open.planned.route.label; "event=retry_rejected");
-            let ending = Ending::Unsent;
-            state.arrivals.returns.push(Return {
-                lookup,
-                part,
-                call: id.call,
-                ending,
-                took: 0,
-                queue: None,
-            });
-            self.notify.notify_one();
+        if permission == Permission::Denied {
+            log::error!(route = query.planned.route.label; "event=retry_rejected");
+            self.report(state, id, Ending::Unsent, 0);
             return;
         }
-        to.may_have_run += 1;
-        let (pool, request) = (state.pools[replica].clone(), open.request.clone());
-        let time = Duration::from_micros(time_out.max(SHORTEST) as u64 * MICROS_A_TENTH);
+        let request = query.request.clone();
+        let pool = state.replicas.pool(replica).clone();
+        let timeout = clock::tenths_to_duration(timeout.max(MIN_TIMEOUT));
         let dispatcher = self.clone();
         spawn_local(async move {
-            let began = clock::tenths();
-            let outcome = pool.call(&request, time).await;
-            dispatcher.ended(id, clock::tenths() - began, outcome);
+            let started_at = clock::now_tenths();
+            let ended = pool.call(&request, timeout).await;
+            dispatcher.on_ended(id, clock::now_tenths() - started_at, ended);
         });
     }
-}
 
-impl<C: Connector> State<C> {
-    /// The number of a replica, which is given one if it is new and there.
-    fn number(&mut self, pool: &Rc<ReplicaPool<C>>) -> Option<usize> {
-        if let Some(known) = self.numbers.get(&pool.ident) {
-            return Some(*known);
-        }
-        if pool.gone.get() {
-            return None;
-        }
-        let replica = self.spare.pop().unwrap_or(self.pools.len());
-        if replica == self.pools.len() {
-            self.pools.push(pool.clone());
-        }
-        self.pools[replica] = pool.clone();
-        self.numbers.insert(pool.ident.clone(), replica);
-        Some(replica)
+    /// A sub-request has ended.
+    fn on_ended(&self, id: SubRequestId, elapsed: Tenths, ended: SubRequestOutcome) {
+        let mut state = self.state.borrow_mut();
+        let Some(query) = state.query(id.query) else {
+            log::error!(query = id.query.sequence; "event=orphaned_outcome");
+            return;
+        };
+        let ending = ended.outcome.ending;
+        query.end_attempt(id.part, ended);
+        self.report(&mut state, id, ending, elapsed);
     }
 
-    /// Numbers of replicas that were gone before the oldest open lookup was taken are free again.
-    fn free_numbers(&mut self) {
-        let oldest = self
-            .lookups
-            .iter()
-            .flatten()
-            .map(|open| open.number)
-            .min()
-            .unwrap_or(u64::MAX);
-        let (pools, numbers, spare) = (&self.pools, &mut self.numbers, &mut self.spare);
-        self.gone.retain(|&(replica, taken)| {
-            let over = taken < oldest;
-            if over {
-                numbers.remove(&pools[replica].ident);
-                spare.push(replica);
-            }
-            !over
+    /// Hands the end of a sub-request to the decision module.
+    fn report(&self, state: &mut State<C>, id: SubRequestId, ending: Ending, elapsed: Tenths) {
+        state.arrivals.returns.push(Return {
+            lookup: id.query.slot,
+            part: id.part,
+            call: id.attempt,
+            ending,
+            took: elapsed,
+            queue: None,
         });
+        self.arrived.notify_one();
     }
+}
 
-    /// A lookup that has not ended.
-    fn open(&mut self, id: LookupId) -> Option<&mut OpenLookup> {
-        let open = self.lookups.get_mut(id.place)?.as_mut()?;
-        (open.number == id.number).then_some(open)
-    }
-
-    /// The number of a sort of lookup.
-    fn index(&mut self, index: Index) -> usize {
-        if let Some(known) = self.indexes.iter().position(|i| *i == index) {
-            return known;
-        }
-        self.indexes.push(index.clone());
-        self.coordinator.add_index(index)
-    }
-
-    fn free_lookup(&mut self) -> usize {
-        self.free.pop().unwrap_or_else(|| {
-            self.lookups.push(None);
-            self.lookups.len() - 1
-        })
-    }
+/// A query whose response is awaited.
+pub(crate) struct PendingResponse<C: Connector> {
+    dispatcher: Rc<Dispatcher<C>>,
+    query: QueryId,
+    response: oneshot::Receiver<Response>,
+}
 
-    /// Hands in all that came.
-    fn decide(&mut self) -> Vec<Action> {
-        self.arrivals.now = clock::tenths();
-        let arrivals = std::mem::take(&mut self.arrivals);
-        self.actions.wake = None;
-        match &mut self.stand_in {
-            None => self.coordinator.round(&arrivals, &mut self.actions),
-            Some(stand_in) => stand_in.round(&arrivals, &mut self.actions),
-        }
-        std::mem::take(&mut self.actions.list)
+impl<C: Connector> PendingResponse<C> {
+    /// The response, when it is there.
+    pub(crate) async fn response(&mut self) -> Response {
+        (&mut self.response)
+            .await
+            .unwrap_or_else(|_| Response::empty(502))
     }
 
-    /// Replies to a lookup's client, if that has not been done.
-    fn reply(&mut self, lookup: usize, make: impl FnOnce(&mut OpenLookup) -> Reply) {
-        if let Some(Some(open)) = self.lookups.get_mut(lookup)
-            && let Some(reply) = open.reply.take()
-        {
-            let _ = reply.send(make(open));
-        }
+    /// The client has left: nobody needs the response any more.
+    pub(crate) fn cancel(self) {
+        self.dispatcher.cancel(self.query);
     }
 }
 
-/// A replica in the module's terms.
+/// A replica in the terms of the decision module.
 fn listed<C: Connector>(
     pool: &ReplicaPool<C>,
     replica: usize,
-    cell: usize,
+    service: usize,
     zones: &Zones,
 ) -> Listed {
-    let phase = match (pool.gone.get(), pool.draining.get()) {
-        (true, _) => Phase::Gone,
-        (_, true) => Phase::Draining,
-        _ => Phase::Ready,
+    let phase = match pool.status() {
+        ReplicaStatus { departed: true, .. } => Phase::Gone,
+        ReplicaStatus { draining: true, .. } => Phase::Draining,
+        ReplicaStatus { .. } => Phase::Ready,
     };
-    let id = linenthread_consensus::fnv1a_64(pool.ident.as_bytes());
-    let site = zones.number_of(&pool.zone);
     Listed {
         replica,
-        id,
-        cell,
-        site,
+        id: linenthread_consensus::fnv1a_64(pool.id().as_bytes()),
+        cell: service,
+        site: zones.index_of(pool.zone()),
         phase,
         started: None,
         cold_share: None,
     }
 }
 
-/// Rounds of the module, whenever something came or it asked to be woken.
+/// Runs a round of the decision module whenever something arrived, or when it asked for one.
 async fn run<C: Connector>(dispatcher: Rc<Dispatcher<C>>) {
-    let mut wake: Option<Tenths> = None;
+    let mut wake_at: Option<Tenths> = None;
     loop {
-        match wake.filter(|_| dispatcher.open.get() > 0) {
+        match wake_at.filter(|_| dispatcher.open_queries.get() > 0) {
             Some(at) => {
-                let at = clock::at_tenths(at).into();
-                let _ = tokio::time::timeout_at(at, dispatcher.notify.notified()).await;
+                let at = clock::tenths_to_std(at).into();
+                let _ = tokio::time::timeout_at(at, dispatcher.arrived.notified()).await;
             }
-            None => dispatcher.notify.notified().await,
+            None => dispatcher.arrived.notified().await,
         }
-        // The module says when it is to be woken only if its last wish is past.
+        // The module names a moment only if the one that it named last is past.
         let next = dispatcher.round();
-        wake = next.or(wake.filter(|at| *at > clock::tenths()));
-    }
-}
-
-/// The replica's answer as it came, or the greatest records of the parts that are in.
-fn satisfied(open: &mut OpenLookup) -> Reply {
-    if let Target::One(_) = open.planned.target {
-        return match open.parts[0].answer.take() {
-            Some(answer) => Reply::passed_on(answer),
-            None => given_up(open, None),
-        };
-    }
-    let parts: PartsIn = open
-        .parts
-        .iter()
-        .filter_map(|part| part.answer.as_ref())
-        .collect();
-    if parts.is_empty() {
-        drop(parts);
-        return given_up(open, None);
-    }
-    Reply::gathered(
-        &open.request.attempt,
-        &parts,
-        open.parts.len(),
-        open.planned.route.result_limit,
-    )
-}
-
-/// A replica's own failure if there was one, else what may be promised.
-fn given_up(open: &mut OpenLookup, after: Option<Tenths>) -> Reply {
-    if let Some(failure) = open.failure.take() {
-        return Reply::passed_on(failure);
+        wake_at = next.or(wake_at.filter(|at| *at > clock::now_tenths()));
     }
-    Reply::given_up(open.parts.iter().any(|part| part.may_have_run > 0), after)
 }
--- a/crates/linenthread-dataplane/src/terms.rs
+++ b/crates/linenthread-dataplane/src/dispatcher/policy_inputs.rs
@@ -1,4 +1,4 @@
-//! What a route and the limits of the settings say, in the terms of the decision module.
+//! Routes and settings in the terms of the decision module.
 
 use linenthread_config::{Mode, Planned, Settings, Target};
 use linenthread_core::interface::{
@@ -6,11 +6,22 @@
 };
 use linenthread_core::policy::{BUDGET_USE, LATE_SHARE, PARTIAL_GAIN};
 
+use crate::clock;
+
+/// The shortest and the longest time that is handed to the decision module, in milliseconds.
+const TIME_RANGE_MS: (f64, f64) = (1.0, 1e9);
+/// Less urgent routes are all of the same value.
+const MAX_RANK: i64 = 1_000;
+/// The window of the decision module's budget for replicas that are warming up, in tenths of a millisecond.
+const WARM_UP_WINDOW: Tenths = 10_000;
+
 fn tenths(ms: f64) -> Tenths {
-    (ms.clamp(1.0, 1e9) * 10.0) as Tenths
+    let (min, max) = TIME_RANGE_MS;
+    clock::ms_to_tenths(ms.clamp(min, max))
 }
 
-pub(crate) fn index(planned: &Planned) -> Index {
+/// A route as a kind of query.
+pub(super) fn index(planned: &Planned) -> Index {
     let route = &planned.route;
     let floor = match planned.target {
         Target::All(_) if route.min_coverage > 0.0 => route.min_coverage.min(1.0),
@@ -23,7 +34,7 @@
             Effect::Idempotent
         },
         soft_deadline: tenths(route.target_ms.unwrap_or(route.limit_ms)),
-        gain: 1.0 / (1.0 + route.rank.clamp(0, 1_000) as f64),
+        gain: 1.0 / (1.0 + route.rank.clamp(0, MAX_RANK) as f64),
         late_share: LATE_SHARE,
         need: 1.0,
         floor,
@@ -32,9 +43,10 @@
     }
 }
 
-/// For so many services that are asked together, each part of which may go to so many replicas. The budget is
-/// kept at each service: that all further calls went to one of them is allowed for.
-pub(crate) fn deployment(services: usize, tries: usize, settings: &Settings) -> Deployment {
+/// The deployment of so many services that are queried together, each part of which may be sent so many times.
+///
+/// The retry budget holds at each service; that all retries went to one of them is allowed for.
+pub(super) fn deployment(services: usize, max_attempts: usize, settings: &Settings) -> Deployment {
     Deployment {
         own_number: 0,
         co_ordinators: 1,
@@ -47,18 +59,18 @@
             in_a_row: 1,
         },
         allowance: Allowance {
-            calls_a_part: tries,
-            second_copies: tries > 1,
+            calls_a_part: max_attempts,
+            second_copies: max_attempts > 1,
             withdraw: false,
             probes: false,
             retry_advice: Some(Tenths::MAX),
         },
-        // Replicas say when they are slow after their start; nothing says that they fall over.
+        // Replicas announce that they are slow after their start; nothing says that load makes them crash.
         cold: ColdStart {
             share: 1.0,
             warm_up: 0,
             multiple: 1.0,
-            window: 10_000,
+            window: WARM_UP_WINDOW,
         },
         queue_told: false,
         short_queues: true,
--- /dev/null
+++ b/crates/linenthread-dataplane/src/dispatcher/state.rs
@@ -0,0 +1,110 @@
+//! What a dispatcher owns: the decision module, the open queries and the replicas that they may go to.
+
+use linenthread_config::Settings;
+use linenthread_core::Coordinator;
+use linenthread_core::interface::{Arrivals, Index};
+
+use super::decisions::{Decision, Decisions};
+use super::pass_through::PassThrough;
+use super::policy_inputs;
+use super::query::{OpenQuery, QueryId};
+use super::replica_slots::ReplicaSlots;
+use crate::clock;
+use crate::transport::Connector;
+
+/// A dispatcher's tables.
+pub(super) struct State<C: Connector> {
+    pub(super) coordinator: Coordinator,
+    /// Decides in the coordinator's place where only its cost is to be measured.
+    pass_through: Option<PassThrough>,
+    /// The kinds of queries that the coordinator knows, by index.
+    query_kinds: Vec<Index>,
+    /// What arrived since the last round.
+    pub(super) arrivals: Arrivals,
+    pub(super) replicas: ReplicaSlots<C>,
+    queries: Vec<Option<OpenQuery>>,
+    free_queries: Vec<usize>,
+    pub(super) decisions: Decisions,
+}
+
+impl<C: Connector> State<C> {
+    pub(super) fn new(
+        service_count: usize,
+        max_attempts: usize,
+        settings: &Settings,
+        seed: u64,
+    ) -> State<C> {
+        let deployment = policy_inputs::deployment(service_count, max_attempts, settings);
+        State {
+            coordinator: Coordinator::new(deployment, seed),
+            pass_through: settings.pass_through.then(PassThrough::default),
+            query_kinds: Vec::new(),
+            arrivals: Arrivals::default(),
+            replicas: ReplicaSlots::new(),
+            queries: Vec::new(),
+            free_queries: Vec::new(),
+            decisions: Decisions::default(),
+        }
+    }
+
+    /// One round of the decision module on all that arrived; its decisions.
+    pub(super) fn decide(&mut self) -> Vec<Decision> {
+        self.arrivals.now = clock::now_tenths();
+        let arrivals = std::mem::take(&mut self.arrivals);
+        self.decisions.wake_at = None;
+        match &mut self.pass_through {
+            None => self.coordinator.round(&arrivals, &mut self.decisions),
+            Some(pass_through) => pass_through.round(&arrivals, &mut self.decisions),
+        }
+        std::mem::take(&mut self.decisions.list)
+    }
+
+    /// The index of a kind of query, which gets one if it is new.
+    pub(super) fn query_kind(&mut self, kind: Index) -> usize {
+        if let Some(known) = self.query_kinds.iter().position(|known| *known == kind) {
+            return known;
+        }
+        self.query_kinds.push(kind.clone());
+        self.coordinator.add_index(kind)
+    }
+
+    /// A slot that no open query has.
+    pub(super) fn free_query_slot(&mut self) -> usize {
+        self.free_queries.pop().unwrap_or_else(|| {
+            self.queries.push(None);
+            self.queries.len() - 1
+        })
+    }
+
+    pub(super) fn open_query(&mut self, slot: usize, query: OpenQuery) {
+        self.queries[slot] = Some(query);
+    }
+
+    /// The query in a slot, if it is open.
+    pub(super) fn query_in(&mut self, slot: usize) -> Option<&mut OpenQuery> {
+        self.queries.get_mut(slot)?.as_mut()
+    }
+
+    /// A query, unless it has ended.
+    pub(super) fn query(&mut self, id: QueryId) -> Option<&mut OpenQuery> {
+        self.query_in(id.slot)
+            .filter(|query| query.sequence == id.sequence)
+    }
+
+    /// Ends a query: its slot is free.
+    pub(super) fn release_query(&mut self, slot: usize) {
+        if self.queries[slot].take().is_some() {
+            self.free_queries.push(slot);
+        }
+    }
+
+    /// Frees the indices of replicas that no open query can name any more.
+    pub(super) fn free_departed_replicas(&mut self) {
+        if !self.replicas.has_departed() {
+            return;
+        }
+        let oldest_open = self.queries.iter().flatten().map(|query| query.sequence);
+        let oldest_open = oldest_open.min().unwrap_or(u64::MAX);
+        self.replicas.free_departed(oldest_open);
+    }
+}
--- a/crates/linenthread-dataplane/src/lib.rs
+++ b/crates/linenthread-dataplane/src/lib.rs
@@ -1,29 +1,39 @@
-//! The traffic path of a front: clients' connections, the dispatchers that hand requests to the decision
+//! The traffic path of an ingress node: clients' connections, the dispatchers that hand requests to the decision
 //! module, and the connections to replicas.
 //!
-//! All input and output goes through the traits in [`transport`] and all time through `tokio::time`, so that
-//! the same code runs in the daemon over TCP and in the simulator over connections in memory with a paused
-//! clock. What keeps an answer with its request, and keeps what may not be repeated from running twice, is
-//! written down in `docs/dataplane-safety.md`.
+//! ```text
+//! client -> server (receive, forward) -> data_plane -> dispatcher <-> decision module
+//!                                                          |
+//! client <- server (respond) <- response <- query <----- pool (exchange) <-> replica
+//! ```
+//!
+//! All input and output goes through the traits in [`transport`] and all time through `tokio::time`, so that the
+//! same code runs in the daemon over TCP and in the simulator over connections in memory with a paused clock. This
+//! package knows nothing of control nodes or operators: whoever runs it hands it configurations, replicas and
+//! quotas. What ties a response to its request, and what keeps a request that is not idempotent from running
+//! twice, is written down in `docs/dataplane-safety.md`.
+//!
+//! Start reading at [`DataPlane`] and [`serve`]; the rules of retries are in [`outcome`].
 
-mod action;
 pub mod clock;
 pub mod connection;
+mod counter;
 mod data_plane;
 mod dispatcher;
-mod event_log;
 pub mod outcome;
-mod pass_through;
 pub mod pool;
-mod reply;
-mod serve;
-mod terms;
+mod rejected_input;
+mod replica_table;
+mod response;
+mod retry_quota;
+mod server;
+mod shutdown;
 pub mod transport;
 mod zones;
 
-pub use data_plane::{DataPlane, Share};
-pub use dispatcher::{Dispatcher, LookupId};
-pub use event_log::refused;
-pub use reply::Reply;
-pub use serve::serve;
-pub use zones::Zones;
+pub use data_plane::DataPlane;
+pub use rejected_input::log_rejected_input;
+pub use replica_table::UpdateScope;
+pub use retry_quota::RetryQuota;
+pub use server::serve;
+pub use shutdown::ClosingWatch;
--- /dev/null
+++ b/crates/linenthread-dataplane/src/pool/request.rs
@@ -0,0 +1,80 @@
+//! A client's request as it is sent to replicas.
+
+use std::cell::RefCell;
+use std::time::Duration;
+
+use linenthread_http::write_decimal;
+use linenthread_time::whole_millis;
+use smallvec::SmallVec;
+
+use super::ConnectionId;
+use crate::outcome::ResponseUse;
+
+/// A request with no more sub-requests than this needs no allocation to remember their connections.
+const INLINE_SUB_REQUESTS: usize = 12;
+/// Space for the headers that differ from replica to replica, in bytes, without the replica's id.
+const REPLICA_HEADER_BYTES: usize = 64;
+
+/// A request on its way to replicas. All of them get the same bytes, but for two headers.
+pub struct ReplicaRequest {
+    /// The request line and the headers before those of the replica.
+    head: Vec<u8>,
+    /// The rest of the head, and the body.
+    rest: Vec<u8>,
+    /// The client's id of the request.
+    pub(crate) attempt_id: String,
+    /// Its method is `HEAD`: responses have no body.
+    pub(crate) is_head_method: bool,
+    pub(crate) response_use: ResponseUse,
+    /// The connections that carried it. A surplus response to an earlier sub-request has the same id as the
+    /// response to the next one, so those two never share a connection.
+    connections: RefCell<SmallVec<[ConnectionId; INLINE_SUB_REQUESTS]>>,
+}
+
+impl ReplicaRequest {
+    /// `head` and `rest` are the bytes before and after the headers that each replica gets of its own; whole lines.
+    pub fn new(
+        head: Vec<u8>,
+        rest: Vec<u8>,
+        attempt_id: String,
+        response_use: ResponseUse,
+    ) -> ReplicaRequest {
+        ReplicaRequest {
+            head,
+            rest,
+            attempt_id,
+            is_head_method: false,
+            response_use,
+            connections: RefCell::default(),
+        }
+    }
+
+    /// Says whether the method is `HEAD`, so that responses have no body.
+    #[must_use]
+    pub fn with_head_method(mut self, is_head_method: bool) -> ReplicaRequest {
+        self.is_head_method = is_head_method;
+        self
+    }
+
+    pub(super) fn was_carried_by(&self, connection: ConnectionId) -> bool {
+        self.connections.borrow().contains(&connection)
+    }
+
+    pub(super) fn add_connection(&self, connection: ConnectionId) {
+        self.connections.borrow_mut().push(connection);
+    }
+
+    /// The bytes of a sub-request to this replica, with so much time left.
+    pub(super) fn to_bytes(&self, replica_id: &str, remaining: Duration) -> Vec<u8> {
+        let length = self.head.len() + REPLICA_HEADER_BYTES + replica_id.len() + self.rest.len();
+        let mut bytes = Vec::with_capacity(length);
+        bytes.extend_from_slice(&self.head);
+        bytes.extend_from_slice(b"X-Remaining-Ms: ");
+        write_decimal(&mut bytes, whole_millis(remaining).max(1));
+        bytes.extend_from_slice(b"\r\nX-Target-Replica: ");
+        bytes.extend_from_slice(replica_id.as_bytes());
+        bytes.extend_from_slice(b"\r\n");
+        bytes.extend_from_slice(&self.rest);
+        bytes
+    }
+}
--- /dev/null
+++ b/crates/linenthread-dataplane/src/replica_table.rs
@@ -0,0 +1,154 @@
+//! The replicas that service discovery names: their pools by id and by service.
+
+use std::collections::{BTreeMap, HashMap, HashSet};
+use std::net::SocketAddr;
+use std::rc::Rc;
+
+use linenthread_messages::Replica;
+use linenthread_time::Instant;
+
+use crate::pool::{ReplicaPool, ReplicaStatus};
+use crate::transport::Connector;
+
+/// Connection pools of replicas.
+pub(crate) type Pools<C> = Vec<Rc<ReplicaPool<C>>>;
+
+/// What an update of replicas says of those that it leaves out.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum UpdateScope {
+    /// It names all there are: others have departed.
+    Complete,
+    /// It names those that have changed.
+    Changes,
+}
+
+/// All replicas that are remembered, departed ones too.
+pub(crate) struct ReplicaTable<C: Connector> {
+    connector: C,
+    by_id: BTreeMap<String, Rc<ReplicaPool<C>>>,
+    by_service: HashMap<Rc<str>, Pools<C>>,
+}
+
+impl<C: Connector> ReplicaTable<C> {
+    pub(crate) fn new(connector: C) -> ReplicaTable<C> {
+        ReplicaTable {
+            connector,
+            by_id: BTreeMap::new(),
+            by_service: HashMap::new(),
+        }
+    }
+
+    /// Takes in an update; the pools of the replicas whose status changed.
+    pub(crate) fn update(&mut self, replicas: &[Replica], scope: UpdateScope) -> Pools<C> {
+        let mut changed: Pools<C> = replicas
+            .iter()
+            .filter_map(|replica| self.update_one(replica))
+            .collect();
+        if scope == UpdateScope::Complete {
+            let named: HashSet<&str> = replicas.iter().map(|r| r.id.as_str()).collect();
+            changed.extend(self.depart_all_except(&named));
+        }
+        changed
+    }
+
+    /// Takes in what is said of one replica; its pool, if it changed.
+    fn update_one(&mut self, replica: &Replica) -> Option<Rc<ReplicaPool<C>>> {
+        let status = ReplicaStatus {
+            draining: replica.draining,
+            departed: replica.removed || replica.removed_for_good,
+        };
+        let Some(pool) = self.by_id.get(&replica.id).cloned() else {
+            return if status.departed {
+                None
+            } else {
+                self.add(replica)
+            };
+        };
+        if pool.status() == status {
+            return None;
+        }
+        pool.set_status(status);
+        Some(pool)
+    }
+
+    /// A pool for a new replica, if its address can be read.
+    fn add(&mut self, replica: &Replica) -> Option<Rc<ReplicaPool<C>>> {
+        let address = replica.address.parse::<SocketAddr>().ok()?;
+        let service = match self.by_service.get_key_value(replica.backend.as_str()) {
+            Some((service, _)) => service.clone(),
+            None => Rc::from(replica.backend.as_str()),
+        };
+        let connector = self.connector.clone();
+        let pool = Rc::new(ReplicaPool::new(
+            replica,
+            service.clone(),
+            address,
+            connector,
+        ));
+        self.by_service
+            .entry(service)
+            .or_default()
+            .push(pool.clone());
+        self.by_id.insert(replica.id.clone(), pool.clone());
+        Some(pool)
+    }
+
+    /// Marks all replicas as departed that are not named; those that were not before.
+    fn depart_all_except(&self, named: &HashSet<&str>) -> Pools<C> {
+        let departed: Pools<C> = self
+            .by_id
+            .values()
+            .filter(|pool| !pool.status().departed && !named.contains(pool.id()))
+            .cloned()
+            .collect();
+        for pool in &departed {
+            pool.set_status(ReplicaStatus {
+                departed: true,
+                ..pool.status()
+            });
+        }
+        departed
+    }
+
+    /// How many replicas have not departed.
+    pub(crate) fn available(&self) -> usize {
+        self.by_id
+            .values()
+            .filter(|pool| !pool.status().departed)
+            .count()
+    }
+
+    /// The pools of these services, in the services' order.
+    pub(crate) fn pools_of(&self, services: &[Rc<str>]) -> Pools<C> {
+        services
+            .iter()
+            .filter_map(|service| self.by_service.get(service))
+            .flatten()
+            .cloned()
+            .collect()
+    }
+
+    /// Limits the connections to each replica by its service.
+    pub(crate) fn limit_connections(&self, max_connections: impl Fn(&str) -> usize) {
+        for (service, pools) in &self.by_service {
+            let max_connections = max_connections(service);
+            for pool in pools {
+                pool.set_max_connections(max_connections);
+            }
+        }
+    }
+
+    /// Closes connections that their replicas are about to close, and forgets replicas that departed long ago.
+    pub(crate) fn maintain(&mut self, now: Instant) {
+        for pool in self.by_id.values() {
+            pool.close_expired();
+        }
+        let known = self.by_id.len();
+        self.by_id.retain(|_, pool| !pool.is_forgotten(now));
+        if self.by_id.len() < known {
+            for pools in self.by_service.values_mut() {
+                pools.retain(|pool| !pool.is_forgotten(now));
+            }
+        }
+    }
+}
--- /dev/null
+++ b/crates/linenthread-dataplane/src/server.rs
@@ -0,0 +1,127 @@
+//! Clients' connections, one request after another.
+
+mod forward;
+mod receive;
+mod respond;
+
+use std::net::SocketAddr;
+use std::rc::Rc;
+
+use linenthread_consensus::fnv1a_64;
+use tokio::io::{AsyncRead, AsyncWrite};
+
+use self::forward::{deadline, to_replica_request};
+use self::receive::{ClientRequest, ReceiveError, RequestLimits, receive, rejection_status};
+use self::respond::{BodyPresence, Persistence, respond};
+use crate::connection::HttpConnection;
+use crate::data_plane::DataPlane;
+use crate::dispatcher::PendingResponse;
+use crate::rejected_input::log_rejected_input;
+use crate::response::Response;
+use crate::transport::Connector;
+
+/// Advice to a client while there is no configuration yet.
+const NO_CONFIGURATION_ADVICE: &[u8] = b"Retry-After: 0.5\r\n";
+
+/// Serves one client's connection until either side ends it.
+pub async fn serve<S, C>(stream: S, peer: SocketAddr, plane: Rc<DataPlane<C>>)
+where
+    S: AsyncRead + AsyncWrite + Unpin,
+    C: Connector,
+{
+    let mut http = HttpConnection::new(stream);
+    let _client = plane.count_client();
+    let mut closing = plane.watch_closing();
+    loop {
+        let limits = RequestLimits::of(plane.plan().as_deref());
+        let arrived = tokio::select! {
+            biased;
+            arrived = http.wait_for_data(limits.idle_timeout) => arrived,
+            () = closing.closing() => return,
+        };
+        if arrived.is_err() {
+            return;
+        }
+        let _request = plane.count_request();
+        let persistence = match receive(&mut http, &limits).await {
+            Ok(request) => serve_request(&mut http, &request, &plane).await,
+            Err(error) => {
+                reject(&mut http, peer, &error).await;
+                Persistence::Close
+            }
+        };
+        if persistence == Persistence::Close {
+            return;
+        }
+    }
+}
+
+/// Rejects what is not a request, if anybody is there to be told so.
+async fn reject<S: AsyncRead + AsyncWrite + Unpin>(
+    http: &mut HttpConnection<S>,
+    peer: SocketAddr,
+    error: &ReceiveError,
+) {
+    if let ReceiveError::Rejected { step, source } = error {
+        log_rejected_input(step, peer, source);
+        let response = Response::empty(rejection_status(*source));
+        let _ = respond(http, &response, Persistence::Close, BodyPresence::Sent).await;
+    }
+}
+
+/// Serves one request; whether the connection can carry another.
+async fn serve_request<S, C>(
+    http: &mut HttpConnection<S>,
+    request: &ClientRequest,
+    plane: &DataPlane<C>,
+) -> Persistence
+where
+    S: AsyncRead + AsyncWrite + Unpin,
+    C: Connector,
+{
+    let response = match route(request, plane) {
+        Ok(mut pending) => tokio::select! {
+            biased;
+            response = pending.response() => response,
+            () = http.wait_closed() => {
+                pending.cancel();
+                return Persistence::Close;
+            }
+        },
+        Err(response) => response,
+    };
+    let persistence = if request.head.keeps_alive() && !plane.is_draining() {
+        Persistence::KeepAlive
+    } else {
+        Persistence::Close
+    };
+    let body = if request.head.method() == "HEAD" {
+        BodyPresence::Omitted
+    } else {
+        BodyPresence::Sent
+    };
+    match respond(http, &response, persistence, body).await {
+        Ok(()) => persistence,
+        Err(_) => Persistence::Close,
+    }
+}
+
+/// Dispatches a request along its route; else the response that it is rejected with.
+fn route<C: Connector>(
+    request: &ClientRequest,
+    plane: &DataPlane<C>,
+) -> Result<PendingResponse<C>, Response> {
+    let plan = plane
+        .plan()
+        .ok_or_else(|| Response::with_headers(503, NO_CONFIGURATION_ADVICE.to_vec()))?;
+    let head = &request.head;
+    let host = head.header("host").unwrap_or_default();
+    let planned = plan
+        .route(host, head.path())
+        .ok_or_else(|| Response::empty(404))?;
+    let replica_request =
+        to_replica_request(request, host, planned).map_err(|_| Response::empty(400))?;
+    let deadline = deadline(head, planned).map_err(|_| Response::empty(400))?;
+    let key = fnv1a_64(head.target().as_bytes());
+    Ok(plane.dispatch(Rc::new(replica_request), planned, key, deadline))
+}
--- /dev/null
+++ b/crates/linenthread-dataplane/src/server/respond.rs
@@ -0,0 +1,75 @@
+//! Writing a response to a client's connection.
+
+use std::time::Duration;
+
+use linenthread_http::write_decimal;
+use tokio::io::{AsyncRead, AsyncWrite};
+use tokio::time::Instant;
+
+use crate::connection::{ConnectionError, HttpConnection};
+use crate::response::Response;
+
+/// A client accepts a response within this time.
+const WRITE_TIMEOUT: Duration = Duration::from_secs(10);
+/// Space for the status line and the lines that are written here, in bytes.
+const HEAD_BYTES: usize = 128;
+
+/// Whether the connection stays open after a response.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum Persistence {
+    KeepAlive,
+    Close,
+}
+
+/// Whether a response has a body: one to a `HEAD` request has none, whatever its length line says.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum BodyPresence {
+    Sent,
+    Omitted,
+}
+
+/// Writes a response.
+pub(super) async fn respond<S: AsyncRead + AsyncWrite + Unpin>(
+    http: &mut HttpConnection<S>,
+    response: &Response,
+    persistence: Persistence,
+    body: BodyPresence,
+) -> Result<(), ConnectionError> {
+    let length = HEAD_BYTES + response.headers.len() + response.body.len();
+    let mut bytes = Vec::with_capacity(length);
+    bytes.extend_from_slice(b"HTTP/1.1 ");
+    write_decimal(&mut bytes, u64::from(response.status));
+    bytes.push(b' ');
+    bytes.extend_from_slice(reason_phrase(response.status).as_bytes());
+    bytes.extend_from_slice(b"\r\n");
+    bytes.extend_from_slice(&response.headers);
+    if persistence == Persistence::Close {
+        bytes.extend_from_slice(b"Connection: close\r\n");
+    }
+    if !matches!(response.status, 204 | 304) {
+        bytes.extend_from_slice(b"Content-Length: ");
+        write_decimal(&mut bytes, response.body.len() as u64);
+        bytes.extend_from_slice(b"\r\n");
+    }
+    bytes.extend_from_slice(b"\r\n");
+    if body == BodyPresence::Sent {
+        bytes.extend_from_slice(&response.body);
+    }
+    http.write(&bytes, Instant::now() + WRITE_TIMEOUT).await
+}
+
+fn reason_phrase(status: u16) -> &'static str {
+    match status {
+        200 => "OK",
+        400 => "Bad Request",
+        404 => "Not Found",
+        408 => "Request Timeout",
+        413 => "Content Too Large",
+        431 => "Request Header Fields Too Large",
+        500 => "Internal Server Error",
+        502 => "Bad Gateway",
+        503 => "Service Unavailable",
+        504 => "Gateway Timeout",
+        _ => "Answer",
+    }
+}
--- a/crates/linenthread-dataplane/src/transport.rs
+++ b/crates/linenthread-dataplane/src/transport.rs
@@ -1,4 +1,4 @@
-//! Where connections come from: TCP in the daemon, memory in simulations and tests.
+//! Where connections to replicas come from: TCP in the daemon, memory in simulations and tests.
 
 use std::future::Future;
 use std::io;
@@ -9,28 +9,31 @@
 
 /// A connection to a replica.
 pub trait ReplicaTransport: AsyncRead + AsyncWrite + Unpin + 'static {
-    /// Nothing can be read from it at this moment: no byte waits and the other side has not closed. A
-    /// connection on which this was once false is not used again, so it may take bytes off.
-    fn is_quiet(&self) -> bool;
+    /// Whether nothing can be read from it at this moment: no byte waits and the other side has not closed it. A
+    /// connection that was once not idle here is not used again, so the check may consume bytes.
+    fn is_idle(&self) -> bool;
 }
 
 /// Opens connections to replicas.
 pub trait Connector: Clone + 'static {
-    /// Its connections.
+    /// The connections that it opens.
     type Transport: ReplicaTransport;
 
-    /// Connects; the caller bounds the time.
+    /// Connects; the caller limits the time.
+    ///
+    /// # Errors
+    /// No connection could be made.
     fn connect(&self, address: SocketAddr) -> impl Future<Output = io::Result<Self::Transport>>;
 }
 
-/// Connections of the operating system.
+/// Opens TCP connections.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct TcpConnector;
 
 impl ReplicaTransport for TcpStream {
-    fn is_quiet(&self) -> bool {
-        let mut one = [0; 1];
-        matches!(self.try_read(&mut one), Err(e) if e.kind() == io::ErrorKind::WouldBlock)
+    fn is_idle(&self) -> bool {
+        let mut byte = [0; 1];
+        matches!(self.try_read(&mut byte), Err(e) if e.kind() == io::ErrorKind::WouldBlock)
     }
 }
 
--- a/crates/linenthread-dataplane/src/zones.rs
+++ b/crates/linenthread-dataplane/src/zones.rs
@@ -1,32 +1,39 @@
-//! Zones by number, as the decision module knows them.
+//! Zones by index, as the decision module knows them.
 
 use std::cell::RefCell;
 
 use linenthread_core::interface::WayTo;
 
-/// To how many keys of a thousand each zone is open.
-const OPEN: u16 = 1_000;
+/// To how many keys of a thousand each zone is open: all of them.
+const OPEN_PER_MILLE: u16 = 1_000;
 
-/// Zones by number, in the order they were met; this machine's own is the first.
-#[derive(Default)]
-pub struct Zones(RefCell<Vec<String>>);
+/// The zones met so far, each of which has an index for the decision module.
+pub(crate) struct Zones(RefCell<Vec<String>>);
 
 impl Zones {
-    /// The number of a zone, which is given one if it is new.
-    pub fn number_of(&self, zone: &str) -> usize {
+    /// Index 0 is the zone of this process.
+    pub(crate) fn new(local: &str) -> Zones {
+        Zones(RefCell::new(vec![local.to_owned()]))
+    }
+
+    /// The index of a zone, which gets the next one if it is new.
+    pub(crate) fn index_of(&self, zone: &str) -> usize {
         let mut zones = self.0.borrow_mut();
-        zones.iter().position(|z| z == zone).unwrap_or_else(|| {
-            zones.push(zone.to_owned());
-            zones.len() - 1
-        })
+        zones
+            .iter()
+            .position(|known| known == zone)
+            .unwrap_or_else(|| {
+                zones.push(zone.to_owned());
+                zones.len() - 1
+            })
     }
 
-    /// Near ones first.
-    pub fn ways(&self) -> Vec<WayTo> {
-        let way = |(number, zone): (usize, &String)| WayTo {
+    /// How each zone is to be used from here, by index: the local one first.
+    pub(crate) fn ways(&self) -> Vec<WayTo> {
+        let way = |(index, zone): (usize, &String)| WayTo {
             id: linenthread_consensus::fnv1a_64(zone.as_bytes()),
-            distance: u8::from(number > 0),
-            open: OPEN,
+            distance: u8::from(index > 0),
+            open: OPEN_PER_MILLE,
         };
         self.0.borrow().iter().enumerate().map(way).collect()
     }
--- a/crates/linenthread-dataplane/tests/outcome.rs
+++ b/crates/linenthread-dataplane/tests/outcome.rs
@@ -1,62 +1,64 @@
-//! Whose answer it is, how a sub-request ended, and whether it may be sent again: the whole table.
+//! The complete tables: whose response it is, how a sub-request ended, and whether it may be retried.
 
 use bytes::BytesMut;
 use linenthread_config::Mode;
 use linenthread_core::interface::Ending;
-use linenthread_dataplane::outcome::SendState::{MayHaveRun, NeverLeft, Rejected};
+use linenthread_dataplane::outcome::SendState::{MayHaveRun, NotSent, Rejected};
 use linenthread_dataplane::outcome::{
-    Connection, SendState, WireEvent, classify, judge, may_send_again,
+    ConnectionAge, Outcome, ResponseUse, SendState, WireEvent, classify_response, may_retry,
 };
 use linenthread_http::Head;
 use yare::parameterized;
 
 const EVENTS: [WireEvent; 15] = [
-    WireEvent::NoRoom,
-    WireEvent::NotConnected,
+    WireEvent::PoolExhausted,
+    WireEvent::ConnectFailed,
     WireEvent::NothingWritten,
-    WireEvent::WriteCut,
-    WireEvent::ClosedUnanswered,
-    WireEvent::AnswerCut,
-    WireEvent::Silent,
+    WireEvent::WriteTruncated,
+    WireEvent::ClosedBeforeResponse,
+    WireEvent::ResponseTruncated,
+    WireEvent::TimedOut,
     WireEvent::Malformed,
-    WireEvent::NotOurs,
+    WireEvent::Unattributed,
     WireEvent::Misdirected,
     WireEvent::NotExecuted,
     WireEvent::Success,
     WireEvent::Unsealed,
-    WireEvent::Refused,
-    WireEvent::Failed,
+    WireEvent::RequestRejected,
+    WireEvent::ServerError,
 ];
 
 #[parameterized(
-    no_room = { WireEvent::NoRoom, Ending::Unsent, Ending::Unsent, NeverLeft },
-    not_connected = { WireEvent::NotConnected, Ending::Unconnected, Ending::Unconnected, NeverLeft },
-    nothing_written = { WireEvent::NothingWritten, Ending::Unconnected, Ending::Unsent, NeverLeft },
-    write_cut = { WireEvent::WriteCut, Ending::Broken, Ending::Errored, MayHaveRun },
-    closed_unanswered = { WireEvent::ClosedUnanswered, Ending::Broken, Ending::Errored, MayHaveRun },
-    answer_cut = { WireEvent::AnswerCut, Ending::Errored, Ending::Errored, MayHaveRun },
-    silent = { WireEvent::Silent, Ending::TimedOut, Ending::TimedOut, MayHaveRun },
+    pool_exhausted = { WireEvent::PoolExhausted, Ending::Unsent, Ending::Unsent, NotSent },
+    connect_failed = { WireEvent::ConnectFailed, Ending::Unconnected, Ending::Unconnected, NotSent },
+    nothing_written = { WireEvent::NothingWritten, Ending::Unconnected, Ending::Unsent, NotSent },
+    write_truncated = { WireEvent::WriteTruncated, Ending::Broken, Ending::Errored, MayHaveRun },
+    closed_before_response = { WireEvent::ClosedBeforeResponse, Ending::Broken, Ending::Errored, MayHaveRun },
+    response_truncated = { WireEvent::ResponseTruncated, Ending::Errored, Ending::Errored, MayHaveRun },
+    timed_out = { WireEvent::TimedOut, Ending::TimedOut, Ending::TimedOut, MayHaveRun },
     malformed = { WireEvent::Malformed, Ending::Errored, Ending::Errored, MayHaveRun },
-    not_ours = { WireEvent::NotOurs, Ending::Errored, Ending::Errored, MayHaveRun },
+    unattributed = { WireEvent::Unattributed, Ending::Errored, Ending::Errored, MayHaveRun },
     misdirected = { WireEvent::Misdirected, Ending::Unconnected, Ending::Unconnected, Rejected },
     not_executed = { WireEvent::NotExecuted, Ending::TurnedAway, Ending::TurnedAway, Rejected },
     success = { WireEvent::Success, Ending::Answered, Ending::Answered, MayHaveRun },
     unsealed = { WireEvent::Unsealed, Ending::Errored, Ending::Errored, MayHaveRun },
-    refused = { WireEvent::Refused, Ending::Answered, Ending::Answered, MayHaveRun },
-    failed = { WireEvent::Failed, Ending::Errored, Ending::Errored, MayHaveRun },
+    request_rejected = { WireEvent::RequestRejected, Ending::Answered, Ending::Answered, MayHaveRun },
+    server_error = { WireEvent::ServerError, Ending::Errored, Ending::Errored, MayHaveRun },
 )]
-fn each_event_has_its_ending(event: WireEvent, fresh: Ending, reused: Ending, sent: SendState) {
-    assert_eq!(judge(event, Connection::Fresh, false), (fresh, sent));
-    assert_eq!(judge(event, Connection::Reused, false), (reused, sent));
+fn each_event_has_its_outcome(event: WireEvent, new: Ending, reused: Ending, sent: SendState) {
+    for (age, ending) in [(ConnectionAge::New, new), (ConnectionAge::Reused, reused)] {
+        let outcome = Outcome::of(event, age, ResponseUse::Forwarded);
+        assert_eq!(outcome, Outcome { ending, sent });
+    }
 }
 
-/// The decision module judges by the ending alone: it must say no more than is known.
+/// The decision module sees the ending alone, so that must claim no more than is known.
 #[test]
-fn no_ending_says_never_ran_of_what_may_have_run() {
+fn no_ending_claims_that_what_may_have_run_never_ran() {
     for event in EVENTS {
-        for connection in [Connection::Fresh, Connection::Reused] {
-            for gathers in [false, true] {
-                let (ending, sent) = judge(event, connection, gathers);
+        for age in [ConnectionAge::New, ConnectionAge::Reused] {
+            for response_use in [ResponseUse::Forwarded, ResponseUse::Merged] {
+                let Outcome { ending, sent } = Outcome::of(event, age, response_use);
                 assert_eq!(
                     ending.never_ran(),
                     sent != SendState::MayHaveRun,
@@ -68,48 +70,54 @@
 }
 
 #[parameterized(
-    never_left = { SendState::NeverLeft, true },
+    not_sent = { SendState::NotSent, true },
     rejected = { SendState::Rejected, true },
     may_have_run = { SendState::MayHaveRun, false },
 )]
-fn what_may_not_be_repeated_is_sent_again_only_where_it_never_ran(sent: SendState, again: bool) {
-    assert_eq!(may_send_again(Mode::Mutating, sent), again);
-    assert!(may_send_again(Mode::Idempotent, sent));
+fn a_mutating_request_is_retried_only_where_it_never_ran(sent: SendState, again: bool) {
+    assert_eq!(may_retry(Mode::Mutating, sent), again);
+    assert!(may_retry(Mode::Idempotent, sent));
 }
 
 fn head(text: &str) -> Head {
     let mut bytes =
         BytesMut::from(format!("HTTP/1.1 {text}\r\nContent-Length: 0\r\n\r\n").as_bytes());
-    Head::answer(&mut bytes, 4_096).unwrap().unwrap()
+    Head::parse_response(&mut bytes, 4_096).unwrap().unwrap()
 }
 
 #[parameterized(
     own = { "200 OK\r\nX-Attempt-Id: a\r\nX-Replica-Seal: s", WireEvent::Success, WireEvent::Success },
-    without_id = { "200 OK\r\nX-Replica-Seal: s", WireEvent::NotOurs, WireEvent::NotOurs },
-    of_another = { "200 OK\r\nX-Attempt-Id: b\r\nX-Replica-Seal: s", WireEvent::NotOurs, WireEvent::NotOurs },
-    of_two = { "200 OK\r\nX-Attempt-Id: a\r\nX-Attempt-Id: b\r\nX-Replica-Seal: s",
-        WireEvent::NotOurs, WireEvent::NotOurs },
+    without_id = { "200 OK\r\nX-Replica-Seal: s", WireEvent::Unattributed, WireEvent::Unattributed },
+    of_another_request = { "200 OK\r\nX-Attempt-Id: b\r\nX-Replica-Seal: s", WireEvent::Unattributed, WireEvent::Unattributed },
+    of_two_requests = { "200 OK\r\nX-Attempt-Id: a\r\nX-Attempt-Id: b\r\nX-Replica-Seal: s",
+        WireEvent::Unattributed, WireEvent::Unattributed },
     unsealed = { "200 OK\r\nX-Attempt-Id: a", WireEvent::Unsealed, WireEvent::Unsealed },
     coded = { "200 OK\r\nX-Attempt-Id: a\r\nX-Replica-Seal: s\r\nContent-Encoding: gzip",
-        WireEvent::NotOurs, WireEvent::NotOurs },
+        WireEvent::Unattributed, WireEvent::Unattributed },
     not_executed = { "503 Busy\r\nX-Attempt-Id: a\r\nX-Not-Executed: 1",
         WireEvent::NotExecuted, WireEvent::NotExecuted },
-    not_executed_without_id = { "503 Busy\r\nX-Not-Executed: 1", WireEvent::NotExecuted, WireEvent::NotOurs },
+    not_executed_without_id = { "503 Busy\r\nX-Not-Executed: 1", WireEvent::NotExecuted, WireEvent::Unattributed },
     not_executed_of_another = { "503 Busy\r\nX-Attempt-Id: b\r\nX-Not-Executed: 1",
-        WireEvent::NotOurs, WireEvent::NotOurs },
+        WireEvent::Unattributed, WireEvent::Unattributed },
     not_executed_with_a_seal = { "503 Busy\r\nX-Attempt-Id: a\r\nX-Not-Executed: 1\r\nX-Replica-Seal: s",
-        WireEvent::Failed, WireEvent::Failed },
+        WireEvent::ServerError, WireEvent::ServerError },
     not_executed_and_a_success = { "200 OK\r\nX-Attempt-Id: a\r\nX-Not-Executed: 1",
         WireEvent::Unsealed, WireEvent::Unsealed },
-    misdirected = { "421 Misdirected\r\nX-Replica-Id: other", WireEvent::Misdirected, WireEvent::NotOurs },
-    misdirected_by_nobody = { "421 Misdirected", WireEvent::NotOurs, WireEvent::NotOurs },
+    misdirected = { "421 Misdirected\r\nX-Replica-Id: other", WireEvent::Misdirected, WireEvent::Unattributed },
+    misdirected_without_id = { "421 Misdirected", WireEvent::Unattributed, WireEvent::Unattributed },
     misdirected_by_itself = { "421 Misdirected\r\nX-Attempt-Id: a\r\nX-Replica-Id: i",
-        WireEvent::Refused, WireEvent::Refused },
-    unread = { "408 Late", WireEvent::NotOurs, WireEvent::NotOurs },
-    failed = { "500 Failed\r\nX-Attempt-Id: a", WireEvent::Failed, WireEvent::Failed },
-    refused = { "404 None\r\nX-Attempt-Id: a", WireEvent::Refused, WireEvent::Refused },
+        WireEvent::RequestRejected, WireEvent::RequestRejected },
+    without_id_or_promise = { "408 Late", WireEvent::Unattributed, WireEvent::Unattributed },
+    server_error = { "500 Failed\r\nX-Attempt-Id: a", WireEvent::ServerError, WireEvent::ServerError },
+    request_rejected = { "404 None\r\nX-Attempt-Id: a", WireEvent::RequestRejected, WireEvent::RequestRejected },
 )]
-fn an_answer_belongs_to_a_request_by_its_id(text: &str, fresh: WireEvent, reused: WireEvent) {
-    assert_eq!(classify(&head(text), "a", "i", Connection::Fresh), fresh);
-    assert_eq!(classify(&head(text), "a", "i", Connection::Reused), reused);
+fn a_response_belongs_to_a_request_by_its_id(text: &str, new: WireEvent, reused: WireEvent) {
+    assert_eq!(
+        classify_response(&head(text), "a", "i", ConnectionAge::New),
+        new
+    );
+    assert_eq!(
+        classify_response(&head(text), "a", "i", ConnectionAge::Reused),
+        reused
+    );
 }
--- a/crates/linenthread-dataplane/tests/pool.rs
+++ b/crates/linenthread-dataplane/tests/pool.rs
@@ -1,4 +1,4 @@
-//! The hard cases of a replica's connections, one by one, in simulated time.
+//! The hard cases of the connections to a replica, one by one, in simulated time.
 
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
@@ -7,14 +7,14 @@
 use std::time::Duration;
 
 use linenthread_core::interface::Ending;
-use linenthread_dataplane::outcome::SendState;
-use linenthread_dataplane::pool::{ReplicaPool, Request, SubRequestOutcome};
+use linenthread_dataplane::outcome::{Outcome, ResponseUse, SendState};
+use linenthread_dataplane::pool::{ReplicaPool, ReplicaRequest, SubRequestOutcome};
 use linenthread_dataplane_sim::network::{Event, Inbound, Listener, Network, Peer, WriteFate};
 use linenthread_dataplane_sim::replica::message;
 
 const TIME: Duration = Duration::from_millis(200);
 
-/// What comes back to one request, and when.
+/// What comes back to one request, and after how many milliseconds.
 type Reply = Vec<(u64, Event)>;
 
 /// What each connection does, in the order they are opened.
@@ -55,7 +55,7 @@
     pool: ReplicaPool<Network>,
 }
 
-/// A replica whose connections do this, each reply to one request.
+/// A replica whose connections do this; each reply is to one request.
 fn rig(connections: Vec<Vec<Reply>>) -> Rig {
     rig_of(
         connections
@@ -84,14 +84,13 @@
     }
 }
 
-fn request(attempt: &str) -> Request {
-    let begin = format!("POST /x HTTP/1.1\r\nHost: h\r\nX-Attempt-Id: {attempt}\r\n").into_bytes();
-    Request::new(
-        begin,
+fn request(attempt: &str) -> ReplicaRequest {
+    let head = format!("POST /x HTTP/1.1\r\nHost: h\r\nX-Attempt-Id: {attempt}\r\n").into_bytes();
+    ReplicaRequest::new(
+        head,
         b"Content-Length: 2\r\n\r\nhi".to_vec(),
         attempt.into(),
-        false,
-        false,
+        ResponseUse::Forwarded,
     )
 }
 
@@ -110,12 +109,16 @@
 
     /// The body that the request gets.
     async fn body(&self, attempt: &str) -> Option<Vec<u8>> {
-        self.call(attempt).await.answer.map(|answer| answer.body)
+        self.call(attempt)
+            .await
+            .response
+            .map(|response| response.body)
     }
 }
 
-fn may_have_run(outcome: &SubRequestOutcome, ending: Ending) -> bool {
-    outcome.ending == ending && outcome.sent == SendState::MayHaveRun && outcome.answer.is_none()
+fn may_have_run(ended: &SubRequestOutcome, ending: Ending) -> bool {
+    let sent = SendState::MayHaveRun;
+    ended.outcome == Outcome { ending, sent } && ended.response.is_none()
 }
 
 #[tokio::test(start_paused = true)]
@@ -130,7 +133,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_late_second_answer_of_the_previous_request_is_not_taken() {
+async fn a_late_second_response_to_the_previous_request_is_not_accepted() {
     let late = vec![(1, answer("a", "1")), (5, answer("b", "2"))];
     let rig = rig(vec![vec![vec![(1, answer("a", "1"))], late]]);
     rig.call("a").await;
@@ -139,7 +142,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn an_answer_without_an_id_is_not_taken() {
+async fn a_response_without_an_id_is_not_accepted() {
     let rig = rig(vec![
         vec![vec![(1, answer("", "1"))]],
         vec![vec![(1, answer("a", "1"))], vec![(1, answer("", "2"))]],
@@ -152,7 +155,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_connection_that_stayed_silent_is_not_used_again() {
+async fn a_connection_that_timed_out_is_not_used_again() {
     let rig = rig(vec![
         vec![vec![(300, answer("a", "late"))]],
         vec![vec![(1, answer("a", "2"))]],
@@ -165,14 +168,14 @@
     assert_eq!(rig.pool.idle(), 0);
     tokio::time::sleep(TIME).await;
     assert_eq!(
-        rig.pool.call(&request, TIME).await.answer.unwrap().body,
+        rig.pool.call(&request, TIME).await.response.unwrap().body,
         b"2"
     );
     assert_eq!(rig.script.opened.get(), 2);
 }
 
 #[tokio::test(start_paused = true)]
-async fn bytes_behind_an_answer_end_the_connection() {
+async fn surplus_bytes_after_a_response_end_the_connection() {
     let mut two = message(200, "a", "seal", "", b"1");
     two.extend(message(200, "b", "seal", "", b"2"));
     let rig = rig(vec![
@@ -185,7 +188,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn bytes_that_wait_on_an_idle_connection_end_it() {
+async fn unread_bytes_on_an_idle_connection_end_it() {
     let idle = vec![(1, answer("a", "1")), (20, answer("b", "2"))];
     let rig = rig(vec![vec![idle], vec![vec![(1, answer("b", "3"))]]]);
     rig.call("a").await;
@@ -203,13 +206,13 @@
     ]);
     rig.call("a").await;
     tokio::time::sleep(TIME).await;
-    rig.pool.tidy();
+    rig.pool.close_expired();
     assert_eq!(rig.pool.idle(), 0);
     assert_eq!(rig.body("b").await.unwrap(), b"2");
 }
 
 #[tokio::test(start_paused = true)]
-async fn what_went_out_on_a_forgotten_connection_may_have_run() {
+async fn a_request_on_a_connection_that_the_replica_dropped_may_have_run() {
     let rig = rig(vec![vec![
         vec![(1, answer("a", "1"))],
         vec![(1, Event::Reset)],
@@ -219,7 +222,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn what_a_reset_or_a_close_answers_may_have_run() {
+async fn a_request_answered_by_a_reset_or_a_close_may_have_run() {
     for end in [Event::Reset, Event::Close] {
         let rig = rig(vec![vec![vec![(1, end)]]]);
         assert!(may_have_run(&rig.call("a").await, Ending::Broken));
@@ -227,11 +230,11 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn half_an_answer_is_none() {
-    let whole = message(200, "a", "seal", "", b"whole");
-    for length in 1..whole.len() {
+async fn a_truncated_response_is_not_accepted() {
+    let complete = message(200, "a", "seal", "", b"whole");
+    for length in 1..complete.len() {
         for end in [Event::Reset, Event::Close] {
-            let half = Event::Bytes(whole[..length].to_vec());
+            let half = Event::Bytes(complete[..length].to_vec());
             let rig = rig(vec![vec![vec![(1, half), (2, end)]]]);
             assert!(
                 may_have_run(&rig.call("a").await, Ending::Errored),
@@ -243,7 +246,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn an_answer_that_stops_midway_may_have_run() {
+async fn a_request_whose_response_stalls_may_have_run() {
     let half = Event::Bytes(message(200, "a", "seal", "", b"whole")[..40].to_vec());
     let rig = rig(vec![vec![vec![(1, half)]]]);
     assert!(may_have_run(&rig.call("a").await, Ending::TimedOut));
@@ -251,7 +254,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_write_that_fails_halfway_may_have_run() {
+async fn a_request_whose_write_fails_halfway_may_have_run() {
     let rig = rig_of(vec![
         (WriteFate::FailsAfter(30), vec![]),
         (WriteFate::StopsAfter(30), vec![]),
@@ -261,69 +264,75 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_write_of_which_nothing_left_never_ran() {
+async fn a_request_of_which_no_byte_was_written_never_ran() {
     let rig = rig_of(vec![
         (WriteFate::FailsAfter(0), vec![]),
         (WriteFate::StopsAfter(0), vec![]),
     ]);
     for _ in 0..2 {
-        let outcome = rig.call("a").await;
+        let ended = rig.call("a").await;
         assert_eq!(
-            (outcome.ending, outcome.sent),
-            (Ending::Unconnected, SendState::NeverLeft)
+            ended.outcome,
+            Outcome {
+                ending: Ending::Unconnected,
+                sent: SendState::NotSent
+            }
         );
     }
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_rejection_is_believed_by_its_id_or_on_a_first_request() {
+async fn a_rejection_counts_with_its_id_or_on_a_first_request() {
     let first = vec![
         vec![(1, rejection(""))],
         vec![(1, rejection("b"))],
         vec![(1, rejection(""))],
     ];
     let rig = rig(vec![first]);
-    assert_eq!(rig.call("a").await.sent, SendState::Rejected);
-    assert_eq!(rig.call("b").await.sent, SendState::Rejected);
+    assert_eq!(rig.call("a").await.outcome.sent, SendState::Rejected);
+    assert_eq!(rig.call("b").await.outcome.sent, SendState::Rejected);
     assert!(may_have_run(&rig.call("c").await, Ending::Errored));
     assert_eq!(rig.pool.idle(), 0);
 }
 
-/// The second word of a rejection has the same id as the answer to the next try: they never meet.
+/// A repeated rejection has the same id as the response to the next attempt: they never meet.
 #[tokio::test(start_paused = true)]
-async fn a_request_never_goes_twice_over_one_connection() {
+async fn a_request_is_never_sent_twice_over_one_connection() {
     let rejected_twice = vec![vec![(1, rejection("a"))], vec![(1, rejection("a"))]];
     let rig = rig(vec![rejected_twice, vec![vec![(1, answer("a", "1"))]]]);
     let request = request("a");
     assert_eq!(
-        rig.pool.call(&request, TIME).await.sent,
+        rig.pool.call(&request, TIME).await.outcome.sent,
         SendState::Rejected
     );
     assert_eq!(rig.pool.idle(), 1);
     assert_eq!(
-        rig.pool.call(&request, TIME).await.answer.unwrap().body,
+        rig.pool.call(&request, TIME).await.response.unwrap().body,
         b"1"
     );
     assert_eq!(rig.script.opened.get(), 2);
 }
 
 #[tokio::test(start_paused = true)]
-async fn another_replica_at_the_address_has_not_run_it() {
+async fn a_misdirected_request_has_not_run() {
     let misdirected = Event::Bytes(message(421, "", "", "X-Replica-Id: j\r\n", b""));
     let rig = rig(vec![vec![vec![(1, misdirected)]]]);
-    let outcome = rig.call("a").await;
+    let ended = rig.call("a").await;
     assert_eq!(
-        (outcome.ending, outcome.sent),
-        (Ending::Unconnected, SendState::Rejected)
+        ended.outcome,
+        Outcome {
+            ending: Ending::Unconnected,
+            sent: SendState::Rejected
+        }
     );
     assert_eq!(rig.pool.idle(), 0);
 }
 
 #[tokio::test(start_paused = true)]
-async fn no_more_connections_are_up_than_a_replica_accepts() {
+async fn no_more_connections_are_open_than_the_limit_allows() {
     let rejected = || vec![vec![(1, rejection("a"))]];
     let rig = rig(vec![rejected(), rejected(), rejected()]);
-    rig.pool.most.set(2);
+    rig.pool.set_max_connections(2);
     let request = request("a");
     for waiting in [1, 2, 2] {
         rig.pool.call(&request, TIME).await;
--- a/crates/linenthread-dataplane/tests/serve.rs
+++ b/crates/linenthread-dataplane/tests/server.rs
@@ -1,5 +1,5 @@
-//! From a client's connection to the replicas and back, in simulated time: one final answer to each request,
-//! how often it is sent, and what is promised.
+//! From a client's connection to the replicas and back, in simulated time: one final response to each request,
+//! how often it is sent, and what its status promises.
 
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use linenthread_dataplane::connection::HttpConnection;
-use linenthread_dataplane::{DataPlane, Share, clock, serve};
+use linenthread_dataplane::{DataPlane, RetryQuota, UpdateScope, clock, serve};
 use linenthread_dataplane_sim::network::{Event, Inbound, Listener, Network, Peer, WriteFate};
 use linenthread_dataplane_sim::replica::message;
 use linenthread_dataplane_sim::world::{HOST, configuration, settings};
@@ -41,23 +41,23 @@
     }
 }
 
-/// A front with these replicas of both services that are asked alone.
-fn front(replicas: Option<&Replicas>) -> Rc<DataPlane<Network>> {
+/// An ingress node with these replicas of both services that are queried alone.
+fn ingress(replicas: Option<&Replicas>) -> Rc<DataPlane<Network>> {
     clock::restart();
     let network = Network::default();
     let plane = DataPlane::new(Rc::new(settings()), 1, network.clone());
-    plane.adopt(configuration().as_bytes());
-    plane.allot(Share {
-        free: 100.0,
-        until: u64::MAX,
-        own: 0,
-        fronts: 1,
+    plane.apply_configuration(configuration().as_bytes());
+    plane.set_retry_quota(RetryQuota {
+        retries_per_window: 100.0,
+        expires_at: linenthread_time::Instant::NEVER,
+        ingress_index: 0,
+        ingress_count: 1,
         epoch: 1,
     });
     let Some(replicas) = replicas else {
         return plane;
     };
-    let told = ["s1", "s4", "s1", "s4"]
+    let listed = ["s1", "s4", "s1", "s4"]
         .iter()
         .zip(1u8..)
         .map(|(service, n)| {
@@ -70,20 +70,23 @@
                 ..Default::default()
             }
         });
-    plane.hear(&told.collect::<Vec<_>>(), true);
+    plane.update_replicas(&listed.collect::<Vec<_>>(), UpdateScope::Complete);
     plane
 }
 
-/// The status that a front answers a request with.
+/// The status of an ingress node's response to a request.
 async fn status(replicas: Option<Replicas>, path: &str, headers: &str) -> u16 {
-    let plane = front(replicas.as_ref());
-    let (near, far) = tokio::io::duplex(4_096);
-    spawn_local(serve(far, SocketAddr::from(([127, 0, 0, 1], 1)), plane));
-    let mut http = HttpConnection::new(near);
-    let by = Instant::now() + Duration::from_secs(10);
+    let plane = ingress(replicas.as_ref());
+    let (client, server) = tokio::io::duplex(4_096);
+    spawn_local(serve(server, SocketAddr::from(([127, 0, 0, 1], 1)), plane));
+    let mut http = HttpConnection::new(client);
+    let deadline = Instant::now() + Duration::from_secs(10);
     let request = format!("GET {path} HTTP/1.1\r\nHost: {HOST}\r\n{headers}\r\n");
-    http.write(request.as_bytes(), by).await.unwrap();
-    http.answer(4_096, by).await.unwrap().status
+    http.write(request.as_bytes(), deadline).await.unwrap();
+    http.read_response_head(4_096, deadline)
+        .await
+        .unwrap()
+        .status()
 }
 
 fn simulated<T>(future: impl Future<Output = T>) -> T {
@@ -100,9 +103,9 @@
     no_id = { "", 400 },
     empty_id = { "X-Attempt-Id: \r\n", 400 },
     two_ids = { "X-Attempt-Id: a\r\nX-Attempt-Id: b\r\n", 400 },
-    time_that_is_none = { "X-Attempt-Id: a\r\nX-Remaining-Ms: soon\r\n", 400 },
+    time_that_is_not_a_number = { "X-Attempt-Id: a\r\nX-Remaining-Ms: soon\r\n", 400 },
 )]
-fn a_request_has_one_id(headers: &str, expected: u16) {
+fn a_request_needs_one_id(headers: &str, expected: u16) {
     assert_eq!(simulated(status(None, "/one/x", headers)), expected);
 }
 
@@ -121,18 +124,18 @@
 
 #[parameterized(
     answered = { vec![Event::Bytes(sealed("a"))], 200 },
-    silent = { vec![], 502 },
+    timed_out = { vec![], 502 },
     reset = { vec![Event::Reset], 502 },
     closed = { vec![Event::Close], 502 },
-    half_and_reset = { vec![Event::Bytes(sealed("a")[..50].to_vec()), Event::Reset], 502 },
+    truncated_by_a_reset = { vec![Event::Bytes(sealed("a")[..50].to_vec()), Event::Reset], 502 },
     without_its_last_byte = { vec![Event::Bytes(without_last(sealed("a"))), Event::Close], 502 },
     without_id = { vec![Event::Bytes(sealed(""))], 502 },
-    of_another = { vec![Event::Bytes(sealed("b"))], 502 },
-    refused_for_another = { vec![Event::Bytes(rejected("b"))], 502 },
+    of_another_request = { vec![Event::Bytes(sealed("b"))], 502 },
+    rejection_of_another_request = { vec![Event::Bytes(rejected("b"))], 502 },
     failed = { vec![Event::Bytes(message(500, "a", "", "", b""))], 502 },
     failed_with_a_seal = { vec![Event::Bytes(message(500, "a", "seal", "", b""))], 500 },
 )]
-fn what_may_not_be_repeated_and_may_have_run_is_sent_once(reply: Vec<Event>, expected: u16) {
+fn a_mutating_request_that_may_have_run_is_sent_once(reply: Vec<Event>, expected: u16) {
     let replicas = Replicas {
         reply,
         requests: Rc::default(),
@@ -148,9 +151,9 @@
 #[parameterized(
     by_its_id = { rejected("a") },
     on_a_first_request = { rejected("") },
-    by_another_at_the_address = { message(421, "", "", "X-Replica-Id: j\r\n", b"") },
+    by_another_replica_at_the_address = { message(421, "", "", "X-Replica-Id: j\r\n", b"") },
 )]
-fn what_never_ran_is_sent_again_and_refused_with_a_promise(reply: Vec<u8>) {
+fn a_mutating_request_that_never_ran_is_retried_and_rejected_with_a_promise(reply: Vec<u8>) {
     let replicas = Replicas {
         reply: vec![Event::Bytes(reply)],
         requests: Rc::default(),
@@ -165,7 +168,7 @@
 }
 
 #[test]
-fn what_may_be_repeated_is_sent_again_after_a_reset() {
+fn an_idempotent_request_is_retried_after_a_reset() {
     let replicas = Replicas {
         reply: vec![Event::Reset],
         requests: Rc::default(),
--- /dev/null
+++ b/crates/linenthread-node/src/control_client/quota_requests.rs
@@ -0,0 +1,44 @@
+//! The requests for a retry quota that were sent lately.
+
+use std::collections::VecDeque;
+
+use linenthread_time::Instant;
+
+/// So many requests are remembered; grants for older ones are of no use any more.
+const MAX_REMEMBERED: usize = 64;
+
+struct QuotaRequest {
+    number: u64,
+    sent_at: Instant,
+}
+
+/// When each request for a quota was sent. A grant counts from then: that was before it was given, so it never lasts
+/// longer here than where it was given.
+#[derive(Default)]
+pub(super) struct QuotaRequests {
+    last_number: u64,
+    recent: VecDeque<QuotaRequest>,
+}
+
+impl QuotaRequests {
+    /// The number of a request that is sent now.
+    pub(super) fn next(&mut self, now: Instant) -> u64 {
+        self.last_number += 1;
+        self.recent.push_back(QuotaRequest {
+            number: self.last_number,
+            sent_at: now,
+        });
+        if self.recent.len() > MAX_REMEMBERED {
+            self.recent.pop_front();
+        }
+        self.last_number
+    }
+
+    /// When a request was sent, if it is remembered.
+    pub(super) fn sent_at(&self, number: u64) -> Option<Instant> {
+        self.recent
+            .iter()
+            .find(|request| request.number == number)
+            .map(|request| request.sent_at)
+    }
+}
--- /dev/null
+++ b/crates/linenthread-node/src/control_client/session.rs
@@ -0,0 +1,239 @@
+//! One session with a control node.
+
+use std::cell::Cell;
+use std::fmt;
+use std::net::SocketAddr;
+use std::time::Duration;
+
+use linenthread_dataplane::{RetryQuota, UpdateScope, clock};
+use linenthread_messages::{
+    Heartbeat, Hello, IngressUpdate, PeerMessage, QuotaGrant, QuotaGrants, VERSION,
+};
+use linenthread_time::Instant;
+use tokio::sync::mpsc;
+
+use super::{ChangeLogPosition, ControlClient};
+use crate::errors::Error;
+use crate::links;
+
+/// Between two heartbeats to the control node.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(500);
+/// A control node from which nothing arrives for so long is given up; it sends heartbeats of its own.
+const RECEIVE_TIMEOUT: Duration = Duration::from_millis(1_600);
+/// How long the connection may take.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(600);
+/// A control node that says in so many heartbeats in a row that it is without quorum is given up.
+const MAX_HEARTBEATS_WITHOUT_QUORUM: u32 = 2;
+
+/// Why a session ended that had begun.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum SessionEnd {
+    /// The control node closed the connection, or spoke another version.
+    Closed,
+    /// Messages to the control node pile up.
+    SendQueueFull,
+    /// Nothing arrived for too long.
+    ReceiveTimeout,
+    /// The control node is out of contact with the others.
+    NoQuorum,
+}
+
+impl fmt::Display for SessionEnd {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        formatter.write_str(match self {
+            SessionEnd::Closed => "the control node has closed",
+            SessionEnd::SendQueueFull => "the control node does not read",
+            SessionEnd::ReceiveTimeout => "the control node is silent",
+            SessionEnd::NoQuorum => "the control node is without quorum",
+        })
+    }
+}
+
+/// Whether a session goes on after a message.
+#[derive(Clone, Copy, PartialEq, Eq)]
+enum Flow {
+    Continue,
+    End,
+}
+
+/// A session, from its connection to its end.
+pub(super) struct Session<'a> {
+    client: &'a ControlClient,
+    control_node: SocketAddr,
+    last_received_at: Cell<Instant>,
+    heartbeats_without_quorum: Cell<u32>,
+}
+
+impl Session<'_> {
+    pub(super) fn new(client: &ControlClient, control_node: SocketAddr) -> Session<'_> {
+        Session {
+            client,
+            control_node,
+            last_received_at: Cell::new(clock::now()),
+            heartbeats_without_quorum: Cell::new(0),
+        }
+    }
+
+    /// Connects, and exchanges messages until the session ends.
+    pub(super) async fn run(&self) -> Result<SessionEnd, Error> {
+        let settings = self.client.plane.settings();
+        let peer = SocketAddr::new(self.control_node.ip(), settings.peers_port);
+        let stream = links::dial(peer, CONNECT_TIMEOUT).await?;
+        let (outbox, outgoing) = mpsc::channel(links::WAITING);
+        let _ = outbox.try_send(PeerMessage::Hello(self.hello()));
+        self.last_received_at.set(clock::now());
+        let name = peer.to_string();
+        let receive = |message| {
+            self.last_received_at.set(clock::now());
+            self.on_message(message) == Flow::Continue
+        };
+        tokio::select! {
+            closed = links::carry(stream, &name, outgoing, receive) => closed.map(|()| SessionEnd::Closed),
+            end = self.send_heartbeats(&outbox) => Ok(end),
+        }
+    }
+
+    /// Introduces this node, and says what it has already.
+    fn hello(&self) -> Hello {
+        let plane = &self.client.plane;
+        let position = self.client.position.get();
+        Hello {
+            version: VERSION,
+            name: plane.settings().node_name.clone(),
+            zone: plane.settings().zone.clone(),
+            incarnation: self.client.incarnation,
+            change_log_id: position.log_id,
+            change_log_offset: position.offset,
+            value_number: plane.revision(),
+            ..Hello::default()
+        }
+    }
+
+    /// Sends heartbeats, each of which requests a retry quota, until something is wrong with the control node.
+    async fn send_heartbeats(&self, outbox: &mpsc::Sender<PeerMessage>) -> SessionEnd {
+        let plane = &self.client.plane;
+        loop {
+            let quota_request = self.client.quota_requests.borrow_mut().next(clock::now());
+            let heartbeat = Heartbeat {
+                quota_request_or_value_number: quota_request,
+                revision: plane.revision(),
+                ..Heartbeat::default()
+            };
+            if outbox.try_send(PeerMessage::Heartbeat(heartbeat)).is_err() {
+                return SessionEnd::SendQueueFull;
+            }
+            tokio::time::sleep(HEARTBEAT_INTERVAL).await;
+            let now = clock::now();
+            self.expire_quota(now);
+            if now > self.last_received_at.get() + RECEIVE_TIMEOUT {
+                return SessionEnd::ReceiveTimeout;
+            }
+            if self.heartbeats_without_quorum.get() >= MAX_HEARTBEATS_WITHOUT_QUORUM {
+                return SessionEnd::NoQuorum;
+            }
+        }
+    }
+
+    fn expire_quota(&self, now: Instant) {
+        let plane = &self.client.plane;
+        let quota = plane.retry_quota();
+        if quota.expires_at <= now && quota.retries_per_window > 0.0 {
+            plane.set_retry_quota(RetryQuota {
+                retries_per_window: 0.0,
+                ..quota
+            });
+        }
+    }
+
+    /// Takes in a message of the control node.
+    fn on_message(&self, message: PeerMessage) -> Flow {
+        match message {
+            PeerMessage::Hello(hello) => {
+                let mut zones = self.client.zones.borrow_mut();
+                zones.insert(self.control_node, hello.zone);
+                if hello.version != VERSION {
+                    return Flow::End;
+                }
+            }
+            PeerMessage::Heartbeat(heartbeat) => {
+                let without_quorum = &self.heartbeats_without_quorum;
+                without_quorum.set(if heartbeat.has_quorum {
+                    0
+                } else {
+                    without_quorum.get() + 1
+                });
+            }
+            PeerMessage::IngressUpdate(update) => self.on_update(update),
+            PeerMessage::QuotaGrants(grants) => self.on_quota_grants(&grants),
+            _ => {}
+        }
+        Flow::Continue
+    }
+
+    /// Takes in changes of control nodes, replicas and the configuration.
+    fn on_update(&self, update: IngressUpdate) {
+        let ControlClient {
+            plane, position, ..
+        } = self.client;
+        position.set(ChangeLogPosition {
+            log_id: update.change_log_id,
+            offset: update.change_log_offset,
+        });
+        if !update.control_addresses.is_empty() {
+            self.set_control_nodes(&update.control_addresses);
+        }
+        let scope = if update.complete && update.registry_settled {
+            UpdateScope::Complete
+        } else {
+            UpdateScope::Changes
+        };
+        plane.update_replicas(&update.replicas, scope);
+        if let Some(value) = update.value {
+            plane.apply_configuration(&value.document);
+        }
+        if update.confirmed {
+            plane.confirm_configuration();
+        }
+    }
+
+    /// The control nodes are those that are named, and those of the settings.
+    fn set_control_nodes(&self, addresses: &[String]) {
+        let bootstrap_peers = &self.client.plane.settings().bootstrap_peers;
+        let not_named = bootstrap_peers
+            .iter()
+            .filter(|peer| !addresses.contains(&peer.to_string()));
+        let named = addresses.iter().filter_map(|address| address.parse().ok());
+        *self.client.control_nodes.borrow_mut() = named.chain(not_named.copied()).collect();
+    }
+
+    fn on_quota_grants(&self, grants: &QuotaGrants) {
+        for grant in &grants.grants {
+            self.on_quota_grant(grant);
+        }
+    }
+
+    /// Takes in a grant, if it is for this incarnation and not of an earlier leader than the one in force.
+    fn on_quota_grant(&self, grant: &QuotaGrant) {
+        let ControlClient {
+            plane, incarnation, ..
+        } = self.client;
+        if grant.incarnation != *incarnation || grant.epoch < plane.retry_quota().epoch {
+            return;
+        }
+        let requests = self.client.quota_requests.borrow();
+        let Some(sent_at) = requests.sent_at(grant.quota_request) else {
+            return;
+        };
+        plane.set_retry_quota(RetryQuota {
+            retries_per_window: grant.share,
+            expires_at: sent_at + Duration::from_millis(u64::from(grant.lease_ms)),
+            ingress_index: to_usize(grant.ingress_index),
+            ingress_count: to_usize(grant.ingress_count),
+            epoch: grant.epoch,
+        });
+    }
+}
+
+fn to_usize(number: u32) -> usize {
+    usize::try_from(number).unwrap_or(usize::MAX)
+}
