--- a/crates/linenthread-dataplane-sim/src/judge.rs
+++ b/crates/linenthread-dataplane-sim/src/judge.rs
@@ -60,7 +60,7 @@
         let mut notes = self.0.borrow_mut();
         notes.digest = digest(
             words,
-            notes.digest.rotate_left(7) ^ clock::now_tenths() as u64,
+            notes.digest.rotate_left(7) ^ clock::now_tenth_millis() as u64,
         );
     }
 
--- a/crates/linenthread-dataplane/src/clock.rs
+++ b/crates/linenthread-dataplane/src/clock.rs
@@ -5,7 +5,7 @@
 use std::cell::Cell;
 use std::time::Duration;
 
-use linenthread_core::interface::Tenths;
+use linenthread_core::interface::TenthMillis;
 use linenthread_time::{Instant, whole_millis};
 
 /// What the clock shows at its start, in milliseconds: not 0, so that durations can be subtracted from its first
@@ -16,7 +16,7 @@
 /// Units of the decision module in a millisecond.
 const TENTHS_PER_MS: f64 = 10.0;
 /// [`START_MS`] in the unit of the decision module.
-const START_TENTHS: Tenths = 10_000_000;
+const START_TENTHS: TenthMillis = 10_000_000;
 
 thread_local! {
     static START: Cell<Option<tokio::time::Instant>> = const { Cell::new(None) };
@@ -51,28 +51,29 @@
 }
 
 /// The present moment as the decision module counts, in tenths of a millisecond.
-pub fn now_tenths() -> Tenths {
-    START_TENTHS + duration_to_tenths(uptime())
+pub fn now_tenth_millis() -> TenthMillis {
+    START_TENTHS + duration_to_tenth_millis(uptime())
 }
 
 /// The operating system's instant at this moment of the decision module; the clock's start if it is earlier.
-pub(crate) fn tenths_to_std(at: Tenths) -> std::time::Instant {
-    start().into_std() + tenths_to_duration(at - START_TENTHS)
+pub(crate) fn tenth_millis_to_std(at: TenthMillis) -> std::time::Instant {
+    start().into_std() + tenth_millis_to_duration(at - START_TENTHS)
 }
 
 /// A length of time in the unit of the decision module, rounded down.
-fn duration_to_tenths(duration: Duration) -> Tenths {
-    Tenths::try_from(duration.as_micros() / u128::from(MICROS_PER_TENTH)).unwrap_or(Tenths::MAX)
+fn duration_to_tenth_millis(duration: Duration) -> TenthMillis {
+    TenthMillis::try_from(duration.as_micros() / u128::from(MICROS_PER_TENTH))
+        .unwrap_or(TenthMillis::MAX)
 }
 
 /// A length of time of the decision module; zero if it is negative.
-pub(crate) fn tenths_to_duration(tenths: Tenths) -> Duration {
+pub(crate) fn tenth_millis_to_duration(tenths: TenthMillis) -> Duration {
     let tenths = u64::try_from(tenths).unwrap_or(0);
     Duration::from_micros(tenths.saturating_mul(MICROS_PER_TENTH))
 }
 
 /// Milliseconds of a configuration in the unit of the decision module, rounded down; it saturates, as every
 /// conversion from a float does.
-pub(crate) fn ms_to_tenths(ms: f64) -> Tenths {
-    (ms * TENTHS_PER_MS) as Tenths
+pub(crate) fn ms_to_tenth_millis(ms: f64) -> TenthMillis {
+    (ms * TENTHS_PER_MS) as TenthMillis
 }
--- a/crates/linenthread-dataplane/src/data_plane.rs
+++ b/crates/linenthread-dataplane/src/data_plane.rs
@@ -1,12 +1,12 @@
-//! The data plane: the configuration in force, the replicas, and a dispatcher for each group of services.
+//! The data plane: the configuration in force, the replicas, and a dispatcher for each group of backends.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-use linenthread_config::{Configuration, Plan, Planned, Settings, Target};
+use linenthread_config::{Configuration, Destination, ResolvedRoute, RoutingTable, Settings};
 use linenthread_consensus::fnv1a_64;
-use linenthread_core::interface::Tenths;
+use linenthread_core::interface::TenthMillis;
 
 use crate::clock;
 use crate::counter::{Counter, CounterGuard};
@@ -23,27 +23,27 @@
 /// An `f64` holds integers of so many bits exactly.
 const F64_BITS: u32 = 53;
 
-/// Which dispatcher: the services that are queried together, in the order of their names, and how often each part
+/// Which dispatcher: the backends that are queried together, in the order of their names, and how often each part
 /// may be sent.
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord)]
 struct DispatcherKey {
-    services: Vec<Rc<str>>,
+    backends: Vec<Rc<str>>,
     max_attempts: usize,
 }
 
 impl DispatcherKey {
-    fn new(services: &[Rc<str>], max_attempts: usize) -> DispatcherKey {
-        let mut services = services.to_vec();
-        services.sort();
+    fn new(backends: &[Rc<str>], max_attempts: usize) -> DispatcherKey {
+        let mut backends = backends.to_vec();
+        backends.sort();
         DispatcherKey {
-            services,
+            backends,
             max_attempts,
         }
     }
 
     /// The same for equal keys in every process. Simulations depend on the text that is hashed.
     fn hash(&self) -> u64 {
-        fnv1a_64(format!("{:?}", (&self.services, self.max_attempts)).as_bytes())
+        fnv1a_64(format!("{:?}", (&self.backends, self.max_attempts)).as_bytes())
     }
 }
 
@@ -51,7 +51,7 @@
 pub struct DataPlane<C: Connector = TcpConnector> {
     settings: Rc<Settings>,
     seed: u64,
-    plan: RefCell<Option<Rc<Plan>>>,
+    plan: RefCell<Option<Rc<RoutingTable>>>,
     replicas: RefCell<ReplicaTable<C>>,
     dispatchers: RefCell<BTreeMap<DispatcherKey, Rc<Dispatcher<C>>>>,
     zones: Zones,
@@ -90,7 +90,7 @@
     }
 
     /// The configuration in force, if there is one.
-    pub fn plan(&self) -> Option<Rc<Plan>> {
+    pub fn plan(&self) -> Option<Rc<RoutingTable>> {
         self.plan.borrow().clone()
     }
 
@@ -107,10 +107,10 @@
     /// Applies a configuration that was committed, unless one at least as new is in force. One that cannot be read
     /// is logged.
     pub fn apply_configuration(&self, document: &[u8]) {
-        match Configuration::read(document) {
+        match Configuration::decode(document) {
             Ok(read) if read.revision > self.revision() => {
-                log::info!(revision = read.revision, routes = read.route_table.len(); "event=configuration_applied");
-                *self.plan.borrow_mut() = Some(Rc::new(Plan::new(read)));
+                log::info!(revision = read.revision, routes = read.routes.len(); "event=configuration_applied");
+                *self.plan.borrow_mut() = Some(Rc::new(RoutingTable::new(read)));
                 self.limit_connections();
             }
             Ok(_) => {}
@@ -150,10 +150,12 @@
         let ingress_count = self.retry_quota.get().ingress_count.max(1);
         let plan = self.plan.borrow();
         let Some(plan) = plan.as_ref() else { return };
-        self.replicas.borrow().limit_connections(|service| {
-            plan.max_conns.get(service).map_or(usize::MAX, |limit| {
-                (limit / ingress_count).max(MIN_CONNECTIONS)
-            })
+        self.replicas.borrow().limit_connections(|backend| {
+            plan.max_connections
+                .get(backend)
+                .map_or(usize::MAX, |limit| {
+                    (limit / ingress_count).max(MIN_CONNECTIONS)
+                })
         });
     }
 
@@ -171,31 +173,31 @@
         self.retry_quota.get()
     }
 
-    /// Divides the quota among the dispatchers: it holds at each service, so those that share one share it, too.
+    /// Divides the quota among the dispatchers: it holds at each backend, so those that share one share it, too.
     fn share_retry_quota(&self) {
         let (quota, dispatchers) = (self.retry_quota.get(), self.dispatchers.borrow());
-        let sharing = |service: &Rc<str>| {
+        let sharing = |backend: &Rc<str>| {
             dispatchers
                 .values()
-                .filter(|dispatcher| dispatcher.queries(service))
+                .filter(|dispatcher| dispatcher.queries(backend))
                 .count()
         };
         for (key, dispatcher) in dispatchers.iter() {
-            let sharing = key.services.iter().map(sharing).max().unwrap_or(1).max(1);
+            let sharing = key.backends.iter().map(sharing).max().unwrap_or(1).max(1);
             dispatcher.set_retry_quota(&quota, quota.retries_per_window / sharing as f64);
         }
     }
 
-    /// The dispatcher of these services, which is started if there is none.
-    fn dispatcher(&self, services: &[Rc<str>], max_attempts: usize) -> Rc<Dispatcher<C>> {
-        let key = DispatcherKey::new(services, max_attempts);
+    /// The dispatcher of these backends, which is started if there is none.
+    fn dispatcher(&self, backends: &[Rc<str>], max_attempts: usize) -> Rc<Dispatcher<C>> {
+        let key = DispatcherKey::new(backends, max_attempts);
         if let Some(dispatcher) = self.dispatchers.borrow().get(&key) {
             return dispatcher.clone();
         }
         let seed = self.seed ^ key.hash();
-        let services = key.services.as_slice().into();
-        let dispatcher = Dispatcher::new(services, max_attempts, &self.settings, seed);
-        let pools = self.replicas.borrow().pools_of(&key.services);
+        let backends = key.backends.as_slice().into();
+        let dispatcher = Dispatcher::new(backends, max_attempts, &self.settings, seed);
+        let pools = self.replicas.borrow().pools_of(&key.backends);
         dispatcher.update_replicas(&pools, &self.zones);
         self.dispatchers
             .borrow_mut()
@@ -208,20 +210,19 @@
     pub(crate) fn dispatch(
         &self,
         request: Rc<ReplicaRequest>,
-        planned: &Rc<Planned>,
+        resolved: &Rc<ResolvedRoute>,
         key: u64,
-        deadline: Tenths,
+        deadline: TenthMillis,
     ) -> PendingResponse<C> {
-        let max_attempts = planned.route.tries;
-        let dispatcher = match &planned.target {
-            Target::All(services) => self.dispatcher(services, max_attempts),
-            weighted @ Target::One(_) => {
-                let service =
-                    weighted.drawn(unit_interval(fnv1a_64(request.attempt_id.as_bytes())));
-                self.dispatcher(service.map_or(&[], std::slice::from_ref), max_attempts)
+        let max_attempts = resolved.route.max_attempts;
+        let dispatcher = match &resolved.destination {
+            Destination::FanOut(backends) => self.dispatcher(backends, max_attempts),
+            weighted @ Destination::Weighted(_) => {
+                let backend = weighted.pick(unit_interval(fnv1a_64(request.attempt_id.as_bytes())));
+                self.dispatcher(backend.map_or(&[], std::slice::from_ref), max_attempts)
             }
         };
-        dispatcher.dispatch(request, planned, key, deadline)
+        dispatcher.dispatch(request, resolved, key, deadline)
     }
 
     /// To be called about once a second: closes connections that their replicas are about to close, and forgets
--- a/crates/linenthread-dataplane/src/dispatcher.rs
+++ b/crates/linenthread-dataplane/src/dispatcher.rs
@@ -1,4 +1,4 @@
-//! The dispatcher of services that are queried together: it owns their decision module, hands it what arrived and
+//! The dispatcher of backends that are queried together: it owns their decision module, hands it what arrived and
 //! carries out what it decides.
 
 mod decisions;
@@ -11,9 +11,10 @@
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 
-use linenthread_config::{Planned, Settings};
+use linenthread_config::{ResolvedRoute, Settings};
 use linenthread_core::interface::{
-    Ending, Listed, NewLookup, NewPart, Phase, Return, RosterNews, Tenths,
+    AttemptOutcome, AttemptResult, MembershipEntry, MembershipUpdate, NewQuery, NewSubRequest,
+    Phase, TenthMillis,
 };
 use tokio::sync::{Notify, oneshot};
 use tokio::task::spawn_local;
@@ -30,12 +31,12 @@
 use crate::zones::Zones;
 
 /// The least time that a sub-request gets, in tenths of a millisecond.
-const MIN_TIMEOUT: Tenths = 10;
+const MIN_TIMEOUT: TenthMillis = 10;
 
 /// Hands requests to the decision module and its decisions to the replicas' pools.
 pub(crate) struct Dispatcher<C: Connector> {
     /// What is queried together, by name: the parts of each query in their order.
-    services: Rc<[Rc<str>]>,
+    backends: Rc<[Rc<str>]>,
     state: RefCell<State<C>>,
     /// Something arrived for the decision module.
     arrived: Notify,
@@ -48,14 +49,14 @@
     /// Starts the task that runs the decision module; within a `LocalSet`. Each part may be sent `max_attempts`
     /// times.
     pub(crate) fn new(
-        services: Rc<[Rc<str>]>,
+        backends: Rc<[Rc<str>]>,
         max_attempts: usize,
         settings: &Settings,
         seed: u64,
     ) -> Rc<Dispatcher<C>> {
-        let state = State::new(services.len(), max_attempts, settings, seed);
+        let state = State::new(backends.len(), max_attempts, settings, seed);
         let dispatcher = Rc::new(Dispatcher {
-            services,
+            backends,
             state: RefCell::new(state),
             arrived: Notify::new(),
             open_queries: Counter::default(),
@@ -65,36 +66,40 @@
         dispatcher
     }
 
-    /// Whether it sends anything to this service.
-    pub(crate) fn queries(&self, service: &Rc<str>) -> bool {
-        self.services.contains(service)
+    /// Whether it sends anything to this backend.
+    pub(crate) fn queries(&self, backend: &Rc<str>) -> bool {
+        self.backends.contains(backend)
     }
 
     /// Sets the retries of each window that are this process's; `share` is the part of them that this dispatcher
     /// may use.
     pub(crate) fn set_retry_quota(&self, quota: &RetryQuota, share: f64) {
-        self.state
-            .borrow_mut()
-            .coordinator
-            .allot(share, quota.ingress_index, quota.ingress_count);
+        self.state.borrow_mut().coordinator.set_retry_quota(
+            share,
+            quota.ingress_index,
+            quota.ingress_count,
+        );
     }
 
-    /// Takes in the status of replicas; those of other services are left out.
+    /// Takes in the status of replicas; those of other backends are left out.
     pub(crate) fn update_replicas(&self, pools: &[Rc<ReplicaPool<C>>], zones: &Zones) {
         let mut state = self.state.borrow_mut();
-        let listed: Vec<Listed> = pools
+        let listed: Vec<MembershipEntry> = pools
             .iter()
             .filter_map(|pool| {
-                let service = self.services.iter().position(|s| s == pool.service())?;
+                let backend = self.backends.iter().position(|s| s == pool.backend())?;
                 let slot = state.replicas.update(pool, self.last_query.get())?;
-                Some(listed(pool, slot, service, zones))
+                Some(listed(pool, slot, backend, zones))
             })
             .collect();
         if listed.is_empty() {
             return;
         }
-        state.arrivals.roster.push(RosterNews::Changes(listed));
-        state.arrivals.ways = Some(zones.ways());
+        state
+            .arrivals
+            .membership
+            .push(MembershipUpdate::Delta(listed));
+        state.arrivals.zone_routes = Some(zones.ways());
         self.arrived.notify_one();
     }
 
@@ -103,35 +108,35 @@
     pub(crate) fn dispatch(
         self: &Rc<Self>,
         request: Rc<ReplicaRequest>,
-        planned: &Rc<Planned>,
+        resolved: &Rc<ResolvedRoute>,
         key: u64,
-        deadline: Tenths,
+        deadline: TenthMillis,
     ) -> PendingResponse<C> {
         let (client, response) = oneshot::channel();
         let mut state = self.state.borrow_mut();
-        let kind = state.query_kind(policy_inputs::index(planned));
+        let kind = state.query_kind(policy_inputs::index_config(resolved));
         let slot = state.free_query_slot();
         let sequence = self.last_query.get() + 1;
         self.last_query.set(sequence);
-        state.arrivals.lookups.push(NewLookup {
-            lookup: slot,
+        state.arrivals.queries.push(NewQuery {
+            query: slot,
             index: kind,
             customer: 0,
             key: Some(key),
-            number: sequence,
+            sequence_number: sequence,
             hard_deadline: deadline,
         });
-        let part_count = self.services.len();
-        let parts = (0..part_count).map(|shard| NewPart {
-            lookup: slot,
+        let part_count = self.backends.len();
+        let parts = (0..part_count).map(|shard| NewSubRequest {
+            query: slot,
             shard,
             weight: 1.0,
         });
-        state.arrivals.parts.extend(parts);
+        state.arrivals.sub_requests.extend(parts);
         let query = OpenQuery::new(
             sequence,
             request,
-            planned.clone(),
+            resolved.clone(),
             part_count,
             client,
             self.open_queries.enter(),
@@ -150,8 +155,8 @@
         let mut state = self.state.borrow_mut();
         let abandoned = std::mem::take(&mut state.decisions.abandoned);
         if !abandoned.is_empty() {
-            let service = self.services.first().map_or("", |service| service);
-            log::info!(service = service, services = self.services.len(),
+            let backend = self.backends.first().map_or("", |backend| backend);
+            log::info!(backend = backend, backends = self.backends.len(),
                 deadline_exceeded = abandoned.deadline_exceeded, crash_suspected = abandoned.crash_suspected,
                 unanswerable = abandoned.unanswerable, too_slow = abandoned.too_slow,
                 saturated = abandoned.saturated; "event=request_abandoned");
@@ -163,13 +168,13 @@
     fn cancel(&self, query: QueryId) {
         let mut state = self.state.borrow_mut();
         if state.query(query).is_some() {
-            state.arrivals.lapsed.push(query.slot);
+            state.arrivals.abandoned.push(query.slot);
             self.arrived.notify_one();
         }
     }
 
     /// One round of the decision module, and its decisions; when to run the next one at the latest.
-    fn round(self: &Rc<Self>) -> Option<Tenths> {
+    fn round(self: &Rc<Self>) -> Option<TenthMillis> {
         let mut state = self.state.borrow_mut();
         for decision in state.decide() {
             match decision {
@@ -208,7 +213,7 @@
         slot: usize,
         part: usize,
         replica: usize,
-        timeout: Tenths,
+        timeout: TenthMillis,
     ) {
         let Some(query) = state.query_in(slot) else {
             return;
@@ -223,23 +228,23 @@
             attempt,
         };
         if permission == Permission::Denied {
-            log::error!(route = query.planned.route.label; "event=retry_rejected");
-            self.report(state, id, Ending::Unsent, 0);
+            log::error!(route = query.resolved.route.name; "event=retry_rejected");
+            self.report(state, id, AttemptOutcome::NotSent, 0);
             return;
         }
         let request = query.request.clone();
         let pool = state.replicas.pool(replica).clone();
-        let timeout = clock::tenths_to_duration(timeout.max(MIN_TIMEOUT));
+        let timeout = clock::tenth_millis_to_duration(timeout.max(MIN_TIMEOUT));
         let dispatcher = self.clone();
         spawn_local(async move {
-            let started_at = clock::now_tenths();
+            let started_at = clock::now_tenth_millis();
             let ended = pool.call(&request, timeout).await;
-            dispatcher.on_ended(id, clock::now_tenths() - started_at, ended);
+            dispatcher.on_ended(id, clock::now_tenth_millis() - started_at, ended);
         });
     }
 
     /// A sub-request has ended.
-    fn on_ended(&self, id: SubRequestId, elapsed: Tenths, ended: SubRequestOutcome) {
+    fn on_ended(&self, id: SubRequestId, elapsed: TenthMillis, ended: SubRequestOutcome) {
         let mut state = self.state.borrow_mut();
         let Some(query) = state.query(id.query) else {
             log::error!(query = id.query.sequence; "event=orphaned_outcome");
@@ -251,14 +256,20 @@
     }
 
     /// Hands the end of a sub-request to the decision module.
-    fn report(&self, state: &mut State<C>, id: SubRequestId, ending: Ending, elapsed: Tenths) {
-        state.arrivals.returns.push(Return {
-            lookup: id.query.slot,
-            part: id.part,
-            call: id.attempt,
-            ending,
-            took: elapsed,
-            queue: None,
+    fn report(
+        &self,
+        state: &mut State<C>,
+        id: SubRequestId,
+        ending: AttemptOutcome,
+        elapsed: TenthMillis,
+    ) {
+        state.arrivals.results.push(AttemptResult {
+            query: id.query.slot,
+            sub_request: id.part,
+            attempt: id.attempt,
+            outcome: ending,
+            elapsed,
+            queue_depth: None,
         });
         self.arrived.notify_one();
     }
@@ -289,38 +300,38 @@
 fn listed<C: Connector>(
     pool: &ReplicaPool<C>,
     replica: usize,
-    service: usize,
+    backend: usize,
     zones: &Zones,
-) -> Listed {
+) -> MembershipEntry {
     let phase = match pool.status() {
-        ReplicaStatus { departed: true, .. } => Phase::Gone,
+        ReplicaStatus { departed: true, .. } => Phase::Removed,
         ReplicaStatus { draining: true, .. } => Phase::Draining,
         ReplicaStatus { .. } => Phase::Ready,
     };
-    Listed {
+    MembershipEntry {
         replica,
         id: linenthread_consensus::fnv1a_64(pool.id().as_bytes()),
-        cell: service,
-        site: zones.index_of(pool.zone()),
+        replica_group: backend,
+        zone: zones.index_of(pool.zone()),
         phase,
-        started: None,
-        cold_share: None,
+        started_at: None,
+        slow_start_share: None,
     }
 }
 
 /// Runs a round of the decision module whenever something arrived, or when it asked for one.
 async fn run<C: Connector>(dispatcher: Rc<Dispatcher<C>>) {
-    let mut wake_at: Option<Tenths> = None;
+    let mut wake_at: Option<TenthMillis> = None;
     loop {
         match wake_at.filter(|_| dispatcher.open_queries.get() > 0) {
             Some(at) => {
-                let at = clock::tenths_to_std(at).into();
+                let at = clock::tenth_millis_to_std(at).into();
                 let _ = tokio::time::timeout_at(at, dispatcher.arrived.notified()).await;
             }
             None => dispatcher.arrived.notified().await,
         }
         // The module names a moment only if the one that it named last is past.
         let next = dispatcher.round();
-        wake_at = next.or(wake_at.filter(|at| *at > clock::now_tenths()));
+        wake_at = next.or(wake_at.filter(|at| *at > clock::now_tenth_millis()));
     }
 }
--- a/crates/linenthread-dataplane/src/dispatcher/decisions.rs
+++ b/crates/linenthread-dataplane/src/dispatcher/decisions.rs
@@ -1,7 +1,7 @@
 //! What the decision module decides in one round, as a list that the dispatcher carries out.
 
-use linenthread_core::Writer;
-use linenthread_core::interface::{Tenths, Why};
+use linenthread_core::DecisionSink;
+use linenthread_core::interface::{FailureCause, TenthMillis};
 
 /// One decision. Queries, parts and replicas are named by the indices under which the decision module knows them.
 pub(super) enum Decision {
@@ -10,14 +10,14 @@
         query: usize,
         part: usize,
         replica: usize,
-        timeout: Tenths,
+        timeout: TenthMillis,
     },
     /// Answer from the responses that have arrived.
     Complete { query: usize },
     /// Reject the query: it may be sent again, at best after this time.
     Reject {
         query: usize,
-        retry_after: Option<Tenths>,
+        retry_after: Option<TenthMillis>,
     },
     /// Give the query up, with no promise.
     Abort { query: usize },
@@ -32,7 +32,7 @@
 pub(super) struct Decisions {
     pub(super) list: Vec<Decision>,
     /// When the module is to run again, if nothing arrives before.
-    pub(super) wake_at: Option<Tenths>,
+    pub(super) wake_at: Option<TenthMillis>,
     /// Since they were last logged.
     pub(super) abandoned: AbandonedCounts,
 }
@@ -53,8 +53,8 @@
     }
 }
 
-impl Writer for Decisions {
-    fn call(&mut self, query: usize, part: usize, replica: usize, timeout: Tenths) {
+impl DecisionSink for Decisions {
+    fn send(&mut self, query: usize, part: usize, replica: usize, timeout: TenthMillis) {
         self.list.push(Decision::Call {
             query,
             part,
@@ -63,27 +63,27 @@
         });
     }
 
-    fn withdraw(&mut self, _query: usize, _part: usize, _call: usize) {}
+    fn cancel(&mut self, _query: usize, _part: usize, _call: usize) {}
 
-    fn satisfy(&mut self, query: usize, _is_complete: bool) {
+    fn respond(&mut self, query: usize, _is_complete: bool) {
         self.list.push(Decision::Complete { query });
     }
 
-    fn given_up(&mut self, _query: usize, cause: Why) {
+    fn failure_cause(&mut self, _query: usize, cause: FailureCause) {
         *match cause {
-            Why::Late => &mut self.abandoned.deadline_exceeded,
-            Why::Fells => &mut self.abandoned.crash_suspected,
-            Why::Hopeless => &mut self.abandoned.unanswerable,
-            Why::Slow => &mut self.abandoned.too_slow,
-            Why::Full => &mut self.abandoned.saturated,
+            FailureCause::DeadlineExceeded => &mut self.abandoned.deadline_exceeded,
+            FailureCause::QueryOfDeath => &mut self.abandoned.crash_suspected,
+            FailureCause::Unanswerable => &mut self.abandoned.unanswerable,
+            FailureCause::ExpectedLate => &mut self.abandoned.too_slow,
+            FailureCause::Saturated => &mut self.abandoned.saturated,
         } += 1;
     }
 
-    fn nack(&mut self, query: usize, retry_after: Option<Tenths>) {
+    fn reject(&mut self, query: usize, retry_after: Option<TenthMillis>) {
         self.list.push(Decision::Reject { query, retry_after });
     }
 
-    fn abort(&mut self, query: usize) {
+    fn fail(&mut self, query: usize) {
         self.list.push(Decision::Abort { query });
     }
 
@@ -93,13 +93,13 @@
 
     fn probe(&mut self, _replica: usize) {}
 
-    fn close(&mut self, replica: usize) {
+    fn close_idle(&mut self, replica: usize) {
         self.list.push(Decision::CloseIdle { replica });
     }
 
-    fn watch_roster(&mut self) {}
+    fn watch_membership(&mut self) {}
 
-    fn wake_at(&mut self, at: Tenths) {
+    fn wake_at(&mut self, at: TenthMillis) {
         self.wake_at = Some(self.wake_at.map_or(at, |earlier| earlier.min(at)));
     }
 }
--- a/crates/linenthread-dataplane/src/dispatcher/pass_through.rs
+++ b/crates/linenthread-dataplane/src/dispatcher/pass_through.rs
@@ -1,13 +1,15 @@
 //! A replacement of the decision module that decides nothing, to measure what the module costs. Each part goes
 //! once to the replica that a hash names; nothing is scored, retried or rejected. Not for production.
 
-use linenthread_core::Writer;
-use linenthread_core::interface::{Arrivals, Ending, Listed, NewLookup, Phase, RosterNews, Tenths};
+use linenthread_core::DecisionSink;
+use linenthread_core::interface::{
+    AttemptOutcome, Inputs, MembershipEntry, MembershipUpdate, NewQuery, Phase, TenthMillis,
+};
 
 /// A query that has not ended.
 struct Query {
     key: u64,
-    deadline: Tenths,
+    deadline: TenthMillis,
     /// The shard of each part.
     shards: Vec<usize>,
     sent: usize,
@@ -18,57 +20,57 @@
 /// The replicas and the queries, by their indices.
 #[derive(Default)]
 pub(super) struct PassThrough {
-    replicas: Vec<Listed>,
+    replicas: Vec<MembershipEntry>,
     queries: Vec<Option<Query>>,
 }
 
 impl PassThrough {
     /// One round: takes in what arrived, sends new parts and ends queries whose parts have all ended.
-    pub(super) fn round(&mut self, arrivals: &Arrivals, writer: &mut impl Writer) {
-        for update in &arrivals.roster {
-            if let RosterNews::Changes(listed) = update {
+    pub(super) fn round(&mut self, arrivals: &Inputs, sink: &mut impl DecisionSink) {
+        for update in &arrivals.membership {
+            if let MembershipUpdate::Delta(listed) = update {
                 self.update_replicas(listed);
             }
         }
-        for new in &arrivals.lookups {
+        for new in &arrivals.queries {
             self.open(new);
         }
-        for part in &arrivals.parts {
-            if let Some(Some(query)) = self.queries.get_mut(part.lookup) {
+        for part in &arrivals.sub_requests {
+            if let Some(Some(query)) = self.queries.get_mut(part.query) {
                 query.shards.push(part.shard);
             }
         }
-        for response in &arrivals.returns {
-            if let Some(Some(query)) = self.queries.get_mut(response.lookup) {
+        for response in &arrivals.results {
+            if let Some(Some(query)) = self.queries.get_mut(response.query) {
                 query.ended += 1;
-                query.failed |= response.ending != Ending::Answered;
+                query.failed |= response.outcome != AttemptOutcome::Success;
             }
         }
         for (index, slot) in self.queries.iter_mut().enumerate() {
             let Some(query) = slot else {
                 continue;
             };
-            query.send_parts(index, &self.replicas, arrivals.now, writer);
+            query.send_parts(index, &self.replicas, arrivals.now, sink);
             if query.ended == query.shards.len() {
-                query.end(index, writer);
+                query.end(index, sink);
                 *slot = None;
             }
         }
     }
 
-    fn update_replicas(&mut self, listed: &[Listed]) {
+    fn update_replicas(&mut self, listed: &[MembershipEntry]) {
         for entry in listed {
             let count = self.replicas.len().max(entry.replica + 1);
-            self.replicas.resize_with(count, Listed::default);
+            self.replicas.resize_with(count, MembershipEntry::default);
             self.replicas[entry.replica] = entry.clone();
         }
     }
 
-    fn open(&mut self, new: &NewLookup) {
-        let count = self.queries.len().max(new.lookup + 1);
+    fn open(&mut self, new: &NewQuery) {
+        let count = self.queries.len().max(new.query + 1);
         self.queries.resize_with(count, || None);
-        self.queries[new.lookup] = Some(Query {
-            key: new.number,
+        self.queries[new.query] = Some(Query {
+            key: new.sequence_number,
             deadline: new.hard_deadline,
             shards: Vec::new(),
             sent: 0,
@@ -83,15 +85,15 @@
     fn send_parts(
         &mut self,
         index: usize,
-        replicas: &[Listed],
-        now: Tenths,
-        writer: &mut impl Writer,
+        replicas: &[MembershipEntry],
+        now: TenthMillis,
+        sink: &mut impl DecisionSink,
     ) {
         for part in self.sent..self.shards.len() {
             self.sent += 1;
             match choose(replicas, self.shards[part], self.key) {
                 Some(replica) => {
-                    writer.call(index, part, replica.replica, (self.deadline - now).max(1));
+                    sink.send(index, part, replica.replica, (self.deadline - now).max(1));
                 }
                 None => {
                     self.ended += 1;
@@ -101,26 +103,26 @@
         }
     }
 
-    fn end(&self, index: usize, writer: &mut impl Writer) {
+    fn end(&self, index: usize, sink: &mut impl DecisionSink) {
         if self.failed {
-            writer.abort(index);
+            sink.fail(index);
         } else {
-            writer.satisfy(index, true);
+            sink.respond(index, true);
         }
-        writer.release(index);
+        sink.release(index);
     }
 }
 
 /// The replica of a shard that a key names, among those of the local zone if there are any.
-fn choose(replicas: &[Listed], shard: usize, key: u64) -> Option<&Listed> {
-    let is_remote = |replica: &Listed| replica.site > 0;
+fn choose(replicas: &[MembershipEntry], shard: usize, key: u64) -> Option<&MembershipEntry> {
+    let is_remote = |replica: &MembershipEntry| replica.zone > 0;
     let available = || {
         replicas
             .iter()
-            .filter(|replica| replica.phase == Phase::Ready && replica.cell == shard)
+            .filter(|replica| replica.phase == Phase::Ready && replica.replica_group == shard)
     };
     let nearest = available().map(is_remote).min()?;
-    let candidates: Vec<&Listed> = available()
+    let candidates: Vec<&MembershipEntry> = available()
         .filter(|replica| is_remote(replica) == nearest)
         .collect();
     let position = key % u64::try_from(candidates.len()).ok()?;
--- a/crates/linenthread-dataplane/src/dispatcher/policy_inputs.rs
+++ b/crates/linenthread-dataplane/src/dispatcher/policy_inputs.rs
@@ -1,85 +1,93 @@
 //! Routes and settings in the terms of the decision module.
 
-use linenthread_config::{Mode, Planned, Settings, Target};
+use linenthread_config::{Destination, Mode, ResolvedRoute, Settings};
 use linenthread_core::interface::{
-    Allowance, ColdStart, Deployment, Effect, FurtherCalls, Index, Layout, Tenths,
+    CoordinatorConfig, Idempotency, IndexConfig, Permissions, RetryBudget, ShardLayout, SlowStart,
+    TenthMillis,
+};
+use linenthread_core::policy::{
+    BUDGET_UTILIZATION, DEFAULT_LATE_VALUE_SHARE, DEFAULT_PARTIAL_VALUE,
 };
-use linenthread_core::policy::{BUDGET_USE, LATE_SHARE, PARTIAL_GAIN};
 
 use crate::clock;
 
-/// The shortest and the longest time that is handed to the decision module, in milliseconds.
-const TIME_RANGE_MS: (f64, f64) = (1.0, 1e9);
-/// Less urgent routes are all of the same value.
-const MAX_RANK: i64 = 1_000;
-/// The window of the decision module's budget for replicas that are warming up, in tenths of a millisecond.
-const WARM_UP_WINDOW: Tenths = 10_000;
+/// The shortest time that is handed to the decision module, in milliseconds.
+const MIN_TIME_MS: f64 = 1.0;
+/// The longest time that is handed to the decision module, in milliseconds.
+const MAX_TIME_MS: f64 = 1e9;
+/// Routes of lower priority are all of the same value.
+const MAX_PRIORITY: i64 = 1_000;
+/// The window of the decision module's budget for replicas that are warming up.
+const SLOW_START_WINDOW: TenthMillis = 10_000;
 
-fn tenths(ms: f64) -> Tenths {
-    let (min, max) = TIME_RANGE_MS;
-    clock::ms_to_tenths(ms.clamp(min, max))
+fn tenth_millis(ms: f64) -> TenthMillis {
+    clock::ms_to_tenth_millis(ms.clamp(MIN_TIME_MS, MAX_TIME_MS))
 }
 
 /// A route as a kind of query.
-pub(super) fn index(planned: &Planned) -> Index {
-    let route = &planned.route;
-    let floor = match planned.target {
-        Target::All(_) if route.min_coverage > 0.0 => route.min_coverage.min(1.0),
+pub(super) fn index_config(resolved: &ResolvedRoute) -> IndexConfig {
+    let route = &resolved.route;
+    let min_share = match resolved.destination {
+        Destination::FanOut(_) if route.min_coverage > 0.0 => route.min_coverage.min(1.0),
         _ => 1.0,
     };
-    Index {
-        effect: if route.mode == Mode::Mutating {
-            Effect::OnceOnly
+    IndexConfig {
+        idempotency: if route.mode == Mode::Mutating {
+            Idempotency::AtMostOnce
         } else {
-            Effect::Idempotent
+            Idempotency::Idempotent
         },
-        soft_deadline: tenths(route.target_ms.unwrap_or(route.limit_ms)),
-        gain: 1.0 / (1.0 + route.rank.clamp(0, MAX_RANK) as f64),
-        late_share: LATE_SHARE,
-        need: 1.0,
-        floor,
-        partial_gain: PARTIAL_GAIN,
-        second_step: 0,
+        soft_deadline: tenth_millis(route.latency_target_ms.unwrap_or(route.timeout_ms)),
+        value: 1.0 / (1.0 + route.priority.clamp(0, MAX_PRIORITY) as f64),
+        late_value_share: DEFAULT_LATE_VALUE_SHARE,
+        complete_share: 1.0,
+        min_share,
+        partial_value: DEFAULT_PARTIAL_VALUE,
+        fetch_sub_requests: 0,
     }
 }
 
-/// The deployment of so many services that are queried together, each part of which may be sent so many times.
+/// The coordinator of so many backends that are queried together, each part of which may be sent so many times.
 ///
-/// The retry budget holds at each service; that all retries went to one of them is allowed for.
-pub(super) fn deployment(services: usize, max_attempts: usize, settings: &Settings) -> Deployment {
-    Deployment {
-        own_number: 0,
-        co_ordinators: 1,
+/// The retry budget holds at each backend; that all retries went to one of them is allowed for.
+pub(super) fn coordinator_config(
+    backends: usize,
+    max_attempts: usize,
+    settings: &Settings,
+) -> CoordinatorConfig {
+    CoordinatorConfig {
+        coordinator_number: 0,
+        coordinator_count: 1,
         indexes: Vec::new(),
         customer_quotas: Vec::new(),
-        over_share_gain: 1.0,
-        gain_by_work: false,
-        layout: Layout {
-            cells: services,
-            in_a_row: 1,
+        over_quota_value: 1.0,
+        value_by_work: false,
+        layout: ShardLayout {
+            replica_groups: backends,
+            replication_factor: 1,
         },
-        allowance: Allowance {
-            calls_a_part: max_attempts,
-            second_copies: max_attempts > 1,
-            withdraw: false,
-            probes: false,
-            retry_advice: Some(Tenths::MAX),
+        permissions: Permissions {
+            max_attempts,
+            hedging: max_attempts > 1,
+            cancellation: false,
+            health_probes: false,
+            max_retry_after: Some(TenthMillis::MAX),
         },
         // Replicas announce that they are slow after their start; nothing says that load makes them crash.
-        cold: ColdStart {
-            share: 1.0,
-            warm_up: 0,
-            multiple: 1.0,
-            window: WARM_UP_WINDOW,
+        slow_start: SlowStart {
+            initial_share: 1.0,
+            duration: 0,
+            budget_multiple: 1.0,
+            window: SLOW_START_WINDOW,
         },
-        queue_told: false,
+        reports_queue: false,
         short_queues: true,
         drain_grace: 0,
-        further_calls: Some(FurtherCalls {
-            free: 0.0,
-            share: BUDGET_USE * settings.retry_ratio / (1 + services) as f64,
-            window: tenths(settings.retry_window_ms as f64),
+        retry_budget: Some(RetryBudget {
+            reserve: 0.0,
+            ratio: BUDGET_UTILIZATION * settings.retry_ratio / (1 + backends) as f64,
+            window: tenth_millis(settings.retry_window.as_millis() as f64),
         }),
-        watch_roster: false,
+        watch_membership: false,
     }
 }
--- a/crates/linenthread-dataplane/src/dispatcher/query.rs
+++ b/crates/linenthread-dataplane/src/dispatcher/query.rs
@@ -1,10 +1,10 @@
-//! A client's request as a query to one service or several: its parts, what has arrived for them, and the response
+//! A client's request as a query to one backend or several: its parts, what has arrived for them, and the response
 //! that follows from it.
 
 use std::rc::Rc;
 
-use linenthread_config::{Planned, Target};
-use linenthread_core::interface::{Ending, Tenths};
+use linenthread_config::{Destination, ResolvedRoute};
+use linenthread_core::interface::{AttemptOutcome, TenthMillis};
 use smallvec::SmallVec;
 use tokio::sync::oneshot;
 
@@ -28,7 +28,7 @@
     pub(super) attempt: usize,
 }
 
-/// What goes to one service, and its sub-requests.
+/// What goes to one backend, and its sub-requests.
 #[derive(Default)]
 struct Part {
     response: Option<ReplicaResponse>,
@@ -52,7 +52,7 @@
 pub(super) struct OpenQuery {
     pub(super) sequence: u64,
     pub(super) request: Rc<ReplicaRequest>,
-    pub(super) planned: Rc<Planned>,
+    pub(super) resolved: Rc<ResolvedRoute>,
     /// None once the client has its response.
     client: Option<oneshot::Sender<Response>>,
     parts: SmallVec<[Part; 4]>,
@@ -65,7 +65,7 @@
     pub(super) fn new(
         sequence: u64,
         request: Rc<ReplicaRequest>,
-        planned: Rc<Planned>,
+        resolved: Rc<ResolvedRoute>,
         part_count: usize,
         client: oneshot::Sender<Response>,
         open: CounterGuard,
@@ -73,7 +73,7 @@
         OpenQuery {
             sequence,
             request,
-            planned,
+            resolved,
             client: Some(client),
             parts: (0..part_count).map(|_| Part::default()).collect(),
             failure: None,
@@ -85,7 +85,7 @@
     /// earlier one may have run and the route does not allow it to run twice.
     pub(super) fn begin_attempt(&mut self, part: usize) -> (usize, Permission) {
         let part = &mut self.parts[part];
-        let permission = if may_retry(self.planned.route.mode, part.sent()) {
+        let permission = if may_retry(self.resolved.route.mode, part.sent()) {
             part.may_have_run += 1;
             Permission::Granted
         } else {
@@ -103,7 +103,7 @@
             part.may_have_run -= 1;
         }
         match ended.response {
-            Some(response) if ended.outcome.ending == Ending::Answered => {
+            Some(response) if ended.outcome.ending == AttemptOutcome::Success => {
                 part.response.get_or_insert(response);
             }
             Some(response) => self.failure = Some(response),
@@ -116,13 +116,13 @@
         if self.client.is_none() {
             return;
         }
-        let response = match self.planned.target {
-            Target::One(_) => self
+        let response = match self.resolved.destination {
+            Destination::Weighted(_) => self
                 .parts
                 .first_mut()
                 .and_then(|part| part.response.take())
                 .map(Response::forwarded),
-            Target::All(_) => self.merged(),
+            Destination::FanOut(_) => self.merged(),
         };
         match response {
             Some(response) => self.respond(response),
@@ -131,7 +131,7 @@
     }
 
     /// Answers that nothing could be had: with a replica's own failure, if there was one.
-    pub(super) fn abandon(&mut self, retry_after: Option<Tenths>) {
+    pub(super) fn abandon(&mut self, retry_after: Option<TenthMillis>) {
         if self.client.is_none() {
             return;
         }
@@ -156,7 +156,7 @@
                 &self.request.attempt_id,
                 &responses,
                 self.parts.len(),
-                self.planned.route.result_limit,
+                self.resolved.route.result_limit,
             )
         })
     }
--- a/crates/linenthread-dataplane/src/dispatcher/state.rs
+++ b/crates/linenthread-dataplane/src/dispatcher/state.rs
@@ -2,7 +2,7 @@
 
 use linenthread_config::Settings;
 use linenthread_core::Coordinator;
-use linenthread_core::interface::{Arrivals, Index};
+use linenthread_core::interface::{IndexConfig, Inputs};
 
 use super::decisions::{Decision, Decisions};
 use super::pass_through::PassThrough;
@@ -18,9 +18,9 @@
     /// Decides in the coordinator's place where only its cost is to be measured.
     pass_through: Option<PassThrough>,
     /// The kinds of queries that the coordinator knows, by index.
-    query_kinds: Vec<Index>,
+    query_kinds: Vec<IndexConfig>,
     /// What arrived since the last round.
-    pub(super) arrivals: Arrivals,
+    pub(super) arrivals: Inputs,
     pub(super) replicas: ReplicaSlots<C>,
     queries: Vec<Option<OpenQuery>>,
     free_queries: Vec<usize>,
@@ -29,17 +29,17 @@
 
 impl<C: Connector> State<C> {
     pub(super) fn new(
-        service_count: usize,
+        backend_count: usize,
         max_attempts: usize,
         settings: &Settings,
         seed: u64,
     ) -> State<C> {
-        let deployment = policy_inputs::deployment(service_count, max_attempts, settings);
+        let deployment = policy_inputs::coordinator_config(backend_count, max_attempts, settings);
         State {
             coordinator: Coordinator::new(deployment, seed),
             pass_through: settings.pass_through.then(PassThrough::default),
             query_kinds: Vec::new(),
-            arrivals: Arrivals::default(),
+            arrivals: Inputs::default(),
             replicas: ReplicaSlots::new(),
             queries: Vec::new(),
             free_queries: Vec::new(),
@@ -49,18 +49,18 @@
 
     /// One round of the decision module on all that arrived; its decisions.
     pub(super) fn decide(&mut self) -> Vec<Decision> {
-        self.arrivals.now = clock::now_tenths();
+        self.arrivals.now = clock::now_tenth_millis();
         let arrivals = std::mem::take(&mut self.arrivals);
         self.decisions.wake_at = None;
         match &mut self.pass_through {
-            None => self.coordinator.round(&arrivals, &mut self.decisions),
+            None => self.coordinator.step(&arrivals, &mut self.decisions),
             Some(pass_through) => pass_through.round(&arrivals, &mut self.decisions),
         }
         std::mem::take(&mut self.decisions.list)
     }
 
     /// The index of a kind of query, which gets one if it is new.
-    pub(super) fn query_kind(&mut self, kind: Index) -> usize {
+    pub(super) fn query_kind(&mut self, kind: IndexConfig) -> usize {
         if let Some(known) = self.query_kinds.iter().position(|known| *known == kind) {
             return known;
         }
--- a/crates/linenthread-dataplane/src/outcome.rs
+++ b/crates/linenthread-dataplane/src/outcome.rs
@@ -3,7 +3,7 @@
 //! This is the one place that decides whether a sub-request may have run, and whether it may be sent again.
 
 use linenthread_config::Mode;
-use linenthread_core::interface::Ending;
+use linenthread_core::interface::AttemptOutcome;
 use linenthread_http::Head;
 
 /// How far a sub-request got.
@@ -39,7 +39,7 @@
 pub enum ResponseUse {
     /// It is the client's response, as it stands.
     Forwarded,
-    /// It is merged with those of other services, so only a success is of use.
+    /// It is merged with those of other backends, so only a success is of use.
     Merged,
 }
 
@@ -82,7 +82,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Outcome {
     /// For the decision module.
-    pub ending: Ending,
+    pub ending: AttemptOutcome,
     /// For the rules of retries.
     pub sent: SendState,
 }
@@ -92,25 +92,25 @@
     pub fn of(event: WireEvent, age: ConnectionAge, response_use: ResponseUse) -> Outcome {
         let (ending, sent) = match (event, age) {
             (WireEvent::PoolExhausted, _) | (WireEvent::NothingWritten, ConnectionAge::Reused) => {
-                (Ending::Unsent, SendState::NotSent)
+                (AttemptOutcome::NotSent, SendState::NotSent)
             }
             (WireEvent::ConnectFailed, _) | (WireEvent::NothingWritten, ConnectionAge::New) => {
-                (Ending::Unconnected, SendState::NotSent)
+                (AttemptOutcome::ConnectFailed, SendState::NotSent)
             }
-            (WireEvent::Misdirected, _) => (Ending::Unconnected, SendState::Rejected),
-            (WireEvent::NotExecuted, _) => (Ending::TurnedAway, SendState::Rejected),
+            (WireEvent::Misdirected, _) => (AttemptOutcome::ConnectFailed, SendState::Rejected),
+            (WireEvent::NotExecuted, _) => (AttemptOutcome::Rejected, SendState::Rejected),
             // A replica may close a connection that rests: only on a new one does it count against the replica.
             (WireEvent::WriteTruncated | WireEvent::ClosedBeforeResponse, ConnectionAge::New) => {
-                (Ending::Broken, SendState::MayHaveRun)
+                (AttemptOutcome::ConnectionLost, SendState::MayHaveRun)
             }
             (
                 WireEvent::WriteTruncated | WireEvent::ClosedBeforeResponse,
                 ConnectionAge::Reused,
-            ) => (Ending::Errored, SendState::MayHaveRun),
-            (WireEvent::TimedOut, _) => (Ending::TimedOut, SendState::MayHaveRun),
-            (WireEvent::Success, _) => (Ending::Answered, SendState::MayHaveRun),
+            ) => (AttemptOutcome::Error, SendState::MayHaveRun),
+            (WireEvent::TimedOut, _) => (AttemptOutcome::TimedOut, SendState::MayHaveRun),
+            (WireEvent::Success, _) => (AttemptOutcome::Success, SendState::MayHaveRun),
             (WireEvent::RequestRejected, _) if response_use == ResponseUse::Forwarded => {
-                (Ending::Answered, SendState::MayHaveRun)
+                (AttemptOutcome::Success, SendState::MayHaveRun)
             }
             (
                 WireEvent::RequestRejected
@@ -120,7 +120,7 @@
                 | WireEvent::Malformed
                 | WireEvent::Unattributed,
                 _,
-            ) => (Ending::Errored, SendState::MayHaveRun),
+            ) => (AttemptOutcome::Error, SendState::MayHaveRun),
         };
         Outcome { ending, sent }
     }
--- a/crates/linenthread-dataplane/src/pool.rs
+++ b/crates/linenthread-dataplane/src/pool.rs
@@ -13,7 +13,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use linenthread_core::policy::CONNECT;
+use linenthread_core::policy::CONNECT_TIMEOUT;
 use linenthread_time::Instant;
 use tokio::time::timeout;
 
@@ -49,7 +49,7 @@
 /// One incarnation of a replica and the connections to it.
 pub struct ReplicaPool<C: Connector = TcpConnector> {
     id: String,
-    service: Rc<str>,
+    backend: Rc<str>,
     zone: String,
     address: SocketAddr,
     connector: C,
@@ -62,16 +62,16 @@
 }
 
 impl<C: Connector> ReplicaPool<C> {
-    /// A pool with no connection yet, of a replica of this service at this address.
+    /// A pool with no connection yet, of a replica of this backend at this address.
     pub fn new(
         replica: &linenthread_messages::Replica,
-        service: Rc<str>,
+        backend: Rc<str>,
         address: SocketAddr,
         connector: C,
     ) -> ReplicaPool<C> {
         ReplicaPool {
             id: replica.id.clone(),
-            service,
+            backend,
             zone: replica.zone.clone(),
             address,
             connector,
@@ -91,9 +91,9 @@
         &self.id
     }
 
-    /// The service that it belongs to.
-    pub fn service(&self) -> &Rc<str> {
-        &self.service
+    /// The backend that it belongs to.
+    pub fn backend(&self) -> &Rc<str> {
+        &self.backend
     }
 
     /// The zone that it runs in.
@@ -214,7 +214,7 @@
     }
 
     async fn connect(&self, time: Duration) -> Result<C::Transport, WireEvent> {
-        let connect_timeout = time.min(clock::tenths_to_duration(CONNECT));
+        let connect_timeout = time.min(clock::tenth_millis_to_duration(CONNECT_TIMEOUT));
         match timeout(connect_timeout, self.connector.connect(self.address)).await {
             Ok(Ok(transport)) => Ok(transport),
             _ => Err(WireEvent::ConnectFailed),
--- a/crates/linenthread-dataplane/src/replica_table.rs
+++ b/crates/linenthread-dataplane/src/replica_table.rs
@@ -1,4 +1,4 @@
-//! The replicas that service discovery names: their pools by id and by service.
+//! The replicas that service discovery names: their pools by id and by backend.
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::net::SocketAddr;
@@ -26,7 +26,7 @@
 pub(crate) struct ReplicaTable<C: Connector> {
     connector: C,
     by_id: BTreeMap<String, Rc<ReplicaPool<C>>>,
-    by_service: HashMap<Rc<str>, Pools<C>>,
+    by_backend: HashMap<Rc<str>, Pools<C>>,
 }
 
 impl<C: Connector> ReplicaTable<C> {
@@ -34,7 +34,7 @@
         ReplicaTable {
             connector,
             by_id: BTreeMap::new(),
-            by_service: HashMap::new(),
+            by_backend: HashMap::new(),
         }
     }
 
@@ -74,19 +74,19 @@
     /// A pool for a new replica, if its address can be read.
     fn add(&mut self, replica: &Replica) -> Option<Rc<ReplicaPool<C>>> {
         let address = replica.address.parse::<SocketAddr>().ok()?;
-        let service = match self.by_service.get_key_value(replica.backend.as_str()) {
-            Some((service, _)) => service.clone(),
+        let backend = match self.by_backend.get_key_value(replica.backend.as_str()) {
+            Some((backend, _)) => backend.clone(),
             None => Rc::from(replica.backend.as_str()),
         };
         let connector = self.connector.clone();
         let pool = Rc::new(ReplicaPool::new(
             replica,
-            service.clone(),
+            backend.clone(),
             address,
             connector,
         ));
-        self.by_service
-            .entry(service)
+        self.by_backend
+            .entry(backend)
             .or_default()
             .push(pool.clone());
         self.by_id.insert(replica.id.clone(), pool.clone());
@@ -118,20 +118,20 @@
             .count()
     }
 
-    /// The pools of these services, in the services' order.
-    pub(crate) fn pools_of(&self, services: &[Rc<str>]) -> Pools<C> {
-        services
+    /// The pools of these backends, in the backends' order.
+    pub(crate) fn pools_of(&self, backends: &[Rc<str>]) -> Pools<C> {
+        backends
             .iter()
-            .filter_map(|service| self.by_service.get(service))
+            .filter_map(|backend| self.by_backend.get(backend))
             .flatten()
             .cloned()
             .collect()
     }
 
-    /// Limits the connections to each replica by its service.
+    /// Limits the connections to each replica by its backend.
     pub(crate) fn limit_connections(&self, max_connections: impl Fn(&str) -> usize) {
-        for (service, pools) in &self.by_service {
-            let max_connections = max_connections(service);
+        for (backend, pools) in &self.by_backend {
+            let max_connections = max_connections(backend);
             for pool in pools {
                 pool.set_max_connections(max_connections);
             }
@@ -146,7 +146,7 @@
         let known = self.by_id.len();
         self.by_id.retain(|_, pool| !pool.is_forgotten(now));
         if self.by_id.len() < known {
-            for pools in self.by_service.values_mut() {
+            for pools in self.by_backend.values_mut() {
                 pools.retain(|pool| !pool.is_forgotten(now));
             }
         }
--- a/crates/linenthread-dataplane/src/response.rs
+++ b/crates/linenthread-dataplane/src/response.rs
@@ -1,6 +1,6 @@
 //! What a client gets.
 
-use linenthread_core::interface::Tenths;
+use linenthread_core::interface::TenthMillis;
 use linenthread_http::{merge_top_records, write_decimal};
 use smallvec::SmallVec;
 
@@ -80,7 +80,7 @@
 
     /// No response could be had. Only where nothing of the request can have run does the status promise that; it
     /// says when to retry, if there is advice.
-    pub(crate) fn abandoned(may_have_run: bool, retry_after: Option<Tenths>) -> Response {
+    pub(crate) fn abandoned(may_have_run: bool, retry_after: Option<TenthMillis>) -> Response {
         let headers = retry_after.map_or(Vec::new(), |retry_after| {
             let seconds = (retry_after as f64 / TENTHS_PER_SECOND).max(MIN_RETRY_AFTER_SECONDS);
             format!("Retry-After: {seconds:.3}\r\n").into_bytes()
--- a/crates/linenthread-dataplane/src/server.rs
+++ b/crates/linenthread-dataplane/src/server.rs
@@ -116,12 +116,12 @@
         .ok_or_else(|| Response::with_headers(503, NO_CONFIGURATION_ADVICE.to_vec()))?;
     let head = &request.head;
     let host = head.header("host").unwrap_or_default();
-    let planned = plan
-        .route(host, head.path())
+    let resolved = plan
+        .find(host, head.path())
         .ok_or_else(|| Response::empty(404))?;
     let replica_request =
-        to_replica_request(request, host, planned).map_err(|_| Response::empty(400))?;
-    let deadline = deadline(head, planned).map_err(|_| Response::empty(400))?;
+        to_replica_request(request, host, resolved).map_err(|_| Response::empty(400))?;
+    let deadline = deadline(head, resolved).map_err(|_| Response::empty(400))?;
     let key = fnv1a_64(head.target().as_bytes());
-    Ok(plane.dispatch(Rc::new(replica_request), planned, key, deadline))
+    Ok(plane.dispatch(Rc::new(replica_request), resolved, key, deadline))
 }
--- a/crates/linenthread-dataplane/src/server/forward.rs
+++ b/crates/linenthread-dataplane/src/server/forward.rs
@@ -1,7 +1,7 @@
 //! A client's request as replicas get it, and what its headers say of it.
 
-use linenthread_config::Planned;
-use linenthread_core::interface::Tenths;
+use linenthread_config::ResolvedRoute;
+use linenthread_core::interface::TenthMillis;
 use linenthread_http::{Head, write_decimal};
 use snafu::{OptionExt, ResultExt, Snafu};
 
@@ -35,10 +35,10 @@
 pub(super) fn to_replica_request(
     request: &ClientRequest,
     host: &str,
-    planned: &Planned,
+    resolved: &ResolvedRoute,
 ) -> Result<ReplicaRequest, HeaderError> {
     let ClientRequest { head, body } = request;
-    let response_use = match planned.route.fanout {
+    let response_use = match resolved.route.fanout {
         Some(_) => ResponseUse::Merged,
         None => ResponseUse::Forwarded,
     };
@@ -52,13 +52,13 @@
 }
 
 /// The moment at which a request ends: what the client leaves of its time, within the limit of the route.
-pub(super) fn deadline(head: &Head, planned: &Planned) -> Result<Tenths, HeaderError> {
-    let limit_ms = planned.route.limit_ms;
+pub(super) fn deadline(head: &Head, resolved: &ResolvedRoute) -> Result<TenthMillis, HeaderError> {
+    let limit_ms = resolved.route.timeout_ms;
     let remaining_ms = match head.header("x-remaining-ms") {
         Some(remaining) => remaining.parse::<u64>().context(RemainingTimeSnafu)? as f64,
         None => limit_ms,
     };
-    Ok(clock::now_tenths() + clock::ms_to_tenths(remaining_ms.min(limit_ms)))
+    Ok(clock::now_tenth_millis() + clock::ms_to_tenth_millis(remaining_ms.min(limit_ms)))
 }
 
 /// The id by which the responses to the request are known.
--- a/crates/linenthread-dataplane/src/server/receive.rs
+++ b/crates/linenthread-dataplane/src/server/receive.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use linenthread_config::Plan;
+use linenthread_config::RoutingTable;
 use linenthread_http::{Head, ParseError, request_framing};
 use snafu::Snafu;
 use tokio::io::{AsyncRead, AsyncWrite};
@@ -31,12 +31,12 @@
 }
 
 impl RequestLimits {
-    pub(super) fn of(plan: Option<&Plan>) -> RequestLimits {
+    pub(super) fn of(plan: Option<&RoutingTable>) -> RequestLimits {
         plan.map_or(DEFAULT_LIMITS, |plan| RequestLimits {
-            max_head_bytes: plan.constraints.header_bytes,
-            max_body_bytes: plan.constraints.payload_bytes,
-            head_timeout: Duration::from_millis(plan.constraints.header_ms),
-            idle_timeout: Duration::from_millis(plan.constraints.quiet_ms),
+            max_head_bytes: plan.limits.max_header_bytes,
+            max_body_bytes: plan.limits.max_body_bytes,
+            head_timeout: plan.limits.header_timeout,
+            idle_timeout: plan.limits.idle_timeout,
         })
     }
 }
--- a/crates/linenthread-dataplane/src/zones.rs
+++ b/crates/linenthread-dataplane/src/zones.rs
@@ -2,7 +2,7 @@
 
 use std::cell::RefCell;
 
-use linenthread_core::interface::WayTo;
+use linenthread_core::interface::ZoneRoute;
 
 /// To how many keys of a thousand each zone is open: all of them.
 const OPEN_PER_MILLE: u16 = 1_000;
@@ -29,11 +29,11 @@
     }
 
     /// How each zone is to be used from here, by index: the local one first.
-    pub(crate) fn ways(&self) -> Vec<WayTo> {
-        let way = |(index, zone): (usize, &String)| WayTo {
+    pub(crate) fn ways(&self) -> Vec<ZoneRoute> {
+        let way = |(index, zone): (usize, &String)| ZoneRoute {
             id: linenthread_consensus::fnv1a_64(zone.as_bytes()),
             distance: u8::from(index > 0),
-            open: OPEN_PER_MILLE,
+            open_per_mille: OPEN_PER_MILLE,
         };
         self.0.borrow().iter().enumerate().map(way).collect()
     }
--- a/crates/linenthread-dataplane/tests/outcome.rs
+++ b/crates/linenthread-dataplane/tests/outcome.rs
@@ -2,7 +2,7 @@
 
 use bytes::BytesMut;
 use linenthread_config::Mode;
-use linenthread_core::interface::Ending;
+use linenthread_core::interface::AttemptOutcome;
 use linenthread_dataplane::outcome::SendState::{MayHaveRun, NotSent, Rejected};
 use linenthread_dataplane::outcome::{
     ConnectionAge, Outcome, ResponseUse, SendState, WireEvent, classify_response, may_retry,
@@ -29,23 +29,28 @@
 ];
 
 #[parameterized(
-    pool_exhausted = { WireEvent::PoolExhausted, Ending::Unsent, Ending::Unsent, NotSent },
-    connect_failed = { WireEvent::ConnectFailed, Ending::Unconnected, Ending::Unconnected, NotSent },
-    nothing_written = { WireEvent::NothingWritten, Ending::Unconnected, Ending::Unsent, NotSent },
-    write_truncated = { WireEvent::WriteTruncated, Ending::Broken, Ending::Errored, MayHaveRun },
-    closed_before_response = { WireEvent::ClosedBeforeResponse, Ending::Broken, Ending::Errored, MayHaveRun },
-    response_truncated = { WireEvent::ResponseTruncated, Ending::Errored, Ending::Errored, MayHaveRun },
-    timed_out = { WireEvent::TimedOut, Ending::TimedOut, Ending::TimedOut, MayHaveRun },
-    malformed = { WireEvent::Malformed, Ending::Errored, Ending::Errored, MayHaveRun },
-    unattributed = { WireEvent::Unattributed, Ending::Errored, Ending::Errored, MayHaveRun },
-    misdirected = { WireEvent::Misdirected, Ending::Unconnected, Ending::Unconnected, Rejected },
-    not_executed = { WireEvent::NotExecuted, Ending::TurnedAway, Ending::TurnedAway, Rejected },
-    success = { WireEvent::Success, Ending::Answered, Ending::Answered, MayHaveRun },
-    unsealed = { WireEvent::Unsealed, Ending::Errored, Ending::Errored, MayHaveRun },
-    request_rejected = { WireEvent::RequestRejected, Ending::Answered, Ending::Answered, MayHaveRun },
-    server_error = { WireEvent::ServerError, Ending::Errored, Ending::Errored, MayHaveRun },
+    pool_exhausted = { WireEvent::PoolExhausted, AttemptOutcome::NotSent, AttemptOutcome::NotSent, NotSent },
+    connect_failed = { WireEvent::ConnectFailed, AttemptOutcome::ConnectFailed, AttemptOutcome::ConnectFailed, NotSent },
+    nothing_written = { WireEvent::NothingWritten, AttemptOutcome::ConnectFailed, AttemptOutcome::NotSent, NotSent },
+    write_truncated = { WireEvent::WriteTruncated, AttemptOutcome::ConnectionLost, AttemptOutcome::Error, MayHaveRun },
+    closed_before_response = { WireEvent::ClosedBeforeResponse, AttemptOutcome::ConnectionLost, AttemptOutcome::Error, MayHaveRun },
+    response_truncated = { WireEvent::ResponseTruncated, AttemptOutcome::Error, AttemptOutcome::Error, MayHaveRun },
+    timed_out = { WireEvent::TimedOut, AttemptOutcome::TimedOut, AttemptOutcome::TimedOut, MayHaveRun },
+    malformed = { WireEvent::Malformed, AttemptOutcome::Error, AttemptOutcome::Error, MayHaveRun },
+    unattributed = { WireEvent::Unattributed, AttemptOutcome::Error, AttemptOutcome::Error, MayHaveRun },
+    misdirected = { WireEvent::Misdirected, AttemptOutcome::ConnectFailed, AttemptOutcome::ConnectFailed, Rejected },
+    not_executed = { WireEvent::NotExecuted, AttemptOutcome::Rejected, AttemptOutcome::Rejected, Rejected },
+    success = { WireEvent::Success, AttemptOutcome::Success, AttemptOutcome::Success, MayHaveRun },
+    unsealed = { WireEvent::Unsealed, AttemptOutcome::Error, AttemptOutcome::Error, MayHaveRun },
+    request_rejected = { WireEvent::RequestRejected, AttemptOutcome::Success, AttemptOutcome::Success, MayHaveRun },
+    server_error = { WireEvent::ServerError, AttemptOutcome::Error, AttemptOutcome::Error, MayHaveRun },
 )]
-fn each_event_has_its_outcome(event: WireEvent, new: Ending, reused: Ending, sent: SendState) {
+fn each_event_has_its_outcome(
+    event: WireEvent,
+    new: AttemptOutcome,
+    reused: AttemptOutcome,
+    sent: SendState,
+) {
     for (age, ending) in [(ConnectionAge::New, new), (ConnectionAge::Reused, reused)] {
         let outcome = Outcome::of(event, age, ResponseUse::Forwarded);
         assert_eq!(outcome, Outcome { ending, sent });
--- a/crates/linenthread-dataplane/tests/pool.rs
+++ b/crates/linenthread-dataplane/tests/pool.rs
@@ -6,7 +6,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use linenthread_core::interface::Ending;
+use linenthread_core::interface::AttemptOutcome;
 use linenthread_dataplane::outcome::{Outcome, ResponseUse, SendState};
 use linenthread_dataplane::pool::{ReplicaPool, ReplicaRequest, SubRequestOutcome};
 use linenthread_dataplane_sim::network::{Event, Inbound, Listener, Network, Peer, WriteFate};
@@ -116,7 +116,7 @@
     }
 }
 
-fn may_have_run(ended: &SubRequestOutcome, ending: Ending) -> bool {
+fn may_have_run(ended: &SubRequestOutcome, ending: AttemptOutcome) -> bool {
     let sent = SendState::MayHaveRun;
     ended.outcome == Outcome { ending, sent } && ended.response.is_none()
 }
@@ -137,7 +137,7 @@
     let late = vec![(1, answer("a", "1")), (5, answer("b", "2"))];
     let rig = rig(vec![vec![vec![(1, answer("a", "1"))], late]]);
     rig.call("a").await;
-    assert!(may_have_run(&rig.call("b").await, Ending::Errored));
+    assert!(may_have_run(&rig.call("b").await, AttemptOutcome::Error));
     assert_eq!(rig.pool.idle(), 0);
 }
 
@@ -147,10 +147,13 @@
         vec![vec![(1, answer("", "1"))]],
         vec![vec![(1, answer("a", "1"))], vec![(1, answer("", "2"))]],
     ]);
-    assert!(may_have_run(&rig.call("fresh").await, Ending::Errored));
+    assert!(may_have_run(
+        &rig.call("fresh").await,
+        AttemptOutcome::Error
+    ));
     assert_eq!(rig.pool.idle(), 0);
     rig.call("a").await;
-    assert!(may_have_run(&rig.call("b").await, Ending::Errored));
+    assert!(may_have_run(&rig.call("b").await, AttemptOutcome::Error));
     assert_eq!(rig.pool.idle(), 0);
 }
 
@@ -163,7 +166,7 @@
     let request = request("a");
     assert!(may_have_run(
         &rig.pool.call(&request, TIME).await,
-        Ending::TimedOut
+        AttemptOutcome::TimedOut
     ));
     assert_eq!(rig.pool.idle(), 0);
     tokio::time::sleep(TIME).await;
@@ -218,14 +221,17 @@
         vec![(1, Event::Reset)],
     ]]);
     rig.call("a").await;
-    assert!(may_have_run(&rig.call("b").await, Ending::Errored));
+    assert!(may_have_run(&rig.call("b").await, AttemptOutcome::Error));
 }
 
 #[tokio::test(start_paused = true)]
 async fn a_request_answered_by_a_reset_or_a_close_may_have_run() {
     for end in [Event::Reset, Event::Close] {
         let rig = rig(vec![vec![vec![(1, end)]]]);
-        assert!(may_have_run(&rig.call("a").await, Ending::Broken));
+        assert!(may_have_run(
+            &rig.call("a").await,
+            AttemptOutcome::ConnectionLost
+        ));
     }
 }
 
@@ -237,7 +243,7 @@
             let half = Event::Bytes(complete[..length].to_vec());
             let rig = rig(vec![vec![vec![(1, half), (2, end)]]]);
             assert!(
-                may_have_run(&rig.call("a").await, Ending::Errored),
+                may_have_run(&rig.call("a").await, AttemptOutcome::Error),
                 "{length}"
             );
             assert_eq!(rig.pool.idle(), 0);
@@ -249,7 +255,7 @@
 async fn a_request_whose_response_stalls_may_have_run() {
     let half = Event::Bytes(message(200, "a", "seal", "", b"whole")[..40].to_vec());
     let rig = rig(vec![vec![vec![(1, half)]]]);
-    assert!(may_have_run(&rig.call("a").await, Ending::TimedOut));
+    assert!(may_have_run(&rig.call("a").await, AttemptOutcome::TimedOut));
     assert_eq!(rig.pool.idle(), 0);
 }
 
@@ -259,8 +265,11 @@
         (WriteFate::FailsAfter(30), vec![]),
         (WriteFate::StopsAfter(30), vec![]),
     ]);
-    assert!(may_have_run(&rig.call("a").await, Ending::Broken));
-    assert!(may_have_run(&rig.call("b").await, Ending::TimedOut));
+    assert!(may_have_run(
+        &rig.call("a").await,
+        AttemptOutcome::ConnectionLost
+    ));
+    assert!(may_have_run(&rig.call("b").await, AttemptOutcome::TimedOut));
 }
 
 #[tokio::test(start_paused = true)]
@@ -274,7 +283,7 @@
         assert_eq!(
             ended.outcome,
             Outcome {
-                ending: Ending::Unconnected,
+                ending: AttemptOutcome::ConnectFailed,
                 sent: SendState::NotSent
             }
         );
@@ -291,7 +300,7 @@
     let rig = rig(vec![first]);
     assert_eq!(rig.call("a").await.outcome.sent, SendState::Rejected);
     assert_eq!(rig.call("b").await.outcome.sent, SendState::Rejected);
-    assert!(may_have_run(&rig.call("c").await, Ending::Errored));
+    assert!(may_have_run(&rig.call("c").await, AttemptOutcome::Error));
     assert_eq!(rig.pool.idle(), 0);
 }
 
@@ -321,7 +330,7 @@
     assert_eq!(
         ended.outcome,
         Outcome {
-            ending: Ending::Unconnected,
+            ending: AttemptOutcome::ConnectFailed,
             sent: SendState::Rejected
         }
     );
--- a/crates/linenthread-dataplane/tests/server.rs
+++ b/crates/linenthread-dataplane/tests/server.rs
@@ -41,7 +41,7 @@
     }
 }
 
-/// An ingress node with these replicas of both services that are queried alone.
+/// An ingress node with these replicas of both backends that are queried alone.
 fn ingress(replicas: Option<&Replicas>) -> Rc<DataPlane<Network>> {
     clock::restart();
     let network = Network::default();
--- a/crates/linenthread-node/src/ingress.rs
+++ b/crates/linenthread-node/src/ingress.rs
@@ -31,8 +31,8 @@
 /// New connections still arrive for so long after a shutdown was requested: load balancers check readiness once a
 /// second.
 const ACCEPT_WHILE_DRAINING: Duration = Duration::from_millis(2_600);
-/// What is left of the grace period when the last requests are given up, in milliseconds.
-const SHUTDOWN_MARGIN_MS: u64 = 600;
+/// What is left of the grace period when the last requests are given up.
+const SHUTDOWN_MARGIN: Duration = Duration::from_millis(600);
 /// How often a shutdown looks whether all requests have ended.
 const SHUTDOWN_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
@@ -45,7 +45,7 @@
     let incarnation = life();
     let plane = DataPlane::new(settings.clone(), incarnation, TcpConnector);
     let clients = bind(address).await?;
-    if let Some(address) = settings.readiness {
+    if let Some(address) = settings.readiness_bind {
         spawn_local(accept_readiness_checks(bind(address).await?, plane.clone()));
     }
     spawn_local(accept_clients(clients, address, plane.clone()));
@@ -59,10 +59,10 @@
 }
 
 /// Serves on until nothing new arrives and all requests in flight have ended, or the grace period is nearly over.
-pub(crate) async fn stop(plane: &DataPlane, grace_ms: u64) {
+pub(crate) async fn stop(plane: &DataPlane, grace: Duration) {
     plane.begin_drain();
     let now = Instant::now();
-    let latest = now + Duration::from_millis(grace_ms.saturating_sub(SHUTDOWN_MARGIN_MS));
+    let latest = now + grace.saturating_sub(SHUTDOWN_MARGIN);
     tokio::time::sleep_until((now + ACCEPT_WHILE_DRAINING).min(latest)).await;
     plane.close();
     tokio::task::yield_now().await;
--- a/crates/linenthread-terms/tests/settings.rs
+++ b/crates/linenthread-terms/tests/settings.rs
@@ -1,12 +1,12 @@
-//! What settings of the old shape give, and those of the new one.
+//! Settings and what they are decoded to.
 
 use linenthread_core::interface::{
-    Allowance, ColdStart, Deployment, Effect, FurtherCalls, Index, Layout,
+    CoordinatorConfig, Idempotency, IndexConfig, Permissions, RetryBudget, ShardLayout, SlowStart,
 };
-use linenthread_terms::deployment;
+use linenthread_terms::coordinator_config;
 use serde_json::{Value, json};
 
-fn old() -> Value {
+fn settings() -> Value {
     json!({
         "me": 1, "balancers": 3, "membership-mode": "pushed", "over-share-worth": 0.2, "kinds": ["x"],
         "classes": [{"name": "a", "idempotency": "keyed", "window-ms": 700.0, "promise-ms": 900.0, "worth": 2.0,
@@ -24,69 +24,69 @@
 }
 
 #[test]
-fn old_settings_give_what_they_gave() {
-    let told = Deployment {
-        own_number: 1,
-        co_ordinators: 3,
-        indexes: vec![Index {
-            effect: Effect::Fingerprinted(7_000),
+fn all_settings_are_decoded_and_telemetry_may_be_missing() {
+    let expected = CoordinatorConfig {
+        coordinator_number: 1,
+        coordinator_count: 3,
+        indexes: vec![IndexConfig {
+            idempotency: Idempotency::Deduplicated(7_000),
             soft_deadline: 9_000,
-            gain: 2.0,
-            late_share: 0.3,
-            need: 1.0,
-            floor: 0.8,
-            partial_gain: 0.7,
-            second_step: 0,
+            value: 2.0,
+            late_value_share: 0.3,
+            complete_share: 1.0,
+            min_share: 0.8,
+            partial_value: 0.7,
+            fetch_sub_requests: 0,
         }],
         customer_quotas: vec![7.5],
-        over_share_gain: 0.2,
-        gain_by_work: false,
-        layout: Layout {
-            cells: 6,
-            in_a_row: 2,
+        over_quota_value: 0.2,
+        value_by_work: false,
+        layout: ShardLayout {
+            replica_groups: 6,
+            replication_factor: 2,
         },
-        allowance: Allowance {
-            calls_a_part: 3,
-            second_copies: true,
-            withdraw: true,
-            probes: true,
-            retry_advice: Some(4_000),
+        permissions: Permissions {
+            max_attempts: 3,
+            hedging: true,
+            cancellation: true,
+            health_probes: true,
+            max_retry_after: Some(4_000),
         },
-        cold: ColdStart {
-            share: 0.3,
-            warm_up: 60_000,
-            multiple: 2.5,
+        slow_start: SlowStart {
+            initial_share: 0.3,
+            duration: 60_000,
+            budget_multiple: 2.5,
             window: 8_000,
         },
-        queue_told: true,
+        reports_queue: true,
         short_queues: false,
         drain_grace: 6_000,
-        further_calls: Some(FurtherCalls {
-            free: 4.0,
-            share: 0.1,
+        retry_budget: Some(RetryBudget {
+            reserve: 4.0,
+            ratio: 0.1,
             window: 30_000,
         }),
-        watch_roster: false,
+        watch_membership: false,
     };
-    assert_eq!(deployment(&old()), Ok(told.clone()));
-    // Settings from before load reports were looked at say nothing of them: all is as it was.
-    let mut silent = old();
-    silent.as_object_mut().unwrap().remove("telemetry");
-    assert_eq!(deployment(&silent), Ok(told));
+    assert_eq!(coordinator_config(&settings()).unwrap(), expected);
+    // Older settings say nothing of load reports: replicas report their queue.
+    let mut without_telemetry = settings();
+    without_telemetry
+        .as_object_mut()
+        .unwrap()
+        .remove("telemetry");
+    assert_eq!(coordinator_config(&without_telemetry).unwrap(), expected);
 }
 
 #[test]
-fn how_load_is_told_is_read_and_held_to_its_words() {
+fn load_reports_are_decoded_and_unknown_words_refused() {
     let with = |telemetry: Value| {
-        let mut settings = old();
-        settings["telemetry"] = telemetry;
-        deployment(&settings).map(|d| d.queue_told)
+        let mut changed = settings();
+        changed["telemetry"] = telemetry;
+        coordinator_config(&changed).map(|config| config.reports_queue)
     };
-    assert_eq!(with(json!({"names": [], "source": "none"})), Ok(false));
-    assert_eq!(
-        with(json!({"names": ["util"], "source": "answers"})),
-        Ok(false)
-    );
+    assert!(!with(json!({"names": [], "source": "none"})).unwrap());
+    assert!(!with(json!({"names": ["util"], "source": "answers"})).unwrap());
     for (field, bad) in [
         (
             "telemetry.source",
@@ -95,7 +95,10 @@
         ("telemetry.source", json!({"names": []})),
         ("telemetry.names", json!({"names": [1], "source": "none"})),
     ] {
-        let said = with(bad).unwrap_err();
-        assert!(said.contains(field) && said.lines().count() == 1, "{said}");
+        let message = with(bad).unwrap_err().to_string();
+        assert!(
+            message.contains(field) && message.lines().count() == 1,
+            "{message}"
+        );
     }
 }
