--- /dev/null
+++ b/crates/linenthread-dataplane-sim/src/checker.rs
@@ -0,0 +1,278 @@
+//! What must hold, checked from each execution at each replica and each response at each client.
+//!
+//! | rule | what it says |
+//! | --- | --- |
+//! | *own-response-only* | a response with a seal is of an execution of this very request, with its body |
+//! | *mutating-at-most-once* | a request that may not be repeated is executed at most once |
+//! | *rejected-never-executed* | where a client got 503 with no seal, nothing of its request was executed |
+//! | *no-ambiguous-connection* | nothing is written on a connection with an unanswered request or unread bytes |
+//! | *complete-or-declared* | each request gets one response in time, which is complete or says how many parts are missing |
+
+use std::collections::BTreeSet;
+use std::fmt;
+use std::ops::AddAssign;
+use std::time::Duration;
+
+use linenthread_http::{Head, merge_top_records};
+
+use crate::content::response_body;
+use crate::deployment::{MERGED_BACKENDS, RECORD_LIMIT};
+use crate::event_log::{EventLog, Execution};
+
+/// The rules.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub enum Rule {
+    /// A response with a seal is of an execution of this very request, with its body.
+    OwnResponseOnly,
+    /// A request that may not be repeated is executed at most once.
+    MutatingAtMostOnce,
+    /// Where a client got 503 with no seal, nothing of its request was executed.
+    RejectedNeverExecuted,
+    /// Nothing is written on a connection with an unanswered request or unread bytes.
+    NoAmbiguousConnection,
+    /// Each request gets one response in time, which is complete or says how many parts are missing.
+    CompleteOrDeclared,
+}
+
+impl fmt::Display for Rule {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        formatter.write_str(match self {
+            Rule::OwnResponseOnly => "own-response-only",
+            Rule::MutatingAtMostOnce => "mutating-at-most-once",
+            Rule::RejectedNeverExecuted => "rejected-never-executed",
+            Rule::NoAmbiguousConnection => "no-ambiguous-connection",
+            Rule::CompleteOrDeclared => "complete-or-declared",
+        })
+    }
+}
+
+/// A rule that was broken, and how.
+#[derive(Clone, Debug)]
+pub struct Violation {
+    /// The rule.
+    pub rule: Rule,
+    /// What happened.
+    pub cause: String,
+}
+
+impl fmt::Display for Violation {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        write!(formatter, "{}: {}", self.rule, self.cause)
+    }
+}
+
+/// How many requests there were, and what became of them.
+#[derive(Clone, Copy, Debug, Default)]
+pub struct Counts {
+    /// Requests that were sent.
+    pub requests: usize,
+    /// Successes of which nothing is missing.
+    pub complete: usize,
+    /// Merged responses of which parts are missing.
+    pub partial: usize,
+    /// Failures: 500 of a replica, or 502.
+    pub failed: usize,
+    /// 503 of the ingress node.
+    pub rejected: usize,
+    /// Requests whose client left.
+    pub abandoned: usize,
+}
+
+impl AddAssign for Counts {
+    fn add_assign(&mut self, other: Counts) {
+        self.requests += other.requests;
+        self.complete += other.complete;
+        self.partial += other.partial;
+        self.failed += other.failed;
+        self.rejected += other.rejected;
+        self.abandoned += other.abandoned;
+    }
+}
+
+/// What a client requests.
+#[derive(Clone, Debug)]
+pub(crate) struct ClientRequest {
+    pub(crate) attempt_id: String,
+    pub(crate) path: String,
+    /// It may be executed more than once.
+    pub(crate) is_idempotent: bool,
+    /// The responses of several backends are merged for it.
+    pub(crate) is_merged: bool,
+}
+
+impl ClientRequest {
+    fn is_of(&self, execution: &Execution) -> bool {
+        execution.attempt_id == self.attempt_id && execution.path == self.path
+    }
+}
+
+/// The checker of one simulation.
+#[derive(Default)]
+pub(crate) struct Checker {
+    log: EventLog,
+    violations: Vec<Violation>,
+    counts: Counts,
+    requests: Vec<ClientRequest>,
+    /// Requests of which nothing may have been executed.
+    rejected: Vec<String>,
+}
+
+impl Checker {
+    /// Checks against this log.
+    pub(crate) fn new(log: EventLog) -> Checker {
+        Checker {
+            log,
+            ..Checker::default()
+        }
+    }
+
+    pub(crate) fn counts(&self) -> Counts {
+        self.counts
+    }
+
+    /// Notes a violation.
+    pub(crate) fn violation(&mut self, rule: Rule, cause: String) {
+        self.violations.push(Violation { rule, cause });
+    }
+
+    /// A client has sent a request.
+    pub(crate) fn on_request(&mut self, request: &ClientRequest) {
+        self.counts.requests += 1;
+        self.requests.push(request.clone());
+    }
+
+    /// A client has left without waiting for its response.
+    pub(crate) fn on_abandoned(&mut self) {
+        self.counts.abandoned += 1;
+    }
+
+    /// A client got a response, so much later than it may arrive.
+    pub(crate) fn on_response(
+        &mut self,
+        request: &ClientRequest,
+        head: &Head,
+        body: &[u8],
+        delay: Duration,
+    ) {
+        let id = &request.attempt_id;
+        if !delay.is_zero() {
+            let cause = format!("{id} was answered {delay:?} too late");
+            self.violation(Rule::CompleteOrDeclared, cause);
+        }
+        let seal = head.header("x-replica-seal");
+        match (head.status(), request.is_merged, seal) {
+            (200, true, _) => self.check_merged(request, head, body),
+            (200..=299, false, Some(seal)) => {
+                self.counts.complete += 1;
+                if let Some(execution) = self.check_seal(request, seal) {
+                    self.check_forwarded(request, head, body, &execution);
+                }
+            }
+            (500, false, Some(seal)) => {
+                self.counts.failed += 1;
+                self.check_seal(request, seal);
+            }
+            (502, _, None) => self.counts.failed += 1,
+            (503, _, None) => {
+                self.counts.rejected += 1;
+                self.rejected.push(id.clone());
+            }
+            (status, _, seal) => {
+                let cause = format!("{id} got {status}, seal {seal:?}");
+                self.violation(Rule::CompleteOrDeclared, cause);
+            }
+        }
+    }
+
+    /// The connection ended, or stalled, where a response was due.
+    pub(crate) fn on_missing_response(&mut self, request: &ClientRequest, cause: &str) {
+        let cause = format!("{} got no response: {cause}", request.attempt_id);
+        self.violation(Rule::CompleteOrDeclared, cause);
+    }
+
+    /// The execution whose seal a response has, if that is of the request.
+    fn check_seal(&mut self, request: &ClientRequest, seal: &str) -> Option<Execution> {
+        let execution = self.log.sealed_by(seal);
+        let own = execution.filter(|execution| request.is_of(execution));
+        if own.is_none() {
+            let cause = format!("{} got the seal {seal}", request.attempt_id);
+            self.violation(Rule::OwnResponseOnly, cause);
+        }
+        own
+    }
+
+    /// A replica's response as it arrived.
+    fn check_forwarded(
+        &mut self,
+        request: &ClientRequest,
+        head: &Head,
+        body: &[u8],
+        execution: &Execution,
+    ) {
+        let id = &request.attempt_id;
+        if head.header("x-attempt-id") != Some(id) {
+            let cause = format!("{id} got a response with another id");
+            self.violation(Rule::OwnResponseOnly, cause);
+        }
+        if body != response_body(&execution.backend, &execution.path, &execution.attempt_id) {
+            let cause = format!("{id} got another body");
+            self.violation(Rule::CompleteOrDeclared, cause);
+        }
+    }
+
+    /// A response merged from parts.
+    fn check_merged(&mut self, request: &ClientRequest, head: &Head, body: &[u8]) {
+        let id = &request.attempt_id;
+        let seals: Vec<&str> = head
+            .header("x-part-seals")
+            .unwrap_or_default()
+            .split(", ")
+            .collect();
+        let missing = head
+            .header("x-missing-parts")
+            .and_then(|missing| missing.parse::<usize>().ok());
+        match missing {
+            Some(0) => self.counts.complete += 1,
+            _ => self.counts.partial += 1,
+        }
+        if missing != Some(MERGED_BACKENDS.len().saturating_sub(seals.len())) {
+            let cause = format!("{id} was told that {missing:?} parts are missing");
+            self.violation(Rule::CompleteOrDeclared, cause);
+        }
+        let backends: BTreeSet<String> = seals
+            .iter()
+            .filter_map(|seal| self.check_seal(request, seal))
+            .map(|execution| execution.backend)
+            .collect();
+        let parts: Vec<Vec<u8>> = backends
+            .iter()
+            .map(|backend| response_body(backend, &request.path, id))
+            .collect();
+        if body != merge_top_records(parts.iter().map(Vec::as_slice), RECORD_LIMIT) {
+            let cause = format!("{id} got other records");
+            self.violation(Rule::OwnResponseOnly, cause);
+        }
+    }
+
+    /// Checks what can only be checked at the end; all violations.
+    pub(crate) fn finish(&mut self) -> Vec<Violation> {
+        for attempt_id in std::mem::take(&mut self.rejected) {
+            let executions = self.log.executions_of(&attempt_id);
+            if executions > 0 {
+                let cause = format!("{attempt_id} was rejected and executed {executions} times");
+                self.violation(Rule::RejectedNeverExecuted, cause);
+            }
+        }
+        for cause in self.log.take_misused_connections() {
+            self.violation(Rule::NoAmbiguousConnection, cause);
+        }
+        for request in std::mem::take(&mut self.requests) {
+            let executions = self.log.executions_of(&request.attempt_id);
+            if !request.is_idempotent && executions > 1 {
+                let cause = format!("{} was executed {executions} times", request.attempt_id);
+                self.violation(Rule::MutatingAtMostOnce, cause);
+            }
+        }
+        std::mem::take(&mut self.violations)
+    }
+}
--- a/crates/linenthread-dataplane-sim/src/client.rs
+++ b/crates/linenthread-dataplane-sim/src/client.rs
@@ -1,6 +1,7 @@
 //! Clients: sessions of several requests on one connection, with pauses, some of which end early.
 
 use std::cell::{Cell, RefCell};
+use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
 
@@ -11,216 +12,225 @@
 use tokio::task::spawn_local;
 use tokio::time::{Instant, timeout};
 
-use crate::fate::Chance;
-use crate::judge::{Asked, Judge, Runs};
+use crate::checker::{Checker, ClientRequest};
+use crate::content::MERGED_PREFIX;
+use crate::deployment::{HOST, ROUTE_TIMEOUT_MS};
+use crate::event_log::{Event, EventLog};
 use crate::network::Network;
-use crate::world::{HOST, LIMIT_MS};
+use crate::random::Random;
 
-const ROOM: usize = 1 << 16;
-const LONGEST: usize = 1 << 20;
-/// An answer may come so long after its deadline: the front waits that long for a replica's last word.
-const SLACK: Duration = Duration::from_millis(60);
-/// Nothing is waited for longer.
+/// How many bytes may be in flight on a client's connection.
+const PIPE_BYTES: usize = 1 << 16;
+/// No head and no body of a response is longer, in bytes.
+const MAX_RESPONSE_BYTES: usize = 1 << 20;
+/// A response may arrive so long after its deadline: the ingress node waits that long for a replica's last message.
+const RESPONSE_SLACK: Duration = Duration::from_millis(60);
+/// Nothing is awaited for longer.
 const FOREVER: Duration = Duration::from_secs(60);
+/// How long a session waits at its end for bytes that nobody requested.
+const QUIET_END: Duration = Duration::from_millis(500);
+/// The address that the ingress node sees.
+const CLIENT_ADDRESS: ([u8; 4], u16) = ([10, 9, 0, 1], 1);
 
-/// So many of a thousand batches are two requests at once, are sent in two pieces, and are not waited for.
-const PIPELINED: u64 = 100;
-const CUT: u64 = 100;
-const IMPATIENT: u64 = 30;
+/// Batches of two requests at once, per mille.
+const PIPELINED_PER_MILLE: u64 = 100;
+/// Batches that are written in two pieces, per mille.
+const SPLIT_PER_MILLE: u64 = 100;
+/// Responses that are not awaited to their end, per mille.
+const IMPATIENT_PER_MILLE: u64 = 30;
+/// Requests with the whole time-out of their route, per mille; the others have less time.
+const FULL_TIMEOUT_PER_MILLE: u64 = 700;
 
-/// What all sessions of a world share.
+/// What all sessions of a simulation share.
 #[derive(Clone)]
-pub struct Shared {
-    pub plane: Rc<DataPlane<Network>>,
-    pub judge: Rc<RefCell<Judge>>,
-    pub runs: Runs,
-    pub chance: Chance,
-    /// For how long the front has been frozen in all.
-    pub frozen: Rc<Cell<Duration>>,
+pub(crate) struct Shared {
+    pub(crate) plane: Rc<DataPlane<Network>>,
+    pub(crate) checker: Rc<RefCell<Checker>>,
+    pub(crate) log: EventLog,
+    pub(crate) random: Random,
+    /// For how long the ingress node has been frozen in all.
+    pub(crate) frozen: Rc<Cell<Duration>>,
 }
 
-/// How a session's request went on.
-#[derive(PartialEq, Eq)]
-enum Next {
-    GoesOn,
-    Ends,
+/// Whether a session goes on after a response.
+#[derive(Clone, Copy, PartialEq, Eq)]
+enum Flow {
+    Continue,
+    End,
 }
 
-/// One session.
-pub async fn session(shared: Shared, name: String) {
-    let (near, far) = tokio::io::duplex(ROOM);
-    let peer = std::net::SocketAddr::from(([10, 9, 0, 1], 1));
-    spawn_local(serve(far, peer, shared.plane.clone()));
-    let mut http = HttpConnection::new(near);
-    let batches = 2 + shared.chance.below(5);
-    for number in 0..batches {
-        let count = if shared.chance.per_mille(PIPELINED) {
-            2
-        } else {
-            1
-        };
-        let batch: Vec<Asked> = (0..count)
-            .map(|n| draw(&shared.chance, &format!("{name}-{number}-{n}")))
-            .collect();
-        if ask(&shared, &mut http, &batch).await == Next::Ends {
+/// One session; its requests are named after it.
+pub(crate) async fn session(shared: Shared, name: String) {
+    let (client, server) = tokio::io::duplex(PIPE_BYTES);
+    let peer = SocketAddr::from(CLIENT_ADDRESS);
+    spawn_local(serve(server, peer, shared.plane.clone()));
+    let mut http = HttpConnection::new(client);
+    let batches = 2 + shared.random.below(5);
+    for batch_number in 0..batches {
+        let batch = draw_batch(&shared.random, &format!("{name}-{batch_number}"));
+        if exchange(&shared, &mut http, &batch).await == Flow::End {
             return;
         }
-        tokio::time::sleep(shared.chance.ms(0, 150)).await;
+        tokio::time::sleep(shared.random.millis(0, 150)).await;
     }
-    // Nothing more may come.
-    if timeout(Duration::from_millis(500), http.wait_for_data(FOREVER))
-        .await
-        .is_ok()
-    {
-        let last = Asked {
-            attempt: name,
+    let surplus = timeout(QUIET_END, http.wait_for_data(FOREVER)).await;
+    if surplus.is_ok() {
+        let last = ClientRequest {
+            attempt_id: name,
             path: String::new(),
-            repeatable: true,
-            gathers: false,
+            is_idempotent: true,
+            is_merged: false,
         };
         shared
-            .judge
+            .checker
             .borrow_mut()
-            .unanswered(&last, "something came that nobody asked for");
+            .on_missing_response(&last, "bytes arrived that nobody requested");
     }
 }
 
-fn draw(chance: &Chance, attempt: &str) -> Asked {
-    let (prefix, repeatable, gathers) = match chance.below(4) {
+fn draw_batch(random: &Random, name: &str) -> Vec<ClientRequest> {
+    let count = if random.per_mille(PIPELINED_PER_MILLE) {
+        2
+    } else {
+        1
+    };
+    (0..count)
+        .map(|number| draw_request(random, format!("{name}-{number}")))
+        .collect()
+}
+
+fn draw_request(random: &Random, attempt_id: String) -> ClientRequest {
+    let (prefix, is_idempotent, is_merged) = match random.below(4) {
         0 | 1 => ("/once/", false, false),
         2 => ("/one/", true, false),
-        _ => ("/all/", true, true),
+        _ => (MERGED_PREFIX, true, true),
     };
-    Asked {
-        attempt: attempt.to_owned(),
-        path: format!("{prefix}{}", chance.below(50)),
-        repeatable,
-        gathers,
+    ClientRequest {
+        attempt_id,
+        path: format!("{prefix}{}", random.below(50)),
+        is_idempotent,
+        is_merged,
     }
 }
 
-/// Some requests at once, and their answers in the same order if the client waits for them.
-async fn ask(shared: &Shared, http: &mut HttpConnection<DuplexStream>, batch: &[Asked]) -> Next {
-    let chance = &shared.chance;
-    let limit = if chance.per_mille(700) {
-        LIMIT_MS
+/// Sends some requests at once, and awaits their responses in the same order, if the client is patient.
+async fn exchange(
+    shared: &Shared,
+    http: &mut HttpConnection<DuplexStream>,
+    batch: &[ClientRequest],
+) -> Flow {
+    let random = &shared.random;
+    let timeout_ms = if random.per_mille(FULL_TIMEOUT_PER_MILLE) {
+        ROUTE_TIMEOUT_MS
     } else {
-        50 + chance.below(LIMIT_MS)
+        50 + random.below(ROUTE_TIMEOUT_MS)
     };
-    for asked in batch {
-        shared.judge.borrow_mut().ask(asked);
-        shared.runs.log(&["asked", &asked.attempt, &asked.path]);
+    for request in batch {
+        shared.checker.borrow_mut().on_request(request);
+        shared.log.add(&Event::RequestSent {
+            attempt_id: &request.attempt_id,
+            path: &request.path,
+        });
     }
-    send(
-        chance,
-        http,
-        batch.iter().flat_map(|asked| bytes(asked, limit)).collect(),
-    )
-    .await;
-    for asked in batch {
-        if receive(shared, http, asked, limit).await == Next::Ends {
-            return Next::Ends;
+    let bytes = batch
+        .iter()
+        .flat_map(|request| to_bytes(request, timeout_ms))
+        .collect();
+    write(random, http, bytes).await;
+    for request in batch {
+        if receive(shared, http, request, timeout_ms).await == Flow::End {
+            return Flow::End;
         }
     }
-    Next::GoesOn
+    Flow::Continue
 }
 
-/// Writes it, in two pieces at times.
-async fn send(chance: &Chance, http: &mut HttpConnection<DuplexStream>, bytes: Vec<u8>) {
-    let by = Instant::now() + FOREVER;
-    let cut = if chance.per_mille(CUT) {
-        chance.below(bytes.len() as u64) as usize
+/// Writes the bytes, at times in two pieces.
+async fn write(random: &Random, http: &mut HttpConnection<DuplexStream>, bytes: Vec<u8>) {
+    let deadline = Instant::now() + FOREVER;
+    let split = if random.per_mille(SPLIT_PER_MILLE) {
+        random.index(bytes.len())
     } else {
         0
     };
-    if cut > 0 {
-        let _ = http.write(&bytes[..cut], by).await;
-        tokio::time::sleep(chance.ms(0, 50)).await;
+    // A connection that fails here has no response, which is noticed when that is read.
+    if split > 0 {
+        let _ = http.write(&bytes[..split], deadline).await;
+        tokio::time::sleep(random.millis(0, 50)).await;
     }
-    let _ = http.write(&bytes[cut..], by).await;
+    let _ = http.write(&bytes[split..], deadline).await;
 }
 
-/// One answer. A request's time begins when it has been sent, and the one before it is answered.
+/// Awaits one response. A request's time begins when it has been sent and the one before it is answered.
 async fn receive(
     shared: &Shared,
     http: &mut HttpConnection<DuplexStream>,
-    asked: &Asked,
-    limit: u64,
-) -> Next {
-    let chance = &shared.chance;
-    let (began, frozen) = (Instant::now(), shared.frozen.get());
-    let patience = if chance.per_mille(IMPATIENT) {
-        chance.ms(1, 200)
+    request: &ClientRequest,
+    timeout_ms: u64,
+) -> Flow {
+    let random = &shared.random;
+    let (started_at, frozen_before) = (Instant::now(), shared.frozen.get());
+    let patience = if random.per_mille(IMPATIENT_PER_MILLE) {
+        random.millis(1, 200)
     } else {
         FOREVER
     };
-    let Ok(answer) = timeout(patience, answer(http)).await else {
-        return leave(shared, asked, patience);
+    let Ok(response) = timeout(patience, read_response(http)).await else {
+        let mut checker = shared.checker.borrow_mut();
+        if patience == FOREVER {
+            checker.on_missing_response(request, "time-out");
+        } else {
+            checker.on_abandoned();
+        }
+        return Flow::End;
     };
-    let Some((head, body)) = answer else {
-        shared
-            .judge
-            .borrow_mut()
-            .unanswered(asked, "the connection ended");
-        return Next::Ends;
+    let mut checker = shared.checker.borrow_mut();
+    let Some((head, body)) = response else {
+        checker.on_missing_response(request, "the connection ended");
+        return Flow::End;
     };
-    let allowed = Duration::from_millis(limit) + SLACK + shared.frozen.get().saturating_sub(frozen);
-    let late = began.elapsed().saturating_sub(allowed);
-    let status = head.status().to_string();
-    shared.runs.log(&[
-        "answered",
-        &asked.attempt,
-        &status,
-        head.header("x-replica-seal").unwrap_or(""),
-    ]);
-    shared
-        .judge
-        .borrow_mut()
-        .answered(asked, &head, &body, late, &shared.runs);
+    let frozen = shared.frozen.get().saturating_sub(frozen_before);
+    let allowed = Duration::from_millis(timeout_ms) + RESPONSE_SLACK + frozen;
+    let delay = started_at.elapsed().saturating_sub(allowed);
+    shared.log.add(&Event::ResponseReceived {
+        attempt_id: &request.attempt_id,
+        status: head.status(),
+        seal: head.header("x-replica-seal").unwrap_or(""),
+    });
+    checker.on_response(request, &head, &body, delay);
     if head.keeps_alive() {
-        Next::GoesOn
-    } else {
-        Next::Ends
-    }
-}
-
-/// The client has gone, or has waited in vain.
-fn leave(shared: &Shared, asked: &Asked, patience: Duration) -> Next {
-    let mut judge = shared.judge.borrow_mut();
-    if patience == FOREVER {
-        judge.unanswered(asked, "silence");
+        Flow::Continue
     } else {
-        judge.counts.left += 1;
+        Flow::End
     }
-    Next::Ends
 }
 
-fn bytes(asked: &Asked, limit: u64) -> Vec<u8> {
-    let Asked {
-        attempt,
-        path,
-        repeatable,
-        ..
-    } = asked;
-    let (method, body) = if *repeatable {
+fn to_bytes(request: &ClientRequest, timeout_ms: u64) -> Vec<u8> {
+    let ClientRequest {
+        attempt_id, path, ..
+    } = request;
+    let (method, body) = if request.is_idempotent {
         ("GET", String::new())
     } else {
-        ("POST", format!("order {attempt}"))
+        ("POST", format!("order {attempt_id}"))
     };
     format!(
-        "{method} {path} HTTP/1.1\r\nHost: {HOST}\r\nX-Attempt-Id: {attempt}\r\nX-Remaining-Ms: {limit}\r\n\
+        "{method} {path} HTTP/1.1\r\nHost: {HOST}\r\nX-Attempt-Id: {attempt_id}\r\nX-Remaining-Ms: {timeout_ms}\r\n\
          Content-Length: {}\r\n\r\n{body}",
         body.len()
     )
     .into_bytes()
 }
 
-async fn answer(http: &mut HttpConnection<DuplexStream>) -> Option<(Head, Vec<u8>)> {
-    let by = Instant::now() + FOREVER;
-    let head = http.read_response_head(LONGEST, by).await.ok()?;
+async fn read_response(http: &mut HttpConnection<DuplexStream>) -> Option<(Head, Vec<u8>)> {
+    let deadline = Instant::now() + FOREVER;
+    let head = http
+        .read_response_head(MAX_RESPONSE_BYTES, deadline)
+        .await
+        .ok()?;
     let framing = response_framing(&head, false).ok()?;
     let body = http
-        .read_body(framing, LONGEST, FOREVER, Some(by))
+        .read_body(framing, MAX_RESPONSE_BYTES, FOREVER, Some(deadline))
         .await
         .ok()?;
     Some((head, body))
--- /dev/null
+++ b/crates/linenthread-dataplane-sim/src/deployment.rs
@@ -0,0 +1,81 @@
+//! The settings of the simulated ingress node and the configuration that it serves.
+
+use std::net::Ipv4Addr;
+use std::time::Duration;
+
+use linenthread_config::Settings;
+
+/// The host of all routes.
+pub const HOST: &str = "index.example";
+/// The zone of the ingress node and of all replicas.
+pub(crate) const ZONE: &str = "z";
+/// The backends of the route whose responses are merged.
+pub(crate) const MERGED_BACKENDS: [&str; 3] = ["s1", "s2", "s3"];
+/// The backend of the route whose requests may not run twice.
+pub(crate) const MUTATING_BACKEND: &str = "s4";
+/// The most records of a merged response.
+pub(crate) const RECORD_LIMIT: usize = 7;
+/// The time-out of all routes, in milliseconds.
+pub(crate) const ROUTE_TIMEOUT_MS: u64 = 1_000;
+/// The retries that the budget permits in each window: many, so that many are sent.
+pub(crate) const RETRY_ALLOWANCE: f64 = 1_000.0;
+
+/// The settings of the ingress node.
+pub fn settings() -> Settings {
+    Settings {
+        node_name: "ingress".into(),
+        zone: ZONE.into(),
+        ip_addr: Ipv4Addr::LOCALHOST.into(),
+        ingress_bind: None,
+        readiness_bind: None,
+        control_bind: None,
+        peers_port: 1,
+        bootstrap_peers: Vec::new(),
+        initial_boot: false,
+        quorum_member: false,
+        machine_faults: 1,
+        state_dir: None,
+        heartbeat_interval: Duration::from_secs(1),
+        drain_timeout: Duration::from_secs(3),
+        shutdown_grace: Duration::from_secs(6),
+        retry_ratio: 0.2,
+        retry_window: Duration::from_secs(10),
+        retry_allowance: RETRY_ALLOWANCE,
+        pass_through: false,
+    }
+}
+
+/// The document of the configuration.
+pub fn configuration() -> String {
+    let merged = MERGED_BACKENDS
+        .map(|backend| format!("\"{backend}\""))
+        .join(",");
+    let routes = [
+        route(
+            "all",
+            "idempotent",
+            &format!(r#""fanout":[{merged}],"result_limit":{RECORD_LIMIT},"min_coverage":0.3"#),
+        ),
+        route(
+            "one",
+            "idempotent",
+            &format!(r#""backend":"{}""#, MERGED_BACKENDS[0]),
+        ),
+        route(
+            "once",
+            "mutating",
+            &format!(r#""backend":"{MUTATING_BACKEND}""#),
+        ),
+    ];
+    format!(
+        r#"{{"revision":1,"route_table":[{}],"backends":[]}}"#,
+        routes.join(",")
+    )
+}
+
+fn route(name: &str, mode: &str, destination: &str) -> String {
+    format!(
+        r#"{{"label":"{name}","host":"{HOST}","path_prefix":"/{name}/","mode":"{mode}",
+            "limit_ms":{ROUTE_TIMEOUT_MS},"target_ms":100,"rank":1,"tries":3,{destination}}}"#
+    )
+}
--- a/crates/linenthread-dataplane-sim/src/lib.rs
+++ b/crates/linenthread-dataplane-sim/src/lib.rs
@@ -1,16 +1,27 @@
-//! The data plane in simulated time: the daemon's own pool, framing, dispatcher, decision module and client
-//! side, against stand-in replicas on connections in memory, under faults drawn from a seed.
+//! The data plane in simulated time: the daemon's own server, dispatchers, decision module and connection pools
+//! against simulated replicas on connections in memory, under faults drawn from a seed.
 //!
-//! [`network`] is the connections, [`replica`] what listens on them, [`fate`] the faults, [`client`] the
-//! sessions, [`judge`] the rules, and [`world`] puts one front, its replicas and its clients together.
-#![expect(
-    missing_docs,
-    reason = "public items of this package are not all documented yet"
-)]
+//! It checks from outside: it sees the bytes that clients and replicas get, and nothing of the data plane's state.
+//! The same seed gives the same execution, of which a digest is kept.
+//!
+//! ```text
+//! simulation -> client ------> checker -> event_log
+//!     |            |
+//!     |        data plane
+//!     |            |
+//!     +------> replica_set -> replica -> fault_plan, network, content
+//! ```
+//!
+//! Start reading at [`simulation::run`]; what must hold is listed in [`checker`].
 
-pub mod client;
-pub mod fate;
-pub mod judge;
+pub mod checker;
+mod client;
+mod content;
+pub mod deployment;
+mod event_log;
+pub mod fault_plan;
 pub mod network;
+mod random;
 pub mod replica;
-pub mod world;
+mod replica_set;
+pub mod simulation;
--- a/crates/linenthread-dataplane-sim/src/network.rs
+++ b/crates/linenthread-dataplane-sim/src/network.rs
@@ -1,5 +1,5 @@
-//! Connections in memory. What the front writes is handed at once to whoever listens at the address, who says
-//! what comes back and when; the front reads it from that moment on.
+//! Connections in memory. What the ingress node writes is handed at once to the peer at the address, which says what
+//! comes back and when; the ingress node reads it from that moment on.
 
 use std::cell::RefCell;
 use std::collections::{BTreeMap, VecDeque};
@@ -15,35 +15,29 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::time::{Instant, Sleep, sleep_until};
 
-/// What the front finds when it reads.
+use crate::fault_plan::WriteFault;
+
+/// What the ingress node finds when it reads.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Event {
+pub enum InboundEvent {
+    /// These bytes.
     Bytes(Vec<u8>),
+    /// The end of the connection.
     Close,
+    /// The failure of the connection.
     Reset,
 }
 
-/// What becomes of bytes that the front writes.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum WriteFate {
-    /// They are taken. They may still not arrive.
-    Taken,
-    /// So many are taken, then the connection fails.
-    FailsAfter(usize),
-    /// So many are taken, and then no more are, with no word.
-    StopsAfter(usize),
-}
-
-/// What comes back on a connection, in order: nothing overtakes what was sent before it.
+/// What comes back on a connection, in the order in which it was sent.
 #[derive(Default)]
 pub struct Inbound {
-    events: VecDeque<(Instant, Event)>,
+    events: VecDeque<(Instant, InboundEvent)>,
     reader: Option<Waker>,
 }
 
 impl Inbound {
-    /// Puts an event on the way to the front, after so long and after all that is on its way already.
-    pub fn push(&mut self, after: Duration, event: Event) {
+    /// Sends an event to the ingress node, which arrives after so long, and after all that was sent before.
+    pub fn push(&mut self, after: Duration, event: InboundEvent) {
         let at = Instant::now() + after;
         let at = self.events.back().map_or(at, |(last, _)| at.max(*last));
         self.events.push_back((at, event));
@@ -52,7 +46,7 @@
         }
     }
 
-    /// Nothing is there to be read at this moment.
+    /// Whether nothing can be read at this moment.
     pub fn is_idle(&self) -> bool {
         self.events
             .front()
@@ -60,28 +54,28 @@
     }
 }
 
-/// The far end of one connection.
+/// The remote end of one connection.
 pub trait Peer {
-    /// The front is about to write these bytes.
-    fn write_fate(&mut self, bytes: &[u8]) -> WriteFate;
+    /// The fault of a write of these bytes.
+    fn write_fault(&mut self, bytes: &[u8]) -> WriteFault;
     /// These bytes have arrived.
     fn receive(&mut self, bytes: &[u8], inbound: &mut Inbound);
-    /// The front has closed its end.
+    /// The ingress node has closed its end.
     fn closed(&mut self) {}
 }
 
-/// Who listens at an address.
+/// What listens at an address.
 pub trait Listener {
-    /// The far end of a new connection, after so long; none where nobody answers.
+    /// The remote end of a new connection, which is there after so long; none if it is refused.
     fn accept(&self) -> Option<(Duration, Box<dyn Peer>)>;
 }
 
-/// All addresses.
+/// The listeners at all addresses.
 #[derive(Clone, Default)]
 pub struct Network(Rc<RefCell<BTreeMap<SocketAddr, Rc<dyn Listener>>>>);
 
 impl Network {
-    /// From now on this listens there; connections that are up stay with whom they were made to.
+    /// Makes this the listener at an address; connections that are open keep their peers.
     pub fn listen(&self, address: SocketAddr, listener: Rc<dyn Listener>) {
         self.0.borrow_mut().insert(address, listener);
     }
@@ -98,7 +92,7 @@
         Ok(MemoryStream {
             inbound: Inbound::default(),
             peer,
-            write: WriteState::Whole,
+            write: WriteState::Open,
             sleep: None,
         })
     }
@@ -106,12 +100,12 @@
 
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum WriteState {
-    Whole,
+    Open,
     Failed,
-    Stopped,
+    Stalled,
 }
 
-/// The front's end of a connection.
+/// The ingress node's end of a connection.
 pub struct MemoryStream {
     inbound: Inbound,
     peer: Box<dyn Peer>,
@@ -132,8 +126,8 @@
 }
 
 impl MemoryStream {
-    /// Ready when the next event is due.
-    fn poll_due(&mut self, context: &mut Context<'_>) -> Poll<()> {
+    /// Ready when the next event has arrived.
+    fn poll_arrival(&mut self, context: &mut Context<'_>) -> Poll<()> {
         let Some((at, _)) = self.inbound.events.front() else {
             self.inbound.reader = Some(context.waker().clone());
             return Poll::Pending;
@@ -156,7 +150,7 @@
         context: &mut Context<'_>,
         to: &mut ReadBuf<'_>,
     ) -> Poll<Result<()>> {
-        if self.poll_due(context).is_pending() {
+        if self.poll_arrival(context).is_pending() {
             return Poll::Pending;
         }
         self.sleep = None;
@@ -164,12 +158,12 @@
             return Poll::Pending;
         };
         match event {
-            Event::Close => Poll::Ready(Ok(())),
-            Event::Reset => Poll::Ready(Err(Error::from(ErrorKind::ConnectionReset))),
-            Event::Bytes(bytes) => {
-                let some = bytes.len().min(to.remaining());
-                to.put_slice(&bytes[..some]);
-                bytes.drain(..some);
+            InboundEvent::Close => Poll::Ready(Ok(())),
+            InboundEvent::Reset => Poll::Ready(Err(Error::from(ErrorKind::ConnectionReset))),
+            InboundEvent::Bytes(bytes) => {
+                let count = bytes.len().min(to.remaining());
+                to.put_slice(&bytes[..count]);
+                bytes.drain(..count);
                 if bytes.is_empty() {
                     self.inbound.events.pop_front();
                 }
@@ -187,21 +181,21 @@
     ) -> Poll<Result<usize>> {
         match self.write {
             WriteState::Failed => return Poll::Ready(Err(Error::from(ErrorKind::BrokenPipe))),
-            WriteState::Stopped => return Poll::Pending,
-            WriteState::Whole => {}
+            WriteState::Stalled => return Poll::Pending,
+            WriteState::Open => {}
         }
         let this = &mut *self;
-        let (taken, then) = match this.peer.write_fate(bytes) {
-            WriteFate::Taken => (bytes.len(), WriteState::Whole),
-            WriteFate::FailsAfter(some) => (some.min(bytes.len()), WriteState::Failed),
-            WriteFate::StopsAfter(some) => (some.min(bytes.len()), WriteState::Stopped),
+        let (accepted, next) = match this.peer.write_fault(bytes) {
+            WriteFault::None => (bytes.len(), WriteState::Open),
+            WriteFault::FailsAfter(count) => (count.min(bytes.len()), WriteState::Failed),
+            WriteFault::StallsAfter(count) => (count.min(bytes.len()), WriteState::Stalled),
         };
-        this.write = then;
-        this.peer.receive(&bytes[..taken], &mut this.inbound);
-        match (taken, then) {
+        this.write = next;
+        this.peer.receive(&bytes[..accepted], &mut this.inbound);
+        match (accepted, next) {
             (0, WriteState::Failed) => Poll::Ready(Err(Error::from(ErrorKind::BrokenPipe))),
-            (0, WriteState::Stopped) => Poll::Pending,
-            _ => Poll::Ready(Ok(taken)),
+            (0, WriteState::Stalled) => Poll::Pending,
+            _ => Poll::Ready(Ok(accepted)),
         }
     }
 
--- /dev/null
+++ b/crates/linenthread-dataplane-sim/src/replica/connection.rs
@@ -0,0 +1,285 @@
+//! A replica's end of one connection, and what it does with the requests that arrive on it.
+
+use std::rc::Rc;
+use std::time::Duration;
+
+use bytes::BytesMut;
+use linenthread_http::{BodyReader, Head, request_framing};
+use tokio::time::Instant;
+
+use super::Replica;
+use super::messages::{misdirection, rejection, response};
+use crate::content::response_body;
+use crate::fault_plan::{RequestFault, SurplusResponse, SurplusTime, Truncation, WriteFault};
+use crate::network::{Inbound, InboundEvent, Peer};
+
+/// No head and no body of a request is longer, in bytes.
+const MAX_REQUEST_BYTES: usize = 1 << 16;
+/// How soon a reset, or a surplus response, follows a request.
+const PROMPTLY: Duration = Duration::from_millis(1);
+
+#[derive(Clone, Copy, PartialEq, Eq)]
+enum State {
+    Open,
+    /// Requests are answered by a reset: the replica has dropped the connection, and the ingress node has not
+    /// noticed that yet.
+    Dropped,
+    /// Nothing comes back any more.
+    Stalled,
+}
+
+/// A request that was read completely.
+struct Request {
+    attempt_id: String,
+    path: String,
+    target_replica: String,
+    is_head_method: bool,
+}
+
+/// A replica's end of one connection.
+pub(super) struct Connection {
+    replica: Rc<Replica>,
+    state: State,
+    buffer: BytesMut,
+    /// Sent before the response to the next request.
+    surplus: Option<Vec<u8>>,
+    /// The replica drops a connection that is idle for so long, unnoticed by the ingress node.
+    idle_timeout: Option<Duration>,
+    last_used_at: Instant,
+    /// When its last response has arrived, at the earliest.
+    response_due_at: Instant,
+}
+
+impl Connection {
+    pub(super) fn new(replica: Rc<Replica>, idle_timeout: Option<Duration>) -> Connection {
+        Connection {
+            replica,
+            state: State::Open,
+            buffer: BytesMut::new(),
+            surplus: None,
+            idle_timeout,
+            last_used_at: Instant::now(),
+            response_due_at: Instant::now(),
+        }
+    }
+
+    /// Notes a request on a connection with an unanswered request, or with unread bytes.
+    fn check_use(&self, inbound: &Inbound) {
+        let is_unanswered = self.state == State::Stalled || self.response_due_at > Instant::now();
+        let is_idle = inbound.is_idle();
+        if is_unanswered || !is_idle {
+            self.replica.log.add_misused_connection(format!(
+                "{}: unanswered {is_unanswered}, idle {is_idle}",
+                self.replica.id
+            ));
+        }
+    }
+
+    /// Takes a complete request off the buffer.
+    fn next_request(&mut self) -> Option<Request> {
+        let mut rest = self.buffer.clone();
+        let head = Head::parse_request(&mut rest, MAX_REQUEST_BYTES).ok()??;
+        let framing = request_framing(&head, MAX_REQUEST_BYTES).ok()?;
+        let mut body = BodyReader::new(framing, MAX_REQUEST_BYTES);
+        if !body.read_from(&mut rest).ok()? {
+            return None;
+        }
+        self.buffer = rest;
+        let header = |name| head.header(name).unwrap_or_default().to_owned();
+        Some(Request {
+            attempt_id: header("x-attempt-id"),
+            path: head.target().to_owned(),
+            target_replica: header("x-target-replica"),
+            is_head_method: head.method() == "HEAD",
+        })
+    }
+
+    /// Does with a request what its fault says.
+    fn serve(&mut self, request: &Request, inbound: &mut Inbound) {
+        let replica = self.replica.clone();
+        let random = &replica.random;
+        if let Some(surplus) = self.surplus.take() {
+            inbound.push(PROMPTLY, InboundEvent::Bytes(surplus));
+        }
+        let mut after = replica.remaining_freeze() + random.millis(2, 30);
+        self.response_due_at = Instant::now() + after;
+        if replica.checks_target && request.target_replica != replica.id {
+            let message = misdirection(&replica.id);
+            return inbound.push(after, InboundEvent::Bytes(message));
+        }
+        let attempt_id = request.attempt_id.as_str();
+        match replica.faults.request(random) {
+            RequestFault::None => {
+                let response = self.execute(request, attempt_id);
+                inbound.push(after, InboundEvent::Bytes(response));
+            }
+            RequestFault::LateResponse => {
+                after += random.millis(200, 2_500);
+                self.response_due_at = Instant::now() + after;
+                let response = self.execute(request, attempt_id);
+                inbound.push(after, InboundEvent::Bytes(response));
+            }
+            RequestFault::SurplusResponse(kind, time) => {
+                let response = self.execute(request, attempt_id);
+                let surplus = self.surplus_response(request, kind, &response);
+                self.respond_twice(response, surplus, time, after, inbound);
+            }
+            RequestFault::ResponseWithoutId => {
+                let response = self.execute(request, "");
+                inbound.push(after, InboundEvent::Bytes(response));
+            }
+            RequestFault::ResponseOfAnotherRequest => {
+                let response = self.execute(request, &id_of_another_request(attempt_id));
+                inbound.push(after, InboundEvent::Bytes(response));
+            }
+            RequestFault::ServerError { sealed } => {
+                let seal = replica.execute(attempt_id, &request.path);
+                let seal = if sealed { seal.as_str() } else { "" };
+                let failure = response(500, attempt_id, seal, "", b"failed");
+                inbound.push(after, InboundEvent::Bytes(failure));
+            }
+            RequestFault::Rejected { with_id, closes } => {
+                let id = if with_id { attempt_id } else { "" };
+                inbound.push(after, InboundEvent::Bytes(rejection(id)));
+                if closes {
+                    inbound.push(Duration::ZERO, InboundEvent::Close);
+                    self.state = State::Dropped;
+                }
+            }
+            RequestFault::RejectedTwice => {
+                inbound.push(after, InboundEvent::Bytes(rejection(attempt_id)));
+                self.surplus = Some(rejection(attempt_id));
+            }
+            RequestFault::Stalled { executed } => {
+                if executed {
+                    self.execute(request, "");
+                }
+                self.state = State::Stalled;
+            }
+            RequestFault::Reset { executed } => {
+                self.drop_request(request, executed);
+                inbound.push(after, InboundEvent::Reset);
+            }
+            RequestFault::Closed { executed } => {
+                self.drop_request(request, executed);
+                inbound.push(after, InboundEvent::Close);
+            }
+            RequestFault::Truncated { per_mille, end } => {
+                let mut response = self.execute(request, attempt_id);
+                response.truncate(fraction(response.len(), per_mille));
+                inbound.push(after, InboundEvent::Bytes(response));
+                self.end_truncated(end, after, inbound);
+            }
+        }
+    }
+
+    /// Ends the connection with no response.
+    fn drop_request(&mut self, request: &Request, executed: bool) {
+        if executed {
+            self.execute(request, "");
+        }
+        self.state = State::Dropped;
+    }
+
+    fn end_truncated(&mut self, end: Truncation, after: Duration, inbound: &mut Inbound) {
+        match end {
+            Truncation::Close => inbound.push(after, InboundEvent::Close),
+            Truncation::Reset => inbound.push(after, InboundEvent::Reset),
+            Truncation::Stall => {}
+        }
+        self.state = match end {
+            Truncation::Close | Truncation::Reset => State::Dropped,
+            Truncation::Stall => State::Stalled,
+        };
+    }
+
+    /// Executes a request; the response, with this id.
+    fn execute(&self, request: &Request, attempt_id: &str) -> Vec<u8> {
+        let seal = self.replica.execute(&request.attempt_id, &request.path);
+        let body = self.body(request);
+        let body = if request.is_head_method {
+            &[][..]
+        } else {
+            &body
+        };
+        response(200, attempt_id, &seal, "", body)
+    }
+
+    fn body(&self, request: &Request) -> Vec<u8> {
+        response_body(&self.replica.backend, &request.path, &request.attempt_id)
+    }
+
+    fn surplus_response(&self, request: &Request, kind: SurplusResponse, first: &[u8]) -> Vec<u8> {
+        let seal = format!("{}.again", self.replica.id);
+        let id_of_another = id_of_another_request(&request.attempt_id);
+        match kind {
+            SurplusResponse::Repeated => first.to_vec(),
+            SurplusResponse::WithoutId => response(200, "", &seal, "", &self.body(request)),
+            SurplusResponse::OfAnotherRequest => {
+                response(200, &id_of_another, &seal, "", &self.body(request))
+            }
+            SurplusResponse::Rejection => rejection(&request.attempt_id),
+            SurplusResponse::RejectionWithoutId => rejection(""),
+            SurplusResponse::Misdirection => misdirection("another"),
+        }
+    }
+
+    fn respond_twice(
+        &mut self,
+        mut response: Vec<u8>,
+        surplus: Vec<u8>,
+        time: SurplusTime,
+        after: Duration,
+        inbound: &mut Inbound,
+    ) {
+        match time {
+            SurplusTime::AtOnce => response.extend_from_slice(&surplus),
+            SurplusTime::WhileIdle => {
+                let later = after + self.replica.random.millis(1, 60);
+                inbound.push(after, InboundEvent::Bytes(response));
+                return inbound.push(later, InboundEvent::Bytes(surplus));
+            }
+            SurplusTime::BeforeNextResponse => self.surplus = Some(surplus),
+        }
+        inbound.push(after, InboundEvent::Bytes(response));
+    }
+}
+
+impl Peer for Connection {
+    fn write_fault(&mut self, bytes: &[u8]) -> WriteFault {
+        self.replica.faults.write(&self.replica.random, bytes.len())
+    }
+
+    fn receive(&mut self, bytes: &[u8], inbound: &mut Inbound) {
+        self.check_use(inbound);
+        let idle = Instant::now().saturating_duration_since(self.last_used_at);
+        self.last_used_at = Instant::now();
+        if self.idle_timeout.is_some_and(|timeout| idle > timeout) {
+            self.state = State::Dropped;
+        }
+        match self.state {
+            State::Stalled => return,
+            State::Open if self.replica.is_alive() => {}
+            State::Open | State::Dropped => return inbound.push(PROMPTLY, InboundEvent::Reset),
+        }
+        self.buffer.extend_from_slice(bytes);
+        while let Some(request) = self.next_request() {
+            self.serve(&request, inbound);
+            if self.state != State::Open {
+                return;
+            }
+        }
+    }
+}
+
+/// So many thousandths of a length, rounded down.
+fn fraction(length: usize, per_mille: u64) -> usize {
+    let fraction = length as u64 * per_mille / 1_000;
+    usize::try_from(fraction).map_or(length, |fraction| fraction.min(length))
+}
+
+/// The id of a request that another ingress node has in flight at the same replica. One that this ingress node has
+/// in flight there could not be detected by anybody: id, connection and order would all be right.
+fn id_of_another_request(attempt_id: &str) -> String {
+    format!("{attempt_id}-elsewhere")
+}
--- /dev/null
+++ b/crates/linenthread-dataplane-sim/src/simulation.rs
@@ -0,0 +1,136 @@
+//! One ingress node, its replicas and its clients, from a seed to a result.
+
+use std::cell::{Cell, RefCell};
+use std::rc::Rc;
+use std::time::Duration;
+
+use linenthread_dataplane::{DataPlane, RetryQuota, clock};
+use linenthread_time::Instant;
+use tokio::task::{JoinHandle, LocalSet, spawn_local};
+
+use crate::checker::{Checker, Counts, Rule, Violation};
+use crate::client::{Shared, session};
+use crate::deployment::{RETRY_ALLOWANCE, configuration, settings};
+use crate::event_log::EventLog;
+use crate::fault_plan::FaultPlan;
+use crate::network::Network;
+use crate::random::Random;
+use crate::replica::Environment;
+use crate::replica_set::ReplicaSet;
+
+/// Sessions of one simulation: they share its replicas and the connections to them.
+pub const SESSIONS: usize = 20;
+/// Sessions begin within so many milliseconds.
+const START_SPREAD_MS: u64 = 3_000;
+/// How often the data plane closes and forgets what is out of date.
+const MAINTENANCE_INTERVAL: Duration = Duration::from_secs(1);
+/// Simulations in which the ingress node is frozen now and then, per mille.
+const FREEZING_PER_MILLE: u64 = 300;
+
+/// The result of one simulation.
+pub struct Outcome {
+    /// What was broken.
+    pub violations: Vec<Violation>,
+    /// What became of the requests.
+    pub counts: Counts,
+    /// How many sub-requests were executed.
+    pub executions: usize,
+    /// The digest of all that happened.
+    pub digest: u64,
+}
+
+/// Runs so many sessions under a seed. The same seed gives the same outcome.
+///
+/// # Panics
+/// Where the runtime of the simulation cannot be made.
+pub fn run(seed: u64, sessions: usize) -> Outcome {
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_time()
+        .start_paused(true)
+        .build()
+        .expect("a runtime without I/O");
+    LocalSet::new().block_on(&runtime, simulate(seed, sessions))
+}
+
+async fn simulate(seed: u64, sessions: usize) -> Outcome {
+    clock::restart();
+    let random = Random::new(seed);
+    let (log, network) = (EventLog::default(), Network::default());
+    let plane = data_plane(seed, network.clone());
+    let environment = Environment {
+        faults: FaultPlan::draw(&random),
+        random: random.clone(),
+        log: log.clone(),
+    };
+    let replicas = ReplicaSet::start(&plane, network, environment);
+    let shared = Shared {
+        plane,
+        checker: Rc::new(RefCell::new(Checker::new(log.clone()))),
+        log,
+        random,
+        frozen: Rc::new(Cell::new(Duration::ZERO)),
+    };
+    let background = [
+        spawn_local(replicas.run_faults(shared.plane.clone())),
+        spawn_local(freeze_ingress(shared.clone())),
+        spawn_local(maintain(shared.plane.clone())),
+    ];
+    let sessions: Vec<_> = (0..sessions)
+        .map(|number| spawn_local(delayed_session(shared.clone(), format!("a{seed}-{number}"))))
+        .collect();
+    for session in sessions {
+        if let Err(e) = session.await {
+            let cause = format!("a session panicked: {e}");
+            let mut checker = shared.checker.borrow_mut();
+            checker.violation(Rule::CompleteOrDeclared, cause);
+        }
+    }
+    background.iter().for_each(JoinHandle::abort);
+    let mut checker = shared.checker.borrow_mut();
+    Outcome {
+        violations: checker.finish(),
+        counts: checker.counts(),
+        executions: shared.log.execution_count(),
+        digest: shared.log.digest(),
+    }
+}
+
+/// The data plane of an ingress node that has its configuration and may send many retries.
+fn data_plane(seed: u64, network: Network) -> Rc<DataPlane<Network>> {
+    let plane = DataPlane::new(Rc::new(settings()), seed, network);
+    plane.apply_configuration(configuration().as_bytes());
+    plane.set_retry_quota(RetryQuota {
+        retries_per_window: RETRY_ALLOWANCE,
+        expires_at: Instant::NEVER,
+        ingress_index: 0,
+        ingress_count: 1,
+        epoch: 1,
+    });
+    plane
+}
+
+async fn delayed_session(shared: Shared, name: String) {
+    let delay = shared.random.millis(0, START_SPREAD_MS);
+    tokio::time::sleep(delay).await;
+    session(shared, name).await;
+}
+
+/// Stops the process of the ingress node now and then: its clock goes on, and nothing of it runs.
+async fn freeze_ingress(shared: Shared) {
+    if !shared.random.per_mille(FREEZING_PER_MILLE) {
+        return;
+    }
+    loop {
+        tokio::time::sleep(shared.random.millis(300, 3_000)).await;
+        let time = shared.random.millis(20, 1_500);
+        shared.frozen.set(shared.frozen.get() + time);
+        tokio::time::advance(time).await;
+    }
+}
+
+async fn maintain(plane: Rc<DataPlane<Network>>) {
+    loop {
+        tokio::time::sleep(MAINTENANCE_INTERVAL).await;
+        plane.maintain();
+    }
+}
--- a/crates/linenthread-dataplane/tests/pool.rs
+++ b/crates/linenthread-dataplane/tests/pool.rs
@@ -9,13 +9,14 @@
 use linenthread_core::interface::AttemptOutcome;
 use linenthread_dataplane::outcome::{Outcome, ResponseUse, SendState};
 use linenthread_dataplane::pool::{ReplicaPool, ReplicaRequest, SubRequestOutcome};
-use linenthread_dataplane_sim::network::{Event, Inbound, Listener, Network, Peer, WriteFate};
-use linenthread_dataplane_sim::replica::message;
+use linenthread_dataplane_sim::fault_plan::WriteFault;
+use linenthread_dataplane_sim::network::{Inbound, InboundEvent, Listener, Network, Peer};
+use linenthread_dataplane_sim::replica::messages;
 
 const TIME: Duration = Duration::from_millis(200);
 
 /// What comes back to one request, and after how many milliseconds.
-type Reply = Vec<(u64, Event)>;
+type Reply = Vec<(u64, InboundEvent)>;
 
 /// What each connection does, in the order they are opened.
 #[derive(Default)]
@@ -26,7 +27,7 @@
 
 #[derive(Clone)]
 struct Scripted {
-    write: WriteFate,
+    write: WriteFault,
     replies: VecDeque<Reply>,
 }
 
@@ -39,7 +40,7 @@
 }
 
 impl Peer for Scripted {
-    fn write_fate(&mut self, _: &[u8]) -> WriteFate {
+    fn write_fault(&mut self, _: &[u8]) -> WriteFault {
         self.write
     }
 
@@ -60,12 +61,12 @@
     rig_of(
         connections
             .into_iter()
-            .map(|replies| (WriteFate::Taken, replies))
+            .map(|replies| (WriteFault::None, replies))
             .collect(),
     )
 }
 
-fn rig_of(connections: Vec<(WriteFate, Vec<Reply>)>) -> Rig {
+fn rig_of(connections: Vec<(WriteFault, Vec<Reply>)>) -> Rig {
     let script = Rc::new(Script::default());
     let scripted = connections.into_iter().map(|(write, replies)| Scripted {
         write,
@@ -94,12 +95,12 @@
     )
 }
 
-fn answer(id: &str, body: &str) -> Event {
-    Event::Bytes(message(200, id, "seal", "", body.as_bytes()))
+fn answer(id: &str, body: &str) -> InboundEvent {
+    InboundEvent::Bytes(messages::response(200, id, "seal", "", body.as_bytes()))
 }
 
-fn rejection(id: &str) -> Event {
-    Event::Bytes(message(503, id, "", "X-Not-Executed: 1\r\n", b""))
+fn rejection(id: &str) -> InboundEvent {
+    InboundEvent::Bytes(messages::rejection(id))
 }
 
 impl Rig {
@@ -179,10 +180,10 @@
 
 #[tokio::test(start_paused = true)]
 async fn surplus_bytes_after_a_response_end_the_connection() {
-    let mut two = message(200, "a", "seal", "", b"1");
-    two.extend(message(200, "b", "seal", "", b"2"));
+    let mut two = messages::response(200, "a", "seal", "", b"1");
+    two.extend(messages::response(200, "b", "seal", "", b"2"));
     let rig = rig(vec![
-        vec![vec![(1, Event::Bytes(two))]],
+        vec![vec![(1, InboundEvent::Bytes(two))]],
         vec![vec![(1, answer("b", "3"))]],
     ]);
     assert_eq!(rig.body("a").await.unwrap(), b"1");
@@ -204,7 +205,7 @@
 #[tokio::test(start_paused = true)]
 async fn an_idle_connection_that_the_replica_closed_is_not_used() {
     let rig = rig(vec![
-        vec![vec![(1, answer("a", "1")), (20, Event::Close)]],
+        vec![vec![(1, answer("a", "1")), (20, InboundEvent::Close)]],
         vec![vec![(1, answer("b", "2"))]],
     ]);
     rig.call("a").await;
@@ -218,7 +219,7 @@
 async fn a_request_on_a_connection_that_the_replica_dropped_may_have_run() {
     let rig = rig(vec![vec![
         vec![(1, answer("a", "1"))],
-        vec![(1, Event::Reset)],
+        vec![(1, InboundEvent::Reset)],
     ]]);
     rig.call("a").await;
     assert!(may_have_run(&rig.call("b").await, AttemptOutcome::Error));
@@ -226,7 +227,7 @@
 
 #[tokio::test(start_paused = true)]
 async fn a_request_answered_by_a_reset_or_a_close_may_have_run() {
-    for end in [Event::Reset, Event::Close] {
+    for end in [InboundEvent::Reset, InboundEvent::Close] {
         let rig = rig(vec![vec![vec![(1, end)]]]);
         assert!(may_have_run(
             &rig.call("a").await,
@@ -237,10 +238,10 @@
 
 #[tokio::test(start_paused = true)]
 async fn a_truncated_response_is_not_accepted() {
-    let complete = message(200, "a", "seal", "", b"whole");
+    let complete = messages::response(200, "a", "seal", "", b"whole");
     for length in 1..complete.len() {
-        for end in [Event::Reset, Event::Close] {
-            let half = Event::Bytes(complete[..length].to_vec());
+        for end in [InboundEvent::Reset, InboundEvent::Close] {
+            let half = InboundEvent::Bytes(complete[..length].to_vec());
             let rig = rig(vec![vec![vec![(1, half), (2, end)]]]);
             assert!(
                 may_have_run(&rig.call("a").await, AttemptOutcome::Error),
@@ -253,7 +254,8 @@
 
 #[tokio::test(start_paused = true)]
 async fn a_request_whose_response_stalls_may_have_run() {
-    let half = Event::Bytes(message(200, "a", "seal", "", b"whole")[..40].to_vec());
+    let half =
+        InboundEvent::Bytes(messages::response(200, "a", "seal", "", b"whole")[..40].to_vec());
     let rig = rig(vec![vec![vec![(1, half)]]]);
     assert!(may_have_run(&rig.call("a").await, AttemptOutcome::TimedOut));
     assert_eq!(rig.pool.idle(), 0);
@@ -262,8 +264,8 @@
 #[tokio::test(start_paused = true)]
 async fn a_request_whose_write_fails_halfway_may_have_run() {
     let rig = rig_of(vec![
-        (WriteFate::FailsAfter(30), vec![]),
-        (WriteFate::StopsAfter(30), vec![]),
+        (WriteFault::FailsAfter(30), vec![]),
+        (WriteFault::StallsAfter(30), vec![]),
     ]);
     assert!(may_have_run(
         &rig.call("a").await,
@@ -275,8 +277,8 @@
 #[tokio::test(start_paused = true)]
 async fn a_request_of_which_no_byte_was_written_never_ran() {
     let rig = rig_of(vec![
-        (WriteFate::FailsAfter(0), vec![]),
-        (WriteFate::StopsAfter(0), vec![]),
+        (WriteFault::FailsAfter(0), vec![]),
+        (WriteFault::StallsAfter(0), vec![]),
     ]);
     for _ in 0..2 {
         let ended = rig.call("a").await;
@@ -324,7 +326,7 @@
 
 #[tokio::test(start_paused = true)]
 async fn a_misdirected_request_has_not_run() {
-    let misdirected = Event::Bytes(message(421, "", "", "X-Replica-Id: j\r\n", b""));
+    let misdirected = InboundEvent::Bytes(messages::misdirection("j"));
     let rig = rig(vec![vec![vec![(1, misdirected)]]]);
     let ended = rig.call("a").await;
     assert_eq!(
--- a/crates/linenthread-dataplane/tests/server.rs
+++ b/crates/linenthread-dataplane/tests/server.rs
@@ -8,9 +8,10 @@
 
 use linenthread_dataplane::connection::HttpConnection;
 use linenthread_dataplane::{DataPlane, RetryQuota, UpdateScope, clock, serve};
-use linenthread_dataplane_sim::network::{Event, Inbound, Listener, Network, Peer, WriteFate};
-use linenthread_dataplane_sim::replica::message;
-use linenthread_dataplane_sim::world::{HOST, configuration, settings};
+use linenthread_dataplane_sim::deployment::{HOST, configuration, settings};
+use linenthread_dataplane_sim::fault_plan::WriteFault;
+use linenthread_dataplane_sim::network::{Inbound, InboundEvent, Listener, Network, Peer};
+use linenthread_dataplane_sim::replica::messages;
 use tokio::task::{LocalSet, spawn_local};
 use tokio::time::Instant;
 use yare::parameterized;
@@ -18,7 +19,7 @@
 /// Replicas that do the same with each request, and count them.
 #[derive(Clone)]
 struct Replicas {
-    reply: Vec<Event>,
+    reply: Vec<InboundEvent>,
     requests: Rc<Cell<usize>>,
 }
 
@@ -29,8 +30,8 @@
 }
 
 impl Peer for Replicas {
-    fn write_fate(&mut self, _: &[u8]) -> WriteFate {
-        WriteFate::Taken
+    fn write_fault(&mut self, _: &[u8]) -> WriteFault {
+        WriteFault::None
     }
 
     fn receive(&mut self, _: &[u8], inbound: &mut Inbound) {
@@ -110,7 +111,7 @@
 }
 
 fn sealed(id: &str) -> Vec<u8> {
-    message(200, id, "seal", "", b"body")
+    messages::response(200, id, "seal", "", b"body")
 }
 
 fn without_last(mut bytes: Vec<u8>) -> Vec<u8> {
@@ -119,23 +120,23 @@
 }
 
 fn rejected(id: &str) -> Vec<u8> {
-    message(503, id, "", "X-Not-Executed: 1\r\n", b"")
+    messages::rejection(id)
 }
 
 #[parameterized(
-    answered = { vec![Event::Bytes(sealed("a"))], 200 },
+    answered = { vec![InboundEvent::Bytes(sealed("a"))], 200 },
     timed_out = { vec![], 502 },
-    reset = { vec![Event::Reset], 502 },
-    closed = { vec![Event::Close], 502 },
-    truncated_by_a_reset = { vec![Event::Bytes(sealed("a")[..50].to_vec()), Event::Reset], 502 },
-    without_its_last_byte = { vec![Event::Bytes(without_last(sealed("a"))), Event::Close], 502 },
-    without_id = { vec![Event::Bytes(sealed(""))], 502 },
-    of_another_request = { vec![Event::Bytes(sealed("b"))], 502 },
-    rejection_of_another_request = { vec![Event::Bytes(rejected("b"))], 502 },
-    failed = { vec![Event::Bytes(message(500, "a", "", "", b""))], 502 },
-    failed_with_a_seal = { vec![Event::Bytes(message(500, "a", "seal", "", b""))], 500 },
+    reset = { vec![InboundEvent::Reset], 502 },
+    closed = { vec![InboundEvent::Close], 502 },
+    truncated_by_a_reset = { vec![InboundEvent::Bytes(sealed("a")[..50].to_vec()), InboundEvent::Reset], 502 },
+    without_its_last_byte = { vec![InboundEvent::Bytes(without_last(sealed("a"))), InboundEvent::Close], 502 },
+    without_id = { vec![InboundEvent::Bytes(sealed(""))], 502 },
+    of_another_request = { vec![InboundEvent::Bytes(sealed("b"))], 502 },
+    rejection_of_another_request = { vec![InboundEvent::Bytes(rejected("b"))], 502 },
+    failed = { vec![InboundEvent::Bytes(messages::response(500, "a", "", "", b""))], 502 },
+    failed_with_a_seal = { vec![InboundEvent::Bytes(messages::response(500, "a", "seal", "", b""))], 500 },
 )]
-fn a_mutating_request_that_may_have_run_is_sent_once(reply: Vec<Event>, expected: u16) {
+fn a_mutating_request_that_may_have_run_is_sent_once(reply: Vec<InboundEvent>, expected: u16) {
     let replicas = Replicas {
         reply,
         requests: Rc::default(),
@@ -151,11 +152,11 @@
 #[parameterized(
     by_its_id = { rejected("a") },
     on_a_first_request = { rejected("") },
-    by_another_replica_at_the_address = { message(421, "", "", "X-Replica-Id: j\r\n", b"") },
+    by_another_replica_at_the_address = { messages::misdirection("j") },
 )]
 fn a_mutating_request_that_never_ran_is_retried_and_rejected_with_a_promise(reply: Vec<u8>) {
     let replicas = Replicas {
-        reply: vec![Event::Bytes(reply)],
+        reply: vec![InboundEvent::Bytes(reply)],
         requests: Rc::default(),
     };
     let got = simulated(status(
@@ -170,7 +171,7 @@
 #[test]
 fn an_idempotent_request_is_retried_after_a_reset() {
     let replicas = Replicas {
-        reply: vec![Event::Reset],
+        reply: vec![InboundEvent::Reset],
         requests: Rc::default(),
     };
     let got = simulated(status(
--- a/crates/linenthread-drill/src/dataplane.rs
+++ b/crates/linenthread-drill/src/dataplane.rs
@@ -1,93 +1,90 @@
-//! The data plane in simulated time: worlds of some sessions each, one seed a world.
+//! The data plane in simulated time: simulations of some sessions each, one seed a simulation.
 
 use std::time::Instant;
 
-use linenthread_dataplane_sim::judge::Counts;
-use linenthread_dataplane_sim::world::{SESSIONS, Verdict, play};
+use linenthread_dataplane_sim::checker::Counts;
+use linenthread_dataplane_sim::simulation::{Outcome, SESSIONS, run};
 
-/// How many breaches are printed.
-const SHOWN: usize = 20;
-/// Worlds are independent of each other and so are played side by side.
+/// How many violations are printed.
+const MAX_PRINTED: usize = 20;
+/// Simulations are independent of each other and so are run in parallel.
 const THREADS: usize = 3;
 
-/// What was asked for.
+/// What to run.
 #[derive(Clone, Debug)]
 pub(crate) struct Drill {
+    /// Sessions of clients, over all simulations.
     pub sessions: usize,
+    /// The seed of the first simulation; the next ones follow.
     pub seed: u64,
+    /// Print what became of the requests, and the digest of all that happened.
     pub told: bool,
 }
 
-/// One world: its seed and how many sessions it has.
-type World = (u64, usize);
+/// One simulation to run.
+#[derive(Clone, Copy)]
+struct Job {
+    seed: u64,
+    sessions: usize,
+}
 
 impl Drill {
-    /// Plays all; how many sessions were checked, and how many breaches there were.
+    /// Runs all simulations; how many sessions were checked, and how many violations there were.
     pub(crate) fn run(&self) -> (usize, usize) {
-        let began = Instant::now();
-        let worlds = self.worlds();
-        let (mut counts, mut runs, mut digest, mut breaches) = (Counts::default(), 0, 0u64, 0);
-        for (number, (seed, verdict)) in play_all(&worlds).into_iter().enumerate() {
-            if breaches == 0 && !verdict.breaches.is_empty() {
-                println!(
-                    "the first breach came within {} sessions",
-                    (number + 1) * SESSIONS
-                );
+        let started_at = Instant::now();
+        let (mut counts, mut executions, mut digest) = (Counts::default(), 0, 0u64);
+        let mut violations = 0;
+        for (number, (job, outcome)) in run_all(&self.jobs()).into_iter().enumerate() {
+            if violations == 0 && !outcome.violations.is_empty() {
+                let sessions = (number + 1) * SESSIONS;
+                println!("the first breach came within {sessions} sessions");
             }
-            for breach in &verdict.breaches {
-                breaches += 1;
-                if breaches <= SHOWN {
-                    println!("breach: world {seed}: {breach}");
+            for violation in &outcome.violations {
+                violations += 1;
+                if violations <= MAX_PRINTED {
+                    println!("breach: seed {}: {violation}", job.seed);
                 }
             }
-            add(&mut counts, &verdict.counts);
-            runs += verdict.runs;
-            digest = digest.rotate_left(1) ^ verdict.digest;
+            counts += outcome.counts;
+            executions += outcome.executions;
+            digest = digest.rotate_left(1) ^ outcome.digest;
         }
         if self.told {
             println!("{counts:?}");
-            println!(
-                "{runs} runs, digest {digest:016x}, {:.1} s",
-                began.elapsed().as_secs_f64()
-            );
+            let seconds = started_at.elapsed().as_secs_f64();
+            println!("{executions} runs, digest {digest:016x}, {seconds:.1} s");
         }
-        (self.sessions, breaches)
+        (self.sessions, violations)
     }
 
-    fn worlds(&self) -> Vec<World> {
-        let count = self.sessions.div_ceil(SESSIONS);
-        let of = |n: usize| (self.sessions - n * SESSIONS).min(SESSIONS);
-        (0..count)
-            .map(|n| (self.seed.wrapping_add(n as u64), of(n)))
+    fn jobs(&self) -> Vec<Job> {
+        let starts = (0..self.sessions).step_by(SESSIONS);
+        (0..)
+            .zip(starts)
+            .map(|(number, start)| Job {
+                seed: self.seed.wrapping_add(number),
+                sessions: (self.sessions - start).min(SESSIONS),
+            })
             .collect()
     }
 }
 
-/// All verdicts, in the order of the worlds.
-fn play_all(worlds: &[World]) -> Vec<(u64, Verdict)> {
-    let share = worlds.len().div_ceil(THREADS).max(1);
-    let play_some = |some: &[World]| -> Vec<(u64, Verdict)> {
+/// All outcomes, in the order of the jobs.
+fn run_all(jobs: &[Job]) -> Vec<(Job, Outcome)> {
+    let jobs_per_thread = jobs.len().div_ceil(THREADS).max(1);
+    let run_some = |some: &[Job]| -> Vec<(Job, Outcome)> {
         some.iter()
-            .map(|&(seed, sessions)| (seed, play(seed, sessions)))
+            .map(|&job| (job, run(job.seed, job.sessions)))
             .collect()
     };
     std::thread::scope(|scope| {
-        let threads: Vec<_> = worlds
-            .chunks(share)
-            .map(|some| scope.spawn(move || play_some(some)))
+        let threads: Vec<_> = jobs
+            .chunks(jobs_per_thread)
+            .map(|some| scope.spawn(move || run_some(some)))
             .collect();
         threads
             .into_iter()
-            .flat_map(|thread| thread.join().expect("a world panicked"))
+            .flat_map(|thread| thread.join().expect("a simulation panicked"))
             .collect()
     })
 }
-
-fn add(sum: &mut Counts, one: &Counts) {
-    sum.asked += one.asked;
-    sum.whole += one.whole;
-    sum.partial += one.partial;
-    sum.failed += one.failed;
-    sum.rejected += one.rejected;
-    sum.left += one.left;
-}
