--- /dev/null
+++ b/crates/linenthread-dataplane/tests/golden.rs
@@ -0,0 +1,207 @@
+//! The bytes that replicas and clients get, checked against bytes that an earlier version wrote.
+//!
+//! The file under `tests/golden/` was written by commit 464716d. It must never be regenerated to make a test pass:
+//! clients and replicas depend on these bytes.
+
+use std::cell::RefCell;
+use std::fmt::Write;
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::time::Duration;
+
+use linenthread_dataplane::{DataPlane, RetryQuota, UpdateScope, clock, serve};
+use linenthread_dataplane_sim::deployment::{configuration, settings};
+use linenthread_dataplane_sim::fault_plan::WriteFault;
+use linenthread_dataplane_sim::network::{Inbound, InboundEvent, Listener, Network, Peer};
+use linenthread_time::Instant;
+use tokio::io::{AsyncReadExt, AsyncWriteExt};
+use tokio::task::{LocalSet, spawn_local};
+
+/// One exchange: its name, what the client sends, and what each replica answers.
+type Case = (&'static str, &'static str, &'static str);
+
+const CASES: [Case; 15] = [
+    (
+        "get",
+        "GET /one/find?q=a%20b HTTP/1.1\r\nHost: index.example\r\nX-Attempt-Id: a1\r\nAccept: */*\r\n\
+         X-Two:  two words \r\nConnection: keep-alive, X-Hop\r\nX-Hop: no\r\nX-Target-Replica: no\r\n\r\n",
+        "HTTP/1.1 200 Fine\r\nX-Attempt-Id: a1\r\nX-Replica-Seal: s.1\r\nKeep-Alive: timeout=5\r\n\
+         Content-Type: text/plain\r\nContent-Length: 2\r\n\r\nok",
+    ),
+    (
+        "post_in_chunks",
+        "POST /once/order HTTP/1.1\r\nHost: index.example:80\r\nX-Attempt-Id: a1\r\nX-Remaining-Ms: 250\r\n\
+         Transfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n0\r\n\r\n",
+        "HTTP/1.1 201 Made\r\nX-Attempt-Id: a1\r\nX-Replica-Seal: s.1\r\nTransfer-Encoding: chunked\r\n\r\n\
+         3\r\nabc\r\n0\r\n\r\n",
+    ),
+    (
+        "empty_post",
+        "POST /once/order HTTP/1.1\r\nHost: index.example\r\nX-Attempt-Id: a1\r\nContent-Length: 0\r\n\r\n",
+        "HTTP/1.1 204 None\r\nX-Attempt-Id: a1\r\nX-Replica-Seal: s.1\r\n\r\n",
+    ),
+    (
+        "head",
+        "HEAD /one/find HTTP/1.1\r\nHost: index.example\r\nX-Attempt-Id: a1\r\n\r\n",
+        "HTTP/1.1 200 Fine\r\nX-Attempt-Id: a1\r\nX-Replica-Seal: s.1\r\nContent-Length: 9\r\n\r\n",
+    ),
+    (
+        "close",
+        "GET /one/find HTTP/1.1\r\nHost: index.example\r\nX-Attempt-Id: a1\r\nConnection: close\r\n\r\n",
+        "HTTP/1.1 404 None\r\nX-Attempt-Id: a1\r\nX-Replica-Seal: s.1\r\nContent-Length: 0\r\n\r\n",
+    ),
+    (
+        "expect",
+        "POST /once/order HTTP/1.1\r\nHost: index.example\r\nX-Attempt-Id: a1\r\nExpect: 100-continue\r\n\
+         Content-Length: 2\r\n\r\nhi",
+        "HTTP/1.1 200 Fine\r\nX-Attempt-Id: a1\r\nX-Replica-Seal: s.1\r\nContent-Length: 2\r\n\r\nok",
+    ),
+    (
+        "merged",
+        "GET /all/find HTTP/1.1\r\nHost: index.example\r\nX-Attempt-Id: a1\r\n\r\n",
+        "HTTP/1.1 200 Fine\r\nX-Attempt-Id: a1\r\nX-Replica-Seal: s.1\r\nContent-Length: 32\r\n\r\n\
+         0123456789abcdefFEDCBA9876543210",
+    ),
+    (
+        "rejected",
+        "POST /once/order HTTP/1.1\r\nHost: index.example\r\nX-Attempt-Id: a1\r\nContent-Length: 2\r\n\r\nhi",
+        "HTTP/1.1 503 Busy\r\nX-Attempt-Id: a1\r\nX-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n",
+    ),
+    (
+        "failed",
+        "POST /once/order HTTP/1.1\r\nHost: index.example\r\nX-Attempt-Id: a1\r\nContent-Length: 2\r\n\r\nhi",
+        "HTTP/1.1 500 Bad\r\nX-Attempt-Id: a1\r\nX-Replica-Seal: s.1\r\nContent-Length: 3\r\n\r\nbad",
+    ),
+    (
+        "unsealed",
+        "POST /once/order HTTP/1.1\r\nHost: index.example\r\nX-Attempt-Id: a1\r\nContent-Length: 2\r\n\r\nhi",
+        "HTTP/1.1 200 Fine\r\nX-Attempt-Id: a1\r\nContent-Length: 0\r\n\r\n",
+    ),
+    (
+        "no_route",
+        "GET /none HTTP/1.1\r\nHost: index.example\r\nX-Attempt-Id: a1\r\n\r\n",
+        "",
+    ),
+    (
+        "no_id",
+        "GET /one/find HTTP/1.1\r\nHost: index.example\r\n\r\n",
+        "",
+    ),
+    (
+        "malformed",
+        "GET /one/find HTTP/1.1\r\nHost: index.example\r\nContent-Length: x\r\n\r\n",
+        "",
+    ),
+    (
+        "body_too_long",
+        "POST /one/find HTTP/1.1\r\nHost: index.example\r\nContent-Length: 999999\r\n\r\n",
+        "",
+    ),
+    ("head_too_long", "GET /one/find HTTP/1.1\r\nX-Long: ", ""),
+];
+
+/// What follows the start of a head that is too long.
+const LONG_HEADER_BYTES: usize = 20_000;
+
+/// The bytes that each replica got, in the order of their arrival.
+type Received = Rc<RefCell<Vec<(u8, Vec<u8>)>>>;
+
+#[derive(Clone)]
+struct Replica {
+    number: u8,
+    answer: &'static str,
+    received: Received,
+}
+
+impl Listener for Replica {
+    fn accept(&self) -> Option<(Duration, Box<dyn Peer>)> {
+        Some((Duration::ZERO, Box::new(self.clone())))
+    }
+}
+
+impl Peer for Replica {
+    fn write_fault(&mut self, _: &[u8]) -> WriteFault {
+        WriteFault::None
+    }
+
+    fn receive(&mut self, bytes: &[u8], inbound: &mut Inbound) {
+        self.received
+            .borrow_mut()
+            .push((self.number, bytes.to_vec()));
+        let answer = InboundEvent::Bytes(self.answer.into());
+        inbound.push(Duration::from_millis(2), answer);
+    }
+}
+
+/// An ingress node with one replica of each backend.
+fn ingress(answer: &'static str, received: &Received) -> Rc<DataPlane<Network>> {
+    clock::restart();
+    let network = Network::default();
+    let plane = DataPlane::new(Rc::new(settings()), 1, network.clone());
+    plane.apply_configuration(configuration().as_bytes());
+    plane.set_retry_quota(RetryQuota {
+        retries_per_window: 100.0,
+        expires_at: Instant::NEVER,
+        ingress_index: 0,
+        ingress_count: 1,
+        epoch: 1,
+    });
+    let listed = (1u8..=4).map(|number| {
+        let address = SocketAddr::from(([10, 0, 0, number], 80));
+        let replica = Replica {
+            number,
+            answer,
+            received: received.clone(),
+        };
+        network.listen(address, Rc::new(replica));
+        linenthread_messages::Replica {
+            id: format!("i{number}"),
+            backend: format!("s{number}"),
+            address: address.to_string(),
+            ..Default::default()
+        }
+    });
+    plane.update_replicas(&listed.collect::<Vec<_>>(), UpdateScope::Complete);
+    plane
+}
+
+/// Plays one case: a line for what each replica got, and one for what the client got.
+async fn play((name, request, answer): Case) -> String {
+    let received = Received::default();
+    let plane = ingress(answer, &received);
+    let (mut client, server) = tokio::io::duplex(1 << 16);
+    spawn_local(serve(server, SocketAddr::from(([127, 0, 0, 1], 1)), plane));
+    let mut bytes = request.as_bytes().to_vec();
+    if name == "head_too_long" {
+        bytes.extend_from_slice(&[b'x'; LONG_HEADER_BYTES]);
+    }
+    client.write_all(&bytes).await.expect("room for a request");
+    let mut response = Vec::new();
+    let reading = client.read_to_end(&mut response);
+    // The client waits for more, then leaves.
+    let _ = tokio::time::timeout(Duration::from_secs(3), reading).await;
+    let mut lines = String::new();
+    for (number, bytes) in received.borrow().iter() {
+        writeln!(lines, "{name} replica {number} {:?}", text(bytes)).expect("a string");
+    }
+    writeln!(lines, "{name} client {:?}", text(&response)).expect("a string");
+    lines
+}
+
+fn text(bytes: &[u8]) -> String {
+    String::from_utf8(bytes.to_vec()).expect("text")
+}
+
+#[test]
+fn replicas_and_clients_get_the_bytes_of_version_464716d() {
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_time()
+        .start_paused(true)
+        .build()
+        .expect("a runtime without I/O");
+    let mut lines = String::new();
+    for case in CASES {
+        lines.push_str(&LocalSet::new().block_on(&runtime, play(case)));
+    }
+    assert_eq!(lines, include_str!("golden/wire.txt"));
+}
