--- a/crates/linenthread-dataplane-sim/src/client.rs
+++ b/crates/linenthread-dataplane-sim/src/client.rs
@@ -28,7 +28,7 @@
 /// Nothing is awaited for longer.
 const FOREVER: Duration = Duration::from_secs(60);
 /// How long a session waits at its end for bytes that nobody requested.
-const QUIET_END: Duration = Duration::from_millis(500);
+const SURPLUS_TIMEOUT: Duration = Duration::from_millis(500);
 /// The address that the ingress node sees.
 const CLIENT_ADDRESS: ([u8; 4], u16) = ([10, 9, 0, 1], 1);
 
@@ -73,7 +73,7 @@
         }
         tokio::time::sleep(shared.random.millis(0, 150)).await;
     }
-    let surplus = timeout(QUIET_END, http.wait_for_data(FOREVER)).await;
+    let surplus = timeout(SURPLUS_TIMEOUT, http.wait_for_data(FOREVER)).await;
     if surplus.is_ok() {
         let last = ClientRequest {
             attempt_id: name,
--- a/crates/linenthread-dataplane/src/dispatcher.rs
+++ b/crates/linenthread-dataplane/src/dispatcher.rs
@@ -96,10 +96,10 @@
             return;
         }
         state
-            .arrivals
+            .inputs
             .membership
             .push(MembershipUpdate::Delta(listed));
-        state.arrivals.zone_routes = Some(zones.ways());
+        state.inputs.zone_routes = Some(zones.ways());
         self.arrived.notify_one();
     }
 
@@ -118,7 +118,7 @@
         let slot = state.free_query_slot();
         let sequence = self.last_query.get() + 1;
         self.last_query.set(sequence);
-        state.arrivals.queries.push(NewQuery {
+        state.inputs.queries.push(NewQuery {
             query: slot,
             index: kind,
             customer: 0,
@@ -132,7 +132,7 @@
             shard,
             weight: 1.0,
         });
-        state.arrivals.sub_requests.extend(parts);
+        state.inputs.sub_requests.extend(parts);
         let query = OpenQuery::new(
             sequence,
             request,
@@ -168,7 +168,7 @@
     fn cancel(&self, query: QueryId) {
         let mut state = self.state.borrow_mut();
         if state.query(query).is_some() {
-            state.arrivals.abandoned.push(query.slot);
+            state.inputs.abandoned.push(query.slot);
             self.arrived.notify_one();
         }
     }
@@ -238,21 +238,21 @@
         let dispatcher = self.clone();
         spawn_local(async move {
             let started_at = clock::now_tenth_millis();
-            let ended = pool.call(&request, timeout).await;
-            dispatcher.on_ended(id, clock::now_tenth_millis() - started_at, ended);
+            let completed = pool.call(&request, timeout).await;
+            dispatcher.on_completed(id, clock::now_tenth_millis() - started_at, completed);
         });
     }
 
-    /// A sub-request has ended.
-    fn on_ended(&self, id: SubRequestId, elapsed: TenthMillis, ended: SubRequestOutcome) {
+    /// A sub-request has completed.
+    fn on_completed(&self, id: SubRequestId, elapsed: TenthMillis, completed: SubRequestOutcome) {
         let mut state = self.state.borrow_mut();
         let Some(query) = state.query(id.query) else {
             log::error!(query = id.query.sequence; "event=orphaned_outcome");
             return;
         };
-        let ending = ended.outcome.ending;
-        query.end_attempt(id.part, ended);
-        self.report(&mut state, id, ending, elapsed);
+        let attempt_outcome = completed.outcome.attempt_outcome;
+        query.end_attempt(id.part, completed);
+        self.report(&mut state, id, attempt_outcome, elapsed);
     }
 
     /// Hands the end of a sub-request to the decision module.
@@ -260,14 +260,14 @@
         &self,
         state: &mut State<C>,
         id: SubRequestId,
-        ending: AttemptOutcome,
+        attempt_outcome: AttemptOutcome,
         elapsed: TenthMillis,
     ) {
-        state.arrivals.results.push(AttemptResult {
+        state.inputs.results.push(AttemptResult {
             query: id.query.slot,
             sub_request: id.part,
             attempt: id.attempt,
-            outcome: ending,
+            outcome: attempt_outcome,
             elapsed,
             queue_depth: None,
         });
--- a/crates/linenthread-dataplane/src/dispatcher/pass_through.rs
+++ b/crates/linenthread-dataplane/src/dispatcher/pass_through.rs
@@ -13,7 +13,7 @@
     /// The shard of each part.
     shards: Vec<usize>,
     sent: usize,
-    ended: usize,
+    completed: usize,
     failed: bool,
 }
 
@@ -26,23 +26,23 @@
 
 impl PassThrough {
     /// One round: takes in what arrived, sends new parts and ends queries whose parts have all ended.
-    pub(super) fn round(&mut self, arrivals: &Inputs, sink: &mut impl DecisionSink) {
-        for update in &arrivals.membership {
+    pub(super) fn round(&mut self, inputs: &Inputs, sink: &mut impl DecisionSink) {
+        for update in &inputs.membership {
             if let MembershipUpdate::Delta(listed) = update {
                 self.update_replicas(listed);
             }
         }
-        for new in &arrivals.queries {
+        for new in &inputs.queries {
             self.open(new);
         }
-        for part in &arrivals.sub_requests {
+        for part in &inputs.sub_requests {
             if let Some(Some(query)) = self.queries.get_mut(part.query) {
                 query.shards.push(part.shard);
             }
         }
-        for response in &arrivals.results {
+        for response in &inputs.results {
             if let Some(Some(query)) = self.queries.get_mut(response.query) {
-                query.ended += 1;
+                query.completed += 1;
                 query.failed |= response.outcome != AttemptOutcome::Success;
             }
         }
@@ -50,8 +50,8 @@
             let Some(query) = slot else {
                 continue;
             };
-            query.send_parts(index, &self.replicas, arrivals.now, sink);
-            if query.ended == query.shards.len() {
+            query.send_parts(index, &self.replicas, inputs.now, sink);
+            if query.completed == query.shards.len() {
                 query.end(index, sink);
                 *slot = None;
             }
@@ -74,7 +74,7 @@
             deadline: new.hard_deadline,
             shards: Vec::new(),
             sent: 0,
-            ended: 0,
+            completed: 0,
             failed: false,
         });
     }
@@ -96,7 +96,7 @@
                     sink.send(index, part, replica.replica, (self.deadline - now).max(1));
                 }
                 None => {
-                    self.ended += 1;
+                    self.completed += 1;
                     self.failed = true;
                 }
             }
--- a/crates/linenthread-dataplane/src/dispatcher/query.rs
+++ b/crates/linenthread-dataplane/src/dispatcher/query.rs
@@ -48,7 +48,7 @@
     }
 }
 
-/// A query that has not ended.
+/// A query that has not completed.
 pub(super) struct OpenQuery {
     pub(super) sequence: u64,
     pub(super) request: Rc<ReplicaRequest>,
@@ -96,14 +96,14 @@
         (attempt, permission)
     }
 
-    /// Takes in how a sub-request ended.
-    pub(super) fn end_attempt(&mut self, part: usize, ended: SubRequestOutcome) {
+    /// Takes in how a sub-request completed.
+    pub(super) fn end_attempt(&mut self, part: usize, completed: SubRequestOutcome) {
         let part = &mut self.parts[part];
-        if ended.outcome.sent != SendState::MayHaveRun {
+        if completed.outcome.sent != SendState::MayHaveRun {
             part.may_have_run -= 1;
         }
-        match ended.response {
-            Some(response) if ended.outcome.ending == AttemptOutcome::Success => {
+        match completed.response {
+            Some(response) if completed.outcome.attempt_outcome == AttemptOutcome::Success => {
                 part.response.get_or_insert(response);
             }
             Some(response) => self.failure = Some(response),
--- a/crates/linenthread-dataplane/src/dispatcher/state.rs
+++ b/crates/linenthread-dataplane/src/dispatcher/state.rs
@@ -20,7 +20,7 @@
     /// The kinds of queries that the coordinator knows, by index.
     query_kinds: Vec<IndexConfig>,
     /// What arrived since the last round.
-    pub(super) arrivals: Inputs,
+    pub(super) inputs: Inputs,
     pub(super) replicas: ReplicaSlots<C>,
     queries: Vec<Option<OpenQuery>>,
     free_queries: Vec<usize>,
@@ -39,7 +39,7 @@
             coordinator: Coordinator::new(deployment, seed),
             pass_through: settings.pass_through.then(PassThrough::default),
             query_kinds: Vec::new(),
-            arrivals: Inputs::default(),
+            inputs: Inputs::default(),
             replicas: ReplicaSlots::new(),
             queries: Vec::new(),
             free_queries: Vec::new(),
@@ -49,12 +49,12 @@
 
     /// One round of the decision module on all that arrived; its decisions.
     pub(super) fn decide(&mut self) -> Vec<Decision> {
-        self.arrivals.now = clock::now_tenth_millis();
-        let arrivals = std::mem::take(&mut self.arrivals);
+        self.inputs.now = clock::now_tenth_millis();
+        let inputs = std::mem::take(&mut self.inputs);
         self.decisions.wake_at = None;
         match &mut self.pass_through {
-            None => self.coordinator.step(&arrivals, &mut self.decisions),
-            Some(pass_through) => pass_through.round(&arrivals, &mut self.decisions),
+            None => self.coordinator.step(&inputs, &mut self.decisions),
+            Some(pass_through) => pass_through.round(&inputs, &mut self.decisions),
         }
         std::mem::take(&mut self.decisions.list)
     }
--- a/crates/linenthread-dataplane/src/outcome.rs
+++ b/crates/linenthread-dataplane/src/outcome.rs
@@ -82,7 +82,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Outcome {
     /// For the decision module.
-    pub ending: AttemptOutcome,
+    pub attempt_outcome: AttemptOutcome,
     /// For the rules of retries.
     pub sent: SendState,
 }
@@ -90,7 +90,7 @@
 impl Outcome {
     /// The outcome of a sub-request on such a connection, of which this was observed.
     pub fn of(event: WireEvent, age: ConnectionAge, response_use: ResponseUse) -> Outcome {
-        let (ending, sent) = match (event, age) {
+        let (attempt_outcome, sent) = match (event, age) {
             (WireEvent::PoolExhausted, _) | (WireEvent::NothingWritten, ConnectionAge::Reused) => {
                 (AttemptOutcome::NotSent, SendState::NotSent)
             }
@@ -122,7 +122,10 @@
                 _,
             ) => (AttemptOutcome::Error, SendState::MayHaveRun),
         };
-        Outcome { ending, sent }
+        Outcome {
+            attempt_outcome,
+            sent,
+        }
     }
 }
 
--- a/crates/linenthread-dataplane/src/pool.rs
+++ b/crates/linenthread-dataplane/src/pool.rs
@@ -156,7 +156,7 @@
         };
         let event = classify_response(&response.head, &request.attempt_id, &self.id, age);
         if event != WireEvent::Unattributed && event != WireEvent::Misdirected {
-            self.give_back(connection, &response);
+            self.return_connection(connection, &response);
         }
         SubRequestOutcome {
             outcome: Outcome::of(event, age, response_use),
@@ -222,7 +222,7 @@
     }
 
     /// Returns a connection to the pool, if it can carry another request.
-    fn give_back(&self, connection: LeasedConnection<C>, response: &ReplicaResponse) {
+    fn return_connection(&self, connection: LeasedConnection<C>, response: &ReplicaResponse) {
         if self.status() != ReplicaStatus::default() {
             return;
         }
--- a/crates/linenthread-dataplane/tests/outcome.rs
+++ b/crates/linenthread-dataplane/tests/outcome.rs
@@ -51,21 +51,30 @@
     reused: AttemptOutcome,
     sent: SendState,
 ) {
-    for (age, ending) in [(ConnectionAge::New, new), (ConnectionAge::Reused, reused)] {
+    for (age, attempt_outcome) in [(ConnectionAge::New, new), (ConnectionAge::Reused, reused)] {
         let outcome = Outcome::of(event, age, ResponseUse::Forwarded);
-        assert_eq!(outcome, Outcome { ending, sent });
+        assert_eq!(
+            outcome,
+            Outcome {
+                attempt_outcome,
+                sent
+            }
+        );
     }
 }
 
-/// The decision module sees the ending alone, so that must claim no more than is known.
+/// The decision module sees the attempt outcome alone, so that must claim no more than is known.
 #[test]
-fn no_ending_claims_that_what_may_have_run_never_ran() {
+fn no_outcome_claims_that_what_may_have_run_never_ran() {
     for event in EVENTS {
         for age in [ConnectionAge::New, ConnectionAge::Reused] {
             for response_use in [ResponseUse::Forwarded, ResponseUse::Merged] {
-                let Outcome { ending, sent } = Outcome::of(event, age, response_use);
+                let Outcome {
+                    attempt_outcome,
+                    sent,
+                } = Outcome::of(event, age, response_use);
                 assert_eq!(
-                    ending.never_ran(),
+                    attempt_outcome.never_ran(),
                     sent != SendState::MayHaveRun,
                     "{event:?}"
                 );
--- a/crates/linenthread-dataplane/tests/pool.rs
+++ b/crates/linenthread-dataplane/tests/pool.rs
@@ -117,9 +117,14 @@
     }
 }
 
-fn may_have_run(ended: &SubRequestOutcome, ending: AttemptOutcome) -> bool {
+fn may_have_run(ended: &SubRequestOutcome, attempt_outcome: AttemptOutcome) -> bool {
     let sent = SendState::MayHaveRun;
-    ended.outcome == Outcome { ending, sent } && ended.response.is_none()
+    ended.outcome
+        == Outcome {
+            attempt_outcome,
+            sent,
+        }
+        && ended.response.is_none()
 }
 
 #[tokio::test(start_paused = true)]
@@ -285,7 +290,7 @@
         assert_eq!(
             ended.outcome,
             Outcome {
-                ending: AttemptOutcome::ConnectFailed,
+                attempt_outcome: AttemptOutcome::ConnectFailed,
                 sent: SendState::NotSent
             }
         );
@@ -332,7 +337,7 @@
     assert_eq!(
         ended.outcome,
         Outcome {
-            ending: AttemptOutcome::ConnectFailed,
+            attempt_outcome: AttemptOutcome::ConnectFailed,
             sent: SendState::Rejected
         }
     );
