--- a/crates/linenthread-ctl/src/request.rs
+++ b/crates/linenthread-ctl/src/request.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 use bytes::BytesMut;
-use linenthread_http::{Body, Head, answer_framing};
+use linenthread_http::{BodyReader, Head, response_framing};
 use snafu::Snafu;
 
 /// The longest response head that is read, in bytes.
@@ -160,7 +160,7 @@
         let head = self.read_head()?;
         let body = self.read_body(&head, to_head_request)?;
         Ok(Response {
-            status: head.status,
+            status: head.status(),
             head,
             body,
         })
@@ -168,7 +168,7 @@
 
     fn read_head(&mut self) -> Result<Head, RequestError> {
         loop {
-            let head = Head::answer(&mut self.buffer, MAX_HEAD_BYTES);
+            let head = Head::parse_response(&mut self.buffer, MAX_HEAD_BYTES);
             if let Some(head) = head.map_err(|_| self.invalid())? {
                 return Ok(head);
             }
@@ -177,12 +177,15 @@
     }
 
     fn read_body(&mut self, head: &Head, to_head_request: bool) -> Result<Vec<u8>, RequestError> {
-        let framing = answer_framing(head, to_head_request).map_err(|_| self.invalid())?;
-        let mut body = Body::new(framing, MAX_BODY_BYTES);
-        while !body.take(&mut self.buffer).map_err(|_| self.invalid())? {
+        let framing = response_framing(head, to_head_request).map_err(|_| self.invalid())?;
+        let mut body = BodyReader::new(framing, MAX_BODY_BYTES);
+        while !body
+            .read_from(&mut self.buffer)
+            .map_err(|_| self.invalid())?
+        {
             self.fill()?;
         }
-        Ok(body.read)
+        Ok(body.into_bytes())
     }
 
     fn invalid(&self) -> RequestError {
--- a/crates/linenthread-demo/src/replica/connection.rs
+++ b/crates/linenthread-demo/src/replica/connection.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use bytes::BytesMut;
-use linenthread_http::{Body, Head, request_framing};
+use linenthread_http::{BodyReader, Head, request_framing};
 
 use super::misbehaviour::{Draws, Wrong};
 use super::{Ran, Shared, records};
@@ -78,15 +78,15 @@
 fn read_request(stream: &mut TcpStream, buffer: &mut BytesMut) -> Result<Option<Head>> {
     let bad = |_| ErrorKind::InvalidData;
     let head = loop {
-        if let Some(head) = Head::request(buffer, HEAD).map_err(bad)? {
+        if let Some(head) = Head::parse_request(buffer, HEAD).map_err(bad)? {
             break head;
         }
         if read_more(stream, buffer)? == 0 {
             return Ok(None);
         }
     };
-    let mut body = Body::new(request_framing(&head, BODY).map_err(bad)?, BODY);
-    while !body.take(buffer).map_err(bad)? {
+    let mut body = BodyReader::new(request_framing(&head, BODY).map_err(bad)?, BODY);
+    while !body.read_from(buffer).map_err(bad)? {
         if read_more(stream, buffer)? == 0 {
             return Ok(None);
         }
--- a/crates/linenthread-node/src/control.rs
+++ b/crates/linenthread-node/src/control.rs
@@ -11,7 +11,7 @@
 use linenthread_control::{
     CallId, ControlNode, DeferredMessage, Effect, NodeConfig, ReplicaHeartbeat, Response, SessionId,
 };
-use linenthread_dataplane::connection::{HttpConnection, Stop};
+use linenthread_dataplane::connection::{ConnectionError, HttpConnection};
 use linenthread_http::{Head, request_framing};
 use linenthread_messages::{PeerMessage, Value, Voter};
 use linenthread_time::Instant as ClockInstant;
@@ -97,7 +97,7 @@
 
 /// The present moment of the process's steady clock.
 fn clock_now() -> ClockInstant {
-    ClockInstant::from_millis(clock::ms())
+    clock::now()
 }
 
 /// A number that is the same nowhere else.
@@ -261,7 +261,7 @@
             if self.gone {
                 queue.recv_many(&mut waiting, 64).await;
             } else {
-                let due = clock::at_ms(self.control.next_tick_at(clock_now()).as_millis()).into();
+                let due = clock::to_std(self.control.next_tick_at(clock_now())).into();
                 let _ = tokio::time::timeout_at(due, queue.recv_many(&mut waiting, 64)).await;
             }
             let now = clock_now();
@@ -406,10 +406,10 @@
     links::prepare(&stream);
     let mut wire = HttpConnection::new(stream);
     loop {
-        let head = match wire.request(HEAD, QUIET, SLOW).await {
+        let head = match wire.read_request_head(HEAD, QUIET, SLOW).await {
             Ok(head) => head,
-            Err(Stop::Refused(refusal)) => {
-                logs::refused("reading a call's head", from, format_args!("{refusal:?}"));
+            Err(ConnectionError::Invalid { source: refusal }) => {
+                logs::log_rejected_input("reading a call's head", from, refusal);
                 let _ = answer(&mut wire, 400, &json!({"error": "not a request"}), false).await;
                 return;
             }
@@ -418,8 +418,8 @@
         let framing = match request_framing(&head, BODY) {
             Ok(framing) => framing,
             Err(refusal) => {
-                logs::refused("judging a call's head", from, format_args!("{refusal:?}"));
-                let status = if refusal == linenthread_http::Refusal::BodyTooLong {
+                logs::log_rejected_input("judging a call's head", from, refusal);
+                let status = if refusal == linenthread_http::ParseError::BodyTooLong {
                     413
                 } else {
                     400
@@ -428,7 +428,7 @@
                 return;
             }
         };
-        if head.says("expect", "100-continue") {
+        if head.has_token("expect", "100-continue") {
             let by = Instant::now() + SLOW;
             if wire
                 .write(b"HTTP/1.1 100 Continue\r\n\r\n", by)
@@ -438,13 +438,13 @@
                 return;
             }
         }
-        let Ok(body) = wire.body(framing, BODY, SLOW, None).await else {
+        let Ok(body) = wire.read_body(framing, BODY, SLOW, None).await else {
             return;
         };
-        let keep = head.keeps();
+        let keep = head.keeps_alive();
         let reply = dispatch(&head, body, &commands).await;
         if let Reply::Json(status @ (400 | 404 | 405), value) = &reply {
-            logs::refused(
+            logs::log_rejected_input(
                 "taking a call",
                 from,
                 format_args!("{status} {} {value}", head.path()),
@@ -570,7 +570,7 @@
     status: u16,
     value: &serde_json::Value,
     keep: bool,
-) -> Result<(), Stop> {
+) -> Result<(), ConnectionError> {
     raw(wire, status, value.to_string().as_bytes(), keep).await
 }
 
@@ -580,7 +580,7 @@
     address: &str,
     target: &str,
     keep: bool,
-) -> Result<(), Stop> {
+) -> Result<(), ConnectionError> {
     let close = if keep { "" } else { "Connection: close\r\n" };
     let bytes = format!(
         "HTTP/1.1 307 Temporary Redirect\r\nLocation: http://{address}{target}\r\n\
@@ -589,7 +589,12 @@
     wire.write(bytes.as_bytes(), Instant::now() + SLOW).await
 }
 
-async fn raw(wire: &mut HttpConnection, status: u16, body: &[u8], keep: bool) -> Result<(), Stop> {
+async fn raw(
+    wire: &mut HttpConnection,
+    status: u16,
+    body: &[u8],
+    keep: bool,
+) -> Result<(), ConnectionError> {
     let reason = match status {
         200 => "OK",
         400 => "Bad Request",
--- a/crates/linenthread-node/src/links.rs
+++ b/crates/linenthread-node/src/links.rs
@@ -42,7 +42,7 @@
 }
 
 pub(crate) async fn dial(address: SocketAddr, within: Duration) -> Result<TcpStream, Error> {
-    let within = patience(clock::age_ms(), within);
+    let within = patience(linenthread_time::whole_millis(clock::uptime()), within);
     let connect = TcpStream::connect(address);
     let stream = match tokio::time::timeout(within, connect).await {
         Ok(done) => done.map_err(step("dialling", address))?,
--- a/crates/linenthread-node/src/logs.rs
+++ b/crates/linenthread-node/src/logs.rs
@@ -4,7 +4,7 @@
 use logforth::kv::{KeyView, ValueView, Visitor};
 use logforth::layout::Layout;
 
-pub(crate) use linenthread_dataplane::refused;
+pub(crate) use linenthread_dataplane::log_rejected_input;
 use logforth::record::Record;
 use logforth::{Diagnostic, Error};
 
--- a/crates/linenthread-node/src/main.rs
+++ b/crates/linenthread-node/src/main.rs
@@ -3,10 +3,10 @@
 //! disk.
 
 mod control;
+mod control_client;
 mod disk;
 mod errors;
-mod follow;
-mod front;
+mod ingress;
 mod links;
 mod logs;
 mod signals;
@@ -128,14 +128,14 @@
         None => None,
     };
     let plane = match settings.ingress_bind {
-        Some(address) => Some(front::start(&settings, address, &ends).await?),
+        Some(address) => Some(ingress::start(&settings, address, &ends).await?),
         None => None,
     };
     ends.asked().await;
     log::info!(node = settings.node_name; "event=stopping");
-    let front_stops = async {
+    let ingress_stops = async {
         if let Some(plane) = &plane {
-            front::stop(plane, settings.shutdown_grace).await;
+            ingress::stop(plane, settings.shutdown_grace).await;
         }
     };
     let control_leaves = async {
@@ -143,7 +143,7 @@
             control.leave(leave_within(settings.shutdown_grace)).await;
         }
     };
-    tokio::join!(front_stops, control_leaves);
+    tokio::join!(ingress_stops, control_leaves);
     if let Some(control) = control {
         control.stop().await;
     }
