--- /dev/null
+++ b/crates/linenthread-drill/src/link/statistics.rs
@@ -0,0 +1,60 @@
+//! What became of the calls, over all schedules.
+
+use linenthread_core::interface::{Ending, Tenths};
+
+use super::simulation::MILLISECOND;
+
+/// Counts over all schedules.
+#[derive(Default)]
+pub(super) struct Statistics {
+    calls: usize,
+    answered: usize,
+    never_ran: usize,
+    may_have_run: usize,
+    timed_out: usize,
+    /// Connections closed as idle although frames got through.
+    pub(super) false_alarms: usize,
+    /// How long it took until a connection that had lost frames was closed.
+    pub(super) detection_times: Vec<Tenths>,
+}
+
+impl Statistics {
+    /// Counts a call that ended in this way, or has not ended.
+    pub(super) fn count(&mut self, outcome: Option<Ending>) {
+        self.calls += 1;
+        match outcome {
+            Some(Ending::Answered) => self.answered += 1,
+            Some(Ending::TimedOut) => self.timed_out += 1,
+            Some(outcome) if outcome.never_ran() => self.never_ran += 1,
+            _ => self.may_have_run += 1,
+        }
+    }
+
+    pub(super) fn print(mut self, schedules: usize) {
+        self.detection_times.sort_unstable();
+        let calls = self.calls;
+        let percent = |count: usize| 100.0 * count as f64 / calls.max(1) as f64;
+        println!(
+            "{calls} calls: {:.1}% answered, {:.1}% never ran, {:.1}% may have run, {:.1}% timed out",
+            percent(self.answered),
+            percent(self.never_ran),
+            percent(self.may_have_run),
+            percent(self.timed_out)
+        );
+        println!(
+            "{} silent links noticed after {} ms (median), {} ms (99%); {} false alarms in {schedules} schedules",
+            self.detection_times.len(),
+            self.detection_quantile(0.5),
+            self.detection_quantile(0.99),
+            self.false_alarms
+        );
+    }
+
+    /// A quantile of the sorted detection times, in milliseconds; 0 if there are none.
+    fn detection_quantile(&self, quantile: f64) -> Tenths {
+        let rank = (self.detection_times.len() as f64 * quantile) as usize;
+        self.detection_times
+            .get(rank)
+            .map_or(0, |time| time / MILLISECOND)
+    }
+}
--- a/crates/linenthread-drill/src/link_speed.rs
+++ b/crates/linenthread-drill/src/link_speed.rs
@@ -1,4 +1,4 @@
-//! What a link costs, on loopback sockets with the real program at both ends.
+//! Benchmark of a link between sites, on loopback sockets with the real program at both ends.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
@@ -10,55 +10,57 @@
 use linenthread_stand_ins::{Client, request_with};
 use serde_json::Value;
 
-/// Lookups asked one after another, each way.
-const ALTERNATING: usize = 1_000;
-/// How long parts are asked as fast as they come.
-const BUSY: Duration = Duration::from_secs(3);
-/// A once-only lookup is asked this often around a cut.
-const EVERY: Duration = Duration::from_millis(10);
+/// Queries made one after another, directly and across the link each.
+const ALTERNATING_QUERIES: usize = 1_000;
+/// How long queries are made as fast as they are answered.
+const THROUGHPUT_RUN: Duration = Duration::from_secs(3);
+/// The time between two non-idempotent queries around a cut.
+const QUERY_INTERVAL: Duration = Duration::from_millis(10);
 
-/// The operators' defaults, but for outcomes that are waited for longer than any cut, and slow replicas.
-const SLOW: Terms = Terms {
+/// The default settings, but for a session time-out longer than any cut, and slow replicas.
+const SLOW_REPLICAS: Terms = Terms {
     keep: 15_000,
     hold: 250,
     after: Duration::from_millis(40),
     second: false,
 };
 
-fn at(times: &mut [f64], share: f64) -> f64 {
+/// A quantile of the times, which are sorted for that.
+fn quantile(times: &mut [f64], share: f64) -> f64 {
     times.sort_by(f64::total_cmp);
     times[((times.len() - 1) as f64 * share) as usize]
 }
 
-fn ask(client: &mut Client, index: &str, id: &str) -> Option<u16> {
+/// Makes a query; the status of its answer, if one arrives.
+fn query(client: &mut Client, index: &str, id: &str) -> Option<u16> {
     client.ask(index, id, &[1]);
     client.answer().map(|(status, ..)| status)
 }
 
-/// Microseconds, asked in turn: straight at the gateway's own front, and across the link.
-fn latency(sites: &Sites) {
+/// Measures the latency of queries made in turn at the gateway's own ingress and across the link.
+fn measure_latency(sites: &Sites) {
     let mut times = [Vec::new(), Vec::new()];
     let mut clients = [&sites.far, &sites.near].map(linenthread_stand_ins::Service::connect);
-    for n in 0..ALTERNATING {
+    for n in 0..ALTERNATING_QUERIES {
         for (which, client) in clients.iter_mut().enumerate() {
             let begin = Instant::now();
-            if ask(client, "find", &format!("lat{which}-{n}")) == Some(200) {
+            if query(client, "find", &format!("lat{which}-{n}")) == Some(200) {
                 times[which].push(begin.elapsed().as_secs_f64() * 1e6);
             }
         }
     }
     let [direct, across] = &mut times;
     println!(
-        "latency of {ALTERNATING} lookups each, in turn: direct {:.0} us median, {:.0} us at 99%; across {:.0} and {:.0} us",
-        at(direct, 0.5),
-        at(direct, 0.99),
-        at(across, 0.5),
-        at(across, 0.99)
+        "latency of {ALTERNATING_QUERIES} lookups each, in turn: direct {:.0} us median, {:.0} us at 99%; across {:.0} and {:.0} us",
+        quantile(direct, 0.5),
+        quantile(direct, 0.99),
+        quantile(across, 0.5),
+        quantile(across, 0.99)
     );
 }
 
-/// Seconds of CPU that a process has taken.
-fn cpu(id: u32) -> f64 {
+/// The CPU time of a process in seconds.
+fn cpu_seconds(id: u32) -> f64 {
     let stat = std::fs::read_to_string(format!("/proc/{id}/stat")).unwrap_or_default();
     let fields: Vec<&str> = stat
         .rsplit(") ")
@@ -75,20 +77,20 @@
     (ticks(11) + ticks(12)) / 100.0
 }
 
-/// Parts a second with so many out, and CPU a part.
-fn throughput(address: SocketAddr, at_once: usize, processes: &[u32], what: &str) {
+/// Measures queries a second with so many in flight, and the CPU time of each.
+fn measure_throughput(address: SocketAddr, in_flight: usize, processes: &[u32], what: &str) {
     let (done, over) = (AtomicUsize::new(0), AtomicBool::new(false));
-    let before: Vec<f64> = processes.iter().map(|id| cpu(*id)).collect();
+    let before: Vec<f64> = processes.iter().map(|id| cpu_seconds(*id)).collect();
     let begin = Instant::now();
     scope(|threads| {
-        for one in 0..at_once {
+        for one in 0..in_flight {
             let (done, over) = (&done, &over);
             threads.spawn(move || {
                 let mut client = Client::connect(address);
                 let mut n = 0;
                 while !over.load(Ordering::Relaxed) {
                     n += 1;
-                    match ask(&mut client, "find", &format!("{what}{at_once}-{one}-{n}")) {
+                    match query(&mut client, "find", &format!("{what}{in_flight}-{one}-{n}")) {
                         Some(200) => drop(done.fetch_add(1, Ordering::Relaxed)),
                         Some(503) => sleep(Duration::from_millis(20)),
                         _ => client = Client::connect(address),
@@ -96,7 +98,7 @@
                 }
             });
         }
-        sleep(BUSY);
+        sleep(THROUGHPUT_RUN);
         over.store(true, Ordering::Relaxed);
     });
     let (took, done) = (
@@ -106,27 +108,28 @@
     let spent: Vec<String> = processes
         .iter()
         .zip(before)
-        .map(|(id, before)| format!("{:.0}", (cpu(*id) - before) * 1e6 / done as f64))
+        .map(|(id, before)| format!("{:.0}", (cpu_seconds(*id) - before) * 1e6 / done as f64))
         .collect();
     println!(
-        "{what}, {at_once} at once: {:.0} parts a second, CPU a part {} us",
+        "{what}, {in_flight} at once: {:.0} parts a second, CPU a part {} us",
         done as f64 / took,
         spent.join(" and ")
     );
 }
 
-/// When the first lookup was asked that was answered with the link whole again, in milliseconds after that.
-fn again(told: &[Told], whole: Duration) -> i64 {
-    let answered = told
+/// How long after the link was restored the first query was made that succeeded, in milliseconds; -1 for none.
+fn recovery_ms(results: &[Told], restored: Duration) -> i64 {
+    let answered = results
         .iter()
-        .filter(|t| t.status == Some(200) && t.due >= whole);
+        .filter(|t| t.status == Some(200) && t.due >= restored);
     answered
-        .map(|t| (t.due - whole).as_millis() as i64)
+        .map(|t| (t.due - restored).as_millis() as i64)
         .min()
         .unwrap_or(-1)
 }
 
-fn tell(what: &str, verdict: &Verdict, again: i64) -> (usize, usize) {
+/// Prints the verdict on one run; how many queries were checked, and how many violations found.
+fn report(what: &str, verdict: &Verdict, recovery_ms: i64) -> (usize, usize) {
     let Verdict {
         checked,
         answered,
@@ -135,7 +138,7 @@
         breaches,
     } = verdict;
     println!(
-        "{what}: {checked} asked, {answered} answered, {nacked} nacked, {aborted} aborted, {} lost; whole again after {again} ms",
+        "{what}: {checked} asked, {answered} answered, {nacked} nacked, {aborted} aborted, {} lost; whole again after {recovery_ms} ms",
         checked - answered - nacked - aborted
     );
     breaches
@@ -145,41 +148,48 @@
     (*checked, breaches.len())
 }
 
-/// Once-only lookups asked steadily while the link is cut for so long.
-fn cut(sites: &mut Sites, length: Duration, what: &str) -> (usize, usize) {
+/// Makes non-idempotent queries steadily while the link is cut for so long.
+fn measure_cut(sites: &mut Sites, length: Duration, what: &str) -> (usize, usize) {
     let before = Duration::from_millis(500);
     let lasting = before + length + Duration::from_secs(3);
     let tag = format!("{what}{}", length.as_millis()).replace(' ', "-");
-    let (verdict, told) = asked_through(sites, &tag, &["order"], EVERY, lasting, |sites| {
-        sleep(before);
-        sites.proxy.lead_to(None);
-        sites.proxy.cut();
-        sleep(length);
-        sites.proxy.lead_to(Some(sites.links));
-    });
-    tell(
+    let (verdict, results) =
+        asked_through(sites, &tag, &["order"], QUERY_INTERVAL, lasting, |sites| {
+            sleep(before);
+            sites.proxy.lead_to(None);
+            sites.proxy.cut();
+            sleep(length);
+            sites.proxy.lead_to(Some(sites.links));
+        });
+    report(
         &format!("{what}, cut for {} ms", length.as_millis()),
         &verdict,
-        again(&told, before + length),
+        recovery_ms(&results, before + length),
     )
 }
 
-/// Two gateways to the same replicas, and one is killed under load.
-fn one_of_two(exe: &str) -> (usize, usize) {
+/// Kills one of two gateways to the same replicas under load.
+fn measure_gateway_failure(exe: &str) -> (usize, usize) {
     let mut sites = Sites::start(
         exe,
         Terms {
             second: true,
-            ..SLOW
+            ..SLOW_REPLICAS
         },
     );
     let before = Duration::from_millis(1_000);
-    let (verdict, told) =
-        asked_through(&mut sites, "two", &["order"], EVERY, 4 * before, |sites| {
+    let (verdict, results) = asked_through(
+        &mut sites,
+        "two",
+        &["order"],
+        QUERY_INTERVAL,
+        4 * before,
+        |sites| {
             sleep(before);
             sites.far.signal("-KILL");
-        });
-    let (early, late): (Vec<_>, Vec<_>) = told.iter().partition(|t| t.due < before);
+        },
+    );
+    let (early, late): (Vec<_>, Vec<_>) = results.iter().partition(|t| t.due < before);
     let share = |of: &[&Told]| {
         of.iter().filter(|t| t.status == Some(200)).count() as f64 / of.len().max(1) as f64
     };
@@ -188,22 +198,26 @@
         100.0 * share(&early),
         100.0 * share(&late)
     );
-    tell("one of two gateways killed", &verdict, again(&told, before))
+    report(
+        "one of two gateways killed",
+        &verdict,
+        recovery_ms(&results, before),
+    )
 }
 
-/// Two links of which first the one and then the other is slow: the share of lookups that take no longer than on
-/// the sound one, where the best is all of them.
-fn of_the_best(exe: &str) -> (usize, usize) {
+/// Slows first one and then the other of two links: the share of queries that take no longer than on the link
+/// that is not slow, where the optimum is all of them.
+fn measure_link_choice(exe: &str) -> (usize, usize) {
     let mut sites = Sites::start(
         exe,
         Terms {
             after: Duration::ZERO,
             second: true,
-            ..SLOW
+            ..SLOW_REPLICAS
         },
     );
     let (slow, each) = (Duration::from_millis(20), Duration::from_secs(2));
-    let (verdict, told) = asked_through(
+    let (verdict, results) = asked_through(
         &mut sites,
         "best",
         &["find"],
@@ -229,11 +243,11 @@
     .into_iter()
     .enumerate()
     {
-        let in_it = |t: &&Told| t.due >= each * n as u32 && t.due < each * (n as u32 + 1);
-        let all = told.iter().filter(in_it).count();
-        let quick = told
+        let in_phase = |t: &&Told| t.due >= each * n as u32 && t.due < each * (n as u32 + 1);
+        let all = results.iter().filter(in_phase).count();
+        let quick = results
             .iter()
-            .filter(in_it)
+            .filter(in_phase)
             .filter(|t| t.status == Some(200) && t.took < slow / 2)
             .count();
         println!(
@@ -244,8 +258,8 @@
     (verdict.checked, verdict.breaches.len())
 }
 
-/// Megabytes that a process holds.
-fn held(id: u32) -> f64 {
+/// The resident memory of a process in megabytes.
+fn resident_megabytes(id: u32) -> f64 {
     let status = std::fs::read_to_string(format!("/proc/{id}/status")).unwrap_or_default();
     let line = status.lines().find_map(|line| line.strip_prefix("VmRSS:"));
     line.and_then(|l| l.trim().trim_end_matches(" kB").parse::<f64>().ok())
@@ -253,19 +267,19 @@
         / 1024.0
 }
 
-/// Long lookups asked of a link that takes nothing any more.
-fn stalled(exe: &str) {
+/// Makes long queries across a link that accepts no more bytes.
+fn measure_stalled_link(exe: &str) {
     let sites = Sites::start(
         exe,
         Terms {
             after: Duration::ZERO,
-            ..SLOW
+            ..SLOW_REPLICAS
         },
     );
     let near = sites.near.child.id();
-    let before = held(near);
+    let before = resident_megabytes(near);
     sites.proxy.silence(Way::There, true);
-    let (most, over) = (std::sync::Mutex::new(0.0_f64), AtomicBool::new(false));
+    let (max, over) = (std::sync::Mutex::new(0.0_f64), AtomicBool::new(false));
     scope(|threads| {
         for one in 0..100 {
             let (over, address) = (&over, sites.near.address);
@@ -288,41 +302,48 @@
         }
         for _ in 0..30 {
             sleep(Duration::from_millis(100));
-            let mut most = most.lock().expect("not poisoned");
-            *most = most.max(held(near));
+            let mut max = max.lock().expect("not poisoned");
+            *max = max.max(resident_megabytes(near));
         }
         over.store(true, Ordering::Relaxed);
     });
-    let most = most.into_inner().unwrap_or_default();
+    let max = max.into_inner().unwrap_or_default();
     println!(
-        "stalled link, 100 clients with 50 kB each: {before:.0} MB before, {most:.0} MB at the most"
+        "stalled link, 100 clients with 50 kB each: {before:.0} MB before, {max:.0} MB at the most"
     );
 }
 
+/// Runs all benchmarks of the program; how many queries were checked, and how many violations found.
 pub(crate) fn run(exe: &str) -> (usize, usize) {
     let sites = Sites::start(
         exe,
         Terms {
             after: Duration::ZERO,
-            ..SLOW
+            ..SLOW_REPLICAS
         },
     );
-    latency(&sites);
+    measure_latency(&sites);
     let (near, far) = (sites.near.child.id(), sites.far.child.id());
-    for at_once in [1, 10, 100, 1_000] {
-        throughput(sites.far.address, at_once, &[far], "direct");
-        throughput(sites.near.address, at_once, &[near, far], "across");
+    for in_flight in [1, 10, 100, 1_000] {
+        measure_throughput(sites.far.address, in_flight, &[far], "direct");
+        measure_throughput(sites.near.address, in_flight, &[near, far], "across");
     }
-    stalled(exe);
+    measure_stalled_link(exe);
     let (mut checked, mut breaches) = (0, 0);
     for (keep, what) in [(15_000, "resumed"), (10, "not resumed")] {
-        let mut sites = Sites::start(exe, Terms { keep, ..SLOW });
+        let mut sites = Sites::start(
+            exe,
+            Terms {
+                keep,
+                ..SLOW_REPLICAS
+            },
+        );
         for ms in [50, 200, 1_000, 5_000, 10_000] {
-            let (n, b) = cut(&mut sites, Duration::from_millis(ms), what);
+            let (n, b) = measure_cut(&mut sites, Duration::from_millis(ms), what);
             (checked, breaches) = (checked + n, breaches + b);
         }
     }
-    for (n, b) in [one_of_two(exe), of_the_best(exe)] {
+    for (n, b) in [measure_gateway_failure(exe), measure_link_choice(exe)] {
         (checked, breaches) = (checked + n, breaches + b);
     }
     (checked, breaches)
--- /dev/null
+++ b/crates/linenthread-link/src/frame/call.rs
@@ -0,0 +1,155 @@
+//! Calls, their outcomes, and health checks.
+
+use linenthread_core::interface::Ending;
+use linenthread_frames::{Put, Res, Take};
+
+use crate::id::{CallNumber, ProbeId};
+
+/// Bytes that a call counts against the credit beside its texts, for its record at the server.
+const CALL_OVERHEAD_BYTES: usize = 64;
+
+/// A sub-request to a replica behind the link.
+#[derive(Clone, Debug, PartialEq)]
+pub struct Call {
+    /// The replica's id, as the server lists it.
+    pub replica: String,
+    /// The id of the query that the sub-request belongs to.
+    pub query: String,
+    /// The shard that is queried.
+    pub shard: u32,
+    /// How many times the shard was queried before for the same query, for further results.
+    pub round: u32,
+    /// The sub-request's text.
+    pub text: String,
+}
+
+impl Call {
+    /// The bytes that count against the credit.
+    pub fn credit_bytes(&self) -> u64 {
+        let bytes = self.replica.len() + self.query.len() + self.text.len() + CALL_OVERHEAD_BYTES;
+        bytes as u64
+    }
+}
+
+/// A call as it is sent.
+#[derive(Clone, Debug, PartialEq)]
+pub struct CallRequest {
+    /// The call's number in its session.
+    pub number: CallNumber,
+    /// Milliseconds until the caller gives up, less the way to the server.
+    pub remaining_ms: u32,
+    /// The call.
+    pub call: Call,
+}
+
+impl CallRequest {
+    pub(super) fn encode(&self, put: &mut Put) {
+        put.u64(self.number.0);
+        put.u32(self.remaining_ms);
+        put.text(&self.call.replica);
+        put.text(&self.call.query);
+        put.u32(self.call.shard);
+        put.u32(self.call.round);
+        put.value(&self.call.text);
+    }
+
+    pub(super) fn decode(take: &mut Take<'_>) -> Res<CallRequest> {
+        Ok(CallRequest {
+            number: CallNumber(take.u64()?),
+            remaining_ms: take.u32()?,
+            call: Call {
+                replica: take.text()?,
+                query: take.text()?,
+                shard: take.u32()?,
+                round: take.u32()?,
+                text: take.value()?,
+            },
+        })
+    }
+}
+
+/// How a call ended at the server.
+#[derive(Clone, Debug, PartialEq)]
+pub struct CallOutcome {
+    /// The call's number in its session.
+    pub number: CallNumber,
+    /// How it ended.
+    pub outcome: Ending,
+    /// Sub-requests that the replica says it has queued, where it does.
+    pub queue_depth: Option<f64>,
+    /// The response; empty if there is none.
+    pub value: String,
+}
+
+impl CallOutcome {
+    pub(super) fn encode(&self, put: &mut Put) {
+        put.u64(self.number.0);
+        put.0.push(outcome_code(self.outcome));
+        put.maybe(self.queue_depth);
+        put.value(&self.value);
+    }
+
+    pub(super) fn decode(take: &mut Take<'_>) -> Res<CallOutcome> {
+        Ok(CallOutcome {
+            number: CallNumber(take.u64()?),
+            outcome: decode_outcome(take)?,
+            queue_depth: take.maybe()?,
+            value: take.value()?,
+        })
+    }
+}
+
+/// How a health check ended at the server.
+#[derive(Clone, Debug, PartialEq)]
+pub struct ProbeOutcome {
+    /// The probe's id.
+    pub id: ProbeId,
+    /// How it ended.
+    pub outcome: Ending,
+    /// Sub-requests that the replica says it has queued, where it does.
+    pub queue_depth: Option<f64>,
+}
+
+impl ProbeOutcome {
+    pub(super) fn encode(&self, put: &mut Put) {
+        put.u64(self.id.0);
+        put.0.push(outcome_code(self.outcome));
+        put.maybe(self.queue_depth);
+    }
+
+    pub(super) fn decode(take: &mut Take<'_>) -> Res<ProbeOutcome> {
+        Ok(ProbeOutcome {
+            id: ProbeId(take.u64()?),
+            outcome: decode_outcome(take)?,
+            queue_depth: take.maybe()?,
+        })
+    }
+}
+
+/// The outcome as a byte of a frame.
+fn outcome_code(outcome: Ending) -> u8 {
+    match outcome {
+        Ending::Answered => 0,
+        Ending::Errored => 1,
+        Ending::TurnedAway => 2,
+        Ending::TimedOut => 3,
+        Ending::Unconnected => 4,
+        Ending::Broken => 5,
+        Ending::Withdrawn => 6,
+        Ending::Unsent => 7,
+    }
+}
+
+fn decode_outcome(take: &mut Take<'_>) -> Res<Ending> {
+    Ok(match take.u8()? {
+        0 => Ending::Answered,
+        1 => Ending::Errored,
+        2 => Ending::TurnedAway,
+        3 => Ending::TimedOut,
+        4 => Ending::Unconnected,
+        5 => Ending::Broken,
+        6 => Ending::Withdrawn,
+        7 => Ending::Unsent,
+        code => return Err(format!("an ending cannot be {code}")),
+    })
+}
--- /dev/null
+++ b/crates/linenthread-link/src/frame/member.rs
@@ -0,0 +1,116 @@
+//! The replicas that a server reaches.
+
+use linenthread_core::interface::Phase;
+use linenthread_frames::{Put, Res, Take};
+
+use super::MAX_MEMBERS;
+
+/// The longest replica id or zone name in bytes.
+const MAX_NAME_BYTES: usize = 128;
+/// Stands for "long ago" where a frame gives a replica's age.
+const AGE_UNKNOWN: u32 = u32::MAX;
+/// The complete share of a slow-start budget, in thousandths.
+const MAX_SHARE: u16 = 1_000;
+
+/// A replica that the server reaches.
+#[derive(Clone, Debug, PartialEq)]
+pub struct Member {
+    /// Its id.
+    pub id: String,
+    /// The zone that it stands in.
+    pub zone: String,
+    /// The replica group that it belongs to, from 0: replicas of one group hold the same shards.
+    pub replica_group: u32,
+    /// Whether it accepts calls.
+    pub phase: Phase,
+    /// Milliseconds since it last started; `None` for long ago.
+    pub age_ms: Option<u32>,
+    /// The share of its slow-start budget that the client may use, in thousandths.
+    pub slow_start_share: u16,
+}
+
+impl Member {
+    /// Whether it can be a replica of a layout with so many replica groups, and its names are of a valid length.
+    pub fn is_valid(&self, replica_groups: usize) -> bool {
+        let id_length = 1..=MAX_NAME_BYTES;
+        id_length.contains(&self.id.len())
+            && self.zone.len() <= MAX_NAME_BYTES
+            && usize::try_from(self.replica_group).is_ok_and(|group| group < replica_groups)
+    }
+
+    fn encode(&self, put: &mut Put) {
+        put.text(&self.id);
+        put.text(&self.zone);
+        put.u32(self.replica_group);
+        put.0.push(phase_code(self.phase));
+        put.u32(self.age_ms.unwrap_or(AGE_UNKNOWN));
+        put.u16(self.slow_start_share);
+    }
+
+    fn decode(take: &mut Take<'_>) -> Res<Member> {
+        Ok(Member {
+            id: take.text()?,
+            zone: take.text()?,
+            replica_group: take.u32()?,
+            phase: decode_phase(take)?,
+            age_ms: Some(take.u32()?).filter(|age| *age != AGE_UNKNOWN),
+            slow_start_share: take.u16()?.min(MAX_SHARE),
+        })
+    }
+}
+
+/// The server's list of replicas, or what has changed of it.
+#[derive(Clone, Debug, PartialEq)]
+pub struct MembersUpdate {
+    /// Counts the changes of the list since the server's start.
+    pub revision: u64,
+    /// This is the complete list; otherwise the replicas that are new, have changed or are gone.
+    pub complete: bool,
+    /// The replicas; at most [`MAX_MEMBERS`] are sent.
+    pub members: Vec<Member>,
+}
+
+impl MembersUpdate {
+    pub(super) fn encode(&self, put: &mut Put) {
+        let members = self.members.get(..MAX_MEMBERS).unwrap_or(&self.members);
+        put.u64(self.revision);
+        put.0.push(self.complete.into());
+        put.u16(u16::try_from(members.len()).unwrap_or(u16::MAX));
+        for member in members {
+            member.encode(put);
+        }
+    }
+
+    pub(super) fn decode(take: &mut Take<'_>) -> Res<MembersUpdate> {
+        let (revision, complete, count) = (take.u64()?, take.flag()?, take.u16()?);
+        if usize::from(count) > MAX_MEMBERS {
+            return Err(format!("a list cannot have {count} replicas"));
+        }
+        let members = (0..count)
+            .map(|_| Member::decode(take))
+            .collect::<Res<_>>()?;
+        Ok(MembersUpdate {
+            revision,
+            complete,
+            members,
+        })
+    }
+}
+
+/// The phase as a byte of a frame.
+fn phase_code(phase: Phase) -> u8 {
+    match phase {
+        Phase::Ready => 0,
+        Phase::Draining => 1,
+        Phase::Gone => 2,
+    }
+}
+
+fn decode_phase(take: &mut Take<'_>) -> Res<Phase> {
+    Ok(match take.u8()? {
+        0 => Phase::Ready,
+        1 => Phase::Draining,
+        2 => Phase::Gone,
+        code => return Err(format!("a phase cannot be {code}")),
+    })
+}
--- /dev/null
+++ b/crates/linenthread-link/src/frame/mod.rs
@@ -0,0 +1,249 @@
+//! The messages of the protocol and their encoding.
+//!
+//! A frame is four bytes of length, most significant first, one byte for its kind, and its fields. Numbers are
+//! big-endian; texts have two bytes of length before them, values four. Options may follow the fields, each one
+//! byte for its kind and two for its length: unknown ones are skipped. `docs/link.md` has worked examples, which
+//! the tests compare with what is sent.
+
+mod call;
+mod handshake;
+mod member;
+
+use linenthread_frames::{self as frames, Put, Res, Take};
+
+use crate::id::{CallNumber, ProbeId};
+
+pub use call::{Call, CallOutcome, CallRequest, ProbeOutcome};
+pub use handshake::{Challenge, Hello, Welcome};
+pub use member::{Member, MembersUpdate};
+
+/// The protocol version that this crate speaks.
+pub const VERSION: u8 = 1;
+/// The longest frame in bytes, without its length field; a longer one ends the connection.
+pub const MAX_FRAME_LENGTH: usize = 128 * 1024;
+/// The most replicas in one [`MembersUpdate`]; further ones are not sent.
+pub const MAX_MEMBERS: usize = 4_096;
+
+/// The byte that says which frame it is.
+mod kind {
+    pub(super) const CHALLENGE: u8 = 1;
+    pub(super) const HELLO: u8 = 2;
+    pub(super) const WELCOME: u8 = 3;
+    pub(super) const REFUSE: u8 = 4;
+    pub(super) const CALL: u8 = 5;
+    pub(super) const WITHDRAW: u8 = 6;
+    pub(super) const OUTCOME: u8 = 7;
+    pub(super) const ACK: u8 = 8;
+    pub(super) const CREDIT: u8 = 9;
+    pub(super) const PING: u8 = 10;
+    pub(super) const PONG: u8 = 11;
+    pub(super) const MEMBERS: u8 = 12;
+    pub(super) const PROBE: u8 = 13;
+    pub(super) const PROBED: u8 = 14;
+    pub(super) const GOODBYE: u8 = 15;
+}
+
+/// One message of the protocol.
+#[derive(Clone, Debug, PartialEq)]
+pub enum Frame {
+    /// From the server, first on a connection.
+    Challenge(Challenge),
+    /// From the client, in reply to the challenge.
+    Hello(Hello),
+    /// From the server, in reply to the hello; the connection is established.
+    Welcome(Welcome),
+    /// From either: the connection is closed by its sender.
+    Refuse {
+        /// Why, for the peer's log.
+        reason: String,
+    },
+    /// From the client: run a call.
+    Call(CallRequest),
+    /// From the client: the outcome of a call is no longer wanted.
+    Withdraw {
+        /// The call.
+        number: CallNumber,
+    },
+    /// From the server: how a call ended.
+    Outcome(CallOutcome),
+    /// From the client: these outcomes have arrived and need not be retained.
+    Ack {
+        /// The calls; at most 65,535 are sent.
+        numbers: Vec<CallNumber>,
+    },
+    /// From the server: flow control. Both limits count from the session's start.
+    Credit(Credit),
+    /// From either: asks for a pong.
+    Ping {
+        /// Repeated in the pong.
+        sequence: u64,
+    },
+    /// The answer to a ping.
+    Pong {
+        /// The ping's.
+        sequence: u64,
+    },
+    /// From the server: which replicas it reaches.
+    Members(MembersUpdate),
+    /// From the client: check a replica's health.
+    Probe {
+        /// Repeated in the answer.
+        id: ProbeId,
+        /// The replica's id, as the server lists it.
+        replica: String,
+    },
+    /// From the server: the answer to a probe.
+    Probed(ProbeOutcome),
+    /// From either: the sender starts nothing new and accepts nothing new; what runs is finished.
+    Goodbye,
+}
+
+/// What a client may have sent of a session, counted from the session's start.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct Credit {
+    /// The last call that may be sent.
+    pub last_call: CallNumber,
+    /// The bytes of calls that may be sent, see [`Call::credit_bytes`].
+    pub bytes: u64,
+}
+
+impl Frame {
+    /// The encoded frame, its length first.
+    pub fn encode(&self) -> Vec<u8> {
+        let mut put = Put::frame();
+        self.encode_fields(&mut put);
+        put.finish(self.kind())
+    }
+
+    /// The first complete frame in what was read, and how many bytes it occupies; `None` if more must be read.
+    ///
+    /// # Errors
+    ///
+    /// The bytes cannot be a frame; the connection cannot be used further.
+    pub fn decode(read: &[u8]) -> Res<Option<(Frame, usize)>> {
+        let Some((fields, length)) = frames::whole(read, MAX_FRAME_LENGTH)? else {
+            return Ok(None);
+        };
+        Ok(Some((Frame::decode_fields(fields)?, length)))
+    }
+
+    /// Removes all complete frames from the front of `read`, in order, and passes each to `receive`.
+    ///
+    /// # Errors
+    ///
+    /// The bytes cannot be a frame; those before it have been passed on.
+    pub fn drain(read: &mut Vec<u8>, mut receive: impl FnMut(Frame)) -> Res<()> {
+        frames::take_all(read, MAX_FRAME_LENGTH, |fields| {
+            receive(Frame::decode_fields(fields)?);
+            Ok(())
+        })
+    }
+
+    fn kind(&self) -> u8 {
+        match self {
+            Frame::Challenge(_) => kind::CHALLENGE,
+            Frame::Hello(_) => kind::HELLO,
+            Frame::Welcome(_) => kind::WELCOME,
+            Frame::Refuse { .. } => kind::REFUSE,
+            Frame::Call(_) => kind::CALL,
+            Frame::Withdraw { .. } => kind::WITHDRAW,
+            Frame::Outcome(_) => kind::OUTCOME,
+            Frame::Ack { .. } => kind::ACK,
+            Frame::Credit(_) => kind::CREDIT,
+            Frame::Ping { .. } => kind::PING,
+            Frame::Pong { .. } => kind::PONG,
+            Frame::Members(_) => kind::MEMBERS,
+            Frame::Probe { .. } => kind::PROBE,
+            Frame::Probed(_) => kind::PROBED,
+            Frame::Goodbye => kind::GOODBYE,
+        }
+    }
+
+    fn encode_fields(&self, put: &mut Put) {
+        match self {
+            Frame::Challenge(challenge) => challenge.encode(put),
+            Frame::Hello(hello) => hello.encode(put),
+            Frame::Welcome(welcome) => welcome.encode(put),
+            Frame::Refuse { reason } => put.text(reason),
+            Frame::Call(request) => request.encode(put),
+            Frame::Withdraw { number } => put.u64(number.0),
+            Frame::Outcome(outcome) => outcome.encode(put),
+            Frame::Ack { numbers } => encode_ack(numbers, put),
+            Frame::Credit(credit) => {
+                put.u64(credit.last_call.0);
+                put.u64(credit.bytes);
+            }
+            Frame::Ping { sequence } | Frame::Pong { sequence } => put.u64(*sequence),
+            Frame::Members(update) => update.encode(put),
+            Frame::Probe { id, replica } => {
+                put.u64(id.0);
+                put.text(replica);
+            }
+            Frame::Probed(outcome) => outcome.encode(put),
+            Frame::Goodbye => {}
+        }
+    }
+
+    fn decode_fields(fields: &[u8]) -> Res<Frame> {
+        let mut take = Take(fields);
+        let frame = match take.u8()? {
+            kind::CHALLENGE => Frame::Challenge(Challenge::decode(&mut take)?),
+            kind::HELLO => Frame::Hello(Hello::decode(&mut take)?),
+            kind::WELCOME => Frame::Welcome(Welcome::decode(&mut take)?),
+            kind::REFUSE => Frame::Refuse {
+                reason: take.text()?,
+            },
+            kind::CALL => Frame::Call(CallRequest::decode(&mut take)?),
+            kind::WITHDRAW => Frame::Withdraw {
+                number: CallNumber(take.u64()?),
+            },
+            kind::OUTCOME => Frame::Outcome(CallOutcome::decode(&mut take)?),
+            kind::ACK => Frame::Ack {
+                numbers: decode_ack(&mut take)?,
+            },
+            kind::CREDIT => Frame::Credit(Credit {
+                last_call: CallNumber(take.u64()?),
+                bytes: take.u64()?,
+            }),
+            kind::PING => Frame::Ping {
+                sequence: take.u64()?,
+            },
+            kind::PONG => Frame::Pong {
+                sequence: take.u64()?,
+            },
+            kind::MEMBERS => Frame::Members(MembersUpdate::decode(&mut take)?),
+            kind::PROBE => Frame::Probe {
+                id: ProbeId(take.u64()?),
+                replica: take.text()?,
+            },
+            kind::PROBED => Frame::Probed(ProbeOutcome::decode(&mut take)?),
+            kind::GOODBYE => Frame::Goodbye,
+            other => return Err(format!("a frame cannot have the kind {other}")),
+        };
+        skip_options(&mut take)?;
+        Ok(frame)
+    }
+}
+
+fn encode_ack(numbers: &[CallNumber], put: &mut Put) {
+    let count = u16::try_from(numbers.len()).unwrap_or(u16::MAX);
+    put.u16(count);
+    for number in numbers.iter().take(usize::from(count)) {
+        put.u64(number.0);
+    }
+}
+
+fn decode_ack(take: &mut Take<'_>) -> Res<Vec<CallNumber>> {
+    let count = take.u16()?;
+    (0..count).map(|_| take.u64().map(CallNumber)).collect()
+}
+
+/// Options are for later versions: their form is checked, their content is unknown.
+fn skip_options(take: &mut Take<'_>) -> Res<()> {
+    while !take.0.is_empty() {
+        let _kind = take.u8()?;
+        let length = take.u16()?;
+        take.bytes(length.into())?;
+    }
+    Ok(())
+}
--- /dev/null
+++ b/crates/linenthread-link/src/routing.rs
@@ -0,0 +1,81 @@
+//! The choice among several links that lead to the same replica.
+//!
+//! What is a property of the link is judged here once for all replicas behind it: whether it is up, its latency,
+//! and how much of its credit is in use. A call takes the link with the lowest expected cost; the link chosen
+//! last keeps the calls while no other is better by more than a quarter, so that calls don't alternate between
+//! two equal links. Where several servers list one replica, the most conservative values apply.
+
+use linenthread_core::interface::{Phase, Tenths};
+
+use crate::frame::Member;
+
+/// A link's state, for the choice among several.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct LinkStatus {
+    /// It accepts calls.
+    pub up: bool,
+    /// The time of a frame one way, in tenths of a millisecond; 0 while unknown.
+    pub one_way: Tenths,
+    /// Calls that have not completed.
+    pub in_flight: u64,
+    /// The most calls that may be in flight.
+    pub capacity: u64,
+}
+
+/// The link chosen last is kept while its cost is at most this multiple of the lowest.
+const STICKINESS: f64 = 1.25;
+/// Added to each link's latency, in tenths of a millisecond: differences far below it don't matter.
+const LATENCY_FLOOR: f64 = 5.0;
+/// Utilization counts up to here, so that the cost of a full link stays finite.
+const MAX_UTILIZATION: f64 = 0.95;
+
+/// The expected cost of a call on a link: its latency, multiplied by a factor that grows with the utilization.
+fn cost(status: &LinkStatus) -> f64 {
+    let utilization = status.in_flight as f64 / status.capacity.max(1) as f64;
+    (status.one_way as f64 + LATENCY_FLOOR) * (1.0 + utilization)
+        / (1.0 - utilization.min(MAX_UTILIZATION))
+}
+
+/// The link to use of those that lead to a replica; `None` if none is up and has capacity.
+///
+/// `status` tells the state of a link by its number; `last` is the one chosen before.
+pub fn select_link(
+    links: &[usize],
+    status: impl Fn(usize) -> Option<LinkStatus>,
+    last: Option<usize>,
+) -> Option<usize> {
+    let available: Vec<(usize, f64)> = links
+        .iter()
+        .filter_map(|&link| {
+            let status = status(link).filter(|s| s.up && s.in_flight < s.capacity)?;
+            Some((link, cost(&status)))
+        })
+        .collect();
+    let (best, lowest) = available
+        .iter()
+        .copied()
+        .min_by(|a, b| a.1.total_cmp(&b.1))?;
+    let sticky = available
+        .iter()
+        .find(|(link, cost)| Some(*link) == last && *cost <= lowest * STICKINESS);
+    Some(sticky.map_or(best, |(link, _)| *link))
+}
+
+/// Merges what several servers report of one replica: it drains if one says so, is as young as the lowest age,
+/// and the lowest share of its slow-start budget applies. `None` if all report it as gone.
+pub fn merge_reports<'m>(reports: impl Iterator<Item = &'m Member>) -> Option<Member> {
+    reports
+        .filter(|report| report.phase != Phase::Gone)
+        .cloned()
+        .reduce(|mut merged, report| {
+            if report.phase == Phase::Draining {
+                merged.phase = Phase::Draining;
+            }
+            merged.age_ms = match (merged.age_ms, report.age_ms) {
+                (Some(a), Some(b)) => Some(a.min(b)),
+                (a, b) => a.or(b),
+            };
+            merged.slow_start_share = merged.slow_start_share.min(report.slow_start_share);
+            merged
+        })
+}
--- /dev/null
+++ b/crates/linenthread-link/tests/routing.rs
@@ -0,0 +1,81 @@
+//! The choice among several links that lead to the same replica.
+
+use linenthread_core::interface::{Phase, Tenths};
+use linenthread_link::Member;
+use linenthread_link::routing::{LinkStatus, merge_reports, select_link};
+
+fn link(up: bool, one_way: Tenths, in_flight: u64) -> Option<LinkStatus> {
+    Some(LinkStatus {
+        up,
+        one_way,
+        in_flight,
+        capacity: 100,
+    })
+}
+
+fn select(links: &[Option<LinkStatus>], last: Option<usize>) -> Option<usize> {
+    let all: Vec<usize> = (0..links.len()).collect();
+    select_link(&all, |index| links[index], last)
+}
+
+fn member(phase: Phase, age_ms: Option<u32>, slow_start_share: u16) -> Member {
+    Member {
+        id: "s".into(),
+        zone: "m".into(),
+        replica_group: 0,
+        phase,
+        age_ms,
+        slow_start_share,
+    }
+}
+
+#[test]
+fn a_call_takes_the_link_that_is_up_quick_and_has_capacity() {
+    assert_eq!(
+        select(&[link(true, 20, 0), link(true, 100, 0)], None),
+        Some(0)
+    );
+    assert_eq!(
+        select(&[link(false, 20, 0), link(true, 100, 0)], Some(0)),
+        Some(1),
+        "down"
+    );
+    assert_eq!(
+        select(&[link(true, 20, 100), link(true, 100, 0)], Some(0)),
+        Some(1),
+        "full"
+    );
+    assert_eq!(
+        select(&[link(true, 20, 90), link(true, 40, 0)], None),
+        Some(1),
+        "nearly full"
+    );
+    assert_eq!(
+        select(&[link(true, 100, 0), link(true, 95, 0)], Some(0)),
+        Some(0),
+        "nearly equal: no change"
+    );
+    assert_eq!(
+        select(&[link(true, 100, 0), link(true, 20, 0)], Some(0)),
+        Some(1),
+        "much better"
+    );
+    assert_eq!(select(&[link(false, 1, 0), None], Some(0)), None);
+}
+
+#[test]
+fn of_two_reports_the_more_conservative_values_apply() {
+    let a = member(Phase::Ready, None, 500);
+    let b = member(Phase::Draining, Some(7), 250);
+    assert_eq!(
+        merge_reports([&a, &b].into_iter()),
+        Some(member(Phase::Draining, Some(7), 250))
+    );
+    let gone = member(Phase::Gone, None, 0);
+    assert_eq!(
+        merge_reports([&gone, &a].into_iter()),
+        Some(a),
+        "one list is out of date"
+    );
+    assert_eq!(merge_reports([&gone].into_iter()), None);
+}
