--- a/crates/linenthread-merge/src/lib.rs
+++ b/crates/linenthread-merge/src/lib.rs
@@ -1,28 +1,32 @@
-//! Answers of many slices merged into one: totals, totals by group, ranked rows and pages of them.
+//! Responses of many shards merged into one: totals, totals by group, and ranked rows in pages.
 //!
-//! A [`Merge`] is made for one lookup from the [`Plan`] of its index. It says what each slice is to be asked,
-//! takes the slices' values in any order, says which slices must be asked once more, and writes the answer
-//! with a plain statement of what is in it. It does no I/O and reads no clock; when to answer is decided
-//! elsewhere. The forms of values and answers are in `docs/merged-answers.md`.
-#![expect(
-    missing_docs,
-    reason = "public items of this package are not all documented yet"
-)]
+//! A [`Merger`] is made for one query from the [`Plan`] of its index. It says what each sub-request asks for,
+//! accepts the shards' values in any order, says which shards must be asked for more, and writes the response
+//! with a statement of what is in it. The forms of values and responses are in `docs/merged-answers.md`.
+//!
+//! The crate does no I/O and reads no clock; which replica is asked and when to respond are decided elsewhere.
+//! Start reading at [`Plan`], then [`Merger`].
 
+mod cursor;
 mod decimal;
-mod mark;
-mod merge;
-mod place;
+mod error;
+mod groups;
+mod merger;
+mod page;
+mod page_reader;
 mod plan;
-mod ranked;
+mod response;
+mod sort_key;
 mod totals;
 
-pub use decimal::MOST_SCALE;
-pub use mark::{Marks, SHORTEST_SECRET};
-pub use merge::{Asked, Merge, Missing, PageWish, Taken};
-pub use place::Place;
-pub use plan::{Figure, First, Form, Groups, Kind, Measure, Order, Plan, Rows};
-pub use ranked::Ranked;
+pub use cursor::{CursorSigner, MIN_SECRET_BYTES, SecretError};
+pub use error::{CursorError, DecimalError, QueryError, ValueError};
+pub use merger::{Acceptance, MergeQuery, Merger, PageRequest, QueriedShard};
+pub use plan::{
+    Aggregation, FieldType, GroupOrder, GroupPlan, Measure, Plan, RowPlan, SortField, Statistic,
+};
 
-/// A lookup asks no more slices than these: each is named in its answer.
-pub const MOST_SLICES: usize = 4_096;
+/// The most shards of a query: each is named in its response.
+pub const MAX_SHARDS: usize = 4_096;
+/// The most digits after the point that a plan may ask for.
+pub const MAX_SCALE: u32 = 12;
--- /dev/null
+++ b/crates/linenthread-merge/src/page.rs
@@ -0,0 +1,236 @@
+//! Rows of many shards, each sorted, merged into one page: memory is bounded by the page, not by the data.
+//!
+//! No more than a page of rows is ever retained. A row that ranks after all of a full page is dropped, and so is
+//! the rest of its shard's value, unread: neither can be on this page. What a shard has beyond the last row that
+//! is known of it (its *frontier*) is unknown while it says that there is more, so rows that rank after that
+//! frontier can't be shown yet.
+
+use std::collections::{BTreeMap, HashMap};
+
+use crate::error::{NoRowsSnafu, ValueError};
+use crate::page_reader::{Batch, read_batch};
+use crate::plan::RowPlan;
+use crate::sort_key::{RowKey, SortKey};
+
+struct RetainedRow {
+    sub_request: usize,
+    json: Box<str>,
+    distinct: Option<Box<[u8]>>,
+}
+
+/// How far a shard has been read.
+#[derive(Clone, Default)]
+struct ShardProgress {
+    /// Where this query begins to read it; `None` for its first row.
+    start: Option<SortKey>,
+    /// The last row that is known of it, shown or not.
+    frontier: Option<SortKey>,
+    /// It says that rows follow the frontier.
+    has_more: bool,
+    /// All that follows ranks after a full page.
+    trimmed: bool,
+    received: bool,
+}
+
+/// A page under construction.
+pub(crate) struct PageBuilder<'p> {
+    plan: &'p RowPlan,
+    limit: usize,
+    rows: BTreeMap<SortKey, RetainedRow>,
+    /// The row that is retained for each value of the distinct field.
+    by_distinct: HashMap<Box<[u8]>, SortKey>,
+    /// By the index of the sub-request.
+    progress: Vec<ShardProgress>,
+}
+
+/// A page as far as it can be shown.
+pub(crate) struct VisiblePage<'r> {
+    /// The rows' JSON.
+    pub(crate) rows: Vec<&'r str>,
+    /// Sub-requests that hold the page back: what follows their last row is not known.
+    pub(crate) incomplete: Vec<usize>,
+    /// The page was cut off for its length.
+    pub(crate) truncated: bool,
+    /// Where each shard is to be read from for the next page.
+    pub(crate) next_positions: Vec<Option<SortKey>>,
+    /// There are or may be rows after these in the shards that have responded.
+    pub(crate) has_more: bool,
+}
+
+impl<'p> PageBuilder<'p> {
+    /// A page of at most so many rows, with each shard read from a position on.
+    pub(crate) fn new(plan: &'p RowPlan, limit: usize, start: Vec<Option<SortKey>>) -> Self {
+        let progress = |start: Option<SortKey>| ShardProgress {
+            frontier: start.clone(),
+            start,
+            ..ShardProgress::default()
+        };
+        PageBuilder {
+            plan,
+            limit: limit.max(1),
+            rows: BTreeMap::new(),
+            by_distinct: HashMap::new(),
+            progress: start.into_iter().map(progress).collect(),
+        }
+    }
+
+    pub(crate) fn plan(&self) -> &'p RowPlan {
+        self.plan
+    }
+
+    pub(crate) fn limit(&self) -> usize {
+        self.limit
+    }
+
+    /// The last row that is known of a shard, from which it is to be read on.
+    pub(crate) fn frontier(&self, sub_request: usize) -> Option<&SortKey> {
+        self.progress[sub_request].frontier.as_ref()
+    }
+
+    /// How many rows are retained; never more than the page's limit.
+    pub(crate) fn retained_rows(&self) -> usize {
+        self.rows.len()
+    }
+
+    /// Whether the page is full of rows that rank before this one.
+    pub(crate) fn is_beyond(&self, key: &SortKey) -> bool {
+        let last = self.rows.last_key_value();
+        self.rows.len() >= self.limit && last.is_some_and(|(last, _)| key > last)
+    }
+
+    /// Reads a shard's value `{"rows":[...],"more":...}`; nothing of it counts before [`PageBuilder::add`].
+    ///
+    /// # Errors
+    ///
+    /// What is wrong with it: its form, a row without its fields, or rows that are not sorted or rank before the
+    /// position that was asked for.
+    pub(crate) fn read(&self, sub_request: usize, value: &str) -> Result<Batch, ValueError> {
+        let batch = read_batch(self, self.frontier(sub_request).cloned(), value)?;
+        if batch.has_more && batch.rows.is_empty() && !batch.trimmed {
+            return NoRowsSnafu.fail();
+        }
+        Ok(batch)
+    }
+
+    /// Adds what was read of a shard's value.
+    pub(crate) fn add(&mut self, sub_request: usize, batch: Batch) {
+        for (row, json) in batch.rows {
+            self.progress[sub_request].frontier = Some(row.key.clone());
+            if self.rows.contains_key(&row.key) || self.was_shown(sub_request, &row.key) {
+                continue;
+            }
+            if self.is_beyond(&row.key) {
+                self.progress[sub_request].trimmed = true;
+                break;
+            }
+            self.insert(sub_request, row, json);
+        }
+        let progress = &mut self.progress[sub_request];
+        (progress.received, progress.has_more) = (true, batch.has_more);
+        progress.trimmed |= batch.trimmed;
+    }
+
+    /// Retains a row, unless one with the same value of the distinct field ranks before it; drops the last row
+    /// of a page that has become too long.
+    fn insert(&mut self, sub_request: usize, row: RowKey, json: Box<str>) {
+        let RowKey { key, distinct } = row;
+        if let Some(value) = &distinct {
+            match self.by_distinct.get(value) {
+                Some(earlier) if *earlier < key => return,
+                Some(later) => drop(self.rows.remove(later)),
+                None => {}
+            }
+            self.by_distinct.insert(value.clone(), key.clone());
+        }
+        let retained = RetainedRow {
+            sub_request,
+            json,
+            distinct,
+        };
+        self.rows.insert(key, retained);
+        if self.rows.len() > self.limit
+            && let Some((_, last)) = self.rows.pop_last()
+        {
+            self.progress[last.sub_request].trimmed = true;
+            if let Some(value) = last.distinct {
+                self.by_distinct.remove(&value);
+            }
+        }
+    }
+
+    /// Whether the row's value of the distinct field was the last one on the page before.
+    fn was_shown(&self, sub_request: usize, key: &SortKey) -> bool {
+        if self.plan.distinct.is_none() {
+            return false;
+        }
+        let start = self.progress[sub_request].start.as_ref();
+        let shown = start.and_then(|start| self.plan.first_field(start));
+        shown.is_some_and(|value| self.plan.first_field(key) == Some(value))
+    }
+
+    /// Sub-requests that hold the page back, as long as it is not full before their frontier.
+    pub(crate) fn incomplete(&self) -> Vec<usize> {
+        let holds_back = |progress: &ShardProgress| {
+            let is_unknown = progress.received && progress.has_more && !progress.trimmed;
+            let frontier = progress.frontier.as_ref();
+            is_unknown && frontier.is_none_or(|f| self.rows.range(..=f).count() < self.limit)
+        };
+        (0..self.progress.len())
+            .filter(|&index| holds_back(&self.progress[index]))
+            .collect()
+    }
+
+    /// The page as far as it is known, within so many bytes.
+    pub(crate) fn visible(&self, max_bytes: usize) -> VisiblePage<'_> {
+        let incomplete = self.incomplete();
+        let bound = incomplete
+            .iter()
+            .filter_map(|&sub_request| self.frontier(sub_request))
+            .min();
+        let known = self
+            .rows
+            .iter()
+            .take_while(|(key, _)| bound.is_none_or(|bound| *key <= bound));
+        let mut rows = Vec::new();
+        let (mut remaining_bytes, mut last, mut truncated) = (max_bytes, None, false);
+        for (key, row) in known {
+            // A comma follows each row.
+            let bytes = row.json.len() + 1;
+            truncated = bytes > remaining_bytes && !rows.is_empty();
+            if truncated {
+                break;
+            }
+            remaining_bytes = remaining_bytes.saturating_sub(bytes);
+            rows.push(&*row.json);
+            last = Some(key);
+        }
+        let has_more = rows.len() < self.rows.len()
+            || self
+                .progress
+                .iter()
+                .any(|shard| shard.received && (shard.has_more || shard.trimmed));
+        VisiblePage {
+            // No shard holds back a page that is full of bytes.
+            incomplete: if truncated { Vec::new() } else { incomplete },
+            truncated,
+            next_positions: self
+                .progress
+                .iter()
+                .map(|shard| shard.next_position(last))
+                .collect(),
+            has_more,
+            rows,
+        }
+    }
+}
+
+impl ShardProgress {
+    /// Where it is to be read from for the next page, given the last row of this one.
+    fn next_position(&self, last_shown: Option<&SortKey>) -> Option<SortKey> {
+        if self.received {
+            self.start.as_ref().max(last_shown).cloned()
+        } else {
+            self.start.clone()
+        }
+    }
+}
--- /dev/null
+++ b/crates/linenthread-merge/src/page_reader.rs
@@ -0,0 +1,136 @@
+//! Reads a shard's rows in order, and skips them from where they can't be on the page any more.
+
+use std::borrow::Cow;
+use std::fmt;
+
+use serde::de::{DeserializeSeed, Deserializer, Error, IgnoredAny, MapAccess, SeqAccess, Visitor};
+use serde_json::value::RawValue;
+
+use crate::error::ValueError;
+use crate::page::PageBuilder;
+use crate::sort_key::{RowKey, SortKey};
+
+/// The most bytes of a row: one that fills a response by itself could never be passed on.
+const MAX_ROW_BYTES: usize = 16 * 1024;
+
+/// The rows of one value, read and found to be sorted.
+pub(crate) struct Batch {
+    /// The rows' positions and JSON.
+    pub(crate) rows: Vec<(RowKey, Box<str>)>,
+    /// The shard says that rows follow these.
+    pub(crate) has_more: bool,
+    /// Rows were skipped, as they rank after a full page.
+    pub(crate) trimmed: bool,
+}
+
+/// Reads a value of a shard that has been read up to a position.
+pub(crate) fn read_batch(
+    page: &PageBuilder<'_>,
+    last: Option<SortKey>,
+    value: &str,
+) -> Result<Batch, ValueError> {
+    let mut json = serde_json::Deserializer::from_str(value);
+    let batch = json.deserialize_map(BatchVisitor { page, last })?;
+    json.end()?;
+    Ok(batch)
+}
+
+struct BatchVisitor<'r, 'p> {
+    page: &'r PageBuilder<'p>,
+    /// The row before the value's first.
+    last: Option<SortKey>,
+}
+
+impl<'de> Visitor<'de> for BatchVisitor<'_, '_> {
+    type Value = Batch;
+
+    fn expecting(&self, formatter: &mut fmt::Formatter) -> fmt::Result {
+        formatter.write_str("an object with rows and more")
+    }
+
+    fn visit_map<A: MapAccess<'de>>(self, mut map: A) -> Result<Batch, A::Error> {
+        let (mut rows, mut more) = (None, None);
+        while let Some(key) = map.next_key::<Cow<'de, str>>()? {
+            match &*key {
+                "rows" if rows.is_none() => {
+                    rows = Some(map.next_value_seed(RowsVisitor {
+                        page: self.page,
+                        last: self.last.clone(),
+                    })?);
+                }
+                "more" if more.is_none() => more = Some(map.next_value::<bool>()?),
+                "rows" | "more" => return Err(Error::custom(format!("{key} stands twice"))),
+                _ => drop(map.next_value::<IgnoredAny>()?),
+            }
+        }
+        let rows: SortedRows = rows.ok_or_else(|| Error::missing_field("rows"))?;
+        Ok(Batch {
+            rows: rows.rows,
+            has_more: more.ok_or_else(|| Error::missing_field("more"))?,
+            trimmed: rows.trimmed,
+        })
+    }
+}
+
+struct SortedRows {
+    rows: Vec<(RowKey, Box<str>)>,
+    /// Rows were skipped, as they rank after a full page.
+    trimmed: bool,
+}
+
+struct RowsVisitor<'r, 'p> {
+    page: &'r PageBuilder<'p>,
+    /// The row before.
+    last: Option<SortKey>,
+}
+
+impl<'de> DeserializeSeed<'de> for RowsVisitor<'_, '_> {
+    type Value = SortedRows;
+
+    fn deserialize<D: Deserializer<'de>>(self, deserializer: D) -> Result<SortedRows, D::Error> {
+        deserializer.deserialize_seq(self)
+    }
+}
+
+impl<'de> Visitor<'de> for RowsVisitor<'_, '_> {
+    type Value = SortedRows;
+
+    fn expecting(&self, formatter: &mut fmt::Formatter) -> fmt::Result {
+        formatter.write_str("a list of rows")
+    }
+
+    fn visit_seq<A: SeqAccess<'de>>(mut self, mut list: A) -> Result<SortedRows, A::Error> {
+        let mut rows = Vec::new();
+        while let Some(json) = list.next_element::<&RawValue>()? {
+            let json = json.get();
+            let row = self.page.plan().row_key(json).map_err(Error::custom)?;
+            self.check(&row, json).map_err(Error::custom)?;
+            if rows.len() >= self.page.limit() || self.page.is_beyond(&row.key) {
+                while list.next_element::<IgnoredAny>()?.is_some() {}
+                return Ok(SortedRows {
+                    rows,
+                    trimmed: true,
+                });
+            }
+            self.last = Some(row.key.clone());
+            rows.push((row, json.into()));
+        }
+        Ok(SortedRows {
+            rows,
+            trimmed: false,
+        })
+    }
+}
+
+impl RowsVisitor<'_, '_> {
+    /// Checks a row's length, and that it ranks after the one before.
+    fn check(&self, row: &RowKey, json: &str) -> Result<(), String> {
+        if json.len() > MAX_ROW_BYTES {
+            return Err(format!("a row has more than {MAX_ROW_BYTES} bytes"));
+        }
+        if self.last.as_ref().is_some_and(|last| row.key <= *last) {
+            return Err("its rows are not in order, or before what was asked for".into());
+        }
+        Ok(())
+    }
+}
--- a/crates/linenthread-merge/src/plan.rs
+++ b/crates/linenthread-merge/src/plan.rs
@@ -1,95 +1,143 @@
-//! What the answers of an index are merged into, as the operators' file says.
+//! What the responses of an index are merged into, as the installation file says.
 
-/// What is told of a field's values.
+/// A statistic of a field's values.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Figure {
+pub enum Statistic {
+    /// The exact sum.
     Sum,
+    /// How many values there are.
     Count,
-    Least,
-    Most,
+    /// The lowest value.
+    Min,
+    /// The highest value.
+    Max,
+    /// The sum divided by the count, rounded to the scale, halves to the even digit.
     Mean,
 }
 
-/// A field that is summed up.
+/// A field whose values are aggregated.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Measure {
+    /// The field.
     pub field: String,
-    /// Digits after the point.
+    /// Digits after the point, at most [`MAX_SCALE`](crate::MAX_SCALE).
     pub scale: u32,
-    /// No value of it is below 0: a sum that lacks some is a lower bound.
+    /// No value of it is negative, so that a sum that lacks some is a lower bound.
     pub never_negative: bool,
-    pub figures: Vec<Figure>,
+    /// What the response says of it.
+    pub statistics: Vec<Statistic>,
 }
 
-/// Which groups are told by themselves where there are more than may be.
+/// Which groups are listed where there are more than the limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum First {
+pub enum GroupOrder {
     /// Those first by name.
     Name,
     /// Those with the largest sum of the first measure.
     Largest,
 }
 
+/// Totals by group.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Groups {
+pub struct GroupPlan {
+    /// What is aggregated in each group.
     pub measures: Vec<Measure>,
-    /// Groups told by themselves at the most.
-    pub most: usize,
-    pub first: First,
-    /// Groups held at once at the most, where they are ranked by size.
-    pub held: usize,
+    /// The most groups that are listed; the others are aggregated as the rest.
+    pub max_groups: usize,
+    /// Which groups are listed, and in which order.
+    pub order: GroupOrder,
+    /// The most groups that are retained during the merge, where they are ordered by size.
+    pub max_retained: usize,
 }
 
+/// How a field is sorted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Kind {
-    /// Ordered by its bytes.
+pub enum FieldType {
+    /// By its bytes.
     Text,
-    /// A number with so many digits after the point.
+    /// By its value, a number with so many digits after the point.
     Decimal(u32),
 }
 
+/// A field by which rows are sorted.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Order {
+pub struct SortField {
+    /// The field.
     pub field: String,
-    pub kind: Kind,
+    /// How it is sorted.
+    pub field_type: FieldType,
+    /// The highest value comes first.
     pub descending: bool,
 }
 
+/// Ranked rows in pages.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Rows {
-    /// The most significant first. Rows that lack a field come after those that have it, either way round.
-    pub order: Vec<Order>,
-    /// The text that tells a row from all others; it breaks ties, upwards.
+pub struct RowPlan {
+    /// The most significant field first. Rows that lack a field come after those that have it, in either direction.
+    pub order: Vec<SortField>,
+    /// The field that distinguishes a row from all others; it breaks ties, ascending.
     pub identity: String,
     /// Of rows with the same value of this field only the first is shown.
     pub distinct: Option<String>,
-    /// Rows on a page where the client does not say, and at the most.
-    pub page: usize,
-    pub most: usize,
-    /// Pages carry marks for the next.
-    pub pages: bool,
+    /// Rows on a page where the client does not say.
+    pub page_size: usize,
+    /// The most rows on a page.
+    pub max_page_size: usize,
+    /// Pages carry a cursor for the next one.
+    pub paginated: bool,
 }
 
+/// What the values of an index are merged into.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Form {
+pub enum Aggregation {
+    /// Totals of these measures.
     Totals(Vec<Measure>),
-    Groups(Groups),
-    Rows(Rows),
+    /// Totals by group.
+    Groups(GroupPlan),
+    /// Ranked rows.
+    Rows(RowPlan),
 }
 
-/// How one index is merged.
+/// How the responses of one index are merged.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Plan {
+    /// The index's name.
     pub index: String,
-    pub form: Form,
+    /// What its values are merged into.
+    pub aggregation: Aggregation,
 }
 
 impl Plan {
-    /// A text that differs wherever a page mark of one plan would mean something else under another.
-    pub(crate) fn order_words(&self) -> String {
-        match &self.form {
-            Form::Rows(rows) => format!("{:?}{:?}{:?}", rows.order, rows.identity, rows.distinct),
-            _ => String::new(),
+    /// A text that differs wherever a cursor of one plan would mean something else under another.
+    ///
+    /// It is hashed into cursors: clients hold cursors of earlier versions, so the text stays as those wrote it.
+    pub(crate) fn order_fingerprint(&self) -> String {
+        match &self.aggregation {
+            Aggregation::Rows(rows) => rows.order_fingerprint(),
+            Aggregation::Totals(_) | Aggregation::Groups(_) => String::new(),
         }
     }
 }
+
+impl RowPlan {
+    fn order_fingerprint(&self) -> String {
+        let order: Vec<String> = self.order.iter().map(SortField::fingerprint).collect();
+        let order = order.join(", ");
+        format!("[{order}]{:?}{:?}", self.identity, self.distinct)
+    }
+}
+
+impl SortField {
+    fn fingerprint(&self) -> String {
+        let SortField {
+            field,
+            field_type,
+            descending,
+        } = self;
+        let kind = match field_type {
+            FieldType::Text => "Text".to_owned(),
+            FieldType::Decimal(scale) => format!("Decimal({scale})"),
+        };
+        format!("Order {{ field: {field:?}, kind: {kind}, descending: {descending} }}")
+    }
+}
--- /dev/null
+++ b/crates/linenthread-merge/src/response.rs
@@ -0,0 +1,152 @@
+//! The response of a merged query, as JSON. The keys are those of `docs/merged-answers.md`.
+
+use serde::Serialize;
+use serde_json::value::RawValue;
+use serde_json::{Map, Value, json};
+
+use crate::cursor::CursorSigner;
+use crate::merger::{Merged, Merger, MissingReason, SubRequest, by_shard};
+use crate::page::{PageBuilder, VisiblePage};
+
+/// The most bytes of rows or groups in a response: with the cursor and the shards' numbers it stays below 64 KiB.
+const MAX_BYTES: usize = 40 * 1024;
+/// Shares of weight are reported to four digits.
+const SHARE_RESOLUTION: f64 = 1e4;
+
+/// A response with the rows as the shards wrote them.
+#[derive(Serialize)]
+struct PageResponse<'r> {
+    #[serde(flatten)]
+    body: Map<String, Value>,
+    rows: Vec<&'r RawValue>,
+}
+
+impl Merger<'_> {
+    /// The response from what has been received, as JSON. It is marked as complete only if `complete` is set and
+    /// no shard is missing. Cursors are issued by `signer`, at this time in seconds since 1970.
+    pub fn response(
+        &self,
+        complete: bool,
+        signer: Option<&CursorSigner>,
+        unix_seconds: u64,
+    ) -> Vec<u8> {
+        let incomplete = !self.sub_requests.iter().all(SubRequest::is_received);
+        let mut body = Map::new();
+        body.insert("finished".into(), json!(complete && !incomplete));
+        body.insert("slices".into(), self.shards_json());
+        match &self.merged {
+            Merged::Totals { measures, totals } => {
+                body.insert("totals".into(), totals.to_json(measures, incomplete));
+            }
+            Merged::Groups { plan, groups } => {
+                body.extend(groups.to_json(plan, incomplete, MAX_BYTES));
+            }
+            Merged::Rows(page) => {
+                let signer = signer.filter(|_| page.plan().paginated);
+                return self.page_response(body, page, incomplete, signer, unix_seconds);
+            }
+        }
+        serde_json::to_vec(&body).unwrap_or_default()
+    }
+
+    /// Which shards are in the response, and which are missing and why.
+    fn shards_json(&self) -> Value {
+        let mut missing = Map::new();
+        for (reason, key) in MISSING_REASONS {
+            let shards =
+                self.shards(|shard| !shard.is_received() && shard.missing_reason == reason);
+            if !shards.is_empty() {
+                missing.insert(key.into(), json!(shards));
+            }
+        }
+        let share = if missing.is_empty() {
+            1.0
+        } else {
+            // Rounded down, so that the share is never overstated.
+            let share = self.weight(SubRequest::is_received) / self.weight(|_| true);
+            (share * SHARE_RESOLUTION).floor() / SHARE_RESOLUTION
+        };
+        json!({"in": self.shards(SubRequest::is_received), "missing": missing, "share": share})
+    }
+
+    /// The shards of some sub-requests, in ascending order.
+    fn shards(&self, filter: impl Fn(&SubRequest) -> bool) -> Vec<usize> {
+        let filtered = self.sub_requests.iter().filter(|shard| filter(shard));
+        let mut shards: Vec<usize> = filtered.map(|shard| shard.shard).collect();
+        shards.sort_unstable();
+        shards
+    }
+
+    fn weight(&self, filter: impl Fn(&SubRequest) -> bool) -> f64 {
+        let filtered = self.sub_requests.iter().filter(|shard| filter(shard));
+        filtered.map(|shard| shard.weight).sum()
+    }
+
+    fn page_response(
+        &self,
+        mut body: Map<String, Value>,
+        page: &PageBuilder,
+        incomplete: bool,
+        signer: Option<&CursorSigner>,
+        unix_seconds: u64,
+    ) -> Vec<u8> {
+        let visible = page.visible(MAX_BYTES);
+        let mut cut = self.cut_json(&visible, page.limit());
+        let goes_on = incomplete || visible.has_more;
+        let mut next = Value::Null;
+        if let (true, Some(signer)) = (goes_on, signer) {
+            match self.issue_cursor(&visible, signer, unix_seconds) {
+                Some(cursor) => next = cursor.into(),
+                None => drop(cut.insert("mark".into(), json!("too long"))),
+            }
+        }
+        let cut = if cut.is_empty() {
+            Value::Null
+        } else {
+            cut.into()
+        };
+        body.insert("goes_on".into(), json!(goes_on));
+        body.insert("next".into(), next);
+        body.insert("cut".into(), cut);
+        let rows = visible
+            .rows
+            .iter()
+            .filter_map(|row| serde_json::from_str(row).ok())
+            .collect();
+        serde_json::to_vec(&PageResponse { body, rows }).unwrap_or_default()
+    }
+
+    /// Why the page has fewer rows than asked for; empty if it has not.
+    fn cut_json(&self, visible: &VisiblePage, limit: usize) -> Map<String, Value> {
+        let mut cut = Map::new();
+        if !visible.incomplete.is_empty() && visible.rows.len() < limit {
+            let shard = |&index: &usize| self.sub_requests[index].shard;
+            let shards: Vec<usize> = visible.incomplete.iter().map(shard).collect();
+            cut.insert("behind".into(), json!(shards));
+        }
+        if visible.truncated {
+            cut.insert("length".into(), json!(MAX_BYTES));
+        }
+        cut
+    }
+
+    fn issue_cursor(
+        &self,
+        visible: &VisiblePage,
+        signer: &CursorSigner,
+        unix_seconds: u64,
+    ) -> Option<String> {
+        let positions: Vec<_> = by_shard(&self.sub_requests, |shard| shard.shard)
+            .into_iter()
+            .map(|index| visible.next_positions[index].clone())
+            .collect();
+        signer.issue(&self.scope, &positions, unix_seconds)
+    }
+}
+
+/// The reasons for which a shard may be missing, and their keys.
+const MISSING_REASONS: [(MissingReason, &str); 3] = [
+    (MissingReason::Unanswered, "unanswered"),
+    (MissingReason::Failed, "failed"),
+    (MissingReason::Unreadable, "unreadable"),
+];
--- a/crates/linenthread-merge/src/totals.rs
+++ b/crates/linenthread-merge/src/totals.rs
@@ -1,316 +1,239 @@
-//! Totals of many slices, and totals by group, exact and with a statement of how each figure may be off.
+//! Totals of many shards, exact, and with a statement of how each statistic may be off.
 
 use std::borrow::Cow;
-use std::collections::{BTreeMap, HashMap};
+use std::collections::HashMap;
 
 use serde::Deserialize;
 use serde_json::value::RawValue;
 use serde_json::{Map, Value, json};
 
 use crate::decimal;
-use crate::plan::{Figure, First, Groups, Measure};
+use crate::error::{InconsistentTotalsSnafu, MissingTotalsSnafu, NegativeValueSnafu, ValueError};
+use crate::plan::{Measure, Statistic};
 
-/// A group's name may have so many bytes.
-const LONGEST_NAME: usize = 64;
-
-/// What is known of one measure's values.
-#[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub(crate) struct Total {
-    count: u64,
-    sum: i128,
-    /// The least and the most, where there is any value.
-    span: Option<(i128, i128)>,
-    /// The sum left the range of numbers and is not told.
-    overflown: bool,
-}
-
-impl Total {
-    fn add(&mut self, other: &Total) {
-        self.count = self.count.saturating_add(other.count);
-        match self.sum.checked_add(other.sum) {
-            Some(sum) => self.sum = sum,
-            None => self.overflown = true,
-        }
-        self.overflown |= other.overflown;
-        self.span = match (self.span, other.span) {
-            (Some((a, b)), Some((c, d))) => Some((a.min(c), b.max(d))),
-            (one, other) => one.or(other),
-        };
-    }
-
-    /// One slice's word on a measure, held to what can be true.
-    fn read(said: &Said, measure: &Measure) -> Result<Total, String> {
-        let number = |raw: &RawValue| {
-            let text: Cow<str> = match raw.get().starts_with('"') {
-                true => Cow::Owned(serde_json::from_str(raw.get()).map_err(|e| e.to_string())?),
-                false => Cow::Borrowed(raw.get()),
-            };
-            decimal::parse(&text, measure.scale)
-        };
-        let there =
-            |raw: Option<&RawValue>| raw.filter(|r| r.get() != "null").map(number).transpose();
-        let (sum, span) = (number(said.sum)?, there(said.least)?.zip(there(said.most)?));
-        let is_true = match span {
-            None => said.count == 0 && sum == 0,
-            Some((least, most)) => {
-                let times = |n: i128| n.checked_mul(i128::from(said.count));
-                said.count > 0
-                    && least <= most
-                    && times(least).is_some_and(|low| low <= sum)
-                    && times(most).is_some_and(|high| sum <= high)
-            }
-        };
-        if !is_true {
-            return Err(format!(
-                "the totals of {} cannot be true together",
-                measure.field
-            ));
-        }
-        if measure.never_negative && span.is_some_and(|(least, _)| least < 0) {
-            return Err(format!(
-                "{} has a value below 0, and is said never to have one",
-                measure.field
-            ));
-        }
-        Ok(Total {
-            count: said.count,
-            sum,
-            span,
-            overflown: false,
-        })
-    }
-
-    /// The figures asked for, each with how it may be off where parts are missing.
-    fn tell(&self, measure: &Measure, lacks: bool) -> Value {
-        let whole = |units| Value::String(decimal::format(units, measure.scale));
-        let sum = (!self.overflown).then_some(self.sum);
-        let figure = |figure: &Figure| {
-            let (name, value, is) = match figure {
-                Figure::Sum if measure.never_negative => ("sum", sum.map(whole), "at-least"),
-                Figure::Sum => ("sum", sum.map(whole), "either-way"),
-                Figure::Count => ("count", Some(json!(self.count)), "at-least"),
-                Figure::Least => ("least", self.span.map(|(least, _)| whole(least)), "at-most"),
-                Figure::Most => ("most", self.span.map(|(_, most)| whole(most)), "at-least"),
-                Figure::Mean => {
-                    let mean = sum.and_then(|sum| decimal::mean(sum, self.count));
-                    ("mean", mean.map(whole), "either-way")
-                }
-            };
-            let overflown = self.overflown && matches!(figure, Figure::Sum | Figure::Mean);
-            // No value at all bounds nothing.
-            let unbounded = value.is_none() && !overflown;
-            let is = match (lacks, unbounded) {
-                _ if overflown => "overflown",
-                (false, _) => "exact",
-                (true, true) => "either-way",
-                (true, false) => is,
-            };
-            (name.to_owned(), json!({"value": value, "is": is}))
-        };
-        Value::Object(measure.figures.iter().map(figure).collect())
-    }
+/// The JSON of a value: `{"totals":{FIELD:{"count":..,"sum":..,"least":..,"most":..}}}`.
+#[derive(Deserialize)]
+pub(crate) struct TotalsValue<'a> {
+    #[serde(borrow)]
+    totals: HashMap<Cow<'a, str>, MeasureValue<'a>>,
 }
 
-/// One total a measure, in the plan's order.
-pub(crate) type Totals = Vec<Total>;
-
+/// One measure of a value, as a shard reports it.
 #[derive(Deserialize)]
-struct Said<'a> {
+pub(crate) struct MeasureValue<'a> {
     count: u64,
     #[serde(borrow)]
     sum: &'a RawValue,
-    #[serde(borrow)]
-    least: Option<&'a RawValue>,
-    #[serde(borrow)]
-    most: Option<&'a RawValue>,
+    #[serde(borrow, rename = "least")]
+    min: Option<&'a RawValue>,
+    #[serde(borrow, rename = "most")]
+    max: Option<&'a RawValue>,
 }
 
-#[derive(Deserialize)]
-struct SaidTotals<'a> {
-    #[serde(borrow)]
-    totals: HashMap<Cow<'a, str>, Said<'a>>,
+/// The lowest and the highest of some values, in units of the measure's scale.
+#[derive(Clone, Copy, Debug, PartialEq)]
+struct Range {
+    min: i128,
+    max: i128,
 }
 
-#[derive(Deserialize)]
-struct SaidGroup<'a> {
-    #[serde(borrow)]
-    of: Cow<'a, str>,
-    #[serde(borrow)]
-    totals: HashMap<Cow<'a, str>, Said<'a>>,
+/// What is known of one measure's values, in units of its scale.
+#[derive(Clone, Copy, Debug, Default, PartialEq)]
+struct MeasureTotal {
+    count: u64,
+    sum: i128,
+    /// `None` if there is no value.
+    range: Option<Range>,
+    /// The sum has overflowed, and is not reported.
+    overflown: bool,
 }
 
-#[derive(Deserialize)]
-struct SaidGroups<'a> {
-    #[serde(borrow)]
-    groups: Vec<SaidGroup<'a>>,
-    #[serde(borrow)]
-    rest: Option<SaidTotals<'a>>,
-}
+/// One total for each measure, in the plan's order.
+#[derive(Clone, Debug, PartialEq)]
+pub(crate) struct Totals(Vec<MeasureTotal>);
 
-fn of_measures(said: &HashMap<Cow<str>, Said>, measures: &[Measure]) -> Result<Totals, String> {
-    let one = |m: &Measure| {
-        let said = said
-            .get(m.field.as_str())
-            .ok_or_else(|| format!("the totals of {} are missing", m.field))?;
-        Total::read(said, m)
-    };
-    measures.iter().map(one).collect()
-}
+impl Totals {
+    /// The totals of no value at all.
+    pub(crate) fn zero(measures: &[Measure]) -> Totals {
+        Totals(vec![MeasureTotal::default(); measures.len()])
+    }
 
-/// Reads a slice's value `{"totals":{FIELD:{"count":..,"sum":..,"least":..,"most":..}}}`.
-pub(crate) fn read(value: &str, measures: &[Measure]) -> Result<Totals, String> {
-    let said: SaidTotals = serde_json::from_str(value).map_err(|e| e.to_string())?;
-    of_measures(&said.totals, measures)
-}
+    /// Reads a shard's value.
+    pub(crate) fn parse(value: &str, measures: &[Measure]) -> Result<Totals, ValueError> {
+        let value: TotalsValue = serde_json::from_str(value)?;
+        Totals::from_values(&value.totals, measures)
+    }
 
-pub(crate) fn add(to: &mut Totals, other: &[Total]) {
-    to.iter_mut().zip(other).for_each(|(a, b)| a.add(b));
-}
+    /// Checks what a shard reports of each measure.
+    pub(crate) fn from_values(
+        values: &HashMap<Cow<str>, MeasureValue>,
+        measures: &[Measure],
+    ) -> Result<Totals, ValueError> {
+        let total = |measure: &Measure| {
+            let field = measure.field.as_str();
+            match values.get(field) {
+                Some(value) => MeasureTotal::from_value(value, measure),
+                None => MissingTotalsSnafu { field }.fail(),
+            }
+        };
+        measures
+            .iter()
+            .map(total)
+            .collect::<Result<_, _>>()
+            .map(Totals)
+    }
 
-pub(crate) fn none(measures: &[Measure]) -> Totals {
-    vec![Total::default(); measures.len()]
-}
+    pub(crate) fn add(&mut self, other: &Totals) {
+        for (total, other) in self.0.iter_mut().zip(&other.0) {
+            total.add(other);
+        }
+    }
 
-pub(crate) fn tell(totals: &[Total], measures: &[Measure], lacks: bool) -> Value {
-    let all: Map<String, Value> = measures
-        .iter()
-        .zip(totals)
-        .map(|(m, t)| (m.field.clone(), t.tell(m, lacks)))
-        .collect();
-    Value::Object(all)
-}
+    /// The sum of the first measure, by which groups are compared; 0 if there is none.
+    pub(crate) fn first_sum(&self) -> i128 {
+        self.0.first().map_or(0, |total| total.sum)
+    }
 
-/// A slice's groups as it told them.
-pub(crate) struct SliceGroups {
-    groups: Vec<(Box<str>, Totals)>,
-    rest: Option<Totals>,
+    /// The statistics of each measure; `incomplete` says that values are missing.
+    pub(crate) fn to_json(&self, measures: &[Measure], incomplete: bool) -> Value {
+        let totals: Map<String, Value> = measures
+            .iter()
+            .zip(&self.0)
+            .map(|(measure, total)| (measure.field.clone(), total.to_json(measure, incomplete)))
+            .collect();
+        Value::Object(totals)
+    }
 }
 
-/// Groups of all slices, so many by themselves and the rest as one.
-pub(crate) struct Grouped {
-    by_name: BTreeMap<Box<str>, Totals>,
-    rest: Totals,
-    /// Some groups went into the rest, here or at a slice.
-    has_rest: bool,
-    /// A slice told a rest of its own: any group may be in it.
-    slice_rest: bool,
-    /// More groups than can be held came in, where they are ranked by size.
-    overfull: bool,
+impl TotalsValue<'_> {
+    pub(crate) fn check(&self, measures: &[Measure]) -> Result<Totals, ValueError> {
+        Totals::from_values(&self.totals, measures)
+    }
 }
 
-impl Grouped {
-    pub(crate) fn new(plan: &Groups) -> Self {
-        Grouped {
-            by_name: BTreeMap::new(),
-            rest: none(&plan.measures),
-            has_rest: false,
-            slice_rest: false,
-            overfull: false,
+impl MeasureTotal {
+    fn add(&mut self, other: &MeasureTotal) {
+        self.count = self.count.saturating_add(other.count);
+        match self.sum.checked_add(other.sum) {
+            Some(sum) => self.sum = sum,
+            None => self.overflown = true,
         }
+        self.overflown |= other.overflown;
+        self.range = match (self.range, other.range) {
+            (Some(a), Some(b)) => Some(Range {
+                min: a.min.min(b.min),
+                max: a.max.max(b.max),
+            }),
+            (a, b) => a.or(b),
+        };
     }
 
-    /// Reads a slice's value `{"groups":[{"of":NAME,"totals":{...}},...],"rest":{"totals":{...}}}`, its groups
-    /// by rising name. Nothing of it counts before [`Grouped::take`].
-    pub(crate) fn read(value: &str, plan: &Groups) -> Result<SliceGroups, String> {
-        let said: SaidGroups = serde_json::from_str(value).map_err(|e| e.to_string())?;
-        if said.groups.windows(2).any(|pair| pair[0].of >= pair[1].of) {
-            return Err("its groups are not in order, or one stands twice".into());
+    /// Checks what a shard reports of a measure for consistency.
+    fn from_value(value: &MeasureValue, measure: &Measure) -> Result<MeasureTotal, ValueError> {
+        let number = |raw: &RawValue| parse_number(raw, measure.scale);
+        let present = |raw: Option<&RawValue>| {
+            raw.filter(|raw| raw.get() != "null")
+                .map(number)
+                .transpose()
+        };
+        let sum = number(value.sum)?;
+        let (min, max) = (present(value.min)?, present(value.max)?);
+        let total = MeasureTotal {
+            count: value.count,
+            sum,
+            range: min.zip(max).map(|(min, max)| Range { min, max }),
+            overflown: false,
+        };
+        let field = &measure.field;
+        if !total.is_consistent() {
+            return InconsistentTotalsSnafu { field }.fail();
         }
-        if said.groups.iter().any(|g| g.of.len() > LONGEST_NAME) {
-            return Err(format!("a group's name has more than {LONGEST_NAME} bytes"));
+        if measure.never_negative && total.range.is_some_and(|range| range.min < 0) {
+            return NegativeValueSnafu { field }.fail();
         }
-        let group = |g: &SaidGroup| {
-            Ok((
-                g.of.as_ref().into(),
-                of_measures(&g.totals, &plan.measures)?,
-            ))
+        Ok(total)
+    }
+
+    /// Whether there can be values of this count, sum and range.
+    fn is_consistent(&self) -> bool {
+        let Some(Range { min, max }) = self.range else {
+            return self.count == 0 && self.sum == 0;
         };
-        let groups = said
-            .groups
-            .iter()
-            .map(group)
-            .collect::<Result<_, String>>()?;
-        let rest = said
-            .rest
-            .map(|rest| of_measures(&rest.totals, &plan.measures))
-            .transpose()?;
-        Ok(SliceGroups { groups, rest })
+        let times_count = |value: i128| value.checked_mul(i128::from(self.count));
+        self.count > 0
+            && min <= max
+            && times_count(min).is_some_and(|lowest| lowest <= self.sum)
+            && times_count(max).is_some_and(|highest| self.sum <= highest)
+    }
+
+    /// The statistics asked for, each with how it may be off where values are missing.
+    fn to_json(self, measure: &Measure, incomplete: bool) -> Value {
+        let statistic = |statistic: &Statistic| {
+            let figure = self.figure(*statistic, measure, incomplete);
+            (name(*statistic).to_owned(), figure)
+        };
+        Value::Object(measure.statistics.iter().map(statistic).collect())
     }
 
-    /// No more than what may be told, or held where size decides, is kept by name: whichever names come last
-    /// go into the rest. The result is the same in whatever order slices come.
-    pub(crate) fn take(&mut self, slice: SliceGroups, plan: &Groups) {
-        let most = if plan.first == First::Name {
-            plan.most
+    fn figure(&self, statistic: Statistic, measure: &Measure, incomplete: bool) -> Value {
+        let value = self.value(statistic, measure);
+        let overflown = self.overflown && matches!(statistic, Statistic::Sum | Statistic::Mean);
+        let is = if overflown {
+            "overflown"
+        } else if !incomplete {
+            "exact"
+        } else if value.is_none() {
+            // No value at all bounds nothing.
+            EITHER_WAY
         } else {
-            plan.held
+            bound(statistic, measure)
         };
-        for (name, totals) in slice.groups {
-            let full = self.by_name.len() >= most;
-            let is_last = full
-                && self
-                    .by_name
-                    .last_key_value()
-                    .is_none_or(|(last, _)| name > *last);
-            if let Some(known) = self.by_name.get_mut(&name) {
-                add(known, &totals);
-            } else if is_last {
-                self.put_away(&totals, plan);
-            } else {
-                self.by_name.insert(name, totals);
-                if self.by_name.len() > most
-                    && let Some((_, last)) = self.by_name.pop_last()
-                {
-                    self.put_away(&last, plan);
-                }
-            }
-        }
-        if let Some(rest) = slice.rest {
-            add(&mut self.rest, &rest);
-            (self.has_rest, self.slice_rest) = (true, true);
-        }
+        json!({"value": value, "is": is})
+    }
+
+    fn value(&self, statistic: Statistic, measure: &Measure) -> Option<Value> {
+        let sum = (!self.overflown).then_some(self.sum);
+        let units = match statistic {
+            Statistic::Count => return Some(json!(self.count)),
+            Statistic::Sum => sum,
+            Statistic::Min => self.range.map(|range| range.min),
+            Statistic::Max => self.range.map(|range| range.max),
+            Statistic::Mean => sum.and_then(|sum| decimal::mean(sum, self.count)),
+        };
+        units.map(|units| Value::String(decimal::format(units, measure.scale)))
     }
+}
+
+/// The true figure may be more or less than the one reported.
+const EITHER_WAY: &str = "either-way";
 
-    fn put_away(&mut self, totals: &[Total], plan: &Groups) {
-        add(&mut self.rest, totals);
-        self.has_rest = true;
-        self.overfull |= plan.first == First::Largest;
+/// How a statistic relates to the true one where values are missing.
+fn bound(statistic: Statistic, measure: &Measure) -> &'static str {
+    match statistic {
+        Statistic::Sum if measure.never_negative => "at-least",
+        Statistic::Count | Statistic::Max => "at-least",
+        Statistic::Min => "at-most",
+        Statistic::Sum | Statistic::Mean => EITHER_WAY,
     }
+}
 
-    /// The groups told by themselves, within so many bytes, and the rest.
-    pub(crate) fn tell(&self, plan: &Groups, lacks: bool, bytes: usize) -> Map<String, Value> {
-        let mut groups: Vec<_> = self.by_name.iter().collect();
-        if plan.first == First::Largest {
-            // The sort keeps rising names among those of one size.
-            groups
-                .sort_by_key(|(_, totals)| std::cmp::Reverse(totals.first().map_or(0, |t| t.sum)));
-        }
-        let (mut told, mut left) = (Vec::new(), bytes);
-        let (mut rest, mut has_rest) = (self.rest.clone(), self.has_rest);
-        for (name, totals) in groups {
-            let group = json!({"of": name, "totals": tell(totals, &plan.measures, lacks || self.slice_rest)});
-            let length = group.to_string().len() + 1;
-            if told.len() < plan.most && length <= left {
-                left -= length;
-                told.push(group);
-            } else {
-                // Nothing smaller slips in after it.
-                left = 0;
-                add(&mut rest, totals);
-                has_rest = true;
-            }
-        }
-        let mut answer = Map::new();
-        answer.insert("groups".into(), told.into());
-        let rest = has_rest.then(|| json!({"totals": tell(&rest, &plan.measures, lacks)}));
-        answer.insert("rest".into(), rest.into());
-        answer.insert(
-            "largest_are_sure".into(),
-            match plan.first {
-                First::Name => Value::Null,
-                First::Largest => json!(!self.overfull && !self.slice_rest && !lacks),
-            },
-        );
-        answer
+/// A statistic's key in responses.
+fn name(statistic: Statistic) -> &'static str {
+    match statistic {
+        Statistic::Sum => "sum",
+        Statistic::Count => "count",
+        Statistic::Min => "least",
+        Statistic::Max => "most",
+        Statistic::Mean => "mean",
     }
 }
+
+/// A number, written as one or as a text.
+fn parse_number(raw: &RawValue, scale: u32) -> Result<i128, ValueError> {
+    let text: Cow<str> = if raw.get().starts_with('"') {
+        Cow::Owned(serde_json::from_str(raw.get())?)
+    } else {
+        Cow::Borrowed(raw.get())
+    };
+    Ok(decimal::parse(&text, scale)?)
+}
--- /dev/null
+++ b/crates/linenthread-merge/tests/totals.rs
@@ -0,0 +1,172 @@
+//! Totals: exact decimal numbers, and values that cannot be true.
+
+use linenthread_merge::{
+    Acceptance, Aggregation, Measure, MergeQuery, Merger, PageRequest, Plan, QueriedShard,
+    Statistic,
+};
+use serde_json::{Value, json};
+
+fn plan(scale: u32, never_negative: bool) -> Plan {
+    let statistics = vec![
+        Statistic::Sum,
+        Statistic::Count,
+        Statistic::Min,
+        Statistic::Max,
+        Statistic::Mean,
+    ];
+    Plan {
+        index: "i".into(),
+        aggregation: Aggregation::Totals(vec![Measure {
+            field: "a".into(),
+            scale,
+            never_negative,
+            statistics,
+        }]),
+    }
+}
+
+fn shards(count: usize) -> Vec<QueriedShard> {
+    let weight = 1.0 / count as f64;
+    (0..count)
+        .map(|shard| QueriedShard { shard, weight })
+        .collect()
+}
+
+fn begin<'p>(plan: &'p Plan, shards: &[QueriedShard]) -> Merger<'p> {
+    let query = MergeQuery {
+        customer: None,
+        key: None,
+        text: "q",
+        shards,
+        shard_count: shards.len(),
+    };
+    Merger::new(plan, &query, &PageRequest::default(), None, 0).unwrap()
+}
+
+/// A shard's value.
+fn value(count: u64, sum: &str, min: Value, max: Value) -> String {
+    json!({"totals": {"a": {"count": count, "sum": sum, "least": min, "most": max}}}).to_string()
+}
+
+/// The value of a shard that has one number.
+fn single(number: &str) -> String {
+    value(1, number, json!(number), json!(number))
+}
+
+/// The totals of the field, merged from one value a shard.
+fn totals(plan: &Plan, values: &[String]) -> Value {
+    let mut merger = begin(plan, &shards(values.len()));
+    for (index, value) in values.iter().enumerate() {
+        assert_eq!(
+            merger.accept(index, 0, value),
+            Acceptance::Counted,
+            "{value}"
+        );
+    }
+    let response: Value = serde_json::from_slice(&merger.response(true, None, 0)).unwrap();
+    response["totals"]["a"].clone()
+}
+
+fn is_invalid(plan: &Plan, value: &str) -> bool {
+    let mut merger = begin(plan, &shards(1));
+    matches!(merger.accept(0, 0, value), Acceptance::Invalid(_))
+}
+
+#[test]
+fn numbers_are_exact_and_written_with_all_digits_of_their_scale() {
+    for (text, scale, written) in [
+        ("0.1", 2, "0.10"),
+        ("-0.05", 2, "-0.05"),
+        ("7", 0, "7"),
+        ("1.500", 1, "1.5"),
+        ("-0", 2, "0.00"),
+        ("007.10", 2, "7.10"),
+        ("0", 3, "0.000"),
+    ] {
+        let totals = totals(&plan(scale, false), &[single(text)]);
+        for statistic in ["sum", "least", "most", "mean"] {
+            assert_eq!(totals[statistic]["value"], written, "{text} {statistic}");
+        }
+    }
+    let tenths: Vec<String> = (0..10).map(|_| single("0.1")).collect();
+    assert_eq!(totals(&plan(1, false), &tenths)["sum"]["value"], "1.0");
+}
+
+#[test]
+fn what_is_not_a_decimal_number_of_the_scale_is_invalid() {
+    let plan = plan(2, false);
+    for text in [
+        "",
+        "-",
+        ".5",
+        "1.",
+        "1e3",
+        "+1",
+        " 1",
+        "1,5",
+        "0x1",
+        "1.005",
+        &"9".repeat(29),
+    ] {
+        assert!(is_invalid(&plan, &single(text)), "{text}");
+    }
+    assert!(!is_invalid(&plan, &single(&"9".repeat(28))));
+}
+
+#[test]
+fn means_are_rounded_to_the_scale_and_halves_to_the_even_digit() {
+    for (count, sum, min, max, mean) in [
+        (2, "5", "2", "3", "2"),
+        (2, "7", "3", "4", "4"),
+        (2, "-5", "-3", "-2", "-2"),
+        (3, "10", "3", "4", "3"),
+    ] {
+        let value = value(count, sum, json!(min), json!(max));
+        let totals = totals(&plan(0, false), &[value]);
+        assert_eq!(totals["mean"]["value"], mean, "{sum} / {count}");
+    }
+    let none = value(0, "0", Value::Null, Value::Null);
+    let totals = totals(&plan(0, false), &[none]);
+    assert_eq!(totals["mean"]["value"], Value::Null);
+}
+
+#[test]
+fn totals_that_cannot_be_true_are_invalid() {
+    let plan = plan(2, true);
+    let invalid = [
+        value(2, "0.30", json!("0.20"), json!("0.20")),
+        value(1, "0.30", json!("0.10"), json!("0.20")),
+        value(2, "0.30", json!("0.20"), json!("0.10")),
+        value(0, "0.30", json!(null), json!(null)),
+        value(1, "0.30", json!(null), json!(null)),
+        value(1, "-0.30", json!("-0.30"), json!("-0.30")),
+        value(1, "0.305", json!("0.305"), json!("0.305")),
+        value(1, "1e2", json!("1e2"), json!("1e2")),
+        value(
+            u64::MAX,
+            &"9".repeat(28),
+            json!(&"9".repeat(28)),
+            json!(&"9".repeat(28)),
+        ),
+        r#"{"totals":{}}"#.to_owned(),
+        r#"{"totals":{"a":{"count":-1,"sum":0,"least":null,"most":null}}}"#.to_owned(),
+    ];
+    for value in invalid {
+        assert!(is_invalid(&plan, &value), "{value}");
+    }
+}
+
+#[test]
+fn sums_of_large_numbers_are_exact() {
+    let large = "9999999999999999999999999999";
+    let values = [
+        value(1, large, json!(large), json!(large)),
+        value(1, "0.10", json!(0.10), json!("0.1")),
+    ];
+    let totals = totals(&plan(2, true), &values);
+    assert_eq!(
+        totals["sum"],
+        json!({"value": format!("{large}.10"), "is": "exact"})
+    );
+    assert_eq!(totals["mean"]["value"], "4999999999999999999999999999.55");
+}
