--- a/crates/linenthread-drill/src/link/simulation.rs
+++ b/crates/linenthread-drill/src/link/simulation.rs
@@ -482,7 +482,7 @@
             replica: "r".into(),
             query: format!("l{number}"),
             shard: 0,
-            round: 0,
+            continuation: 0,
             text: number.to_string(),
         };
         let priority = u32::try_from(number % 3).unwrap_or_default();
--- a/crates/linenthread-link/src/frame/call.rs
+++ b/crates/linenthread-link/src/frame/call.rs
@@ -18,7 +18,7 @@
     /// The shard that is queried.
     pub shard: u32,
     /// How many times the shard was queried before for the same query, for further results.
-    pub round: u32,
+    pub continuation: u32,
     /// The sub-request's text.
     pub text: String,
 }
@@ -49,7 +49,7 @@
         put.text(&self.call.replica);
         put.text(&self.call.query);
         put.u32(self.call.shard);
-        put.u32(self.call.round);
+        put.u32(self.call.continuation);
         put.value(&self.call.text);
     }
 
@@ -61,7 +61,7 @@
                 replica: take.text()?,
                 query: take.text()?,
                 shard: take.u32()?,
-                round: take.u32()?,
+                continuation: take.u32()?,
                 text: take.value()?,
             },
         })
--- a/crates/linenthread-link/tests/client_and_server.rs
+++ b/crates/linenthread-link/tests/client_and_server.rs
@@ -49,7 +49,7 @@
         replica: "r".into(),
         query: "l".into(),
         shard: 0,
-        round: 0,
+        continuation: 0,
         text: text.into(),
     }
 }
--- a/crates/linenthread-link/tests/frames.rs
+++ b/crates/linenthread-link/tests/frames.rs
@@ -11,7 +11,7 @@
         replica: "s-1".into(),
         query: "9b1f".into(),
         shard: 3,
-        round: 0,
+        continuation: 0,
         text: text.into(),
     }
 }
