--- a/crates/linenthread-link/tests/golden.rs
+++ b/crates/linenthread-link/tests/golden.rs
@@ -4,7 +4,10 @@
 //! the other side of a link may run an older version.
 
 use linenthread_core::interface::{AttemptOutcome, Phase};
-use linenthread_link::{Call, Frame, Member};
+use linenthread_link::frame::{
+    CallOutcome, CallRequest, Challenge, Credit, Hello, MembersUpdate, ProbeOutcome, Welcome,
+};
+use linenthread_link::{Call, CallNumber, Frame, Member, ProbeId, SessionId};
 
 /// The lines of a golden file: a name, a space, and bytes in hexadecimal.
 fn golden(text: &str) -> Vec<(String, Vec<u8>)> {
@@ -21,11 +24,11 @@
 fn member(id: &str, phase: Phase, age_ms: Option<u32>) -> Member {
     Member {
         id: id.to_owned(),
-        site: "messina".to_owned(),
-        cell: 0x0102_0304,
+        zone: "messina".to_owned(),
+        replica_group: 0x0102_0304,
         phase,
         age_ms,
-        share: 750,
+        slow_start_share: 750,
     }
 }
 
@@ -35,95 +38,100 @@
     let proof = std::array::from_fn(|i| 0x80 + i as u8);
     let call = Call {
         replica: "replica-1".to_owned(),
-        lookup: "9b1f03aa5c7e2d41".to_owned(),
+        query: "9b1f03aa5c7e2d41".to_owned(),
         shard: 0x1112_1314,
-        round: 0x2122_2324,
+        continuation: 0x2122_2324,
         text: "a text with \u{e9} and\nlines".to_owned(),
     };
     let mut frames = vec![
         (
             "challenge".to_owned(),
-            Frame::Challenge {
-                least: 1,
-                most: 3,
+            Frame::Challenge(Challenge {
+                min_version: 1,
+                max_version: 3,
                 nonce,
                 name: "gateway".to_owned(),
-            },
+            }),
         ),
         (
             "hello".to_owned(),
-            Frame::Hello {
+            Frame::Hello(Hello {
                 version: 2,
                 name: "coordinator".to_owned(),
                 nonce,
-                session: 0x3132_3334_3536_3738,
+                session: SessionId(0x3132_3334_3536_3738),
                 attempt: 0x4142_4344_4546_4748,
                 epoch: 0x5152_5354_5556_5758,
                 proof,
-            },
+            }),
         ),
         (
             "welcome".to_owned(),
-            Frame::Welcome {
+            Frame::Welcome(Welcome {
                 epoch: 0x6162_6364_6566_6768,
                 resumed: true,
-                received: 1_001,
-                bytes: 1_002,
+                last_call: CallNumber(1_001),
+                received_bytes: 1_002,
                 proof,
-            },
+            }),
         ),
         (
             "refuse".to_owned(),
             Frame::Refuse {
-                why: "not \u{e9}xpected".to_owned(),
+                reason: "not \u{e9}xpected".to_owned(),
             },
         ),
         (
             "call".to_owned(),
-            Frame::Call {
-                number: 1_003,
+            Frame::Call(CallRequest {
+                number: CallNumber(1_003),
                 remaining_ms: 2_500,
                 call,
+            }),
+        ),
+        (
+            "withdraw".to_owned(),
+            Frame::Withdraw {
+                number: CallNumber(1_004),
             },
         ),
-        ("withdraw".to_owned(), Frame::Withdraw { number: 1_004 }),
         (
             "ack".to_owned(),
             Frame::Ack {
-                numbers: vec![1_005, 1_006, 1_007],
+                numbers: [1_005, 1_006, 1_007].map(CallNumber).to_vec(),
             },
         ),
         (
             "credit".to_owned(),
-            Frame::Credit {
-                number: 1_008,
+            Frame::Credit(Credit {
+                last_call: CallNumber(1_008),
                 bytes: 1_009,
-            },
+            }),
         ),
-        ("ping".to_owned(), Frame::Ping { number: 1_010 }),
-        ("pong".to_owned(), Frame::Pong { number: 1_011 }),
+        ("ping".to_owned(), Frame::Ping { sequence: 1_010 }),
+        ("pong".to_owned(), Frame::Pong { sequence: 1_011 }),
         (
             "members".to_owned(),
-            Frame::Members {
+            Frame::Members(MembersUpdate {
                 revision: 1_012,
-                whole: true,
+                complete: true,
                 members: vec![
                     member("replica-1", Phase::Ready, None),
                     member("replica-2", Phase::Draining, Some(1_234)),
                     member("replica-3", Phase::Removed, Some(0)),
                 ],
-            },
+            }),
         ),
         (
             "probe".to_owned(),
             Frame::Probe {
-                number: 1_013,
+                id: ProbeId(1_013),
                 replica: "replica-1".to_owned(),
             },
         ),
         ("goodbye".to_owned(), Frame::Goodbye),
     ];
-    let endings = [
+    let outcomes = [
         AttemptOutcome::Success,
         AttemptOutcome::Error,
         AttemptOutcome::Rejected,
@@ -133,20 +141,20 @@
         AttemptOutcome::Cancelled,
         AttemptOutcome::NotSent,
     ];
-    for (at, ending) in endings.into_iter().enumerate() {
-        let outcome = Frame::Outcome {
-            number: 1_014,
-            ending,
-            queue: Some(2.5),
+    for (code, outcome) in outcomes.into_iter().enumerate() {
+        let completed = Frame::Outcome(CallOutcome {
+            number: CallNumber(1_014),
+            outcome,
+            queue_depth: Some(2.5),
             value: "a value".to_owned(),
-        };
-        frames.push((format!("outcome_{at}"), outcome));
-        let probed = Frame::Probed {
-            number: 1_015,
-            ending,
-            queue: None,
-        };
-        frames.push((format!("probed_{at}"), probed));
+        });
+        frames.push((format!("outcome_{code}"), completed));
+        let probed = Frame::Probed(ProbeOutcome {
+            id: ProbeId(1_015),
+            outcome,
+            queue_depth: None,
+        });
+        frames.push((format!("probed_{code}"), probed));
     }
     frames
 }
