--- a/crates/linenthread-installation/src/merging.rs
+++ b/crates/linenthread-installation/src/merging.rs
@@ -1,347 +1,238 @@
-//! `<merging>`: the indexes whose answers are merged, and the marks of their pages.
+//! `<merging>`: the indexes whose responses are merged, and the cursors of their pages.
 
+use std::collections::HashSet;
 use std::path::PathBuf;
+use std::time::Duration;
 
 use linenthread_merge::{
     Aggregation, FieldType, GroupOrder, GroupPlan, Measure, Plan, RowPlan, SortField, Statistic,
 };
-use serde::Deserialize;
 
-use crate::tree::Node;
-use crate::{Fault, KnownIndex};
+use crate::document::{
+    CursorsSection, Direction, FieldTypeValue, GroupOrderValue, GroupsSection, IndexSection,
+    MeasureSection, MergingSection, RowsSection, SortFieldSection, StatisticValue, YesNo,
+};
+use crate::gateway::secret_files;
+use crate::xml::Element;
+use crate::{InstallationError, KnownIndex};
 
-/// Indexes that are merged; the others are answered as ever.
+/// The indexes whose responses are merged; the responses of others are passed on.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Merging {
+    /// How each index is merged.
     pub plans: Vec<Plan>,
-    pub marks: Option<MarkFiles>,
+    /// How cursors of pages are signed.
+    pub cursors: Option<CursorFiles>,
 }
 
-/// Where the secrets of page marks are.
+/// How cursors of pages are signed.
 #[derive(Clone, Debug, PartialEq)]
-pub struct MarkFiles {
-    /// Seconds for which a mark is good.
-    pub life: u64,
-    /// The one that signs, then the one before, which is still taken.
-    pub files: Vec<PathBuf>,
-}
-
-#[derive(Debug, Deserialize)]
-#[serde(deny_unknown_fields)]
-pub(crate) struct Section {
-    marks: Option<Marks>,
-    #[serde(rename = "$value", default)]
-    indexes: Vec<Index>,
-}
-
-#[derive(Debug, Deserialize)]
-#[serde(deny_unknown_fields)]
-struct Marks {
-    #[serde(rename = "@life")]
-    life: u64,
-    #[serde(rename = "@secret")]
-    secret: PathBuf,
-    #[serde(rename = "@secret-before")]
-    before: Option<PathBuf>,
-}
-
-#[derive(Debug, Deserialize)]
-#[serde(rename_all = "lowercase")]
-enum Index {
-    Totals(SumsOf),
-    Groups(GroupsOf),
-    Rows(RowsOf),
-}
-
-#[derive(Debug, Deserialize)]
-#[serde(deny_unknown_fields)]
-struct SumsOf {
-    #[serde(rename = "@index")]
-    index: String,
-    measure: Vec<MeasureOf>,
-}
-
-#[derive(Debug, Deserialize)]
-#[serde(deny_unknown_fields)]
-struct GroupsOf {
-    #[serde(rename = "@index")]
-    index: String,
-    #[serde(rename = "@most")]
-    most: usize,
-    #[serde(rename = "@first", default)]
-    first: FirstWord,
-    #[serde(rename = "@held", default = "held")]
-    held: usize,
-    measure: Vec<MeasureOf>,
-}
-
-fn held() -> usize {
-    10_000
-}
-
-#[derive(Clone, Copy, Debug, Default, Deserialize)]
-#[serde(rename_all = "lowercase")]
-enum FirstWord {
-    #[default]
-    Name,
-    Largest,
-}
-
-#[derive(Debug, Deserialize)]
-#[serde(deny_unknown_fields)]
-struct MeasureOf {
-    #[serde(rename = "@field")]
-    field: String,
-    #[serde(rename = "@scale", default)]
-    scale: u32,
-    #[serde(rename = "@negative", default)]
-    negative: YesNo,
-    #[serde(rename = "@figures")]
-    figures: Vec<FigureWord>,
-}
-
-#[derive(Clone, Copy, Debug, Default, PartialEq, Deserialize)]
-#[serde(rename_all = "lowercase")]
-enum YesNo {
-    #[default]
-    Yes,
-    No,
-}
-
-#[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
-#[serde(rename_all = "lowercase")]
-enum FigureWord {
-    Sum,
-    Count,
-    Least,
-    Most,
-    Mean,
-}
-
-#[derive(Debug, Deserialize)]
-#[serde(deny_unknown_fields)]
-struct RowsOf {
-    #[serde(rename = "@index")]
-    index: String,
-    #[serde(rename = "@page")]
-    page: usize,
-    #[serde(rename = "@most")]
-    most: Option<usize>,
-    #[serde(rename = "@pages", default)]
-    pages: YesNo,
-    order: Vec<OrderOf>,
-    identity: Field,
-    distinct: Option<Field>,
-}
-
-#[derive(Debug, Deserialize)]
-#[serde(deny_unknown_fields)]
-struct Field {
-    #[serde(rename = "@field")]
-    field: String,
-}
-
-#[derive(Debug, Deserialize)]
-#[serde(deny_unknown_fields)]
-struct OrderOf {
-    #[serde(rename = "@field")]
-    field: String,
-    #[serde(rename = "@kind", default)]
-    kind: KindWord,
-    #[serde(rename = "@scale", default)]
-    scale: u32,
-    #[serde(rename = "@direction", default)]
-    direction: Direction,
-}
-
-#[derive(Clone, Copy, Debug, Default, PartialEq, Deserialize)]
-#[serde(rename_all = "lowercase")]
-enum KindWord {
-    #[default]
-    Text,
-    Decimal,
+pub struct CursorFiles {
+    /// How long a cursor is valid.
+    pub lifetime: Duration,
+    /// The file of the secret that signs, then that of the previous one, which is still accepted.
+    pub secret_files: Vec<PathBuf>,
+}
+
+impl Merging {
+    pub(crate) fn check(
+        section: MergingSection,
+        element: &Element,
+        known: &dyn Fn(&str) -> Option<KnownIndex>,
+    ) -> Result<Merging, InstallationError> {
+        let cursors = section.cursors.map(CursorFiles::from);
+        let mut plans: Vec<Plan> = Vec::new();
+        let elements = element.children.iter().filter(|e| e.name != "marks");
+        for (section, element) in section.indexes.into_iter().zip(elements) {
+            let index = section.index();
+            let Some(settings) = known(index) else {
+                return Err(element.error(format!("the settings have no index {index}")));
+            };
+            if plans.iter().any(|plan| plan.index == index) {
+                return Err(element.error(format!("the index {index} is merged twice")));
+            }
+            plans.push(Plan {
+                index: index.to_owned(),
+                aggregation: match section {
+                    IndexSection::Totals(totals) => {
+                        Aggregation::Totals(check_measures(totals.measures, element)?)
+                    }
+                    IndexSection::Groups(groups) => {
+                        Aggregation::Groups(check_groups(groups, element)?)
+                    }
+                    IndexSection::Rows(rows) => {
+                        Aggregation::Rows(check_rows(rows, element, settings, cursors.is_some())?)
+                    }
+                },
+            });
+        }
+        Ok(Merging { plans, cursors })
+    }
 }
 
-#[derive(Clone, Copy, Debug, Default, PartialEq, Deserialize)]
-#[serde(rename_all = "lowercase")]
-enum Direction {
-    #[default]
-    Ascending,
-    Descending,
+impl From<CursorsSection> for CursorFiles {
+    fn from(section: CursorsSection) -> CursorFiles {
+        CursorFiles {
+            lifetime: Duration::from_secs(section.lifetime_seconds),
+            secret_files: secret_files(section.secret, section.previous_secret),
+        }
+    }
 }
 
-/// The first name that stands a second time.
-fn twice<'a>(names: impl Iterator<Item = &'a str>) -> Option<&'a str> {
-    let mut seen = Vec::new();
-    for name in names {
-        if seen.contains(&name) {
-            return Some(name);
+impl IndexSection {
+    fn index(&self) -> &str {
+        match self {
+            IndexSection::Totals(totals) => &totals.index,
+            IndexSection::Groups(groups) => &groups.index,
+            IndexSection::Rows(rows) => &rows.index,
         }
-        seen.push(name);
     }
-    None
 }
 
-fn measures(said: Vec<MeasureOf>, node: &Node) -> Result<Vec<Measure>, Fault> {
-    for (measure, node) in said.iter().zip(node.all("measure")) {
-        let repeated = measure
-            .figures
-            .iter()
-            .enumerate()
-            .any(|(i, f)| measure.figures[..i].contains(f));
-        if repeated {
-            return Err(Fault::new(
-                node.line,
-                format!("a figure of {} is asked for twice", measure.field),
-            ));
+fn check_measures(
+    sections: Vec<MeasureSection>,
+    element: &Element,
+) -> Result<Vec<Measure>, InstallationError> {
+    for (measure, element) in sections.iter().zip(element.children("measure")) {
+        let statistics = &measure.statistics;
+        let is_repeated = |(index, statistic)| statistics[..index].contains(statistic);
+        if statistics.iter().enumerate().any(is_repeated) {
+            let cause = format!("a figure of {} is asked for twice", measure.field);
+            return Err(element.error(cause));
         }
     }
-    if let Some(field) = twice(said.iter().map(|m| m.field.as_str())) {
-        return Err(Fault::new(
-            node.line,
-            format!("the field {field} is measured twice"),
-        ));
+    if let Some(field) = first_repeated(sections.iter().map(|m| m.field.as_str())) {
+        return Err(element.error(format!("the field {field} is measured twice")));
     }
-    let figure = |word: &FigureWord| match word {
-        FigureWord::Sum => Statistic::Sum,
-        FigureWord::Count => Statistic::Count,
-        FigureWord::Least => Statistic::Min,
-        FigureWord::Most => Statistic::Max,
-        FigureWord::Mean => Statistic::Mean,
-    };
-    let measure = |m: MeasureOf| Measure {
-        statistics: m.figures.iter().map(figure).collect(),
-        field: m.field,
-        scale: m.scale,
-        never_negative: m.negative == YesNo::No,
-    };
-    Ok(said.into_iter().map(measure).collect())
+    Ok(sections.into_iter().map(Measure::from).collect())
 }
 
-fn groups(said: GroupsOf, node: &Node) -> Result<Plan, Fault> {
-    if said.held < said.most {
-        return Err(Fault::new(
-            node.line,
-            "held is less than most: that many groups could not be told",
-        ));
+fn check_groups(section: GroupsSection, element: &Element) -> Result<GroupPlan, InstallationError> {
+    if section.max_retained < section.max_groups {
+        let cause = "held is less than most: that many groups could not be told";
+        return Err(element.error(cause));
     }
-    let first = match said.first {
-        FirstWord::Name => GroupOrder::Name,
-        FirstWord::Largest => GroupOrder::Largest,
-    };
-    let measures = measures(said.measure, node)?;
-    Ok(Plan {
-        index: said.index,
-        aggregation: Aggregation::Groups(GroupPlan {
-            measures,
-            max_groups: said.most,
-            order: first,
-            max_retained: said.held,
-        }),
+    Ok(GroupPlan {
+        measures: check_measures(section.measures, element)?,
+        max_groups: section.max_groups,
+        order: section.order.into(),
+        max_retained: section.max_retained,
     })
 }
 
-fn rows(said: RowsOf, node: &Node, known: KnownIndex, has_marks: bool) -> Result<Plan, Fault> {
-    let (most, pages) = (said.most.unwrap_or(said.page), said.pages == YesNo::Yes);
-    if said.page > most {
-        return Err(Fault::new(
-            node.line,
-            format!("page is {}, more than most, {most}", said.page),
-        ));
+fn check_rows(
+    section: RowsSection,
+    element: &Element,
+    settings: KnownIndex,
+    has_cursors: bool,
+) -> Result<RowPlan, InstallationError> {
+    let page_size = section.page_size;
+    let max_page_size = section.max_page_size.unwrap_or(page_size);
+    let paginated = section.paginated == YesNo::Yes;
+    if page_size > max_page_size {
+        let cause = format!("page is {page_size}, more than most, {max_page_size}");
+        return Err(element.error(cause));
     }
-    if pages && !has_marks {
-        return Err(Fault::new(
-            node.line,
-            "pages need <marks> before them, or pages=\"no\"",
-        ));
+    if paginated && !has_cursors {
+        return Err(element.error("pages need <marks> before them, or pages=\"no\""));
     }
-    for (order, node) in said.order.iter().zip(node.all("order")) {
-        if order.kind == KindWord::Text && order.scale > 0 {
-            return Err(Fault::new(node.line, "a text has no scale"));
+    for (field, element) in section.order.iter().zip(element.children("order")) {
+        if field.field_type == FieldTypeValue::Text && field.scale > 0 {
+            return Err(element.error("a text has no scale"));
         }
     }
-    if let Some(field) = twice(said.order.iter().map(|o| o.field.as_str())) {
-        return Err(Fault::new(
-            node.line,
-            format!("{field} is ordered by twice"),
+    if let Some(field) = first_repeated(section.order.iter().map(|o| o.field.as_str())) {
+        return Err(element.error(format!("{field} is ordered by twice")));
+    }
+    if let (Some(_), true) = (&section.distinct, paginated) {
+        check_distinct_pages(&section, element, settings)?;
+    }
+    Ok(RowPlan {
+        order: section.order.into_iter().map(SortField::from).collect(),
+        identity: section.identity.field,
+        distinct: section.distinct.map(|distinct| distinct.field),
+        page_size,
+        max_page_size,
+        paginated,
+    })
+}
+
+/// A cursor says how far each shard was read, not which values were shown: only the first sort field can be
+/// recognized as shown, and only while no shard is read later than others.
+fn check_distinct_pages(
+    section: &RowsSection,
+    element: &Element,
+    settings: KnownIndex,
+) -> Result<(), InstallationError> {
+    let (Some(distinct), Some(element)) = (&section.distinct, element.child("distinct")) else {
+        return Ok(());
+    };
+    let first = section.order.first();
+    if first.is_none_or(|first| first.field != distinct.field) {
+        return Err(element.error(
+            "rows in pages can only be distinct by their first order field; or say pages=\"no\"",
+        ));
+    }
+    if settings.min_share < 1.0 {
+        return Err(element.error(
+            "rows in pages can only be distinct where the index's floor is 1: a slice missing on one page \
+             could bring a value again on the next; or say pages=\"no\"",
         ));
     }
-    // A page mark says how far each slice was read, not which values were shown: only what stands first in
-    // the order can be told as shown, and only while no slice is read later than others.
-    let distinct = said.distinct.map(|d| d.field);
-    if let (Some(field), Some(node), true) = (&distinct, node.all("distinct").next(), pages) {
-        if said.order.first().is_none_or(|first| first.field != *field) {
-            return Err(Fault::new(
-                node.line,
-                "rows in pages can only be distinct by their first order field; or say pages=\"no\"",
-            ));
+    Ok(())
+}
+
+/// The first name that is repeated.
+fn first_repeated<'a>(mut names: impl Iterator<Item = &'a str>) -> Option<&'a str> {
+    let mut seen = HashSet::new();
+    names.find(|name| !seen.insert(*name))
+}
+
+impl From<MeasureSection> for Measure {
+    fn from(section: MeasureSection) -> Measure {
+        Measure {
+            field: section.field,
+            scale: section.scale,
+            never_negative: section.may_be_negative == YesNo::No,
+            statistics: section
+                .statistics
+                .into_iter()
+                .map(Statistic::from)
+                .collect(),
         }
-        if known.floor < 1.0 {
-            return Err(Fault::new(
-                node.line,
-                "rows in pages can only be distinct where the index's floor is 1: a slice missing on one page \
-                 could bring a value again on the next; or say pages=\"no\"",
-            ));
+    }
+}
+
+impl From<StatisticValue> for Statistic {
+    fn from(value: StatisticValue) -> Statistic {
+        match value {
+            StatisticValue::Sum => Statistic::Sum,
+            StatisticValue::Count => Statistic::Count,
+            StatisticValue::Min => Statistic::Min,
+            StatisticValue::Max => Statistic::Max,
+            StatisticValue::Mean => Statistic::Mean,
         }
     }
-    let order = |o: OrderOf| SortField {
-        field_type: if o.kind == KindWord::Text {
-            FieldType::Text
-        } else {
-            FieldType::Decimal(o.scale)
-        },
-        field: o.field,
-        descending: o.direction == Direction::Descending,
-    };
-    let order = said.order.into_iter().map(order).collect();
-    let identity = said.identity.field;
-    Ok(Plan {
-        index: said.index,
-        aggregation: Aggregation::Rows(RowPlan {
-            order,
-            identity,
-            distinct,
-            page_size: said.page,
-            max_page_size: most,
-            paginated: pages,
-        }),
-    })
 }
 
-/// Checks what the schema can't say.
-pub(crate) fn check(
-    section: Section,
-    node: &Node,
-    known: &dyn Fn(&str) -> Option<KnownIndex>,
-) -> Result<Merging, Fault> {
-    let marks = section.marks.map(|marks| MarkFiles {
-        life: marks.life,
-        files: std::iter::once(marks.secret).chain(marks.before).collect(),
-    });
-    let mut plans: Vec<Plan> = Vec::new();
-    let nodes = node.children.iter().filter(|child| child.name != "marks");
-    for (said, node) in section.indexes.into_iter().zip(nodes) {
-        let index = node.attribute("index").unwrap_or_default();
-        let Some(of) = known(index) else {
-            return Err(Fault::new(
-                node.line,
-                format!("the settings have no index {index}"),
-            ));
-        };
-        if plans.iter().any(|p| p.index == index) {
-            return Err(Fault::new(
-                node.line,
-                format!("the index {index} is merged twice"),
-            ));
+impl From<GroupOrderValue> for GroupOrder {
+    fn from(value: GroupOrderValue) -> GroupOrder {
+        match value {
+            GroupOrderValue::Name => GroupOrder::Name,
+            GroupOrderValue::Largest => GroupOrder::Largest,
         }
-        plans.push(match said {
-            Index::Totals(said) => Plan {
-                aggregation: Aggregation::Totals(measures(said.measure, node)?),
-                index: said.index,
+    }
+}
+
+impl From<SortFieldSection> for SortField {
+    fn from(section: SortFieldSection) -> SortField {
+        SortField {
+            field_type: match section.field_type {
+                FieldTypeValue::Text => FieldType::Text,
+                FieldTypeValue::Decimal => FieldType::Decimal(section.scale),
             },
-            Index::Groups(said) => groups(said, node)?,
-            Index::Rows(said) => rows(said, node, of, marks.is_some())?,
-        });
+            field: section.field,
+            descending: section.direction == Direction::Descending,
+        }
     }
-    Ok(Merging { plans, marks })
 }
