--- a/crates/linenthread-merge/tests/sort_order.rs
+++ b/crates/linenthread-merge/tests/sort_order.rs
@@ -1,9 +1,9 @@
 //! The order of rows, and the positions from which shards are asked for more.
 
-use linenthread_merge::{
-    Acceptance, Aggregation, FieldType, MergeQuery, Merger, PageRequest, Plan, QueriedShard,
-    RowPlan, SortField,
-};
+mod common;
+
+use common::{begin, equal_shards};
+use linenthread_merge::{Acceptance, Aggregation, FieldType, Plan, RowPlan, SortField};
 use serde_json::{Value, json};
 
 /// Texts in ascending order.
@@ -50,23 +50,6 @@
     }
 }
 
-fn shards(count: usize) -> Vec<QueriedShard> {
-    (0..count)
-        .map(|shard| QueriedShard { shard, weight: 1.0 })
-        .collect()
-}
-
-fn begin<'p>(plan: &'p Plan, shards: &[QueriedShard]) -> Merger<'p> {
-    let query = MergeQuery {
-        customer: None,
-        key: None,
-        text: "q",
-        shards,
-        shard_count: shards.len(),
-    };
-    Merger::new(plan, &query, &PageRequest::default(), None, 0).unwrap()
-}
-
 /// A row of the same identity for each value.
 fn row(value: Option<&str>) -> Value {
     match value {
@@ -77,7 +60,7 @@
 
 /// The rows merged from shards that have one each.
 fn merged(plan: &Plan, rows: &[Value]) -> Vec<Value> {
-    let mut merger = begin(plan, &shards(rows.len()));
+    let mut merger = begin(plan, &equal_shards(rows.len()));
     for (index, row) in rows.iter().enumerate() {
         let value = json!({"rows": [row], "more": false}).to_string();
         assert_eq!(merger.accept(index, 0, &value), Acceptance::Counted);
@@ -88,7 +71,7 @@
 
 /// The values of the position after this row.
 fn position_after(plan: &Plan, row: &Value) -> Vec<Value> {
-    let mut merger = begin(plan, &shards(1));
+    let mut merger = begin(plan, &equal_shards(1));
     let value = json!({"rows": [row], "more": true}).to_string();
     assert_eq!(merger.accept(0, 0, &value), Acceptance::Counted);
     let request: Value = serde_json::from_str(&merger.request_text(0)).unwrap();
@@ -160,14 +143,14 @@
         "[]",
         &too_long,
     ] {
-        let mut merger = begin(&plan, &shards(1));
+        let mut merger = begin(&plan, &equal_shards(1));
         let value = format!(r#"{{"rows":[{row}],"more":false}}"#);
         assert!(
             matches!(merger.accept(0, 0, &value), Acceptance::Invalid(_)),
             "{row}"
         );
     }
-    let mut merger = begin(&plan, &shards(1));
+    let mut merger = begin(&plan, &equal_shards(1));
     let valid = r#"{"rows":[{"id":"a","f":"b"}],"more":false}"#;
     assert_eq!(merger.accept(0, 0, valid), Acceptance::Counted);
 }
--- a/crates/linenthread-merge/tests/totals.rs
+++ b/crates/linenthread-merge/tests/totals.rs
@@ -1,9 +1,9 @@
 //! Totals: exact decimal numbers, and values that cannot be true.
 
-use linenthread_merge::{
-    Acceptance, Aggregation, Measure, MergeQuery, Merger, PageRequest, Plan, QueriedShard,
-    Statistic,
-};
+mod common;
+
+use common::{begin, equal_shards};
+use linenthread_merge::{Acceptance, Aggregation, Measure, Plan, Statistic};
 use serde_json::{Value, json};
 
 fn plan(scale: u32, never_negative: bool) -> Plan {
@@ -25,24 +25,6 @@
     }
 }
 
-fn shards(count: usize) -> Vec<QueriedShard> {
-    let weight = 1.0 / count as f64;
-    (0..count)
-        .map(|shard| QueriedShard { shard, weight })
-        .collect()
-}
-
-fn begin<'p>(plan: &'p Plan, shards: &[QueriedShard]) -> Merger<'p> {
-    let query = MergeQuery {
-        customer: None,
-        key: None,
-        text: "q",
-        shards,
-        shard_count: shards.len(),
-    };
-    Merger::new(plan, &query, &PageRequest::default(), None, 0).unwrap()
-}
-
 /// A shard's value.
 fn value(count: u64, sum: &str, min: Value, max: Value) -> String {
     json!({"totals": {"a": {"count": count, "sum": sum, "least": min, "most": max}}}).to_string()
@@ -55,7 +37,7 @@
 
 /// The totals of the field, merged from one value a shard.
 fn totals(plan: &Plan, values: &[String]) -> Value {
-    let mut merger = begin(plan, &shards(values.len()));
+    let mut merger = begin(plan, &equal_shards(values.len()));
     for (index, value) in values.iter().enumerate() {
         assert_eq!(
             merger.accept(index, 0, value),
@@ -68,7 +50,7 @@
 }
 
 fn is_invalid(plan: &Plan, value: &str) -> bool {
-    let mut merger = begin(plan, &shards(1));
+    let mut merger = begin(plan, &equal_shards(1));
     matches!(merger.accept(0, 0, value), Acceptance::Invalid(_))
 }
 
