--- a/crates/linenthread-drill/src/main.rs
+++ b/crates/linenthread-drill/src/main.rs
@@ -23,8 +23,8 @@
 
 #[derive(Clone)]
 enum Command {
-    Merged(merged::Drill),
-    Link(link::Drill),
+    Merged(merged::Options),
+    Link(link::Options),
     Fleet(record::Drill),
     Zones(zones::Drill),
     System(system::Drill),
@@ -76,7 +76,7 @@
     let only_delays = long("only-delays")
         .help("No faults and no changes of replicas, only slow parts")
         .switch();
-    let merged = construct!(merged::Drill {
+    let merged = construct!(merged::Options {
         lookups,
         seed,
         slow,
@@ -102,7 +102,7 @@
     let no_resume = long("no-resume")
         .help("Sessions end with their connection")
         .switch();
-    let link = construct!(link::Drill { schedules, seed, no_resume })
+    let link = construct!(link::Options { schedules, seed, no_resume })
         .map(Command::Link)
         .to_options()
         .descr(
--- a/crates/linenthread-service/src/carriers/link.rs
+++ b/crates/linenthread-service/src/carriers/link.rs
@@ -8,8 +8,11 @@
 use std::time::Duration;
 
 use linenthread_core::interface::{AttemptOutcome, TenthMillis};
-use linenthread_link::routes::Standing;
-use linenthread_link::{Call, Frame, Member, Near, NearDo, NearTerms, Secrets};
+use linenthread_link::routing::LinkStatus;
+use linenthread_link::{
+    Call, CallId, CallNumber, ClientAction, ClientConfig, Frame, LinkClient, Member, ProbeId,
+    Secrets,
+};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 use tokio::sync::{Notify, mpsc, oneshot};
@@ -45,9 +48,9 @@
     name: String,
     address: SocketAddr,
     clock: Clock,
-    near: RefCell<Near>,
-    waiters: RefCell<BTreeMap<u64, Waiter>>,
-    probes: RefCell<BTreeMap<u64, ProbeWaiter>>,
+    near: RefCell<LinkClient>,
+    waiters: RefCell<BTreeMap<CallId, Waiter>>,
+    probes: RefCell<BTreeMap<ProbeId, ProbeWaiter>>,
     frames: RefCell<VecDeque<Frame>>,
     connect: Cell<bool>,
     close: RefCell<Option<String>>,
@@ -63,7 +66,7 @@
 /// A part call out over a link. Dropping it gives it up, unless it has ended.
 pub(crate) struct PartOut {
     peer: Peer,
-    number: u64,
+    number: CallId,
 }
 
 impl Drop for PartOut {
@@ -86,7 +89,7 @@
     pub name: String,
     pub address: SocketAddr,
     pub secrets: Secrets,
-    pub near: NearTerms,
+    pub near: ClientConfig,
     pub seed: u64,
 }
 
@@ -97,7 +100,7 @@
             name: terms.name,
             address: terms.address,
             clock,
-            near: RefCell::new(Near::new(terms.near, terms.secrets, terms.seed)),
+            near: RefCell::new(LinkClient::new(terms.near, terms.secrets, terms.seed)),
             waiters: RefCell::default(),
             probes: RefCell::default(),
             frames: RefCell::default(),
@@ -111,23 +114,23 @@
         peer
     }
 
-    pub(crate) fn standing(&self) -> Standing {
-        self.0.near.borrow().standing()
+    pub(crate) fn standing(&self) -> LinkStatus {
+        self.0.near.borrow().status()
     }
 
     /// Lets the machine take something in, and does what it says.
-    fn act(&self, take: impl FnOnce(&mut Near, TenthMillis, &mut Vec<NearDo>)) {
+    fn act(&self, take: impl FnOnce(&mut LinkClient, TenthMillis, &mut Vec<ClientAction>)) {
         let mut to = Vec::new();
         take(&mut self.0.near.borrow_mut(), self.0.clock.now(), &mut to);
         for one in to {
             match one {
-                NearDo::Connect => self.0.connect.set(true),
-                NearDo::Close(why) => drop(self.0.close.replace(Some(why))),
-                NearDo::Send(frame) => self.0.frames.borrow_mut().push_back(frame),
-                NearDo::Ended {
-                    number,
-                    ending,
-                    queue,
+                ClientAction::Connect => self.0.connect.set(true),
+                ClientAction::Close(reason) => drop(self.0.close.replace(Some(reason.to_string()))),
+                ClientAction::Send(frame) => self.0.frames.borrow_mut().push_back(frame),
+                ClientAction::CallCompleted {
+                    id: number,
+                    outcome: ending,
+                    queue_depth: queue,
                     value,
                 } => {
                     if let Some(Waiter { part, call, to }) =
@@ -143,19 +146,22 @@
                         .ok();
                     }
                 }
-                NearDo::Probed {
-                    number,
-                    ending,
-                    queue,
+                ClientAction::ProbeCompleted {
+                    id: number,
+                    outcome: ending,
+                    queue_depth: queue,
                 } => {
                     if let Some(to) = self.0.probes.borrow_mut().remove(&number) {
                         to.send((ending, queue)).ok();
                     }
                 }
-                NearDo::Members { whole, members } => {
+                ClientAction::Members {
+                    complete: whole,
+                    members,
+                } => {
                     drop(self.0.changes.send(News::Members(whole, members)));
                 }
-                NearDo::Up(up) => {
+                ClientAction::Up(up) => {
                     info!(peer = self.0.name, up, "link");
                     self.0.changes.send(News::Up(up)).ok();
                 }
@@ -177,12 +183,12 @@
         let one = |asked: &Asked| {
             let call = Call {
                 replica: replica.to_owned(),
-                lookup: lookup.to_owned(),
+                query: lookup.to_owned(),
                 shard: asked.shard as u32,
-                round: asked.round,
+                continuation: asked.round,
                 text: asked.text.to_string(),
             };
-            let mut number = 0;
+            let mut number = CallId(0);
             let mut ends = Vec::new();
             // It may end at once: its waiter stands before that is told.
             self.act(|near, now, to| {
@@ -229,10 +235,10 @@
                 .0
                 .near
                 .borrow()
-                .wake_at()
+                .next_timeout()
                 .min(self.0.clock.now() + 100_000));
             tokio::select! {
-                () = sleep_until(at) => self.act(linenthread_link::Near::wake),
+                () = sleep_until(at) => self.act(LinkClient::on_timeout),
                 () = self.0.news.notified() => {}
             }
             if self.0.connect.take() {
@@ -246,7 +252,7 @@
                 }
                 self.0.frames.borrow_mut().clear();
                 self.0.close.take();
-                self.act(linenthread_link::Near::lost);
+                self.act(LinkClient::on_disconnected);
             }
         }
     }
@@ -254,11 +260,11 @@
     /// Serves one connection until it ends; says why it did.
     async fn connection(&self, mut stream: TcpStream) -> String {
         stream.set_nodelay(true).ok();
-        self.act(|near, now, _| near.connected(now));
+        self.act(|near, now, _| near.on_connected(now));
         let (mut reads, mut writes) = stream.split();
         let (mut read, mut buffer) = (Vec::new(), vec![0; READ]);
         // What is being written, how much of it is, and which call it is.
-        let mut writing: Option<(Vec<u8>, usize, Option<u64>)> = None;
+        let mut writing: Option<(Vec<u8>, usize, Option<CallNumber>)> = None;
         loop {
             // Not a byte more: what was not written whole by now has been told as never run.
             if let Some(why) = self.0.close.take() {
@@ -267,8 +273,8 @@
             if writing.is_none()
                 && let Some(frame) = self.0.frames.borrow_mut().pop_front()
             {
-                let number = if let Frame::Call { number, .. } = &frame {
-                    Some(*number)
+                let number = if let Frame::Call(request) = &frame {
+                    Some(request.number)
                 } else {
                     None
                 };
@@ -278,7 +284,7 @@
                 .0
                 .near
                 .borrow()
-                .wake_at()
+                .next_timeout()
                 .min(self.0.clock.now() + 100_000);
             let rest = writing
                 .as_ref()
@@ -288,8 +294,8 @@
                     Ok(0) => return "closed by the gateway".into(),
                     Ok(n) => {
                         read.extend_from_slice(&buffer[..n]);
-                        let take = |frame| self.act(|near, now, to| near.received(now, frame, to));
-                        if let Err(why) = Frame::take_all(&mut read, take) {
+                        let take = |frame| self.act(|near, now, to| near.on_frame(now, frame, to));
+                        if let Err(why) = Frame::drain(&mut read, take) {
                             return why;
                         }
                     }
@@ -301,7 +307,7 @@
                             *at += n;
                             if *at == bytes.len() {
                                 if let Some(number) = *number {
-                                    self.0.near.borrow_mut().written(number);
+                                    self.0.near.borrow_mut().on_call_written(number);
                                 }
                                 writing = None;
                             }
@@ -309,7 +315,7 @@
                     }
                     Err(e) => return e.to_string(),
                 },
-                () = sleep_until(self.0.clock.at(wake)) => self.act(linenthread_link::Near::wake),
+                () = sleep_until(self.0.clock.at(wake)) => self.act(LinkClient::on_timeout),
                 () = self.0.news.notified() => {}
             }
         }
--- a/crates/linenthread-service/src/carriers/mod.rs
+++ b/crates/linenthread-service/src/carriers/mod.rs
@@ -12,7 +12,7 @@
 use std::time::Duration;
 
 use linenthread_core::interface::AttemptOutcome;
-use linenthread_link::routes;
+use linenthread_link::routing;
 use tokio::sync::mpsc;
 
 use call::{Asked, Ended, Limits, unsent};
@@ -155,7 +155,7 @@
         let mut behind = self.0.behind.borrow_mut();
         let Behind { ways, id, last } = behind.get_mut(&replica)?;
         let peers = self.0.peers.borrow();
-        let way = routes::pick(ways, |way| peers.get(way).map(link::Peer::standing), *last);
+        let way = routing::select_link(ways, |way| peers.get(way).map(link::Peer::standing), *last);
         *last = way.or(*last);
         Some((way.and_then(|way| peers.get(way).cloned()), id.clone()))
     }
--- a/crates/linenthread-service/src/desk.rs
+++ b/crates/linenthread-service/src/desk.rs
@@ -10,7 +10,7 @@
     NewSubRequest, Phase, ProbeResult, TenthMillis,
 };
 use linenthread_core::{Coordinator, DecisionSink};
-use linenthread_link::{Member, routes};
+use linenthread_link::{Member, routing};
 use linenthread_protocol::{hash_id, membership};
 use linenthread_zones::{Ground, Report, Table};
 use tokio::sync::{Notify, mpsc};
@@ -584,11 +584,11 @@
                 News::Up(up) => behind.up = up,
                 News::Members(whole, members) => {
                     let (sound, bad): (Vec<_>, Vec<_>) =
-                        members.into_iter().partition(|m| m.is_sound(self.0.cells));
+                        members.into_iter().partition(|m| m.is_valid(self.0.cells));
                     if let Some(bad) = bad.first() {
                         warn!(
                             replica = bad.id,
-                            cell = bad.cell,
+                            cell = bad.replica_group,
                             "a gateway lists what can be no replica here"
                         );
                     }
@@ -633,7 +633,7 @@
         let mut now: BTreeMap<String, (Vec<usize>, Member)> = BTreeMap::new();
         for id in ids {
             let said = || up().filter_map(|(peer, b)| Some((peer, b.members.get(id)?)));
-            if let Some(member) = routes::most_careful(said().map(|(_, member)| member)) {
+            if let Some(member) = routing::merge_reports(said().map(|(_, member)| member)) {
                 let ways = said()
                     .filter(|(_, m)| m.phase != Phase::Removed)
                     .map(|(peer, _)| peer)
@@ -693,16 +693,16 @@
         MembershipEntry {
             replica,
             id: hash_id(id),
-            replica_group: member.cell as usize,
+            replica_group: member.replica_group as usize,
             zone: sites
                 .iter()
-                .position(|s| *s == member.site)
+                .position(|s| *s == member.zone)
                 .unwrap_or(sites.len()),
             phase: member.phase,
             started_at: member
                 .age_ms
                 .map(|age| self.0.clock.now() - TenthMillis::from(age) * 10),
-            slow_start_share: Some(f64::from(member.share) / 1000.0),
+            slow_start_share: Some(f64::from(member.slow_start_share) / 1000.0),
         }
     }
 
@@ -737,12 +737,12 @@
         let age = |ms: f64| (self.clock.now() - self.clock.of_unix(ms)).max(0) / 10;
         let member = Member {
             id: r.id.clone(),
-            site: r.zone.clone(),
-            cell: r.replica_group as u32,
+            zone: r.zone.clone(),
+            replica_group: r.replica_group as u32,
             phase: r.phase,
             age_ms: (r.started_at_ms > 0.0)
                 .then(|| age(r.started_at_ms).min(TenthMillis::from(u32::MAX - 1)) as u32),
-            share: 1_000,
+            slow_start_share: 1_000,
         };
         local.insert(r.id.clone(), member);
     }
--- a/crates/linenthread-service/src/fleet.rs
+++ b/crates/linenthread-service/src/fleet.rs
@@ -126,7 +126,7 @@
     let zone = |z: &file::Zone| Zone {
         name: z.name.clone(),
         region: z.region.clone(),
-        room: z.room.map(f64::from),
+        room: z.replica_capacity.map(f64::from),
     };
     zones.zones.iter().map(zone).collect()
 }
@@ -138,8 +138,8 @@
         .as_millis() as u64
 }
 
-fn tenths(ms: u64) -> TenthMillis {
-    ms as TenthMillis * 10
+fn tenths(duration: Duration) -> TenthMillis {
+    TenthMillis::try_from(duration.as_millis()).unwrap_or(TenthMillis::MAX / 10) * 10
 }
 
 /// Starts the thread.
@@ -254,8 +254,8 @@
             machine,
             zone,
             region,
-            members,
-            probe,
+            expected_members,
+            probe_interval,
             voters,
             ..
         } = place.fleet.clone();
@@ -272,8 +272,8 @@
         let terms = FleetTerms {
             own,
             voters,
-            expected: members,
-            probe: tenths(probe),
+            expected: expected_members,
+            probe: tenths(probe_interval),
         };
         let mut to = Vec::new();
         let now = clock.now();
@@ -636,10 +636,10 @@
             )
         };
         let terms = Terms {
-            margin: f64::from(zones.margin) / 1_000.0,
-            hold: tenths(zones.hold),
-            longest_hold: tenths(zones.longest_hold),
-            step: tenths(zones.step),
+            margin: f64::from(zones.max_utilization) / 1_000.0,
+            hold: tenths(zones.min_evacuation),
+            longest_hold: tenths(zones.max_evacuation),
+            step: tenths(zones.return_step),
         };
         let mut decider = self.0.decider.borrow_mut();
         let decider = decider
@@ -658,7 +658,7 @@
         let from_ms = unix_ms() + 300;
         let mut table = decider.decide(now, from_ms, &ground);
         // It is told anew before anybody could take it for one that nobody stands by any more.
-        if table.is_none() && now >= self.0.proposed_at.get() + tenths(zones.life) / 3 {
+        if table.is_none() && now >= self.0.proposed_at.get() + tenths(zones.table_lifetime) / 3 {
             table = Some(decider.table(from_ms));
         }
         if let Some(table) = table {
--- a/crates/linenthread-service/src/fronts/link.rs
+++ b/crates/linenthread-service/src/fronts/link.rs
@@ -9,7 +9,10 @@
 use std::time::Duration;
 
 use linenthread_core::interface::{AttemptOutcome, TenthMillis};
-use linenthread_link::{Call, Far, FarDo, Frame, Member};
+use linenthread_link::frame::{CallOutcome, ProbeOutcome};
+use linenthread_link::{
+    Call, CallNumber, ConnectionId, Frame, LinkServer, Member, ProbeId, ServerAction, SessionId,
+};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{Notify, mpsc};
@@ -41,11 +44,11 @@
 struct Inner {
     desk: Desk,
     carriers: Carriers,
-    far: RefCell<Far>,
+    far: RefCell<LinkServer>,
     cold_share: u16,
-    connections: RefCell<BTreeMap<u64, Rc<Connection>>>,
+    connections: RefCell<BTreeMap<ConnectionId, Rc<Connection>>>,
     /// Calls that run here, by session and number: to give them up.
-    running: RefCell<BTreeMap<(u64, u64), Rc<Notify>>>,
+    running: RefCell<BTreeMap<(SessionId, CallNumber), Rc<Notify>>>,
     numbers: RefCell<u64>,
     woken: Notify,
     lines: Sparing,
@@ -55,7 +58,7 @@
 pub(crate) struct Gateway(Rc<Inner>);
 
 impl Gateway {
-    pub(crate) fn new(desk: Desk, carriers: Carriers, far: Far, cold_share: u16) -> Gateway {
+    pub(crate) fn new(desk: Desk, carriers: Carriers, far: LinkServer, cold_share: u16) -> Gateway {
         Gateway(Rc::new(Inner {
             desk,
             carriers,
@@ -70,7 +73,7 @@
     }
 
     /// Lets the machine take something in, and does what it says.
-    fn act(&self, take: impl FnOnce(&mut Far, TenthMillis, &mut Vec<FarDo>)) {
+    fn act(&self, take: impl FnOnce(&mut LinkServer, TenthMillis, &mut Vec<ServerAction>)) {
         let mut to = Vec::new();
         take(
             &mut self.0.far.borrow_mut(),
@@ -79,17 +82,17 @@
         );
         for one in to {
             match one {
-                FarDo::Send { connection, frame } => self.send(connection, &frame),
-                FarDo::Close { connection, why } => {
+                ServerAction::Send { connection, frame } => self.send(connection, &frame),
+                ServerAction::Close { connection, reason } => {
                     if let Some(connection) = self.0.connections.borrow().get(&connection) {
-                        connection.close.replace(Some(why));
+                        connection.close.replace(Some(reason.to_string()));
                         connection.news.notify_one();
                     }
                 }
-                FarDo::Start {
+                ServerAction::StartCall {
                     session,
                     number,
-                    time_out,
+                    timeout: time_out,
                     call,
                 } => {
                     let stop = Rc::new(Notify::new());
@@ -99,14 +102,14 @@
                         .insert((session, number), stop.clone());
                     actix_rt::spawn(self.clone().start((session, number), time_out, call, stop));
                 }
-                FarDo::Stop { session, number } => {
+                ServerAction::CancelCall { session, number } => {
                     if let Some(stop) = self.0.running.borrow().get(&(session, number)) {
                         stop.notify_one();
                     }
                 }
-                FarDo::Probe {
+                ServerAction::Probe {
                     connection,
-                    number,
+                    id: number,
                     replica,
                 } => {
                     actix_rt::spawn(self.clone().probe(connection, number, replica));
@@ -116,7 +119,7 @@
         self.0.woken.notify_one();
     }
 
-    fn send(&self, id: u64, frame: &Frame) {
+    fn send(&self, id: ConnectionId, frame: &Frame) {
         let connections = self.0.connections.borrow();
         let Some(connection) = connections.get(&id) else {
             return;
@@ -134,7 +137,13 @@
     }
 
     /// One call's way to its replica and back.
-    async fn start(self, at: (u64, u64), time_out: TenthMillis, call: Call, stop: Rc<Notify>) {
+    async fn start(
+        self,
+        at: (SessionId, CallNumber),
+        time_out: TenthMillis,
+        call: Call,
+        stop: Rc<Notify>,
+    ) {
         let (to, mut ended) = mpsc::unbounded_channel::<Ended>();
         let end = match self.0.desk.direct(&call.replica) {
             None => Ended::without_value(0, 0, AttemptOutcome::NotSent),
@@ -143,7 +152,7 @@
                     part: 0,
                     call: 0,
                     shard: call.shard as usize,
-                    round: call.round,
+                    round: call.continuation,
                     text: call.text.as_str().into(),
                     gain: 0,
                 };
@@ -152,7 +161,7 @@
                 let out = self
                     .0
                     .carriers
-                    .call(replica, &call.lookup, &[asked], wait_ms, &to);
+                    .call(replica, &call.query, &[asked], wait_ms, &to);
                 let given_up = |ending| Ended::without_value(0, 0, ending);
                 let end = tokio::select! {
                     Some(end) = ended.recv() => end,
@@ -167,21 +176,28 @@
             }
         };
         self.0.running.borrow_mut().remove(&at);
-        self.act(|far, _, to| far.ended(at.0, at.1, end.ending, end.queue, end.value, to));
+        let (session, number) = at;
+        let outcome = CallOutcome {
+            number,
+            outcome: end.ending,
+            queue_depth: end.queue,
+            value: end.value,
+        };
+        self.act(|far, _, to| far.on_call_completed(session, outcome, to));
     }
 
-    async fn probe(self, connection: u64, number: u64, replica: String) {
+    async fn probe(self, connection: ConnectionId, id: ProbeId, replica: String) {
         let (ending, queue) = match self.0.desk.direct(&replica) {
             Some(replica) => self.0.carriers.probe(replica).await,
             None => (AttemptOutcome::NotSent, None),
         };
         self.send(
             connection,
-            &Frame::Probed {
-                number,
-                ending,
-                queue,
-            },
+            &Frame::Probed(ProbeOutcome {
+                id,
+                outcome: ending,
+                queue_depth: queue,
+            }),
         );
     }
 
@@ -199,9 +215,12 @@
                 .desk
                 .local()
                 .into_iter()
-                .map(|m| Member { share, ..m })
+                .map(|m| Member {
+                    slow_start_share: share,
+                    ..m
+                })
                 .collect();
-            self.act(|far, _, to| far.members(members, to));
+            self.act(|far, _, to| far.set_members(members, to));
             self.0.desk.local_changed().await;
         }
     }
@@ -209,9 +228,14 @@
     async fn wakes(&self) {
         let clock = self.0.desk.clock();
         loop {
-            let at = self.0.far.borrow().wake_at().min(clock.now() + 100_000);
+            let at = self
+                .0
+                .far
+                .borrow()
+                .next_timeout()
+                .min(clock.now() + 100_000);
             tokio::select! {
-                () = sleep_until(clock.at(at)) => self.act(linenthread_link::Far::wake),
+                () = sleep_until(clock.at(at)) => self.act(LinkServer::on_timeout),
                 () = self.0.woken.notified() => {}
             }
         }
@@ -238,7 +262,7 @@
         let id = {
             let mut numbers = self.0.numbers.borrow_mut();
             *numbers += 1;
-            *numbers
+            ConnectionId(*numbers)
         };
         let connection = Rc::new(Connection {
             frames: RefCell::default(),
@@ -250,17 +274,22 @@
             .connections
             .borrow_mut()
             .insert(id, connection.clone());
-        self.act(|far, now, to| far.accepted(now, id, to));
+        self.act(|far, now, to| far.on_accepted(now, id, to));
         let why = self.serve(&mut stream, id, &connection).await;
         // The one place where a link's connection is given back.
         self.0.connections.borrow_mut().remove(&id);
-        self.act(|far, now, _| far.lost(now, id));
+        self.act(|far, now, _| far.on_disconnected(now, id));
         if let Some(left_out) = self.0.lines.line() {
             info!(%address, left_out, "link's connection ended: {why}");
         }
     }
 
-    async fn serve(&self, stream: &mut TcpStream, id: u64, connection: &Connection) -> String {
+    async fn serve(
+        &self,
+        stream: &mut TcpStream,
+        id: ConnectionId,
+        connection: &Connection,
+    ) -> String {
         let (mut reads, mut writes) = stream.split();
         let (mut read, mut buffer) = (Vec::new(), vec![0; READ]);
         loop {
@@ -282,9 +311,9 @@
                     Ok(0) => return "closed by the other side".into(),
                     Ok(n) => {
                         read.extend_from_slice(&buffer[..n]);
-                        let take = |frame| self.act(|far, now, to| far.received(now, id, frame, to));
-                        if let Err(why) = Frame::take_all(&mut read, take) {
-                            self.send(id, &Frame::Refuse { why: why.clone() });
+                        let take = |frame| self.act(|far, now, to| far.on_frame(now, id, frame, to));
+                        if let Err(why) = Frame::drain(&mut read, take) {
+                            self.send(id, &Frame::Refuse { reason: why.clone() });
                             connection.close.replace(Some(why));
                         }
                     }
@@ -297,9 +326,9 @@
 
     /// Takes nothing new, and waits until what runs has its outcome held, for so long at the most.
     pub(crate) async fn leave(&self, most: Duration) {
-        self.act(|far, _, to| far.leave(to));
+        self.act(|far, _, to| far.start_draining(to));
         let drained = async {
-            while self.0.far.borrow().held() > 0 {
+            while self.0.far.borrow().retained_calls() > 0 {
                 sleep(Duration::from_millis(20)).await;
             }
         };
--- a/crates/linenthread-service/src/gather.rs
+++ b/crates/linenthread-service/src/gather.rs
@@ -5,7 +5,9 @@
 use std::time::{SystemTime, UNIX_EPOCH};
 
 use linenthread_core::interface::AttemptOutcome;
-use linenthread_merge::{self as merge, Marks, Merge, PageWish, Plan, Taken};
+use linenthread_merge::{
+    Acceptance, CursorSigner, MergeQuery, Merger, PageRequest, Plan, QueriedShard,
+};
 use linenthread_protocol::query::{self as protocol, Page, Query};
 use tracing::warn;
 
@@ -16,10 +18,10 @@
 pub(crate) struct Merging {
     /// By the settings' numbers of indexes.
     plans: Vec<Option<Plan>>,
-    marks: Option<Marks>,
+    signer: Option<CursorSigner>,
 }
 
-/// Seconds since 1970, for the life of page marks.
+/// Seconds since 1970, for the lifetime of cursors.
 fn unix_now() -> u64 {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
@@ -29,8 +31,8 @@
 
 impl Merging {
     /// Plans by the settings' numbers of indexes.
-    pub(crate) fn new(plans: Vec<Option<Plan>>, marks: Option<Marks>) -> Merging {
-        Merging { plans, marks }
+    pub(crate) fn new(plans: Vec<Option<Plan>>, signer: Option<CursorSigner>) -> Merging {
+        Merging { plans, signer }
     }
 
     /// How many indexes are merged.
@@ -66,8 +68,8 @@
 pub(crate) enum Gather<'a> {
     AsTheyCame(Vec<Option<String>>),
     Merged {
-        merge: Merge<'a>,
-        marks: Option<&'a Marks>,
+        merger: Merger<'a>,
+        signer: Option<&'a CursorSigner>,
         oddities: &'a Oddities,
     },
 }
@@ -89,24 +91,34 @@
         let Some(plan) = merging.plan(index) else {
             return Ok(Gather::AsTheyCame(vec![None; asked.sub_requests.len()]));
         };
-        let Page { rows, cursor: mark } = page;
-        let slices: Vec<_> = asked
+        let Page { rows, cursor } = page;
+        let queried: Vec<_> = asked
             .sub_requests
             .iter()
-            .map(|p| (p.shard, p.weight))
+            .map(|p| QueriedShard {
+                shard: p.shard,
+                weight: p.weight,
+            })
             .collect();
-        let said = merge::Asked {
+        let query = MergeQuery {
             customer: asked.customer.as_deref(),
             key: asked.key.as_deref(),
-            query: &asked.body,
-            slices: &slices,
-            shards,
+            text: &asked.body,
+            shards: &queried,
+            shard_count: shards,
         };
-        let marks = merging.marks.as_ref();
-        let merge = Merge::begin(plan, &said, &PageWish { rows, mark }, marks, unix_now())?;
+        let signer = merging.signer.as_ref();
+        let merger = Merger::new(
+            plan,
+            &query,
+            &PageRequest { rows, cursor },
+            signer,
+            unix_now(),
+        )
+        .map_err(|error| error.to_string())?;
         Ok(Gather::Merged {
-            merge,
-            marks,
+            merger,
+            signer,
             oddities,
         })
     }
@@ -115,7 +127,9 @@
     pub(crate) fn question(&self, part: usize, text: &Rc<str>) -> (u32, Rc<str>) {
         match self {
             Gather::AsTheyCame(_) => (0, text.clone()),
-            Gather::Merged { merge, .. } => (merge.round(part), merge.text(part).into()),
+            Gather::Merged { merger, .. } => {
+                (merger.continuation(part), merger.request_text(part).into())
+            }
         }
     }
 
@@ -128,7 +142,7 @@
         of: impl Fn() -> (String, usize),
     ) -> AttemptOutcome {
         let Gather::Merged {
-            merge, oddities, ..
+            merger, oddities, ..
         } = self
         else {
             if let (Gather::AsTheyCame(values), AttemptOutcome::Success) = (self, ending) {
@@ -137,16 +151,16 @@
             return ending;
         };
         if ending != AttemptOutcome::Success {
-            merge.fail(part);
+            merger.fail(part);
             return ending;
         }
         let count = |of: &Cell<u64>| {
             of.set(of.get() + 1);
             of.get()
         };
-        match merge.take(part, round, &value) {
-            Taken::In | Taken::Again { differs: false } => ending,
-            Taken::Again { differs: true } => {
+        match merger.accept(part, round, &value) {
+            Acceptance::Counted | Acceptance::Duplicate { differs: false } => ending,
+            Acceptance::Duplicate { differs: true } => {
                 let all = count(&oddities.differ);
                 if let Some(left_out) = oddities.lines.line() {
                     let (replica, shard) = of();
@@ -157,11 +171,11 @@
                 }
                 ending
             }
-            Taken::Unreadable(why) => {
+            Acceptance::Invalid(error) => {
                 let all = count(&oddities.unreadable);
                 if let Some(left_out) = oddities.lines.line() {
                     let (replica, shard) = of();
-                    let why: String = why.chars().take(160).collect();
+                    let why: String = error.to_string().chars().take(160).collect();
                     warn!(
                         replica,
                         shard, all, left_out, "a part's value cannot be merged: {why}"
@@ -176,7 +190,7 @@
     pub(crate) fn onward(&mut self) -> Vec<usize> {
         match self {
             Gather::AsTheyCame(_) => Vec::new(),
-            Gather::Merged { merge, .. } => merge.onward(),
+            Gather::Merged { merger, .. } => merger.take_continuations(),
         }
     }
 
@@ -190,7 +204,7 @@
                     .filter_map(|(s, v)| Some((s, v.as_deref()?)));
                 protocol::encode_response(whole, found)
             }
-            Gather::Merged { merge, marks, .. } => merge.answer(whole, *marks, unix_now()),
+            Gather::Merged { merger, signer, .. } => merger.response(whole, *signer, unix_now()),
         }
     }
 }
--- a/crates/linenthread-service/src/operator.rs
+++ b/crates/linenthread-service/src/operator.rs
@@ -156,12 +156,13 @@
 /// One line: the file is bad, no voter could be reached, or the order was refused.
 pub(crate) fn run(file: &Path, wish: &Wish) -> Result<String, String> {
     let read = Installation::read_file(file, &|_| {
-        Some(linenthread_installation::KnownIndex { floor: 0.0 })
-    })?;
+        Some(linenthread_installation::KnownIndex { min_share: 0.0 })
+    })
+    .map_err(|error| error.to_string())?;
     let fleet = read
         .fleet
         .ok_or_else(|| format!("{}: there is no <fleet>", file.display()))?;
-    let secrets = Secrets::new(own::secrets(&fleet.secrets)?)?;
+    let secrets = Secrets::new(own::secrets(&fleet.secret_files)?)?;
     let own = Who::stranger(&format!("operator-{}", std::process::id()), fleet.address);
     let voters = fleet
         .voters
@@ -171,7 +172,7 @@
     let terms = FleetTerms {
         own,
         voters,
-        expected: fleet.members,
+        expected: fleet.expected_members,
         probe: 60_000,
     };
     let mut to = Vec::new();
--- a/crates/linenthread-service/src/own.rs
+++ b/crates/linenthread-service/src/own.rs
@@ -5,7 +5,7 @@
 
 use linenthread_installation::{Fleet, Gateway, Installation, KnownIndex, Peer, Zones};
 use linenthread_link::Secrets;
-use linenthread_merge::Marks;
+use linenthread_merge::CursorSigner;
 use tracing::{info, warn};
 
 use crate::config::Config;
@@ -25,7 +25,7 @@
     let secret = |path: &PathBuf| {
         let secret = std::fs::read(path).map_err(|e| format!("{}: {e}", path.display()))?;
         let secret = secret.trim_ascii_end().to_vec();
-        let shortest = linenthread_merge::SHORTEST_SECRET;
+        let shortest = linenthread_merge::MIN_SECRET_BYTES;
         match secret.len() < shortest {
             true => Err(format!(
                 "{}: a secret needs {shortest} bytes or more",
@@ -48,10 +48,10 @@
         let known = |name: &str| {
             let at = indexes.iter().position(|index| index == name)?;
             Some(KnownIndex {
-                floor: config.deployment.indexes.get(at)?.min_share,
+                min_share: config.deployment.indexes.get(at)?.min_share,
             })
         };
-        let read = Installation::read_file(file, &known)?;
+        let read = Installation::read_file(file, &known).map_err(|error| error.to_string())?;
         let plan = |name: &String| {
             read.merging
                 .plans
@@ -59,20 +59,23 @@
                 .find(|plan| plan.index == *name)
                 .cloned()
         };
-        let marks = match &read.merging.marks {
-            Some(marks) => Some(Marks::new(secrets(&marks.files)?, marks.life)?),
+        let signer = match &read.merging.cursors {
+            Some(cursors) => {
+                let signer = CursorSigner::new(secrets(&cursors.secret_files)?, cursors.lifetime);
+                Some(signer.map_err(|error| error.to_string())?)
+            }
             None => None,
         };
-        let merging = Merging::new(indexes.iter().map(plan).collect(), marks);
+        let merging = Merging::new(indexes.iter().map(plan).collect(), signer);
         let link = |files: &[PathBuf]| Secrets::new(secrets(files)?);
         let gateway = match read.gateway {
-            Some(gateway) => Some((gateway.clone(), link(&gateway.secrets)?)),
+            Some(gateway) => Some((gateway.clone(), link(&gateway.secret_files)?)),
             None => None,
         };
-        let peer = |peer: Peer| Ok::<_, String>((peer.clone(), link(&peer.secrets)?));
+        let peer = |peer: Peer| Ok::<_, String>((peer.clone(), link(&peer.secret_files)?));
         let peers = read.peers.into_iter().map(peer).collect::<Result<_, _>>()?;
         let fleet = match read.fleet {
-            Some(fleet) => Some((fleet.clone(), link(&fleet.secrets)?)),
+            Some(fleet) => Some((fleet.clone(), link(&fleet.secret_files)?)),
             None => None,
         };
         Ok(Own {
--- a/crates/linenthread-service/src/serve.rs
+++ b/crates/linenthread-service/src/serve.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 use linenthread_core::interface::TenthMillis;
-use linenthread_link::{Far, FarTerms, NearTerms, Secrets};
+use linenthread_link::{ClientConfig, LinkServer, Secrets, ServerConfig};
 use tokio::signal::unix::{SignalKind, signal};
 use tokio::sync::{mpsc, watch};
 use tokio::time::{interval, sleep};
@@ -39,8 +39,8 @@
 /// What the desk sees of zones is passed on this often.
 const SEEN: Duration = Duration::from_millis(500);
 
-fn tenths(ms: u64) -> TenthMillis {
-    ms as TenthMillis * 10
+fn tenths(duration: Duration) -> TenthMillis {
+    TenthMillis::try_from(duration.as_millis()).unwrap_or(TenthMillis::MAX / 10) * 10
 }
 
 /// Serves until told to stop, then answers all it has taken. Told to, it reads its files again. `ready` is
@@ -98,7 +98,7 @@
         Some(Near::new(
             fleet::zones_of(zones),
             &fleet.zone,
-            tenths(zones.life),
+            tenths(zones.table_lifetime),
             sites,
             shards,
         ))
@@ -122,18 +122,19 @@
         + peers.len()
         + gateway
             .as_ref()
-            .map_or(0, |(gateway, _)| 2 * gateway.sessions + 1);
+            .map_or(0, |(gateway, _)| 2 * gateway.max_sessions + 1);
     for (n, (peer, secrets)) in peers.into_iter().enumerate() {
         let number = desk.add_peer();
         let (changes, mut news) = mpsc::unbounded_channel();
-        let near = NearTerms {
+        let near = ClientConfig {
             name: config.name.clone(),
-            most_out: peer.most_out,
-            most_waiting: MOST_WAITING,
-            keep: tenths(peer.keep),
-            beat: tenths(peer.beat),
-            hold: tenths(peer.hold),
-            back_off: (tenths(50), tenths(500)),
+            max_in_flight: peer.max_in_flight,
+            max_queued_bytes: MOST_WAITING,
+            session_timeout: tenths(peer.session_timeout),
+            ping_interval: tenths(peer.ping_interval),
+            grace_period: tenths(peer.grace_period),
+            min_backoff: tenths(Duration::from_millis(50)),
+            max_backoff: tenths(Duration::from_millis(500)),
         };
         let seed = config.seed.wrapping_add(1 + n as u64);
         let terms = far::Terms {
@@ -156,17 +157,22 @@
         let listener = link::listen(gateway.listen)
             .map_err(|e| format!("cannot listen for links on {}: {e}", gateway.listen))?;
         let listen = listener.local_addr().unwrap_or(gateway.listen);
-        let terms = FarTerms {
+        let terms = ServerConfig {
             name: config.name.clone(),
-            window: gateway.window,
+            window_calls: gateway.window_calls,
             window_bytes: gateway.window_bytes,
-            keep: tenths(gateway.keep),
-            most_sessions: gateway.sessions,
-            greeting: tenths(2_000),
-            silence: tenths(10_000),
+            session_timeout: tenths(gateway.session_timeout),
+            max_sessions: gateway.max_sessions,
+            handshake_timeout: tenths(Duration::from_millis(2_000)),
+            idle_timeout: tenths(Duration::from_millis(10_000)),
         };
-        let far = Far::new(terms, secrets, config.seed);
-        let gateway = Gateway::new(desk.clone(), carriers.clone(), far, gateway.cold_share);
+        let far = LinkServer::new(terms, secrets, config.seed);
+        let gateway = Gateway::new(
+            desk.clone(),
+            carriers.clone(),
+            far,
+            gateway.slow_start_share,
+        );
         for_leaving = Some(gateway.clone());
         actix_rt::spawn(async move { gateway.run(&listener).await });
         info!(%listen, "gateway");
@@ -239,7 +245,7 @@
     zones: Option<linenthread_installation::Zones>,
     secrets: Secrets,
 ) -> Result<(fleet::Handle, usize), String> {
-    let descriptors = 4 + fleet.voters.len() * 2 + fleet.members as usize;
+    let descriptors = 4 + fleet.voters.len() * 2 + fleet.expected_members as usize;
     let (from, mut told) = mpsc::unbounded_channel();
     let seed = config.seed.rotate_left(17);
     let place = Place {
