--- a/crates/linenthread-drill/src/record.rs
+++ b/crates/linenthread-drill/src/record.rs
@@ -8,7 +8,9 @@
 use std::rc::Rc;
 
 use linenthread_core::interface::TenthMillis;
-use linenthread_fleet::{CommittedValue, Fleet, FleetAction, FleetConfig, FleetEvent, Stage, NodeIdentity};
+use linenthread_fleet::{
+    CommittedValue, Fleet, FleetAction, FleetConfig, FleetEvent, NodeIdentity, Stage,
+};
 use linenthread_frames::Secrets;
 use linenthread_store::SimulatedDisk;
 use oorandom::Rand64;
@@ -412,7 +414,10 @@
             self.breach(format!("one-leader: {}", leaders.join(" and ")));
         }
         let process = &self.processes[at];
-        let life = process.fleet.as_ref().and_then(|f| f.voter()?.incarnation());
+        let life = process
+            .fleet
+            .as_ref()
+            .and_then(|f| f.voter()?.incarnation());
         if process.former.is_some() && life == process.former {
             self.breach(format!("former-self: {} is {life:?} again", name(at)));
         }
@@ -492,7 +497,9 @@
                 };
                 let (at, number) = w.ends[side];
                 if self.at.get(&(at, number)) == Some(&wire) {
-                    self.tell(at, |fleet, now, to| fleet.on_received(now, number, &bytes, to));
+                    self.tell(at, |fleet, now, to| {
+                        fleet.on_received(now, number, &bytes, to)
+                    });
                 }
             }
             Event::Ended { wire, side } => {
--- a/crates/linenthread-link/src/frame/call.rs
+++ b/crates/linenthread-link/src/frame/call.rs
@@ -1,7 +1,7 @@
 //! Calls, their outcomes, and health checks.
 
 use linenthread_core::interface::AttemptOutcome;
-use linenthread_frames::{Put, Res, Take};
+use linenthread_frames::{Decoder, Encoder};
 
 use crate::id::{CallNumber, ProbeId};
 
@@ -43,17 +43,17 @@
 }
 
 impl CallRequest {
-    pub(super) fn encode(&self, put: &mut Put) {
+    pub(super) fn encode(&self, put: &mut Encoder) {
         put.u64(self.number.0);
         put.u32(self.remaining_ms);
         put.text(&self.call.replica);
         put.text(&self.call.query);
         put.u32(self.call.shard);
         put.u32(self.call.continuation);
-        put.value(&self.call.text);
+        put.long_text(&self.call.text);
     }
 
-    pub(super) fn decode(take: &mut Take<'_>) -> Res<CallRequest> {
+    pub(super) fn decode(take: &mut Decoder<'_>) -> Result<CallRequest, String> {
         Ok(CallRequest {
             number: CallNumber(take.u64()?),
             remaining_ms: take.u32()?,
@@ -62,7 +62,7 @@
                 query: take.text()?,
                 shard: take.u32()?,
                 continuation: take.u32()?,
-                text: take.value()?,
+                text: take.long_text()?,
             },
         })
     }
@@ -82,19 +82,19 @@
 }
 
 impl CallOutcome {
-    pub(super) fn encode(&self, put: &mut Put) {
+    pub(super) fn encode(&self, put: &mut Encoder) {
         put.u64(self.number.0);
-        put.0.push(outcome_code(self.outcome));
-        put.maybe(self.queue_depth);
-        put.value(&self.value);
+        put.u8(outcome_code(self.outcome));
+        put.optional_f64(self.queue_depth);
+        put.long_text(&self.value);
     }
 
-    pub(super) fn decode(take: &mut Take<'_>) -> Res<CallOutcome> {
+    pub(super) fn decode(take: &mut Decoder<'_>) -> Result<CallOutcome, String> {
         Ok(CallOutcome {
             number: CallNumber(take.u64()?),
             outcome: decode_outcome(take)?,
-            queue_depth: take.maybe()?,
-            value: take.value()?,
+            queue_depth: take.optional_f64()?,
+            value: take.long_text()?,
         })
     }
 }
@@ -111,17 +111,17 @@
 }
 
 impl ProbeOutcome {
-    pub(super) fn encode(&self, put: &mut Put) {
+    pub(super) fn encode(&self, put: &mut Encoder) {
         put.u64(self.id.0);
-        put.0.push(outcome_code(self.outcome));
-        put.maybe(self.queue_depth);
+        put.u8(outcome_code(self.outcome));
+        put.optional_f64(self.queue_depth);
     }
 
-    pub(super) fn decode(take: &mut Take<'_>) -> Res<ProbeOutcome> {
+    pub(super) fn decode(take: &mut Decoder<'_>) -> Result<ProbeOutcome, String> {
         Ok(ProbeOutcome {
             id: ProbeId(take.u64()?),
             outcome: decode_outcome(take)?,
-            queue_depth: take.maybe()?,
+            queue_depth: take.optional_f64()?,
         })
     }
 }
@@ -140,7 +140,7 @@
     }
 }
 
-fn decode_outcome(take: &mut Take<'_>) -> Res<AttemptOutcome> {
+fn decode_outcome(take: &mut Decoder<'_>) -> Result<AttemptOutcome, String> {
     Ok(match take.u8()? {
         0 => AttemptOutcome::Success,
         1 => AttemptOutcome::Error,
--- a/crates/linenthread-link/src/frame/handshake.rs
+++ b/crates/linenthread-link/src/frame/handshake.rs
@@ -2,14 +2,14 @@
 //!
 //! Each end proves that it knows a shared secret by an HMAC over the other's nonce and its own frame.
 
-use linenthread_frames::{Nonce, Proof, Put, Res, Secrets, Side, Take};
+use linenthread_frames::{Decoder, Encoder, Nonce, Proof, ProofDomain, Secrets};
 
 use super::Frame;
 use crate::id::{CallNumber, SessionId};
 
 /// Names the end that proves: the proof of one end is not valid for the other. These bytes go into the HMAC.
-const CLIENT: Side = *b"linenthread near";
-const SERVER: Side = *b"linenthread far ";
+const CLIENT: ProofDomain = *b"linenthread near";
+const SERVER: ProofDomain = *b"linenthread far ";
 
 /// The secret with which a client proves itself: the first one that is configured.
 const CLIENT_SECRET: usize = 0;
@@ -62,13 +62,13 @@
 }
 
 impl Challenge {
-    pub(super) fn encode(&self, put: &mut Put) {
-        put.0.extend([self.min_version, self.max_version]);
-        put.0.extend(self.nonce);
+    pub(super) fn encode(&self, put: &mut Encoder) {
+        put.raw([self.min_version, self.max_version]);
+        put.raw(self.nonce);
         put.text(&self.name);
     }
 
-    pub(super) fn decode(take: &mut Take<'_>) -> Res<Challenge> {
+    pub(super) fn decode(take: &mut Decoder<'_>) -> Result<Challenge, String> {
         Ok(Challenge {
             min_version: take.u8()?,
             max_version: take.u8()?,
@@ -79,17 +79,17 @@
 }
 
 impl Hello {
-    pub(super) fn encode(&self, put: &mut Put) {
-        put.0.push(self.version);
+    pub(super) fn encode(&self, put: &mut Encoder) {
+        put.u8(self.version);
         put.text(&self.name);
-        put.0.extend(self.nonce);
+        put.raw(self.nonce);
         put.u64(self.session.0);
         put.u64(self.attempt);
         put.u64(self.epoch);
-        put.0.extend(self.proof);
+        put.raw(self.proof);
     }
 
-    pub(super) fn decode(take: &mut Take<'_>) -> Res<Hello> {
+    pub(super) fn decode(take: &mut Decoder<'_>) -> Result<Hello, String> {
         Ok(Hello {
             version: take.u8()?,
             name: take.text()?,
@@ -110,20 +110,20 @@
     /// Which of the secrets the proof was made with, if it was made with one of them.
     pub(crate) fn proven_by(&self, secrets: &Secrets, server_nonce: &Nonce) -> Option<usize> {
         let transcript = transcript(&Frame::Hello(self.clone()));
-        secrets.proven_by(CLIENT, server_nonce, &transcript, &self.proof)
+        secrets.verify(CLIENT, server_nonce, &transcript, &self.proof)
     }
 }
 
 impl Welcome {
-    pub(super) fn encode(&self, put: &mut Put) {
+    pub(super) fn encode(&self, put: &mut Encoder) {
         put.u64(self.epoch);
-        put.0.push(self.resumed.into());
+        put.u8(self.resumed.into());
         put.u64(self.last_call.0);
         put.u64(self.received_bytes);
-        put.0.extend(self.proof);
+        put.raw(self.proof);
     }
 
-    pub(super) fn decode(take: &mut Take<'_>) -> Res<Welcome> {
+    pub(super) fn decode(take: &mut Decoder<'_>) -> Result<Welcome, String> {
         Ok(Welcome {
             epoch: take.u64()?,
             resumed: take.flag()?,
@@ -143,7 +143,7 @@
     pub(crate) fn is_proven(&self, secrets: &Secrets, client_nonce: &Nonce) -> bool {
         let transcript = transcript(&Frame::Welcome(self.clone()));
         secrets
-            .proven_by(SERVER, client_nonce, &transcript, &self.proof)
+            .verify(SERVER, client_nonce, &transcript, &self.proof)
             .is_some()
     }
 }
--- a/crates/linenthread-link/src/frame/member.rs
+++ b/crates/linenthread-link/src/frame/member.rs
@@ -1,7 +1,7 @@
 //! The replicas that a server reaches.
 
 use linenthread_core::interface::Phase;
-use linenthread_frames::{Put, Res, Take};
+use linenthread_frames::{Decoder, Encoder};
 
 use super::MAX_MEMBERS;
 
@@ -38,16 +38,16 @@
             && usize::try_from(self.replica_group).is_ok_and(|group| group < replica_groups)
     }
 
-    fn encode(&self, put: &mut Put) {
+    fn encode(&self, put: &mut Encoder) {
         put.text(&self.id);
         put.text(&self.zone);
         put.u32(self.replica_group);
-        put.0.push(phase_code(self.phase));
+        put.u8(phase_code(self.phase));
         put.u32(self.age_ms.unwrap_or(AGE_UNKNOWN));
         put.u16(self.slow_start_share);
     }
 
-    fn decode(take: &mut Take<'_>) -> Res<Member> {
+    fn decode(take: &mut Decoder<'_>) -> Result<Member, String> {
         Ok(Member {
             id: take.text()?,
             zone: take.text()?,
@@ -71,24 +71,24 @@
 }
 
 impl MembersUpdate {
-    pub(super) fn encode(&self, put: &mut Put) {
+    pub(super) fn encode(&self, put: &mut Encoder) {
         let members = self.members.get(..MAX_MEMBERS).unwrap_or(&self.members);
         put.u64(self.revision);
-        put.0.push(self.complete.into());
+        put.u8(self.complete.into());
         put.u16(u16::try_from(members.len()).unwrap_or(u16::MAX));
         for member in members {
             member.encode(put);
         }
     }
 
-    pub(super) fn decode(take: &mut Take<'_>) -> Res<MembersUpdate> {
+    pub(super) fn decode(take: &mut Decoder<'_>) -> Result<MembersUpdate, String> {
         let (revision, complete, count) = (take.u64()?, take.flag()?, take.u16()?);
         if usize::from(count) > MAX_MEMBERS {
             return Err(format!("a list cannot have {count} replicas"));
         }
         let members = (0..count)
             .map(|_| Member::decode(take))
-            .collect::<Res<_>>()?;
+            .collect::<Result<_, String>>()?;
         Ok(MembersUpdate {
             revision,
             complete,
@@ -106,7 +106,7 @@
     }
 }
 
-fn decode_phase(take: &mut Take<'_>) -> Res<Phase> {
+fn decode_phase(take: &mut Decoder<'_>) -> Result<Phase, String> {
     Ok(match take.u8()? {
         0 => Phase::Ready,
         1 => Phase::Draining,
--- a/crates/linenthread-link/src/frame/mod.rs
+++ b/crates/linenthread-link/src/frame/mod.rs
@@ -9,7 +9,7 @@
 mod handshake;
 mod member;
 
-use linenthread_frames::{self as frames, Put, Res, Take};
+use linenthread_frames::{self as frames, DecodeError, Decoder, Encoder};
 
 use crate::id::{CallNumber, ProbeId};
 
@@ -110,9 +110,9 @@
 impl Frame {
     /// The encoded frame, its length first.
     pub fn encode(&self) -> Vec<u8> {
-        let mut put = Put::frame();
+        let mut put = Encoder::frame();
         self.encode_fields(&mut put);
-        put.finish(self.kind())
+        put.into_frame(self.kind())
     }
 
     /// The first complete frame in what was read, and how many bytes it occupies; `None` if more must be read.
@@ -120,8 +120,8 @@
     /// # Errors
     ///
     /// The bytes cannot be a frame; the connection cannot be used further.
-    pub fn decode(read: &[u8]) -> Res<Option<(Frame, usize)>> {
-        let Some((fields, length)) = frames::whole(read, MAX_FRAME_LENGTH)? else {
+    pub fn decode(read: &[u8]) -> Result<Option<(Frame, usize)>, String> {
+        let Some((fields, length)) = frames::first_frame(read, MAX_FRAME_LENGTH)? else {
             return Ok(None);
         };
         Ok(Some((Frame::decode_fields(fields)?, length)))
@@ -132,8 +132,8 @@
     /// # Errors
     ///
     /// The bytes cannot be a frame; those before it have been passed on.
-    pub fn drain(read: &mut Vec<u8>, mut receive: impl FnMut(Frame)) -> Res<()> {
-        frames::take_all(read, MAX_FRAME_LENGTH, |fields| {
+    pub fn drain(read: &mut Vec<u8>, mut receive: impl FnMut(Frame)) -> Result<(), String> {
+        frames::drain_frames(read, MAX_FRAME_LENGTH, |fields| {
             receive(Frame::decode_fields(fields)?);
             Ok(())
         })
@@ -159,7 +159,7 @@
         }
     }
 
-    fn encode_fields(&self, put: &mut Put) {
+    fn encode_fields(&self, put: &mut Encoder) {
         match self {
             Frame::Challenge(challenge) => challenge.encode(put),
             Frame::Hello(hello) => hello.encode(put),
@@ -184,8 +184,8 @@
         }
     }
 
-    fn decode_fields(fields: &[u8]) -> Res<Frame> {
-        let mut take = Take(fields);
+    fn decode_fields(fields: &[u8]) -> Result<Frame, String> {
+        let mut take = Decoder::new(fields);
         let frame = match take.u8()? {
             kind::CHALLENGE => Frame::Challenge(Challenge::decode(&mut take)?),
             kind::HELLO => Frame::Hello(Hello::decode(&mut take)?),
@@ -225,7 +225,7 @@
     }
 }
 
-fn encode_ack(numbers: &[CallNumber], put: &mut Put) {
+fn encode_ack(numbers: &[CallNumber], put: &mut Encoder) {
     let count = u16::try_from(numbers.len()).unwrap_or(u16::MAX);
     put.u16(count);
     for number in numbers.iter().take(usize::from(count)) {
@@ -233,17 +233,17 @@
     }
 }
 
-fn decode_ack(take: &mut Take<'_>) -> Res<Vec<CallNumber>> {
+fn decode_ack(take: &mut Decoder<'_>) -> Result<Vec<CallNumber>, DecodeError> {
     let count = take.u16()?;
     (0..count).map(|_| take.u64().map(CallNumber)).collect()
 }
 
 /// Options are for later versions: their form is checked, their content is unknown.
-fn skip_options(take: &mut Take<'_>) -> Res<()> {
-    while !take.0.is_empty() {
+fn skip_options(take: &mut Decoder<'_>) -> Result<(), String> {
+    while !take.is_empty() {
         let _kind = take.u8()?;
         let length = take.u16()?;
-        take.bytes(length.into())?;
+        take.raw(length.into())?;
     }
     Ok(())
 }
--- a/crates/linenthread-service/src/fleet.rs
+++ b/crates/linenthread-service/src/fleet.rs
@@ -10,8 +10,8 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 use linenthread_core::interface::TenthMillis;
-use linenthread_fleet::{Agreed, Fleet, FleetDo, FleetTerms, Who};
-use linenthread_frames::{Put, Res, Secrets, Take};
+use linenthread_fleet::{CommittedValue, Fleet, FleetAction, FleetConfig, NodeIdentity};
+use linenthread_frames::{DecodeError, Decoder, Encoder, Secrets};
 use linenthread_installation as file;
 use linenthread_store::Directory;
 use linenthread_zones::{Decider, Ground, Report, Table, Terms, Zone};
@@ -57,33 +57,34 @@
 
 impl Orders {
     fn encode(&self) -> Vec<u8> {
-        let mut put = Put(Vec::new());
+        let mut put = Encoder::new();
         put.u16(self.drained.len() as u16);
         self.drained.iter().for_each(|zone| put.text(zone));
         put.u64(self.last);
         put.text(&self.refused);
-        put.0
+        put.into_bytes()
     }
 
-    pub(crate) fn decode(bytes: &[u8]) -> Res<Orders> {
-        let mut take = Take(bytes);
+    pub(crate) fn decode(bytes: &[u8]) -> Result<Orders, DecodeError> {
+        let mut take = Decoder::new(bytes);
         let mut orders = Orders::default();
         for _ in 0..take.u16()? {
             orders.drained.insert(take.text()?);
         }
         (orders.last, orders.refused) = (take.u64()?, take.text()?);
-        take.end()?;
+        take.finish()?;
         Ok(orders)
     }
 }
 
 /// An operator's order on its way to who leads.
 pub(crate) fn order(number: u64, zone: &str, drain: bool) -> Vec<u8> {
-    let mut put = Put(vec![ORDER]);
+    let mut put = Encoder::new();
+    put.u8(ORDER);
     put.u64(number);
     put.text(zone);
-    put.0.push(drain.into());
-    put.0
+    put.u8(drain.into());
+    put.into_bytes()
 }
 
 /// What the thread is told.
@@ -259,21 +260,21 @@
             voters,
             ..
         } = place.fleet.clone();
-        let own = Who {
+        let own = NodeIdentity {
             machine,
             zone,
             region,
             version: 1,
-            share: 1_000,
-            life: unix_ms(),
-            ..Who::stranger(&place.name, address)
+            weight: 1_000,
+            incarnation: unix_ms(),
+            ..NodeIdentity::unknown(&place.name, address)
         };
         let voters = voters.into_iter().map(|v| (v.name, v.address)).collect();
-        let terms = FleetTerms {
-            own,
+        let terms = FleetConfig {
+            local: own,
             voters,
-            expected: expected_members,
-            probe: tenths(probe_interval),
+            expected_members: expected_members,
+            probe_interval: tenths(probe_interval),
         };
         let mut to = Vec::new();
         let now = clock.now();
@@ -355,28 +356,31 @@
     }
 
     /// Lets the machine take something in, and does what it says.
-    fn act(&self, take: impl FnOnce(&mut Fleet<Directory>, TenthMillis, &mut Vec<FleetDo>)) {
+    fn act(&self, take: impl FnOnce(&mut Fleet<Directory>, TenthMillis, &mut Vec<FleetAction>)) {
         self.act_here(take);
         self.0.woken.notify_one();
     }
 
     /// As [`Member::act`], from where it is looked next at when to wake: it need not be woken for that.
-    fn act_here(&self, take: impl FnOnce(&mut Fleet<Directory>, TenthMillis, &mut Vec<FleetDo>)) {
+    fn act_here(
+        &self,
+        take: impl FnOnce(&mut Fleet<Directory>, TenthMillis, &mut Vec<FleetAction>),
+    ) {
         let mut to = Vec::new();
         take(&mut self.0.fleet.borrow_mut(), self.0.clock.now(), &mut to);
         self.obey(to);
     }
 
-    fn obey(&self, all: Vec<FleetDo>) {
+    fn obey(&self, all: Vec<FleetAction>) {
         for one in all {
             match one {
-                FleetDo::Dial {
+                FleetAction::Dial {
                     connection,
                     address,
                 } => {
                     spawn_local(self.clone().dial(connection, address));
                 }
-                FleetDo::Write { connection, bytes } => {
+                FleetAction::Write { connection, bytes } => {
                     if let Some(wire) = self.0.wires.borrow().get(&connection) {
                         wire.waiting.set(wire.waiting.get() + bytes.len());
                         if wire.waiting.get() > MOST_WAITING {
@@ -387,24 +391,31 @@
                         wire.news.notify_one();
                     }
                 }
-                FleetDo::Close { connection, why } => {
+                FleetAction::Close {
+                    connection,
+                    reason: why,
+                } => {
                     if let Some(wire) = self.0.wires.borrow().get(&connection) {
                         wire.close.replace(Some(why));
                         wire.news.notify_one();
                     }
                 }
                 // A datagram that can't go is as good as one that is lost.
-                FleetDo::Datagram { to, bytes } => drop(self.0.udp.try_send_to(&bytes, to)),
-                FleetDo::Agreed(agreed) => self.agreed(agreed),
-                FleetDo::Up(who) => info!(member = who.name, zone = who.zone, "a member is there"),
-                FleetDo::Gone(who) => warn!(member = who.name, zone = who.zone, "a member is gone"),
-                FleetDo::Report { from, bytes } => self.reported(&from, bytes),
-                FleetDo::Connection(line) => {
+                FleetAction::Datagram { to, bytes } => drop(self.0.udp.try_send_to(&bytes, to)),
+                FleetAction::Committed(agreed) => self.agreed(agreed),
+                FleetAction::MemberUp(who) => {
+                    info!(member = who.name, zone = who.zone, "a member is there")
+                }
+                FleetAction::MemberDown(who) => {
+                    warn!(member = who.name, zone = who.zone, "a member is gone")
+                }
+                FleetAction::Report { from, bytes } => self.reported(&from, bytes),
+                FleetAction::LogConnection(line) => {
                     if let Some(left_out) = self.0.connection_lines.line() {
                         info!(left_out, "fleet: {line}");
                     }
                 }
-                FleetDo::Line(line) => {
+                FleetAction::Log(line) => {
                     if let Some(left_out) = self.0.lines.line() {
                         info!(left_out, "fleet: {line}");
                     }
@@ -422,7 +433,7 @@
                     // Its wire stands before the first word to it.
                     let mut to = Vec::new();
                     let now = self.0.clock.now();
-                    let number = self.0.fleet.borrow_mut().accepted(now, &mut to);
+                    let number = self.0.fleet.borrow_mut().on_accepted(now, &mut to);
                     if let Some(number) = number {
                         self.wire(number, stream);
                     }
@@ -436,7 +447,7 @@
     async fn dial(self, number: u64, address: SocketAddr) {
         match timeout(CONNECT, TcpStream::connect(address)).await {
             Ok(Ok(stream)) => self.wire(number, stream),
-            Ok(Err(_)) | Err(_) => self.act(|fleet, now, to| fleet.lost(now, number, to)),
+            Ok(Err(_)) | Err(_) => self.act(|fleet, now, to| fleet.on_closed(now, number, to)),
         }
     }
 
@@ -453,7 +464,7 @@
             let why = member.serve(stream, number, &wire).await;
             // The one place where a connection is given back.
             member.0.wires.borrow_mut().remove(&number);
-            member.act(|fleet, now, to| fleet.lost(now, number, to));
+            member.act(|fleet, now, to| fleet.on_closed(now, number, to));
             if let Some(left_out) = member.0.connection_lines.line() {
                 info!(left_out, "a connection of the fleet ended: {why}");
             }
@@ -481,7 +492,7 @@
             tokio::select! {
                 n = reads.read(&mut buffer) => match n {
                     Ok(0) => return "closed by the other side".into(),
-                    Ok(n) => self.act(|fleet, now, to| fleet.received(now, number, &buffer[..n], to)),
+                    Ok(n) => self.act(|fleet, now, to| fleet.on_received(now, number, &buffer[..n], to)),
                     Err(e) => return e.to_string(),
                 },
                 n = writes.write(rest), if !rest.is_empty() => match n {
@@ -502,7 +513,7 @@
         let mut buffer = vec![0; DATAGRAM];
         loop {
             match self.0.udp.recv_from(&mut buffer).await {
-                Ok((n, _)) => self.act(|fleet, now, to| fleet.datagram(now, &buffer[..n], to)),
+                Ok((n, _)) => self.act(|fleet, now, to| fleet.on_datagram(now, &buffer[..n], to)),
                 // Somebody's port is closed: its own matter.
                 Err(_) => sleep(Duration::from_millis(5)).await,
             }
@@ -520,7 +531,7 @@
             folder(&self.0.place).and_then(|folder| folder.ok_or_else(|| "there is none".into()));
         match taken {
             Ok(folder) => self.act(|fleet, now, to| {
-                if let Err(why) = fleet.take_part(folder, now, to) {
+                if let Err(why) = fleet.open_voter(folder, now, to) {
                     warn!("this voter's folder cannot be used: {why}");
                 }
             }),
@@ -532,11 +543,11 @@
 
     fn agreed(
         &self,
-        Agreed {
+        CommittedValue {
             topic,
             number,
             value,
-        }: Agreed,
+        }: CommittedValue,
     ) {
         match topic.as_str() {
             TABLE => match Table::decode(&value) {
@@ -565,7 +576,7 @@
             },
             Some(&ORDER) => {
                 let now = self.0.clock.now();
-                if self.0.fleet.borrow().leads(now) {
+                if self.0.fleet.borrow().is_leader(now) {
                     if self.0.orders.borrow().len() < 64 {
                         self.0.orders.borrow_mut().push(bytes);
                     }
@@ -579,7 +590,7 @@
 
     fn orders(&self) -> (u64, Orders) {
         let fleet = self.0.fleet.borrow();
-        let value = fleet.board().value(ORDERS);
+        let value = fleet.table().value(ORDERS);
         value.map_or((0, Orders::default()), |(n, v)| {
             (n, Orders::decode(v).unwrap_or_default())
         })
@@ -591,7 +602,7 @@
         let Some(zones) = &self.0.place.zones else {
             return;
         };
-        let leads = self.0.fleet.borrow().leads(now);
+        let leads = self.0.fleet.borrow().is_leader(now);
         if !leads {
             self.0.decider.take();
             self.0.orders.borrow_mut().clear();
@@ -629,7 +640,7 @@
         }
         let (number, before) = {
             let fleet = self.0.fleet.borrow();
-            let value = fleet.board().value(TABLE);
+            let value = fleet.table().value(TABLE);
             (
                 value.map_or(0, |(n, _)| n),
                 value.and_then(|(_, v)| Table::decode(v).ok()),
@@ -677,8 +688,8 @@
 
     /// Carries out an operator's order, or says why not.
     fn order(&self, ground: &Ground, orders: &mut Orders, bytes: &[u8]) {
-        let mut take = Take(bytes);
-        let read = (|| Ok::<_, String>((take.u64()?, take.text()?, take.flag()?)))();
+        let mut take = Decoder::new(bytes);
+        let read = (|| Ok::<_, DecodeError>((take.u64()?, take.text()?, take.flag()?)))();
         let Ok((number, zone, drain)) = read else {
             return;
         };
@@ -687,7 +698,7 @@
         if drain {
             match ground.may_drain(&zone, &orders.drained) {
                 Ok(()) => drop(orders.drained.insert(zone)),
-                Err(why) => orders.refused = why,
+                Err(error) => orders.refused = error.to_string(),
             }
         } else if !orders.drained.remove(&zone) {
             orders.refused = format!("zone {zone} is not drained");
--- a/crates/linenthread-service/src/operator.rs
+++ b/crates/linenthread-service/src/operator.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 use linenthread_core::interface::TenthMillis;
-use linenthread_fleet::{Fleet, FleetDo, FleetTerms, Who};
+use linenthread_fleet::{Fleet, FleetAction, FleetConfig, NodeIdentity};
 use linenthread_frames::Secrets;
 use linenthread_installation::Installation;
 use linenthread_store::Directory;
@@ -39,21 +39,21 @@
     }
 
     /// Does what the machine says. Gossip is not for one that stays a moment.
-    fn obey(&mut self, all: Vec<FleetDo>) -> bool {
+    fn obey(&mut self, all: Vec<FleetAction>) -> bool {
         let mut agreed = false;
         let mut todo = all;
         while !todo.is_empty() {
             let mut next = Vec::new();
             for one in std::mem::take(&mut todo) {
                 match one {
-                    FleetDo::Dial {
+                    FleetAction::Dial {
                         connection,
                         address,
                     } => match TcpStream::connect_timeout(&address, Duration::from_secs(1)) {
                         Ok(stream) => self.stream = Some((connection, stream)),
-                        Err(_) => self.fleet.lost(self.now(), connection, &mut next),
+                        Err(_) => self.fleet.on_closed(self.now(), connection, &mut next),
                     },
-                    FleetDo::Write { connection, bytes } => {
+                    FleetAction::Write { connection, bytes } => {
                         let sent = match &mut self.stream {
                             Some((number, stream)) if *number == connection => {
                                 stream.write_all(&bytes).is_ok()
@@ -62,14 +62,14 @@
                         };
                         if !sent {
                             self.stream = None;
-                            self.fleet.lost(self.now(), connection, &mut next);
+                            self.fleet.on_closed(self.now(), connection, &mut next);
                         }
                     }
-                    FleetDo::Close { connection, .. } => {
+                    FleetAction::Close { connection, .. } => {
                         self.stream = None;
-                        self.fleet.lost(self.now(), connection, &mut next);
+                        self.fleet.on_closed(self.now(), connection, &mut next);
                     }
-                    FleetDo::Agreed(_) => agreed = true,
+                    FleetAction::Committed(_) => agreed = true,
                     _ => {}
                 }
             }
@@ -95,11 +95,11 @@
         let read = stream.read(&mut buffer);
         let (now, mut to) = (self.now(), Vec::new());
         match read {
-            Ok(n) if n > 0 => self.fleet.received(now, number, &buffer[..n], &mut to),
+            Ok(n) if n > 0 => self.fleet.on_received(now, number, &buffer[..n], &mut to),
             Err(e) if matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => {}
             _ => {
                 self.stream = None;
-                self.fleet.lost(now, number, &mut to);
+                self.fleet.on_closed(now, number, &mut to);
             }
         }
         agreed |= self.obey(to);
@@ -108,7 +108,7 @@
 
     fn orders(&self) -> Orders {
         self.fleet
-            .board()
+            .table()
             .value(ORDERS)
             .and_then(|(_, v)| Orders::decode(v).ok())
             .unwrap_or_default()
@@ -116,7 +116,7 @@
 }
 
 fn show(line: &Line) -> String {
-    let Some((number, value)) = line.fleet.board().value(TABLE) else {
+    let Some((number, value)) = line.fleet.table().value(TABLE) else {
         return "no table was agreed on yet: all ways are open, the nearest first".into();
     };
     let Ok(table) = Table::decode(value) else {
@@ -137,8 +137,8 @@
         .for_each(|to| text += &format!("  {to:>width$}"));
     for (from, row) in table.zones.iter().zip(&table.rows) {
         text += &format!("\n{from:width$}");
-        for (share, reason) in &row.open {
-            let word = format!("{share} {reason:?}").to_lowercase();
+        for route in &row.routes {
+            let word = format!("{} {}", route.share, route.reason);
             text += &format!("  {word:>width$}");
         }
     }
@@ -163,17 +163,17 @@
         .fleet
         .ok_or_else(|| format!("{}: there is no <fleet>", file.display()))?;
     let secrets = Secrets::new(own::secrets(&fleet.secret_files)?)?;
-    let own = Who::stranger(&format!("operator-{}", std::process::id()), fleet.address);
+    let own = NodeIdentity::unknown(&format!("operator-{}", std::process::id()), fleet.address);
     let voters = fleet
         .voters
         .into_iter()
         .map(|v| (v.name, v.address))
         .collect();
-    let terms = FleetTerms {
-        own,
+    let terms = FleetConfig {
+        local: own,
         voters,
-        expected: fleet.expected_members,
-        probe: 60_000,
+        expected_members: fleet.expected_members,
+        probe_interval: 60_000,
     };
     let mut to = Vec::new();
     let began = Instant::now();
@@ -182,7 +182,8 @@
         .duration_since(std::time::UNIX_EPOCH)
         .unwrap_or_default();
     let seed = seed.as_nanos() as u64 ^ u64::from(std::process::id()) << 40;
-    let machine = Fleet::new(terms, None, secrets, seed, 1_000_000, &mut to)?;
+    let machine = Fleet::new(terms, None, secrets, seed, 1_000_000, &mut to)
+        .map_err(|error| error.to_string())?;
     let mut line = Line {
         fleet: machine,
         stream: None,
--- a/crates/linenthread-service/src/own.rs
+++ b/crates/linenthread-service/src/own.rs
@@ -67,7 +67,8 @@
             None => None,
         };
         let merging = Merging::new(indexes.iter().map(plan).collect(), signer);
-        let link = |files: &[PathBuf]| Secrets::new(secrets(files)?);
+        let link =
+            |files: &[PathBuf]| Secrets::new(secrets(files)?).map_err(|error| error.to_string());
         let gateway = match read.gateway {
             Some(gateway) => Some((gateway.clone(), link(&gateway.secret_files)?)),
             None => None,
