--- /dev/null
+++ b/crates/linenthread-node/src/control/api.rs
@@ -0,0 +1,233 @@
+//! The calls of replicas and operators over HTTP/1.1.
+
+use std::net::SocketAddr;
+use std::time::Duration;
+
+use linenthread_config::Configuration;
+use linenthread_control::ReplicaHeartbeat;
+use linenthread_dataplane::connection::{ConnectionError, HttpConnection};
+use linenthread_http::{Head, ParseError, request_framing};
+use tokio::net::{TcpListener, TcpStream};
+use tokio::task::spawn_local;
+use tokio::time::Instant;
+
+use super::api_response::{ApiResponse, Status};
+use super::command::{Command, ControlHandle};
+use crate::{accept, peer_connection};
+
+/// The longest head of a call, in bytes.
+const MAX_HEAD_BYTES: usize = 16_384;
+
+/// The longest body of a call, in bytes: room for the largest configuration.
+const MAX_BODY_BYTES: usize = 12 << 20;
+
+/// The longest id of a replica, in bytes.
+const MAX_REPLICA_ID_BYTES: usize = 256;
+
+/// How long a caller's connection may be idle between calls.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(20);
+
+/// How long a head, the next piece of a body, or the response may take.
+const TRANSFER_TIMEOUT: Duration = Duration::from_secs(5);
+
+/// Accepts callers for as long as the process runs.
+pub(super) async fn accept_calls(listener: TcpListener, handle: ControlHandle) {
+    loop {
+        match listener.accept().await {
+            Ok((stream, peer)) => {
+                peer_connection::configure(&stream);
+                let caller = Caller {
+                    peer,
+                    connection: HttpConnection::new(stream),
+                    handle: handle.clone(),
+                };
+                spawn_local(caller.run());
+            }
+            Err(error) => accept::back_off(&error).await,
+        }
+    }
+}
+
+/// Whether a caller's connection serves a further call.
+#[derive(Clone, Copy, PartialEq, Eq)]
+enum Flow {
+    Continue,
+    Close,
+}
+
+/// The connection of one caller, who makes one call after another.
+struct Caller {
+    peer: SocketAddr,
+    connection: HttpConnection<TcpStream>,
+    handle: ControlHandle,
+}
+
+impl Caller {
+    async fn run(mut self) {
+        while let Some(head) = self.read_head().await {
+            if self.serve(&head).await == Flow::Close {
+                return;
+            }
+        }
+    }
+
+    /// The head of the next call; `None` if there is no further one.
+    async fn read_head(&mut self) -> Option<Head> {
+        let read = self
+            .connection
+            .read_request_head(MAX_HEAD_BYTES, IDLE_TIMEOUT, TRANSFER_TIMEOUT)
+            .await;
+        match read {
+            Ok(head) => Some(head),
+            Err(ConnectionError::Invalid { source }) => {
+                self.reject(
+                    "reading a call's head",
+                    Status::BadRequest,
+                    "not a request",
+                    source,
+                )
+                .await;
+                None
+            }
+            Err(_) => None,
+        }
+    }
+
+    async fn serve(&mut self, head: &Head) -> Flow {
+        let framing = match request_framing(head, MAX_BODY_BYTES) {
+            Ok(framing) => framing,
+            Err(error) => {
+                let status = if error == ParseError::BodyTooLong {
+                    Status::ContentTooLarge
+                } else {
+                    Status::BadRequest
+                };
+                self.reject("judging a call's head", status, "body refused", error)
+                    .await;
+                return Flow::Close;
+            }
+        };
+        if head.has_token("expect", "100-continue") && !self.send_continue().await {
+            return Flow::Close;
+        }
+        let read = self
+            .connection
+            .read_body(framing, MAX_BODY_BYTES, TRANSFER_TIMEOUT, None)
+            .await;
+        let Ok(body) = read else {
+            return Flow::Close;
+        };
+        let response = dispatch(head, body, &self.handle).await;
+        if let Some(status) = response.rejected_status() {
+            let cause = format_args!("{status} {} {response}", head.path());
+            linenthread_dataplane::log_rejected_input("taking a call", self.peer, cause);
+        }
+        let keep_alive = head.keeps_alive();
+        let bytes = response.encode(head.target(), keep_alive);
+        if self.write(&bytes).await.is_err() {
+            log::info!(peer = self.peer.to_string(); "event=client_disconnected");
+            return Flow::Close;
+        }
+        if keep_alive {
+            Flow::Continue
+        } else {
+            Flow::Close
+        }
+    }
+
+    /// Whether the caller could be told to send the body.
+    async fn send_continue(&mut self) -> bool {
+        self.write(b"HTTP/1.1 100 Continue\r\n\r\n").await.is_ok()
+    }
+
+    /// Rejects what is no proper call; the connection is closed after it.
+    async fn reject(
+        &mut self,
+        step: &'static str,
+        status: Status,
+        message: &str,
+        cause: ParseError,
+    ) {
+        linenthread_dataplane::log_rejected_input(step, self.peer, cause);
+        let bytes = ApiResponse::error(status, message).encode("", false);
+        let _ = self.write(&bytes).await;
+    }
+
+    async fn write(&mut self, bytes: &[u8]) -> Result<(), ConnectionError> {
+        let deadline = Instant::now() + TRANSFER_TIMEOUT;
+        self.connection.write(bytes, deadline).await
+    }
+}
+
+/// Carries out a call, by its method and path.
+async fn dispatch(head: &Head, body: Vec<u8>, handle: &ControlHandle) -> ApiResponse {
+    let path = head.path().to_owned();
+    let segments: Vec<&str> = path.trim_matches('/').split('/').collect();
+    match (head.method(), segments.as_slice()) {
+        ("POST", ["Replicas.Heartbeat", id]) if is_replica_id(id) => {
+            on_heartbeat(id, &body, handle).await
+        }
+        ("POST", ["Replicas.Departure", id]) if is_replica_id(id) => {
+            let replica_id = (*id).to_owned();
+            let call = handle.call(|respond| Command::Departure {
+                replica_id,
+                respond,
+            });
+            call.await.into()
+        }
+        ("POST", ["Configuration.Replace"]) => replace_configuration(head, body, handle).await,
+        ("GET", ["Configuration.Read"]) => handle.call(Command::ReadConfiguration).await.into(),
+        ("GET", ["Members.Read"]) => handle.call(Command::MembersStatus).await.into(),
+        ("GET", ["Replicas.Read"]) => handle.call(Command::ReplicasStatus).await.into(),
+        (
+            _,
+            ["Replicas.Heartbeat" | "Replicas.Departure", _]
+            | ["Configuration.Replace" | "Configuration.Read" | "Members.Read" | "Replicas.Read"],
+        ) => ApiResponse::error(Status::MethodNotAllowed, "another method is meant"),
+        _ => ApiResponse::error(Status::NotFound, "no such call"),
+    }
+}
+
+fn is_replica_id(id: &str) -> bool {
+    (1..=MAX_REPLICA_ID_BYTES).contains(&id.len())
+}
+
+async fn on_heartbeat(id: &str, body: &[u8], handle: &ControlHandle) -> ApiResponse {
+    let heartbeat: ReplicaHeartbeat = match serde_json::from_slice(body) {
+        Ok(heartbeat) => heartbeat,
+        Err(error) => return ApiResponse::error(Status::BadRequest, error),
+    };
+    if heartbeat.address.parse::<SocketAddr>().is_err() {
+        let message = format!("{} is no address", heartbeat.address);
+        return ApiResponse::error(Status::BadRequest, message);
+    }
+    let replica_id = id.to_owned();
+    let call = handle.call(|respond| Command::Heartbeat {
+        replica_id,
+        heartbeat,
+        respond,
+    });
+    call.await.into()
+}
+
+async fn replace_configuration(
+    head: &Head,
+    document: Vec<u8>,
+    handle: &ControlHandle,
+) -> ApiResponse {
+    let base = head.header("x-base-revision").map_or(Ok(0), str::parse);
+    let Ok(base) = base else {
+        return ApiResponse::error(Status::BadRequest, "X-Base-Revision is no number");
+    };
+    let revision = match Configuration::parse(&document) {
+        Ok(configuration) => configuration.revision,
+        Err(error) => return ApiResponse::error(Status::BadRequest, error),
+    };
+    let call = handle.call(|respond| Command::ReplaceConfiguration {
+        base,
+        revision,
+        document,
+        respond,
+    });
+    call.await.into()
+}
--- /dev/null
+++ b/crates/linenthread-node/src/control/command.rs
@@ -0,0 +1,111 @@
+//! What the task of a control node is asked to do, and the handle that asks.
+
+use linenthread_control::graceful_shutdown::ShutdownBlocker;
+use linenthread_control::{DeferredMessage, ReplicaHeartbeat, Response, SessionId};
+use linenthread_messages::PeerMessage;
+use tokio::sync::{mpsc, oneshot};
+
+/// Commands that may wait for the task; more are rejected.
+const MAX_QUEUED_COMMANDS: usize = 4_096;
+
+/// One command to the task of a control node. A call carries the sender of its response.
+pub(super) enum Command {
+    /// A connection with a peer was established; messages to it go to this queue.
+    SessionOpened(SessionId, mpsc::Sender<PeerMessage>),
+    /// A peer's message arrived.
+    MessageReceived(SessionId, PeerMessage),
+    /// A connection has ended.
+    SessionClosed(SessionId),
+    /// The control node of this address could not be connected to.
+    DialFailed(String),
+    /// A replica's heartbeat.
+    Heartbeat {
+        replica_id: String,
+        heartbeat: ReplicaHeartbeat,
+        respond: oneshot::Sender<Response>,
+    },
+    /// A replica's departure.
+    Departure {
+        replica_id: String,
+        respond: oneshot::Sender<Response>,
+    },
+    /// An operator replaces the configuration.
+    ReplaceConfiguration {
+        base: u64,
+        revision: u64,
+        document: Vec<u8>,
+        respond: oneshot::Sender<Response>,
+    },
+    /// An operator reads the configuration.
+    ReadConfiguration(oneshot::Sender<Response>),
+    /// An operator reads what this node knows of the others.
+    MembersStatus(oneshot::Sender<serde_json::Value>),
+    /// An operator reads what this node knows of replicas.
+    ReplicasStatus(oneshot::Sender<serde_json::Value>),
+    /// Records are durable; these messages waited for them.
+    Synced(Vec<DeferredMessage>),
+    /// A graceful shutdown was requested; the notification follows when the process may exit.
+    BeginShutdown(oneshot::Sender<()>),
+    /// Why the process may not exit yet.
+    ShutdownBlocker(oneshot::Sender<Option<ShutdownBlocker>>),
+    /// Close all sessions and end.
+    Stop(oneshot::Sender<()>),
+}
+
+/// Why the task did not answer a call.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum CallError {
+    /// Too many commands wait.
+    QueueFull,
+    /// The process ends.
+    Stopping,
+}
+
+impl std::fmt::Display for CallError {
+    fn fmt(&self, formatter: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
+        formatter.write_str(match self {
+            CallError::QueueFull => "too much waits",
+            CallError::Stopping => "ending",
+        })
+    }
+}
+
+/// Sends commands to the task of a control node.
+#[derive(Clone)]
+pub(super) struct ControlHandle {
+    commands: mpsc::Sender<Command>,
+}
+
+impl ControlHandle {
+    /// A handle, and the queue that the task reads.
+    pub(super) fn new() -> (ControlHandle, mpsc::Receiver<Command>) {
+        let (commands, queue) = mpsc::channel(MAX_QUEUED_COMMANDS);
+        (ControlHandle { commands }, queue)
+    }
+
+    /// Sends a command, as soon as there is room for it; false if the task has ended.
+    pub(super) async fn send(&self, command: Command) -> bool {
+        self.commands.send(command).await.is_ok()
+    }
+
+    /// Sends a command if there is room for it now.
+    pub(super) fn try_send(&self, command: Command) -> bool {
+        self.commands.try_send(command).is_ok()
+    }
+
+    /// Sends a call and waits for its response.
+    ///
+    /// # Errors
+    ///
+    /// Too many commands wait, or the task ends before it has responded.
+    pub(super) async fn call<T>(
+        &self,
+        command: impl FnOnce(oneshot::Sender<T>) -> Command,
+    ) -> Result<T, CallError> {
+        let (respond, response) = oneshot::channel();
+        if !self.try_send(command(respond)) {
+            return Err(CallError::QueueFull);
+        }
+        response.await.map_err(|_| CallError::Stopping)
+    }
+}
--- /dev/null
+++ b/crates/linenthread-node/src/control/mod.rs
@@ -0,0 +1,191 @@
+//! The control role of this process: one control node on sockets, with its state on the disk.
+//!
+//! [`start`] opens the state and the listeners. `task` owns the state machine and is asked by way of the handle in
+//! `command`; `api` serves the calls of replicas and operators, `peer_sessions` the connections with other nodes,
+//! `state_writer` the disk.
+
+mod api;
+mod api_response;
+mod command;
+mod peer_sessions;
+mod state_writer;
+mod task;
+
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::time::Duration;
+
+use linenthread_config::Settings;
+use linenthread_consensus::{DurableState, genesis_id};
+use linenthread_control::{ControlNode, NodeConfig};
+use linenthread_dataplane::clock;
+use linenthread_messages::{Record, Value, Voter};
+use tokio::net::TcpListener;
+use tokio::sync::{mpsc, oneshot};
+use tokio::task::spawn_local;
+use tokio::time::Instant;
+
+use crate::error::{Error, step};
+use crate::incarnation;
+
+use command::{Command, ControlHandle};
+use state_writer::StateWriter;
+use task::ControlTask;
+
+/// How long the task may take to say why it may not exit yet.
+const BLOCKER_TIMEOUT: Duration = Duration::from_millis(100);
+
+/// The control node of this process.
+pub(crate) struct ControlServer {
+    handle: ControlHandle,
+}
+
+impl ControlServer {
+    /// Begins the graceful shutdown, and serves on until others hold what this node holds and it leads no more, or
+    /// that takes too long.
+    pub(crate) async fn shut_down(&self, timeout: Duration) {
+        let began = Instant::now();
+        let (waiter, may_exit) = oneshot::channel();
+        if !self.handle.send(Command::BeginShutdown(waiter)).await {
+            return;
+        }
+        let completed = tokio::time::timeout(timeout, may_exit).await.is_ok();
+        if completed {
+            log::info!(ms = elapsed_millis(began); "event=shutdown_complete");
+            return;
+        }
+        let cause = self.shutdown_blocker().await;
+        log::warn!(ms = elapsed_millis(began), waits_for = cause; "event=shutdown_incomplete");
+    }
+
+    async fn shutdown_blocker(&self) -> String {
+        let (respond, response) = oneshot::channel();
+        self.handle.send(Command::ShutdownBlocker(respond)).await;
+        match tokio::time::timeout(BLOCKER_TIMEOUT, response).await {
+            Ok(Ok(Some(blocker))) => blocker.to_string(),
+            Ok(Ok(None)) => "nothing".to_owned(),
+            Ok(Err(_)) | Err(_) => "no answer".to_owned(),
+        }
+    }
+
+    /// Closes all sessions, so that the others need not wait for a time-out.
+    pub(crate) async fn stop(&self) {
+        let (stopped, has_stopped) = oneshot::channel();
+        if self.handle.send(Command::Stop(stopped)).await {
+            let _ = has_stopped.await;
+        }
+    }
+}
+
+fn elapsed_millis(since: Instant) -> u64 {
+    linenthread_time::whole_millis(since.elapsed())
+}
+
+/// Opens the state and the listeners, and starts the control node.
+///
+/// # Errors
+///
+/// The state can't be opened, or an address can't be bound.
+pub(crate) async fn start(
+    settings: &Rc<Settings>,
+    address: SocketAddr,
+) -> Result<ControlServer, Error> {
+    let (synced, synced_messages) = mpsc::unbounded_channel();
+    let state_dir = settings.state_dir.as_deref().unwrap_or_default();
+    let (state_writer, durable_state) =
+        StateWriter::start(state_dir, move |messages| drop(synced.send(messages)))?;
+    let control = start_node(settings, address, durable_state, &state_writer);
+    let calls = bind(address).await?;
+    let peers = bind(SocketAddr::new(address.ip(), settings.peers_port)).await?;
+    log::info!(calls = address.to_string(), peers = settings.peers_port; "event=control_listening");
+    let (handle, commands) = ControlHandle::new();
+    let task = ControlTask::new(control, state_writer, handle.clone(), settings.peers_port);
+    spawn_local(task.run(commands));
+    spawn_local(forward_synced(synced_messages, handle.clone()));
+    spawn_local(api::accept_calls(calls, handle.clone()));
+    spawn_local(peer_sessions::accept_peers(peers, handle.clone()));
+    Ok(ControlServer { handle })
+}
+
+async fn bind(address: SocketAddr) -> Result<TcpListener, Error> {
+    TcpListener::bind(address)
+        .await
+        .map_err(step("binding", address))
+}
+
+/// Takes the messages that waited on the disk from its thread to the task.
+async fn forward_synced(
+    mut synced: mpsc::UnboundedReceiver<Vec<linenthread_control::DeferredMessage>>,
+    handle: ControlHandle,
+) {
+    while let Some(messages) = synced.recv().await {
+        handle.send(Command::Synced(messages)).await;
+    }
+}
+
+/// The control node, from its settings and what the disk holds. An empty disk is given its identity.
+fn start_node(
+    settings: &Settings,
+    address: SocketAddr,
+    durable_state: DurableState,
+    state_writer: &StateWriter,
+) -> ControlNode {
+    let incarnation = incarnation::draw();
+    let control_address = address.to_string();
+    let bootstrap: Vec<String> = settings
+        .bootstrap_peers
+        .iter()
+        .map(SocketAddr::to_string)
+        .collect();
+    let is_empty = durable_state.id.is_none();
+    // A node with an empty disk is a new one, whatever was at its address before; only on the very first start its
+    // identity follows from the address, so that all derive the same first voters.
+    let is_first = is_empty && settings.initial_boot && bootstrap.contains(&control_address);
+    let id = durable_state.id.unwrap_or_else(|| {
+        if is_first {
+            genesis_id(&control_address)
+        } else {
+            incarnation
+        }
+    });
+    let genesis = settings.initial_boot.then(|| genesis_value(&bootstrap));
+    let config = NodeConfig {
+        name: settings.node_name.clone(),
+        zone: settings.zone.clone(),
+        incarnation,
+        control_address,
+        may_vote: settings.quorum_member,
+        min_voters: 2 * settings.machine_faults + 1,
+        heartbeat_interval: settings.heartbeat_interval,
+        bootstrap,
+        is_genesis: settings.initial_boot && is_empty,
+        retry_allowance: settings.retry_allowance,
+        retry_window: settings.retry_window,
+    };
+    log::info!(disk = id, empty = is_empty, first = is_first; "event=control_started");
+    let control = ControlNode::new(config, id, durable_state, genesis.clone(), clock::now());
+    if is_empty {
+        let identity = Record {
+            id: Some(id),
+            decided: genesis,
+            ..Record::default()
+        };
+        state_writer.persist(identity, Vec::new());
+    }
+    control
+}
+
+/// Value 0: the nodes of the bootstrap list vote.
+fn genesis_value(bootstrap: &[String]) -> Value {
+    let voters = bootstrap
+        .iter()
+        .map(|address| Voter {
+            id: genesis_id(address),
+            address: address.clone(),
+        })
+        .collect();
+    Value {
+        voters,
+        ..Value::default()
+    }
+}
--- /dev/null
+++ b/crates/linenthread-node/src/control/peer_sessions.rs
@@ -0,0 +1,63 @@
+//! Connections with other control nodes and with ingress nodes.
+
+use std::net::SocketAddr;
+use std::sync::atomic::{AtomicU64, Ordering};
+use std::time::Duration;
+
+use linenthread_control::SessionId;
+use tokio::net::{TcpListener, TcpStream};
+use tokio::sync::mpsc;
+use tokio::task::spawn_local;
+
+use super::command::{Command, ControlHandle};
+use crate::{accept, peer_connection};
+
+/// How long the connection to another control node may take.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(700);
+
+/// Accepts peers for as long as the process runs.
+pub(super) async fn accept_peers(listener: TcpListener, handle: ControlHandle) {
+    loop {
+        match listener.accept().await {
+            Ok((stream, peer)) => {
+                peer_connection::configure(&stream);
+                spawn_local(run_session(stream, peer.to_string(), handle.clone()));
+            }
+            Err(error) => accept::back_off(&error).await,
+        }
+    }
+}
+
+/// Connects to the control node at a control address, at its port for peers, and runs the session.
+pub(super) async fn dial(control_address: String, peers_port: u16, handle: ControlHandle) {
+    let Ok(address) = control_address.parse::<SocketAddr>() else {
+        return;
+    };
+    let peer = SocketAddr::new(address.ip(), peers_port);
+    match peer_connection::connect(peer, CONNECT_TIMEOUT).await {
+        Ok(stream) => run_session(stream, control_address, handle).await,
+        Err(_) => {
+            handle.send(Command::DialFailed(control_address)).await;
+        }
+    }
+}
+
+/// One session, from its connection to its end.
+async fn run_session(stream: TcpStream, peer: String, handle: ControlHandle) {
+    let session = next_session_id();
+    let (outbox, outgoing) = mpsc::channel(peer_connection::MAX_QUEUED_MESSAGES);
+    if !handle.send(Command::SessionOpened(session, outbox)).await {
+        return;
+    }
+    let receiver = handle.clone();
+    let receive = move |message| receiver.try_send(Command::MessageReceived(session, message));
+    if let Err(error) = peer_connection::exchange(stream, &peer, outgoing, receive).await {
+        log::info!(cause = error.to_string(); "event=connection_closed");
+    }
+    handle.send(Command::SessionClosed(session)).await;
+}
+
+fn next_session_id() -> SessionId {
+    static NEXT: AtomicU64 = AtomicU64::new(1);
+    SessionId(NEXT.fetch_add(1, Ordering::Relaxed))
+}
--- /dev/null
+++ b/crates/linenthread-node/src/control/state_writer.rs
@@ -0,0 +1,83 @@
+//! The durable state of a control node, written by a thread of its own, so that a stalled disk blocks nothing else.
+
+use std::path::PathBuf;
+use std::sync::mpsc;
+
+use linenthread_consensus::DurableState;
+use linenthread_control::{DeferredMessage, StateLog, StateLogError};
+use linenthread_messages::Record;
+use linenthread_store::{Directory, DirectoryError};
+use snafu::ResultExt;
+
+use crate::error::{Error, StateSnafu, step};
+
+/// The log is compacted once it is longer, in bytes.
+const COMPACT_ABOVE_BYTES: u64 = 16 << 20;
+
+/// Records that may wait to be written; more are dropped with their messages, which the register sends again later.
+const MAX_QUEUED_RECORDS: usize = 256;
+
+/// The thread's stack, in bytes: it needs little.
+const STACK_BYTES: usize = 256 << 10;
+
+/// A record, and the messages that wait until it is durable.
+type QueuedRecord = (Record, Vec<DeferredMessage>);
+
+/// Handle of the thread that writes the state.
+pub(super) struct StateWriter {
+    queue: mpsc::SyncSender<QueuedRecord>,
+}
+
+impl StateWriter {
+    /// Opens what the disk holds, and starts the thread. `on_synced` is called on it with the messages that waited for
+    /// records that are durable now.
+    ///
+    /// # Errors
+    ///
+    /// The directory is used by another process, or what it holds can't be read; or the thread can't be started.
+    pub(super) fn start(
+        path: &str,
+        on_synced: impl Fn(Vec<DeferredMessage>) + Send + 'static,
+    ) -> Result<(StateWriter, DurableState), Error> {
+        let directory = PathBuf::from(path);
+        let opened = StateLog::open(move || Directory::open(&directory), COMPACT_ABOVE_BYTES)
+            .context(StateSnafu { directory: path })?;
+        if let Some(tail) = &opened.torn_tail {
+            log::info!(file = tail.file, at = tail.offset, bytes = tail.bytes; "event=torn_record_truncated");
+        }
+        let (queue, records) = mpsc::sync_channel(MAX_QUEUED_RECORDS);
+        let log = opened.log;
+        std::thread::Builder::new()
+            .name("disk".into())
+            .stack_size(STACK_BYTES)
+            .spawn(move || write_records(log, &records, on_synced))
+            .map_err(step("starting the disk's thread", ""))?;
+        Ok((StateWriter { queue }, opened.state))
+    }
+
+    /// Queues a record; the messages that wait for it come back when it is durable. False if too many records wait
+    /// already: this one is dropped.
+    pub(super) fn persist(&self, record: Record, after_sync: Vec<DeferredMessage>) -> bool {
+        self.queue.try_send((record, after_sync)).is_ok()
+    }
+}
+
+/// Writes records, all that wait at a time, until the handle is dropped.
+fn write_records<O: FnMut() -> Result<Directory, DirectoryError>>(
+    mut log: StateLog<Directory, O>,
+    queue: &mpsc::Receiver<QueuedRecord>,
+    on_synced: impl Fn(Vec<DeferredMessage>),
+) {
+    while let Ok((record, after_sync)) = queue.recv() {
+        let (mut records, mut messages) = (vec![record], after_sync);
+        while let Ok((record, after_sync)) = queue.try_recv() {
+            records.push(record);
+            messages.extend(after_sync);
+        }
+        let written: Result<(), StateLogError> = log.write(&records);
+        match written {
+            Ok(()) => on_synced(messages),
+            Err(cause) => log::error!(cause:% = cause; "event=disk_failed"),
+        }
+    }
+}
--- /dev/null
+++ b/crates/linenthread-node/src/control/task.rs
@@ -0,0 +1,216 @@
+//! The task that owns a control node: it takes commands and the time to the state machine and carries out its effects.
+
+use std::collections::HashMap;
+use std::time::Duration;
+
+use linenthread_control::{CallId, ControlNode, Effect, Response, SessionId};
+use linenthread_dataplane::clock;
+use linenthread_messages::PeerMessage;
+use linenthread_time::Instant;
+use tokio::sync::{mpsc, oneshot};
+use tokio::task::spawn_local;
+
+use super::command::{Command, ControlHandle};
+use super::peer_sessions;
+use super::state_writer::StateWriter;
+
+/// Commands that are taken before the effects of all of them are carried out.
+const MAX_COMMANDS_PER_TURN: usize = 64;
+
+/// The tasks of the connections get so long to close them before the process ends.
+const CLOSE_TIME: Duration = Duration::from_millis(5);
+
+/// A control node with its connections and calls.
+pub(super) struct ControlTask {
+    control: ControlNode,
+    state_writer: StateWriter,
+    /// The queue of outgoing messages of each session.
+    sessions: HashMap<SessionId, mpsc::Sender<PeerMessage>>,
+    calls: HashMap<CallId, oneshot::Sender<Response>>,
+    last_call: CallId,
+    handle: ControlHandle,
+    peers_port: u16,
+    /// Whom to notify when the process may exit.
+    shutdown_waiters: Vec<oneshot::Sender<()>>,
+    /// It was notified that it may exit: nothing is taken or sent any more.
+    has_left: bool,
+}
+
+impl ControlTask {
+    pub(super) fn new(
+        control: ControlNode,
+        state_writer: StateWriter,
+        handle: ControlHandle,
+        peers_port: u16,
+    ) -> ControlTask {
+        ControlTask {
+            control,
+            state_writer,
+            sessions: HashMap::new(),
+            calls: HashMap::new(),
+            last_call: CallId(0),
+            handle,
+            peers_port,
+            shutdown_waiters: Vec::new(),
+            has_left: false,
+        }
+    }
+
+    /// Runs until [`Command::Stop`].
+    pub(super) async fn run(mut self, mut queue: mpsc::Receiver<Command>) {
+        let (mut commands, mut effects) = (Vec::new(), Vec::new());
+        loop {
+            self.wait(&mut queue, &mut commands).await;
+            let now = clock::now();
+            for command in commands.drain(..) {
+                if let Command::Stop(stopped) = command {
+                    self.sessions.clear();
+                    tokio::time::sleep(CLOSE_TIME).await;
+                    let _ = stopped.send(());
+                    return;
+                }
+                if !self.has_left {
+                    self.take(now, command, &mut effects);
+                }
+            }
+            if self.has_left {
+                effects.clear();
+                continue;
+            }
+            if now >= self.control.next_tick_at(now) {
+                self.control.tick(now, &mut effects);
+            }
+            for effect in effects.drain(..) {
+                self.carry_out(effect);
+            }
+            if !self.shutdown_waiters.is_empty() && self.control.may_exit(now) {
+                self.leave();
+            }
+        }
+    }
+
+    /// Waits for commands, at most until the next tick is due.
+    async fn wait(&self, queue: &mut mpsc::Receiver<Command>, commands: &mut Vec<Command>) {
+        let received = queue.recv_many(commands, MAX_COMMANDS_PER_TURN);
+        if self.has_left {
+            received.await;
+        } else {
+            let tick_at = clock::to_std(self.control.next_tick_at(clock::now()));
+            let _ = tokio::time::timeout_at(tick_at.into(), received).await;
+        }
+    }
+
+    /// The process may exit. From here on nothing is sent: others may have been told that they may exit because this
+    /// node had not yet.
+    fn leave(&mut self) {
+        self.has_left = true;
+        self.sessions.clear();
+        self.calls.clear();
+        for waiter in self.shutdown_waiters.drain(..) {
+            let _ = waiter.send(());
+        }
+    }
+
+    fn add_call(&mut self, respond: oneshot::Sender<Response>) -> CallId {
+        self.last_call.0 += 1;
+        self.calls.insert(self.last_call, respond);
+        self.last_call
+    }
+
+    fn take(&mut self, now: Instant, command: Command, effects: &mut Vec<Effect>) {
+        match command {
+            Command::SessionOpened(session, outbox) => {
+                self.sessions.insert(session, outbox);
+                self.control.on_session_opened(session, effects);
+            }
+            Command::MessageReceived(session, message) => {
+                self.control.on_message(now, session, message, effects);
+            }
+            Command::SessionClosed(session) => {
+                self.sessions.remove(&session);
+                self.control.on_session_closed(now, session, effects);
+            }
+            Command::DialFailed(address) => self.control.on_dial_failed(now, &address),
+            Command::Heartbeat {
+                replica_id,
+                heartbeat,
+                respond,
+            } => {
+                let call = self.add_call(respond);
+                self.control
+                    .on_replica_heartbeat(now, call, &replica_id, heartbeat, effects);
+            }
+            Command::Departure {
+                replica_id,
+                respond,
+            } => {
+                let call = self.add_call(respond);
+                self.control
+                    .on_replica_departure(now, call, &replica_id, effects);
+            }
+            Command::ReplaceConfiguration {
+                base,
+                revision,
+                document,
+                respond,
+            } => {
+                let call = self.add_call(respond);
+                self.control
+                    .replace_configuration(now, call, base, revision, document, effects);
+            }
+            Command::ReadConfiguration(respond) => {
+                let call = self.add_call(respond);
+                self.control.read_configuration(now, call, effects);
+            }
+            Command::MembersStatus(respond) => {
+                let _ = respond.send(self.control.members_status(now));
+            }
+            Command::ReplicasStatus(respond) => {
+                let _ = respond.send(self.control.replicas_status(now));
+            }
+            Command::Synced(messages) => self.control.on_synced(now, messages, effects),
+            Command::BeginShutdown(waiter) => {
+                self.control.begin_shutdown(now, effects);
+                self.shutdown_waiters.push(waiter);
+            }
+            Command::ShutdownBlocker(respond) => {
+                let _ = respond.send(self.control.shutdown_blocker(now));
+            }
+            // Handled in `run`.
+            Command::Stop(_) => {}
+        }
+    }
+
+    fn carry_out(&mut self, effect: Effect) {
+        match effect {
+            Effect::Send { session, message } => self.send(session, message),
+            Effect::Persist { record, after_sync } => {
+                if !self.state_writer.persist(record, after_sync) {
+                    log::warn!("event=disk_backlogged");
+                }
+            }
+            Effect::Respond { call, response } => {
+                if let Some(respond) = self.calls.remove(&call) {
+                    let _ = respond.send(response);
+                }
+            }
+            Effect::Dial(control_address) => {
+                let (handle, port) = (self.handle.clone(), self.peers_port);
+                spawn_local(peer_sessions::dial(control_address, port, handle));
+            }
+            Effect::Close(session) => drop(self.sessions.remove(&session)),
+            Effect::Log(event) => log::info!("{event}"),
+        }
+    }
+
+    /// Queues a message; a session whose queue is full is closed.
+    fn send(&mut self, session: SessionId, message: PeerMessage) {
+        let is_full = self
+            .sessions
+            .get(&session)
+            .is_some_and(|outbox| outbox.try_send(message).is_err());
+        if is_full {
+            self.sessions.remove(&session);
+        }
+    }
+}
--- /dev/null
+++ b/crates/linenthread-node/src/error.rs
@@ -0,0 +1,53 @@
+//! What ends the program, or a connection.
+
+use std::io;
+use std::path::Path;
+
+use linenthread_config::{ConfigurationError, SettingsError};
+use linenthread_control::StateLogError;
+use linenthread_messages::FrameError;
+use snafu::Snafu;
+
+/// What ends the program, or a connection: the step, the peer or file, and the cause.
+#[derive(Debug, Snafu)]
+#[snafu(visibility(pub(crate)))]
+pub(crate) enum Error {
+    #[snafu(display("neither --settings nor LINENTHREAD_BOOT names the settings file"))]
+    NoSettings,
+    #[snafu(display("{file}: {source}"))]
+    Configuration {
+        file: String,
+        source: ConfigurationError,
+    },
+    #[snafu(display("{file}: {source}"))]
+    Settings { file: String, source: SettingsError },
+    /// `target` is the peer, address or file, if there is one.
+    #[snafu(display("{step} {target}: {source}"))]
+    Io {
+        step: &'static str,
+        target: String,
+        source: io::Error,
+    },
+    #[snafu(display("reading a frame of {peer}: {source}"))]
+    Frame { peer: String, source: FrameError },
+    #[snafu(display("opening the state {directory}: {source}"))]
+    State {
+        directory: String,
+        source: StateLogError,
+    },
+}
+
+/// Adds the step, and the peer, address or file, to an error of the operating system.
+pub(crate) fn step(step: &'static str, target: impl ToString) -> impl FnOnce(io::Error) -> Error {
+    let target = target.to_string();
+    move |source| Error::Io {
+        step,
+        target,
+        source,
+    }
+}
+
+/// Reads a whole file.
+pub(crate) fn read_file(path: &Path) -> Result<Vec<u8>, Error> {
+    std::fs::read(path).map_err(step("reading", path.display()))
+}
--- a/crates/linenthread-node/src/main.rs
+++ b/crates/linenthread-node/src/main.rs
@@ -1,25 +1,31 @@
-//! The daemon of the search front: one program for all machines. What its settings bind decides what it
-//! serves: `bind.ingress` the traffic, `bind.control_plane` replicas and operators, with the state on its
-//! disk.
+//! The daemon of the search front: one program for all machines. What its settings bind decides what it serves:
+//! `bind.ingress` the traffic of clients (`ingress`, and `control_client` towards the control nodes),
+//! `bind.control_plane` replicas and operators (`control`), with the state on its disk.
+//!
+//! The package has the sockets, files, signals and the clock; what is decided is decided in `linenthread-control` and
+//! `linenthread-dataplane`. Start reading at `serve`.
 
+mod accept;
+mod connect_timeout;
 mod control;
-mod disk;
-mod errors;
-mod follow;
-mod front;
-mod links;
-mod logs;
+mod control_client;
+mod error;
+mod event_log;
+mod incarnation;
+mod ingress;
+mod peer_connection;
 mod signals;
 
+use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 use std::rc::Rc;
 use std::time::Duration;
 
 use linenthread_config::{Configuration, Settings};
-use linenthread_dataplane::clock;
+use snafu::ResultExt;
 use tokio::task::LocalSet;
 
-use crate::errors::Error;
+use crate::error::{ConfigurationSnafu, Error, SettingsSnafu, read_file, step};
 
 mod flags {
     use std::path::PathBuf;
@@ -48,102 +54,110 @@
     }
 }
 
-/// So long before the end of its grace a control node stops waiting for others.
-const LEAVE_MARGIN: Duration = Duration::from_secs(1);
+/// The environment variable that names the settings file.
+const SETTINGS_VARIABLE: &str = "LINENTHREAD_BOOT";
+
+/// So long before the end of its grace period a control node stops waiting for others.
+const SHUTDOWN_MARGIN: Duration = Duration::from_secs(1);
+
+/// The runtime looks for new events after so many tasks: often, since each task is short.
+const TASKS_BETWEEN_EVENTS: u32 = 31;
+
+/// Exit code if the program could not do what it was called for.
+const EXIT_FAILURE: u8 = 2;
 
 fn main() -> ExitCode {
     let flags = match flags::LinenthreadNode::from_env() {
         Ok(flags) => flags,
-        Err(e) => e.exit(),
+        Err(error) => error.exit(),
     };
-    let done = match flags.subcommand {
-        flags::LinenthreadNodeCmd::Serve(serve) => run(serve.settings, serve.pass_through),
-        flags::LinenthreadNodeCmd::Check(check) => {
-            errors::read(&check.configuration).and_then(|bytes| {
-                Configuration::parse(&bytes)
-                    .map(drop)
-                    .map_err(|source| Error::Configuration {
-                        file: check.configuration.display().to_string(),
-                        source,
-                    })
-            })
+    match run(flags.subcommand) {
+        Ok(()) => ExitCode::SUCCESS,
+        Err(error) => {
+            eprintln!("linenthread-node: {error}");
+            ExitCode::from(EXIT_FAILURE)
         }
-        flags::LinenthreadNodeCmd::CheckSettings(check) => settings(&check.settings).map(drop),
+    }
+}
+
+fn run(command: flags::LinenthreadNodeCmd) -> Result<(), Error> {
+    match command {
+        flags::LinenthreadNodeCmd::Serve(flags) => start(flags.settings, flags.pass_through),
+        flags::LinenthreadNodeCmd::Check(flags) => check_configuration(&flags.configuration),
+        flags::LinenthreadNodeCmd::CheckSettings(flags) => read_settings(&flags.settings).map(drop),
         flags::LinenthreadNodeCmd::Version(_) => {
             println!("linenthread-node {}", env!("CARGO_PKG_VERSION"));
             Ok(())
         }
-    };
-    match done {
-        Ok(()) => ExitCode::SUCCESS,
-        Err(e) => {
-            eprintln!("linenthread-node: {e}");
-            ExitCode::from(2)
-        }
     }
 }
 
-pub(crate) fn settings(path: &std::path::Path) -> Result<Settings, Error> {
-    let bytes = errors::read(path)?;
+fn check_configuration(path: &Path) -> Result<(), Error> {
+    let bytes = read_file(path)?;
+    let file = path.display().to_string();
+    Configuration::parse(&bytes)
+        .map(drop)
+        .context(ConfigurationSnafu { file })
+}
+
+/// Reads a settings file.
+pub(crate) fn read_settings(path: &Path) -> Result<Settings, Error> {
+    let bytes = read_file(path)?;
     let text = String::from_utf8_lossy(&bytes);
-    Settings::parse(&text).map_err(|source| Error::Settings {
-        file: path.display().to_string(),
-        source,
-    })
+    let file = path.display().to_string();
+    Settings::parse(&text).context(SettingsSnafu { file })
 }
 
-fn run(path: Option<std::path::PathBuf>, pass_through: bool) -> Result<(), Error> {
-    let path = path
-        .or_else(|| std::env::var_os("LINENTHREAD_BOOT").map(Into::into))
+/// Runs the daemon until its shutdown.
+fn start(settings_path: Option<PathBuf>, pass_through: bool) -> Result<(), Error> {
+    let settings_path = settings_path
+        .or_else(|| std::env::var_os(SETTINGS_VARIABLE).map(Into::into))
         .ok_or(Error::NoSettings)?;
     let settings = Rc::new(Settings {
         pass_through,
-        ..settings(&path)?
+        ..read_settings(&settings_path)?
     });
-    logs::start();
+    event_log::start();
     log::info!(node = settings.node_name, zone = settings.zone; "event=started");
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_io()
         .enable_time()
-        .event_interval(31)
+        .event_interval(TASKS_BETWEEN_EVENTS)
         .build()
-        .map_err(|source| Error::Step {
-            step: "start of the runtime",
-            peer: String::new(),
-            source,
-        })?;
-    let local = LocalSet::new();
-    local.block_on(&runtime, serve(settings, path))
+        .map_err(step("start of the runtime", ""))?;
+    LocalSet::new().block_on(&runtime, serve(settings, settings_path))
 }
 
-/// How long a control node may take to leave: what is left of the grace is for its end.
-fn leave_within(grace: Duration) -> Duration {
-    grace.saturating_sub(LEAVE_MARGIN).max(grace / 2)
+/// How long the graceful shutdown of a control node may take; what is left of the grace period is for its end.
+fn control_shutdown_timeout(grace: Duration) -> Duration {
+    grace.saturating_sub(SHUTDOWN_MARGIN).max(grace / 2)
 }
 
-async fn serve(settings: Rc<Settings>, path: std::path::PathBuf) -> Result<(), Error> {
-    let ends = signals::listen(path)?;
+/// Serves what the settings bind until a shutdown is requested, and shuts down.
+async fn serve(settings: Rc<Settings>, settings_path: PathBuf) -> Result<(), Error> {
+    let signals = signals::listen(settings_path)?;
     let control = match settings.control_bind {
         Some(address) => Some(control::start(&settings, address).await?),
         None => None,
     };
-    let plane = match settings.ingress_bind {
-        Some(address) => Some(front::start(&settings, address, &ends).await?),
+    let data_plane = match settings.ingress_bind {
+        Some(address) => Some(ingress::start(&settings, address, &signals).await?),
         None => None,
     };
-    ends.asked().await;
+    signals.shutdown_requested().await;
     log::info!(node = settings.node_name; "event=stopping");
-    let front_stops = async {
-        if let Some(plane) = &plane {
-            front::stop(plane, settings.shutdown_grace).await;
+    let ingress_shutdown = async {
+        if let Some(data_plane) = &data_plane {
+            ingress::stop(data_plane, settings.shutdown_grace).await;
         }
     };
-    let control_leaves = async {
+    let control_shutdown = async {
         if let Some(control) = &control {
-            control.leave(leave_within(settings.shutdown_grace)).await;
+            let timeout = control_shutdown_timeout(settings.shutdown_grace);
+            control.shut_down(timeout).await;
         }
     };
-    tokio::join!(front_stops, control_leaves);
+    tokio::join!(ingress_shutdown, control_shutdown);
     if let Some(control) = control {
         control.stop().await;
     }
--- a/crates/linenthread-node/src/signals.rs
+++ b/crates/linenthread-node/src/signals.rs
@@ -1,53 +1,61 @@
-//! Signals: the end that was asked for, once for all however often it is asked, and settings to be read anew.
+//! Signals: a requested shutdown, and settings to be read again.
 
 use std::path::PathBuf;
 use std::rc::Rc;
 
+use linenthread_config::Settings;
 use tokio::signal::unix::{SignalKind, signal};
 use tokio::sync::watch;
 
-use crate::errors::{Error, step};
+use crate::error::{Error, step};
 
-/// The end that was asked for, and settings that were read anew.
+/// What signals request of the process.
 #[derive(Clone)]
-pub(crate) struct Ends {
-    end: watch::Receiver<bool>,
-    settings: watch::Receiver<Option<Rc<linenthread_config::Settings>>>,
+pub(crate) struct SignalWatch {
+    shutdown: watch::Receiver<bool>,
+    settings: watch::Receiver<Option<Rc<Settings>>>,
 }
 
-impl Ends {
-    pub(crate) async fn asked(&self) {
-        let mut end = self.end.clone();
-        let _ = end.wait_for(|asked| *asked).await;
+impl SignalWatch {
+    /// Returns once a shutdown was requested, however often.
+    pub(crate) async fn shutdown_requested(&self) {
+        let mut shutdown = self.shutdown.clone();
+        let _ = shutdown.wait_for(|requested| *requested).await;
     }
 
-    /// The settings as they were read last, each time they are read anew.
-    pub(crate) fn settings(&self) -> watch::Receiver<Option<Rc<linenthread_config::Settings>>> {
+    /// The settings as they were last read again; `None` before the first time.
+    pub(crate) fn settings(&self) -> watch::Receiver<Option<Rc<Settings>>> {
         self.settings.clone()
     }
 }
 
-pub(crate) fn listen(path: PathBuf) -> Result<Ends, Error> {
-    let of = |kind| signal(kind).map_err(step("listening for signals", ""));
-    let (mut term, mut int) = (of(SignalKind::terminate())?, of(SignalKind::interrupt())?);
-    let mut hangup = of(SignalKind::hangup())?;
-    let (end_tx, end) = watch::channel(false);
-    let (settings_tx, settings) = watch::channel(None);
+/// Begins to listen: SIGTERM and SIGINT request a shutdown, SIGHUP has the settings file read again.
+///
+/// # Errors
+///
+/// The system does not let the process listen.
+pub(crate) fn listen(settings_path: PathBuf) -> Result<SignalWatch, Error> {
+    let listen_for = |kind| signal(kind).map_err(step("listening for signals", ""));
+    let mut terminate = listen_for(SignalKind::terminate())?;
+    let mut interrupt = listen_for(SignalKind::interrupt())?;
+    let mut hangup = listen_for(SignalKind::hangup())?;
+    let (shutdown_sender, shutdown) = watch::channel(false);
+    let (settings_sender, settings) = watch::channel(None);
     tokio::task::spawn_local(async move {
         loop {
             tokio::select! {
-                _ = term.recv() => { let _ = end_tx.send(true); }
-                _ = int.recv() => { let _ = end_tx.send(true); }
-                _ = hangup.recv() => match crate::settings(&path) {
-                    Ok(read) => {
+                _ = terminate.recv() => { let _ = shutdown_sender.send(true); }
+                _ = interrupt.recv() => { let _ = shutdown_sender.send(true); }
+                _ = hangup.recv() => match crate::read_settings(&settings_path) {
+                    Ok(settings) => {
                         log::info!("event=settings_reloaded");
-                        let _ = settings_tx.send(Some(Rc::new(read)));
+                        let _ = settings_sender.send(Some(Rc::new(settings)));
                     }
                     // A bad file changes nothing.
-                    Err(e) => log::warn!(cause = e.to_string(); "event=settings_rejected"),
+                    Err(error) => log::warn!(cause = error.to_string(); "event=settings_rejected"),
                 },
             }
         }
     });
-    Ok(Ends { end, settings })
+    Ok(SignalWatch { shutdown, settings })
 }
