--- a/crates/linenthread-control/tests/nodes/cluster.rs
+++ b/crates/linenthread-control/tests/nodes/cluster.rs
@@ -357,8 +357,8 @@
         call
     }
 
-    /// Sends an order until some node acknowledges it, at most for `timeout`; the last conclusive response.
-    pub(crate) fn order_until_answered(
+    /// Sends an order until some node acknowledges it, at most for `timeout`; the response, if it is conclusive.
+    pub(crate) fn order_until_committed(
         &mut self,
         timeout: Duration,
         base: u64,
--- a/crates/linenthread-control/tests/nodes/contact.rs
+++ b/crates/linenthread-control/tests/nodes/contact.rs
@@ -329,14 +329,14 @@
 fn a_partitioned_node_rejects_and_confirms_no_order() {
     let mut cluster = Cluster::new(3, 3);
     assert_eq!(
-        cluster.order_until_answered(ms(1_000), 0, 1),
+        cluster.order_until_committed(ms(1_000), 0, 1),
         Some(Response::Committed(1))
     );
     for other in 1..3 {
         cluster.cut.extend([(0, other), (other, 0)]);
     }
     assert_eq!(
-        cluster.order_until_answered(ms(5_000), 1, 2),
+        cluster.order_until_committed(ms(5_000), 1, 2),
         Some(Response::Committed(2))
     );
     cluster.run(ms(3_000));
@@ -354,7 +354,7 @@
 }
 
 #[parameterized(out = { true }, inward = { false })]
-fn a_cut_in_one_direction_ends_contact_on_both_sides(outgoing: bool) {
+fn a_one_way_partition_ends_contact_on_both_sides(outgoing: bool) {
     let mut cluster = Cluster::new(3, 3);
     for other in 1..3 {
         cluster
@@ -372,14 +372,14 @@
 fn a_frozen_leader_leads_no_more_when_it_resumes_and_finds_the_others_again() {
     let mut cluster = Cluster::new(3, 3);
     assert_eq!(
-        cluster.order_until_answered(ms(1_000), 0, 1),
+        cluster.order_until_committed(ms(1_000), 0, 1),
         Some(Response::Committed(1))
     );
     let leader = cluster.leader().unwrap();
     cluster.nodes[leader].frozen = true;
     cluster.run(ms(100));
     assert_eq!(
-        cluster.order_until_answered(ms(6_000), 1, 2),
+        cluster.order_until_committed(ms(6_000), 1, 2),
         Some(Response::Committed(2))
     );
     cluster.run(ms(12_000));
--- a/crates/linenthread-control/tests/nodes/main.rs
+++ b/crates/linenthread-control/tests/nodes/main.rs
@@ -1,6 +1,6 @@
-//! Control nodes stepped together: contact, freezes, leaving and joining, second losses.
+//! Control nodes stepped together: contact, freezes, shutdowns and joins, second losses.
 
-mod busy;
 mod cluster;
 mod contact;
-mod leaving;
+mod orders_under_load;
+mod shutdown;
--- a/crates/linenthread-control/tests/nodes/busy.rs
+++ b/crates/linenthread-control/tests/nodes/orders_under_load.rs
@@ -13,7 +13,7 @@
 
 /// Sends orders to both of these nodes, the next ones as soon as the last are answered, until the time is over; the
 /// last revision that was committed.
-fn keep_ordering(cluster: &mut Cluster, nodes: [usize; 2], until: Instant) -> u64 {
+fn order_continuously(cluster: &mut Cluster, nodes: [usize; 2], until: Instant) -> u64 {
     let mut revision = 0;
     while cluster.now < until {
         let calls: Vec<(usize, CallId)> = nodes
@@ -42,7 +42,7 @@
     disks_of_60_ms = { 60 },
     disks_of_110_ms = { 110 },
 )]
-fn orders_without_a_pause_do_not_hold_up_a_successor(sync_ms: u64) {
+fn orders_one_after_another_do_not_delay_a_successor(sync_ms: u64) {
     let mut cluster = Cluster::new(4, 3);
     let leader = cluster.leader().expect("one leads");
     let others: Vec<usize> = (0..3).filter(|n| *n != leader).collect();
@@ -53,7 +53,7 @@
     cluster.wipe(others[1]);
     cluster.start(3);
     let until = cluster.now + SUCCESSOR_JOINS_WITHIN;
-    let committed = keep_ordering(&mut cluster, [leader, others[0]], until);
+    let committed = order_continuously(&mut cluster, [leader, others[0]], until);
     assert!(committed > 3, "orders are committed meanwhile: {committed}");
     let voters = cluster.voters(leader);
     assert!(
--- a/crates/linenthread-control/tests/nodes/leaving.rs
+++ b/crates/linenthread-control/tests/nodes/shutdown.rs
@@ -1,4 +1,4 @@
-//! Nodes that leave and join, and a second loss at each moment of it.
+//! Nodes that shut down and join, and a second loss at each moment of it.
 
 use crate::cluster::{Cluster, address, ms};
 use linenthread_control::Response;
@@ -9,23 +9,23 @@
 }
 
 #[test]
-fn with_no_standby_a_voter_leaves_as_soon_as_the_others_hold_all() {
+fn without_a_standby_a_voter_exits_as_soon_as_the_others_disks_are_complete() {
     let mut cluster = Cluster::new(3, 3);
     let leader = cluster.leader().unwrap();
     let other = (0..3).find(|n| *n != leader).unwrap();
     shut_down(&mut cluster, other);
     assert!(cluster.run_until(ms(100), |c| c.may_exit(other)));
     assert_eq!(cluster.voters(leader).len(), 3);
-    // Asked again it changes nothing.
+    // A second request changes nothing.
     shut_down(&mut cluster, other);
     assert!(cluster.may_exit(other));
 }
 
 #[test]
-fn a_voter_stays_until_the_others_disks_hold_what_it_holds() {
+fn a_voter_stays_until_the_others_disks_are_complete() {
     let mut cluster = Cluster::new(3, 3);
     let leader = cluster.leader().unwrap();
-    let (leaver, slow) = ((leader + 1) % 3, (leader + 2) % 3);
+    let (leaving, slow) = ((leader + 1) % 3, (leader + 2) % 3);
     cluster.nodes[slow].sync_time = ms(3_000);
     let call = cluster.order(leader, 0, 1);
     assert!(cluster.run_until(ms(900), |c| c.nodes[leader].responses.contains_key(&call)));
@@ -33,27 +33,27 @@
         cluster.nodes[leader].responses[&call],
         Response::Committed(1)
     );
-    shut_down(&mut cluster, leaver);
+    shut_down(&mut cluster, leaving);
     assert!(
-        !cluster.run_until(ms(1_500), |c| c.may_exit(leaver)),
+        !cluster.run_until(ms(1_500), |c| c.may_exit(leaving)),
         "only one disk would hold it"
     );
-    assert!(cluster.run_until(ms(6_000), |c| c.may_exit(leaver)));
+    assert!(cluster.run_until(ms(6_000), |c| c.may_exit(leaving)));
     // Now the leader may be lost with its disk, while the others lose power.
-    cluster.crash(leaver);
+    cluster.crash(leaving);
     cluster.wipe(leader);
     cluster.crash(slow);
     cluster.nodes[slow].sync_time = ms(2);
     cluster.start(slow);
-    cluster.start(leaver);
+    cluster.start(leaving);
     assert_eq!(
-        cluster.order_until_answered(ms(8_000), 0, 1),
+        cluster.order_until_committed(ms(8_000), 0, 1),
         Some(Response::Committed(1))
     );
 }
 
 #[test]
-fn a_leader_gives_its_vote_to_a_standby_and_its_lease_back_before_it_goes() {
+fn a_leader_is_replaced_by_a_standby_and_releases_its_lease_before_it_exits() {
     let mut cluster = Cluster::new(4, 3);
     let leader = cluster.leader().unwrap();
     cluster.nodes[3].sync_time = ms(300);
@@ -68,13 +68,13 @@
         voters.contains(&address(3)) && !voters.contains(&address(leader)) && voters.len() == 3
     );
     assert_ne!(cluster.leader(), Some(leader));
-    // It is no spare while it leaves.
+    // It is no standby while it shuts down.
     cluster.run(ms(3_000));
     assert!(cluster.voters(other).len() == 3 && cluster.leader().is_some());
 }
 
 #[test]
-fn a_leader_with_no_standby_hands_over_soon() {
+fn a_leader_without_a_standby_hands_over_soon() {
     let mut cluster = Cluster::new(3, 3);
     let leader = cluster.leader().unwrap();
     shut_down(&mut cluster, leader);
@@ -82,20 +82,20 @@
     // Much sooner than its lease of 2 s would have ended.
     assert!(cluster.run_until(ms(300), |c| c.leader().is_some_and(|n| n != leader)));
     assert_eq!(
-        cluster.order_until_answered(ms(1_000), 0, 1),
+        cluster.order_until_committed(ms(1_000), 0, 1),
         Some(Response::Committed(1))
     );
 }
 
 #[test]
-fn of_two_that_leave_at_once_the_second_waits_for_the_first_to_return() {
+fn of_two_that_shut_down_at_once_the_second_waits_for_the_first_to_return() {
     let mut cluster = Cluster::new(3, 3);
     let leader = cluster.leader().unwrap();
-    let leavers: Vec<usize> = (0..3).filter(|n| *n != leader).collect();
-    leavers.iter().for_each(|n| shut_down(&mut cluster, *n));
-    assert!(cluster.run_until(ms(500), |c| leavers.iter().any(|n| c.may_exit(*n))));
-    let first = *leavers.iter().find(|n| cluster.may_exit(**n)).unwrap();
-    let second = *leavers.iter().find(|n| **n != first).unwrap();
+    let leavings: Vec<usize> = (0..3).filter(|n| *n != leader).collect();
+    leavings.iter().for_each(|n| shut_down(&mut cluster, *n));
+    assert!(cluster.run_until(ms(500), |c| leavings.iter().any(|n| c.may_exit(*n))));
+    let first = *leavings.iter().find(|n| cluster.may_exit(**n)).unwrap();
+    let second = *leavings.iter().find(|n| **n != first).unwrap();
     cluster.crash(first);
     assert!(!cluster.run_until(ms(3_000), |c| c.may_exit(second)));
     cluster.start(first);
@@ -103,7 +103,7 @@
 }
 
 #[test]
-fn where_all_leave_all_may_go() {
+fn if_all_shut_down_all_may_exit() {
     let mut cluster = Cluster::new(3, 3);
     (0..3).for_each(|n| shut_down(&mut cluster, n));
     let begins = cluster.now;
@@ -119,21 +119,21 @@
 }
 
 #[test]
-fn a_call_at_one_that_leaves_is_sent_on() {
+fn a_call_at_a_node_that_shuts_down_is_redirected() {
     let mut cluster = Cluster::new(3, 3);
     shut_down(&mut cluster, 0);
     let call = cluster.order(0, 0, 1);
     let Response::Redirect(to) = cluster.nodes[0].responses[&call].clone() else {
-        panic!("sent on")
+        panic!("no redirect")
     };
     assert!([address(1), address(2)].contains(&to));
 }
 
 #[test]
-fn a_machine_votes_only_once_its_disk_holds_the_newest_value() {
+fn a_node_votes_only_once_its_disk_holds_the_newest_value() {
     let mut cluster = Cluster::new(4, 3);
     assert_eq!(
-        cluster.order_until_answered(ms(1_000), 0, 1),
+        cluster.order_until_committed(ms(1_000), 0, 1),
         Some(Response::Committed(1))
     );
     cluster.nodes[3].sync_time = ms(4_000);
@@ -146,8 +146,8 @@
         "it holds it in memory"
     );
     let leader = cluster.leader().unwrap();
-    let leaver = (leader + 1) % 3;
-    shut_down(&mut cluster, leaver);
+    let leaving = (leader + 1) % 3;
+    shut_down(&mut cluster, leaving);
     let joined = |c: &Cluster| c.voters(leader).contains(&address(3));
     assert!(
         !cluster.run_until(ms(1_500), joined),
@@ -158,7 +158,7 @@
 }
 
 #[test]
-fn one_more_than_enough_stands_by_until_a_place_is_free() {
+fn one_more_than_enough_stands_by_until_a_voter_is_lost() {
     let mut cluster = Cluster::new(4, 3);
     let leader = cluster.leader().unwrap();
     let lost = (leader + 1) % 3;
@@ -170,11 +170,11 @@
     assert!(cluster.voters(leader).len() == 3 && !cluster.voters(leader).contains(&address(lost)));
 }
 
-/// A voter leaves for good while its successor joins; at some moment of it, or after it, as many others as
-/// the core bears are lost with their disks and all others lose power. What was acknowledged is there, and
-/// changes are acknowledged again.
+/// A voter shuts down for good while its successor joins; at some moment of it, or after it, as many others as the
+/// voters tolerate are lost with their disks and all others lose power. What was acknowledged is there, and changes are
+/// acknowledged again.
 #[parameterized(fast = { 2, 2 }, slow_voter = { 300, 2 }, slow_joiner = { 2, 300 }, all_slow = { 100, 100 })]
-fn a_second_loss_at_any_moment_of_a_planned_replacement_costs_nothing(
+fn a_second_loss_at_any_moment_of_a_planned_replacement_loses_nothing(
     voter_sync: u64,
     joiner_sync: u64,
 ) {
@@ -192,7 +192,7 @@
 }
 
 #[parameterized(fast = { 2, 2 }, slow_voter = { 300, 2 }, slow_joiner = { 2, 300 })]
-fn of_five_two_more_losses_at_any_moment_cost_nothing(voter_sync: u64, joiner_sync: u64) {
+fn of_five_two_more_losses_at_any_moment_lose_nothing(voter_sync: u64, joiner_sync: u64) {
     for moment in (0..3_000).step_by(200) {
         for lost in [&[0, 1][..], &[0, 3], &[1, 2]] {
             planned_replacement(Plan {
@@ -216,13 +216,13 @@
 }
 
 fn planned_replacement(plan: Plan) {
-    let (leaver, joiner) = (plan.voters - 1, plan.voters);
+    let (leaving, joiner) = (plan.voters - 1, plan.voters);
     let mut cluster = Cluster::new(plan.voters + 1, plan.voters);
     cluster.nodes[1].sync_time = ms(plan.voter_sync);
     cluster.nodes[joiner].sync_time = ms(plan.joiner_sync);
     cluster.start(joiner);
     assert_eq!(
-        cluster.order_until_answered(ms(3_000), 0, 1),
+        cluster.order_until_committed(ms(3_000), 0, 1),
         Some(Response::Committed(1)),
         "{plan:?}"
     );
@@ -232,17 +232,17 @@
         "{plan:?}"
     );
     cluster.run(ms(10));
-    shut_down(&mut cluster, leaver);
+    shut_down(&mut cluster, leaving);
     let end = cluster.now + ms(plan.moment);
     while cluster.now < end {
         cluster.run(ms(5));
-        if cluster.may_exit(leaver) {
-            cluster.wipe(leaver);
+        if cluster.may_exit(leaving) {
+            cluster.wipe(leaving);
         }
     }
     lose(&mut cluster, plan.lost);
     assert_eq!(
-        cluster.order_until_answered(ms(10_000), 1, 2),
+        cluster.order_until_committed(ms(10_000), 1, 2),
         Some(Response::Committed(2)),
         "{plan:?}"
     );
@@ -263,11 +263,11 @@
 
 /// A voter is lost with its disk and a successor starts; once that has had its time, another may be lost.
 #[parameterized(at_its_address = { 2 }, elsewhere = { 3 })]
-fn a_second_loss_after_an_unplanned_replacement_costs_nothing(successor: usize) {
+fn a_second_loss_after_an_unplanned_replacement_loses_nothing(successor: usize) {
     for lost in 0..2 {
         let mut cluster = Cluster::new(4, 3);
         assert_eq!(
-            cluster.order_until_answered(ms(3_000), 0, 1),
+            cluster.order_until_committed(ms(3_000), 0, 1),
             Some(Response::Committed(1))
         );
         cluster.wipe(2);
@@ -276,7 +276,7 @@
         // Out of contact for 1.5 s, a tick, and a value with its syncs.
         cluster.run(ms(2_500));
         lose(&mut cluster, &[lost]);
-        let answer = cluster.order_until_answered(ms(10_000), 1, 2);
+        let answer = cluster.order_until_committed(ms(10_000), 1, 2);
         assert_eq!(answer, Some(Response::Committed(2)), "node {lost} lost");
     }
 }
--- /dev/null
+++ b/crates/linenthread-control/tests/replica_registry.rs
@@ -0,0 +1,110 @@
+//! The registry of replicas: heartbeats in any order, departures, time-outs and the digest, as tables of cases.
+
+use std::time::Duration;
+
+use linenthread_control::{HeartbeatOutcome, ReplicaRegistry};
+use linenthread_messages::Replica;
+use linenthread_time::Instant;
+use yare::parameterized;
+
+fn at(millis: u64) -> Instant {
+    Instant::from_millis(millis)
+}
+
+fn ms(millis: u64) -> Duration {
+    Duration::from_millis(millis)
+}
+
+fn report(id: &str, call_count: u64, address: &str) -> Replica {
+    Replica {
+        id: id.into(),
+        address: address.into(),
+        call_count,
+        ..Replica::default()
+    }
+}
+
+#[parameterized(
+    newer = { report("a", 3, "x"), HeartbeatOutcome::Refreshed, false },
+    drains = { Replica { draining: true, ..report("a", 3, "x") }, HeartbeatOutcome::Changed, false },
+    late = { Replica { draining: true, ..report("a", 1, "x") }, HeartbeatOutcome::Stale, false },
+    repeated = { report("a", 2, "x"), HeartbeatOutcome::Stale, false },
+    ended = { Replica { removed_for_good: true, ..report("a", 1, "x") }, HeartbeatOutcome::Changed, true },
+    another_at_its_address = { report("b", 1, "x"), HeartbeatOutcome::Changed, true },
+    another_with_an_older_heartbeat = { Replica { age_ms: 900, ..report("b", 1, "x") }, HeartbeatOutcome::Changed, false },
+    another_elsewhere = { report("b", 1, "y"), HeartbeatOutcome::Changed, false },
+)]
+fn heartbeats_merge_in_any_order(news: Replica, outcome: HeartbeatOutcome, a_has_ended: bool) {
+    let mut registry = ReplicaRegistry::default();
+    registry.observe(at(1_000), &report("a", 2, "x"), &mut Vec::new());
+    assert_eq!(registry.observe(at(1_500), &news, &mut Vec::new()), outcome);
+    assert_eq!(
+        registry.get("a").unwrap().replica.removed_for_good,
+        a_has_ended
+    );
+}
+
+/// The digest is cached until something that it covers changes: it is the same as if it had not been read before.
+#[parameterized(
+    newer = { report("a", 3, "x") },
+    drains = { Replica { draining: true, ..report("a", 3, "x") } },
+    moved = { report("a", 3, "z") },
+    ended = { Replica { removed_for_good: true, ..report("a", 1, "x") } },
+    another_at_its_address = { report("b", 1, "x") },
+    another_elsewhere = { report("b", 1, "y") },
+)]
+fn a_cached_digest_equals_a_computed_one(news: Replica) {
+    let (mut cached, mut computed) = (ReplicaRegistry::default(), ReplicaRegistry::default());
+    for registry in [&mut cached, &mut computed] {
+        registry.observe(at(1_000), &report("a", 2, "x"), &mut Vec::new());
+    }
+    let before = cached.digest();
+    for registry in [&mut cached, &mut computed] {
+        registry.observe(at(1_500), &news, &mut Vec::new());
+    }
+    assert_eq!(cached.digest(), computed.digest());
+    assert_eq!(
+        cached.digest() == before,
+        news.id == "a" && news.address == "x" && !news.draining && !news.removed_for_good
+    );
+    assert!(
+        cached.mark_departed(at(2_000), &news.id) != news.removed_for_good
+            && computed.mark_departed(at(2_000), &news.id) != news.removed_for_good
+    );
+    assert_eq!(cached.digest(), computed.digest());
+}
+
+#[test]
+fn an_ended_incarnation_does_not_come_back() {
+    let mut registry = ReplicaRegistry::default();
+    registry.observe(at(0), &report("a", 2, "x"), &mut Vec::new());
+    assert!(registry.mark_departed(at(10), "a") && !registry.mark_departed(at(11), "a"));
+    assert_eq!(
+        registry.observe(at(20), &report("a", 3, "x"), &mut Vec::new()),
+        HeartbeatOutcome::Stale
+    );
+    assert!(registry.get("a").unwrap().replica.removed);
+    registry.expire(at(70_000), ms(4_000));
+    assert!(registry.is_empty());
+}
+
+#[parameterized(one = { 1, 1 }, half = { 2, 2 }, most = { 3, 0 })]
+fn a_few_replicas_time_out_and_never_most(silent: usize, gone: usize) {
+    let mut registry = ReplicaRegistry::default();
+    for i in 0..4 {
+        let last_heartbeat = if i < silent { 0 } else { 5_000 };
+        registry.observe(
+            at(last_heartbeat),
+            &report(&format!("r{i}"), 1, &format!("x{i}")),
+            &mut Vec::new(),
+        );
+    }
+    assert_eq!(registry.expire(at(6_000), ms(4_000)).len(), gone);
+    if gone > 0 {
+        assert_eq!(
+            registry.observe(at(6_100), &report("r0", 2, "x0"), &mut Vec::new()),
+            HeartbeatOutcome::Changed
+        );
+        assert!(!registry.get("r0").unwrap().replica.removed);
+    }
+}
--- a/crates/linenthread-control/tests/state_log.rs
+++ b/crates/linenthread-control/tests/state_log.rs
@@ -37,14 +37,14 @@
 }
 
 #[test]
-fn what_was_written_outlasts_losses_of_power_and_compaction() {
-    let (disk, mut chance) = (Disk::default(), Rand64::new(7));
+fn written_state_outlasts_losses_of_power_and_compaction() {
+    let (disk, mut random) = (Disk::default(), Rand64::new(7));
     let mut synced = 0;
     for round in 0..300 {
         let mut opened = open(&disk);
         assert!(number(&opened) >= synced, "round {round}");
         synced = number(&opened);
-        for _ in 0..chance.rand_range(1..9) {
+        for _ in 0..random.rand_range(1..9) {
             opened
                 .log
                 .write(&[decided(synced + 1, 300)])
@@ -52,15 +52,15 @@
             synced += 1;
             assert!(opened.log.bytes() < COMPACT_ABOVE + 400);
         }
-        // The last write of this life is cut off by the loss of power.
-        disk.borrow_mut().syncs_until_failure = Some(chance.rand_range(0..3) as usize);
+        // The last write is interrupted by the loss of power.
+        disk.borrow_mut().syncs_until_failure = Some(random.rand_range(0..3) as usize);
         let _ = opened.log.write(&[decided(synced + 1, 300)]);
-        disk.borrow_mut().crash(&mut chance);
+        disk.borrow_mut().crash(&mut random);
     }
 }
 
 #[test]
-fn a_full_disk_refuses_and_all_is_written_once_there_is_room() {
+fn a_full_disk_fails_and_everything_is_written_once_there_is_space() {
     let disk = Disk::default();
     let mut opened = open(&disk);
     opened.log.write(&[decided(1, 300)]).expect("there is room");
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn a_record_longer_than_an_entry_is_read_back_whole() {
+fn a_record_longer_than_an_entry_is_read_completely() {
     let disk = Disk::default();
     let record = decided(1, 3 * linenthread_store::MAX_RECORD_BYTES);
     open(&disk)
--- a/crates/linenthread-control/tests/reconfiguration.rs
+++ b/crates/linenthread-control/tests/voters_and_shutdown.rs
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn who_comes_back_under_another_name_has_its_own_place() {
+fn a_replaced_voter_is_succeeded_by_the_node_at_its_address() {
     let mut view = view("rl+", &[7], 3);
     view.standbys.push(Voter {
         id: 8,
@@ -123,18 +123,18 @@
     of_two = { 1, "+P", false },
     of_two_that_hold = { 1, "++", true },
 )]
-fn a_machine_goes_when_the_others_hold_all(own: u64, states: &str, goes: bool) {
+fn a_node_exits_when_the_others_hold_everything(own: u64, states: &str, exits: bool) {
     assert_eq!(
         next_shutdown_step(&shutdown_view(own, states)) == ShutdownStep::Exit,
-        goes
+        exits
     );
 }
 
 #[parameterized(
-    in_doubt = { ShutdownView { undecided: true, ..shutdown_view(3, "+++") }, false },
+    undecided = { ShutdownView { undecided: true, ..shutdown_view(3, "+++") }, false },
     busy = { ShutdownView { busy: true, ..shutdown_view(3, "+++") }, false },
     a_standby_comes = { ShutdownView { standby: true, ..shutdown_view(3, "+++") }, false },
-    unanswered = { ShutdownView { unacknowledged: true, ..shutdown_view(3, "+++") }, false },
+    unacknowledged = { ShutdownView { unacknowledged: true, ..shutdown_view(3, "+++") }, false },
     voters_change = { ShutdownView { reconfiguring: true, ..shutdown_view(3, "+++") }, false },
     others_change = { ShutdownView { reconfiguring: true, ..shutdown_view(9, "+++") }, false },
     a_standby_for_others = { ShutdownView { standby: true, ..shutdown_view(9, "+++") }, true },
@@ -143,8 +143,8 @@
     five_with_two_that_go = { shutdown_view(3, "++++l"), false },
     five_with_one_that_went = { shutdown_view(3, "++++d"), false },
 )]
-fn what_else_it_waits_for(view: ShutdownView, goes: bool) {
-    assert_eq!(next_shutdown_step(&view) == ShutdownStep::Exit, goes);
+fn what_else_a_shutdown_waits_for(view: ShutdownView, exits: bool) {
+    assert_eq!(next_shutdown_step(&view) == ShutdownStep::Exit, exits);
 }
 
 #[test]
--- /dev/null
+++ b/crates/linenthread-node/tests/fault_scenarios.rs
@@ -0,0 +1,78 @@
+//! The worst faults that users have met with systems of this kind, on real processes: a few rounds each. What each
+//! scenario does and checks is in `linenthread-demo`; `linenthread-demo rounds` runs them for longer.
+
+use std::path::Path;
+
+use linenthread_demo::rounds::{Scale, Scenario};
+use oorandom::Rand64;
+
+/// Runs a scenario once and reports every rule that did not hold.
+fn holds(scenario: Scenario, seed: u64) {
+    let program = Path::new(env!("CARGO_BIN_EXE_linenthread-node"));
+    let mut random = Rand64::new(u128::from(seed));
+    let found = scenario
+        .play(program, &Scale::BRIEF, &mut random)
+        .expect("a cluster");
+    let breaches: Vec<String> = found.breaches.iter().map(ToString::to_string).collect();
+    assert!(
+        breaches.is_empty(),
+        "{}\n{}",
+        breaches.join("\n"),
+        found.notes.join("\n")
+    );
+    assert!(found.checks > 0);
+}
+
+/// Point 1: a control node that was frozen sends no old configuration and decides no order by old state.
+#[test]
+fn a_node_frozen_past_every_lease_answers_nothing_from_old_state() {
+    holds(Scenario::FrozenNode, 1);
+}
+
+/// Point 1: a control node without a majority confirms and rejects nothing, and traffic continues.
+#[test]
+fn a_node_without_quorum_confirms_nothing_and_traffic_continues() {
+    holds(Scenario::Minority, 2);
+}
+
+/// Point 2: of two orders of one revision one is committed and the other rejected, by every node, also after restarts.
+#[test]
+fn of_two_orders_of_one_revision_one_is_committed() {
+    holds(Scenario::TwoOperators, 3);
+}
+
+/// Point 2: an order that is sent again after a lost response, a hundred orders later, is not rejected.
+#[test]
+fn an_order_that_is_sent_again_after_many_others_is_not_rejected() {
+    holds(Scenario::LateRepeat, 4);
+}
+
+/// Point 3: a second loss right after a planned replacement leaves a majority, and nothing is lost.
+#[test]
+fn a_loss_right_after_a_replacement_loses_nothing() {
+    holds(Scenario::LossAfterReplacement, 5);
+}
+
+/// Point 3: a second loss at any moment of a planned replacement loses nothing either.
+#[test]
+fn a_loss_during_a_replacement_loses_nothing() {
+    holds(Scenario::LossDuringReplacement, 6);
+}
+
+/// Point 3: a node that shuts down for a restart never holds the only copy.
+#[test]
+fn a_rolling_restart_loses_and_rejects_no_order() {
+    holds(Scenario::RollingRestart, 7);
+}
+
+/// Point 4: a node that missed hundreds of changes catches up and never serves old state.
+#[test]
+fn a_node_that_missed_hundreds_of_changes_catches_up() {
+    holds(Scenario::CatchUp, 8);
+}
+
+/// Point 5: no response goes to the wrong client, and what must not be repeated runs at most once.
+#[test]
+fn invalid_responses_of_replicas_reach_no_client() {
+    holds(Scenario::WrongAnswers, 9);
+}
--- a/crates/linenthread-node/tests/system.rs
+++ b/crates/linenthread-node/tests/system.rs
@@ -1,5 +1,5 @@
-//! The system as processes on loopback: what only real sockets, signals and disks can show. Waits are for
-//! lines that the processes write, each with a bound.
+//! The system as processes on loopback: what only real sockets, signals and disks can show. Each wait is for a line in
+//! the log of a process, with a time-out.
 
 use std::collections::BTreeSet;
 use std::io::{Read, Write};
@@ -9,14 +9,19 @@
 
 use linenthread_demo::{Cluster, records};
 
-const SOON: Duration = Duration::from_secs(20);
+/// How long a process may take to log what is waited for.
+const LOG_TIMEOUT: Duration = Duration::from_secs(20);
 const SERVICES: [&str; 3] = ["s1", "s2", "s3"];
 
 fn cluster(controls: usize, fronts: usize) -> Cluster {
     let mut cluster = Cluster::new(Path::new(env!("CARGO_BIN_EXE_linenthread-node"))).unwrap();
     cluster.start(controls, fronts).unwrap();
     for n in 1..=controls {
-        assert!(cluster.wait_for(&format!("control-{n}"), &["event=control_listening"], SOON));
+        assert!(cluster.wait_for(
+            &format!("control-{n}"),
+            &["event=control_listening"],
+            LOG_TIMEOUT
+        ));
     }
     for service in SERVICES {
         cluster.serve(service, 2).unwrap();
@@ -26,23 +31,23 @@
         assert!(cluster.wait_for(
             &format!("front-{n}"),
             &["event=configuration_applied", "revision=1"],
-            SOON
+            LOG_TIMEOUT
         ));
         assert!(cluster.wait_for(
             &format!("front-{n}"),
             &["event=configuration_confirmed"],
-            SOON
+            LOG_TIMEOUT
         ));
         assert!(cluster.wait_for(
             &format!("front-{n}"),
             &["event=replicas_updated", "available=6"],
-            SOON
+            LOG_TIMEOUT
         ));
     }
     cluster
 }
 
-/// The five greatest of all records that the services have.
+/// The five greatest of all records of the services.
 fn expected(path: &str) -> Vec<u8> {
     let all: Vec<u8> = SERVICES.iter().flat_map(|s| records(s, path)).collect();
     let mut records: Vec<&[u8]> = all.chunks(16).collect();
@@ -55,8 +60,8 @@
         .collect()
 }
 
-/// Asks until a whole answer comes, a bounded number of times.
-fn whole(
+/// Sends a request until a complete response arrives, a bounded number of times.
+fn complete_response(
     cluster: &Cluster,
     front: &str,
     path: &str,
@@ -69,9 +74,10 @@
 }
 
 #[test]
-fn a_lookup_is_merged_and_every_part_ran_where_it_was_meant_to() {
+fn a_query_is_merged_and_every_sub_request_ran_where_it_was_sent() {
     let cluster = cluster(3, 1);
-    let reply = whole(&cluster, "front-1", "/all/x?y=1", "a").expect("a whole answer");
+    let reply =
+        complete_response(&cluster, "front-1", "/all/x?y=1", "a").expect("a complete response");
     assert_eq!(reply.body, expected("/all/x?y=1"));
     let attempt = reply.head.header("x-attempt-id").unwrap().to_owned();
     let seals = reply.head.header("x-part-seals").unwrap();
@@ -95,16 +101,17 @@
 }
 
 #[test]
-fn a_replica_that_crashed_costs_no_answer() {
+fn a_crashed_replica_costs_no_response() {
     let mut cluster = cluster(3, 1);
-    whole(&cluster, "front-1", "/all/x", "a").expect("a whole answer");
+    complete_response(&cluster, "front-1", "/all/x", "a").expect("a complete response");
     cluster.replicas[0].crash();
-    let reply = whole(&cluster, "front-1", "/all/y", "b").expect("a whole answer from the others");
+    let reply = complete_response(&cluster, "front-1", "/all/y", "b")
+        .expect("a complete response from the others");
     assert_eq!(reply.body, expected("/all/y"));
 }
 
 #[test]
-fn a_control_node_that_lost_its_disk_is_counted_under_its_new_name_and_nothing_is_lost() {
+fn a_control_node_that_lost_its_disk_votes_under_its_new_id_and_nothing_is_lost() {
     let mut cluster = cluster(3, 1);
     cluster.kill("control-1");
     cluster.wipe("control-1").unwrap();
@@ -114,37 +121,37 @@
     assert!(cluster.wait_for(
         "control-1",
         &["event=control_started", "empty=true", "first=false"],
-        SOON
+        LOG_TIMEOUT
     ));
-    // The swap is a value of its own, which the empty one learns.
+    // The replacement of the voter is a value of its own, which the new node learns.
     assert!(cluster.wait_for(
         "control-1",
         &["event=value_decided", "number=3", "revision=4"],
-        SOON
+        LOG_TIMEOUT
     ));
-    // Now another may go: the one that came back and the third are more than half.
+    // Now another may be lost: the new node and the third are a majority.
     cluster.kill("control-2");
     assert_eq!(cluster.configure(4, 9, &SERVICES).unwrap().status, 200);
     assert!(cluster.wait_for(
         "front-1",
         &["event=configuration_applied", "revision=9"],
-        SOON
+        LOG_TIMEOUT
     ));
 }
 
 #[test]
-fn all_control_nodes_at_once_come_back_with_what_was_acknowledged() {
+fn control_nodes_that_restart_at_once_have_what_was_acknowledged() {
     let mut cluster = cluster(3, 1);
     for node in ["control-1", "control-2", "control-3"] {
         cluster.kill(node);
     }
-    // The front goes on with what it has.
-    assert!(whole(&cluster, "front-1", "/all/z", "a").is_some());
+    // The ingress node goes on with what it has.
+    assert!(complete_response(&cluster, "front-1", "/all/z", "a").is_some());
     for node in ["control-1", "control-2", "control-3"] {
         cluster.run(node).unwrap();
     }
     for node in ["control-1", "control-2", "control-3"] {
-        assert!(cluster.wait_for(node, &["event=control_listening"], SOON));
+        assert!(cluster.wait_for(node, &["event=control_listening"], LOG_TIMEOUT));
     }
     let client = linenthread_ctl::Client {
         addresses: cluster.control(),
@@ -156,15 +163,15 @@
             .ok()
             .filter(|r| r.status == 200)
     });
-    let read: serde_json::Value = serde_json::from_slice(&read.expect("an answer").body).unwrap();
+    let read: serde_json::Value = serde_json::from_slice(&read.expect("a response").body).unwrap();
     assert_eq!(read["revision"], 1);
     assert_eq!(cluster.configure(0, 5, &SERVICES).unwrap().status, 412);
 }
 
 #[test]
-fn a_front_that_is_to_end_answers_what_it_has_read_and_ends_well() {
+fn an_ingress_node_that_shuts_down_answers_what_it_has_read_and_exits_cleanly() {
     let mut cluster = cluster(1, 1);
-    whole(&cluster, "front-1", "/all/x", "a").expect("a whole answer");
+    complete_response(&cluster, "front-1", "/all/x", "a").expect("a complete response");
     let ingress = cluster.ingress("front-1").unwrap();
     let mut open = TcpStream::connect(ingress).unwrap();
     let mut idle = TcpStream::connect(ingress).unwrap();
@@ -173,31 +180,31 @@
             "GET /s1/x HTTP/1.1\r\nHost: index.example\r\nX-Attempt-Id: {a}\r\nX-Remaining-Ms: 3000\r\n\r\n"
         )
     };
-    // Half a request is read when the end is asked for; the rest comes after.
+    // Half a request is read when the shutdown is requested; the rest arrives after that.
     let text = request("half");
     open.write_all(&text.as_bytes()[..20]).unwrap();
-    let ending = std::thread::spawn(move || {
-        let well = cluster.end("front-1");
-        (cluster, well)
+    let shutdown = std::thread::spawn(move || {
+        let exited_cleanly = cluster.end("front-1");
+        (cluster, exited_cleanly)
     });
     open.write_all(&text.as_bytes()[20..]).unwrap();
-    let mut answer = Vec::new();
-    open.read_to_end(&mut answer).unwrap();
-    let answer = String::from_utf8_lossy(&answer).into_owned();
+    let mut response = Vec::new();
+    open.read_to_end(&mut response).unwrap();
+    let response = String::from_utf8_lossy(&response).into_owned();
     assert!(
-        answer.starts_with("HTTP/1.1 200") && answer.contains("s1.i-s1-"),
-        "{answer}"
+        response.starts_with("HTTP/1.1 200") && response.contains("s1.i-s1-"),
+        "{response}"
     );
     let mut rest = Vec::new();
     idle.read_to_end(&mut rest).unwrap();
     assert!(rest.is_empty());
-    assert!(ending.join().unwrap().1);
+    assert!(shutdown.join().unwrap().1);
 }
 
 #[test]
-fn bad_input_is_refused_and_harms_nobody() {
+fn invalid_input_is_rejected_and_harms_nothing() {
     let mut cluster = cluster(1, 1);
-    whole(&cluster, "front-1", "/all/x", "a").expect("a whole answer");
+    complete_response(&cluster, "front-1", "/all/x", "a").expect("a complete response");
     let host = "Host: index.example\r\nX-Remaining-Ms: 900\r\n";
     let front = [
         ("\0\0\0\r\n\r\n".to_owned(), "400"),
@@ -234,7 +241,7 @@
             "404",
         ),
     ];
-    let beat = |body: &str| {
+    let heartbeat = |body: &str| {
         format!(
             "POST /Replicas.Heartbeat/i-9 HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\
              Content-Length: {}\r\n\r\n{body}",
@@ -243,15 +250,15 @@
     };
     let control = [
         ("\x16\x03\x01\r\n\r\n".to_owned(), "400"),
-        (beat("{}"), "400"),
+        (heartbeat("{}"), "400"),
         (
-            beat(
+            heartbeat(
                 r#"{"backend":"s","address":"here","zone":"z","phase":"available","call_count":1}"#,
             ),
             "400",
         ),
         (
-            beat(
+            heartbeat(
                 r#"{"backend":"s","address":"1.2.3.4:5","zone":"z","phase":"asleep","call_count":1}"#,
             ),
             "400",
@@ -270,16 +277,16 @@
         for (sent, status) in cases {
             let mut stream = TcpStream::connect(peer).unwrap();
             stream.write_all(sent.as_bytes()).unwrap();
-            let mut answer = Vec::new();
-            let _ = stream.read_to_end(&mut answer);
-            let answer = String::from_utf8_lossy(&answer).into_owned();
+            let mut response = Vec::new();
+            let _ = stream.read_to_end(&mut response);
+            let response = String::from_utf8_lossy(&response).into_owned();
             assert!(
-                answer.starts_with(&format!("HTTP/1.1 {status} ")),
-                "{sent:?}: {answer:?}"
+                response.starts_with(&format!("HTTP/1.1 {status} ")),
+                "{sent:?}: {response:?}"
             );
         }
     }
-    // Frames that are none end their connection.
+    // What is no frame ends its connection.
     let peers = std::net::SocketAddr::new(calls.ip(), 17_120);
     for bytes in [
         &b"GET / HTTP/1.1\r\n\r\n"[..],
@@ -291,15 +298,19 @@
         let mut rest = Vec::new();
         let _ = stream.read_to_end(&mut rest);
     }
-    assert!(cluster.wait_for("front-1", &["event=input_rejected", "peer="], SOON));
+    assert!(cluster.wait_for("front-1", &["event=input_rejected", "peer="], LOG_TIMEOUT));
     assert!(cluster.wait_for(
         "control-1",
         &["event=input_rejected", "taking a call"],
-        SOON
+        LOG_TIMEOUT
+    ));
+    assert!(cluster.wait_for(
+        "control-1",
+        &["event=connection_closed", "frame"],
+        LOG_TIMEOUT
     ));
-    assert!(cluster.wait_for("control-1", &["event=connection_closed", "frame"], SOON));
     assert!(cluster.runs("front-1") && cluster.runs("control-1"));
-    assert!(whole(&cluster, "front-1", "/all/after", "z").is_some());
+    assert!(complete_response(&cluster, "front-1", "/all/after", "z").is_some());
     // Nothing of it ran anywhere.
     assert!(
         cluster
--- a/crates/linenthread-store/tests/crashes.rs
+++ b/crates/linenthread-store/tests/crashes.rs
@@ -1,4 +1,4 @@
-//! The log through crashes at any moment, full and failing disks and damage, judged by what was promised.
+//! The log through crashes at any moment, full and failing disks and damage, judged by what was synced.
 
 use linenthread_store::{
     Directory, DirectoryError, Files, Log, LogError, MAX_RECORD_BYTES, SimulatedDisk,
@@ -17,34 +17,35 @@
         .collect()
 }
 
-/// One life after the other over one disk: each begins with what was promised and a beginning of the rest.
-fn lives(seed: u64) {
-    let mut chance = Rand64::new(u128::from(seed));
+/// One incarnation after another over one disk: each begins with what was synced and a prefix of the rest.
+fn run_incarnations(seed: u64) {
+    let mut random = Rand64::new(u128::from(seed));
     let mut disk = SimulatedDisk::default();
     // What the log held when it was last synced, and all that was added since.
-    let (mut promised, mut added, mut number) = (Vec::<Vec<u8>>::new(), Vec::<Vec<u8>>::new(), 0);
-    for life in 0..6 {
-        let opened = Log::open(disk).unwrap_or_else(|e| panic!("seed {seed}, life {life}: {e}"));
+    let (mut synced, mut added, mut number) = (Vec::<Vec<u8>>::new(), Vec::<Vec<u8>>::new(), 0);
+    for incarnation in 0..6 {
+        let opened = Log::open(disk)
+            .unwrap_or_else(|e| panic!("seed {seed}, incarnation {incarnation}: {e}"));
         let (mut log, records) = (opened.log, opened.records);
-        let whole: Vec<_> = promised.iter().chain(&added).cloned().collect();
+        let whole: Vec<_> = synced.iter().chain(&added).cloned().collect();
         assert!(
-            records.len() >= promised.len(),
-            "seed {seed}, life {life}: promised ones are lost"
+            records.len() >= synced.len(),
+            "seed {seed}, incarnation {incarnation}: synced records are lost"
         );
         assert!(
             whole.starts_with(&records),
-            "seed {seed}, life {life}: what is there was never added so"
+            "seed {seed}, incarnation {incarnation}: what is there was never added so"
         );
-        (promised, added) = (records, Vec::new());
-        if chance.rand_range(0..4) == 0 {
-            log.files().syncs_until_failure = Some(chance.rand_range(0..4) as usize);
+        (synced, added) = (records, Vec::new());
+        if random.rand_range(0..4) == 0 {
+            log.files().syncs_until_failure = Some(random.rand_range(0..4) as usize);
         }
-        if chance.rand_range(0..4) == 0 {
-            let room = log.bytes() as usize + chance.rand_range(0..600) as usize;
+        if random.rand_range(0..4) == 0 {
+            let room = log.bytes() as usize + random.rand_range(0..600) as usize;
             log.files().capacity = Some(room);
         }
-        for _ in 0..chance.rand_range(0..25) {
-            let done = match chance.rand_range(0..8) {
+        for _ in 0..random.rand_range(0..25) {
+            let done = match random.rand_range(0..8) {
                 0..5 => {
                     number += 1;
                     let done = log.append(&content(number));
@@ -54,27 +55,27 @@
                 5..7 => {
                     let done = log.sync();
                     if done.is_ok() {
-                        promised.append(&mut added);
+                        synced.append(&mut added);
                     }
                     done
                 }
                 _ => {
-                    let rest: Vec<_> = promised.iter().chain(&added).skip(3).cloned().collect();
+                    let rest: Vec<_> = synced.iter().chain(&added).skip(3).cloned().collect();
                     match log.rewrite(&rest) {
                         Ok(()) => {
-                            (promised, added) = (rest, Vec::new());
+                            (synced, added) = (rest, Vec::new());
                             Ok(())
                         }
-                        // It may have been done or not: the next life's records are one of the two.
+                        // It may have been done or not: the next incarnation's records are one of the two.
                         Err(_) => {
                             disk = log.into_files();
-                            disk.crash(&mut chance);
+                            disk.crash(&mut random);
                             let records = Log::open(disk.clone()).unwrap().records;
                             assert!(
-                                records == rest || records == promised,
-                                "seed {seed}, life {life}"
+                                records == rest || records == synced,
+                                "seed {seed}, incarnation {incarnation}"
                             );
-                            (promised, added) = (records, Vec::new());
+                            (synced, added) = (records, Vec::new());
                             log = Log::open(disk).unwrap().log;
                             Ok(())
                         }
@@ -92,22 +93,22 @@
             }
         }
         disk = log.into_files();
-        disk.crash(&mut chance);
+        disk.crash(&mut random);
     }
 }
 
 #[test]
 fn what_was_synced_is_there_after_any_crash() {
-    (0..3_000).for_each(lives);
+    (0..3_000).for_each(run_incarnations);
 }
 
-/// A bit turned in what was synced is named by its file, unless it lies in the last sync's records, which
-/// nothing behind them vouches for; then they are cut off, and that is said.
+/// A bit flipped in what was synced is reported with its file, unless it lies in the records of the last sync, which
+/// no later record proves to have been synced; then they are truncated, and that is reported.
 #[test]
-fn damage_is_named_and_never_passed_over() {
-    let (mut named, mut cut) = (0, 0);
+fn damage_is_reported_and_never_skipped() {
+    let (mut reported, mut truncated) = (0, 0);
     for seed in 0..500 {
-        let mut chance = Rand64::new(seed);
+        let mut random = Rand64::new(seed);
         let mut log = Log::open(SimulatedDisk::default()).unwrap().log;
         let records: Vec<_> = (0..12).map(content).collect();
         for data in &records {
@@ -116,7 +117,7 @@
         }
         let last = log.bytes() - (25 + records[11].len()) as u64;
         let mut disk = log.into_files();
-        let (file, at) = disk.flip_bit(&mut chance).unwrap();
+        let (file, at) = disk.flip_bit(&mut random).unwrap();
         match Log::open(disk) {
             Err(LogError::Damaged {
                 file: said,
@@ -127,30 +128,33 @@
                     said == file && from <= at as u64,
                     "seed {seed}: {from} for {at}"
                 );
-                named += 1;
+                reported += 1;
             }
             Err(other) => panic!("seed {seed}: {other}"),
             Ok(opened) => {
                 assert!(
                     at as u64 >= last && opened.torn_tail.is_some(),
-                    "seed {seed}: damage at {at} passed over"
+                    "seed {seed}: damage at {at} skipped"
                 );
                 assert_eq!(opened.records, records[..11]);
-                cut += 1;
+                truncated += 1;
             }
         }
     }
-    assert!(named > 400 && cut > 5, "{named} named, {cut} cut");
+    assert!(
+        reported > 400 && truncated > 5,
+        "{reported} reported, {truncated} truncated"
+    );
 }
 
 #[test]
-fn a_folder_is_held_by_one_and_its_log_survives() {
-    let folder = std::env::temp_dir().join(format!("linenthread-store-{}", std::process::id()));
-    std::fs::remove_dir_all(&folder).ok();
-    let mut log = Log::open(Directory::open(&folder).unwrap()).unwrap().log;
-    let said = Directory::open(&folder).unwrap_err();
+fn a_directory_is_locked_by_one_and_its_log_survives() {
+    let path = std::env::temp_dir().join(format!("linenthread-store-{}", std::process::id()));
+    std::fs::remove_dir_all(&path).ok();
+    let mut log = Log::open(Directory::open(&path).unwrap()).unwrap().log;
+    let said = Directory::open(&path).unwrap_err();
     assert!(
-        matches!(&said, DirectoryError::Locked { path } if *path == folder)
+        matches!(&said, DirectoryError::Locked { path: locked } if *locked == path)
             && said.to_string().contains("another process has this folder"),
         "{said}"
     );
@@ -162,7 +166,7 @@
     ));
     log.append(b"never synced").unwrap();
     drop(log);
-    let opened = Log::open(Directory::open(&folder).unwrap()).unwrap();
+    let opened = Log::open(Directory::open(&path).unwrap()).unwrap();
     assert_eq!(
         (opened.records, opened.torn_tail),
         (vec![b"one".to_vec()], None)
@@ -175,7 +179,7 @@
     let name = files.list().unwrap().remove(0);
     files.append(&name, &[0, 0, 0, 9, 1, 2]).unwrap();
     drop(files);
-    let opened = Log::open(Directory::open(&folder).unwrap()).unwrap();
+    let opened = Log::open(Directory::open(&path).unwrap()).unwrap();
     assert_eq!(opened.records, [b"two".to_vec(), b"three".to_vec()]);
     assert_eq!(opened.torn_tail.unwrap().bytes, 6);
     // A file of a later version is refused as that, whatever else stands in it.
@@ -191,15 +195,15 @@
         said.to_string(),
         "00000000000000ff.log is of version 7, this program reads 1"
     );
-    std::fs::remove_dir_all(&folder).unwrap();
+    std::fs::remove_dir_all(&path).unwrap();
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 200, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Whatever lies in the folder, opening ends with a log or with one plain error.
+    /// Whatever lies in the directory, opening ends with a log or with one plain error.
     #[test]
-    fn any_bytes_are_read_or_refused(bytes in proptest::collection::vec(any::<u8>(), 0..400), good in any::<bool>()) {
+    fn any_bytes_are_read_or_rejected(bytes in proptest::collection::vec(any::<u8>(), 0..400), good in any::<bool>()) {
         let mut disk = SimulatedDisk::default();
         let mut log = Log::open(SimulatedDisk::default()).unwrap().log;
         log.append(b"good").unwrap();
