--- a/crates/linenthread-control/src/replica_registry.rs
+++ b/crates/linenthread-control/src/replica_registry.rs
@@ -20,10 +20,10 @@
     pub address: String,
     /// The failure domain that it runs in.
     pub zone: String,
-    /// The version of the backend that it runs.
+    /// The revision of its software.
     #[serde(default)]
     pub revision: String,
-    /// How many requests it can work on at once; 0 if it does not say.
+    /// How many requests it processes at once; 0 if it does not say.
     #[serde(default)]
     pub capacity: u32,
     /// Whether it takes requests.
--- a/crates/linenthread-control/tests/nodes/contact.rs
+++ b/crates/linenthread-control/tests/nodes/contact.rs
@@ -125,6 +125,22 @@
     effects.iter().filter_map(response).collect()
 }
 
+/// The reply of a peer that knows nothing newer to the read request among these effects.
+fn read_reply(effects: &[Effect]) -> PeerMessage {
+    let read_id = effects.iter().find_map(|effect| match effect {
+        Effect::Send {
+            message: PeerMessage::ReadRequest(request),
+            ..
+        } => Some(request.read_id),
+        _ => None,
+    });
+    PeerMessage::ReadReply(ReadReply {
+        read_id: read_id.expect("a read request was sent"),
+        decided: 0,
+        pending: false,
+    })
+}
+
 /// The most that an ingress node was sent.
 #[derive(Debug, PartialEq)]
 enum Sent {
@@ -256,19 +272,8 @@
     let mut control = node_with_quorum(0);
     let mut effects = Vec::new();
     control.read_configuration(at(10), CallId(1), &mut effects);
-    let read_id = effects.iter().find_map(|e| match e {
-        Effect::Send {
-            message: PeerMessage::ReadRequest(request),
-            ..
-        } => Some(request.read_id),
-        _ => None,
-    });
-    let reply = ReadReply {
-        read_id: read_id.unwrap(),
-        decided: 0,
-        pending: false,
-    };
-    let effects = receive(&mut control, 20_000, PEER, PeerMessage::ReadReply(reply));
+    let reply = read_reply(&effects);
+    let effects = receive(&mut control, 20_000, PEER, reply);
     assert!(matches!(
         responses(&effects)[..],
         [Response::Unavailable(_)]
@@ -280,19 +285,8 @@
     let mut control = node_with_quorum(0);
     let effects = receive(&mut control, 0, INGRESS_NODE, ingress_hello());
     assert_eq!(sent(&effects), Sent::Replicas);
-    let read_id = effects.iter().find_map(|e| match e {
-        Effect::Send {
-            message: PeerMessage::ReadRequest(request),
-            ..
-        } => Some(request.read_id),
-        _ => None,
-    });
-    let reply = ReadReply {
-        read_id: read_id.unwrap(),
-        decided: 0,
-        pending: false,
-    };
-    let effects = receive(&mut control, 5, PEER, PeerMessage::ReadReply(reply));
+    let reply = read_reply(&effects);
+    let effects = receive(&mut control, 5, PEER, reply);
     assert_eq!(sent(&effects), Sent::Configuration);
 }
 
--- a/crates/linenthread-control/tests/single_node.rs
+++ b/crates/linenthread-control/tests/single_node.rs
@@ -103,6 +103,18 @@
     serde_json::from_str(&text).unwrap()
 }
 
+/// A replica says at 0 that it drains.
+fn drain(control: &mut ControlNode, effects: &mut Vec<Effect>) {
+    let heartbeat = replica_heartbeat("draining", 1);
+    control.on_replica_heartbeat(at(0), CallId(1), "i", heartbeat, effects);
+}
+
+/// The peer of a session acknowledges the first update.
+fn acknowledge(control: &mut ControlNode, now: u64, session: u64, effects: &mut Vec<Effect>) {
+    let ack = PeerMessage::UpdateAck(UpdateAck { update_id: 1 });
+    control.on_message(at(now), SessionId(session), ack, effects);
+}
+
 fn responses(effects: &[Effect]) -> Vec<&Response> {
     effects
         .iter()
@@ -149,23 +161,12 @@
 fn a_drain_is_acknowledged_when_a_majority_knows() {
     let (mut control, mut effects) = (node(), Vec::new());
     connect(&mut control, 0, 1, 2, VERSION);
-    control.on_replica_heartbeat(
-        at(0),
-        CallId(1),
-        "i",
-        replica_heartbeat("draining", 1),
-        &mut effects,
-    );
+    drain(&mut control, &mut effects);
     assert!(responses(&effects).is_empty());
-    let asks = |effect: &Effect| matches!(effect, Effect::Send { message: PeerMessage::ControlUpdate(g), .. } if g.update_id == 1);
-    assert!(effects.iter().any(asks));
+    let asks_for_ack = |effect: &Effect| matches!(effect, Effect::Send { message: PeerMessage::ControlUpdate(update), .. } if update.update_id == 1);
+    assert!(effects.iter().any(asks_for_ack));
     effects.clear();
-    control.on_message(
-        at(10),
-        SessionId(1),
-        PeerMessage::UpdateAck(UpdateAck { update_id: 1 }),
-        &mut effects,
-    );
+    acknowledge(&mut control, 10, 1, &mut effects);
     assert_eq!(responses(&effects), [&Response::Acknowledged(None)]);
 }
 
@@ -173,20 +174,9 @@
 fn a_drain_that_no_other_node_knows_is_not_acknowledged() {
     let (mut control, mut effects) = (node(), Vec::new());
     connect(&mut control, 0, 1, 2, VERSION);
-    control.on_replica_heartbeat(
-        at(0),
-        CallId(1),
-        "i",
-        replica_heartbeat("draining", 1),
-        &mut effects,
-    );
+    drain(&mut control, &mut effects);
     control.on_session_closed(at(5), SessionId(1), &mut effects);
-    control.on_message(
-        at(10),
-        SessionId(1),
-        PeerMessage::UpdateAck(UpdateAck { update_id: 1 }),
-        &mut effects,
-    );
+    acknowledge(&mut control, 10, 1, &mut effects);
     assert!(responses(&effects).is_empty());
     control.tick(at(1_000), &mut effects);
     assert!(matches!(
@@ -201,33 +191,12 @@
     for n in 2..=4 {
         connect(&mut control, 0, n as u64, n, VERSION);
     }
-    control.on_replica_heartbeat(
-        at(0),
-        CallId(1),
-        "i",
-        replica_heartbeat("draining", 1),
-        &mut effects,
-    );
-    control.on_message(
-        at(10),
-        SessionId(2),
-        PeerMessage::UpdateAck(UpdateAck { update_id: 1 }),
-        &mut effects,
-    );
+    drain(&mut control, &mut effects);
+    acknowledge(&mut control, 10, 2, &mut effects);
     control.on_session_closed(at(20), SessionId(2), &mut effects);
-    control.on_message(
-        at(30),
-        SessionId(3),
-        PeerMessage::UpdateAck(UpdateAck { update_id: 1 }),
-        &mut effects,
-    );
+    acknowledge(&mut control, 30, 3, &mut effects);
     assert!(responses(&effects).is_empty());
-    control.on_message(
-        at(40),
-        SessionId(4),
-        PeerMessage::UpdateAck(UpdateAck { update_id: 1 }),
-        &mut effects,
-    );
+    acknowledge(&mut control, 40, 4, &mut effects);
     assert_eq!(responses(&effects), [&Response::Acknowledged(None)]);
 }
 
--- /dev/null
+++ b/crates/linenthread-control/tests/texts.rs
@@ -0,0 +1,46 @@
+//! Texts that operators and their tools read: log lines of events, and reasons in responses and in the log.
+
+use std::time::Duration;
+
+use linenthread_control::graceful_shutdown::ShutdownBlocker;
+use linenthread_control::{ControlEvent, UnavailableReason};
+use yare::parameterized;
+
+#[parameterized(
+    value_decided = { ControlEvent::ValueDecided { number: 3, revision: 7, voters: 5 }, "event=value_decided number=3 revision=7 voters=5" },
+    session_opened = { ControlEvent::SessionOpened { peer: "front-1".into(), zone: "z0".into(), is_control_node: false }, "event=session_opened peer=front-1 zone=z0 control_node=false" },
+    session_closed = { ControlEvent::SessionClosed { peer: "control-1".into(), is_control_node: true }, "event=session_closed peer=control-1 control_node=true" },
+    replica_timed_out = { ControlEvent::ReplicaTimedOut { id: "i-1".into() }, "event=replica_timed_out ident=i-1" },
+    resumed = { ControlEvent::ResumedAfterPause { paused: Duration::from_millis(1_601) }, "event=resumed_after_pause paused_ms=1601" },
+    quorum_lost = { ControlEvent::QuorumLost, "event=quorum_lost" },
+    lease_acquired = { ControlEvent::LeaseAcquired { epoch: 4 }, "event=lease_acquired epoch=4" },
+    lease_released = { ControlEvent::LeaseReleased { epoch: 4 }, "event=lease_released epoch=4" },
+    voters_changed = { ControlEvent::VotersChanged { based_on: 2, voters: vec!["10.0.0.1:80".into(), "10.0.0.2:80".into()] }, "event=voters_changed on=2 voters=10.0.0.1:80,10.0.0.2:80" },
+    shutdown_requested = { ControlEvent::ShutdownRequested, "event=shutdown_requested" },
+)]
+fn events_are_logged_as_key_value_pairs(event: ControlEvent, line: &str) {
+    assert_eq!(event.to_string(), line);
+}
+
+#[parameterized(
+    no_quorum = { UnavailableReason::NoQuorum, "no contact with more than half of the voters" },
+    quorum_timed_out = { UnavailableReason::QuorumTimedOut, "no word of more than half of the voters" },
+    not_replicated = { UnavailableReason::NotReplicated, "too few others know of it" },
+    shutting_down = { UnavailableReason::ShuttingDown, "about to end" },
+)]
+fn callers_receive_the_reason(reason: UnavailableReason, text: &str) {
+    assert_eq!(reason.to_string(), text);
+}
+
+#[parameterized(
+    undecided = { ShutdownBlocker::UndecidedValue, "a value is in doubt" },
+    calls = { ShutdownBlocker::PendingCalls, "calls wait for their answers" },
+    unacknowledged = { ShutdownBlocker::Unacknowledged, "not all others know that it leaves" },
+    reconfiguration = { ShutdownBlocker::Reconfiguration, "the voters are being changed" },
+    own_vote = { ShutdownBlocker::OwnVote, "its vote is to be taken off" },
+    copies = { ShutdownBlocker::TooFewCopies, "too few others hold the newest value" },
+    lease = { ShutdownBlocker::LeaderLease, "the leader lease is to be released" },
+)]
+fn the_log_says_why_a_shutdown_waits(blocker: ShutdownBlocker, text: &str) {
+    assert_eq!(blocker.to_string(), text);
+}
--- a/crates/linenthread-node/src/control/api.rs
+++ b/crates/linenthread-node/src/control/api.rs
@@ -12,7 +12,7 @@
 use tokio::time::Instant;
 
 use super::api_response::{ApiResponse, Status};
-use super::command::{Command, ControlHandle};
+use super::command::{Call, Command, ControlHandle};
 use crate::{accept, peer_connection};
 
 /// The longest head of a call, in bytes.
@@ -169,16 +169,12 @@
         }
         ("POST", ["Replicas.Departure", id]) if is_replica_id(id) => {
             let replica_id = (*id).to_owned();
-            let call = handle.call(|respond| Command::Departure {
-                replica_id,
-                respond,
-            });
-            call.await.into()
+            handle.call(Call::Departure { replica_id }).await.into()
         }
         ("POST", ["Configuration.Replace"]) => replace_configuration(head, body, handle).await,
-        ("GET", ["Configuration.Read"]) => handle.call(Command::ReadConfiguration).await.into(),
-        ("GET", ["Members.Read"]) => handle.call(Command::MembersStatus).await.into(),
-        ("GET", ["Replicas.Read"]) => handle.call(Command::ReplicasStatus).await.into(),
+        ("GET", ["Configuration.Read"]) => handle.call(Call::ReadConfiguration).await.into(),
+        ("GET", ["Members.Read"]) => handle.query(Command::MembersStatus).await.into(),
+        ("GET", ["Replicas.Read"]) => handle.query(Command::ReplicasStatus).await.into(),
         (
             _,
             ["Replicas.Heartbeat" | "Replicas.Departure", _]
@@ -202,12 +198,11 @@
         return ApiResponse::error(Status::BadRequest, message);
     }
     let replica_id = id.to_owned();
-    let call = handle.call(|respond| Command::Heartbeat {
+    let call = Call::Heartbeat {
         replica_id,
         heartbeat,
-        respond,
-    });
-    call.await.into()
+    };
+    handle.call(call).await.into()
 }
 
 async fn replace_configuration(
@@ -223,11 +218,10 @@
         Ok(configuration) => configuration.revision,
         Err(error) => return ApiResponse::error(Status::BadRequest, error),
     };
-    let call = handle.call(|respond| Command::ReplaceConfiguration {
+    let call = Call::ReplaceConfiguration {
         base,
         revision,
         document,
-        respond,
-    });
-    call.await.into()
+    };
+    handle.call(call).await.into()
 }
--- a/crates/linenthread-node/src/control/command.rs
+++ b/crates/linenthread-node/src/control/command.rs
@@ -1,5 +1,7 @@
 //! What the task of a control node is asked to do, and the handle that asks.
 
+use std::fmt;
+
 use linenthread_control::graceful_shutdown::ShutdownBlocker;
 use linenthread_control::{DeferredMessage, ReplicaHeartbeat, Response, SessionId};
 use linenthread_messages::PeerMessage;
@@ -8,36 +10,37 @@
 /// Commands that may wait for the task; more are rejected.
 const MAX_QUEUED_COMMANDS: usize = 4_096;
 
-/// One command to the task of a control node. A call carries the sender of its response.
-pub(super) enum Command {
-    /// A connection with a peer was established; messages to it go to this queue.
-    SessionOpened(SessionId, mpsc::Sender<PeerMessage>),
-    /// A peer's message arrived.
-    MessageReceived(SessionId, PeerMessage),
-    /// A connection has ended.
-    SessionClosed(SessionId),
-    /// The control node of this address could not be connected to.
-    DialFailed(String),
+/// A call of a replica or an operator.
+pub(super) enum Call {
     /// A replica's heartbeat.
     Heartbeat {
         replica_id: String,
         heartbeat: ReplicaHeartbeat,
-        respond: oneshot::Sender<Response>,
     },
     /// A replica's departure.
-    Departure {
-        replica_id: String,
-        respond: oneshot::Sender<Response>,
-    },
-    /// An operator replaces the configuration.
+    Departure { replica_id: String },
+    /// An operator replaces the configuration of revision `base`.
     ReplaceConfiguration {
         base: u64,
         revision: u64,
         document: Vec<u8>,
-        respond: oneshot::Sender<Response>,
     },
     /// An operator reads the configuration.
-    ReadConfiguration(oneshot::Sender<Response>),
+    ReadConfiguration,
+}
+
+/// One command to the task of a control node.
+pub(super) enum Command {
+    /// A connection with a peer was established; messages to it go to this queue.
+    SessionOpened(SessionId, mpsc::Sender<PeerMessage>),
+    /// A peer's message arrived.
+    MessageReceived(SessionId, PeerMessage),
+    /// A connection has ended.
+    SessionClosed(SessionId),
+    /// The control node of this address could not be connected to.
+    DialFailed(String),
+    /// A replica's or an operator's call, and where its response goes.
+    Call(Call, oneshot::Sender<Response>),
     /// An operator reads what this node knows of the others.
     MembersStatus(oneshot::Sender<serde_json::Value>),
     /// An operator reads what this node knows of replicas.
@@ -61,8 +64,8 @@
     Stopping,
 }
 
-impl std::fmt::Display for CallError {
-    fn fmt(&self, formatter: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
+impl fmt::Display for CallError {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         formatter.write_str(match self {
             CallError::QueueFull => "too much waits",
             CallError::Stopping => "ending",
@@ -93,12 +96,21 @@
         self.commands.try_send(command).is_ok()
     }
 
-    /// Sends a call and waits for its response.
+    /// Makes a call and waits for its response.
     ///
     /// # Errors
     ///
     /// Too many commands wait, or the task ends before it has responded.
-    pub(super) async fn call<T>(
+    pub(super) async fn call(&self, call: Call) -> Result<Response, CallError> {
+        self.query(|respond| Command::Call(call, respond)).await
+    }
+
+    /// Sends a command that carries the sender of its response, and waits for that.
+    ///
+    /// # Errors
+    ///
+    /// As [`ControlHandle::call`].
+    pub(super) async fn query<T>(
         &self,
         command: impl FnOnce(oneshot::Sender<T>) -> Command,
     ) -> Result<T, CallError> {
--- a/crates/linenthread-node/src/control/task.rs
+++ b/crates/linenthread-node/src/control/task.rs
@@ -10,7 +10,7 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::task::spawn_local;
 
-use super::command::{Command, ControlHandle};
+use super::command::{Call, Command, ControlHandle};
 use super::peer_sessions;
 use super::state_writer::StateWriter;
 
@@ -111,12 +111,6 @@
         }
     }
 
-    fn add_call(&mut self, respond: oneshot::Sender<Response>) -> CallId {
-        self.last_call.0 += 1;
-        self.calls.insert(self.last_call, respond);
-        self.last_call
-    }
-
     fn take(&mut self, now: Instant, command: Command, effects: &mut Vec<Effect>) {
         match command {
             Command::SessionOpened(session, outbox) => {
@@ -131,37 +125,7 @@
                 self.control.on_session_closed(now, session, effects);
             }
             Command::DialFailed(address) => self.control.on_dial_failed(now, &address),
-            Command::Heartbeat {
-                replica_id,
-                heartbeat,
-                respond,
-            } => {
-                let call = self.add_call(respond);
-                self.control
-                    .on_replica_heartbeat(now, call, &replica_id, heartbeat, effects);
-            }
-            Command::Departure {
-                replica_id,
-                respond,
-            } => {
-                let call = self.add_call(respond);
-                self.control
-                    .on_replica_departure(now, call, &replica_id, effects);
-            }
-            Command::ReplaceConfiguration {
-                base,
-                revision,
-                document,
-                respond,
-            } => {
-                let call = self.add_call(respond);
-                self.control
-                    .replace_configuration(now, call, base, revision, document, effects);
-            }
-            Command::ReadConfiguration(respond) => {
-                let call = self.add_call(respond);
-                self.control.read_configuration(now, call, effects);
-            }
+            Command::Call(call, respond) => self.take_call(now, call, respond, effects),
             Command::MembersStatus(respond) => {
                 let _ = respond.send(self.control.members_status(now));
             }
@@ -181,6 +145,34 @@
         }
     }
 
+    fn take_call(
+        &mut self,
+        now: Instant,
+        call: Call,
+        respond: oneshot::Sender<Response>,
+        effects: &mut Vec<Effect>,
+    ) {
+        self.last_call.0 += 1;
+        let id = self.last_call;
+        self.calls.insert(id, respond);
+        let control = &mut self.control;
+        match call {
+            Call::Heartbeat {
+                replica_id,
+                heartbeat,
+            } => control.on_replica_heartbeat(now, id, &replica_id, heartbeat, effects),
+            Call::Departure { replica_id } => {
+                control.on_replica_departure(now, id, &replica_id, effects);
+            }
+            Call::ReplaceConfiguration {
+                base,
+                revision,
+                document,
+            } => control.replace_configuration(now, id, base, revision, document, effects),
+            Call::ReadConfiguration => control.read_configuration(now, id, effects),
+        }
+    }
+
     fn carry_out(&mut self, effect: Effect) {
         match effect {
             Effect::Send { session, message } => self.send(session, message),
--- a/crates/linenthread-store/src/simulated_disk.rs
+++ b/crates/linenthread-store/src/simulated_disk.rs
@@ -146,7 +146,8 @@
 
     fn truncate(&mut self, name: &str, length: u64) -> io::Result<()> {
         let file = self.files.get_mut(name).ok_or_else(missing)?;
-        file.bytes.truncate(length as usize);
+        file.bytes
+            .truncate(usize::try_from(length).unwrap_or(usize::MAX));
         file.synced_bytes = file.bytes.len();
         Ok(())
     }
