--- a/crates/linenthread-control/tests/nodes/contact.rs
+++ b/crates/linenthread-control/tests/nodes/contact.rs
@@ -125,6 +125,22 @@
     effects.iter().filter_map(response).collect()
 }
 
+/// The reply of a peer that knows nothing newer to the read request among these effects.
+fn read_reply(effects: &[Effect]) -> PeerMessage {
+    let read_id = effects.iter().find_map(|effect| match effect {
+        Effect::Send {
+            message: PeerMessage::ReadRequest(request),
+            ..
+        } => Some(request.read_id),
+        _ => None,
+    });
+    PeerMessage::ReadReply(ReadReply {
+        read_id: read_id.expect("a read request was sent"),
+        decided: 0,
+        pending: false,
+    })
+}
+
 /// The most that an ingress node was sent.
 #[derive(Debug, PartialEq)]
 enum Sent {
@@ -256,19 +272,8 @@
     let mut control = node_with_quorum(0);
     let mut effects = Vec::new();
     control.read_configuration(at(10), CallId(1), &mut effects);
-    let read_id = effects.iter().find_map(|e| match e {
-        Effect::Send {
-            message: PeerMessage::ReadRequest(request),
-            ..
-        } => Some(request.read_id),
-        _ => None,
-    });
-    let reply = ReadReply {
-        read_id: read_id.unwrap(),
-        decided: 0,
-        pending: false,
-    };
-    let effects = receive(&mut control, 20_000, PEER, PeerMessage::ReadReply(reply));
+    let reply = read_reply(&effects);
+    let effects = receive(&mut control, 20_000, PEER, reply);
     assert!(matches!(
         responses(&effects)[..],
         [Response::Unavailable(_)]
@@ -280,19 +285,8 @@
     let mut control = node_with_quorum(0);
     let effects = receive(&mut control, 0, INGRESS_NODE, ingress_hello());
     assert_eq!(sent(&effects), Sent::Replicas);
-    let read_id = effects.iter().find_map(|e| match e {
-        Effect::Send {
-            message: PeerMessage::ReadRequest(request),
-            ..
-        } => Some(request.read_id),
-        _ => None,
-    });
-    let reply = ReadReply {
-        read_id: read_id.unwrap(),
-        decided: 0,
-        pending: false,
-    };
-    let effects = receive(&mut control, 5, PEER, PeerMessage::ReadReply(reply));
+    let reply = read_reply(&effects);
+    let effects = receive(&mut control, 5, PEER, reply);
     assert_eq!(sent(&effects), Sent::Configuration);
 }
 
@@ -329,14 +323,14 @@
 fn a_partitioned_node_rejects_and_confirms_no_order() {
     let mut cluster = Cluster::new(3, 3);
     assert_eq!(
-        cluster.order_until_answered(ms(1_000), 0, 1),
+        cluster.order_until_committed(ms(1_000), 0, 1),
         Some(Response::Committed(1))
     );
     for other in 1..3 {
         cluster.cut.extend([(0, other), (other, 0)]);
     }
     assert_eq!(
-        cluster.order_until_answered(ms(5_000), 1, 2),
+        cluster.order_until_committed(ms(5_000), 1, 2),
         Some(Response::Committed(2))
     );
     cluster.run(ms(3_000));
@@ -354,7 +348,7 @@
 }
 
 #[parameterized(out = { true }, inward = { false })]
-fn a_cut_in_one_direction_ends_contact_on_both_sides(outgoing: bool) {
+fn a_one_way_partition_ends_contact_on_both_sides(outgoing: bool) {
     let mut cluster = Cluster::new(3, 3);
     for other in 1..3 {
         cluster
@@ -372,14 +366,14 @@
 fn a_frozen_leader_leads_no_more_when_it_resumes_and_finds_the_others_again() {
     let mut cluster = Cluster::new(3, 3);
     assert_eq!(
-        cluster.order_until_answered(ms(1_000), 0, 1),
+        cluster.order_until_committed(ms(1_000), 0, 1),
         Some(Response::Committed(1))
     );
     let leader = cluster.leader().unwrap();
     cluster.nodes[leader].frozen = true;
     cluster.run(ms(100));
     assert_eq!(
-        cluster.order_until_answered(ms(6_000), 1, 2),
+        cluster.order_until_committed(ms(6_000), 1, 2),
         Some(Response::Committed(2))
     );
     cluster.run(ms(12_000));
