--- a/crates/linenthread-drill/tests/no_wall_clock.rs
+++ b/crates/linenthread-drill/tests/no_wall_clock.rs
@@ -14,7 +14,7 @@
 /// no clock makes.
 const STANDARD_TIMES: [&str; 2] = ["std::time::Duration", "std::time::{Duration}"];
 /// Where the daemon draws the number of a life, and where it writes its log.
-const READERS: [&str; 2] = ["control.rs", "logs.rs"];
+const READERS: [&str; 2] = ["incarnation.rs", "event_log.rs"];
 
 fn sources(package: &str) -> Vec<PathBuf> {
     let mut folders = vec![
--- a/crates/linenthread-node/src/control_client/session.rs
+++ b/crates/linenthread-node/src/control_client/session.rs
@@ -13,8 +13,8 @@
 use tokio::sync::mpsc;
 
 use super::{ChangeLogPosition, ControlClient};
-use crate::errors::Error;
-use crate::links;
+use crate::error::Error;
+use crate::peer_connection;
 
 /// Between two heartbeats to the control node.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(500);
@@ -78,8 +78,8 @@
     pub(super) async fn run(&self) -> Result<SessionEnd, Error> {
         let settings = self.client.plane.settings();
         let peer = SocketAddr::new(self.control_node.ip(), settings.peers_port);
-        let stream = links::dial(peer, CONNECT_TIMEOUT).await?;
-        let (outbox, outgoing) = mpsc::channel(links::WAITING);
+        let stream = peer_connection::connect(peer, CONNECT_TIMEOUT).await?;
+        let (outbox, outgoing) = mpsc::channel(peer_connection::MAX_QUEUED_MESSAGES);
         let _ = outbox.try_send(PeerMessage::Hello(self.hello()));
         self.last_received_at.set(clock::now());
         let name = peer.to_string();
@@ -88,7 +88,7 @@
             self.on_message(message) == Flow::Continue
         };
         tokio::select! {
-            closed = links::carry(stream, &name, outgoing, receive) => closed.map(|()| SessionEnd::Closed),
+            closed = peer_connection::exchange(stream, &name, outgoing, receive) => closed.map(|()| SessionEnd::Closed),
             end = self.send_heartbeats(&outbox) => Ok(end),
         }
     }
--- a/crates/linenthread-node/src/ingress.rs
+++ b/crates/linenthread-node/src/ingress.rs
@@ -13,10 +13,9 @@
 use tokio::task::spawn_local;
 use tokio::time::Instant;
 
-use crate::control::{life, pause};
-use crate::control_client;
-use crate::errors::{Error, step};
-use crate::signals::Ends;
+use crate::error::{Error, step};
+use crate::signals::SignalWatch;
+use crate::{accept, control_client, incarnation};
 
 /// How long a connection of a readiness checker may be idle.
 const READINESS_IDLE_TIMEOUT: Duration = Duration::from_secs(15);
@@ -40,9 +39,9 @@
 pub(crate) async fn start(
     settings: &Rc<Settings>,
     address: SocketAddr,
-    ends: &Ends,
+    signals: &SignalWatch,
 ) -> Result<Rc<DataPlane>, Error> {
-    let incarnation = life();
+    let incarnation = incarnation::draw();
     let plane = DataPlane::new(settings.clone(), incarnation, TcpConnector);
     let clients = bind(address).await?;
     if let Some(address) = settings.readiness_bind {
@@ -52,7 +51,7 @@
     spawn_local(control_client::run(
         plane.clone(),
         incarnation,
-        ends.settings(),
+        signals.settings(),
     ));
     spawn_local(maintain(plane.clone()));
     Ok(plane)
@@ -93,7 +92,7 @@
                 let _ = stream.set_nodelay(true);
                 drop(spawn_local(serve(stream, peer, plane.clone())));
             }
-            Err(e) => pause(&e).await,
+            Err(e) => accept::back_off(&e).await,
         }
     }
 }
@@ -102,7 +101,7 @@
     loop {
         match listener.accept().await {
             Ok((stream, _)) => drop(spawn_local(answer_readiness_checks(stream, plane.clone()))),
-            Err(e) => pause(&e).await,
+            Err(e) => accept::back_off(&e).await,
         }
     }
 }
