--- /dev/null
+++ b/crates/linenthread-drill/src/commands/dataplane.rs
@@ -0,0 +1,31 @@
+//! `dataplane`: checks the data plane.
+
+use std::process::ExitCode;
+
+use bpaf::{Parser, construct, long};
+
+use super::{arguments, outcome};
+pub(super) use crate::dataplane::Drill as Options;
+
+pub(super) fn parser() -> impl Parser<Options> {
+    let sessions = arguments::count("sessions", "Sessions of clients to run", 2_000);
+    let seed = arguments::first_seed();
+    let told = long("summary")
+        .help("Also print what was answered, and the digest of all that happened")
+        .switch();
+    construct!(Options { sessions, seed, told })
+        .to_options()
+        .descr(
+            "The traffic path in simulated time against replicas that answer twice, in part, late or not at all, \
+             checked by each run at each replica and each answer at each client",
+        )
+        .footer("Example: linenthread-drill dataplane --sessions 100000 --seed 7")
+        .command("dataplane")
+        .help("Check the data plane")
+}
+
+pub(super) fn run(options: &Options) -> ExitCode {
+    let (checked, breaches) = options.run();
+    println!("{checked} sessions checked, {breaches} breaches");
+    outcome::exit_code(breaches)
+}
--- /dev/null
+++ b/crates/linenthread-drill/src/commands/fleet.rs
@@ -0,0 +1,27 @@
+//! `fleet`: checks the fleet's members and its agreed record.
+
+use std::process::ExitCode;
+
+use bpaf::{Parser, construct};
+
+use super::{arguments, outcome};
+pub(super) use crate::record::Drill as Options;
+
+pub(super) fn parser() -> impl Parser<Options> {
+    let schedules = arguments::schedules(300);
+    let seed = arguments::first_seed();
+    construct!(Options { schedules, seed })
+        .to_options()
+        .descr(
+            "Members and the agreed record of fleets in simulated time, through loss, partitions, crashes with and \
+             without disk, pauses, failing disks and clocks that run apart",
+        )
+        .footer("Example: linenthread-drill fleet --schedules 10000 --seed 7")
+        .command("fleet")
+        .help("Check the fleet's members and record")
+}
+
+pub(super) fn run(options: &Options) -> ExitCode {
+    let (checked, breaches) = options.run();
+    outcome::close(checked, breaches)
+}
--- /dev/null
+++ b/crates/linenthread-drill/src/commands/link_bytes.rs
@@ -0,0 +1,49 @@
+//! `link-bytes`: checks the link, cut at every byte.
+
+use std::path::PathBuf;
+use std::process::ExitCode;
+
+use bpaf::{Parser, construct, long};
+use linenthread_stand_ins::sites::cut_everywhere;
+
+use super::{arguments, outcome};
+
+#[derive(Clone)]
+pub(crate) struct Options {
+    program: Option<PathBuf>,
+    step: usize,
+    keep_ms: u64,
+    at_once: usize,
+}
+
+pub(super) fn parser() -> impl Parser<Options> {
+    let program = arguments::program();
+    let step = arguments::count("step", "Cut after every Nth byte", 1);
+    let keep_ms = long("keep")
+        .help("Milliseconds for which a session outlives its connection; 10 is without resume")
+        .argument("MS")
+        .fallback(3_000);
+    let at_once = arguments::count("at-once", "Pairs of sites at once", 4);
+    construct!(Options { program, step, keep_ms, at_once })
+        .to_options()
+        .descr(
+            "A lookup that may run only once between two sites on loopback, the link cut after each byte, in both \
+             directions",
+        )
+        .footer("Example: linenthread-drill link-bytes --keep 10")
+        .command("link-bytes")
+        .help("Check the link at every byte")
+}
+
+pub(super) fn run(options: &Options) -> ExitCode {
+    let program = arguments::program_path(options.program.as_ref());
+    let verdict = cut_everywhere(&program, options.keep_ms, options.step, options.at_once);
+    for breach in &verdict.breaches {
+        println!("breach: {breach}");
+    }
+    println!(
+        "{} answered, {} nacked, {} aborted",
+        verdict.answered, verdict.nacked, verdict.aborted
+    );
+    outcome::close(verdict.checked, verdict.breaches.len())
+}
--- /dev/null
+++ b/crates/linenthread-drill/src/commands/processes.rs
@@ -0,0 +1,90 @@
+//! `processes`: checks several processes with faults between them.
+
+use std::path::PathBuf;
+use std::process::ExitCode;
+
+use bpaf::{Parser, construct, positional};
+use linenthread_stand_ins::scenarios;
+
+use super::{arguments, outcome};
+
+/// The scenario of random faults.
+const ZONES: &str = "zones";
+/// All scenarios but that.
+const ALL: &str = "all";
+/// Breaches of the rounds of zones that are printed.
+const MAX_PRINTED_BREACHES: usize = 20;
+/// Breaches of one run of a scenario that are printed.
+const MAX_PRINTED_BREACHES_OF_SCENARIO: usize = 5;
+/// The exit code if there is no such scenario.
+const USAGE_ERROR: u8 = 2;
+
+#[derive(Clone)]
+pub(crate) struct Options {
+    program: Option<PathBuf>,
+    rounds: usize,
+    seed: u64,
+    scenario: String,
+}
+
+pub(super) fn parser() -> impl Parser<Options> {
+    let names: Vec<&str> = scenarios::ALL.iter().map(|(name, _)| *name).collect();
+    let help = format!(
+        "{ZONES} (random faults, round after round), {ALL}, or one of: {}",
+        names.join(", ")
+    );
+    let program = arguments::program();
+    let rounds = arguments::count("rounds", "Rounds of zones, or runs of a scenario", 1);
+    let seed = arguments::seed();
+    let scenario = positional::<String>("SCENARIO").help(help.as_str());
+    construct!(Options { program, rounds, seed, scenario })
+        .to_options()
+        .descr(
+            "Several processes of the program in zones on loopback with faults between them, checked by one checker",
+        )
+        .footer("Example: linenthread-drill processes zones --rounds 20 --seed 7")
+        .command("processes")
+        .help("Check several processes with faults between them")
+}
+
+pub(super) fn run(options: &Options) -> ExitCode {
+    let program = arguments::program_path(options.program.as_ref());
+    if options.scenario == ZONES {
+        run_zones(options, &program)
+    } else {
+        run_scenarios(options, &program)
+    }
+}
+
+fn run_zones(options: &Options, program: &str) -> ExitCode {
+    let (checked, breaches) = scenarios::rounds(program, options.rounds, options.seed);
+    for breach in breaches.iter().take(MAX_PRINTED_BREACHES) {
+        println!("breach: {breach}");
+    }
+    outcome::close(checked, breaches.len())
+}
+
+fn run_scenarios(options: &Options, program: &str) -> ExitCode {
+    let scenario = &options.scenario;
+    let chosen = scenarios::ALL
+        .iter()
+        .filter(|(name, _)| scenario == ALL || scenario == name);
+    let (mut checked, mut all) = (0, 0);
+    for (name, script) in chosen {
+        for seed in (options.seed..).take(options.rounds) {
+            let mut rig = script(program, seed);
+            let breaches = rig.judge();
+            for breach in breaches.iter().take(MAX_PRINTED_BREACHES_OF_SCENARIO) {
+                println!("breach: {name}, seed {seed}: {breach}");
+            }
+            checked += rig.told().len();
+            all += breaches.len();
+            println!("{name}, seed {seed}: {} lookups", rig.told().len());
+        }
+    }
+    if checked == 0 {
+        eprintln!("linenthread-drill: there is no scenario {scenario}");
+        return ExitCode::from(USAGE_ERROR);
+    }
+    outcome::close(checked, all)
+}
--- /dev/null
+++ b/crates/linenthread-drill/src/commands/zones.rs
@@ -0,0 +1,26 @@
+//! `zones`: checks failover between zones.
+
+use std::process::ExitCode;
+
+use bpaf::{Parser, construct};
+
+use super::{arguments, outcome};
+pub(super) use crate::zones::Drill as Options;
+
+pub(super) fn parser() -> impl Parser<Options> {
+    let schedules = arguments::schedules(300);
+    let seed = arguments::first_seed();
+    construct!(Options { schedules, seed })
+        .to_options()
+        .descr(
+            "What is agreed on zones: left, slow, partitioned off, drained and back, checked by their true state",
+        )
+        .footer("Example: linenthread-drill zones --schedules 10000 --seed 7")
+        .command("zones")
+        .help("Check failover between zones")
+}
+
+pub(super) fn run(options: &Options) -> ExitCode {
+    let (checked, breaches) = options.run();
+    outcome::close(checked, breaches)
+}
--- /dev/null
+++ b/crates/linenthread-drill/src/system/checker/lease.rs
@@ -0,0 +1,47 @@
+//! The leader lease, and the retry allowance that is granted under it.
+
+use super::super::ingress_node::RETRY_ALLOWANCE;
+use super::super::invariant::Invariant;
+use super::super::world::World;
+
+/// Sums of shares are compared up to this.
+const ROUNDING: f64 = 1e-6;
+
+impl World {
+    /// [`Invariant::OneLeaseHolderPerEpoch`].
+    pub(in super::super) fn check_lease_holders(&mut self) {
+        let epoch_of = |node: usize| {
+            let control = self.machines[node].control.as_ref()?;
+            control.holds_lease(self.machine_clock(node).as_millis())
+        };
+        let holders: Vec<(usize, u64)> = (0..self.machines.len())
+            .filter_map(|node| epoch_of(node).map(|epoch| (node, epoch)))
+            .collect();
+        if holders.len() > 1 {
+            let details = format!("control nodes and their epochs {holders:?} at once");
+            self.violation(Invariant::OneLeaseHolderPerEpoch, &details);
+        }
+        for (node, epoch) in holders {
+            let incarnation = self.machines[node].incarnation;
+            let holder = *self
+                .history
+                .lease_holders
+                .entry(epoch)
+                .or_insert(incarnation);
+            if holder != incarnation {
+                let details =
+                    format!("{epoch} is held by a second incarnation, of control node {node}");
+                self.violation(Invariant::OneLeaseHolderPerEpoch, &details);
+            }
+        }
+    }
+
+    /// [`Invariant::GrantsWithinAllowance`]: what all incarnations may have used within any window.
+    pub(in super::super) fn check_grants(&mut self) {
+        let usage = self.ingress.max_usage(self.queue.now());
+        if usage > RETRY_ALLOWANCE + ROUNDING {
+            let details = format!("{usage} of {RETRY_ALLOWANCE} may be in use");
+            self.violation(Invariant::GrantsWithinAllowance, &details);
+        }
+    }
+}
--- /dev/null
+++ b/crates/linenthread-drill/src/system/checker/mod.rs
@@ -0,0 +1,10 @@
+//! Checks of the invariants, each where it can be seen.
+
+mod catch_up;
+mod configuration;
+mod convergence;
+mod lease;
+mod quorum;
+mod replicas;
+
+pub(super) use quorum::QUORUM_TIMEOUT;
--- /dev/null
+++ b/crates/linenthread-drill/src/system/checker/replicas.rs
@@ -0,0 +1,55 @@
+//! A drain that was acknowledged is known to a majority.
+
+use std::time::Duration;
+
+use linenthread_control::ControlNode;
+use linenthread_messages::Voter;
+
+use super::super::invariant::Invariant;
+use super::super::world::World;
+
+/// A process that has run for less time may have known of a drain before it was started again.
+const RECENT_START: Duration = Duration::from_millis(1_500);
+
+impl World {
+    /// [`Invariant::DrainsAreKnown`].
+    pub(in super::super) fn check_drain(&mut self, node: usize, ident: &str) {
+        self.report.coverage.drains += 1;
+        let control = self.machines[node].control.as_ref();
+        let Some(register) = control.map(ControlNode::register) else {
+            return;
+        };
+        let voters = register.voters();
+        let known = voters
+            .iter()
+            .filter(|voter| self.knows_drain(voter, ident))
+            .count();
+        // One that knew and has ended since, even if it is back, counts as knowing.
+        let restarted = voters
+            .iter()
+            .filter(|voter| !self.has_run_for_a_while(voter))
+            .count();
+        if (known + restarted) * 2 <= voters.len() {
+            let details = format!("{known} of {} know of {ident}", voters.len());
+            self.violation(Invariant::DrainsAreKnown, &details);
+        }
+    }
+
+    fn knows_drain(&self, voter: &Voter, ident: &str) -> bool {
+        let is_known = |control: &ControlNode| {
+            let known = control.registry().get(ident).map(|known| &known.replica);
+            known.is_some_and(|replica| replica.draining || replica.removed_for_good)
+        };
+        self.machines
+            .iter()
+            .filter_map(|machine| machine.control.as_ref())
+            .any(|control| control.register().id() == voter.id && is_known(control))
+    }
+
+    fn has_run_for_a_while(&self, voter: &Voter) -> bool {
+        let started_before = |start| start + RECENT_START < self.now();
+        self.machines.iter().any(|machine| {
+            machine.voter_id() == Some(voter.id) && started_before(machine.started_at)
+        })
+    }
+}
--- a/crates/linenthread-drill/src/system/disk.rs
+++ b/crates/linenthread-drill/src/system/disk.rs
@@ -1,177 +1,164 @@
-//! The disk of a core machine: the daemon's own log over a modelled disk, which may be slow, full, cut off in
+//! The disk of a control node: the daemon's own log over a modelled disk, which may be slow, full, cut off in
 //! the midst of a write, or lose what was not synced.
 
 use std::cell::RefCell;
 use std::collections::VecDeque;
 use std::rc::Rc;
+use std::time::Duration;
 
 use linenthread_consensus::DurableState;
-use linenthread_control::StateLog;
+use linenthread_control::{SessionId, StateLog, StateLogError};
 use linenthread_messages::{PeerMessage, Record};
 use linenthread_store::Model;
 
-use super::world::{Event, World};
+use super::random::Random;
 
-/// The log is compacted above so many bytes: the daemon's bound is far higher, compaction would not be seen.
-pub(super) const COMPACT_ABOVE: u64 = 48 << 10;
-/// Records that may wait, as in the daemon; more are dropped and said again later.
-const QUEUE: usize = 256;
-/// A process whose disk does not open ends, and is started again after so long.
-const START_AGAIN: u64 = 500;
+/// The log is compacted above so many bytes: with the daemon's bound, which is far higher, compaction would not
+/// be covered.
+pub(super) const COMPACT_ABOVE_BYTES: u64 = 48 << 10;
+/// Records that may wait, as in the daemon; more are dropped, and control hands them over again later.
+const MAX_WAITING_RECORDS: usize = 256;
+/// What is left of the disk when a crash cuts a write off: fewer bytes than this.
+const CUT_WITHIN_BYTES: usize = 400;
+/// Of the syncs of one write, fewer than this have succeeded when a crash cuts it off.
+const CUT_WITHIN_SYNCS: usize = 3;
 
 type Files = Rc<RefCell<Model>>;
-type Take = Box<dyn FnMut() -> Result<Files, String>>;
-/// What may be sent once a record is synced.
-type Then = Vec<(u64, PeerMessage)>;
+type OpenFiles = Box<dyn FnMut() -> Result<Files, String>>;
+/// Messages that may be sent once a record is synced.
+pub(super) type DeferredMessages = Vec<(SessionId, PeerMessage)>;
 
 pub(super) struct Disk {
     files: Files,
     /// While a process runs.
-    log: Option<StateLog<Files, Take>>,
-    waiting: VecDeque<(Record, Then)>,
-    /// Under way to the disk.
-    writing: Vec<(Record, Then)>,
-    full: bool,
+    log: Option<StateLog<Files, OpenFiles>>,
+    waiting: VecDeque<(Record, DeferredMessages)>,
+    /// What the write in progress holds.
+    writing: Vec<(Record, DeferredMessages)>,
+    is_full: bool,
     /// What a sync takes.
-    pub(super) sync_ms: u64,
+    pub(super) sync_duration: Duration,
+}
+
+/// How a write ended.
+pub(super) enum WriteOutcome {
+    Synced(DeferredMessages),
+    /// The disk is full.
+    Rejected,
+    /// No process has the disk open any more.
+    NotOpen,
 }
 
 impl Disk {
-    pub(super) fn new(sync_ms: u64) -> Disk {
+    pub(super) fn new(sync_duration: Duration) -> Disk {
         Disk {
             files: Files::default(),
             log: None,
             waiting: VecDeque::new(),
             writing: Vec::new(),
-            full: false,
-            sync_ms,
+            is_full: false,
+            sync_duration,
         }
     }
 
-    /// All that it held is lost.
-    pub(super) fn lose_all(&mut self) {
-        *self = Disk::new(self.sync_ms);
+    /// Loses all that it holds.
+    pub(super) fn erase(&mut self) {
+        *self = Disk::new(self.sync_duration);
     }
 
     /// A process opens it.
-    pub(super) fn open(&mut self) -> Result<DurableState, String> {
+    pub(super) fn open(&mut self) -> Result<DurableState, StateLogError> {
         let files = self.files.clone();
-        let take: Take = Box::new(move || Ok(files.clone()));
-        let opened = StateLog::open(take, COMPACT_ABOVE).map_err(|e| e.to_string())?;
+        let open_files: OpenFiles = Box::new(move || Ok(files.clone()));
+        let opened = StateLog::open(open_files, COMPACT_ABOVE_BYTES)?;
         self.log = Some(opened.log);
         Ok(opened.state)
     }
 
     pub(super) fn is_full(&self) -> bool {
-        self.full
+        self.is_full
     }
 
-    /// No write is taken any more, or there is room again.
-    pub(super) fn set_full(&mut self, full: bool) {
-        self.full = full;
-        self.files.borrow_mut().room = full.then_some(0);
+    /// No write succeeds any more, or there is room again.
+    pub(super) fn set_full(&mut self, is_full: bool) {
+        self.is_full = is_full;
+        self.files.borrow_mut().room = is_full.then_some(0);
     }
 
     pub(super) fn log_bytes(&self) -> u64 {
         self.log.as_ref().map_or(0, StateLog::bytes)
     }
 
-    /// Bytes of the durable state, written whole.
+    /// Bytes of the durable state after compaction.
     pub(super) fn state_bytes(&self) -> u64 {
         self.log.as_ref().map_or(0, StateLog::compacted_bytes)
     }
 
     /// What a process that starts now would find; the disk stays as it is.
-    pub(super) fn durable(&self) -> DurableState {
+    pub(super) fn durable_state(&self) -> DurableState {
         let copy: Files = Rc::new(RefCell::new(self.files.borrow().clone()));
         copy.borrow_mut().room = None;
-        let opened = StateLog::open(Box::new(move || Ok(copy.clone())) as Take, COMPACT_ABOVE);
-        opened.map(|opened| opened.state).unwrap_or_default()
+        let open_files: OpenFiles = Box::new(move || Ok(copy.clone()));
+        StateLog::open(open_files, COMPACT_ABOVE_BYTES)
+            .map(|opened| opened.state)
+            .unwrap_or_default()
     }
-}
 
-impl World {
-    /// Queues a record; what waits on it is sent once it is synced.
-    pub(super) fn keep(&mut self, n: usize, record: Record, then: Then) {
-        let disk = &mut self.nodes[n].disk;
-        if disk.waiting.len() < QUEUE {
-            disk.waiting.push_back((record, then));
+    /// Queues a record with the messages that wait on it.
+    pub(super) fn enqueue(&mut self, record: Record, then: DeferredMessages) {
+        if self.waiting.len() < MAX_WAITING_RECORDS {
+            self.waiting.push_back((record, then));
         }
-        self.begin_write(n);
     }
 
-    fn begin_write(&mut self, n: usize) {
-        let disk = &mut self.nodes[n].disk;
-        if !disk.writing.is_empty() || disk.waiting.is_empty() {
-            return;
+    /// Starts a write of all that waits, unless there is one in progress; returns whether it did.
+    pub(super) fn start_write(&mut self) -> bool {
+        if !self.writing.is_empty() || self.waiting.is_empty() {
+            return false;
         }
-        disk.writing = disk.waiting.drain(..).collect();
-        let (ms, life) = (disk.sync_ms, self.nodes[n].life);
-        let at = self.now + ms + self.up_to(4);
-        self.push(at, Event::Written { to: n, life });
+        self.writing = self.waiting.drain(..).collect();
+        true
     }
 
-    /// What was under way is on disk, or the disk has refused it.
-    pub(super) fn written(&mut self, n: usize, life: u64) {
-        if self.nodes[n].life != life {
-            return;
-        }
-        let disk = &mut self.nodes[n].disk;
-        let (records, thens): (Vec<Record>, Vec<Then>) = disk.writing.drain(..).unzip();
-        let Some(log) = disk.log.as_mut() else { return };
+    /// Ends the write in progress.
+    pub(super) fn complete_write(&mut self) -> WriteOutcome {
+        let (records, then): (Vec<Record>, Vec<DeferredMessages>) = self.writing.drain(..).unzip();
+        let Some(log) = self.log.as_mut() else {
+            return WriteOutcome::NotOpen;
+        };
         match log.write(&records) {
-            Ok(()) => {
-                let then = thens.into_iter().flatten().collect();
-                let at = self.now.max(self.nodes[n].frozen);
-                self.push(at, Event::Synced { to: n, life, then });
-            }
-            Err(_) => self.count("a write refused"),
+            Ok(()) => WriteOutcome::Synced(then.into_iter().flatten().collect()),
+            Err(_) => WriteOutcome::Rejected,
         }
-        self.begin_write(n);
     }
 
-    /// The process ends: a write under way is not there, there in part, or there but not synced; with a loss
-    /// of power, what was not synced goes as the modelled disk draws it.
-    pub(super) fn close_disk(&mut self, n: usize, power: bool) {
-        let way = self.up_to(3);
-        let cut = self.up_to(400) as usize;
-        let disk = &mut self.nodes[n].disk;
-        let records: Vec<Record> = disk.writing.drain(..).map(|(record, _)| record).collect();
-        disk.waiting.clear();
-        let log = disk.log.take();
-        if let Some(mut log) = log.filter(|_| !records.is_empty() && way > 0 && !disk.full) {
-            if way == 1 {
-                disk.files.borrow_mut().leave_room(cut);
-            } else {
-                disk.files.borrow_mut().syncs_left = Some(cut % 3);
-            }
-            let _ = log.write(&records);
-            let mut files = disk.files.borrow_mut();
-            (files.room, files.syncs_left) = (None, None);
-            drop(files);
-            self.count("a write cut off by a crash");
-        }
-        let disk = &mut self.nodes[n].disk;
-        if power {
-            disk.files.borrow_mut().crash(&mut self.chance);
-            disk.set_full(disk.full);
+    /// The process ends: a write in progress is not there, there in part, or there but not synced. Returns
+    /// whether one was cut off.
+    pub(super) fn close(&mut self, random: &mut Random) -> bool {
+        let progress = random.below(3);
+        let cut = random.index(CUT_WITHIN_BYTES);
+        let records: Vec<Record> = self.writing.drain(..).map(|(record, _)| record).collect();
+        self.waiting.clear();
+        let log = self.log.take();
+        let is_cut_off = !records.is_empty() && progress > 0 && !self.is_full;
+        let Some(mut log) = log.filter(|_| is_cut_off) else {
+            return false;
+        };
+        if progress == 1 {
+            self.files.borrow_mut().leave_room(cut);
+        } else {
+            self.files.borrow_mut().syncs_left = Some(cut % CUT_WITHIN_SYNCS);
         }
+        // It fails, or is not synced, as was just drawn; what is there is seen when the disk is opened again.
+        let _ = log.write(&records);
+        let mut files = self.files.borrow_mut();
+        (files.room, files.syncs_left) = (None, None);
+        true
     }
 
-    /// A process finds its disk: what it holds, or a new start later.
-    pub(super) fn open_disk(&mut self, n: usize) -> Option<DurableState> {
-        match self.nodes[n].disk.open() {
-            Ok(state) => Some(state),
-            Err(_) if self.nodes[n].disk.is_full() => {
-                self.push(self.now + START_AGAIN, Event::Start { node: n });
-                None
-            }
-            Err(cause) => {
-                self.breach(format!(
-                    "acknowledged-is-synced: the disk of {n} does not open: {cause}"
-                ));
-                None
-            }
-        }
+    /// The machine loses power: what was not synced is there or not, as the model draws it.
+    pub(super) fn lose_power(&mut self, random: &mut Random) {
+        self.files.borrow_mut().crash(random.generator());
+        self.set_full(self.is_full);
     }
 }
--- /dev/null
+++ b/crates/linenthread-drill/src/system/execution.rs
@@ -0,0 +1,324 @@
+//! Processes of control nodes: their start and end, what reaches them, and the effects they ask for.
+
+use std::time::Duration;
+
+use linenthread_consensus::{DurableState, genesis_id};
+use linenthread_control::{ControlNode, Effect, NodeConfig};
+use linenthread_messages::{PeerMessage, Record};
+use linenthread_time::{Instant, whole_millis};
+
+use super::disk::{DeferredMessages, WriteOutcome};
+use super::event::{Delivery, Event, NodeIndex};
+use super::fault::FaultKind;
+use super::ingress_node::{RETRY_ALLOWANCE, RETRY_WINDOW};
+use super::invariant::Invariant;
+use super::loss_budget::CATCH_UP_TIME;
+use super::machine::{CatchUp, Contacts, ProcessEnd};
+use super::world::World;
+
+/// A process whose disk does not open ends, and is started again after so long.
+const RESTART_DELAY: Duration = Duration::from_millis(500);
+/// A connection to a machine that can't be reached fails after so long.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(700);
+/// A connection to an address where no machine is fails after so long.
+const CONNECTION_REFUSED: Duration = Duration::from_millis(5);
+/// How often replicas send heartbeats, by the settings of control nodes.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(1_000);
+/// What names of control nodes start with. Names are part of messages, whose bytes the coverage counts: another
+/// length gives other figures than those recorded so far.
+const NAME_PREFIX: &str = "ctl";
+/// Zones of control nodes.
+const ZONES: usize = 3;
+
+// --- start and end ---
+
+impl World {
+    pub(super) fn start_process(&mut self, node: usize) {
+        let machine = &self.machines[node];
+        if machine.decommissioned || machine.is_up() {
+            return;
+        }
+        let Some(state) = self.open_disk(node) else {
+            return;
+        };
+        let incarnation = self.random.bits() | 1;
+        let clock = self.machine_clock(node);
+        let machine = &self.machines[node];
+        let is_empty = state.id.is_none();
+        let is_initial_voter =
+            is_empty && machine.is_initial && self.bootstrap.contains(&machine.address);
+        let new_id = if is_initial_voter {
+            genesis_id(&machine.address)
+        } else {
+            incarnation
+        };
+        let id = state.id.unwrap_or(new_id);
+        let genesis = machine.is_initial.then(|| self.genesis.clone());
+        let config = self.node_config(node, incarnation, machine.is_initial && is_empty);
+        let control = ControlNode::new(config, id, state, genesis.clone(), clock.as_millis());
+        self.trace(&format!("{node} starts"));
+        let (target, now) = (self.history.newest_number(), self.now());
+        let machine = &mut self.machines[node];
+        machine.control = Some(control);
+        machine.incarnation = incarnation;
+        machine.started_at = now;
+        machine.paused_until = Instant::START;
+        machine.shutdown = None;
+        machine.is_initial = false;
+        machine.decided_number = 0;
+        machine.contacts = Contacts::default();
+        machine.catch_up = Some(CatchUp::new(target, now));
+        if is_empty {
+            let first = Record {
+                id: Some(id),
+                decided: genesis,
+                ..Record::default()
+            };
+            self.persist(node, first, Vec::new());
+        }
+    }
+
+    fn node_config(&self, node: usize, incarnation: u64, is_genesis: bool) -> NodeConfig {
+        let machine = &self.machines[node];
+        NodeConfig {
+            name: format!("{NAME_PREFIX}-{node}"),
+            zone: format!("z{}", node % ZONES),
+            incarnation,
+            control_address: machine.address.clone(),
+            may_vote: true,
+            min_voters: 2 * self.max_lost + 1,
+            heartbeat_interval: whole_millis(HEARTBEAT_INTERVAL),
+            bootstrap: machine.bootstrap.clone(),
+            is_genesis,
+            retry_allowance: RETRY_ALLOWANCE,
+            retry_window: whole_millis(RETRY_WINDOW),
+        }
+    }
+
+    /// What a starting process finds on its disk; none if it can't start now.
+    fn open_disk(&mut self, node: usize) -> Option<DurableState> {
+        let disk = &mut self.machines[node].disk;
+        match disk.open() {
+            Ok(state) => Some(state),
+            Err(_) if disk.is_full() => {
+                self.push_in(RESTART_DELAY, Event::StartProcess { node });
+                None
+            }
+            Err(cause) => {
+                let details = format!("the disk of {node} does not open: {cause}");
+                self.violation(Invariant::AcknowledgedIsSynced, &details);
+                None
+            }
+        }
+    }
+
+    /// The process ends, and is started again after so long.
+    pub(super) fn end_process(
+        &mut self,
+        node: usize,
+        end: ProcessEnd,
+        restart_in: Option<Duration>,
+    ) {
+        match restart_in.map(whole_millis) {
+            Some(delay) => self.trace(&format!("{node} ends, restart_delay_ms={delay}")),
+            None => self.trace(&format!("{node} ends")),
+        }
+        let disk = &mut self.machines[node].disk;
+        if disk.close(&mut self.random) {
+            self.count_fault(FaultKind::WriteCutOffByCrash);
+        }
+        let machine = &mut self.machines[node];
+        if end == ProcessEnd::PowerLost {
+            machine.disk.lose_power(&mut self.random);
+        }
+        machine.control = None;
+        machine.incarnation = 0;
+        machine.shutdown = None;
+        machine.catch_up = None;
+        let index = NodeIndex::Control(node);
+        for session in self.network.sessions_of(index) {
+            self.close_session(session, index);
+        }
+        self.calls.remove_all_of(node);
+        if let Some(delay) = restart_in {
+            self.count_lost(node, self.now() + delay);
+            self.push_in(delay, Event::StartProcess { node });
+        }
+    }
+
+    /// The process ends and its disk is lost; it comes back empty, at the same address.
+    pub(super) fn lose_disk(&mut self, node: usize, restart_in: Duration) {
+        self.end_process(node, ProcessEnd::PowerLost, Some(restart_in));
+        let erased_until = self.now() + restart_in + CATCH_UP_TIME;
+        let machine = &mut self.machines[node];
+        machine.disk.erase();
+        machine.is_initial = false;
+        machine.erased_until = erased_until;
+    }
+}
+
+// --- input ---
+
+impl World {
+    /// Something reaches the running process of a control node.
+    pub(super) fn deliver_to_control(&mut self, node: usize, delivery: Delivery) {
+        match delivery {
+            Delivery::Opened { session } if self.network.is_open(session) => {
+                self.run(node, |control, _, effects| control.opened(session, effects));
+            }
+            Delivery::Message {
+                session,
+                from,
+                sent_at,
+                message,
+            } if self.network.is_open(session) => {
+                self.note_contact(node, from, sent_at, &message);
+                self.run(node, |control, now, effects| {
+                    control.on_message(now.as_millis(), session, message, effects);
+                });
+            }
+            Delivery::Opened { .. } | Delivery::Message { .. } => {}
+            Delivery::Closed { session } => self.run(node, |control, now, effects| {
+                control.closed(now.as_millis(), session, effects);
+            }),
+            Delivery::Unreachable { address } => {
+                self.run(node, |control, now, _| {
+                    control.unreached(now.as_millis(), &address);
+                });
+            }
+            Delivery::Synced { then } => self.run(node, |control, now, effects| {
+                control.synced(now.as_millis(), then, effects);
+            }),
+        }
+    }
+
+    /// A message has arrived: both sides have proof of contact.
+    fn note_contact(
+        &mut self,
+        node: usize,
+        from: NodeIndex,
+        sent_at: Instant,
+        message: &PeerMessage,
+    ) {
+        if let Some(catch_up) = &mut self.machines[node].catch_up {
+            catch_up.count(message);
+        }
+        let NodeIndex::Control(from) = from else {
+            return;
+        };
+        let ids = (
+            self.machines[from].voter_id(),
+            self.machines[node].voter_id(),
+        );
+        let (Some(there), Some(here)) = ids else {
+            return;
+        };
+        self.machines[node].contacts.on_received(there, sent_at);
+        let sender = &mut self.machines[from];
+        // Not what an earlier incarnation had sent.
+        if sender.started_at <= sent_at {
+            sender.contacts.on_delivered(here, sent_at);
+        }
+    }
+
+    /// Runs one step of a control node at the time of its clock, checks what it decided, and carries out what it
+    /// asks for.
+    pub(super) fn run(
+        &mut self,
+        node: usize,
+        step: impl FnOnce(&mut ControlNode, Instant, &mut Vec<Effect>),
+    ) {
+        let clock = self.machine_clock(node);
+        let Some(control) = self.machines[node].control.as_mut() else {
+            return;
+        };
+        let mut effects = Vec::new();
+        step(control, clock, &mut effects);
+        self.check_decided(node);
+        self.check_lease_holders();
+        for effect in effects {
+            self.execute(node, effect);
+        }
+    }
+}
+
+// --- effects ---
+
+impl World {
+    fn execute(&mut self, node: usize, effect: Effect) {
+        let index = NodeIndex::Control(node);
+        match effect {
+            Effect::Send { session, message } => self.send(index, session, message),
+            Effect::Persist { record, then } => self.persist(node, record, then),
+            Effect::Respond { call, response } => self.on_response(node, call, response),
+            Effect::Dial(address) => self.dial(node, address),
+            Effect::Close(session) => self.close_session(session, index),
+            Effect::Log(line) => self.trace(&format!("{node}: {line}")),
+        }
+    }
+
+    fn dial(&mut self, node: usize, address: String) {
+        let from = self.machines[node].process(node);
+        let target = self
+            .machines
+            .iter()
+            .position(|machine| machine.address == address && !machine.decommissioned);
+        let Some(target) = target else {
+            self.fail_to_connect(node, address, CONNECTION_REFUSED);
+            return;
+        };
+        let to = self.machines[target].process(target);
+        if !self.is_up(target) || self.is_partitioned(from.node, to.node) {
+            self.fail_to_connect(node, address, CONNECT_TIMEOUT);
+            return;
+        }
+        let at = self.now() + self.network.delay(&mut self.random);
+        let session = self.network.open(from, to, self.now());
+        self.queue
+            .deliver_at(at, from, Delivery::Opened { session });
+        self.queue.deliver_at(at, to, Delivery::Opened { session });
+    }
+
+    fn fail_to_connect(&mut self, node: usize, address: String, after: Duration) {
+        let process = self.machines[node].process(node);
+        let delivery = Delivery::Unreachable { address };
+        self.queue
+            .deliver_at(self.queue.now() + after, process, delivery);
+    }
+
+    /// Queues a record; what waits on it is sent once it is synced.
+    fn persist(&mut self, node: usize, record: Record, then: DeferredMessages) {
+        self.machines[node].disk.enqueue(record, then);
+        self.start_write(node);
+    }
+
+    fn start_write(&mut self, node: usize) {
+        let machine = &mut self.machines[node];
+        if !machine.disk.start_write() {
+            return;
+        }
+        let incarnation = machine.incarnation;
+        let duration = machine.disk.sync_duration + self.random.millis_below(4);
+        self.push_in(duration, Event::WriteCompleted { node, incarnation });
+    }
+
+    /// The write in progress is on disk, or the disk has rejected it.
+    pub(super) fn complete_write(&mut self, node: usize, incarnation: u64) {
+        let now = self.now();
+        let machine = &mut self.machines[node];
+        if machine.incarnation != incarnation {
+            return;
+        }
+        match machine.disk.complete_write() {
+            WriteOutcome::Synced(then) => {
+                let at = now.max(machine.paused_until);
+                let process = machine.process(node);
+                self.queue
+                    .deliver_at(at, process, Delivery::Synced { then });
+            }
+            WriteOutcome::Rejected => self.count_fault(FaultKind::WriteRejected),
+            WriteOutcome::NotOpen => return,
+        }
+        self.start_write(node);
+    }
+}
--- /dev/null
+++ b/crates/linenthread-drill/src/system/fault.rs
@@ -0,0 +1,69 @@
+//! The kinds of faults and incidents that a schedule counts.
+
+use std::fmt;
+
+/// A fault that was injected, or an incident that followed from one. The summary lists them in this order.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub(super) enum FaultKind {
+    WriteCutOffByCrash,
+    WriteRejected,
+    AllProcessesKilled,
+    AllMachinesLosePower,
+    AllMachinesLosePowerAfterAcknowledgement,
+    ProcessKilled,
+    Partition,
+    LongPartition,
+    PartialPartition,
+    DiskLost,
+    DiskLostAfterAcknowledgement,
+    IngressPartition,
+    IngressRestart,
+    DiskFull,
+    ShutdownTimedOut,
+    LongPause,
+    PowerLoss,
+    Pause,
+    PlannedReplacement,
+    UnplannedReplacement,
+    PlannedRestart,
+    RollingRestart,
+    SecondDiskLost,
+    AllOthersLosePower,
+    BootstrapChanged,
+    DiskSlow,
+}
+
+impl fmt::Display for FaultKind {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        formatter.write_str(match self {
+            FaultKind::WriteCutOffByCrash => "write cut off by a crash",
+            FaultKind::WriteRejected => "write rejected by the disk",
+            FaultKind::AllProcessesKilled => "all processes killed",
+            FaultKind::AllMachinesLosePower => "all machines lose power",
+            FaultKind::AllMachinesLosePowerAfterAcknowledgement => {
+                "all machines lose power after an acknowledgement"
+            }
+            FaultKind::ProcessKilled => "process killed",
+            FaultKind::Partition => "partition",
+            FaultKind::LongPartition => "long partition",
+            FaultKind::PartialPartition => "partition in one direction, or from one node",
+            FaultKind::DiskLost => "disk lost",
+            FaultKind::DiskLostAfterAcknowledgement => "disk lost after an acknowledgement",
+            FaultKind::IngressPartition => "ingress node partitioned from a control node",
+            FaultKind::IngressRestart => "ingress node restarted",
+            FaultKind::DiskFull => "disk full",
+            FaultKind::ShutdownTimedOut => "shutdown ended by its deadline",
+            FaultKind::LongPause => "long pause",
+            FaultKind::PowerLoss => "power loss",
+            FaultKind::Pause => "pause",
+            FaultKind::PlannedReplacement => "planned replacement",
+            FaultKind::UnplannedReplacement => "unplanned replacement",
+            FaultKind::PlannedRestart => "planned restart",
+            FaultKind::RollingRestart => "rolling restart",
+            FaultKind::SecondDiskLost => "second loss: a disk",
+            FaultKind::AllOthersLosePower => "second loss: all others lose power",
+            FaultKind::BootstrapChanged => "bootstrap addresses changed",
+            FaultKind::DiskSlow => "disk slow",
+        })
+    }
+}
--- /dev/null
+++ b/crates/linenthread-drill/src/system/faults/mod.rs
@@ -0,0 +1,131 @@
+//! Faults drawn at random, each counted by its kind; the disks that they take stay within the loss budget.
+
+mod crashes;
+mod disks;
+mod partitions;
+mod replacements;
+mod second_losses;
+
+use std::time::Duration;
+
+use super::event::Event;
+use super::fault::FaultKind;
+use super::machine::ProcessEnd;
+use super::world::World;
+
+/// The least time between two faults.
+const MIN_GAP: Duration = Duration::from_millis(300);
+/// An ordinary pause ends sooner than this after its shortest duration, in milliseconds.
+const PAUSE_MS: u64 = 7_300;
+/// A pause that outlasts every lease and time-out.
+const LONG_PAUSE_MS: u64 = 25_000;
+
+/// What may be injected.
+#[derive(Clone, Copy)]
+enum Fault {
+    Crash,
+    DiskLost,
+    UnplannedReplacement,
+    PlannedReplacement,
+    PlannedRestart,
+    RollingRestart,
+    AllKilled,
+    AllLosePower,
+    Partition,
+    PartialPartition,
+    LongPartition,
+    IngressPartition,
+    Pause,
+    LongPause,
+    SlowDisk,
+    FullDisk,
+    IngressRestart,
+}
+
+/// Which faults are drawn, and with which weight.
+const FAULTS: [(Fault, u64); 17] = [
+    (Fault::Crash, 4),
+    (Fault::DiskLost, 4),
+    (Fault::UnplannedReplacement, 3),
+    (Fault::PlannedReplacement, 3),
+    (Fault::PlannedRestart, 3),
+    (Fault::RollingRestart, 1),
+    (Fault::AllKilled, 1),
+    (Fault::AllLosePower, 1),
+    (Fault::Partition, 2),
+    (Fault::PartialPartition, 3),
+    (Fault::LongPartition, 1),
+    (Fault::IngressPartition, 2),
+    (Fault::Pause, 2),
+    (Fault::LongPause, 1),
+    (Fault::SlowDisk, 2),
+    (Fault::FullDisk, 2),
+    (Fault::IngressRestart, 2),
+];
+
+/// In a schedule of replacements: what leaves room for them in the loss budget.
+const REPLACEMENT_FAULTS: [(Fault, u64); 8] = [
+    (Fault::DiskLost, 4),
+    (Fault::UnplannedReplacement, 4),
+    (Fault::PlannedReplacement, 6),
+    (Fault::PlannedRestart, 2),
+    (Fault::RollingRestart, 1),
+    (Fault::AllLosePower, 1),
+    (Fault::PartialPartition, 1),
+    (Fault::IngressRestart, 1),
+];
+
+impl World {
+    fn draw_fault(&mut self) -> Fault {
+        let faults: &[(Fault, u64)] = if self.plan.only_replacements {
+            &REPLACEMENT_FAULTS
+        } else {
+            &FAULTS
+        };
+        let weights = faults.iter().map(|(_, weight)| weight).sum();
+        let mut position = self.random.below(weights);
+        for (fault, weight) in faults {
+            if position < *weight {
+                return *fault;
+            }
+            position -= weight;
+        }
+        Fault::Crash
+    }
+
+    /// Injects a fault at any machine, and schedules the next one.
+    pub(super) fn inject_fault(&mut self) {
+        if self.is_healed() {
+            return;
+        }
+        let gap = MIN_GAP + self.random.millis_below(self.plan.fault_gap_ms);
+        self.push_in(gap, Event::InjectFault);
+        let fault = self.draw_fault();
+        let node = self.any_machine();
+        if self.machines[node].decommissioned {
+            return;
+        }
+        self.trace(&format!("fault at {node}"));
+        match fault {
+            Fault::Crash => self.crash_one(node),
+            Fault::DiskLost => self.lose_one_disk(node),
+            Fault::UnplannedReplacement => self.replace_unplanned(node),
+            Fault::PlannedReplacement => self.replace_planned(node),
+            Fault::PlannedRestart => self.restart_planned(node),
+            Fault::RollingRestart => self.begin_rolling_restart(),
+            Fault::AllKilled => self.end_all(ProcessEnd::Killed, FaultKind::AllProcessesKilled),
+            Fault::AllLosePower => {
+                self.end_all(ProcessEnd::PowerLost, FaultKind::AllMachinesLosePower);
+            }
+            Fault::Partition => self.partition_node(node),
+            Fault::PartialPartition => self.partition_partly(node),
+            Fault::LongPartition => self.partition_long(node),
+            Fault::IngressPartition => self.partition_ingress(node),
+            Fault::Pause => self.pause(node, PAUSE_MS, FaultKind::Pause),
+            Fault::LongPause => self.pause(node, LONG_PAUSE_MS, FaultKind::LongPause),
+            Fault::SlowDisk => self.slow_disk(node),
+            Fault::FullDisk => self.fill_disk(node),
+            Fault::IngressRestart => self.restart_ingress(),
+        }
+    }
+}
--- /dev/null
+++ b/crates/linenthread-drill/src/system/faults/partitions.rs
@@ -0,0 +1,95 @@
+//! Partitions between nodes, of both directions or one.
+
+use std::time::Duration;
+
+use linenthread_time::Instant;
+
+use super::super::event::NodeIndex;
+use super::super::fault::FaultKind;
+use super::super::ingress_node::INGRESS_NODES;
+use super::super::world::World;
+
+/// The shortest partition.
+const MIN_DURATION: Duration = Duration::from_millis(300);
+/// The shortest long partition.
+const LONG_MIN_DURATION: Duration = Duration::from_millis(20_000);
+
+/// Which directions a partition cuts.
+#[derive(Clone, Copy)]
+enum Directions {
+    Both,
+    FromOthers,
+    ToOthers,
+}
+
+impl World {
+    fn draw_directions(&mut self) -> Directions {
+        match self.random.below(3) {
+            0 => Directions::Both,
+            1 => Directions::FromOthers,
+            _ => Directions::ToOthers,
+        }
+    }
+
+    pub(super) fn partition_node(&mut self, node: usize) {
+        self.count_fault(FaultKind::Partition);
+        let until = self.now() + MIN_DURATION + self.random.millis_below(6_000);
+        self.partition_from_others(node, until, Directions::Both);
+    }
+
+    pub(super) fn partition_long(&mut self, node: usize) {
+        self.count_fault(FaultKind::LongPartition);
+        let until = self.now() + LONG_MIN_DURATION + self.random.millis_below(15_000);
+        let directions = self.draw_directions();
+        self.partition_from_others(node, until, directions);
+    }
+
+    pub(super) fn partition_partly(&mut self, node: usize) {
+        self.count_fault(FaultKind::PartialPartition);
+        let until = self.now() + MIN_DURATION + self.random.millis_below(9_000);
+        let directions = self.draw_directions();
+        if self.random.one_in(2) {
+            self.partition_from_others(node, until, directions);
+        } else {
+            let other = self.any_machine();
+            self.partition_pair(node, NodeIndex::Control(other), until, directions);
+            self.count_lost(node, until);
+        }
+    }
+
+    pub(super) fn partition_ingress(&mut self, node: usize) {
+        self.count_fault(FaultKind::IngressPartition);
+        let ingress = NodeIndex::Ingress(self.random.index(INGRESS_NODES));
+        let until = self.now() + MIN_DURATION + self.random.millis_below(9_000);
+        self.partition_pair(node, ingress, until, Directions::Both);
+    }
+
+    fn partition_from_others(&mut self, node: usize, until: Instant, directions: Directions) {
+        for other in (0..self.machines.len()).filter(|other| *other != node) {
+            self.partition_pair(node, NodeIndex::Control(other), until, directions);
+        }
+        // Ingress nodes may be on the other side, too.
+        if self.random.one_in(4) {
+            for ingress in 0..INGRESS_NODES {
+                self.partition_pair(node, NodeIndex::Ingress(ingress), until, directions);
+            }
+        }
+        self.count_lost(node, until);
+    }
+
+    fn partition_pair(
+        &mut self,
+        node: usize,
+        other: NodeIndex,
+        until: Instant,
+        directions: Directions,
+    ) {
+        let node = NodeIndex::Control(node);
+        if !matches!(directions, Directions::FromOthers) {
+            self.network.partition(node, other, until);
+        }
+        if !matches!(directions, Directions::ToOthers) {
+            self.network.partition(other, node, until);
+        }
+    }
+}
--- /dev/null
+++ b/crates/linenthread-drill/src/system/faults/second_losses.rs
@@ -0,0 +1,76 @@
+//! Losses right after another one, or right after an acknowledgement: when few disks hold what was acknowledged.
+
+use std::time::Duration;
+
+use linenthread_time::Instant;
+
+use super::super::event::Event;
+use super::super::fault::FaultKind;
+use super::super::machine::ProcessEnd;
+use super::super::world::World;
+
+/// A second loss comes within so many milliseconds.
+const SECOND_LOSS_WITHIN_MS: u64 = 3_000;
+
+impl World {
+    /// Every other time a second loss follows soon after `from`.
+    pub(super) fn draw_second_loss(&mut self, from: Instant) {
+        if self.random.one_in(2) {
+            let at = from + self.random.millis_below(SECOND_LOSS_WITHIN_MS);
+            self.queue.push_at(at, Event::SecondLoss);
+        }
+    }
+
+    /// Right after a change of the voters: a disk within the budget, a power loss of all others, or a crash.
+    pub(in super::super) fn inject_second_loss(&mut self) {
+        let node = self.any_machine();
+        if self.is_healed() || !self.is_up(node) {
+            return;
+        }
+        let way = self.random.below(4);
+        if way < 3 && self.may_lose_one() {
+            self.count_fault(FaultKind::SecondDiskLost);
+            let restart_in = Duration::from_millis(200) + self.random.millis_below(1_000);
+            self.lose_disk(node, restart_in);
+        }
+        match way {
+            0 => self.end_all(ProcessEnd::PowerLost, FaultKind::AllOthersLosePower),
+            3 => self.crash_one(node),
+            _ => {}
+        }
+    }
+
+    /// Right after an acknowledgement a disk is lost, and another process may end as well, or all lose power.
+    pub(in super::super) fn inject_loss_after_acknowledgement(&mut self, node: usize) {
+        let may_lose = self.down_or_erased() < self.max_lost;
+        if self.is_healed() || !self.is_up(node) || !may_lose || !self.all_vote() {
+            return;
+        }
+        let others: Vec<usize> = (0..self.machines.len())
+            .filter(|other| *other != node && self.is_up(*other))
+            .collect();
+        if others.is_empty() {
+            return;
+        }
+        self.count_fault(FaultKind::DiskLostAfterAcknowledgement);
+        let lost = if self.random.one_in(2) {
+            node
+        } else {
+            others[self.random.index(others.len())]
+        };
+        let restart_in = Duration::from_millis(20) + self.random.millis_below(600);
+        self.lose_disk(lost, restart_in);
+        let second = others[self.random.index(others.len())];
+        match self.random.below(4) {
+            0 => self.end_all(
+                ProcessEnd::PowerLost,
+                FaultKind::AllMachinesLosePowerAfterAcknowledgement,
+            ),
+            1 if second != lost => {
+                let restart_in = Duration::from_millis(500) + self.random.millis_below(3_000);
+                self.end_process(second, ProcessEnd::PowerLost, Some(restart_in));
+            }
+            _ => {}
+        }
+    }
+}
--- /dev/null
+++ b/crates/linenthread-drill/src/system/history.rs
@@ -0,0 +1,102 @@
+//! What was sent, decided and acknowledged so far: what the checker judges by.
+
+use std::collections::{BTreeMap, BTreeSet};
+
+use linenthread_messages::Value;
+
+/// A change of the configuration, on top of another.
+#[derive(Clone, Debug, PartialEq)]
+pub(super) struct Change {
+    /// The revision that it builds on.
+    pub(super) base: u64,
+    pub(super) revision: u64,
+    pub(super) document: Vec<u8>,
+}
+
+/// The configuration that became committed, by the decided values.
+pub(super) enum Commit {
+    /// The value carries no new revision.
+    None,
+    /// A revision for the first time; the change that was sent for it, if there is one.
+    New(Option<Change>),
+    /// Another document was committed under this revision before.
+    Conflict,
+}
+
+#[derive(Default)]
+pub(super) struct History {
+    /// Decided values by their numbers.
+    pub(super) values: BTreeMap<u64, Value>,
+    /// The committed document of each revision.
+    committed: BTreeMap<u64, Vec<u8>>,
+    /// The committed changes as they were sent, oldest first.
+    pub(super) changes: Vec<Change>,
+    /// All changes that were ever sent.
+    pub(super) sent: Vec<Change>,
+    /// Revision and document of each change that was rejected.
+    rejected: BTreeSet<(u64, Vec<u8>)>,
+    /// Acknowledged changes by revision.
+    pub(super) acknowledged: BTreeMap<u64, Change>,
+    /// Which revision was acknowledged on top of which.
+    pub(super) acknowledged_on: BTreeMap<u64, u64>,
+    /// Which incarnation held the lease under which epoch.
+    pub(super) lease_holders: BTreeMap<u64, u64>,
+}
+
+impl History {
+    /// Notes a decided value.
+    pub(super) fn add_value(&mut self, value: Value) -> Commit {
+        let commit = self.commit(&value);
+        self.values.insert(value.number, value);
+        commit
+    }
+
+    fn commit(&mut self, value: &Value) -> Commit {
+        if value.revision == 0 {
+            return Commit::None;
+        }
+        if let Some(document) = self.committed.get(&value.revision) {
+            return if document[..] == value.document[..] {
+                Commit::None
+            } else {
+                Commit::Conflict
+            };
+        }
+        self.committed
+            .insert(value.revision, value.document.to_vec());
+        let is_committed = |change: &&Change| {
+            change.revision == value.revision && change.document[..] == value.document[..]
+        };
+        let change = self.sent.iter().rev().find(is_committed).cloned();
+        self.changes.extend(change.clone());
+        Commit::New(change)
+    }
+
+    pub(super) fn newest_value(&self) -> Option<&Value> {
+        self.values.last_key_value().map(|(_, value)| value)
+    }
+
+    pub(super) fn newest_number(&self) -> u64 {
+        self.newest_value().map_or(0, |value| value.number)
+    }
+
+    pub(super) fn is_committed(&self, change: &Change) -> bool {
+        self.committed
+            .get(&change.revision)
+            .is_some_and(|document| *document == change.document)
+    }
+
+    /// Notes that a change was rejected as a conflict.
+    pub(super) fn add_rejected(&mut self, change: Change) {
+        self.rejected.insert((change.revision, change.document));
+    }
+
+    pub(super) fn was_rejected(&self, change: &Change) -> bool {
+        self.rejected
+            .contains(&(change.revision, change.document.clone()))
+    }
+
+    pub(super) fn newest_acknowledged(&self) -> u64 {
+        self.acknowledged.keys().last().copied().unwrap_or(0)
+    }
+}
--- /dev/null
+++ b/crates/linenthread-drill/src/system/ingress_node.rs
@@ -0,0 +1,261 @@
+//! An ingress node: it holds a session with one control node, follows its change log and asks for shares of the
+//! retry allowance.
+
+use std::collections::BTreeMap;
+use std::time::Duration;
+
+use linenthread_control::SessionId;
+use linenthread_messages::{Heartbeat, Hello, IngressUpdate, PeerMessage, QuotaGrant, VERSION};
+use linenthread_time::Instant;
+
+use super::event::{NodeIndex, Process};
+
+/// Retries that all ingress nodes together may use in a window.
+pub(super) const RETRY_ALLOWANCE: f64 = 50.0;
+/// The window of [`RETRY_ALLOWANCE`].
+pub(super) const RETRY_WINDOW: Duration = Duration::from_millis(4_000);
+/// How many ingress nodes there are.
+pub(super) const INGRESS_NODES: usize = 4;
+/// An ingress node that got no message for longer ends its session.
+const SESSION_TIMEOUT: Duration = Duration::from_millis(1_600);
+/// After so many heartbeats in a row of a control node without a quorum its session is ended.
+const MAX_HEARTBEATS_WITHOUT_QUORUM: u32 = 2;
+
+/// A share of the allowance that may be used until its lease ends.
+#[derive(Clone, Copy)]
+pub(super) struct Grant {
+    pub(super) share: f64,
+    pub(super) until: Instant,
+}
+
+/// The most that may have been used under grants of one incarnation: each replaces the one before.
+fn max_share(grants: &[Grant]) -> f64 {
+    grants.iter().map(|grant| grant.share).fold(0.0, f64::max)
+}
+
+fn drop_expired(grants: &mut Vec<Grant>, now: Instant) {
+    grants.retain(|grant| grant.until + RETRY_WINDOW > now);
+}
+
+/// An ingress node was sent an older configuration than it has.
+pub(super) struct OlderRevision {
+    pub(super) revision: u64,
+}
+
+pub(super) struct IngressNode {
+    pub(super) incarnation: u64,
+    pub(super) session: Option<SessionId>,
+    /// The control node of its session, or of the last one.
+    pub(super) control: usize,
+    change_log_id: u64,
+    change_log_offset: u64,
+    quota_requests: u64,
+    quota_requested_at: BTreeMap<u64, Instant>,
+    /// Grants of which some may have been used within the window.
+    grants: Vec<Grant>,
+    /// The newest epoch of the lease that it had a grant under.
+    epoch: u64,
+    pub(super) revision: u64,
+    /// Its configuration was confirmed as the newest one.
+    pub(super) confirmed: bool,
+    last_received_at: Instant,
+    /// Heartbeats in a row of a control node without a quorum.
+    heartbeats_without_quorum: u32,
+    /// When it last failed to reach each control node: the longest ago comes first.
+    failed_at: BTreeMap<usize, Instant>,
+    /// Without a session with a node in contact since then, though there is such a node.
+    pub(super) without_session_since: Option<Instant>,
+}
+
+impl IngressNode {
+    pub(super) fn new(incarnation: u64) -> IngressNode {
+        IngressNode {
+            incarnation,
+            session: None,
+            control: 0,
+            change_log_id: 0,
+            change_log_offset: 0,
+            quota_requests: 0,
+            quota_requested_at: BTreeMap::new(),
+            grants: Vec::new(),
+            epoch: 0,
+            revision: 0,
+            confirmed: false,
+            last_received_at: Instant::START,
+            heartbeats_without_quorum: 0,
+            failed_at: BTreeMap::new(),
+            without_session_since: None,
+        }
+    }
+
+    /// The process of this node, which is the one of this index.
+    pub(super) fn process(&self, index: usize) -> Process {
+        Process {
+            node: NodeIndex::Ingress(index),
+            incarnation: self.incarnation,
+        }
+    }
+
+    // --- sessions ---
+
+    /// A session with this control node begins.
+    pub(super) fn on_opened(&mut self, session: SessionId, control: usize, now: Instant) {
+        self.session = Some(session);
+        self.control = control;
+        self.last_received_at = now;
+        self.heartbeats_without_quorum = 0;
+    }
+
+    /// Its session is over, whichever side ended it.
+    pub(super) fn on_closed(&mut self, now: Instant) {
+        self.on_failed(self.control, now);
+        self.session = None;
+    }
+
+    /// A control node could not be reached.
+    pub(super) fn on_failed(&mut self, control: usize, now: Instant) {
+        self.failed_at.insert(control, now);
+    }
+
+    pub(super) fn failed_at(&self, control: usize) -> Instant {
+        self.failed_at.get(&control).copied().unwrap_or_default()
+    }
+
+    /// Whether its session should end: the control node is silent, or has no quorum.
+    pub(super) fn should_leave(&self, now: Instant) -> bool {
+        now > self.last_received_at + SESSION_TIMEOUT
+            || self.heartbeats_without_quorum >= MAX_HEARTBEATS_WITHOUT_QUORUM
+    }
+
+    // --- messages ---
+
+    pub(super) fn hello(&self, name: String) -> Hello {
+        Hello {
+            version: VERSION,
+            name,
+            zone: "z0".into(),
+            incarnation: self.incarnation,
+            change_log_id: self.change_log_id,
+            change_log_offset: self.change_log_offset,
+            value_number: self.revision,
+            ..Hello::default()
+        }
+    }
+
+    /// The next heartbeat, which asks for a share of the allowance.
+    pub(super) fn heartbeat(&mut self, now: Instant) -> Heartbeat {
+        self.quota_requests += 1;
+        self.quota_requested_at.insert(self.quota_requests, now);
+        Heartbeat {
+            quota_request_or_value_number: self.quota_requests,
+            revision: self.revision,
+            ..Heartbeat::default()
+        }
+    }
+
+    /// Works on a message of its control node.
+    pub(super) fn on_message(
+        &mut self,
+        message: PeerMessage,
+        now: Instant,
+    ) -> Result<(), OlderRevision> {
+        self.last_received_at = now;
+        match message {
+            PeerMessage::Heartbeat(heartbeat) if heartbeat.has_quorum => {
+                self.heartbeats_without_quorum = 0;
+            }
+            PeerMessage::Heartbeat(_) => self.heartbeats_without_quorum += 1,
+            PeerMessage::IngressUpdate(update) => return self.on_update(update),
+            PeerMessage::QuotaGrants(grants) => {
+                for grant in grants.grants {
+                    self.on_grant(&grant, now);
+                }
+            }
+            _ => {}
+        }
+        Ok(())
+    }
+
+    fn on_update(&mut self, update: IngressUpdate) -> Result<(), OlderRevision> {
+        self.change_log_id = update.change_log_id;
+        self.change_log_offset = update.change_log_offset;
+        self.confirmed |= update.confirmed;
+        let Some(value) = update.value else {
+            return Ok(());
+        };
+        let revision = value.revision;
+        let is_older = revision < self.revision;
+        self.revision = revision;
+        if is_older {
+            Err(OlderRevision { revision })
+        } else {
+            Ok(())
+        }
+    }
+
+    fn on_grant(&mut self, grant: &QuotaGrant, now: Instant) {
+        if grant.incarnation != self.incarnation || grant.epoch < self.epoch {
+            return;
+        }
+        let Some(requested_at) = self.quota_requested_at.get(&grant.quota_request) else {
+            return;
+        };
+        let until = *requested_at + Duration::from_millis(grant.lease_ms.into());
+        self.epoch = grant.epoch;
+        if until > now {
+            let share = grant.share;
+            self.grants.push(Grant { share, until });
+        }
+    }
+}
+
+/// All ingress nodes, and what earlier incarnations of them may have used.
+pub(super) struct IngressNodes {
+    pub(super) nodes: Vec<IngressNode>,
+    /// Grants of each incarnation that has ended.
+    retired: Vec<Vec<Grant>>,
+}
+
+impl IngressNodes {
+    pub(super) fn new() -> IngressNodes {
+        IngressNodes {
+            nodes: Vec::new(),
+            retired: Vec::new(),
+        }
+    }
+
+    /// Replaces a node by a new incarnation of it; returns the session that the old one had.
+    pub(super) fn restart(
+        &mut self,
+        index: usize,
+        incarnation: u64,
+        now: Instant,
+    ) -> Option<SessionId> {
+        let old = std::mem::replace(&mut self.nodes[index], IngressNode::new(incarnation));
+        let ended = |grant: &Grant| Grant {
+            until: grant.until.min(now),
+            ..*grant
+        };
+        self.retired.push(old.grants.iter().map(ended).collect());
+        old.session
+    }
+
+    /// What may have been used within the window that ends now, by all incarnations together.
+    pub(super) fn max_usage(&mut self, now: Instant) -> f64 {
+        let mut sum = 0.0;
+        for node in &mut self.nodes {
+            drop_expired(&mut node.grants, now);
+            sum += max_share(&node.grants);
+        }
+        for grants in &mut self.retired {
+            drop_expired(grants, now);
+        }
+        self.retired.retain(|grants| !grants.is_empty());
+        sum += self
+            .retired
+            .iter()
+            .map(|grants| max_share(grants))
+            .sum::<f64>();
+        sum
+    }
+}
--- /dev/null
+++ b/crates/linenthread-drill/src/system/invariant.rs
@@ -0,0 +1,62 @@
+//! The invariants that hold in every schedule.
+
+use std::fmt;
+
+/// An invariant. It is printed under its name in `docs/control-safety.md`.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum Invariant {
+    /// No two values are decided under one number.
+    OneValuePerNumber,
+    /// No two changes are acknowledged on top of the same revision.
+    OneChangePerBase,
+    /// Of two changes under one revision one is committed, the other is never acknowledged.
+    OneChangePerRevision,
+    /// Each acknowledged configuration is in the chain of decided ones.
+    AcknowledgedLasts,
+    /// A committed change is acknowledged again, or its retry gets no clear response.
+    CommittedIsNeverRejected,
+    ReadsAreNewest,
+    /// What a node has decided, and what an ingress node applies, never gets older.
+    MonotonicState,
+    /// A majority of the voters knows of an acknowledged drain.
+    DrainsAreKnown,
+    /// At no moment two nodes hold the lease, and no epoch belongs to two incarnations.
+    OneLeaseHolderPerEpoch,
+    /// What ingress nodes may use together stays within the retry allowance.
+    GrantsWithinAllowance,
+    /// A node without contact to a majority confirms nothing.
+    NoResponseWithoutQuorum,
+    /// An ingress node leaves a control node that is partitioned off.
+    IngressFailsOver,
+    /// A started node has the newest value in bounded time, messages and bytes.
+    CatchesUp,
+    /// The durable state does not grow with the number of changes beyond its bound.
+    BoundedState,
+    /// Each disk opens again.
+    AcknowledgedIsSynced,
+    /// After the faults a change is acknowledged, read back, and in force at every ingress node.
+    Recovers,
+}
+
+impl fmt::Display for Invariant {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        formatter.write_str(match self {
+            Invariant::OneValuePerNumber => "one-value-a-number",
+            Invariant::OneChangePerBase => "one-a-base",
+            Invariant::OneChangePerRevision => "one-a-number",
+            Invariant::AcknowledgedLasts => "acked-lasts",
+            Invariant::CommittedIsNeverRejected => "taken-is-never-refused",
+            Invariant::ReadsAreNewest => "reads-are-newest",
+            Invariant::MonotonicState => "nothing-goes-back",
+            Invariant::DrainsAreKnown => "drains-are-known",
+            Invariant::OneLeaseHolderPerEpoch => "one-holder-an-epoch",
+            Invariant::GrantsWithinAllowance => "shares-within-the-whole",
+            Invariant::NoResponseWithoutQuorum => "a-cut-off-node-confirms-nothing",
+            Invariant::IngressFailsOver => "fronts-leave",
+            Invariant::CatchesUp => "catches-up",
+            Invariant::BoundedState => "bounded-state",
+            Invariant::AcknowledgedIsSynced => "acknowledged-is-synced",
+            Invariant::Recovers => "all-comes-back",
+        })
+    }
+}
--- /dev/null
+++ b/crates/linenthread-drill/src/system/machine.rs
@@ -0,0 +1,176 @@
+//! A machine of a control node: its process, disk and clock.
+
+use std::collections::BTreeMap;
+use std::time::Duration;
+
+use linenthread_control::ControlNode;
+use linenthread_messages::{Envelope, PeerMessage};
+use linenthread_time::Instant;
+use prost::Message;
+
+use super::clock::MachineClock;
+use super::disk::Disk;
+use super::event::{NodeIndex, Process};
+
+/// How a process ends.
+#[derive(Clone, Copy, PartialEq)]
+pub(super) enum ProcessEnd {
+    /// The machine runs on: what was written is there.
+    Killed,
+    PowerLost,
+}
+
+/// What follows a planned shutdown.
+#[derive(Clone, Copy)]
+pub(super) enum AfterShutdown {
+    Restart {
+        delay: Duration,
+    },
+    /// The machine and its disk are gone for good; this one takes its place.
+    Decommission {
+        successor: usize,
+    },
+}
+
+/// A process that was asked to shut down.
+#[derive(Clone, Copy)]
+pub(super) struct Shutdown {
+    pub(super) deadline: Instant,
+    pub(super) then: AfterShutdown,
+}
+
+/// What it takes a process that was started to have the newest value.
+pub(super) struct CatchUp {
+    /// The number of the newest value when it was started.
+    pub(super) target: u64,
+    pub(super) started_at: Instant,
+    pub(super) messages: usize,
+    pub(super) bytes: usize,
+}
+
+impl CatchUp {
+    pub(super) fn new(target: u64, started_at: Instant) -> CatchUp {
+        CatchUp {
+            target,
+            started_at,
+            messages: 0,
+            bytes: 0,
+        }
+    }
+
+    pub(super) fn count(&mut self, message: &PeerMessage) {
+        self.messages += 1;
+        self.bytes += Envelope {
+            message: Some(message.clone()),
+        }
+        .encoded_len();
+    }
+}
+
+/// When messages were exchanged with other nodes, by the ids of their disks.
+#[derive(Default)]
+pub(super) struct Contacts {
+    /// When the newest message that arrived here was sent.
+    received: BTreeMap<u64, Instant>,
+    /// When the newest message of ours that arrived there was sent.
+    delivered: BTreeMap<u64, Instant>,
+}
+
+impl Contacts {
+    pub(super) fn on_received(&mut self, from: u64, sent_at: Instant) {
+        let newest = self.received.entry(from).or_default();
+        *newest = sent_at.max(*newest);
+    }
+
+    pub(super) fn on_delivered(&mut self, to: u64, sent_at: Instant) {
+        let newest = self.delivered.entry(to).or_default();
+        *newest = sent_at.max(*newest);
+    }
+
+    /// When the older of the newest messages of both directions was sent.
+    pub(super) fn last_exchange(&self, with: u64) -> Instant {
+        let time = |times: &BTreeMap<u64, Instant>| times.get(&with).copied().unwrap_or_default();
+        time(&self.received).min(time(&self.delivered))
+    }
+}
+
+pub(super) struct Machine {
+    pub(super) address: String,
+    /// The node of the running process.
+    pub(super) control: Option<ControlNode>,
+    /// Of the running process; 0 while there is none.
+    pub(super) incarnation: u64,
+    /// When the newest process started.
+    pub(super) started_at: Instant,
+    /// The process does not run until then.
+    pub(super) paused_until: Instant,
+    pub(super) shutdown: Option<Shutdown>,
+    /// Gone for good.
+    pub(super) decommissioned: bool,
+    pub(super) disk: Disk,
+    pub(super) clock: MachineClock,
+    /// The addresses that its settings name.
+    pub(super) bootstrap: Vec<String>,
+    /// It belongs to the first machines of the system and has never been started.
+    pub(super) is_initial: bool,
+    /// Counts as lost until then, see `loss_budget`.
+    pub(super) lost_until: Instant,
+    /// Its disk was lost; what it had held is missing until then.
+    pub(super) erased_until: Instant,
+    /// The highest number of a value that the process has decided.
+    pub(super) decided_number: u64,
+    pub(super) contacts: Contacts,
+    /// While the process has not caught up.
+    pub(super) catch_up: Option<CatchUp>,
+}
+
+impl Machine {
+    pub(super) fn new(
+        address: String,
+        bootstrap: Vec<String>,
+        is_initial: bool,
+        clock: MachineClock,
+        sync_duration: Duration,
+    ) -> Machine {
+        Machine {
+            address,
+            control: None,
+            incarnation: 0,
+            started_at: Instant::START,
+            paused_until: Instant::START,
+            shutdown: None,
+            decommissioned: false,
+            disk: Disk::new(sync_duration),
+            clock,
+            bootstrap,
+            is_initial,
+            lost_until: Instant::START,
+            erased_until: Instant::START,
+            decided_number: 0,
+            contacts: Contacts::default(),
+            catch_up: None,
+        }
+    }
+
+    pub(super) fn is_up(&self) -> bool {
+        self.control.is_some()
+    }
+
+    /// Up, and not paused.
+    pub(super) fn is_running(&self, now: Instant) -> bool {
+        self.is_up() && self.paused_until <= now
+    }
+
+    /// The id of its disk, as the running process has it.
+    pub(super) fn voter_id(&self) -> Option<u64> {
+        self.control.as_ref().map(|control| control.register().id())
+    }
+
+    /// The running process of this machine, which is the one of this index.
+    pub(super) fn process(&self, index: usize) -> Process {
+        Process {
+            node: NodeIndex::Control(index),
+            incarnation: self.incarnation,
+        }
+    }
+}
--- a/crates/linenthread-drill/src/system/mod.rs
+++ b/crates/linenthread-drill/src/system/mod.rs
@@ -1,37 +1,46 @@
-//! The system's control in simulated time: core machines with the daemon's own log on disks that lose what
-//! was not synced, links that lose, delay and hang, fronts that ask for shares, operators that race and send
-//! again; judged by what was acknowledged, decided and truly heard.
+//! Deterministic simulation of the system's control.
 //!
-//! Rules judged:
+//! Control nodes run the daemon's state machine and log, on disks that lose what was not synced; connections
+//! lose, delay and hang; ingress nodes ask for grants, operators race and retry. The [`invariant`]s are checked by
+//! what was acknowledged, decided and truly received. Everything that is random comes from the seed.
 //!
-//! - *one-value-a-number*, *one-a-base* (no two orders acknowledged on top of the same), *one-a-number* (of
-//!   two orders under one number one wins, the other is never acknowledged);
-//! - *acked-lasts* (each acknowledged configuration is in the chain), *taken-is-never-refused* (one that was
-//!   taken is acknowledged again or gets no clear answer), *reads-are-newest*, *nothing-goes-back*;
-//! - *drains-are-known* (more than half of the counted know of an acknowledged drain);
-//! - *one-holder-an-epoch* (at no moment two hold the lease, and no epoch is held by two lives),
-//!   *shares-within-the-whole*;
-//! - *a-cut-off-node-confirms-nothing*, *fronts-leave* (`contact`);
-//! - *catches-up*, *bounded-state* (messages, bytes and disk, whatever the number of changes);
-//! - *acknowledged-is-synced* (each disk opens again);
-//! - *all-comes-back* (after the troubles a change is acknowledged, read back, and in force at every front).
+//! Start reading at [`simulation`]: it runs a schedule, event by event. Modules use only those below them:
 //!
-//! What may be lost at once stands in `budget`, with the reasons.
+//! | layer | modules |
+//! | --- | --- |
+//! | a schedule and its events | [`simulation`] |
+//! | what is done to the system | [`faults`], [`recovery`], [`shutdown`], [`operators`], [`ingress`] |
+//! | a step of a control node | [`execution`], [`responses`] |
+//! | checks | [`checker`] |
+//! | all state, and what may be lost at once | [`world`], [`loss_budget`] |
+//! | parts of the state | [`machine`], [`disk`], [`clock`], [`network`], [`ingress_node`], [`operator`], [`replicas`], [`requests`], [`history`], [`report`], [`plan`] |
+//! | events, random numbers, kinds | [`event`], [`random`], [`fault`], [`invariant`] |
 
-mod budget;
-mod catch_up;
+mod checker;
 mod clock;
-mod contact;
 mod disk;
-mod fronts;
-mod judge;
-mod leaving;
-mod machines;
+mod event;
+mod execution;
+mod fault;
+mod faults;
+mod history;
+mod ingress;
+mod ingress_node;
+mod invariant;
+mod loss_budget;
+mod machine;
 mod network;
+mod operator;
 mod operators;
+mod plan;
+mod random;
+mod recovery;
 mod replicas;
-mod schedule;
-mod troubles;
+mod report;
+mod requests;
+mod responses;
+mod shutdown;
+mod simulation;
 mod world;
 
-pub(crate) use schedule::Drill;
+pub(crate) use simulation::{Options, run};
--- a/crates/linenthread-drill/src/system/network.rs
+++ b/crates/linenthread-drill/src/system/network.rs
@@ -1,122 +1,187 @@
-//! Links between machines: words in order, delays, cuts of one or both directions, links that hang.
+//! Connections between nodes: messages in order, delays, partitions of one or both directions, connections that
+//! hang.
 
+use std::collections::BTreeMap;
+use std::time::Duration;
+
+use linenthread_control::SessionId;
 use linenthread_messages::PeerMessage;
+use linenthread_time::Instant;
+
+use super::event::{Delivery, EventQueue, NodeIndex, Process};
+use super::random::Random;
+
+/// One message in so many is slow while faults are injected.
+const SLOW_MESSAGES: u64 = 50;
+/// How soon both sides of a connection that hung learn of its end.
+const RESET_DELAY: Duration = Duration::from_millis(1);
 
-use super::world::{Event, World};
+struct Connection {
+    ends: [Process; 2],
+    /// When the last message from each end arrives: messages stay in order.
+    last_arrival: [Instant; 2],
+    /// A message was lost: nothing arrives any more, and no end learns of it.
+    hangs: bool,
+}
 
-pub(super) struct Wire {
-    pub(super) ends: [(usize, u64); 2],
-    /// Words on their way in each direction arrive in order.
-    pub(super) last: [u64; 2],
-    pub(super) stuck: bool,
+impl Connection {
+    /// The index of the end that is this node's.
+    fn side_of(&self, node: NodeIndex) -> usize {
+        usize::from(self.ends[0].node != node)
+    }
 }
 
-impl World {
+pub(super) struct Network {
+    connections: BTreeMap<SessionId, Connection>,
+    last_session: u64,
+    /// Nothing gets from the first to the second until then.
+    partitions: BTreeMap<(NodeIndex, NodeIndex), Instant>,
+    /// Some messages are slow.
+    has_slow_messages: bool,
+}
+
+impl Network {
+    pub(super) fn new() -> Network {
+        Network {
+            connections: BTreeMap::new(),
+            last_session: 0,
+            partitions: BTreeMap::new(),
+            has_slow_messages: true,
+        }
+    }
+
+    // --- partitions ---
+
     /// Whether nothing gets from one to the other now.
-    pub(super) fn is_cut(&self, from: usize, to: usize) -> bool {
-        self.cuts
+    fn is_partitioned_from(&self, from: NodeIndex, to: NodeIndex, now: Instant) -> bool {
+        self.partitions
             .get(&(from, to))
-            .is_some_and(|until| *until > self.now)
+            .is_some_and(|until| *until > now)
+    }
+
+    /// Whether nothing gets through in at least one direction.
+    pub(super) fn is_partitioned(&self, a: NodeIndex, b: NodeIndex, now: Instant) -> bool {
+        self.is_partitioned_from(a, b, now) || self.is_partitioned_from(b, a, now)
+    }
+
+    pub(super) fn partition(&mut self, from: NodeIndex, to: NodeIndex, until: Instant) {
+        let end = self.partitions.entry((from, to)).or_default();
+        *end = until.max(*end);
+    }
+
+    /// Ends all partitions and slowness, and resets connections that hang.
+    pub(super) fn heal(&mut self, queue: &mut EventQueue) {
+        self.has_slow_messages = false;
+        self.partitions.clear();
+        let hanging: Vec<SessionId> = self
+            .connections
+            .iter()
+            .filter(|(_, connection)| connection.hangs)
+            .map(|(session, _)| *session)
+            .collect();
+        for session in hanging {
+            let Some(connection) = self.connections.remove(&session) else {
+                continue;
+            };
+            for end in connection.ends {
+                let at = queue.now() + RESET_DELAY;
+                queue.deliver_at(at, end, Delivery::Closed { session });
+            }
+        }
     }
 
-    pub(super) fn is_cut_either_way(&self, a: usize, b: usize) -> bool {
-        self.is_cut(a, b) || self.is_cut(b, a)
+    // --- connections ---
+
+    pub(super) fn is_open(&self, session: SessionId) -> bool {
+        self.connections.contains_key(&session)
     }
 
-    pub(super) fn cut(&mut self, from: usize, to: usize, until: u64) {
-        let cut = self.cuts.entry((from, to)).or_default();
-        *cut = until.max(*cut);
+    /// Sessions that end at this node.
+    pub(super) fn sessions_of(&self, node: NodeIndex) -> Vec<SessionId> {
+        self.connections
+            .iter()
+            .filter(|(_, connection)| connection.ends.iter().any(|end| end.node == node))
+            .map(|(session, _)| *session)
+            .collect()
     }
 
-    pub(super) fn delay(&mut self) -> u64 {
-        match self.up_to(50) {
-            0 if !self.calm => 30 + self.up_to(300),
-            _ => 1 + self.up_to(3),
+    pub(super) fn open(&mut self, from: Process, to: Process, now: Instant) -> SessionId {
+        self.last_session += 1;
+        let session = self.last_session;
+        self.connections.insert(
+            session,
+            Connection {
+                ends: [from, to],
+                last_arrival: [now, now],
+                hangs: false,
+            },
+        );
+        session
+    }
+
+    /// No message of this connection arrives before then.
+    pub(super) fn hold_back_until(&mut self, session: SessionId, at: Instant) {
+        if let Some(connection) = self.connections.get_mut(&session) {
+            connection.last_arrival = [at, at];
         }
     }
 
-    /// One side is through with a link: the other learns of it, unless it is cut off.
-    pub(super) fn end_link(&mut self, link: u64, by: usize) {
-        let Some(wire) = self.wires.remove(&link) else {
+    /// One side ends a connection: the other learns of it, unless it is partitioned off.
+    pub(super) fn close(
+        &mut self,
+        queue: &mut EventQueue,
+        random: &mut Random,
+        session: SessionId,
+        by: NodeIndex,
+    ) {
+        let Some(connection) = self.connections.remove(&session) else {
             return;
         };
-        let other = if wire.ends[0].0 == by {
-            wire.ends[1]
-        } else {
-            wire.ends[0]
-        };
-        if !self.is_cut(by, other.0) && !wire.stuck {
-            let at = self.now + self.delay();
-            self.push(
-                at,
-                Event::Closed {
-                    to: other.0,
-                    life: other.1,
-                    link,
-                },
-            );
+        let other = connection.ends[1 - connection.side_of(by)];
+        if !self.is_partitioned_from(by, other.node, queue.now()) && !connection.hangs {
+            let at = queue.now() + self.delay(random);
+            queue.deliver_at(at, other, Delivery::Closed { session });
         }
     }
 
-    pub(super) fn send(&mut self, from: usize, link: u64, word: PeerMessage) {
-        let delay = self.delay();
-        let now = self.now;
-        let Some(wire) = self.wires.get(&link) else {
+    pub(super) fn send(
+        &mut self,
+        queue: &mut EventQueue,
+        random: &mut Random,
+        from: NodeIndex,
+        session: SessionId,
+        message: PeerMessage,
+    ) {
+        let delay = self.delay(random);
+        let now = queue.now();
+        let Some(connection) = self.connections.get(&session) else {
             return;
         };
-        let side = usize::from(wire.ends[0].0 != from);
-        let to = wire.ends[1 - side];
-        let lost = self.is_cut(from, to.0);
-        let wire = self.wires.get_mut(&link).expect("is there");
-        wire.stuck |= lost;
-        if wire.stuck {
+        let side = connection.side_of(from);
+        let to = connection.ends[1 - side];
+        let is_lost = self.is_partitioned_from(from, to.node, now);
+        let connection = self.connections.get_mut(&session).expect("just found");
+        connection.hangs |= is_lost;
+        if connection.hangs {
             return;
         }
-        let at = wire.last[side].max(now + delay);
-        wire.last[side] = at;
-        self.push(
-            at,
-            Event::PeerMessage {
-                from,
-                sent: now,
-                to: to.0,
-                life: to.1,
-                link,
-                word,
-            },
-        );
-    }
-
-    pub(super) fn open(&mut self, from: usize, life: u64, to: usize, to_life: u64) -> u64 {
-        self.next += 1;
-        let link = self.next;
-        let ends = [(from, life), (to, to_life)];
-        self.wires.insert(
-            link,
-            Wire {
-                ends,
-                last: [self.now, self.now],
-                stuck: false,
-            },
-        );
-        link
+        let at = connection.last_arrival[side].max(now + delay);
+        connection.last_arrival[side] = at;
+        let delivery = Delivery::Message {
+            session,
+            from,
+            sent_at: now,
+            message,
+        };
+        queue.deliver_at(at, to, delivery);
     }
 
-    /// Links that hang are closed on both sides.
-    pub(super) fn close_stuck_links(&mut self) {
-        let stuck: Vec<u64> = self
-            .wires
-            .iter()
-            .filter(|(_, w)| w.stuck)
-            .map(|(l, _)| *l)
-            .collect();
-        for link in stuck {
-            let Some(wire) = self.wires.remove(&link) else {
-                continue;
-            };
-            for (to, life) in wire.ends {
-                self.push(self.now + 1, Event::Closed { to, life, link });
-            }
+    /// How long a message takes.
+    pub(super) fn delay(&self, random: &mut Random) -> Duration {
+        if random.one_in(SLOW_MESSAGES) && self.has_slow_messages {
+            Duration::from_millis(30) + random.millis_below(300)
+        } else {
+            Duration::from_millis(1) + random.millis_below(3)
         }
     }
 }
--- a/crates/linenthread-drill/src/system/operators.rs
+++ b/crates/linenthread-drill/src/system/operators.rs
@@ -1,134 +1,87 @@
-//! Operators that race: each sends a change until it has a clear answer, and reads back. Orders that were
-//! taken long ago are sent again, to any machine, and so are others under their numbers.
+//! Operators that race: each sends a change until it has a clear response, and reads back. Changes that were
+//! committed long ago are sent again, to any node, and so are rival changes of the same revision.
 
-use super::world::{Event, World};
+use std::time::Duration;
 
-/// How many later orders have been taken when one is sent again.
-const LATER: [usize; 4] = [1, 10, 70, 300];
+use linenthread_control::CallId;
 
-/// An order: a configuration on top of another.
-#[derive(Clone, Debug, PartialEq)]
-pub(super) struct Change {
-    pub(super) base: u64,
-    pub(super) revision: u64,
-    pub(super) document: Vec<u8>,
-}
+use super::event::Event;
+use super::history::Change;
+use super::requests::Request;
+use super::world::World;
 
-/// What a call asks for.
-pub(super) enum Request {
-    Replace {
-        operator: usize,
-        change: Change,
-    },
-    /// An order that was taken, once more.
-    Again {
-        change: Change,
-        later: usize,
-    },
-    /// Another order under the number of one that was taken.
-    Rival {
-        change: Change,
-    },
-    Read {
-        operator: usize,
-        floor: u64,
-    },
-    Drain(String),
-    Beat,
-}
+/// How many later changes have been committed when one is sent again.
+const RETRY_DISTANCES: [usize; 4] = [1, 10, 70, 300];
+/// How long an operator waits for a response.
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(1_000);
+/// A revision that no operator sends this soon: how far it is ahead of the newest one.
+const UNUSED_REVISION: u64 = 1_000;
 
-/// A call that waits for its answer.
-pub(super) struct Call {
-    pub(super) node: usize,
-    pub(super) request: Request,
-}
-
-#[derive(Default)]
-pub(super) struct Operator {
-    pub(super) current: u64,
-    pub(super) change: Option<Change>,
-    /// The call that it waits for, and since when.
-    pub(super) waits: Option<(u64, u64)>,
-}
+// --- operators ---
 
 impl World {
-    /// Notes a call; none where no process listens.
-    pub(super) fn call(&mut self, node: usize, request: Request) -> Option<u64> {
-        self.nodes[node].control.as_ref()?;
-        self.next += 1;
-        self.calls.insert(self.next, Call { node, request });
-        Some(self.next)
-    }
-
-    pub(super) fn any_node(&mut self) -> usize {
-        self.up_to(self.nodes.len() as u64) as usize
-    }
-
-    pub(super) fn operator(&mut self, o: usize) {
-        let now = self.now;
+    pub(super) fn step_operator(&mut self, operator: usize) {
+        let now = self.now();
         let wait = if self.is_fast() {
-            1 + self.up_to(25)
+            Duration::from_millis(1) + self.random.millis_below(25)
         } else {
-            150 + self.up_to(700)
+            Duration::from_millis(150) + self.random.millis_below(700)
         };
-        self.push(now + wait, Event::Operator { operator: o });
-        let n = self.any_node();
-        if self.operators[o]
-            .waits
-            .is_some_and(|(_, at)| now < at + 1_000)
-        {
+        self.push_in(wait, Event::OperatorStep { operator });
+        let node = self.any_machine();
+        let in_flight = self.operators[operator].in_flight;
+        if in_flight.is_some_and(|(_, since)| now < since + RESPONSE_TIMEOUT) {
             return;
         }
-        if let Some((token, _)) = self.operators[o].waits.take() {
-            self.calls.remove(&token); // It hears no answer any more.
+        if let Some((call, _)) = self.operators[operator].in_flight.take() {
+            // It gives the call up: a later response is not received.
+            self.calls.remove(call);
         }
-        if !self.is_running(n) {
+        if !self.is_running(node) {
             return;
         }
-        let reads = if self.is_fast() { 20 } else { 3 };
-        if self.operators[o].change.is_none() && self.up_to(reads) == 0 {
-            self.read(n, o);
+        let one_read_in = if self.is_fast() { 20 } else { 3 };
+        if self.operators[operator].change.is_none() && self.random.one_in(one_read_in) {
+            self.send_operators_read(node, operator);
         } else {
-            self.send_change(n, o);
+            self.send_operators_change(node, operator);
         }
     }
 
-    fn read(&mut self, n: usize, operator: usize) {
-        let floor = self.acked.keys().last().copied().unwrap_or(0);
-        if let Some(token) = self.call(n, Request::Read { operator, floor }) {
-            self.operators[operator].waits = Some((token, self.now));
-            self.at(n, |c, now, out| c.read(now, token, out));
+    fn send_operators_read(&mut self, node: usize, operator: usize) {
+        if let Some(call) = self.send_read(node, operator) {
+            self.operators[operator].in_flight = Some((call, self.now()));
+            self.run_read(node, call);
         }
     }
 
-    fn send_change(&mut self, n: usize, operator: usize) {
+    fn send_operators_change(&mut self, node: usize, operator: usize) {
         let change = match self.operators[operator].change.clone() {
             Some(change) => change,
-            None => self.new_change(operator),
+            None => self.draw_change(operator),
         };
-        if let Some(token) = self.call(
-            n,
-            Request::Replace {
-                operator,
-                change: change.clone(),
-            },
-        ) {
-            self.operators[operator].waits = Some((token, self.now));
-            self.replace(n, token, change);
+        let request = Request::Replace {
+            operator,
+            change: change.clone(),
+        };
+        if let Some(call) = self.add_call(node, request) {
+            self.operators[operator].in_flight = Some((call, self.now()));
+            self.run_replace(node, call, change);
         }
     }
 
-    fn new_change(&mut self, operator: usize) -> Change {
-        let base = self.operators[operator].current;
-        // On some days two operators pick the same number for different changes.
-        let revision = if self.same_numbers {
-            base + 1 + self.up_to(2)
+    fn draw_change(&mut self, operator: usize) -> Change {
+        let base = self.operators[operator].revision;
+        let own_number = u64::try_from(operator).unwrap_or(u64::MAX);
+        let revision = if self.plan.revisions_collide {
+            base + 1 + self.random.below(2)
         } else {
-            base + 1 + self.operators.len() as u64 * self.up_to(3) + operator as u64
+            let operators = u64::try_from(self.operators.len()).unwrap_or(u64::MAX);
+            base + 1 + operators * self.random.below(3) + own_number
         };
         let document = format!(
             "{{\"by\":{operator},\"revision\":{revision},\"at\":{}}}",
-            self.now
+            self.now().as_millis()
         )
         .into_bytes();
         let change = Change {
@@ -136,96 +89,158 @@
             revision,
             document,
         };
-        self.sent.push(change.clone());
+        self.history.sent.push(change.clone());
         self.operators[operator].change = Some(change.clone());
         change
     }
+}
 
-    pub(super) fn replace(&mut self, n: usize, token: u64, change: Change) {
-        let Change {
-            base,
-            revision,
-            document,
-        } = change;
-        self.at(n, |c, now, out| {
-            c.replace(now, token, base, revision, document, out);
-        });
-    }
+// --- retries of committed changes ---
 
-    /// An order that was taken is sent again, or another under its number.
-    pub(super) fn late_order(&mut self) {
+impl World {
+    /// A committed change is sent again, or a rival of it.
+    pub(super) fn step_retry(&mut self) {
         let wait = if self.is_fast() {
-            100 + self.up_to(400)
+            Duration::from_millis(100) + self.random.millis_below(400)
         } else {
-            400 + self.up_to(1_200)
+            Duration::from_millis(400) + self.random.millis_below(1_200)
         };
-        self.push(self.now + wait, Event::LateOrder);
-        let n = self.any_node();
-        let later = LATER[self.up_to(LATER.len() as u64) as usize];
-        if self.is_running(n) {
-            self.ask_again(n, later);
+        self.push_in(wait, Event::RetryCommittedChange);
+        let node = self.any_machine();
+        let later = RETRY_DISTANCES[self.random.index(RETRY_DISTANCES.len())];
+        if self.is_running(node) {
+            self.retry_change(node, later);
         }
     }
 
-    pub(super) fn ask_again(&mut self, n: usize, later: usize) {
-        let Some(index) = self.history.len().checked_sub(later + 1) else {
+    fn retry_change(&mut self, node: usize, later: usize) {
+        let Some(index) = self.history.changes.len().checked_sub(later + 1) else {
             return;
         };
-        let mut change = self.history[index].clone();
-        let request = if self.up_to(3) == 0 {
+        let mut change = self.history.changes[index].clone();
+        let request = if self.random.one_in(3) {
             change.document.push(b' ');
             Request::Rival {
                 change: change.clone(),
             }
         } else {
-            Request::Again {
+            Request::Retry {
                 change: change.clone(),
                 later,
             }
         };
-        if let Some(token) = self.call(n, request) {
-            self.replace(n, token, change);
+        if let Some(call) = self.add_call(node, request) {
+            self.run_replace(node, call, change);
         }
     }
 
-    /// After the troubles: each of the distances, and the very first order, at every machine.
-    pub(super) fn ask_all_again(&mut self) {
-        let first = self.history.len().saturating_sub(1);
-        for n in 0..self.nodes.len() {
-            for later in LATER.into_iter().chain([0, first]) {
-                if self.is_running(n) {
-                    self.ask_again(n, later);
+    /// After the faults: each of the distances, the newest and the very first change, at every node.
+    pub(super) fn retry_all_changes(&mut self) {
+        let first = self.history.changes.len().saturating_sub(1);
+        for node in 0..self.machines.len() {
+            for later in RETRY_DISTANCES.into_iter().chain([0, first]) {
+                if self.is_running(node) {
+                    self.retry_change(node, later);
                 }
             }
         }
     }
 
-    /// A process that was frozen is asked at once when it wakes, before it hears anything else.
-    pub(super) fn ask_on_waking(&mut self, n: usize) {
-        if !self.is_running(n) {
+    /// A process that was paused gets requests as soon as it resumes, before any message of another node.
+    pub(super) fn send_requests_on_resume(&mut self, node: usize) {
+        if !self.is_running(node) {
             return;
         }
-        self.ask_again(n, 1);
-        if let Some(change) = self.history.last().cloned() {
-            // It builds on what is no longer the newest version, or on it: no answer may be sure of that.
+        self.retry_change(node, 1);
+        if let Some(newest) = self.history.changes.last().cloned() {
+            // It builds on what is no longer the newest revision, or on it: no response may be sure of that.
             let stale = Change {
-                base: change.base,
-                revision: change.revision + 1_000,
+                base: newest.base,
+                revision: newest.revision + UNUSED_REVISION,
                 document: b"{}".to_vec(),
             };
-            if let Some(token) = self.call(
-                n,
-                Request::Rival {
-                    change: stale.clone(),
-                },
-            ) {
-                self.replace(n, token, stale);
+            let request = Request::Rival {
+                change: stale.clone(),
+            };
+            if let Some(call) = self.add_call(node, request) {
+                self.run_replace(node, call, stale);
             }
         }
-        let floor = self.acked.keys().last().copied().unwrap_or(0);
-        if let Some(token) = self.call(n, Request::Read { operator: 0, floor }) {
-            self.at(n, |c, now, out| c.read(now, token, out));
+        if let Some(call) = self.send_read(node, 0) {
+            self.run_read(node, call);
+        }
+        self.send_replica_heartbeat(node);
+    }
+}
+
+// --- replicas ---
+
+impl World {
+    /// A replica sends a heartbeat to any node.
+    pub(super) fn step_replica(&mut self) {
+        let wait = Duration::from_millis(40) + self.random.millis_below(100);
+        self.push_in(wait, Event::ReplicaHeartbeat);
+        let node = self.any_machine();
+        if self.is_running(node) {
+            self.send_replica_heartbeat(node);
+        }
+    }
+
+    fn send_replica_heartbeat(&mut self, node: usize) {
+        let now = self.now();
+        let drawn = self.replicas.draw_heartbeat(&mut self.random, now);
+        let ident = drawn.ident;
+        let request = if drawn.is_draining {
+            Request::Drain {
+                ident: ident.clone(),
+            }
+        } else {
+            Request::Heartbeat
+        };
+        if let Some(call) = self.add_call(node, request) {
+            self.run(node, |control, now, effects| {
+                control.on_replica_heartbeat(
+                    now.as_millis(),
+                    call,
+                    &ident,
+                    drawn.heartbeat,
+                    effects,
+                );
+            });
         }
-        self.beat_at(n);
+    }
+}
+
+// --- calls ---
+
+impl World {
+    /// Notes a call; none where no process listens.
+    fn add_call(&mut self, node: usize, request: Request) -> Option<CallId> {
+        self.is_up(node).then(|| self.calls.add(node, request))
+    }
+
+    fn send_read(&mut self, node: usize, operator: usize) -> Option<CallId> {
+        let request = Request::Read {
+            operator,
+            acknowledged: self.history.newest_acknowledged(),
+        };
+        self.add_call(node, request)
+    }
+
+    fn run_read(&mut self, node: usize, call: CallId) {
+        self.run(node, |control, now, effects| {
+            control.read(now.as_millis(), call, effects);
+        });
+    }
+
+    fn run_replace(&mut self, node: usize, call: CallId, change: Change) {
+        let Change {
+            base,
+            revision,
+            document,
+        } = change;
+        self.run(node, |control, now, effects| {
+            control.replace(now.as_millis(), call, base, revision, document, effects);
+        });
     }
 }
--- a/crates/linenthread-drill/src/system/replicas.rs
+++ b/crates/linenthread-drill/src/system/replicas.rs
@@ -1,49 +1,60 @@
 //! Replicas that send heartbeats, some of which drain.
 
+use std::collections::{BTreeMap, BTreeSet};
+use std::time::Duration;
+
 use linenthread_control::ReplicaHeartbeat;
+use linenthread_time::{Instant, whole_millis};
 
-use super::operators::Request;
-use super::world::{Event, START, World};
+use super::event::START;
+use super::random::Random;
 
-impl World {
-    pub(super) fn replica(&mut self) {
-        let wait = 40 + self.up_to(100);
-        self.push(self.now + wait, Event::Replica);
-        let n = self.any_node();
-        if self.is_running(n) {
-            self.beat_at(n);
-        }
-    }
+const REPLICAS: u64 = 12;
+/// Backends, and zones.
+const GROUPS: u64 = 3;
+/// One heartbeat in so many starts to drain its replica.
+const DRAINS: u64 = 10;
+/// Each replica is followed by another of its kind after so long.
+const LIFETIME: Duration = Duration::from_millis(9_000);
+
+/// A heartbeat of a replica.
+pub(super) struct DrawnHeartbeat {
+    pub(super) ident: String,
+    pub(super) heartbeat: ReplicaHeartbeat,
+    pub(super) is_draining: bool,
+}
+
+#[derive(Default)]
+pub(super) struct Replicas {
+    heartbeats: BTreeMap<String, u64>,
+    draining: BTreeSet<String>,
+}
 
-    /// A heartbeat of one of twelve replicas; each is followed by another of its kind after 9 s.
-    pub(super) fn beat_at(&mut self, n: usize) {
-        let r = self.up_to(12);
-        let begins_to_drain = self.up_to(10) == 0;
-        let ident = format!("i-{r}-{}", (self.now - START) / 9_000);
+impl Replicas {
+    /// The next heartbeat of any replica.
+    pub(super) fn draw_heartbeat(&mut self, random: &mut Random, now: Instant) -> DrawnHeartbeat {
+        let replica = random.below(REPLICAS);
+        let starts_to_drain = random.one_in(DRAINS);
+        let generation = whole_millis(now.since(START)) / whole_millis(LIFETIME);
+        let ident = format!("i-{replica}-{generation}");
         // One that drains goes on draining.
-        if begins_to_drain {
+        if starts_to_drain {
             self.draining.insert(ident.clone());
         }
-        let drains = self.draining.contains(&ident);
+        let is_draining = self.draining.contains(&ident);
         let count = self.heartbeats.entry(ident.clone()).or_default();
         *count += 1;
-        let phase = if drains { "draining" } else { "available" };
-        let (backend, zone) = (r % 3, r % 3);
+        let phase = if is_draining { "draining" } else { "available" };
+        let group = replica % GROUPS;
         let text = format!(
-            "{{\"backend\":\"b{backend}\",\"address\":\"10.9.0.{r}:1\",\"zone\":\"z{zone}\",\
+            "{{\"backend\":\"b{group}\",\"address\":\"10.9.0.{replica}:1\",\"zone\":\"z{group}\",\
              \"phase\":\"{phase}\",\"call_count\":{count}}}"
         );
-        let beat: ReplicaHeartbeat =
-            serde_json::from_str(&text).expect("a heartbeat in proper form");
-        let request = if drains {
-            Request::Drain(ident.clone())
-        } else {
-            Request::Beat
-        };
-        if let Some(token) = self.call(n, request) {
-            self.at(n, |c, now, out| {
-                c.on_replica_heartbeat(now, token, &ident, beat, out);
-            });
+        let heartbeat = serde_json::from_str(&text).expect("a heartbeat in proper form");
+        DrawnHeartbeat {
+            ident,
+            heartbeat,
+            is_draining,
         }
     }
 }
--- /dev/null
+++ b/crates/linenthread-drill/src/system/report.rs
@@ -0,0 +1,108 @@
+//! What a schedule reports: violations, a trace, and counts that show what it has covered.
+
+use std::collections::BTreeMap;
+
+use linenthread_time::{Instant, whole_millis};
+
+use super::event::START;
+use super::fault::FaultKind;
+use super::invariant::Invariant;
+
+/// Violations of one schedule that are reported; further ones add little.
+const MAX_VIOLATIONS: usize = 5;
+
+/// What came to pass, to see what the simulation covers.
+#[derive(Clone, Debug, Default)]
+pub(super) struct Coverage {
+    pub(super) acknowledgements: usize,
+    pub(super) reads: usize,
+    pub(super) drains: usize,
+    pub(super) retries_committed: usize,
+    pub(super) retries_unclear: usize,
+    pub(super) rivals_rejected: usize,
+    /// Changes that were committed; the largest number of one schedule.
+    pub(super) max_changes: usize,
+    pub(super) max_catch_up_messages: usize,
+    pub(super) max_catch_up_bytes: usize,
+    pub(super) max_state_bytes: u64,
+    /// How often each kind of fault came.
+    pub(super) faults: BTreeMap<FaultKind, usize>,
+}
+
+impl Coverage {
+    pub(super) fn add(&mut self, other: &Coverage) {
+        self.acknowledgements += other.acknowledgements;
+        self.reads += other.reads;
+        self.drains += other.drains;
+        self.retries_committed += other.retries_committed;
+        self.retries_unclear += other.retries_unclear;
+        self.rivals_rejected += other.rivals_rejected;
+        self.max_changes = self.max_changes.max(other.max_changes);
+        self.max_catch_up_messages = self.max_catch_up_messages.max(other.max_catch_up_messages);
+        self.max_catch_up_bytes = self.max_catch_up_bytes.max(other.max_catch_up_bytes);
+        self.max_state_bytes = self.max_state_bytes.max(other.max_state_bytes);
+        for (kind, count) in &other.faults {
+            *self.faults.entry(*kind).or_default() += count;
+        }
+    }
+
+    pub(super) fn print(&self) {
+        println!(
+            "{} changes acknowledged, {} reads, {} drains",
+            self.acknowledgements, self.reads, self.drains
+        );
+        println!(
+            "retries: {} committed, {} unclear; {} rival changes of one revision rejected",
+            self.retries_committed, self.retries_unclear, self.rivals_rejected
+        );
+        println!(
+            "{} changes in the longest schedule; to catch up: {} messages, {} bytes; state of {} bytes at most",
+            self.max_changes,
+            self.max_catch_up_messages,
+            self.max_catch_up_bytes,
+            self.max_state_bytes
+        );
+        for (kind, count) in &self.faults {
+            println!("{kind}: {count}");
+        }
+    }
+}
+
+/// What one schedule has reported so far.
+pub(super) struct Report {
+    pub(super) violations: Vec<String>,
+    pub(super) coverage: Coverage,
+    /// Prints each step.
+    trace: bool,
+}
+
+impl Report {
+    pub(super) fn new(trace: bool) -> Report {
+        Report {
+            violations: Vec::new(),
+            coverage: Coverage::default(),
+            trace,
+        }
+    }
+
+    /// Prints a step, where that was asked for.
+    pub(super) fn trace(&self, now: Instant, step: &str) {
+        if self.trace {
+            println!("{:>7} {step}", whole_millis(now.since(START)));
+        }
+    }
+
+    pub(super) fn count_fault(&mut self, now: Instant, kind: FaultKind) {
+        self.trace(now, &kind.to_string());
+        *self.coverage.faults.entry(kind).or_default() += 1;
+    }
+
+    pub(super) fn violation(&mut self, now: Instant, invariant: Invariant, details: &str) {
+        self.trace(now, &format!("{invariant}: {details}"));
+        if self.violations.len() < MAX_VIOLATIONS {
+            let at = now.since(START).as_millis();
+            self.violations
+                .push(format!("at {at} ms: {invariant}: {details}"));
+        }
+    }
+}
--- /dev/null
+++ b/crates/linenthread-drill/src/system/responses.rs
@@ -0,0 +1,118 @@
+//! Responses of control nodes to operators and replicas: checked, and acted on by who waits for them.
+
+use std::time::Duration;
+
+use linenthread_control::{CallId, Response};
+
+use super::checker::QUORUM_TIMEOUT;
+use super::event::Event;
+use super::history::Change;
+use super::requests::Request;
+use super::world::World;
+
+/// A disk is lost after one acknowledgement in so many.
+const LOSS_AFTER_ACKNOWLEDGEMENTS: u64 = 12;
+/// The same where changes come one after another.
+const LOSS_AFTER_FAST_ACKNOWLEDGEMENTS: u64 = 120;
+
+impl World {
+    /// A call gets its response; it is lost if nobody waits for it any more.
+    pub(super) fn on_response(&mut self, node: usize, call: CallId, response: Response) {
+        let Some(request) = self.calls.remove(call) else {
+            return;
+        };
+        self.check_response_has_quorum(node, &response);
+        match (request, response) {
+            (Request::Replace { operator, change }, response) => {
+                self.on_change_response(node, operator, change, &response);
+            }
+            (Request::Retry { change, .. }, Response::Committed(_)) => {
+                self.report.coverage.retries_committed += 1;
+                self.check_is_committed(node, &change);
+            }
+            (Request::Retry { change, later }, Response::Conflict(_)) => {
+                self.check_rejection(node, &change, later);
+            }
+            (Request::Retry { .. }, _) => self.report.coverage.retries_unclear += 1,
+            (Request::Rival { change }, Response::Committed(_)) => {
+                self.on_rival_acknowledged(node, &change);
+            }
+            (Request::Rival { .. }, Response::Conflict(_)) => {
+                self.report.coverage.rivals_rejected += 1;
+            }
+            (
+                Request::Read {
+                    operator,
+                    acknowledged,
+                },
+                Response::Document(value),
+            ) => {
+                self.check_read(acknowledged, &value);
+                self.operators[operator].revision = value.revision;
+            }
+            (Request::Drain { ident }, Response::Acknowledged(_)) => {
+                self.check_drain(node, &ident);
+            }
+            _ => {}
+        }
+    }
+
+    fn check_response_has_quorum(&mut self, node: usize, response: &Response) {
+        match response {
+            // Only what is decided is acknowledged, see `check_acknowledgement`: a node that has just started may
+            // know of it from one other, and has had no contact to lose.
+            Response::Committed(_)
+                if self.now() < self.machines[node].started_at + QUORUM_TIMEOUT => {}
+            Response::Committed(revision) => {
+                self.check_quorum(node, &format!("Committed {revision}"));
+            }
+            Response::Conflict(revision) => {
+                self.check_quorum(node, &format!("Conflict {revision}"));
+            }
+            Response::Document(value) => {
+                self.check_quorum(node, &format!("Document {}", value.revision));
+            }
+            Response::Acknowledged(_) => self.check_quorum(node, "Acknowledged"),
+            _ => {}
+        }
+    }
+
+    /// The response to a new change of an operator.
+    fn on_change_response(
+        &mut self,
+        node: usize,
+        operator: usize,
+        change: Change,
+        response: &Response,
+    ) {
+        match response {
+            Response::Committed(_) => {
+                self.check_acknowledgement(node, &change);
+                self.operators[operator].on_clear_response(change.revision);
+                self.history.acknowledged.insert(change.revision, change);
+                self.draw_loss_after_acknowledgement(node);
+            }
+            Response::Conflict(revision) => {
+                self.check_rejection(node, &change, 0);
+                self.history.add_rejected(change);
+                self.operators[operator].on_clear_response(*revision);
+            }
+            _ => self.operators[operator].in_flight = None,
+        }
+    }
+
+    fn draw_loss_after_acknowledgement(&mut self, node: usize) {
+        if self.is_healed() {
+            return;
+        }
+        let one_in = if self.is_fast() {
+            LOSS_AFTER_FAST_ACKNOWLEDGEMENTS
+        } else {
+            LOSS_AFTER_ACKNOWLEDGEMENTS
+        };
+        if self.random.one_in(one_in) {
+            let delay = Duration::from_millis(1) + self.random.millis_below(3);
+            self.push_in(delay, Event::LossAfterAcknowledgement { node });
+        }
+    }
+}
--- /dev/null
+++ b/crates/linenthread-drill/src/system/simulation.rs
@@ -0,0 +1,234 @@
+//! One schedule from its start through the faults and the recovery after them; many schedules by seed.
+
+use std::collections::BTreeMap;
+use std::sync::Mutex;
+use std::sync::atomic::{AtomicU64, Ordering};
+use std::time::Duration;
+
+use linenthread_time::Instant;
+
+use super::event::{Delivery, Event, NodeIndex, Process};
+use super::ingress_node::{INGRESS_NODES, IngressNode};
+use super::operator::Operator;
+use super::plan;
+use super::report::Coverage;
+use super::world::{World, core_address};
+
+/// How long a schedule goes on after the faults.
+const RECOVERY: Duration = Duration::from_millis(25_000);
+/// After the faults: when one machine is restarted.
+const RESTART_ONE_AFTER: Duration = Duration::from_millis(11_000);
+/// After the faults: when old changes are sent again to every machine.
+const RETRY_ALL_AFTER: Duration = Duration::from_millis(18_000);
+/// Operators that send changes at the same time.
+const OPERATORS: usize = 2;
+/// How often control nodes are asked whether a timer is due.
+const TICK: Duration = Duration::from_millis(10);
+/// A fast schedule is extended by so much until it has had its number of changes.
+const EXTENSION: Duration = Duration::from_millis(1_000);
+
+/// What to simulate.
+#[derive(Clone, Debug)]
+pub(crate) struct Options {
+    /// How many schedules.
+    pub(crate) schedules: usize,
+    /// The first schedule's seed; the others count on from it.
+    pub(crate) seed: u64,
+    /// Machines of control nodes.
+    pub(crate) core: usize,
+    /// Changes of each schedule, sent one after another; drawn if not given.
+    pub(crate) changes: Option<usize>,
+    /// Schedules that are run at once.
+    pub(crate) jobs: usize,
+    /// Prints what the schedules covered.
+    pub(crate) summary: bool,
+    /// Prints each step.
+    pub(crate) trace: bool,
+}
+
+/// How a simulation ended.
+pub(crate) struct Outcome {
+    /// Schedules that were run.
+    pub(crate) checked: usize,
+    /// Violations in all of them.
+    pub(crate) violations: usize,
+}
+
+/// Runs all schedules and prints the violations that they found.
+pub(crate) fn run(options: &Options) -> Outcome {
+    let end = options.seed + u64::try_from(options.schedules).unwrap_or(u64::MAX);
+    let next_seed = AtomicU64::new(options.seed);
+    let results = Mutex::new(BTreeMap::new());
+    let work = || {
+        loop {
+            let seed = next_seed.fetch_add(1, Ordering::Relaxed);
+            if seed >= end {
+                return;
+            }
+            let result = run_schedule(options, seed);
+            results
+                .lock()
+                .expect("no thread panics while it holds this")
+                .insert(seed, result);
+        }
+    };
+    std::thread::scope(|scope| {
+        for _ in 0..options.jobs.max(1) {
+            scope.spawn(work);
+        }
+    });
+    let results = results.into_inner().expect("all threads have ended");
+    let mut coverage = Coverage::default();
+    let mut violations = 0;
+    for (seed, result) in results {
+        violations += result.violations.len();
+        coverage.add(&result.coverage);
+        for violation in result.violations {
+            println!("seed {seed}, core {}: {violation}", options.core);
+        }
+    }
+    if options.summary {
+        coverage.print();
+    }
+    Outcome {
+        checked: options.schedules,
+        violations,
+    }
+}
+
+/// What one schedule found.
+struct ScheduleResult {
+    violations: Vec<String>,
+    coverage: Coverage,
+}
+
+fn run_schedule(options: &Options, seed: u64) -> ScheduleResult {
+    let mut world = World::new(options.core, seed, options.trace);
+    world.start(options.core);
+    let started_at = world.now();
+    world.plan.draw(&mut world.random, options.changes);
+    world.run_until(started_at + world.plan.length);
+    while world.is_fast() && world.now() < started_at + plan::LONGEST {
+        world.run_until(world.now() + EXTENSION);
+    }
+    world.heal();
+    let acknowledged_before = world.report.coverage.acknowledgements;
+    world.plan.changes = None;
+    world.push_in(RESTART_ONE_AFTER, Event::RestartOneAfterRecovery);
+    world.push_in(RETRY_ALL_AFTER, Event::RetryAllChanges);
+    world.run_until(world.now() + RECOVERY);
+    world.report.coverage.max_changes = world.history.changes.len();
+    world.check_end(acknowledged_before);
+    ScheduleResult {
+        violations: world.report.violations,
+        coverage: world.report.coverage,
+    }
+}
+
+impl World {
+    /// Adds the first nodes and operators, and schedules what happens again and again.
+    fn start(&mut self, core: usize) {
+        self.plan.draw_sync_duration(&mut self.random);
+        for node in 0..core {
+            self.add_machine(core_address(node), true);
+            let delay = self.random.millis_below(300);
+            self.push_in(delay, Event::StartProcess { node });
+        }
+        for ingress in 0..INGRESS_NODES {
+            let incarnation = self.random.bits();
+            self.ingress.nodes.push(IngressNode::new(incarnation));
+            let delay = Duration::from_millis(500) + self.random.millis_below(500);
+            self.push_in(delay, Event::IngressHeartbeat { ingress });
+        }
+        for operator in 0..OPERATORS {
+            self.operators.push(Operator::default());
+            let delay = Duration::from_millis(1_500) + self.random.millis_below(2_000);
+            self.push_in(delay, Event::OperatorStep { operator });
+        }
+        for (delay_ms, event) in [
+            (2_000, Event::ReplicaHeartbeat),
+            (2_000, Event::CheckIngressSessions),
+            (3_000, Event::InjectFault),
+            (4_000, Event::RetryCommittedChange),
+        ] {
+            self.push_in(Duration::from_millis(delay_ms), event);
+        }
+    }
+
+    fn run_until(&mut self, end: Instant) {
+        while self.now() < end {
+            let tick = self.now() + TICK;
+            if self.queue.next_at().is_none_or(|next| next > tick) {
+                self.queue.advance_to(tick.min(end));
+                self.run_timers();
+            } else if let Some(event) = self.queue.pop() {
+                self.handle(event);
+            }
+        }
+    }
+
+    /// Each running control node works on its timers that are due.
+    fn run_timers(&mut self) {
+        for node in 0..self.machines.len() {
+            let clock = self.machine_clock(node).as_millis();
+            let machine = &self.machines[node];
+            let is_due = machine
+                .control
+                .as_ref()
+                .is_some_and(|control| clock >= control.next_tick_at(clock));
+            if is_due && self.is_running(node) {
+                self.run(node, |control, now, effects| {
+                    control.tick(now.as_millis(), effects);
+                });
+            }
+        }
+    }
+
+    fn handle(&mut self, event: Event) {
+        match event {
+            Event::Deliver { to, delivery } => self.deliver(to, *delivery),
+            Event::WriteCompleted { node, incarnation } => self.complete_write(node, incarnation),
+            Event::StartProcess { node } => self.start_process(node),
+            Event::IngressHeartbeat { ingress } => self.step_ingress(ingress),
+            Event::OperatorStep { operator } => self.step_operator(operator),
+            Event::RetryCommittedChange => self.step_retry(),
+            Event::RequestsOnResume { node } => self.send_requests_on_resume(node),
+            Event::RetryAllChanges => self.retry_all_changes(),
+            Event::ReplicaHeartbeat => self.step_replica(),
+            Event::CheckIngressSessions => self.check_ingress_sessions(),
+            Event::InjectFault => self.inject_fault(),
+            Event::RepairDisk { node } => self.repair_disk(node),
+            Event::LossAfterAcknowledgement { node } => {
+                self.inject_loss_after_acknowledgement(node);
+            }
+            Event::SecondLoss => self.inject_second_loss(),
+            Event::Decommission { node, successor } => self.decommission(node, successor),
+            Event::CheckShutdown { node, incarnation } => self.check_shutdown(node, incarnation),
+            Event::RollingRestart { node } => self.step_rolling_restart(node),
+            Event::RestartOneAfterRecovery => self.restart_one(),
+        }
+    }
+
+    /// Delivers to a process: lost if it has ended, later if it is paused.
+    fn deliver(&mut self, to: Process, delivery: Delivery) {
+        match to.node {
+            NodeIndex::Ingress(index) => {
+                if self.ingress.nodes[index].incarnation == to.incarnation {
+                    self.deliver_to_ingress(index, delivery);
+                }
+            }
+            NodeIndex::Control(node) => {
+                let machine = &self.machines[node];
+                if !machine.is_up() || machine.incarnation != to.incarnation {
+                    return;
+                }
+                if self.is_running(node) {
+                    self.deliver_to_control(node, delivery);
+                } else {
+                    let at = machine.paused_until;
+                    self.queue.deliver_at(at, to, delivery);
+                }
+            }
+        }
+    }
+}
