--- a/crates/linenthread-drill/src/system/checker/catch_up.rs
+++ b/crates/linenthread-drill/src/system/checker/catch_up.rs
@@ -47,7 +47,7 @@
     }
 
     /// [`Invariant::CatchesUp`]: of those that were started after the faults none is still behind.
-    pub(super) fn check_none_is_behind(&mut self) {
+    pub(super) fn check_all_caught_up(&mut self) {
         for node in 0..self.machines.len() {
             if let Some(target) = self.is_overdue(node) {
                 let details = format!("{node} is still without value {target}");
--- a/crates/linenthread-drill/src/system/checker/convergence.rs
+++ b/crates/linenthread-drill/src/system/checker/convergence.rs
@@ -27,7 +27,7 @@
         self.check_acknowledged_changes();
         self.check_ingress_nodes();
         self.check_voters();
-        self.check_none_is_behind();
+        self.check_all_caught_up();
         self.check_state_bytes();
     }
 
@@ -103,7 +103,7 @@
         }
     }
 
-    /// [`Invariant::Recovers`]: each machine votes, or is the one spare.
+    /// [`Invariant::Recovers`]: each machine votes, or is the one standby.
     fn check_voters(&mut self) {
         let machines = self
             .machines
@@ -114,7 +114,7 @@
             .history
             .newest_value()
             .map_or(0, |value| value.voters.len());
-        if voters != machines && !self.is_one_spare(voters, machines) {
+        if voters != machines && !self.is_one_standby(voters, machines) {
             let details = format!("{voters} disks vote, {machines} machines are there");
             self.violation(Invariant::Recovers, &details);
         }
--- a/crates/linenthread-drill/src/system/disk.rs
+++ b/crates/linenthread-drill/src/system/disk.rs
@@ -19,9 +19,9 @@
 /// Records that may wait, as in the daemon; more are dropped, and control hands them over again later.
 const MAX_WAITING_RECORDS: usize = 256;
 /// What is left of the disk when a crash cuts a write off: fewer bytes than this.
-const CUT_WITHIN_BYTES: usize = 400;
+const TORN_WRITE_MAX_BYTES: usize = 400;
 /// Of the syncs of one write, fewer than this have succeeded when a crash cuts it off.
-const CUT_WITHIN_SYNCS: usize = 3;
+const TORN_WRITE_MAX_SYNCS: usize = 3;
 
 type Files = Rc<RefCell<Model>>;
 type OpenFiles = Box<dyn FnMut() -> Result<Files, String>>;
@@ -136,7 +136,7 @@
     /// whether one was cut off.
     pub(super) fn close(&mut self, random: &mut Random) -> bool {
         let progress = random.below(3);
-        let cut = random.index(CUT_WITHIN_BYTES);
+        let cut = random.index(TORN_WRITE_MAX_BYTES);
         let records: Vec<Record> = self.writing.drain(..).map(|(record, _)| record).collect();
         self.waiting.clear();
         let log = self.log.take();
@@ -147,7 +147,7 @@
         if progress == 1 {
             self.files.borrow_mut().leave_room(cut);
         } else {
-            self.files.borrow_mut().syncs_left = Some(cut % CUT_WITHIN_SYNCS);
+            self.files.borrow_mut().syncs_left = Some(cut % TORN_WRITE_MAX_SYNCS);
         }
         // It fails, or is not synced, as was just drawn; what is there is seen when the disk is opened again.
         let _ = log.write(&records);
--- a/crates/linenthread-drill/src/system/execution.rs
+++ b/crates/linenthread-drill/src/system/execution.rs
@@ -125,7 +125,7 @@
         }
         let disk = &mut self.machines[node].disk;
         if disk.close(&mut self.random) {
-            self.count_fault(FaultKind::WriteCutOffByCrash);
+            self.count_fault(FaultKind::TornWrite);
         }
         let machine = &mut self.machines[node];
         if end == ProcessEnd::PowerLost {
@@ -172,7 +172,7 @@
                 sent_at,
                 message,
             } if self.network.is_open(session) => {
-                self.note_contact(node, from, sent_at, &message);
+                self.record_contact(node, from, sent_at, &message);
                 self.run(node, |control, now, effects| {
                     control.on_message(now.as_millis(), session, message, effects);
                 });
@@ -193,7 +193,7 @@
     }
 
     /// A message has arrived: both sides have proof of contact.
-    fn note_contact(
+    fn record_contact(
         &mut self,
         node: usize,
         from: NodeIndex,
--- a/crates/linenthread-drill/src/system/fault.rs
+++ b/crates/linenthread-drill/src/system/fault.rs
@@ -5,7 +5,7 @@
 /// A fault that was injected, or an incident that followed from one. The summary lists them in this order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum FaultKind {
-    WriteCutOffByCrash,
+    TornWrite,
     WriteRejected,
     AllProcessesKilled,
     AllMachinesLosePower,
@@ -36,7 +36,7 @@
 impl fmt::Display for FaultKind {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         formatter.write_str(match self {
-            FaultKind::WriteCutOffByCrash => "write cut off by a crash",
+            FaultKind::TornWrite => "write cut off by a crash",
             FaultKind::WriteRejected => "write rejected by the disk",
             FaultKind::AllProcessesKilled => "all processes killed",
             FaultKind::AllMachinesLosePower => "all machines lose power",
--- a/crates/linenthread-drill/src/system/ingress.rs
+++ b/crates/linenthread-drill/src/system/ingress.rs
@@ -60,7 +60,7 @@
         let hello = ingress.hello(format!("{NAME_PREFIX}-{index}"));
         let at = now + self.network.delay(&mut self.random);
         self.queue.deliver_at(at, to, Delivery::Opened { session });
-        self.network.hold_back_until(session, at);
+        self.network.delay_until(session, at);
         self.send(from.node, session, PeerMessage::Hello(hello));
     }
 
--- a/crates/linenthread-drill/src/system/loss_budget.rs
+++ b/crates/linenthread-drill/src/system/loss_budget.rs
@@ -67,7 +67,7 @@
             .count()
     }
 
-    /// Whether each machine that is there votes, by its disk's id, or is the one spare, and a majority of the
+    /// Whether each machine that is there votes, by its disk's id, or is the one standby, and a majority of the
     /// voters has that on disk: the budget holds from then on, however slow the others are.
     pub(super) fn all_vote(&self) -> bool {
         let Some(newest) = self.history.newest_value() else {
@@ -79,7 +79,7 @@
             .filter(|machine| !machine.decommissioned)
             .collect();
         let voters = newest.voters.len();
-        if voters != machines.len() && !self.is_one_spare(voters, machines.len()) {
+        if voters != machines.len() && !self.is_one_standby(voters, machines.len()) {
             return false;
         }
         let disk_of = |voter: &Voter| {
@@ -96,8 +96,8 @@
         disks.len() == voters && disks.iter().filter(knows_voters).count() * 2 > voters
     }
 
-    /// One machine beside an odd number of voters that bears the budget is a spare: it takes the next free place.
-    pub(super) fn is_one_spare(&self, voters: usize, machines: usize) -> bool {
+    /// One machine beside an odd number of voters that bears the budget is a standby: it takes the next free place.
+    pub(super) fn is_one_standby(&self, voters: usize, machines: usize) -> bool {
         voters + 1 == machines && !voters.is_multiple_of(2) && voters > 2 * self.max_lost
     }
 }
--- a/crates/linenthread-drill/src/system/network.rs
+++ b/crates/linenthread-drill/src/system/network.rs
@@ -120,7 +120,7 @@
     }
 
     /// No message of this connection arrives before then.
-    pub(super) fn hold_back_until(&mut self, session: SessionId, at: Instant) {
+    pub(super) fn delay_until(&mut self, session: SessionId, at: Instant) {
         if let Some(connection) = self.connections.get_mut(&session) {
             connection.last_arrival = [at, at];
         }
