--- a/crates/linenthread-hollow/src/document.rs
+++ b/crates/linenthread-hollow/src/configuration.rs
@@ -1,6 +1,8 @@
+//! Configurations of a given size.
+
 use serde_json::json;
 
-/// A valid configuration of about so many bytes. Routes are added until it is long enough.
+/// A valid configuration of this revision and about so many bytes. Routes are added until it is long enough.
 pub fn document(revision: u64, bytes: usize) -> Vec<u8> {
     let mut routes = Vec::new();
     let mut backends = Vec::new();
@@ -25,11 +27,12 @@
         backends.push(backend);
     }
     let constraints = json!({"header_bytes": 16_384, "payload_bytes": 262_144});
-    let whole = json!({
+    json!({
         "revision": revision,
         "route_table": routes,
         "backends": backends,
         "constraints": constraints,
-    });
-    whole.to_string().into_bytes()
+    })
+    .to_string()
+    .into_bytes()
 }
--- /dev/null
+++ b/crates/linenthread-hollow/src/control.rs
@@ -0,0 +1,223 @@
+//! One real state machine of a control node, and what reaches it.
+
+use std::time::Duration;
+
+use bytes::BytesMut;
+use linenthread_config::Configuration;
+use linenthread_consensus::{DurableState, genesis_id};
+use linenthread_control::{CallId, ControlNode, Effect, NodeConfig, ReplicaHeartbeat, SessionId};
+use linenthread_messages::{PeerMessage, Record, Value, Voter, decode};
+use linenthread_time::{Instant, whole_millis};
+
+use crate::cost::Work;
+use crate::messages::{Peer, work_of};
+
+/// Retries that all ingress nodes together may use in a window.
+const RETRY_ALLOWANCE: f64 = 50.0;
+/// The window of [`RETRY_ALLOWANCE`].
+const RETRY_WINDOW: Duration = Duration::from_millis(4_000);
+/// The fewest voters.
+const MIN_VOTERS: usize = 3;
+
+/// What a control node is started with.
+pub(crate) struct ControlSettings {
+    pub(crate) name: String,
+    pub(crate) zone: String,
+    pub(crate) address: String,
+    pub(crate) incarnation: u64,
+    pub(crate) may_vote: bool,
+    /// Addresses of the first voters.
+    pub(crate) bootstrap: Vec<String>,
+    pub(crate) heartbeat_interval: Duration,
+}
+
+impl ControlSettings {
+    /// The value that the system starts with.
+    fn genesis(&self) -> Value {
+        let voter = |address: &String| Voter {
+            id: genesis_id(address),
+            address: address.clone(),
+        };
+        Value {
+            voters: self.bootstrap.iter().map(voter).collect(),
+            ..Value::default()
+        }
+    }
+
+    fn into_config(self) -> NodeConfig {
+        NodeConfig {
+            name: self.name,
+            zone: self.zone,
+            incarnation: self.incarnation,
+            control_address: self.address,
+            may_vote: self.may_vote,
+            min_voters: MIN_VOTERS,
+            heartbeat_interval: whole_millis(self.heartbeat_interval),
+            bootstrap: self.bootstrap,
+            is_genesis: true,
+            retry_allowance: RETRY_ALLOWANCE,
+            retry_window: whole_millis(RETRY_WINDOW),
+        }
+    }
+}
+
+/// What reaches a control node.
+pub(crate) enum Input {
+    Opened(SessionId),
+    Closed(SessionId),
+    /// A connection to this address could not be made.
+    Unreachable(String),
+    /// A frame of a message.
+    Frame {
+        session: SessionId,
+        frame: BytesMut,
+    },
+    /// A replica's heartbeat, as the body of its call.
+    ReplicaHeartbeat {
+        call: CallId,
+        ident: String,
+        body: Vec<u8>,
+    },
+    ReplicaDeparture {
+        call: CallId,
+        ident: String,
+    },
+    /// An operator's change of the configuration.
+    Replace {
+        call: CallId,
+        base: u64,
+        revision: u64,
+        document: Vec<u8>,
+    },
+    /// A record is synced, and what waited on it may be sent.
+    Synced(Vec<(SessionId, PeerMessage)>),
+    Tick,
+}
+
+impl Input {
+    /// Bytes that others have allocated and that are freed where the input is handled.
+    pub(crate) fn allocated(&self) -> usize {
+        match self {
+            Input::Frame { frame, .. } => frame.capacity(),
+            Input::ReplicaHeartbeat { ident, body, .. } => ident.capacity() + body.capacity(),
+            Input::ReplicaDeparture { ident, .. } => ident.capacity(),
+            Input::Replace { document, .. } => document.capacity(),
+            _ => 0,
+        }
+    }
+
+    /// The session and length of the frame, if it is one.
+    pub(crate) fn frame(&self) -> Option<(SessionId, usize)> {
+        match self {
+            Input::Frame { session, frame } => Some((*session, frame.len())),
+            _ => None,
+        }
+    }
+}
+
+/// A running control node.
+pub(crate) struct ControlProcess {
+    control: ControlNode,
+}
+
+impl ControlProcess {
+    /// A node with an empty disk on the very first start, and the record that its disk holds from then on.
+    pub(crate) fn first_start(settings: ControlSettings, now: Instant) -> (ControlProcess, Record) {
+        let id = if settings.bootstrap.contains(&settings.address) {
+            genesis_id(&settings.address)
+        } else {
+            settings.incarnation
+        };
+        let genesis = settings.genesis();
+        let record = Record {
+            id: Some(id),
+            decided: Some(genesis.clone()),
+            ..Record::default()
+        };
+        let control = ControlNode::new(
+            settings.into_config(),
+            id,
+            DurableState::default(),
+            Some(genesis),
+            now.as_millis(),
+        );
+        (ControlProcess { control }, record)
+    }
+
+    /// When its next timer is due.
+    pub(crate) fn next_tick_at(&self, now: Instant) -> Instant {
+        Instant::from_millis(self.control.next_tick_at(now.as_millis()))
+    }
+
+    pub(crate) fn is_leader(&self, now: Instant) -> bool {
+        self.control.holds_lease(now.as_millis()).is_some()
+    }
+
+    /// How many disks vote, as far as it knows.
+    pub(crate) fn voters(&self) -> usize {
+        self.control.register().voters().len()
+    }
+
+    /// Works on one input; returns what kind of work it was. `peer` is at the other end of a frame's session.
+    pub(crate) fn handle(
+        &mut self,
+        now: Instant,
+        input: Input,
+        peer: Peer,
+        effects: &mut Vec<Effect>,
+    ) -> Work {
+        let now = now.as_millis();
+        let control = &mut self.control;
+        match input {
+            Input::Opened(session) => {
+                control.opened(session, effects);
+                Work::Sessions
+            }
+            Input::Closed(session) => {
+                control.closed(now, session, effects);
+                Work::Sessions
+            }
+            Input::Unreachable(address) => {
+                control.unreached(now, &address);
+                Work::Sessions
+            }
+            Input::Frame { session, mut frame } => {
+                let Ok(Some(message)) = decode(&mut frame) else {
+                    return Work::Sessions;
+                };
+                let work = work_of(&message, peer);
+                control.on_message(now, session, message, effects);
+                work
+            }
+            Input::ReplicaHeartbeat { call, ident, body } => {
+                if let Ok(heartbeat) = serde_json::from_slice::<ReplicaHeartbeat>(&body) {
+                    control.on_replica_heartbeat(now, call, &ident, heartbeat, effects);
+                }
+                Work::ReplicaHeartbeats
+            }
+            Input::ReplicaDeparture { call, ident } => {
+                control.on_replica_departure(now, call, &ident, effects);
+                Work::ReplicaHeartbeats
+            }
+            Input::Replace {
+                call,
+                base,
+                revision,
+                document,
+            } => {
+                if Configuration::judge(&document).is_ok() {
+                    control.replace(now, call, base, revision, document, effects);
+                }
+                Work::Configuration
+            }
+            Input::Synced(then) => {
+                control.synced(now, then, effects);
+                Work::Configuration
+            }
+            Input::Tick => {
+                control.tick(now, effects);
+                Work::Timer
+            }
+        }
+    }
+}
--- a/crates/linenthread-hollow/src/cost.rs
+++ b/crates/linenthread-hollow/src/cost.rs
@@ -6,48 +6,75 @@
 use cpu_time::ThreadTime;
 use stats_alloc::{INSTRUMENTED_SYSTEM, Stats, StatsAlloc};
 
-/// The allocator that counts, so that heap can be told machine by machine.
+use crate::number::{count, signed};
+
+/// The allocator that counts, so that heap can be measured machine by machine.
 #[global_allocator]
 static ALLOCATOR: &StatsAlloc<std::alloc::System> = &INSTRUMENTED_SYSTEM;
 
 /// What work is done for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Work {
-    /// Connections between control nodes, and first words.
+    /// Connections between control nodes, and their first messages.
     Sessions,
-    /// A front's first word and the snapshot that answers it.
-    FrontJoins,
-    FrontHeartbeats,
+    /// An ingress node's first message and the snapshot that answers it.
+    IngressJoins,
+    /// Heartbeats between ingress nodes and control nodes.
+    IngressHeartbeats,
+    /// Heartbeats between control nodes.
     PeerHeartbeats,
-    /// Changes of replicas, told to fronts.
-    FrontUpdates,
-    /// Signs of life of replicas, told to the other control nodes.
+    /// Changes of replicas, sent to ingress nodes.
+    IngressUpdates,
+    /// Heartbeats of replicas, sent on to the other control nodes.
     PeerReplicas,
-    /// Sessions of fronts, told to the other control nodes.
+    /// Sessions of ingress nodes, sent to the other control nodes.
     PeerSessions,
     /// Calls of replicas.
     ReplicaHeartbeats,
-    /// Agreement on configurations and voters, and configurations on their way to fronts.
+    /// Agreement on configurations and voters, and configurations on their way to ingress nodes.
     Configuration,
+    /// The leader lease.
     Lease,
+    /// Grants of the retry budget.
     RetryBudget,
-    /// What is due by time: sessions and grants are written here.
+    /// Timers: sessions and grants are written here.
     Timer,
 }
 
+impl Work {
+    /// Its name in tables and in CSV, where recorded figures have it.
+    pub fn name(self) -> &'static str {
+        match self {
+            Work::Sessions => "Sessions",
+            Work::IngressJoins => "FrontJoins",
+            Work::IngressHeartbeats => "FrontHeartbeats",
+            Work::PeerHeartbeats => "PeerHeartbeats",
+            Work::IngressUpdates => "FrontUpdates",
+            Work::PeerReplicas => "PeerReplicas",
+            Work::PeerSessions => "PeerSessions",
+            Work::ReplicaHeartbeats => "ReplicaHeartbeats",
+            Work::Configuration => "Configuration",
+            Work::Lease => "Lease",
+            Work::RetryBudget => "RetryBudget",
+            Work::Timer => "Timer",
+        }
+    }
+}
+
+/// Messages and bytes of one machine.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Traffic {
+    /// Messages that it received.
     pub messages_in: u64,
+    /// Bytes of those.
     pub bytes_in: u64,
+    /// Messages that it sent.
     pub messages_out: u64,
+    /// Bytes of those.
     pub bytes_out: u64,
 }
 
 impl Traffic {
-    pub fn bytes(&self) -> u64 {
-        self.bytes_in + self.bytes_out
-    }
-
     fn add(&mut self, other: &Traffic) {
         self.messages_in += other.messages_in;
         self.bytes_in += other.bytes_in;
@@ -59,16 +86,20 @@
 /// What one machine has spent since it was last reset. Heap is never reset.
 #[derive(Clone, Debug, Default)]
 pub struct Cost {
+    /// Messages and bytes by what they are for.
     pub traffic: BTreeMap<Work, Traffic>,
+    /// Processor time by what it was spent for.
     pub processor: BTreeMap<Work, Duration>,
+    /// Bytes that were written to disk.
     pub disk_bytes: u64,
-    /// Bytes that are held.
+    /// Bytes that are allocated.
     pub heap: i64,
-    /// The most that one call held on top of that until its messages were written.
+    /// The most that one call allocated on top of that until its messages were written.
     pub transient: i64,
 }
 
 impl Cost {
+    /// Starts anew, but for the heap.
     pub fn reset(&mut self) {
         *self = Cost {
             heap: self.heap,
@@ -76,66 +107,80 @@
         };
     }
 
+    /// Counts a message that was received.
     pub fn receive(&mut self, work: Work, bytes: usize) {
         let traffic = self.traffic.entry(work).or_default();
         traffic.messages_in += 1;
-        traffic.bytes_in += bytes as u64;
+        traffic.bytes_in += count(bytes);
     }
 
+    /// Counts a message that was sent.
     pub fn send(&mut self, work: Work, bytes: usize) {
         let traffic = self.traffic.entry(work).or_default();
         traffic.messages_out += 1;
-        traffic.bytes_out += bytes as u64;
+        traffic.bytes_out += count(bytes);
     }
 
+    /// Messages and bytes of all work.
     pub fn total_traffic(&self) -> Traffic {
         let mut total = Traffic::default();
-        self.traffic.values().for_each(|traffic| total.add(traffic));
+        for traffic in self.traffic.values() {
+            total.add(traffic);
+        }
         total
     }
 
+    /// Processor time of all work.
     pub fn total_processor(&self) -> Duration {
         self.processor.values().sum()
     }
 
-    /// Adds what a meter has seen since it was begun.
+    /// Adds what a meter has measured.
     pub fn charge(&mut self, work: Work, spent: &Spent) {
         *self.processor.entry(work).or_default() += spent.processor;
         self.heap += spent.heap;
     }
 }
 
+/// What a [`Meter`] has measured.
 pub struct Spent {
+    /// Processor time of the thread.
     pub processor: Duration,
+    /// Bytes that were allocated and not freed.
     pub heap: i64,
 }
 
-/// Bytes that are held now, by all.
-pub(crate) fn held() -> i64 {
-    let stats = ALLOCATOR.stats();
-    stats.bytes_allocated as i64 - stats.bytes_deallocated as i64
+/// Bytes that are allocated now, by all machines.
+pub(crate) fn allocated() -> i64 {
+    net_bytes(&ALLOCATOR.stats())
+}
+
+fn net_bytes(stats: &Stats) -> i64 {
+    signed(stats.bytes_allocated) - signed(stats.bytes_deallocated)
 }
 
 /// Measures this thread's processor time and what it allocates.
 pub struct Meter {
-    began: ThreadTime,
+    started: ThreadTime,
     before: Stats,
 }
 
 impl Meter {
-    pub fn begin() -> Meter {
+    /// Starts to measure.
+    pub fn start() -> Meter {
         Meter {
             before: ALLOCATOR.stats(),
-            began: ThreadTime::now(),
+            started: ThreadTime::now(),
         }
     }
 
+    /// What was spent since the start.
     pub fn spent(&self) -> Spent {
-        let processor = self.began.elapsed();
+        let processor = self.started.elapsed();
         let since = ALLOCATOR.stats() - self.before;
         Spent {
             processor,
-            heap: since.bytes_allocated as i64 - since.bytes_deallocated as i64,
+            heap: net_bytes(&since),
         }
     }
 }
--- a/crates/linenthread-hollow/src/events.rs
+++ b/crates/linenthread-hollow/src/event_queue.rs
@@ -1,14 +1,18 @@
-use std::cmp::Reverse;
+//! What is to happen in simulated time, in order.
+
+use std::cmp::{Ordering, Reverse};
 use std::collections::BinaryHeap;
 
-/// Events by time, then in the order in which they were put in.
-pub(crate) struct Events<E> {
+use linenthread_time::Instant;
+
+/// Events by time, then in the order in which they were added.
+pub(crate) struct EventQueue<E> {
     heap: BinaryHeap<Reverse<Entry<E>>>,
-    order: u64,
+    last_number: u64,
 }
 
 struct Entry<E> {
-    key: (u64, u64),
+    key: (Instant, u64),
     event: E,
 }
 
@@ -21,37 +25,37 @@
 impl<E> Eq for Entry<E> {}
 
 impl<E> PartialOrd for Entry<E> {
-    fn partial_cmp(&self, other: &Self) -> Option<std::cmp::Ordering> {
+    fn partial_cmp(&self, other: &Self) -> Option<Ordering> {
         Some(self.cmp(other))
     }
 }
 
 impl<E> Ord for Entry<E> {
-    fn cmp(&self, other: &Self) -> std::cmp::Ordering {
+    fn cmp(&self, other: &Self) -> Ordering {
         self.key.cmp(&other.key)
     }
 }
 
-impl<E> Default for Events<E> {
+impl<E> Default for EventQueue<E> {
     fn default() -> Self {
-        Events {
+        EventQueue {
             heap: BinaryHeap::new(),
-            order: 0,
+            last_number: 0,
         }
     }
 }
 
-impl<E> Events<E> {
-    pub(crate) fn push(&mut self, at: u64, event: E) {
-        self.order += 1;
+impl<E> EventQueue<E> {
+    pub(crate) fn push(&mut self, at: Instant, event: E) {
+        self.last_number += 1;
         self.heap.push(Reverse(Entry {
-            key: (at, self.order),
+            key: (at, self.last_number),
             event,
         }));
     }
 
     /// The next event before this time.
-    pub(crate) fn pop_before(&mut self, end: u64) -> Option<(u64, E)> {
+    pub(crate) fn pop_before(&mut self, end: Instant) -> Option<(Instant, E)> {
         if self.heap.peek()?.0.key.0 >= end {
             return None;
         }
--- a/crates/linenthread-hollow/src/main.rs
+++ b/crates/linenthread-hollow/src/main.rs
@@ -1,85 +1,73 @@
 //! `linenthread-hollow`: what control costs each role, by size.
 
-use std::io::Write;
+mod flags;
+
+use std::fmt::Write as _;
+use std::io::{self, ErrorKind, Write as _};
+use std::path::PathBuf;
 use std::process::ExitCode;
+use std::time::Duration;
 
-use linenthread_hollow::{CSV_HEADER, Loss, Scale, fit_csv, kill_timeline, measure};
-
-mod flags {
-    use std::path::PathBuf;
-
-    xflags::xflags! {
-        /// Hollow fronts, replicas and control nodes in one process.
-        cmd linenthread-hollow {
-            /// Measures one size; prints a table and lines of CSV.
-            cmd run {
-                /// Fronts (30).
-                optional --fronts count: usize
-                /// Replicas (in proportion: 50,000 to 7,800 fronts).
-                optional --replicas count: usize
-                /// Control nodes (3).
-                optional --control count: usize
-                /// Control nodes that may vote (5, or all if there are fewer).
-                optional --voters count: usize
-                /// Simulated seconds that are measured (4).
-                optional --seconds count: u64
-                /// What all chance comes from (1).
-                optional --seed seed: u64
-                /// A replica's heartbeats are so many milliseconds apart (1000).
-                optional --heartbeat-ms milliseconds: u64
-                /// Size of the configuration (60000).
-                optional --document-bytes bytes: usize
-                /// Configuration changes in the measured time (1).
-                optional --changes count: usize
-                /// Replicas that are restarted in the measured time (2).
-                optional --restarts count: usize
-                /// Fronts that come back with nothing at one moment (10).
-                optional --storm count: usize
-                /// Adds the lines to this file, with a header if it is new.
-                optional --csv file: PathBuf
-            }
-            /// Fits powers of growth to files of CSV.
-            cmd fit {
-                required file: PathBuf
-                /// The column that says how large (fronts).
-                optional --by column: String
-                /// Also prints what the fit gives at this size.
-                optional --at size: f64
-                /// Only these roles, as they begin.
-                optional --role name: String
-                /// Only this column.
-                optional --column name: String
-            }
-            /// From the loss of the leader to the next acknowledgement.
-            cmd kill {
-                optional --control count: usize
-                optional --fronts count: usize
-                optional --seed seed: u64
-                /// The machine is dark, instead of a process that ends.
-                optional --dark
-            }
-        }
+use linenthread_hollow::{
+    CSV_HEADER, ColumnFit, FitError, Loss, Scale, fit_csv, lose_leader, measure,
+};
+use snafu::{ResultExt, Snafu};
+
+/// Replicas to an ingress node at the target size.
+const REPLICAS_PER_INGRESS: f64 = 50_000.0 / 7_800.0;
+/// Voters, if there are as many control nodes.
+const DEFAULT_VOTERS: usize = 5;
+/// The fewest control nodes, and voters.
+const MIN_CONTROL: usize = 3;
+/// The size of the configuration where the loss of the leader is measured.
+const SMALL_DOCUMENT_BYTES: usize = 2_000;
+/// The column with the number of ingress nodes.
+const DEFAULT_SIZE_COLUMN: &str = "fronts";
+
+/// Why a command failed.
+#[derive(Debug, Snafu)]
+enum CommandError {
+    #[snafu(display("reading {}: {source}", path.display()))]
+    Read { path: PathBuf, source: io::Error },
+    #[snafu(display("writing {}: {source}", path.display()))]
+    Write { path: PathBuf, source: io::Error },
+    #[snafu(display("fitting {}: {source}", path.display()))]
+    Fit { path: PathBuf, source: FitError },
+    #[snafu(display("printing: {source}"))]
+    Print { source: io::Error },
+}
+
+/// Prints a text; a reader that has closed the output is no error.
+fn print(text: &str) -> Result<(), CommandError> {
+    match io::stdout().write_all(text.as_bytes()) {
+        Err(error) if error.kind() == ErrorKind::BrokenPipe => Ok(()),
+        result => result.context(PrintSnafu),
     }
 }
 
-/// Replicas to fronts at the target.
-const REPLICAS_TO_FRONTS: f64 = 50_000.0 / 7_800.0;
+// --- run ---
 
 fn scale(flags: &flags::Run) -> Scale {
     let default = Scale::default();
-    let fronts = flags.fronts.unwrap_or(default.fronts).max(1);
-    let control = flags.control.unwrap_or(default.control).max(3);
+    let ingress_nodes = flags.ingress_nodes.unwrap_or(default.ingress_nodes).max(1);
+    let control = flags.control.unwrap_or(default.control).max(MIN_CONTROL);
+    let heartbeat_interval = flags
+        .heartbeat_ms
+        .map(|millis| Duration::from_millis(millis.max(1)));
     Scale {
-        fronts,
+        ingress_nodes,
         replicas: flags
             .replicas
-            .unwrap_or((fronts as f64 * REPLICAS_TO_FRONTS).round() as usize)
+            .unwrap_or_else(|| replicas_for(ingress_nodes))
             .max(1),
         control,
-        voters: flags.voters.unwrap_or(5).clamp(3, control),
+        voters: flags
+            .voters
+            .unwrap_or(DEFAULT_VOTERS)
+            .clamp(MIN_CONTROL, control),
         seconds: flags.seconds.unwrap_or(default.seconds).max(1),
         seed: flags.seed.unwrap_or(default.seed),
-        heartbeat_ms: flags.heartbeat_ms.unwrap_or(default.heartbeat_ms).max(1),
+        heartbeat_interval: heartbeat_interval.unwrap_or(default.heartbeat_interval),
         document_bytes: flags.document_bytes.unwrap_or(default.document_bytes),
         changes: flags.changes.unwrap_or(default.changes),
         restarts: flags.restarts.unwrap_or(default.restarts),
@@ -87,99 +75,99 @@
     }
 }
 
-/// Whoever reads may stop before the end.
-fn show(text: &str) {
-    let _ = std::io::stdout().write_all(text.as_bytes());
+/// Replicas in proportion to the ingress nodes.
+fn replicas_for(ingress_nodes: usize) -> usize {
+    (ingress_nodes as f64 * REPLICAS_PER_INGRESS).round() as usize
 }
 
-fn run(flags: &flags::Run) -> Result<(), String> {
+fn run(flags: &flags::Run) -> Result<(), CommandError> {
     let measured = measure(&scale(flags));
-    show(&measured.table());
+    print(&measured.table())?;
     let csv = measured.csv();
     let Some(path) = &flags.csv else {
-        show(&format!("{CSV_HEADER}\n{csv}"));
-        return Ok(());
+        return print(&format!("{CSV_HEADER}\n{csv}"));
     };
     let before = std::fs::read_to_string(path).unwrap_or_else(|_| format!("{CSV_HEADER}\n"));
-    std::fs::write(path, before + &csv).map_err(|e| format!("writing {}: {e}", path.display()))
+    std::fs::write(path, before + &csv).context(WriteSnafu { path })
 }
 
-fn fit(flags: &flags::Fit) -> Result<(), String> {
+// --- fit ---
+
+fn fit(flags: &flags::Fit) -> Result<(), CommandError> {
     let path = &flags.file;
-    let text =
-        std::fs::read_to_string(path).map_err(|e| format!("reading {}: {e}", path.display()))?;
-    let fitted =
-        fit_csv(&text, flags.by.as_deref().unwrap_or("fronts")).map_err(|e| e.to_string())?;
-    let mut lines = Vec::new();
-    let wanted = |role: &str| {
-        flags
-            .role
-            .as_ref()
-            .is_none_or(|name| role.starts_with(name.as_str()))
+    let text = std::fs::read_to_string(path).context(ReadSnafu { path })?;
+    let size = flags.by.as_deref().unwrap_or(DEFAULT_SIZE_COLUMN);
+    let fits = fit_csv(&text, size).context(FitSnafu { path })?;
+    let is_wanted = |fit: &ColumnFit| {
+        let role = flags.role.as_ref();
+        let column = flags.column.as_ref();
+        role.is_none_or(|role| fit.role.starts_with(role.as_str()))
+            && column.is_none_or(|column| fit.column == *column)
     };
-    let asked = |column: &String| flags.column.as_ref().is_none_or(|name| name == column);
-    for (role, column, power) in fitted
-        .into_iter()
-        .filter(|(role, column, _)| wanted(role) && asked(column))
-    {
-        let at = flags.at.map_or(String::new(), |size| {
-            format!(", at {size}: {:.4}", power.at(size))
-        });
-        lines.push(format!(
-            "{role:<28} {column:<18} power {:>6.3}, worst {:.2} of the fit, {} points{at}",
-            power.exponent, power.worst_ratio, power.points
-        ));
-    }
-    show(&(lines.join("\n") + "\n"));
-    Ok(())
+    let lines: Vec<String> = fits
+        .iter()
+        .filter(|fit| is_wanted(fit))
+        .map(|fit| fit_line(fit, flags.at))
+        .collect();
+    print(&(lines.join("\n") + "\n"))
 }
 
-fn kill(flags: &flags::Kill) {
+fn fit_line(fit: &ColumnFit, size: Option<f64>) -> String {
+    let power = &fit.power;
+    let at = size.map_or(String::new(), |size| {
+        format!(", at {size}: {:.4}", power.at(size))
+    });
+    format!(
+        "{:<28} {:<18} power {:>6.3}, worst {:.2} of the fit, {} points{at}",
+        fit.role, fit.column, power.exponent, power.worst_ratio, power.points
+    )
+}
+
+// --- kill ---
+
+fn kill(flags: &flags::Kill) -> Result<(), CommandError> {
     let default = Scale::default();
-    let control = flags.control.unwrap_or(3).max(3);
+    let control = flags.control.unwrap_or(MIN_CONTROL).max(MIN_CONTROL);
     let scale = Scale {
         control,
         voters: control,
-        fronts: flags.fronts.unwrap_or(default.fronts).max(1),
-        seed: flags.seed.unwrap_or(1),
-        document_bytes: 2_000,
+        ingress_nodes: flags.ingress_nodes.unwrap_or(default.ingress_nodes).max(1),
+        seed: flags.seed.unwrap_or(default.seed),
+        document_bytes: SMALL_DOCUMENT_BYTES,
         ..default
     };
-    let timeline = kill_timeline(&scale, if flags.dark { Loss::Dark } else { Loss::Killed });
-    let after = |ms: Option<u64>| ms.map_or("none".to_owned(), |ms| format!("{ms} ms"));
-    let mut lines: Vec<String> = timeline
-        .lines
-        .iter()
-        .map(|(at, line)| format!("{at:>6} ms  {line}\n"))
-        .collect();
-    let first = after(timeline.first_acknowledgement_ms);
-    lines.push(format!(
-        "first acknowledgement by a survivor after {first}\n"
-    ));
-    lines.push(format!(
-        "next leader after {}\n",
-        after(timeline.next_leader_ms)
-    ));
-    show(&lines.concat());
+    let loss = if flags.dark { Loss::Dark } else { Loss::Killed };
+    let timeline = lose_leader(&scale, loss);
+    let millis = |time: Option<Duration>| {
+        time.map_or("none".to_owned(), |time| format!("{} ms", time.as_millis()))
+    };
+    let mut text = String::new();
+    for step in &timeline.steps {
+        // Writing to a string does not fail.
+        let _ = writeln!(text, "{:>6} ms  {}", step.since_loss.as_millis(), step.text);
+    }
+    text += &format!(
+        "first acknowledgement by a survivor after {}\nnext leader after {}\n",
+        millis(timeline.first_acknowledgement),
+        millis(timeline.next_leader)
+    );
+    print(&text)
 }
 
 fn main() -> ExitCode {
     let flags = match flags::LinenthreadHollow::from_env() {
         Ok(flags) => flags,
-        Err(e) => e.exit(),
+        Err(error) => error.exit(),
     };
-    let done = match &flags.subcommand {
+    let result = match &flags.subcommand {
         flags::LinenthreadHollowCmd::Run(flags) => run(flags),
         flags::LinenthreadHollowCmd::Fit(flags) => fit(flags),
-        flags::LinenthreadHollowCmd::Kill(flags) => {
-            kill(flags);
-            Ok(())
-        }
+        flags::LinenthreadHollowCmd::Kill(flags) => kill(flags),
     };
-    match done {
+    match result {
         Ok(()) => ExitCode::SUCCESS,
-        Err(cause) => {
-            eprintln!("linenthread-hollow: {cause}");
+        Err(error) => {
+            eprintln!("linenthread-hollow: {error}");
             ExitCode::FAILURE
         }
     }
--- a/crates/linenthread-hollow/src/scale.rs
+++ b/crates/linenthread-hollow/src/scale.rs
@@ -1,7 +1,13 @@
+//! The size of a simulated system.
+
+use std::time::Duration;
+
 /// How large a simulated system is, and what happens in it while it is measured.
 #[derive(Clone, Debug)]
 pub struct Scale {
-    pub fronts: usize,
+    /// Ingress nodes.
+    pub ingress_nodes: usize,
+    /// Replicas.
     pub replicas: usize,
     /// Control nodes, voters among them.
     pub control: usize,
@@ -9,28 +15,30 @@
     pub voters: usize,
     /// Simulated seconds that are measured.
     pub seconds: u64,
+    /// The seed of all random numbers.
     pub seed: u64,
-    pub heartbeat_ms: u64,
+    /// Between two heartbeats of a replica.
+    pub heartbeat_interval: Duration,
     /// Size of the configuration document.
     pub document_bytes: usize,
     /// Configuration changes in the measured time, evenly spread.
     pub changes: usize,
     /// Replicas that drain, depart and come back under a new name in the measured time, evenly spread.
     pub restarts: usize,
-    /// Fronts that come back with nothing at one moment, after the measured time.
+    /// Ingress nodes that come back with nothing at one moment, after the measured time.
     pub storm: usize,
 }
 
 impl Default for Scale {
     fn default() -> Scale {
         Scale {
-            fronts: 30,
+            ingress_nodes: 30,
             replicas: 192,
             control: 3,
             voters: 3,
             seconds: 4,
             seed: 1,
-            heartbeat_ms: 1_000,
+            heartbeat_interval: Duration::from_millis(1_000),
             document_bytes: 60_000,
             changes: 1,
             restarts: 2,
--- a/crates/linenthread-hollow/tests/heap.rs
+++ b/crates/linenthread-hollow/tests/heap.rs
@@ -3,9 +3,9 @@
 use linenthread_hollow::{Role, Scale, measure};
 
 #[test]
-fn heap_grows_with_what_is_held() {
+fn heap_grows_with_the_number_of_replicas() {
     let few = Scale {
-        fronts: 6,
+        ingress_nodes: 6,
         replicas: 200,
         seconds: 1,
         storm: 0,
@@ -16,7 +16,7 @@
         ..few.clone()
     };
     let heap = |scale: &Scale, role| measure(scale).row(role).expect("is measured").heap_bytes;
-    for role in [Role::Front, Role::Voter] {
+    for role in [Role::Ingress, Role::Voter] {
         let (small, large) = (heap(&few, role), heap(&many, role));
         // A replica has five strings and two maps' entries: some hundreds of bytes, not tens or thousands.
         let each = (large - small) / 1_800.0;
--- a/crates/linenthread-hollow/tests/hollow.rs
+++ b/crates/linenthread-hollow/tests/hollow.rs
@@ -1,14 +1,17 @@
 //! Hollow nodes: what control costs by size, and whether the tables of a run add up.
 
+use std::time::Duration;
+
 use linenthread_config::Configuration;
 use linenthread_hollow::{
-    CSV_HEADER, FitError, Loss, Role, Scale, document, fit_csv, kill_timeline, measure, power,
+    CSV_HEADER, FitError, Loss, Point, Role, Scale, document, fit_csv, fit_power, lose_leader,
+    measure,
 };
 use yare::parameterized;
 
 fn small(seed: u64) -> Scale {
     Scale {
-        fronts: 12,
+        ingress_nodes: 12,
         replicas: 60,
         seconds: 2,
         seed,
@@ -31,7 +34,7 @@
     three_nodes = { 3, 3 },
     five_voters_of_nine = { 9, 5 },
 )]
-fn a_change_is_acknowledged_and_in_force_at_all_fronts(control: usize, voters: usize) {
+fn a_change_is_acknowledged_and_in_force_at_all_ingress_nodes(control: usize, voters: usize) {
     let scale = Scale {
         control,
         voters,
@@ -40,8 +43,8 @@
     };
     let measured = measure(&scale);
     assert_eq!(measured.acknowledged.count, 2);
-    assert_eq!(measured.fronts_in_force, scale.fronts);
-    assert_eq!(measured.in_force.count, 2 * scale.fronts as u64);
+    assert_eq!(measured.ingress_in_force, scale.ingress_nodes);
+    assert_eq!(measured.in_force.count, 2 * scale.ingress_nodes as u64);
     assert_eq!(measured.voters_at_end, voters);
     assert!(
         measured
@@ -61,17 +64,17 @@
         ..small(4)
     });
     let row = |role| measured.row(role).expect("is measured");
-    let (front, replica, voter) = (row(Role::Front), row(Role::Replica), row(Role::Voter));
+    let (ingress, replica, voter) = (row(Role::Ingress), row(Role::Replica), row(Role::Voter));
     let sum = |messages: f64, machines: usize| messages * machines as f64;
-    // Nodes hear fronts, replicas and each other.
+    // Control nodes exchange messages with ingress nodes, replicas and each other.
     let sent =
-        sum(front.messages_out, 12) + sum(replica.messages_out, 60) + sum(voter.messages_out, 3);
-    let heard =
-        sum(front.messages_in, 12) + sum(replica.messages_in, 60) + sum(voter.messages_in, 3);
+        sum(ingress.messages_out, 12) + sum(replica.messages_out, 60) + sum(voter.messages_out, 3);
+    let received =
+        sum(ingress.messages_in, 12) + sum(replica.messages_in, 60) + sum(voter.messages_in, 3);
     // A few are on their way where the measured time begins and ends.
     assert!(
-        (sent - heard).abs() < 0.05 * sent,
-        "{sent} messages a second are sent, {heard} received"
+        (sent - received).abs() < 0.05 * sent,
+        "{sent} messages a second are sent, {received} received"
     );
 }
 
@@ -81,22 +84,26 @@
 )]
 fn the_loss_of_the_leader_does_not_hold_up_an_acknowledgement(loss: Loss) {
     let scale = Scale {
-        fronts: 6,
+        ingress_nodes: 6,
         replicas: 20,
         document_bytes: 2_000,
         ..Scale::default()
     };
-    let timeline = kill_timeline(&scale, loss);
+    let timeline = lose_leader(&scale, loss);
     // Far less than any wait for silence or a lease: five ways between regions and two syncs.
     let first = timeline
-        .first_acknowledgement_ms
+        .first_acknowledgement
         .expect("a survivor acknowledges");
-    assert!(first < 500, "{first} ms: {:?}", timeline.lines);
-    let leader = timeline.next_leader_ms.expect("another leads");
     assert!(
-        (500..4_000).contains(&leader),
-        "{leader} ms: {:?}",
-        timeline.lines
+        first < Duration::from_millis(500),
+        "{first:?}: {:?}",
+        timeline.steps
+    );
+    let leader = timeline.next_leader.expect("another leads");
+    assert!(
+        (500..4_000).contains(&leader.as_millis()),
+        "{leader:?}: {:?}",
+        timeline.steps
     );
 }
 
@@ -124,11 +131,14 @@
 )]
 fn a_known_power_is_found_again(exponent: f64, factor: f64) {
     let sizes = [30.0, 100.0, 300.0, 1_000.0, 7_800.0];
-    let points: Vec<(f64, f64)> = sizes
-        .iter()
-        .map(|n: &f64| (*n, factor * n.powf(exponent)))
+    let points: Vec<Point> = sizes
+        .into_iter()
+        .map(|size: f64| Point {
+            size,
+            value: factor * size.powf(exponent),
+        })
         .collect();
-    let fitted = power(&points).expect("five sizes");
+    let fitted = fit_power(&points).expect("five sizes");
     assert!((fitted.exponent - exponent).abs() < 1e-9, "{fitted:?}");
     assert!((fitted.factor / factor - 1.0).abs() < 1e-9, "{fitted:?}");
     assert!(
@@ -140,8 +150,9 @@
 
 #[test]
 fn one_size_gives_no_power() {
-    assert_eq!(power(&[(30.0, 1.0), (30.0, 2.0)]), None);
-    assert_eq!(power(&[(30.0, 1.0), (300.0, 0.0)]), None);
+    let point = |size, value| Point { size, value };
+    assert_eq!(fit_power(&[point(30.0, 1.0), point(30.0, 2.0)]), None);
+    assert_eq!(fit_power(&[point(30.0, 1.0), point(300.0, 0.0)]), None);
 }
 
 #[test]
@@ -150,7 +161,13 @@
     let fitted = fit_csv(text, "fronts").expect("the file is good");
     let found: Vec<(&str, &str, i64)> = fitted
         .iter()
-        .map(|(r, c, p)| (r.as_str(), c.as_str(), p.exponent.round() as i64))
+        .map(|fit| {
+            (
+                fit.role.as_str(),
+                fit.column.as_str(),
+                fit.power.exponent.round() as i64,
+            )
+        })
         .collect();
     assert_eq!(found, [("x", "a", 1), ("x", "b", 0), ("y", "a", 2)]);
     assert!(matches!(
