--- a/crates/linenthread-hollow/src/control.rs
+++ b/crates/linenthread-hollow/src/control.rs
@@ -205,7 +205,7 @@
                 revision,
                 document,
             } => {
-                if Configuration::judge(&document).is_ok() {
+                if Configuration::parse(&document).is_ok() {
                     control.replace(now, call, base, revision, document, effects);
                 }
                 Work::Configuration
--- a/crates/linenthread-hollow/src/cost.rs
+++ b/crates/linenthread-hollow/src/cost.rs
@@ -63,15 +63,15 @@
 
 /// Messages and bytes of one machine.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Traffic {
+pub(crate) struct Traffic {
     /// Messages that it received.
-    pub messages_in: u64,
+    pub(crate) messages_in: u64,
     /// Bytes of those.
-    pub bytes_in: u64,
+    pub(crate) bytes_in: u64,
     /// Messages that it sent.
-    pub messages_out: u64,
+    pub(crate) messages_out: u64,
     /// Bytes of those.
-    pub bytes_out: u64,
+    pub(crate) bytes_out: u64,
 }
 
 impl Traffic {
@@ -85,22 +85,22 @@
 
 /// What one machine has spent since it was last reset. Heap is never reset.
 #[derive(Clone, Debug, Default)]
-pub struct Cost {
+pub(crate) struct Cost {
     /// Messages and bytes by what they are for.
-    pub traffic: BTreeMap<Work, Traffic>,
+    pub(crate) traffic: BTreeMap<Work, Traffic>,
     /// Processor time by what it was spent for.
-    pub processor: BTreeMap<Work, Duration>,
+    pub(crate) processor: BTreeMap<Work, Duration>,
     /// Bytes that were written to disk.
-    pub disk_bytes: u64,
+    pub(crate) disk_bytes: u64,
     /// Bytes that are allocated.
-    pub heap: i64,
+    pub(crate) heap: i64,
     /// The most that one call allocated on top of that until its messages were written.
-    pub transient: i64,
+    pub(crate) transient: i64,
 }
 
 impl Cost {
     /// Starts anew, but for the heap.
-    pub fn reset(&mut self) {
+    pub(crate) fn reset(&mut self) {
         *self = Cost {
             heap: self.heap,
             ..Cost::default()
@@ -108,21 +108,21 @@
     }
 
     /// Counts a message that was received.
-    pub fn receive(&mut self, work: Work, bytes: usize) {
+    pub(crate) fn receive(&mut self, work: Work, bytes: usize) {
         let traffic = self.traffic.entry(work).or_default();
         traffic.messages_in += 1;
         traffic.bytes_in += count(bytes);
     }
 
     /// Counts a message that was sent.
-    pub fn send(&mut self, work: Work, bytes: usize) {
+    pub(crate) fn send(&mut self, work: Work, bytes: usize) {
         let traffic = self.traffic.entry(work).or_default();
         traffic.messages_out += 1;
         traffic.bytes_out += count(bytes);
     }
 
     /// Messages and bytes of all work.
-    pub fn total_traffic(&self) -> Traffic {
+    pub(crate) fn total_traffic(&self) -> Traffic {
         let mut total = Traffic::default();
         for traffic in self.traffic.values() {
             total.add(traffic);
@@ -131,23 +131,23 @@
     }
 
     /// Processor time of all work.
-    pub fn total_processor(&self) -> Duration {
+    pub(crate) fn total_processor(&self) -> Duration {
         self.processor.values().sum()
     }
 
     /// Adds what a meter has measured.
-    pub fn charge(&mut self, work: Work, spent: &Spent) {
+    pub(crate) fn charge(&mut self, work: Work, spent: &Spent) {
         *self.processor.entry(work).or_default() += spent.processor;
         self.heap += spent.heap;
     }
 }
 
 /// What a [`Meter`] has measured.
-pub struct Spent {
+pub(crate) struct Spent {
     /// Processor time of the thread.
-    pub processor: Duration,
+    pub(crate) processor: Duration,
     /// Bytes that were allocated and not freed.
-    pub heap: i64,
+    pub(crate) heap: i64,
 }
 
 /// Bytes that are allocated now, by all machines.
@@ -160,14 +160,14 @@
 }
 
 /// Measures this thread's processor time and what it allocates.
-pub struct Meter {
+pub(crate) struct Meter {
     started: ThreadTime,
     before: Stats,
 }
 
 impl Meter {
     /// Starts to measure.
-    pub fn start() -> Meter {
+    pub(crate) fn start() -> Meter {
         Meter {
             before: ALLOCATOR.stats(),
             started: ThreadTime::now(),
@@ -175,7 +175,7 @@
     }
 
     /// What was spent since the start.
-    pub fn spent(&self) -> Spent {
+    pub(crate) fn spent(&self) -> Spent {
         let processor = self.started.elapsed();
         let since = ALLOCATOR.stats() - self.before;
         Spent {
--- a/crates/linenthread-hollow/src/ingress.rs
+++ b/crates/linenthread-hollow/src/ingress.rs
@@ -3,7 +3,7 @@
 use std::collections::HashMap;
 
 use bytes::BytesMut;
-use linenthread_config::{Configuration, Plan};
+use linenthread_config::{Configuration, RoutingTable};
 use linenthread_control::SessionId;
 use linenthread_messages::{IngressUpdate, PeerMessage, Replica, encode};
 
@@ -39,7 +39,7 @@
 pub(crate) struct Table {
     replicas: HashMap<String, Replica>,
     document: Vec<u8>,
-    plan: Option<Plan>,
+    routes: Option<RoutingTable>,
 }
 
 impl Table {
@@ -61,7 +61,9 @@
         }
         if let Some(value) = update.value {
             self.document = value.document.to_vec();
-            self.plan = Configuration::read(&self.document).ok().map(Plan::new);
+            self.routes = Configuration::decode(&self.document)
+                .ok()
+                .map(RoutingTable::new);
         }
     }
 }
