--- a/crates/linenthread-drill/src/system/checker/lease.rs
+++ b/crates/linenthread-drill/src/system/checker/lease.rs
@@ -12,7 +12,7 @@
     pub(in super::super) fn check_lease_holders(&mut self) {
         let epoch_of = |node: usize| {
             let control = self.machines[node].control.as_ref()?;
-            control.holds_lease(self.machine_clock(node).as_millis())
+            control.lease_epoch(self.machine_clock(node))
         };
         let holders: Vec<(usize, u64)> = (0..self.machines.len())
             .filter_map(|node| epoch_of(node).map(|epoch| (node, epoch)))
--- a/crates/linenthread-drill/src/system/disk.rs
+++ b/crates/linenthread-drill/src/system/disk.rs
@@ -7,9 +7,9 @@
 use std::time::Duration;
 
 use linenthread_consensus::DurableState;
-use linenthread_control::{SessionId, StateLog, StateLogError};
-use linenthread_messages::{PeerMessage, Record};
-use linenthread_store::Model;
+use linenthread_control::{DeferredMessage, StateLog, StateLogError};
+use linenthread_messages::Record;
+use linenthread_store::{DirectoryError, SimulatedDisk};
 
 use super::random::Random;
 
@@ -23,18 +23,16 @@
 /// Of the syncs of one write, fewer than this have succeeded when a crash cuts it off.
 const TORN_WRITE_MAX_SYNCS: usize = 3;
 
-type Files = Rc<RefCell<Model>>;
-type OpenFiles = Box<dyn FnMut() -> Result<Files, String>>;
-/// Messages that may be sent once a record is synced.
-pub(super) type DeferredMessages = Vec<(SessionId, PeerMessage)>;
+type Files = Rc<RefCell<SimulatedDisk>>;
+type OpenFiles = Box<dyn FnMut() -> Result<Files, DirectoryError>>;
 
 pub(super) struct Disk {
     files: Files,
     /// While a process runs.
     log: Option<StateLog<Files, OpenFiles>>,
-    waiting: VecDeque<(Record, DeferredMessages)>,
+    waiting: VecDeque<(Record, Vec<DeferredMessage>)>,
     /// What the write in progress holds.
-    writing: Vec<(Record, DeferredMessages)>,
+    writing: Vec<(Record, Vec<DeferredMessage>)>,
     is_full: bool,
     /// What a sync takes.
     pub(super) sync_duration: Duration,
@@ -42,7 +40,7 @@
 
 /// How a write ended.
 pub(super) enum WriteOutcome {
-    Synced(DeferredMessages),
+    Synced(Vec<DeferredMessage>),
     /// The disk is full.
     Rejected,
     /// No process has the disk open any more.
@@ -82,7 +80,7 @@
     /// No write succeeds any more, or there is room again.
     pub(super) fn set_full(&mut self, is_full: bool) {
         self.is_full = is_full;
-        self.files.borrow_mut().room = is_full.then_some(0);
+        self.files.borrow_mut().capacity = is_full.then_some(0);
     }
 
     pub(super) fn log_bytes(&self) -> u64 {
@@ -97,7 +95,7 @@
     /// What a process that starts now would find; the disk stays as it is.
     pub(super) fn durable_state(&self) -> DurableState {
         let copy: Files = Rc::new(RefCell::new(self.files.borrow().clone()));
-        copy.borrow_mut().room = None;
+        copy.borrow_mut().capacity = None;
         let open_files: OpenFiles = Box::new(move || Ok(copy.clone()));
         StateLog::open(open_files, COMPACT_ABOVE_BYTES)
             .map(|opened| opened.state)
@@ -105,9 +103,9 @@
     }
 
     /// Queues a record with the messages that wait on it.
-    pub(super) fn enqueue(&mut self, record: Record, then: DeferredMessages) {
+    pub(super) fn enqueue(&mut self, record: Record, after_sync: Vec<DeferredMessage>) {
         if self.waiting.len() < MAX_WAITING_RECORDS {
-            self.waiting.push_back((record, then));
+            self.waiting.push_back((record, after_sync));
         }
     }
 
@@ -122,12 +120,13 @@
 
     /// Ends the write in progress.
     pub(super) fn complete_write(&mut self) -> WriteOutcome {
-        let (records, then): (Vec<Record>, Vec<DeferredMessages>) = self.writing.drain(..).unzip();
+        let (records, after_sync): (Vec<Record>, Vec<Vec<DeferredMessage>>) =
+            self.writing.drain(..).unzip();
         let Some(log) = self.log.as_mut() else {
             return WriteOutcome::NotOpen;
         };
         match log.write(&records) {
-            Ok(()) => WriteOutcome::Synced(then.into_iter().flatten().collect()),
+            Ok(()) => WriteOutcome::Synced(after_sync.into_iter().flatten().collect()),
             Err(_) => WriteOutcome::Rejected,
         }
     }
@@ -145,14 +144,14 @@
             return false;
         };
         if progress == 1 {
-            self.files.borrow_mut().leave_room(cut);
+            self.files.borrow_mut().limit_free_bytes(cut);
         } else {
-            self.files.borrow_mut().syncs_left = Some(cut % TORN_WRITE_MAX_SYNCS);
+            self.files.borrow_mut().syncs_until_failure = Some(cut % TORN_WRITE_MAX_SYNCS);
         }
         // It fails, or is not synced, as was just drawn; what is there is seen when the disk is opened again.
         let _ = log.write(&records);
         let mut files = self.files.borrow_mut();
-        (files.room, files.syncs_left) = (None, None);
+        (files.capacity, files.syncs_until_failure) = (None, None);
         true
     }
 
--- a/crates/linenthread-drill/src/system/execution.rs
+++ b/crates/linenthread-drill/src/system/execution.rs
@@ -3,11 +3,11 @@
 use std::time::Duration;
 
 use linenthread_consensus::{DurableState, genesis_id};
-use linenthread_control::{ControlNode, Effect, NodeConfig};
+use linenthread_control::{ControlNode, DeferredMessage, Effect, NodeConfig};
 use linenthread_messages::{PeerMessage, Record};
 use linenthread_time::{Instant, whole_millis};
 
-use super::disk::{DeferredMessages, WriteOutcome};
+use super::disk::WriteOutcome;
 use super::event::{Delivery, Event, NodeIndex};
 use super::fault::FaultKind;
 use super::ingress_node::{RETRY_ALLOWANCE, RETRY_WINDOW};
@@ -55,7 +55,7 @@
         let id = state.id.unwrap_or(new_id);
         let genesis = machine.is_initial.then(|| self.genesis.clone());
         let config = self.node_config(node, incarnation, machine.is_initial && is_empty);
-        let control = ControlNode::new(config, id, state, genesis.clone(), clock.as_millis());
+        let control = ControlNode::new(config, id, state, genesis.clone(), clock);
         self.trace(&format!("{node} starts"));
         let (target, now) = (self.history.newest_number(), self.now());
         let machine = &mut self.machines[node];
@@ -87,11 +87,11 @@
             control_address: machine.address.clone(),
             may_vote: true,
             min_voters: 2 * self.max_lost + 1,
-            heartbeat_interval: whole_millis(HEARTBEAT_INTERVAL),
+            heartbeat_interval: HEARTBEAT_INTERVAL,
             bootstrap: machine.bootstrap.clone(),
             is_genesis,
             retry_allowance: RETRY_ALLOWANCE,
-            retry_window: whole_millis(RETRY_WINDOW),
+            retry_window: RETRY_WINDOW,
         }
     }
 
@@ -164,7 +164,9 @@
     pub(super) fn deliver_to_control(&mut self, node: usize, delivery: Delivery) {
         match delivery {
             Delivery::Opened { session } if self.network.is_open(session) => {
-                self.run(node, |control, _, effects| control.opened(session, effects));
+                self.run(node, |control, _, effects| {
+                    control.on_session_opened(session, effects);
+                });
             }
             Delivery::Message {
                 session,
@@ -174,20 +176,20 @@
             } if self.network.is_open(session) => {
                 self.record_contact(node, from, sent_at, &message);
                 self.run(node, |control, now, effects| {
-                    control.on_message(now.as_millis(), session, message, effects);
+                    control.on_message(now, session, message, effects);
                 });
             }
             Delivery::Opened { .. } | Delivery::Message { .. } => {}
             Delivery::Closed { session } => self.run(node, |control, now, effects| {
-                control.closed(now.as_millis(), session, effects);
+                control.on_session_closed(now, session, effects);
             }),
             Delivery::Unreachable { address } => {
                 self.run(node, |control, now, _| {
-                    control.unreached(now.as_millis(), &address);
+                    control.on_dial_failed(now, &address);
                 });
             }
-            Delivery::Synced { then } => self.run(node, |control, now, effects| {
-                control.synced(now.as_millis(), then, effects);
+            Delivery::Synced { after_sync } => self.run(node, |control, now, effects| {
+                control.on_synced(now, after_sync, effects);
             }),
         }
     }
@@ -249,11 +251,11 @@
         let index = NodeIndex::Control(node);
         match effect {
             Effect::Send { session, message } => self.send(index, session, message),
-            Effect::Persist { record, then } => self.persist(node, record, then),
+            Effect::Persist { record, after_sync } => self.persist(node, record, after_sync),
             Effect::Respond { call, response } => self.on_response(node, call, response),
             Effect::Dial(address) => self.dial(node, address),
             Effect::Close(session) => self.close_session(session, index),
-            Effect::Log(line) => self.trace(&format!("{node}: {line}")),
+            Effect::Log(event) => self.trace(&format!("{node}: {event}")),
         }
     }
 
@@ -287,8 +289,8 @@
     }
 
     /// Queues a record; what waits on it is sent once it is synced.
-    fn persist(&mut self, node: usize, record: Record, then: DeferredMessages) {
-        self.machines[node].disk.enqueue(record, then);
+    fn persist(&mut self, node: usize, record: Record, after_sync: Vec<DeferredMessage>) {
+        self.machines[node].disk.enqueue(record, after_sync);
         self.start_write(node);
     }
 
@@ -310,11 +312,11 @@
             return;
         }
         match machine.disk.complete_write() {
-            WriteOutcome::Synced(then) => {
+            WriteOutcome::Synced(after_sync) => {
                 let at = now.max(machine.paused_until);
                 let process = machine.process(node);
                 self.queue
-                    .deliver_at(at, process, Delivery::Synced { then });
+                    .deliver_at(at, process, Delivery::Synced { after_sync });
             }
             WriteOutcome::Rejected => self.count_fault(FaultKind::WriteRejected),
             WriteOutcome::NotOpen => return,
--- a/crates/linenthread-drill/src/system/network.rs
+++ b/crates/linenthread-drill/src/system/network.rs
@@ -107,7 +107,7 @@
 
     pub(super) fn open(&mut self, from: Process, to: Process, now: Instant) -> SessionId {
         self.last_session += 1;
-        let session = self.last_session;
+        let session = SessionId(self.last_session);
         self.connections.insert(
             session,
             Connection {
--- a/crates/linenthread-drill/src/system/operators.rs
+++ b/crates/linenthread-drill/src/system/operators.rs
@@ -199,13 +199,7 @@
         };
         if let Some(call) = self.add_call(node, request) {
             self.run(node, |control, now, effects| {
-                control.on_replica_heartbeat(
-                    now.as_millis(),
-                    call,
-                    &ident,
-                    drawn.heartbeat,
-                    effects,
-                );
+                control.on_replica_heartbeat(now, call, &ident, drawn.heartbeat, effects);
             });
         }
     }
@@ -229,7 +223,7 @@
 
     fn run_read(&mut self, node: usize, call: CallId) {
         self.run(node, |control, now, effects| {
-            control.read(now.as_millis(), call, effects);
+            control.read_configuration(now, call, effects);
         });
     }
 
@@ -240,7 +234,7 @@
             document,
         } = change;
         self.run(node, |control, now, effects| {
-            control.replace(now.as_millis(), call, base, revision, document, effects);
+            control.replace_configuration(now, call, base, revision, document, effects);
         });
     }
 }
--- a/crates/linenthread-drill/src/system/requests.rs
+++ b/crates/linenthread-drill/src/system/requests.rs
@@ -50,7 +50,7 @@
     /// Notes a call at a node.
     pub(super) fn add(&mut self, node: usize, request: Request) -> CallId {
         self.last_id += 1;
-        let id = self.last_id;
+        let id = CallId(self.last_id);
         self.calls.insert(id, Call { node, request });
         id
     }
--- a/crates/linenthread-drill/src/system/shutdown.rs
+++ b/crates/linenthread-drill/src/system/shutdown.rs
@@ -25,7 +25,7 @@
         machine.shutdown = Some(Shutdown { deadline, then });
         let incarnation = machine.incarnation;
         self.run(node, |control, now, effects| {
-            control.leave(now.as_millis(), effects);
+            control.begin_shutdown(now, effects);
         });
         self.push_in(CHECK_INTERVAL, Event::CheckShutdown { node, incarnation });
     }
@@ -71,9 +71,9 @@
 
     /// Whether control permits the process to end.
     fn may_end(&self, node: usize) -> bool {
-        let clock = self.machine_clock(node).as_millis();
+        let clock = self.machine_clock(node);
         let control = self.machines[node].control.as_ref();
-        self.is_running(node) && control.is_some_and(|control| control.may_leave(clock))
+        self.is_running(node) && control.is_some_and(|control| control.may_exit(clock))
     }
 
     /// A machine is gone for good, with its disk.
--- a/crates/linenthread-drill/src/system/simulation.rs
+++ b/crates/linenthread-drill/src/system/simulation.rs
@@ -170,7 +170,7 @@
     /// Each running control node works on its timers that are due.
     fn run_timers(&mut self) {
         for node in 0..self.machines.len() {
-            let clock = self.machine_clock(node).as_millis();
+            let clock = self.machine_clock(node);
             let machine = &self.machines[node];
             let is_due = machine
                 .control
@@ -178,7 +178,7 @@
                 .is_some_and(|control| clock >= control.next_tick_at(clock));
             if is_due && self.is_running(node) {
                 self.run(node, |control, now, effects| {
-                    control.tick(now.as_millis(), effects);
+                    control.tick(now, effects);
                 });
             }
         }
--- a/crates/linenthread-drill/tests/no_wall_clock.rs
+++ b/crates/linenthread-drill/tests/no_wall_clock.rs
@@ -2,9 +2,11 @@
 //! time of day only to draw the number of an incarnation, and for the times in its log.
 
 use std::path::{Path, PathBuf};
+use std::time::Duration;
 
 use linenthread_consensus::DurableState;
-use linenthread_control::{ControlNode, Effect, NodeConfig};
+use linenthread_control::{ControlNode, Effect, NodeConfig, SessionId};
+use linenthread_time::Instant;
 
 /// Names of the time of day.
 const TIME_OF_DAY: [&str; 2] = ["SystemTime", "UNIX_EPOCH"];
@@ -139,13 +141,19 @@
         control_address: format!("{name}:80"),
         may_vote: true,
         min_voters: 3,
-        heartbeat_interval: 1_000,
+        heartbeat_interval: Duration::from_secs(1),
         bootstrap: Vec::new(),
         is_genesis: false,
         retry_allowance: 1.0,
-        retry_window: 1_000,
+        retry_window: Duration::from_secs(1),
     };
-    ControlNode::new(local, incarnation, DurableState::default(), None, 0)
+    ControlNode::new(
+        local,
+        incarnation,
+        DurableState::default(),
+        None,
+        Instant::START,
+    )
 }
 
 /// Two incarnations that draw one number hold no session with each other: neither votes for the other's proposals
@@ -154,10 +162,11 @@
 fn two_incarnations_of_one_number_reject_each_other() {
     let (mut one, mut other) = (node("one", 7), node("other", 7));
     let (mut hello, mut response) = (Vec::new(), Vec::new());
-    one.opened(1, &mut hello);
+    one.on_session_opened(SessionId(1), &mut hello);
     let Some(Effect::Send { message, .. }) = hello.pop() else {
         panic!("no hello")
     };
-    other.on_message(1, 2, message, &mut response);
-    assert!(matches!(response[..], [Effect::Close(2)]));
+    let now = Instant::from_millis(1);
+    other.on_message(now, SessionId(2), message, &mut response);
+    assert!(matches!(response[..], [Effect::Close(SessionId(2))]));
 }
--- a/crates/linenthread-hollow/src/control.rs
+++ b/crates/linenthread-hollow/src/control.rs
@@ -5,9 +5,11 @@
 use bytes::BytesMut;
 use linenthread_config::Configuration;
 use linenthread_consensus::{DurableState, genesis_id};
-use linenthread_control::{CallId, ControlNode, Effect, NodeConfig, ReplicaHeartbeat, SessionId};
-use linenthread_messages::{PeerMessage, Record, Value, Voter, decode};
-use linenthread_time::{Instant, whole_millis};
+use linenthread_control::{
+    CallId, ControlNode, DeferredMessage, Effect, NodeConfig, ReplicaHeartbeat, SessionId,
+};
+use linenthread_messages::{Record, Value, Voter, decode};
+use linenthread_time::Instant;
 
 use crate::cost::Work;
 use crate::messages::{Peer, work_of};
@@ -52,11 +54,11 @@
             control_address: self.address,
             may_vote: self.may_vote,
             min_voters: MIN_VOTERS,
-            heartbeat_interval: whole_millis(self.heartbeat_interval),
+            heartbeat_interval: self.heartbeat_interval,
             bootstrap: self.bootstrap,
             is_genesis: true,
             retry_allowance: RETRY_ALLOWANCE,
-            retry_window: whole_millis(RETRY_WINDOW),
+            retry_window: RETRY_WINDOW,
         }
     }
 }
@@ -90,7 +92,7 @@
         document: Vec<u8>,
     },
     /// A record is synced, and what waited on it may be sent.
-    Synced(Vec<(SessionId, PeerMessage)>),
+    Synced(Vec<DeferredMessage>),
     Tick,
 }
 
@@ -139,18 +141,18 @@
             id,
             DurableState::default(),
             Some(genesis),
-            now.as_millis(),
+            now,
         );
         (ControlProcess { control }, record)
     }
 
     /// When its next timer is due.
     pub(crate) fn next_tick_at(&self, now: Instant) -> Instant {
-        Instant::from_millis(self.control.next_tick_at(now.as_millis()))
+        self.control.next_tick_at(now)
     }
 
     pub(crate) fn is_leader(&self, now: Instant) -> bool {
-        self.control.holds_lease(now.as_millis()).is_some()
+        self.control.lease_epoch(now).is_some()
     }
 
     /// How many disks vote, as far as it knows.
@@ -166,19 +168,18 @@
         peer: Peer,
         effects: &mut Vec<Effect>,
     ) -> Work {
-        let now = now.as_millis();
         let control = &mut self.control;
         match input {
             Input::Opened(session) => {
-                control.opened(session, effects);
+                control.on_session_opened(session, effects);
                 Work::Sessions
             }
             Input::Closed(session) => {
-                control.closed(now, session, effects);
+                control.on_session_closed(now, session, effects);
                 Work::Sessions
             }
             Input::Unreachable(address) => {
-                control.unreached(now, &address);
+                control.on_dial_failed(now, &address);
                 Work::Sessions
             }
             Input::Frame { session, mut frame } => {
@@ -206,12 +207,12 @@
                 document,
             } => {
                 if Configuration::parse(&document).is_ok() {
-                    control.replace(now, call, base, revision, document, effects);
+                    control.replace_configuration(now, call, base, revision, document, effects);
                 }
                 Work::Configuration
             }
-            Input::Synced(then) => {
-                control.synced(now, then, effects);
+            Input::Synced(after_sync) => {
+                control.on_synced(now, after_sync, effects);
                 Work::Configuration
             }
             Input::Tick => {
--- a/crates/linenthread-hollow/src/world/control_nodes.rs
+++ b/crates/linenthread-hollow/src/world/control_nodes.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use bytes::BytesMut;
-use linenthread_control::{Effect, SessionId};
+use linenthread_control::{DeferredMessage, Effect, SessionId};
 use linenthread_messages::{PeerMessage, Record, encode};
 use linenthread_time::Instant;
 use prost::Message;
@@ -132,22 +132,22 @@
     fn execute(&mut self, index: usize, effect: Effect) {
         match effect {
             Effect::Send { session, message } => self.send(index, session, message),
-            Effect::Persist { record, then } => self.persist(index, record, then),
+            Effect::Persist { record, after_sync } => self.persist(index, record, after_sync),
             Effect::Respond { call, response } => {
                 self.on_response(index, call, &response);
                 self.release(index, response);
             }
             Effect::Dial(address) => self.dial(index, address),
             Effect::Close(session) => self.close_session(session, End::Control(index)),
-            Effect::Log(line) => {
+            Effect::Log(event) => {
                 if let Some(trace) = &mut self.trace {
                     trace.push(TraceLine {
                         at: self.now,
-                        text: format!("{} {line}", control_name(index)),
+                        text: format!("{} {event}", control_name(index)),
                         is_acknowledgement: false,
                     });
                 }
-                self.release(index, line);
+                self.release(index, event);
             }
         }
     }
@@ -159,9 +159,9 @@
         self.control[index].cost.heap += allocated() - before;
     }
 
-    fn persist(&mut self, index: usize, record: Record, then: Vec<(SessionId, PeerMessage)>) {
+    fn persist(&mut self, index: usize, record: Record, after_sync: Vec<DeferredMessage>) {
         self.control[index].cost.disk_bytes += count(record.encoded_len());
-        self.push_input(self.now + SYNC, index, Input::Synced(then));
+        self.push_input(self.now + SYNC, index, Input::Synced(after_sync));
         self.release(index, record);
     }
 
--- a/crates/linenthread-hollow/src/world/state.rs
+++ b/crates/linenthread-hollow/src/world/state.rs
@@ -230,7 +230,7 @@
 
     pub(super) fn add_call(&mut self, caller: Caller) -> CallId {
         self.last_call += 1;
-        let call = self.last_call;
+        let call = CallId(self.last_call);
         self.calls.insert(call, caller);
         call
     }
@@ -239,7 +239,7 @@
 
     pub(super) fn open_session(&mut self, ends: [End; 2]) -> SessionId {
         self.last_session += 1;
-        let session = self.last_session;
+        let session = SessionId(self.last_session);
         self.sessions.insert(session, ends);
         session
     }
