--- a/crates/linenthread-demo/src/cluster.rs
+++ b/crates/linenthread-demo/src/cluster.rs
@@ -1,173 +1,185 @@
-//! A cluster of the system's processes on this machine, started, stopped, killed and added to on cue.
+//! A cluster of the system's processes on this machine, started, paused, killed and added to on demand.
 
+use std::collections::hash_map::RandomState;
+use std::hash::BuildHasher;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant};
 
-use linenthread_ctl::{Request, RequestError, Response};
-use serde_json::Value;
+use linenthread_ctl::{Client, MembersStatus, Request, RequestError, Response};
+use snafu::ResultExt;
 
+use crate::client::{CALL_TIMEOUT, members_at, query_at};
+use crate::error::{CreateFolderSnafu, DemoError};
 use crate::log_lines::LogLines;
-use crate::machine::{CONTROL_PORT, INGRESS_PORT, Machine, READINESS_PORT, Role, Signal};
-use crate::operator::{Order, members_at};
-use crate::replica::{Misbehaviour, Replica};
-
-/// How many control nodes are named to a process at its start.
-const BOOTSTRAP: usize = 3;
-/// How often a state that is waited for is looked at.
-const LOOK: Duration = Duration::from_millis(20);
-/// A lookup may take so long, and its answer may come so much later.
-const ASK: Duration = Duration::from_secs(3);
-const SLACK: Duration = Duration::from_secs(1);
-
-/// Control nodes, fronts and stand-in replicas.
+use crate::machine::{Machine, Port, Role, Signal};
+use crate::order::Order;
+use crate::replica::{Replica, ReplicaFaults};
+
+/// How many control nodes the settings of a process name.
+const BOOTSTRAP_NODES: usize = 3;
+/// Zones that machines and replicas are spread over.
+const ZONES: usize = 3;
+/// How often members that are waited for are read.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// The deadline of a query.
+const QUERY_DEADLINE: Duration = Duration::from_secs(3);
+/// How long a process may take to shut down.
+const SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(60);
+/// How often all control nodes are tried with a configuration.
+const REPLACE_ROUNDS: usize = 20;
+
+/// Control nodes, ingress nodes and stub replicas. Machines are named `control-1`, `ingress-1` and so on.
 pub struct Cluster {
     program: PathBuf,
     folder: tempfile::TempDir,
-    /// The second and third number of all addresses: clusters beside each other do not meet.
-    net: (u8, u8),
+    /// The first three numbers of all addresses: clusters beside each other do not meet.
+    network: String,
     machines: Vec<Machine>,
     lines: LogLines,
+    /// The stub replicas.
     pub replicas: Vec<Replica>,
 }
 
+/// A network of 127.0.0.0/8, drawn at random.
+fn draw_network() -> String {
+    let [.., middle, low] = RandomState::new().hash_one(1).to_be_bytes();
+    format!("127.{}.{}", 1 + low % 250, 1 + (middle & 0x7f))
+}
+
 impl Cluster {
-    /// A cluster of a program, with nothing started.
+    /// A cluster of this program, with nothing started.
     ///
     /// # Errors
-    /// No folder can be made.
-    pub fn new(program: &Path) -> std::io::Result<Cluster> {
-        let folder = tempfile::tempdir()?;
-        let draw =
-            std::hash::BuildHasher::hash_one(&std::collections::hash_map::RandomState::new(), 1);
+    /// There is no folder for its files.
+    pub fn new(program: &Path) -> Result<Cluster, DemoError> {
         Ok(Cluster {
             program: program.to_owned(),
-            folder,
-            net: (1 + (draw % 250) as u8, 1 + (draw >> 8 & 0x7f) as u8),
+            folder: tempfile::tempdir().context(CreateFolderSnafu)?,
+            network: draw_network(),
             machines: Vec::new(),
             lines: LogLines::new(),
             replicas: Vec::new(),
         })
     }
 
+    // --- machines and addresses ---
+
     fn machine(&self, name: &str) -> Option<&Machine> {
-        self.machines.iter().find(|m| m.name == name)
+        self.machines.iter().find(|machine| machine.name == name)
     }
 
     fn machine_mut(&mut self, name: &str) -> Option<&mut Machine> {
-        self.machines.iter_mut().find(|m| m.name == name)
+        self.machines
+            .iter_mut()
+            .find(|machine| machine.name == name)
     }
 
-    fn controls(&self) -> impl Iterator<Item = &Machine> {
-        self.machines.iter().filter(|m| m.role == Role::Control)
+    fn machines_of(&self, role: Role) -> impl Iterator<Item = &Machine> {
+        self.machines
+            .iter()
+            .filter(move |machine| machine.role == role)
+    }
+
+    fn names_of(&self, role: Role) -> Vec<String> {
+        self.machines_of(role)
+            .map(|machine| machine.name.clone())
+            .collect()
     }
 
     /// Names of all control nodes.
     pub fn control_names(&self) -> Vec<String> {
-        self.controls().map(|m| m.name.clone()).collect()
+        self.names_of(Role::Control)
     }
 
-    /// Names of all fronts.
-    pub fn front_names(&self) -> Vec<String> {
-        self.machines
-            .iter()
-            .filter(|m| m.role == Role::Front)
-            .map(|m| m.name.clone())
-            .collect()
+    /// Names of all ingress nodes.
+    pub fn ingress_names(&self) -> Vec<String> {
+        self.names_of(Role::Ingress)
     }
 
     /// Control addresses of all control nodes.
-    pub fn control(&self) -> Vec<SocketAddr> {
-        self.controls().filter_map(|m| m.at(CONTROL_PORT)).collect()
+    pub fn control_addresses(&self) -> Vec<SocketAddr> {
+        self.control_addresses_except(&[])
     }
 
     /// Control addresses of all control nodes but these.
-    pub fn control_without(&self, names: &[&str]) -> Vec<SocketAddr> {
-        let others = self
-            .controls()
-            .filter(|m| !names.contains(&m.name.as_str()));
-        others.filter_map(|m| m.at(CONTROL_PORT)).collect()
+    pub fn control_addresses_except(&self, names: &[&str]) -> Vec<SocketAddr> {
+        self.machines_of(Role::Control)
+            .filter(|machine| !names.contains(&machine.name.as_str()))
+            .filter_map(|machine| machine.address(Port::Control))
+            .collect()
     }
 
     /// The control address of one control node.
-    pub fn control_of(&self, name: &str) -> Option<SocketAddr> {
-        self.machine(name)?.at(CONTROL_PORT)
+    pub fn control_address(&self, name: &str) -> Option<SocketAddr> {
+        self.machine(name)?.address(Port::Control)
     }
 
-    /// Where a front takes requests.
-    pub fn ingress(&self, front: &str) -> Option<SocketAddr> {
-        self.machine(front)?.at(INGRESS_PORT)
+    /// Where an ingress node takes queries.
+    pub fn ingress_address(&self, name: &str) -> Option<SocketAddr> {
+        self.machine(name)?.address(Port::Ingress)
     }
 
-    /// Where a front says whether it is ready.
-    pub fn readiness(&self, front: &str) -> Option<SocketAddr> {
-        self.machine(front)?.at(READINESS_PORT)
+    /// Where an ingress node reports whether it is ready.
+    pub fn readiness_address(&self, name: &str) -> Option<SocketAddr> {
+        self.machine(name)?.address(Port::Readiness)
     }
 
-    /// Makes a machine with the next free address, zone by zone.
-    fn make(&self, role: Role) -> Machine {
+    // --- processes ---
+
+    /// Adds a machine with the next free address, in the next zone; returns its name.
+    fn add_machine(&mut self, role: Role) -> String {
         let index = self.machines.len();
-        let number = 1 + self.machines.iter().filter(|m| m.role == role).count();
-        let kind = if role == Role::Control {
-            "control"
-        } else {
-            "front"
-        };
-        let ip = format!("127.{}.{}.{}", self.net.0, self.net.1, index + 1);
-        let zone = format!("zone-{}", index % 3);
-        Machine::new(
-            self.folder.path(),
-            role,
-            &format!("{kind}-{number}"),
-            ip,
-            zone,
-        )
-    }
-
-    /// Starts so many control nodes and fronts, the whole system for the first time.
+        let number = 1 + self.machines_of(role).count();
+        let name = format!("{}-{number}", role.name());
+        let ip = format!("{}.{}", self.network, index + 1);
+        let zone = format!("zone-{}", index % ZONES);
+        let machine = Machine::new(self.folder.path(), role, name.clone(), ip, zone);
+        self.machines.push(machine);
+        name
+    }
+
+    /// Starts so many control nodes and ingress nodes: the first start of the system.
     ///
     /// # Errors
     /// A process can't be started.
-    pub fn start(&mut self, controls: usize, fronts: usize) -> std::io::Result<()> {
-        for index in 0..controls + fronts {
-            let role = if index < controls {
-                Role::Control
-            } else {
-                Role::Front
-            };
-            let machine = self.make(role);
-            self.machines.push(machine);
-        }
+    pub fn start(&mut self, control_nodes: usize, ingress_nodes: usize) -> Result<(), DemoError> {
+        let control = std::iter::repeat_n(Role::Control, control_nodes);
+        let ingress = std::iter::repeat_n(Role::Ingress, ingress_nodes);
+        let names: Vec<String> = control
+            .chain(ingress)
+            .map(|role| self.add_machine(role))
+            .collect();
         let bootstrap = self.bootstrap();
-        let names: Vec<String> = self.machines.iter().map(|m| m.name.clone()).collect();
         for name in names {
             if let Some(machine) = self.machine_mut(&name) {
                 machine.initial_boot = true;
                 machine.bootstrap = bootstrap.clone();
             }
-            self.run(&name)?;
+            self.start_process(&name)?;
         }
         Ok(())
     }
 
     fn bootstrap(&self) -> Vec<String> {
-        self.control()
+        self.control_addresses()
             .iter()
-            .take(BOOTSTRAP)
+            .take(BOOTSTRAP_NODES)
             .map(ToString::to_string)
             .collect()
     }
 
-    /// Starts one control node more, with an empty disk, and says its name.
+    /// Starts one more control node, with an empty disk; returns its name.
     ///
     /// # Errors
     /// Its process can't be started.
-    pub fn add_control_node(&mut self) -> std::io::Result<String> {
-        let mut machine = self.make(Role::Control);
-        machine.bootstrap = self.bootstrap();
-        let name = machine.name.clone();
-        self.machines.push(machine);
-        self.run(&name)?;
+    pub fn add_control_node(&mut self) -> Result<String, DemoError> {
+        let bootstrap = self.bootstrap();
+        let name = self.add_machine(Role::Control);
+        if let Some(machine) = self.machine_mut(&name) {
+            machine.bootstrap = bootstrap;
+        }
+        self.start_process(&name)?;
         Ok(name)
     }
 
@@ -175,7 +187,7 @@
     ///
     /// # Errors
     /// It can't be started.
-    pub fn run(&mut self, name: &str) -> std::io::Result<()> {
+    pub fn start_process(&mut self, name: &str) -> Result<(), DemoError> {
         let program = self.program.clone();
         let Some(machine) = self.machine_mut(name) else {
             return Ok(());
@@ -186,119 +198,123 @@
         Ok(())
     }
 
-    /// Kills a process; what it wrote is forgotten.
+    /// Kills the process of a machine, and forgets its log lines.
     pub fn kill(&mut self, name: &str) {
         if let Some(machine) = self.machine_mut(name) {
             machine.kill();
         }
-        self.forget(name);
+        self.forget_lines(name);
     }
 
-    /// Sends a process a signal; false if it has none or the signal can't be sent.
+    /// Sends the process of a machine a signal; false if it has none or the signal can't be sent.
     pub fn signal(&mut self, name: &str, signal: Signal) -> bool {
-        self.machine(name).is_some_and(|m| m.signal(signal))
+        self.machine(name)
+            .is_some_and(|machine| machine.signal(signal))
     }
 
-    /// Waits until a process has ended by itself: whether it ended well; nothing when the time is up.
-    pub fn wait_end(&mut self, name: &str, within: Duration) -> Option<bool> {
-        self.machine_mut(name)?.wait_end(within)
+    /// Waits until the process of a machine has exited: whether with success; `None` when the time is over.
+    pub fn wait_for_exit(&mut self, name: &str, timeout: Duration) -> Option<bool> {
+        self.machine_mut(name)?.wait_for_exit(timeout)
     }
 
-    /// Asks a process to end and waits until it has; true if it ended well within a minute.
-    pub fn end(&mut self, name: &str) -> bool {
+    /// Asks the process of a machine to shut down and waits until it has; true if it exited with success in time.
+    pub fn shut_down(&mut self, name: &str) -> bool {
         self.signal(name, Signal::Terminate)
-            && self
-                .wait_end(name, Duration::from_secs(60))
-                .unwrap_or_default()
+            && self.wait_for_exit(name, SHUTDOWN_TIMEOUT) == Some(true)
     }
 
-    /// Whether its process runs.
-    pub fn runs(&mut self, name: &str) -> bool {
-        self.machine_mut(name).is_some_and(Machine::runs)
+    /// Whether the process of a machine runs.
+    pub fn is_running(&mut self, name: &str) -> bool {
+        self.machine_mut(name).is_some_and(Machine::is_running)
     }
 
-    /// What a process wrote before is not waited for any more.
-    pub fn forget(&mut self, name: &str) {
-        self.lines.forget(name);
-    }
-
-    /// Empties a machine's disk; it does not start for the first time any more.
+    /// Erases the disk of a machine; its next start is not the first one of the system.
     ///
     /// # Errors
     /// A file can't be removed.
-    pub fn wipe(&mut self, name: &str) -> std::io::Result<()> {
-        self.machine_mut(name).map_or(Ok(()), Machine::wipe)
+    pub fn erase_disk(&mut self, name: &str) -> Result<(), DemoError> {
+        self.machine_mut(name).map_or(Ok(()), Machine::erase_disk)
     }
 
-    /// The bytes of all files on a machine's disk.
+    /// The bytes of all files on the disk of a machine.
     pub fn disk_bytes(&self, name: &str) -> u64 {
         self.machine(name).map_or(0, Machine::disk_bytes)
     }
 
-    /// Waits until a process has written a line that holds all of these words; false when the time is up.
-    pub fn wait_for(&mut self, machine: &str, words: &[&str], within: Duration) -> bool {
-        self.lines.wait_for(machine, words, within)
+    // --- log lines and members ---
+
+    /// Waits until a process has written a line that contains all of these parts; false when the time is over.
+    pub fn wait_for_line(&mut self, name: &str, parts: &[&str], timeout: Duration) -> bool {
+        self.lines.wait_for(name, parts, timeout)
     }
 
-    /// The lines of a process so far that hold one of these words.
-    pub fn lines_of(&mut self, machine: &str, words: &[&str]) -> Vec<String> {
-        self.lines.of(machine, words)
+    /// The lines of a process so far that contain any of these parts.
+    pub fn lines_with_any(&mut self, name: &str, parts: &[&str]) -> Vec<String> {
+        self.lines.lines_with_any(name, parts)
     }
 
-    /// Waits until the members as one control node knows them are as wanted; false when the time is up.
-    pub fn wait_members(
+    /// Forgets the lines of a process so far: no wait is met by them any more.
+    pub fn forget_lines(&mut self, name: &str) {
+        self.lines.forget(name);
+    }
+
+    /// Waits until the members as one control node knows them are as wanted; false when the time is over.
+    pub fn wait_for_members(
         &self,
         name: &str,
-        within: Duration,
-        wanted: impl Fn(&Value) -> bool,
+        timeout: Duration,
+        is_wanted: impl Fn(&MembersStatus) -> bool,
     ) -> bool {
-        let Some(peer) = self.control_of(name) else {
+        let Some(peer) = self.control_address(name) else {
             return false;
         };
-        let by = Instant::now() + within;
+        let deadline = Instant::now() + timeout;
         loop {
-            if members_at(peer).is_some_and(|members| wanted(&members)) {
+            if members_at(peer).is_some_and(|members| is_wanted(&members)) {
                 return true;
             }
-            if Instant::now() >= by {
+            if Instant::now() >= deadline {
                 return false;
             }
-            std::thread::sleep(LOOK);
+            std::thread::sleep(POLL_INTERVAL);
         }
     }
 
-    /// Starts stand-in replicas of a service; they beat at the control nodes until they are dropped.
+    // --- replicas and calls ---
+
+    /// Starts stub replicas of a service; they send heartbeats to the control nodes until they are dropped.
     ///
     /// # Errors
-    /// No address can be had.
-    pub fn serve(&mut self, service: &str, many: usize) -> std::io::Result<()> {
-        self.serve_with(service, many, Misbehaviour::None)
+    /// A replica has no port.
+    pub fn start_replicas(&mut self, service: &str, count: usize) -> Result<(), DemoError> {
+        self.start_faulty_replicas(service, count, ReplicaFaults::None)
     }
 
-    /// Starts stand-in replicas that misbehave.
+    /// Starts stub replicas that respond wrongly at times.
     ///
     /// # Errors
-    /// No address can be had.
-    pub fn serve_with(
+    /// A replica has no port.
+    pub fn start_faulty_replicas(
         &mut self,
         service: &str,
-        many: usize,
-        how: Misbehaviour,
-    ) -> std::io::Result<()> {
-        for n in 0..many {
-            let ident = format!("i-{service}-{}", self.replicas.len());
-            let zone = format!("zone-{}", n % 3);
-            self.replicas
-                .push(Replica::start(service, &ident, &zone, self.control(), how)?);
+        count: usize,
+        faults: ReplicaFaults,
+    ) -> Result<(), DemoError> {
+        for index in 0..count {
+            let id = format!("i-{service}-{}", self.replicas.len());
+            let zone = format!("zone-{}", index % ZONES);
+            let control = self.control_addresses();
+            let replica = Replica::start(service, &id, &zone, control, faults)?;
+            self.replicas.push(replica);
         }
         Ok(())
     }
 
-    /// Sends a configuration until a control node has taken it: routes of one index over some services,
-    /// and of single ones.
+    /// Sends a configuration until a control node has committed it: routes of one index over some services, and of
+    /// single ones.
     ///
     /// # Errors
-    /// No control node could be asked.
+    /// No control node could be reached.
     pub fn configure(
         &self,
         base: u64,
@@ -306,53 +322,26 @@
         services: &[&str],
     ) -> Result<Response, RequestError> {
         let order = Order::new(base, revision, services, 0);
-        let client = linenthread_ctl::Client {
-            addresses: self.control(),
-            timeout: Duration::from_secs(2),
+        let client = Client {
+            addresses: self.control_addresses(),
+            timeout: CALL_TIMEOUT,
         };
         let headers = [("X-Base-Revision", base.to_string())];
-        client.send(
-            &linenthread_ctl::Request {
-                method: "POST",
-                path: "/Configuration.Replace",
-                headers: &headers,
-                body: &order.document,
-            },
-            20,
-        )
-    }
-
-    /// One lookup at a front, as a client asks.
+        let request = Request {
+            method: "POST",
+            path: "/Configuration.Replace",
+            headers: &headers,
+            body: &order.document,
+        };
+        client.send(&request, REPLACE_ROUNDS)
+    }
+
+    /// Sends a query to an ingress node, as a client does.
     ///
     /// # Errors
-    /// The front could not be asked, or what it sent is no answer.
-    pub fn ask(&self, front: &str, path: &str, attempt: &str) -> Result<Response, RequestError> {
-        let peer = self.ingress(front).ok_or(RequestError::NoAddress)?;
-        ask_at(peer, "GET", path, attempt, ASK)
+    /// The ingress node could not be reached, or what it sent is no response.
+    pub fn query(&self, name: &str, path: &str, attempt: &str) -> Result<Response, RequestError> {
+        let peer = self.ingress_address(name).ok_or(RequestError::NoAddress)?;
+        query_at(peer, "GET", path, attempt, QUERY_DEADLINE)
     }
 }
-
-/// One lookup at a front's address, which may take so long.
-///
-/// # Errors
-/// The front could not be asked, or what it sent is no answer.
-pub(crate) fn ask_at(
-    peer: SocketAddr,
-    method: &str,
-    path: &str,
-    attempt: &str,
-    time: Duration,
-) -> Result<Response, RequestError> {
-    let headers = [
-        ("Host", "index.example".to_owned()),
-        ("X-Attempt-Id", attempt.to_owned()),
-        ("X-Remaining-Ms", time.as_millis().to_string()),
-    ];
-    Request {
-        method,
-        path,
-        headers: &headers,
-        body: &[],
-    }
-    .send_to(peer, time + SLACK)
-}
--- a/crates/linenthread-demo/src/lib.rs
+++ b/crates/linenthread-demo/src/lib.rs
@@ -1,21 +1,25 @@
-//! The system at work on loopback: control nodes and fronts as real processes, each at an address of its own
-//! in 127.0.0.0/8, stand-in replicas that note what they ran and misbehave on cue, calls as clients and
-//! operators make them, and rounds that bring about the worst days of a deployment.
-#![expect(
-    missing_docs,
-    reason = "public items of this package are not all documented yet"
-)]
+//! The system at work on loopback, to show it and to test it with real processes, sockets, signals and disks.
+//!
+//! A [`Cluster`] starts control nodes and ingress nodes, each at an address of its own in 127.0.0.0/8, and stub
+//! [`Replica`]s that record what they run and fail on demand. [`client`] calls the system as clients and operators do;
+//! [`scenarios`] inject the faults of the worst days of a deployment and check what callers see.
+//!
+//! The package must not know the daemon's code: it starts the program, reads its log and calls its ports.
+//!
+//! Start reading at [`Cluster`], then at [`scenarios::Scenario`].
 
+pub mod client;
 mod cluster;
+mod error;
 mod log_lines;
 mod machine;
-mod operator;
+mod order;
 mod replica;
-pub mod rounds;
+pub mod scenarios;
+mod writer;
 
 pub use cluster::Cluster;
+pub use error::DemoError;
 pub use machine::Signal;
-pub use operator::{
-    Observed, Order, Writer, Written, drain_at, read_at, replace_anywhere, replace_at,
-};
-pub use replica::{Misbehaviour, Ran, Replica, records};
+pub use order::Order;
+pub use replica::{ReceivedRequest, Replica, ReplicaFaults, records};
--- a/crates/linenthread-demo/src/log_lines.rs
+++ b/crates/linenthread-demo/src/log_lines.rs
@@ -1,20 +1,34 @@
-//! The lines that processes write, and waits for some of them.
+//! The log lines of all processes, and waits for some of them.
 
 use std::io::{BufRead, BufReader, Read};
 use std::sync::mpsc::{Receiver, Sender, channel};
 use std::time::{Duration, Instant};
 
-/// A line that a process wrote.
+/// A line that the process of a machine wrote.
 struct Line {
     machine: String,
     text: String,
 }
 
-/// Lines of all processes, in the order in which they came.
+impl Line {
+    fn is_of(&self, machine: &str) -> bool {
+        self.machine == machine
+    }
+
+    fn contains_all(&self, parts: &[&str]) -> bool {
+        parts.iter().all(|part| self.text.contains(part))
+    }
+
+    fn contains_any(&self, parts: &[&str]) -> bool {
+        parts.iter().any(|part| self.text.contains(part))
+    }
+}
+
+/// Lines of all processes, in the order in which they were received.
 pub(crate) struct LogLines {
     sender: Sender<Line>,
     receiver: Receiver<Line>,
-    seen: Vec<Line>,
+    received: Vec<Line>,
 }
 
 impl LogLines {
@@ -23,7 +37,7 @@
         LogLines {
             sender,
             receiver,
-            seen: Vec::new(),
+            received: Vec::new(),
         }
     }
 
@@ -32,52 +46,48 @@
         let (sender, machine) = (self.sender.clone(), machine.to_owned());
         std::thread::spawn(move || {
             for text in BufReader::new(output).lines().map_while(Result::ok) {
-                let _ = sender.send(Line {
-                    machine: machine.clone(),
-                    text,
-                });
+                let machine = machine.clone();
+                // There is no receiver any more once the cluster is dropped.
+                let _ = sender.send(Line { machine, text });
             }
         });
     }
 
-    /// What a process wrote before is not waited for any more.
+    fn receive_pending(&mut self) {
+        self.received.extend(self.receiver.try_iter());
+    }
+
+    /// Forgets what a process wrote so far: no wait is met by it any more.
     pub(crate) fn forget(&mut self, machine: &str) {
-        while let Ok(line) = self.receiver.try_recv() {
-            self.seen.push(line);
-        }
-        self.seen.retain(|line| line.machine != machine);
+        self.receive_pending();
+        self.received.retain(|line| !line.is_of(machine));
     }
 
-    /// The lines of a process so far that hold one of these words.
-    pub(crate) fn of(&mut self, machine: &str, words: &[&str]) -> Vec<String> {
-        while let Ok(line) = self.receiver.try_recv() {
-            self.seen.push(line);
-        }
-        let is =
-            |line: &&Line| line.machine == machine && words.iter().any(|w| line.text.contains(w));
-        self.seen
+    /// The lines of a process so far that contain any of these parts.
+    pub(crate) fn lines_with_any(&mut self, machine: &str, parts: &[&str]) -> Vec<String> {
+        self.receive_pending();
+        self.received
             .iter()
-            .filter(is)
+            .filter(|line| line.is_of(machine) && line.contains_any(parts))
             .map(|line| line.text.clone())
             .collect()
     }
 
-    /// Waits until a process has written a line that holds all of these words; false when the time is up.
-    pub(crate) fn wait_for(&mut self, machine: &str, words: &[&str], within: Duration) -> bool {
-        let by = Instant::now() + within;
-        let is =
-            |line: &Line| line.machine == machine && words.iter().all(|w| line.text.contains(w));
-        if self.seen.iter().any(is) {
+    /// Waits until a process has written a line that contains all of these parts; false when the time is over.
+    pub(crate) fn wait_for(&mut self, machine: &str, parts: &[&str], timeout: Duration) -> bool {
+        let deadline = Instant::now() + timeout;
+        let is_wanted = |line: &Line| line.is_of(machine) && line.contains_all(parts);
+        if self.received.iter().any(is_wanted) {
             return true;
         }
         loop {
-            let left = by.saturating_duration_since(Instant::now());
+            let left = deadline.saturating_duration_since(Instant::now());
             let Ok(line) = self.receiver.recv_timeout(left) else {
                 return false;
             };
-            let found = is(&line);
-            self.seen.push(line);
-            if found {
+            let is_found = is_wanted(&line);
+            self.received.push(line);
+            if is_found {
                 return true;
             }
         }
--- a/crates/linenthread-demo/src/machine.rs
+++ b/crates/linenthread-demo/src/machine.rs
@@ -1,36 +1,76 @@
-//! One machine of the cluster: its settings file, its process, the signals it is sent.
+//! One machine of the cluster: its settings file, its process, the signals that it gets.
 
+use std::io::ErrorKind;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use std::process::{Child, ChildStdout, Command, Stdio};
 use std::time::{Duration, Instant};
 
-pub(crate) const CONTROL_PORT: u16 = 18_729;
-pub(crate) const INGRESS_PORT: u16 = 18_726;
-pub(crate) const READINESS_PORT: u16 = 18_723;
-const PEERS_PORT: u16 = 17_120;
-/// How often a process that is to end is looked at.
-const LOOK: Duration = Duration::from_millis(5);
+use snafu::ResultExt;
+
+use crate::error::{DemoError, EraseDiskSnafu, StartProcessSnafu, WriteSettingsSnafu};
+
+/// Where a control node takes calls of replicas and operators.
+const CONTROL_PORT: u16 = 18_729;
+/// Where an ingress node takes queries.
+const INGRESS_PORT: u16 = 18_726;
+/// Where an ingress node reports whether it is ready.
+const READINESS_PORT: u16 = 18_723;
+/// The first port for sessions between nodes.
+const FIRST_PEER_PORT: u16 = 17_120;
+/// The last port for sessions between nodes.
+const LAST_PEER_PORT: u16 = FIRST_PEER_PORT + 9;
+/// How often a process that is to end is checked.
+const CHECK_INTERVAL: Duration = Duration::from_millis(5);
 
 /// What a machine serves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Role {
     Control,
-    Front,
+    Ingress,
+}
+
+impl Role {
+    /// What names of machines of this role start with.
+    pub(crate) fn name(self) -> &'static str {
+        match self {
+            Role::Control => "control",
+            Role::Ingress => "ingress",
+        }
+    }
+}
+
+/// A port of a machine.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum Port {
+    Control,
+    Ingress,
+    Readiness,
+}
+
+impl Port {
+    fn number(self) -> u16 {
+        match self {
+            Port::Control => CONTROL_PORT,
+            Port::Ingress => INGRESS_PORT,
+            Port::Readiness => READINESS_PORT,
+        }
+    }
 }
 
-/// A signal that a process is sent.
+/// A signal that a process gets.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Signal {
-    /// Stops it where it is; the kernel goes on taking connections for it.
+    /// Pauses it; the kernel goes on accepting connections for it.
     Stop,
-    /// Lets it go on.
+    /// Resumes it.
     Continue,
-    /// Asks it to end.
+    /// Asks it to shut down.
     Terminate,
 }
 
 impl Signal {
+    /// The option of the `kill` command.
     fn option(self) -> &'static str {
         match self {
             Signal::Stop => "-STOP",
@@ -42,22 +82,29 @@
 
 /// One machine.
 pub(crate) struct Machine {
-    pub name: String,
-    pub role: Role,
-    pub ip: String,
-    pub zone: String,
-    pub bootstrap: Vec<String>,
-    /// It starts for the first time with the whole system.
-    pub initial_boot: bool,
+    pub(crate) name: String,
+    pub(crate) role: Role,
+    ip: String,
+    zone: String,
+    /// Addresses of control nodes that its settings name.
+    pub(crate) bootstrap: Vec<String>,
+    /// It starts for the first time, with the whole system.
+    pub(crate) initial_boot: bool,
     folder: PathBuf,
     process: Option<Child>,
 }
 
 impl Machine {
-    /// A machine that does not run yet; its files lie in a folder.
-    pub(crate) fn new(folder: &Path, role: Role, name: &str, ip: String, zone: String) -> Machine {
+    /// A machine that does not run yet; its files are in this folder.
+    pub(crate) fn new(
+        folder: &Path,
+        role: Role,
+        name: String,
+        ip: String,
+        zone: String,
+    ) -> Machine {
         Machine {
-            name: name.to_owned(),
+            name,
             role,
             ip,
             zone,
@@ -68,35 +115,35 @@
         }
     }
 
-    /// Its address for calls at this port.
-    pub(crate) fn at(&self, port: u16) -> Option<SocketAddr> {
-        format!("{}:{port}", self.ip).parse().ok()
+    /// Its address at this port.
+    pub(crate) fn address(&self, port: Port) -> Option<SocketAddr> {
+        format!("{}:{}", self.ip, port.number()).parse().ok()
     }
 
     /// The folder of its disk.
-    pub(crate) fn state(&self) -> PathBuf {
+    fn state_folder(&self) -> PathBuf {
         self.folder.join(&self.name)
     }
 
+    /// The lines of its settings file.
     fn settings(&self) -> String {
         let ip = &self.ip;
         let binds = match self.role {
             Role::Control => format!(
                 "bind.control_plane={ip}:{CONTROL_PORT}\nstate_dir={}\nquorum_member=true\n",
-                self.state().display()
+                self.state_folder().display()
             ),
-            Role::Front => format!(
+            Role::Ingress => format!(
                 "bind.ingress={ip}:{INGRESS_PORT}\nbind.readiness={ip}:{READINESS_PORT}\n\
                  quorum_member=false\n"
             ),
         };
         format!(
-            "node_name={}\nzone={}\nip_addr={ip}\nport_range={PEERS_PORT},{}\nbootstrap_peers={}\n\
-             initial_boot={}\nheartbeat_ms=300\nlimits_table.retry_ratio=0.2\nlimits_table.grace_s=6\n\
-             limits_table.retry_allowance=50\n{binds}",
+            "node_name={}\nzone={}\nip_addr={ip}\nport_range={FIRST_PEER_PORT},{LAST_PEER_PORT}\n\
+             bootstrap_peers={}\ninitial_boot={}\nheartbeat_ms=300\nlimits_table.retry_ratio=0.2\n\
+             limits_table.grace_s=6\nlimits_table.retry_allowance=50\n{binds}",
             self.name,
             self.zone,
-            PEERS_PORT + 9,
             self.bootstrap.join(","),
             self.initial_boot
         )
@@ -105,81 +152,87 @@
     /// Writes its settings and starts its process; a later start is not the first one.
     ///
     /// # Errors
-    /// Its file can't be written, or the program can't be started.
-    pub(crate) fn start(&mut self, program: &Path) -> std::io::Result<Option<ChildStdout>> {
-        let file = self.folder.join(format!("{}.conf", self.name));
-        std::fs::write(&file, self.settings())?;
-        let mut child = Command::new(program)
+    /// The settings can't be written, or the program can't be started.
+    pub(crate) fn start(&mut self, program: &Path) -> Result<Option<ChildStdout>, DemoError> {
+        let path = self.folder.join(format!("{}.conf", self.name));
+        std::fs::write(&path, self.settings()).context(WriteSettingsSnafu { path: &path })?;
+        let mut process = Command::new(program)
             .arg("--settings")
-            .arg(&file)
+            .arg(&path)
             .stdin(Stdio::null())
             .stdout(Stdio::piped())
             .stderr(Stdio::inherit())
-            .spawn()?;
-        let output = child.stdout.take();
-        self.process = Some(child);
+            .spawn()
+            .context(StartProcessSnafu {
+                machine: &self.name,
+                program,
+            })?;
+        let output = process.stdout.take();
+        self.process = Some(process);
         self.initial_boot = false;
         Ok(output)
     }
 
     /// Sends its process a signal; false if it has none or the signal can't be sent.
     pub(crate) fn signal(&self, signal: Signal) -> bool {
-        let Some(child) = &self.process else {
+        let Some(process) = &self.process else {
             return false;
         };
         let sent = Command::new("kill")
             .arg(signal.option())
-            .arg(child.id().to_string())
+            .arg(process.id().to_string())
             .status();
         sent.is_ok_and(|status| status.success())
     }
 
-    /// Ends its process at once, stopped or not.
+    /// Ends its process at once, paused or not.
     pub(crate) fn kill(&mut self) {
-        if let Some(mut child) = self.process.take() {
-            let _ = child.kill();
-            let _ = child.wait();
+        if let Some(mut process) = self.process.take() {
+            // It may have ended already.
+            let _ = process.kill();
+            let _ = process.wait();
         }
     }
 
-    /// Waits until its process has ended by itself: whether it ended well; nothing when the time is up.
-    pub(crate) fn wait_end(&mut self, within: Duration) -> Option<bool> {
-        let by = Instant::now() + within;
+    /// Waits until its process has exited: whether with success; `None` when the time is over.
+    pub(crate) fn wait_for_exit(&mut self, timeout: Duration) -> Option<bool> {
+        let deadline = Instant::now() + timeout;
         loop {
-            let ended = self.process.as_mut()?.try_wait();
-            if let Ok(Some(status)) = ended {
+            let exited = self.process.as_mut()?.try_wait();
+            if let Ok(Some(status)) = exited {
                 self.process = None;
                 return Some(status.success());
             }
-            if Instant::now() >= by {
+            if Instant::now() >= deadline {
                 return None;
             }
-            std::thread::sleep(LOOK);
+            std::thread::sleep(CHECK_INTERVAL);
         }
     }
 
-    /// Whether its process runs, or is stopped and could go on.
-    pub(crate) fn runs(&mut self) -> bool {
+    /// Whether its process runs, or is paused.
+    pub(crate) fn is_running(&mut self) -> bool {
         self.process
             .as_mut()
-            .is_some_and(|p| matches!(p.try_wait(), Ok(None)))
+            .is_some_and(|process| matches!(process.try_wait(), Ok(None)))
     }
 
-    /// Empties its disk.
+    /// Erases its disk.
     ///
     /// # Errors
     /// A file can't be removed.
-    pub(crate) fn wipe(&mut self) -> std::io::Result<()> {
+    pub(crate) fn erase_disk(&mut self) -> Result<(), DemoError> {
         self.initial_boot = false;
-        match std::fs::remove_dir_all(self.state()) {
-            Err(e) if e.kind() != std::io::ErrorKind::NotFound => Err(e),
-            _ => Ok(()),
+        let path = self.state_folder();
+        match std::fs::remove_dir_all(&path) {
+            Err(error) if error.kind() == ErrorKind::NotFound => Ok(()),
+            result => result.context(EraseDiskSnafu { path }),
         }
     }
 
     /// The bytes of all files on its disk.
     pub(crate) fn disk_bytes(&self) -> u64 {
-        folder_bytes(&self.state())
+        folder_bytes(&self.state_folder())
     }
 }
 
--- /dev/null
+++ b/crates/linenthread-demo/src/order.rs
@@ -0,0 +1,59 @@
+//! Orders of operators.
+
+use serde_json::{Value, json};
+
+/// An order of an operator: a configuration and the revision that it builds on.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct Order {
+    /// The revision that it builds on; 0 for none.
+    pub base: u64,
+    /// The revision of the configuration.
+    pub revision: u64,
+    /// The configuration as JSON.
+    pub document: Vec<u8>,
+}
+
+impl Order {
+    /// Routes over these services: `/all/` over all of them, `/NAME/` to a single one, and `/once/NAME/` with
+    /// requests that are not idempotent. Orders of one revision differ by their variant.
+    pub fn new(base: u64, revision: u64, services: &[&str], variant: u64) -> Order {
+        let all = json!({"fanout": services, "result_limit": 5, "min_coverage": 0.5});
+        let mut routes = vec![route("all", "/all/", "idempotent", &all)];
+        for service in services {
+            let to = json!({"backend": service});
+            routes.push(route(service, &format!("/{service}/"), "idempotent", &to));
+            routes.push(route(
+                &format!("once-{service}"),
+                &format!("/once/{service}/"),
+                "mutating",
+                &to,
+            ));
+        }
+        let backends: Vec<Value> = services
+            .iter()
+            .map(|service| json!({"label": service, "max_conns": 60}))
+            .collect();
+        let document = json!({"revision": revision, "route_table": routes, "backends": backends,
+            "constraints": {"header_bytes": 4_096, "payload_bytes": 2_000, "header_ms": 1_000,
+                "quiet_ms": 5_000 + variant}});
+        Order {
+            base,
+            revision,
+            document: document.to_string().into_bytes(),
+        }
+    }
+
+    /// The order that builds on this one.
+    pub(crate) fn next(&self, services: &[&str]) -> Order {
+        Order::new(self.revision, self.revision + 1, services, 0)
+    }
+}
+
+fn route(label: &str, prefix: &str, mode: &str, destination: &Value) -> Value {
+    let mut route = json!({"label": label, "host": "index.example", "path_prefix": prefix,
+        "mode": mode, "limit_ms": 3_000, "target_ms": 1_000, "rank": 1, "tries": 2});
+    for (field, value) in destination.as_object().into_iter().flatten() {
+        route[field] = value.clone();
+    }
+    route
+}
--- a/crates/linenthread-demo/src/replica/connection.rs
+++ b/crates/linenthread-demo/src/replica/connection.rs
@@ -1,139 +1,181 @@
-//! One connection of a stand-in replica: requests one after another, each answered, or answered wrongly.
+//! One connection of a stub replica: requests one after another, each with its response, or with a fault.
 
 use std::io::{ErrorKind, Read, Result, Write};
 use std::net::TcpStream;
-use std::sync::atomic::Ordering;
 use std::time::Duration;
 
 use bytes::BytesMut;
 use linenthread_http::{Body, Head, request_framing};
 
-use super::misbehaviour::{Draws, Wrong};
-use super::{Ran, Shared, records};
+use super::faults::{Fault, FaultDraws};
+use super::records::records;
+use super::state::{ReceivedRequest, State};
 
-const HEAD: usize = 16_384;
-const BODY: usize = 1 << 20;
-/// An answer too many that is late comes so much later.
-const LATE: Duration = Duration::from_millis(15);
-/// A connection that is to bear no answer ends by itself after so long.
-const SILENCE: Duration = Duration::from_secs(10);
+/// The longest request head.
+const MAX_HEAD_BYTES: usize = 16_384;
+/// The longest request body.
+const MAX_BODY_BYTES: usize = 1 << 20;
+/// Bytes that are read from the connection at once.
+const READ_BYTES: usize = 4_096;
+/// A late duplicate comes so much later.
+const DUPLICATE_DELAY: Duration = Duration::from_millis(15);
+/// A connection without a response ends by itself after so long.
+const NO_RESPONSE_TIMEOUT: Duration = Duration::from_secs(10);
+/// What is sent of a truncated head.
+const TRUNCATED_HEAD_BYTES: usize = 20;
+/// What is missing of a truncated body.
+const MISSING_BODY_BYTES: usize = 5;
+/// The response to a request for another replica.
 const MISDIRECTED: &[u8] = b"HTTP/1.1 421 Misdirected Request\r\nContent-Length: 0\r\n\r\n";
 
+/// What follows a response.
+enum Next {
+    /// Another request.
+    Request,
+    /// The end of the connection.
+    End,
+}
+
 /// Serves one connection until it ends or the replica is down.
-pub(super) fn serve(mut stream: TcpStream, shared: &Shared, number: u64) -> Result<()> {
-    let mut buffer = BytesMut::new();
-    let mut draws = Draws::new(shared.how, number);
-    // An answer too many that is sent before the next one.
-    let mut stale = Vec::new();
-    while let Some(head) = read_request(&mut stream, &mut buffer)? {
-        if shared.down.load(Ordering::Relaxed) {
+pub(super) fn serve(stream: TcpStream, state: &State, number: u64) -> Result<()> {
+    let mut connection = Connection {
+        stream,
+        state,
+        draws: FaultDraws::new(state.faults, number),
+        buffer: BytesMut::new(),
+        duplicate: Vec::new(),
+    };
+    while let Some(head) = connection.read_request()? {
+        if state.is_down() {
             return Ok(());
         }
-        if head
-            .header("x-target-replica")
-            .is_some_and(|t| t != shared.ident)
-        {
-            stream.write_all(MISDIRECTED)?;
+        let target = head.header("x-target-replica");
+        if target.is_some_and(|id| id != state.id) {
+            connection.stream.write_all(MISDIRECTED)?;
             continue;
         }
-        let attempt = head.header("x-attempt-id").unwrap_or_default();
-        let path = head.target();
-        note_run(shared, attempt, path);
-        let wrong = draws.next();
-        if let Some(wrong) = wrong {
-            note_wrong(shared, wrong);
-        }
-        stream.write_all(&std::mem::take(&mut stale))?;
-        let whole = answer(shared, Some(attempt), attempt, path);
-        match wrong {
-            None => stream.write_all(&whole)?,
-            Some(Wrong::TwiceAtOnce) => stream.write_all(&whole.repeat(2))?,
-            Some(Wrong::TwiceLate) => {
-                stream.write_all(&whole)?;
-                std::thread::sleep(LATE);
-                stream.write_all(&whole)?;
-            }
-            Some(Wrong::TwiceWhenTheNextIsDue) => {
-                stream.write_all(&whole)?;
-                stale = whole;
-            }
-            Some(Wrong::TwiceWithoutId) => {
-                stream.write_all(&whole)?;
-                stale = answer(shared, None, attempt, path);
-            }
-            Some(Wrong::AnothersAnswer) => {
-                let other = format!("other-{attempt}");
-                stream.write_all(&answer(shared, Some(&other), &other, "/another"))?;
-            }
-            Some(Wrong::CutHead) => return stream.write_all(&whole[..20]),
-            Some(Wrong::CutBody) => return stream.write_all(&whole[..whole.len() - 5]),
-            Some(Wrong::Silent) => return wait_for_end(&mut stream),
-            Some(Wrong::Closed) => return Ok(()),
+        let request = ReceivedRequest {
+            attempt: head.header("x-attempt-id").unwrap_or_default().to_owned(),
+            path: head.target().to_owned(),
+        };
+        state.record(request.clone());
+        if let Next::End = connection.respond(&request)? {
+            return Ok(());
         }
     }
     Ok(())
 }
 
-/// The next whole request; none when the connection has ended.
-fn read_request(stream: &mut TcpStream, buffer: &mut BytesMut) -> Result<Option<Head>> {
-    let bad = |_| ErrorKind::InvalidData;
-    let head = loop {
-        if let Some(head) = Head::request(buffer, HEAD).map_err(bad)? {
-            break head;
-        }
-        if read_more(stream, buffer)? == 0 {
-            return Ok(None);
+struct Connection<'a> {
+    stream: TcpStream,
+    state: &'a State,
+    draws: FaultDraws,
+    buffer: BytesMut,
+    /// A duplicate that is sent before the next response.
+    duplicate: Vec<u8>,
+}
+
+impl Connection<'_> {
+    /// Sends the response to a request, or does what the drawn fault is.
+    fn respond(&mut self, request: &ReceivedRequest) -> Result<Next> {
+        let fault = self.draws.draw();
+        if let Some(fault) = fault {
+            self.state.count_fault(fault);
         }
-    };
-    let mut body = Body::new(request_framing(&head, BODY).map_err(bad)?, BODY);
-    while !body.take(buffer).map_err(bad)? {
-        if read_more(stream, buffer)? == 0 {
-            return Ok(None);
+        let duplicate = std::mem::take(&mut self.duplicate);
+        self.stream.write_all(&duplicate)?;
+        let response = self.response(Some(&request.attempt), request);
+        match fault {
+            None => self.stream.write_all(&response)?,
+            Some(Fault::DuplicateAtOnce) => self.stream.write_all(&response.repeat(2))?,
+            Some(Fault::DuplicateLate) => {
+                self.stream.write_all(&response)?;
+                std::thread::sleep(DUPLICATE_DELAY);
+                self.stream.write_all(&response)?;
+            }
+            Some(Fault::DuplicateBeforeNext) => {
+                self.stream.write_all(&response)?;
+                self.duplicate = response;
+            }
+            Some(Fault::DuplicateWithoutId) => {
+                self.stream.write_all(&response)?;
+                self.duplicate = self.response(None, request);
+            }
+            Some(Fault::OtherAttempt) => {
+                let other = ReceivedRequest {
+                    attempt: format!("other-{}", request.attempt),
+                    path: "/another".to_owned(),
+                };
+                let response = self.response(Some(&other.attempt), &other);
+                self.stream.write_all(&response)?;
+            }
+            Some(Fault::TruncatedHead) => {
+                self.stream.write_all(&response[..TRUNCATED_HEAD_BYTES])?;
+                return Ok(Next::End);
+            }
+            Some(Fault::TruncatedBody) => {
+                let length = response.len() - MISSING_BODY_BYTES;
+                self.stream.write_all(&response[..length])?;
+                return Ok(Next::End);
+            }
+            Some(Fault::NoResponse) => {
+                self.wait_for_end()?;
+                return Ok(Next::End);
+            }
+            Some(Fault::Closed) => return Ok(Next::End),
         }
+        Ok(Next::Request)
     }
-    Ok(Some(head))
-}
 
-fn read_more(stream: &mut TcpStream, buffer: &mut BytesMut) -> Result<usize> {
-    let mut piece = [0; 4_096];
-    let count = stream.read(&mut piece)?;
-    buffer.extend_from_slice(&piece[..count]);
-    Ok(count)
-}
-
-fn answer(shared: &Shared, id: Option<&str>, attempt: &str, path: &str) -> Vec<u8> {
-    let records = records(&shared.service, path);
-    let id = id
-        .map(|id| format!("X-Attempt-Id: {id}\r\n"))
-        .unwrap_or_default();
-    let head = format!(
-        "HTTP/1.1 200 OK\r\n{id}X-Replica-Seal: {}.{}.{attempt}\r\nContent-Length: {}\r\n\r\n",
-        shared.service,
-        shared.ident,
-        records.len()
-    );
-    [head.as_bytes(), &records].concat()
-}
+    /// The response to a request; `id` is the attempt that it names.
+    fn response(&self, id: Option<&str>, request: &ReceivedRequest) -> Vec<u8> {
+        let records = records(&self.state.service, &request.path);
+        let id = id
+            .map(|id| format!("X-Attempt-Id: {id}\r\n"))
+            .unwrap_or_default();
+        let head = format!(
+            "HTTP/1.1 200 OK\r\n{id}X-Replica-Seal: {}.{}.{}\r\nContent-Length: {}\r\n\r\n",
+            self.state.service,
+            self.state.id,
+            request.attempt,
+            records.len()
+        );
+        [head.as_bytes(), &records].concat()
+    }
 
-fn note_run(shared: &Shared, attempt: &str, path: &str) {
-    if let Ok(mut ran) = shared.ran.lock() {
-        ran.push(Ran {
-            attempt: attempt.to_owned(),
-            path: path.to_owned(),
-        });
+    /// The next complete request; `None` when the connection has ended.
+    fn read_request(&mut self) -> Result<Option<Head>> {
+        let invalid = |_| ErrorKind::InvalidData;
+        let head = loop {
+            if let Some(head) = Head::request(&mut self.buffer, MAX_HEAD_BYTES).map_err(invalid)? {
+                break head;
+            }
+            if self.read_more()? == 0 {
+                return Ok(None);
+            }
+        };
+        let framing = request_framing(&head, MAX_BODY_BYTES).map_err(invalid)?;
+        let mut body = Body::new(framing, MAX_BODY_BYTES);
+        while !body.take(&mut self.buffer).map_err(invalid)? {
+            if self.read_more()? == 0 {
+                return Ok(None);
+            }
+        }
+        Ok(Some(head))
     }
-}
 
-fn note_wrong(shared: &Shared, wrong: Wrong) {
-    if let Ok(mut misbehaved) = shared.misbehaved.lock() {
-        *misbehaved.entry(wrong.name()).or_default() += 1;
+    fn read_more(&mut self) -> Result<usize> {
+        let mut bytes = [0; READ_BYTES];
+        let count = self.stream.read(&mut bytes)?;
+        self.buffer.extend_from_slice(&bytes[..count]);
+        Ok(count)
     }
-}
 
-/// Says nothing until the other side ends the connection.
-fn wait_for_end(stream: &mut TcpStream) -> Result<()> {
-    stream.set_read_timeout(Some(SILENCE))?;
-    let mut piece = [0; 4_096];
-    while stream.read(&mut piece)? > 0 {}
-    Ok(())
+    /// Sends nothing until the other side ends the connection.
+    fn wait_for_end(&mut self) -> Result<()> {
+        self.stream.set_read_timeout(Some(NO_RESPONSE_TIMEOUT))?;
+        let mut bytes = [0; READ_BYTES];
+        while self.stream.read(&mut bytes)? > 0 {}
+        Ok(())
+    }
 }
--- /dev/null
+++ b/crates/linenthread-demo/src/scenarios/conflicting_orders.rs
@@ -0,0 +1,146 @@
+//! Point 2: two operators send different orders of one revision at once; one is committed, the other rejected, by
+//! every node, also after a restart of all.
+
+use std::net::SocketAddr;
+use std::path::Path;
+use std::sync::Barrier;
+use std::time::Duration;
+
+use oorandom::Rand64;
+
+use super::findings::Findings;
+use super::scale::{RECOVERY_TIMEOUT, Scale};
+use super::setup::{SERVICES, describe, draw_duration, draw_index, restart_all, start_cluster};
+use crate::client::{CALL_TIMEOUT, CallOutcome, replace_anywhere, replace_at};
+use crate::cluster::Cluster;
+use crate::error::DemoError;
+use crate::order::Order;
+
+/// The second operator sends at most so much later than the first.
+const MAX_DELAY: Duration = Duration::from_millis(20);
+
+/// Two orders of one revision: the one that was committed, and the other.
+struct Conflict {
+    committed: Order,
+    rejected: Order,
+}
+
+pub(super) fn run(
+    program: &Path,
+    scale: &Scale,
+    random: &mut Rand64,
+) -> Result<Findings, DemoError> {
+    let mut findings = Findings::default();
+    let (mut cluster, first) = start_cluster(program)?;
+    let mut conflicts: Vec<Conflict> = Vec::new();
+    for number in 0..scale.conflicts {
+        let newest = conflicts.last().map_or(&first, |last| &last.committed);
+        let base = newest.revision;
+        let orders =
+            [1, 2].map(|variant| Order::new(base, base + 1, &SERVICES, 2 * number + variant));
+        let Some(conflict) = send_both(&mut findings, &cluster, orders, random) else {
+            return Ok(findings);
+        };
+        conflicts.push(conflict);
+    }
+    check_conflicts(&mut findings, &cluster, &conflicts);
+    restart_all(&mut cluster)?;
+    check_conflicts(&mut findings, &cluster, &conflicts);
+    Ok(findings)
+}
+
+/// Both operators send at once: one order is committed.
+fn send_both(
+    findings: &mut Findings,
+    cluster: &Cluster,
+    orders: [Order; 2],
+    random: &mut Rand64,
+) -> Option<Conflict> {
+    let outcomes = race(&cluster.control_addresses(), &orders, random);
+    let committed = outcomes.iter().filter(|outcome| outcome.is(200)).count();
+    let rejected = outcomes.iter().filter(|outcome| outcome.is(412)).count();
+    findings.check(
+        (committed, rejected) == (1, 1),
+        "one of two is committed, the other rejected",
+        || format!("{}; {}", describe(&outcomes[0]), describe(&outcomes[1])),
+    );
+    if committed != 1 {
+        return None;
+    }
+    let [left, right] = orders;
+    let (committed, rejected) = if outcomes[0].is(200) {
+        (left, right)
+    } else {
+        (right, left)
+    };
+    Some(Conflict {
+        committed,
+        rejected,
+    })
+}
+
+/// Each operator starts at a node of its own and goes on until the response is clear.
+fn race(addresses: &[SocketAddr], orders: &[Order; 2], random: &mut Rand64) -> [CallOutcome; 2] {
+    let together = Barrier::new(orders.len());
+    let start = draw_index(0, addresses.len(), random);
+    let delays = [
+        draw_duration(MAX_DELAY, random),
+        draw_duration(MAX_DELAY, random),
+    ];
+    std::thread::scope(|scope| {
+        let send = |index: usize| {
+            let mut own = addresses.to_vec();
+            own.rotate_left((start + index) % addresses.len());
+            let (together, order, delay) = (&together, &orders[index], delays[index]);
+            scope.spawn(move || {
+                together.wait();
+                std::thread::sleep(delay);
+                replace_anywhere(&own, order, RECOVERY_TIMEOUT)
+            })
+        };
+        [send(0), send(1)].map(|thread| thread.join().unwrap_or_default())
+    })
+}
+
+/// Whichever node is called, it knows which of two was committed.
+fn check_conflicts(findings: &mut Findings, cluster: &Cluster, conflicts: &[Conflict]) {
+    for peer in cluster.control_addresses() {
+        for conflict in conflicts {
+            check_conflict(findings, peer, conflict);
+        }
+        if let Some(newest) = conflicts.last() {
+            check_newest(findings, peer, newest);
+        }
+    }
+}
+
+fn check_conflict(findings: &mut Findings, peer: SocketAddr, conflict: &Conflict) {
+    let outcome = replace_at(peer, &conflict.committed, CALL_TIMEOUT);
+    findings.check(
+        outcome.is_or_unclear(200),
+        "a committed order is never rejected",
+        || describe(&outcome),
+    );
+    let outcome = replace_at(peer, &conflict.rejected, CALL_TIMEOUT);
+    findings.check(
+        outcome.is_or_unclear(412),
+        "the other order is never committed",
+        || describe(&outcome),
+    );
+}
+
+/// Of the newest conflict every node knows for sure.
+fn check_newest(findings: &mut Findings, peer: SocketAddr, newest: &Conflict) {
+    let outcome = replace_anywhere(&[peer], &newest.committed, RECOVERY_TIMEOUT);
+    findings.check(
+        outcome.is(200),
+        "the newest order is acknowledged again",
+        || describe(&outcome),
+    );
+    let outcome = replace_anywhere(&[peer], &newest.rejected, RECOVERY_TIMEOUT);
+    findings.check(
+        outcome.is(412),
+        "the order in conflict with it is rejected at every node",
+        || describe(&outcome),
+    );
+}
--- /dev/null
+++ b/crates/linenthread-demo/src/scenarios/late_retry.rs
@@ -0,0 +1,69 @@
+//! Point 2: an order is sent again after many later ones, to every node, before and after a restart of all.
+
+use std::path::Path;
+
+use oorandom::Rand64;
+
+use super::findings::Findings;
+use super::scale::{RECOVERY_TIMEOUT, Scale};
+use super::setup::{SERVICES, describe, draw_index, restart_all, start_cluster};
+use crate::client::{CALL_TIMEOUT, read_anywhere, replace_anywhere, replace_at};
+use crate::cluster::Cluster;
+use crate::error::DemoError;
+use crate::order::Order;
+
+pub(super) fn run(
+    program: &Path,
+    scale: &Scale,
+    random: &mut Rand64,
+) -> Result<Findings, DemoError> {
+    let mut findings = Findings::default();
+    let (mut cluster, first) = start_cluster(program)?;
+    let mut last = first.clone();
+    let mut orders = vec![first];
+    for _ in 0..scale.later_orders {
+        let order = last.next(&SERVICES);
+        let outcome = replace_anywhere(&cluster.control_addresses(), &order, RECOVERY_TIMEOUT);
+        findings.check(
+            outcome.is(200),
+            "an order is acknowledged within the bound",
+            || describe(&outcome),
+        );
+        if !outcome.is(200) {
+            return Ok(findings);
+        }
+        last = order.clone();
+        orders.push(order);
+    }
+    let drawn = draw_index(1, orders.len(), random);
+    let retries = [&orders[0], &orders[1], &orders[drawn], &last];
+    check_retries(&mut findings, &cluster, &retries);
+    restart_all(&mut cluster)?;
+    check_retries(&mut findings, &cluster, &retries);
+    let read = read_anywhere(&cluster.control_addresses(), RECOVERY_TIMEOUT);
+    findings.check(
+        read.body == last.document,
+        "the newest configuration reads back",
+        || describe(&read),
+    );
+    Ok(findings)
+}
+
+fn check_retries(findings: &mut Findings, cluster: &Cluster, orders: &[&Order]) {
+    for peer in cluster.control_addresses() {
+        for order in orders {
+            let outcome = replace_at(peer, order, CALL_TIMEOUT);
+            findings.check(
+                outcome.is_or_unclear(200),
+                "a committed order is never rejected",
+                || {
+                    format!(
+                        "revision {} at {peer}: {}",
+                        order.revision,
+                        describe(&outcome)
+                    )
+                },
+            );
+        }
+    }
+}
--- /dev/null
+++ b/crates/linenthread-demo/src/scenarios/mod.rs
@@ -0,0 +1,100 @@
+//! The worst days of a deployment: each scenario starts a cluster of its own, injects one kind of fault, with
+//! moments drawn at random, and checks what callers see.
+//!
+//! The points 1 to 5 are the users' own list of what went wrong in systems of this kind.
+
+mod catch_up;
+mod conflicting_orders;
+mod faulty_replicas;
+mod findings;
+mod late_retry;
+mod lost_quorum;
+mod paused_node;
+mod replacement;
+mod rolling_restart;
+mod scale;
+mod setup;
+
+use std::path::Path;
+
+use oorandom::Rand64;
+
+use crate::error::DemoError;
+use replacement::Loss;
+
+pub use findings::{Findings, Violation};
+pub use scale::Scale;
+
+/// One kind of fault.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Scenario {
+    /// Point 1: a control node is paused for longer than every lease, and resumes with calls waiting.
+    PausedNode,
+    /// Point 1: two of three control nodes are paused.
+    LostQuorum,
+    /// Point 2: two operators send different orders of one revision.
+    ConflictingOrders,
+    /// Point 2: an order is sent again after many later ones.
+    LateRetry,
+    /// Point 3: a control node is replaced as planned, and another one's disk is lost right after its end.
+    LossAfterReplacement,
+    /// Point 3: the same, and the loss comes at any moment of the replacement.
+    LossDuringReplacement,
+    /// Point 3: all control nodes are restarted one after another while orders go on.
+    RollingRestart,
+    /// Point 4: a control node that was down for many changes comes back.
+    CatchUp,
+    /// Point 5: replicas respond twice, late, without id, as another, in part, or not at all.
+    FaultyReplicas,
+}
+
+impl Scenario {
+    /// All scenarios.
+    pub const ALL: [Scenario; 9] = [
+        Scenario::PausedNode,
+        Scenario::LostQuorum,
+        Scenario::ConflictingOrders,
+        Scenario::LateRetry,
+        Scenario::LossAfterReplacement,
+        Scenario::LossDuringReplacement,
+        Scenario::RollingRestart,
+        Scenario::CatchUp,
+        Scenario::FaultyReplicas,
+    ];
+
+    /// Which of the five points it shows.
+    pub fn point(self) -> u8 {
+        match self {
+            Scenario::PausedNode | Scenario::LostQuorum => 1,
+            Scenario::ConflictingOrders | Scenario::LateRetry => 2,
+            Scenario::LossAfterReplacement
+            | Scenario::LossDuringReplacement
+            | Scenario::RollingRestart => 3,
+            Scenario::CatchUp => 4,
+            Scenario::FaultyReplicas => 5,
+        }
+    }
+
+    /// Runs it once on processes of this program.
+    ///
+    /// # Errors
+    /// The cluster could not be started.
+    pub fn run(
+        self,
+        program: &Path,
+        scale: &Scale,
+        random: &mut Rand64,
+    ) -> Result<Findings, DemoError> {
+        match self {
+            Scenario::PausedNode => paused_node::run(program, scale, random),
+            Scenario::LostQuorum => lost_quorum::run(program, scale, random),
+            Scenario::ConflictingOrders => conflicting_orders::run(program, scale, random),
+            Scenario::LateRetry => late_retry::run(program, scale, random),
+            Scenario::LossAfterReplacement => replacement::run(program, Loss::AfterEnd, random),
+            Scenario::LossDuringReplacement => replacement::run(program, Loss::AnyTime, random),
+            Scenario::RollingRestart => rolling_restart::run(program, random),
+            Scenario::CatchUp => catch_up::run(program, scale, random),
+            Scenario::FaultyReplicas => faulty_replicas::run(program, scale, random),
+        }
+    }
+}
--- /dev/null
+++ b/crates/linenthread-demo/src/scenarios/paused_node.rs
@@ -0,0 +1,164 @@
+//! Point 1: a control node is paused for longer than every lease while the others acknowledge a new configuration.
+//! When it resumes, calls wait on its sockets: it responds to none of them by its old state.
+
+use std::net::SocketAddr;
+use std::path::Path;
+use std::thread::JoinHandle;
+use std::time::{Duration, Instant};
+
+use oorandom::Rand64;
+
+use super::findings::Findings;
+use super::scale::{RECOVERY_TIMEOUT, Scale};
+use super::setup::{INGRESS, SERVICES, describe, draw_one, start_cluster};
+use crate::client::{
+    CallOutcome, drain_at, is_draining_at, read_anywhere, read_at, replace_anywhere, replace_at,
+};
+use crate::error::DemoError;
+use crate::machine::Signal;
+use crate::order::Order;
+
+/// The replica that drains.
+const DRAINING_REPLICA: &str = "i-drains";
+
+/// A call that waits on a socket of the paused node.
+enum PendingCall {
+    Read,
+    /// An order that was acknowledged before.
+    Retry(Order),
+    /// Another order of a revision that is committed.
+    Conflict(Order),
+    Drain,
+}
+
+/// What one of them came to.
+type CallThread = JoinHandle<(PendingCall, CallOutcome)>;
+
+pub(super) fn run(
+    program: &Path,
+    scale: &Scale,
+    random: &mut Rand64,
+) -> Result<Findings, DemoError> {
+    let mut findings = Findings::default();
+    let (mut cluster, first) = start_cluster(program)?;
+    let (paused, _) = draw_one(&cluster.control_names(), random);
+    let others = cluster.control_addresses_except(&[&paused]);
+    let Some(peer) = cluster.control_address(&paused) else {
+        return Ok(findings);
+    };
+
+    cluster.signal(&paused, Signal::Stop);
+    let resumes_at = Instant::now() + scale.pause;
+    let second = first.next(&SERVICES);
+    let outcome = replace_anywhere(&others, &second, RECOVERY_TIMEOUT);
+    findings.check(outcome.is(200), "the others acknowledge an order", || {
+        describe(&outcome)
+    });
+    let applied = ["event=configuration_applied", "revision=2"];
+    let is_applied = cluster.wait_for_line(INGRESS, &applied, RECOVERY_TIMEOUT);
+    findings.check(
+        is_applied,
+        "the ingress node has the new configuration while the node is paused",
+        || paused.clone(),
+    );
+
+    let conflict = Order::new(1, 2, &SERVICES, 7);
+    let pending = start_calls(peer, first, second, conflict.clone(), resumes_at);
+    std::thread::sleep(resumes_at.saturating_duration_since(Instant::now()));
+    cluster.signal(&paused, Signal::Continue);
+    for call in pending {
+        if let Ok((call, outcome)) = call.join() {
+            check_call(&mut findings, &call, &outcome, &others);
+        }
+    }
+    let outcome = read_anywhere(&[peer], RECOVERY_TIMEOUT);
+    findings.check(
+        outcome.revision() == Some(2),
+        "it serves the newest again within the bound",
+        || describe(&outcome),
+    );
+    let outcome = replace_anywhere(&[peer], &conflict, RECOVERY_TIMEOUT);
+    findings.check(
+        outcome.is(412),
+        "it rejects the other order once it knows",
+        || describe(&outcome),
+    );
+    Ok(findings)
+}
+
+/// Sends one call of each kind to the paused node.
+fn start_calls(
+    peer: SocketAddr,
+    first: Order,
+    second: Order,
+    conflict: Order,
+    resumes_at: Instant,
+) -> Vec<CallThread> {
+    let calls = [
+        PendingCall::Read,
+        PendingCall::Read,
+        PendingCall::Retry(second),
+        PendingCall::Retry(first),
+        PendingCall::Conflict(conflict),
+        PendingCall::Conflict(Order::new(0, 1, &SERVICES, 9)),
+        PendingCall::Drain,
+    ];
+    let timeout = resumes_at.saturating_duration_since(Instant::now()) + RECOVERY_TIMEOUT;
+    calls
+        .into_iter()
+        .map(|call| start_call(peer, call, timeout))
+        .collect()
+}
+
+fn start_call(peer: SocketAddr, call: PendingCall, timeout: Duration) -> CallThread {
+    std::thread::spawn(move || {
+        let outcome = match &call {
+            PendingCall::Read => read_at(peer, timeout),
+            PendingCall::Retry(order) | PendingCall::Conflict(order) => {
+                replace_at(peer, order, timeout)
+            }
+            PendingCall::Drain => drain_at(peer, DRAINING_REPLICA, SERVICES[0], timeout),
+        };
+        (call, outcome)
+    })
+}
+
+fn check_call(
+    findings: &mut Findings,
+    call: &PendingCall,
+    outcome: &CallOutcome,
+    others: &[SocketAddr],
+) {
+    match call {
+        PendingCall::Read => {
+            let is_newest = !outcome.is_clear() || outcome.is(200) && outcome.revision() == Some(2);
+            findings.check(
+                is_newest,
+                "a read on resuming is the newest or unavailable",
+                || describe(outcome),
+            );
+            findings.add_note(format!("read on resuming: {}", describe(outcome)));
+        }
+        PendingCall::Retry(order) => findings.check(
+            outcome.is_or_unclear(200),
+            "an acknowledged order is not rejected on resuming",
+            || format!("revision {}: {}", order.revision, describe(outcome)),
+        ),
+        PendingCall::Conflict(order) => findings.check(
+            outcome.is_or_unclear(412),
+            "another order of a committed revision is not acknowledged",
+            || format!("revision {}: {}", order.revision, describe(outcome)),
+        ),
+        PendingCall::Drain => {
+            let is_known = !outcome.is(200)
+                || others
+                    .iter()
+                    .any(|other| is_draining_at(*other, DRAINING_REPLICA));
+            findings.check(
+                is_known,
+                "an acknowledged drain is known to another",
+                || describe(outcome),
+            );
+        }
+    }
+}
--- /dev/null
+++ b/crates/linenthread-demo/src/scenarios/rolling_restart.rs
@@ -0,0 +1,50 @@
+//! Point 3: all control nodes are restarted one after another in any order, as planned, while orders go on.
+
+use std::path::Path;
+use std::time::Duration;
+
+use oorandom::Rand64;
+
+use super::findings::Findings;
+use super::setup::{
+    SERVICES, check_next_order, check_report, check_shutdown, draw_duration, draw_one,
+    start_cluster,
+};
+use crate::error::DemoError;
+use crate::machine::Signal;
+use crate::writer::Writer;
+
+/// A node that was started again is in contact and has a value within this time.
+const RESTART_TIMEOUT: Duration = Duration::from_secs(6);
+/// The longest time between two restarts.
+const MAX_DELAY: Duration = Duration::from_millis(500);
+/// Between two orders.
+const PAUSE: Duration = Duration::from_millis(30);
+
+pub(super) fn run(program: &Path, random: &mut Rand64) -> Result<Findings, DemoError> {
+    let mut findings = Findings::default();
+    let (mut cluster, first) = start_cluster(program)?;
+    let writer = Writer::start(cluster.control_addresses(), first, &SERVICES, PAUSE);
+    let mut remaining = cluster.control_names();
+    while !remaining.is_empty() {
+        let (name, others) = draw_one(&remaining, random);
+        remaining = others;
+        std::thread::sleep(draw_duration(MAX_DELAY, random));
+        cluster.signal(&name, Signal::Terminate);
+        check_shutdown(&mut findings, &mut cluster, &name);
+        cluster.start_process(&name)?;
+        let is_back = cluster.wait_for_members(&name, RESTART_TIMEOUT, |members| {
+            members.quorum && members.revision > 0
+        });
+        findings.check(
+            is_back,
+            "a node that was restarted is in contact within the bound",
+            || name.clone(),
+        );
+    }
+    if let Some(report) = writer.stop() {
+        check_report(&mut findings, &report, &cluster.control_addresses());
+        check_next_order(&mut findings, &report, &cluster.control_addresses());
+    }
+    Ok(findings)
+}
