--- a/crates/linenthread-demo/src/replica/connection.rs
+++ b/crates/linenthread-demo/src/replica/connection.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use bytes::BytesMut;
-use linenthread_http::{Body, Head, request_framing};
+use linenthread_http::{BodyReader, Head, request_framing};
 
 use super::faults::{Fault, FaultDraws};
 use super::records::records;
@@ -147,7 +147,9 @@
     fn read_request(&mut self) -> Result<Option<Head>> {
         let invalid = |_| ErrorKind::InvalidData;
         let head = loop {
-            if let Some(head) = Head::request(&mut self.buffer, MAX_HEAD_BYTES).map_err(invalid)? {
+            if let Some(head) =
+                Head::parse_request(&mut self.buffer, MAX_HEAD_BYTES).map_err(invalid)?
+            {
                 break head;
             }
             if self.read_more()? == 0 {
@@ -155,8 +157,8 @@
             }
         };
         let framing = request_framing(&head, MAX_BODY_BYTES).map_err(invalid)?;
-        let mut body = Body::new(framing, MAX_BODY_BYTES);
-        while !body.take(&mut self.buffer).map_err(invalid)? {
+        let mut body = BodyReader::new(framing, MAX_BODY_BYTES);
+        while !body.read_from(&mut self.buffer).map_err(invalid)? {
             if self.read_more()? == 0 {
                 return Ok(None);
             }
