--- a/crates/linenthread-drill/src/commands/link.rs
+++ b/crates/linenthread-drill/src/commands/link.rs
@@ -5,7 +5,7 @@
 use bpaf::{Parser, construct, long};
 
 use super::{arguments, outcome};
-pub(super) use crate::link::Drill as Options;
+pub(super) use crate::link::Options;
 
 pub(super) fn parser() -> impl Parser<Options> {
     let schedules = arguments::schedules(2_000);
--- a/crates/linenthread-drill/src/commands/merged.rs
+++ b/crates/linenthread-drill/src/commands/merged.rs
@@ -5,7 +5,7 @@
 use bpaf::{Parser, construct, long};
 
 use super::{arguments, outcome};
-pub(super) use crate::merged::Drill as Options;
+pub(super) use crate::merged::Options;
 
 pub(super) fn parser() -> impl Parser<Options> {
     let lookups = arguments::count("lookups", "Lookups to ask", 10_000);
