--- /dev/null
+++ b/crates/linenthread-drill/src/fleet_simulation/event.rs
@@ -0,0 +1,45 @@
+//! What happens at a moment of simulated time.
+
+/// An index into the world's processes.
+pub(super) type ProcessIndex = usize;
+/// A link's number in the network.
+pub(super) type LinkNumber = u64;
+
+/// One end of a link: 0 connected, 1 accepted.
+pub(super) type Side = usize;
+
+/// An event in the queue. Events of one moment happen in the order in which they were scheduled.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub(super) enum Event {
+    /// A process's timer expires; the number tells the newest timer from those before it.
+    Wake(ProcessIndex, u64),
+    /// A connection arrives.
+    Connect {
+        from: ProcessIndex,
+        /// The connection's number at the process that connects.
+        connection: u64,
+        to: ProcessIndex,
+    },
+    /// Bytes arrive at a side of a link.
+    Bytes {
+        link: LinkNumber,
+        side: Side,
+        bytes: Vec<u8>,
+    },
+    /// A side of a link learns that the other has closed it.
+    Closed { link: LinkNumber, side: Side },
+    /// A datagram arrives.
+    Datagram { to: ProcessIndex, bytes: Vec<u8> },
+    /// A process starts.
+    Start(ProcessIndex),
+    /// A paused process resumes.
+    Resume(ProcessIndex),
+    /// A random process crashes and starts again at once.
+    Restart,
+    /// All partitions end.
+    Heal,
+    /// A random fault is injected.
+    Fault,
+    /// Leaders propose values.
+    Propose,
+}
--- /dev/null
+++ b/crates/linenthread-drill/src/fleet_simulation/network.rs
@@ -0,0 +1,162 @@
+//! Links between processes, partitions, loss and latency.
+
+use std::collections::{BTreeMap, BTreeSet};
+
+use linenthread_core::interface::TenthMillis;
+use oorandom::Rand64;
+
+use super::event::{LinkNumber, ProcessIndex, Side};
+
+/// A connection at a process: the process, and the connection's number there.
+pub(super) type End = (ProcessIndex, u64);
+
+/// A connection as the network has it. Bytes arrive in their order.
+pub(super) struct Link {
+    pub(super) ends: [End; 2],
+    /// By sending side, when the last bytes arrive at the other.
+    last_arrival: [TenthMillis; 2],
+    /// By sending side: what it sends is lost from now on, since something was sent into a partition.
+    is_dead: [bool; 2],
+    is_open: bool,
+}
+
+impl Link {
+    /// A link that both processes have.
+    fn open(ends: [End; 2]) -> Link {
+        Link {
+            ends,
+            last_arrival: [0; 2],
+            is_dead: [false; 2],
+            is_open: true,
+        }
+    }
+
+    /// A connection that could not be made.
+    fn refused(ends: [End; 2]) -> Link {
+        Link {
+            is_dead: [true; 2],
+            is_open: false,
+            ..Link::open(ends)
+        }
+    }
+
+    /// The side of a process.
+    pub(super) fn side_of(&self, process: ProcessIndex) -> Side {
+        usize::from(self.ends[0].0 != process)
+    }
+}
+
+/// The network between all processes.
+#[derive(Default)]
+pub(super) struct Network {
+    links: BTreeMap<LinkNumber, Link>,
+    /// The links of connections that processes still have.
+    by_end: BTreeMap<End, LinkNumber>,
+    /// Directed pairs between which nothing arrives.
+    pub(super) partitions: BTreeSet<(ProcessIndex, ProcessIndex)>,
+    /// The probability that a datagram is lost.
+    pub(super) loss: f64,
+    /// Random latency that is added to the usual one, at most.
+    pub(super) extra_latency: TenthMillis,
+}
+
+impl Network {
+    /// A random latency of one way.
+    pub(super) fn latency(&self, rng: &mut Rand64) -> TenthMillis {
+        let usual = 5 + rng.rand_range(0..20) as TenthMillis;
+        if self.extra_latency > 0 {
+            usual + rng.rand_range(0..self.extra_latency as u64) as TenthMillis
+        } else {
+            usual
+        }
+    }
+
+    pub(super) fn is_partitioned(&self, from: ProcessIndex, to: ProcessIndex) -> bool {
+        self.partitions.contains(&(from, to))
+    }
+
+    pub(super) fn add_link(&mut self, number: LinkNumber, ends: [End; 2]) {
+        self.links.insert(number, Link::open(ends));
+        self.by_end.extend(ends.map(|end| (end, number)));
+    }
+
+    /// Adds a connection that only the connecting side has.
+    pub(super) fn add_refused(&mut self, number: LinkNumber, ends: [End; 2]) {
+        self.links.insert(number, Link::refused(ends));
+        self.by_end.insert(ends[0], number);
+    }
+
+    pub(super) fn link(&self, number: LinkNumber) -> Option<&Link> {
+        self.links.get(&number)
+    }
+
+    /// The link of a process's connection.
+    pub(super) fn link_at(&self, end: End) -> Option<LinkNumber> {
+        self.by_end.get(&end).copied()
+    }
+
+    /// The end of a link at a side, while the process there still has the connection.
+    pub(super) fn current_end(&self, number: LinkNumber, side: Side) -> Option<End> {
+        let end = self.link(number)?.ends[side];
+        (self.link_at(end) == Some(number)).then_some(end)
+    }
+
+    pub(super) fn links_of(&self, process: ProcessIndex) -> Vec<LinkNumber> {
+        let links = self.links.iter();
+        let of_process = links.filter(|(_, link)| link.ends.iter().any(|end| end.0 == process));
+        of_process.map(|(number, _)| *number).collect()
+    }
+
+    /// When bytes that are sent now arrive at the other side, and at which; `None` if they are lost.
+    pub(super) fn send(
+        &mut self,
+        number: LinkNumber,
+        from: End,
+        now: TenthMillis,
+        latency: TenthMillis,
+    ) -> Option<(TenthMillis, Side)> {
+        let link = self.links.get_mut(&number)?;
+        let side = usize::from(link.ends[0] != from);
+        let other = 1 - side;
+        link.is_dead[side] |= self.partitions.contains(&(from.0, link.ends[other].0));
+        if link.is_dead[side] {
+            return None;
+        }
+        let arrival = (now + latency).max(link.last_arrival[side] + 1);
+        link.last_arrival[side] = arrival;
+        Some((arrival, other))
+    }
+
+    /// A process closes a link. Returns the other side, if that will learn of it.
+    pub(super) fn close(&mut self, number: LinkNumber, process: ProcessIndex) -> Option<Side> {
+        let link = self.links.get_mut(&number)?;
+        let side = link.side_of(process);
+        let (end, other) = (link.ends[side], link.ends[1 - side]);
+        link.is_open = false;
+        self.by_end.remove(&end);
+        (!self.is_partitioned(process, other.0)).then_some(1 - side)
+    }
+
+    /// A process has learned that its connection is closed.
+    pub(super) fn forget(&mut self, end: End) {
+        self.by_end.remove(&end);
+    }
+
+    /// Removes a link that neither process has any more.
+    pub(super) fn remove_if_over(&mut self, number: LinkNumber) {
+        let Some(link) = self.links.get(&number) else {
+            return;
+        };
+        let has_end = |end: &End| self.by_end.get(end) == Some(&number);
+        if !link.is_open && !link.ends.iter().any(has_end) {
+            self.links.remove(&number);
+        }
+    }
+
+    /// Ends all faults of the network.
+    pub(super) fn heal(&mut self) {
+        self.partitions.clear();
+        self.loss = 0.0;
+        self.extra_latency = 0;
+    }
+}
--- /dev/null
+++ b/crates/linenthread-drill/src/fleet_simulation/process.rs
@@ -0,0 +1,146 @@
+//! One process of the simulated fleet.
+
+use std::cell::RefCell;
+use std::net::SocketAddr;
+use std::rc::Rc;
+
+use linenthread_core::interface::TenthMillis;
+use linenthread_fleet::{Fleet, FleetConfig, NodeIdentity, Stage, Voter};
+use linenthread_frames::Secrets;
+use linenthread_store::SimulatedDisk;
+use oorandom::Rand64;
+
+use super::event::{Event, ProcessIndex};
+
+pub(super) type Disk = Rc<RefCell<SimulatedDisk>>;
+
+const FIRST_PORT: u16 = 7_000;
+/// Incarnations of successive starts differ by this.
+const INCARNATION_STEP: u64 = 1_000_000;
+const PROBE_INTERVAL: TenthMillis = 5_000;
+
+/// A process, its disk and its clock.
+pub(super) struct Process {
+    pub(super) fleet: Option<Fleet<Disk>>,
+    pub(super) disk: Disk,
+    /// How fast its clock runs.
+    clock_rate: f64,
+    clock_offset: TenthMillis,
+    /// It does not run, and what arrives waits.
+    pub(super) is_paused: bool,
+    pub(super) waiting: Vec<Event>,
+    /// The number of its newest timer.
+    pub(super) timer: u64,
+    /// When its newest timer expires.
+    pub(super) wake_at: TenthMillis,
+    starts: u64,
+    /// The incarnation that it had before its disk was lost, where it had taken part.
+    pub(super) former_incarnation: Option<u64>,
+}
+
+pub(super) fn name(index: ProcessIndex) -> String {
+    format!("m{index:02}")
+}
+
+pub(super) fn address(index: ProcessIndex) -> SocketAddr {
+    ([127, 0, 0, 1], FIRST_PORT + index as u16).into()
+}
+
+/// The process at an address.
+pub(super) fn index(address: SocketAddr) -> ProcessIndex {
+    usize::from(address.port() - FIRST_PORT)
+}
+
+pub(super) fn secrets() -> Secrets {
+    Secrets::new(vec![b"a secret of some length".to_vec()]).expect("long enough")
+}
+
+impl Process {
+    pub(super) fn new(rng: &mut Rand64) -> Process {
+        Process {
+            fleet: None,
+            disk: Rc::default(),
+            clock_rate: 0.95 + 0.1 * rng.rand_float(),
+            clock_offset: rng.rand_range(1_000_000..9_000_000) as TenthMillis,
+            is_paused: false,
+            waiting: Vec::new(),
+            timer: 0,
+            wake_at: TenthMillis::MAX,
+            starts: 0,
+            former_incarnation: None,
+        }
+    }
+
+    /// The time by its own clock.
+    pub(super) fn local_time(&self, now: TenthMillis) -> TenthMillis {
+        self.clock_offset + (now as f64 * self.clock_rate) as TenthMillis
+    }
+
+    /// The first moment of simulated time at which its own clock has reached a time.
+    pub(super) fn global_time(&self, local: TenthMillis) -> TenthMillis {
+        ((local - self.clock_offset) as f64 / self.clock_rate).ceil() as TenthMillis
+    }
+
+    /// The configuration for its next start.
+    pub(super) fn next_config(
+        &mut self,
+        index: ProcessIndex,
+        voters: usize,
+        processes: usize,
+    ) -> FleetConfig {
+        self.starts += 1;
+        let local = NodeIdentity {
+            machine: name(index),
+            zone: format!("z{}", index % 3),
+            region: "r".into(),
+            version: 1,
+            weight: 1_000,
+            incarnation: INCARNATION_STEP * self.starts,
+            ..NodeIdentity::unknown(&name(index), address(index))
+        };
+        FleetConfig {
+            local,
+            voters: (0..voters).map(|n| (name(n), address(n))).collect(),
+            expected_members: processes as u32,
+            probe_interval: PROBE_INTERVAL,
+        }
+    }
+
+    /// Whether it runs and leads.
+    pub(super) fn is_leader(&self, now: TenthMillis) -> bool {
+        let local = self.local_time(now);
+        let fleet = self.fleet.as_ref();
+        fleet.is_some_and(|fleet| fleet.is_leader(local))
+    }
+
+    /// Whether it is one of those that vote, by all that it knows.
+    pub(super) fn votes(&self) -> bool {
+        let voter = self.fleet.as_ref().and_then(Fleet::voter);
+        voter.is_some_and(Voter::votes)
+    }
+
+    /// The incarnation of its voter's identity.
+    pub(super) fn incarnation(&self) -> Option<u64> {
+        self.fleet.as_ref()?.voter()?.incarnation()
+    }
+
+    /// Ends it, with its disk or without; whether it had been running.
+    pub(super) fn crash(&mut self, loses_disk: bool, rng: &mut Rand64) -> bool {
+        let Some(fleet) = self.fleet.take() else {
+            return false;
+        };
+        let active = fleet.voter().filter(|voter| voter.stage() == Stage::Active);
+        let incarnation = active.and_then(Voter::incarnation);
+        drop(fleet);
+        self.is_paused = false;
+        self.wake_at = TenthMillis::MAX;
+        self.waiting.clear();
+        if loses_disk {
+            self.disk = Rc::default();
+            self.former_incarnation = incarnation.or(self.former_incarnation);
+        } else {
+            self.disk.borrow_mut().crash(rng);
+        }
+        true
+    }
+}
--- a/crates/linenthread-drill/src/main.rs
+++ b/crates/linenthread-drill/src/main.rs
@@ -9,12 +9,13 @@
 mod dataplane;
 mod failover;
 mod fleet;
+mod fleet_simulation;
 mod link;
 mod link_speed;
 mod members;
 mod merged;
 mod merging_speed;
-mod record;
+
 mod system;
 mod zones;
 
