--- a/crates/linenthread-drill/src/fleet_simulation/checks.rs
+++ b/crates/linenthread-drill/src/fleet_simulation/checks.rs
@@ -36,7 +36,9 @@
     /// Why the fleet is not complete: one leader, all voters vote, all know all others and the newest values.
     pub(super) fn why_incomplete(&self) -> Option<String> {
         let leaders = self.processes[..self.voters].iter();
-        let leaders = leaders.filter(|process| process.is_leader(self.now)).count();
+        let leaders = leaders
+            .filter(|process| process.is_leader(self.now))
+            .count();
         if leaders != 1 {
             return Some(format!("{leaders} lead"));
         }
--- a/crates/linenthread-drill/src/fleet_simulation/faults.rs
+++ b/crates/linenthread-drill/src/fleet_simulation/faults.rs
@@ -81,9 +81,7 @@
     /// Partitions all processes into two groups, one way or both.
     fn partition_groups(&mut self) {
         let count = self.processes.len();
-        let in_group: Vec<bool> = (0..count)
-            .map(|_| self.rng.rand_range(0..2) == 0)
-            .collect();
+        let in_group: Vec<bool> = (0..count).map(|_| self.rng.rand_range(0..2) == 0).collect();
         let both_ways = self.rng.rand_range(0..2) == 0;
         for from in 0..count {
             for to in (0..count).filter(|&to| in_group[from] != in_group[to]) {
--- a/crates/linenthread-drill/src/fleet_simulation/mod.rs
+++ b/crates/linenthread-drill/src/fleet_simulation/mod.rs
@@ -12,6 +12,7 @@
 
 use linenthread_core::interface::TenthMillis;
 
+use crate::schedules;
 use event::Event;
 use world::World;
 
@@ -102,7 +103,8 @@
 impl FleetSimulation {
     /// Runs all schedules and prints a summary; how many were checked, and how many breaches there are.
     pub(crate) fn run(&self) -> (usize, usize) {
-        let outcomes = self.run_all();
+        let seeds = self.seed..self.seed + self.schedules as u64;
+        let outcomes = schedules::run_all(seeds, |seed| World::new(seed).run());
         let mut breaches: Vec<&String> = outcomes.iter().flat_map(|o| &o.breaches).collect();
         breaches.sort_unstable();
         for breach in breaches.iter().take(MAX_PRINTED) {
@@ -111,22 +113,6 @@
         print_summary(&outcomes);
         (self.schedules, breaches.len())
     }
-
-    fn run_all(&self) -> Vec<Outcome> {
-        let threads = std::thread::available_parallelism().map_or(1, std::num::NonZero::get) as u64;
-        let seeds = self.seed..self.seed + self.schedules as u64;
-        std::thread::scope(|scope| {
-            let run_part = |thread: u64| {
-                let part = seeds.clone().filter(move |seed| seed % threads == thread);
-                scope.spawn(move || part.map(|seed| World::new(seed).run()).collect::<Vec<_>>())
-            };
-            let parts: Vec<_> = (0..threads).map(run_part).collect();
-            let parts = parts.into_iter();
-            parts
-                .flat_map(|part| part.join().expect("a schedule ends"))
-                .collect()
-        })
-    }
 }
 
 fn print_summary(outcomes: &[Outcome]) {
--- a/crates/linenthread-drill/src/fleet_simulation/world.rs
+++ b/crates/linenthread-drill/src/fleet_simulation/world.rs
@@ -192,9 +192,7 @@
             return;
         };
         let latency = self.latency();
-        let sent = self
-            .network
-            .send(link, (at, connection), self.now, latency);
+        let sent = self.network.send(link, (at, connection), self.now, latency);
         if let Some((arrival, side)) = sent {
             self.after(arrival - self.now, Event::Bytes { link, side, bytes });
         }
@@ -304,8 +302,7 @@
     fn on_connect(&mut self, from: ProcessIndex, connection: u64, to: ProcessIndex) {
         let is_partitioned =
             self.network.is_partitioned(from, to) || self.network.is_partitioned(to, from);
-        let both_run =
-            self.processes[from].fleet.is_some() && self.processes[to].fleet.is_some();
+        let both_run = self.processes[from].fleet.is_some() && self.processes[to].fleet.is_some();
         if both_run && !is_partitioned && self.accept((from, connection), to) {
             return;
         }
--- a/crates/linenthread-drill/src/main.rs
+++ b/crates/linenthread-drill/src/main.rs
@@ -16,8 +16,9 @@
 mod merged;
 mod merging_speed;
 
+mod schedules;
 mod system;
-mod zones;
+mod zones_simulation;
 
 use std::process::ExitCode;
 
--- /dev/null
+++ b/crates/linenthread-drill/src/zones_simulation/checks.rs
@@ -0,0 +1,138 @@
+//! What a table must hold when it is made, and what must hold at a schedule's end.
+
+use linenthread_zones::{ALL_KEYS, Reason, RoutingTable, loads};
+
+use super::fault::Fault;
+use super::world::World;
+use super::{MINUTE, START};
+
+/// A zone may get this many times its capacity: demand is measured through noise.
+const LOAD_TOLERANCE: f64 = 1.15;
+/// A coordinator that sends fewer requests a second to a zone may not notice its loss.
+const MIN_NOTICED: f64 = 10.0;
+/// Openings in a row that the controller allows.
+const MAX_OPENINGS: f64 = 20.0;
+/// Openings that a new leader may add.
+const OPENINGS_PER_LEADER: f64 = 5.0;
+
+fn sum_to(loads: &[Vec<f64>], to: usize) -> f64 {
+    loads.iter().map(|from| from[to]).sum()
+}
+
+impl World {
+    /// The load while all routes are open.
+    pub(super) fn usual_loads(&self) -> Vec<Vec<f64>> {
+        let names = vec![String::new(); self.topology.zones.len()];
+        loads(
+            &self.topology,
+            &self.demand,
+            &RoutingTable::open(names).rows,
+        )
+    }
+
+    /// Checks a table that was made now.
+    pub(super) fn check_table(&mut self, table: &RoutingTable) {
+        self.check_capacity(table);
+        let ejected = routes_closed_for(table, &[Reason::ZoneDown, Reason::Partitioned]);
+        let fault = self.fault;
+        let wrong: Vec<(usize, usize)> = ejected
+            .into_iter()
+            .filter(|(from, to)| !fault.may_eject(*from, *to))
+            .collect();
+        if !wrong.is_empty() {
+            self.breach(format!("wrongly left, from and to: {wrong:?}"));
+        }
+        let limited = routes_closed_for(table, &[Reason::Capacity, Reason::Slow]);
+        if self.fault == Fault::Noise && !limited.is_empty() {
+            self.breach("near-while-safe: ways are closed though nothing is wrong".into());
+        }
+    }
+
+    /// *never-past-room*: by what a zone can truly process, or what it bears anyway while all is healthy.
+    fn check_capacity(&mut self, table: &RoutingTable) {
+        let load = loads(&self.topology, &self.demand, &table.rows);
+        let usual = self.usual_loads();
+        for to in 0..self.topology.zones.len() {
+            let capacity = if self.fault.is_slow(to) {
+                f64::INFINITY
+            } else {
+                self.capacity[to]
+            };
+            let (load, usual) = (sum_to(&load, to), sum_to(&usual, to));
+            let is_configured = self.topology.zones[to].replica_capacity.is_some();
+            if is_configured
+                && self.fault != Fault::HostileReports
+                && load > capacity.max(usual) * LOAD_TOLERANCE
+            {
+                self.breach(format!(
+                    "never-past-room: zone {to} gets {load:.0}, takes {capacity:.0}, usually gets {usual:.0}"
+                ));
+            }
+        }
+    }
+
+    fn is_closed(&self, from: usize, to: usize) -> bool {
+        let table = self.table.as_ref();
+        table.is_some_and(|table| table.rows[from].routes[to].share == 0)
+    }
+
+    /// Whether the table has closed the routes that it should.
+    pub(super) fn is_handled(&self) -> bool {
+        let mut zones = 0..self.topology.zones.len();
+        match self.fault {
+            Fault::ZoneLost(lost) => zones.all(|from| from == lost || self.is_closed(from, lost)),
+            Fault::TwoZonesLost(a, b) => zones.all(|from| {
+                from == a || from == b || self.is_closed(from, a) && self.is_closed(from, b)
+            }),
+            Fault::PairPartitioned(a, b) => self.is_closed(a, b) || self.is_closed(b, a),
+            Fault::Drain(drained) => zones.all(|from| self.is_closed(from, drained)),
+            _ => true,
+        }
+    }
+
+    /// Whether the fault must be noticed: enough requests go where it shows.
+    pub(super) fn must_be_noticed(&self, drain_accepted: bool) -> bool {
+        let usual = self.usual_loads();
+        let coordinators = (self.coordinators.len() / self.topology.zones.len()) as f64;
+        let is_used = |to: usize, except: usize| {
+            (0..usual.len()).any(|from| {
+                from != to && from != except && usual[from][to] / coordinators >= MIN_NOTICED
+            })
+        };
+        match self.fault {
+            Fault::ZoneLost(lost) => is_used(lost, lost),
+            Fault::TwoZonesLost(a, b) => is_used(a, b) && is_used(b, a),
+            Fault::Drain(_) => drain_accepted,
+            _ => false,
+        }
+    }
+
+    pub(super) fn is_open(&self) -> bool {
+        let table = self.table.as_ref();
+        table.is_none_or(|table| table.routes().all(|route| route.share == ALL_KEYS))
+    }
+
+    /// *no-flap*: openings in a row, one more with each minute, and some with each change of the leader.
+    pub(super) fn check_openings(&mut self) {
+        let minutes = (self.now - START) as f64 / MINUTE;
+        let bound = MAX_OPENINGS + minutes + OPENINGS_PER_LEADER * f64::from(self.leaders);
+        if f64::from(self.openings) > bound {
+            let openings = self.openings;
+            self.breach(format!(
+                "no-flap: {openings} openings in {minutes:.1} minutes"
+            ));
+        }
+    }
+}
+
+fn routes_closed_for(table: &RoutingTable, reasons: &[Reason]) -> Vec<(usize, usize)> {
+    let mut closed = Vec::new();
+    for (from, row) in table.rows.iter().enumerate() {
+        for (to, route) in row.routes.iter().enumerate() {
+            if reasons.contains(&route.reason) {
+                closed.push((from, to));
+            }
+        }
+    }
+    closed
+}
--- /dev/null
+++ b/crates/linenthread-drill/src/zones_simulation/mod.rs
@@ -0,0 +1,66 @@
+//! Zones in simulated time: coordinators observe what truly happens through noise, loss and lag, one controller
+//! decides for all, and where its table sends requests is checked by what each zone can truly process.
+//!
+//! Start reading at [`World::run`]; `checks` has the invariants.
+
+mod checks;
+mod fault;
+mod traffic;
+mod world;
+
+use linenthread_core::interface::TenthMillis;
+
+use crate::schedules;
+use world::World;
+
+const SECOND: TenthMillis = 10_000;
+const TENTHS_PER_SECOND: f64 = 10_000.0;
+const MINUTE: f64 = 600_000.0;
+/// When a schedule starts.
+const START: TenthMillis = 100 * SECOND;
+const STEP: TenthMillis = 5_000;
+const STEP_SECONDS: f64 = 0.5;
+/// The most breaches that are printed.
+const MAX_PRINTED: usize = 20;
+
+/// Which schedules are run.
+#[derive(Clone, Debug)]
+pub(crate) struct ZonesSimulation {
+    /// How many.
+    pub(crate) schedules: usize,
+    /// The seed of the first; the others count on from it.
+    pub(crate) seed: u64,
+}
+
+/// What became of a schedule.
+struct Outcome {
+    breaches: Vec<String>,
+    /// How long after its start a fault was handled that had to be.
+    handled_after: Option<TenthMillis>,
+}
+
+impl ZonesSimulation {
+    /// Runs all schedules and prints a summary; how many were checked, and how many breaches there are.
+    pub(crate) fn run(&self) -> (usize, usize) {
+        let seeds = self.seed..self.seed + self.schedules as u64;
+        let outcomes = schedules::run_all(seeds, |seed| World::new(seed).run());
+        let breaches: Vec<&String> = outcomes.iter().flat_map(|o| &o.breaches).collect();
+        for breach in breaches.iter().take(MAX_PRINTED) {
+            println!("breach: {breach}");
+        }
+        let handled = outcomes.iter().filter_map(|outcome| outcome.handled_after);
+        let mut handled: Vec<TenthMillis> = handled.collect();
+        handled.sort_unstable();
+        let percentile = |percent: usize| {
+            let time = handled.get(handled.len() * percent / 100);
+            time.map_or(0.0, |time| *time as f64 / TENTHS_PER_SECOND)
+        };
+        println!(
+            "{} zones left, by the record after {:.1} s in the median, {:.1} s at the 99th",
+            handled.len(),
+            percentile(50),
+            percentile(99)
+        );
+        (self.schedules, breaches.len())
+    }
+}
--- /dev/null
+++ b/crates/linenthread-drill/src/zones_simulation/traffic.rs
@@ -0,0 +1,155 @@
+//! The traffic between zones, and what coordinators observe of it.
+
+use linenthread_core::interface::{AttemptOutcome, TenthMillis};
+use linenthread_zones::{Demand, Report, RouteStats, loads};
+
+use super::STEP_SECONDS;
+use super::world::World;
+
+/// The factor by which a slow zone is slower.
+const SLOWDOWN: f64 = 6.0;
+/// One step in twenty is a burst, with so many times the usual demand.
+const BURST: f64 = 1.3;
+const BURST_EVERY: u64 = 20;
+/// The share of requests that fail at any time.
+const USUAL_FAILURES: f64 = 0.05;
+/// A utilization above this lengthens queues no further.
+const MAX_QUEUED_UTILIZATION: f64 = 0.9;
+/// The most outcomes that a coordinator observes on a route in a step.
+const MAX_OUTCOMES: u32 = 400;
+/// Above this mean a Poisson number is drawn by its normal approximation.
+const MAX_EXACT_MEAN: f64 = 30.0;
+/// The most factors of an exact Poisson draw.
+const MAX_POISSON: u32 = 200;
+/// Replicas are numbered from here in each zone.
+const REPLICAS_PER_ZONE: usize = 100;
+const TENTHS_PER_MS: f64 = 10.0;
+
+impl World {
+    fn poisson(&mut self, mean: f64) -> u32 {
+        if mean > MAX_EXACT_MEAN {
+            let normal: f64 = (0..12).map(|_| self.rng.rand_float()).sum::<f64>() - 6.0;
+            return (mean + normal * mean.sqrt()).max(0.0) as u32;
+        }
+        let (mut number, limit) = (0, (-mean).exp());
+        let mut product = self.rng.rand_float();
+        while product > limit && number < MAX_POISSON {
+            product *= self.rng.rand_float();
+            number += 1;
+        }
+        number
+    }
+
+    /// One step of traffic, as all coordinators observe it.
+    pub(super) fn run_traffic(&mut self) {
+        let zones = self.topology.zones.len();
+        let coordinators_per_zone = (self.coordinators.len() / zones) as f64;
+        let burst = if self.rng.rand_range(0..BURST_EVERY) == 0 {
+            BURST
+        } else {
+            1.0
+        };
+        // Where requests truly go: each coordinator acts on the table that it has.
+        let mut load = vec![0.0; zones];
+        let mut flows = Vec::new();
+        for coordinator in &self.coordinators {
+            let zone = coordinator.zone;
+            let mut demand = vec![0.0; zones];
+            demand[zone] = self.demand[zone] / coordinators_per_zone * burst;
+            let flow = loads(&self.topology, &demand, &coordinator.table.rows)[zone].clone();
+            for (load, flow) in load.iter_mut().zip(&flow) {
+                *load += flow;
+            }
+            flows.push(flow);
+        }
+        for (index, flow) in flows.iter().enumerate() {
+            let demand = self.demand[self.coordinators[index].zone];
+            let mean = demand / coordinators_per_zone * STEP_SECONDS * burst;
+            let sub_requests = self.poisson(mean);
+            self.coordinators[index]
+                .observer
+                .on_query(sub_requests as usize);
+            for to in 0..zones {
+                self.observe(index, to, flow[to], load[to]);
+            }
+        }
+    }
+
+    /// One coordinator's requests to a zone, `flow` a second of the zone's whole `load`.
+    fn observe(&mut self, coordinator: usize, to: usize, flow: f64, load: f64) {
+        let completed = self.poisson(flow * STEP_SECONDS).min(MAX_OUTCOMES);
+        let slowdown = if self.fault_is_active && self.fault.is_slow(to) {
+            SLOWDOWN
+        } else {
+            1.0
+        };
+        let utilization = load / (self.capacity[to] / slowdown);
+        // More fail where too much arrives.
+        let failures = if self.is_broken(coordinator, to) {
+            1.0
+        } else {
+            USUAL_FAILURES + (1.0 - 1.0 / utilization.max(1.0))
+        };
+        let queueing = 1.0 / (1.0 - utilization.min(MAX_QUEUED_UTILIZATION));
+        let latency_ms = self.service_ms * queueing * slowdown;
+        for _ in 0..completed {
+            let outcome = if self.rng.rand_float() < failures {
+                [AttemptOutcome::ConnectionLost, AttemptOutcome::TimedOut]
+                    [self.rng.rand_range(0..2) as usize]
+            } else {
+                AttemptOutcome::Success
+            };
+            let elapsed = latency_ms * (0.5 + self.rng.rand_float()) * TENTHS_PER_MS;
+            let replicas = self.topology.replicas[to].into();
+            let replica = REPLICAS_PER_ZONE * to + self.rng.rand_range(0..replicas) as usize;
+            self.coordinators[coordinator].observer.on_outcome(
+                to as u8,
+                replica,
+                outcome,
+                elapsed as TenthMillis,
+            );
+        }
+    }
+
+    /// What arrives of all coordinators' reports: some are lost on the way, those of a lost zone all.
+    pub(super) fn collect_reports(&mut self) -> Report {
+        let mut sum = Report::default();
+        for coordinator in &mut self.coordinators {
+            let report = coordinator.observer.report(&self.topology.replicas);
+            let is_cut_off = self.fault_is_active && self.fault.cuts_off(coordinator.zone);
+            if !is_cut_off && self.rng.rand_range(0..10) > 0 {
+                sum.add(&report);
+            }
+        }
+        sum
+    }
+
+    /// A report of any content.
+    pub(super) fn hostile_report(&mut self) -> Report {
+        let mut report = Report::default();
+        let count = self.topology.zones.len() as u64;
+        for _ in 0..self.rng.rand_range(0..12) {
+            let zones = (
+                self.rng.rand_range(0..count) as u8,
+                self.rng.rand_range(0..count) as u8,
+            );
+            let observers = self.rng.rand_range(0..9) as u32;
+            let completed = self.rng.rand_range(0..1_000) as u32;
+            let stats = RouteStats {
+                observers,
+                down: (self.rng.rand_range(0..2) as u32) * observers,
+                slow: (self.rng.rand_range(0..2) as u32) * observers,
+                completed,
+                succeeded: self.rng.rand_range(0..u64::from(completed) + 1) as u32,
+                latency_sum_ms: self.rng.rand_range(0..100_000),
+            };
+            report.routes.insert(zones, stats);
+            let demand = Demand {
+                observers: 3,
+                sub_requests: self.rng.rand_range(0..5_000) as u32,
+            };
+            report.demand.insert(zones.0, demand);
+        }
+        Report::decode(&report.encode()).expect("a report of ours")
+    }
+}
