--- a/crates/linenthread-drill/src/record.rs
+++ b/crates/linenthread-drill/src/record.rs
@@ -498,7 +498,7 @@
                 let (at, number) = w.ends[side];
                 if self.at.get(&(at, number)) == Some(&wire) {
                     self.tell(at, |fleet, now, to| {
-                        fleet.on_received(now, number, &bytes, to)
+                        fleet.on_received(now, number, &bytes, to);
                     });
                 }
             }
--- a/crates/linenthread-node/tests/fault_scenarios.rs
+++ b/crates/linenthread-node/tests/fault_scenarios.rs
@@ -3,7 +3,7 @@
 
 use std::path::Path;
 
-use linenthread_demo::rounds::{Scale, Scenario};
+use linenthread_demo::scenarios::{Scale, Scenario};
 use oorandom::Rand64;
 
 /// Runs a scenario once and reports every rule that did not hold.
@@ -11,9 +11,9 @@
     let program = Path::new(env!("CARGO_BIN_EXE_linenthread-node"));
     let mut random = Rand64::new(u128::from(seed));
     let found = scenario
-        .play(program, &Scale::BRIEF, &mut random)
+        .run(program, &Scale::BRIEF, &mut random)
         .expect("a cluster");
-    let breaches: Vec<String> = found.breaches.iter().map(ToString::to_string).collect();
+    let breaches: Vec<String> = found.violations.iter().map(ToString::to_string).collect();
     assert!(
         breaches.is_empty(),
         "{}\n{}",
@@ -26,25 +26,25 @@
 /// Point 1: a control node that was frozen sends no old configuration and decides no order by old state.
 #[test]
 fn a_node_frozen_past_every_lease_answers_nothing_from_old_state() {
-    holds(Scenario::FrozenNode, 1);
+    holds(Scenario::PausedNode, 1);
 }
 
 /// Point 1: a control node without a majority confirms and rejects nothing, and traffic continues.
 #[test]
 fn a_node_without_quorum_confirms_nothing_and_traffic_continues() {
-    holds(Scenario::Minority, 2);
+    holds(Scenario::LostQuorum, 2);
 }
 
 /// Point 2: of two orders of one revision one is committed and the other rejected, by every node, also after restarts.
 #[test]
 fn of_two_orders_of_one_revision_one_is_committed() {
-    holds(Scenario::TwoOperators, 3);
+    holds(Scenario::ConflictingOrders, 3);
 }
 
 /// Point 2: an order that is sent again after a lost response, a hundred orders later, is not rejected.
 #[test]
 fn an_order_that_is_sent_again_after_many_others_is_not_rejected() {
-    holds(Scenario::LateRepeat, 4);
+    holds(Scenario::LateRetry, 4);
 }
 
 /// Point 3: a second loss right after a planned replacement leaves a majority, and nothing is lost.
@@ -74,5 +74,5 @@
 /// Point 5: no response goes to the wrong client, and what must not be repeated runs at most once.
 #[test]
 fn invalid_responses_of_replicas_reach_no_client() {
-    holds(Scenario::WrongAnswers, 9);
+    holds(Scenario::FaultyReplicas, 9);
 }
--- a/crates/linenthread-node/tests/system.rs
+++ b/crates/linenthread-node/tests/system.rs
@@ -17,29 +17,29 @@
     let mut cluster = Cluster::new(Path::new(env!("CARGO_BIN_EXE_linenthread-node"))).unwrap();
     cluster.start(controls, fronts).unwrap();
     for n in 1..=controls {
-        assert!(cluster.wait_for(
+        assert!(cluster.wait_for_line(
             &format!("control-{n}"),
             &["event=control_listening"],
             LOG_TIMEOUT
         ));
     }
     for service in SERVICES {
-        cluster.serve(service, 2).unwrap();
+        cluster.start_replicas(service, 2).unwrap();
     }
     assert_eq!(cluster.configure(0, 1, &SERVICES).unwrap().status, 200);
     for n in 1..=fronts {
-        assert!(cluster.wait_for(
-            &format!("front-{n}"),
+        assert!(cluster.wait_for_line(
+            &format!("ingress-{n}"),
             &["event=configuration_applied", "revision=1"],
             LOG_TIMEOUT
         ));
-        assert!(cluster.wait_for(
-            &format!("front-{n}"),
+        assert!(cluster.wait_for_line(
+            &format!("ingress-{n}"),
             &["event=configuration_confirmed"],
             LOG_TIMEOUT
         ));
-        assert!(cluster.wait_for(
-            &format!("front-{n}"),
+        assert!(cluster.wait_for_line(
+            &format!("ingress-{n}"),
             &["event=replicas_updated", "available=6"],
             LOG_TIMEOUT
         ));
@@ -68,7 +68,7 @@
     name: &str,
 ) -> Option<linenthread_ctl::Response> {
     (0..200).find_map(|n| {
-        let reply = cluster.ask(front, path, &format!("{name}-{n}")).ok()?;
+        let reply = cluster.query(front, path, &format!("{name}-{n}")).ok()?;
         (reply.status == 200 && reply.head.header("x-missing-parts") == Some("0")).then_some(reply)
     })
 }
@@ -77,7 +77,7 @@
 fn a_query_is_merged_and_every_sub_request_ran_where_it_was_sent() {
     let cluster = cluster(3, 1);
     let reply =
-        complete_response(&cluster, "front-1", "/all/x?y=1", "a").expect("a complete response");
+        complete_response(&cluster, "ingress-1", "/all/x?y=1", "a").expect("a complete response");
     assert_eq!(reply.body, expected("/all/x?y=1"));
     let attempt = reply.head.header("x-attempt-id").unwrap().to_owned();
     let seals = reply.head.header("x-part-seals").unwrap();
@@ -87,14 +87,14 @@
         .collect();
     assert_eq!(services, BTreeSet::from(SERVICES));
     let ran = |r: &linenthread_demo::Replica| {
-        r.ran()
+        r.received()
             .iter()
             .any(|r| r.attempt == attempt && r.path == "/all/x?y=1")
     };
     for seal in seals.split(", ") {
         let ident = seal.split('.').nth(1).unwrap();
         assert!(
-            cluster.replicas.iter().any(|r| r.ident == ident && ran(r)),
+            cluster.replicas.iter().any(|r| r.id == ident && ran(r)),
             "{seal}"
         );
     }
@@ -103,9 +103,9 @@
 #[test]
 fn a_crashed_replica_costs_no_response() {
     let mut cluster = cluster(3, 1);
-    complete_response(&cluster, "front-1", "/all/x", "a").expect("a complete response");
+    complete_response(&cluster, "ingress-1", "/all/x", "a").expect("a complete response");
     cluster.replicas[0].crash();
-    let reply = complete_response(&cluster, "front-1", "/all/y", "b")
+    let reply = complete_response(&cluster, "ingress-1", "/all/y", "b")
         .expect("a complete response from the others");
     assert_eq!(reply.body, expected("/all/y"));
 }
@@ -114,17 +114,17 @@
 fn a_control_node_that_lost_its_disk_votes_under_its_new_id_and_nothing_is_lost() {
     let mut cluster = cluster(3, 1);
     cluster.kill("control-1");
-    cluster.wipe("control-1").unwrap();
+    cluster.erase_disk("control-1").unwrap();
     assert_eq!(cluster.configure(1, 4, &SERVICES).unwrap().status, 200);
-    cluster.forget("control-2");
-    cluster.run("control-1").unwrap();
-    assert!(cluster.wait_for(
+    cluster.forget_lines("control-2");
+    cluster.start_process("control-1").unwrap();
+    assert!(cluster.wait_for_line(
         "control-1",
         &["event=control_started", "empty=true", "first=false"],
         LOG_TIMEOUT
     ));
     // The replacement of the voter is a value of its own, which the new node learns.
-    assert!(cluster.wait_for(
+    assert!(cluster.wait_for_line(
         "control-1",
         &["event=value_decided", "number=3", "revision=4"],
         LOG_TIMEOUT
@@ -132,8 +132,8 @@
     // Now another may be lost: the new node and the third are a majority.
     cluster.kill("control-2");
     assert_eq!(cluster.configure(4, 9, &SERVICES).unwrap().status, 200);
-    assert!(cluster.wait_for(
-        "front-1",
+    assert!(cluster.wait_for_line(
+        "ingress-1",
         &["event=configuration_applied", "revision=9"],
         LOG_TIMEOUT
     ));
@@ -146,15 +146,15 @@
         cluster.kill(node);
     }
     // The ingress node goes on with what it has.
-    assert!(complete_response(&cluster, "front-1", "/all/z", "a").is_some());
+    assert!(complete_response(&cluster, "ingress-1", "/all/z", "a").is_some());
     for node in ["control-1", "control-2", "control-3"] {
-        cluster.run(node).unwrap();
+        cluster.start_process(node).unwrap();
     }
     for node in ["control-1", "control-2", "control-3"] {
-        assert!(cluster.wait_for(node, &["event=control_listening"], LOG_TIMEOUT));
+        assert!(cluster.wait_for_line(node, &["event=control_listening"], LOG_TIMEOUT));
     }
     let client = linenthread_ctl::Client {
-        addresses: cluster.control(),
+        addresses: cluster.control_addresses(),
         timeout: Duration::from_secs(2),
     };
     let read = (0..200).find_map(|_| {
@@ -171,8 +171,8 @@
 #[test]
 fn an_ingress_node_that_shuts_down_answers_what_it_has_read_and_exits_cleanly() {
     let mut cluster = cluster(1, 1);
-    complete_response(&cluster, "front-1", "/all/x", "a").expect("a complete response");
-    let ingress = cluster.ingress("front-1").unwrap();
+    complete_response(&cluster, "ingress-1", "/all/x", "a").expect("a complete response");
+    let ingress = cluster.ingress_address("ingress-1").unwrap();
     let mut open = TcpStream::connect(ingress).unwrap();
     let mut idle = TcpStream::connect(ingress).unwrap();
     let request = |a: &str| {
@@ -184,7 +184,7 @@
     let text = request("half");
     open.write_all(&text.as_bytes()[..20]).unwrap();
     let shutdown = std::thread::spawn(move || {
-        let exited_cleanly = cluster.end("front-1");
+        let exited_cleanly = cluster.shut_down("ingress-1");
         (cluster, exited_cleanly)
     });
     open.write_all(&text.as_bytes()[20..]).unwrap();
@@ -204,7 +204,7 @@
 #[test]
 fn invalid_input_is_rejected_and_harms_nothing() {
     let mut cluster = cluster(1, 1);
-    complete_response(&cluster, "front-1", "/all/x", "a").expect("a complete response");
+    complete_response(&cluster, "ingress-1", "/all/x", "a").expect("a complete response");
     let host = "Host: index.example\r\nX-Remaining-Ms: 900\r\n";
     let front = [
         ("\0\0\0\r\n\r\n".to_owned(), "400"),
@@ -272,7 +272,10 @@
             "404",
         ),
     ];
-    let (ingress, calls) = (cluster.ingress("front-1").unwrap(), cluster.control()[0]);
+    let (ingress, calls) = (
+        cluster.ingress_address("ingress-1").unwrap(),
+        cluster.control_addresses()[0],
+    );
     for (peer, cases) in [(ingress, &front[..]), (calls, &control[..])] {
         for (sent, status) in cases {
             let mut stream = TcpStream::connect(peer).unwrap();
@@ -298,24 +301,24 @@
         let mut rest = Vec::new();
         let _ = stream.read_to_end(&mut rest);
     }
-    assert!(cluster.wait_for("front-1", &["event=input_rejected", "peer="], LOG_TIMEOUT));
-    assert!(cluster.wait_for(
+    assert!(cluster.wait_for_line("ingress-1", &["event=input_rejected", "peer="], LOG_TIMEOUT));
+    assert!(cluster.wait_for_line(
         "control-1",
         &["event=input_rejected", "taking a call"],
         LOG_TIMEOUT
     ));
-    assert!(cluster.wait_for(
+    assert!(cluster.wait_for_line(
         "control-1",
         &["event=connection_closed", "frame"],
         LOG_TIMEOUT
     ));
-    assert!(cluster.runs("front-1") && cluster.runs("control-1"));
-    assert!(complete_response(&cluster, "front-1", "/all/after", "z").is_some());
+    assert!(cluster.is_running("ingress-1") && cluster.is_running("control-1"));
+    assert!(complete_response(&cluster, "ingress-1", "/all/after", "z").is_some());
     // Nothing of it ran anywhere.
     assert!(
         cluster
             .replicas
             .iter()
-            .all(|r| r.ran().iter().all(|ran| ran.attempt != "q"))
+            .all(|r| r.received().iter().all(|ran| ran.attempt != "q"))
     );
 }
--- a/crates/linenthread-service/src/fleet.rs
+++ b/crates/linenthread-service/src/fleet.rs
@@ -273,7 +273,7 @@
         let terms = FleetConfig {
             local: own,
             voters,
-            expected_members: expected_members,
+            expected_members,
             probe_interval: tenths(probe_interval),
         };
         let mut to = Vec::new();
@@ -404,10 +404,10 @@
                 FleetAction::Datagram { to, bytes } => drop(self.0.udp.try_send_to(&bytes, to)),
                 FleetAction::Committed(agreed) => self.agreed(agreed),
                 FleetAction::MemberUp(who) => {
-                    info!(member = who.name, zone = who.zone, "a member is there")
+                    info!(member = who.name, zone = who.zone, "a member is there");
                 }
                 FleetAction::MemberDown(who) => {
-                    warn!(member = who.name, zone = who.zone, "a member is gone")
+                    warn!(member = who.name, zone = who.zone, "a member is gone");
                 }
                 FleetAction::Report { from, bytes } => self.reported(&from, bytes),
                 FleetAction::LogConnection(line) => {
--- a/crates/linenthread-service/src/near.rs
+++ b/crates/linenthread-service/src/near.rs
@@ -172,8 +172,8 @@
             };
             let row = self.table.as_ref().and_then(|t| t.rows.get(self.own));
             let open = row
-                .and_then(|row| row.routes.get(zone))
-                .map_or(ALL_KEYS, |route| route.share);
+                .and_then(|row| row.open.get(zone))
+                .map_or(ALL, |(share, _)| *share);
             ZoneRoute {
                 id: hash_id(name),
                 distance,
--- a/crates/linenthread-service/src/operator.rs
+++ b/crates/linenthread-service/src/operator.rs
@@ -137,8 +137,8 @@
         .for_each(|to| text += &format!("  {to:>width$}"));
     for (from, row) in table.zones.iter().zip(&table.rows) {
         text += &format!("\n{from:width$}");
-        for route in &row.routes {
-            let word = format!("{} {}", route.share, route.reason);
+        for (share, reason) in &row.open {
+            let word = format!("{share} {reason:?}").to_lowercase();
             text += &format!("  {word:>width$}");
         }
     }
@@ -162,7 +162,8 @@
     let fleet = read
         .fleet
         .ok_or_else(|| format!("{}: there is no <fleet>", file.display()))?;
-    let secrets = Secrets::new(own::secrets(&fleet.secret_files)?)?;
+    let secrets =
+        Secrets::new(own::secrets(&fleet.secret_files)?).map_err(|error| error.to_string())?;
     let own = NodeIdentity::unknown(&format!("operator-{}", std::process::id()), fleet.address);
     let voters = fleet
         .voters
