--- a/crates/linenthread-service/src/desk.rs
+++ b/crates/linenthread-service/src/desk.rs
@@ -12,7 +12,7 @@
 use linenthread_core::{Coordinator, DecisionSink};
 use linenthread_link::{Member, routing};
 use linenthread_protocol::{hash_id, membership};
-use linenthread_zones::{Ground, Report, Table};
+use linenthread_zones::{Report, RoutingTable, Topology};
 use tokio::sync::{Notify, mpsc};
 use tokio::time::sleep_until;
 use tracing::{info, warn};
@@ -457,7 +457,7 @@
     }
 
     /// All act on this table from now on; whether this program does.
-    pub(crate) fn take_table(&self, table: Table) -> bool {
+    pub(crate) fn take_table(&self, table: RoutingTable) -> bool {
         let now = self.0.clock.now();
         let taken = self
             .0
@@ -473,7 +473,7 @@
     }
 
     /// What was seen of zones since the last time, and what there is.
-    pub(crate) fn seen(&self) -> Option<(Report, Ground)> {
+    pub(crate) fn seen(&self) -> Option<(Report, Topology)> {
         let now = self.0.clock.now();
         if self.0.state.borrow_mut().near.as_mut()?.ends(now) {
             warn!("no word of the table for its life: all ways are open again, the nearest first");
--- a/crates/linenthread-service/src/fleet.rs
+++ b/crates/linenthread-service/src/fleet.rs
@@ -14,7 +14,7 @@
 use linenthread_frames::{DecodeError, Decoder, Encoder, Secrets};
 use linenthread_installation as file;
 use linenthread_store::Directory;
-use linenthread_zones::{Decider, Ground, Report, Table, Terms, Zone};
+use linenthread_zones::{FailoverConfig, FailoverController, Report, RoutingTable, Topology, Zone};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream, UdpSocket};
 use tokio::signal::unix::{SignalKind, signal};
@@ -90,13 +90,13 @@
 /// What the thread is told.
 pub(crate) enum ToFleet {
     /// What was seen here since the last time, and what there is.
-    Seen(Report, Ground),
+    Seen(Report, Topology),
     Leave,
 }
 
 /// What it tells.
 pub(crate) enum FromFleet {
-    Table { number: u64, table: Table },
+    Table { number: u64, table: RoutingTable },
 }
 
 /// What is needed to take part.
@@ -127,7 +127,7 @@
     let zone = |z: &file::Zone| Zone {
         name: z.name.clone(),
         region: z.region.clone(),
-        room: z.replica_capacity.map(f64::from),
+        replica_capacity: z.replica_capacity.map(f64::from),
     };
     zones.zones.iter().map(zone).collect()
 }
@@ -213,8 +213,8 @@
     seen_lines: Sparing,
     // What is decided on zones, where there are any.
     seen: RefCell<Report>,
-    ground: RefCell<Option<Ground>>,
-    decider: RefCell<Option<Decider>>,
+    ground: RefCell<Option<Topology>>,
+    decider: RefCell<Option<FailoverController>>,
     /// Orders that wait for who leads, which this program is.
     orders: RefCell<Vec<Vec<u8>>>,
     told_at: Cell<TenthMillis>,
@@ -550,7 +550,7 @@
         }: CommittedValue,
     ) {
         match topic.as_str() {
-            TABLE => match Table::decode(&value) {
+            TABLE => match RoutingTable::decode(&value) {
                 Ok(table) => drop(self.0.from.send(FromFleet::Table { number, table })),
                 Err(why) => warn!("a table that cannot be read was agreed on: {why}"),
             },
@@ -643,28 +643,30 @@
             let value = fleet.table().value(TABLE);
             (
                 value.map_or(0, |(n, _)| n),
-                value.and_then(|(_, v)| Table::decode(v).ok()),
+                value.and_then(|(_, v)| RoutingTable::decode(v).ok()),
             )
         };
-        let terms = Terms {
-            margin: f64::from(zones.max_utilization) / 1_000.0,
+        let terms = FailoverConfig {
+            capacity_margin: f64::from(zones.max_utilization) / 1_000.0,
             hold: tenths(zones.min_evacuation),
-            longest_hold: tenths(zones.max_evacuation),
-            step: tenths(zones.return_step),
+            max_hold: tenths(zones.max_evacuation),
+            return_step: tenths(zones.return_step),
         };
         let mut decider = self.0.decider.borrow_mut();
-        let decider = decider
-            .get_or_insert_with(|| Decider::new(terms, ground.zones.clone(), before.as_ref(), now));
+        let decider = decider.get_or_insert_with(|| {
+            FailoverController::new(terms, ground.zones.clone(), before.as_ref(), now)
+        });
         let seen = self.0.seen.take();
-        let against = |(_, way): &(&(u8, u8), &linenthread_zones::Way)| way.down + way.slow > 0;
-        let against: Vec<_> = seen.ways.iter().filter(against).collect();
+        let against =
+            |(_, way): &(&(u8, u8), &linenthread_zones::RouteStats)| way.down + way.slow > 0;
+        let against: Vec<_> = seen.routes.iter().filter(against).collect();
         if !against.is_empty()
             && let Some(left_out) = self.0.seen_lines.line()
         {
-            info!(?against, observers = ?seen.asked, left_out, "seen against zones");
+            info!(?against, observers = ?seen.demand, left_out, "seen against zones");
         }
-        decider.hear(&seen);
-        decider.drained(&self.orders().1.drained, now);
+        decider.add_report(&seen);
+        decider.set_drained(&self.orders().1.drained, now);
         // A moment ahead, so that all have it by then.
         let from_ms = unix_ms() + 300;
         let mut table = decider.decide(now, from_ms, &ground);
@@ -674,7 +676,10 @@
         }
         if let Some(table) = table {
             self.0.proposed_at.set(now);
-            if before.as_ref().is_none_or(|before| table.moves(before)) {
+            if before
+                .as_ref()
+                .is_none_or(|before| table.routes_differently(before))
+            {
                 info!(number = number + 1, rows = ?table.rows, "proposes a table");
             }
             let value = table.encode();
@@ -687,7 +692,7 @@
     }
 
     /// Carries out an operator's order, or says why not.
-    fn order(&self, ground: &Ground, orders: &mut Orders, bytes: &[u8]) {
+    fn order(&self, ground: &Topology, orders: &mut Orders, bytes: &[u8]) {
         let mut take = Decoder::new(bytes);
         let read = (|| Ok::<_, DecodeError>((take.u64()?, take.text()?, take.flag()?)))();
         let Ok((number, zone, drain)) = read else {
--- a/crates/linenthread-service/src/near.rs
+++ b/crates/linenthread-service/src/near.rs
@@ -7,7 +7,7 @@
     AttemptOutcome, MembershipEntry, MembershipUpdate, Phase, ShardLayout, TenthMillis, ZoneRoute,
 };
 use linenthread_protocol::hash_id;
-use linenthread_zones::{ALL, Ground, Pattern, Report, Table, Watch, Zone};
+use linenthread_zones::{ALL_KEYS, Placement, Report, RoutingTable, Topology, Zone, ZoneObserver};
 
 /// Nearer than a site that the operators' file does not name, farther than one it does.
 const UNNAMED: u8 = 3;
@@ -21,10 +21,10 @@
     layout: ShardLayout,
     /// Shards of the layout.
     shards: usize,
-    watch: Watch,
+    watch: ZoneObserver,
     listed: BTreeMap<usize, MembershipEntry>,
     known: BTreeMap<usize, (u64, Option<TenthMillis>)>,
-    table: Option<Table>,
+    table: Option<RoutingTable>,
     /// Until then the table is acted on without further word of it.
     until: TenthMillis,
     life: TenthMillis,
@@ -43,7 +43,7 @@
         let own = zones.iter().position(|z| z.name == own).unwrap_or_default();
         Near {
             sites: sites.iter().map(zone).collect(),
-            watch: Watch::new(own as u8),
+            watch: ZoneObserver::new(own as u8),
             zones,
             own,
             layout,
@@ -73,11 +73,11 @@
                 .insert(entry.replica, (entry.id, entry.started_at))
                 != Some((entry.id, entry.started_at))
             {
-                self.watch.gone(entry.replica);
+                self.watch.on_replica_removed(entry.replica);
             }
             match entry.phase {
                 Phase::Removed => {
-                    self.watch.gone(entry.replica);
+                    self.watch.on_replica_removed(entry.replica);
                     self.listed.remove(&entry.replica);
                 }
                 _ => drop(self.listed.insert(entry.replica, entry.clone())),
@@ -90,17 +90,17 @@
     }
 
     pub(crate) fn asked(&mut self, parts: usize) {
-        self.watch.asked(parts);
+        self.watch.on_query(parts);
     }
 
     pub(crate) fn ended(&mut self, replica: usize, ending: AttemptOutcome, took: TenthMillis) {
         if let Some(zone) = self.zone(replica) {
-            self.watch.ended(zone as u8, replica, ending, took);
+            self.watch.on_outcome(zone as u8, replica, ending, took);
         }
     }
 
     /// What was seen since the last time, and what there is.
-    pub(crate) fn report(&mut self) -> (Report, Ground) {
+    pub(crate) fn report(&mut self) -> (Report, Topology) {
         let count = self.zones.len();
         let mut replicas = vec![0; count];
         // By cell, replicas that take parts, by zone.
@@ -125,20 +125,23 @@
         }
         let patterns = patterns
             .into_iter()
-            .map(|(holders, share)| Pattern { holders, share })
+            .map(|(holders, share)| Placement {
+                replicas: holders,
+                share,
+            })
             .collect();
         (
             self.watch.report(&replicas),
-            Ground {
+            Topology {
                 zones: self.zones.clone(),
                 replicas,
-                patterns,
+                placements: patterns,
             },
         )
     }
 
     /// Acts on a table from now on. One of other zones than this program's file has is not acted on.
-    pub(crate) fn take(&mut self, table: Table, now: TenthMillis) -> bool {
+    pub(crate) fn take(&mut self, table: RoutingTable, now: TenthMillis) -> bool {
         let same = table.zones.iter().eq(self.zones.iter().map(|z| &z.name));
         if same {
             self.table = Some(table);
@@ -159,7 +162,7 @@
                 return ZoneRoute {
                     id: hash_id(name),
                     distance: UNNAMED,
-                    open_per_mille: ALL,
+                    open_per_mille: ALL_KEYS,
                 };
             };
             let distance = match (
@@ -172,8 +175,8 @@
             };
             let row = self.table.as_ref().and_then(|t| t.rows.get(self.own));
             let open = row
-                .and_then(|row| row.open.get(zone))
-                .map_or(ALL, |(share, _)| *share);
+                .and_then(|row| row.routes.get(zone))
+                .map_or(ALL_KEYS, |route| route.share);
             ZoneRoute {
                 id: hash_id(name),
                 distance,
--- a/crates/linenthread-service/src/operator.rs
+++ b/crates/linenthread-service/src/operator.rs
@@ -11,7 +11,7 @@
 use linenthread_frames::Secrets;
 use linenthread_installation::Installation;
 use linenthread_store::Directory;
-use linenthread_zones::Table;
+use linenthread_zones::RoutingTable;
 
 use crate::fleet::{ORDERS, Orders, TABLE, order};
 use crate::own;
@@ -119,7 +119,7 @@
     let Some((number, value)) = line.fleet.table().value(TABLE) else {
         return "no table was agreed on yet: all ways are open, the nearest first".into();
     };
-    let Ok(table) = Table::decode(value) else {
+    let Ok(table) = RoutingTable::decode(value) else {
         return "the table cannot be read by this version".into();
     };
     let mut text = format!("table {number}; keys of a thousand to which each way is open\n");
@@ -137,8 +137,8 @@
         .for_each(|to| text += &format!("  {to:>width$}"));
     for (from, row) in table.zones.iter().zip(&table.rows) {
         text += &format!("\n{from:width$}");
-        for (share, reason) in &row.open {
-            let word = format!("{share} {reason:?}").to_lowercase();
+        for route in &row.routes {
+            let word = format!("{} {}", route.share, route.reason);
             text += &format!("  {word:>width$}");
         }
     }
--- a/crates/linenthread-service/src/serve.rs
+++ b/crates/linenthread-service/src/serve.rs
@@ -272,7 +272,7 @@
                 Some(FromFleet::Table { number, table }) = told.recv() => {
                     // From the moment on that it states; clocks that are apart are not waited for.
                     let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis();
-                    let wait = u128::from(table.from_ms).saturating_sub(unix).min(1_000) as u64;
+                    let wait = u128::from(table.valid_from_ms).saturating_sub(unix).min(1_000) as u64;
                     sleep(Duration::from_millis(wait)).await;
                     let rows = table.rows.clone();
                     if desk.take_table(table) {
--- a/crates/linenthread-stand-ins/src/rig.rs
+++ b/crates/linenthread-stand-ins/src/rig.rs
@@ -430,8 +430,9 @@
     /// Waits until a process acts on a table by which a pair of zones is cut, whichever of the two was heard.
     pub fn awaited_cut(&self, n: usize, from: usize, (a, b): (usize, usize)) -> String {
         self.awaited(n, from, "a table with a pair of zones cut", &|line| {
-            let shut =
-                |way| cell(line, way).is_some_and(|(share, reason)| share == 0 && reason == "Cut");
+            let shut = |way| {
+                cell(line, way).is_some_and(|(share, reason)| share == 0 && reason == "Partitioned")
+            };
             line.contains("acts on a table") && (shut((a, b)) || shut((b, a)))
         })
     }
@@ -633,10 +634,11 @@
 
 /// The share and the reason of one way in a line that shows a table's rows.
 fn cell(line: &str, (from, to): (usize, usize)) -> Option<(u16, String)> {
-    let rows = line.split("Row { open: [").skip(1);
+    let rows = line.split("Row { routes: [").skip(1);
     let row = rows.into_iter().nth(from)?;
-    let cell = row.split(')').nth(to)?;
-    let (share, reason) = cell.rsplit('(').next()?.split_once(", ")?;
+    let route = row.split("Route { share: ").nth(to + 1)?;
+    let (share, reason) = route.split_once(", reason: ")?;
+    let (reason, _) = reason.split_once(' ')?;
     Some((share.parse().ok()?, reason.to_owned()))
 }
 
--- a/crates/linenthread-stand-ins/src/scenarios.rs
+++ b/crates/linenthread-stand-ins/src/scenarios.rs
@@ -134,7 +134,7 @@
     for &zone in &rest {
         for n in rig.co_ordinators(zone) {
             rig.acts(n, from[n], (zone, lost), |share, reason| {
-                share == 0 && reason == "Down"
+                share == 0 && reason == "ZoneDown"
             });
         }
     }
@@ -156,7 +156,7 @@
             n,
             from[n].min(rig.said(n)),
             (zone, lost),
-            |share, reason| share == 1_000 && reason == "Sound",
+            |share, reason| share == 1_000 && reason == "Healthy",
         );
     }
     rig.whole_again(&[0, 1, 2], 20);
@@ -183,7 +183,7 @@
     rig.net.heal();
     let from: Vec<usize> = rig.all().iter().map(|&n| rig.said(n)).collect();
     rig.acts(n, from[n], (a, b), |share, reason| {
-        share == 1_000 && reason == "Sound"
+        share == 1_000 && reason == "Healthy"
     });
     rig.whole_again(&[0, 1, 2], 20);
     rig
@@ -299,7 +299,7 @@
     let output = rig.operator(1, &["return", "messina"]);
     assert!(output.status.success(), "{}", said(&output));
     rig.acts(0, from, (0, 2), |share, reason| {
-        share == 1_000 && reason == "Sound"
+        share == 1_000 && reason == "Healthy"
     });
     rig.whole_again(&[0, 1, 2], 20);
     rig
