--- a/crates/linenthread-link/src/frame/call.rs
+++ b/crates/linenthread-link/src/frame/call.rs
@@ -3,6 +3,7 @@
 use linenthread_core::interface::AttemptOutcome;
 use linenthread_frames::{Decoder, Encoder};
 
+use super::error::{FrameError, UnknownOutcomeSnafu};
 use crate::id::{CallNumber, ProbeId};
 
 /// Bytes that a call counts against the credit beside its texts, for its record at the server.
@@ -43,26 +44,26 @@
 }
 
 impl CallRequest {
-    pub(super) fn encode(&self, put: &mut Encoder) {
-        put.u64(self.number.0);
-        put.u32(self.remaining_ms);
-        put.text(&self.call.replica);
-        put.text(&self.call.query);
-        put.u32(self.call.shard);
-        put.u32(self.call.continuation);
-        put.long_text(&self.call.text);
+    pub(super) fn encode(&self, encoder: &mut Encoder) {
+        encoder.u64(self.number.0);
+        encoder.u32(self.remaining_ms);
+        encoder.text(&self.call.replica);
+        encoder.text(&self.call.query);
+        encoder.u32(self.call.shard);
+        encoder.u32(self.call.continuation);
+        encoder.long_text(&self.call.text);
     }
 
-    pub(super) fn decode(take: &mut Decoder<'_>) -> Result<CallRequest, String> {
+    pub(super) fn decode(decoder: &mut Decoder<'_>) -> Result<CallRequest, FrameError> {
         Ok(CallRequest {
-            number: CallNumber(take.u64()?),
-            remaining_ms: take.u32()?,
+            number: CallNumber(decoder.u64()?),
+            remaining_ms: decoder.u32()?,
             call: Call {
-                replica: take.text()?,
-                query: take.text()?,
-                shard: take.u32()?,
-                continuation: take.u32()?,
-                text: take.long_text()?,
+                replica: decoder.text()?,
+                query: decoder.text()?,
+                shard: decoder.u32()?,
+                continuation: decoder.u32()?,
+                text: decoder.long_text()?,
             },
         })
     }
@@ -82,19 +83,19 @@
 }
 
 impl CallOutcome {
-    pub(super) fn encode(&self, put: &mut Encoder) {
-        put.u64(self.number.0);
-        put.u8(outcome_code(self.outcome));
-        put.optional_f64(self.queue_depth);
-        put.long_text(&self.value);
+    pub(super) fn encode(&self, encoder: &mut Encoder) {
+        encoder.u64(self.number.0);
+        encoder.u8(outcome_code(self.outcome));
+        encoder.optional_f64(self.queue_depth);
+        encoder.long_text(&self.value);
     }
 
-    pub(super) fn decode(take: &mut Decoder<'_>) -> Result<CallOutcome, String> {
+    pub(super) fn decode(decoder: &mut Decoder<'_>) -> Result<CallOutcome, FrameError> {
         Ok(CallOutcome {
-            number: CallNumber(take.u64()?),
-            outcome: decode_outcome(take)?,
-            queue_depth: take.optional_f64()?,
-            value: take.long_text()?,
+            number: CallNumber(decoder.u64()?),
+            outcome: decode_outcome(decoder)?,
+            queue_depth: decoder.optional_f64()?,
+            value: decoder.long_text()?,
         })
     }
 }
@@ -111,17 +112,17 @@
 }
 
 impl ProbeOutcome {
-    pub(super) fn encode(&self, put: &mut Encoder) {
-        put.u64(self.id.0);
-        put.u8(outcome_code(self.outcome));
-        put.optional_f64(self.queue_depth);
+    pub(super) fn encode(&self, encoder: &mut Encoder) {
+        encoder.u64(self.id.0);
+        encoder.u8(outcome_code(self.outcome));
+        encoder.optional_f64(self.queue_depth);
     }
 
-    pub(super) fn decode(take: &mut Decoder<'_>) -> Result<ProbeOutcome, String> {
+    pub(super) fn decode(decoder: &mut Decoder<'_>) -> Result<ProbeOutcome, FrameError> {
         Ok(ProbeOutcome {
-            id: ProbeId(take.u64()?),
-            outcome: decode_outcome(take)?,
-            queue_depth: take.optional_f64()?,
+            id: ProbeId(decoder.u64()?),
+            outcome: decode_outcome(decoder)?,
+            queue_depth: decoder.optional_f64()?,
         })
     }
 }
@@ -140,8 +141,8 @@
     }
 }
 
-fn decode_outcome(take: &mut Decoder<'_>) -> Result<AttemptOutcome, String> {
-    Ok(match take.u8()? {
+fn decode_outcome(decoder: &mut Decoder<'_>) -> Result<AttemptOutcome, FrameError> {
+    Ok(match decoder.u8()? {
         0 => AttemptOutcome::Success,
         1 => AttemptOutcome::Error,
         2 => AttemptOutcome::Rejected,
@@ -150,6 +151,6 @@
         5 => AttemptOutcome::ConnectionLost,
         6 => AttemptOutcome::Cancelled,
         7 => AttemptOutcome::NotSent,
-        code => return Err(format!("an ending cannot be {code}")),
+        code => return UnknownOutcomeSnafu { code }.fail(),
     })
 }
--- a/crates/linenthread-link/src/frame/handshake.rs
+++ b/crates/linenthread-link/src/frame/handshake.rs
@@ -2,9 +2,9 @@
 //!
 //! Each end proves that it knows a shared secret by an HMAC over the other's nonce and its own frame.
 
-use linenthread_frames::{Decoder, Encoder, Nonce, Proof, ProofDomain, Secrets};
+use linenthread_frames::{Decoder, Encoder, Nonce, Proof, ProofDomain, Secrets, without_proof};
 
-use super::Frame;
+use super::{Frame, FrameError};
 use crate::id::{CallNumber, SessionId};
 
 /// Names the end that proves: the proof of one end is not valid for the other. These bytes go into the HMAC.
@@ -62,42 +62,43 @@
 }
 
 impl Challenge {
-    pub(super) fn encode(&self, put: &mut Encoder) {
-        put.raw([self.min_version, self.max_version]);
-        put.raw(self.nonce);
-        put.text(&self.name);
+    pub(super) fn encode(&self, encoder: &mut Encoder) {
+        encoder.u8(self.min_version);
+        encoder.u8(self.max_version);
+        encoder.raw(self.nonce);
+        encoder.text(&self.name);
     }
 
-    pub(super) fn decode(take: &mut Decoder<'_>) -> Result<Challenge, String> {
+    pub(super) fn decode(decoder: &mut Decoder<'_>) -> Result<Challenge, FrameError> {
         Ok(Challenge {
-            min_version: take.u8()?,
-            max_version: take.u8()?,
-            nonce: take.array()?,
-            name: take.text()?,
+            min_version: decoder.u8()?,
+            max_version: decoder.u8()?,
+            nonce: decoder.array()?,
+            name: decoder.text()?,
         })
     }
 }
 
 impl Hello {
-    pub(super) fn encode(&self, put: &mut Encoder) {
-        put.u8(self.version);
-        put.text(&self.name);
-        put.raw(self.nonce);
-        put.u64(self.session.0);
-        put.u64(self.attempt);
-        put.u64(self.epoch);
-        put.raw(self.proof);
+    pub(super) fn encode(&self, encoder: &mut Encoder) {
+        encoder.u8(self.version);
+        encoder.text(&self.name);
+        encoder.raw(self.nonce);
+        encoder.u64(self.session.0);
+        encoder.u64(self.attempt);
+        encoder.u64(self.epoch);
+        encoder.raw(self.proof);
     }
 
-    pub(super) fn decode(take: &mut Decoder<'_>) -> Result<Hello, String> {
+    pub(super) fn decode(decoder: &mut Decoder<'_>) -> Result<Hello, FrameError> {
         Ok(Hello {
-            version: take.u8()?,
-            name: take.text()?,
-            nonce: take.array()?,
-            session: SessionId(take.u64()?),
-            attempt: take.u64()?,
-            epoch: take.u64()?,
-            proof: take.array()?,
+            version: decoder.u8()?,
+            name: decoder.text()?,
+            nonce: decoder.array()?,
+            session: SessionId(decoder.u64()?),
+            attempt: decoder.u64()?,
+            epoch: decoder.u64()?,
+            proof: decoder.array()?,
         })
     }
 
@@ -115,21 +116,21 @@
 }
 
 impl Welcome {
-    pub(super) fn encode(&self, put: &mut Encoder) {
-        put.u64(self.epoch);
-        put.u8(self.resumed.into());
-        put.u64(self.last_call.0);
-        put.u64(self.received_bytes);
-        put.raw(self.proof);
+    pub(super) fn encode(&self, encoder: &mut Encoder) {
+        encoder.u64(self.epoch);
+        encoder.flag(self.resumed);
+        encoder.u64(self.last_call.0);
+        encoder.u64(self.received_bytes);
+        encoder.raw(self.proof);
     }
 
-    pub(super) fn decode(take: &mut Decoder<'_>) -> Result<Welcome, String> {
+    pub(super) fn decode(decoder: &mut Decoder<'_>) -> Result<Welcome, FrameError> {
         Ok(Welcome {
-            epoch: take.u64()?,
-            resumed: take.flag()?,
-            last_call: CallNumber(take.u64()?),
-            received_bytes: take.u64()?,
-            proof: take.array()?,
+            epoch: decoder.u64()?,
+            resumed: decoder.flag()?,
+            last_call: CallNumber(decoder.u64()?),
+            received_bytes: decoder.u64()?,
+            proof: decoder.array()?,
         })
     }
 
@@ -150,7 +151,5 @@
 
 /// What a hello or a welcome is proven over: its encoding without the proof, which is its last field.
 fn transcript(frame: &Frame) -> Vec<u8> {
-    let mut bytes = frame.encode();
-    bytes.truncate(bytes.len() - size_of::<Proof>());
-    bytes
+    without_proof(frame.encode())
 }
--- a/crates/linenthread-link/src/frame/member.rs
+++ b/crates/linenthread-link/src/frame/member.rs
@@ -4,6 +4,7 @@
 use linenthread_frames::{Decoder, Encoder};
 
 use super::MAX_MEMBERS;
+use super::error::{FrameError, TooManyMembersSnafu, UnknownPhaseSnafu};
 
 /// The longest replica id or zone name in bytes.
 const MAX_NAME_BYTES: usize = 128;
@@ -38,23 +39,23 @@
             && usize::try_from(self.replica_group).is_ok_and(|group| group < replica_groups)
     }
 
-    fn encode(&self, put: &mut Encoder) {
-        put.text(&self.id);
-        put.text(&self.zone);
-        put.u32(self.replica_group);
-        put.u8(phase_code(self.phase));
-        put.u32(self.age_ms.unwrap_or(AGE_UNKNOWN));
-        put.u16(self.slow_start_share);
+    fn encode(&self, encoder: &mut Encoder) {
+        encoder.text(&self.id);
+        encoder.text(&self.zone);
+        encoder.u32(self.replica_group);
+        encoder.u8(phase_code(self.phase));
+        encoder.u32(self.age_ms.unwrap_or(AGE_UNKNOWN));
+        encoder.u16(self.slow_start_share);
     }
 
-    fn decode(take: &mut Decoder<'_>) -> Result<Member, String> {
+    fn decode(decoder: &mut Decoder<'_>) -> Result<Member, FrameError> {
         Ok(Member {
-            id: take.text()?,
-            zone: take.text()?,
-            replica_group: take.u32()?,
-            phase: decode_phase(take)?,
-            age_ms: Some(take.u32()?).filter(|age| *age != AGE_UNKNOWN),
-            slow_start_share: take.u16()?.min(MAX_SHARE),
+            id: decoder.text()?,
+            zone: decoder.text()?,
+            replica_group: decoder.u32()?,
+            phase: decode_phase(decoder)?,
+            age_ms: Some(decoder.u32()?).filter(|age| *age != AGE_UNKNOWN),
+            slow_start_share: decoder.u16()?.min(MAX_SHARE),
         })
     }
 }
@@ -71,24 +72,24 @@
 }
 
 impl MembersUpdate {
-    pub(super) fn encode(&self, put: &mut Encoder) {
+    pub(super) fn encode(&self, encoder: &mut Encoder) {
         let members = self.members.get(..MAX_MEMBERS).unwrap_or(&self.members);
-        put.u64(self.revision);
-        put.u8(self.complete.into());
-        put.u16(u16::try_from(members.len()).unwrap_or(u16::MAX));
+        encoder.u64(self.revision);
+        encoder.flag(self.complete);
+        encoder.u16(u16::try_from(members.len()).unwrap_or(u16::MAX));
         for member in members {
-            member.encode(put);
+            member.encode(encoder);
         }
     }
 
-    pub(super) fn decode(take: &mut Decoder<'_>) -> Result<MembersUpdate, String> {
-        let (revision, complete, count) = (take.u64()?, take.flag()?, take.u16()?);
+    pub(super) fn decode(decoder: &mut Decoder<'_>) -> Result<MembersUpdate, FrameError> {
+        let (revision, complete, count) = (decoder.u64()?, decoder.flag()?, decoder.u16()?);
         if usize::from(count) > MAX_MEMBERS {
-            return Err(format!("a list cannot have {count} replicas"));
+            return TooManyMembersSnafu { count }.fail();
         }
         let members = (0..count)
-            .map(|_| Member::decode(take))
-            .collect::<Result<_, String>>()?;
+            .map(|_| Member::decode(decoder))
+            .collect::<Result<_, FrameError>>()?;
         Ok(MembersUpdate {
             revision,
             complete,
@@ -106,11 +107,11 @@
     }
 }
 
-fn decode_phase(take: &mut Decoder<'_>) -> Result<Phase, String> {
-    Ok(match take.u8()? {
+fn decode_phase(decoder: &mut Decoder<'_>) -> Result<Phase, FrameError> {
+    Ok(match decoder.u8()? {
         0 => Phase::Ready,
         1 => Phase::Draining,
         2 => Phase::Removed,
-        code => return Err(format!("a phase cannot be {code}")),
+        code => return UnknownPhaseSnafu { code }.fail(),
     })
 }
--- a/crates/linenthread-link/src/frame/mod.rs
+++ b/crates/linenthread-link/src/frame/mod.rs
@@ -6,6 +6,7 @@
 //! the tests compare with what is sent.
 
 mod call;
+mod error;
 mod handshake;
 mod member;
 
@@ -14,6 +15,8 @@
 use crate::id::{CallNumber, ProbeId};
 
 pub use call::{Call, CallOutcome, CallRequest, ProbeOutcome};
+pub use error::FrameError;
+use error::UnknownKindSnafu;
 pub use handshake::{Challenge, Hello, Welcome};
 pub use member::{Member, MembersUpdate};
 
@@ -110,9 +113,9 @@
 impl Frame {
     /// The encoded frame, its length first.
     pub fn encode(&self) -> Vec<u8> {
-        let mut put = Encoder::frame();
-        self.encode_fields(&mut put);
-        put.into_frame(self.kind())
+        let mut encoder = Encoder::frame();
+        self.encode_fields(&mut encoder);
+        encoder.into_frame(self.kind())
     }
 
     /// The first complete frame in what was read, and how many bytes it occupies; `None` if more must be read.
@@ -120,7 +123,7 @@
     /// # Errors
     ///
     /// The bytes cannot be a frame; the connection cannot be used further.
-    pub fn decode(read: &[u8]) -> Result<Option<(Frame, usize)>, String> {
+    pub fn decode(read: &[u8]) -> Result<Option<(Frame, usize)>, FrameError> {
         let Some((fields, length)) = frames::first_frame(read, MAX_FRAME_LENGTH)? else {
             return Ok(None);
         };
@@ -132,7 +135,7 @@
     /// # Errors
     ///
     /// The bytes cannot be a frame; those before it have been passed on.
-    pub fn drain(read: &mut Vec<u8>, mut receive: impl FnMut(Frame)) -> Result<(), String> {
+    pub fn drain(read: &mut Vec<u8>, mut receive: impl FnMut(Frame)) -> Result<(), FrameError> {
         frames::drain_frames(read, MAX_FRAME_LENGTH, |fields| {
             receive(Frame::decode_fields(fields)?);
             Ok(())
@@ -159,91 +162,81 @@
         }
     }
 
-    fn encode_fields(&self, put: &mut Encoder) {
+    fn encode_fields(&self, encoder: &mut Encoder) {
         match self {
-            Frame::Challenge(challenge) => challenge.encode(put),
-            Frame::Hello(hello) => hello.encode(put),
-            Frame::Welcome(welcome) => welcome.encode(put),
-            Frame::Refuse { reason } => put.text(reason),
-            Frame::Call(request) => request.encode(put),
-            Frame::Withdraw { number } => put.u64(number.0),
-            Frame::Outcome(outcome) => outcome.encode(put),
-            Frame::Ack { numbers } => encode_ack(numbers, put),
+            Frame::Challenge(challenge) => challenge.encode(encoder),
+            Frame::Hello(hello) => hello.encode(encoder),
+            Frame::Welcome(welcome) => welcome.encode(encoder),
+            Frame::Refuse { reason } => encoder.text(reason),
+            Frame::Call(request) => request.encode(encoder),
+            Frame::Withdraw { number } => encoder.u64(number.0),
+            Frame::Outcome(outcome) => outcome.encode(encoder),
+            Frame::Ack { numbers } => encode_ack(numbers, encoder),
             Frame::Credit(credit) => {
-                put.u64(credit.last_call.0);
-                put.u64(credit.bytes);
+                encoder.u64(credit.last_call.0);
+                encoder.u64(credit.bytes);
             }
-            Frame::Ping { sequence } | Frame::Pong { sequence } => put.u64(*sequence),
-            Frame::Members(update) => update.encode(put),
+            Frame::Ping { sequence } | Frame::Pong { sequence } => encoder.u64(*sequence),
+            Frame::Members(update) => update.encode(encoder),
             Frame::Probe { id, replica } => {
-                put.u64(id.0);
-                put.text(replica);
+                encoder.u64(id.0);
+                encoder.text(replica);
             }
-            Frame::Probed(outcome) => outcome.encode(put),
+            Frame::Probed(outcome) => outcome.encode(encoder),
             Frame::Goodbye => {}
         }
     }
 
-    fn decode_fields(fields: &[u8]) -> Result<Frame, String> {
-        let mut take = Decoder::new(fields);
-        let frame = match take.u8()? {
-            kind::CHALLENGE => Frame::Challenge(Challenge::decode(&mut take)?),
-            kind::HELLO => Frame::Hello(Hello::decode(&mut take)?),
-            kind::WELCOME => Frame::Welcome(Welcome::decode(&mut take)?),
+    fn decode_fields(fields: &[u8]) -> Result<Frame, FrameError> {
+        let mut decoder = Decoder::new(fields);
+        let frame = match decoder.u8()? {
+            kind::CHALLENGE => Frame::Challenge(Challenge::decode(&mut decoder)?),
+            kind::HELLO => Frame::Hello(Hello::decode(&mut decoder)?),
+            kind::WELCOME => Frame::Welcome(Welcome::decode(&mut decoder)?),
             kind::REFUSE => Frame::Refuse {
-                reason: take.text()?,
+                reason: decoder.text()?,
             },
-            kind::CALL => Frame::Call(CallRequest::decode(&mut take)?),
+            kind::CALL => Frame::Call(CallRequest::decode(&mut decoder)?),
             kind::WITHDRAW => Frame::Withdraw {
-                number: CallNumber(take.u64()?),
+                number: CallNumber(decoder.u64()?),
             },
-            kind::OUTCOME => Frame::Outcome(CallOutcome::decode(&mut take)?),
+            kind::OUTCOME => Frame::Outcome(CallOutcome::decode(&mut decoder)?),
             kind::ACK => Frame::Ack {
-                numbers: decode_ack(&mut take)?,
+                numbers: decode_ack(&mut decoder)?,
             },
             kind::CREDIT => Frame::Credit(Credit {
-                last_call: CallNumber(take.u64()?),
-                bytes: take.u64()?,
+                last_call: CallNumber(decoder.u64()?),
+                bytes: decoder.u64()?,
             }),
             kind::PING => Frame::Ping {
-                sequence: take.u64()?,
+                sequence: decoder.u64()?,
             },
             kind::PONG => Frame::Pong {
-                sequence: take.u64()?,
+                sequence: decoder.u64()?,
             },
-            kind::MEMBERS => Frame::Members(MembersUpdate::decode(&mut take)?),
+            kind::MEMBERS => Frame::Members(MembersUpdate::decode(&mut decoder)?),
             kind::PROBE => Frame::Probe {
-                id: ProbeId(take.u64()?),
-                replica: take.text()?,
+                id: ProbeId(decoder.u64()?),
+                replica: decoder.text()?,
             },
-            kind::PROBED => Frame::Probed(ProbeOutcome::decode(&mut take)?),
+            kind::PROBED => Frame::Probed(ProbeOutcome::decode(&mut decoder)?),
             kind::GOODBYE => Frame::Goodbye,
-            other => return Err(format!("a frame cannot have the kind {other}")),
+            kind => return UnknownKindSnafu { kind }.fail(),
         };
-        skip_options(&mut take)?;
+        decoder.skip_options()?;
         Ok(frame)
     }
 }
 
-fn encode_ack(numbers: &[CallNumber], put: &mut Encoder) {
+fn encode_ack(numbers: &[CallNumber], encoder: &mut Encoder) {
     let count = u16::try_from(numbers.len()).unwrap_or(u16::MAX);
-    put.u16(count);
+    encoder.u16(count);
     for number in numbers.iter().take(usize::from(count)) {
-        put.u64(number.0);
+        encoder.u64(number.0);
     }
 }
 
-fn decode_ack(take: &mut Decoder<'_>) -> Result<Vec<CallNumber>, DecodeError> {
-    let count = take.u16()?;
-    (0..count).map(|_| take.u64().map(CallNumber)).collect()
-}
-
-/// Options are for later versions: their form is checked, their content is unknown.
-fn skip_options(take: &mut Decoder<'_>) -> Result<(), String> {
-    while !take.is_empty() {
-        let _kind = take.u8()?;
-        let length = take.u16()?;
-        take.raw(length.into())?;
-    }
-    Ok(())
+fn decode_ack(decoder: &mut Decoder<'_>) -> Result<Vec<CallNumber>, DecodeError> {
+    let count = decoder.u16()?;
+    (0..count).map(|_| decoder.u64().map(CallNumber)).collect()
 }
--- a/crates/linenthread-link/src/lib.rs
+++ b/crates/linenthread-link/src/lib.rs
@@ -20,7 +20,7 @@
 mod server;
 
 pub use client::{ClientAction, ClientCloseReason, ClientConfig, LinkClient};
-pub use frame::{Call, Frame, Member};
+pub use frame::{Call, Frame, FrameError, Member};
 pub use id::{CallId, CallNumber, ConnectionId, ProbeId, SessionId};
 pub use linenthread_frames::Secrets;
 pub use server::{LinkServer, ServerAction, ServerCloseReason, ServerConfig};
