--- a/crates/linenthread-service/src/operator.rs
+++ b/crates/linenthread-service/src/operator.rs
@@ -11,7 +11,7 @@
 use linenthread_frames::Secrets;
 use linenthread_installation::Installation;
 use linenthread_store::Directory;
-use linenthread_zones::Table;
+use linenthread_zones::RoutingTable;
 
 use crate::fleet::{ORDERS, Orders, TABLE, order};
 use crate::own;
@@ -119,7 +119,7 @@
     let Some((number, value)) = line.fleet.table().value(TABLE) else {
         return "no table was agreed on yet: all ways are open, the nearest first".into();
     };
-    let Ok(table) = Table::decode(value) else {
+    let Ok(table) = RoutingTable::decode(value) else {
         return "the table cannot be read by this version".into();
     };
     let mut text = format!("table {number}; keys of a thousand to which each way is open\n");
@@ -162,7 +162,8 @@
     let fleet = read
         .fleet
         .ok_or_else(|| format!("{}: there is no <fleet>", file.display()))?;
-    let secrets = Secrets::new(own::secrets(&fleet.secret_files)?)?;
+    let secrets =
+        Secrets::new(own::secrets(&fleet.secret_files)?).map_err(|error| error.to_string())?;
     let own = NodeIdentity::unknown(&format!("operator-{}", std::process::id()), fleet.address);
     let voters = fleet
         .voters
