--- /dev/null
+++ b/crates/linenthread-drill/src/failover_simulation/coordinator.rs
@@ -0,0 +1,225 @@
+//! A coordinator: the decision module of the program, and what it is given.
+
+use std::collections::VecDeque;
+
+use linenthread_core::interface::{
+    CoordinatorConfig, Idempotency, IndexConfig, Inputs, Permissions, ShardLayout, SlowStart,
+    TenthMillis, ZoneRoute,
+};
+use linenthread_core::{Coordinator, DecisionSink};
+use linenthread_zones::{ALL_KEYS, FailoverController, Row, ZoneObserver};
+
+use super::event::AttemptIndex;
+use super::replica::{COLD_SPEED, WARM_UP};
+use super::{PER_ZONE, REPLICAS, SECOND, SOFT_DEADLINE, START, ZONES};
+
+/// The first zone's id; any number does.
+const FIRST_ZONE_ID: u64 = 77;
+
+/// A query that is in flight.
+pub(super) struct Query {
+    pub(super) soft_deadline: TenthMillis,
+    pub(super) attempts: Vec<AttemptIndex>,
+}
+
+pub(super) struct CoordinatorNode {
+    pub(super) zone: usize,
+    module: Coordinator,
+    /// What the module is given in its next step.
+    pub(super) inputs: Inputs,
+    pub(super) queries: Vec<Option<Query>>,
+    free_queries: Vec<usize>,
+    wake_at: TenthMillis,
+    pub(super) observer: ZoneObserver,
+    /// Its own controller, where each decides alone.
+    pub(super) controller: Option<FailoverController>,
+    /// Routes on their way, with the time of their arrival.
+    pub(super) arriving_routes: VecDeque<(TenthMillis, Vec<ZoneRoute>)>,
+}
+
+/// What the decision module requests in one step.
+#[derive(Default)]
+pub(super) struct Decisions {
+    pub(super) attempts: Vec<SendAttempt>,
+    pub(super) responded: Vec<usize>,
+    pub(super) released: Vec<usize>,
+    pub(super) cancelled: Vec<CancelAttempt>,
+    pub(super) health_checks: Vec<usize>,
+    wake_at: Option<TenthMillis>,
+}
+
+pub(super) struct SendAttempt {
+    pub(super) query: usize,
+    pub(super) sub_request: usize,
+    pub(super) replica: usize,
+    pub(super) timeout: TenthMillis,
+}
+
+pub(super) struct CancelAttempt {
+    pub(super) query: usize,
+    pub(super) sub_request: usize,
+    pub(super) number: usize,
+}
+
+impl DecisionSink for Decisions {
+    fn send(&mut self, query: usize, sub_request: usize, replica: usize, timeout: TenthMillis) {
+        self.attempts.push(SendAttempt {
+            query,
+            sub_request,
+            replica,
+            timeout,
+        });
+    }
+
+    fn cancel(&mut self, query: usize, sub_request: usize, number: usize) {
+        self.cancelled.push(CancelAttempt {
+            query,
+            sub_request,
+            number,
+        });
+    }
+
+    fn respond(&mut self, query: usize, _: bool) {
+        self.responded.push(query);
+    }
+
+    fn reject(&mut self, _: usize, _: Option<TenthMillis>) {}
+
+    fn fail(&mut self, _: usize) {}
+
+    fn release(&mut self, query: usize) {
+        self.released.push(query);
+    }
+
+    fn close_idle(&mut self, _: usize) {}
+
+    fn probe(&mut self, replica: usize) {
+        self.health_checks.push(replica);
+    }
+
+    fn watch_membership(&mut self) {}
+
+    fn wake_at(&mut self, at: TenthMillis) {
+        self.wake_at = Some(at);
+    }
+}
+
+impl CoordinatorNode {
+    pub(super) fn new(number: usize, seed: u64) -> CoordinatorNode {
+        let zone = number % ZONES;
+        let module_seed = seed.wrapping_mul(31) + number as u64;
+        CoordinatorNode {
+            zone,
+            module: Coordinator::new(config(number), module_seed),
+            inputs: Inputs::default(),
+            queries: Vec::new(),
+            free_queries: Vec::new(),
+            wake_at: START,
+            observer: ZoneObserver::new(zone as u8),
+            controller: None,
+            arriving_routes: VecDeque::new(),
+        }
+    }
+
+    /// An index for a new query.
+    pub(super) fn add_query(&mut self, query: Query) -> usize {
+        let index = self.free_queries.pop().unwrap_or_else(|| {
+            self.queries.push(None);
+            self.queries.len() - 1
+        });
+        self.queries[index] = Some(query);
+        index
+    }
+
+    pub(super) fn release_query(&mut self, index: usize) {
+        self.queries[index] = None;
+        self.free_queries.push(index);
+    }
+
+    pub(super) fn query(&self, index: usize) -> Option<&Query> {
+        self.queries.get(index)?.as_ref()
+    }
+
+    /// Whether the module has something to do.
+    pub(super) fn is_due(&self, now: TenthMillis) -> bool {
+        let inputs = &self.inputs;
+        let has_inputs = !(inputs.queries.is_empty()
+            && inputs.results.is_empty()
+            && inputs.probes.is_empty()
+            && inputs.membership.is_empty());
+        has_inputs || self.wake_at <= now || !self.arriving_routes.is_empty()
+    }
+
+    /// Runs the module on all that has arrived.
+    pub(super) fn step(&mut self, now: TenthMillis) -> Decisions {
+        while self
+            .arriving_routes
+            .front()
+            .is_some_and(|(at, _)| *at <= now)
+        {
+            let arrived = self.arriving_routes.pop_front();
+            self.inputs.zone_routes = arrived.map(|(_, routes)| routes);
+        }
+        let mut inputs = std::mem::take(&mut self.inputs);
+        inputs.now = now;
+        let mut decisions = Decisions::default();
+        self.module.step(&inputs, &mut decisions);
+        if let Some(wake_at) = decisions.wake_at {
+            self.wake_at = wake_at;
+        }
+        decisions
+    }
+}
+
+/// The routes of a zone as the module takes them; all open without a row.
+pub(super) fn zone_routes(local: usize, row: Option<&Row>) -> Vec<ZoneRoute> {
+    let route = |zone: usize| ZoneRoute {
+        id: FIRST_ZONE_ID + zone as u64,
+        distance: u8::from(zone != local),
+        open_per_mille: row.map_or(ALL_KEYS, |row| row.routes[zone].share),
+    };
+    (0..ZONES).map(route).collect()
+}
+
+fn config(number: usize) -> CoordinatorConfig {
+    let index = IndexConfig {
+        idempotency: Idempotency::Idempotent,
+        soft_deadline: SOFT_DEADLINE,
+        value: 1.0,
+        late_value_share: 0.0,
+        complete_share: 1.0,
+        min_share: 1.0,
+        partial_value: 0.0,
+        fetch_sub_requests: 0,
+    };
+    CoordinatorConfig {
+        coordinator_number: number,
+        coordinator_count: ZONES * PER_ZONE,
+        indexes: vec![index],
+        customer_quotas: Vec::new(),
+        over_quota_value: 0.1,
+        value_by_work: false,
+        layout: ShardLayout {
+            replica_groups: REPLICAS,
+            replication_factor: 2,
+        },
+        permissions: Permissions {
+            max_attempts: 3,
+            hedging: true,
+            cancellation: true,
+            health_probes: true,
+            max_retry_after: None,
+        },
+        slow_start: SlowStart {
+            initial_share: COLD_SPEED,
+            duration: WARM_UP,
+            budget_multiple: 2.0,
+            window: SECOND,
+        },
+        reports_queue: true,
+        short_queues: false,
+        drain_grace: 0,
+        retry_budget: None,
+        watch_membership: false,
+    }
+}
--- /dev/null
+++ b/crates/linenthread-drill/src/failover_simulation/replica.rs
@@ -0,0 +1,83 @@
+//! A replica with a queue, several cores and a cold start.
+
+use std::collections::VecDeque;
+
+use linenthread_core::interface::TenthMillis;
+
+use super::event::AttemptIndex;
+use super::{CORES, SECOND, SERVICE_TIME};
+
+/// A replica that starts is cold for so long.
+pub(super) const WARM_UP: TenthMillis = 10 * SECOND;
+/// The speed of a replica that has just started, as a part of a warm one's.
+pub(super) const COLD_SPEED: f64 = 0.2;
+/// A cold replica fails when it gets this many times what it can process, for a second.
+const MAX_OVERLOAD: f64 = 2.0;
+
+#[derive(Clone, Default)]
+pub(super) struct Replica {
+    pub(super) is_up: bool,
+    /// Rises with each stop.
+    pub(super) incarnation: u32,
+    /// When it started; `None` for long ago.
+    pub(super) started_at: Option<TenthMillis>,
+    pub(super) processing: Vec<AttemptIndex>,
+    pub(super) queue: VecDeque<AttemptIndex>,
+    /// When attempts of the last second arrived.
+    arrivals: VecDeque<TenthMillis>,
+    overloaded_since: Option<TenthMillis>,
+    has_failed: bool,
+}
+
+impl Replica {
+    pub(super) fn running() -> Replica {
+        Replica {
+            is_up: true,
+            ..Replica::default()
+        }
+    }
+
+    /// It starts again, cold.
+    pub(super) fn restart(&mut self, now: TenthMillis) {
+        *self = Replica {
+            started_at: Some(now),
+            incarnation: self.incarnation,
+            ..Replica::running()
+        };
+    }
+
+    /// It stops; the attempts that are lost with it.
+    pub(super) fn stop(&mut self) -> Vec<AttemptIndex> {
+        self.is_up = false;
+        self.incarnation += 1;
+        let processing = self.processing.drain(..);
+        processing.chain(self.queue.drain(..)).collect()
+    }
+
+    /// Its speed as a part of a warm replica's.
+    pub(super) fn warmth(&self, now: TenthMillis) -> f64 {
+        self.started_at.map_or(1.0, |started_at| {
+            let age = (now - started_at).max(0) as f64 / WARM_UP as f64;
+            (COLD_SPEED + (1.0 - COLD_SPEED) * age).min(1.0)
+        })
+    }
+
+    /// An attempt arrives while it runs at this speed. Whether the replica fails by that: a cold one does that gets
+    /// far too much for a second.
+    pub(super) fn fails_on_arrival(&mut self, now: TenthMillis, speed: f64) -> bool {
+        self.arrivals.push_back(now);
+        while self.arrivals.front().is_some_and(|at| *at < now - SECOND) {
+            self.arrivals.pop_front();
+        }
+        let bearable = MAX_OVERLOAD * speed * CORES as f64 / SERVICE_TIME * SECOND as f64;
+        let is_cold = self.started_at.is_some_and(|at| now - at < WARM_UP);
+        if !is_cold || self.arrivals.len() as f64 <= bearable {
+            self.overloaded_since = None;
+            return false;
+        }
+        let overloaded_since = *self.overloaded_since.get_or_insert(now);
+        let fails = now - overloaded_since >= SECOND && !self.has_failed;
+        self.has_failed |= fails;
+        fails
+    }
+}
--- /dev/null
+++ b/crates/linenthread-drill/src/failover_simulation/routing.rs
@@ -0,0 +1,169 @@
+//! The decisions on routes between zones, by each policy.
+
+use std::collections::BTreeMap;
+
+use linenthread_core::interface::TenthMillis;
+use linenthread_zones::{
+    FailoverConfig, FailoverController, Placement, Reason, Report, Route, RoutingTable, Topology,
+    Zone, limit_to_capacity,
+};
+
+use super::coordinator::zone_routes;
+use super::replica::Replica;
+use super::scenario::Policy;
+use super::world::World;
+use super::{
+    CORES, FAULT_START, PER_ZONE, REPLICAS, SECOND, SERVICE_TIME, SHARDS, START,
+    SUB_REQUESTS_PER_QUERY, ZONES,
+};
+
+/// Replicas of each shard.
+const COPIES: usize = 2;
+/// Without a leader nobody decides for so long.
+const LEADER_ELECTION: TenthMillis = 2 * SECOND;
+/// The part of its capacity up to which the true state fills a zone.
+const TRUE_STATE_MARGIN: f64 = 0.95;
+
+fn zone_names() -> Vec<String> {
+    ["palermo", "catania", "messina"]
+        .map(str::to_owned)
+        .to_vec()
+}
+
+pub(super) fn config() -> FailoverConfig {
+    FailoverConfig {
+        capacity_margin: 0.8,
+        hold: 5 * SECOND,
+        max_hold: 60 * SECOND,
+        return_step: 3 * SECOND,
+    }
+}
+
+/// Zones and shards, with the replicas that are up.
+pub(super) fn topology(replicas: &[Replica]) -> Topology {
+    let mut running = vec![0; ZONES];
+    for (index, replica) in replicas.iter().enumerate() {
+        running[index % ZONES] += u32::from(replica.is_up);
+    }
+    let mut shares: BTreeMap<Vec<u16>, f64> = BTreeMap::new();
+    for shard in 0..SHARDS {
+        let mut replicas = vec![0; ZONES];
+        for copy in 0..COPIES {
+            replicas[(shard + copy) % REPLICAS % ZONES] += 1;
+        }
+        *shares.entry(replicas).or_default() += 1.0 / SHARDS as f64;
+    }
+    let zone = |name: String| Zone {
+        name,
+        region: "sicily".into(),
+        replica_capacity: None,
+    };
+    let placement = |(replicas, share)| Placement { replicas, share };
+    Topology {
+        zones: zone_names().into_iter().map(zone).collect(),
+        replicas: running,
+        placements: shares.into_iter().map(placement).collect(),
+    }
+}
+
+impl World {
+    /// Collects reports and decides.
+    pub(super) fn decide(&mut self) {
+        let topology = topology(&self.replicas);
+        let report = self.collect_reports(&topology);
+        let table = match self.policy {
+            Policy::Common => self.decide_in_common(&report, &topology),
+            Policy::TrueState => Some(self.true_table(&topology)),
+            Policy::SelectionAlone | Policy::FixedPreference | Policy::EachAlone => None,
+        };
+        if let Some(table) = table {
+            self.distribute(&table);
+        }
+    }
+
+    /// The sum of all reports that arrive; each coordinator that decides alone does so on its own.
+    fn collect_reports(&mut self, topology: &Topology) -> Report {
+        let mut sum = Report::default();
+        for index in 0..self.coordinators.len() {
+            let node = &mut self.coordinators[index];
+            let report = node.observer.report(&topology.replicas);
+            if self.policy == Policy::EachAlone {
+                self.decide_alone(index, &report, topology);
+            }
+            if !self.is_lost(self.coordinators[index].zone) {
+                sum.add(&report);
+            }
+        }
+        sum
+    }
+
+    fn decide_alone(&mut self, index: usize, report: &Report, topology: &Topology) {
+        let now = self.now;
+        let node = &mut self.coordinators[index];
+        let controller = node.controller.get_or_insert_with(|| {
+            FailoverController::new(config(), topology.zones.clone(), None, now)
+        });
+        controller.add_report(report);
+        if let Some(table) = controller.decide(now, 0, topology) {
+            let routes = zone_routes(node.zone, table.rows.get(node.zone));
+            node.arriving_routes.push_back((now, routes));
+        }
+    }
+
+    fn decide_in_common(&mut self, report: &Report, topology: &Topology) -> Option<RoutingTable> {
+        self.pending_report.add(report);
+        let elected_at = START + FAULT_START + LEADER_ELECTION;
+        let has_no_leader =
+            self.fault_is_active && self.fault.loses_leader() && self.now < elected_at;
+        if has_no_leader {
+            return None;
+        }
+        let report = std::mem::take(&mut self.pending_report);
+        self.controller.add_report(&report);
+        self.controller.decide(self.now, 0, topology)
+    }
+
+    /// The table of one that knows what works and how fast.
+    fn true_table(&self, topology: &Topology) -> RoutingTable {
+        let mut table = RoutingTable::open(zone_names());
+        for (from, row) in table.rows.iter_mut().enumerate() {
+            for (to, route) in row.routes.iter_mut().enumerate() {
+                if self.is_lost(to) || self.is_partitioned(from, to) {
+                    *route = Route::closed(Reason::ZoneDown);
+                }
+            }
+        }
+        if self.fault_is_active || self.fault_has_ended {
+            let demand = self.query_rate * SUB_REQUESTS_PER_QUERY as f64 * PER_ZONE as f64;
+            let demand = vec![demand; ZONES];
+            let capacity: Vec<f64> = (0..ZONES).map(|zone| self.true_capacity(zone)).collect();
+            limit_to_capacity(topology, &demand, &capacity, &mut table.rows);
+        }
+        table
+    }
+
+    fn true_capacity(&self, zone: usize) -> f64 {
+        let of_zone = (0..REPLICAS).filter(|index| index % ZONES == zone);
+        let running = of_zone.filter(|index| self.replicas[*index].is_up);
+        running
+            .map(|index| TRUE_STATE_MARGIN * self.speed(index) * CORES as f64 / SERVICE_TIME)
+            .sum()
+    }
+
+    /// Sends a table to all coordinators.
+    fn distribute(&mut self, table: &RoutingTable) {
+        let closes = table.routes().any(|route| route.share == 0);
+        if closes && self.fault_is_active && self.totals.reaction_time.is_none() {
+            self.totals.reaction_time = Some(self.now - START - FAULT_START);
+        }
+        for node in &mut self.coordinators {
+            let lag = if self.policy == Policy::TrueState {
+                0
+            } else {
+                3_000 + self.rng.rand_range(0..1_000) as TenthMillis
+            };
+            let routes = zone_routes(node.zone, table.rows.get(node.zone));
+            node.arriving_routes.push_back((self.now + lag, routes));
+        }
+    }
+}
--- a/crates/linenthread-drill/src/main.rs
+++ b/crates/linenthread-drill/src/main.rs
@@ -7,7 +7,7 @@
 mod closed_output;
 mod commands;
 mod dataplane;
-mod failover;
+mod failover_simulation;
 mod fleet;
 mod fleet_simulation;
 mod link;
