--- a/crates/linenthread-service/src/carriers/link.rs
+++ b/crates/linenthread-service/src/carriers/link.rs
@@ -295,8 +295,8 @@
                     Ok(n) => {
                         read.extend_from_slice(&buffer[..n]);
                         let take = |frame| self.act(|near, now, to| near.on_frame(now, frame, to));
-                        if let Err(why) = Frame::drain(&mut read, take) {
-                            return why;
+                        if let Err(error) = Frame::drain(&mut read, take) {
+                            return error.to_string();
                         }
                     }
                     Err(e) => return e.to_string(),
--- a/crates/linenthread-service/src/fronts/link.rs
+++ b/crates/linenthread-service/src/fronts/link.rs
@@ -312,9 +312,10 @@
                     Ok(n) => {
                         read.extend_from_slice(&buffer[..n]);
                         let take = |frame| self.act(|far, now, to| far.on_frame(now, id, frame, to));
-                        if let Err(why) = Frame::drain(&mut read, take) {
-                            self.send(id, &Frame::Refuse { reason: why.clone() });
-                            connection.close.replace(Some(why));
+                        if let Err(error) = Frame::drain(&mut read, take) {
+                            let reason = error.to_string();
+                            self.send(id, &Frame::Refuse { reason: reason.clone() });
+                            connection.close.replace(Some(reason));
                         }
                     }
                     Err(e) => return e.to_string(),
