--- a/crates/linenthread-demo/src/scenarios/catch_up.rs
+++ b/crates/linenthread-demo/src/scenarios/catch_up.rs
@@ -2,13 +2,13 @@
 //! disk stays small, and with it and one other the system goes on.
 
 use std::net::SocketAddr;
-use std::path::Path;
 use std::time::{Duration, Instant};
 
 use oorandom::Rand64;
 
+use super::context::Context;
 use super::findings::Findings;
-use super::scale::{RECOVERY_TIMEOUT, Scale};
+use super::scale::RECOVERY_TIMEOUT;
 use super::setup::{SERVICES, describe, draw_one, start_cluster};
 use crate::client::{read_anywhere, read_at, replace_anywhere, replace_at};
 use crate::cluster::Cluster;
@@ -24,17 +24,13 @@
 /// Between two reads while it catches up.
 const READ_INTERVAL: Duration = Duration::from_millis(10);
 
-pub(super) fn run(
-    program: &Path,
-    scale: &Scale,
-    random: &mut Rand64,
-) -> Result<Findings, DemoError> {
+pub(super) fn run(context: &mut Context<'_>) -> Result<Findings, DemoError> {
     let mut findings = Findings::default();
-    let (mut cluster, first) = start_cluster(program)?;
-    let (absent, others) = draw_one(&cluster.control_names(), random);
+    let (mut cluster, first) = start_cluster(context.program)?;
+    let (absent, others) = draw_one(&cluster.control_names(), context.random);
     cluster.kill(&absent);
     let running = cluster.control_addresses_except(&[&absent]);
-    let Some(last) = send_changes(&mut findings, &running, first, scale.changes) else {
+    let Some(last) = send_changes(&mut findings, &running, first, context.scale.changes) else {
         return Ok(findings);
     };
     let largest = check_disks(&mut findings, &cluster, &others);
@@ -60,10 +56,10 @@
         "caught up after {elapsed:?}; disks: {bytes} bytes, the others {largest} at most"
     ));
 
-    let (lost, _) = draw_one(&others, random);
+    let (lost, _) = draw_one(&others, context.random);
     cluster.kill(&lost);
     let survivors = cluster.control_addresses_except(&[&lost]);
-    check_survivors(&mut findings, &survivors, peer, &last, random);
+    check_survivors(&mut findings, &survivors, peer, &last, context.random);
     Ok(findings)
 }
 
--- a/crates/linenthread-demo/src/scenarios/conflicting_orders.rs
+++ b/crates/linenthread-demo/src/scenarios/conflicting_orders.rs
@@ -2,14 +2,14 @@
 //! every node, also after a restart of all.
 
 use std::net::SocketAddr;
-use std::path::Path;
 use std::sync::Barrier;
 use std::time::Duration;
 
 use oorandom::Rand64;
 
+use super::context::Context;
 use super::findings::Findings;
-use super::scale::{RECOVERY_TIMEOUT, Scale};
+use super::scale::RECOVERY_TIMEOUT;
 use super::setup::{SERVICES, describe, draw_duration, draw_index, restart_all, start_cluster};
 use crate::client::{CALL_TIMEOUT, CallOutcome, replace_anywhere, replace_at};
 use crate::cluster::Cluster;
@@ -25,20 +25,16 @@
     rejected: Order,
 }
 
-pub(super) fn run(
-    program: &Path,
-    scale: &Scale,
-    random: &mut Rand64,
-) -> Result<Findings, DemoError> {
+pub(super) fn run(context: &mut Context<'_>) -> Result<Findings, DemoError> {
     let mut findings = Findings::default();
-    let (mut cluster, first) = start_cluster(program)?;
+    let (mut cluster, first) = start_cluster(context.program)?;
     let mut conflicts: Vec<Conflict> = Vec::new();
-    for number in 0..scale.conflicts {
+    for number in 0..context.scale.conflicts {
         let newest = conflicts.last().map_or(&first, |last| &last.committed);
         let base = newest.revision;
         let orders =
             [1, 2].map(|variant| Order::new(base, base + 1, &SERVICES, 2 * number + variant));
-        let Some(conflict) = send_both(&mut findings, &cluster, orders, random) else {
+        let Some(conflict) = send_both(&mut findings, &cluster, orders, context.random) else {
             return Ok(findings);
         };
         conflicts.push(conflict);
--- a/crates/linenthread-demo/src/scenarios/faulty_replicas.rs
+++ b/crates/linenthread-demo/src/scenarios/faulty_replicas.rs
@@ -3,20 +3,17 @@
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
-use std::path::Path;
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::Duration;
 
-use linenthread_ctl::Response;
-use oorandom::Rand64;
-
+use super::context::Context;
 use super::findings::Findings;
-use super::scale::Scale;
 use super::setup::{INGRESS, SERVICES, configure};
 use crate::client::query_at;
 use crate::cluster::Cluster;
 use crate::error::DemoError;
 use crate::replica::{Replica, ReplicaFaults, records};
+use linenthread_ctl::Response;
 
 /// Replicas of a service.
 const REPLICAS: usize = 3;
@@ -131,16 +128,12 @@
         .collect()
 }
 
-pub(super) fn run(
-    program: &Path,
-    scale: &Scale,
-    random: &mut Rand64,
-) -> Result<Findings, DemoError> {
+pub(super) fn run(context: &mut Context<'_>) -> Result<Findings, DemoError> {
     let mut findings = Findings::default();
-    let mut cluster = Cluster::new(program)?;
+    let mut cluster = Cluster::new(context.program)?;
     cluster.start(1, 1)?;
     let faults = ReplicaFaults::Drawn {
-        seed: random.rand_u64(),
+        seed: context.random.rand_u64(),
         share: FAULT_SHARE,
     };
     for service in SERVICES {
@@ -150,7 +143,7 @@
     let Some(ingress) = cluster.ingress_address(INGRESS) else {
         return Ok(findings);
     };
-    let outcomes = send_all(ingress, scale.requests);
+    let outcomes = send_all(ingress, context.scale.requests);
     check_responses(&mut findings, &outcomes);
     check_runs(&mut findings, &cluster, &outcomes);
     note_counts(&mut findings, &cluster, &outcomes);
--- a/crates/linenthread-demo/src/scenarios/late_retry.rs
+++ b/crates/linenthread-demo/src/scenarios/late_retry.rs
@@ -1,27 +1,20 @@
 //! Point 2: an order is sent again after many later ones, to every node, before and after a restart of all.
 
-use std::path::Path;
-
-use oorandom::Rand64;
-
+use super::context::Context;
 use super::findings::Findings;
-use super::scale::{RECOVERY_TIMEOUT, Scale};
+use super::scale::RECOVERY_TIMEOUT;
 use super::setup::{SERVICES, describe, draw_index, restart_all, start_cluster};
 use crate::client::{CALL_TIMEOUT, read_anywhere, replace_anywhere, replace_at};
 use crate::cluster::Cluster;
 use crate::error::DemoError;
 use crate::order::Order;
 
-pub(super) fn run(
-    program: &Path,
-    scale: &Scale,
-    random: &mut Rand64,
-) -> Result<Findings, DemoError> {
+pub(super) fn run(context: &mut Context<'_>) -> Result<Findings, DemoError> {
     let mut findings = Findings::default();
-    let (mut cluster, first) = start_cluster(program)?;
+    let (mut cluster, first) = start_cluster(context.program)?;
     let mut last = first.clone();
     let mut orders = vec![first];
-    for _ in 0..scale.later_orders {
+    for _ in 0..context.scale.later_orders {
         let order = last.next(&SERVICES);
         let outcome = replace_anywhere(&cluster.control_addresses(), &order, RECOVERY_TIMEOUT);
         findings.check(
@@ -35,7 +28,7 @@
         last = order.clone();
         orders.push(order);
     }
-    let drawn = draw_index(1, orders.len(), random);
+    let drawn = draw_index(1, orders.len(), context.random);
     let retries = [&orders[0], &orders[1], &orders[drawn], &last];
     check_retries(&mut findings, &cluster, &retries);
     restart_all(&mut cluster)?;
--- a/crates/linenthread-demo/src/scenarios/lost_quorum.rs
+++ b/crates/linenthread-demo/src/scenarios/lost_quorum.rs
@@ -2,14 +2,12 @@
 //! good, and says so soon; traffic goes on by the last configuration.
 
 use std::net::SocketAddr;
-use std::path::Path;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant};
 
-use oorandom::Rand64;
-
+use super::context::Context;
 use super::findings::Findings;
-use super::scale::{RECOVERY_TIMEOUT, Scale};
+use super::scale::RECOVERY_TIMEOUT;
 use super::setup::{INGRESS, SERVICES, describe, draw_one, start_cluster};
 use crate::client::{
     CallOutcome, drain_at, members_at, query_at, read_at, replace_anywhere, replace_at,
@@ -32,14 +30,10 @@
 /// At most one query in so many fails.
 const QUERIES_PER_FAILURE: usize = 20;
 
-pub(super) fn run(
-    program: &Path,
-    scale: &Scale,
-    random: &mut Rand64,
-) -> Result<Findings, DemoError> {
+pub(super) fn run(context: &mut Context<'_>) -> Result<Findings, DemoError> {
     let mut findings = Findings::default();
-    let (mut cluster, first) = start_cluster(program)?;
-    let (alone, others) = draw_one(&cluster.control_names(), random);
+    let (mut cluster, first) = start_cluster(context.program)?;
+    let (alone, others) = draw_one(&cluster.control_names(), context.random);
     let Some(ingress) = cluster.ingress_address(INGRESS) else {
         return Ok(findings);
     };
@@ -56,7 +50,7 @@
             &alone,
             &first,
             &second,
-            scale.pause,
+            context.scale.pause,
         );
         for other in &others {
             cluster.signal(other, Signal::Continue);
--- a/crates/linenthread-demo/src/scenarios/mod.rs
+++ b/crates/linenthread-demo/src/scenarios/mod.rs
@@ -5,6 +5,7 @@
 
 mod catch_up;
 mod conflicting_orders;
+mod context;
 mod faulty_replicas;
 mod findings;
 mod late_retry;
@@ -20,6 +21,7 @@
 use oorandom::Rand64;
 
 use crate::error::DemoError;
+use context::Context;
 use replacement::Loss;
 
 pub use findings::{Findings, Violation};
@@ -85,16 +87,21 @@
         scale: &Scale,
         random: &mut Rand64,
     ) -> Result<Findings, DemoError> {
+        let context = &mut Context {
+            program,
+            scale,
+            random,
+        };
         match self {
-            Scenario::PausedNode => paused_node::run(program, scale, random),
-            Scenario::LostQuorum => lost_quorum::run(program, scale, random),
-            Scenario::ConflictingOrders => conflicting_orders::run(program, scale, random),
-            Scenario::LateRetry => late_retry::run(program, scale, random),
-            Scenario::LossAfterReplacement => replacement::run(program, Loss::AfterEnd, random),
-            Scenario::LossDuringReplacement => replacement::run(program, Loss::AnyTime, random),
-            Scenario::RollingRestart => rolling_restart::run(program, random),
-            Scenario::CatchUp => catch_up::run(program, scale, random),
-            Scenario::FaultyReplicas => faulty_replicas::run(program, scale, random),
+            Scenario::PausedNode => paused_node::run(context),
+            Scenario::LostQuorum => lost_quorum::run(context),
+            Scenario::ConflictingOrders => conflicting_orders::run(context),
+            Scenario::LateRetry => late_retry::run(context),
+            Scenario::LossAfterReplacement => replacement::run(context, Loss::AfterEnd),
+            Scenario::LossDuringReplacement => replacement::run(context, Loss::AnyTime),
+            Scenario::RollingRestart => rolling_restart::run(context),
+            Scenario::CatchUp => catch_up::run(context),
+            Scenario::FaultyReplicas => faulty_replicas::run(context),
         }
     }
 }
--- a/crates/linenthread-demo/src/scenarios/paused_node.rs
+++ b/crates/linenthread-demo/src/scenarios/paused_node.rs
@@ -2,14 +2,12 @@
 //! When it resumes, calls wait on its sockets: it responds to none of them by its old state.
 
 use std::net::SocketAddr;
-use std::path::Path;
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-use oorandom::Rand64;
-
+use super::context::Context;
 use super::findings::Findings;
-use super::scale::{RECOVERY_TIMEOUT, Scale};
+use super::scale::RECOVERY_TIMEOUT;
 use super::setup::{INGRESS, SERVICES, describe, draw_one, start_cluster};
 use crate::client::{
     CallOutcome, drain_at, is_draining_at, read_anywhere, read_at, replace_anywhere, replace_at,
@@ -34,21 +32,17 @@
 /// What one of them came to.
 type CallThread = JoinHandle<(PendingCall, CallOutcome)>;
 
-pub(super) fn run(
-    program: &Path,
-    scale: &Scale,
-    random: &mut Rand64,
-) -> Result<Findings, DemoError> {
+pub(super) fn run(context: &mut Context<'_>) -> Result<Findings, DemoError> {
     let mut findings = Findings::default();
-    let (mut cluster, first) = start_cluster(program)?;
-    let (paused, _) = draw_one(&cluster.control_names(), random);
+    let (mut cluster, first) = start_cluster(context.program)?;
+    let (paused, _) = draw_one(&cluster.control_names(), context.random);
     let others = cluster.control_addresses_except(&[&paused]);
     let Some(peer) = cluster.control_address(&paused) else {
         return Ok(findings);
     };
 
     cluster.signal(&paused, Signal::Stop);
-    let resumes_at = Instant::now() + scale.pause;
+    let resumes_at = Instant::now() + context.scale.pause;
     let second = first.next(&SERVICES);
     let outcome = replace_anywhere(&others, &second, RECOVERY_TIMEOUT);
     findings.check(outcome.is(200), "the others acknowledge an order", || {
--- a/crates/linenthread-demo/src/scenarios/replacement.rs
+++ b/crates/linenthread-demo/src/scenarios/replacement.rs
@@ -2,11 +2,11 @@
 //! down. Right after its end, or at any moment before, another one is killed and its disk lost.
 
 use std::net::SocketAddr;
-use std::path::Path;
 use std::time::Duration;
 
 use oorandom::Rand64;
 
+use super::context::Context;
 use super::findings::Findings;
 use super::scale::RECOVERY_TIMEOUT;
 use super::setup::{
@@ -53,11 +53,11 @@
     staying: String,
 }
 
-pub(super) fn run(program: &Path, loss: Loss, random: &mut Rand64) -> Result<Findings, DemoError> {
+pub(super) fn run(context: &mut Context<'_>, loss: Loss) -> Result<Findings, DemoError> {
     let mut findings = Findings::default();
-    let (mut cluster, first) = start_cluster(program)?;
-    let (leaving, others) = draw_one(&cluster.control_names(), random);
-    let (lost, others) = draw_one(&others, random);
+    let (mut cluster, first) = start_cluster(context.program)?;
+    let (leaving, others) = draw_one(&cluster.control_names(), context.random);
+    let (lost, others) = draw_one(&others, context.random);
     let writer = Writer::start(cluster.control_addresses(), first, &SERVICES, PAUSE);
     let joined = cluster.add_control_node()?;
     writer.set_addresses(cluster.control_addresses());
@@ -74,7 +74,14 @@
         || nodes.joined.clone(),
     );
 
-    let survivors = replace_and_lose(&mut findings, &mut cluster, &nodes, &writer, loss, random)?;
+    let survivors = replace_and_lose(
+        &mut findings,
+        &mut cluster,
+        &nodes,
+        &writer,
+        loss,
+        context.random,
+    )?;
     let Some(report) = writer.stop() else {
         return Ok(findings);
     };
--- a/crates/linenthread-demo/src/scenarios/rolling_restart.rs
+++ b/crates/linenthread-demo/src/scenarios/rolling_restart.rs
@@ -1,10 +1,8 @@
 //! Point 3: all control nodes are restarted one after another in any order, as planned, while orders go on.
 
-use std::path::Path;
 use std::time::Duration;
 
-use oorandom::Rand64;
-
+use super::context::Context;
 use super::findings::Findings;
 use super::setup::{
     SERVICES, check_next_order, check_report, check_shutdown, draw_duration, draw_one,
@@ -21,15 +19,15 @@
 /// Between two orders.
 const PAUSE: Duration = Duration::from_millis(30);
 
-pub(super) fn run(program: &Path, random: &mut Rand64) -> Result<Findings, DemoError> {
+pub(super) fn run(context: &mut Context<'_>) -> Result<Findings, DemoError> {
     let mut findings = Findings::default();
-    let (mut cluster, first) = start_cluster(program)?;
+    let (mut cluster, first) = start_cluster(context.program)?;
     let writer = Writer::start(cluster.control_addresses(), first, &SERVICES, PAUSE);
     let mut remaining = cluster.control_names();
     while !remaining.is_empty() {
-        let (name, others) = draw_one(&remaining, random);
+        let (name, others) = draw_one(&remaining, context.random);
         remaining = others;
-        std::thread::sleep(draw_duration(MAX_DELAY, random));
+        std::thread::sleep(draw_duration(MAX_DELAY, context.random));
         cluster.signal(&name, Signal::Terminate);
         check_shutdown(&mut findings, &mut cluster, &name);
         cluster.start_process(&name)?;
--- a/crates/linenthread-drill/src/commands/link_bytes.rs
+++ b/crates/linenthread-drill/src/commands/link_bytes.rs
@@ -12,19 +12,19 @@
 pub(crate) struct Options {
     program: Option<PathBuf>,
     step: usize,
-    keep_ms: u64,
+    session_timeout_ms: u64,
     at_once: usize,
 }
 
 pub(super) fn parser() -> impl Parser<Options> {
     let program = arguments::program();
     let step = arguments::count("step", "Cut after every Nth byte", 1);
-    let keep_ms = long("keep")
+    let session_timeout_ms = long("keep")
         .help("Milliseconds for which a session outlives its connection; 10 is without resume")
         .argument("MS")
         .fallback(3_000);
     let at_once = arguments::count("at-once", "Pairs of sites at once", 4);
-    construct!(Options { program, step, keep_ms, at_once })
+    construct!(Options { program, step, session_timeout_ms, at_once })
         .to_options()
         .descr(
             "A lookup that may run only once between two sites on loopback, the link cut after each byte, in both \
@@ -37,7 +37,12 @@
 
 pub(super) fn run(options: &Options) -> ExitCode {
     let program = arguments::program_path(options.program.as_ref());
-    let verdict = cut_everywhere(&program, options.keep_ms, options.step, options.at_once);
+    let verdict = cut_everywhere(
+        &program,
+        options.session_timeout_ms,
+        options.step,
+        options.at_once,
+    );
     for breach in &verdict.breaches {
         println!("breach: {breach}");
     }
--- a/crates/linenthread-hollow/src/ingress.rs
+++ b/crates/linenthread-hollow/src/ingress.rs
@@ -11,6 +11,9 @@
 use crate::messages::{self, ChangeLogPosition, Summary};
 use crate::zones::Zone;
 
+/// What names of ingress nodes start with. Names are part of messages, whose bytes are measured: another length
+/// gives other figures than those recorded so far.
+const NAME_PREFIX: &str = "ingrs";
 /// Room for a heartbeat's frame.
 const HEARTBEAT_BYTES: usize = 64;
 
@@ -71,7 +74,7 @@
 impl IngressNode {
     pub(crate) fn new(number: usize, zone: Zone, incarnation: u64) -> IngressNode {
         IngressNode {
-            name: format!("front-{number:05}"),
+            name: format!("{NAME_PREFIX}-{number:05}"),
             zone,
             incarnation,
             session: None,
--- a/crates/linenthread-hollow/src/measure.rs
+++ b/crates/linenthread-hollow/src/measure.rs
@@ -17,7 +17,7 @@
     world.reset_costs();
     world.schedule_load();
     world.run_until(MEASURED_FROM + Duration::from_secs(scale.seconds));
-    let mut measurement = take(scale, &world);
+    let mut measurement = measurement_of(scale, &world);
     world.reset_costs();
     let joined = world.storm();
     measurement.snapshot = snapshot(&world, joined);
@@ -25,7 +25,8 @@
     measurement
 }
 
-fn take(scale: &Scale, world: &World) -> Measurement {
+/// What was measured until now.
+fn measurement_of(scale: &Scale, world: &World) -> Measurement {
     let newest = Measurement::newest_revision(scale);
     Measurement {
         scale: scale.clone(),
