--- a/crates/linenthread-drill/src/members.rs
+++ b/crates/linenthread-drill/src/members.rs
@@ -1,5 +1,6 @@
-//! What members cost: fleets of 10 and 100 in simulated time, all joining at once; datagrams, bytes and
-//! processor time a member, and how long it takes until all know all and until one that falls silent is gone for all.
+//! What membership costs: fleets of 10 and 100 members in simulated time that all join at once. Datagrams, bytes and
+//! processor time of each member, and how long it takes until all know all others and until one that falls silent is
+//! down for all.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -12,156 +13,202 @@
 
 const SECOND: TenthMillis = 10_000;
 const STEP: TenthMillis = 250;
+const LATENCY: TenthMillis = 10;
+const PORT: u16 = 7_500;
+/// The numbers of members that are measured.
+const SIZES: [usize; 2] = [10, 100];
+const SEEDS: usize = 3;
+const PROBE_INTERVAL: TenthMillis = 5_000;
+/// No size needs longer than this to agree on the members.
+const MAX_WAIT: TenthMillis = 120 * SECOND;
+/// After so long only the traffic that goes on for ever is left.
+const SETTLING_TIME: TenthMillis = 20 * SECOND;
+const MEASURED_SECONDS: TenthMillis = 10;
+/// How many steps pass between two checks.
+const STEPS_PER_CHECK: usize = 10;
+/// Seeds of different runs are this far apart.
+const SEED_STRIDE: u64 = 10_007;
 
-fn address(n: usize) -> SocketAddr {
-    ([127, (n >> 8) as u8 + 1, n as u8, 1], 7_500).into()
+fn name(member: usize) -> String {
+    format!("palermo-{member}")
 }
 
-fn number(address: SocketAddr) -> Option<usize> {
-    let SocketAddr::V4(v4) = address else {
+fn address(member: usize) -> SocketAddr {
+    ([127, (member >> 8) as u8 + 1, member as u8, 1], PORT).into()
+}
+
+/// The member of an address.
+fn member_at(address: SocketAddr) -> Option<usize> {
+    let SocketAddr::V4(address) = address else {
         return None;
     };
-    let [_, high, low, _] = v4.ip().octets();
+    let [_, high, low, _] = address.ip().octets();
     Some(usize::from(high.checked_sub(1)?) << 8 | usize::from(low))
 }
 
-/// A datagram on its way: when it is there, its number, to whom, and its bytes.
-type Mail = (TenthMillis, u64, usize, Vec<u8>);
+/// A datagram on its way; those of one moment arrive in the order in which they were sent.
+#[derive(PartialEq, Eq, PartialOrd, Ord)]
+struct Datagram {
+    arrives_at: TenthMillis,
+    number: u64,
+    to: usize,
+    bytes: Vec<u8>,
+}
 
-struct Fleet {
+struct Simulation {
     now: TenthMillis,
-    all: Vec<Option<Members>>,
-    mail: BinaryHeap<Reverse<Mail>>,
-    sent: u64,
+    /// None for one that has fallen silent.
+    members: Vec<Option<Members>>,
+    in_flight: BinaryHeap<Reverse<Datagram>>,
+    datagrams: u64,
     bytes: u64,
 }
 
-impl Fleet {
-    fn carry(&mut self, to: Vec<MembersAction>) {
-        for one in to {
-            if let MembersAction::Send { to, bytes } = one
-                && let Some(at) = number(to)
+impl Simulation {
+    fn new(count: usize, seed: u64) -> Simulation {
+        let secrets = Secrets::new(vec![b"a secret of some length".to_vec()]).expect("long enough");
+        let member = |number: usize| {
+            let seed = seed.wrapping_mul(SEED_STRIDE) + number as u64;
+            Some(Members::new(
+                config(number, count),
+                secrets.clone(),
+                seed,
+                0,
+            ))
+        };
+        Simulation {
+            now: 0,
+            members: (0..count).map(member).collect(),
+            in_flight: BinaryHeap::new(),
+            datagrams: 0,
+            bytes: 0,
+        }
+    }
+
+    fn send(&mut self, actions: Vec<MembersAction>) {
+        for action in actions {
+            if let MembersAction::Send { to, bytes } = action
+                && let Some(to) = member_at(to)
             {
-                self.sent += 1;
+                self.datagrams += 1;
                 self.bytes += bytes.len() as u64;
-                self.mail
-                    .push(Reverse((self.now + 10, self.sent, at, bytes)));
+                self.in_flight.push(Reverse(Datagram {
+                    arrives_at: self.now + LATENCY,
+                    number: self.datagrams,
+                    to,
+                    bytes,
+                }));
             }
         }
     }
 
     fn step(&mut self) {
         self.now += STEP;
-        let now = self.now;
-        while self.mail.peek().is_some_and(|Reverse((at, ..))| *at <= now) {
-            let Some(Reverse((_, _, at, bytes))) = self.mail.pop() else {
+        self.deliver();
+        for number in 0..self.members.len() {
+            let mut actions = Vec::new();
+            if let Some(member) = &mut self.members[number]
+                && member.wake_at() <= self.now
+            {
+                member.wake(self.now, &mut actions);
+            }
+            self.send(actions);
+        }
+    }
+
+    fn deliver(&mut self) {
+        let is_due = |datagram: &Reverse<Datagram>, now| datagram.0.arrives_at <= now;
+        while self
+            .in_flight
+            .peek()
+            .is_some_and(|next| is_due(next, self.now))
+        {
+            let Some(Reverse(datagram)) = self.in_flight.pop() else {
                 break;
             };
-            let mut to = Vec::new();
-            if let Some(Some(member)) = self.all.get_mut(at) {
-                member.on_datagram(now, &bytes, &mut to).ok();
+            let mut actions = Vec::new();
+            if let Some(Some(member)) = self.members.get_mut(datagram.to) {
+                // A datagram that is refused changes nothing.
+                let _ = member.on_datagram(self.now, &datagram.bytes, &mut actions);
             }
-            self.carry(to);
+            self.send(actions);
         }
-        for n in 0..self.all.len() {
-            let mut to = Vec::new();
-            if let Some(member) = self.all[n].as_mut().filter(|m| m.wake_at() <= now) {
-                member.wake(now, &mut to);
-            }
-            self.carry(to);
+    }
+
+    fn run_for(&mut self, duration: TenthMillis) {
+        let end = self.now + duration;
+        while self.now < end {
+            self.step();
         }
     }
 
-    fn until(&mut self, end: TenthMillis, known: usize) -> Option<TenthMillis> {
-        let began = self.now;
-        while self.now < began + end {
-            for _ in 0..10 {
+    /// How long it takes until each member knows so many others; `None` if it takes too long.
+    fn run_until_known(&mut self, others: usize) -> Option<TenthMillis> {
+        let started_at = self.now;
+        while self.now < started_at + MAX_WAIT {
+            for _ in 0..STEPS_PER_CHECK {
                 self.step();
             }
-            if self
-                .all
-                .iter()
-                .flatten()
-                .all(|m| m.alive().count() == known)
-            {
-                return Some(self.now - began);
+            let mut members = self.members.iter().flatten();
+            if members.all(|member| member.alive().count() == others) {
+                return Some(self.now - started_at);
             }
         }
         None
     }
 }
 
-/// Measures; how many sizes, and how many of them did not come to know all.
+fn config(number: usize, count: usize) -> MembersConfig {
+    let local = NodeIdentity {
+        machine: format!("rack-{number}"),
+        zone: "palermo".into(),
+        region: "sicily".into(),
+        version: 1,
+        weight: 1_000,
+        incarnation: 1_700_000_000_000,
+        ..NodeIdentity::unknown(&name(number), address(number))
+    };
+    MembersConfig {
+        local,
+        seeds: (0..SEEDS).map(|seed| (name(seed), address(seed))).collect(),
+        expected_members: count as u32,
+        probe_interval: PROBE_INTERVAL,
+    }
+}
+
+/// Measures all sizes and prints a table; how many sizes, and how often their members did not agree in time.
 pub(crate) fn run(seed: u64) -> (usize, usize) {
-    let mut breaches = 0;
-    let sizes = [10, 100];
     println!(
         "members  all know all  datagrams/s  bytes/s  CPU us/s  one gone for all   (each, but for the times)"
     );
-    for count in sizes {
-        let secrets = Secrets::new(vec![b"a secret of some length".to_vec()]).expect("long enough");
-        let ask: Vec<(String, SocketAddr)> = (0..3)
-            .map(|n| (format!("palermo-{n}"), address(n)))
-            .collect();
-        let member = |n: usize| {
-            let own = NodeIdentity {
-                machine: format!("rack-{n}"),
-                zone: "palermo".into(),
-                region: "sicily".into(),
-                version: 1,
-                weight: 1_000,
-                incarnation: 1_700_000_000_000,
-                ..NodeIdentity::unknown(&format!("palermo-{n}"), address(n))
-            };
-            let terms = MembersConfig {
-                local: own,
-                seeds: ask.clone(),
-                expected_members: count as u32,
-                probe_interval: 5_000,
-            };
-            Some(Members::new(
-                terms,
-                secrets.clone(),
-                seed.wrapping_mul(10_007) + n as u64,
-                0,
-            ))
-        };
-        let mut fleet = Fleet {
-            now: 0,
-            all: (0..count).map(member).collect(),
-            mail: BinaryHeap::new(),
-            sent: 0,
-            bytes: 0,
-        };
-        let whole = fleet.until(120 * SECOND, count - 1);
-        // A while later only what goes on for ever is left.
-        let calm = fleet.now + 20 * SECOND;
-        while fleet.now < calm {
-            fleet.step();
-        }
-        let (sent, bytes, began, from) = (fleet.sent, fleet.bytes, Instant::now(), fleet.now);
-        while fleet.now < from + 10 * SECOND {
-            fleet.step();
-        }
-        let each = count as f64 * 10.0;
-        let cpu = began.elapsed().as_micros() as f64 / each;
-        let (sent, bytes) = (
-            (fleet.sent - sent) as f64 / each,
-            (fleet.bytes - bytes) as f64 / each,
-        );
-        fleet.all[count / 2] = None;
-        let gone = fleet.until(120 * SECOND, count - 2);
-        let time = |t: Option<TenthMillis>| {
-            t.map_or("never".into(), |t| {
-                format!("{:.1} s", t as f64 / SECOND as f64)
-            })
-        };
-        println!(
-            "{count:7}  {:>12}  {sent:11.1}  {bytes:7.0}  {cpu:8.0}  {:>16}",
-            time(whole),
-            time(gone)
-        );
-        breaches += usize::from(whole.is_none()) + usize::from(gone.is_none());
-    }
-    (sizes.len(), breaches)
+    let breaches = SIZES.map(|count| measure(count, seed)).into_iter().sum();
+    (SIZES.len(), breaches)
+}
+
+/// Measures one size; how often its members did not agree in time.
+fn measure(count: usize, seed: u64) -> usize {
+    let mut simulation = Simulation::new(count, seed);
+    let all_known = simulation.run_until_known(count - 1);
+    simulation.run_for(SETTLING_TIME);
+    let (datagrams, bytes) = (simulation.datagrams, simulation.bytes);
+    let started_at = Instant::now();
+    simulation.run_for(MEASURED_SECONDS * SECOND);
+    let member_seconds = count as f64 * MEASURED_SECONDS as f64;
+    let cpu = started_at.elapsed().as_micros() as f64 / member_seconds;
+    let datagrams = (simulation.datagrams - datagrams) as f64 / member_seconds;
+    let bytes = (simulation.bytes - bytes) as f64 / member_seconds;
+    simulation.members[count / 2] = None;
+    let one_down = simulation.run_until_known(count - 2);
+    println!(
+        "{count:7}  {:>12}  {datagrams:11.1}  {bytes:7.0}  {cpu:8.0}  {:>16}",
+        seconds(all_known),
+        seconds(one_down)
+    );
+    usize::from(all_known.is_none()) + usize::from(one_down.is_none())
+}
+
+fn seconds(time: Option<TenthMillis>) -> String {
+    time.map_or("never".into(), |time| {
+        format!("{:.1} s", time as f64 / SECOND as f64)
+    })
 }
--- a/crates/linenthread-frames/src/decoder.rs
+++ b/crates/linenthread-frames/src/decoder.rs
@@ -32,13 +32,6 @@
     },
 }
 
-/// For callers that report errors as text.
-impl From<DecodeError> for String {
-    fn from(error: DecodeError) -> String {
-        error.to_string()
-    }
-}
-
 /// Takes fields off the front of bytes; no field is longer than what is there.
 #[derive(Clone, Debug)]
 pub struct Decoder<'a>(&'a [u8]);
