--- a/crates/linenthread-dataplane-sim/src/checker.rs
+++ b/crates/linenthread-dataplane-sim/src/checker.rs
@@ -6,7 +6,7 @@
 //! | *mutating-at-most-once* | a request that may not be repeated is executed at most once |
 //! | *rejected-never-executed* | where a client got 503 with no seal, nothing of its request was executed |
 //! | *no-ambiguous-connection* | nothing is written on a connection with an unanswered request or unread bytes |
-//! | *complete-or-declared* | each request gets one response in time, which is complete or says how many parts are missing |
+//! | *complete-or-declared* | each request gets one response in time, complete or with the number of missing parts |
 
 use std::collections::BTreeSet;
 use std::fmt;
@@ -92,7 +92,7 @@
 /// What a client requests.
 #[derive(Clone, Debug)]
 pub(crate) struct ClientRequest {
-    pub(crate) attempt_id: String,
+    pub(crate) request_id: String,
     pub(crate) path: String,
     /// It may be executed more than once.
     pub(crate) is_idempotent: bool,
@@ -102,7 +102,7 @@
 
 impl ClientRequest {
     fn is_of(&self, execution: &Execution) -> bool {
-        execution.attempt_id == self.attempt_id && execution.path == self.path
+        execution.request_id == self.request_id && execution.path == self.path
     }
 }
 
@@ -154,7 +154,7 @@
         body: &[u8],
         delay: Duration,
     ) {
-        let id = &request.attempt_id;
+        let id = &request.request_id;
         if !delay.is_zero() {
             let cause = format!("{id} was answered {delay:?} too late");
             self.violation(Rule::CompleteOrDeclared, cause);
@@ -186,7 +186,7 @@
 
     /// The connection ended, or stalled, where a response was due.
     pub(crate) fn on_missing_response(&mut self, request: &ClientRequest, cause: &str) {
-        let cause = format!("{} got no response: {cause}", request.attempt_id);
+        let cause = format!("{} got no response: {cause}", request.request_id);
         self.violation(Rule::CompleteOrDeclared, cause);
     }
 
@@ -195,7 +195,7 @@
         let execution = self.log.sealed_by(seal);
         let own = execution.filter(|execution| request.is_of(execution));
         if own.is_none() {
-            let cause = format!("{} got the seal {seal}", request.attempt_id);
+            let cause = format!("{} got the seal {seal}", request.request_id);
             self.violation(Rule::OwnResponseOnly, cause);
         }
         own
@@ -209,12 +209,12 @@
         body: &[u8],
         execution: &Execution,
     ) {
-        let id = &request.attempt_id;
+        let id = &request.request_id;
         if head.header("x-attempt-id") != Some(id) {
             let cause = format!("{id} got a response with another id");
             self.violation(Rule::OwnResponseOnly, cause);
         }
-        if body != response_body(&execution.backend, &execution.path, &execution.attempt_id) {
+        if body != response_body(&execution.backend, &execution.path, &execution.request_id) {
             let cause = format!("{id} got another body");
             self.violation(Rule::CompleteOrDeclared, cause);
         }
@@ -222,7 +222,7 @@
 
     /// A response merged from parts.
     fn check_merged(&mut self, request: &ClientRequest, head: &Head, body: &[u8]) {
-        let id = &request.attempt_id;
+        let id = &request.request_id;
         let seals: Vec<&str> = head
             .header("x-part-seals")
             .unwrap_or_default()
@@ -256,10 +256,10 @@
 
     /// Checks what can only be checked at the end; all violations.
     pub(crate) fn finish(&mut self) -> Vec<Violation> {
-        for attempt_id in std::mem::take(&mut self.rejected) {
-            let executions = self.log.executions_of(&attempt_id);
+        for request_id in std::mem::take(&mut self.rejected) {
+            let executions = self.log.executions_of(&request_id);
             if executions > 0 {
-                let cause = format!("{attempt_id} was rejected and executed {executions} times");
+                let cause = format!("{request_id} was rejected and executed {executions} times");
                 self.violation(Rule::RejectedNeverExecuted, cause);
             }
         }
@@ -267,9 +267,9 @@
             self.violation(Rule::NoAmbiguousConnection, cause);
         }
         for request in std::mem::take(&mut self.requests) {
-            let executions = self.log.executions_of(&request.attempt_id);
+            let executions = self.log.executions_of(&request.request_id);
             if !request.is_idempotent && executions > 1 {
-                let cause = format!("{} was executed {executions} times", request.attempt_id);
+                let cause = format!("{} was executed {executions} times", request.request_id);
                 self.violation(Rule::MutatingAtMostOnce, cause);
             }
         }
--- a/crates/linenthread-dataplane-sim/src/client.rs
+++ b/crates/linenthread-dataplane-sim/src/client.rs
@@ -76,7 +76,7 @@
     let surplus = timeout(SURPLUS_TIMEOUT, http.wait_for_data(FOREVER)).await;
     if surplus.is_ok() {
         let last = ClientRequest {
-            attempt_id: name,
+            request_id: name,
             path: String::new(),
             is_idempotent: true,
             is_merged: false,
@@ -99,14 +99,14 @@
         .collect()
 }
 
-fn draw_request(random: &Random, attempt_id: String) -> ClientRequest {
+fn draw_request(random: &Random, request_id: String) -> ClientRequest {
     let (prefix, is_idempotent, is_merged) = match random.below(4) {
         0 | 1 => ("/once/", false, false),
         2 => ("/one/", true, false),
         _ => (MERGED_PREFIX, true, true),
     };
     ClientRequest {
-        attempt_id,
+        request_id,
         path: format!("{prefix}{}", random.below(50)),
         is_idempotent,
         is_merged,
@@ -128,7 +128,7 @@
     for request in batch {
         shared.checker.borrow_mut().on_request(request);
         shared.log.add(&Event::RequestSent {
-            attempt_id: &request.attempt_id,
+            request_id: &request.request_id,
             path: &request.path,
         });
     }
@@ -193,7 +193,7 @@
     let allowed = Duration::from_millis(timeout_ms) + RESPONSE_SLACK + frozen;
     let delay = started_at.elapsed().saturating_sub(allowed);
     shared.log.add(&Event::ResponseReceived {
-        attempt_id: &request.attempt_id,
+        request_id: &request.request_id,
         status: head.status(),
         seal: head.header("x-replica-seal").unwrap_or(""),
     });
@@ -207,15 +207,15 @@
 
 fn to_bytes(request: &ClientRequest, timeout_ms: u64) -> Vec<u8> {
     let ClientRequest {
-        attempt_id, path, ..
+        request_id, path, ..
     } = request;
     let (method, body) = if request.is_idempotent {
         ("GET", String::new())
     } else {
-        ("POST", format!("order {attempt_id}"))
+        ("POST", format!("order {request_id}"))
     };
     format!(
-        "{method} {path} HTTP/1.1\r\nHost: {HOST}\r\nX-Attempt-Id: {attempt_id}\r\nX-Remaining-Ms: {timeout_ms}\r\n\
+        "{method} {path} HTTP/1.1\r\nHost: {HOST}\r\nX-Attempt-Id: {request_id}\r\nX-Remaining-Ms: {timeout_ms}\r\n\
          Content-Length: {}\r\n\r\n{body}",
         body.len()
     )
--- a/crates/linenthread-dataplane-sim/src/content.rs
+++ b/crates/linenthread-dataplane-sim/src/content.rs
@@ -9,14 +9,14 @@
 const RECORDS: u64 = 6;
 
 /// The body of a backend's response to a request.
-pub(crate) fn response_body(backend: &str, path: &str, attempt_id: &str) -> Vec<u8> {
+pub(crate) fn response_body(backend: &str, path: &str, request_id: &str) -> Vec<u8> {
     if !path.starts_with(MERGED_PREFIX) {
-        return format!("{backend}|{path}|{attempt_id}").into_bytes();
+        return format!("{backend}|{path}|{request_id}").into_bytes();
     }
     let records = (0..RECORDS).flat_map(|number| {
         [
-            hash_words(&[backend, path, attempt_id], number),
-            hash_words(&[attempt_id, path, backend], number),
+            hash_words(&[backend, path, request_id], number),
+            hash_words(&[request_id, path, backend], number),
         ]
     });
     let body: Vec<u8> = records.flat_map(u64::to_be_bytes).collect();
--- a/crates/linenthread-dataplane-sim/src/event_log.rs
+++ b/crates/linenthread-dataplane-sim/src/event_log.rs
@@ -1,4 +1,4 @@
-//! What happened in a simulation: every execution of a sub-request at a replica, and a digest of all events.
+//! What happened in a simulation: every execution of an attempt at a replica, and a digest of all events.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -8,10 +8,10 @@
 
 use crate::content::hash_words;
 
-/// One execution of a sub-request at a replica.
+/// One execution of an attempt at a replica.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Execution {
-    pub(crate) attempt_id: String,
+    pub(crate) request_id: String,
     pub(crate) path: String,
     pub(crate) backend: String,
     pub(crate) replica_id: String,
@@ -20,14 +20,14 @@
 /// An event that enters the digest.
 pub(crate) enum Event<'a> {
     /// A client sent a request.
-    RequestSent { attempt_id: &'a str, path: &'a str },
+    RequestSent { request_id: &'a str, path: &'a str },
     /// A client got a response.
     ResponseReceived {
-        attempt_id: &'a str,
+        request_id: &'a str,
         status: u16,
         seal: &'a str,
     },
-    /// A replica ran a sub-request.
+    /// A replica ran an attempt.
     Executed(&'a Execution),
 }
 
@@ -36,18 +36,18 @@
     /// of all versions can be compared; they are names in no other sense.
     fn mix_into(&self, digest: u64) -> u64 {
         match self {
-            Event::RequestSent { attempt_id, path } => {
-                hash_words(&["asked", attempt_id, path], digest)
+            Event::RequestSent { request_id, path } => {
+                hash_words(&["asked", request_id, path], digest)
             }
             Event::ResponseReceived {
-                attempt_id,
+                request_id,
                 status,
                 seal,
-            } => hash_words(&["answered", attempt_id, &status.to_string(), seal], digest),
+            } => hash_words(&["answered", request_id, &status.to_string(), seal], digest),
             Event::Executed(execution) => hash_words(
                 &[
                     "ran",
-                    &execution.attempt_id,
+                    &execution.request_id,
                     &execution.path,
                     &execution.replica_id,
                 ],
@@ -60,7 +60,7 @@
 #[derive(Default)]
 struct State {
     executions: Vec<Execution>,
-    executions_by_attempt: BTreeMap<String, usize>,
+    executions_by_request: BTreeMap<String, usize>,
     misused_connections: Vec<String>,
     digest: u64,
 }
@@ -81,8 +81,8 @@
     pub(crate) fn add_execution(&self, execution: Execution) -> usize {
         self.add(&Event::Executed(&execution));
         let mut state = self.0.borrow_mut();
-        let attempt_id = execution.attempt_id.clone();
-        *state.executions_by_attempt.entry(attempt_id).or_default() += 1;
+        let request_id = execution.request_id.clone();
+        *state.executions_by_request.entry(request_id).or_default() += 1;
         state.executions.push(execution);
         state.executions.len() - 1
     }
@@ -102,17 +102,17 @@
         self.0.borrow().digest
     }
 
-    /// How many sub-requests of a request were executed.
-    pub(crate) fn executions_of(&self, attempt_id: &str) -> usize {
+    /// How many attempts of a request were executed.
+    pub(crate) fn executions_of(&self, request_id: &str) -> usize {
         let state = self.0.borrow();
         state
-            .executions_by_attempt
-            .get(attempt_id)
+            .executions_by_request
+            .get(request_id)
             .copied()
             .unwrap_or(0)
     }
 
-    /// How many sub-requests were executed.
+    /// How many attempts were executed.
     pub(crate) fn execution_count(&self) -> usize {
         self.0.borrow().executions.len()
     }
--- a/crates/linenthread-dataplane-sim/src/replica.rs
+++ b/crates/linenthread-dataplane-sim/src/replica.rs
@@ -81,9 +81,9 @@
     }
 
     /// Logs an execution; its seal.
-    fn execute(&self, attempt_id: &str, path: &str) -> String {
+    fn execute(&self, request_id: &str, path: &str) -> String {
         let number = self.log.add_execution(Execution {
-            attempt_id: attempt_id.to_owned(),
+            request_id: request_id.to_owned(),
             path: path.to_owned(),
             backend: self.backend.clone(),
             replica_id: self.id.clone(),
--- a/crates/linenthread-dataplane-sim/src/replica/connection.rs
+++ b/crates/linenthread-dataplane-sim/src/replica/connection.rs
@@ -30,7 +30,7 @@
 
 /// A request that was read completely.
 struct Request {
-    attempt_id: String,
+    request_id: String,
     path: String,
     target_replica: String,
     is_head_method: bool,
@@ -87,7 +87,7 @@
         self.buffer = rest;
         let header = |name| head.header(name).unwrap_or_default().to_owned();
         Some(Request {
-            attempt_id: header("x-attempt-id"),
+            request_id: header("x-attempt-id"),
             path: head.target().to_owned(),
             target_replica: header("x-target-replica"),
             is_head_method: head.method() == "HEAD",
@@ -107,20 +107,20 @@
             let message = misdirection(&replica.id);
             return inbound.push(after, InboundEvent::Bytes(message));
         }
-        let attempt_id = request.attempt_id.as_str();
+        let request_id = request.request_id.as_str();
         match replica.faults.request(random) {
             RequestFault::None => {
-                let response = self.execute(request, attempt_id);
+                let response = self.execute(request, request_id);
                 inbound.push(after, InboundEvent::Bytes(response));
             }
             RequestFault::LateResponse => {
                 after += random.millis(200, 2_500);
                 self.response_due_at = Instant::now() + after;
-                let response = self.execute(request, attempt_id);
+                let response = self.execute(request, request_id);
                 inbound.push(after, InboundEvent::Bytes(response));
             }
             RequestFault::SurplusResponse(kind, time) => {
-                let response = self.execute(request, attempt_id);
+                let response = self.execute(request, request_id);
                 let surplus = self.surplus_response(request, kind, &response);
                 self.respond_twice(response, surplus, time, after, inbound);
             }
@@ -129,17 +129,17 @@
                 inbound.push(after, InboundEvent::Bytes(response));
             }
             RequestFault::ResponseOfAnotherRequest => {
-                let response = self.execute(request, &id_of_another_request(attempt_id));
+                let response = self.execute(request, &id_of_another_request(request_id));
                 inbound.push(after, InboundEvent::Bytes(response));
             }
             RequestFault::ServerError { sealed } => {
-                let seal = replica.execute(attempt_id, &request.path);
+                let seal = replica.execute(request_id, &request.path);
                 let seal = if sealed { seal.as_str() } else { "" };
-                let failure = response(500, attempt_id, seal, "", b"failed");
+                let failure = response(500, request_id, seal, "", b"failed");
                 inbound.push(after, InboundEvent::Bytes(failure));
             }
             RequestFault::Rejected { with_id, closes } => {
-                let id = if with_id { attempt_id } else { "" };
+                let id = if with_id { request_id } else { "" };
                 inbound.push(after, InboundEvent::Bytes(rejection(id)));
                 if closes {
                     inbound.push(Duration::ZERO, InboundEvent::Close);
@@ -147,8 +147,8 @@
                 }
             }
             RequestFault::RejectedTwice => {
-                inbound.push(after, InboundEvent::Bytes(rejection(attempt_id)));
-                self.surplus = Some(rejection(attempt_id));
+                inbound.push(after, InboundEvent::Bytes(rejection(request_id)));
+                self.surplus = Some(rejection(request_id));
             }
             RequestFault::Stalled { executed } => {
                 if executed {
@@ -165,7 +165,7 @@
                 inbound.push(after, InboundEvent::Close);
             }
             RequestFault::Truncated { per_mille, end } => {
-                let mut response = self.execute(request, attempt_id);
+                let mut response = self.execute(request, request_id);
                 response.truncate(fraction(response.len(), per_mille));
                 inbound.push(after, InboundEvent::Bytes(response));
                 self.end_truncated(end, after, inbound);
@@ -194,31 +194,31 @@
     }
 
     /// Executes a request; the response, with this id.
-    fn execute(&self, request: &Request, attempt_id: &str) -> Vec<u8> {
-        let seal = self.replica.execute(&request.attempt_id, &request.path);
+    fn execute(&self, request: &Request, request_id: &str) -> Vec<u8> {
+        let seal = self.replica.execute(&request.request_id, &request.path);
         let body = self.body(request);
         let body = if request.is_head_method {
             &[][..]
         } else {
             &body
         };
-        response(200, attempt_id, &seal, "", body)
+        response(200, request_id, &seal, "", body)
     }
 
     fn body(&self, request: &Request) -> Vec<u8> {
-        response_body(&self.replica.backend, &request.path, &request.attempt_id)
+        response_body(&self.replica.backend, &request.path, &request.request_id)
     }
 
     fn surplus_response(&self, request: &Request, kind: SurplusResponse, first: &[u8]) -> Vec<u8> {
         let seal = format!("{}.again", self.replica.id);
-        let id_of_another = id_of_another_request(&request.attempt_id);
+        let id_of_another = id_of_another_request(&request.request_id);
         match kind {
             SurplusResponse::Repeated => first.to_vec(),
             SurplusResponse::WithoutId => response(200, "", &seal, "", &self.body(request)),
             SurplusResponse::OfAnotherRequest => {
                 response(200, &id_of_another, &seal, "", &self.body(request))
             }
-            SurplusResponse::Rejection => rejection(&request.attempt_id),
+            SurplusResponse::Rejection => rejection(&request.request_id),
             SurplusResponse::RejectionWithoutId => rejection(""),
             SurplusResponse::Misdirection => misdirection("another"),
         }
@@ -280,6 +280,6 @@
 
 /// The id of a request that another ingress node has in flight at the same replica. One that this ingress node has
 /// in flight there could not be detected by anybody: id, connection and order would all be right.
-fn id_of_another_request(attempt_id: &str) -> String {
-    format!("{attempt_id}-elsewhere")
+fn id_of_another_request(request_id: &str) -> String {
+    format!("{request_id}-elsewhere")
 }
--- a/crates/linenthread-dataplane-sim/src/simulation.rs
+++ b/crates/linenthread-dataplane-sim/src/simulation.rs
@@ -33,7 +33,7 @@
     pub violations: Vec<Violation>,
     /// What became of the requests.
     pub counts: Counts,
-    /// How many sub-requests were executed.
+    /// How many attempts were executed.
     pub executions: usize,
     /// The digest of all that happened.
     pub digest: u64,
--- a/crates/linenthread-dataplane/src/data_plane.rs
+++ b/crates/linenthread-dataplane/src/data_plane.rs
@@ -23,8 +23,8 @@
 /// An `f64` holds integers of so many bits exactly.
 const F64_BITS: u32 = 53;
 
-/// Which dispatcher: the backends that are queried together, in the order of their names, and how often each part
-/// may be sent.
+/// Which dispatcher: the backends that are queried together, in the order of their names, and how often each
+/// sub-request may be sent.
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord)]
 struct DispatcherKey {
     backends: Vec<Rc<str>>,
@@ -51,7 +51,7 @@
 pub struct DataPlane<C: Connector = TcpConnector> {
     settings: Rc<Settings>,
     seed: u64,
-    plan: RefCell<Option<Rc<RoutingTable>>>,
+    routing_table: RefCell<Option<Rc<RoutingTable>>>,
     replicas: RefCell<ReplicaTable<C>>,
     dispatchers: RefCell<BTreeMap<DispatcherKey, Rc<Dispatcher<C>>>>,
     zones: Zones,
@@ -72,7 +72,7 @@
         Rc::new(DataPlane {
             settings,
             seed,
-            plan: RefCell::default(),
+            routing_table: RefCell::default(),
             replicas: RefCell::new(ReplicaTable::new(connector)),
             dispatchers: RefCell::default(),
             zones,
@@ -90,18 +90,23 @@
     }
 
     /// The configuration in force, if there is one.
-    pub fn plan(&self) -> Option<Rc<RoutingTable>> {
-        self.plan.borrow().clone()
+    pub fn routing_table(&self) -> Option<Rc<RoutingTable>> {
+        self.routing_table.borrow().clone()
     }
 
     /// The revision of the configuration in force; 0 for none.
     pub fn revision(&self) -> u64 {
-        self.plan.borrow().as_ref().map_or(0, |plan| plan.revision)
+        self.routing_table
+            .borrow()
+            .as_ref()
+            .map_or(0, |routing_table| routing_table.revision)
     }
 
     /// Whether clients may be sent here.
     pub fn is_ready(&self) -> bool {
-        self.is_confirmed.get() && !self.shutdown.is_draining() && self.plan.borrow().is_some()
+        self.is_confirmed.get()
+            && !self.shutdown.is_draining()
+            && self.routing_table.borrow().is_some()
     }
 
     /// Applies a configuration that was committed, unless one at least as new is in force. One that cannot be read
@@ -110,7 +115,7 @@
         match Configuration::decode(document) {
             Ok(read) if read.revision > self.revision() => {
                 log::info!(revision = read.revision, routes = read.routes.len(); "event=configuration_applied");
-                *self.plan.borrow_mut() = Some(Rc::new(RoutingTable::new(read)));
+                *self.routing_table.borrow_mut() = Some(Rc::new(RoutingTable::new(read)));
                 self.limit_connections();
             }
             Ok(_) => {}
@@ -148,10 +153,13 @@
     /// The limits of the configuration are for all ingress nodes together.
     fn limit_connections(&self) {
         let ingress_count = self.retry_quota.get().ingress_count.max(1);
-        let plan = self.plan.borrow();
-        let Some(plan) = plan.as_ref() else { return };
+        let routing_table = self.routing_table.borrow();
+        let Some(routing_table) = routing_table.as_ref() else {
+            return;
+        };
         self.replicas.borrow().limit_connections(|backend| {
-            plan.max_connections
+            routing_table
+                .max_connections
                 .get(backend)
                 .map_or(usize::MAX, |limit| {
                     (limit / ingress_count).max(MIN_CONNECTIONS)
@@ -218,7 +226,7 @@
         let dispatcher = match &resolved.destination {
             Destination::FanOut(backends) => self.dispatcher(backends, max_attempts),
             weighted @ Destination::Weighted(_) => {
-                let backend = weighted.pick(unit_interval(fnv1a_64(request.attempt_id.as_bytes())));
+                let backend = weighted.pick(unit_interval(fnv1a_64(request.request_id.as_bytes())));
                 self.dispatcher(backend.map_or(&[], std::slice::from_ref), max_attempts)
             }
         };
--- a/crates/linenthread-dataplane/src/dispatcher.rs
+++ b/crates/linenthread-dataplane/src/dispatcher.rs
@@ -20,22 +20,22 @@
 use tokio::task::spawn_local;
 
 use self::decisions::Decision;
-use self::query::{OpenQuery, Permission, QueryId, SubRequestId};
+use self::query::{AttemptKey, OpenQuery, Permission, QueryId};
 use self::state::State;
 use crate::clock;
 use crate::counter::Counter;
-use crate::pool::{ReplicaPool, ReplicaRequest, ReplicaStatus, SubRequestOutcome};
+use crate::pool::{CompletedAttempt, ReplicaPool, ReplicaRequest, ReplicaStatus};
 use crate::response::Response;
 use crate::retry_quota::RetryQuota;
 use crate::transport::Connector;
 use crate::zones::Zones;
 
-/// The least time that a sub-request gets, in tenths of a millisecond.
+/// The least time that an attempt gets, in tenths of a millisecond.
 const MIN_TIMEOUT: TenthMillis = 10;
 
 /// Hands requests to the decision module and its decisions to the replicas' pools.
 pub(crate) struct Dispatcher<C: Connector> {
-    /// What is queried together, by name: the parts of each query in their order.
+    /// What is queried together, by name: the sub-requests of each query in their order.
     backends: Rc<[Rc<str>]>,
     state: RefCell<State<C>>,
     /// Something arrived for the decision module.
@@ -46,7 +46,7 @@
 }
 
 impl<C: Connector> Dispatcher<C> {
-    /// Starts the task that runs the decision module; within a `LocalSet`. Each part may be sent `max_attempts`
+    /// Starts the task that runs the decision module; within a `LocalSet`. Each sub-request may be sent `max_attempts`
     /// times.
     pub(crate) fn new(
         backends: Rc<[Rc<str>]>,
@@ -71,7 +71,7 @@
         self.backends.contains(backend)
     }
 
-    /// Sets the retries of each window that are this process's; `share` is the part of them that this dispatcher
+    /// Sets the retries of each window that are this process's; `share` is how many of them this dispatcher
     /// may use.
     pub(crate) fn set_retry_quota(&self, quota: &RetryQuota, share: f64) {
         self.state.borrow_mut().coordinator.set_retry_quota(
@@ -126,18 +126,18 @@
             sequence_number: sequence,
             hard_deadline: deadline,
         });
-        let part_count = self.backends.len();
-        let parts = (0..part_count).map(|shard| NewSubRequest {
+        let sub_request_count = self.backends.len();
+        let sub_requests = (0..sub_request_count).map(|shard| NewSubRequest {
             query: slot,
             shard,
             weight: 1.0,
         });
-        state.inputs.sub_requests.extend(parts);
+        state.inputs.sub_requests.extend(sub_requests);
         let query = OpenQuery::new(
             sequence,
             request,
             resolved.clone(),
-            part_count,
+            sub_request_count,
             client,
             self.open_queries.enter(),
         );
@@ -178,13 +178,13 @@
         let mut state = self.state.borrow_mut();
         for decision in state.decide() {
             match decision {
-                Decision::Call {
+                Decision::Send {
                     query,
-                    part,
+                    sub_request,
                     replica,
                     timeout,
-                } => self.call(&mut state, query, part, replica, timeout),
-                Decision::Complete { query } => {
+                } => self.send(&mut state, query, sub_request, replica, timeout),
+                Decision::Respond { query } => {
                     if let Some(query) = state.query_in(query) {
                         query.complete();
                     }
@@ -194,7 +194,7 @@
                         query.abandon(retry_after);
                     }
                 }
-                Decision::Abort { query } => {
+                Decision::Fail { query } => {
                     if let Some(query) = state.query_in(query) {
                         query.abandon(None);
                     }
@@ -206,25 +206,25 @@
         state.decisions.wake_at
     }
 
-    /// Sends a part to a replica, if it may be sent (again).
-    fn call(
+    /// Sends a sub-request to a replica, if it may be sent (again).
+    fn send(
         self: &Rc<Self>,
         state: &mut State<C>,
         slot: usize,
-        part: usize,
+        sub_request: usize,
         replica: usize,
         timeout: TenthMillis,
     ) {
         let Some(query) = state.query_in(slot) else {
             return;
         };
-        let (attempt, permission) = query.begin_attempt(part);
-        let id = SubRequestId {
+        let (attempt, permission) = query.begin_attempt(sub_request);
+        let id = AttemptKey {
             query: QueryId {
                 slot,
                 sequence: query.sequence,
             },
-            part,
+            sub_request,
             attempt,
         };
         if permission == Permission::Denied {
@@ -243,29 +243,29 @@
         });
     }
 
-    /// A sub-request has completed.
-    fn on_completed(&self, id: SubRequestId, elapsed: TenthMillis, completed: SubRequestOutcome) {
+    /// An attempt has completed.
+    fn on_completed(&self, id: AttemptKey, elapsed: TenthMillis, completed: CompletedAttempt) {
         let mut state = self.state.borrow_mut();
         let Some(query) = state.query(id.query) else {
             log::error!(query = id.query.sequence; "event=orphaned_outcome");
             return;
         };
         let attempt_outcome = completed.outcome.attempt_outcome;
-        query.end_attempt(id.part, completed);
+        query.end_attempt(id.sub_request, completed);
         self.report(&mut state, id, attempt_outcome, elapsed);
     }
 
-    /// Hands the end of a sub-request to the decision module.
+    /// Hands the end of an attempt to the decision module.
     fn report(
         &self,
         state: &mut State<C>,
-        id: SubRequestId,
+        id: AttemptKey,
         attempt_outcome: AttemptOutcome,
         elapsed: TenthMillis,
     ) {
         state.inputs.results.push(AttemptResult {
             query: id.query.slot,
-            sub_request: id.part,
+            sub_request: id.sub_request,
             attempt: id.attempt,
             outcome: attempt_outcome,
             elapsed,
--- a/crates/linenthread-dataplane/src/dispatcher/decisions.rs
+++ b/crates/linenthread-dataplane/src/dispatcher/decisions.rs
@@ -3,24 +3,25 @@
 use linenthread_core::DecisionSink;
 use linenthread_core::interface::{FailureCause, TenthMillis};
 
-/// One decision. Queries, parts and replicas are named by the indices under which the decision module knows them.
+/// One decision. Queries, sub-requests and replicas are named by the indices under which the decision
+/// module knows them.
 pub(super) enum Decision {
-    /// Send a part to a replica.
-    Call {
+    /// Send a sub-request to a replica.
+    Send {
         query: usize,
-        part: usize,
+        sub_request: usize,
         replica: usize,
         timeout: TenthMillis,
     },
     /// Answer from the responses that have arrived.
-    Complete { query: usize },
+    Respond { query: usize },
     /// Reject the query: it may be sent again, at best after this time.
     Reject {
         query: usize,
         retry_after: Option<TenthMillis>,
     },
     /// Give the query up, with no promise.
-    Abort { query: usize },
+    Fail { query: usize },
     /// Nothing of the query is in flight: its index is free.
     Release { query: usize },
     /// Close the idle connections to a replica.
@@ -54,19 +55,19 @@
 }
 
 impl DecisionSink for Decisions {
-    fn send(&mut self, query: usize, part: usize, replica: usize, timeout: TenthMillis) {
-        self.list.push(Decision::Call {
+    fn send(&mut self, query: usize, sub_request: usize, replica: usize, timeout: TenthMillis) {
+        self.list.push(Decision::Send {
             query,
-            part,
+            sub_request,
             replica,
             timeout,
         });
     }
 
-    fn cancel(&mut self, _query: usize, _part: usize, _call: usize) {}
+    fn cancel(&mut self, _query: usize, _sub_request: usize, _attempt: usize) {}
 
     fn respond(&mut self, query: usize, _is_complete: bool) {
-        self.list.push(Decision::Complete { query });
+        self.list.push(Decision::Respond { query });
     }
 
     fn failure_cause(&mut self, _query: usize, cause: FailureCause) {
@@ -84,7 +85,7 @@
     }
 
     fn fail(&mut self, query: usize) {
-        self.list.push(Decision::Abort { query });
+        self.list.push(Decision::Fail { query });
     }
 
     fn release(&mut self, query: usize) {
--- a/crates/linenthread-dataplane/src/dispatcher/pass_through.rs
+++ b/crates/linenthread-dataplane/src/dispatcher/pass_through.rs
@@ -1,4 +1,4 @@
-//! A replacement of the decision module that decides nothing, to measure what the module costs. Each part goes
+//! A replacement of the decision module that decides nothing, to measure what the module costs. Each sub-request goes
 //! once to the replica that a hash names; nothing is scored, retried or rejected. Not for production.
 
 use linenthread_core::DecisionSink;
@@ -10,7 +10,7 @@
 struct Query {
     key: u64,
     deadline: TenthMillis,
-    /// The shard of each part.
+    /// The shard of each sub-request.
     shards: Vec<usize>,
     sent: usize,
     completed: usize,
@@ -25,7 +25,7 @@
 }
 
 impl PassThrough {
-    /// One round: takes in what arrived, sends new parts and ends queries whose parts have all ended.
+    /// One round: takes in what arrived, sends new sub-requests and ends queries whose sub-requests have all ended.
     pub(super) fn round(&mut self, inputs: &Inputs, sink: &mut impl DecisionSink) {
         for update in &inputs.membership {
             if let MembershipUpdate::Delta(listed) = update {
@@ -35,9 +35,9 @@
         for new in &inputs.queries {
             self.open(new);
         }
-        for part in &inputs.sub_requests {
-            if let Some(Some(query)) = self.queries.get_mut(part.query) {
-                query.shards.push(part.shard);
+        for sub_request in &inputs.sub_requests {
+            if let Some(Some(query)) = self.queries.get_mut(sub_request.query) {
+                query.shards.push(sub_request.shard);
             }
         }
         for response in &inputs.results {
@@ -50,7 +50,7 @@
             let Some(query) = slot else {
                 continue;
             };
-            query.send_parts(index, &self.replicas, inputs.now, sink);
+            query.send_new(index, &self.replicas, inputs.now, sink);
             if query.completed == query.shards.len() {
                 query.end(index, sink);
                 *slot = None;
@@ -81,19 +81,24 @@
 }
 
 impl Query {
-    /// Sends each part that has not been sent to one of the nearest available replicas of its shard.
-    fn send_parts(
+    /// Sends each sub-request that has not been sent to one of the nearest available replicas of its shard.
+    fn send_new(
         &mut self,
         index: usize,
         replicas: &[MembershipEntry],
         now: TenthMillis,
         sink: &mut impl DecisionSink,
     ) {
-        for part in self.sent..self.shards.len() {
+        for sub_request in self.sent..self.shards.len() {
             self.sent += 1;
-            match choose(replicas, self.shards[part], self.key) {
+            match choose(replicas, self.shards[sub_request], self.key) {
                 Some(replica) => {
-                    sink.send(index, part, replica.replica, (self.deadline - now).max(1));
+                    sink.send(
+                        index,
+                        sub_request,
+                        replica.replica,
+                        (self.deadline - now).max(1),
+                    );
                 }
                 None => {
                     self.completed += 1;
--- a/crates/linenthread-dataplane/src/dispatcher/policy_inputs.rs
+++ b/crates/linenthread-dataplane/src/dispatcher/policy_inputs.rs
@@ -47,7 +47,7 @@
     }
 }
 
-/// The coordinator of so many backends that are queried together, each part of which may be sent so many times.
+/// The coordinator of so many backends that are queried together, each sub-request of which may be sent so many times.
 ///
 /// The retry budget holds at each backend; that all retries went to one of them is allowed for.
 pub(super) fn coordinator_config(
--- a/crates/linenthread-dataplane/src/dispatcher/query.rs
+++ b/crates/linenthread-dataplane/src/dispatcher/query.rs
@@ -1,5 +1,5 @@
-//! A client's request as a query to one backend or several: its parts, what has arrived for them, and the response
-//! that follows from it.
+//! A client's request as a query to one backend or several: its sub-requests, what has arrived for them, and the
+//! response that follows from it.
 
 use std::rc::Rc;
 
@@ -10,8 +10,8 @@
 
 use crate::counter::CounterGuard;
 use crate::outcome::{SendState, may_retry};
-use crate::pool::{ReplicaRequest, ReplicaResponse, SubRequestOutcome};
-use crate::response::{PartResponses, Response};
+use crate::pool::{CompletedAttempt, ReplicaRequest, ReplicaResponse};
+use crate::response::{Response, SubRequestResponses};
 
 /// Which query: its slot, which is used again after its end, and its sequence number, which is not.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -20,25 +20,25 @@
     pub(super) sequence: u64,
 }
 
-/// Which sub-request: its query, its part, and its number among those of the part.
+/// Which attempt: its query, its sub-request, and its number among those of the sub-request.
 #[derive(Clone, Copy)]
-pub(super) struct SubRequestId {
+pub(super) struct AttemptKey {
     pub(super) query: QueryId,
-    pub(super) part: usize,
+    pub(super) sub_request: usize,
     pub(super) attempt: usize,
 }
 
-/// What goes to one backend, and its sub-requests.
+/// What goes to one backend, and its attempts.
 #[derive(Default)]
-struct Part {
+struct SubRequest {
     response: Option<ReplicaResponse>,
     attempts: usize,
-    /// Sub-requests that are not known not to have run; those in flight count.
+    /// Attempts that are not known not to have run; those in flight count.
     may_have_run: usize,
 }
 
-impl Part {
-    /// The furthest that any of its sub-requests got.
+impl SubRequest {
+    /// The furthest that any of its attempts got.
     fn sent(&self) -> SendState {
         match (self.may_have_run, self.attempts) {
             (0, 0) => SendState::NotSent,
@@ -55,7 +55,7 @@
     pub(super) resolved: Rc<ResolvedRoute>,
     /// None once the client has its response.
     client: Option<oneshot::Sender<Response>>,
-    parts: SmallVec<[Part; 4]>,
+    sub_requests: SmallVec<[SubRequest; 4]>,
     /// A replica's own failure, which is forwarded where nothing better arrives.
     failure: Option<ReplicaResponse>,
     _open: CounterGuard,
@@ -66,7 +66,7 @@
         sequence: u64,
         request: Rc<ReplicaRequest>,
         resolved: Rc<ResolvedRoute>,
-        part_count: usize,
+        sub_request_count: usize,
         client: oneshot::Sender<Response>,
         open: CounterGuard,
     ) -> OpenQuery {
@@ -75,52 +75,54 @@
             request,
             resolved,
             client: Some(client),
-            parts: (0..part_count).map(|_| Part::default()).collect(),
+            sub_requests: (0..sub_request_count)
+                .map(|_| SubRequest::default())
+                .collect(),
             failure: None,
             _open: open,
         }
     }
 
-    /// Counts one more sub-request of a part: its number, and whether it may be sent at all. It may not where an
+    /// Counts one more attempt of a sub-request: its number, and whether it may be sent at all. It may not where an
     /// earlier one may have run and the route does not allow it to run twice.
-    pub(super) fn begin_attempt(&mut self, part: usize) -> (usize, Permission) {
-        let part = &mut self.parts[part];
-        let permission = if may_retry(self.resolved.route.mode, part.sent()) {
-            part.may_have_run += 1;
+    pub(super) fn begin_attempt(&mut self, sub_request: usize) -> (usize, Permission) {
+        let sub_request = &mut self.sub_requests[sub_request];
+        let permission = if may_retry(self.resolved.route.mode, sub_request.sent()) {
+            sub_request.may_have_run += 1;
             Permission::Granted
         } else {
             Permission::Denied
         };
-        let attempt = part.attempts;
-        part.attempts += 1;
+        let attempt = sub_request.attempts;
+        sub_request.attempts += 1;
         (attempt, permission)
     }
 
-    /// Takes in how a sub-request completed.
-    pub(super) fn end_attempt(&mut self, part: usize, completed: SubRequestOutcome) {
-        let part = &mut self.parts[part];
+    /// Takes in how an attempt completed.
+    pub(super) fn end_attempt(&mut self, sub_request: usize, completed: CompletedAttempt) {
+        let sub_request = &mut self.sub_requests[sub_request];
         if completed.outcome.sent != SendState::MayHaveRun {
-            part.may_have_run -= 1;
+            sub_request.may_have_run -= 1;
         }
         match completed.response {
             Some(response) if completed.outcome.attempt_outcome == AttemptOutcome::Success => {
-                part.response.get_or_insert(response);
+                sub_request.response.get_or_insert(response);
             }
             Some(response) => self.failure = Some(response),
             None => {}
         }
     }
 
-    /// Answers from the responses that have arrived: the replica's own, or the merged records of all parts.
+    /// Answers from the responses that have arrived: the replica's own, or the merged records of all sub-requests.
     pub(super) fn complete(&mut self) {
         if self.client.is_none() {
             return;
         }
         let response = match self.resolved.destination {
             Destination::Weighted(_) => self
-                .parts
+                .sub_requests
                 .first_mut()
-                .and_then(|part| part.response.take())
+                .and_then(|sub_request| sub_request.response.take())
                 .map(Response::forwarded),
             Destination::FanOut(_) => self.merged(),
         };
@@ -138,7 +140,10 @@
         let response = match self.failure.take() {
             Some(failure) => Response::forwarded(failure),
             None => {
-                let may_have_run = self.parts.iter().any(|part| part.may_have_run > 0);
+                let may_have_run = self
+                    .sub_requests
+                    .iter()
+                    .any(|sub_request| sub_request.may_have_run > 0);
                 Response::abandoned(may_have_run, retry_after)
             }
         };
@@ -146,16 +151,16 @@
     }
 
     fn merged(&self) -> Option<Response> {
-        let responses: PartResponses = self
-            .parts
+        let responses: SubRequestResponses = self
+            .sub_requests
             .iter()
-            .filter_map(|part| part.response.as_ref())
+            .filter_map(|sub_request| sub_request.response.as_ref())
             .collect();
         (!responses.is_empty()).then(|| {
             Response::merged(
-                &self.request.attempt_id,
+                &self.request.request_id,
                 &responses,
-                self.parts.len(),
+                self.sub_requests.len(),
                 self.resolved.route.result_limit,
             )
         })
@@ -169,7 +174,7 @@
     }
 }
 
-/// Whether a sub-request may be sent.
+/// Whether an attempt may be sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Permission {
     Granted,
--- a/crates/linenthread-dataplane/src/outcome.rs
+++ b/crates/linenthread-dataplane/src/outcome.rs
@@ -1,12 +1,12 @@
-//! What became of a sub-request, derived from what was observed on its connection.
+//! What became of an attempt, derived from what was observed on its connection.
 //!
-//! This is the one place that decides whether a sub-request may have run, and whether it may be sent again.
+//! This is the one place that decides whether an attempt may have run, and whether it may be sent again.
 
 use linenthread_config::Mode;
 use linenthread_core::interface::AttemptOutcome;
 use linenthread_http::Head;
 
-/// How far a sub-request got.
+/// How far an attempt got.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SendState {
     /// No byte of it left this process.
@@ -17,7 +17,7 @@
     MayHaveRun,
 }
 
-/// Whether a sub-request may be sent after an earlier one of the same part got so far.
+/// Whether an attempt may be sent after an earlier one of the same sub-request got so far.
 pub fn may_retry(mode: Mode, sent: SendState) -> bool {
     match (mode, sent) {
         (Mode::Idempotent, _) | (Mode::Mutating, SendState::NotSent | SendState::Rejected) => true,
@@ -43,7 +43,7 @@
     Merged,
 }
 
-/// What was observed of a sub-request.
+/// What was observed of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WireEvent {
     /// The replica has as many connections of this process as it may.
@@ -78,7 +78,7 @@
     ServerError,
 }
 
-/// How a sub-request ended.
+/// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Outcome {
     /// For the decision module.
@@ -88,7 +88,7 @@
 }
 
 impl Outcome {
-    /// The outcome of a sub-request on such a connection, of which this was observed.
+    /// The outcome of an attempt on such a connection, of which this was observed.
     pub fn of(event: WireEvent, age: ConnectionAge, response_use: ResponseUse) -> Outcome {
         let (attempt_outcome, sent) = match (event, age) {
             (WireEvent::PoolExhausted, _) | (WireEvent::NothingWritten, ConnectionAge::Reused) => {
@@ -137,12 +137,12 @@
 /// where no earlier request on the connection can have caused it.
 pub fn classify_response(
     head: &Head,
-    attempt_id: &str,
+    request_id: &str,
     replica_id: &str,
     age: ConnectionAge,
 ) -> WireEvent {
     let id = Header::of(head, "x-attempt-id");
-    let is_own = id == Header::Once(attempt_id);
+    let is_own = id == Header::Once(request_id);
     let is_foreign = !is_own && id != Header::Absent;
     // A coded body is not the bytes that the replica sealed.
     if is_foreign || head.header("content-encoding").is_some() {
--- a/crates/linenthread-dataplane/src/pool.rs
+++ b/crates/linenthread-dataplane/src/pool.rs
@@ -1,7 +1,7 @@
-//! Connections to one replica, and the sub-requests that go over them.
+//! Connections to one replica, and the attempts that go over them.
 //!
-//! A connection is owned by one sub-request at a time. It returns to the pool at one place only: after a complete
-//! response that is known to be that request's, with nothing behind it. On any other way out of a sub-request it
+//! A connection is owned by one attempt at a time. It returns to the pool at one place only: after a complete
+//! response that is known to be that request's, with nothing behind it. On any other way out of an attempt it
 //! is dropped, which closes it. So no connection with an unanswered request is ever used again.
 
 mod exchange;
@@ -38,8 +38,8 @@
     pub departed: bool,
 }
 
-/// How a sub-request ended, and the replica's response where it gave one that may be forwarded.
-pub struct SubRequestOutcome {
+/// How an attempt ended, and the replica's response where it gave one that may be forwarded.
+pub struct CompletedAttempt {
     /// How it ended.
     pub outcome: Outcome,
     /// Only one that a client may get.
@@ -140,8 +140,8 @@
             .retain(|connection| connection.is_usable(now));
     }
 
-    /// Sends one sub-request, from its connection to its complete response.
-    pub async fn call(&self, request: &ReplicaRequest, time: Duration) -> SubRequestOutcome {
+    /// Sends one attempt, from its connection to its complete response.
+    pub async fn call(&self, request: &ReplicaRequest, time: Duration) -> CompletedAttempt {
         let deadline = tokio::time::Instant::now() + time;
         let response_use = request.response_use;
         let mut connection = match self.lease(request, time).await {
@@ -154,11 +154,11 @@
             Ok(response) => response,
             Err(event) => return failed(Outcome::of(event, age, response_use)),
         };
-        let event = classify_response(&response.head, &request.attempt_id, &self.id, age);
+        let event = classify_response(&response.head, &request.request_id, &self.id, age);
         if event != WireEvent::Unattributed && event != WireEvent::Misdirected {
             self.return_connection(connection, &response);
         }
-        SubRequestOutcome {
+        CompletedAttempt {
             outcome: Outcome::of(event, age, response_use),
             response: response
                 .may_be_forwarded(event, response_use)
@@ -232,9 +232,9 @@
     }
 }
 
-/// A sub-request that brought no response.
-fn failed(outcome: Outcome) -> SubRequestOutcome {
-    SubRequestOutcome {
+/// An attempt that brought no response.
+fn failed(outcome: Outcome) -> CompletedAttempt {
+    CompletedAttempt {
         outcome,
         response: None,
     }
--- a/crates/linenthread-dataplane/src/pool/exchange.rs
+++ b/crates/linenthread-dataplane/src/pool/exchange.rs
@@ -14,7 +14,7 @@
 const MAX_HEAD_BYTES: usize = 16_384;
 /// The longest body of a response, in bytes.
 const MAX_BODY_BYTES: usize = 8 << 20;
-/// A replica ends a sub-request by itself when the time that it was given is over; its message about that is
+/// A replica ends an attempt by itself when the time that it was given is over; its message about that is
 /// awaited for so much longer.
 const RESPONSE_SLACK: Duration = Duration::from_millis(40);
 
--- a/crates/linenthread-dataplane/src/pool/leased.rs
+++ b/crates/linenthread-dataplane/src/pool/leased.rs
@@ -1,4 +1,4 @@
-//! Connections of a pool: idle ones, and those that a sub-request has to itself.
+//! Connections of a pool: idle ones, and those that an attempt has to itself.
 
 use std::cell::Cell;
 use std::time::Duration;
@@ -52,7 +52,7 @@
     }
 }
 
-/// A connection that one sub-request has to itself. It counts as in use for as long as it lives.
+/// A connection that one attempt has to itself. It counts as in use for as long as it lives.
 pub(super) struct LeasedConnection<C: Connector> {
     pub(super) http: HttpConnection<C::Transport>,
     pub(super) id: ConnectionId,
--- a/crates/linenthread-dataplane/src/pool/request.rs
+++ b/crates/linenthread-dataplane/src/pool/request.rs
@@ -10,8 +10,8 @@
 use super::ConnectionId;
 use crate::outcome::ResponseUse;
 
-/// A request with no more sub-requests than this needs no allocation to remember their connections.
-const INLINE_SUB_REQUESTS: usize = 12;
+/// A request with no more attempts than this needs no allocation to remember their connections.
+const INLINE_ATTEMPTS: usize = 12;
 /// Space for the headers that differ from replica to replica, in bytes, without the replica's id.
 const REPLICA_HEADER_BYTES: usize = 64;
 
@@ -22,13 +22,13 @@
     /// The rest of the head, and the body.
     rest: Vec<u8>,
     /// The client's id of the request.
-    pub(crate) attempt_id: String,
+    pub(crate) request_id: String,
     /// Its method is `HEAD`: responses have no body.
     pub(crate) is_head_method: bool,
     pub(crate) response_use: ResponseUse,
-    /// The connections that carried it. A surplus response to an earlier sub-request has the same id as the
+    /// The connections that carried it. A surplus response to an earlier attempt has the same id as the
     /// response to the next one, so those two never share a connection.
-    connections: RefCell<SmallVec<[ConnectionId; INLINE_SUB_REQUESTS]>>,
+    connections: RefCell<SmallVec<[ConnectionId; INLINE_ATTEMPTS]>>,
 }
 
 impl ReplicaRequest {
@@ -36,13 +36,13 @@
     pub fn new(
         head: Vec<u8>,
         rest: Vec<u8>,
-        attempt_id: String,
+        request_id: String,
         response_use: ResponseUse,
     ) -> ReplicaRequest {
         ReplicaRequest {
             head,
             rest,
-            attempt_id,
+            request_id,
             is_head_method: false,
             response_use,
             connections: RefCell::default(),
@@ -64,7 +64,7 @@
         self.connections.borrow_mut().push(connection);
     }
 
-    /// The bytes of a sub-request to this replica, with so much time left.
+    /// The bytes of an attempt to this replica, with so much time left.
     pub(super) fn to_bytes(&self, replica_id: &str, remaining: Duration) -> Vec<u8> {
         let length = self.head.len() + REPLICA_HEADER_BYTES + replica_id.len() + self.rest.len();
         let mut bytes = Vec::with_capacity(length);
--- a/crates/linenthread-dataplane/src/response.rs
+++ b/crates/linenthread-dataplane/src/response.rs
@@ -13,8 +13,8 @@
 /// Space for the header lines of a forwarded response, in bytes.
 const FORWARDED_HEADER_BYTES: usize = 256;
 
-/// The responses of the parts that have arrived.
-pub(crate) type PartResponses<'a> = SmallVec<[&'a ReplicaResponse; 8]>;
+/// The responses of the sub-requests that were answered.
+pub(crate) type SubRequestResponses<'a> = SmallVec<[&'a ReplicaResponse; 8]>;
 
 /// A status, headers and a body.
 pub(crate) struct Response {
@@ -50,31 +50,35 @@
         }
     }
 
-    /// The `limit` greatest records of the parts that have arrived, and how many of `part_count` are missing.
+    /// The `limit` greatest records of the sub-requests that were answered, and how many of
+    /// `sub_request_count` are missing.
     pub(crate) fn merged(
-        attempt_id: &str,
-        parts: &[&ReplicaResponse],
-        part_count: usize,
+        request_id: &str,
+        responses: &[&ReplicaResponse],
+        sub_request_count: usize,
         limit: usize,
     ) -> Response {
-        let mut headers = Vec::with_capacity(128 + parts.len() * 64);
+        let mut headers = Vec::with_capacity(128 + responses.len() * 64);
         headers.extend_from_slice(b"X-Attempt-Id: ");
-        headers.extend_from_slice(attempt_id.as_bytes());
+        headers.extend_from_slice(request_id.as_bytes());
         headers.extend_from_slice(b"\r\nX-Part-Seals: ");
-        for (index, part) in parts.iter().enumerate() {
+        for (index, response) in responses.iter().enumerate() {
             if index > 0 {
                 headers.extend_from_slice(b", ");
             }
-            let seal = part.head.header("x-replica-seal").unwrap_or_default();
+            let seal = response.head.header("x-replica-seal").unwrap_or_default();
             headers.extend_from_slice(seal.as_bytes());
         }
         headers.extend_from_slice(b"\r\nX-Missing-Parts: ");
-        write_decimal(&mut headers, (part_count - parts.len()) as u64);
+        write_decimal(&mut headers, (sub_request_count - responses.len()) as u64);
         headers.extend_from_slice(b"\r\n");
         Response {
             status: 200,
             headers,
-            body: merge_top_records(parts.iter().map(|part| part.body.as_slice()), limit),
+            body: merge_top_records(
+                responses.iter().map(|response| response.body.as_slice()),
+                limit,
+            ),
         }
     }
 
--- a/crates/linenthread-dataplane/src/server.rs
+++ b/crates/linenthread-dataplane/src/server.rs
@@ -33,7 +33,7 @@
     let _client = plane.count_client();
     let mut closing = plane.watch_closing();
     loop {
-        let limits = RequestLimits::of(plane.plan().as_deref());
+        let limits = RequestLimits::of(plane.routing_table().as_deref());
         let arrived = tokio::select! {
             biased;
             arrived = http.wait_for_data(limits.idle_timeout) => arrived,
@@ -111,12 +111,12 @@
     request: &ClientRequest,
     plane: &DataPlane<C>,
 ) -> Result<PendingResponse<C>, Response> {
-    let plan = plane
-        .plan()
+    let routing_table = plane
+        .routing_table()
         .ok_or_else(|| Response::with_headers(503, NO_CONFIGURATION_ADVICE.to_vec()))?;
     let head = &request.head;
     let host = head.header("host").unwrap_or_default();
-    let resolved = plan
+    let resolved = routing_table
         .find(host, head.path())
         .ok_or_else(|| Response::empty(404))?;
     let replica_request =
--- a/crates/linenthread-dataplane/src/server/forward.rs
+++ b/crates/linenthread-dataplane/src/server/forward.rs
@@ -45,7 +45,7 @@
     let request = ReplicaRequest::new(
         head_to_replicas(head, host),
         rest_to_replicas(head, body),
-        attempt_id(head)?.to_owned(),
+        request_id(head)?.to_owned(),
         response_use,
     );
     Ok(request.with_head_method(head.method() == "HEAD"))
@@ -62,7 +62,7 @@
 }
 
 /// The id by which the responses to the request are known.
-fn attempt_id(head: &Head) -> Result<&str, HeaderError> {
+fn request_id(head: &Head) -> Result<&str, HeaderError> {
     let is_only = head.header_values("x-attempt-id").count() == 1;
     head.header("x-attempt-id")
         .filter(|id| is_only && !id.is_empty())
--- a/crates/linenthread-dataplane/src/server/receive.rs
+++ b/crates/linenthread-dataplane/src/server/receive.rs
@@ -31,12 +31,12 @@
 }
 
 impl RequestLimits {
-    pub(super) fn of(plan: Option<&RoutingTable>) -> RequestLimits {
-        plan.map_or(DEFAULT_LIMITS, |plan| RequestLimits {
-            max_head_bytes: plan.limits.max_header_bytes,
-            max_body_bytes: plan.limits.max_body_bytes,
-            head_timeout: plan.limits.header_timeout,
-            idle_timeout: plan.limits.idle_timeout,
+    pub(super) fn of(routing_table: Option<&RoutingTable>) -> RequestLimits {
+        routing_table.map_or(DEFAULT_LIMITS, |routing_table| RequestLimits {
+            max_head_bytes: routing_table.limits.max_header_bytes,
+            max_body_bytes: routing_table.limits.max_body_bytes,
+            head_timeout: routing_table.limits.header_timeout,
+            idle_timeout: routing_table.limits.idle_timeout,
         })
     }
 }
--- a/crates/linenthread-dataplane/tests/outcome.rs
+++ b/crates/linenthread-dataplane/tests/outcome.rs
@@ -1,4 +1,4 @@
-//! The complete tables: whose response it is, how a sub-request ended, and whether it may be retried.
+//! The complete tables: whose response it is, how an attempt ended, and whether it may be retried.
 
 use bytes::BytesMut;
 use linenthread_config::Mode;
@@ -30,10 +30,14 @@
 
 #[parameterized(
     pool_exhausted = { WireEvent::PoolExhausted, AttemptOutcome::NotSent, AttemptOutcome::NotSent, NotSent },
-    connect_failed = { WireEvent::ConnectFailed, AttemptOutcome::ConnectFailed, AttemptOutcome::ConnectFailed, NotSent },
+    connect_failed = {
+        WireEvent::ConnectFailed, AttemptOutcome::ConnectFailed, AttemptOutcome::ConnectFailed, NotSent
+    },
     nothing_written = { WireEvent::NothingWritten, AttemptOutcome::ConnectFailed, AttemptOutcome::NotSent, NotSent },
     write_truncated = { WireEvent::WriteTruncated, AttemptOutcome::ConnectionLost, AttemptOutcome::Error, MayHaveRun },
-    closed_before_response = { WireEvent::ClosedBeforeResponse, AttemptOutcome::ConnectionLost, AttemptOutcome::Error, MayHaveRun },
+    closed_before_response = {
+        WireEvent::ClosedBeforeResponse, AttemptOutcome::ConnectionLost, AttemptOutcome::Error, MayHaveRun
+    },
     response_truncated = { WireEvent::ResponseTruncated, AttemptOutcome::Error, AttemptOutcome::Error, MayHaveRun },
     timed_out = { WireEvent::TimedOut, AttemptOutcome::TimedOut, AttemptOutcome::TimedOut, MayHaveRun },
     malformed = { WireEvent::Malformed, AttemptOutcome::Error, AttemptOutcome::Error, MayHaveRun },
@@ -102,7 +106,10 @@
 #[parameterized(
     own = { "200 OK\r\nX-Attempt-Id: a\r\nX-Replica-Seal: s", WireEvent::Success, WireEvent::Success },
     without_id = { "200 OK\r\nX-Replica-Seal: s", WireEvent::Unattributed, WireEvent::Unattributed },
-    of_another_request = { "200 OK\r\nX-Attempt-Id: b\r\nX-Replica-Seal: s", WireEvent::Unattributed, WireEvent::Unattributed },
+    of_another_request = {
+        "200 OK\r\nX-Attempt-Id: b\r\nX-Replica-Seal: s",
+        WireEvent::Unattributed, WireEvent::Unattributed
+    },
     of_two_requests = { "200 OK\r\nX-Attempt-Id: a\r\nX-Attempt-Id: b\r\nX-Replica-Seal: s",
         WireEvent::Unattributed, WireEvent::Unattributed },
     unsealed = { "200 OK\r\nX-Attempt-Id: a", WireEvent::Unsealed, WireEvent::Unsealed },
--- a/crates/linenthread-dataplane/tests/pool.rs
+++ b/crates/linenthread-dataplane/tests/pool.rs
@@ -8,7 +8,7 @@
 
 use linenthread_core::interface::AttemptOutcome;
 use linenthread_dataplane::outcome::{Outcome, ResponseUse, SendState};
-use linenthread_dataplane::pool::{ReplicaPool, ReplicaRequest, SubRequestOutcome};
+use linenthread_dataplane::pool::{CompletedAttempt, ReplicaPool, ReplicaRequest};
 use linenthread_dataplane_sim::fault_plan::WriteFault;
 use linenthread_dataplane_sim::network::{Inbound, InboundEvent, Listener, Network, Peer};
 use linenthread_dataplane_sim::replica::messages;
@@ -104,7 +104,7 @@
 }
 
 impl Rig {
-    async fn call(&self, attempt: &str) -> SubRequestOutcome {
+    async fn call(&self, attempt: &str) -> CompletedAttempt {
         self.pool.call(&request(attempt), TIME).await
     }
 
@@ -117,7 +117,7 @@
     }
 }
 
-fn may_have_run(ended: &SubRequestOutcome, attempt_outcome: AttemptOutcome) -> bool {
+fn may_have_run(ended: &CompletedAttempt, attempt_outcome: AttemptOutcome) -> bool {
     let sent = SendState::MayHaveRun;
     ended.outcome
         == Outcome {
