--- a/crates/linenthread-dataplane-sim/src/deployment.rs
+++ b/crates/linenthread-dataplane-sim/src/deployment.rs
@@ -1,9 +1,14 @@
-//! The settings of the simulated ingress node and the configuration that it serves.
+//! The simulated ingress node: its settings, the configuration that it serves, and its data plane.
 
 use std::net::Ipv4Addr;
+use std::rc::Rc;
 use std::time::Duration;
 
 use linenthread_config::Settings;
+use linenthread_dataplane::{DataPlane, RetryQuota, clock};
+use linenthread_time::Instant;
+
+use crate::network::Network;
 
 /// The host of all routes.
 pub const HOST: &str = "index.example";
@@ -20,8 +25,24 @@
 /// The retries that the budget permits in each window: many, so that many are sent.
 pub(crate) const RETRY_ALLOWANCE: f64 = 1_000.0;
 
+/// The data plane of an ingress node that has its configuration and may send so many retries in each window. The clock
+/// starts anew.
+pub fn data_plane(seed: u64, network: Network, retries_per_window: f64) -> Rc<DataPlane<Network>> {
+    clock::restart();
+    let plane = DataPlane::new(Rc::new(settings()), seed, network);
+    plane.apply_configuration(configuration().as_bytes());
+    plane.set_retry_quota(RetryQuota {
+        retries_per_window,
+        expires_at: Instant::NEVER,
+        ingress_index: 0,
+        ingress_count: 1,
+        epoch: 1,
+    });
+    plane
+}
+
 /// The settings of the ingress node.
-pub fn settings() -> Settings {
+fn settings() -> Settings {
     Settings {
         node_name: "ingress".into(),
         zone: ZONE.into(),
@@ -46,7 +67,7 @@
 }
 
 /// The document of the configuration.
-pub fn configuration() -> String {
+fn configuration() -> String {
     let merged = MERGED_BACKENDS
         .map(|backend| format!("\"{backend}\""))
         .join(",");
--- a/crates/linenthread-dataplane-sim/src/network.rs
+++ b/crates/linenthread-dataplane-sim/src/network.rs
@@ -46,6 +46,11 @@
         }
     }
 
+    /// Sends bytes to the ingress node; the same as [`Inbound::push`] with [`InboundEvent::Bytes`].
+    pub(crate) fn push_bytes(&mut self, after: Duration, bytes: Vec<u8>) {
+        self.push(after, InboundEvent::Bytes(bytes));
+    }
+
     /// Whether nothing can be read at this moment.
     pub fn is_idle(&self) -> bool {
         self.events
--- a/crates/linenthread-dataplane-sim/src/replica/connection.rs
+++ b/crates/linenthread-dataplane-sim/src/replica/connection.rs
@@ -99,25 +99,34 @@
         let replica = self.replica.clone();
         let random = &replica.random;
         if let Some(surplus) = self.surplus.take() {
-            inbound.push(PROMPTLY, InboundEvent::Bytes(surplus));
+            inbound.push_bytes(PROMPTLY, surplus);
         }
         let mut after = replica.remaining_freeze() + random.millis(2, 30);
         self.response_due_at = Instant::now() + after;
         if replica.checks_target && request.target_replica != replica.id {
             let message = misdirection(&replica.id);
-            return inbound.push(after, InboundEvent::Bytes(message));
+            return inbound.push_bytes(after, message);
         }
+        let fault = replica.faults.request(random);
+        if fault == RequestFault::LateResponse {
+            after += random.millis(200, 2_500);
+            self.response_due_at = Instant::now() + after;
+        }
+        self.respond(request, fault, after, inbound);
+    }
+
+    /// Responds to a request after so long, with this fault.
+    fn respond(
+        &mut self,
+        request: &Request,
+        fault: RequestFault,
+        after: Duration,
+        inbound: &mut Inbound,
+    ) {
         let request_id = request.request_id.as_str();
-        match replica.faults.request(random) {
-            RequestFault::None => {
-                let response = self.execute(request, request_id);
-                inbound.push(after, InboundEvent::Bytes(response));
-            }
-            RequestFault::LateResponse => {
-                after += random.millis(200, 2_500);
-                self.response_due_at = Instant::now() + after;
-                let response = self.execute(request, request_id);
-                inbound.push(after, InboundEvent::Bytes(response));
+        match fault {
+            RequestFault::None | RequestFault::LateResponse => {
+                inbound.push_bytes(after, self.execute(request, request_id));
             }
             RequestFault::SurplusResponse(kind, time) => {
                 let response = self.execute(request, request_id);
@@ -125,29 +134,26 @@
                 self.respond_twice(response, surplus, time, after, inbound);
             }
             RequestFault::ResponseWithoutId => {
-                let response = self.execute(request, "");
-                inbound.push(after, InboundEvent::Bytes(response));
+                inbound.push_bytes(after, self.execute(request, ""));
             }
             RequestFault::ResponseOfAnotherRequest => {
-                let response = self.execute(request, &id_of_another_request(request_id));
-                inbound.push(after, InboundEvent::Bytes(response));
+                let other_id = id_of_another_request(request_id);
+                inbound.push_bytes(after, self.execute(request, &other_id));
             }
             RequestFault::ServerError { sealed } => {
-                let seal = replica.execute(request_id, &request.path);
-                let seal = if sealed { seal.as_str() } else { "" };
-                let failure = response(500, request_id, seal, "", b"failed");
-                inbound.push(after, InboundEvent::Bytes(failure));
+                let failure = self.fail(request, sealed);
+                inbound.push_bytes(after, failure);
             }
             RequestFault::Rejected { with_id, closes } => {
                 let id = if with_id { request_id } else { "" };
-                inbound.push(after, InboundEvent::Bytes(rejection(id)));
+                inbound.push_bytes(after, rejection(id));
                 if closes {
                     inbound.push(Duration::ZERO, InboundEvent::Close);
                     self.state = State::Dropped;
                 }
             }
             RequestFault::RejectedTwice => {
-                inbound.push(after, InboundEvent::Bytes(rejection(request_id)));
+                inbound.push_bytes(after, rejection(request_id));
                 self.surplus = Some(rejection(request_id));
             }
             RequestFault::Stalled { executed } => {
@@ -167,7 +173,7 @@
             RequestFault::Truncated { per_mille, end } => {
                 let mut response = self.execute(request, request_id);
                 response.truncate(fraction(response.len(), per_mille));
-                inbound.push(after, InboundEvent::Bytes(response));
+                inbound.push_bytes(after, response);
                 self.end_truncated(end, after, inbound);
             }
         }
@@ -205,6 +211,13 @@
         response(200, request_id, &seal, "", body)
     }
 
+    /// Executes a request that fails; the response, with a seal or without.
+    fn fail(&self, request: &Request, sealed: bool) -> Vec<u8> {
+        let seal = self.replica.execute(&request.request_id, &request.path);
+        let seal = if sealed { seal.as_str() } else { "" };
+        response(500, &request.request_id, seal, "", b"failed")
+    }
+
     fn body(&self, request: &Request) -> Vec<u8> {
         response_body(&self.replica.backend, &request.path, &request.request_id)
     }
@@ -236,12 +249,12 @@
             SurplusTime::AtOnce => response.extend_from_slice(&surplus),
             SurplusTime::WhileIdle => {
                 let later = after + self.replica.random.millis(1, 60);
-                inbound.push(after, InboundEvent::Bytes(response));
-                return inbound.push(later, InboundEvent::Bytes(surplus));
+                inbound.push_bytes(after, response);
+                return inbound.push_bytes(later, surplus);
             }
             SurplusTime::BeforeNextResponse => self.surplus = Some(surplus),
         }
-        inbound.push(after, InboundEvent::Bytes(response));
+        inbound.push_bytes(after, response);
     }
 }
 
--- a/crates/linenthread-dataplane-sim/src/simulation.rs
+++ b/crates/linenthread-dataplane-sim/src/simulation.rs
@@ -4,13 +4,12 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use linenthread_dataplane::{DataPlane, RetryQuota, clock};
-use linenthread_time::Instant;
+use linenthread_dataplane::DataPlane;
 use tokio::task::{JoinHandle, LocalSet, spawn_local};
 
 use crate::checker::{Checker, Counts, Rule, Violation};
 use crate::client::{Shared, session};
-use crate::deployment::{RETRY_ALLOWANCE, configuration, settings};
+use crate::deployment::{RETRY_ALLOWANCE, data_plane};
 use crate::event_log::EventLog;
 use crate::fault_plan::FaultPlan;
 use crate::network::Network;
@@ -53,10 +52,9 @@
 }
 
 async fn simulate(seed: u64, sessions: usize) -> Outcome {
-    clock::restart();
     let random = Random::new(seed);
     let (log, network) = (EventLog::default(), Network::default());
-    let plane = data_plane(seed, network.clone());
+    let plane = data_plane(seed, network.clone(), RETRY_ALLOWANCE);
     let environment = Environment {
         faults: FaultPlan::draw(&random),
         random: random.clone(),
@@ -95,20 +93,6 @@
     }
 }
 
-/// The data plane of an ingress node that has its configuration and may send many retries.
-fn data_plane(seed: u64, network: Network) -> Rc<DataPlane<Network>> {
-    let plane = DataPlane::new(Rc::new(settings()), seed, network);
-    plane.apply_configuration(configuration().as_bytes());
-    plane.set_retry_quota(RetryQuota {
-        retries_per_window: RETRY_ALLOWANCE,
-        expires_at: Instant::NEVER,
-        ingress_index: 0,
-        ingress_count: 1,
-        epoch: 1,
-    });
-    plane
-}
-
 async fn delayed_session(shared: Shared, name: String) {
     let delay = shared.random.millis(0, START_SPREAD_MS);
     tokio::time::sleep(delay).await;
--- a/crates/linenthread-dataplane/tests/golden.rs
+++ b/crates/linenthread-dataplane/tests/golden.rs
@@ -9,11 +9,10 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use linenthread_dataplane::{DataPlane, RetryQuota, UpdateScope, clock, serve};
-use linenthread_dataplane_sim::deployment::{configuration, settings};
+use linenthread_dataplane::{DataPlane, UpdateScope, serve};
+use linenthread_dataplane_sim::deployment::data_plane;
 use linenthread_dataplane_sim::fault_plan::WriteFault;
 use linenthread_dataplane_sim::network::{Inbound, InboundEvent, Listener, Network, Peer};
-use linenthread_time::Instant;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::task::{LocalSet, spawn_local};
 
@@ -100,6 +99,8 @@
     ("head_too_long", "GET /one/find HTTP/1.1\r\nX-Long: ", ""),
 ];
 
+/// Retries that the ingress node may send: more than any case needs.
+const RETRIES_PER_WINDOW: f64 = 100.0;
 /// What follows the start of a head that is too long.
 const LONG_HEADER_BYTES: usize = 20_000;
 
@@ -135,17 +136,8 @@
 
 /// An ingress node with one replica of each backend.
 fn ingress(answer: &'static str, received: &Received) -> Rc<DataPlane<Network>> {
-    clock::restart();
     let network = Network::default();
-    let plane = DataPlane::new(Rc::new(settings()), 1, network.clone());
-    plane.apply_configuration(configuration().as_bytes());
-    plane.set_retry_quota(RetryQuota {
-        retries_per_window: 100.0,
-        expires_at: Instant::NEVER,
-        ingress_index: 0,
-        ingress_count: 1,
-        epoch: 1,
-    });
+    let plane = data_plane(1, network.clone(), RETRIES_PER_WINDOW);
     let listed = (1u8..=4).map(|number| {
         let address = SocketAddr::from(([10, 0, 0, number], 80));
         let replica = Replica {
--- a/crates/linenthread-dataplane/tests/server.rs
+++ b/crates/linenthread-dataplane/tests/server.rs
@@ -7,8 +7,8 @@
 use std::time::Duration;
 
 use linenthread_dataplane::connection::HttpConnection;
-use linenthread_dataplane::{DataPlane, RetryQuota, UpdateScope, clock, serve};
-use linenthread_dataplane_sim::deployment::{HOST, configuration, settings};
+use linenthread_dataplane::{DataPlane, UpdateScope, serve};
+use linenthread_dataplane_sim::deployment::{HOST, data_plane};
 use linenthread_dataplane_sim::fault_plan::WriteFault;
 use linenthread_dataplane_sim::network::{Inbound, InboundEvent, Listener, Network, Peer};
 use linenthread_dataplane_sim::replica::messages;
@@ -16,6 +16,9 @@
 use tokio::time::Instant;
 use yare::parameterized;
 
+/// Retries that the ingress node may send: more than any test needs.
+const RETRIES_PER_WINDOW: f64 = 100.0;
+
 /// Replicas that do the same with each request, and count them.
 #[derive(Clone)]
 struct Replicas {
@@ -44,17 +47,8 @@
 
 /// An ingress node with these replicas of both backends that are queried alone.
 fn ingress(replicas: Option<&Replicas>) -> Rc<DataPlane<Network>> {
-    clock::restart();
     let network = Network::default();
-    let plane = DataPlane::new(Rc::new(settings()), 1, network.clone());
-    plane.apply_configuration(configuration().as_bytes());
-    plane.set_retry_quota(RetryQuota {
-        retries_per_window: 100.0,
-        expires_at: linenthread_time::Instant::NEVER,
-        ingress_index: 0,
-        ingress_count: 1,
-        epoch: 1,
-    });
+    let plane = data_plane(1, network.clone(), RETRIES_PER_WINDOW);
     let Some(replicas) = replicas else {
         return plane;
     };
