--- a/crates/linenthread-dataplane/src/server.rs
+++ b/crates/linenthread-dataplane/src/server.rs
@@ -56,7 +56,7 @@
     }
 }
 
-/// Rejects what is not a request, if anybody is there to be told so.
+/// Rejects what is not a request, if the client is still there.
 async fn reject<S: AsyncRead + AsyncWrite + Unpin>(
     http: &mut HttpConnection<S>,
     peer: SocketAddr,
