--- a/crates/linenthread-drill/src/dataplane.rs
+++ b/crates/linenthread-drill/src/dataplane.rs
@@ -3,7 +3,7 @@
 use std::time::Instant;
 
 use linenthread_dataplane_sim::checker::Counts;
-use linenthread_dataplane_sim::simulation::{Outcome, SESSIONS, run};
+use linenthread_dataplane_sim::simulation::{Outcome, SESSIONS, run as simulate};
 
 /// How many violations are printed.
 const MAX_PRINTED: usize = 20;
@@ -12,13 +12,22 @@
 
 /// What to run.
 #[derive(Clone, Debug)]
-pub(crate) struct Drill {
+pub(crate) struct Options {
     /// Sessions of clients, over all simulations.
-    pub sessions: usize,
+    pub(crate) sessions: usize,
     /// The seed of the first simulation; the next ones follow.
-    pub seed: u64,
+    pub(crate) seed: u64,
     /// Print what became of the requests, and the digest of all that happened.
-    pub told: bool,
+    pub(crate) summary: bool,
+}
+
+/// What was checked.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct Checked {
+    /// Sessions that were run.
+    pub(crate) sessions: usize,
+    /// Rules that were broken.
+    pub(crate) violations: usize,
 }
 
 /// One simulation to run.
@@ -28,53 +37,55 @@
     sessions: usize,
 }
 
-impl Drill {
-    /// Runs all simulations; how many sessions were checked, and how many violations there were.
-    pub(crate) fn run(&self) -> (usize, usize) {
-        let started_at = Instant::now();
-        let (mut counts, mut executions, mut digest) = (Counts::default(), 0, 0u64);
-        let mut violations = 0;
-        for (number, (job, outcome)) in run_all(&self.jobs()).into_iter().enumerate() {
-            if violations == 0 && !outcome.violations.is_empty() {
-                let sessions = (number + 1) * SESSIONS;
-                println!("the first breach came within {sessions} sessions");
-            }
-            for violation in &outcome.violations {
-                violations += 1;
-                if violations <= MAX_PRINTED {
-                    println!("breach: seed {}: {violation}", job.seed);
-                }
-            }
-            counts += outcome.counts;
-            executions += outcome.executions;
-            digest = digest.rotate_left(1) ^ outcome.digest;
+/// Runs all simulations and prints their violations, at most [`MAX_PRINTED`].
+pub(crate) fn run(options: &Options) -> Checked {
+    let started_at = Instant::now();
+    let (mut counts, mut executions, mut digest) = (Counts::default(), 0, 0u64);
+    let mut violations = 0;
+    for (number, (job, outcome)) in run_all(&jobs(options)).into_iter().enumerate() {
+        if violations == 0 && !outcome.violations.is_empty() {
+            let sessions = (number + 1) * SESSIONS;
+            println!("the first breach came within {sessions} sessions");
         }
-        if self.told {
-            println!("{counts:?}");
-            let seconds = started_at.elapsed().as_secs_f64();
-            println!("{executions} runs, digest {digest:016x}, {seconds:.1} s");
+        for violation in &outcome.violations {
+            violations += 1;
+            if violations <= MAX_PRINTED {
+                println!("breach: seed {}: {violation}", job.seed);
+            }
         }
-        (self.sessions, violations)
+        counts += outcome.counts;
+        executions += outcome.executions;
+        digest = digest.rotate_left(1) ^ outcome.digest;
     }
-
-    fn jobs(&self) -> Vec<Job> {
-        let starts = (0..self.sessions).step_by(SESSIONS);
-        (0..)
-            .zip(starts)
-            .map(|(number, start)| Job {
-                seed: self.seed.wrapping_add(number),
-                sessions: (self.sessions - start).min(SESSIONS),
-            })
-            .collect()
+    if options.summary {
+        println!("{counts:?}");
+        let seconds = started_at.elapsed().as_secs_f64();
+        println!("{executions} runs, digest {digest:016x}, {seconds:.1} s");
+    }
+    Checked {
+        sessions: options.sessions,
+        violations,
     }
 }
 
+/// The simulations, of which the last may have fewer sessions.
+fn jobs(options: &Options) -> Vec<Job> {
+    let starts = (0..options.sessions).step_by(SESSIONS);
+    (0..)
+        .zip(starts)
+        .map(|(number, start)| Job {
+            seed: options.seed.wrapping_add(number),
+            sessions: (options.sessions - start).min(SESSIONS),
+        })
+        .collect()
+}
+
 /// All outcomes, in the order of the jobs.
 fn run_all(jobs: &[Job]) -> Vec<(Job, Outcome)> {
     let jobs_per_thread = jobs.len().div_ceil(THREADS).max(1);
     let run_some = |some: &[Job]| -> Vec<(Job, Outcome)> {
         some.iter()
-            .map(|&job| (job, run(job.seed, job.sessions)))
+            .map(|&job| (job, simulate(job.seed, job.sessions)))
             .collect()
     };
     std::thread::scope(|scope| {
