--- a/crates/linenthread-dataplane-sim/src/replica/connection.rs
+++ b/crates/linenthread-dataplane-sim/src/replica/connection.rs
@@ -30,7 +30,7 @@
 
 /// A request that was read completely.
 struct Request {
-    attempt_id: String,
+    request_id: String,
     path: String,
     target_replica: String,
     is_head_method: bool,
@@ -87,7 +87,7 @@
         self.buffer = rest;
         let header = |name| head.header(name).unwrap_or_default().to_owned();
         Some(Request {
-            attempt_id: header("x-attempt-id"),
+            request_id: header("x-attempt-id"),
             path: head.target().to_owned(),
             target_replica: header("x-target-replica"),
             is_head_method: head.method() == "HEAD",
@@ -99,56 +99,62 @@
         let replica = self.replica.clone();
         let random = &replica.random;
         if let Some(surplus) = self.surplus.take() {
-            inbound.push(PROMPTLY, InboundEvent::Bytes(surplus));
+            inbound.push_bytes(PROMPTLY, surplus);
         }
         let mut after = replica.remaining_freeze() + random.millis(2, 30);
         self.response_due_at = Instant::now() + after;
         if replica.checks_target && request.target_replica != replica.id {
             let message = misdirection(&replica.id);
-            return inbound.push(after, InboundEvent::Bytes(message));
+            return inbound.push_bytes(after, message);
         }
-        let attempt_id = request.attempt_id.as_str();
-        match replica.faults.request(random) {
-            RequestFault::None => {
-                let response = self.execute(request, attempt_id);
-                inbound.push(after, InboundEvent::Bytes(response));
-            }
-            RequestFault::LateResponse => {
-                after += random.millis(200, 2_500);
-                self.response_due_at = Instant::now() + after;
-                let response = self.execute(request, attempt_id);
-                inbound.push(after, InboundEvent::Bytes(response));
+        let fault = replica.faults.request(random);
+        if fault == RequestFault::LateResponse {
+            after += random.millis(200, 2_500);
+            self.response_due_at = Instant::now() + after;
+        }
+        self.respond(request, fault, after, inbound);
+    }
+
+    /// Responds to a request after so long, with this fault.
+    fn respond(
+        &mut self,
+        request: &Request,
+        fault: RequestFault,
+        after: Duration,
+        inbound: &mut Inbound,
+    ) {
+        let request_id = request.request_id.as_str();
+        match fault {
+            RequestFault::None | RequestFault::LateResponse => {
+                inbound.push_bytes(after, self.execute(request, request_id));
             }
             RequestFault::SurplusResponse(kind, time) => {
-                let response = self.execute(request, attempt_id);
+                let response = self.execute(request, request_id);
                 let surplus = self.surplus_response(request, kind, &response);
                 self.respond_twice(response, surplus, time, after, inbound);
             }
             RequestFault::ResponseWithoutId => {
-                let response = self.execute(request, "");
-                inbound.push(after, InboundEvent::Bytes(response));
+                inbound.push_bytes(after, self.execute(request, ""));
             }
             RequestFault::ResponseOfAnotherRequest => {
-                let response = self.execute(request, &id_of_another_request(attempt_id));
-                inbound.push(after, InboundEvent::Bytes(response));
+                let other_id = id_of_another_request(request_id);
+                inbound.push_bytes(after, self.execute(request, &other_id));
             }
             RequestFault::ServerError { sealed } => {
-                let seal = replica.execute(attempt_id, &request.path);
-                let seal = if sealed { seal.as_str() } else { "" };
-                let failure = response(500, attempt_id, seal, "", b"failed");
-                inbound.push(after, InboundEvent::Bytes(failure));
+                let failure = self.fail(request, sealed);
+                inbound.push_bytes(after, failure);
             }
             RequestFault::Rejected { with_id, closes } => {
-                let id = if with_id { attempt_id } else { "" };
-                inbound.push(after, InboundEvent::Bytes(rejection(id)));
+                let id = if with_id { request_id } else { "" };
+                inbound.push_bytes(after, rejection(id));
                 if closes {
                     inbound.push(Duration::ZERO, InboundEvent::Close);
                     self.state = State::Dropped;
                 }
             }
             RequestFault::RejectedTwice => {
-                inbound.push(after, InboundEvent::Bytes(rejection(attempt_id)));
-                self.surplus = Some(rejection(attempt_id));
+                inbound.push_bytes(after, rejection(request_id));
+                self.surplus = Some(rejection(request_id));
             }
             RequestFault::Stalled { executed } => {
                 if executed {
@@ -165,9 +171,9 @@
                 inbound.push(after, InboundEvent::Close);
             }
             RequestFault::Truncated { per_mille, end } => {
-                let mut response = self.execute(request, attempt_id);
+                let mut response = self.execute(request, request_id);
                 response.truncate(fraction(response.len(), per_mille));
-                inbound.push(after, InboundEvent::Bytes(response));
+                inbound.push_bytes(after, response);
                 self.end_truncated(end, after, inbound);
             }
         }
@@ -194,31 +200,38 @@
     }
 
     /// Executes a request; the response, with this id.
-    fn execute(&self, request: &Request, attempt_id: &str) -> Vec<u8> {
-        let seal = self.replica.execute(&request.attempt_id, &request.path);
+    fn execute(&self, request: &Request, request_id: &str) -> Vec<u8> {
+        let seal = self.replica.execute(&request.request_id, &request.path);
         let body = self.body(request);
         let body = if request.is_head_method {
             &[][..]
         } else {
             &body
         };
-        response(200, attempt_id, &seal, "", body)
+        response(200, request_id, &seal, "", body)
+    }
+
+    /// Executes a request that fails; the response, with a seal or without.
+    fn fail(&self, request: &Request, sealed: bool) -> Vec<u8> {
+        let seal = self.replica.execute(&request.request_id, &request.path);
+        let seal = if sealed { seal.as_str() } else { "" };
+        response(500, &request.request_id, seal, "", b"failed")
     }
 
     fn body(&self, request: &Request) -> Vec<u8> {
-        response_body(&self.replica.backend, &request.path, &request.attempt_id)
+        response_body(&self.replica.backend, &request.path, &request.request_id)
     }
 
     fn surplus_response(&self, request: &Request, kind: SurplusResponse, first: &[u8]) -> Vec<u8> {
         let seal = format!("{}.again", self.replica.id);
-        let id_of_another = id_of_another_request(&request.attempt_id);
+        let id_of_another = id_of_another_request(&request.request_id);
         match kind {
             SurplusResponse::Repeated => first.to_vec(),
             SurplusResponse::WithoutId => response(200, "", &seal, "", &self.body(request)),
             SurplusResponse::OfAnotherRequest => {
                 response(200, &id_of_another, &seal, "", &self.body(request))
             }
-            SurplusResponse::Rejection => rejection(&request.attempt_id),
+            SurplusResponse::Rejection => rejection(&request.request_id),
             SurplusResponse::RejectionWithoutId => rejection(""),
             SurplusResponse::Misdirection => misdirection("another"),
         }
@@ -236,12 +249,12 @@
             SurplusTime::AtOnce => response.extend_from_slice(&surplus),
             SurplusTime::WhileIdle => {
                 let later = after + self.replica.random.millis(1, 60);
-                inbound.push(after, InboundEvent::Bytes(response));
-                return inbound.push(later, InboundEvent::Bytes(surplus));
+                inbound.push_bytes(after, response);
+                return inbound.push_bytes(later, surplus);
             }
             SurplusTime::BeforeNextResponse => self.surplus = Some(surplus),
         }
-        inbound.push(after, InboundEvent::Bytes(response));
+        inbound.push_bytes(after, response);
     }
 }
 
@@ -280,6 +293,6 @@
 
 /// The id of a request that another ingress node has in flight at the same replica. One that this ingress node has
 /// in flight there could not be detected by anybody: id, connection and order would all be right.
-fn id_of_another_request(attempt_id: &str) -> String {
-    format!("{attempt_id}-elsewhere")
+fn id_of_another_request(request_id: &str) -> String {
+    format!("{request_id}-elsewhere")
 }
