--- a/crates/linenthread-drill/src/commands/dataplane.rs
+++ b/crates/linenthread-drill/src/commands/dataplane.rs
@@ -5,15 +5,16 @@
 use bpaf::{Parser, construct, long};
 
 use super::{arguments, outcome};
-pub(super) use crate::dataplane::Drill as Options;
+use crate::dataplane;
+pub(super) use crate::dataplane::Options;
 
 pub(super) fn parser() -> impl Parser<Options> {
     let sessions = arguments::count("sessions", "Sessions of clients to run", 2_000);
     let seed = arguments::first_seed();
-    let told = long("summary")
+    let summary = long("summary")
         .help("Also print what was answered, and the digest of all that happened")
         .switch();
-    construct!(Options { sessions, seed, told })
+    construct!(Options { sessions, seed, summary })
         .to_options()
         .descr(
             "The traffic path in simulated time against replicas that answer twice, in part, late or not at all, \
@@ -25,7 +26,8 @@
 }
 
 pub(super) fn run(options: &Options) -> ExitCode {
-    let (checked, breaches) = options.run();
-    println!("{checked} sessions checked, {breaches} breaches");
-    outcome::exit_code(breaches)
+    let checked = dataplane::run(options);
+    let (sessions, violations) = (checked.sessions, checked.violations);
+    println!("{sessions} sessions checked, {violations} breaches");
+    outcome::exit_code(violations)
 }
