--- a/crates/linenthread-core/src/policy/attempt_result.rs
+++ b/crates/linenthread-core/src/policy/attempt_result.rs
@@ -1,16 +1,17 @@
 //! What the end of an attempt says of its replica, its zone and the fleet.
 
 use super::Coordinator;
+use super::send_guard::OUTAGE_TRIAL;
 use super::windows::{CRASH_MEMORY, MIN_WEIGHT, RECENT};
 use crate::interface::{AttemptOutcome, AttemptResult, DecisionSink, TenthMillis};
-use crate::state::{Attempt, Outage, Query};
+use crate::state::{Attempt, Outage};
 
 /// Where no probes are permitted, the first attempt tries a replica that is down after this time, in tenths of
 /// a millisecond; the wait grows with the length of the outage.
 const FIRST_TRIAL: TenthMillis = 2_500;
 
 /// The longest such wait, in tenths of a millisecond.
-const MAX_TRIAL_WAIT: TenthMillis = super::send_guard::OUTAGE_TRIAL;
+const MAX_TRIAL_WAIT: TenthMillis = OUTAGE_TRIAL;
 
 /// A hedged request that came first was needed: it makes room for so many more.
 const HEDGES_PER_WIN: f64 = 2.0;
@@ -206,7 +207,7 @@
         let replica = &mut self.replicas[finished.replica];
         let connection_lost = finished.outcome == AttemptOutcome::ConnectionLost;
         if connection_lost {
-            let query: Option<&mut Query> = self.queries[query_index].as_mut();
+            let query = self.queries[query_index].as_mut();
             let query = query.expect("the query of an attempt that has just ended");
             if !query.lost_connections.contains(&finished.replica) {
                 query.lost_connections.push(finished.replica);
