--- /dev/null
+++ b/crates/linenthread-dataplane/src/dispatcher/pass_through.rs
@@ -0,0 +1,130 @@
+//! A replacement of the decision module that decides nothing, to measure what the module costs. Each part goes
+//! once to the replica that a hash names; nothing is scored, retried or rejected. Not for production.
+
+use linenthread_core::DecisionSink;
+use linenthread_core::interface::{
+    AttemptOutcome, Inputs, MembershipEntry, MembershipUpdate, NewQuery, Phase, TenthMillis,
+};
+
+/// A query that has not ended.
+struct Query {
+    key: u64,
+    deadline: TenthMillis,
+    /// The shard of each part.
+    shards: Vec<usize>,
+    sent: usize,
+    completed: usize,
+    failed: bool,
+}
+
+/// The replicas and the queries, by their indices.
+#[derive(Default)]
+pub(super) struct PassThrough {
+    replicas: Vec<MembershipEntry>,
+    queries: Vec<Option<Query>>,
+}
+
+impl PassThrough {
+    /// One round: takes in what arrived, sends new parts and ends queries whose parts have all ended.
+    pub(super) fn round(&mut self, inputs: &Inputs, sink: &mut impl DecisionSink) {
+        for update in &inputs.membership {
+            if let MembershipUpdate::Delta(listed) = update {
+                self.update_replicas(listed);
+            }
+        }
+        for new in &inputs.queries {
+            self.open(new);
+        }
+        for part in &inputs.sub_requests {
+            if let Some(Some(query)) = self.queries.get_mut(part.query) {
+                query.shards.push(part.shard);
+            }
+        }
+        for response in &inputs.results {
+            if let Some(Some(query)) = self.queries.get_mut(response.query) {
+                query.completed += 1;
+                query.failed |= response.outcome != AttemptOutcome::Success;
+            }
+        }
+        for (index, slot) in self.queries.iter_mut().enumerate() {
+            let Some(query) = slot else {
+                continue;
+            };
+            query.send_parts(index, &self.replicas, inputs.now, sink);
+            if query.completed == query.shards.len() {
+                query.end(index, sink);
+                *slot = None;
+            }
+        }
+    }
+
+    fn update_replicas(&mut self, listed: &[MembershipEntry]) {
+        for entry in listed {
+            let count = self.replicas.len().max(entry.replica + 1);
+            self.replicas.resize_with(count, MembershipEntry::default);
+            self.replicas[entry.replica] = entry.clone();
+        }
+    }
+
+    fn open(&mut self, new: &NewQuery) {
+        let count = self.queries.len().max(new.query + 1);
+        self.queries.resize_with(count, || None);
+        self.queries[new.query] = Some(Query {
+            key: new.sequence_number,
+            deadline: new.hard_deadline,
+            shards: Vec::new(),
+            sent: 0,
+            completed: 0,
+            failed: false,
+        });
+    }
+}
+
+impl Query {
+    /// Sends each part that has not been sent to one of the nearest available replicas of its shard.
+    fn send_parts(
+        &mut self,
+        index: usize,
+        replicas: &[MembershipEntry],
+        now: TenthMillis,
+        sink: &mut impl DecisionSink,
+    ) {
+        for part in self.sent..self.shards.len() {
+            self.sent += 1;
+            match choose(replicas, self.shards[part], self.key) {
+                Some(replica) => {
+                    sink.send(index, part, replica.replica, (self.deadline - now).max(1));
+                }
+                None => {
+                    self.completed += 1;
+                    self.failed = true;
+                }
+            }
+        }
+    }
+
+    fn end(&self, index: usize, sink: &mut impl DecisionSink) {
+        if self.failed {
+            sink.fail(index);
+        } else {
+            sink.respond(index, true);
+        }
+        sink.release(index);
+    }
+}
+
+/// The replica of a shard that a key names, among those of the local zone if there are any.
+fn choose(replicas: &[MembershipEntry], shard: usize, key: u64) -> Option<&MembershipEntry> {
+    let is_remote = |replica: &MembershipEntry| replica.zone > 0;
+    let available = || {
+        replicas
+            .iter()
+            .filter(|replica| replica.phase == Phase::Ready && replica.replica_group == shard)
+    };
+    let nearest = available().map(is_remote).min()?;
+    let candidates: Vec<&MembershipEntry> = available()
+        .filter(|replica| is_remote(replica) == nearest)
+        .collect();
+    let position = key % u64::try_from(candidates.len()).ok()?;
+    candidates.get(usize::try_from(position).ok()?).copied()
+}
