--- /dev/null
+++ b/crates/linenthread-control/tests/single_node.rs
@@ -0,0 +1,250 @@
+//! One control node among peers that are played by the test: what it acknowledges when, and which sessions it closes.
+
+use std::time::Duration;
+
+use linenthread_consensus::{DurableState, genesis_id};
+use linenthread_control::{
+    CallId, ControlNode, Effect, NodeConfig, ReplicaHeartbeat, Response, SessionId,
+};
+use linenthread_messages::{Heartbeat, Hello, PeerMessage, UpdateAck, VERSION, Value, Voter};
+use linenthread_time::Instant;
+
+fn at(millis: u64) -> Instant {
+    Instant::from_millis(millis)
+}
+
+fn ms(millis: u64) -> Duration {
+    Duration::from_millis(millis)
+}
+
+fn address(n: usize) -> String {
+    format!("10.0.0.{n}:80")
+}
+
+fn node() -> ControlNode {
+    node_among(3)
+}
+
+fn node_among(voters: usize) -> ControlNode {
+    let bootstrap: Vec<String> = (1..=voters).map(address).collect();
+    let voters: Vec<Voter> = bootstrap
+        .iter()
+        .map(|a| Voter {
+            id: genesis_id(a),
+            address: a.clone(),
+        })
+        .collect();
+    let local = NodeConfig {
+        name: "node-1".into(),
+        zone: "z".into(),
+        incarnation: 1,
+        control_address: address(1),
+        may_vote: true,
+        min_voters: 3,
+        heartbeat_interval: ms(1_000),
+        bootstrap,
+        is_genesis: true,
+        retry_allowance: 10.0,
+        retry_window: ms(10_000),
+    };
+    let genesis = Value {
+        voters,
+        ..Value::default()
+    };
+    ControlNode::new(
+        local,
+        genesis_id(&address(1)),
+        DurableState::default(),
+        Some(genesis),
+        Instant::START,
+    )
+}
+
+/// Opens a session with control node `n`, which acknowledges at once.
+fn connect(
+    control: &mut ControlNode,
+    now: u64,
+    session: u64,
+    n: usize,
+    version: u32,
+) -> Vec<Effect> {
+    let session = SessionId(session);
+    let mut effects = Vec::new();
+    let hello = Hello {
+        version,
+        name: format!("node-{n}"),
+        incarnation: n as u64 * 100,
+        control_address: address(n),
+        node_id: genesis_id(&address(n)),
+        ..Hello::default()
+    };
+    control.on_session_opened(session, &mut effects);
+    control.on_message(at(now), session, PeerMessage::Hello(hello), &mut effects);
+    control.on_message(at(now), session, round_trip(now), &mut effects);
+    effects
+}
+
+/// A heartbeat of a peer that has received what was sent at `now`.
+fn round_trip(now: u64) -> PeerMessage {
+    let heartbeat = Heartbeat {
+        has_quorum: true,
+        sent_at: now,
+        echoed_sent_at: Some(now),
+        durable_value_number: Some(0),
+        ..Heartbeat::default()
+    };
+    PeerMessage::Heartbeat(heartbeat)
+}
+
+fn replica_heartbeat(phase: &str, call_count: u64) -> ReplicaHeartbeat {
+    let text = format!(
+        r#"{{"backend":"s","address":"10.9.0.1:1","zone":"z","phase":"{phase}","call_count":{call_count}}}"#
+    );
+    serde_json::from_str(&text).unwrap()
+}
+
+/// A replica says at 0 that it drains.
+fn drain(control: &mut ControlNode, effects: &mut Vec<Effect>) {
+    let heartbeat = replica_heartbeat("draining", 1);
+    control.on_replica_heartbeat(at(0), CallId(1), "i", heartbeat, effects);
+}
+
+/// The peer of a session acknowledges the first update.
+fn acknowledge(control: &mut ControlNode, now: u64, session: u64, effects: &mut Vec<Effect>) {
+    let ack = PeerMessage::UpdateAck(UpdateAck { update_id: 1 });
+    control.on_message(at(now), SessionId(session), ack, effects);
+}
+
+fn responses(effects: &[Effect]) -> Vec<&Response> {
+    effects
+        .iter()
+        .filter_map(|effect| {
+            if let Effect::Respond { response, .. } = effect {
+                Some(response)
+            } else {
+                None
+            }
+        })
+        .collect()
+}
+
+#[test]
+fn without_a_quorum_a_node_takes_no_heartbeats() {
+    let (mut control, mut effects) = (node(), Vec::new());
+    control.on_replica_heartbeat(
+        at(0),
+        CallId(1),
+        "i",
+        replica_heartbeat("available", 1),
+        &mut effects,
+    );
+    assert!(matches!(
+        responses(&effects)[..],
+        [Response::Unavailable(_)]
+    ));
+    connect(&mut control, 0, 1, 2, VERSION);
+    effects.clear();
+    control.on_replica_heartbeat(
+        at(0),
+        CallId(2),
+        "i",
+        replica_heartbeat("available", 1),
+        &mut effects,
+    );
+    assert_eq!(
+        responses(&effects),
+        [&Response::Acknowledged(Some(address(1)))]
+    );
+}
+
+#[test]
+fn a_drain_is_acknowledged_when_a_majority_knows() {
+    let (mut control, mut effects) = (node(), Vec::new());
+    connect(&mut control, 0, 1, 2, VERSION);
+    drain(&mut control, &mut effects);
+    assert!(responses(&effects).is_empty());
+    let asks_for_ack = |effect: &Effect| matches!(effect, Effect::Send { message: PeerMessage::ControlUpdate(update), .. } if update.update_id == 1);
+    assert!(effects.iter().any(asks_for_ack));
+    effects.clear();
+    acknowledge(&mut control, 10, 1, &mut effects);
+    assert_eq!(responses(&effects), [&Response::Acknowledged(None)]);
+}
+
+#[test]
+fn a_drain_that_no_other_node_knows_is_not_acknowledged() {
+    let (mut control, mut effects) = (node(), Vec::new());
+    connect(&mut control, 0, 1, 2, VERSION);
+    drain(&mut control, &mut effects);
+    control.on_session_closed(at(5), SessionId(1), &mut effects);
+    acknowledge(&mut control, 10, 1, &mut effects);
+    assert!(responses(&effects).is_empty());
+    control.tick(at(1_000), &mut effects);
+    assert!(matches!(
+        responses(&effects)[..],
+        [Response::Unavailable(_)]
+    ));
+}
+
+#[test]
+fn the_acknowledgement_of_a_node_that_has_gone_does_not_count() {
+    let (mut control, mut effects) = (node_among(5), Vec::new());
+    for n in 2..=4 {
+        connect(&mut control, 0, n as u64, n, VERSION);
+    }
+    drain(&mut control, &mut effects);
+    acknowledge(&mut control, 10, 2, &mut effects);
+    control.on_session_closed(at(20), SessionId(2), &mut effects);
+    acknowledge(&mut control, 30, 3, &mut effects);
+    assert!(responses(&effects).is_empty());
+    acknowledge(&mut control, 40, 4, &mut effects);
+    assert_eq!(responses(&effects), [&Response::Acknowledged(None)]);
+}
+
+#[test]
+fn sessions_with_another_version_or_itself_are_closed() {
+    let mut control = node();
+    let effects = connect(&mut control, 0, 1, 2, VERSION + 1);
+    assert!(
+        effects
+            .iter()
+            .any(|effect| matches!(effect, Effect::Close(SessionId(1))))
+    );
+    let mut effects = Vec::new();
+    let own = Hello {
+        version: VERSION,
+        incarnation: 1,
+        control_address: address(1),
+        ..Hello::default()
+    };
+    control.on_message(at(0), SessionId(2), PeerMessage::Hello(own), &mut effects);
+    assert!(
+        effects
+            .iter()
+            .any(|effect| matches!(effect, Effect::Close(SessionId(2))))
+    );
+}
+
+#[test]
+fn a_session_times_out_and_its_node_is_dialled_again() {
+    let (mut control, mut effects) = (node(), Vec::new());
+    connect(&mut control, 0, 1, 2, VERSION);
+    connect(&mut control, 0, 2, 3, VERSION);
+    for now in (200..2_200).step_by(200) {
+        control.on_message(at(now), SessionId(2), round_trip(now), &mut effects);
+        control.tick(at(now), &mut effects);
+    }
+    assert!(
+        effects
+            .iter()
+            .any(|effect| matches!(effect, Effect::Close(SessionId(1))))
+            && !effects
+                .iter()
+                .any(|effect| matches!(effect, Effect::Close(SessionId(2))))
+    );
+    assert!(
+        effects
+            .iter()
+            .any(|effect| matches!(effect, Effect::Dial(a) if *a == address(2)))
+    );
+    assert!(control.has_quorum(at(2_000)));
+}
