--- a/crates/linenthread-control/src/state_log.rs
+++ b/crates/linenthread-control/src/state_log.rs
@@ -22,7 +22,7 @@
 #[derive(Debug, Snafu)]
 pub enum StateLogError {
     /// The directory can't be opened.
-    #[snafu(display("the folder can't be taken: {source}"))]
+    #[snafu(display("opening the directory: {source}"))]
     OpenDirectory {
         /// What the directory reported.
         source: DirectoryError,
--- a/crates/linenthread-store/src/directory.rs
+++ b/crates/linenthread-store/src/directory.rs
@@ -25,7 +25,7 @@
         source: io::Error,
     },
     /// Another process uses it.
-    #[snafu(display("{}: another process has this folder", path.display()))]
+    #[snafu(display("{}: another process uses this directory", path.display()))]
     Locked {
         /// The directory.
         path: PathBuf,
--- a/crates/linenthread-store/src/log.rs
+++ b/crates/linenthread-store/src/log.rs
@@ -74,7 +74,7 @@
             return DamagedSnafu {
                 file: file_name(lost),
                 offset: 0_u64,
-                reason: "what it begins with is not whole, and no file before it is there",
+                reason: "what it carried over is not complete, and no file before it is there",
             }
             .fail();
         }
--- a/crates/linenthread-store/tests/crashes.rs
+++ b/crates/linenthread-store/tests/crashes.rs
@@ -27,13 +27,13 @@
         let opened = Log::open(disk)
             .unwrap_or_else(|e| panic!("seed {seed}, incarnation {incarnation}: {e}"));
         let (mut log, records) = (opened.log, opened.records);
-        let whole: Vec<_> = synced.iter().chain(&added).cloned().collect();
+        let all: Vec<_> = synced.iter().chain(&added).cloned().collect();
         assert!(
             records.len() >= synced.len(),
             "seed {seed}, incarnation {incarnation}: synced records are lost"
         );
         assert!(
-            whole.starts_with(&records),
+            all.starts_with(&records),
             "seed {seed}, incarnation {incarnation}: what is there was never added so"
         );
         (synced, added) = (records, Vec::new());
@@ -120,12 +120,12 @@
         let (file, at) = disk.flip_bit(&mut random).unwrap();
         match Log::open(disk) {
             Err(LogError::Damaged {
-                file: said,
+                file: reported_file,
                 offset: from,
                 ..
             }) => {
                 assert!(
-                    said == file && from <= at as u64,
+                    reported_file == file && from <= at as u64,
                     "seed {seed}: {from} for {at}"
                 );
                 reported += 1;
@@ -152,11 +152,13 @@
     let path = std::env::temp_dir().join(format!("linenthread-store-{}", std::process::id()));
     std::fs::remove_dir_all(&path).ok();
     let mut log = Log::open(Directory::open(&path).unwrap()).unwrap().log;
-    let said = Directory::open(&path).unwrap_err();
+    let error = Directory::open(&path).unwrap_err();
     assert!(
-        matches!(&said, DirectoryError::Locked { path: locked } if *locked == path)
-            && said.to_string().contains("another process has this folder"),
-        "{said}"
+        matches!(&error, DirectoryError::Locked { path: locked } if *locked == path)
+            && error
+                .to_string()
+                .contains("another process uses this directory"),
+        "{error}"
     );
     log.append(b"one").unwrap();
     log.sync().unwrap();
@@ -188,11 +190,11 @@
     later.extend([0; 16]);
     later.extend(crc32fast::hash(&later).to_be_bytes());
     files.append("00000000000000ff.log", &later).unwrap();
-    let Err(said) = Log::open(files).map(|_| ()) else {
+    let Err(error) = Log::open(files).map(|_| ()) else {
         panic!("it was read")
     };
     assert_eq!(
-        said.to_string(),
+        error.to_string(),
         "00000000000000ff.log is of version 7, this program reads 1"
     );
     std::fs::remove_dir_all(&path).unwrap();
@@ -208,8 +210,8 @@
         let mut log = Log::open(SimulatedDisk::default()).unwrap().log;
         log.append(b"good").unwrap();
         log.sync().unwrap();
-        let mut whole = log.into_files();
-        let start = if good { whole.read(FIRST).unwrap() } else { Vec::new() };
+        let mut good_disk = log.into_files();
+        let start = if good { good_disk.read(FIRST).unwrap() } else { Vec::new() };
         disk.append(FIRST, &[start, bytes].concat()).unwrap();
         disk.append("notes.txt", b"somebody's").unwrap();
         if let Ok(opened) = Log::open(disk) {
