--- a/crates/linenthread-fleet/tests/golden.rs
+++ b/crates/linenthread-fleet/tests/golden.rs
@@ -314,7 +314,7 @@
 type RecordedValue = (String, u64, Vec<u8>);
 
 /// What a voter holds, to compare one that was started from a golden disk with one that wrote such a disk.
-fn held(cluster: &Cluster, name: &str) -> (Option<u64>, u64, bool, Vec<RecordedValue>) {
+fn durable_state(cluster: &Cluster, name: &str) -> (Option<u64>, u64, bool, Vec<RecordedValue>) {
     let voter = &cluster.voters[name];
     let values = voter.table().values();
     let values = values.map(|(topic, number, value)| (topic.to_owned(), number, value.to_vec()));
@@ -328,7 +328,7 @@
 
 // --- gossip ---
 
-fn member(name: &str, gossip: &str, life: u64) -> NodeIdentity {
+fn member(name: &str, gossip: &str, incarnation: u64) -> NodeIdentity {
     NodeIdentity {
         name: name.to_owned(),
         gossip: gossip.parse().expect("an address"),
@@ -337,7 +337,7 @@
         region: "region-c".to_owned(),
         version: 0x0102,
         weight: 750,
-        incarnation: life,
+        incarnation,
         renewals: 0x0a0b_0c0d,
     }
 }
@@ -435,13 +435,21 @@
         let mut cluster = restarted(golden(text));
         // Three of three start at once: the term that each holds is the one on its disk.
         for name in NAMES {
-            let (life, term, votes, _) = held(&cluster, name);
-            let wrote = held(&expected, name);
-            assert_eq!((life, term, votes), (wrote.0, wrote.1, wrote.2), "{name}");
+            let (incarnation, term, votes, _) = durable_state(&cluster, name);
+            let wrote = durable_state(&expected, name);
+            assert_eq!(
+                (incarnation, term, votes),
+                (wrote.0, wrote.1, wrote.2),
+                "{name}"
+            );
         }
         cluster.run(10);
         for name in NAMES {
-            assert_eq!(held(&cluster, name).3, held(&expected, name).3, "{name}");
+            assert_eq!(
+                durable_state(&cluster, name).3,
+                durable_state(&expected, name).3,
+                "{name}"
+            );
         }
     }
 }
--- a/crates/linenthread-fleet/tests/membership.rs
+++ b/crates/linenthread-fleet/tests/membership.rs
@@ -12,26 +12,26 @@
         zone: "z".into(),
         ..NodeIdentity::unknown(&format!("m{n}"), at(n))
     };
-    let terms = MembersConfig {
+    let config = MembersConfig {
         local: own,
         seeds: vec![("m0".into(), at(0))],
         expected_members: 8,
         probe_interval: 5_000,
     };
     Members::new(
-        terms,
+        config,
         Secrets::new(vec![vec![7; 16]]).unwrap(),
         n as u64,
         now,
     )
 }
 
-/// Eight members: all know all, one that falls silent is gone for all within seconds, one that leaves at once.
+/// Eight members: all learn of all, one that falls silent is down for all within seconds, one that leaves at once.
 #[test]
 fn members_find_each_other_and_notice_who_is_down() {
     let mut now = 0;
     let mut all: Vec<Option<Members>> = (0..8).map(|n| Some(member(n, now))).collect();
-    let mut mail = VecDeque::new();
+    let mut datagrams = VecDeque::new();
     let mut run = |all: &mut Vec<Option<Members>>,
                    seconds: i64,
                    until: &dyn Fn(&[Option<Members>]) -> bool| {
@@ -41,20 +41,20 @@
             for one in all.iter_mut().flatten() {
                 let mut to = Vec::new();
                 one.wake(now, &mut to);
-                mail.extend(to);
+                datagrams.extend(to);
             }
-            while let Some(one) = mail.pop_front() {
+            while let Some(one) = datagrams.pop_front() {
                 let MembersAction::Send { to, bytes } = one else {
                     continue;
                 };
                 if let Some(Some(member)) = all.get_mut(usize::from(to.port()) - 4_000) {
                     let mut answers = Vec::new();
                     member.on_datagram(now, &bytes, &mut answers).unwrap();
-                    // A word that was changed on its way proves nothing.
+                    // A datagram that was changed on its way proves nothing.
                     let mut spoilt = bytes.clone();
                     spoilt[9] ^= 1;
                     assert!(member.on_datagram(now, &spoilt, &mut answers).is_err());
-                    mail.extend(answers);
+                    datagrams.extend(answers);
                 }
             }
         }
@@ -67,7 +67,7 @@
     all[3] = None;
     assert!(
         run(&mut all, 20, &known(6)),
-        "one that fell silent is gone for all"
+        "one that fell silent is down for all"
     );
     let mut to = Vec::new();
     all[5].as_mut().unwrap().leave(1_000_000, &mut to);
@@ -78,9 +78,9 @@
     all[5] = None;
     assert!(
         run(&mut all, 20, &known(5)),
-        "one that left is gone for all"
+        "one that left is down for all"
     );
-    // Back under its name, as a later life.
+    // Back under its name, in a later incarnation.
     let mut back = member(3, 0);
     back = Members::new(
         MembersConfig {
--- a/crates/linenthread-fleet/tests/voters.rs
+++ b/crates/linenthread-fleet/tests/voters.rs
@@ -13,14 +13,14 @@
 
 type Disk = Rc<RefCell<SimulatedDisk>>;
 
-/// Voters on one clock; what is said arrives at once, but over ways that are cut.
+/// Voters on one clock; what they send arrives at once, but where they are partitioned.
 struct Cluster {
     now: i64,
     voters: BTreeMap<String, Voter<Disk>>,
     disks: BTreeMap<String, Disk>,
-    /// Pairs that can't reach each other.
-    cut: Vec<(String, String)>,
-    agreed: BTreeMap<(String, u64), Vec<u8>>,
+    /// Pairs that cannot reach each other.
+    partitions: Vec<(String, String)>,
+    committed: BTreeMap<(String, u64), Vec<u8>>,
     events: Vec<(String, FleetEvent)>,
     starts: u64,
 }
@@ -36,22 +36,22 @@
                 .iter()
                 .map(|n| (n.to_string(), Disk::default()))
                 .collect(),
-            cut: Vec::new(),
-            agreed: BTreeMap::new(),
+            partitions: Vec::new(),
+            committed: BTreeMap::new(),
             events: Vec::new(),
             starts: 0,
         }
     }
 
-    fn is_cut(&self, a: &str, b: &str) -> bool {
-        self.cut
+    fn is_partitioned(&self, a: &str, b: &str) -> bool {
+        self.partitions
             .iter()
             .any(|(x, y)| (x == a && y == b) || (x == b && y == a))
     }
 
     /// Nobody reaches this one, nor is reached by it.
-    fn cut_off(&mut self, name: &str) {
-        self.cut = NAMES
+    fn isolate(&mut self, name: &str) {
+        self.partitions = NAMES
             .iter()
             .filter(|n| **n != name)
             .map(|n| (n.to_string(), name.to_owned()))
@@ -60,13 +60,13 @@
 
     fn start(&mut self, name: &str) -> Result<(), OpenError> {
         self.starts += 1;
-        let terms = VoterConfig {
+        let config = VoterConfig {
             name: name.into(),
             voters: NAMES.map(str::to_owned).to_vec(),
         };
         let mut to = Vec::new();
         let voter = Voter::new(
-            terms,
+            config,
             self.disks[name].clone(),
             self.starts,
             self.now,
@@ -95,11 +95,11 @@
             return;
         };
         call(voter, self.now, &mut to);
-        let mut said: VecDeque<(String, VoterAction)> =
+        let mut pending: VecDeque<(String, VoterAction)> =
             to.into_iter().map(|one| (name.to_owned(), one)).collect();
-        while let Some((from, one)) = said.pop_front() {
+        while let Some((from, one)) = pending.pop_front() {
             match one {
-                VoterAction::Send { to: name, frame } if !self.is_cut(&name, &from) => {
+                VoterAction::Send { to: name, frame } if !self.is_partitioned(&name, &from) => {
                     // Over the wire and back.
                     let mut bytes = frame.encode();
                     let mut answers = Vec::new();
@@ -109,7 +109,7 @@
                         }
                     })
                     .unwrap();
-                    said.extend(answers.into_iter().map(|one| (name.clone(), one)));
+                    pending.extend(answers.into_iter().map(|one| (name.clone(), one)));
                 }
                 VoterAction::Send { .. } => {}
                 VoterAction::Committed(CommittedValue {
@@ -118,7 +118,7 @@
                     value,
                 }) => {
                     let known = self
-                        .agreed
+                        .committed
                         .entry((topic, number))
                         .or_insert_with(|| value.clone());
                     assert_eq!(*known, value, "one-value");
@@ -200,15 +200,15 @@
     cluster.propose("table", 0, b"other").unwrap();
     cluster.propose("table", 1, b"two").unwrap();
     cluster.run(1);
-    assert_eq!(cluster.agreed.len(), 2);
-    assert_eq!(cluster.agreed[&("table".into(), 2)], b"two");
+    assert_eq!(cluster.committed.len(), 2);
+    assert_eq!(cluster.committed[&("table".into(), 2)], b"two");
 }
 
 #[test]
 fn the_state_survives_a_crash_of_all_voters_and_a_minority_commits_nothing() {
     let mut cluster = Cluster::founded();
     let leader = cluster.leaders()[0].to_owned();
-    cluster.cut_off(&leader);
+    cluster.isolate(&leader);
     cluster.run(3);
     // NodeIdentity led alone leads no more, and says so at once rather than with its next check.
     let new = cluster.leaders();
@@ -227,8 +227,8 @@
         .disks
         .values()
         .for_each(|disk| disk.borrow_mut().crash(&mut chance));
-    cluster.cut.clear();
-    // Two of three are enough, once there is a record.
+    cluster.partitions.clear();
+    // Two of three are enough once the fleet exists.
     cluster.start("messina").unwrap();
     cluster.start("palermo").unwrap();
     cluster.run(5);
@@ -245,10 +245,10 @@
     cluster.disks.insert("catania".into(), Disk::default());
     cluster.start("catania").unwrap();
     cluster.run(10);
-    let life = cluster.voters["catania"].incarnation().unwrap();
-    assert_ne!(life, 0, "former-self");
+    let incarnation = cluster.voters["catania"].incarnation().unwrap();
+    assert_ne!(incarnation, 0, "former-self");
     assert!(cluster.voters["catania"].votes(), "{:?}", cluster.events);
-    // Both others' disks fail; then this one is lost again. What they hold is not known: nothing is founded anew.
+    // Both others' disks fail; then this one is lost again. What they hold is unknown: no fleet is founded again.
     for name in ["messina", "palermo"] {
         cluster.disks[name].borrow_mut().syncs_until_failure = Some(0);
     }
@@ -289,13 +289,13 @@
 fn a_suspended_leader_does_not_lead_when_it_resumes() {
     let mut cluster = Cluster::founded();
     let leader = cluster.leaders()[0].to_owned();
-    let held = cluster.voters.remove(&leader).unwrap();
+    let suspended = cluster.voters.remove(&leader).unwrap();
     cluster.run(10);
     let new = cluster.leaders()[0].to_owned();
-    cluster.voters.insert(leader.clone(), held);
-    // Before a word reaches it, by its own clock alone.
+    cluster.voters.insert(leader.clone(), suspended);
+    // Before any message reaches it, by its own clock alone.
     assert!(!cluster.voters[&leader].is_leader(cluster.now));
-    cluster.cut_off(&leader);
+    cluster.isolate(&leader);
     cluster.act(&leader, linenthread_fleet::Voter::wake);
     assert!(
         cluster
@@ -308,25 +308,25 @@
         "{:?}",
         cluster.events
     );
-    cluster.cut.clear();
+    cluster.partitions.clear();
     cluster.run(2);
     assert_eq!(cluster.leaders(), [new]);
 }
 
-/// One is cut off from who leads, and asks the other for its vote again and again. That other starts anew, knows
-/// nothing of the word it gave, and is asked: whenever that is, there is no second who leads while the lease lasts.
+/// One voter is partitioned from the leader and requests the third one's vote again and again. That one restarts and
+/// does not remember that it has confirmed the leader: whenever that happens, nobody else leads while the lease lasts.
 #[test]
 fn a_restarted_voter_does_not_vote_while_a_lease_may_last() {
     for offset in 0..30 {
         let mut cluster = Cluster::founded();
         let leader = cluster.leaders()[0].to_owned();
         let others: Vec<&str> = NAMES.into_iter().filter(|n| *n != leader).collect();
-        cluster.cut = vec![(leader.clone(), others[0].to_owned())];
+        cluster.partitions = vec![(leader.clone(), others[0].to_owned())];
         cluster.steps(160 + 2 * offset);
         assert_eq!(cluster.leaders(), [leader.as_str()]);
         cluster.stop(others[1]);
         cluster.start(others[1]).unwrap();
-        cluster.cut_off(&leader);
+        cluster.isolate(&leader);
         for _ in 0..40 {
             cluster.steps(1);
             assert!(
@@ -353,19 +353,19 @@
         .borrow_mut()
         .flip_bit(&mut chance)
         .unwrap();
-    let said = cluster.start("catania").unwrap_err().to_string();
-    assert!(said.contains("is damaged at byte"), "{said}");
+    let error = cluster.start("catania").unwrap_err().to_string();
+    assert!(error.contains("is damaged at byte"), "{error}");
     cluster
         .disks
         .insert("catania".into(), cluster.disks["messina"].clone());
-    let said = cluster.start("catania").unwrap_err().to_string();
+    let error = cluster.start("catania").unwrap_err().to_string();
     assert_eq!(
-        said,
+        error,
         "the folder belongs to the voter messina, not to catania"
     );
 }
 
-/// What no sound voter says ends neither the process nor what was agreed on.
+/// What no correct voter sends neither ends the process nor changes what was committed.
 #[test]
 fn impossible_messages_are_rejected() {
     use raft::eraftpb::{Entry, Message, MessageType};
