--- a/crates/linenthread-fleet/src/fleet/connection.rs
+++ b/crates/linenthread-fleet/src/fleet/connection.rs
@@ -34,7 +34,7 @@
     AwaitingHello { nonce: Nonce },
     /// Both sides have proven themselves.
     Established { peer: String, is_voter: bool },
-    /// The caller was told to close it.
+    /// The caller was requested to close it.
     Closing,
 }
 
--- a/crates/linenthread-fleet/src/members/mod.rs
+++ b/crates/linenthread-fleet/src/members/mod.rs
@@ -34,7 +34,7 @@
 const MAX_JOIN_DELAY: TenthMillis = 500;
 /// The probe interval that foca's own defaults are meant for.
 const DEFAULT_PROBE_INTERVAL: f64 = 10_000.0;
-/// Members that are down are told of the others once in so many probe intervals.
+/// Members that are down get the list of the others once in so many probe intervals.
 const DOWN_ANNOUNCE_INTERVALS: TenthMillis = 10;
 const MICROS_PER_TENTH_MILLI: u64 = 100;
 
@@ -91,7 +91,7 @@
     }
 }
 
-/// What foca wants done, gathered while it is called.
+/// What foca requests, collected while it is called.
 #[derive(Default)]
 struct Requests {
     datagrams: Vec<(SocketAddr, Vec<u8>)>,
@@ -303,7 +303,7 @@
         result.context(GossipSnafu)
     }
 
-    /// Leaves for good: the others are told and need not find out.
+    /// Leaves for good: the others are notified and need not find out.
     pub fn leave(&mut self, now: TenthMillis, actions: &mut Vec<MembersAction>) {
         if !self.left {
             self.run(now, actions, |gossip, requests| {
--- a/crates/linenthread-fleet/src/voter/founding.rs
+++ b/crates/linenthread-fleet/src/voter/founding.rs
@@ -27,7 +27,7 @@
 }
 
 impl<F: Files> Voter<F> {
-    /// What the others are told of this voter.
+    /// What this voter reports to the others.
     pub(super) fn progress_frame(&self) -> Frame {
         let (progress, incarnation) = match &self.state {
             State::Waiting(storage) if storage.identity().is_none() => (Progress::Empty, 0),
--- a/crates/linenthread-fleet/src/voter/mod.rs
+++ b/crates/linenthread-fleet/src/voter/mod.rs
@@ -129,7 +129,7 @@
     ticked_until: TenthMillis,
     peers: BTreeMap<String, PeerProgress>,
     progress_sent_at: TenthMillis,
-    /// The voters' names by their ids, as far as messages told.
+    /// The voters' names by their ids, as far as messages have shown.
     voter_names: BTreeMap<u64, String>,
     lease: Lease,
     /// When this leader last added a new identity of a voter.
@@ -304,7 +304,7 @@
     }
 
     /// Does all that is due. One that was suspended first makes up for the missed time, so that a leader steps down:
-    /// it has not heard from its quorum meanwhile.
+    /// it has received nothing from its quorum meanwhile.
     pub fn wake(&mut self, now: TenthMillis, actions: &mut Vec<VoterAction>) {
         self.run_clock(now, actions);
         let is_settled = self.stage() == Stage::Active && self.peers.len() == self.others().count();
--- a/crates/linenthread-fleet/tests/golden.rs
+++ b/crates/linenthread-fleet/tests/golden.rs
@@ -1,4 +1,4 @@
-//! The fleet's wire and disk format, held fast by bytes that an earlier version wrote.
+//! The fleet's wire and disk format, checked against bytes that an earlier version wrote.
 //!
 //! The files under `tests/golden/` were written by commit 464716d. They must never be regenerated to make a test
 //! pass: processes of a fleet that is being upgraded, and voters' disks written before, hold such bytes.
--- a/crates/linenthread-frames/tests/golden.rs
+++ b/crates/linenthread-frames/tests/golden.rs
@@ -1,4 +1,4 @@
-//! The fields of frames and the proof of a shared secret, held fast by bytes that an earlier version wrote.
+//! The fields of frames and the proof of a shared secret, checked against bytes that an earlier version wrote.
 //!
 //! The files under `tests/golden/` were written by commit 464716d. They must never be regenerated to make a test
 //! pass: the peers of a program that is being upgraded speak these bytes.
--- a/crates/linenthread-zones/src/controller.rs
+++ b/crates/linenthread-zones/src/controller.rs
@@ -37,7 +37,7 @@
 const DEMAND_DECAY: f64 = 0.1;
 /// With fewer successes in an interval a zone's latency is not measured.
 const MIN_SUCCEEDED: f64 = 20.0;
-/// The shortest mean latency that is told apart, in milliseconds.
+/// A shorter mean latency is taken for this one, in milliseconds.
 const MIN_LATENCY_MS: f64 = 0.1;
 /// A latency above this many times the usual one does not change the usual one.
 const MAX_USUAL_RATIO: f64 = 1.5;
--- a/crates/linenthread-zones/tests/golden.rs
+++ b/crates/linenthread-zones/tests/golden.rs
@@ -1,4 +1,4 @@
-//! The bytes of tables and reports, held fast by bytes that an earlier version wrote.
+//! The bytes of tables and reports, checked against bytes that an earlier version wrote.
 //!
 //! The file under `tests/golden/` was written by commit 464716d. It must never be regenerated to make a test pass:
 //! tables lie in the fleet's record, on disks, and reports come from processes that may run an older version.
