--- a/crates/linenthread-service/src/first_try.rs
+++ b/crates/linenthread-service/src/first_try.rs
@@ -298,7 +298,7 @@
             }
         }
         rig.acts(0, from, (0, lost), |share, reason| {
-            share == 1_000 && reason == "Sound"
+            share == 1_000 && reason == "Healthy"
         });
         println!(
             "After {:.1} s it was taken back, step by step.",
