--- a/crates/linenthread-checker/src/lease/state.rs
+++ b/crates/linenthread-checker/src/lease/state.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-use linenthread_consensus::LeaderLease;
+use linenthread_consensus::{LeaderLease, NodeId};
 use linenthread_messages::{LeaseRelease, LeaseRequest, LeaseVote};
 use linenthread_time::Instant;
 
@@ -103,18 +103,17 @@
 
 /// An incarnation that no two incarnations of any nodes share.
 fn incarnation(node: NodeIndex, count: u64) -> u64 {
-    count * 10 + u64::from(node)
+    count * 10 + NodeId::from(node).0
 }
 
-fn is_majority(voters: Vec<u64>) -> bool {
+fn is_majority(voters: Vec<NodeId>) -> bool {
     voters.len() * 2 > NODE_COUNT
 }
 
 impl LeaseState {
     pub(crate) fn new(scenario: LeaseScenario) -> LeaseState {
-        let lease = |node: NodeIndex| {
-            LeaderLease::new(node.into(), incarnation(node, 1), Instant::START, true, 0)
-        };
+        let lease =
+            |node: NodeIndex| LeaderLease::new(incarnation(node, 1), Instant::START, true, 0);
         LeaseState {
             now: Instant::START,
             leases: NodeIndex::ALL.map(lease),
@@ -290,7 +289,6 @@
         let count = &mut self.incarnation_counts[node.get()];
         *count += 1;
         self.leases[node.get()] = LeaderLease::new(
-            node.into(),
             incarnation(node, *count),
             self.now,
             false,
--- a/crates/linenthread-checker/src/node_index.rs
+++ b/crates/linenthread-checker/src/node_index.rs
@@ -2,6 +2,8 @@
 
 use std::fmt;
 
+use linenthread_consensus::NodeId;
+
 /// Number of nodes in each model.
 pub(crate) const NODE_COUNT: usize = 3;
 
@@ -25,10 +27,10 @@
     }
 }
 
-/// The index, counted from 0, as a node identity.
-impl From<NodeIndex> for u64 {
-    fn from(index: NodeIndex) -> u64 {
-        u64::from(index.0)
+/// The index, counted from 0, as an identity, where the node keeps its disk.
+impl From<NodeIndex> for NodeId {
+    fn from(index: NodeIndex) -> NodeId {
+        NodeId(u64::from(index.0))
     }
 }
 
--- a/crates/linenthread-checker/src/register/history.rs
+++ b/crates/linenthread-checker/src/register/history.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use linenthread_consensus::JobId;
+use linenthread_consensus::{JobId, NodeId};
 use linenthread_messages::{Ballot, OrderIdentity, Value};
 
 /// The decided values, and what callers were told.
@@ -14,8 +14,8 @@
     has_conflicting_values: bool,
     /// A node took a value for decided that no majority of its voters had accepted.
     has_minority_decision: bool,
-    /// The disks that have synced an acceptance, by number and ballot, for numbers that are not decided.
-    accepted_by: BTreeMap<(u64, Ballot), BTreeSet<u64>>,
+    /// The voters that have synced an acceptance, by number and ballot, for numbers that are not decided.
+    accepted_by: BTreeMap<(u64, Ballot), BTreeSet<NodeId>>,
     acknowledged: Vec<OrderIdentity>,
     rejected: Vec<OrderIdentity>,
     /// The greatest number of a value that a caller was told of.
@@ -81,12 +81,12 @@
         self.decided.get(&value.number) == Some(value)
     }
 
-    /// A disk has synced an acceptance.
-    pub(crate) fn record_accepted(&mut self, number: u64, ballot: Ballot, disk: u64) {
+    /// A voter has synced an acceptance.
+    pub(crate) fn record_accepted(&mut self, number: u64, ballot: Ballot, voter: NodeId) {
         self.accepted_by
             .entry((number, ballot))
             .or_default()
-            .insert(disk);
+            .insert(voter);
     }
 
     /// A node takes a value for decided.
@@ -106,12 +106,17 @@
         let Some(previous) = self.decided.get(&(number - 1)) else {
             return false;
         };
-        let is_voter = |disk: &u64| previous.voters.iter().any(|voter| voter.id == *disk);
+        let is_voter = |id: &NodeId| {
+            previous
+                .voters
+                .iter()
+                .any(|voter| NodeId::from(voter) == *id)
+        };
         self.accepted_by
             .iter()
             .filter(|((accepted_number, _), _)| *accepted_number == number)
-            .any(|(_, disks)| {
-                let votes = disks.iter().filter(|disk| is_voter(disk)).count();
+            .any(|(_, accepted_by)| {
+                let votes = accepted_by.iter().filter(|id| is_voter(id)).count();
                 votes * 2 > previous.voters.len()
             })
     }
--- a/crates/linenthread-checker/src/register/obsolete.rs
+++ b/crates/linenthread-checker/src/register/obsolete.rs
@@ -2,6 +2,7 @@
 //!
 //! They are taken out of the network, so that states which differ in them alone are one state.
 
+use linenthread_consensus::NodeId;
 use linenthread_messages::PeerMessage;
 
 use crate::node_index::NodeIndex;
@@ -20,7 +21,7 @@
 }
 
 /// Number of the newest value of the node with this identity.
-fn newest_number(state: &SystemState, id: u64) -> Option<u64> {
+fn newest_number(state: &SystemState, id: NodeId) -> Option<u64> {
     let node = state.nodes().find(|node| node.id == id)?;
     node.register.decided().map(|value| value.number)
 }
--- a/crates/linenthread-checker/src/register/state.rs
+++ b/crates/linenthread-checker/src/register/state.rs
@@ -3,7 +3,7 @@
 use std::hash::{Hash, Hasher};
 use std::sync::Arc;
 
-use linenthread_consensus::{DurableState, Register};
+use linenthread_consensus::{DurableState, NodeId, Register};
 use linenthread_messages::{Envelope, PeerMessage, Record, Value, Voter};
 use linenthread_time::Instant;
 use prost::Message as _;
@@ -14,20 +14,23 @@
 use crate::register::scenario::{EventBudget, Scenario};
 
 /// The identities of the nodes at first: they are the voters of value 0.
-const INITIAL_IDS: [u64; NODE_COUNT] = [1, 2, 3];
+const INITIAL_IDS: [NodeId; NODE_COUNT] = [NodeId(1), NodeId(2), NodeId(3)];
 
 /// The identity of a node whose lost disk was replaced by the spare one.
-const SPARE_DISK_ID: u64 = 4;
+const SPARE_DISK_ID: NodeId = NodeId(4);
+
+/// Stands for the sender of a message where the sender makes no difference.
+const ANY_NODE: NodeId = NodeId(0);
 
 /// An incarnation that no two incarnations of any nodes share. Their count is in the upper half, since read identities
 /// begin with it.
-fn incarnation(id: u64, count: u64) -> u64 {
-    count << 32 | id
+fn incarnation(id: NodeId, count: u64) -> u64 {
+    count << 32 | id.0
 }
 
-pub(crate) fn voter(id: u64) -> Voter {
+fn voter(id: NodeId) -> Voter {
     Voter {
-        id,
+        id: id.0,
         address: String::new(),
     }
 }
@@ -42,7 +45,7 @@
 /// A node: what it has in memory, and what its disk holds.
 #[derive(Clone, Debug, Hash)]
 pub(crate) struct Node {
-    pub(crate) id: u64,
+    pub(crate) id: NodeId,
     incarnation_count: u64,
     pub(crate) now: Instant,
     pub(crate) register: Register,
@@ -51,7 +54,7 @@
 }
 
 impl Node {
-    fn new(id: u64, disk: DurableState) -> Node {
+    fn new(id: NodeId, disk: DurableState) -> Node {
         Node {
             id,
             incarnation_count: 1,
@@ -82,18 +85,18 @@
 /// A message in flight; a second copy of the same one makes no difference.
 #[derive(Clone, Debug)]
 pub(crate) struct InFlight {
-    pub(crate) to: u64,
-    pub(crate) from: u64,
+    pub(crate) to: NodeId,
+    pub(crate) from: NodeId,
     pub(crate) message: PeerMessage,
     bytes: Vec<u8>,
     fingerprint: Fingerprint,
 }
 
 impl InFlight {
-    pub(crate) fn new(from: u64, to: u64, message: PeerMessage) -> InFlight {
+    pub(crate) fn new(from: NodeId, to: NodeId, message: PeerMessage) -> InFlight {
         // It makes no difference who announces a decided value.
         let from = if matches!(message, PeerMessage::Decided(_)) {
-            0
+            ANY_NODE
         } else {
             from
         };
@@ -111,7 +114,7 @@
         }
     }
 
-    fn key(&self) -> (u64, u64, &[u8]) {
+    fn key(&self) -> (NodeId, NodeId, &[u8]) {
         (self.to, self.from, &self.bytes)
     }
 }
@@ -142,7 +145,7 @@
     /// The calls that were not made yet, one bit each.
     pending_calls: u32,
     /// The identity of the disk that was lost.
-    lost_disk: Option<u64>,
+    lost_disk: Option<NodeId>,
 }
 
 impl SystemState {
@@ -151,10 +154,10 @@
             voters: INITIAL_IDS.map(voter).to_vec(),
             ..Value::default()
         };
-        let node = |id| {
+        let node = |id: NodeId| {
             let mut disk = DurableState::default();
             disk.add(Record {
-                id: Some(id),
+                id: Some(id.0),
                 decided: Some(genesis.clone()),
                 ..Record::default()
             });
@@ -188,7 +191,7 @@
     }
 
     /// The node whose disk has this identity.
-    pub(crate) fn find_node(&self, id: u64) -> Option<NodeIndex> {
+    pub(crate) fn find_node(&self, id: NodeId) -> Option<NodeIndex> {
         NodeIndex::ALL
             .into_iter()
             .find(|node| self.node(*node).id == id)
@@ -237,7 +240,7 @@
         let replace = |id| if id == lost { SPARE_DISK_ID } else { id };
         voters
             .iter()
-            .map(|current| voter(replace(current.id)))
+            .map(|current| voter(replace(NodeId::from(current))))
             .collect()
     }
 }
--- a/crates/linenthread-checker/src/register/transition.rs
+++ b/crates/linenthread-checker/src/register/transition.rs
@@ -3,7 +3,7 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-use linenthread_consensus::{Change, Effect, JobId, Outcome};
+use linenthread_consensus::{Change, DeferredMessage, Effect, JobId, NodeId, Outcome};
 use linenthread_messages::{PeerMessage, Record, Value};
 use linenthread_time::Instant;
 
@@ -172,7 +172,7 @@
         }
     }
 
-    fn send(&mut self, from: u64, message: InFlight) {
+    fn send(&mut self, from: NodeId, message: InFlight) {
         if message.to == from {
             self.loopback.push_back(message.message);
         } else if self.state.find_node(message.to).is_some() {
@@ -180,11 +180,11 @@
         }
     }
 
-    fn persist(&mut self, node: NodeIndex, record: Record, after_sync: Vec<(u64, PeerMessage)>) {
+    fn persist(&mut self, node: NodeIndex, record: Record, after_sync: Vec<DeferredMessage>) {
         let from = self.state.node(node).id;
         let after_sync = after_sync
             .into_iter()
-            .map(|(to, message)| InFlight::new(from, to, message))
+            .map(|DeferredMessage { to, message }| InFlight::new(from, to, message))
             .collect();
         let unsynced = UnsyncedRecord { record, after_sync };
         if self.scenario.slow_disks {
@@ -214,8 +214,8 @@
     }
 
     /// A node takes a value for decided, and announces it to the others, as the control node does.
-    fn on_decided(&mut self, from: u64, value: &Value) {
-        let others: Vec<u64> = self
+    fn on_decided(&mut self, from: NodeId, value: &Value) {
+        let others: Vec<NodeId> = self
             .state
             .nodes()
             .map(|node| node.id)
--- a/crates/linenthread-consensus/src/catch_up.rs
+++ b/crates/linenthread-consensus/src/catch_up.rs
@@ -7,6 +7,7 @@
 
 use crate::decided_state::DecidedState;
 use crate::effects::Effect;
+use crate::node_id::NodeId;
 use crate::timing::{CATCH_UP_GIVE_UP, CATCH_UP_TIMEOUT};
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -26,17 +27,17 @@
 /// Requests missing orders, one request at a time.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct OrderLogCatchUp {
-    id: u64,
+    id: NodeId,
     in_flight: Option<InFlight>,
     /// Voters that replied that they lack the newest revision of the gap.
-    lacking: BTreeSet<u64>,
+    lacking: BTreeSet<NodeId>,
     gap: Option<Gap>,
     /// Selects the voter to ask, modulo their number; counted up when one does not reply.
     turn: usize,
 }
 
 impl OrderLogCatchUp {
-    pub(crate) fn new(id: u64) -> OrderLogCatchUp {
+    pub(crate) fn new(id: NodeId) -> OrderLogCatchUp {
         OrderLogCatchUp {
             id,
             in_flight: None,
@@ -75,13 +76,9 @@
         (self.in_flight, self.gap) = (None, None);
     }
 
-    fn other_voters<'a>(&self, decided: &'a DecidedState) -> impl Iterator<Item = u64> + 'a {
+    fn other_voters<'a>(&self, decided: &'a DecidedState) -> impl Iterator<Item = NodeId> + 'a {
         let local = self.id;
-        decided
-            .voters()
-            .iter()
-            .map(|voter| voter.id)
-            .filter(move |id| *id != local)
+        decided.voter_ids().filter(move |id| *id != local)
     }
 
     /// Whether no voter has the missing orders: all others lack them, or a majority does and the rest has not replied
@@ -111,7 +108,7 @@
             // The voter that replied last is asked again.
             None => {}
         }
-        let candidates: Vec<u64> = self
+        let candidates: Vec<NodeId> = self
             .other_voters(decided)
             .filter(|id| !self.lacking.contains(id))
             .collect();
@@ -132,7 +129,7 @@
     /// A reply, however late: accepted orders stay accepted. Returns whether orders were added to the log.
     pub(crate) fn on_entries(
         &mut self,
-        from: u64,
+        from: NodeId,
         entries: &OrderLogEntries,
         decided: &mut DecidedState,
     ) -> bool {
--- a/crates/linenthread-consensus/src/decided_state.rs
+++ b/crates/linenthread-consensus/src/decided_state.rs
@@ -5,6 +5,7 @@
 use linenthread_messages::{OrderIdentity, Value, Voter};
 use prost::bytes::Bytes;
 
+use crate::node_id::NodeId;
 use crate::order_log::{OrderLog, OrderLogVerdict};
 
 /// Number of the newest orders that each value carries. A node that skips no more values than this finds their orders
@@ -79,14 +80,18 @@
         self.value.as_ref().map_or(&[], |value| &value.voters)
     }
 
+    pub(crate) fn voter_ids(&self) -> impl Iterator<Item = NodeId> {
+        self.voters().iter().map(NodeId::from)
+    }
+
     /// Whether a node votes on the next value.
-    pub(crate) fn is_voter(&self, id: u64) -> bool {
-        self.voters().iter().any(|voter| voter.id == id)
+    pub(crate) fn is_voter(&self, id: NodeId) -> bool {
+        self.voter_ids().any(|voter| voter == id)
     }
 
     /// Whether these nodes include more than half of the voters (*decided-by-those-who-count*).
-    pub(crate) fn is_majority(&self, ids: impl IntoIterator<Item = u64>) -> bool {
-        let votes: BTreeSet<u64> = ids.into_iter().filter(|id| self.is_voter(*id)).collect();
+    pub(crate) fn is_majority(&self, ids: impl IntoIterator<Item = NodeId>) -> bool {
+        let votes: BTreeSet<NodeId> = ids.into_iter().filter(|id| self.is_voter(*id)).collect();
         votes.len() * 2 > self.voters().len()
     }
 
--- a/crates/linenthread-consensus/src/durability.rs
+++ b/crates/linenthread-consensus/src/durability.rs
@@ -5,7 +5,8 @@
 use linenthread_messages::{OrderIdentity, PeerMessage, Record, Synced, Value};
 use linenthread_time::Instant;
 
-use crate::effects::Effect;
+use crate::effects::{DeferredMessage, Effect};
+use crate::node_id::NodeId;
 use crate::timing::{MAX_REWRITE_INTERVAL, REWRITE_INTERVAL};
 
 /// Writes decided values and orders, and tracks which of them are synced.
@@ -14,7 +15,7 @@
 /// is known to be durable only if all before it are, or if it repeats everything before it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Durability {
-    id: u64,
+    id: NodeId,
     /// Number of the newest decided value that is synced.
     number: u64,
     /// The last record of the order log that was written.
@@ -32,7 +33,7 @@
 
 impl Durability {
     /// For a disk that holds the decided value of this number.
-    pub(crate) fn new(id: u64, number: u64) -> Durability {
+    pub(crate) fn new(id: NodeId, number: u64) -> Durability {
         Durability {
             id,
             number,
@@ -117,8 +118,14 @@
     }
 
     fn persist(&self, record: Record, synced: Synced, effects: &mut Vec<Effect>) {
-        let after_sync = vec![(self.id, PeerMessage::Synced(synced))];
-        effects.push(Effect::Persist { record, after_sync });
+        let notification = DeferredMessage {
+            to: self.id,
+            message: PeerMessage::Synced(synced),
+        };
+        effects.push(Effect::Persist {
+            record,
+            after_sync: vec![notification],
+        });
     }
 
     /// A record is synced.
--- a/crates/linenthread-consensus/src/durable_state.rs
+++ b/crates/linenthread-consensus/src/durable_state.rs
@@ -3,13 +3,14 @@
 use linenthread_messages::{Accepted, Ballot, Record, Replica, Value};
 
 use crate::acceptor::Acceptor;
+use crate::node_id::NodeId;
 use crate::order_log::OrderLog;
 
 /// What the records on a disk add up to.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct DurableState {
     /// The node's identity; none on an empty disk.
-    pub id: Option<u64>,
+    pub id: Option<NodeId>,
     decided: Option<Value>,
     order_log: OrderLog,
     /// The number that `promised` and `accepted` belong to.
@@ -25,7 +26,7 @@
 impl DurableState {
     /// Adds the next record, oldest first.
     pub fn add(&mut self, record: Record) {
-        self.id = record.id.or(self.id);
+        self.id = record.id.map(NodeId).or(self.id);
         self.epoch = self.epoch.max(record.epoch);
         if !record.replicas.is_empty() {
             self.replicas = record.replicas;
@@ -64,7 +65,7 @@
     pub fn records(&self) -> Vec<Record> {
         vec![
             Record {
-                id: self.id,
+                id: self.id.map(|NodeId(id)| id),
                 decided: self.decided.clone(),
                 epoch: self.epoch,
                 replicas: self.replicas.clone(),
--- a/crates/linenthread-consensus/src/effects.rs
+++ b/crates/linenthread-consensus/src/effects.rs
@@ -3,6 +3,7 @@
 use linenthread_messages::{PeerMessage, Record, Value, Voter};
 
 use crate::jobs::{JobId, Outcome};
+use crate::node_id::NodeId;
 
 /// One step for the driver of a [`crate::Register`], which carries out effects in the order it receives them.
 #[derive(Clone, Debug, PartialEq)]
@@ -10,7 +11,7 @@
     /// A message is to be sent to a node, perhaps to this one.
     Send {
         /// The receiving node.
-        to: u64,
+        to: NodeId,
         /// The message.
         message: PeerMessage,
     },
@@ -18,8 +19,8 @@
     Persist {
         /// The record.
         record: Record,
-        /// Messages to be sent once the record is synced, not before, each with the receiving node.
-        after_sync: Vec<(u64, PeerMessage)>,
+        /// Messages to be sent once the record is synced, not before.
+        after_sync: Vec<DeferredMessage>,
     },
     /// This node has learned a newer decided value.
     Decided(Value),
@@ -32,10 +33,19 @@
     },
 }
 
+/// A message that depends on a record: it may be sent only once the record is synced.
+#[derive(Clone, Debug, PartialEq)]
+pub struct DeferredMessage {
+    /// The receiving node, perhaps this one.
+    pub to: NodeId,
+    /// The message.
+    pub message: PeerMessage,
+}
+
 /// Sends a message to each of the voters, this node included if it is one.
 pub(crate) fn send_to_all(voters: &[Voter], message: &PeerMessage, effects: &mut Vec<Effect>) {
     effects.extend(voters.iter().map(|voter| Effect::Send {
-        to: voter.id,
+        to: NodeId::from(voter),
         message: message.clone(),
     }));
 }
--- a/crates/linenthread-consensus/src/hash.rs
+++ b/crates/linenthread-consensus/src/hash.rs
@@ -9,9 +9,3 @@
         (hash ^ u64::from(*byte)).wrapping_mul(PRIME)
     })
 }
-
-/// The identity of the node at an address on the very first start of a cluster, where all nodes must know each
-/// other's before they have talked. Never 0.
-pub fn genesis_id(address: &str) -> u64 {
-    fnv1a_64(format!("first {address}").as_bytes()) | 1
-}
--- a/crates/linenthread-consensus/src/lease.rs
+++ b/crates/linenthread-consensus/src/lease.rs
@@ -6,6 +6,7 @@
 use linenthread_messages::{LeaseRelease, LeaseRequest, LeaseVote, Value, Voter};
 use linenthread_time::Instant;
 
+use crate::node_id::NodeId;
 use crate::timing::{LEASE_DURATION, LEASE_MARGIN, LEASE_MILLIS, LEASE_RENEWAL_INTERVAL};
 
 /// The lease that this node holds.
@@ -20,14 +21,14 @@
 /// A vote of this node for a candidate.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct Grant {
-    candidate: u64,
+    candidate: NodeId,
     incarnation: u64,
     epoch: u64,
     expires_at: Instant,
 }
 
 impl Grant {
-    fn is_for(&self, candidate: u64, incarnation: u64) -> bool {
+    fn is_for(&self, candidate: NodeId, incarnation: u64) -> bool {
         (self.candidate, self.incarnation) == (candidate, incarnation)
     }
 }
@@ -58,7 +59,6 @@
 ///   candidates are majorities of the same voters.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct LeaderLease {
-    id: u64,
     incarnation: u64,
     /// The last grant, which may have expired.
     grant: Option<Grant>,
@@ -68,7 +68,7 @@
     epoch: u64,
     request: Option<OwnRequest>,
     last_request_id: u64,
-    granted_by: BTreeSet<u64>,
+    granted_by: BTreeSet<NodeId>,
     held: Option<HeldLease>,
     /// The greatest epoch under which this node must not hold the lease again: it lost or released it.
     retired_epoch: u64,
@@ -78,15 +78,8 @@
 impl LeaderLease {
     /// A node that starts. `epoch` is the greatest one that its disk holds. Unless this is the very first start of
     /// all nodes (`is_genesis`), an earlier incarnation may have granted the lease: its grants must end first.
-    pub fn new(
-        id: u64,
-        incarnation: u64,
-        now: Instant,
-        is_genesis: bool,
-        epoch: u64,
-    ) -> LeaderLease {
+    pub fn new(incarnation: u64, now: Instant, is_genesis: bool, epoch: u64) -> LeaderLease {
         LeaderLease {
-            id,
             incarnation,
             grant: None,
             grants_from: if is_genesis {
@@ -107,11 +100,6 @@
         }
     }
 
-    /// This node's identity.
-    pub fn id(&self) -> u64 {
-        self.id
-    }
-
     /// The epoch under which this node holds the lease, if it does.
     pub fn held_epoch(&self, now: Instant) -> Option<u64> {
         self.held
@@ -233,7 +221,7 @@
     pub fn on_lease_request(
         &mut self,
         now: Instant,
-        from: u64,
+        from: NodeId,
         request: &LeaseRequest,
         value_number: Option<u64>,
     ) -> LeaseVote {
@@ -259,7 +247,7 @@
     /// The candidate that has this node's grant may renew it, under a new epoch as well: else two candidates, each
     /// with some of the votes, would wait for each other's grants to expire again and again. A new incarnation of the
     /// candidate needs a new epoch.
-    fn may_grant(&self, now: Instant, from: u64, request: &LeaseRequest) -> bool {
+    fn may_grant(&self, now: Instant, from: NodeId, request: &LeaseRequest) -> bool {
         if now < self.grants_from {
             return false;
         }
@@ -279,10 +267,10 @@
     pub fn on_lease_vote(
         &mut self,
         now: Instant,
-        from: u64,
+        from: NodeId,
         vote: &LeaseVote,
         value_number: u64,
-        is_majority: impl Fn(Vec<u64>) -> bool,
+        is_majority: impl Fn(Vec<NodeId>) -> bool,
     ) -> bool {
         let Some(OwnRequest { request, sent_at }) = &self.request else {
             return false;
@@ -352,7 +340,7 @@
     /// request, and that is gone. However late the message arrives, it ends no grant under a later epoch; nor does it
     /// shorten the wait after a restart or after becoming a voter, which stands for grants that this incarnation does
     /// not know of.
-    pub fn on_release(&mut self, from: u64, release: &LeaseRelease) -> bool {
+    pub fn on_release(&mut self, from: NodeId, release: &LeaseRelease) -> bool {
         let ended = self.grant.is_some_and(|grant| {
             grant.is_for(from, release.incarnation) && grant.epoch <= release.epoch
         });
--- /dev/null
+++ b/crates/linenthread-consensus/src/node_id.rs
@@ -0,0 +1,34 @@
+//! Identities of nodes.
+
+use std::fmt;
+
+use linenthread_messages::Voter;
+
+use crate::hash::fnv1a_64;
+
+/// Identifies a control node. It belongs to the node's disk: a node whose disk was replaced is another node
+/// (*an-empty-disk-is-nobody*).
+///
+/// Messages and records carry it as a number.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub struct NodeId(pub u64);
+
+impl NodeId {
+    /// The identity of the node at an address on the very first start of a cluster, where all nodes must know each
+    /// other's before they have talked. Never 0.
+    pub fn genesis(address: &str) -> NodeId {
+        NodeId(fnv1a_64(format!("first {address}").as_bytes()) | 1)
+    }
+}
+
+impl From<&Voter> for NodeId {
+    fn from(voter: &Voter) -> NodeId {
+        NodeId(voter.id)
+    }
+}
+
+impl fmt::Display for NodeId {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        self.0.fmt(formatter)
+    }
+}
--- a/crates/linenthread-consensus/src/proposer.rs
+++ b/crates/linenthread-consensus/src/proposer.rs
@@ -10,6 +10,7 @@
 use crate::decided_state::DecidedState;
 use crate::effects::{Effect, send_to_all};
 use crate::jobs::{JobId, Outcome};
+use crate::node_id::NodeId;
 use crate::proposal::{LearnedFrom, PendingChange};
 use crate::round::Round;
 use crate::timing::MAX_PENDING_JOBS;
@@ -121,7 +122,7 @@
     pub(crate) fn on_promise(
         &mut self,
         now: Instant,
-        from: u64,
+        from: NodeId,
         promise: Promise,
         decided: &DecidedState,
         effects: &mut Vec<Effect>,
@@ -170,7 +171,7 @@
     /// An acceptance; returns the value if a majority has accepted it, which decides it.
     pub(crate) fn on_accept_ack(
         &mut self,
-        from: u64,
+        from: NodeId,
         ack: &AcceptAck,
         decided: &DecidedState,
     ) -> Option<Value> {
--- a/crates/linenthread-consensus/src/reader.rs
+++ b/crates/linenthread-consensus/src/reader.rs
@@ -8,6 +8,7 @@
 use crate::decided_state::DecidedState;
 use crate::effects::Effect;
 use crate::jobs::{JobId, Outcome};
+use crate::node_id::NodeId;
 use crate::timing::{MAX_PENDING_JOBS, READ_RETRY_DELAY, RESEND_INTERVAL, ROUND_TIMEOUT};
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
@@ -25,7 +26,7 @@
     last_sent: Instant,
     reads: Vec<PendingRead>,
     /// The voters that replied, and whether each has accepted a value that is not known to be decided.
-    replies: BTreeMap<u64, bool>,
+    replies: BTreeMap<NodeId, bool>,
 }
 
 impl ReadRound {
@@ -35,11 +36,10 @@
             read_id: self.read_id,
         });
         let missing = decided
-            .voters()
-            .iter()
-            .filter(|voter| !self.replies.contains_key(&voter.id));
-        effects.extend(missing.map(|voter| Effect::Send {
-            to: voter.id,
+            .voter_ids()
+            .filter(|id| !self.replies.contains_key(id));
+        effects.extend(missing.map(|to| Effect::Send {
+            to,
             message: message.clone(),
         }));
     }
@@ -150,7 +150,7 @@
     pub(crate) fn on_reply(
         &mut self,
         now: Instant,
-        from: u64,
+        from: NodeId,
         reply: &ReadReply,
         decided: &DecidedState,
         effects: &mut Vec<Effect>,
--- a/crates/linenthread-consensus/src/register.rs
+++ b/crates/linenthread-consensus/src/register.rs
@@ -12,8 +12,9 @@
 use crate::decided_state::DecidedState;
 use crate::durability::Durability;
 use crate::durable_state::DurableState;
-use crate::effects::Effect;
+use crate::effects::{DeferredMessage, Effect};
 use crate::jobs::{JobId, Outcome};
+use crate::node_id::NodeId;
 use crate::order_log::OrderLog;
 use crate::proposal::LearnedFrom;
 use crate::proposer::Proposer;
@@ -26,7 +27,7 @@
 /// instants come from one steady clock and never go back.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Register {
-    id: u64,
+    id: NodeId,
     decided: DecidedState,
     acceptor: Acceptor,
     proposer: Proposer,
@@ -40,7 +41,12 @@
     ///
     /// `genesis` is value 0 where all nodes start for the first time. `incarnation` must be shared with no other
     /// incarnation of any node.
-    pub fn new(id: u64, state: DurableState, genesis: Option<Value>, incarnation: u64) -> Register {
+    pub fn new(
+        id: NodeId,
+        state: DurableState,
+        genesis: Option<Value>,
+        incarnation: u64,
+    ) -> Register {
         let durability = Durability::new(id, state.decided_number());
         let (value, order_log, acceptor) = state.into_parts(genesis);
         Register {
@@ -55,7 +61,7 @@
     }
 
     /// This node's identity, which belongs to its disk: a node whose disk was replaced is another one.
-    pub fn id(&self) -> u64 {
+    pub fn id(&self) -> NodeId {
         self.id
     }
 
@@ -69,8 +75,13 @@
         self.decided.voters()
     }
 
+    /// Whether a node is one of the voters.
+    pub fn is_voter(&self, id: NodeId) -> bool {
+        self.decided.is_voter(id)
+    }
+
     /// Whether these nodes include more than half of the voters.
-    pub fn is_majority(&self, ids: impl IntoIterator<Item = u64>) -> bool {
+    pub fn is_majority(&self, ids: impl IntoIterator<Item = NodeId>) -> bool {
         self.decided.is_majority(ids)
     }
 
@@ -189,7 +200,7 @@
     pub fn on_message(
         &mut self,
         now: Instant,
-        from: u64,
+        from: NodeId,
         message: PeerMessage,
         effects: &mut Vec<Effect>,
     ) {
@@ -219,7 +230,7 @@
 
     /// Whether this node may vote on a number. Otherwise the sender is sent what it lacks, or asked for what this node
     /// lacks.
-    fn may_vote_on(&self, from: u64, number: u64, effects: &mut Vec<Effect>) -> bool {
+    fn may_vote_on(&self, from: NodeId, number: u64, effects: &mut Vec<Effect>) -> bool {
         let Some(value) = self.decided.value() else {
             effects.push(catch_up_request(from, 0));
             return false;
@@ -242,7 +253,7 @@
     fn on_prepare(
         &mut self,
         now: Instant,
-        from: u64,
+        from: NodeId,
         request: &Prepare,
         effects: &mut Vec<Effect>,
     ) {
@@ -257,7 +268,7 @@
         effects.push(acceptor_reply(from, reply));
     }
 
-    fn on_accept(&mut self, from: u64, request: Accept, effects: &mut Vec<Effect>) {
+    fn on_accept(&mut self, from: NodeId, request: Accept, effects: &mut Vec<Effect>) {
         if !self.may_vote_on(from, request.value.number, effects) {
             return;
         }
@@ -266,7 +277,13 @@
         effects.push(acceptor_reply(from, reply));
     }
 
-    fn on_promise(&mut self, now: Instant, from: u64, promise: Promise, effects: &mut Vec<Effect>) {
+    fn on_promise(
+        &mut self,
+        now: Instant,
+        from: NodeId,
+        promise: Promise,
+        effects: &mut Vec<Effect>,
+    ) {
         self.proposer
             .on_promise(now, from, promise, &self.decided, effects);
         self.tick(now, effects);
@@ -275,7 +292,7 @@
     fn on_accept_ack(
         &mut self,
         now: Instant,
-        from: u64,
+        from: NodeId,
         ack: &AcceptAck,
         effects: &mut Vec<Effect>,
     ) {
@@ -291,7 +308,7 @@
     /// Another node has an older value: it is sent the newest one, and the request that it could not handle again.
     fn on_catch_up_request(
         &mut self,
-        from: u64,
+        from: NodeId,
         request: &CatchUpRequest,
         effects: &mut Vec<Effect>,
     ) {
@@ -333,7 +350,7 @@
         self.tick(now, effects);
     }
 
-    fn on_read_request(&self, from: u64, request: &ReadRequest, effects: &mut Vec<Effect>) {
+    fn on_read_request(&self, from: NodeId, request: &ReadRequest, effects: &mut Vec<Effect>) {
         let Some(value) = self.decided.value() else {
             return;
         };
@@ -351,7 +368,7 @@
     fn on_read_reply(
         &mut self,
         now: Instant,
-        from: u64,
+        from: NodeId,
         reply: &ReadReply,
         effects: &mut Vec<Effect>,
     ) {
@@ -374,7 +391,7 @@
 
     fn on_order_log_request(
         &self,
-        from: u64,
+        from: NodeId,
         request: &OrderLogRequest,
         effects: &mut Vec<Effect>,
     ) {
@@ -388,7 +405,7 @@
     fn on_order_log_entries(
         &mut self,
         now: Instant,
-        from: u64,
+        from: NodeId,
         entries: OrderLogEntries,
         effects: &mut Vec<Effect>,
     ) {
@@ -400,7 +417,7 @@
 }
 
 /// Asks a node for the values after the one of this number.
-fn catch_up_request(to: u64, number: u64) -> Effect {
+fn catch_up_request(to: NodeId, number: u64) -> Effect {
     Effect::Send {
         to,
         message: PeerMessage::CatchUpRequest(CatchUpRequest { number }),
@@ -408,11 +425,11 @@
 }
 
 /// An acceptor's reply leaves once its record is synced; a rejection, which needs none, at once.
-fn acceptor_reply(to: u64, reply: Result<(Record, PeerMessage), Rejected>) -> Effect {
+fn acceptor_reply(to: NodeId, reply: Result<(Record, PeerMessage), Rejected>) -> Effect {
     match reply {
         Ok((record, message)) => Effect::Persist {
             record,
-            after_sync: vec![(to, message)],
+            after_sync: vec![DeferredMessage { to, message }],
         },
         Err(rejected) => Effect::Send {
             to,
--- a/crates/linenthread-consensus/src/round.rs
+++ b/crates/linenthread-consensus/src/round.rs
@@ -8,6 +8,7 @@
 use linenthread_time::Instant;
 
 use crate::decided_state::DecidedState;
+use crate::node_id::NodeId;
 use crate::timing::{RESEND_INTERVAL, ROUND_TIMEOUT};
 
 /// A round under one ballot.
@@ -25,13 +26,13 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Phase {
     Prepare {
-        promised_by: BTreeSet<u64>,
+        promised_by: BTreeSet<NodeId>,
         /// Of what the promises report, the one with the greatest ballot.
         highest_accepted: Option<Accepted>,
     },
     Accept {
         value: Value,
-        accepted_by: BTreeSet<u64>,
+        accepted_by: BTreeSet<NodeId>,
     },
 }
 
@@ -92,7 +93,7 @@
     /// Counts a promise; returns the result of the phase once a majority has promised.
     pub(crate) fn on_promise(
         &mut self,
-        from: u64,
+        from: NodeId,
         promise: Promise,
         decided: &DecidedState,
     ) -> Option<Prepared> {
@@ -129,7 +130,7 @@
     /// Counts an acceptance; returns the value once a majority has accepted it, which decides it.
     pub(crate) fn on_accept_ack(
         &mut self,
-        from: u64,
+        from: NodeId,
         ack: &AcceptAck,
         decided: &DecidedState,
     ) -> Option<Value> {
--- a/crates/linenthread-consensus/tests/consensus/acceptor.rs
+++ b/crates/linenthread-consensus/tests/consensus/acceptor.rs
@@ -1,6 +1,6 @@
 //! Who votes, on which numbers, and what a promise binds.
 
-use linenthread_consensus::{DurableState, Effect, Register};
+use linenthread_consensus::{DurableState, Effect, NodeId, Register};
 use linenthread_messages::{Accept, Ballot, PeerMessage, Prepare, Record};
 use yare::parameterized;
 
@@ -17,7 +17,7 @@
 /// Whether the register promises, which it does by a record.
 fn promises(register: &mut Register, number: u64, round: u64) -> bool {
     let mut effects = Vec::new();
-    register.on_message(at(0), 3, prepare(number, round, 3), &mut effects);
+    register.on_message(at(0), NodeId(3), prepare(number, round, 3), &mut effects);
     effects
         .iter()
         .any(|effect| matches!(effect, Effect::Persist { .. }))
@@ -54,9 +54,9 @@
         round: 5,
         proposer: 2,
     };
-    register.on_message(at(0), 2, prepare(1, 5, 2), &mut effects);
+    register.on_message(at(0), NodeId(2), prepare(1, 5, 2), &mut effects);
     assert!(
-        matches!(&effects[..], [Effect::Persist { after_sync, .. }] if matches!(after_sync[0].1, PeerMessage::Promise(_)))
+        matches!(&effects[..], [Effect::Persist { after_sync, .. }] if matches!(after_sync[0].message, PeerMessage::Promise(_)))
     );
     effects.clear();
     let accept = Accept {
@@ -66,7 +66,7 @@
         },
         value: value(1),
     };
-    register.on_message(at(0), 3, PeerMessage::Accept(accept), &mut effects);
+    register.on_message(at(0), NodeId(3), PeerMessage::Accept(accept), &mut effects);
     assert!(
         matches!(&effects[..], [Effect::Send { message: PeerMessage::Rejected(rejected), .. }] if rejected.promised == promised)
     );
@@ -80,7 +80,7 @@
 )]
 fn only_a_voter_that_has_the_previous_value_votes(id: u64, number: u64, votes: bool) {
     let (mut register, mut effects) = (register(id, id * 77), Vec::new());
-    register.on_message(at(0), 2, prepare(number, 1, 2), &mut effects);
+    register.on_message(at(0), NodeId(2), prepare(number, 1, 2), &mut effects);
     assert_eq!(
         effects
             .iter()
@@ -96,16 +96,16 @@
     trio.order(1, 1, 0, 3);
     let mut effects = Vec::new();
     trio.register(1)
-        .on_message(at(0), 2, prepare(2, 9, 2), &mut effects);
+        .on_message(at(0), NodeId(2), prepare(2, 9, 2), &mut effects);
     trio.carry_out(1, effects);
     let records = trio.records(1);
     for length in 0..=records.len() {
         let state = restored(&records[..length]);
         let compacted = restored(&state.records());
         for state in [state, compacted] {
-            let mut restarted = Register::new(1, state, Some(value(0)), 5);
+            let mut restarted = Register::new(NodeId(1), state, Some(value(0)), 5);
             let mut effects = Vec::new();
-            restarted.on_message(at(0), 3, prepare(2, 8, 3), &mut effects);
+            restarted.on_message(at(0), NodeId(3), prepare(2, 8, 3), &mut effects);
             let is_complete = length == records.len();
             assert_eq!(effects.iter().any(is_rejection), is_complete);
         }
@@ -115,7 +115,12 @@
 /// The records of a node that learned value 1 and accepted value 2, but whose disk dropped the record of value 1.
 fn records_without_value_1() -> Vec<Record> {
     let (mut register, mut effects) = (register(1, 5), Vec::new());
-    register.on_message(at(0), 2, PeerMessage::Decided(value(1)), &mut effects);
+    register.on_message(
+        at(0),
+        NodeId(2),
+        PeerMessage::Decided(value(1)),
+        &mut effects,
+    );
     effects.clear();
     let accept = Accept {
         ballot: Ballot {
@@ -124,18 +129,23 @@
         },
         value: value(2),
     };
-    register.on_message(at(0), 2, PeerMessage::Accept(accept), &mut effects);
+    register.on_message(at(0), NodeId(2), PeerMessage::Accept(accept), &mut effects);
     records(effects)
 }
 
 #[test]
 fn a_number_below_the_accepted_one_is_not_voted_on_again() {
     let state = restored(&records_without_value_1());
-    let mut register = Register::new(1, state, Some(value(0)), 6);
+    let mut register = Register::new(NodeId(1), state, Some(value(0)), 6);
     // Value 1 is decided; another one must not get this node's vote.
     assert!(!promises(&mut register, 1, 9));
     // Once it has value 1 again, its promise for value 2 still binds.
-    register.on_message(at(0), 2, PeerMessage::Decided(value(1)), &mut Vec::new());
+    register.on_message(
+        at(0),
+        NodeId(2),
+        PeerMessage::Decided(value(1)),
+        &mut Vec::new(),
+    );
     assert!(!promises(&mut register, 2, 3));
     assert!(promises(&mut register, 2, 5));
     assert!(register.has_undecided());
--- a/crates/linenthread-consensus/tests/consensus/cluster.rs
+++ b/crates/linenthread-consensus/tests/consensus/cluster.rs
@@ -3,7 +3,9 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
-use linenthread_consensus::{Change, DurableState, Effect, JobId, Outcome, Register};
+use linenthread_consensus::{
+    Change, DeferredMessage, DurableState, Effect, JobId, NodeId, Outcome, Register,
+};
 use linenthread_messages::{PeerMessage, Record, Value};
 use linenthread_time::Instant;
 
@@ -15,22 +17,21 @@
 const STEP: Duration = Duration::from_millis(25);
 
 /// Whether a message from one node to another is lost.
-type LossRule = Box<dyn Fn(u64, u64, &PeerMessage) -> bool>;
-type AfterSync = Vec<(u64, PeerMessage)>;
+type LossRule = Box<dyn Fn(NodeId, NodeId, &PeerMessage) -> bool>;
 
 struct Node {
     register: Register,
-    id: u64,
+    id: NodeId,
     incarnations: u64,
     disk: Vec<Record>,
-    unsynced: Vec<(Record, AfterSync)>,
+    unsynced: Vec<(Record, Vec<DeferredMessage>)>,
     is_stalled: bool,
     is_isolated: bool,
 }
 
 struct Message {
-    from: u64,
-    to: u64,
+    from: NodeId,
+    to: NodeId,
     message: PeerMessage,
 }
 
@@ -54,8 +55,8 @@
     }
 }
 
-fn incarnation(id: u64, count: u64) -> u64 {
-    id * 1_000 + count
+fn incarnation(id: NodeId, count: u64) -> u64 {
+    id.0 * 1_000 + count
 }
 
 impl Cluster {
@@ -64,7 +65,7 @@
             voters: (1..=size).map(voter).collect(),
             ..Value::default()
         };
-        let node = |id| Node {
+        let node = |id: NodeId| Node {
             register: Register::new(
                 id,
                 DurableState::default(),
@@ -74,7 +75,7 @@
             id,
             incarnations: 1,
             disk: vec![Record {
-                id: Some(id),
+                id: Some(id.0),
                 decided: Some(genesis.clone()),
                 ..Record::default()
             }],
@@ -83,7 +84,7 @@
             is_isolated: false,
         };
         Cluster {
-            nodes: (1..=size).map(node).collect(),
+            nodes: (1..=size).map(NodeId).map(node).collect(),
             now: Instant::from_millis(1_000),
             last_job: 1_000,
             outcomes: BTreeMap::new(),
@@ -102,7 +103,7 @@
     }
 
     /// From now on messages are lost by this rule of sender, receiver and message.
-    pub(crate) fn lose(&mut self, lost: impl Fn(u64, u64, &PeerMessage) -> bool + 'static) {
+    pub(crate) fn lose(&mut self, lost: impl Fn(NodeId, NodeId, &PeerMessage) -> bool + 'static) {
         self.lost = Box::new(lost);
     }
 
@@ -199,7 +200,7 @@
         let other = at % self.nodes.len() as u64 + 1;
         let node = self.node(at);
         let old = node.id;
-        node.id += 100;
+        node.id.0 += 100;
         (node.incarnations, node.disk, node.unsynced) = (1, Vec::new(), Vec::new());
         node.register = Register::new(
             node.id,
@@ -220,8 +221,8 @@
         self.pass_time(Duration::from_secs(1));
         voters
             .iter_mut()
-            .filter(|voter| voter.id == old)
-            .for_each(|voter| voter.id = new);
+            .filter(|voter| NodeId::from(&**voter) == old)
+            .for_each(|voter| voter.id = new.0);
         assert!(matches!(
             self.order(
                 other,
@@ -259,7 +260,7 @@
 
     fn carry_out(&mut self, at: u64, effects: Vec<Effect>) {
         let from = self.node(at).id;
-        let ids: Vec<u64> = self.nodes.iter().map(|node| node.id).collect();
+        let ids: Vec<NodeId> = self.nodes.iter().map(|node| node.id).collect();
         for effect in effects {
             match effect {
                 Effect::Send { to, message } => {
@@ -316,12 +317,11 @@
             let from = node.id;
             for (record, after_sync) in node.unsynced.drain(..) {
                 node.disk.push(record);
-                self.network
-                    .extend(after_sync.into_iter().map(|(to, message)| Message {
-                        from,
-                        to,
-                        message,
-                    }));
+                self.network.extend(
+                    after_sync
+                        .into_iter()
+                        .map(|DeferredMessage { to, message }| Message { from, to, message }),
+                );
             }
         }
     }
--- a/crates/linenthread-consensus/tests/consensus/contention.rs
+++ b/crates/linenthread-consensus/tests/consensus/contention.rs
@@ -1,6 +1,6 @@
 //! Proposers that compete: how long one pauses after a rejection, and how much time a round has.
 
-use linenthread_consensus::{Change, DurableState, Effect, JobId, Register};
+use linenthread_consensus::{Change, DurableState, Effect, JobId, NodeId, Register};
 use linenthread_messages::{Accept, Ballot, PeerMessage, Prepare, Promise, Rejected, Value};
 
 use crate::fixtures::{self, at};
@@ -67,7 +67,7 @@
     };
     register.on_message(
         at(now),
-        2,
+        NodeId(2),
         PeerMessage::Rejected(Rejected { number, promised }),
         &mut Vec::new(),
     );
@@ -76,7 +76,7 @@
 #[test]
 fn a_proposer_rejected_for_many_values_pauses_no_longer_than_after_one() {
     for seed in 1..100 {
-        let mut register = Register::new(1, DurableState::default(), Some(value(0)), seed);
+        let mut register = Register::new(NodeId(1), DurableState::default(), Some(value(0)), seed);
         let mut now = 1_000;
         let mut ballot =
             started_round(&propose_an_order(&mut register, now)).expect("a round starts");
@@ -92,7 +92,7 @@
             let mut effects = Vec::new();
             register.on_message(
                 at(now),
-                2,
+                NodeId(2),
                 PeerMessage::Decided(value(number)),
                 &mut effects,
             );
@@ -104,7 +104,7 @@
 
 #[test]
 fn each_phase_of_a_round_has_the_whole_time_out() {
-    let mut register = Register::new(1, DurableState::default(), Some(value(0)), 7);
+    let mut register = Register::new(NodeId(1), DurableState::default(), Some(value(0)), 7);
     let ballot =
         started_round(&propose_other_voters(&mut register, 1_000)).expect("a round starts");
     let mut effects = Vec::new();
@@ -114,7 +114,12 @@
             ballot,
             accepted: None,
         };
-        register.on_message(at(1_400), from, PeerMessage::Promise(promise), &mut effects);
+        register.on_message(
+            at(1_400),
+            NodeId(from),
+            PeerMessage::Promise(promise),
+            &mut effects,
+        );
     }
     let is_accept = |effect: &Effect| {
         matches!(
@@ -139,7 +144,7 @@
 #[test]
 fn the_pause_follows_the_latency_of_the_voters() {
     let pause = |seed| {
-        let mut register = Register::new(1, DurableState::default(), Some(value(0)), seed);
+        let mut register = Register::new(NodeId(1), DurableState::default(), Some(value(0)), seed);
         let ballot =
             started_round(&propose_an_order(&mut register, 1_000)).expect("a round starts");
         for from in [2, 3] {
@@ -150,7 +155,7 @@
             };
             register.on_message(
                 at(1_240),
-                from,
+                NodeId(from),
                 PeerMessage::Promise(promise),
                 &mut Vec::new(),
             );
@@ -172,7 +177,7 @@
 #[test]
 fn a_change_of_the_voters_hardly_pauses() {
     for seed in 1..50 {
-        let mut register = Register::new(1, DurableState::default(), Some(value(0)), seed);
+        let mut register = Register::new(NodeId(1), DurableState::default(), Some(value(0)), seed);
         let mut now = 1_000;
         let mut ballot =
             started_round(&propose_other_voters(&mut register, now)).expect("a round starts");
@@ -200,10 +205,10 @@
         },
     };
     let voted = || {
-        let mut register = Register::new(1, DurableState::default(), Some(value(0)), 7);
+        let mut register = Register::new(NodeId(1), DurableState::default(), Some(value(0)), 7);
         register.on_message(
             at(1_000),
-            2,
+            NodeId(2),
             PeerMessage::Prepare(prepare.clone()),
             &mut Vec::new(),
         );
--- a/crates/linenthread-consensus/tests/consensus/fixtures.rs
+++ b/crates/linenthread-consensus/tests/consensus/fixtures.rs
@@ -1,6 +1,6 @@
 //! Values, registers and instants that several tests start from.
 
-use linenthread_consensus::{DurableState, Register};
+use linenthread_consensus::{DurableState, NodeId, Register};
 use linenthread_messages::{Value, Voter};
 use linenthread_time::Instant;
 
@@ -28,5 +28,10 @@
 
 /// A register with an empty disk that starts from value 0 of the nodes 1, 2 and 3.
 pub(crate) fn register(id: u64, incarnation: u64) -> Register {
-    Register::new(id, DurableState::default(), Some(value(0)), incarnation)
+    Register::new(
+        NodeId(id),
+        DurableState::default(),
+        Some(value(0)),
+        incarnation,
+    )
 }
--- a/crates/linenthread-consensus/tests/consensus/lease.rs
+++ b/crates/linenthread-consensus/tests/consensus/lease.rs
@@ -1,6 +1,6 @@
 //! Granting and holding the leader lease.
 
-use linenthread_consensus::LeaderLease;
+use linenthread_consensus::{LeaderLease, NodeId};
 use linenthread_messages::{LeaseRequest, LeaseVote};
 use yare::parameterized;
 
@@ -24,13 +24,13 @@
     }
 }
 
-fn is_majority(ids: Vec<u64>) -> bool {
+fn is_majority(ids: Vec<NodeId>) -> bool {
     ids.len() >= 2
 }
 
 /// A candidate of three voters, on the very first start.
 fn candidate() -> LeaderLease {
-    LeaderLease::new(1, 9, at(0), true, 0)
+    LeaderLease::new(9, at(0), true, 0)
 }
 
 #[parameterized(
@@ -51,11 +51,16 @@
     epoch: u64,
     granted: bool,
 ) {
-    let mut lease = LeaderLease::new(3, 9, at(0), false, 0);
+    let mut lease = LeaderLease::new(9, at(0), false, 0);
     if now > 5_000 {
-        lease.on_lease_request(at(5_000), 1, &request(7, 1, 1), Some(0));
+        lease.on_lease_request(at(5_000), NodeId(1), &request(7, 1, 1), Some(0));
     }
-    let vote = lease.on_lease_request(at(now), from, &request(incarnation, epoch, 2), Some(0));
+    let vote = lease.on_lease_request(
+        at(now),
+        NodeId(from),
+        &request(incarnation, epoch, 2),
+        Some(0),
+    );
     assert_eq!(vote.granted, granted);
 }
 
@@ -64,11 +69,11 @@
     let mut lease = candidate();
     let first = lease.tick(at(0), true, 0).expect("a request");
     let vote = granted(&first);
-    assert!(!lease.on_lease_vote(at(1), 1, &vote, 0, is_majority));
-    assert!(lease.on_lease_vote(at(2), 2, &vote, 0, is_majority));
+    assert!(!lease.on_lease_vote(at(1), NodeId(1), &vote, 0, is_majority));
+    assert!(lease.on_lease_vote(at(2), NodeId(2), &vote, 0, is_majority));
     assert_eq!(lease.held_epoch(at(1_000)), Some(1));
     assert_eq!(lease.held_epoch(at(3_000)), None);
-    assert!(!lease.on_lease_vote(at(3_000), 3, &vote, 0, is_majority));
+    assert!(!lease.on_lease_vote(at(3_000), NodeId(3), &vote, 0, is_majority));
     let next = lease.tick(at(3_000), true, 0).expect("a new request");
     assert!(next.epoch > first.epoch);
 }
@@ -77,19 +82,19 @@
 fn voters_are_changed_only_under_a_lease_of_the_newest_voters() {
     let mut lease = candidate();
     let at_7 = lease.tick(at(0), true, 7).expect("a request");
-    lease.on_lease_vote(at(1), 1, &granted(&at_7), 7, is_majority);
+    lease.on_lease_vote(at(1), NodeId(1), &granted(&at_7), 7, is_majority);
     assert!(
-        lease.on_lease_vote(at(2), 2, &granted(&at_7), 7, is_majority)
+        lease.on_lease_vote(at(2), NodeId(2), &granted(&at_7), 7, is_majority)
             && lease.is_held_at(at(3), 7)
     );
     // The next value may name other voters: they are asked at once, and votes at the last value count no more.
     assert!(lease.held_epoch(at(3)).is_some() && !lease.is_held_at(at(3), 8));
     let at_8 = lease.tick(at(4), true, 8).expect("a new request");
-    lease.on_lease_vote(at(5), 1, &granted(&at_7), 8, is_majority);
-    assert!(!lease.on_lease_vote(at(5), 2, &granted(&at_7), 8, is_majority));
-    lease.on_lease_vote(at(6), 1, &granted(&at_8), 8, is_majority);
+    lease.on_lease_vote(at(5), NodeId(1), &granted(&at_7), 8, is_majority);
+    assert!(!lease.on_lease_vote(at(5), NodeId(2), &granted(&at_7), 8, is_majority));
+    lease.on_lease_vote(at(6), NodeId(1), &granted(&at_8), 8, is_majority);
     assert!(
-        lease.on_lease_vote(at(6), 2, &granted(&at_8), 8, is_majority)
+        lease.on_lease_vote(at(6), NodeId(2), &granted(&at_8), 8, is_majority)
             && lease.is_held_at(at(7), 8)
     );
     assert_eq!(
@@ -103,14 +108,14 @@
     let mut lease = candidate();
     let first = lease.tick(at(0), true, 0).expect("a request");
     let vote = granted(&first);
-    lease.on_lease_vote(at(1), 1, &vote, 0, is_majority);
+    lease.on_lease_vote(at(1), NodeId(1), &vote, 0, is_majority);
     let denied = LeaseVote {
         epoch: 6,
         granted: false,
         ..vote.clone()
     };
-    lease.on_lease_vote(at(2), 2, &denied, 0, is_majority);
-    assert!(!lease.on_lease_vote(at(3), 3, &vote, 0, is_majority));
+    lease.on_lease_vote(at(2), NodeId(2), &denied, 0, is_majority);
+    assert!(!lease.on_lease_vote(at(3), NodeId(3), &vote, 0, is_majority));
     let next = lease.tick(at(500), true, 0).expect("a new request");
     assert_eq!((next.epoch, lease.held_epoch(at(500))), (7, None));
 }
@@ -128,13 +133,13 @@
     above: u64,
     granted: bool,
 ) {
-    let mut lease = LeaderLease::new(3, 9, at(0), false, 0);
+    let mut lease = LeaderLease::new(9, at(0), false, 0);
     lease.observe_epoch(at(5_000), 4, is_new_voter);
     let request = request(7, 4 + above, 1);
-    let vote = lease.on_lease_request(at(6_900), 1, &request, value_number);
+    let vote = lease.on_lease_request(at(6_900), NodeId(1), &request, value_number);
     assert_eq!(vote.granted, granted);
     // Later it waits only for the same value on both sides, and for a higher epoch.
-    let vote = lease.on_lease_request(at(7_100), 1, &request, Some(0));
+    let vote = lease.on_lease_request(at(7_100), NodeId(1), &request, Some(0));
     assert_eq!(vote.granted, above > 0);
 }
 
@@ -143,9 +148,9 @@
     let mut lease = candidate();
     let request = lease.tick(at(0), true, 0).expect("a request");
     let vote = granted(&request);
-    lease.on_lease_vote(at(1), 1, &vote, 0, is_majority);
+    lease.on_lease_vote(at(1), NodeId(1), &vote, 0, is_majority);
     // The process was suspended meanwhile.
-    lease.on_lease_vote(at(5_000), 2, &vote, 0, is_majority);
+    lease.on_lease_vote(at(5_000), NodeId(2), &vote, 0, is_majority);
     assert_eq!(lease.held_epoch(at(5_000)), None);
     assert!(!lease.is_held_at(at(5_000), 0));
 }
--- a/crates/linenthread-consensus/tests/consensus/lease_release.rs
+++ b/crates/linenthread-consensus/tests/consensus/lease_release.rs
@@ -1,6 +1,6 @@
 //! A lease holder that shuts down: it holds nothing from then on, and its voters need not wait for their grants to end.
 
-use linenthread_consensus::LeaderLease;
+use linenthread_consensus::{LeaderLease, NodeId};
 use linenthread_messages::{LeaseRelease, LeaseRequest, LeaseVote, Value};
 use yare::parameterized;
 
@@ -35,18 +35,18 @@
 /// Whether a voter at value 0 grants the request.
 fn grants(voter: &mut LeaderLease, now: u64, from: u64, request: &LeaseRequest) -> bool {
     voter
-        .on_lease_request(at(now), from, request, Some(0))
+        .on_lease_request(at(now), NodeId(from), request, Some(0))
         .granted
 }
 
 /// A candidate on the very first start.
 fn candidate() -> LeaderLease {
-    LeaderLease::new(LEASE_HOLDER, INCARNATION, at(0), true, 0)
+    LeaderLease::new(INCARNATION, at(0), true, 0)
 }
 
 /// A voter that granted the lease under epoch 3 at 5 s.
 fn voter() -> LeaderLease {
-    let mut voter = LeaderLease::new(3, 9, at(0), false, 0);
+    let mut voter = LeaderLease::new(9, at(0), false, 0);
     let request = request(INCARNATION, 3, 1);
     assert!(grants(&mut voter, 5_000, LEASE_HOLDER, &request));
     voter
@@ -67,7 +67,7 @@
 ) {
     let mut voter = voter();
     assert_eq!(
-        voter.on_release(from, &release(incarnation, epoch)),
+        voter.on_release(NodeId(from), &release(incarnation, epoch)),
         is_free
     );
     assert_eq!(grants(&mut voter, 5_100, OTHER, &request(8, 9, 1)), is_free);
@@ -76,7 +76,7 @@
 #[test]
 fn a_request_that_arrives_after_the_release_is_not_granted() {
     let mut voter = voter();
-    voter.on_release(LEASE_HOLDER, &release(INCARNATION, 4));
+    voter.on_release(NodeId(LEASE_HOLDER), &release(INCARNATION, 4));
     let overtaken = request(INCARNATION, 4, 2);
     assert!(!grants(&mut voter, 5_100, LEASE_HOLDER, &overtaken));
 }
@@ -114,7 +114,7 @@
 fn a_release_does_not_shorten_the_wait_of_a_new_voter() {
     let mut voter = voter();
     voter.observe_epoch(at(5_050), 0, true);
-    assert!(voter.on_release(LEASE_HOLDER, &release(INCARNATION, 3)));
+    assert!(voter.on_release(NodeId(LEASE_HOLDER), &release(INCARNATION, 3)));
     assert!(!grants(&mut voter, 5_100, OTHER, &request(8, 9, 1)));
     assert!(grants(&mut voter, 7_100, OTHER, &request(8, 9, 2)));
 }
@@ -123,18 +123,19 @@
 fn after_a_release_nothing_is_held_and_the_next_epoch_is_higher() {
     let mut lease = candidate();
     let first = lease.tick(at(0), true, 0).expect("a request");
-    let is_majority = |ids: Vec<u64>| ids.len() >= 2;
+    let is_majority = |ids: Vec<NodeId>| ids.len() >= 2;
     let vote = granted(&first);
-    lease.on_lease_vote(at(1), LEASE_HOLDER, &vote, 0, is_majority);
+    lease.on_lease_vote(at(1), NodeId(LEASE_HOLDER), &vote, 0, is_majority);
     assert!(
-        lease.on_lease_vote(at(2), OTHER, &vote, 0, is_majority)
+        lease.on_lease_vote(at(2), NodeId(OTHER), &vote, 0, is_majority)
             && lease.held_epoch(at(3)).is_some()
     );
     let released = lease.release().expect("a held lease");
     assert_eq!(released, release(INCARNATION, first.epoch));
     // Votes that were in flight do not bring it back.
     assert!(
-        !lease.on_lease_vote(at(4), 3, &vote, 0, is_majority) && lease.held_epoch(at(4)).is_none()
+        !lease.on_lease_vote(at(4), NodeId(3), &vote, 0, is_majority)
+            && lease.held_epoch(at(4)).is_none()
     );
     assert!(lease.release().is_none());
     let next = lease.tick(at(6), true, 0).expect("a new request");
@@ -151,7 +152,8 @@
     );
     let vote = granted(&pending);
     assert!(
-        !lease.on_lease_vote(at(2), OTHER, &vote, 0, |_| true) && lease.held_epoch(at(2)).is_none()
+        !lease.on_lease_vote(at(2), NodeId(OTHER), &vote, 0, |_| true)
+            && lease.held_epoch(at(2)).is_none()
     );
 }
 
@@ -160,7 +162,7 @@
     let mut lease = candidate();
     let pending = lease.tick(at(0), true, 0).expect("a request");
     // The driver would take this for a lease that begins.
-    assert!(!lease.on_lease_vote(at(20_000), OTHER, &granted(&pending), 0, |_| true));
+    assert!(!lease.on_lease_vote(at(20_000), NodeId(OTHER), &granted(&pending), 0, |_| true));
     assert_eq!(lease.held_epoch(at(20_000)), None);
     assert!(!lease.is_held_at(at(20_000), 0));
 }
--- a/crates/linenthread-consensus/tests/consensus/orders.rs
+++ b/crates/linenthread-consensus/tests/consensus/orders.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use linenthread_consensus::{
-    JobId, MAX_LOGGED_ORDERS, MAX_ORDERS_PER_MESSAGE, OrderLog, Outcome, document_digest,
+    JobId, MAX_LOGGED_ORDERS, MAX_ORDERS_PER_MESSAGE, NodeId, OrderLog, Outcome, document_digest,
 };
 use linenthread_messages::{OrderIdentity, PeerMessage};
 use yare::parameterized;
@@ -94,7 +94,7 @@
     let mut cluster = Cluster::new(3);
     cluster.commit_orders(1, 1..=3);
     // Node 1 gets its order accepted at 1 and 2, and receives no acknowledgement.
-    cluster.lose(|_, to, message| to == 1 && matches!(message, PeerMessage::AcceptAck(_)));
+    cluster.lose(|_, to, message| to == NodeId(1) && matches!(message, PeerMessage::AcceptAck(_)));
     cluster.start_order(1, JobId(500), order(3, 4, "4"));
     cluster.lose(|_, _, _| false);
     assert_eq!(cluster.order(3, order(3, 4, "4")), Outcome::Committed(4));
@@ -108,7 +108,7 @@
 #[test]
 fn a_rival_of_an_undecided_order_conflicts_only_once_that_one_is_decided() {
     let mut cluster = Cluster::new(3);
-    cluster.lose(|_, to, message| to == 1 && matches!(message, PeerMessage::AcceptAck(_)));
+    cluster.lose(|_, to, message| to == NodeId(1) && matches!(message, PeerMessage::AcceptAck(_)));
     cluster.start_order(1, JobId(500), order(0, 1, "first"));
     cluster.lose(|_, _, _| false);
     assert_eq!(
--- a/crates/linenthread-consensus/tests/consensus/reads.rs
+++ b/crates/linenthread-consensus/tests/consensus/reads.rs
@@ -1,6 +1,8 @@
 //! Reads beside undecided values and slow disks.
 
-use linenthread_consensus::{Change, DurableState, Effect, JobId, Outcome, Register};
+use linenthread_consensus::{
+    Change, DeferredMessage, DurableState, Effect, JobId, NodeId, Outcome, Register,
+};
 use linenthread_messages::{Accept, Ballot, PeerMessage, Value};
 
 use crate::fixtures::{at, value, voter};
@@ -26,7 +28,7 @@
         };
         let mut effects = Vec::new();
         trio.register(node)
-            .on_message(at(0), 9, PeerMessage::Accept(accept), &mut effects);
+            .on_message(at(0), NodeId(9), PeerMessage::Accept(accept), &mut effects);
     }
     trio.isolated = vec![1];
     trio.read(3, 7);
@@ -43,7 +45,7 @@
         voters: vec![voter(1)],
         ..Value::default()
     };
-    let mut register = Register::new(1, DurableState::default(), Some(genesis), 5);
+    let mut register = Register::new(NodeId(1), DurableState::default(), Some(genesis), 5);
     let change = Change::Document {
         base: 0,
         revision: 3,
@@ -58,13 +60,13 @@
             match effect {
                 Effect::Send { message, .. } => {
                     requests += usize::from(matches!(message, PeerMessage::ReadRequest(_)));
-                    register.on_message(at(0), 1, message, &mut effects);
+                    register.on_message(at(0), NodeId(1), message, &mut effects);
                 }
                 Effect::Persist { after_sync, .. } => {
-                    for (_, message) in after_sync {
+                    for DeferredMessage { message, .. } in after_sync {
                         match message {
                             PeerMessage::AcceptAck(_) => unsynced.push(message),
-                            message => register.on_message(at(0), 1, message, &mut effects),
+                            message => register.on_message(at(0), NodeId(1), message, &mut effects),
                         }
                     }
                 }
@@ -73,7 +75,7 @@
         }
     }
     assert!(effects.is_empty() && requests <= 2, "{requests} requests");
-    register.on_message(at(5), 1, unsynced.remove(0), &mut effects);
+    register.on_message(at(5), NodeId(1), unsynced.remove(0), &mut effects);
     assert!(effects.contains(&Effect::Reply {
         job: JobId(1),
         outcome: Outcome::Committed(3)
--- a/crates/linenthread-consensus/tests/consensus/suspension.rs
+++ b/crates/linenthread-consensus/tests/consensus/suspension.rs
@@ -1,6 +1,6 @@
 //! A process that was suspended: messages that waited for it meanwhile complete no job and no round.
 
-use linenthread_consensus::{Change, Effect, JobId, Outcome, Register};
+use linenthread_consensus::{Change, Effect, JobId, NodeId, Outcome, Register};
 use linenthread_messages::{PeerMessage, Promise, ReadReply};
 use linenthread_time::Instant;
 
@@ -27,7 +27,12 @@
             decided: 0,
             pending: false,
         };
-        register.on_message(at(now), from, PeerMessage::ReadReply(reply), &mut effects);
+        register.on_message(
+            at(now),
+            NodeId(from),
+            PeerMessage::ReadReply(reply),
+            &mut effects,
+        );
     }
     effects
 }
@@ -112,7 +117,7 @@
         };
         register.on_message(
             at(21_000),
-            from,
+            NodeId(from),
             PeerMessage::Promise(promise),
             &mut effects,
         );
--- a/crates/linenthread-consensus/tests/consensus/trio.rs
+++ b/crates/linenthread-consensus/tests/consensus/trio.rs
@@ -1,6 +1,6 @@
 //! Three registers whose messages arrive at once, and whose nodes do not announce decided values.
 
-use linenthread_consensus::{Change, Effect, JobId, Outcome, Register};
+use linenthread_consensus::{Change, DeferredMessage, Effect, JobId, NodeId, Outcome, Register};
 use linenthread_messages::{PeerMessage, Record};
 
 use crate::fixtures::{at, register};
@@ -40,11 +40,11 @@
         while !pending.is_empty() {
             let (from, effect) = pending.remove(0);
             match effect {
-                Effect::Send { to, message } => pending.extend(self.deliver(from, to, message)),
+                Effect::Send { to, message } => pending.extend(self.deliver(from, to.0, message)),
                 Effect::Persist { record, after_sync } => {
                     self.records[from as usize - 1].push(record);
-                    for (to, message) in after_sync {
-                        pending.extend(self.deliver(from, to, message));
+                    for DeferredMessage { to, message } in after_sync {
+                        pending.extend(self.deliver(from, to.0, message));
                     }
                 }
                 Effect::Reply { job, outcome } => self.replies.push((job, outcome)),
@@ -59,7 +59,7 @@
         }
         let mut effects = Vec::new();
         self.register(to)
-            .on_message(at(0), from, message, &mut effects);
+            .on_message(at(0), NodeId(from), message, &mut effects);
         effects.into_iter().map(|effect| (to, effect)).collect()
     }
 
