--- a/crates/linenthread-dataplane/tests/pool.rs
+++ b/crates/linenthread-dataplane/tests/pool.rs
@@ -1,4 +1,4 @@
-//! The hard cases of a replica's connections, one by one, in simulated time.
+//! The hard cases of the connections to a replica, one by one, in simulated time.
 
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
@@ -7,15 +7,16 @@
 use std::time::Duration;
 
 use linenthread_core::interface::AttemptOutcome;
-use linenthread_dataplane::outcome::SendState;
-use linenthread_dataplane::pool::{ReplicaPool, Request, SubRequestOutcome};
-use linenthread_dataplane_sim::network::{Event, Inbound, Listener, Network, Peer, WriteFate};
-use linenthread_dataplane_sim::replica::message;
+use linenthread_dataplane::outcome::{Outcome, ResponseUse, SendState};
+use linenthread_dataplane::pool::{ReplicaPool, ReplicaRequest, SubRequestOutcome};
+use linenthread_dataplane_sim::fault_plan::WriteFault;
+use linenthread_dataplane_sim::network::{Inbound, InboundEvent, Listener, Network, Peer};
+use linenthread_dataplane_sim::replica::messages;
 
 const TIME: Duration = Duration::from_millis(200);
 
-/// What comes back to one request, and when.
-type Reply = Vec<(u64, Event)>;
+/// What comes back to one request, and after how many milliseconds.
+type Reply = Vec<(u64, InboundEvent)>;
 
 /// What each connection does, in the order they are opened.
 #[derive(Default)]
@@ -26,7 +27,7 @@
 
 #[derive(Clone)]
 struct Scripted {
-    write: WriteFate,
+    write: WriteFault,
     replies: VecDeque<Reply>,
 }
 
@@ -39,7 +40,7 @@
 }
 
 impl Peer for Scripted {
-    fn write_fate(&mut self, _: &[u8]) -> WriteFate {
+    fn write_fault(&mut self, _: &[u8]) -> WriteFault {
         self.write
     }
 
@@ -55,17 +56,17 @@
     pool: ReplicaPool<Network>,
 }
 
-/// A replica whose connections do this, each reply to one request.
+/// A replica whose connections do this; each reply is to one request.
 fn rig(connections: Vec<Vec<Reply>>) -> Rig {
     rig_of(
         connections
             .into_iter()
-            .map(|replies| (WriteFate::Taken, replies))
+            .map(|replies| (WriteFault::None, replies))
             .collect(),
     )
 }
 
-fn rig_of(connections: Vec<(WriteFate, Vec<Reply>)>) -> Rig {
+fn rig_of(connections: Vec<(WriteFault, Vec<Reply>)>) -> Rig {
     let script = Rc::new(Script::default());
     let scripted = connections.into_iter().map(|(write, replies)| Scripted {
         write,
@@ -84,23 +85,22 @@
     }
 }
 
-fn request(attempt: &str) -> Request {
-    let begin = format!("POST /x HTTP/1.1\r\nHost: h\r\nX-Attempt-Id: {attempt}\r\n").into_bytes();
-    Request::new(
-        begin,
+fn request(attempt: &str) -> ReplicaRequest {
+    let head = format!("POST /x HTTP/1.1\r\nHost: h\r\nX-Attempt-Id: {attempt}\r\n").into_bytes();
+    ReplicaRequest::new(
+        head,
         b"Content-Length: 2\r\n\r\nhi".to_vec(),
         attempt.into(),
-        false,
-        false,
+        ResponseUse::Forwarded,
     )
 }
 
-fn answer(id: &str, body: &str) -> Event {
-    Event::Bytes(message(200, id, "seal", "", body.as_bytes()))
+fn answer(id: &str, body: &str) -> InboundEvent {
+    InboundEvent::Bytes(messages::response(200, id, "seal", "", body.as_bytes()))
 }
 
-fn rejection(id: &str) -> Event {
-    Event::Bytes(message(503, id, "", "X-Not-Executed: 1\r\n", b""))
+fn rejection(id: &str) -> InboundEvent {
+    InboundEvent::Bytes(messages::rejection(id))
 }
 
 impl Rig {
@@ -110,12 +110,21 @@
 
     /// The body that the request gets.
     async fn body(&self, attempt: &str) -> Option<Vec<u8>> {
-        self.call(attempt).await.answer.map(|answer| answer.body)
+        self.call(attempt)
+            .await
+            .response
+            .map(|response| response.body)
     }
 }
 
-fn may_have_run(outcome: &SubRequestOutcome, ending: AttemptOutcome) -> bool {
-    outcome.ending == ending && outcome.sent == SendState::MayHaveRun && outcome.answer.is_none()
+fn may_have_run(ended: &SubRequestOutcome, attempt_outcome: AttemptOutcome) -> bool {
+    let sent = SendState::MayHaveRun;
+    ended.outcome
+        == Outcome {
+            attempt_outcome,
+            sent,
+        }
+        && ended.response.is_none()
 }
 
 #[tokio::test(start_paused = true)]
@@ -130,7 +139,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_late_second_answer_of_the_previous_request_is_not_taken() {
+async fn a_late_second_response_to_the_previous_request_is_not_accepted() {
     let late = vec![(1, answer("a", "1")), (5, answer("b", "2"))];
     let rig = rig(vec![vec![vec![(1, answer("a", "1"))], late]]);
     rig.call("a").await;
@@ -139,7 +148,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn an_answer_without_an_id_is_not_taken() {
+async fn a_response_without_an_id_is_not_accepted() {
     let rig = rig(vec![
         vec![vec![(1, answer("", "1"))]],
         vec![vec![(1, answer("a", "1"))], vec![(1, answer("", "2"))]],
@@ -155,7 +164,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_connection_that_stayed_silent_is_not_used_again() {
+async fn a_connection_that_timed_out_is_not_used_again() {
     let rig = rig(vec![
         vec![vec![(300, answer("a", "late"))]],
         vec![vec![(1, answer("a", "2"))]],
@@ -168,18 +177,18 @@
     assert_eq!(rig.pool.idle(), 0);
     tokio::time::sleep(TIME).await;
     assert_eq!(
-        rig.pool.call(&request, TIME).await.answer.unwrap().body,
+        rig.pool.call(&request, TIME).await.response.unwrap().body,
         b"2"
     );
     assert_eq!(rig.script.opened.get(), 2);
 }
 
 #[tokio::test(start_paused = true)]
-async fn bytes_behind_an_answer_end_the_connection() {
-    let mut two = message(200, "a", "seal", "", b"1");
-    two.extend(message(200, "b", "seal", "", b"2"));
+async fn surplus_bytes_after_a_response_end_the_connection() {
+    let mut two = messages::response(200, "a", "seal", "", b"1");
+    two.extend(messages::response(200, "b", "seal", "", b"2"));
     let rig = rig(vec![
-        vec![vec![(1, Event::Bytes(two))]],
+        vec![vec![(1, InboundEvent::Bytes(two))]],
         vec![vec![(1, answer("b", "3"))]],
     ]);
     assert_eq!(rig.body("a").await.unwrap(), b"1");
@@ -188,7 +197,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn bytes_that_wait_on_an_idle_connection_end_it() {
+async fn unread_bytes_on_an_idle_connection_end_it() {
     let idle = vec![(1, answer("a", "1")), (20, answer("b", "2"))];
     let rig = rig(vec![vec![idle], vec![vec![(1, answer("b", "3"))]]]);
     rig.call("a").await;
@@ -201,29 +210,29 @@
 #[tokio::test(start_paused = true)]
 async fn an_idle_connection_that_the_replica_closed_is_not_used() {
     let rig = rig(vec![
-        vec![vec![(1, answer("a", "1")), (20, Event::Close)]],
+        vec![vec![(1, answer("a", "1")), (20, InboundEvent::Close)]],
         vec![vec![(1, answer("b", "2"))]],
     ]);
     rig.call("a").await;
     tokio::time::sleep(TIME).await;
-    rig.pool.tidy();
+    rig.pool.close_expired();
     assert_eq!(rig.pool.idle(), 0);
     assert_eq!(rig.body("b").await.unwrap(), b"2");
 }
 
 #[tokio::test(start_paused = true)]
-async fn what_went_out_on_a_forgotten_connection_may_have_run() {
+async fn a_request_on_a_connection_that_the_replica_dropped_may_have_run() {
     let rig = rig(vec![vec![
         vec![(1, answer("a", "1"))],
-        vec![(1, Event::Reset)],
+        vec![(1, InboundEvent::Reset)],
     ]]);
     rig.call("a").await;
     assert!(may_have_run(&rig.call("b").await, AttemptOutcome::Error));
 }
 
 #[tokio::test(start_paused = true)]
-async fn what_a_reset_or_a_close_answers_may_have_run() {
-    for end in [Event::Reset, Event::Close] {
+async fn a_request_answered_by_a_reset_or_a_close_may_have_run() {
+    for end in [InboundEvent::Reset, InboundEvent::Close] {
         let rig = rig(vec![vec![vec![(1, end)]]]);
         assert!(may_have_run(
             &rig.call("a").await,
@@ -233,11 +242,11 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn half_an_answer_is_none() {
-    let whole = message(200, "a", "seal", "", b"whole");
-    for length in 1..whole.len() {
-        for end in [Event::Reset, Event::Close] {
-            let half = Event::Bytes(whole[..length].to_vec());
+async fn a_truncated_response_is_not_accepted() {
+    let complete = messages::response(200, "a", "seal", "", b"whole");
+    for length in 1..complete.len() {
+        for end in [InboundEvent::Reset, InboundEvent::Close] {
+            let half = InboundEvent::Bytes(complete[..length].to_vec());
             let rig = rig(vec![vec![vec![(1, half), (2, end)]]]);
             assert!(
                 may_have_run(&rig.call("a").await, AttemptOutcome::Error),
@@ -249,18 +258,19 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn an_answer_that_stops_midway_may_have_run() {
-    let half = Event::Bytes(message(200, "a", "seal", "", b"whole")[..40].to_vec());
+async fn a_request_whose_response_stalls_may_have_run() {
+    let half =
+        InboundEvent::Bytes(messages::response(200, "a", "seal", "", b"whole")[..40].to_vec());
     let rig = rig(vec![vec![vec![(1, half)]]]);
     assert!(may_have_run(&rig.call("a").await, AttemptOutcome::TimedOut));
     assert_eq!(rig.pool.idle(), 0);
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_write_that_fails_halfway_may_have_run() {
+async fn a_request_whose_write_fails_halfway_may_have_run() {
     let rig = rig_of(vec![
-        (WriteFate::FailsAfter(30), vec![]),
-        (WriteFate::StopsAfter(30), vec![]),
+        (WriteFault::FailsAfter(30), vec![]),
+        (WriteFault::StallsAfter(30), vec![]),
     ]);
     assert!(may_have_run(
         &rig.call("a").await,
@@ -270,69 +280,75 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_write_of_which_nothing_left_never_ran() {
+async fn a_request_of_which_no_byte_was_written_never_ran() {
     let rig = rig_of(vec![
-        (WriteFate::FailsAfter(0), vec![]),
-        (WriteFate::StopsAfter(0), vec![]),
+        (WriteFault::FailsAfter(0), vec![]),
+        (WriteFault::StallsAfter(0), vec![]),
     ]);
     for _ in 0..2 {
-        let outcome = rig.call("a").await;
+        let ended = rig.call("a").await;
         assert_eq!(
-            (outcome.ending, outcome.sent),
-            (AttemptOutcome::ConnectFailed, SendState::NeverLeft)
+            ended.outcome,
+            Outcome {
+                attempt_outcome: AttemptOutcome::ConnectFailed,
+                sent: SendState::NotSent
+            }
         );
     }
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_rejection_is_believed_by_its_id_or_on_a_first_request() {
+async fn a_rejection_counts_with_its_id_or_on_a_first_request() {
     let first = vec![
         vec![(1, rejection(""))],
         vec![(1, rejection("b"))],
         vec![(1, rejection(""))],
     ];
     let rig = rig(vec![first]);
-    assert_eq!(rig.call("a").await.sent, SendState::Rejected);
-    assert_eq!(rig.call("b").await.sent, SendState::Rejected);
+    assert_eq!(rig.call("a").await.outcome.sent, SendState::Rejected);
+    assert_eq!(rig.call("b").await.outcome.sent, SendState::Rejected);
     assert!(may_have_run(&rig.call("c").await, AttemptOutcome::Error));
     assert_eq!(rig.pool.idle(), 0);
 }
 
-/// The second word of a rejection has the same id as the answer to the next try: they never meet.
+/// A repeated rejection has the same id as the response to the next attempt: they never meet.
 #[tokio::test(start_paused = true)]
-async fn a_request_never_goes_twice_over_one_connection() {
+async fn a_request_is_never_sent_twice_over_one_connection() {
     let rejected_twice = vec![vec![(1, rejection("a"))], vec![(1, rejection("a"))]];
     let rig = rig(vec![rejected_twice, vec![vec![(1, answer("a", "1"))]]]);
     let request = request("a");
     assert_eq!(
-        rig.pool.call(&request, TIME).await.sent,
+        rig.pool.call(&request, TIME).await.outcome.sent,
         SendState::Rejected
     );
     assert_eq!(rig.pool.idle(), 1);
     assert_eq!(
-        rig.pool.call(&request, TIME).await.answer.unwrap().body,
+        rig.pool.call(&request, TIME).await.response.unwrap().body,
         b"1"
     );
     assert_eq!(rig.script.opened.get(), 2);
 }
 
 #[tokio::test(start_paused = true)]
-async fn another_replica_at_the_address_has_not_run_it() {
-    let misdirected = Event::Bytes(message(421, "", "", "X-Replica-Id: j\r\n", b""));
+async fn a_misdirected_request_has_not_run() {
+    let misdirected = InboundEvent::Bytes(messages::misdirection("j"));
     let rig = rig(vec![vec![vec![(1, misdirected)]]]);
-    let outcome = rig.call("a").await;
+    let ended = rig.call("a").await;
     assert_eq!(
-        (outcome.ending, outcome.sent),
-        (AttemptOutcome::ConnectFailed, SendState::Rejected)
+        ended.outcome,
+        Outcome {
+            attempt_outcome: AttemptOutcome::ConnectFailed,
+            sent: SendState::Rejected
+        }
     );
     assert_eq!(rig.pool.idle(), 0);
 }
 
 #[tokio::test(start_paused = true)]
-async fn no_more_connections_are_up_than_a_replica_accepts() {
+async fn no_more_connections_are_open_than_the_limit_allows() {
     let rejected = || vec![vec![(1, rejection("a"))]];
     let rig = rig(vec![rejected(), rejected(), rejected()]);
-    rig.pool.most.set(2);
+    rig.pool.set_max_connections(2);
     let request = request("a");
     for waiting in [1, 2, 2] {
         rig.pool.call(&request, TIME).await;
