--- /dev/null
+++ b/crates/linenthread-zones/tests/golden.rs
@@ -0,0 +1,88 @@
+//! The bytes of tables and reports, held fast by bytes that an earlier version wrote.
+//!
+//! The file under `tests/golden/` was written by commit 464716d. It must never be regenerated to make a test pass:
+//! tables lie in the fleet's record, on disks, and reports come from processes that may run an older version.
+
+use std::collections::BTreeMap;
+
+use linenthread_zones::{Demand, Reason, Report, Route, RouteStats, RoutingTable, Row};
+
+/// The lines of a golden file: a name, a space, and bytes in hexadecimal.
+fn golden(text: &str) -> BTreeMap<&str, Vec<u8>> {
+    text.lines()
+        .map(|line| {
+            let (name, hex) = line.rsplit_once(' ').expect("a name and its bytes");
+            let byte = |at| u8::from_str_radix(&hex[at..at + 2], 16).expect("two digits");
+            (name, (0..hex.len()).step_by(2).map(byte).collect())
+        })
+        .collect()
+}
+
+/// A table in which each reason stands.
+fn table() -> RoutingTable {
+    let rows = [
+        [
+            (1_000, Reason::Healthy),
+            (0, Reason::ZoneDown),
+            (1, Reason::Partitioned),
+        ],
+        [
+            (0, Reason::Drained),
+            (150, Reason::Returning),
+            (730, Reason::Capacity),
+        ],
+        [
+            (400, Reason::Slow),
+            (1_000, Reason::Healthy),
+            (999, Reason::Capacity),
+        ],
+    ];
+    RoutingTable {
+        valid_from_ms: 1_700_000_000_123,
+        zones: ["catania", "messina", "paler\u{e9}mo"]
+            .map(str::to_owned)
+            .to_vec(),
+        rows: rows
+            .map(|row| Row {
+                routes: row.map(|(share, reason)| Route { share, reason }).to_vec(),
+            })
+            .to_vec(),
+    }
+}
+
+/// A report with each number set to a value of its own.
+fn report() -> Report {
+    let way = |observers| RouteStats {
+        observers,
+        down: 2,
+        slow: 3,
+        completed: 1_000_004,
+        succeeded: 1_000_003,
+        latency_sum_ms: 5_000_000_005,
+    };
+    let demand = |observers, sub_requests| Demand {
+        observers,
+        sub_requests,
+    };
+    Report {
+        demand: BTreeMap::from([(0, demand(6, 7_000_007)), (2, demand(8, 9))]),
+        routes: BTreeMap::from([((0, 1), way(10)), ((2, 0), way(11)), ((2, 2), way(12))]),
+    }
+}
+
+#[test]
+fn tables_have_the_bytes_of_version_464716d() {
+    let golden = golden(include_str!("golden/bytes.hex"));
+    assert_eq!(table().encode(), golden["table"]);
+    assert_eq!(
+        RoutingTable::decode(&golden["table"]).as_ref(),
+        Ok(&table())
+    );
+}
+
+#[test]
+fn reports_have_the_bytes_of_version_464716d() {
+    let golden = golden(include_str!("golden/bytes.hex"));
+    assert_eq!(report().encode(), golden["report"]);
+    assert_eq!(Report::decode(&golden["report"]).as_ref(), Ok(&report()));
+}
