--- a/crates/linenthread-consensus/tests/consensus/fixtures.rs
+++ b/crates/linenthread-consensus/tests/consensus/fixtures.rs
@@ -1,7 +1,7 @@
 //! Values, registers and instants that several tests start from.
 
 use linenthread_consensus::{DurableState, NodeId, Register};
-use linenthread_messages::{Value, Voter};
+use linenthread_messages::{LeaseRequest, LeaseVote, Value, Voter};
 use linenthread_time::Instant;
 
 /// The instant this many milliseconds after the clock's start.
@@ -35,3 +35,23 @@
         incarnation,
     )
 }
+
+/// A request for the lease of 2 s at value 0.
+pub(crate) fn lease_request(incarnation: u64, epoch: u64, request_id: u64) -> LeaseRequest {
+    LeaseRequest {
+        epoch,
+        request_id,
+        lease_ms: 2_000,
+        incarnation,
+        value_number: 0,
+    }
+}
+
+/// A vote that grants a request.
+pub(crate) fn granted(request: &LeaseRequest) -> LeaseVote {
+    LeaseVote {
+        epoch: request.epoch,
+        request_id: request.request_id,
+        granted: true,
+    }
+}
--- a/crates/linenthread-consensus/tests/consensus/lease.rs
+++ b/crates/linenthread-consensus/tests/consensus/lease.rs
@@ -1,28 +1,10 @@
 //! Granting and holding the leader lease.
 
 use linenthread_consensus::{LeaderLease, NodeId};
-use linenthread_messages::{LeaseRequest, LeaseVote};
+use linenthread_messages::LeaseVote;
 use yare::parameterized;
 
-use crate::fixtures::at;
-
-fn request(incarnation: u64, epoch: u64, request_id: u64) -> LeaseRequest {
-    LeaseRequest {
-        epoch,
-        request_id,
-        lease_ms: 2_000,
-        incarnation,
-        value_number: 0,
-    }
-}
-
-fn granted(request: &LeaseRequest) -> LeaseVote {
-    LeaseVote {
-        epoch: request.epoch,
-        request_id: request.request_id,
-        granted: true,
-    }
-}
+use crate::fixtures::{at, granted, lease_request};
 
 fn is_majority(ids: Vec<NodeId>) -> bool {
     ids.len() >= 2
@@ -53,12 +35,12 @@
 ) {
     let mut lease = LeaderLease::new(9, at(0), false, 0);
     if now > 5_000 {
-        lease.on_lease_request(at(5_000), NodeId(1), &request(7, 1, 1), Some(0));
+        lease.on_lease_request(at(5_000), NodeId(1), &lease_request(7, 1, 1), Some(0));
     }
     let vote = lease.on_lease_request(
         at(now),
         NodeId(from),
-        &request(incarnation, epoch, 2),
+        &lease_request(incarnation, epoch, 2),
         Some(0),
     );
     assert_eq!(vote.granted, granted);
@@ -135,7 +117,7 @@
 ) {
     let mut lease = LeaderLease::new(9, at(0), false, 0);
     lease.observe_epoch(at(5_000), 4, is_new_voter);
-    let request = request(7, 4 + above, 1);
+    let request = lease_request(7, 4 + above, 1);
     let vote = lease.on_lease_request(at(6_900), NodeId(1), &request, value_number);
     assert_eq!(vote.granted, granted);
     // Later it waits only for the same value on both sides, and for a higher epoch.
--- a/crates/linenthread-consensus/tests/consensus/lease_release.rs
+++ b/crates/linenthread-consensus/tests/consensus/lease_release.rs
@@ -1,37 +1,19 @@
 //! A lease holder that shuts down: it holds nothing from then on, and its voters need not wait for their grants to end.
 
 use linenthread_consensus::{LeaderLease, NodeId};
-use linenthread_messages::{LeaseRelease, LeaseRequest, LeaseVote, Value};
+use linenthread_messages::{LeaseRelease, LeaseRequest, Value};
 use yare::parameterized;
 
-use crate::fixtures::at;
+use crate::fixtures::{at, granted, lease_request};
 
 const LEASE_HOLDER: u64 = 1;
 const OTHER: u64 = 2;
 const INCARNATION: u64 = 7;
 
-fn request(incarnation: u64, epoch: u64, request_id: u64) -> LeaseRequest {
-    LeaseRequest {
-        epoch,
-        request_id,
-        lease_ms: 2_000,
-        incarnation,
-        value_number: 0,
-    }
-}
-
 fn release(incarnation: u64, epoch: u64) -> LeaseRelease {
     LeaseRelease { epoch, incarnation }
 }
 
-fn granted(request: &LeaseRequest) -> LeaseVote {
-    LeaseVote {
-        epoch: request.epoch,
-        request_id: request.request_id,
-        granted: true,
-    }
-}
-
 /// Whether a voter at value 0 grants the request.
 fn grants(voter: &mut LeaderLease, now: u64, from: u64, request: &LeaseRequest) -> bool {
     voter
@@ -47,7 +29,7 @@
 /// A voter that granted the lease under epoch 3 at 5 s.
 fn voter() -> LeaderLease {
     let mut voter = LeaderLease::new(9, at(0), false, 0);
-    let request = request(INCARNATION, 3, 1);
+    let request = lease_request(INCARNATION, 3, 1);
     assert!(grants(&mut voter, 5_000, LEASE_HOLDER, &request));
     voter
 }
@@ -70,14 +52,17 @@
         voter.on_release(NodeId(from), &release(incarnation, epoch)),
         is_free
     );
-    assert_eq!(grants(&mut voter, 5_100, OTHER, &request(8, 9, 1)), is_free);
+    assert_eq!(
+        grants(&mut voter, 5_100, OTHER, &lease_request(8, 9, 1)),
+        is_free
+    );
 }
 
 #[test]
 fn a_request_that_arrives_after_the_release_is_not_granted() {
     let mut voter = voter();
     voter.on_release(NodeId(LEASE_HOLDER), &release(INCARNATION, 4));
-    let overtaken = request(INCARNATION, 4, 2);
+    let overtaken = lease_request(INCARNATION, 4, 2);
     assert!(!grants(&mut voter, 5_100, LEASE_HOLDER, &overtaken));
 }
 
@@ -85,7 +70,7 @@
 fn a_new_voter_does_not_renew_its_earlier_grant() {
     let mut voter = voter();
     voter.observe_epoch(at(9_000), 0, true);
-    let renewal = |request_id| request(INCARNATION, 4, request_id);
+    let renewal = |request_id| lease_request(INCARNATION, 4, request_id);
     assert!(!grants(&mut voter, 10_900, LEASE_HOLDER, &renewal(2)));
     assert!(grants(&mut voter, 11_000, LEASE_HOLDER, &renewal(3)));
 }
@@ -115,8 +100,8 @@
     let mut voter = voter();
     voter.observe_epoch(at(5_050), 0, true);
     assert!(voter.on_release(NodeId(LEASE_HOLDER), &release(INCARNATION, 3)));
-    assert!(!grants(&mut voter, 5_100, OTHER, &request(8, 9, 1)));
-    assert!(grants(&mut voter, 7_100, OTHER, &request(8, 9, 2)));
+    assert!(!grants(&mut voter, 5_100, OTHER, &lease_request(8, 9, 1)));
+    assert!(grants(&mut voter, 7_100, OTHER, &lease_request(8, 9, 2)));
 }
 
 #[test]
