--- a/crates/linenthread-control/src/control_node.rs
+++ b/crates/linenthread-control/src/control_node.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, VecDeque};
 
-use linenthread_consensus::{DurableState, LeaderLease, Register};
+use linenthread_consensus::{DurableState, LeaderLease, NodeId, Register};
 use linenthread_messages::{IngressSession, PeerMessage, Value};
 use linenthread_time::Instant;
 
@@ -50,7 +50,7 @@
     /// system starts for the first time.
     pub fn new(
         config: NodeConfig,
-        id: u64,
+        id: NodeId,
         mut durable_state: DurableState,
         genesis: Option<Value>,
         now: Instant,
@@ -59,7 +59,7 @@
         let epoch = durable_state.epoch;
         let budget = RetryBudget::new(config.retry_allowance, config.retry_window);
         let mut control = ControlNode {
-            lease: LeaderLease::new(id, config.incarnation, now, config.is_genesis, epoch),
+            lease: LeaderLease::new(config.incarnation, now, config.is_genesis, epoch),
             register: Register::new(id, durable_state, genesis, config.incarnation),
             voting: VotingState::default(),
             loopback: VecDeque::new(),
--- a/crates/linenthread-control/src/effect.rs
+++ b/crates/linenthread-control/src/effect.rs
@@ -1,18 +1,10 @@
 //! What a control node asks of its driver.
 
+use linenthread_consensus::DeferredMessage;
 use linenthread_messages::{PeerMessage, Record};
 
 use crate::{CallId, ControlEvent, Response, SessionId};
 
-/// A message that may be sent only once the record it was handed over with is durable.
-#[derive(Clone, Debug, PartialEq)]
-pub struct DeferredMessage {
-    /// Id of the node that it goes to, which may be the sender itself.
-    pub to: u64,
-    /// The message.
-    pub message: PeerMessage,
-}
-
 /// What whoever drives a control node has to do, in the order in which the effects were returned.
 #[derive(Debug)]
 pub enum Effect {
--- a/crates/linenthread-control/src/graceful_shutdown.rs
+++ b/crates/linenthread-control/src/graceful_shutdown.rs
@@ -2,6 +2,8 @@
 
 use std::fmt;
 
+use linenthread_consensus::NodeId;
+
 use crate::reconfiguration::removes_leaving_voter;
 
 /// How another voter is seen by a node that shuts down.
@@ -21,7 +23,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct PeerVoter {
     /// The voter's id.
-    pub node_id: u64,
+    pub node_id: NodeId,
     /// Its disk holds the newest value that the node knows.
     pub durable: bool,
     /// How it is seen.
@@ -32,7 +34,7 @@
 #[derive(Clone, Debug)]
 pub struct ShutdownView {
     /// Id of the node that shuts down.
-    pub node_id: u64,
+    pub node_id: NodeId,
     /// In the order of the newest value.
     pub voters: Vec<PeerVoter>,
     /// Some node may replace a voter at once.
--- a/crates/linenthread-control/src/leader_lease.rs
+++ b/crates/linenthread-control/src/leader_lease.rs
@@ -1,10 +1,11 @@
 //! The leader lease of this node, and its vote for that of another.
 
+use linenthread_consensus::{DeferredMessage, NodeId};
 use linenthread_messages::{LeaseRelease, LeaseRequest, LeaseVote, PeerMessage, Record};
 use linenthread_time::Instant;
 
 use crate::graceful_shutdown::ShutdownStep;
-use crate::{ControlEvent, ControlNode, DeferredMessage, Effect};
+use crate::{ControlEvent, ControlNode, Effect};
 
 impl ControlNode {
     /// Requests the lease, or more time of it, if this node may lead.
@@ -34,7 +35,7 @@
             self.register
                 .voters()
                 .iter()
-                .map(|voter| voter.id)
+                .map(NodeId::from)
                 .filter(|id| in_contact.contains(id))
         };
         let preferred = candidates()
@@ -52,7 +53,7 @@
     pub(crate) fn on_lease_request(
         &mut self,
         now: Instant,
-        from: u64,
+        from: NodeId,
         request: &LeaseRequest,
         effects: &mut Vec<Effect>,
     ) {
@@ -82,7 +83,7 @@
     pub(crate) fn on_lease_vote(
         &mut self,
         now: Instant,
-        from: u64,
+        from: NodeId,
         vote: &LeaseVote,
         effects: &mut Vec<Effect>,
     ) {
@@ -107,7 +108,7 @@
     }
 
     /// Another node gave the lease back.
-    pub(crate) fn on_lease_release(&mut self, from: u64, release: &LeaseRelease) {
+    pub(crate) fn on_lease_release(&mut self, from: NodeId, release: &LeaseRelease) {
         if self.lease.on_release(from, release) {
             // Whoever leads next need not wait for its tick.
             self.ticks.expedite();
@@ -125,12 +126,7 @@
         effects.push(Effect::Log(ControlEvent::LeaseReleased {
             epoch: release.epoch,
         }));
-        let voter_ids: Vec<u64> = self
-            .register
-            .voters()
-            .iter()
-            .map(|voter| voter.id)
-            .collect();
+        let voter_ids: Vec<NodeId> = self.register.voters().iter().map(NodeId::from).collect();
         for voter_id in voter_ids {
             self.send_to_node(
                 voter_id,
--- a/crates/linenthread-control/src/lib.rs
+++ b/crates/linenthread-control/src/lib.rs
@@ -62,7 +62,7 @@
 pub use change_log::ChangeLog;
 pub use config::NodeConfig;
 pub use control_node::ControlNode;
-pub use effect::{DeferredMessage, Effect};
+pub use effect::Effect;
 pub use event::ControlEvent;
 pub use ids::{CallId, SessionId};
 pub use replica_registry::{
@@ -72,3 +72,6 @@
 pub use retry_budget::RetryBudget;
 pub use state_log::{OpenedState, StateLog, StateLogError};
 pub use timing::CONTACT_TIMEOUT;
+
+// Types of the consensus that this interface is made of.
+pub use linenthread_consensus::{DeferredMessage, NodeId};
--- a/crates/linenthread-control/src/membership.rs
+++ b/crates/linenthread-control/src/membership.rs
@@ -3,6 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
+use linenthread_consensus::NodeId;
 use linenthread_messages::{Heartbeat, Hello, Voter};
 use linenthread_time::Instant;
 
@@ -72,6 +73,10 @@
         self.in_contact(now) && self.has_quorum && !self.shutting_down
     }
 
+    pub(crate) fn node_id(&self) -> NodeId {
+        NodeId(self.hello.node_id)
+    }
+
     /// Whether the peer lacks the value of this number. The number of the first value of all is also the one that
     /// stands for none.
     pub(crate) fn lacks(&self, value_number: u64) -> bool {
@@ -89,7 +94,7 @@
 
 /// Which node was last in contact at an address, and when.
 pub(crate) struct LastContact {
-    pub(crate) node_id: u64,
+    pub(crate) node_id: NodeId,
     pub(crate) may_vote: bool,
     pub(crate) at: Instant,
 }
@@ -101,7 +106,7 @@
     /// By control address.
     last_contacts: BTreeMap<String, LastContact>,
     /// Nodes that ended after a graceful shutdown, and the newest value that the disk of each held.
-    departed: BTreeMap<u64, u64>,
+    departed: BTreeMap<NodeId, u64>,
 }
 
 impl Membership {
@@ -133,15 +138,14 @@
     }
 
     /// The peer of a node id, if it is in contact.
-    pub(crate) fn contact(&self, now: Instant, node_id: u64) -> Option<&ControlPeer> {
-        self.contacts(now)
-            .find(|peer| peer.hello.node_id == node_id)
+    pub(crate) fn contact(&self, now: Instant, node_id: NodeId) -> Option<&ControlPeer> {
+        self.contacts(now).find(|peer| peer.node_id() == node_id)
     }
 
     /// The newest session with a node.
-    pub(crate) fn session_with(&self, node_id: u64) -> Option<SessionId> {
+    pub(crate) fn session_with(&self, node_id: NodeId) -> Option<SessionId> {
         self.iter()
-            .filter(|(_, peer)| peer.hello.node_id == node_id)
+            .filter(|(_, peer)| peer.node_id() == node_id)
             .map(|(session, _)| session)
             .last()
     }
@@ -166,13 +170,13 @@
 
     pub(crate) fn open(&mut self, now: Instant, session: SessionId, hello: Hello) {
         let contact = LastContact {
-            node_id: hello.node_id,
+            node_id: NodeId(hello.node_id),
             may_vote: hello.is_voter,
             at: now,
         };
         self.last_contacts
             .insert(hello.control_address.clone(), contact);
-        self.departed.remove(&hello.node_id);
+        self.departed.remove(&NodeId(hello.node_id));
         self.peers.insert(session, ControlPeer::new(now, hello));
     }
 
@@ -180,7 +184,7 @@
         let peer = self.peers.remove(&session)?;
         if peer.shutting_down {
             self.departed.insert(
-                peer.hello.node_id,
+                peer.node_id(),
                 peer.durable_value_number.unwrap_or_default(),
             );
         }
@@ -245,16 +249,16 @@
     }
 
     /// Whether a node shuts down, or ended after a graceful shutdown.
-    pub(crate) fn is_shutting_down(&self, node_id: u64) -> bool {
+    pub(crate) fn is_shutting_down(&self, node_id: NodeId) -> bool {
         self.departed.contains_key(&node_id)
             || self
                 .peers
                 .values()
-                .any(|peer| peer.shutting_down && peer.hello.node_id == node_id)
+                .any(|peer| peer.shutting_down && peer.node_id() == node_id)
     }
 
     /// The newest value that the disk of a departed node held.
-    pub(crate) fn departed(&self, node_id: u64) -> Option<u64> {
+    pub(crate) fn departed(&self, node_id: NodeId) -> Option<u64> {
         self.departed.get(&node_id).copied()
     }
 
--- a/crates/linenthread-control/src/pending_drains.rs
+++ b/crates/linenthread-control/src/pending_drains.rs
@@ -2,6 +2,7 @@
 
 use std::collections::BTreeSet;
 
+use linenthread_consensus::NodeId;
 use linenthread_time::Instant;
 
 use crate::timing::CALL_TIMEOUT;
@@ -14,7 +15,7 @@
     update_id: u64,
     deadline: Instant,
     /// Ids of the nodes that acknowledged the update.
-    acknowledged_by: BTreeSet<u64>,
+    acknowledged_by: BTreeSet<NodeId>,
 }
 
 /// The calls that wait, and the replicas that a majority knows to drain or to have departed.
@@ -53,7 +54,7 @@
         now: Instant,
         call: CallId,
         replica_id: &str,
-        own_id: u64,
+        own_id: NodeId,
     ) -> u64 {
         self.last_update_id += 1;
         self.pending.push(PendingDrain {
@@ -67,7 +68,7 @@
     }
 
     /// A node acknowledged an update.
-    pub(crate) fn on_ack(&mut self, node_id: u64, update_id: u64) {
+    pub(crate) fn on_ack(&mut self, node_id: NodeId, update_id: u64) {
         let drain = self
             .pending
             .iter_mut()
@@ -78,7 +79,7 @@
     }
 
     /// A node's session ended: what the node knew may be lost with it.
-    pub(crate) fn on_node_gone(&mut self, node_id: u64) {
+    pub(crate) fn on_node_gone(&mut self, node_id: NodeId) {
         for drain in &mut self.pending {
             drain.acknowledged_by.remove(&node_id);
         }
@@ -88,7 +89,7 @@
     pub(crate) fn take_completed(
         &mut self,
         now: Instant,
-        is_majority: impl Fn(&BTreeSet<u64>) -> bool,
+        is_majority: impl Fn(&BTreeSet<NodeId>) -> bool,
     ) -> Vec<(CallId, Response)> {
         let known_by_majority = &mut self.known_by_majority;
         let mut completed = Vec::new();
--- a/crates/linenthread-control/src/quorum_contact.rs
+++ b/crates/linenthread-control/src/quorum_contact.rs
@@ -2,8 +2,10 @@
 
 use std::time::Duration;
 
+use linenthread_consensus::NodeId;
 use linenthread_time::Instant;
 
+use crate::membership::ControlPeer;
 use crate::timing::{PAUSE_TIMEOUT, STARTUP_GRACE};
 use crate::{ControlEvent, ControlNode, Effect};
 
@@ -50,8 +52,8 @@
 
 impl ControlNode {
     /// Ids of the nodes in contact, this one included.
-    pub(crate) fn nodes_in_contact(&self, now: Instant) -> Vec<u64> {
-        let others = self.membership.contacts(now).map(|peer| peer.hello.node_id);
+    pub(crate) fn nodes_in_contact(&self, now: Instant) -> Vec<NodeId> {
+        let others = self.membership.contacts(now).map(ControlPeer::node_id);
         others.chain([self.register.id()]).collect()
     }
 
--- a/crates/linenthread-control/src/register_driver.rs
+++ b/crates/linenthread-control/src/register_driver.rs
@@ -1,11 +1,13 @@
 //! Drives the register: carries out what it asks for, and takes in what it decided.
 
-use linenthread_consensus::{Effect as RegisterEffect, JobId, Outcome, Register};
+use linenthread_consensus::{
+    DeferredMessage, Effect as RegisterEffect, JobId, NodeId, Outcome, Register,
+};
 use linenthread_messages::{DurableProgress, PeerMessage, Record, Value};
 use linenthread_time::Instant;
 
 use crate::pending_jobs::JobOwner;
-use crate::{ControlEvent, ControlNode, DeferredMessage, Effect};
+use crate::{ControlEvent, ControlNode, Effect};
 
 impl ControlNode {
     /// A record is durable: `messages` are those that waited for it.
@@ -25,7 +27,7 @@
     /// Sends a message to the node of an id, which may be this one. It is lost if there is no session with it.
     pub(crate) fn send_to_node(
         &mut self,
-        to: u64,
+        to: NodeId,
         message: PeerMessage,
         effects: &mut Vec<Effect>,
     ) {
@@ -79,13 +81,9 @@
     fn carry_out(&mut self, now: Instant, action: RegisterEffect, effects: &mut Vec<Effect>) {
         match action {
             RegisterEffect::Send { to, message } => self.send_to_node(to, message, effects),
-            RegisterEffect::Persist { record, after_sync } => effects.push(Effect::Persist {
-                record,
-                after_sync: after_sync
-                    .into_iter()
-                    .map(|(to, message)| DeferredMessage { to, message })
-                    .collect(),
-            }),
+            RegisterEffect::Persist { record, after_sync } => {
+                effects.push(Effect::Persist { record, after_sync });
+            }
             RegisterEffect::Decided(value) => self.on_decided(now, &value, effects),
             RegisterEffect::Reply { job, outcome } => self.on_outcome(now, job, outcome, effects),
         }
@@ -123,7 +121,7 @@
         let is_voter = value
             .voters
             .iter()
-            .any(|voter| voter.id == self.register.id());
+            .any(|voter| NodeId::from(voter) == self.register.id());
         let votes_again =
             is_voter && (!self.voting.is_voter || self.lease.skips_voter_change(value));
         self.lease.on_decided(value);
--- a/crates/linenthread-control/src/replica_calls.rs
+++ b/crates/linenthread-control/src/replica_calls.rs
@@ -1,5 +1,6 @@
 //! Calls of replicas: heartbeats and departures.
 
+use linenthread_consensus::NodeId;
 use linenthread_messages::{ControlUpdate, PeerMessage, UpdateAck};
 use linenthread_time::Instant;
 
@@ -111,7 +112,7 @@
     pub(crate) fn on_update_ack(
         &mut self,
         now: Instant,
-        node_id: u64,
+        node_id: NodeId,
         ack: &UpdateAck,
         effects: &mut Vec<Effect>,
     ) {
--- a/crates/linenthread-control/src/sessions.rs
+++ b/crates/linenthread-control/src/sessions.rs
@@ -1,5 +1,6 @@
 //! Sessions with peers: how they begin and end, and which table each message goes to.
 
+use linenthread_consensus::NodeId;
 use linenthread_messages::{Hello, PeerMessage, VERSION};
 use linenthread_time::Instant;
 
@@ -14,7 +15,7 @@
             zone: self.config.zone.clone(),
             incarnation: self.config.incarnation,
             control_address: self.config.control_address.clone(),
-            node_id: self.register.id(),
+            node_id: self.register.id().0,
             is_voter: self.config.may_vote,
             change_log_id: self.config.incarnation,
             change_log_offset: self.ingress_nodes.changes.offset(),
@@ -40,7 +41,7 @@
             }));
         }
         if let Some(peer) = self.membership.close(now, session) {
-            self.pending_drains.on_node_gone(peer.hello.node_id);
+            self.pending_drains.on_node_gone(peer.node_id());
             effects.push(Effect::Log(ControlEvent::SessionClosed {
                 peer: peer.hello.name,
                 is_control_node: true,
@@ -89,7 +90,7 @@
             }
         } else if let Some(peer) = self.membership.get_mut(session) {
             peer.last_received_at = now;
-            let node_id = peer.hello.node_id;
+            let node_id = peer.node_id();
             self.on_control_message(now, session, node_id, message, effects);
         } else {
             effects.push(Effect::Close(session));
@@ -147,7 +148,7 @@
         &mut self,
         now: Instant,
         session: SessionId,
-        node_id: u64,
+        node_id: NodeId,
         message: PeerMessage,
         effects: &mut Vec<Effect>,
     ) {
@@ -176,7 +177,7 @@
         &mut self,
         now: Instant,
         session: SessionId,
-        node_id: u64,
+        node_id: NodeId,
         message: PeerMessage,
         effects: &mut Vec<Effect>,
     ) {
--- a/crates/linenthread-control/src/shutdown.rs
+++ b/crates/linenthread-control/src/shutdown.rs
@@ -1,5 +1,6 @@
 //! The graceful shutdown of a control node.
 
+use linenthread_consensus::NodeId;
 use linenthread_time::Instant;
 
 use crate::graceful_shutdown::{
@@ -38,7 +39,7 @@
     }
 
     /// Whether a node, which may be this one, shuts down, or ended after a graceful shutdown.
-    pub(crate) fn node_is_shutting_down(&self, node_id: u64) -> bool {
+    pub(crate) fn node_is_shutting_down(&self, node_id: NodeId) -> bool {
         if node_id == self.register.id() {
             self.is_shutting_down()
         } else {
@@ -56,7 +57,7 @@
                 .register
                 .voters()
                 .iter()
-                .map(|voter| self.peer_voter(now, voter.id, value_number))
+                .map(|voter| self.peer_voter(now, voter.into(), value_number))
                 .collect(),
             // Also one whose disk does not hold everything yet: it is about to.
             standby: !self.standbys(now, None).is_empty(),
@@ -76,7 +77,7 @@
         })
     }
 
-    fn peer_voter(&self, now: Instant, node_id: u64, value_number: u64) -> PeerVoter {
+    fn peer_voter(&self, now: Instant, node_id: NodeId, value_number: u64) -> PeerVoter {
         if let Some(peer) = self.membership.contact(now, node_id) {
             return PeerVoter {
                 node_id,
--- a/crates/linenthread-control/src/voters.rs
+++ b/crates/linenthread-control/src/voters.rs
@@ -42,11 +42,7 @@
 impl ControlNode {
     /// Whether this node is one of the newest value's voters.
     pub(crate) fn is_voter(&self) -> bool {
-        let own_id = self.register.id();
-        self.register
-            .voters()
-            .iter()
-            .any(|voter| voter.id == own_id)
+        self.register.is_voter(self.register.id())
     }
 
     /// As the leader under `epoch`, proposes the next voters if they should be others: one change at a time.
@@ -99,7 +95,7 @@
             && !self.is_shutting_down()
             && self.durability.value_number() >= value_number;
         let this_node = is_ready.then(|| Voter {
-            id: self.register.id(),
+            id: self.register.id().0,
             address: self.config.control_address.clone(),
         });
         let voters = self.register.voters();
@@ -117,7 +113,7 @@
                 .register
                 .voters()
                 .iter()
-                .map(|voter| self.voter_state(now, voter, in_contact.contains(&voter.id)))
+                .map(|voter| self.voter_state(now, voter, in_contact.contains(&voter.into())))
                 .collect(),
             standbys: self.standbys(now, Some(value_number)),
             min_voters: self.config.min_voters,
@@ -130,7 +126,7 @@
         // While this node was out of contact itself it could not tell whether the voter was there.
         let out_of_contact_since = last_contact_at.max(self.contact.since().unwrap_or(now));
         let replaced =
-            last_contact.is_some_and(|contact| contact.node_id != voter.id && contact.may_vote);
+            last_contact.is_some_and(|contact| contact.node_id != voter.into() && contact.may_vote);
         // With another node at its address the old one does not come back. It stays for the moment if that node is
         // in contact: its successor is about to vote in its place.
         let successor_joins =
@@ -141,7 +137,7 @@
             in_contact,
             replaced,
             lost: !in_contact && (is_gone || now > out_of_contact_since + VOTER_TIMEOUT),
-            leaving: self.node_is_shutting_down(voter.id),
+            leaving: self.node_is_shutting_down(voter.into()),
         }
     }
 }
--- a/crates/linenthread-control/tests/golden_json.rs
+++ b/crates/linenthread-control/tests/golden_json.rs
@@ -5,7 +5,7 @@
 
 use std::time::Duration;
 
-use linenthread_consensus::{DurableState, genesis_id};
+use linenthread_consensus::{DurableState, NodeId};
 use linenthread_control::{
     CallId, ControlNode, Effect, NodeConfig, ReplicaHeartbeat, ReplicaRegistry, SessionId,
 };
@@ -31,7 +31,7 @@
 fn control_node() -> ControlNode {
     let bootstrap: Vec<String> = (1..=3).map(address).collect();
     let voter = |address: &String| Voter {
-        id: genesis_id(address),
+        id: NodeId::genesis(address).0,
         address: address.clone(),
     };
     let local = NodeConfig {
@@ -52,7 +52,7 @@
         voters: bootstrap.iter().map(voter).collect(),
         ..Value::default()
     };
-    let id = genesis_id(&address(1));
+    let id = NodeId::genesis(&address(1));
     ControlNode::new(
         local,
         id,
@@ -72,7 +72,7 @@
         zone: "zone-b".to_owned(),
         incarnation: 200,
         control_address: address(2),
-        node_id: genesis_id(&address(2)),
+        node_id: NodeId::genesis(&address(2)).0,
         ..Hello::default()
     };
     let ingress = Hello {
--- a/crates/linenthread-control/tests/nodes/cluster.rs
+++ b/crates/linenthread-control/tests/nodes/cluster.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-use linenthread_consensus::{DurableState, genesis_id};
+use linenthread_consensus::{DurableState, NodeId};
 use linenthread_control::{
     CallId, ControlEvent, ControlNode, DeferredMessage, Effect, NodeConfig, Response, SessionId,
 };
@@ -79,7 +79,7 @@
     /// So many nodes, the first `voters` of which are started and vote, after 4 s to find each other.
     pub(crate) fn new(nodes: usize, voters: usize) -> Cluster {
         let voter = |n: usize| Voter {
-            id: genesis_id(&address(n)),
+            id: NodeId::genesis(&address(n)).0,
             address: address(n),
         };
         let genesis = Value {
@@ -127,9 +127,9 @@
             .for_each(|record| state.add(record.clone()));
         let first = state.id.is_none() && self.now == FIRST_START;
         let id = state.id.unwrap_or(if first {
-            genesis_id(&address(n))
+            NodeId::genesis(&address(n))
         } else {
-            incarnation
+            NodeId(incarnation)
         });
         let genesis = first.then(|| self.genesis.clone());
         let local = NodeConfig {
@@ -151,7 +151,7 @@
         (node.control, node.incarnation, node.frozen) = (Some(control), incarnation, false);
         if empty {
             node.disk.push(Record {
-                id: Some(id),
+                id: Some(id.0),
                 decided: genesis,
                 ..Record::default()
             });
--- a/crates/linenthread-control/tests/nodes/contact.rs
+++ b/crates/linenthread-control/tests/nodes/contact.rs
@@ -1,7 +1,7 @@
 //! What a node that is partitioned off, or was frozen, still confirms: nothing that it cannot know.
 
 use crate::cluster::{Cluster, address, ms};
-use linenthread_consensus::{DurableState, genesis_id};
+use linenthread_consensus::{DurableState, NodeId};
 use linenthread_control::{
     CONTACT_TIMEOUT, CallId, ControlNode, Effect, NodeConfig, ReplicaHeartbeat, Response, SessionId,
 };
@@ -22,7 +22,7 @@
 fn node() -> ControlNode {
     let bootstrap: Vec<String> = (0..3).map(address).collect();
     let voter = |a: &String| Voter {
-        id: genesis_id(a),
+        id: NodeId::genesis(a).0,
         address: a.clone(),
     };
     let voters = bootstrap.iter().map(voter).collect();
@@ -47,7 +47,7 @@
     };
     ControlNode::new(
         local,
-        genesis_id(&address(0)),
+        NodeId::genesis(&address(0)),
         DurableState::default(),
         Some(value),
         Instant::START,
@@ -67,7 +67,7 @@
 
 fn hello(n: usize) -> PeerMessage {
     let control = address(n);
-    let node_id = genesis_id(&control);
+    let node_id = NodeId::genesis(&control).0;
     let name = format!("node-{n}");
     PeerMessage::Hello(Hello {
         version: VERSION,
--- a/crates/linenthread-control/tests/single_node.rs
+++ b/crates/linenthread-control/tests/single_node.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use linenthread_consensus::{DurableState, genesis_id};
+use linenthread_consensus::{DurableState, NodeId};
 use linenthread_control::{
     CallId, ControlNode, Effect, NodeConfig, ReplicaHeartbeat, Response, SessionId,
 };
@@ -30,7 +30,7 @@
     let voters: Vec<Voter> = bootstrap
         .iter()
         .map(|a| Voter {
-            id: genesis_id(a),
+            id: NodeId::genesis(a).0,
             address: a.clone(),
         })
         .collect();
@@ -53,7 +53,7 @@
     };
     ControlNode::new(
         local,
-        genesis_id(&address(1)),
+        NodeId::genesis(&address(1)),
         DurableState::default(),
         Some(genesis),
         Instant::START,
@@ -75,7 +75,7 @@
         name: format!("node-{n}"),
         incarnation: n as u64 * 100,
         control_address: address(n),
-        node_id: genesis_id(&address(n)),
+        node_id: NodeId::genesis(&address(n)).0,
         ..Hello::default()
     };
     control.on_session_opened(session, &mut effects);
--- a/crates/linenthread-control/tests/voters_and_shutdown.rs
+++ b/crates/linenthread-control/tests/voters_and_shutdown.rs
@@ -1,5 +1,6 @@
 //! Who votes next, and when a node that shuts down may exit, as tables of cases.
 
+use linenthread_consensus::NodeId;
 use linenthread_control::graceful_shutdown::{
     PeerVoter, Presence, ShutdownStep, ShutdownView, next_shutdown_step,
 };
@@ -81,7 +82,7 @@
 /// absent; upper case (`P` for `+`) where its disk does not hold the newest value.
 fn shutdown_view(own: u64, states: &str) -> ShutdownView {
     let voter = |(i, c): (usize, char)| PeerVoter {
-        node_id: i as u64 + 1,
+        node_id: NodeId(i as u64 + 1),
         durable: !c.is_uppercase(),
         presence: match c.to_ascii_lowercase() {
             'l' => Presence::Leaving,
@@ -92,7 +93,7 @@
     };
     let voters = states.chars().enumerate().map(voter).collect();
     ShutdownView {
-        node_id: own,
+        node_id: NodeId(own),
         voters,
         standby: false,
         min_voters: 3,
--- a/crates/linenthread-drill/src/system/checker/quorum.rs
+++ b/crates/linenthread-drill/src/system/checker/quorum.rs
@@ -3,7 +3,7 @@
 
 use std::time::Duration;
 
-use linenthread_consensus::Register;
+use linenthread_consensus::{NodeId, Register};
 use linenthread_control::ControlNode;
 use linenthread_messages::Voter;
 
@@ -29,13 +29,13 @@
         let Some(register) = machine.control.as_ref().map(ControlNode::register) else {
             return;
         };
-        let in_contact = |voter: &Voter| machine.contacts.last_exchange(voter.id) >= since;
+        let in_contact = |voter: &Voter| machine.contacts.last_exchange(voter.into()) >= since;
         let own = register.id();
         let voters = register.voters();
         let counted = voters
             .iter()
-            .filter(|voter| voter.id == own || in_contact(voter))
-            .map(|voter| voter.id);
+            .filter(|voter| NodeId::from(*voter) == own || in_contact(voter))
+            .map(NodeId::from);
         if !register.is_majority(counted) {
             let details = format!(
                 "{node}, up for {} ms, in contact with {} of {}, responds {response}",
@@ -59,13 +59,15 @@
                 || self.is_partitioned(NodeIndex::Control(node), NodeIndex::Control(n));
             n == node || self.is_running(n) && !is_partitioned()
         };
-        let reached: Vec<u64> = (0..self.machines.len())
+        let reached: Vec<NodeId> = (0..self.machines.len())
             .filter(|n| is_reached(*n))
             .filter_map(register)
             .map(Register::id)
             .collect();
         let is_majority = |voters: &[Voter]| {
-            let votes = voters.iter().filter(|voter| reached.contains(&voter.id));
+            let votes = voters
+                .iter()
+                .filter(|voter| reached.contains(&NodeId::from(*voter)));
             votes.count() * 2 > voters.len()
         };
         self.is_running(node) && is_majority(&newest.voters) && is_majority(own.voters())
--- a/crates/linenthread-drill/src/system/checker/replicas.rs
+++ b/crates/linenthread-drill/src/system/checker/replicas.rs
@@ -43,13 +43,13 @@
         self.machines
             .iter()
             .filter_map(|machine| machine.control.as_ref())
-            .any(|control| control.register().id() == voter.id && is_known(control))
+            .any(|control| control.register().id() == voter.into() && is_known(control))
     }
 
     fn has_run_for_a_while(&self, voter: &Voter) -> bool {
         let started_before = |start| start + RECENT_START < self.now();
         self.machines.iter().any(|machine| {
-            machine.voter_id() == Some(voter.id) && started_before(machine.started_at)
+            machine.voter_id() == Some(voter.into()) && started_before(machine.started_at)
         })
     }
 }
--- a/crates/linenthread-drill/src/system/execution.rs
+++ b/crates/linenthread-drill/src/system/execution.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use linenthread_consensus::{DurableState, genesis_id};
+use linenthread_consensus::{DurableState, NodeId};
 use linenthread_control::{ControlNode, DeferredMessage, Effect, NodeConfig};
 use linenthread_messages::{PeerMessage, Record};
 use linenthread_time::{Instant, whole_millis};
@@ -48,9 +48,9 @@
         let is_initial_voter =
             is_empty && machine.is_initial && self.bootstrap.contains(&machine.address);
         let new_id = if is_initial_voter {
-            genesis_id(&machine.address)
+            NodeId::genesis(&machine.address)
         } else {
-            incarnation
+            NodeId(incarnation)
         };
         let id = state.id.unwrap_or(new_id);
         let genesis = machine.is_initial.then(|| self.genesis.clone());
@@ -70,7 +70,7 @@
         machine.catch_up = Some(CatchUp::new(target, now));
         if is_empty {
             let first = Record {
-                id: Some(id),
+                id: Some(id.0),
                 decided: genesis,
                 ..Record::default()
             };
--- a/crates/linenthread-drill/src/system/loss_budget.rs
+++ b/crates/linenthread-drill/src/system/loss_budget.rs
@@ -86,7 +86,7 @@
             machines
                 .iter()
                 .map(|machine| machine.disk.durable_state())
-                .find(|state| state.id == Some(voter.id))
+                .find(|state| state.id == Some(voter.into()))
         };
         let disks: Vec<DurableState> = newest.voters.iter().filter_map(disk_of).collect();
         let knows_voters = |state: &&DurableState| {
--- a/crates/linenthread-drill/src/system/machine.rs
+++ b/crates/linenthread-drill/src/system/machine.rs
@@ -3,6 +3,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
+use linenthread_consensus::NodeId;
 use linenthread_control::ControlNode;
 use linenthread_messages::{Envelope, PeerMessage};
 use linenthread_time::Instant;
@@ -67,29 +68,30 @@
     }
 }
 
-/// When messages were exchanged with other nodes, by the ids of their disks.
+/// When messages were exchanged with other nodes, by their ids.
 #[derive(Default)]
 pub(super) struct Contacts {
     /// When the newest message that arrived here was sent.
-    received: BTreeMap<u64, Instant>,
+    received: BTreeMap<NodeId, Instant>,
     /// When the newest message of ours that arrived there was sent.
-    delivered: BTreeMap<u64, Instant>,
+    delivered: BTreeMap<NodeId, Instant>,
 }
 
 impl Contacts {
-    pub(super) fn on_received(&mut self, from: u64, sent_at: Instant) {
+    pub(super) fn on_received(&mut self, from: NodeId, sent_at: Instant) {
         let newest = self.received.entry(from).or_default();
         *newest = sent_at.max(*newest);
     }
 
-    pub(super) fn on_delivered(&mut self, to: u64, sent_at: Instant) {
+    pub(super) fn on_delivered(&mut self, to: NodeId, sent_at: Instant) {
         let newest = self.delivered.entry(to).or_default();
         *newest = sent_at.max(*newest);
     }
 
     /// When the older of the newest messages of both directions was sent.
-    pub(super) fn last_exchange(&self, with: u64) -> Instant {
-        let time = |times: &BTreeMap<u64, Instant>| times.get(&with).copied().unwrap_or_default();
+    pub(super) fn last_exchange(&self, with: NodeId) -> Instant {
+        let time =
+            |times: &BTreeMap<NodeId, Instant>| times.get(&with).copied().unwrap_or_default();
         time(&self.received).min(time(&self.delivered))
     }
 }
@@ -162,7 +164,7 @@
     }
 
     /// The id of its disk, as the running process has it.
-    pub(super) fn voter_id(&self) -> Option<u64> {
+    pub(super) fn voter_id(&self) -> Option<NodeId> {
         self.control.as_ref().map(|control| control.register().id())
     }
 
--- a/crates/linenthread-drill/src/system/world.rs
+++ b/crates/linenthread-drill/src/system/world.rs
@@ -3,7 +3,7 @@
 
 use std::time::Duration;
 
-use linenthread_consensus::genesis_id;
+use linenthread_consensus::NodeId;
 use linenthread_control::SessionId;
 use linenthread_messages::{PeerMessage, Value, Voter};
 use linenthread_time::Instant;
@@ -55,7 +55,7 @@
         let voters = bootstrap
             .iter()
             .map(|address| Voter {
-                id: genesis_id(address),
+                id: NodeId::genesis(address).0,
                 address: address.clone(),
             })
             .collect();
--- a/crates/linenthread-drill/tests/no_wall_clock.rs
+++ b/crates/linenthread-drill/tests/no_wall_clock.rs
@@ -4,7 +4,7 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-use linenthread_consensus::DurableState;
+use linenthread_consensus::{DurableState, NodeId};
 use linenthread_control::{ControlNode, Effect, NodeConfig, SessionId};
 use linenthread_time::Instant;
 
@@ -149,7 +149,7 @@
     };
     ControlNode::new(
         local,
-        incarnation,
+        NodeId(incarnation),
         DurableState::default(),
         None,
         Instant::START,
--- a/crates/linenthread-hollow/src/control.rs
+++ b/crates/linenthread-hollow/src/control.rs
@@ -4,7 +4,7 @@
 
 use bytes::BytesMut;
 use linenthread_config::Configuration;
-use linenthread_consensus::{DurableState, genesis_id};
+use linenthread_consensus::{DurableState, NodeId};
 use linenthread_control::{
     CallId, ControlNode, DeferredMessage, Effect, NodeConfig, ReplicaHeartbeat, SessionId,
 };
@@ -37,7 +37,7 @@
     /// The value that the system starts with.
     fn genesis(&self) -> Value {
         let voter = |address: &String| Voter {
-            id: genesis_id(address),
+            id: NodeId::genesis(address).0,
             address: address.clone(),
         };
         Value {
@@ -126,13 +126,13 @@
     /// A node with an empty disk on the very first start, and the record that its disk holds from then on.
     pub(crate) fn first_start(settings: ControlSettings, now: Instant) -> (ControlProcess, Record) {
         let id = if settings.bootstrap.contains(&settings.address) {
-            genesis_id(&settings.address)
+            NodeId::genesis(&settings.address)
         } else {
-            settings.incarnation
+            NodeId(settings.incarnation)
         };
         let genesis = settings.genesis();
         let record = Record {
-            id: Some(id),
+            id: Some(id.0),
             decided: Some(genesis.clone()),
             ..Record::default()
         };
--- a/crates/linenthread-node/src/control/mod.rs
+++ b/crates/linenthread-node/src/control/mod.rs
@@ -16,7 +16,7 @@
 use std::time::Duration;
 
 use linenthread_config::Settings;
-use linenthread_consensus::{DurableState, genesis_id};
+use linenthread_consensus::{DurableState, NodeId};
 use linenthread_control::{ControlNode, NodeConfig};
 use linenthread_dataplane::clock;
 use linenthread_messages::{Record, Value, Voter};
@@ -143,9 +143,9 @@
     let is_first = is_empty && settings.initial_boot && bootstrap.contains(&control_address);
     let id = durable_state.id.unwrap_or_else(|| {
         if is_first {
-            genesis_id(&control_address)
+            NodeId::genesis(&control_address)
         } else {
-            incarnation
+            NodeId(incarnation)
         }
     });
     let genesis = settings.initial_boot.then(|| genesis_value(&bootstrap));
@@ -162,11 +162,11 @@
         retry_allowance: settings.retry_allowance,
         retry_window: settings.retry_window,
     };
-    log::info!(disk = id, empty = is_empty, first = is_first; "event=control_started");
+    log::info!(disk = id.0, empty = is_empty, first = is_first; "event=control_started");
     let control = ControlNode::new(config, id, durable_state, genesis.clone(), clock::now());
     if is_empty {
         let identity = Record {
-            id: Some(id),
+            id: Some(id.0),
             decided: genesis,
             ..Record::default()
         };
@@ -180,7 +180,7 @@
     let voters = bootstrap
         .iter()
         .map(|address| Voter {
-            id: genesis_id(address),
+            id: NodeId::genesis(address).0,
             address: address.clone(),
         })
         .collect();
