--- a/crates/linenthread-demo/src/main.rs
+++ b/crates/linenthread-demo/src/main.rs
@@ -19,9 +19,17 @@
     Some(own.with_file_name("linenthread-node"))
 }
 
+fn print_help(help: &xflags::Error) -> ExitCode {
+    match output::print_line(format_args!("{help}")) {
+        Ok(()) => ExitCode::SUCCESS,
+        Err(_) => ExitCode::FAILURE,
+    }
+}
+
 fn main() -> ExitCode {
     let flags = match flags::LinenthreadDemo::from_env() {
         Ok(flags) => flags,
+        Err(error) if error.is_help() => return print_help(&error),
         Err(error) => error.exit(),
     };
     let Some(program) = flags.program.or_else(default_program) else {
--- a/crates/linenthread-hollow/src/main.rs
+++ b/crates/linenthread-hollow/src/main.rs
@@ -157,6 +157,7 @@
 fn main() -> ExitCode {
     let flags = match flags::LinenthreadHollow::from_env() {
         Ok(flags) => flags,
+        Err(error) if error.is_help() => return exit_code(print(&format!("{error}\n"))),
         Err(error) => error.exit(),
     };
     let result = match &flags.subcommand {
@@ -164,6 +165,11 @@
         flags::LinenthreadHollowCmd::Fit(flags) => fit(flags),
         flags::LinenthreadHollowCmd::Kill(flags) => kill(flags),
     };
+    exit_code(result)
+}
+
+/// Reports an error, if there is one.
+fn exit_code(result: Result<(), CommandError>) -> ExitCode {
     match result {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
