--- a/crates/linenthread-service/src/first_try.rs
+++ b/crates/linenthread-service/src/demo.rs
@@ -13,7 +13,7 @@
 use serde_json::{Value, json};
 
 use crate::config::Config;
-use crate::own::Own;
+use crate::installation::Own;
 use crate::{log, serve};
 
 const CELLS: usize = 4;
--- a/crates/linenthread-service/src/desk.rs
+++ b/crates/linenthread-service/src/desk.rs
@@ -21,7 +21,7 @@
 use crate::carriers::{Carriers, Place};
 use crate::clock::Clock;
 use crate::config::Config;
-use crate::near::Near;
+use crate::zone_routing::Near;
 
 /// What was decided for one lookup.
 #[derive(Debug)]
--- /dev/null
+++ b/crates/linenthread-service/src/fleet/member.rs
@@ -0,0 +1,285 @@
+//! The event loop of a member: it feeds the fleet's state machine and carries out the actions that it returns.
+
+use std::cell::{Cell, RefCell};
+use std::collections::BTreeMap;
+use std::net::{TcpListener as StdTcpListener, UdpSocket as StdUdpSocket};
+use std::rc::Rc;
+use std::time::{SystemTime, UNIX_EPOCH};
+
+use linenthread_core::interface::TenthMillis;
+use linenthread_fleet::{Fleet, FleetAction, FleetConfig, NodeIdentity};
+use linenthread_store::Directory;
+use linenthread_zones::{FailoverController, Report, Topology};
+use snafu::{OptionExt, ResultExt};
+use tokio::net::{TcpListener, UdpSocket};
+use tokio::signal::unix::{SignalKind, signal};
+use tokio::sync::{Notify, mpsc};
+use tokio::task::spawn_local;
+use tokio::time::{sleep, sleep_until};
+use tracing::{info, warn};
+
+use super::connection::Connection;
+use super::error::{
+    LogSnafu, NotConfiguredSnafu, NotVoterSnafu, OpenSnafu, SocketSnafu, VoterDirectoryError,
+    VoterDirectorySnafu,
+};
+use super::{FromFleet, LEAVE_GRACE, MemberConfig, StartError, ToFleet};
+use crate::clock::Clock;
+use crate::duration::tenth_millis;
+use crate::log::Sparing;
+
+/// SIGXFSZ, which a write beyond the file size limit raises.
+const FILE_SIZE_SIGNAL: i32 = 25;
+/// Time between two reports of a member's observations to the leader.
+pub(super) const REPORT_INTERVAL: TenthMillis = 5_000;
+/// Shortest sleep of the event loop.
+const MIN_SLEEP: TenthMillis = 10;
+/// Time between two attempts to open the directory of a voter whose disk has failed.
+const VOTER_RETRY_INTERVAL: TenthMillis = 100_000;
+
+/// State of a member, which the tasks of its thread share.
+pub(super) struct Inner {
+    pub(super) config: MemberConfig,
+    pub(super) clock: Clock,
+    pub(super) fleet: RefCell<Fleet<Directory>>,
+    pub(super) udp: UdpSocket,
+    pub(super) connections: RefCell<BTreeMap<u64, Rc<Connection>>>,
+    pub(super) from_fleet: mpsc::UnboundedSender<FromFleet>,
+    woken: Notify,
+    pub(super) log_limit: Sparing,
+    pub(super) connection_log_limit: Sparing,
+    pub(super) observation_log_limit: Sparing,
+    /// Observations that no decision and no report has used yet.
+    pub(super) observations: RefCell<Report>,
+    pub(super) topology: RefCell<Option<Topology>>,
+    /// Set while this member leads and there are zones.
+    pub(super) failover: RefCell<Option<FailoverController>>,
+    /// Encoded orders that wait for this member, the leader, to carry them out.
+    pub(super) pending_orders: RefCell<Vec<Vec<u8>>>,
+    pub(super) reported_at: Cell<TenthMillis>,
+    pub(super) proposed_at: Cell<TenthMillis>,
+    voter_tried_at: Cell<TenthMillis>,
+}
+
+/// A member of the fleet; clones share one state.
+#[derive(Clone)]
+pub(super) struct Member(pub(super) Rc<Inner>);
+
+/// Milliseconds since the Unix epoch.
+pub(super) fn unix_ms() -> u64 {
+    SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .unwrap_or_default()
+        .as_millis() as u64
+}
+
+/// Opens a voter's directory; `None` for a member that is no voter.
+fn open_voter_directory(config: &MemberConfig) -> Result<Option<Directory>, VoterDirectoryError> {
+    let name = &config.name;
+    if !config.fleet.voters.iter().any(|voter| voter.name == *name) {
+        return Ok(None);
+    }
+    let path = config.fleet.folder.as_ref();
+    let path = path.context(NotConfiguredSnafu { name })?;
+    Directory::open(path).context(OpenSnafu).map(Some)
+}
+
+fn fleet_config(config: &MemberConfig) -> FleetConfig {
+    let fleet = config.fleet.clone();
+    let local = NodeIdentity {
+        machine: fleet.machine,
+        zone: fleet.zone,
+        region: fleet.region,
+        version: 1,
+        weight: 1_000,
+        incarnation: unix_ms(),
+        ..NodeIdentity::unknown(&config.name, fleet.address)
+    };
+    let voters = fleet.voters.into_iter();
+    FleetConfig {
+        local,
+        voters: voters.map(|voter| (voter.name, voter.address)).collect(),
+        expected_members: fleet.expected_members,
+        probe_interval: tenth_millis(fleet.probe_interval),
+    }
+}
+
+impl Member {
+    /// Opens the voter's log, if there is one, and starts to accept connections and datagrams.
+    ///
+    /// # Errors
+    ///
+    /// The voter's directory must not be used, or the sockets cannot be registered with the runtime.
+    pub(super) fn new(
+        config: MemberConfig,
+        clock: Clock,
+        from_fleet: mpsc::UnboundedSender<FromFleet>,
+        tcp: StdTcpListener,
+        udp: StdUdpSocket,
+    ) -> Result<Member, StartError> {
+        let mut actions = Vec::new();
+        let fleet_config = fleet_config(&config);
+        let now = clock.now();
+        let directory = open_voter_directory(&config).context(VoterDirectorySnafu)?;
+        let fleet = Fleet::new(
+            fleet_config,
+            directory,
+            config.secrets.clone(),
+            config.seed,
+            now,
+            &mut actions,
+        )
+        .context(LogSnafu)?;
+        let udp = UdpSocket::from_std(udp).context(SocketSnafu)?;
+        let tcp = TcpListener::from_std(tcp).context(SocketSnafu)?;
+        let member = Member(Rc::new(Inner {
+            config,
+            clock,
+            fleet: RefCell::new(fleet),
+            udp,
+            connections: RefCell::default(),
+            from_fleet,
+            woken: Notify::new(),
+            log_limit: Sparing::default(),
+            connection_log_limit: Sparing::default(),
+            observation_log_limit: Sparing::default(),
+            observations: RefCell::default(),
+            topology: RefCell::default(),
+            failover: RefCell::default(),
+            pending_orders: RefCell::default(),
+            reported_at: Cell::new(now),
+            proposed_at: Cell::new(now),
+            voter_tried_at: Cell::new(now),
+        }));
+        member.execute(actions);
+        // With a handler, a write beyond the limit fails with an error in place of the end of the process.
+        if let Ok(mut file_size) = signal(SignalKind::from_raw(FILE_SIZE_SIGNAL)) {
+            spawn_local(async move { while file_size.recv().await.is_some() {} });
+        }
+        spawn_local(member.clone().accept(tcp));
+        spawn_local(member.clone().receive_datagrams());
+        Ok(member)
+    }
+
+    /// Runs until the member is to leave.
+    pub(super) async fn run(self, mut received: mpsc::UnboundedReceiver<ToFleet>) {
+        info!(voter = self.0.fleet.borrow().stage().is_some(), "fleet");
+        loop {
+            tokio::select! {
+                () = sleep_until(self.0.clock.at(self.wake_at())) => {}
+                () = self.0.woken.notified() => {}
+                message = received.recv() => match message {
+                    Some(ToFleet::Observed(report, topology)) => {
+                        self.0.observations.borrow_mut().add(&report);
+                        self.0.topology.replace(Some(topology));
+                    }
+                    Some(ToFleet::Leave) | None => {
+                        self.step(Fleet::leave);
+                        sleep(LEAVE_GRACE).await;
+                        return;
+                    }
+                },
+            }
+            let is_due = self.0.fleet.borrow().wake_at() <= self.0.clock.now();
+            if is_due {
+                self.step_without_wake(Fleet::wake);
+            }
+            self.reopen_voter();
+            self.decide_on_zones();
+        }
+    }
+
+    fn wake_at(&self) -> TenthMillis {
+        let now = self.0.clock.now();
+        let wake_at = self.0.fleet.borrow().wake_at();
+        wake_at.min(now + REPORT_INTERVAL).max(now + MIN_SLEEP)
+    }
+
+    /// Gives the state machine an input, carries out its actions and wakes the event loop.
+    pub(super) fn step(
+        &self,
+        input: impl FnOnce(&mut Fleet<Directory>, TenthMillis, &mut Vec<FleetAction>),
+    ) {
+        self.step_without_wake(input);
+        self.0.woken.notify_one();
+    }
+
+    /// As [`Member::step`], for the event loop itself, which looks at its timers next in any case.
+    fn step_without_wake(
+        &self,
+        input: impl FnOnce(&mut Fleet<Directory>, TenthMillis, &mut Vec<FleetAction>),
+    ) {
+        let mut actions = Vec::new();
+        let now = self.0.clock.now();
+        input(&mut self.0.fleet.borrow_mut(), now, &mut actions);
+        self.execute(actions);
+    }
+
+    /// Carries out actions of the state machine, in their order.
+    pub(super) fn execute(&self, actions: Vec<FleetAction>) {
+        for action in actions {
+            self.execute_one(action);
+        }
+    }
+
+    fn execute_one(&self, action: FleetAction) {
+        match action {
+            FleetAction::Dial {
+                connection,
+                address,
+            } => {
+                spawn_local(self.clone().dial(connection, address));
+            }
+            FleetAction::Write { connection, bytes } => {
+                if let Some(connection) = self.0.connections.borrow().get(&connection) {
+                    connection.write(bytes);
+                }
+            }
+            FleetAction::Close { connection, reason } => {
+                if let Some(connection) = self.0.connections.borrow().get(&connection) {
+                    connection.close(reason);
+                }
+            }
+            // A datagram that cannot be sent is as good as one that is lost on its way.
+            FleetAction::Datagram { to, bytes } => drop(self.0.udp.try_send_to(&bytes, to)),
+            FleetAction::Committed(value) => self.on_committed(value),
+            FleetAction::MemberUp(who) => {
+                info!(member = who.name, zone = who.zone, "a member is there");
+            }
+            FleetAction::MemberDown(who) => {
+                warn!(member = who.name, zone = who.zone, "a member is gone");
+            }
+            FleetAction::Report { from, bytes } => self.on_report(&from, bytes),
+            FleetAction::LogConnection(line) => {
+                if let Some(left_out) = self.0.connection_log_limit.line() {
+                    info!(left_out, "fleet: {line}");
+                }
+            }
+            FleetAction::Log(line) => {
+                if let Some(left_out) = self.0.log_limit.line() {
+                    info!(left_out, "fleet: {line}");
+                }
+            }
+        }
+    }
+
+    /// Takes part as a voter again once a disk that failed works.
+    fn reopen_voter(&self) {
+        let now = self.0.clock.now();
+        let retry_at = self.0.voter_tried_at.get() + VOTER_RETRY_INTERVAL;
+        if !self.0.fleet.borrow().is_stopped() || now < retry_at {
+            return;
+        }
+        self.0.voter_tried_at.set(now);
+        let directory = open_voter_directory(&self.0.config)
+            .and_then(|directory| directory.context(NotVoterSnafu));
+        match directory {
+            Ok(directory) => self.step(|fleet, now, actions| {
+                if let Err(error) = fleet.open_voter(directory, now, actions) {
+                    warn!("this voter's folder cannot be used: {error}");
+                }
+            }),
+            Err(error) => warn!("this voter's folder cannot be used: {error}"),
+        }
+    }
+}
--- /dev/null
+++ b/crates/linenthread-service/src/fleet/mod.rs
@@ -0,0 +1,141 @@
+//! This process as a member of the fleet: gossip, the voter's log and decisions on zones.
+//!
+//! The state machines of `linenthread-fleet` and `linenthread-zones` decide; this module gives them sockets, files
+//! and clocks. It runs on a thread of its own, so that a voter that waits for its disk delays no query. [`start`] is
+//! the entry point; the rest of the process talks to the thread by [`ToFleet`] and [`FromFleet`].
+
+mod connection;
+mod error;
+mod member;
+mod orders;
+mod zone_decisions;
+
+use std::io;
+use std::net::{TcpListener, UdpSocket};
+use std::sync::mpsc as blocking;
+use std::time::Duration;
+
+use linenthread_frames::Secrets;
+use linenthread_installation as file;
+use linenthread_zones::{Report, RoutingTable, Topology, Zone};
+use snafu::ResultExt;
+use tokio::sync::mpsc;
+use tokio::task::LocalSet;
+
+use crate::clock::Clock;
+
+pub(crate) use error::StartError;
+use error::{ListenSnafu, RuntimeSnafu, SpawnSnafu};
+use member::Member;
+pub(crate) use orders::{Orders, encode_order};
+
+/// Topic of the fleet's log under which the routing table stands.
+pub(crate) const TABLE_TOPIC: &str = "zones.table";
+/// Topic of the fleet's log under which the operators' orders stand.
+pub(crate) const ORDERS_TOPIC: &str = "zones.orders";
+
+/// Time for the farewell to the other members to leave the sockets.
+const LEAVE_GRACE: Duration = Duration::from_millis(150);
+
+/// A message to the fleet's thread.
+pub(crate) enum ToFleet {
+    /// Observations since the previous message, and the replicas of each zone now.
+    Observed(Report, Topology),
+    /// Leave the fleet and end the thread.
+    Leave,
+}
+
+/// A message from the fleet's thread.
+pub(crate) enum FromFleet {
+    /// A routing table was committed under this number.
+    Table { number: u64, table: RoutingTable },
+}
+
+/// What a process needs to join the fleet.
+#[derive(Clone)]
+pub(crate) struct MemberConfig {
+    /// The member's name, unique in the fleet.
+    pub name: String,
+    pub fleet: file::Fleet,
+    /// Without zones the member decides nothing on them.
+    pub zones: Option<file::Zones>,
+    pub secrets: Secrets,
+    /// Seed of the random numbers of gossip and elections.
+    pub seed: u64,
+}
+
+/// Owner's end of the fleet's thread.
+pub(crate) struct FleetHandle {
+    pub sender: mpsc::UnboundedSender<ToFleet>,
+    ended: blocking::Receiver<()>,
+}
+
+impl FleetHandle {
+    /// Leaves the fleet and waits, for a few grace periods at most, until the thread has ended.
+    pub(crate) fn leave(&self) {
+        self.sender.send(ToFleet::Leave).ok();
+        self.ended.recv_timeout(LEAVE_GRACE * 4).ok();
+    }
+}
+
+/// The zones of the installation file, in its order.
+pub(crate) fn configured_zones(zones: &file::Zones) -> Vec<Zone> {
+    let zone = |zone: &file::Zone| Zone {
+        name: zone.name.clone(),
+        region: zone.region.clone(),
+        replica_capacity: zone.replica_capacity.map(f64::from),
+    };
+    zones.zones.iter().map(zone).collect()
+}
+
+/// Starts the fleet's thread and waits until the member has opened its sockets and its log.
+///
+/// # Errors
+///
+/// It cannot listen, or the voter's directory must not be used.
+pub(crate) fn start(
+    config: MemberConfig,
+    clock: Clock,
+    from_fleet: mpsc::UnboundedSender<FromFleet>,
+) -> Result<FleetHandle, StartError> {
+    let address = config.fleet.listen;
+    let (tcp, udp) = bind(&config).context(ListenSnafu { address })?;
+    let (sender, received) = mpsc::unbounded_channel();
+    let (ended_sender, ended) = blocking::channel();
+    let (started_sender, started) = blocking::channel();
+    let run = move || {
+        let runtime = tokio::runtime::Builder::new_current_thread()
+            .enable_all()
+            .build()
+            .context(RuntimeSnafu);
+        let runtime = match runtime {
+            Ok(runtime) => runtime,
+            Err(error) => return drop(started_sender.send(Err(error))),
+        };
+        LocalSet::new().block_on(&runtime, async move {
+            match Member::new(config, clock, from_fleet, tcp, udp) {
+                Ok(member) => {
+                    started_sender.send(Ok(())).ok();
+                    member.run(received).await;
+                }
+                Err(error) => drop(started_sender.send(Err(error))),
+            }
+        });
+        ended_sender.send(()).ok();
+    };
+    std::thread::Builder::new()
+        .name("fleet".into())
+        .spawn(run)
+        .context(SpawnSnafu)?;
+    started.recv().map_err(|_| StartError::ThreadEnded)??;
+    Ok(FleetHandle { sender, ended })
+}
+
+/// Binds both sockets of a member to its one address.
+fn bind(config: &MemberConfig) -> io::Result<(TcpListener, UdpSocket)> {
+    let tcp = TcpListener::bind(config.fleet.listen)?;
+    let udp = UdpSocket::bind(config.fleet.listen)?;
+    tcp.set_nonblocking(true)?;
+    udp.set_nonblocking(true)?;
+    Ok((tcp, udp))
+}
--- /dev/null
+++ b/crates/linenthread-service/src/fleet/zone_decisions.rs
@@ -0,0 +1,228 @@
+//! Decisions on zones: members report observations and orders to the leader, which proposes routing tables.
+
+use linenthread_core::interface::TenthMillis;
+use linenthread_fleet::CommittedValue;
+use linenthread_installation as file;
+use linenthread_zones::{
+    FailoverConfig, FailoverController, Report, RouteStats, RoutingTable, Topology,
+};
+use tracing::{info, warn};
+
+use super::member::{Member, REPORT_INTERVAL, unix_ms};
+use super::orders::{OBSERVATIONS, ORDER, Order, Orders};
+use super::{FromFleet, ORDERS_TOPIC, TABLE_TOPIC};
+use crate::duration::tenth_millis;
+
+/// Orders that may wait for the leader's next decision; more are dropped, and their senders repeat them.
+const MAX_PENDING_ORDERS: usize = 64;
+/// Milliseconds until a new table becomes valid, so that all members have received it by then.
+const TABLE_LEAD_MS: u64 = 300;
+
+fn failover_config(zones: &file::Zones) -> FailoverConfig {
+    FailoverConfig {
+        capacity_margin: f64::from(zones.max_utilization) / 1_000.0,
+        hold: tenth_millis(zones.min_evacuation),
+        max_hold: tenth_millis(zones.max_evacuation),
+        return_step: tenth_millis(zones.return_step),
+    }
+}
+
+/// Carries out one operator's order, or notes why it is refused.
+fn apply_order(topology: &Topology, orders: &mut Orders, order: Order) {
+    orders.last = order.number;
+    orders.refused.clear();
+    let zone = order.zone;
+    if order.drain {
+        match topology.may_drain(&zone, &orders.drained) {
+            Ok(()) => drop(orders.drained.insert(zone)),
+            Err(error) => orders.refused = error.to_string(),
+        }
+    } else if !orders.drained.remove(&zone) {
+        orders.refused = format!("zone {zone} is not drained");
+    }
+}
+
+impl Member {
+    pub(super) fn on_committed(&self, committed: CommittedValue) {
+        let CommittedValue {
+            topic,
+            number,
+            value,
+        } = committed;
+        match topic.as_str() {
+            TABLE_TOPIC => match RoutingTable::decode(&value) {
+                Ok(table) => drop(self.0.from_fleet.send(FromFleet::Table { number, table })),
+                Err(error) => warn!("a table that cannot be read was agreed on: {error}"),
+            },
+            ORDERS_TOPIC => {
+                if let Ok(orders) = Orders::decode(&value) {
+                    info!(number, drained = ?orders.drained, refused = orders.refused, "orders on zones");
+                }
+            }
+            _ => {}
+        }
+    }
+
+    /// Takes in a member's observations or an operator's order; a follower forwards an order to the leader.
+    pub(super) fn on_report(&self, from: &str, bytes: Vec<u8>) {
+        match bytes.first() {
+            Some(&OBSERVATIONS) => match Report::decode(&bytes[1..]) {
+                Ok(report) => self.0.observations.borrow_mut().add(&report),
+                Err(error) => {
+                    if let Some(left_out) = self.0.log_limit.line() {
+                        warn!(from, left_out, "a report is not taken: {error}");
+                    }
+                }
+            },
+            Some(&ORDER) => {
+                let now = self.0.clock.now();
+                if self.0.fleet.borrow().is_leader(now) {
+                    let mut pending = self.0.pending_orders.borrow_mut();
+                    if pending.len() < MAX_PENDING_ORDERS {
+                        pending.push(bytes);
+                    }
+                } else if from != self.0.config.name {
+                    self.step(|fleet, _, actions| fleet.report(bytes, actions));
+                }
+            }
+            _ => {}
+        }
+    }
+
+    /// Reports this member's observations to the leader; as the leader, decides when it is time to.
+    pub(super) fn decide_on_zones(&self) {
+        let now = self.0.clock.now();
+        let Some(zones) = &self.0.config.zones else {
+            return;
+        };
+        let is_leader = self.0.fleet.borrow().is_leader(now);
+        if !is_leader {
+            self.0.failover.take();
+            self.0.pending_orders.borrow_mut().clear();
+            self.report_observations(now);
+            return;
+        }
+        if !self.decision_is_due(now) {
+            return;
+        }
+        let Some(topology) = self.0.topology.borrow().clone() else {
+            return;
+        };
+        self.carry_out_orders(&topology);
+        self.propose_table(zones, &topology, now);
+    }
+
+    fn report_observations(&self, now: TenthMillis) {
+        if now < self.0.reported_at.get() + REPORT_INTERVAL {
+            return;
+        }
+        self.0.reported_at.set(now);
+        let observations = self.0.observations.take();
+        if !observations.is_empty() {
+            let bytes = [vec![OBSERVATIONS], observations.encode()].concat();
+            self.step(|fleet, _, actions| fleet.report(bytes, actions));
+        }
+    }
+
+    /// An order is decided on at once, all else at the controller's intervals.
+    fn decision_is_due(&self, now: TenthMillis) -> bool {
+        let failover = self.0.failover.borrow();
+        let is_early = failover
+            .as_ref()
+            .is_some_and(|failover| now < failover.wake_at());
+        !is_early || !self.0.pending_orders.borrow().is_empty()
+    }
+
+    /// The committed orders and their number in the log.
+    fn committed_orders(&self) -> (u64, Orders) {
+        let fleet = self.0.fleet.borrow();
+        let committed = fleet.table().value(ORDERS_TOPIC);
+        committed.map_or((0, Orders::default()), |(number, value)| {
+            (number, Orders::decode(value).unwrap_or_default())
+        })
+    }
+
+    /// The committed routing table, if it can be read, and its number in the log.
+    fn committed_table(&self) -> (u64, Option<RoutingTable>) {
+        let fleet = self.0.fleet.borrow();
+        let committed = fleet.table().value(TABLE_TOPIC);
+        committed.map_or((0, None), |(number, value)| {
+            (number, RoutingTable::decode(value).ok())
+        })
+    }
+
+    /// Carries out the latest of the pending orders; an operator whose order is dropped sends it again.
+    fn carry_out_orders(&self, topology: &Topology) {
+        let (number, mut orders) = self.committed_orders();
+        let pending = self.0.pending_orders.take();
+        let Some(latest) = pending.last() else {
+            return;
+        };
+        if let Ok(order) = Order::decode(&latest[1..]) {
+            apply_order(topology, &mut orders, order);
+        }
+        let value = orders.encode();
+        self.step(|fleet, now, actions| {
+            let proposed = fleet.propose(now, ORDERS_TOPIC, number, value, actions);
+            proposed.ok();
+        });
+    }
+
+    fn propose_table(&self, zones: &file::Zones, topology: &Topology, now: TenthMillis) {
+        let (number, committed) = self.committed_table();
+        let Some(table) = self.decide_table(zones, topology, committed.as_ref(), now) else {
+            return;
+        };
+        self.0.proposed_at.set(now);
+        let is_new = committed
+            .as_ref()
+            .is_none_or(|committed| table.routes_differently(committed));
+        if is_new {
+            info!(number = number + 1, rows = ?table.rows, "proposes a table");
+        }
+        let value = table.encode();
+        self.step(|fleet, now, actions| {
+            if let Err(error) = fleet.propose(now, TABLE_TOPIC, number, value, actions) {
+                warn!("a table was not proposed: {error}");
+            }
+        });
+    }
+
+    /// The table to propose now, if any.
+    fn decide_table(
+        &self,
+        zones: &file::Zones,
+        topology: &Topology,
+        committed: Option<&RoutingTable>,
+        now: TenthMillis,
+    ) -> Option<RoutingTable> {
+        let mut failover = self.0.failover.borrow_mut();
+        let failover = failover.get_or_insert_with(|| {
+            let known_zones = topology.zones.clone();
+            FailoverController::new(failover_config(zones), known_zones, committed, now)
+        });
+        let observations = self.0.observations.take();
+        self.log_faults(&observations);
+        failover.add_report(&observations);
+        failover.set_drained(&self.committed_orders().1.drained, now);
+        let valid_from_ms = unix_ms() + TABLE_LEAD_MS;
+        let table = failover.decide(now, valid_from_ms, topology);
+        // An unchanged table is proposed again well before the members let it expire.
+        let renew_at = self.0.proposed_at.get() + tenth_millis(zones.table_lifetime) / 3;
+        if table.is_none() && now >= renew_at {
+            return Some(failover.table(valid_from_ms));
+        }
+        table
+    }
+
+    /// Logs the routes on which sub-requests failed or were slow.
+    fn log_faults(&self, observations: &Report) {
+        let has_faults = |(_, stats): &(&(u8, u8), &RouteStats)| stats.down + stats.slow > 0;
+        let against: Vec<_> = observations.routes.iter().filter(has_faults).collect();
+        if !against.is_empty()
+            && let Some(left_out) = self.0.observation_log_limit.line()
+        {
+            info!(?against, observers = ?observations.demand, left_out, "seen against zones");
+        }
+    }
+}
--- a/crates/linenthread-service/src/main.rs
+++ b/crates/linenthread-service/src/main.rs
@@ -3,19 +3,20 @@
 mod carriers;
 mod clock;
 mod config;
+mod demo;
 mod desk;
-mod first_try;
+mod duration;
 mod fleet;
 mod fronts;
 mod gather;
+mod installation;
 mod log;
 mod lookup;
 mod migrate;
-mod near;
-mod operator;
-mod own;
 mod roster;
 mod serve;
+mod zone_routing;
+mod zones_command;
 
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -23,7 +24,7 @@
 use bpaf::{Parser, construct, long, positional, pure};
 
 use config::Config;
-use own::Own;
+use installation::Own;
 
 #[derive(Clone)]
 enum Command {
@@ -43,7 +44,7 @@
     },
     Zones {
         installation: PathBuf,
-        wish: operator::Wish,
+        wish: zones_command::Wish,
     },
     Version,
 }
@@ -135,15 +136,15 @@
         .help("See it work on this machine, with nothing else set up");
     let zone =
         || positional::<String>("ZONE").help("The zone's name, as the operators' file has it");
-    let show = pure(operator::Wish::Show)
+    let show = pure(zones_command::Wish::Show)
         .to_options()
         .descr("Prints the table that all act on")
         .command("show");
-    let drain = zone().map(operator::Wish::Drain).to_options();
+    let drain = zone().map(zones_command::Wish::Drain).to_options();
     let drain = drain
         .descr("Has all co-ordinators leave a zone")
         .command("drain");
-    let back = zone().map(operator::Wish::Return).to_options();
+    let back = zone().map(zones_command::Wish::Return).to_options();
     let back = back
         .descr("Has a zone taken back, step by step")
         .command("return");
@@ -204,7 +205,7 @@
             print!("{}", linenthread_installation::SCHEMA);
             ExitCode::SUCCESS
         }
-        Command::Zones { installation, wish } => match operator::run(&installation, &wish) {
+        Command::Zones { installation, wish } => match zones_command::run(&installation, &wish) {
             Ok(said) => {
                 println!("{said}");
                 ExitCode::SUCCESS
@@ -223,13 +224,13 @@
             seed,
             zones: Some(_),
             ..
-        } => first_try::run_zones(seed),
+        } => demo::run_zones(seed),
         Command::Try {
             show,
             seed,
             sites,
             zones: None,
-        } => first_try::run(seed, show, sites == 2),
+        } => demo::run(seed, show, sites == 2),
         Command::Check(file, own) => with_files(Some(file), own.as_deref(), |config, _, read| {
             let (indexes, replicas) = (
                 config.deployment.indexes.len(),
--- a/crates/linenthread-service/src/serve.rs
+++ b/crates/linenthread-service/src/serve.rs
@@ -6,7 +6,6 @@
 use std::rc::Rc;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-use linenthread_core::interface::TenthMillis;
 use linenthread_link::{ClientConfig, LinkServer, Secrets, ServerConfig};
 use tokio::signal::unix::{SignalKind, signal};
 use tokio::sync::{mpsc, watch};
@@ -18,14 +17,15 @@
 use crate::clock;
 use crate::config::Config;
 use crate::desk::Desk;
-use crate::fleet::{self, FromFleet, Place, ToFleet};
+use crate::duration::tenth_millis;
+use crate::fleet::{self, FleetHandle, FromFleet, MemberConfig, ToFleet};
 use crate::fronts::http::{self, Front};
 use crate::fronts::link::{self, Gateway};
 use crate::gather::Gathering;
+use crate::installation::Own;
 use crate::lookup::Work;
-use crate::near::Near;
-use crate::own::Own;
 use crate::roster;
+use crate::zone_routing::Near;
 
 /// Descriptors that are neither a client's nor a replica's: standard streams, the listener, the roster's,
 /// the runtime's own.
@@ -39,10 +39,6 @@
 /// What the desk sees of zones is passed on this often.
 const SEEN: Duration = Duration::from_millis(500);
 
-fn tenths(duration: Duration) -> TenthMillis {
-    TenthMillis::try_from(duration.as_millis()).unwrap_or(TenthMillis::MAX / 10) * 10
-}
-
 /// Serves until told to stop, then answers all it has taken. Told to, it reads its files again. `ready` is
 /// told the address that is listened on.
 pub(crate) async fn serve(
@@ -96,9 +92,9 @@
         let ((fleet, _), zones) = (fleet.as_ref()?, zones.as_ref()?);
         let shards = (config.deployment.layout.clone(), surroundings.shard_count);
         Some(Near::new(
-            fleet::zones_of(zones),
+            fleet::configured_zones(zones),
             &fleet.zone,
-            tenths(zones.table_lifetime),
+            tenth_millis(zones.table_lifetime),
             sites,
             shards,
         ))
@@ -130,11 +126,11 @@
             name: config.name.clone(),
             max_in_flight: peer.max_in_flight,
             max_queued_bytes: MOST_WAITING,
-            session_timeout: tenths(peer.session_timeout),
-            ping_interval: tenths(peer.ping_interval),
-            grace_period: tenths(peer.grace_period),
-            min_backoff: tenths(Duration::from_millis(50)),
-            max_backoff: tenths(Duration::from_millis(500)),
+            session_timeout: tenth_millis(peer.session_timeout),
+            ping_interval: tenth_millis(peer.ping_interval),
+            grace_period: tenth_millis(peer.grace_period),
+            min_backoff: tenth_millis(Duration::from_millis(50)),
+            max_backoff: tenth_millis(Duration::from_millis(500)),
         };
         let seed = config.seed.wrapping_add(1 + n as u64);
         let terms = far::Terms {
@@ -161,10 +157,10 @@
             name: config.name.clone(),
             window_calls: gateway.window_calls,
             window_bytes: gateway.window_bytes,
-            session_timeout: tenths(gateway.session_timeout),
+            session_timeout: tenth_millis(gateway.session_timeout),
             max_sessions: gateway.max_sessions,
-            handshake_timeout: tenths(Duration::from_millis(2_000)),
-            idle_timeout: tenths(Duration::from_millis(10_000)),
+            handshake_timeout: tenth_millis(Duration::from_millis(2_000)),
+            idle_timeout: tenth_millis(Duration::from_millis(10_000)),
         };
         let far = LinkServer::new(terms, secrets, config.seed);
         let gateway = Gateway::new(
@@ -224,7 +220,7 @@
         } => {}
     }
     if let Some((fleet, _)) = &fleet {
-        fleet.to.send(ToFleet::Leave).ok();
+        fleet.sender.send(ToFleet::Leave).ok();
     }
     if let Some(gateway) = for_leaving {
         gateway.leave(LINKS_DRAIN).await;
@@ -244,26 +240,26 @@
     fleet: linenthread_installation::Fleet,
     zones: Option<linenthread_installation::Zones>,
     secrets: Secrets,
-) -> Result<(fleet::Handle, usize), String> {
+) -> Result<(FleetHandle, usize), String> {
     let descriptors = 4 + fleet.voters.len() * 2 + fleet.expected_members as usize;
     let (from, mut told) = mpsc::unbounded_channel();
     let seed = config.seed.rotate_left(17);
-    let place = Place {
+    let member = MemberConfig {
         name: config.name.clone(),
         fleet,
         zones,
         secrets,
         seed,
     };
-    let handle = fleet::start(place, desk.clock(), from)?;
-    let (desk, to) = (desk.clone(), handle.to.clone());
+    let handle = fleet::start(member, desk.clock(), from).map_err(|error| error.to_string())?;
+    let (desk, to) = (desk.clone(), handle.sender.clone());
     actix_rt::spawn(async move {
         let mut tell = interval(SEEN);
         loop {
             tokio::select! {
                 _ = tell.tick() => {
                     if let Some((report, ground)) = desk.seen()
-                        && to.send(ToFleet::Seen(report, ground)).is_err()
+                        && to.send(ToFleet::Observed(report, ground)).is_err()
                     {
                         warn!("the fleet's thread has ended: decides alone");
                         return;
--- a/crates/linenthread-service/src/operator.rs
+++ b/crates/linenthread-service/src/zones_command.rs
@@ -13,8 +13,8 @@
 use linenthread_store::Directory;
 use linenthread_zones::RoutingTable;
 
-use crate::fleet::{ORDERS, Orders, TABLE, order};
-use crate::own;
+use crate::fleet::{ORDERS_TOPIC, Orders, TABLE_TOPIC, encode_order};
+use crate::installation;
 
 /// So long it waits for an answer, and so long for more values after the first ones.
 const PATIENCE: Duration = Duration::from_secs(10);
@@ -109,14 +109,14 @@
     fn orders(&self) -> Orders {
         self.fleet
             .table()
-            .value(ORDERS)
+            .value(ORDERS_TOPIC)
             .and_then(|(_, v)| Orders::decode(v).ok())
             .unwrap_or_default()
     }
 }
 
 fn show(line: &Line) -> String {
-    let Some((number, value)) = line.fleet.table().value(TABLE) else {
+    let Some((number, value)) = line.fleet.table().value(TABLE_TOPIC) else {
         return "no table was agreed on yet: all ways are open, the nearest first".into();
     };
     let Ok(table) = RoutingTable::decode(value) else {
@@ -162,8 +162,8 @@
     let fleet = read
         .fleet
         .ok_or_else(|| format!("{}: there is no <fleet>", file.display()))?;
-    let secrets =
-        Secrets::new(own::secrets(&fleet.secret_files)?).map_err(|error| error.to_string())?;
+    let secrets = Secrets::new(installation::secrets(&fleet.secret_files)?)
+        .map_err(|error| error.to_string())?;
     let own = NodeIdentity::unknown(&format!("operator-{}", std::process::id()), fleet.address);
     let voters = fleet
         .voters
@@ -209,7 +209,8 @@
                 if heard.is_some() && asked.is_none_or(|at| at.elapsed() > Duration::from_secs(2)) {
                     asked = Some(Instant::now());
                     let mut to = Vec::new();
-                    line.fleet.report(order(number, zone, drain), &mut to);
+                    line.fleet
+                        .report(encode_order(number, zone, drain), &mut to);
                     line.obey(to);
                 }
                 let orders = line.orders();
