--- a/crates/linenthread-service/src/desk.rs
+++ b/crates/linenthread-service/src/desk.rs
@@ -21,7 +21,7 @@
 use crate::carriers::{Carriers, Place};
 use crate::clock::Clock;
 use crate::config::Config;
-use crate::zone_routing::Near;
+use crate::near::Near;
 
 /// What was decided for one lookup.
 #[derive(Debug)]
--- a/crates/linenthread-service/src/serve.rs
+++ b/crates/linenthread-service/src/serve.rs
@@ -25,7 +25,7 @@
 use crate::installation::Own;
 use crate::lookup::Work;
 use crate::roster;
-use crate::zone_routing::Near;
+use crate::zone_routing::ZoneRouting;
 
 /// Descriptors that are neither a client's nor a replica's: standard streams, the listener, the roster's,
 /// the runtime's own.
@@ -91,7 +91,7 @@
     let desk = Desk::new(&config, carriers.clone(), &names, |sites| {
         let ((fleet, _), zones) = (fleet.as_ref()?, zones.as_ref()?);
         let shards = (config.deployment.layout.clone(), surroundings.shard_count);
-        Some(Near::new(
+        Some(ZoneRouting::new(
             fleet::configured_zones(zones),
             &fleet.zone,
             tenth_millis(zones.table_lifetime),
--- a/crates/linenthread-service/src/zone_routing.rs
+++ b/crates/linenthread-service/src/zone_routing.rs
@@ -1,5 +1,5 @@
-//! What the desk keeps of zones: where replicas stand, what becomes of the parts sent there, and the table that is
-//! acted on.
+//! Zone-aware routing of one process: where replicas are placed, outcomes of the sub-requests sent to each zone, and
+//! the routing table in force.
 
 use std::collections::BTreeMap;
 
@@ -9,180 +9,220 @@
 use linenthread_protocol::hash_id;
 use linenthread_zones::{ALL_KEYS, Placement, Report, RoutingTable, Topology, Zone, ZoneObserver};
 
-/// Nearer than a site that the operators' file does not name, farther than one it does.
+/// Distance of the process's own zone.
+const SAME_ZONE: u8 = 0;
+/// Distance of another zone of the same region.
+const SAME_REGION: u8 = 1;
+/// Distance of a zone of another region.
+const OTHER_REGION: u8 = 2;
+/// Distance of a zone that the installation file does not name: farther than all that it names.
 const UNNAMED: u8 = 3;
 
-pub(crate) struct Near {
+/// A zone of the dispatcher's numbering.
+struct NamedZone {
+    name: String,
+    /// Its position among the configured zones, if the installation file names it.
+    configured: Option<usize>,
+}
+
+/// Identity of the process behind a replica number; another start time is another process.
+type ReplicaIdentity = (u64, Option<TenthMillis>);
+
+/// Routing between zones, as seen from the zone of this process.
+pub(crate) struct ZoneRouting {
     zones: Vec<Zone>,
-    /// Where this program's clients are.
-    own: usize,
-    /// By the desk's number of a site: its name, and its zone if the operators' file names one.
-    sites: Vec<(String, Option<usize>)>,
+    /// Position of this process's zone in `zones`.
+    local_zone: usize,
+    /// By the dispatcher's number of a zone.
+    named_zones: Vec<NamedZone>,
     layout: ShardLayout,
-    /// Shards of the layout.
-    shards: usize,
-    watch: ZoneObserver,
+    shard_count: usize,
+    observer: ZoneObserver,
     listed: BTreeMap<usize, MembershipEntry>,
-    known: BTreeMap<usize, (u64, Option<TenthMillis>)>,
+    identities: BTreeMap<usize, ReplicaIdentity>,
     table: Option<RoutingTable>,
-    /// Until then the table is acted on without further word of it.
-    until: TenthMillis,
-    life: TenthMillis,
+    /// The table expires then unless it is renewed.
+    expires_at: TenthMillis,
+    table_lifetime: TenthMillis,
 }
 
-impl Near {
-    /// `sites` are the desk's, in its order; `own` is the fleet's own zone.
+impl ZoneRouting {
+    /// `zone_names` are the dispatcher's zones in its order; `local_zone` is the name of the fleet member's zone.
     pub(crate) fn new(
         zones: Vec<Zone>,
-        own: &str,
-        life: TenthMillis,
-        sites: &[String],
-        (layout, shards): (ShardLayout, usize),
-    ) -> Near {
-        let zone = |name: &String| (name.clone(), zones.iter().position(|z| z.name == *name));
-        let own = zones.iter().position(|z| z.name == own).unwrap_or_default();
-        Near {
-            sites: sites.iter().map(zone).collect(),
-            watch: ZoneObserver::new(own as u8),
+        local_zone: &str,
+        table_lifetime: TenthMillis,
+        zone_names: &[String],
+        (layout, shard_count): (ShardLayout, usize),
+    ) -> ZoneRouting {
+        let position = |name: &str| zones.iter().position(|zone| zone.name == name);
+        let named_zone = |name: &String| NamedZone {
+            name: name.clone(),
+            configured: position(name),
+        };
+        let local_zone = position(local_zone).unwrap_or_default();
+        ZoneRouting {
+            named_zones: zone_names.iter().map(named_zone).collect(),
+            observer: ZoneObserver::new(local_zone as u8),
             zones,
-            own,
+            local_zone,
             layout,
-            shards,
+            shard_count,
             listed: BTreeMap::new(),
-            known: BTreeMap::new(),
+            identities: BTreeMap::new(),
             table: None,
-            until: 0,
-            life,
+            expires_at: 0,
+            table_lifetime,
         }
     }
 
-    /// The roster's news, as the module hears it.
-    pub(crate) fn hear(&mut self, news: &MembershipUpdate) {
-        let (listed, whole) = match news {
+    /// Takes in an update of the membership list, as the decision module does.
+    pub(crate) fn on_membership(&mut self, update: &MembershipUpdate) {
+        let (listed, is_complete) = match update {
             MembershipUpdate::Delta(listed) => (listed, false),
             MembershipUpdate::Snapshot(listed) | MembershipUpdate::Cached(listed) => (listed, true),
             MembershipUpdate::Unavailable => return,
         };
-        if whole {
+        if is_complete {
             self.listed.clear();
         }
         for entry in listed {
-            // Another process, or another replica under this number: what is known of it is of the one before.
-            if self
-                .known
-                .insert(entry.replica, (entry.id, entry.started_at))
-                != Some((entry.id, entry.started_at))
-            {
-                self.watch.on_replica_removed(entry.replica);
-            }
-            match entry.phase {
-                Phase::Removed => {
-                    self.watch.on_replica_removed(entry.replica);
-                    self.listed.remove(&entry.replica);
-                }
-                _ => drop(self.listed.insert(entry.replica, entry.clone())),
+            self.on_entry(entry);
+        }
+    }
+
+    fn on_entry(&mut self, entry: &MembershipEntry) {
+        let identity = (entry.id, entry.started_at);
+        // Observations of a former process or replica under this number do not hold for the new one.
+        if self.identities.insert(entry.replica, identity) != Some(identity) {
+            self.observer.on_replica_removed(entry.replica);
+        }
+        match entry.phase {
+            Phase::Removed => {
+                self.observer.on_replica_removed(entry.replica);
+                self.listed.remove(&entry.replica);
             }
+            _ => drop(self.listed.insert(entry.replica, entry.clone())),
         }
     }
 
+    /// The configured zone of a listed replica.
     fn zone(&self, replica: usize) -> Option<usize> {
-        self.sites.get(self.listed.get(&replica)?.zone)?.1
+        let listed = self.listed.get(&replica)?;
+        self.named_zones.get(listed.zone)?.configured
     }
 
-    pub(crate) fn asked(&mut self, parts: usize) {
-        self.watch.on_query(parts);
+    /// A query of so many sub-requests begins.
+    pub(crate) fn on_query(&mut self, sub_requests: usize) {
+        self.observer.on_query(sub_requests);
     }
 
-    pub(crate) fn ended(&mut self, replica: usize, ending: AttemptOutcome, took: TenthMillis) {
+    /// A sub-request to a replica ended after `elapsed`.
+    pub(crate) fn on_outcome(
+        &mut self,
+        replica: usize,
+        outcome: AttemptOutcome,
+        elapsed: TenthMillis,
+    ) {
         if let Some(zone) = self.zone(replica) {
-            self.watch.on_outcome(zone as u8, replica, ending, took);
+            self.observer
+                .on_outcome(zone as u8, replica, outcome, elapsed);
         }
     }
 
-    /// What was seen since the last time, and what there is.
+    /// The observations since the previous call, and the placement of replicas now.
     pub(crate) fn report(&mut self) -> (Report, Topology) {
-        let count = self.zones.len();
-        let mut replicas = vec![0; count];
-        // By cell, replicas that take parts, by zone.
-        let mut cells = vec![vec![0_u16; count]; self.layout.replica_groups];
-        for (&replica, listed) in self.listed.iter().filter(|(_, l)| l.phase == Phase::Ready) {
-            if let Some(zone) = self.zone(replica) {
-                replicas[zone] += 1;
-                if let Some(cell) = cells.get_mut(listed.replica_group) {
-                    cell[zone] += 1;
-                }
+        let zone_count = self.zones.len();
+        let mut replicas = vec![0; zone_count];
+        // Ready replicas by replica group, then by zone.
+        let mut by_group = vec![vec![0_u16; zone_count]; self.layout.replica_groups];
+        let ready = |entry: &&MembershipEntry| entry.phase == Phase::Ready;
+        for entry in self.listed.values().filter(ready) {
+            let Some(zone) = self.zone(entry.replica) else {
+                continue;
+            };
+            replicas[zone] += 1;
+            if let Some(group) = by_group.get_mut(entry.replica_group) {
+                group[zone] += 1;
             }
         }
-        let mut patterns: BTreeMap<Vec<u16>, f64> = BTreeMap::new();
-        for shard in 0..self.shards {
-            let mut holders = vec![0; count];
-            for cell in
-                (0..self.layout.replica_groups).filter(|&cell| self.layout.holds(cell, shard))
-            {
-                (0..count).for_each(|zone| holders[zone] += cells[cell][zone]);
+        let topology = Topology {
+            zones: self.zones.clone(),
+            replicas,
+            placements: self.placements(&by_group),
+        };
+        (self.observer.report(&topology.replicas), topology)
+    }
+
+    /// The ways in which shards are spread over zones, each with its share of all shards.
+    fn placements(&self, by_group: &[Vec<u16>]) -> Vec<Placement> {
+        let mut shares: BTreeMap<Vec<u16>, f64> = BTreeMap::new();
+        for shard in 0..self.shard_count {
+            let mut replicas = vec![0; self.zones.len()];
+            let groups = by_group.iter().enumerate();
+            for (_, group) in groups.filter(|&(group, _)| self.layout.holds(group, shard)) {
+                for (total, count) in replicas.iter_mut().zip(group) {
+                    *total += count;
+                }
             }
-            *patterns.entry(holders).or_default() += 1.0 / self.shards.max(1) as f64;
+            *shares.entry(replicas).or_default() += 1.0 / self.shard_count.max(1) as f64;
         }
-        let patterns = patterns
-            .into_iter()
-            .map(|(holders, share)| Placement {
-                replicas: holders,
-                share,
-            })
-            .collect();
-        (
-            self.watch.report(&replicas),
-            Topology {
-                zones: self.zones.clone(),
-                replicas,
-                placements: patterns,
-            },
-        )
+        let shares = shares.into_iter();
+        shares
+            .map(|(replicas, share)| Placement { replicas, share })
+            .collect()
     }
 
-    /// Acts on a table from now on. One of other zones than this program's file has is not acted on.
-    pub(crate) fn take(&mut self, table: RoutingTable, now: TenthMillis) -> bool {
-        let same = table.zones.iter().eq(self.zones.iter().map(|z| &z.name));
-        if same {
+    /// Puts a table in force; one for other zones than the configured ones is refused with `false`.
+    pub(crate) fn accept_table(&mut self, table: RoutingTable, now: TenthMillis) -> bool {
+        let configured = self.zones.iter().map(|zone| &zone.name);
+        let is_applicable = table.zones.iter().eq(configured);
+        if is_applicable {
             self.table = Some(table);
-            self.until = now + self.life;
+            self.expires_at = now + self.table_lifetime;
         }
-        same
+        is_applicable
     }
 
-    /// Whether the table has just been without word for too long: then all ways are open again, near first.
-    pub(crate) fn ends(&mut self, now: TenthMillis) -> bool {
-        now >= self.until && self.table.take().is_some()
+    /// Drops a table that was not renewed in time and says whether it did: all routes are open then, nearest first.
+    pub(crate) fn expire_table(&mut self, now: TenthMillis) -> bool {
+        now >= self.expires_at && self.table.take().is_some()
     }
 
-    /// What the module is told.
-    pub(crate) fn ways(&self) -> Vec<ZoneRoute> {
-        let way = |(name, zone): &(String, Option<usize>)| {
-            let Some(zone) = *zone else {
-                return ZoneRoute {
-                    id: hash_id(name),
-                    distance: UNNAMED,
-                    open_per_mille: ALL_KEYS,
-                };
-            };
-            let distance = match (
-                zone == self.own,
-                self.zones[zone].region == self.zones[self.own].region,
-            ) {
-                (true, _) => 0,
-                (_, true) => 1,
-                _ => 2,
+    /// The routes to the dispatcher's zones, in its order, for the decision module.
+    pub(crate) fn routes(&self) -> Vec<ZoneRoute> {
+        self.named_zones
+            .iter()
+            .map(|zone| self.route(zone))
+            .collect()
+    }
+
+    fn route(&self, named_zone: &NamedZone) -> ZoneRoute {
+        let id = hash_id(&named_zone.name);
+        let Some(zone) = named_zone.configured else {
+            return ZoneRoute {
+                id,
+                distance: UNNAMED,
+                open_per_mille: ALL_KEYS,
             };
-            let row = self.table.as_ref().and_then(|t| t.rows.get(self.own));
-            let open = row
-                .and_then(|row| row.routes.get(zone))
-                .map_or(ALL_KEYS, |route| route.share);
-            ZoneRoute {
-                id: hash_id(name),
-                distance,
-                open_per_mille: open,
-            }
         };
-        self.sites.iter().map(way).collect()
+        let rows = self.table.as_ref().map(|table| &table.rows);
+        let row = rows.and_then(|rows| rows.get(self.local_zone));
+        let route = row.and_then(|row| row.routes.get(zone));
+        ZoneRoute {
+            id,
+            distance: self.distance(zone),
+            open_per_mille: route.map_or(ALL_KEYS, |route| route.share),
+        }
+    }
+
+    fn distance(&self, zone: usize) -> u8 {
+        if zone == self.local_zone {
+            SAME_ZONE
+        } else if self.zones[zone].region == self.zones[self.local_zone].region {
+            SAME_REGION
+        } else {
+            OTHER_REGION
+        }
     }
 }
