--- a/crates/linenthread-control/src/pending_drains.rs
+++ b/crates/linenthread-control/src/pending_drains.rs
@@ -79,7 +79,7 @@
     }
 
     /// A node's session ended: what the node knew may be lost with it.
-    pub(crate) fn on_node_gone(&mut self, node_id: NodeId) {
+    pub(crate) fn on_node_disconnected(&mut self, node_id: NodeId) {
         for drain in &mut self.pending {
             drain.acknowledged_by.remove(&node_id);
         }
--- a/crates/linenthread-control/src/reconfiguration.rs
+++ b/crates/linenthread-control/src/reconfiguration.rs
@@ -56,7 +56,7 @@
     /// Whether one more voter makes the set safer: below the smallest set, from an even number to an odd one, or as
     /// the first of two. One more beside an odd number would only raise the majority, and so would one more beside a
     /// voter that may be down: it stands by, for the place of the next one that shuts down or is lost.
-    fn wants_one_more(&self) -> bool {
+    fn needs_one_more(&self) -> bool {
         let count = self.voters.len();
         let helps = count < self.min_voters || count.is_multiple_of(2) || self.standbys.len() > 1;
         helps && self.voters.iter().all(|state| state.in_contact)
@@ -80,7 +80,7 @@
         .map(|state| state.voter.clone())
         .collect();
     let Some(outgoing) = view.outgoing() else {
-        let added = view.standbys.first().filter(|_| view.wants_one_more())?;
+        let added = view.standbys.first().filter(|_| view.needs_one_more())?;
         next.push(added.clone());
         return Some(next);
     };
--- a/crates/linenthread-control/src/register_driver.rs
+++ b/crates/linenthread-control/src/register_driver.rs
@@ -73,7 +73,7 @@
             let Some(message) = self.loopback.pop_front() else {
                 break;
             };
-            self.on_own_message(now, message, &mut actions, effects);
+            self.on_loopback_message(now, message, &mut actions, effects);
         }
         self.announce_durability(now, effects);
     }
@@ -89,7 +89,7 @@
         }
     }
 
-    fn on_own_message(
+    fn on_loopback_message(
         &mut self,
         now: Instant,
         message: PeerMessage,
--- a/crates/linenthread-control/src/sessions.rs
+++ b/crates/linenthread-control/src/sessions.rs
@@ -41,7 +41,7 @@
             }));
         }
         if let Some(peer) = self.membership.close(now, session) {
-            self.pending_drains.on_node_gone(peer.node_id());
+            self.pending_drains.on_node_disconnected(peer.node_id());
             effects.push(Effect::Log(ControlEvent::SessionClosed {
                 peer: peer.hello.name,
                 is_control_node: true,
--- a/crates/linenthread-control/src/ticks.rs
+++ b/crates/linenthread-control/src/ticks.rs
@@ -96,7 +96,7 @@
         for session in self.ingress_nodes.sessions() {
             self.confirm_configuration(now, session, effects);
         }
-        self.resolve_lasting_doubt(now, effects);
+        self.complete_lasting_undecided(now, effects);
         self.request_lease(now, effects);
         if let Some(epoch) = self.lease_epoch(now) {
             let grants = self
@@ -109,7 +109,7 @@
 
     /// A value that is still undecided at the second full tick in a row is completed: no vote for a lease is cast
     /// meanwhile.
-    fn resolve_lasting_doubt(&mut self, now: Instant, effects: &mut Vec<Effect>) {
+    fn complete_lasting_undecided(&mut self, now: Instant, effects: &mut Vec<Effect>) {
         let has_undecided = self.register.has_undecided();
         if self.voting.on_full_tick(has_undecided) {
             self.complete_undecided(now, effects);
