--- a/crates/linenthread-service/src/demo.rs
+++ b/crates/linenthread-service/src/demo.rs
@@ -172,8 +172,29 @@
     ])
 }
 
+/// Options of `linenthread try`.
+#[derive(Clone)]
+pub(crate) struct DemoOptions {
+    /// Show some answers and end.
+    pub show: bool,
+    /// Seed of the rows.
+    pub seed: u64,
+    /// With two sites, all replicas are behind a gateway.
+    pub sites: u8,
+    /// Run three zones and the loss of one instead.
+    pub zones: Option<u8>,
+}
+
+/// Runs the demo that the options choose.
+pub(crate) fn run(options: &DemoOptions) -> ExitCode {
+    match options.zones {
+        Some(_) => run_zones(options.seed),
+        None => run_sites(options.seed, options.show, options.sites == 2),
+    }
+}
+
 /// Runs until SIGINT or SIGTERM, or shows some answers and ends.
-pub(crate) fn run(seed: u64, show_only: bool, two_sites: bool) -> ExitCode {
+fn run_sites(seed: u64, show_only: bool, two_sites: bool) -> ExitCode {
     let mut programs = match programs(seed, two_sites) {
         Ok(programs) => programs.into_iter(),
         Err(message) => {
@@ -238,7 +259,7 @@
 }
 
 /// Three zones of a co-ordinator and two replicas each, which decide in common: one is killed and comes back.
-pub(crate) fn run_zones(seed: u64) -> ExitCode {
+fn run_zones(seed: u64) -> ExitCode {
     let exe = match std::env::current_exe() {
         Ok(exe) => exe.to_string_lossy().into_owned(),
         Err(e) => {
--- a/crates/linenthread-service/src/zones_command.rs
+++ b/crates/linenthread-service/src/zones_command.rs
@@ -20,10 +20,14 @@
 const PATIENCE: Duration = Duration::from_secs(10);
 const QUIET: Duration = Duration::from_millis(400);
 
+/// What an operator asks of the fleet.
 #[derive(Clone, Debug)]
-pub(crate) enum Wish {
+pub(crate) enum ZonesAction {
+    /// Show the routing table in force.
     Show,
+    /// Have all co-ordinators leave the zone.
     Drain(String),
+    /// Have the zone taken back, step by step.
     Return(String),
 }
 
@@ -154,7 +158,7 @@
 /// # Errors
 ///
 /// One line: the file is bad, no voter could be reached, or the order was refused.
-pub(crate) fn run(file: &Path, wish: &Wish) -> Result<String, String> {
+pub(crate) fn run(file: &Path, action: &ZonesAction) -> Result<String, String> {
     let read = Installation::read_file(file, &|_| {
         Some(linenthread_installation::KnownIndex { min_share: 0.0 })
     })
@@ -198,14 +202,14 @@
         if line.turn() {
             heard = Some(Instant::now());
         }
-        match wish {
-            Wish::Show => {
+        match action {
+            ZonesAction::Show => {
                 if heard.is_some_and(|at| at.elapsed() > QUIET) {
                     return Ok(show(&line));
                 }
             }
-            Wish::Drain(zone) | Wish::Return(zone) => {
-                let drain = matches!(wish, Wish::Drain(_));
+            ZonesAction::Drain(zone) | ZonesAction::Return(zone) => {
+                let drain = matches!(action, ZonesAction::Drain(_));
                 if heard.is_some() && asked.is_none_or(|at| at.elapsed() > Duration::from_secs(2)) {
                     asked = Some(Instant::now());
                     let mut to = Vec::new();
