--- a/crates/linenthread-service/src/config.rs
+++ b/crates/linenthread-service/src/config.rs
@@ -1,94 +1,142 @@
-//! What a co-ordinator is told at its start, read from one file.
+//! The platform's configuration file, which a co-ordinator reads at its start.
 
+use std::io;
 use std::net::SocketAddr;
-use std::path::Path;
+use std::path::{Path, PathBuf};
 
 use linenthread_core::interface::CoordinatorConfig;
-use linenthread_protocol::membership;
-use linenthread_terms::{self as terms, ClusterConfig};
+use linenthread_protocol::membership::{self, MembershipError};
+use linenthread_terms::{self as terms, ClusterConfig, SettingsError};
 use serde_json::Value;
+use snafu::{OptionExt, ResultExt, Snafu};
 use tracing::{info, warn};
 
-/// Fewer descriptors than this leave no room for clients beside replicas and roster.
-const FEWEST_SOCKETS: usize = 64;
+/// Fewer descriptors than this leave no room for clients beside replicas and service discovery.
+const MIN_SOCKETS: usize = 64;
 
+/// Why a configuration cannot be used. Each message is one line and names the field.
+#[derive(Debug, Snafu)]
+pub(crate) enum ConfigError {
+    #[snafu(display("does not parse: {source}"))]
+    Parse { source: serde_json::Error },
+    #[snafu(display("{field} is missing"))]
+    Missing { field: &'static str },
+    #[snafu(display("{field} is not a text"))]
+    NotText { field: &'static str },
+    #[snafu(display("{field} is not an address with its port"))]
+    NotAddress { field: &'static str },
+    #[snafu(display("seed is not of hex digits"))]
+    Seed { source: std::num::ParseIntError },
+    #[snafu(display("limits.sockets is no number from {MIN_SOCKETS}"))]
+    TooFewSockets,
+    #[snafu(display("{source}"))]
+    Settings { source: SettingsError },
+    #[snafu(display(
+        "settings: family-info.fetch-parts: a second step, as index {index} has, has no protocol"
+    ))]
+    FetchStep { index: usize },
+    #[snafu(display("known: {source}"))]
+    Members { source: MembershipError },
+}
+
+/// Why a configuration file cannot be used. Each message is one line and names the file.
+#[derive(Debug, Snafu)]
+pub(crate) enum ConfigFileError {
+    #[snafu(display("{}: {source}", file.display()))]
+    Read { file: PathBuf, source: io::Error },
+    #[snafu(display("{}: {source}", file.display()))]
+    Invalid { file: PathBuf, source: ConfigError },
+}
+
+/// The configuration of a co-ordinator.
 #[derive(Clone, Debug)]
 pub(crate) struct Config {
     pub name: String,
     pub listen: SocketAddr,
-    pub roster: SocketAddr,
+    /// Address of service discovery.
+    pub discovery: SocketAddr,
     pub seed: u64,
+    /// Descriptors that the process may use.
     pub sockets: usize,
+    /// Replicas to begin with, until service discovery answers.
     pub remembered: membership::MembershipList,
     pub deployment: CoordinatorConfig,
     pub surroundings: ClusterConfig,
 }
 
+/// The fields of the file's top level.
+struct Fields<'a>(&'a Value);
+
+impl<'a> Fields<'a> {
+    fn value(&self, field: &'static str) -> Result<&'a Value, ConfigError> {
+        self.0.get(field).context(MissingSnafu { field })
+    }
+
+    fn text(&self, field: &'static str) -> Result<&'a str, ConfigError> {
+        self.value(field)?.as_str().context(NotTextSnafu { field })
+    }
+
+    fn address(&self, field: &'static str) -> Result<SocketAddr, ConfigError> {
+        let address = self.text(field)?.parse().ok();
+        address.context(NotAddressSnafu { field })
+    }
+}
+
 impl Config {
-    /// Reads the file; what is wrong with it is said in one line that names the field.
-    pub(crate) fn read(file: &Path) -> Result<Config, String> {
-        let text = std::fs::read(file).map_err(|e| format!("{}: {e}", file.display()))?;
-        Config::parse(&text).map_err(|e| format!("{}: {e}", file.display()))
+    /// Reads the file.
+    ///
+    /// # Errors
+    ///
+    /// One line that names the file and the field.
+    pub(crate) fn read(file: &Path) -> Result<Config, ConfigFileError> {
+        let text = std::fs::read(file).context(ReadSnafu { file })?;
+        Config::parse(&text).context(InvalidSnafu { file })
     }
 
-    pub(crate) fn parse(text: &[u8]) -> Result<Config, String> {
-        let root: Value =
-            serde_json::from_slice(text).map_err(|e| format!("does not parse: {e}"))?;
-        let field = |name: &str| root.get(name).ok_or_else(|| format!("{name} is missing"));
-        let words = |name: &str| {
-            field(name)?
-                .as_str()
-                .map(str::to_owned)
-                .ok_or_else(|| format!("{name} is not a text"))
-        };
-        let address = |name: &str| {
-            words(name)?
-                .parse()
-                .map_err(|_| format!("{name} is not an address with its port"))
-        };
-        let seed = words("seed")?;
+    /// Parses the text of a configuration.
+    ///
+    /// # Errors
+    ///
+    /// The first field that is missing or has a bad value.
+    pub(crate) fn parse(text: &[u8]) -> Result<Config, ConfigError> {
+        let root: Value = serde_json::from_slice(text).context(ParseSnafu)?;
+        let fields = Fields(&root);
+        let seed = fields.text("seed")?;
+        let field = "limits.sockets";
         let sockets = root
             .pointer("/limits/sockets")
-            .ok_or("limits.sockets is missing")?;
-        let settings = field("settings")?;
-        let deployment = terms::coordinator_config(settings).map_err(|e| e.to_string())?;
-        if let Some(i) = deployment
-            .indexes
-            .iter()
-            .position(|i| i.fetch_sub_requests > 0)
-        {
-            return Err(format!(
-                "settings: family-info.fetch-parts: a second step, as index {i} has, has no protocol"
-            ));
+            .context(MissingSnafu { field })?;
+        let settings = fields.value("settings")?;
+        let deployment = terms::coordinator_config(settings).context(SettingsSnafu)?;
+        let mut indexes = deployment.indexes.iter();
+        if let Some(index) = indexes.position(|index| index.fetch_sub_requests > 0) {
+            return FetchStepSnafu { index }.fail();
         }
+        let replica_groups = deployment.layout.replica_groups;
         Ok(Config {
-            name: words("name")?,
-            listen: address("listen")?,
-            roster: address("discovery")?,
-            seed: u64::from_str_radix(&seed, 16).map_err(|_| "seed is not of hex digits")?,
-            sockets: sockets
-                .as_u64()
-                .map(|n| n as usize)
-                .filter(|n| *n >= FEWEST_SOCKETS)
-                .ok_or_else(|| format!("limits.sockets is no number from {FEWEST_SOCKETS}"))?,
-            remembered: membership::from_value(field("known")?, deployment.layout.replica_groups)
-                .map_err(|e| format!("known: {e}"))?,
-            surroundings: terms::cluster_config(settings).map_err(|e| e.to_string())?,
+            name: fields.text("name")?.to_owned(),
+            listen: fields.address("listen")?,
+            discovery: fields.address("discovery")?,
+            seed: u64::from_str_radix(seed, 16).context(SeedSnafu)?,
+            sockets: parse_sockets(sockets).context(TooFewSocketsSnafu)?,
+            remembered: membership::from_value(fields.value("known")?, replica_groups)
+                .context(MembersSnafu)?,
+            surroundings: terms::cluster_config(settings).context(SettingsSnafu)?,
             deployment,
         })
     }
 
-    /// Reads the file once more, for a program that runs: where the roster is found now. All else is as it
-    /// was until the next start, which is said where it matters; and all of it where the file can't be used.
-    pub(crate) fn again(&self, file: &Path) -> Option<SocketAddr> {
+    /// Reads the file again for a process that runs and gives the address of service discovery. Other changes apply
+    /// at the next start, which the log says. A file that cannot be used changes nothing.
+    pub(crate) fn reload(&self, file: &Path) -> Option<SocketAddr> {
         let new = match Config::read(file) {
             Ok(new) => new,
-            Err(message) => {
-                warn!("configuration not taken, all goes on as it was: {message}");
+            Err(error) => {
+                warn!("configuration not taken, all goes on as it was: {error}");
                 return None;
             }
         };
-        let later = [
+        let at_next_start = [
             ("name", new.name != self.name),
             ("listen", new.listen != self.listen),
             ("limits.sockets", new.sockets != self.sockets),
@@ -97,12 +145,14 @@
                 new.deployment != self.deployment || new.surroundings != self.surroundings,
             ),
         ];
-        let later: Vec<_> = later
-            .iter()
-            .filter(|(_, differs)| *differs)
-            .map(|(name, _)| *name)
-            .collect();
-        info!(roster = %new.roster, at_next_start = later.join(","), "configuration read again");
-        Some(new.roster)
+        let changed = at_next_start.into_iter().filter(|(_, differs)| *differs);
+        let changed: Vec<_> = changed.map(|(name, _)| name).collect();
+        info!(roster = %new.discovery, at_next_start = changed.join(","), "configuration read again");
+        Some(new.discovery)
     }
 }
+
+fn parse_sockets(value: &Value) -> Option<usize> {
+    let sockets = usize::try_from(value.as_u64()?).ok()?;
+    (sockets >= MIN_SOCKETS).then_some(sockets)
+}
--- a/crates/linenthread-service/src/demo.rs
+++ b/crates/linenthread-service/src/demo.rs
@@ -1,5 +1,6 @@
 //! `linenthread try`: a small fleet of stand-ins, a roster and this program on loopback, with rows to ask for.
 
+use std::io;
 use std::net::{SocketAddr, TcpListener};
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -11,9 +12,11 @@
 use linenthread_stand_ins::{Class, Client, Part, Roster, config_of, entry, list};
 use oorandom::Rand64;
 use serde_json::{Value, json};
+use snafu::{ResultExt, Snafu};
 
-use crate::config::Config;
-use crate::installation::Own;
+use crate::config::{Config, ConfigFileError};
+use crate::installation::{InstallationError, InstallationSettings};
+use crate::serve::{ReloadedFiles, ServeError};
 use crate::{log, serve};
 
 const CELLS: usize = 4;
@@ -22,6 +25,25 @@
 const LATE: usize = 5;
 const LATE_BY: Duration = Duration::from_secs(3);
 
+/// Why the demo could not start or has failed.
+#[derive(Debug, Snafu)]
+enum DemoError {
+    #[snafu(display("no folder for files: {source}"))]
+    Directory { source: io::Error },
+    #[snafu(display("{}: {source}", file.display()))]
+    Write { file: PathBuf, source: io::Error },
+    #[snafu(display("{source}"), context(false))]
+    Config { source: ConfigFileError },
+    #[snafu(display("{source}"), context(false))]
+    Installation { source: InstallationError },
+    #[snafu(display("{source}"))]
+    FreePort { source: io::Error },
+    #[snafu(display("{source}"), context(false))]
+    Serve { source: ServeError },
+    #[snafu(display("a lookup was not answered"))]
+    Unanswered,
+}
+
 fn buckets() -> Value {
     let part = |shard| json!({"bucket": shard, "part": 1.0 / SHARDS as f64});
     (0..SHARDS).map(part).collect::<Vec<_>>().into()
@@ -87,15 +109,15 @@
     file: PathBuf,
     own_file: PathBuf,
     config: Config,
-    own: Own,
+    own: InstallationSettings,
 }
 
-fn prepare(config: &Value, installation: &str, seed: u64) -> Result<Prepared, String> {
-    let folder = tempfile::tempdir().map_err(|e| format!("no folder for files: {e}"))?;
+fn prepare(config: &Value, installation: &str, seed: u64) -> Result<Prepared, DemoError> {
+    let folder = tempfile::tempdir().context(DirectorySnafu)?;
     let put = |name: &str, text: &str| {
         let file = folder.path().join(name);
-        std::fs::write(&file, text).map_err(|e| format!("{}: {e}", file.display()))?;
-        Ok::<_, String>(file)
+        std::fs::write(&file, text).context(WriteSnafu { file: &file })?;
+        Ok::<_, DemoError>(file)
     };
     for key in ["marks.key", "link.key"] {
         put(key, &format!("only for a first try {seed:016x}"))?;
@@ -103,7 +125,7 @@
     let own_file = put("installation.xml", installation)?;
     let file = put("config.json", &config.to_string())?;
     let config = Config::read(&file)?;
-    let own = Own::read(&own_file, &config)?;
+    let own = InstallationSettings::read(&own_file, &config)?;
     Ok(Prepared {
         _folder: folder,
         file,
@@ -114,7 +136,7 @@
 }
 
 /// Runs one program; `ready` is told where it listens.
-async fn serve_one(prepared: Prepared, ready: impl FnOnce(SocketAddr)) -> Result<(), String> {
+async fn serve_one(prepared: Prepared, ready: impl FnOnce(SocketAddr)) -> Result<(), DemoError> {
     let Prepared {
         _folder,
         file,
@@ -122,11 +144,15 @@
         config,
         own,
     } = prepared;
-    serve::serve(config, &file, (own, Some(&own_file)), ready).await
+    let files = ReloadedFiles {
+        config: &file,
+        installation: Some(&own_file),
+    };
+    Ok(serve::serve(config, own, files, ready).await?)
 }
 
 /// The programs to run: with two sites, the one that is asked reaches all replicas through the other.
-fn programs(seed: u64, two_sites: bool) -> Result<Vec<Prepared>, String> {
+fn programs(seed: u64, two_sites: bool) -> Result<Vec<Prepared>, DemoError> {
     let cue = |part: &Part| match (part.shard, part.text.as_str()) {
         (LATE, "pledges") => (LATE_BY, How::Answer),
         _ => (Duration::from_millis(5), How::Answer),
@@ -158,7 +184,7 @@
     }
     let free = TcpListener::bind("127.0.0.1:0")
         .and_then(|l| l.local_addr())
-        .map_err(|e| e.to_string())?;
+        .context(FreePortSnafu)?;
     let gateway = format!(
         "<installation version=\"1\"><gateway listen=\"{free}\" secret=\"link.key\" cold-share=\"500\"/></installation>"
     );
@@ -228,7 +254,7 @@
         };
         tokio::select! {
             served = async { tokio::join!(serve_one(asked, ready), gateway).0 } => served,
-            Ok(good) = shown => if good { Ok(()) } else { Err("a lookup was not answered".into()) },
+            Ok(good) = shown => if good { Ok(()) } else { Err(DemoError::Unanswered) },
         }
     };
     match actix_rt::System::new().block_on(ends) {
--- a/crates/linenthread-service/src/installation.rs
+++ b/crates/linenthread-service/src/installation.rs
@@ -1,19 +1,43 @@
-//! The operators' own file, read and checked against the platform's, with the secrets that it names.
+//! The installation file, which is the operators' own: read and checked against the platform's configuration, with
+//! the secrets that it names.
 
+use std::io;
 use std::path::{Path, PathBuf};
 use std::rc::Rc;
 
-use linenthread_installation::{Fleet, Gateway, Installation, KnownIndex, Peer, Zones};
+use linenthread_installation::{
+    Fleet, Gateway, Installation, KnownIndex, Peer, ReadFileError, Zones,
+};
 use linenthread_link::Secrets;
-use linenthread_merge::CursorSigner;
+use linenthread_merge::{CursorSigner, MIN_SECRET_BYTES};
+use snafu::{ResultExt, Snafu, ensure};
 use tracing::{info, warn};
 
 use crate::config::Config;
 use crate::gather::Merging;
 
-/// What the file switches on. Nothing of it where there is none.
+/// Why the installation file, or a secret that it names, cannot be used. Each message is one line.
+#[derive(Debug, Snafu)]
+pub(crate) enum InstallationError {
+    #[snafu(display("{source}"))]
+    File { source: ReadFileError },
+    #[snafu(display("{}: {source}", file.display()))]
+    ReadSecret { file: PathBuf, source: io::Error },
+    #[snafu(display("{}: a secret needs {MIN_SECRET_BYTES} bytes or more", file.display()))]
+    SecretTooShort { file: PathBuf },
+    #[snafu(display("{source}"))]
+    CursorSecrets {
+        source: linenthread_merge::SecretError,
+    },
+    #[snafu(display("{source}"))]
+    LinkSecrets {
+        source: linenthread_frames::SecretError,
+    },
+}
+
+/// What the installation file switches on; nothing without one.
 #[derive(Default)]
-pub(crate) struct Own {
+pub(crate) struct InstallationSettings {
     pub merging: Merging,
     pub gateway: Option<(Gateway, Secrets)>,
     pub peers: Vec<(Peer, Secrets)>,
@@ -21,85 +45,98 @@
     pub zones: Option<Zones>,
 }
 
-pub(crate) fn secrets(files: &[PathBuf]) -> Result<Vec<Vec<u8>>, String> {
-    let secret = |path: &PathBuf| {
-        let secret = std::fs::read(path).map_err(|e| format!("{}: {e}", path.display()))?;
+/// Reads files of one secret each.
+fn read_secrets(files: &[PathBuf]) -> Result<Vec<Vec<u8>>, InstallationError> {
+    let read = |file: &PathBuf| {
+        let secret = std::fs::read(file).context(ReadSecretSnafu { file })?;
         let secret = secret.trim_ascii_end().to_vec();
-        let shortest = linenthread_merge::MIN_SECRET_BYTES;
-        match secret.len() < shortest {
-            true => Err(format!(
-                "{}: a secret needs {shortest} bytes or more",
-                path.display()
-            )),
-            false => Ok(secret),
-        }
+        ensure!(
+            secret.len() >= MIN_SECRET_BYTES,
+            SecretTooShortSnafu { file }
+        );
+        Ok(secret)
     };
-    files.iter().map(secret).collect()
+    files.iter().map(read).collect()
 }
 
-impl Own {
-    /// Reads the operators' file against the platform's.
+/// Reads the secrets between processes.
+///
+/// # Errors
+///
+/// A file cannot be read, or its secret is too short.
+pub(crate) fn link_secrets(files: &[PathBuf]) -> Result<Secrets, InstallationError> {
+    Secrets::new(read_secrets(files)?).context(LinkSecretsSnafu)
+}
+
+impl InstallationSettings {
+    /// Reads the installation file against the platform's configuration.
     ///
     /// # Errors
     ///
     /// One line: file, line in it and cause.
-    pub(crate) fn read(file: &Path, config: &Config) -> Result<Own, String> {
-        let indexes = &config.surroundings.index_names;
+    pub(crate) fn read(
+        file: &Path,
+        config: &Config,
+    ) -> Result<InstallationSettings, InstallationError> {
+        let index_names = &config.surroundings.index_names;
         let known = |name: &str| {
-            let at = indexes.iter().position(|index| index == name)?;
+            let position = index_names.iter().position(|index| index == name)?;
+            let index = config.deployment.indexes.get(position)?;
             Some(KnownIndex {
-                min_share: config.deployment.indexes.get(at)?.min_share,
+                min_share: index.min_share,
             })
         };
-        let read = Installation::read_file(file, &known).map_err(|error| error.to_string())?;
-        let plan = |name: &String| {
-            read.merging
-                .plans
-                .iter()
-                .find(|plan| plan.index == *name)
-                .cloned()
-        };
-        let signer = match &read.merging.cursors {
-            Some(cursors) => {
-                let signer = CursorSigner::new(secrets(&cursors.secret_files)?, cursors.lifetime);
-                Some(signer.map_err(|error| error.to_string())?)
-            }
-            None => None,
-        };
-        let merging = Merging::new(indexes.iter().map(plan).collect(), signer);
-        let link =
-            |files: &[PathBuf]| Secrets::new(secrets(files)?).map_err(|error| error.to_string());
-        let gateway = match read.gateway {
-            Some(gateway) => Some((gateway.clone(), link(&gateway.secret_files)?)),
-            None => None,
-        };
-        let peer = |peer: Peer| Ok::<_, String>((peer.clone(), link(&peer.secret_files)?));
-        let peers = read.peers.into_iter().map(peer).collect::<Result<_, _>>()?;
-        let fleet = match read.fleet {
-            Some(fleet) => Some((fleet.clone(), link(&fleet.secret_files)?)),
-            None => None,
-        };
-        Ok(Own {
+        let read = Installation::read_file(file, &known).context(FileSnafu)?;
+        let merging = merging(&read, index_names)?;
+        let gateway = read.gateway.map(|gateway| {
+            let secrets = link_secrets(&gateway.secret_files)?;
+            Ok((gateway, secrets))
+        });
+        let gateway = gateway.transpose()?;
+        let peers = read.peers.into_iter().map(|peer| {
+            let secrets = link_secrets(&peer.secret_files)?;
+            Ok((peer, secrets))
+        });
+        let peers = peers.collect::<Result<_, _>>()?;
+        let fleet = read.fleet.map(|fleet| {
+            let secrets = link_secrets(&fleet.secret_files)?;
+            Ok((fleet, secrets))
+        });
+        Ok(InstallationSettings {
             merging,
             gateway,
             peers,
-            fleet,
+            fleet: fleet.transpose()?,
             zones: read.zones,
         })
     }
 
-    /// Reads it once more for a program that runs: how indexes are merged counts at once, links from the next
-    /// start on. A bad file changes nothing.
-    pub(crate) fn again(file: &Path, config: &Config) -> Option<Rc<Merging>> {
-        match Own::read(file, config) {
+    /// Reads the file again for a process that runs. The plans to merge responses apply at once, all else from the
+    /// next start on. A file that cannot be used changes nothing.
+    pub(crate) fn reload(file: &Path, config: &Config) -> Option<Rc<Merging>> {
+        match InstallationSettings::read(file, config) {
             Ok(new) => {
                 info!(merged = new.merging.count(), "installation read again");
                 Some(Rc::new(new.merging))
             }
-            Err(message) => {
-                warn!("installation not taken, all goes on as it was: {message}");
+            Err(error) => {
+                warn!("installation not taken, all goes on as it was: {error}");
                 None
             }
         }
     }
 }
+
+/// The plan of each index, in the order of the configuration, and the signer of cursors.
+fn merging(read: &Installation, index_names: &[String]) -> Result<Merging, InstallationError> {
+    let plan = |name: &String| {
+        let plans = &read.merging.plans;
+        plans.iter().find(|plan| plan.index == *name).cloned()
+    };
+    let signer = read.merging.cursors.as_ref().map(|cursors| {
+        let secrets = read_secrets(&cursors.secret_files)?;
+        CursorSigner::new(secrets, cursors.lifetime).context(CursorSecretsSnafu)
+    });
+    let signer = signer.transpose()?;
+    Ok(Merging::new(index_names.iter().map(plan).collect(), signer))
+}
--- a/crates/linenthread-service/src/main.rs
+++ b/crates/linenthread-service/src/main.rs
@@ -23,13 +23,27 @@
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
+use snafu::{OptionExt, Snafu};
+
 use cli::Command;
-use config::Config;
-use installation::Own;
+use config::{Config, ConfigFileError};
+use installation::{InstallationError, InstallationSettings};
+use serve::ReloadedFiles;
 
 /// Exit code for files that cannot be used.
 const BAD_FILES: u8 = 2;
 
+/// Why the files of a command cannot be used.
+#[derive(Debug, Snafu)]
+enum FilesError {
+    #[snafu(display("EDGE_CONFIG is not set and there is no --config"))]
+    NoConfig,
+    #[snafu(display("{source}"), context(false))]
+    Config { source: ConfigFileError },
+    #[snafu(display("{source}"), context(false))]
+    Installation { source: InstallationError },
+}
+
 fn main() -> ExitCode {
     match cli::command().run() {
         Command::Version => print(&format!("linenthread {}\n", env!("CARGO_PKG_VERSION"))),
@@ -69,8 +83,8 @@
 fn zones(installation: &Path, action: &zones_command::ZonesAction) -> ExitCode {
     match zones_command::run(installation, action) {
         Ok(text) => print(&format!("{text}\n")),
-        Err(message) => {
-            eprintln!("linenthread: {message}");
+        Err(error) => {
+            eprintln!("linenthread: {error}");
             ExitCode::FAILURE
         }
     }
@@ -94,11 +108,19 @@
 fn serve(config: Option<PathBuf>, installation: Option<&Path>) -> ExitCode {
     with_files(config, installation, |config, file, settings| {
         log::start();
-        let served = serve::serve(config, file, (settings, installation), |_| {});
+        let served = serve::serve(
+            config,
+            settings,
+            ReloadedFiles {
+                config: file,
+                installation,
+            },
+            |_| {},
+        );
         match actix_rt::System::new().block_on(served) {
             Ok(()) => ExitCode::SUCCESS,
-            Err(message) => {
-                tracing::error!("{message}");
+            Err(error) => {
+                tracing::error!("{error}");
                 ExitCode::FAILURE
             }
         }
@@ -109,12 +131,12 @@
 fn with_files(
     config: Option<PathBuf>,
     installation: Option<&Path>,
-    command: impl FnOnce(Config, &Path, Own) -> ExitCode,
+    command: impl FnOnce(Config, &Path, InstallationSettings) -> ExitCode,
 ) -> ExitCode {
     match read_files(config, installation) {
         Ok((config, file, settings)) => command(config, &file, settings),
-        Err(message) => {
-            eprintln!("linenthread: {message}");
+        Err(error) => {
+            eprintln!("linenthread: {error}");
             ExitCode::from(BAD_FILES)
         }
     }
@@ -123,12 +145,12 @@
 fn read_files(
     config: Option<PathBuf>,
     installation: Option<&Path>,
-) -> Result<(Config, PathBuf, Own), String> {
-    let file = config.ok_or("EDGE_CONFIG is not set and there is no --config")?;
+) -> Result<(Config, PathBuf, InstallationSettings), FilesError> {
+    let file = config.context(NoConfigSnafu)?;
     let config = Config::read(&file)?;
     let settings = match installation {
-        Some(installation) => Own::read(installation, &config)?,
-        None => Own::default(),
+        Some(installation) => InstallationSettings::read(installation, &config)?,
+        None => InstallationSettings::default(),
     };
     Ok((config, file, settings))
 }
--- a/crates/linenthread-service/src/migrate.rs
+++ b/crates/linenthread-service/src/migrate.rs
@@ -1,152 +1,171 @@
-//! `linenthread migrate`: a configuration of the old shape (a ring of cells, replicas that report their load)
-//! becomes its counterpart for the new one (sets of replicas that hold the same shards and report nothing).
+//! `linenthread migrate`: carries a configuration of the old form (a ring of replica groups, replicas that report their
+//! load) over to the new one (sets of replicas that hold the same shards and report nothing).
 
 use std::fs;
-use std::io::Write;
-use std::path::Path;
+use std::io::{self, Write};
+use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
 use linenthread_core::interface::ShardLayout;
 use serde_json::{Value, json};
+use snafu::{ResultExt, Snafu, ensure};
 
-use crate::config::Config;
+use crate::config::{Config, ConfigError};
 
-/// Something was left out; the lists say what.
+/// Exit code if something could not be carried over; the lists say what.
 const LEFT_OUT: u8 = 3;
+/// Exit code if nothing can be written.
+const FAILED: u8 = 2;
 
-/// A configuration carried over.
-struct Carried {
+/// Why a configuration cannot be carried over.
+#[derive(Debug, Snafu)]
+enum ConvertError {
+    #[snafu(display("{source}"))]
+    Old { source: ConfigError },
+    #[snafu(display(
+        "settings: family-info.cells: {groups} cells cannot be parted into sets of {in_a_row} in a row"
+    ))]
+    Uneven { groups: usize, in_a_row: usize },
+    #[snafu(display("does not parse: {source}"))]
+    Parse { source: serde_json::Error },
+    #[snafu(display("{source}"))]
+    Serialize { source: serde_json::Error },
+    #[snafu(display("what would be written is no configuration: {source}"))]
+    New { source: ConfigError },
+}
+
+/// Why nothing was written. Each message is one line.
+#[derive(Debug, Snafu)]
+enum MigrateError {
+    #[snafu(display("say --output NEW, or --dry-run"))]
+    NoOutput,
+    #[snafu(display("{}: {source}", file.display()))]
+    Io { file: PathBuf, source: io::Error },
+    #[snafu(display("{}: {source}", file.display()))]
+    Convert { file: PathBuf, source: ConvertError },
+}
+
+/// A configuration of the new form.
+struct Converted {
     new: Value,
-    /// What the operator has to move before the new file can serve.
+    /// The shards that each replica must load before the new file can be served.
     moves: Vec<String>,
     left_out: Vec<String>,
 }
 
-/// Cells in a row become one set: cell c of a ring of shards r in a row goes to set c / r, so that each shard
-/// keeps as many holders as it had. `None` for a configuration that is of the new shape already.
-fn carry(text: &[u8]) -> Result<Option<Carried>, String> {
-    let old = Config::parse(text)?;
+/// Consecutive groups become one set: group g of a ring with r groups in a row for each shard goes to set g / r, so
+/// that each shard keeps its number of replicas. `None` for a configuration that has the new form already.
+fn convert(text: &[u8]) -> Result<Option<Converted>, ConvertError> {
+    let old = Config::parse(text).context(OldSnafu)?;
     let layout = &old.deployment.layout;
-    let (cells, row, shards) = (
-        layout.replica_groups,
-        layout.replication_factor.max(1),
-        old.surroundings.shard_count,
-    );
-    if row == 1 && !old.deployment.reports_queue {
+    let groups = layout.replica_groups;
+    let in_a_row = layout.replication_factor.max(1);
+    if in_a_row == 1 && !old.deployment.reports_queue {
         return Ok(None);
     }
-    if cells % row != 0 {
-        return Err(format!(
-            "settings: family-info.cells: {cells} cells cannot be parted into sets of {row} in a row"
-        ));
-    }
+    ensure!(groups % in_a_row == 0, UnevenSnafu { groups, in_a_row });
     let sets = ShardLayout {
-        replica_groups: cells / row,
+        replica_groups: groups / in_a_row,
         replication_factor: 1,
     };
-    let mut new: Value =
-        serde_json::from_slice(text).map_err(|e| format!("does not parse: {e}"))?;
-    let (mut moves, mut left_out) = (Vec::new(), Vec::new());
-    for name in new["settings"]["telemetry"]["names"]
-        .as_array()
-        .into_iter()
-        .flatten()
-    {
-        left_out.push(format!(
-            "settings: telemetry.names: {name}: replicas report no load there"
-        ));
-    }
-    new["settings"]["telemetry"] = json!({"names": [], "source": "none"});
-    (
-        new["settings"]["family-info"]["cells"],
-        new["settings"]["family-info"]["in-a-row"],
-    ) = (json!(sets.replica_groups), json!(sets.replication_factor));
+    let mut new: Value = serde_json::from_slice(text).context(ParseSnafu)?;
+    let left_out = remove_load_reports(&mut new);
+    let layout_settings = &mut new["settings"]["family-info"];
+    layout_settings["cells"] = json!(sets.replica_groups);
+    layout_settings["in-a-row"] = json!(sets.replication_factor);
     let members = new["known"]["members"].as_array_mut().into_iter().flatten();
+    let mut moves = Vec::new();
     for (replica, member) in old.remembered.replicas.iter().zip(members) {
-        let set = replica.replica_group / row;
+        let set = replica.replica_group / in_a_row;
         member["cell"] = json!(set);
-        let (mut lacks, mut drops) = (Vec::new(), Vec::new());
-        for s in 0..shards {
-            match (layout.holds(replica.replica_group, s), sets.holds(set, s)) {
-                (false, true) => lacks.push(s.to_string()),
-                (true, false) => drops.push(s.to_string()),
-                _ => {}
-            }
-        }
-        let (lacks, drops) = (lacks.join(" "), drops.join(" "));
+        let group = replica.replica_group;
+        let holds = |shard| (layout.holds(group, shard), sets.holds(set, shard));
+        let (loads, drops) = shard_moves(old.surroundings.shard_count, holds);
+        let id = &replica.id;
         moves.push(format!(
-            "{}: set {set}; loads [{lacks}], may then drop [{drops}]",
-            replica.id
+            "{id}: set {set}; loads [{loads}], may then drop [{drops}]"
         ));
     }
-    let written = serde_json::to_vec(&new).map_err(|e| e.to_string())?;
-    Config::parse(&written)
-        .map_err(|e| format!("what would be written is no configuration: {e}"))?;
-    Ok(Some(Carried {
+    let written = serde_json::to_vec(&new).context(SerializeSnafu)?;
+    Config::parse(&written).context(NewSnafu)?;
+    Ok(Some(Converted {
         new,
         moves,
         left_out,
     }))
 }
 
-/// Writes a new file whole or not at all; one that exists stays as it is.
-fn write(file: &Path, value: &Value) -> Result<(), String> {
-    let failed = |e: std::io::Error| format!("{}: {e}", file.display());
-    let folder = file
-        .parent()
-        .filter(|p| !p.as_os_str().is_empty())
-        .unwrap_or(Path::new("."));
-    let mut draft = tempfile::NamedTempFile::new_in(folder).map_err(failed)?;
-    serde_json::to_writer_pretty(&mut draft, value).map_err(|e| failed(e.into()))?;
-    draft
-        .write_all(b"\n")
-        .and_then(|()| draft.as_file().sync_all())
-        .map_err(failed)?;
-    draft
-        .persist_noclobber(file)
-        .map(drop)
-        .map_err(|e| failed(e.error))
+/// Switches load reports off and lists those that were on.
+fn remove_load_reports(new: &mut Value) -> Vec<String> {
+    let telemetry = &mut new["settings"]["telemetry"];
+    let names = telemetry["names"].as_array().into_iter().flatten();
+    let left_out = names
+        .map(|name| format!("settings: telemetry.names: {name}: replicas report no load there"))
+        .collect();
+    *telemetry = json!({"names": [], "source": "none"});
+    left_out
 }
 
-pub(crate) fn run(old: &Path, output: Option<&Path>, dry_run: bool) -> ExitCode {
-    let read = || -> Result<Option<Carried>, String> {
-        if output.is_none() && !dry_run {
-            return Err("say --output NEW, or --dry-run".into());
+/// The shards that a replica has to load and those that it may drop. `holds` says of a shard whether the replica's
+/// group holds it and whether its set does.
+fn shard_moves(shard_count: usize, holds: impl Fn(usize) -> (bool, bool)) -> (String, String) {
+    let (mut loads, mut drops) = (Vec::new(), Vec::new());
+    for shard in 0..shard_count {
+        match holds(shard) {
+            (false, true) => loads.push(shard.to_string()),
+            (true, false) => drops.push(shard.to_string()),
+            _ => {}
         }
-        let text = fs::read(old).map_err(|e| format!("{}: {e}", old.display()))?;
-        carry(&text).map_err(|e| format!("{}: {e}", old.display()))
+    }
+    (loads.join(" "), drops.join(" "))
+}
+
+/// Writes a new file completely or not at all; an existing one is left alone.
+fn write(file: &Path, value: &Value) -> Result<(), MigrateError> {
+    let directory = file.parent().filter(|path| !path.as_os_str().is_empty());
+    let directory = directory.unwrap_or(Path::new("."));
+    let mut draft = tempfile::NamedTempFile::new_in(directory).context(IoSnafu { file })?;
+    serde_json::to_writer_pretty(&mut draft, value)
+        .map_err(io::Error::from)
+        .and_then(|()| draft.write_all(b"\n"))
+        .and_then(|()| draft.as_file().sync_all())
+        .context(IoSnafu { file })?;
+    let written = draft.persist_noclobber(file).map_err(|error| error.error);
+    written.map(drop).context(IoSnafu { file })
+}
+
+/// Carries a configuration over; gives whether something was left out.
+fn migrate(old: &Path, output: Option<&Path>, dry_run: bool) -> Result<bool, MigrateError> {
+    ensure!(output.is_some() || dry_run, NoOutputSnafu);
+    let text = fs::read(old).context(IoSnafu { file: old })?;
+    let Some(converted) = convert(&text).context(ConvertSnafu { file: old })? else {
+        let old = old.display();
+        println!("{old}: already of the new shape, nothing is written");
+        return Ok(false);
     };
-    let told = read().and_then(|carried| match carried {
-        None => {
-            println!(
-                "{}: already of the new shape, nothing is written",
-                old.display()
-            );
-            Ok(false)
-        }
-        Some(carried) => {
-            if let Some(file) = output.filter(|_| !dry_run) {
-                write(file, &carried.new)?;
-                println!("written: {}", file.display());
-            } else {
-                println!("nothing is written; it would be:\n{:#}", carried.new);
-            }
-            carried
-                .moves
-                .iter()
-                .for_each(|line| println!("to move: {line}"));
-            carried
-                .left_out
-                .iter()
-                .for_each(|line| println!("left out: {line}"));
-            Ok(!carried.left_out.is_empty())
-        }
-    });
-    match told {
-        Ok(left_out) => ExitCode::from(if left_out { LEFT_OUT } else { 0 }),
-        Err(message) => {
-            eprintln!("linenthread: {message}");
-            ExitCode::from(2)
+    if let Some(file) = output.filter(|_| !dry_run) {
+        write(file, &converted.new)?;
+        println!("written: {}", file.display());
+    } else {
+        println!("nothing is written; it would be:\n{:#}", converted.new);
+    }
+    for line in &converted.moves {
+        println!("to move: {line}");
+    }
+    for line in &converted.left_out {
+        println!("left out: {line}");
+    }
+    Ok(!converted.left_out.is_empty())
+}
+
+/// Runs the command: exit code 0, 3 if something was left out, 2 if nothing could be written.
+pub(crate) fn run(old: &Path, output: Option<&Path>, dry_run: bool) -> ExitCode {
+    match migrate(old, output, dry_run) {
+        Ok(true) => ExitCode::from(LEFT_OUT),
+        Ok(false) => ExitCode::SUCCESS,
+        Err(error) => {
+            eprintln!("linenthread: {error}");
+            ExitCode::from(FAILED)
         }
     }
 }
--- /dev/null
+++ b/crates/linenthread-service/src/serve/fleet_member.rs
@@ -0,0 +1,89 @@
+//! The fleet's thread and the dispatcher: observations go to the one, routing tables to the other.
+
+use std::time::{Duration, SystemTime, UNIX_EPOCH};
+
+use linenthread_installation::{Fleet, Zones};
+use linenthread_link::Secrets;
+use tokio::sync::mpsc;
+use tokio::time::{interval, sleep};
+use tracing::{info, warn};
+
+use crate::config::Config;
+use crate::desk::Desk;
+use crate::fleet::{self, FleetHandle, FromFleet, MemberConfig, StartError, ToFleet};
+
+/// Time between two messages of observations to the fleet's thread.
+const OBSERVATION_INTERVAL: Duration = Duration::from_millis(500);
+/// Longest wait, in milliseconds, for a table to become valid: clocks that are far apart are not waited for.
+const MAX_TABLE_WAIT_MS: u128 = 1_000;
+/// Descriptors of a member besides those of its connections.
+const MEMBER_DESCRIPTORS: usize = 4;
+
+/// Most descriptors that a member of this fleet may need.
+pub(super) fn descriptors(fleet: &Fleet) -> usize {
+    MEMBER_DESCRIPTORS + fleet.voters.len() * 2 + fleet.expected_members as usize
+}
+
+/// Joins the fleet and connects its thread to the dispatcher.
+///
+/// # Errors
+///
+/// The fleet's thread could not start.
+pub(super) fn join(
+    config: &Config,
+    desk: &Desk,
+    fleet: Fleet,
+    zones: Option<Zones>,
+    secrets: Secrets,
+) -> Result<FleetHandle, StartError> {
+    let (from_fleet, received) = mpsc::unbounded_channel();
+    let member = MemberConfig {
+        name: config.name.clone(),
+        fleet,
+        zones,
+        secrets,
+        seed: config.seed.rotate_left(17),
+    };
+    let handle = fleet::start(member, desk.clock(), from_fleet)?;
+    actix_rt::spawn(exchange(desk.clone(), handle.sender.clone(), received));
+    Ok(handle)
+}
+
+async fn exchange(
+    desk: Desk,
+    to_fleet: mpsc::UnboundedSender<ToFleet>,
+    mut received: mpsc::UnboundedReceiver<FromFleet>,
+) {
+    let mut observations = interval(OBSERVATION_INTERVAL);
+    loop {
+        tokio::select! {
+            _ = observations.tick() => {
+                if let Some((report, topology)) = desk.seen()
+                    && to_fleet.send(ToFleet::Observed(report, topology)).is_err()
+                {
+                    warn!("the fleet's thread has ended: decides alone");
+                    return;
+                }
+            }
+            Some(FromFleet::Table { number, table }) = received.recv() => {
+                sleep(time_until(table.valid_from_ms)).await;
+                let rows = table.rows.clone();
+                if desk.take_table(table) {
+                    info!(number, ?rows, "acts on a table");
+                } else {
+                    warn!(number, "a table of other zones than this file has is not acted on");
+                }
+            }
+        }
+    }
+}
+
+/// Time until a moment of the system's clock, bounded by [`MAX_TABLE_WAIT_MS`].
+fn time_until(valid_from_ms: u64) -> Duration {
+    let unix_ms = SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .unwrap_or_default()
+        .as_millis();
+    let wait_ms = u128::from(valid_from_ms).saturating_sub(unix_ms);
+    Duration::from_millis(wait_ms.min(MAX_TABLE_WAIT_MS) as u64)
+}
--- /dev/null
+++ b/crates/linenthread-service/src/serve/links.rs
@@ -0,0 +1,105 @@
+//! Links between processes: those to the configured peers, and the gateway for those that come in.
+
+use std::time::Duration;
+
+use linenthread_installation as file;
+use linenthread_link::{ClientConfig, LinkServer, Secrets, ServerConfig};
+use snafu::ResultExt;
+use tokio::sync::mpsc;
+use tracing::info;
+
+use super::error::{ListenForLinksSnafu, ServeError};
+use crate::carriers::{Carriers, link as far};
+use crate::config::Config;
+use crate::desk::Desk;
+use crate::duration::tenth_millis;
+use crate::fronts::link::{self, Gateway};
+
+/// Bytes of calls that may wait for one link.
+const MAX_QUEUED_BYTES: u64 = 8 * 1024 * 1024;
+/// First pause before a link is dialled again.
+const MIN_BACKOFF: Duration = Duration::from_millis(50);
+/// Longest pause before a link is dialled again.
+const MAX_BACKOFF: Duration = Duration::from_millis(500);
+/// Time for the handshake of a link that comes in.
+const HANDSHAKE_TIMEOUT: Duration = Duration::from_millis(2_000);
+/// A connection of a link that sends nothing for so long is closed.
+const IDLE_TIMEOUT: Duration = Duration::from_millis(10_000);
+
+/// Descriptors that links need: one for each peer, and for a gateway its listener and two for each session.
+pub(super) fn descriptors(peer_count: usize, gateway: Option<&file::Gateway>) -> usize {
+    peer_count + gateway.map_or(0, |gateway| 2 * gateway.max_sessions + 1)
+}
+
+/// Starts the link to one peer; `seed` must differ between the links of a process.
+pub(super) fn start_peer(
+    config: &Config,
+    desk: &Desk,
+    carriers: &Carriers,
+    (peer, secrets): (file::Peer, Secrets),
+    seed: u64,
+) {
+    let number = desk.add_peer();
+    let (changes, mut news) = mpsc::unbounded_channel();
+    let near = ClientConfig {
+        name: config.name.clone(),
+        max_in_flight: peer.max_in_flight,
+        max_queued_bytes: MAX_QUEUED_BYTES,
+        session_timeout: tenth_millis(peer.session_timeout),
+        ping_interval: tenth_millis(peer.ping_interval),
+        grace_period: tenth_millis(peer.grace_period),
+        min_backoff: tenth_millis(MIN_BACKOFF),
+        max_backoff: tenth_millis(MAX_BACKOFF),
+    };
+    let terms = far::Terms {
+        name: peer.name,
+        address: peer.address,
+        secrets,
+        near,
+        seed,
+    };
+    carriers.add_peer(far::Peer::start(terms, desk.clock(), changes));
+    let desk = desk.clone();
+    actix_rt::spawn(async move {
+        while let Some(news) = news.recv().await {
+            desk.hear_peer(number, news);
+        }
+    });
+}
+
+/// Starts to accept links.
+///
+/// # Errors
+///
+/// It cannot listen on the gateway's address.
+pub(super) fn start_gateway(
+    config: &Config,
+    desk: &Desk,
+    carriers: &Carriers,
+    gateway: &file::Gateway,
+    secrets: Secrets,
+) -> Result<Gateway, ServeError> {
+    let address = gateway.listen;
+    let listener = link::listen(address).context(ListenForLinksSnafu { address })?;
+    let listen = listener.local_addr().unwrap_or(address);
+    let server_config = ServerConfig {
+        name: config.name.clone(),
+        window_calls: gateway.window_calls,
+        window_bytes: gateway.window_bytes,
+        session_timeout: tenth_millis(gateway.session_timeout),
+        max_sessions: gateway.max_sessions,
+        handshake_timeout: tenth_millis(HANDSHAKE_TIMEOUT),
+        idle_timeout: tenth_millis(IDLE_TIMEOUT),
+    };
+    let server = LinkServer::new(server_config, secrets, config.seed);
+    let gateway = Gateway::new(
+        desk.clone(),
+        carriers.clone(),
+        server,
+        gateway.slow_start_share,
+    );
+    let accepting = gateway.clone();
+    actix_rt::spawn(async move { accepting.run(&listener).await });
+    info!(%listen, "gateway");
+    Ok(gateway)
+}
--- /dev/null
+++ b/crates/linenthread-service/src/serve/mod.rs
@@ -0,0 +1,233 @@
+//! `linenthread serve`: puts the parts of the process together and runs it until it is told to stop.
+
+mod error;
+mod fleet_member;
+mod links;
+
+use std::cell::RefCell;
+use std::net::SocketAddr;
+use std::path::Path;
+use std::rc::Rc;
+use std::time::Duration;
+
+use linenthread_installation::{Fleet, Zones};
+use linenthread_link::Secrets;
+use snafu::ResultExt;
+use tokio::signal::unix::{Signal, SignalKind, signal};
+use tokio::sync::watch;
+use tracing::info;
+
+use crate::carriers::Carriers;
+use crate::carriers::call::Limits;
+use crate::clock;
+use crate::config::Config;
+use crate::desk::Desk;
+use crate::duration::tenth_millis;
+use crate::fleet::{self, ToFleet};
+use crate::fronts::http::{self, Front};
+use crate::gather::{Gathering, Merging};
+use crate::installation::InstallationSettings;
+use crate::lookup::Work;
+use crate::roster;
+use crate::zone_routing::ZoneRouting;
+
+pub(crate) use error::ServeError;
+use error::{FleetSnafu, ListenSnafu, SignalsSnafu};
+
+/// Descriptors that are neither a client's nor a replica's: standard streams, the listener, service discovery's
+/// and the runtime's own.
+const OWN_DESCRIPTORS: usize = 24;
+/// Time that calls of links may still take after the signal to stop.
+const LINKS_DRAIN: Duration = Duration::from_millis(1_500);
+
+/// The files that a running process reads again on SIGHUP.
+#[derive(Clone, Copy)]
+pub(crate) struct ReloadedFiles<'a> {
+    pub config: &'a Path,
+    pub installation: Option<&'a Path>,
+}
+
+/// The signals that a running process handles.
+struct Signals {
+    terminate: Signal,
+    interrupt: Signal,
+    hangup: Signal,
+}
+
+impl Signals {
+    fn new() -> Result<Signals, ServeError> {
+        Ok(Signals {
+            terminate: signal(SignalKind::terminate()).context(SignalsSnafu)?,
+            interrupt: signal(SignalKind::interrupt()).context(SignalsSnafu)?,
+            hangup: signal(SignalKind::hangup()).context(SignalsSnafu)?,
+        })
+    }
+}
+
+/// Serves until SIGTERM or SIGINT, then answers all queries that it has accepted. `ready` is called with the address
+/// that it listens on.
+///
+/// # Errors
+///
+/// It could not start, or an essential task has failed.
+pub(crate) async fn serve(
+    config: Config,
+    settings: InstallationSettings,
+    files: ReloadedFiles<'_>,
+    ready: impl FnOnce(SocketAddr),
+) -> Result<(), ServeError> {
+    let address = config.listen;
+    let listener = http::listen(address).context(ListenSnafu { address })?;
+    let mut signals = Signals::new()?;
+    let carriers = carriers(&config);
+    let desk = dispatcher(
+        &config,
+        &carriers,
+        settings.fleet.as_ref(),
+        settings.zones.as_ref(),
+    );
+    let for_fleet = settings
+        .fleet
+        .as_ref()
+        .map_or(0, |(fleet, _)| fleet_member::descriptors(fleet));
+    let fleet = match settings.fleet {
+        Some((fleet, secrets)) => {
+            let joined = fleet_member::join(&config, &desk, fleet, settings.zones, secrets);
+            Some(joined.context(FleetSnafu)?)
+        }
+        None => None,
+    };
+    let mut decisions = actix_rt::spawn(desk.clone().run());
+    let (discovery_address, watched_address) = watch::channel(config.discovery);
+    let mut discovery = actix_rt::spawn(roster::watch(
+        desk.clone(),
+        watched_address,
+        config.deployment.layout.replica_groups,
+        !config.deployment.watch_membership,
+    ));
+    let gateway = settings.gateway.as_ref().map(|(gateway, _)| gateway);
+    let for_links = links::descriptors(settings.peers.len(), gateway);
+    for (n, peer) in settings.peers.into_iter().enumerate() {
+        let seed = config.seed.wrapping_add(1 + n as u64);
+        links::start_peer(&config, &desk, &carriers, peer, seed);
+    }
+    let gateway = match settings.gateway {
+        Some((gateway, secrets)) => Some(links::start_gateway(
+            &config, &desk, &carriers, &gateway, secrets,
+        )?),
+        None => None,
+    };
+    let work = Rc::new(work(&config, desk, carriers, settings.merging));
+    let other_descriptors = replica_descriptors(&config) + for_fleet + for_links + OWN_DESCRIPTORS;
+    let max_clients = config.sockets.saturating_sub(other_descriptors).max(1);
+    let front = Front::new(work.clone(), max_clients, config.sockets / 6);
+    let listen = listener.local_addr().unwrap_or(config.listen);
+    let merged = work.gathering.merging.borrow().count();
+    info!(name = config.name, %listen, roster = %config.discovery, merged, "serving");
+    ready(listen);
+    tokio::select! {
+        () = front.accept(&listener) => {}
+        () = front.sweep() => {}
+        _ = &mut decisions => return Err(ServeError::Decisions),
+        _ = &mut discovery => return Err(ServeError::ServiceDiscovery),
+        _ = signals.terminate.recv() => {}
+        _ = signals.interrupt.recv() => {}
+        () = reload(&mut signals.hangup, &config, files, &discovery_address, &work) => {}
+    }
+    if let Some(fleet) = &fleet {
+        fleet.sender.send(ToFleet::Leave).ok();
+    }
+    if let Some(gateway) = gateway {
+        gateway.leave(LINKS_DRAIN).await;
+    }
+    front.stop(listener).await;
+    if let Some(fleet) = &fleet {
+        fleet.leave();
+    }
+    Ok(())
+}
+
+/// Descriptors reserved for replicas, before those for clients: a quarter of all, or two a replica. More replicas may
+/// be discovered later, so at most half is reserved.
+fn replica_descriptors(config: &Config) -> usize {
+    (config.sockets / 4)
+        .max(config.remembered.replicas.len() * 2)
+        .min(config.sockets / 2)
+}
+
+fn carriers(config: &Config) -> Carriers {
+    let surroundings = &config.surroundings;
+    let connect = clock::span(surroundings.connect_timeout.max(1));
+    let idle = clock::span(surroundings.idle_timeout.max(1));
+    Carriers::new(Limits {
+        streams: surroundings.max_streams,
+        withdraw: config.deployment.permissions.cancellation,
+        connect,
+        probe: connect,
+        idle: idle - idle / 8,
+        connections: replica_descriptors(config),
+    })
+}
+
+/// The dispatcher, which routes between zones if this process is in a fleet that has them.
+fn dispatcher(
+    config: &Config,
+    carriers: &Carriers,
+    fleet: Option<&(Fleet, Secrets)>,
+    zones: Option<&Zones>,
+) -> Desk {
+    let zone_list = zones.iter().flat_map(|zones| &zones.zones);
+    let names: Vec<String> = zone_list.map(|zone| zone.name.clone()).collect();
+    Desk::new(config, carriers.clone(), &names, |sites| {
+        let ((fleet, _), zones) = (fleet?, zones?);
+        let layout = config.deployment.layout.clone();
+        Some(ZoneRouting::new(
+            fleet::configured_zones(zones),
+            &fleet.zone,
+            tenth_millis(zones.table_lifetime),
+            sites,
+            (layout, config.surroundings.shard_count),
+        ))
+    })
+}
+
+fn work(config: &Config, desk: Desk, carriers: Carriers, merging: Merging) -> Work {
+    let indexes = config.deployment.indexes.iter();
+    Work {
+        desk,
+        carriers,
+        surroundings: config.surroundings.clone(),
+        withdraw: config.deployment.permissions.cancellation,
+        gains: indexes
+            .map(|index| (index.value * 1_000.0) as u32)
+            .collect(),
+        gathering: Gathering {
+            merging: RefCell::new(Rc::new(merging)),
+            ..Gathering::default()
+        },
+        open: RefCell::default(),
+    }
+}
+
+/// Reads the files again on each SIGHUP.
+async fn reload(
+    hangup: &mut Signal,
+    config: &Config,
+    files: ReloadedFiles<'_>,
+    discovery_address: &watch::Sender<SocketAddr>,
+    work: &Work,
+) {
+    loop {
+        hangup.recv().await;
+        if let Some(new) = config.reload(files.config) {
+            discovery_address.send_if_modified(|address| std::mem::replace(address, new) != new);
+        }
+        // Queries in progress go on with the plans that they began with.
+        if let Some(new) = files
+            .installation
+            .and_then(|file| InstallationSettings::reload(file, config))
+        {
+            work.gathering.merging.replace(new);
+        }
+    }
+}
--- a/crates/linenthread-service/src/zones_command.rs
+++ b/crates/linenthread-service/src/zones_command.rs
@@ -8,7 +8,6 @@
 
 use linenthread_core::interface::TenthMillis;
 use linenthread_fleet::{Fleet, FleetAction, FleetConfig, NodeIdentity};
-use linenthread_frames::Secrets;
 use linenthread_installation::Installation;
 use linenthread_store::Directory;
 use linenthread_zones::RoutingTable;
@@ -166,8 +165,8 @@
     let fleet = read
         .fleet
         .ok_or_else(|| format!("{}: there is no <fleet>", file.display()))?;
-    let secrets = Secrets::new(installation::secrets(&fleet.secret_files)?)
-        .map_err(|error| error.to_string())?;
+    let secrets =
+        installation::link_secrets(&fleet.secret_files).map_err(|error| error.to_string())?;
     let own = NodeIdentity::unknown(&format!("operator-{}", std::process::id()), fleet.address);
     let voters = fleet
         .voters
