--- a/crates/linenthread-service/src/demo.rs
+++ b/crates/linenthread-service/src/demo.rs
@@ -5,7 +5,7 @@
 use std::path::PathBuf;
 use std::process::ExitCode;
 use std::thread;
-use std::time::Duration;
+use std::time::{Duration, Instant};
 
 use linenthread_stand_ins::ledger::{Hosts, How, INSTALLATION, Ledger};
 use linenthread_stand_ins::rig::{Plan, Rig};
@@ -284,88 +284,100 @@
     }
 }
 
-/// Three zones of a co-ordinator and two replicas each, which decide in common: one is killed and comes back.
+/// Runs the demo of three zones in a thread, which ends with a panic's message if what it awaits does not come.
 fn run_zones(seed: u64) -> ExitCode {
     let exe = match std::env::current_exe() {
         Ok(exe) => exe.to_string_lossy().into_owned(),
-        Err(e) => {
-            eprintln!("linenthread: {e}");
+        Err(error) => {
+            eprintln!("linenthread: {error}");
             return ExitCode::FAILURE;
         }
     };
-    // What was awaited and did not come ends the thread with its own words.
-    let shown = thread::spawn(move || {
-        let plan = Plan {
-            seed,
-            ..Plan::default()
-        };
-        let names: Vec<&str> = plan.zones.iter().map(|(name, _)| *name).collect();
-        println!(
-            "Three co-ordinators in {} found a fleet and a record.",
-            names.join(", ")
-        );
-        let mut rig = Rig::started(&exe, plan);
-        rig.ask_all_along(25);
-        rig.whole_again(&[0, 1, 2], 20);
-        let since = rig.ran();
-        rig.whole_again(&[0, 1, 2], 40);
-        println!("All act on one table; parts stay in the zones that hold their shards:");
-        print_flows(&rig, &names, since);
-        let lost = 2;
-        let from = [rig.said(0), rig.said(1)];
-        println!(
-            "\n{} is killed, its co-ordinator and its replicas.",
-            names[lost]
-        );
-        let began = std::time::Instant::now();
-        for node in rig.zone(lost) {
-            rig.net.down(node, true);
-            if node < rig.count() {
-                rig.kill(node, false);
-            }
-        }
-        for n in [0, 1] {
-            rig.acts(n, from[n], (n, lost), |share, _| share == 0);
-        }
-        println!(
-            "After {:.1} s all others act on a table without it:",
-            began.elapsed().as_secs_f64()
-        );
-        let since = rig.ran();
-        rig.whole_again(&[0, 1], 30);
-        print_flows(&rig, &names, since);
-        println!("Service is whole again in {} and {}.\n", names[0], names[1]);
-        let from = rig.said(0);
-        println!("{} is started again.", names[lost]);
-        let began = std::time::Instant::now();
-        for node in rig.zone(lost) {
-            rig.net.down(node, false);
-            if node < rig.count() {
-                rig.start(node);
-            }
-        }
-        rig.acts(0, from, (0, lost), |share, reason| {
-            share == 1_000 && reason == "Healthy"
-        });
-        println!(
-            "After {:.1} s it was taken back, step by step.",
-            began.elapsed().as_secs_f64()
-        );
-        rig.whole_again(&[0, 1, 2], 20);
-        let breaches = rig.judge();
-        println!(
-            "{} lookups, {} breaches of the rules.",
-            rig.told().len(),
-            breaches.len()
-        );
-        breaches.is_empty()
-    });
-    match shown.join() {
+    match thread::spawn(move || show_zones(&exe, seed)).join() {
         Ok(true) => ExitCode::SUCCESS,
         _ => ExitCode::FAILURE,
     }
 }
 
+/// Three zones, each of a co-ordinator and two replicas, with a common routing table: one is killed and comes back.
+/// Gives whether all rules were kept.
+fn show_zones(exe: &str, seed: u64) -> bool {
+    let plan = Plan {
+        seed,
+        ..Plan::default()
+    };
+    let names: Vec<&str> = plan.zones.iter().map(|(name, _)| *name).collect();
+    println!(
+        "Three co-ordinators in {} found a fleet and a record.",
+        names.join(", ")
+    );
+    let mut rig = Rig::started(exe, plan);
+    rig.ask_all_along(25);
+    rig.whole_again(&[0, 1, 2], 20);
+    let since = rig.ran();
+    rig.whole_again(&[0, 1, 2], 40);
+    println!("All act on one table; parts stay in the zones that hold their shards:");
+    print_flows(&rig, &names, since);
+    let lost = 2;
+    lose_zone(&mut rig, &names, lost);
+    restore_zone(&mut rig, &names, lost);
+    let breaches = rig.judge();
+    println!(
+        "{} lookups, {} breaches of the rules.",
+        rig.told().len(),
+        breaches.len()
+    );
+    breaches.is_empty()
+}
+
+/// Kills a zone and waits until the others act on a table without it.
+fn lose_zone(rig: &mut Rig, names: &[&str], lost: usize) {
+    let from = [rig.said(0), rig.said(1)];
+    println!(
+        "\n{} is killed, its co-ordinator and its replicas.",
+        names[lost]
+    );
+    let began = Instant::now();
+    for node in rig.zone(lost) {
+        rig.net.down(node, true);
+        if node < rig.count() {
+            rig.kill(node, false);
+        }
+    }
+    for n in [0, 1] {
+        rig.acts(n, from[n], (n, lost), |share, _| share == 0);
+    }
+    println!(
+        "After {:.1} s all others act on a table without it:",
+        began.elapsed().as_secs_f64()
+    );
+    let since = rig.ran();
+    rig.whole_again(&[0, 1], 30);
+    print_flows(rig, names, since);
+    println!("Service is whole again in {} and {}.\n", names[0], names[1]);
+}
+
+/// Starts a zone again and waits until all keys are routed to it.
+fn restore_zone(rig: &mut Rig, names: &[&str], lost: usize) {
+    let from = rig.said(0);
+    println!("{} is started again.", names[lost]);
+    let began = Instant::now();
+    for node in rig.zone(lost) {
+        rig.net.down(node, false);
+        if node < rig.count() {
+            rig.start(node);
+        }
+    }
+    rig.acts(0, from, (0, lost), |share, reason| {
+        share == 1_000 && reason == "Healthy"
+    });
+    println!(
+        "After {:.1} s it was taken back, step by step.",
+        began.elapsed().as_secs_f64()
+    );
+    rig.whole_again(&[0, 1, 2], 20);
+}
+
 /// Waits until there are replicas to ask: a link takes a moment to come up.
 fn reached(address: SocketAddr) -> bool {
     let ask = |n: usize| {
--- a/crates/linenthread-service/src/zones_command.rs
+++ b/crates/linenthread-service/src/zones_command.rs
@@ -1,23 +1,60 @@
-//! `linenthread zones`: an operator looks at the table that is acted on, or has a zone left or taken back. It follows
-//! a voter for a moment, as any process of the fleet that is none itself.
+//! `linenthread zones`: shows the routing table that the fleet acts on, drains a zone or takes it back. The command
+//! follows a voter for a moment, as every process of the fleet does that is no voter itself.
 
 use std::io::{ErrorKind, Read, Write};
-use std::net::TcpStream;
-use std::path::Path;
-use std::time::{Duration, Instant};
+use std::net::{SocketAddr, TcpStream};
+use std::path::{Path, PathBuf};
+use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 use linenthread_core::interface::TenthMillis;
-use linenthread_fleet::{Fleet, FleetAction, FleetConfig, NodeIdentity};
-use linenthread_installation::Installation;
+use linenthread_fleet::{Fleet, FleetAction, FleetConfig, NodeIdentity, OpenError};
+use linenthread_installation::{Installation, KnownIndex, ReadFileError};
 use linenthread_store::Directory;
 use linenthread_zones::RoutingTable;
+use snafu::{OptionExt, ResultExt, Snafu, ensure};
 
 use crate::fleet::{ORDERS_TOPIC, Orders, TABLE_TOPIC, encode_order};
-use crate::installation;
+use crate::installation::{self, InstallationError};
 
-/// So long it waits for an answer, and so long for more values after the first ones.
-const PATIENCE: Duration = Duration::from_secs(10);
-const QUIET: Duration = Duration::from_millis(400);
+/// Time within which the command must succeed.
+const COMMAND_TIMEOUT: Duration = Duration::from_secs(10);
+/// Once no further value came for so long, all committed ones are here.
+const QUIET_PERIOD: Duration = Duration::from_millis(400);
+/// Time until an order that was not carried out is sent again.
+const RESEND_INTERVAL: Duration = Duration::from_secs(2);
+/// Time for a connection to a voter.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
+/// Longest wait for bytes before timers are looked at again.
+const READ_TIMEOUT: Duration = Duration::from_millis(50);
+/// Pause while there is no connection.
+const RECONNECT_PAUSE: Duration = Duration::from_millis(20);
+/// Size of the read buffer.
+const READ_BUFFER_BYTES: usize = 64 * 1024;
+/// The command's clock starts here: 0 stands for long ago.
+const EPOCH: TenthMillis = 1_000_000;
+/// Probe interval of a member that takes no part in gossip: longer than it lives.
+const PROBE_INTERVAL: TenthMillis = 60_000;
+
+/// Why the command has failed. Each message is one line.
+#[derive(Debug, Snafu)]
+pub(crate) enum ZonesError {
+    #[snafu(display("{source}"), context(false))]
+    File { source: ReadFileError },
+    #[snafu(display("{}: there is no <fleet>", file.display()))]
+    NoFleet { file: PathBuf },
+    #[snafu(display("{source}"), context(false))]
+    Secrets { source: InstallationError },
+    #[snafu(display("{source}"))]
+    Follow { source: OpenError },
+    #[snafu(display("refused: {reason}"))]
+    Refused { reason: String },
+    #[snafu(display(
+        "nobody who leads has answered: nothing was agreed on, as far as is known here"
+    ))]
+    NoLeader,
+    #[snafu(display("no voter could be reached, or nothing was agreed on yet"))]
+    NoVoter,
+}
 
 /// What an operator asks of the fleet.
 #[derive(Clone, Debug)]
@@ -30,96 +67,150 @@
     Return(String),
 }
 
-struct Line {
+/// A connection to a voter and its number in the state machine.
+struct Connection {
+    number: u64,
+    stream: TcpStream,
+}
+
+/// Follows the fleet's log over one connection at a time.
+struct Follower {
     fleet: Fleet<Directory>,
-    stream: Option<(u64, TcpStream)>,
-    began: Instant,
+    connection: Option<Connection>,
+    started: Instant,
+    /// When the latest committed value was received.
+    received_at: Option<Instant>,
 }
 
-impl Line {
+impl Follower {
+    /// Connects to a voter of the installation file's fleet.
+    fn start(file: &Path, seed: u64) -> Result<Follower, ZonesError> {
+        let known = |_: &str| Some(KnownIndex { min_share: 0.0 });
+        let fleet = Installation::read_file(file, &known)?.fleet;
+        let fleet = fleet.context(NoFleetSnafu { file })?;
+        let secrets = installation::link_secrets(&fleet.secret_files)?;
+        let name = format!("operator-{}", std::process::id());
+        let voters = fleet.voters.into_iter();
+        let config = FleetConfig {
+            local: NodeIdentity::unknown(&name, fleet.address),
+            voters: voters.map(|voter| (voter.name, voter.address)).collect(),
+            expected_members: fleet.expected_members,
+            probe_interval: PROBE_INTERVAL,
+        };
+        let started = Instant::now();
+        let mut actions = Vec::new();
+        let fleet =
+            Fleet::new(config, None, secrets, seed, EPOCH, &mut actions).context(FollowSnafu)?;
+        let mut follower = Follower {
+            fleet,
+            connection: None,
+            started,
+            received_at: None,
+        };
+        follower.execute(actions);
+        Ok(follower)
+    }
+
     fn now(&self) -> TenthMillis {
-        1_000_000 + (self.began.elapsed().as_micros() / 100) as TenthMillis
+        EPOCH + (self.started.elapsed().as_micros() / 100) as TenthMillis
     }
 
-    /// Does what the machine says. Gossip is not for one that stays a moment.
-    fn obey(&mut self, all: Vec<FleetAction>) -> bool {
-        let mut agreed = false;
-        let mut todo = all;
-        while !todo.is_empty() {
+    /// Carries out actions and those that follow from them. Gossip is not for a process that lives for a moment.
+    fn execute(&mut self, actions: Vec<FleetAction>) {
+        let mut pending = actions;
+        while !pending.is_empty() {
             let mut next = Vec::new();
-            for one in std::mem::take(&mut todo) {
-                match one {
+            for action in pending {
+                match action {
                     FleetAction::Dial {
                         connection,
                         address,
-                    } => match TcpStream::connect_timeout(&address, Duration::from_secs(1)) {
-                        Ok(stream) => self.stream = Some((connection, stream)),
-                        Err(_) => self.fleet.on_closed(self.now(), connection, &mut next),
-                    },
+                    } => self.dial(connection, address, &mut next),
                     FleetAction::Write { connection, bytes } => {
-                        let sent = match &mut self.stream {
-                            Some((number, stream)) if *number == connection => {
-                                stream.write_all(&bytes).is_ok()
-                            }
-                            _ => true,
-                        };
-                        if !sent {
-                            self.stream = None;
-                            self.fleet.on_closed(self.now(), connection, &mut next);
-                        }
+                        self.write(connection, &bytes, &mut next);
                     }
-                    FleetAction::Close { connection, .. } => {
-                        self.stream = None;
-                        self.fleet.on_closed(self.now(), connection, &mut next);
-                    }
-                    FleetAction::Committed(_) => agreed = true,
+                    FleetAction::Close { connection, .. } => self.close(connection, &mut next),
+                    FleetAction::Committed(_) => self.received_at = Some(Instant::now()),
                     _ => {}
                 }
             }
-            todo = next;
+            pending = next;
+        }
+    }
+
+    fn dial(&mut self, number: u64, address: SocketAddr, next: &mut Vec<FleetAction>) {
+        match TcpStream::connect_timeout(&address, CONNECT_TIMEOUT) {
+            Ok(stream) => self.connection = Some(Connection { number, stream }),
+            Err(_) => self.fleet.on_closed(self.now(), number, next),
+        }
+    }
+
+    fn write(&mut self, number: u64, bytes: &[u8], next: &mut Vec<FleetAction>) {
+        let connection = self.connection.as_mut();
+        let connection = connection.filter(|connection| connection.number == number);
+        if connection.is_some_and(|connection| connection.stream.write_all(bytes).is_err()) {
+            self.close(number, next);
         }
-        agreed
     }
 
-    /// One turn; whether something that was agreed on came.
-    fn turn(&mut self) -> bool {
-        let (now, mut to) = (self.now(), Vec::new());
-        self.fleet.wake(now, &mut to);
-        let mut agreed = self.obey(to);
-        let mut buffer = [0; 64 * 1024];
-        let Some((number, stream)) = &mut self.stream else {
-            std::thread::sleep(Duration::from_millis(20));
-            return agreed;
+    fn close(&mut self, number: u64, next: &mut Vec<FleetAction>) {
+        self.connection = None;
+        self.fleet.on_closed(self.now(), number, next);
+    }
+
+    /// Runs timers and waits a moment for bytes.
+    fn poll(&mut self) {
+        let (now, mut actions) = (self.now(), Vec::new());
+        self.fleet.wake(now, &mut actions);
+        self.execute(actions);
+        let Some(Connection { number, stream }) = &mut self.connection else {
+            std::thread::sleep(RECONNECT_PAUSE);
+            return;
         };
         let number = *number;
-        stream
-            .set_read_timeout(Some(Duration::from_millis(50)))
-            .ok();
+        let mut buffer = [0; READ_BUFFER_BYTES];
+        stream.set_read_timeout(Some(READ_TIMEOUT)).ok();
         let read = stream.read(&mut buffer);
-        let (now, mut to) = (self.now(), Vec::new());
+        let (now, mut actions) = (self.now(), Vec::new());
         match read {
-            Ok(n) if n > 0 => self.fleet.on_received(now, number, &buffer[..n], &mut to),
-            Err(e) if matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => {}
-            _ => {
-                self.stream = None;
-                self.fleet.on_closed(now, number, &mut to);
+            Ok(count) if count > 0 => {
+                let bytes = &buffer[..count];
+                self.fleet.on_received(now, number, bytes, &mut actions);
             }
+            Err(error) if matches!(error.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => {}
+            _ => self.close(number, &mut actions),
         }
-        agreed |= self.obey(to);
-        agreed
+        self.execute(actions);
     }
 
     fn orders(&self) -> Orders {
-        self.fleet
-            .table()
-            .value(ORDERS_TOPIC)
-            .and_then(|(_, v)| Orders::decode(v).ok())
+        let committed = self.fleet.table().value(ORDERS_TOPIC);
+        committed
+            .and_then(|(_, value)| Orders::decode(value).ok())
             .unwrap_or_default()
     }
+
+    /// Whether values were received, and no more come.
+    fn is_up_to_date(&self) -> bool {
+        self.received_at
+            .is_some_and(|received| received.elapsed() > QUIET_PERIOD)
+    }
+
+    fn is_timed_out(&self) -> bool {
+        self.started.elapsed() >= COMMAND_TIMEOUT
+    }
+
+    fn timeout_error(&self) -> ZonesError {
+        match self.received_at {
+            Some(_) => ZonesError::NoLeader,
+            None => ZonesError::NoVoter,
+        }
+    }
 }
 
-fn show(line: &Line) -> String {
-    let Some((number, value)) = line.fleet.table().value(TABLE_TOPIC) else {
+/// The committed routing table as text, one row for each zone.
+fn show(follower: &Follower) -> String {
+    let Some((number, value)) = follower.fleet.table().value(TABLE_TOPIC) else {
         return "no table was agreed on yet: all ways are open, the nearest first".into();
     };
     let Ok(table) = RoutingTable::decode(value) else {
@@ -141,96 +232,73 @@
     for (from, row) in table.zones.iter().zip(&table.rows) {
         text += &format!("\n{from:width$}");
         for route in &row.routes {
-            let word = format!("{} {}", route.share, route.reason);
-            text += &format!("  {word:>width$}");
+            let cell = format!("{} {}", route.share, route.reason);
+            text += &format!("  {cell:>width$}");
         }
     }
-    let drained: Vec<String> = line.orders().drained.into_iter().collect();
+    let drained: Vec<String> = follower.orders().drained.into_iter().collect();
     if !drained.is_empty() {
         text += &format!("\nleft by order: {}", drained.join(", "));
     }
     text
 }
 
-/// Carries a wish out and says what became of it.
+/// Has a zone drained or taken back, and waits until the leader has carried the order out.
+fn order(
+    follower: &mut Follower,
+    number: u64,
+    zone: &str,
+    drain: bool,
+) -> Result<String, ZonesError> {
+    let mut sent_at: Option<Instant> = None;
+    while !follower.is_timed_out() {
+        follower.poll();
+        let is_due = sent_at.is_none_or(|sent| sent.elapsed() > RESEND_INTERVAL);
+        if follower.received_at.is_some() && is_due {
+            sent_at = Some(Instant::now());
+            let mut actions = Vec::new();
+            let order = encode_order(number, zone, drain);
+            follower.fleet.report(order, &mut actions);
+            follower.execute(actions);
+        }
+        let Orders { last, refused, .. } = follower.orders();
+        if last == number {
+            ensure!(refused.is_empty(), RefusedSnafu { reason: refused });
+            let outcome = if drain { "is left" } else { "returns in steps" };
+            return Ok(format!("zone {zone} {outcome}: agreed on"));
+        }
+    }
+    Err(follower.timeout_error())
+}
+
+/// Carries out an operator's action and says what became of it.
 ///
 /// # Errors
 ///
-/// One line: the file is bad, no voter could be reached, or the order was refused.
-pub(crate) fn run(file: &Path, action: &ZonesAction) -> Result<String, String> {
-    let read = Installation::read_file(file, &|_| {
-        Some(linenthread_installation::KnownIndex { min_share: 0.0 })
-    })
-    .map_err(|error| error.to_string())?;
-    let fleet = read
-        .fleet
-        .ok_or_else(|| format!("{}: there is no <fleet>", file.display()))?;
-    let secrets =
-        installation::link_secrets(&fleet.secret_files).map_err(|error| error.to_string())?;
-    let own = NodeIdentity::unknown(&format!("operator-{}", std::process::id()), fleet.address);
-    let voters = fleet
-        .voters
-        .into_iter()
-        .map(|v| (v.name, v.address))
-        .collect();
-    let terms = FleetConfig {
-        local: own,
-        voters,
-        expected_members: fleet.expected_members,
-        probe_interval: 60_000,
-    };
-    let mut to = Vec::new();
-    let began = Instant::now();
-    // What it makes up in handshakes must be new each time.
-    let seed = std::time::SystemTime::now()
-        .duration_since(std::time::UNIX_EPOCH)
-        .unwrap_or_default();
-    let seed = seed.as_nanos() as u64 ^ u64::from(std::process::id()) << 40;
-    let machine = Fleet::new(terms, None, secrets, seed, 1_000_000, &mut to)
-        .map_err(|error| error.to_string())?;
-    let mut line = Line {
-        fleet: machine,
-        stream: None,
-        began,
-    };
-    line.obey(to);
+/// The file is bad, no voter could be reached, or the order was refused.
+pub(crate) fn run(file: &Path, action: &ZonesAction) -> Result<String, ZonesError> {
+    let seed = handshake_seed();
+    let mut follower = Follower::start(file, seed)?;
     let number = seed | 1;
-    let mut asked: Option<Instant> = None;
-    let mut heard: Option<Instant> = None;
-    while began.elapsed() < PATIENCE {
-        if line.turn() {
-            heard = Some(Instant::now());
-        }
-        match action {
-            ZonesAction::Show => {
-                if heard.is_some_and(|at| at.elapsed() > QUIET) {
-                    return Ok(show(&line));
-                }
-            }
-            ZonesAction::Drain(zone) | ZonesAction::Return(zone) => {
-                let drain = matches!(action, ZonesAction::Drain(_));
-                if heard.is_some() && asked.is_none_or(|at| at.elapsed() > Duration::from_secs(2)) {
-                    asked = Some(Instant::now());
-                    let mut to = Vec::new();
-                    line.fleet
-                        .report(encode_order(number, zone, drain), &mut to);
-                    line.obey(to);
-                }
-                let orders = line.orders();
-                if orders.last == number {
-                    let word = if drain { "is left" } else { "returns in steps" };
-                    return match orders.refused.is_empty() {
-                        true => Ok(format!("zone {zone} {word}: agreed on")),
-                        false => Err(format!("refused: {}", orders.refused)),
-                    };
+    match action {
+        ZonesAction::Show => {
+            while !follower.is_timed_out() {
+                follower.poll();
+                if follower.is_up_to_date() {
+                    return Ok(show(&follower));
                 }
             }
+            Err(follower.timeout_error())
         }
+        ZonesAction::Drain(zone) => order(&mut follower, number, zone, true),
+        ZonesAction::Return(zone) => order(&mut follower, number, zone, false),
     }
-    Err(match heard {
-        Some(_) => {
-            "nobody who leads has answered: nothing was agreed on, as far as is known here".into()
-        }
-        None => "no voter could be reached, or nothing was agreed on yet".into(),
-    })
+}
+
+/// A new seed for each run: the random numbers of handshakes must not repeat.
+fn handshake_seed() -> u64 {
+    let unix = SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .unwrap_or_default();
+    unix.as_nanos() as u64 ^ u64::from(std::process::id()) << 40
 }
