--- a/crates/linenthread-service/src/clock.rs
+++ b/crates/linenthread-service/src/clock.rs
@@ -1,19 +1,34 @@
-//! The module's time, made of the machine's: whole tenths of a millisecond that never go back.
+//! The steady clock of the coordinator: tenths of a millisecond, monotonic.
 
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 use linenthread_core::interface::TenthMillis;
 use tokio::time::Instant;
 
-/// The clock starts this far from 0, which stands for long ago.
+/// The reading at the program's start: one hour, so that 0 lies far in the past.
 const EPOCH: TenthMillis = 36_000_000;
 
-/// A length of the module's time.
-pub(crate) fn span(tenths: TenthMillis) -> Duration {
-    Duration::from_micros(tenths.max(0) as u64 * 100)
+/// Microseconds in one unit of the coordinator's time.
+const MICROS_PER_TENTH: u64 = 100;
+
+/// A span of the coordinator's time; a negative one is zero.
+pub(crate) fn to_duration(tenths: TenthMillis) -> Duration {
+    let tenths = u64::try_from(tenths).unwrap_or(0);
+    Duration::from_micros(tenths.saturating_mul(MICROS_PER_TENTH))
+}
+
+/// A duration in the coordinator's unit, rounded down.
+pub(crate) fn to_tenths(duration: Duration) -> TenthMillis {
+    let tenths = duration.as_micros() / u128::from(MICROS_PER_TENTH);
+    TenthMillis::try_from(tenths).unwrap_or(TenthMillis::MAX)
+}
+
+/// A duration in whole milliseconds, rounded up: a time-out as the wire has it.
+pub(crate) fn to_millis_ceil(duration: Duration) -> u64 {
+    u64::try_from(duration.as_micros().div_ceil(1000)).unwrap_or(u64::MAX)
 }
 
-/// Monotonic time as the module has it, and the system's time on the same scale.
+/// Monotonic time in the coordinator's unit, with the system's time at the start for conversions.
 #[derive(Clone, Copy)]
 pub(crate) struct Clock {
     start: Instant,
@@ -21,6 +36,7 @@
 }
 
 impl Clock {
+    /// Starts the clock.
     pub(crate) fn new() -> Self {
         let unix = SystemTime::now()
             .duration_since(UNIX_EPOCH)
@@ -31,16 +47,18 @@
         }
     }
 
+    /// The current reading.
     pub(crate) fn now(&self) -> TenthMillis {
-        EPOCH + (self.start.elapsed().as_micros() / 100) as TenthMillis
+        EPOCH + to_tenths(self.start.elapsed())
     }
 
-    pub(crate) fn at(&self, moment: TenthMillis) -> Instant {
-        self.start + span(moment - EPOCH)
+    /// The runtime's instant of a reading.
+    pub(crate) fn at(&self, reading: TenthMillis) -> Instant {
+        self.start + to_duration(reading - EPOCH)
     }
 
-    /// A moment of the system's time on the module's scale.
-    pub(crate) fn of_unix(&self, ms: f64) -> TenthMillis {
-        EPOCH + ((ms - self.unix_ms) * 10.0).round() as TenthMillis
+    /// The reading at a system time, given in milliseconds since 1970.
+    pub(crate) fn at_unix(&self, unix_ms: f64) -> TenthMillis {
+        EPOCH + ((unix_ms - self.unix_ms) * 10.0).round() as TenthMillis
     }
 }
--- a/crates/linenthread-service/src/main.rs
+++ b/crates/linenthread-service/src/main.rs
@@ -1,21 +1,21 @@
 //! `linenthread`: a co-ordinator of lookups over replicated shards, on sockets.
 
-mod carriers;
 mod clock;
 mod config;
-mod desk;
+mod dispatcher;
 mod first_try;
 mod fleet;
-mod fronts;
-mod gather;
+mod frontends;
 mod log;
-mod lookup;
+mod merge_responses;
 mod migrate;
 mod near;
 mod operator;
 mod own;
-mod roster;
+mod query;
 mod serve;
+mod service_discovery;
+mod transports;
 
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
--- /dev/null
+++ b/crates/linenthread-service/src/merge_responses.rs
@@ -0,0 +1,258 @@
+//! Collects a query's responses and builds its body: values as they are, or merged by the plan of its index.
+
+use std::cell::{Cell, RefCell};
+use std::rc::Rc;
+use std::time::{SystemTime, UNIX_EPOCH};
+
+use linenthread_core::interface::AttemptOutcome;
+use linenthread_merge::{
+    Acceptance, CursorSigner, MergeQuery, Merger, PageRequest, Plan, QueriedShard, QueryError,
+};
+use linenthread_protocol::query::{self as protocol, Page, Query};
+use tracing::warn;
+
+use crate::log::Sparing;
+
+/// The longest reason in a log line, in characters.
+const MAX_LOGGED_REASON_CHARS: usize = 160;
+
+/// Which indexes are merged, and how.
+#[derive(Default)]
+pub(crate) struct MergePlans {
+    /// By the index's position in the settings; `None` where it is not merged.
+    plans: Vec<Option<Plan>>,
+    signer: Option<CursorSigner>,
+}
+
+/// Seconds since 1970, for the lifetime of cursors.
+fn unix_seconds() -> u64 {
+    SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .unwrap_or_default()
+        .as_secs()
+}
+
+impl MergePlans {
+    /// Plans by the index's position in the settings.
+    pub(crate) fn new(plans: Vec<Option<Plan>>, signer: Option<CursorSigner>) -> MergePlans {
+        MergePlans { plans, signer }
+    }
+
+    /// The number of indexes that are merged.
+    pub(crate) fn count(&self) -> usize {
+        self.plans.iter().flatten().count()
+    }
+
+    pub(crate) fn is_merged(&self, index: usize) -> bool {
+        self.plan(index).is_some()
+    }
+
+    fn plan(&self, index: usize) -> Option<&Plan> {
+        self.plans.get(index)?.as_ref()
+    }
+}
+
+/// Counts unusual values of sub-requests, for the log.
+#[derive(Default)]
+pub(crate) struct Anomalies {
+    /// Responses to one sub-request that differ.
+    differing: Cell<u64>,
+    /// Values that cannot be merged.
+    invalid: Cell<u64>,
+    log_lines: Sparing,
+}
+
+impl Anomalies {
+    fn on_differing(&self, source: impl Fn() -> ResponseSource) {
+        let all = increment(&self.differing);
+        if let Some(left_out) = self.log_lines.line() {
+            let ResponseSource { replica, shard } = source();
+            warn!(
+                replica,
+                shard, all, left_out, "copies of a part differ, the first one counts"
+            );
+        }
+    }
+
+    fn on_invalid(&self, reason: &str, source: impl Fn() -> ResponseSource) {
+        let all = increment(&self.invalid);
+        if let Some(left_out) = self.log_lines.line() {
+            let ResponseSource { replica, shard } = source();
+            let why: String = reason.chars().take(MAX_LOGGED_REASON_CHARS).collect();
+            warn!(
+                replica,
+                shard, all, left_out, "a part's value cannot be merged: {why}"
+            );
+        }
+    }
+}
+
+/// Counts one more; returns the new count.
+fn increment(counter: &Cell<u64>) -> u64 {
+    counter.set(counter.get() + 1);
+    counter.get()
+}
+
+/// What merging shares between queries.
+#[derive(Default)]
+pub(crate) struct ResponseMerging {
+    /// Replaced as a whole when the file is read again; a query keeps those that it began with.
+    pub plans: RefCell<Rc<MergePlans>>,
+    pub anomalies: Anomalies,
+}
+
+/// The response of one attempt.
+pub(crate) struct AttemptResponse {
+    /// The sub-request's position in its query.
+    pub sub_request: usize,
+    /// How many continuations of the sub-request came before.
+    pub continuation: u32,
+    pub outcome: AttemptOutcome,
+    /// Empty unless the attempt succeeded.
+    pub value: String,
+}
+
+/// Where a response came from, for the log.
+pub(crate) struct ResponseSource {
+    /// The replica's id.
+    pub replica: String,
+    pub shard: usize,
+}
+
+/// The responses of one query.
+pub(crate) enum ResponseCollector<'a> {
+    /// The first value of each sub-request, as it is.
+    Unmerged(Vec<Option<String>>),
+    Merged {
+        merger: Merger<'a>,
+        signer: Option<&'a CursorSigner>,
+        anomalies: &'a Anomalies,
+    },
+}
+
+impl<'a> ResponseCollector<'a> {
+    /// A collector for a query of an index; `page` is used where the index is merged.
+    ///
+    /// # Errors
+    ///
+    /// Why the page cannot be served.
+    pub(crate) fn new(
+        plans: &'a MergePlans,
+        anomalies: &'a Anomalies,
+        index: usize,
+        shard_count: usize,
+        query: &Query,
+        page: &Page,
+    ) -> Result<Self, QueryError> {
+        let Some(plan) = plans.plan(index) else {
+            return Ok(ResponseCollector::Unmerged(vec![
+                None;
+                query.sub_requests.len()
+            ]));
+        };
+        let shards: Vec<_> = query
+            .sub_requests
+            .iter()
+            .map(|sub_request| QueriedShard {
+                shard: sub_request.shard,
+                weight: sub_request.weight,
+            })
+            .collect();
+        let merge_query = MergeQuery {
+            customer: query.customer.as_deref(),
+            key: query.key.as_deref(),
+            text: &query.body,
+            shards: &shards,
+            shard_count,
+        };
+        let page = PageRequest {
+            rows: page.rows,
+            cursor: page.cursor.clone(),
+        };
+        let signer = plans.signer.as_ref();
+        let merger = Merger::new(plan, &merge_query, &page, signer, unix_seconds())?;
+        Ok(ResponseCollector::Merged {
+            merger,
+            signer,
+            anomalies,
+        })
+    }
+
+    /// What the next attempt at a sub-request asks: the number of continuations before it, and its text.
+    pub(crate) fn request(&self, sub_request: usize, text: &Rc<str>) -> (u32, Rc<str>) {
+        match self {
+            ResponseCollector::Unmerged(_) => (0, text.clone()),
+            ResponseCollector::Merged { merger, .. } => (
+                merger.continuation(sub_request),
+                merger.request_text(sub_request).into(),
+            ),
+        }
+    }
+
+    /// Records a response. Returns the attempt's outcome: an error where its value cannot be merged.
+    pub(crate) fn record(
+        &mut self,
+        response: AttemptResponse,
+        source: impl Fn() -> ResponseSource,
+    ) -> AttemptOutcome {
+        let AttemptResponse {
+            sub_request,
+            continuation,
+            outcome,
+            value,
+        } = response;
+        let (merger, anomalies) = match self {
+            ResponseCollector::Unmerged(values) => {
+                if outcome == AttemptOutcome::Success {
+                    values[sub_request].get_or_insert(value);
+                }
+                return outcome;
+            }
+            ResponseCollector::Merged {
+                merger, anomalies, ..
+            } => (merger, anomalies),
+        };
+        if outcome != AttemptOutcome::Success {
+            merger.fail(sub_request);
+            return outcome;
+        }
+        match merger.accept(sub_request, continuation, &value) {
+            Acceptance::Counted | Acceptance::Duplicate { differs: false } => outcome,
+            Acceptance::Duplicate { differs: true } => {
+                anomalies.on_differing(source);
+                outcome
+            }
+            Acceptance::Invalid(error) => {
+                anomalies.on_invalid(&error.to_string(), source);
+                AttemptOutcome::Error
+            }
+        }
+    }
+
+    /// Sub-requests that have to be continued, each returned once.
+    pub(crate) fn take_continuations(&mut self) -> Vec<usize> {
+        match self {
+            ResponseCollector::Unmerged(_) => Vec::new(),
+            ResponseCollector::Merged { merger, .. } => merger.take_continuations(),
+        }
+    }
+
+    /// The body of the response from the values so far.
+    pub(crate) fn response(&self, complete: bool, query: &Query) -> Vec<u8> {
+        match self {
+            ResponseCollector::Unmerged(values) => {
+                let shards = query
+                    .sub_requests
+                    .iter()
+                    .map(|sub_request| sub_request.shard);
+                let found = shards
+                    .zip(values)
+                    .filter_map(|(shard, value)| Some((shard, value.as_deref()?)));
+                protocol::encode_response(complete, found)
+            }
+            ResponseCollector::Merged { merger, signer, .. } => {
+                merger.response(complete, *signer, unix_seconds())
+            }
+        }
+    }
+}
--- a/crates/linenthread-service/src/own.rs
+++ b/crates/linenthread-service/src/own.rs
@@ -9,12 +9,12 @@
 use tracing::{info, warn};
 
 use crate::config::Config;
-use crate::gather::Merging;
+use crate::merge_responses::MergePlans;
 
 /// What the file switches on. Nothing of it where there is none.
 #[derive(Default)]
 pub(crate) struct Own {
-    pub merging: Merging,
+    pub merging: MergePlans,
     pub gateway: Option<(Gateway, Secrets)>,
     pub peers: Vec<(Peer, Secrets)>,
     pub fleet: Option<(Fleet, Secrets)>,
@@ -66,7 +66,7 @@
             }
             None => None,
         };
-        let merging = Merging::new(indexes.iter().map(plan).collect(), signer);
+        let merging = MergePlans::new(indexes.iter().map(plan).collect(), signer);
         let link =
             |files: &[PathBuf]| Secrets::new(secrets(files)?).map_err(|error| error.to_string());
         let gateway = match read.gateway {
@@ -90,7 +90,7 @@
 
     /// Reads it once more for a program that runs: how indexes are merged counts at once, links from the next
     /// start on. A bad file changes nothing.
-    pub(crate) fn again(file: &Path, config: &Config) -> Option<Rc<Merging>> {
+    pub(crate) fn again(file: &Path, config: &Config) -> Option<Rc<MergePlans>> {
         match Own::read(file, config) {
             Ok(new) => {
                 info!(merged = new.merging.count(), "installation read again");
--- a/crates/linenthread-service/src/serve.rs
+++ b/crates/linenthread-service/src/serve.rs
@@ -13,19 +13,19 @@
 use tokio::time::{interval, sleep};
 use tracing::{info, warn};
 
-use crate::carriers::call::Limits;
-use crate::carriers::{Carriers, link as far};
 use crate::clock;
 use crate::config::Config;
-use crate::desk::Desk;
+use crate::dispatcher::Dispatcher;
 use crate::fleet::{self, FromFleet, Place, ToFleet};
-use crate::fronts::http::{self, Front};
-use crate::fronts::link::{self, Gateway};
-use crate::gather::Gathering;
-use crate::lookup::Work;
+use crate::frontends::http::{self, HttpFrontend};
+use crate::frontends::link::{self, Gateway};
+use crate::merge_responses::ResponseMerging;
 use crate::near::Near;
 use crate::own::Own;
-use crate::roster;
+use crate::query::QueryContext;
+use crate::service_discovery;
+use crate::transports::attempt::ConnectionLimits;
+use crate::transports::{Transports, link as far};
 
 /// Descriptors that are neither a client's nor a replica's: standard streams, the listener, the roster's,
 /// the runtime's own.
@@ -70,15 +70,15 @@
         .min(config.sockets / 2);
     let (surroundings, layout) = (&config.surroundings, &config.deployment.layout);
     let withdraw = config.deployment.permissions.cancellation;
-    let connect = clock::span(surroundings.connect_timeout.max(1));
-    let idle = clock::span(surroundings.idle_timeout.max(1));
-    let carriers = Carriers::new(Limits {
-        streams: surroundings.max_streams,
-        withdraw,
-        connect,
-        probe: connect,
-        idle: idle - idle / 8,
-        connections: for_replicas,
+    let connect = clock::to_duration(surroundings.connect_timeout.max(1));
+    let idle = clock::to_duration(surroundings.idle_timeout.max(1));
+    let carriers = Transports::new(ConnectionLimits {
+        max_streams: surroundings.max_streams,
+        cancellation: withdraw,
+        connect_timeout: connect,
+        probe_timeout: connect,
+        idle_timeout: idle - idle / 8,
+        max_connections: for_replicas,
     });
     let Own {
         merging,
@@ -92,7 +92,7 @@
         .flat_map(|z| &z.zones)
         .map(|z| z.name.clone())
         .collect();
-    let desk = Desk::new(&config, carriers.clone(), &names, |sites| {
+    let desk = Dispatcher::new(&config, carriers.clone(), &names, |sites| {
         let ((fleet, _), zones) = (fleet.as_ref()?, zones.as_ref()?);
         let shards = (config.deployment.layout.clone(), surroundings.shard_count);
         Some(Near::new(
@@ -110,7 +110,7 @@
     let ask_first = !config.deployment.watch_membership;
     let mut rounds = actix_rt::spawn(desk.clone().run());
     let (moved, address) = watch::channel(config.roster);
-    let mut watch = actix_rt::spawn(roster::watch(
+    let mut watch = actix_rt::spawn(service_discovery::watch(
         desk.clone(),
         address,
         layout.replica_groups,
@@ -137,18 +137,18 @@
             max_backoff: tenths(Duration::from_millis(500)),
         };
         let seed = config.seed.wrapping_add(1 + n as u64);
-        let terms = far::Terms {
+        let terms = far::LinkConfig {
             name: peer.name,
             address: peer.address,
             secrets,
-            near,
+            client: near,
             seed,
         };
         carriers.add_peer(far::Peer::start(terms, desk.clock(), changes));
         let desk = desk.clone();
         actix_rt::spawn(async move {
             while let Some(news) = news.recv().await {
-                desk.hear_peer(number, news);
+                desk.on_link_event(number, news);
             }
         });
     }
@@ -177,30 +177,30 @@
         actix_rt::spawn(async move { gateway.run(&listener).await });
         info!(%listen, "gateway");
     }
-    let work = Rc::new(Work {
-        desk,
-        carriers,
-        surroundings: surroundings.clone(),
-        withdraw,
-        gains: config
+    let work = Rc::new(QueryContext {
+        dispatcher: desk,
+        transports: carriers,
+        cluster: surroundings.clone(),
+        cancellation: withdraw,
+        priorities: config
             .deployment
             .indexes
             .iter()
             .map(|i| (i.value * 1_000.0) as u32)
             .collect(),
-        gathering: Gathering {
-            merging: RefCell::new(Rc::new(merging)),
-            ..Gathering::default()
+        merging: ResponseMerging {
+            plans: RefCell::new(Rc::new(merging)),
+            ..ResponseMerging::default()
         },
-        open: RefCell::default(),
+        open_ids: RefCell::default(),
     });
     let most = config
         .sockets
         .saturating_sub(for_replicas + for_links + OWN_DESCRIPTORS)
         .max(1);
-    let front = Front::new(work.clone(), most, config.sockets / 6);
+    let front = HttpFrontend::new(work.clone(), most, config.sockets / 6);
     let listen = listener.local_addr().unwrap_or(config.listen);
-    let merged = work.gathering.merging.borrow().count();
+    let merged = work.merging.plans.borrow().count();
     info!(name = config.name, %listen, roster = %config.roster, merged, "serving");
     ready(listen);
     tokio::select! {
@@ -218,7 +218,7 @@
                 }
                 // Lookups under way go on by the file that they began with.
                 if let Some(new) = installation.and_then(|file| Own::again(file, &config)) {
-                    work.gathering.merging.replace(new);
+                    work.merging.plans.replace(new);
                 }
             }
         } => {}
@@ -227,7 +227,7 @@
         fleet.to.send(ToFleet::Leave).ok();
     }
     if let Some(gateway) = for_leaving {
-        gateway.leave(LINKS_DRAIN).await;
+        gateway.drain(LINKS_DRAIN).await;
     }
     front.stop(listener).await;
     if let Some((fleet, _)) = &fleet {
@@ -240,7 +240,7 @@
 /// way to the fleet's thread, and how many descriptors it may need.
 fn join_fleet(
     config: &Config,
-    desk: &Desk,
+    desk: &Dispatcher,
     fleet: linenthread_installation::Fleet,
     zones: Option<linenthread_installation::Zones>,
     secrets: Secrets,
@@ -262,7 +262,7 @@
         loop {
             tokio::select! {
                 _ = tell.tick() => {
-                    if let Some((report, ground)) = desk.seen()
+                    if let Some((report, ground)) = desk.report_zones()
                         && to.send(ToFleet::Seen(report, ground)).is_err()
                     {
                         warn!("the fleet's thread has ended: decides alone");
@@ -275,7 +275,7 @@
                     let wait = u128::from(table.valid_from_ms).saturating_sub(unix).min(1_000) as u64;
                     sleep(Duration::from_millis(wait)).await;
                     let rows = table.rows.clone();
-                    if desk.take_table(table) {
+                    if desk.apply_routing_table(table) {
                         info!(number, ?rows, "acts on a table");
                     } else {
                         warn!(number, "a table of other zones than this file has is not acted on");
--- /dev/null
+++ b/crates/linenthread-service/src/service_discovery.rs
@@ -0,0 +1,136 @@
+//! Follows the service discovery's list of replicas, and passes each update or failure to the dispatcher.
+
+use std::net::SocketAddr;
+use std::time::Duration;
+
+use linenthread_protocol::membership::{self, MembershipError, MembershipList};
+use snafu::{ResultExt, Snafu, ensure};
+use tokio::sync::watch::Receiver;
+use tokio::time::timeout;
+use tracing::{info, warn};
+
+use crate::dispatcher::Dispatcher;
+
+/// How long the service is asked to hold a watch: the longest that it permits, since a held watch is answered
+/// as soon as there is an update, and one that ends has to be requested again.
+const WATCH_HOLD: Duration = Duration::from_secs(60);
+/// How much longer than the hold a response may take before the request counts as failed.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(2);
+
+/// Why the list could not be had. The text goes to the log.
+#[derive(Debug, Snafu)]
+enum FetchError {
+    #[snafu(display("no answer in time"))]
+    Timeout,
+    #[snafu(display("{source}"))]
+    Request {
+        source: awc::error::SendRequestError,
+    },
+    #[snafu(display("status {status}"))]
+    Status { status: u16 },
+    #[snafu(display("{source}"))]
+    Body { source: awc::error::PayloadError },
+    #[snafu(display("{source}"))]
+    Decode { source: MembershipError },
+}
+
+/// Follows the service for as long as the program runs, at whatever address is configured. A new address aborts
+/// the request at the old one and starts with the complete list: revisions of two services cannot be compared.
+/// The last list is kept meanwhile.
+pub(crate) async fn watch(
+    dispatcher: Dispatcher,
+    mut address: Receiver<SocketAddr>,
+    replica_groups: usize,
+    fetch_first: bool,
+) {
+    if !fetch_first {
+        dispatcher.membership_wanted().await;
+    }
+    loop {
+        let current = *address.borrow_and_update();
+        tokio::select! {
+            () = follow(&dispatcher, current, replica_groups) => {}
+            Ok(()) = address.changed() => info!(roster = %*address.borrow(), "the roster has moved"),
+        }
+    }
+}
+
+/// Requests the complete list, then watches for changes. After a failure, and where the list is only watched on
+/// request, the coordinator says when to try again.
+async fn follow(dispatcher: &Dispatcher, address: SocketAddr, replica_groups: usize) {
+    let connector = awc::Connector::new().timeout(RESPONSE_TIMEOUT).limit(2);
+    let client = awc::Client::builder()
+        .connector(connector)
+        .disable_timeout()
+        .finish();
+    let mut revision = None;
+    let mut failing = false;
+    loop {
+        match fetch(&client, address, revision, replica_groups).await {
+            Ok(list) => {
+                if list.complete || !list.replicas.is_empty() || failing {
+                    info!(
+                        revision = list.revision,
+                        whole = list.complete,
+                        entries = list.replicas.len(),
+                        "roster told"
+                    );
+                }
+                failing = false;
+                revision = Some(list.revision);
+                dispatcher.on_membership(Some(&list));
+            }
+            Err(cause) => {
+                if !failing {
+                    warn!("roster failed, the last list is kept: {cause}");
+                }
+                failing = true;
+                dispatcher.on_membership(None);
+                dispatcher.membership_wanted().await;
+            }
+        }
+    }
+}
+
+/// Requests the complete list, or the changes since a revision once there are any.
+async fn fetch(
+    client: &awc::Client,
+    address: SocketAddr,
+    revision: Option<u64>,
+    replica_groups: usize,
+) -> Result<MembershipList, FetchError> {
+    let (path, wait) = match revision {
+        None => (membership::LIST_PATH.to_owned(), RESPONSE_TIMEOUT),
+        Some(revision) => {
+            let hold_ms = WATCH_HOLD.as_millis() as u64;
+            let path = membership::watch_path(revision, hold_ms);
+            (path, WATCH_HOLD + RESPONSE_TIMEOUT)
+        }
+    };
+    let url = format!("http://{address}{path}");
+    match timeout(wait, get(client, &url, replica_groups)).await {
+        Ok(fetched) => fetched,
+        Err(_) => TimeoutSnafu.fail(),
+    }
+}
+
+async fn get(
+    client: &awc::Client,
+    url: &str,
+    replica_groups: usize,
+) -> Result<MembershipList, FetchError> {
+    let mut response = client.get(url).send().await.context(RequestSnafu)?;
+    let status = response.status();
+    ensure!(
+        status.is_success(),
+        StatusSnafu {
+            status: status.as_u16()
+        }
+    );
+    let body = response
+        .body()
+        .limit(membership::MAX_BYTES)
+        .await
+        .context(BodySnafu)?;
+    membership::decode(&body, replica_groups).context(DecodeSnafu)
+}
--- /dev/null
+++ b/crates/linenthread-service/src/transports/attempt.rs
@@ -0,0 +1,104 @@
+//! What every transport takes and reports: one attempt at a sub-request, and how it ended.
+
+use std::rc::Rc;
+use std::time::Duration;
+
+use linenthread_core::interface::AttemptOutcome;
+use tokio::sync::mpsc;
+
+/// Where a query's task receives the outcomes of its attempts.
+pub(crate) type FinishedAttempts = mpsc::UnboundedSender<FinishedAttempt>;
+
+/// The outcome of one attempt, reported to the task of its query.
+#[derive(Debug)]
+pub(crate) struct FinishedAttempt {
+    /// The sub-request's position in its query.
+    pub sub_request: usize,
+    /// The attempt's number within its sub-request.
+    pub attempt: usize,
+    pub outcome: AttemptOutcome,
+    /// The queue depth that the replica reported.
+    pub queue_depth: Option<f64>,
+    /// Empty unless the attempt succeeded.
+    pub value: String,
+}
+
+impl FinishedAttempt {
+    pub(crate) fn without_value(
+        sub_request: usize,
+        attempt: usize,
+        outcome: AttemptOutcome,
+    ) -> FinishedAttempt {
+        FinishedAttempt {
+            sub_request,
+            attempt,
+            outcome,
+            queue_depth: None,
+            value: String::new(),
+        }
+    }
+}
+
+/// The outcome of one probe of a replica.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct ProbeReport {
+    pub outcome: AttemptOutcome,
+    /// The queue depth that the replica reported.
+    pub queue_depth: Option<f64>,
+}
+
+impl ProbeReport {
+    pub(crate) fn without_load(outcome: AttemptOutcome) -> ProbeReport {
+        ProbeReport {
+            outcome,
+            queue_depth: None,
+        }
+    }
+}
+
+/// Reports sub-requests that never left this process; none of them is in flight.
+pub(crate) fn report_not_sent<T>(
+    sub_requests: &[OutgoingSubRequest],
+    finished: &FinishedAttempts,
+) -> Vec<Option<T>> {
+    for outgoing in sub_requests {
+        finished
+            .send(FinishedAttempt::without_value(
+                outgoing.sub_request,
+                outgoing.attempt,
+                AttemptOutcome::NotSent,
+            ))
+            .ok();
+    }
+    sub_requests.iter().map(|_| None).collect()
+}
+
+/// One attempt at a sub-request, ready to be sent.
+#[derive(Clone, Debug)]
+pub(crate) struct OutgoingSubRequest {
+    /// The sub-request's position in its query.
+    pub sub_request: usize,
+    /// The attempt's number within its sub-request.
+    pub attempt: usize,
+    pub shard: usize,
+    /// How many continuations of this sub-request came before.
+    pub continuation: u32,
+    pub text: Rc<str>,
+    /// The value of its query, in thousandths: a link that is short of credit sends the highest first.
+    pub priority: u32,
+}
+
+/// Limits and time-outs of the connections to replicas.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct ConnectionLimits {
+    /// Attempts in flight on one connection.
+    pub max_streams: usize,
+    /// Replicas may be sent cancellations.
+    pub cancellation: bool,
+    pub connect_timeout: Duration,
+    pub probe_timeout: Duration,
+    /// An idle connection is closed after this time, which is shorter than the replica's own.
+    pub idle_timeout: Duration,
+    /// Connections to all replicas together.
+    pub max_connections: usize,
+}
--- /dev/null
+++ b/crates/linenthread-service/src/transports/replica_connections.rs
@@ -0,0 +1,242 @@
+//! The pool of connections to replicas that are reached directly. Owns every connection and bounds their number.
+
+use std::cell::{Cell, RefCell};
+use std::cmp::Reverse;
+use std::net::SocketAddr;
+use std::rc::Rc;
+
+use linenthread_core::interface::AttemptOutcome;
+use linenthread_protocol::frame;
+use tokio::net::TcpStream;
+use tokio::time::{Instant, timeout};
+use tracing::{info, warn};
+
+use crate::log::Sparing;
+use crate::transports::attempt::{
+    ConnectionLimits, FinishedAttempts, OutgoingSubRequest, ProbeReport, report_not_sent,
+};
+use crate::transports::connection::{Connection, ConnectionError, InFlightAttempt};
+
+/// With fewer connections than this to a replica, each carries one request at a time: a connection that fails
+/// or falls silent then fails few others with it.
+const MIN_SHARED_CONNECTIONS: usize = 4;
+
+/// A replica's address and the connections to it.
+#[derive(Default)]
+struct Endpoint {
+    address: Option<SocketAddr>,
+    connections: Vec<Rc<Connection>>,
+    /// The last connect failed: another failure is not logged.
+    last_connect_failed: bool,
+}
+
+struct Inner {
+    limits: ConnectionLimits,
+    /// By the index of the replica.
+    endpoints: RefCell<Vec<Endpoint>>,
+    connection_count: Cell<usize>,
+    next_attempt_number: Cell<u64>,
+    log_lines: Sparing,
+}
+
+/// The connections to all replicas that are reached directly.
+#[derive(Clone)]
+pub(crate) struct ReplicaConnections(Rc<Inner>);
+
+impl ReplicaConnections {
+    pub(crate) fn new(limits: ConnectionLimits) -> Self {
+        ReplicaConnections(Rc::new(Inner {
+            limits,
+            endpoints: RefCell::default(),
+            connection_count: Cell::new(0),
+            next_attempt_number: Cell::new(0),
+            log_lines: Sparing::default(),
+        }))
+    }
+
+    /// Sets a replica's address; connections to an earlier one close once nothing is in flight on them.
+    pub(crate) fn set_address(&self, replica: usize, address: Option<SocketAddr>) {
+        let mut endpoints = self.0.endpoints.borrow_mut();
+        let len = endpoints.len().max(replica + 1);
+        endpoints.resize_with(len, Endpoint::default);
+        let endpoint = &mut endpoints[replica];
+        if endpoint.address != address {
+            endpoint.address = address;
+            endpoint.last_connect_failed = false;
+            for connection in &endpoint.connections {
+                connection.retire();
+            }
+        }
+    }
+
+    /// Whether a replica has neither an address nor a connection: its index may be reused.
+    pub(crate) fn is_vacant(&self, replica: usize) -> bool {
+        let endpoints = self.0.endpoints.borrow();
+        endpoints
+            .get(replica)
+            .is_none_or(|endpoint| endpoint.address.is_none() && endpoint.connections.is_empty())
+    }
+
+    /// Sends sub-requests of one query to one replica in one frame. Those that cannot be sent are reported as
+    /// such, and are not in flight.
+    pub(crate) fn send(
+        &self,
+        replica: usize,
+        query_id: &str,
+        sub_requests: &[OutgoingSubRequest],
+        wait_ms: u64,
+        finished: &FinishedAttempts,
+    ) -> Vec<Option<InFlightAttempt>> {
+        let ids: Vec<String> = sub_requests
+            .iter()
+            .map(|outgoing| frame::sub_request_id(query_id, outgoing.shard, outgoing.continuation))
+            .collect();
+        let is_free_of_ids = |connection: &Connection| !connection.has_any(&ids);
+        let Some(connection) = self.connection(replica, sub_requests.len(), is_free_of_ids) else {
+            return report_not_sent(sub_requests, finished);
+        };
+        let next_number = || {
+            let number = self.0.next_attempt_number.get();
+            self.0.next_attempt_number.set(number + 1);
+            number
+        };
+        connection
+            .send(ids, sub_requests, wait_ms, finished, next_number)
+            .into_iter()
+            .map(Some)
+            .collect()
+    }
+
+    /// Closes the connections to a replica on which nothing is in flight.
+    pub(crate) fn close_idle(&self, replica: usize) {
+        let endpoints = self.0.endpoints.borrow();
+        let connections = endpoints
+            .get(replica)
+            .into_iter()
+            .flat_map(|endpoint| &endpoint.connections);
+        connections
+            .filter(|connection| connection.in_flight() == 0)
+            .for_each(|connection| connection.retire());
+    }
+
+    /// Probes a replica for its health and load.
+    pub(crate) async fn probe(&self, replica: usize) -> ProbeReport {
+        let Some(connection) = self.connection(replica, 1, |_| true) else {
+            return ProbeReport::without_load(AttemptOutcome::NotSent);
+        };
+        let response = connection.send_probe();
+        let sent = Instant::now();
+        match timeout(self.0.limits.probe_timeout, response).await {
+            Ok(Ok(report)) => report,
+            Ok(Err(_)) => ProbeReport::without_load(AttemptOutcome::ConnectionLost),
+            Err(_) => {
+                connection.mark_silent_since(sent);
+                ProbeReport::without_load(AttemptOutcome::TimedOut)
+            }
+        }
+    }
+
+    /// A connection with room for so many more requests, or a new one.
+    fn connection(
+        &self,
+        replica: usize,
+        additional: usize,
+        is_suitable: impl Fn(&Connection) -> bool,
+    ) -> Option<Rc<Connection>> {
+        let mut endpoints = self.0.endpoints.borrow_mut();
+        let endpoint = endpoints.get_mut(replica)?;
+        let address = endpoint.address?;
+        let limits = &self.0.limits;
+        let has_room = |connection: &&Rc<Connection>| {
+            let in_flight = connection.in_flight();
+            let fits = in_flight == 0 || in_flight + additional <= limits.max_streams;
+            fits && connection.is_usable() && is_suitable(connection)
+        };
+        // The one with the least in flight, as requests pile up on one that is stuck; among equals the one read
+        // from last, so that the others may idle out.
+        let rank = |connection: &&Rc<Connection>| {
+            (
+                connection.is_mid_frame(),
+                connection.in_flight(),
+                Reverse(connection.last_read()),
+            )
+        };
+        let best = endpoint
+            .connections
+            .iter()
+            .filter(has_room)
+            .min_by_key(rank);
+        let is_full = self.0.connection_count.get() >= limits.max_connections;
+        let may_share = is_full || endpoint.connections.len() >= MIN_SHARED_CONNECTIONS;
+        if let Some(connection) = best.filter(|best| best.in_flight() == 0 || may_share) {
+            return Some(connection.clone());
+        }
+        if is_full {
+            if let Some(left_out) = self.0.log_lines.line() {
+                warn!(%address, left_out, "no connection left for a replica");
+            }
+            return None;
+        }
+        self.0
+            .connection_count
+            .set(self.0.connection_count.get() + 1);
+        let connection = Rc::new(Connection::new(replica, address, limits.cancellation));
+        endpoint.connections.push(connection.clone());
+        actix_rt::spawn(self.clone().run(connection.clone()));
+        Some(connection)
+    }
+
+    /// Runs one connection from its connect to its end.
+    async fn run(self, connection: Rc<Connection>) {
+        let limits = self.0.limits;
+        let connected = connect(connection.address, &limits).await;
+        let failed_before =
+            self.replace_last_connect_failed(connection.replica, connected.is_err());
+        let result = match connected {
+            Ok(stream) => {
+                if failed_before {
+                    info!(address = %connection.address, "replica connects again");
+                }
+                stream.set_nodelay(true).ok();
+                connection.exchange(stream, &limits).await
+            }
+            Err(_) if failed_before => Ok(()),
+            Err(error) => Err(error),
+        };
+        let violated = result
+            .as_ref()
+            .is_err_and(ConnectionError::is_protocol_violation);
+        if let (Err(cause), Some(left_out)) = (result, self.0.log_lines.line()) {
+            let (address, out) = (connection.address, connection.attempts_in_flight());
+            warn!(%address, out, spoilt = violated, left_out, "replica connection ended: {cause}");
+        }
+        // The only place that releases a connection, and ends all that is still in flight on it.
+        if let Some(endpoint) = self.0.endpoints.borrow_mut().get_mut(connection.replica) {
+            endpoint
+                .connections
+                .retain(|other| !Rc::ptr_eq(other, &connection));
+        }
+        self.0
+            .connection_count
+            .set(self.0.connection_count.get() - 1);
+        connection.end_all(violated);
+    }
+
+    /// Records whether the last connect to a replica failed, and returns whether the one before it did.
+    fn replace_last_connect_failed(&self, replica: usize, failed: bool) -> bool {
+        let mut endpoints = self.0.endpoints.borrow_mut();
+        endpoints
+            .get_mut(replica)
+            .is_some_and(|endpoint| std::mem::replace(&mut endpoint.last_connect_failed, failed))
+    }
+}
+
+async fn connect(
+    address: SocketAddr,
+    limits: &ConnectionLimits,
+) -> Result<TcpStream, ConnectionError> {
+    match timeout(limits.connect_timeout, TcpStream::connect(address)).await {
+        Ok(connected) => connected.map_err(|source| ConnectionError::Connect { source }),
+        Err(_) => Err(ConnectionError::ConnectTimeout),
+    }
+}
--- /dev/null
+++ b/crates/linenthread-service/tests/replica_indices.rs
@@ -0,0 +1,52 @@
+//! The indices of replicas: when they are assigned, freed and reused.
+
+#[path = "../src/dispatcher/replica_indices.rs"]
+#[allow(dead_code, reason = "the program uses more of it")]
+mod replica_indices;
+
+use replica_indices::ReplicaIndices;
+
+#[test]
+fn an_index_is_reused_once_nothing_of_its_replica_is_open() {
+    let mut indices = ReplicaIndices::default();
+    assert_eq!(
+        (
+            indices.get_or_assign("a"),
+            indices.get_or_assign("b"),
+            indices.get_or_assign("a")
+        ),
+        (0, 1, 0)
+    );
+    indices.start_probe(0);
+    indices.set_removed(0, Some(7));
+    indices.release_unused(7, |_| true);
+    assert_eq!(indices.get_or_assign("c"), 2, "a probe of it is in flight");
+    indices.finish_probe(0);
+    indices.release_unused(6, |_| true);
+    indices.release_unused(7, |replica| replica != 0);
+    assert_eq!(
+        indices.get_or_assign("d"),
+        3,
+        "a query submitted before is open, or a connection"
+    );
+    indices.release_unused(7, |_| true);
+    assert_eq!(
+        (
+            indices.get_or_assign("e"),
+            indices.get_or_assign("a"),
+            indices.get_or_assign("b")
+        ),
+        (0, 4, 1)
+    );
+    // However many come and go, no more indices are used than are needed at once.
+    for n in 0..1_000 {
+        let replica = indices.get_or_assign(&format!("n{n}"));
+        indices.set_removed(replica, Some(n));
+        indices.release_unused(n, |_| true);
+    }
+    assert_eq!(indices.len(), 6);
+    let assigned: Vec<_> = (0..6).filter_map(|replica| indices.id(replica)).collect();
+    assert_eq!(assigned, ["e", "b", "c", "d", "a"]);
+    assert!(assigned.iter().all(|id| indices.get(id).is_some()));
+    assert!((0..1_000).all(|n| indices.get(&format!("n{n}")).is_none()));
+}
--- /dev/null
+++ b/crates/linenthread-service/tests/transports.rs
@@ -0,0 +1,86 @@
+//! The outcomes of attempts on a connection that breaks.
+
+#[path = "../src/clock.rs"]
+#[allow(dead_code, reason = "the program uses more of it")]
+mod clock;
+#[path = "../src/log.rs"]
+#[allow(dead_code, reason = "the program uses more of it")]
+mod log;
+#[path = "../src/transports/mod.rs"]
+#[allow(dead_code, reason = "the program uses more of it")]
+mod transports;
+
+use std::rc::Rc;
+use std::time::Duration;
+
+use linenthread_core::interface::AttemptOutcome;
+use tokio::io::{AsyncReadExt, AsyncWriteExt};
+use tokio::net::TcpListener;
+use tokio::sync::mpsc;
+
+use transports::attempt::{ConnectionLimits, FinishedAttempt, OutgoingSubRequest};
+use transports::{Route, Transports};
+
+/// What was written completely when a connection broke, or violated the protocol, may have run; the rest never did.
+#[test]
+fn attempts_end_by_whether_their_last_byte_was_written() {
+    // A response to what was never sent completely is a violation.
+    let violation: &[u8] = b"\0\0\0\x10El.499 hit 1 -\nv";
+    for (sent, written, unwritten) in [
+        (violation, AttemptOutcome::Error, AttemptOutcome::NotSent),
+        (
+            b"",
+            AttemptOutcome::ConnectionLost,
+            AttemptOutcome::ConnectFailed,
+        ),
+    ] {
+        actix_rt::System::new().block_on(async {
+            let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
+            let long = Duration::from_secs(20);
+            let transports = Transports::new(ConnectionLimits {
+                max_streams: 500,
+                cancellation: true,
+                connect_timeout: long,
+                probe_timeout: long,
+                idle_timeout: long,
+                max_connections: 1,
+            });
+            transports.set_route(0, listener.local_addr().ok().map(Route::Direct));
+            let (finished, mut finished_attempts) = mpsc::unbounded_channel();
+            // More than any socket's buffers hold.
+            let text: Rc<str> = "x".repeat(60_000).into();
+            let outgoing = |sub_request| OutgoingSubRequest {
+                sub_request,
+                attempt: 0,
+                shard: sub_request,
+                continuation: 0,
+                text: text.clone(),
+                priority: 0,
+            };
+            let send =
+                |sub_request| transports.send(0, "l", &[outgoing(sub_request)], 9, &finished);
+            let in_flight: Vec<_> = (0..500).map(send).collect();
+            let (mut replica, _) = listener.accept().await.unwrap();
+            replica.read_exact(&mut vec![0; 61_000]).await.unwrap();
+            replica.write_all(sent).await.unwrap();
+            let open = (!sent.is_empty()).then_some(replica);
+            let mut outcomes = vec![None; 500];
+            for _ in 0..500 {
+                let FinishedAttempt {
+                    sub_request,
+                    outcome,
+                    ..
+                } = finished_attempts.recv().await.unwrap();
+                let earlier = outcomes[sub_request].replace(outcome);
+                assert_eq!(earlier, None, "each ends once");
+            }
+            assert_eq!(
+                (outcomes[0], outcomes[499]),
+                (Some(written), Some(unwritten))
+            );
+            let is_unwritten = |outcome: &Option<_>| *outcome == Some(unwritten);
+            assert!(outcomes.is_sorted_by_key(is_unwritten), "{outcomes:?}");
+            drop((in_flight, open));
+        });
+    }
+}
