--- a/crates/linenthread-service/src/dispatcher/mod.rs
+++ b/crates/linenthread-service/src/dispatcher/mod.rs
@@ -20,9 +20,9 @@
 
 use crate::clock::Clock;
 use crate::config::Config;
-use crate::near::Near;
 use crate::transports::Transports;
 use crate::transports::link::LinkEvent;
+use crate::zone_routing::ZoneRouting;
 use membership::Membership;
 
 /// A decision on one query.
@@ -80,7 +80,7 @@
     membership: Membership,
     wake_at: Option<TenthMillis>,
     /// Zones that the fleet decides on in common, if there are any.
-    zones: Option<Near>,
+    zones: Option<ZoneRouting>,
 }
 
 struct Inner {
@@ -178,7 +178,7 @@
         config: &Config,
         transports: Transports,
         zone_names: &[String],
-        zones: impl FnOnce(&[String]) -> Option<Near>,
+        zones: impl FnOnce(&[String]) -> Option<ZoneRouting>,
     ) -> Self {
         let mut all_zone_names = config.surroundings.zone_names.clone();
         let further: Vec<String> = zone_names
@@ -275,7 +275,7 @@
         let mut state = self.0.state.borrow_mut();
         let query = state.open_query(sender);
         if let Some(zones) = &mut state.zones {
-            zones.asked(submission.sub_requests.len());
+            zones.on_query(submission.sub_requests.len());
         }
         let hard_deadline = self.0.clock.now() + submission.expires_in;
         state.inputs.queries.push(NewQuery {
@@ -359,7 +359,7 @@
 
     fn update_membership(&self, update: MembershipUpdate) {
         if let Some(zones) = &mut self.0.state.borrow_mut().zones {
-            zones.hear(&update);
+            zones.on_membership(&update);
         }
         self.add_input(|inputs| inputs.membership.push(update));
     }
@@ -371,7 +371,13 @@
 
     /// Passes the routes between zones to the coordinator, where there are zones.
     fn update_zone_routes(&self) {
-        let routes = self.0.state.borrow().zones.as_ref().map(Near::ways);
+        let routes = self
+            .0
+            .state
+            .borrow()
+            .zones
+            .as_ref()
+            .map(ZoneRouting::routes);
         if let Some(routes) = routes {
             self.add_input(|inputs| inputs.zone_routes = Some(routes));
         }
@@ -386,7 +392,7 @@
             .borrow_mut()
             .zones
             .as_mut()
-            .is_some_and(|zones| zones.take(table, now));
+            .is_some_and(|zones| zones.accept_table(table, now));
         if applied {
             self.update_zone_routes();
         }
@@ -396,7 +402,7 @@
     /// What was observed of the zones since the last report, and what there is; `None` where there are no zones.
     pub(crate) fn report_zones(&self) -> Option<(Report, Topology)> {
         let now = self.0.clock.now();
-        if self.0.state.borrow_mut().zones.as_mut()?.ends(now) {
+        if self.0.state.borrow_mut().zones.as_mut()?.expire_table(now) {
             warn!("no word of the table for its life: all ways are open again, the nearest first");
             self.update_zone_routes();
         }
@@ -411,7 +417,7 @@
         elapsed: TenthMillis,
     ) {
         if let Some(zones) = &mut self.0.state.borrow_mut().zones {
-            zones.ended(replica, outcome, elapsed);
+            zones.on_outcome(replica, outcome, elapsed);
         }
     }
 
--- a/crates/linenthread-service/src/operator.rs
+++ b/crates/linenthread-service/src/zones_command.rs
@@ -13,17 +13,21 @@
 use linenthread_store::Directory;
 use linenthread_zones::RoutingTable;
 
-use crate::fleet::{ORDERS, Orders, TABLE, order};
-use crate::own;
+use crate::fleet::{ORDERS_TOPIC, Orders, TABLE_TOPIC, encode_order};
+use crate::installation;
 
 /// So long it waits for an answer, and so long for more values after the first ones.
 const PATIENCE: Duration = Duration::from_secs(10);
 const QUIET: Duration = Duration::from_millis(400);
 
+/// What an operator asks of the fleet.
 #[derive(Clone, Debug)]
-pub(crate) enum Wish {
+pub(crate) enum ZonesAction {
+    /// Show the routing table in force.
     Show,
+    /// Have all co-ordinators leave the zone.
     Drain(String),
+    /// Have the zone taken back, step by step.
     Return(String),
 }
 
@@ -109,14 +113,14 @@
     fn orders(&self) -> Orders {
         self.fleet
             .table()
-            .value(ORDERS)
+            .value(ORDERS_TOPIC)
             .and_then(|(_, v)| Orders::decode(v).ok())
             .unwrap_or_default()
     }
 }
 
 fn show(line: &Line) -> String {
-    let Some((number, value)) = line.fleet.table().value(TABLE) else {
+    let Some((number, value)) = line.fleet.table().value(TABLE_TOPIC) else {
         return "no table was agreed on yet: all ways are open, the nearest first".into();
     };
     let Ok(table) = RoutingTable::decode(value) else {
@@ -154,7 +158,7 @@
 /// # Errors
 ///
 /// One line: the file is bad, no voter could be reached, or the order was refused.
-pub(crate) fn run(file: &Path, wish: &Wish) -> Result<String, String> {
+pub(crate) fn run(file: &Path, action: &ZonesAction) -> Result<String, String> {
     let read = Installation::read_file(file, &|_| {
         Some(linenthread_installation::KnownIndex { min_share: 0.0 })
     })
@@ -162,8 +166,8 @@
     let fleet = read
         .fleet
         .ok_or_else(|| format!("{}: there is no <fleet>", file.display()))?;
-    let secrets =
-        Secrets::new(own::secrets(&fleet.secret_files)?).map_err(|error| error.to_string())?;
+    let secrets = Secrets::new(installation::secrets(&fleet.secret_files)?)
+        .map_err(|error| error.to_string())?;
     let own = NodeIdentity::unknown(&format!("operator-{}", std::process::id()), fleet.address);
     let voters = fleet
         .voters
@@ -198,18 +202,19 @@
         if line.turn() {
             heard = Some(Instant::now());
         }
-        match wish {
-            Wish::Show => {
+        match action {
+            ZonesAction::Show => {
                 if heard.is_some_and(|at| at.elapsed() > QUIET) {
                     return Ok(show(&line));
                 }
             }
-            Wish::Drain(zone) | Wish::Return(zone) => {
-                let drain = matches!(wish, Wish::Drain(_));
+            ZonesAction::Drain(zone) | ZonesAction::Return(zone) => {
+                let drain = matches!(action, ZonesAction::Drain(_));
                 if heard.is_some() && asked.is_none_or(|at| at.elapsed() > Duration::from_secs(2)) {
                     asked = Some(Instant::now());
                     let mut to = Vec::new();
-                    line.fleet.report(order(number, zone, drain), &mut to);
+                    line.fleet
+                        .report(encode_order(number, zone, drain), &mut to);
                     line.obey(to);
                 }
                 let orders = line.orders();
