--- a/crates/linenthread-service/src/installation.rs
+++ b/crates/linenthread-service/src/installation.rs
@@ -14,7 +14,7 @@
 use tracing::{info, warn};
 
 use crate::config::Config;
-use crate::gather::Merging;
+use crate::merge_responses::MergePlans;
 
 /// Why the installation file, or a secret that it names, cannot be used. Each message is one line.
 #[derive(Debug, Snafu)]
@@ -38,7 +38,7 @@
 /// What the installation file switches on; nothing without one.
 #[derive(Default)]
 pub(crate) struct InstallationSettings {
-    pub merging: Merging,
+    pub merging: MergePlans,
     pub gateway: Option<(Gateway, Secrets)>,
     pub peers: Vec<(Peer, Secrets)>,
     pub fleet: Option<(Fleet, Secrets)>,
@@ -113,7 +113,7 @@
 
     /// Reads the file again for a process that runs. The plans to merge responses apply at once, all else from the
     /// next start on. A file that cannot be used changes nothing.
-    pub(crate) fn reload(file: &Path, config: &Config) -> Option<Rc<Merging>> {
+    pub(crate) fn reload(file: &Path, config: &Config) -> Option<Rc<MergePlans>> {
         match InstallationSettings::read(file, config) {
             Ok(new) => {
                 info!(merged = new.merging.count(), "installation read again");
@@ -128,7 +128,7 @@
 }
 
 /// The plan of each index, in the order of the configuration, and the signer of cursors.
-fn merging(read: &Installation, index_names: &[String]) -> Result<Merging, InstallationError> {
+fn merging(read: &Installation, index_names: &[String]) -> Result<MergePlans, InstallationError> {
     let plan = |name: &String| {
         let plans = &read.merging.plans;
         plans.iter().find(|plan| plan.index == *name).cloned()
@@ -138,5 +138,8 @@
         CursorSigner::new(secrets, cursors.lifetime).context(CursorSecretsSnafu)
     });
     let signer = signer.transpose()?;
-    Ok(Merging::new(index_names.iter().map(plan).collect(), signer))
+    Ok(MergePlans::new(
+        index_names.iter().map(plan).collect(),
+        signer,
+    ))
 }
--- a/crates/linenthread-service/src/main.rs
+++ b/crates/linenthread-service/src/main.rs
@@ -1,21 +1,21 @@
 //! `linenthread`: a co-ordinator of lookups over replicated shards, on sockets.
 
-mod carriers;
 mod cli;
 mod clock;
 mod config;
 mod demo;
-mod desk;
+mod dispatcher;
 mod duration;
 mod fleet;
-mod fronts;
-mod gather;
+mod frontends;
 mod installation;
 mod log;
-mod lookup;
+mod merge_responses;
 mod migrate;
-mod roster;
+mod query;
 mod serve;
+mod service_discovery;
+mod transports;
 mod zone_routing;
 mod zones_command;
 
--- a/crates/linenthread-service/src/serve/fleet_member.rs
+++ b/crates/linenthread-service/src/serve/fleet_member.rs
@@ -9,7 +9,7 @@
 use tracing::{info, warn};
 
 use crate::config::Config;
-use crate::desk::Desk;
+use crate::dispatcher::Dispatcher;
 use crate::fleet::{self, FleetHandle, FromFleet, MemberConfig, StartError, ToFleet};
 
 /// Time between two messages of observations to the fleet's thread.
@@ -31,7 +31,7 @@
 /// The fleet's thread could not start.
 pub(super) fn join(
     config: &Config,
-    desk: &Desk,
+    dispatcher: &Dispatcher,
     fleet: Fleet,
     zones: Option<Zones>,
     secrets: Secrets,
@@ -44,13 +44,17 @@
         secrets,
         seed: config.seed.rotate_left(17),
     };
-    let handle = fleet::start(member, desk.clock(), from_fleet)?;
-    actix_rt::spawn(exchange(desk.clone(), handle.sender.clone(), received));
+    let handle = fleet::start(member, dispatcher.clock(), from_fleet)?;
+    actix_rt::spawn(exchange(
+        dispatcher.clone(),
+        handle.sender.clone(),
+        received,
+    ));
     Ok(handle)
 }
 
 async fn exchange(
-    desk: Desk,
+    dispatcher: Dispatcher,
     to_fleet: mpsc::UnboundedSender<ToFleet>,
     mut received: mpsc::UnboundedReceiver<FromFleet>,
 ) {
@@ -58,7 +62,7 @@
     loop {
         tokio::select! {
             _ = observations.tick() => {
-                if let Some((report, topology)) = desk.seen()
+                if let Some((report, topology)) = dispatcher.report_zones()
                     && to_fleet.send(ToFleet::Observed(report, topology)).is_err()
                 {
                     warn!("the fleet's thread has ended: decides alone");
@@ -68,7 +72,7 @@
             Some(FromFleet::Table { number, table }) = received.recv() => {
                 sleep(time_until(table.valid_from_ms)).await;
                 let rows = table.rows.clone();
-                if desk.take_table(table) {
+                if dispatcher.apply_routing_table(table) {
                     info!(number, ?rows, "acts on a table");
                 } else {
                     warn!(number, "a table of other zones than this file has is not acted on");
--- a/crates/linenthread-service/src/serve/links.rs
+++ b/crates/linenthread-service/src/serve/links.rs
@@ -9,11 +9,11 @@
 use tracing::info;
 
 use super::error::{ListenForLinksSnafu, ServeError};
-use crate::carriers::{Carriers, link as far};
 use crate::config::Config;
-use crate::desk::Desk;
+use crate::dispatcher::Dispatcher;
 use crate::duration::tenth_millis;
-use crate::fronts::link::{self, Gateway};
+use crate::frontends::link::{self as gateway_frontend, Gateway};
+use crate::transports::{Transports, link};
 
 /// Bytes of calls that may wait for one link.
 const MAX_QUEUED_BYTES: u64 = 8 * 1024 * 1024;
@@ -34,14 +34,14 @@
 /// Starts the link to one peer; `seed` must differ between the links of a process.
 pub(super) fn start_peer(
     config: &Config,
-    desk: &Desk,
-    carriers: &Carriers,
+    dispatcher: &Dispatcher,
+    transports: &Transports,
     (peer, secrets): (file::Peer, Secrets),
     seed: u64,
 ) {
-    let number = desk.add_peer();
-    let (changes, mut news) = mpsc::unbounded_channel();
-    let near = ClientConfig {
+    let number = dispatcher.add_peer();
+    let (changes, mut events) = mpsc::unbounded_channel();
+    let client = ClientConfig {
         name: config.name.clone(),
         max_in_flight: peer.max_in_flight,
         max_queued_bytes: MAX_QUEUED_BYTES,
@@ -51,18 +51,18 @@
         min_backoff: tenth_millis(MIN_BACKOFF),
         max_backoff: tenth_millis(MAX_BACKOFF),
     };
-    let terms = far::Terms {
+    let link_config = link::LinkConfig {
         name: peer.name,
         address: peer.address,
         secrets,
-        near,
+        client,
         seed,
     };
-    carriers.add_peer(far::Peer::start(terms, desk.clock(), changes));
-    let desk = desk.clone();
+    transports.add_peer(link::Peer::start(link_config, dispatcher.clock(), changes));
+    let dispatcher = dispatcher.clone();
     actix_rt::spawn(async move {
-        while let Some(news) = news.recv().await {
-            desk.hear_peer(number, news);
+        while let Some(event) = events.recv().await {
+            dispatcher.on_link_event(number, event);
         }
     });
 }
@@ -74,13 +74,13 @@
 /// It cannot listen on the gateway's address.
 pub(super) fn start_gateway(
     config: &Config,
-    desk: &Desk,
-    carriers: &Carriers,
+    dispatcher: &Dispatcher,
+    transports: &Transports,
     gateway: &file::Gateway,
     secrets: Secrets,
 ) -> Result<Gateway, ServeError> {
     let address = gateway.listen;
-    let listener = link::listen(address).context(ListenForLinksSnafu { address })?;
+    let listener = gateway_frontend::listen(address).context(ListenForLinksSnafu { address })?;
     let listen = listener.local_addr().unwrap_or(address);
     let server_config = ServerConfig {
         name: config.name.clone(),
@@ -93,8 +93,8 @@
     };
     let server = LinkServer::new(server_config, secrets, config.seed);
     let gateway = Gateway::new(
-        desk.clone(),
-        carriers.clone(),
+        dispatcher.clone(),
+        transports.clone(),
         server,
         gateway.slow_start_share,
     );
--- a/crates/linenthread-service/src/serve/mod.rs
+++ b/crates/linenthread-service/src/serve/mod.rs
@@ -17,18 +17,18 @@
 use tokio::sync::watch;
 use tracing::info;
 
-use crate::carriers::Carriers;
-use crate::carriers::call::Limits;
 use crate::clock;
 use crate::config::Config;
-use crate::desk::Desk;
+use crate::dispatcher::Dispatcher;
 use crate::duration::tenth_millis;
 use crate::fleet::{self, ToFleet};
-use crate::fronts::http::{self, Front};
-use crate::gather::{Gathering, Merging};
+use crate::frontends::http::{self, HttpFrontend};
 use crate::installation::InstallationSettings;
-use crate::lookup::Work;
-use crate::roster;
+use crate::merge_responses::{MergePlans, ResponseMerging};
+use crate::query::QueryContext;
+use crate::service_discovery;
+use crate::transports::Transports;
+use crate::transports::attempt::ConnectionLimits;
 use crate::zone_routing::ZoneRouting;
 
 pub(crate) use error::ServeError;
@@ -79,10 +79,10 @@
     let address = config.listen;
     let listener = http::listen(address).context(ListenSnafu { address })?;
     let mut signals = Signals::new()?;
-    let carriers = carriers(&config);
-    let desk = dispatcher(
+    let transports = transports(&config);
+    let dispatcher = dispatcher(
         &config,
-        &carriers,
+        &transports,
         settings.fleet.as_ref(),
         settings.zones.as_ref(),
     );
@@ -92,15 +92,15 @@
         .map_or(0, |(fleet, _)| fleet_member::descriptors(fleet));
     let fleet = match settings.fleet {
         Some((fleet, secrets)) => {
-            let joined = fleet_member::join(&config, &desk, fleet, settings.zones, secrets);
+            let joined = fleet_member::join(&config, &dispatcher, fleet, settings.zones, secrets);
             Some(joined.context(FleetSnafu)?)
         }
         None => None,
     };
-    let mut decisions = actix_rt::spawn(desk.clone().run());
+    let mut decisions = actix_rt::spawn(dispatcher.clone().run());
     let (discovery_address, watched_address) = watch::channel(config.discovery);
-    let mut discovery = actix_rt::spawn(roster::watch(
-        desk.clone(),
+    let mut discovery = actix_rt::spawn(service_discovery::watch(
+        dispatcher.clone(),
         watched_address,
         config.deployment.layout.replica_groups,
         !config.deployment.watch_membership,
@@ -109,38 +109,47 @@
     let for_links = links::descriptors(settings.peers.len(), gateway);
     for (n, peer) in settings.peers.into_iter().enumerate() {
         let seed = config.seed.wrapping_add(1 + n as u64);
-        links::start_peer(&config, &desk, &carriers, peer, seed);
+        links::start_peer(&config, &dispatcher, &transports, peer, seed);
     }
     let gateway = match settings.gateway {
         Some((gateway, secrets)) => Some(links::start_gateway(
-            &config, &desk, &carriers, &gateway, secrets,
+            &config,
+            &dispatcher,
+            &transports,
+            &gateway,
+            secrets,
         )?),
         None => None,
     };
-    let work = Rc::new(work(&config, desk, carriers, settings.merging));
+    let query_context = Rc::new(query_context(
+        &config,
+        dispatcher,
+        transports,
+        settings.merging,
+    ));
     let other_descriptors = replica_descriptors(&config) + for_fleet + for_links + OWN_DESCRIPTORS;
     let max_clients = config.sockets.saturating_sub(other_descriptors).max(1);
-    let front = Front::new(work.clone(), max_clients, config.sockets / 6);
+    let frontend = HttpFrontend::new(query_context.clone(), max_clients, config.sockets / 6);
     let listen = listener.local_addr().unwrap_or(config.listen);
-    let merged = work.gathering.merging.borrow().count();
+    let merged = query_context.merging.plans.borrow().count();
     info!(name = config.name, %listen, roster = %config.discovery, merged, "serving");
     ready(listen);
     tokio::select! {
-        () = front.accept(&listener) => {}
-        () = front.sweep() => {}
+        () = frontend.accept(&listener) => {}
+        () = frontend.sweep() => {}
         _ = &mut decisions => return Err(ServeError::Decisions),
         _ = &mut discovery => return Err(ServeError::ServiceDiscovery),
         _ = signals.terminate.recv() => {}
         _ = signals.interrupt.recv() => {}
-        () = reload(&mut signals.hangup, &config, files, &discovery_address, &work) => {}
+        () = reload(&mut signals.hangup, &config, files, &discovery_address, &query_context) => {}
     }
     if let Some(fleet) = &fleet {
         fleet.sender.send(ToFleet::Leave).ok();
     }
     if let Some(gateway) = gateway {
-        gateway.leave(LINKS_DRAIN).await;
+        gateway.drain(LINKS_DRAIN).await;
     }
-    front.stop(listener).await;
+    frontend.stop(listener).await;
     if let Some(fleet) = &fleet {
         fleet.leave();
     }
@@ -155,30 +164,30 @@
         .min(config.sockets / 2)
 }
 
-fn carriers(config: &Config) -> Carriers {
+fn transports(config: &Config) -> Transports {
     let surroundings = &config.surroundings;
-    let connect = clock::span(surroundings.connect_timeout.max(1));
-    let idle = clock::span(surroundings.idle_timeout.max(1));
-    Carriers::new(Limits {
-        streams: surroundings.max_streams,
-        withdraw: config.deployment.permissions.cancellation,
-        connect,
-        probe: connect,
-        idle: idle - idle / 8,
-        connections: replica_descriptors(config),
+    let connect_timeout = clock::to_duration(surroundings.connect_timeout.max(1));
+    let idle_timeout = clock::to_duration(surroundings.idle_timeout.max(1));
+    Transports::new(ConnectionLimits {
+        max_streams: surroundings.max_streams,
+        cancellation: config.deployment.permissions.cancellation,
+        connect_timeout,
+        probe_timeout: connect_timeout,
+        idle_timeout: idle_timeout - idle_timeout / 8,
+        max_connections: replica_descriptors(config),
     })
 }
 
 /// The dispatcher, which routes between zones if this process is in a fleet that has them.
 fn dispatcher(
     config: &Config,
-    carriers: &Carriers,
+    transports: &Transports,
     fleet: Option<&(Fleet, Secrets)>,
     zones: Option<&Zones>,
-) -> Desk {
+) -> Dispatcher {
     let zone_list = zones.iter().flat_map(|zones| &zones.zones);
     let names: Vec<String> = zone_list.map(|zone| zone.name.clone()).collect();
-    Desk::new(config, carriers.clone(), &names, |sites| {
+    Dispatcher::new(config, transports.clone(), &names, |sites| {
         let ((fleet, _), zones) = (fleet?, zones?);
         let layout = config.deployment.layout.clone();
         Some(ZoneRouting::new(
@@ -191,21 +200,26 @@
     })
 }
 
-fn work(config: &Config, desk: Desk, carriers: Carriers, merging: Merging) -> Work {
+fn query_context(
+    config: &Config,
+    dispatcher: Dispatcher,
+    transports: Transports,
+    merging: MergePlans,
+) -> QueryContext {
     let indexes = config.deployment.indexes.iter();
-    Work {
-        desk,
-        carriers,
-        surroundings: config.surroundings.clone(),
-        withdraw: config.deployment.permissions.cancellation,
-        gains: indexes
+    QueryContext {
+        dispatcher,
+        transports,
+        cluster: config.surroundings.clone(),
+        cancellation: config.deployment.permissions.cancellation,
+        priorities: indexes
             .map(|index| (index.value * 1_000.0) as u32)
             .collect(),
-        gathering: Gathering {
-            merging: RefCell::new(Rc::new(merging)),
-            ..Gathering::default()
+        merging: ResponseMerging {
+            plans: RefCell::new(Rc::new(merging)),
+            ..ResponseMerging::default()
         },
-        open: RefCell::default(),
+        open_ids: RefCell::default(),
     }
 }
 
@@ -215,7 +229,7 @@
     config: &Config,
     files: ReloadedFiles<'_>,
     discovery_address: &watch::Sender<SocketAddr>,
-    work: &Work,
+    query_context: &QueryContext,
 ) {
     loop {
         hangup.recv().await;
@@ -227,7 +241,7 @@
             .installation
             .and_then(|file| InstallationSettings::reload(file, config))
         {
-            work.gathering.merging.replace(new);
+            query_context.merging.plans.replace(new);
         }
     }
 }
