--- a/crates/linenthread-service/src/serve/mod.rs
+++ b/crates/linenthread-service/src/serve/mod.rs
@@ -10,9 +10,8 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use linenthread_installation::{Fleet, Zones};
-use linenthread_link::Secrets;
 use snafu::ResultExt;
+use tokio::net::TcpListener;
 use tokio::signal::unix::{Signal, SignalKind, signal};
 use tokio::sync::watch;
 use tracing::info;
@@ -21,8 +20,9 @@
 use crate::config::Config;
 use crate::dispatcher::Dispatcher;
 use crate::duration::tenth_millis;
-use crate::fleet::{self, ToFleet};
+use crate::fleet::{self, FleetHandle, ToFleet};
 use crate::frontends::http::{self, HttpFrontend};
+use crate::frontends::link::Gateway;
 use crate::installation::InstallationSettings;
 use crate::merge_responses::{MergePlans, ResponseMerging};
 use crate::query::QueryContext;
@@ -79,24 +79,13 @@
     let address = config.listen;
     let listener = http::listen(address).context(ListenSnafu { address })?;
     let mut signals = Signals::new()?;
+    let max_clients = max_clients(&config, &settings);
     let transports = transports(&config);
-    let dispatcher = dispatcher(
-        &config,
-        &transports,
-        settings.fleet.as_ref(),
-        settings.zones.as_ref(),
-    );
-    let for_fleet = settings
-        .fleet
-        .as_ref()
-        .map_or(0, |(fleet, _)| fleet_member::descriptors(fleet));
-    let fleet = match settings.fleet {
-        Some((fleet, secrets)) => {
-            let joined = fleet_member::join(&config, &dispatcher, fleet, settings.zones, secrets);
-            Some(joined.context(FleetSnafu)?)
-        }
-        None => None,
-    };
+    let dispatcher = dispatcher(&config, &transports, &settings);
+    let fleet = settings.fleet.map(|(fleet, secrets)| {
+        fleet_member::join(&config, &dispatcher, fleet, settings.zones, secrets)
+    });
+    let fleet = fleet.transpose().context(FleetSnafu)?;
     let mut decisions = actix_rt::spawn(dispatcher.clone().run());
     let (discovery_address, watched_address) = watch::channel(config.discovery);
     let mut discovery = actix_rt::spawn(service_discovery::watch(
@@ -105,30 +94,16 @@
         config.deployment.layout.replica_groups,
         !config.deployment.watch_membership,
     ));
-    let gateway = settings.gateway.as_ref().map(|(gateway, _)| gateway);
-    let for_links = links::descriptors(settings.peers.len(), gateway);
     for (n, peer) in settings.peers.into_iter().enumerate() {
         let seed = config.seed.wrapping_add(1 + n as u64);
         links::start_peer(&config, &dispatcher, &transports, peer, seed);
     }
-    let gateway = match settings.gateway {
-        Some((gateway, secrets)) => Some(links::start_gateway(
-            &config,
-            &dispatcher,
-            &transports,
-            &gateway,
-            secrets,
-        )?),
-        None => None,
-    };
-    let query_context = Rc::new(query_context(
-        &config,
-        dispatcher,
-        transports,
-        settings.merging,
-    ));
-    let other_descriptors = replica_descriptors(&config) + for_fleet + for_links + OWN_DESCRIPTORS;
-    let max_clients = config.sockets.saturating_sub(other_descriptors).max(1);
+    let gateway = settings.gateway.map(|(gateway, secrets)| {
+        links::start_gateway(&config, &dispatcher, &transports, &gateway, secrets)
+    });
+    let gateway = gateway.transpose()?;
+    let query_context = query_context(&config, dispatcher, transports, settings.merging);
+    let query_context = Rc::new(query_context);
     let frontend = HttpFrontend::new(query_context.clone(), max_clients, config.sockets / 6);
     let listen = listener.local_addr().unwrap_or(config.listen);
     let merged = query_context.merging.plans.borrow().count();
@@ -143,6 +118,17 @@
         _ = signals.interrupt.recv() => {}
         () = reload(&mut signals.hangup, &config, files, &discovery_address, &query_context) => {}
     }
+    shut_down(fleet, gateway, frontend, listener).await;
+    Ok(())
+}
+
+/// Leaves the fleet and the links, then answers the queries that were accepted.
+async fn shut_down(
+    fleet: Option<FleetHandle>,
+    gateway: Option<Gateway>,
+    frontend: HttpFrontend,
+    listener: TcpListener,
+) {
     if let Some(fleet) = &fleet {
         fleet.sender.send(ToFleet::Leave).ok();
     }
@@ -150,10 +136,19 @@
         gateway.drain(LINKS_DRAIN).await;
     }
     frontend.stop(listener).await;
-    if let Some(fleet) = &fleet {
+    if let Some(fleet) = fleet {
         fleet.leave();
     }
-    Ok(())
+}
+
+/// Connections of clients that the descriptors leave room for.
+fn max_clients(config: &Config, settings: &InstallationSettings) -> usize {
+    let fleet = settings.fleet.as_ref();
+    let for_fleet = fleet.map_or(0, |(fleet, _)| fleet_member::descriptors(fleet));
+    let gateway = settings.gateway.as_ref().map(|(gateway, _)| gateway);
+    let for_links = links::descriptors(settings.peers.len(), gateway);
+    let reserved = replica_descriptors(config) + for_fleet + for_links + OWN_DESCRIPTORS;
+    config.sockets.saturating_sub(reserved).max(1)
 }
 
 /// Descriptors reserved for replicas, before those for clients: a quarter of all, or two a replica. More replicas may
@@ -182,9 +177,9 @@
 fn dispatcher(
     config: &Config,
     transports: &Transports,
-    fleet: Option<&(Fleet, Secrets)>,
-    zones: Option<&Zones>,
+    settings: &InstallationSettings,
 ) -> Dispatcher {
+    let (fleet, zones) = (settings.fleet.as_ref(), settings.zones.as_ref());
     let zone_list = zones.iter().flat_map(|zones| &zones.zones);
     let names: Vec<String> = zone_list.map(|zone| zone.name.clone()).collect();
     Dispatcher::new(config, transports.clone(), &names, |sites| {
