--- a/crates/linenthread-service/src/config.rs
+++ b/crates/linenthread-service/src/config.rs
@@ -59,9 +59,11 @@
     /// Descriptors that the process may use.
     pub sockets: usize,
     /// Replicas to begin with, until service discovery answers.
-    pub remembered: membership::MembershipList,
-    pub deployment: CoordinatorConfig,
-    pub surroundings: ClusterConfig,
+    pub cached_membership: membership::MembershipList,
+    /// Settings of the decision module.
+    pub coordinator: CoordinatorConfig,
+    /// Settings of the replicas and of connections to them.
+    pub cluster: ClusterConfig,
 }
 
 /// The fields of the file's top level.
@@ -119,10 +121,10 @@
             discovery: fields.address("discovery")?,
             seed: u64::from_str_radix(seed, 16).context(SeedSnafu)?,
             sockets: parse_sockets(sockets).context(TooFewSocketsSnafu)?,
-            remembered: membership::from_value(fields.value("known")?, replica_groups)
+            cached_membership: membership::from_value(fields.value("known")?, replica_groups)
                 .context(MembersSnafu)?,
-            surroundings: terms::cluster_config(settings).context(SettingsSnafu)?,
-            deployment,
+            cluster: terms::cluster_config(settings).context(SettingsSnafu)?,
+            coordinator: deployment,
         })
     }
 
@@ -142,7 +144,7 @@
             ("limits.sockets", new.sockets != self.sockets),
             (
                 "settings",
-                new.deployment != self.deployment || new.surroundings != self.surroundings,
+                new.coordinator != self.coordinator || new.cluster != self.cluster,
             ),
         ];
         let changed = at_next_start.into_iter().filter(|(_, differs)| *differs);
--- a/crates/linenthread-service/src/fleet/member.rs
+++ b/crates/linenthread-service/src/fleet/member.rs
@@ -26,7 +26,7 @@
 use super::{FromFleet, LEAVE_GRACE, MemberConfig, StartError, ToFleet};
 use crate::clock::Clock;
 use crate::duration::tenth_millis;
-use crate::log::Sparing;
+use crate::log::LogRateLimit;
 
 /// SIGXFSZ, which a write beyond the file size limit raises.
 const FILE_SIZE_SIGNAL: i32 = 25;
@@ -46,9 +46,9 @@
     pub(super) connections: RefCell<BTreeMap<u64, Rc<Connection>>>,
     pub(super) from_fleet: mpsc::UnboundedSender<FromFleet>,
     woken: Notify,
-    pub(super) log_limit: Sparing,
-    pub(super) connection_log_limit: Sparing,
-    pub(super) observation_log_limit: Sparing,
+    pub(super) log_limit: LogRateLimit,
+    pub(super) connection_log_limit: LogRateLimit,
+    pub(super) observation_log_limit: LogRateLimit,
     /// Observations that no decision and no report has used yet.
     pub(super) observations: RefCell<Report>,
     pub(super) topology: RefCell<Option<Topology>>,
@@ -140,9 +140,9 @@
             connections: RefCell::default(),
             from_fleet,
             woken: Notify::new(),
-            log_limit: Sparing::default(),
-            connection_log_limit: Sparing::default(),
-            observation_log_limit: Sparing::default(),
+            log_limit: LogRateLimit::default(),
+            connection_log_limit: LogRateLimit::default(),
+            observation_log_limit: LogRateLimit::default(),
             observations: RefCell::default(),
             topology: RefCell::default(),
             failover: RefCell::default(),
@@ -251,12 +251,12 @@
             }
             FleetAction::Report { from, bytes } => self.on_report(&from, bytes),
             FleetAction::LogConnection(line) => {
-                if let Some(left_out) = self.0.connection_log_limit.line() {
+                if let Some(left_out) = self.0.connection_log_limit.admit() {
                     info!(left_out, "fleet: {line}");
                 }
             }
             FleetAction::Log(line) => {
-                if let Some(left_out) = self.0.log_limit.line() {
+                if let Some(left_out) = self.0.log_limit.admit() {
                     info!(left_out, "fleet: {line}");
                 }
             }
--- a/crates/linenthread-service/src/fleet/zone_decisions.rs
+++ b/crates/linenthread-service/src/fleet/zone_decisions.rs
@@ -69,7 +69,7 @@
             Some(&OBSERVATIONS) => match Report::decode(&bytes[1..]) {
                 Ok(report) => self.0.observations.borrow_mut().add(&report),
                 Err(error) => {
-                    if let Some(left_out) = self.0.log_limit.line() {
+                    if let Some(left_out) = self.0.log_limit.admit() {
                         warn!(from, left_out, "a report is not taken: {error}");
                     }
                 }
@@ -220,7 +220,7 @@
         let has_faults = |(_, stats): &(&(u8, u8), &RouteStats)| stats.down + stats.slow > 0;
         let against: Vec<_> = observations.routes.iter().filter(has_faults).collect();
         if !against.is_empty()
-            && let Some(left_out) = self.0.observation_log_limit.line()
+            && let Some(left_out) = self.0.observation_log_limit.admit()
         {
             info!(?against, observers = ?observations.demand, left_out, "seen against zones");
         }
--- a/crates/linenthread-service/src/installation.rs
+++ b/crates/linenthread-service/src/installation.rs
@@ -78,10 +78,10 @@
         file: &Path,
         config: &Config,
     ) -> Result<InstallationSettings, InstallationError> {
-        let index_names = &config.surroundings.index_names;
+        let index_names = &config.cluster.index_names;
         let known = |name: &str| {
             let position = index_names.iter().position(|index| index == name)?;
-            let index = config.deployment.indexes.get(position)?;
+            let index = config.coordinator.indexes.get(position)?;
             Some(KnownIndex {
                 min_share: index.min_share,
             })
--- a/crates/linenthread-service/src/log.rs
+++ b/crates/linenthread-service/src/log.rs
@@ -1,4 +1,4 @@
-//! Log lines: where they go, and how many of a kind there may be.
+//! The log: where its lines go, and the rate limit of lines that clients or peers can bring about.
 
 use std::cell::Cell;
 use std::time::{Duration, Instant};
@@ -7,11 +7,11 @@
 use tracing_subscriber::filter::Targets;
 use tracing_subscriber::prelude::*;
 
-/// Lines of one kind in any second; the rest are counted.
-const MOST: u32 = 5;
+/// Lines of one kind that are written in a second; the rest are counted.
+const MAX_LINES_PER_SECOND: u32 = 5;
 
-/// Starts the log. One that nobody reads any more must not bring the program down, and of the libraries' own
-/// lines, which bad input could bring about without bound, there are none.
+/// Starts the log on standard error. Failures to write it are ignored, as a log that nobody reads any more must not end
+/// the process. Lines of libraries are left out: bad input could bring them about without bound.
 pub(crate) fn start() {
     let lines = tracing_subscriber::fmt::layer()
         .with_ansi(false)
@@ -23,31 +23,33 @@
         .init();
 }
 
-/// Keeps one kind of line to a bounded rate.
-pub(crate) struct Sparing {
+/// Limits the rate of one kind of log line.
+pub(crate) struct LogRateLimit {
+    /// Start of the current second.
     since: Cell<Instant>,
+    /// Lines in the current second, written or left out.
     lines: Cell<u32>,
 }
 
-impl Default for Sparing {
+impl Default for LogRateLimit {
     fn default() -> Self {
-        Sparing {
+        LogRateLimit {
             since: Cell::new(Instant::now()),
             lines: Cell::new(0),
         }
     }
 }
 
-impl Sparing {
-    /// Whether a line may be written now, and how many were left out before it.
-    pub(crate) fn line(&self) -> Option<u32> {
+impl LogRateLimit {
+    /// Whether a line may be written now; if so, how many were left out before it.
+    pub(crate) fn admit(&self) -> Option<u32> {
         let mut left_out = 0;
         if self.since.get().elapsed() >= Duration::from_secs(1) {
-            left_out = self.lines.get().saturating_sub(MOST);
+            left_out = self.lines.get().saturating_sub(MAX_LINES_PER_SECOND);
             self.since.set(Instant::now());
             self.lines.set(0);
         }
         self.lines.set(self.lines.get().saturating_add(1));
-        (self.lines.get() <= MOST).then_some(left_out)
+        (self.lines.get() <= MAX_LINES_PER_SECOND).then_some(left_out)
     }
 }
--- a/crates/linenthread-service/src/main.rs
+++ b/crates/linenthread-service/src/main.rs
@@ -92,8 +92,8 @@
 
 fn check(config: PathBuf, installation: Option<&Path>) -> ExitCode {
     with_files(Some(config), installation, |config, _, settings| {
-        let indexes = config.deployment.indexes.len();
-        let replicas = config.remembered.replicas.len();
+        let indexes = config.coordinator.indexes.len();
+        let replicas = config.cached_membership.replicas.len();
         let merged = match installation {
             Some(_) => format!(", {} merged", settings.merging.count()),
             None => String::new(),
--- a/crates/linenthread-service/src/migrate.rs
+++ b/crates/linenthread-service/src/migrate.rs
@@ -57,10 +57,10 @@
 /// that each shard keeps its number of replicas. `None` for a configuration that has the new form already.
 fn convert(text: &[u8]) -> Result<Option<Converted>, ConvertError> {
     let old = Config::parse(text).context(OldSnafu)?;
-    let layout = &old.deployment.layout;
+    let layout = &old.coordinator.layout;
     let groups = layout.replica_groups;
     let in_a_row = layout.replication_factor.max(1);
-    if in_a_row == 1 && !old.deployment.reports_queue {
+    if in_a_row == 1 && !old.coordinator.reports_queue {
         return Ok(None);
     }
     ensure!(groups % in_a_row == 0, UnevenSnafu { groups, in_a_row });
@@ -75,12 +75,12 @@
     layout_settings["in-a-row"] = json!(sets.replication_factor);
     let members = new["known"]["members"].as_array_mut().into_iter().flatten();
     let mut moves = Vec::new();
-    for (replica, member) in old.remembered.replicas.iter().zip(members) {
+    for (replica, member) in old.cached_membership.replicas.iter().zip(members) {
         let set = replica.replica_group / in_a_row;
         member["cell"] = json!(set);
         let group = replica.replica_group;
         let holds = |shard| (layout.holds(group, shard), sets.holds(set, shard));
-        let (loads, drops) = shard_moves(old.surroundings.shard_count, holds);
+        let (loads, drops) = shard_moves(old.cluster.shard_count, holds);
         let id = &replica.id;
         moves.push(format!(
             "{id}: set {set}; loads [{loads}], may then drop [{drops}]"
--- a/crates/linenthread-service/src/serve/mod.rs
+++ b/crates/linenthread-service/src/serve/mod.rs
@@ -91,8 +91,8 @@
     let mut discovery = actix_rt::spawn(service_discovery::watch(
         dispatcher.clone(),
         watched_address,
-        config.deployment.layout.replica_groups,
-        !config.deployment.watch_membership,
+        config.coordinator.layout.replica_groups,
+        !config.coordinator.watch_membership,
     ));
     for (n, peer) in settings.peers.into_iter().enumerate() {
         let seed = config.seed.wrapping_add(1 + n as u64);
@@ -155,17 +155,17 @@
 /// be discovered later, so at most half is reserved.
 fn replica_descriptors(config: &Config) -> usize {
     (config.sockets / 4)
-        .max(config.remembered.replicas.len() * 2)
+        .max(config.cached_membership.replicas.len() * 2)
         .min(config.sockets / 2)
 }
 
 fn transports(config: &Config) -> Transports {
-    let surroundings = &config.surroundings;
+    let surroundings = &config.cluster;
     let connect_timeout = clock::to_duration(surroundings.connect_timeout.max(1));
     let idle_timeout = clock::to_duration(surroundings.idle_timeout.max(1));
     Transports::new(ConnectionLimits {
         max_streams: surroundings.max_streams,
-        cancellation: config.deployment.permissions.cancellation,
+        cancellation: config.coordinator.permissions.cancellation,
         connect_timeout,
         probe_timeout: connect_timeout,
         idle_timeout: idle_timeout - idle_timeout / 8,
@@ -184,13 +184,13 @@
     let names: Vec<String> = zone_list.map(|zone| zone.name.clone()).collect();
     Dispatcher::new(config, transports.clone(), &names, |sites| {
         let ((fleet, _), zones) = (fleet?, zones?);
-        let layout = config.deployment.layout.clone();
+        let layout = config.coordinator.layout.clone();
         Some(ZoneRouting::new(
             fleet::configured_zones(zones),
             &fleet.zone,
             tenth_millis(zones.table_lifetime),
             sites,
-            (layout, config.surroundings.shard_count),
+            (layout, config.cluster.shard_count),
         ))
     })
 }
@@ -201,12 +201,12 @@
     transports: Transports,
     merging: MergePlans,
 ) -> QueryContext {
-    let indexes = config.deployment.indexes.iter();
+    let indexes = config.coordinator.indexes.iter();
     QueryContext {
         dispatcher,
         transports,
-        cluster: config.surroundings.clone(),
-        cancellation: config.deployment.permissions.cancellation,
+        cluster: config.cluster.clone(),
+        cancellation: config.coordinator.permissions.cancellation,
         priorities: indexes
             .map(|index| (index.value * 1_000.0) as u32)
             .collect(),
