--- a/crates/linenthread-service/src/dispatcher/membership.rs
+++ b/crates/linenthread-service/src/dispatcher/membership.rs
@@ -136,7 +136,7 @@
             is_listed[entry.replica] = true;
         }
         for replica in (0..is_listed.len()).filter(|replica| !is_listed[*replica]) {
-            self.replicas.mark_removed(replica, submitted);
+            self.replicas.ensure_removed(replica, submitted);
             self.transports.set_route(replica, None);
         }
     }
@@ -155,7 +155,7 @@
         let member = Member {
             id: listed.id.clone(),
             zone: listed.zone.clone(),
-            replica_group: listed.replica_group as u32,
+            replica_group: u32::try_from(listed.replica_group).unwrap_or(u32::MAX),
             phase: listed.phase,
             age_ms,
             slow_start_share: FULL_SHARE,
--- a/crates/linenthread-service/src/dispatcher/mod.rs
+++ b/crates/linenthread-service/src/dispatcher/mod.rs
@@ -89,7 +89,7 @@
     /// There are inputs for a step.
     has_input: Notify,
     /// The coordinator wants the service discovery to be asked.
-    membership_wanted: Notify,
+    membership_requested: Notify,
     /// The service discovery's list has changed.
     local_changed: Notify,
     transports: Transports,
@@ -163,7 +163,7 @@
     }
 
     fn watch_membership(&mut self) {
-        self.dispatcher.0.membership_wanted.notify_one();
+        self.dispatcher.0.membership_requested.notify_one();
     }
 
     fn wake_at(&mut self, at: TenthMillis) {
@@ -204,7 +204,7 @@
                 zones,
             }),
             has_input: Notify::new(),
-            membership_wanted: Notify::new(),
+            membership_requested: Notify::new(),
             local_changed: Notify::new(),
             transports,
         }));
@@ -365,8 +365,8 @@
     }
 
     /// Waits until the coordinator wants the service discovery to be asked.
-    pub(crate) async fn membership_wanted(&self) {
-        self.0.membership_wanted.notified().await;
+    pub(crate) async fn membership_requested(&self) {
+        self.0.membership_requested.notified().await;
     }
 
     /// Passes the routes between zones to the coordinator, where there are zones.
--- a/crates/linenthread-service/src/dispatcher/replica_indices.rs
+++ b/crates/linenthread-service/src/dispatcher/replica_indices.rs
@@ -80,7 +80,7 @@
     }
 
     /// Marks a replica as removed unless it already was.
-    pub(crate) fn mark_removed(&mut self, replica: usize, submitted: u64) {
+    pub(crate) fn ensure_removed(&mut self, replica: usize, submitted: u64) {
         if let Some(slot) = self.slot(replica) {
             slot.removed_after = slot.removed_after.or(Some(submitted));
         }
--- a/crates/linenthread-service/src/frontends/http/connection.rs
+++ b/crates/linenthread-service/src/frontends/http/connection.rs
@@ -40,7 +40,7 @@
     /// When it entered its state; the first request begins with the connection.
     since: Cell<Instant>,
     /// A request of it was answered.
-    has_been_answered: Cell<bool>,
+    has_had_response: Cell<bool>,
     /// It closes as soon as it is idle.
     is_closing: Cell<bool>,
     /// It closes even amid a request, unless that awaits its response.
@@ -58,7 +58,7 @@
         ClientConnection {
             state: Cell::new(ConnectionState::Idle),
             since: Cell::new(Instant::now()),
-            has_been_answered: Cell::new(false),
+            has_had_response: Cell::new(false),
             is_closing: Cell::new(false),
             is_evicted: Cell::new(false),
             reader: RefCell::new(None),
@@ -74,7 +74,7 @@
 
     /// Some of a request was read. The first one has begun with the connection.
     pub(super) fn on_request_bytes(&self) {
-        match (self.state.get(), self.has_been_answered.get()) {
+        match (self.state.get(), self.has_had_response.get()) {
             (ConnectionState::Idle, true) => self.set_state(ConnectionState::ReadingHead),
             (ConnectionState::Idle, false) => self.state.set(ConnectionState::ReadingHead),
             _ => {}
@@ -94,9 +94,9 @@
     }
 
     /// A request was answered.
-    pub(super) fn on_answered(&self) {
+    pub(super) fn on_response_sent(&self) {
         self.set_state(ConnectionState::Idle);
-        self.has_been_answered.set(true);
+        self.has_had_response.set(true);
         self.wake();
     }
 
@@ -135,14 +135,14 @@
 
     /// It has had an answer, sends no further request, and is not closing yet.
     pub(super) fn is_spent(&self) -> bool {
-        self.has_been_answered.get()
+        self.has_had_response.get()
             && self.state.get() == ConnectionState::Idle
             && !self.is_closing.get()
     }
 
     /// It connected only now: its first request may be on the way.
     pub(super) fn is_new(&self) -> bool {
-        !self.has_been_answered.get() && self.since.get().elapsed() <= SLOW_REQUEST
+        !self.has_had_response.get() && self.since.get().elapsed() <= SLOW_REQUEST
     }
 
     /// It may be closed for a new connection: it is idle, or its request takes longer than usual to arrive.
@@ -159,7 +159,7 @@
 
     /// It has been idle for longer than it is kept.
     pub(super) fn is_idle_too_long(&self, is_crowded: bool) -> bool {
-        let kept = if is_crowded || !self.has_been_answered.get() {
+        let kept = if is_crowded || !self.has_had_response.get() {
             CROWDED_IDLE_TIMEOUT
         } else {
             IDLE_TIMEOUT
--- a/crates/linenthread-service/src/frontends/http/mod.rs
+++ b/crates/linenthread-service/src/frontends/http/mod.rs
@@ -34,7 +34,7 @@
 /// How long a client may take to read its response.
 const DISCONNECT_TIMEOUT: Duration = Duration::from_secs(2);
 /// How long idle connections stay open once the shutdown has begun, as clients still use them.
-const KEEP_IDLE_WHILE_STOPPING: Duration = Duration::from_millis(600);
+const IDLE_TIMEOUT_WHILE_STOPPING: Duration = Duration::from_millis(600);
 /// How long new connections are accepted once the shutdown has begun; each serves one request.
 const ACCEPT_WHILE_STOPPING: Duration = Duration::from_millis(1_200);
 /// How long a full frontend waits for a connection to close before it evicts another.
@@ -126,7 +126,7 @@
         );
         self.0.is_stopping.set(true);
         let began = Instant::now();
-        for after in [KEEP_IDLE_WHILE_STOPPING, ACCEPT_WHILE_STOPPING] {
+        for after in [IDLE_TIMEOUT_WHILE_STOPPING, ACCEPT_WHILE_STOPPING] {
             tokio::select! {
                 () = self.accept(&listener) => {}
                 () = sleep_until(began + after) => {}
@@ -225,7 +225,7 @@
                 async move {
                     client.on_request_head();
                     let response = frontend.respond(request, &client).await;
-                    client.on_answered();
+                    client.on_response_sent();
                     Ok::<_, Infallible>(response)
                 }
             }));
@@ -280,7 +280,7 @@
             QueryOutcome::Rejected { retry_after_ms } => rejected(retry_after_ms),
             QueryOutcome::Failed => empty(StatusCode::BAD_GATEWAY),
             QueryOutcome::DuplicateId => self.refuse(client, &RequestError::DuplicateId),
-            QueryOutcome::Invalid(reason) => self.refuse(client, &RequestError::Invalid { reason }),
+            QueryOutcome::Invalid(error) => self.refuse(client, &error.into()),
         }
     }
 
--- a/crates/linenthread-service/src/frontends/http/request.rs
+++ b/crates/linenthread-service/src/frontends/http/request.rs
@@ -33,8 +33,10 @@
     UnknownShard { shard: usize },
     #[snafu(transparent)]
     Query { source: QueryError },
-    #[snafu(display("{reason}"))]
-    Invalid { reason: String },
+    #[snafu(transparent)]
+    Page {
+        source: linenthread_merge::QueryError,
+    },
     #[snafu(display("a lookup of this id is open"))]
     DuplicateId,
 }
@@ -51,7 +53,7 @@
             | RequestError::UnknownCustomer
             | RequestError::UnknownShard { .. }
             | RequestError::Query { .. }
-            | RequestError::Invalid { .. } => StatusCode::BAD_REQUEST,
+            | RequestError::Page { .. } => StatusCode::BAD_REQUEST,
         }
     }
 }
--- a/crates/linenthread-service/src/query.rs
+++ b/crates/linenthread-service/src/query.rs
@@ -6,6 +6,7 @@
 use std::time::Duration;
 
 use linenthread_core::interface::{AttemptOutcome, AttemptResult, TenthMillis};
+use linenthread_merge::QueryError;
 use linenthread_protocol::query::{Page, Query};
 use linenthread_terms::ClusterConfig;
 use tokio::sync::{mpsc, oneshot};
@@ -24,7 +25,7 @@
 const DEADLINE_TOLERANCE: Duration = Duration::from_millis(20);
 
 /// How a query ended for its client.
-#[derive(Debug, PartialEq)]
+#[derive(Debug)]
 pub(crate) enum QueryOutcome {
     /// The body of the response.
     Success(Vec<u8>),
@@ -35,8 +36,8 @@
     Failed,
     /// A query of the same id is open.
     DuplicateId,
-    /// The request cannot be used, for this reason.
-    Invalid(String),
+    /// The requested page cannot be served.
+    Invalid(QueryError),
 }
 
 /// What the tasks of all queries share.
@@ -207,7 +208,7 @@
     let plans = context.merging.plans.borrow().clone();
     let responses = match collector(&context, &plans, &request) {
         Ok(responses) => responses,
-        Err(reason) => return drop(client.send(QueryOutcome::Invalid(reason))),
+        Err(error) => return drop(client.send(QueryOutcome::Invalid(error))),
     };
     let QueryRequest {
         query, submission, ..
@@ -244,7 +245,7 @@
     context: &'a QueryContext,
     plans: &'a MergePlans,
     request: &QueryRequest,
-) -> Result<ResponseCollector<'a>, String> {
+) -> Result<ResponseCollector<'a>, QueryError> {
     let anomalies = &context.merging.anomalies;
     let index = request.submission.index;
     let shard_count = context.cluster.shard_count;
@@ -256,7 +257,6 @@
         &request.query,
         &request.page,
     )
-    .map_err(|error| error.to_string())
 }
 
 /// The state of one query's task.
--- a/crates/linenthread-service/src/service_discovery.rs
+++ b/crates/linenthread-service/src/service_discovery.rs
@@ -11,10 +11,10 @@
 
 use crate::dispatcher::Dispatcher;
 
-/// How long the service is asked to hold a watch: the longest that it permits, since a held watch is answered
+/// How long the service is asked to keep a watch open, in milliseconds: the longest that it permits, since an open watch is answered
 /// as soon as there is an update, and one that ends has to be requested again.
-const WATCH_HOLD: Duration = Duration::from_secs(60);
-/// How much longer than the hold a response may take before the request counts as failed.
+const WATCH_TIMEOUT_MS: u64 = 60_000;
+/// How much longer than the watch a response may take before the request counts as failed.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Why the list could not be had. The text goes to the log.
@@ -44,7 +44,7 @@
     fetch_first: bool,
 ) {
     if !fetch_first {
-        dispatcher.membership_wanted().await;
+        dispatcher.membership_requested().await;
     }
     loop {
         let current = *address.borrow_and_update();
@@ -86,7 +86,7 @@
                 }
                 failing = true;
                 dispatcher.on_membership(None);
-                dispatcher.membership_wanted().await;
+                dispatcher.membership_requested().await;
             }
         }
     }
@@ -102,9 +102,9 @@
     let (path, wait) = match revision {
         None => (membership::LIST_PATH.to_owned(), RESPONSE_TIMEOUT),
         Some(revision) => {
-            let hold_ms = WATCH_HOLD.as_millis() as u64;
-            let path = membership::watch_path(revision, hold_ms);
-            (path, WATCH_HOLD + RESPONSE_TIMEOUT)
+            let path = membership::watch_path(revision, WATCH_TIMEOUT_MS);
+            let watch_timeout = Duration::from_millis(WATCH_TIMEOUT_MS);
+            (path, watch_timeout + RESPONSE_TIMEOUT)
         }
     };
     let url = format!("http://{address}{path}");
--- /dev/null
+++ b/crates/linenthread-service/src/transports/connection/error.rs
@@ -0,0 +1,51 @@
+//! Why connections to replicas fail.
+
+use std::io;
+
+use linenthread_protocol::frame;
+use snafu::Snafu;
+
+/// Why a connection failed. The text goes to the log.
+#[derive(Debug, Snafu)]
+#[snafu(visibility(pub(super)))]
+pub(in crate::transports) enum ConnectionError {
+    #[snafu(display("cannot connect: {source}"))]
+    Connect { source: io::Error },
+    #[snafu(display("cannot connect in time"))]
+    ConnectTimeout,
+    #[snafu(display("closed by the replica"))]
+    Closed,
+    #[snafu(display("{source}"))]
+    Io { source: io::Error },
+    #[snafu(display("the replica could not use a frame: {message}"))]
+    FrameRefused { message: String },
+    #[snafu(display("{source}"))]
+    Decode { source: frame::FrameError },
+    #[snafu(display("a frame does not come whole"))]
+    IncompleteFrame,
+    #[snafu(display("it says more than was asked"))]
+    UnsolicitedData,
+    #[snafu(display("an answer to a part not yet sent"))]
+    PrematureResponse,
+    #[snafu(display("an answer to a part that was never sent"))]
+    UnknownResponse,
+}
+
+impl ConnectionError {
+    /// Whether the replica broke the protocol: it runs, and has run what was sent, but the connection is of no
+    /// more use.
+    pub(in crate::transports) fn is_protocol_violation(&self) -> bool {
+        match self {
+            ConnectionError::Connect { .. }
+            | ConnectionError::ConnectTimeout
+            | ConnectionError::Closed
+            | ConnectionError::Io { .. }
+            | ConnectionError::FrameRefused { .. } => false,
+            ConnectionError::Decode { .. }
+            | ConnectionError::IncompleteFrame
+            | ConnectionError::UnsolicitedData
+            | ConnectionError::PrematureResponse
+            | ConnectionError::UnknownResponse => true,
+        }
+    }
+}
--- a/crates/linenthread-service/src/transports/connection.rs
+++ b/crates/linenthread-service/src/transports/connection/mod.rs
@@ -1,5 +1,8 @@
 //! One connection to a replica: writes frames, reads messages, and ends each attempt on it exactly once.
 
+mod error;
+mod frame_writer;
+
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, VecDeque};
 use std::io;
@@ -11,7 +14,7 @@
 use linenthread_core::interface::AttemptOutcome;
 use linenthread_protocol::frame::{self, ReplicaMessage};
 use linenthread_protocol::hash_id;
-use snafu::{ResultExt, Snafu};
+use snafu::ResultExt;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 use tokio::sync::{Notify, oneshot};
@@ -22,60 +25,21 @@
     ConnectionLimits, FinishedAttempt, FinishedAttempts, OutgoingSubRequest, ProbeReport,
 };
 
-/// After this idle time the replica may have closed the connection unnoticed: the last byte of the next
-/// request is held back for [`LAST_BYTE_DELAY`], so that a dead connection breaks before the request can run.
+pub(in crate::transports) use error::ConnectionError;
+use error::{
+    ClosedSnafu, DecodeSnafu, FrameRefusedSnafu, IncompleteFrameSnafu, IoSnafu,
+    PrematureResponseSnafu, UnknownResponseSnafu, UnsolicitedDataSnafu,
+};
+use frame_writer::{FrameWriter, OutgoingFrame};
+
+/// After this idle time the replica may have closed the connection unnoticed: the last byte of the next request is
+/// delayed, so that a dead connection breaks before the request can run.
 const IDLE_BEFORE_DELAY: Duration = Duration::from_millis(50);
-/// How long the last byte of a request is held back on a connection that was idle.
-const LAST_BYTE_DELAY: Duration = Duration::from_millis(2);
 /// Ids of finished sub-requests that are remembered, to recognise their late or duplicate responses.
 const MAX_REMEMBERED_IDS: usize = 512;
 /// The size of one read, in bytes.
 const READ_BYTES: usize = 16 * 1024;
 
-/// Why a connection failed. The text goes to the log.
-#[derive(Debug, Snafu)]
-pub(super) enum ConnectionError {
-    #[snafu(display("cannot connect: {source}"))]
-    Connect { source: io::Error },
-    #[snafu(display("cannot connect in time"))]
-    ConnectTimeout,
-    #[snafu(display("closed by the replica"))]
-    Closed,
-    #[snafu(display("{source}"))]
-    Io { source: io::Error },
-    #[snafu(display("the replica could not use a frame: {message}"))]
-    FrameRefused { message: String },
-    #[snafu(display("{source}"))]
-    Decode { source: frame::FrameError },
-    #[snafu(display("a frame does not come whole"))]
-    IncompleteFrame,
-    #[snafu(display("it says more than was asked"))]
-    UnsolicitedData,
-    #[snafu(display("an answer to a part not yet sent"))]
-    PrematureResponse,
-    #[snafu(display("an answer to a part that was never sent"))]
-    UnknownResponse,
-}
-
-impl ConnectionError {
-    /// Whether the replica broke the protocol: it runs, and has run what was sent, but the connection is of no
-    /// more use.
-    pub(super) fn is_protocol_violation(&self) -> bool {
-        match self {
-            ConnectionError::Connect { .. }
-            | ConnectionError::ConnectTimeout
-            | ConnectionError::Closed
-            | ConnectionError::Io { .. }
-            | ConnectionError::FrameRefused { .. } => false,
-            ConnectionError::Decode { .. }
-            | ConnectionError::IncompleteFrame
-            | ConnectionError::UnsolicitedData
-            | ConnectionError::PrematureResponse
-            | ConnectionError::UnknownResponse => true,
-        }
-    }
-}
-
 /// An attempt that waits for its response.
 struct PendingAttempt {
     /// Unique among all attempts of the process.
@@ -94,60 +58,10 @@
     report: oneshot::Sender<ProbeReport>,
 }
 
-/// A frame to be written.
-struct OutgoingFrame {
-    bytes: Vec<u8>,
-    /// The sub-request ids in it, with the numbers of their attempts.
-    attempts: Vec<(String, u64)>,
-    is_probe: bool,
-}
-
-/// A frame that is being written.
-struct FrameWriter {
-    frame: OutgoingFrame,
-    /// Bytes written so far.
-    position: usize,
-    /// The last byte follows after a delay.
-    delays_last_byte: bool,
-    /// When the last byte may follow, once all others are written.
-    last_byte_at: Option<Instant>,
-}
-
-impl FrameWriter {
-    fn new(frame: OutgoingFrame, delays_last_byte: bool) -> Self {
-        FrameWriter {
-            frame,
-            position: 0,
-            delays_last_byte,
-            last_byte_at: None,
-        }
-    }
-
-    /// What may be written now, or when there will be more.
-    fn next(&self) -> (&[u8], Option<Instant>) {
-        let rest = &self.frame.bytes[self.position..];
-        match self.last_byte_at {
-            _ if !self.delays_last_byte => (rest, None),
-            None => (&rest[..rest.len() - 1], None),
-            Some(due) if due > Instant::now() => (&[], Some(due)),
-            Some(_) => (rest, None),
-        }
-    }
-
-    /// Counts written bytes; returns whether the frame is complete.
-    fn advance(&mut self, written: usize) -> bool {
-        self.position += written;
-        if self.position + 1 == self.frame.bytes.len() {
-            self.last_byte_at = Some(Instant::now() + LAST_BYTE_DELAY);
-        }
-        self.position == self.frame.bytes.len()
-    }
-}
-
 /// The state of one connection, shared by its task and the attempts on it.
-pub(super) struct Connection {
-    pub(super) replica: usize,
-    pub(super) address: SocketAddr,
+pub(in crate::transports) struct Connection {
+    pub(in crate::transports) replica: usize,
+    pub(in crate::transports) address: SocketAddr,
     /// Cancellations are sent to the replica.
     cancellation: bool,
     outgoing: RefCell<VecDeque<OutgoingFrame>>,
@@ -180,7 +94,7 @@
 impl InFlightAttempt {
     /// Marks the connection as silent where nothing was read since the attempt was sent.
     pub(crate) fn timed_out(&self) {
-        self.connection.mark_silent_since(self.sent);
+        self.connection.set_silent_since(self.sent);
     }
 }
 
@@ -228,7 +142,11 @@
 }
 
 impl Connection {
-    pub(super) fn new(replica: usize, address: SocketAddr, cancellation: bool) -> Self {
+    pub(in crate::transports) fn new(
+        replica: usize,
+        address: SocketAddr,
+        cancellation: bool,
+    ) -> Self {
         Connection {
             replica,
             address,
@@ -247,7 +165,7 @@
     }
 
     /// Queues sub-requests as one frame; `next_number` numbers the attempts. `ids` are theirs, in order.
-    pub(super) fn send(
+    pub(in crate::transports) fn send(
         self: &Rc<Self>,
         ids: Vec<String>,
         sub_requests: &[OutgoingSubRequest],
@@ -289,7 +207,7 @@
     }
 
     /// Queues a probe.
-    pub(super) fn send_probe(&self) -> oneshot::Receiver<ProbeReport> {
+    pub(in crate::transports) fn send_probe(&self) -> oneshot::Receiver<ProbeReport> {
         let (report, response) = oneshot::channel();
         self.probes.borrow_mut().push_back(PendingProbe {
             written: false,
@@ -305,13 +223,13 @@
     }
 
     /// Takes no more requests, and closes once nothing is in flight.
-    pub(super) fn retire(&self) {
+    pub(in crate::transports) fn retire(&self) {
         self.is_retired.set(true);
         self.wake.notify_one();
     }
 
     /// Marks the connection as silent where nothing was read since then.
-    pub(super) fn mark_silent_since(&self, sent: Instant) {
+    pub(in crate::transports) fn set_silent_since(&self, sent: Instant) {
         if self.last_read.get() < sent && !self.is_silent.replace(true) {
             info!(address = %self.address, "replica connection is silent; no more goes on it");
             self.wake.notify_one();
@@ -319,31 +237,31 @@
     }
 
     /// Attempts and probes that wait for a response.
-    pub(super) fn in_flight(&self) -> usize {
+    pub(in crate::transports) fn in_flight(&self) -> usize {
         self.attempts.borrow().len() + self.probes.borrow().len()
     }
 
     /// Attempts that wait for a response.
-    pub(super) fn attempts_in_flight(&self) -> usize {
+    pub(in crate::transports) fn attempts_in_flight(&self) -> usize {
         self.attempts.borrow().len()
     }
 
     /// Whether an attempt with one of these ids is in flight.
-    pub(super) fn has_any(&self, ids: &[String]) -> bool {
+    pub(in crate::transports) fn has_any(&self, ids: &[String]) -> bool {
         let attempts = self.attempts.borrow();
         ids.iter().any(|id| attempts.contains_key(id))
     }
 
     /// Whether it takes requests.
-    pub(super) fn is_usable(&self) -> bool {
+    pub(in crate::transports) fn is_usable(&self) -> bool {
         !self.is_silent.get() && !self.is_retired.get()
     }
 
-    pub(super) fn is_mid_frame(&self) -> bool {
+    pub(in crate::transports) fn is_mid_frame(&self) -> bool {
         self.is_mid_frame.get()
     }
 
-    pub(super) fn last_read(&self) -> Instant {
+    pub(in crate::transports) fn last_read(&self) -> Instant {
         self.last_read.get()
     }
 
@@ -365,7 +283,7 @@
     /// # Errors
     ///
     /// Why the connection ended while it was still wanted.
-    pub(super) async fn exchange(
+    pub(in crate::transports) async fn exchange(
         &self,
         mut stream: TcpStream,
         limits: &ConnectionLimits,
@@ -530,7 +448,7 @@
     }
 
     /// Ends all that is in flight, as the connection is gone; `violated` says that the replica broke the protocol.
-    pub(super) fn end_all(&self, violated: bool) {
+    pub(in crate::transports) fn end_all(&self, violated: bool) {
         // The loss of an established connection says nothing against its replica.
         let outcome = |written: bool| match written {
             true if violated => AttemptOutcome::Error,
--- a/crates/linenthread-service/src/transports/link.rs
+++ b/crates/linenthread-service/src/transports/link.rs
@@ -258,7 +258,7 @@
             let call = Call {
                 replica: replica_id.to_owned(),
                 query: query_id.to_owned(),
-                shard: outgoing.shard as u32,
+                shard: u32::try_from(outgoing.shard).unwrap_or(u32::MAX),
                 continuation: outgoing.continuation,
                 text: outgoing.text.to_string(),
             };
--- a/crates/linenthread-service/src/transports/replica_connections.rs
+++ b/crates/linenthread-service/src/transports/replica_connections.rs
@@ -130,7 +130,7 @@
             Ok(Ok(report)) => report,
             Ok(Err(_)) => ProbeReport::without_load(AttemptOutcome::ConnectionLost),
             Err(_) => {
-                connection.mark_silent_since(sent);
+                connection.set_silent_since(sent);
                 ProbeReport::without_load(AttemptOutcome::TimedOut)
             }
         }
