--- a/crates/linenthread-service/src/dispatcher/membership.rs
+++ b/crates/linenthread-service/src/dispatcher/membership.rs
@@ -22,7 +22,7 @@
     by_id: BTreeMap<String, Member>,
 }
 
-/// A replica behind links, as the coordinator was last told.
+/// A replica behind links, as last passed to the coordinator.
 struct RemoteReplica {
     /// The peers whose links reach it.
     peers: Vec<usize>,
--- a/crates/linenthread-service/src/service_discovery.rs
+++ b/crates/linenthread-service/src/service_discovery.rs
@@ -11,8 +11,8 @@
 
 use crate::dispatcher::Dispatcher;
 
-/// How long the service is asked to keep a watch open, in milliseconds: the longest that it permits, since an open watch is answered
-/// as soon as there is an update, and one that ends has to be requested again.
+/// How long the service is asked to keep a watch open, in milliseconds: the longest that it permits, since an open
+/// watch is answered as soon as there is an update, and one that ends has to be requested again.
 const WATCH_TIMEOUT_MS: u64 = 60_000;
 /// How much longer than the watch a response may take before the request counts as failed.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(2);
