--- a/crates/linenthread-service/tests/link.rs
+++ b/crates/linenthread-service/tests/link.rs
@@ -11,7 +11,7 @@
 const EXE: &str = env!("CARGO_BIN_EXE_linenthread");
 
 #[test]
-fn lookups_cross_the_link_and_go_on_after_it_was_cut() {
+fn queries_cross_the_link_and_resume_after_a_disconnection() {
     let mut sites = Sites::start(EXE, Terms::default());
     let mut verdict = Verdict::default();
     for _ in 0..3 {
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn a_once_only_part_cut_at_any_byte_runs_once_at_most_and_is_answered_for_truly() {
+fn a_once_only_sub_request_cut_at_any_byte_runs_at_most_once_and_is_reported_correctly() {
     for keep in [3_000, 10] {
         let verdict = cut_everywhere(EXE, keep, 9, 4);
         assert_eq!(verdict.breaches, [""; 0], "keep {keep}: {verdict:?}");
@@ -97,7 +97,7 @@
 }
 
 #[test]
-fn every_lookup_ends_once_in_time_and_truly_through_any_trouble_of_the_link() {
+fn every_query_ends_once_in_time_and_correctly_under_link_faults() {
     let threads: Vec<_> = (1..=4)
         .map(|seed| std::thread::spawn(move || through_troubles(seed)))
         .collect();
@@ -107,7 +107,7 @@
 }
 
 #[test]
-fn what_drains_behind_the_link_gets_nothing_new() {
+fn a_replica_that_drains_behind_the_link_gets_no_new_requests() {
     let mut sites = Sites::start(
         EXE,
         Terms {
@@ -165,7 +165,7 @@
 }
 
 #[test]
-fn where_two_gateways_lead_to_the_same_replicas_one_may_die() {
+fn one_of_two_gateways_to_the_same_replicas_may_fail() {
     let mut sites = Sites::start(
         EXE,
         Terms {
--- a/crates/linenthread-service/tests/merged.rs
+++ b/crates/linenthread-service/tests/merged.rs
@@ -182,7 +182,7 @@
 }
 
 #[test]
-fn answers_are_what_the_full_data_says_through_delays_and_faults() {
+fn merged_responses_match_the_full_data_under_delays_and_faults() {
     let threads: Vec<_> = (0..4)
         .map(|n| std::thread::spawn(move || read_on(7 + 10 * n, 100)))
         .collect();
@@ -197,7 +197,7 @@
 }
 
 #[test]
-fn a_mark_is_good_at_another_program_and_for_its_own_lookup_only() {
+fn a_cursor_is_valid_at_another_process_and_for_its_own_query_only() {
     let ledger = Ledger::new(&mut Rand64::new(3), SHARDS, 9);
     let rig = start(ledger, 50, INSTALLATION, now);
     let ask = |shards: &[usize], id: &str, text: &str, mark: &str| {
@@ -286,7 +286,7 @@
 }
 
 #[test]
-fn the_operators_file_is_judged_and_read_again() {
+fn the_installation_file_is_validated_and_reloaded() {
     let rig = start(
         Ledger::new(&mut Rand64::new(5), SHARDS, 9),
         50,
@@ -349,7 +349,7 @@
 }
 
 #[test]
-fn what_a_slice_gets_wrong_spoils_nothing_else_and_is_named() {
+fn an_invalid_shard_response_is_named_and_affects_nothing_else() {
     let unreadable = |part: &Part| {
         let how = if part.shard == 2 {
             How::Unreadable
@@ -379,7 +379,7 @@
 }
 
 #[test]
-fn a_once_only_index_is_never_asked_on() {
+fn a_once_only_index_gets_no_follow_up_requests() {
     let asked = std::sync::Arc::new(std::sync::Mutex::new(Vec::new()));
     let heard = asked.clone();
     let count = move |part: &Part| {
@@ -424,7 +424,7 @@
 }
 
 #[test]
-fn a_first_try_shows_pages_and_a_partial_total() {
+fn the_demo_shows_pages_and_a_partial_total() {
     // On one site, and with all replicas behind a gateway: the answers are the same.
     let shows = ["1", "2"].map(|sites| {
         let output = std::process::Command::new(EXE)
--- a/crates/linenthread-service/tests/migrate.rs
+++ b/crates/linenthread-service/tests/migrate.rs
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn an_old_configuration_is_carried_over_and_serves() {
+fn an_old_configuration_is_migrated_and_can_be_served() {
     let fleet = Fleet::start(4);
     let folder = tempfile::tempdir().unwrap();
     let (from, to) = (
@@ -138,7 +138,7 @@
 }
 
 #[test]
-fn what_cannot_be_read_or_parted_is_one_line_and_exit_2() {
+fn an_unusable_configuration_is_one_line_and_exit_code_2() {
     let fleet = Fleet::start(4);
     let folder = tempfile::tempdir().unwrap();
     let good = old(&fleet);
--- a/crates/linenthread-service/tests/processes.rs
+++ b/crates/linenthread-service/tests/processes.rs
@@ -20,27 +20,27 @@
 }
 
 #[test]
-fn near_while_safe() {
+fn requests_stay_in_their_zone_while_it_is_healthy() {
     play("near");
 }
 
 #[test]
-fn who_leads_is_killed() {
+fn the_leader_is_killed() {
     play("leader-killed");
 }
 
 #[test]
-fn who_leads_is_stopped_and_woken() {
+fn the_leader_is_stopped_and_resumed() {
     play("leader-stopped");
 }
 
 #[test]
-fn a_zone_is_lost_and_comes_back() {
+fn a_zone_is_lost_and_recovers() {
     play("zone-lost");
 }
 
 #[test]
-fn a_pair_of_zones_is_cut() {
+fn two_zones_are_partitioned_from_each_other() {
     play("pair-cut");
 }
 
@@ -55,27 +55,27 @@
 }
 
 #[test]
-fn a_minority_moves_nothing_and_serves() {
+fn a_minority_keeps_its_routes_and_serves() {
     play("minority");
 }
 
 #[test]
-fn all_are_restarted_one_by_one() {
+fn a_rolling_restart() {
     play("rolling");
 }
 
 #[test]
-fn an_operator_has_a_zone_left_and_taken_back() {
+fn an_operator_drains_and_restores_a_zone() {
     play("orders");
 }
 
 #[test]
-fn slow_and_lossy_ways_move_nothing() {
+fn slow_and_lossy_paths_change_no_route() {
     play("slow-and-lossy");
 }
 
 #[test]
-fn a_first_try_shows_a_zone_killed_and_traffic_whole_again() {
+fn the_demo_shows_the_loss_and_recovery_of_a_zone() {
     let output = std::process::Command::new(EXE)
         .args(["try", "--zones", "3"])
         .output()
--- a/crates/linenthread-service/tests/service.rs
+++ b/crates/linenthread-service/tests/service.rs
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn a_lookup_is_served_with_the_values_that_replicas_gave() {
+fn a_query_returns_the_values_of_the_replicas() {
     let (fleet, _roster, service) = start(1);
     let mut client = service.ask("find", "7f", &[0, 3]);
     for _ in 0..2 {
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn a_broken_part_is_sent_again_only_where_it_may_run_twice() {
+fn a_failed_sub_request_is_retried_only_if_idempotent() {
     let (fleet, _roster, service) = start(2);
     let mut client = service.ask("find", "a1", &[2]);
     let first = fleet.part();
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn a_connection_that_dies_as_it_is_written_to_costs_a_once_only_part_nothing() {
+fn a_connection_closed_during_a_write_does_not_fail_a_once_only_sub_request() {
     let (fleet, _roster, service) = start(2);
     for id in 0..6 {
         let mut client = service.ask("order", &format!("r{id}"), &[0]);
@@ -100,7 +100,7 @@
 }
 
 #[test]
-fn a_frame_that_cannot_be_used_ends_its_connection() {
+fn an_invalid_frame_closes_its_connection() {
     let bad = [
         (b'F', "what was that"),
         (b'Z', "?"),
@@ -127,7 +127,7 @@
 }
 
 #[test]
-fn what_can_never_be_whole_or_belongs_to_nothing_ends_its_connection() {
+fn an_incomplete_frame_or_surplus_bytes_close_the_connection() {
     let (fleet, _roster, service) = start(2);
     // More is promised than comes.
     let mut client = service.ask("find", "o1", &[2]);
@@ -161,7 +161,7 @@
 }
 
 #[test]
-fn a_once_only_part_that_never_left_goes_to_the_twin() {
+fn a_once_only_sub_request_that_was_not_sent_goes_to_another_replica() {
     let fleet = Fleet::start(1);
     let nobody = "127.0.0.9:1".parse().unwrap();
     let known = list(
@@ -183,7 +183,7 @@
 }
 
 #[test]
-fn a_time_out_ends_a_lookup_and_its_parts_are_given_up() {
+fn a_time_out_ends_a_query_and_cancels_its_sub_requests() {
     let (fleet, _roster, service) = start(1);
     let mut client = service.ask("swift", "d1", &[1]);
     let part = fleet.part();
@@ -198,7 +198,7 @@
 }
 
 #[test]
-fn where_parts_may_not_be_given_up_they_time_out() {
+fn without_cancellation_sub_requests_time_out() {
     let (fleet, _roster, service) = start_with(1, "/settings/allowed/cancel", false.into());
     let mut client = service.ask("swift", "k1", &[1]);
     let late = fleet.part();
@@ -212,7 +212,7 @@
 }
 
 #[test]
-fn connections_are_shared_filled_and_left_in_time() {
+fn connections_are_shared_filled_and_closed_when_idle() {
     // One part a connection at first, then as many as there may be on each, then more connections again.
     let (fleet, _roster, service) = start_with(1, "/settings/allowed/streams-per-conn", 2.into());
     let mut clients: Vec<_> = ["l1", "l4", "l5"]
@@ -254,7 +254,7 @@
 }
 
 #[test]
-fn parts_for_one_replica_share_a_part_call() {
+fn sub_requests_to_one_replica_share_a_call() {
     let (fleet, _roster, service) = start_with(1, "/settings/family-info/parts-a-call", 2.into());
     let mut client = service.ask("find", "m1", &[0, 1, 2]);
     let mut parts = [fleet.part(), fleet.part(), fleet.part()];
@@ -266,7 +266,7 @@
 }
 
 #[test]
-fn the_parts_of_a_client_that_leaves_are_given_up() {
+fn the_sub_requests_of_a_disconnected_client_are_cancelled() {
     let (fleet, _roster, service) = start(2);
     let client = service.ask("find", "e1", &[1]);
     assert_eq!(fleet.part().id, "e1.1");
@@ -280,7 +280,7 @@
 }
 
 #[test]
-fn a_drain_told_by_the_watch_and_a_roster_that_talks_nonsense() {
+fn a_watched_drain_is_followed_and_invalid_discovery_updates_are_not() {
     let (fleet, roster, service) = start(2);
     roster.tell(&list(
         2,
@@ -304,7 +304,7 @@
 }
 
 #[test]
-fn a_silent_roster_leaves_the_list_as_remembered() {
+fn without_service_discovery_the_cached_membership_is_used() {
     let fleet = Fleet::start(1);
     let known = list(1, true, vec![entry(0, fleet.addresses[0], "active")]);
     let silent = TcpListener::bind("127.0.0.1:0").unwrap();
@@ -316,7 +316,7 @@
 }
 
 #[test]
-fn a_new_configuration_moves_the_watch_and_nothing_else() {
+fn a_reloaded_configuration_changes_the_discovery_address_only() {
     let fleet = Fleet::start(2);
     let known = |revision, phase| {
         list(
@@ -372,7 +372,7 @@
 }
 
 #[test]
-fn the_word_to_stop_loses_nothing() {
+fn a_graceful_shutdown_loses_no_query() {
     let (fleet, _roster, mut service) = start(2);
     let (mut held, mut kept) = (service.ask("find", "g1", &[0]), service.connect());
     let part = fleet.part();
@@ -483,7 +483,7 @@
 }
 
 #[test]
-fn whoever_keeps_a_connection_without_a_request_is_let_go_in_time() {
+fn idle_client_connections_are_closed() {
     let (fleet, _roster, service) = start(2);
     let start = std::time::Instant::now();
     let good = request("find", "p1", &[0]);
@@ -518,7 +518,7 @@
 }
 
 #[test]
-fn those_who_ask_once_and_stay_leave_room_for_others() {
+fn clients_idle_after_one_request_make_room_for_others() {
     let (fleet, _roster, service) = start_with(2, "/limits/sockets", 120.into());
     let mut stay: Vec<_> = (0..30)
         .map(|id| {
@@ -538,7 +538,7 @@
 }
 
 #[test]
-fn half_requests_do_not_keep_others_out() {
+fn incomplete_requests_do_not_block_other_clients() {
     let (fleet, _roster, service) = start_with(2, "/limits/sockets", 64.into());
     let good = request("find", "v1", &[0]);
     let half = |n: usize| {
@@ -562,7 +562,7 @@
 }
 
 #[test]
-fn what_follows_a_request_does_not_cost_it_its_answer() {
+fn bytes_after_a_request_do_not_cost_it_its_response() {
     let (fleet, _roster, service) = start(2);
     for next in [
         "nonsense\r\n\r\n".to_owned(),
@@ -593,7 +593,7 @@
 }
 
 #[test]
-fn others_are_served_beside_more_connections_than_there_is_room_for() {
+fn clients_are_served_beside_more_connections_than_the_limit() {
     let (fleet, _roster, service) = start_with(2, "/limits/sockets", 64.into());
     let mut idle: Vec<_> = (0..80).map(|_| service.connect()).collect();
     let mut client = service.ask("find", "i1", &[0]);
@@ -606,7 +606,7 @@
 }
 
 #[test]
-fn a_bad_configuration_is_named_in_one_line() {
+fn an_invalid_configuration_is_reported_in_one_line() {
     let good = config("127.0.0.1:1".parse().unwrap(), &list(1, true, vec![]));
     let without = |pointer: &str, value: Value| {
         let mut config = good.clone();
