--- a/crates/linenthread-service/src/demo.rs
+++ b/crates/linenthread-service/src/demo.rs
@@ -1,4 +1,4 @@
-//! `linenthread try`: a small fleet of stand-ins, a roster and this program on loopback, with rows to ask for.
+//! `linenthread try`: a demo on loopback, of stub replicas, stub service discovery and this program, with rows to query.
 
 use std::io;
 use std::net::{SocketAddr, TcpListener};
@@ -19,11 +19,14 @@
 use crate::serve::{ReloadedFiles, ServeError};
 use crate::{log, serve};
 
-const CELLS: usize = 4;
+/// Replica groups of the demo, of one replica each.
+const REPLICA_GROUPS: usize = 4;
+/// Shards of each index.
 const SHARDS: usize = 8;
-/// This slice's pledges come too late.
-const LATE: usize = 5;
-const LATE_BY: Duration = Duration::from_secs(3);
+/// The shard whose response to a query of pledges is late.
+const LATE_SHARD: usize = 5;
+/// Delay of the late response, beyond the query's deadline.
+const LATE_DELAY: Duration = Duration::from_secs(3);
 
 /// Why the demo could not start or has failed.
 #[derive(Debug, Snafu)]
@@ -59,10 +62,10 @@
     };
     let mark = "MARK=$(printf %s \"$PAGE\" | sed 's/.*\"next\":\"\\([^\"]*\\)\".*/\\1/')";
     format!(
-        "The co-ordinator listens on {address}, with {CELLS} replicas of {SHARDS} slices behind it. Ask it:\n\n\
+        "The co-ordinator listens on {address}, with {REPLICA_GROUPS} replicas of {SHARDS} slices behind it. Ask it:\n\n\
          # Page one of all donations, latest first, and page two.\n\
          PAGE=$({})\nprintf '%s\\n' \"$PAGE\"\n{mark}\n{}\n\n\
-         # The total of all pledges. Slice {LATE} comes too late: the total says that it lacks it.\n{}\n\n\
+         # The total of all pledges. Slice {LATE_SHARD} comes too late: the total says that it lacks it.\n{}\n\n\
          # The three charities with the most, and the rest as one.\n{}\n\nCtrl-C ends it.",
         curl("history", ",\"page\":{\"rows\":5}"),
         curl("history", ",\"page\":{\"rows\":5,\"after\":\"'$MARK'\"}"),
@@ -105,65 +108,68 @@
 
 /// The files of one program, read as `serve` reads them.
 struct Prepared {
-    _folder: tempfile::TempDir,
+    /// Removes the files when it is dropped.
+    _directory: tempfile::TempDir,
     file: PathBuf,
-    own_file: PathBuf,
+    installation_file: PathBuf,
     config: Config,
-    own: InstallationSettings,
+    settings: InstallationSettings,
 }
 
 fn prepare(config: &Value, installation: &str, seed: u64) -> Result<Prepared, DemoError> {
-    let folder = tempfile::tempdir().context(DirectorySnafu)?;
+    let directory = tempfile::tempdir().context(DirectorySnafu)?;
     let put = |name: &str, text: &str| {
-        let file = folder.path().join(name);
+        let file = directory.path().join(name);
         std::fs::write(&file, text).context(WriteSnafu { file: &file })?;
         Ok::<_, DemoError>(file)
     };
     for key in ["marks.key", "link.key"] {
         put(key, &format!("only for a first try {seed:016x}"))?;
     }
-    let own_file = put("installation.xml", installation)?;
+    let installation_file = put("installation.xml", installation)?;
     let file = put("config.json", &config.to_string())?;
     let config = Config::read(&file)?;
-    let own = InstallationSettings::read(&own_file, &config)?;
+    let settings = InstallationSettings::read(&installation_file, &config)?;
     Ok(Prepared {
-        _folder: folder,
+        _directory: directory,
         file,
-        own_file,
+        installation_file,
         config,
-        own,
+        settings,
     })
 }
 
 /// Runs one program; `ready` is told where it listens.
 async fn serve_one(prepared: Prepared, ready: impl FnOnce(SocketAddr)) -> Result<(), DemoError> {
     let Prepared {
-        _folder,
+        _directory,
         file,
-        own_file,
+        installation_file,
         config,
-        own,
+        settings,
     } = prepared;
     let files = ReloadedFiles {
         config: &file,
-        installation: Some(&own_file),
+        installation: Some(&installation_file),
     };
-    Ok(serve::serve(config, own, files, ready).await?)
+    Ok(serve::serve(config, settings, files, ready).await?)
 }
 
-/// The programs to run: with two sites, the one that is asked reaches all replicas through the other.
-fn programs(seed: u64, two_sites: bool) -> Result<Vec<Prepared>, DemoError> {
-    let cue = |part: &Part| match (part.shard, part.text.as_str()) {
-        (LATE, "pledges") => (LATE_BY, How::Answer),
+/// Starts stub replicas and gives the endpoint list that names them.
+fn start_replicas(seed: u64) -> String {
+    let response = |part: &Part| match (part.shard, part.text.as_str()) {
+        (LATE_SHARD, "pledges") => (LATE_DELAY, How::Answer),
         _ => (Duration::from_millis(5), How::Answer),
     };
     let ledger = Ledger::new(&mut Rand64::new(u128::from(seed)), SHARDS, 9);
-    let hosts = Hosts::start(CELLS, ledger, 50, cue);
-    let entries = hosts
-        .addresses
-        .iter()
-        .enumerate()
-        .map(|(i, a)| entry(i, *a, "active"));
+    let hosts = Hosts::start(REPLICA_GROUPS, ledger, 50, response);
+    let addresses = hosts.addresses.iter().enumerate();
+    let entries = addresses.map(|(replica, address)| entry(replica, *address, "active"));
+    list(1, true, entries.collect())
+}
+
+/// Starts stub service discovery for an endpoint list and gives a configuration that uses it.
+fn configuration(endpoints: &str) -> Value {
     let class = |name| Class {
         name,
         once_only: false,
@@ -171,29 +177,38 @@
         floor: 0.5,
     };
     let classes = ["history", "pledges", "charities"].map(class);
-    let config = |known: &str| {
-        let roster = Roster::start(known.to_owned());
-        let config = config_of(roster.address, known, &classes, CELLS, SHARDS);
-        // It answers from a thread of its own for as long as the program runs.
-        std::mem::forget(roster);
-        config
-    };
-    let with_replicas = config(&list(1, true, entries.collect()));
+    let discovery = Roster::start(endpoints.to_owned());
+    let config = config_of(
+        discovery.address,
+        endpoints,
+        &classes,
+        REPLICA_GROUPS,
+        SHARDS,
+    );
+    // Its thread must answer until the program ends.
+    std::mem::forget(discovery);
+    config
+}
+
+/// The programs to run: with two sites, the one that is queried reaches all replicas through the other.
+fn programs(seed: u64, two_sites: bool) -> Result<Vec<Prepared>, DemoError> {
+    let with_replicas = configuration(&start_replicas(seed));
     if !two_sites {
         return Ok(vec![prepare(&with_replicas, INSTALLATION, seed)?]);
     }
-    let free = TcpListener::bind("127.0.0.1:0")
-        .and_then(|l| l.local_addr())
+    let address = TcpListener::bind("127.0.0.1:0")
+        .and_then(|listener| listener.local_addr())
         .context(FreePortSnafu)?;
     let gateway = format!(
-        "<installation version=\"1\"><gateway listen=\"{free}\" secret=\"link.key\" cold-share=\"500\"/></installation>"
+        "<installation version=\"1\"><gateway listen=\"{address}\" secret=\"link.key\" cold-share=\"500\"/></installation>"
     );
     let peers = format!(
-        "<peers><peer name=\"messina\" address=\"{free}\" secret=\"link.key\"/></peers></installation>"
+        "<peers><peer name=\"messina\" address=\"{address}\" secret=\"link.key\"/></peers></installation>"
     );
-    let near = INSTALLATION.replace("</installation>", &peers);
+    let with_peer = INSTALLATION.replace("</installation>", &peers);
+    let without_replicas = configuration(&list(1, true, Vec::new()));
     Ok(vec![
-        prepare(&config(&list(1, true, Vec::new())), &near, seed)?,
+        prepare(&without_replicas, &with_peer, seed)?,
         prepare(&with_replicas, &gateway, seed)?,
     ])
 }
