--- a/crates/linenthread-service/tests/link.rs
+++ b/crates/linenthread-service/tests/link.rs
@@ -1,4 +1,4 @@
-//! Two sites on loopback, the real program at both ends, and a link that breaks.
+//! The link between two sites on loopback: the real program at both ends and a proxy that injects faults.
 
 use std::thread::sleep;
 use std::time::{Duration, Instant};
@@ -20,7 +20,7 @@
         sites.begin_anew();
     }
     assert_eq!((verdict.answered, &verdict.breaches[..]), (6, &[][..]));
-    // With no link nothing is there to ask: said at once, and truly.
+    // Without a link there is no replica to query: the response says so at once.
     sites.proxy.lead_to(None);
     sites.proxy.cut();
     sites.near.logged("replicas behind links far=0");
@@ -33,12 +33,12 @@
     for keep in [3_000, 10] {
         let verdict = cut_everywhere(EXE, keep, 9, 4);
         assert_eq!(verdict.breaches, [""; 0], "keep {keep}: {verdict:?}");
-        // How many bytes there are depends on whether a sign of life falls into the exchange.
+        // The number of bytes depends on whether a heartbeat falls into the exchange.
         assert!(verdict.checked > 40 && verdict.answered > 0, "{verdict:?}");
     }
 }
 
-/// Cuts, silence, slowness and a gateway that is killed and never comes back, by seed.
+/// Disconnections, lost bytes, delays and a gateway that is killed for good, by seed.
 fn through_troubles(seed: u64) {
     let mut sites = Sites::start(
         EXE,
@@ -68,7 +68,7 @@
                         sites.proxy.silence(way, true);
                         sleep(while_it_lasts);
                         sites.proxy.silence(way, false);
-                        // What was swallowed is missing from the stream: nothing good can come on it.
+                        // The stream lacks the bytes that were dropped: nothing valid can follow on it.
                         sites.proxy.cut();
                     }
                     2 => {
@@ -121,7 +121,7 @@
     }
     let home = if sites.taken_by(0) > 0 { 0 } else { 1 };
     assert!(sites.taken_by(home) > 0);
-    // The gateway's roster says that it drains; the near side hears of it over the link.
+    // The gateway's service discovery reports a drain; the local side is notified over the link.
     sites.far_roster.tell(&list(
         2,
         false,
@@ -140,7 +140,7 @@
         ),
         (before, 40, 0)
     );
-    // And that it is gone, and back again.
+    // The same for its removal and its return.
     sites.far_roster.tell(&list(
         3,
         false,
@@ -153,7 +153,7 @@
         vec![entry(home, sites.replicas[home], "active")],
     ));
     sites.until(2);
-    // Its answers may have been the slower ones: then parts come home with the next reset, 10 s at the most.
+    // Its responses may have been the slower ones: then sub-requests return to it with the next reset, after 10 s at most.
     let (begin, mut asked) = (Instant::now(), 40);
     while asked < 60 || sites.taken_by(home) == before && begin.elapsed() < Duration::from_secs(15)
     {
--- a/crates/linenthread-service/tests/merged.rs
+++ b/crates/linenthread-service/tests/merged.rs
@@ -1,4 +1,4 @@
-//! Merged indexes through the program on loopback sockets, judged by the stand-ins' full data.
+//! Merged indexes through the program on loopback sockets, checked against the full data of the stub replicas.
 
 use std::time::Duration;
 
@@ -10,7 +10,7 @@
 
 const EXE: &str = env!("CARGO_BIN_EXE_linenthread");
 const SHARDS: usize = 6;
-/// A soft deadline for lookups that are to lack parts, and one that no stall of a test's machine reaches.
+/// A soft deadline for queries that are to lack shards, and one that no stall of the machine reaches.
 const SOFT_MS: u64 = 400;
 const AMPLE_MS: u64 = 15_000;
 const FLOOR: f64 = 0.5;
@@ -43,7 +43,7 @@
     config_of(roster.address, known, &classes, 3, SHARDS)
 }
 
-/// Three replicas, each slice on two of them, over one ledger.
+/// Three replicas over one ledger, each shard on two of them.
 fn start(
     ledger: Ledger,
     most_rows: usize,
@@ -53,7 +53,7 @@
     start_with(SOFT_MS, ledger, most_rows, installation, cue)
 }
 
-/// With a soft deadline of its own.
+/// As [`start`], with another soft deadline.
 fn start_with(
     soft_ms: u64,
     ledger: Ledger,
@@ -98,7 +98,7 @@
     (Duration::ZERO, How::Answer)
 }
 
-/// A fault, or an answer after a random while; seldom one that takes longer than a lookup waits.
+/// A fault, or a response after a random delay, which seldom exceeds the time that a query waits.
 fn faulty(mut chance: Rand64) -> impl FnMut(&Part) -> (Duration, How) + Send {
     move |_| {
         let how = match chance.rand_range(0..100) {
@@ -115,8 +115,8 @@
     }
 }
 
-/// Reads a chain of pages, with rows added between them, or asks for totals or groups, until so many lookups
-/// were asked. What is refused or given up is no answer; every answer is judged.
+/// Reads chains of pages, with rows added between them, or queries totals or groups, until so many queries were sent.
+/// Rejected and abandoned queries have no response; every response is checked.
 fn read_on(seed: u128, lookups: usize) -> (usize, usize) {
     let mut chance = Rand64::new(seed);
     let ledger = Ledger::new(&mut chance, SHARDS, 14);
@@ -217,7 +217,7 @@
         .merged("history", "p1", &shards, "all", &page);
     assert_eq!(status, 200);
     let mark = first["next"].as_str().unwrap().to_owned();
-    // Another program with the same secret serves page two from the mark alone.
+    // Another process with the same secret serves page two from the cursor alone.
     let folder = tempfile::tempdir().unwrap();
     for file in ["marks.key", "installation.xml"] {
         std::fs::copy(rig.service.file(file), folder.path().join(file)).unwrap();
@@ -242,7 +242,7 @@
     reading
         .page(&ledger, &weights(&shards), FLOOR, 3, &second)
         .unwrap();
-    // Whatever is not that mark for that lookup gets a plain 400.
+    // Anything but that cursor for that query gets a plain 400.
     let forged = format!(
         "{}{}",
         &mark[..mark.len() - 2],
@@ -300,7 +300,7 @@
             .1
     };
     assert!(merged()["totals"].is_object());
-    // A bad file changes nothing; a good one counts from the next lookup on.
+    // An invalid file changes nothing; a valid one applies from the next query on.
     let file = rig.service.file("installation.xml");
     std::fs::write(
         &file,
@@ -318,7 +318,7 @@
     rig.service.signal("-HUP");
     rig.service.logged("installation read again");
     assert!(merged()["found"].is_array(), "answered as ever");
-    // The same fault at the start is one line and exit 2, from check and from serve.
+    // The same fault at the start is one line and exit code 2, from check and from serve.
     std::fs::write(
         &file,
         "<installation version=\"1\">\n<merge/></installation>",
@@ -370,7 +370,7 @@
     let ledger = rig.hosts.ledger.lock().unwrap().clone();
     checker::totals(&ledger, &weights(&shards), FLOOR, &answer).unwrap();
     rig.service.logged("a part's value cannot be merged");
-    // Under the floor nothing is given.
+    // Below the minimum share there is no result.
     let (status, _) = rig
         .service
         .connect()
@@ -397,7 +397,7 @@
             .connect()
             .merged("order", "o1", &[0, 1], "all", &json!({"rows": 5}));
     assert_eq!(status, 200, "{answer}");
-    // Cut off where a slice is not known to go on, and it says so.
+    // The page ends where a shard's next row is unknown, and says so.
     assert!(
         !answer["cut"]["behind"].as_array().unwrap().is_empty(),
         "{answer}"
@@ -406,8 +406,8 @@
         .page(&ledger, &with, 1.0, 5, &answer)
         .unwrap();
     assert_eq!(asked.lock().unwrap().len(), 2);
-    // The same rows from an idempotent index are asked on, under ids of their own, and the page is full. Answers
-    // that take half of the soft deadline leave no time for that: then the page is cut, and says so.
+    // An idempotent index with the same rows gets follow-up requests, with ids of their own, and the page is full.
+    // Responses that take half of the soft deadline leave no time for them: then the page is cut, and says so.
     let rig = start_with(AMPLE_MS, ledger.clone(), 2, INSTALLATION, now);
     let (_, answer) =
         rig.service
@@ -425,7 +425,7 @@
 
 #[test]
 fn the_demo_shows_pages_and_a_partial_total() {
-    // On one site, and with all replicas behind a gateway: the answers are the same.
+    // On one site, and with all replicas behind a gateway: the responses are the same.
     let shows = ["1", "2"].map(|sites| {
         let output = std::process::Command::new(EXE)
             .args(["try", "--show", "--sites", sites])
--- a/crates/linenthread-service/tests/migrate.rs
+++ b/crates/linenthread-service/tests/migrate.rs
@@ -1,4 +1,4 @@
-//! `linenthread migrate`, by its files, words and exit codes, and the program on what it wrote.
+//! `linenthread migrate`: its files, messages and exit codes, and the program with the file that it wrote.
 
 use std::fs;
 use std::path::Path;
@@ -30,7 +30,7 @@
     (status.code(), said(stdout), said(stderr))
 }
 
-/// Four cells in a ring, each shard of six in two in a row, one replica a cell.
+/// A ring of four replica groups of one replica each; each of six shards is in two consecutive groups.
 fn old(fleet: &Fleet) -> Value {
     let entries = fleet
         .addresses
@@ -61,7 +61,7 @@
     );
     let text = old(&fleet).to_string();
     fs::write(&from, &text).unwrap();
-    // Nothing is written by a dry run, and the same is said.
+    // A dry run prints the same and writes nothing.
     let (code, dry, _) = migrate(folder.path(), &["--dry-run", "old.json"]);
     assert_eq!(
         (code, to.exists(), fs::read_dir(&folder).unwrap().count()),
@@ -82,7 +82,7 @@
         said.contains("left out: settings: telemetry.names: \"queue\""),
         "{said}"
     );
-    // The replica of cell 1 held shards 0, 1, 4 and 5; its set 0 holds 0, 2 and 4.
+    // The replica of group 1 held shards 0, 1, 4 and 5; its set 0 holds 0, 2 and 4.
     assert!(
         said.contains(": set 0; loads [2], may then drop [1 5]"),
         "{said}"
@@ -103,7 +103,7 @@
         json!({"kept": [1, 2]}),
         "what is not read is kept"
     );
-    // It passes the check, is of the new shape, and is never written over.
+    // It passes the check, has the new form, and is never overwritten.
     assert!(
         Command::new(EXE)
             .arg("check")
@@ -124,7 +124,7 @@
         assert_eq!((code, said.lines().count()), (Some(2), 1), "{said}");
         assert_eq!(fs::read(folder.path().join(taken)).unwrap(), before);
     }
-    // The program asks the sets' holders alone.
+    // The program sends sub-requests to the replicas of the sets alone.
     let roster = Roster::start(new["known"].to_string());
     new["discovery"] = roster.address.to_string().into();
     let service = Service::start(EXE, &new);
--- a/crates/linenthread-service/tests/processes.rs
+++ b/crates/linenthread-service/tests/processes.rs
@@ -1,6 +1,6 @@
-//! Several processes of the program and faults between them: members, the agreed record, and zones left and taken
-//! back in common. The scripts stand in `linenthread-stand-ins`; the judge reads all that clients were told and
-//! replicas ran.
+//! Several processes of the program and faults between them: membership, the replicated log, and zones that all leave
+//! and take back together. The scenarios are in `linenthread-stand-ins`, whose checker reads all responses to clients
+//! and all runs on replicas.
 
 use linenthread_stand_ins::scenarios;
 
--- a/crates/linenthread-service/tests/service.rs
+++ b/crates/linenthread-service/tests/service.rs
@@ -1,4 +1,4 @@
-//! The program on loopback sockets, against stand-ins of replicas and roster.
+//! The program on loopback sockets, against stub replicas and stub service discovery.
 
 use std::collections::BTreeSet;
 use std::net::TcpListener;
@@ -10,7 +10,7 @@
 
 const EXE: &str = env!("CARGO_BIN_EXE_linenthread");
 
-/// A program with replicas of its own, all ready, on a configuration changed at one place.
+/// A program with its own replicas, all ready, and a configuration with one changed value.
 fn start_with(replicas: usize, place: &str, value: Value) -> (Fleet, Roster, Service) {
     let fleet = Fleet::start(replicas);
     let entries = fleet
@@ -42,7 +42,7 @@
         );
         let wait: u64 = part.list.strip_prefix("d=").unwrap().parse().unwrap();
         assert!((10_000..=15_000).contains(&wait), "waits {wait} ms");
-        // Its load report cannot be read; the answer can.
+        // The load report is malformed, the response is not.
         part.say(
             b'E',
             &format!(
@@ -55,7 +55,7 @@
     let (status, _, body) = client.answer().unwrap();
     let text = r#"{"finished":true,"found":[{"bucket":0,"item":"value of 0"},{"bucket":3,"item":"value of 3"}]}"#;
     assert_eq!((status, body.as_str()), (200, text));
-    // The connection stays, and a body may come in chunks.
+    // The connection stays open, and a body may be chunked.
     let chunked = request("find", "80", &[1])
         .replace("Content-Length: ", "Transfer-Encoding: chunked\r\nX-Was: ");
     let (head, body) = chunked.split_once("\r\n\r\n").unwrap();
@@ -93,7 +93,7 @@
         fleet.part().answer("v");
         assert_eq!(client.status(), 200);
         fleet.faint.store(1, Ordering::SeqCst);
-        // Kept for a while without use.
+        // Idle for a while.
         std::thread::sleep(std::time::Duration::from_millis(80));
     }
     assert_eq!(fleet.rest(), [""; 0]);
@@ -117,7 +117,7 @@
         again.answer("v");
         assert_eq!(client.status(), 200, "after {rest:?}");
         service.logged("replica connection ended");
-        // What is said there later counts for nothing, and the part may have run.
+        // Later bytes on it are ignored, and the sub-request may have run.
         spoilt.bytes(b"\0\0\0\x0fEb1.2 hit 1 -\nv");
         let mut client = service.ask("order", "b2", &[2]);
         fleet.part().say(letter, rest);
@@ -129,13 +129,13 @@
 #[test]
 fn an_incomplete_frame_or_surplus_bytes_close_the_connection() {
     let (fleet, _roster, service) = start(2);
-    // More is promised than comes.
+    // The frame announces more bytes than are sent.
     let mut client = service.ask("find", "o1", &[2]);
     fleet.part().bytes(b"\0\0\x40\0Eo1.2 hit 1 -\nv");
     fleet.part().answer("v");
     assert_eq!(client.status(), 200);
     service.logged("does not come whole");
-    // The same with bytes that keep coming.
+    // The same with bytes that trickle in.
     let mut client = service.ask("find", "o2", &[2]);
     let slow = fleet.part();
     let again = std::thread::scope(|threads| {
@@ -152,7 +152,7 @@
     again.answer("v");
     assert_eq!(client.status(), 200);
     let (fleet, _roster, service) = start(1);
-    // A good answer counts; the connection that brings more than it takes no next part.
+    // A valid response counts; the connection with surplus bytes after it gets no further sub-request.
     let mut client = service.ask("find", "o3", &[2]);
     let part = fleet.part();
     part.bytes(&[b"\0\0\0\x10Eo3.2 hit 1 -\nvv", &b"\0\0"[..]].concat());
@@ -213,7 +213,7 @@
 
 #[test]
 fn connections_are_shared_filled_and_closed_when_idle() {
-    // One part a connection at first, then as many as there may be on each, then more connections again.
+    // One sub-request for each connection first, then as many as each may carry, then more connections again.
     let (fleet, _roster, service) = start_with(1, "/settings/allowed/streams-per-conn", 2.into());
     let mut clients: Vec<_> = ["l1", "l4", "l5"]
         .map(|id| service.ask("find", id, &[0, 1, 2]))
@@ -228,7 +228,7 @@
     clients
         .iter_mut()
         .for_each(|client| assert_eq!(client.status(), 200));
-    // Parts go apart: of a connection that is spoilt, none of the others knows.
+    // Sub-requests are independent: an invalid connection affects no other.
     let (fleet, _roster, service) = start(1);
     let mut client = service.ask("order", "l6", &[0, 1]);
     let (one, other) = (fleet.part(), fleet.part());
@@ -328,7 +328,7 @@
             ],
         )
     };
-    // The new roster counts from a lower revision.
+    // The new service discovery starts at a lower revision.
     let (old, new) = (
         Roster::start(known(9, "active")),
         Roster::start(known(2, "leaving")),
@@ -469,7 +469,7 @@
         assert_eq!(client.status(), status, "{text:.60}");
     }
     assert_eq!(fleet.rest(), [""; 0]);
-    // An id that is open, and free again afterwards.
+    // The id of a query in progress, which is free again afterwards.
     let mut open = service.ask("find", "h3", &[0]);
     assert_eq!(service.ask("find", "h3", &[0]).status(), 409);
     fleet.part().answer("v");
@@ -500,7 +500,7 @@
     clients
         .iter_mut()
         .for_each(|(client, text)| client.send(text));
-    // One that has had its answer is kept for longer.
+    // A connection that has had a response is kept for longer.
     let mut kept = service.ask("find", "p2", &[0]);
     fleet.part().answer("v");
     assert_eq!(kept.status(), 200);
@@ -528,7 +528,7 @@
             client
         })
         .collect();
-    // A sixth of all may stay, the last to have asked.
+    // A sixth of all connections may stay, those used last.
     assert!(stay.drain(..10).all(|mut client| client.answer().is_none()));
     for (n, client) in stay.iter_mut().enumerate().skip(10) {
         client.ask("order", &format!("u{n}"), &[0]);
@@ -546,7 +546,7 @@
         client.send(&good[..good.len() - 1 - 100 * (n % 2)]);
         client
     };
-    // One fewer than there is room for, and for longer than a sound request takes.
+    // One fewer than the limit, and for longer than a valid request takes.
     let mut halves: Vec<_> = (0..23).map(half).collect();
     std::thread::sleep(std::time::Duration::from_millis(300));
     let mut client = service.connect();
@@ -568,7 +568,7 @@
         "nonsense\r\n\r\n".to_owned(),
         request("find", "q2", &[9]).repeat(300),
     ] {
-        // At once, and while the request waits.
+        // In the same write, and while the request waits.
         let mut client = service.connect();
         client.send(&format!("{}{next}", request("order", "q0", &[0])));
         fleet.part().answer("v");
