--- a/crates/linenthread-service/src/fleet/member.rs
+++ b/crates/linenthread-service/src/fleet/member.rs
@@ -67,10 +67,8 @@
 
 /// Milliseconds since the Unix epoch.
 pub(super) fn unix_ms() -> u64 {
-    SystemTime::now()
-        .duration_since(UNIX_EPOCH)
-        .unwrap_or_default()
-        .as_millis() as u64
+    let unix = SystemTime::now().duration_since(UNIX_EPOCH);
+    u64::try_from(unix.unwrap_or_default().as_millis()).unwrap_or(u64::MAX)
 }
 
 /// Opens a voter's directory; `None` for a member that is no voter.
--- a/crates/linenthread-service/src/fleet/orders.rs
+++ b/crates/linenthread-service/src/fleet/orders.rs
@@ -22,7 +22,7 @@
 impl Orders {
     pub(super) fn encode(&self) -> Vec<u8> {
         let mut encoder = Encoder::new();
-        encoder.u16(self.drained.len() as u16);
+        encoder.u16(u16::try_from(self.drained.len()).unwrap_or(u16::MAX));
         self.drained.iter().for_each(|zone| encoder.text(zone));
         encoder.u64(self.last);
         encoder.text(&self.refused);
--- a/crates/linenthread-service/src/serve/fleet_member.rs
+++ b/crates/linenthread-service/src/serve/fleet_member.rs
@@ -14,8 +14,8 @@
 
 /// Time between two messages of observations to the fleet's thread.
 const OBSERVATION_INTERVAL: Duration = Duration::from_millis(500);
-/// Longest wait, in milliseconds, for a table to become valid: clocks that are far apart are not waited for.
-const MAX_TABLE_WAIT_MS: u128 = 1_000;
+/// Longest wait for a table to become valid: clocks that are far apart are not waited for.
+const MAX_TABLE_WAIT: Duration = Duration::from_millis(1_000);
 /// Descriptors of a member besides those of its connections.
 const MEMBER_DESCRIPTORS: usize = 4;
 
@@ -82,12 +82,11 @@
     }
 }
 
-/// Time until a moment of the system's clock, bounded by [`MAX_TABLE_WAIT_MS`].
+/// Time until a moment of the system's clock, bounded by [`MAX_TABLE_WAIT`].
 fn time_until(valid_from_ms: u64) -> Duration {
-    let unix_ms = SystemTime::now()
-        .duration_since(UNIX_EPOCH)
-        .unwrap_or_default()
-        .as_millis();
+    let unix = SystemTime::now().duration_since(UNIX_EPOCH);
+    let unix_ms = unix.unwrap_or_default().as_millis();
     let wait_ms = u128::from(valid_from_ms).saturating_sub(unix_ms);
-    Duration::from_millis(wait_ms.min(MAX_TABLE_WAIT_MS) as u64)
+    let wait = u64::try_from(wait_ms).map_or(MAX_TABLE_WAIT, Duration::from_millis);
+    wait.min(MAX_TABLE_WAIT)
 }
--- a/crates/linenthread-service/tests/processes.rs
+++ b/crates/linenthread-service/tests/processes.rs
@@ -6,9 +6,9 @@
 
 const EXE: &str = env!("CARGO_BIN_EXE_linenthread");
 
-fn play(name: &str) {
-    let (_, script) = scenarios::ALL.iter().find(|(n, _)| *n == name).unwrap();
-    let mut rig = script(EXE, 1);
+fn run_scenario(name: &str) {
+    let (_, scenario) = scenarios::ALL.iter().find(|(n, _)| *n == name).unwrap();
+    let mut rig = scenario(EXE, 1);
     let breaches = rig.judge();
     assert!(
         breaches.is_empty(),
@@ -21,57 +21,57 @@
 
 #[test]
 fn requests_stay_in_their_zone_while_it_is_healthy() {
-    play("near");
+    run_scenario("near");
 }
 
 #[test]
 fn the_leader_is_killed() {
-    play("leader-killed");
+    run_scenario("leader-killed");
 }
 
 #[test]
 fn the_leader_is_stopped_and_resumed() {
-    play("leader-stopped");
+    run_scenario("leader-stopped");
 }
 
 #[test]
 fn a_zone_is_lost_and_recovers() {
-    play("zone-lost");
+    run_scenario("zone-lost");
 }
 
 #[test]
 fn two_zones_are_partitioned_from_each_other() {
-    play("pair-cut");
+    run_scenario("pair-cut");
 }
 
 #[test]
 fn a_voter_loses_its_disk() {
-    play("disk-lost");
+    run_scenario("disk-lost");
 }
 
 #[test]
 fn a_voters_disk_is_full() {
-    play("disk-full");
+    run_scenario("disk-full");
 }
 
 #[test]
 fn a_minority_keeps_its_routes_and_serves() {
-    play("minority");
+    run_scenario("minority");
 }
 
 #[test]
 fn a_rolling_restart() {
-    play("rolling");
+    run_scenario("rolling");
 }
 
 #[test]
 fn an_operator_drains_and_restores_a_zone() {
-    play("orders");
+    run_scenario("orders");
 }
 
 #[test]
 fn slow_and_lossy_paths_change_no_route() {
-    play("slow-and-lossy");
+    run_scenario("slow-and-lossy");
 }
 
 #[test]
