--- a/crates/linenthread-service/src/dispatcher/mod.rs
+++ b/crates/linenthread-service/src/dispatcher/mod.rs
@@ -180,7 +180,7 @@
         zone_names: &[String],
         zones: impl FnOnce(&[String]) -> Option<ZoneRouting>,
     ) -> Self {
-        let mut all_zone_names = config.surroundings.zone_names.clone();
+        let mut all_zone_names = config.cluster.zone_names.clone();
         let further: Vec<String> = zone_names
             .iter()
             .filter(|name| !all_zone_names.contains(name))
@@ -189,12 +189,12 @@
         all_zone_names.extend(further);
         let zones = zones(&all_zone_names);
         let clock = Clock::new();
-        let replica_groups = config.deployment.layout.replica_groups;
+        let replica_groups = config.coordinator.layout.replica_groups;
         let membership = Membership::new(clock, transports.clone(), replica_groups, all_zone_names);
         let dispatcher = Dispatcher(Rc::new(Inner {
             clock,
             state: RefCell::new(State {
-                coordinator: Coordinator::new(config.deployment.clone(), config.seed),
+                coordinator: Coordinator::new(config.coordinator.clone(), config.seed),
                 inputs: Inputs::default(),
                 queries: Vec::new(),
                 free_queries: Vec::new(),
@@ -208,7 +208,7 @@
             local_changed: Notify::new(),
             transports,
         }));
-        let entries = dispatcher.apply_list(&config.remembered);
+        let entries = dispatcher.apply_list(&config.cached_membership);
         dispatcher.update_membership(MembershipUpdate::Cached(entries));
         dispatcher.update_zone_routes();
         dispatcher
--- a/crates/linenthread-service/src/frontends/http/mod.rs
+++ b/crates/linenthread-service/src/frontends/http/mod.rs
@@ -22,7 +22,7 @@
 use tokio::time::{Instant, interval, sleep, sleep_until, timeout};
 use tracing::{info, warn};
 
-use crate::log::Sparing;
+use crate::log::LogRateLimit;
 use crate::query::{self, QueryContext, QueryOutcome, QueryRequest};
 use connection::{ClientConnection, ClientStream};
 use request::RequestError;
@@ -54,8 +54,8 @@
     is_stopping: Cell<bool>,
     /// A connection has closed.
     closed: Notify,
-    refused_lines: Sparing,
-    full_lines: Sparing,
+    refused_lines: LogRateLimit,
+    full_lines: LogRateLimit,
 }
 
 /// Serves queries over HTTP.
@@ -89,8 +89,8 @@
             max_spent,
             is_stopping: Cell::new(false),
             closed: Notify::new(),
-            refused_lines: Sparing::default(),
-            full_lines: Sparing::default(),
+            refused_lines: LogRateLimit::default(),
+            full_lines: LogRateLimit::default(),
         }))
     }
 
@@ -108,7 +108,7 @@
             match listener.accept().await {
                 Ok((stream, _)) => self.admit(stream),
                 Err(e) => {
-                    if let Some(left_out) = self.0.full_lines.line() {
+                    if let Some(left_out) = self.0.full_lines.admit() {
                         warn!(left_out, "cannot accept a connection: {e}");
                     }
                     self.evict_one();
@@ -177,7 +177,7 @@
 
     /// Closes the connection that has been without a complete request for longest.
     fn evict_one(&self) {
-        if let Some(left_out) = self.0.full_lines.line() {
+        if let Some(left_out) = self.0.full_lines.admit() {
             warn!(
                 most = self.0.max_connections,
                 left_out,
@@ -299,7 +299,7 @@
     /// with it, and so does whatever else was sent on it.
     fn refuse(&self, client: &ClientConnection, error: &RequestError) -> Response<BoxBody> {
         let (status, why) = (error.status(), error.to_string());
-        if let Some(left_out) = self.0.refused_lines.line() {
+        if let Some(left_out) = self.0.refused_lines.admit() {
             info!(
                 status = status.as_u16(),
                 left_out, "request not taken: {why}"
--- a/crates/linenthread-service/src/frontends/link.rs
+++ b/crates/linenthread-service/src/frontends/link.rs
@@ -25,7 +25,7 @@
 use crate::clock;
 use crate::dispatcher::Dispatcher;
 use crate::frontends::http;
-use crate::log::Sparing;
+use crate::log::LogRateLimit;
 use crate::transports::attempt::{FinishedAttempt, OutgoingSubRequest, ProbeReport};
 use crate::transports::{InFlightAttempt, Transports};
 
@@ -84,7 +84,7 @@
     last_connection: Cell<u64>,
     /// Wakes the timer's task.
     wake: Notify,
-    log_lines: Sparing,
+    log_lines: LogRateLimit,
 }
 
 /// Serves the links of other sites.
@@ -107,7 +107,7 @@
             running: RefCell::default(),
             last_connection: Cell::default(),
             wake: Notify::new(),
-            log_lines: Sparing::default(),
+            log_lines: LogRateLimit::default(),
         }))
     }
 
@@ -295,7 +295,7 @@
                     actix_rt::spawn(self.clone().connection(stream, address));
                 }
                 Ok(_) => {
-                    if let Some(left_out) = self.0.log_lines.line() {
+                    if let Some(left_out) = self.0.log_lines.admit() {
                         warn!(left_out, "no room for a link's connection");
                     }
                 }
@@ -325,7 +325,7 @@
         // The only place that releases a connection.
         self.0.connections.borrow_mut().remove(&id);
         self.act(|server, now, _| server.on_disconnected(now, id));
-        if let Some(left_out) = self.0.log_lines.line() {
+        if let Some(left_out) = self.0.log_lines.admit() {
             info!(%address, left_out, "link's connection ended: {cause}");
         }
     }
--- a/crates/linenthread-service/src/merge_responses.rs
+++ b/crates/linenthread-service/src/merge_responses.rs
@@ -11,7 +11,7 @@
 use linenthread_protocol::query::{self as protocol, Page, Query};
 use tracing::warn;
 
-use crate::log::Sparing;
+use crate::log::LogRateLimit;
 
 /// The longest reason in a log line, in characters.
 const MAX_LOGGED_REASON_CHARS: usize = 160;
@@ -59,13 +59,13 @@
     differing: Cell<u64>,
     /// Values that cannot be merged.
     invalid: Cell<u64>,
-    log_lines: Sparing,
+    log_lines: LogRateLimit,
 }
 
 impl Anomalies {
     fn on_differing(&self, source: impl Fn() -> ResponseSource) {
         let all = increment(&self.differing);
-        if let Some(left_out) = self.log_lines.line() {
+        if let Some(left_out) = self.log_lines.admit() {
             let ResponseSource { replica, shard } = source();
             warn!(
                 replica,
@@ -76,7 +76,7 @@
 
     fn on_invalid(&self, reason: &str, source: impl Fn() -> ResponseSource) {
         let all = increment(&self.invalid);
-        if let Some(left_out) = self.log_lines.line() {
+        if let Some(left_out) = self.log_lines.admit() {
             let ResponseSource { replica, shard } = source();
             let why: String = reason.chars().take(MAX_LOGGED_REASON_CHARS).collect();
             warn!(
--- a/crates/linenthread-service/src/transports/link.rs
+++ b/crates/linenthread-service/src/transports/link.rs
@@ -22,7 +22,7 @@
 use tracing::{info, warn};
 
 use crate::clock::{self, Clock};
-use crate::log::Sparing;
+use crate::log::LogRateLimit;
 use crate::transports::attempt::{
     FinishedAttempt, FinishedAttempts, OutgoingSubRequest, ProbeReport,
 };
@@ -84,7 +84,7 @@
     /// Wakes the link's task.
     wake: Notify,
     events: mpsc::UnboundedSender<LinkEvent>,
-    log_lines: Sparing,
+    log_lines: LogRateLimit,
 }
 
 /// The link to one peer.
@@ -171,7 +171,7 @@
             close: RefCell::default(),
             wake: Notify::new(),
             events,
-            log_lines: Sparing::default(),
+            log_lines: LogRateLimit::default(),
         }));
         actix_rt::spawn(peer.clone().run());
         peer
@@ -316,7 +316,7 @@
                     Ok(stream) => self.exchange(stream).await,
                     Err(error) => error,
                 };
-                if let Some(left_out) = self.0.log_lines.line() {
+                if let Some(left_out) = self.0.log_lines.admit() {
                     warn!(peer = self.0.name, address = %self.0.address, left_out, "link lost: {cause}");
                 }
                 self.0.outgoing.borrow_mut().clear();
--- a/crates/linenthread-service/src/transports/replica_connections.rs
+++ b/crates/linenthread-service/src/transports/replica_connections.rs
@@ -11,7 +11,7 @@
 use tokio::time::{Instant, timeout};
 use tracing::{info, warn};
 
-use crate::log::Sparing;
+use crate::log::LogRateLimit;
 use crate::transports::attempt::{
     ConnectionLimits, FinishedAttempts, OutgoingSubRequest, ProbeReport, report_not_sent,
 };
@@ -36,7 +36,7 @@
     endpoints: RefCell<Vec<Endpoint>>,
     connection_count: Cell<usize>,
     next_attempt_number: Cell<u64>,
-    log_lines: Sparing,
+    log_lines: LogRateLimit,
 }
 
 /// The connections to all replicas that are reached directly.
@@ -50,7 +50,7 @@
             endpoints: RefCell::default(),
             connection_count: Cell::new(0),
             next_attempt_number: Cell::new(0),
-            log_lines: Sparing::default(),
+            log_lines: LogRateLimit::default(),
         }))
     }
 
@@ -172,7 +172,7 @@
             return Some(connection.clone());
         }
         if is_full {
-            if let Some(left_out) = self.0.log_lines.line() {
+            if let Some(left_out) = self.0.log_lines.admit() {
                 warn!(%address, left_out, "no connection left for a replica");
             }
             return None;
@@ -206,7 +206,7 @@
         let violated = result
             .as_ref()
             .is_err_and(ConnectionError::is_protocol_violation);
-        if let (Err(cause), Some(left_out)) = (result, self.0.log_lines.line()) {
+        if let (Err(cause), Some(left_out)) = (result, self.0.log_lines.admit()) {
             let (address, out) = (connection.address, connection.attempts_in_flight());
             warn!(%address, out, spoilt = violated, left_out, "replica connection ended: {cause}");
         }
