--- a/crates/linenthread-stand-ins/src/client.rs
+++ b/crates/linenthread-stand-ins/src/client.rs
@@ -6,20 +6,21 @@
 use serde_json::{Value, json};
 
 use crate::PATIENCE;
-use crate::http::message;
+use crate::http::read_message;
 
+/// A connection over which queries are made. Its methods panic if the connection fails, but for `try_*`.
 pub struct Client(BufReader<TcpStream>);
 
-/// A lookup's request.
+/// The text of a query's HTTP request.
 pub fn request(index: &str, id: &str, shards: &[usize]) -> String {
     request_with(index, id, shards, "what is asked", &json!(null))
 }
 
-/// One with a text of its own, and a page where its index is merged.
+/// The text of an HTTP request with this query text, and a page if the index is merged.
 pub fn request_with(index: &str, id: &str, shards: &[usize], text: &str, page: &Value) -> String {
-    let part = |shard| json!({"bucket": shard, "part": 1.0 / shards.len() as f64});
-    let parts: Vec<Value> = shards.iter().map(part).collect();
-    let mut body = json!({"buckets": parts, "body": text});
+    let bucket = |shard| json!({"bucket": shard, "part": 1.0 / shards.len() as f64});
+    let buckets: Vec<Value> = shards.iter().map(bucket).collect();
+    let mut body = json!({"buckets": buckets, "body": text});
     if !page.is_null() {
         body["page"] = page.clone();
     }
@@ -32,33 +33,37 @@
 }
 
 impl Client {
-    /// Where somebody may be listening or not.
+    /// Connects to an address where possibly nothing listens.
     pub fn try_connect(address: SocketAddr) -> Option<Client> {
-        let line = TcpStream::connect_timeout(&address, PATIENCE).ok()?;
-        line.set_read_timeout(Some(PATIENCE)).ok()?;
-        Some(Client(BufReader::new(line)))
+        let connection = TcpStream::connect_timeout(&address, PATIENCE).ok()?;
+        connection.set_read_timeout(Some(PATIENCE)).ok()?;
+        Some(Client(BufReader::new(connection)))
     }
 
+    /// Sends a request; whether the connection took it.
     pub fn try_send(&mut self, text: &str) -> bool {
         self.0.get_mut().write_all(text.as_bytes()).is_ok()
     }
 
+    /// Connects to an address.
     pub fn connect(address: SocketAddr) -> Client {
-        let line = TcpStream::connect(address).unwrap();
-        line.set_read_timeout(Some(PATIENCE)).unwrap();
-        Client(BufReader::new(line))
+        let connection = TcpStream::connect(address).unwrap();
+        connection.set_read_timeout(Some(PATIENCE)).unwrap();
+        Client(BufReader::new(connection))
     }
 
+    /// Sends a request, as [`request`] makes it.
     pub fn send(&mut self, text: &str) {
         self.0.get_mut().write_all(text.as_bytes()).unwrap();
     }
 
-    pub fn ask(&mut self, index: &str, id: &str, shards: &[usize]) {
+    /// Sends a query.
+    pub fn query(&mut self, index: &str, id: &str, shards: &[usize]) {
         self.send(&request(index, id, shards));
     }
 
-    /// Asks a merged index, and gives its status and its answer.
-    pub fn merged(
+    /// Queries a merged index; the status and the body of the response.
+    pub fn query_merged(
         &mut self,
         index: &str,
         id: &str,
@@ -67,20 +72,22 @@
         page: &Value,
     ) -> (u16, Value) {
         self.send(&request_with(index, id, shards, text, page));
-        let (status, _, body) = self.answer().expect("an answer");
+        let (status, _, body) = self.response().expect("an answer");
         (
             status,
             serde_json::from_str(&body).unwrap_or(Value::String(body)),
         )
     }
 
-    /// The next answer: status, headers, body. `None` where the connection ends without one.
-    pub fn answer(&mut self) -> Option<(u16, Vec<String>, String)> {
-        let (first, headers, body) = message(&mut self.0)?;
-        Some((first.split(' ').nth(1)?.parse().ok()?, headers, body))
+    /// The next response: status, headers, body. `None` if the connection ends without one.
+    pub fn response(&mut self) -> Option<(u16, Vec<String>, String)> {
+        let message = read_message(&mut self.0)?;
+        let status = message.start_line.split(' ').nth(1)?.parse().ok()?;
+        Some((status, message.headers, message.body))
     }
 
+    /// The status of the next response.
     pub fn status(&mut self) -> u16 {
-        self.answer().expect("an answer").0
+        self.response().expect("an answer").0
     }
 }
--- a/crates/linenthread-stand-ins/src/http.rs
+++ b/crates/linenthread-stand-ins/src/http.rs
@@ -1,38 +1,50 @@
-//! As much of HTTP/1.1 as stand-ins need.
+//! As much of HTTP/1.1 as the fakes need.
 
 use std::io::{BufRead, Write};
 use std::net::TcpStream;
 
-pub(crate) fn respond(mut line: &TcpStream, body: &str) {
-    line.write_all(
-        format!(
-            "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}",
-            body.len()
-        )
-        .as_bytes(),
-    )
-    .unwrap();
+/// One HTTP message.
+pub(crate) struct Message {
+    pub(crate) start_line: String,
+    /// In lower case.
+    pub(crate) headers: Vec<String>,
+    pub(crate) body: String,
 }
 
-/// One HTTP message: its first line, its headers in small letters, its body.
-pub(crate) fn message(from: &mut impl BufRead) -> Option<(String, Vec<String>, String)> {
-    let mut lines = Vec::new();
+pub(crate) fn write_response(mut connection: &TcpStream, body: &str) {
+    let length = body.len();
+    let response = format!("HTTP/1.1 200 OK\r\nContent-Length: {length}\r\n\r\n{body}");
+    connection.write_all(response.as_bytes()).unwrap();
+}
+
+/// Reads one HTTP message; `None` if the connection ends without one or it is malformed.
+pub(crate) fn read_message(from: &mut impl BufRead) -> Option<Message> {
+    let start_line = read_line(from)?;
+    let mut headers = Vec::new();
     loop {
-        let mut line = String::new();
-        if from.read_line(&mut line).ok()? == 0 {
-            return None;
-        }
-        match line.trim_end() {
-            "" => break,
-            line if lines.is_empty() => lines.push(line.to_owned()),
-            line => lines.push(line.to_ascii_lowercase()),
+        let header = read_line(from)?;
+        if header.is_empty() {
+            break;
         }
+        headers.push(header.to_ascii_lowercase());
     }
-    let length = lines
+    let length = headers
         .iter()
-        .find_map(|l| l.strip_prefix("content-length: ")?.parse().ok())
+        .find_map(|header| header.strip_prefix("content-length: ")?.parse().ok())
         .unwrap_or(0);
     let mut body = vec![0; length];
     from.read_exact(&mut body).ok()?;
-    Some((lines.remove(0), lines, String::from_utf8(body).ok()?))
+    Some(Message {
+        start_line,
+        headers,
+        body: String::from_utf8(body).ok()?,
+    })
+}
+
+fn read_line(from: &mut impl BufRead) -> Option<String> {
+    let mut line = String::new();
+    if from.read_line(&mut line).ok()? == 0 {
+        return None;
+    }
+    Some(line.trim_end().to_owned())
 }
--- a/crates/linenthread-stand-ins/src/lib.rs
+++ b/crates/linenthread-stand-ins/src/lib.rs
@@ -1,34 +1,44 @@
-//! Stand-ins for what is round a co-ordinator: replicas, the roster, a client, and ledgers that hold real rows.
-//! They use threads and blocking sockets on loopback, wait for what happens, and for at most [`PATIENCE`].
-#![expect(
-    missing_docs,
-    reason = "public items of this package are not all documented yet"
-)]
+//! Fakes of everything round a coordinator: replicas, service discovery, clients, and replicas that hold real rows.
+//! They serve tests, simulations and `linenthread try`, with faults on cue.
+//!
+//! The fakes use threads and blocking sockets on loopback, and wait for events, for at most [`PATIENCE`]. Nothing
+//! here uses code of the program under test, so that a fault of the program cannot hide behind the same fault here.
+//! Where a step of a test itself fails, it panics and names what it waited for.
+//!
+//! [`Service`] runs one process and is the place to start reading. [`sites`] has two sites with a link between,
+//! [`rig`] several processes with faults between them, [`scenarios`] scripts of such faults, and [`checker`] checks
+//! merged responses against the rows of a [`row_store`].
 
 pub mod checker;
 mod client;
-mod fleet;
 mod http;
-pub mod ledger;
-mod net;
+mod loopback;
+pub mod network;
 mod program;
 pub mod proxy;
+mod replicas;
 pub mod rig;
-mod roster;
+mod row_replicas;
+pub mod row_store;
 pub mod scenarios;
+mod service_discovery;
 pub mod sites;
 
 use std::sync::mpsc::Receiver;
 use std::time::Duration;
 
 pub use client::{Client, request, request_with};
-pub use fleet::{Fleet, Part};
 pub use program::{Class, Service, config, config_of, program};
-pub use roster::{Roster, entry, list};
+pub use replicas::{FakeReplicas, SubRequest};
+pub use row_replicas::{Behavior, RowReplicas};
+pub use service_discovery::{ServiceDiscovery, member, membership};
 
+/// How long an event is awaited.
 pub const PATIENCE: Duration = Duration::from_secs(10);
 
-fn wait<T>(from: &Receiver<T>, for_what: &str) -> T {
-    from.recv_timeout(PATIENCE)
-        .unwrap_or_else(|_| panic!("{for_what} did not come"))
+/// Waits for an event.
+fn wait<T>(events: &Receiver<T>, what: &str) -> T {
+    events
+        .recv_timeout(PATIENCE)
+        .unwrap_or_else(|_| panic!("{what} did not come"))
 }
--- a/crates/linenthread-stand-ins/src/program.rs
+++ b/crates/linenthread-stand-ins/src/program.rs
@@ -1,4 +1,4 @@
-//! The program under test, and what it is configured with.
+//! The program under test, and its settings.
 
 use std::io::{BufRead, BufReader};
 use std::net::SocketAddr;
@@ -13,41 +13,45 @@
 use crate::client::Client;
 use crate::wait;
 
-/// An index of a configuration.
+/// An index in the settings.
 pub struct Class {
+    /// Its name.
     pub name: &'static str,
-    pub once_only: bool,
-    pub soft_ms: u64,
+    /// Its queries may run only once.
+    pub non_idempotent: bool,
+    /// The soft deadline of its queries in milliseconds.
+    pub soft_deadline_ms: u64,
+    /// The least share of the weight that a partial response must have; with 1.0 all responses are complete.
     pub floor: f64,
 }
 
-/// The indexes `find`, `order` (once-only), `swift` (700 ms), all whole only.
+/// The indexes `find`, `order` (non-idempotent), `swift` (700 ms), all with complete responses only.
 const CLASSES: [Class; 3] = [
     Class {
         name: "find",
-        once_only: false,
-        soft_ms: 15_000,
+        non_idempotent: false,
+        soft_deadline_ms: 15_000,
         floor: 1.0,
     },
     Class {
         name: "order",
-        once_only: true,
-        soft_ms: 15_000,
+        non_idempotent: true,
+        soft_deadline_ms: 15_000,
         floor: 1.0,
     },
     Class {
         name: "swift",
-        once_only: false,
-        soft_ms: 700,
+        non_idempotent: false,
+        soft_deadline_ms: 700,
         floor: 1.0,
     },
 ];
 
-/// Settings of so many cells, each with shards of two in a row.
-fn settings(classes: &[Class], cells: usize, shards: usize) -> Value {
+/// Settings with so many replica groups, where each shard is in two neighbouring groups.
+fn settings(classes: &[Class], groups: usize, shards: usize) -> Value {
     let class = |c: &Class| {
-        json!({"name": c.name, "idempotency": if c.once_only { "unsafe" } else { "safe" },
-               "promise-ms": c.soft_ms, "worth": 1.0, "late-share": 0.0, "deadline-ms": 20000,
+        json!({"name": c.name, "idempotency": if c.non_idempotent { "unsafe" } else { "safe" },
+               "promise-ms": c.soft_deadline_ms, "worth": 1.0, "late-share": 0.0, "deadline-ms": 20000,
                "window-ms": 5000})
     };
     let each = |of: &dyn Fn(&Class) -> f64| -> Vec<f64> { classes.iter().map(of).collect() };
@@ -55,7 +59,7 @@
         "me": 0, "balancers": 1, "membership-mode": "pushed", "dcs": ["a"], "tick-ms": 5,
         "classes": classes.iter().map(class).collect::<Vec<_>>(),
         "accounts": [{"name": "acme", "quota-rps": 100.0, "share": 1.0}],
-        "family-info": {"cells": cells, "in-a-row": 2, "ranges": shards, "parts-a-call": 1,
+        "family-info": {"cells": groups, "in-a-row": 2, "ranges": shards, "parts-a-call": 1,
                         "need-by-class": each(&|_| 1.0), "floor-by-class": each(&|c| c.floor),
                         "incomplete-worth": each(&|c| if c.floor < 1.0 { 0.9 } else { 0.0 }),
                         "fetch-parts": each(&|_| 0.0)},
@@ -67,25 +71,26 @@
     })
 }
 
-/// A configuration of two cells, each with all four shards.
-pub fn config(roster: SocketAddr, known: &str) -> Value {
-    config_of(roster, known, &CLASSES, 2, 4)
+/// The contents of `config.json` with two replica groups, each with all four shards.
+pub fn config(discovery: SocketAddr, known: &str) -> Value {
+    config_of(discovery, known, &CLASSES, 2, 4)
 }
 
+/// The contents of `config.json` with these indexes.
 pub fn config_of(
-    roster: SocketAddr,
+    discovery: SocketAddr,
     known: &str,
     classes: &[Class],
-    cells: usize,
+    groups: usize,
     shards: usize,
 ) -> Value {
-    json!({"name": "n0", "listen": "127.0.0.1:0", "discovery": roster.to_string(), "seed": "8c1f30d27a5be964",
+    json!({"name": "n0", "listen": "127.0.0.1:0", "discovery": discovery.to_string(), "seed": "8c1f30d27a5be964",
            "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
            "known": serde_json::from_str::<Value>(known).unwrap(),
-           "settings": settings(classes, cells, shards)})
+           "settings": settings(classes, groups, shards)})
 }
 
-/// Runs the program on a configuration, with the command before its file.
+/// Runs the program to its end with a command and a configuration file.
 pub fn program(exe: &str, command: &[&str], config: &str) -> std::process::Output {
     let folder = tempfile::tempdir().unwrap();
     let file = folder.path().join("config.json");
@@ -99,27 +104,45 @@
     program.output().unwrap()
 }
 
-/// The program under test, ended with the test.
+/// The program under test, killed at the end of the test.
 pub struct Service {
+    /// The process.
     pub child: Child,
+    /// Where it takes queries.
     pub address: SocketAddr,
     folder: TempDir,
     lines: Receiver<String>,
 }
 
+/// Sends a signal, as `kill` names it, to a process.
+pub(crate) fn send_signal(process: u32, name: &str) {
+    let status = Command::new("kill")
+        .args([name, &process.to_string()])
+        .status()
+        .unwrap();
+    assert!(status.success());
+}
+
+/// The value of a field in a log line.
+fn field<'l>(line: &'l str, name: &str) -> Option<&'l str> {
+    let (_, rest) = line.split_once(&format!("{name}="))?;
+    rest.split(' ').next()
+}
+
 impl Service {
+    /// Starts the program with a configuration and waits until it serves.
     pub fn start(exe: &str, config: &Value) -> Service {
         Service::start_in(tempfile::tempdir().unwrap(), exe, config, &[])
     }
 
-    /// With files in a folder of its own and further words on its command line, which is run there.
-    pub fn start_in(folder: TempDir, exe: &str, config: &Value, words: &[&str]) -> Service {
+    /// Starts the program in a folder with further files, with further arguments, and waits until it serves.
+    pub fn start_in(folder: TempDir, exe: &str, config: &Value, arguments: &[&str]) -> Service {
         let file = folder.path().join("config.json");
         std::fs::write(&file, config.to_string()).unwrap();
         let mut program = Command::new(exe);
         program
             .arg("serve")
-            .args(words)
+            .args(arguments)
             .env("EDGE_CONFIG", &file)
             .current_dir(folder.path());
         let mut child = program
@@ -127,12 +150,12 @@
             .stderr(Stdio::piped())
             .spawn()
             .unwrap();
-        let (to, lines) = channel();
+        let (line_sender, lines) = channel();
         let log = BufReader::new(child.stderr.take().unwrap());
         spawn(move || {
             log.lines()
                 .map_while(Result::ok)
-                .try_for_each(|line| to.send(line))
+                .try_for_each(|line| line_sender.send(line))
         });
         let mut service = Service {
             child,
@@ -140,63 +163,51 @@
             folder,
             lines,
         };
-        let line = service.logged("serving");
-        let listen = line
-            .split("listen=")
-            .nth(1)
-            .unwrap()
-            .split(' ')
-            .next()
-            .unwrap();
-        service.address = listen.parse().unwrap();
+        let line = service.wait_for_log("serving");
+        service.address = field(&line, "listen").unwrap().parse().unwrap();
         service
     }
 
-    /// A file beside its configuration.
+    /// A file in its folder.
     pub fn file(&self, name: &str) -> PathBuf {
         self.folder.path().join(name)
     }
 
-    /// The next log line, if one comes in time.
-    pub fn line(&self) -> Option<String> {
+    /// The next log line, if one arrives in time.
+    pub fn next_log_line(&self) -> Option<String> {
         self.lines.recv_timeout(crate::PATIENCE).ok()
     }
 
-    /// The next log line with these words.
-    pub fn logged(&self, words: &str) -> String {
+    /// Waits for the next log line with this text.
+    pub fn wait_for_log(&self, text: &str) -> String {
         loop {
-            let line = wait(&self.lines, words);
-            if line.contains(words) {
+            let line = wait(&self.lines, text);
+            if line.contains(text) {
                 return line;
             }
         }
     }
 
+    /// Sends a signal, as `kill` names it.
     pub fn signal(&self, name: &str) {
-        let id = self.child.id().to_string();
-        assert!(
-            Command::new("kill")
-                .args([name, &id])
-                .status()
-                .unwrap()
-                .success()
-        );
+        send_signal(self.child.id(), name);
     }
 
-    /// Has the program read a new configuration.
+    /// Has the program reload its configuration from a new text.
     pub fn reload(&self, config: &str) {
         std::fs::write(self.file("config.json"), config).unwrap();
         self.signal("-HUP");
     }
 
+    /// Connects a client.
     pub fn connect(&self) -> Client {
         Client::connect(self.address)
     }
 
-    /// Sends a lookup on a connection of its own.
-    pub fn ask(&self, index: &str, id: &str, shards: &[usize]) -> Client {
+    /// Sends a query on a connection of its own.
+    pub fn query(&self, index: &str, id: &str, shards: &[usize]) -> Client {
         let mut client = self.connect();
-        client.ask(index, id, shards);
+        client.query(index, id, shards);
         client
     }
 }
@@ -204,11 +215,11 @@
 impl Drop for Service {
     fn drop(&mut self) {
         self.child.kill().ok();
-        // What it said is of use where a test has failed.
-        self.lines
-            .iter()
-            .filter(|_| std::thread::panicking())
-            .for_each(|line| println!("{line}"));
+        for line in &self.lines {
+            if std::thread::panicking() {
+                println!("{line}");
+            }
+        }
         self.child.wait().ok();
     }
 }
--- a/crates/linenthread-stand-ins/src/proxy.rs
+++ b/crates/linenthread-stand-ins/src/proxy.rs
@@ -1,39 +1,58 @@
-//! A link that can be cut after an exact byte, slowed, silenced one way, and led to another machine.
+//! A proxy of one connection that can be closed after an exact byte, delayed, silenced in one direction, and led to
+//! another server.
 
 use std::io::{Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
-use std::sync::{Arc, Mutex};
+use std::sync::{Arc, Mutex, MutexGuard};
 use std::thread::{sleep, spawn};
 use std::time::Duration;
 
-/// Which way bytes go: towards who is connected to, or back.
+/// Bytes that are read at once.
+const BUFFER: usize = 4_096;
+
+/// In which direction bytes go.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Way {
-    There,
-    Back,
+pub enum Direction {
+    /// From the client to the server.
+    ToUpstream,
+    /// From the server to the client.
+    FromUpstream,
 }
 
 #[derive(Default)]
 struct State {
     upstream: Option<SocketAddr>,
-    /// For the next connection: it is cut once so many bytes have crossed that way.
-    cut: Option<(Way, usize)>,
+    /// The next connection is closed once so many bytes have been forwarded in that direction.
+    limit: Option<(Direction, usize)>,
     delay: Duration,
-    /// Bytes that way are taken and never passed on.
+    /// By direction: bytes are read and never forwarded.
     silent: [bool; 2],
     open: Vec<TcpStream>,
-    /// Bytes that have crossed on the newest connection.
-    crossed: [usize; 2],
+    /// By direction: bytes forwarded on the newest connection.
+    forwarded: [usize; 2],
     connections: usize,
 }
 
+/// A proxy in front of a server.
 #[derive(Clone)]
 pub struct Proxy {
+    /// Where it listens.
     pub address: SocketAddr,
     state: Arc<Mutex<State>>,
 }
 
+/// One direction of a connection.
+struct Flow {
+    connection: usize,
+    direction: Direction,
+    reader: TcpStream,
+    writer: TcpStream,
+    /// The connection is closed once so many bytes have been forwarded.
+    limit: Option<usize>,
+}
+
 impl Proxy {
+    /// Starts a proxy that forwards to a server.
     pub fn start(upstream: SocketAddr) -> Proxy {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
@@ -42,103 +61,112 @@
             ..State::default()
         }));
         let proxy = Proxy { address, state };
-        let here = proxy.clone();
+        let accepting = proxy.clone();
         spawn(move || {
-            for near in listener.incoming().map_while(Result::ok) {
-                here.connect(near);
+            for client in listener.incoming().map_while(Result::ok) {
+                accepting.accept(client);
             }
         });
         proxy
     }
 
-    fn connect(&self, near: TcpStream) {
-        let mut state = self.state.lock().unwrap();
-        let Some(far) = state.upstream.and_then(|to| TcpStream::connect(to).ok()) else {
+    fn state(&self) -> MutexGuard<'_, State> {
+        self.state.lock().unwrap()
+    }
+
+    fn accept(&self, client: TcpStream) {
+        let mut state = self.state();
+        let Some(server) = state.upstream.and_then(|to| TcpStream::connect(to).ok()) else {
             return;
         };
-        near.set_nodelay(true).ok();
-        far.set_nodelay(true).ok();
+        client.set_nodelay(true).ok();
+        server.set_nodelay(true).ok();
         state.connections += 1;
-        state.crossed = [0; 2];
-        let (number, cut) = (state.connections, state.cut.take());
-        for (way, from, to) in [(Way::There, &near, &far), (Way::Back, &far, &near)] {
-            let (Ok(from), Ok(to)) = (from.try_clone(), to.try_clone()) else {
+        state.forwarded = [0; 2];
+        let (connection, limit) = (state.connections, state.limit.take());
+        for (direction, from, to) in [
+            (Direction::ToUpstream, &client, &server),
+            (Direction::FromUpstream, &server, &client),
+        ] {
+            let (Ok(reader), Ok(writer)) = (from.try_clone(), to.try_clone()) else {
                 return;
             };
-            let most = cut.filter(|(w, _)| *w == way).map(|(_, most)| most);
-            let here = self.clone();
-            spawn(move || here.carry(number, way, from, to, most));
+            let flow = Flow {
+                connection,
+                direction,
+                reader,
+                writer,
+                limit: limit
+                    .filter(|(limited, _)| *limited == direction)
+                    .map(|(_, bytes)| bytes),
+            };
+            let proxy = self.clone();
+            spawn(move || proxy.copy(flow));
         }
-        state.open.push(near);
-        state.open.push(far);
+        state.open.push(client);
+        state.open.push(server);
     }
 
-    fn carry(
-        &self,
-        number: usize,
-        way: Way,
-        mut from: TcpStream,
-        mut to: TcpStream,
-        most: Option<usize>,
-    ) {
-        let (mut buffer, mut crossed) = ([0; 4096], 0);
-        loop {
-            if most == Some(crossed) {
-                break;
-            }
-            let Ok(n) = from.read(&mut buffer) else { break };
-            if n == 0 {
+    /// Copies one direction of a connection, until it ends or has reached its limit.
+    fn copy(&self, mut flow: Flow) {
+        let (mut buffer, mut forwarded) = ([0; BUFFER], 0);
+        while flow.limit != Some(forwarded) {
+            let Ok(length @ 1..) = flow.reader.read(&mut buffer) else {
                 break;
-            }
-            let n = most.map_or(n, |most| n.min(most - crossed));
+            };
+            let length = flow
+                .limit
+                .map_or(length, |limit| length.min(limit - forwarded));
             let (delay, silent) = {
-                let state = self.state.lock().unwrap();
-                (state.delay, state.silent[way as usize])
+                let state = self.state();
+                (state.delay, state.silent[flow.direction as usize])
             };
             sleep(delay);
             if silent {
                 continue;
             }
-            if to.write_all(&buffer[..n]).is_err() {
+            if flow.writer.write_all(&buffer[..length]).is_err() {
                 break;
             }
-            crossed += n;
-            let mut state = self.state.lock().unwrap();
-            if state.connections == number {
-                state.crossed[way as usize] = crossed;
+            forwarded += length;
+            let mut state = self.state();
+            if state.connections == flow.connection {
+                state.forwarded[flow.direction as usize] = forwarded;
             }
         }
-        from.shutdown(Shutdown::Both).ok();
-        to.shutdown(Shutdown::Both).ok();
+        flow.reader.shutdown(Shutdown::Both).ok();
+        flow.writer.shutdown(Shutdown::Both).ok();
     }
 
-    /// The next connection is cut once so many bytes have crossed that way.
-    pub fn cut_next(&self, way: Way, after: usize) {
-        self.state.lock().unwrap().cut = Some((way, after));
+    /// Has the next connection close once so many bytes have been forwarded in that direction.
+    pub fn disconnect_next_after(&self, direction: Direction, bytes: usize) {
+        self.state().limit = Some((direction, bytes));
     }
 
-    /// Cuts what is open, now.
-    pub fn cut(&self) {
-        for line in std::mem::take(&mut self.state.lock().unwrap().open) {
-            line.shutdown(Shutdown::Both).ok();
+    /// Closes all open connections.
+    pub fn disconnect(&self) {
+        for connection in std::mem::take(&mut self.state().open) {
+            connection.shutdown(Shutdown::Both).ok();
         }
     }
 
-    /// Where connections lead from now on; nowhere, they are closed as they come.
-    pub fn lead_to(&self, upstream: Option<SocketAddr>) {
-        self.state.lock().unwrap().upstream = upstream;
+    /// Sets the server of connections from now on; without one, they are closed at once.
+    pub fn set_upstream(&self, upstream: Option<SocketAddr>) {
+        self.state().upstream = upstream;
     }
 
-    pub fn slow_by(&self, delay: Duration) {
-        self.state.lock().unwrap().delay = delay;
+    /// Delays all bytes from now on.
+    pub fn set_delay(&self, delay: Duration) {
+        self.state().delay = delay;
     }
 
-    pub fn silence(&self, way: Way, silent: bool) {
-        self.state.lock().unwrap().silent[way as usize] = silent;
+    /// Reads and drops all bytes in one direction; or forwards them again.
+    pub fn silence(&self, direction: Direction, silent: bool) {
+        self.state().silent[direction as usize] = silent;
     }
 
-    /// Bytes that have crossed on the newest connection, there and back.
-    pub fn crossed(&self) -> [usize; 2] {
-        self.state.lock().unwrap().crossed
+    /// Bytes forwarded on the newest connection, to the server and from it.
+    pub fn forwarded(&self) -> [usize; 2] {
+        self.state().forwarded
     }
 }
--- /dev/null
+++ b/crates/linenthread-stand-ins/src/rig/clients.rs
@@ -0,0 +1,169 @@
+//! Clients of a rig, which query one process each, and what became of their queries.
+
+use std::net::SocketAddr;
+use std::sync::atomic::{AtomicBool, Ordering};
+use std::sync::{Arc, Mutex};
+use std::thread::{JoinHandle, sleep, spawn};
+use std::time::{Duration, Instant};
+
+use oorandom::Rand64;
+use serde_json::{Value, json};
+
+use super::layout::SHARDS;
+use crate::{Client, request};
+
+/// The placement key in requests made by [`request`].
+const DEFAULT_KEY: &str = "7f3a9c21e0b4d655";
+/// Shards of an idempotent query.
+const SHARDS_OF_QUERY: usize = 3;
+/// The distance between those.
+const SHARD_STRIDE: usize = 5;
+/// Of so many queries one is non-idempotent.
+const ONE_NON_IDEMPOTENT_OF: u64 = 4;
+
+/// What became of one query of a client.
+#[derive(Clone, Debug, PartialEq)]
+pub struct QueryOutcome {
+    /// The trace id.
+    pub id: String,
+    /// The zone of the process that was queried.
+    pub zone: usize,
+    /// The query may run only once.
+    pub non_idempotent: bool,
+    /// The shards that were queried.
+    pub shards: Vec<usize>,
+    /// The HTTP status; `None` if the connection ended without a response.
+    pub status: Option<u16>,
+    /// How long the client waited.
+    pub latency: Duration,
+    /// When the query was made.
+    pub sent_at: Instant,
+    /// The response says that it is complete.
+    pub complete: bool,
+    /// Shards of which the response has a value.
+    pub found: Vec<usize>,
+    /// The process that was queried was up from beginning to end.
+    pub alive: bool,
+}
+
+impl QueryOutcome {
+    /// Whether the query was answered.
+    pub fn succeeded(&self) -> bool {
+        self.status == Some(200)
+    }
+
+    fn read_response(&mut self, status: u16, body: &str) {
+        self.status = Some(status);
+        let body: Value = serde_json::from_str(body).unwrap_or_default();
+        self.complete = body["finished"] == json!(true);
+        let found = body["found"].as_array().into_iter().flatten();
+        self.found = found.filter_map(found_shard).collect();
+    }
+}
+
+/// The shard of a value in a response; a value that is another shard's does not count.
+fn found_shard(value: &Value) -> Option<usize> {
+    let shard = usize::try_from(value["bucket"].as_u64()?).ok()?;
+    value
+        .to_string()
+        .contains(&format!("v{shard}"))
+        .then_some(shard)
+}
+
+/// State that the threads of all clients share with the rig.
+#[derive(Clone, Default)]
+pub(super) struct SharedState {
+    pub(super) outcomes: Arc<Mutex<Vec<QueryOutcome>>>,
+    pub(super) stopping: Arc<AtomicBool>,
+    /// Which processes are expected to answer.
+    pub(super) up: Arc<Mutex<Vec<bool>>>,
+}
+
+/// A client that queries one process.
+pub(super) struct QueryLoop {
+    pub(super) process: usize,
+    pub(super) zone: usize,
+    pub(super) http: SocketAddr,
+    pub(super) rng: Rand64,
+    pub(super) interval: Duration,
+    pub(super) shared: SharedState,
+}
+
+impl QueryLoop {
+    /// Queries one after another, until the rig stops.
+    pub(super) fn start(mut self) -> JoinHandle<()> {
+        spawn(move || {
+            let mut number = 0;
+            while !self.shared.stopping.load(Ordering::SeqCst) {
+                sleep(self.interval);
+                if !self.is_up() {
+                    continue;
+                }
+                number += 1;
+                let id = format!("c{}x{number}", self.process);
+                let outcome = self.query(id);
+                self.shared.outcomes.lock().unwrap().push(outcome);
+            }
+        })
+    }
+
+    fn is_up(&self) -> bool {
+        self.shared.up.lock().unwrap()[self.process]
+    }
+
+    /// Makes a random query on a connection of its own.
+    fn query(&mut self, id: String) -> QueryOutcome {
+        let non_idempotent = self.rng.rand_range(0..ONE_NON_IDEMPOTENT_OF) == 0;
+        let first = self.rng.rand_range(0..SHARDS as u64) as usize;
+        let shards = if non_idempotent {
+            vec![first]
+        } else {
+            (0..SHARDS_OF_QUERY)
+                .map(|k| (first + k * SHARD_STRIDE) % SHARDS)
+                .collect()
+        };
+        let sent_at = Instant::now();
+        let mut outcome = QueryOutcome {
+            id,
+            zone: self.zone,
+            non_idempotent,
+            shards,
+            status: None,
+            latency: Duration::ZERO,
+            sent_at,
+            complete: false,
+            found: Vec::new(),
+            alive: true,
+        };
+        self.exchange(&mut outcome);
+        outcome.latency = sent_at.elapsed();
+        outcome.alive = self.is_up();
+        outcome
+    }
+
+    fn exchange(&self, outcome: &mut QueryOutcome) {
+        let Some(mut client) = Client::try_connect(self.http) else {
+            return;
+        };
+        let index = if outcome.non_idempotent {
+            "order"
+        } else {
+            "find"
+        };
+        // A key for each query, so that all replicas are used.
+        let key = format!("{:016x}", fnv1a(&outcome.id));
+        let request = request(index, &outcome.id, &outcome.shards).replace(DEFAULT_KEY, &key);
+        if client.try_send(&request)
+            && let Some((status, _, body)) = client.response()
+        {
+            outcome.read_response(status, &body);
+        }
+    }
+}
+
+/// The 64-bit FNV-1a hash.
+fn fnv1a(text: &str) -> u64 {
+    text.bytes().fold(0xcbf2_9ce4_8422_2325, |hash, byte| {
+        (hash ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3)
+    })
+}
--- /dev/null
+++ b/crates/linenthread-stand-ins/src/rig/process.rs
@@ -0,0 +1,123 @@
+//! One process of the program in a rig.
+
+use std::net::SocketAddr;
+use std::path::PathBuf;
+use std::process::{Child, Command, Output, Stdio};
+use std::sync::Arc;
+
+use tempfile::TempDir;
+
+use super::layout::{FLEET_KEY, Layout};
+use super::log::ProcessLog;
+use crate::program::send_signal;
+use crate::service_discovery::ServiceDiscovery;
+
+/// One process of the program, with its files and all it has logged.
+pub(super) struct Process {
+    pub(super) name: String,
+    pub(super) zone: usize,
+    pub(super) log: Arc<ProcessLog>,
+    /// The length of the log when the process was last started.
+    pub(super) started_at: usize,
+    pub(super) http: SocketAddr,
+    folder: TempDir,
+    child: Option<Child>,
+    _discovery: ServiceDiscovery,
+}
+
+impl Process {
+    /// Writes the files of a process; it does not run yet.
+    pub(super) fn prepare(layout: &Layout, number: usize, zone: usize) -> Process {
+        let known = layout.known_replicas(number);
+        let discovery = ServiceDiscovery::start(known.clone());
+        let settings = layout.settings(number, discovery.address, &known);
+        let folder = tempfile::tempdir().unwrap();
+        for (file, contents) in [
+            ("fleet.key", FLEET_KEY.to_owned()),
+            ("config.json", settings.to_string()),
+            ("installation.xml", layout.installation(number)),
+        ] {
+            std::fs::write(folder.path().join(file), contents).unwrap();
+        }
+        Process {
+            name: layout.name(number),
+            zone,
+            log: Arc::default(),
+            started_at: 0,
+            http: layout.http(number),
+            folder,
+            child: None,
+            _discovery: discovery,
+        }
+    }
+
+    /// Starts the program.
+    pub(super) fn spawn(&mut self, exe: &str) {
+        self.started_at = self.log.len();
+        let mut child = Command::new(exe)
+            .args([
+                "serve",
+                "--installation",
+                "installation.xml",
+                "--config",
+                "config.json",
+            ])
+            .current_dir(self.folder.path())
+            .stdout(Stdio::null())
+            .stderr(Stdio::piped())
+            .spawn()
+            .unwrap();
+        self.log.collect(child.stderr.take().unwrap());
+        self.child = Some(child);
+    }
+
+    /// Runs an operator's command in the process's folder.
+    pub(super) fn run_operator_command(&self, exe: &str, arguments: &[&str]) -> Output {
+        Command::new(exe)
+            .args(["zones", "--installation", "installation.xml"])
+            .args(arguments)
+            .current_dir(self.folder.path())
+            .output()
+            .unwrap()
+    }
+
+    /// A file in the process's folder.
+    pub(super) fn file(&self, name: &str) -> PathBuf {
+        self.folder.path().join(name)
+    }
+
+    /// The operating system's id of the process, while it runs.
+    pub(super) fn id(&self) -> Option<u32> {
+        self.child.as_ref().map(Child::id)
+    }
+
+    /// Sends a signal, if the process runs.
+    pub(super) fn signal(&self, name: &str) {
+        if let Some(id) = self.id() {
+            send_signal(id, name);
+        }
+    }
+
+    /// Kills the process and waits for its end.
+    pub(super) fn kill(&mut self) {
+        if let Some(mut child) = self.child.take() {
+            child.kill().ok();
+            child.wait().ok();
+        }
+    }
+
+    /// Waits for the process to end by itself; whether it ended with success.
+    pub(super) fn wait_for_exit(&mut self) -> bool {
+        self.child
+            .take()
+            .is_some_and(|mut child| child.wait().is_ok_and(|status| status.success()))
+    }
+
+    /// Whether the last log line on leadership since the start says that the process leads.
+    pub(super) fn is_leader(&self) -> bool {
+        let gained = |line: &str| line.contains("leads from now on");
+        let is_on_leadership = |line: &str| gained(line) || line.contains("does not lead any more");
+        let last = self.log.last(self.started_at, is_on_leadership);
+        self.child.is_some() && last.is_some_and(|line| gained(&line))
+    }
+}
--- /dev/null
+++ b/crates/linenthread-stand-ins/src/row_store.rs
@@ -0,0 +1,200 @@
+//! Rows by shard, and replicas that respond to merged indexes from them, with faults on cue.
+//!
+//! The query `pledges` asks a shard for totals of `amount`, `charities` for those by charity, and a query
+//! `{"query":..,"rows":N,"after":..}` for its donations: latest first, then the largest, then by id.
+//! What a complete response must contain is computed here from the full data, in the plainest way there is.
+
+use std::cmp::Reverse;
+use std::collections::BTreeMap;
+
+use oorandom::Rand64;
+use serde_json::{Value, json};
+
+/// The deploy file for these indexes, with cursors signed by `marks.key`.
+pub const INSTALLATION: &str = r#"<installation version="1">
+  <merging>
+    <marks life="900" secret="marks.key"/>
+    <rows index="history" page="5" most="100">
+      <order field="date" direction="descending"/>
+      <order field="amount" kind="decimal" scale="2" direction="descending"/>
+      <identity field="id"/>
+    </rows>
+    <totals index="pledges">
+      <measure field="amount" scale="2" negative="no" figures="sum count least most mean"/>
+    </totals>
+    <groups index="charities" most="3" first="largest">
+      <measure field="amount" scale="2" negative="no" figures="sum count"/>
+    </groups>
+  </merging>
+</installation>
+"#;
+
+/// A row.
+#[derive(Clone, Debug, PartialEq)]
+pub struct Donation {
+    /// Its unique id.
+    pub id: String,
+    /// Its date, as `YYYY-MM-DD`.
+    pub date: String,
+    /// Its amount in hundredths.
+    pub cents: i64,
+    /// To whom it goes.
+    pub charity: String,
+}
+
+/// What rows are sorted by: date descending, amount descending, id.
+pub type SortKey = (Reverse<String>, i64, String);
+
+fn money(cents: i64) -> String {
+    format!("{}.{:02}", cents / 100, cents % 100)
+}
+
+impl Donation {
+    /// The row as replicas and responses give it.
+    pub fn row(&self) -> Value {
+        json!({"id": self.id, "date": self.date, "amount": money(self.cents), "charity": self.charity})
+    }
+
+    /// What rows are sorted by: the least comes first.
+    pub fn sort_key(&self) -> SortKey {
+        (Reverse(self.date.clone()), -self.cents, self.id.clone())
+    }
+}
+
+/// All rows, by shard.
+#[derive(Clone, Debug, Default)]
+pub struct RowStore {
+    /// The rows of each shard, sorted by [`Donation::sort_key`].
+    pub shards: Vec<Vec<Donation>>,
+    last_id: u64,
+}
+
+/// The true totals over some shards.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct Totals {
+    /// The sum in hundredths.
+    pub sum: i64,
+    /// How many rows there are.
+    pub count: usize,
+    /// The least amount in hundredths; `None` without rows.
+    pub min: Option<i64>,
+    /// The largest amount in hundredths; `None` without rows.
+    pub max: Option<i64>,
+}
+
+/// The true sum (in hundredths) and count over some rows.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct SumAndCount {
+    /// The sum in hundredths.
+    pub sum: i64,
+    /// How many rows there are.
+    pub count: usize,
+}
+
+/// Totals of rows, as a replica gives them.
+fn totals(rows: &[&Donation]) -> Value {
+    let cents = || rows.iter().map(|row| row.cents);
+    json!({"amount": {"count": rows.len(), "sum": money(cents().sum()),
+                      "least": cents().min().map(money), "most": cents().max().map(money)}})
+}
+
+/// The sort key in a cursor, as a sub-request gives it.
+fn cursor_key(after: &[Value]) -> SortKey {
+    let text = |at: usize| after[at].as_str().unwrap_or_default().to_owned();
+    let cents: i64 = text(1).replace('.', "").parse().unwrap_or_default();
+    (Reverse(text(0)), -cents, text(2))
+}
+
+/// A page of rows.
+fn page(rows: &[Donation], query: &Value, max_rows: usize) -> Value {
+    let after = query["after"].as_array().map(|after| cursor_key(after));
+    let ahead: Vec<_> = rows
+        .iter()
+        .filter(|row| after.as_ref().is_none_or(|after| row.sort_key() > *after))
+        .collect();
+    let limit = max_rows.min(query["rows"].as_u64().unwrap_or(0) as usize);
+    let page: Vec<_> = ahead.iter().take(limit).map(|row| row.row()).collect();
+    json!({"rows": page, "more": ahead.len() > limit})
+}
+
+/// Totals by charity.
+fn groups(rows: &[Donation]) -> Value {
+    let mut by_charity: BTreeMap<&str, Vec<&Donation>> = BTreeMap::new();
+    for row in rows {
+        by_charity.entry(&row.charity).or_default().push(row);
+    }
+    let groups: Vec<_> = by_charity
+        .iter()
+        .map(|(charity, rows)| json!({"of": charity, "totals": totals(rows)}))
+        .collect();
+    json!({"groups": groups})
+}
+
+impl RowStore {
+    /// So many shards with up to so many rows each; dates and amounts often coincide.
+    pub fn new(rng: &mut Rand64, shards: usize, max_rows: u64) -> RowStore {
+        let mut store = RowStore {
+            shards: vec![Vec::new(); shards],
+            last_id: 0,
+        };
+        for shard in 0..shards {
+            for _ in 0..rng.rand_range(0..max_rows + 1) {
+                store.add(rng, shard);
+            }
+        }
+        store
+    }
+
+    /// Adds a random row to a shard.
+    pub fn add(&mut self, rng: &mut Rand64, shard: usize) -> Donation {
+        self.last_id += 1;
+        let charities = ["mensa", "ulivi", "etna", "faro", "ponte", "sale"];
+        let donation = Donation {
+            id: format!("d{:05}", self.last_id),
+            date: format!("2026-11-{:02}", rng.rand_range(1..29)),
+            cents: rng.rand_range(1..40) as i64 * 250,
+            charity: charities[rng.rand_range(0..charities.len() as u64) as usize].into(),
+        };
+        let rows = &mut self.shards[shard];
+        rows.push(donation.clone());
+        rows.sort_by_key(Donation::sort_key);
+        donation
+    }
+
+    /// The value with which a replica responds to a sub-request's text, with at most so many rows.
+    pub fn respond(&self, shard: usize, text: &str, max_rows: usize) -> String {
+        let rows = &self.shards[shard];
+        let value = match serde_json::from_str::<Value>(text) {
+            Ok(query) if query.is_object() => page(rows, &query, max_rows),
+            _ if text == "charities" => groups(rows),
+            _ => json!({"totals": totals(&rows.iter().collect::<Vec<_>>())}),
+        };
+        value.to_string()
+    }
+
+    fn rows<'s>(&'s self, shards: &'s [usize]) -> impl Iterator<Item = &'s Donation> {
+        shards.iter().flat_map(|&shard| &self.shards[shard])
+    }
+
+    /// The totals over some shards, from the full data.
+    pub fn true_totals(&self, shards: &[usize]) -> Totals {
+        let cents: Vec<i64> = self.rows(shards).map(|row| row.cents).collect();
+        Totals {
+            sum: cents.iter().sum(),
+            count: cents.len(),
+            min: cents.iter().min().copied(),
+            max: cents.iter().max().copied(),
+        }
+    }
+
+    /// Sum and count by charity over some shards, from the full data.
+    pub fn true_groups(&self, shards: &[usize]) -> BTreeMap<String, SumAndCount> {
+        let mut groups: BTreeMap<String, SumAndCount> = BTreeMap::new();
+        for row in self.rows(shards) {
+            let group = groups.entry(row.charity.clone()).or_default();
+            group.sum += row.cents;
+            group.count += 1;
+        }
+        groups
+    }
+}
--- a/crates/linenthread-stand-ins/src/scenarios.rs
+++ b/crates/linenthread-stand-ins/src/scenarios.rs
@@ -1,19 +1,28 @@
-//! What may happen to several processes of the program, each as a script: played by the service's tests and by
-//! `linenthread-drill processes`.
+//! Scripts of faults of several processes: run by the service's tests and by `linenthread-drill processes`.
 
+use std::ops::Range;
 use std::thread::sleep;
 use std::time::{Duration, Instant};
 
 use oorandom::Rand64;
 
-use crate::rig::{Plan, Rig};
+use crate::rig::{Rig, RigConfig};
 
-/// A script's name, and what it does.
+/// Zones of the default rig.
+const ZONES: usize = 3;
+/// Their numbers.
+const ALL_ZONES: [usize; ZONES] = [0, 1, 2];
+/// How long queries in flight may take before their process is stopped.
+const IN_FLIGHT: Duration = Duration::from_millis(100);
+/// Longer than any lease.
+const LONG_STOP: Duration = Duration::from_secs(10);
+
+/// The name of a scenario, and its script, which gets the program and a seed.
 pub type Scenario = (&'static str, fn(&str, u64) -> Rig);
 
-/// All of them.
+/// All scenarios.
 pub const ALL: [Scenario; 11] = [
-    ("near", near),
+    ("near", stay_in_zone),
     ("leader-killed", leader_killed),
     ("leader-stopped", leader_stopped),
     ("zone-lost", zone_lost),
@@ -22,369 +31,423 @@
     ("disk-full", disk_full),
     ("minority", minority),
     ("rolling", rolling),
-    ("orders", orders),
+    ("orders", operator_orders),
     ("slow-and-lossy", slow_and_lossy),
 ];
 
-fn plan(seed: u64) -> Plan {
-    Plan {
+/// The default rig with a seed.
+fn with_seed(seed: u64) -> RigConfig {
+    RigConfig {
         seed,
-        ..Plan::default()
+        ..RigConfig::default()
     }
 }
 
-fn asked(exe: &str, plan: Plan) -> Rig {
-    let mut rig = Rig::started(exe, plan);
-    rig.ask_all_along(25);
-    rig.whole_again(&[0, 1, 2], 20);
+/// Starts a rig with clients, and waits until all zones serve.
+fn start_serving(exe: &str, config: RigConfig) -> Rig {
+    let mut rig = Rig::start_all(exe, config);
+    rig.start_clients(25);
+    rig.wait_until_serving(&ALL_ZONES, 20);
     rig
 }
 
+/// All processes but some.
 fn others(rig: &Rig, not: &[usize]) -> Vec<usize> {
     rig.all().into_iter().filter(|n| !not.contains(n)).collect()
 }
 
-fn mend_zone(rig: &mut Rig, zone: usize) {
+/// The log positions of all processes.
+fn log_positions(rig: &Rig) -> Vec<usize> {
+    rig.all().iter().map(|&n| rig.log_position(n)).collect()
+}
+
+/// The zone, and the process in it, that a seed chooses.
+fn zone_by_seed(seed: u64) -> usize {
+    ALL_ZONES[(seed % ZONES as u64) as usize]
+}
+
+/// Waits until some processes log a text after these positions of all processes.
+fn wait_for_logs(rig: &Rig, processes: &[usize], from: &[usize], text: &str) {
+    for &n in processes {
+        rig.wait_for_log_after(n, from[n], text);
+    }
+}
+
+/// Stops a process, without queries in flight.
+fn stop(rig: &Rig, process: usize) {
+    rig.set_queried(process, false);
+    sleep(IN_FLIGHT);
+    rig.signal(process, "-STOP");
+}
+
+/// Kills the coordinators of a zone, and has all in it refuse connections.
+fn lose_zone(rig: &mut Rig, zone: usize) {
+    for node in rig.zone(zone) {
+        rig.network.set_down(node, true);
+        if node < rig.count() {
+            rig.kill(node, false);
+        }
+    }
+}
+
+/// Starts the coordinators of a zone, and has all in it accept connections again.
+fn restore_zone(rig: &mut Rig, zone: usize) {
     for node in rig.zone(zone) {
-        rig.net.down(node, false);
+        rig.network.set_down(node, false);
         if node < rig.count() {
             rig.start(node);
         }
     }
 }
 
-/// While all is sound parts stay in a zone that holds their shard, with two co-ordinators a zone, but for those
-/// that leave a replica for its score: calls on loopback take a millisecond or so, and what else the machine does
-/// shows in them. Up to an eighth left so, a third or more where nothing keeps them near.
-fn near(exe: &str, seed: u64) -> Rig {
-    let rig = asked(
+/// Without faults, sub-requests stay in a zone that holds their shard, with two coordinators a zone, but for those
+/// that avoid a replica for its score: calls on loopback take a millisecond or so, and what else the machine does
+/// shows in them. Up to an eighth left so, and a third or more without a preference for the own zone.
+fn stay_in_zone(exe: &str, seed: u64) -> Rig {
+    let rig = start_serving(
         exe,
-        Plan {
-            co_ordinators: 2,
-            ..plan(seed)
+        RigConfig {
+            coordinators: 2,
+            ..with_seed(seed)
         },
     );
-    let since = rig.ran();
-    rig.whole_again(&[0, 1, 2], 80);
-    let (flows, strays) = rig.flows(since);
-    let all: usize = flows.values().sum();
+    let since = rig.executed();
+    rig.wait_until_serving(&ALL_ZONES, 80);
+    let (traffic, avoidable) = rig.traffic(since);
+    let all: usize = traffic.values().sum();
     assert!(
-        all > 300 && strays * 5 < all,
-        "{strays} of {all} parts left a zone that holds them: {flows:?}"
+        all > 300 && avoidable * 5 < all,
+        "{avoidable} of {all} parts left a zone that holds them: {traffic:?}"
     );
     rig
 }
 
-/// Who leads is killed: another leads, on the same table and record, and service is whole.
+/// The leader is killed: another takes over with the same table and record, and all queries succeed again.
 fn leader_killed(exe: &str, seed: u64) -> Rig {
-    let mut rig = asked(exe, plan(seed));
+    let mut rig = start_serving(exe, with_seed(seed));
     let leader = rig.leader();
     rig.kill(leader, false);
     let rest = others(&rig, &[leader]);
     let new = rig.leader();
     assert_ne!(new, leader);
-    let from: Vec<usize> = rest.iter().map(|&n| rig.said(n)).collect();
-    rest.iter()
-        .zip(from)
-        .for_each(|(&n, from)| drop(rig.logged_since(n, from, "acts on a table")));
-    rig.whole_again(&rest, 20);
+    wait_for_logs(&rig, &rest, &log_positions(&rig), "acts on a table");
+    rig.wait_until_serving(&rest, 20);
     rig.start(leader);
-    rig.logged(leader, "acts on a table");
-    rig.whole_again(&[0, 1, 2], 20);
+    rig.wait_for_log(leader, "acts on a table");
+    rig.wait_until_serving(&ALL_ZONES, 20);
     rig
 }
 
-/// Who leads is stopped for longer than any lease and woken: it does not lead any more, and nothing is decided twice.
+/// The leader is stopped for longer than any lease and continued: it does not lead any more, and nothing is decided
+/// twice.
 fn leader_stopped(exe: &str, seed: u64) -> Rig {
-    let rig = asked(exe, plan(seed));
+    let rig = start_serving(exe, with_seed(seed));
     let leader = rig.leader();
-    rig.ask_it(leader, false);
-    sleep(Duration::from_millis(100));
-    rig.signal(leader, "-STOP");
+    stop(&rig, leader);
     let rest = others(&rig, &[leader]);
     let began = Instant::now();
-    let from: Vec<usize> = rest.iter().map(|&n| rig.said(n)).collect();
-    rest.iter()
-        .zip(&from)
-        .for_each(|(&n, &from)| drop(rig.logged_since(n, from, "acts on a table")));
-    rig.whole_again(&rest, 20);
-    sleep(Duration::from_secs(10).saturating_sub(began.elapsed()));
-    let from = rig.said(leader);
+    wait_for_logs(&rig, &rest, &log_positions(&rig), "acts on a table");
+    rig.wait_until_serving(&rest, 20);
+    sleep(LONG_STOP.saturating_sub(began.elapsed()));
+    let from = rig.log_position(leader);
     rig.signal(leader, "-CONT");
-    rig.logged_since(leader, from, "does not lead any more");
-    rig.logged_since(leader, from, "acts on a table");
-    rig.ask_it(leader, true);
+    rig.wait_for_log_after(leader, from, "does not lead any more");
+    rig.wait_for_log_after(leader, from, "acts on a table");
+    rig.set_queried(leader, true);
     assert_ne!(rig.leader(), leader);
-    rig.whole_again(&[0, 1, 2], 20);
+    rig.wait_until_serving(&ALL_ZONES, 20);
     rig
 }
 
-/// A zone is lost with all in it, left by all the others, and comes back.
+/// A zone fails with all in it, is drained by all the others, and recovers.
 fn zone_lost(exe: &str, seed: u64) -> Rig {
-    let mut rig = asked(exe, plan(seed));
-    let lost = (seed % 3) as usize;
+    let mut rig = start_serving(exe, with_seed(seed));
+    let lost = zone_by_seed(seed);
     let rest: Vec<usize> = (0..3).filter(|z| *z != lost).collect();
-    let from: Vec<usize> = rig.all().iter().map(|&n| rig.said(n)).collect();
-    for node in rig.zone(lost) {
-        rig.net.down(node, true);
-        if node < rig.count() {
-            rig.kill(node, false);
-        }
-    }
+    let from = log_positions(&rig);
+    lose_zone(&mut rig, lost);
     for &zone in &rest {
-        for n in rig.co_ordinators(zone) {
-            rig.acts(n, from[n], (zone, lost), |share, reason| {
+        for n in rig.coordinators(zone) {
+            rig.wait_for_route(n, from[n], (zone, lost), |share, reason| {
                 share == 0 && reason == "ZoneDown"
             });
         }
     }
-    rig.whole_again(&rest, 20);
-    let since = rig.ran();
-    rig.whole_again(&rest, 20);
-    // What still goes there is a probe's or a first step's matter, not a part's.
-    let (flows, _) = rig.flows(since);
+    rig.wait_until_serving(&rest, 20);
+    let since = rig.executed();
+    rig.wait_until_serving(&rest, 20);
+    // What still goes there are health checks and first steps of slow start.
+    let (traffic, _) = rig.traffic(since);
     let to_lost: usize = rest
         .iter()
-        .filter_map(|zone| flows.get(&(*zone, lost)))
+        .filter_map(|zone| traffic.get(&(*zone, lost)))
         .sum();
-    assert!(to_lost <= 3, "{flows:?}");
-    mend_zone(&mut rig, lost);
-    let from: Vec<usize> = rig.all().iter().map(|&n| rig.said(n)).collect();
+    assert!(to_lost <= 3, "{traffic:?}");
+    restore_zone(&mut rig, lost);
+    let from = log_positions(&rig);
     for n in rig.all() {
         let zone = n % 3;
-        rig.acts(
+        rig.wait_for_route(
             n,
-            from[n].min(rig.said(n)),
+            from[n].min(rig.log_position(n)),
             (zone, lost),
             |share, reason| share == 1_000 && reason == "Healthy",
         );
     }
-    rig.whole_again(&[0, 1, 2], 20);
+    rig.wait_until_serving(&ALL_ZONES, 20);
     rig
 }
 
-/// Two zones cannot reach each other, their co-ordinators neither: only that pair's traffic moves.
+/// Two zones are partitioned, with their coordinators: only the traffic between them moves.
 fn pair_cut(exe: &str, seed: u64) -> Rig {
-    let rig = asked(exe, plan(seed));
-    let (a, b) = ((seed % 3) as usize, ((seed + 1) % 3) as usize);
+    let rig = start_serving(exe, with_seed(seed));
+    let (a, b) = (zone_by_seed(seed), zone_by_seed(seed + 1));
     let third = 3 - a - b;
-    let from: Vec<usize> = rig.all().iter().map(|&n| rig.said(n)).collect();
-    rig.net.part(&rig.zone(a), &rig.zone(b));
-    // The third zone's word is the same as before; one of the two sees the other's shards at least.
-    let n = rig.co_ordinators(third)[0];
-    rig.awaited_cut(n, from[n], (a, b));
-    rig.whole_again(&[third], 20);
-    let line = rig.acts(n, from[n], (third, a), |share, _| share > 0);
+    let from = log_positions(&rig);
+    rig.network.partition(&rig.zone(a), &rig.zone(b));
+    // The third zone's routes stay as they are; at least one of the two sees the shards of the other.
+    let n = rig.coordinators(third)[0];
+    rig.wait_for_partition(n, from[n], (a, b));
+    rig.wait_until_serving(&[third], 20);
+    let line = rig.wait_for_route(n, from[n], (third, a), |share, _| share > 0);
     assert!(
         !line.contains("Down"),
         "a zone is left for a pair that is cut: {line}"
     );
-    rig.whole_again(&[0, 1, 2], 20);
-    rig.net.heal();
-    let from: Vec<usize> = rig.all().iter().map(|&n| rig.said(n)).collect();
-    rig.acts(n, from[n], (a, b), |share, reason| {
+    rig.wait_until_serving(&ALL_ZONES, 20);
+    rig.network.heal();
+    let from = log_positions(&rig);
+    rig.wait_for_route(n, from[n], (a, b), |share, reason| {
         share == 1_000 && reason == "Healthy"
     });
-    rig.whole_again(&[0, 1, 2], 20);
+    rig.wait_until_serving(&ALL_ZONES, 20);
     rig
 }
 
-/// A voter loses its disk: it comes back as another self, and its vote counts.
+/// A voter loses its disk: it comes back as a new incarnation, and its vote counts.
 fn disk_lost(exe: &str, seed: u64) -> Rig {
-    let mut rig = asked(exe, plan(seed));
-    let lost = (seed % 3) as usize;
+    let mut rig = start_serving(exe, with_seed(seed));
+    let lost = zone_by_seed(seed);
     rig.kill(lost, true);
     rig.leader();
     let rest = others(&rig, &[lost]);
-    let from: Vec<usize> = rig.all().iter().map(|&n| rig.said(n)).collect();
+    let from = log_positions(&rig);
     rig.start(lost);
-    rig.logged(lost, "its disk is empty beside a record that goes on");
-    rest.iter()
-        .for_each(|&n| drop(rig.logged_since(n, from[n], "is in")));
-    rig.logged(lost, "acts on a table");
-    rig.whole_again(&[0, 1, 2], 20);
-    // With another one gone its vote is needed.
-    let gone = rest[(seed / 3 % 2) as usize];
+    rig.wait_for_log(lost, "its disk is empty beside a record that goes on");
+    wait_for_logs(&rig, &rest, &from, "is in");
+    rig.wait_for_log(lost, "acts on a table");
+    rig.wait_until_serving(&ALL_ZONES, 20);
+    // Without another voter its vote is needed.
+    let gone = rest[usize::from(seed / 3 % 2 == 1)];
     rig.kill(gone, false);
     rig.leader();
-    let from = rig.said(lost);
-    rig.logged_since(lost, from, "acts on a table");
+    let from = rig.log_position(lost);
+    rig.wait_for_log_after(lost, from, "acts on a table");
     rig.start(gone);
-    rig.whole_again(&[0, 1, 2], 20);
+    rig.wait_until_serving(&ALL_ZONES, 20);
     rig
 }
 
-/// A voter's disk is full: it steps down and says so, serves on and follows; and takes part again later.
+/// A voter's disk is full: it steps down and logs that, goes on to serve and to follow; and votes again later.
 fn disk_full(exe: &str, seed: u64) -> Rig {
-    let rig = asked(exe, plan(seed));
+    let rig = start_serving(exe, with_seed(seed));
     let full = rig.leader();
-    let from = rig.said(full);
+    let from = rig.log_position(full);
     rig.fill_disk(full, Some(64));
-    rig.logged_since(full, from, "this voter steps down: the disk failed");
-    rig.logged_since(full, from, "does not lead any more");
+    rig.wait_for_log_after(full, from, "this voter steps down: the disk failed");
+    rig.wait_for_log_after(full, from, "does not lead any more");
     let new = rig.leader();
     assert_ne!(new, full);
-    rig.whole_again(&[0, 1, 2], 20);
-    let from = rig.said(full);
-    rig.logged_since(full, from, "acts on a table");
+    rig.wait_until_serving(&ALL_ZONES, 20);
+    let from = rig.log_position(full);
+    rig.wait_for_log_after(full, from, "acts on a table");
     rig.fill_disk(full, None);
-    rig.logged_since(full, from, "takes part as a voter");
-    rig.whole_again(&[0, 1, 2], 20);
+    rig.wait_for_log_after(full, from, "takes part as a voter");
+    rig.wait_until_serving(&ALL_ZONES, 20);
     rig
 }
 
-/// One is cut off from all other co-ordinators, not from replicas: it moves nothing, and its clients are served.
+/// A coordinator is partitioned from all others, not from replicas: it moves no traffic, and serves its clients.
 fn minority(exe: &str, seed: u64) -> Rig {
-    let rig = asked(exe, plan(seed));
-    let alone = (seed % 3) as usize;
-    let from = rig.said(alone);
-    rig.net.part(&[alone], &others(&rig, &[alone]));
-    rig.logged_since(alone, from, "no word of the table for its life");
-    rig.whole_again(&[0, 1, 2], 20);
-    let from = rig.said(alone);
-    rig.net.heal();
-    rig.logged_since(alone, from, "acts on a table");
-    rig.whole_again(&[0, 1, 2], 20);
+    let rig = start_serving(exe, with_seed(seed));
+    let alone = zone_by_seed(seed);
+    let from = rig.log_position(alone);
+    rig.network.partition(&[alone], &others(&rig, &[alone]));
+    rig.wait_for_log_after(alone, from, "no word of the table for its life");
+    rig.wait_until_serving(&ALL_ZONES, 20);
+    let from = rig.log_position(alone);
+    rig.network.heal();
+    rig.wait_for_log_after(alone, from, "acts on a table");
+    rig.wait_until_serving(&ALL_ZONES, 20);
     rig
 }
 
 /// All are restarted one after the other.
 fn rolling(exe: &str, seed: u64) -> Rig {
-    let mut rig = asked(exe, plan(seed));
+    let mut rig = start_serving(exe, with_seed(seed));
     for n in rig.all() {
         let rest = others(&rig, &[n]);
-        assert!(rig.end(n), "{} did not end well", rig.name(n));
-        rig.whole_again(&rest, 10);
+        assert!(rig.terminate(n), "{} did not end well", rig.name(n));
+        rig.wait_until_serving(&rest, 10);
         rig.start(n);
-        rig.logged(n, "acts on a table");
+        rig.wait_for_log(n, "acts on a table");
         rig.leader();
     }
-    rig.whole_again(&[0, 1, 2], 20);
+    rig.wait_until_serving(&ALL_ZONES, 20);
     rig
 }
 
-/// An operator has a zone left and taken back; an order that cannot be is refused with its reason.
-fn orders(exe: &str, seed: u64) -> Rig {
-    let rig = asked(exe, plan(seed));
-    let said = |output: &std::process::Output| {
+/// An operator drains a zone and takes it back; an order that cannot be carried out is rejected with its reason.
+fn operator_orders(exe: &str, seed: u64) -> Rig {
+    let rig = start_serving(exe, with_seed(seed));
+    let printed = |output: &std::process::Output| {
         String::from_utf8_lossy(&[&output.stdout[..], &output.stderr[..]].concat()).into_owned()
     };
-    let from = rig.said(0);
-    let output = rig.operator(1, &["drain", "messina"]);
-    assert!(output.status.success(), "{}", said(&output));
-    rig.acts(0, from, (0, 2), |share, reason| {
+    let from = rig.log_position(0);
+    let output = rig.run_operator_command(1, &["drain", "messina"]);
+    assert!(output.status.success(), "{}", printed(&output));
+    rig.wait_for_route(0, from, (0, 2), |share, reason| {
         share == 0 && reason == "Drained"
     });
-    rig.whole_again(&[0, 1], 20);
-    let output = rig.operator(0, &["show"]);
+    rig.wait_until_serving(&[0, 1], 20);
+    let output = rig.run_operator_command(0, &["show"]);
     assert!(
-        said(&output).contains("0 drained") && said(&output).contains("left by order: messina"),
+        printed(&output).contains("0 drained")
+            && printed(&output).contains("left by order: messina"),
         "{}",
-        said(&output)
+        printed(&output)
     );
-    // With another one gone some shards would lie nowhere.
-    let output = rig.operator(2, &["drain", "catania"]);
+    // Without another zone some shards would have no replica.
+    let output = rig.run_operator_command(2, &["drain", "catania"]);
     assert!(
-        !output.status.success() && said(&output).contains("no replica left"),
+        !output.status.success() && printed(&output).contains("no replica left"),
         "{}",
-        said(&output)
+        printed(&output)
     );
-    let output = rig.operator(0, &["drain", "malta"]);
+    let output = rig.run_operator_command(0, &["drain", "malta"]);
     assert!(
-        !output.status.success() && said(&output).contains("there is no zone malta"),
+        !output.status.success() && printed(&output).contains("there is no zone malta"),
         "{}",
-        said(&output)
+        printed(&output)
     );
-    let from = rig.said(0);
-    let output = rig.operator(1, &["return", "messina"]);
-    assert!(output.status.success(), "{}", said(&output));
-    rig.acts(0, from, (0, 2), |share, reason| {
+    let from = rig.log_position(0);
+    let output = rig.run_operator_command(1, &["return", "messina"]);
+    assert!(output.status.success(), "{}", printed(&output));
+    rig.wait_for_route(0, from, (0, 2), |share, reason| {
         share == 1_000 && reason == "Healthy"
     });
-    rig.whole_again(&[0, 1, 2], 20);
+    rig.wait_until_serving(&ALL_ZONES, 20);
     rig
 }
 
-/// All ways are slow and lossy for a while: nobody is left for it, and nobody leads twice.
+/// All connections are slow and lossy for a while: no zone is drained for it, and nobody leads twice.
 fn slow_and_lossy(exe: &str, seed: u64) -> Rig {
-    let rig = asked(exe, plan(seed));
-    rig.net.worsen(Duration::from_millis(30), 300);
-    rig.whole_again(&[0, 1, 2], 30);
+    let rig = start_serving(exe, with_seed(seed));
+    rig.network.degrade(Duration::from_millis(30), 300);
+    rig.wait_until_serving(&ALL_ZONES, 30);
     rig.leader();
-    rig.net.heal();
-    rig.whole_again(&[0, 1, 2], 20);
+    rig.network.heal();
+    rig.wait_until_serving(&ALL_ZONES, 20);
     rig
 }
 
-/// Random troubles, one round after the other, and all mended after each.
-pub fn rounds(exe: &str, rounds: usize, seed: u64) -> (usize, Vec<String>) {
-    let mut chance = Rand64::new(u128::from(seed));
-    let mut rig = asked(
-        exe,
-        Plan {
-            co_ordinators: 1 + (seed % 2) as usize,
-            ..plan(seed)
-        },
-    );
-    for round in 0..rounds {
-        let one = chance.rand_range(0..rig.count() as u64) as usize;
-        let zone = chance.rand_range(0..3) as usize;
-        let what = chance.rand_range(0..8);
-        println!("round {round}: trouble {what}, process {one}, zone {zone}");
-        match what {
-            0 => {
-                rig.kill(one, false);
-                sleep(Duration::from_millis(chance.rand_range(50..3_000)));
-                rig.start(one);
-            }
-            1 => {
-                rig.kill(one, true);
-                sleep(Duration::from_millis(chance.rand_range(50..3_000)));
-                rig.start(one);
-            }
-            2 => {
-                rig.ask_it(one, false);
-                sleep(Duration::from_millis(100));
-                rig.signal(one, "-STOP");
-                sleep(Duration::from_millis(chance.rand_range(1_000..10_000)));
-                rig.signal(one, "-CONT");
-                rig.ask_it(one, true);
+/// A random duration in milliseconds.
+fn random_duration(rng: &mut Rand64, milliseconds: Range<u64>) -> Duration {
+    Duration::from_millis(rng.rand_range(milliseconds))
+}
+
+/// A random fault; its numbers are those that rounds print.
+#[derive(Clone, Copy, Debug)]
+enum Fault {
+    Kill,
+    KillWithRecord,
+    Stop,
+    LoseZone,
+    PartitionZones,
+    IsolateProcess,
+    Restart,
+    Degrade,
+}
+
+impl Fault {
+    /// All faults, by number.
+    const ALL: [Fault; 8] = [
+        Fault::Kill,
+        Fault::KillWithRecord,
+        Fault::Stop,
+        Fault::LoseZone,
+        Fault::PartitionZones,
+        Fault::IsolateProcess,
+        Fault::Restart,
+        Fault::Degrade,
+    ];
+
+    /// Injects the fault for a random while. Faults of the network are left to be healed.
+    fn inject(self, rig: &mut Rig, rng: &mut Rand64, process: usize, zone: usize) {
+        match self {
+            Fault::Kill => kill_for_a_while(rig, rng, process, false),
+            Fault::KillWithRecord => kill_for_a_while(rig, rng, process, true),
+            Fault::Stop => {
+                stop(rig, process);
+                sleep(random_duration(rng, 1_000..10_000));
+                rig.signal(process, "-CONT");
+                rig.set_queried(process, true);
             }
-            3 => {
-                for node in rig.zone(zone) {
-                    rig.net.down(node, true);
-                    if node < rig.count() {
-                        rig.kill(node, false);
-                    }
-                }
-                sleep(Duration::from_millis(chance.rand_range(500..6_000)));
-                mend_zone(&mut rig, zone);
+            Fault::LoseZone => {
+                lose_zone(rig, zone);
+                sleep(random_duration(rng, 500..6_000));
+                restore_zone(rig, zone);
             }
-            4 => {
-                let other = (zone + 1) % 3;
-                rig.net.part(&rig.zone(zone), &rig.zone(other));
-                sleep(Duration::from_millis(chance.rand_range(500..6_000)));
+            Fault::PartitionZones => {
+                let other = (zone + 1) % ZONES;
+                rig.network.partition(&rig.zone(zone), &rig.zone(other));
+                sleep(random_duration(rng, 500..6_000));
             }
-            5 => {
-                rig.net.cut(&[one], &others(&rig, &[one]));
-                sleep(Duration::from_millis(chance.rand_range(500..6_000)));
+            Fault::IsolateProcess => {
+                rig.network
+                    .partition_one_way(&[process], &others(rig, &[process]));
+                sleep(random_duration(rng, 500..6_000));
             }
-            6 => {
-                rig.end(one);
-                rig.start(one);
+            Fault::Restart => {
+                rig.terminate(process);
+                rig.start(process);
             }
-            _ => {
-                rig.net.worsen(
-                    Duration::from_millis(chance.rand_range(1..60)),
-                    chance.rand_range(0..400),
-                );
-                sleep(Duration::from_millis(chance.rand_range(500..4_000)));
+            Fault::Degrade => {
+                let delay = random_duration(rng, 1..60);
+                rig.network.degrade(delay, rng.rand_range(0..400));
+                sleep(random_duration(rng, 500..4_000));
             }
         }
-        rig.net.heal();
+    }
+}
+
+fn kill_for_a_while(rig: &mut Rig, rng: &mut Rand64, process: usize, with_record: bool) {
+    rig.kill(process, with_record);
+    sleep(random_duration(rng, 50..3_000));
+    rig.start(process);
+}
+
+/// Injects random faults, one round after the other, and ends all of them after each; how many queries were made,
+/// and the violations.
+pub fn rounds(exe: &str, rounds: usize, seed: u64) -> (usize, Vec<String>) {
+    let mut rng = Rand64::new(u128::from(seed));
+    let mut rig = start_serving(
+        exe,
+        RigConfig {
+            coordinators: if seed.is_multiple_of(2) { 1 } else { 2 },
+            ..with_seed(seed)
+        },
+    );
+    for round in 0..rounds {
+        let process = rng.rand_range(0..rig.count() as u64) as usize;
+        let zone = rng.rand_range(0..ZONES as u64) as usize;
+        let number = rng.rand_range(0..Fault::ALL.len() as u64) as usize;
+        println!("round {round}: fault {number}, process {process}, zone {zone}");
+        Fault::ALL[number].inject(&mut rig, &mut rng, process, zone);
+        rig.network.heal();
         rig.leader();
-        rig.whole_again(&[0, 1, 2], 15);
+        rig.wait_until_serving(&ALL_ZONES, 15);
     }
-    let breaches = rig.judge();
-    (rig.told().len(), breaches)
+    let violations = rig.check();
+    (rig.outcomes().len(), violations)
 }
--- a/crates/linenthread-stand-ins/src/sites.rs
+++ b/crates/linenthread-stand-ins/src/sites.rs
@@ -1,447 +1,353 @@
-//! Two sites on loopback with the real program at both: a co-ordinator without replicas of its own, and a
-//! gateway that has all of them, with a link between that can be cut. What truly ran is on record.
+//! Two sites on loopback with the real program at both: a coordinator without replicas of its own, and a gateway that
+//! has all of them, with a link between that can be interrupted. What replicas received is on record.
+
+mod load;
 
 use std::collections::BTreeMap;
-use std::net::{Ipv4Addr, SocketAddr, TcpListener};
-use std::sync::atomic::{AtomicU8, Ordering};
-use std::sync::mpsc::channel;
+use std::net::{SocketAddr, TcpListener};
 use std::sync::{Arc, Mutex};
 use std::thread::{sleep, spawn};
-use std::time::{Duration, Instant};
+use std::time::Duration;
+
+use serde_json::Value;
+use tempfile::TempDir;
+
+pub use load::{QueryResult, disconnect_everywhere, query_during_fault};
 
-use crate::proxy::{Proxy, Way};
-use crate::{Class, Client, Fleet, Roster, Service, config_of, entry, list};
+use crate::loopback::unused_loopback;
+use crate::proxy::{Direction, Proxy};
+use crate::{Class, FakeReplicas, Service, ServiceDiscovery, config_of, member, membership};
 
 const SECRET: &str = "a secret between two sites\n";
 const REPLICAS: usize = 2;
-/// Room for a thousand clients at once.
+const SHARDS: usize = 4;
+/// Sockets of each process: room for a thousand clients at once.
 const SOCKETS: usize = 4_096;
-const SOFT: Duration = Duration::from_millis(1_500);
-/// A machine that is busy may answer so much later.
-const SLACK: Duration = Duration::from_millis(1_500);
+/// The soft deadline of queries.
+const SOFT_DEADLINE: Duration = Duration::from_millis(1_500);
+const ARGUMENTS: [&str; 2] = ["--installation", "installation.xml"];
+/// How long after a rejection a sub-request may still be on its way to a replica.
+const IN_TRANSIT: Duration = Duration::from_millis(30);
 
 /// One more gateway to the same replicas.
-pub struct Second {
-    pub far: Service,
+pub struct SecondGateway {
+    /// The process.
+    pub gateway: Service,
+    /// The link to it.
     pub proxy: Proxy,
-    _roster: Roster,
+    _discovery: ServiceDiscovery,
 }
 
 /// How two sites are set up.
 #[derive(Clone, Copy, Debug)]
-pub struct Terms {
-    /// Milliseconds for which the near side waits for outcomes after the link is lost.
-    pub keep: u64,
-    /// Milliseconds for which a lost link is not yet said to be down.
-    pub hold: u64,
-    /// Replicas answer after so long.
-    pub after: Duration,
+pub struct SitesConfig {
+    /// Milliseconds for which a session outlives its connection.
+    pub session_timeout_ms: u64,
+    /// Milliseconds after which a lost link is reported as down.
+    pub down_delay_ms: u64,
+    /// How long replicas take for a sub-request.
+    pub service_time: Duration,
     /// There is a second gateway to the same replicas, over a link of its own.
-    pub second: bool,
+    pub second_gateway: bool,
 }
 
-impl Default for Terms {
+impl Default for SitesConfig {
     fn default() -> Self {
-        Terms {
-            keep: 3_000,
-            hold: 50,
-            after: Duration::from_millis(3),
-            second: false,
+        SitesConfig {
+            session_timeout_ms: 3_000,
+            down_delay_ms: 50,
+            service_time: Duration::from_millis(3),
+            second_gateway: false,
         }
     }
 }
 
+/// A sub-request that a replica received.
+struct Received {
+    id: String,
+    replica: usize,
+}
+
+/// Two sites with a link between.
 pub struct Sites {
-    pub near: Service,
-    pub far: Service,
+    /// The coordinator that is queried.
+    pub local: Service,
+    /// The gateway to the replicas.
+    pub gateway: Service,
+    /// The link.
     pub proxy: Proxy,
     /// Where the gateway takes links.
-    pub links: SocketAddr,
-    pub second: Option<Second>,
-    /// Where the replicas are.
+    pub link_address: SocketAddr,
+    /// The other gateway, if there is one.
+    pub second: Option<SecondGateway>,
+    /// Where the replicas listen, by number.
     pub replicas: Vec<SocketAddr>,
-    /// The gateway's roster.
-    pub far_roster: Roster,
-    /// Parts that a replica has taken, by id, and which.
-    ran: Arc<Mutex<Vec<(String, usize)>>>,
-    /// Replicas behind the link, as the near side last said.
-    behind: usize,
-    asked: usize,
-    _near_roster: Roster,
+    /// The gateway's service discovery.
+    pub gateway_discovery: ServiceDiscovery,
+    received: Arc<Mutex<Vec<Received>>>,
+    /// Replicas behind the link, as the coordinator last logged.
+    remote_replicas: usize,
+    queries: usize,
+    _local_discovery: ServiceDiscovery,
 }
 
-/// What became of the lookups of a run.
+/// What became of the queries of a run.
 #[derive(Debug, Default, PartialEq)]
 pub struct Verdict {
+    /// Queries that were checked.
     pub checked: usize,
-    pub answered: usize,
-    pub nacked: usize,
-    pub aborted: usize,
-    pub breaches: Vec<String>,
+    /// Those that were answered.
+    pub succeeded: usize,
+    /// Those that were rejected: nothing was executed.
+    pub rejected: usize,
+    /// Those that failed: what was executed is unknown.
+    pub failed: usize,
+    /// Violations of the rules.
+    pub violations: Vec<String>,
+}
+
+impl Verdict {
+    fn count(&mut self, status: Option<u16>) {
+        self.checked += 1;
+        match status {
+            Some(200) => self.succeeded += 1,
+            Some(503) => self.rejected += 1,
+            Some(502) => self.failed += 1,
+            _ => {}
+        }
+    }
+
+    fn add(&mut self, other: Verdict) {
+        self.checked += other.checked;
+        self.succeeded += other.succeeded;
+        self.rejected += other.rejected;
+        self.failed += other.failed;
+        self.violations.extend(other.violations);
+    }
+}
+
+/// Starts replicas that respond after a while; their addresses.
+fn start_replicas(service_time: Duration, received: &Arc<Mutex<Vec<Received>>>) -> Vec<SocketAddr> {
+    let replicas = FakeReplicas::start(REPLICAS);
+    let addresses = replicas.addresses.clone();
+    let received = received.clone();
+    spawn(move || {
+        while let Some(sub_request) = replicas.wait_for_sub_request() {
+            received.lock().unwrap().push(Received {
+                id: sub_request.id.clone(),
+                replica: sub_request.replica,
+            });
+            spawn(move || {
+                sleep(service_time);
+                sub_request.try_respond("hit", "v");
+            });
+        }
+    });
+    addresses
+}
+
+/// The contents of `config.json` of a site.
+fn settings(discovery: &ServiceDiscovery, known: &str) -> Value {
+    let class = |name, non_idempotent| Class {
+        name,
+        non_idempotent,
+        soft_deadline_ms: u64::try_from(SOFT_DEADLINE.as_millis()).unwrap(),
+        floor: 1.0,
+    };
+    let classes = [class("find", false), class("order", true)];
+    let mut config = config_of(discovery.address, known, &classes, REPLICAS, SHARDS);
+    config["limits"]["sockets"] = SOCKETS.into();
+    config
+}
+
+/// A folder with a deploy file that has these elements.
+fn folder_with(elements: &str) -> TempDir {
+    let folder = tempfile::tempdir().unwrap();
+    std::fs::write(folder.path().join("link.key"), SECRET).unwrap();
+    let text = format!("<installation version=\"1\">{elements}</installation>");
+    std::fs::write(folder.path().join("installation.xml"), text).unwrap();
+    folder
 }
 
-/// A loopback address by process and call: hardly any other process, and no recent call here, has it.
-pub(crate) fn own_loopback() -> Ipv4Addr {
-    static GIVEN: AtomicU8 = AtomicU8::new(2);
-    let [.., middle, low] = std::process::id().to_be_bytes();
-    Ipv4Addr::new(
-        127,
-        middle,
-        low,
-        GIVEN.fetch_add(1, Ordering::Relaxed).max(2),
-    )
+/// Starts a gateway, and a proxy in front of where it takes links.
+fn start_gateway(
+    exe: &str,
+    discovery: &ServiceDiscovery,
+    known: &str,
+) -> (Service, Proxy, SocketAddr) {
+    // A port that was free a moment ago, on an address that nothing else here binds: on 127.0.0.1 any connection of
+    // another test may have taken it meanwhile, and the gateway fails to start.
+    let link_address = TcpListener::bind((unused_loopback(), 0))
+        .unwrap()
+        .local_addr()
+        .unwrap();
+    let element = format!("<gateway listen=\"{link_address}\" secret=\"link.key\"/>");
+    let config = settings(discovery, known);
+    let gateway = Service::start_in(folder_with(&element), exe, &config, &ARGUMENTS);
+    (gateway, Proxy::start(link_address), link_address)
+}
+
+/// The deploy file's elements for links to gateways.
+fn peer_elements<'p>(config: &SitesConfig, proxies: impl Iterator<Item = &'p Proxy>) -> String {
+    let SitesConfig {
+        session_timeout_ms,
+        down_delay_ms,
+        ..
+    } = config;
+    let peers: String = proxies
+        .enumerate()
+        .map(|(n, proxy)| {
+            format!(
+                "<peer name=\"far{n}\" address=\"{}\" secret=\"link.key\" keep=\"{session_timeout_ms}\" \
+                 beat=\"100\" hold=\"{down_delay_ms}\"/>",
+                proxy.address
+            )
+        })
+        .collect();
+    format!("<peers>{peers}</peers>")
 }
 
 impl Sites {
-    pub fn start(exe: &str, terms: Terms) -> Sites {
-        let Terms {
-            keep,
-            hold,
-            after,
-            second,
-        } = terms;
-        let fleet = Fleet::start(REPLICAS);
-        let addresses = fleet.addresses.clone();
-        let ran: Arc<Mutex<Vec<(String, usize)>>> = Arc::default();
-        let record = ran.clone();
-        spawn(move || {
-            while let Some(part) = fleet.next() {
-                record.lock().unwrap().push((part.id.clone(), part.replica));
-                spawn(move || {
-                    sleep(after);
-                    let rest = format!("{} hit 17 queue=0\nv", part.id);
-                    part.bytes(
-                        &[
-                            &(rest.len() as u32 + 1).to_be_bytes()[..],
-                            b"E",
-                            rest.as_bytes(),
-                        ]
-                        .concat(),
-                    );
-                });
-            }
-        });
-        let class = |name, once_only| Class {
-            name,
-            once_only,
-            soft_ms: SOFT.as_millis() as u64,
-            floor: 1.0,
-        };
-        let classes = [class("find", false), class("order", true)];
-        let entries = addresses
+    /// Starts two sites, and waits until the coordinator knows all replicas behind the link.
+    pub fn start(exe: &str, config: SitesConfig) -> Sites {
+        let received = Arc::default();
+        let replicas = start_replicas(config.service_time, &received);
+        let members = replicas
             .iter()
             .enumerate()
-            .map(|(i, a)| entry(i, *a, "active"));
-        let (all, none) = (list(1, true, entries.collect()), list(1, true, Vec::new()));
-        let (far_roster, near_roster) = (Roster::start(all.clone()), Roster::start(none.clone()));
-        let folder = |own: &str| {
-            let folder = tempfile::tempdir().unwrap();
-            std::fs::write(folder.path().join("link.key"), SECRET).unwrap();
-            let text = format!("<installation version=\"1\">{own}</installation>");
-            std::fs::write(folder.path().join("installation.xml"), text).unwrap();
-            folder
-        };
-        let words = ["--installation", "installation.xml"];
-        let gateway = |roster: &Roster| {
-            // A port that was free a moment ago, on an address that nothing else here binds: on 127.0.0.1 any
-            // connection of another test may have taken it meanwhile, and the gateway fails to start.
-            let links = TcpListener::bind((own_loopback(), 0))
-                .unwrap()
-                .local_addr()
-                .unwrap();
-            let own = format!("<gateway listen=\"{links}\" secret=\"link.key\"/>");
-            let mut config = config_of(roster.address, &all, &classes, REPLICAS, 4);
-            config["limits"]["sockets"] = SOCKETS.into();
-            let far = Service::start_in(folder(&own), exe, &config, &words);
-            (far, Proxy::start(links), links)
-        };
-        let (far, proxy, links) = gateway(&far_roster);
-        let second = second.then(|| {
-            let roster = Roster::start(all.clone());
-            let (far, proxy, _) = gateway(&roster);
-            Second {
-                far,
+            .map(|(replica, address)| member(replica, *address, "active"));
+        let all = membership(1, true, members.collect());
+        let none = membership(1, true, Vec::new());
+        let gateway_discovery = ServiceDiscovery::start(all.clone());
+        let local_discovery = ServiceDiscovery::start(none.clone());
+        let (gateway, proxy, link_address) = start_gateway(exe, &gateway_discovery, &all);
+        let second = config.second_gateway.then(|| {
+            let discovery = ServiceDiscovery::start(all.clone());
+            let (gateway, proxy, _) = start_gateway(exe, &discovery, &all);
+            SecondGateway {
+                gateway,
                 proxy,
-                _roster: roster,
+                _discovery: discovery,
             }
         });
-        let proxies = [Some(&proxy), second.as_ref().map(|s| &s.proxy)];
-        let peer = |(n, proxy): (usize, &Proxy)| {
-            format!(
-                "<peer name=\"far{n}\" address=\"{}\" secret=\"link.key\" keep=\"{keep}\" beat=\"100\" hold=\"{hold}\"/>",
-                proxy.address
-            )
-        };
-        let peers: String = proxies
-            .into_iter()
-            .flatten()
-            .enumerate()
-            .map(peer)
-            .collect();
-        let mut config = config_of(near_roster.address, &none, &classes, REPLICAS, 4);
-        config["limits"]["sockets"] = SOCKETS.into();
-        let near = Service::start_in(
-            folder(&format!("<peers>{peers}</peers>")),
-            exe,
-            &config,
-            &words,
-        );
+        let proxies = std::iter::once(&proxy).chain(second.as_ref().map(|second| &second.proxy));
+        let folder = folder_with(&peer_elements(&config, proxies));
+        let local_settings = settings(&local_discovery, &none);
+        let local = Service::start_in(folder, exe, &local_settings, &ARGUMENTS);
         let mut sites = Sites {
-            near,
-            far,
+            local,
+            gateway,
             proxy,
-            links,
+            link_address,
             second,
-            replicas: addresses,
-            far_roster,
-            ran,
-            behind: 0,
-            asked: 0,
-            _near_roster: near_roster,
+            replicas,
+            gateway_discovery,
+            received,
+            remote_replicas: 0,
+            queries: 0,
+            _local_discovery: local_discovery,
         };
-        sites.until(REPLICAS);
+        sites.wait_for_remote_replicas(REPLICAS);
         sites
     }
 
-    /// Waits until the near side knows so many replicas behind the link.
-    pub fn until(&mut self, behind: usize) {
-        while self.behind != behind {
-            let line = self.near.line().expect("the link comes up again");
-            if let Some(said) = line.split("replicas behind links far=").nth(1) {
-                self.behind = said.trim().parse().unwrap();
+    /// Waits until the coordinator knows so many replicas behind the link.
+    pub fn wait_for_remote_replicas(&mut self, count: usize) {
+        while self.remote_replicas != count {
+            let line = self.local.next_log_line().expect("the link comes up again");
+            if let Some((_, known)) = line.split_once("replicas behind links far=") {
+                self.remote_replicas = known.trim().parse().unwrap();
             }
         }
     }
 
-    /// Has the link begin anew, and waits until it is up: long enough down for that to be seen.
-    pub fn begin_anew(&mut self) {
-        self.until(REPLICAS);
-        self.proxy.lead_to(None);
-        self.proxy.cut();
-        self.until(0);
-        self.proxy.lead_to(Some(self.links));
-        self.until(REPLICAS);
+    /// Closes the link for long enough that it is reported as down, and waits until it is up again.
+    pub fn reconnect(&mut self) {
+        self.wait_for_remote_replicas(REPLICAS);
+        self.proxy.set_upstream(None);
+        self.proxy.disconnect();
+        self.wait_for_remote_replicas(0);
+        self.proxy.set_upstream(Some(self.link_address));
+        self.wait_for_remote_replicas(REPLICAS);
     }
 
-    /// How many times each part was taken by a replica, by its id.
-    pub fn ran(&self) -> BTreeMap<String, usize> {
-        let mut ran = BTreeMap::new();
-        self.ran
-            .lock()
-            .unwrap()
-            .iter()
-            .for_each(|(id, _)| *ran.entry(id.clone()).or_default() += 1);
-        ran
+    /// How many times each sub-request was received by a replica, by its id.
+    pub fn executions(&self) -> BTreeMap<String, usize> {
+        let mut executions = BTreeMap::new();
+        for received in self.received.lock().unwrap().iter() {
+            *executions.entry(received.id.clone()).or_default() += 1;
+        }
+        executions
     }
 
-    /// Parts that a replica has taken.
-    pub fn taken_by(&self, replica: usize) -> usize {
-        self.ran
-            .lock()
-            .unwrap()
-            .iter()
-            .filter(|(_, r)| *r == replica)
-            .count()
+    fn executions_of(&self, sub_request: &str) -> usize {
+        let received = self.received.lock().unwrap();
+        received.iter().filter(|one| one.id == sub_request).count()
     }
 
-    /// Asks a lookup of one part, and holds its answer to what ran.
-    pub fn ask(&mut self, index: &str, verdict: &mut Verdict, what: &str) {
-        self.asked += 1;
-        let id = format!("{index}{}", self.asked);
-        let answer = self
-            .near
-            .ask(index, &id, &[1])
-            .answer()
-            .map(|(status, ..)| status);
-        let part = format!("{id}.1");
-        let ran = || {
-            self.ran
-                .lock()
-                .unwrap()
-                .iter()
-                .filter(|(id, _)| *id == part)
-                .count()
-        };
-        verdict.checked += 1;
-        let wrong = match answer {
+    /// How many sub-requests a replica has received.
+    pub fn received_by(&self, replica: usize) -> usize {
+        let received = self.received.lock().unwrap();
+        received.iter().filter(|one| one.replica == replica).count()
+    }
+
+    /// Makes a query of one shard, and checks its response against what was executed.
+    pub fn query(&mut self, index: &str, verdict: &mut Verdict, what: &str) {
+        self.queries += 1;
+        let id = format!("{index}{}", self.queries);
+        let response = self.local.query(index, &id, &[1]).response();
+        let status = response.map(|(status, ..)| status);
+        let sub_request = format!("{id}.1");
+        let non_idempotent = index == "order";
+        verdict.count(status);
+        let violation = match status {
             Some(200) => {
-                verdict.answered += 1;
-                (ran() == 0).then_some("answered, and did not run")
+                (self.executions_of(&sub_request) == 0).then_some("answered, and did not run")
             }
             Some(503) => {
-                verdict.nacked += 1;
-                // What is on its way comes at last.
-                sleep(Duration::from_millis(30));
-                (index == "order" && ran() > 0).then_some("nacked, and ran")
-            }
-            Some(502) => {
-                verdict.aborted += 1;
-                None
+                sleep(IN_TRANSIT);
+                (non_idempotent && self.executions_of(&sub_request) > 0)
+                    .then_some("nacked, and ran")
             }
+            Some(502) => None,
             _ => Some("no final answer"),
         };
-        let twice = (index == "order" && ran() > 1).then_some("ran twice");
-        for why in wrong.into_iter().chain(twice) {
-            verdict.breaches.push(format!(
-                "{what}: {id} {why} (answer {answer:?}, ran {})",
-                ran()
+        let executions = self.executions_of(&sub_request);
+        let twice = (non_idempotent && executions > 1).then_some("ran twice");
+        for why in violation.into_iter().chain(twice) {
+            verdict.violations.push(format!(
+                "{what}: {id} {why} (answer {status:?}, ran {executions})"
             ));
         }
     }
 
-    /// How many bytes one whole exchange takes, from the connection on, there and back.
-    pub fn exchange(&mut self) -> [usize; 2] {
-        self.begin_anew();
-        self.ask("order", &mut Verdict::default(), "whole");
-        self.proxy.crossed()
+    /// How many bytes one complete exchange takes from the connection on, to the gateway and back.
+    pub fn measure_exchange(&mut self) -> [usize; 2] {
+        self.reconnect();
+        self.query("order", &mut Verdict::default(), "whole");
+        self.proxy.forwarded()
     }
 
-    /// A once-only lookup with the link cut after each of these bytes, that way.
-    pub fn cut_at(&mut self, way: Way, bytes: impl Iterator<Item = usize>, verdict: &mut Verdict) {
+    /// Makes non-idempotent queries with the link closed after each of these bytes in that direction.
+    pub fn disconnect_at(
+        &mut self,
+        direction: Direction,
+        bytes: impl Iterator<Item = usize>,
+        verdict: &mut Verdict,
+    ) {
         for after in bytes {
-            self.proxy.cut_next(way, after);
-            self.begin_anew();
-            self.ask(
-                "order",
-                verdict,
-                &format!("cut {way:?} after {after} bytes"),
-            );
+            self.proxy.disconnect_next_after(direction, after);
+            self.reconnect();
+            let what = format!("cut {direction:?} after {after} bytes");
+            self.query("order", verdict, &what);
         }
-        // Whatever came late is there by now.
+        // Whatever was late has arrived by now.
         sleep(Duration::from_millis(100));
-        let ran = self.ran();
-        let twice = ran
+        let executions = self.executions();
+        let twice = executions
             .iter()
-            .filter(|(id, n)| id.starts_with("order") && **n > 1);
-        verdict
-            .breaches
-            .extend(twice.map(|(id, n)| format!("{id} ran {n} times")));
-    }
-}
-
-/// Lookups asked steadily while `trouble` does what it likes to the link, each held to what ran and to its
-/// time. The indexes take turns.
-pub fn asked_through(
-    sites: &mut Sites,
-    tag: &str,
-    indexes: &[&'static str],
-    every: Duration,
-    lasting: Duration,
-    trouble: impl FnOnce(&mut Sites),
-) -> (Verdict, Vec<Told>) {
-    let (to, answers) = channel();
-    let (near, begin) = (sites.near.address, Instant::now());
-    let all = (lasting.as_millis() / every.as_millis().max(1)) as usize;
-    let (tag, indexes) = (tag.to_owned(), indexes.to_vec());
-    let asker = spawn(move || {
-        for n in 0..all {
-            let due = every * n as u32;
-            sleep((begin + due).saturating_duration_since(Instant::now()));
-            let (to, id, index) = (to.clone(), format!("{tag}-{n}"), indexes[n % indexes.len()]);
-            spawn(move || {
-                let mut client = Client::connect(near);
-                client.ask(index, &id, &[1]);
-                let status = client.answer().map(|(status, ..)| status);
-                to.send(Told {
-                    id,
-                    index,
-                    due,
-                    status,
-                    took: begin.elapsed().saturating_sub(due),
-                })
-            });
-        }
-    });
-    trouble(sites);
-    asker.join().expect("it asks on");
-    let told: Vec<Told> = answers.iter().collect();
-    // What came late to a replica is there by now.
-    sleep(Duration::from_millis(200));
-    let ran = sites.ran();
-    let mut verdict = Verdict {
-        checked: told.len(),
-        ..Verdict::default()
-    };
-    for Told {
-        id,
-        index,
-        status,
-        took,
-        ..
-    } in &told
-    {
-        let n = ran.get(&format!("{id}.1")).copied().unwrap_or_default();
-        match status {
-            Some(200) => verdict.answered += 1,
-            Some(503) => verdict.nacked += 1,
-            Some(502) => verdict.aborted += 1,
-            _ => {}
-        }
-        let once_only = *index == "order";
-        let wrong = match status {
-            Some(200) if n == 0 => Some("answered, and did not run"),
-            Some(503) if once_only && n > 0 => Some("nacked, and ran"),
-            Some(200 | 502 | 503) if once_only && n > 1 => Some("ran twice"),
-            Some(200 | 502 | 503) if *took > SOFT + SLACK => Some("answered late"),
-            Some(200 | 502 | 503) => None,
-            _ => Some("no final answer"),
-        };
-        verdict.breaches.extend(
-            wrong.map(|why| format!("{id} ({index}) {why}: {status:?}, ran {n}, {took:?}")),
-        );
-    }
-    (verdict, told)
-}
-
-/// One lookup's answer.
-#[derive(Clone, Debug)]
-pub struct Told {
-    pub id: String,
-    pub index: &'static str,
-    /// When it was to be asked, from the beginning.
-    pub due: Duration,
-    pub status: Option<u16>,
-    /// Counted from then.
-    pub took: Duration,
-}
-
-/// Cuts a once-only exchange after every so manieth byte both ways, with several pairs of sites at once.
-pub fn cut_everywhere(exe: &str, keep: u64, step: usize, at_once: usize) -> Verdict {
-    // Without resume a short flap is to be seen as well.
-    let terms = Terms {
-        keep,
-        hold: if keep < 100 { 10 } else { 50 },
-        ..Terms::default()
-    };
-    let [there, back] = Sites::start(exe, terms).exchange();
-    // A cut beyond the exchange meets the beats after it, which is no cut of the exchange.
-    let all: Vec<(Way, usize)> = (0..=there)
-        .map(|n| (Way::There, n))
-        .chain((0..=back).map(|n| (Way::Back, n)))
-        .step_by(step.max(1))
-        .collect();
-    let threads: Vec<_> = all
-        .chunks(all.len().div_ceil(at_once.max(1)))
-        .map(|cuts| {
-            let (cuts, exe) = (cuts.to_vec(), exe.to_owned());
-            spawn(move || {
-                let mut sites = Sites::start(&exe, terms);
-                let mut verdict = Verdict::default();
-                for (way, after) in cuts {
-                    sites.cut_at(way, std::iter::once(after), &mut verdict);
-                }
-                verdict
-            })
-        })
-        .collect();
-    let mut sum = Verdict::default();
-    for thread in threads {
-        let one = thread.join().expect("its sites stood");
-        sum.checked += one.checked;
-        sum.answered += one.answered;
-        sum.nacked += one.nacked;
-        sum.aborted += one.aborted;
-        sum.breaches.extend(one.breaches);
+            .filter(|(id, count)| id.starts_with("order") && **count > 1)
+            .map(|(id, count)| format!("{id} ran {count} times"));
+        verdict.violations.extend(twice);
     }
-    sum
 }
--- /dev/null
+++ b/crates/linenthread-stand-ins/src/sites/load.rs
@@ -0,0 +1,167 @@
+//! Steady load on two sites while faults are injected.
+
+use std::net::SocketAddr;
+use std::sync::mpsc::channel;
+use std::thread::{sleep, spawn};
+use std::time::{Duration, Instant};
+
+use super::{SOFT_DEADLINE, Sites, SitesConfig, Verdict};
+use crate::Client;
+use crate::proxy::Direction;
+
+/// How much later than the soft deadline a response may arrive on a busy machine.
+const LATENESS: Duration = Duration::from_millis(1_500);
+/// How long after the last response a sub-request may still be on its way to a replica.
+const IN_TRANSIT: Duration = Duration::from_millis(200);
+
+/// The result of one query.
+#[derive(Clone, Debug)]
+pub struct QueryResult {
+    /// The trace id.
+    pub id: String,
+    /// The index that was queried.
+    pub index: &'static str,
+    /// When the query was to be made, from the beginning of the run.
+    pub scheduled_at: Duration,
+    /// The HTTP status; `None` if the connection ended without a response.
+    pub status: Option<u16>,
+    /// The time from then to the response.
+    pub latency: Duration,
+}
+
+impl QueryResult {
+    /// Makes a query on a connection of its own.
+    fn of(
+        address: SocketAddr,
+        id: String,
+        index: &'static str,
+        began: Instant,
+        scheduled_at: Duration,
+    ) -> QueryResult {
+        let mut client = Client::connect(address);
+        client.query(index, &id, &[1]);
+        let status = client.response().map(|(status, ..)| status);
+        QueryResult {
+            id,
+            index,
+            scheduled_at,
+            status,
+            latency: began.elapsed().saturating_sub(scheduled_at),
+        }
+    }
+
+    /// What is wrong with the result, if its sub-request was executed so many times.
+    fn violation(&self, executions: usize) -> Option<&'static str> {
+        let non_idempotent = self.index == "order";
+        match self.status {
+            Some(200) if executions == 0 => Some("answered, and did not run"),
+            Some(503) if non_idempotent && executions > 0 => Some("nacked, and ran"),
+            Some(200 | 502 | 503) if non_idempotent && executions > 1 => Some("ran twice"),
+            Some(200 | 502 | 503) if self.latency > SOFT_DEADLINE + LATENESS => {
+                Some("answered late")
+            }
+            Some(200 | 502 | 503) => None,
+            _ => Some("no final answer"),
+        }
+    }
+}
+
+/// Makes queries steadily while `inject` injects faults into the link, and checks each against what was executed and
+/// its deadline. The indexes take turns.
+pub fn query_during_fault(
+    sites: &mut Sites,
+    tag: &str,
+    indexes: &[&'static str],
+    interval: Duration,
+    lasting: Duration,
+    inject: impl FnOnce(&mut Sites),
+) -> (Verdict, Vec<QueryResult>) {
+    let (result_sender, result_receiver) = channel();
+    let (address, began) = (sites.local.address, Instant::now());
+    let count = lasting.as_millis() / interval.as_millis().max(1);
+    let count = u32::try_from(count).expect("a run has fewer queries");
+    let (tag, indexes) = (tag.to_owned(), indexes.to_vec());
+    let load = spawn(move || {
+        for (n, index) in (0..count).zip(indexes.into_iter().cycle()) {
+            let scheduled_at = interval * n;
+            sleep((began + scheduled_at).saturating_duration_since(Instant::now()));
+            let (result_sender, id) = (result_sender.clone(), format!("{tag}-{n}"));
+            spawn(move || {
+                result_sender.send(QueryResult::of(address, id, index, began, scheduled_at))
+            });
+        }
+    });
+    inject(sites);
+    load.join().expect("queries go on");
+    let results: Vec<QueryResult> = result_receiver.iter().collect();
+    sleep(IN_TRANSIT);
+    let verdict = check(sites, &results);
+    (verdict, results)
+}
+
+fn check(sites: &Sites, results: &[QueryResult]) -> Verdict {
+    let executions = sites.executions();
+    let mut verdict = Verdict::default();
+    for result in results {
+        verdict.count(result.status);
+        let QueryResult {
+            id,
+            index,
+            status,
+            latency,
+            ..
+        } = result;
+        let sub_request = format!("{id}.1");
+        let executed = executions.get(&sub_request).copied().unwrap_or_default();
+        if let Some(why) = result.violation(executed) {
+            verdict.violations.push(format!(
+                "{id} ({index}) {why}: {status:?}, ran {executed}, {latency:?}"
+            ));
+        }
+    }
+    verdict
+}
+
+/// Closes the link in a non-idempotent exchange after every `step`th byte in both directions, with several pairs of
+/// sites at once.
+pub fn disconnect_everywhere(
+    exe: &str,
+    session_timeout_ms: u64,
+    step: usize,
+    at_once: usize,
+) -> Verdict {
+    // Without resume a short interruption is to be seen as well.
+    let config = SitesConfig {
+        session_timeout_ms,
+        down_delay_ms: if session_timeout_ms < 100 { 10 } else { 50 },
+        ..SitesConfig::default()
+    };
+    let [to_gateway, from_gateway] = Sites::start(exe, config).measure_exchange();
+    // A position beyond the exchange meets the heartbeats after it, and does not interrupt the exchange.
+    let positions: Vec<(Direction, usize)> = (0..=to_gateway)
+        .map(|bytes| (Direction::ToUpstream, bytes))
+        .chain((0..=from_gateway).map(|bytes| (Direction::FromUpstream, bytes)))
+        .step_by(step.max(1))
+        .collect();
+    let threads: Vec<_> = positions
+        .chunks(positions.len().div_ceil(at_once.max(1)))
+        .map(|positions| {
+            let (positions, exe) = (positions.to_vec(), exe.to_owned());
+            spawn(move || disconnect_at_each(&exe, config, &positions))
+        })
+        .collect();
+    let mut sum = Verdict::default();
+    for thread in threads {
+        sum.add(thread.join().expect("its sites stood"));
+    }
+    sum
+}
+
+fn disconnect_at_each(exe: &str, config: SitesConfig, positions: &[(Direction, usize)]) -> Verdict {
+    let mut sites = Sites::start(exe, config);
+    let mut verdict = Verdict::default();
+    for &(direction, bytes) in positions {
+        sites.disconnect_at(direction, std::iter::once(bytes), &mut verdict);
+    }
+    verdict
+}
