--- a/crates/linenthread-stand-ins/src/lib.rs
+++ b/crates/linenthread-stand-ins/src/lib.rs
@@ -16,6 +16,7 @@
 pub mod network;
 mod program;
 pub mod proxy;
+mod random;
 mod replicas;
 pub mod rig;
 mod row_replicas;
--- a/crates/linenthread-stand-ins/src/replicas.rs
+++ b/crates/linenthread-stand-ins/src/replicas.rs
@@ -235,7 +235,8 @@
         let mut head = [0; 5];
         self.stream.read_exact(&mut head).ok()?;
         let [length @ .., frame_type] = head;
-        let mut rest = vec![0; u32::from_be_bytes(length) as usize - 1];
+        let length = usize::try_from(u32::from_be_bytes(length)).ok()?;
+        let mut rest = vec![0; length - 1];
         self.stream.read_exact(&mut rest).ok()?;
         Some((frame_type, String::from_utf8(rest).unwrap()))
     }
--- a/crates/linenthread-stand-ins/src/rig.rs
+++ b/crates/linenthread-stand-ins/src/rig.rs
@@ -257,10 +257,10 @@
     }
 
     /// Kills a process, and deletes its record if asked to.
-    pub fn kill(&mut self, n: usize, with_folder: bool) {
+    pub fn kill(&mut self, n: usize, with_record: bool) {
         self.set_queried(n, false);
         self.processes[n].kill();
-        if with_folder {
+        if with_record {
             std::fs::remove_dir_all(self.file(n, "record")).ok();
         }
     }
--- a/crates/linenthread-stand-ins/src/rig/clients.rs
+++ b/crates/linenthread-stand-ins/src/rig/clients.rs
@@ -10,6 +10,7 @@
 use serde_json::{Value, json};
 
 use super::layout::SHARDS;
+use crate::random::random_index;
 use crate::{Client, request};
 
 /// The placement key in requests made by [`request`].
@@ -114,7 +115,7 @@
     /// Makes a random query on a connection of its own.
     fn query(&mut self, id: String) -> QueryOutcome {
         let non_idempotent = self.rng.rand_range(0..ONE_NON_IDEMPOTENT_OF) == 0;
-        let first = self.rng.rand_range(0..SHARDS as u64) as usize;
+        let first = random_index(&mut self.rng, SHARDS);
         let shards = if non_idempotent {
             vec![first]
         } else {
--- a/crates/linenthread-stand-ins/src/row_store.rs
+++ b/crates/linenthread-stand-ins/src/row_store.rs
@@ -10,6 +10,8 @@
 use oorandom::Rand64;
 use serde_json::{Value, json};
 
+use crate::random::random_index;
+
 /// The deploy file for these indexes, with cursors signed by `marks.key`.
 pub const INSTALLATION: &str = r#"<installation version="1">
   <merging>
@@ -112,7 +114,8 @@
         .iter()
         .filter(|row| after.as_ref().is_none_or(|after| row.sort_key() > *after))
         .collect();
-    let limit = max_rows.min(query["rows"].as_u64().unwrap_or(0) as usize);
+    let queried = query["rows"].as_u64().unwrap_or(0);
+    let limit = usize::try_from(queried).map_or(max_rows, |rows| rows.min(max_rows));
     let page: Vec<_> = ahead.iter().take(limit).map(|row| row.row()).collect();
     json!({"rows": page, "more": ahead.len() > limit})
 }
@@ -152,8 +155,8 @@
         let donation = Donation {
             id: format!("d{:05}", self.last_id),
             date: format!("2026-11-{:02}", rng.rand_range(1..29)),
-            cents: rng.rand_range(1..40) as i64 * 250,
-            charity: charities[rng.rand_range(0..charities.len() as u64) as usize].into(),
+            cents: 250 * i64::try_from(rng.rand_range(1..40)).expect("the draw is less than 40"),
+            charity: charities[random_index(rng, charities.len())].into(),
         };
         let rows = &mut self.shards[shard];
         rows.push(donation.clone());
--- a/crates/linenthread-stand-ins/src/scenarios.rs
+++ b/crates/linenthread-stand-ins/src/scenarios.rs
@@ -6,6 +6,7 @@
 
 use oorandom::Rand64;
 
+use crate::random::random_index;
 use crate::rig::{Rig, RigConfig};
 
 /// Zones of the default rig.
@@ -439,9 +440,9 @@
         },
     );
     for round in 0..rounds {
-        let process = rng.rand_range(0..rig.count() as u64) as usize;
-        let zone = rng.rand_range(0..ZONES as u64) as usize;
-        let number = rng.rand_range(0..Fault::ALL.len() as u64) as usize;
+        let process = random_index(&mut rng, rig.count());
+        let zone = random_index(&mut rng, ZONES);
+        let number = random_index(&mut rng, Fault::ALL.len());
         println!("round {round}: fault {number}, process {process}, zone {zone}");
         Fault::ALL[number].inject(&mut rig, &mut rng, process, zone);
         rig.network.heal();
