--- /dev/null
+++ b/crates/linenthread-service/src/serve/fleet_member.rs
@@ -0,0 +1,92 @@
+//! The fleet's thread and the dispatcher: observations go to the one, routing tables to the other.
+
+use std::time::{Duration, SystemTime, UNIX_EPOCH};
+
+use linenthread_installation::{Fleet, Zones};
+use linenthread_link::Secrets;
+use tokio::sync::mpsc;
+use tokio::time::{interval, sleep};
+use tracing::{info, warn};
+
+use crate::config::Config;
+use crate::dispatcher::Dispatcher;
+use crate::fleet::{self, FleetHandle, FromFleet, MemberConfig, StartError, ToFleet};
+
+/// Time between two messages of observations to the fleet's thread.
+const OBSERVATION_INTERVAL: Duration = Duration::from_millis(500);
+/// Longest wait for a table to become valid: clocks that are far apart are not waited for.
+const MAX_TABLE_WAIT: Duration = Duration::from_millis(1_000);
+/// Descriptors of a member besides those of its connections.
+const MEMBER_DESCRIPTORS: usize = 4;
+
+/// Most descriptors that a member of this fleet may need.
+pub(super) fn descriptors(fleet: &Fleet) -> usize {
+    MEMBER_DESCRIPTORS + fleet.voters.len() * 2 + fleet.expected_members as usize
+}
+
+/// Joins the fleet and connects its thread to the dispatcher.
+///
+/// # Errors
+///
+/// The fleet's thread could not start.
+pub(super) fn join(
+    config: &Config,
+    dispatcher: &Dispatcher,
+    fleet: Fleet,
+    zones: Option<Zones>,
+    secrets: Secrets,
+) -> Result<FleetHandle, StartError> {
+    let (from_fleet, received) = mpsc::unbounded_channel();
+    let member = MemberConfig {
+        name: config.name.clone(),
+        fleet,
+        zones,
+        secrets,
+        seed: config.seed.rotate_left(17),
+    };
+    let handle = fleet::start(member, dispatcher.clock(), from_fleet)?;
+    actix_rt::spawn(exchange(
+        dispatcher.clone(),
+        handle.sender.clone(),
+        received,
+    ));
+    Ok(handle)
+}
+
+async fn exchange(
+    dispatcher: Dispatcher,
+    to_fleet: mpsc::UnboundedSender<ToFleet>,
+    mut received: mpsc::UnboundedReceiver<FromFleet>,
+) {
+    let mut observations = interval(OBSERVATION_INTERVAL);
+    loop {
+        tokio::select! {
+            _ = observations.tick() => {
+                if let Some((report, topology)) = dispatcher.report_zones()
+                    && to_fleet.send(ToFleet::Observed(report, topology)).is_err()
+                {
+                    warn!("the fleet's thread has ended: decides alone");
+                    return;
+                }
+            }
+            Some(FromFleet::Table { number, table }) = received.recv() => {
+                sleep(time_until(table.valid_from_ms)).await;
+                let rows = table.rows.clone();
+                if dispatcher.apply_routing_table(table) {
+                    info!(number, ?rows, "acts on a table");
+                } else {
+                    warn!(number, "a table of other zones than this file has is not acted on");
+                }
+            }
+        }
+    }
+}
+
+/// Time until a moment of the system's clock, bounded by [`MAX_TABLE_WAIT`].
+fn time_until(valid_from_ms: u64) -> Duration {
+    let unix = SystemTime::now().duration_since(UNIX_EPOCH);
+    let unix_ms = unix.unwrap_or_default().as_millis();
+    let wait_ms = u128::from(valid_from_ms).saturating_sub(unix_ms);
+    let wait = u64::try_from(wait_ms).map_or(MAX_TABLE_WAIT, Duration::from_millis);
+    wait.min(MAX_TABLE_WAIT)
+}
--- /dev/null
+++ b/crates/linenthread-service/src/serve/links.rs
@@ -0,0 +1,105 @@
+//! Links between processes: those to the configured peers, and the gateway for those that come in.
+
+use std::time::Duration;
+
+use linenthread_installation as file;
+use linenthread_link::{ClientConfig, LinkServer, Secrets, ServerConfig};
+use snafu::ResultExt;
+use tokio::sync::mpsc;
+use tracing::info;
+
+use super::error::{ListenForLinksSnafu, ServeError};
+use crate::config::Config;
+use crate::dispatcher::Dispatcher;
+use crate::duration::tenth_millis;
+use crate::frontends::link::{self as gateway_frontend, Gateway};
+use crate::transports::{Transports, link};
+
+/// Bytes of calls that may wait for one link.
+const MAX_QUEUED_BYTES: u64 = 8 * 1024 * 1024;
+/// First pause before a link is dialled again.
+const MIN_BACKOFF: Duration = Duration::from_millis(50);
+/// Longest pause before a link is dialled again.
+const MAX_BACKOFF: Duration = Duration::from_millis(500);
+/// Time for the handshake of a link that comes in.
+const HANDSHAKE_TIMEOUT: Duration = Duration::from_millis(2_000);
+/// A connection of a link that sends nothing for so long is closed.
+const IDLE_TIMEOUT: Duration = Duration::from_millis(10_000);
+
+/// Descriptors that links need: one for each peer, and for a gateway its listener and two for each session.
+pub(super) fn descriptors(peer_count: usize, gateway: Option<&file::Gateway>) -> usize {
+    peer_count + gateway.map_or(0, |gateway| 2 * gateway.max_sessions + 1)
+}
+
+/// Starts the link to one peer; `seed` must differ between the links of a process.
+pub(super) fn start_peer(
+    config: &Config,
+    dispatcher: &Dispatcher,
+    transports: &Transports,
+    (peer, secrets): (file::Peer, Secrets),
+    seed: u64,
+) {
+    let number = dispatcher.add_peer();
+    let (changes, mut events) = mpsc::unbounded_channel();
+    let client = ClientConfig {
+        name: config.name.clone(),
+        max_in_flight: peer.max_in_flight,
+        max_queued_bytes: MAX_QUEUED_BYTES,
+        session_timeout: tenth_millis(peer.session_timeout),
+        ping_interval: tenth_millis(peer.ping_interval),
+        grace_period: tenth_millis(peer.grace_period),
+        min_backoff: tenth_millis(MIN_BACKOFF),
+        max_backoff: tenth_millis(MAX_BACKOFF),
+    };
+    let link_config = link::LinkConfig {
+        name: peer.name,
+        address: peer.address,
+        secrets,
+        client,
+        seed,
+    };
+    transports.add_peer(link::Peer::start(link_config, dispatcher.clock(), changes));
+    let dispatcher = dispatcher.clone();
+    actix_rt::spawn(async move {
+        while let Some(event) = events.recv().await {
+            dispatcher.on_link_event(number, event);
+        }
+    });
+}
+
+/// Starts to accept links.
+///
+/// # Errors
+///
+/// It cannot listen on the gateway's address.
+pub(super) fn start_gateway(
+    config: &Config,
+    dispatcher: &Dispatcher,
+    transports: &Transports,
+    gateway: &file::Gateway,
+    secrets: Secrets,
+) -> Result<Gateway, ServeError> {
+    let address = gateway.listen;
+    let listener = gateway_frontend::listen(address).context(ListenForLinksSnafu { address })?;
+    let listen = listener.local_addr().unwrap_or(address);
+    let server_config = ServerConfig {
+        name: config.name.clone(),
+        window_calls: gateway.window_calls,
+        window_bytes: gateway.window_bytes,
+        session_timeout: tenth_millis(gateway.session_timeout),
+        max_sessions: gateway.max_sessions,
+        handshake_timeout: tenth_millis(HANDSHAKE_TIMEOUT),
+        idle_timeout: tenth_millis(IDLE_TIMEOUT),
+    };
+    let server = LinkServer::new(server_config, secrets, config.seed);
+    let gateway = Gateway::new(
+        dispatcher.clone(),
+        transports.clone(),
+        server,
+        gateway.slow_start_share,
+    );
+    let accepting = gateway.clone();
+    actix_rt::spawn(async move { accepting.run(&listener).await });
+    info!(%listen, "gateway");
+    Ok(gateway)
+}
--- /dev/null
+++ b/crates/linenthread-service/src/serve/mod.rs
@@ -0,0 +1,242 @@
+//! `linenthread serve`: puts the parts of the process together and runs it until it is told to stop.
+
+mod error;
+mod fleet_member;
+mod links;
+
+use std::cell::RefCell;
+use std::net::SocketAddr;
+use std::path::Path;
+use std::rc::Rc;
+use std::time::Duration;
+
+use snafu::ResultExt;
+use tokio::net::TcpListener;
+use tokio::signal::unix::{Signal, SignalKind, signal};
+use tokio::sync::watch;
+use tracing::info;
+
+use crate::clock;
+use crate::config::Config;
+use crate::dispatcher::Dispatcher;
+use crate::duration::tenth_millis;
+use crate::fleet::{self, FleetHandle, ToFleet};
+use crate::frontends::http::{self, HttpFrontend};
+use crate::frontends::link::Gateway;
+use crate::installation::InstallationSettings;
+use crate::merge_responses::{MergePlans, ResponseMerging};
+use crate::query::QueryContext;
+use crate::service_discovery;
+use crate::transports::Transports;
+use crate::transports::attempt::ConnectionLimits;
+use crate::zone_routing::ZoneRouting;
+
+pub(crate) use error::ServeError;
+use error::{FleetSnafu, ListenSnafu, SignalsSnafu};
+
+/// Descriptors that are neither a client's nor a replica's: standard streams, the listener, service discovery's
+/// and the runtime's own.
+const OWN_DESCRIPTORS: usize = 24;
+/// Time that calls of links may still take after the signal to stop.
+const LINKS_DRAIN: Duration = Duration::from_millis(1_500);
+
+/// The files that a running process reads again on SIGHUP.
+#[derive(Clone, Copy)]
+pub(crate) struct ReloadedFiles<'a> {
+    pub config: &'a Path,
+    pub installation: Option<&'a Path>,
+}
+
+/// The signals that a running process handles.
+struct Signals {
+    terminate: Signal,
+    interrupt: Signal,
+    hangup: Signal,
+}
+
+impl Signals {
+    fn new() -> Result<Signals, ServeError> {
+        Ok(Signals {
+            terminate: signal(SignalKind::terminate()).context(SignalsSnafu)?,
+            interrupt: signal(SignalKind::interrupt()).context(SignalsSnafu)?,
+            hangup: signal(SignalKind::hangup()).context(SignalsSnafu)?,
+        })
+    }
+}
+
+/// Serves until SIGTERM or SIGINT, then answers all queries that it has accepted. `ready` is called with the address
+/// that it listens on.
+///
+/// # Errors
+///
+/// It could not start, or an essential task has failed.
+pub(crate) async fn serve(
+    config: Config,
+    settings: InstallationSettings,
+    files: ReloadedFiles<'_>,
+    ready: impl FnOnce(SocketAddr),
+) -> Result<(), ServeError> {
+    let address = config.listen;
+    let listener = http::listen(address).context(ListenSnafu { address })?;
+    let mut signals = Signals::new()?;
+    let max_clients = max_clients(&config, &settings);
+    let transports = transports(&config);
+    let dispatcher = dispatcher(&config, &transports, &settings);
+    let fleet = settings.fleet.map(|(fleet, secrets)| {
+        fleet_member::join(&config, &dispatcher, fleet, settings.zones, secrets)
+    });
+    let fleet = fleet.transpose().context(FleetSnafu)?;
+    let mut decisions = actix_rt::spawn(dispatcher.clone().run());
+    let (discovery_address, watched_address) = watch::channel(config.discovery);
+    let mut discovery = actix_rt::spawn(service_discovery::watch(
+        dispatcher.clone(),
+        watched_address,
+        config.coordinator.layout.replica_groups,
+        !config.coordinator.watch_membership,
+    ));
+    for (n, peer) in settings.peers.into_iter().enumerate() {
+        let seed = config.seed.wrapping_add(1 + n as u64);
+        links::start_peer(&config, &dispatcher, &transports, peer, seed);
+    }
+    let gateway = settings.gateway.map(|(gateway, secrets)| {
+        links::start_gateway(&config, &dispatcher, &transports, &gateway, secrets)
+    });
+    let gateway = gateway.transpose()?;
+    let query_context = query_context(&config, dispatcher, transports, settings.merging);
+    let query_context = Rc::new(query_context);
+    let frontend = HttpFrontend::new(query_context.clone(), max_clients, config.sockets / 6);
+    let listen = listener.local_addr().unwrap_or(config.listen);
+    let merged = query_context.merging.plans.borrow().count();
+    info!(name = config.name, %listen, roster = %config.discovery, merged, "serving");
+    ready(listen);
+    tokio::select! {
+        () = frontend.accept(&listener) => {}
+        () = frontend.sweep() => {}
+        _ = &mut decisions => return Err(ServeError::Decisions),
+        _ = &mut discovery => return Err(ServeError::ServiceDiscovery),
+        _ = signals.terminate.recv() => {}
+        _ = signals.interrupt.recv() => {}
+        () = reload(&mut signals.hangup, &config, files, &discovery_address, &query_context) => {}
+    }
+    shut_down(fleet, gateway, frontend, listener).await;
+    Ok(())
+}
+
+/// Leaves the fleet and the links, then answers the queries that were accepted.
+async fn shut_down(
+    fleet: Option<FleetHandle>,
+    gateway: Option<Gateway>,
+    frontend: HttpFrontend,
+    listener: TcpListener,
+) {
+    if let Some(fleet) = &fleet {
+        fleet.sender.send(ToFleet::Leave).ok();
+    }
+    if let Some(gateway) = gateway {
+        gateway.drain(LINKS_DRAIN).await;
+    }
+    frontend.stop(listener).await;
+    if let Some(fleet) = fleet {
+        fleet.leave();
+    }
+}
+
+/// Connections of clients that the descriptors leave room for.
+fn max_clients(config: &Config, settings: &InstallationSettings) -> usize {
+    let fleet = settings.fleet.as_ref();
+    let for_fleet = fleet.map_or(0, |(fleet, _)| fleet_member::descriptors(fleet));
+    let gateway = settings.gateway.as_ref().map(|(gateway, _)| gateway);
+    let for_links = links::descriptors(settings.peers.len(), gateway);
+    let reserved = replica_descriptors(config) + for_fleet + for_links + OWN_DESCRIPTORS;
+    config.sockets.saturating_sub(reserved).max(1)
+}
+
+/// Descriptors reserved for replicas, before those for clients: a quarter of all, or two a replica. More replicas may
+/// be discovered later, so at most half is reserved.
+fn replica_descriptors(config: &Config) -> usize {
+    (config.sockets / 4)
+        .max(config.cached_membership.replicas.len() * 2)
+        .min(config.sockets / 2)
+}
+
+fn transports(config: &Config) -> Transports {
+    let surroundings = &config.cluster;
+    let connect_timeout = clock::to_duration(surroundings.connect_timeout.max(1));
+    let idle_timeout = clock::to_duration(surroundings.idle_timeout.max(1));
+    Transports::new(ConnectionLimits {
+        max_streams: surroundings.max_streams,
+        cancellation: config.coordinator.permissions.cancellation,
+        connect_timeout,
+        probe_timeout: connect_timeout,
+        idle_timeout: idle_timeout - idle_timeout / 8,
+        max_connections: replica_descriptors(config),
+    })
+}
+
+/// The dispatcher, which routes between zones if this process is in a fleet that has them.
+fn dispatcher(
+    config: &Config,
+    transports: &Transports,
+    settings: &InstallationSettings,
+) -> Dispatcher {
+    let (fleet, zones) = (settings.fleet.as_ref(), settings.zones.as_ref());
+    let zone_list = zones.iter().flat_map(|zones| &zones.zones);
+    let names: Vec<String> = zone_list.map(|zone| zone.name.clone()).collect();
+    Dispatcher::new(config, transports.clone(), &names, |sites| {
+        let ((fleet, _), zones) = (fleet?, zones?);
+        let layout = config.coordinator.layout.clone();
+        Some(ZoneRouting::new(
+            fleet::configured_zones(zones),
+            &fleet.zone,
+            tenth_millis(zones.table_lifetime),
+            sites,
+            (layout, config.cluster.shard_count),
+        ))
+    })
+}
+
+fn query_context(
+    config: &Config,
+    dispatcher: Dispatcher,
+    transports: Transports,
+    merging: MergePlans,
+) -> QueryContext {
+    let indexes = config.coordinator.indexes.iter();
+    QueryContext {
+        dispatcher,
+        transports,
+        cluster: config.cluster.clone(),
+        cancellation: config.coordinator.permissions.cancellation,
+        priorities: indexes
+            .map(|index| (index.value * 1_000.0) as u32)
+            .collect(),
+        merging: ResponseMerging {
+            plans: RefCell::new(Rc::new(merging)),
+            ..ResponseMerging::default()
+        },
+        open_ids: RefCell::default(),
+    }
+}
+
+/// Reads the files again on each SIGHUP.
+async fn reload(
+    hangup: &mut Signal,
+    config: &Config,
+    files: ReloadedFiles<'_>,
+    discovery_address: &watch::Sender<SocketAddr>,
+    query_context: &QueryContext,
+) {
+    loop {
+        hangup.recv().await;
+        if let Some(new) = config.reload(files.config) {
+            discovery_address.send_if_modified(|address| std::mem::replace(address, new) != new);
+        }
+        // Queries in progress go on with the plans that they began with.
+        if let Some(new) = files
+            .installation
+            .and_then(|file| InstallationSettings::reload(file, config))
+        {
+            query_context.merging.plans.replace(new);
+        }
+    }
+}
--- /dev/null
+++ b/crates/linenthread-service/src/zone_routing.rs
@@ -0,0 +1,228 @@
+//! Zone-aware routing of one process: where replicas are placed, outcomes of the sub-requests sent to each zone, and
+//! the routing table in force.
+
+use std::collections::BTreeMap;
+
+use linenthread_core::interface::{
+    AttemptOutcome, MembershipEntry, MembershipUpdate, Phase, ShardLayout, TenthMillis, ZoneRoute,
+};
+use linenthread_protocol::hash_id;
+use linenthread_zones::{ALL_KEYS, Placement, Report, RoutingTable, Topology, Zone, ZoneObserver};
+
+/// Distance of the process's own zone.
+const SAME_ZONE: u8 = 0;
+/// Distance of another zone of the same region.
+const SAME_REGION: u8 = 1;
+/// Distance of a zone of another region.
+const OTHER_REGION: u8 = 2;
+/// Distance of a zone that the installation file does not name: farther than all that it names.
+const UNNAMED: u8 = 3;
+
+/// A zone of the dispatcher's numbering.
+struct NamedZone {
+    name: String,
+    /// Its position among the configured zones, if the installation file names it.
+    configured: Option<usize>,
+}
+
+/// Identity of the process behind a replica number; another start time is another process.
+type ReplicaIdentity = (u64, Option<TenthMillis>);
+
+/// Routing between zones, as seen from the zone of this process.
+pub(crate) struct ZoneRouting {
+    zones: Vec<Zone>,
+    /// Position of this process's zone in `zones`.
+    local_zone: usize,
+    /// By the dispatcher's number of a zone.
+    named_zones: Vec<NamedZone>,
+    layout: ShardLayout,
+    shard_count: usize,
+    observer: ZoneObserver,
+    listed: BTreeMap<usize, MembershipEntry>,
+    identities: BTreeMap<usize, ReplicaIdentity>,
+    table: Option<RoutingTable>,
+    /// The table expires then unless it is renewed.
+    expires_at: TenthMillis,
+    table_lifetime: TenthMillis,
+}
+
+impl ZoneRouting {
+    /// `zone_names` are the dispatcher's zones in its order; `local_zone` is the name of the fleet member's zone.
+    pub(crate) fn new(
+        zones: Vec<Zone>,
+        local_zone: &str,
+        table_lifetime: TenthMillis,
+        zone_names: &[String],
+        (layout, shard_count): (ShardLayout, usize),
+    ) -> ZoneRouting {
+        let position = |name: &str| zones.iter().position(|zone| zone.name == name);
+        let named_zone = |name: &String| NamedZone {
+            name: name.clone(),
+            configured: position(name),
+        };
+        let local_zone = position(local_zone).unwrap_or_default();
+        ZoneRouting {
+            named_zones: zone_names.iter().map(named_zone).collect(),
+            observer: ZoneObserver::new(local_zone as u8),
+            zones,
+            local_zone,
+            layout,
+            shard_count,
+            listed: BTreeMap::new(),
+            identities: BTreeMap::new(),
+            table: None,
+            expires_at: 0,
+            table_lifetime,
+        }
+    }
+
+    /// Takes in an update of the membership list, as the decision module does.
+    pub(crate) fn on_membership(&mut self, update: &MembershipUpdate) {
+        let (listed, is_complete) = match update {
+            MembershipUpdate::Delta(listed) => (listed, false),
+            MembershipUpdate::Snapshot(listed) | MembershipUpdate::Cached(listed) => (listed, true),
+            MembershipUpdate::Unavailable => return,
+        };
+        if is_complete {
+            self.listed.clear();
+        }
+        for entry in listed {
+            self.on_entry(entry);
+        }
+    }
+
+    fn on_entry(&mut self, entry: &MembershipEntry) {
+        let identity = (entry.id, entry.started_at);
+        // Observations of a former process or replica under this number do not hold for the new one.
+        if self.identities.insert(entry.replica, identity) != Some(identity) {
+            self.observer.on_replica_removed(entry.replica);
+        }
+        match entry.phase {
+            Phase::Removed => {
+                self.observer.on_replica_removed(entry.replica);
+                self.listed.remove(&entry.replica);
+            }
+            _ => drop(self.listed.insert(entry.replica, entry.clone())),
+        }
+    }
+
+    /// The configured zone of a listed replica.
+    fn zone(&self, replica: usize) -> Option<usize> {
+        let listed = self.listed.get(&replica)?;
+        self.named_zones.get(listed.zone)?.configured
+    }
+
+    /// A query of so many sub-requests begins.
+    pub(crate) fn on_query(&mut self, sub_requests: usize) {
+        self.observer.on_query(sub_requests);
+    }
+
+    /// A sub-request to a replica ended after `elapsed`.
+    pub(crate) fn on_outcome(
+        &mut self,
+        replica: usize,
+        outcome: AttemptOutcome,
+        elapsed: TenthMillis,
+    ) {
+        if let Some(zone) = self.zone(replica) {
+            self.observer
+                .on_outcome(zone as u8, replica, outcome, elapsed);
+        }
+    }
+
+    /// The observations since the previous call, and the placement of replicas now.
+    pub(crate) fn report(&mut self) -> (Report, Topology) {
+        let zone_count = self.zones.len();
+        let mut replicas = vec![0; zone_count];
+        // Ready replicas by replica group, then by zone.
+        let mut by_group = vec![vec![0_u16; zone_count]; self.layout.replica_groups];
+        let ready = |entry: &&MembershipEntry| entry.phase == Phase::Ready;
+        for entry in self.listed.values().filter(ready) {
+            let Some(zone) = self.zone(entry.replica) else {
+                continue;
+            };
+            replicas[zone] += 1;
+            if let Some(group) = by_group.get_mut(entry.replica_group) {
+                group[zone] += 1;
+            }
+        }
+        let topology = Topology {
+            zones: self.zones.clone(),
+            replicas,
+            placements: self.placements(&by_group),
+        };
+        (self.observer.report(&topology.replicas), topology)
+    }
+
+    /// The ways in which shards are spread over zones, each with its share of all shards.
+    fn placements(&self, by_group: &[Vec<u16>]) -> Vec<Placement> {
+        let mut shares: BTreeMap<Vec<u16>, f64> = BTreeMap::new();
+        for shard in 0..self.shard_count {
+            let mut replicas = vec![0; self.zones.len()];
+            let groups = by_group.iter().enumerate();
+            for (_, group) in groups.filter(|&(group, _)| self.layout.holds(group, shard)) {
+                for (total, count) in replicas.iter_mut().zip(group) {
+                    *total += count;
+                }
+            }
+            *shares.entry(replicas).or_default() += 1.0 / self.shard_count.max(1) as f64;
+        }
+        let shares = shares.into_iter();
+        shares
+            .map(|(replicas, share)| Placement { replicas, share })
+            .collect()
+    }
+
+    /// Puts a table in force; one for other zones than the configured ones is refused with `false`.
+    pub(crate) fn accept_table(&mut self, table: RoutingTable, now: TenthMillis) -> bool {
+        let configured = self.zones.iter().map(|zone| &zone.name);
+        let is_applicable = table.zones.iter().eq(configured);
+        if is_applicable {
+            self.table = Some(table);
+            self.expires_at = now + self.table_lifetime;
+        }
+        is_applicable
+    }
+
+    /// Drops a table that was not renewed in time and says whether it did: all routes are open then, nearest first.
+    pub(crate) fn expire_table(&mut self, now: TenthMillis) -> bool {
+        now >= self.expires_at && self.table.take().is_some()
+    }
+
+    /// The routes to the dispatcher's zones, in its order, for the decision module.
+    pub(crate) fn routes(&self) -> Vec<ZoneRoute> {
+        self.named_zones
+            .iter()
+            .map(|zone| self.route(zone))
+            .collect()
+    }
+
+    fn route(&self, named_zone: &NamedZone) -> ZoneRoute {
+        let id = hash_id(&named_zone.name);
+        let Some(zone) = named_zone.configured else {
+            return ZoneRoute {
+                id,
+                distance: UNNAMED,
+                open_per_mille: ALL_KEYS,
+            };
+        };
+        let rows = self.table.as_ref().map(|table| &table.rows);
+        let row = rows.and_then(|rows| rows.get(self.local_zone));
+        let route = row.and_then(|row| row.routes.get(zone));
+        ZoneRoute {
+            id,
+            distance: self.distance(zone),
+            open_per_mille: route.map_or(ALL_KEYS, |route| route.share),
+        }
+    }
+
+    fn distance(&self, zone: usize) -> u8 {
+        if zone == self.local_zone {
+            SAME_ZONE
+        } else if self.zones[zone].region == self.zones[self.local_zone].region {
+            SAME_REGION
+        } else {
+            OTHER_REGION
+        }
+    }
+}
--- a/crates/linenthread-service/tests/processes.rs
+++ b/crates/linenthread-service/tests/processes.rs
@@ -1,14 +1,14 @@
-//! Several processes of the program and faults between them: members, the agreed record, and zones left and taken
-//! back in common. The scripts stand in `linenthread-stand-ins`; the judge reads all that clients were told and
-//! replicas ran.
+//! Several processes of the program and faults between them: membership, the replicated log, and zones that all leave
+//! and take back together. The scenarios are in `linenthread-stand-ins`, whose checker reads all responses to clients
+//! and all runs on replicas.
 
 use linenthread_stand_ins::scenarios;
 
 const EXE: &str = env!("CARGO_BIN_EXE_linenthread");
 
-fn play(name: &str) {
-    let (_, script) = scenarios::ALL.iter().find(|(n, _)| *n == name).unwrap();
-    let mut rig = script(EXE, 1);
+fn run_scenario(name: &str) {
+    let (_, scenario) = scenarios::ALL.iter().find(|(n, _)| *n == name).unwrap();
+    let mut rig = scenario(EXE, 1);
     let breaches = rig.judge();
     assert!(
         breaches.is_empty(),
@@ -20,62 +20,62 @@
 }
 
 #[test]
-fn near_while_safe() {
-    play("near");
+fn requests_stay_in_their_zone_while_it_is_healthy() {
+    run_scenario("near");
 }
 
 #[test]
-fn who_leads_is_killed() {
-    play("leader-killed");
+fn the_leader_is_killed() {
+    run_scenario("leader-killed");
 }
 
 #[test]
-fn who_leads_is_stopped_and_woken() {
-    play("leader-stopped");
+fn the_leader_is_stopped_and_resumed() {
+    run_scenario("leader-stopped");
 }
 
 #[test]
-fn a_zone_is_lost_and_comes_back() {
-    play("zone-lost");
+fn a_zone_is_lost_and_recovers() {
+    run_scenario("zone-lost");
 }
 
 #[test]
-fn a_pair_of_zones_is_cut() {
-    play("pair-cut");
+fn two_zones_are_partitioned_from_each_other() {
+    run_scenario("pair-cut");
 }
 
 #[test]
 fn a_voter_loses_its_disk() {
-    play("disk-lost");
+    run_scenario("disk-lost");
 }
 
 #[test]
 fn a_voters_disk_is_full() {
-    play("disk-full");
+    run_scenario("disk-full");
 }
 
 #[test]
-fn a_minority_moves_nothing_and_serves() {
-    play("minority");
+fn a_minority_keeps_its_routes_and_serves() {
+    run_scenario("minority");
 }
 
 #[test]
-fn all_are_restarted_one_by_one() {
-    play("rolling");
+fn a_rolling_restart() {
+    run_scenario("rolling");
 }
 
 #[test]
-fn an_operator_has_a_zone_left_and_taken_back() {
-    play("orders");
+fn an_operator_drains_and_restores_a_zone() {
+    run_scenario("orders");
 }
 
 #[test]
-fn slow_and_lossy_ways_move_nothing() {
-    play("slow-and-lossy");
+fn slow_and_lossy_paths_change_no_route() {
+    run_scenario("slow-and-lossy");
 }
 
 #[test]
-fn a_first_try_shows_a_zone_killed_and_traffic_whole_again() {
+fn the_demo_shows_the_loss_and_recovery_of_a_zone() {
     let output = std::process::Command::new(EXE)
         .args(["try", "--zones", "3"])
         .output()
