--- a/crates/linenthread-drill/src/commands/link_bytes.rs
+++ b/crates/linenthread-drill/src/commands/link_bytes.rs
@@ -4,7 +4,7 @@
 use std::process::ExitCode;
 
 use bpaf::{Parser, construct, long};
-use linenthread_stand_ins::sites::cut_everywhere;
+use linenthread_stand_ins::sites::disconnect_everywhere;
 
 use super::{arguments, outcome};
 
@@ -37,18 +37,18 @@
 
 pub(super) fn run(options: &Options) -> ExitCode {
     let program = arguments::program_path(options.program.as_ref());
-    let verdict = cut_everywhere(
+    let verdict = disconnect_everywhere(
         &program,
         options.session_timeout_ms,
         options.step,
         options.at_once,
     );
-    for breach in &verdict.breaches {
+    for breach in &verdict.violations {
         println!("breach: {breach}");
     }
     println!(
         "{} answered, {} nacked, {} aborted",
-        verdict.answered, verdict.nacked, verdict.aborted
+        verdict.succeeded, verdict.rejected, verdict.failed
     );
-    outcome::close(verdict.checked, verdict.breaches.len())
+    outcome::close(verdict.checked, verdict.violations.len())
 }
--- a/crates/linenthread-drill/src/commands/processes.rs
+++ b/crates/linenthread-drill/src/commands/processes.rs
@@ -73,13 +73,13 @@
     for (name, script) in chosen {
         for seed in (options.seed..).take(options.rounds) {
             let mut rig = script(program, seed);
-            let breaches = rig.judge();
+            let breaches = rig.check();
             for breach in breaches.iter().take(MAX_PRINTED_BREACHES_OF_SCENARIO) {
                 println!("breach: {name}, seed {seed}: {breach}");
             }
-            checked += rig.told().len();
+            checked += rig.outcomes().len();
             all += breaches.len();
-            println!("{name}, seed {seed}: {} lookups", rig.told().len());
+            println!("{name}, seed {seed}: {} lookups", rig.outcomes().len());
         }
     }
     if checked == 0 {
--- a/crates/linenthread-drill/src/link_speed.rs
+++ b/crates/linenthread-drill/src/link_speed.rs
@@ -5,8 +5,8 @@
 use std::thread::{scope, sleep};
 use std::time::{Duration, Instant};
 
-use linenthread_stand_ins::proxy::Way;
-use linenthread_stand_ins::sites::{Sites, Terms, Told, Verdict, asked_through};
+use linenthread_stand_ins::proxy::Direction;
+use linenthread_stand_ins::sites::{QueryResult, Sites, SitesConfig, Verdict, query_during_fault};
 use linenthread_stand_ins::{Client, request_with};
 use serde_json::Value;
 
@@ -18,11 +18,11 @@
 const QUERY_INTERVAL: Duration = Duration::from_millis(10);
 
 /// The default settings, but for a session time-out longer than any cut, and slow replicas.
-const SLOW_REPLICAS: Terms = Terms {
-    keep: 15_000,
-    hold: 250,
-    after: Duration::from_millis(40),
-    second: false,
+const SLOW_REPLICAS: SitesConfig = SitesConfig {
+    session_timeout_ms: 15_000,
+    down_delay_ms: 250,
+    service_time: Duration::from_millis(40),
+    second_gateway: false,
 };
 
 /// A quantile of the times, which are sorted for that.
@@ -33,14 +33,14 @@
 
 /// Makes a query; the status of its answer, if one arrives.
 fn query(client: &mut Client, index: &str, id: &str) -> Option<u16> {
-    client.ask(index, id, &[1]);
-    client.answer().map(|(status, ..)| status)
+    client.query(index, id, &[1]);
+    client.response().map(|(status, ..)| status)
 }
 
 /// Measures the latency of queries made in turn at the gateway's own ingress and across the link.
 fn measure_latency(sites: &Sites) {
     let mut times = [Vec::new(), Vec::new()];
-    let mut clients = [&sites.far, &sites.near].map(linenthread_stand_ins::Service::connect);
+    let mut clients = [&sites.gateway, &sites.local].map(linenthread_stand_ins::Service::connect);
     for n in 0..ALTERNATING_QUERIES {
         for (which, client) in clients.iter_mut().enumerate() {
             let begin = Instant::now();
@@ -118,12 +118,12 @@
 }
 
 /// How long after the link was restored the first query was made that succeeded, in milliseconds; -1 for none.
-fn recovery_ms(results: &[Told], restored: Duration) -> i64 {
+fn recovery_ms(results: &[QueryResult], restored: Duration) -> i64 {
     let answered = results
         .iter()
-        .filter(|t| t.status == Some(200) && t.due >= restored);
+        .filter(|t| t.status == Some(200) && t.scheduled_at >= restored);
     answered
-        .map(|t| (t.due - restored).as_millis() as i64)
+        .map(|t| (t.scheduled_at - restored).as_millis() as i64)
         .min()
         .unwrap_or(-1)
 }
@@ -132,10 +132,10 @@
 fn report(what: &str, verdict: &Verdict, recovery_ms: i64) -> (usize, usize) {
     let Verdict {
         checked,
-        answered,
-        nacked,
-        aborted,
-        breaches,
+        succeeded: answered,
+        rejected: nacked,
+        failed: aborted,
+        violations: breaches,
     } = verdict;
     println!(
         "{what}: {checked} asked, {answered} answered, {nacked} nacked, {aborted} aborted, {} lost; whole again after {recovery_ms} ms",
@@ -154,12 +154,12 @@
     let lasting = before + length + Duration::from_secs(3);
     let tag = format!("{what}{}", length.as_millis()).replace(' ', "-");
     let (verdict, results) =
-        asked_through(sites, &tag, &["order"], QUERY_INTERVAL, lasting, |sites| {
+        query_during_fault(sites, &tag, &["order"], QUERY_INTERVAL, lasting, |sites| {
             sleep(before);
-            sites.proxy.lead_to(None);
-            sites.proxy.cut();
+            sites.proxy.set_upstream(None);
+            sites.proxy.disconnect();
             sleep(length);
-            sites.proxy.lead_to(Some(sites.links));
+            sites.proxy.set_upstream(Some(sites.link_address));
         });
     report(
         &format!("{what}, cut for {} ms", length.as_millis()),
@@ -172,13 +172,13 @@
 fn measure_gateway_failure(exe: &str) -> (usize, usize) {
     let mut sites = Sites::start(
         exe,
-        Terms {
-            second: true,
+        SitesConfig {
+            second_gateway: true,
             ..SLOW_REPLICAS
         },
     );
     let before = Duration::from_millis(1_000);
-    let (verdict, results) = asked_through(
+    let (verdict, results) = query_during_fault(
         &mut sites,
         "two",
         &["order"],
@@ -186,11 +186,11 @@
         4 * before,
         |sites| {
             sleep(before);
-            sites.far.signal("-KILL");
+            sites.gateway.signal("-KILL");
         },
     );
-    let (early, late): (Vec<_>, Vec<_>) = results.iter().partition(|t| t.due < before);
-    let share = |of: &[&Told]| {
+    let (early, late): (Vec<_>, Vec<_>) = results.iter().partition(|t| t.scheduled_at < before);
+    let share = |of: &[&QueryResult]| {
         of.iter().filter(|t| t.status == Some(200)).count() as f64 / of.len().max(1) as f64
     };
     println!(
@@ -210,14 +210,14 @@
 fn measure_link_choice(exe: &str) -> (usize, usize) {
     let mut sites = Sites::start(
         exe,
-        Terms {
-            after: Duration::ZERO,
-            second: true,
+        SitesConfig {
+            service_time: Duration::ZERO,
+            second_gateway: true,
             ..SLOW_REPLICAS
         },
     );
     let (slow, each) = (Duration::from_millis(20), Duration::from_secs(2));
-    let (verdict, results) = asked_through(
+    let (verdict, results) = query_during_fault(
         &mut sites,
         "best",
         &["find"],
@@ -225,13 +225,13 @@
         3 * each,
         |sites| {
             sleep(each);
-            sites.proxy.slow_by(slow);
+            sites.proxy.set_delay(slow);
             sleep(each);
-            sites.proxy.slow_by(Duration::ZERO);
+            sites.proxy.set_delay(Duration::ZERO);
             sites
                 .second
                 .iter()
-                .for_each(|second| second.proxy.slow_by(slow));
+                .for_each(|second| second.proxy.set_delay(slow));
             sleep(each);
         },
     );
@@ -243,19 +243,21 @@
     .into_iter()
     .enumerate()
     {
-        let in_phase = |t: &&Told| t.due >= each * n as u32 && t.due < each * (n as u32 + 1);
+        let in_phase = |t: &&QueryResult| {
+            t.scheduled_at >= each * n as u32 && t.scheduled_at < each * (n as u32 + 1)
+        };
         let all = results.iter().filter(in_phase).count();
         let quick = results
             .iter()
             .filter(in_phase)
-            .filter(|t| t.status == Some(200) && t.took < slow / 2)
+            .filter(|t| t.status == Some(200) && t.latency < slow / 2)
             .count();
         println!(
             "two links, {what}: {:.1}% of {all} lookups within 10 ms",
             100.0 * quick as f64 / all.max(1) as f64
         );
     }
-    (verdict.checked, verdict.breaches.len())
+    (verdict.checked, verdict.violations.len())
 }
 
 /// The resident memory of a process in megabytes.
@@ -271,18 +273,18 @@
 fn measure_stalled_link(exe: &str) {
     let sites = Sites::start(
         exe,
-        Terms {
-            after: Duration::ZERO,
+        SitesConfig {
+            service_time: Duration::ZERO,
             ..SLOW_REPLICAS
         },
     );
-    let near = sites.near.child.id();
+    let near = sites.local.child.id();
     let before = resident_megabytes(near);
-    sites.proxy.silence(Way::There, true);
+    sites.proxy.silence(Direction::ToUpstream, true);
     let (max, over) = (std::sync::Mutex::new(0.0_f64), AtomicBool::new(false));
     scope(|threads| {
         for one in 0..100 {
-            let (over, address) = (&over, sites.near.address);
+            let (over, address) = (&over, sites.local.address);
             threads.spawn(move || {
                 let text = "x".repeat(50_000);
                 let mut n = 0;
@@ -296,7 +298,7 @@
                         &text,
                         &Value::Null,
                     ));
-                    client.answer();
+                    client.response();
                 }
             });
         }
@@ -317,24 +319,24 @@
 pub(crate) fn run(exe: &str) -> (usize, usize) {
     let sites = Sites::start(
         exe,
-        Terms {
-            after: Duration::ZERO,
+        SitesConfig {
+            service_time: Duration::ZERO,
             ..SLOW_REPLICAS
         },
     );
     measure_latency(&sites);
-    let (near, far) = (sites.near.child.id(), sites.far.child.id());
+    let (near, far) = (sites.local.child.id(), sites.gateway.child.id());
     for in_flight in [1, 10, 100, 1_000] {
-        measure_throughput(sites.far.address, in_flight, &[far], "direct");
-        measure_throughput(sites.near.address, in_flight, &[near, far], "across");
+        measure_throughput(sites.gateway.address, in_flight, &[far], "direct");
+        measure_throughput(sites.local.address, in_flight, &[near, far], "across");
     }
     measure_stalled_link(exe);
     let (mut checked, mut breaches) = (0, 0);
     for (keep, what) in [(15_000, "resumed"), (10, "not resumed")] {
         let mut sites = Sites::start(
             exe,
-            Terms {
-                keep,
+            SitesConfig {
+                session_timeout_ms: keep,
                 ..SLOW_REPLICAS
             },
         );
--- a/crates/linenthread-drill/src/merged/simulation.rs
+++ b/crates/linenthread-drill/src/merged/simulation.rs
@@ -7,8 +7,8 @@
 use linenthread_merge::{
     Acceptance, Aggregation, CursorSigner, MergeQuery, Merger, PageRequest, Plan, QueriedShard,
 };
-use linenthread_stand_ins::checker::{self, Reading};
-use linenthread_stand_ins::ledger::{Donation, Ledger};
+use linenthread_stand_ins::checker::{self, PagedRead};
+use linenthread_stand_ins::row_store::{Donation, RowStore};
 use oorandom::Rand64;
 use serde_json::Value;
 
@@ -54,12 +54,12 @@
 
 /// A client that reads on, page by page.
 struct Client {
-    ledger: Ledger,
+    ledger: RowStore,
     /// The queried shards with their weights.
     shards: Vec<(usize, f64)>,
     /// The index that it reads.
     plan: usize,
-    reading: Reading,
+    reading: PagedRead,
     /// Rows added since the first page.
     added: Vec<Donation>,
     cursor: Option<String>,
@@ -110,10 +110,10 @@
     ) -> Simulation<'p> {
         let secret = b"a secret of the drill".to_vec();
         let mut client = || Client {
-            ledger: Ledger::new(rng, SHARDS, MAX_SHARD_ROWS),
+            ledger: RowStore::new(rng, SHARDS, MAX_SHARD_ROWS),
             shards: Vec::new(),
             plan: ROWS,
-            reading: Reading::new(&[]),
+            reading: PagedRead::new(&[]),
             added: Vec::new(),
             cursor: None,
             max_rows: 4,
@@ -360,7 +360,10 @@
         client.cursor = response["next"].as_str().map(str::to_owned);
         let has_ended = client.plan == ROWS && client.cursor.is_none();
         let ended = if has_ended {
-            client.reading.ends(&client.ledger, &client.added)
+            client
+                .reading
+                .check_end(&client.ledger, &client.added)
+                .map_err(|error| error.to_string())
         } else {
             Ok(())
         };
@@ -412,11 +415,11 @@
         self.shards = shards.into_iter().zip(shares).collect();
         // Rows are read as often as the others together.
         self.plan = [ROWS, ROWS, TOTALS, GROUPS][draw_below(rng, 4)];
-        self.reading = Reading::new(&self.shards);
+        self.reading = PagedRead::new(&self.shards);
         self.added.clear();
         self.max_rows = 1 + draw_below(rng, 8);
         if draw_below(rng, 20) == 0 {
-            self.ledger = Ledger::new(rng, SHARDS, MAX_SHARD_ROWS);
+            self.ledger = RowStore::new(rng, SHARDS, MAX_SHARD_ROWS);
         }
     }
 
@@ -430,7 +433,7 @@
     /// A replica's response to a sub-request.
     fn respond(&self, sub_request: usize, text: &str) -> String {
         let (shard, _) = self.shards[sub_request];
-        self.ledger.answer(shard, text, self.max_rows)
+        self.ledger.respond(shard, text, self.max_rows)
     }
 
     /// Checks a response against the full data.
@@ -442,9 +445,10 @@
             ..
         } = self;
         match self.plan {
-            ROWS => reading.page(ledger, shards, floor, page_size, response),
-            TOTALS => checker::totals(ledger, shards, floor, response),
-            _ => checker::groups(ledger, shards, floor, MAX_GROUPS, response),
+            ROWS => reading.check_page(ledger, shards, floor, page_size, response),
+            TOTALS => checker::check_totals(ledger, shards, floor, response),
+            _ => checker::check_groups(ledger, shards, floor, MAX_GROUPS, response),
         }
+        .map_err(|error| error.to_string())
     }
 }
--- a/crates/linenthread-service/src/demo.rs
+++ b/crates/linenthread-service/src/demo.rs
@@ -7,9 +7,12 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use linenthread_stand_ins::ledger::{Hosts, How, INSTALLATION, Ledger};
-use linenthread_stand_ins::rig::{Plan, Rig};
-use linenthread_stand_ins::{Class, Client, Part, Roster, config_of, entry, list};
+use linenthread_stand_ins::rig::{Rig, RigConfig};
+use linenthread_stand_ins::row_store::{INSTALLATION, RowStore};
+use linenthread_stand_ins::{
+    Behavior, Class, Client, RowReplicas, ServiceDiscovery, SubRequest, config_of, member,
+    membership,
+};
 use oorandom::Rand64;
 use serde_json::{Value, json};
 use snafu::{ResultExt, Snafu};
@@ -97,8 +100,13 @@
         } else {
             Value::Null
         };
-        let (status, answer) =
-            Client::connect(address).merged(index, &format!("try-{n}"), &shards, index, &page);
+        let (status, answer) = Client::connect(address).query_merged(
+            index,
+            &format!("try-{n}"),
+            &shards,
+            index,
+            &page,
+        );
         mark = answer["next"].clone();
         good &= status == 200;
         println!("# {title}\n{status} {answer:#}\n");
@@ -157,27 +165,27 @@
 
 /// Starts stub replicas and gives the endpoint list that names them.
 fn start_replicas(seed: u64) -> String {
-    let response = |part: &Part| match (part.shard, part.text.as_str()) {
-        (LATE_SHARD, "pledges") => (LATE_DELAY, How::Answer),
-        _ => (Duration::from_millis(5), How::Answer),
+    let response = |part: &SubRequest| match (part.shard, part.text.as_str()) {
+        (LATE_SHARD, "pledges") => (LATE_DELAY, Behavior::Respond),
+        _ => (Duration::from_millis(5), Behavior::Respond),
     };
-    let ledger = Ledger::new(&mut Rand64::new(u128::from(seed)), SHARDS, 9);
-    let hosts = Hosts::start(REPLICA_GROUPS, ledger, 50, response);
+    let ledger = RowStore::new(&mut Rand64::new(u128::from(seed)), SHARDS, 9);
+    let hosts = RowReplicas::start(REPLICA_GROUPS, ledger, 50, response);
     let addresses = hosts.addresses.iter().enumerate();
-    let entries = addresses.map(|(replica, address)| entry(replica, *address, "active"));
-    list(1, true, entries.collect())
+    let entries = addresses.map(|(replica, address)| member(replica, *address, "active"));
+    membership(1, true, entries.collect())
 }
 
 /// Starts stub service discovery for an endpoint list and gives a configuration that uses it.
 fn configuration(endpoints: &str) -> Value {
     let class = |name| Class {
         name,
-        once_only: false,
-        soft_ms: 1_000,
+        non_idempotent: false,
+        soft_deadline_ms: 1_000,
         floor: 0.5,
     };
     let classes = ["history", "pledges", "charities"].map(class);
-    let discovery = Roster::start(endpoints.to_owned());
+    let discovery = ServiceDiscovery::start(endpoints.to_owned());
     let config = config_of(
         discovery.address,
         endpoints,
@@ -206,7 +214,7 @@
         "<peers><peer name=\"messina\" address=\"{address}\" secret=\"link.key\"/></peers></installation>"
     );
     let with_peer = INSTALLATION.replace("</installation>", &peers);
-    let without_replicas = configuration(&list(1, true, Vec::new()));
+    let without_replicas = configuration(&membership(1, true, Vec::new()));
     Ok(vec![
         prepare(&without_replicas, &with_peer, seed)?,
         prepare(&with_replicas, &gateway, seed)?,
@@ -283,7 +291,7 @@
 
 /// Parts by zone of clients and zone of replicas since some moment.
 fn print_flows(rig: &Rig, names: &[&str], since: usize) {
-    let (flows, _) = rig.flows(since);
+    let (flows, _) = rig.traffic(since);
     for (from, name) in names.iter().enumerate() {
         let to: Vec<String> = names
             .iter()
@@ -317,29 +325,29 @@
 /// Three zones, each of a co-ordinator and two replicas, with a common routing table: one is killed and comes back.
 /// Gives whether all rules were kept.
 fn show_zones(exe: &str, seed: u64) -> bool {
-    let plan = Plan {
+    let plan = RigConfig {
         seed,
-        ..Plan::default()
+        ..RigConfig::default()
     };
     let names: Vec<&str> = plan.zones.iter().map(|(name, _)| *name).collect();
     println!(
         "Three co-ordinators in {} found a fleet and a record.",
         names.join(", ")
     );
-    let mut rig = Rig::started(exe, plan);
-    rig.ask_all_along(25);
-    rig.whole_again(&[0, 1, 2], 20);
-    let since = rig.ran();
-    rig.whole_again(&[0, 1, 2], 40);
+    let mut rig = Rig::start_all(exe, plan);
+    rig.start_clients(25);
+    rig.wait_until_serving(&[0, 1, 2], 20);
+    let since = rig.executed();
+    rig.wait_until_serving(&[0, 1, 2], 40);
     println!("All act on one table; parts stay in the zones that hold their shards:");
     print_flows(&rig, &names, since);
     let lost = 2;
     lose_zone(&mut rig, &names, lost);
     restore_zone(&mut rig, &names, lost);
-    let breaches = rig.judge();
+    let breaches = rig.check();
     println!(
         "{} lookups, {} breaches of the rules.",
-        rig.told().len(),
+        rig.outcomes().len(),
         breaches.len()
     );
     breaches.is_empty()
@@ -347,50 +355,50 @@
 
 /// Kills a zone and waits until the others act on a table without it.
 fn lose_zone(rig: &mut Rig, names: &[&str], lost: usize) {
-    let from = [rig.said(0), rig.said(1)];
+    let from = [rig.log_position(0), rig.log_position(1)];
     println!(
         "\n{} is killed, its co-ordinator and its replicas.",
         names[lost]
     );
     let began = Instant::now();
     for node in rig.zone(lost) {
-        rig.net.down(node, true);
+        rig.network.set_down(node, true);
         if node < rig.count() {
             rig.kill(node, false);
         }
     }
     for n in [0, 1] {
-        rig.acts(n, from[n], (n, lost), |share, _| share == 0);
+        rig.wait_for_route(n, from[n], (n, lost), |share, _| share == 0);
     }
     println!(
         "After {:.1} s all others act on a table without it:",
         began.elapsed().as_secs_f64()
     );
-    let since = rig.ran();
-    rig.whole_again(&[0, 1], 30);
+    let since = rig.executed();
+    rig.wait_until_serving(&[0, 1], 30);
     print_flows(rig, names, since);
     println!("Service is whole again in {} and {}.\n", names[0], names[1]);
 }
 
 /// Starts a zone again and waits until all keys are routed to it.
 fn restore_zone(rig: &mut Rig, names: &[&str], lost: usize) {
-    let from = rig.said(0);
+    let from = rig.log_position(0);
     println!("{} is started again.", names[lost]);
     let began = Instant::now();
     for node in rig.zone(lost) {
-        rig.net.down(node, false);
+        rig.network.set_down(node, false);
         if node < rig.count() {
             rig.start(node);
         }
     }
-    rig.acts(0, from, (0, lost), |share, reason| {
+    rig.wait_for_route(0, from, (0, lost), |share, reason| {
         share == 1_000 && reason == "Healthy"
     });
     println!(
         "After {:.1} s it was taken back, step by step.",
         began.elapsed().as_secs_f64()
     );
-    rig.whole_again(&[0, 1, 2], 20);
+    rig.wait_until_serving(&[0, 1, 2], 20);
 }
 
 /// Waits until there are replicas to ask: a link takes a moment to come up.
@@ -398,7 +406,7 @@
     let ask = |n: usize| {
         let id = format!("try-first-{n}");
         Client::connect(address)
-            .merged("charities", &id, &[0], "charities", &Value::Null)
+            .query_merged("charities", &id, &[0], "charities", &Value::Null)
             .0
             == 200
     };
--- a/crates/linenthread-service/tests/merged.rs
+++ b/crates/linenthread-service/tests/merged.rs
@@ -2,9 +2,12 @@
 
 use std::time::Duration;
 
-use linenthread_stand_ins::checker::{self, Reading};
-use linenthread_stand_ins::ledger::{Hosts, How, INSTALLATION, Ledger};
-use linenthread_stand_ins::{Class, Part, Roster, Service, config_of, entry, list};
+use linenthread_stand_ins::checker::{self, PagedRead};
+use linenthread_stand_ins::row_store::{INSTALLATION, RowStore};
+use linenthread_stand_ins::{
+    Behavior, Class, RowReplicas, Service, ServiceDiscovery, SubRequest, config_of, member,
+    membership,
+};
 use oorandom::Rand64;
 use serde_json::{Value, json};
 
@@ -16,17 +19,17 @@
 const FLOOR: f64 = 0.5;
 
 struct Rig {
-    hosts: Hosts,
+    hosts: RowReplicas,
     service: Service,
     known: String,
-    roster: Roster,
+    roster: ServiceDiscovery,
 }
 
-fn configuration(roster: &Roster, known: &str, soft_ms: u64) -> Value {
+fn configuration(roster: &ServiceDiscovery, known: &str, soft_ms: u64) -> Value {
     let class = |name, floor| Class {
         name,
-        once_only: false,
-        soft_ms,
+        non_idempotent: false,
+        soft_deadline_ms: soft_ms,
         floor,
     };
     let classes = [
@@ -35,8 +38,8 @@
         class("charities", FLOOR),
         Class {
             name: "order",
-            once_only: true,
-            soft_ms,
+            non_idempotent: true,
+            soft_deadline_ms: soft_ms,
             floor: 1.0,
         },
     ];
@@ -45,10 +48,10 @@
 
 /// Three replicas over one ledger, each shard on two of them.
 fn start(
-    ledger: Ledger,
+    ledger: RowStore,
     most_rows: usize,
     installation: &str,
-    cue: impl FnMut(&Part) -> (Duration, How) + Send + 'static,
+    cue: impl FnMut(&SubRequest) -> (Duration, Behavior) + Send + 'static,
 ) -> Rig {
     start_with(SOFT_MS, ledger, most_rows, installation, cue)
 }
@@ -56,19 +59,19 @@
 /// As [`start`], with another soft deadline.
 fn start_with(
     soft_ms: u64,
-    ledger: Ledger,
+    ledger: RowStore,
     most_rows: usize,
     installation: &str,
-    cue: impl FnMut(&Part) -> (Duration, How) + Send + 'static,
+    cue: impl FnMut(&SubRequest) -> (Duration, Behavior) + Send + 'static,
 ) -> Rig {
-    let hosts = Hosts::start(3, ledger, most_rows, cue);
+    let hosts = RowReplicas::start(3, ledger, most_rows, cue);
     let entries = hosts
         .addresses
         .iter()
         .enumerate()
-        .map(|(i, a)| entry(i, *a, "active"));
-    let known = list(1, true, entries.collect());
-    let roster = Roster::start(known.clone());
+        .map(|(i, a)| member(i, *a, "active"));
+    let known = membership(1, true, entries.collect());
+    let roster = ServiceDiscovery::start(known.clone());
     let folder = tempfile::tempdir().unwrap();
     std::fs::write(folder.path().join("marks.key"), "a secret of some length\n").unwrap();
     std::fs::write(folder.path().join("installation.xml"), installation).unwrap();
@@ -94,22 +97,22 @@
         .collect()
 }
 
-fn now(_: &Part) -> (Duration, How) {
-    (Duration::ZERO, How::Answer)
+fn now(_: &SubRequest) -> (Duration, Behavior) {
+    (Duration::ZERO, Behavior::Respond)
 }
 
 /// A fault, or a response after a random delay, which seldom exceeds the time that a query waits.
-fn faulty(mut chance: Rand64) -> impl FnMut(&Part) -> (Duration, How) + Send {
+fn faulty(mut chance: Rand64) -> impl FnMut(&SubRequest) -> (Duration, Behavior) + Send {
     move |_| {
         let how = match chance.rand_range(0..100) {
-            0..2 => How::TwoAnswers,
-            2..5 => How::Unreadable,
-            5..6 => How::Spoilt,
-            6..9 => How::Errored,
-            9..11 => How::Full,
-            11..12 => How::Cut,
-            12..14 => How::Silent,
-            _ => How::Answer,
+            0..2 => Behavior::RespondTwice,
+            2..5 => Behavior::UnreadableValue,
+            5..6 => Behavior::MalformedFrame,
+            6..9 => Behavior::Fault,
+            9..11 => Behavior::Overload,
+            11..12 => Behavior::Disconnect,
+            12..14 => Behavior::NoResponse,
+            _ => Behavior::Respond,
         };
         (Duration::from_micros(chance.rand_range(0..8_000)), how)
     }
@@ -119,7 +122,7 @@
 /// Rejected and abandoned queries have no response; every response is checked.
 fn read_on(seed: u128, lookups: usize) -> (usize, usize) {
     let mut chance = Rand64::new(seed);
-    let ledger = Ledger::new(&mut chance, SHARDS, 14);
+    let ledger = RowStore::new(&mut chance, SHARDS, 14);
     let rig = start(ledger, 4, INSTALLATION, faulty(Rand64::new(seed + 1)));
     let (mut answered, mut partial, mut asked) = (0, 0, 0);
     while asked < lookups {
@@ -130,7 +133,7 @@
             shards.push(0);
         }
         let with = weights(&shards);
-        let mut reading = Reading::new(&with);
+        let mut reading = PagedRead::new(&with);
         let (mut added, mut mark) = (Vec::new(), Value::Null);
         let index =
             ["history", "history", "pledges", "charities"][chance.rand_range(0..4) as usize];
@@ -146,8 +149,8 @@
             let (status, answer) = rig
                 .service
                 .connect()
-                .merged(index, &id, &shards, index, &page);
-            let ledger = rig.hosts.ledger.lock().unwrap().clone();
+                .query_merged(index, &id, &shards, index, &page);
+            let ledger = rig.hosts.store.lock().unwrap().clone();
             if status != 200 {
                 assert!(
                     [502, 503].contains(&status),
@@ -158,23 +161,23 @@
             answered += 1;
             partial += usize::from(answer["finished"] == json!(false));
             let judged = match index {
-                "history" => reading.page(&ledger, &with, FLOOR, limit, &answer),
-                "pledges" => checker::totals(&ledger, &with, FLOOR, &answer),
-                _ => checker::groups(&ledger, &with, FLOOR, 3, &answer),
+                "history" => reading.check_page(&ledger, &with, FLOOR, limit, &answer),
+                "pledges" => checker::check_totals(&ledger, &with, FLOOR, &answer),
+                _ => checker::check_groups(&ledger, &with, FLOOR, 3, &answer),
             };
             judged.unwrap_or_else(|why| {
                 panic!("seed {seed}, lookup {asked}, {index}: {why}\n{answer}")
             });
             mark = answer["next"].clone();
             if index == "history" && mark.is_null() {
-                reading.ends(&ledger, &added).unwrap();
+                reading.check_end(&ledger, &added).unwrap();
             }
             if mark.is_null() || asked >= lookups {
                 break;
             }
             if chance.rand_range(0..2) == 0 {
                 let slice = shards[chance.rand_range(0..shards.len() as u64) as usize];
-                added.push(rig.hosts.ledger.lock().unwrap().add(&mut chance, slice));
+                added.push(rig.hosts.store.lock().unwrap().add(&mut chance, slice));
             }
         }
     }
@@ -198,10 +201,10 @@
 
 #[test]
 fn a_cursor_is_valid_at_another_process_and_for_its_own_query_only() {
-    let ledger = Ledger::new(&mut Rand64::new(3), SHARDS, 9);
+    let ledger = RowStore::new(&mut Rand64::new(3), SHARDS, 9);
     let rig = start(ledger, 50, INSTALLATION, now);
     let ask = |shards: &[usize], id: &str, text: &str, mark: &str| {
-        rig.service.connect().merged(
+        rig.service.connect().query_merged(
             "history",
             id,
             shards,
@@ -214,7 +217,7 @@
     let (status, first) = rig
         .service
         .connect()
-        .merged("history", "p1", &shards, "all", &page);
+        .query_merged("history", "p1", &shards, "all", &page);
     assert_eq!(status, 200);
     let mark = first["next"].as_str().unwrap().to_owned();
     // Another process with the same secret serves page two from the cursor alone.
@@ -232,15 +235,15 @@
     let next = json!({"rows": 3, "after": mark});
     let (status, second) = other
         .connect()
-        .merged("history", "p2", &shards, "all", &next);
-    let ledger = rig.hosts.ledger.lock().unwrap().clone();
-    let mut reading = Reading::new(&weights(&shards));
+        .query_merged("history", "p2", &shards, "all", &next);
+    let ledger = rig.hosts.store.lock().unwrap().clone();
+    let mut reading = PagedRead::new(&weights(&shards));
     reading
-        .page(&ledger, &weights(&shards), FLOOR, 3, &first)
+        .check_page(&ledger, &weights(&shards), FLOOR, 3, &first)
         .unwrap();
     assert_eq!(status, 200);
     reading
-        .page(&ledger, &weights(&shards), FLOOR, 3, &second)
+        .check_page(&ledger, &weights(&shards), FLOOR, 3, &second)
         .unwrap();
     // Anything but that cursor for that query gets a plain 400.
     let forged = format!(
@@ -267,10 +270,13 @@
             "{n}: {status} {said}"
         );
     }
-    let (status, said) =
-        rig.service
-            .connect()
-            .merged("history", "rows", &shards, "all", &json!({"rows": 101}));
+    let (status, said) = rig.service.connect().query_merged(
+        "history",
+        "rows",
+        &shards,
+        "all",
+        &json!({"rows": 101}),
+    );
     assert!(
         status == 400 && said.to_string().contains("from 1 to 100"),
         "{said}"
@@ -278,7 +284,7 @@
     let (status, said) =
         rig.service
             .connect()
-            .merged("pledges", "t", &shards, "pledges", &json!({"rows": 1}));
+            .query_merged("pledges", "t", &shards, "pledges", &json!({"rows": 1}));
     assert!(
         status == 400 && said.to_string().contains("no pages"),
         "{said}"
@@ -288,7 +294,7 @@
 #[test]
 fn the_installation_file_is_validated_and_reloaded() {
     let rig = start(
-        Ledger::new(&mut Rand64::new(5), SHARDS, 9),
+        RowStore::new(&mut Rand64::new(5), SHARDS, 9),
         50,
         INSTALLATION,
         now,
@@ -296,7 +302,7 @@
     let merged = || {
         rig.service
             .connect()
-            .merged("pledges", &fresh(), &[0, 1], "pledges", &Value::Null)
+            .query_merged("pledges", &fresh(), &[0, 1], "pledges", &Value::Null)
             .1
     };
     assert!(merged()["totals"].is_object());
@@ -308,7 +314,7 @@
     )
     .unwrap();
     rig.service.signal("-HUP");
-    let line = rig.service.logged("installation not taken");
+    let line = rig.service.wait_for_log("installation not taken");
     assert!(
         line.contains("installation.xml:9: the settings have no index gifts"),
         "{line}"
@@ -316,7 +322,7 @@
     assert!(merged()["totals"].is_object());
     std::fs::write(&file, "<installation version=\"1\"/>").unwrap();
     rig.service.signal("-HUP");
-    rig.service.logged("installation read again");
+    rig.service.wait_for_log("installation read again");
     assert!(merged()["found"].is_array(), "answered as ever");
     // The same fault at the start is one line and exit code 2, from check and from serve.
     std::fs::write(
@@ -350,31 +356,31 @@
 
 #[test]
 fn an_invalid_shard_response_is_named_and_affects_nothing_else() {
-    let unreadable = |part: &Part| {
+    let unreadable = |part: &SubRequest| {
         let how = if part.shard == 2 {
-            How::Unreadable
+            Behavior::UnreadableValue
         } else {
-            How::Answer
+            Behavior::Respond
         };
         (Duration::ZERO, how)
     };
-    let ledger = Ledger::new(&mut Rand64::new(11), SHARDS, 9);
+    let ledger = RowStore::new(&mut Rand64::new(11), SHARDS, 9);
     let rig = start(ledger, 50, INSTALLATION, unreadable);
     let shards = [0, 1, 2, 3];
     let (status, answer) =
         rig.service
             .connect()
-            .merged("pledges", "u1", &shards, "pledges", &Value::Null);
+            .query_merged("pledges", "u1", &shards, "pledges", &Value::Null);
     assert_eq!(status, 200, "{answer}");
     assert_eq!(answer["slices"]["missing"], json!({"unreadable": [2]}));
-    let ledger = rig.hosts.ledger.lock().unwrap().clone();
-    checker::totals(&ledger, &weights(&shards), FLOOR, &answer).unwrap();
-    rig.service.logged("a part's value cannot be merged");
+    let ledger = rig.hosts.store.lock().unwrap().clone();
+    checker::check_totals(&ledger, &weights(&shards), FLOOR, &answer).unwrap();
+    rig.service.wait_for_log("a part's value cannot be merged");
     // Below the minimum share there is no result.
-    let (status, _) = rig
-        .service
-        .connect()
-        .merged("pledges", "u2", &[2], "pledges", &Value::Null);
+    let (status, _) =
+        rig.service
+            .connect()
+            .query_merged("pledges", "u2", &[2], "pledges", &Value::Null);
     assert_eq!(status, 503);
 }
 
@@ -382,11 +388,11 @@
 fn a_once_only_index_gets_no_follow_up_requests() {
     let asked = std::sync::Arc::new(std::sync::Mutex::new(Vec::new()));
     let heard = asked.clone();
-    let count = move |part: &Part| {
+    let count = move |part: &SubRequest| {
         heard.lock().unwrap().push(part.id.clone());
-        (Duration::ZERO, How::Answer)
+        (Duration::ZERO, Behavior::Respond)
     };
-    let mut ledger = Ledger::new(&mut Rand64::new(13), SHARDS, 0);
+    let mut ledger = RowStore::new(&mut Rand64::new(13), SHARDS, 0);
     let mut chance = Rand64::new(1);
     (0..12).for_each(|n| drop(ledger.add(&mut chance, n % 2)));
     let installation = INSTALLATION.replace("index=\"history\"", "index=\"order\"");
@@ -395,15 +401,15 @@
     let (status, answer) =
         rig.service
             .connect()
-            .merged("order", "o1", &[0, 1], "all", &json!({"rows": 5}));
+            .query_merged("order", "o1", &[0, 1], "all", &json!({"rows": 5}));
     assert_eq!(status, 200, "{answer}");
     // The page ends where a shard's next row is unknown, and says so.
     assert!(
         !answer["cut"]["behind"].as_array().unwrap().is_empty(),
         "{answer}"
     );
-    Reading::new(&with)
-        .page(&ledger, &with, 1.0, 5, &answer)
+    PagedRead::new(&with)
+        .check_page(&ledger, &with, 1.0, 5, &answer)
         .unwrap();
     assert_eq!(asked.lock().unwrap().len(), 2);
     // An idempotent index with the same rows gets follow-up requests, with ids of their own, and the page is full.
@@ -412,14 +418,14 @@
     let (_, answer) =
         rig.service
             .connect()
-            .merged("history", "h1", &[0, 1], "all", &json!({"rows": 5}));
+            .query_merged("history", "h1", &[0, 1], "all", &json!({"rows": 5}));
     assert_eq!(
         (answer["rows"].as_array().unwrap().len(), &answer["cut"]),
         (5, &Value::Null),
         "{answer}"
     );
-    Reading::new(&with)
-        .page(&ledger, &with, FLOOR, 5, &answer)
+    PagedRead::new(&with)
+        .check_page(&ledger, &with, FLOOR, 5, &answer)
         .unwrap();
 }
 
--- a/crates/linenthread-service/tests/migrate.rs
+++ b/crates/linenthread-service/tests/migrate.rs
@@ -4,14 +4,16 @@
 use std::path::Path;
 use std::process::{Command, Output};
 
-use linenthread_stand_ins::{Class, Fleet, Roster, Service, config_of, entry, list};
+use linenthread_stand_ins::{
+    Class, FakeReplicas, Service, ServiceDiscovery, config_of, member, membership,
+};
 use serde_json::{Value, json};
 
 const EXE: &str = env!("CARGO_BIN_EXE_linenthread");
 const FIND: Class = Class {
     name: "find",
-    once_only: false,
-    soft_ms: 15_000,
+    non_idempotent: false,
+    soft_deadline_ms: 15_000,
     floor: 1.0,
 };
 
@@ -31,13 +33,13 @@
 }
 
 /// A ring of four replica groups of one replica each; each of six shards is in two consecutive groups.
-fn old(fleet: &Fleet) -> Value {
+fn old(fleet: &FakeReplicas) -> Value {
     let entries = fleet
         .addresses
         .iter()
         .enumerate()
-        .map(|(i, address)| entry(i, *address, "active"));
-    let known = list(1, true, entries.collect());
+        .map(|(i, address)| member(i, *address, "active"));
+    let known = membership(1, true, entries.collect());
     let mut config = config_of("127.0.0.1:9".parse().unwrap(), &known, &[FIND], 4, 6);
     for (i, member) in config["known"]["members"]
         .as_array_mut()
@@ -53,7 +55,7 @@
 
 #[test]
 fn an_old_configuration_is_migrated_and_can_be_served() {
-    let fleet = Fleet::start(4);
+    let fleet = FakeReplicas::start(4);
     let folder = tempfile::tempdir().unwrap();
     let (from, to) = (
         folder.path().join("old.json"),
@@ -125,21 +127,21 @@
         assert_eq!(fs::read(folder.path().join(taken)).unwrap(), before);
     }
     // The program sends sub-requests to the replicas of the sets alone.
-    let roster = Roster::start(new["known"].to_string());
+    let roster = ServiceDiscovery::start(new["known"].to_string());
     new["discovery"] = roster.address.to_string().into();
     let service = Service::start(EXE, &new);
-    let mut client = service.ask("find", "m1", &[0, 1]);
+    let mut client = service.query("find", "m1", &[0, 1]);
     for _ in 0..2 {
-        let part = fleet.part();
+        let part = fleet.sub_request();
         assert_eq!(part.replica / 2, part.shard % 2);
-        part.answer("v");
+        part.respond("v");
     }
     assert_eq!(client.status(), 200);
 }
 
 #[test]
 fn an_unusable_configuration_is_one_line_and_exit_code_2() {
-    let fleet = Fleet::start(4);
+    let fleet = FakeReplicas::start(4);
     let folder = tempfile::tempdir().unwrap();
     let good = old(&fleet);
     let with = |pointer: &str, value: Value| {
--- a/crates/linenthread-service/tests/processes.rs
+++ b/crates/linenthread-service/tests/processes.rs
@@ -9,14 +9,14 @@
 fn run_scenario(name: &str) {
     let (_, scenario) = scenarios::ALL.iter().find(|(n, _)| *n == name).unwrap();
     let mut rig = scenario(EXE, 1);
-    let breaches = rig.judge();
+    let breaches = rig.check();
     assert!(
         breaches.is_empty(),
         "{} breaches: {:#?}",
         breaches.len(),
         &breaches[..breaches.len().min(5)]
     );
-    assert!(rig.answered() > 40, "{} answered", rig.answered());
+    assert!(rig.succeeded() > 40, "{} answered", rig.succeeded());
 }
 
 #[test]
