--- a/crates/linenthread-stand-ins/src/scenarios.rs
+++ b/crates/linenthread-fakes/src/scenarios.rs
@@ -1,4 +1,4 @@
-//! Scripts of faults of several processes: run by the service's tests and by `linenthread-drill processes`.
+//! Scripts of faults of several processes: run by the service's tests and by `linenthread-simulation processes`.
 
 use std::ops::Range;
 use std::thread::sleep;
--- a/crates/linenthread-service/src/demo.rs
+++ b/crates/linenthread-service/src/demo.rs
@@ -7,9 +7,9 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use linenthread_stand_ins::rig::{Rig, RigConfig};
-use linenthread_stand_ins::row_store::{INSTALLATION, RowStore};
-use linenthread_stand_ins::{
+use linenthread_fakes::rig::{Rig, RigConfig};
+use linenthread_fakes::row_store::{INSTALLATION, RowStore};
+use linenthread_fakes::{
     Behavior, Class, Client, RowReplicas, ServiceDiscovery, SubRequest, config_of, member,
     membership,
 };
--- a/crates/linenthread-service/tests/link.rs
+++ b/crates/linenthread-service/tests/link.rs
@@ -3,11 +3,11 @@
 use std::thread::sleep;
 use std::time::{Duration, Instant};
 
-use linenthread_stand_ins::proxy::Direction;
-use linenthread_stand_ins::sites::{
+use linenthread_fakes::proxy::Direction;
+use linenthread_fakes::sites::{
     Sites, SitesConfig, Verdict, disconnect_everywhere, query_during_fault,
 };
-use linenthread_stand_ins::{member, membership};
+use linenthread_fakes::{member, membership};
 use oorandom::Rand64;
 
 const EXE: &str = env!("CARGO_BIN_EXE_linenthread");
--- a/crates/linenthread-service/tests/merged.rs
+++ b/crates/linenthread-service/tests/merged.rs
@@ -2,9 +2,9 @@
 
 use std::time::Duration;
 
-use linenthread_stand_ins::checker::{self, PagedRead};
-use linenthread_stand_ins::row_store::{INSTALLATION, RowStore};
-use linenthread_stand_ins::{
+use linenthread_fakes::checker::{self, PagedRead};
+use linenthread_fakes::row_store::{INSTALLATION, RowStore};
+use linenthread_fakes::{
     Behavior, Class, RowReplicas, Service, ServiceDiscovery, SubRequest, config_of, member,
     membership,
 };
--- a/crates/linenthread-service/tests/migrate.rs
+++ b/crates/linenthread-service/tests/migrate.rs
@@ -4,7 +4,7 @@
 use std::path::Path;
 use std::process::{Command, Output};
 
-use linenthread_stand_ins::{
+use linenthread_fakes::{
     Class, FakeReplicas, Service, ServiceDiscovery, config_of, member, membership,
 };
 use serde_json::{Value, json};
--- a/crates/linenthread-service/tests/processes.rs
+++ b/crates/linenthread-service/tests/processes.rs
@@ -1,8 +1,8 @@
 //! Several processes of the program and faults between them: membership, the replicated log, and zones that all leave
-//! and take back together. The scenarios are in `linenthread-stand-ins`, whose checker reads all responses to clients
+//! and take back together. The scenarios are in `linenthread-fakes`, whose checker reads all responses to clients
 //! and all runs on replicas.
 
-use linenthread_stand_ins::scenarios;
+use linenthread_fakes::scenarios;
 
 const EXE: &str = env!("CARGO_BIN_EXE_linenthread");
 
--- a/crates/linenthread-service/tests/service.rs
+++ b/crates/linenthread-service/tests/service.rs
@@ -5,7 +5,7 @@
 use std::process::Command;
 use std::sync::atomic::Ordering;
 
-use linenthread_stand_ins::{
+use linenthread_fakes::{
     FakeReplicas, Service, ServiceDiscovery, config, member, membership, program, request,
 };
 use serde_json::Value;
@@ -229,7 +229,7 @@
     let parts: Vec<_> = (0..9).map(|_| fleet.sub_request()).collect();
     let from: BTreeSet<_> = parts
         .iter()
-        .map(linenthread_stand_ins::SubRequest::peer_address)
+        .map(linenthread_fakes::SubRequest::peer_address)
         .collect();
     assert_eq!(from.len(), 5);
     parts.iter().for_each(|part| part.respond("v"));
--- a/crates/linenthread-drill/src/closed_output.rs
+++ b/crates/linenthread-simulation/src/closed_output.rs
@@ -1,4 +1,4 @@
-//! A quiet end when whoever reads standard output, as in `linenthread-drill ... | head`, has closed it.
+//! A quiet end when whoever reads standard output, as in `linenthread-simulation ... | head`, has closed it.
 
 use std::io::{self, ErrorKind};
 use std::panic;
--- a/crates/linenthread-drill/src/commands/dataplane.rs
+++ b/crates/linenthread-simulation/src/commands/dataplane.rs
@@ -20,7 +20,7 @@
             "The traffic path in simulated time against replicas that answer twice, in part, late or not at all, \
              checked by each run at each replica and each answer at each client",
         )
-        .footer("Example: linenthread-drill dataplane --sessions 100000 --seed 7")
+        .footer("Example: linenthread-simulation dataplane --sessions 100000 --seed 7")
         .command("dataplane")
         .help("Check the data plane")
 }
--- a/crates/linenthread-drill/src/commands/failover.rs
+++ b/crates/linenthread-simulation/src/commands/failover.rs
@@ -23,7 +23,7 @@
              for the local zone, each deciding alone, and the true state; counts where it is worse than those by \
              over 0.01",
         )
-        .footer("Example: linenthread-drill failover --seeds 5 --seed 7")
+        .footer("Example: linenthread-simulation failover --seeds 5 --seed 7")
         .command("failover")
         .help("Measure failover between zones")
 }
--- a/crates/linenthread-drill/src/commands/fleet.rs
+++ b/crates/linenthread-simulation/src/commands/fleet.rs
@@ -16,7 +16,7 @@
             "Members and the agreed record of fleets in simulated time, through loss, partitions, crashes with and \
              without disk, pauses, failing disks and clocks that run apart",
         )
-        .footer("Example: linenthread-drill fleet --schedules 10000 --seed 7")
+        .footer("Example: linenthread-simulation fleet --schedules 10000 --seed 7")
         .command("fleet")
         .help("Check the fleet's members and record")
 }
--- a/crates/linenthread-drill/src/commands/link.rs
+++ b/crates/linenthread-simulation/src/commands/link.rs
@@ -18,7 +18,7 @@
         .descr(
             "Both ends of a link through random partitions, loss, slowness and restarts, checked by what truly ran",
         )
-        .footer("Example: linenthread-drill link --schedules 100000 --seed 7")
+        .footer("Example: linenthread-simulation link --schedules 100000 --seed 7")
         .command("link")
         .help("Check the link between sites")
 }
--- a/crates/linenthread-drill/src/commands/link_bytes.rs
+++ b/crates/linenthread-simulation/src/commands/link_bytes.rs
@@ -4,7 +4,7 @@
 use std::process::ExitCode;
 
 use bpaf::{Parser, construct, long};
-use linenthread_stand_ins::sites::disconnect_everywhere;
+use linenthread_fakes::sites::disconnect_everywhere;
 
 use super::{arguments, outcome};
 
@@ -30,7 +30,7 @@
             "A lookup that may run only once between two sites on loopback, the link cut after each byte, in both \
              directions",
         )
-        .footer("Example: linenthread-drill link-bytes --keep 10")
+        .footer("Example: linenthread-simulation link-bytes --keep 10")
         .command("link-bytes")
         .help("Check the link at every byte")
 }
--- a/crates/linenthread-drill/src/commands/link_speed.rs
+++ b/crates/linenthread-simulation/src/commands/link_speed.rs
@@ -20,7 +20,7 @@
         .descr(
             "What the hop adds to a lookup, parts a second over one link, and what partitions cost; some minutes",
         )
-        .footer("Example: linenthread-drill link-speed")
+        .footer("Example: linenthread-simulation link-speed")
         .command("link-speed")
         .help("Measure the link")
 }
--- a/crates/linenthread-drill/src/commands/members.rs
+++ b/crates/linenthread-simulation/src/commands/members.rs
@@ -17,7 +17,7 @@
     construct!(Options { seed })
         .to_options()
         .descr("What members cost: fleets of 10 and 100 in simulated time")
-        .footer("Example: linenthread-drill members --seed 7")
+        .footer("Example: linenthread-simulation members --seed 7")
         .command("members")
         .help("Measure the fleet's members")
 }
--- a/crates/linenthread-drill/src/commands/merged.rs
+++ b/crates/linenthread-simulation/src/commands/merged.rs
@@ -26,7 +26,7 @@
         .descr(
             "Random lookups of merged indexes over a fleet in simulated time, checked by the complete data",
         )
-        .footer("Example: linenthread-drill merged --lookups 100000 --seed 7")
+        .footer("Example: linenthread-simulation merged --lookups 100000 --seed 7")
         .command("merged")
         .help("Check merged answers")
 }
--- a/crates/linenthread-drill/src/commands/merging_speed.rs
+++ b/crates/linenthread-simulation/src/commands/merging_speed.rs
@@ -17,7 +17,7 @@
     construct!(Options { rounds })
         .to_options()
         .descr("Rows merged a second and memory used, beside collecting, sorting and cutting all")
-        .footer("Example: linenthread-drill merging-speed --rounds 9")
+        .footer("Example: linenthread-simulation merging-speed --rounds 9")
         .command("merging-speed")
         .help("Measure merging")
 }
--- a/crates/linenthread-drill/src/commands/processes.rs
+++ b/crates/linenthread-simulation/src/commands/processes.rs
@@ -4,7 +4,7 @@
 use std::process::ExitCode;
 
 use bpaf::{Parser, construct, positional};
-use linenthread_stand_ins::scenarios;
+use linenthread_fakes::scenarios;
 
 use super::{arguments, outcome};
 
@@ -42,7 +42,7 @@
         .descr(
             "Several processes of the program in zones on loopback with faults between them, checked by one checker",
         )
-        .footer("Example: linenthread-drill processes zones --rounds 20 --seed 7")
+        .footer("Example: linenthread-simulation processes zones --rounds 20 --seed 7")
         .command("processes")
         .help("Check several processes with faults between them")
 }
@@ -83,7 +83,7 @@
         }
     }
     if checked == 0 {
-        eprintln!("linenthread-drill: there is no scenario {scenario}");
+        eprintln!("linenthread-simulation: there is no scenario {scenario}");
         return ExitCode::from(USAGE_ERROR);
     }
     outcome::close(checked, all)
--- a/crates/linenthread-drill/src/commands/system.rs
+++ b/crates/linenthread-simulation/src/commands/system.rs
@@ -30,7 +30,7 @@
              without disk, replaced machines, shutdowns, partitions, pauses, slow and full disks, checked by what \
              was acknowledged",
         )
-        .footer("Example: linenthread-drill system --core 5 --schedules 10000 --seed 7")
+        .footer("Example: linenthread-simulation system --core 5 --schedules 10000 --seed 7")
         .command("system")
         .help("Check the system's control")
 }
--- a/crates/linenthread-drill/src/commands/zones.rs
+++ b/crates/linenthread-simulation/src/commands/zones.rs
@@ -15,7 +15,7 @@
         .descr(
             "What is agreed on zones: left, slow, partitioned off, drained and back, checked by their true state",
         )
-        .footer("Example: linenthread-drill zones --schedules 10000 --seed 7")
+        .footer("Example: linenthread-simulation zones --schedules 10000 --seed 7")
         .command("zones")
         .help("Check failover between zones")
 }
--- a/crates/linenthread-drill/src/link/mod.rs
+++ b/crates/linenthread-simulation/src/link/mod.rs
@@ -37,7 +37,9 @@
             if violations <= MAX_PRINTED {
                 let no_resume = if self.no_resume { " --no-resume" } else { "" };
                 println!("breach: {violation}");
-                println!("  again: linenthread-drill link --schedules 1 --seed {seed}{no_resume}");
+                println!(
+                    "  again: linenthread-simulation link --schedules 1 --seed {seed}{no_resume}"
+                );
             }
         }
         statistics.print(self.schedules);
--- a/crates/linenthread-drill/src/link_speed.rs
+++ b/crates/linenthread-simulation/src/link_speed.rs
@@ -5,9 +5,9 @@
 use std::thread::{scope, sleep};
 use std::time::{Duration, Instant};
 
-use linenthread_stand_ins::proxy::Direction;
-use linenthread_stand_ins::sites::{QueryResult, Sites, SitesConfig, Verdict, query_during_fault};
-use linenthread_stand_ins::{Client, request_with};
+use linenthread_fakes::proxy::Direction;
+use linenthread_fakes::sites::{QueryResult, Sites, SitesConfig, Verdict, query_during_fault};
+use linenthread_fakes::{Client, request_with};
 use serde_json::Value;
 
 /// Queries made one after another, directly and across the link each.
@@ -40,7 +40,7 @@
 /// Measures the latency of queries made in turn at the gateway's own ingress and across the link.
 fn measure_latency(sites: &Sites) {
     let mut times = [Vec::new(), Vec::new()];
-    let mut clients = [&sites.gateway, &sites.local].map(linenthread_stand_ins::Service::connect);
+    let mut clients = [&sites.gateway, &sites.local].map(linenthread_fakes::Service::connect);
     for n in 0..ALTERNATING_QUERIES {
         for (which, client) in clients.iter_mut().enumerate() {
             let begin = Instant::now();
--- a/crates/linenthread-drill/src/main.rs
+++ b/crates/linenthread-simulation/src/main.rs
@@ -1,4 +1,4 @@
-//! `linenthread-drill`: long checks of each subsystem. Each takes a seed and a count, prints what breaches it
+//! `linenthread-simulation`: long checks of each subsystem. Each takes a seed and a count, prints what breaches it
 //! found with all that is needed to run them again, ends with `N checked, B breaches`, and exits with 1
 //! where B is not 0.
 //!
--- a/crates/linenthread-drill/src/merged/simulation.rs
+++ b/crates/linenthread-simulation/src/merged/simulation.rs
@@ -4,11 +4,11 @@
 use std::time::Duration;
 
 use linenthread_core::interface::{AttemptOutcome, NewQuery, NewSubRequest, TenthMillis};
+use linenthread_fakes::checker::{self, PagedRead};
+use linenthread_fakes::row_store::{Donation, RowStore};
 use linenthread_merge::{
     Acceptance, Aggregation, CursorSigner, MergeQuery, Merger, PageRequest, Plan, QueriedShard,
 };
-use linenthread_stand_ins::checker::{self, PagedRead};
-use linenthread_stand_ins::row_store::{Donation, RowStore};
 use oorandom::Rand64;
 use serde_json::Value;
 
@@ -165,7 +165,7 @@
         if self.statistics.violations <= MAX_PRINTED {
             println!("breach at lookup {query}: {violation}");
             println!(
-                "  again: linenthread-drill merged {}",
+                "  again: linenthread-simulation merged {}",
                 self.options.arguments()
             );
         }
--- a/crates/linenthread-drill/tests/closed_output.rs
+++ b/crates/linenthread-simulation/tests/closed_output.rs
@@ -4,7 +4,7 @@
 
 #[test]
 fn a_closed_output_pipe_ends_the_program_without_a_panic() {
-    let mut child = Command::new(env!("CARGO_BIN_EXE_linenthread-drill"))
+    let mut child = Command::new(env!("CARGO_BIN_EXE_linenthread-simulation"))
         .args(["system", "--schedules", "1", "--seed", "3", "--trace"])
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
--- a/crates/linenthread-drill/tests/system.rs
+++ b/crates/linenthread-simulation/tests/system.rs
@@ -3,7 +3,7 @@
 use std::process::Command;
 
 fn schedules(arguments: &[&str]) -> String {
-    let output = Command::new(env!("CARGO_BIN_EXE_linenthread-drill"))
+    let output = Command::new(env!("CARGO_BIN_EXE_linenthread-simulation"))
         .args(["system", "--schedules", "4", "--seed", "3", "--summary"])
         .args(arguments)
         .output()
