--- a/crates/linenthread-merge/src/cursor.rs
+++ b/crates/linenthread-merge/src/cursor.rs
@@ -21,13 +21,12 @@
 use sha2::{Digest, Sha256};
 use snafu::{OptionExt, Snafu, ensure};
 
+use crate::CURSOR_VERSION;
 use crate::error::{
     CursorError, ExpiredSnafu, OtherQuerySnafu, OtherShardsSnafu, UnknownSnafu, UnknownVersionSnafu,
 };
 use crate::sort_key::SortKey;
 
-/// The version of the encoding.
-pub(crate) const VERSION: u8 = 1;
 /// The bytes of a shortened HMAC.
 const SIGNATURE_BYTES: usize = 16;
 /// The longest cursor in characters; a longer one is neither issued nor read.
@@ -108,7 +107,7 @@
         let mut distinct: Vec<&SortKey> = positions.iter().flatten().collect();
         distinct.sort();
         distinct.dedup();
-        let mut bytes = vec![VERSION];
+        let mut bytes = vec![CURSOR_VERSION];
         bytes.extend(unix_seconds.to_be_bytes());
         bytes.extend(scope.query);
         bytes.extend(scope.shards);
@@ -164,7 +163,7 @@
     ) -> Result<(), CursorError> {
         let head = reader.head().context(UnknownSnafu)?;
         let version = head.version;
-        ensure!(version == VERSION, UnknownVersionSnafu { version });
+        ensure!(version == CURSOR_VERSION, UnknownVersionSnafu { version });
         let expires_at = head.issued_at.saturating_add(self.lifetime.as_secs());
         let is_valid =
             head.issued_at <= unix_seconds + MAX_CLOCK_SKEW_SECONDS && unix_seconds <= expires_at;
--- a/crates/linenthread-merge/src/error.rs
+++ b/crates/linenthread-merge/src/error.rs
@@ -2,8 +2,7 @@
 
 use snafu::Snafu;
 
-use crate::MAX_SHARDS;
-use crate::cursor::VERSION;
+use crate::{CURSOR_VERSION, MAX_SHARDS};
 
 /// Why a query cannot be merged as asked. The texts are sent to the client.
 #[derive(Clone, Debug, PartialEq, Snafu)]
@@ -48,7 +47,7 @@
     #[snafu(display("the page mark is not one that was given here, or not all of it"))]
     Unknown,
     /// It is of another version of this software.
-    #[snafu(display("the page mark has version {version}, and {VERSION} is known"))]
+    #[snafu(display("the page mark has version {version}, and {CURSOR_VERSION} is known"))]
     UnknownVersion {
         /// The cursor's version.
         version: u8,
--- a/crates/linenthread-merge/src/lib.rs
+++ b/crates/linenthread-merge/src/lib.rs
@@ -30,3 +30,5 @@
 pub const MAX_SHARDS: usize = 4_096;
 /// The most digits after the point that a plan may ask for.
 pub const MAX_SCALE: u32 = 12;
+/// The version of a cursor's encoding.
+pub(crate) const CURSOR_VERSION: u8 = 1;
--- a/crates/linenthread-merge/src/merger.rs
+++ b/crates/linenthread-merge/src/merger.rs
@@ -23,6 +23,7 @@
 };
 use crate::groups::{GroupTotals, ShardGroups};
 use crate::page::PageBuilder;
+use crate::page_reader::read_batch;
 use crate::plan::{Aggregation, GroupPlan, Measure, Plan, RowPlan};
 use crate::sort_key::SortKey;
 use crate::totals::Totals;
@@ -252,7 +253,7 @@
             Merged::Totals { measures, totals } => totals.add(&Totals::parse(value, measures)?),
             Merged::Groups { plan, groups } => groups.add(ShardGroups::parse(value, plan)?, plan),
             Merged::Rows(page) => {
-                let batch = page.read(sub_request, value)?;
+                let batch = read_batch(page, sub_request, value)?;
                 page.add(sub_request, batch);
             }
         }
--- a/crates/linenthread-merge/src/page.rs
+++ b/crates/linenthread-merge/src/page.rs
@@ -7,8 +7,6 @@
 
 use std::collections::{BTreeMap, HashMap};
 
-use crate::error::{NoRowsSnafu, ValueError};
-use crate::page_reader::{Batch, read_batch};
 use crate::plan::RowPlan;
 use crate::sort_key::{RowKey, SortKey};
 
@@ -32,6 +30,16 @@
     received: bool,
 }
 
+/// The rows of one value, read and found to be sorted.
+pub(crate) struct Batch {
+    /// The rows' positions and JSON.
+    pub(crate) rows: Vec<(RowKey, Box<str>)>,
+    /// The shard says that rows follow these.
+    pub(crate) has_more: bool,
+    /// Rows were skipped, as they rank after a full page.
+    pub(crate) trimmed: bool,
+}
+
 /// A page under construction.
 pub(crate) struct PageBuilder<'p> {
     plan: &'p RowPlan,
@@ -98,20 +106,6 @@
         self.rows.len() >= self.limit && last.is_some_and(|(last, _)| key > last)
     }
 
-    /// Reads a shard's value `{"rows":[...],"more":...}`; nothing of it counts before [`PageBuilder::add`].
-    ///
-    /// # Errors
-    ///
-    /// What is wrong with it: its form, a row without its fields, or rows that are not sorted or rank before the
-    /// position that was asked for.
-    pub(crate) fn read(&self, sub_request: usize, value: &str) -> Result<Batch, ValueError> {
-        let batch = read_batch(self, self.frontier(sub_request).cloned(), value)?;
-        if batch.has_more && batch.rows.is_empty() && !batch.trimmed {
-            return NoRowsSnafu.fail();
-        }
-        Ok(batch)
-    }
-
     /// Adds what was read of a shard's value.
     pub(crate) fn add(&mut self, sub_request: usize, batch: Batch) {
         for (row, json) in batch.rows {
--- a/crates/linenthread-merge/src/page_reader.rs
+++ b/crates/linenthread-merge/src/page_reader.rs
@@ -6,32 +6,31 @@
 use serde::de::{DeserializeSeed, Deserializer, Error, IgnoredAny, MapAccess, SeqAccess, Visitor};
 use serde_json::value::RawValue;
 
-use crate::error::ValueError;
-use crate::page::PageBuilder;
+use crate::error::{NoRowsSnafu, ValueError};
+use crate::page::{Batch, PageBuilder};
 use crate::sort_key::{RowKey, SortKey};
 
 /// The most bytes of a row: one that fills a response by itself could never be passed on.
 const MAX_ROW_BYTES: usize = 16 * 1024;
 
-/// The rows of one value, read and found to be sorted.
-pub(crate) struct Batch {
-    /// The rows' positions and JSON.
-    pub(crate) rows: Vec<(RowKey, Box<str>)>,
-    /// The shard says that rows follow these.
-    pub(crate) has_more: bool,
-    /// Rows were skipped, as they rank after a full page.
-    pub(crate) trimmed: bool,
-}
-
-/// Reads a value of a shard that has been read up to a position.
+/// Reads a shard's value `{"rows":[...],"more":...}`; nothing of it counts before [`PageBuilder::add`].
+///
+/// # Errors
+///
+/// What is wrong with it: its form, a row without its fields, or rows that are not sorted or rank before the
+/// position that was asked for.
 pub(crate) fn read_batch(
     page: &PageBuilder<'_>,
-    last: Option<SortKey>,
+    sub_request: usize,
     value: &str,
 ) -> Result<Batch, ValueError> {
+    let last = page.frontier(sub_request).cloned();
     let mut json = serde_json::Deserializer::from_str(value);
     let batch = json.deserialize_map(BatchVisitor { page, last })?;
     json.end()?;
+    if batch.has_more && batch.rows.is_empty() && !batch.trimmed {
+        return NoRowsSnafu.fail();
+    }
     Ok(batch)
 }
 
--- a/crates/linenthread-service/src/fleet/mod.rs
+++ b/crates/linenthread-service/src/fleet/mod.rs
@@ -8,6 +8,7 @@
 mod error;
 mod member;
 mod orders;
+mod sockets;
 mod zone_decisions;
 
 use std::io;
--- /dev/null
+++ b/crates/linenthread-service/src/fleet/sockets.rs
@@ -0,0 +1,130 @@
+//! The fleet's sockets: tasks that accept and serve TCP connections between members, and receive gossip datagrams.
+
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::time::Duration;
+
+use tokio::io::{AsyncReadExt, AsyncWriteExt};
+use tokio::net::{TcpListener, TcpStream};
+use tokio::task::spawn_local;
+use tokio::time::{sleep, timeout};
+use tracing::info;
+
+use super::connection::Connection;
+use super::member::Member;
+
+/// Size of a connection's read buffer.
+const READ_BUFFER_BYTES: usize = 64 * 1024;
+/// Longest gossip datagram that is read.
+const MAX_DATAGRAM_BYTES: usize = 2_048;
+/// Time for a connection to be established, and for the last bytes of a closing one to be taken.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(1_000);
+/// Pause after a failed accept, so that a lack of descriptors does not spin.
+const ACCEPT_RETRY: Duration = Duration::from_millis(20);
+/// Pause after a failed receive of a datagram.
+const DATAGRAM_RETRY: Duration = Duration::from_millis(5);
+
+impl Member {
+    pub(super) async fn accept(self, listener: TcpListener) {
+        loop {
+            match listener.accept().await {
+                Ok((stream, _)) => {
+                    // The connection must be registered before the actions that write to it are carried out.
+                    let mut actions = Vec::new();
+                    let now = self.0.clock.now();
+                    let number = self.0.fleet.borrow_mut().on_accepted(now, &mut actions);
+                    if let Some(number) = number {
+                        self.register(number, stream);
+                    }
+                    self.execute(actions);
+                }
+                Err(_) => sleep(ACCEPT_RETRY).await,
+            }
+        }
+    }
+
+    pub(super) async fn dial(self, number: u64, address: SocketAddr) {
+        match timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await {
+            Ok(Ok(stream)) => self.register(number, stream),
+            Ok(Err(_)) | Err(_) => {
+                self.step(|fleet, now, actions| fleet.on_closed(now, number, actions));
+            }
+        }
+    }
+
+    fn register(&self, number: u64, stream: TcpStream) {
+        let connection = Rc::new(Connection::new());
+        let connections = &self.0.connections;
+        connections.borrow_mut().insert(number, connection.clone());
+        let member = self.clone();
+        spawn_local(async move {
+            let reason = member.serve(stream, number, &connection).await;
+            // The only place where a connection is removed.
+            member.0.connections.borrow_mut().remove(&number);
+            member.step(|fleet, now, actions| fleet.on_closed(now, number, actions));
+            if let Some(left_out) = member.0.connection_log_limit.admit() {
+                info!(left_out, "a connection of the fleet ended: {reason}");
+            }
+        });
+    }
+
+    /// Reads and writes until the connection ends; gives the reason.
+    async fn serve(&self, mut stream: TcpStream, number: u64, connection: &Connection) -> String {
+        stream.set_nodelay(true).ok();
+        let (mut reader, mut writer) = stream.split();
+        let mut buffer = vec![0; READ_BUFFER_BYTES];
+        let mut writing: Option<(Vec<u8>, usize)> = None;
+        loop {
+            if writing.is_none() {
+                let next = connection.queue.borrow_mut().pop_front();
+                writing = next.map(|bytes| (bytes, 0));
+            }
+            // What was queued before the close is written first, unless the peer takes nothing.
+            if (writing.is_none() || connection.is_overfull())
+                && let Some(reason) = connection.close.take()
+            {
+                return reason;
+            }
+            let rest = writing
+                .as_ref()
+                .map_or(&[][..], |(bytes, written)| &bytes[*written..]);
+            tokio::select! {
+                read = reader.read(&mut buffer) => match read {
+                    Ok(0) => return "closed by the other side".into(),
+                    Ok(count) => self.step(|fleet, now, actions| {
+                        fleet.on_received(now, number, &buffer[..count], actions);
+                    }),
+                    Err(error) => return error.to_string(),
+                },
+                wrote = writer.write(rest), if !rest.is_empty() => match wrote {
+                    Ok(count) => {
+                        let queued_bytes = connection.queued_bytes.get().saturating_sub(count);
+                        connection.queued_bytes.set(queued_bytes);
+                        writing = writing
+                            .map(|(bytes, written)| (bytes, written + count))
+                            .filter(|(bytes, written)| *written < bytes.len());
+                    }
+                    Err(error) => return error.to_string(),
+                },
+                () = connection.changed.notified() => {}
+                // A closing peer that takes nothing is not waited for.
+                () = sleep(CONNECT_TIMEOUT), if connection.close.borrow().is_some() => {
+                    return "it takes nothing".into();
+                }
+            }
+        }
+    }
+
+    pub(super) async fn receive_datagrams(self) {
+        let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
+        loop {
+            match self.0.udp.recv_from(&mut buffer).await {
+                Ok((count, _)) => self.step(|fleet, now, actions| {
+                    fleet.on_datagram(now, &buffer[..count], actions);
+                }),
+                // An error here reports that an earlier datagram met a closed port: no fault of this socket.
+                Err(_) => sleep(DATAGRAM_RETRY).await,
+            }
+        }
+    }
+}
--- a/crates/linenthread-simulation/src/link/mod.rs
+++ b/crates/linenthread-simulation/src/link/mod.rs
@@ -5,9 +5,13 @@
 mod simulation;
 mod statistics;
 
+use linenthread_core::interface::TenthMillis;
+
 use simulation::Simulation;
 use statistics::Statistics;
 
+/// A millisecond in the simulation's unit of time.
+const MILLISECOND: TenthMillis = 10;
 /// The most violations that are printed.
 const MAX_PRINTED: usize = 10;
 
--- a/crates/linenthread-simulation/src/link/simulation.rs
+++ b/crates/linenthread-simulation/src/link/simulation.rs
@@ -11,11 +11,10 @@
 };
 use oorandom::Rand64;
 
+use super::MILLISECOND;
 use super::network::{Connection, Connections, Direction};
 use super::statistics::Statistics;
 
-/// A millisecond in the simulation's unit of time.
-pub(super) const MILLISECOND: TenthMillis = 10;
 /// When a schedule starts; not at 0, so that times before it can be computed.
 const START: TenthMillis = 1_000 * MILLISECOND;
 /// How long faults are injected.
--- a/crates/linenthread-simulation/src/link/statistics.rs
+++ b/crates/linenthread-simulation/src/link/statistics.rs
@@ -2,7 +2,7 @@
 
 use linenthread_core::interface::{AttemptOutcome, TenthMillis};
 
-use super::simulation::MILLISECOND;
+use super::MILLISECOND;
 
 /// Counts over all schedules.
 #[derive(Default)]
