--- a/crates/linenthread-simulation/src/main.rs
+++ b/crates/linenthread-simulation/src/main.rs
@@ -8,7 +8,6 @@
 mod commands;
 mod dataplane;
 mod failover_simulation;
-mod fleet;
 mod fleet_simulation;
 mod link;
 mod link_speed;
--- a/crates/linenthread-simulation/src/merged/mod.rs
+++ b/crates/linenthread-simulation/src/merged/mod.rs
@@ -2,11 +2,12 @@
 //! `linenthread-merge` over a fleet in simulated time. Each response is checked against the full data.
 
 mod plans;
+mod simulated_replicas;
 mod simulation;
 
 use oorandom::Rand64;
 
-use crate::fleet::Manner;
+use self::simulated_replicas::ReplicaBehavior;
 use simulation::{Simulation, Statistics};
 
 /// Options of the command.
@@ -28,7 +29,7 @@
     /// Makes all queries; how many there were, and how many violations were found.
     pub(crate) fn run(&self) -> (usize, usize) {
         let mut rng = Rand64::new(u128::from(self.seed));
-        let manner = Manner {
+        let manner = ReplicaBehavior {
             slow: self.slow.unwrap_or_else(|| rng.rand_float() * 0.1),
             faults: if self.only_delays {
                 0.0
@@ -43,7 +44,7 @@
         (statistics.queries, statistics.violations)
     }
 
-    fn print(&self, statistics: &Statistics, manner: Manner) {
+    fn print(&self, statistics: &Statistics, manner: ReplicaBehavior) {
         let percent = |count: usize| 100.0 * count as f64 / statistics.queries.max(1) as f64;
         println!(
             "slow {:.3}, faults {:.3}, floor {}: {:.1}% whole, {:.1}% partial, {:.1}% cut, {:.1}% refused; \
--- a/crates/linenthread-simulation/src/merged/simulation.rs
+++ b/crates/linenthread-simulation/src/merged/simulation.rs
@@ -14,7 +14,9 @@
 
 use super::Options;
 use super::plans::{self, GROUPS, MAX_GROUPS, ROWS, TOTALS};
-use crate::fleet::{CALLS_A_PART, Decision, Event, Fate, Fleet, Manner, SHARDS};
+use super::simulated_replicas::{
+    AttemptFate, Decision, Event, MAX_ATTEMPTS, ReplicaBehavior, SHARDS, SimulatedReplicas,
+};
 
 /// Clients at once, each with rows of its own.
 const CLIENTS: usize = 6;
@@ -85,7 +87,7 @@
     options: &'p Options,
     plans: &'p [Plan],
     signer: CursorSigner,
-    fleet: Fleet,
+    fleet: SimulatedReplicas,
     open: BTreeMap<usize, OpenQuery<'p>>,
     clients: Vec<Client>,
     statistics: Statistics,
@@ -105,7 +107,7 @@
     pub(super) fn new(
         options: &'p Options,
         plans: &'p [Plan],
-        manner: Manner,
+        manner: ReplicaBehavior,
         rng: &mut Rand64,
     ) -> Simulation<'p> {
         let secret = b"a secret of the drill".to_vec();
@@ -123,7 +125,11 @@
             plans,
             signer: CursorSigner::new(vec![secret], CURSOR_LIFETIME).expect("long enough"),
             clients: (0..CLIENTS).map(|_| client()).collect(),
-            fleet: Fleet::new(plans::index_configs(options.floor), options.seed, manner),
+            fleet: SimulatedReplicas::new(
+                plans::index_configs(options.floor),
+                options.seed,
+                manner,
+            ),
             open: BTreeMap::new(),
             statistics: Statistics::default(),
             free_indices: Vec::new(),
@@ -149,13 +155,13 @@
                 Event::Client(client) if self.statistics.queries < self.options.lookups => {
                     self.make_query(client);
                 }
-                Event::Ends(query, sub_request, attempt, fate) => {
+                Event::AttemptEnded(query, sub_request, attempt, fate) => {
                     self.on_attempt_ended(query, sub_request, attempt, fate);
                 }
                 _ => {}
             }
         }
-        for decision in self.fleet.round() {
+        for decision in self.fleet.step() {
             self.on_decision(&decision);
         }
     }
@@ -174,7 +180,7 @@
     /// A client's next query: the next page, perhaps after rows were added, or the first of another reading.
     fn make_query(&mut self, index: usize) {
         let client = &mut self.clients[index];
-        let rng = &mut self.fleet.chance;
+        let rng = &mut self.fleet.rng;
         if client.cursor.is_none() {
             client.begin_reading(rng);
         } else if draw_below(rng, 2) == 0 {
@@ -212,7 +218,7 @@
 
     fn submit(&mut self, query: usize, client: usize, merger: Merger<'p>, page_size: usize) {
         let hard_deadline = self.fleet.now + HARD_DEADLINE;
-        self.fleet.arrivals.queries.push(NewQuery {
+        self.fleet.inputs.queries.push(NewQuery {
             query,
             index: self.clients[client].plan,
             customer: 0,
@@ -226,7 +232,7 @@
             weight,
         };
         let sub_requests = self.clients[client].shards.iter().map(sub_request);
-        self.fleet.arrivals.sub_requests.extend(sub_requests);
+        self.fleet.inputs.sub_requests.extend(sub_requests);
         let open = OpenQuery {
             merger,
             client,
@@ -239,11 +245,17 @@
         self.open.insert(query, open);
     }
 
-    fn on_attempt_ended(&mut self, query: usize, sub_request: usize, attempt: usize, fate: Fate) {
+    fn on_attempt_ended(
+        &mut self,
+        query: usize,
+        sub_request: usize,
+        attempt: usize,
+        fate: AttemptFate,
+    ) {
         let Some(open) = self.open.get_mut(&query) else {
             return;
         };
-        if !self.fleet.is_out(query, sub_request, attempt) {
+        if !self.fleet.is_in_flight(query, sub_request, attempt) {
             return;
         }
         let client = &self.clients[open.client];
@@ -251,38 +263,38 @@
         let request = request.cloned().unwrap_or_default();
         let mut violation = None;
         let outcome = match fate {
-            Fate::Answered | Fate::AnsweredTwice | Fate::Unreadable => {
+            AttemptFate::Success | AttemptFate::DuplicateSuccess | AttemptFate::MalformedValue => {
                 let valid = client.respond(sub_request, &request.text);
-                let value = if fate == Fate::Unreadable {
+                let value = if fate == AttemptFate::MalformedValue {
                     INVALID_VALUE
                 } else {
                     &valid
                 };
                 let acceptance = open.merger.accept(sub_request, request.continuation, value);
-                if fate != Fate::Unreadable
+                if fate != AttemptFate::MalformedValue
                     && let Acceptance::Invalid(error) = &acceptance
                 {
                     violation = Some(format!("a good value is not read: {error}: {value}"));
                 }
-                if fate == Fate::AnsweredTwice && violation.is_none() {
+                if fate == AttemptFate::DuplicateSuccess && violation.is_none() {
                     self.statistics.duplicates += 1;
                     violation = open.accept_duplicate(sub_request, request.continuation);
                 }
                 match acceptance {
-                    Acceptance::Invalid(_) => fate.ending(),
+                    Acceptance::Invalid(_) => fate.outcome(),
                     Acceptance::Counted | Acceptance::Duplicate { .. } => AttemptOutcome::Success,
                 }
             }
             _ => {
                 open.merger.fail(sub_request);
-                fate.ending()
+                fate.outcome()
             }
         };
         let continuations = open.merger.take_continuations();
         self.statistics.continuations += continuations.len();
         let continuations = continuations.into_iter().map(|index| (query, index));
-        self.fleet.arrivals.continuations.extend(continuations);
-        self.fleet.end(query, sub_request, attempt, outcome);
+        self.fleet.inputs.continuations.extend(continuations);
+        self.fleet.complete(query, sub_request, attempt, outcome);
         if let Some(violation) = violation {
             self.violated(query, &violation);
         }
@@ -290,23 +302,27 @@
 
     fn on_decision(&mut self, decision: &Decision) {
         match *decision {
-            Decision::Call { lookup, part, call } => self.on_attempt(lookup, part, call),
-            Decision::Release { lookup } => {
-                self.free_indices.push(lookup);
-                let open = self.open.remove(&lookup);
+            Decision::Send {
+                query,
+                sub_request,
+                attempt,
+            } => self.on_attempt(query, sub_request, attempt),
+            Decision::Release { query } => {
+                self.free_indices.push(query);
+                let open = self.open.remove(&query);
                 if open.is_some_and(|open| !open.answered) {
-                    self.violated(lookup, "released without an answer");
+                    self.violated(query, "released without an answer");
                 }
             }
-            Decision::Satisfy { lookup, whole } => {
-                if self.on_answered(lookup) {
-                    self.check_response(lookup, whole);
+            Decision::Respond { query, complete } => {
+                if self.on_answered(query) {
+                    self.check_response(query, complete);
                 }
             }
-            Decision::Nack { lookup } | Decision::Abort { lookup } => {
-                if self.on_answered(lookup) {
+            Decision::Reject { query } | Decision::Fail { query } => {
+                if self.on_answered(query) {
                     self.statistics.refused += 1;
-                    let client = self.open[&lookup].client;
+                    let client = self.open[&query].client;
                     self.clients[client].cursor = None;
                 }
             }
@@ -324,7 +340,7 @@
         open.requests.insert((sub_request, attempt), request);
         let attempts = open.attempts.entry(sub_request).or_default();
         *attempts += 1;
-        if *attempts > CALLS_A_PART || open.answered {
+        if *attempts > MAX_ATTEMPTS || open.answered {
             self.violated(query, "a part is sent too often, or after the answer");
         }
     }
@@ -337,7 +353,7 @@
         let was_answered = std::mem::replace(&mut open.answered, true);
         let is_late = was_answered || self.fleet.now > open.hard_deadline;
         let client = open.client;
-        let pause = 1 + draw_below(&mut self.fleet.chance, 100);
+        let pause = 1 + draw_below(&mut self.fleet.rng, 100);
         let pause = TenthMillis::try_from(pause).unwrap_or(TenthMillis::MAX);
         self.fleet.schedule(pause, Event::Client(client));
         if is_late {
