--- /dev/null
+++ b/crates/linenthread-service/src/dispatcher/decision.rs
@@ -0,0 +1,88 @@
+//! The coordinator's decisions on queries, and what passes on those of one step.
+
+use linenthread_core::DecisionSink;
+use linenthread_core::interface::TenthMillis;
+
+use super::Dispatcher;
+use super::membership::Membership;
+use super::open_queries::OpenQueries;
+
+/// A decision on one query.
+#[derive(Debug)]
+pub(crate) enum Decision {
+    /// Make the next attempt at a sub-request.
+    Send {
+        sub_request: usize,
+        replica: usize,
+        timeout: TenthMillis,
+    },
+    /// Cancel an attempt.
+    Cancel { sub_request: usize, attempt: usize },
+    /// Answer with what has arrived: `complete` where that is all.
+    Respond { complete: bool },
+    /// Reject the query; it may be retried, after this time where it is given.
+    Reject { retry_after: Option<TenthMillis> },
+    /// Answer that the query has failed.
+    Fail,
+}
+
+/// Passes on the decisions of one step: those on a query to its task, the others to the dispatcher's own parts.
+pub(super) struct StepDecisions<'a> {
+    pub(super) dispatcher: &'a Dispatcher,
+    pub(super) queries: &'a mut OpenQueries,
+    pub(super) membership: &'a mut Membership,
+    pub(super) wake_at: &'a mut Option<TenthMillis>,
+}
+
+impl DecisionSink for StepDecisions<'_> {
+    fn send(&mut self, query: usize, sub_request: usize, replica: usize, timeout: TenthMillis) {
+        let decision = Decision::Send {
+            sub_request,
+            replica,
+            timeout,
+        };
+        self.queries.pass_on(query, decision);
+    }
+
+    fn cancel(&mut self, query: usize, sub_request: usize, attempt: usize) {
+        let decision = Decision::Cancel {
+            sub_request,
+            attempt,
+        };
+        self.queries.pass_on(query, decision);
+    }
+
+    fn respond(&mut self, query: usize, complete: bool) {
+        self.queries.pass_on(query, Decision::Respond { complete });
+    }
+
+    fn reject(&mut self, query: usize, retry_after: Option<TenthMillis>) {
+        self.queries
+            .pass_on(query, Decision::Reject { retry_after });
+    }
+
+    fn fail(&mut self, query: usize) {
+        self.queries.pass_on(query, Decision::Fail);
+    }
+
+    fn release(&mut self, query: usize) {
+        self.queries.release(query);
+    }
+
+    fn probe(&mut self, replica: usize) {
+        self.membership.replicas.start_probe(replica);
+        actix_rt::spawn(self.dispatcher.clone().probe(replica));
+    }
+
+    fn close_idle(&mut self, replica: usize) {
+        self.dispatcher.0.transports.close_idle(replica);
+    }
+
+    fn watch_membership(&mut self) {
+        self.dispatcher.0.membership_requested.notify_one();
+    }
+
+    fn wake_at(&mut self, at: TenthMillis) {
+        *self.wake_at = Some(at);
+    }
+}
--- a/crates/linenthread-service/src/dispatcher/membership.rs
+++ b/crates/linenthread-service/src/dispatcher/membership.rs
@@ -8,6 +8,7 @@
 use tracing::{info, warn};
 
 use crate::clock::Clock;
+use crate::dispatcher::open_queries::QueryProgress;
 use crate::dispatcher::replica_indices::ReplicaIndices;
 use crate::transports::link::LinkEvent;
 use crate::transports::{Route, Transports};
@@ -64,14 +65,16 @@
         }
     }
 
-    /// Applies a list of the service discovery; returns its entries for the coordinator. `submitted` queries were
-    /// submitted so far, of which the first `completed` are over.
+    /// Applies a list of the service discovery; returns its entries for the coordinator.
     pub(super) fn apply_list(
         &mut self,
         list: &membership::MembershipList,
-        submitted: u64,
-        completed: u64,
+        progress: QueryProgress,
     ) -> Vec<MembershipEntry> {
+        let QueryProgress {
+            submitted,
+            completed,
+        } = progress;
         self.replicas
             .release_unused(completed, |replica| self.transports.is_vacant(replica));
         if list.complete {
--- a/crates/linenthread-service/src/dispatcher/mod.rs
+++ b/crates/linenthread-service/src/dispatcher/mod.rs
@@ -1,52 +1,33 @@
 //! Runs the coordinator: collects its inputs, steps it, and passes each decision to the task of its query.
 
+mod decision;
 mod membership;
+mod open_queries;
 mod replica_indices;
+mod zones;
 
 use std::cell::RefCell;
 use std::rc::Rc;
 
+use linenthread_core::Coordinator;
 use linenthread_core::interface::{
-    AttemptOutcome, AttemptResult, Inputs, MembershipEntry, MembershipUpdate, NewQuery,
-    NewSubRequest, ProbeResult, TenthMillis,
+    AttemptResult, Inputs, MembershipEntry, MembershipUpdate, NewQuery, NewSubRequest, ProbeResult,
+    TenthMillis,
 };
-use linenthread_core::{Coordinator, DecisionSink};
 use linenthread_link::Member;
 use linenthread_protocol::membership::MembershipList;
-use linenthread_zones::{Report, RoutingTable, Topology};
 use tokio::sync::{Notify, mpsc};
 use tokio::time::sleep_until;
-use tracing::warn;
 
 use crate::clock::Clock;
 use crate::config::Config;
 use crate::transports::Transports;
 use crate::transports::link::LinkEvent;
 use crate::zone_routing::ZoneRouting;
+pub(crate) use decision::Decision;
+use decision::StepDecisions;
 use membership::Membership;
-
-/// A decision on one query.
-#[derive(Debug)]
-pub(crate) enum Decision {
-    /// Make the next attempt at a sub-request.
-    Send {
-        sub_request: usize,
-        replica: usize,
-        timeout: TenthMillis,
-    },
-    Cancel {
-        sub_request: usize,
-        attempt: usize,
-    },
-    /// Answer with what has arrived: `complete` where that is all.
-    Respond {
-        complete: bool,
-    },
-    Reject {
-        retry_after: Option<TenthMillis>,
-    },
-    Fail,
-}
+use open_queries::OpenQueries;
 
 /// A query to be submitted, checked against the deployment.
 pub(crate) struct QuerySubmission {
@@ -56,28 +37,31 @@
     pub sequence_number: u64,
     /// The time to its hard deadline.
     pub expires_in: TenthMillis,
-    /// Shards and weights.
-    pub sub_requests: Vec<(usize, f64)>,
+    pub sub_requests: Vec<SubRequestSubmission>,
+}
+
+/// A sub-request of a query to be submitted.
+pub(crate) struct SubRequestSubmission {
+    pub shard: usize,
+    /// Its share of the query.
+    pub weight: f64,
 }
 
-/// An open query.
-struct OpenQuery {
-    decisions: mpsc::UnboundedSender<Decision>,
-    /// How many queries were submitted before it.
-    submitted_before: u64,
+/// A query that was submitted.
+pub(crate) struct SubmittedQuery {
+    /// The coordinator's number of it.
+    pub number: usize,
+    /// The decisions on it. They end when it is over and none of its attempts is in flight.
+    pub decisions: mpsc::UnboundedReceiver<Decision>,
 }
 
 struct State {
     coordinator: Coordinator,
     /// The inputs of the next step.
     inputs: Inputs,
-    /// By the query's number; a query's task ends when its entry is dropped.
-    queries: Vec<Option<OpenQuery>>,
-    /// Numbers of queries that are free.
-    free_queries: Vec<usize>,
-    /// Queries submitted so far.
-    submitted: u64,
+    queries: OpenQueries,
     membership: Membership,
+    /// When the coordinator is to be stepped although there are no inputs.
     wake_at: Option<TenthMillis>,
     /// Zones that the fleet decides on in common, if there are any.
     zones: Option<ZoneRouting>,
@@ -99,106 +83,24 @@
 #[derive(Clone)]
 pub(crate) struct Dispatcher(Rc<Inner>);
 
-/// Passes the decisions of one step on.
-struct StepDecisions<'a> {
-    dispatcher: &'a Dispatcher,
-    queries: &'a mut Vec<Option<OpenQuery>>,
-    free_queries: &'a mut Vec<usize>,
-    membership: &'a mut Membership,
-    wake_at: &'a mut Option<TenthMillis>,
-}
-
-impl StepDecisions<'_> {
-    fn pass_on(&self, query: usize, decision: Decision) {
-        if let Some(Some(open)) = self.queries.get(query) {
-            open.decisions.send(decision).ok();
-        }
-    }
-}
-
-impl DecisionSink for StepDecisions<'_> {
-    fn send(&mut self, query: usize, sub_request: usize, replica: usize, timeout: TenthMillis) {
-        let decision = Decision::Send {
-            sub_request,
-            replica,
-            timeout,
-        };
-        self.pass_on(query, decision);
-    }
-
-    fn cancel(&mut self, query: usize, sub_request: usize, attempt: usize) {
-        let decision = Decision::Cancel {
-            sub_request,
-            attempt,
-        };
-        self.pass_on(query, decision);
-    }
-
-    fn respond(&mut self, query: usize, complete: bool) {
-        self.pass_on(query, Decision::Respond { complete });
-    }
-
-    fn reject(&mut self, query: usize, retry_after: Option<TenthMillis>) {
-        self.pass_on(query, Decision::Reject { retry_after });
-    }
-
-    fn fail(&mut self, query: usize) {
-        self.pass_on(query, Decision::Fail);
-    }
-
-    fn release(&mut self, query: usize) {
-        let open = self.queries.get_mut(query).and_then(Option::take);
-        if open.is_some() {
-            self.free_queries.push(query);
-        }
-    }
-
-    fn probe(&mut self, replica: usize) {
-        self.membership.replicas.start_probe(replica);
-        actix_rt::spawn(self.dispatcher.clone().probe(replica));
-    }
-
-    fn close_idle(&mut self, replica: usize) {
-        self.dispatcher.0.transports.close_idle(replica);
-    }
-
-    fn watch_membership(&mut self) {
-        self.dispatcher.0.membership_requested.notify_one();
-    }
-
-    fn wake_at(&mut self, at: TenthMillis) {
-        *self.wake_at = Some(at);
-    }
-}
-
 impl Dispatcher {
-    /// `zones` makes the state of the fleet's zones from the zones' names in their order: those that the settings
-    /// name, then the further `zone_names` of the operators' file.
+    /// `zone_names` are the zones in the order of their numbers; `zones` routes between them, where a fleet decides on
+    /// that.
     pub(crate) fn new(
         config: &Config,
         transports: Transports,
-        zone_names: &[String],
-        zones: impl FnOnce(&[String]) -> Option<ZoneRouting>,
+        zone_names: Vec<String>,
+        zones: Option<ZoneRouting>,
     ) -> Self {
-        let mut all_zone_names = config.cluster.zone_names.clone();
-        let further: Vec<String> = zone_names
-            .iter()
-            .filter(|name| !all_zone_names.contains(name))
-            .cloned()
-            .collect();
-        all_zone_names.extend(further);
-        let zones = zones(&all_zone_names);
         let clock = Clock::new();
         let replica_groups = config.coordinator.layout.replica_groups;
-        let membership = Membership::new(clock, transports.clone(), replica_groups, all_zone_names);
+        let membership = Membership::new(clock, transports.clone(), replica_groups, zone_names);
         let dispatcher = Dispatcher(Rc::new(Inner {
             clock,
             state: RefCell::new(State {
                 coordinator: Coordinator::new(config.coordinator.clone(), config.seed),
                 inputs: Inputs::default(),
-                queries: Vec::new(),
-                free_queries: Vec::new(),
-                submitted: 0,
+                queries: OpenQueries::default(),
                 membership,
                 wake_at: None,
                 zones,
@@ -239,7 +141,6 @@
             coordinator,
             inputs,
             queries,
-            free_queries,
             membership,
             wake_at,
             ..
@@ -248,7 +149,6 @@
         let mut decisions = StepDecisions {
             dispatcher: self,
             queries,
-            free_queries,
             membership,
             wake_at,
         };
@@ -265,15 +165,11 @@
         self.0.has_input.notify_one();
     }
 
-    /// Submits a query; returns its number, and where the decisions on it arrive. These end when it is over and
-    /// none of its attempts is in flight.
-    pub(crate) fn submit(
-        &self,
-        submission: QuerySubmission,
-    ) -> (usize, mpsc::UnboundedReceiver<Decision>) {
+    /// Submits a query to the next step.
+    pub(crate) fn submit(&self, submission: QuerySubmission) -> SubmittedQuery {
         let (sender, decisions) = mpsc::unbounded_channel();
         let mut state = self.0.state.borrow_mut();
-        let query = state.open_query(sender);
+        let query = state.queries.open(sender);
         if let Some(zones) = &mut state.zones {
             zones.on_query(submission.sub_requests.len());
         }
@@ -286,18 +182,18 @@
             sequence_number: submission.sequence_number,
             hard_deadline,
         });
-        let sub_requests =
-            submission
-                .sub_requests
-                .into_iter()
-                .map(|(shard, weight)| NewSubRequest {
-                    query,
-                    shard,
-                    weight,
-                });
+        let sub_requests = submission.sub_requests.into_iter();
+        let sub_requests = sub_requests.map(|sub_request| NewSubRequest {
+            query,
+            shard: sub_request.shard,
+            weight: sub_request.weight,
+        });
         state.inputs.sub_requests.extend(sub_requests);
         self.0.has_input.notify_one();
-        (query, decisions)
+        SubmittedQuery {
+            number: query,
+            decisions,
+        }
     }
 
     /// An attempt has ended.
@@ -350,9 +246,8 @@
 
     fn apply_list(&self, list: &MembershipList) -> Vec<MembershipEntry> {
         let mut state = self.0.state.borrow_mut();
-        let submitted = state.submitted;
-        let completed = state.completed();
-        let entries = state.membership.apply_list(list, submitted, completed);
+        let progress = state.queries.progress();
+        let entries = state.membership.apply_list(list, progress);
         self.0.local_changed.notify_one();
         entries
     }
@@ -369,58 +264,6 @@
         self.0.membership_requested.notified().await;
     }
 
-    /// Passes the routes between zones to the coordinator, where there are zones.
-    fn update_zone_routes(&self) {
-        let routes = self
-            .0
-            .state
-            .borrow()
-            .zones
-            .as_ref()
-            .map(ZoneRouting::routes);
-        if let Some(routes) = routes {
-            self.add_input(|inputs| inputs.zone_routes = Some(routes));
-        }
-    }
-
-    /// Applies the fleet's routing table; returns whether it fits this program's zones.
-    pub(crate) fn apply_routing_table(&self, table: RoutingTable) -> bool {
-        let now = self.0.clock.now();
-        let applied = self
-            .0
-            .state
-            .borrow_mut()
-            .zones
-            .as_mut()
-            .is_some_and(|zones| zones.accept_table(table, now));
-        if applied {
-            self.update_zone_routes();
-        }
-        applied
-    }
-
-    /// What was observed of the zones since the last report, and what there is; `None` where there are no zones.
-    pub(crate) fn report_zones(&self) -> Option<(Report, Topology)> {
-        let now = self.0.clock.now();
-        if self.0.state.borrow_mut().zones.as_mut()?.expire_table(now) {
-            warn!("no word of the table for its life: all ways are open again, the nearest first");
-            self.update_zone_routes();
-        }
-        Some(self.0.state.borrow_mut().zones.as_mut()?.report())
-    }
-
-    /// Counts the outcome of an attempt or a probe for the zones' report.
-    pub(crate) fn observe_outcome(
-        &self,
-        replica: usize,
-        outcome: AttemptOutcome,
-        elapsed: TenthMillis,
-    ) {
-        if let Some(zones) = &mut self.0.state.borrow_mut().zones {
-            zones.on_outcome(replica, outcome, elapsed);
-        }
-    }
-
     /// Adds a peer; returns its number.
     pub(crate) fn add_peer(&self) -> usize {
         self.0.state.borrow_mut().membership.add_peer()
@@ -429,7 +272,7 @@
     /// Handles what a peer's link reports.
     pub(crate) fn on_link_event(&self, peer: usize, event: LinkEvent) {
         let mut state = self.0.state.borrow_mut();
-        let submitted = state.submitted;
+        let submitted = state.queries.submitted();
         state.membership.on_link_event(peer, event);
         let entries = state.membership.update_remote(submitted);
         drop(state);
@@ -454,33 +297,6 @@
     }
 }
 
-impl State {
-    /// Assigns a number to a new query.
-    fn open_query(&mut self, decisions: mpsc::UnboundedSender<Decision>) -> usize {
-        let submitted_before = self.submitted;
-        self.submitted += 1;
-        let query = self.free_queries.pop().unwrap_or_else(|| {
-            self.queries.push(None);
-            self.queries.len() - 1
-        });
-        self.queries[query] = Some(OpenQuery {
-            decisions,
-            submitted_before,
-        });
-        query
-    }
-
-    /// How many of the queries submitted first are over.
-    fn completed(&self) -> u64 {
-        self.queries
-            .iter()
-            .flatten()
-            .map(|open| open.submitted_before)
-            .min()
-            .unwrap_or(self.submitted)
-    }
-}
-
 /// Empties the inputs, and keeps their memory. Each field is named, so that a new one is not forgotten.
 fn clear(inputs: &mut Inputs) {
     let Inputs {
--- /dev/null
+++ b/crates/linenthread-service/src/dispatcher/open_queries.rs
@@ -0,0 +1,76 @@
+//! The open queries: the number by which the coordinator knows each, and where the decisions on it go.
+
+use tokio::sync::mpsc;
+
+use super::decision::Decision;
+
+/// An open query.
+struct OpenQuery {
+    decisions: mpsc::UnboundedSender<Decision>,
+    /// How many queries were submitted before it.
+    submitted_before: u64,
+}
+
+/// How many queries were submitted, and how many of the first of these are over.
+#[derive(Clone, Copy)]
+pub(super) struct QueryProgress {
+    pub(super) submitted: u64,
+    pub(super) completed: u64,
+}
+
+/// The open queries by their numbers, which are reused.
+#[derive(Default)]
+pub(super) struct OpenQueries {
+    /// A query's task ends when its entry is dropped.
+    by_number: Vec<Option<OpenQuery>>,
+    free_numbers: Vec<usize>,
+    /// Queries submitted so far.
+    submitted: u64,
+}
+
+impl OpenQueries {
+    /// Assigns a number to a new query.
+    pub(super) fn open(&mut self, decisions: mpsc::UnboundedSender<Decision>) -> usize {
+        let submitted_before = self.submitted;
+        self.submitted += 1;
+        let query = self.free_numbers.pop().unwrap_or_else(|| {
+            self.by_number.push(None);
+            self.by_number.len() - 1
+        });
+        self.by_number[query] = Some(OpenQuery {
+            decisions,
+            submitted_before,
+        });
+        query
+    }
+
+    /// Passes a decision to the task of its query.
+    pub(super) fn pass_on(&self, query: usize, decision: Decision) {
+        if let Some(Some(open)) = self.by_number.get(query) {
+            open.decisions.send(decision).ok();
+        }
+    }
+
+    /// A query is over and none of its attempts is in flight: its number is free again.
+    pub(super) fn release(&mut self, query: usize) {
+        let open = self.by_number.get_mut(query).and_then(Option::take);
+        if open.is_some() {
+            self.free_numbers.push(query);
+        }
+    }
+
+    /// Queries submitted so far.
+    pub(super) fn submitted(&self) -> u64 {
+        self.submitted
+    }
+
+    /// How far the queries have come.
+    pub(super) fn progress(&self) -> QueryProgress {
+        let open = self.by_number.iter().flatten();
+        let first_open = open.map(|open| open.submitted_before).min();
+        QueryProgress {
+            submitted: self.submitted,
+            completed: first_open.unwrap_or(self.submitted),
+        }
+    }
+}
--- a/crates/linenthread-service/src/fleet/member.rs
+++ b/crates/linenthread-service/src/fleet/member.rs
@@ -167,9 +167,9 @@
                 () = sleep_until(self.0.clock.at(self.wake_at())) => {}
                 () = self.0.woken.notified() => {}
                 message = received.recv() => match message {
-                    Some(ToFleet::Observed(report, topology)) => {
-                        self.0.observations.borrow_mut().add(&report);
-                        self.0.topology.replace(Some(topology));
+                    Some(ToFleet::Observed(report)) => {
+                        self.0.observations.borrow_mut().add(&report.observations);
+                        self.0.topology.replace(Some(report.topology));
                     }
                     Some(ToFleet::Leave) | None => {
                         self.step(Fleet::leave);
--- a/crates/linenthread-service/src/fleet/mod.rs
+++ b/crates/linenthread-service/src/fleet/mod.rs
@@ -18,12 +18,13 @@
 
 use linenthread_frames::Secrets;
 use linenthread_installation as file;
-use linenthread_zones::{Report, RoutingTable, Topology, Zone};
+use linenthread_zones::{RoutingTable, Zone};
 use snafu::ResultExt;
 use tokio::sync::mpsc;
 use tokio::task::LocalSet;
 
 use crate::clock::Clock;
+use crate::zone_routing::ZoneReport;
 
 pub(crate) use error::StartError;
 use error::{ListenSnafu, RuntimeSnafu, SpawnSnafu};
@@ -40,8 +41,8 @@
 
 /// A message to the fleet's thread.
 pub(crate) enum ToFleet {
-    /// Observations since the previous message, and the replicas of each zone now.
-    Observed(Report, Topology),
+    /// What this process has observed of the zones.
+    Observed(ZoneReport),
     /// Leave the fleet and end the thread.
     Leave,
 }
--- a/crates/linenthread-service/src/frontends/http/request.rs
+++ b/crates/linenthread-service/src/frontends/http/request.rs
@@ -11,7 +11,7 @@
 use snafu::{OptionExt, Snafu, ensure};
 use tokio::time::{Instant, timeout_at};
 
-use crate::dispatcher::QuerySubmission;
+use crate::dispatcher::{QuerySubmission, SubRequestSubmission};
 use crate::query::{QueryContext, QueryRequest};
 
 /// Why a request is refused. The text is sent to the client.
@@ -87,7 +87,10 @@
         sub_requests: query
             .sub_requests
             .iter()
-            .map(|sub_request| (sub_request.shard, sub_request.weight))
+            .map(|sub_request| SubRequestSubmission {
+                shard: sub_request.shard,
+                weight: sub_request.weight,
+            })
             .collect(),
     };
     let is_merged = context.merging.plans.borrow().is_merged(index);
--- a/crates/linenthread-service/src/frontends/link.rs
+++ b/crates/linenthread-service/src/frontends/link.rs
@@ -26,7 +26,7 @@
 use crate::dispatcher::Dispatcher;
 use crate::frontends::http;
 use crate::log::LogRateLimit;
-use crate::transports::attempt::{FinishedAttempt, OutgoingSubRequest, ProbeReport};
+use crate::transports::attempt::{AttemptKey, FinishedAttempt, OutgoingSubRequest, ProbeReport};
 use crate::transports::{InFlightAttempt, Transports};
 
 /// The size of one read, in bytes.
@@ -44,6 +44,12 @@
 /// How often a graceful shutdown looks whether all calls are over.
 const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
+/// A call is one attempt at one sub-request.
+const ONLY_ATTEMPT: AttemptKey = AttemptKey {
+    sub_request: 0,
+    attempt: 0,
+};
+
 /// Why a connection ended. The text goes to the log.
 #[derive(Debug, Snafu)]
 enum ConnectionEnd {
@@ -180,7 +186,7 @@
     /// Runs one call to its end, and reports its outcome.
     async fn run_call(self, key: CallKey, timeout: TenthMillis, call: Call, cancelled: Rc<Notify>) {
         let finished = match self.0.dispatcher.direct_replica(&call.replica) {
-            None => FinishedAttempt::without_value(0, 0, AttemptOutcome::NotSent),
+            None => FinishedAttempt::without_value(ONLY_ATTEMPT, AttemptOutcome::NotSent),
             Some(replica) => self.attempt(replica, timeout, &call, &cancelled).await,
         };
         self.0.running.borrow_mut().remove(&key);
@@ -204,8 +210,7 @@
     ) -> FinishedAttempt {
         let (finished, mut finished_attempts) = mpsc::unbounded_channel();
         let outgoing = OutgoingSubRequest {
-            sub_request: 0,
-            attempt: 0,
+            key: ONLY_ATTEMPT,
             shard: call.shard as usize,
             continuation: call.continuation,
             text: call.text.as_str().into(),
@@ -223,11 +228,11 @@
         tokio::select! {
             Some(finished) = finished_attempts.recv() => finished,
             () = sleep(wait) => {
-                in_flight.iter().flatten().for_each(InFlightAttempt::timed_out);
-                FinishedAttempt::without_value(0, 0, AttemptOutcome::TimedOut)
+                in_flight.iter().flatten().for_each(InFlightAttempt::on_timed_out);
+                FinishedAttempt::without_value(ONLY_ATTEMPT, AttemptOutcome::TimedOut)
             }
             () = cancelled.notified() => {
-                FinishedAttempt::without_value(0, 0, AttemptOutcome::Cancelled)
+                FinishedAttempt::without_value(ONLY_ATTEMPT, AttemptOutcome::Cancelled)
             }
         }
     }
--- a/crates/linenthread-service/src/merge_responses.rs
+++ b/crates/linenthread-service/src/merge_responses.rs
@@ -101,6 +101,13 @@
     pub anomalies: Anomalies,
 }
 
+/// What one attempt at a sub-request asks.
+pub(crate) struct AttemptRequest {
+    /// How many continuations of the sub-request came before.
+    pub continuation: u32,
+    pub text: Rc<str>,
+}
+
 /// The response of one attempt.
 pub(crate) struct AttemptResponse {
     /// The sub-request's position in its query.
@@ -178,14 +185,17 @@
         })
     }
 
-    /// What the next attempt at a sub-request asks: the number of continuations before it, and its text.
-    pub(crate) fn request(&self, sub_request: usize, text: &Rc<str>) -> (u32, Rc<str>) {
+    /// What the next attempt at a sub-request asks; `text` is that of the query.
+    pub(crate) fn next_request(&self, sub_request: usize, text: &Rc<str>) -> AttemptRequest {
         match self {
-            ResponseCollector::Unmerged(_) => (0, text.clone()),
-            ResponseCollector::Merged { merger, .. } => (
-                merger.continuation(sub_request),
-                merger.request_text(sub_request).into(),
-            ),
+            ResponseCollector::Unmerged(_) => AttemptRequest {
+                continuation: 0,
+                text: text.clone(),
+            },
+            ResponseCollector::Merged { merger, .. } => AttemptRequest {
+                continuation: merger.continuation(sub_request),
+                text: merger.request_text(sub_request).into(),
+            },
         }
     }
 
--- /dev/null
+++ b/crates/linenthread-service/src/query/task.rs
@@ -0,0 +1,180 @@
+//! The task of one query: performs the coordinator's decisions, collects the responses and answers the client.
+
+use std::rc::Rc;
+
+use linenthread_core::interface::AttemptOutcome;
+use linenthread_protocol::query::Query;
+use tokio::sync::{mpsc, oneshot};
+use tokio::time::{Instant, sleep_until};
+
+use super::pending_attempts::{BatchKey, PendingAttempts, SendBatches};
+use super::{QueryContext, QueryOutcome};
+use crate::dispatcher::Decision;
+use crate::merge_responses::{AttemptRequest, AttemptResponse, ResponseCollector, ResponseSource};
+use crate::transports::attempt::{
+    AttemptKey, FinishedAttempt, FinishedAttempts, OutgoingSubRequest,
+};
+
+/// The state of one query's task.
+pub(super) struct QueryTask<'a> {
+    pub(super) context: &'a QueryContext,
+    /// The coordinator's number of the query.
+    pub(super) number: usize,
+    pub(super) query: &'a Query,
+    /// What each first attempt at a sub-request carries.
+    pub(super) text: Rc<str>,
+    /// In thousandths.
+    pub(super) priority: u32,
+    pub(super) responses: ResponseCollector<'a>,
+    /// Attempts made so far, by sub-request.
+    pub(super) attempt_counts: Vec<usize>,
+    pub(super) pending: PendingAttempts<'a>,
+    /// Given to the transports with each attempt.
+    pub(super) finished: FinishedAttempts,
+    /// `None` once it is answered or has left.
+    pub(super) client: Option<oneshot::Sender<QueryOutcome>>,
+}
+
+impl QueryTask<'_> {
+    /// Runs until the dispatcher releases the query: it is over, and nothing is in flight.
+    pub(super) async fn run(
+        mut self,
+        mut decisions: mpsc::UnboundedReceiver<Decision>,
+        mut finished_attempts: mpsc::UnboundedReceiver<FinishedAttempt>,
+    ) {
+        loop {
+            let deadline = self.pending.next_deadline();
+            tokio::select! {
+                biased;
+                decision = decisions.recv() => match decision {
+                    Some(first) => self.on_decisions(first, &mut decisions),
+                    None => return,
+                },
+                Some(finished) = finished_attempts.recv() => self.on_finished(finished),
+                () = sleep_until(deadline.unwrap_or_else(Instant::now)), if deadline.is_some() => {
+                    self.pending.expire();
+                }
+                () = client_left(self.client.as_mut()) => self.on_client_left(),
+            }
+        }
+    }
+
+    /// Records the response of an attempt, unless it was ended before.
+    fn on_finished(&mut self, finished: FinishedAttempt) {
+        let key = finished.key;
+        let Some(pending) = self.pending.get(key) else {
+            return;
+        };
+        let replica = pending.replica;
+        let dispatcher = &self.context.dispatcher;
+        let source = || ResponseSource {
+            replica: dispatcher.replica_id(replica),
+            shard: self.query.sub_requests[key.sub_request].shard,
+        };
+        let response = AttemptResponse {
+            sub_request: key.sub_request,
+            continuation: pending.continuation,
+            outcome: finished.outcome,
+            value: finished.value,
+        };
+        let outcome = self.responses.record(response, source);
+        self.pending.finish(key, outcome, finished.queue_depth);
+        let continuations = self.responses.take_continuations();
+        if !continuations.is_empty() {
+            dispatcher.continue_sub_requests(self.number, &continuations);
+        }
+    }
+
+    fn on_client_left(&mut self) {
+        self.client = None;
+        self.context.dispatcher.abandon(self.number);
+        if self.context.cancellation {
+            self.pending.cancel_all();
+        }
+    }
+
+    /// Performs the decisions made on this query by now. Consecutive attempts that go to one replica share a
+    /// frame; any other decision takes effect after the attempts before it.
+    fn on_decisions(&mut self, first: Decision, decisions: &mut mpsc::UnboundedReceiver<Decision>) {
+        let mut batches = SendBatches::new();
+        let mut next = Some(first);
+        while let Some(decision) = next {
+            if !matches!(decision, Decision::Send { .. }) {
+                self.send(&mut batches);
+            }
+            self.perform(decision, &mut batches);
+            next = decisions.try_recv().ok();
+        }
+        self.send(&mut batches);
+    }
+
+    fn send(&mut self, batches: &mut SendBatches) {
+        self.pending.send(batches, &self.query.id, &self.finished);
+    }
+
+    /// The next attempt at a sub-request.
+    fn next_attempt(&mut self, sub_request: usize) -> OutgoingSubRequest {
+        let AttemptRequest { continuation, text } =
+            self.responses.next_request(sub_request, &self.text);
+        let attempt = self.attempt_counts[sub_request];
+        self.attempt_counts[sub_request] += 1;
+        OutgoingSubRequest {
+            key: AttemptKey {
+                sub_request,
+                attempt,
+            },
+            shard: self.query.sub_requests[sub_request].shard,
+            continuation,
+            text,
+            priority: self.priority,
+        }
+    }
+
+    /// Performs a decision; attempts to be sent are added to `batches`.
+    fn perform(&mut self, decision: Decision, batches: &mut SendBatches) {
+        match decision {
+            Decision::Send {
+                sub_request,
+                replica,
+                timeout,
+            } => {
+                let outgoing = self.next_attempt(sub_request);
+                let batch = batches.entry(BatchKey { replica, timeout });
+                batch.or_default().push(outgoing);
+            }
+            Decision::Cancel {
+                sub_request,
+                attempt,
+            } => {
+                let key = AttemptKey {
+                    sub_request,
+                    attempt,
+                };
+                self.pending.finish(key, AttemptOutcome::Cancelled, None);
+            }
+            Decision::Respond { complete } => {
+                let body = self.responses.response(complete, self.query);
+                self.answer(QueryOutcome::Success(body));
+            }
+            Decision::Reject { retry_after } => {
+                let retry_after_ms = retry_after.map(|tenths| tenths as f64 / 10.0);
+                self.answer(QueryOutcome::Rejected { retry_after_ms });
+            }
+            Decision::Fail => self.answer(QueryOutcome::Failed),
+        }
+    }
+
+    fn answer(&mut self, outcome: QueryOutcome) {
+        if let Some(client) = self.client.take() {
+            client.send(outcome).ok();
+        }
+    }
+}
+
+/// Waits until the client leaves; for ever once it is answered.
+async fn client_left(client: Option<&mut oneshot::Sender<QueryOutcome>>) {
+    match client {
+        Some(client) => client.closed().await,
+        None => std::future::pending().await,
+    }
+}
--- a/crates/linenthread-service/src/serve/fleet_member.rs
+++ b/crates/linenthread-service/src/serve/fleet_member.rs
@@ -62,8 +62,8 @@
     loop {
         tokio::select! {
             _ = observations.tick() => {
-                if let Some((report, topology)) = dispatcher.report_zones()
-                    && to_fleet.send(ToFleet::Observed(report, topology)).is_err()
+                if let Some(report) = dispatcher.report_zones()
+                    && to_fleet.send(ToFleet::Observed(report)).is_err()
                 {
                     warn!("the fleet's thread has ended: decides alone");
                     return;
--- a/crates/linenthread-service/src/serve/mod.rs
+++ b/crates/linenthread-service/src/serve/mod.rs
@@ -29,7 +29,7 @@
 use crate::service_discovery;
 use crate::transports::Transports;
 use crate::transports::attempt::ConnectionLimits;
-use crate::zone_routing::ZoneRouting;
+use crate::zone_routing::{ZoneRouting, ZoneRoutingConfig, numbered_zones};
 
 pub(crate) use error::ServeError;
 use error::{FleetSnafu, ListenSnafu, SignalsSnafu};
@@ -173,26 +173,37 @@
     })
 }
 
-/// The dispatcher, which routes between zones if this process is in a fleet that has them.
+/// The dispatcher, which routes between zones where a fleet decides on that.
 fn dispatcher(
     config: &Config,
     transports: &Transports,
     settings: &InstallationSettings,
 ) -> Dispatcher {
-    let (fleet, zones) = (settings.fleet.as_ref(), settings.zones.as_ref());
-    let zone_list = zones.iter().flat_map(|zones| &zones.zones);
-    let names: Vec<String> = zone_list.map(|zone| zone.name.clone()).collect();
-    Dispatcher::new(config, transports.clone(), &names, |sites| {
-        let ((fleet, _), zones) = (fleet?, zones?);
-        let layout = config.coordinator.layout.clone();
-        Some(ZoneRouting::new(
-            fleet::configured_zones(zones),
-            &fleet.zone,
-            tenth_millis(zones.table_lifetime),
-            sites,
-            (layout, config.cluster.shard_count),
-        ))
-    })
+    let installed_zones = settings.zones.as_ref().map(|zones| &zones.zones[..]);
+    let zone_names = numbered_zones(
+        &config.cluster.zone_names,
+        installed_zones.unwrap_or_default(),
+    );
+    let zones = zone_routing(config, settings, &zone_names);
+    Dispatcher::new(config, transports.clone(), zone_names, zones)
+}
+
+/// Routing between zones; `None` unless this process is in a fleet that has zones.
+fn zone_routing(
+    config: &Config,
+    settings: &InstallationSettings,
+    zone_names: &[String],
+) -> Option<ZoneRouting> {
+    let (fleet, _) = settings.fleet.as_ref()?;
+    let zones = settings.zones.as_ref()?;
+    let routing_config = ZoneRoutingConfig {
+        zones: fleet::configured_zones(zones),
+        local_zone: fleet.zone.clone(),
+        table_lifetime: tenth_millis(zones.table_lifetime),
+        layout: config.coordinator.layout.clone(),
+        shard_count: config.cluster.shard_count,
+    };
+    Some(ZoneRouting::new(routing_config, zone_names))
 }
 
 fn query_context(
--- a/crates/linenthread-service/src/transports/attempt.rs
+++ b/crates/linenthread-service/src/transports/attempt.rs
@@ -6,16 +6,22 @@
 use linenthread_core::interface::AttemptOutcome;
 use tokio::sync::mpsc;
 
+/// Identifies an attempt within its query.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub(crate) struct AttemptKey {
+    /// The sub-request's position in its query.
+    pub sub_request: usize,
+    /// The attempt's number within its sub-request.
+    pub attempt: usize,
+}
+
 /// Where a query's task receives the outcomes of its attempts.
 pub(crate) type FinishedAttempts = mpsc::UnboundedSender<FinishedAttempt>;
 
 /// The outcome of one attempt, reported to the task of its query.
 #[derive(Debug)]
 pub(crate) struct FinishedAttempt {
-    /// The sub-request's position in its query.
-    pub sub_request: usize,
-    /// The attempt's number within its sub-request.
-    pub attempt: usize,
+    pub key: AttemptKey,
     pub outcome: AttemptOutcome,
     /// The queue depth that the replica reported.
     pub queue_depth: Option<f64>,
@@ -24,14 +30,9 @@
 }
 
 impl FinishedAttempt {
-    pub(crate) fn without_value(
-        sub_request: usize,
-        attempt: usize,
-        outcome: AttemptOutcome,
-    ) -> FinishedAttempt {
+    pub(crate) fn without_value(key: AttemptKey, outcome: AttemptOutcome) -> FinishedAttempt {
         FinishedAttempt {
-            sub_request,
-            attempt,
+            key,
             outcome,
             queue_depth: None,
             value: String::new(),
@@ -62,13 +63,8 @@
     finished: &FinishedAttempts,
 ) -> Vec<Option<T>> {
     for outgoing in sub_requests {
-        finished
-            .send(FinishedAttempt::without_value(
-                outgoing.sub_request,
-                outgoing.attempt,
-                AttemptOutcome::NotSent,
-            ))
-            .ok();
+        let not_sent = FinishedAttempt::without_value(outgoing.key, AttemptOutcome::NotSent);
+        finished.send(not_sent).ok();
     }
     sub_requests.iter().map(|_| None).collect()
 }
@@ -76,10 +72,7 @@
 /// One attempt at a sub-request, ready to be sent.
 #[derive(Clone, Debug)]
 pub(crate) struct OutgoingSubRequest {
-    /// The sub-request's position in its query.
-    pub sub_request: usize,
-    /// The attempt's number within its sub-request.
-    pub attempt: usize,
+    pub key: AttemptKey,
     pub shard: usize,
     /// How many continuations of this sub-request came before.
     pub continuation: u32,
--- a/crates/linenthread-service/src/transports/connection/mod.rs
+++ b/crates/linenthread-service/src/transports/connection/mod.rs
@@ -22,7 +22,8 @@
 use tracing::info;
 
 use crate::transports::attempt::{
-    ConnectionLimits, FinishedAttempt, FinishedAttempts, OutgoingSubRequest, ProbeReport,
+    AttemptKey, ConnectionLimits, FinishedAttempt, FinishedAttempts, OutgoingSubRequest,
+    ProbeReport,
 };
 
 pub(in crate::transports) use error::ConnectionError;
@@ -44,8 +45,7 @@
 struct PendingAttempt {
     /// Unique among all attempts of the process.
     number: u64,
-    sub_request: usize,
-    attempt: usize,
+    key: AttemptKey,
     /// Its frame is written completely: it may run.
     written: bool,
     finished: FinishedAttempts,
@@ -93,7 +93,7 @@
 
 impl InFlightAttempt {
     /// Marks the connection as silent where nothing was read since the attempt was sent.
-    pub(crate) fn timed_out(&self) {
+    pub(crate) fn on_timed_out(&self) {
         self.connection.set_silent_since(self.sent);
     }
 }
@@ -187,8 +187,7 @@
             let number = next_number();
             let pending = PendingAttempt {
                 number,
-                sub_request: outgoing.sub_request,
-                attempt: outgoing.attempt,
+                key: outgoing.key,
                 written: false,
                 finished: finished.clone(),
             };
@@ -433,8 +432,7 @@
         if let Some(pending) = pending {
             self.remember_finished(id);
             let finished = FinishedAttempt {
-                sub_request: pending.sub_request,
-                attempt: pending.attempt,
+                key: pending.key,
                 outcome,
                 queue_depth,
                 value,
@@ -457,11 +455,7 @@
             false => AttemptOutcome::ConnectFailed,
         };
         for pending in std::mem::take(&mut *self.attempts.borrow_mut()).into_values() {
-            let finished = FinishedAttempt::without_value(
-                pending.sub_request,
-                pending.attempt,
-                outcome(pending.written),
-            );
+            let finished = FinishedAttempt::without_value(pending.key, outcome(pending.written));
             pending.finished.send(finished).ok();
         }
         for probe in self.probes.borrow_mut().drain(..) {
--- a/crates/linenthread-service/src/transports/link.rs
+++ b/crates/linenthread-service/src/transports/link.rs
@@ -24,7 +24,7 @@
 use crate::clock::{self, Clock};
 use crate::log::LogRateLimit;
 use crate::transports::attempt::{
-    FinishedAttempt, FinishedAttempts, OutgoingSubRequest, ProbeReport,
+    AttemptKey, FinishedAttempt, FinishedAttempts, OutgoingSubRequest, ProbeReport,
 };
 
 /// The size of one read, in bytes.
@@ -53,8 +53,7 @@
 
 /// A call that waits for its outcome.
 struct PendingCall {
-    sub_request: usize,
-    attempt: usize,
+    key: AttemptKey,
     finished: FinishedAttempts,
 }
 
@@ -210,8 +209,7 @@
                 let pending = self.0.calls.borrow_mut().remove(&id);
                 if let Some(pending) = pending {
                     let finished = FinishedAttempt {
-                        sub_request: pending.sub_request,
-                        attempt: pending.attempt,
+                        key: pending.key,
                         outcome,
                         queue_depth,
                         value,
@@ -279,8 +277,7 @@
         self.act(|client, now, actions| {
             id = client.call(now, call, deadline, outgoing.priority, actions);
             let pending = PendingCall {
-                sub_request: outgoing.sub_request,
-                attempt: outgoing.attempt,
+                key: outgoing.key,
                 finished: finished.clone(),
             };
             self.0.calls.borrow_mut().insert(id, pending);
--- a/crates/linenthread-service/src/transports/mod.rs
+++ b/crates/linenthread-service/src/transports/mod.rs
@@ -66,9 +66,9 @@
 impl InFlightAttempt {
     /// Marks the connection as silent where nothing was read since the attempt was sent. A link judges itself by
     /// its heartbeats.
-    pub(crate) fn timed_out(&self) {
+    pub(crate) fn on_timed_out(&self) {
         match self {
-            InFlightAttempt::Direct(attempt) => attempt.timed_out(),
+            InFlightAttempt::Direct(attempt) => attempt.on_timed_out(),
             InFlightAttempt::Link(_) => {}
         }
     }
--- a/crates/linenthread-service/src/zone_routing.rs
+++ b/crates/linenthread-service/src/zone_routing.rs
@@ -6,6 +6,7 @@
 use linenthread_core::interface::{
     AttemptOutcome, MembershipEntry, MembershipUpdate, Phase, ShardLayout, TenthMillis, ZoneRoute,
 };
+use linenthread_installation as file;
 use linenthread_protocol::hash_id;
 use linenthread_zones::{ALL_KEYS, Placement, Report, RoutingTable, Topology, Zone, ZoneObserver};
 
@@ -28,6 +29,37 @@
 /// Identity of the process behind a replica number; another start time is another process.
 type ReplicaIdentity = (u64, Option<TenthMillis>);
 
+/// What a process tells the leader of its fleet about zones.
+pub(crate) struct ZoneReport {
+    /// Observations since the previous report.
+    pub observations: Report,
+    /// The placement of replicas now.
+    pub topology: Topology,
+}
+
+/// How a process routes between zones.
+pub(crate) struct ZoneRoutingConfig {
+    /// The zones of the installation file, in its order.
+    pub zones: Vec<Zone>,
+    /// Name of the zone of this process.
+    pub local_zone: String,
+    /// A routing table expires after this time unless it is renewed.
+    pub table_lifetime: TenthMillis,
+    pub layout: ShardLayout,
+    pub shard_count: usize,
+}
+
+/// All zones in the order of the dispatcher's numbers: those that the settings name, then the further ones of the
+/// installation file.
+pub(crate) fn numbered_zones(
+    in_settings: &[String],
+    in_installation: &[file::Zone],
+) -> Vec<String> {
+    let installed = in_installation.iter().map(|zone| &zone.name);
+    let further = installed.filter(|name| !in_settings.contains(name));
+    in_settings.iter().chain(further).cloned().collect()
+}
+
 /// Routing between zones, as seen from the zone of this process.
 pub(crate) struct ZoneRouting {
     zones: Vec<Zone>,
@@ -47,20 +79,21 @@
 }
 
 impl ZoneRouting {
-    /// `zone_names` are the dispatcher's zones in its order; `local_zone` is the name of the fleet member's zone.
-    pub(crate) fn new(
-        zones: Vec<Zone>,
-        local_zone: &str,
-        table_lifetime: TenthMillis,
-        zone_names: &[String],
-        (layout, shard_count): (ShardLayout, usize),
-    ) -> ZoneRouting {
+    /// `zone_names` are the zones in the order of the dispatcher's numbers.
+    pub(crate) fn new(config: ZoneRoutingConfig, zone_names: &[String]) -> ZoneRouting {
+        let ZoneRoutingConfig {
+            zones,
+            local_zone,
+            table_lifetime,
+            layout,
+            shard_count,
+        } = config;
         let position = |name: &str| zones.iter().position(|zone| zone.name == name);
         let named_zone = |name: &String| NamedZone {
             name: name.clone(),
             configured: position(name),
         };
-        let local_zone = position(local_zone).unwrap_or_default();
+        let local_zone = position(&local_zone).unwrap_or_default();
         ZoneRouting {
             named_zones: zone_names.iter().map(named_zone).collect(),
             observer: ZoneObserver::new(local_zone as u8),
@@ -131,7 +164,7 @@
     }
 
     /// The observations since the previous call, and the placement of replicas now.
-    pub(crate) fn report(&mut self) -> (Report, Topology) {
+    pub(crate) fn report(&mut self) -> ZoneReport {
         let zone_count = self.zones.len();
         let mut replicas = vec![0; zone_count];
         // Ready replicas by replica group, then by zone.
@@ -151,7 +184,10 @@
             replicas,
             placements: self.placements(&by_group),
         };
-        (self.observer.report(&topology.replicas), topology)
+        ZoneReport {
+            observations: self.observer.report(&topology.replicas),
+            topology,
+        }
     }
 
     /// The ways in which shards are spread over zones, each with its share of all shards.
--- a/crates/linenthread-service/tests/transports.rs
+++ b/crates/linenthread-service/tests/transports.rs
@@ -18,7 +18,7 @@
 use tokio::net::TcpListener;
 use tokio::sync::mpsc;
 
-use transports::attempt::{ConnectionLimits, FinishedAttempt, OutgoingSubRequest};
+use transports::attempt::{AttemptKey, ConnectionLimits, FinishedAttempt, OutgoingSubRequest};
 use transports::{Route, Transports};
 
 /// What was written completely when a connection broke, or violated the protocol, may have run; the rest never did.
@@ -50,8 +50,10 @@
             // More than any socket's buffers hold.
             let text: Rc<str> = "x".repeat(60_000).into();
             let outgoing = |sub_request| OutgoingSubRequest {
-                sub_request,
-                attempt: 0,
+                key: AttemptKey {
+                    sub_request,
+                    attempt: 0,
+                },
                 shard: sub_request,
                 continuation: 0,
                 text: text.clone(),
@@ -66,12 +68,8 @@
             let open = (!sent.is_empty()).then_some(replica);
             let mut outcomes = vec![None; 500];
             for _ in 0..500 {
-                let FinishedAttempt {
-                    sub_request,
-                    outcome,
-                    ..
-                } = finished_attempts.recv().await.unwrap();
-                let earlier = outcomes[sub_request].replace(outcome);
+                let FinishedAttempt { key, outcome, .. } = finished_attempts.recv().await.unwrap();
+                let earlier = outcomes[key.sub_request].replace(outcome);
                 assert_eq!(earlier, None, "each ends once");
             }
             assert_eq!(
