--- a/crates/linenthread-service/src/serve/mod.rs
+++ b/crates/linenthread-service/src/serve/mod.rs
@@ -28,7 +28,7 @@
 use crate::query::QueryContext;
 use crate::service_discovery;
 use crate::transports::Transports;
-use crate::transports::attempt::ConnectionLimits;
+use crate::transports::attempt::ConnectionConfig;
 use crate::zone_routing::{ZoneRouting, ZoneRoutingConfig, numbered_zones};
 
 pub(crate) use error::ServeError;
@@ -163,9 +163,9 @@
     let surroundings = &config.cluster;
     let connect_timeout = clock::to_duration(surroundings.connect_timeout.max(1));
     let idle_timeout = clock::to_duration(surroundings.idle_timeout.max(1));
-    Transports::new(ConnectionLimits {
+    Transports::new(ConnectionConfig {
         max_streams: surroundings.max_streams,
-        cancellation: config.coordinator.permissions.cancellation,
+        sends_cancellations: config.coordinator.permissions.cancellation,
         connect_timeout,
         probe_timeout: connect_timeout,
         idle_timeout: idle_timeout - idle_timeout / 8,
--- a/crates/linenthread-service/src/transports/attempt.rs
+++ b/crates/linenthread-service/src/transports/attempt.rs
@@ -81,13 +81,13 @@
     pub priority: u32,
 }
 
-/// Limits and time-outs of the connections to replicas.
+/// How connections to replicas are used.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct ConnectionLimits {
+pub(crate) struct ConnectionConfig {
     /// Attempts in flight on one connection.
     pub max_streams: usize,
-    /// Replicas may be sent cancellations.
-    pub cancellation: bool,
+    /// Replicas are sent cancellations.
+    pub sends_cancellations: bool,
     pub connect_timeout: Duration,
     pub probe_timeout: Duration,
     /// An idle connection is closed after this time, which is shorter than the replica's own.
--- a/crates/linenthread-service/src/transports/connection/error.rs
+++ b/crates/linenthread-service/src/transports/connection/error.rs
@@ -31,21 +31,29 @@
     UnknownResponse,
 }
 
+/// How a connection has ended: what is in flight on it ends accordingly.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(in crate::transports) enum ConnectionEnd {
+    /// It was closed or lost, or never made.
+    Lost,
+    /// The replica broke the protocol: it runs, and has run what was sent, but the connection is of no more use.
+    ProtocolViolated,
+}
+
 impl ConnectionError {
-    /// Whether the replica broke the protocol: it runs, and has run what was sent, but the connection is of no
-    /// more use.
-    pub(in crate::transports) fn is_protocol_violation(&self) -> bool {
+    /// What the error says of the replica.
+    pub(in crate::transports) fn end(&self) -> ConnectionEnd {
         match self {
             ConnectionError::Connect { .. }
             | ConnectionError::ConnectTimeout
             | ConnectionError::Closed
             | ConnectionError::Io { .. }
-            | ConnectionError::FrameRefused { .. } => false,
+            | ConnectionError::FrameRefused { .. } => ConnectionEnd::Lost,
             ConnectionError::Decode { .. }
             | ConnectionError::IncompleteFrame
             | ConnectionError::UnsolicitedData
             | ConnectionError::PrematureResponse
-            | ConnectionError::UnknownResponse => true,
+            | ConnectionError::UnknownResponse => ConnectionEnd::ProtocolViolated,
         }
     }
 }
--- /dev/null
+++ b/crates/linenthread-service/src/transports/connection/exchange.rs
@@ -0,0 +1,135 @@
+//! The task of a connection: writes frames, reads messages, and notices when the connection is of no more use.
+
+use std::io;
+use std::time::Duration;
+
+use bytes::BytesMut;
+use linenthread_protocol::frame;
+use snafu::ResultExt;
+use tokio::io::{AsyncReadExt, AsyncWriteExt};
+use tokio::net::TcpStream;
+use tokio::time::{Instant, sleep_until};
+
+use super::error::{ClosedSnafu, DecodeSnafu, IncompleteFrameSnafu, IoSnafu, UnsolicitedDataSnafu};
+use super::frame_writer::{FrameContents, FrameWriter, Writable};
+use super::{Connection, ConnectionError};
+use crate::transports::attempt::ConnectionConfig;
+
+/// After this idle time the replica may have closed the connection unnoticed: the last byte of the next request is
+/// delayed, so that a dead connection breaks before the request can run.
+const IDLE_BEFORE_DELAY: Duration = Duration::from_millis(50);
+/// The size of one read, in bytes.
+const READ_BYTES: usize = 16 * 1024;
+
+/// What one turn of the connection's task ended with.
+enum Turn {
+    Continue,
+    /// Nothing is in flight and the connection is not wanted any more.
+    Closed,
+}
+
+/// How far one connection has come with reading.
+struct ReadState {
+    buffer: BytesMut,
+    /// The last read or write.
+    active: Instant,
+    /// The first byte of a frame that is incomplete.
+    frame_started: Instant,
+}
+
+impl Connection {
+    /// Writes and reads until one side closes.
+    ///
+    /// # Errors
+    ///
+    /// Why the connection ended while it was still wanted.
+    pub(in crate::transports) async fn exchange(
+        &self,
+        mut stream: TcpStream,
+        config: &ConnectionConfig,
+    ) -> Result<(), ConnectionError> {
+        let (mut input, mut output) = stream.split();
+        let now = Instant::now();
+        let mut read = ReadState {
+            buffer: BytesMut::with_capacity(READ_BYTES),
+            active: now,
+            frame_started: now,
+        };
+        let mut writing: Option<FrameWriter> = None;
+        loop {
+            if writing.is_none() {
+                writing = self.next_frame(read.active);
+            }
+            let is_idle = writing.is_none() && self.is_empty();
+            if is_idle && !self.is_usable() {
+                return Ok(());
+            }
+            let Writable {
+                bytes: unwritten,
+                last_byte_at,
+            } = writing
+                .as_ref()
+                .map_or_else(Writable::nothing, FrameWriter::writable);
+            tokio::select! {
+                biased;
+                count = input.read_buf(&mut read.buffer) => match self.on_read(count, &mut read, is_idle)? {
+                    Turn::Continue => {}
+                    Turn::Closed => return Ok(()),
+                },
+                written = output.write(unwritten), if !unwritten.is_empty() => {
+                    let written = written.context(IoSnafu)?;
+                    read.active = Instant::now();
+                    if let Some(complete) = writing.take_if(|writer| writer.advance(written)) {
+                        self.on_written(&complete.frame);
+                    }
+                }
+                () = sleep_until(last_byte_at.unwrap_or(read.active)), if last_byte_at.is_some() => {}
+                () = self.wake.notified() => {}
+                // A frame takes no longer than a connect: one that does will never be complete.
+                () = sleep_until(read.frame_started + config.connect_timeout), if !read.buffer.is_empty() => {
+                    return IncompleteFrameSnafu.fail();
+                }
+                () = sleep_until(read.active + config.idle_timeout), if is_idle => return Ok(()),
+            }
+        }
+    }
+
+    /// The next frame to write, after the connection was last active at `active`.
+    fn next_frame(&self, active: Instant) -> Option<FrameWriter> {
+        let frame = self.outgoing.borrow_mut().pop_front()?;
+        let delays_last_byte = matches!(frame.contents, FrameContents::Requests(_))
+            && self.is_established.get()
+            && active.elapsed() > IDLE_BEFORE_DELAY;
+        Some(FrameWriter::new(frame, delays_last_byte))
+    }
+
+    /// Handles what was read; `is_idle` says that nothing was in flight or being written.
+    fn on_read(
+        &self,
+        count: io::Result<usize>,
+        read: &mut ReadState,
+        is_idle: bool,
+    ) -> Result<Turn, ConnectionError> {
+        match count.context(IoSnafu)? {
+            0 if is_idle => return Ok(Turn::Closed),
+            0 => return ClosedSnafu.fail(),
+            count if count == read.buffer.len() => read.frame_started = Instant::now(),
+            _ => {}
+        }
+        read.active = Instant::now();
+        while let Some(message) = frame::decode(&mut read.buffer).context(DecodeSnafu)? {
+            read.frame_started = read.active;
+            // Only complete frames show that the replica is responsive.
+            self.last_read.set(read.active);
+            self.is_established.set(true);
+            self.is_silent.set(false);
+            self.on_message(message)?;
+        }
+        if !read.buffer.is_empty() && self.in_flight() == 0 {
+            return UnsolicitedDataSnafu.fail();
+        }
+        self.is_mid_frame.set(!read.buffer.is_empty());
+        read.buffer.reserve(READ_BYTES);
+        Ok(Turn::Continue)
+    }
+}
--- a/crates/linenthread-service/src/transports/connection/frame_writer.rs
+++ b/crates/linenthread-service/src/transports/connection/frame_writer.rs
@@ -10,9 +10,52 @@
 /// A frame to be written.
 pub(super) struct OutgoingFrame {
     pub(super) bytes: Vec<u8>,
-    /// The sub-request ids in it, with the numbers of their attempts.
-    pub(super) attempts: Vec<(String, u64)>,
-    pub(super) is_probe: bool,
+    pub(super) contents: FrameContents,
+}
+
+/// What a frame has in it.
+pub(super) enum FrameContents {
+    Requests(Vec<SentAttempt>),
+    Cancellation,
+    Probe,
+}
+
+/// An attempt in a frame.
+pub(super) struct SentAttempt {
+    /// The sub-request's id on the wire.
+    pub(super) id: String,
+    /// Unique among all attempts of the process.
+    pub(super) number: u64,
+}
+
+impl OutgoingFrame {
+    /// Whether it has nothing in it but this attempt.
+    pub(super) fn is_only_for(&self, number: u64) -> bool {
+        match &self.contents {
+            FrameContents::Requests(sent) => sent.len() == 1 && sent[0].number == number,
+            FrameContents::Cancellation | FrameContents::Probe => false,
+        }
+    }
+}
+
+/// What may be written of a frame.
+pub(super) struct Writable<'a> {
+    pub(super) bytes: &'a [u8],
+    /// When the last byte may follow, while it is held back.
+    pub(super) last_byte_at: Option<Instant>,
+}
+
+impl<'a> Writable<'a> {
+    pub(super) fn nothing() -> Self {
+        Writable::now(&[])
+    }
+
+    fn now(bytes: &'a [u8]) -> Self {
+        Writable {
+            bytes,
+            last_byte_at: None,
+        }
+    }
 }
 
 /// A frame that is being written.
@@ -36,14 +79,17 @@
         }
     }
 
-    /// What may be written now, or when there will be more.
-    pub(super) fn next(&self) -> (&[u8], Option<Instant>) {
+    /// What may be written now.
+    pub(super) fn writable(&self) -> Writable<'_> {
         let rest = &self.frame.bytes[self.position..];
         match self.last_byte_at {
-            _ if !self.delays_last_byte => (rest, None),
-            None => (&rest[..rest.len() - 1], None),
-            Some(due) if due > Instant::now() => (&[], Some(due)),
-            Some(_) => (rest, None),
+            _ if !self.delays_last_byte => Writable::now(rest),
+            None => Writable::now(&rest[..rest.len() - 1]),
+            Some(due) if due > Instant::now() => Writable {
+                bytes: &[],
+                last_byte_at: Some(due),
+            },
+            Some(_) => Writable::now(rest),
         }
     }
 
--- /dev/null
+++ b/crates/linenthread-service/src/transports/connection/in_flight.rs
@@ -0,0 +1,53 @@
+//! The handle of an attempt in flight, which cancels it when it is dropped.
+
+use std::rc::Rc;
+
+use linenthread_protocol::frame;
+use tokio::time::Instant;
+
+use super::Connection;
+use super::frame_writer::{FrameContents, OutgoingFrame};
+
+/// An attempt in flight at a replica. Dropping it cancels the attempt, unless it has finished.
+pub(crate) struct InFlightAttempt {
+    pub(super) connection: Rc<Connection>,
+    /// The sub-request's id on the wire.
+    pub(super) id: String,
+    /// Unique among all attempts of the process.
+    pub(super) number: u64,
+    pub(super) sent: Instant,
+}
+
+impl InFlightAttempt {
+    /// Marks the connection as silent where nothing was read since the attempt was sent.
+    pub(crate) fn on_timed_out(&self) {
+        self.connection.set_silent_since(self.sent);
+    }
+}
+
+impl Drop for InFlightAttempt {
+    fn drop(&mut self) {
+        let connection = &self.connection;
+        let mut attempts = connection.attempts.borrow_mut();
+        if attempts
+            .get(&self.id)
+            .is_none_or(|pending| pending.number != self.number)
+        {
+            return;
+        }
+        attempts.remove(&self.id);
+        connection.remember_finished(&self.id);
+        let mut outgoing = connection.outgoing.borrow_mut();
+        // Where nothing else is in its frame and no byte of that is written, the replica need not know of it.
+        let is_alone = |frame: &OutgoingFrame| frame.is_only_for(self.number);
+        match outgoing.iter().position(is_alone) {
+            Some(unwritten) => drop(outgoing.remove(unwritten)),
+            None if !connection.sends_cancellations => {}
+            None => outgoing.push_back(OutgoingFrame {
+                bytes: frame::encode_cancel(&self.id),
+                contents: FrameContents::Cancellation,
+            }),
+        }
+        connection.wake.notify_one();
+    }
+}
--- a/crates/linenthread-service/src/transports/link.rs
+++ b/crates/linenthread-service/src/transports/link/mod.rs
@@ -1,9 +1,11 @@
 //! Links to gateways: sub-requests to replicas that only a gateway in another site reaches. The state machine
-//! in `linenthread-link` decides; the task here connects, reads, writes and keeps its timers.
+//! in `linenthread-link` decides; this module passes inputs to it and performs its actions.
+
+mod connection;
+mod frame_writer;
 
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, VecDeque};
-use std::io;
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
@@ -11,15 +13,12 @@
 use linenthread_core::interface::{AttemptOutcome, TenthMillis};
 use linenthread_link::routing::LinkStatus;
 use linenthread_link::{
-    Call, CallId, CallNumber, ClientAction, ClientCloseReason, ClientConfig, Frame, FrameError,
-    LinkClient, Member, ProbeId, Secrets,
+    Call, CallId, ClientAction, ClientCloseReason, ClientConfig, Frame, LinkClient, Member,
+    ProbeId, Secrets,
 };
-use snafu::{ResultExt, Snafu};
-use tokio::io::{AsyncReadExt, AsyncWriteExt};
-use tokio::net::TcpStream;
 use tokio::sync::{Notify, mpsc, oneshot};
-use tokio::time::{Instant, sleep_until, timeout};
-use tracing::{info, warn};
+use tokio::time::timeout;
+use tracing::info;
 
 use crate::clock::{self, Clock};
 use crate::log::LogRateLimit;
@@ -27,30 +26,6 @@
     AttemptKey, FinishedAttempt, FinishedAttempts, OutgoingSubRequest, ProbeReport,
 };
 
-/// The size of one read, in bytes.
-const READ_BYTES: usize = 32 * 1024;
-/// How long a connect to a gateway may take.
-const CONNECT_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// The longest sleep of the link's task: 10 s.
-const MAX_SLEEP: TenthMillis = 100_000;
-
-/// Why a link's connection ended. The text goes to the log.
-#[derive(Debug, Snafu)]
-enum LinkError {
-    #[snafu(display("cannot connect: {source}"))]
-    Connect { source: io::Error },
-    #[snafu(display("cannot connect in time"))]
-    ConnectTimeout,
-    #[snafu(display("closed by the gateway"))]
-    ClosedByGateway,
-    #[snafu(display("{reason}"))]
-    ClosedHere { reason: ClientCloseReason },
-    #[snafu(display("{source}"))]
-    Io { source: io::Error },
-    #[snafu(display("{source}"))]
-    Frame { source: FrameError },
-}
-
 /// A call that waits for its outcome.
 struct PendingCall {
     key: AttemptKey,
@@ -77,9 +52,9 @@
     probes: RefCell<BTreeMap<ProbeId, oneshot::Sender<ProbeReport>>>,
     outgoing: RefCell<VecDeque<Frame>>,
     /// The client wants to connect.
-    connect: Cell<bool>,
+    wants_connection: Cell<bool>,
     /// The client wants to close the connection.
-    close: RefCell<Option<ClientCloseReason>>,
+    close_reason: RefCell<Option<ClientCloseReason>>,
     /// Wakes the link's task.
     wake: Notify,
     events: mpsc::UnboundedSender<LinkEvent>,
@@ -117,40 +92,6 @@
     pub seed: u64,
 }
 
-/// A frame that is being written.
-struct FrameWriter {
-    bytes: Vec<u8>,
-    /// Bytes written so far.
-    position: usize,
-    /// The call that the frame starts.
-    call: Option<CallNumber>,
-}
-
-impl FrameWriter {
-    fn new(frame: &Frame) -> Self {
-        let call = if let Frame::Call(request) = frame {
-            Some(request.number)
-        } else {
-            None
-        };
-        FrameWriter {
-            bytes: frame.encode(),
-            position: 0,
-            call,
-        }
-    }
-
-    fn rest(&self) -> &[u8] {
-        &self.bytes[self.position..]
-    }
-
-    /// Counts written bytes; returns whether the frame is complete.
-    fn advance(&mut self, written: usize) -> bool {
-        self.position += written;
-        self.position == self.bytes.len()
-    }
-}
-
 impl Peer {
     /// Starts a link that is kept up from now on, and reports what it reaches to `events`.
     pub(crate) fn start(
@@ -166,8 +107,8 @@
             calls: RefCell::default(),
             probes: RefCell::default(),
             outgoing: RefCell::default(),
-            connect: Cell::new(false),
-            close: RefCell::default(),
+            wants_connection: Cell::new(false),
+            close_reason: RefCell::default(),
             wake: Notify::new(),
             events,
             log_lines: LogRateLimit::default(),
@@ -197,8 +138,8 @@
 
     fn perform(&self, action: ClientAction) {
         match action {
-            ClientAction::Connect => self.0.connect.set(true),
-            ClientAction::Close(reason) => drop(self.0.close.replace(Some(reason))),
+            ClientAction::Connect => self.0.wants_connection.set(true),
+            ClientAction::Close(reason) => drop(self.0.close_reason.replace(Some(reason))),
             ClientAction::Send(frame) => self.0.outgoing.borrow_mut().push_back(frame),
             ClientAction::CallCompleted {
                 id,
@@ -207,14 +148,14 @@
                 value,
             } => {
                 let pending = self.0.calls.borrow_mut().remove(&id);
-                if let Some(pending) = pending {
-                    let finished = FinishedAttempt {
-                        key: pending.key,
+                if let Some(PendingCall { key, finished }) = pending {
+                    let attempt = FinishedAttempt {
+                        key,
                         outcome,
                         queue_depth,
                         value,
                     };
-                    pending.finished.send(finished).ok();
+                    finished.send(attempt).ok();
                 }
             }
             ClientAction::ProbeCompleted {
@@ -301,95 +242,4 @@
             Err(_) => ProbeReport::without_load(AttemptOutcome::TimedOut),
         }
     }
-
-    async fn run(self) {
-        loop {
-            tokio::select! {
-                () = sleep_until(self.next_timeout()) => self.act(LinkClient::on_timeout),
-                () = self.0.wake.notified() => {}
-            }
-            if self.0.connect.take() {
-                let cause = match self.connect().await {
-                    Ok(stream) => self.exchange(stream).await,
-                    Err(error) => error,
-                };
-                if let Some(left_out) = self.0.log_lines.admit() {
-                    warn!(peer = self.0.name, address = %self.0.address, left_out, "link lost: {cause}");
-                }
-                self.0.outgoing.borrow_mut().clear();
-                self.0.close.take();
-                self.act(LinkClient::on_disconnected);
-            }
-        }
-    }
-
-    /// When the state machine wants to be called next.
-    fn next_timeout(&self) -> Instant {
-        let next = self.0.client.borrow().next_timeout();
-        self.0.clock.at(next.min(self.0.clock.now() + MAX_SLEEP))
-    }
-
-    async fn connect(&self) -> Result<TcpStream, LinkError> {
-        match timeout(CONNECT_TIMEOUT, TcpStream::connect(self.0.address)).await {
-            Ok(connected) => connected.context(ConnectSnafu),
-            Err(_) => ConnectTimeoutSnafu.fail(),
-        }
-    }
-
-    /// Writes and reads on one connection until it ends; returns why it did.
-    async fn exchange(&self, mut stream: TcpStream) -> LinkError {
-        stream.set_nodelay(true).ok();
-        self.act(|client, now, _| client.on_connected(now));
-        let (mut input, mut output) = stream.split();
-        let mut received = Vec::new();
-        let mut buffer = vec![0; READ_BYTES];
-        let mut writing: Option<FrameWriter> = None;
-        loop {
-            // Not a byte more: what was not written completely by now was reported as never sent.
-            if let Some(reason) = self.0.close.take() {
-                return LinkError::ClosedHere { reason };
-            }
-            if writing.is_none() {
-                let next = self.0.outgoing.borrow_mut().pop_front();
-                writing = next.as_ref().map(FrameWriter::new);
-            }
-            let unwritten = writing.as_ref().map_or(&[][..], FrameWriter::rest);
-            tokio::select! {
-                count = input.read(&mut buffer) => match count {
-                    Ok(0) => return LinkError::ClosedByGateway,
-                    Ok(count) => {
-                        received.extend_from_slice(&buffer[..count]);
-                        if let Err(source) = self.on_received(&mut received) {
-                            return LinkError::Frame { source };
-                        }
-                    }
-                    Err(source) => return LinkError::Io { source },
-                },
-                count = output.write(unwritten), if !unwritten.is_empty() => match count {
-                    Ok(count) => {
-                        if let Some(complete) = writing.take_if(|writer| writer.advance(count)) {
-                            self.on_written(&complete);
-                        }
-                    }
-                    Err(source) => return LinkError::Io { source },
-                },
-                () = sleep_until(self.next_timeout()) => self.act(LinkClient::on_timeout),
-                () = self.0.wake.notified() => {}
-            }
-        }
-    }
-
-    /// Passes the complete frames in `received` to the state machine.
-    fn on_received(&self, received: &mut Vec<u8>) -> Result<(), FrameError> {
-        Frame::drain(received, |frame| {
-            self.act(|client, now, actions| client.on_frame(now, frame, actions));
-        })
-    }
-
-    /// A frame is written completely: the call in it may run from now on.
-    fn on_written(&self, frame: &FrameWriter) {
-        if let Some(call) = frame.call {
-            self.0.client.borrow_mut().on_call_written(call);
-        }
-    }
 }
--- a/crates/linenthread-service/src/transports/mod.rs
+++ b/crates/linenthread-service/src/transports/mod.rs
@@ -16,7 +16,7 @@
 use linenthread_link::routing;
 
 use attempt::{
-    ConnectionLimits, FinishedAttempts, OutgoingSubRequest, ProbeReport, report_not_sent,
+    ConnectionConfig, FinishedAttempts, OutgoingSubRequest, ProbeReport, report_not_sent,
 };
 use replica_connections::ReplicaConnections;
 
@@ -75,10 +75,10 @@
 }
 
 impl Transports {
-    pub(crate) fn new(limits: ConnectionLimits) -> Self {
+    pub(crate) fn new(config: ConnectionConfig) -> Self {
         Transports(Rc::new(Inner {
-            direct: ReplicaConnections::new(limits),
-            probe_timeout: limits.probe_timeout,
+            direct: ReplicaConnections::new(config),
+            probe_timeout: config.probe_timeout,
             peers: RefCell::default(),
             remote: RefCell::default(),
         }))
--- a/crates/linenthread-service/src/transports/replica_connections.rs
+++ b/crates/linenthread-service/src/transports/replica_connections.rs
@@ -13,9 +13,9 @@
 
 use crate::log::LogRateLimit;
 use crate::transports::attempt::{
-    ConnectionLimits, FinishedAttempts, OutgoingSubRequest, ProbeReport, report_not_sent,
+    ConnectionConfig, FinishedAttempts, OutgoingSubRequest, ProbeReport, report_not_sent,
 };
-use crate::transports::connection::{Connection, ConnectionError, InFlightAttempt};
+use crate::transports::connection::{Connection, ConnectionEnd, ConnectionError, InFlightAttempt};
 
 /// With fewer connections than this to a replica, each carries one request at a time: a connection that fails
 /// or falls silent then fails few others with it.
@@ -31,7 +31,7 @@
 }
 
 struct Inner {
-    limits: ConnectionLimits,
+    config: ConnectionConfig,
     /// By the index of the replica.
     endpoints: RefCell<Vec<Endpoint>>,
     connection_count: Cell<usize>,
@@ -44,9 +44,9 @@
 pub(crate) struct ReplicaConnections(Rc<Inner>);
 
 impl ReplicaConnections {
-    pub(crate) fn new(limits: ConnectionLimits) -> Self {
+    pub(crate) fn new(config: ConnectionConfig) -> Self {
         ReplicaConnections(Rc::new(Inner {
-            limits,
+            config,
             endpoints: RefCell::default(),
             connection_count: Cell::new(0),
             next_attempt_number: Cell::new(0),
@@ -126,7 +126,7 @@
         };
         let response = connection.send_probe();
         let sent = Instant::now();
-        match timeout(self.0.limits.probe_timeout, response).await {
+        match timeout(self.0.config.probe_timeout, response).await {
             Ok(Ok(report)) => report,
             Ok(Err(_)) => ProbeReport::without_load(AttemptOutcome::ConnectionLost),
             Err(_) => {
@@ -136,7 +136,7 @@
         }
     }
 
-    /// A connection with room for so many more requests, or a new one.
+    /// A suitable connection with room for `additional` more requests, or a new one.
     fn connection(
         &self,
         replica: usize,
@@ -146,10 +146,10 @@
         let mut endpoints = self.0.endpoints.borrow_mut();
         let endpoint = endpoints.get_mut(replica)?;
         let address = endpoint.address?;
-        let limits = &self.0.limits;
+        let config = &self.0.config;
         let has_room = |connection: &&Rc<Connection>| {
             let in_flight = connection.in_flight();
-            let fits = in_flight == 0 || in_flight + additional <= limits.max_streams;
+            let fits = in_flight == 0 || in_flight + additional <= config.max_streams;
             fits && connection.is_usable() && is_suitable(connection)
         };
         // The one with the least in flight, as requests pile up on one that is stuck; among equals the one read
@@ -166,12 +166,26 @@
             .iter()
             .filter(has_room)
             .min_by_key(rank);
-        let is_full = self.0.connection_count.get() >= limits.max_connections;
-        let may_share = is_full || endpoint.connections.len() >= MIN_SHARED_CONNECTIONS;
+        let may_share = self.is_full() || endpoint.connections.len() >= MIN_SHARED_CONNECTIONS;
         if let Some(connection) = best.filter(|best| best.in_flight() == 0 || may_share) {
             return Some(connection.clone());
         }
-        if is_full {
+        self.open(replica, address, endpoint)
+    }
+
+    /// Whether there are as many connections as there may be.
+    fn is_full(&self) -> bool {
+        self.0.connection_count.get() >= self.0.config.max_connections
+    }
+
+    /// Opens one more connection; `None` where there may be no more.
+    fn open(
+        &self,
+        replica: usize,
+        address: SocketAddr,
+        endpoint: &mut Endpoint,
+    ) -> Option<Rc<Connection>> {
+        if self.is_full() {
             if let Some(left_out) = self.0.log_lines.admit() {
                 warn!(%address, left_out, "no connection left for a replica");
             }
@@ -180,7 +194,8 @@
         self.0
             .connection_count
             .set(self.0.connection_count.get() + 1);
-        let connection = Rc::new(Connection::new(replica, address, limits.cancellation));
+        let sends_cancellations = self.0.config.sends_cancellations;
+        let connection = Rc::new(Connection::new(replica, address, sends_cancellations));
         endpoint.connections.push(connection.clone());
         actix_rt::spawn(self.clone().run(connection.clone()));
         Some(connection)
@@ -188,8 +203,8 @@
 
     /// Runs one connection from its connect to its end.
     async fn run(self, connection: Rc<Connection>) {
-        let limits = self.0.limits;
-        let connected = connect(connection.address, &limits).await;
+        let config = self.0.config;
+        let connected = connect(connection.address, &config).await;
         let failed_before =
             self.replace_last_connect_failed(connection.replica, connected.is_err());
         let result = match connected {
@@ -198,28 +213,33 @@
                     info!(address = %connection.address, "replica connects again");
                 }
                 stream.set_nodelay(true).ok();
-                connection.exchange(stream, &limits).await
+                connection.exchange(stream, &config).await
             }
             Err(_) if failed_before => Ok(()),
             Err(error) => Err(error),
         };
-        let violated = result
+        let end = result
             .as_ref()
-            .is_err_and(ConnectionError::is_protocol_violation);
+            .map_or_else(ConnectionError::end, |()| ConnectionEnd::Lost);
         if let (Err(cause), Some(left_out)) = (result, self.0.log_lines.admit()) {
             let (address, out) = (connection.address, connection.attempts_in_flight());
-            warn!(%address, out, spoilt = violated, left_out, "replica connection ended: {cause}");
+            let spoilt = end == ConnectionEnd::ProtocolViolated;
+            warn!(%address, out, spoilt, left_out, "replica connection ended: {cause}");
         }
-        // The only place that releases a connection, and ends all that is still in flight on it.
+        self.release(&connection);
+        connection.end_all(end);
+    }
+
+    /// The only place that releases a connection.
+    fn release(&self, connection: &Rc<Connection>) {
         if let Some(endpoint) = self.0.endpoints.borrow_mut().get_mut(connection.replica) {
             endpoint
                 .connections
-                .retain(|other| !Rc::ptr_eq(other, &connection));
+                .retain(|other| !Rc::ptr_eq(other, connection));
         }
         self.0
             .connection_count
             .set(self.0.connection_count.get() - 1);
-        connection.end_all(violated);
     }
 
     /// Records whether the last connect to a replica failed, and returns whether the one before it did.
@@ -233,9 +253,9 @@
 
 async fn connect(
     address: SocketAddr,
-    limits: &ConnectionLimits,
+    config: &ConnectionConfig,
 ) -> Result<TcpStream, ConnectionError> {
-    match timeout(limits.connect_timeout, TcpStream::connect(address)).await {
+    match timeout(config.connect_timeout, TcpStream::connect(address)).await {
         Ok(connected) => connected.map_err(|source| ConnectionError::Connect { source }),
         Err(_) => Err(ConnectionError::ConnectTimeout),
     }
--- a/crates/linenthread-service/tests/transports.rs
+++ b/crates/linenthread-service/tests/transports.rs
@@ -18,7 +18,7 @@
 use tokio::net::TcpListener;
 use tokio::sync::mpsc;
 
-use transports::attempt::{AttemptKey, ConnectionLimits, FinishedAttempt, OutgoingSubRequest};
+use transports::attempt::{AttemptKey, ConnectionConfig, FinishedAttempt, OutgoingSubRequest};
 use transports::{Route, Transports};
 
 /// What was written completely when a connection broke, or violated the protocol, may have run; the rest never did.
@@ -37,9 +37,9 @@
         actix_rt::System::new().block_on(async {
             let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
             let long = Duration::from_secs(20);
-            let transports = Transports::new(ConnectionLimits {
+            let transports = Transports::new(ConnectionConfig {
                 max_streams: 500,
-                cancellation: true,
+                sends_cancellations: true,
                 connect_timeout: long,
                 probe_timeout: long,
                 idle_timeout: long,
