--- a/crates/linenthread-service/src/frontends/http/mod.rs
+++ b/crates/linenthread-service/src/frontends/http/mod.rs
@@ -6,8 +6,6 @@
 use std::cell::{Cell, RefCell};
 use std::cmp::Reverse;
 use std::convert::Infallible;
-use std::io;
-use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
 
@@ -17,7 +15,7 @@
 use actix_rt::net::TcpStream;
 use actix_service::{Service, ServiceFactory, fn_service};
 use linenthread_protocol::query as protocol;
-use tokio::net::{TcpListener, TcpSocket};
+use tokio::net::TcpListener;
 use tokio::sync::{Notify, oneshot};
 use tokio::time::{Instant, interval, sleep, sleep_until, timeout};
 use tracing::{info, warn};
@@ -41,8 +39,6 @@
 const FULL_RETRY_INTERVAL: Duration = Duration::from_millis(100);
 /// The pause after a failed accept.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(20);
-/// Connections that the system holds until they are accepted.
-const LISTEN_BACKLOG: u32 = 1024;
 
 struct Inner {
     context: Rc<QueryContext>,
@@ -62,22 +58,6 @@
 #[derive(Clone)]
 pub(crate) struct HttpFrontend(Rc<Inner>);
 
-/// Opens a listener.
-///
-/// # Errors
-///
-/// What the system says.
-pub(crate) fn listen(address: SocketAddr) -> io::Result<TcpListener> {
-    let socket = if address.is_ipv4() {
-        TcpSocket::new_v4()?
-    } else {
-        TcpSocket::new_v6()?
-    };
-    socket.set_reuseaddr(true)?;
-    socket.bind(address)?;
-    socket.listen(LISTEN_BACKLOG)
-}
-
 impl HttpFrontend {
     /// `max_connections` bounds clients' connections, and `max_spent` those of them that have had an answer and
     /// send no further request.
--- /dev/null
+++ b/crates/linenthread-service/src/frontends/link/calls.rs
@@ -0,0 +1,102 @@
+//! The calls and probes of other sites: each goes to the replica that it names, once, and its outcome back.
+
+use std::rc::Rc;
+
+use linenthread_core::interface::{AttemptOutcome, TenthMillis};
+use linenthread_link::frame::{CallOutcome, ProbeOutcome};
+use linenthread_link::{Call, CallNumber, ConnectionId, Frame, ProbeId, SessionId};
+use tokio::sync::{Notify, mpsc};
+use tokio::time::sleep;
+
+use super::Gateway;
+use crate::clock;
+use crate::transports::InFlightAttempt;
+use crate::transports::attempt::{AttemptKey, FinishedAttempt, OutgoingSubRequest, ProbeReport};
+
+/// A call is one attempt at one sub-request.
+const ONLY_ATTEMPT: AttemptKey = AttemptKey {
+    sub_request: 0,
+    attempt: 0,
+};
+
+/// Identifies a call that runs here.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+pub(super) struct CallKey {
+    pub(super) session: SessionId,
+    pub(super) number: CallNumber,
+}
+
+impl Gateway {
+    /// Runs one call to its end, and reports its outcome.
+    pub(super) async fn run_call(
+        self,
+        key: CallKey,
+        timeout: TenthMillis,
+        call: Call,
+        cancelled: Rc<Notify>,
+    ) {
+        let finished = match self.0.dispatcher.direct_replica(&call.replica) {
+            None => FinishedAttempt::without_value(ONLY_ATTEMPT, AttemptOutcome::NotSent),
+            Some(replica) => self.attempt(replica, timeout, &call, &cancelled).await,
+        };
+        self.0.running.borrow_mut().remove(&key);
+        let outcome = CallOutcome {
+            number: key.number,
+            outcome: finished.outcome,
+            queue_depth: finished.queue_depth,
+            value: finished.value,
+        };
+        self.act(|server, _, actions| server.on_call_completed(key.session, outcome, actions));
+    }
+
+    /// Makes the one attempt of a call.
+    async fn attempt(
+        &self,
+        replica: usize,
+        timeout: TenthMillis,
+        call: &Call,
+        cancelled: &Notify,
+    ) -> FinishedAttempt {
+        let (finished, mut finished_attempts) = mpsc::unbounded_channel();
+        let outgoing = OutgoingSubRequest {
+            key: ONLY_ATTEMPT,
+            shard: call.shard as usize,
+            continuation: call.continuation,
+            text: call.text.as_str().into(),
+            priority: 0,
+        };
+        let wait = clock::to_duration(timeout.max(1));
+        let in_flight = self.0.transports.send(
+            replica,
+            &call.query,
+            &[outgoing],
+            clock::to_millis_ceil(wait),
+            &finished,
+        );
+        // What is still in flight is cancelled as it is dropped.
+        tokio::select! {
+            Some(finished) = finished_attempts.recv() => finished,
+            () = sleep(wait) => {
+                in_flight.iter().flatten().for_each(InFlightAttempt::on_timed_out);
+                FinishedAttempt::without_value(ONLY_ATTEMPT, AttemptOutcome::TimedOut)
+            }
+            () = cancelled.notified() => {
+                FinishedAttempt::without_value(ONLY_ATTEMPT, AttemptOutcome::Cancelled)
+            }
+        }
+    }
+
+    /// Probes a replica for the other side, and sends it the outcome.
+    pub(super) async fn probe(self, connection: ConnectionId, id: ProbeId, replica: String) {
+        let report = match self.0.dispatcher.direct_replica(&replica) {
+            Some(replica) => self.0.transports.probe(replica).await,
+            None => ProbeReport::without_load(AttemptOutcome::NotSent),
+        };
+        let outcome = ProbeOutcome {
+            id,
+            outcome: report.outcome,
+            queue_depth: report.queue_depth,
+        };
+        self.send(connection, &Frame::Probed(outcome));
+    }
+}
--- /dev/null
+++ b/crates/linenthread-service/src/frontends/link/mod.rs
@@ -0,0 +1,174 @@
+//! The frontend for links: this program as a gateway. A call that arrives over a link goes to the replica that
+//! it names, once, and its outcome back; which replica, and whether to retry, the other side decides.
+//!
+//! The state machine in `linenthread-link` decides on sessions and calls; this module passes inputs to it and
+//! performs its actions.
+
+mod calls;
+mod connection;
+
+use std::cell::{Cell, RefCell};
+use std::collections::BTreeMap;
+use std::rc::Rc;
+use std::time::Duration;
+
+use linenthread_core::interface::TenthMillis;
+use linenthread_link::{ConnectionId, LinkServer, Member, ServerAction};
+use tokio::net::TcpListener;
+use tokio::sync::Notify;
+use tokio::time::{Instant, sleep, sleep_until, timeout};
+
+use crate::dispatcher::Dispatcher;
+use crate::log::LogRateLimit;
+use crate::transports::Transports;
+use calls::CallKey;
+use connection::Connection;
+
+/// The longest sleep of the gateway's timer: 10 s.
+const MAX_SLEEP: TenthMillis = 100_000;
+/// How often a graceful shutdown looks whether all calls are over.
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(20);
+
+struct Inner {
+    dispatcher: Dispatcher,
+    transports: Transports,
+    server: RefCell<LinkServer>,
+    /// The share, in thousandths, at which others start to use replicas here.
+    slow_start_share: u16,
+    connections: RefCell<BTreeMap<ConnectionId, Rc<Connection>>>,
+    /// Calls that run here, each with what cancels it.
+    running: RefCell<BTreeMap<CallKey, Rc<Notify>>>,
+    last_connection: Cell<u64>,
+    /// Wakes the timer's task.
+    wake: Notify,
+    log_lines: LogRateLimit,
+}
+
+/// Serves the links of other sites.
+#[derive(Clone)]
+pub(crate) struct Gateway(Rc<Inner>);
+
+impl Gateway {
+    pub(crate) fn new(
+        dispatcher: Dispatcher,
+        transports: Transports,
+        server: LinkServer,
+        slow_start_share: u16,
+    ) -> Gateway {
+        Gateway(Rc::new(Inner {
+            dispatcher,
+            transports,
+            server: RefCell::new(server),
+            slow_start_share,
+            connections: RefCell::default(),
+            running: RefCell::default(),
+            last_connection: Cell::default(),
+            wake: Notify::new(),
+            log_lines: LogRateLimit::default(),
+        }))
+    }
+
+    /// Passes an input to the state machine, and performs the actions that it returns.
+    fn act(&self, input: impl FnOnce(&mut LinkServer, TenthMillis, &mut Vec<ServerAction>)) {
+        let mut actions = Vec::new();
+        input(
+            &mut self.0.server.borrow_mut(),
+            self.0.dispatcher.clock().now(),
+            &mut actions,
+        );
+        for action in actions {
+            self.perform(action);
+        }
+        self.0.wake.notify_one();
+    }
+
+    fn perform(&self, action: ServerAction) {
+        match action {
+            ServerAction::Send { connection, frame } => self.send(connection, &frame),
+            ServerAction::Close { connection, reason } => {
+                if let Some(connection) = self.0.connections.borrow().get(&connection) {
+                    connection.close(reason);
+                }
+            }
+            ServerAction::StartCall {
+                session,
+                number,
+                timeout,
+                call,
+            } => {
+                let key = CallKey { session, number };
+                let cancelled = Rc::new(Notify::new());
+                self.0.running.borrow_mut().insert(key, cancelled.clone());
+                actix_rt::spawn(self.clone().run_call(key, timeout, call, cancelled));
+            }
+            ServerAction::CancelCall { session, number } => {
+                let key = CallKey { session, number };
+                if let Some(cancelled) = self.0.running.borrow().get(&key) {
+                    cancelled.notify_one();
+                }
+            }
+            ServerAction::Probe {
+                connection,
+                id,
+                replica,
+            } => {
+                actix_rt::spawn(self.clone().probe(connection, id, replica));
+            }
+        }
+    }
+
+    /// Serves links for as long as it is polled.
+    pub(crate) async fn run(&self, listener: &TcpListener) {
+        tokio::join!(
+            self.accept(listener),
+            self.run_timer(),
+            self.announce_members()
+        );
+    }
+
+    /// Announces what can be reached from here, whenever that changes.
+    async fn announce_members(&self) {
+        loop {
+            let members = self
+                .0
+                .dispatcher
+                .local_members()
+                .into_iter()
+                .map(|member| Member {
+                    slow_start_share: self.0.slow_start_share,
+                    ..member
+                })
+                .collect();
+            self.act(|server, _, actions| server.set_members(members, actions));
+            self.0.dispatcher.local_changed().await;
+        }
+    }
+
+    /// Calls the state machine when it wants to be.
+    async fn run_timer(&self) {
+        loop {
+            tokio::select! {
+                () = sleep_until(self.next_timeout()) => self.act(LinkServer::on_timeout),
+                () = self.0.wake.notified() => {}
+            }
+        }
+    }
+
+    fn next_timeout(&self) -> Instant {
+        let clock = self.0.dispatcher.clock();
+        let next = self.0.server.borrow().next_timeout();
+        clock.at(next.min(clock.now() + MAX_SLEEP))
+    }
+
+    /// Shuts down gracefully: accepts no new calls, and waits until the outcomes of those that run are delivered,
+    /// for this time at most.
+    pub(crate) async fn drain(&self, max_wait: Duration) {
+        self.act(|server, _, actions| server.start_draining(actions));
+        let drained = async {
+            while self.0.server.borrow().retained_calls() > 0 {
+                sleep(DRAIN_POLL_INTERVAL).await;
+            }
+        };
+        timeout(max_wait, drained).await.ok();
+    }
+}
--- a/crates/linenthread-service/src/serve/links.rs
+++ b/crates/linenthread-service/src/serve/links.rs
@@ -12,7 +12,8 @@
 use crate::config::Config;
 use crate::dispatcher::Dispatcher;
 use crate::duration::tenth_millis;
-use crate::frontends::link::{self as gateway_frontend, Gateway};
+use crate::frontends::link::Gateway;
+use crate::frontends::listener;
 use crate::transports::{Transports, link};
 
 /// Bytes of calls that may wait for one link.
@@ -80,7 +81,7 @@
     secrets: Secrets,
 ) -> Result<Gateway, ServeError> {
     let address = gateway.listen;
-    let listener = gateway_frontend::listen(address).context(ListenForLinksSnafu { address })?;
+    let listener = listener::listen(address).context(ListenForLinksSnafu { address })?;
     let listen = listener.local_addr().unwrap_or(address);
     let server_config = ServerConfig {
         name: config.name.clone(),
--- a/crates/linenthread-service/src/serve/mod.rs
+++ b/crates/linenthread-service/src/serve/mod.rs
@@ -21,8 +21,9 @@
 use crate::dispatcher::Dispatcher;
 use crate::duration::tenth_millis;
 use crate::fleet::{self, FleetHandle, ToFleet};
-use crate::frontends::http::{self, HttpFrontend};
+use crate::frontends::http::HttpFrontend;
 use crate::frontends::link::Gateway;
+use crate::frontends::listener;
 use crate::installation::InstallationSettings;
 use crate::merge_responses::{MergePlans, ResponseMerging};
 use crate::query::QueryContext;
@@ -77,7 +78,7 @@
     ready: impl FnOnce(SocketAddr),
 ) -> Result<(), ServeError> {
     let address = config.listen;
-    let listener = http::listen(address).context(ListenSnafu { address })?;
+    let listener = listener::listen(address).context(ListenSnafu { address })?;
     let mut signals = Signals::new()?;
     let max_clients = max_clients(&config, &settings);
     let transports = transports(&config);
