--- a/crates/linenthread-service/src/frontends/http/mod.rs
+++ b/crates/linenthread-service/src/frontends/http/mod.rs
@@ -1,7 +1,9 @@
-//! The frontend that speaks the platform's HTTP/1.1: the listener, clients' connections, health and shutdown.
+//! The frontend that speaks the platform's HTTP/1.1: which clients' connections are accepted, kept and closed, and
+//! its graceful shutdown.
 
 mod connection;
 mod request;
+mod response;
 
 use std::cell::{Cell, RefCell};
 use std::cmp::Reverse;
@@ -9,21 +11,17 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use actix_http::body::BoxBody;
-use actix_http::header::HeaderValue;
-use actix_http::{HttpService, KeepAlive, Method, Request, Response, StatusCode, header};
+use actix_http::{HttpService, KeepAlive, Request};
 use actix_rt::net::TcpStream;
 use actix_service::{Service, ServiceFactory, fn_service};
-use linenthread_protocol::query as protocol;
 use tokio::net::TcpListener;
-use tokio::sync::{Notify, oneshot};
+use tokio::sync::Notify;
 use tokio::time::{Instant, interval, sleep, sleep_until, timeout};
 use tracing::{info, warn};
 
 use crate::log::LogRateLimit;
-use crate::query::{self, QueryContext, QueryOutcome, QueryRequest};
+use crate::query::QueryContext;
 use connection::{ClientConnection, ClientStream};
-use request::RequestError;
 
 /// How long a request may take to arrive: from the connect for the first, else from its first byte.
 const REQUEST_TIMEOUT: Duration = Duration::from_millis(2_500);
@@ -133,22 +131,34 @@
         let mut ticks = interval(SWEEP_INTERVAL);
         loop {
             ticks.tick().await;
-            let clients = self.0.clients.borrow();
-            let is_crowded = clients.len() > self.0.max_connections / 2;
-            clients
-                .iter()
-                .filter(|client| client.is_idle_too_long(is_crowded))
-                .for_each(|client| client.close());
-            // Clients that send one request and stay would use up the connections of those that have requests.
-            let mut spent: Vec<_> = clients.iter().filter(|client| client.is_spent()).collect();
-            spent.sort_by_key(|client| Reverse(client.since()));
-            spent
-                .iter()
-                .skip(self.0.max_spent)
-                .for_each(|client| client.close());
+            self.close_overdue();
+            self.close_spent();
         }
     }
 
+    /// Closes connections that have been idle for longer than they are kept.
+    fn close_overdue(&self) {
+        let clients = self.0.clients.borrow();
+        let is_crowded = clients.len() > self.0.max_connections / 2;
+        clients
+            .iter()
+            .filter(|client| client.is_idle_too_long(is_crowded))
+            .for_each(|client| client.close());
+    }
+
+    /// Closes all but the last used of the connections that were answered and send no further request: clients that
+    /// send one request and stay would use up the connections of those that have requests.
+    fn close_spent(&self) {
+        let clients = self.0.clients.borrow();
+        let mut spent: Vec<_> = clients.iter().filter(|client| client.is_spent()).collect();
+        spent.sort_by_key(|client| Reverse(client.since()));
+        spent
+            .iter()
+            .skip(self.0.max_spent)
+            .for_each(|client| client.close());
+    }
+
+    /// Closes all connections once they are idle.
     fn close_idle(&self) {
         for client in self.0.clients.borrow().iter() {
             client.close();
@@ -179,16 +189,17 @@
         let frontend = self.clone();
         actix_rt::spawn(async move {
             frontend.serve(stream, client.clone()).await;
-            // The only place that releases a client's connection.
-            let inner = &frontend.0;
-            inner
-                .clients
-                .borrow_mut()
-                .retain(|other| !Rc::ptr_eq(other, &client));
-            inner.closed.notify_one();
+            frontend.release(&client);
         });
     }
 
+    /// The only place that releases a client's connection.
+    fn release(&self, client: &Rc<ClientConnection>) {
+        let mut clients = self.0.clients.borrow_mut();
+        clients.retain(|other| !Rc::ptr_eq(other, client));
+        self.0.closed.notify_one();
+    }
+
     async fn serve(&self, stream: TcpStream, connection: Rc<ClientConnection>) {
         stream.set_nodelay(true).ok();
         let Ok(address) = stream.peer_addr() else {
@@ -219,101 +230,4 @@
         // However a connection ends, its request was answered or is reported as abandoned.
         service.call((stream, Some(address))).await.ok();
     }
-
-    async fn respond(&self, request: Request, client: &ClientConnection) -> Response<BoxBody> {
-        let is_stopping = &self.0.is_stopping;
-        let mut response = match (request.path(), request.method()) {
-            (protocol::HEALTH_PATH, &Method::GET) if is_stopping.get() => {
-                Response::new(StatusCode::SERVICE_UNAVAILABLE)
-            }
-            (protocol::HEALTH_PATH, &Method::GET) => Response::ok(),
-            (protocol::HEALTH_PATH, _) => Response::new(StatusCode::METHOD_NOT_ALLOWED),
-            _ if client.is_refused() => Response::new(StatusCode::BAD_REQUEST),
-            (_, &Method::POST) => self.respond_to_query(request, client).await,
-            _ => Response::new(StatusCode::METHOD_NOT_ALLOWED),
-        };
-        if is_stopping.get() {
-            response
-                .head_mut()
-                .set_connection_type(actix_http::ConnectionType::Close);
-        }
-        response
-    }
-
-    async fn respond_to_query(
-        &self,
-        mut request: Request,
-        client: &ClientConnection,
-    ) -> Response<BoxBody> {
-        let body = match request::read_body(&mut request, client.request_deadline()).await {
-            Ok(body) => body,
-            Err(error) => return self.refuse(client, &error),
-        };
-        let query = match request::decode(&request, &body, &self.0.context) {
-            Ok(query) => query,
-            Err(error) => return self.refuse(client, &error),
-        };
-        drop((request, body));
-        client.on_request_complete();
-        match self.run_query(query, client).await {
-            QueryOutcome::Success(body) => success(body),
-            QueryOutcome::Rejected { retry_after_ms } => rejected(retry_after_ms),
-            QueryOutcome::Failed => empty(StatusCode::BAD_GATEWAY),
-            QueryOutcome::DuplicateId => self.refuse(client, &RequestError::DuplicateId),
-            QueryOutcome::Invalid(error) => self.refuse(client, &error.into()),
-        }
-    }
-
-    /// Runs a query for as long as its client stays.
-    async fn run_query(&self, query: QueryRequest, client: &ClientConnection) -> QueryOutcome {
-        let (sender, outcome) = oneshot::channel();
-        actix_rt::spawn(query::run(self.0.context.clone(), query, sender));
-        tokio::select! {
-            outcome = outcome => outcome.unwrap_or(QueryOutcome::Failed),
-            // Nobody reads this; the query's task notices as the receiver is dropped.
-            () = client.client_left() => QueryOutcome::Failed,
-        }
-    }
-
-    /// Refuses a request: the reason goes to the client and, at a bounded rate, to the log. The connection ends
-    /// with it, and so does whatever else was sent on it.
-    fn refuse(&self, client: &ClientConnection, error: &RequestError) -> Response<BoxBody> {
-        let (status, why) = (error.status(), error.to_string());
-        if let Some(left_out) = self.0.refused_lines.admit() {
-            info!(
-                status = status.as_u16(),
-                left_out, "request not taken: {why}"
-            );
-        }
-        client.refuse();
-        Response::build(status)
-            .force_close()
-            .body(why)
-            .map_into_boxed_body()
-    }
-}
-
-fn empty(status: StatusCode) -> Response<BoxBody> {
-    Response::with_body(status, BoxBody::new(Vec::new()))
-}
-
-fn success(body: Vec<u8>) -> Response<BoxBody> {
-    let mut response = Response::with_body(StatusCode::OK, BoxBody::new(body));
-    response.headers_mut().insert(
-        header::CONTENT_TYPE,
-        HeaderValue::from_static("application/json"),
-    );
-    response
-}
-
-fn rejected(retry_after_ms: Option<f64>) -> Response<BoxBody> {
-    let mut response = empty(StatusCode::SERVICE_UNAVAILABLE);
-    let retry_after = retry_after_ms
-        .and_then(|ms| HeaderValue::from_str(&protocol::retry_after_seconds(ms)).ok());
-    if let Some(retry_after) = retry_after {
-        response
-            .headers_mut()
-            .insert(header::RETRY_AFTER, retry_after);
-    }
-    response
 }
