--- a/crates/linenthread-service/src/dispatcher/membership.rs
+++ b/crates/linenthread-service/src/dispatcher/membership.rs
@@ -88,12 +88,7 @@
             // A complete list leaves out what only peers reach.
             let remote = std::mem::take(&mut self.remote);
             for (id, replica) in &remote {
-                entries.push(self.remote_entry(
-                    id,
-                    Some(&replica.peers),
-                    &replica.member,
-                    submitted,
-                ));
+                entries.push(self.remote_entry(id, replica));
             }
             self.remote = remote;
             self.remove_unlisted(&entries, submitted);
@@ -115,10 +110,14 @@
             return None;
         }
         let replica = self.replicas.get_or_assign(&listed.id);
-        self.replicas
-            .set_removed(replica, is_removed.then_some(submitted));
-        let route = (!is_removed).then_some(Route::Direct(listed.address));
-        self.transports.set_route(replica, route);
+        if is_removed {
+            self.replicas.set_removed(replica, submitted);
+            self.transports.set_route(replica, None);
+        } else {
+            self.replicas.set_listed(replica);
+            let route = Route::Direct(listed.address);
+            self.transports.set_route(replica, Some(route));
+        }
         let started_at =
             (listed.started_at_ms > 0.0).then(|| self.clock.at_unix(listed.started_at_ms));
         Some(MembershipEntry {
@@ -191,8 +190,8 @@
         }
     }
 
-    /// Determines what has changed behind links, for the coordinator. A link that goes down takes all with it that
-    /// no other reaches, so that none of these replicas has to be found failing by itself.
+    /// Determines what has changed behind links, for the coordinator. A link that goes down takes all replicas with it
+    /// that no other link reaches, so that the coordinator need not find out about each of them by failed attempts.
     pub(super) fn update_remote(&mut self, submitted: u64) -> Vec<MembershipEntry> {
         let current = self.reachable_remote();
         let previous = std::mem::take(&mut self.remote);
@@ -206,20 +205,11 @@
                     self.transports
                         .set_route(index, Some(via_link(&replica.peers, id)));
                 }
-                _ => entries.push(self.remote_entry(
-                    id,
-                    Some(&replica.peers),
-                    &replica.member,
-                    submitted,
-                )),
+                _ => entries.push(self.remote_entry(id, replica)),
             }
         }
         for (id, replica) in previous.iter().filter(|(id, _)| !current.contains_key(*id)) {
-            let removed = Member {
-                phase: Phase::Removed,
-                ..replica.member.clone()
-            };
-            entries.push(self.remote_entry(id, None, &removed, submitted));
+            entries.push(self.removed_remote_entry(id, &replica.member, submitted));
         }
         let count = current.len();
         self.remote = current;
@@ -250,28 +240,41 @@
         reachable
     }
 
-    /// A replica behind links; `peers` is `None` where it is removed.
-    fn remote_entry(
+    /// The entry of a replica that is reached over links from now on.
+    fn remote_entry(&mut self, id: &str, remote: &RemoteReplica) -> MembershipEntry {
+        let replica = self.replicas.get_or_assign(id);
+        self.replicas.set_listed(replica);
+        let route = via_link(&remote.peers, id);
+        self.transports.set_route(replica, Some(route));
+        self.entry(replica, id, &remote.member)
+    }
+
+    /// The entry of a replica that no link reaches any more.
+    fn removed_remote_entry(
         &mut self,
         id: &str,
-        peers: Option<&Vec<usize>>,
         member: &Member,
         submitted: u64,
     ) -> MembershipEntry {
         let replica = self.replicas.get_or_assign(id);
-        let removed_after = peers.is_none().then_some(submitted);
-        self.replicas.set_removed(replica, removed_after);
-        let route = peers.map(|peers| via_link(peers, id));
-        self.transports.set_route(replica, route);
+        self.replicas.set_removed(replica, submitted);
+        self.transports.set_route(replica, None);
+        MembershipEntry {
+            phase: Phase::Removed,
+            ..self.entry(replica, id, member)
+        }
+    }
+
+    /// What a gateway reports of a replica, for the coordinator.
+    fn entry(&self, replica: usize, id: &str, member: &Member) -> MembershipEntry {
+        let age = |age_ms| TenthMillis::from(age_ms) * 10;
         MembershipEntry {
             replica,
             id: hash_id(id),
-            replica_group: member.replica_group as usize,
+            replica_group: group_index(member.replica_group),
             zone: self.zone(&member.zone),
             phase: member.phase,
-            started_at: member
-                .age_ms
-                .map(|age_ms| self.clock.now() - TenthMillis::from(age_ms) * 10),
+            started_at: member.age_ms.map(|age_ms| self.clock.now() - age(age_ms)),
             slow_start_share: Some(f64::from(member.slow_start_share) / f64::from(FULL_SHARE)),
         }
     }
@@ -325,3 +328,8 @@
         replica_id: id.into(),
     }
 }
+
+/// The index of a replica group; every group that a gateway may report has one.
+fn group_index(replica_group: u32) -> usize {
+    usize::try_from(replica_group).unwrap_or(usize::MAX)
+}
--- a/crates/linenthread-service/src/dispatcher/replica_indices.rs
+++ b/crates/linenthread-service/src/dispatcher/replica_indices.rs
@@ -72,10 +72,17 @@
         }
     }
 
-    /// Sets whether a replica is removed: `Some` with the number of queries submitted by then.
-    pub(crate) fn set_removed(&mut self, replica: usize, removed_after: Option<u64>) {
+    /// Marks a replica as listed: its index stays assigned.
+    pub(crate) fn set_listed(&mut self, replica: usize) {
         if let Some(slot) = self.slot(replica) {
-            slot.removed_after = removed_after;
+            slot.removed_after = None;
+        }
+    }
+
+    /// Marks a replica as removed after so many queries had been submitted.
+    pub(crate) fn set_removed(&mut self, replica: usize, submitted: u64) {
+        if let Some(slot) = self.slot(replica) {
+            slot.removed_after = Some(submitted);
         }
     }
 
--- a/crates/linenthread-service/tests/replica_indices.rs
+++ b/crates/linenthread-service/tests/replica_indices.rs
@@ -18,7 +18,7 @@
         (0, 1, 0)
     );
     indices.start_probe(0);
-    indices.set_removed(0, Some(7));
+    indices.set_removed(0, 7);
     indices.release_unused(7, |_| true);
     assert_eq!(indices.get_or_assign("c"), 2, "a probe of it is in flight");
     indices.finish_probe(0);
@@ -41,7 +41,7 @@
     // However many come and go, no more indices are used than are needed at once.
     for n in 0..1_000 {
         let replica = indices.get_or_assign(&format!("n{n}"));
-        indices.set_removed(replica, Some(n));
+        indices.set_removed(replica, n);
         indices.release_unused(n, |_| true);
     }
     assert_eq!(indices.len(), 6);
