--- a/crates/linenthread-service/src/fleet/mod.rs
+++ b/crates/linenthread-service/src/fleet/mod.rs
@@ -29,7 +29,7 @@
 pub(crate) use error::StartError;
 use error::{ListenSnafu, RuntimeSnafu, SpawnSnafu};
 use member::Member;
-pub(crate) use orders::{Orders, encode_order};
+pub(crate) use orders::{Order, Orders, ZoneChange};
 
 /// Topic of the fleet's log under which the routing table stands.
 pub(crate) const TABLE_TOPIC: &str = "zones.table";
--- a/crates/linenthread-service/src/fleet/orders.rs
+++ b/crates/linenthread-service/src/fleet/orders.rs
@@ -42,32 +42,45 @@
     }
 }
 
+/// What an operator asks of a zone.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum ZoneChange {
+    /// All co-ordinators leave the zone.
+    Drain,
+    /// The zone is taken back, step by step.
+    Return,
+}
+
 /// One operator's order on its way to the leader.
-pub(super) struct Order {
+pub(crate) struct Order {
+    /// Drawn by the operator's program, to recognise the order in the log.
     pub number: u64,
     pub zone: String,
-    /// Whether the zone is to be drained; otherwise it is to be taken back.
-    pub drain: bool,
+    pub change: ZoneChange,
 }
 
 impl Order {
+    /// Encodes the order as a report to the leader.
+    pub(crate) fn encode(&self) -> Vec<u8> {
+        let mut encoder = Encoder::new();
+        encoder.u8(ORDER);
+        encoder.u64(self.number);
+        encoder.text(&self.zone);
+        encoder.u8((self.change == ZoneChange::Drain).into());
+        encoder.into_bytes()
+    }
+
     /// Decodes the report without its first byte.
     pub(super) fn decode(bytes: &[u8]) -> Result<Order, DecodeError> {
         let mut decoder = Decoder::new(bytes);
         Ok(Order {
             number: decoder.u64()?,
             zone: decoder.text()?,
-            drain: decoder.flag()?,
+            change: if decoder.flag()? {
+                ZoneChange::Drain
+            } else {
+                ZoneChange::Return
+            },
         })
     }
 }
-
-/// Encodes an operator's order as a report to the leader.
-pub(crate) fn encode_order(number: u64, zone: &str, drain: bool) -> Vec<u8> {
-    let mut encoder = Encoder::new();
-    encoder.u8(ORDER);
-    encoder.u64(number);
-    encoder.text(zone);
-    encoder.u8(drain.into());
-    encoder.into_bytes()
-}
--- a/crates/linenthread-service/src/fleet/zone_decisions.rs
+++ b/crates/linenthread-service/src/fleet/zone_decisions.rs
@@ -9,7 +9,7 @@
 use tracing::{info, warn};
 
 use super::member::{Member, REPORT_INTERVAL, unix_ms};
-use super::orders::{OBSERVATIONS, ORDER, Order, Orders};
+use super::orders::{OBSERVATIONS, ORDER, Order, Orders, ZoneChange};
 use super::{FromFleet, ORDERS_TOPIC, TABLE_TOPIC};
 use crate::duration::tenth_millis;
 
@@ -32,13 +32,16 @@
     orders.last = order.number;
     orders.refused.clear();
     let zone = order.zone;
-    if order.drain {
-        match topology.may_drain(&zone, &orders.drained) {
+    match order.change {
+        ZoneChange::Drain => match topology.may_drain(&zone, &orders.drained) {
             Ok(()) => drop(orders.drained.insert(zone)),
             Err(error) => orders.refused = error.to_string(),
+        },
+        ZoneChange::Return => {
+            if !orders.drained.remove(&zone) {
+                orders.refused = format!("zone {zone} is not drained");
+            }
         }
-    } else if !orders.drained.remove(&zone) {
-        orders.refused = format!("zone {zone} is not drained");
     }
 }
 
--- a/crates/linenthread-service/src/installation.rs
+++ b/crates/linenthread-service/src/installation.rs
@@ -35,13 +35,26 @@
     },
 }
 
+/// A section of the installation file with the secrets that it names.
+pub(crate) struct WithSecrets<T> {
+    pub section: T,
+    pub secrets: Secrets,
+}
+
+impl<T> WithSecrets<T> {
+    fn read(section: T, files: impl Fn(&T) -> &[PathBuf]) -> Result<Self, InstallationError> {
+        let secrets = link_secrets(files(&section))?;
+        Ok(WithSecrets { section, secrets })
+    }
+}
+
 /// What the installation file switches on; nothing without one.
 #[derive(Default)]
 pub(crate) struct InstallationSettings {
     pub merging: MergePlans,
-    pub gateway: Option<(Gateway, Secrets)>,
-    pub peers: Vec<(Peer, Secrets)>,
-    pub fleet: Option<(Fleet, Secrets)>,
+    pub gateway: Option<WithSecrets<Gateway>>,
+    pub peers: Vec<WithSecrets<Peer>>,
+    pub fleet: Option<WithSecrets<Fleet>>,
     pub zones: Option<Zones>,
 }
 
@@ -88,20 +101,16 @@
         };
         let read = Installation::read_file(file, &known).context(FileSnafu)?;
         let merging = merging(&read, index_names)?;
-        let gateway = read.gateway.map(|gateway| {
-            let secrets = link_secrets(&gateway.secret_files)?;
-            Ok((gateway, secrets))
-        });
+        let gateway = read
+            .gateway
+            .map(|gateway| WithSecrets::read(gateway, |gateway| &gateway.secret_files));
         let gateway = gateway.transpose()?;
-        let peers = read.peers.into_iter().map(|peer| {
-            let secrets = link_secrets(&peer.secret_files)?;
-            Ok((peer, secrets))
-        });
+        let peers = read.peers.into_iter();
+        let peers = peers.map(|peer| WithSecrets::read(peer, |peer| &peer.secret_files));
         let peers = peers.collect::<Result<_, _>>()?;
-        let fleet = read.fleet.map(|fleet| {
-            let secrets = link_secrets(&fleet.secret_files)?;
-            Ok((fleet, secrets))
-        });
+        let fleet = read
+            .fleet
+            .map(|fleet| WithSecrets::read(fleet, |fleet| &fleet.secret_files));
         Ok(InstallationSettings {
             merging,
             gateway,
--- a/crates/linenthread-service/src/serve/fleet_member.rs
+++ b/crates/linenthread-service/src/serve/fleet_member.rs
@@ -3,7 +3,6 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 use linenthread_installation::{Fleet, Zones};
-use linenthread_link::Secrets;
 use tokio::sync::mpsc;
 use tokio::time::{interval, sleep};
 use tracing::{info, warn};
@@ -11,6 +10,7 @@
 use crate::config::Config;
 use crate::dispatcher::Dispatcher;
 use crate::fleet::{self, FleetHandle, FromFleet, MemberConfig, StartError, ToFleet};
+use crate::installation::WithSecrets;
 
 /// Time between two messages of observations to the fleet's thread.
 const OBSERVATION_INTERVAL: Duration = Duration::from_millis(500);
@@ -21,7 +21,8 @@
 
 /// Most descriptors that a member of this fleet may need.
 pub(super) fn descriptors(fleet: &Fleet) -> usize {
-    MEMBER_DESCRIPTORS + fleet.voters.len() * 2 + fleet.expected_members as usize
+    let members = usize::try_from(fleet.expected_members).unwrap_or(usize::MAX);
+    MEMBER_DESCRIPTORS + fleet.voters.len() * 2 + members
 }
 
 /// Joins the fleet and connects its thread to the dispatcher.
@@ -32,16 +33,15 @@
 pub(super) fn join(
     config: &Config,
     dispatcher: &Dispatcher,
-    fleet: Fleet,
+    fleet: WithSecrets<Fleet>,
     zones: Option<Zones>,
-    secrets: Secrets,
 ) -> Result<FleetHandle, StartError> {
     let (from_fleet, received) = mpsc::unbounded_channel();
     let member = MemberConfig {
         name: config.name.clone(),
-        fleet,
+        fleet: fleet.section,
         zones,
-        secrets,
+        secrets: fleet.secrets,
         seed: config.seed.rotate_left(17),
     };
     let handle = fleet::start(member, dispatcher.clock(), from_fleet)?;
--- a/crates/linenthread-service/src/serve/links.rs
+++ b/crates/linenthread-service/src/serve/links.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use linenthread_installation as file;
-use linenthread_link::{ClientConfig, LinkServer, Secrets, ServerConfig};
+use linenthread_link::{ClientConfig, LinkServer, ServerConfig};
 use snafu::ResultExt;
 use tokio::sync::mpsc;
 use tracing::info;
@@ -14,6 +14,7 @@
 use crate::duration::tenth_millis;
 use crate::frontends::link::Gateway;
 use crate::frontends::listener;
+use crate::installation::WithSecrets;
 use crate::transports::{Transports, link};
 
 /// Bytes of calls that may wait for one link.
@@ -37,9 +38,13 @@
     config: &Config,
     dispatcher: &Dispatcher,
     transports: &Transports,
-    (peer, secrets): (file::Peer, Secrets),
+    peer: WithSecrets<file::Peer>,
     seed: u64,
 ) {
+    let WithSecrets {
+        section: peer,
+        secrets,
+    } = peer;
     let number = dispatcher.add_peer();
     let (changes, mut events) = mpsc::unbounded_channel();
     let client = ClientConfig {
@@ -77,9 +82,12 @@
     config: &Config,
     dispatcher: &Dispatcher,
     transports: &Transports,
-    gateway: &file::Gateway,
-    secrets: Secrets,
+    gateway: WithSecrets<file::Gateway>,
 ) -> Result<Gateway, ServeError> {
+    let WithSecrets {
+        section: gateway,
+        secrets,
+    } = gateway;
     let address = gateway.listen;
     let listener = listener::listen(address).context(ListenForLinksSnafu { address })?;
     let listen = listener.local_addr().unwrap_or(address);
--- a/crates/linenthread-service/src/serve/mod.rs
+++ b/crates/linenthread-service/src/serve/mod.rs
@@ -83,9 +83,9 @@
     let max_clients = max_clients(&config, &settings);
     let transports = transports(&config);
     let dispatcher = dispatcher(&config, &transports, &settings);
-    let fleet = settings.fleet.map(|(fleet, secrets)| {
-        fleet_member::join(&config, &dispatcher, fleet, settings.zones, secrets)
-    });
+    let fleet = settings
+        .fleet
+        .map(|fleet| fleet_member::join(&config, &dispatcher, fleet, settings.zones));
     let fleet = fleet.transpose().context(FleetSnafu)?;
     let mut decisions = actix_rt::spawn(dispatcher.clone().run());
     let (discovery_address, watched_address) = watch::channel(config.discovery);
@@ -95,13 +95,13 @@
         config.coordinator.layout.replica_groups,
         !config.coordinator.watch_membership,
     ));
-    for (n, peer) in settings.peers.into_iter().enumerate() {
-        let seed = config.seed.wrapping_add(1 + n as u64);
+    for (peer, number) in settings.peers.into_iter().zip(1..) {
+        let seed = config.seed.wrapping_add(number);
         links::start_peer(&config, &dispatcher, &transports, peer, seed);
     }
-    let gateway = settings.gateway.map(|(gateway, secrets)| {
-        links::start_gateway(&config, &dispatcher, &transports, &gateway, secrets)
-    });
+    let gateway = settings
+        .gateway
+        .map(|gateway| links::start_gateway(&config, &dispatcher, &transports, gateway));
     let gateway = gateway.transpose()?;
     let query_context = query_context(&config, dispatcher, transports, settings.merging);
     let query_context = Rc::new(query_context);
@@ -145,8 +145,8 @@
 /// Connections of clients that the descriptors leave room for.
 fn max_clients(config: &Config, settings: &InstallationSettings) -> usize {
     let fleet = settings.fleet.as_ref();
-    let for_fleet = fleet.map_or(0, |(fleet, _)| fleet_member::descriptors(fleet));
-    let gateway = settings.gateway.as_ref().map(|(gateway, _)| gateway);
+    let for_fleet = fleet.map_or(0, |fleet| fleet_member::descriptors(&fleet.section));
+    let gateway = settings.gateway.as_ref().map(|gateway| &gateway.section);
     let for_links = links::descriptors(settings.peers.len(), gateway);
     let reserved = replica_descriptors(config) + for_fleet + for_links + OWN_DESCRIPTORS;
     config.sockets.saturating_sub(reserved).max(1)
@@ -195,7 +195,7 @@
     settings: &InstallationSettings,
     zone_names: &[String],
 ) -> Option<ZoneRouting> {
-    let (fleet, _) = settings.fleet.as_ref()?;
+    let fleet = &settings.fleet.as_ref()?.section;
     let zones = settings.zones.as_ref()?;
     let routing_config = ZoneRoutingConfig {
         zones: fleet::configured_zones(zones),
--- /dev/null
+++ b/crates/linenthread-service/src/zones_command/follower.rs
@@ -0,0 +1,186 @@
+//! Follows the fleet's log for a moment, as every process of the fleet does that is no voter itself: over one
+//! connection at a time, with sockets that block.
+
+use std::io::{ErrorKind, Read, Write};
+use std::net::{SocketAddr, TcpStream};
+use std::path::Path;
+use std::time::{Duration, Instant};
+
+use linenthread_core::interface::TenthMillis;
+use linenthread_fleet::{Fleet, FleetAction, FleetConfig, NodeIdentity};
+use linenthread_installation::{Installation, KnownIndex};
+use linenthread_store::Directory;
+use snafu::{OptionExt, ResultExt};
+
+use super::error::{FollowSnafu, NoFleetSnafu, ZonesError};
+use crate::clock;
+use crate::fleet::{ORDERS_TOPIC, Orders};
+use crate::installation;
+
+/// Once no further value came for so long, all committed ones are here.
+const QUIET_PERIOD: Duration = Duration::from_millis(400);
+/// Time for a connection to a voter.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
+/// Longest wait for bytes before timers are looked at again.
+const READ_TIMEOUT: Duration = Duration::from_millis(50);
+/// Pause while there is no connection.
+const RECONNECT_PAUSE: Duration = Duration::from_millis(20);
+/// Size of the read buffer.
+const READ_BUFFER_BYTES: usize = 64 * 1024;
+/// The command's clock starts here: 0 stands for long ago.
+const EPOCH: TenthMillis = 1_000_000;
+/// Probe interval of a member that takes no part in gossip: longer than it lives.
+const PROBE_INTERVAL: TenthMillis = 60_000;
+
+/// A connection to a voter and its number in the state machine.
+struct Connection {
+    number: u64,
+    stream: TcpStream,
+}
+
+/// Follows the fleet's log over one connection at a time.
+pub(super) struct Follower {
+    fleet: Fleet<Directory>,
+    connection: Option<Connection>,
+    started: Instant,
+    /// When the latest committed value was received.
+    received_at: Option<Instant>,
+}
+
+impl Follower {
+    /// Connects to a voter of the installation file's fleet.
+    pub(super) fn start(file: &Path, seed: u64) -> Result<Follower, ZonesError> {
+        let known = |_: &str| Some(KnownIndex { min_share: 0.0 });
+        let fleet = Installation::read_file(file, &known)?.fleet;
+        let fleet = fleet.context(NoFleetSnafu { file })?;
+        let secrets = installation::link_secrets(&fleet.secret_files)?;
+        let name = format!("operator-{}", std::process::id());
+        let voters = fleet.voters.into_iter();
+        let config = FleetConfig {
+            local: NodeIdentity::unknown(&name, fleet.address),
+            voters: voters.map(|voter| (voter.name, voter.address)).collect(),
+            expected_members: fleet.expected_members,
+            probe_interval: PROBE_INTERVAL,
+        };
+        let started = Instant::now();
+        let mut actions = Vec::new();
+        let fleet =
+            Fleet::new(config, None, secrets, seed, EPOCH, &mut actions).context(FollowSnafu)?;
+        let mut follower = Follower {
+            fleet,
+            connection: None,
+            started,
+            received_at: None,
+        };
+        follower.execute(actions);
+        Ok(follower)
+    }
+
+    fn now(&self) -> TenthMillis {
+        EPOCH + clock::to_tenths(self.started.elapsed())
+    }
+
+    /// Carries out actions and those that follow from them. Gossip is not for a process that lives for a moment.
+    fn execute(&mut self, actions: Vec<FleetAction>) {
+        let mut pending = actions;
+        while !pending.is_empty() {
+            let mut next = Vec::new();
+            for action in pending {
+                match action {
+                    FleetAction::Dial {
+                        connection,
+                        address,
+                    } => self.dial(connection, address, &mut next),
+                    FleetAction::Write { connection, bytes } => {
+                        self.write(connection, &bytes, &mut next);
+                    }
+                    FleetAction::Close { connection, .. } => self.close(connection, &mut next),
+                    FleetAction::Committed(_) => self.received_at = Some(Instant::now()),
+                    _ => {}
+                }
+            }
+            pending = next;
+        }
+    }
+
+    fn dial(&mut self, number: u64, address: SocketAddr, next: &mut Vec<FleetAction>) {
+        match TcpStream::connect_timeout(&address, CONNECT_TIMEOUT) {
+            Ok(stream) => self.connection = Some(Connection { number, stream }),
+            Err(_) => self.fleet.on_closed(self.now(), number, next),
+        }
+    }
+
+    fn write(&mut self, number: u64, bytes: &[u8], next: &mut Vec<FleetAction>) {
+        let connection = self.connection.as_mut();
+        let connection = connection.filter(|connection| connection.number == number);
+        if connection.is_some_and(|connection| connection.stream.write_all(bytes).is_err()) {
+            self.close(number, next);
+        }
+    }
+
+    fn close(&mut self, number: u64, next: &mut Vec<FleetAction>) {
+        self.connection = None;
+        self.fleet.on_closed(self.now(), number, next);
+    }
+
+    /// Runs timers and waits a moment for bytes.
+    pub(super) fn poll(&mut self) {
+        let (now, mut actions) = (self.now(), Vec::new());
+        self.fleet.wake(now, &mut actions);
+        self.execute(actions);
+        let Some(Connection { number, stream }) = &mut self.connection else {
+            std::thread::sleep(RECONNECT_PAUSE);
+            return;
+        };
+        let number = *number;
+        let mut buffer = [0; READ_BUFFER_BYTES];
+        stream.set_read_timeout(Some(READ_TIMEOUT)).ok();
+        let read = stream.read(&mut buffer);
+        let (now, mut actions) = (self.now(), Vec::new());
+        match read {
+            Ok(count) if count > 0 => {
+                let bytes = &buffer[..count];
+                self.fleet.on_received(now, number, bytes, &mut actions);
+            }
+            Err(error) if matches!(error.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => {}
+            _ => self.close(number, &mut actions),
+        }
+        self.execute(actions);
+    }
+
+    /// The committed orders; none where there are none that can be read.
+    pub(super) fn orders(&self) -> Orders {
+        let committed = self.value(ORDERS_TOPIC);
+        committed
+            .and_then(|(_, value)| Orders::decode(value).ok())
+            .unwrap_or_default()
+    }
+
+    /// Whether values were received, and no more come.
+    pub(super) fn is_up_to_date(&self) -> bool {
+        self.received_at
+            .is_some_and(|received| received.elapsed() > QUIET_PERIOD)
+    }
+
+    /// How long it has been following.
+    pub(super) fn elapsed(&self) -> Duration {
+        self.started.elapsed()
+    }
+
+    /// Whether any committed value was received.
+    pub(super) fn has_received(&self) -> bool {
+        self.received_at.is_some()
+    }
+
+    /// The committed value of a topic and its number in the log.
+    pub(super) fn value(&self, topic: &str) -> Option<(u64, &[u8])> {
+        self.fleet.table().value(topic)
+    }
+
+    /// Sends a report to the leader.
+    pub(super) fn report(&mut self, report: Vec<u8>) {
+        let mut actions = Vec::new();
+        self.fleet.report(report, &mut actions);
+        self.execute(actions);
+    }
+}
--- /dev/null
+++ b/crates/linenthread-service/src/zones_command/mod.rs
@@ -0,0 +1,140 @@
+//! `linenthread zones`: shows the routing table that the fleet acts on, drains a zone or takes it back.
+
+mod error;
+mod follower;
+
+use std::path::Path;
+use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
+
+use linenthread_zones::RoutingTable;
+use snafu::ensure;
+
+use crate::fleet::{Order, Orders, TABLE_TOPIC, ZoneChange};
+use error::RefusedSnafu;
+pub(crate) use error::ZonesError;
+use follower::Follower;
+
+/// Time within which the command must succeed.
+const COMMAND_TIMEOUT: Duration = Duration::from_secs(10);
+/// Time until an order that was not carried out is sent again.
+const RESEND_INTERVAL: Duration = Duration::from_secs(2);
+/// Least width of a column of the printed table.
+const MIN_COLUMN_WIDTH: usize = 8;
+
+/// What an operator asks of the fleet.
+#[derive(Clone, Debug)]
+pub(crate) enum ZonesAction {
+    /// Show the routing table in force.
+    Show,
+    /// Have all co-ordinators leave the zone.
+    Drain(String),
+    /// Have the zone taken back, step by step.
+    Return(String),
+}
+
+/// Carries out an operator's action and says what became of it.
+///
+/// # Errors
+///
+/// The file is bad, no voter could be reached, or the order was refused.
+pub(crate) fn run(file: &Path, action: &ZonesAction) -> Result<String, ZonesError> {
+    let seed = handshake_seed();
+    let mut follower = Follower::start(file, seed)?;
+    let order = |zone: &String, change| Order {
+        number: seed | 1,
+        zone: zone.clone(),
+        change,
+    };
+    match action {
+        ZonesAction::Show => show(&mut follower),
+        ZonesAction::Drain(zone) => carry_out(&mut follower, &order(zone, ZoneChange::Drain)),
+        ZonesAction::Return(zone) => carry_out(&mut follower, &order(zone, ZoneChange::Return)),
+    }
+}
+
+/// Waits until all committed values are here, and describes what the fleet acts on.
+fn show(follower: &mut Follower) -> Result<String, ZonesError> {
+    while follower.elapsed() < COMMAND_TIMEOUT {
+        follower.poll();
+        if follower.is_up_to_date() {
+            return Ok(describe(follower));
+        }
+    }
+    Err(timeout_error(follower))
+}
+
+/// The committed routing table as text, and the zones that are drained by order.
+fn describe(follower: &Follower) -> String {
+    let Some((number, value)) = follower.value(TABLE_TOPIC) else {
+        return "no table was agreed on yet: all ways are open, the nearest first".into();
+    };
+    let Ok(table) = RoutingTable::decode(value) else {
+        return "the table cannot be read by this version".into();
+    };
+    let mut text = format!("table {number}; keys of a thousand to which each way is open\n");
+    text += &format_table(&table);
+    let drained: Vec<String> = follower.orders().drained.into_iter().collect();
+    if !drained.is_empty() {
+        text += &format!("\nleft by order: {}", drained.join(", "));
+    }
+    text
+}
+
+/// A head line with the zones that traffic goes to, then a line for each zone that it comes from.
+fn format_table(table: &RoutingTable) -> String {
+    let longest_name = table.zones.iter().map(String::len).max();
+    let width = longest_name.unwrap_or(0).max(MIN_COLUMN_WIDTH);
+    let mut text = format!("{:width$}", "from");
+    for to in &table.zones {
+        text += &format!("  {to:>width$}");
+    }
+    for (from, row) in table.zones.iter().zip(&table.rows) {
+        text += &format!("\n{from:width$}");
+        for route in &row.routes {
+            let cell = format!("{} {}", route.share, route.reason);
+            text += &format!("  {cell:>width$}");
+        }
+    }
+    text
+}
+
+/// Sends an order, again and again, until the leader has carried it out.
+fn carry_out(follower: &mut Follower, order: &Order) -> Result<String, ZonesError> {
+    let mut sent_at: Option<Instant> = None;
+    while follower.elapsed() < COMMAND_TIMEOUT {
+        follower.poll();
+        let is_due = sent_at.is_none_or(|sent| sent.elapsed() > RESEND_INTERVAL);
+        if follower.has_received() && is_due {
+            sent_at = Some(Instant::now());
+            follower.report(order.encode());
+        }
+        let Orders { last, refused, .. } = follower.orders();
+        if last == order.number {
+            ensure!(refused.is_empty(), RefusedSnafu { reason: refused });
+            let outcome = match order.change {
+                ZoneChange::Drain => "is left",
+                ZoneChange::Return => "returns in steps",
+            };
+            return Ok(format!("zone {} {outcome}: agreed on", order.zone));
+        }
+    }
+    Err(timeout_error(follower))
+}
+
+/// Why the command has not succeeded in time.
+fn timeout_error(follower: &Follower) -> ZonesError {
+    if follower.has_received() {
+        ZonesError::NoLeader
+    } else {
+        ZonesError::NoVoter
+    }
+}
+
+/// A new seed for each run: the random numbers of handshakes must not repeat.
+fn handshake_seed() -> u64 {
+    let unix = SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .unwrap_or_default();
+    let nanos = u64::try_from(unix.as_nanos()).unwrap_or(u64::MAX);
+    nanos ^ (u64::from(std::process::id()) << 40)
+}
