--- /dev/null
+++ b/crates/linenthread-service/src/demo/zones.rs
@@ -0,0 +1,121 @@
+//! The demo of three zones: one is lost and comes back.
+
+use std::process::ExitCode;
+use std::thread;
+use std::time::Instant;
+
+use linenthread_fakes::rig::{Rig, RigConfig};
+
+/// The zone that is lost and comes back.
+const LOST_ZONE: usize = 2;
+
+/// Prints the sub-requests from each zone to each zone since some moment.
+fn print_flows(rig: &Rig, names: &[&str], since: usize) {
+    let (flows, _) = rig.traffic(since);
+    for (from, name) in names.iter().enumerate() {
+        let to: Vec<String> = names
+            .iter()
+            .enumerate()
+            .map(|(to, name)| {
+                format!(
+                    "{name} {}",
+                    flows.get(&(from, to)).copied().unwrap_or_default()
+                )
+            })
+            .collect();
+        println!("  parts from {name}: {}", to.join(", "));
+    }
+}
+
+/// Runs the demo of three zones in a thread, which ends with a panic's message if what it awaits does not come.
+pub(super) fn run(seed: u64) -> ExitCode {
+    let exe = match std::env::current_exe() {
+        Ok(exe) => exe.to_string_lossy().into_owned(),
+        Err(error) => {
+            eprintln!("linenthread: {error}");
+            return ExitCode::FAILURE;
+        }
+    };
+    match thread::spawn(move || show_zones(&exe, seed)).join() {
+        Ok(true) => ExitCode::SUCCESS,
+        _ => ExitCode::FAILURE,
+    }
+}
+
+/// Three zones, each of a co-ordinator and two replicas, with a common routing table: one is killed and comes back.
+/// Gives whether all rules were kept.
+fn show_zones(exe: &str, seed: u64) -> bool {
+    let plan = RigConfig {
+        seed,
+        ..RigConfig::default()
+    };
+    let names: Vec<&str> = plan.zones.iter().map(|(name, _)| *name).collect();
+    println!(
+        "Three co-ordinators in {} found a fleet and a record.",
+        names.join(", ")
+    );
+    let mut rig = Rig::start_all(exe, plan);
+    rig.start_clients(25);
+    rig.wait_until_serving(&[0, 1, 2], 20);
+    let since = rig.executed();
+    rig.wait_until_serving(&[0, 1, 2], 40);
+    println!("All act on one table; parts stay in the zones that hold their shards:");
+    print_flows(&rig, &names, since);
+    lose_zone(&mut rig, &names, LOST_ZONE);
+    restore_zone(&mut rig, &names, LOST_ZONE);
+    let breaches = rig.check();
+    println!(
+        "{} lookups, {} breaches of the rules.",
+        rig.outcomes().len(),
+        breaches.len()
+    );
+    breaches.is_empty()
+}
+
+/// Kills a zone and waits until the others act on a table without it.
+fn lose_zone(rig: &mut Rig, names: &[&str], lost: usize) {
+    let from = [rig.log_position(0), rig.log_position(1)];
+    println!(
+        "\n{} is killed, its co-ordinator and its replicas.",
+        names[lost]
+    );
+    let began = Instant::now();
+    for node in rig.zone(lost) {
+        rig.network.set_down(node, true);
+        if node < rig.count() {
+            rig.kill(node, false);
+        }
+    }
+    for n in [0, 1] {
+        rig.wait_for_route(n, from[n], (n, lost), |share, _| share == 0);
+    }
+    println!(
+        "After {:.1} s all others act on a table without it:",
+        began.elapsed().as_secs_f64()
+    );
+    let since = rig.executed();
+    rig.wait_until_serving(&[0, 1], 30);
+    print_flows(rig, names, since);
+    println!("Service is whole again in {} and {}.\n", names[0], names[1]);
+}
+
+/// Starts a zone again and waits until all keys are routed to it.
+fn restore_zone(rig: &mut Rig, names: &[&str], lost: usize) {
+    let from = rig.log_position(0);
+    println!("{} is started again.", names[lost]);
+    let began = Instant::now();
+    for node in rig.zone(lost) {
+        rig.network.set_down(node, false);
+        if node < rig.count() {
+            rig.start(node);
+        }
+    }
+    rig.wait_for_route(0, from, (0, lost), |share, reason| {
+        share == 1_000 && reason == "Healthy"
+    });
+    println!(
+        "After {:.1} s it was taken back, step by step.",
+        began.elapsed().as_secs_f64()
+    );
+    rig.wait_until_serving(&[0, 1, 2], 20);
+}
