--- a/crates/linenthread-service/src/clock.rs
+++ b/crates/linenthread-service/src/clock.rs
@@ -11,6 +11,9 @@
 /// Microseconds in one unit of the coordinator's time.
 const MICROS_PER_TENTH: u64 = 100;
 
+/// Units of the coordinator's time in one millisecond.
+const TENTHS_PER_MILLI: f64 = 10.0;
+
 /// A span of the coordinator's time; a negative one is zero.
 pub(crate) fn to_duration(tenths: TenthMillis) -> Duration {
     let tenths = u64::try_from(tenths).unwrap_or(0);
@@ -23,6 +26,11 @@
     TenthMillis::try_from(tenths).unwrap_or(TenthMillis::MAX)
 }
 
+/// A span of the coordinator's time in milliseconds, with its fraction.
+pub(crate) fn to_millis(tenths: TenthMillis) -> f64 {
+    tenths as f64 / TENTHS_PER_MILLI
+}
+
 /// A duration in whole milliseconds, rounded up: a time-out as the wire has it.
 pub(crate) fn to_millis_ceil(duration: Duration) -> u64 {
     u64::try_from(duration.as_micros().div_ceil(1000)).unwrap_or(u64::MAX)
@@ -59,6 +67,15 @@
 
     /// The reading at a system time, given in milliseconds since 1970.
     pub(crate) fn at_unix(&self, unix_ms: f64) -> TenthMillis {
-        EPOCH + ((unix_ms - self.unix_ms) * 10.0).round() as TenthMillis
+        EPOCH + round((unix_ms - self.unix_ms) * TENTHS_PER_MILLI)
     }
 }
+
+/// The nearest whole number of the coordinator's unit.
+#[expect(
+    clippy::cast_possible_truncation,
+    reason = "it is rounded; the cast saturates, and times that anybody means are far below its limits"
+)]
+fn round(tenths: f64) -> TenthMillis {
+    tenths.round() as TenthMillis
+}
--- a/crates/linenthread-service/src/fleet/member.rs
+++ b/crates/linenthread-service/src/fleet/member.rs
@@ -24,8 +24,7 @@
     VoterDirectorySnafu,
 };
 use super::{FromFleet, LEAVE_GRACE, MemberConfig, StartError, ToFleet};
-use crate::clock::Clock;
-use crate::duration::tenth_millis;
+use crate::clock::{Clock, to_tenths};
 use crate::log::LogRateLimit;
 
 /// SIGXFSZ, which a write beyond the file size limit raises.
@@ -98,7 +97,7 @@
         local,
         voters: voters.map(|voter| (voter.name, voter.address)).collect(),
         expected_members: fleet.expected_members,
-        probe_interval: tenth_millis(fleet.probe_interval),
+        probe_interval: to_tenths(fleet.probe_interval),
     }
 }
 
--- a/crates/linenthread-service/src/fleet/zone_decisions.rs
+++ b/crates/linenthread-service/src/fleet/zone_decisions.rs
@@ -11,7 +11,7 @@
 use super::member::{Member, REPORT_INTERVAL, unix_ms};
 use super::orders::{OBSERVATIONS, ORDER, Order, Orders, ZoneChange};
 use super::{FromFleet, ORDERS_TOPIC, TABLE_TOPIC};
-use crate::duration::tenth_millis;
+use crate::clock::to_tenths;
 
 /// Orders that may wait for the leader's next decision; more are dropped, and their senders repeat them.
 const MAX_PENDING_ORDERS: usize = 64;
@@ -21,9 +21,9 @@
 fn failover_config(zones: &file::Zones) -> FailoverConfig {
     FailoverConfig {
         capacity_margin: f64::from(zones.max_utilization) / 1_000.0,
-        hold: tenth_millis(zones.min_evacuation),
-        max_hold: tenth_millis(zones.max_evacuation),
-        return_step: tenth_millis(zones.return_step),
+        hold: to_tenths(zones.min_evacuation),
+        max_hold: to_tenths(zones.max_evacuation),
+        return_step: to_tenths(zones.return_step),
     }
 }
 
@@ -211,7 +211,7 @@
         let valid_from_ms = unix_ms() + TABLE_LEAD_MS;
         let table = failover.decide(now, valid_from_ms, topology);
         // An unchanged table is proposed again well before the members let it expire.
-        let renew_at = self.0.proposed_at.get() + tenth_millis(zones.table_lifetime) / 3;
+        let renew_at = self.0.proposed_at.get() + to_tenths(zones.table_lifetime) / 3;
         if table.is_none() && now >= renew_at {
             return Some(failover.table(valid_from_ms));
         }
--- a/crates/linenthread-service/src/frontends/http/request.rs
+++ b/crates/linenthread-service/src/frontends/http/request.rs
@@ -1,16 +1,17 @@
 //! Reads a query's request and checks it against the deployment.
 
 use std::pin::Pin;
+use std::time::Duration;
 
 use actix_http::{HttpMessage, Request, StatusCode, header};
 use bytes::{Bytes, BytesMut};
 use futures_core::Stream;
-use linenthread_core::interface::TenthMillis;
 use linenthread_protocol::hash_id;
 use linenthread_protocol::query::{self as protocol, QueryError};
 use snafu::{OptionExt, Snafu, ensure};
 use tokio::time::{Instant, timeout_at};
 
+use crate::clock;
 use crate::dispatcher::{QuerySubmission, SubRequestSubmission};
 use crate::query::{QueryContext, QueryRequest};
 
@@ -83,7 +84,7 @@
         customer,
         key: query.key.as_deref().map(hash_id),
         sequence_number: hash_id(&query.id),
-        expires_in: query.expires_in_ms as TenthMillis * 10,
+        expires_in: clock::to_tenths(Duration::from_millis(query.expires_in_ms)),
         sub_requests: query
             .sub_requests
             .iter()
@@ -128,7 +129,9 @@
         .headers()
         .get(header::CONTENT_LENGTH)
         .and_then(|value| value.to_str().ok()?.parse().ok());
-    let is_too_long = length.is_some_and(|length| length > protocol::MAX_BODY_BYTES as u64);
+    let is_too_long = length.is_some_and(|length| {
+        usize::try_from(length).map_or(true, |length| length > protocol::MAX_BODY_BYTES)
+    });
     ensure!(!is_too_long, BodyTooLongSnafu);
     let mut payload = request.take_payload();
     let mut body = BytesMut::new();
--- a/crates/linenthread-service/src/frontends/link/calls.rs
+++ b/crates/linenthread-service/src/frontends/link/calls.rs
@@ -60,7 +60,7 @@
         let (finished, mut finished_attempts) = mpsc::unbounded_channel();
         let outgoing = OutgoingSubRequest {
             key: ONLY_ATTEMPT,
-            shard: call.shard as usize,
+            shard: usize::try_from(call.shard).unwrap_or(usize::MAX),
             continuation: call.continuation,
             text: call.text.as_str().into(),
             priority: 0,
--- a/crates/linenthread-service/src/main.rs
+++ b/crates/linenthread-service/src/main.rs
@@ -5,7 +5,6 @@
 mod config;
 mod demo;
 mod dispatcher;
-mod duration;
 mod fleet;
 mod frontends;
 mod installation;
--- a/crates/linenthread-service/src/query/task.rs
+++ b/crates/linenthread-service/src/query/task.rs
@@ -9,6 +9,7 @@
 
 use super::pending_attempts::{BatchKey, PendingAttempts, SendBatches};
 use super::{QueryContext, QueryOutcome};
+use crate::clock;
 use crate::dispatcher::Decision;
 use crate::merge_responses::{AttemptRequest, AttemptResponse, ResponseCollector, ResponseSource};
 use crate::transports::attempt::{
@@ -157,7 +158,7 @@
                 self.answer(QueryOutcome::Success(body));
             }
             Decision::Reject { retry_after } => {
-                let retry_after_ms = retry_after.map(|tenths| tenths as f64 / 10.0);
+                let retry_after_ms = retry_after.map(clock::to_millis);
                 self.answer(QueryOutcome::Rejected { retry_after_ms });
             }
             Decision::Fail => self.answer(QueryOutcome::Failed),
--- a/crates/linenthread-service/src/serve/links.rs
+++ b/crates/linenthread-service/src/serve/links.rs
@@ -9,9 +9,9 @@
 use tracing::info;
 
 use super::error::{ListenForLinksSnafu, ServeError};
+use crate::clock::to_tenths;
 use crate::config::Config;
 use crate::dispatcher::Dispatcher;
-use crate::duration::tenth_millis;
 use crate::frontends::link::Gateway;
 use crate::frontends::listener;
 use crate::installation::WithSecrets;
@@ -51,11 +51,11 @@
         name: config.name.clone(),
         max_in_flight: peer.max_in_flight,
         max_queued_bytes: MAX_QUEUED_BYTES,
-        session_timeout: tenth_millis(peer.session_timeout),
-        ping_interval: tenth_millis(peer.ping_interval),
-        grace_period: tenth_millis(peer.grace_period),
-        min_backoff: tenth_millis(MIN_BACKOFF),
-        max_backoff: tenth_millis(MAX_BACKOFF),
+        session_timeout: to_tenths(peer.session_timeout),
+        ping_interval: to_tenths(peer.ping_interval),
+        grace_period: to_tenths(peer.grace_period),
+        min_backoff: to_tenths(MIN_BACKOFF),
+        max_backoff: to_tenths(MAX_BACKOFF),
     };
     let link_config = link::LinkConfig {
         name: peer.name,
@@ -95,10 +95,10 @@
         name: config.name.clone(),
         window_calls: gateway.window_calls,
         window_bytes: gateway.window_bytes,
-        session_timeout: tenth_millis(gateway.session_timeout),
+        session_timeout: to_tenths(gateway.session_timeout),
         max_sessions: gateway.max_sessions,
-        handshake_timeout: tenth_millis(HANDSHAKE_TIMEOUT),
-        idle_timeout: tenth_millis(IDLE_TIMEOUT),
+        handshake_timeout: to_tenths(HANDSHAKE_TIMEOUT),
+        idle_timeout: to_tenths(IDLE_TIMEOUT),
     };
     let server = LinkServer::new(server_config, secrets, config.seed);
     let gateway = Gateway::new(
--- a/crates/linenthread-service/src/serve/mod.rs
+++ b/crates/linenthread-service/src/serve/mod.rs
@@ -19,7 +19,6 @@
 use crate::clock;
 use crate::config::Config;
 use crate::dispatcher::Dispatcher;
-use crate::duration::tenth_millis;
 use crate::fleet::{self, FleetHandle, ToFleet};
 use crate::frontends::http::HttpFrontend;
 use crate::frontends::link::Gateway;
@@ -27,7 +26,7 @@
 use crate::installation::InstallationSettings;
 use crate::merge_responses::{MergePlans, ResponseMerging};
 use crate::query::QueryContext;
-use crate::service_discovery;
+use crate::service_discovery::{self, FirstFetch};
 use crate::transports::Transports;
 use crate::transports::attempt::ConnectionConfig;
 use crate::zone_routing::{ZoneRouting, ZoneRoutingConfig, numbered_zones};
@@ -93,7 +92,7 @@
         dispatcher.clone(),
         watched_address,
         config.coordinator.layout.replica_groups,
-        !config.coordinator.watch_membership,
+        first_fetch(&config),
     ));
     for (peer, number) in settings.peers.into_iter().zip(1..) {
         let seed = config.seed.wrapping_add(number);
@@ -105,7 +104,11 @@
     let gateway = gateway.transpose()?;
     let query_context = query_context(&config, dispatcher, transports, settings.merging);
     let query_context = Rc::new(query_context);
-    let frontend = HttpFrontend::new(query_context.clone(), max_clients, config.sockets / 6);
+    let frontend = HttpFrontend::new(
+        query_context.clone(),
+        max_clients,
+        max_spent_clients(&config),
+    );
     let listen = listener.local_addr().unwrap_or(config.listen);
     let merged = query_context.merging.plans.borrow().count();
     info!(name = config.name, %listen, roster = %config.discovery, merged, "serving");
@@ -152,6 +155,20 @@
     config.sockets.saturating_sub(reserved).max(1)
 }
 
+/// Connections of clients that may stay although they send no further request: a sixth of all descriptors.
+fn max_spent_clients(config: &Config) -> usize {
+    config.sockets / 6
+}
+
+/// Where the settings have the coordinator watch the list, it says itself when it wants the first one.
+fn first_fetch(config: &Config) -> FirstFetch {
+    if config.coordinator.watch_membership {
+        FirstFetch::OnRequest
+    } else {
+        FirstFetch::AtOnce
+    }
+}
+
 /// Descriptors reserved for replicas, before those for clients: a quarter of all, or two a replica. More replicas may
 /// be discovered later, so at most half is reserved.
 fn replica_descriptors(config: &Config) -> usize {
@@ -160,16 +177,17 @@
         .min(config.sockets / 2)
 }
 
+/// The connections to replicas. Idle ones are closed somewhat earlier than replicas would close them.
 fn transports(config: &Config) -> Transports {
-    let surroundings = &config.cluster;
-    let connect_timeout = clock::to_duration(surroundings.connect_timeout.max(1));
-    let idle_timeout = clock::to_duration(surroundings.idle_timeout.max(1));
+    let cluster = &config.cluster;
+    let connect_timeout = clock::to_duration(cluster.connect_timeout.max(1));
+    let replica_idle_timeout = clock::to_duration(cluster.idle_timeout.max(1));
     Transports::new(ConnectionConfig {
-        max_streams: surroundings.max_streams,
+        max_streams: cluster.max_streams,
         sends_cancellations: config.coordinator.permissions.cancellation,
         connect_timeout,
         probe_timeout: connect_timeout,
-        idle_timeout: idle_timeout - idle_timeout / 8,
+        idle_timeout: replica_idle_timeout - replica_idle_timeout / 8,
         max_connections: replica_descriptors(config),
     })
 }
@@ -200,13 +218,14 @@
     let routing_config = ZoneRoutingConfig {
         zones: fleet::configured_zones(zones),
         local_zone: fleet.zone.clone(),
-        table_lifetime: tenth_millis(zones.table_lifetime),
+        table_lifetime: clock::to_tenths(zones.table_lifetime),
         layout: config.coordinator.layout.clone(),
         shard_count: config.cluster.shard_count,
     };
     Some(ZoneRouting::new(routing_config, zone_names))
 }
 
+/// What the tasks of all queries share.
 fn query_context(
     config: &Config,
     dispatcher: Dispatcher,
@@ -219,9 +238,7 @@
         transports,
         cluster: config.cluster.clone(),
         cancellation: config.coordinator.permissions.cancellation,
-        priorities: indexes
-            .map(|index| (index.value * 1_000.0) as u32)
-            .collect(),
+        priorities: indexes.map(|index| thousandths(index.value)).collect(),
         merging: ResponseMerging {
             plans: RefCell::new(Rc::new(merging)),
             ..ResponseMerging::default()
@@ -230,6 +247,16 @@
     }
 }
 
+/// A value in thousandths, rounded down.
+#[expect(
+    clippy::cast_possible_truncation,
+    clippy::cast_sign_loss,
+    reason = "the fraction is to go; the cast saturates, and values are far below its limit"
+)]
+fn thousandths(value: f64) -> u32 {
+    (value * 1_000.0) as u32
+}
+
 /// Reads the files again on each SIGHUP.
 async fn reload(
     hangup: &mut Signal,
--- a/crates/linenthread-service/src/service_discovery.rs
+++ b/crates/linenthread-service/src/service_discovery.rs
@@ -34,6 +34,14 @@
     Decode { source: MembershipError },
 }
 
+/// When the list is requested for the first time.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum FirstFetch {
+    AtOnce,
+    /// Once the coordinator wants it.
+    OnRequest,
+}
+
 /// Follows the service for as long as the program runs, at whatever address is configured. A new address aborts
 /// the request at the old one and starts with the complete list: revisions of two services cannot be compared.
 /// The last list is kept meanwhile.
@@ -41,9 +49,9 @@
     dispatcher: Dispatcher,
     mut address: Receiver<SocketAddr>,
     replica_groups: usize,
-    fetch_first: bool,
+    first_fetch: FirstFetch,
 ) {
-    if !fetch_first {
+    if first_fetch == FirstFetch::OnRequest {
         dispatcher.membership_requested().await;
     }
     loop {
--- a/crates/linenthread-service/src/zone_routing.rs
+++ b/crates/linenthread-service/src/zone_routing.rs
@@ -96,7 +96,7 @@
         let local_zone = position(&local_zone).unwrap_or_default();
         ZoneRouting {
             named_zones: zone_names.iter().map(named_zone).collect(),
-            observer: ZoneObserver::new(local_zone as u8),
+            observer: ZoneObserver::new(observed_zone(local_zone)),
             zones,
             local_zone,
             layout,
@@ -159,7 +159,7 @@
     ) {
         if let Some(zone) = self.zone(replica) {
             self.observer
-                .on_outcome(zone as u8, replica, outcome, elapsed);
+                .on_outcome(observed_zone(zone), replica, outcome, elapsed);
         }
     }
 
@@ -262,3 +262,8 @@
         }
     }
 }
+
+/// A zone by its position among the configured ones, of which there are few: the file's schema bounds them.
+fn observed_zone(position: usize) -> u8 {
+    u8::try_from(position).unwrap_or(u8::MAX)
+}
