--- a/crates/linenthread-service/src/cli.rs
+++ b/crates/linenthread-service/src/cli.rs
@@ -9,30 +9,39 @@
 
 /// What the process is to do.
 #[derive(Clone)]
-pub(crate) enum Command {
+pub enum Command {
     /// Serve queries.
     Serve {
+        /// The platform's configuration file.
         config: Option<PathBuf>,
+        /// The operators' own file.
         installation: Option<PathBuf>,
     },
     /// Check a configuration as `Serve` would read it.
     Check {
+        /// The platform's configuration file.
         config: PathBuf,
+        /// The operators' own file.
         installation: Option<PathBuf>,
     },
     /// Print the schema of the installation file.
     Schema,
     /// Carry a configuration over to sets of replicas.
     Migrate {
+        /// Write nothing, and say what would be written.
         dry_run: bool,
+        /// The new file.
         output: Option<PathBuf>,
+        /// The configuration to carry over.
         old: PathBuf,
     },
     /// Run a demo on this machine.
     Try(DemoOptions),
     /// Show the routing table of the fleet, drain a zone or take it back.
     Zones {
+        /// The operators' own file, which names the fleet.
         installation: PathBuf,
+        /// What is asked of the fleet.
         action: ZonesAction,
     },
     /// Print the version.
@@ -40,7 +49,7 @@
 }
 
 /// The parser of the whole command line.
-pub(crate) fn command() -> OptionParser<Command> {
+pub fn command() -> OptionParser<Command> {
     let serve = serve();
     let check = check();
     let migrate = migrate();
--- a/crates/linenthread-service/src/config.rs
+++ b/crates/linenthread-service/src/config.rs
@@ -16,45 +16,93 @@
 
 /// Why a configuration cannot be used. Each message is one line and names the field.
 #[derive(Debug, Snafu)]
-pub(crate) enum ConfigError {
+pub enum ConfigError {
+    /// It is not JSON.
     #[snafu(display("does not parse: {source}"))]
-    Parse { source: serde_json::Error },
+    Parse {
+        /// What is wrong with it.
+        source: serde_json::Error,
+    },
+    /// A required field is missing.
     #[snafu(display("{field} is missing"))]
-    Missing { field: &'static str },
+    Missing {
+        /// The field.
+        field: &'static str,
+    },
+    /// A field is not a text.
     #[snafu(display("{field} is not a text"))]
-    NotText { field: &'static str },
+    NotText {
+        /// The field.
+        field: &'static str,
+    },
+    /// A field is not a socket address.
     #[snafu(display("{field} is not an address with its port"))]
-    NotAddress { field: &'static str },
+    NotAddress {
+        /// The field.
+        field: &'static str,
+    },
+    /// The seed is no hexadecimal number.
     #[snafu(display("seed is not of hex digits"))]
-    Seed { source: std::num::ParseIntError },
+    Seed {
+        /// What is wrong with it.
+        source: std::num::ParseIntError,
+    },
+    /// The process may use too few descriptors to serve.
     #[snafu(display("limits.sockets is no number from {MIN_SOCKETS}"))]
     TooFewSockets,
+    /// The settings of the decision module cannot be used.
     #[snafu(display("{source}"))]
-    Settings { source: SettingsError },
+    Settings {
+        /// The setting, and what is wrong with it.
+        source: SettingsError,
+    },
+    /// An index needs a second step, for which replicas have no protocol.
     #[snafu(display(
         "settings: family-info.fetch-parts: a second step, as index {index} has, has no protocol"
     ))]
-    FetchStep { index: usize },
+    FetchStep {
+        /// The index's position in the settings.
+        index: usize,
+    },
+    /// The remembered list of replicas cannot be used.
     #[snafu(display("known: {source}"))]
-    Members { source: MembershipError },
+    Members {
+        /// What is wrong with it.
+        source: MembershipError,
+    },
 }
 
 /// Why a configuration file cannot be used. Each message is one line and names the file.
 #[derive(Debug, Snafu)]
-pub(crate) enum ConfigFileError {
+pub enum ConfigFileError {
+    /// The file cannot be read.
     #[snafu(display("{}: {source}", file.display()))]
-    Read { file: PathBuf, source: io::Error },
+    Read {
+        /// The file.
+        file: PathBuf,
+        /// The system's error.
+        source: io::Error,
+    },
+    /// Its text cannot be used.
     #[snafu(display("{}: {source}", file.display()))]
-    Invalid { file: PathBuf, source: ConfigError },
+    Invalid {
+        /// The file.
+        file: PathBuf,
+        /// The field, and what is wrong with it.
+        source: ConfigError,
+    },
 }
 
 /// The configuration of a co-ordinator.
 #[derive(Clone, Debug)]
-pub(crate) struct Config {
+pub struct Config {
+    /// The process's name.
     pub name: String,
+    /// Where it accepts clients.
     pub listen: SocketAddr,
     /// Address of service discovery.
     pub discovery: SocketAddr,
+    /// The seed of all random numbers of the process.
     pub seed: u64,
     /// Descriptors that the process may use.
     pub sockets: usize,
@@ -90,7 +138,7 @@
     /// # Errors
     ///
     /// One line that names the file and the field.
-    pub(crate) fn read(file: &Path) -> Result<Config, ConfigFileError> {
+    pub fn read(file: &Path) -> Result<Config, ConfigFileError> {
         let text = std::fs::read(file).context(ReadSnafu { file })?;
         Config::parse(&text).context(InvalidSnafu { file })
     }
@@ -100,7 +148,7 @@
     /// # Errors
     ///
     /// The first field that is missing or has a bad value.
-    pub(crate) fn parse(text: &[u8]) -> Result<Config, ConfigError> {
+    pub fn parse(text: &[u8]) -> Result<Config, ConfigError> {
         let root: Value = serde_json::from_slice(text).context(ParseSnafu)?;
         let fields = Fields(&root);
         let seed = fields.text("seed")?;
@@ -130,7 +178,7 @@
 
     /// Reads the file again for a process that runs and gives the address of service discovery. Other changes apply
     /// at the next start, which the log says. A file that cannot be used changes nothing.
-    pub(crate) fn reload(&self, file: &Path) -> Option<SocketAddr> {
+    pub fn reload(&self, file: &Path) -> Option<SocketAddr> {
         let new = match Config::read(file) {
             Ok(new) => new,
             Err(error) => {
--- a/crates/linenthread-service/src/demo/mod.rs
+++ b/crates/linenthread-service/src/demo/mod.rs
@@ -17,7 +17,7 @@
 
 /// Options of `linenthread try`.
 #[derive(Clone)]
-pub(crate) struct DemoOptions {
+pub struct DemoOptions {
     /// Show some answers and end.
     pub show: bool,
     /// Seed of the rows.
@@ -50,7 +50,7 @@
 }
 
 /// Runs the demo that the options choose.
-pub(crate) fn run(options: &DemoOptions) -> ExitCode {
+pub fn run(options: &DemoOptions) -> ExitCode {
     if options.scenario() == Scenario::ThreeZones {
         return zones::run(options.seed);
     }
--- a/crates/linenthread-service/src/dispatcher/decision.rs
+++ b/crates/linenthread-service/src/dispatcher/decision.rs
@@ -8,7 +8,7 @@
 use super::open_queries::OpenQueries;
 
 /// A decision on one query.
-#[derive(Debug)]
+#[derive(Clone, Copy, Debug)]
 pub(crate) enum Decision {
     /// Make the next attempt at a sub-request.
     Send {
--- a/crates/linenthread-service/src/dispatcher/membership.rs
+++ b/crates/linenthread-service/src/dispatcher/membership.rs
@@ -9,7 +9,7 @@
 
 use crate::clock::Clock;
 use crate::dispatcher::open_queries::QueryProgress;
-use crate::dispatcher::replica_indices::ReplicaIndices;
+use crate::replica_indices::ReplicaIndices;
 use crate::transports::link::LinkEvent;
 use crate::transports::{Route, Transports};
 
@@ -133,7 +133,7 @@
 
     /// Removes the replicas that a complete list does not name.
     fn remove_unlisted(&mut self, entries: &[MembershipEntry], submitted: u64) {
-        let mut is_listed = vec![false; self.replicas.len()];
+        let mut is_listed = vec![false; self.replicas.count()];
         for entry in entries {
             is_listed[entry.replica] = true;
         }
--- a/crates/linenthread-service/src/dispatcher/mod.rs
+++ b/crates/linenthread-service/src/dispatcher/mod.rs
@@ -3,7 +3,6 @@
 mod decision;
 mod membership;
 mod open_queries;
-mod replica_indices;
 mod zones;
 
 use std::cell::RefCell;
--- a/crates/linenthread-service/src/fleet/error.rs
+++ b/crates/linenthread-service/src/fleet/error.rs
@@ -10,22 +10,46 @@
 /// Why a member of the fleet could not start.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(super)))]
-pub(crate) enum StartError {
+pub enum StartError {
+    /// It cannot listen for other members.
     #[snafu(display("cannot listen for the fleet on {address}: {source}"))]
     Listen {
+        /// The address.
         address: SocketAddr,
+        /// The system's error.
         source: io::Error,
     },
+    /// The thread's runtime cannot be built.
     #[snafu(display("{source}"))]
-    Runtime { source: io::Error },
+    Runtime {
+        /// The system's error.
+        source: io::Error,
+    },
+    /// The thread cannot be started.
     #[snafu(display("{source}"))]
-    Spawn { source: io::Error },
+    Spawn {
+        /// The system's error.
+        source: io::Error,
+    },
+    /// The sockets cannot be registered with the runtime.
     #[snafu(display("{source}"))]
-    Socket { source: io::Error },
+    Socket {
+        /// The system's error.
+        source: io::Error,
+    },
+    /// The directory of a voter's log cannot be used.
     #[snafu(display("{source}"))]
-    VoterDirectory { source: VoterDirectoryError },
+    VoterDirectory {
+        /// Why not.
+        source: VoterDirectoryError,
+    },
+    /// The voter's log cannot be opened.
     #[snafu(display("the record: {source}"))]
-    Log { source: OpenError },
+    Log {
+        /// Why not.
+        source: OpenError,
+    },
+    /// The thread has ended before the member was started.
     #[snafu(display("the fleet's thread ended"))]
     ThreadEnded,
 }
@@ -33,11 +57,20 @@
 /// Why a voter's directory could not be opened.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(super)))]
-pub(crate) enum VoterDirectoryError {
+pub enum VoterDirectoryError {
+    /// The installation file names none.
     #[snafu(display("{name} is a voter, and <fleet> names no folder for its record"))]
-    NotConfigured { name: String },
+    NotConfigured {
+        /// The voter.
+        name: String,
+    },
+    /// The member is no voter.
     #[snafu(display("there is none"))]
     NotVoter,
+    /// It cannot be opened.
     #[snafu(display("{source}"))]
-    Open { source: DirectoryError },
+    Open {
+        /// Why not.
+        source: DirectoryError,
+    },
 }
--- a/crates/linenthread-service/src/installation.rs
+++ b/crates/linenthread-service/src/installation.rs
@@ -18,26 +18,46 @@
 
 /// Why the installation file, or a secret that it names, cannot be used. Each message is one line.
 #[derive(Debug, Snafu)]
-pub(crate) enum InstallationError {
+pub enum InstallationError {
+    /// The file cannot be read, or its text is not valid.
     #[snafu(display("{source}"))]
-    File { source: ReadFileError },
+    File {
+        /// The file, the line and the cause.
+        source: ReadFileError,
+    },
+    /// A secret's file cannot be read.
     #[snafu(display("{}: {source}", file.display()))]
-    ReadSecret { file: PathBuf, source: io::Error },
+    ReadSecret {
+        /// The file.
+        file: PathBuf,
+        /// The system's error.
+        source: io::Error,
+    },
+    /// A secret is too short.
     #[snafu(display("{}: a secret needs {MIN_SECRET_BYTES} bytes or more", file.display()))]
-    SecretTooShort { file: PathBuf },
+    SecretTooShort {
+        /// Its file.
+        file: PathBuf,
+    },
+    /// The secrets of cursors cannot be used.
     #[snafu(display("{source}"))]
     CursorSecrets {
+        /// What is wrong with them.
         source: linenthread_merge::SecretError,
     },
+    /// The secrets between processes cannot be used.
     #[snafu(display("{source}"))]
     LinkSecrets {
+        /// What is wrong with them.
         source: linenthread_frames::SecretError,
     },
 }
 
 /// A section of the installation file with the secrets that it names.
-pub(crate) struct WithSecrets<T> {
+pub struct WithSecrets<T> {
+    /// The section.
     pub section: T,
+    /// The secrets of its connections.
     pub secrets: Secrets,
 }
 
@@ -50,11 +70,16 @@
 
 /// What the installation file switches on; nothing without one.
 #[derive(Default)]
-pub(crate) struct InstallationSettings {
+pub struct InstallationSettings {
+    /// The indexes whose responses are merged.
     pub merging: MergePlans,
+    /// This process as a gateway for other sites.
     pub gateway: Option<WithSecrets<Gateway>>,
+    /// Gateways in other sites.
     pub peers: Vec<WithSecrets<Peer>>,
+    /// This process's membership in the fleet.
     pub fleet: Option<WithSecrets<Fleet>>,
+    /// How the fleet distributes traffic over zones.
     pub zones: Option<Zones>,
 }
 
@@ -87,10 +112,7 @@
     /// # Errors
     ///
     /// One line: file, line in it and cause.
-    pub(crate) fn read(
-        file: &Path,
-        config: &Config,
-    ) -> Result<InstallationSettings, InstallationError> {
+    pub fn read(file: &Path, config: &Config) -> Result<InstallationSettings, InstallationError> {
         let index_names = &config.cluster.index_names;
         let known = |name: &str| {
             let position = index_names.iter().position(|index| index == name)?;
--- a/crates/linenthread-service/src/log.rs
+++ b/crates/linenthread-service/src/log.rs
@@ -10,14 +10,17 @@
 /// Lines of one kind that are written in a second; the rest are counted.
 const MAX_LINES_PER_SECOND: u32 = 5;
 
+/// The names of the program and of this project's libraries begin so.
+const OWN_CRATES: &str = "linenthread";
+
 /// Starts the log on standard error. Failures to write it are ignored, as a log that nobody reads any more must not end
 /// the process. Lines of libraries are left out: bad input could bring them about without bound.
-pub(crate) fn start() {
+pub fn start() {
     let lines = tracing_subscriber::fmt::layer()
         .with_ansi(false)
         .with_target(false)
         .with_writer(std::io::stderr);
-    let own = Targets::new().with_target(env!("CARGO_CRATE_NAME"), LevelFilter::INFO);
+    let own = Targets::new().with_target(OWN_CRATES, LevelFilter::INFO);
     tracing_subscriber::registry()
         .with(lines.log_internal_errors(false).with_filter(own))
         .init();
--- a/crates/linenthread-service/src/main.rs
+++ b/crates/linenthread-service/src/main.rs
@@ -1,34 +1,16 @@
 //! `linenthread`: a co-ordinator of lookups over replicated shards, on sockets.
 
-mod cli;
-mod clock;
-mod config;
-mod demo;
-mod dispatcher;
-mod fleet;
-mod frontends;
-mod installation;
-mod log;
-mod merge_responses;
-mod migrate;
-mod query;
-mod serve;
-mod service_discovery;
-mod transports;
-mod zone_routing;
-mod zones_command;
-
 use std::io::{self, ErrorKind, Write};
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
+use linenthread_service::cli::{self, Command};
+use linenthread_service::config::{Config, ConfigFileError};
+use linenthread_service::installation::{InstallationError, InstallationSettings};
+use linenthread_service::serve::{self, ReloadedFiles};
+use linenthread_service::{demo, log, migrate, zones_command};
 use snafu::{OptionExt, Snafu};
 
-use cli::Command;
-use config::{Config, ConfigFileError};
-use installation::{InstallationError, InstallationSettings};
-use serve::ReloadedFiles;
-
 /// Exit code for files that cannot be used.
 const BAD_FILES: u8 = 2;
 
@@ -90,11 +72,12 @@
 }
 
 fn check(config: PathBuf, installation: Option<&Path>) -> ExitCode {
-    with_files(Some(config), installation, |config, _, settings| {
+    with_files(Some(config), installation, |files| {
+        let config = files.config;
         let indexes = config.coordinator.indexes.len();
         let replicas = config.cached_membership.replicas.len();
         let merged = match installation {
-            Some(_) => format!(", {} merged", settings.merging.count()),
+            Some(_) => format!(", {} merged", files.settings.merging.count()),
             None => String::new(),
         };
         let name = config.name;
@@ -105,17 +88,13 @@
 }
 
 fn serve(config: Option<PathBuf>, installation: Option<&Path>) -> ExitCode {
-    with_files(config, installation, |config, file, settings| {
+    with_files(config, installation, |files| {
         log::start();
-        let served = serve::serve(
-            config,
-            settings,
-            ReloadedFiles {
-                config: file,
-                installation,
-            },
-            |_| {},
-        );
+        let reloaded = ReloadedFiles {
+            config: &files.config_file,
+            installation,
+        };
+        let served = serve::serve(files.config, files.settings, reloaded, |_| {});
         match actix_rt::System::new().block_on(served) {
             Ok(()) => ExitCode::SUCCESS,
             Err(error) => {
@@ -126,14 +105,21 @@
     })
 }
 
+/// The files of a command, as they were read.
+struct Files {
+    config_file: PathBuf,
+    config: Config,
+    settings: InstallationSettings,
+}
+
 /// Reads both files and runs the command; what is wrong with either is one line and exit code 2.
 fn with_files(
     config: Option<PathBuf>,
     installation: Option<&Path>,
-    command: impl FnOnce(Config, &Path, InstallationSettings) -> ExitCode,
+    command: impl FnOnce(Files) -> ExitCode,
 ) -> ExitCode {
     match read_files(config, installation) {
-        Ok((config, file, settings)) => command(config, &file, settings),
+        Ok(files) => command(files),
         Err(error) => {
             eprintln!("linenthread: {error}");
             ExitCode::from(BAD_FILES)
@@ -141,15 +127,16 @@
     }
 }
 
-fn read_files(
-    config: Option<PathBuf>,
-    installation: Option<&Path>,
-) -> Result<(Config, PathBuf, InstallationSettings), FilesError> {
-    let file = config.context(NoConfigSnafu)?;
-    let config = Config::read(&file)?;
+fn read_files(config: Option<PathBuf>, installation: Option<&Path>) -> Result<Files, FilesError> {
+    let config_file = config.context(NoConfigSnafu)?;
+    let config = Config::read(&config_file)?;
     let settings = match installation {
         Some(installation) => InstallationSettings::read(installation, &config)?,
         None => InstallationSettings::default(),
     };
-    Ok((config, file, settings))
+    Ok(Files {
+        config_file,
+        config,
+        settings,
+    })
 }
--- a/crates/linenthread-service/src/merge_responses.rs
+++ b/crates/linenthread-service/src/merge_responses.rs
@@ -18,7 +18,7 @@
 
 /// Which indexes are merged, and how.
 #[derive(Default)]
-pub(crate) struct MergePlans {
+pub struct MergePlans {
     /// By the index's position in the settings; `None` where it is not merged.
     plans: Vec<Option<Plan>>,
     signer: Option<CursorSigner>,
@@ -39,7 +39,7 @@
     }
 
     /// The number of indexes that are merged.
-    pub(crate) fn count(&self) -> usize {
+    pub fn count(&self) -> usize {
         self.plans.iter().flatten().count()
     }
 
--- a/crates/linenthread-service/src/migrate.rs
+++ b/crates/linenthread-service/src/migrate.rs
@@ -159,7 +159,7 @@
 }
 
 /// Runs the command: exit code 0, 3 if something was left out, 2 if nothing could be written.
-pub(crate) fn run(old: &Path, output: Option<&Path>, dry_run: bool) -> ExitCode {
+pub fn run(old: &Path, output: Option<&Path>, dry_run: bool) -> ExitCode {
     match migrate(old, output, dry_run) {
         Ok(true) => ExitCode::from(LEFT_OUT),
         Ok(false) => ExitCode::SUCCESS,
--- a/crates/linenthread-service/src/dispatcher/replica_indices.rs
+++ b/crates/linenthread-service/src/replica_indices.rs
@@ -14,7 +14,7 @@
 
 /// The indices of replicas.
 #[derive(Default)]
-pub(crate) struct ReplicaIndices {
+pub struct ReplicaIndices {
     by_id: HashMap<String, usize>,
     /// By index; `None` where the index is free.
     slots: Vec<Option<ReplicaSlot>>,
@@ -22,12 +22,12 @@
 
 impl ReplicaIndices {
     /// The index of an id, if it has one.
-    pub(crate) fn get(&self, id: &str) -> Option<usize> {
+    pub fn get(&self, id: &str) -> Option<usize> {
         self.by_id.get(id).copied()
     }
 
     /// The index of an id; one that has none is assigned the lowest that is free.
-    pub(crate) fn get_or_assign(&mut self, id: &str) -> usize {
+    pub fn get_or_assign(&mut self, id: &str) -> usize {
         if let Some(known) = self.get(id) {
             return known;
         }
@@ -48,53 +48,53 @@
     }
 
     /// The id of a replica, if the index is assigned.
-    pub(crate) fn id(&self, replica: usize) -> Option<&str> {
+    pub fn id(&self, replica: usize) -> Option<&str> {
         let slot = self.slots.get(replica)?.as_ref()?;
         Some(&slot.id)
     }
 
     /// The number of indices ever in use at once: all are lower.
-    pub(crate) fn len(&self) -> usize {
+    pub fn count(&self) -> usize {
         self.slots.len()
     }
 
     /// A probe of a replica was sent.
-    pub(crate) fn start_probe(&mut self, replica: usize) {
+    pub fn start_probe(&mut self, replica: usize) {
         if let Some(slot) = self.slot(replica) {
             slot.probes += 1;
         }
     }
 
     /// The coordinator has the outcome of a probe.
-    pub(crate) fn finish_probe(&mut self, replica: usize) {
+    pub fn finish_probe(&mut self, replica: usize) {
         if let Some(slot) = self.slot(replica) {
             slot.probes -= 1;
         }
     }
 
     /// Marks a replica as listed: its index stays assigned.
-    pub(crate) fn set_listed(&mut self, replica: usize) {
+    pub fn set_listed(&mut self, replica: usize) {
         if let Some(slot) = self.slot(replica) {
             slot.removed_after = None;
         }
     }
 
     /// Marks a replica as removed after so many queries had been submitted.
-    pub(crate) fn set_removed(&mut self, replica: usize, submitted: u64) {
+    pub fn set_removed(&mut self, replica: usize, submitted: u64) {
         if let Some(slot) = self.slot(replica) {
             slot.removed_after = Some(submitted);
         }
     }
 
     /// Marks a replica as removed unless it already was.
-    pub(crate) fn ensure_removed(&mut self, replica: usize, submitted: u64) {
+    pub fn ensure_removed(&mut self, replica: usize, submitted: u64) {
         if let Some(slot) = self.slot(replica) {
             slot.removed_after = slot.removed_after.or(Some(submitted));
         }
     }
 
     /// The only place that frees indices: the first `completed` queries that were submitted are over.
-    pub(crate) fn release_unused(&mut self, completed: u64, is_vacant: impl Fn(usize) -> bool) {
+    pub fn release_unused(&mut self, completed: u64, is_vacant: impl Fn(usize) -> bool) {
         for (replica, entry) in self.slots.iter_mut().enumerate() {
             let is_unused = |slot: &mut ReplicaSlot| {
                 let over = slot
--- a/crates/linenthread-service/src/serve/mod.rs
+++ b/crates/linenthread-service/src/serve/mod.rs
@@ -31,7 +31,7 @@
 use crate::transports::attempt::ConnectionConfig;
 use crate::zone_routing::{ZoneRouting, ZoneRoutingConfig, numbered_zones};
 
-pub(crate) use error::ServeError;
+pub use error::ServeError;
 use error::{FleetSnafu, ListenSnafu, SignalsSnafu};
 
 /// Descriptors that are neither a client's nor a replica's: standard streams, the listener, service discovery's
@@ -42,8 +42,10 @@
 
 /// The files that a running process reads again on SIGHUP.
 #[derive(Clone, Copy)]
-pub(crate) struct ReloadedFiles<'a> {
+pub struct ReloadedFiles<'a> {
+    /// The platform's configuration.
     pub config: &'a Path,
+    /// The operators' own file.
     pub installation: Option<&'a Path>,
 }
 
@@ -70,7 +72,7 @@
 /// # Errors
 ///
 /// It could not start, or an essential task has failed.
-pub(crate) async fn serve(
+pub async fn serve(
     config: Config,
     settings: InstallationSettings,
     files: ReloadedFiles<'_>,
--- a/crates/linenthread-service/src/transports/attempt.rs
+++ b/crates/linenthread-service/src/transports/attempt.rs
@@ -8,7 +8,7 @@
 
 /// Identifies an attempt within its query.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) struct AttemptKey {
+pub struct AttemptKey {
     /// The sub-request's position in its query.
     pub sub_request: usize,
     /// The attempt's number within its sub-request.
@@ -16,12 +16,14 @@
 }
 
 /// Where a query's task receives the outcomes of its attempts.
-pub(crate) type FinishedAttempts = mpsc::UnboundedSender<FinishedAttempt>;
+pub type FinishedAttempts = mpsc::UnboundedSender<FinishedAttempt>;
 
 /// The outcome of one attempt, reported to the task of its query.
 #[derive(Debug)]
-pub(crate) struct FinishedAttempt {
+pub struct FinishedAttempt {
+    /// Which attempt it is.
     pub key: AttemptKey,
+    /// How it ended.
     pub outcome: AttemptOutcome,
     /// The queue depth that the replica reported.
     pub queue_depth: Option<f64>,
@@ -43,6 +45,7 @@
 /// The outcome of one probe of a replica.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ProbeReport {
+    /// How it ended.
     pub outcome: AttemptOutcome,
     /// The queue depth that the replica reported.
     pub queue_depth: Option<f64>,
@@ -71,11 +74,14 @@
 
 /// One attempt at a sub-request, ready to be sent.
 #[derive(Clone, Debug)]
-pub(crate) struct OutgoingSubRequest {
+pub struct OutgoingSubRequest {
+    /// Which attempt it is.
     pub key: AttemptKey,
+    /// The shard that it is for.
     pub shard: usize,
     /// How many continuations of this sub-request came before.
     pub continuation: u32,
+    /// What the replica is asked.
     pub text: Rc<str>,
     /// The value of its query, in thousandths: a link that is short of credit sends the highest first.
     pub priority: u32,
@@ -83,12 +89,14 @@
 
 /// How connections to replicas are used.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct ConnectionConfig {
+pub struct ConnectionConfig {
     /// Attempts in flight on one connection.
     pub max_streams: usize,
     /// Replicas are sent cancellations.
     pub sends_cancellations: bool,
+    /// How long a connect may take.
     pub connect_timeout: Duration,
+    /// How long the response to a probe may take.
     pub probe_timeout: Duration,
     /// An idle connection is closed after this time, which is shorter than the replica's own.
     pub idle_timeout: Duration,
--- a/crates/linenthread-service/src/transports/link/mod.rs
+++ b/crates/linenthread-service/src/transports/link/mod.rs
@@ -71,6 +71,12 @@
     id: CallId,
 }
 
+impl InFlightAttempt {
+    /// Nothing: a link judges its connection by heartbeats, and not by its calls.
+    #[expect(clippy::unused_self, reason = "attempts of both kinds are told")]
+    pub(in crate::transports) fn on_timed_out(&self) {}
+}
+
 impl Drop for InFlightAttempt {
     fn drop(&mut self) {
         let pending = self.peer.0.calls.borrow_mut().remove(&self.id);
--- a/crates/linenthread-service/src/transports/mod.rs
+++ b/crates/linenthread-service/src/transports/mod.rs
@@ -1,7 +1,7 @@
 //! The ways on which sub-requests travel to replicas. A transport ends each attempt exactly once, and its outcome
 //! says honestly whether the attempt ran, may have run, or was never sent.
 
-pub(crate) mod attempt;
+pub mod attempt;
 mod connection;
 pub(crate) mod link;
 mod replica_connections;
@@ -22,18 +22,21 @@
 
 /// How a replica is reached.
 #[derive(Clone, Debug, PartialEq)]
-pub(crate) enum Route {
+pub enum Route {
+    /// By a connection to it.
     Direct(SocketAddr),
     /// Over the links of one of these peers.
     ViaLink {
+        /// The peers' numbers.
         peers: Vec<usize>,
+        /// The replica's id, by which the gateway knows it.
         replica_id: Rc<str>,
     },
 }
 
 /// All replicas, however they are reached.
 #[derive(Clone)]
-pub(crate) struct Transports(Rc<Inner>);
+pub struct Transports(Rc<Inner>);
 
 struct Inner {
     direct: ReplicaConnections,
@@ -58,24 +61,27 @@
 }
 
 /// An attempt in flight at a replica. Dropping it cancels the attempt, unless it has finished.
-pub(crate) enum InFlightAttempt {
-    Direct(connection::InFlightAttempt),
-    Link(#[allow(dead_code, reason = "dropping it cancels the call")] link::InFlightAttempt),
+pub struct InFlightAttempt(AttemptOn);
+
+/// An attempt by what it travels on.
+enum AttemptOn {
+    Connection(connection::InFlightAttempt),
+    Link(link::InFlightAttempt),
 }
 
 impl InFlightAttempt {
-    /// Marks the connection as silent where nothing was read since the attempt was sent. A link judges itself by
-    /// its heartbeats.
+    /// The attempt has run out of time, which may say something of what it travels on.
     pub(crate) fn on_timed_out(&self) {
-        match self {
-            InFlightAttempt::Direct(attempt) => attempt.on_timed_out(),
-            InFlightAttempt::Link(_) => {}
+        match &self.0 {
+            AttemptOn::Connection(attempt) => attempt.on_timed_out(),
+            AttemptOn::Link(attempt) => attempt.on_timed_out(),
         }
     }
 }
 
 impl Transports {
-    pub(crate) fn new(config: ConnectionConfig) -> Self {
+    /// No replica has a route at first.
+    pub fn new(config: ConnectionConfig) -> Self {
         Transports(Rc::new(Inner {
             direct: ReplicaConnections::new(config),
             probe_timeout: config.probe_timeout,
@@ -97,7 +103,7 @@
     }
 
     /// Sets how a replica is reached from now on.
-    pub(crate) fn set_route(&self, replica: usize, route: Option<Route>) {
+    pub fn set_route(&self, replica: usize, route: Option<Route>) {
         let mut remote = self.0.remote.borrow_mut();
         remote.remove(&replica);
         let address = match route {
@@ -128,7 +134,7 @@
 
     /// Sends sub-requests of one query to one replica. Those that cannot be sent are reported as such, and are
     /// not in flight.
-    pub(crate) fn send(
+    pub fn send(
         &self,
         replica: usize,
         query_id: &str,
@@ -143,7 +149,9 @@
                 .send(replica, query_id, sub_requests, wait_ms, finished);
             return in_flight
                 .into_iter()
-                .map(|attempt| attempt.map(InFlightAttempt::Direct))
+                .map(|attempt| {
+                    attempt.map(|attempt| InFlightAttempt(AttemptOn::Connection(attempt)))
+                })
                 .collect();
         };
         let Some(peer) = selected.peer else {
@@ -152,7 +160,7 @@
         let wait = Duration::from_millis(wait_ms);
         peer.send(&selected.replica_id, query_id, sub_requests, wait, finished)
             .into_iter()
-            .map(|attempt| Some(InFlightAttempt::Link(attempt)))
+            .map(|attempt| Some(InFlightAttempt(AttemptOn::Link(attempt))))
             .collect()
     }
 
--- a/crates/linenthread-service/src/zones_command/error.rs
+++ b/crates/linenthread-service/src/zones_command/error.rs
@@ -11,21 +11,43 @@
 /// Why the command has failed. Each message is one line.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(super)))]
-pub(crate) enum ZonesError {
+pub enum ZonesError {
+    /// The installation file cannot be used.
     #[snafu(display("{source}"), context(false))]
-    File { source: ReadFileError },
+    File {
+        /// The file, the line and the cause.
+        source: ReadFileError,
+    },
+    /// The installation file names no fleet.
     #[snafu(display("{}: there is no <fleet>", file.display()))]
-    NoFleet { file: PathBuf },
+    NoFleet {
+        /// The file.
+        file: PathBuf,
+    },
+    /// The fleet's secrets cannot be used.
     #[snafu(display("{source}"), context(false))]
-    Secrets { source: InstallationError },
+    Secrets {
+        /// The file and the cause.
+        source: InstallationError,
+    },
+    /// The fleet's state machine cannot be started.
     #[snafu(display("{source}"))]
-    Follow { source: OpenError },
+    Follow {
+        /// What is wrong.
+        source: OpenError,
+    },
+    /// The leader has refused the order.
     #[snafu(display("refused: {reason}"))]
-    Refused { reason: String },
+    Refused {
+        /// The leader's reason.
+        reason: String,
+    },
+    /// A voter was reached, but no leader has carried the order out in time.
     #[snafu(display(
         "nobody who leads has answered: nothing was agreed on, as far as is known here"
     ))]
     NoLeader,
+    /// No voter has sent a committed value in time.
     #[snafu(display("no voter could be reached, or nothing was agreed on yet"))]
     NoVoter,
 }
--- a/crates/linenthread-service/src/zones_command/mod.rs
+++ b/crates/linenthread-service/src/zones_command/mod.rs
@@ -11,7 +11,7 @@
 
 use crate::fleet::{Order, Orders, TABLE_TOPIC, ZoneChange};
 use error::RefusedSnafu;
-pub(crate) use error::ZonesError;
+pub use error::ZonesError;
 use follower::Follower;
 
 /// Time within which the command must succeed.
@@ -23,7 +23,7 @@
 
 /// What an operator asks of the fleet.
 #[derive(Clone, Debug)]
-pub(crate) enum ZonesAction {
+pub enum ZonesAction {
     /// Show the routing table in force.
     Show,
     /// Have all co-ordinators leave the zone.
@@ -37,7 +37,7 @@
 /// # Errors
 ///
 /// The file is bad, no voter could be reached, or the order was refused.
-pub(crate) fn run(file: &Path, action: &ZonesAction) -> Result<String, ZonesError> {
+pub fn run(file: &Path, action: &ZonesAction) -> Result<String, ZonesError> {
     let seed = handshake_seed();
     let mut follower = Follower::start(file, seed)?;
     let order = |zone: &String, change| Order {
--- a/crates/linenthread-service/tests/replica_indices.rs
+++ b/crates/linenthread-service/tests/replica_indices.rs
@@ -1,10 +1,6 @@
 //! The indices of replicas: when they are assigned, freed and reused.
 
-#[path = "../src/dispatcher/replica_indices.rs"]
-#[allow(dead_code, reason = "the program uses more of it")]
-mod replica_indices;
-
-use replica_indices::ReplicaIndices;
+use linenthread_service::replica_indices::ReplicaIndices;
 
 #[test]
 fn an_index_is_reused_once_nothing_of_its_replica_is_open() {
@@ -44,7 +40,7 @@
         indices.set_removed(replica, n);
         indices.release_unused(n, |_| true);
     }
-    assert_eq!(indices.len(), 6);
+    assert_eq!(indices.count(), 6);
     let assigned: Vec<_> = (0..6).filter_map(|replica| indices.id(replica)).collect();
     assert_eq!(assigned, ["e", "b", "c", "d", "a"]);
     assert!(assigned.iter().all(|id| indices.get(id).is_some()));
--- a/crates/linenthread-service/tests/transports.rs
+++ b/crates/linenthread-service/tests/transports.rs
@@ -1,26 +1,17 @@
 //! The outcomes of attempts on a connection that breaks.
 
-#[path = "../src/clock.rs"]
-#[allow(dead_code, reason = "the program uses more of it")]
-mod clock;
-#[path = "../src/log.rs"]
-#[allow(dead_code, reason = "the program uses more of it")]
-mod log;
-#[path = "../src/transports/mod.rs"]
-#[allow(dead_code, reason = "the program uses more of it")]
-mod transports;
-
 use std::rc::Rc;
 use std::time::Duration;
 
 use linenthread_core::interface::AttemptOutcome;
+use linenthread_service::transports::attempt::{
+    AttemptKey, ConnectionConfig, FinishedAttempt, OutgoingSubRequest,
+};
+use linenthread_service::transports::{Route, Transports};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpListener;
 use tokio::sync::mpsc;
 
-use transports::attempt::{AttemptKey, ConnectionConfig, FinishedAttempt, OutgoingSubRequest};
-use transports::{Route, Transports};
-
 /// What was written completely when a connection broke, or violated the protocol, may have run; the rest never did.
 #[test]
 fn attempts_end_by_whether_their_last_byte_was_written() {
