--- a/crates/linenthread-service/tests/link.rs
+++ b/crates/linenthread-service/tests/link.rs
@@ -1,6 +1,7 @@
 //! The link between two sites on loopback: the real program at both ends and a proxy that injects faults.
 
-use std::thread::sleep;
+use std::ops::Range;
+use std::thread::{sleep, spawn};
 use std::time::{Duration, Instant};
 
 use linenthread_fakes::proxy::Direction;
@@ -40,56 +41,31 @@
     }
 }
 
+/// The turns of one run of faults.
+const FAULT_TURNS: usize = 8;
+/// In every fourth run the gateway is killed for good in this turn.
+const KILL_TURN: usize = 6;
+
 /// Disconnections, lost bytes, delays and a gateway that is killed for good, by seed.
-fn through_troubles(seed: u64) {
-    let mut sites = Sites::start(
-        EXE,
-        SitesConfig {
-            service_time: Duration::from_millis(10),
-            second_gateway: seed.is_multiple_of(2),
-            ..SitesConfig::default()
-        },
-    );
-    let mut chance = Rand64::new(u128::from(seed));
-    let every = Duration::from_millis(15);
-    let lasting = Duration::from_secs(4);
-    let indexes = ["order", "find", "order"];
+fn query_through_faults(seed: u64) {
+    let config = SitesConfig {
+        service_time: Duration::from_millis(10),
+        second_gateway: seed.is_multiple_of(2),
+        ..SitesConfig::default()
+    };
+    let mut sites = Sites::start(EXE, config);
+    let mut rng = Rand64::new(u128::from(seed));
     let (verdict, _) = query_during_fault(
         &mut sites,
         &format!("t{seed}"),
-        &indexes,
-        every,
-        lasting,
+        &["order", "find", "order"],
+        Duration::from_millis(15),
+        Duration::from_secs(4),
         |sites| {
-            for turn in 0..8 {
-                let while_it_lasts = Duration::from_millis(chance.rand_range(5..350));
-                match chance.rand_range(0..5) {
-                    0 => sites.proxy.disconnect(),
-                    1 => {
-                        let way = [Direction::ToUpstream, Direction::FromUpstream]
-                            [chance.rand_range(0..2) as usize];
-                        sites.proxy.silence(way, true);
-                        sleep(while_it_lasts);
-                        sites.proxy.silence(way, false);
-                        // The stream lacks the bytes that were dropped: nothing valid can follow on it.
-                        sites.proxy.disconnect();
-                    }
-                    2 => {
-                        sites.proxy.set_upstream(None);
-                        sites.proxy.disconnect();
-                        sleep(while_it_lasts);
-                        sites.proxy.set_upstream(Some(sites.link_address));
-                    }
-                    3 => sites
-                        .proxy
-                        .set_delay(Duration::from_millis(chance.rand_range(0..20))),
-                    _ if turn == 6 && seed.is_multiple_of(4) => sites.gateway.signal("-KILL"),
-                    _ => sites.proxy.disconnect_next_after(
-                        Direction::ToUpstream,
-                        chance.rand_range(200..2_000) as usize,
-                    ),
-                }
-                sleep(Duration::from_millis(chance.rand_range(50..250)));
+            for turn in 0..FAULT_TURNS {
+                let may_kill = turn == KILL_TURN && seed.is_multiple_of(4);
+                inject_fault(sites, &mut rng, may_kill);
+                sleep(random_millis(&mut rng, 50..250));
             }
         },
     );
@@ -100,73 +76,119 @@
     );
 }
 
+/// Injects a random fault, and ends it unless it is a delay or a kill.
+fn inject_fault(sites: &mut Sites, rng: &mut Rand64, may_kill: bool) {
+    let duration = random_millis(rng, 5..350);
+    match rng.rand_range(0..5) {
+        0 => sites.proxy.disconnect(),
+        1 => lose_bytes(sites, random_direction(rng), duration),
+        2 => {
+            sites.proxy.set_upstream(None);
+            sites.proxy.disconnect();
+            sleep(duration);
+            sites.proxy.set_upstream(Some(sites.link_address));
+        }
+        3 => sites.proxy.set_delay(random_millis(rng, 0..20)),
+        _ if may_kill => sites.gateway.signal("-KILL"),
+        _ => {
+            let bytes = usize::try_from(rng.rand_range(200..2_000)).unwrap();
+            sites
+                .proxy
+                .disconnect_next_after(Direction::ToUpstream, bytes);
+        }
+    }
+}
+
+/// Drops the bytes of one direction for a while. The stream lacks them then: nothing valid can follow on it.
+fn lose_bytes(sites: &Sites, direction: Direction, duration: Duration) {
+    sites.proxy.silence(direction, true);
+    sleep(duration);
+    sites.proxy.silence(direction, false);
+    sites.proxy.disconnect();
+}
+
+fn random_direction(rng: &mut Rand64) -> Direction {
+    match rng.rand_range(0..2) {
+        0 => Direction::ToUpstream,
+        _ => Direction::FromUpstream,
+    }
+}
+
+fn random_millis(rng: &mut Rand64, range: Range<u64>) -> Duration {
+    Duration::from_millis(rng.rand_range(range))
+}
+
 #[test]
 fn every_query_ends_once_in_time_and_correctly_under_link_faults() {
     let threads: Vec<_> = (1..=4)
-        .map(|seed| std::thread::spawn(move || through_troubles(seed)))
+        .map(|seed| spawn(move || query_through_faults(seed)))
         .collect();
     threads
         .into_iter()
         .for_each(|thread| thread.join().unwrap());
 }
 
+/// Has the gateway's service discovery report another phase of a replica.
+fn report_phase(sites: &Sites, revision: u64, replica: usize, phase: &str) {
+    let changed = member(replica, sites.replicas[replica], phase);
+    let update = membership(revision, false, vec![changed]);
+    sites.gateway_discovery.answer_watch(&update);
+}
+
 #[test]
 fn a_replica_that_drains_behind_the_link_gets_no_new_requests() {
-    let mut sites = Sites::start(
-        EXE,
-        SitesConfig {
-            service_time: Duration::ZERO,
-            ..SitesConfig::default()
-        },
-    );
+    let config = SitesConfig {
+        service_time: Duration::ZERO,
+        ..SitesConfig::default()
+    };
+    let mut sites = Sites::start(EXE, config);
     let mut verdict = Verdict::default();
     for _ in 0..20 {
         sites.query("find", &mut verdict, "before");
     }
-    let home = if sites.received_by(0) > 0 { 0 } else { 1 };
-    assert!(sites.received_by(home) > 0);
-    // The gateway's service discovery reports a drain; the local side is notified over the link.
-    sites.gateway_discovery.answer_watch(&membership(
-        2,
-        false,
-        vec![member(home, sites.replicas[home], "leaving")],
-    ));
+    let preferred = if sites.received_by(0) > 0 { 0 } else { 1 };
+    assert!(sites.received_by(preferred) > 0);
+    // The local side is notified of the drain over the link.
+    report_phase(&sites, 2, preferred, "leaving");
     sites.local.wait_for_log("replicas behind links");
-    let before = sites.received_by(home);
+    let before = sites.received_by(preferred);
     for _ in 0..20 {
         sites.query("find", &mut verdict, "after");
     }
+    let received = sites.received_by(preferred);
     assert_eq!(
-        (
-            sites.received_by(home),
-            verdict.succeeded,
-            verdict.violations.len()
-        ),
+        (received, verdict.succeeded, verdict.violations.len()),
         (before, 40, 0)
     );
     // The same for its removal and its return.
-    sites.gateway_discovery.answer_watch(&membership(
-        3,
-        false,
-        vec![member(home, sites.replicas[home], "left")],
-    ));
+    report_phase(&sites, 3, preferred, "left");
     sites.wait_for_remote_replicas(1);
-    sites.gateway_discovery.answer_watch(&membership(
-        4,
-        false,
-        vec![member(home, sites.replicas[home], "active")],
-    ));
+    report_phase(&sites, 4, preferred, "active");
     sites.wait_for_remote_replicas(2);
-    // Its responses may have been the slower ones: then sub-requests return to it with the next reset, after 10 s at most.
-    let (begin, mut asked) = (Instant::now(), 40);
-    while asked < 60
-        || sites.received_by(home) == before && begin.elapsed() < Duration::from_secs(15)
+    let queries = query_until_received(&mut sites, &mut verdict, preferred, before);
+    assert!(sites.received_by(preferred) > before);
+    assert_eq!(
+        (verdict.succeeded, verdict.violations.len()),
+        (40 + queries, 0)
+    );
+}
+
+/// Queries at least 20 times, and until a replica has received more than `before`; returns how often. Its responses
+/// may have been the slower ones: then sub-requests return to it with the next reset, after 10 s at most.
+fn query_until_received(
+    sites: &mut Sites,
+    verdict: &mut Verdict,
+    replica: usize,
+    before: usize,
+) -> usize {
+    let (begin, mut queries) = (Instant::now(), 0);
+    while queries < 20
+        || sites.received_by(replica) == before && begin.elapsed() < Duration::from_secs(15)
     {
-        sites.query("find", &mut verdict, "back");
-        asked += 1;
+        sites.query("find", verdict, "back");
+        queries += 1;
     }
-    assert!(sites.received_by(home) > before);
-    assert_eq!((verdict.succeeded, verdict.violations.len()), (asked, 0));
+    queries
 }
 
 #[test]
@@ -179,7 +201,7 @@
         },
     );
     let every = Duration::from_millis(10);
-    let (verdict, told) = query_during_fault(
+    let (verdict, results) = query_during_fault(
         &mut sites,
         "two",
         &["order"],
@@ -191,12 +213,13 @@
         },
     );
     assert_eq!(verdict.violations, [""; 0], "{verdict:?}");
-    let late = told
+    let late: Vec<_> = results
         .iter()
-        .filter(|t| t.scheduled_at > Duration::from_millis(1_000));
-    let answered = late.clone().filter(|t| t.status == Some(200)).count();
+        .filter(|result| result.scheduled_at > Duration::from_millis(1_000))
+        .collect();
+    let answered = late.iter().filter(|result| result.status == Some(200));
     assert!(
-        late.clone().count() > 50 && answered * 10 >= late.count() * 9,
+        late.len() > 50 && answered.count() * 10 >= late.len() * 9,
         "{verdict:?}"
     );
 }
--- a/crates/linenthread-service/tests/migrate.rs
+++ b/crates/linenthread-service/tests/migrate.rs
@@ -1,13 +1,14 @@
 //! `linenthread migrate`: its files, messages and exit codes, and the program with the file that it wrote.
 
 use std::fs;
-use std::path::Path;
+use std::path::{Path, PathBuf};
 use std::process::{Command, Output};
 
 use linenthread_fakes::{
     Class, FakeReplicas, Service, ServiceDiscovery, config_of, member, membership,
 };
 use serde_json::{Value, json};
+use tempfile::TempDir;
 
 const EXE: &str = env!("CARGO_BIN_EXE_linenthread");
 const FIND: Class = Class {
@@ -17,87 +18,131 @@
     floor: 1.0,
 };
 
-fn migrate(folder: &Path, words: &[&str]) -> (Option<i32>, String, String) {
+/// What a run of `linenthread migrate` has printed, and its exit code.
+struct Migration {
+    code: Option<i32>,
+    stdout: String,
+    stderr: String,
+}
+
+/// Runs the command in a folder.
+fn migrate(folder: &Path, arguments: &[&str]) -> Migration {
     let Output {
         status,
         stdout,
         stderr,
     } = Command::new(EXE)
         .arg("migrate")
-        .args(words)
+        .args(arguments)
         .current_dir(folder)
         .output()
         .unwrap();
-    let said = |bytes| String::from_utf8(bytes).unwrap();
-    (status.code(), said(stdout), said(stderr))
+    let text = |bytes| String::from_utf8(bytes).unwrap();
+    Migration {
+        code: status.code(),
+        stdout: text(stdout),
+        stderr: text(stderr),
+    }
 }
 
 /// A ring of four replica groups of one replica each; each of six shards is in two consecutive groups.
-fn old(fleet: &FakeReplicas) -> Value {
-    let entries = fleet
-        .addresses
-        .iter()
-        .enumerate()
-        .map(|(i, address)| member(i, *address, "active"));
-    let known = membership(1, true, entries.collect());
+fn old_configuration(replicas: &FakeReplicas) -> Value {
+    let addresses = replicas.addresses.iter().enumerate();
+    let members = addresses.map(|(replica, address)| member(replica, *address, "active"));
+    let known = membership(1, true, members.collect());
     let mut config = config_of("127.0.0.1:9".parse().unwrap(), &known, &[FIND], 4, 6);
-    for (i, member) in config["known"]["members"]
-        .as_array_mut()
-        .unwrap()
-        .iter_mut()
-        .enumerate()
-    {
-        member["cell"] = json!(i);
+    let members = config["known"]["members"].as_array_mut().unwrap();
+    for (group, member) in members.iter_mut().enumerate() {
+        member["cell"] = json!(group);
     }
     config["settings"]["an-unknown-one"] = json!({"kept": [1, 2]});
     config
 }
 
+/// A folder with an old configuration as "old.json", for replicas that run.
+struct OldInstallation {
+    replicas: FakeReplicas,
+    folder: TempDir,
+    text: String,
+}
+
+impl OldInstallation {
+    fn start() -> OldInstallation {
+        let replicas = FakeReplicas::start(4);
+        let folder = tempfile::tempdir().unwrap();
+        let text = old_configuration(&replicas).to_string();
+        fs::write(folder.path().join("old.json"), &text).unwrap();
+        OldInstallation {
+            replicas,
+            folder,
+            text,
+        }
+    }
+
+    fn file(&self, name: &str) -> PathBuf {
+        self.folder.path().join(name)
+    }
+
+    fn migrate(&self, arguments: &[&str]) -> Migration {
+        migrate(self.folder.path(), arguments)
+    }
+
+    /// Writes "new.json" and returns its contents.
+    fn migrated(&self) -> Value {
+        let migration = self.migrate(&["--output", "new.json", "old.json"]);
+        assert_eq!(migration.code, Some(3));
+        let text = fs::read_to_string(self.file("new.json")).unwrap();
+        serde_json::from_str(&text).unwrap()
+    }
+}
+
+/// The lines that say what has to be moved and what was left out.
+fn lists(output: &str) -> Vec<&str> {
+    let is_listed = |line: &&str| line.starts_with("to move") || line.starts_with("left out");
+    output.lines().filter(is_listed).collect()
+}
+
 #[test]
-fn an_old_configuration_is_migrated_and_can_be_served() {
-    let fleet = FakeReplicas::start(4);
-    let folder = tempfile::tempdir().unwrap();
-    let (from, to) = (
-        folder.path().join("old.json"),
-        folder.path().join("new.json"),
-    );
-    let text = old(&fleet).to_string();
-    fs::write(&from, &text).unwrap();
-    // A dry run prints the same and writes nothing.
-    let (code, dry, _) = migrate(folder.path(), &["--dry-run", "old.json"]);
+fn a_dry_run_prints_the_same_and_writes_nothing() {
+    let old = OldInstallation::start();
+    let dry_run = old.migrate(&["--dry-run", "old.json"]);
     assert_eq!(
-        (code, to.exists(), fs::read_dir(&folder).unwrap().count()),
+        (
+            dry_run.code,
+            old.file("new.json").exists(),
+            fs::read_dir(&old.folder).unwrap().count()
+        ),
         (Some(3), false, 1),
-        "{dry}"
+        "{}",
+        dry_run.stdout
     );
-    let (code, said, _) = migrate(folder.path(), &["--output", "new.json", "old.json"]);
-    assert_eq!((code, fs::read_to_string(&from).unwrap()), (Some(3), text));
-    let lists = |said: &str| {
-        let list = said
-            .lines()
-            .filter(|line| line.starts_with("to move") || line.starts_with("left out"));
-        list.map(str::to_owned).collect::<Vec<_>>()
-    };
-    assert_eq!(lists(&said).len(), 5, "{said}");
-    assert_eq!(lists(&said), lists(&dry));
+    let migration = old.migrate(&["--output", "new.json", "old.json"]);
+    assert_eq!(lists(&migration.stdout), lists(&dry_run.stdout));
+}
+
+#[test]
+fn an_old_configuration_is_migrated_with_what_moves_and_what_is_left_out() {
+    let old = OldInstallation::start();
+    let migration = old.migrate(&["--output", "new.json", "old.json"]);
+    let old_text = fs::read_to_string(old.file("old.json")).unwrap();
+    assert_eq!((migration.code, old_text), (Some(3), old.text.clone()));
+    let output = &migration.stdout;
+    assert_eq!(lists(output).len(), 5, "{output}");
     assert!(
-        said.contains("left out: settings: telemetry.names: \"queue\""),
-        "{said}"
+        output.contains("left out: settings: telemetry.names: \"queue\""),
+        "{output}"
     );
     // The replica of group 1 held shards 0, 1, 4 and 5; its set 0 holds 0, 2 and 4.
     assert!(
-        said.contains(": set 0; loads [2], may then drop [1 5]"),
-        "{said}"
+        output.contains(": set 0; loads [2], may then drop [1 5]"),
+        "{output}"
     );
-    let mut new: Value = serde_json::from_str(&fs::read_to_string(&to).unwrap()).unwrap();
-    let cells: Vec<_> = new["known"]["members"]
-        .as_array()
-        .unwrap()
-        .iter()
-        .map(|m| m["cell"].clone())
-        .collect();
+    let text = fs::read_to_string(old.file("new.json")).unwrap();
+    let new: Value = serde_json::from_str(&text).unwrap();
+    let members = new["known"]["members"].as_array().unwrap();
+    let sets: Vec<_> = members.iter().map(|member| &member["cell"]).collect();
     assert_eq!(
-        (json!(cells), &new["settings"]["family-info"]["cells"]),
+        (json!(sets), &new["settings"]["family-info"]["cells"]),
         (json!([0, 0, 1, 1]), &json!(2))
     );
     assert_eq!(
@@ -105,52 +150,68 @@
         json!({"kept": [1, 2]}),
         "what is not read is kept"
     );
-    // It passes the check, has the new form, and is never overwritten.
-    assert!(
-        Command::new(EXE)
-            .arg("check")
-            .arg(&to)
-            .status()
-            .unwrap()
-            .success()
-    );
-    let (code, said, _) = migrate(folder.path(), &["--output", "newer.json", "new.json"]);
+}
+
+#[test]
+fn a_new_configuration_passes_the_check_and_is_not_migrated_again() {
+    let old = OldInstallation::start();
+    old.migrated();
+    let mut check = Command::new(EXE);
+    check.arg("check").arg(old.file("new.json"));
+    assert!(check.status().unwrap().success());
+    let again = old.migrate(&["--output", "newer.json", "new.json"]);
     assert_eq!(
-        (code, folder.path().join("newer.json").exists()),
+        (again.code, old.file("newer.json").exists()),
         (Some(0), false)
     );
-    assert!(said.contains("already of the new shape"), "{said}");
-    for taken in ["new.json", "old.json"] {
-        let before = fs::read(folder.path().join(taken)).unwrap();
-        let (code, _, said) = migrate(folder.path(), &["--output", taken, "old.json"]);
-        assert_eq!((code, said.lines().count()), (Some(2), 1), "{said}");
-        assert_eq!(fs::read(folder.path().join(taken)).unwrap(), before);
+    let output = &again.stdout;
+    assert!(output.contains("already of the new shape"), "{output}");
+}
+
+#[test]
+fn an_existing_file_is_never_overwritten() {
+    let old = OldInstallation::start();
+    old.migrated();
+    for existing in ["new.json", "old.json"] {
+        let before = fs::read(old.file(existing)).unwrap();
+        let migration = old.migrate(&["--output", existing, "old.json"]);
+        let message = &migration.stderr;
+        assert_eq!(
+            (migration.code, message.lines().count()),
+            (Some(2), 1),
+            "{message}"
+        );
+        assert_eq!(fs::read(old.file(existing)).unwrap(), before);
     }
-    // The program sends sub-requests to the replicas of the sets alone.
-    let roster = ServiceDiscovery::start(new["known"].to_string());
-    new["discovery"] = roster.address.to_string().into();
+}
+
+#[test]
+fn with_a_new_configuration_sub_requests_go_to_the_replicas_of_the_sets_alone() {
+    let old = OldInstallation::start();
+    let mut new = old.migrated();
+    let discovery = ServiceDiscovery::start(new["known"].to_string());
+    new["discovery"] = discovery.address.to_string().into();
     let service = Service::start(EXE, &new);
     let mut client = service.query("find", "m1", &[0, 1]);
     for _ in 0..2 {
-        let part = fleet.sub_request();
-        assert_eq!(part.replica / 2, part.shard % 2);
-        part.respond("v");
+        let sub_request = old.replicas.sub_request();
+        assert_eq!(sub_request.replica / 2, sub_request.shard % 2);
+        sub_request.respond("v");
     }
     assert_eq!(client.status(), 200);
 }
 
 #[test]
 fn an_unusable_configuration_is_one_line_and_exit_code_2() {
-    let fleet = FakeReplicas::start(4);
-    let folder = tempfile::tempdir().unwrap();
-    let good = old(&fleet);
+    let old = OldInstallation::start();
+    let good: Value = serde_json::from_str(&old.text).unwrap();
     let with = |pointer: &str, value: Value| {
         let mut config = good.clone();
         *config.pointer_mut(pointer).unwrap() = value;
         config.to_string()
     };
     let bad = [
-        ("parse", "{".to_string()),
+        ("parse", "{".to_owned()),
         ("seed", with("/seed", Value::Null)),
         (
             "family-info.cells",
@@ -166,30 +227,31 @@
         ),
     ];
     for (field, text) in bad {
-        fs::write(folder.path().join("bad.json"), text).unwrap();
-        let (code, _, said) = migrate(folder.path(), &["--output", "new.json", "bad.json"]);
+        fs::write(old.file("bad.json"), text).unwrap();
+        let migration = old.migrate(&["--output", "new.json", "bad.json"]);
+        let message = &migration.stderr;
         assert_eq!(
-            (code, said.lines().count()),
+            (migration.code, message.lines().count()),
             (Some(2), 1),
-            "{field}: {said}"
+            "{field}: {message}"
         );
         assert!(
-            said.contains(field) && said.contains("bad.json"),
-            "{field}: {said}"
+            message.contains(field) && message.contains("bad.json"),
+            "{field}: {message}"
         );
     }
-    fs::write(folder.path().join("old.json"), good.to_string()).unwrap();
-    for words in [
+    for arguments in [
         vec!["--output", "new.json", "none.json"],
         vec!["bad.json"],
         vec!["--output", "no/new.json", "old.json"],
     ] {
-        let (code, _, said) = migrate(folder.path(), &words);
+        let migration = old.migrate(&arguments);
+        let message = &migration.stderr;
         assert_eq!(
-            (code, said.lines().count()),
+            (migration.code, message.lines().count()),
             (Some(2), 1),
-            "{words:?}: {said}"
+            "{arguments:?}: {message}"
         );
     }
-    assert!(!folder.path().join("new.json").exists());
+    assert!(!old.file("new.json").exists());
 }
--- /dev/null
+++ b/crates/linenthread-service/tests/service/replica_connections.rs
@@ -0,0 +1,158 @@
+//! Connections to replicas: which are used, and what becomes of those that break.
+
+use std::collections::BTreeSet;
+use std::sync::atomic::Ordering;
+use std::thread;
+use std::time::Duration;
+
+use linenthread_fakes::SubRequest;
+
+use crate::cluster::Cluster;
+
+#[test]
+fn a_connection_closed_during_a_write_does_not_fail_a_once_only_sub_request() {
+    let cluster = Cluster::start(2);
+    for id in 0..6 {
+        let mut client = cluster.query("order", &format!("r{id}"), &[0]);
+        cluster.sub_request().respond("v");
+        assert_eq!(client.status(), 200);
+        cluster.replicas.closing_on_reuse.store(1, Ordering::SeqCst);
+        // Idle for a while.
+        thread::sleep(Duration::from_millis(80));
+    }
+    assert_eq!(cluster.replicas.remaining(), [""; 0]);
+}
+
+#[test]
+fn an_invalid_frame_closes_its_connection() {
+    let bad = [
+        (b'F', "what was that"),
+        (b'Z', "?"),
+        (b'E', "no end"),
+        (b'E', "b1.2 hit x -\n"),
+        (b'E', "b9.2 hit 1 -\nfor a part that was never sent"),
+    ];
+    for (letter, rest) in bad {
+        let cluster = Cluster::start(2);
+        let mut client = cluster.query("find", "b1", &[2]);
+        let broken = cluster.sub_request();
+        broken.send_frame(letter, rest);
+        let again = cluster.sub_request();
+        again.respond("v");
+        assert_eq!(client.status(), 200, "after {rest:?}");
+        cluster.service.wait_for_log("replica connection ended");
+        // Later bytes on it are ignored, and the sub-request may have run.
+        broken.send_bytes(b"\0\0\0\x0fEb1.2 hit 1 -\nv");
+        let mut client = cluster.query("order", "b2", &[2]);
+        cluster.sub_request().send_frame(letter, rest);
+        assert_eq!(client.status(), 502, "after {rest:?}");
+        assert_eq!(cluster.replicas.remaining(), [""; 0]);
+    }
+}
+
+#[test]
+fn an_incomplete_frame_closes_its_connection() {
+    let cluster = Cluster::start(2);
+    // The frame announces more bytes than are sent.
+    let mut client = cluster.query("find", "o1", &[2]);
+    cluster
+        .sub_request()
+        .send_bytes(b"\0\0\x40\0Eo1.2 hit 1 -\nv");
+    cluster.sub_request().respond("v");
+    assert_eq!(client.status(), 200);
+    cluster.service.wait_for_log("does not come whole");
+    // The same with bytes that trickle in.
+    let mut client = cluster.query("find", "o2", &[2]);
+    let slow = cluster.sub_request();
+    let again = thread::scope(|threads| {
+        let trickle = threads.spawn(|| {
+            slow.send_bytes(b"\0\0\x40\0E");
+            while slow.send_bytes(b"x") {
+                thread::sleep(Duration::from_millis(20));
+            }
+        });
+        let again = cluster.sub_request();
+        trickle.join().unwrap();
+        again
+    });
+    again.respond("v");
+    assert_eq!(client.status(), 200);
+}
+
+#[test]
+fn surplus_bytes_after_a_response_close_the_connection_and_the_response_counts() {
+    let cluster = Cluster::start(1);
+    let mut client = cluster.query("find", "o3", &[2]);
+    let sub_request = cluster.sub_request();
+    sub_request.send_bytes(&[b"\0\0\0\x10Eo3.2 hit 1 -\nvv", &b"\0\0"[..]].concat());
+    assert_eq!(client.status(), 200);
+    assert!(sub_request.is_closed());
+}
+
+#[test]
+fn connections_are_shared_once_there_are_several_and_filled_up_to_a_limit() {
+    // One sub-request for each connection first, then as many as each may carry, then more connections again.
+    let cluster = Cluster::start_with(1, "/settings/allowed/streams-per-conn", 2.into());
+    let mut clients: Vec<_> = ["l1", "l4", "l5"]
+        .map(|id| cluster.query("find", id, &[0, 1, 2]))
+        .into();
+    let sub_requests: Vec<_> = (0..9).map(|_| cluster.sub_request()).collect();
+    let from: BTreeSet<_> = sub_requests.iter().map(SubRequest::peer_address).collect();
+    assert_eq!(from.len(), 5);
+    sub_requests
+        .iter()
+        .for_each(|sub_request| sub_request.respond("v"));
+    clients
+        .iter_mut()
+        .for_each(|client| assert_eq!(client.status(), 200));
+}
+
+#[test]
+fn an_invalid_connection_affects_no_other() {
+    let cluster = Cluster::start(1);
+    let mut client = cluster.query("order", "l6", &[0, 1]);
+    let (one, other) = (cluster.sub_request(), cluster.sub_request());
+    let mut beside = cluster.query("order", "l7", &[0]);
+    let sub_request = cluster.sub_request();
+    one.send_frame(b'Z', "?");
+    assert_eq!(client.status(), 502);
+    assert_eq!(cluster.replicas.cancelled(), other.id);
+    sub_request.respond("v");
+    assert_eq!(beside.status(), 200);
+}
+
+#[test]
+fn an_idle_connection_is_closed_before_the_replica_closes_it() {
+    let cluster = Cluster::start_with(1, "/settings/allowed/conn-idle-ms", 400.into());
+    for id in ["l2", "l3"] {
+        let mut client = cluster.query("order", id, &[0]);
+        let sub_request = cluster.sub_request();
+        sub_request.respond("v");
+        assert_eq!(client.status(), 200);
+        assert!(sub_request.is_closed());
+    }
+}
+
+#[test]
+fn sub_requests_to_one_replica_share_a_call() {
+    let cluster = Cluster::start_with(1, "/settings/family-info/parts-a-call", 2.into());
+    let mut client = cluster.query("find", "m1", &[0, 1, 2]);
+    let mut sub_requests = [
+        cluster.sub_request(),
+        cluster.sub_request(),
+        cluster.sub_request(),
+    ];
+    sub_requests.sort_by_key(|sub_request| sub_request.shard);
+    let calls: BTreeSet<_> = sub_requests
+        .iter()
+        .map(|sent| (sent.peer_address(), sent.frame))
+        .collect();
+    assert_eq!(
+        (calls.len(), sub_requests[0].peer_address()),
+        (2, sub_requests[1].peer_address())
+    );
+    sub_requests
+        .iter()
+        .for_each(|sub_request| sub_request.respond("v"));
+    assert_eq!(client.status(), 200);
+}
