--- a/crates/linenthread-checker/src/main.rs
+++ b/crates/linenthread-checker/src/main.rs
@@ -1,13 +1,14 @@
 //! Explores scenarios of the consensus and prints what it found. Exits with 1 if an invariant is violated, with 2 if
 //! the command line is wrong.
 
-use std::io::{self, ErrorKind, Write};
+use std::io::{self, Write};
 use std::process::ExitCode;
 use std::time::Instant;
 
 use linenthread_checker::{
     EventBudget, LeaseScenario, Model, ParseCallError, Report, Scenario, explore,
 };
+use linenthread_console::is_closed_output;
 
 /// A state takes about 2 KB while it waits to be expanded.
 const DEFAULT_MAX_STATES: usize = 1_500_000;
@@ -58,7 +59,7 @@
     };
     match checker.check_all(&scenarios, &lease_scenarios) {
         Ok(()) => ExitCode::from(u8::from(checker.violations > 0)),
-        Err(error) if error.kind() == ErrorKind::BrokenPipe => ExitCode::from(OUTPUT_CLOSED),
+        Err(error) if is_closed_output(&error) => ExitCode::from(OUTPUT_CLOSED),
         Err(error) => {
             eprintln!("cannot write to standard output: {error}");
             ExitCode::from(2)
--- a/crates/linenthread-ci/src/bin/linenthread-known-red.rs
+++ b/crates/linenthread-ci/src/bin/linenthread-known-red.rs
@@ -9,6 +9,7 @@
     CargoMessageError, KnownFailuresError, Report, check, parse_known_failures, parse_test_output,
     parse_test_programs,
 };
+use linenthread_console::allow_closed_output;
 use snafu::{ResultExt, Snafu};
 
 mod flags {
@@ -93,12 +94,9 @@
     )
 }
 
-/// Prints a report. A reader that closes the pipe has read enough.
 fn print(report: &Report) -> Result<(), Error> {
-    match write_report(report, &mut io::stdout().lock()) {
-        Err(error) if error.kind() == io::ErrorKind::BrokenPipe => Ok(()),
-        written => written.context(PrintSnafu),
-    }
+    let written = write_report(report, &mut io::stdout().lock());
+    allow_closed_output(written).context(PrintSnafu)
 }
 
 fn main() -> ExitCode {
--- /dev/null
+++ b/crates/linenthread-ci/tests/closed_output.rs
@@ -0,0 +1,37 @@
+//! A closed output pipe ends the program quietly, with the exit code that its report gives.
+
+use std::path::Path;
+use std::process::{Command, Stdio};
+
+use yare::parameterized;
+
+/// A file without lines: no list of known failures, no messages of cargo.
+const NO_LINES: &str = "/dev/null";
+/// The output of a run of `cargo test` in which nothing failed.
+const NOTHING_FAILED: &str = "   Doc-tests example\n\nrunning 0 tests\n\n\
+    test result: ok. 0 passed; 0 failed; 0 ignored; 0 measured; 0 filtered out; finished in 0.00s\n";
+
+#[parameterized(
+    check_passes = { "0", 0 },
+    check_fails = { "101", 1 },
+)]
+fn a_closed_output_pipe_ends_the_program_without_a_panic(
+    cargo_status: &str,
+    expected_exit_code: i32,
+) {
+    let folder = Path::new(env!("CARGO_TARGET_TMPDIR"));
+    let output_file = folder.join(format!("closed-output-{cargo_status}"));
+    std::fs::write(&output_file, NOTHING_FAILED).expect("written");
+    let mut child = Command::new(env!("CARGO_BIN_EXE_linenthread-known-red"))
+        .args(["--known", NO_LINES, "--programs", NO_LINES])
+        .args(["--status", cargo_status, "--output"])
+        .arg(&output_file)
+        .stdout(Stdio::piped())
+        .stderr(Stdio::piped())
+        .spawn()
+        .expect("the program runs");
+    drop(child.stdout.take());
+    let output = child.wait_with_output().expect("the program ends");
+    assert_eq!(String::from_utf8_lossy(&output.stderr), "");
+    assert_eq!(output.status.code(), Some(expected_exit_code));
+}
--- a/crates/linenthread-ctl/src/main.rs
+++ b/crates/linenthread-ctl/src/main.rs
@@ -7,8 +7,11 @@
 use std::io::{self, Write};
 use std::process::ExitCode;
 
+use linenthread_console::print_line;
+use snafu::ResultExt;
+
 use crate::commands::Output;
-use crate::error::Error;
+use crate::error::{Error, PrintSnafu};
 
 mod flags {
     use std::path::PathBuf;
@@ -62,13 +65,10 @@
     }
 }
 
-/// Prints the output of a command and returns its exit code. A reader that closes the pipe has read enough.
+/// Prints the output of a command and returns its exit code.
 fn print(output: Output) -> Result<u8, Error> {
-    if output.text.is_empty() {
-        return Ok(output.exit_code);
-    }
-    match writeln!(io::stdout(), "{}", output.text) {
-        Err(source) if source.kind() != io::ErrorKind::BrokenPipe => Err(Error::Print { source }),
-        _ => Ok(output.exit_code),
+    if !output.text.is_empty() {
+        print_line(format_args!("{}", output.text)).context(PrintSnafu)?;
     }
+    Ok(output.exit_code)
 }
--- a/crates/linenthread-demo/src/main.rs
+++ b/crates/linenthread-demo/src/main.rs
@@ -3,13 +3,14 @@
 
 mod command_error;
 mod flags;
-mod output;
 mod rounds;
 mod show;
 
 use std::path::PathBuf;
 use std::process::ExitCode;
 
+use linenthread_console::print_line;
+
 /// The exit code if there is no program to run.
 const USAGE_ERROR: u8 = 2;
 
@@ -20,7 +21,7 @@
 }
 
 fn print_help(help: &xflags::Error) -> ExitCode {
-    match output::print_line(format_args!("{help}")) {
+    match print_line(format_args!("{help}")) {
         Ok(()) => ExitCode::SUCCESS,
         Err(_) => ExitCode::FAILURE,
     }
--- a/crates/linenthread-demo/src/rounds.rs
+++ b/crates/linenthread-demo/src/rounds.rs
@@ -3,13 +3,13 @@
 use std::path::Path;
 use std::time::Instant;
 
+use linenthread_console::print_line;
 use linenthread_demo::scenarios::{Scale, Scenario};
 use oorandom::Rand64;
 use snafu::ensure;
 
 use crate::command_error::{CommandError, ViolationsSnafu};
 use crate::flags;
-use crate::output::print_line;
 
 pub(crate) fn run(program: &Path, flags: &flags::Rounds) -> Result<(), CommandError> {
     let rounds = flags.rounds.unwrap_or(1);
--- a/crates/linenthread-demo/src/show.rs
+++ b/crates/linenthread-demo/src/show.rs
@@ -4,13 +4,13 @@
 use std::path::Path;
 use std::time::Duration;
 
+use linenthread_console::print_line;
 use linenthread_demo::Cluster;
 use snafu::{ResultExt, ensure};
 
 use crate::command_error::{
     CommandError, ConfigureSnafu, IncompleteSnafu, NotLoggedSnafu, RejectedSnafu,
 };
-use crate::output::print_line;
 
 /// How long an event may take.
 const EVENT_TIMEOUT: Duration = Duration::from_secs(20);
--- a/crates/linenthread-hollow/src/main.rs
+++ b/crates/linenthread-hollow/src/main.rs
@@ -3,7 +3,7 @@
 mod flags;
 
 use std::fmt::Write as _;
-use std::io::{self, ErrorKind, Write as _};
+use std::io;
 use std::path::PathBuf;
 use std::process::ExitCode;
 use std::time::Duration;
@@ -37,12 +37,9 @@
     Print { source: io::Error },
 }
 
-/// Prints a text; a reader that has closed the output is no error.
+/// Prints a text.
 fn print(text: &str) -> Result<(), CommandError> {
-    match io::stdout().write_all(text.as_bytes()) {
-        Err(error) if error.kind() == ErrorKind::BrokenPipe => Ok(()),
-        result => result.context(PrintSnafu),
-    }
+    linenthread_console::print(text).context(PrintSnafu)
 }
 
 // --- run ---
--- a/crates/linenthread-service/src/main.rs
+++ b/crates/linenthread-service/src/main.rs
@@ -19,7 +19,6 @@
 mod zone_routing;
 mod zones_command;
 
-use std::io::{self, ErrorKind, Write};
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
@@ -69,14 +68,14 @@
     }
 }
 
-/// Prints a command's result. A reader that has closed the pipe, as `head` does, is no failure.
+/// Prints a command's result.
 fn print(text: &str) -> ExitCode {
-    match io::stdout().write_all(text.as_bytes()) {
-        Err(error) if error.kind() != ErrorKind::BrokenPipe => {
+    match linenthread_console::print(text) {
+        Ok(()) => ExitCode::SUCCESS,
+        Err(error) => {
             eprintln!("linenthread: cannot print: {error}");
             ExitCode::FAILURE
         }
-        _ => ExitCode::SUCCESS,
     }
 }
 
--- a/crates/linenthread-simulation/src/main.rs
+++ b/crates/linenthread-simulation/src/main.rs
@@ -4,7 +4,6 @@
 //!
 //! Start reading at [`commands`], which has a module for each of them.
 
-mod closed_output;
 mod commands;
 mod dataplane;
 mod failover_simulation;
@@ -22,6 +21,6 @@
 use std::process::ExitCode;
 
 fn main() -> ExitCode {
-    closed_output::exit_quietly();
+    linenthread_console::exit_on_closed_output();
     commands::parser().run().run()
 }
