--- a/crates/linenthread-control/tests/golden.rs
+++ b/crates/linenthread-control/tests/golden.rs
@@ -9,6 +9,7 @@
 
 use linenthread_consensus::DurableState;
 use linenthread_control::{OpenedState, StateLog};
+use linenthread_golden::decode_hex;
 use linenthread_messages::{
     Accepted, Ballot, DocumentDigest, OrderIdentity, Record, Replica, Value, Voter,
 };
@@ -51,19 +52,6 @@
     (names[0].clone(), bytes)
 }
 
-/// Bytes in hexadecimal, in groups; `00*5` stands for a byte that is there five times.
-fn bytes_of(text: &str) -> Vec<u8> {
-    let mut bytes = Vec::new();
-    for group in text.split_whitespace() {
-        let (digits, times) = group.split_once('*').unwrap_or((group, "1"));
-        let times = times.parse().expect("a count");
-        let byte = |at| u8::from_str_radix(&digits[at..at + 2], 16).expect("two digits");
-        let part: Vec<u8> = (0..digits.len()).step_by(2).map(byte).collect();
-        bytes.extend(part.repeat(times));
-    }
-    bytes
-}
-
 fn order(revision: u64) -> OrderIdentity {
     OrderIdentity {
         revision,
@@ -216,7 +204,7 @@
 
 #[test]
 fn a_state_folder_of_version_464716d_opens_with_its_state() {
-    let bytes = bytes_of(include_str!("golden/state.hex"));
+    let bytes = decode_hex(include_str!("golden/state.hex"));
     let opened = open(&disk_with(FIRST_FILE, &bytes), NEVER_COMPACT);
     assert_eq!(opened.torn_tail, None);
     assert_eq!(opened.state, state_of(writes().into_iter().flatten()));
@@ -230,15 +218,15 @@
     for records in writes() {
         opened.log.write(&records).expect("there is room");
     }
-    let bytes = bytes_of(include_str!("golden/state.hex"));
+    let bytes = decode_hex(include_str!("golden/state.hex"));
     assert_eq!(file(&disk), (FIRST_FILE.to_owned(), bytes));
 }
 
 #[test]
 fn compaction_gives_the_bytes_of_version_464716d() {
-    let disk = disk_with(FIRST_FILE, &bytes_of(include_str!("golden/state.hex")));
+    let disk = disk_with(FIRST_FILE, &decode_hex(include_str!("golden/state.hex")));
     open(&disk, 0).log.write(&[]).expect("there is room");
-    let compacted = bytes_of(include_str!("golden/state_compacted.hex"));
+    let compacted = decode_hex(include_str!("golden/state_compacted.hex"));
     assert_eq!(file(&disk), (SECOND_FILE.to_owned(), compacted.clone()));
     let opened = open(&disk_with(SECOND_FILE, &compacted), NEVER_COMPACT);
     assert_eq!(opened.state.records(), expected_records());
@@ -246,8 +234,8 @@
 
 #[test]
 fn a_torn_end_of_version_464716d_is_cut_and_written_over_as_it_did() {
-    let complete = bytes_of(include_str!("golden/state.hex"));
-    let torn = bytes_of(include_str!("golden/state_torn.hex"));
+    let complete = decode_hex(include_str!("golden/state.hex"));
+    let torn = decode_hex(include_str!("golden/state_torn.hex"));
     let disk = disk_with(FIRST_FILE, &torn);
     let mut opened = open(&disk, NEVER_COMPACT);
     let torn_tail = opened.torn_tail.as_ref().expect("a torn end");
@@ -258,7 +246,7 @@
     assert_eq!(file(&disk).1, complete);
     let written = opened.log.write(&[write_after_torn()]);
     written.expect("there is room");
-    let after = bytes_of(include_str!("golden/state_after_torn.hex"));
+    let after = decode_hex(include_str!("golden/state_after_torn.hex"));
     assert_eq!(file(&disk).1, after);
     let state = open(&disk, NEVER_COMPACT).state;
     let promised = state.records()[1].promised;
@@ -267,7 +255,7 @@
 
 #[test]
 fn a_full_disk_is_left_with_the_torn_end_of_version_464716d() {
-    let complete = bytes_of(include_str!("golden/state.hex"));
+    let complete = decode_hex(include_str!("golden/state.hex"));
     let disk = disk_with(FIRST_FILE, &complete);
     let mut opened = open(&disk, NEVER_COMPACT);
     disk.borrow_mut().limit_free_bytes(TORN_BYTES);
@@ -275,13 +263,13 @@
         .log
         .write(&[torn_write()])
         .expect_err("the disk is full");
-    let torn = bytes_of(include_str!("golden/state_torn.hex"));
+    let torn = decode_hex(include_str!("golden/state_torn.hex"));
     assert_eq!(file(&disk).1, torn);
 }
 
 #[test]
 fn a_record_in_pieces_has_the_bytes_of_version_464716d() {
-    let bytes = bytes_of(include_str!("golden/state_pieces.hex"));
+    let bytes = decode_hex(include_str!("golden/state_pieces.hex"));
     let opened = open(&disk_with(FIRST_FILE, &bytes), NEVER_COMPACT);
     assert_eq!(opened.state, state_of([long_write(11)]));
     let disk = Disk::default();
@@ -292,7 +280,7 @@
 
 #[test]
 fn a_record_of_which_version_464716d_wrote_only_the_first_piece_is_left_out() {
-    let bytes = bytes_of(include_str!("golden/state_first_piece.hex"));
+    let bytes = decode_hex(include_str!("golden/state_first_piece.hex"));
     let opened = open(&disk_with(FIRST_FILE, &bytes), NEVER_COMPACT);
     assert!(opened.torn_tail.is_some());
     assert_eq!(opened.state, state_of([long_write(11)]));
--- a/crates/linenthread-fleet/tests/golden.rs
+++ b/crates/linenthread-fleet/tests/golden.rs
@@ -13,18 +13,14 @@
     Members, MembersAction, MembersConfig, NodeIdentity, Voter, VoterAction, VoterConfig,
 };
 use linenthread_frames::Secrets;
+use linenthread_golden::named_bytes;
 use linenthread_store::{Files, SimulatedDisk};
 use raft::eraftpb::{Entry, EntryType, Message, MessageType, Snapshot};
 
-/// The lines of a golden file: a name, a space, and bytes in hexadecimal.
+/// The names and bytes of a golden file.
 fn golden(text: &str) -> Vec<(String, Vec<u8>)> {
-    text.lines()
-        .map(|line| {
-            let (name, hex) = line.rsplit_once(' ').expect("a name and its bytes");
-            let byte = |at| u8::from_str_radix(&hex[at..at + 2], 16).expect("two digits");
-            let bytes = (0..hex.len()).step_by(2).map(byte).collect();
-            (name.to_owned(), bytes)
-        })
+    named_bytes(text)
+        .map(|(name, bytes)| (name.to_owned(), bytes))
         .collect()
 }
 
--- a/crates/linenthread-frames/tests/golden.rs
+++ b/crates/linenthread-frames/tests/golden.rs
@@ -6,18 +6,7 @@
 use linenthread_frames::{
     DecodeError, Decoder, Encoder, ProofDomain, Secrets, drain_frames, first_frame,
 };
-
-/// The lines of a golden file: a name, a space, and bytes in hexadecimal.
-fn golden(text: &str) -> Vec<(String, Vec<u8>)> {
-    text.lines()
-        .map(|line| {
-            let (name, hex) = line.rsplit_once(' ').expect("a name and its bytes");
-            let byte = |at| u8::from_str_radix(&hex[at..at + 2], 16).expect("two digits");
-            let bytes = (0..hex.len()).step_by(2).map(byte).collect();
-            (name.to_owned(), bytes)
-        })
-        .collect()
-}
+use linenthread_golden::named_bytes;
 
 const KIND: u8 = 0xee;
 const MAX_LENGTH: usize = 1_000;
@@ -38,7 +27,7 @@
 }
 
 /// Proofs by each of two secrets.
-fn proofs() -> Vec<(String, Vec<u8>)> {
+fn proofs() -> Vec<(&'static str, Vec<u8>)> {
     let secrets = secrets();
     let proof = |secret, nonce: &[u8]| {
         secrets
@@ -46,9 +35,9 @@
             .to_vec()
     };
     vec![
-        ("first".to_owned(), proof(0, &[7; 16])),
-        ("second".to_owned(), proof(1, &[7; 16])),
-        ("without_nonce".to_owned(), proof(0, &[])),
+        ("first", proof(0, &[7; 16])),
+        ("second", proof(1, &[7; 16])),
+        ("without_nonce", proof(0, &[])),
     ]
 }
 
@@ -62,7 +51,7 @@
 
 #[test]
 fn fields_have_the_bytes_of_version_464716d() {
-    let golden = golden(include_str!("golden/fields.hex"));
+    let golden = named_bytes(include_str!("golden/fields.hex")).collect::<Vec<_>>();
     let [(_, bytes)] = &golden[..] else {
         panic!("one frame");
     };
@@ -86,7 +75,7 @@
 
 #[test]
 fn frames_of_version_464716d_are_drained_from_a_stream() {
-    let golden = golden(include_str!("golden/fields.hex"));
+    let golden = named_bytes(include_str!("golden/fields.hex")).collect::<Vec<_>>();
     let frame = &golden[0].1;
     let mut read = [&frame[..], &frame[..], &frame[..frame.len() - 1]].concat();
     let mut taken = Vec::new();
@@ -101,7 +90,7 @@
 
 #[test]
 fn proofs_have_the_bytes_of_version_464716d() {
-    let golden = golden(include_str!("golden/proofs.hex"));
+    let golden = named_bytes(include_str!("golden/proofs.hex")).collect::<Vec<_>>();
     assert_eq!(proofs(), golden);
     let expected = [(0, &[7; 16][..]), (1, &[7; 16][..]), (0, &[][..])];
     for ((name, bytes), (secret, nonce)) in golden.into_iter().zip(expected) {
--- a/crates/linenthread-http/tests/golden.rs
+++ b/crates/linenthread-http/tests/golden.rs
@@ -4,6 +4,7 @@
 //! pass: clients and replicas depend on what is forwarded to them.
 
 use bytes::BytesMut;
+use linenthread_golden::named_bytes;
 use linenthread_http::{
     BodyReader, Framing, Head, merge_top_records, request_framing, response_framing, write_decimal,
 };
@@ -51,17 +52,6 @@
     merge_top_records(parts.iter().map(Vec::as_slice), 10)
 }
 
-/// The lines of a golden file: a name, a space, and bytes in hexadecimal.
-fn golden(text: &str) -> Vec<(&str, Vec<u8>)> {
-    text.lines()
-        .map(|line| {
-            let (name, hex) = line.rsplit_once(' ').expect("a name and its bytes");
-            let byte = |at| u8::from_str_radix(&hex[at..at + 2], 16).expect("two digits");
-            (name, (0..hex.len()).step_by(2).map(byte).collect())
-        })
-        .collect()
-}
-
 #[test]
 fn heads_are_read_as_version_464716d_read_them() {
     let head = request_head();
@@ -93,13 +83,13 @@
 
 #[test]
 fn headers_are_forwarded_with_the_bytes_of_version_464716d() {
-    let golden = golden(include_str!("golden/passed_on.hex"));
+    let golden = named_bytes(include_str!("golden/passed_on.hex")).collect::<Vec<_>>();
     assert_eq!(forwarded(), golden);
 }
 
 #[test]
 fn records_are_merged_to_the_bytes_of_version_464716d() {
-    let golden = golden(include_str!("golden/merged.hex"));
+    let golden = named_bytes(include_str!("golden/merged.hex")).collect::<Vec<_>>();
     assert_eq!(vec![("merged", merged())], golden);
 }
 
--- a/crates/linenthread-link/tests/golden.rs
+++ b/crates/linenthread-link/tests/golden.rs
@@ -4,23 +4,12 @@
 //! the other side of a link may run an older version.
 
 use linenthread_core::interface::{AttemptOutcome, Phase};
+use linenthread_golden::named_bytes;
 use linenthread_link::frame::{
     CallOutcome, CallRequest, Challenge, Credit, Hello, MembersUpdate, ProbeOutcome, Welcome,
 };
 use linenthread_link::{Call, CallNumber, Frame, Member, ProbeId, SessionId};
 
-/// The lines of a golden file: a name, a space, and bytes in hexadecimal.
-fn golden(text: &str) -> Vec<(String, Vec<u8>)> {
-    text.lines()
-        .map(|line| {
-            let (name, hex) = line.rsplit_once(' ').expect("a name and its bytes");
-            let byte = |at| u8::from_str_radix(&hex[at..at + 2], 16).expect("two digits");
-            let bytes = (0..hex.len()).step_by(2).map(byte).collect();
-            (name.to_owned(), bytes)
-        })
-        .collect()
-}
-
 fn member(id: &str, phase: Phase, age_ms: Option<u32>) -> Member {
     Member {
         id: id.to_owned(),
@@ -161,7 +150,7 @@
 
 #[test]
 fn frames_have_the_bytes_of_version_464716d() {
-    let golden = golden(include_str!("golden/frames.hex"));
+    let golden = named_bytes(include_str!("golden/frames.hex")).collect::<Vec<_>>();
     let frames = frames();
     assert_eq!(golden.len(), frames.len());
     for ((name, frame), (golden_name, bytes)) in frames.into_iter().zip(golden) {
--- a/crates/linenthread-messages/tests/golden.rs
+++ b/crates/linenthread-messages/tests/golden.rs
@@ -6,6 +6,7 @@
 use std::collections::BTreeMap;
 
 use bytes::{Bytes, BytesMut};
+use linenthread_golden::named_bytes;
 use linenthread_messages::{
     Accept, AcceptAck, Accepted, Ballot, CatchUpRequest, ControlUpdate, DocumentDigest,
     DurableProgress, Heartbeat, Hello, IngressSession, IngressUpdate, LeaseRelease, LeaseRequest,
@@ -322,20 +323,9 @@
     ])
 }
 
-/// The lines of a golden file: a name and its bytes in hexadecimal.
-fn golden(text: &'static str) -> BTreeMap<&'static str, Vec<u8>> {
-    text.lines()
-        .map(|line| {
-            let (name, hex) = line.split_once(' ').expect("a name and its bytes");
-            let byte = |at| u8::from_str_radix(&hex[at..at + 2], 16).expect("two digits");
-            (name, (0..hex.len()).step_by(2).map(byte).collect())
-        })
-        .collect()
-}
-
 #[test]
 fn peer_messages_have_the_bytes_of_version_464716d() {
-    let golden = golden(include_str!("golden/peer_messages.hex"));
+    let golden = named_bytes(include_str!("golden/peer_messages.hex")).collect::<BTreeMap<_, _>>();
     let messages = peer_messages();
     assert!(golden.keys().eq(messages.keys()));
     for (name, message) in messages {
@@ -350,7 +340,7 @@
 
 #[test]
 fn records_have_the_bytes_of_version_464716d() {
-    let golden = golden(include_str!("golden/records.hex"));
+    let golden = named_bytes(include_str!("golden/records.hex")).collect::<BTreeMap<_, _>>();
     let records = records();
     assert!(golden.keys().eq(records.keys()));
     for (name, record) in records {
--- a/crates/linenthread-protocol/tests/golden.rs
+++ b/crates/linenthread-protocol/tests/golden.rs
@@ -5,20 +5,10 @@
 
 use bytes::BytesMut;
 use linenthread_core::interface::{AttemptOutcome, Phase};
+use linenthread_golden::named_bytes;
 use linenthread_protocol::frame::{self, ReplicaMessage};
 use linenthread_protocol::{hash_id, membership, query};
 
-/// The lines of a golden file: a name, a space, and bytes in hexadecimal.
-fn golden(text: &str) -> Vec<(&str, Vec<u8>)> {
-    text.lines()
-        .map(|line| {
-            let (name, hex) = line.rsplit_once(' ').expect("a name and its bytes");
-            let byte = |at| u8::from_str_radix(&hex[at..at + 2], 16).expect("two digits");
-            (name, (0..hex.len()).step_by(2).map(byte).collect())
-        })
-        .collect()
-}
-
 /// Everything that is written to replicas and clients.
 fn written() -> Vec<(&'static str, Vec<u8>)> {
     let first = frame::sub_request_id("9b1f03aa5c7e2d41", 3, 0);
@@ -55,7 +45,10 @@
 
 #[test]
 fn messages_are_written_with_the_bytes_of_version_464716d() {
-    assert_eq!(written(), golden(include_str!("golden/written.hex")));
+    assert_eq!(
+        written(),
+        named_bytes(include_str!("golden/written.hex")).collect::<Vec<_>>()
+    );
 }
 
 #[test]
--- a/crates/linenthread-store/tests/golden.rs
+++ b/crates/linenthread-store/tests/golden.rs
@@ -4,6 +4,7 @@
 //! The files under `tests/golden/` were written by commit 464716d. They must never be regenerated to make a test
 //! pass: disks that were written before an upgrade hold such bytes.
 
+use linenthread_golden::decode_hex;
 use linenthread_store::{Directory, Files, Log, SimulatedDisk};
 
 /// The only file of a log that was never rewritten.
@@ -14,13 +15,6 @@
 /// the next.
 const TORN_BYTES: usize = 55;
 
-/// Bytes in hexadecimal; line breaks mean nothing.
-fn bytes_of(text: &str) -> Vec<u8> {
-    let digits: String = text.split_whitespace().collect();
-    let byte = |at| u8::from_str_radix(&digits[at..at + 2], 16).expect("two digits");
-    (0..digits.len()).step_by(2).map(byte).collect()
-}
-
 fn disk_with(name: &str, bytes: &[u8]) -> SimulatedDisk {
     let mut disk = SimulatedDisk::default();
     disk.append(name, bytes).expect("there is room");
@@ -62,7 +56,7 @@
 
 #[test]
 fn a_log_of_version_464716d_opens_with_its_records() {
-    let bytes = bytes_of(include_str!("golden/log.hex"));
+    let bytes = decode_hex(include_str!("golden/log.hex"));
     let opened = Log::open(disk_with(FIRST_FILE, &bytes)).expect("the log opens");
     assert_eq!(opened.torn_tail, None);
     assert_eq!(opened.records, groups().concat());
@@ -72,7 +66,7 @@
 #[test]
 fn a_log_of_version_464716d_opens_in_a_real_folder() {
     let path = std::env::temp_dir().join(format!("linenthread-golden-{}", std::process::id()));
-    let bytes = bytes_of(include_str!("golden/log.hex"));
+    let bytes = decode_hex(include_str!("golden/log.hex"));
     std::fs::create_dir_all(&path).expect("a folder");
     std::fs::write(path.join(FIRST_FILE), &bytes).expect("there is room");
     let folder = Directory::open(&path).expect("the folder is free");
@@ -95,18 +89,18 @@
         add(&mut log, &group);
         log.sync().expect("there is room");
     }
-    let bytes = bytes_of(include_str!("golden/log.hex"));
+    let bytes = decode_hex(include_str!("golden/log.hex"));
     assert_eq!(file(log), (FIRST_FILE.to_owned(), bytes));
 }
 
 #[test]
 fn rewriting_gives_the_bytes_of_version_464716d() {
-    let bytes = bytes_of(include_str!("golden/log.hex"));
+    let bytes = decode_hex(include_str!("golden/log.hex"));
     let opened = Log::open(disk_with(FIRST_FILE, &bytes)).expect("the log opens");
     let mut log = opened.log;
     let rest = &opened.records[2..];
     log.rewrite(rest).expect("there is room");
-    let rewritten = bytes_of(include_str!("golden/log_rewritten.hex"));
+    let rewritten = decode_hex(include_str!("golden/log_rewritten.hex"));
     assert_eq!(file(log), (SECOND_FILE.to_owned(), rewritten.clone()));
     let reopened = Log::open(disk_with(SECOND_FILE, &rewritten)).expect("the log opens");
     assert_eq!(reopened.records, rest);
@@ -114,21 +108,21 @@
 
 #[test]
 fn a_disk_that_is_full_is_left_with_the_torn_end_of_version_464716d() {
-    let bytes = bytes_of(include_str!("golden/log.hex"));
+    let bytes = decode_hex(include_str!("golden/log.hex"));
     let mut log = Log::open(disk_with(FIRST_FILE, &bytes))
         .expect("the log opens")
         .log;
     log.files().limit_free_bytes(TORN_BYTES);
     add(&mut log, &torn_group());
     log.sync().expect_err("the disk is full");
-    let torn = bytes_of(include_str!("golden/log_torn.hex"));
+    let torn = decode_hex(include_str!("golden/log_torn.hex"));
     assert_eq!(file(log).1, torn);
 }
 
 #[test]
 fn a_torn_end_of_version_464716d_is_cut_and_written_over_as_it_did() {
-    let complete = bytes_of(include_str!("golden/log.hex"));
-    let torn = bytes_of(include_str!("golden/log_torn.hex"));
+    let complete = decode_hex(include_str!("golden/log.hex"));
+    let torn = decode_hex(include_str!("golden/log_torn.hex"));
     let opened = Log::open(disk_with(FIRST_FILE, &torn)).expect("the log opens");
     let mut records = groups().concat();
     records.push(torn_group().remove(0));
@@ -140,7 +134,7 @@
     let mut log = opened.log;
     log.append(AFTER_TORN).expect("a short record");
     log.sync().expect("there is room");
-    let after = bytes_of(include_str!("golden/log_after_torn.hex"));
+    let after = decode_hex(include_str!("golden/log_after_torn.hex"));
     assert_eq!(file(log).1, after);
     let reopened = Log::open(disk_with(FIRST_FILE, &after)).expect("the log opens");
     records.push(AFTER_TORN.to_vec());
--- a/crates/linenthread-zones/tests/golden.rs
+++ b/crates/linenthread-zones/tests/golden.rs
@@ -5,19 +5,9 @@
 
 use std::collections::BTreeMap;
 
+use linenthread_golden::named_bytes;
 use linenthread_zones::{Demand, Reason, Report, Route, RouteStats, RoutingTable, Row};
 
-/// The lines of a golden file: a name, a space, and bytes in hexadecimal.
-fn golden(text: &str) -> BTreeMap<&str, Vec<u8>> {
-    text.lines()
-        .map(|line| {
-            let (name, hex) = line.rsplit_once(' ').expect("a name and its bytes");
-            let byte = |at| u8::from_str_radix(&hex[at..at + 2], 16).expect("two digits");
-            (name, (0..hex.len()).step_by(2).map(byte).collect())
-        })
-        .collect()
-}
-
 /// A table in which each reason stands.
 fn table() -> RoutingTable {
     let rows = [
@@ -72,7 +62,7 @@
 
 #[test]
 fn tables_have_the_bytes_of_version_464716d() {
-    let golden = golden(include_str!("golden/bytes.hex"));
+    let golden = named_bytes(include_str!("golden/bytes.hex")).collect::<BTreeMap<_, _>>();
     assert_eq!(table().encode(), golden["table"]);
     assert_eq!(
         RoutingTable::decode(&golden["table"]).as_ref(),
@@ -82,7 +72,7 @@
 
 #[test]
 fn reports_have_the_bytes_of_version_464716d() {
-    let golden = golden(include_str!("golden/bytes.hex"));
+    let golden = named_bytes(include_str!("golden/bytes.hex")).collect::<BTreeMap<_, _>>();
     assert_eq!(report().encode(), golden["report"]);
     assert_eq!(Report::decode(&golden["report"]).as_ref(), Ok(&report()));
 }
