--- a/crates/linenthread-checker/tests/command.rs
+++ b/crates/linenthread-checker/tests/command.rs
@@ -1,21 +1,18 @@
 //! The program `linenthread-checker`.
 
-use std::process::{Command, Stdio};
+use std::process::Command;
+
+use linenthread_console::testing::run_with_closed_output;
 
 fn checker(arguments: &[&str]) -> Command {
     let mut command = Command::new(env!("CARGO_BIN_EXE_linenthread-checker"));
-    command
-        .args(arguments)
-        .stdout(Stdio::piped())
-        .stderr(Stdio::piped());
+    command.args(arguments);
     command
 }
 
 #[test]
 fn a_closed_output_pipe_ends_it_quietly() {
-    let mut child = checker(&["--calls", "1:a,2:b"]).spawn().expect("spawned");
-    drop(child.stdout.take());
-    let output = child.wait_with_output().expect("ended");
+    let output = run_with_closed_output(&mut checker(&["--calls", "1:a,2:b"])).expect("ended");
     assert_eq!(String::from_utf8_lossy(&output.stderr), "");
     assert_eq!(output.status.code(), Some(141));
 }
--- a/crates/linenthread-ci/tests/closed_output.rs
+++ b/crates/linenthread-ci/tests/closed_output.rs
@@ -1,8 +1,9 @@
 //! A closed output pipe ends the program quietly, with the exit code that its report gives.
 
 use std::path::Path;
-use std::process::{Command, Stdio};
+use std::process::Command;
 
+use linenthread_console::testing::run_with_closed_output;
 use yare::parameterized;
 
 /// A file without lines: no list of known failures, no messages of cargo.
@@ -22,16 +23,12 @@
     let folder = Path::new(env!("CARGO_TARGET_TMPDIR"));
     let output_file = folder.join(format!("closed-output-{cargo_status}"));
     std::fs::write(&output_file, NOTHING_FAILED).expect("written");
-    let mut child = Command::new(env!("CARGO_BIN_EXE_linenthread-known-red"))
+    let mut command = Command::new(env!("CARGO_BIN_EXE_linenthread-known-red"));
+    command
         .args(["--known", NO_LINES, "--programs", NO_LINES])
         .args(["--status", cargo_status, "--output"])
-        .arg(&output_file)
-        .stdout(Stdio::piped())
-        .stderr(Stdio::piped())
-        .spawn()
-        .expect("the program runs");
-    drop(child.stdout.take());
-    let output = child.wait_with_output().expect("the program ends");
+        .arg(&output_file);
+    let output = run_with_closed_output(&mut command).expect("the program runs");
     assert_eq!(String::from_utf8_lossy(&output.stderr), "");
     assert_eq!(output.status.code(), Some(expected_exit_code));
 }
--- a/crates/linenthread-console/src/lib.rs
+++ b/crates/linenthread-console/src/lib.rs
@@ -3,6 +3,8 @@
 //! Rust ignores SIGPIPE, so that a write to a closed pipe is an error, and `println!` panics. Here such an error means
 //! that the reader has read enough: it is no failure of the program. Every other error is returned.
 
+pub mod testing;
+
 use std::fmt;
 use std::io::{self, ErrorKind, Write};
 use std::panic;
--- /dev/null
+++ b/crates/linenthread-console/src/testing.rs
@@ -0,0 +1,17 @@
+//! For tests of programs that print.
+
+use std::io;
+use std::process::{Command, Output, Stdio};
+
+/// Runs a program whose standard output has no reader, and waits for its end. Its standard error is captured.
+///
+/// # Errors
+/// The program can't be started.
+pub fn run_with_closed_output(command: &mut Command) -> io::Result<Output> {
+    let mut child = command
+        .stdout(Stdio::piped())
+        .stderr(Stdio::piped())
+        .spawn()?;
+    drop(child.stdout.take());
+    child.wait_with_output()
+}
--- a/crates/linenthread-ctl/tests/program.rs
+++ b/crates/linenthread-ctl/tests/program.rs
@@ -2,7 +2,9 @@
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener};
-use std::process::{Command, Output, Stdio};
+use std::process::{Command, Output};
+
+use linenthread_console::testing::run_with_closed_output;
 
 /// Serves the same response to every request, for as long as the test runs.
 fn fake_control_node(status: &'static str, body: &'static str) -> SocketAddr {
@@ -83,13 +85,7 @@
 #[test]
 fn a_closed_output_pipe_ends_it_quietly() {
     let address = fake_control_node("200 OK", CONFIGURATION);
-    let mut child = ctl(address, &["read"])
-        .stdout(Stdio::piped())
-        .stderr(Stdio::piped())
-        .spawn()
-        .unwrap();
-    drop(child.stdout.take());
-    let output = child.wait_with_output().unwrap();
+    let output = run_with_closed_output(&mut ctl(address, &["read"])).unwrap();
     assert_eq!(String::from_utf8(output.stderr).unwrap(), "");
     assert_eq!(output.status.code(), Some(0));
 }
