--- a/crates/linenthread-config/src/configuration.rs
+++ b/crates/linenthread-config/src/configuration.rs
@@ -77,6 +77,7 @@
     pub min_coverage: f64,
 }
 
+/// A request that isn't configured otherwise is sent once.
 fn one_attempt() -> usize {
     1
 }
@@ -92,6 +93,16 @@
             .chain(self.fanout.iter().flatten().map(String::as_str))
     }
 
+    /// The requests that the route matches; where two routes match the same, one of them would never be used.
+    fn matched_requests(&self) -> (String, &str) {
+        (self.host.to_ascii_lowercase(), &self.path_prefix)
+    }
+
+    /// Whether requests that must not be repeated would be sent to several backends.
+    fn fans_out_mutating_requests(&self) -> bool {
+        self.fanout.is_some() && self.mode == Mode::Mutating
+    }
+
     /// Whether the route splits its traffic and no backend has a positive weight.
     fn has_zero_weights(&self) -> bool {
         self.weighted_backends
@@ -132,10 +143,12 @@
     pub idle_timeout: Duration,
 }
 
+/// Decodes a whole number of milliseconds.
 fn milliseconds<'de, D: Deserializer<'de>>(deserializer: D) -> Result<Duration, D::Error> {
     u64::deserialize(deserializer).map(Duration::from_millis)
 }
 
+/// The limits of a configuration that gives none.
 impl Default for RequestLimits {
     fn default() -> Self {
         RequestLimits {
@@ -198,19 +211,14 @@
     /// # Errors
     /// The first violation, with its place in the document.
     pub fn validate(&self) -> Result<(), ConfigurationError> {
-        let mut backends = HashSet::new();
-        for (index, Backend { name, .. }) in self.backends.iter().enumerate() {
-            let is_new = backends.insert(name.as_str());
-            ensure!(is_new, DuplicateBackendSnafu { index, name });
-        }
+        let backends = self.backend_names()?;
         let mut matches = HashSet::new();
         for (index, route) in self.routes.iter().enumerate() {
             let unknown = route.backends().find(|name| !backends.contains(name));
             if let Some(backend) = unknown {
                 return UnknownBackendSnafu { index, backend }.fail();
             }
-            let is_new =
-                matches.insert((route.host.to_ascii_lowercase(), route.path_prefix.as_str()));
+            let is_new = matches.insert(route.matched_requests());
             ensure!(
                 is_new,
                 DuplicateRouteSnafu {
@@ -220,12 +228,21 @@
                 }
             );
             ensure!(!route.has_zero_weights(), ZeroWeightsSnafu { index });
-            let fans_out = route.fanout.is_some();
             ensure!(
-                !fans_out || route.mode == Mode::Idempotent,
+                !route.fans_out_mutating_requests(),
                 MutatingFanOutSnafu { index }
             );
         }
         Ok(())
     }
+
+    /// The names of the backends, if no two are the same.
+    fn backend_names(&self) -> Result<HashSet<&str>, ConfigurationError> {
+        let mut names = HashSet::new();
+        for (index, Backend { name, .. }) in self.backends.iter().enumerate() {
+            let is_new = names.insert(name.as_str());
+            ensure!(is_new, DuplicateBackendSnafu { index, name });
+        }
+        Ok(names)
+    }
 }
--- a/crates/linenthread-config/src/settings.rs
+++ b/crates/linenthread-config/src/settings.rs
@@ -10,9 +10,9 @@
 use snafu::{OptionExt, ResultExt, ensure};
 
 use crate::error::{
-    DuplicateFieldSnafu, EmptyPortRangeSnafu, InvalidAddressSnafu, InvalidNumberSnafu,
-    InvalidPortSnafu, MissingStateDirSnafu, NotFieldAndValueSnafu, NothingToServeSnafu,
-    SettingsError,
+    DuplicateFieldSnafu, EmptyPortRangeSnafu, IncompleteSnafu, InvalidAddressSnafu,
+    InvalidNumberSnafu, InvalidPortSnafu, MissingStateDirSnafu, NotFieldAndValueSnafu,
+    NothingToServeSnafu, SettingsError,
 };
 use crate::schema::{Schema, Violation};
 
@@ -21,14 +21,18 @@
 
 /// The most machine faults that can be asked for: more would need more voters than any deployment has.
 const MAX_MACHINE_FAULTS: f64 = 16.0;
+/// The shortest interval or window: a timer of zero would fire without end, a window of zero would count nothing.
+const MIN_INTERVAL_MS: f64 = 1.0;
+const MS_PER_S: f64 = 1_000.0;
+
+// What a settings file means that leaves a field out. Numbers are `f64` since the platform may write fractions.
 const DEFAULT_MACHINE_FAULTS: f64 = 1.0;
 const DEFAULT_HEARTBEAT_MS: f64 = 1_000.0;
 const DEFAULT_DRAIN_MS: f64 = 3_000.0;
 const DEFAULT_GRACE_S: f64 = 6.0;
+const DEFAULT_RETRY_RATIO: f64 = 0.0;
 const DEFAULT_RETRY_WINDOW_S: f64 = 10.0;
-const MS_PER_S: f64 = 1_000.0;
-/// An interval or a window can't be shorter than this.
-const MIN_INTERVAL_MS: f64 = 1.0;
+const DEFAULT_RETRY_ALLOWANCE: f64 = 0.0;
 
 /// The settings of one process.
 #[derive(Clone, Debug, PartialEq)]
@@ -67,7 +71,7 @@
     pub retry_ratio: f64,
     /// Window over which the retry budget is counted.
     pub retry_window: Duration,
-    /// Retries a window that the budget permits even without traffic.
+    /// Retries that the budget permits in each window even without traffic.
     pub retry_allowance: f64,
     /// Requests are forwarded without any decision, to measure the overhead of the decisions. A command-line
     /// flag sets this; no settings file can.
@@ -83,9 +87,9 @@
     pub fn parse(text: &str) -> Result<Settings, SettingsError> {
         let fields = Fields::parse(text)?;
         let settings = Settings {
-            node_name: fields.text("node_name").to_owned(),
-            zone: fields.text("zone").to_owned(),
-            ip_addr: fields.ip_addr("ip_addr")?,
+            node_name: fields.required("node_name")?.value.clone(),
+            zone: fields.required("zone")?.value.clone(),
+            ip_addr: fields.required("ip_addr")?.parse_address("ip_addr")?,
             ingress_bind: fields.address("bind.ingress")?,
             readiness_bind: fields.address("bind.readiness")?,
             control_bind: fields.address("bind.control_plane")?,
@@ -94,22 +98,14 @@
             initial_boot: fields.flag("initial_boot"),
             quorum_member: fields.flag("quorum_member"),
             machine_faults: fields.machine_faults()?,
-            state_dir: fields.optional("state_dir").map(str::to_owned),
-            heartbeat_interval: {
-                let millis = fields.number("heartbeat_ms", DEFAULT_HEARTBEAT_MS)?;
-                whole_millis(millis.max(MIN_INTERVAL_MS))
-            },
-            drain_timeout: whole_millis(fields.number("limits_table.drain_ms", DEFAULT_DRAIN_MS)?),
-            shutdown_grace: whole_millis(
-                fields.number("limits_table.grace_s", DEFAULT_GRACE_S)? * MS_PER_S,
-            ),
-            retry_ratio: fields.number("limits_table.retry_ratio", 0.0)?,
-            retry_window: {
-                let seconds =
-                    fields.number("limits_table.retry_window_s", DEFAULT_RETRY_WINDOW_S)?;
-                whole_millis((seconds * MS_PER_S).max(MIN_INTERVAL_MS))
-            },
-            retry_allowance: fields.number("limits_table.retry_allowance", 0.0)?,
+            state_dir: fields.get("state_dir").map(|field| field.value.clone()),
+            heartbeat_interval: fields.heartbeat_interval()?,
+            drain_timeout: fields.drain_timeout()?,
+            shutdown_grace: fields.shutdown_grace()?,
+            retry_ratio: fields.number("limits_table.retry_ratio", DEFAULT_RETRY_RATIO)?,
+            retry_window: fields.retry_window()?,
+            retry_allowance: fields
+                .number("limits_table.retry_allowance", DEFAULT_RETRY_ALLOWANCE)?,
             pass_through: false,
         };
         settings.validate()?;
@@ -129,17 +125,28 @@
     }
 }
 
-/// Whole milliseconds, rounded down; beyond what a `u64` holds: its most.
-fn whole_millis(millis: f64) -> Duration {
-    // A cast from a float saturates, and there is no conversion without it.
-    Duration::from_millis(millis as u64)
+/// A duration of so many milliseconds, rounded down to a whole number.
+fn duration_from_millis(millis: f64) -> Duration {
+    Duration::from_millis(floor(millis))
+}
+
+/// The greatest whole number that is not above a number; 0 below 0, and at most what a `u64` holds.
+#[expect(
+    clippy::cast_possible_truncation,
+    clippy::cast_sign_loss,
+    reason = "the cast saturates, and the standard library has no other conversion"
+)]
+fn floor(number: f64) -> u64 {
+    number as u64
 }
 
-/// The fields of a settings file that has passed the schema, with the line of each.
+/// The fields of a settings file that has passed the schema.
 struct Fields(BTreeMap<String, Field>);
 
+/// The value of one field.
 struct Field {
     value: String,
+    /// Line of the file, from 1.
     line: usize,
 }
 
@@ -169,6 +176,7 @@
         Ok(fields)
     }
 
+    /// The fields as the schema describes them: one object, whose values are all texts.
     fn to_json(&self) -> Value {
         let fields = self.0.iter();
         let pairs = fields.map(|(name, field)| (name.clone(), field.value.as_str().into()));
@@ -188,74 +196,110 @@
         }
     }
 
-    /// The value of a field, if it is given and not empty.
-    fn optional(&self, field: &str) -> Option<&str> {
-        let value = &self.0.get(field)?.value;
-        (!value.is_empty()).then_some(value)
-    }
-
-    /// The value of a field; empty if it isn't given.
-    fn text(&self, field: &str) -> &str {
-        self.optional(field).unwrap_or_default()
+    /// A field, if it is given and not empty.
+    fn get(&self, name: &str) -> Option<&Field> {
+        self.0.get(name).filter(|field| !field.value.is_empty())
     }
 
-    /// Line of a field, from 1; 0 if it isn't given.
-    fn line(&self, field: &str) -> usize {
-        self.0.get(field).map_or(0, |field| field.line)
+    /// A field without which a file does not pass the schema.
+    fn required(&self, name: &str) -> Result<&Field, SettingsError> {
+        self.get(name).with_context(|| IncompleteSnafu {
+            reason: format!("\"{name}\" is a required property"),
+        })
     }
 
-    fn flag(&self, field: &str) -> bool {
-        self.text(field) == "true"
+    fn flag(&self, name: &str) -> bool {
+        self.get(name).is_some_and(|field| field.value == "true")
     }
 
-    fn number(&self, field: &'static str, default: f64) -> Result<f64, SettingsError> {
-        let Some(value) = self.optional(field) else {
-            return Ok(default);
-        };
-        let line = self.line(field);
-        value.parse().context(InvalidNumberSnafu { line, field })
+    fn number(&self, name: &'static str, default: f64) -> Result<f64, SettingsError> {
+        self.get(name)
+            .map_or(Ok(default), |field| field.parse_number(name))
     }
 
     fn machine_faults(&self) -> Result<usize, SettingsError> {
         let faults = self.number("fault_budget.machine_faults", DEFAULT_MACHINE_FAULTS)?;
-        // A cast from a float rounds down, and there is no conversion without it.
-        Ok(faults.min(MAX_MACHINE_FAULTS) as usize)
+        let faults = floor(faults.min(MAX_MACHINE_FAULTS));
+        Ok(usize::try_from(faults).unwrap_or(usize::MAX))
     }
 
-    fn parse_address<A>(&self, field: &'static str, value: &str) -> Result<A, SettingsError>
-    where
-        A: FromStr<Err = AddrParseError>,
-    {
-        let line = self.line(field);
-        value
-            .parse()
-            .context(InvalidAddressSnafu { line, field, value })
+    fn heartbeat_interval(&self) -> Result<Duration, SettingsError> {
+        let millis = self.number("heartbeat_ms", DEFAULT_HEARTBEAT_MS)?;
+        Ok(duration_from_millis(millis.max(MIN_INTERVAL_MS)))
     }
 
-    fn ip_addr(&self, field: &'static str) -> Result<IpAddr, SettingsError> {
-        self.parse_address(field, self.text(field))
+    fn drain_timeout(&self) -> Result<Duration, SettingsError> {
+        let millis = self.number("limits_table.drain_ms", DEFAULT_DRAIN_MS)?;
+        Ok(duration_from_millis(millis))
     }
 
-    fn address(&self, field: &'static str) -> Result<Option<SocketAddr>, SettingsError> {
-        self.optional(field)
-            .map(|value| self.parse_address(field, value))
+    fn shutdown_grace(&self) -> Result<Duration, SettingsError> {
+        let seconds = self.number("limits_table.grace_s", DEFAULT_GRACE_S)?;
+        Ok(duration_from_millis(seconds * MS_PER_S))
+    }
+
+    fn retry_window(&self) -> Result<Duration, SettingsError> {
+        let seconds = self.number("limits_table.retry_window_s", DEFAULT_RETRY_WINDOW_S)?;
+        Ok(duration_from_millis(
+            (seconds * MS_PER_S).max(MIN_INTERVAL_MS),
+        ))
+    }
+
+    fn address(&self, name: &'static str) -> Result<Option<SocketAddr>, SettingsError> {
+        self.get(name)
+            .map(|field| field.parse_address(name))
             .transpose()
     }
 
-    fn addresses(&self, field: &'static str) -> Result<Vec<SocketAddr>, SettingsError> {
-        let values = self.text(field).split(',').filter(|v| !v.is_empty());
-        values
-            .map(|value| self.parse_address(field, value))
+    /// The addresses of a comma-separated list.
+    fn addresses(&self, name: &'static str) -> Result<Vec<SocketAddr>, SettingsError> {
+        let Some(field) = self.get(name) else {
+            return Ok(Vec::new());
+        };
+        field
+            .value
+            .split(',')
+            .filter(|value| !value.is_empty())
+            .map(|value| parse_address(name, value, field.line))
             .collect()
     }
 
     /// The first port of the range.
     fn first_port(&self) -> Result<u16, SettingsError> {
-        let line = self.line("port_range");
-        let (first, last) = self.text("port_range").split_once(',').unwrap_or_default();
+        let Field { value, line } = self.required("port_range")?;
+        let line = *line;
+        let (first, last) = value.split_once(',').unwrap_or_default();
         let first: u16 = first.parse().context(InvalidPortSnafu { line })?;
         let last: u16 = last.parse().context(InvalidPortSnafu { line })?;
         ensure!(0 < first && first <= last, EmptyPortRangeSnafu { line });
         Ok(first)
     }
 }
+
+impl Field {
+    fn parse_number(&self, name: &'static str) -> Result<f64, SettingsError> {
+        let line = self.line;
+        self.value
+            .parse()
+            .context(InvalidNumberSnafu { line, field: name })
+    }
+
+    fn parse_address<A>(&self, name: &'static str) -> Result<A, SettingsError>
+    where
+        A: FromStr<Err = AddrParseError>,
+    {
+        parse_address(name, &self.value, self.line)
+    }
+}
+
+/// An address in the field `name` at a line of the file.
+fn parse_address<A>(name: &'static str, value: &str, line: usize) -> Result<A, SettingsError>
+where
+    A: FromStr<Err = AddrParseError>,
+{
+    value.parse().context(InvalidAddressSnafu {
+        line,
+        field: name,
+        value,
+    })
+}
--- a/crates/linenthread-config/tests/golden.rs
+++ b/crates/linenthread-config/tests/golden.rs
@@ -88,12 +88,12 @@
         (Mode::Mutating, 1, 0)
     );
     assert_eq!(put.backend.as_deref(), Some("shard-1"));
-    let shares = mixed.weighted_backends.as_ref().expect("shares");
-    let shares: Vec<_> = shares
+    let weighted = mixed.weighted_backends.as_ref().expect("weights");
+    let weights: Vec<_> = weighted
         .iter()
-        .map(|s| (s.backend.as_str(), s.weight))
+        .map(|w| (w.backend.as_str(), w.weight))
         .collect();
-    assert_eq!(shares, [("shard-1", 0.25), ("shard-2", 0.75)]);
+    assert_eq!(weights, [("shard-1", 0.25), ("shard-2", 0.75)]);
     let [first, second] = &read.backends[..] else {
         panic!("two backends");
     };
--- a/crates/linenthread-config/tests/validation.rs
+++ b/crates/linenthread-config/tests/validation.rs
@@ -36,6 +36,40 @@
     );
 }
 
+#[parameterized(
+    fraction = { "6.5", 6_500 },
+    fraction_of_a_millisecond = { "0.0019", 1 },
+    zero = { "0", 0 },
+    more_than_fits = { "99999999999999999999", u64::MAX },
+)]
+fn times_are_rounded_down_to_milliseconds(grace_seconds: &str, expected_millis: u64) {
+    let text = SETTINGS.replace("grace_s=6", &format!("grace_s={grace_seconds}"));
+    let settings = Settings::parse(&text).unwrap();
+    assert_eq!(
+        settings.shutdown_grace,
+        Duration::from_millis(expected_millis)
+    );
+}
+
+#[test]
+fn a_heartbeat_interval_of_zero_is_a_millisecond() {
+    let settings = Settings::parse(&SETTINGS.replace("heartbeat_ms=1200", "heartbeat_ms=0"));
+    assert_eq!(
+        settings.unwrap().heartbeat_interval,
+        Duration::from_millis(1)
+    );
+}
+
+#[parameterized(
+    rounded_down = { "1.9", 1 },
+    limited = { "1000", 16 },
+)]
+fn machine_faults_are_a_small_whole_number(machine_faults: &str, expected: usize) {
+    let field = format!("machine_faults={machine_faults}");
+    let settings = Settings::parse(&SETTINGS.replace("machine_faults=2", &field)).unwrap();
+    assert_eq!(settings.machine_faults, expected);
+}
+
 #[parameterized(
     no_equals_sign = { "zone=a", "zone", "line 2", "not field=value" },
     duplicate_field = { "zone=a", "zone=a\nzone=b", "line 3", "given twice" },
