--- a/crates/linenthread-ctl/src/client.rs
+++ b/crates/linenthread-ctl/src/client.rs
@@ -3,6 +3,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
+use crate::control_api::{FIRST_SERVER_ERROR, REQUEST_TIMEOUT, TOO_MANY_REQUESTS};
 use crate::request::{Request, RequestError, Response};
 
 /// The addresses of the control nodes.
@@ -16,7 +17,7 @@
 
 impl Client {
     /// Sends a request to one address after another, up to `rounds` times through the list, until one of them gives
-    /// a final response. A failure, a 5xx, 408 or 429 is not final.
+    /// a final response. A failure to get a response is not final, nor is a server error or a status that may pass.
     ///
     /// # Errors
     /// What the last address failed at; a last response that isn't final is returned as it is.
@@ -36,5 +37,6 @@
 
 /// Whether another control node would not respond any better.
 fn is_final(response: &Response) -> bool {
-    response.status < 500 && !matches!(response.status, 408 | 429)
+    let may_pass = matches!(response.status, REQUEST_TIMEOUT | TOO_MANY_REQUESTS);
+    response.status < FIRST_SERVER_ERROR && !may_pass
 }
--- a/crates/linenthread-ctl/src/commands.rs
+++ b/crates/linenthread-ctl/src/commands.rs
@@ -5,6 +5,10 @@
 use std::time::Duration;
 
 use linenthread_config::Configuration;
+use linenthread_ctl::control_api::{
+    BASE_REVISION_HEADER, MEMBERS_PATH, NOT_FOUND, OK, PRECONDITION_FAILED,
+    READ_CONFIGURATION_PATH, REPLACE_CONFIGURATION_PATH, REPLICAS_PATH,
+};
 use linenthread_ctl::{
     Change, Client, MembersStatus, ReplicaStatus, Request, Response, Summary, configuration_changes,
 };
@@ -20,33 +24,31 @@
 };
 use crate::flags::{LinenthreadCtl, LinenthreadCtlCmd};
 
+/// The environment variable that names the control nodes.
 const CONTROL_VARIABLE: &str = "LINENTHREAD_CONTROL";
 /// How long one control node may take to respond.
 const TIMEOUT: Duration = Duration::from_secs(3);
-/// How often the list of control nodes is gone through for a read.
+/// How often all control nodes are tried for a read.
 const READ_ROUNDS: usize = 2;
-/// As for a read; a replacement is worth more patience, since operators can't tell what became of one without a
-/// response.
+/// How often all control nodes are tried for a replacement. It is worth more patience than a read, since operators
+/// can't tell what became of one without a response; sending it again is harmless.
 const REPLACE_ROUNDS: usize = 5;
 
-const MEMBERS_PATH: &str = "/Members.Read";
-const REPLICAS_PATH: &str = "/Replicas.Read";
-const READ_PATH: &str = "/Configuration.Read";
-const REPLACE_PATH: &str = "/Configuration.Replace";
-
-/// What a command prints, and the exit code.
+/// What a command prints, and the exit code if printing succeeds.
 #[derive(Debug)]
 pub(crate) struct Output {
     pub(crate) text: String,
     pub(crate) exit_code: u8,
 }
 
+/// The output of a command that has succeeded.
 impl From<String> for Output {
     fn from(text: String) -> Output {
         Output { text, exit_code: 0 }
     }
 }
 
+/// Carries out the command of the command line.
 pub(crate) fn run(flags: LinenthreadCtl) -> Result<Output, Error> {
     let commands = Commands {
         client: Client {
@@ -82,6 +84,7 @@
         .collect()
 }
 
+/// The commands, with what the flags before them say.
 struct Commands {
     client: Client,
     json: bool,
@@ -112,7 +115,7 @@
         Ok(String::from_utf8_lossy(&document).into_owned())
     }
 
-    /// Exit code 1 if the file would change anything.
+    /// What a file would change; exit code 1 if anything.
     fn diff(&self, path: &Path) -> Result<Output, Error> {
         let new = read_configuration(path)?;
         let old = self.current()?;
@@ -130,38 +133,42 @@
             Some(base) => base,
             None => self.current_revision()?,
         };
+        let response = self.send_replacement(base, &document)?;
+        let (status, message) = (response.status, body_text(&response));
+        match status {
+            OK if self.json => Ok(message),
+            OK => Ok(format!("in force, replaces revision {base}")),
+            PRECONDITION_FAILED => Err(Error::RevisionConflict { message }),
+            400..500 => Err(Error::Rejected { status, message }),
+            _ => Err(Error::UnknownOutcome { status, message }),
+        }
+    }
+
+    fn send_replacement(&self, base: u64, document: &[u8]) -> Result<Response, Error> {
         let headers = [
-            ("X-Base-Revision", base.to_string()),
+            (BASE_REVISION_HEADER, base.to_string()),
             ("Content-Type", "application/json".into()),
         ];
         let request = Request {
             method: "POST",
-            path: REPLACE_PATH,
+            path: REPLACE_CONFIGURATION_PATH,
             headers: &headers,
-            body: &document,
+            body: document,
         };
-        let response = self
-            .client
+        self.client
             .send(&request, REPLACE_ROUNDS)
-            .context(NoResponseToReplaceSnafu)?;
-        let (status, message) = (response.status, text(&response));
-        match status {
-            200 if self.json => Ok(message),
-            200 => Ok(format!("in force, replaces revision {base}")),
-            412 => Err(Error::RevisionConflict { message }),
-            400..500 => Err(Error::Rejected { status, message }),
-            _ => Err(Error::UnknownOutcome { status, message }),
-        }
+            .context(NoResponseToReplaceSnafu)
     }
 
+    /// What a control node reports at a path.
     fn get<T: DeserializeOwned>(&self, path: &'static str) -> Result<T, Error> {
         let response = self.send_get(path)?;
         ensure!(
-            response.status == 200,
+            response.status == OK,
             UnexpectedStatusSnafu {
                 path,
                 status: response.status,
-                message: text(&response),
+                message: body_text(&response),
             }
         );
         serde_json::from_slice(&response.body).context(UnreadableResponseSnafu { path })
@@ -169,11 +176,11 @@
 
     /// The configuration in force, if there is one.
     fn current(&self) -> Result<Option<Vec<u8>>, Error> {
-        let path = READ_PATH;
+        let path = READ_CONFIGURATION_PATH;
         let response = self.send_get(path)?;
         match response.status {
-            200 => Ok(Some(response.body)),
-            404 => Ok(None),
+            OK => Ok(Some(response.body)),
+            NOT_FOUND => Ok(None),
             status => Err(Error::Unavailable { path, status }),
         }
     }
@@ -214,7 +221,7 @@
     Ok(document)
 }
 
-fn text(response: &Response) -> String {
+fn body_text(response: &Response) -> String {
     String::from_utf8_lossy(&response.body).into_owned()
 }
 
--- a/crates/linenthread-ctl/src/difference.rs
+++ b/crates/linenthread-ctl/src/difference.rs
@@ -4,7 +4,7 @@
 
 use serde_json::Value;
 
-/// The lists of a configuration whose entries are known by their label.
+/// The lists of a configuration whose entries have names.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Section {
     /// The routes.
@@ -25,9 +25,9 @@
     }
 }
 
-/// Keys of a configuration that are compared as a whole.
-const SCALARS: [&str; 2] = ["revision", "constraints"];
-/// By this key the entries of a section are known.
+/// Keys of a configuration whose values are compared as a whole.
+const WHOLE_VALUES: [&str; 2] = ["revision", "constraints"];
+/// The key of an entry's name, by which the entries of two configurations are compared.
 const LABEL: &str = "label";
 
 /// One difference between two configurations.
@@ -60,17 +60,17 @@
 impl fmt::Display for Change {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Change::Added(section, entry) => write!(f, "+ {} {}", section.key(), label(entry)),
-            Change::Removed(section, entry) => write!(f, "- {} {}", section.key(), label(entry)),
+            Change::Added(section, entry) => write!(f, "+ {} {}", section.key(), name(entry)),
+            Change::Removed(section, entry) => write!(f, "- {} {}", section.key(), name(entry)),
             Change::Modified { section, old, new } => {
-                write!(f, "~ {} {}: {old} -> {new}", section.key(), label(new))
+                write!(f, "~ {} {}: {old} -> {new}", section.key(), name(new))
             }
             Change::Replaced { key, old, new } => write!(f, "~ {key}: {old} -> {new}"),
         }
     }
 }
 
-/// What differs: entries of the sections by label, then the rest by key.
+/// What differs: entries of the sections by name, then the rest by key.
 ///
 /// # Errors
 /// If a document isn't JSON.
@@ -89,7 +89,7 @@
             entries(&new[key]),
         ));
     }
-    let replaced = SCALARS.into_iter().filter(|key| old[key] != new[key]);
+    let replaced = WHOLE_VALUES.into_iter().filter(|key| old[key] != new[key]);
     changes.extend(replaced.map(|key| Change::Replaced {
         key,
         old: old[key].clone(),
@@ -99,14 +99,14 @@
 }
 
 fn entry_changes(section: Section, old: &[Value], new: &[Value]) -> Vec<Change> {
-    let with_label = |all: &[Value], entry: &Value| {
+    let of_same_name = |all: &[Value], entry: &Value| {
         all.iter()
             .find(|other| other[LABEL] == entry[LABEL])
             .cloned()
     };
     let mut changes = Vec::new();
     for entry in new {
-        match with_label(old, entry) {
+        match of_same_name(old, entry) {
             None => changes.push(Change::Added(section, entry.clone())),
             Some(old) if old != *entry => changes.push(Change::Modified {
                 section,
@@ -116,7 +116,9 @@
             Some(_) => {}
         }
     }
-    let removed = old.iter().filter(|entry| with_label(new, entry).is_none());
+    let removed = old
+        .iter()
+        .filter(|entry| of_same_name(new, entry).is_none());
     changes.extend(removed.map(|entry| Change::Removed(section, entry.clone())));
     changes
 }
@@ -125,10 +127,9 @@
     section.as_array().map_or(&[], Vec::as_slice)
 }
 
-/// The label without quotes.
-fn label(entry: &Value) -> String {
-    let label = &entry[LABEL];
-    label
-        .as_str()
-        .map_or_else(|| label.to_string(), str::to_owned)
+/// The name of an entry, without quotes.
+fn name(entry: &Value) -> String {
+    let name = &entry[LABEL];
+    name.as_str()
+        .map_or_else(|| name.to_string(), str::to_owned)
 }
--- a/crates/linenthread-ctl/src/lib.rs
+++ b/crates/linenthread-ctl/src/lib.rs
@@ -5,6 +5,7 @@
 //! but not the protocol that nodes speak to each other. Start reading at [`Client`].
 
 mod client;
+pub mod control_api;
 mod difference;
 mod request;
 mod status;
--- a/crates/linenthread-ctl/src/main.rs
+++ b/crates/linenthread-ctl/src/main.rs
@@ -55,7 +55,7 @@
         Ok(flags) => flags,
         Err(error) => error.exit(),
     };
-    match commands::run(flags).and_then(print) {
+    match commands::run(flags).and_then(|output| print(&output)) {
         Ok(code) => ExitCode::from(code),
         Err(error) => {
             // Nobody is left to read it if standard error is closed.
@@ -66,7 +66,7 @@
 }
 
 /// Prints the output of a command and returns its exit code.
-fn print(output: Output) -> Result<u8, Error> {
+fn print(output: &Output) -> Result<u8, Error> {
     if !output.text.is_empty() {
         print_line(format_args!("{}", output.text)).context(PrintSnafu)?;
     }
--- a/crates/linenthread-ctl/src/request.rs
+++ b/crates/linenthread-ctl/src/request.rs
@@ -6,8 +6,8 @@
 use std::time::{Duration, Instant};
 
 use bytes::BytesMut;
-use linenthread_http::{BodyReader, Head, response_framing};
-use snafu::Snafu;
+use linenthread_http::{BodyReader, Head, ParseError, response_framing};
+use snafu::{ResultExt, Snafu};
 
 /// The longest response head that is read, in bytes.
 const MAX_HEAD_BYTES: usize = 16_384;
@@ -15,7 +15,7 @@
 const MAX_BODY_BYTES: usize = 64 << 20;
 /// Bytes that are read from the connection at once.
 const READ_BYTES: usize = 16_384;
-/// The operating system takes a time-out of zero for none at all.
+/// The shortest time-out that is set: the operating system takes zero for no time-out at all.
 const MIN_TIMEOUT: Duration = Duration::from_millis(1);
 
 /// Why a request has no response.
@@ -32,10 +32,12 @@
         source: io::Error,
     },
     /// The peer sent something that is not an HTTP response, or one that is too long.
-    #[snafu(display("{peer} sent no valid HTTP response"))]
+    #[snafu(display("{peer} sent no valid HTTP response: {source}"))]
     InvalidResponse {
         /// The address that was called.
         peer: SocketAddr,
+        /// What is wrong with it.
+        source: ParseError,
     },
     /// There is no address to call.
     #[snafu(display("no address is given"))]
@@ -115,8 +117,12 @@
 impl Connection {
     fn open(peer: SocketAddr, timeout: Duration) -> Result<Connection, RequestError> {
         let deadline = Instant::now() + timeout;
-        let stream = TcpStream::connect_timeout(&peer, timeout.max(MIN_TIMEOUT))
-            .map_err(failed("connecting to", peer))?;
+        let stream = TcpStream::connect_timeout(&peer, timeout.max(MIN_TIMEOUT)).context(
+            ConnectionSnafu {
+                step: "connecting to",
+                peer,
+            },
+        )?;
         Ok(Connection {
             peer,
             stream,
@@ -125,6 +131,7 @@
         })
     }
 
+    /// The time until the deadline.
     fn remaining(&self) -> Duration {
         self.deadline
             .saturating_duration_since(Instant::now())
@@ -136,7 +143,10 @@
         self.stream
             .set_write_timeout(Some(timeout))
             .and_then(|()| self.stream.write_all(bytes))
-            .map_err(failed("writing to", self.peer))
+            .context(ConnectionSnafu {
+                step: "writing to",
+                peer: self.peer,
+            })
     }
 
     /// Reads more bytes into the buffer.
@@ -151,7 +161,10 @@
                 0 => Err(io::ErrorKind::UnexpectedEof.into()),
                 count => Ok(count),
             })
-            .map_err(failed("reading from", self.peer))?;
+            .context(ConnectionSnafu {
+                step: "reading from",
+                peer: self.peer,
+            })?;
         self.buffer.extend_from_slice(&chunk[..read]);
         Ok(())
     }
@@ -169,7 +182,7 @@
     fn read_head(&mut self) -> Result<Head, RequestError> {
         loop {
             let head = Head::parse_response(&mut self.buffer, MAX_HEAD_BYTES);
-            if let Some(head) = head.map_err(|_| self.invalid())? {
+            if let Some(head) = head.context(InvalidResponseSnafu { peer: self.peer })? {
                 return Ok(head);
             }
             self.fill()?;
@@ -177,22 +190,12 @@
     }
 
     fn read_body(&mut self, head: &Head, to_head_request: bool) -> Result<Vec<u8>, RequestError> {
-        let framing = response_framing(head, to_head_request).map_err(|_| self.invalid())?;
+        let invalid = InvalidResponseSnafu { peer: self.peer };
+        let framing = response_framing(head, to_head_request).context(invalid)?;
         let mut body = BodyReader::new(framing, MAX_BODY_BYTES);
-        while !body
-            .read_from(&mut self.buffer)
-            .map_err(|_| self.invalid())?
-        {
+        while !body.read_from(&mut self.buffer).context(invalid)? {
             self.fill()?;
         }
         Ok(body.into_bytes())
     }
-
-    fn invalid(&self) -> RequestError {
-        RequestError::InvalidResponse { peer: self.peer }
-    }
-}
-
-fn failed(step: &'static str, peer: SocketAddr) -> impl FnOnce(io::Error) -> RequestError {
-    move |source| RequestError::Connection { step, peer, source }
 }
--- a/crates/linenthread-ctl/src/status.rs
+++ b/crates/linenthread-ctl/src/status.rs
@@ -19,12 +19,14 @@
     #[serde(rename(deserialize = "whole"))]
     pub quorum: bool,
     /// Whether it is shutting down.
-    pub leaving: bool,
+    #[serde(rename = "leaving")]
+    pub shutting_down: bool,
     /// The epoch of the leader lease that it holds, if it holds one.
     #[serde(rename(deserialize = "duty_epoch"))]
     pub lease_epoch: Option<u64>,
     /// Number of the last value that it knows to be committed.
-    pub value: u64,
+    #[serde(rename = "value")]
+    pub value_number: u64,
     /// Revision of the configuration in force; 0 for none.
     pub revision: u64,
     /// Control addresses of the voters.
@@ -53,9 +55,11 @@
     #[serde(rename(deserialize = "whole"))]
     pub quorum: bool,
     /// Number of the last value that it knows to be committed.
-    pub value: u64,
+    #[serde(rename = "value")]
+    pub value_number: u64,
     /// Whether it is shutting down.
-    pub leaving: bool,
+    #[serde(rename = "leaving")]
+    pub shutting_down: bool,
     /// How long ago its last message was received, in milliseconds.
     #[serde(rename(deserialize = "heard_ms"))]
     pub last_message_ms: u64,
@@ -191,8 +195,8 @@
             self.zone,
             self.address,
             self.quorum,
-            self.value,
-            self.leaving,
+            self.value_number,
+            self.shutting_down,
             self.last_message_ms
         )
     }
--- a/crates/linenthread-ctl/tests/program.rs
+++ b/crates/linenthread-ctl/tests/program.rs
@@ -1,10 +1,12 @@
 //! The program against a fake control node: its output, its exit codes, and a reader that closes the pipe.
 
 use std::io::{Read, Write};
-use std::net::{SocketAddr, TcpListener};
+use std::net::{SocketAddr, TcpListener, TcpStream};
+use std::path::Path;
 use std::process::{Command, Output};
 
 use linenthread_console::testing::run_with_closed_output;
+use yare::parameterized;
 
 /// Serves the same response to every request, for as long as the test runs.
 fn fake_control_node(status: &'static str, body: &'static str) -> SocketAddr {
@@ -13,11 +15,7 @@
     std::thread::spawn(move || {
         for stream in listener.incoming() {
             let mut stream = stream.unwrap();
-            let mut request = Vec::new();
-            let mut byte = [0];
-            while !request.ends_with(b"\r\n\r\n") && stream.read(&mut byte).is_ok_and(|n| n == 1) {
-                request.push(byte[0]);
-            }
+            read_request(&mut stream);
             let length = body.len();
             let _ = write!(
                 stream,
@@ -28,6 +26,21 @@
     address
 }
 
+/// Reads a head and the body that it announces: a connection that is closed before would be reset.
+fn read_request(stream: &mut TcpStream) {
+    let mut head = Vec::new();
+    let mut byte = [0];
+    while !head.ends_with(b"\r\n\r\n") && stream.read(&mut byte).is_ok_and(|n| n == 1) {
+        head.push(byte[0]);
+    }
+    let head = String::from_utf8(head).unwrap();
+    let length = head
+        .lines()
+        .find_map(|line| line.strip_prefix("Content-Length: "))
+        .map_or(0, |length| length.parse().unwrap());
+    let _ = stream.read_exact(&mut vec![0; length]);
+}
+
 fn ctl(address: SocketAddr, arguments: &[&str]) -> Command {
     let mut command = Command::new(env!("CARGO_BIN_EXE_linenthread-ctl"));
     command.args(["--control", &address.to_string()]);
@@ -82,6 +95,38 @@
     assert!(stderr.contains(&address.to_string()), "{stderr}");
 }
 
+#[parameterized(
+    in_force = { "200 OK", "", 0, "" },
+    conflict = { "412 Precondition Failed", "revision 5", 1, "another revision is in force: revision 5" },
+    rejected = { "400 Bad Request", "no", 1, "rejected with status 400: no" },
+    unknown_outcome = {
+        "503 Service Unavailable", "late", 3,
+        "unknown whether the configuration is in force: status 503: late"
+    },
+    invalid_response = {
+        "ok", "", 3,
+        "unknown whether the configuration is in force: ADDRESS sent no valid HTTP response: malformed message"
+    },
+)]
+fn the_outcome_of_a_replacement_is_an_exit_code_and_a_line(
+    status: &'static str,
+    body: &'static str,
+    expected_exit_code: i32,
+    expected_error: &str,
+) {
+    let file = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("replacement {status}.json"));
+    std::fs::write(&file, CONFIGURATION).unwrap();
+    let address = fake_control_node(status, body);
+    let arguments = ["replace", file.to_str().unwrap(), "--base", "3"];
+    let (code, _, stderr) = run(address, &arguments);
+    let expected_error = expected_error.replace("ADDRESS", &address.to_string());
+    let expected_line = match expected_error.as_str() {
+        "" => String::new(),
+        error => format!("linenthread-ctl: {error}\n"),
+    };
+    assert_eq!((code, stderr), (Some(expected_exit_code), expected_line));
+}
+
 #[test]
 fn a_closed_output_pipe_ends_it_quietly() {
     let address = fake_control_node("200 OK", CONFIGURATION);
--- a/crates/linenthread-ctl/tests/status.rs
+++ b/crates/linenthread-ctl/tests/status.rs
@@ -52,6 +52,10 @@
     let json = serde_json::to_value(members()).unwrap();
     assert_eq!(json["quorum"], true);
     assert_eq!(json["lease_epoch"], 7);
+    assert_eq!(
+        (&json["value"], &json["leaving"]),
+        (&3.into(), &false.into())
+    );
     assert_eq!(json["control_nodes"][0]["last_message_ms"], 40);
     assert_eq!(json["voters"].as_array().unwrap().len(), 3);
 }
