--- a/crates/linenthread-ci/src/check.rs
+++ b/crates/linenthread-ci/src/check.rs
@@ -94,24 +94,25 @@
     pub total: TestCounts,
 }
 
-/// Checks a run of `cargo test` and its exit status.
+/// Checks a run of `cargo test`: `known` are the tests that must fail, `programs` the test programs that cargo built,
+/// `output` what it printed, and `exit_status` how it ended.
 pub fn check(
     known: &[KnownFailure],
     programs: &[TestProgram],
     output: &TestOutput,
-    status: i32,
+    exit_status: i32,
 ) -> Report {
     let mut report = Report::default();
     if output.runs.is_empty() {
         report.violations.push(Violation::NothingRan);
         return report;
     }
-    let named = name_runs(programs, &output.runs, &mut report.violations);
-    for (program, run) in &named {
+    let runs = name_runs(programs, &output.runs, &mut report.violations);
+    for (program, run) in &runs {
         add_run(program, run, &mut report);
     }
-    check_tests(known, &outcomes(&named), &mut report);
-    check_status(output, status, &mut report.violations);
+    check_tests(known, &outcomes(&runs), &mut report);
+    check_exit_status(output, exit_status, &mut report.violations);
     report
 }
 
@@ -123,9 +124,7 @@
 ) -> BTreeMap<String, &'a ProgramRun> {
     let mut named = BTreeMap::new();
     for run in runs {
-        let program = programs
-            .iter()
-            .find(|p| !run.documentation && p.file == run.file);
+        let program = programs.iter().find(|program| run.is_of(program));
         let name = match program {
             Some(program) => format!("{}::{}", program.package, program.target),
             None if run.documentation => format!("{}::doc", run.file.replace('_', "-")),
@@ -141,10 +140,7 @@
         }
     }
     for program in programs {
-        if !runs
-            .iter()
-            .any(|run| !run.documentation && run.file == program.file)
-        {
+        if !runs.iter().any(|run| run.is_of(program)) {
             let program = format!("{}::{}", program.package, program.target);
             violations.push(Violation::NotRun { program });
         }
@@ -152,6 +148,7 @@
     named
 }
 
+/// Adds the counts of one test program, and what is wrong with its output.
 fn add_run(program: &str, run: &ProgramRun, report: &mut Report) {
     let Some(summary) = run.summary else {
         report.violations.push(Violation::MissingSummary {
@@ -187,9 +184,9 @@
 }
 
 /// All tests by `package::target::test`.
-fn outcomes(named: &BTreeMap<String, &ProgramRun>) -> BTreeMap<String, TestOutcome> {
+fn outcomes(runs: &BTreeMap<String, &ProgramRun>) -> BTreeMap<String, TestOutcome> {
     let mut outcomes = BTreeMap::new();
-    for (program, run) in named {
+    for (program, run) in runs {
         for (test, outcome) in &run.tests {
             outcomes.insert(format!("{program}::{test}"), *outcome);
         }
@@ -197,15 +194,16 @@
     outcomes
 }
 
+/// Compares the tests with the list: all that are listed must fail, and no others.
 fn check_tests(
     known: &[KnownFailure],
     outcomes: &BTreeMap<String, TestOutcome>,
     report: &mut Report,
 ) {
-    for entry in known {
-        let test = entry.test.clone();
+    for failure in known {
+        let test = failure.test.clone();
         match outcomes.get(&test) {
-            Some(TestOutcome::Failed) => report.known.push(entry.clone()),
+            Some(TestOutcome::Failed) => report.known.push(failure.clone()),
             Some(TestOutcome::Passed) => report
                 .violations
                 .push(Violation::KnownFailurePassed { test }),
@@ -218,8 +216,8 @@
         }
     }
     for (test, outcome) in outcomes {
-        let listed = known.iter().any(|entry| entry.test == *test);
-        if *outcome == TestOutcome::Failed && !listed {
+        let is_listed = known.iter().any(|failure| failure.test == *test);
+        if *outcome == TestOutcome::Failed && !is_listed {
             report
                 .violations
                 .push(Violation::Failed { test: test.clone() });
@@ -228,18 +226,20 @@
 }
 
 /// The exit status and cargo's count of failed targets must be explained by the tests.
-fn check_status(output: &TestOutput, status: i32, violations: &mut Vec<Violation>) {
-    let failed = output
+fn check_exit_status(output: &TestOutput, exit_status: i32, violations: &mut Vec<Violation>) {
+    let failed_targets = output
         .runs
         .iter()
-        .filter(|run| run.summary.is_some_and(|s| s.failed > 0))
+        .filter(|run| run.summary.is_some_and(|summary| summary.failed > 0))
         .count();
-    let expected = if failed == 0 {
+    let expected = if failed_targets == 0 {
         EXIT_ALL_PASSED
     } else {
         EXIT_SOME_FAILED
     };
-    if status != expected || output.failed_targets != failed {
-        violations.push(Violation::ExitStatus { status });
+    if exit_status != expected || output.failed_targets != failed_targets {
+        violations.push(Violation::ExitStatus {
+            status: exit_status,
+        });
     }
 }
--- a/crates/linenthread-ci/src/known_failures.rs
+++ b/crates/linenthread-ci/src/known_failures.rs
@@ -71,8 +71,9 @@
     let [test, cause, issue] = fields[..] else {
         return None;
     };
-    let named = test.split("::").count() >= 3 && test.split("::").all(|part| !part.is_empty());
-    if !named || cause.is_empty() || issue.is_empty() {
+    let has_full_name =
+        test.split("::").count() >= 3 && test.split("::").all(|part| !part.is_empty());
+    if !has_full_name || cause.is_empty() || issue.is_empty() {
         return None;
     }
     Some(KnownFailure {
--- a/crates/linenthread-ci/src/test_output.rs
+++ b/crates/linenthread-ci/src/test_output.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use crate::test_programs::file_name;
+use crate::test_programs::{TestProgram, file_name};
 
 /// How one test ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -41,6 +41,13 @@
     pub summary_line: String,
 }
 
+impl ProgramRun {
+    /// Whether this is a run of that program.
+    pub(crate) fn is_of(&self, program: &TestProgram) -> bool {
+        !self.documentation && self.file == program.file
+    }
+}
+
 /// All of a run of `cargo test`.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct TestOutput {
@@ -94,6 +101,7 @@
     count.parse().ok()
 }
 
+/// Adds what a line says of a test, or of all tests of the program; other lines are what tests print.
 fn add_line(run: &mut ProgramRun, line: &str) {
     if let Some(summary) = parse_summary(line) {
         run.summary = Some(summary);
