--- a/crates/linenthread-core/src/policy/admission.rs
+++ b/crates/linenthread-core/src/policy/admission.rs
@@ -1,5 +1,7 @@
-//! Which queries are refused: those whose slowest sub-request is expected too late, and those that would add to
-//! a saturated fleet.
+//! Which queries are rejected when they arrive: those whose slowest sub-request is expected too late, and those that
+//! would add to a saturated fleet.
+//!
+//! A query is judged once. One that is admitted is not rejected here later on.
 
 use super::Coordinator;
 use super::windows::{FRESH_REPORT, LONG_TERM, MIN_WEIGHT, RECENT};
@@ -7,39 +9,68 @@
 use crate::state::{DecayingSums, Query, Replica, SubRequest};
 
 /// While little was observed, so many sub-requests of usual delay weigh in the estimate of delays.
+///
+/// Unit: sub-requests. Reason: the first few delays after a start must not decide on admission alone.
 const USUAL_DELAY_WEIGHT: f64 = 6.0;
 
-/// The usual delay, as a share of the shortest soft deadline.
+/// The usual delay of a sub-request.
+///
+/// Unit: share of the shortest soft deadline. Reason: an index whose sub-requests take much longer could not meet it.
 const USUAL_DELAY_SHARE: f64 = 0.2;
 
-/// The standard deviation of the logarithm of the usual delay.
+/// The standard deviation of the usual delay.
+///
+/// Unit: deviation of the natural logarithm. Reason: it stands in until a spread was observed.
 const USUAL_LOG_DEVIATION: f64 = 0.6;
 
-/// Share of the time left within which a query's slowest sub-request is to be expected.
+/// The part of the time left within which a query's slowest sub-request is to be expected.
+///
+/// Unit: share of the time left. Reason: the expectation is a mean, so the rest is a margin for what comes later.
 const IN_TIME_SHARE: f64 = 0.75;
 
-/// How often a slower shard counts where replicas report no queue: there saturation shows by delay alone, late.
+/// The power to which a shard's slowdown counts where replicas report no queue.
+///
+/// Unit: exponent. Reason: there saturation shows by delay alone, and late.
 const UNREPORTED_SLOWDOWN_POWER: i32 = 3;
 
-/// The probability to admit a query falls with this power of the pressure, times its relative cost.
-const REFUSAL_POWER: f64 = -3.0;
+/// The mean of the largest of n normal values is the root of this times ln(n), in standard deviations.
+///
+/// Unit: none. Reason: about right for 10 to 100 sub-requests; 2 is the limit for very many.
+const SLOWEST_VARIANCE_FACTOR: f64 = 1.25;
+
+/// The probability to admit a query is the pressure to the power of this times the query's relative cost.
+///
+/// Unit: exponent. Reason: it has to fall steeply enough that the queries admitted come in time, yet not all at once.
+const ADMISSION_EXPONENT: f64 = -3.0;
 
 /// A customer is over its quota above this multiple of its share of the queries.
+///
+/// Unit: factor. Reason: counts over a few seconds vary by chance.
 const OVER_QUOTA_FACTOR: f64 = 1.25;
 
 /// No customer is over its quota before more queries than this were observed.
+///
+/// Unit: queries of all customers. Reason: shares of a handful of queries are chance.
 const MIN_QUERIES_FOR_QUOTAS: f64 = 8.0;
 
-/// The limits on attempts in flight count this much for queries that cost less than the average.
+/// How much higher the limits on attempts in flight are for queries that cost less than the average.
+///
+/// Unit: factor. Reason: near the limits the costly queries are rejected first.
 const CHEAP_LIMIT_FACTOR: f64 = 1.25;
 
-/// The limits on attempts in flight count at least this much for customers over their quota.
+/// How far the limits on attempts in flight are lowered at most for customers over their quota.
+///
+/// Unit: factor. Reason: what such a customer is worth may be near 0, and it is not to be cut off altogether.
 const MIN_OVER_QUOTA_LIMIT_FACTOR: f64 = 0.6;
 
-/// A customer over its quota is worth at least this share of the value.
+/// The least that a query of a customer over its quota is worth.
+///
+/// Unit: share of the query's value. Reason: its relative cost is divided by this.
 const MIN_OVER_QUOTA_VALUE: f64 = 0.1;
 
 /// The least value, cost or quota that is divided by.
+///
+/// Unit: that of the divisor. Reason: configured values and sums may be 0.
 const MIN_DIVISOR: f64 = 0.001;
 
 /// The distribution of sub-requests' delays, which is about log-normal.
@@ -54,7 +85,7 @@
     /// The expected delay, in tenths of a millisecond, of the slowest of so many sub-requests: about the mean
     /// of the largest of n normal values.
     fn slowest_of(&self, count: f64) -> f64 {
-        let deviations = (1.25 * count.max(1.0).ln()).sqrt();
+        let deviations = (SLOWEST_VARIANCE_FACTOR * count.max(1.0).ln()).sqrt();
         (self.log_mean + deviations * self.log_deviation).exp()
     }
 
@@ -73,20 +104,19 @@
 
 impl Coordinator {
     /// Why a query is not admitted; `None` if it is. Counts the query in the statistics of admission.
-    pub(super) fn refusal(&mut self, query_index: usize) -> Option<FailureCause> {
+    pub(super) fn admission_failure(&mut self, query_index: usize) -> Option<FailureCause> {
         self.decay_admission_statistics();
-        let query = self.queries[query_index].as_ref()?;
-        let customer = query.customer;
         let delays = self.delay_estimate();
-        let slowdown = self.shard_slowdown(query, &delays);
+        let slowdown = self.shard_slowdown(self.open_query(query_index), &delays);
         self.record_size(query_index);
-        let pressure = self.pressure(self.open_query(query_index), &delays, slowdown);
-        let is_over_quota = self.is_over_quota(customer);
-        let relative_cost = self.relative_cost(query_index, is_over_quota);
-        // Those that cost much for their value are refused first, at random; none where queues are short.
-        if !self.config.short_queues
-            && self.rng.rand_float() > pressure.powf(REFUSAL_POWER * relative_cost)
-        {
+        let query = self.open_query(query_index);
+        let pressure = self.pressure(query, &delays, slowdown);
+        let is_over_quota = self.is_over_quota(query.customer);
+        let mut relative_cost = self.relative_cost(query_index);
+        if is_over_quota {
+            relative_cost /= self.config.over_quota_value.max(MIN_OVER_QUOTA_VALUE);
+        }
+        if self.draws_late_rejection(pressure, relative_cost) {
             return Some(FailureCause::ExpectedLate);
         }
         let limit_factor = if is_over_quota {
@@ -102,6 +132,14 @@
             .then_some(FailureCause::Saturated)
     }
 
+    /// Decides at random whether a query is rejected since it is expected late: the more likely, the higher the
+    /// pressure and the more it costs for its value. Where replicas keep their queues short none is, since no backlog
+    /// delays its sub-requests.
+    fn draws_late_rejection(&mut self, pressure: f64, relative_cost: f64) -> bool {
+        !self.config.short_queues
+            && self.rng.rand_float() > pressure.powf(ADMISSION_EXPONENT * relative_cost)
+    }
+
     fn decay_admission_statistics(&mut self) {
         let now = self.now;
         self.fleet.log_delays.decay(now, RECENT);
@@ -130,8 +168,8 @@
         }
     }
 
-    /// How many times slower than the mean the quickest holder of the slowest shard is that the query cannot do
-    /// without: all queries that need a slow shard meet in the queue of its quickest holder.
+    /// How many times slower than the mean the query's slowest shard is. A shard is as slow as its quickest holder,
+    /// since all queries that need it meet in that one's queue; shards that a response may lack do not count.
     fn shard_slowdown(&self, query: &Query, delays: &DelayEstimate) -> f64 {
         let latency = |replica: usize| self.replicas[replica].expected_latency;
         let quickest = |sub_request: &SubRequest| {
@@ -151,38 +189,39 @@
         })
     }
 
-    /// The expected delay of the query, or of the worst index if that is greater, as a share of the time that
-    /// it is to come in.
+    /// The expected delay of the query as a share of the time within which it has to come; that of the worst index if
+    /// it is greater. Above 1 the query is expected late.
     fn pressure(&self, query: &Query, delays: &DelayEstimate, slowdown: f64) -> f64 {
         let count = query.sub_requests.len() as f64;
         // A client that leaves sooner is not worth the attempts.
         let end = query.soft_deadline.min(query.hard_deadline);
         let time_left = (end - self.now).max(1) as f64;
-        let own = delays.of_query(count, self.index_of(query)) * slowdown / time_left;
+        let of_this_query = delays.of_query(count, self.index_of(query)) * slowdown / time_left;
         let of_index = |(size, index): (&DecayingSums, &IndexConfig)| {
             Some(delays.of_query(size.mean(MIN_WEIGHT)?, index) / index.soft_deadline as f64)
         };
         let indexes = self.fleet.query_sizes.iter().zip(&self.config.indexes);
-        indexes.filter_map(of_index).fold(own, f64::max) / IN_TIME_SHARE
+        indexes.filter_map(of_index).fold(of_this_query, f64::max) / IN_TIME_SHARE
     }
 
-    /// Of the queries that arrived here of late, a customer is owed its share of the quotas: so traffic that
-    /// moves here from another co-ordinator puts nobody over.
+    /// Whether a customer sent clearly more than its share of the queries that arrived here of late. Its share is that
+    /// of the quotas and no number of queries, so that traffic that moves here from another co-ordinator puts nobody
+    /// over.
     fn is_over_quota(&self, customer: usize) -> bool {
         let (quotas, queries) = (&self.config.customer_quotas, &self.fleet.customer_queries);
         let all: f64 = queries.iter().map(|sums| sums.weight).sum();
-        let owed_per_quota = all / quotas.iter().sum::<f64>().max(MIN_DIVISOR);
+        let queries_per_quota = all / quotas.iter().sum::<f64>().max(MIN_DIVISOR);
         quotas
             .get(customer)
             .zip(queries.get(customer))
             .is_some_and(|(quota, sums)| {
                 all > MIN_QUERIES_FOR_QUOTAS
-                    && sums.weight > OVER_QUOTA_FACTOR * owed_per_quota * quota
+                    && sums.weight > OVER_QUOTA_FACTOR * queries_per_quota * quota
             })
     }
 
     /// What the query's sub-requests cost for its value, relative to the average. Counts it in that average.
-    fn relative_cost(&mut self, query_index: usize, is_over_quota: bool) -> f64 {
+    fn relative_cost(&mut self, query_index: usize) -> f64 {
         let query = self.open_query(query_index);
         let count = query.sub_requests.len() as f64;
         let work = if self.config.value_by_work {
@@ -194,12 +233,7 @@
         let costs = &mut self.fleet.costs;
         costs.weight += count;
         costs.sum += count * cost;
-        let relative_cost = cost * costs.weight / costs.sum.max(MIN_DIVISOR);
-        if is_over_quota {
-            relative_cost / self.config.over_quota_value.max(MIN_OVER_QUOTA_VALUE)
-        } else {
-            relative_cost
-        }
+        cost * costs.weight / costs.sum.max(MIN_DIVISOR)
     }
 
     /// Whether too much is in flight from here, in all or at the holders of a shard.
@@ -212,8 +246,8 @@
                 .any(|sub_request| self.is_shard_saturated(query, sub_request, limit_factor))
     }
 
-    /// Whether the holders of a shard have more pending than their limits together, or all report more queued
-    /// than can be served one by one within the shortest soft deadline.
+    /// Whether a shard's holders together have more pending than their limits, or each of them reports more queued
+    /// than it can serve one by one within the shortest soft deadline.
     fn is_shard_saturated(
         &self,
         query: &Query,
--- a/crates/linenthread-core/src/policy/arrival.rs
+++ b/crates/linenthread-core/src/policy/arrival.rs
@@ -5,7 +5,9 @@
 use crate::interface::{Idempotency, NewQuery, NewSubRequest, TenthMillis};
 use crate::state::{Query, SubRequest, hash_ids};
 
-/// A response leaves this long, in tenths of a millisecond, before the moment that it has to be there.
+/// How long before its deadline a response leaves.
+///
+/// Unit: 0.1 ms (15 ms). Reason: the response has to be at the client by then.
 const DEADLINE_MARGIN: TenthMillis = 150;
 
 impl Coordinator {
--- a/crates/linenthread-core/src/policy/attempt_result.rs
+++ b/crates/linenthread-core/src/policy/attempt_result.rs
@@ -4,16 +4,21 @@
 use super::send_guard::OUTAGE_TRIAL;
 use super::windows::{CRASH_MEMORY, MIN_WEIGHT, RECENT};
 use crate::interface::{AttemptOutcome, AttemptResult, DecisionSink, TenthMillis};
-use crate::state::{Attempt, Outage};
+use crate::state::{Attempt, Observations, Outage};
 
-/// Where no probes are permitted, the first attempt tries a replica that is down after this time, in tenths of
-/// a millisecond; the wait grows with the length of the outage.
+/// Where no probes are permitted, the first attempt tries a replica that is down after this time.
+///
+/// Unit: 0.1 ms (250 ms). Reason: no probe says when it is back, so attempts have to; the wait grows with the outage.
 const FIRST_TRIAL: TenthMillis = 2_500;
 
-/// The longest such wait, in tenths of a millisecond.
+/// The longest such wait.
+///
+/// Unit: 0.1 ms (3 s). Reason: the same as where probes are permitted but fail.
 const MAX_TRIAL_WAIT: TenthMillis = OUTAGE_TRIAL;
 
-/// A hedged request that came first was needed: it makes room for so many more.
+/// A hedged request that came first makes room for so many more.
+///
+/// Unit: attempts. Reason: it was needed, so where replicas hang the hedged requests may follow.
 const HEDGES_PER_WIN: f64 = 2.0;
 
 /// An attempt that has just ended, with what its evaluation needs.
@@ -29,8 +34,8 @@
 }
 
 impl FinishedAttempt {
-    /// It was given up, from here or by its time-out.
-    fn was_cancelled_or_timed_out(&self) -> bool {
+    /// Whether it was given up, from here or by its time-out.
+    fn was_given_up(&self) -> bool {
         matches!(
             self.outcome,
             AttemptOutcome::TimedOut | AttemptOutcome::Cancelled
@@ -44,7 +49,7 @@
             AttemptOutcome::Success => Some(0.0),
             AttemptOutcome::ConnectionLost if self.idle_connection == Some(true) => Some(1.0),
             AttemptOutcome::ConnectFailed if self.idle_connection == Some(false) => Some(1.0),
-            _ if self.was_cancelled_or_timed_out() && self.elapsed >= self.slow => Some(1.0),
+            _ if self.was_given_up() && self.elapsed >= self.slow => Some(1.0),
             _ => None,
         }
     }
@@ -80,7 +85,7 @@
                 self.record_lower_bound(&finished);
             }
             AttemptOutcome::NotSent => {}
-            _ => self.record_failure(&finished),
+            _ => self.record_outcome(finished.replica, 1.0),
         }
         self.record_outage(result.query, &finished);
     }
@@ -105,129 +110,155 @@
         failures.record(self.now, CRASH_MEMORY, failure);
     }
 
-    /// Records how long the sub-request took or was waited for, counted from its first attempt: a hedged
-    /// request that is quicker makes up for a slow attempt. A rejection counts as a whole soft deadline, and
-    /// ends the replica's time as a last resort.
+    /// Records how long the sub-request took or was waited for, counted from its first attempt: a hedged request that
+    /// is quicker makes up for a slow attempt.
     fn record_delay(&mut self, result: &AttemptResult, finished: &FinishedAttempt) {
         let now = self.now;
-        let query = self.queries[result.query].as_ref();
-        let query = query.expect("the query of an attempt that has just ended");
-        let sub_request = &query.sub_requests[result.sub_request];
-        let log_delays = &mut self.fleet.log_delays;
-        let was_last = sub_request.in_flight() == 0 && finished.was_cancelled_or_timed_out();
         if finished.outcome == AttemptOutcome::Rejected {
-            let log_deadline = self.min_soft_deadline.ln();
-            let replica = &mut self.replicas[finished.replica];
-            replica.last_resort_until = now;
-            log_delays.record(now, RECENT, log_deadline);
-            let log_latencies = &mut replica.observations.log_latencies;
-            log_latencies.record(now, self.fleet.time_constant, log_deadline);
-        } else if !sub_request.succeeded
-            && (was_last || finished.outcome == AttemptOutcome::Success)
-        {
+            return self.record_rejection(finished.replica);
+        }
+        let sub_request = &self.open_query(result.query).sub_requests[result.sub_request];
+        let is_response = finished.outcome == AttemptOutcome::Success;
+        let was_last_given_up = sub_request.in_flight() == 0 && finished.was_given_up();
+        if !sub_request.succeeded && (is_response || was_last_given_up) {
             let age = (now - sub_request.attempts[0].sent_at).max(1) as f64;
-            log_delays.record(now, RECENT, age.ln());
+            self.fleet.log_delays.record(now, RECENT, age.ln());
         }
     }
 
+    /// A full replica is one that would take long: a rejection counts as a response time and a delay of a whole soft
+    /// deadline. One that drains has rejected it for good, so it is no last resort any more.
+    fn record_rejection(&mut self, replica: usize) {
+        let (now, time_constant) = (self.now, self.fleet.time_constant);
+        let log_deadline = self.min_soft_deadline.ln();
+        self.fleet.log_delays.record(now, RECENT, log_deadline);
+        let replica = &mut self.replicas[replica];
+        replica.last_resort_until = now;
+        let log_latencies = &mut replica.observations.log_latencies;
+        log_latencies.record(now, time_constant, log_deadline);
+    }
+
     fn on_success(
         &mut self,
         result: &AttemptResult,
         finished: &FinishedAttempt,
         sink: &mut impl DecisionSink,
     ) {
-        let (now, time_constant) = (self.now, self.fleet.time_constant);
-        let query = self.queries[result.query].as_mut();
-        let query = query.expect("the query of an attempt that has just ended");
-        let sub_request = &mut query.sub_requests[result.sub_request];
+        self.credit_hedge_that_won(result, finished);
+        self.mark_succeeded(result);
+        let replica = &mut self.replicas[finished.replica];
+        replica.last_response_at = self.now;
+        replica.on_response(self.now, result.queue_depth);
+        let log_latency = finished.elapsed.ln();
+        self.record_outcome(finished.replica, 0.0);
+        self.record_latency(finished.replica, log_latency);
+        self.fleet
+            .log_latencies
+            .record(self.now, RECENT, log_latency);
+        let query = self.open_query(result.query);
+        if self.config.permissions.cancellation && !query.finished {
+            let sub_request = &query.sub_requests[result.sub_request];
+            sub_request.cancel(result.query, result.sub_request, sink);
+        }
+    }
+
+    /// Makes room for more hedged requests where one came before the attempt that it was sent beside.
+    fn credit_hedge_that_won(&mut self, result: &AttemptResult, finished: &FinishedAttempt) {
+        let query = self.open_query(result.query);
+        let sub_request = &query.sub_requests[result.sub_request];
         let is_overtaken = |earlier: &Attempt| {
             earlier.is_in_flight() || earlier.moved && finished.elapsed < finished.slow
         };
-        if !sub_request.succeeded
-            && sub_request.attempts[..result.attempt]
-                .iter()
-                .any(is_overtaken)
-        {
-            self.fleet.hedges.subtract(now, RECENT, HEDGES_PER_WIN);
+        let mut earlier = sub_request.attempts[..result.attempt].iter();
+        if !sub_request.succeeded && earlier.any(is_overtaken) {
+            self.fleet.hedges.subtract(self.now, RECENT, HEDGES_PER_WIN);
         }
-        sub_request.succeeded |= !query.finished;
+    }
+
+    fn mark_succeeded(&mut self, result: &AttemptResult) {
+        let query = self.open_query_mut(result.query);
+        let is_wanted = !query.finished;
+        let sub_request = &mut query.sub_requests[result.sub_request];
+        sub_request.succeeded |= is_wanted;
+        // The response to an attempt from before the continuation is not the one that is wanted once more.
         sub_request.continued_from = sub_request
             .continued_from
             .filter(|first| result.attempt < *first);
-
-        let replica = &mut self.replicas[finished.replica];
-        replica.last_response_at = now;
-        replica.on_response(now, result.queue_depth);
-        let log_latency = finished.elapsed.ln();
-        let zone = &mut self.zones[replica.entry.zone];
-        for observations in [&mut replica.observations, zone] {
-            observations.failures.record(now, time_constant, 0.0);
-            let log_latencies = &mut observations.log_latencies;
-            log_latencies.record(now, time_constant, log_latency);
-        }
-        self.fleet.log_latencies.record(now, RECENT, log_latency);
-        if self.config.permissions.cancellation && !query.finished {
-            sub_request.cancel(result.query, result.sub_request, sink);
-        }
     }
 
     /// An attempt that was given up would have taken longer still. That says something of the replica only if
     /// it had already taken longer than usual.
     fn record_lower_bound(&mut self, finished: &FinishedAttempt) {
-        let (now, time_constant) = (self.now, self.fleet.time_constant);
-        let replica = &mut self.replicas[finished.replica];
-        let usual = replica
+        let usual = self.replicas[finished.replica]
             .observations
             .log_latencies
             .mean(MIN_WEIGHT)
             .or(self.fleet.log_latencies.mean(MIN_WEIGHT));
         let log_elapsed = finished.elapsed.ln();
         if usual.is_some_and(|log_median| log_elapsed > log_median) {
-            let zone = &mut self.zones[replica.entry.zone];
-            for observations in [&mut replica.observations, zone] {
-                let log_latencies = &mut observations.log_latencies;
-                log_latencies.record(now, time_constant, log_elapsed);
-            }
+            self.record_latency(finished.replica, log_elapsed);
         }
     }
 
-    fn record_failure(&mut self, finished: &FinishedAttempt) {
-        let replica = &mut self.replicas[finished.replica];
-        let zone = &mut self.zones[replica.entry.zone];
-        for observations in [&mut replica.observations, zone] {
-            let failures = &mut observations.failures;
-            failures.record(self.now, self.fleet.time_constant, 1.0);
+    /// Records a response time, as its logarithm, for a replica and its zone.
+    fn record_latency(&mut self, replica: usize, log_latency: f64) {
+        let (now, time_constant) = (self.now, self.fleet.time_constant);
+        for observations in self.observations_of(replica) {
+            let log_latencies = &mut observations.log_latencies;
+            log_latencies.record(now, time_constant, log_latency);
         }
     }
 
-    /// A lost connection or a failed connect makes the replica count as down.
+    /// Records a failure (1) or a response (0) for a replica and its zone.
+    fn record_outcome(&mut self, replica: usize, failure: f64) {
+        let (now, time_constant) = (self.now, self.fleet.time_constant);
+        for observations in self.observations_of(replica) {
+            observations.failures.record(now, time_constant, failure);
+        }
+    }
+
+    /// The observations of a replica and those of its zone, which lend weight to replicas that are seldom observed.
+    fn observations_of(&mut self, replica: usize) -> [&mut Observations; 2] {
+        let replica = &mut self.replicas[replica];
+        let zone = &mut self.zones[replica.entry.zone];
+        [&mut replica.observations, zone]
+    }
+
+    /// Makes the replica count as down after a lost connection or a failed connect.
     fn record_outage(&mut self, query_index: usize, finished: &FinishedAttempt) {
-        let now = self.now;
-        let health_probes = self.config.permissions.health_probes;
-        let replica = &mut self.replicas[finished.replica];
-        let connection_lost = finished.outcome == AttemptOutcome::ConnectionLost;
-        if connection_lost {
-            let query = self.queries[query_index].as_mut();
-            let query = query.expect("the query of an attempt that has just ended");
-            if !query.lost_connections.contains(&finished.replica) {
-                query.lost_connections.push(finished.replica);
-                replica.suspected_crash = health_probes;
+        match finished.outcome {
+            AttemptOutcome::ConnectionLost => {
+                self.suspect_crash(query_index, finished.replica);
+                self.mark_down(finished.replica);
             }
+            AttemptOutcome::ConnectFailed => self.mark_down(finished.replica),
+            _ => {}
         }
-        if connection_lost || finished.outcome == AttemptOutcome::ConnectFailed {
-            let outage = replica.outage.unwrap_or(Outage {
-                since: now,
-                retry_at: now,
-            });
-            let trial_wait = (FIRST_TRIAL + (now - outage.since) / 4).min(MAX_TRIAL_WAIT);
-            replica.outage = Some(Outage {
-                since: outage.since,
-                retry_at: if health_probes {
-                    outage.retry_at
-                } else {
-                    now + trial_wait
-                },
-            });
+    }
+
+    /// A connection lost under a query may mean that the query made the replica crash; a probe is to tell. Each replica
+    /// is suspected once a query: further connections that it loses are no further evidence.
+    fn suspect_crash(&mut self, query_index: usize, replica: usize) {
+        let health_probes = self.config.permissions.health_probes;
+        let query = self.open_query_mut(query_index);
+        if !query.lost_connections.contains(&replica) {
+            query.lost_connections.push(replica);
+            self.replicas[replica].suspected_crash = health_probes;
         }
     }
+
+    fn mark_down(&mut self, replica: usize) {
+        let now = self.now;
+        let replica = &mut self.replicas[replica];
+        let outage = replica.outage.unwrap_or(Outage {
+            since: now,
+            retry_at: now,
+        });
+        let retry_at = if self.config.permissions.health_probes {
+            outage.retry_at
+        } else {
+            now + (FIRST_TRIAL + (now - outage.since) / 4).min(MAX_TRIAL_WAIT)
+        };
+        replica.outage = Some(Outage { retry_at, ..outage });
+    }
 }
--- a/crates/linenthread-core/src/policy/capacity.rs
+++ b/crates/linenthread-core/src/policy/capacity.rs
@@ -6,21 +6,29 @@
 use super::windows::RECENT;
 use crate::state::decay_factor;
 
-/// Of what comes back within the shortest soft deadline, this share may be in flight.
+/// How much may be in flight of what comes back within the shortest soft deadline.
+///
+/// Unit: share of responses. Reason: a backlog longer than that makes all of it late.
 const IN_FLIGHT_SHARE: f64 = 0.45;
 
-/// While the median response takes less than this share of the shortest soft deadline, more may be in flight:
-/// a burst may fill what a backlog may not.
+/// While the median response is quicker than this, more may be in flight.
+///
+/// Unit: share of the shortest soft deadline. Reason: a burst may fill what a backlog may not.
 const QUICK_SHARE: f64 = 0.3;
 
-/// The limits grow by this factor at most while responses are quick.
+/// How far the limits grow at most while responses are quick.
+///
+/// Unit: factor. Reason: quick responses to few attempts do not show what many would meet.
 const MAX_QUICK_FACTOR: f64 = 2.0;
 
 /// So many attempts in flight at one replica are never too many.
+///
+/// Unit: attempts from here. Reason: with little traffic the estimate is too coarse to reject by.
 const MIN_IN_FLIGHT_PER_REPLICA: f64 = 5.0;
 
-/// So many attempts in flight for each replica, divided by the root of the number of co-ordinators, are never
-/// too many in all.
+/// So many attempts in flight are never too many in all.
+///
+/// Unit: attempts for each replica, divided by the root of the number of co-ordinators. Reason: as for one replica.
 const MIN_IN_FLIGHT: f64 = 3.0;
 
 impl Coordinator {
--- a/crates/linenthread-core/src/policy/coordinator.rs
+++ b/crates/linenthread-core/src/policy/coordinator.rs
@@ -8,7 +8,9 @@
 };
 use crate::state::{DecayingSums, FleetStatistics, Observations, Query, Replica, Timers};
 
-/// A step is requested at least this often, in tenths of a millisecond.
+/// The longest time from one step to the next.
+///
+/// Unit: 0.1 ms (10 ms). Reason: hedging, deadlines and scores are due at moments at which nothing may arrive.
 const MAX_STEP_INTERVAL: TenthMillis = 100;
 
 /// One co-ordinator: a deterministic state machine without I/O or clock.
@@ -86,10 +88,7 @@
     /// Takes all that arrived and writes what is decided on it.
     pub fn step(&mut self, inputs: &Inputs, sink: &mut impl DecisionSink) {
         self.now = inputs.now;
-        if self.timers.next_reset == 0 {
-            self.timers.started_at = self.now;
-            self.timers.next_reset = self.now + RESET_INTERVAL;
-        }
+        self.start_timers();
         self.apply(inputs, sink);
         self.update_scores();
         for query_index in self.open_queries.clone() {
@@ -100,6 +99,15 @@
         self.run_timers(sink);
     }
 
+    /// The clock of a co-ordinator begins with its first step.
+    fn start_timers(&mut self) {
+        let is_first_step = self.timers.next_reset == 0;
+        if is_first_step {
+            self.timers.started_at = self.now;
+            self.timers.next_reset = self.now + RESET_INTERVAL;
+        }
+    }
+
     /// Records the inputs. Those of one kind follow those of another in this order, so that a query's
     /// sub-requests find it recorded and an attempt that ended no longer counts as in flight.
     fn apply(&mut self, inputs: &Inputs, sink: &mut impl DecisionSink) {
--- a/crates/linenthread-core/src/policy/dispatch.rs
+++ b/crates/linenthread-core/src/policy/dispatch.rs
@@ -6,20 +6,30 @@
 use crate::interface::DecisionSink;
 use crate::state::{Attempt, Query, SubRequest};
 
-/// Share of attempts that may be hedged requests, sent because the first attempt is slow.
+/// How many of the attempts may be hedged requests.
+///
+/// Unit: share of attempts (1 in 200). Reason: the attempt that loses is work in vain, and on most deployments cancelling
+/// stops none of it.
 const HEDGE_SHARE: f64 = 0.005;
 
 /// The same for the last sub-request that a query lacks.
+///
+/// Unit: share of attempts (1 in 50). Reason: there one more response completes the query.
 const LAST_HEDGE_SHARE: f64 = 0.02;
 
-/// Requests are hedged when no more time than this multiple of a slow response time is left before the soft
-/// deadline: a response sooner than that asks for earns nothing.
+/// Requests are hedged once no more time than this is left before the soft deadline.
+///
+/// Unit: slow response times. Reason: a response that comes sooner than the deadline asks for earns nothing.
 const HEDGE_WITHIN: f64 = 2.5;
 
-/// Where a share of the sub-requests makes a complete response: share of the others that is sent at first.
+/// Where a share of the sub-requests makes a complete response: how many of the others are sent at first.
+///
+/// Unit: share of the others' weight. Reason: some of those that are sent will be slow or fail.
 const EXTRA_SHARE: f64 = 0.25;
 
-/// Scores are compared in thousandths when sub-requests are ordered.
+/// The scale in which scores are compared when sub-requests are ordered.
+///
+/// Unit: 1 / score. Reason: integers can be sorted by, and scores closer than this are alike.
 const SCORE_SCALE: f64 = 1_000.0;
 
 /// What is to be sent of a query, and how hedging is limited. Times are in tenths of a millisecond.
@@ -38,8 +48,28 @@
     one_first: bool,
 }
 
+impl DispatchPlan {
+    /// Whether a sub-request is to be considered now. A first attempt uses up some of the weight that is still wanted,
+    /// also if no replica can take it.
+    fn includes(&mut self, sub_request: &SubRequest) -> bool {
+        if !sub_request.is_needed() {
+            return false;
+        }
+        let is_first_attempt = sub_request.attempts.is_empty();
+        if is_first_attempt && self.unsent_weight <= WEIGHT_ROUNDING / 2.0 {
+            return false;
+        }
+        self.unsent_weight -= if is_first_attempt {
+            sub_request.weight
+        } else {
+            0.0
+        };
+        true
+    }
+}
+
 impl Coordinator {
-    /// Sends the sub-requests not yet sent, those that failed, and hedged requests for those that are slow.
+    /// Sends what a query needs now: first attempts, retries of what failed, and hedged requests for what is slow.
     pub(super) fn send_missing(&mut self, query_index: usize, sink: &mut impl DecisionSink) {
         let now = self.now;
         self.fleet.hedges.decay(now, RECENT);
@@ -54,16 +84,14 @@
         let mut plan = self.dispatch_plan(query, slow);
         for sub_request_index in std::mem::take(&mut plan.order) {
             let sub_request = &self.open_query(query_index).sub_requests[sub_request_index];
-            let is_first = sub_request.attempts.is_empty();
-            if !sub_request.is_needed() || is_first && plan.unsent_weight <= WEIGHT_ROUNDING / 2.0 {
+            if !plan.includes(sub_request) {
                 continue;
             }
-            plan.unsent_weight -= if is_first { sub_request.weight } else { 0.0 };
             let in_flight = sub_request.in_flight();
-            let hedges = self.may_hedge(sub_request, &plan);
-            if hedges && self.should_move(query_index, sub_request_index, slow) {
+            let may_hedge = self.may_hedge(sub_request, &plan);
+            if may_hedge && self.should_move(query_index, sub_request_index, slow) {
                 self.cancel_to_move(query_index, sub_request_index, sink);
-            } else if in_flight == 0 || in_flight == 1 && hedges {
+            } else if in_flight == 0 || in_flight == 1 && may_hedge {
                 self.send_attempt(query_index, sub_request_index, sink);
                 if plan.one_first {
                     return;
@@ -72,7 +100,8 @@
         }
     }
 
-    /// Nothing of the query is sent: it may make replicas crash, or its first sub-request has not yet lasted.
+    /// Whether nothing of the query is sent now: it may make replicas crash, or its first sub-request has neither
+    /// succeeded nor outlasted a slow response time yet.
     fn is_deferred(&self, query: &Query, slow: f64) -> bool {
         let mut attempts = query.sub_requests.iter().flat_map(|s| &s.attempts);
         self.may_be_query_of_death(query, CrashEvidence::Outage)
@@ -82,13 +111,13 @@
 
     fn dispatch_plan(&self, query: &Query, slow: f64) -> DispatchPlan {
         let missing = query.present_phase().iter().filter(|s| !s.succeeded);
-        let is_last = missing.count() <= 1;
+        let lacks_only_one = missing.count() <= 1;
         let mut plan = DispatchPlan {
             order: (query.phase_start..query.sub_requests.len()).collect(),
             unsent_weight: f64::INFINITY,
             slow,
             is_urgent: (query.soft_deadline - self.now) as f64 <= HEDGE_WITHIN * slow,
-            hedge_share: if is_last {
+            hedge_share: if lacks_only_one {
                 LAST_HEDGE_SHARE
             } else {
                 HEDGE_SHARE
@@ -97,7 +126,7 @@
         };
         let complete_share = self.complete_share(query);
         if complete_share < 1.0 {
-            // Those with the best holders are sent, and more as some are slow.
+            // Those with the best holders are sent first. What is slow no longer counts as coming, so others follow.
             let is_coming = |sub_request: &SubRequest| {
                 let is_quick = |attempt: &Attempt| attempt.is_in_flight_within(self.now, slow);
                 sub_request.succeeded || sub_request.attempts.iter().any(is_quick)
@@ -119,7 +148,8 @@
             .min()
     }
 
-    /// The last attempt is slow, little time is left, and the share of hedged requests has room for one more.
+    /// Whether a sub-request may be hedged: its last attempt is slow, little time is left, and the share of hedged
+    /// requests has room for one more.
     fn may_hedge(&self, sub_request: &SubRequest, plan: &DispatchPlan) -> bool {
         let is_slow = |last: &Attempt| (self.now - last.sent_at) as f64 > plan.slow;
         let hedges = &self.fleet.hedges;
@@ -128,8 +158,8 @@
             && hedges.sum < plan.hedge_share * hedges.weight + 1.0
     }
 
-    /// As many attempts are in flight as may be, and one is as good as lost: it is cancelled so that another
-    /// holder can be sent the sub-request.
+    /// Whether an attempt in flight is to be cancelled so that the sub-request can go to another holder: one is as good
+    /// as lost, no further one may be in flight beside it, and none has been cancelled for this already.
     fn should_move(&self, query_index: usize, sub_request_index: usize, slow: f64) -> bool {
         let query = self.open_query(query_index);
         let sub_request = &query.sub_requests[sub_request_index];
--- a/crates/linenthread-core/src/policy/health_probe.rs
+++ b/crates/linenthread-core/src/policy/health_probe.rs
@@ -5,23 +5,30 @@
 use crate::interface::{AttemptOutcome, DecisionSink, ProbeResult, TenthMillis};
 use crate::state::{Outage, Query, SubRequest};
 
-/// A replica that is down is probed after this time, in tenths of a millisecond, and as much again at random,
-/// times a quarter of the number of co-ordinators.
+/// The least time between two probes of a replica that is down, before it is spread and scaled.
+///
+/// Unit: 0.1 ms (150 ms). Reason: an attempt there would be lost, so its return is to be noticed soon.
 const OUTAGE_PROBE_INTERVAL: TenthMillis = 1_500;
 
-/// Probes are waited for up to this share of the shortest soft deadline while all holders of a shard owe the
-/// end of one.
+/// How long a query's first attempts wait while all holders of a shard owe the end of a probe.
+///
+/// Unit: share of the shortest soft deadline. Reason: a worse replica chosen now is better than a late choice.
 const MAX_PROBE_WAIT_SHARE: f64 = 0.05;
 
-/// Replicas are probed before a query's first attempts where they are remembered for longer than this multiple
-/// of [`RECENT`], since each is seen too seldom to be known.
+/// Replicas are probed before a query's first attempts where they are remembered for longer than this.
+///
+/// Unit: multiple of [`RECENT`]. Reason: what is remembered there is too old to recognise an unhealthy replica.
 const SELDOM_OBSERVED: f64 = 1.5;
 
-/// Where replicas report no queue, at least this share of queries probes first.
+/// Where replicas report no queue: how many queries probe first at least.
+///
+/// Unit: share of queries. Reason: without any probe no late one could be noticed.
 const MIN_PROBING_SHARE: f64 = 0.1;
 
-/// Where replicas report no queue, the share of queries that probe first is this multiple of the share of
-/// probes that were late: there a probe tells by its delay alone, if at all, so few go while all are quick.
+/// Where replicas report no queue: how many queries probe first for each probe that was late.
+///
+/// Unit: share of queries / share of probes. Reason: a probe tells by its delay alone there, so few go while all are
+/// quick.
 const PROBING_PER_LATE_PROBE: f64 = 12.0;
 
 impl Coordinator {
@@ -51,17 +58,19 @@
                     retry_at: now + OUTAGE_PROBE_INTERVAL,
                 });
             }
-            // Too busy for a probe: nothing is known but that a soft deadline's worth is queued there.
+            // Too busy for a probe. How busy is not known, so it counts as a whole soft deadline of queued sub-requests.
             _ => replica.on_report(now, self.min_soft_deadline / self.fleet.lowest_median),
         }
     }
 
-    /// Probes replicas that are down: an attempt sent there would be lost time and a spent attempt.
+    /// Probes replicas that are down, the more seldom the longer they are: a query's attempt that found out instead
+    /// would be wasted.
     pub(super) fn probe_outages(&mut self, sink: &mut impl DecisionSink) {
         if !self.config.permissions.health_probes {
             return;
         }
-        let share = (self.config.coordinator_count as TenthMillis / 4).max(1);
+        // All co-ordinators probe the same replica, so each waits in proportion to their number.
+        let interval_factor = (self.config.coordinator_count as TenthMillis / 4).max(1);
         for replica_index in 0..self.replicas.len() {
             let replica = &self.replicas[replica_index];
             let Some(outage) = replica.outage.filter(|_| replica.is_ready()) else {
@@ -70,7 +79,8 @@
             if outage.retry_at > self.now {
                 continue;
             }
-            let interval = OUTAGE_PROBE_INTERVAL.max((self.now - outage.since) / 4) * share;
+            let interval =
+                OUTAGE_PROBE_INTERVAL.max((self.now - outage.since) / 4) * interval_factor;
             let retry_at = self.now + interval + self.random_time(interval);
             let replica = &mut self.replicas[replica_index];
             replica.outage = Some(Outage { retry_at, ..outage });
@@ -79,8 +89,8 @@
         }
     }
 
-    /// Delays a query's first attempts while holders without a recent report are probed, where each replica is
-    /// seen seldom. Returns whether the query has to wait.
+    /// Probes holders without a recent report before a query's first attempts, where each replica is seen seldom. Returns
+    /// whether the query has to wait for the probes.
     pub(super) fn probe_before_first_attempts(
         &mut self,
         query_index: usize,
@@ -90,14 +100,7 @@
         let Some(Some(query)) = self.queries.get(query_index) else {
             return false;
         };
-        let is_seldom_observed = self.fleet.time_constant > SELDOM_OBSERVED * RECENT;
-        let is_too_late =
-            query.admitted || query.finished || self.now + 2 * max_wait > query.hard_deadline;
-        if !is_seldom_observed
-            || !self.config.permissions.health_probes
-            || is_too_late
-            || query.sub_requests.is_empty()
-        {
+        if !self.is_probed_first(query, max_wait) {
             return false;
         }
         if let Some(probed_at) = query.probed_at {
@@ -109,6 +112,21 @@
         self.probe_shard_replicas(query_index, sink)
     }
 
+    /// Whether a query waits for probes at all: each replica is seen seldom, nothing of the query has been sent, and
+    /// there is time for it.
+    fn is_probed_first(&self, query: &Query, max_wait: TenthMillis) -> bool {
+        let is_seldom_observed = self.fleet.time_constant > SELDOM_OBSERVED * RECENT;
+        let is_too_late = self.now + 2 * max_wait > query.hard_deadline;
+        is_seldom_observed
+            && self.config.permissions.health_probes
+            && !query.admitted
+            && !query.finished
+            && !is_too_late
+            && !query.sub_requests.is_empty()
+    }
+
+    /// Whether the probes sent for a query are still waited for: any of them briefly, and for longer where all holders
+    /// of a shard owe the end of one.
     fn waits_for_probes(
         &self,
         query: &Query,
--- a/crates/linenthread-core/src/policy/membership_update.rs
+++ b/crates/linenthread-core/src/policy/membership_update.rs
@@ -5,15 +5,19 @@
 use crate::interface::{MembershipEntry, MembershipUpdate, Phase, TenthMillis};
 use crate::state::{Observations, Replica};
 
-/// After a start from a cached list, service discovery is watched within this time, in tenths of a millisecond.
-/// Restarts may come together: their requests are spread out at random.
+/// After a start from a cached list, service discovery is watched within this time.
+///
+/// Unit: 0.1 ms (200 ms). Reason: restarts may come together, so their requests are spread out at random.
 const WATCH_SPREAD: TenthMillis = 2_000;
 
-/// The backoff after service discovery was unavailable, in tenths of a millisecond; it doubles with each
-/// failure.
+/// The backoff after service discovery was unavailable, before it doubles with each failure.
+///
+/// Unit: 0.1 ms (250 ms). Reason: soon enough for a short fault, without load on a service discovery that is down.
 const WATCH_BACKOFF: TenthMillis = 2_500;
 
-/// The backoff doubles at most so many times.
+/// How often that backoff doubles at most.
+///
+/// Unit: doublings (up to 4 s). Reason: a list that is older costs more than the requests.
 const MAX_WATCH_BACKOFF_DOUBLINGS: u32 = 4;
 
 impl Coordinator {
--- a/crates/linenthread-core/src/policy/mod.rs
+++ b/crates/linenthread-core/src/policy/mod.rs
@@ -14,16 +14,32 @@
 //! | `score` | the score of each replica |
 //! | `capacity` | how much may be in flight, and what a warm replica can serve |
 //! | `latency` | which response times are slow, and which attempts are lost |
-//! | `natural_replica` | the replica of an attempt |
+//! | `natural_replica` | which replica an attempt goes to |
 //! | `send_guard` | whether an attempt may be sent at all |
 //! | `slow_start` | how many attempts a replica gets that has just started |
-//! | `retry_budget` | how many further attempts there may be |
+//! | `retry_budget` | how many retries and hedged requests there may be |
 //! | `sending` | how an attempt is sent |
 //! | `dispatch` | which sub-requests are sent now: first attempts, retries, hedged requests |
 //! | `query_of_death` | which queries may make replicas crash |
-//! | `admission` | which queries are refused |
+//! | `admission` | which queries are rejected when they arrive |
 //! | `resolution` | when a query is responded to, rejected or failed |
 //!
+//! To explain what became of one query, start at [`Coordinator::resolve`], which each step runs once for each open
+//! query:
+//!
+//! | observed | decided by |
+//! | --- | --- |
+//! | rejected or failed, [`DeadlineExceeded`](FailureCause::DeadlineExceeded) | `resolution`: `gives_up_at` |
+//! | rejected or failed, [`QueryOfDeath`](FailureCause::QueryOfDeath) | `query_of_death`: `may_be_query_of_death` |
+//! | rejected or failed, [`Unanswerable`](FailureCause::Unanswerable) | `resolution`: `is_hopeless` |
+//! | rejected, [`ExpectedLate`](FailureCause::ExpectedLate) | `admission`: `draws_late_rejection` |
+//! | rejected, [`Saturated`](FailureCause::Saturated) | `admission`: `is_saturated` |
+//! | failed rather than rejected | `resolution`: `give_up` |
+//! | retried, or not | `dispatch`: `send_missing`; `send_guard`: `may_send`; `retry_budget` |
+//! | hedged, or not | `dispatch`: `may_hedge` |
+//! | an attempt cancelled and its sub-request sent elsewhere | `dispatch`: `should_move` |
+//! | sent to this replica and to no other | `natural_replica`: `choose_replica`; `score` |
+//!
 //! Constants that several modules use are in `windows`; the others are in the module that they belong to.
 //! The reasons at length, with figures, are in `docs/design.md`.
 
@@ -46,20 +62,29 @@
 mod slow_start;
 mod windows;
 
+#[cfg(doc)]
+use crate::interface::FailureCause;
 use crate::interface::TenthMillis;
 
 pub use coordinator::Coordinator;
 
 /// Share of its value that a late response earns, where no settings tell.
+///
+/// Unit: share of a query's value. Reason: above the limit under which `resolution` no longer waits for them.
 pub const DEFAULT_LATE_VALUE_SHARE: f64 = 0.3;
 
-/// What a partial response earns, times the share of the weight that succeeded, where the users value it by
-/// about the square of that share.
+/// What a partial response earns, times the share of the weight that succeeded.
+///
+/// Unit: share of a query's value. Reason: with the share, it stands in for users who value a partial response by about
+/// the square of that share.
 pub const DEFAULT_PARTIAL_VALUE: f64 = 0.6;
 
-/// Share of a budget that is used where others count it by other clocks.
+/// How much is used of a budget that others count by clocks of their own.
+///
+/// Unit: share of the budget. Reason: the rest covers what falls into another window by their clocks.
 pub const BUDGET_UTILIZATION: f64 = 0.85;
 
-/// A connection that is not established within this time, in tenths of a millisecond, counts as a replica that
-/// is away.
+/// A connection that is not established within this time counts as a replica that is away.
+///
+/// Unit: 0.1 ms (300 ms). Reason: an attempt that waits for a process that is gone is wasted.
 pub const CONNECT_TIMEOUT: TenthMillis = 3_000;
--- a/crates/linenthread-core/src/policy/natural_replica.rs
+++ b/crates/linenthread-core/src/policy/natural_replica.rs
@@ -4,32 +4,41 @@
 use crate::interface::{AttemptOutcome, TenthMillis};
 use crate::state::{Attempt, Query, Replica, SubRequest, hash_ids};
 
-/// How much worse than the best a natural replica may score and keep its sub-requests, as a share.
+/// How much worse than the best a natural replica may score and keep its sub-requests.
+///
+/// Unit: share of the best score. Reason: with less, too many of a key's sub-requests leave their natural replica.
 const BADNESS_THRESHOLD: f64 = 0.6;
 
-/// A sub-request leaves its natural replica for one of good score that has more than so many fewer attempts
-/// pending.
+/// How many more attempts than the least loaded replica one may have pending and get another.
+///
+/// Unit: attempts from here. Reason: a wide query fills one replica before the scores are next updated.
 const MAX_PENDING_IMBALANCE: f64 = 1.0;
 
-/// A replica that failed a sub-request is sent the same one again after this time, in tenths of a millisecond.
+/// A replica that failed a sub-request is sent the same one again after this time.
+///
+/// Unit: 0.1 ms (100 ms). Reason: at once it would most likely fail again, and use up an attempt.
 const RETRY_BACKOFF: TenthMillis = 1_000;
 
 /// The distance of a zone that the table lacks.
+///
+/// Unit: rank, as in the table. Reason: nothing says how near it is, so it is used last.
 const FARTHEST: u8 = u8::MAX;
 
-/// Which of the permitted replicas are considered; the next step only if the ones before found none.
+/// Which of the replicas that are up are considered, strictest first: the next one applies only if the one before
+/// found no replica.
 #[derive(Clone, Copy)]
 enum Eligibility {
-    /// It is up, has not failed this sub-request and is not saturated.
-    Good,
-    /// It is up and has not failed this sub-request.
+    /// It has not failed this sub-request and is not saturated.
+    UntriedAndUnsaturated,
+    /// It has not failed this sub-request.
     Untried,
-    /// It is up, and the sub-request's last failure is long enough ago.
+    /// The sub-request's last failure is long enough ago, wherever that was.
     AfterBackoff,
 }
 
-/// One that succeeded is no worse for being asked once more.
-fn has_failed(attempt: &Attempt) -> bool {
+/// Whether an attempt speaks against sending the sub-request to its replica again. One in flight does; one that
+/// succeeded does not, since a continuation belongs to the same replica.
+fn speaks_against_replica(attempt: &Attempt) -> bool {
     attempt.outcome != Some(AttemptOutcome::Success)
 }
 
@@ -49,12 +58,12 @@
             .shard_replicas(query, sub_request)
             .filter(|&replica| self.may_send(query, sub_request, replica))
             .collect();
-        let steps = [
-            Eligibility::Good,
+        let strictest_first = [
+            Eligibility::UntriedAndUnsaturated,
             Eligibility::Untried,
             Eligibility::AfterBackoff,
         ];
-        steps.into_iter().find_map(|eligibility| {
+        strictest_first.into_iter().find_map(|eligibility| {
             let candidates: Vec<usize> = permitted
                 .iter()
                 .copied()
@@ -72,15 +81,15 @@
             .iter()
             .filter(|attempt| attempt.outcome == Some(AttemptOutcome::Rejected))
             .count();
-        rejections > 1 && self.has_failed_within(sub_request, RETRY_BACKOFF << rejections)
+        rejections > 1 && self.was_sent_within(sub_request, RETRY_BACKOFF << rejections)
     }
 
-    /// The sub-request's last attempt has failed or is in flight, and was sent less than this time ago.
-    fn has_failed_within(&self, sub_request: &SubRequest, backoff: TenthMillis) -> bool {
+    /// Whether the sub-request's last attempt has failed or is in flight, and was sent less than this time ago.
+    fn was_sent_within(&self, sub_request: &SubRequest, backoff: TenthMillis) -> bool {
         sub_request
             .attempts
             .last()
-            .is_some_and(|last| has_failed(last) && self.now < last.sent_at + backoff)
+            .is_some_and(|last| speaks_against_replica(last) && self.now < last.sent_at + backoff)
     }
 
     fn is_eligible(
@@ -93,15 +102,15 @@
             !sub_request
                 .attempts
                 .iter()
-                .any(|attempt| attempt.replica == replica && has_failed(attempt))
+                .any(|attempt| attempt.replica == replica && speaks_against_replica(attempt))
         };
         let is_saturated =
             || self.replicas[replica].pending() > self.fleet.max_in_flight_per_replica;
         self.is_up(replica, self.now)
             && match eligibility {
-                Eligibility::Good => is_untried() && !is_saturated(),
+                Eligibility::UntriedAndUnsaturated => is_untried() && !is_saturated(),
                 Eligibility::Untried => is_untried(),
-                Eligibility::AfterBackoff => !self.has_failed_within(sub_request, RETRY_BACKOFF),
+                Eligibility::AfterBackoff => !self.was_sent_within(sub_request, RETRY_BACKOFF),
             }
     }
 
@@ -139,8 +148,8 @@
             .max_by_key(|&replica| self.hash_rank(query, sub_request, replica))
     }
 
-    /// The rank of a replica in rendezvous hashing: all co-ordinators agree on it, and a replica that comes or
-    /// goes moves only its own keys.
+    /// The rank of a replica in rendezvous hashing, highest first: all co-ordinators agree on it, and a replica that
+    /// comes or goes moves only its own keys.
     fn hash_rank(&self, query: &Query, sub_request: &SubRequest, replica: usize) -> u64 {
         let shard = sub_request.shard as u64 + 1;
         hash_ids([query.key, shard, self.replicas[replica].entry.id])
--- a/crates/linenthread-core/src/policy/query_of_death.rs
+++ b/crates/linenthread-core/src/policy/query_of_death.rs
@@ -3,8 +3,9 @@
 use super::Coordinator;
 use crate::state::{Query, Replica};
 
-/// With more crashes remembered than this, queries send one sub-request first, and one lost replica is enough
-/// to suspect a query.
+/// With more crashes remembered than this, replicas count as crashing.
+///
+/// Unit: crashes. Reason: a single crash may be a machine's; a second one may be the work of a query.
 const MANY_CRASHES: f64 = 1.0;
 
 /// What makes a lost connection count against a query.
@@ -17,9 +18,10 @@
 }
 
 impl Coordinator {
-    /// Whether a query may be what makes replicas crash: two replicas were lost under it while none of its
-    /// sub-requests has succeeded; while other replicas crash, one. Where no probes are permitted there is no
-    /// proof, and a lost connection alone ends nothing.
+    /// Whether a query may be what makes replicas crash: none of its sub-requests has succeeded, and two replicas were
+    /// lost under it. While replicas crash anyhow, one lost replica is enough.
+    ///
+    /// Where no probes are permitted there is no proof, and a lost connection alone ends nothing.
     pub(super) fn may_be_query_of_death(&self, query: &Query, evidence: CrashEvidence) -> bool {
         let is_lost = |replica: &Replica| {
             let is_proven = !replica.suspected_crash;
@@ -36,8 +38,8 @@
                 > tolerated
     }
 
-    /// Whether a query sends one sub-request first and the others when that one lasts: replicas that crash may
-    /// be the work of queries.
+    /// Whether a query sends one sub-request first, and the others once that one has succeeded or outlasted a slow
+    /// response time. So a query that makes replicas crash costs one of them, not one for each shard.
     pub(super) fn sends_one_first(&self, query: &Query) -> bool {
         query.has_no_success() && self.replicas_crash()
     }
--- a/crates/linenthread-core/src/policy/resolution.rs
+++ b/crates/linenthread-core/src/policy/resolution.rs
@@ -6,10 +6,14 @@
 use crate::interface::{DecisionSink, FailureCause, Idempotency, IndexConfig, TenthMillis};
 use crate::state::{Query, SubRequest};
 
-/// An index whose late responses earn no more than this share of the value is given up at its soft deadline.
+/// An index whose late responses earn no more than this is given up at its soft deadline.
+///
+/// Unit: share of the value. Reason: the attempts of a late query delay others that are still in time.
 const MIN_LATE_VALUE_SHARE: f64 = 0.15;
 
-/// A first response leaves this multiple of a slow response time for the fetch phase.
+/// The time that a first response leaves for the fetch phase.
+///
+/// Unit: slow response times. Reason: the fetch phase has to be over by the soft deadline.
 const FETCH_PHASE_TIME: f64 = 1.4;
 
 /// When a query is given up.
@@ -29,7 +33,7 @@
 /// How far the present phase of a query is.
 struct Progress {
     /// When the query is given up.
-    end: TenthMillis,
+    gives_up_at: TenthMillis,
     /// The share of the weight that makes a complete response.
     complete_share: f64,
     /// The share of the weight under which no response may be given.
@@ -55,7 +59,10 @@
 }
 
 impl Coordinator {
-    /// Responds to a query, gives it up, or sends what it still needs.
+    /// Takes one open query a step further: responds to it, gives it up, or sends what it still needs.
+    ///
+    /// The order matters: a response that is there is given even when the time is up, and a query is judged by
+    /// admission only once it could be answered at all.
     pub(super) fn resolve(&mut self, query_index: usize, sink: &mut impl DecisionSink) {
         if self.probe_before_first_attempts(query_index, sink) {
             return;
@@ -93,7 +100,7 @@
         let total = query.phase_weight(|_| true).max(WEIGHT_ROUNDING);
         let allows_partial_fetch = index.min_share < index.complete_share;
         Progress {
-            end: gives_up_at(query, index),
+            gives_up_at: gives_up_at(query, index),
             complete_share: self.complete_share(query),
             min_share: if query.is_fetching() && !allows_partial_fetch {
                 1.0
@@ -105,7 +112,8 @@
         }
     }
 
-    /// No further attempt can bring this sub-request's response.
+    /// Whether no further attempt can bring this sub-request's response: it may not run again, has no attempt left, or
+    /// none of its holders can be reached in time.
     fn is_hopeless(&self, query: &Query, sub_request: &SubRequest) -> bool {
         !sub_request.succeeded
             && sub_request.in_flight() == 0
@@ -116,8 +124,8 @@
                     .all(|replica| self.is_out_of_reach(query, sub_request, replica)))
     }
 
-    /// A complete response is given at once; a partial one when it can no longer become complete, or when
-    /// waiting longer earns less.
+    /// Whether to respond now. A complete response is given at once; a partial one when it can no longer become
+    /// complete, or when waiting longer earns less.
     fn should_respond(&self, query: &Query, progress: &Progress) -> bool {
         let index = self.index_of(query);
         let partial_value =
@@ -130,20 +138,21 @@
             0.0
         };
         let ready_at = self.now + (fetch_time * self.slow_latency()) as TenthMillis;
-        let is_late = ready_at >= progress.end || ready_at >= query.soft_deadline && partial_pays;
+        let is_late =
+            ready_at >= progress.gives_up_at || ready_at >= query.soft_deadline && partial_pays;
         progress.is_complete()
             || reaches(progress.succeeded_share, progress.min_share)
                 && (is_late || !progress.can_become_complete())
     }
 
-    /// Responds, unless a continuation is in flight: that is waited for up to the soft deadline, but not for
-    /// room to send it.
+    /// Responds, unless a continuation is in flight, which is awaited up to the soft deadline. A continuation that no
+    /// attempt, budget or replica is left for now is not awaited.
     fn respond(&mut self, query_index: usize, progress: &Progress, sink: &mut impl DecisionSink) {
         let query = self.open_query(query_index);
         let is_complete = progress.is_complete() && query.first_response_complete.unwrap_or(true);
         let has_fetch_phase = self.index_of(query).fetch_sub_requests > 0;
         let is_final = query.first_response_complete.is_some() || !has_fetch_phase;
-        if query.is_continued() && self.now < progress.end.min(query.soft_deadline) {
+        if query.is_continued() && self.now < progress.gives_up_at.min(query.soft_deadline) {
             self.send_missing(query_index, sink);
             let is_awaited = |s: &SubRequest| s.continued_from.is_some() && s.in_flight() > 0;
             let query = self.open_query(query_index);
@@ -163,7 +172,7 @@
     fn failure_cause(&mut self, query_index: usize, progress: &Progress) -> Option<FailureCause> {
         let query = self.open_query(query_index);
         let is_query_of_death = || self.may_be_query_of_death(query, CrashEvidence::Proven);
-        if self.now >= progress.end {
+        if self.now >= progress.gives_up_at {
             Some(FailureCause::DeadlineExceeded)
         } else if is_query_of_death() && !query.is_in_flight() {
             Some(FailureCause::QueryOfDeath)
@@ -172,11 +181,12 @@
         } else if query.admitted {
             None
         } else {
-            self.refusal(query_index)
+            self.admission_failure(query_index)
         }
     }
 
-    /// Ends a query without a response, at once: rejected where sending it again is harmless, else failed.
+    /// Ends a query without a response. It is rejected where sending it again is harmless, since any number of runs is
+    /// or none has begun; else it fails, which promises nothing.
     fn give_up(&mut self, query_index: usize, cause: FailureCause, sink: &mut impl DecisionSink) {
         sink.failure_cause(query_index, cause);
         let query = self.open_query(query_index);
--- a/crates/linenthread-core/src/policy/retry_budget.rs
+++ b/crates/linenthread-core/src/policy/retry_budget.rs
@@ -1,4 +1,4 @@
-//! How many further attempts there may be: retries, and the second ones of hedged requests.
+//! How many retries and hedged requests there may be: all attempts of a sub-request beyond its first.
 
 use super::Coordinator;
 
@@ -10,14 +10,14 @@
         }
     }
 
-    /// Counts a further attempt that was sent.
+    /// Counts a retry or a hedged request that was sent.
     pub(super) fn count_retry(&mut self) {
         if let Some(budget) = &self.config.retry_budget {
             self.fleet.retries.add(self.now, budget.window, 1);
         }
     }
 
-    /// Whether the budget has room for one more attempt. At the edge of the window retries still count and
+    /// Whether the budget has room for one more retry or hedged request. At the edge of the window retries still count and
     /// accepted queries no longer do, so that the limit holds for any window.
     pub(super) fn has_retry_budget(&self) -> bool {
         let Some(budget) = &self.config.retry_budget else {
--- a/crates/linenthread-core/src/policy/score.rs
+++ b/crates/linenthread-core/src/policy/score.rs
@@ -9,28 +9,44 @@
 use crate::interface::TenthMillis;
 use crate::state::{Observations, Replica};
 
-/// How many responses the mean of its zone weighs in a replica's median.
+/// How much the mean of its zone weighs in a replica's median.
+///
+/// Unit: responses. Reason: a replica that has not responded yet counts as its zone does.
 const ZONE_PRIOR: f64 = 1.0;
 
-/// How many responses the mean of the fleet weighs in a zone's median.
+/// How much the mean of the fleet weighs in a zone's median.
+///
+/// Unit: responses. Reason: a zone that has responded seldom counts as the fleet does.
 const FLEET_PRIOR: f64 = 4.0;
 
-/// What each attempt in flight from here, beyond the average, adds to a replica's median, as a share of it.
+/// What each attempt in flight from here, beyond the average, adds to a replica's median.
+///
+/// Unit: share of the median. Reason: response times show a burst only once it has been served.
 const LOAD_PER_ATTEMPT: f64 = 1.0;
 
-/// What each sub-request that a replica reports as queued adds to its median, as a share of it.
+/// What each sub-request that a replica reports as queued adds to its median.
+///
+/// Unit: share of the median. Reason: reports are older than what is counted here, so they count half.
 const LOAD_PER_QUEUED: f64 = 0.5;
 
-/// What a replica that only fails has added to its score; the slowest median counts 1.
+/// What a replica that only fails has added to its score.
+///
+/// Unit: score (the slowest median counts 1). Reason: it has to score far worse than the slowest replica that responds.
 const SEVERITY: f64 = 8.0;
 
 /// What is added to the score of a replica that has not responded to a probe in time.
+///
+/// Unit: score. Reason: between the slowest median, which counts 1, and a replica that only fails.
 const PROBE_OWED: f64 = 4.0;
 
-/// Where few responses come from each replica, observations decay slower, by this factor at most.
+/// How much slower observations decay at most where few responses come from each replica.
+///
+/// Unit: factor. Reason: older observations than half a minute tell nothing of a replica's present.
 const MAX_TIME_CONSTANT_FACTOR: f64 = 10.0;
 
-/// The weight of one more update in a value that is smoothed over about a reset interval.
+/// The weight of one more update in a smoothed value.
+///
+/// Unit: share. Reason: the value then follows within about a reset interval.
 pub(super) const SMOOTHING: f64 = SCORE_INTERVAL as f64 / RESET_INTERVAL as f64;
 
 /// What all scores of one update are relative to. Times are in tenths of a millisecond.
--- a/crates/linenthread-core/src/policy/send_guard.rs
+++ b/crates/linenthread-core/src/policy/send_guard.rs
@@ -6,8 +6,9 @@
 use crate::interface::{Idempotency, TenthMillis};
 use crate::state::{Outage, Query, SubRequest};
 
-/// After an outage of this length, in tenths of a millisecond, attempts may try a replica that no probe has
-/// reached: it may fail probes only.
+/// After an outage of this length attempts may try a replica that no probe has reached.
+///
+/// Unit: 0.1 ms (3 s). Reason: it may be a replica that fails probes only.
 pub(super) const OUTAGE_TRIAL: TenthMillis = 30_000;
 
 impl Coordinator {
@@ -29,10 +30,7 @@
             && sub_request.is_needed()
             && self.is_member(replica)
             && sub_request.attempts.len() < self.config.permissions.max_attempts
-            && sub_request
-                .attempts
-                .iter()
-                .all(|attempt| !attempt.is_in_flight() || attempt.replica != replica)
+            && !sub_request.is_in_flight_at(replica)
             && self.has_slow_start_budget(replica)
             && (sub_request.attempts.is_empty() || self.has_retry_budget())
             && !self.is_out_of_reach(query, sub_request, replica)
@@ -43,8 +41,8 @@
         replica.is_ready() || replica.is_last_resort(self.now)
     }
 
-    /// The replica is down up to the query's end; or the sub-request's next attempt is a further one that would
-    /// come too late.
+    /// Whether sending the sub-request to the replica is in vain: the replica is down up to the moment at which the
+    /// query is given up, or the attempt is a retry whose response is expected after that moment.
     pub(super) fn is_out_of_reach(
         &self,
         query: &Query,
@@ -52,19 +50,20 @@
         replica_index: usize,
     ) -> bool {
         let replica = &self.replicas[replica_index];
-        let end = gives_up_at(query, self.index_of(query));
+        let gives_up_at = gives_up_at(query, self.index_of(query));
+        // Without probes only an attempt can find that the replica is back, so it counts as it is now.
         let checked_at = if self.config.permissions.health_probes {
-            end
+            gives_up_at
         } else {
             self.now
         };
-        replica.outage.is_some() && !self.is_up(replica_index, checked_at)
-            || !sub_request.attempts.is_empty()
-                && replica.expected_latency > (end - self.now) as f64
+        let stays_down = replica.outage.is_some() && !self.is_up(replica_index, checked_at);
+        let is_retry = !sub_request.attempts.is_empty();
+        stays_down || is_retry && replica.expected_latency > (gives_up_at - self.now) as f64
     }
 
-    /// Attempts may be sent to the replica at some time: it is up, or has been down for so long that an attempt
-    /// may try it. Where no probes are permitted attempts do, one at a time, soon and then less and less often.
+    /// Whether attempts may be sent to the replica at a moment: it is up, or has been down for so long that an attempt
+    /// may try it. Where no probes are permitted attempts try it one at a time, soon and then less and less often.
     pub(super) fn is_up(&self, replica_index: usize, at: TenthMillis) -> bool {
         let replica = &self.replicas[replica_index];
         let may_be_tried = |outage: Outage| {
--- a/crates/linenthread-core/src/policy/sending.rs
+++ b/crates/linenthread-core/src/policy/sending.rs
@@ -6,11 +6,14 @@
 use crate::interface::{DecisionSink, TenthMillis};
 use crate::state::Attempt;
 
-/// A connection is idle after this time without use, in tenths of a millisecond.
+/// A connection is idle after this time without use.
+///
+/// Unit: 0.1 ms (750 ms). Reason: what drops connections unnoticed does so to those that are not used.
 const IDLE_AFTER: TenthMillis = 7_500;
 
-/// Idle connections are closed before use where they fail more often than others by this share of attempts:
-/// something drops them unnoticed.
+/// Idle connections are closed before use where they fail more often than others by this.
+///
+/// Unit: share of attempts. Reason: a smaller difference is chance, and closing costs a handshake for each attempt.
 const IDLE_FAILURE_MARGIN: f64 = 0.08;
 
 impl Coordinator {
@@ -27,7 +30,7 @@
         let now = self.now;
         let is_slow_start = self.slow_start_capacity(replica_index).is_some();
         let query = self.open_query(query_index);
-        let end = gives_up_at(query, self.index_of(query));
+        let gives_up_at = gives_up_at(query, self.index_of(query));
         let sub_request = &query.sub_requests[sub_request_index];
         let is_retry = !sub_request.attempts.is_empty();
         let is_hedge = sub_request.in_flight() > 0;
@@ -55,12 +58,13 @@
         if is_retry {
             self.count_retry();
         }
-        let timeout = (end - now).max(1);
+        let timeout = (gives_up_at - now).max(1);
         sink.send(query_index, sub_request_index, replica_index, timeout);
     }
 
-    /// Closes the idle connections to a replica where such connections fail. Returns whether the attempt's
-    /// connection will have been idle; `None` where other attempts are in flight.
+    /// Closes the idle connections to a replica where such connections fail. Returns whether the attempt will be sent
+    /// on a connection that had been idle; `None` where other attempts are in flight, since it is not known then which
+    /// connection it gets.
     fn prepare_connection(
         &self,
         replica_index: usize,
@@ -69,11 +73,11 @@
         let replica = &self.replicas[replica_index];
         let is_alone = replica.in_flight == 0;
         let is_idle = is_alone && self.now - replica.last_used_at > IDLE_AFTER;
-        let closes = is_idle && self.idle_connections_fail();
-        if closes {
+        let closes_idle = is_idle && self.idle_connections_fail();
+        if closes_idle {
             sink.close_idle(replica_index);
         }
-        is_alone.then_some(is_idle && !closes)
+        is_alone.then_some(is_idle && !closes_idle)
     }
 
     fn idle_connections_fail(&self) -> bool {
--- a/crates/linenthread-core/src/policy/slow_start.rs
+++ b/crates/linenthread-core/src/policy/slow_start.rs
@@ -2,18 +2,23 @@
 
 use super::Coordinator;
 
-/// Share of the slow-start budget that is used.
+/// How much is used of the slow-start budget.
+///
+/// Unit: share of the budget. Reason: the capacity that it is a multiple of is estimated.
 const BUDGET_USE: f64 = 0.8;
 
 /// Where co-ordinators take turns, turns come so often that this share of them is used.
+///
+/// Unit: share of turns. Reason: a co-ordinator that sees little seldom has an attempt for the replica in its turn.
 const USED_TURNS: f64 = 0.5;
 
-/// Turns come more often by this factor at most.
+/// How much more often turns come at most.
+///
+/// Unit: factor. Reason: turns that coincide all use the budget.
 const MAX_TURN_FACTOR: f64 = 2.0;
 
 impl Coordinator {
-    /// What share of its full capacity a replica has at least while it is in slow start; `None` once it is
-    /// warm.
+    /// The share of its full capacity that a replica has while it is in slow start; `None` once it is warm.
     pub(super) fn slow_start_capacity(&self, replica: usize) -> Option<f64> {
         let slow_start = &self.config.slow_start;
         let age = self.now - self.replicas[replica].started_at()?;
@@ -39,9 +44,10 @@
             * own_share
             * self.fleet.warm_capacity;
         if budget >= 1.0 {
-            return (sent + 1) as f64 <= budget;
+            (sent + 1) as f64 <= budget
+        } else {
+            sent == 0 && self.is_turn(replica_index, budget)
         }
-        sent == 0 && self.is_turn(replica_index, budget)
     }
 
     /// With a budget of less than one attempt in each window, the co-ordinators take turns, window by window
--- a/crates/linenthread-core/src/state/query.rs
+++ b/crates/linenthread-core/src/state/query.rs
@@ -55,6 +55,13 @@
         self.attempts.iter().filter(|a| a.is_in_flight()).count()
     }
 
+    /// Whether an attempt of it is in flight at this replica.
+    pub(crate) fn is_in_flight_at(&self, replica: usize) -> bool {
+        self.attempts
+            .iter()
+            .any(|attempt| attempt.is_in_flight() && attempt.replica == replica)
+    }
+
     /// Cancels its attempts in flight.
     pub(crate) fn cancel(
         &self,
