--- a/crates/linenthread-core/src/policy/dispatch.rs
+++ b/crates/linenthread-core/src/policy/dispatch.rs
@@ -8,8 +8,8 @@
 
 /// How many of the attempts may be hedged requests.
 ///
-/// Unit: share of attempts (1 in 200). Reason: the attempt that loses is work in vain, and on most deployments cancelling
-/// stops none of it.
+/// Unit: share of attempts (1 in 200). Reason: the attempt that loses is work in vain, and on most deployments
+/// cancelling stops none of it.
 const HEDGE_SHARE: f64 = 0.005;
 
 /// The same for the last sub-request that a query lacks.
--- a/crates/linenthread-core/src/policy/health_probe.rs
+++ b/crates/linenthread-core/src/policy/health_probe.rs
@@ -58,7 +58,7 @@
                     retry_at: now + OUTAGE_PROBE_INTERVAL,
                 });
             }
-            // Too busy for a probe. How busy is not known, so it counts as a whole soft deadline of queued sub-requests.
+            // Too busy for a probe. How busy is not known: it counts as a whole soft deadline of queued sub-requests.
             _ => replica.on_report(now, self.min_soft_deadline / self.fleet.lowest_median),
         }
     }
@@ -89,8 +89,8 @@
         }
     }
 
-    /// Probes holders without a recent report before a query's first attempts, where each replica is seen seldom. Returns
-    /// whether the query has to wait for the probes.
+    /// Probes holders without a recent report before a query's first attempts, where each replica is seen seldom.
+    /// Returns whether the query has to wait for the probes.
     pub(super) fn probe_before_first_attempts(
         &mut self,
         query_index: usize,
--- a/crates/linenthread-core/src/policy/mod.rs
+++ b/crates/linenthread-core/src/policy/mod.rs
@@ -24,8 +24,8 @@
 //! | `admission` | which queries are rejected when they arrive |
 //! | `resolution` | when a query is responded to, rejected or failed |
 //!
-//! To explain what became of one query, start at [`Coordinator::resolve`], which each step runs once for each open
-//! query:
+//! To explain what became of one query, start at `Coordinator::resolve` (in `resolution`), which each step runs
+//! once for each open query:
 //!
 //! | observed | decided by |
 //! | --- | --- |
--- a/crates/linenthread-core/src/policy/retry_budget.rs
+++ b/crates/linenthread-core/src/policy/retry_budget.rs
@@ -17,8 +17,8 @@
         }
     }
 
-    /// Whether the budget has room for one more retry or hedged request. At the edge of the window retries still count and
-    /// accepted queries no longer do, so that the limit holds for any window.
+    /// Whether the budget has room for one more retry or hedged request. At the edge of the window retries still
+    /// count and accepted queries no longer do, so that the limit holds for any window.
     pub(super) fn has_retry_budget(&self) -> bool {
         let Some(budget) = &self.config.retry_budget else {
             return true;
