--- a/crates/linenthread-adapter/src/encoder.rs
+++ b/crates/linenthread-adapter/src/encoder.rs
@@ -1,7 +1,9 @@
 //! Encodes one co-ordinator's decisions.
 
 use linenthread_core::DecisionSink;
-use linenthread_core::interface::TenthMillis;
+use linenthread_core::interface::{
+    Completeness, QueryIndex, ReplicaIndex, SubRequestIndex, TenthMillis,
+};
 
 use crate::ids::IdTable;
 use crate::reply::{Reply, action};
@@ -19,21 +21,26 @@
 }
 
 impl Encoder<'_> {
-    fn query_record(&mut self, code: u8, query: usize) -> &mut Reply {
+    fn query_record(&mut self, code: u8, query: QueryIndex) -> &mut Reply {
         let id = self.ids.query_ids(query).query;
         self.reply
             .record(code, self.instance)
             .put(&id.to_be_bytes())
     }
 
-    fn sub_request_record(&mut self, code: u8, query: usize, sub_request: usize) -> &mut Reply {
-        let id = self.ids.query_ids(query).sub_requests[sub_request];
+    fn sub_request_record(
+        &mut self,
+        code: u8,
+        query: QueryIndex,
+        sub_request: SubRequestIndex,
+    ) -> &mut Reply {
+        let id = self.ids.query_ids(query).sub_requests[sub_request.0];
         self.reply
             .record(code, self.instance)
             .put(&id.to_be_bytes())
     }
 
-    fn replica_record(&mut self, code: u8, replica: usize) {
+    fn replica_record(&mut self, code: u8, replica: ReplicaIndex) {
         let id = self.ids.replica_id(replica);
         self.reply
             .record(code, self.instance)
@@ -42,42 +49,48 @@
 }
 
 impl DecisionSink for Encoder<'_> {
-    fn send(&mut self, query: usize, sub_request: usize, replica: usize, timeout: TenthMillis) {
+    fn send(
+        &mut self,
+        query: QueryIndex,
+        sub_request: SubRequestIndex,
+        replica: ReplicaIndex,
+        timeout: TenthMillis,
+    ) {
         let id = self.ids.replica_id(replica);
         self.sub_request_record(action::SEND, query, sub_request)
             .put(&id.to_be_bytes())
             .put(&millis(timeout));
     }
 
-    fn cancel(&mut self, query: usize, sub_request: usize, attempt: usize) {
+    fn cancel(&mut self, query: QueryIndex, sub_request: SubRequestIndex, attempt: usize) {
         let attempt = u8::try_from(attempt).unwrap_or(u8::MAX);
         self.sub_request_record(action::CANCEL, query, sub_request)
             .put(&[attempt]);
     }
 
-    fn respond(&mut self, query: usize, complete: bool) {
+    fn respond(&mut self, query: QueryIndex, completeness: Completeness) {
         self.query_record(action::RESPOND, query)
-            .put(&[u8::from(complete)]);
+            .put(&[u8::from(completeness == Completeness::Complete)]);
     }
 
-    fn reject(&mut self, query: usize, retry_after: Option<TenthMillis>) {
+    fn reject(&mut self, query: QueryIndex, retry_after: Option<TenthMillis>) {
         self.query_record(action::REJECT, query)
             .put(&millis(retry_after.unwrap_or(0)));
     }
 
-    fn fail(&mut self, query: usize) {
+    fn fail(&mut self, query: QueryIndex) {
         self.query_record(action::FAIL, query);
     }
 
-    fn release(&mut self, query: usize) {
+    fn release(&mut self, query: QueryIndex) {
         self.ids.release_query(query);
     }
 
-    fn probe(&mut self, replica: usize) {
+    fn probe(&mut self, replica: ReplicaIndex) {
         self.replica_record(action::PROBE, replica);
     }
 
-    fn close_idle(&mut self, replica: usize) {
+    fn close_idle(&mut self, replica: ReplicaIndex) {
         self.replica_record(action::CLOSE_IDLE, replica);
     }
 
--- a/crates/linenthread-adapter/src/ids.rs
+++ b/crates/linenthread-adapter/src/ids.rs
@@ -2,6 +2,8 @@
 
 use std::collections::HashMap;
 
+use linenthread_core::interface::{QueryIndex, ReplicaIndex, SubRequestIndex};
+
 /// The ids behind one query's index.
 #[derive(Default)]
 pub(crate) struct QueryIds {
@@ -14,8 +16,11 @@
 /// What an id of the wire stands for.
 #[derive(Clone, Copy)]
 pub(crate) enum Target {
-    Query(usize),
-    SubRequest { query: usize, sub_request: usize },
+    Query(QueryIndex),
+    SubRequest {
+        query: QueryIndex,
+        sub_request: SubRequestIndex,
+    },
 }
 
 /// The ids that one instance knows.
@@ -23,31 +28,31 @@
 pub(crate) struct IdTable {
     /// By the replicas' indices.
     replicas: Vec<u32>,
-    replica_indices: HashMap<u32, usize>,
+    replica_indices: HashMap<u32, ReplicaIndex>,
     /// By the queries' indices.
     queries: Vec<QueryIds>,
     /// Indices of queries that may be used again.
-    free: Vec<usize>,
-    queries_by_number: HashMap<u32, usize>,
+    free: Vec<QueryIndex>,
+    queries_by_number: HashMap<u32, QueryIndex>,
     targets: HashMap<u64, Target>,
 }
 
 impl IdTable {
     /// The index of a replica, a new one if it has none.
-    pub(crate) fn replica_index(&mut self, id: u32) -> usize {
+    pub(crate) fn replica_index(&mut self, id: u32) -> ReplicaIndex {
         let replicas = &mut self.replicas;
         *self.replica_indices.entry(id).or_insert_with(|| {
             replicas.push(id);
-            replicas.len() - 1
+            ReplicaIndex(replicas.len() - 1)
         })
     }
 
-    pub(crate) fn replica_id(&self, index: usize) -> u32 {
-        self.replicas[index]
+    pub(crate) fn replica_id(&self, index: ReplicaIndex) -> u32 {
+        self.replicas[index.0]
     }
 
-    pub(crate) fn query_ids(&self, index: usize) -> &QueryIds {
-        &self.queries[index]
+    pub(crate) fn query_ids(&self, index: QueryIndex) -> &QueryIds {
+        &self.queries[index.0]
     }
 
     pub(crate) fn target(&self, id: u64) -> Option<Target> {
@@ -55,18 +60,18 @@
     }
 
     /// Gives a query an index.
-    pub(crate) fn add_query(&mut self, id: u64, number: u32) -> usize {
+    pub(crate) fn add_query(&mut self, id: u64, number: u32) -> QueryIndex {
         let ids = QueryIds {
             query: id,
             number,
             sub_requests: Vec::new(),
         };
         let query = if let Some(free) = self.free.pop() {
-            self.queries[free] = ids;
+            self.queries[free.0] = ids;
             free
         } else {
             self.queries.push(ids);
-            self.queries.len() - 1
+            QueryIndex(self.queries.len() - 1)
         };
         self.queries_by_number.insert(number, query);
         self.targets.insert(id, Target::Query(query));
@@ -74,12 +79,12 @@
     }
 
     /// Adds a sub-request to the query of a number and returns that query's index, where there is one.
-    pub(crate) fn add_sub_request(&mut self, id: u64, number: u32) -> Option<usize> {
+    pub(crate) fn add_sub_request(&mut self, id: u64, number: u32) -> Option<QueryIndex> {
         let query = *self.queries_by_number.get(&number)?;
-        let sub_requests = &mut self.queries[query].sub_requests;
+        let sub_requests = &mut self.queries[query.0].sub_requests;
         let target = Target::SubRequest {
             query,
-            sub_request: sub_requests.len(),
+            sub_request: SubRequestIndex(sub_requests.len()),
         };
         sub_requests.push(id);
         self.targets.insert(id, target);
@@ -87,8 +92,8 @@
     }
 
     /// Forgets a query; its index may be used again.
-    pub(crate) fn release_query(&mut self, index: usize) {
-        let ids = std::mem::take(&mut self.queries[index]);
+    pub(crate) fn release_query(&mut self, index: QueryIndex) {
+        let ids = std::mem::take(&mut self.queries[index.0]);
         for id in ids.sub_requests.iter().chain([&ids.query]) {
             self.targets.remove(id);
         }
--- a/crates/linenthread-core/src/interface.rs
+++ b/crates/linenthread-core/src/interface.rs
@@ -7,11 +7,16 @@
 //! named it. The sub-requests of a query are numbered from 0 in the order they came, those of the fetch phase
 //! after those of the query phase.
 //!
+//! Indices that stand side by side have types of their own ([`ReplicaIndex`], [`QueryIndex`], [`SubRequestIndex`]).
+//! The numbers of search indexes, customers, zones, shards and replica groups are plain `usize`: each is named by its
+//! field wherever it stands, and is a position in a list of the configuration.
+//!
 //! All moments and lengths of time are [`TenthMillis`].
 
 mod attempt;
 mod config;
 mod decision;
+mod indices;
 mod inputs;
 mod membership;
 mod query;
@@ -20,8 +25,9 @@
 pub use config::{
     CoordinatorConfig, Idempotency, IndexConfig, Permissions, RetryBudget, ShardLayout, SlowStart,
 };
-pub use decision::{DecisionSink, FailureCause};
-pub use inputs::Inputs;
+pub use decision::{Completeness, DecisionSink, FailureCause};
+pub use indices::{QueryIndex, ReplicaIndex, SubRequestIndex};
+pub use inputs::{Continuation, Inputs};
 pub use membership::{MembershipEntry, MembershipUpdate, Phase, ZoneRoute};
 pub use query::{NewQuery, NewSubRequest};
 
--- a/crates/linenthread-core/src/interface/attempt.rs
+++ b/crates/linenthread-core/src/interface/attempt.rs
@@ -1,6 +1,6 @@
 //! How attempts of sub-requests and probes of replicas ended.
 
-use super::TenthMillis;
+use super::{QueryIndex, ReplicaIndex, SubRequestIndex, TenthMillis};
 
 /// How an attempt, or a probe, ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -37,9 +37,9 @@
 #[derive(Clone, Debug)]
 pub struct AttemptResult {
     /// The query it belongs to.
-    pub query: usize,
+    pub query: QueryIndex,
     /// The sub-request, by its number within the query.
-    pub sub_request: usize,
+    pub sub_request: SubRequestIndex,
     /// The attempt's number, from 0 in the order the sub-request's attempts were made.
     pub attempt: usize,
     /// How it ended.
@@ -54,7 +54,7 @@
 #[derive(Clone, Debug)]
 pub struct ProbeResult {
     /// The replica that was probed.
-    pub replica: usize,
+    pub replica: ReplicaIndex,
     /// How the probe ended.
     pub outcome: AttemptOutcome,
     /// Sub-requests that the replica reports as queued, where it does.
--- a/crates/linenthread-core/src/interface/decision.rs
+++ b/crates/linenthread-core/src/interface/decision.rs
@@ -1,6 +1,6 @@
 //! The decisions of a step.
 
-use super::TenthMillis;
+use super::{QueryIndex, ReplicaIndex, SubRequestIndex, TenthMillis};
 
 /// Why a query is rejected or failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -17,27 +17,42 @@
     Saturated,
 }
 
+/// Whether a response has all that the query asked for.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Completeness {
+    /// It has the share of the sub-requests that makes a complete response.
+    Complete,
+    /// It has at least the share under which no response may be given.
+    Partial,
+}
+
 /// Where decisions go, in the order they are taken.
 pub trait DecisionSink {
     /// The cause of the [`reject`](Self::reject) or [`fail`](Self::fail) that comes next.
-    fn failure_cause(&mut self, _query: usize, _cause: FailureCause) {}
+    fn failure_cause(&mut self, _query: QueryIndex, _cause: FailureCause) {}
     /// Send the next attempt of a sub-request to a replica.
-    fn send(&mut self, query: usize, sub_request: usize, replica: usize, timeout: TenthMillis);
+    fn send(
+        &mut self,
+        query: QueryIndex,
+        sub_request: SubRequestIndex,
+        replica: ReplicaIndex,
+        timeout: TenthMillis,
+    );
     /// Cancel an attempt in flight.
-    fn cancel(&mut self, query: usize, sub_request: usize, attempt: usize);
+    fn cancel(&mut self, query: QueryIndex, sub_request: SubRequestIndex, attempt: usize);
     /// Respond from the sub-requests that have succeeded. With a fetch phase to come this is not yet the final
     /// response.
-    fn respond(&mut self, query: usize, complete: bool);
+    fn respond(&mut self, query: QueryIndex, completeness: Completeness);
     /// Reject the query: sending it again is harmless.
-    fn reject(&mut self, query: usize, retry_after: Option<TenthMillis>);
+    fn reject(&mut self, query: QueryIndex, retry_after: Option<TenthMillis>);
     /// Fail the query without such a promise.
-    fn fail(&mut self, query: usize);
+    fn fail(&mut self, query: QueryIndex);
     /// The query has ended and no attempt of it is in flight: its index may be reused.
-    fn release(&mut self, query: usize);
+    fn release(&mut self, query: QueryIndex);
     /// Probe a replica.
-    fn probe(&mut self, replica: usize);
+    fn probe(&mut self, replica: ReplicaIndex);
     /// Close the idle connections to a replica.
-    fn close_idle(&mut self, replica: usize);
+    fn close_idle(&mut self, replica: ReplicaIndex);
     /// Watch service discovery for changes.
     fn watch_membership(&mut self);
     /// Run a step at this time at the latest.
--- a/crates/linenthread-core/src/interface/inputs.rs
+++ b/crates/linenthread-core/src/interface/inputs.rs
@@ -1,9 +1,19 @@
 //! The inputs of one step.
 
 use super::{
-    AttemptResult, MembershipUpdate, NewQuery, NewSubRequest, ProbeResult, TenthMillis, ZoneRoute,
+    AttemptResult, MembershipUpdate, NewQuery, NewSubRequest, ProbeResult, QueryIndex,
+    SubRequestIndex, TenthMillis, ZoneRoute,
 };
 
+/// A sub-request that has succeeded and is wanted once more, since its response brought less than its query needs.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct Continuation {
+    /// The query it belongs to.
+    pub query: QueryIndex,
+    /// The sub-request, by its number within the query.
+    pub sub_request: SubRequestIndex,
+}
+
 /// All that arrived for one co-ordinator since its last step.
 #[derive(Clone, Debug, Default)]
 pub struct Inputs {
@@ -19,12 +29,11 @@
     pub sub_requests: Vec<NewSubRequest>,
     /// Attempts that ended.
     pub results: Vec<AttemptResult>,
-    /// Queries and their sub-requests that have succeeded and are wanted once more, since their response
-    /// brought less than the query needs. The module decides whether that is possible; the response at hand
+    /// Sub-requests that are wanted once more. The module decides whether that is possible; the response at hand
     /// remains valid.
-    pub continuations: Vec<(usize, usize)>,
+    pub continuations: Vec<Continuation>,
     /// Probes that ended.
     pub probes: Vec<ProbeResult>,
     /// Queries whose client has left.
-    pub abandoned: Vec<usize>,
+    pub abandoned: Vec<QueryIndex>,
 }
--- a/crates/linenthread-core/src/interface/membership.rs
+++ b/crates/linenthread-core/src/interface/membership.rs
@@ -1,6 +1,6 @@
 //! The replicas as service discovery lists them, and the routes to their zones.
 
-use super::TenthMillis;
+use super::{ReplicaIndex, TenthMillis};
 
 /// What service discovery says of a replica.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -18,7 +18,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct MembershipEntry {
     /// The replica's index at this co-ordinator.
-    pub replica: usize,
+    pub replica: ReplicaIndex,
     /// The replica's id, the same at every co-ordinator.
     pub id: u64,
     /// The group of replicas that hold the same shards.
--- a/crates/linenthread-core/src/interface/query.rs
+++ b/crates/linenthread-core/src/interface/query.rs
@@ -1,12 +1,12 @@
 //! Queries and their sub-requests as they arrive.
 
-use super::TenthMillis;
+use super::{QueryIndex, TenthMillis};
 
 /// A query that has arrived.
 #[derive(Clone, Debug)]
 pub struct NewQuery {
     /// The query's index at this co-ordinator.
-    pub query: usize,
+    pub query: QueryIndex,
     /// The number of the index it is for.
     pub index: usize,
     /// The number of the customer it is from.
@@ -23,7 +23,7 @@
 #[derive(Clone, Debug)]
 pub struct NewSubRequest {
     /// The query it belongs to.
-    pub query: usize,
+    pub query: QueryIndex,
     /// The shard it is for.
     pub shard: usize,
     /// Its share of the query's whole weight, above 0 and up to 1.
--- a/crates/linenthread-core/src/policy/admission.rs
+++ b/crates/linenthread-core/src/policy/admission.rs
@@ -5,7 +5,7 @@
 
 use super::Coordinator;
 use super::windows::{FRESH_REPORT, LONG_TERM, MIN_WEIGHT, RECENT};
-use crate::interface::{FailureCause, IndexConfig};
+use crate::interface::{FailureCause, IndexConfig, QueryIndex, ReplicaIndex};
 use crate::state::{DecayingSums, Query, Replica, SubRequest};
 
 /// While little was observed, so many sub-requests of usual delay weigh in the estimate of delays.
@@ -104,7 +104,7 @@
 
 impl Coordinator {
     /// Why a query is not admitted; `None` if it is. Counts the query in the statistics of admission.
-    pub(super) fn admission_failure(&mut self, query_index: usize) -> Option<FailureCause> {
+    pub(super) fn admission_failure(&mut self, query_index: QueryIndex) -> Option<FailureCause> {
         self.decay_admission_statistics();
         let delays = self.delay_estimate();
         let slowdown = self.shard_slowdown(self.open_query(query_index), &delays);
@@ -149,7 +149,7 @@
         }
     }
 
-    fn record_size(&mut self, query_index: usize) {
+    fn record_size(&mut self, query_index: QueryIndex) {
         let query = self.open_query(query_index);
         let (index, count) = (query.index, query.sub_requests.len() as f64);
         self.fleet.query_sizes[index].record(self.now, LONG_TERM, count);
@@ -171,7 +171,7 @@
     /// How many times slower than the mean the query's slowest shard is. A shard is as slow as its quickest holder,
     /// since all queries that need it meet in that one's queue; shards that a response may lack do not count.
     fn shard_slowdown(&self, query: &Query, delays: &DelayEstimate) -> f64 {
-        let latency = |replica: usize| self.replicas[replica].expected_latency;
+        let latency = |replica: ReplicaIndex| self.replicas[replica].expected_latency;
         let quickest = |sub_request: &SubRequest| {
             let latencies = self.shard_replicas(query, sub_request).map(latency);
             latencies.min_by(f64::total_cmp)
@@ -221,7 +221,7 @@
     }
 
     /// What the query's sub-requests cost for its value, relative to the average. Counts it in that average.
-    fn relative_cost(&mut self, query_index: usize) -> f64 {
+    fn relative_cost(&mut self, query_index: QueryIndex) -> f64 {
         let query = self.open_query(query_index);
         let count = query.sub_requests.len() as f64;
         let work = if self.config.value_by_work {
--- a/crates/linenthread-core/src/policy/arrival.rs
+++ b/crates/linenthread-core/src/policy/arrival.rs
@@ -2,7 +2,9 @@
 
 use super::Coordinator;
 use super::windows::LONG_TERM;
-use crate::interface::{Idempotency, NewQuery, NewSubRequest, TenthMillis};
+use crate::interface::{
+    Continuation, Idempotency, NewQuery, NewSubRequest, QueryIndex, TenthMillis,
+};
 use crate::state::{Query, SubRequest, hash_ids};
 
 /// How long before its deadline a response leaves.
@@ -12,7 +14,7 @@
 
 impl Coordinator {
     pub(super) fn on_query(&mut self, new: &NewQuery) {
-        let query_count = self.queries.len().max(new.query + 1);
+        let query_count = self.queries.len().max(new.query.0 + 1);
         self.queries.resize_with(query_count, || None);
         let soft_deadline = self.now + self.config.indexes[new.index].soft_deadline;
         self.queries[new.query] = Some(Query {
@@ -32,7 +34,7 @@
     }
 
     pub(super) fn on_sub_request(&mut self, new: &NewSubRequest) {
-        if let Some(Some(query)) = self.queries.get_mut(new.query) {
+        if let Some(query) = self.query_mut(new.query) {
             query.sub_requests.push(SubRequest {
                 shard: new.shard,
                 weight: new.weight,
@@ -42,10 +44,10 @@
     }
 
     /// A sub-request that has succeeded is wanted once more: only where it may run again.
-    pub(super) fn on_continuation(&mut self, query_index: usize, sub_request_index: usize) {
-        if let Some(Some(query)) = self.queries.get_mut(query_index)
+    pub(super) fn on_continuation(&mut self, wanted: Continuation) {
+        if let Some(Some(query)) = self.queries.get_mut(wanted.query.0)
             && self.config.indexes[query.index].idempotency == Idempotency::Idempotent
-            && let Some(sub_request) = query.sub_requests.get_mut(sub_request_index)
+            && let Some(sub_request) = query.sub_requests.get_mut(wanted.sub_request.0)
             && sub_request.succeeded
         {
             sub_request.continued_from = Some(sub_request.attempts.len());
@@ -53,8 +55,8 @@
     }
 
     /// The client of a query has left: nothing more is sent or responded.
-    pub(super) fn on_abandoned(&mut self, query_index: usize) {
-        if let Some(Some(query)) = self.queries.get_mut(query_index) {
+    pub(super) fn on_abandoned(&mut self, query_index: QueryIndex) {
+        if let Some(query) = self.query_mut(query_index) {
             query.finished = true;
         }
     }
--- a/crates/linenthread-core/src/policy/attempt_result.rs
+++ b/crates/linenthread-core/src/policy/attempt_result.rs
@@ -3,7 +3,9 @@
 use super::Coordinator;
 use super::send_guard::OUTAGE_TRIAL;
 use super::windows::{CRASH_MEMORY, MIN_WEIGHT, RECENT};
-use crate::interface::{AttemptOutcome, AttemptResult, DecisionSink, TenthMillis};
+use crate::interface::{
+    AttemptOutcome, AttemptResult, DecisionSink, QueryIndex, ReplicaIndex, TenthMillis,
+};
 use crate::state::{Attempt, Observations, Outage};
 
 /// Where no probes are permitted, the first attempt tries a replica that is down after this time.
@@ -23,7 +25,7 @@
 
 /// An attempt that has just ended, with what its evaluation needs.
 struct FinishedAttempt {
-    replica: usize,
+    replica: ReplicaIndex,
     outcome: AttemptOutcome,
     /// From its sending to its end, in tenths of a millisecond.
     elapsed: f64,
@@ -91,8 +93,8 @@
     }
 
     fn attempt_mut(&mut self, result: &AttemptResult) -> Option<&mut Attempt> {
-        let query = self.queries.get_mut(result.query)?.as_mut()?;
-        let sub_request = query.sub_requests.get_mut(result.sub_request)?;
+        let query = self.query_mut(result.query)?;
+        let sub_request = query.sub_requests.get_mut(result.sub_request.0)?;
         sub_request.attempts.get_mut(result.attempt)
     }
 
@@ -128,7 +130,7 @@
 
     /// A full replica is one that would take long: a rejection counts as a response time and a delay of a whole soft
     /// deadline. One that drains has rejected it for good, so it is no last resort any more.
-    fn record_rejection(&mut self, replica: usize) {
+    fn record_rejection(&mut self, replica: ReplicaIndex) {
         let (now, time_constant) = (self.now, self.fleet.time_constant);
         let log_deadline = self.min_soft_deadline.ln();
         self.fleet.log_delays.record(now, RECENT, log_deadline);
@@ -201,7 +203,7 @@
     }
 
     /// Records a response time, as its logarithm, for a replica and its zone.
-    fn record_latency(&mut self, replica: usize, log_latency: f64) {
+    fn record_latency(&mut self, replica: ReplicaIndex, log_latency: f64) {
         let (now, time_constant) = (self.now, self.fleet.time_constant);
         for observations in self.observations_of(replica) {
             let log_latencies = &mut observations.log_latencies;
@@ -210,7 +212,7 @@
     }
 
     /// Records a failure (1) or a response (0) for a replica and its zone.
-    fn record_outcome(&mut self, replica: usize, failure: f64) {
+    fn record_outcome(&mut self, replica: ReplicaIndex, failure: f64) {
         let (now, time_constant) = (self.now, self.fleet.time_constant);
         for observations in self.observations_of(replica) {
             observations.failures.record(now, time_constant, failure);
@@ -218,14 +220,14 @@
     }
 
     /// The observations of a replica and those of its zone, which lend weight to replicas that are seldom observed.
-    fn observations_of(&mut self, replica: usize) -> [&mut Observations; 2] {
+    fn observations_of(&mut self, replica: ReplicaIndex) -> [&mut Observations; 2] {
         let replica = &mut self.replicas[replica];
         let zone = &mut self.zones[replica.entry.zone];
         [&mut replica.observations, zone]
     }
 
     /// Makes the replica count as down after a lost connection or a failed connect.
-    fn record_outage(&mut self, query_index: usize, finished: &FinishedAttempt) {
+    fn record_outage(&mut self, query_index: QueryIndex, finished: &FinishedAttempt) {
         match finished.outcome {
             AttemptOutcome::ConnectionLost => {
                 self.suspect_crash(query_index, finished.replica);
@@ -238,7 +240,7 @@
 
     /// A connection lost under a query may mean that the query made the replica crash; a probe is to tell. Each replica
     /// is suspected once a query: further connections that it loses are no further evidence.
-    fn suspect_crash(&mut self, query_index: usize, replica: usize) {
+    fn suspect_crash(&mut self, query_index: QueryIndex, replica: ReplicaIndex) {
         let health_probes = self.config.permissions.health_probes;
         let query = self.open_query_mut(query_index);
         if !query.lost_connections.contains(&replica) {
@@ -247,7 +249,7 @@
         }
     }
 
-    fn mark_down(&mut self, replica: usize) {
+    fn mark_down(&mut self, replica: ReplicaIndex) {
         let now = self.now;
         let replica = &mut self.replicas[replica];
         let outage = replica.outage.unwrap_or(Outage {
--- a/crates/linenthread-core/src/policy/capacity.rs
+++ b/crates/linenthread-core/src/policy/capacity.rs
@@ -60,7 +60,8 @@
     }
 
     fn mean_responses_of_warm_replicas(&self) -> f64 {
-        let responses: Vec<f64> = (0..self.replicas.len())
+        let responses: Vec<f64> = self
+            .replica_indices()
             .filter(|&replica| {
                 self.replicas[replica].is_ready() && self.slow_start_capacity(replica).is_none()
             })
--- a/crates/linenthread-core/src/policy/coordinator.rs
+++ b/crates/linenthread-core/src/policy/coordinator.rs
@@ -1,11 +1,12 @@
 //! The state machine: what it consists of, and the order of the decisions within a step.
 
+use crate::interface::{
+    CoordinatorConfig, DecisionSink, IndexConfig, Inputs, QueryIndex, ReplicaIndex, TenthMillis,
+    ZoneRoute,
+};
 use oorandom::Rand64;
 
 use super::windows::{RECENT, RESET_INTERVAL};
-use crate::interface::{
-    CoordinatorConfig, DecisionSink, IndexConfig, Inputs, TenthMillis, ZoneRoute,
-};
 use crate::state::{DecayingSums, FleetStatistics, Observations, Query, Replica, Timers};
 
 /// The longest time from one step to the next.
@@ -34,7 +35,7 @@
     /// By the queries' indices; `None` where an index is not in use.
     pub(super) queries: Vec<Option<Query>>,
     /// The indices of the queries that are not released, oldest first.
-    pub(super) open_queries: Vec<usize>,
+    pub(super) open_queries: Vec<QueryIndex>,
     pub(super) timers: Timers,
 }
 
@@ -127,8 +128,8 @@
         for result in &inputs.results {
             self.on_attempt_result(result, sink);
         }
-        for &(query_index, sub_request_index) in &inputs.continuations {
-            self.on_continuation(query_index, sub_request_index);
+        for &continuation in &inputs.continuations {
+            self.on_continuation(continuation);
         }
         for result in &inputs.probes {
             self.on_probe_result(result);
@@ -154,15 +155,25 @@
         (self.rng.rand_float() * limit as f64) as TenthMillis
     }
 
+    /// The indices of all replicas that were ever listed.
+    pub(super) fn replica_indices(&self) -> impl Iterator<Item = ReplicaIndex> + use<> {
+        (0..self.replicas.len()).map(ReplicaIndex)
+    }
+
+    /// The record of a query, unless it is released or unknown.
+    pub(super) fn query_mut(&mut self, query_index: QueryIndex) -> Option<&mut Query> {
+        self.queries.get_mut(query_index.0)?.as_mut()
+    }
+
     /// The record of a query that is not released.
-    pub(super) fn open_query(&self, query_index: usize) -> &Query {
+    pub(super) fn open_query(&self, query_index: QueryIndex) -> &Query {
         self.queries[query_index]
             .as_ref()
             .expect("a query has its record until it is released")
     }
 
     /// The record of a query that is not released.
-    pub(super) fn open_query_mut(&mut self, query_index: usize) -> &mut Query {
+    pub(super) fn open_query_mut(&mut self, query_index: QueryIndex) -> &mut Query {
         self.queries[query_index]
             .as_mut()
             .expect("a query has its record until it is released")
--- a/crates/linenthread-core/src/policy/dispatch.rs
+++ b/crates/linenthread-core/src/policy/dispatch.rs
@@ -3,7 +3,7 @@
 use super::Coordinator;
 use super::query_of_death::CrashEvidence;
 use super::windows::{CRASH_MEMORY, RECENT, WEIGHT_ROUNDING};
-use crate::interface::DecisionSink;
+use crate::interface::{DecisionSink, QueryIndex, SubRequestIndex};
 use crate::state::{Attempt, Query, SubRequest};
 
 /// How many of the attempts may be hedged requests.
@@ -35,7 +35,7 @@
 /// What is to be sent of a query, and how hedging is limited. Times are in tenths of a millisecond.
 struct DispatchPlan {
     /// The sub-requests in the order they are sent.
-    order: Vec<usize>,
+    order: Vec<SubRequestIndex>,
     /// The weight of first attempts that is still wanted; infinite where all are.
     unsent_weight: f64,
     /// A response time from which on attempts are slow.
@@ -70,11 +70,11 @@
 
 impl Coordinator {
     /// Sends what a query needs now: first attempts, retries of what failed, and hedged requests for what is slow.
-    pub(super) fn send_missing(&mut self, query_index: usize, sink: &mut impl DecisionSink) {
+    pub(super) fn send_missing(&mut self, query_index: QueryIndex, sink: &mut impl DecisionSink) {
         let now = self.now;
         self.fleet.hedges.decay(now, RECENT);
         self.fleet.crashes.decay(now, CRASH_MEMORY);
-        let Some(Some(query)) = self.queries.get(query_index) else {
+        let Some(Some(query)) = self.queries.get(query_index.0) else {
             return;
         };
         let slow = self.slow_latency();
@@ -113,7 +113,9 @@
         let missing = query.present_phase().iter().filter(|s| !s.succeeded);
         let lacks_only_one = missing.count() <= 1;
         let mut plan = DispatchPlan {
-            order: (query.phase_start..query.sub_requests.len()).collect(),
+            order: (query.phase_start..query.sub_requests.len())
+                .map(SubRequestIndex)
+                .collect(),
             unsent_weight: f64::INFINITY,
             slow,
             is_urgent: (query.soft_deadline - self.now) as f64 <= HEDGE_WITHIN * slow,
@@ -160,7 +162,12 @@
 
     /// Whether an attempt in flight is to be cancelled so that the sub-request can go to another holder: one is as good
     /// as lost, no further one may be in flight beside it, and none has been cancelled for this already.
-    fn should_move(&self, query_index: usize, sub_request_index: usize, slow: f64) -> bool {
+    fn should_move(
+        &self,
+        query_index: QueryIndex,
+        sub_request_index: SubRequestIndex,
+        slow: f64,
+    ) -> bool {
         let query = self.open_query(query_index);
         let sub_request = &query.sub_requests[sub_request_index];
         self.config.permissions.cancellation
@@ -180,8 +187,8 @@
     /// as a hedged request.
     fn cancel_to_move(
         &mut self,
-        query_index: usize,
-        sub_request_index: usize,
+        query_index: QueryIndex,
+        sub_request_index: SubRequestIndex,
         sink: &mut impl DecisionSink,
     ) {
         let query = self.open_query_mut(query_index);
--- a/crates/linenthread-core/src/policy/health_probe.rs
+++ b/crates/linenthread-core/src/policy/health_probe.rs
@@ -2,7 +2,9 @@
 
 use super::Coordinator;
 use super::windows::{CRASH_MEMORY, FRESH_REPORT, LONG_TERM, MIN_WEIGHT, PROBE_TIMEOUT, RECENT};
-use crate::interface::{AttemptOutcome, DecisionSink, ProbeResult, TenthMillis};
+use crate::interface::{
+    AttemptOutcome, DecisionSink, ProbeResult, QueryIndex, ReplicaIndex, TenthMillis,
+};
 use crate::state::{Outage, Query, SubRequest};
 
 /// The least time between two probes of a replica that is down, before it is spread and scaled.
@@ -35,7 +37,7 @@
     pub(super) fn on_probe_result(&mut self, result: &ProbeResult) {
         let now = self.now;
         self.timers.next_score = now;
-        let Some(replica) = self.replicas.get_mut(result.replica) else {
+        let Some(replica) = self.replicas.get_mut(result.replica.0) else {
             return;
         };
         let sent_at = replica.probe_sent_at.take().unwrap_or(now);
@@ -71,7 +73,7 @@
         }
         // All co-ordinators probe the same replica, so each waits in proportion to their number.
         let interval_factor = (self.config.coordinator_count as TenthMillis / 4).max(1);
-        for replica_index in 0..self.replicas.len() {
+        for replica_index in self.replica_indices() {
             let replica = &self.replicas[replica_index];
             let Some(outage) = replica.outage.filter(|_| replica.is_ready()) else {
                 continue;
@@ -93,11 +95,11 @@
     /// Returns whether the query has to wait for the probes.
     pub(super) fn probe_before_first_attempts(
         &mut self,
-        query_index: usize,
+        query_index: QueryIndex,
         sink: &mut impl DecisionSink,
     ) -> bool {
         let max_wait = (MAX_PROBE_WAIT_SHARE * self.min_soft_deadline) as TenthMillis;
-        let Some(Some(query)) = self.queries.get(query_index) else {
+        let Some(Some(query)) = self.queries.get(query_index.0) else {
             return false;
         };
         if !self.is_probed_first(query, max_wait) {
@@ -134,7 +136,7 @@
         max_wait: TenthMillis,
     ) -> bool {
         let waited = self.now - probed_at;
-        let is_probed = |replica: usize| self.replicas[replica].probe_sent_at.is_some();
+        let is_probed = |replica: ReplicaIndex| self.replicas[replica].probe_sent_at.is_some();
         let any_probed = |s: &SubRequest| self.shard_replicas(query, s).any(is_probed);
         let all_probed = |s: &SubRequest| self.shard_replicas(query, s).all(is_probed);
         waited < PROBE_TIMEOUT && query.sub_requests.iter().any(any_probed)
@@ -150,10 +152,14 @@
 
     /// Probes those holders of the query's shards that are up and have not reported of late. Returns whether
     /// there was any.
-    fn probe_shard_replicas(&mut self, query_index: usize, sink: &mut impl DecisionSink) -> bool {
+    fn probe_shard_replicas(
+        &mut self,
+        query_index: QueryIndex,
+        sink: &mut impl DecisionSink,
+    ) -> bool {
         let now = self.now;
         let query = self.open_query(query_index);
-        let mut replicas: Vec<usize> = query
+        let mut replicas: Vec<ReplicaIndex> = query
             .sub_requests
             .iter()
             .flat_map(|sub_request| self.shard_replicas(query, sub_request))
--- a/crates/linenthread-core/src/policy/membership_update.rs
+++ b/crates/linenthread-core/src/policy/membership_update.rs
@@ -65,7 +65,7 @@
     }
 
     fn apply_entry(&mut self, entry: &MembershipEntry, is_complete: bool, grace: TenthMillis) {
-        let replica_count = self.replicas.len().max(entry.replica + 1);
+        let replica_count = self.replicas.len().max(entry.replica.0 + 1);
         self.replicas.resize_with(replica_count, Replica::default);
         let zone_count = self.zones.len().max(entry.zone + 1);
         self.zones.resize(zone_count, Observations::default());
--- a/crates/linenthread-core/src/policy/natural_replica.rs
+++ b/crates/linenthread-core/src/policy/natural_replica.rs
@@ -1,7 +1,7 @@
 //! The replica of an attempt: the natural one, unless that scores too badly.
 
 use super::Coordinator;
-use crate::interface::{AttemptOutcome, TenthMillis};
+use crate::interface::{AttemptOutcome, QueryIndex, ReplicaIndex, SubRequestIndex, TenthMillis};
 use crate::state::{Attempt, Query, Replica, SubRequest, hash_ids};
 
 /// How much worse than the best a natural replica may score and keep its sub-requests.
@@ -46,15 +46,15 @@
     /// The replica for a sub-request's next attempt; `None` if there is none to be sent to now.
     pub(super) fn choose_replica(
         &self,
-        query_index: usize,
-        sub_request_index: usize,
-    ) -> Option<usize> {
+        query_index: QueryIndex,
+        sub_request_index: SubRequestIndex,
+    ) -> Option<ReplicaIndex> {
         let query = self.queries[query_index].as_ref()?;
         let sub_request = &query.sub_requests[sub_request_index];
         if self.backs_off_from_full_queues(sub_request) {
             return None;
         }
-        let permitted: Vec<usize> = self
+        let permitted: Vec<ReplicaIndex> = self
             .shard_replicas(query, sub_request)
             .filter(|&replica| self.may_send(query, sub_request, replica))
             .collect();
@@ -64,7 +64,7 @@
             Eligibility::AfterBackoff,
         ];
         strictest_first.into_iter().find_map(|eligibility| {
-            let candidates: Vec<usize> = permitted
+            let candidates: Vec<ReplicaIndex> = permitted
                 .iter()
                 .copied()
                 .filter(|&replica| self.is_eligible(sub_request, replica, eligibility))
@@ -95,7 +95,7 @@
     fn is_eligible(
         &self,
         sub_request: &SubRequest,
-        replica: usize,
+        replica: ReplicaIndex,
         eligibility: Eligibility,
     ) -> bool {
         let is_untried = || {
@@ -120,18 +120,18 @@
         &self,
         query: &Query,
         sub_request: &SubRequest,
-        candidates: &[usize],
-    ) -> Option<usize> {
-        let score = |replica: usize| self.replicas[replica].score;
-        let pending = |replica: usize| self.replicas[replica].pending();
-        let distance = |replica: usize| self.distance(query.key, &self.replicas[replica]);
+        candidates: &[ReplicaIndex],
+    ) -> Option<ReplicaIndex> {
+        let score = |replica: ReplicaIndex| self.replicas[replica].score;
+        let pending = |replica: ReplicaIndex| self.replicas[replica].pending();
+        let distance = |replica: ReplicaIndex| self.distance(query.key, &self.replicas[replica]);
 
         let best_score = candidates
             .iter()
             .copied()
             .map(score)
             .min_by(f64::total_cmp)?;
-        let mut good: Vec<usize> = candidates
+        let mut good: Vec<ReplicaIndex> = candidates
             .iter()
             .copied()
             .filter(|&replica| score(replica) <= best_score * (1.0 + BADNESS_THRESHOLD))
@@ -150,7 +150,7 @@
 
     /// The rank of a replica in rendezvous hashing, highest first: all co-ordinators agree on it, and a replica that
     /// comes or goes moves only its own keys.
-    fn hash_rank(&self, query: &Query, sub_request: &SubRequest, replica: usize) -> u64 {
+    fn hash_rank(&self, query: &Query, sub_request: &SubRequest, replica: ReplicaIndex) -> u64 {
         let shard = sub_request.shard as u64 + 1;
         hash_ids([query.key, shard, self.replicas[replica].entry.id])
     }
@@ -170,7 +170,7 @@
         &self,
         query: &Query,
         sub_request: &SubRequest,
-    ) -> impl Iterator<Item = usize> {
+    ) -> impl Iterator<Item = ReplicaIndex> {
         let (key, shard, now) = (query.key, sub_request.shard, self.now);
         let has_shard = move |replica: &Replica| {
             let holds = self.config.layout.holds(replica.entry.replica_group, shard);
@@ -181,6 +181,7 @@
             let serves = replica.is_ready() || !any_ready && replica.is_last_resort(now);
             serves && has_shard(replica)
         };
-        (0..self.replicas.len()).filter(move |&replica| is_holder(&self.replicas[replica]))
+        self.replica_indices()
+            .filter(move |&replica| is_holder(&self.replicas[replica]))
     }
 }
--- a/crates/linenthread-core/src/policy/resolution.rs
+++ b/crates/linenthread-core/src/policy/resolution.rs
@@ -3,7 +3,10 @@
 use super::Coordinator;
 use super::query_of_death::CrashEvidence;
 use super::windows::WEIGHT_ROUNDING;
-use crate::interface::{DecisionSink, FailureCause, Idempotency, IndexConfig, TenthMillis};
+use crate::interface::{
+    Completeness, DecisionSink, FailureCause, Idempotency, IndexConfig, QueryIndex,
+    SubRequestIndex, TenthMillis,
+};
 use crate::state::{Query, SubRequest};
 
 /// An index whose late responses earn no more than this is given up at its soft deadline.
@@ -63,7 +66,7 @@
     ///
     /// The order matters: a response that is there is given even when the time is up, and a query is judged by
     /// admission only once it could be answered at all.
-    pub(super) fn resolve(&mut self, query_index: usize, sink: &mut impl DecisionSink) {
+    pub(super) fn resolve(&mut self, query_index: QueryIndex, sink: &mut impl DecisionSink) {
         if self.probe_before_first_attempts(query_index, sink) {
             return;
         }
@@ -147,11 +150,21 @@
 
     /// Responds, unless a continuation is in flight, which is awaited up to the soft deadline. A continuation that no
     /// attempt, budget or replica is left for now is not awaited.
-    fn respond(&mut self, query_index: usize, progress: &Progress, sink: &mut impl DecisionSink) {
+    fn respond(
+        &mut self,
+        query_index: QueryIndex,
+        progress: &Progress,
+        sink: &mut impl DecisionSink,
+    ) {
         let query = self.open_query(query_index);
-        let is_complete = progress.is_complete() && query.first_response_complete.unwrap_or(true);
+        let first_was_complete = query.first_response != Some(Completeness::Partial);
+        let completeness = if progress.is_complete() && first_was_complete {
+            Completeness::Complete
+        } else {
+            Completeness::Partial
+        };
         let has_fetch_phase = self.index_of(query).fetch_sub_requests > 0;
-        let is_final = query.first_response_complete.is_some() || !has_fetch_phase;
+        let is_final = query.first_response.is_some() || !has_fetch_phase;
         if query.is_continued() && self.now < progress.gives_up_at.min(query.soft_deadline) {
             self.send_missing(query_index, sink);
             let is_awaited = |s: &SubRequest| s.continued_from.is_some() && s.in_flight() > 0;
@@ -160,16 +173,20 @@
                 return;
             }
         }
-        sink.respond(query_index, is_complete);
+        sink.respond(query_index, completeness);
         self.cancel_all(query_index, sink);
         let query = self.open_query_mut(query_index);
         query.finished = is_final;
-        query.first_response_complete = Some(is_complete);
+        query.first_response = Some(completeness);
         query.phase_start = query.sub_requests.len();
     }
 
     /// Why a query without a response is given up; `None` if it is not.
-    fn failure_cause(&mut self, query_index: usize, progress: &Progress) -> Option<FailureCause> {
+    fn failure_cause(
+        &mut self,
+        query_index: QueryIndex,
+        progress: &Progress,
+    ) -> Option<FailureCause> {
         let query = self.open_query(query_index);
         let is_query_of_death = || self.may_be_query_of_death(query, CrashEvidence::Proven);
         if self.now >= progress.gives_up_at {
@@ -187,7 +204,12 @@
 
     /// Ends a query without a response. It is rejected where sending it again is harmless, since any number of runs is
     /// or none has begun; else it fails, which promises nothing.
-    fn give_up(&mut self, query_index: usize, cause: FailureCause, sink: &mut impl DecisionSink) {
+    fn give_up(
+        &mut self,
+        query_index: QueryIndex,
+        cause: FailureCause,
+        sink: &mut impl DecisionSink,
+    ) {
         sink.failure_cause(query_index, cause);
         let query = self.open_query(query_index);
         let is_idempotent = self.index_of(query).idempotency == Idempotency::Idempotent;
@@ -210,13 +232,13 @@
         max_retry_after.map(|max| wait.min(max))
     }
 
-    fn cancel_all(&self, query_index: usize, sink: &mut impl DecisionSink) {
+    fn cancel_all(&self, query_index: QueryIndex, sink: &mut impl DecisionSink) {
         if !self.config.permissions.cancellation {
             return;
         }
         let sub_requests = &self.open_query(query_index).sub_requests;
-        for (sub_request_index, sub_request) in sub_requests.iter().enumerate() {
-            sub_request.cancel(query_index, sub_request_index, sink);
+        for (number, sub_request) in sub_requests.iter().enumerate() {
+            sub_request.cancel(query_index, SubRequestIndex(number), sink);
         }
     }
 
--- a/crates/linenthread-core/src/policy/send_guard.rs
+++ b/crates/linenthread-core/src/policy/send_guard.rs
@@ -3,7 +3,7 @@
 
 use super::Coordinator;
 use super::resolution::gives_up_at;
-use crate::interface::{Idempotency, TenthMillis};
+use crate::interface::{Idempotency, ReplicaIndex, TenthMillis};
 use crate::state::{Outage, Query, SubRequest};
 
 /// After an outage of this length attempts may try a replica that no probe has reached.
@@ -13,7 +13,12 @@
 
 impl Coordinator {
     /// Whether an attempt may be sent to a replica.
-    pub(super) fn may_send(&self, query: &Query, sub_request: &SubRequest, replica: usize) -> bool {
+    pub(super) fn may_send(
+        &self,
+        query: &Query,
+        sub_request: &SubRequest,
+        replica: ReplicaIndex,
+    ) -> bool {
         sub_request.in_flight() <= usize::from(self.config.permissions.hedging)
             && self.may_replace(query, sub_request, replica)
     }
@@ -23,7 +28,7 @@
         &self,
         query: &Query,
         sub_request: &SubRequest,
-        replica: usize,
+        replica: ReplicaIndex,
     ) -> bool {
         self.may_run_again(query, sub_request)
             && !query.finished
@@ -36,7 +41,7 @@
             && !self.is_out_of_reach(query, sub_request, replica)
     }
 
-    fn is_member(&self, replica: usize) -> bool {
+    fn is_member(&self, replica: ReplicaIndex) -> bool {
         let replica = &self.replicas[replica];
         replica.is_ready() || replica.is_last_resort(self.now)
     }
@@ -47,7 +52,7 @@
         &self,
         query: &Query,
         sub_request: &SubRequest,
-        replica_index: usize,
+        replica_index: ReplicaIndex,
     ) -> bool {
         let replica = &self.replicas[replica_index];
         let gives_up_at = gives_up_at(query, self.index_of(query));
@@ -64,7 +69,7 @@
 
     /// Whether attempts may be sent to the replica at a moment: it is up, or has been down for so long that an attempt
     /// may try it. Where no probes are permitted attempts try it one at a time, soon and then less and less often.
-    pub(super) fn is_up(&self, replica_index: usize, at: TenthMillis) -> bool {
+    pub(super) fn is_up(&self, replica_index: ReplicaIndex, at: TenthMillis) -> bool {
         let replica = &self.replicas[replica_index];
         let may_be_tried = |outage: Outage| {
             if self.config.permissions.health_probes {
--- a/crates/linenthread-core/src/policy/sending.rs
+++ b/crates/linenthread-core/src/policy/sending.rs
@@ -3,7 +3,7 @@
 use super::Coordinator;
 use super::resolution::gives_up_at;
 use super::windows::{RECENT, REMEMBERED_RESPONSES};
-use crate::interface::{DecisionSink, TenthMillis};
+use crate::interface::{DecisionSink, QueryIndex, ReplicaIndex, SubRequestIndex, TenthMillis};
 use crate::state::Attempt;
 
 /// A connection is idle after this time without use.
@@ -20,8 +20,8 @@
     /// Sends an attempt of a sub-request, if a replica may take it.
     pub(super) fn send_attempt(
         &mut self,
-        query_index: usize,
-        sub_request_index: usize,
+        query_index: QueryIndex,
+        sub_request_index: SubRequestIndex,
         sink: &mut impl DecisionSink,
     ) {
         let Some(replica_index) = self.choose_replica(query_index, sub_request_index) else {
@@ -67,7 +67,7 @@
     /// connection it gets.
     fn prepare_connection(
         &self,
-        replica_index: usize,
+        replica_index: ReplicaIndex,
         sink: &mut impl DecisionSink,
     ) -> Option<bool> {
         let replica = &self.replicas[replica_index];
--- a/crates/linenthread-core/src/policy/slow_start.rs
+++ b/crates/linenthread-core/src/policy/slow_start.rs
@@ -1,6 +1,7 @@
 //! How many attempts a replica gets that has just started.
 
 use super::Coordinator;
+use crate::interface::ReplicaIndex;
 
 /// How much is used of the slow-start budget.
 ///
@@ -19,7 +20,7 @@
 
 impl Coordinator {
     /// The share of its full capacity that a replica has while it is in slow start; `None` once it is warm.
-    pub(super) fn slow_start_capacity(&self, replica: usize) -> Option<f64> {
+    pub(super) fn slow_start_capacity(&self, replica: ReplicaIndex) -> Option<f64> {
         let slow_start = &self.config.slow_start;
         let age = self.now - self.replicas[replica].started_at()?;
         (age < slow_start.duration).then(|| {
@@ -30,7 +31,7 @@
 
     /// Whether a replica's slow-start budget has room for one more attempt: this co-ordinator's share of the
     /// budget, from what warm replicas serve from here.
-    pub(super) fn has_slow_start_budget(&self, replica_index: usize) -> bool {
+    pub(super) fn has_slow_start_budget(&self, replica_index: ReplicaIndex) -> bool {
         let Some(capacity_share) = self.slow_start_capacity(replica_index) else {
             return true;
         };
@@ -53,7 +54,7 @@
     /// With a budget of less than one attempt in each window, the co-ordinators take turns, window by window
     /// since the replica's start. One that sees little seldom has an attempt for it in its turn: there more
     /// co-ordinators have theirs at once, so that the budget is not left unused.
-    fn is_turn(&self, replica_index: usize, budget: f64) -> bool {
+    fn is_turn(&self, replica_index: ReplicaIndex, budget: f64) -> bool {
         let replica = &self.replicas[replica_index];
         let age = self.now - replica.started_at().unwrap_or(0);
         let used_share = 1.0 - (-self.fleet.sent_per_window).exp();
--- a/crates/linenthread-core/src/state.rs
+++ b/crates/linenthread-core/src/state.rs
@@ -4,6 +4,7 @@
 mod decaying_sums;
 mod fleet;
 mod hash;
+mod indexing;
 mod query;
 mod replica;
 mod timers;
--- a/crates/linenthread-core/src/state/query.rs
+++ b/crates/linenthread-core/src/state/query.rs
@@ -1,11 +1,14 @@
 //! Queries, their sub-requests and the attempts of these.
 
-use crate::interface::{AttemptOutcome, DecisionSink, TenthMillis};
+use crate::interface::{
+    AttemptOutcome, Completeness, DecisionSink, QueryIndex, ReplicaIndex, SubRequestIndex,
+    TenthMillis,
+};
 
 /// One attempt of a sub-request.
 pub(crate) struct Attempt {
     /// Where it was sent.
-    pub replica: usize,
+    pub replica: ReplicaIndex,
     pub sent_at: TenthMillis,
     /// Whether its connection had been idle; `None` where other attempts were in flight at the replica.
     pub idle_connection: Option<bool>,
@@ -56,7 +59,7 @@
     }
 
     /// Whether an attempt of it is in flight at this replica.
-    pub(crate) fn is_in_flight_at(&self, replica: usize) -> bool {
+    pub(crate) fn is_in_flight_at(&self, replica: ReplicaIndex) -> bool {
         self.attempts
             .iter()
             .any(|attempt| attempt.is_in_flight() && attempt.replica == replica)
@@ -65,8 +68,8 @@
     /// Cancels its attempts in flight.
     pub(crate) fn cancel(
         &self,
-        query_index: usize,
-        sub_request_index: usize,
+        query_index: QueryIndex,
+        sub_request_index: SubRequestIndex,
         sink: &mut impl DecisionSink,
     ) {
         for (number, attempt) in self.attempts.iter().enumerate() {
@@ -105,10 +108,10 @@
     pub sub_requests: Vec<SubRequest>,
     /// The first sub-request of the present phase.
     pub phase_start: usize,
-    /// Set once the first phase has a response: whether that was complete.
-    pub first_response_complete: Option<bool>,
+    /// Set once the first phase has a response.
+    pub first_response: Option<Completeness>,
     /// Replicas whose connection was lost under one of its attempts.
-    pub lost_connections: Vec<usize>,
+    pub lost_connections: Vec<ReplicaIndex>,
     /// It has passed admission control.
     pub admitted: bool,
     /// It has ended: it only waits for its attempts in flight.
--- a/crates/linenthread-core/tests/scenarios/decision_log.rs
+++ b/crates/linenthread-core/tests/scenarios/decision_log.rs
@@ -3,7 +3,9 @@
 use std::collections::HashMap;
 
 use linenthread_core::DecisionSink;
-use linenthread_core::interface::TenthMillis;
+use linenthread_core::interface::{
+    Completeness, QueryIndex, ReplicaIndex, SubRequestIndex, TenthMillis,
+};
 
 /// The first words of the log's lines.
 const DECISIONS: [&str; 10] = [
@@ -24,9 +26,9 @@
 
 /// An attempt that was sent in the present step.
 pub(crate) struct SentAttempt {
-    pub(crate) query: usize,
-    pub(crate) sub_request: usize,
-    pub(crate) replica: usize,
+    pub(crate) query: QueryIndex,
+    pub(crate) sub_request: SubRequestIndex,
+    pub(crate) replica: ReplicaIndex,
 }
 
 /// What was decided and not taken off the log.
@@ -101,10 +103,19 @@
 }
 
 impl DecisionSink for DecisionLog {
-    fn send(&mut self, query: usize, sub_request: usize, replica: usize, timeout: TenthMillis) {
+    fn send(
+        &mut self,
+        query: QueryIndex,
+        sub_request: SubRequestIndex,
+        replica: ReplicaIndex,
+        timeout: TenthMillis,
+    ) {
         assert!(timeout > 0);
-        let (query_name, replica_name) = (&self.queries[query], &self.replicas[replica]);
-        self.add(format!("send {query_name}.{sub_request} {replica_name}"));
+        let (query_name, replica_name) = (&self.queries[query.0], &self.replicas[replica.0]);
+        self.add(format!(
+            "send {query_name}.{} {replica_name}",
+            sub_request.0
+        ));
         self.sent.push(SentAttempt {
             query,
             sub_request,
@@ -112,35 +123,38 @@
         });
     }
 
-    fn cancel(&mut self, query: usize, sub_request: usize, attempt: usize) {
-        let query = &self.queries[query];
-        self.add(format!("cancel {query}.{sub_request}#{attempt}"));
+    fn cancel(&mut self, query: QueryIndex, sub_request: SubRequestIndex, attempt: usize) {
+        let query = &self.queries[query.0];
+        self.add(format!("cancel {query}.{}#{attempt}", sub_request.0));
     }
 
-    fn respond(&mut self, query: usize, complete: bool) {
-        let response = if complete { "complete" } else { "partial" };
-        self.add(format!("{response} {}", self.queries[query]));
+    fn respond(&mut self, query: QueryIndex, completeness: Completeness) {
+        let response = match completeness {
+            Completeness::Complete => "complete",
+            Completeness::Partial => "partial",
+        };
+        self.add(format!("{response} {}", self.queries[query.0]));
     }
 
-    fn reject(&mut self, query: usize, retry_after: Option<TenthMillis>) {
+    fn reject(&mut self, query: QueryIndex, retry_after: Option<TenthMillis>) {
         let advice = retry_after.map_or("unadvised", |_| "advised");
-        self.add(format!("reject {} {advice}", self.queries[query]));
+        self.add(format!("reject {} {advice}", self.queries[query.0]));
     }
 
-    fn fail(&mut self, query: usize) {
-        self.add(format!("fail {}", self.queries[query]));
+    fn fail(&mut self, query: QueryIndex) {
+        self.add(format!("fail {}", self.queries[query.0]));
     }
 
-    fn release(&mut self, query: usize) {
-        self.add(format!("release {}", self.queries[query]));
+    fn release(&mut self, query: QueryIndex) {
+        self.add(format!("release {}", self.queries[query.0]));
     }
 
-    fn probe(&mut self, replica: usize) {
-        self.add(format!("probe {}", self.replicas[replica]));
+    fn probe(&mut self, replica: ReplicaIndex) {
+        self.add(format!("probe {}", self.replicas[replica.0]));
     }
 
-    fn close_idle(&mut self, replica: usize) {
-        self.add(format!("close-idle {}", self.replicas[replica]));
+    fn close_idle(&mut self, replica: ReplicaIndex) {
+        self.add(format!("close-idle {}", self.replicas[replica.0]));
     }
 
     fn watch_membership(&mut self) {
--- a/crates/linenthread-core/tests/scenarios/player.rs
+++ b/crates/linenthread-core/tests/scenarios/player.rs
@@ -4,8 +4,9 @@
 
 use linenthread_core::Coordinator;
 use linenthread_core::interface::{
-    AttemptOutcome, AttemptResult, CoordinatorConfig, Inputs, MembershipEntry, MembershipUpdate,
-    NewQuery, NewSubRequest, ProbeResult, TenthMillis, ZoneRoute,
+    AttemptOutcome, AttemptResult, Continuation, CoordinatorConfig, Inputs, MembershipEntry,
+    MembershipUpdate, NewQuery, NewSubRequest, ProbeResult, QueryIndex, ReplicaIndex,
+    SubRequestIndex, TenthMillis, ZoneRoute,
 };
 
 use crate::decision_log::{Bindings, DecisionLog, SentAttempt};
@@ -32,10 +33,10 @@
 
 /// An attempt in flight.
 struct InFlight {
-    query: usize,
-    sub_request: usize,
+    query: QueryIndex,
+    sub_request: SubRequestIndex,
     attempt: usize,
-    replica: usize,
+    replica: ReplicaIndex,
     sent_at: TenthMillis,
 }
 
@@ -51,10 +52,10 @@
     now: TenthMillis,
     log: DecisionLog,
     /// Attempts so far by query and sub-request.
-    attempt_counts: HashMap<(usize, usize), usize>,
+    attempt_counts: HashMap<(QueryIndex, SubRequestIndex), usize>,
     /// In the order they were sent.
     in_flight: Vec<InFlight>,
-    services: HashMap<usize, Service>,
+    services: HashMap<ReplicaIndex, Service>,
     bindings: Bindings,
 }
 
@@ -194,7 +195,7 @@
             replicas.len() - 1
         });
         Ok(MembershipEntry {
-            replica,
+            replica: ReplicaIndex(replica),
             id: replica as u64 + 77 + 1_000 * former.len() as u64,
             zone: replica % ZONE_COUNT,
             replica_group: number(Some(&replica_group))?,
@@ -257,13 +258,14 @@
             .iter()
             .position(|word| *word == "shards")
             .ok_or("shards are missing")?;
-        let query = self.log.queries.len();
+        let number_of_query = self.log.queries.len();
+        let query = QueryIndex(number_of_query);
         let mut new = NewQuery {
             query,
             index: 0,
             customer: 0,
             key: None,
-            sequence_number: query as u64,
+            sequence_number: number_of_query as u64,
             hard_deadline: self.now + HARD_DEADLINE,
         };
         for pair in words[1..shards_at].chunks(2) {
@@ -282,7 +284,7 @@
     }
 
     /// Sub-requests for these shards, of equal weight.
-    fn sub_requests(&mut self, query: usize, shards: &[&str]) -> Result<(), String> {
+    fn sub_requests(&mut self, query: QueryIndex, shards: &[&str]) -> Result<(), String> {
         for shard in shards {
             self.inputs.sub_requests.push(NewSubRequest {
                 query,
@@ -353,7 +355,7 @@
             Some((sub_request, attempt)) => (sub_request, Some(number(Some(&attempt))?)),
             None => (target, None),
         };
-        let (query, sub_request) = self.sub_request_at(sub_request)?;
+        let Continuation { query, sub_request } = self.sub_request_at(sub_request)?;
         self.step();
         let at = self
             .in_flight
@@ -380,24 +382,31 @@
         });
     }
 
-    fn replica_index(&self, name: &str) -> Result<usize, String> {
+    fn replica_index(&self, name: &str) -> Result<ReplicaIndex, String> {
         let name = self.bindings.get(name).map_or(name, String::as_str);
         let replicas = &self.log.replicas;
         let index = replicas.iter().position(|replica| replica == name);
-        index.ok_or_else(|| format!("no replica {name}"))
+        index
+            .map(ReplicaIndex)
+            .ok_or_else(|| format!("no replica {name}"))
     }
 
-    fn query_index(&self, name: &str) -> Result<usize, String> {
+    fn query_index(&self, name: &str) -> Result<QueryIndex, String> {
         let queries = &self.log.queries;
         let index = queries.iter().position(|query| query == name);
-        index.ok_or_else(|| format!("no query {name}"))
+        index
+            .map(QueryIndex)
+            .ok_or_else(|| format!("no query {name}"))
     }
 
     /// `QUERY.SUB_REQUEST`.
-    fn sub_request_at(&self, word: &str) -> Result<(usize, usize), String> {
+    fn sub_request_at(&self, word: &str) -> Result<Continuation, String> {
         let (name, sub_request) = word
             .split_once('.')
             .ok_or_else(|| format!("what is {word}?"))?;
-        Ok((self.query_index(name)?, number(Some(&sub_request))?))
+        Ok(Continuation {
+            query: self.query_index(name)?,
+            sub_request: SubRequestIndex(number(Some(&sub_request))?),
+        })
     }
 }
--- a/crates/linenthread-dataplane/src/dispatcher.rs
+++ b/crates/linenthread-dataplane/src/dispatcher.rs
@@ -14,7 +14,7 @@
 use linenthread_config::{ResolvedRoute, Settings};
 use linenthread_core::interface::{
     AttemptOutcome, AttemptResult, MembershipEntry, MembershipUpdate, NewQuery, NewSubRequest,
-    Phase, TenthMillis,
+    Phase, QueryIndex, ReplicaIndex, SubRequestIndex, TenthMillis,
 };
 use tokio::sync::{Notify, oneshot};
 use tokio::task::spawn_local;
@@ -210,9 +210,9 @@
     fn send(
         self: &Rc<Self>,
         state: &mut State<C>,
-        slot: usize,
-        sub_request: usize,
-        replica: usize,
+        slot: QueryIndex,
+        sub_request: SubRequestIndex,
+        replica: ReplicaIndex,
         timeout: TenthMillis,
     ) {
         let Some(query) = state.query_in(slot) else {
@@ -299,7 +299,7 @@
 /// A replica in the terms of the decision module.
 fn listed<C: Connector>(
     pool: &ReplicaPool<C>,
-    replica: usize,
+    replica: ReplicaIndex,
     backend: usize,
     zones: &Zones,
 ) -> MembershipEntry {
--- a/crates/linenthread-dataplane/src/dispatcher/decisions.rs
+++ b/crates/linenthread-dataplane/src/dispatcher/decisions.rs
@@ -1,31 +1,33 @@
 //! What the decision module decides in one round, as a list that the dispatcher carries out.
 
 use linenthread_core::DecisionSink;
-use linenthread_core::interface::{FailureCause, TenthMillis};
+use linenthread_core::interface::{
+    Completeness, FailureCause, QueryIndex, ReplicaIndex, SubRequestIndex, TenthMillis,
+};
 
 /// One decision. Queries, sub-requests and replicas are named by the indices under which the decision
 /// module knows them.
 pub(super) enum Decision {
     /// Send a sub-request to a replica.
     Send {
-        query: usize,
-        sub_request: usize,
-        replica: usize,
+        query: QueryIndex,
+        sub_request: SubRequestIndex,
+        replica: ReplicaIndex,
         timeout: TenthMillis,
     },
     /// Answer from the responses that have arrived.
-    Respond { query: usize },
+    Respond { query: QueryIndex },
     /// Reject the query: it may be sent again, at best after this time.
     Reject {
-        query: usize,
+        query: QueryIndex,
         retry_after: Option<TenthMillis>,
     },
     /// Give the query up, with no promise.
-    Fail { query: usize },
+    Fail { query: QueryIndex },
     /// Nothing of the query is in flight: its index is free.
-    Release { query: usize },
+    Release { query: QueryIndex },
     /// Close the idle connections to a replica.
-    CloseIdle { replica: usize },
+    CloseIdle { replica: ReplicaIndex },
 }
 
 /// The decisions of a round, in the order they were taken.
@@ -55,7 +57,13 @@
 }
 
 impl DecisionSink for Decisions {
-    fn send(&mut self, query: usize, sub_request: usize, replica: usize, timeout: TenthMillis) {
+    fn send(
+        &mut self,
+        query: QueryIndex,
+        sub_request: SubRequestIndex,
+        replica: ReplicaIndex,
+        timeout: TenthMillis,
+    ) {
         self.list.push(Decision::Send {
             query,
             sub_request,
@@ -64,13 +72,13 @@
         });
     }
 
-    fn cancel(&mut self, _query: usize, _sub_request: usize, _attempt: usize) {}
+    fn cancel(&mut self, _query: QueryIndex, _sub_request: SubRequestIndex, _attempt: usize) {}
 
-    fn respond(&mut self, query: usize, _is_complete: bool) {
+    fn respond(&mut self, query: QueryIndex, _completeness: Completeness) {
         self.list.push(Decision::Respond { query });
     }
 
-    fn failure_cause(&mut self, _query: usize, cause: FailureCause) {
+    fn failure_cause(&mut self, _query: QueryIndex, cause: FailureCause) {
         *match cause {
             FailureCause::DeadlineExceeded => &mut self.abandoned.deadline_exceeded,
             FailureCause::QueryOfDeath => &mut self.abandoned.crash_suspected,
@@ -80,21 +88,21 @@
         } += 1;
     }
 
-    fn reject(&mut self, query: usize, retry_after: Option<TenthMillis>) {
+    fn reject(&mut self, query: QueryIndex, retry_after: Option<TenthMillis>) {
         self.list.push(Decision::Reject { query, retry_after });
     }
 
-    fn fail(&mut self, query: usize) {
+    fn fail(&mut self, query: QueryIndex) {
         self.list.push(Decision::Fail { query });
     }
 
-    fn release(&mut self, query: usize) {
+    fn release(&mut self, query: QueryIndex) {
         self.list.push(Decision::Release { query });
     }
 
-    fn probe(&mut self, _replica: usize) {}
+    fn probe(&mut self, _replica: ReplicaIndex) {}
 
-    fn close_idle(&mut self, replica: usize) {
+    fn close_idle(&mut self, replica: ReplicaIndex) {
         self.list.push(Decision::CloseIdle { replica });
     }
 
--- a/crates/linenthread-dataplane/src/dispatcher/pass_through.rs
+++ b/crates/linenthread-dataplane/src/dispatcher/pass_through.rs
@@ -3,7 +3,8 @@
 
 use linenthread_core::DecisionSink;
 use linenthread_core::interface::{
-    AttemptOutcome, Inputs, MembershipEntry, MembershipUpdate, NewQuery, Phase, TenthMillis,
+    AttemptOutcome, Completeness, Inputs, MembershipEntry, MembershipUpdate, NewQuery, Phase,
+    QueryIndex, SubRequestIndex, TenthMillis,
 };
 
 /// A query that has not ended.
@@ -36,17 +37,18 @@
             self.open(new);
         }
         for sub_request in &inputs.sub_requests {
-            if let Some(Some(query)) = self.queries.get_mut(sub_request.query) {
+            if let Some(Some(query)) = self.queries.get_mut(sub_request.query.0) {
                 query.shards.push(sub_request.shard);
             }
         }
         for response in &inputs.results {
-            if let Some(Some(query)) = self.queries.get_mut(response.query) {
+            if let Some(Some(query)) = self.queries.get_mut(response.query.0) {
                 query.completed += 1;
                 query.failed |= response.outcome != AttemptOutcome::Success;
             }
         }
-        for (index, slot) in self.queries.iter_mut().enumerate() {
+        for (number, slot) in self.queries.iter_mut().enumerate() {
+            let index = QueryIndex(number);
             let Some(query) = slot else {
                 continue;
             };
@@ -60,16 +62,16 @@
 
     fn update_replicas(&mut self, listed: &[MembershipEntry]) {
         for entry in listed {
-            let count = self.replicas.len().max(entry.replica + 1);
+            let count = self.replicas.len().max(entry.replica.0 + 1);
             self.replicas.resize_with(count, MembershipEntry::default);
-            self.replicas[entry.replica] = entry.clone();
+            self.replicas[entry.replica.0] = entry.clone();
         }
     }
 
     fn open(&mut self, new: &NewQuery) {
-        let count = self.queries.len().max(new.query + 1);
+        let count = self.queries.len().max(new.query.0 + 1);
         self.queries.resize_with(count, || None);
-        self.queries[new.query] = Some(Query {
+        self.queries[new.query.0] = Some(Query {
             key: new.sequence_number,
             deadline: new.hard_deadline,
             shards: Vec::new(),
@@ -84,18 +86,18 @@
     /// Sends each sub-request that has not been sent to one of the nearest available replicas of its shard.
     fn send_new(
         &mut self,
-        index: usize,
+        index: QueryIndex,
         replicas: &[MembershipEntry],
         now: TenthMillis,
         sink: &mut impl DecisionSink,
     ) {
-        for sub_request in self.sent..self.shards.len() {
+        for number in self.sent..self.shards.len() {
             self.sent += 1;
-            match choose(replicas, self.shards[sub_request], self.key) {
+            match choose(replicas, self.shards[number], self.key) {
                 Some(replica) => {
                     sink.send(
                         index,
-                        sub_request,
+                        SubRequestIndex(number),
                         replica.replica,
                         (self.deadline - now).max(1),
                     );
@@ -108,11 +110,11 @@
         }
     }
 
-    fn end(&self, index: usize, sink: &mut impl DecisionSink) {
+    fn end(&self, index: QueryIndex, sink: &mut impl DecisionSink) {
         if self.failed {
             sink.fail(index);
         } else {
-            sink.respond(index, true);
+            sink.respond(index, Completeness::Complete);
         }
         sink.release(index);
     }
--- a/crates/linenthread-dataplane/src/dispatcher/query.rs
+++ b/crates/linenthread-dataplane/src/dispatcher/query.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 
 use linenthread_config::{Destination, ResolvedRoute};
-use linenthread_core::interface::{AttemptOutcome, TenthMillis};
+use linenthread_core::interface::{AttemptOutcome, QueryIndex, SubRequestIndex, TenthMillis};
 use smallvec::SmallVec;
 use tokio::sync::oneshot;
 
@@ -16,7 +16,7 @@
 /// Which query: its slot, which is used again after its end, and its sequence number, which is not.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct QueryId {
-    pub(super) slot: usize,
+    pub(super) slot: QueryIndex,
     pub(super) sequence: u64,
 }
 
@@ -24,7 +24,7 @@
 #[derive(Clone, Copy)]
 pub(super) struct AttemptKey {
     pub(super) query: QueryId,
-    pub(super) sub_request: usize,
+    pub(super) sub_request: SubRequestIndex,
     pub(super) attempt: usize,
 }
 
@@ -85,8 +85,8 @@
 
     /// Counts one more attempt of a sub-request: its number, and whether it may be sent at all. It may not where an
     /// earlier one may have run and the route does not allow it to run twice.
-    pub(super) fn begin_attempt(&mut self, sub_request: usize) -> (usize, Permission) {
-        let sub_request = &mut self.sub_requests[sub_request];
+    pub(super) fn begin_attempt(&mut self, sub_request: SubRequestIndex) -> (usize, Permission) {
+        let sub_request = &mut self.sub_requests[sub_request.0];
         let permission = if may_retry(self.resolved.route.mode, sub_request.sent()) {
             sub_request.may_have_run += 1;
             Permission::Granted
@@ -99,8 +99,12 @@
     }
 
     /// Takes in how an attempt completed.
-    pub(super) fn end_attempt(&mut self, sub_request: usize, completed: CompletedAttempt) {
-        let sub_request = &mut self.sub_requests[sub_request];
+    pub(super) fn end_attempt(
+        &mut self,
+        sub_request: SubRequestIndex,
+        completed: CompletedAttempt,
+    ) {
+        let sub_request = &mut self.sub_requests[sub_request.0];
         if completed.outcome.sent != SendState::MayHaveRun {
             sub_request.may_have_run -= 1;
         }
--- a/crates/linenthread-dataplane/src/dispatcher/replica_slots.rs
+++ b/crates/linenthread-dataplane/src/dispatcher/replica_slots.rs
@@ -3,12 +3,14 @@
 use std::collections::HashMap;
 use std::rc::Rc;
 
+use linenthread_core::interface::ReplicaIndex;
+
 use crate::pool::ReplicaPool;
 use crate::transport::Connector;
 
 /// The index of a replica that has departed.
 struct DepartedSlot {
-    slot: usize,
+    slot: ReplicaIndex,
     /// The sequence number of the last query that was opened before.
     last_query: u64,
 }
@@ -16,9 +18,9 @@
 /// The pools of the replicas by index, and the indices by the replicas' ids.
 pub(super) struct ReplicaSlots<C: Connector> {
     pools: Vec<Rc<ReplicaPool<C>>>,
-    slots: HashMap<String, usize>,
+    slots: HashMap<String, ReplicaIndex>,
     departed: Vec<DepartedSlot>,
-    free: Vec<usize>,
+    free: Vec<ReplicaIndex>,
 }
 
 impl<C: Connector> ReplicaSlots<C> {
@@ -31,13 +33,17 @@
         }
     }
 
-    pub(super) fn pool(&self, slot: usize) -> &Rc<ReplicaPool<C>> {
-        &self.pools[slot]
+    pub(super) fn pool(&self, slot: ReplicaIndex) -> &Rc<ReplicaPool<C>> {
+        &self.pools[slot.0]
     }
 
     /// Takes in the status of a replica; its index, unless it is unknown and has departed already. `last_query`
     /// is the sequence number of the last query that was opened.
-    pub(super) fn update(&mut self, pool: &Rc<ReplicaPool<C>>, last_query: u64) -> Option<usize> {
+    pub(super) fn update(
+        &mut self,
+        pool: &Rc<ReplicaPool<C>>,
+        last_query: u64,
+    ) -> Option<ReplicaIndex> {
         let slot = self.slot_of(pool)?;
         self.departed.retain(|departed| departed.slot != slot);
         if pool.status().departed {
@@ -47,7 +53,7 @@
     }
 
     /// The index of a replica, which gets one if it is new and there.
-    fn slot_of(&mut self, pool: &Rc<ReplicaPool<C>>) -> Option<usize> {
+    fn slot_of(&mut self, pool: &Rc<ReplicaPool<C>>) -> Option<ReplicaIndex> {
         if let Some(known) = self.slots.get(pool.id()) {
             return Some(*known);
         }
@@ -56,12 +62,12 @@
         }
         let slot = match self.free.pop() {
             Some(slot) => {
-                self.pools[slot] = pool.clone();
+                self.pools[slot.0] = pool.clone();
                 slot
             }
             None => {
                 self.pools.push(pool.clone());
-                self.pools.len() - 1
+                ReplicaIndex(self.pools.len() - 1)
             }
         };
         self.slots.insert(pool.id().to_owned(), slot);
@@ -80,7 +86,7 @@
         self.departed.retain(|departed| {
             let is_unused = departed.last_query < oldest_open_query;
             if is_unused {
-                slots.remove(pools[departed.slot].id());
+                slots.remove(pools[departed.slot.0].id());
                 free.push(departed.slot);
             }
             !is_unused
--- a/crates/linenthread-dataplane/src/dispatcher/state.rs
+++ b/crates/linenthread-dataplane/src/dispatcher/state.rs
@@ -2,7 +2,7 @@
 
 use linenthread_config::Settings;
 use linenthread_core::Coordinator;
-use linenthread_core::interface::{IndexConfig, Inputs};
+use linenthread_core::interface::{IndexConfig, Inputs, QueryIndex};
 
 use super::decisions::{Decision, Decisions};
 use super::pass_through::PassThrough;
@@ -23,7 +23,7 @@
     pub(super) inputs: Inputs,
     pub(super) replicas: ReplicaSlots<C>,
     queries: Vec<Option<OpenQuery>>,
-    free_queries: Vec<usize>,
+    free_queries: Vec<QueryIndex>,
     pub(super) decisions: Decisions,
 }
 
@@ -69,20 +69,20 @@
     }
 
     /// A slot that no open query has.
-    pub(super) fn free_query_slot(&mut self) -> usize {
+    pub(super) fn free_query_slot(&mut self) -> QueryIndex {
         self.free_queries.pop().unwrap_or_else(|| {
             self.queries.push(None);
-            self.queries.len() - 1
+            QueryIndex(self.queries.len() - 1)
         })
     }
 
-    pub(super) fn open_query(&mut self, slot: usize, query: OpenQuery) {
-        self.queries[slot] = Some(query);
+    pub(super) fn open_query(&mut self, slot: QueryIndex, query: OpenQuery) {
+        self.queries[slot.0] = Some(query);
     }
 
     /// The query in a slot, if it is open.
-    pub(super) fn query_in(&mut self, slot: usize) -> Option<&mut OpenQuery> {
-        self.queries.get_mut(slot)?.as_mut()
+    pub(super) fn query_in(&mut self, slot: QueryIndex) -> Option<&mut OpenQuery> {
+        self.queries.get_mut(slot.0)?.as_mut()
     }
 
     /// A query, unless it has ended.
@@ -92,8 +92,8 @@
     }
 
     /// Ends a query: its slot is free.
-    pub(super) fn release_query(&mut self, slot: usize) {
-        if self.queries[slot].take().is_some() {
+    pub(super) fn release_query(&mut self, slot: QueryIndex) {
+        if self.queries[slot.0].take().is_some() {
             self.free_queries.push(slot);
         }
     }
