--- a/crates/linenthread-service/src/dispatcher/membership.rs
+++ b/crates/linenthread-service/src/dispatcher/membership.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use linenthread_core::interface::{MembershipEntry, Phase, TenthMillis};
+use linenthread_core::interface::{MembershipEntry, Phase, ReplicaIndex, TenthMillis};
 use linenthread_link::{Member, routing};
 use linenthread_protocol::{hash_id, membership};
 use tracing::{info, warn};
@@ -119,7 +119,7 @@
         let started_at =
             (listed.started_at_ms > 0.0).then(|| self.clock.at_unix(listed.started_at_ms));
         Some(MembershipEntry {
-            replica,
+            replica: ReplicaIndex(replica),
             id: hash_id(&listed.id),
             replica_group: listed.replica_group,
             zone: self.zone(&listed.zone),
@@ -133,7 +133,7 @@
     fn remove_unlisted(&mut self, entries: &[MembershipEntry], submitted: u64) {
         let mut is_listed = vec![false; self.replicas.len()];
         for entry in entries {
-            is_listed[entry.replica] = true;
+            is_listed[entry.replica.0] = true;
         }
         for replica in (0..is_listed.len()).filter(|replica| !is_listed[*replica]) {
             self.replicas.ensure_removed(replica, submitted);
@@ -261,7 +261,7 @@
         let route = peers.map(|peers| via_link(peers, id));
         self.transports.set_route(replica, route);
         MembershipEntry {
-            replica,
+            replica: ReplicaIndex(replica),
             id: hash_id(id),
             replica_group: member.replica_group as usize,
             zone: self.zone(&member.zone),
--- a/crates/linenthread-service/src/dispatcher/mod.rs
+++ b/crates/linenthread-service/src/dispatcher/mod.rs
@@ -7,8 +7,9 @@
 use std::rc::Rc;
 
 use linenthread_core::interface::{
-    AttemptOutcome, AttemptResult, Inputs, MembershipEntry, MembershipUpdate, NewQuery,
-    NewSubRequest, ProbeResult, TenthMillis,
+    AttemptOutcome, AttemptResult, Completeness, Continuation, Inputs, MembershipEntry,
+    MembershipUpdate, NewQuery, NewSubRequest, ProbeResult, QueryIndex, ReplicaIndex,
+    SubRequestIndex, TenthMillis,
 };
 use linenthread_core::{Coordinator, DecisionSink};
 use linenthread_link::Member;
@@ -117,48 +118,55 @@
 }
 
 impl DecisionSink for StepDecisions<'_> {
-    fn send(&mut self, query: usize, sub_request: usize, replica: usize, timeout: TenthMillis) {
+    fn send(
+        &mut self,
+        query: QueryIndex,
+        sub_request: SubRequestIndex,
+        replica: ReplicaIndex,
+        timeout: TenthMillis,
+    ) {
         let decision = Decision::Send {
-            sub_request,
-            replica,
+            sub_request: sub_request.0,
+            replica: replica.0,
             timeout,
         };
-        self.pass_on(query, decision);
+        self.pass_on(query.0, decision);
     }
 
-    fn cancel(&mut self, query: usize, sub_request: usize, attempt: usize) {
+    fn cancel(&mut self, query: QueryIndex, sub_request: SubRequestIndex, attempt: usize) {
         let decision = Decision::Cancel {
-            sub_request,
+            sub_request: sub_request.0,
             attempt,
         };
-        self.pass_on(query, decision);
+        self.pass_on(query.0, decision);
     }
 
-    fn respond(&mut self, query: usize, complete: bool) {
-        self.pass_on(query, Decision::Respond { complete });
+    fn respond(&mut self, query: QueryIndex, completeness: Completeness) {
+        let complete = completeness == Completeness::Complete;
+        self.pass_on(query.0, Decision::Respond { complete });
     }
 
-    fn reject(&mut self, query: usize, retry_after: Option<TenthMillis>) {
-        self.pass_on(query, Decision::Reject { retry_after });
+    fn reject(&mut self, query: QueryIndex, retry_after: Option<TenthMillis>) {
+        self.pass_on(query.0, Decision::Reject { retry_after });
     }
 
-    fn fail(&mut self, query: usize) {
-        self.pass_on(query, Decision::Fail);
+    fn fail(&mut self, query: QueryIndex) {
+        self.pass_on(query.0, Decision::Fail);
     }
 
-    fn release(&mut self, query: usize) {
+    fn release(&mut self, QueryIndex(query): QueryIndex) {
         let open = self.queries.get_mut(query).and_then(Option::take);
         if open.is_some() {
             self.free_queries.push(query);
         }
     }
 
-    fn probe(&mut self, replica: usize) {
+    fn probe(&mut self, ReplicaIndex(replica): ReplicaIndex) {
         self.membership.replicas.start_probe(replica);
         actix_rt::spawn(self.dispatcher.clone().probe(replica));
     }
 
-    fn close_idle(&mut self, replica: usize) {
+    fn close_idle(&mut self, ReplicaIndex(replica): ReplicaIndex) {
         self.dispatcher.0.transports.close_idle(replica);
     }
 
@@ -254,7 +262,7 @@
         };
         coordinator.step(inputs, &mut decisions);
         for ProbeResult { replica, .. } in &inputs.probes {
-            membership.replicas.finish_probe(*replica);
+            membership.replicas.finish_probe(replica.0);
         }
         clear(inputs);
     }
@@ -279,7 +287,7 @@
         }
         let hard_deadline = self.0.clock.now() + submission.expires_in;
         state.inputs.queries.push(NewQuery {
-            query,
+            query: QueryIndex(query),
             index: submission.index,
             customer: submission.customer,
             key: submission.key,
@@ -291,7 +299,7 @@
                 .sub_requests
                 .into_iter()
                 .map(|(shard, weight)| NewSubRequest {
-                    query,
+                    query: QueryIndex(query),
                     shard,
                     weight,
                 });
@@ -308,14 +316,17 @@
     /// Answered sub-requests of a query need further attempts; called before the step that takes their results.
     pub(crate) fn continue_sub_requests(&self, query: usize, sub_requests: &[usize]) {
         self.add_input(|inputs| {
-            let continuations = sub_requests.iter().map(|&sub_request| (query, sub_request));
+            let continuations = sub_requests.iter().map(|&sub_request| Continuation {
+                query: QueryIndex(query),
+                sub_request: SubRequestIndex(sub_request),
+            });
             inputs.continuations.extend(continuations);
         });
     }
 
     /// A query's client has left.
     pub(crate) fn abandon(&self, query: usize) {
-        self.add_input(|inputs| inputs.abandoned.push(query));
+        self.add_input(|inputs| inputs.abandoned.push(QueryIndex(query)));
     }
 
     /// Probes a replica and reports the outcome.
@@ -325,7 +336,7 @@
         self.observe_outcome(replica, report.outcome, self.0.clock.now() - sent);
         self.add_input(|inputs| {
             inputs.probes.push(ProbeResult {
-                replica,
+                replica: ReplicaIndex(replica),
                 outcome: report.outcome,
                 queue_depth: report.queue_depth,
             });
--- a/crates/linenthread-service/src/query.rs
+++ b/crates/linenthread-service/src/query.rs
@@ -5,7 +5,9 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use linenthread_core::interface::{AttemptOutcome, AttemptResult, TenthMillis};
+use linenthread_core::interface::{
+    AttemptOutcome, AttemptResult, QueryIndex, SubRequestIndex, TenthMillis,
+};
 use linenthread_merge::QueryError;
 use linenthread_protocol::query::{Page, Query};
 use linenthread_terms::ClusterConfig;
@@ -122,8 +124,8 @@
         let elapsed = dispatcher.clock().now() - pending.sent;
         dispatcher.observe_outcome(pending.replica, outcome, elapsed);
         dispatcher.report_attempt(AttemptResult {
-            query: self.query,
-            sub_request: key.sub_request,
+            query: QueryIndex(self.query),
+            sub_request: SubRequestIndex(key.sub_request),
             attempt: key.attempt,
             outcome,
             elapsed,
--- a/crates/linenthread-service/src/zone_routing.rs
+++ b/crates/linenthread-service/src/zone_routing.rs
@@ -94,15 +94,15 @@
     fn on_entry(&mut self, entry: &MembershipEntry) {
         let identity = (entry.id, entry.started_at);
         // Observations of a former process or replica under this number do not hold for the new one.
-        if self.identities.insert(entry.replica, identity) != Some(identity) {
-            self.observer.on_replica_removed(entry.replica);
+        if self.identities.insert(entry.replica.0, identity) != Some(identity) {
+            self.observer.on_replica_removed(entry.replica.0);
         }
         match entry.phase {
             Phase::Removed => {
-                self.observer.on_replica_removed(entry.replica);
-                self.listed.remove(&entry.replica);
+                self.observer.on_replica_removed(entry.replica.0);
+                self.listed.remove(&entry.replica.0);
             }
-            _ => drop(self.listed.insert(entry.replica, entry.clone())),
+            _ => drop(self.listed.insert(entry.replica.0, entry.clone())),
         }
     }
 
@@ -138,7 +138,7 @@
         let mut by_group = vec![vec![0_u16; zone_count]; self.layout.replica_groups];
         let ready = |entry: &&MembershipEntry| entry.phase == Phase::Ready;
         for entry in self.listed.values().filter(ready) {
-            let Some(zone) = self.zone(entry.replica) else {
+            let Some(zone) = self.zone(entry.replica.0) else {
                 continue;
             };
             replicas[zone] += 1;
--- a/crates/linenthread-simulation/src/failover_simulation/coordinator.rs
+++ b/crates/linenthread-simulation/src/failover_simulation/coordinator.rs
@@ -3,8 +3,8 @@
 use std::collections::VecDeque;
 
 use linenthread_core::interface::{
-    CoordinatorConfig, Idempotency, IndexConfig, Inputs, Permissions, ShardLayout, SlowStart,
-    TenthMillis, ZoneRoute,
+    Completeness, CoordinatorConfig, Idempotency, IndexConfig, Inputs, Permissions, QueryIndex,
+    ReplicaIndex, ShardLayout, SlowStart, SubRequestIndex, TenthMillis, ZoneRoute,
 };
 use linenthread_core::{Coordinator, DecisionSink};
 use linenthread_zones::{ALL_KEYS, FailoverController, Row, ZoneObserver};
@@ -62,39 +62,45 @@
 }
 
 impl DecisionSink for Decisions {
-    fn send(&mut self, query: usize, sub_request: usize, replica: usize, timeout: TenthMillis) {
+    fn send(
+        &mut self,
+        query: QueryIndex,
+        sub_request: SubRequestIndex,
+        replica: ReplicaIndex,
+        timeout: TenthMillis,
+    ) {
         self.attempts.push(SendAttempt {
-            query,
-            sub_request,
-            replica,
+            query: query.0,
+            sub_request: sub_request.0,
+            replica: replica.0,
             timeout,
         });
     }
 
-    fn cancel(&mut self, query: usize, sub_request: usize, number: usize) {
+    fn cancel(&mut self, query: QueryIndex, sub_request: SubRequestIndex, number: usize) {
         self.cancelled.push(CancelAttempt {
-            query,
-            sub_request,
+            query: query.0,
+            sub_request: sub_request.0,
             number,
         });
     }
 
-    fn respond(&mut self, query: usize, _: bool) {
-        self.responded.push(query);
+    fn respond(&mut self, query: QueryIndex, _: Completeness) {
+        self.responded.push(query.0);
     }
 
-    fn reject(&mut self, _: usize, _: Option<TenthMillis>) {}
+    fn reject(&mut self, _: QueryIndex, _: Option<TenthMillis>) {}
 
-    fn fail(&mut self, _: usize) {}
+    fn fail(&mut self, _: QueryIndex) {}
 
-    fn release(&mut self, query: usize) {
-        self.released.push(query);
+    fn release(&mut self, query: QueryIndex) {
+        self.released.push(query.0);
     }
 
-    fn close_idle(&mut self, _: usize) {}
+    fn close_idle(&mut self, _: ReplicaIndex) {}
 
-    fn probe(&mut self, replica: usize) {
-        self.health_checks.push(replica);
+    fn probe(&mut self, replica: ReplicaIndex) {
+        self.health_checks.push(replica.0);
     }
 
     fn watch_membership(&mut self) {}
--- a/crates/linenthread-simulation/src/failover_simulation/world.rs
+++ b/crates/linenthread-simulation/src/failover_simulation/world.rs
@@ -5,7 +5,7 @@
 
 use linenthread_core::interface::{
     AttemptOutcome, AttemptResult, MembershipEntry, MembershipUpdate, NewQuery, NewSubRequest,
-    Phase, ProbeResult, TenthMillis,
+    Phase, ProbeResult, QueryIndex, ReplicaIndex, SubRequestIndex, TenthMillis,
 };
 use linenthread_zones::{FailoverController, Report};
 use oorandom::Rand64;
@@ -122,7 +122,7 @@
 
     fn membership_entry(&self, replica: usize, phase: Phase) -> MembershipEntry {
         MembershipEntry {
-            replica,
+            replica: ReplicaIndex(replica),
             id: 1_000 + replica as u64,
             replica_group: replica,
             zone: replica % ZONES,
@@ -228,8 +228,8 @@
         node.observer
             .on_outcome(zone, attempt.replica, outcome, elapsed);
         node.inputs.results.push(AttemptResult {
-            query: attempt.query,
-            sub_request: attempt.sub_request,
+            query: QueryIndex(attempt.query),
+            sub_request: SubRequestIndex(attempt.sub_request),
             attempt: attempt.number,
             outcome,
             elapsed,
@@ -283,7 +283,7 @@
         });
         node.observer.on_query(SUB_REQUESTS_PER_QUERY);
         node.inputs.queries.push(NewQuery {
-            query,
+            query: QueryIndex(query),
             index: 0,
             customer: 0,
             key: Some(key),
@@ -291,7 +291,7 @@
             hard_deadline: now + HARD_DEADLINE,
         });
         let sub_request = |n: usize| NewSubRequest {
-            query,
+            query: QueryIndex(query),
             shard: (first_shard + SHARD_STRIDE * n) % SHARDS,
             weight: 1.0 / SUB_REQUESTS_PER_QUERY as f64,
         };
@@ -333,7 +333,7 @@
         node.observer
             .on_outcome(zone, replica, outcome, OBSERVED_HEALTH_CHECK);
         node.inputs.probes.push(ProbeResult {
-            replica,
+            replica: ReplicaIndex(replica),
             outcome,
             queue_depth: (outcome == AttemptOutcome::Success).then_some(queue_depth),
         });
--- a/crates/linenthread-simulation/src/merged/simulated_replicas.rs
+++ b/crates/linenthread-simulation/src/merged/simulated_replicas.rs
@@ -4,9 +4,9 @@
 use std::collections::{BTreeMap, BinaryHeap};
 
 use linenthread_core::interface::{
-    AttemptOutcome, AttemptResult, CoordinatorConfig, IndexConfig, Inputs, MembershipEntry,
-    MembershipUpdate, Permissions, Phase, ProbeResult, RetryBudget, ShardLayout, SlowStart,
-    TenthMillis,
+    AttemptOutcome, AttemptResult, Completeness, CoordinatorConfig, IndexConfig, Inputs,
+    MembershipEntry, MembershipUpdate, Permissions, Phase, ProbeResult, QueryIndex, ReplicaIndex,
+    RetryBudget, ShardLayout, SlowStart, SubRequestIndex, TenthMillis,
 };
 use linenthread_core::{Coordinator, DecisionSink};
 use oorandom::Rand64;
@@ -105,7 +105,13 @@
 }
 
 impl DecisionSink for DecisionLog {
-    fn send(&mut self, query: usize, sub_request: usize, replica: usize, timeout: TenthMillis) {
+    fn send(
+        &mut self,
+        QueryIndex(query): QueryIndex,
+        SubRequestIndex(sub_request): SubRequestIndex,
+        ReplicaIndex(replica): ReplicaIndex,
+        timeout: TenthMillis,
+    ) {
         self.sent.push((query, sub_request, replica, timeout));
         self.decisions.push(Decision::Send {
             query,
@@ -113,24 +119,25 @@
             attempt: 0,
         });
     }
-    fn cancel(&mut self, query: usize, sub_request: usize, attempt: usize) {
-        self.cancelled.push((query, sub_request, attempt));
+    fn cancel(&mut self, query: QueryIndex, sub_request: SubRequestIndex, attempt: usize) {
+        self.cancelled.push((query.0, sub_request.0, attempt));
     }
-    fn respond(&mut self, query: usize, complete: bool) {
+    fn respond(&mut self, QueryIndex(query): QueryIndex, completeness: Completeness) {
+        let complete = completeness == Completeness::Complete;
         self.decisions.push(Decision::Respond { query, complete });
     }
-    fn reject(&mut self, query: usize, _: Option<TenthMillis>) {
+    fn reject(&mut self, QueryIndex(query): QueryIndex, _: Option<TenthMillis>) {
         self.decisions.push(Decision::Reject { query });
     }
-    fn fail(&mut self, query: usize) {
+    fn fail(&mut self, QueryIndex(query): QueryIndex) {
         self.decisions.push(Decision::Fail { query });
     }
-    fn release(&mut self, query: usize) {
+    fn release(&mut self, QueryIndex(query): QueryIndex) {
         self.decisions.push(Decision::Release { query });
     }
-    fn close_idle(&mut self, _: usize) {}
-    fn probe(&mut self, replica: usize) {
-        self.probes.push(replica);
+    fn close_idle(&mut self, _: ReplicaIndex) {}
+    fn probe(&mut self, replica: ReplicaIndex) {
+        self.probes.push(replica.0);
     }
     fn watch_membership(&mut self) {}
     fn wake_at(&mut self, at: TenthMillis) {
@@ -196,7 +203,7 @@
         behavior: ReplicaBehavior,
     ) -> SimulatedReplicas {
         let entry = |n: usize| MembershipEntry {
-            replica: n,
+            replica: ReplicaIndex(n),
             id: 900 + n as u64,
             replica_group: n,
             zone: n % 2,
@@ -256,7 +263,7 @@
                         AttemptOutcome::ConnectFailed
                     };
                     self.inputs.probes.push(ProbeResult {
-                        replica,
+                        replica: ReplicaIndex(replica),
                         outcome,
                         queue_depth: Some(0.0),
                     });
@@ -278,8 +285,8 @@
         if let Some(sent) = self.in_flight.remove(&(query, sub_request, attempt)) {
             let elapsed = self.now - sent;
             self.inputs.results.push(AttemptResult {
-                query,
-                sub_request,
+                query: QueryIndex(query),
+                sub_request: SubRequestIndex(sub_request),
                 attempt,
                 outcome,
                 elapsed,
--- a/crates/linenthread-simulation/src/merged/simulation.rs
+++ b/crates/linenthread-simulation/src/merged/simulation.rs
@@ -3,7 +3,9 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use linenthread_core::interface::{AttemptOutcome, NewQuery, NewSubRequest, TenthMillis};
+use linenthread_core::interface::{
+    AttemptOutcome, Continuation, NewQuery, NewSubRequest, QueryIndex, SubRequestIndex, TenthMillis,
+};
 use linenthread_fakes::checker::{self, PagedRead};
 use linenthread_fakes::row_store::{Donation, RowStore};
 use linenthread_merge::{
@@ -219,7 +221,7 @@
     fn submit(&mut self, query: usize, client: usize, merger: Merger<'p>, page_size: usize) {
         let hard_deadline = self.fleet.now + HARD_DEADLINE;
         self.fleet.inputs.queries.push(NewQuery {
-            query,
+            query: QueryIndex(query),
             index: self.clients[client].plan,
             customer: 0,
             key: Some(client as u64),
@@ -227,7 +229,7 @@
             hard_deadline,
         });
         let sub_request = |&(shard, weight): &(usize, f64)| NewSubRequest {
-            query,
+            query: QueryIndex(query),
             shard,
             weight,
         };
@@ -292,7 +294,10 @@
         };
         let continuations = open.merger.take_continuations();
         self.statistics.continuations += continuations.len();
-        let continuations = continuations.into_iter().map(|index| (query, index));
+        let continuations = continuations.into_iter().map(|index| Continuation {
+            query: QueryIndex(query),
+            sub_request: SubRequestIndex(index),
+        });
         self.fleet.inputs.continuations.extend(continuations);
         self.fleet.complete(query, sub_request, attempt, outcome);
         if let Some(violation) = violation {
