--- a/crates/linenthread-core/src/policy/admission.rs
+++ b/crates/linenthread-core/src/policy/admission.rs
@@ -6,7 +6,7 @@
 use super::Coordinator;
 use super::windows::{FRESH_REPORT, LONG_TERM, MIN_WEIGHT, RECENT};
 use crate::interface::{FailureCause, IndexConfig, QueryIndex, ReplicaIndex};
-use crate::state::{DecayingSums, Query, Replica, SubRequest};
+use crate::state::{DecayingSums, Distribution, Query, Replica, SubRequest};
 
 /// While little was observed, so many sub-requests of usual delay weigh in the estimate of delays.
 ///
@@ -157,9 +157,9 @@
 
     fn delay_estimate(&self) -> DelayEstimate {
         let log_delays = &self.fleet.log_delays;
-        let (mean, deviation) = log_delays
-            .mean_and_deviation(MIN_WEIGHT)
-            .unwrap_or((0.0, 0.0));
+        let Distribution { mean, deviation } =
+            log_delays.distribution(MIN_WEIGHT).unwrap_or_default();
+        // The share that what was observed weighs beside the usual delay.
         let observed = log_delays.weight / (log_delays.weight + USUAL_DELAY_WEIGHT);
         let usual = (USUAL_DELAY_SHARE * self.min_soft_deadline).ln();
         DelayEstimate {
--- a/crates/linenthread-core/src/policy/latency.rs
+++ b/crates/linenthread-core/src/policy/latency.rs
@@ -10,9 +10,9 @@
     pub(super) fn latency_at(&self, deviations: f64) -> f64 {
         self.fleet
             .log_latencies
-            .mean_and_deviation(MIN_WEIGHT)
-            .map_or(self.min_soft_deadline / 2.0, |(mean, deviation)| {
-                (mean + deviations * deviation).exp()
+            .distribution(MIN_WEIGHT)
+            .map_or(self.min_soft_deadline / 2.0, |logarithms| {
+                (logarithms.mean + deviations * logarithms.deviation).exp()
             })
     }
 
--- a/crates/linenthread-core/src/state.rs
+++ b/crates/linenthread-core/src/state.rs
@@ -10,7 +10,7 @@
 mod timers;
 mod window_counter;
 
-pub(crate) use decaying_sums::{DecayingSums, decay_factor};
+pub(crate) use decaying_sums::{DecayingSums, Distribution, decay_factor};
 pub(crate) use fleet::FleetStatistics;
 pub(crate) use hash::hash_ids;
 pub(crate) use query::{Attempt, Query, SubRequest};
--- a/crates/linenthread-core/src/state/decaying_sums.rs
+++ b/crates/linenthread-core/src/state/decaying_sums.rs
@@ -7,6 +7,14 @@
     (-((now - since).max(0) as f64) / time_constant).exp()
 }
 
+/// How values are distributed.
+#[derive(Clone, Copy, Default)]
+pub(crate) struct Distribution {
+    pub mean: f64,
+    /// The standard deviation.
+    pub deviation: f64,
+}
+
 /// Sums over recent values, which decay with age and are brought up to date when they are read.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct DecayingSums {
@@ -44,18 +52,22 @@
         self.sum = (self.sum - amount).max(-self.weight);
     }
 
-    /// Mean and standard deviation, where the weight exceeds a minimum.
-    pub(crate) fn mean_and_deviation(&self, min_weight: f64) -> Option<(f64, f64)> {
+    /// How the values are distributed, where the weight exceeds a minimum.
+    pub(crate) fn distribution(&self, min_weight: f64) -> Option<Distribution> {
         (self.weight > min_weight).then(|| {
             let mean = self.sum / self.weight;
             let variance = (self.square_sum / self.weight - mean * mean).max(0.0);
-            (mean, variance.sqrt())
+            Distribution {
+                mean,
+                deviation: variance.sqrt(),
+            }
         })
     }
 
     /// The mean, where the weight exceeds a minimum.
     pub(crate) fn mean(&self, min_weight: f64) -> Option<f64> {
-        self.mean_and_deviation(min_weight).map(|(mean, _)| mean)
+        self.distribution(min_weight)
+            .map(|distribution| distribution.mean)
     }
 
     /// The mean with a prior that counts as a number of values.
