--- a/crates/linenthread-adapter/src/instance.rs
+++ b/crates/linenthread-adapter/src/instance.rs
@@ -4,6 +4,7 @@
 use std::panic::{AssertUnwindSafe, catch_unwind};
 
 use linenthread_core::Coordinator;
+use linenthread_core::conversion::{to_count, to_tenth_millis};
 use linenthread_core::interface::{
     AttemptResult, Inputs, MembershipEntry, MembershipUpdate, NewQuery, NewSubRequest, ProbeResult,
     TenthMillis,
@@ -20,6 +21,9 @@
 use crate::ids::{IdTable, Target};
 use crate::reply::{Reply, action};
 
+/// Units of the decision module in a millisecond.
+const TENTHS_PER_MS: f64 = 10.0;
+
 /// The lists that membership events refer to, by their numbers.
 pub(crate) type Lists = HashMap<u16, Vec<ListEntry>>;
 
@@ -129,7 +133,8 @@
         ensure!(index < self.index_count, UnknownClassSnafu { class: index });
         let customer = fields.count("client-group")?;
         let key = fields.u64("partition-key")?;
-        let hard_deadline = (fields.f64("deadline-ms")? * 10.0).floor() as TenthMillis;
+        // Rounded down, unlike all other times: a response must not come after it.
+        let hard_deadline = to_tenth_millis((fields.f64("deadline-ms")? * TENTHS_PER_MS).floor());
         fields.f64("expected-ms")?;
         let number = fields.f32("whole-no")?.to_bits();
         let shard = fields.f32("segment-no")?;
@@ -147,7 +152,7 @@
         } else if let Some(query) = self.ids.add_sub_request(id, number) {
             self.inputs.sub_requests.push(NewSubRequest {
                 query,
-                shard: shard as usize,
+                shard: to_count(f64::from(shard)),
                 weight,
             });
         }
--- a/crates/linenthread-adapter/tests/wire.rs
+++ b/crates/linenthread-adapter/tests/wire.rs
@@ -24,7 +24,9 @@
 
 fn frame(clock_ms: f64, records: &[Vec<u8>]) -> Vec<u8> {
     let body = records.concat();
-    let mut frame = (body.len() as u32 + 12).to_be_bytes().to_vec();
+    let mut frame = (u32::try_from(body.len()).unwrap() + 12)
+        .to_be_bytes()
+        .to_vec();
     frame.extend(clock_ms.to_be_bytes());
     frame.extend(body);
     frame
@@ -32,7 +34,7 @@
 
 fn boot(settings: &str) -> Vec<u8> {
     let mut record = bytes("01 00000003 0000000000000007");
-    record.extend((settings.len() as u32).to_be_bytes());
+    record.extend(u32::try_from(settings.len()).unwrap().to_be_bytes());
     record.extend(settings.as_bytes());
     record
 }
--- /dev/null
+++ b/crates/linenthread-core/src/conversion.rs
@@ -0,0 +1,36 @@
+//! Floating-point numbers as integers: the one place where a conversion may lose something.
+//!
+//! Each drops the fraction, and takes what lies beyond the integer's range as the nearest integer within it.
+
+use crate::interface::TenthMillis;
+
+/// A time in tenths of a millisecond, its fraction dropped.
+///
+/// The range is that of [`TenthMillis`], about 29 million years either way: longer times become the longest one, and
+/// what is not a number becomes 0.
+#[allow(
+    clippy::cast_possible_truncation,
+    reason = "the fraction is to go; `as` saturates"
+)]
+pub fn to_tenth_millis(time: f64) -> TenthMillis {
+    time as TenthMillis
+}
+
+/// A number from 0 on, its fraction dropped.
+///
+/// The range is that of `u64`: negative numbers and what is not a number become 0, larger ones the largest.
+#[allow(
+    clippy::cast_possible_truncation,
+    clippy::cast_sign_loss,
+    reason = "the fraction is to go; `as` saturates"
+)]
+pub fn to_u64(number: f64) -> u64 {
+    number as u64
+}
+
+/// A count, its fraction dropped.
+///
+/// The range is that of `usize`: negative numbers and what is not a number become 0, larger ones the largest.
+pub fn to_count(number: f64) -> usize {
+    usize::try_from(to_u64(number)).unwrap_or(usize::MAX)
+}
--- a/crates/linenthread-core/src/interface.rs
+++ b/crates/linenthread-core/src/interface.rs
@@ -24,6 +24,7 @@
 pub use attempt::{AttemptOutcome, AttemptResult, ProbeResult};
 pub use config::{
     CoordinatorConfig, Idempotency, IndexConfig, Permissions, RetryBudget, ShardLayout, SlowStart,
+    ValueGrowth,
 };
 pub use decision::{Completeness, DecisionSink, FailureCause};
 pub use indices::{QueryIndex, ReplicaIndex, SubRequestIndex};
--- a/crates/linenthread-core/src/interface/config.rs
+++ b/crates/linenthread-core/src/interface/config.rs
@@ -90,6 +90,15 @@
     pub window: TenthMillis,
 }
 
+/// How the value of a query depends on its size.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum ValueGrowth {
+    /// It is the same whatever the number of sub-requests.
+    Constant,
+    /// It grows with the work of the sub-requests.
+    WithWork,
+}
+
 /// All that a co-ordinator is configured with at its start.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CoordinatorConfig {
@@ -103,8 +112,8 @@
     pub customer_quotas: Vec<f64>,
     /// Share of its value that a query of a customer over its quota is worth.
     pub over_quota_value: f64,
-    /// A query's value grows with the work of its sub-requests; else it is the same whatever its size.
-    pub value_by_work: bool,
+    /// How a query's value depends on its size.
+    pub value_growth: ValueGrowth,
     /// Where the shards are.
     pub layout: ShardLayout,
     /// What this co-ordinator may do.
--- a/crates/linenthread-core/src/lib.rs
+++ b/crates/linenthread-core/src/lib.rs
@@ -7,8 +7,9 @@
 //!
 //! Start reading with [`interface`], the plain types that go in and come out, then [`policy`], where one module
 //! stands for each decision. The records and sums that decisions are based on are in `state`; nothing is
-//! decided there.
+//! decided there. What turns floating-point numbers into integers is in [`conversion`].
 
+pub mod conversion;
 pub mod interface;
 pub mod policy;
 mod state;
--- a/crates/linenthread-core/src/policy/admission.rs
+++ b/crates/linenthread-core/src/policy/admission.rs
@@ -5,7 +5,8 @@
 
 use super::Coordinator;
 use super::windows::{FRESH_REPORT, LONG_TERM, MIN_WEIGHT, RECENT};
-use crate::interface::{FailureCause, IndexConfig, QueryIndex, ReplicaIndex};
+use crate::conversion::to_count;
+use crate::interface::{FailureCause, IndexConfig, QueryIndex, ReplicaIndex, ValueGrowth};
 use crate::state::{DecayingSums, Distribution, Query, Replica, SubRequest};
 
 /// While little was observed, so many sub-requests of usual delay weigh in the estimate of delays.
@@ -178,7 +179,8 @@
         };
         let mut expected: Vec<f64> = query.sub_requests.iter().filter_map(quickest).collect();
         expected.sort_by(f64::total_cmp);
-        let needed = (self.index_of(query).min_share * expected.len() as f64).ceil() as usize;
+        let min_share = self.index_of(query).min_share;
+        let needed = to_count((min_share * expected.len() as f64).ceil());
         let slowdown = expected
             .get(needed.saturating_sub(1))
             .map_or(1.0, |latency| (latency / delays.log_mean.exp()).max(1.0));
@@ -224,10 +226,10 @@
     fn relative_cost(&mut self, query_index: QueryIndex) -> f64 {
         let query = self.open_query(query_index);
         let count = query.sub_requests.len() as f64;
-        let work = if self.config.value_by_work {
-            1.0
-        } else {
-            count
+        // A value that grows with the work makes all queries cost alike for it.
+        let work = match self.config.value_growth {
+            ValueGrowth::WithWork => 1.0,
+            ValueGrowth::Constant => count,
         };
         let cost = work / self.index_of(query).value.max(MIN_DIVISOR);
         let costs = &mut self.fleet.costs;
--- a/crates/linenthread-core/src/policy/coordinator.rs
+++ b/crates/linenthread-core/src/policy/coordinator.rs
@@ -1,5 +1,6 @@
 //! The state machine: what it consists of, and the order of the decisions within a step.
 
+use crate::conversion::to_tenth_millis;
 use crate::interface::{
     CoordinatorConfig, DecisionSink, IndexConfig, Inputs, QueryIndex, ReplicaIndex, TenthMillis,
     ZoneRoute,
@@ -152,7 +153,7 @@
 
     /// A random time below a limit.
     pub(super) fn random_time(&mut self, limit: TenthMillis) -> TenthMillis {
-        (self.rng.rand_float() * limit as f64) as TenthMillis
+        to_tenth_millis(self.rng.rand_float() * limit as f64)
     }
 
     /// The indices of all replicas that were ever listed.
--- a/crates/linenthread-core/src/policy/dispatch.rs
+++ b/crates/linenthread-core/src/policy/dispatch.rs
@@ -3,6 +3,7 @@
 use super::Coordinator;
 use super::query_of_death::CrashEvidence;
 use super::windows::{CRASH_MEMORY, RECENT, WEIGHT_ROUNDING};
+use crate::conversion::to_u64;
 use crate::interface::{DecisionSink, QueryIndex, SubRequestIndex};
 use crate::state::{Attempt, Query, SubRequest};
 
@@ -146,7 +147,7 @@
     /// The best score of the holders of a sub-request's shard, in thousandths.
     fn best_score(&self, query: &Query, sub_request: &SubRequest) -> Option<u64> {
         self.shard_replicas(query, sub_request)
-            .map(|replica| (SCORE_SCALE * self.replicas[replica].score) as u64)
+            .map(|replica| to_u64(SCORE_SCALE * self.replicas[replica].score))
             .min()
     }
 
--- a/crates/linenthread-core/src/policy/health_probe.rs
+++ b/crates/linenthread-core/src/policy/health_probe.rs
@@ -2,6 +2,7 @@
 
 use super::Coordinator;
 use super::windows::{CRASH_MEMORY, FRESH_REPORT, LONG_TERM, MIN_WEIGHT, PROBE_TIMEOUT, RECENT};
+use crate::conversion::to_tenth_millis;
 use crate::interface::{
     AttemptOutcome, DecisionSink, ProbeResult, QueryIndex, ReplicaIndex, TenthMillis,
 };
@@ -72,7 +73,9 @@
             return;
         }
         // All co-ordinators probe the same replica, so each waits in proportion to their number.
-        let interval_factor = (self.config.coordinator_count as TenthMillis / 4).max(1);
+        let interval_factor = TenthMillis::try_from(self.config.coordinator_count / 4)
+            .unwrap_or(TenthMillis::MAX)
+            .max(1);
         for replica_index in self.replica_indices() {
             let replica = &self.replicas[replica_index];
             let Some(outage) = replica.outage.filter(|_| replica.is_ready()) else {
@@ -98,7 +101,7 @@
         query_index: QueryIndex,
         sink: &mut impl DecisionSink,
     ) -> bool {
-        let max_wait = (MAX_PROBE_WAIT_SHARE * self.min_soft_deadline) as TenthMillis;
+        let max_wait = to_tenth_millis(MAX_PROBE_WAIT_SHARE * self.min_soft_deadline);
         let Some(Some(query)) = self.queries.get(query_index.0) else {
             return false;
         };
--- a/crates/linenthread-core/src/policy/resolution.rs
+++ b/crates/linenthread-core/src/policy/resolution.rs
@@ -3,6 +3,7 @@
 use super::Coordinator;
 use super::query_of_death::CrashEvidence;
 use super::windows::WEIGHT_ROUNDING;
+use crate::conversion::to_tenth_millis;
 use crate::interface::{
     Completeness, DecisionSink, FailureCause, Idempotency, IndexConfig, QueryIndex,
     SubRequestIndex, TenthMillis,
@@ -140,7 +141,7 @@
         } else {
             0.0
         };
-        let ready_at = self.now + (fetch_time * self.slow_latency()) as TenthMillis;
+        let ready_at = self.now + to_tenth_millis(fetch_time * self.slow_latency());
         let is_late =
             ready_at >= progress.gives_up_at || ready_at >= query.soft_deadline && partial_pays;
         progress.is_complete()
@@ -226,7 +227,7 @@
     /// Advice to come back after about one slow response time, spread at random; `None` where clients receive
     /// none.
     fn draw_retry_after(&mut self) -> Option<TenthMillis> {
-        let slow = self.slow_latency() as TenthMillis;
+        let slow = to_tenth_millis(self.slow_latency());
         let wait = slow / 2 + self.random_time(slow.max(1));
         let max_retry_after = self.config.permissions.max_retry_after;
         max_retry_after.map(|max| wait.min(max))
--- a/crates/linenthread-core/src/policy/score.rs
+++ b/crates/linenthread-core/src/policy/score.rs
@@ -6,6 +6,7 @@
     FRESH_REPORT, MIN_WEIGHT, PROBE_TIMEOUT, RECENT, REMEMBERED_RESPONSES, RESET_INTERVAL,
     SCORE_INTERVAL,
 };
+use crate::conversion::to_tenth_millis;
 use crate::interface::TenthMillis;
 use crate::state::{Observations, Replica};
 
@@ -197,7 +198,7 @@
     /// Forgets the observations of replicas, not those of zones.
     fn reset_observations(&mut self) {
         let interval = RESET_INTERVAL as f64 * self.fleet.time_constant / RECENT;
-        self.timers.next_reset = self.now + interval as TenthMillis;
+        self.timers.next_reset = self.now + to_tenth_millis(interval);
         for replica in &mut self.replicas {
             replica.observations = Observations::default();
         }
--- a/crates/linenthread-core/src/policy/slow_start.rs
+++ b/crates/linenthread-core/src/policy/slow_start.rs
@@ -1,6 +1,7 @@
 //! How many attempts a replica gets that has just started.
 
 use super::Coordinator;
+use crate::conversion::to_u64;
 use crate::interface::ReplicaIndex;
 
 /// How much is used of the slow-start budget.
@@ -60,10 +61,13 @@
         let used_share = 1.0 - (-self.fleet.sent_per_window).exp();
         let budget = budget * (USED_TURNS / used_share).clamp(1.0, MAX_TURN_FACTOR);
         let window = self.config.slow_start.window.max(1);
-        let turn = (age / window) as u64 + self.config.coordinator_number as u64 + replica.entry.id;
+        // A start that service discovery dates in the future is before window 0; the turns go on by wrapping round.
+        let turn = (age / window).cast_unsigned()
+            + self.config.coordinator_number as u64
+            + replica.entry.id;
         let windows_per_turn = (1.0 / budget)
             .ceil()
             .min(self.config.coordinator_count as f64);
-        turn.is_multiple_of(windows_per_turn as u64)
+        turn.is_multiple_of(to_u64(windows_per_turn))
     }
 }
--- a/crates/linenthread-core/tests/scenarios/decision_log.rs
+++ b/crates/linenthread-core/tests/scenarios/decision_log.rs
@@ -44,8 +44,8 @@
 }
 
 impl DecisionLog {
-    fn add(&mut self, line: String) {
-        let words = line.split(' ').map(str::to_string);
+    fn add(&mut self, line: &str) {
+        let words = line.split(' ').map(str::to_owned);
         self.lines.push(words.collect());
     }
 
@@ -88,7 +88,7 @@
     let mut bindings = bindings.clone();
     let mut matches = |pattern: &str, word: &String| {
         if pattern.starts_with('$') {
-            let bound = bindings.entry(pattern.to_string());
+            let bound = bindings.entry(pattern.to_owned());
             bound.or_insert_with(|| word.clone()) == word
         } else {
             pattern == "*" || pattern == word
@@ -112,7 +112,7 @@
     ) {
         assert!(timeout > 0);
         let (query_name, replica_name) = (&self.queries[query.0], &self.replicas[replica.0]);
-        self.add(format!(
+        self.add(&format!(
             "send {query_name}.{} {replica_name}",
             sub_request.0
         ));
@@ -125,7 +125,7 @@
 
     fn cancel(&mut self, query: QueryIndex, sub_request: SubRequestIndex, attempt: usize) {
         let query = &self.queries[query.0];
-        self.add(format!("cancel {query}.{}#{attempt}", sub_request.0));
+        self.add(&format!("cancel {query}.{}#{attempt}", sub_request.0));
     }
 
     fn respond(&mut self, query: QueryIndex, completeness: Completeness) {
@@ -133,32 +133,32 @@
             Completeness::Complete => "complete",
             Completeness::Partial => "partial",
         };
-        self.add(format!("{response} {}", self.queries[query.0]));
+        self.add(&format!("{response} {}", self.queries[query.0]));
     }
 
     fn reject(&mut self, query: QueryIndex, retry_after: Option<TenthMillis>) {
         let advice = retry_after.map_or("unadvised", |_| "advised");
-        self.add(format!("reject {} {advice}", self.queries[query.0]));
+        self.add(&format!("reject {} {advice}", self.queries[query.0]));
     }
 
     fn fail(&mut self, query: QueryIndex) {
-        self.add(format!("fail {}", self.queries[query.0]));
+        self.add(&format!("fail {}", self.queries[query.0]));
     }
 
     fn release(&mut self, query: QueryIndex) {
-        self.add(format!("release {}", self.queries[query.0]));
+        self.add(&format!("release {}", self.queries[query.0]));
     }
 
     fn probe(&mut self, replica: ReplicaIndex) {
-        self.add(format!("probe {}", self.replicas[replica.0]));
+        self.add(&format!("probe {}", self.replicas[replica.0]));
     }
 
     fn close_idle(&mut self, replica: ReplicaIndex) {
-        self.add(format!("close-idle {}", self.replicas[replica.0]));
+        self.add(&format!("close-idle {}", self.replicas[replica.0]));
     }
 
     fn watch_membership(&mut self) {
-        self.add("watch".into());
+        self.add("watch");
     }
 
     fn wake_at(&mut self, _: TenthMillis) {}
--- a/crates/linenthread-core/tests/scenarios/player.rs
+++ b/crates/linenthread-core/tests/scenarios/player.rs
@@ -188,10 +188,10 @@
         let (name, former) = name.split_once('=').unwrap_or((name, ""));
         let replicas = &mut self.log.replicas;
         if let Some(replica) = replicas.iter().position(|r| r == former) {
-            replicas[replica] = name.to_string();
+            replicas[replica] = name.to_owned();
         }
         let replica = replicas.iter().position(|r| r == name).unwrap_or_else(|| {
-            replicas.push(name.to_string());
+            replicas.push(name.to_owned());
             replicas.len() - 1
         });
         Ok(MembershipEntry {
@@ -278,7 +278,7 @@
                 other => return Err(format!("a query has no {other}")),
             }
         }
-        self.log.queries.push(words[0].to_string());
+        self.log.queries.push(words[0].to_owned());
         self.inputs.queries.push(new);
         self.sub_requests(query, &words[shards_at + 1..])
     }
--- a/crates/linenthread-core/tests/scenarios/setup.rs
+++ b/crates/linenthread-core/tests/scenarios/setup.rs
@@ -2,6 +2,7 @@
 
 use linenthread_core::interface::{
     CoordinatorConfig, Idempotency, IndexConfig, Permissions, RetryBudget, ShardLayout, SlowStart,
+    ValueGrowth,
 };
 
 use crate::values::{number, time};
@@ -29,7 +30,7 @@
         indexes: vec![INDEX],
         customer_quotas: Vec::new(),
         over_quota_value: 0.1,
-        value_by_work: false,
+        value_growth: ValueGrowth::Constant,
         layout: ShardLayout {
             replica_groups: 4,
             replication_factor: 4,
--- a/crates/linenthread-core/tests/scenarios/values.rs
+++ b/crates/linenthread-core/tests/scenarios/values.rs
@@ -2,6 +2,7 @@
 
 use std::str::FromStr;
 
+use linenthread_core::conversion::to_tenth_millis;
 use linenthread_core::interface::{AttemptOutcome, Phase, TenthMillis};
 
 pub(crate) fn number<T: FromStr>(word: Option<&&str>) -> Result<T, String> {
@@ -11,7 +12,7 @@
 
 /// A time stated in milliseconds.
 pub(crate) fn time(word: Option<&&str>) -> Result<TenthMillis, String> {
-    Ok((number::<f64>(word)? * 10.0) as TenthMillis)
+    Ok(to_tenth_millis(number::<f64>(word)? * 10.0))
 }
 
 pub(crate) fn outcome(word: &str) -> Result<AttemptOutcome, String> {
--- a/crates/linenthread-dataplane/src/clock.rs
+++ b/crates/linenthread-dataplane/src/clock.rs
@@ -5,6 +5,7 @@
 use std::cell::Cell;
 use std::time::Duration;
 
+use linenthread_core::conversion::to_tenth_millis;
 use linenthread_core::interface::TenthMillis;
 use linenthread_time::{Instant, whole_millis};
 
@@ -72,8 +73,8 @@
     Duration::from_micros(tenths.saturating_mul(MICROS_PER_TENTH))
 }
 
-/// Milliseconds of a configuration in the unit of the decision module, rounded down; it saturates, as every
-/// conversion from a float does.
+/// Milliseconds of a configuration in the unit of the decision module, the fraction dropped; it saturates, as
+/// [`to_tenth_millis`] does.
 pub(crate) fn ms_to_tenth_millis(ms: f64) -> TenthMillis {
-    (ms * TENTHS_PER_MS) as TenthMillis
+    to_tenth_millis(ms * TENTHS_PER_MS)
 }
--- a/crates/linenthread-dataplane/src/dispatcher/policy_inputs.rs
+++ b/crates/linenthread-dataplane/src/dispatcher/policy_inputs.rs
@@ -3,7 +3,7 @@
 use linenthread_config::{Destination, Mode, ResolvedRoute, Settings};
 use linenthread_core::interface::{
     CoordinatorConfig, Idempotency, IndexConfig, Permissions, RetryBudget, ShardLayout, SlowStart,
-    TenthMillis,
+    TenthMillis, ValueGrowth,
 };
 use linenthread_core::policy::{
     BUDGET_UTILIZATION, DEFAULT_LATE_VALUE_SHARE, DEFAULT_PARTIAL_VALUE,
@@ -61,7 +61,7 @@
         indexes: Vec::new(),
         customer_quotas: Vec::new(),
         over_quota_value: 1.0,
-        value_by_work: false,
+        value_growth: ValueGrowth::Constant,
         layout: ShardLayout {
             replica_groups: backends,
             replication_factor: 1,
--- a/crates/linenthread-terms/src/coordinator.rs
+++ b/crates/linenthread-terms/src/coordinator.rs
@@ -1,7 +1,9 @@
 //! What decisions need.
 
+use linenthread_core::conversion::to_count;
 use linenthread_core::interface::{
     CoordinatorConfig, Idempotency, IndexConfig, Permissions, RetryBudget, ShardLayout, SlowStart,
+    ValueGrowth,
 };
 use serde_json::Value;
 
@@ -37,7 +39,7 @@
         indexes,
         customer_quotas,
         over_quota_value: optional_number(root, "over-share-worth").unwrap_or(1.0),
-        value_by_work: find(root, "counted-by").and_then(Value::as_str) == Some("work"),
+        value_growth: value_growth(root),
         layout: ShardLayout {
             replica_groups: count(root, "family-info.cells")?.max(1),
             replication_factor: count(root, "family-info.in-a-row")?,
@@ -57,6 +59,13 @@
     })
 }
 
+fn value_growth(root: &Value) -> ValueGrowth {
+    match find(root, "counted-by").and_then(Value::as_str) {
+        Some("work") => ValueGrowth::WithWork,
+        _ => ValueGrowth::Constant,
+    }
+}
+
 fn permissions(root: &Value) -> Result<Permissions, SettingsError> {
     Ok(Permissions {
         max_attempts: count(root, "allowed.max-attempts")?,
@@ -71,7 +80,7 @@
     })
 }
 
-/// The budget for further attempts; there is none where no ratio is set.
+/// The budget for retries and hedged requests; there is none where no ratio is set.
 fn retry_budget(root: &Value) -> Result<Option<RetryBudget>, SettingsError> {
     let ratio = "safety.repeat-ratio";
     if find(root, ratio).is_none() {
@@ -95,7 +104,7 @@
         complete_share: figure("family-info.need-by-class")?,
         min_share: figure("family-info.floor-by-class")?,
         partial_value: figure("family-info.incomplete-worth")?,
-        fetch_sub_requests: figure("family-info.fetch-parts")? as usize,
+        fetch_sub_requests: to_count(figure("family-info.fetch-parts")?),
     })
 }
 
--- a/crates/linenthread-terms/src/lib.rs
+++ b/crates/linenthread-terms/src/lib.rs
@@ -11,6 +11,7 @@
 mod load_reports;
 mod reader;
 
+use linenthread_core::conversion::to_tenth_millis;
 use linenthread_core::interface::TenthMillis;
 
 pub use cluster::{ClusterConfig, cluster_config};
@@ -19,7 +20,10 @@
 pub use load_reports::queue_position;
 pub use reader::parse_settings;
 
+/// Units of the decision module in a millisecond.
+const TENTHS_PER_MS: f64 = 10.0;
+
 /// Converts milliseconds, rounded to the nearest tenth of one.
 pub fn tenth_millis(ms: f64) -> TenthMillis {
-    (ms * 10.0).round() as TenthMillis
+    to_tenth_millis((ms * TENTHS_PER_MS).round())
 }
--- a/crates/linenthread-terms/tests/settings.rs
+++ b/crates/linenthread-terms/tests/settings.rs
@@ -2,6 +2,7 @@
 
 use linenthread_core::interface::{
     CoordinatorConfig, Idempotency, IndexConfig, Permissions, RetryBudget, ShardLayout, SlowStart,
+    ValueGrowth,
 };
 use linenthread_terms::coordinator_config;
 use serde_json::{Value, json};
@@ -40,7 +41,7 @@
         }],
         customer_quotas: vec![7.5],
         over_quota_value: 0.2,
-        value_by_work: false,
+        value_growth: ValueGrowth::Constant,
         layout: ShardLayout {
             replica_groups: 6,
             replication_factor: 2,
