--- a/crates/linenthread-simulation/src/failover_simulation/coordinator.rs
+++ b/crates/linenthread-simulation/src/failover_simulation/coordinator.rs
@@ -4,7 +4,7 @@
 
 use linenthread_core::interface::{
     Completeness, CoordinatorConfig, Idempotency, IndexConfig, Inputs, Permissions, QueryIndex,
-    ReplicaIndex, ShardLayout, SlowStart, SubRequestIndex, TenthMillis, ZoneRoute,
+    ReplicaIndex, ShardLayout, SlowStart, SubRequestIndex, TenthMillis, ValueGrowth, ZoneRoute,
 };
 use linenthread_core::{Coordinator, DecisionSink};
 use linenthread_zones::{ALL_KEYS, FailoverController, Row, ZoneObserver};
@@ -204,7 +204,7 @@
         indexes: vec![index],
         customer_quotas: Vec::new(),
         over_quota_value: 0.1,
-        value_by_work: false,
+        value_growth: ValueGrowth::Constant,
         layout: ShardLayout {
             replica_groups: REPLICAS,
             replication_factor: 2,
--- a/crates/linenthread-simulation/src/merged/simulated_replicas.rs
+++ b/crates/linenthread-simulation/src/merged/simulated_replicas.rs
@@ -6,7 +6,7 @@
 use linenthread_core::interface::{
     AttemptOutcome, AttemptResult, Completeness, CoordinatorConfig, IndexConfig, Inputs,
     MembershipEntry, MembershipUpdate, Permissions, Phase, ProbeResult, QueryIndex, ReplicaIndex,
-    RetryBudget, ShardLayout, SlowStart, SubRequestIndex, TenthMillis,
+    RetryBudget, ShardLayout, SlowStart, SubRequestIndex, TenthMillis, ValueGrowth,
 };
 use linenthread_core::{Coordinator, DecisionSink};
 use oorandom::Rand64;
@@ -170,7 +170,7 @@
         indexes,
         customer_quotas: Vec::new(),
         over_quota_value: 1.0,
-        value_by_work: false,
+        value_growth: ValueGrowth::Constant,
         layout: ShardLayout {
             replica_groups: REPLICA_GROUPS,
             replication_factor: 2,
