--- a/crates/linenthread-dataplane/src/data_plane.rs
+++ b/crates/linenthread-dataplane/src/data_plane.rs
@@ -18,7 +18,7 @@
 use crate::transport::{Connector, TcpConnector};
 use crate::zones::Zones;
 
-/// The fewest connections that this process may have to a replica, however many share its limit.
+/// The fewest connections that this process may have to a replica, however many ingress nodes share its limit.
 const MIN_CONNECTIONS: usize = 2;
 /// An `f64` holds integers of so many bits exactly.
 const F64_BITS: u32 = 53;
@@ -137,8 +137,7 @@
             return;
         }
         for pool in &changed {
-            let status = pool.status();
-            if status.draining || status.departed {
+            if !pool.status().is_available() {
                 pool.close_idle();
             }
         }
@@ -150,7 +149,8 @@
         self.limit_connections();
     }
 
-    /// The limits of the configuration are for all ingress nodes together.
+    /// Limits the connections to each replica: a limit of the configuration is for all ingress nodes together, of which
+    /// this process gets an equal part.
     fn limit_connections(&self) {
         let ingress_count = self.retry_quota.get().ingress_count.max(1);
         let routing_table = self.routing_table.borrow();
@@ -171,7 +171,7 @@
     pub fn set_retry_quota(&self, quota: RetryQuota) {
         if quota != self.retry_quota.get() {
             self.retry_quota.set(quota);
-            self.share_retry_quota();
+            self.divide_retry_quota();
             self.limit_connections();
         }
     }
@@ -181,23 +181,25 @@
         self.retry_quota.get()
     }
 
-    /// Divides the quota among the dispatchers: it holds at each backend, so those that share one share it, too.
-    fn share_retry_quota(&self) {
+    /// Divides the quota among the dispatchers. It holds at each backend, so dispatchers that share a backend divide
+    /// it; one that has several backends gets the least of its parts.
+    fn divide_retry_quota(&self) {
         let (quota, dispatchers) = (self.retry_quota.get(), self.dispatchers.borrow());
-        let sharing = |backend: &Rc<str>| {
+        let dispatchers_of = |backend: &Rc<str>| {
             dispatchers
                 .values()
                 .filter(|dispatcher| dispatcher.queries(backend))
                 .count()
         };
         for (key, dispatcher) in dispatchers.iter() {
-            let sharing = key.backends.iter().map(sharing).max().unwrap_or(1).max(1);
-            dispatcher.set_retry_quota(&quota, quota.retries_per_window / sharing as f64);
+            let sharers = key.backends.iter().map(dispatchers_of);
+            let sharers = sharers.max().unwrap_or(1).max(1);
+            dispatcher.set_retry_quota(&quota, quota.retries_per_window / sharers as f64);
         }
     }
 
     /// The dispatcher of these backends, which is started if there is none.
-    fn dispatcher(&self, backends: &[Rc<str>], max_attempts: usize) -> Rc<Dispatcher<C>> {
+    fn dispatcher_of(&self, backends: &[Rc<str>], max_attempts: usize) -> Rc<Dispatcher<C>> {
         let key = DispatcherKey::new(backends, max_attempts);
         if let Some(dispatcher) = self.dispatchers.borrow().get(&key) {
             return dispatcher.clone();
@@ -210,7 +212,7 @@
         self.dispatchers
             .borrow_mut()
             .insert(key, dispatcher.clone());
-        self.share_retry_quota();
+        self.divide_retry_quota();
         dispatcher
     }
 
@@ -224,10 +226,10 @@
     ) -> PendingResponse<C> {
         let max_attempts = resolved.route.max_attempts;
         let dispatcher = match &resolved.destination {
-            Destination::FanOut(backends) => self.dispatcher(backends, max_attempts),
+            Destination::FanOut(backends) => self.dispatcher_of(backends, max_attempts),
             weighted @ Destination::Weighted(_) => {
                 let backend = weighted.pick(unit_interval(fnv1a_64(request.request_id.as_bytes())));
-                self.dispatcher(backend.map_or(&[], std::slice::from_ref), max_attempts)
+                self.dispatcher_of(backend.map_or(&[], std::slice::from_ref), max_attempts)
             }
         };
         dispatcher.dispatch(request, resolved, key, deadline)
--- a/crates/linenthread-dataplane/src/dispatcher.rs
+++ b/crates/linenthread-dataplane/src/dispatcher.rs
@@ -14,13 +14,13 @@
 use linenthread_config::{ResolvedRoute, Settings};
 use linenthread_core::interface::{
     AttemptOutcome, AttemptResult, MembershipEntry, MembershipUpdate, NewQuery, NewSubRequest,
-    Phase, QueryIndex, ReplicaIndex, SubRequestIndex, TenthMillis,
+    Phase, ReplicaIndex, TenthMillis,
 };
 use tokio::sync::{Notify, oneshot};
 use tokio::task::spawn_local;
 
-use self::decisions::Decision;
-use self::query::{AttemptKey, OpenQuery, Permission, QueryId};
+use self::decisions::{Decision, SendAttempt};
+use self::query::{AttemptKey, OpenQuery, Permission, QueryId, SequenceNumber};
 use self::state::State;
 use crate::clock;
 use crate::counter::Counter;
@@ -30,7 +30,7 @@
 use crate::transport::Connector;
 use crate::zones::Zones;
 
-/// The least time that an attempt gets, in tenths of a millisecond.
+/// The shortest time-out of an attempt, in tenths of a millisecond.
 const MIN_TIMEOUT: TenthMillis = 10;
 
 /// Hands requests to the decision module and its decisions to the replicas' pools.
@@ -41,8 +41,8 @@
     /// Something arrived for the decision module.
     arrived: Notify,
     open_queries: Counter,
-    /// The sequence number of the last query that was opened.
-    last_query: Cell<u64>,
+    /// The last query that was opened.
+    last_query: Cell<SequenceNumber>,
 }
 
 impl<C: Connector> Dispatcher<C> {
@@ -60,7 +60,7 @@
             state: RefCell::new(state),
             arrived: Notify::new(),
             open_queries: Counter::default(),
-            last_query: Cell::new(0),
+            last_query: Cell::default(),
         });
         spawn_local(run(dispatcher.clone()));
         dispatcher
@@ -84,22 +84,25 @@
     /// Takes in the status of replicas; those of other backends are left out.
     pub(crate) fn update_replicas(&self, pools: &[Rc<ReplicaPool<C>>], zones: &Zones) {
         let mut state = self.state.borrow_mut();
-        let listed: Vec<MembershipEntry> = pools
+        let entries: Vec<MembershipEntry> = pools
             .iter()
             .filter_map(|pool| {
-                let backend = self.backends.iter().position(|s| s == pool.backend())?;
-                let slot = state.replicas.update(pool, self.last_query.get())?;
-                Some(listed(pool, slot, backend, zones))
+                let backend = self
+                    .backends
+                    .iter()
+                    .position(|name| name == pool.backend())?;
+                let replica = state.replicas.update(pool, self.last_query.get())?;
+                Some(membership_entry(pool, replica, backend, zones))
             })
             .collect();
-        if listed.is_empty() {
+        if entries.is_empty() {
             return;
         }
         state
             .inputs
             .membership
-            .push(MembershipUpdate::Delta(listed));
-        state.inputs.zone_routes = Some(zones.ways());
+            .push(MembershipUpdate::Delta(entries));
+        state.inputs.zone_routes = Some(zones.routes());
         self.arrived.notify_one();
     }
 
@@ -115,37 +118,40 @@
         let (client, response) = oneshot::channel();
         let mut state = self.state.borrow_mut();
         let kind = state.query_kind(policy_inputs::index_config(resolved));
-        let slot = state.free_query_slot();
-        let sequence = self.last_query.get() + 1;
-        self.last_query.set(sequence);
+        let index = state.free_query_index();
+        let sequence_number = self.last_query.get().next();
+        self.last_query.set(sequence_number);
         state.inputs.queries.push(NewQuery {
-            query: slot,
+            query: index,
             index: kind,
             customer: 0,
             key: Some(key),
-            sequence_number: sequence,
+            sequence_number: sequence_number.0,
             hard_deadline: deadline,
         });
         let sub_request_count = self.backends.len();
         let sub_requests = (0..sub_request_count).map(|shard| NewSubRequest {
-            query: slot,
+            query: index,
             shard,
             weight: 1.0,
         });
         state.inputs.sub_requests.extend(sub_requests);
         let query = OpenQuery::new(
-            sequence,
+            sequence_number,
             request,
             resolved.clone(),
             sub_request_count,
             client,
             self.open_queries.enter(),
         );
-        state.open_query(slot, query);
+        state.open_query(index, query);
         self.arrived.notify_one();
         PendingResponse {
             dispatcher: self.clone(),
-            query: QueryId { slot, sequence },
+            query: QueryId {
+                index,
+                sequence_number,
+            },
             response,
         }
     }
@@ -168,34 +174,29 @@
     fn cancel(&self, query: QueryId) {
         let mut state = self.state.borrow_mut();
         if state.query(query).is_some() {
-            state.inputs.abandoned.push(query.slot);
+            state.inputs.abandoned.push(query.index);
             self.arrived.notify_one();
         }
     }
 
-    /// One round of the decision module, and its decisions; when to run the next one at the latest.
-    fn round(self: &Rc<Self>) -> Option<TenthMillis> {
+    /// Runs one step of the decision module and carries out its decisions; when to run the next one at the latest.
+    fn step(self: &Rc<Self>) -> Option<TenthMillis> {
         let mut state = self.state.borrow_mut();
         for decision in state.decide() {
             match decision {
-                Decision::Send {
-                    query,
-                    sub_request,
-                    replica,
-                    timeout,
-                } => self.send(&mut state, query, sub_request, replica, timeout),
+                Decision::Send(attempt) => self.send(&mut state, &attempt),
                 Decision::Respond { query } => {
-                    if let Some(query) = state.query_in(query) {
+                    if let Some(query) = state.query_at(query) {
                         query.complete();
                     }
                 }
                 Decision::Reject { query, retry_after } => {
-                    if let Some(query) = state.query_in(query) {
+                    if let Some(query) = state.query_at(query) {
                         query.abandon(retry_after);
                     }
                 }
                 Decision::Fail { query } => {
-                    if let Some(query) = state.query_in(query) {
+                    if let Some(query) = state.query_at(query) {
                         query.abandon(None);
                     }
                 }
@@ -206,35 +207,29 @@
         state.decisions.wake_at
     }
 
-    /// Sends a sub-request to a replica, if it may be sent (again).
-    fn send(
-        self: &Rc<Self>,
-        state: &mut State<C>,
-        slot: QueryIndex,
-        sub_request: SubRequestIndex,
-        replica: ReplicaIndex,
-        timeout: TenthMillis,
-    ) {
-        let Some(query) = state.query_in(slot) else {
+    /// Sends a sub-request to a replica, unless it may not run twice and an earlier attempt may have run. The decision
+    /// module has that rule, too; this second guard goes by what was observed on the connections.
+    fn send(self: &Rc<Self>, state: &mut State<C>, attempt: &SendAttempt) {
+        let Some(query) = state.query_at(attempt.query) else {
             return;
         };
-        let (attempt, permission) = query.begin_attempt(sub_request);
+        let begun = query.begin_attempt(attempt.sub_request);
         let id = AttemptKey {
             query: QueryId {
-                slot,
-                sequence: query.sequence,
+                index: attempt.query,
+                sequence_number: query.sequence_number,
             },
-            sub_request,
-            attempt,
+            sub_request: attempt.sub_request,
+            attempt: begun.number,
         };
-        if permission == Permission::Denied {
+        if begun.permission == Permission::Denied {
             log::error!(route = query.resolved.route.name; "event=retry_rejected");
             self.report(state, id, AttemptOutcome::NotSent, 0);
             return;
         }
         let request = query.request.clone();
-        let pool = state.replicas.pool(replica).clone();
-        let timeout = clock::tenth_millis_to_duration(timeout.max(MIN_TIMEOUT));
+        let pool = state.replicas.pool(attempt.replica).clone();
+        let timeout = clock::tenth_millis_to_duration(attempt.timeout.max(MIN_TIMEOUT));
         let dispatcher = self.clone();
         spawn_local(async move {
             let started_at = clock::now_tenth_millis();
@@ -247,7 +242,7 @@
     fn on_completed(&self, id: AttemptKey, elapsed: TenthMillis, completed: CompletedAttempt) {
         let mut state = self.state.borrow_mut();
         let Some(query) = state.query(id.query) else {
-            log::error!(query = id.query.sequence; "event=orphaned_outcome");
+            log::error!(query = id.query.sequence_number.0; "event=orphaned_outcome");
             return;
         };
         let attempt_outcome = completed.outcome.attempt_outcome;
@@ -264,7 +259,7 @@
         elapsed: TenthMillis,
     ) {
         state.inputs.results.push(AttemptResult {
-            query: id.query.slot,
+            query: id.query.index,
             sub_request: id.sub_request,
             attempt: id.attempt,
             outcome: attempt_outcome,
@@ -297,7 +292,7 @@
 }
 
 /// A replica in the terms of the decision module.
-fn listed<C: Connector>(
+fn membership_entry<C: Connector>(
     pool: &ReplicaPool<C>,
     replica: ReplicaIndex,
     backend: usize,
@@ -319,7 +314,7 @@
     }
 }
 
-/// Runs a round of the decision module whenever something arrived, or when it asked for one.
+/// Runs a step of the decision module whenever something arrived, or when it asked for one.
 async fn run<C: Connector>(dispatcher: Rc<Dispatcher<C>>) {
     let mut wake_at: Option<TenthMillis> = None;
     loop {
@@ -331,7 +326,7 @@
             None => dispatcher.arrived.notified().await,
         }
         // The module names a moment only if the one that it named last is past.
-        let next = dispatcher.round();
+        let next = dispatcher.step();
         wake_at = next.or(wake_at.filter(|at| *at > clock::now_tenth_millis()));
     }
 }
--- a/crates/linenthread-dataplane/src/dispatcher/decisions.rs
+++ b/crates/linenthread-dataplane/src/dispatcher/decisions.rs
@@ -1,20 +1,22 @@
-//! What the decision module decides in one round, as a list that the dispatcher carries out.
+//! What the decision module decides in one step, as a list that the dispatcher carries out.
 
 use linenthread_core::DecisionSink;
 use linenthread_core::interface::{
     Completeness, FailureCause, QueryIndex, ReplicaIndex, SubRequestIndex, TenthMillis,
 };
 
-/// One decision. Queries, sub-requests and replicas are named by the indices under which the decision
-/// module knows them.
+/// The next attempt of a sub-request.
+pub(super) struct SendAttempt {
+    pub(super) query: QueryIndex,
+    pub(super) sub_request: SubRequestIndex,
+    pub(super) replica: ReplicaIndex,
+    pub(super) timeout: TenthMillis,
+}
+
+/// One decision.
 pub(super) enum Decision {
     /// Send a sub-request to a replica.
-    Send {
-        query: QueryIndex,
-        sub_request: SubRequestIndex,
-        replica: ReplicaIndex,
-        timeout: TenthMillis,
-    },
+    Send(SendAttempt),
     /// Answer from the responses that have arrived.
     Respond { query: QueryIndex },
     /// Reject the query: it may be sent again, at best after this time.
@@ -30,7 +32,7 @@
     CloseIdle { replica: ReplicaIndex },
 }
 
-/// The decisions of a round, in the order they were taken.
+/// The decisions of a step, in the order they were taken.
 #[derive(Default)]
 pub(super) struct Decisions {
     pub(super) list: Vec<Decision>,
@@ -64,12 +66,12 @@
         replica: ReplicaIndex,
         timeout: TenthMillis,
     ) {
-        self.list.push(Decision::Send {
+        self.list.push(Decision::Send(SendAttempt {
             query,
             sub_request,
             replica,
             timeout,
-        });
+        }));
     }
 
     fn cancel(&mut self, _query: QueryIndex, _sub_request: SubRequestIndex, _attempt: usize) {}
--- a/crates/linenthread-dataplane/src/dispatcher/pass_through.rs
+++ b/crates/linenthread-dataplane/src/dispatcher/pass_through.rs
@@ -26,8 +26,8 @@
 }
 
 impl PassThrough {
-    /// One round: takes in what arrived, sends new sub-requests and ends queries whose sub-requests have all ended.
-    pub(super) fn round(&mut self, inputs: &Inputs, sink: &mut impl DecisionSink) {
+    /// One step: takes in what arrived, sends new sub-requests and ends queries whose sub-requests have all ended.
+    pub(super) fn step(&mut self, inputs: &Inputs, sink: &mut impl DecisionSink) {
         for update in &inputs.membership {
             if let MembershipUpdate::Delta(listed) = update {
                 self.update_replicas(listed);
@@ -93,19 +93,12 @@
     ) {
         for number in self.sent..self.shards.len() {
             self.sent += 1;
-            match choose(replicas, self.shards[number], self.key) {
-                Some(replica) => {
-                    sink.send(
-                        index,
-                        SubRequestIndex(number),
-                        replica.replica,
-                        (self.deadline - now).max(1),
-                    );
-                }
-                None => {
-                    self.completed += 1;
-                    self.failed = true;
-                }
+            if let Some(chosen) = choose(replicas, self.shards[number], self.key) {
+                let timeout = (self.deadline - now).max(1);
+                sink.send(index, SubRequestIndex(number), chosen.replica, timeout);
+            } else {
+                self.completed += 1;
+                self.failed = true;
             }
         }
     }
--- a/crates/linenthread-dataplane/src/dispatcher/query.rs
+++ b/crates/linenthread-dataplane/src/dispatcher/query.rs
@@ -13,11 +13,21 @@
 use crate::pool::{CompletedAttempt, ReplicaRequest, ReplicaResponse};
 use crate::response::{Response, SubRequestResponses};
 
-/// Which query: its slot, which is used again after its end, and its sequence number, which is not.
+/// The number of a query among all of its dispatcher, from 1.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
+pub(super) struct SequenceNumber(pub(super) u64);
+
+impl SequenceNumber {
+    pub(super) fn next(self) -> SequenceNumber {
+        SequenceNumber(self.0 + 1)
+    }
+}
+
+/// Which query: its index, which is used again after its end, and its sequence number, which is not.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct QueryId {
-    pub(super) slot: QueryIndex,
-    pub(super) sequence: u64,
+    pub(super) index: QueryIndex,
+    pub(super) sequence_number: SequenceNumber,
 }
 
 /// Which attempt: its query, its sub-request, and its number among those of the sub-request.
@@ -33,7 +43,7 @@
 struct SubRequest {
     response: Option<ReplicaResponse>,
     attempts: usize,
-    /// Attempts that are not known not to have run; those in flight count.
+    /// Attempts that may have run: all that are in flight, and those that ended without a word that they did not run.
     may_have_run: usize,
 }
 
@@ -50,7 +60,7 @@
 
 /// A query that has not completed.
 pub(super) struct OpenQuery {
-    pub(super) sequence: u64,
+    pub(super) sequence_number: SequenceNumber,
     pub(super) request: Rc<ReplicaRequest>,
     pub(super) resolved: Rc<ResolvedRoute>,
     /// None once the client has its response.
@@ -63,7 +73,7 @@
 
 impl OpenQuery {
     pub(super) fn new(
-        sequence: u64,
+        sequence_number: SequenceNumber,
         request: Rc<ReplicaRequest>,
         resolved: Rc<ResolvedRoute>,
         sub_request_count: usize,
@@ -71,7 +81,7 @@
         open: CounterGuard,
     ) -> OpenQuery {
         OpenQuery {
-            sequence,
+            sequence_number,
             request,
             resolved,
             client: Some(client),
@@ -83,9 +93,9 @@
         }
     }
 
-    /// Counts one more attempt of a sub-request: its number, and whether it may be sent at all. It may not where an
-    /// earlier one may have run and the route does not allow it to run twice.
-    pub(super) fn begin_attempt(&mut self, sub_request: SubRequestIndex) -> (usize, Permission) {
+    /// Counts one more attempt of a sub-request, and says whether it may be sent at all: it may not where an earlier
+    /// one may have run and the route does not allow it to run twice.
+    pub(super) fn begin_attempt(&mut self, sub_request: SubRequestIndex) -> BegunAttempt {
         let sub_request = &mut self.sub_requests[sub_request.0];
         let permission = if may_retry(self.resolved.route.mode, sub_request.sent()) {
             sub_request.may_have_run += 1;
@@ -93,9 +103,9 @@
         } else {
             Permission::Denied
         };
-        let attempt = sub_request.attempts;
+        let number = sub_request.attempts;
         sub_request.attempts += 1;
-        (attempt, permission)
+        BegunAttempt { number, permission }
     }
 
     /// Takes in how an attempt completed.
@@ -141,15 +151,11 @@
         if self.client.is_none() {
             return;
         }
-        let response = match self.failure.take() {
-            Some(failure) => Response::forwarded(failure),
-            None => {
-                let may_have_run = self
-                    .sub_requests
-                    .iter()
-                    .any(|sub_request| sub_request.may_have_run > 0);
-                Response::abandoned(may_have_run, retry_after)
-            }
+        let response = if let Some(failure) = self.failure.take() {
+            Response::forwarded(failure)
+        } else {
+            let furthest = self.sub_requests.iter().map(SubRequest::sent).max();
+            Response::abandoned(furthest.unwrap_or(SendState::NotSent), retry_after)
         };
         self.respond(response);
     }
@@ -178,6 +184,13 @@
     }
 }
 
+/// An attempt that is counted and not sent yet.
+pub(super) struct BegunAttempt {
+    /// Its number among those of the sub-request, from 0.
+    pub(super) number: usize,
+    pub(super) permission: Permission,
+}
+
 /// Whether an attempt may be sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Permission {
--- a/crates/linenthread-dataplane/src/dispatcher/state.rs
+++ b/crates/linenthread-dataplane/src/dispatcher/state.rs
@@ -19,7 +19,7 @@
     pass_through: Option<PassThrough>,
     /// The kinds of queries that the coordinator knows, by index.
     query_kinds: Vec<IndexConfig>,
-    /// What arrived since the last round.
+    /// What arrived since the last step.
     pub(super) inputs: Inputs,
     pub(super) replicas: ReplicaSlots<C>,
     queries: Vec<Option<OpenQuery>>,
@@ -47,14 +47,14 @@
         }
     }
 
-    /// One round of the decision module on all that arrived; its decisions.
+    /// One step of the decision module on all that arrived; its decisions.
     pub(super) fn decide(&mut self) -> Vec<Decision> {
         self.inputs.now = clock::now_tenth_millis();
         let inputs = std::mem::take(&mut self.inputs);
         self.decisions.wake_at = None;
         match &mut self.pass_through {
             None => self.coordinator.step(&inputs, &mut self.decisions),
-            Some(pass_through) => pass_through.round(&inputs, &mut self.decisions),
+            Some(pass_through) => pass_through.step(&inputs, &mut self.decisions),
         }
         std::mem::take(&mut self.decisions.list)
     }
@@ -68,33 +68,33 @@
         self.coordinator.add_index(kind)
     }
 
-    /// A slot that no open query has.
-    pub(super) fn free_query_slot(&mut self) -> QueryIndex {
+    /// An index that no open query has.
+    pub(super) fn free_query_index(&mut self) -> QueryIndex {
         self.free_queries.pop().unwrap_or_else(|| {
             self.queries.push(None);
             QueryIndex(self.queries.len() - 1)
         })
     }
 
-    pub(super) fn open_query(&mut self, slot: QueryIndex, query: OpenQuery) {
-        self.queries[slot.0] = Some(query);
+    pub(super) fn open_query(&mut self, index: QueryIndex, query: OpenQuery) {
+        self.queries[index.0] = Some(query);
     }
 
-    /// The query in a slot, if it is open.
-    pub(super) fn query_in(&mut self, slot: QueryIndex) -> Option<&mut OpenQuery> {
-        self.queries.get_mut(slot.0)?.as_mut()
+    /// The query that has an index now, if one is open.
+    pub(super) fn query_at(&mut self, index: QueryIndex) -> Option<&mut OpenQuery> {
+        self.queries.get_mut(index.0)?.as_mut()
     }
 
     /// A query, unless it has ended.
     pub(super) fn query(&mut self, id: QueryId) -> Option<&mut OpenQuery> {
-        self.query_in(id.slot)
-            .filter(|query| query.sequence == id.sequence)
+        self.query_at(id.index)
+            .filter(|query| query.sequence_number == id.sequence_number)
     }
 
-    /// Ends a query: its slot is free.
-    pub(super) fn release_query(&mut self, slot: QueryIndex) {
-        if self.queries[slot.0].take().is_some() {
-            self.free_queries.push(slot);
+    /// Ends a query: its index is free.
+    pub(super) fn release_query(&mut self, index: QueryIndex) {
+        if self.queries[index.0].take().is_some() {
+            self.free_queries.push(index);
         }
     }
 
@@ -103,8 +103,8 @@
         if !self.replicas.has_departed() {
             return;
         }
-        let oldest_open = self.queries.iter().flatten().map(|query| query.sequence);
-        let oldest_open = oldest_open.min().unwrap_or(u64::MAX);
+        let open_queries = self.queries.iter().flatten();
+        let oldest_open = open_queries.map(|query| query.sequence_number).min();
         self.replicas.free_departed(oldest_open);
     }
 }
--- a/crates/linenthread-dataplane/src/outcome.rs
+++ b/crates/linenthread-dataplane/src/outcome.rs
@@ -6,8 +6,8 @@
 use linenthread_core::interface::AttemptOutcome;
 use linenthread_http::Head;
 
-/// How far an attempt got.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+/// How far an attempt got, the least first.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum SendState {
     /// No byte of it left this process.
     NotSent,
@@ -78,57 +78,87 @@
     ServerError,
 }
 
+impl WireEvent {
+    /// Whether a complete response proves that its connection is in step: the next response on it will be that of the
+    /// next request.
+    pub(crate) fn leaves_connection_in_step(self) -> bool {
+        !matches!(self, WireEvent::Unattributed | WireEvent::Misdirected)
+    }
+}
+
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Outcome {
-    /// For the decision module.
+    /// For the decision module, which judges the replica by it.
     pub attempt_outcome: AttemptOutcome,
-    /// For the rules of retries.
+    /// For the rules of retries ([`may_retry`]).
     pub sent: SendState,
 }
 
 impl Outcome {
     /// The outcome of an attempt on such a connection, of which this was observed.
     pub fn of(event: WireEvent, age: ConnectionAge, response_use: ResponseUse) -> Outcome {
-        let (attempt_outcome, sent) = match (event, age) {
-            (WireEvent::PoolExhausted, _) | (WireEvent::NothingWritten, ConnectionAge::Reused) => {
-                (AttemptOutcome::NotSent, SendState::NotSent)
-            }
-            (WireEvent::ConnectFailed, _) | (WireEvent::NothingWritten, ConnectionAge::New) => {
-                (AttemptOutcome::ConnectFailed, SendState::NotSent)
-            }
-            (WireEvent::Misdirected, _) => (AttemptOutcome::ConnectFailed, SendState::Rejected),
-            (WireEvent::NotExecuted, _) => (AttemptOutcome::Rejected, SendState::Rejected),
-            // A replica may close a connection that rests: only on a new one does it count against the replica.
-            (WireEvent::WriteTruncated | WireEvent::ClosedBeforeResponse, ConnectionAge::New) => {
-                (AttemptOutcome::ConnectionLost, SendState::MayHaveRun)
-            }
-            (
-                WireEvent::WriteTruncated | WireEvent::ClosedBeforeResponse,
-                ConnectionAge::Reused,
-            ) => (AttemptOutcome::Error, SendState::MayHaveRun),
-            (WireEvent::TimedOut, _) => (AttemptOutcome::TimedOut, SendState::MayHaveRun),
-            (WireEvent::Success, _) => (AttemptOutcome::Success, SendState::MayHaveRun),
-            (WireEvent::RequestRejected, _) if response_use == ResponseUse::Forwarded => {
-                (AttemptOutcome::Success, SendState::MayHaveRun)
-            }
-            (
-                WireEvent::RequestRejected
-                | WireEvent::ServerError
-                | WireEvent::Unsealed
-                | WireEvent::ResponseTruncated
-                | WireEvent::Malformed
-                | WireEvent::Unattributed,
-                _,
-            ) => (AttemptOutcome::Error, SendState::MayHaveRun),
-        };
         Outcome {
-            attempt_outcome,
-            sent,
+            attempt_outcome: attempt_outcome(event, age, response_use),
+            sent: send_state(event),
         }
     }
 }
 
+/// How far an attempt got of which this was observed.
+fn send_state(event: WireEvent) -> SendState {
+    match event {
+        WireEvent::PoolExhausted | WireEvent::ConnectFailed | WireEvent::NothingWritten => {
+            SendState::NotSent
+        }
+        WireEvent::Misdirected | WireEvent::NotExecuted => SendState::Rejected,
+        WireEvent::WriteTruncated
+        | WireEvent::ClosedBeforeResponse
+        | WireEvent::ResponseTruncated
+        | WireEvent::TimedOut
+        | WireEvent::Malformed
+        | WireEvent::Unattributed
+        | WireEvent::Success
+        | WireEvent::Unsealed
+        | WireEvent::RequestRejected
+        | WireEvent::ServerError => SendState::MayHaveRun,
+    }
+}
+
+/// What the decision module gets to know of an attempt: what counts against its replica.
+fn attempt_outcome(
+    event: WireEvent,
+    age: ConnectionAge,
+    response_use: ResponseUse,
+) -> AttemptOutcome {
+    match event {
+        WireEvent::PoolExhausted => AttemptOutcome::NotSent,
+        WireEvent::ConnectFailed | WireEvent::Misdirected => AttemptOutcome::ConnectFailed,
+        // A replica may close a connection that rests: only on a new one does that count against the replica.
+        WireEvent::NothingWritten => match age {
+            ConnectionAge::New => AttemptOutcome::ConnectFailed,
+            ConnectionAge::Reused => AttemptOutcome::NotSent,
+        },
+        WireEvent::WriteTruncated | WireEvent::ClosedBeforeResponse => match age {
+            ConnectionAge::New => AttemptOutcome::ConnectionLost,
+            ConnectionAge::Reused => AttemptOutcome::Error,
+        },
+        WireEvent::NotExecuted => AttemptOutcome::Rejected,
+        WireEvent::TimedOut => AttemptOutcome::TimedOut,
+        WireEvent::Success => AttemptOutcome::Success,
+        // The replica is well, and the client gets its response as it stands; there is nothing in it to merge.
+        WireEvent::RequestRejected => match response_use {
+            ResponseUse::Forwarded => AttemptOutcome::Success,
+            ResponseUse::Merged => AttemptOutcome::Error,
+        },
+        WireEvent::ServerError
+        | WireEvent::Unsealed
+        | WireEvent::ResponseTruncated
+        | WireEvent::Malformed
+        | WireEvent::Unattributed => AttemptOutcome::Error,
+    }
+}
+
 /// What a complete response is to the request in flight on its connection. It is the request's own by its id, its
 /// connection and its order on it.
 ///
--- a/crates/linenthread-dataplane/src/pool.rs
+++ b/crates/linenthread-dataplane/src/pool.rs
@@ -15,7 +15,6 @@
 
 use linenthread_core::policy::CONNECT_TIMEOUT;
 use linenthread_time::Instant;
-use tokio::time::timeout;
 
 pub use self::exchange::ReplicaResponse;
 use self::exchange::exchange;
@@ -29,7 +28,7 @@
 /// A replica that has departed is remembered for so long, since late updates may still name it.
 const DEPARTED_RETENTION: Duration = Duration::from_secs(120);
 
-/// What service discovery says of a replica.
+/// What service discovery says of a replica. Neither excludes the other: one that drained may depart, and return.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ReplicaStatus {
     /// It has announced that it will end.
@@ -46,6 +45,13 @@
     pub response: Option<ReplicaResponse>,
 }
 
+impl ReplicaStatus {
+    /// Whether it is there to stay: connections to it are worth keeping.
+    pub fn is_available(self) -> bool {
+        !self.draining && !self.departed
+    }
+}
+
 /// One incarnation of a replica and the connections to it.
 pub struct ReplicaPool<C: Connector = TcpConnector> {
     id: String,
@@ -127,7 +133,7 @@
         self.idle.borrow().len()
     }
 
-    /// Closes the connections that no request is in flight on.
+    /// Closes all idle connections.
     pub fn close_idle(&self) {
         self.idle.borrow_mut().clear();
     }
@@ -141,10 +147,10 @@
     }
 
     /// Sends one attempt, from its connection to its complete response.
-    pub async fn call(&self, request: &ReplicaRequest, time: Duration) -> CompletedAttempt {
-        let deadline = tokio::time::Instant::now() + time;
+    pub async fn call(&self, request: &ReplicaRequest, timeout: Duration) -> CompletedAttempt {
+        let deadline = tokio::time::Instant::now() + timeout;
         let response_use = request.response_use;
-        let mut connection = match self.lease(request, time).await {
+        let mut connection = match self.lease(request, timeout).await {
             Ok(connection) => connection,
             // Whether the connection would have been new makes no difference where there is none.
             Err(event) => return failed(Outcome::of(event, ConnectionAge::New, response_use)),
@@ -155,7 +161,7 @@
             Err(event) => return failed(Outcome::of(event, age, response_use)),
         };
         let event = classify_response(&response.head, &request.request_id, &self.id, age);
-        if event != WireEvent::Unattributed && event != WireEvent::Misdirected {
+        if event.leaves_connection_in_step() {
             self.return_connection(connection, &response);
         }
         CompletedAttempt {
@@ -170,21 +176,21 @@
     async fn lease(
         &self,
         request: &ReplicaRequest,
-        time: Duration,
+        timeout: Duration,
     ) -> Result<LeasedConnection<C>, WireEvent> {
         let connection = if let Some(idle) = self.take_idle(request) {
             idle.into_leased(self.in_use.enter())
         } else {
             self.reserve_capacity()?;
-            let transport = self.connect(time).await?;
+            let transport = self.connect(timeout).await?;
             LeasedConnection::new(transport, self.in_use.enter())
         };
         request.add_connection(connection.id);
         Ok(connection)
     }
 
-    /// Makes sure that one more connection is allowed: the oldest idle one is closed for it, if need be. Those
-    /// that are idle here do not fit the request.
+    /// Makes sure that one more connection is allowed. The oldest idle one is closed for it, if need be: those that are
+    /// idle at this point have all carried the request.
     fn reserve_capacity(&self) -> Result<(), WireEvent> {
         let max_connections = self.max_connections.get();
         let in_use = self.in_use.get();
@@ -213,9 +219,10 @@
         }
     }
 
-    async fn connect(&self, time: Duration) -> Result<C::Transport, WireEvent> {
-        let connect_timeout = time.min(clock::tenth_millis_to_duration(CONNECT_TIMEOUT));
-        match timeout(connect_timeout, self.connector.connect(self.address)).await {
+    async fn connect(&self, timeout: Duration) -> Result<C::Transport, WireEvent> {
+        let connect_timeout = timeout.min(clock::tenth_millis_to_duration(CONNECT_TIMEOUT));
+        let connecting = self.connector.connect(self.address);
+        match tokio::time::timeout(connect_timeout, connecting).await {
             Ok(Ok(transport)) => Ok(transport),
             _ => Err(WireEvent::ConnectFailed),
         }
@@ -223,7 +230,7 @@
 
     /// Returns a connection to the pool, if it can carry another request.
     fn return_connection(&self, connection: LeasedConnection<C>, response: &ReplicaResponse) {
-        if self.status() != ReplicaStatus::default() {
+        if !self.status().is_available() {
             return;
         }
         if let Some(connection) = connection.into_idle(&response.head) {
--- a/crates/linenthread-dataplane/src/response.rs
+++ b/crates/linenthread-dataplane/src/response.rs
@@ -4,6 +4,7 @@
 use linenthread_http::{merge_top_records, write_decimal};
 use smallvec::SmallVec;
 
+use crate::outcome::SendState;
 use crate::pool::ReplicaResponse;
 
 /// Units of the decision module in a second.
@@ -13,6 +14,11 @@
 /// Space for the header lines of a forwarded response, in bytes.
 const FORWARDED_HEADER_BYTES: usize = 256;
 
+/// Space for the header lines of a merged response, in bytes, without the seals.
+const MERGED_HEADER_BYTES: usize = 128;
+/// Space for each seal of a merged response, in bytes.
+const SEAL_BYTES: usize = 64;
+
 /// The responses of the sub-requests that were answered.
 pub(crate) type SubRequestResponses<'a> = SmallVec<[&'a ReplicaResponse; 8]>;
 
@@ -58,7 +64,7 @@
         sub_request_count: usize,
         limit: usize,
     ) -> Response {
-        let mut headers = Vec::with_capacity(128 + responses.len() * 64);
+        let mut headers = Vec::with_capacity(MERGED_HEADER_BYTES + responses.len() * SEAL_BYTES);
         headers.extend_from_slice(b"X-Attempt-Id: ");
         headers.extend_from_slice(request_id.as_bytes());
         headers.extend_from_slice(b"\r\nX-Part-Seals: ");
@@ -82,13 +88,18 @@
         }
     }
 
-    /// No response could be had. Only where nothing of the request can have run does the status promise that; it
-    /// says when to retry, if there is advice.
-    pub(crate) fn abandoned(may_have_run: bool, retry_after: Option<TenthMillis>) -> Response {
+    /// No response could be had. `furthest` is how far the request got at any replica: only where nothing of it can
+    /// have run does the status (503) promise that, else it promises nothing (502). It says when to retry, if there is
+    /// advice.
+    pub(crate) fn abandoned(furthest: SendState, retry_after: Option<TenthMillis>) -> Response {
+        let status = match furthest {
+            SendState::NotSent | SendState::Rejected => 503,
+            SendState::MayHaveRun => 502,
+        };
         let headers = retry_after.map_or(Vec::new(), |retry_after| {
             let seconds = (retry_after as f64 / TENTHS_PER_SECOND).max(MIN_RETRY_AFTER_SECONDS);
             format!("Retry-After: {seconds:.3}\r\n").into_bytes()
         });
-        Response::with_headers(if may_have_run { 502 } else { 503 }, headers)
+        Response::with_headers(status, headers)
     }
 }
--- a/crates/linenthread-dataplane/src/zones.rs
+++ b/crates/linenthread-dataplane/src/zones.rs
@@ -29,12 +29,12 @@
     }
 
     /// How each zone is to be used from here, by index: the local one first.
-    pub(crate) fn ways(&self) -> Vec<ZoneRoute> {
-        let way = |(index, zone): (usize, &String)| ZoneRoute {
+    pub(crate) fn routes(&self) -> Vec<ZoneRoute> {
+        let route = |(index, zone): (usize, &String)| ZoneRoute {
             id: linenthread_consensus::fnv1a_64(zone.as_bytes()),
             distance: u8::from(index > 0),
             open_per_mille: OPEN_PER_MILLE,
         };
-        self.0.borrow().iter().enumerate().map(way).collect()
+        self.0.borrow().iter().enumerate().map(route).collect()
     }
 }
