--- a/crates/linenthread-dataplane-sim/src/checker.rs
+++ b/crates/linenthread-dataplane-sim/src/checker.rs
@@ -89,15 +89,29 @@
     }
 }
 
+/// What may be done with a request.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum RequestKind {
+    /// It may be executed once only.
+    Mutating,
+    /// It may be executed more than once.
+    Idempotent,
+    /// The same, and the responses of several backends are merged for it.
+    Merged,
+}
+
+/// What a client gets.
+pub(crate) struct ClientResponse {
+    pub(crate) head: Head,
+    pub(crate) body: Vec<u8>,
+}
+
 /// What a client requests.
 #[derive(Clone, Debug)]
 pub(crate) struct ClientRequest {
     pub(crate) request_id: String,
     pub(crate) path: String,
-    /// It may be executed more than once.
-    pub(crate) is_idempotent: bool,
-    /// The responses of several backends are merged for it.
-    pub(crate) is_merged: bool,
+    pub(crate) kind: RequestKind,
 }
 
 impl ClientRequest {
@@ -150,17 +164,18 @@
     pub(crate) fn on_response(
         &mut self,
         request: &ClientRequest,
-        head: &Head,
-        body: &[u8],
+        response: &ClientResponse,
         delay: Duration,
     ) {
+        let ClientResponse { head, body } = response;
         let id = &request.request_id;
         if !delay.is_zero() {
             let cause = format!("{id} was answered {delay:?} too late");
             self.violation(Rule::CompleteOrDeclared, cause);
         }
         let seal = head.header("x-replica-seal");
-        match (head.status(), request.is_merged, seal) {
+        let is_merged = request.kind == RequestKind::Merged;
+        match (head.status(), is_merged, seal) {
             (200, true, _) => self.check_merged(request, head, body),
             (200..=299, false, Some(seal)) => {
                 self.counts.complete += 1;
@@ -268,7 +283,7 @@
         }
         for request in std::mem::take(&mut self.requests) {
             let executions = self.log.executions_of(&request.request_id);
-            if !request.is_idempotent && executions > 1 {
+            if request.kind == RequestKind::Mutating && executions > 1 {
                 let cause = format!("{} was executed {executions} times", request.request_id);
                 self.violation(Rule::MutatingAtMostOnce, cause);
             }
--- a/crates/linenthread-dataplane-sim/src/client.rs
+++ b/crates/linenthread-dataplane-sim/src/client.rs
@@ -7,12 +7,12 @@
 
 use linenthread_dataplane::connection::HttpConnection;
 use linenthread_dataplane::{DataPlane, serve};
-use linenthread_http::{Head, response_framing};
+use linenthread_http::{ResponseBody, response_framing};
 use tokio::io::DuplexStream;
 use tokio::task::spawn_local;
 use tokio::time::{Instant, timeout};
 
-use crate::checker::{Checker, ClientRequest};
+use crate::checker::{Checker, ClientRequest, ClientResponse, RequestKind};
 use crate::content::MERGED_PREFIX;
 use crate::deployment::{HOST, ROUTE_TIMEOUT_MS};
 use crate::event_log::{Event, EventLog};
@@ -78,8 +78,7 @@
         let last = ClientRequest {
             request_id: name,
             path: String::new(),
-            is_idempotent: true,
-            is_merged: false,
+            kind: RequestKind::Idempotent,
         };
         shared
             .checker
@@ -100,16 +99,15 @@
 }
 
 fn draw_request(random: &Random, request_id: String) -> ClientRequest {
-    let (prefix, is_idempotent, is_merged) = match random.below(4) {
-        0 | 1 => ("/once/", false, false),
-        2 => ("/one/", true, false),
-        _ => (MERGED_PREFIX, true, true),
+    let (prefix, kind) = match random.below(4) {
+        0 | 1 => ("/once/", RequestKind::Mutating),
+        2 => ("/one/", RequestKind::Idempotent),
+        _ => (MERGED_PREFIX, RequestKind::Merged),
     };
     ClientRequest {
         request_id,
         path: format!("{prefix}{}", random.below(50)),
-        is_idempotent,
-        is_merged,
+        kind,
     }
 }
 
@@ -185,7 +183,7 @@
         return Flow::End;
     };
     let mut checker = shared.checker.borrow_mut();
-    let Some((head, body)) = response else {
+    let Some(response) = response else {
         checker.on_missing_response(request, "the connection ended");
         return Flow::End;
     };
@@ -194,11 +192,11 @@
     let delay = started_at.elapsed().saturating_sub(allowed);
     shared.log.add(&Event::ResponseReceived {
         request_id: &request.request_id,
-        status: head.status(),
-        seal: head.header("x-replica-seal").unwrap_or(""),
+        status: response.head.status(),
+        seal: response.head.header("x-replica-seal").unwrap_or(""),
     });
-    checker.on_response(request, &head, &body, delay);
-    if head.keeps_alive() {
+    checker.on_response(request, &response, delay);
+    if response.head.keeps_alive() {
         Flow::Continue
     } else {
         Flow::End
@@ -209,10 +207,9 @@
     let ClientRequest {
         request_id, path, ..
     } = request;
-    let (method, body) = if request.is_idempotent {
-        ("GET", String::new())
-    } else {
-        ("POST", format!("order {request_id}"))
+    let (method, body) = match request.kind {
+        RequestKind::Idempotent | RequestKind::Merged => ("GET", String::new()),
+        RequestKind::Mutating => ("POST", format!("order {request_id}")),
     };
     format!(
         "{method} {path} HTTP/1.1\r\nHost: {HOST}\r\nX-Attempt-Id: {request_id}\r\nX-Remaining-Ms: {timeout_ms}\r\n\
@@ -222,16 +219,16 @@
     .into_bytes()
 }
 
-async fn read_response(http: &mut HttpConnection<DuplexStream>) -> Option<(Head, Vec<u8>)> {
+async fn read_response(http: &mut HttpConnection<DuplexStream>) -> Option<ClientResponse> {
     let deadline = Instant::now() + FOREVER;
     let head = http
         .read_response_head(MAX_RESPONSE_BYTES, deadline)
         .await
         .ok()?;
-    let framing = response_framing(&head, false).ok()?;
+    let framing = response_framing(&head, ResponseBody::Present).ok()?;
     let body = http
         .read_body(framing, MAX_RESPONSE_BYTES, FOREVER, Some(deadline))
         .await
         .ok()?;
-    Some((head, body))
+    Some(ClientResponse { head, body })
 }
--- a/crates/linenthread-dataplane-sim/src/network.rs
+++ b/crates/linenthread-dataplane-sim/src/network.rs
@@ -28,10 +28,16 @@
     Reset,
 }
 
+/// An event on its way to the ingress node.
+struct Arrival {
+    at: Instant,
+    event: InboundEvent,
+}
+
 /// What comes back on a connection, in the order in which it was sent.
 #[derive(Default)]
 pub struct Inbound {
-    events: VecDeque<(Instant, InboundEvent)>,
+    events: VecDeque<Arrival>,
     reader: Option<Waker>,
 }
 
@@ -39,8 +45,8 @@
     /// Sends an event to the ingress node, which arrives after so long, and after all that was sent before.
     pub fn push(&mut self, after: Duration, event: InboundEvent) {
         let at = Instant::now() + after;
-        let at = self.events.back().map_or(at, |(last, _)| at.max(*last));
-        self.events.push_back((at, event));
+        let at = self.events.back().map_or(at, |last| at.max(last.at));
+        self.events.push_back(Arrival { at, event });
         if let Some(reader) = self.reader.take() {
             reader.wake();
         }
@@ -55,7 +61,7 @@
     pub fn is_idle(&self) -> bool {
         self.events
             .front()
-            .is_none_or(|(at, _)| *at > Instant::now())
+            .is_none_or(|next| next.at > Instant::now())
     }
 }
 
@@ -69,10 +75,18 @@
     fn closed(&mut self) {}
 }
 
+/// A connection that is accepted.
+pub struct Accepted {
+    /// How long it takes until it is there.
+    pub after: Duration,
+    /// Its remote end.
+    pub peer: Box<dyn Peer>,
+}
+
 /// What listens at an address.
 pub trait Listener {
-    /// The remote end of a new connection, which is there after so long; none if it is refused.
-    fn accept(&self) -> Option<(Duration, Box<dyn Peer>)>;
+    /// A new connection; none if it is refused.
+    fn accept(&self) -> Option<Accepted>;
 }
 
 /// The listeners at all addresses.
@@ -92,7 +106,7 @@
     async fn connect(&self, address: SocketAddr) -> Result<MemoryStream> {
         let listener = self.0.borrow().get(&address).cloned();
         let accepted = listener.ok_or(ErrorKind::ConnectionRefused)?.accept();
-        let (after, peer) = accepted.ok_or(ErrorKind::ConnectionRefused)?;
+        let Accepted { after, peer } = accepted.ok_or(ErrorKind::ConnectionRefused)?;
         tokio::time::sleep(after).await;
         Ok(MemoryStream {
             inbound: Inbound::default(),
@@ -133,14 +147,13 @@
 impl MemoryStream {
     /// Ready when the next event has arrived.
     fn poll_arrival(&mut self, context: &mut Context<'_>) -> Poll<()> {
-        let Some((at, _)) = self.inbound.events.front() else {
+        let Some(&Arrival { at, .. }) = self.inbound.events.front() else {
             self.inbound.reader = Some(context.waker().clone());
             return Poll::Pending;
         };
-        if *at <= Instant::now() {
+        if at <= Instant::now() {
             return Poll::Ready(());
         }
-        let at = *at;
         let sleep = self.sleep.get_or_insert_with(|| Box::pin(sleep_until(at)));
         if sleep.deadline() != at {
             sleep.as_mut().reset(at);
@@ -159,7 +172,7 @@
             return Poll::Pending;
         }
         self.sleep = None;
-        let Some((_, event)) = self.inbound.events.front_mut() else {
+        let Some(Arrival { event, .. }) = self.inbound.events.front_mut() else {
             return Poll::Pending;
         };
         match event {
--- a/crates/linenthread-dataplane-sim/src/replica.rs
+++ b/crates/linenthread-dataplane-sim/src/replica.rs
@@ -13,9 +13,16 @@
 use self::connection::Connection;
 use crate::event_log::{EventLog, Execution};
 use crate::fault_plan::FaultPlan;
-use crate::network::{Listener, Peer};
+use crate::network::{Accepted, Listener};
 use crate::random::Random;
 
+/// Whether a replica rejects requests that are meant for another one.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum TargetCheck {
+    Enforced,
+    Missing,
+}
+
 /// What the replicas of a simulation share.
 #[derive(Clone)]
 pub(crate) struct Environment {
@@ -29,8 +36,7 @@
     pub(crate) id: String,
     pub(crate) backend: String,
     pub(crate) address: SocketAddr,
-    /// It rejects requests that are meant for another replica.
-    checks_target: bool,
+    target_check: TargetCheck,
     is_alive: Cell<bool>,
     frozen_until: Cell<Option<Instant>>,
     faults: FaultPlan,
@@ -44,14 +50,14 @@
         id: String,
         backend: &str,
         address: SocketAddr,
-        checks_target: bool,
+        target_check: TargetCheck,
         environment: Environment,
     ) -> Replica {
         Replica {
             id,
             backend: backend.to_owned(),
             address,
-            checks_target,
+            target_check,
             is_alive: Cell::new(true),
             frozen_until: Cell::new(None),
             faults: environment.faults,
@@ -96,7 +102,7 @@
 pub(crate) struct ReplicaListener(pub(crate) Rc<Replica>);
 
 impl Listener for ReplicaListener {
-    fn accept(&self) -> Option<(Duration, Box<dyn Peer>)> {
+    fn accept(&self) -> Option<Accepted> {
         let ReplicaListener(replica) = self;
         let (random, faults) = (&replica.random, replica.faults);
         if !replica.is_alive() || random.per_mille(faults.connections) {
@@ -111,6 +117,9 @@
             .per_mille(faults.idle_connections)
             .then(|| random.millis(20, 400));
         let connection = Connection::new(replica.clone(), idle_timeout);
-        Some((delay, Box::new(connection)))
+        Some(Accepted {
+            after: delay,
+            peer: Box::new(connection),
+        })
     }
 }
--- a/crates/linenthread-dataplane-sim/src/replica/connection.rs
+++ b/crates/linenthread-dataplane-sim/src/replica/connection.rs
@@ -4,11 +4,11 @@
 use std::time::Duration;
 
 use bytes::BytesMut;
-use linenthread_http::{BodyReader, Head, request_framing};
+use linenthread_http::{BodyReader, Head, ResponseBody, request_framing};
 use tokio::time::Instant;
 
-use super::Replica;
-use super::messages::{misdirection, rejection, response};
+use super::messages::{Message, misdirection, rejection};
+use super::{Replica, TargetCheck};
 use crate::content::response_body;
 use crate::fault_plan::{RequestFault, SurplusResponse, SurplusTime, Truncation, WriteFault};
 use crate::network::{Inbound, InboundEvent, Peer};
@@ -33,7 +33,7 @@
     request_id: String,
     path: String,
     target_replica: String,
-    is_head_method: bool,
+    response_body: ResponseBody,
 }
 
 /// A replica's end of one connection.
@@ -90,7 +90,7 @@
             request_id: header("x-attempt-id"),
             path: head.target().to_owned(),
             target_replica: header("x-target-replica"),
-            is_head_method: head.method() == "HEAD",
+            response_body: head.response_body(),
         })
     }
 
@@ -103,7 +103,8 @@
         }
         let mut after = replica.remaining_freeze() + random.millis(2, 30);
         self.response_due_at = Instant::now() + after;
-        if replica.checks_target && request.target_replica != replica.id {
+        let is_misdirected = request.target_replica != replica.id;
+        if replica.target_check == TargetCheck::Enforced && is_misdirected {
             let message = misdirection(&replica.id);
             return inbound.push_bytes(after, message);
         }
@@ -123,7 +124,7 @@
         after: Duration,
         inbound: &mut Inbound,
     ) {
-        let request_id = request.request_id.as_str();
+        let request_id = Some(request.request_id.as_str());
         match fault {
             RequestFault::None | RequestFault::LateResponse => {
                 inbound.push_bytes(after, self.execute(request, request_id));
@@ -134,19 +135,19 @@
                 self.respond_twice(response, surplus, time, after, inbound);
             }
             RequestFault::ResponseWithoutId => {
-                inbound.push_bytes(after, self.execute(request, ""));
+                inbound.push_bytes(after, self.execute(request, None));
             }
             RequestFault::ResponseOfAnotherRequest => {
-                let other_id = id_of_another_request(request_id);
-                inbound.push_bytes(after, self.execute(request, &other_id));
+                let other_id = id_of_another_request(&request.request_id);
+                inbound.push_bytes(after, self.execute(request, Some(&other_id)));
             }
             RequestFault::ServerError { sealed } => {
                 let failure = self.fail(request, sealed);
                 inbound.push_bytes(after, failure);
             }
             RequestFault::Rejected { with_id, closes } => {
-                let id = if with_id { request_id } else { "" };
-                inbound.push_bytes(after, rejection(id));
+                let named_id = request_id.filter(|_| with_id);
+                inbound.push_bytes(after, rejection(named_id));
                 if closes {
                     inbound.push(Duration::ZERO, InboundEvent::Close);
                     self.state = State::Dropped;
@@ -158,7 +159,7 @@
             }
             RequestFault::Stalled { executed } => {
                 if executed {
-                    self.execute(request, "");
+                    self.execute(request, None);
                 }
                 self.state = State::Stalled;
             }
@@ -182,7 +183,7 @@
     /// Ends the connection with no response.
     fn drop_request(&mut self, request: &Request, executed: bool) {
         if executed {
-            self.execute(request, "");
+            self.execute(request, None);
         }
         self.state = State::Dropped;
     }
@@ -199,23 +200,33 @@
         };
     }
 
-    /// Executes a request; the response, with this id.
-    fn execute(&self, request: &Request, request_id: &str) -> Vec<u8> {
+    /// Executes a request; the response, which names this id.
+    fn execute(&self, request: &Request, request_id: Option<&str>) -> Vec<u8> {
         let seal = self.replica.execute(&request.request_id, &request.path);
-        let body = self.body(request);
-        let body = if request.is_head_method {
-            &[][..]
-        } else {
-            &body
+        let body = match request.response_body {
+            ResponseBody::Present => self.body(request),
+            ResponseBody::Absent => Vec::new(),
         };
-        response(200, request_id, &seal, "", body)
+        Message {
+            request_id,
+            seal: Some(&seal),
+            body: &body,
+            ..Message::default()
+        }
+        .to_bytes()
     }
 
     /// Executes a request that fails; the response, with a seal or without.
     fn fail(&self, request: &Request, sealed: bool) -> Vec<u8> {
         let seal = self.replica.execute(&request.request_id, &request.path);
-        let seal = if sealed { seal.as_str() } else { "" };
-        response(500, &request.request_id, seal, "", b"failed")
+        Message {
+            status: 500,
+            request_id: Some(&request.request_id),
+            seal: sealed.then_some(seal.as_str()),
+            body: b"failed",
+            ..Message::default()
+        }
+        .to_bytes()
     }
 
     fn body(&self, request: &Request) -> Vec<u8> {
@@ -225,14 +236,21 @@
     fn surplus_response(&self, request: &Request, kind: SurplusResponse, first: &[u8]) -> Vec<u8> {
         let seal = format!("{}.again", self.replica.id);
         let id_of_another = id_of_another_request(&request.request_id);
+        let sealed = |request_id: Option<&str>| {
+            Message {
+                request_id,
+                seal: Some(&seal),
+                body: &self.body(request),
+                ..Message::default()
+            }
+            .to_bytes()
+        };
         match kind {
             SurplusResponse::Repeated => first.to_vec(),
-            SurplusResponse::WithoutId => response(200, "", &seal, "", &self.body(request)),
-            SurplusResponse::OfAnotherRequest => {
-                response(200, &id_of_another, &seal, "", &self.body(request))
-            }
-            SurplusResponse::Rejection => rejection(&request.request_id),
-            SurplusResponse::RejectionWithoutId => rejection(""),
+            SurplusResponse::WithoutId => sealed(None),
+            SurplusResponse::OfAnotherRequest => sealed(Some(&id_of_another)),
+            SurplusResponse::Rejection => rejection(Some(&request.request_id)),
+            SurplusResponse::RejectionWithoutId => rejection(None),
             SurplusResponse::Misdirection => misdirection("another"),
         }
     }
--- a/crates/linenthread-dataplane-sim/src/replica/messages.rs
+++ b/crates/linenthread-dataplane-sim/src/replica/messages.rs
@@ -1,33 +1,72 @@
 //! The messages of simulated replicas, as bytes.
 
-/// A response; an id or a seal that is empty is left out. `more_headers` are whole lines.
-pub fn response(
-    status: u16,
-    request_id: &str,
-    seal: &str,
-    more_headers: &str,
-    body: &[u8],
-) -> Vec<u8> {
-    // Faults truncate responses in proportion to their length: the reason phrase is part of every execution.
-    let mut bytes = format!("HTTP/1.1 {status} Stand-In\r\n").into_bytes();
-    for (name, value) in [("X-Attempt-Id", request_id), ("X-Replica-Seal", seal)] {
-        if !value.is_empty() {
-            bytes.extend_from_slice(format!("{name}: {value}\r\n").as_bytes());
+/// A response of a replica.
+#[derive(Clone, Copy)]
+pub struct Message<'a> {
+    /// Its status.
+    pub status: u16,
+    /// The id of the request that it names, if it names one.
+    pub request_id: Option<&'a str>,
+    /// The seal of the execution, if there was one.
+    pub seal: Option<&'a str>,
+    /// More header lines, whole ones.
+    pub more_headers: &'a str,
+    /// Its body.
+    pub body: &'a [u8],
+}
+
+/// A success that names no request, with neither seal nor body.
+impl Default for Message<'_> {
+    fn default() -> Self {
+        Message {
+            status: 200,
+            request_id: None,
+            seal: None,
+            more_headers: "",
+            body: b"",
+        }
+    }
+}
+
+impl Message<'_> {
+    /// The bytes of the response.
+    pub fn to_bytes(&self) -> Vec<u8> {
+        // Faults truncate responses in proportion to their length: the reason phrase is part of every execution.
+        let mut text = format!("HTTP/1.1 {} Stand-In\r\n", self.status);
+        let headers = [
+            ("X-Attempt-Id", self.request_id),
+            ("X-Replica-Seal", self.seal),
+        ];
+        for (name, value) in headers {
+            if let Some(value) = value {
+                text.push_str(&format!("{name}: {value}\r\n"));
+            }
         }
+        text.push_str(self.more_headers);
+        text.push_str(&format!("Content-Length: {}\r\n\r\n", self.body.len()));
+        let mut bytes = text.into_bytes();
+        bytes.extend_from_slice(self.body);
+        bytes
     }
-    bytes.extend_from_slice(more_headers.as_bytes());
-    bytes.extend_from_slice(format!("Content-Length: {}\r\n\r\n", body.len()).as_bytes());
-    bytes.extend_from_slice(body);
-    bytes
 }
 
 /// The message that a request was not executed.
-pub fn rejection(request_id: &str) -> Vec<u8> {
-    response(503, request_id, "", "X-Not-Executed: 1\r\n", b"")
+pub fn rejection(request_id: Option<&str>) -> Vec<u8> {
+    Message {
+        status: 503,
+        request_id,
+        more_headers: "X-Not-Executed: 1\r\n",
+        ..Message::default()
+    }
+    .to_bytes()
 }
 
 /// The message that another replica has the address.
 pub fn misdirection(replica_id: &str) -> Vec<u8> {
-    let headers = format!("X-Replica-Id: {replica_id}\r\n");
-    response(421, "", "", &headers, b"")
+    Message {
+        status: 421,
+        more_headers: &format!("X-Replica-Id: {replica_id}\r\n"),
+        ..Message::default()
+    }
+    .to_bytes()
 }
--- a/crates/linenthread-dataplane-sim/src/replica_set.rs
+++ b/crates/linenthread-dataplane-sim/src/replica_set.rs
@@ -7,7 +7,7 @@
 
 use crate::deployment::{MERGED_BACKENDS, MUTATING_BACKEND, ZONE};
 use crate::network::Network;
-use crate::replica::{Environment, Replica, ReplicaListener};
+use crate::replica::{Environment, Replica, ReplicaListener, TargetCheck};
 
 /// Replicas of each backend.
 const REPLICAS_PER_BACKEND: u8 = 2;
@@ -41,7 +41,7 @@
         for (subnet, backend) in (0..).zip(backends) {
             for host in 1..=REPLICAS_PER_BACKEND {
                 let address = SocketAddr::from(([10, 128, subnet, host], PORT));
-                let replica = set.start_replica(backend, address, true);
+                let replica = set.start_replica(backend, address, TargetCheck::Enforced);
                 set.replicas.push(replica);
             }
         }
@@ -54,14 +54,14 @@
         &mut self,
         backend: &str,
         address: SocketAddr,
-        checks_target: bool,
+        target_check: TargetCheck,
     ) -> Rc<Replica> {
         self.started += 1;
         let replica = Rc::new(Replica::new(
             format!("i{}", self.started),
             backend,
             address,
-            checks_target,
+            target_check,
             self.environment.clone(),
         ));
         let listener = ReplicaListener(replica.clone());
@@ -69,7 +69,7 @@
         replica
     }
 
-    /// Tells the data plane which replicas there are.
+    /// Hands the data plane the list of all replicas that there are.
     fn publish(&self, plane: &DataPlane<Network>) {
         let listed: Vec<_> = self.replicas.iter().map(|r| listed(r)).collect();
         plane.update_replicas(&listed, UpdateScope::Complete);
@@ -100,16 +100,20 @@
         let random = self.environment.random.clone();
         let old = self.replicas[index].clone();
         old.crash();
-        let checks_target = random.per_mille(800);
-        let is_of_other_backend = checks_target && random.per_mille(300);
+        let target_check = if random.per_mille(800) {
+            TargetCheck::Enforced
+        } else {
+            TargetCheck::Missing
+        };
+        let is_of_other_backend = target_check == TargetCheck::Enforced && random.per_mille(300);
         if !is_of_other_backend {
-            self.replicas[index] = self.start_replica(&old.backend, old.address, checks_target);
+            self.replicas[index] = self.start_replica(&old.backend, old.address, target_check);
             return;
         }
-        self.start_replica(OTHER_BACKEND, old.address, checks_target);
+        self.start_replica(OTHER_BACKEND, old.address, target_check);
         // The backend gets its replica back elsewhere.
         let address = self.unused_address(old.address);
-        self.replicas[index] = self.start_replica(&old.backend, address, true);
+        self.replicas[index] = self.start_replica(&old.backend, address, TargetCheck::Enforced);
     }
 
     /// An address in the same subnet that the first replicas do not have.
--- a/crates/linenthread-dataplane/src/pool/request.rs
+++ b/crates/linenthread-dataplane/src/pool/request.rs
@@ -3,7 +3,7 @@
 use std::cell::RefCell;
 use std::time::Duration;
 
-use linenthread_http::write_decimal;
+use linenthread_http::{ResponseBody, write_decimal};
 use linenthread_time::whole_millis;
 use smallvec::SmallVec;
 
@@ -23,8 +23,7 @@
     rest: Vec<u8>,
     /// The client's id of the request.
     pub(crate) request_id: String,
-    /// Its method is `HEAD`: responses have no body.
-    pub(crate) is_head_method: bool,
+    pub(crate) response_body: ResponseBody,
     pub(crate) response_use: ResponseUse,
     /// The connections that carried it. A surplus response to an earlier attempt has the same id as the
     /// response to the next one, so those two never share a connection.
@@ -32,7 +31,8 @@
 }
 
 impl ReplicaRequest {
-    /// `head` and `rest` are the bytes before and after the headers that each replica gets of its own; whole lines.
+    /// A request whose responses have a body. `head` and `rest` are the bytes before and after the headers that each
+    /// replica gets of its own; whole lines.
     pub fn new(
         head: Vec<u8>,
         rest: Vec<u8>,
@@ -43,16 +43,16 @@
             head,
             rest,
             request_id,
-            is_head_method: false,
+            response_body: ResponseBody::Present,
             response_use,
             connections: RefCell::default(),
         }
     }
 
-    /// Says whether the method is `HEAD`, so that responses have no body.
+    /// The same request, the responses to which have such a body.
     #[must_use]
-    pub fn with_head_method(mut self, is_head_method: bool) -> ReplicaRequest {
-        self.is_head_method = is_head_method;
+    pub fn with_response_body(mut self, response_body: ResponseBody) -> ReplicaRequest {
+        self.response_body = response_body;
         self
     }
 
--- a/crates/linenthread-dataplane/src/server.rs
+++ b/crates/linenthread-dataplane/src/server.rs
@@ -8,11 +8,12 @@
 use std::rc::Rc;
 
 use linenthread_consensus::fnv1a_64;
+use linenthread_http::ResponseBody;
 use tokio::io::{AsyncRead, AsyncWrite};
 
 use self::forward::{deadline, to_replica_request};
 use self::receive::{ClientRequest, ReceiveError, RequestLimits, receive, rejection_status};
-use self::respond::{BodyPresence, Persistence, respond};
+use self::respond::{Persistence, respond};
 use crate::connection::HttpConnection;
 use crate::data_plane::DataPlane;
 use crate::dispatcher::PendingResponse;
@@ -65,11 +66,11 @@
     if let ReceiveError::Rejected { step, source } = error {
         log_rejected_input(step, peer, source);
         let response = Response::empty(rejection_status(*source));
-        let _ = respond(http, &response, Persistence::Close, BodyPresence::Sent).await;
+        let _ = respond(http, &response, Persistence::Close, ResponseBody::Present).await;
     }
 }
 
-/// Serves one request; whether the connection can carry another.
+/// Serves one request; whether the connection stays open.
 async fn serve_request<S, C>(
     http: &mut HttpConnection<S>,
     request: &ClientRequest,
@@ -79,7 +80,7 @@
     S: AsyncRead + AsyncWrite + Unpin,
     C: Connector,
 {
-    let response = match route(request, plane) {
+    let response = match dispatch(request, plane) {
         Ok(mut pending) => tokio::select! {
             biased;
             response = pending.response() => response,
@@ -95,19 +96,14 @@
     } else {
         Persistence::Close
     };
-    let body = if request.head.method() == "HEAD" {
-        BodyPresence::Omitted
-    } else {
-        BodyPresence::Sent
-    };
-    match respond(http, &response, persistence, body).await {
+    match respond(http, &response, persistence, request.head.response_body()).await {
         Ok(()) => persistence,
         Err(_) => Persistence::Close,
     }
 }
 
 /// Dispatches a request along its route; else the response that it is rejected with.
-fn route<C: Connector>(
+fn dispatch<C: Connector>(
     request: &ClientRequest,
     plane: &DataPlane<C>,
 ) -> Result<PendingResponse<C>, Response> {
--- a/crates/linenthread-dataplane/src/server/forward.rs
+++ b/crates/linenthread-dataplane/src/server/forward.rs
@@ -48,7 +48,7 @@
         request_id(head)?.to_owned(),
         response_use,
     );
-    Ok(request.with_head_method(head.method() == "HEAD"))
+    Ok(request.with_response_body(head.response_body()))
 }
 
 /// The moment at which a request ends: what the client leaves of its time, within the limit of the route.
--- a/crates/linenthread-dataplane/src/server/respond.rs
+++ b/crates/linenthread-dataplane/src/server/respond.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use linenthread_http::write_decimal;
+use linenthread_http::{ResponseBody, write_decimal};
 use tokio::io::{AsyncRead, AsyncWrite};
 use tokio::time::Instant;
 
@@ -21,19 +21,12 @@
     Close,
 }
 
-/// Whether a response has a body: one to a `HEAD` request has none, whatever its length line says.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum BodyPresence {
-    Sent,
-    Omitted,
-}
-
-/// Writes a response.
+/// Writes a response. Where the request wants no body its length is stated all the same.
 pub(super) async fn respond<S: AsyncRead + AsyncWrite + Unpin>(
     http: &mut HttpConnection<S>,
     response: &Response,
     persistence: Persistence,
-    body: BodyPresence,
+    body: ResponseBody,
 ) -> Result<(), ConnectionError> {
     let length = HEAD_BYTES + response.headers.len() + response.body.len();
     let mut bytes = Vec::with_capacity(length);
@@ -52,7 +45,7 @@
         bytes.extend_from_slice(b"\r\n");
     }
     bytes.extend_from_slice(b"\r\n");
-    if body == BodyPresence::Sent {
+    if body == ResponseBody::Present {
         bytes.extend_from_slice(&response.body);
     }
     http.write(&bytes, Instant::now() + WRITE_TIMEOUT).await
--- a/crates/linenthread-dataplane/tests/golden.rs
+++ b/crates/linenthread-dataplane/tests/golden.rs
@@ -12,7 +12,9 @@
 use linenthread_dataplane::{DataPlane, UpdateScope, serve};
 use linenthread_dataplane_sim::deployment::data_plane;
 use linenthread_dataplane_sim::fault_plan::WriteFault;
-use linenthread_dataplane_sim::network::{Inbound, InboundEvent, Listener, Network, Peer};
+use linenthread_dataplane_sim::network::{
+    Accepted, Inbound, InboundEvent, Listener, Network, Peer,
+};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::task::{LocalSet, spawn_local};
 
@@ -115,8 +117,11 @@
 }
 
 impl Listener for Replica {
-    fn accept(&self) -> Option<(Duration, Box<dyn Peer>)> {
-        Some((Duration::ZERO, Box::new(self.clone())))
+    fn accept(&self) -> Option<Accepted> {
+        Some(Accepted {
+            after: Duration::ZERO,
+            peer: Box::new(self.clone()),
+        })
     }
 }
 
--- a/crates/linenthread-dataplane/tests/pool.rs
+++ b/crates/linenthread-dataplane/tests/pool.rs
@@ -10,8 +10,10 @@
 use linenthread_dataplane::outcome::{Outcome, ResponseUse, SendState};
 use linenthread_dataplane::pool::{CompletedAttempt, ReplicaPool, ReplicaRequest};
 use linenthread_dataplane_sim::fault_plan::WriteFault;
-use linenthread_dataplane_sim::network::{Inbound, InboundEvent, Listener, Network, Peer};
-use linenthread_dataplane_sim::replica::messages;
+use linenthread_dataplane_sim::network::{
+    Accepted, Inbound, InboundEvent, Listener, Network, Peer,
+};
+use linenthread_dataplane_sim::replica::messages::{self, Message};
 
 const TIME: Duration = Duration::from_millis(200);
 
@@ -32,10 +34,13 @@
 }
 
 impl Listener for Script {
-    fn accept(&self) -> Option<(Duration, Box<dyn Peer>)> {
+    fn accept(&self) -> Option<Accepted> {
         self.opened.set(self.opened.get() + 1);
         let next = self.connections.borrow_mut().pop_front()?;
-        Some((Duration::ZERO, Box::new(next)))
+        Some(Accepted {
+            after: Duration::ZERO,
+            peer: Box::new(next),
+        })
     }
 }
 
@@ -95,12 +100,30 @@
     )
 }
 
+fn sealed(id: Option<&str>, body: &str) -> Vec<u8> {
+    Message {
+        request_id: id,
+        seal: Some("seal"),
+        body: body.as_bytes(),
+        ..Message::default()
+    }
+    .to_bytes()
+}
+
 fn answer(id: &str, body: &str) -> InboundEvent {
-    InboundEvent::Bytes(messages::response(200, id, "seal", "", body.as_bytes()))
+    InboundEvent::Bytes(sealed(Some(id), body))
+}
+
+fn answer_without_id(body: &str) -> InboundEvent {
+    InboundEvent::Bytes(sealed(None, body))
 }
 
 fn rejection(id: &str) -> InboundEvent {
-    InboundEvent::Bytes(messages::rejection(id))
+    InboundEvent::Bytes(messages::rejection(Some(id)))
+}
+
+fn rejection_without_id() -> InboundEvent {
+    InboundEvent::Bytes(messages::rejection(None))
 }
 
 impl Rig {
@@ -150,8 +173,11 @@
 #[tokio::test(start_paused = true)]
 async fn a_response_without_an_id_is_not_accepted() {
     let rig = rig(vec![
-        vec![vec![(1, answer("", "1"))]],
-        vec![vec![(1, answer("a", "1"))], vec![(1, answer("", "2"))]],
+        vec![vec![(1, answer_without_id("1"))]],
+        vec![
+            vec![(1, answer("a", "1"))],
+            vec![(1, answer_without_id("2"))],
+        ],
     ]);
     assert!(may_have_run(
         &rig.call("fresh").await,
@@ -185,8 +211,8 @@
 
 #[tokio::test(start_paused = true)]
 async fn surplus_bytes_after_a_response_end_the_connection() {
-    let mut two = messages::response(200, "a", "seal", "", b"1");
-    two.extend(messages::response(200, "b", "seal", "", b"2"));
+    let mut two = sealed(Some("a"), "1");
+    two.extend(sealed(Some("b"), "2"));
     let rig = rig(vec![
         vec![vec![(1, InboundEvent::Bytes(two))]],
         vec![vec![(1, answer("b", "3"))]],
@@ -243,7 +269,7 @@
 
 #[tokio::test(start_paused = true)]
 async fn a_truncated_response_is_not_accepted() {
-    let complete = messages::response(200, "a", "seal", "", b"whole");
+    let complete = sealed(Some("a"), "whole");
     for length in 1..complete.len() {
         for end in [InboundEvent::Reset, InboundEvent::Close] {
             let half = InboundEvent::Bytes(complete[..length].to_vec());
@@ -259,8 +285,7 @@
 
 #[tokio::test(start_paused = true)]
 async fn a_request_whose_response_stalls_may_have_run() {
-    let half =
-        InboundEvent::Bytes(messages::response(200, "a", "seal", "", b"whole")[..40].to_vec());
+    let half = InboundEvent::Bytes(sealed(Some("a"), "whole")[..40].to_vec());
     let rig = rig(vec![vec![vec![(1, half)]]]);
     assert!(may_have_run(&rig.call("a").await, AttemptOutcome::TimedOut));
     assert_eq!(rig.pool.idle(), 0);
@@ -300,9 +325,9 @@
 #[tokio::test(start_paused = true)]
 async fn a_rejection_counts_with_its_id_or_on_a_first_request() {
     let first = vec![
-        vec![(1, rejection(""))],
+        vec![(1, rejection_without_id())],
         vec![(1, rejection("b"))],
-        vec![(1, rejection(""))],
+        vec![(1, rejection_without_id())],
     ];
     let rig = rig(vec![first]);
     assert_eq!(rig.call("a").await.outcome.sent, SendState::Rejected);
--- a/crates/linenthread-dataplane/tests/server.rs
+++ b/crates/linenthread-dataplane/tests/server.rs
@@ -10,8 +10,10 @@
 use linenthread_dataplane::{DataPlane, UpdateScope, serve};
 use linenthread_dataplane_sim::deployment::{HOST, data_plane};
 use linenthread_dataplane_sim::fault_plan::WriteFault;
-use linenthread_dataplane_sim::network::{Inbound, InboundEvent, Listener, Network, Peer};
-use linenthread_dataplane_sim::replica::messages;
+use linenthread_dataplane_sim::network::{
+    Accepted, Inbound, InboundEvent, Listener, Network, Peer,
+};
+use linenthread_dataplane_sim::replica::messages::{self, Message};
 use tokio::task::{LocalSet, spawn_local};
 use tokio::time::Instant;
 use yare::parameterized;
@@ -27,8 +29,11 @@
 }
 
 impl Listener for Replicas {
-    fn accept(&self) -> Option<(Duration, Box<dyn Peer>)> {
-        Some((Duration::ZERO, Box::new(self.clone())))
+    fn accept(&self) -> Option<Accepted> {
+        Some(Accepted {
+            after: Duration::ZERO,
+            peer: Box::new(self.clone()),
+        })
     }
 }
 
@@ -104,8 +109,24 @@
     assert_eq!(simulated(status(None, "/one/x", headers)), expected);
 }
 
-fn sealed(id: &str) -> Vec<u8> {
-    messages::response(200, id, "seal", "", b"body")
+fn sealed(request_id: Option<&str>) -> Vec<u8> {
+    Message {
+        request_id,
+        seal: Some("seal"),
+        body: b"body",
+        ..Message::default()
+    }
+    .to_bytes()
+}
+
+fn server_error(seal: Option<&str>) -> Vec<u8> {
+    Message {
+        status: 500,
+        request_id: Some("a"),
+        seal,
+        ..Message::default()
+    }
+    .to_bytes()
 }
 
 fn without_last(mut bytes: Vec<u8>) -> Vec<u8> {
@@ -113,22 +134,18 @@
     bytes
 }
 
-fn rejected(id: &str) -> Vec<u8> {
-    messages::rejection(id)
-}
-
 #[parameterized(
-    answered = { vec![InboundEvent::Bytes(sealed("a"))], 200 },
+    answered = { vec![InboundEvent::Bytes(sealed(Some("a")))], 200 },
     timed_out = { vec![], 502 },
     reset = { vec![InboundEvent::Reset], 502 },
     closed = { vec![InboundEvent::Close], 502 },
-    truncated_by_a_reset = { vec![InboundEvent::Bytes(sealed("a")[..50].to_vec()), InboundEvent::Reset], 502 },
-    without_its_last_byte = { vec![InboundEvent::Bytes(without_last(sealed("a"))), InboundEvent::Close], 502 },
-    without_id = { vec![InboundEvent::Bytes(sealed(""))], 502 },
-    of_another_request = { vec![InboundEvent::Bytes(sealed("b"))], 502 },
-    rejection_of_another_request = { vec![InboundEvent::Bytes(rejected("b"))], 502 },
-    failed = { vec![InboundEvent::Bytes(messages::response(500, "a", "", "", b""))], 502 },
-    failed_with_a_seal = { vec![InboundEvent::Bytes(messages::response(500, "a", "seal", "", b""))], 500 },
+    truncated_by_a_reset = { vec![InboundEvent::Bytes(sealed(Some("a"))[..50].to_vec()), InboundEvent::Reset], 502 },
+    without_its_last_byte = { vec![InboundEvent::Bytes(without_last(sealed(Some("a")))), InboundEvent::Close], 502 },
+    without_id = { vec![InboundEvent::Bytes(sealed(None))], 502 },
+    of_another_request = { vec![InboundEvent::Bytes(sealed(Some("b")))], 502 },
+    rejection_of_another_request = { vec![InboundEvent::Bytes(messages::rejection(Some("b")))], 502 },
+    failed = { vec![InboundEvent::Bytes(server_error(None))], 502 },
+    failed_with_a_seal = { vec![InboundEvent::Bytes(server_error(Some("seal")))], 500 },
 )]
 fn a_mutating_request_that_may_have_run_is_sent_once(reply: Vec<InboundEvent>, expected: u16) {
     let replicas = Replicas {
@@ -144,8 +161,8 @@
 }
 
 #[parameterized(
-    by_its_id = { rejected("a") },
-    on_a_first_request = { rejected("") },
+    by_its_id = { messages::rejection(Some("a")) },
+    on_a_first_request = { messages::rejection(None) },
     by_another_replica_at_the_address = { messages::misdirection("j") },
 )]
 fn a_mutating_request_that_never_ran_is_retried_and_rejected_with_a_promise(reply: Vec<u8>) {
--- a/crates/linenthread-http/src/body.rs
+++ b/crates/linenthread-http/src/body.rs
@@ -42,7 +42,7 @@
     pub fn new(framing: Framing, max_bytes: usize) -> BodyReader {
         let (state, reserved) = match framing {
             Framing::Length(0) => (State::Complete, 0),
-            Framing::Length(length) => (State::Bytes(length), at_most(length, MAX_RESERVED_BYTES)),
+            Framing::Length(length) => (State::Bytes(length), bounded(length, MAX_RESERVED_BYTES)),
             Framing::Chunked => (State::ChunkSize, 0),
         };
         BodyReader {
@@ -92,7 +92,7 @@
 
     /// Copies up to `left` bytes of the buffer to the body; how many are still missing.
     fn copy(&mut self, left: u64, buffer: &mut BytesMut) -> Result<u64, ParseError> {
-        let count = at_most(left, buffer.len());
+        let count = bounded(left, buffer.len());
         if self.bytes.len() + count > self.max_bytes || left > self.max_bytes as u64 {
             return Err(ParseError::BodyTooLong);
         }
@@ -102,8 +102,8 @@
     }
 }
 
-/// The lesser of both.
-fn at_most(length: u64, limit: usize) -> usize {
+/// A length that a peer states, as a length in memory of at most `limit`.
+fn bounded(length: u64, limit: usize) -> usize {
     usize::try_from(length).map_or(limit, |length| length.min(limit))
 }
 
--- a/crates/linenthread-http/src/framing.rs
+++ b/crates/linenthread-http/src/framing.rs
@@ -34,12 +34,21 @@
     }
 }
 
-/// The framing of a response's body; `to_head_request` says that the request was a `HEAD`, so that there is none.
+/// Whether the responses to a request have a body.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum ResponseBody {
+    /// They have one, which may be empty.
+    Present,
+    /// They have none, whatever length they state: the method is `HEAD`.
+    Absent,
+}
+
+/// The framing of the body of a response to such a request.
 ///
 /// # Errors
 /// An ambiguous framing, or none: a body that lasts until the connection ends cannot be told from a truncated one.
-pub fn response_framing(head: &Head, to_head_request: bool) -> Result<Framing, ParseError> {
-    if to_head_request || matches!(head.status(), 204 | 304) {
+pub fn response_framing(head: &Head, body: ResponseBody) -> Result<Framing, ParseError> {
+    if body == ResponseBody::Absent || matches!(head.status(), 204 | 304) {
         return Ok(Framing::Length(0));
     }
     match (is_chunked(head)?, content_length(head)?) {
--- a/crates/linenthread-http/src/head.rs
+++ b/crates/linenthread-http/src/head.rs
@@ -3,7 +3,7 @@
 use bytes::{Bytes, BytesMut};
 use smallvec::SmallVec;
 
-use crate::ParseError;
+use crate::{ParseError, ResponseBody};
 
 /// Headers that concern one connection only and are not forwarded, nor is `content-length`, which whoever writes
 /// the body writes anew.
@@ -23,7 +23,7 @@
 const MAX_HEADERS: usize = 64;
 /// Heads with no more headers than this need no allocation for their spans.
 const INLINE_HEADERS: usize = 12;
-/// The status that announces another protocol; the other 1xx announce another head.
+/// The status that announces another protocol; the other 1xx announce another head, which follows.
 const SWITCHING_PROTOCOLS: u16 = 101;
 
 /// A range of bytes of a head.
@@ -137,6 +137,15 @@
         self.text(self.method)
     }
 
+    /// Whether the responses to this request have a body.
+    pub fn response_body(&self) -> ResponseBody {
+        if self.method() == "HEAD" {
+            ResponseBody::Absent
+        } else {
+            ResponseBody::Present
+        }
+    }
+
     /// Path and query of a request; empty for a response.
     pub fn target(&self) -> &str {
         self.text(self.target)
--- a/crates/linenthread-http/tests/golden.rs
+++ b/crates/linenthread-http/tests/golden.rs
@@ -5,7 +5,8 @@
 
 use bytes::BytesMut;
 use linenthread_http::{
-    BodyReader, Framing, Head, merge_top_records, request_framing, response_framing, write_decimal,
+    BodyReader, Framing, Head, ResponseBody, merge_top_records, request_framing, response_framing,
+    write_decimal,
 };
 
 const MAX_HEAD: usize = 4_096;
@@ -80,8 +81,14 @@
         (head.status(), head.is_http_1_1(), head.keeps_alive()),
         (206, true, false)
     );
-    assert_eq!(response_framing(&head, false), Ok(Framing::Length(32)));
-    assert_eq!(response_framing(&head, true), Ok(Framing::Length(0)));
+    assert_eq!(
+        response_framing(&head, ResponseBody::Present),
+        Ok(Framing::Length(32))
+    );
+    assert_eq!(
+        response_framing(&head, ResponseBody::Absent),
+        Ok(Framing::Length(0))
+    );
     let mut body = BodyReader::new(Framing::Chunked, MAX_BODY);
     let mut buffer = BytesMut::from(REQUEST_BODY.as_bytes());
     assert_eq!(body.read_from(&mut buffer), Ok(true));
--- a/crates/linenthread-http/tests/messages.rs
+++ b/crates/linenthread-http/tests/messages.rs
@@ -2,7 +2,8 @@
 
 use bytes::BytesMut;
 use linenthread_http::{
-    BodyReader, Framing, Head, ParseError, merge_top_records, request_framing, response_framing,
+    BodyReader, Framing, Head, ParseError, ResponseBody, merge_top_records, request_framing,
+    response_framing,
 };
 use yare::parameterized;
 
@@ -105,7 +106,7 @@
     let head = Head::parse_response(&mut BytesMut::from(text.as_bytes()), 1_000)
         .unwrap()
         .unwrap();
-    assert_eq!(response_framing(&head, false), framing);
+    assert_eq!(response_framing(&head, ResponseBody::Present), framing);
 }
 
 #[test]
@@ -152,7 +153,7 @@
         x = x
             .wrapping_mul(6_364_136_223_846_793_005)
             .wrapping_add(1_442_695_040_888_963_407);
-        (x >> 33) as usize
+        usize::try_from(x >> 33).unwrap()
     };
     for _ in 0..200 {
         // Few distinct bytes, so that equal records come often; some parts end in a rest.
