--- a/crates/linenthread-ctl/src/request.rs
+++ b/crates/linenthread-ctl/src/request.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 use bytes::BytesMut;
-use linenthread_http::{BodyReader, Head, response_framing};
+use linenthread_http::{BodyReader, Head, ResponseBody, response_framing};
 use snafu::Snafu;
 
 /// The longest response head that is read, in bytes.
@@ -177,7 +177,12 @@
     }
 
     fn read_body(&mut self, head: &Head, to_head_request: bool) -> Result<Vec<u8>, RequestError> {
-        let framing = response_framing(head, to_head_request).map_err(|_| self.invalid())?;
+        let body = if to_head_request {
+            ResponseBody::Absent
+        } else {
+            ResponseBody::Present
+        };
+        let framing = response_framing(head, body).map_err(|_| self.invalid())?;
         let mut body = BodyReader::new(framing, MAX_BODY_BYTES);
         while !body
             .read_from(&mut self.buffer)
