--- a/crates/linenthread-dataplane/src/dispatcher/query.rs
+++ b/crates/linenthread-dataplane/src/dispatcher/query.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 
 use linenthread_config::{Destination, ResolvedRoute};
-use linenthread_core::interface::{AttemptOutcome, TenthMillis};
+use linenthread_core::interface::{AttemptOutcome, QueryIndex, SubRequestIndex, TenthMillis};
 use smallvec::SmallVec;
 use tokio::sync::oneshot;
 
@@ -13,18 +13,28 @@
 use crate::pool::{CompletedAttempt, ReplicaRequest, ReplicaResponse};
 use crate::response::{Response, SubRequestResponses};
 
-/// Which query: its slot, which is used again after its end, and its sequence number, which is not.
+/// The number of a query among all of its dispatcher, from 1.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
+pub(super) struct SequenceNumber(pub(super) u64);
+
+impl SequenceNumber {
+    pub(super) fn next(self) -> SequenceNumber {
+        SequenceNumber(self.0 + 1)
+    }
+}
+
+/// Which query: its index, which is used again after its end, and its sequence number, which is not.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct QueryId {
-    pub(super) slot: usize,
-    pub(super) sequence: u64,
+    pub(super) index: QueryIndex,
+    pub(super) sequence_number: SequenceNumber,
 }
 
 /// Which attempt: its query, its sub-request, and its number among those of the sub-request.
 #[derive(Clone, Copy)]
 pub(super) struct AttemptKey {
     pub(super) query: QueryId,
-    pub(super) sub_request: usize,
+    pub(super) sub_request: SubRequestIndex,
     pub(super) attempt: usize,
 }
 
@@ -33,7 +43,7 @@
 struct SubRequest {
     response: Option<ReplicaResponse>,
     attempts: usize,
-    /// Attempts that are not known not to have run; those in flight count.
+    /// Attempts that may have run: all that are in flight, and those that ended without a word that they did not run.
     may_have_run: usize,
 }
 
@@ -50,7 +60,7 @@
 
 /// A query that has not completed.
 pub(super) struct OpenQuery {
-    pub(super) sequence: u64,
+    pub(super) sequence_number: SequenceNumber,
     pub(super) request: Rc<ReplicaRequest>,
     pub(super) resolved: Rc<ResolvedRoute>,
     /// None once the client has its response.
@@ -63,7 +73,7 @@
 
 impl OpenQuery {
     pub(super) fn new(
-        sequence: u64,
+        sequence_number: SequenceNumber,
         request: Rc<ReplicaRequest>,
         resolved: Rc<ResolvedRoute>,
         sub_request_count: usize,
@@ -71,7 +81,7 @@
         open: CounterGuard,
     ) -> OpenQuery {
         OpenQuery {
-            sequence,
+            sequence_number,
             request,
             resolved,
             client: Some(client),
@@ -83,24 +93,28 @@
         }
     }
 
-    /// Counts one more attempt of a sub-request: its number, and whether it may be sent at all. It may not where an
-    /// earlier one may have run and the route does not allow it to run twice.
-    pub(super) fn begin_attempt(&mut self, sub_request: usize) -> (usize, Permission) {
-        let sub_request = &mut self.sub_requests[sub_request];
+    /// Counts one more attempt of a sub-request, and says whether it may be sent at all: it may not where an earlier
+    /// one may have run and the route does not allow it to run twice.
+    pub(super) fn begin_attempt(&mut self, sub_request: SubRequestIndex) -> BegunAttempt {
+        let sub_request = &mut self.sub_requests[sub_request.0];
         let permission = if may_retry(self.resolved.route.mode, sub_request.sent()) {
             sub_request.may_have_run += 1;
             Permission::Granted
         } else {
             Permission::Denied
         };
-        let attempt = sub_request.attempts;
+        let number = sub_request.attempts;
         sub_request.attempts += 1;
-        (attempt, permission)
+        BegunAttempt { number, permission }
     }
 
     /// Takes in how an attempt completed.
-    pub(super) fn end_attempt(&mut self, sub_request: usize, completed: CompletedAttempt) {
-        let sub_request = &mut self.sub_requests[sub_request];
+    pub(super) fn end_attempt(
+        &mut self,
+        sub_request: SubRequestIndex,
+        completed: CompletedAttempt,
+    ) {
+        let sub_request = &mut self.sub_requests[sub_request.0];
         if completed.outcome.sent != SendState::MayHaveRun {
             sub_request.may_have_run -= 1;
         }
@@ -137,15 +151,11 @@
         if self.client.is_none() {
             return;
         }
-        let response = match self.failure.take() {
-            Some(failure) => Response::forwarded(failure),
-            None => {
-                let may_have_run = self
-                    .sub_requests
-                    .iter()
-                    .any(|sub_request| sub_request.may_have_run > 0);
-                Response::abandoned(may_have_run, retry_after)
-            }
+        let response = if let Some(failure) = self.failure.take() {
+            Response::forwarded(failure)
+        } else {
+            let furthest = self.sub_requests.iter().map(SubRequest::sent).max();
+            Response::abandoned(furthest.unwrap_or(SendState::NotSent), retry_after)
         };
         self.respond(response);
     }
@@ -174,6 +184,13 @@
     }
 }
 
+/// An attempt that is counted and not sent yet.
+pub(super) struct BegunAttempt {
+    /// Its number among those of the sub-request, from 0.
+    pub(super) number: usize,
+    pub(super) permission: Permission,
+}
+
 /// Whether an attempt may be sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Permission {
