--- /dev/null
+++ b/crates/linenthread-link/tests/client_and_server/interruptions.rs
@@ -0,0 +1,75 @@
+//! Lost connections: what is reported, what goes on in the session, and what is closed.
+
+use linenthread_core::interface::AttemptOutcome;
+use linenthread_link::frame::Credit;
+use linenthread_link::{CallNumber, ClientAction, Frame};
+
+use crate::pair::{Pair, call_frame, challenge};
+
+#[test]
+fn a_short_interruption_is_not_reported_and_a_long_one_is() {
+    let mut pair = Pair::established(4);
+    pair.call("a", 1);
+    pair.disconnect();
+    let queued = pair.call("b", 1);
+    pair.now += 100;
+    pair.time_out();
+    assert_eq!((pair.up.as_slice(), pair.completed.len()), (&[true][..], 0));
+    assert_eq!(
+        pair.started[1].text, "b",
+        "it is sent once the link is back"
+    );
+    pair.complete(0, AttemptOutcome::Success);
+    pair.complete(1, AttemptOutcome::Success);
+    assert_eq!(pair.completed[1], (queued, AttemptOutcome::Success));
+    pair.disconnect();
+    pair.call("c", 1);
+    // No connection can be opened; after the grace period that is reported, and queued calls never ran.
+    for _ in 0..6 {
+        pair.now += 100;
+        let mut actions = Vec::new();
+        pair.client.on_timeout(pair.now, &mut actions);
+        actions.retain(|action| *action != ClientAction::Connect);
+        pair.client.on_disconnected(pair.now, &mut actions);
+        pair.carry_out(actions);
+    }
+    assert_eq!(pair.up, [true, false]);
+    assert_eq!(pair.completed.last().unwrap().1, AttemptOutcome::NotSent);
+    let refused = pair.call("d", 1);
+    assert_eq!(
+        pair.completed.last(),
+        Some(&(refused, AttemptOutcome::NotSent))
+    );
+}
+
+#[test]
+fn an_unexpected_frame_ends_the_connection_and_nothing_else() {
+    let unexpected = [
+        call_frame(3, "x"),
+        call_frame(2, &"x".repeat(20_000)),
+        Frame::Credit(Credit {
+            last_call: CallNumber(1),
+            bytes: 1,
+        }),
+        challenge(1, 1),
+    ];
+    for frame in unexpected {
+        let mut pair = Pair::established(4);
+        let id = pair.call("a", 1);
+        pair.server_receives(frame.clone());
+        assert!(
+            !pair.client.is_up() && pair.is_closed_by_either(),
+            "{frame:?}"
+        );
+        // The session goes on, and the outcome with it.
+        pair.now += 150;
+        pair.time_out();
+        pair.complete(0, AttemptOutcome::Success);
+        assert_eq!(
+            pair.completed,
+            [(id, AttemptOutcome::Success)],
+            "{frame:?}: {}",
+            pair.close_reasons()
+        );
+    }
+}
--- a/crates/linenthread-link/tests/golden.rs
+++ b/crates/linenthread-link/tests/golden.rs
@@ -4,6 +4,7 @@
 //! the other side of a link may run an older version.
 
 use linenthread_core::interface::{AttemptOutcome, Phase};
+use linenthread_frames::{Nonce, Proof};
 use linenthread_link::frame::{
     CallOutcome, CallRequest, Challenge, Credit, Hello, MembersUpdate, ProbeOutcome, Welcome,
 };
@@ -32,10 +33,57 @@
     }
 }
 
-/// Every frame with each field set to a value of its own.
-fn frames() -> Vec<(String, Frame)> {
-    let nonce = std::array::from_fn(|i| 0x30 + i as u8);
-    let proof = std::array::from_fn(|i| 0x80 + i as u8);
+/// Bytes that count up from the first, so that each has a value of its own.
+fn counting_bytes<const N: usize>(first: u8) -> [u8; N] {
+    let mut bytes = first..;
+    std::array::from_fn(|_| bytes.next().expect("a byte is free"))
+}
+
+fn nonce() -> Nonce {
+    counting_bytes(0x30)
+}
+
+fn proof() -> Proof {
+    counting_bytes(0x80)
+}
+
+/// The frames that establish a connection, and the one that refuses it.
+fn handshake_frames() -> [(&'static str, Frame); 4] {
+    let challenge = Challenge {
+        min_version: 1,
+        max_version: 3,
+        nonce: nonce(),
+        name: "gateway".to_owned(),
+    };
+    let hello = Hello {
+        version: 2,
+        name: "coordinator".to_owned(),
+        nonce: nonce(),
+        session: SessionId(0x3132_3334_3536_3738),
+        attempt: 0x4142_4344_4546_4748,
+        epoch: 0x5152_5354_5556_5758,
+        proof: proof(),
+    };
+    let welcome = Welcome {
+        epoch: 0x6162_6364_6566_6768,
+        resumed: true,
+        last_call: CallNumber(1_001),
+        received_bytes: 1_002,
+        proof: proof(),
+    };
+    let refuse = Frame::Refuse {
+        reason: "not \u{e9}xpected".to_owned(),
+    };
+    [
+        ("challenge", Frame::Challenge(challenge)),
+        ("hello", Frame::Hello(hello)),
+        ("welcome", Frame::Welcome(welcome)),
+        ("refuse", refuse),
+    ]
+}
+
+/// The frames of calls and their flow control, but for outcomes.
+fn call_frames() -> [(&'static str, Frame); 4] {
     let call = Call {
         replica: "replica-1".to_owned(),
         query: "9b1f03aa5c7e2d41".to_owned(),
@@ -43,94 +91,55 @@
         continuation: 0x2122_2324,
         text: "a text with \u{e9} and\nlines".to_owned(),
     };
-    let mut frames = vec![
-        (
-            "challenge".to_owned(),
-            Frame::Challenge(Challenge {
-                min_version: 1,
-                max_version: 3,
-                nonce,
-                name: "gateway".to_owned(),
-            }),
-        ),
-        (
-            "hello".to_owned(),
-            Frame::Hello(Hello {
-                version: 2,
-                name: "coordinator".to_owned(),
-                nonce,
-                session: SessionId(0x3132_3334_3536_3738),
-                attempt: 0x4142_4344_4546_4748,
-                epoch: 0x5152_5354_5556_5758,
-                proof,
-            }),
-        ),
-        (
-            "welcome".to_owned(),
-            Frame::Welcome(Welcome {
-                epoch: 0x6162_6364_6566_6768,
-                resumed: true,
-                last_call: CallNumber(1_001),
-                received_bytes: 1_002,
-                proof,
-            }),
-        ),
-        (
-            "refuse".to_owned(),
-            Frame::Refuse {
-                reason: "not \u{e9}xpected".to_owned(),
-            },
-        ),
-        (
-            "call".to_owned(),
-            Frame::Call(CallRequest {
-                number: CallNumber(1_003),
-                remaining_ms: 2_500,
-                call,
-            }),
-        ),
-        (
-            "withdraw".to_owned(),
-            Frame::Withdraw {
-                number: CallNumber(1_004),
-            },
-        ),
-        (
-            "ack".to_owned(),
-            Frame::Ack {
-                numbers: [1_005, 1_006, 1_007].map(CallNumber).to_vec(),
-            },
-        ),
-        (
-            "credit".to_owned(),
-            Frame::Credit(Credit {
-                last_call: CallNumber(1_008),
-                bytes: 1_009,
-            }),
-        ),
-        ("ping".to_owned(), Frame::Ping { sequence: 1_010 }),
-        ("pong".to_owned(), Frame::Pong { sequence: 1_011 }),
-        (
-            "members".to_owned(),
-            Frame::Members(MembersUpdate {
-                revision: 1_012,
-                complete: true,
-                members: vec![
-                    member("replica-1", Phase::Ready, None),
-                    member("replica-2", Phase::Draining, Some(1_234)),
-                    member("replica-3", Phase::Removed, Some(0)),
-                ],
-            }),
-        ),
-        (
-            "probe".to_owned(),
-            Frame::Probe {
-                id: ProbeId(1_013),
-                replica: "replica-1".to_owned(),
-            },
-        ),
-        ("goodbye".to_owned(), Frame::Goodbye),
-    ];
+    let request = CallRequest {
+        number: CallNumber(1_003),
+        remaining_ms: 2_500,
+        call,
+    };
+    let withdraw = Frame::Withdraw {
+        number: CallNumber(1_004),
+    };
+    let ack = Frame::Ack {
+        numbers: [1_005, 1_006, 1_007].map(CallNumber).to_vec(),
+    };
+    let credit = Credit {
+        last_call: CallNumber(1_008),
+        bytes: 1_009,
+    };
+    [
+        ("call", Frame::Call(request)),
+        ("withdraw", withdraw),
+        ("ack", ack),
+        ("credit", Frame::Credit(credit)),
+    ]
+}
+
+/// The frames that a connection carries beside calls.
+fn other_frames() -> [(&'static str, Frame); 5] {
+    let members = MembersUpdate {
+        revision: 1_012,
+        complete: true,
+        members: vec![
+            member("replica-1", Phase::Ready, None),
+            member("replica-2", Phase::Draining, Some(1_234)),
+            member("replica-3", Phase::Removed, Some(0)),
+        ],
+    };
+    let probe = Frame::Probe {
+        id: ProbeId(1_013),
+        replica: "replica-1".to_owned(),
+    };
+    [
+        ("ping", Frame::Ping { sequence: 1_010 }),
+        ("pong", Frame::Pong { sequence: 1_011 }),
+        ("members", Frame::Members(members)),
+        ("probe", probe),
+        ("goodbye", Frame::Goodbye),
+    ]
+}
+
+/// Every outcome, of a call and of a health check, each named after its code.
+fn outcome_frames() -> Vec<(String, Frame)> {
     let outcomes = [
         AttemptOutcome::Success,
         AttemptOutcome::Error,
@@ -141,6 +150,7 @@
         AttemptOutcome::Cancelled,
         AttemptOutcome::NotSent,
     ];
+    let mut frames = Vec::new();
     for (code, outcome) in outcomes.into_iter().enumerate() {
         let completed = Frame::Outcome(CallOutcome {
             number: CallNumber(1_014),
@@ -159,6 +169,17 @@
     frames
 }
 
+/// Every frame with each field set to a value of its own, in the order of the golden file.
+fn frames() -> Vec<(String, Frame)> {
+    handshake_frames()
+        .into_iter()
+        .chain(call_frames())
+        .chain(other_frames())
+        .map(|(name, frame)| (name.to_owned(), frame))
+        .chain(outcome_frames())
+        .collect()
+}
+
 #[test]
 fn frames_have_the_bytes_of_version_464716d() {
     let golden = golden(include_str!("golden/frames.hex"));
