--- a/crates/linenthread-link/src/client/mod.rs
+++ b/crates/linenthread-link/src/client/mod.rs
@@ -16,9 +16,9 @@
 //! an outcome that says so is given only to a call that was not written completely, or of which the server says
 //! that it did not arrive.
 
-mod calls;
+mod call_table;
 mod config;
-mod rtt;
+mod round_trip;
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -33,9 +33,9 @@
 use crate::nonce;
 use crate::routing::LinkStatus;
 
-use calls::{CallTable, NextCall};
+use call_table::{CallTable, NextCall};
 pub use config::{ClientAction, ClientCloseReason, ClientConfig};
-use rtt::RoundTripEstimate;
+use round_trip::RoundTripEstimate;
 
 /// Unanswered pings that are remembered; older ones don't count for the round-trip time.
 const MAX_PENDING_PINGS: usize = 16;
