--- a/crates/linenthread-link/src/client/call_table.rs
+++ b/crates/linenthread-link/src/client/call_table.rs
@@ -1,54 +1,52 @@
 //! The client's calls that have not completed: queued for credit, or sent and not answered.
 
 use std::cmp::Reverse;
-use std::collections::{BTreeMap, BTreeSet};
+use std::collections::BTreeMap;
 
 use linenthread_core::interface::TenthMillis;
 
+use super::send_window::SendWindow;
 use crate::frame::{Call, CallRequest, Credit};
 use crate::id::{CallId, CallNumber};
+use crate::time::to_wire_millis;
 
-/// TenthMillis of a millisecond in a millisecond, the unit of deadlines on the wire.
-const TENTHS_PER_MS: u64 = 10;
-
-/// How far a call has come.
-#[derive(Clone, Copy, Debug, PartialEq)]
-enum Stage {
-    /// Waits for credit, or for the link.
-    Queued,
-    /// Handed to the connection, not yet written completely: it cannot run.
-    Sending,
-    /// Written completely: it may run.
-    Written,
-    /// Written completely on a connection that is gone: unknown until the session resumes.
-    Unconfirmed,
-}
-
-/// A call that has not completed.
-struct PendingCall {
-    /// The call, until it is sent.
-    call: Option<Call>,
-    stage: Stage,
+/// A call that waits for credit, or for the link.
+pub(super) struct QueuedCall {
+    pub(super) call: Call,
+    pub(super) priority: u32,
     /// When the caller gives up.
-    deadline: TenthMillis,
-    /// Its number in the session, once it is handed to a connection.
-    number: Option<CallNumber>,
-    priority: u32,
+    pub(super) deadline: TenthMillis,
     /// Until then it may wait in the queue.
-    queue_deadline: TenthMillis,
+    pub(super) queue_deadline: TenthMillis,
 }
 
 /// The queue's order: by descending priority, then by age.
-type QueueKey = (Reverse<u32>, CallId);
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+struct QueueKey {
+    priority: Reverse<u32>,
+    id: CallId,
+}
 
-impl PendingCall {
-    fn queue_key(&self, id: CallId) -> QueueKey {
-        (Reverse(self.priority), id)
-    }
+/// How far a call has come that was handed to a connection.
+#[derive(Clone, Copy, PartialEq)]
+enum Delivery {
+    /// Not yet written completely: it cannot run.
+    Sending,
+    /// Written completely: it may run, also when the connection is gone.
+    Written,
+}
 
-    fn queued_bytes(&self) -> u64 {
-        self.call.as_ref().map_or(0, Call::credit_bytes)
-    }
+/// A call that was handed to a connection of the session.
+struct SentCall {
+    id: CallId,
+    delivery: Delivery,
+}
+
+/// Where a call is to be found.
+#[derive(Clone, Copy)]
+enum Position {
+    Queued(QueueKey),
+    Sent(CallNumber),
 }
 
 /// What to do with the first call of the queue.
@@ -58,22 +56,35 @@
     Expired(CallId),
 }
 
+/// How far a call had come as it was removed.
+pub(super) enum RemovedCall {
+    Queued,
+    Sent(CallNumber),
+}
+
+/// A sent call of a session that has ended.
+pub(super) struct UnresolvedCall {
+    pub(super) id: CallId,
+    /// It was written completely.
+    pub(super) may_have_run: bool,
+}
+
 /// Calls that have not completed, and the flow control of the session that they belong to.
+///
+/// Each call stands in `positions` and in exactly one of `queued` and `sent`. Queued calls belong to no session yet.
 #[derive(Default)]
 pub(super) struct CallTable {
-    calls: BTreeMap<CallId, PendingCall>,
-    by_number: BTreeMap<CallNumber, CallId>,
-    queue: BTreeSet<QueueKey>,
+    positions: BTreeMap<CallId, Position>,
+    queued: BTreeMap<QueueKey, QueuedCall>,
+    sent: BTreeMap<CallNumber, SentCall>,
+    /// The bytes of all queued calls.
     queued_bytes: u64,
-    last_sent: CallNumber,
-    /// Bytes of all calls sent in the session.
-    sent_bytes: u64,
-    credit: Credit,
+    window: SendWindow,
 }
 
 impl CallTable {
     pub(super) fn len(&self) -> usize {
-        self.calls.len()
+        self.positions.len()
     }
 
     pub(super) fn queued_bytes(&self) -> u64 {
@@ -82,52 +93,54 @@
 
     /// How many calls may be in flight by the credit: those that are, and those that may be sent now.
     pub(super) fn credit_capacity(&self) -> u64 {
-        let sendable = self.credit.last_call.0.saturating_sub(self.last_sent.0);
-        sendable + self.by_number.len() as u64
+        self.window.remaining_calls() + self.sent.len() as u64
+    }
+
+    /// The last call sent in the session.
+    pub(super) fn last_sent(&self) -> CallNumber {
+        self.window.last_sent()
+    }
+
+    /// Raises the credit; one that arrives late does not lower it.
+    pub(super) fn add_credit(&mut self, credit: Credit) {
+        self.window.raise(credit);
     }
 
     /// Adds a call that waits to be sent.
-    pub(super) fn enqueue(
-        &mut self,
-        id: CallId,
-        call: Call,
-        priority: u32,
-        deadline: TenthMillis,
-        queue_deadline: TenthMillis,
-    ) {
-        self.queued_bytes += call.credit_bytes();
-        let pending = PendingCall {
-            call: Some(call),
-            stage: Stage::Queued,
-            deadline,
-            number: None,
-            priority,
-            queue_deadline,
+    pub(super) fn enqueue(&mut self, id: CallId, queued: QueuedCall) {
+        self.queued_bytes += queued.call.credit_bytes();
+        let key = QueueKey {
+            priority: Reverse(queued.priority),
+            id,
         };
-        self.queue.insert(pending.queue_key(id));
-        self.calls.insert(id, pending);
+        self.positions.insert(id, Position::Queued(key));
+        self.queued.insert(key, queued);
     }
 
-    /// Removes a call if it is pending. The inner value is its number in the session, if it was sent.
-    pub(super) fn remove(&mut self, id: CallId) -> Option<Option<CallNumber>> {
-        let pending = self.calls.remove(&id)?;
-        self.queue.remove(&pending.queue_key(id));
-        self.queued_bytes -= pending.queued_bytes();
-        if let Some(number) = pending.number {
-            self.by_number.remove(&number);
-        }
-        Some(pending.number)
+    /// Removes a call if it is pending.
+    pub(super) fn remove(&mut self, id: CallId) -> Option<RemovedCall> {
+        Some(match self.positions.remove(&id)? {
+            Position::Queued(key) => {
+                self.dequeue(key);
+                RemovedCall::Queued
+            }
+            Position::Sent(number) => {
+                self.sent.remove(&number);
+                RemovedCall::Sent(number)
+            }
+        })
     }
 
-    /// The call that was sent with this number, if it is pending.
-    pub(super) fn by_number(&self, number: CallNumber) -> Option<CallId> {
-        self.by_number.get(&number).copied()
+    /// The one place where the queue becomes shorter.
+    fn dequeue(&mut self, key: QueueKey) -> Option<QueuedCall> {
+        let queued = self.queued.remove(&key)?;
+        self.queued_bytes -= queued.call.credit_bytes();
+        Some(queued)
     }
 
-    /// Raises the credit; one that arrives late does not lower it.
-    pub(super) fn add_credit(&mut self, credit: Credit) {
-        self.credit.last_call = self.credit.last_call.max(credit.last_call);
-        self.credit.bytes = self.credit.bytes.max(credit.bytes);
+    /// The call that was sent with this number, if it is pending.
+    pub(super) fn by_number(&self, number: CallNumber) -> Option<CallId> {
+        self.sent.get(&number).map(|sent| sent.id)
     }
 
     /// Takes the first call off the queue if credit allows; `one_way` is how long it takes to arrive.
@@ -136,121 +149,97 @@
         now: TenthMillis,
         one_way: TenthMillis,
     ) -> Option<NextCall> {
-        let key = *self.queue.first()?;
-        let id = key.1;
-        let pending = self.calls.get_mut(&id)?;
-        let remaining = pending.deadline - now - one_way;
+        let (&key, first) = self.queued.first_key_value()?;
+        let remaining = first.deadline - now - one_way;
         if remaining <= 0 {
-            return Some(NextCall::Expired(id));
+            return Some(NextCall::Expired(key.id));
         }
-        let bytes = pending.queued_bytes();
-        if self.last_sent >= self.credit.last_call || self.sent_bytes + bytes > self.credit.bytes {
+        let bytes = first.call.credit_bytes();
+        if !self.window.admits(bytes) {
             return None;
         }
-        let call = pending.call.take()?;
-        let number = self.last_sent.next();
-        (pending.stage, pending.number) = (Stage::Sending, Some(number));
-        self.queued_bytes -= bytes;
-        self.last_sent = number;
-        self.sent_bytes += bytes;
-        self.queue.remove(&key);
-        self.by_number.insert(number, id);
+        let QueuedCall { call, .. } = self.dequeue(key)?;
+        let number = self.window.send(bytes);
+        self.positions.insert(key.id, Position::Sent(number));
+        let sent = SentCall {
+            id: key.id,
+            delivery: Delivery::Sending,
+        };
+        self.sent.insert(number, sent);
         Some(NextCall::Send(CallRequest {
             number,
-            remaining_ms: to_millis(remaining),
+            remaining_ms: to_wire_millis(remaining),
             call,
         }))
     }
 
     /// The call's frame has been written completely.
     pub(super) fn mark_written(&mut self, number: CallNumber) {
-        let pending = self
-            .by_number
-            .get(&number)
-            .and_then(|id| self.calls.get_mut(id));
-        if let Some(pending) = pending.filter(|pending| pending.stage == Stage::Sending) {
-            pending.stage = Stage::Written;
+        if let Some(sent) = self.sent.get_mut(&number) {
+            sent.delivery = Delivery::Written;
         }
     }
 
-    /// The connection is gone. Returns the calls that were not written completely, for the caller to remove.
-    pub(super) fn on_disconnected(&mut self) -> Vec<CallId> {
-        let mut interrupted = Vec::new();
-        for (id, pending) in &mut self.calls {
-            match pending.stage {
-                Stage::Queued => {}
-                Stage::Sending => interrupted.push(*id),
-                Stage::Written | Stage::Unconfirmed => pending.stage = Stage::Unconfirmed,
-            }
-        }
-        interrupted
+    /// All calls that are not queued, by their ids.
+    fn sent_calls(&self) -> impl Iterator<Item = &SentCall> {
+        self.positions
+            .values()
+            .filter_map(|position| match position {
+                Position::Queued(_) => None,
+                Position::Sent(number) => self.sent.get(number),
+            })
+    }
+
+    /// Sent calls that were not written completely.
+    pub(super) fn incompletely_written(&self) -> Vec<CallId> {
+        self.sent_calls()
+            .filter(|sent| sent.delivery == Delivery::Sending)
+            .map(|sent| sent.id)
+            .collect()
     }
 
     /// Sent calls that the server has not received, given the last one that it has.
     pub(super) fn not_received(&self, last_received: CallNumber) -> Vec<CallId> {
-        self.by_number
+        self.sent
             .range(last_received.next()..)
-            .map(|(_, id)| *id)
+            .map(|(_, sent)| sent.id)
             .collect()
     }
 
     /// The session resumes at the server's counts; all sent calls that remain have been received.
     pub(super) fn resume(&mut self, last_received: CallNumber, received_bytes: u64) {
-        for pending in self.calls.values_mut() {
-            if pending.stage == Stage::Unconfirmed {
-                pending.stage = Stage::Written;
-            }
-        }
-        (self.last_sent, self.sent_bytes) = (last_received, received_bytes);
+        self.window.resume(last_received, received_bytes);
     }
 
-    /// The last call sent in the session.
-    pub(super) fn last_sent(&self) -> CallNumber {
-        self.last_sent
-    }
-
-    /// All calls that are not queued, each with whether it was written completely.
-    pub(super) fn sent_calls(&self) -> Vec<(CallId, bool)> {
-        self.calls
-            .iter()
-            .filter(|(_, pending)| pending.stage != Stage::Queued)
-            .map(|(id, pending)| (*id, pending.stage != Stage::Sending))
+    /// All sent calls, whose session has ended.
+    pub(super) fn unresolved(&self) -> Vec<UnresolvedCall> {
+        self.sent_calls()
+            .map(|sent| UnresolvedCall {
+                id: sent.id,
+                may_have_run: sent.delivery == Delivery::Written,
+            })
             .collect()
     }
 
-    /// Begins a new session; queued calls stay, as they belong to none yet.
-    pub(super) fn reset_session(&mut self) {
-        (self.last_sent, self.sent_bytes) = (CallNumber::default(), 0);
-        self.credit = Credit::default();
-        self.by_number.clear();
+    /// Begins a new session, once all sent calls of the old one have been removed. Queued calls stay.
+    pub(super) fn begin_session(&mut self) {
+        self.window = SendWindow::default();
     }
 
     /// Calls that have waited in the queue for too long.
     pub(super) fn expired(&self, now: TenthMillis) -> Vec<CallId> {
-        let expired = |id: &CallId| {
-            self.calls
-                .get(id)
-                .is_none_or(|pending| pending.queue_deadline <= now)
-        };
-        self.queue
+        self.queued
             .iter()
-            .map(|(_, id)| *id)
-            .filter(expired)
+            .filter(|(_, queued)| queued.queue_deadline <= now)
+            .map(|(key, _)| key.id)
             .collect()
     }
 
     /// When the first queued call expires.
     pub(super) fn next_queue_deadline(&self) -> Option<TenthMillis> {
-        self.queue
-            .iter()
-            .filter_map(|(_, id)| self.calls.get(id))
-            .map(|pending| pending.queue_deadline)
+        self.queued
+            .values()
+            .map(|queued| queued.queue_deadline)
             .min()
     }
 }
-
-/// A positive length of time in whole milliseconds, rounded up.
-fn to_millis(tenths: TenthMillis) -> u32 {
-    let millis = u64::try_from(tenths).unwrap_or(0).div_ceil(TENTHS_PER_MS);
-    u32::try_from(millis).unwrap_or(u32::MAX)
-}
--- /dev/null
+++ b/crates/linenthread-link/src/client/replicas.rs
@@ -0,0 +1,76 @@
+//! The replicas behind the link: their membership and their health checks.
+
+use linenthread_core::interface::{AttemptOutcome, TenthMillis};
+
+use super::{ClientAction, ClientCloseReason, LinkClient};
+use crate::frame::{Frame, MembersUpdate, ProbeOutcome};
+use crate::id::ProbeId;
+
+impl LinkClient {
+    /// Checks the health of a replica behind the link; [`ClientAction::ProbeCompleted`] may or may not follow.
+    pub fn probe(&mut self, replica: String, actions: &mut Vec<ClientAction>) -> ProbeId {
+        let id = ProbeId(self.next_id());
+        if self.is_up() && self.probes.len() < self.config.max_in_flight {
+            self.probes.insert(id);
+            actions.push(ClientAction::Send(Frame::Probe { id, replica }));
+        } else {
+            actions.push(failed(id, AttemptOutcome::NotSent));
+        }
+        id
+    }
+
+    /// Passes an outcome on, unless the probe has completed before.
+    pub(super) fn on_probe_outcome(
+        &mut self,
+        outcome: &ProbeOutcome,
+        actions: &mut Vec<ClientAction>,
+    ) {
+        if self.probes.remove(&outcome.id) {
+            actions.push(ClientAction::ProbeCompleted {
+                id: outcome.id,
+                outcome: outcome.outcome,
+                queue_depth: outcome.queue_depth,
+            });
+        }
+    }
+
+    /// The connection is gone: no outcome of a probe on it can arrive any more.
+    pub(super) fn fail_probes(&mut self, actions: &mut Vec<ClientAction>) {
+        let probes = std::mem::take(&mut self.probes);
+        let lost = |id| failed(id, AttemptOutcome::ConnectionLost);
+        actions.extend(probes.into_iter().map(lost));
+    }
+
+    /// Passes on the complete list, or a change that follows on the last one.
+    pub(super) fn on_members(
+        &mut self,
+        now: TenthMillis,
+        update: MembersUpdate,
+        actions: &mut Vec<ClientAction>,
+    ) {
+        let MembersUpdate {
+            revision,
+            complete,
+            members,
+        } = update;
+        let is_duplicate = !complete && revision <= self.members_revision;
+        if is_duplicate {
+            return;
+        }
+        let is_next = revision == self.members_revision + 1;
+        if !complete && !is_next {
+            return self.close(now, ClientCloseReason::MissedMembersUpdate, actions);
+        }
+        self.members_revision = revision;
+        actions.push(ClientAction::Members { complete, members });
+    }
+}
+
+/// A health check that has completed without an answer.
+fn failed(id: ProbeId, outcome: AttemptOutcome) -> ClientAction {
+    ClientAction::ProbeCompleted {
+        id,
+        outcome,
+        queue_depth: None,
+    }
+}
--- a/crates/linenthread-link/src/client/round_trip.rs
+++ b/crates/linenthread-link/src/client/round_trip.rs
@@ -2,6 +2,8 @@
 
 use linenthread_core::interface::TenthMillis;
 
+use crate::time::whole_tenths;
+
 /// Weight of a new sample in the mean: 1 / 8.
 const MEAN_DIVISOR: f64 = 8.0;
 /// Weight of a new sample in the deviation: 1 / 4.
@@ -35,11 +37,11 @@
 
     /// Half the round trip.
     pub(super) fn one_way(&self) -> TenthMillis {
-        (self.mean / 2.0) as TenthMillis
+        whole_tenths(self.mean / 2.0)
     }
 
     /// A reply that takes longer than this is overdue.
     pub(super) fn timeout(&self) -> TenthMillis {
-        (self.mean + TIMEOUT_DEVIATIONS * self.deviation) as TenthMillis
+        whole_tenths(self.mean + TIMEOUT_DEVIATIONS * self.deviation)
     }
 }
--- a/crates/linenthread-link/src/lib.rs
+++ b/crates/linenthread-link/src/lib.rs
@@ -18,6 +18,7 @@
 mod nonce;
 pub mod routing;
 mod server;
+mod time;
 
 pub use client::{ClientAction, ClientCloseReason, ClientConfig, LinkClient};
 pub use frame::{Call, Frame, FrameError, Member};
--- a/crates/linenthread-link/src/server/mod.rs
+++ b/crates/linenthread-link/src/server/mod.rs
@@ -31,13 +31,11 @@
 };
 use crate::id::{CallNumber, ConnectionId, SessionId};
 use crate::nonce;
+use crate::time::from_wire_millis;
 
 pub use config::{ServerAction, ServerCloseReason, ServerConfig};
 use session::Session;
 
-/// TenthMillis of a millisecond in a millisecond, the unit of deadlines on the wire.
-const TENTHS_PER_MS: TenthMillis = 10;
-
 enum Connection {
     Challenged {
         nonce: Nonce,
@@ -434,7 +432,7 @@
             actions.push(ServerAction::StartCall {
                 session: id,
                 number,
-                timeout: TenthMillis::from(remaining_ms) * TENTHS_PER_MS,
+                timeout: from_wire_millis(remaining_ms),
                 call,
             });
         }
