--- /dev/null
+++ b/crates/linenthread-link/src/server/handshake.rs
@@ -0,0 +1,103 @@
+//! The handshake: the first frame of a connection, and what a client is sent in reply.
+
+use linenthread_core::interface::TenthMillis;
+use linenthread_frames::Nonce;
+
+use super::connection::Connection;
+use super::{LinkServer, ServerAction, ServerCloseReason};
+use crate::frame::{Frame, Hello, VERSION, Welcome};
+use crate::id::{ConnectionId, SessionId};
+
+impl LinkServer {
+    /// Takes in the first frame of a connection. A reason in `Err` is why the connection is refused.
+    pub(super) fn establish(
+        &mut self,
+        now: TenthMillis,
+        connection: ConnectionId,
+        nonce: &Nonce,
+        frame: Frame,
+        actions: &mut Vec<ServerAction>,
+    ) -> Result<(), ServerCloseReason> {
+        let Frame::Hello(hello) = frame else {
+            return Err(ServerCloseReason::HelloExpected);
+        };
+        let secret = self.verify(&hello, nonce)?;
+        let is_resumed = self
+            .sessions
+            .get(&hello.session)
+            .is_some_and(|session| session.epoch == hello.epoch);
+        if !is_resumed {
+            self.begin_session(now, hello.session, actions)?;
+        }
+        let Some(session) = self.sessions.get_mut(&hello.session) else {
+            return Ok(());
+        };
+        let older = session.attach(connection, hello.attempt);
+        let mut welcome = session.welcome(is_resumed);
+        welcome.prove(&self.secrets, secret, &hello.nonce);
+        if let Some(older) = older {
+            self.supersede(older, actions);
+        }
+        let established = Connection::Established {
+            session: hello.session,
+            last_received: now,
+        };
+        self.connections.insert(connection, established);
+        self.send_session_state(connection, hello.session, welcome, actions);
+        Ok(())
+    }
+
+    /// Which secret the hello is proven with, or why it is refused.
+    fn verify(&self, hello: &Hello, nonce: &Nonce) -> Result<usize, ServerCloseReason> {
+        if hello.version != VERSION {
+            return Err(ServerCloseReason::UnsupportedVersion);
+        }
+        let secret = hello
+            .proven_by(&self.secrets, nonce)
+            .ok_or(ServerCloseReason::Unauthenticated)?;
+        // A hello that was long on its way would take the session from a newer connection.
+        let is_stale = self
+            .sessions
+            .get(&hello.session)
+            .is_some_and(|session| hello.attempt <= session.hello_attempt);
+        if is_stale {
+            return Err(ServerCloseReason::StaleHello);
+        }
+        Ok(secret)
+    }
+
+    /// Closes a session's older connection: nothing counts any more that may still arrive on it, so that what the
+    /// welcome says of the session stays true.
+    fn supersede(&mut self, older: ConnectionId, actions: &mut Vec<ServerAction>) {
+        self.connections.remove(&older);
+        actions.push(ServerAction::Close {
+            connection: older,
+            reason: ServerCloseReason::Superseded,
+        });
+    }
+
+    /// Sends a new connection all that its client needs to go on.
+    fn send_session_state(
+        &mut self,
+        connection: ConnectionId,
+        id: SessionId,
+        welcome: Welcome,
+        actions: &mut Vec<ServerAction>,
+    ) {
+        let mut frames = vec![
+            Frame::Welcome(welcome),
+            Frame::Members(self.membership.complete_update()),
+        ];
+        if let Some(session) = self.sessions.get(&id) {
+            frames.extend(session.unacknowledged().map(Frame::Outcome));
+        }
+        if self.draining {
+            frames.push(Frame::Goodbye);
+        }
+        let sends = frames
+            .into_iter()
+            .map(|frame| ServerAction::Send { connection, frame });
+        actions.extend(sends);
+        self.send_credit(id, actions);
+    }
+}
--- a/crates/linenthread-link/src/server/session.rs
+++ b/crates/linenthread-link/src/server/session.rs
@@ -5,12 +5,10 @@
 use linenthread_core::interface::TenthMillis;
 
 use super::ServerConfig;
-use crate::frame::{CallOutcome, Credit, Frame};
+use super::receive_window::ReceiveWindow;
+use crate::frame::{CallOutcome, Credit, Welcome};
 use crate::id::{CallNumber, ConnectionId};
 
-/// Credit is sent again once so much of the window has become free: a quarter.
-const CREDIT_UPDATE_DIVISOR: u64 = 4;
-
 /// How far a call has come.
 enum CallState {
     Running,
@@ -25,24 +23,25 @@
     bytes: u64,
 }
 
+/// Whether a session has a connection.
+#[derive(Clone, Copy)]
+enum Attachment {
+    Connected(ConnectionId),
+    /// It began, or lost its connection, at this moment.
+    Detached {
+        since: TenthMillis,
+    },
+}
+
 /// A session, whatever connection it has at the moment.
 pub(super) struct Session {
     /// Chosen at random as the session began, so that a dropped session is not taken for a later one of its id.
     pub(super) epoch: u64,
     /// The number of the newest hello.
     pub(super) hello_attempt: u64,
-    pub(super) connection: Option<ConnectionId>,
-    /// When it began, or lost its connection.
-    pub(super) idle_since: TenthMillis,
-    /// The last call that was received.
-    pub(super) last_call: CallNumber,
-    /// Bytes of all calls that were received.
-    pub(super) received_bytes: u64,
-    /// Bytes of all calls that were released.
-    released_bytes: u64,
+    attachment: Attachment,
     calls: BTreeMap<CallNumber, RetainedCall>,
-    /// The credit that was last sent on the present connection.
-    sent_credit: Credit,
+    window: ReceiveWindow,
 }
 
 impl Session {
@@ -50,25 +49,57 @@
         Session {
             epoch,
             hello_attempt: 0,
-            connection: None,
-            idle_since: now,
-            last_call: CallNumber::default(),
-            received_bytes: 0,
-            released_bytes: 0,
+            attachment: Attachment::Detached { since: now },
             calls: BTreeMap::new(),
-            sent_credit: Credit::default(),
+            window: ReceiveWindow::default(),
+        }
+    }
+
+    /// The connection that it has.
+    pub(super) fn connection(&self) -> Option<ConnectionId> {
+        match self.attachment {
+            Attachment::Connected(connection) => Some(connection),
+            Attachment::Detached { .. } => None,
         }
     }
 
-    /// Goes on on another connection, to which no credit has been sent; returns the older one.
+    /// When it is to be dropped, if it stays without a connection.
+    pub(super) fn deadline(&self, session_timeout: TenthMillis) -> Option<TenthMillis> {
+        match self.attachment {
+            Attachment::Connected(_) => None,
+            Attachment::Detached { since } => Some(since + session_timeout),
+        }
+    }
+
+    /// Goes on on another connection; returns the older one.
     pub(super) fn attach(
         &mut self,
         connection: ConnectionId,
         hello_attempt: u64,
     ) -> Option<ConnectionId> {
-        self.sent_credit = Credit::default();
+        let older = self.connection();
+        self.attachment = Attachment::Connected(connection);
         self.hello_attempt = hello_attempt;
-        self.connection.replace(connection)
+        self.window.on_connected();
+        older
+    }
+
+    /// A connection has ended; it may be an older one than the session has.
+    pub(super) fn detach(&mut self, connection: ConnectionId, now: TenthMillis) {
+        if self.connection() == Some(connection) {
+            self.attachment = Attachment::Detached { since: now };
+        }
+    }
+
+    /// What the welcome to a new connection says of the session, without the proof.
+    pub(super) fn welcome(&self, resumed: bool) -> Welcome {
+        Welcome {
+            epoch: self.epoch,
+            resumed,
+            last_call: self.window.last_call(),
+            received_bytes: self.window.received_bytes(),
+            proof: [0; 32],
+        }
     }
 
     /// Calls that run or whose outcome is retained.
@@ -76,29 +107,28 @@
         self.calls.len()
     }
 
-    /// The outcomes that the client has not acknowledged, as frames.
-    pub(super) fn unacknowledged(&self) -> Vec<Frame> {
-        self.calls
-            .values()
-            .filter_map(|call| match &call.state {
-                CallState::Completed(outcome) => Some(Frame::Outcome(outcome.clone())),
-                CallState::Running => None,
-            })
-            .collect()
+    /// The outcomes that the client has not acknowledged.
+    pub(super) fn unacknowledged(&self) -> impl Iterator<Item = CallOutcome> {
+        self.calls.values().filter_map(|call| match &call.state {
+            CallState::Completed(outcome) => Some(outcome.clone()),
+            CallState::Running => None,
+        })
+    }
+
+    /// Whether a call was received before, retained or not.
+    pub(super) fn has_received(&self, number: CallNumber) -> bool {
+        number <= self.window.last_call()
     }
 
     /// Whether a call is the next one by number and within the window.
     pub(super) fn admits(&self, number: CallNumber, bytes: u64, config: &ServerConfig) -> bool {
-        let retained_bytes = self.received_bytes - self.released_bytes;
-        number == self.last_call.next()
-            && (self.calls.len() as u64) < config.window_calls
-            && retained_bytes + bytes <= config.window_bytes
+        let retained_calls = self.calls.len() as u64;
+        self.window.admits(number, bytes, retained_calls, config)
     }
 
     /// Records a call that runs from now on.
     pub(super) fn start(&mut self, number: CallNumber, bytes: u64) {
-        self.last_call = number;
-        self.received_bytes += bytes;
+        self.window.receive(number, bytes);
         let call = RetainedCall {
             state: CallState::Running,
             bytes,
@@ -138,27 +168,13 @@
         let Some(call) = self.calls.remove(&number) else {
             return false;
         };
-        self.released_bytes += call.bytes;
+        self.window.release(call.bytes);
         true
     }
 
     /// The credit to send, if enough of the window has become free since it was last sent.
     pub(super) fn credit_update(&mut self, config: &ServerConfig) -> Option<Credit> {
-        let free = config.window_calls.saturating_sub(self.calls.len() as u64);
-        let credit = Credit {
-            last_call: CallNumber(self.last_call.0 + free),
-            bytes: self.released_bytes + config.window_bytes,
-        };
-        let sent = self.sent_credit;
-        let calls_step = config.window_calls / CREDIT_UPDATE_DIVISOR;
-        let bytes_step = config.window_bytes / CREDIT_UPDATE_DIVISOR;
-        let is_due = sent.last_call == CallNumber::default()
-            || credit.last_call.0 > sent.last_call.0 + calls_step
-            || credit.bytes > sent.bytes + bytes_step;
-        if !is_due {
-            return None;
-        }
-        self.sent_credit = credit;
-        Some(credit)
+        let retained_calls = self.calls.len() as u64;
+        self.window.credit_update(retained_calls, config)
     }
 }
