--- /dev/null
+++ b/crates/linenthread-fakes/src/checker/groups.rs
@@ -0,0 +1,88 @@
+//! Checks totals by group.
+
+use std::collections::BTreeMap;
+
+use serde_json::Value;
+use snafu::{OptionExt, ensure};
+
+use super::CheckError;
+use super::error::{AbsentSnafu, GroupsSnafu, RestSnafu};
+use super::figures::check_sum_and_count;
+use super::shards::{ShardWeight, check_shards, shard_numbers};
+use crate::row_store::{RowStore, SumAndCount};
+
+/// Checks groups by charity: at most so many by themselves, the largest first, and the rest as one.
+///
+/// # Errors
+///
+/// If groups are wrong, or their figures, or the response is wrong about its shards.
+///
+/// # Panics
+///
+/// If the store does not have one of the query's shards.
+pub fn check_groups(
+    store: &RowStore,
+    shards: &[ShardWeight],
+    floor: f64,
+    max_groups: usize,
+    response: &Value,
+) -> Result<(), CheckError> {
+    let included = check_shards(shards, floor, response)?;
+    let queried = shard_numbers(shards);
+    let partial = included.len() < queried.len();
+    let (of_included, of_all) = (store.true_groups(&included), store.true_groups(&queried));
+    let listed = largest(&of_included, max_groups);
+    let groups = response["groups"]
+        .as_array()
+        .context(AbsentSnafu { name: "groups" })?;
+    check_names(groups, &listed)?;
+    for (group, name) in groups.iter().zip(&listed) {
+        let figures = &group["totals"]["amount"];
+        check_sum_and_count(figures, of_included[name], of_all[name], partial)?;
+    }
+    let rest = &response["rest"];
+    let has_rest = of_included.len() > max_groups;
+    ensure!(
+        has_rest != rest.is_null(),
+        RestSnafu {
+            actual: rest.to_string()
+        }
+    );
+    if !has_rest {
+        return Ok(());
+    }
+    check_sum_and_count(
+        &rest["totals"]["amount"],
+        rest_of(&of_included, &listed),
+        rest_of(&of_all, &listed),
+        partial,
+    )
+}
+
+/// The names of the largest groups; of those of one size, the first by name.
+fn largest(groups: &BTreeMap<String, SumAndCount>, max_groups: usize) -> Vec<String> {
+    let mut by_size: Vec<_> = groups.iter().collect();
+    by_size.sort_by_key(|(name, group)| (-group.sum, (*name).clone()));
+    let largest = by_size.into_iter().take(max_groups);
+    largest.map(|(name, _)| name.clone()).collect()
+}
+
+/// Checks that the groups of a response have these names, in order.
+fn check_names(groups: &[Value], expected: &[String]) -> Result<(), CheckError> {
+    let actual: Vec<String> = groups
+        .iter()
+        .filter_map(|group| Some(group["of"].as_str()?.to_owned()))
+        .collect();
+    ensure!(actual == expected, GroupsSnafu { actual, expected });
+    Ok(())
+}
+
+/// The sum over all groups but those that are listed.
+fn rest_of(groups: &BTreeMap<String, SumAndCount>, listed: &[String]) -> SumAndCount {
+    let mut rest = SumAndCount::default();
+    for (_, group) in groups.iter().filter(|(name, _)| !listed.contains(name)) {
+        rest.sum += group.sum;
+        rest.count += group.count;
+    }
+    rest
+}
--- a/crates/linenthread-fakes/src/row_store.rs
+++ b/crates/linenthread-fakes/src/row_store.rs
@@ -71,28 +71,26 @@
     last_id: u64,
 }
 
-/// The true totals over some shards.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Totals {
+/// The true sum and count over some rows.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct SumAndCount {
     /// The sum in hundredths.
     pub sum: i64,
     /// How many rows there are.
     pub count: usize,
+}
+
+/// The true totals over some shards.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct Totals {
+    /// The sum and the count.
+    pub sum_and_count: SumAndCount,
     /// The least amount in hundredths; `None` without rows.
     pub min: Option<i64>,
     /// The largest amount in hundredths; `None` without rows.
     pub max: Option<i64>,
 }
 
-/// The true sum (in hundredths) and count over some rows.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct SumAndCount {
-    /// The sum in hundredths.
-    pub sum: i64,
-    /// How many rows there are.
-    pub count: usize,
-}
-
 /// Totals of rows, as a replica gives them.
 fn totals(rows: &[&Donation]) -> Value {
     let cents = || rows.iter().map(|row| row.cents);
@@ -183,8 +181,10 @@
     pub fn true_totals(&self, shards: &[usize]) -> Totals {
         let cents: Vec<i64> = self.rows(shards).map(|row| row.cents).collect();
         Totals {
-            sum: cents.iter().sum(),
-            count: cents.len(),
+            sum_and_count: SumAndCount {
+                sum: cents.iter().sum(),
+                count: cents.len(),
+            },
             min: cents.iter().min().copied(),
             max: cents.iter().max().copied(),
         }
--- a/crates/linenthread-service/tests/merged.rs
+++ b/crates/linenthread-service/tests/merged.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use linenthread_fakes::checker::{self, PagedRead};
+use linenthread_fakes::checker::{self, PagedRead, ShardWeight};
 use linenthread_fakes::row_store::{INSTALLATION, RowStore};
 use linenthread_fakes::{
     Behavior, Class, RowReplicas, Service, ServiceDiscovery, SubRequest, config_of, member,
@@ -90,10 +90,11 @@
     }
 }
 
-fn weights(shards: &[usize]) -> Vec<(usize, f64)> {
+fn weights(shards: &[usize]) -> Vec<ShardWeight> {
+    let weight = 1.0 / shards.len() as f64;
     shards
         .iter()
-        .map(|&s| (s, 1.0 / shards.len() as f64))
+        .map(|&shard| ShardWeight { shard, weight })
         .collect()
 }
 
--- a/crates/linenthread-simulation/src/merged/simulation.rs
+++ b/crates/linenthread-simulation/src/merged/simulation.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use linenthread_core::interface::{AttemptOutcome, NewQuery, NewSubRequest, TenthMillis};
-use linenthread_fakes::checker::{self, PagedRead};
+use linenthread_fakes::checker::{self, PagedRead, ShardWeight};
 use linenthread_fakes::row_store::{Donation, RowStore};
 use linenthread_merge::{
     Acceptance, Aggregation, CursorSigner, MergeQuery, Merger, PageRequest, Plan, QueriedShard,
@@ -58,7 +58,7 @@
 struct Client {
     ledger: RowStore,
     /// The queried shards with their weights.
-    shards: Vec<(usize, f64)>,
+    shards: Vec<ShardWeight>,
     /// The index that it reads.
     plan: usize,
     reading: PagedRead,
@@ -193,7 +193,11 @@
             rows: matches!(plan.aggregation, Aggregation::Rows(_)).then_some(page_size),
             cursor: client.cursor.clone(),
         };
-        let shards: Vec<QueriedShard> = client.shards.iter().copied().map(Into::into).collect();
+        let shards: Vec<QueriedShard> = client
+            .shards
+            .iter()
+            .map(|&ShardWeight { shard, weight }| QueriedShard { shard, weight })
+            .collect();
         let merge_query = MergeQuery {
             customer: None,
             key: None,
@@ -226,7 +230,7 @@
             sequence_number: query as u64,
             hard_deadline,
         });
-        let sub_request = |&(shard, weight): &(usize, f64)| NewSubRequest {
+        let sub_request = |&ShardWeight { shard, weight }: &ShardWeight| NewSubRequest {
             query,
             shard,
             weight,
@@ -428,7 +432,11 @@
             .collect();
         let all: f64 = weights.iter().sum();
         let shares = weights.iter().map(|weight| weight / all);
-        self.shards = shards.into_iter().zip(shares).collect();
+        self.shards = shards
+            .into_iter()
+            .zip(shares)
+            .map(|(shard, weight)| ShardWeight { shard, weight })
+            .collect();
         // Rows are read as often as the others together.
         self.plan = [ROWS, ROWS, TOTALS, GROUPS][draw_below(rng, 4)];
         self.reading = PagedRead::new(&self.shards);
@@ -441,14 +449,14 @@
 
     /// Adds a row to one of the queried shards.
     fn add_row(&mut self, rng: &mut Rand64) {
-        let (shard, _) = self.shards[draw_below(rng, self.shards.len())];
+        let shard = self.shards[draw_below(rng, self.shards.len())].shard;
         let row = self.ledger.add(rng, shard);
         self.added.push(row);
     }
 
     /// A replica's response to a sub-request.
     fn respond(&self, sub_request: usize, text: &str) -> String {
-        let (shard, _) = self.shards[sub_request];
+        let shard = self.shards[sub_request].shard;
         self.ledger.respond(shard, text, self.max_rows)
     }
 
