--- a/crates/linenthread-fakes/src/program.rs
+++ b/crates/linenthread-fakes/src/program.rs
@@ -6,6 +6,7 @@
 use std::process::{Child, Command, Stdio};
 use std::sync::mpsc::{Receiver, channel};
 use std::thread::spawn;
+use std::time::Duration;
 
 use serde_json::{Value, json};
 use tempfile::TempDir;
@@ -19,8 +20,8 @@
     pub name: &'static str,
     /// Its queries may run only once.
     pub non_idempotent: bool,
-    /// The soft deadline of its queries in milliseconds.
-    pub soft_deadline_ms: u64,
+    /// The soft deadline of its queries.
+    pub soft_deadline: Duration,
     /// The least share of the weight that a partial response must have; with 1.0 all responses are complete.
     pub floor: f64,
 }
@@ -30,28 +31,33 @@
     Class {
         name: "find",
         non_idempotent: false,
-        soft_deadline_ms: 15_000,
+        soft_deadline: Duration::from_secs(15),
         floor: 1.0,
     },
     Class {
         name: "order",
         non_idempotent: true,
-        soft_deadline_ms: 15_000,
+        soft_deadline: Duration::from_secs(15),
         floor: 1.0,
     },
     Class {
         name: "swift",
         non_idempotent: false,
-        soft_deadline_ms: 700,
+        soft_deadline: Duration::from_millis(700),
         floor: 1.0,
     },
 ];
 
+/// A length of time as the settings give it.
+pub(crate) fn millis(length: Duration) -> u64 {
+    u64::try_from(length.as_millis()).expect("a length of time in the settings is short")
+}
+
 /// Settings with so many replica groups, where each shard is in two neighbouring groups.
 fn settings(classes: &[Class], groups: usize, shards: usize) -> Value {
     let class = |c: &Class| {
         json!({"name": c.name, "idempotency": if c.non_idempotent { "unsafe" } else { "safe" },
-               "promise-ms": c.soft_deadline_ms, "worth": 1.0, "late-share": 0.0, "deadline-ms": 20000,
+               "promise-ms": millis(c.soft_deadline), "worth": 1.0, "late-share": 0.0, "deadline-ms": 20000,
                "window-ms": 5000})
     };
     let each = |of: &dyn Fn(&Class) -> f64| -> Vec<f64> { classes.iter().map(of).collect() };
--- a/crates/linenthread-fakes/src/rig/check.rs
+++ b/crates/linenthread-fakes/src/rig/check.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use super::clients::QueryOutcome;
-use super::layout::SOFT_DEADLINE_MS;
+use super::layout::SOFT_DEADLINE;
 use crate::PATIENCE;
 
 /// How much later than the soft deadline a response may arrive.
@@ -56,7 +56,7 @@
     if outcome.alive && outcome.status.is_none() {
         violations.push(format!("rule 1: {id} got no answer in {latency:?}"));
     }
-    if outcome.alive && *latency > Duration::from_millis(SOFT_DEADLINE_MS) + LATENESS {
+    if outcome.alive && *latency > SOFT_DEADLINE + LATENESS {
         violations.push(format!("rule 1: {id} was answered after {latency:?}"));
     }
 }
--- a/crates/linenthread-fakes/src/rig/layout.rs
+++ b/crates/linenthread-fakes/src/rig/layout.rs
@@ -1,6 +1,7 @@
 //! Addresses, names and files of the processes of a rig.
 
 use std::net::{IpAddr, SocketAddr};
+use std::time::Duration;
 
 use serde_json::{Value, json};
 
@@ -11,8 +12,8 @@
 
 /// Shards of the rig's indexes.
 pub(super) const SHARDS: usize = 12;
-/// The soft deadline of a query in milliseconds.
-pub(super) const SOFT_DEADLINE_MS: u64 = 1_500;
+/// The soft deadline of a query.
+pub(super) const SOFT_DEADLINE: Duration = Duration::from_millis(1_500);
 /// The secret that all processes of a rig share.
 pub(super) const FLEET_KEY: &str = "a secret of the rig's fleet\n";
 /// The least fleet size that a deploy file may give.
@@ -93,7 +94,7 @@
         let class = |name, non_idempotent| Class {
             name,
             non_idempotent,
-            soft_deadline_ms: SOFT_DEADLINE_MS,
+            soft_deadline: SOFT_DEADLINE,
             floor: 1.0,
         };
         let classes = [class("find", false), class("order", true)];
--- a/crates/linenthread-fakes/src/sites.rs
+++ b/crates/linenthread-fakes/src/sites.rs
@@ -15,6 +15,7 @@
 pub use load::{QueryResult, disconnect_everywhere, query_during_fault};
 
 use crate::loopback::unused_loopback;
+use crate::program::millis;
 use crate::proxy::{Direction, Proxy};
 use crate::{Class, FakeReplicas, Service, ServiceDiscovery, config_of, member, membership};
 
@@ -41,10 +42,10 @@
 /// How two sites are set up.
 #[derive(Clone, Copy, Debug)]
 pub struct SitesConfig {
-    /// Milliseconds for which a session outlives its connection.
-    pub session_timeout_ms: u64,
-    /// Milliseconds after which a lost link is reported as down.
-    pub down_delay_ms: u64,
+    /// How long a session outlives its connection.
+    pub session_timeout: Duration,
+    /// How long after its loss a link is reported as down.
+    pub down_delay: Duration,
     /// How long replicas take for a sub-request.
     pub service_time: Duration,
     /// There is a second gateway to the same replicas, over a link of its own.
@@ -54,8 +55,8 @@
 impl Default for SitesConfig {
     fn default() -> Self {
         SitesConfig {
-            session_timeout_ms: 3_000,
-            down_delay_ms: 50,
+            session_timeout: Duration::from_secs(3),
+            down_delay: Duration::from_millis(50),
             service_time: Duration::from_millis(3),
             second_gateway: false,
         }
@@ -151,7 +152,7 @@
     let class = |name, non_idempotent| Class {
         name,
         non_idempotent,
-        soft_deadline_ms: u64::try_from(SOFT_DEADLINE.as_millis()).unwrap(),
+        soft_deadline: SOFT_DEADLINE,
         floor: 1.0,
     };
     let classes = [class("find", false), class("order", true)];
@@ -189,17 +190,14 @@
 
 /// The deploy file's elements for links to gateways.
 fn peer_elements<'p>(config: &SitesConfig, proxies: impl Iterator<Item = &'p Proxy>) -> String {
-    let SitesConfig {
-        session_timeout_ms,
-        down_delay_ms,
-        ..
-    } = config;
+    let session_timeout = millis(config.session_timeout);
+    let down_delay = millis(config.down_delay);
     let peers: String = proxies
         .enumerate()
         .map(|(n, proxy)| {
             format!(
-                "<peer name=\"far{n}\" address=\"{}\" secret=\"link.key\" keep=\"{session_timeout_ms}\" \
-                 beat=\"100\" hold=\"{down_delay_ms}\"/>",
+                "<peer name=\"far{n}\" address=\"{}\" secret=\"link.key\" keep=\"{session_timeout}\" \
+                 beat=\"100\" hold=\"{down_delay}\"/>",
                 proxy.address
             )
         })
--- a/crates/linenthread-fakes/src/sites/load.rs
+++ b/crates/linenthread-fakes/src/sites/load.rs
@@ -14,6 +14,11 @@
 /// How long after the last response a sub-request may still be on its way to a replica.
 const IN_TRANSIT: Duration = Duration::from_millis(200);
 
+/// With a shorter session time-out, a session does not outlive its connection: it is without resume.
+const SHORT_SESSION_TIMEOUT: Duration = Duration::from_millis(100);
+/// How long after its loss a link without resume is reported as down.
+const SHORT_DOWN_DELAY: Duration = Duration::from_millis(10);
+
 /// The result of one query.
 #[derive(Clone, Debug)]
 pub struct QueryResult {
@@ -126,14 +131,18 @@
 /// sites at once.
 pub fn disconnect_everywhere(
     exe: &str,
-    session_timeout_ms: u64,
+    session_timeout: Duration,
     step: usize,
     at_once: usize,
 ) -> Verdict {
     // Without resume a short interruption is to be seen as well.
     let config = SitesConfig {
-        session_timeout_ms,
-        down_delay_ms: if session_timeout_ms < 100 { 10 } else { 50 },
+        session_timeout,
+        down_delay: if session_timeout < SHORT_SESSION_TIMEOUT {
+            SHORT_DOWN_DELAY
+        } else {
+            SitesConfig::default().down_delay
+        },
         ..SitesConfig::default()
     };
     let [to_gateway, from_gateway] = Sites::start(exe, config).measure_exchange();
--- a/crates/linenthread-service/src/demo.rs
+++ b/crates/linenthread-service/src/demo.rs
@@ -181,7 +181,7 @@
     let class = |name| Class {
         name,
         non_idempotent: false,
-        soft_deadline_ms: 1_000,
+        soft_deadline: Duration::from_secs(1),
         floor: 0.5,
     };
     let classes = ["history", "pledges", "charities"].map(class);
--- a/crates/linenthread-service/tests/link.rs
+++ b/crates/linenthread-service/tests/link.rs
@@ -33,7 +33,7 @@
 #[test]
 fn a_once_only_sub_request_cut_at_any_byte_runs_at_most_once_and_is_reported_correctly() {
     for keep in [3_000, 10] {
-        let verdict = disconnect_everywhere(EXE, keep, 9, 4);
+        let verdict = disconnect_everywhere(EXE, Duration::from_millis(keep), 9, 4);
         assert_eq!(verdict.violations, [""; 0], "keep {keep}: {verdict:?}");
         // The number of bytes depends on whether a heartbeat falls into the exchange.
         assert!(verdict.checked > 40 && verdict.succeeded > 0, "{verdict:?}");
--- a/crates/linenthread-service/tests/merged.rs
+++ b/crates/linenthread-service/tests/merged.rs
@@ -29,7 +29,7 @@
     let class = |name, floor| Class {
         name,
         non_idempotent: false,
-        soft_deadline_ms: soft_ms,
+        soft_deadline: Duration::from_millis(soft_ms),
         floor,
     };
     let classes = [
@@ -39,7 +39,7 @@
         Class {
             name: "order",
             non_idempotent: true,
-            soft_deadline_ms: soft_ms,
+            soft_deadline: Duration::from_millis(soft_ms),
             floor: 1.0,
         },
     ];
--- a/crates/linenthread-service/tests/migrate.rs
+++ b/crates/linenthread-service/tests/migrate.rs
@@ -3,6 +3,7 @@
 use std::fs;
 use std::path::Path;
 use std::process::{Command, Output};
+use std::time::Duration;
 
 use linenthread_fakes::{
     Class, FakeReplicas, Service, ServiceDiscovery, config_of, member, membership,
@@ -13,7 +14,7 @@
 const FIND: Class = Class {
     name: "find",
     non_idempotent: false,
-    soft_deadline_ms: 15_000,
+    soft_deadline: Duration::from_secs(15),
     floor: 1.0,
 };
 
--- a/crates/linenthread-simulation/src/commands/link_bytes.rs
+++ b/crates/linenthread-simulation/src/commands/link_bytes.rs
@@ -2,6 +2,7 @@
 
 use std::path::PathBuf;
 use std::process::ExitCode;
+use std::time::Duration;
 
 use bpaf::{Parser, construct, long};
 use linenthread_fakes::sites::disconnect_everywhere;
@@ -39,7 +40,7 @@
     let program = arguments::program_path(options.program.as_ref());
     let verdict = disconnect_everywhere(
         &program,
-        options.session_timeout_ms,
+        Duration::from_millis(options.session_timeout_ms),
         options.step,
         options.at_once,
     );
--- a/crates/linenthread-simulation/src/link_speed.rs
+++ b/crates/linenthread-simulation/src/link_speed.rs
@@ -19,8 +19,8 @@
 
 /// The default settings, but for a session time-out longer than any cut, and slow replicas.
 const SLOW_REPLICAS: SitesConfig = SitesConfig {
-    session_timeout_ms: 15_000,
-    down_delay_ms: 250,
+    session_timeout: Duration::from_secs(15),
+    down_delay: Duration::from_millis(250),
     service_time: Duration::from_millis(40),
     second_gateway: false,
 };
@@ -336,7 +336,7 @@
         let mut sites = Sites::start(
             exe,
             SitesConfig {
-                session_timeout_ms: keep,
+                session_timeout: Duration::from_millis(keep),
                 ..SLOW_REPLICAS
             },
         );
