--- a/crates/linenthread-fakes/src/lib.rs
+++ b/crates/linenthread-fakes/src/lib.rs
@@ -24,6 +24,7 @@
 pub mod scenarios;
 mod service_discovery;
 pub mod sites;
+mod sync;
 
 use std::sync::mpsc::Receiver;
 use std::time::Duration;
--- a/crates/linenthread-fakes/src/rig/clients.rs
+++ b/crates/linenthread-fakes/src/rig/clients.rs
@@ -11,6 +11,7 @@
 
 use super::layout::SHARDS;
 use crate::random::random_index;
+use crate::sync::lock;
 use crate::{Client, request};
 
 /// The placement key in requests made by [`request`].
@@ -103,13 +104,13 @@
                 number += 1;
                 let id = format!("c{}x{number}", self.process);
                 let outcome = self.query(id);
-                self.shared.outcomes.lock().unwrap().push(outcome);
+                lock(&self.shared.outcomes).push(outcome);
             }
         })
     }
 
     fn is_up(&self) -> bool {
-        self.shared.up.lock().unwrap()[self.process]
+        lock(&self.shared.up)[self.process]
     }
 
     /// Makes a random query on a connection of its own.
--- a/crates/linenthread-fakes/src/rig/layout.rs
+++ b/crates/linenthread-fakes/src/rig/layout.rs
@@ -5,7 +5,7 @@
 
 use serde_json::{Value, json};
 
-use super::RigConfig;
+use super::{RigConfig, Zone};
 use crate::loopback::unused_loopback;
 use crate::program::{Class, config_of};
 use crate::service_discovery::{member, membership};
@@ -69,12 +69,12 @@
         self.at(REPLICA_PROXY_PORT + PORTS_PER_PROCESS * process + replica)
     }
 
-    fn zone_and_region(&self, process: usize) -> (&'static str, &'static str) {
+    fn zone(&self, process: usize) -> Zone {
         self.config.zones[process % self.config.zones.len()]
     }
 
     pub(super) fn name(&self, process: usize) -> String {
-        let (zone, _) = self.zone_and_region(process);
+        let zone = self.zone(process).name;
         format!("{zone}-{}", process / self.config.zones.len())
     }
 
@@ -83,7 +83,7 @@
         let zones = &self.config.zones;
         let members = (0..self.config.replica_count()).map(|replica| {
             let mut member = member(replica, self.replica_proxy(process, replica), "active");
-            member["locality"] = json!(zones[replica % zones.len()].0);
+            member["locality"] = json!(zones[replica % zones.len()].name);
             member
         });
         membership(1, true, members.collect())
@@ -100,7 +100,7 @@
         let classes = [class("find", false), class("order", true)];
         let replicas = self.config.replica_count();
         let mut config = config_of(discovery, known, &classes, replicas, SHARDS);
-        let zones: Vec<&str> = self.config.zones.iter().map(|(name, _)| *name).collect();
+        let zones: Vec<&str> = self.config.zones.iter().map(|zone| zone.name).collect();
         config["name"] = json!(self.name(process));
         config["listen"] = json!(self.http(process).to_string());
         let seed = self.config.seed * 1_000 + process as u64;
@@ -117,7 +117,7 @@
         } else {
             self.pair_proxy(process, voter)
         };
-        let (zone, region) = self.zone_and_region(voter);
+        let Zone { name: zone, region } = self.zone(voter);
         let name = self.name(voter);
         format!(
             "<voter name=\"{name}\" address=\"{address}\" zone=\"{zone}\" region=\"{region}\"/>"
@@ -133,9 +133,9 @@
             .config
             .zones
             .iter()
-            .map(|(name, region)| format!("<zone name=\"{name}\" region=\"{region}\"/>"))
+            .map(|Zone { name, region }| format!("<zone name=\"{name}\" region=\"{region}\"/>"))
             .collect();
-        let (zone, region) = self.zone_and_region(process);
+        let Zone { name: zone, region } = self.zone(process);
         format!(
             "<installation version=\"1\"><fleet address=\"{}\" listen=\"{}\" secret=\"fleet.key\" \
              machine=\"m{process}\" zone=\"{zone}\" region=\"{region}\" folder=\"record\" \
--- a/crates/linenthread-fakes/src/rig/log.rs
+++ b/crates/linenthread-fakes/src/rig/log.rs
@@ -7,6 +7,7 @@
 use std::time::Instant;
 
 use crate::PATIENCE;
+use crate::sync::lock;
 
 /// Lines that are shown when an awaited line does not arrive.
 const SHOWN_LINES: usize = 30;
@@ -24,7 +25,7 @@
         let log = self.clone();
         spawn(move || {
             for line in BufReader::new(stderr).lines().map_while(Result::ok) {
-                log.lines.lock().unwrap().push(line);
+                lock(&log.lines).push(line);
                 log.grown.notify_all();
             }
         });
@@ -32,12 +33,12 @@
 
     /// How many lines there are.
     pub(super) fn len(&self) -> usize {
-        self.lines.lock().unwrap().len()
+        lock(&self.lines).len()
     }
 
     /// The last line from a position on that matches.
     pub(super) fn last(&self, from: usize, matches: impl Fn(&str) -> bool) -> Option<String> {
-        let lines = self.lines.lock().unwrap();
+        let lines = lock(&self.lines);
         let found = lines.iter().skip(from).rev().find(|line| matches(line));
         found.cloned()
     }
@@ -61,7 +62,7 @@
         matches: &dyn Fn(&str) -> bool,
     ) -> String {
         let end = Instant::now() + 3 * PATIENCE;
-        let mut lines = self.lines.lock().unwrap();
+        let mut lines = lock(&self.lines);
         loop {
             if let Some(line) = lines.iter().skip(from).find(|line| matches(line)) {
                 return line.clone();
@@ -72,7 +73,8 @@
                 drop(lines);
                 panic!("'{what}' did not come from {process}; its last lines:\n{tail}");
             }
-            lines = self.grown.wait_timeout(lines, left).unwrap().0;
+            let woken = self.grown.wait_timeout(lines, left);
+            (lines, _) = woken.expect("the thread that collects the log has not panicked");
         }
     }
 }
@@ -80,13 +82,3 @@
 fn tail(lines: &[String], count: usize) -> Vec<String> {
     lines[lines.len().saturating_sub(count)..].to_vec()
 }
-
-/// The share (in thousandths) and the reason of the route from one zone to another, in a log line that shows a
-/// routing table.
-pub(super) fn route(line: &str, (from, to): (usize, usize)) -> Option<(u16, String)> {
-    let row = line.split("Row { routes: [").skip(1).nth(from)?;
-    let route = row.split("Route { share: ").nth(to + 1)?;
-    let (share, reason) = route.split_once(", reason: ")?;
-    let (reason, _) = reason.split_once(' ')?;
-    Some((share.parse().ok()?, reason.to_owned()))
-}
--- /dev/null
+++ b/crates/linenthread-fakes/src/rig/waits.rs
@@ -0,0 +1,100 @@
+//! What a test waits for in the logs of a rig's processes.
+
+use std::thread::sleep;
+use std::time::Instant;
+
+use super::route::{Route, ZonePair, route};
+use super::{POLL_INTERVAL, Rig};
+use crate::PATIENCE;
+
+/// In a log line that shows a routing table.
+const TABLE_LINE: &str = "acts on a table";
+
+impl Rig {
+    /// How many lines a process has logged so far, over all its incarnations.
+    pub fn log_position(&self, n: usize) -> usize {
+        self.processes[n].log.len()
+    }
+
+    /// Waits for a log line with this text since the process was last started.
+    ///
+    /// # Panics
+    ///
+    /// If none arrives in time.
+    pub fn wait_for_log(&self, n: usize, text: &str) -> String {
+        self.wait_for_log_after(n, self.processes[n].started_at, text)
+    }
+
+    /// Waits for a log line with this text from a position on.
+    ///
+    /// # Panics
+    ///
+    /// If none arrives in time.
+    pub fn wait_for_log_after(&self, n: usize, position: usize, text: &str) -> String {
+        self.wait_for_line(n, position, text, &|line| line.contains(text))
+    }
+
+    fn wait_for_line(
+        &self,
+        n: usize,
+        position: usize,
+        what: &str,
+        matches: &dyn Fn(&str) -> bool,
+    ) -> String {
+        let process = &self.processes[n];
+        process.log.wait_for(&process.name, position, what, matches)
+    }
+
+    /// Waits until a process uses a routing table in which the route between two zones is as wanted.
+    ///
+    /// # Panics
+    ///
+    /// If it does not in time.
+    pub fn wait_for_route(
+        &self,
+        n: usize,
+        position: usize,
+        zones: ZonePair,
+        is_wanted: impl Fn(&Route) -> bool,
+    ) -> String {
+        let ZonePair { from, to } = zones;
+        let what = format!("a table with the wanted way from zone {from} to {to}");
+        self.wait_for_line(n, position, &what, &|line| {
+            line.contains(TABLE_LINE) && route(line, zones).is_some_and(|route| is_wanted(&route))
+        })
+    }
+
+    /// Waits until a process uses a routing table in which two zones are partitioned, in either direction.
+    ///
+    /// # Panics
+    ///
+    /// If it does not in time.
+    pub fn wait_for_partition(&self, n: usize, position: usize, zones: ZonePair) -> String {
+        let is_partitioned = |line: &str, zones| {
+            route(line, zones).is_some_and(|route| route.is_left_for("Partitioned"))
+        };
+        self.wait_for_line(n, position, "a table with a pair of zones cut", &|line| {
+            line.contains(TABLE_LINE)
+                && (is_partitioned(line, zones) || is_partitioned(line, zones.reversed()))
+        })
+    }
+
+    /// Waits until a single voter leads, by the last log line on leadership of each that runs.
+    ///
+    /// # Panics
+    ///
+    /// If none or several lead for too long.
+    pub fn leader(&self) -> usize {
+        let end = Instant::now() + 2 * PATIENCE;
+        while Instant::now() < end {
+            let leaders: Vec<usize> = (0..self.config.voters)
+                .filter(|n| self.processes[*n].is_leader())
+                .collect();
+            if let [leader] = leaders[..] {
+                return leader;
+            }
+            sleep(POLL_INTERVAL);
+        }
+        panic!("no single process leads");
+    }
+}
--- /dev/null
+++ b/crates/linenthread-fakes/src/scenarios/processes.rs
@@ -0,0 +1,110 @@
+//! Scenarios of single processes: the leader, a voter's disk, restarts.
+
+use std::thread::sleep;
+use std::time::{Duration, Instant};
+
+use super::ALL_ZONES;
+use super::steps::{
+    log_positions, others, start_serving, stop, wait_for_logs, with_seed, zone_by_seed,
+};
+use crate::rig::Rig;
+
+/// Longer than any lease.
+const LONG_STOP: Duration = Duration::from_secs(10);
+/// The size to which files are limited as on a full disk.
+const FULL_DISK_BYTES: u64 = 64;
+
+/// The leader is killed: another takes over with the same table and record, and all queries succeed again.
+pub(super) fn leader_killed(exe: &str, seed: u64) -> Rig {
+    let mut rig = start_serving(exe, with_seed(seed));
+    let leader = rig.leader();
+    rig.kill(leader, false);
+    let rest = others(&rig, &[leader]);
+    let new = rig.leader();
+    assert_ne!(new, leader);
+    wait_for_logs(&rig, &rest, &log_positions(&rig), "acts on a table");
+    rig.wait_until_serving(&rest, 20);
+    rig.start(leader);
+    rig.wait_for_log(leader, "acts on a table");
+    rig.wait_until_serving(&ALL_ZONES, 20);
+    rig
+}
+
+/// The leader is stopped for longer than any lease and continued: it does not lead any more, and nothing is decided
+/// twice.
+pub(super) fn leader_stopped(exe: &str, seed: u64) -> Rig {
+    let rig = start_serving(exe, with_seed(seed));
+    let leader = rig.leader();
+    stop(&rig, leader);
+    let rest = others(&rig, &[leader]);
+    let began = Instant::now();
+    wait_for_logs(&rig, &rest, &log_positions(&rig), "acts on a table");
+    rig.wait_until_serving(&rest, 20);
+    sleep(LONG_STOP.saturating_sub(began.elapsed()));
+    let from = rig.log_position(leader);
+    rig.signal(leader, "-CONT");
+    rig.wait_for_log_after(leader, from, "does not lead any more");
+    rig.wait_for_log_after(leader, from, "acts on a table");
+    rig.set_queried(leader, true);
+    assert_ne!(rig.leader(), leader);
+    rig.wait_until_serving(&ALL_ZONES, 20);
+    rig
+}
+
+/// A voter loses its disk: it comes back as a new incarnation, and its vote counts.
+pub(super) fn disk_lost(exe: &str, seed: u64) -> Rig {
+    let mut rig = start_serving(exe, with_seed(seed));
+    let lost = zone_by_seed(seed);
+    rig.kill(lost, true);
+    rig.leader();
+    let rest = others(&rig, &[lost]);
+    let from = log_positions(&rig);
+    rig.start(lost);
+    rig.wait_for_log(lost, "its disk is empty beside a record that goes on");
+    wait_for_logs(&rig, &rest, &from, "is in");
+    rig.wait_for_log(lost, "acts on a table");
+    rig.wait_until_serving(&ALL_ZONES, 20);
+    // Without another voter its vote is needed.
+    let gone = rest[usize::from(seed / 3 % 2 == 1)];
+    rig.kill(gone, false);
+    rig.leader();
+    let from = rig.log_position(lost);
+    rig.wait_for_log_after(lost, from, "acts on a table");
+    rig.start(gone);
+    rig.wait_until_serving(&ALL_ZONES, 20);
+    rig
+}
+
+/// A voter's disk is full: it steps down and logs that, goes on to serve and to follow; and votes again later.
+pub(super) fn disk_full(exe: &str, seed: u64) -> Rig {
+    let rig = start_serving(exe, with_seed(seed));
+    let full = rig.leader();
+    let from = rig.log_position(full);
+    rig.fill_disk(full, Some(FULL_DISK_BYTES));
+    rig.wait_for_log_after(full, from, "this voter steps down: the disk failed");
+    rig.wait_for_log_after(full, from, "does not lead any more");
+    let new = rig.leader();
+    assert_ne!(new, full);
+    rig.wait_until_serving(&ALL_ZONES, 20);
+    let from = rig.log_position(full);
+    rig.wait_for_log_after(full, from, "acts on a table");
+    rig.fill_disk(full, None);
+    rig.wait_for_log_after(full, from, "takes part as a voter");
+    rig.wait_until_serving(&ALL_ZONES, 20);
+    rig
+}
+
+/// All are restarted one after the other.
+pub(super) fn rolling(exe: &str, seed: u64) -> Rig {
+    let mut rig = start_serving(exe, with_seed(seed));
+    for n in rig.all() {
+        let rest = others(&rig, &[n]);
+        assert!(rig.terminate(n), "{} did not end well", rig.name(n));
+        rig.wait_until_serving(&rest, 10);
+        rig.start(n);
+        rig.wait_for_log(n, "acts on a table");
+        rig.leader();
+    }
+    rig.wait_until_serving(&ALL_ZONES, 20);
+    rig
+}
--- /dev/null
+++ b/crates/linenthread-fakes/src/scenarios/random_faults.rs
@@ -0,0 +1,128 @@
+//! Random faults, round after round.
+
+use std::ops::Range;
+use std::thread::sleep;
+use std::time::Duration;
+
+use oorandom::Rand64;
+
+use super::steps::{lose_zone, others, restore_zone, start_serving, stop, with_seed};
+use super::{ALL_ZONES, ZONES};
+use crate::random::random_index;
+use crate::rig::{Rig, RigConfig};
+
+/// A random duration in milliseconds.
+fn random_duration(rng: &mut Rand64, milliseconds: Range<u64>) -> Duration {
+    Duration::from_millis(rng.rand_range(milliseconds))
+}
+
+/// A random fault; its numbers are those that rounds print.
+#[derive(Clone, Copy, Debug)]
+enum Fault {
+    Kill,
+    KillWithRecord,
+    Stop,
+    LoseZone,
+    PartitionZones,
+    IsolateProcess,
+    Restart,
+    Degrade,
+}
+
+impl Fault {
+    /// All faults, by number.
+    const ALL: [Fault; 8] = [
+        Fault::Kill,
+        Fault::KillWithRecord,
+        Fault::Stop,
+        Fault::LoseZone,
+        Fault::PartitionZones,
+        Fault::IsolateProcess,
+        Fault::Restart,
+        Fault::Degrade,
+    ];
+
+    /// Injects the fault for a random while. Faults of the network are left to be healed.
+    fn inject(self, rig: &mut Rig, rng: &mut Rand64, process: usize, zone: usize) {
+        match self {
+            Fault::Kill => kill_for_a_while(rig, rng, process, false),
+            Fault::KillWithRecord => kill_for_a_while(rig, rng, process, true),
+            Fault::Stop => {
+                stop(rig, process);
+                sleep(random_duration(rng, 1_000..10_000));
+                rig.signal(process, "-CONT");
+                rig.set_queried(process, true);
+            }
+            Fault::LoseZone => {
+                lose_zone(rig, zone);
+                sleep(random_duration(rng, 500..6_000));
+                restore_zone(rig, zone);
+            }
+            Fault::PartitionZones => {
+                let other = (zone + 1) % ZONES;
+                rig.network.partition(&rig.zone(zone), &rig.zone(other));
+                sleep(random_duration(rng, 500..6_000));
+            }
+            Fault::IsolateProcess => {
+                rig.network
+                    .partition_one_way(&[process], &others(rig, &[process]));
+                sleep(random_duration(rng, 500..6_000));
+            }
+            Fault::Restart => {
+                rig.terminate(process);
+                rig.start(process);
+            }
+            Fault::Degrade => {
+                let delay = random_duration(rng, 1..60);
+                rig.network.degrade(delay, rng.rand_range(0..400));
+                sleep(random_duration(rng, 500..4_000));
+            }
+        }
+    }
+}
+
+fn kill_for_a_while(rig: &mut Rig, rng: &mut Rand64, process: usize, with_record: bool) {
+    rig.kill(process, with_record);
+    sleep(random_duration(rng, 50..3_000));
+    rig.start(process);
+}
+
+/// What became of the queries while random faults were injected.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct RoundsReport {
+    /// How many queries were made.
+    pub queries: usize,
+    /// Violations of the rules.
+    pub violations: Vec<String>,
+}
+
+/// Injects random faults, one round after the other, and ends all of them after each.
+///
+/// # Panics
+///
+/// If something that is awaited does not happen in time.
+pub fn rounds(exe: &str, rounds: usize, seed: u64) -> RoundsReport {
+    let mut rng = Rand64::new(u128::from(seed));
+    let mut rig = start_serving(
+        exe,
+        RigConfig {
+            coordinators: if seed.is_multiple_of(2) { 1 } else { 2 },
+            ..with_seed(seed)
+        },
+    );
+    for round in 0..rounds {
+        let process = random_index(&mut rng, rig.count());
+        let zone = random_index(&mut rng, ZONES);
+        let number = random_index(&mut rng, Fault::ALL.len());
+        println!("round {round}: fault {number}, process {process}, zone {zone}");
+        Fault::ALL[number].inject(&mut rig, &mut rng, process, zone);
+        rig.network.heal();
+        rig.leader();
+        rig.wait_until_serving(&ALL_ZONES, 15);
+    }
+    let violations = rig.check();
+    RoundsReport {
+        queries: rig.outcomes().len(),
+        violations,
+    }
+}
--- a/crates/linenthread-service/src/demo.rs
+++ b/crates/linenthread-service/src/demo.rs
@@ -7,7 +7,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use linenthread_fakes::rig::{Rig, RigConfig};
+use linenthread_fakes::rig::{Rig, RigConfig, Route, ZonePair};
 use linenthread_fakes::row_store::{INSTALLATION, RowStore};
 use linenthread_fakes::{
     Behavior, Class, Client, RowReplicas, ServiceDiscovery, SubRequest, config_of, member,
@@ -291,17 +291,12 @@
 
 /// Parts by zone of clients and zone of replicas since some moment.
 fn print_flows(rig: &Rig, names: &[&str], since: usize) {
-    let (flows, _) = rig.traffic(since);
+    let flows = rig.traffic(since);
     for (from, name) in names.iter().enumerate() {
         let to: Vec<String> = names
             .iter()
             .enumerate()
-            .map(|(to, name)| {
-                format!(
-                    "{name} {}",
-                    flows.get(&(from, to)).copied().unwrap_or_default()
-                )
-            })
+            .map(|(to, name)| format!("{name} {}", flows.between(from, to)))
             .collect();
         println!("  parts from {name}: {}", to.join(", "));
     }
@@ -329,7 +324,7 @@
         seed,
         ..RigConfig::default()
     };
-    let names: Vec<&str> = plan.zones.iter().map(|(name, _)| *name).collect();
+    let names: Vec<&str> = plan.zones.iter().map(|zone| zone.name).collect();
     println!(
         "Three co-ordinators in {} found a fleet and a record.",
         names.join(", ")
@@ -368,7 +363,8 @@
         }
     }
     for n in [0, 1] {
-        rig.wait_for_route(n, from[n], (n, lost), |share, _| share == 0);
+        let zones = ZonePair { from: n, to: lost };
+        rig.wait_for_route(n, from[n], zones, |route| route.share == 0);
     }
     println!(
         "After {:.1} s all others act on a table without it:",
@@ -391,9 +387,8 @@
             rig.start(node);
         }
     }
-    rig.wait_for_route(0, from, (0, lost), |share, reason| {
-        share == 1_000 && reason == "Healthy"
-    });
+    let zones = ZonePair { from: 0, to: lost };
+    rig.wait_for_route(0, from, zones, Route::is_healthy);
     println!(
         "After {:.1} s it was taken back, step by step.",
         began.elapsed().as_secs_f64()
--- a/crates/linenthread-service/tests/processes.rs
+++ b/crates/linenthread-service/tests/processes.rs
@@ -7,8 +7,8 @@
 const EXE: &str = env!("CARGO_BIN_EXE_linenthread");
 
 fn run_scenario(name: &str) {
-    let (_, scenario) = scenarios::ALL.iter().find(|(n, _)| *n == name).unwrap();
-    let mut rig = scenario(EXE, 1);
+    let scenario = scenarios::ALL.iter().find(|s| s.name == name).unwrap();
+    let mut rig = (scenario.run)(EXE, 1);
     let breaches = rig.check();
     assert!(
         breaches.is_empty(),
--- a/crates/linenthread-simulation/src/commands/processes.rs
+++ b/crates/linenthread-simulation/src/commands/processes.rs
@@ -4,7 +4,7 @@
 use std::process::ExitCode;
 
 use bpaf::{Parser, construct, positional};
-use linenthread_fakes::scenarios;
+use linenthread_fakes::scenarios::{self, Scenario};
 
 use super::{arguments, outcome};
 
@@ -28,7 +28,7 @@
 }
 
 pub(super) fn parser() -> impl Parser<Options> {
-    let names: Vec<&str> = scenarios::ALL.iter().map(|(name, _)| *name).collect();
+    let names: Vec<&str> = scenarios::ALL.iter().map(|s| s.name).collect();
     let help = format!(
         "{ZONES} (random faults, round after round), {ALL}, or one of: {}",
         names.join(", ")
@@ -57,22 +57,22 @@
 }
 
 fn run_zones(options: &Options, program: &str) -> ExitCode {
-    let (checked, breaches) = scenarios::rounds(program, options.rounds, options.seed);
-    for breach in breaches.iter().take(MAX_PRINTED_BREACHES) {
+    let report = scenarios::rounds(program, options.rounds, options.seed);
+    for breach in report.violations.iter().take(MAX_PRINTED_BREACHES) {
         println!("breach: {breach}");
     }
-    outcome::close(checked, breaches.len())
+    outcome::close(report.queries, report.violations.len())
 }
 
 fn run_scenarios(options: &Options, program: &str) -> ExitCode {
     let scenario = &options.scenario;
     let chosen = scenarios::ALL
         .iter()
-        .filter(|(name, _)| scenario == ALL || scenario == name);
+        .filter(|one| scenario == ALL || scenario == one.name);
     let (mut checked, mut all) = (0, 0);
-    for (name, script) in chosen {
+    for Scenario { name, run } in chosen {
         for seed in (options.seed..).take(options.rounds) {
-            let mut rig = script(program, seed);
+            let mut rig = run(program, seed);
             let breaches = rig.check();
             for breach in breaches.iter().take(MAX_PRINTED_BREACHES_OF_SCENARIO) {
                 println!("breach: {name}, seed {seed}: {breach}");
