--- a/crates/linenthread-fleet/src/dialer.rs
+++ b/crates/linenthread-fleet/src/dialer.rs
@@ -6,6 +6,10 @@
 use linenthread_core::interface::TenthMillis;
 use oorandom::Rand64;
 
+use crate::config::PeerAddress;
+use crate::identifiers::ConnectionId;
+use crate::random::{random_index, random_time};
+
 /// The first backoff after a loss. Each further one is twice as long, and half of it is random, so that those who
 /// lost one process do not all come back to it at once.
 const FIRST_BACKOFF: TenthMillis = 1_000;
@@ -21,7 +25,7 @@
 /// A connection that is being made, or is open.
 #[derive(Clone, Copy, Debug)]
 struct Attempt {
-    connection: u64,
+    connection: ConnectionId,
     started_at: TenthMillis,
 }
 
@@ -36,7 +40,7 @@
 
 /// A process that is to be connected to now.
 pub(crate) struct DueDial {
-    pub(crate) connection: u64,
+    pub(crate) connection: ConnectionId,
     pub(crate) name: String,
     pub(crate) address: SocketAddr,
 }
@@ -63,7 +67,7 @@
 impl Dialer {
     /// Dials these processes, each after a short random time.
     pub(crate) fn new(
-        targets: impl Iterator<Item = (String, SocketAddr)>,
+        targets: impl Iterator<Item = PeerAddress>,
         mode: DialMode,
         seed: u64,
         now: TenthMillis,
@@ -72,11 +76,11 @@
         let mut target = |address| Target {
             address,
             failures: 0,
-            next_attempt_at: now + (rng.rand_float() * FIRST_BACKOFF as f64) as TenthMillis,
+            next_attempt_at: now + random_time(&mut rng, FIRST_BACKOFF),
             attempt: None,
         };
         let targets = targets
-            .map(|(name, address)| (name, target(address)))
+            .map(|peer| (peer.name, target(peer.address)))
             .collect();
         let mut dialer = Dialer {
             targets,
@@ -102,7 +106,7 @@
         let others: Vec<&String> = names
             .filter(|name| Some(*name) != self.selected.as_ref())
             .collect();
-        let index = self.rng.rand_range(0..others.len().max(1) as u64) as usize;
+        let index = random_index(&mut self.rng, others.len());
         if let Some(name) = others.get(index) {
             self.selected = Some((*name).clone());
         }
@@ -130,7 +134,7 @@
     pub(crate) fn due(
         &mut self,
         now: TenthMillis,
-        mut next_connection: impl FnMut() -> u64,
+        mut next_connection: impl FnMut() -> ConnectionId,
     ) -> Vec<DueDial> {
         let (mode, selected) = (self.mode, self.selected.as_deref());
         let mut due = Vec::new();
@@ -154,7 +158,7 @@
     }
 
     /// A connection could not be made, or has ended.
-    pub(crate) fn on_closed(&mut self, now: TenthMillis, connection: u64) {
+    pub(crate) fn on_closed(&mut self, now: TenthMillis, connection: ConnectionId) {
         let is_it = |attempt: Attempt| attempt.connection == connection;
         let mut targets = self.targets.values_mut();
         let Some(target) = targets.find(|target| target.attempt.is_some_and(is_it)) else {
@@ -169,8 +173,7 @@
         };
         let doublings = (target.failures - 1).min(MAX_DOUBLINGS);
         let backoff = (FIRST_BACKOFF << doublings).min(MAX_BACKOFF);
-        let random_part = (self.rng.rand_float() * backoff as f64 / 2.0) as TenthMillis;
-        target.next_attempt_at = now + backoff / 2 + random_part;
+        target.next_attempt_at = now + backoff / 2 + random_time(&mut self.rng, backoff / 2);
         self.select();
     }
 }
--- a/crates/linenthread-fleet/src/error.rs
+++ b/crates/linenthread-fleet/src/error.rs
@@ -4,6 +4,9 @@
 use linenthread_store::LogError;
 use snafu::Snafu;
 
+use crate::config::ConfigError;
+use crate::identifiers::{LogIndex, Term};
+
 /// Why bytes are no frame of the fleet, no record of a voter's disk, or no datagram.
 #[derive(Clone, Debug, PartialEq, Snafu)]
 #[snafu(visibility(pub(crate)))]
@@ -117,10 +120,16 @@
     },
 }
 
-/// Why a voter cannot be opened. It must not take part with less than it promised.
+/// Why a process cannot join, or its voter cannot be opened: a voter must not take part with less than it promised.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum OpenError {
+    /// The configuration contradicts itself.
+    #[snafu(transparent)]
+    InvalidConfig {
+        /// In what way.
+        source: ConfigError,
+    },
     /// What was written is damaged, or of another version.
     #[snafu(display("{source}"))]
     OpenStorage {
@@ -184,17 +193,17 @@
     #[snafu(display("entry {index} of term {term} cannot stand there"))]
     ImpossibleEntry {
         /// The entry's index.
-        index: u64,
+        index: LogIndex,
         /// The entry's term.
-        term: u64,
+        term: Term,
     },
     /// The commit index is beyond the entries that this voter has acknowledged.
     #[snafu(display("{commit} cannot be agreed on where {last_index} entries are"))]
     ImpossibleCommit {
         /// The message's commit index.
-        commit: u64,
+        commit: LogIndex,
         /// The index of the last entry here.
-        last_index: u64,
+        last_index: LogIndex,
     },
     /// The state in a snapshot does not decode.
     #[snafu(display("{source}"))]
--- a/crates/linenthread-fleet/src/event.rs
+++ b/crates/linenthread-fleet/src/event.rs
@@ -5,6 +5,7 @@
 use linenthread_store::TornTail;
 
 use crate::error::{MessageError, StorageError};
+use crate::identifiers::{Term, VoterIncarnation};
 
 /// Something that an operator should find in the log; its `Display` is the log line.
 #[derive(Debug)]
@@ -18,17 +19,17 @@
     /// The voter's disk is empty although the fleet exists: it has drawn another identity.
     IdentityReplaced {
         /// The incarnation of the new identity.
-        incarnation: u64,
+        incarnation: VoterIncarnation,
     },
     /// This process leads from now on.
     LeadershipAcquired {
         /// Raft's term.
-        term: u64,
+        term: Term,
     },
     /// This process does not lead any more.
     LeadershipLost {
-        /// Raft's term; 0 where the voter takes no part in Raft any more.
-        term: u64,
+        /// Raft's term; [`Term::NONE`] where the voter takes no part in Raft any more.
+        term: Term,
     },
     /// A change of the voters was proposed here.
     VoterChangeProposed(VoterChange),
@@ -61,7 +62,7 @@
     /// The voter's name.
     pub name: String,
     /// The incarnation of its identity.
-    pub incarnation: u64,
+    pub incarnation: VoterIncarnation,
     /// Whether it joins or leaves.
     pub kind: VoterChangeKind,
 }
--- /dev/null
+++ b/crates/linenthread-fleet/src/fleet/connections.rs
@@ -0,0 +1,194 @@
+//! All connections of a process: they are dialled, accepted, pinged and closed, and their bytes become frames.
+
+use linenthread_core::interface::TenthMillis;
+use linenthread_store::Files;
+
+use super::connection::{Connection, Due, Phase};
+use super::{Fleet, FleetAction};
+use crate::event::ConnectionEvent;
+use crate::frame::{Frame, VERSION};
+use crate::identifiers::ConnectionId;
+
+/// The most connections at once: as many as a fleet has members, and some whose handshake is under way.
+const MAX_CONNECTIONS: usize = 1_280;
+/// The most characters of a peer's reason that are repeated.
+const MAX_REASON_CHARS: usize = 160;
+
+/// A frame of another kind was expected. It goes to the peer in [`Frame::Refuse`]: it is wire format.
+pub(super) const OUT_OF_TURN: &str = "a frame came out of its turn";
+
+impl<F: Files> Fleet<F> {
+    /// Dials whom it is time to dial.
+    pub(super) fn dial_due(&mut self, now: TenthMillis, actions: &mut Vec<FleetAction>) {
+        let last_connection = &mut self.last_connection;
+        let due = self.dialer.due(now, || next_id(last_connection));
+        for dial in due {
+            let phase = Phase::AwaitingChallenge { peer: dial.name };
+            let connection = Connection::new(phase, now);
+            self.connections.insert(dial.connection, connection);
+            actions.push(FleetAction::Dial {
+                connection: dial.connection,
+                address: dial.address,
+            });
+        }
+    }
+
+    /// A connection was accepted: its id from now on, or `None` where there are too many.
+    pub fn on_accepted(
+        &mut self,
+        now: TenthMillis,
+        actions: &mut Vec<FleetAction>,
+    ) -> Option<ConnectionId> {
+        if self.connections.len() >= MAX_CONNECTIONS {
+            return None;
+        }
+        let id = next_id(&mut self.last_connection);
+        let nonce = self.draw_nonce();
+        let phase = Phase::AwaitingHello { nonce };
+        self.connections.insert(id, Connection::new(phase, now));
+        let challenge = Frame::Challenge {
+            min_version: VERSION,
+            max_version: VERSION,
+            nonce,
+            name: self.local.clone(),
+        };
+        write(id, &challenge, actions);
+        Some(id)
+    }
+
+    /// Bytes were received over a connection.
+    pub fn on_received(
+        &mut self,
+        now: TenthMillis,
+        id: ConnectionId,
+        bytes: &[u8],
+        actions: &mut Vec<FleetAction>,
+    ) {
+        let Some(connection) = self.connections.get_mut(&id) else {
+            return;
+        };
+        let received = connection.on_received(now, bytes);
+        for frame in received.frames {
+            self.on_frame(now, id, frame, actions);
+        }
+        if let Err(error) = received.result {
+            self.refuse(id, &error.to_string(), actions);
+        }
+    }
+
+    /// Only a peer that has proven itself gets beyond the handshake: see `handshake` and `established`.
+    fn on_frame(
+        &mut self,
+        now: TenthMillis,
+        id: ConnectionId,
+        frame: Frame,
+        actions: &mut Vec<FleetAction>,
+    ) {
+        let Some(connection) = self.connections.get(&id) else {
+            return;
+        };
+        match (&connection.phase, frame) {
+            (Phase::Closing, _) => {}
+            (_, Frame::Refuse { reason }) => {
+                let reason: String = reason.chars().take(MAX_REASON_CHARS).collect();
+                self.close(id, &format!("refused: {reason}"), actions);
+            }
+            (Phase::Established(peer), frame) => {
+                let peer = peer.clone();
+                self.on_established_frame(now, id, &peer, frame, actions);
+            }
+            (_, frame) => self.on_handshake_frame(id, frame, actions),
+        }
+    }
+
+    /// Pings, and closes connections that have timed out.
+    pub(super) fn check_connections(&mut self, now: TenthMillis, actions: &mut Vec<FleetAction>) {
+        let mut timed_out = Vec::new();
+        for (&id, connection) in &mut self.connections {
+            match connection.due(now) {
+                None => {}
+                Some(Due::Close(reason)) => timed_out.push((id, reason)),
+                Some(Due::Ping) => {
+                    connection.on_ping_sent(now);
+                    let number = now.cast_unsigned();
+                    write(id, &Frame::Ping { number }, actions);
+                }
+            }
+        }
+        for (id, reason) in timed_out {
+            self.close(id, reason, actions);
+        }
+    }
+
+    /// A connection has ended, or could not be made.
+    pub fn on_closed(
+        &mut self,
+        now: TenthMillis,
+        id: ConnectionId,
+        actions: &mut Vec<FleetAction>,
+    ) {
+        self.dialer.on_closed(now, id);
+        let Some(connection) = self.connections.remove(&id) else {
+            return;
+        };
+        if let Some(peer) = self.forget_established(id, connection.phase) {
+            let disconnected = ConnectionEvent::Disconnected { peer };
+            actions.push(FleetAction::LogConnection(disconnected));
+        }
+    }
+
+    /// Removes a connection of this phase from those that are established; its peer if it was one of them.
+    fn forget_established(&mut self, id: ConnectionId, phase: Phase) -> Option<String> {
+        let Phase::Established(peer) = phase else {
+            return None;
+        };
+        // A newer connection with the same peer may have taken its place.
+        if self.established.get(&peer.name) != Some(&id) {
+            return None;
+        }
+        self.established.remove(&peer.name);
+        if let Some(voter) = &mut self.voter {
+            voter.on_disconnected(&peer.name);
+        }
+        Some(peer.name)
+    }
+
+    pub(super) fn close(&mut self, id: ConnectionId, reason: &str, actions: &mut Vec<FleetAction>) {
+        let Some(connection) = self.connections.get_mut(&id) else {
+            return;
+        };
+        let phase = std::mem::replace(&mut connection.phase, Phase::Closing);
+        self.forget_established(id, phase);
+        actions.push(FleetAction::Close {
+            connection: id,
+            reason: reason.to_owned(),
+        });
+    }
+
+    /// Tells the peer why, and closes the connection.
+    pub(super) fn refuse(
+        &mut self,
+        id: ConnectionId,
+        reason: &str,
+        actions: &mut Vec<FleetAction>,
+    ) {
+        self.refused += 1;
+        let refusal = Frame::Refuse {
+            reason: reason.to_owned(),
+        };
+        write(id, &refusal, actions);
+        self.close(id, reason, actions);
+    }
+}
+
+fn next_id(last: &mut ConnectionId) -> ConnectionId {
+    last.0 += 1;
+    *last
+}
+
+pub(super) fn write(id: ConnectionId, frame: &Frame, actions: &mut Vec<FleetAction>) {
+    actions.push(FleetAction::Write {
+        connection: id,
+        bytes: frame.encode(),
+    });
+}
--- /dev/null
+++ b/crates/linenthread-fleet/src/fleet/handshake.rs
@@ -0,0 +1,226 @@
+//! The handshake: each side proves the shared secret over a nonce of the other's before anything else is accepted.
+//!
+//! | the side that connects | the side that accepts |
+//! | --- | --- |
+//! | | challenge: its versions, its name, a nonce |
+//! | hello: its version, name and role, a nonce, and its proof | |
+//! | | welcome: its proof |
+
+use linenthread_frames::{Nonce, Proof};
+use linenthread_store::Files;
+
+use super::connection::{Peer, Phase};
+use super::connections::{OUT_OF_TURN, write};
+use super::{Fleet, FleetAction};
+use crate::event::ConnectionEvent;
+use crate::frame::{Frame, Hello, Role, VERSION};
+use crate::identifiers::ConnectionId;
+use crate::voter::{Stage, Voter};
+
+/// The longest name of a process, in bytes.
+const MAX_NAME_BYTES: usize = 64;
+
+/// The reasons below go to the peer in [`Frame::Refuse`]: they are wire format.
+const UNPROVEN: &str = "it does not prove the secret";
+const INVALID_NAME: &str = "it cannot have that name here";
+
+/// What the side that accepts has sent first.
+struct Challenge {
+    min_version: u8,
+    max_version: u8,
+    nonce: Nonce,
+    name: String,
+}
+
+impl Challenge {
+    /// Why this process does not go on with a peer that was expected to have this name, if it does not.
+    fn objection(&self, expected_name: &str) -> Option<String> {
+        let Challenge {
+            min_version,
+            max_version,
+            name,
+            ..
+        } = self;
+        if !(*min_version..=*max_version).contains(&VERSION) {
+            return Some(format!(
+                "it speaks versions {min_version} to {max_version}, this process {VERSION}"
+            ));
+        }
+        (name != expected_name)
+            .then(|| format!("{name} answers where {expected_name} was expected"))
+    }
+}
+
+impl<F: Files> Fleet<F> {
+    /// A frame of a peer that has not proven itself yet.
+    pub(super) fn on_handshake_frame(
+        &mut self,
+        id: ConnectionId,
+        frame: Frame,
+        actions: &mut Vec<FleetAction>,
+    ) {
+        let Some(connection) = self.connections.get(&id) else {
+            return;
+        };
+        match (&connection.phase, frame) {
+            (
+                Phase::AwaitingChallenge { peer },
+                Frame::Challenge {
+                    min_version,
+                    max_version,
+                    nonce,
+                    name,
+                },
+            ) => {
+                let expected_name = peer.clone();
+                let challenge = Challenge {
+                    min_version,
+                    max_version,
+                    nonce,
+                    name,
+                };
+                self.on_challenge(id, &expected_name, challenge, actions);
+            }
+            (Phase::AwaitingHello { nonce }, Frame::Hello(hello)) => {
+                let nonce = *nonce;
+                self.on_hello(id, &nonce, hello, actions);
+            }
+            (Phase::AwaitingWelcome { peer, nonce }, Frame::Welcome { proof }) => {
+                let (peer, nonce) = (peer.clone(), *nonce);
+                self.on_welcome(id, peer, &nonce, &proof, actions);
+            }
+            _ => self.refuse(id, OUT_OF_TURN, actions),
+        }
+    }
+
+    fn on_challenge(
+        &mut self,
+        id: ConnectionId,
+        expected_name: &str,
+        challenge: Challenge,
+        actions: &mut Vec<FleetAction>,
+    ) {
+        if let Some(reason) = challenge.objection(expected_name) {
+            return self.refuse(id, &reason, actions);
+        }
+        let nonce = self.draw_nonce();
+        let mut hello = Hello {
+            version: VERSION,
+            name: self.local.clone(),
+            role: self.role(),
+            nonce,
+            proof: Proof::default(),
+        };
+        hello.prove(&self.secrets, &challenge.nonce);
+        write(id, &Frame::Hello(hello), actions);
+        if let Some(connection) = self.connections.get_mut(&id) {
+            let peer = challenge.name;
+            connection.phase = Phase::AwaitingWelcome { peer, nonce };
+        }
+    }
+
+    /// A voter whose disk has failed connects as a follower, which learns what is committed.
+    fn role(&self) -> Role {
+        let takes_part = |voter: &Voter<F>| !matches!(voter.stage(), Stage::Stopped(_));
+        if self.voter.as_ref().is_some_and(takes_part) {
+            Role::Voter
+        } else {
+            Role::Follower
+        }
+    }
+
+    fn on_hello(
+        &mut self,
+        id: ConnectionId,
+        challenge: &Nonce,
+        hello: Hello,
+        actions: &mut Vec<FleetAction>,
+    ) {
+        let Some(secret) = hello.verify(&self.secrets, challenge) else {
+            return self.refuse(id, UNPROVEN, actions);
+        };
+        if hello.version != VERSION {
+            let reason = format!("version {} is not spoken here", hello.version);
+            return self.refuse(id, &reason, actions);
+        }
+        if !self.may_connect(&hello) {
+            return self.refuse(id, INVALID_NAME, actions);
+        }
+        let welcome = Frame::proven_welcome(&self.secrets, secret, &hello.nonce);
+        write(id, &welcome, actions);
+        let peer = Peer {
+            name: hello.name,
+            role: hello.role,
+        };
+        self.on_established(id, peer, actions);
+    }
+
+    /// Whether a peer may have the name and the role that it gives: nobody else connects as one of the voters.
+    fn may_connect(&self, hello: &Hello) -> bool {
+        let name = &hello.name;
+        let is_configured_voter = self.voters.iter().any(|voter| voter.name == *name);
+        let has_valid_length = (1..=MAX_NAME_BYTES).contains(&name.len());
+        let has_valid_role = hello.role == Role::Follower || is_configured_voter;
+        *name != self.local && has_valid_length && has_valid_role
+    }
+
+    fn on_welcome(
+        &mut self,
+        id: ConnectionId,
+        name: String,
+        nonce: &Nonce,
+        proof: &Proof,
+        actions: &mut Vec<FleetAction>,
+    ) {
+        if Frame::verifies_welcome(&self.secrets, nonce, proof) {
+            // Only voters are dialled.
+            let role = Role::Voter;
+            self.on_established(id, Peer { name, role }, actions);
+        } else {
+            self.refuse(id, UNPROVEN, actions);
+        }
+    }
+
+    /// Both sides have proven themselves.
+    fn on_established(&mut self, id: ConnectionId, peer: Peer, actions: &mut Vec<FleetAction>) {
+        let Peer { name, role } = peer.clone();
+        if let Some(connection) = self.connections.get_mut(&id) {
+            connection.phase = Phase::Established(peer);
+        }
+        self.replace_older_connection(id, &name, actions);
+        let connected = ConnectionEvent::Connected { peer: name.clone() };
+        actions.push(FleetAction::LogConnection(connected));
+        match role {
+            Role::Follower => self.send_all_values(id, actions),
+            Role::Voter => self.on_voter_connected(&name, actions),
+        }
+    }
+
+    /// One connection a pair: the newer one counts, for the other side has given up the older one.
+    fn replace_older_connection(
+        &mut self,
+        id: ConnectionId,
+        peer: &str,
+        actions: &mut Vec<FleetAction>,
+    ) {
+        let older = self.established.insert(peer.to_owned(), id);
+        let Some(older) = older.filter(|older| *older != id) else {
+            return;
+        };
+        if let Some(connection) = self.connections.get_mut(&older) {
+            connection.phase = Phase::Closing;
+        }
+        actions.push(FleetAction::Close {
+            connection: older,
+            reason: "a newer connection takes its place".into(),
+        });
+    }
+
+    pub(super) fn draw_nonce(&mut self) -> Nonce {
+        let mut nonce = Nonce::default();
+        let (first, second) = nonce.split_at_mut(size_of::<u64>());
+        first.copy_from_slice(&self.rng.rand_u64().to_be_bytes());
+        second.copy_from_slice(&self.rng.rand_u64().to_be_bytes());
+        nonce
+    }
+}
--- a/crates/linenthread-fleet/src/frame/mod.rs
+++ b/crates/linenthread-fleet/src/frame/mod.rs
@@ -9,6 +9,8 @@
 use snafu::{OptionExt, ensure};
 
 use crate::error::{RecordError, ReportTooLongSnafu, UnknownFrameSnafu, UnknownProgressSnafu};
+use crate::identifiers::{FoundersDigest, VoterIncarnation};
+use crate::state_table::CommittedValue;
 pub(crate) use raft_message::{decode_entry, decode_snapshot, encode_entry, encode_snapshot};
 
 /// The protocol version that this package speaks.
@@ -70,6 +72,29 @@
     }
 }
 
+/// What a process is in a connection.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Role {
+    /// A voter: it may send progress, Raft's messages and committed values.
+    Voter,
+    /// Any other process: it is sent what is committed.
+    Follower,
+}
+
+impl Role {
+    fn is_voter(self) -> bool {
+        self == Role::Voter
+    }
+
+    fn from_flag(is_voter: bool) -> Role {
+        if is_voter {
+            Role::Voter
+        } else {
+            Role::Follower
+        }
+    }
+}
+
 /// The first frame of the side that connects.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Hello {
@@ -77,8 +102,8 @@
     pub version: u8,
     /// Its name.
     pub name: String,
-    /// Whether it connects as a voter.
-    pub voter: bool,
+    /// As what it connects.
+    pub role: Role,
     /// What the welcome has to prove itself over.
     pub nonce: Nonce,
     /// Proves the shared secret.
@@ -115,22 +140,15 @@
     Progress {
         /// How far.
         progress: Progress,
-        /// The incarnation of its identity, 0 for a founder's.
-        incarnation: u64,
-        /// A digest of the founders' names.
-        founders: u64,
+        /// The incarnation of its identity; a founder's where it has no identity.
+        incarnation: VoterIncarnation,
+        /// A digest of the founders' names, as the sender is configured.
+        founders: FoundersDigest,
     },
     /// Between voters: a message of Raft.
     Raft(Box<Message>),
     /// From a voter to a process that is none: a committed value.
-    Committed {
-        /// The value's topic.
-        topic: String,
-        /// The value's number within its topic.
-        number: u64,
-        /// The value.
-        value: Vec<u8>,
-    },
+    Committed(CommittedValue),
     /// A report on its way to the leader.
     Report {
         /// The report.
@@ -190,7 +208,7 @@
             Frame::Refuse { .. } => kind::REFUSE,
             Frame::Progress { .. } => kind::PROGRESS,
             Frame::Raft(_) => kind::RAFT,
-            Frame::Committed { .. } => kind::COMMITTED,
+            Frame::Committed(_) => kind::COMMITTED,
             Frame::Report { .. } => kind::REPORT,
             Frame::Ping { .. } => kind::PING,
             Frame::Pong { .. } => kind::PONG,
@@ -212,7 +230,7 @@
             Frame::Hello(hello) => {
                 encoder.u8(hello.version);
                 encoder.text(&hello.name);
-                encoder.flag(hello.voter);
+                encoder.flag(hello.role.is_voter());
                 encoder.raw(hello.nonce);
                 encoder.raw(hello.proof);
             }
@@ -224,18 +242,14 @@
                 founders,
             } => {
                 encoder.u8(progress.code());
-                encoder.u64(*incarnation);
-                encoder.u64(*founders);
+                encoder.u64(incarnation.0);
+                encoder.u64(founders.0);
             }
             Frame::Raft(message) => raft_message::encode_message(message, encoder),
-            Frame::Committed {
-                topic,
-                number,
-                value,
-            } => {
-                encoder.text(topic);
-                encoder.u64(*number);
-                encoder.bytes(value);
+            Frame::Committed(committed) => {
+                encoder.text(&committed.topic);
+                encoder.u64(committed.number);
+                encoder.bytes(&committed.value);
             }
             Frame::Report { bytes } => encoder.bytes(bytes),
             Frame::Ping { number } | Frame::Pong { number } => encoder.u64(*number),
@@ -258,7 +272,7 @@
             kind::HELLO => Frame::Hello(Hello {
                 version: decoder.u8()?,
                 name: decoder.text()?,
-                voter: decoder.flag()?,
+                role: Role::from_flag(decoder.flag()?),
                 nonce: decoder.array()?,
                 proof: decoder.array()?,
             }),
@@ -270,15 +284,15 @@
             },
             kind::PROGRESS => Frame::Progress {
                 progress: decode_progress(&mut decoder)?,
-                incarnation: decoder.u64()?,
-                founders: decoder.u64()?,
+                incarnation: VoterIncarnation(decoder.u64()?),
+                founders: FoundersDigest(decoder.u64()?),
             },
             kind::RAFT => Frame::Raft(Box::new(raft_message::decode_message(&mut decoder)?)),
-            kind::COMMITTED => Frame::Committed {
+            kind::COMMITTED => Frame::Committed(CommittedValue {
                 topic: decoder.text()?,
                 number: decoder.u64()?,
                 value: decoder.bytes()?.to_vec(),
-            },
+            }),
             kind::REPORT => Frame::Report {
                 bytes: decode_report(&mut decoder)?,
             },
--- a/crates/linenthread-fleet/src/lib.rs
+++ b/crates/linenthread-fleet/src/lib.rs
@@ -15,23 +15,33 @@
 //! *one-leader* (at no moment do two processes hold the lease), *former-self* (a voter that lost its disk never votes
 //! under its former identity).
 
+mod config;
 mod dialer;
 mod error;
 mod event;
 mod fleet;
 pub mod frame;
+mod identifiers;
 mod members;
 mod node_identity;
+mod random;
 mod state_table;
 mod storage;
 mod voter;
+mod voter_identity;
 
+pub use config::{ConfigError, FleetConfig, MembersConfig, PeerAddress, VoterConfig};
 pub use error::{
     DatagramError, MessageError, OpenError, ProposeError, RecordError, StartError, StorageError,
 };
 pub use event::{ConnectionEvent, FleetEvent, VoterChange, VoterChangeKind};
-pub use fleet::{Fleet, FleetAction, FleetConfig};
-pub use members::{Members, MembersAction, MembersConfig};
+pub use fleet::{Fleet, FleetAction, Leader};
+pub use identifiers::{
+    ConnectionId, FoundersDigest, LogIndex, ProcessIncarnation, Term, VoterIncarnation,
+};
+pub use members::{Members, MembersAction};
 pub use node_identity::NodeIdentity;
-pub use state_table::{MAX_TOPICS, MAX_VALUE_BYTES, StateTable};
-pub use voter::{CommittedValue, Stage, Voter, VoterAction, VoterConfig};
+pub use state_table::{
+    CommittedValue, ConditionalWrite, MAX_TOPICS, MAX_VALUE_BYTES, NumberedValue, StateTable,
+};
+pub use voter::{Stage, Voter, VoterAction};
--- a/crates/linenthread-fleet/src/members/mod.rs
+++ b/crates/linenthread-fleet/src/members/mod.rs
@@ -1,30 +1,28 @@
 //! Who is a member and alive: gossip with suspicion and refutation, over datagrams that prove the secret.
 
 mod codec;
+mod runtime;
 
-use std::cmp::Reverse;
-use std::collections::{BTreeMap, BinaryHeap};
+use std::collections::BTreeMap;
 use std::net::SocketAddr;
-use std::num::{NonZeroU32, NonZeroUsize};
-use std::time::Duration;
 
-use foca::{Foca, Notification, PeriodicParams, Timer};
+use foca::Foca;
 use linenthread_core::interface::TenthMillis;
 use linenthread_frames::{Proof, ProofDomain, Secrets};
 use oorandom::Rand64;
-use rand::rand_core::{Infallible, TryRng};
 use snafu::{OptionExt, ResultExt};
 
+use crate::config::{MembersConfig, PeerAddress};
 use crate::error::{DatagramError, GossipSnafu, TooShortSnafu, UnprovenSnafu};
 use crate::node_identity::NodeIdentity;
+use crate::random::{random_index, random_time};
 use codec::GossipCodec;
+use runtime::{Gossip, GossipRng, Requests, Timers, gossip_config};
 
 /// The domain of the proofs of datagrams. These bytes go into the proof.
 const GOSSIP: ProofDomain = *b"linenthread goss";
 /// The secret by which datagrams are proven: the first that is configured.
 const FIRST_SECRET: usize = 0;
-/// The longest datagram in bytes, without its proof: it fits an Ethernet frame.
-const MAX_DATAGRAM_BYTES: usize = 1_300;
 const PROOF_BYTES: usize = size_of::<Proof>();
 /// How often a member is asked for all others while none is known; up to half as much is added at random.
 const JOIN_INTERVAL: TenthMillis = 10_000;
@@ -32,24 +30,6 @@
 const REFRESH_INTERVAL: TenthMillis = 40_000;
 /// The first time is random, no later than this after the start.
 const MAX_JOIN_DELAY: TenthMillis = 500;
-/// The probe interval that foca's own defaults are meant for.
-const DEFAULT_PROBE_INTERVAL: f64 = 10_000.0;
-/// Members that are down get the list of the others once in so many probe intervals.
-const DOWN_ANNOUNCE_INTERVALS: TenthMillis = 10;
-const MICROS_PER_TENTH_MILLI: u64 = 100;
-
-/// How a process takes part in the membership.
-#[derive(Clone, Debug)]
-pub struct MembersConfig {
-    /// This process.
-    pub local: NodeIdentity,
-    /// Members that are asked for all others at first, by name and gossip address.
-    pub seeds: Vec<(String, SocketAddr)>,
-    /// About how many members there are: it sets how long a suspicion lasts.
-    pub expected_members: u32,
-    /// How often one random member is asked for a sign of life.
-    pub probe_interval: TenthMillis,
-}
 
 /// What the caller has to do, in order.
 #[derive(Clone, Debug, PartialEq)]
@@ -69,125 +49,38 @@
     Refuted,
 }
 
-/// foca's random numbers, from a seed.
-struct GossipRng(Rand64);
-
-impl TryRng for GossipRng {
-    type Error = Infallible;
-
-    fn try_next_u32(&mut self) -> Result<u32, Infallible> {
-        Ok(self.0.rand_u64() as u32)
-    }
-
-    fn try_next_u64(&mut self) -> Result<u64, Infallible> {
-        Ok(self.0.rand_u64())
-    }
-
-    fn try_fill_bytes(&mut self, bytes: &mut [u8]) -> Result<(), Infallible> {
-        for byte in bytes {
-            *byte = self.0.rand_u64() as u8;
-        }
-        Ok(())
-    }
-}
-
-/// What foca requests, collected while it is called.
-#[derive(Default)]
-struct Requests {
-    datagrams: Vec<(SocketAddr, Vec<u8>)>,
-    timers: Vec<(Duration, Timer<NodeIdentity>)>,
-    members_changed: bool,
-    refuted: bool,
-}
-
-impl foca::Runtime<NodeIdentity> for &mut Requests {
-    fn notify(&mut self, notification: Notification<'_, NodeIdentity>) {
-        match notification {
-            Notification::Rejoin(_) => self.refuted = true,
-            Notification::MemberUp(_) | Notification::MemberDown(_) | Notification::Rename(..) => {
-                self.members_changed = true;
-            }
-            _ => {}
-        }
-    }
-
-    fn send_to(&mut self, to: NodeIdentity, data: &[u8]) {
-        self.datagrams.push((to.gossip, data.to_vec()));
-    }
-
-    fn submit_after(&mut self, event: Timer<NodeIdentity>, after: Duration) {
-        self.timers.push((after, event));
-    }
-}
-
-type Gossip = Foca<NodeIdentity, GossipCodec, GossipRng, foca::NoCustomBroadcast>;
-
 /// This process's view of the members.
 pub struct Members {
     gossip: Gossip,
     secrets: Secrets,
-    seeds: Vec<(String, SocketAddr)>,
+    /// Members that are asked for all others at first, without this process.
+    seeds: Vec<PeerAddress>,
     rng: Rand64,
-    deadlines: BinaryHeap<Reverse<(TenthMillis, u64)>>,
-    timers: BTreeMap<u64, Timer<NodeIdentity>>,
-    last_timer: u64,
+    timers: Timers,
+    /// All others that are believed to be alive, by name.
     alive: BTreeMap<String, NodeIdentity>,
     /// When a member is next asked for all others.
     announce_at: TenthMillis,
+    /// This process has left: nothing is sent or received any more.
     left: bool,
 }
 
-fn duration(tenth_millis: TenthMillis) -> Duration {
-    Duration::from_micros(tenth_millis.max(1).unsigned_abs() * MICROS_PER_TENTH_MILLI)
-}
-
-fn tenth_millis(duration: Duration) -> TenthMillis {
-    let tenths = duration.as_micros() / u128::from(MICROS_PER_TENTH_MILLI);
-    TenthMillis::try_from(tenths.max(1)).unwrap_or(TenthMillis::MAX)
-}
-
-fn gossip_config(config: &MembersConfig) -> foca::Config {
-    let expected = NonZeroU32::new(config.expected_members.max(2)).unwrap_or(NonZeroU32::MIN);
-    let mut gossip = foca::Config::new_lan(expected);
-    let interval = config.probe_interval;
-    let slower = interval as f64 / DEFAULT_PROBE_INTERVAL;
-    gossip.probe_period = duration(interval);
-    gossip.probe_rtt = duration(interval * 2 / 5);
-    gossip.suspect_to_down_after = gossip.suspect_to_down_after.mul_f64(slower);
-    gossip.max_packet_size = NonZeroUsize::new(MAX_DATAGRAM_BYTES).unwrap_or(NonZeroUsize::MIN);
-    // Announcing is done from here: see `announce_target`.
-    gossip.periodic_announce = None;
-    gossip.periodic_announce_to_down_members = Some(PeriodicParams {
-        frequency: duration(interval * DOWN_ANNOUNCE_INTERVALS),
-        num_members: NonZeroUsize::MIN,
-    });
-    gossip
-}
-
 impl Members {
-    /// Joins; the seed determines all that is random.
-    pub fn new(config: MembersConfig, secrets: Secrets, seed: u64, now: TenthMillis) -> Members {
+    /// Joins.
+    pub fn new(config: MembersConfig, now: TenthMillis) -> Members {
         let gossip_config = gossip_config(&config);
-        let mut rng = Rand64::new(u128::from(seed));
+        let mut rng = Rand64::new(u128::from(config.random_seed));
         let gossip_rng = GossipRng(Rand64::new(rng.rand_u64().into()));
-        let local = config.local.name.clone();
-        let gossip = Foca::new(
-            config.local,
-            gossip_config,
-            gossip_rng,
-            GossipCodec::default(),
-        );
-        let announce_at = now + (rng.rand_float() * MAX_JOIN_DELAY as f64) as TenthMillis;
+        let announce_at = now + random_time(&mut rng, MAX_JOIN_DELAY);
         let mut seeds = config.seeds;
-        seeds.retain(|(name, _)| *name != local);
+        seeds.retain(|seed| seed.name != config.local.name);
+        let codec = GossipCodec::default();
         Members {
-            gossip,
-            secrets,
+            gossip: Foca::new(config.local, gossip_config, gossip_rng, codec),
+            secrets: config.secrets,
             seeds,
             rng,
-            deadlines: BinaryHeap::new(),
-            timers: BTreeMap::new(),
-            last_timer: 0,
+            timers: Timers::default(),
             alive: BTreeMap::new(),
             announce_at,
             left: false,
@@ -206,10 +99,7 @@
 
     /// When [`Members::wake`] is to be called at the latest.
     pub fn wake_at(&self) -> TenthMillis {
-        let timer = self.deadlines.peek();
-        timer
-            .map_or(TenthMillis::MAX, |Reverse((at, _))| *at)
-            .min(self.announce_at)
+        self.timers.next_deadline().min(self.announce_at)
     }
 
     /// Does what is due.
@@ -217,13 +107,8 @@
         if self.announce_at <= now {
             self.announce(now, actions);
         }
-        while let Some(Reverse((at, number))) = self.deadlines.peek().copied() {
-            if at > now {
-                break;
-            }
-            self.deadlines.pop();
-            let timer = self.timers.remove(&number);
-            if let Some(timer) = timer.filter(|_| !self.left) {
+        while let Some(timer) = self.timers.pop_expired(now) {
+            if !self.left {
                 self.run(now, actions, |gossip, requests| {
                     gossip.handle_timer(timer, requests)
                 });
@@ -238,8 +123,7 @@
         } else {
             REFRESH_INTERVAL
         };
-        let random_part = (self.rng.rand_float() * interval as f64 / 2.0) as TenthMillis;
-        self.announce_at = now + interval + random_part;
+        self.announce_at = now + interval + random_time(&mut self.rng, interval / 2);
         if self.left {
             return;
         }
@@ -254,22 +138,21 @@
     /// again there. Where none is missing, any member: one that had to renew its identity may not be accepted by
     /// those it knows, and foca's own timers rest until it receives something.
     fn announce_target(&mut self) -> Option<NodeIdentity> {
-        let missing = |(name, _): &&(String, SocketAddr)| !self.alive.contains_key(name);
-        let mut candidates: Vec<(&String, SocketAddr)> = self
+        let is_missing = |seed: &&PeerAddress| !self.alive.contains_key(&seed.name);
+        let mut candidates: Vec<NodeIdentity> = self
             .seeds
             .iter()
-            .filter(missing)
-            .map(|(name, address)| (name, *address))
+            .filter(is_missing)
+            .map(|seed| NodeIdentity::unknown(&seed.name, seed.address))
             .collect();
         if candidates.is_empty() {
             let members = self.alive.values();
             candidates = members
-                .map(|member| (&member.name, member.gossip))
+                .map(|member| NodeIdentity::unknown(&member.name, member.gossip))
                 .collect();
         }
-        let index = self.rng.rand_range(0..candidates.len().max(1) as u64) as usize;
-        let (name, address) = candidates.get(index)?;
-        Some(NodeIdentity::unknown(name, *address))
+        let index = random_index(&mut self.rng, candidates.len());
+        candidates.into_iter().nth(index)
     }
 
     /// Handles a datagram. One that is not accepted changes nothing.
@@ -329,10 +212,7 @@
             actions.push(MembersAction::Send { to, bytes });
         }
         for (after, timer) in requests.timers {
-            self.last_timer += 1;
-            self.timers.insert(self.last_timer, timer);
-            let deadline = now + tenth_millis(after);
-            self.deadlines.push(Reverse((deadline, self.last_timer)));
+            self.timers.set(now, after, timer);
         }
         if requests.refuted {
             actions.push(MembersAction::Refuted);
--- a/crates/linenthread-fleet/src/node_identity.rs
+++ b/crates/linenthread-fleet/src/node_identity.rs
@@ -6,6 +6,7 @@
 use snafu::ensure;
 
 use crate::error::{InvalidNameSnafu, RecordError, UnknownAddressFamilySnafu};
+use crate::identifiers::ProcessIncarnation;
 
 /// The longest name of a member, machine, zone or region, in bytes.
 const MAX_NAME_BYTES: usize = 64;
@@ -37,8 +38,8 @@
     pub version: u16,
     /// Its weight among the fleet's members, in thousandths.
     pub weight: u16,
-    /// Rises with each start of the process: of two members with one name the later one counts.
-    pub incarnation: u64,
+    /// Of two members with one name the later one counts.
+    pub incarnation: ProcessIncarnation,
     /// How often it was declared down in this incarnation and came back.
     pub renewals: u32,
 }
@@ -54,7 +55,7 @@
             region: String::new(),
             version: 0,
             weight: 0,
-            incarnation: 0,
+            incarnation: ProcessIncarnation(0),
             renewals: 0,
         }
     }
@@ -83,7 +84,7 @@
         encoder.text(&self.region);
         encoder.u16(self.version);
         encoder.u16(self.weight);
-        encoder.u64(self.incarnation);
+        encoder.u64(self.incarnation.0);
         encoder.u32(self.renewals);
     }
 
@@ -102,7 +103,7 @@
             region: decoder.text()?,
             version: decoder.u16()?,
             weight: decoder.u16()?,
-            incarnation: decoder.u64()?,
+            incarnation: ProcessIncarnation(decoder.u64()?),
             renewals: decoder.u32()?,
         };
         ensure!(identity.has_valid_names(), InvalidNameSnafu);
@@ -122,7 +123,7 @@
             Some(doublings) => FIRST_INCARNATION_STEP << doublings.min(MAX_STEP_DOUBLINGS),
         };
         Some(NodeIdentity {
-            incarnation: self.incarnation.saturating_add(step),
+            incarnation: ProcessIncarnation(self.incarnation.0.saturating_add(step)),
             renewals: self.renewals.saturating_add(1),
             ..self.clone()
         })
--- a/crates/linenthread-fleet/src/state_table.rs
+++ b/crates/linenthread-fleet/src/state_table.rs
@@ -1,4 +1,7 @@
 //! The replicated state: numbered values by topic, and which voter goes by which id.
+//!
+//! All voters apply the same committed entries in the same order, so all have the same table (*one-value*): whether an
+//! entry is applied must depend on the table and the entry alone.
 
 use std::collections::BTreeMap;
 
@@ -6,6 +9,7 @@
 use snafu::ensure;
 
 use crate::error::{RecordError, ValueTooLongSnafu};
+use crate::voter_identity::{RaftId, VoterIdentity};
 
 /// The most topics.
 pub const MAX_TOPICS: usize = 16;
@@ -15,53 +19,15 @@
 /// The most voters' identities that are remembered, replaced ones included.
 const MAX_VOTER_IDENTITIES: usize = 64;
 
-const FNV_OFFSET: u64 = 0xcbf2_9ce4_8422_2325;
-const FNV_PRIME: u64 = 0x0100_0000_01b3;
-
-/// A voter with one disk: an empty disk gets another identity.
-#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) struct VoterIdentity {
-    pub(crate) name: String,
-    /// 0 for the fleet's founders.
-    pub(crate) incarnation: u64,
-}
-
-impl VoterIdentity {
-    /// The identity of a founder.
-    pub(crate) fn founder(name: String) -> VoterIdentity {
-        VoterIdentity {
-            name,
-            incarnation: 0,
-        }
-    }
-
-    /// The id by which Raft knows the voter (FNV-1a of the identity); never 0.
-    pub(crate) fn id(&self) -> u64 {
-        let mix = |hash: u64, byte: &u8| (hash ^ u64::from(*byte)).wrapping_mul(FNV_PRIME);
-        let name = self.name.as_bytes().iter().fold(FNV_OFFSET, mix);
-        let incarnation = self.incarnation.to_be_bytes();
-        incarnation.iter().fold(mix(name, &0), mix).max(1)
-    }
-
-    pub(crate) fn encode(&self, encoder: &mut Encoder) {
-        encoder.text(&self.name);
-        encoder.u64(self.incarnation);
-    }
-
-    pub(crate) fn decode(decoder: &mut Decoder) -> Result<VoterIdentity, DecodeError> {
-        Ok(VoterIdentity {
-            name: decoder.text()?,
-            incarnation: decoder.u64()?,
-        })
-    }
-}
-
 /// A value to be written if the topic's number is still the expected one.
 #[derive(Clone, Debug, PartialEq)]
-pub(crate) struct ConditionalWrite {
-    pub(crate) topic: String,
-    pub(crate) expected_number: u64,
-    pub(crate) value: Vec<u8>,
+pub struct ConditionalWrite {
+    /// The topic.
+    pub topic: String,
+    /// The number of the value that this one is based on; 0 where the topic has none yet.
+    pub expected_number: u64,
+    /// The new value.
+    pub value: Vec<u8>,
 }
 
 impl ConditionalWrite {
@@ -86,10 +52,24 @@
     }
 }
 
+/// A topic's current value.
+#[derive(Clone, Debug, PartialEq)]
+pub struct NumberedValue {
+    /// Its number within the topic, from 1; each value that is committed has the next one.
+    pub number: u64,
+    /// Its bytes.
+    pub value: Vec<u8>,
+}
+
+/// A value that was committed.
 #[derive(Clone, Debug, PartialEq)]
-struct NumberedValue {
-    number: u64,
-    value: Vec<u8>,
+pub struct CommittedValue {
+    /// The value's topic.
+    pub topic: String,
+    /// The value's number within its topic, from 1.
+    pub number: u64,
+    /// The value.
+    pub value: Vec<u8>,
 }
 
 /// All that was committed.
@@ -97,14 +77,13 @@
 pub struct StateTable {
     values: BTreeMap<String, NumberedValue>,
     /// By id, with those that were replaced.
-    voter_identities: BTreeMap<u64, VoterIdentity>,
+    voter_identities: BTreeMap<RaftId, VoterIdentity>,
 }
 
 impl StateTable {
-    /// A topic's number, from 1, and its value.
-    pub fn value(&self, topic: &str) -> Option<(u64, &[u8])> {
-        let entry = self.values.get(topic)?;
-        Some((entry.number, &entry.value))
+    /// A topic's value and its number.
+    pub fn value(&self, topic: &str) -> Option<&NumberedValue> {
+        self.values.get(topic)
     }
 
     /// The number of a topic's value; 0 if it has none.
@@ -112,14 +91,22 @@
         self.values.get(topic).map_or(0, |entry| entry.number)
     }
 
-    /// All topics with their numbers and values.
-    pub fn values(&self) -> impl Iterator<Item = (&str, u64, &[u8])> {
-        self.values
-            .iter()
-            .map(|(topic, entry)| (topic.as_str(), entry.number, &entry.value[..]))
+    /// All topics with their values, in the order of the topics.
+    pub fn values(&self) -> impl Iterator<Item = (&str, &NumberedValue)> {
+        let values = self.values.iter();
+        values.map(|(topic, value)| (topic.as_str(), value))
+    }
+
+    /// All values as if each had just been committed.
+    pub(crate) fn committed_values(&self) -> impl Iterator<Item = CommittedValue> {
+        self.values().map(|(topic, current)| CommittedValue {
+            topic: topic.to_owned(),
+            number: current.number,
+            value: current.value.clone(),
+        })
     }
 
-    pub(crate) fn voter_identity(&self, id: u64) -> Option<&VoterIdentity> {
+    pub(crate) fn voter_identity(&self, id: RaftId) -> Option<&VoterIdentity> {
         self.voter_identities.get(&id)
     }
 
@@ -127,29 +114,39 @@
         self.voter_identities.values()
     }
 
-    pub(crate) fn voter_ids(&self) -> impl Iterator<Item = u64> {
+    pub(crate) fn voter_ids(&self) -> impl Iterator<Item = RaftId> {
         self.voter_identities.keys().copied()
     }
 
-    /// Applies a committed write and returns the value's number; `None` if it is not based on the current value.
-    pub(crate) fn apply(&mut self, write: ConditionalWrite) -> Option<u64> {
-        let number = self.number(&write.topic);
-        let is_valid = write.expected_number == number
+    /// Applies a committed write and returns the value that it has made; `None` if it is not based on the current one.
+    pub(crate) fn apply(&mut self, write: ConditionalWrite) -> Option<CommittedValue> {
+        let is_valid = write.expected_number == self.number(&write.topic)
             && self.has_space_for(&write.topic)
             && write.has_valid_lengths();
         is_valid.then(|| {
-            self.set(write.topic, number + 1, write.value);
-            number + 1
+            let number = write.expected_number + 1;
+            self.set(write.topic.clone(), number, write.value.clone());
+            CommittedValue {
+                topic: write.topic,
+                number,
+                value: write.value,
+            }
         })
     }
 
-    /// Learns a committed value from a voter; returns whether it was newer than the known one.
-    pub(crate) fn learn(&mut self, topic: &str, number: u64, value: &[u8]) -> bool {
-        let is_newer = number > self.number(topic)
+    /// Learns a committed value from a voter; returns whether it was newer than the known one. Values in between may be
+    /// missing: a follower that reconnects gets only the current ones.
+    pub(crate) fn learn(&mut self, committed: &CommittedValue) -> bool {
+        let CommittedValue {
+            topic,
+            number,
+            value,
+        } = committed;
+        let is_newer = *number > self.number(topic)
             && self.has_space_for(topic)
             && value.len() <= MAX_VALUE_BYTES;
         if is_newer {
-            self.set(topic.to_owned(), number, value.to_vec());
+            self.set(topic.clone(), *number, value.clone());
         }
         is_newer
     }
--- a/crates/linenthread-fleet/src/storage.rs
+++ b/crates/linenthread-fleet/src/storage.rs
@@ -13,7 +13,9 @@
     UnknownRecordSnafu,
 };
 use crate::frame::{decode_entry, decode_snapshot, encode_entry, encode_snapshot};
-use crate::state_table::{StateTable, VoterIdentity};
+use crate::identifiers::VoterIncarnation;
+use crate::state_table::StateTable;
+use crate::voter_identity::VoterIdentity;
 
 /// The first byte of a record on disk: what it holds.
 mod kind {
@@ -116,9 +118,10 @@
         self.identity.as_ref()
     }
 
-    /// The incarnation of the identity; 0 where there is none.
-    pub(crate) fn incarnation(&self) -> u64 {
-        self.identity().map_or(0, |identity| identity.incarnation)
+    /// The incarnation of the identity; a founder's where there is none.
+    pub(crate) fn incarnation(&self) -> VoterIncarnation {
+        let identity = self.identity();
+        identity.map_or(VoterIncarnation::FOUNDER, |identity| identity.incarnation)
     }
 
     pub(crate) fn is_active(&self) -> bool {
--- a/crates/linenthread-fleet/src/voter/lease.rs
+++ b/crates/linenthread-fleet/src/voter/lease.rs
@@ -9,7 +9,9 @@
 use linenthread_store::Files;
 use raft::{ReadState, StateRole};
 
-use super::{ELECTION_TIMEOUT, State, Voter};
+use super::Voter;
+use super::clock::ELECTION_TIMEOUT;
+use super::stage::State;
 
 /// How long a quorum's answer is valid, from when it was asked: less than an election takes on clocks that differ by
 /// a tenth either way.
--- a/crates/linenthread-fleet/src/voter/message_check.rs
+++ b/crates/linenthread-fleet/src/voter/message_check.rs
@@ -6,11 +6,14 @@
 use raft::eraftpb::{Message, MessageType};
 use snafu::{ResultExt, ensure};
 
-use super::{ELECTION_TIMEOUT, State, TICK, Voter};
+use super::Voter;
+use super::clock::{ELECTION_TIMEOUT, TICK};
+use super::stage::State;
 use crate::error::{
     ImpossibleCommitSnafu, ImpossibleEntrySnafu, LocalMessageSnafu, MalformedSnapshotSnafu,
     MessageError,
 };
+use crate::identifiers::{LogIndex, Term};
 use crate::state_table::StateTable;
 use crate::storage::VoterStorage;
 
@@ -48,7 +51,8 @@
 
 fn check<F: Files>(raft: &Raft<VoterStorage<F>>, message: &Message) -> Result<(), MessageError> {
     check_entries(raft, message)?;
-    let (commit, last_index) = (message.commit, raft.raft_log.last_index());
+    let commit = LogIndex(message.commit);
+    let last_index = LogIndex(raft.raft_log.last_index());
     match message.msg_type {
         MessageType::MsgHeartbeat => {
             let is_current = message.term >= raft.term;
@@ -81,7 +85,10 @@
         let contradicts = is_committed && raft.raft_log.term(index).is_ok_and(differs);
         ensure!(
             index == expected_index && term <= message.term && !contradicts,
-            ImpossibleEntrySnafu { index, term }
+            ImpossibleEntrySnafu {
+                index: LogIndex(index),
+                term: Term(term)
+            }
         );
     }
     Ok(())
--- a/crates/linenthread-fleet/src/voter/reconfiguration.rs
+++ b/crates/linenthread-fleet/src/voter/reconfiguration.rs
@@ -5,10 +5,12 @@
 use linenthread_store::Files;
 use raft::eraftpb::{ConfChange, ConfChangeType, Entry};
 
-use super::{State, Voter, VoterAction};
+use super::stage::State;
+use super::{Voter, VoterAction};
 use crate::event::{FleetEvent, VoterChange, VoterChangeKind};
 use crate::frame::Progress;
-use crate::state_table::VoterIdentity;
+use crate::identifiers::VoterIncarnation;
+use crate::voter_identity::VoterIdentity;
 
 /// A voter's identity is replaced no more often than this.
 const REPLACE_INTERVAL: TenthMillis = 50_000;
@@ -117,7 +119,7 @@
         let peers = self.peers.iter();
         let candidates = peers.filter(|(name, peer)| {
             peer.progress == Progress::Active
-                && peer.incarnation != 0
+                && peer.incarnation != VoterIncarnation::FOUNDER
                 && self.config.voters.contains(name)
                 && !self.was_replaced_lately(name, now)
         });
--- a/crates/linenthread-fleet/tests/frames.rs
+++ b/crates/linenthread-fleet/tests/frames.rs
@@ -1,6 +1,7 @@
 //! Frames on any bytes.
 
 use linenthread_fleet::frame::{Frame, Progress};
+use linenthread_fleet::{FoundersDigest, VoterIncarnation};
 use proptest::prelude::*;
 
 proptest! {
@@ -21,7 +22,11 @@
     #[test]
     fn progress_is_decoded_as_encoded(incarnation in any::<u64>(), at in 0_usize..4) {
         let progress = [Progress::Empty, Progress::Founded, Progress::Active, Progress::Stopped][at];
-        let frame = Frame::Progress { progress, incarnation, founders: 7 };
+        let frame = Frame::Progress {
+            progress,
+            incarnation: VoterIncarnation(incarnation),
+            founders: FoundersDigest(7),
+        };
         prop_assert_eq!(Frame::decode(&frame.encode()[4..]), Ok(frame));
     }
 }
--- a/crates/linenthread-fleet/tests/golden.rs
+++ b/crates/linenthread-fleet/tests/golden.rs
@@ -8,9 +8,11 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-use linenthread_fleet::frame::{Frame, Hello, Progress};
+use linenthread_fleet::frame::{Frame, Hello, Progress, Role};
 use linenthread_fleet::{
-    Members, MembersAction, MembersConfig, NodeIdentity, Voter, VoterAction, VoterConfig,
+    CommittedValue, ConditionalWrite, FoundersDigest, Members, MembersAction, MembersConfig,
+    NodeIdentity, NumberedValue, PeerAddress, ProcessIncarnation, Term, Voter, VoterAction,
+    VoterConfig, VoterIncarnation,
 };
 use linenthread_frames::Secrets;
 use linenthread_store::{Files, SimulatedDisk};
@@ -71,44 +73,16 @@
     }
 }
 
+/// Bytes that count up from the first.
+fn counting_from<const N: usize>(first: u8) -> [u8; N] {
+    std::array::from_fn(|i| first + u8::try_from(i).expect("few bytes"))
+}
+
+/// One frame of each kind, with the names that they have in the golden file.
 fn frames() -> Vec<(String, Frame)> {
-    let nonce = std::array::from_fn(|i| 0x30 + i as u8);
-    let proof = std::array::from_fn(|i| 0x80 + i as u8);
-    let mut frames = vec![
-        (
-            "challenge".to_owned(),
-            Frame::Challenge {
-                min_version: 1,
-                max_version: 3,
-                nonce,
-                name: "catania".to_owned(),
-            },
-        ),
-        (
-            "hello".to_owned(),
-            Frame::Hello(Hello {
-                version: 2,
-                name: "messina".to_owned(),
-                voter: true,
-                nonce,
-                proof,
-            }),
-        ),
-        ("welcome".to_owned(), Frame::Welcome { proof }),
-        (
-            "refuse".to_owned(),
-            Frame::Refuse {
-                reason: "not \u{e9}xpected".to_owned(),
-            },
-        ),
-        (
-            "agreed".to_owned(),
-            Frame::Committed {
-                topic: "table".to_owned(),
-                number: 77,
-                value: vec![0, 0xff, 7],
-            },
-        ),
+    let mut frames = handshake_frames();
+    frames.extend([
+        committed_frame(),
         (
             "report".to_owned(),
             Frame::Report {
@@ -117,21 +91,68 @@
         ),
         ("ping".to_owned(), Frame::Ping { number: 1_234_567 }),
         ("pong".to_owned(), Frame::Pong { number: 1_234_568 }),
-    ];
+    ]);
+    frames.extend(progress_frames());
+    frames.extend(raft_frames());
+    frames
+}
+
+fn handshake_frames() -> Vec<(String, Frame)> {
+    let nonce = counting_from(0x30);
+    let proof = counting_from(0x80);
+    let challenge = Frame::Challenge {
+        min_version: 1,
+        max_version: 3,
+        nonce,
+        name: "catania".to_owned(),
+    };
+    let hello = Frame::Hello(Hello {
+        version: 2,
+        name: "messina".to_owned(),
+        role: Role::Voter,
+        nonce,
+        proof,
+    });
+    let refuse = Frame::Refuse {
+        reason: "not \u{e9}xpected".to_owned(),
+    };
+    vec![
+        ("challenge".to_owned(), challenge),
+        ("hello".to_owned(), hello),
+        ("welcome".to_owned(), Frame::Welcome { proof }),
+        ("refuse".to_owned(), refuse),
+    ]
+}
+
+fn committed_frame() -> (String, Frame) {
+    let committed = CommittedValue {
+        topic: "table".to_owned(),
+        number: 77,
+        value: vec![0, 0xff, 7],
+    };
+    ("agreed".to_owned(), Frame::Committed(committed))
+}
+
+fn progress_frames() -> Vec<(String, Frame)> {
     let progresses = [
         Progress::Empty,
         Progress::Founded,
         Progress::Active,
         Progress::Stopped,
     ];
-    for (number, progress) in progresses.into_iter().enumerate() {
+    let frame = |(number, progress)| {
         let frame = Frame::Progress {
             progress,
-            incarnation: 0x4142_4344_4546_4748,
-            founders: 0x5152_5354_5556_5758,
+            incarnation: VoterIncarnation(0x4142_4344_4546_4748),
+            founders: FoundersDigest(0x5152_5354_5556_5758),
         };
-        frames.push((format!("standing_{number}"), frame));
-    }
+        (format!("standing_{number}"), frame)
+    };
+    progresses.into_iter().enumerate().map(frame).collect()
+}
+
+/// A message of each kind, and one with entries and a snapshot.
+fn raft_frames() -> Vec<(String, Frame)> {
     let kinds = [
         MessageType::MsgAppend,
         MessageType::MsgAppendResponse,
@@ -144,10 +165,11 @@
         MessageType::MsgRequestPreVoteResponse,
         MessageType::MsgUnreachable,
     ];
-    for kind in kinds {
+    let frame = |kind| {
         let frame = Frame::Raft(Box::new(message(kind)));
-        frames.push((format!("record_{kind:?}"), frame));
-    }
+        (format!("record_{kind:?}"), frame)
+    };
+    let mut frames: Vec<(String, Frame)> = kinds.into_iter().map(frame).collect();
     let mut full = message(MessageType::MsgAppend);
     full.entries = vec![
         entry(1_001, EntryType::EntryNormal),
@@ -189,12 +211,13 @@
 
     fn start(&mut self, name: &str) {
         self.starts += 1;
-        let terms = VoterConfig {
+        let config = VoterConfig {
             name: name.to_owned(),
             voters: NAMES.map(str::to_owned).to_vec(),
+            seed: self.starts,
         };
         let disk = self.disks[name].clone();
-        let voter = Voter::new(terms, disk, self.starts, self.now, &mut Vec::new());
+        let voter = Voter::new(config, disk, self.now, &mut Vec::new());
         self.voters
             .insert(name.to_owned(), voter.expect("a disk without damage"));
         let others: Vec<String> = self.voters.keys().filter(|n| *n != name).cloned().collect();
@@ -245,6 +268,11 @@
     }
 
     fn propose(&mut self, topic: &str, based_on: u64, value: &[u8]) {
+        let write = ConditionalWrite {
+            topic: topic.to_owned(),
+            expected_number: based_on,
+            value: value.to_vec(),
+        };
         let leads = |name: &&str| {
             self.voters
                 .get(*name)
@@ -252,7 +280,7 @@
         };
         let leader = NAMES.into_iter().find(leads).expect("one leads");
         self.act(leader, |voter, now, to| {
-            let proposed = voter.propose(now, topic, based_on, value.to_vec(), to);
+            let proposed = voter.propose(now, &write, to);
             proposed.expect("the leader takes it");
         });
     }
@@ -310,20 +338,28 @@
     cluster
 }
 
-/// A value of the record: its topic, its number and its bytes.
-type RecordedValue = (String, u64, Vec<u8>);
-
 /// What a voter holds, to compare one that was started from a golden disk with one that wrote such a disk.
-fn durable_state(cluster: &Cluster, name: &str) -> (Option<u64>, u64, bool, Vec<RecordedValue>) {
+#[derive(Debug, PartialEq)]
+struct DurableState {
+    incarnation: Option<VoterIncarnation>,
+    term: Term,
+    votes: bool,
+}
+
+fn durable_state(cluster: &Cluster, name: &str) -> DurableState {
     let voter = &cluster.voters[name];
-    let values = voter.table().values();
-    let values = values.map(|(topic, number, value)| (topic.to_owned(), number, value.to_vec()));
-    (
-        voter.incarnation(),
-        voter.term(),
-        voter.votes(),
-        values.collect(),
-    )
+    DurableState {
+        incarnation: voter.incarnation(),
+        term: voter.term(),
+        votes: voter.votes(),
+    }
+}
+
+/// The values of the record at a voter, by topic.
+fn values(cluster: &Cluster, name: &str) -> Vec<(String, NumberedValue)> {
+    let values = cluster.voters[name].table().values();
+    let values = values.map(|(topic, value)| (topic.to_owned(), value.clone()));
+    values.collect()
 }
 
 // --- gossip ---
@@ -337,7 +373,7 @@
         region: "region-c".to_owned(),
         version: 0x0102,
         weight: 750,
-        incarnation,
+        incarnation: ProcessIncarnation(incarnation),
         renewals: 0x0a0b_0c0d,
     }
 }
@@ -350,18 +386,23 @@
         member("messina", "10.0.0.2:7002", 7),
         member("palermo", "[fd00::3]:7003", 8),
     ];
-    let ask: Vec<(String, SocketAddr)> = all.iter().map(|m| (m.name.clone(), m.gossip)).collect();
+    let seed = |member: &NodeIdentity| PeerAddress {
+        name: member.name.clone(),
+        address: member.gossip,
+    };
+    let seeds: Vec<PeerAddress> = all.iter().map(seed).collect();
     let secrets = Secrets::new(vec![b"a secret of this test".to_vec()]).expect("it is long enough");
     let mut members: BTreeMap<SocketAddr, Members> = BTreeMap::new();
-    for (seed, own) in all.iter().enumerate() {
-        let terms = MembersConfig {
+    for (random_seed, own) in (1..).zip(&all) {
+        let config = MembersConfig {
             local: own.clone(),
-            seeds: ask.clone(),
+            seeds: seeds.clone(),
             expected_members: 3,
             probe_interval: 10_000,
+            secrets: secrets.clone(),
+            random_seed,
         };
-        let one = Members::new(terms, secrets.clone(), seed as u64 + 1, 0);
-        members.insert(own.gossip, one);
+        members.insert(own.gossip, Members::new(config, 0));
     }
     let mut sent = Vec::new();
     for now in (0..120_000).step_by(100) {
@@ -414,7 +455,10 @@
     assert!(cluster.files() == golden, "the bytes differ");
     assert_eq!(
         cluster.voters["catania"].table().value("table"),
-        Some((2, &b"second"[..]))
+        Some(&NumberedValue {
+            number: 2,
+            value: b"second".to_vec(),
+        })
     );
 }
 
@@ -423,7 +467,10 @@
     let golden = golden(include_str!("golden/grown.hex"));
     let cluster = grown();
     assert!(cluster.files() == golden, "the bytes differ");
-    assert_ne!(cluster.voters["catania"].incarnation(), Some(0));
+    assert_ne!(
+        cluster.voters["catania"].incarnation(),
+        Some(VoterIncarnation::FOUNDER)
+    );
 }
 
 #[test]
@@ -435,21 +482,15 @@
         let mut cluster = restarted(golden(text));
         // Three of three start at once: the term that each holds is the one on its disk.
         for name in NAMES {
-            let (incarnation, term, votes, _) = durable_state(&cluster, name);
-            let wrote = durable_state(&expected, name);
             assert_eq!(
-                (incarnation, term, votes),
-                (wrote.0, wrote.1, wrote.2),
+                durable_state(&cluster, name),
+                durable_state(&expected, name),
                 "{name}"
             );
         }
         cluster.run(10);
         for name in NAMES {
-            assert_eq!(
-                durable_state(&cluster, name).3,
-                durable_state(&expected, name).3,
-                "{name}"
-            );
+            assert_eq!(values(&cluster, name), values(&expected, name), "{name}");
         }
     }
 }
--- a/crates/linenthread-fleet/tests/membership.rs
+++ b/crates/linenthread-fleet/tests/membership.rs
@@ -2,28 +2,32 @@
 
 use std::collections::VecDeque;
 
-use linenthread_fleet::{Members, MembersAction, MembersConfig, NodeIdentity};
+use linenthread_fleet::{
+    Members, MembersAction, MembersConfig, NodeIdentity, PeerAddress, ProcessIncarnation,
+};
 use linenthread_frames::Secrets;
 
-fn member(n: usize, now: i64) -> Members {
-    let at = |n: usize| ([127, 0, 0, 1], 4_000 + n as u16).into();
-    let own = NodeIdentity {
-        incarnation: 1,
-        zone: "z".into(),
-        ..NodeIdentity::unknown(&format!("m{n}"), at(n))
-    };
-    let config = MembersConfig {
-        local: own,
-        seeds: vec![("m0".into(), at(0))],
+fn config(n: u16, incarnation: u64) -> MembersConfig {
+    let at = |n: u16| ([127, 0, 0, 1], 4_000 + n).into();
+    MembersConfig {
+        local: NodeIdentity {
+            incarnation: ProcessIncarnation(incarnation),
+            zone: "z".into(),
+            ..NodeIdentity::unknown(&format!("m{n}"), at(n))
+        },
+        seeds: vec![PeerAddress {
+            name: "m0".into(),
+            address: at(0),
+        }],
         expected_members: 8,
         probe_interval: 5_000,
-    };
-    Members::new(
-        config,
-        Secrets::new(vec![vec![7; 16]]).unwrap(),
-        n as u64,
-        now,
-    )
+        secrets: Secrets::new(vec![vec![7; 16]]).unwrap(),
+        random_seed: n.into(),
+    }
+}
+
+fn member(n: u16, now: i64) -> Members {
+    Members::new(config(n, 1), now)
 }
 
 /// Eight members: all learn of all, one that falls silent is down for all within seconds, one that leaves at once.
@@ -81,22 +85,11 @@
         "one that left is down for all"
     );
     // Back under its name, in a later incarnation.
-    let mut back = member(3, 0);
-    back = Members::new(
-        MembersConfig {
-            local: NodeIdentity {
-                incarnation: 2,
-                ..back.local().clone()
-            },
-            seeds: vec![("m0".into(), ([127, 0, 0, 1], 4_000).into())],
-            expected_members: 8,
-            probe_interval: 5_000,
-        },
-        Secrets::new(vec![vec![7; 16]]).unwrap(),
-        99,
-        0,
-    );
-    all[3] = Some(back);
+    let later_start = MembersConfig {
+        random_seed: 99,
+        ..config(3, 2)
+    };
+    all[3] = Some(Members::new(later_start, 0));
     assert!(
         run(&mut all, 30, &known(6)),
         "one that is back is known to all"
--- a/crates/linenthread-fleet/tests/voters.rs
+++ b/crates/linenthread-fleet/tests/voters.rs
@@ -7,7 +7,8 @@
 
 use linenthread_fleet::frame::Frame;
 use linenthread_fleet::{
-    CommittedValue, FleetEvent, OpenError, ProposeError, Stage, Voter, VoterAction, VoterConfig,
+    CommittedValue, ConditionalWrite, FleetEvent, NumberedValue, OpenError, ProposeError, Stage,
+    Voter, VoterAction, VoterConfig, VoterIncarnation,
 };
 use linenthread_store::SimulatedDisk;
 
@@ -27,6 +28,21 @@
 
 const NAMES: [&str; 3] = ["catania", "messina", "palermo"];
 
+fn write(topic: &str, expected_number: u64, value: &[u8]) -> ConditionalWrite {
+    ConditionalWrite {
+        topic: topic.to_owned(),
+        expected_number,
+        value: value.to_vec(),
+    }
+}
+
+fn numbered(number: u64, value: &[u8]) -> NumberedValue {
+    NumberedValue {
+        number,
+        value: value.to_vec(),
+    }
+}
+
 impl Cluster {
     fn new() -> Cluster {
         Cluster {
@@ -63,15 +79,10 @@
         let config = VoterConfig {
             name: name.into(),
             voters: NAMES.map(str::to_owned).to_vec(),
+            seed: self.starts,
         };
         let mut to = Vec::new();
-        let voter = Voter::new(
-            config,
-            self.disks[name].clone(),
-            self.starts,
-            self.now,
-            &mut to,
-        )?;
+        let voter = Voter::new(config, self.disks[name].clone(), self.now, &mut to)?;
         self.voters.insert(name.into(), voter);
         let others: Vec<String> = self.voters.keys().filter(|n| *n != name).cloned().collect();
         for other in &others {
@@ -162,7 +173,7 @@
             .to_owned();
         let mut done = Ok(());
         self.act(&leader, |v, now, to| {
-            done = v.propose(now, topic, expected_number, value.to_vec(), to);
+            done = v.propose(now, &write(topic, expected_number, value), to);
         });
         done
     }
@@ -175,7 +186,7 @@
         cluster.propose("table", 0, b"first").unwrap();
         cluster.run(1);
         for voter in cluster.voters.values() {
-            assert_eq!(voter.table().value("table"), Some((1, &b"first"[..])));
+            assert_eq!(voter.table().value("table"), Some(&numbered(1, b"first")));
         }
         cluster
     }
@@ -215,7 +226,7 @@
     assert!(new.len() == 1 && new[0] != leader, "{new:?}");
     let mut refused = Ok(());
     cluster.act(&leader, |v, now, to| {
-        refused = v.propose(now, "table", 1, b"alone".to_vec(), to);
+        refused = v.propose(now, &write("table", 1, b"alone"), to);
     });
     let refused = refused.unwrap_err();
     assert!(matches!(refused, ProposeError::NotLeader));
@@ -234,7 +245,7 @@
     cluster.run(5);
     assert_eq!(cluster.leaders().len(), 1, "{:?}", cluster.events);
     for voter in cluster.voters.values() {
-        assert_eq!(voter.table().value("table"), Some((2, &b"second"[..])));
+        assert_eq!(voter.table().value("table"), Some(&numbered(2, b"second")));
     }
 }
 
@@ -246,7 +257,7 @@
     cluster.start("catania").unwrap();
     cluster.run(10);
     let incarnation = cluster.voters["catania"].incarnation().unwrap();
-    assert_ne!(incarnation, 0, "former-self");
+    assert_ne!(incarnation, VoterIncarnation::FOUNDER, "former-self");
     assert!(cluster.voters["catania"].votes(), "{:?}", cluster.events);
     // Both others' disks fail; then this one is lost again. What they hold is unknown: no fleet is founded again.
     for name in ["messina", "palermo"] {
@@ -372,10 +383,10 @@
     let mut cluster = Cluster::founded();
     let leader = cluster.leaders()[0].to_owned();
     let victim = NAMES.into_iter().find(|n| *n != leader).unwrap();
-    let term = cluster.voters[victim].term();
+    let term = cluster.voters[victim].term().0;
     let mut seen = None;
     cluster.act(&leader, |v, now, to| {
-        v.propose(now, "table", 1, b"x".to_vec(), to).unwrap();
+        v.propose(now, &write("table", 1, b"x"), to).unwrap();
         seen = to.iter().find_map(|one| match one {
             VoterAction::Send {
                 to,
