--- a/crates/linenthread-service/src/fleet/member.rs
+++ b/crates/linenthread-service/src/fleet/member.rs
@@ -7,7 +7,10 @@
 use std::time::{SystemTime, UNIX_EPOCH};
 
 use linenthread_core::interface::TenthMillis;
-use linenthread_fleet::{Fleet, FleetAction, FleetConfig, NodeIdentity};
+use linenthread_fleet::{
+    ConnectionId, Fleet, FleetAction, FleetConfig, NodeIdentity, PeerAddress, ProcessIncarnation,
+};
+use linenthread_installation as file;
 use linenthread_store::Directory;
 use linenthread_zones::{FailoverController, Report, Topology};
 use snafu::{OptionExt, ResultExt};
@@ -43,7 +46,7 @@
     pub(super) clock: Clock,
     pub(super) fleet: RefCell<Fleet<Directory>>,
     pub(super) udp: UdpSocket,
-    pub(super) connections: RefCell<BTreeMap<u64, Rc<Connection>>>,
+    pub(super) connections: RefCell<BTreeMap<ConnectionId, Rc<Connection>>>,
     pub(super) from_fleet: mpsc::UnboundedSender<FromFleet>,
     woken: Notify,
     pub(super) log_limit: LogRateLimit,
@@ -90,15 +93,20 @@
         region: fleet.region,
         version: 1,
         weight: 1_000,
-        incarnation: unix_ms(),
+        incarnation: ProcessIncarnation(unix_ms()),
         ..NodeIdentity::unknown(&config.name, fleet.address)
     };
-    let voters = fleet.voters.into_iter();
+    let peer_address = |voter: file::Voter| PeerAddress {
+        name: voter.name,
+        address: voter.address,
+    };
     FleetConfig {
         local,
-        voters: voters.map(|voter| (voter.name, voter.address)).collect(),
+        voters: fleet.voters.into_iter().map(peer_address).collect(),
         expected_members: fleet.expected_members,
         probe_interval: tenth_millis(fleet.probe_interval),
+        secrets: config.secrets.clone(),
+        seed: config.seed,
     }
 }
 
@@ -119,15 +127,7 @@
         let fleet_config = fleet_config(&config);
         let now = clock.now();
         let directory = open_voter_directory(&config).context(VoterDirectorySnafu)?;
-        let fleet = Fleet::new(
-            fleet_config,
-            directory,
-            config.secrets.clone(),
-            config.seed,
-            now,
-            &mut actions,
-        )
-        .context(LogSnafu)?;
+        let fleet = Fleet::new(fleet_config, directory, now, &mut actions).context(LogSnafu)?;
         let udp = UdpSocket::from_std(udp).context(SocketSnafu)?;
         let tcp = TcpListener::from_std(tcp).context(SocketSnafu)?;
         let member = Member(Rc::new(Inner {
--- a/crates/linenthread-service/src/fleet/sockets.rs
+++ b/crates/linenthread-service/src/fleet/sockets.rs
@@ -4,6 +4,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
+use linenthread_fleet::ConnectionId;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::spawn_local;
@@ -43,7 +44,7 @@
         }
     }
 
-    pub(super) async fn dial(self, number: u64, address: SocketAddr) {
+    pub(super) async fn dial(self, number: ConnectionId, address: SocketAddr) {
         match timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await {
             Ok(Ok(stream)) => self.register(number, stream),
             Ok(Err(_)) | Err(_) => {
@@ -52,7 +53,7 @@
         }
     }
 
-    fn register(&self, number: u64, stream: TcpStream) {
+    fn register(&self, number: ConnectionId, stream: TcpStream) {
         let connection = Rc::new(Connection::new());
         let connections = &self.0.connections;
         connections.borrow_mut().insert(number, connection.clone());
@@ -69,7 +70,12 @@
     }
 
     /// Reads and writes until the connection ends; gives the reason.
-    async fn serve(&self, mut stream: TcpStream, number: u64, connection: &Connection) -> String {
+    async fn serve(
+        &self,
+        mut stream: TcpStream,
+        number: ConnectionId,
+        connection: &Connection,
+    ) -> String {
         stream.set_nodelay(true).ok();
         let (mut reader, mut writer) = stream.split();
         let mut buffer = vec![0; READ_BUFFER_BYTES];
--- a/crates/linenthread-service/src/fleet/zone_decisions.rs
+++ b/crates/linenthread-service/src/fleet/zone_decisions.rs
@@ -1,7 +1,7 @@
 //! Decisions on zones: members report observations and orders to the leader, which proposes routing tables.
 
 use linenthread_core::interface::TenthMillis;
-use linenthread_fleet::CommittedValue;
+use linenthread_fleet::{CommittedValue, ConditionalWrite, NumberedValue};
 use linenthread_installation as file;
 use linenthread_zones::{
     FailoverConfig, FailoverController, Report, RouteStats, RoutingTable, Topology,
@@ -137,8 +137,8 @@
     fn committed_orders(&self) -> (u64, Orders) {
         let fleet = self.0.fleet.borrow();
         let committed = fleet.table().value(ORDERS_TOPIC);
-        committed.map_or((0, Orders::default()), |(number, value)| {
-            (number, Orders::decode(value).unwrap_or_default())
+        committed.map_or((0, Orders::default()), |NumberedValue { number, value }| {
+            (*number, Orders::decode(value).unwrap_or_default())
         })
     }
 
@@ -146,8 +146,8 @@
     fn committed_table(&self) -> (u64, Option<RoutingTable>) {
         let fleet = self.0.fleet.borrow();
         let committed = fleet.table().value(TABLE_TOPIC);
-        committed.map_or((0, None), |(number, value)| {
-            (number, RoutingTable::decode(value).ok())
+        committed.map_or((0, None), |NumberedValue { number, value }| {
+            (*number, RoutingTable::decode(value).ok())
         })
     }
 
@@ -161,9 +161,13 @@
         if let Ok(order) = Order::decode(&latest[1..]) {
             apply_order(topology, &mut orders, order);
         }
-        let value = orders.encode();
+        let write = ConditionalWrite {
+            topic: ORDERS_TOPIC.to_owned(),
+            expected_number: number,
+            value: orders.encode(),
+        };
         self.step(|fleet, now, actions| {
-            let proposed = fleet.propose(now, ORDERS_TOPIC, number, value, actions);
+            let proposed = fleet.propose(now, &write, actions);
             proposed.ok();
         });
     }
@@ -180,9 +184,13 @@
         if is_new {
             info!(number = number + 1, rows = ?table.rows, "proposes a table");
         }
-        let value = table.encode();
+        let write = ConditionalWrite {
+            topic: TABLE_TOPIC.to_owned(),
+            expected_number: number,
+            value: table.encode(),
+        };
         self.step(|fleet, now, actions| {
-            if let Err(error) = fleet.propose(now, TABLE_TOPIC, number, value, actions) {
+            if let Err(error) = fleet.propose(now, &write, actions) {
                 warn!("a table was not proposed: {error}");
             }
         });
--- a/crates/linenthread-service/src/zones_command.rs
+++ b/crates/linenthread-service/src/zones_command.rs
@@ -7,8 +7,10 @@
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 use linenthread_core::interface::TenthMillis;
-use linenthread_fleet::{Fleet, FleetAction, FleetConfig, NodeIdentity, OpenError};
-use linenthread_installation::{Installation, KnownIndex, ReadFileError};
+use linenthread_fleet::{
+    ConnectionId, Fleet, FleetAction, FleetConfig, NodeIdentity, OpenError, PeerAddress,
+};
+use linenthread_installation::{self as file, Installation, KnownIndex, ReadFileError};
 use linenthread_store::Directory;
 use linenthread_zones::RoutingTable;
 use snafu::{OptionExt, ResultExt, Snafu, ensure};
@@ -69,7 +71,7 @@
 
 /// A connection to a voter and its number in the state machine.
 struct Connection {
-    number: u64,
+    number: ConnectionId,
     stream: TcpStream,
 }
 
@@ -90,17 +92,21 @@
         let fleet = fleet.context(NoFleetSnafu { file })?;
         let secrets = installation::link_secrets(&fleet.secret_files)?;
         let name = format!("operator-{}", std::process::id());
-        let voters = fleet.voters.into_iter();
+        let peer_address = |voter: file::Voter| PeerAddress {
+            name: voter.name,
+            address: voter.address,
+        };
         let config = FleetConfig {
             local: NodeIdentity::unknown(&name, fleet.address),
-            voters: voters.map(|voter| (voter.name, voter.address)).collect(),
+            voters: fleet.voters.into_iter().map(peer_address).collect(),
             expected_members: fleet.expected_members,
             probe_interval: PROBE_INTERVAL,
+            secrets,
+            seed,
         };
         let started = Instant::now();
         let mut actions = Vec::new();
-        let fleet =
-            Fleet::new(config, None, secrets, seed, EPOCH, &mut actions).context(FollowSnafu)?;
+        let fleet = Fleet::new(config, None, EPOCH, &mut actions).context(FollowSnafu)?;
         let mut follower = Follower {
             fleet,
             connection: None,
@@ -138,14 +144,14 @@
         }
     }
 
-    fn dial(&mut self, number: u64, address: SocketAddr, next: &mut Vec<FleetAction>) {
+    fn dial(&mut self, number: ConnectionId, address: SocketAddr, next: &mut Vec<FleetAction>) {
         match TcpStream::connect_timeout(&address, CONNECT_TIMEOUT) {
             Ok(stream) => self.connection = Some(Connection { number, stream }),
             Err(_) => self.fleet.on_closed(self.now(), number, next),
         }
     }
 
-    fn write(&mut self, number: u64, bytes: &[u8], next: &mut Vec<FleetAction>) {
+    fn write(&mut self, number: ConnectionId, bytes: &[u8], next: &mut Vec<FleetAction>) {
         let connection = self.connection.as_mut();
         let connection = connection.filter(|connection| connection.number == number);
         if connection.is_some_and(|connection| connection.stream.write_all(bytes).is_err()) {
@@ -153,7 +159,7 @@
         }
     }
 
-    fn close(&mut self, number: u64, next: &mut Vec<FleetAction>) {
+    fn close(&mut self, number: ConnectionId, next: &mut Vec<FleetAction>) {
         self.connection = None;
         self.fleet.on_closed(self.now(), number, next);
     }
@@ -186,7 +192,7 @@
     fn orders(&self) -> Orders {
         let committed = self.fleet.table().value(ORDERS_TOPIC);
         committed
-            .and_then(|(_, value)| Orders::decode(value).ok())
+            .and_then(|committed| Orders::decode(&committed.value).ok())
             .unwrap_or_default()
     }
 
@@ -210,10 +216,11 @@
 
 /// The committed routing table as text, one row for each zone.
 fn show(follower: &Follower) -> String {
-    let Some((number, value)) = follower.fleet.table().value(TABLE_TOPIC) else {
+    let Some(committed) = follower.fleet.table().value(TABLE_TOPIC) else {
         return "no table was agreed on yet: all ways are open, the nearest first".into();
     };
-    let Ok(table) = RoutingTable::decode(value) else {
+    let number = committed.number;
+    let Ok(table) = RoutingTable::decode(&committed.value) else {
         return "the table cannot be read by this version".into();
     };
     let mut text = format!("table {number}; keys of a thousand to which each way is open\n");
--- a/crates/linenthread-simulation/src/fleet_simulation/event.rs
+++ b/crates/linenthread-simulation/src/fleet_simulation/event.rs
@@ -1,5 +1,7 @@
 //! What happens at a moment of simulated time.
 
+use linenthread_fleet::ConnectionId;
+
 /// An index into the world's processes.
 pub(super) type ProcessIndex = usize;
 /// A link's number in the network.
@@ -16,8 +18,8 @@
     /// A connection arrives.
     Connect {
         from: ProcessIndex,
-        /// The connection's number at the process that connects.
-        connection: u64,
+        /// The connection's id at the process that connects.
+        connection: ConnectionId,
         to: ProcessIndex,
     },
     /// Bytes arrive at a side of a link.
--- a/crates/linenthread-simulation/src/fleet_simulation/network.rs
+++ b/crates/linenthread-simulation/src/fleet_simulation/network.rs
@@ -3,12 +3,13 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use linenthread_core::interface::TenthMillis;
+use linenthread_fleet::ConnectionId;
 use oorandom::Rand64;
 
 use super::event::{LinkNumber, ProcessIndex, Side};
 
-/// A connection at a process: the process, and the connection's number there.
-pub(super) type End = (ProcessIndex, u64);
+/// A connection at a process: the process, and the connection's id there.
+pub(super) type End = (ProcessIndex, ConnectionId);
 
 /// A connection as the network has it. Bytes arrive in their order.
 pub(super) struct Link {
--- a/crates/linenthread-simulation/src/fleet_simulation/process.rs
+++ b/crates/linenthread-simulation/src/fleet_simulation/process.rs
@@ -5,7 +5,10 @@
 use std::rc::Rc;
 
 use linenthread_core::interface::TenthMillis;
-use linenthread_fleet::{Fleet, FleetConfig, NodeIdentity, Stage, Voter};
+use linenthread_fleet::{
+    Fleet, FleetConfig, NodeIdentity, PeerAddress, ProcessIncarnation, Stage, Voter,
+    VoterIncarnation,
+};
 use linenthread_frames::Secrets;
 use linenthread_store::SimulatedDisk;
 use oorandom::Rand64;
@@ -35,7 +38,7 @@
     pub(super) wake_at: TenthMillis,
     starts: u64,
     /// The incarnation that it had before its disk was lost, where it had taken part.
-    pub(super) former_incarnation: Option<u64>,
+    pub(super) former_incarnation: Option<VoterIncarnation>,
 }
 
 pub(super) fn name(index: ProcessIndex) -> String {
@@ -46,12 +49,19 @@
     ([127, 0, 0, 1], FIRST_PORT + index as u16).into()
 }
 
+fn peer_address(index: ProcessIndex) -> PeerAddress {
+    PeerAddress {
+        name: name(index),
+        address: address(index),
+    }
+}
+
 /// The process at an address.
 pub(super) fn index(address: SocketAddr) -> ProcessIndex {
     usize::from(address.port() - FIRST_PORT)
 }
 
-pub(super) fn secrets() -> Secrets {
+fn secrets() -> Secrets {
     Secrets::new(vec![b"a secret of some length".to_vec()]).expect("long enough")
 }
 
@@ -87,6 +97,7 @@
         index: ProcessIndex,
         voters: usize,
         processes: usize,
+        seed: u64,
     ) -> FleetConfig {
         self.starts += 1;
         let local = NodeIdentity {
@@ -95,14 +106,16 @@
             region: "r".into(),
             version: 1,
             weight: 1_000,
-            incarnation: INCARNATION_STEP * self.starts,
+            incarnation: ProcessIncarnation(INCARNATION_STEP * self.starts),
             ..NodeIdentity::unknown(&name(index), address(index))
         };
         FleetConfig {
             local,
-            voters: (0..voters).map(|n| (name(n), address(n))).collect(),
+            voters: (0..voters).map(peer_address).collect(),
             expected_members: processes as u32,
             probe_interval: PROBE_INTERVAL,
+            secrets: secrets(),
+            seed,
         }
     }
 
@@ -120,7 +133,7 @@
     }
 
     /// The incarnation of its voter's identity.
-    pub(super) fn incarnation(&self) -> Option<u64> {
+    pub(super) fn incarnation(&self) -> Option<VoterIncarnation> {
         self.fleet.as_ref()?.voter()?.incarnation()
     }
 
--- a/crates/linenthread-simulation/src/fleet_simulation/world.rs
+++ b/crates/linenthread-simulation/src/fleet_simulation/world.rs
@@ -4,12 +4,14 @@
 use std::collections::{BTreeMap, BinaryHeap};
 
 use linenthread_core::interface::TenthMillis;
-use linenthread_fleet::{CommittedValue, Fleet, FleetAction, FleetEvent};
+use linenthread_fleet::{
+    CommittedValue, ConditionalWrite, ConnectionId, Fleet, FleetAction, FleetEvent,
+};
 use oorandom::Rand64;
 
 use super::event::{Event, LinkNumber, ProcessIndex, Side};
 use super::network::Network;
-use super::process::{self, Disk, Process, name, secrets};
+use super::process::{self, Disk, Process, name};
 use super::{SECOND, TENTHS_PER_SECOND, Totals};
 
 /// The topics that values are proposed for.
@@ -106,10 +108,10 @@
         let seed = self.rng.rand_u64();
         let process = &mut self.processes[at];
         let now = process.local_time(self.now);
-        let config = process.next_config(at, self.voters, count);
+        let config = process.next_config(at, self.voters, count, seed);
         let disk = process.disk.clone();
         let mut actions = Vec::new();
-        match Fleet::new(config, Some(disk), secrets(), seed, now, &mut actions) {
+        match Fleet::new(config, Some(disk), now, &mut actions) {
             Ok(fleet) => process.fleet = Some(fleet),
             Err(error) => self.breach(format!("{} does not start: {error}", name(at))),
         }
@@ -187,7 +189,7 @@
         self.set_timer(at);
     }
 
-    fn send(&mut self, at: ProcessIndex, connection: u64, bytes: Vec<u8>) {
+    fn send(&mut self, at: ProcessIndex, connection: ConnectionId, bytes: Vec<u8>) {
         let Some(link) = self.network.link_at((at, connection)) else {
             return;
         };
@@ -299,7 +301,7 @@
         }
     }
 
-    fn on_connect(&mut self, from: ProcessIndex, connection: u64, to: ProcessIndex) {
+    fn on_connect(&mut self, from: ProcessIndex, connection: ConnectionId, to: ProcessIndex) {
         let is_partitioned =
             self.network.is_partitioned(from, to) || self.network.is_partitioned(to, from);
         let both_run = self.processes[from].fleet.is_some() && self.processes[to].fleet.is_some();
@@ -313,12 +315,12 @@
         };
         let link = self.next_number();
         self.network
-            .add_refused(link, [(from, connection), (to, 0)]);
+            .add_refused(link, [(from, connection), (to, ConnectionId(0))]);
         self.after(wait, Event::Closed { link, side: 0 });
     }
 
     /// Whether a process accepts a connection.
-    fn accept(&mut self, from: (ProcessIndex, u64), to: ProcessIndex) -> bool {
+    fn accept(&mut self, from: (ProcessIndex, ConnectionId), to: ProcessIndex) -> bool {
         let link = self.next_number();
         let process = &mut self.processes[to];
         let now = process.local_time(self.now);
@@ -384,9 +386,13 @@
             let mut value = self.proposals.to_be_bytes().to_vec();
             value.resize(8 + self.rng.rand_range(0..200) as usize, 7);
             self.call(at, |fleet, now, actions| {
-                let number = fleet.table().number(topic);
+                let write = ConditionalWrite {
+                    topic: topic.to_owned(),
+                    expected_number: fleet.table().number(topic),
+                    value,
+                };
                 // One that is refused is proposed no more: another follows.
-                let _ = fleet.propose(now, topic, number, value, actions);
+                let _ = fleet.propose(now, &write, actions);
             });
         }
         let wait = 500 + self.random_time(0..2_000);
--- a/crates/linenthread-simulation/src/members.rs
+++ b/crates/linenthread-simulation/src/members.rs
@@ -8,7 +8,9 @@
 use std::time::Instant;
 
 use linenthread_core::interface::TenthMillis;
-use linenthread_fleet::{Members, MembersAction, MembersConfig, NodeIdentity};
+use linenthread_fleet::{
+    Members, MembersAction, MembersConfig, NodeIdentity, PeerAddress, ProcessIncarnation,
+};
 use linenthread_frames::Secrets;
 
 const SECOND: TenthMillis = 10_000;
@@ -37,6 +39,13 @@
     ([127, (member >> 8) as u8 + 1, member as u8, 1], PORT).into()
 }
 
+fn peer_address(member: usize) -> PeerAddress {
+    PeerAddress {
+        name: name(member),
+        address: address(member),
+    }
+}
+
 /// The member of an address.
 fn member_at(address: SocketAddr) -> Option<usize> {
     let SocketAddr::V4(address) = address else {
@@ -66,15 +75,9 @@
 
 impl Simulation {
     fn new(count: usize, seed: u64) -> Simulation {
-        let secrets = Secrets::new(vec![b"a secret of some length".to_vec()]).expect("long enough");
         let member = |number: usize| {
             let seed = seed.wrapping_mul(SEED_STRIDE) + number as u64;
-            Some(Members::new(
-                config(number, count),
-                secrets.clone(),
-                seed,
-                0,
-            ))
+            Some(Members::new(config(number, count, seed), 0))
         };
         Simulation {
             now: 0,
@@ -158,21 +161,23 @@
     }
 }
 
-fn config(number: usize, count: usize) -> MembersConfig {
+fn config(number: usize, count: usize, random_seed: u64) -> MembersConfig {
     let local = NodeIdentity {
         machine: format!("rack-{number}"),
         zone: "palermo".into(),
         region: "sicily".into(),
         version: 1,
         weight: 1_000,
-        incarnation: 1_700_000_000_000,
+        incarnation: ProcessIncarnation(1_700_000_000_000),
         ..NodeIdentity::unknown(&name(number), address(number))
     };
     MembersConfig {
         local,
-        seeds: (0..SEEDS).map(|seed| (name(seed), address(seed))).collect(),
+        seeds: (0..SEEDS).map(peer_address).collect(),
         expected_members: count as u32,
         probe_interval: PROBE_INTERVAL,
+        secrets: Secrets::new(vec![b"a secret of some length".to_vec()]).expect("long enough"),
+        random_seed,
     }
 }
 
