--- a/crates/linenthread-service/src/dispatcher/decision.rs
+++ b/crates/linenthread-service/src/dispatcher/decision.rs
@@ -1,7 +1,9 @@
 //! The coordinator's decisions on queries, and what passes on those of one step.
 
 use linenthread_core::DecisionSink;
-use linenthread_core::interface::TenthMillis;
+use linenthread_core::interface::{
+    Completeness, QueryIndex, ReplicaIndex, SubRequestIndex, TenthMillis,
+};
 
 use super::Dispatcher;
 use super::membership::Membership;
@@ -12,14 +14,17 @@
 pub(crate) enum Decision {
     /// Make the next attempt at a sub-request.
     Send {
-        sub_request: usize,
-        replica: usize,
+        sub_request: SubRequestIndex,
+        replica: ReplicaIndex,
         timeout: TenthMillis,
     },
     /// Cancel an attempt.
-    Cancel { sub_request: usize, attempt: usize },
-    /// Answer with what has arrived: `complete` where that is all.
-    Respond { complete: bool },
+    Cancel {
+        sub_request: SubRequestIndex,
+        attempt: usize,
+    },
+    /// Answer with what has arrived.
+    Respond { completeness: Completeness },
     /// Reject the query; it may be retried, after this time where it is given.
     Reject { retry_after: Option<TenthMillis> },
     /// Answer that the query has failed.
@@ -35,47 +40,54 @@
 }
 
 impl DecisionSink for StepDecisions<'_> {
-    fn send(&mut self, query: usize, sub_request: usize, replica: usize, timeout: TenthMillis) {
+    fn send(
+        &mut self,
+        query: QueryIndex,
+        sub_request: SubRequestIndex,
+        replica: ReplicaIndex,
+        timeout: TenthMillis,
+    ) {
         let decision = Decision::Send {
             sub_request,
             replica,
             timeout,
         };
-        self.queries.pass_on(query, decision);
+        self.queries.pass_on(query.0, decision);
     }
 
-    fn cancel(&mut self, query: usize, sub_request: usize, attempt: usize) {
+    fn cancel(&mut self, query: QueryIndex, sub_request: SubRequestIndex, attempt: usize) {
         let decision = Decision::Cancel {
             sub_request,
             attempt,
         };
-        self.queries.pass_on(query, decision);
+        self.queries.pass_on(query.0, decision);
     }
 
-    fn respond(&mut self, query: usize, complete: bool) {
-        self.queries.pass_on(query, Decision::Respond { complete });
+    fn respond(&mut self, query: QueryIndex, completeness: Completeness) {
+        self.queries
+            .pass_on(query.0, Decision::Respond { completeness });
     }
 
-    fn reject(&mut self, query: usize, retry_after: Option<TenthMillis>) {
+    fn reject(&mut self, query: QueryIndex, retry_after: Option<TenthMillis>) {
         self.queries
-            .pass_on(query, Decision::Reject { retry_after });
+            .pass_on(query.0, Decision::Reject { retry_after });
     }
 
-    fn fail(&mut self, query: usize) {
-        self.queries.pass_on(query, Decision::Fail);
+    fn fail(&mut self, query: QueryIndex) {
+        self.queries.pass_on(query.0, Decision::Fail);
     }
 
-    fn release(&mut self, query: usize) {
-        self.queries.release(query);
+    fn release(&mut self, query: QueryIndex) {
+        self.queries.release(query.0);
     }
 
-    fn probe(&mut self, replica: usize) {
-        self.membership.replicas.start_probe(replica);
-        actix_rt::spawn(self.dispatcher.clone().probe(replica));
+    fn probe(&mut self, replica: ReplicaIndex) {
+        self.membership.replicas.start_probe(replica.0);
+        actix_rt::spawn(self.dispatcher.clone().probe(replica.0));
     }
 
-    fn close_idle(&mut self, replica: usize) {
-        self.dispatcher.0.transports.close_idle(replica);
+    fn close_idle(&mut self, replica: ReplicaIndex) {
+        self.dispatcher.0.transports.close_idle(replica.0);
     }
 
     fn watch_membership(&mut self) {
--- a/crates/linenthread-service/src/dispatcher/membership.rs
+++ b/crates/linenthread-service/src/dispatcher/membership.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use linenthread_core::interface::{MembershipEntry, Phase, TenthMillis};
+use linenthread_core::interface::{MembershipEntry, Phase, ReplicaIndex, TenthMillis};
 use linenthread_link::{Member, routing};
 use linenthread_protocol::{hash_id, membership};
 use tracing::{info, warn};
@@ -121,7 +121,7 @@
         let started_at =
             (listed.started_at_ms > 0.0).then(|| self.clock.at_unix(listed.started_at_ms));
         Some(MembershipEntry {
-            replica,
+            replica: ReplicaIndex(replica),
             id: hash_id(&listed.id),
             replica_group: listed.replica_group,
             zone: self.zone(&listed.zone),
@@ -135,7 +135,7 @@
     fn remove_unlisted(&mut self, entries: &[MembershipEntry], submitted: u64) {
         let mut is_listed = vec![false; self.replicas.count()];
         for entry in entries {
-            is_listed[entry.replica] = true;
+            is_listed[entry.replica.0] = true;
         }
         for replica in (0..is_listed.len()).filter(|replica| !is_listed[*replica]) {
             self.replicas.ensure_removed(replica, submitted);
@@ -269,7 +269,7 @@
     fn entry(&self, replica: usize, id: &str, member: &Member) -> MembershipEntry {
         let age = |age_ms| TenthMillis::from(age_ms) * 10;
         MembershipEntry {
-            replica,
+            replica: ReplicaIndex(replica),
             id: hash_id(id),
             replica_group: group_index(member.replica_group),
             zone: self.zone(&member.zone),
--- a/crates/linenthread-service/src/dispatcher/mod.rs
+++ b/crates/linenthread-service/src/dispatcher/mod.rs
@@ -10,8 +10,8 @@
 
 use linenthread_core::Coordinator;
 use linenthread_core::interface::{
-    AttemptResult, Inputs, MembershipEntry, MembershipUpdate, NewQuery, NewSubRequest, ProbeResult,
-    TenthMillis,
+    AttemptResult, Continuation, Inputs, MembershipEntry, MembershipUpdate, NewQuery,
+    NewSubRequest, ProbeResult, QueryIndex, ReplicaIndex, SubRequestIndex, TenthMillis,
 };
 use linenthread_link::Member;
 use linenthread_protocol::membership::MembershipList;
@@ -153,7 +153,7 @@
         };
         coordinator.step(inputs, &mut decisions);
         for ProbeResult { replica, .. } in &inputs.probes {
-            membership.replicas.finish_probe(*replica);
+            membership.replicas.finish_probe(replica.0);
         }
         clear(inputs);
     }
@@ -174,7 +174,7 @@
         }
         let hard_deadline = self.0.clock.now() + submission.expires_in;
         state.inputs.queries.push(NewQuery {
-            query,
+            query: QueryIndex(query),
             index: submission.index,
             customer: submission.customer,
             key: submission.key,
@@ -183,7 +183,7 @@
         });
         let sub_requests = submission.sub_requests.into_iter();
         let sub_requests = sub_requests.map(|sub_request| NewSubRequest {
-            query,
+            query: QueryIndex(query),
             shard: sub_request.shard,
             weight: sub_request.weight,
         });
@@ -203,14 +203,17 @@
     /// Answered sub-requests of a query need further attempts; called before the step that takes their results.
     pub(crate) fn continue_sub_requests(&self, query: usize, sub_requests: &[usize]) {
         self.add_input(|inputs| {
-            let continuations = sub_requests.iter().map(|&sub_request| (query, sub_request));
+            let continuations = sub_requests.iter().map(|&sub_request| Continuation {
+                query: QueryIndex(query),
+                sub_request: SubRequestIndex(sub_request),
+            });
             inputs.continuations.extend(continuations);
         });
     }
 
     /// A query's client has left.
     pub(crate) fn abandon(&self, query: usize) {
-        self.add_input(|inputs| inputs.abandoned.push(query));
+        self.add_input(|inputs| inputs.abandoned.push(QueryIndex(query)));
     }
 
     /// Probes a replica and reports the outcome.
@@ -220,7 +223,7 @@
         self.observe_outcome(replica, report.outcome, self.0.clock.now() - sent);
         self.add_input(|inputs| {
             inputs.probes.push(ProbeResult {
-                replica,
+                replica: ReplicaIndex(replica),
                 outcome: report.outcome,
                 queue_depth: report.queue_depth,
             });
--- a/crates/linenthread-service/src/query/pending_attempts.rs
+++ b/crates/linenthread-service/src/query/pending_attempts.rs
@@ -3,7 +3,9 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use linenthread_core::interface::{AttemptOutcome, AttemptResult, TenthMillis};
+use linenthread_core::interface::{
+    AttemptOutcome, AttemptResult, QueryIndex, SubRequestIndex, TenthMillis,
+};
 use tokio::time::Instant;
 
 use super::QueryContext;
@@ -88,8 +90,8 @@
         let elapsed = dispatcher.clock().now() - pending.sent;
         dispatcher.observe_outcome(pending.replica, outcome, elapsed);
         dispatcher.report_attempt(AttemptResult {
-            query: self.query,
-            sub_request: key.sub_request,
+            query: QueryIndex(self.query),
+            sub_request: SubRequestIndex(key.sub_request),
             attempt: key.attempt,
             outcome,
             elapsed,
--- a/crates/linenthread-service/src/query/task.rs
+++ b/crates/linenthread-service/src/query/task.rs
@@ -2,7 +2,7 @@
 
 use std::rc::Rc;
 
-use linenthread_core::interface::AttemptOutcome;
+use linenthread_core::interface::{AttemptOutcome, Completeness};
 use linenthread_protocol::query::Query;
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::{Instant, sleep_until};
@@ -139,8 +139,11 @@
                 replica,
                 timeout,
             } => {
-                let outgoing = self.next_attempt(sub_request);
-                let batch = batches.entry(BatchKey { replica, timeout });
+                let outgoing = self.next_attempt(sub_request.0);
+                let batch = batches.entry(BatchKey {
+                    replica: replica.0,
+                    timeout,
+                });
                 batch.or_default().push(outgoing);
             }
             Decision::Cancel {
@@ -148,13 +151,14 @@
                 attempt,
             } => {
                 let key = AttemptKey {
-                    sub_request,
+                    sub_request: sub_request.0,
                     attempt,
                 };
                 self.pending.finish(key, AttemptOutcome::Cancelled, None);
             }
-            Decision::Respond { complete } => {
-                let body = self.responses.response(complete, self.query);
+            Decision::Respond { completeness } => {
+                let is_complete = completeness == Completeness::Complete;
+                let body = self.responses.response(is_complete, self.query);
                 self.answer(QueryOutcome::Success(body));
             }
             Decision::Reject { retry_after } => {
--- a/crates/linenthread-service/src/zones_command/follower.rs
+++ b/crates/linenthread-service/src/zones_command/follower.rs
@@ -7,8 +7,10 @@
 use std::time::{Duration, Instant};
 
 use linenthread_core::interface::TenthMillis;
-use linenthread_fleet::{Fleet, FleetAction, FleetConfig, NodeIdentity};
-use linenthread_installation::{Installation, KnownIndex};
+use linenthread_fleet::{
+    ConnectionId, Fleet, FleetAction, FleetConfig, NodeIdentity, NumberedValue, PeerAddress,
+};
+use linenthread_installation::{self as file, Installation, KnownIndex};
 use linenthread_store::Directory;
 use snafu::{OptionExt, ResultExt};
 
@@ -34,7 +36,7 @@
 
 /// A connection to a voter and its number in the state machine.
 struct Connection {
-    number: u64,
+    number: ConnectionId,
     stream: TcpStream,
 }
 
@@ -55,17 +57,21 @@
         let fleet = fleet.context(NoFleetSnafu { file })?;
         let secrets = installation::link_secrets(&fleet.secret_files)?;
         let name = format!("operator-{}", std::process::id());
-        let voters = fleet.voters.into_iter();
+        let peer_address = |voter: file::Voter| PeerAddress {
+            name: voter.name,
+            address: voter.address,
+        };
         let config = FleetConfig {
             local: NodeIdentity::unknown(&name, fleet.address),
-            voters: voters.map(|voter| (voter.name, voter.address)).collect(),
+            voters: fleet.voters.into_iter().map(peer_address).collect(),
             expected_members: fleet.expected_members,
             probe_interval: PROBE_INTERVAL,
+            secrets,
+            seed,
         };
         let started = Instant::now();
         let mut actions = Vec::new();
-        let fleet =
-            Fleet::new(config, None, secrets, seed, EPOCH, &mut actions).context(FollowSnafu)?;
+        let fleet = Fleet::new(config, None, EPOCH, &mut actions).context(FollowSnafu)?;
         let mut follower = Follower {
             fleet,
             connection: None,
@@ -103,14 +109,14 @@
         }
     }
 
-    fn dial(&mut self, number: u64, address: SocketAddr, next: &mut Vec<FleetAction>) {
+    fn dial(&mut self, number: ConnectionId, address: SocketAddr, next: &mut Vec<FleetAction>) {
         match TcpStream::connect_timeout(&address, CONNECT_TIMEOUT) {
             Ok(stream) => self.connection = Some(Connection { number, stream }),
             Err(_) => self.fleet.on_closed(self.now(), number, next),
         }
     }
 
-    fn write(&mut self, number: u64, bytes: &[u8], next: &mut Vec<FleetAction>) {
+    fn write(&mut self, number: ConnectionId, bytes: &[u8], next: &mut Vec<FleetAction>) {
         let connection = self.connection.as_mut();
         let connection = connection.filter(|connection| connection.number == number);
         if connection.is_some_and(|connection| connection.stream.write_all(bytes).is_err()) {
@@ -118,7 +124,7 @@
         }
     }
 
-    fn close(&mut self, number: u64, next: &mut Vec<FleetAction>) {
+    fn close(&mut self, number: ConnectionId, next: &mut Vec<FleetAction>) {
         self.connection = None;
         self.fleet.on_closed(self.now(), number, next);
     }
@@ -152,7 +158,7 @@
     pub(super) fn orders(&self) -> Orders {
         let committed = self.value(ORDERS_TOPIC);
         committed
-            .and_then(|(_, value)| Orders::decode(value).ok())
+            .and_then(|committed| Orders::decode(&committed.value).ok())
             .unwrap_or_default()
     }
 
@@ -173,7 +179,7 @@
     }
 
     /// The committed value of a topic and its number in the log.
-    pub(super) fn value(&self, topic: &str) -> Option<(u64, &[u8])> {
+    pub(super) fn value(&self, topic: &str) -> Option<&NumberedValue> {
         self.fleet.table().value(topic)
     }
 
--- a/crates/linenthread-service/src/zones_command/mod.rs
+++ b/crates/linenthread-service/src/zones_command/mod.rs
@@ -6,6 +6,7 @@
 use std::path::Path;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
+use linenthread_fleet::NumberedValue;
 use linenthread_zones::RoutingTable;
 use snafu::ensure;
 
@@ -65,7 +66,7 @@
 
 /// The committed routing table as text, and the zones that are drained by order.
 fn describe(follower: &Follower) -> String {
-    let Some((number, value)) = follower.value(TABLE_TOPIC) else {
+    let Some(NumberedValue { number, value }) = follower.value(TABLE_TOPIC) else {
         return "no table was agreed on yet: all ways are open, the nearest first".into();
     };
     let Ok(table) = RoutingTable::decode(value) else {
--- a/crates/linenthread-service/tests/merged/cluster.rs
+++ b/crates/linenthread-service/tests/merged/cluster.rs
@@ -9,7 +9,7 @@
 };
 use serde_json::Value;
 
-use crate::{EXE, FLOOR, SHARDS, SOFT_DEADLINE_MS};
+use crate::{EXE, FLOOR, SHARDS, SOFT_DEADLINE};
 
 /// The file of the secret that signs cursors, as the installation file names it.
 const SECRET_FILE: &str = "marks.key";
@@ -29,12 +29,12 @@
         max_rows: usize,
         behavior: impl FnMut(&SubRequest) -> (Duration, Behavior) + Send + 'static,
     ) -> Cluster {
-        Cluster::start_with(SOFT_DEADLINE_MS, rows, max_rows, INSTALLATION, behavior)
+        Cluster::start_with(SOFT_DEADLINE, rows, max_rows, INSTALLATION, behavior)
     }
 
     /// As [`Cluster::start`], with another soft deadline and installation file.
     pub(crate) fn start_with(
-        soft_deadline_ms: u64,
+        soft_deadline: Duration,
         rows: RowStore,
         max_rows: usize,
         installation: &str,
@@ -51,7 +51,7 @@
         let folder = tempfile::tempdir().unwrap();
         std::fs::write(folder.path().join(SECRET_FILE), "a secret of some length\n").unwrap();
         std::fs::write(folder.path().join(INSTALLATION_FILE), installation).unwrap();
-        let config = configuration(&discovery, &known, soft_deadline_ms);
+        let config = configuration(&discovery, &known, soft_deadline);
         let arguments = ["--installation", INSTALLATION_FILE];
         let service = Service::start_in(folder, EXE, &config, &arguments);
         Cluster {
@@ -68,7 +68,7 @@
         for file in [SECRET_FILE, INSTALLATION_FILE] {
             std::fs::copy(self.service.file(file), folder.path().join(file)).unwrap();
         }
-        let config = configuration(&self.discovery, &self.known, SOFT_DEADLINE_MS);
+        let config = configuration(&self.discovery, &self.known, SOFT_DEADLINE);
         let arguments = ["--installation", INSTALLATION_FILE];
         Service::start_in(folder, EXE, &config, &arguments)
     }
@@ -97,17 +97,17 @@
     }
 }
 
-fn configuration(discovery: &ServiceDiscovery, known: &str, soft_deadline_ms: u64) -> Value {
+fn configuration(discovery: &ServiceDiscovery, known: &str, soft_deadline: Duration) -> Value {
     let class = |name| Class {
         name,
         non_idempotent: false,
-        soft_deadline_ms,
+        soft_deadline,
         floor: FLOOR,
     };
     let once_only = Class {
         name: "order",
         non_idempotent: true,
-        soft_deadline_ms,
+        soft_deadline,
         floor: 1.0,
     };
     let classes = [
--- a/crates/linenthread-service/tests/merged/main.rs
+++ b/crates/linenthread-service/tests/merged/main.rs
@@ -19,16 +19,19 @@
 const EXE: &str = env!("CARGO_BIN_EXE_linenthread");
 const SHARDS: usize = 6;
 /// A soft deadline for queries that are to lack shards.
-const SOFT_DEADLINE_MS: u64 = 400;
+const SOFT_DEADLINE: Duration = Duration::from_millis(400);
 /// A soft deadline that no stall of the machine reaches.
-const AMPLE_DEADLINE_MS: u64 = 15_000;
+const AMPLE_DEADLINE: Duration = Duration::from_secs(15);
 /// The least share of a response's weight at the indexes that may lack shards.
 const FLOOR: f64 = 0.5;
 
 /// Equal weights, as the queries have them.
 fn weights(shards: &[usize]) -> Vec<ShardWeight> {
     let weight = 1.0 / shards.len() as f64;
-    shards.iter().map(|&shard| (shard, weight)).collect()
+    shards
+        .iter()
+        .map(|&shard| ShardWeight { shard, weight })
+        .collect()
 }
 
 fn respond_at_once(_: &SubRequest) -> (Duration, Behavior) {
@@ -71,7 +74,7 @@
     };
     let rows = twelve_rows_on_two_shards();
     let installation = INSTALLATION.replace("index=\"history\"", "index=\"order\"");
-    let cluster = Cluster::start_with(AMPLE_DEADLINE_MS, rows.clone(), 2, &installation, record);
+    let cluster = Cluster::start_with(AMPLE_DEADLINE, rows.clone(), 2, &installation, record);
     let weights = weights(&[0, 1]);
     let (status, answer) = cluster.query("order", "o1", &[0, 1], "all", &json!({"rows": 5}));
     assert_eq!(status, 200, "{answer}");
@@ -92,7 +95,7 @@
 fn an_idempotent_index_gets_follow_up_requests_until_the_page_is_full() {
     let rows = twelve_rows_on_two_shards();
     let cluster = Cluster::start_with(
-        AMPLE_DEADLINE_MS,
+        AMPLE_DEADLINE,
         rows.clone(),
         2,
         INSTALLATION,
--- a/crates/linenthread-simulation/src/merged/simulation.rs
+++ b/crates/linenthread-simulation/src/merged/simulation.rs
@@ -3,8 +3,10 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use linenthread_core::interface::{AttemptOutcome, NewQuery, NewSubRequest, TenthMillis};
-use linenthread_fakes::checker::{self, PagedRead};
+use linenthread_core::interface::{
+    AttemptOutcome, Continuation, NewQuery, NewSubRequest, QueryIndex, SubRequestIndex, TenthMillis,
+};
+use linenthread_fakes::checker::{self, PagedRead, ShardWeight};
 use linenthread_fakes::row_store::{Donation, RowStore};
 use linenthread_merge::{
     Acceptance, Aggregation, CursorSigner, MergeQuery, Merger, PageRequest, Plan, QueriedShard,
@@ -58,7 +60,7 @@
 struct Client {
     ledger: RowStore,
     /// The queried shards with their weights.
-    shards: Vec<(usize, f64)>,
+    shards: Vec<ShardWeight>,
     /// The index that it reads.
     plan: usize,
     reading: PagedRead,
@@ -193,7 +195,11 @@
             rows: matches!(plan.aggregation, Aggregation::Rows(_)).then_some(page_size),
             cursor: client.cursor.clone(),
         };
-        let shards: Vec<QueriedShard> = client.shards.iter().copied().map(Into::into).collect();
+        let shards: Vec<QueriedShard> = client
+            .shards
+            .iter()
+            .map(|&ShardWeight { shard, weight }| QueriedShard { shard, weight })
+            .collect();
         let merge_query = MergeQuery {
             customer: None,
             key: None,
@@ -219,15 +225,15 @@
     fn submit(&mut self, query: usize, client: usize, merger: Merger<'p>, page_size: usize) {
         let hard_deadline = self.fleet.now + HARD_DEADLINE;
         self.fleet.inputs.queries.push(NewQuery {
-            query,
+            query: QueryIndex(query),
             index: self.clients[client].plan,
             customer: 0,
             key: Some(client as u64),
             sequence_number: query as u64,
             hard_deadline,
         });
-        let sub_request = |&(shard, weight): &(usize, f64)| NewSubRequest {
-            query,
+        let sub_request = |&ShardWeight { shard, weight }: &ShardWeight| NewSubRequest {
+            query: QueryIndex(query),
             shard,
             weight,
         };
@@ -292,7 +298,10 @@
         };
         let continuations = open.merger.take_continuations();
         self.statistics.continuations += continuations.len();
-        let continuations = continuations.into_iter().map(|index| (query, index));
+        let continuations = continuations.into_iter().map(|index| Continuation {
+            query: QueryIndex(query),
+            sub_request: SubRequestIndex(index),
+        });
         self.fleet.inputs.continuations.extend(continuations);
         self.fleet.complete(query, sub_request, attempt, outcome);
         if let Some(violation) = violation {
@@ -428,7 +437,11 @@
             .collect();
         let all: f64 = weights.iter().sum();
         let shares = weights.iter().map(|weight| weight / all);
-        self.shards = shards.into_iter().zip(shares).collect();
+        self.shards = shards
+            .into_iter()
+            .zip(shares)
+            .map(|(shard, weight)| ShardWeight { shard, weight })
+            .collect();
         // Rows are read as often as the others together.
         self.plan = [ROWS, ROWS, TOTALS, GROUPS][draw_below(rng, 4)];
         self.reading = PagedRead::new(&self.shards);
@@ -441,14 +454,14 @@
 
     /// Adds a row to one of the queried shards.
     fn add_row(&mut self, rng: &mut Rand64) {
-        let (shard, _) = self.shards[draw_below(rng, self.shards.len())];
+        let shard = self.shards[draw_below(rng, self.shards.len())].shard;
         let row = self.ledger.add(rng, shard);
         self.added.push(row);
     }
 
     /// A replica's response to a sub-request.
     fn respond(&self, sub_request: usize, text: &str) -> String {
-        let (shard, _) = self.shards[sub_request];
+        let shard = self.shards[sub_request].shard;
         self.ledger.respond(shard, text, self.max_rows)
     }
 
