--- a/crates/linenthread-service/src/dispatcher/decision.rs
+++ b/crates/linenthread-service/src/dispatcher/decision.rs
@@ -52,7 +52,7 @@
             replica,
             timeout,
         };
-        self.queries.pass_on(query.0, decision);
+        self.queries.pass_on(query, decision);
     }
 
     fn cancel(&mut self, query: QueryIndex, sub_request: SubRequestIndex, attempt: usize) {
@@ -60,34 +60,34 @@
             sub_request,
             attempt,
         };
-        self.queries.pass_on(query.0, decision);
+        self.queries.pass_on(query, decision);
     }
 
     fn respond(&mut self, query: QueryIndex, completeness: Completeness) {
         self.queries
-            .pass_on(query.0, Decision::Respond { completeness });
+            .pass_on(query, Decision::Respond { completeness });
     }
 
     fn reject(&mut self, query: QueryIndex, retry_after: Option<TenthMillis>) {
         self.queries
-            .pass_on(query.0, Decision::Reject { retry_after });
+            .pass_on(query, Decision::Reject { retry_after });
     }
 
     fn fail(&mut self, query: QueryIndex) {
-        self.queries.pass_on(query.0, Decision::Fail);
+        self.queries.pass_on(query, Decision::Fail);
     }
 
     fn release(&mut self, query: QueryIndex) {
-        self.queries.release(query.0);
+        self.queries.release(query);
     }
 
     fn probe(&mut self, replica: ReplicaIndex) {
-        self.membership.replicas.start_probe(replica.0);
-        actix_rt::spawn(self.dispatcher.clone().probe(replica.0));
+        self.membership.replicas.start_probe(replica);
+        actix_rt::spawn(self.dispatcher.clone().probe(replica));
     }
 
     fn close_idle(&mut self, replica: ReplicaIndex) {
-        self.dispatcher.0.transports.close_idle(replica.0);
+        self.dispatcher.0.transports.close_idle(replica);
     }
 
     fn watch_membership(&mut self) {
--- a/crates/linenthread-service/src/dispatcher/membership.rs
+++ b/crates/linenthread-service/src/dispatcher/membership.rs
@@ -121,7 +121,7 @@
         let started_at =
             (listed.started_at_ms > 0.0).then(|| self.clock.at_unix(listed.started_at_ms));
         Some(MembershipEntry {
-            replica: ReplicaIndex(replica),
+            replica,
             id: hash_id(&listed.id),
             replica_group: listed.replica_group,
             zone: self.zone(&listed.zone),
@@ -137,7 +137,8 @@
         for entry in entries {
             is_listed[entry.replica.0] = true;
         }
-        for replica in (0..is_listed.len()).filter(|replica| !is_listed[*replica]) {
+        let unlisted = (0..is_listed.len()).filter(|index| !is_listed[*index]);
+        for replica in unlisted.map(ReplicaIndex) {
             self.replicas.ensure_removed(replica, submitted);
             self.transports.set_route(replica, None);
         }
@@ -266,10 +267,10 @@
     }
 
     /// What a gateway reports of a replica, for the coordinator.
-    fn entry(&self, replica: usize, id: &str, member: &Member) -> MembershipEntry {
+    fn entry(&self, replica: ReplicaIndex, id: &str, member: &Member) -> MembershipEntry {
         let age = |age_ms| TenthMillis::from(age_ms) * 10;
         MembershipEntry {
-            replica: ReplicaIndex(replica),
+            replica,
             id: hash_id(id),
             replica_group: group_index(member.replica_group),
             zone: self.zone(&member.zone),
@@ -285,7 +286,7 @@
     }
 
     /// The index of a listed replica that is reached directly.
-    pub(super) fn direct_replica(&self, id: &str) -> Option<usize> {
+    pub(super) fn direct_replica(&self, id: &str) -> Option<ReplicaIndex> {
         let replica = self.replicas.get(id)?;
         let is_direct = self.local.contains_key(id) && self.transports.is_direct(replica);
         is_direct.then_some(replica)
--- a/crates/linenthread-service/src/dispatcher/mod.rs
+++ b/crates/linenthread-service/src/dispatcher/mod.rs
@@ -48,8 +48,7 @@
 
 /// A query that was submitted.
 pub(crate) struct SubmittedQuery {
-    /// The coordinator's number of it.
-    pub number: usize,
+    pub query: QueryIndex,
     /// The decisions on it. They end when it is over and none of its attempts is in flight.
     pub decisions: mpsc::UnboundedReceiver<Decision>,
 }
@@ -153,7 +152,7 @@
         };
         coordinator.step(inputs, &mut decisions);
         for ProbeResult { replica, .. } in &inputs.probes {
-            membership.replicas.finish_probe(replica.0);
+            membership.replicas.finish_probe(*replica);
         }
         clear(inputs);
     }
@@ -174,7 +173,7 @@
         }
         let hard_deadline = self.0.clock.now() + submission.expires_in;
         state.inputs.queries.push(NewQuery {
-            query: QueryIndex(query),
+            query,
             index: submission.index,
             customer: submission.customer,
             key: submission.key,
@@ -183,16 +182,13 @@
         });
         let sub_requests = submission.sub_requests.into_iter();
         let sub_requests = sub_requests.map(|sub_request| NewSubRequest {
-            query: QueryIndex(query),
+            query,
             shard: sub_request.shard,
             weight: sub_request.weight,
         });
         state.inputs.sub_requests.extend(sub_requests);
         self.0.has_input.notify_one();
-        SubmittedQuery {
-            number: query,
-            decisions,
-        }
+        SubmittedQuery { query, decisions }
     }
 
     /// An attempt has ended.
@@ -201,29 +197,32 @@
     }
 
     /// Answered sub-requests of a query need further attempts; called before the step that takes their results.
-    pub(crate) fn continue_sub_requests(&self, query: usize, sub_requests: &[usize]) {
+    pub(crate) fn continue_sub_requests(
+        &self,
+        query: QueryIndex,
+        sub_requests: &[SubRequestIndex],
+    ) {
         self.add_input(|inputs| {
-            let continuations = sub_requests.iter().map(|&sub_request| Continuation {
-                query: QueryIndex(query),
-                sub_request: SubRequestIndex(sub_request),
-            });
+            let continuations = sub_requests
+                .iter()
+                .map(|&sub_request| Continuation { query, sub_request });
             inputs.continuations.extend(continuations);
         });
     }
 
     /// A query's client has left.
-    pub(crate) fn abandon(&self, query: usize) {
-        self.add_input(|inputs| inputs.abandoned.push(QueryIndex(query)));
+    pub(crate) fn abandon(&self, query: QueryIndex) {
+        self.add_input(|inputs| inputs.abandoned.push(query));
     }
 
     /// Probes a replica and reports the outcome.
-    async fn probe(self, replica: usize) {
+    async fn probe(self, replica: ReplicaIndex) {
         let sent = self.0.clock.now();
         let report = self.0.transports.probe(replica).await;
         self.observe_outcome(replica, report.outcome, self.0.clock.now() - sent);
         self.add_input(|inputs| {
             inputs.probes.push(ProbeResult {
-                replica: ReplicaIndex(replica),
+                replica,
                 outcome: report.outcome,
                 queue_depth: report.queue_depth,
             });
@@ -231,7 +230,7 @@
     }
 
     /// A replica's id, for the log.
-    pub(crate) fn replica_id(&self, replica: usize) -> String {
+    pub(crate) fn replica_id(&self, replica: ReplicaIndex) -> String {
         let state = self.0.state.borrow();
         let id = state.membership.replicas.id(replica);
         id.unwrap_or_default().to_owned()
@@ -294,7 +293,7 @@
     }
 
     /// The index of a listed replica that is reached directly.
-    pub(crate) fn direct_replica(&self, id: &str) -> Option<usize> {
+    pub(crate) fn direct_replica(&self, id: &str) -> Option<ReplicaIndex> {
         self.0.state.borrow().membership.direct_replica(id)
     }
 }
--- a/crates/linenthread-service/src/dispatcher/open_queries.rs
+++ b/crates/linenthread-service/src/dispatcher/open_queries.rs
@@ -1,5 +1,6 @@
-//! The open queries: the number by which the coordinator knows each, and where the decisions on it go.
+//! The open queries: the index by which the coordinator knows each, and where the decisions on it go.
 
+use linenthread_core::interface::QueryIndex;
 use tokio::sync::mpsc;
 
 use super::decision::Decision;
@@ -18,26 +19,26 @@
     pub(super) completed: u64,
 }
 
-/// The open queries by their numbers, which are reused.
+/// The open queries by their indices, which are reused.
 #[derive(Default)]
 pub(super) struct OpenQueries {
     /// A query's task ends when its entry is dropped.
-    by_number: Vec<Option<OpenQuery>>,
-    free_numbers: Vec<usize>,
+    by_index: Vec<Option<OpenQuery>>,
+    free: Vec<QueryIndex>,
     /// Queries submitted so far.
     submitted: u64,
 }
 
 impl OpenQueries {
-    /// Assigns a number to a new query.
-    pub(super) fn open(&mut self, decisions: mpsc::UnboundedSender<Decision>) -> usize {
+    /// Assigns an index to a new query.
+    pub(super) fn open(&mut self, decisions: mpsc::UnboundedSender<Decision>) -> QueryIndex {
         let submitted_before = self.submitted;
         self.submitted += 1;
-        let query = self.free_numbers.pop().unwrap_or_else(|| {
-            self.by_number.push(None);
-            self.by_number.len() - 1
+        let query = self.free.pop().unwrap_or_else(|| {
+            self.by_index.push(None);
+            QueryIndex(self.by_index.len() - 1)
         });
-        self.by_number[query] = Some(OpenQuery {
+        self.by_index[query.0] = Some(OpenQuery {
             decisions,
             submitted_before,
         });
@@ -45,17 +46,17 @@
     }
 
     /// Passes a decision to the task of its query.
-    pub(super) fn pass_on(&self, query: usize, decision: Decision) {
-        if let Some(Some(open)) = self.by_number.get(query) {
+    pub(super) fn pass_on(&self, query: QueryIndex, decision: Decision) {
+        if let Some(Some(open)) = self.by_index.get(query.0) {
             open.decisions.send(decision).ok();
         }
     }
 
-    /// A query is over and none of its attempts is in flight: its number is free again.
-    pub(super) fn release(&mut self, query: usize) {
-        let open = self.by_number.get_mut(query).and_then(Option::take);
+    /// A query is over and none of its attempts is in flight: its index is free again.
+    pub(super) fn release(&mut self, query: QueryIndex) {
+        let open = self.by_index.get_mut(query.0).and_then(Option::take);
         if open.is_some() {
-            self.free_numbers.push(query);
+            self.free.push(query);
         }
     }
 
@@ -66,7 +67,7 @@
 
     /// How far the queries have come.
     pub(super) fn progress(&self) -> QueryProgress {
-        let open = self.by_number.iter().flatten();
+        let open = self.by_index.iter().flatten();
         let first_open = open.map(|open| open.submitted_before).min();
         QueryProgress {
             submitted: self.submitted,
--- a/crates/linenthread-service/src/dispatcher/zones.rs
+++ b/crates/linenthread-service/src/dispatcher/zones.rs
@@ -1,7 +1,7 @@
 //! The dispatcher's part in routing between zones: observations go to the fleet, its routing tables to the
 //! coordinator.
 
-use linenthread_core::interface::{AttemptOutcome, TenthMillis};
+use linenthread_core::interface::{AttemptOutcome, ReplicaIndex, TenthMillis};
 use linenthread_zones::RoutingTable;
 use tracing::warn;
 
@@ -46,7 +46,7 @@
     /// Counts the outcome of an attempt or a probe for the zones' report.
     pub(crate) fn observe_outcome(
         &self,
-        replica: usize,
+        replica: ReplicaIndex,
         outcome: AttemptOutcome,
         elapsed: TenthMillis,
     ) {
--- a/crates/linenthread-service/src/frontends/link/calls.rs
+++ b/crates/linenthread-service/src/frontends/link/calls.rs
@@ -2,7 +2,7 @@
 
 use std::rc::Rc;
 
-use linenthread_core::interface::{AttemptOutcome, TenthMillis};
+use linenthread_core::interface::{AttemptOutcome, ReplicaIndex, SubRequestIndex, TenthMillis};
 use linenthread_link::frame::{CallOutcome, ProbeOutcome};
 use linenthread_link::{Call, CallNumber, ConnectionId, Frame, ProbeId, SessionId};
 use tokio::sync::{Notify, mpsc};
@@ -15,7 +15,7 @@
 
 /// A call is one attempt at one sub-request.
 const ONLY_ATTEMPT: AttemptKey = AttemptKey {
-    sub_request: 0,
+    sub_request: SubRequestIndex(0),
     attempt: 0,
 };
 
@@ -52,7 +52,7 @@
     /// Makes the one attempt of a call.
     async fn attempt(
         &self,
-        replica: usize,
+        replica: ReplicaIndex,
         timeout: TenthMillis,
         call: &Call,
         cancelled: &Notify,
--- a/crates/linenthread-service/src/merge_responses.rs
+++ b/crates/linenthread-service/src/merge_responses.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 use std::time::{SystemTime, UNIX_EPOCH};
 
-use linenthread_core::interface::AttemptOutcome;
+use linenthread_core::interface::{AttemptOutcome, SubRequestIndex};
 use linenthread_merge::{
     Acceptance, CursorSigner, MergeQuery, Merger, PageRequest, Plan, QueriedShard, QueryError,
 };
@@ -110,8 +110,7 @@
 
 /// The response of one attempt.
 pub(crate) struct AttemptResponse {
-    /// The sub-request's position in its query.
-    pub sub_request: usize,
+    pub sub_request: SubRequestIndex,
     /// How many continuations of the sub-request came before.
     pub continuation: u32,
     pub outcome: AttemptOutcome,
@@ -186,15 +185,19 @@
     }
 
     /// What the next attempt at a sub-request asks; `text` is that of the query.
-    pub(crate) fn next_request(&self, sub_request: usize, text: &Rc<str>) -> AttemptRequest {
+    pub(crate) fn next_request(
+        &self,
+        sub_request: SubRequestIndex,
+        text: &Rc<str>,
+    ) -> AttemptRequest {
         match self {
             ResponseCollector::Unmerged(_) => AttemptRequest {
                 continuation: 0,
                 text: text.clone(),
             },
             ResponseCollector::Merged { merger, .. } => AttemptRequest {
-                continuation: merger.continuation(sub_request),
-                text: merger.request_text(sub_request).into(),
+                continuation: merger.continuation(sub_request.0),
+                text: merger.request_text(sub_request.0).into(),
             },
         }
     }
@@ -214,7 +217,7 @@
         let (merger, anomalies) = match self {
             ResponseCollector::Unmerged(values) => {
                 if outcome == AttemptOutcome::Success {
-                    values[sub_request].get_or_insert(value);
+                    values[sub_request.0].get_or_insert(value);
                 }
                 return outcome;
             }
@@ -223,10 +226,10 @@
             } => (merger, anomalies),
         };
         if outcome != AttemptOutcome::Success {
-            merger.fail(sub_request);
+            merger.fail(sub_request.0);
             return outcome;
         }
-        match merger.accept(sub_request, continuation, &value) {
+        match merger.accept(sub_request.0, continuation, &value) {
             Acceptance::Counted | Acceptance::Duplicate { differs: false } => outcome,
             Acceptance::Duplicate { differs: true } => {
                 anomalies.on_differing(source);
@@ -240,10 +243,13 @@
     }
 
     /// Sub-requests that have to be continued, each returned once.
-    pub(crate) fn take_continuations(&mut self) -> Vec<usize> {
+    pub(crate) fn take_continuations(&mut self) -> Vec<SubRequestIndex> {
         match self {
             ResponseCollector::Unmerged(_) => Vec::new(),
-            ResponseCollector::Merged { merger, .. } => merger.take_continuations(),
+            ResponseCollector::Merged { merger, .. } => {
+                let continued = merger.take_continuations().into_iter();
+                continued.map(SubRequestIndex).collect()
+            }
         }
     }
 
--- a/crates/linenthread-service/src/query/mod.rs
+++ b/crates/linenthread-service/src/query/mod.rs
@@ -104,17 +104,20 @@
     let Some(_open_id) = OpenId::reserve(&context, &query.id) else {
         return drop(client.send(QueryOutcome::DuplicateId));
     };
-    let SubmittedQuery { number, decisions } = context.dispatcher.submit(submission);
+    let SubmittedQuery {
+        query: index,
+        decisions,
+    } = context.dispatcher.submit(submission);
     let (finished, finished_attempts) = mpsc::unbounded_channel();
     let task = QueryTask {
         context: &context,
-        number,
+        index,
         text: query.body.as_str().into(),
         priority: priority.unwrap_or_default(),
         attempt_counts: vec![0; query.sub_requests.len()],
         query: &query,
         responses,
-        pending: PendingAttempts::new(&context, number),
+        pending: PendingAttempts::new(&context, index),
         finished,
         client: Some(client),
     };
--- a/crates/linenthread-service/src/query/pending_attempts.rs
+++ b/crates/linenthread-service/src/query/pending_attempts.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use linenthread_core::interface::{
-    AttemptOutcome, AttemptResult, QueryIndex, SubRequestIndex, TenthMillis,
+    AttemptOutcome, AttemptResult, QueryIndex, ReplicaIndex, TenthMillis,
 };
 use tokio::time::Instant;
 
@@ -21,7 +21,7 @@
 pub(super) struct PendingAttempt {
     sent: TenthMillis,
     deadline: Instant,
-    pub(super) replica: usize,
+    pub(super) replica: ReplicaIndex,
     /// How many continuations of the sub-request came before.
     pub(super) continuation: u32,
     /// `None` where it was never sent, which is reported as its outcome.
@@ -31,7 +31,7 @@
 /// What the attempts of one batch have in common; these may share a frame.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct BatchKey {
-    pub(super) replica: usize,
+    pub(super) replica: ReplicaIndex,
     pub(super) timeout: TenthMillis,
 }
 
@@ -41,8 +41,7 @@
 /// The pending attempts of one query. Each is reported as finished once.
 pub(super) struct PendingAttempts<'a> {
     context: &'a QueryContext,
-    /// The coordinator's number of the query.
-    query: usize,
+    query: QueryIndex,
     by_key: BTreeMap<AttemptKey, PendingAttempt>,
 }
 
@@ -63,7 +62,7 @@
 }
 
 impl<'a> PendingAttempts<'a> {
-    pub(super) fn new(context: &'a QueryContext, query: usize) -> Self {
+    pub(super) fn new(context: &'a QueryContext, query: QueryIndex) -> Self {
         PendingAttempts {
             context,
             query,
@@ -90,8 +89,8 @@
         let elapsed = dispatcher.clock().now() - pending.sent;
         dispatcher.observe_outcome(pending.replica, outcome, elapsed);
         dispatcher.report_attempt(AttemptResult {
-            query: QueryIndex(self.query),
-            sub_request: SubRequestIndex(key.sub_request),
+            query: self.query,
+            sub_request: key.sub_request,
             attempt: key.attempt,
             outcome,
             elapsed,
--- a/crates/linenthread-service/src/query/task.rs
+++ b/crates/linenthread-service/src/query/task.rs
@@ -2,7 +2,7 @@
 
 use std::rc::Rc;
 
-use linenthread_core::interface::{AttemptOutcome, Completeness};
+use linenthread_core::interface::{AttemptOutcome, Completeness, QueryIndex, SubRequestIndex};
 use linenthread_protocol::query::Query;
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::{Instant, sleep_until};
@@ -19,8 +19,7 @@
 /// The state of one query's task.
 pub(super) struct QueryTask<'a> {
     pub(super) context: &'a QueryContext,
-    /// The coordinator's number of the query.
-    pub(super) number: usize,
+    pub(super) index: QueryIndex,
     pub(super) query: &'a Query,
     /// What each first attempt at a sub-request carries.
     pub(super) text: Rc<str>,
@@ -70,7 +69,7 @@
         let dispatcher = &self.context.dispatcher;
         let source = || ResponseSource {
             replica: dispatcher.replica_id(replica),
-            shard: self.query.sub_requests[key.sub_request].shard,
+            shard: self.query.sub_requests[key.sub_request.0].shard,
         };
         let response = AttemptResponse {
             sub_request: key.sub_request,
@@ -82,13 +81,13 @@
         self.pending.finish(key, outcome, finished.queue_depth);
         let continuations = self.responses.take_continuations();
         if !continuations.is_empty() {
-            dispatcher.continue_sub_requests(self.number, &continuations);
+            dispatcher.continue_sub_requests(self.index, &continuations);
         }
     }
 
     fn on_client_left(&mut self) {
         self.client = None;
-        self.context.dispatcher.abandon(self.number);
+        self.context.dispatcher.abandon(self.index);
         if self.context.cancellation {
             self.pending.cancel_all();
         }
@@ -114,17 +113,17 @@
     }
 
     /// The next attempt at a sub-request.
-    fn next_attempt(&mut self, sub_request: usize) -> OutgoingSubRequest {
+    fn next_attempt(&mut self, sub_request: SubRequestIndex) -> OutgoingSubRequest {
         let AttemptRequest { continuation, text } =
             self.responses.next_request(sub_request, &self.text);
-        let attempt = self.attempt_counts[sub_request];
-        self.attempt_counts[sub_request] += 1;
+        let attempt = self.attempt_counts[sub_request.0];
+        self.attempt_counts[sub_request.0] += 1;
         OutgoingSubRequest {
             key: AttemptKey {
                 sub_request,
                 attempt,
             },
-            shard: self.query.sub_requests[sub_request].shard,
+            shard: self.query.sub_requests[sub_request.0].shard,
             continuation,
             text,
             priority: self.priority,
@@ -139,11 +138,8 @@
                 replica,
                 timeout,
             } => {
-                let outgoing = self.next_attempt(sub_request.0);
-                let batch = batches.entry(BatchKey {
-                    replica: replica.0,
-                    timeout,
-                });
+                let outgoing = self.next_attempt(sub_request);
+                let batch = batches.entry(BatchKey { replica, timeout });
                 batch.or_default().push(outgoing);
             }
             Decision::Cancel {
@@ -151,7 +147,7 @@
                 attempt,
             } => {
                 let key = AttemptKey {
-                    sub_request: sub_request.0,
+                    sub_request,
                     attempt,
                 };
                 self.pending.finish(key, AttemptOutcome::Cancelled, None);
--- a/crates/linenthread-service/src/replica_indices.rs
+++ b/crates/linenthread-service/src/replica_indices.rs
@@ -2,6 +2,8 @@
 
 use std::collections::HashMap;
 
+use linenthread_core::interface::ReplicaIndex;
+
 /// A replica that has an index.
 struct ReplicaSlot {
     id: String,
@@ -15,19 +17,19 @@
 /// The indices of replicas.
 #[derive(Default)]
 pub struct ReplicaIndices {
-    by_id: HashMap<String, usize>,
+    by_id: HashMap<String, ReplicaIndex>,
     /// By index; `None` where the index is free.
     slots: Vec<Option<ReplicaSlot>>,
 }
 
 impl ReplicaIndices {
     /// The index of an id, if it has one.
-    pub fn get(&self, id: &str) -> Option<usize> {
+    pub fn get(&self, id: &str) -> Option<ReplicaIndex> {
         self.by_id.get(id).copied()
     }
 
     /// The index of an id; one that has none is assigned the lowest that is free.
-    pub fn get_or_assign(&mut self, id: &str) -> usize {
+    pub fn get_or_assign(&mut self, id: &str) -> ReplicaIndex {
         if let Some(known) = self.get(id) {
             return known;
         }
@@ -43,13 +45,14 @@
             probes: 0,
             removed_after: None,
         });
-        self.by_id.insert(id.to_owned(), free);
-        free
+        let replica = ReplicaIndex(free);
+        self.by_id.insert(id.to_owned(), replica);
+        replica
     }
 
     /// The id of a replica, if the index is assigned.
-    pub fn id(&self, replica: usize) -> Option<&str> {
-        let slot = self.slots.get(replica)?.as_ref()?;
+    pub fn id(&self, replica: ReplicaIndex) -> Option<&str> {
+        let slot = self.slots.get(replica.0)?.as_ref()?;
         Some(&slot.id)
     }
 
@@ -59,48 +62,48 @@
     }
 
     /// A probe of a replica was sent.
-    pub fn start_probe(&mut self, replica: usize) {
+    pub fn start_probe(&mut self, replica: ReplicaIndex) {
         if let Some(slot) = self.slot(replica) {
             slot.probes += 1;
         }
     }
 
     /// The coordinator has the outcome of a probe.
-    pub fn finish_probe(&mut self, replica: usize) {
+    pub fn finish_probe(&mut self, replica: ReplicaIndex) {
         if let Some(slot) = self.slot(replica) {
             slot.probes -= 1;
         }
     }
 
     /// Marks a replica as listed: its index stays assigned.
-    pub fn set_listed(&mut self, replica: usize) {
+    pub fn set_listed(&mut self, replica: ReplicaIndex) {
         if let Some(slot) = self.slot(replica) {
             slot.removed_after = None;
         }
     }
 
     /// Marks a replica as removed after so many queries had been submitted.
-    pub fn set_removed(&mut self, replica: usize, submitted: u64) {
+    pub fn set_removed(&mut self, replica: ReplicaIndex, submitted: u64) {
         if let Some(slot) = self.slot(replica) {
             slot.removed_after = Some(submitted);
         }
     }
 
     /// Marks a replica as removed unless it already was.
-    pub fn ensure_removed(&mut self, replica: usize, submitted: u64) {
+    pub fn ensure_removed(&mut self, replica: ReplicaIndex, submitted: u64) {
         if let Some(slot) = self.slot(replica) {
             slot.removed_after = slot.removed_after.or(Some(submitted));
         }
     }
 
     /// The only place that frees indices: the first `completed` queries that were submitted are over.
-    pub fn release_unused(&mut self, completed: u64, is_vacant: impl Fn(usize) -> bool) {
-        for (replica, entry) in self.slots.iter_mut().enumerate() {
+    pub fn release_unused(&mut self, completed: u64, is_vacant: impl Fn(ReplicaIndex) -> bool) {
+        for (index, entry) in self.slots.iter_mut().enumerate() {
             let is_unused = |slot: &mut ReplicaSlot| {
                 let over = slot
                     .removed_after
                     .is_some_and(|removed_after| removed_after <= completed);
-                over && slot.probes == 0 && is_vacant(replica)
+                over && slot.probes == 0 && is_vacant(ReplicaIndex(index))
             };
             if let Some(slot) = entry.take_if(is_unused) {
                 self.by_id.remove(&slot.id);
@@ -108,7 +111,7 @@
         }
     }
 
-    fn slot(&mut self, replica: usize) -> Option<&mut ReplicaSlot> {
-        self.slots.get_mut(replica)?.as_mut()
+    fn slot(&mut self, replica: ReplicaIndex) -> Option<&mut ReplicaSlot> {
+        self.slots.get_mut(replica.0)?.as_mut()
     }
 }
--- a/crates/linenthread-service/src/transports/attempt.rs
+++ b/crates/linenthread-service/src/transports/attempt.rs
@@ -3,14 +3,14 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use linenthread_core::interface::AttemptOutcome;
+use linenthread_core::interface::{AttemptOutcome, SubRequestIndex};
 use tokio::sync::mpsc;
 
 /// Identifies an attempt within its query.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct AttemptKey {
     /// The sub-request's position in its query.
-    pub sub_request: usize,
+    pub sub_request: SubRequestIndex,
     /// The attempt's number within its sub-request.
     pub attempt: usize,
 }
--- a/crates/linenthread-service/src/transports/connection/mod.rs
+++ b/crates/linenthread-service/src/transports/connection/mod.rs
@@ -11,6 +11,7 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
+use linenthread_core::interface::ReplicaIndex;
 use linenthread_protocol::frame;
 use linenthread_protocol::hash_id;
 use tokio::sync::{Notify, oneshot};
@@ -45,7 +46,7 @@
 
 /// The state of one connection, shared by its task and the attempts on it.
 pub(in crate::transports) struct Connection {
-    pub(in crate::transports) replica: usize,
+    pub(in crate::transports) replica: ReplicaIndex,
     pub(in crate::transports) address: SocketAddr,
     sends_cancellations: bool,
     outgoing: RefCell<VecDeque<OutgoingFrame>>,
@@ -69,7 +70,7 @@
 
 impl Connection {
     pub(in crate::transports) fn new(
-        replica: usize,
+        replica: ReplicaIndex,
         address: SocketAddr,
         sends_cancellations: bool,
     ) -> Self {
--- a/crates/linenthread-service/src/transports/mod.rs
+++ b/crates/linenthread-service/src/transports/mod.rs
@@ -12,7 +12,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use linenthread_core::interface::AttemptOutcome;
+use linenthread_core::interface::{AttemptOutcome, ReplicaIndex};
 use linenthread_link::routing;
 
 use attempt::{
@@ -42,8 +42,8 @@
     direct: ReplicaConnections,
     probe_timeout: Duration,
     peers: RefCell<Vec<link::Peer>>,
-    /// Replicas that are reached over a link, by their index.
-    remote: RefCell<BTreeMap<usize, RemoteReplica>>,
+    /// Replicas that are reached over a link.
+    remote: RefCell<BTreeMap<ReplicaIndex, RemoteReplica>>,
 }
 
 /// A replica that is reached over a link.
@@ -98,12 +98,12 @@
 
     /// Closes the connections to a replica on which nothing is in flight. A link judges its own connection by
     /// heartbeats.
-    pub(crate) fn close_idle(&self, replica: usize) {
+    pub(crate) fn close_idle(&self, replica: ReplicaIndex) {
         self.0.direct.close_idle(replica);
     }
 
     /// Sets how a replica is reached from now on.
-    pub fn set_route(&self, replica: usize, route: Option<Route>) {
+    pub fn set_route(&self, replica: ReplicaIndex, route: Option<Route>) {
         let mut remote = self.0.remote.borrow_mut();
         remote.remove(&replica);
         let address = match route {
@@ -123,12 +123,12 @@
     }
 
     /// Whether a replica is not reached over a link: what arrives over a link is never sent over another.
-    pub(crate) fn is_direct(&self, replica: usize) -> bool {
+    pub(crate) fn is_direct(&self, replica: ReplicaIndex) -> bool {
         !self.0.remote.borrow().contains_key(&replica)
     }
 
     /// Whether a replica has neither a route nor a connection: its index may be reused.
-    pub(crate) fn is_vacant(&self, replica: usize) -> bool {
+    pub(crate) fn is_vacant(&self, replica: ReplicaIndex) -> bool {
         self.is_direct(replica) && self.0.direct.is_vacant(replica)
     }
 
@@ -136,7 +136,7 @@
     /// not in flight.
     pub fn send(
         &self,
-        replica: usize,
+        replica: ReplicaIndex,
         query_id: &str,
         sub_requests: &[OutgoingSubRequest],
         wait_ms: u64,
@@ -165,7 +165,7 @@
     }
 
     /// Probes a replica for its health and load.
-    pub(crate) async fn probe(&self, replica: usize) -> ProbeReport {
+    pub(crate) async fn probe(&self, replica: ReplicaIndex) -> ProbeReport {
         match self.select_link(replica) {
             Some(SelectedLink {
                 peer: Some(peer),
@@ -179,7 +179,7 @@
     }
 
     /// Selects a link to a replica; `None` where it is reached directly.
-    fn select_link(&self, replica: usize) -> Option<SelectedLink> {
+    fn select_link(&self, replica: ReplicaIndex) -> Option<SelectedLink> {
         let mut remote = self.0.remote.borrow_mut();
         let RemoteReplica {
             peers: candidates,
--- a/crates/linenthread-service/src/transports/replica_connections.rs
+++ b/crates/linenthread-service/src/transports/replica_connections.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-use linenthread_core::interface::AttemptOutcome;
+use linenthread_core::interface::{AttemptOutcome, ReplicaIndex};
 use linenthread_protocol::frame;
 use tokio::net::TcpStream;
 use tokio::time::{Instant, timeout};
@@ -55,11 +55,11 @@
     }
 
     /// Sets a replica's address; connections to an earlier one close once nothing is in flight on them.
-    pub(crate) fn set_address(&self, replica: usize, address: Option<SocketAddr>) {
+    pub(crate) fn set_address(&self, replica: ReplicaIndex, address: Option<SocketAddr>) {
         let mut endpoints = self.0.endpoints.borrow_mut();
-        let len = endpoints.len().max(replica + 1);
+        let len = endpoints.len().max(replica.0 + 1);
         endpoints.resize_with(len, Endpoint::default);
-        let endpoint = &mut endpoints[replica];
+        let endpoint = &mut endpoints[replica.0];
         if endpoint.address != address {
             endpoint.address = address;
             endpoint.last_connect_failed = false;
@@ -70,10 +70,10 @@
     }
 
     /// Whether a replica has neither an address nor a connection: its index may be reused.
-    pub(crate) fn is_vacant(&self, replica: usize) -> bool {
+    pub(crate) fn is_vacant(&self, replica: ReplicaIndex) -> bool {
         let endpoints = self.0.endpoints.borrow();
         endpoints
-            .get(replica)
+            .get(replica.0)
             .is_none_or(|endpoint| endpoint.address.is_none() && endpoint.connections.is_empty())
     }
 
@@ -81,7 +81,7 @@
     /// such, and are not in flight.
     pub(crate) fn send(
         &self,
-        replica: usize,
+        replica: ReplicaIndex,
         query_id: &str,
         sub_requests: &[OutgoingSubRequest],
         wait_ms: u64,
@@ -108,10 +108,10 @@
     }
 
     /// Closes the connections to a replica on which nothing is in flight.
-    pub(crate) fn close_idle(&self, replica: usize) {
+    pub(crate) fn close_idle(&self, replica: ReplicaIndex) {
         let endpoints = self.0.endpoints.borrow();
         let connections = endpoints
-            .get(replica)
+            .get(replica.0)
             .into_iter()
             .flat_map(|endpoint| &endpoint.connections);
         connections
@@ -120,7 +120,7 @@
     }
 
     /// Probes a replica for its health and load.
-    pub(crate) async fn probe(&self, replica: usize) -> ProbeReport {
+    pub(crate) async fn probe(&self, replica: ReplicaIndex) -> ProbeReport {
         let Some(connection) = self.connection(replica, 1, |_| true) else {
             return ProbeReport::without_load(AttemptOutcome::NotSent);
         };
@@ -139,12 +139,12 @@
     /// A suitable connection with room for `additional` more requests, or a new one.
     fn connection(
         &self,
-        replica: usize,
+        replica: ReplicaIndex,
         additional: usize,
         is_suitable: impl Fn(&Connection) -> bool,
     ) -> Option<Rc<Connection>> {
         let mut endpoints = self.0.endpoints.borrow_mut();
-        let endpoint = endpoints.get_mut(replica)?;
+        let endpoint = endpoints.get_mut(replica.0)?;
         let address = endpoint.address?;
         let config = &self.0.config;
         let has_room = |connection: &&Rc<Connection>| {
@@ -181,7 +181,7 @@
     /// Opens one more connection; `None` where there may be no more.
     fn open(
         &self,
-        replica: usize,
+        replica: ReplicaIndex,
         address: SocketAddr,
         endpoint: &mut Endpoint,
     ) -> Option<Rc<Connection>> {
@@ -232,7 +232,7 @@
 
     /// The only place that releases a connection.
     fn release(&self, connection: &Rc<Connection>) {
-        if let Some(endpoint) = self.0.endpoints.borrow_mut().get_mut(connection.replica) {
+        if let Some(endpoint) = self.0.endpoints.borrow_mut().get_mut(connection.replica.0) {
             endpoint
                 .connections
                 .retain(|other| !Rc::ptr_eq(other, connection));
@@ -243,10 +243,10 @@
     }
 
     /// Records whether the last connect to a replica failed, and returns whether the one before it did.
-    fn replace_last_connect_failed(&self, replica: usize, failed: bool) -> bool {
+    fn replace_last_connect_failed(&self, replica: ReplicaIndex, failed: bool) -> bool {
         let mut endpoints = self.0.endpoints.borrow_mut();
         endpoints
-            .get_mut(replica)
+            .get_mut(replica.0)
             .is_some_and(|endpoint| std::mem::replace(&mut endpoint.last_connect_failed, failed))
     }
 }
--- a/crates/linenthread-service/src/zone_routing.rs
+++ b/crates/linenthread-service/src/zone_routing.rs
@@ -4,7 +4,8 @@
 use std::collections::BTreeMap;
 
 use linenthread_core::interface::{
-    AttemptOutcome, MembershipEntry, MembershipUpdate, Phase, ShardLayout, TenthMillis, ZoneRoute,
+    AttemptOutcome, MembershipEntry, MembershipUpdate, Phase, ReplicaIndex, ShardLayout,
+    TenthMillis, ZoneRoute,
 };
 use linenthread_installation as file;
 use linenthread_protocol::hash_id;
@@ -70,8 +71,8 @@
     layout: ShardLayout,
     shard_count: usize,
     observer: ZoneObserver,
-    listed: BTreeMap<usize, MembershipEntry>,
-    identities: BTreeMap<usize, ReplicaIdentity>,
+    listed: BTreeMap<ReplicaIndex, MembershipEntry>,
+    identities: BTreeMap<ReplicaIndex, ReplicaIdentity>,
     table: Option<RoutingTable>,
     /// The table expires then unless it is renewed.
     expires_at: TenthMillis,
@@ -127,20 +128,20 @@
     fn on_entry(&mut self, entry: &MembershipEntry) {
         let identity = (entry.id, entry.started_at);
         // Observations of a former process or replica under this number do not hold for the new one.
-        if self.identities.insert(entry.replica.0, identity) != Some(identity) {
+        if self.identities.insert(entry.replica, identity) != Some(identity) {
             self.observer.on_replica_removed(entry.replica.0);
         }
         match entry.phase {
             Phase::Removed => {
                 self.observer.on_replica_removed(entry.replica.0);
-                self.listed.remove(&entry.replica.0);
+                self.listed.remove(&entry.replica);
             }
-            _ => drop(self.listed.insert(entry.replica.0, entry.clone())),
+            _ => drop(self.listed.insert(entry.replica, entry.clone())),
         }
     }
 
     /// The configured zone of a listed replica.
-    fn zone(&self, replica: usize) -> Option<usize> {
+    fn zone(&self, replica: ReplicaIndex) -> Option<usize> {
         let listed = self.listed.get(&replica)?;
         self.named_zones.get(listed.zone)?.configured
     }
@@ -153,13 +154,13 @@
     /// A sub-request to a replica ended after `elapsed`.
     pub(crate) fn on_outcome(
         &mut self,
-        replica: usize,
+        replica: ReplicaIndex,
         outcome: AttemptOutcome,
         elapsed: TenthMillis,
     ) {
         if let Some(zone) = self.zone(replica) {
             self.observer
-                .on_outcome(observed_zone(zone), replica, outcome, elapsed);
+                .on_outcome(observed_zone(zone), replica.0, outcome, elapsed);
         }
     }
 
@@ -171,7 +172,7 @@
         let mut by_group = vec![vec![0_u16; zone_count]; self.layout.replica_groups];
         let ready = |entry: &&MembershipEntry| entry.phase == Phase::Ready;
         for entry in self.listed.values().filter(ready) {
-            let Some(zone) = self.zone(entry.replica.0) else {
+            let Some(zone) = self.zone(entry.replica) else {
                 continue;
             };
             replicas[zone] += 1;
--- a/crates/linenthread-service/tests/replica_indices.rs
+++ b/crates/linenthread-service/tests/replica_indices.rs
@@ -1,5 +1,6 @@
 //! The indices of replicas: when they are assigned, freed and reused.
 
+use linenthread_core::interface::ReplicaIndex;
 use linenthread_service::replica_indices::ReplicaIndices;
 
 #[test]
@@ -11,18 +12,22 @@
             indices.get_or_assign("b"),
             indices.get_or_assign("a")
         ),
-        (0, 1, 0)
+        (ReplicaIndex(0), ReplicaIndex(1), ReplicaIndex(0))
     );
-    indices.start_probe(0);
-    indices.set_removed(0, 7);
+    indices.start_probe(ReplicaIndex(0));
+    indices.set_removed(ReplicaIndex(0), 7);
     indices.release_unused(7, |_| true);
-    assert_eq!(indices.get_or_assign("c"), 2, "a probe of it is in flight");
-    indices.finish_probe(0);
+    assert_eq!(
+        indices.get_or_assign("c"),
+        ReplicaIndex(2),
+        "a probe of it is in flight"
+    );
+    indices.finish_probe(ReplicaIndex(0));
     indices.release_unused(6, |_| true);
-    indices.release_unused(7, |replica| replica != 0);
+    indices.release_unused(7, |replica| replica != ReplicaIndex(0));
     assert_eq!(
         indices.get_or_assign("d"),
-        3,
+        ReplicaIndex(3),
         "a query submitted before is open, or a connection"
     );
     indices.release_unused(7, |_| true);
@@ -32,7 +37,7 @@
             indices.get_or_assign("a"),
             indices.get_or_assign("b")
         ),
-        (0, 4, 1)
+        (ReplicaIndex(0), ReplicaIndex(4), ReplicaIndex(1))
     );
     // However many come and go, no more indices are used than are needed at once.
     for n in 0..1_000 {
@@ -41,7 +46,9 @@
         indices.release_unused(n, |_| true);
     }
     assert_eq!(indices.count(), 6);
-    let assigned: Vec<_> = (0..6).filter_map(|replica| indices.id(replica)).collect();
+    let assigned: Vec<_> = (0..6)
+        .filter_map(|index| indices.id(ReplicaIndex(index)))
+        .collect();
     assert_eq!(assigned, ["e", "b", "c", "d", "a"]);
     assert!(assigned.iter().all(|id| indices.get(id).is_some()));
     assert!((0..1_000).all(|n| indices.get(&format!("n{n}")).is_none()));
--- a/crates/linenthread-service/tests/transports.rs
+++ b/crates/linenthread-service/tests/transports.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use linenthread_core::interface::AttemptOutcome;
+use linenthread_core::interface::{AttemptOutcome, ReplicaIndex, SubRequestIndex};
 use linenthread_service::transports::attempt::{
     AttemptKey, ConnectionConfig, FinishedAttempt, OutgoingSubRequest,
 };
@@ -12,6 +12,9 @@
 use tokio::net::TcpListener;
 use tokio::sync::mpsc;
 
+/// The one replica.
+const REPLICA: ReplicaIndex = ReplicaIndex(0);
+
 /// What was written completely when a connection broke, or violated the protocol, may have run; the rest never did.
 #[test]
 fn attempts_end_by_whether_their_last_byte_was_written() {
@@ -36,13 +39,13 @@
                 idle_timeout: long,
                 max_connections: 1,
             });
-            transports.set_route(0, listener.local_addr().ok().map(Route::Direct));
+            transports.set_route(REPLICA, listener.local_addr().ok().map(Route::Direct));
             let (finished, mut finished_attempts) = mpsc::unbounded_channel();
             // More than any socket's buffers hold.
             let text: Rc<str> = "x".repeat(60_000).into();
             let outgoing = |sub_request| OutgoingSubRequest {
                 key: AttemptKey {
-                    sub_request,
+                    sub_request: SubRequestIndex(sub_request),
                     attempt: 0,
                 },
                 shard: sub_request,
@@ -51,7 +54,7 @@
                 priority: 0,
             };
             let send =
-                |sub_request| transports.send(0, "l", &[outgoing(sub_request)], 9, &finished);
+                |sub_request| transports.send(REPLICA, "l", &[outgoing(sub_request)], 9, &finished);
             let in_flight: Vec<_> = (0..500).map(send).collect();
             let (mut replica, _) = listener.accept().await.unwrap();
             replica.read_exact(&mut vec![0; 61_000]).await.unwrap();
@@ -60,7 +63,7 @@
             let mut outcomes = vec![None; 500];
             for _ in 0..500 {
                 let FinishedAttempt { key, outcome, .. } = finished_attempts.recv().await.unwrap();
-                let earlier = outcomes[key.sub_request].replace(outcome);
+                let earlier = outcomes[key.sub_request.0].replace(outcome);
                 assert_eq!(earlier, None, "each ends once");
             }
             assert_eq!(
