--- a/crates/linenthread-service/src/fleet/error.rs
+++ b/crates/linenthread-service/src/fleet/error.rs
@@ -51,7 +51,7 @@
     },
     /// The thread has ended before the member was started.
     #[snafu(display("the fleet's thread ended"))]
-    ThreadEnded,
+    ThreadExited,
 }
 
 /// Why a voter's directory could not be opened.
--- a/crates/linenthread-service/src/fleet/mod.rs
+++ b/crates/linenthread-service/src/fleet/mod.rs
@@ -129,7 +129,7 @@
         .name("fleet".into())
         .spawn(run)
         .context(SpawnSnafu)?;
-    started.recv().map_err(|_| StartError::ThreadEnded)??;
+    started.recv().map_err(|_| StartError::ThreadExited)??;
     Ok(FleetHandle { sender, ended })
 }
 
--- a/crates/linenthread-service/src/fleet/orders.rs
+++ b/crates/linenthread-service/src/fleet/orders.rs
@@ -13,10 +13,10 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub(crate) struct Orders {
     pub drained: BTreeSet<String>,
-    /// Number of the last order that was carried out or refused.
-    pub last: u64,
-    /// Why the last order was refused; empty if it was carried out.
-    pub refused: String,
+    /// Number of the last order that was carried out or rejected.
+    pub last_order: u64,
+    /// Why the last order was rejected; empty if it was carried out.
+    pub rejection: String,
 }
 
 impl Orders {
@@ -24,8 +24,8 @@
         let mut encoder = Encoder::new();
         encoder.u16(u16::try_from(self.drained.len()).unwrap_or(u16::MAX));
         self.drained.iter().for_each(|zone| encoder.text(zone));
-        encoder.u64(self.last);
-        encoder.text(&self.refused);
+        encoder.u64(self.last_order);
+        encoder.text(&self.rejection);
         encoder.into_bytes()
     }
 
@@ -35,8 +35,8 @@
         for _ in 0..decoder.u16()? {
             orders.drained.insert(decoder.text()?);
         }
-        orders.last = decoder.u64()?;
-        orders.refused = decoder.text()?;
+        orders.last_order = decoder.u64()?;
+        orders.rejection = decoder.text()?;
         decoder.finish()?;
         Ok(orders)
     }
--- a/crates/linenthread-service/src/fleet/zone_decisions.rs
+++ b/crates/linenthread-service/src/fleet/zone_decisions.rs
@@ -27,19 +27,19 @@
     }
 }
 
-/// Carries out one operator's order, or notes why it is refused.
+/// Carries out one operator's order, or records why it is rejected.
 fn apply_order(topology: &Topology, orders: &mut Orders, order: Order) {
-    orders.last = order.number;
-    orders.refused.clear();
+    orders.last_order = order.number;
+    orders.rejection.clear();
     let zone = order.zone;
     match order.change {
         ZoneChange::Drain => match topology.may_drain(&zone, &orders.drained) {
             Ok(()) => drop(orders.drained.insert(zone)),
-            Err(error) => orders.refused = error.to_string(),
+            Err(error) => orders.rejection = error.to_string(),
         },
         ZoneChange::Return => {
             if !orders.drained.remove(&zone) {
-                orders.refused = format!("zone {zone} is not drained");
+                orders.rejection = format!("zone {zone} is not drained");
             }
         }
     }
@@ -59,7 +59,7 @@
             },
             ORDERS_TOPIC => {
                 if let Ok(orders) = Orders::decode(&value) {
-                    info!(number, drained = ?orders.drained, refused = orders.refused, "orders on zones");
+                    info!(number, drained = ?orders.drained, refused = orders.rejection, "orders on zones");
                 }
             }
             _ => {}
@@ -111,7 +111,7 @@
         let Some(topology) = self.0.topology.borrow().clone() else {
             return;
         };
-        self.carry_out_orders(&topology);
+        self.apply_pending_orders(&topology);
         self.propose_table(zones, &topology, now);
     }
 
@@ -155,7 +155,7 @@
     }
 
     /// Carries out the latest of the pending orders; an operator whose order is dropped sends it again.
-    fn carry_out_orders(&self, topology: &Topology) {
+    fn apply_pending_orders(&self, topology: &Topology) {
         let (number, mut orders) = self.committed_orders();
         let pending = self.0.pending_orders.take();
         let Some(latest) = pending.last() else {
--- a/crates/linenthread-service/src/frontends/http/connection.rs
+++ b/crates/linenthread-service/src/frontends/http/connection.rs
@@ -49,8 +49,8 @@
     reader: RefCell<Option<Waker>>,
     /// The client left while its request was awaiting the response.
     client_left: Notify,
-    /// Its request was refused: nothing more is read, and what was read with it is ignored.
-    is_refused: Cell<bool>,
+    /// Its request was rejected: nothing more is read, and what was read with it is ignored.
+    discards_input: Cell<bool>,
 }
 
 impl ClientConnection {
@@ -63,7 +63,7 @@
             is_evicted: Cell::new(false),
             reader: RefCell::new(None),
             client_left: Notify::new(),
-            is_refused: Cell::new(false),
+            discards_input: Cell::new(false),
         }
     }
 
@@ -100,13 +100,13 @@
         self.wake();
     }
 
-    /// Its request is refused, and with it whatever else was sent on the connection.
-    pub(super) fn refuse(&self) {
-        self.is_refused.set(true);
+    /// Its request is rejected, and with it whatever else was sent on the connection.
+    pub(super) fn discard_input(&self) {
+        self.discards_input.set(true);
     }
 
-    pub(super) fn is_refused(&self) -> bool {
-        self.is_refused.get()
+    pub(super) fn discards_input(&self) -> bool {
+        self.discards_input.get()
     }
 
     /// Waits until the client leaves while its request awaits the response.
@@ -217,7 +217,7 @@
         cx: &mut Context<'_>,
         buf: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
-        if self.connection.is_refused.get() {
+        if self.connection.discards_input.get() {
             return Poll::Ready(Ok(()));
         }
         if self.connection.state.get() == ConnectionState::AwaitingResponse {
--- a/crates/linenthread-service/src/frontends/http/mod.rs
+++ b/crates/linenthread-service/src/frontends/http/mod.rs
@@ -48,7 +48,7 @@
     is_stopping: Cell<bool>,
     /// A connection has closed.
     closed: Notify,
-    refused_lines: LogRateLimit,
+    error_lines: LogRateLimit,
     full_lines: LogRateLimit,
 }
 
@@ -67,7 +67,7 @@
             max_spent,
             is_stopping: Cell::new(false),
             closed: Notify::new(),
-            refused_lines: LogRateLimit::default(),
+            error_lines: LogRateLimit::default(),
             full_lines: LogRateLimit::default(),
         }))
     }
--- a/crates/linenthread-service/src/frontends/http/request.rs
+++ b/crates/linenthread-service/src/frontends/http/request.rs
@@ -15,7 +15,7 @@
 use crate::dispatcher::{QuerySubmission, SubRequestSubmission};
 use crate::query::{QueryContext, QueryRequest};
 
-/// Why a request is refused. The text is sent to the client.
+/// Why a request is rejected. The text is sent to the client.
 #[derive(Debug, Snafu)]
 pub(super) enum RequestError {
     #[snafu(display("the body does not come"))]
--- a/crates/linenthread-service/src/frontends/http/response.rs
+++ b/crates/linenthread-service/src/frontends/http/response.rs
@@ -1,4 +1,4 @@
-//! Responds to requests: health, queries by their outcomes, and refusals.
+//! Responds to requests: health, queries by their outcomes, and rejections of bad ones.
 
 use actix_http::body::BoxBody;
 use actix_http::header::HeaderValue;
@@ -26,7 +26,7 @@
             }
             (protocol::HEALTH_PATH, &Method::GET) => Response::ok(),
             (protocol::HEALTH_PATH, _) => Response::new(StatusCode::METHOD_NOT_ALLOWED),
-            _ if client.is_refused() => Response::new(StatusCode::BAD_REQUEST),
+            _ if client.discards_input() => Response::new(StatusCode::BAD_REQUEST),
             (_, &Method::POST) => self.respond_to_query(request, client).await,
             _ => Response::new(StatusCode::METHOD_NOT_ALLOWED),
         };
@@ -45,11 +45,11 @@
     ) -> Response<BoxBody> {
         let body = match request::read_body(&mut request, client.request_deadline()).await {
             Ok(body) => body,
-            Err(error) => return self.refuse(client, &error),
+            Err(error) => return self.respond_with_error(client, &error),
         };
         let query = match request::decode(&request, &body, &self.0.context) {
             Ok(query) => query,
-            Err(error) => return self.refuse(client, &error),
+            Err(error) => return self.respond_with_error(client, &error),
         };
         drop((request, body));
         client.on_request_complete();
@@ -57,8 +57,10 @@
             QueryOutcome::Success(body) => success(body),
             QueryOutcome::Rejected { retry_after_ms } => rejected(retry_after_ms),
             QueryOutcome::Failed => empty(StatusCode::BAD_GATEWAY),
-            QueryOutcome::DuplicateId => self.refuse(client, &RequestError::DuplicateId),
-            QueryOutcome::Invalid(error) => self.refuse(client, &error.into()),
+            QueryOutcome::DuplicateId => {
+                self.respond_with_error(client, &RequestError::DuplicateId)
+            }
+            QueryOutcome::Invalid(error) => self.respond_with_error(client, &error.into()),
         }
     }
 
@@ -73,17 +75,22 @@
         }
     }
 
-    /// Refuses a request: the reason goes to the client and, at a bounded rate, to the log. The connection ends
+    /// Rejects a bad request: the reason goes to the client and, at a bounded rate, to the log. The connection ends
     /// with it, and so does whatever else was sent on it.
-    fn refuse(&self, client: &ClientConnection, error: &RequestError) -> Response<BoxBody> {
-        let (status, why) = (error.status(), error.to_string());
-        if let Some(left_out) = self.0.refused_lines.admit() {
+    fn respond_with_error(
+        &self,
+        client: &ClientConnection,
+        error: &RequestError,
+    ) -> Response<BoxBody> {
+        let status = error.status();
+        let why = error.to_string();
+        if let Some(left_out) = self.0.error_lines.admit() {
             info!(
                 status = status.as_u16(),
                 left_out, "request not taken: {why}"
             );
         }
-        client.refuse();
+        client.discard_input();
         Response::build(status)
             .force_close()
             .body(why)
--- a/crates/linenthread-service/src/frontends/link/calls.rs
+++ b/crates/linenthread-service/src/frontends/link/calls.rs
@@ -77,7 +77,7 @@
         tokio::select! {
             Some(finished) = finished_attempts.recv() => finished,
             () = sleep(wait) => {
-                in_flight.iter().flatten().for_each(InFlightAttempt::on_timed_out);
+                in_flight.iter().flatten().for_each(InFlightAttempt::on_timeout);
                 FinishedAttempt::without_value(ONLY_ATTEMPT, AttemptOutcome::TimedOut)
             }
             () = cancelled.notified() => {
--- a/crates/linenthread-service/src/frontends/link/connection.rs
+++ b/crates/linenthread-service/src/frontends/link/connection.rs
@@ -173,7 +173,7 @@
         }
     }
 
-    /// Passes the complete frames in `received` to the state machine. A frame that cannot be read is refused, and
+    /// Passes the complete frames in `received` to the state machine. A frame that cannot be read is rejected, and
     /// closes the connection.
     fn on_received(&self, id: ConnectionId, connection: &Connection, received: &mut Vec<u8>) {
         let take = |frame| {
--- a/crates/linenthread-service/src/migrate.rs
+++ b/crates/linenthread-service/src/migrate.rs
@@ -13,7 +13,7 @@
 use crate::config::{Config, ConfigError};
 
 /// Exit code if something could not be carried over; the lists say what.
-const LEFT_OUT: u8 = 3;
+const INCOMPLETE: u8 = 3;
 /// Exit code if nothing can be written.
 const FAILED: u8 = 2;
 
@@ -50,7 +50,7 @@
     new: Value,
     /// The shards that each replica must load before the new file can be served.
     moves: Vec<String>,
-    left_out: Vec<String>,
+    omitted: Vec<String>,
 }
 
 /// Consecutive groups become one set: group g of a ring with r groups in a row for each shard goes to set g / r, so
@@ -69,7 +69,7 @@
         replication_factor: 1,
     };
     let mut new: Value = serde_json::from_slice(text).context(ParseSnafu)?;
-    let left_out = remove_load_reports(&mut new);
+    let omitted = remove_load_reports(&mut new);
     let layout_settings = &mut new["settings"]["family-info"];
     layout_settings["cells"] = json!(sets.replica_groups);
     layout_settings["in-a-row"] = json!(sets.replication_factor);
@@ -91,7 +91,7 @@
     Ok(Some(Converted {
         new,
         moves,
-        left_out,
+        omitted,
     }))
 }
 
@@ -99,11 +99,11 @@
 fn remove_load_reports(new: &mut Value) -> Vec<String> {
     let telemetry = &mut new["settings"]["telemetry"];
     let names = telemetry["names"].as_array().into_iter().flatten();
-    let left_out = names
+    let omitted = names
         .map(|name| format!("settings: telemetry.names: {name}: replicas report no load there"))
         .collect();
     *telemetry = json!({"names": [], "source": "none"});
-    left_out
+    omitted
 }
 
 /// The shards that a replica has to load and those that it may drop. `holds` says of a shard whether the replica's
@@ -152,16 +152,16 @@
     for line in &converted.moves {
         println!("to move: {line}");
     }
-    for line in &converted.left_out {
+    for line in &converted.omitted {
         println!("left out: {line}");
     }
-    Ok(!converted.left_out.is_empty())
+    Ok(!converted.omitted.is_empty())
 }
 
 /// Runs the command: exit code 0, 3 if something was left out, 2 if nothing could be written.
 pub fn run(old: &Path, output: Option<&Path>, dry_run: bool) -> ExitCode {
     match migrate(old, output, dry_run) {
-        Ok(true) => ExitCode::from(LEFT_OUT),
+        Ok(true) => ExitCode::from(INCOMPLETE),
         Ok(false) => ExitCode::SUCCESS,
         Err(error) => {
             eprintln!("linenthread: {error}");
--- a/crates/linenthread-service/src/query/pending_attempts.rs
+++ b/crates/linenthread-service/src/query/pending_attempts.rs
@@ -56,7 +56,7 @@
             && was_given_up
             && Instant::now() + DEADLINE_TOLERANCE >= self.deadline
         {
-            in_flight.on_timed_out();
+            in_flight.on_timeout();
         }
     }
 }
--- a/crates/linenthread-service/src/transports/connection/error.rs
+++ b/crates/linenthread-service/src/transports/connection/error.rs
@@ -18,7 +18,7 @@
     #[snafu(display("{source}"))]
     Io { source: io::Error },
     #[snafu(display("the replica could not use a frame: {message}"))]
-    FrameRefused { message: String },
+    FrameRejected { message: String },
     #[snafu(display("{source}"))]
     Decode { source: frame::FrameError },
     #[snafu(display("a frame does not come whole"))]
@@ -48,7 +48,7 @@
             | ConnectionError::ConnectTimeout
             | ConnectionError::Closed
             | ConnectionError::Io { .. }
-            | ConnectionError::FrameRefused { .. } => ConnectionEnd::Lost,
+            | ConnectionError::FrameRejected { .. } => ConnectionEnd::Lost,
             ConnectionError::Decode { .. }
             | ConnectionError::IncompleteFrame
             | ConnectionError::UnsolicitedData
--- a/crates/linenthread-service/src/transports/connection/in_flight.rs
+++ b/crates/linenthread-service/src/transports/connection/in_flight.rs
@@ -20,7 +20,7 @@
 
 impl InFlightAttempt {
     /// Marks the connection as silent where nothing was read since the attempt was sent.
-    pub(crate) fn on_timed_out(&self) {
+    pub(crate) fn on_timeout(&self) {
         self.connection.set_silent_since(self.sent);
     }
 }
--- a/crates/linenthread-service/src/transports/connection/messages.rs
+++ b/crates/linenthread-service/src/transports/connection/messages.rs
@@ -4,7 +4,7 @@
 use linenthread_protocol::frame::ReplicaMessage;
 use linenthread_protocol::hash_id;
 
-use super::error::{FrameRefusedSnafu, PrematureResponseSnafu, UnknownResponseSnafu};
+use super::error::{FrameRejectedSnafu, PrematureResponseSnafu, UnknownResponseSnafu};
 use super::frame_writer::{FrameContents, OutgoingFrame, SentAttempt};
 use super::{Connection, ConnectionEnd, ConnectionError};
 use crate::transports::attempt::{FinishedAttempt, ProbeReport};
@@ -60,7 +60,7 @@
                 }
                 Ok(())
             }
-            ReplicaMessage::ProtocolError(message) => FrameRefusedSnafu { message }.fail(),
+            ReplicaMessage::ProtocolError(message) => FrameRejectedSnafu { message }.fail(),
         }
     }
 
--- a/crates/linenthread-service/src/transports/link/connection.rs
+++ b/crates/linenthread-service/src/transports/link/connection.rs
@@ -46,7 +46,7 @@
                 () = sleep_until(self.next_timeout()) => self.act(LinkClient::on_timeout),
                 () = self.0.wake.notified() => {}
             }
-            if self.0.wants_connection.take() {
+            if self.0.connect_requested.take() {
                 let cause = match self.connect().await {
                     Ok(stream) => self.exchange(stream).await,
                     Err(error) => error,
--- a/crates/linenthread-service/src/transports/link/mod.rs
+++ b/crates/linenthread-service/src/transports/link/mod.rs
@@ -52,7 +52,7 @@
     probes: RefCell<BTreeMap<ProbeId, oneshot::Sender<ProbeReport>>>,
     outgoing: RefCell<VecDeque<Frame>>,
     /// The client wants to connect.
-    wants_connection: Cell<bool>,
+    connect_requested: Cell<bool>,
     /// The client wants to close the connection.
     close_reason: RefCell<Option<ClientCloseReason>>,
     /// Wakes the link's task.
@@ -74,7 +74,7 @@
 impl InFlightAttempt {
     /// Nothing: a link judges its connection by heartbeats, and not by its calls.
     #[expect(clippy::unused_self, reason = "attempts of both kinds are told")]
-    pub(in crate::transports) fn on_timed_out(&self) {}
+    pub(in crate::transports) fn on_timeout(&self) {}
 }
 
 impl Drop for InFlightAttempt {
@@ -113,7 +113,7 @@
             calls: RefCell::default(),
             probes: RefCell::default(),
             outgoing: RefCell::default(),
-            wants_connection: Cell::new(false),
+            connect_requested: Cell::new(false),
             close_reason: RefCell::default(),
             wake: Notify::new(),
             events,
@@ -144,7 +144,7 @@
 
     fn perform(&self, action: ClientAction) {
         match action {
-            ClientAction::Connect => self.0.wants_connection.set(true),
+            ClientAction::Connect => self.0.connect_requested.set(true),
             ClientAction::Close(reason) => drop(self.0.close_reason.replace(Some(reason))),
             ClientAction::Send(frame) => self.0.outgoing.borrow_mut().push_back(frame),
             ClientAction::CallCompleted {
--- a/crates/linenthread-service/src/transports/mod.rs
+++ b/crates/linenthread-service/src/transports/mod.rs
@@ -71,10 +71,10 @@
 
 impl InFlightAttempt {
     /// The attempt has run out of time, which may say something of what it travels on.
-    pub(crate) fn on_timed_out(&self) {
+    pub(crate) fn on_timeout(&self) {
         match &self.0 {
-            AttemptOn::Connection(attempt) => attempt.on_timed_out(),
-            AttemptOn::Link(attempt) => attempt.on_timed_out(),
+            AttemptOn::Connection(attempt) => attempt.on_timeout(),
+            AttemptOn::Link(attempt) => attempt.on_timeout(),
         }
     }
 }
--- a/crates/linenthread-service/src/zone_routing.rs
+++ b/crates/linenthread-service/src/zone_routing.rs
@@ -210,7 +210,7 @@
             .collect()
     }
 
-    /// Puts a table in force; one for other zones than the configured ones is refused with `false`.
+    /// Puts a table in force; returns whether it did, as one for other zones than the configured ones is rejected.
     pub(crate) fn accept_table(&mut self, table: RoutingTable, now: TenthMillis) -> bool {
         let configured = self.zones.iter().map(|zone| &zone.name);
         let is_applicable = table.zones.iter().eq(configured);
--- a/crates/linenthread-service/src/zones_command/error.rs
+++ b/crates/linenthread-service/src/zones_command/error.rs
@@ -36,9 +36,9 @@
         /// What is wrong.
         source: OpenError,
     },
-    /// The leader has refused the order.
+    /// The leader has rejected the order.
     #[snafu(display("refused: {reason}"))]
-    Refused {
+    Rejected {
         /// The leader's reason.
         reason: String,
     },
--- a/crates/linenthread-service/src/zones_command/follower.rs
+++ b/crates/linenthread-service/src/zones_command/follower.rs
@@ -20,13 +20,13 @@
 use crate::installation;
 
 /// Once no further value came for so long, all committed ones are here.
-const QUIET_PERIOD: Duration = Duration::from_millis(400);
+const IDLE_PERIOD: Duration = Duration::from_millis(400);
 /// Time for a connection to a voter.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 /// Longest wait for bytes before timers are looked at again.
 const READ_TIMEOUT: Duration = Duration::from_millis(50);
 /// Pause while there is no connection.
-const RECONNECT_PAUSE: Duration = Duration::from_millis(20);
+const RECONNECT_BACKOFF: Duration = Duration::from_millis(20);
 /// Size of the read buffer.
 const READ_BUFFER_BYTES: usize = 64 * 1024;
 /// The command's clock starts here: 0 stands for long ago.
@@ -135,7 +135,7 @@
         self.fleet.wake(now, &mut actions);
         self.execute(actions);
         let Some(Connection { number, stream }) = &mut self.connection else {
-            std::thread::sleep(RECONNECT_PAUSE);
+            std::thread::sleep(RECONNECT_BACKOFF);
             return;
         };
         let number = *number;
@@ -165,7 +165,7 @@
     /// Whether values were received, and no more come.
     pub(super) fn is_up_to_date(&self) -> bool {
         self.received_at
-            .is_some_and(|received| received.elapsed() > QUIET_PERIOD)
+            .is_some_and(|received| received.elapsed() > IDLE_PERIOD)
     }
 
     /// How long it has been following.
--- a/crates/linenthread-service/src/zones_command/mod.rs
+++ b/crates/linenthread-service/src/zones_command/mod.rs
@@ -11,7 +11,7 @@
 use snafu::ensure;
 
 use crate::fleet::{Order, Orders, TABLE_TOPIC, ZoneChange};
-use error::RefusedSnafu;
+use error::RejectedSnafu;
 pub use error::ZonesError;
 use follower::Follower;
 
@@ -37,7 +37,7 @@
 ///
 /// # Errors
 ///
-/// The file is bad, no voter could be reached, or the order was refused.
+/// The file is bad, no voter could be reached, or the order was rejected.
 pub fn run(file: &Path, action: &ZonesAction) -> Result<String, ZonesError> {
     let seed = handshake_seed();
     let mut follower = Follower::start(file, seed)?;
@@ -48,8 +48,8 @@
     };
     match action {
         ZonesAction::Show => show(&mut follower),
-        ZonesAction::Drain(zone) => carry_out(&mut follower, &order(zone, ZoneChange::Drain)),
-        ZonesAction::Return(zone) => carry_out(&mut follower, &order(zone, ZoneChange::Return)),
+        ZonesAction::Drain(zone) => submit(&mut follower, &order(zone, ZoneChange::Drain)),
+        ZonesAction::Return(zone) => submit(&mut follower, &order(zone, ZoneChange::Return)),
     }
 }
 
@@ -100,7 +100,7 @@
 }
 
 /// Sends an order, again and again, until the leader has carried it out.
-fn carry_out(follower: &mut Follower, order: &Order) -> Result<String, ZonesError> {
+fn submit(follower: &mut Follower, order: &Order) -> Result<String, ZonesError> {
     let mut sent_at: Option<Instant> = None;
     while follower.elapsed() < COMMAND_TIMEOUT {
         follower.poll();
@@ -109,9 +109,13 @@
             sent_at = Some(Instant::now());
             follower.report(order.encode());
         }
-        let Orders { last, refused, .. } = follower.orders();
-        if last == order.number {
-            ensure!(refused.is_empty(), RefusedSnafu { reason: refused });
+        let Orders {
+            last_order,
+            rejection,
+            ..
+        } = follower.orders();
+        if last_order == order.number {
+            ensure!(rejection.is_empty(), RejectedSnafu { reason: rejection });
             let outcome = match order.change {
                 ZoneChange::Drain => "is left",
                 ZoneChange::Return => "returns in steps",
--- a/crates/linenthread-service/tests/merged/pages.rs
+++ b/crates/linenthread-service/tests/merged/pages.rs
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn a_cursor_that_was_not_given_for_its_query_is_refused() {
+fn a_cursor_that_was_not_issued_for_its_query_is_rejected() {
     let cluster = start();
     let cursor = next_cursor(&first_page(&cluster));
     let other_end = if cursor.ends_with("AA") { "BB" } else { "AA" };
@@ -108,7 +108,7 @@
 }
 
 #[test]
-fn pages_that_an_index_does_not_have_are_refused() {
+fn pages_that_an_index_does_not_have_are_rejected() {
     let cluster = start();
     let too_many_rows = json!({"rows": 101});
     let (status, message) =
--- a/crates/linenthread-service/tests/service/queries.rs
+++ b/crates/linenthread-service/tests/service/queries.rs
@@ -250,7 +250,7 @@
 }
 
 #[test]
-fn an_id_is_refused_while_its_query_is_open_and_free_again_afterwards() {
+fn an_id_is_rejected_while_its_query_is_open_and_free_again_afterwards() {
     let cluster = Cluster::start(2);
     let mut open = cluster.query("find", "h3", &[0]);
     assert_eq!(cluster.query("find", "h3", &[0]).status(), 409);
