--- a/crates/linenthread-protocol/src/frame.rs
+++ b/crates/linenthread-protocol/src/frame.rs
@@ -13,8 +13,8 @@
 /// Longer frames from a replica, in bytes, are not read: no response to a client has room for more than 64 KiB.
 const MAX_FRAME_BYTES: usize = 65 * 1024;
 
-/// Of a replica's complaint, so many characters are kept.
-const MAX_COMPLAINT_CHARACTERS: usize = 80;
+/// Of a replica's reason for a protocol error, so many characters are kept.
+const MAX_REASON_CHARACTERS: usize = 80;
 
 /// The kinds of frames.
 mod kind {
@@ -29,7 +29,7 @@
     /// From a replica: the response to a sub-request.
     pub(super) const RESPONSE: u8 = b'E';
     /// From a replica: the frame before could not be used.
-    pub(super) const COMPLAINT: u8 = b'F';
+    pub(super) const PROTOCOL_ERROR: u8 = b'F';
 }
 
 /// What a replica sends.
@@ -84,11 +84,11 @@
         /// The first field that is missing.
         field: &'static str,
     },
-    /// A response's outcome is none of the protocol's words.
-    #[snafu(display("an answer cannot end with {word:.20?}"))]
+    /// A response's outcome is none of the protocol's.
+    #[snafu(display("an answer cannot end with {outcome:.20?}"))]
     Outcome {
-        /// The word.
-        word: String,
+        /// What stands in its place.
+        outcome: String,
     },
     /// A response's score is no number.
     #[snafu(display("an answer's score cannot be {score:.20?}"))]
@@ -103,22 +103,33 @@
     [&length.to_be_bytes()[..], &[kind], payload].concat()
 }
 
-/// The id of a sub-request on the wire. One that is sent once more, for a continuation, has another id each
-/// time, so that a late response to an earlier round is recognised.
-pub fn sub_request_id(query: &str, shard: usize, round: u32) -> String {
-    match round {
+/// The id of a sub-request on the wire. Each continuation of it, numbered from 1, has another id, so that a late
+/// response to an earlier one is recognised.
+pub fn sub_request_id(query: &str, shard: usize, continuation: u32) -> String {
+    match continuation {
         0 => format!("{query}.{shard}"),
-        _ => format!("{query}.{shard}.{round}"),
+        _ => format!("{query}.{shard}.{continuation}"),
     }
 }
 
-/// Encodes sub-requests, each an id, a shard and a body, that are waited for `wait_ms` milliseconds.
+/// One sub-request as a replica gets it.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct SubRequest<'a> {
+    /// Its id, see [`sub_request_id`].
+    pub id: &'a str,
+    /// The shard that it is for.
+    pub shard: usize,
+    /// What is asked of the shard.
+    pub body: &'a str,
+}
+
+/// Encodes sub-requests that are waited for `wait_ms` milliseconds.
 pub fn encode_requests<'a>(
-    sub_requests: impl Iterator<Item = (&'a str, usize, &'a str)>,
+    sub_requests: impl Iterator<Item = SubRequest<'a>>,
     wait_ms: u64,
 ) -> Vec<u8> {
     let mut payload = Vec::new();
-    for (id, shard, body) in sub_requests {
+    for SubRequest { id, shard, body } in sub_requests {
         let line = format!("{id} {shard} d={wait_ms} {}\n", body.len());
         payload.extend_from_slice(line.as_bytes());
         payload.extend_from_slice(body.as_bytes());
@@ -145,7 +156,7 @@
     let Some(length) = read.first_chunk::<LENGTH_BYTES>() else {
         return Ok(None);
     };
-    let length = u32::from_be_bytes(*length) as usize;
+    let length = usize::try_from(u32::from_be_bytes(*length)).unwrap_or(usize::MAX);
     ensure!(
         (1..=MAX_FRAME_BYTES).contains(&length),
         LengthSnafu { length }
@@ -159,9 +170,9 @@
     match kind {
         kind::RESPONSE => decode_response(payload).map(Some),
         kind::PROBE_RESULT | kind::PROBE => Ok(Some(decode_probe_response(&payload))),
-        kind::COMPLAINT => {
-            let complaint = text(&payload)?.chars().take(MAX_COMPLAINT_CHARACTERS);
-            Ok(Some(ReplicaMessage::ProtocolError(complaint.collect())))
+        kind::PROTOCOL_ERROR => {
+            let reason = text(&payload)?.chars().take(MAX_REASON_CHARACTERS);
+            Ok(Some(ReplicaMessage::ProtocolError(reason.collect())))
         }
         other => KindSnafu { letter: other }.fail(),
     }
@@ -177,33 +188,35 @@
     let mut fields = line.splitn(4, |byte| *byte == b' ');
     let mut next = |field: &'static str| fields.next().context(MissingFieldSnafu { field });
     let id = text(next("id")?)?;
-    let word = text(next("end")?)?;
+    let outcome_text = text(next("end")?)?;
     let score = text(next("score")?)?;
     let report = next("report")?;
-    let outcome = outcome(word).context(OutcomeSnafu { word })?;
+    let outcome = parse_outcome(outcome_text).context(OutcomeSnafu {
+        outcome: outcome_text,
+    })?;
     let is_score = score == "-" || score.parse().is_ok_and(f64::is_finite);
     ensure!(is_score, ScoreSnafu { score });
-    // The line's end is still there.
+    // The payload still begins with the end of the line.
     let value = text(&payload[1..])?;
     Ok(ReplicaMessage::Response {
         id: id.into(),
         outcome,
-        queue_depth: queue_depth(report),
+        queue_depth: parse_queue_depth(report),
         value: value.into(),
     })
 }
 
 /// Decodes a probe's end: an outcome, or a load report from a replica that responds.
 fn decode_probe_response(payload: &[u8]) -> ReplicaMessage {
-    let outcome = std::str::from_utf8(payload).ok().and_then(outcome);
+    let outcome = std::str::from_utf8(payload).ok().and_then(parse_outcome);
     ReplicaMessage::ProbeResponse {
         outcome: outcome.unwrap_or(AttemptOutcome::Success),
-        queue_depth: queue_depth(payload),
+        queue_depth: parse_queue_depth(payload),
     }
 }
 
-fn outcome(word: &str) -> Option<AttemptOutcome> {
-    match word {
+fn parse_outcome(text: &str) -> Option<AttemptOutcome> {
+    match text {
         "hit" => Some(AttemptOutcome::Success),
         "fault" => Some(AttemptOutcome::Error),
         "overload" => Some(AttemptOutcome::Rejected),
@@ -213,7 +226,7 @@
 
 /// The number of queued sub-requests of a load report. A report that cannot be read counts as none, and spoils
 /// nothing of the response that it came with.
-fn queue_depth(report: &[u8]) -> Option<f64> {
+fn parse_queue_depth(report: &[u8]) -> Option<f64> {
     let mut fields = std::str::from_utf8(report).ok()?.split(',');
     let value = fields.find_map(|field| field.trim().strip_prefix("queue="))?;
     value
--- a/crates/linenthread-protocol/src/membership.rs
+++ b/crates/linenthread-protocol/src/membership.rs
@@ -75,7 +75,7 @@
     },
     /// An entry names a replica group that does not exist, or has too long a name.
     #[snafu(display("the list places {id:.40} in cell {replica_group} of {replica_groups}"))]
-    BadPlace {
+    InvalidMember {
         /// The replica.
         id: String,
         /// Its replica group.
@@ -130,7 +130,7 @@
             member.replica_group < replica_groups
                 && member.id.len() <= MAX_NAME_BYTES
                 && member.zone.len() <= MAX_NAME_BYTES,
-            BadPlaceSnafu {
+            InvalidMemberSnafu {
                 id: &member.id,
                 replica_group: member.replica_group,
                 replica_groups,
--- a/crates/linenthread-protocol/src/query.rs
+++ b/crates/linenthread-protocol/src/query.rs
@@ -2,6 +2,7 @@
 
 mod wire;
 
+use linenthread_core::interface::Completeness;
 use serde::Deserialize;
 use snafu::{OptionExt, ResultExt, Snafu, ensure};
 
@@ -127,7 +128,7 @@
     header: impl Fn(&str) -> Option<&'a str>,
     body: &[u8],
 ) -> Result<Query, QueryError> {
-    let id = name(&header, ID_HEADER)?.context(MissingHeaderSnafu { header: ID_HEADER })?;
+    let id = named_value(&header, ID_HEADER)?.context(MissingHeaderSnafu { header: ID_HEADER })?;
     let is_id_character = |b: u8| b.is_ascii_alphanumeric() || b == b'-' || b == b'_';
     ensure!(id.bytes().all(is_id_character), BadIdSnafu);
     let expires_in_ms = expiry(&header)?;
@@ -139,16 +140,16 @@
     });
     Ok(Query {
         id,
-        customer: name(&header, CUSTOMER_HEADER)?,
-        key: name(&header, KEY_HEADER)?,
+        customer: named_value(&header, CUSTOMER_HEADER)?,
+        key: named_value(&header, KEY_HEADER)?,
         expires_in_ms,
         sub_requests: sub_requests.collect(),
         body: request.body,
     })
 }
 
-/// The value of a header that may be missing.
-fn name<'a>(
+/// An id, customer or key from its header, which may be missing.
+fn named_value<'a>(
     header: &impl Fn(&str) -> Option<&'a str>,
     header_name: &'static str,
 ) -> Result<Option<String>, QueryError> {
@@ -207,17 +208,27 @@
     Ok(asked.page.unwrap_or_default())
 }
 
-/// The body of a response: shards with their values, as replicas gave them.
+/// The value of one shard, as its replica gave it.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct ShardValue<'a> {
+    /// The shard.
+    pub shard: usize,
+    /// Its value.
+    pub value: &'a str,
+}
+
+/// The body of a response.
 pub fn encode_response<'a>(
-    complete: bool,
-    values: impl Iterator<Item = (usize, &'a str)>,
+    completeness: Completeness,
+    values: impl Iterator<Item = ShardValue<'a>>,
 ) -> Vec<u8> {
-    let found = values
-        .map(|(bucket, item)| wire::Found { bucket, item })
-        .collect();
+    let found = values.map(|ShardValue { shard, value }| wire::Found {
+        bucket: shard,
+        item: value,
+    });
     let body = wire::Body {
-        finished: complete,
-        found,
+        finished: completeness == Completeness::Complete,
+        found: found.collect(),
     };
     serde_json::to_vec(&body).unwrap_or_default()
 }
--- a/crates/linenthread-protocol/tests/golden.rs
+++ b/crates/linenthread-protocol/tests/golden.rs
@@ -4,9 +4,10 @@
 //! replicas and clients depend on these bytes.
 
 use bytes::BytesMut;
-use linenthread_core::interface::{AttemptOutcome, Phase};
+use linenthread_core::interface::{AttemptOutcome, Completeness, Phase};
 use linenthread_golden::named_bytes;
-use linenthread_protocol::frame::{self, ReplicaMessage};
+use linenthread_protocol::frame::{self, ReplicaMessage, SubRequest};
+use linenthread_protocol::query::ShardValue;
 use linenthread_protocol::{hash_id, membership, query};
 
 /// Everything that is written to replicas and clients.
@@ -14,10 +15,27 @@
     let first = frame::sub_request_id("9b1f03aa5c7e2d41", 3, 0);
     let again = frame::sub_request_id("9b1f03aa5c7e2d41", 12, 2);
     let two = [
-        (&*first, 3, "c41e77d0"),
-        (&*again, 12, "a text\nwith \u{e9}"),
+        SubRequest {
+            id: &first,
+            shard: 3,
+            body: "c41e77d0",
+        },
+        SubRequest {
+            id: &again,
+            shard: 12,
+            body: "a text\nwith \u{e9}",
+        },
+    ];
+    let found = [
+        ShardValue {
+            shard: 3,
+            value: "5be2a07c19f04d63",
+        },
+        ShardValue {
+            shard: 12,
+            value: "a \"b\" \u{e9}",
+        },
     ];
-    let found = [(3, "5be2a07c19f04d63"), (12, "a \"b\" \u{e9}")];
     vec![
         (
             "call_of_one",
@@ -29,10 +47,13 @@
         ),
         ("give_up", frame::encode_cancel(&again)),
         ("probe", frame::encode_probe()),
-        ("answer", query::encode_response(true, found.into_iter())),
+        (
+            "answer",
+            query::encode_response(Completeness::Complete, found.into_iter()),
+        ),
         (
             "answer_partial",
-            query::encode_response(false, std::iter::empty()),
+            query::encode_response(Completeness::Partial, std::iter::empty()),
         ),
         (
             "retry_after",
--- a/crates/linenthread-protocol/tests/messages.rs
+++ b/crates/linenthread-protocol/tests/messages.rs
@@ -1,13 +1,14 @@
 //! Every message from valid, truncated and invalid bytes.
 
 use bytes::BytesMut;
-use linenthread_core::interface::{AttemptOutcome, Phase};
-use linenthread_protocol::frame::{self, ReplicaMessage};
-use linenthread_protocol::query::{Query, QueryError};
+use linenthread_core::interface::{AttemptOutcome, Completeness, Phase};
+use linenthread_protocol::frame::{self, ReplicaMessage, SubRequest};
+use linenthread_protocol::query::{Query, QueryError, ShardValue};
 use linenthread_protocol::{membership, query};
 
 fn framed(letter: u8, rest: &[u8]) -> Vec<u8> {
-    [&(rest.len() as u32 + 1).to_be_bytes()[..], &[letter], rest].concat()
+    let length = u32::try_from(rest.len() + 1).expect("a short frame");
+    [&length.to_be_bytes()[..], &[letter], rest].concat()
 }
 
 fn response(
@@ -24,88 +25,69 @@
     }
 }
 
-#[test]
-fn frames_are_decoded_from_chunks_of_any_size() {
-    let good = [
-        (
-            &b"E7f.3 hit 1840277719 inflight=7,queue=2.5,util=0.61\nv 1"[..],
-            response("7f.3", AttemptOutcome::Success, Some(2.5), "v 1"),
-        ),
-        (
-            b"E7f.3 fault 0 -\n",
-            response("7f.3", AttemptOutcome::Error, None, ""),
+fn probe_response(outcome: AttemptOutcome, queue_depth: Option<f64>) -> ReplicaMessage {
+    ReplicaMessage::ProbeResponse {
+        outcome,
+        queue_depth,
+    }
+}
+
+/// A frame without its length, and what it is decoded into.
+struct ValidFrame {
+    bytes: &'static [u8],
+    message: ReplicaMessage,
+}
+
+fn valid_frames() -> Vec<ValidFrame> {
+    use AttemptOutcome::{Error, Rejected, Success};
+    let frame = |bytes, message| ValidFrame { bytes, message };
+    vec![
+        frame(
+            b"E7f.3 hit 1840277719 inflight=7,queue=2.5,util=0.61\nv 1",
+            response("7f.3", Success, Some(2.5), "v 1"),
         ),
-        (
+        frame(b"E7f.3 fault 0 -\n", response("7f.3", Error, None, "")),
+        frame(
             b"E7f.3 overload - queue=-4\n",
-            response("7f.3", AttemptOutcome::Rejected, Some(0.0), ""),
+            response("7f.3", Rejected, Some(0.0), ""),
         ),
-        (
+        frame(
             b"E7f.3 hit 1 queue=inf\na\nb",
-            response("7f.3", AttemptOutcome::Success, None, "a\nb"),
-        ),
-        (
-            b"Chit",
-            ReplicaMessage::ProbeResponse {
-                outcome: AttemptOutcome::Success,
-                queue_depth: None,
-            },
-        ),
-        (
-            b"Dfault",
-            ReplicaMessage::ProbeResponse {
-                outcome: AttemptOutcome::Error,
-                queue_depth: None,
-            },
+            response("7f.3", Success, None, "a\nb"),
         ),
-        (
-            b"D-",
-            ReplicaMessage::ProbeResponse {
-                outcome: AttemptOutcome::Success,
-                queue_depth: None,
-            },
-        ),
-        (
+        frame(b"Chit", probe_response(Success, None)),
+        frame(b"Dfault", probe_response(Error, None)),
+        frame(b"D-", probe_response(Success, None)),
+        frame(
             b"E7f.3 hit 1 \xff queue=1 \nv",
-            response("7f.3", AttemptOutcome::Success, None, "v"),
-        ),
-        (
-            b"D\xff\xfe",
-            ReplicaMessage::ProbeResponse {
-                outcome: AttemptOutcome::Success,
-                queue_depth: None,
-            },
+            response("7f.3", Success, None, "v"),
         ),
-        (
-            b"Dutil=0.1,queue=3",
-            ReplicaMessage::ProbeResponse {
-                outcome: AttemptOutcome::Success,
-                queue_depth: Some(3.0),
-            },
-        ),
-        (
+        frame(b"D\xff\xfe", probe_response(Success, None)),
+        frame(b"Dutil=0.1,queue=3", probe_response(Success, Some(3.0))),
+        frame(
             b"Fno such frame",
             ReplicaMessage::ProtocolError("no such frame".into()),
         ),
-    ];
-    let stream: Vec<u8> = good
+    ]
+}
+
+#[test]
+fn frames_are_decoded_from_chunks_of_any_size() {
+    let frames = valid_frames();
+    let expected: Vec<_> = frames.iter().map(|frame| frame.message.clone()).collect();
+    let stream: Vec<u8> = frames
         .iter()
-        .flat_map(|(text, _)| framed(text[0], &text[1..]))
+        .flat_map(|frame| framed(frame.bytes[0], &frame.bytes[1..]))
         .collect();
-    for step in [1, 3, 7, stream.len()] {
+    for chunk_size in [1, 3, 7, stream.len()] {
         let (mut read, mut messages) = (BytesMut::new(), Vec::new());
-        for chunk in stream.chunks(step) {
+        for chunk in stream.chunks(chunk_size) {
             read.extend_from_slice(chunk);
             while let Some(message) = frame::decode(&mut read).unwrap() {
                 messages.push(message);
             }
         }
-        assert_eq!(
-            messages,
-            good.iter()
-                .map(|(_, message)| message.clone())
-                .collect::<Vec<_>>(),
-            "in steps of {step}"
-        );
+        assert_eq!(messages, expected, "in chunks of {chunk_size}");
         assert!(read.is_empty());
     }
 }
@@ -131,14 +113,19 @@
     }
 }
 
+fn sub_request<'a>(id: &'a str, shard: usize, body: &'a str) -> SubRequest<'a> {
+    SubRequest { id, shard, body }
+}
+
 #[test]
 fn frames_are_encoded_as_documented() {
     let id = frame::sub_request_id("9b1f", 3, 0);
     assert_eq!(
-        frame::encode_requests([(&*id, 3, "c41e77d0")].into_iter(), 240),
+        frame::encode_requests([sub_request(&id, 3, "c41e77d0")].into_iter(), 240),
         framed(b'A', b"9b1f.3 3 d=240 8\nc41e77d0")
     );
-    let two = frame::encode_requests([("a.1", 1, "x"), ("a.2", 2, "x")].into_iter(), 5);
+    let two = [sub_request("a.1", 1, "x"), sub_request("a.2", 2, "x")];
+    let two = frame::encode_requests(two.into_iter(), 5);
     assert_eq!(two, framed(b'A', b"a.1 1 d=5 1\nxa.2 2 d=5 1\nx"));
     assert_eq!(frame::encode_cancel(&id), framed(b'B', b"9b1f.3"));
     assert_eq!(frame::encode_probe(), [0, 0, 0, 1, b'D']);
@@ -173,13 +160,15 @@
         query
             .sub_requests
             .iter()
-            .map(|p| (p.shard, p.weight))
+            .map(|sub_request| (sub_request.shard, sub_request.weight))
             .collect::<Vec<_>>(),
         [(3, 0.5), (9, 0.5)]
     );
     assert_eq!(read("x-object", None, BODY).unwrap().key, None);
     assert_eq!(query::index_name("/checkout/more"), "checkout");
-    let body = query::encode_response(false, [(3, "5be2a07c19f04d63"), (9, "a \"b\"")].into_iter());
+    let values = [(3, "5be2a07c19f04d63"), (9, "a \"b\"")];
+    let values = values.map(|(shard, value)| ShardValue { shard, value });
+    let body = query::encode_response(Completeness::Partial, values.into_iter());
     let found = r#"[{"bucket":3,"item":"5be2a07c19f04d63"},{"bucket":9,"item":"a \"b\""}]"#;
     let text = format!(r#"{{"finished":false,"found":{found}}}"#);
     assert_eq!(String::from_utf8(body).unwrap(), text);
--- a/crates/linenthread-service/src/merge_responses.rs
+++ b/crates/linenthread-service/src/merge_responses.rs
@@ -4,11 +4,11 @@
 use std::rc::Rc;
 use std::time::{SystemTime, UNIX_EPOCH};
 
-use linenthread_core::interface::{AttemptOutcome, SubRequestIndex};
+use linenthread_core::interface::{AttemptOutcome, Completeness, SubRequestIndex};
 use linenthread_merge::{
     Acceptance, CursorSigner, MergeQuery, Merger, PageRequest, Plan, QueriedShard, QueryError,
 };
-use linenthread_protocol::query::{self as protocol, Page, Query};
+use linenthread_protocol::query::{self as protocol, Page, Query, ShardValue};
 use tracing::warn;
 
 use crate::log::LogRateLimit;
@@ -254,20 +254,21 @@
     }
 
     /// The body of the response from the values so far.
-    pub(crate) fn response(&self, complete: bool, query: &Query) -> Vec<u8> {
+    pub(crate) fn response(&self, completeness: Completeness, query: &Query) -> Vec<u8> {
         match self {
             ResponseCollector::Unmerged(values) => {
-                let shards = query
-                    .sub_requests
-                    .iter()
-                    .map(|sub_request| sub_request.shard);
-                let found = shards
-                    .zip(values)
-                    .filter_map(|(shard, value)| Some((shard, value.as_deref()?)));
-                protocol::encode_response(complete, found)
+                let sub_requests = query.sub_requests.iter();
+                let found = sub_requests.zip(values).filter_map(|(sub_request, value)| {
+                    Some(ShardValue {
+                        shard: sub_request.shard,
+                        value: value.as_deref()?,
+                    })
+                });
+                protocol::encode_response(completeness, found)
             }
             ResponseCollector::Merged { merger, signer, .. } => {
-                merger.response(complete, *signer, unix_seconds())
+                let is_complete = completeness == Completeness::Complete;
+                merger.response(is_complete, *signer, unix_seconds())
             }
         }
     }
--- a/crates/linenthread-service/src/query/task.rs
+++ b/crates/linenthread-service/src/query/task.rs
@@ -2,7 +2,7 @@
 
 use std::rc::Rc;
 
-use linenthread_core::interface::{AttemptOutcome, Completeness, QueryIndex, SubRequestIndex};
+use linenthread_core::interface::{AttemptOutcome, QueryIndex, SubRequestIndex};
 use linenthread_protocol::query::Query;
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::{Instant, sleep_until};
@@ -153,8 +153,7 @@
                 self.pending.finish(key, AttemptOutcome::Cancelled, None);
             }
             Decision::Respond { completeness } => {
-                let is_complete = completeness == Completeness::Complete;
-                let body = self.responses.response(is_complete, self.query);
+                let body = self.responses.response(completeness, self.query);
                 self.answer(QueryOutcome::Success(body));
             }
             Decision::Reject { retry_after } => {
--- a/crates/linenthread-service/src/transports/connection/mod.rs
+++ b/crates/linenthread-service/src/transports/connection/mod.rs
@@ -103,7 +103,11 @@
         let encoded = ids
             .iter()
             .zip(sub_requests)
-            .map(|(id, outgoing)| (id.as_str(), outgoing.shard, &*outgoing.text));
+            .map(|(id, outgoing)| frame::SubRequest {
+                id,
+                shard: outgoing.shard,
+                body: &outgoing.text,
+            });
         let bytes = frame::encode_requests(encoded, wait_ms);
         let mut sent = Vec::new();
         let mut in_flight = Vec::new();
