--- a/crates/linenthread-simulation/src/merging_speed.rs
+++ b/crates/linenthread-simulation/src/merging_speed.rs
@@ -3,11 +3,12 @@
 use std::hint::black_box;
 use std::time::{Duration, Instant};
 
+use linenthread_core::interface::Completeness;
 use linenthread_merge::{
     Acceptance, Aggregation, CursorSigner, FieldType, MergeQuery, Merger, PageRequest, Plan,
     QueriedShard, RowPlan, SortField,
 };
-use linenthread_protocol::query::encode_response;
+use linenthread_protocol::query::{ShardValue, encode_response};
 use oorandom::Rand64;
 use serde_json::{Value, json};
 
@@ -137,8 +138,9 @@
             black_box(merger.response(true, Some(&signer), 0));
         }));
         passed_on.push(microseconds_each(|| {
-            let values = values.iter().map(String::as_str).enumerate();
-            black_box(encode_response(true, values));
+            let values = values.iter().enumerate();
+            let values = values.map(|(shard, value)| ShardValue { shard, value });
+            black_box(encode_response(Completeness::Complete, values));
         }));
     }
     (median(merged), median(passed_on))
