--- a/crates/linenthread-installation/tests/reading.rs
+++ b/crates/linenthread-installation/tests/reading.rs
@@ -94,143 +94,196 @@
     assert_eq!(complete.zones.unwrap().zones.len(), 3);
 }
 
+/// A change that makes the example invalid.
+struct InvalidChange {
+    from: &'static str,
+    to: &'static str,
+    /// The line that the error names.
+    line: usize,
+    /// What stands in the error.
+    cause: &'static str,
+}
+
+const fn change(
+    from: &'static str,
+    to: &'static str,
+    line: usize,
+    cause: &'static str,
+) -> InvalidChange {
+    InvalidChange {
+        from,
+        to,
+        line,
+        cause,
+    }
+}
+
+/// Files that are no XML, or not of the root element's form.
+const INVALID_XML: &[InvalidChange] = &[
+    change("version=\"1\"", "version=\"2\"", 2, "none of 1"),
+    change("<!-- money -->", "money", 2, "text"),
+    change("</installation>", "", 30, "begun and ended"),
+    change(
+        "<?xml version=\"1.0\"?>",
+        "<!DOCTYPE x [<!ENTITY a \"b\">]>",
+        1,
+        "document type",
+    ),
+    change("secret=\"marks.key\"", "secret=\"&a;\"", 5, ""),
+    change("</merging>", "</merge>", 15, ""),
+];
+
+/// Errors in `<merging>`.
+const INVALID_MERGING: &[InvalidChange] = &[
+    change("<merging>", "<merging why=\"x\">", 4, "attribute why"),
+    change("life=\"900\"", "life=\"9\"", 5, "from 10 to 604800"),
+    change("life=\"900\" ", "", 5, "lacks its attribute life"),
+    change(
+        "figures=\"sum mean\"",
+        "figures=\"sum mode\"",
+        6,
+        "none of sum",
+    ),
+    change("figures=\"sum mean\"", "figures=\"\"", 6, "empty"),
+    change("figures=\"sum mean\"", "figures=\"sum sum\"", 6, "twice"),
+    change(
+        "scale=\"2\" negative",
+        "scale=\"13\" negative",
+        6,
+        "from 0 to 12",
+    ),
+    change(
+        "<totals index=\"pledges\">",
+        "<totals index=\"gifts\">",
+        6,
+        "no index gifts",
+    ),
+    change("index=\"charities\"", "index=\"pledges\"", 7, "twice"),
+    change("most=\"20\"", "most=\"0\"", 7, "from 1 to 500"),
+    change(
+        "most=\"20\" first=\"largest\"",
+        "most=\"20\" held=\"9\"",
+        7,
+        "held",
+    ),
+    change("page=\"20\"", "page=\"200\"", 10, "page"),
+    change("<identity field=\"id\"/>", "", 10, "lacks a <identity>"),
+    change(
+        "<identity field=\"id\"/>",
+        "<identity field=\"id\"/><distinct field=\"id\"/>",
+        13,
+        "first order",
+    ),
+    change(
+        "<identity field=\"id\"/>",
+        "<identity field=\"id\"/><distinct field=\"date\"/>",
+        13,
+        "floor",
+    ),
+    change(
+        "<identity field=\"id\"/>",
+        "<identity field=\"id\"/><also/>",
+        13,
+        "cannot stand here",
+    ),
+    change(
+        "field=\"date\" ",
+        "field=\"date\" scale=\"1\" ",
+        11,
+        "scale",
+    ),
+    change(
+        "<marks life=\"900\" secret=\"marks.key\"/>",
+        "",
+        10,
+        "marks",
+    ),
+];
+
+/// Errors in `<gateway>` and `<peers>`.
+const INVALID_LINKS: &[InvalidChange] = &[change(
+    "listen=\"127.0.0.1:7400\"",
+    "listen=\"messina\"",
+    16,
+    "not an address",
+)];
+
+/// Errors in `<fleet>`.
+const INVALID_FLEET: &[InvalidChange] = &[
+    change(
+        "<voter name=\"n1\" address=\"127.0.0.1:7501\" zone=\"catania\" region=\"sicily\"/>",
+        "",
+        20,
+        "3, 5 or 7",
+    ),
+    change("name=\"n1\" address", "name=\"n0\" address", 22, "twice"),
+    change(
+        "zone=\"catania\" region",
+        "zone=\"palermo\" region",
+        20,
+        "most voters are in zone palermo",
+    ),
+    change(
+        "zone=\"messina\" region=\"sicily\"",
+        "zone=\"messina\" region=\"malta\"",
+        20,
+        "wins=\"sicily\"",
+    ),
+    change(" folder=\"record\"", " wins=\"sicily\"", 20, "two regions"),
+    change(
+        "folder=\"record\"",
+        "folder=\"record\" members=\"1\"",
+        20,
+        "from 3 to 1000",
+    ),
+];
+
+/// Errors in `<zones>`.
+const INVALID_ZONES: &[InvalidChange] = &[
+    change(
+        "<zone name=\"palermo\"",
+        "<zone name=\"malta\"",
+        25,
+        "own zone palermo",
+    ),
+    change(
+        "<zone name=\"palermo\"",
+        "<zone name=\"catania\"",
+        27,
+        "twice",
+    ),
+    change(
+        "life=\"60000\"",
+        "life=\"60000\" hold=\"5000\" longest-hold=\"400\"",
+        25,
+        "from 1000 to",
+    ),
+    change(
+        "life=\"60000\"",
+        "hold=\"60000\" longest-hold=\"4000\"",
+        25,
+        "shorter than hold",
+    ),
+];
+
 /// Each error names its line, and nothing that the schema or a check refuses passes.
 #[test]
-fn invalid_files_are_refused_with_line_and_cause() {
-    let cases: &[(&str, &str, usize, &str)] = &[
-        ("version=\"1\"", "version=\"2\"", 2, "none of 1"),
-        ("<merging>", "<merging why=\"x\">", 4, "attribute why"),
-        ("life=\"900\"", "life=\"9\"", 5, "from 10 to 604800"),
-        ("life=\"900\" ", "", 5, "lacks its attribute life"),
-        (
-            "figures=\"sum mean\"",
-            "figures=\"sum mode\"",
-            6,
-            "none of sum",
-        ),
-        ("figures=\"sum mean\"", "figures=\"\"", 6, "empty"),
-        ("figures=\"sum mean\"", "figures=\"sum sum\"", 6, "twice"),
-        (
-            "scale=\"2\" negative",
-            "scale=\"13\" negative",
-            6,
-            "from 0 to 12",
-        ),
-        (
-            "<totals index=\"pledges\">",
-            "<totals index=\"gifts\">",
-            6,
-            "no index gifts",
-        ),
-        ("index=\"charities\"", "index=\"pledges\"", 7, "twice"),
-        ("most=\"20\"", "most=\"0\"", 7, "from 1 to 500"),
-        (
-            "most=\"20\" first=\"largest\"",
-            "most=\"20\" held=\"9\"",
-            7,
-            "held",
-        ),
-        ("page=\"20\"", "page=\"200\"", 10, "page"),
-        ("<identity field=\"id\"/>", "", 10, "lacks a <identity>"),
-        (
-            "<identity field=\"id\"/>",
-            "<identity field=\"id\"/><distinct field=\"id\"/>",
-            13,
-            "first order",
-        ),
-        (
-            "<identity field=\"id\"/>",
-            "<identity field=\"id\"/><distinct field=\"date\"/>",
-            13,
-            "floor",
-        ),
-        (
-            "<identity field=\"id\"/>",
-            "<identity field=\"id\"/><also/>",
-            13,
-            "cannot stand here",
-        ),
-        (
-            "field=\"date\" ",
-            "field=\"date\" scale=\"1\" ",
-            11,
-            "scale",
-        ),
-        (
-            "<marks life=\"900\" secret=\"marks.key\"/>",
-            "",
-            10,
-            "marks",
-        ),
-        ("<!-- money -->", "money", 2, "text"),
-        ("</installation>", "", 30, "begun and ended"),
-        (
-            "<voter name=\"n1\" address=\"127.0.0.1:7501\" zone=\"catania\" region=\"sicily\"/>",
-            "",
-            20,
-            "3, 5 or 7",
-        ),
-        ("name=\"n1\" address", "name=\"n0\" address", 22, "twice"),
-        (
-            "zone=\"catania\" region",
-            "zone=\"palermo\" region",
-            20,
-            "most voters are in zone palermo",
-        ),
-        (
-            "zone=\"messina\" region=\"sicily\"",
-            "zone=\"messina\" region=\"malta\"",
-            20,
-            "wins=\"sicily\"",
-        ),
-        (" folder=\"record\"", " wins=\"sicily\"", 20, "two regions"),
-        (
-            "folder=\"record\"",
-            "folder=\"record\" members=\"1\"",
-            20,
-            "from 3 to 1000",
-        ),
-        (
-            "<zone name=\"palermo\"",
-            "<zone name=\"malta\"",
-            25,
-            "own zone palermo",
-        ),
-        (
-            "<zone name=\"palermo\"",
-            "<zone name=\"catania\"",
-            27,
-            "twice",
-        ),
-        (
-            "life=\"60000\"",
-            "life=\"60000\" hold=\"5000\" longest-hold=\"400\"",
-            25,
-            "from 1000 to",
-        ),
-        (
-            "life=\"60000\"",
-            "hold=\"60000\" longest-hold=\"4000\"",
-            25,
-            "shorter than hold",
-        ),
-        (
-            "listen=\"127.0.0.1:7400\"",
-            "listen=\"messina\"",
-            16,
-            "not an address",
-        ),
-        (
-            "<?xml version=\"1.0\"?>",
-            "<!DOCTYPE x [<!ENTITY a \"b\">]>",
-            1,
-            "document type",
-        ),
-        ("secret=\"marks.key\"", "secret=\"&a;\"", 5, ""),
-        ("</merging>", "</merge>", 15, ""),
+fn invalid_files_are_rejected_with_line_and_cause() {
+    let sections = [
+        INVALID_XML,
+        INVALID_MERGING,
+        INVALID_LINKS,
+        INVALID_FLEET,
+        INVALID_ZONES,
     ];
     let mut wrong_lines = Vec::new();
-    for (from, to, line, cause) in cases {
+    for invalid in sections.into_iter().flatten() {
+        let InvalidChange {
+            from,
+            to,
+            line,
+            cause,
+        } = invalid;
         let text = EXAMPLE.replacen(from, to, 1);
         assert_ne!(text, EXAMPLE, "{from}");
         let error = read(&text).expect_err(to);
@@ -243,7 +296,7 @@
 }
 
 #[test]
-fn what_is_not_one_element_of_some_depth_is_refused() {
+fn what_is_not_one_element_of_some_depth_is_rejected() {
     for text in [
         "<a>".repeat(40),
         "<installation version='1'/>".repeat(2),
--- a/crates/linenthread-installation/tests/schema.rs
+++ b/crates/linenthread-installation/tests/schema.rs
@@ -51,6 +51,21 @@
     min_length: usize,
 }
 
+impl ValueType {
+    /// Adds a facet; `value` gives its attributes.
+    fn restrict(&mut self, facet: &str, value: impl Fn(&str) -> String) {
+        match facet {
+            "xs:list" => self.item_type = Some(value("itemType")),
+            "xs:restriction" => self.is_number = value("base").ends_with("Integer"),
+            "xs:enumeration" => self.enumeration.push(value("value")),
+            "xs:minInclusive" | "xs:maxInclusive" => self.bounds.push(value("value")),
+            "xs:minLength" => self.min_length = value("value").parse().unwrap(),
+            "xs:maxLength" => {}
+            other => panic!("{other}"),
+        }
+    }
+}
+
 /// What the test needs of the schema, read independently of the crate.
 #[derive(Default)]
 struct Declarations {
@@ -80,7 +95,6 @@
         if let "xs:simpleType" | "xs:complexType" = start.name().as_ref() {
             *current_type = value("name");
         }
-        let value_type = || ValueType::default();
         match start.name().as_ref() {
             "xs:element" => self.element_names.push(value("name")),
             "xs:attribute" => self.attributes.push(Attribute {
@@ -90,21 +104,15 @@
                 default: attribute(start, "default"),
             }),
             "xs:complexType" | "xs:schema" | "xs:sequence" | "xs:choice" | "xs:all" => {}
+            "xs:simpleType" => {
+                let value_type = ValueType::default();
+                self.value_types.insert(current_type.clone(), value_type);
+            }
             facet => {
-                let restricted = self
-                    .value_types
-                    .entry(current_type.clone())
-                    .or_insert_with(value_type);
-                match facet {
-                    "xs:simpleType" => {}
-                    "xs:list" => restricted.item_type = Some(value("itemType")),
-                    "xs:restriction" => restricted.is_number = value("base").ends_with("Integer"),
-                    "xs:enumeration" => restricted.enumeration.push(value("value")),
-                    "xs:minInclusive" | "xs:maxInclusive" => restricted.bounds.push(value("value")),
-                    "xs:minLength" => restricted.min_length = value("value").parse().unwrap(),
-                    "xs:maxLength" => {}
-                    other => panic!("{other}"),
-                }
+                let value_type = self.value_types.get_mut(current_type);
+                value_type
+                    .expect("a facet stands in a simple type")
+                    .restrict(facet, value);
             }
         }
     }
