--- a/crates/linenthread-installation/src/fleet.rs
+++ b/crates/linenthread-installation/src/fleet.rs
@@ -6,8 +6,8 @@
 use std::time::Duration;
 
 use crate::InstallationError;
+use crate::attributes::{parse_address, secret_files};
 use crate::document::{FleetSection, VoterSection};
-use crate::gateway::{parse_address, secret_files};
 use crate::xml::Element;
 
 /// How many voters there may be: odd numbers, so that a majority is as small as it can be.
@@ -57,8 +57,8 @@
         element: &Element,
     ) -> Result<Fleet, InstallationError> {
         let voters = check_voters(section.voters, element)?;
-        check_zones(&voters, element)?;
-        check_regions(&voters, section.winning_region.as_deref(), element)?;
+        check_loss_of_a_zone(&voters, element)?;
+        check_partition_of_regions(&voters, section.winning_region.as_deref(), element)?;
         let address = parse_address(&section.address, element)?;
         let listen = match &section.listen {
             Some(listen) => parse_address(listen, element)?,
@@ -113,7 +113,7 @@
 }
 
 /// The loss of one zone must not cost the majority.
-fn check_zones(voters: &[Voter], element: &Element) -> Result<(), InstallationError> {
+fn check_loss_of_a_zone(voters: &[Voter], element: &Element) -> Result<(), InstallationError> {
     let zones = count_voters(voters, |voter| &voter.zone);
     match zones.first() {
         Some(largest) if 2 * largest.voters > voters.len() => Err(element.error(format!(
@@ -126,7 +126,7 @@
 
 /// Two regions can't distinguish a partition between them from the loss of one: the one with the majority goes
 /// on, and the file must name it.
-fn check_regions(
+fn check_partition_of_regions(
     voters: &[Voter],
     winning: Option<&str>,
     element: &Element,
--- a/crates/linenthread-installation/src/gateway.rs
+++ b/crates/linenthread-installation/src/gateway.rs
@@ -5,6 +5,7 @@
 use std::time::Duration;
 
 use crate::InstallationError;
+use crate::attributes::{parse_address, secret_files};
 use crate::document::{GatewaySection, PeerSection, PeersSection};
 use crate::xml::Element;
 
@@ -96,16 +97,3 @@
         })
     }
 }
-
-pub(crate) fn parse_address(
-    text: &str,
-    element: &Element,
-) -> Result<SocketAddr, InstallationError> {
-    text.parse()
-        .map_err(|_| element.error(format!("{text} is not an address with its port")))
-}
-
-/// The file of the secret that is used, then that of the previous one.
-pub(crate) fn secret_files(secret: PathBuf, previous: Option<PathBuf>) -> Vec<PathBuf> {
-    std::iter::once(secret).chain(previous).collect()
-}
--- a/crates/linenthread-installation/src/lib.rs
+++ b/crates/linenthread-installation/src/lib.rs
@@ -8,6 +8,7 @@
 //! The crate does not know how the values are used, and reads none of the files that they name. Start reading at
 //! [`Installation`].
 
+mod attributes;
 mod document;
 mod error;
 mod fleet;
@@ -71,6 +72,7 @@
         let document: Document = quick_xml::de::from_str(text).map_err(|error| {
             InstallationError::new(ReadStep::Decode, root.line, error.to_string())
         })?;
+        // Each check gets a section and the element that it was decoded from, for the line of an error.
         let merging = document
             .merging
             .zip(root.child("merging"))
--- a/crates/linenthread-installation/src/merging.rs
+++ b/crates/linenthread-installation/src/merging.rs
@@ -8,11 +8,11 @@
     Aggregation, FieldType, GroupOrder, GroupPlan, Measure, Plan, RowPlan, SortField, Statistic,
 };
 
+use crate::attributes::secret_files;
 use crate::document::{
     CursorsSection, Direction, FieldTypeValue, GroupOrderValue, GroupsSection, IndexSection,
     MeasureSection, MergingSection, RowsSection, SortFieldSection, StatisticValue, YesNo,
 };
-use crate::gateway::secret_files;
 use crate::xml::Element;
 use crate::{InstallationError, KnownIndex};
 
@@ -44,27 +44,15 @@
         let mut plans: Vec<Plan> = Vec::new();
         let elements = element.children.iter().filter(|e| e.name != "marks");
         for (section, element) in section.indexes.into_iter().zip(elements) {
-            let index = section.index();
-            let Some(settings) = known(index) else {
+            let index = section.index().to_owned();
+            let Some(settings) = known(&index) else {
                 return Err(element.error(format!("the settings have no index {index}")));
             };
             if plans.iter().any(|plan| plan.index == index) {
                 return Err(element.error(format!("the index {index} is merged twice")));
             }
-            plans.push(Plan {
-                index: index.to_owned(),
-                aggregation: match section {
-                    IndexSection::Totals(totals) => {
-                        Aggregation::Totals(check_measures(totals.measures, element)?)
-                    }
-                    IndexSection::Groups(groups) => {
-                        Aggregation::Groups(check_groups(groups, element)?)
-                    }
-                    IndexSection::Rows(rows) => {
-                        Aggregation::Rows(check_rows(rows, element, settings, cursors.is_some())?)
-                    }
-                },
-            });
+            let aggregation = check_aggregation(section, element, settings, cursors.as_ref())?;
+            plans.push(Plan { index, aggregation });
         }
         Ok(Merging { plans, cursors })
     }
@@ -89,6 +77,23 @@
     }
 }
 
+fn check_aggregation(
+    section: IndexSection,
+    element: &Element,
+    settings: KnownIndex,
+    cursors: Option<&CursorFiles>,
+) -> Result<Aggregation, InstallationError> {
+    match section {
+        IndexSection::Totals(totals) => {
+            check_measures(totals.measures, element).map(Aggregation::Totals)
+        }
+        IndexSection::Groups(groups) => check_groups(groups, element).map(Aggregation::Groups),
+        IndexSection::Rows(rows) => {
+            check_rows(rows, element, settings, cursors).map(Aggregation::Rows)
+        }
+    }
+}
+
 fn check_measures(
     sections: Vec<MeasureSection>,
     element: &Element,
@@ -124,7 +129,7 @@
     section: RowsSection,
     element: &Element,
     settings: KnownIndex,
-    has_cursors: bool,
+    cursors: Option<&CursorFiles>,
 ) -> Result<RowPlan, InstallationError> {
     let page_size = section.page_size;
     let max_page_size = section.max_page_size.unwrap_or(page_size);
@@ -133,7 +138,7 @@
         let cause = format!("page is {page_size}, more than most, {max_page_size}");
         return Err(element.error(cause));
     }
-    if paginated && !has_cursors {
+    if paginated && cursors.is_none() {
         return Err(element.error("pages need <marks> before them, or pages=\"no\""));
     }
     for (field, element) in section.order.iter().zip(element.children("order")) {
@@ -144,7 +149,7 @@
     if let Some(field) = first_repeated(section.order.iter().map(|o| o.field.as_str())) {
         return Err(element.error(format!("{field} is ordered by twice")));
     }
-    if let (Some(_), true) = (&section.distinct, paginated) {
+    if paginated {
         check_distinct_pages(&section, element, settings)?;
     }
     Ok(RowPlan {
@@ -157,8 +162,9 @@
     })
 }
 
-/// A cursor says how far each shard was read, not which values were shown: only the first sort field can be
-/// recognized as shown, and only while no shard is read later than others.
+/// Rows in pages can be distinct by their first sort field only, and only where no shard may be missing: a cursor says
+/// how far each shard was read and not which values were shown. Whether a value was shown can be told by the first sort
+/// field, as long as no shard is read later than the others.
 fn check_distinct_pages(
     section: &RowsSection,
     element: &Element,
--- a/crates/linenthread-installation/src/schema/mod.rs
+++ b/crates/linenthread-installation/src/schema/mod.rs
@@ -1,6 +1,6 @@
 //! The part of XML Schema that `schema/installation.xsd` uses.
 //!
-//! A schema with anything else in it is refused, so that nothing in it is silently not enforced.
+//! A schema with anything else in it is rejected, so that nothing in it is silently not enforced.
 
 mod read;
 mod validate;
--- a/crates/linenthread-installation/src/schema/validate.rs
+++ b/crates/linenthread-installation/src/schema/validate.rs
@@ -1,6 +1,6 @@
 //! Validates a document against a schema.
 
-use super::{Particle, Schema, SimpleType, Term};
+use super::{AttributeDeclaration, Particle, Schema, SimpleType, Term};
 use crate::xml::Element;
 use crate::{InstallationError, ReadStep};
 
@@ -33,9 +33,20 @@
         if element.has_text {
             return Err(error(element, format!("<{name}> cannot have text in it")));
         }
+        self.validate_attributes(element, &complex.attributes)?;
+        self.validate_content(element, complex.content.as_ref())
+    }
+
+    /// Each attribute must be declared and have an allowed value, and no required one may be missing.
+    fn validate_attributes(
+        &self,
+        element: &Element,
+        declarations: &[AttributeDeclaration],
+    ) -> Result<(), InstallationError> {
+        let name = &element.name;
         for attribute in &element.attributes {
-            let mut declarations = complex.attributes.iter();
-            let Some(declaration) = declarations.find(|d| d.name == attribute.name) else {
+            let mut declared = declarations.iter();
+            let Some(declaration) = declared.find(|d| d.name == attribute.name) else {
                 let cause = format!("<{name}> cannot have an attribute {}", attribute.name);
                 return Err(error(element, cause));
             };
@@ -46,14 +57,15 @@
                     error(element, cause)
                 })?;
         }
-        let mut required = complex.attributes.iter().filter(|a| a.required);
+        let mut required = declarations.iter().filter(|a| a.required);
         if let Some(missing) = required.find(|a| element.attribute(&a.name).is_none()) {
             let cause = format!("<{name}> lacks its attribute {}", missing.name);
             return Err(error(element, cause));
         }
-        self.validate_content(element, complex.content.as_ref())
+        Ok(())
     }
 
+    /// The children must be those that the content allows, and valid themselves.
     fn validate_content(
         &self,
         element: &Element,
@@ -196,6 +208,7 @@
         }
     }
 
+    /// The error that an element is missing where the next child stands.
     fn missing(&self, name: &str) -> InstallationError {
         let at = self.next_child().unwrap_or(self.element);
         error(at, format!("<{}> lacks a <{name}> here", self.element.name))
--- a/crates/linenthread-installation/src/xml.rs
+++ b/crates/linenthread-installation/src/xml.rs
@@ -1,5 +1,5 @@
 //! XML as a small tree that knows its lines. Depth and size are limited; document types, and entities other than
-//! the five of XML itself, are refused.
+//! the five of XML itself, are rejected.
 
 use quick_xml::events::{BytesStart, Event};
 use quick_xml::{Reader, XmlVersion};
