--- a/crates/linenthread-service/src/dispatcher/membership.rs
+++ b/crates/linenthread-service/src/dispatcher/membership.rs
@@ -5,10 +5,11 @@
 use linenthread_core::interface::{MembershipEntry, Phase, ReplicaIndex, TenthMillis};
 use linenthread_link::{Member, routing};
 use linenthread_protocol::{hash_id, membership};
-use tracing::{info, warn};
+use tracing::info;
 
 use crate::clock::Clock;
 use crate::dispatcher::open_queries::QueryProgress;
+use crate::dispatcher::peer_members::PeerMembers;
 use crate::replica_indices::ReplicaIndices;
 use crate::transports::link::LinkEvent;
 use crate::transports::{Route, Transports};
@@ -16,13 +17,6 @@
 /// The share of traffic, in thousandths, that a replica is announced with to those behind a link.
 const FULL_SHARE: u16 = 1_000;
 
-/// What one peer's link reaches.
-#[derive(Default)]
-struct PeerMembers {
-    is_up: bool,
-    by_id: BTreeMap<String, Member>,
-}
-
 /// A replica behind links, as last passed to the coordinator.
 struct RemoteReplica {
     /// The peers whose links reach it.
@@ -293,36 +287,6 @@
     }
 }
 
-impl PeerMembers {
-    /// Takes the members that a gateway reports: all of them where `complete`, else those that have changed.
-    fn update(&mut self, complete: bool, members: Vec<Member>, replica_groups: usize) {
-        let (valid, invalid): (Vec<_>, Vec<_>) = members
-            .into_iter()
-            .partition(|member| member.is_valid(replica_groups));
-        if let Some(bad) = invalid.first() {
-            warn!(
-                replica = bad.id,
-                cell = bad.replica_group,
-                "a gateway lists what can be no replica here"
-            );
-        }
-        if complete {
-            self.by_id.clear();
-        }
-        // A gateway may list no more than the service discovery; updates of those already listed always count.
-        for member in valid {
-            let has_room = self.by_id.len() < membership::MAX_REPLICAS;
-            match member.phase {
-                Phase::Removed => drop(self.by_id.remove(&member.id)),
-                _ if has_room || self.by_id.contains_key(&member.id) => {
-                    self.by_id.insert(member.id.clone(), member);
-                }
-                _ => {}
-            }
-        }
-    }
-}
-
 fn via_link(peers: &[usize], id: &str) -> Route {
     Route::ViaLink {
         peers: peers.to_vec(),
--- a/crates/linenthread-service/src/dispatcher/mod.rs
+++ b/crates/linenthread-service/src/dispatcher/mod.rs
@@ -3,6 +3,7 @@
 mod decision;
 mod membership;
 mod open_queries;
+mod peer_members;
 mod zones;
 
 use std::cell::RefCell;
--- a/crates/linenthread-service/src/fleet/connection.rs
+++ b/crates/linenthread-service/src/fleet/connection.rs
@@ -2,12 +2,51 @@
 
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
+use std::io;
 
+use snafu::Snafu;
 use tokio::sync::Notify;
 
 /// Bytes that may wait for one connection; beyond that it is closed.
 const MAX_QUEUED_BYTES: usize = 4 * 1024 * 1024;
 
+/// Why a connection ended. The text goes to the log.
+#[derive(Debug, Snafu)]
+pub(super) enum ConnectionEnd {
+    #[snafu(display("closed by the other side"))]
+    ClosedByPeer,
+    #[snafu(display("it does not take what it is told"))]
+    SlowPeer,
+    #[snafu(display("it takes nothing"))]
+    StalledPeer,
+    #[snafu(display("{reason}"))]
+    ClosedHere { reason: String },
+    #[snafu(display("{source}"))]
+    Io { source: io::Error },
+}
+
+/// Bytes that are being written.
+pub(super) struct PartlyWritten {
+    bytes: Vec<u8>,
+    written: usize,
+}
+
+impl PartlyWritten {
+    pub(super) fn new(bytes: Vec<u8>) -> PartlyWritten {
+        PartlyWritten { bytes, written: 0 }
+    }
+
+    pub(super) fn rest(&self) -> &[u8] {
+        &self.bytes[self.written..]
+    }
+
+    /// Counts written bytes; returns whether these were the last.
+    pub(super) fn advance(&mut self, count: usize) -> bool {
+        self.written += count;
+        self.written >= self.bytes.len()
+    }
+}
+
 /// The sending side of one connection.
 pub(super) struct Connection {
     /// Bytes that wait to be written.
@@ -15,7 +54,7 @@
     /// How many bytes wait.
     pub(super) queued_bytes: Cell<usize>,
     /// Why the connection is to be closed, once it is.
-    pub(super) close: RefCell<Option<String>>,
+    pub(super) close: RefCell<Option<ConnectionEnd>>,
     /// Wakes the task that serves the connection.
     pub(super) changed: Notify,
 }
@@ -34,8 +73,7 @@
     pub(super) fn write(&self, bytes: Vec<u8>) {
         self.queued_bytes.set(self.queued_bytes.get() + bytes.len());
         if self.is_overfull() {
-            self.close
-                .replace(Some("it does not take what it is told".into()));
+            self.close.replace(Some(ConnectionEnd::SlowPeer));
         }
         self.queue.borrow_mut().push_back(bytes);
         self.changed.notify_one();
@@ -43,7 +81,8 @@
 
     /// Closes the connection once the queue is written.
     pub(super) fn close(&self, reason: String) {
-        self.close.replace(Some(reason));
+        self.close
+            .replace(Some(ConnectionEnd::ClosedHere { reason }));
         self.changed.notify_one();
     }
 
--- a/crates/linenthread-service/src/fleet/member.rs
+++ b/crates/linenthread-service/src/fleet/member.rs
@@ -2,7 +2,6 @@
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
-use std::net::{TcpListener as StdTcpListener, UdpSocket as StdUdpSocket};
 use std::rc::Rc;
 use std::time::{SystemTime, UNIX_EPOCH};
 
@@ -26,7 +25,7 @@
     LogSnafu, NotConfiguredSnafu, NotVoterSnafu, OpenSnafu, SocketSnafu, VoterDirectoryError,
     VoterDirectorySnafu,
 };
-use super::{FromFleet, LEAVE_GRACE, MemberConfig, StartError, ToFleet};
+use super::{FromFleet, LEAVE_GRACE, MemberConfig, Sockets, StartError, ToFleet};
 use crate::clock::{Clock, to_tenths};
 use crate::log::LogRateLimit;
 
@@ -119,16 +118,15 @@
         config: MemberConfig,
         clock: Clock,
         from_fleet: mpsc::UnboundedSender<FromFleet>,
-        tcp: StdTcpListener,
-        udp: StdUdpSocket,
+        sockets: Sockets,
     ) -> Result<Member, StartError> {
         let mut actions = Vec::new();
         let fleet_config = fleet_config(&config);
         let now = clock.now();
         let directory = open_voter_directory(&config).context(VoterDirectorySnafu)?;
         let fleet = Fleet::new(fleet_config, directory, now, &mut actions).context(LogSnafu)?;
-        let udp = UdpSocket::from_std(udp).context(SocketSnafu)?;
-        let tcp = TcpListener::from_std(tcp).context(SocketSnafu)?;
+        let udp = UdpSocket::from_std(sockets.udp).context(SocketSnafu)?;
+        let tcp = TcpListener::from_std(sockets.tcp).context(SocketSnafu)?;
         let member = Member(Rc::new(Inner {
             config,
             clock,
--- a/crates/linenthread-service/src/fleet/mod.rs
+++ b/crates/linenthread-service/src/fleet/mod.rs
@@ -12,7 +12,7 @@
 mod zone_decisions;
 
 use std::io;
-use std::net::{TcpListener, UdpSocket};
+use std::net::{SocketAddr, TcpListener, UdpSocket};
 use std::sync::mpsc as blocking;
 use std::time::Duration;
 
@@ -101,7 +101,7 @@
     from_fleet: mpsc::UnboundedSender<FromFleet>,
 ) -> Result<FleetHandle, StartError> {
     let address = config.fleet.listen;
-    let (tcp, udp) = bind(&config).context(ListenSnafu { address })?;
+    let sockets = Sockets::bind(address).context(ListenSnafu { address })?;
     let (sender, received) = mpsc::unbounded_channel();
     let (ended_sender, ended) = blocking::channel();
     let (started_sender, started) = blocking::channel();
@@ -115,7 +115,7 @@
             Err(error) => return drop(started_sender.send(Err(error))),
         };
         LocalSet::new().block_on(&runtime, async move {
-            match Member::new(config, clock, from_fleet, tcp, udp) {
+            match Member::new(config, clock, from_fleet, sockets) {
                 Ok(member) => {
                     started_sender.send(Ok(())).ok();
                     member.run(received).await;
@@ -133,11 +133,18 @@
     Ok(FleetHandle { sender, ended })
 }
 
-/// Binds both sockets of a member to its one address.
-fn bind(config: &MemberConfig) -> io::Result<(TcpListener, UdpSocket)> {
-    let tcp = TcpListener::bind(config.fleet.listen)?;
-    let udp = UdpSocket::bind(config.fleet.listen)?;
-    tcp.set_nonblocking(true)?;
-    udp.set_nonblocking(true)?;
-    Ok((tcp, udp))
+/// The sockets of a member, both on its one address.
+struct Sockets {
+    tcp: TcpListener,
+    udp: UdpSocket,
+}
+
+impl Sockets {
+    fn bind(address: SocketAddr) -> io::Result<Sockets> {
+        let tcp = TcpListener::bind(address)?;
+        let udp = UdpSocket::bind(address)?;
+        tcp.set_nonblocking(true)?;
+        udp.set_nonblocking(true)?;
+        Ok(Sockets { tcp, udp })
+    }
 }
--- a/crates/linenthread-service/src/fleet/sockets.rs
+++ b/crates/linenthread-service/src/fleet/sockets.rs
@@ -11,7 +11,7 @@
 use tokio::time::{sleep, timeout};
 use tracing::info;
 
-use super::connection::Connection;
+use super::connection::{Connection, ConnectionEnd, PartlyWritten};
 use super::member::Member;
 
 /// Size of a connection's read buffer.
@@ -26,6 +26,7 @@
 const DATAGRAM_RETRY: Duration = Duration::from_millis(5);
 
 impl Member {
+    /// Accepts connections of other members.
     pub(super) async fn accept(self, listener: TcpListener) {
         loop {
             match listener.accept().await {
@@ -44,6 +45,7 @@
         }
     }
 
+    /// Connects to another member.
     pub(super) async fn dial(self, number: ConnectionId, address: SocketAddr) {
         match timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await {
             Ok(Ok(stream)) => self.register(number, stream),
@@ -59,68 +61,65 @@
         connections.borrow_mut().insert(number, connection.clone());
         let member = self.clone();
         spawn_local(async move {
-            let reason = member.serve(stream, number, &connection).await;
+            let end = member.serve(stream, number, &connection).await;
             // The only place where a connection is removed.
             member.0.connections.borrow_mut().remove(&number);
             member.step(|fleet, now, actions| fleet.on_closed(now, number, actions));
             if let Some(left_out) = member.0.connection_log_limit.admit() {
-                info!(left_out, "a connection of the fleet ended: {reason}");
+                info!(left_out, "a connection of the fleet ended: {end}");
             }
         });
     }
 
-    /// Reads and writes until the connection ends; gives the reason.
+    /// Reads and writes until the connection ends; returns why it did.
     async fn serve(
         &self,
         mut stream: TcpStream,
         number: ConnectionId,
         connection: &Connection,
-    ) -> String {
+    ) -> ConnectionEnd {
         stream.set_nodelay(true).ok();
         let (mut reader, mut writer) = stream.split();
         let mut buffer = vec![0; READ_BUFFER_BYTES];
-        let mut writing: Option<(Vec<u8>, usize)> = None;
+        let mut writing: Option<PartlyWritten> = None;
         loop {
             if writing.is_none() {
                 let next = connection.queue.borrow_mut().pop_front();
-                writing = next.map(|bytes| (bytes, 0));
+                writing = next.map(PartlyWritten::new);
             }
             // What was queued before the close is written first, unless the peer takes nothing.
             if (writing.is_none() || connection.is_overfull())
-                && let Some(reason) = connection.close.take()
+                && let Some(end) = connection.close.take()
             {
-                return reason;
+                return end;
             }
-            let rest = writing
-                .as_ref()
-                .map_or(&[][..], |(bytes, written)| &bytes[*written..]);
+            let rest = writing.as_ref().map_or(&[][..], PartlyWritten::rest);
             tokio::select! {
                 read = reader.read(&mut buffer) => match read {
-                    Ok(0) => return "closed by the other side".into(),
+                    Ok(0) => return ConnectionEnd::ClosedByPeer,
                     Ok(count) => self.step(|fleet, now, actions| {
                         fleet.on_received(now, number, &buffer[..count], actions);
                     }),
-                    Err(error) => return error.to_string(),
+                    Err(source) => return ConnectionEnd::Io { source },
                 },
                 wrote = writer.write(rest), if !rest.is_empty() => match wrote {
                     Ok(count) => {
                         let queued_bytes = connection.queued_bytes.get().saturating_sub(count);
                         connection.queued_bytes.set(queued_bytes);
-                        writing = writing
-                            .map(|(bytes, written)| (bytes, written + count))
-                            .filter(|(bytes, written)| *written < bytes.len());
+                        writing.take_if(|writing| writing.advance(count));
                     }
-                    Err(error) => return error.to_string(),
+                    Err(source) => return ConnectionEnd::Io { source },
                 },
                 () = connection.changed.notified() => {}
                 // A closing peer that takes nothing is not waited for.
                 () = sleep(CONNECT_TIMEOUT), if connection.close.borrow().is_some() => {
-                    return "it takes nothing".into();
+                    return ConnectionEnd::StalledPeer;
                 }
             }
         }
     }
 
+    /// Passes gossip on to the state machine.
     pub(super) async fn receive_datagrams(self) {
         let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
         loop {
--- a/crates/linenthread-service/src/fleet/zone_decisions.rs
+++ b/crates/linenthread-service/src/fleet/zone_decisions.rs
@@ -18,6 +18,14 @@
 /// Milliseconds until a new table becomes valid, so that all members have received it by then.
 const TABLE_LEAD_MS: u64 = 300;
 
+/// The committed value of a topic; 0 is the number of none.
+#[derive(Default)]
+struct Committed<T> {
+    /// Its number in the fleet's log.
+    number: u64,
+    value: T,
+}
+
 fn failover_config(zones: &file::Zones) -> FailoverConfig {
     FailoverConfig {
         capacity_margin: f64::from(zones.max_utilization) / 1_000.0,
@@ -46,6 +54,7 @@
 }
 
 impl Member {
+    /// Passes a committed table on to the dispatcher, and logs committed orders.
     pub(super) fn on_committed(&self, committed: CommittedValue) {
         let CommittedValue {
             topic,
@@ -115,6 +124,7 @@
         self.propose_table(zones, &topology, now);
     }
 
+    /// Reports this member's observations, at intervals.
     fn report_observations(&self, now: TenthMillis) {
         if now < self.0.reported_at.get() + REPORT_INTERVAL {
             return;
@@ -136,27 +146,35 @@
         !is_early || !self.0.pending_orders.borrow().is_empty()
     }
 
-    /// The committed orders and their number in the log.
-    fn committed_orders(&self) -> (u64, Orders) {
-        let fleet = self.0.fleet.borrow();
-        let committed = fleet.table().value(ORDERS_TOPIC);
-        committed.map_or((0, Orders::default()), |NumberedValue { number, value }| {
-            (*number, Orders::decode(value).unwrap_or_default())
+    /// The committed orders; none where there are none that can be read.
+    fn committed_orders(&self) -> Committed<Orders> {
+        self.committed(ORDERS_TOPIC, |value| {
+            Orders::decode(value).unwrap_or_default()
         })
     }
 
-    /// The committed routing table, if it can be read, and its number in the log.
-    fn committed_table(&self) -> (u64, Option<RoutingTable>) {
+    /// The committed routing table, if it can be read.
+    fn committed_table(&self) -> Committed<Option<RoutingTable>> {
+        self.committed(TABLE_TOPIC, |value| RoutingTable::decode(value).ok())
+    }
+
+    fn committed<T: Default>(&self, topic: &str, decode: impl Fn(&[u8]) -> T) -> Committed<T> {
         let fleet = self.0.fleet.borrow();
-        let committed = fleet.table().value(TABLE_TOPIC);
-        committed.map_or((0, None), |NumberedValue { number, value }| {
-            (*number, RoutingTable::decode(value).ok())
+        let committed = fleet.table().value(topic);
+        committed.map_or_else(Committed::default, |NumberedValue { number, value }| {
+            Committed {
+                number: *number,
+                value: decode(value),
+            }
         })
     }
 
     /// Carries out the latest of the pending orders; an operator whose order is dropped sends it again.
     fn apply_pending_orders(&self, topology: &Topology) {
-        let (number, mut orders) = self.committed_orders();
+        let Committed {
+            number,
+            value: mut orders,
+        } = self.committed_orders();
         let pending = self.0.pending_orders.take();
         let Some(latest) = pending.last() else {
             return;
@@ -175,8 +193,12 @@
         });
     }
 
+    /// Proposes the table that the controller decides on, if any.
     fn propose_table(&self, zones: &file::Zones, topology: &Topology, now: TenthMillis) {
-        let (number, committed) = self.committed_table();
+        let Committed {
+            number,
+            value: committed,
+        } = self.committed_table();
         let Some(table) = self.decide_table(zones, topology, committed.as_ref(), now) else {
             return;
         };
@@ -215,7 +237,7 @@
         let observations = self.0.observations.take();
         self.log_faults(&observations);
         failover.add_report(&observations);
-        failover.set_drained(&self.committed_orders().1.drained, now);
+        failover.set_drained(&self.committed_orders().value.drained, now);
         let valid_from_ms = unix_ms() + TABLE_LEAD_MS;
         let table = failover.decide(now, valid_from_ms, topology);
         // An unchanged table is proposed again well before the members let it expire.
--- a/crates/linenthread-service/src/migrate.rs
+++ b/crates/linenthread-service/src/migrate.rs
@@ -78,12 +78,16 @@
     for (replica, member) in old.cached_membership.replicas.iter().zip(members) {
         let set = replica.replica_group / in_a_row;
         member["cell"] = json!(set);
-        let group = replica.replica_group;
-        let holds = |shard| (layout.holds(group, shard), sets.holds(set, shard));
-        let (loads, drops) = shard_moves(old.cluster.shard_count, holds);
-        let id = &replica.id;
+        let held_before = |shard| layout.holds(replica.replica_group, shard);
+        let held_after = |shard| sets.holds(set, shard);
+        let all = || 0..old.cluster.shard_count;
+        let loads = all().filter(|&shard| held_after(shard) && !held_before(shard));
+        let drops = all().filter(|&shard| held_before(shard) && !held_after(shard));
         moves.push(format!(
-            "{id}: set {set}; loads [{loads}], may then drop [{drops}]"
+            "{}: set {set}; loads [{}], may then drop [{}]",
+            replica.id,
+            join_shards(loads),
+            join_shards(drops)
         ));
     }
     let written = serde_json::to_vec(&new).context(SerializeSnafu)?;
@@ -106,18 +110,9 @@
     omitted
 }
 
-/// The shards that a replica has to load and those that it may drop. `holds` says of a shard whether the replica's
-/// group holds it and whether its set does.
-fn shard_moves(shard_count: usize, holds: impl Fn(usize) -> (bool, bool)) -> (String, String) {
-    let (mut loads, mut drops) = (Vec::new(), Vec::new());
-    for shard in 0..shard_count {
-        match holds(shard) {
-            (false, true) => loads.push(shard.to_string()),
-            (true, false) => drops.push(shard.to_string()),
-            _ => {}
-        }
-    }
-    (loads.join(" "), drops.join(" "))
+fn join_shards(shards: impl Iterator<Item = usize>) -> String {
+    let shards: Vec<String> = shards.map(|shard| shard.to_string()).collect();
+    shards.join(" ")
 }
 
 /// Writes a new file completely or not at all; an existing one is left alone.
@@ -134,14 +129,21 @@
     written.map(drop).context(IoSnafu { file })
 }
 
-/// Carries a configuration over; gives whether something was left out.
-fn migrate(old: &Path, output: Option<&Path>, dry_run: bool) -> Result<bool, MigrateError> {
+/// What a migration could carry over.
+enum Completeness {
+    Complete,
+    /// Some of it was left out; the lists say what.
+    Incomplete,
+}
+
+/// Carries a configuration over.
+fn migrate(old: &Path, output: Option<&Path>, dry_run: bool) -> Result<Completeness, MigrateError> {
     ensure!(output.is_some() || dry_run, NoOutputSnafu);
     let text = fs::read(old).context(IoSnafu { file: old })?;
     let Some(converted) = convert(&text).context(ConvertSnafu { file: old })? else {
         let old = old.display();
         println!("{old}: already of the new shape, nothing is written");
-        return Ok(false);
+        return Ok(Completeness::Complete);
     };
     if let Some(file) = output.filter(|_| !dry_run) {
         write(file, &converted.new)?;
@@ -155,14 +157,18 @@
     for line in &converted.omitted {
         println!("left out: {line}");
     }
-    Ok(!converted.omitted.is_empty())
+    if converted.omitted.is_empty() {
+        Ok(Completeness::Complete)
+    } else {
+        Ok(Completeness::Incomplete)
+    }
 }
 
 /// Runs the command: exit code 0, 3 if something was left out, 2 if nothing could be written.
 pub fn run(old: &Path, output: Option<&Path>, dry_run: bool) -> ExitCode {
     match migrate(old, output, dry_run) {
-        Ok(true) => ExitCode::from(INCOMPLETE),
-        Ok(false) => ExitCode::SUCCESS,
+        Ok(Completeness::Complete) => ExitCode::SUCCESS,
+        Ok(Completeness::Incomplete) => ExitCode::from(INCOMPLETE),
         Err(error) => {
             eprintln!("linenthread: {error}");
             ExitCode::from(FAILED)
--- a/crates/linenthread-service/src/zone_routing.rs
+++ b/crates/linenthread-service/src/zone_routing.rs
@@ -27,8 +27,12 @@
     configured: Option<usize>,
 }
 
-/// Identity of the process behind a replica number; another start time is another process.
-type ReplicaIdentity = (u64, Option<TenthMillis>);
+/// Identity of the process behind a replica's index; another start time is another process.
+#[derive(Clone, Copy, PartialEq, Eq)]
+struct ReplicaIdentity {
+    id: u64,
+    started_at: Option<TenthMillis>,
+}
 
 /// What a process tells the leader of its fleet about zones.
 pub(crate) struct ZoneReport {
@@ -126,8 +130,11 @@
     }
 
     fn on_entry(&mut self, entry: &MembershipEntry) {
-        let identity = (entry.id, entry.started_at);
-        // Observations of a former process or replica under this number do not hold for the new one.
+        let identity = ReplicaIdentity {
+            id: entry.id,
+            started_at: entry.started_at,
+        };
+        // Observations of a former process or replica under this index do not hold for the new one.
         if self.identities.insert(entry.replica, identity) != Some(identity) {
             self.observer.on_replica_removed(entry.replica.0);
         }
