--- a/crates/linenthread-service/src/dispatcher/mod.rs
+++ b/crates/linenthread-service/src/dispatcher/mod.rs
@@ -2,6 +2,7 @@
 
 mod decision;
 mod membership;
+mod membership_updates;
 mod open_queries;
 mod peer_members;
 mod zones;
@@ -11,18 +12,15 @@
 
 use linenthread_core::Coordinator;
 use linenthread_core::interface::{
-    AttemptResult, Continuation, Inputs, MembershipEntry, MembershipUpdate, NewQuery,
-    NewSubRequest, ProbeResult, QueryIndex, ReplicaIndex, SubRequestIndex, TenthMillis,
+    AttemptResult, Continuation, Inputs, MembershipUpdate, NewQuery, NewSubRequest, ProbeResult,
+    QueryIndex, ReplicaIndex, SubRequestIndex, TenthMillis,
 };
-use linenthread_link::Member;
-use linenthread_protocol::membership::MembershipList;
 use tokio::sync::{Notify, mpsc};
 use tokio::time::sleep_until;
 
 use crate::clock::Clock;
 use crate::config::Config;
 use crate::transports::Transports;
-use crate::transports::link::LinkEvent;
 use crate::zone_routing::ZoneRouting;
 pub(crate) use decision::Decision;
 use decision::StepDecisions;
@@ -31,9 +29,13 @@
 
 /// A query to be submitted, checked against the deployment.
 pub(crate) struct QuerySubmission {
+    /// The search index's position in the settings.
     pub index: usize,
+    /// The customer's position in the settings; 0 where they name none.
     pub customer: usize,
+    /// The hash of its routing key.
     pub key: Option<u64>,
+    /// The hash of its id.
     pub sequence_number: u64,
     /// The time to its hard deadline.
     pub expires_in: TenthMillis,
@@ -229,74 +231,6 @@
             });
         });
     }
-
-    /// A replica's id, for the log.
-    pub(crate) fn replica_id(&self, replica: ReplicaIndex) -> String {
-        let state = self.0.state.borrow();
-        let id = state.membership.replicas.id(replica);
-        id.unwrap_or_default().to_owned()
-    }
-
-    /// An update of the service discovery's list; `None` where it could not be had.
-    pub(crate) fn on_membership(&self, list: Option<&MembershipList>) {
-        self.update_membership(match list {
-            None => MembershipUpdate::Unavailable,
-            Some(list) if list.complete => MembershipUpdate::Snapshot(self.apply_list(list)),
-            Some(list) => MembershipUpdate::Delta(self.apply_list(list)),
-        });
-    }
-
-    fn apply_list(&self, list: &MembershipList) -> Vec<MembershipEntry> {
-        let mut state = self.0.state.borrow_mut();
-        let progress = state.queries.progress();
-        let entries = state.membership.apply_list(list, progress);
-        self.0.local_changed.notify_one();
-        entries
-    }
-
-    fn update_membership(&self, update: MembershipUpdate) {
-        if let Some(zones) = &mut self.0.state.borrow_mut().zones {
-            zones.on_membership(&update);
-        }
-        self.add_input(|inputs| inputs.membership.push(update));
-    }
-
-    /// Waits until the coordinator wants the service discovery to be asked.
-    pub(crate) async fn membership_requested(&self) {
-        self.0.membership_requested.notified().await;
-    }
-
-    /// Adds a peer; returns its number.
-    pub(crate) fn add_peer(&self) -> usize {
-        self.0.state.borrow_mut().membership.add_peer()
-    }
-
-    /// Handles what a peer's link reports.
-    pub(crate) fn on_link_event(&self, peer: usize, event: LinkEvent) {
-        let mut state = self.0.state.borrow_mut();
-        let submitted = state.queries.submitted();
-        state.membership.on_link_event(peer, event);
-        let entries = state.membership.update_remote(submitted);
-        drop(state);
-        if !entries.is_empty() {
-            self.update_membership(MembershipUpdate::Delta(entries));
-        }
-    }
-
-    /// Waits until the service discovery's list has changed.
-    pub(crate) async fn local_changed(&self) {
-        self.0.local_changed.notified().await;
-    }
-
-    /// What the service discovery lists, for those behind a link.
-    pub(crate) fn local_members(&self) -> Vec<Member> {
-        self.0.state.borrow().membership.local_members()
-    }
-
-    /// The index of a listed replica that is reached directly.
-    pub(crate) fn direct_replica(&self, id: &str) -> Option<ReplicaIndex> {
-        self.0.state.borrow().membership.direct_replica(id)
-    }
 }
 
 /// Empties the inputs, and keeps their memory. Each field is named, so that a new one is not forgotten.
--- /dev/null
+++ b/crates/linenthread-service/src/merge_responses/anomalies.rs
@@ -0,0 +1,58 @@
+//! Unusual values of sub-requests, counted and logged.
+
+use std::cell::Cell;
+
+use tracing::warn;
+
+use crate::log::LogRateLimit;
+
+/// The longest reason in a log line, in characters.
+const MAX_LOGGED_REASON_CHARS: usize = 160;
+
+/// Where a response came from, for the log.
+pub(crate) struct ResponseSource {
+    /// The replica's id.
+    pub replica: String,
+    pub shard: usize,
+}
+
+/// Counts unusual values of sub-requests, for the log.
+#[derive(Default)]
+pub(crate) struct Anomalies {
+    /// Responses to one sub-request that differ.
+    differing: Cell<u64>,
+    /// Values that cannot be merged.
+    invalid: Cell<u64>,
+    log_lines: LogRateLimit,
+}
+
+impl Anomalies {
+    pub(super) fn on_differing(&self, source: impl Fn() -> ResponseSource) {
+        let all = increment(&self.differing);
+        if let Some(left_out) = self.log_lines.admit() {
+            let ResponseSource { replica, shard } = source();
+            warn!(
+                replica,
+                shard, all, left_out, "copies of a part differ, the first one counts"
+            );
+        }
+    }
+
+    pub(super) fn on_invalid(&self, reason: &str, source: impl Fn() -> ResponseSource) {
+        let all = increment(&self.invalid);
+        if let Some(left_out) = self.log_lines.admit() {
+            let ResponseSource { replica, shard } = source();
+            let why: String = reason.chars().take(MAX_LOGGED_REASON_CHARS).collect();
+            warn!(
+                replica,
+                shard, all, left_out, "a part's value cannot be merged: {why}"
+            );
+        }
+    }
+}
+
+/// Counts one more; returns the new count.
+fn increment(counter: &Cell<u64>) -> u64 {
+    counter.set(counter.get() + 1);
+    counter.get()
+}
--- a/crates/linenthread-service/src/merge_responses.rs
+++ b/crates/linenthread-service/src/merge_responses/mod.rs
@@ -1,28 +1,20 @@
 //! Collects a query's responses and builds its body: values as they are, or merged by the plan of its index.
 
-use std::cell::{Cell, RefCell};
+mod anomalies;
+mod plans;
+
+use std::cell::RefCell;
 use std::rc::Rc;
 use std::time::{SystemTime, UNIX_EPOCH};
 
 use linenthread_core::interface::{AttemptOutcome, Completeness, SubRequestIndex};
 use linenthread_merge::{
-    Acceptance, CursorSigner, MergeQuery, Merger, PageRequest, Plan, QueriedShard, QueryError,
+    Acceptance, CursorSigner, MergeQuery, Merger, PageRequest, QueriedShard, QueryError,
 };
 use linenthread_protocol::query::{self as protocol, Page, Query, ShardValue};
-use tracing::warn;
-
-use crate::log::LogRateLimit;
 
-/// The longest reason in a log line, in characters.
-const MAX_LOGGED_REASON_CHARS: usize = 160;
-
-/// Which indexes are merged, and how.
-#[derive(Default)]
-pub struct MergePlans {
-    /// By the index's position in the settings; `None` where it is not merged.
-    plans: Vec<Option<Plan>>,
-    signer: Option<CursorSigner>,
-}
+pub(crate) use anomalies::{Anomalies, ResponseSource};
+pub use plans::MergePlans;
 
 /// Seconds since 1970, for the lifetime of cursors.
 fn unix_seconds() -> u64 {
@@ -32,67 +24,6 @@
         .as_secs()
 }
 
-impl MergePlans {
-    /// Plans by the index's position in the settings.
-    pub(crate) fn new(plans: Vec<Option<Plan>>, signer: Option<CursorSigner>) -> MergePlans {
-        MergePlans { plans, signer }
-    }
-
-    /// The number of indexes that are merged.
-    pub fn count(&self) -> usize {
-        self.plans.iter().flatten().count()
-    }
-
-    pub(crate) fn is_merged(&self, index: usize) -> bool {
-        self.plan(index).is_some()
-    }
-
-    fn plan(&self, index: usize) -> Option<&Plan> {
-        self.plans.get(index)?.as_ref()
-    }
-}
-
-/// Counts unusual values of sub-requests, for the log.
-#[derive(Default)]
-pub(crate) struct Anomalies {
-    /// Responses to one sub-request that differ.
-    differing: Cell<u64>,
-    /// Values that cannot be merged.
-    invalid: Cell<u64>,
-    log_lines: LogRateLimit,
-}
-
-impl Anomalies {
-    fn on_differing(&self, source: impl Fn() -> ResponseSource) {
-        let all = increment(&self.differing);
-        if let Some(left_out) = self.log_lines.admit() {
-            let ResponseSource { replica, shard } = source();
-            warn!(
-                replica,
-                shard, all, left_out, "copies of a part differ, the first one counts"
-            );
-        }
-    }
-
-    fn on_invalid(&self, reason: &str, source: impl Fn() -> ResponseSource) {
-        let all = increment(&self.invalid);
-        if let Some(left_out) = self.log_lines.admit() {
-            let ResponseSource { replica, shard } = source();
-            let why: String = reason.chars().take(MAX_LOGGED_REASON_CHARS).collect();
-            warn!(
-                replica,
-                shard, all, left_out, "a part's value cannot be merged: {why}"
-            );
-        }
-    }
-}
-
-/// Counts one more; returns the new count.
-fn increment(counter: &Cell<u64>) -> u64 {
-    counter.set(counter.get() + 1);
-    counter.get()
-}
-
 /// What merging shares between queries.
 #[derive(Default)]
 pub(crate) struct ResponseMerging {
@@ -118,13 +49,6 @@
     pub value: String,
 }
 
-/// Where a response came from, for the log.
-pub(crate) struct ResponseSource {
-    /// The replica's id.
-    pub replica: String,
-    pub shard: usize,
-}
-
 /// The responses of one query.
 pub(crate) enum ResponseCollector<'a> {
     /// The first value of each sub-request, as it is.
--- a/crates/linenthread-service/src/serve/mod.rs
+++ b/crates/linenthread-service/src/serve/mod.rs
@@ -1,5 +1,6 @@
 //! `linenthread serve`: puts the parts of the process together and runs it until it is told to stop.
 
+mod descriptors;
 mod error;
 mod fleet_member;
 mod links;
@@ -31,12 +32,10 @@
 use crate::transports::attempt::ConnectionConfig;
 use crate::zone_routing::{ZoneRouting, ZoneRoutingConfig, numbered_zones};
 
+use descriptors::{max_clients, max_spent_clients, replica_descriptors};
 pub use error::ServeError;
 use error::{FleetSnafu, ListenSnafu, SignalsSnafu};
 
-/// Descriptors that are neither a client's nor a replica's: standard streams, the listener, service discovery's
-/// and the runtime's own.
-const OWN_DESCRIPTORS: usize = 24;
 /// Time that calls of links may still take after the signal to stop.
 const LINKS_DRAIN: Duration = Duration::from_millis(1_500);
 
@@ -147,21 +146,6 @@
     }
 }
 
-/// Connections of clients that the descriptors leave room for.
-fn max_clients(config: &Config, settings: &InstallationSettings) -> usize {
-    let fleet = settings.fleet.as_ref();
-    let for_fleet = fleet.map_or(0, |fleet| fleet_member::descriptors(&fleet.section));
-    let gateway = settings.gateway.as_ref().map(|gateway| &gateway.section);
-    let for_links = links::descriptors(settings.peers.len(), gateway);
-    let reserved = replica_descriptors(config) + for_fleet + for_links + OWN_DESCRIPTORS;
-    config.sockets.saturating_sub(reserved).max(1)
-}
-
-/// Connections of clients that may stay although they send no further request: a sixth of all descriptors.
-fn max_spent_clients(config: &Config) -> usize {
-    config.sockets / 6
-}
-
 /// Where the settings have the coordinator watch the list, it says itself when it wants the first one.
 fn first_fetch(config: &Config) -> FirstFetch {
     if config.coordinator.watch_membership {
@@ -171,14 +155,6 @@
     }
 }
 
-/// Descriptors reserved for replicas, before those for clients: a quarter of all, or two a replica. More replicas may
-/// be discovered later, so at most half is reserved.
-fn replica_descriptors(config: &Config) -> usize {
-    (config.sockets / 4)
-        .max(config.cached_membership.replicas.len() * 2)
-        .min(config.sockets / 2)
-}
-
 /// The connections to replicas. Idle ones are closed somewhat earlier than replicas would close them.
 fn transports(config: &Config) -> Transports {
     let cluster = &config.cluster;
