--- a/crates/linenthread-service/src/frontends/http/connection.rs
+++ b/crates/linenthread-service/src/frontends/http/connection.rs
@@ -1,14 +1,9 @@
-//! One client's connection: where its request is, when it is idle, and the stream that serves it.
+//! The state of one client's connection: where its request is, when it is idle, and when it is to close.
 
 use std::cell::{Cell, RefCell};
-use std::io;
-use std::pin::Pin;
-use std::rc::Rc;
-use std::task::{Context, Poll, Waker};
+use std::task::Waker;
 use std::time::Duration;
 
-use actix_rt::net::{ActixStream, Ready, TcpStream};
-use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
@@ -109,6 +104,26 @@
         self.discards_input.get()
     }
 
+    /// Its request was read completely and is not yet answered.
+    pub(super) fn awaits_response(&self) -> bool {
+        self.state.get() == ConnectionState::AwaitingResponse
+    }
+
+    /// Nothing more is to be read: it is evicted, or idle and to close.
+    pub(super) fn is_ending(&self) -> bool {
+        self.is_evicted.get() || (self.is_closing.get() && self.is_idle())
+    }
+
+    /// Sets what wakes the task that reads, once it is to close.
+    pub(super) fn set_reader(&self, reader: &Waker) {
+        self.reader.replace(Some(reader.clone()));
+    }
+
+    /// The client has left while its request awaits the response.
+    pub(super) fn on_client_left(&self) {
+        self.client_left.notify_one();
+    }
+
     /// Waits until the client leaves while its request awaits the response.
     pub(super) async fn client_left(&self) {
         self.client_left.notified().await;
@@ -186,84 +201,3 @@
         }
     }
 }
-
-/// The stream of a client's connection. When it is to close, it ends between requests as if the client had closed
-/// it, and never with a request unread. While a request awaits its response nothing more is read, only whether the
-/// client has left, so that further requests do not pile up here. A request that arrives in one piece with
-/// something that does not parse would be dropped by actix-http unless half-closed connections were allowed.
-pub(super) struct ClientStream {
-    pub(super) io: TcpStream,
-    pub(super) connection: Rc<ClientConnection>,
-}
-
-impl ClientStream {
-    /// Notices whether the client leaves, and reads nothing.
-    fn poll_client_left(&mut self, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
-        self.connection.reader.replace(Some(cx.waker().clone()));
-        match self.io.poll_peek(cx, &mut ReadBuf::new(&mut [0])) {
-            Poll::Ready(Ok(0)) => {
-                self.connection.client_left.notify_one();
-                Poll::Ready(Ok(()))
-            }
-            Poll::Ready(Ok(_)) | Poll::Pending => Poll::Pending,
-            Poll::Ready(Err(error)) => Poll::Ready(Err(error)),
-        }
-    }
-}
-
-impl AsyncRead for ClientStream {
-    fn poll_read(
-        mut self: Pin<&mut Self>,
-        cx: &mut Context<'_>,
-        buf: &mut ReadBuf<'_>,
-    ) -> Poll<io::Result<()>> {
-        if self.connection.discards_input.get() {
-            return Poll::Ready(Ok(()));
-        }
-        if self.connection.state.get() == ConnectionState::AwaitingResponse {
-            return self.poll_client_left(cx);
-        }
-        let before = buf.filled().len();
-        let read = Pin::new(&mut self.io).poll_read(cx, buf);
-        let connection = &self.connection;
-        if buf.filled().len() > before {
-            connection.on_request_bytes();
-        }
-        if read.is_pending() {
-            let closes = connection.is_closing.get() && connection.is_idle();
-            if connection.is_evicted.get() || closes {
-                return Poll::Ready(Ok(()));
-            }
-            connection.reader.replace(Some(cx.waker().clone()));
-        }
-        read
-    }
-}
-
-impl AsyncWrite for ClientStream {
-    fn poll_write(
-        mut self: Pin<&mut Self>,
-        cx: &mut Context<'_>,
-        buf: &[u8],
-    ) -> Poll<io::Result<usize>> {
-        Pin::new(&mut self.io).poll_write(cx, buf)
-    }
-
-    fn poll_flush(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
-        Pin::new(&mut self.io).poll_flush(cx)
-    }
-
-    fn poll_shutdown(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
-        Pin::new(&mut self.io).poll_shutdown(cx)
-    }
-}
-
-impl ActixStream for ClientStream {
-    fn poll_read_ready(&self, cx: &mut Context<'_>) -> Poll<io::Result<Ready>> {
-        ActixStream::poll_read_ready(&self.io, cx)
-    }
-
-    fn poll_write_ready(&self, cx: &mut Context<'_>) -> Poll<io::Result<Ready>> {
-        ActixStream::poll_write_ready(&self.io, cx)
-    }
-}
--- a/crates/linenthread-service/src/frontends/http/mod.rs
+++ b/crates/linenthread-service/src/frontends/http/mod.rs
@@ -4,6 +4,7 @@
 mod connection;
 mod request;
 mod response;
+mod stream;
 
 use std::cell::{Cell, RefCell};
 use std::cmp::Reverse;
@@ -21,7 +22,8 @@
 
 use crate::log::LogRateLimit;
 use crate::query::QueryContext;
-use connection::{ClientConnection, ClientStream};
+use connection::ClientConnection;
+use stream::ClientStream;
 
 /// How long a request may take to arrive: from the connect for the first, else from its first byte.
 const REQUEST_TIMEOUT: Duration = Duration::from_millis(2_500);
--- /dev/null
+++ b/crates/linenthread-service/src/frontends/http/stream.rs
@@ -0,0 +1,91 @@
+//! The stream of a client's connection: reads no more than the state of the connection allows.
+
+use std::io;
+use std::pin::Pin;
+use std::rc::Rc;
+use std::task::{Context, Poll};
+
+use actix_rt::net::{ActixStream, Ready, TcpStream};
+use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
+
+use super::connection::ClientConnection;
+
+/// The stream of a client's connection. When it is to close, it ends between requests as if the client had closed
+/// it, and never with a request unread. While a request awaits its response nothing more is read, only whether the
+/// client has left, so that further requests do not pile up here. A request that arrives in one piece with
+/// something that does not parse would be dropped by actix-http unless half-closed connections were allowed.
+pub(super) struct ClientStream {
+    pub(super) io: TcpStream,
+    pub(super) connection: Rc<ClientConnection>,
+}
+
+impl ClientStream {
+    /// Notices whether the client leaves, and reads nothing.
+    fn poll_client_left(&mut self, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
+        self.connection.set_reader(cx.waker());
+        match self.io.poll_peek(cx, &mut ReadBuf::new(&mut [0])) {
+            Poll::Ready(Ok(0)) => {
+                self.connection.on_client_left();
+                Poll::Ready(Ok(()))
+            }
+            Poll::Ready(Ok(_)) | Poll::Pending => Poll::Pending,
+            Poll::Ready(Err(error)) => Poll::Ready(Err(error)),
+        }
+    }
+}
+
+impl AsyncRead for ClientStream {
+    fn poll_read(
+        mut self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        buf: &mut ReadBuf<'_>,
+    ) -> Poll<io::Result<()>> {
+        if self.connection.discards_input() {
+            return Poll::Ready(Ok(()));
+        }
+        if self.connection.awaits_response() {
+            return self.poll_client_left(cx);
+        }
+        let before = buf.filled().len();
+        let read = Pin::new(&mut self.io).poll_read(cx, buf);
+        let connection = &self.connection;
+        if buf.filled().len() > before {
+            connection.on_request_bytes();
+        }
+        if read.is_pending() {
+            if connection.is_ending() {
+                return Poll::Ready(Ok(()));
+            }
+            connection.set_reader(cx.waker());
+        }
+        read
+    }
+}
+
+impl AsyncWrite for ClientStream {
+    fn poll_write(
+        mut self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        buf: &[u8],
+    ) -> Poll<io::Result<usize>> {
+        Pin::new(&mut self.io).poll_write(cx, buf)
+    }
+
+    fn poll_flush(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
+        Pin::new(&mut self.io).poll_flush(cx)
+    }
+
+    fn poll_shutdown(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
+        Pin::new(&mut self.io).poll_shutdown(cx)
+    }
+}
+
+impl ActixStream for ClientStream {
+    fn poll_read_ready(&self, cx: &mut Context<'_>) -> Poll<io::Result<Ready>> {
+        ActixStream::poll_read_ready(&self.io, cx)
+    }
+
+    fn poll_write_ready(&self, cx: &mut Context<'_>) -> Poll<io::Result<Ready>> {
+        ActixStream::poll_write_ready(&self.io, cx)
+    }
+}
