--- a/crates/linenthread-adapter/src/encoder.rs
+++ b/crates/linenthread-adapter/src/encoder.rs
@@ -15,9 +15,12 @@
     pub(crate) reply: &'a mut Reply,
 }
 
+/// Units of the decision module in a millisecond.
+const TENTHS_PER_MS: f64 = 10.0;
+
 /// A time on the wire: milliseconds.
 fn millis(time: TenthMillis) -> [u8; 8] {
-    (time as f64 / 10.0).to_be_bytes()
+    (time as f64 / TENTHS_PER_MS).to_be_bytes()
 }
 
 impl Encoder<'_> {
--- a/crates/linenthread-adapter/src/event.rs
+++ b/crates/linenthread-adapter/src/event.rs
@@ -1,25 +1,63 @@
-//! The codes of events, and the values within them.
+//! The kinds of events, and the values within them.
 
 use linenthread_core::interface::{AttemptOutcome, MembershipEntry, Phase};
 use linenthread_terms::tenth_millis;
 
-use crate::error::{AdapterError, UnknownOutcomeSnafu, UnknownPhaseSnafu};
+use crate::error::{AdapterError, UnknownEventSnafu, UnknownOutcomeSnafu, UnknownPhaseSnafu};
 use crate::fields::Fields;
 use crate::ids::IdTable;
 
-/// The codes of events.
-pub(crate) mod code {
-    pub(crate) const BOOT: u8 = 1;
-    pub(crate) const MEMBERSHIP: u8 = 2;
-    pub(crate) const REQUEST: u8 = 3;
-    pub(crate) const STREAMING: u8 = 4;
-    pub(crate) const ATTEMPT_RESULT: u8 = 5;
-    pub(crate) const ABANDONED: u8 = 6;
-    pub(crate) const TIMER: u8 = 7;
-    pub(crate) const PROBE_RESULT: u8 = 8;
-    pub(crate) const PEER_MESSAGE: u8 = 9;
-    pub(crate) const KILLED: u8 = 10;
-    pub(crate) const LIST: u8 = 11;
+/// What an event is, by its code on the wire.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum EventKind {
+    /// It has a list that later events refer to.
+    List,
+    /// It starts an instance.
+    Boot,
+    /// It ends an instance.
+    Killed,
+    /// It is for a running instance.
+    Input(InputKind),
+}
+
+/// What an event for a running instance says.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum InputKind {
+    Membership,
+    Request,
+    Streaming,
+    AttemptResult,
+    Abandoned,
+    Timer,
+    ProbeResult,
+    PeerMessage,
+}
+
+impl EventKind {
+    pub(crate) fn read(fields: &mut Fields) -> Result<EventKind, AdapterError> {
+        Ok(match fields.u8("event code")? {
+            1 => EventKind::Boot,
+            2 => EventKind::Input(InputKind::Membership),
+            3 => EventKind::Input(InputKind::Request),
+            4 => EventKind::Input(InputKind::Streaming),
+            5 => EventKind::Input(InputKind::AttemptResult),
+            6 => EventKind::Input(InputKind::Abandoned),
+            7 => EventKind::Input(InputKind::Timer),
+            8 => EventKind::Input(InputKind::ProbeResult),
+            9 => EventKind::Input(InputKind::PeerMessage),
+            10 => EventKind::Killed,
+            11 => EventKind::List,
+            code => return UnknownEventSnafu { code }.fail(),
+        })
+    }
+}
+
+/// What a membership event says of service discovery.
+pub(crate) mod membership_mode {
+    pub(crate) const DELTA: u8 = 0;
+    pub(crate) const SNAPSHOT: u8 = 1;
+    pub(crate) const CACHED: u8 = 2;
+    pub(crate) const UNAVAILABLE: u8 = 3;
 }
 
 /// The bytes of a streaming event after the instance; no index of this family streams.
--- a/crates/linenthread-adapter/src/host.rs
+++ b/crates/linenthread-adapter/src/host.rs
@@ -3,10 +3,10 @@
 use std::collections::BTreeMap;
 
 use linenthread_terms::tenth_millis;
-use snafu::{OptionExt, ensure};
+use snafu::OptionExt;
 
-use crate::error::{AdapterError, UnknownEventSnafu, UnknownInstanceSnafu};
-use crate::event::{ListEntry, code};
+use crate::error::{AdapterError, UnknownInstanceSnafu};
+use crate::event::{EventKind, ListEntry};
 use crate::fields::Fields;
 use crate::instance::{Instance, Lists};
 use crate::reply::Reply;
@@ -43,14 +43,12 @@
     }
 
     fn on_event(&mut self, fields: &mut Fields) -> Result<(), AdapterError> {
-        let code = fields.u8("event code")?;
-        if code == code::LIST {
+        let kind = EventKind::read(fields)?;
+        if kind == EventKind::List {
             return self.on_list(fields);
         }
-        let is_known = (code::BOOT..=code::KILLED).contains(&code);
-        ensure!(is_known, UnknownEventSnafu { code });
         let number = fields.u32("who")?;
-        if code == code::BOOT {
+        if kind == EventKind::Boot {
             let instance = Instance::boot(fields)?;
             self.instances.insert(number, instance);
             self.active.push(number);
@@ -61,11 +59,11 @@
             .get_mut(&number)
             .context(UnknownInstanceSnafu { instance: number })?;
         self.active.push(number);
-        if code == code::KILLED {
-            self.instances.remove(&number);
-            return Ok(());
+        if let EventKind::Input(kind) = kind {
+            return instance.on_event(kind, fields, &self.lists);
         }
-        instance.on_event(code, fields, &self.lists)
+        self.instances.remove(&number);
+        Ok(())
     }
 
     fn on_list(&mut self, fields: &mut Fields) -> Result<(), AdapterError> {
--- a/crates/linenthread-adapter/src/instance.rs
+++ b/crates/linenthread-adapter/src/instance.rs
@@ -6,17 +6,16 @@
 use linenthread_core::Coordinator;
 use linenthread_core::conversion::{to_count, to_tenth_millis};
 use linenthread_core::interface::{
-    AttemptResult, Inputs, MembershipEntry, MembershipUpdate, NewQuery, NewSubRequest, ProbeResult,
-    TenthMillis,
+    AttemptResult, Inputs, MembershipUpdate, NewQuery, NewSubRequest, ProbeResult, TenthMillis,
 };
 use linenthread_terms::{self as terms, tenth_millis};
 use snafu::{OptionExt, ensure};
 
 use crate::encoder::Encoder;
-use crate::error::{
-    AdapterError, UnknownClassSnafu, UnknownEventSnafu, UnknownListSnafu, UnknownModeSnafu,
+use crate::error::{AdapterError, UnknownClassSnafu, UnknownListSnafu, UnknownModeSnafu};
+use crate::event::{
+    InputKind, ListEntry, STREAMING_BYTES, membership_mode, read_outcome, read_queue_depth,
 };
-use crate::event::{ListEntry, STREAMING_BYTES, code, read_outcome, read_queue_depth};
 use crate::fields::Fields;
 use crate::ids::{IdTable, Target};
 use crate::reply::{Reply, action};
@@ -57,21 +56,20 @@
     /// Reads an event of a running instance.
     pub(crate) fn on_event(
         &mut self,
-        code: u8,
+        kind: InputKind,
         fields: &mut Fields,
         lists: &Lists,
     ) -> Result<(), AdapterError> {
-        match code {
-            code::MEMBERSHIP => self.on_membership(fields, lists)?,
-            code::REQUEST => self.on_request(fields)?,
-            code::STREAMING => _ = fields.bytes(STREAMING_BYTES, "streaming")?,
-            code::ATTEMPT_RESULT => self.on_attempt_result(fields)?,
-            code::ABANDONED => self.on_abandoned(fields)?,
+        match kind {
+            InputKind::Membership => self.on_membership(fields, lists)?,
+            InputKind::Request => self.on_request(fields)?,
+            InputKind::Streaming => _ = fields.bytes(STREAMING_BYTES, "streaming")?,
+            InputKind::AttemptResult => self.on_attempt_result(fields)?,
+            InputKind::Abandoned => self.on_abandoned(fields)?,
             // There is one timer; that the instance is run is the event's whole meaning.
-            code::TIMER => _ = fields.u64("label")?,
-            code::PROBE_RESULT => self.on_probe_result(fields)?,
-            code::PEER_MESSAGE => skip_peer_message(fields)?,
-            _ => return UnknownEventSnafu { code }.fail(),
+            InputKind::Timer => _ = fields.u64("label")?,
+            InputKind::ProbeResult => self.on_probe_result(fields)?,
+            InputKind::PeerMessage => skip_peer_message(fields)?,
         }
         Ok(())
     }
@@ -100,22 +98,18 @@
     }
 
     fn on_membership(&mut self, fields: &mut Fields, lists: &Lists) -> Result<(), AdapterError> {
-        /// The update that an event's mode stands for.
-        type Update = fn(Vec<MembershipEntry>) -> MembershipUpdate;
-        const UNAVAILABLE: u8 = 3;
-
         let mode = fields.u8("mode")?;
         fields.u64("rev")?;
         let list = fields.u16("ref")?;
-        if mode == UNAVAILABLE {
+        if mode == membership_mode::UNAVAILABLE {
             self.inputs.membership.push(MembershipUpdate::Unavailable);
             return Ok(());
         }
         let entries = lists.get(&list).context(UnknownListSnafu { list })?;
-        let update: Update = match mode {
-            0 => MembershipUpdate::Delta,
-            1 => MembershipUpdate::Snapshot,
-            2 => MembershipUpdate::Cached,
+        let update = match mode {
+            membership_mode::DELTA => MembershipUpdate::Delta,
+            membership_mode::SNAPSHOT => MembershipUpdate::Snapshot,
+            membership_mode::CACHED => MembershipUpdate::Cached,
             mode => return UnknownModeSnafu { mode }.fail(),
         };
         let entries = entries
