--- a/crates/linenthread-node/src/control_client.rs
+++ b/crates/linenthread-node/src/control_client.rs
@@ -65,7 +65,7 @@
         quota_requests: RefCell::default(),
     };
     let mut failures: HashMap<SocketAddr, Instant> = HashMap::new();
-    let mut backoff_ms = MIN_BACKOFF_MS;
+    let mut backoff = Backoff::new();
     loop {
         if settings.has_changed().unwrap_or(false)
             && let Some(settings) = settings.borrow_and_update().clone()
@@ -77,29 +77,61 @@
             return;
         };
         let started_at = clock::now();
-        match Session::new(&client, control_node).run().await {
-            Ok(cause) => {
-                log::info!(control_node = control_node.to_string(), cause = cause.to_string();
-                    "event=session_closed");
-            }
-            Err(e) => log::info!(cause = e.to_string(); "event=session_failed"),
-        }
+        client.run_session(control_node).await;
         let now = clock::now();
         failures.insert(control_node, now);
-        backoff_ms = if now > started_at + STABLE_SESSION {
-            MIN_BACKOFF_MS
+        let was_stable = now > started_at + STABLE_SESSION;
+        // While few control nodes have failed, the others are to be tried at once.
+        let has_untried = failures.len() <= candidates.len() / 2;
+        if was_stable || has_untried {
+            backoff.reset();
         } else {
-            (backoff_ms * 2).min(MAX_BACKOFF_MS)
-        };
-        // Others are left to try at once.
-        if failures.len() <= candidates.len() / 2 {
-            backoff_ms = MIN_BACKOFF_MS;
+            backoff.increase();
         }
-        tokio::time::sleep(half_at_random(backoff_ms, &mut random)).await;
+        tokio::time::sleep(backoff.pause(&mut random)).await;
+    }
+}
+
+/// The pause between two sessions, which grows while sessions fail.
+struct Backoff {
+    pause_ms: u64,
+}
+
+impl Backoff {
+    fn new() -> Backoff {
+        Backoff {
+            pause_ms: MIN_BACKOFF_MS,
+        }
+    }
+
+    fn reset(&mut self) {
+        self.pause_ms = MIN_BACKOFF_MS;
+    }
+
+    fn increase(&mut self) {
+        self.pause_ms = (self.pause_ms * 2).min(MAX_BACKOFF_MS);
+    }
+
+    /// At least half of the pause, and at most all of it, so that the nodes that lost a session together do not all
+    /// come back together.
+    fn pause(&self, random: &mut Rand64) -> Duration {
+        let half = self.pause_ms / 2;
+        Duration::from_millis(half + random.rand_range(0..half + 1))
     }
 }
 
 impl ControlClient {
+    /// Has one session with a control node, and logs how it ended.
+    async fn run_session(&self, control_node: SocketAddr) {
+        match Session::new(self, control_node).run().await {
+            Ok(cause) => {
+                log::info!(control_node = control_node.to_string(), cause = cause.to_string();
+                    "event=session_closed");
+            }
+            Err(e) => log::info!(cause = e.to_string(); "event=session_failed"),
+        }
+    }
+
     /// Adds control nodes that the settings name, if they are new.
     fn add_control_nodes(&self, bootstrap_peers: &[SocketAddr]) {
         let mut control_nodes = self.control_nodes.borrow_mut();
@@ -128,10 +160,3 @@
         candidates
     }
 }
-
-/// A pause of at least half this time, and at most all of it, so that the nodes that lost a session together do not
-/// all come back together.
-fn half_at_random(ms: u64, random: &mut Rand64) -> Duration {
-    let half = ms / 2;
-    Duration::from_millis(half + random.rand_range(0..half + 1))
-}
--- a/crates/linenthread-node/src/ingress.rs
+++ b/crates/linenthread-node/src/ingress.rs
@@ -35,7 +35,7 @@
 /// How often a shutdown looks whether all requests have ended.
 const SHUTDOWN_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Starts to accept clients at this address, and to follow the control nodes.
+/// Starts to accept clients at this address, and to follow the control nodes; the data plane that serves the clients.
 pub(crate) async fn start(
     settings: &Rc<Settings>,
     address: SocketAddr,
@@ -73,7 +73,7 @@
 async fn bind(address: SocketAddr) -> Result<TcpListener, Error> {
     TcpListener::bind(address)
         .await
-        .map_err(step("binding", address))
+        .map_err(step("binding", &address))
 }
 
 /// Accepts clients until the data plane closes.
@@ -100,14 +100,14 @@
 async fn accept_readiness_checks(listener: TcpListener, plane: Rc<DataPlane>) {
     loop {
         match listener.accept().await {
-            Ok((stream, _)) => drop(spawn_local(answer_readiness_checks(stream, plane.clone()))),
+            Ok((stream, _)) => drop(spawn_local(serve_readiness_checks(stream, plane.clone()))),
             Err(e) => accept::back_off(&e).await,
         }
     }
 }
 
-/// Answers the checks on one connection, whatever their path is.
-async fn answer_readiness_checks(stream: TcpStream, plane: Rc<DataPlane>) {
+/// Responds to the checks on one connection, whatever their path is.
+async fn serve_readiness_checks(stream: TcpStream, plane: Rc<DataPlane>) {
     let _ = stream.set_nodelay(true);
     let mut http = HttpConnection::new(stream);
     while let Ok(head) = http
@@ -123,12 +123,12 @@
         } else {
             "503 Service Unavailable"
         };
-        let close = if head.keeps_alive() {
+        let connection_header = if head.keeps_alive() {
             ""
         } else {
             "Connection: close\r\n"
         };
-        let response = format!("HTTP/1.1 {status}\r\nContent-Length: 0\r\n{close}\r\n");
+        let response = format!("HTTP/1.1 {status}\r\nContent-Length: 0\r\n{connection_header}\r\n");
         let deadline = Instant::now() + READINESS_TIMEOUT;
         let written = http.write(response.as_bytes(), deadline).await;
         if written.is_err() || !head.keeps_alive() {
--- a/crates/linenthread-node/src/peer_connection.rs
+++ b/crates/linenthread-node/src/peer_connection.rs
@@ -57,7 +57,7 @@
     let connected = tokio::time::timeout(timeout, TcpStream::connect(address))
         .await
         .unwrap_or_else(|_| Err(io::ErrorKind::TimedOut.into()));
-    let stream = connected.map_err(step("dialling", address))?;
+    let stream = connected.map_err(step("dialling", &address))?;
     configure(&stream);
     Ok(stream)
 }
--- a/crates/linenthread-node/tests/system.rs
+++ b/crates/linenthread-node/tests/system.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeSet;
 use std::io::{Read, Write};
-use std::net::TcpStream;
+use std::net::{SocketAddr, TcpStream};
 use std::path::Path;
 use std::time::Duration;
 
@@ -201,12 +201,10 @@
     assert!(shutdown.join().unwrap().1);
 }
 
-#[test]
-fn invalid_input_is_rejected_and_harms_nothing() {
-    let mut cluster = cluster(1, 1);
-    complete_response(&cluster, "ingress-1", "/all/x", "a").expect("a complete response");
+/// What a client sends to an ingress node, and the status that it gets.
+fn invalid_requests() -> Vec<(String, &'static str)> {
     let host = "Host: index.example\r\nX-Remaining-Ms: 900\r\n";
-    let front = [
+    vec![
         ("\0\0\0\r\n\r\n".to_owned(), "400"),
         (
             format!(
@@ -240,7 +238,11 @@
             format!("GET /none/x HTTP/1.1\r\n{host}X-Attempt-Id: q\r\nConnection: close\r\n\r\n"),
             "404",
         ),
-    ];
+    ]
+}
+
+/// What a replica or an operator sends to a control node, and the status that it gets.
+fn invalid_calls() -> Vec<(String, &'static str)> {
     let heartbeat = |body: &str| {
         format!(
             "POST /Replicas.Heartbeat/i-9 HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\
@@ -248,7 +250,7 @@
             body.len()
         )
     };
-    let control = [
+    vec![
         ("\x16\x03\x01\r\n\r\n".to_owned(), "400"),
         (heartbeat("{}"), "400"),
         (
@@ -271,18 +273,29 @@
             "GET /What.Else HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n".to_owned(),
             "404",
         ),
-    ];
+    ]
+}
+
+/// Sends bytes on a connection of their own, and reads until its end.
+fn exchange(peer: SocketAddr, bytes: &[u8]) -> String {
+    let mut stream = TcpStream::connect(peer).unwrap();
+    stream.write_all(bytes).unwrap();
+    let mut response = Vec::new();
+    let _ = stream.read_to_end(&mut response);
+    String::from_utf8_lossy(&response).into_owned()
+}
+
+#[test]
+fn invalid_input_is_rejected_and_harms_nothing() {
+    let mut cluster = cluster(1, 1);
+    complete_response(&cluster, "ingress-1", "/all/x", "a").expect("a complete response");
     let (ingress, calls) = (
         cluster.ingress_address("ingress-1").unwrap(),
         cluster.control_addresses()[0],
     );
-    for (peer, cases) in [(ingress, &front[..]), (calls, &control[..])] {
+    for (peer, cases) in [(ingress, invalid_requests()), (calls, invalid_calls())] {
         for (sent, status) in cases {
-            let mut stream = TcpStream::connect(peer).unwrap();
-            stream.write_all(sent.as_bytes()).unwrap();
-            let mut response = Vec::new();
-            let _ = stream.read_to_end(&mut response);
-            let response = String::from_utf8_lossy(&response).into_owned();
+            let response = exchange(peer, sent.as_bytes());
             assert!(
                 response.starts_with(&format!("HTTP/1.1 {status} ")),
                 "{sent:?}: {response:?}"
@@ -290,16 +303,13 @@
         }
     }
     // What is no frame ends its connection.
-    let peers = std::net::SocketAddr::new(calls.ip(), 17_120);
+    let peers = SocketAddr::new(calls.ip(), 17_120);
     for bytes in [
         &b"GET / HTTP/1.1\r\n\r\n"[..],
         &[0, 0, 0, 3, 0xff, 0xff, 0xff],
         &[0, 0, 0, 0],
     ] {
-        let mut stream = TcpStream::connect(peers).unwrap();
-        stream.write_all(bytes).unwrap();
-        let mut rest = Vec::new();
-        let _ = stream.read_to_end(&mut rest);
+        exchange(peers, bytes);
     }
     assert!(cluster.wait_for_line("ingress-1", &["event=input_rejected", "peer="], LOG_TIMEOUT));
     assert!(cluster.wait_for_line(
