--- a/crates/linenthread-node/src/control/mod.rs
+++ b/crates/linenthread-node/src/control/mod.rs
@@ -110,7 +110,7 @@
 async fn bind(address: SocketAddr) -> Result<TcpListener, Error> {
     TcpListener::bind(address)
         .await
-        .map_err(step("binding", address))
+        .map_err(step("binding", &address))
 }
 
 /// Takes the messages that waited on the disk from its thread to the task.
