--- a/crates/linenthread-core/src/policy/arrival.rs
+++ b/crates/linenthread-core/src/policy/arrival.rs
@@ -5,7 +5,7 @@
 use crate::interface::{
     Continuation, Idempotency, NewQuery, NewSubRequest, QueryIndex, TenthMillis,
 };
-use crate::state::{Query, SubRequest, hash_ids};
+use crate::state::{Query, QueryStage, SubRequest, hash_ids};
 
 /// How long before its deadline a response leaves.
 ///
@@ -57,7 +57,7 @@
     /// The client of a query has left: nothing more is sent or responded.
     pub(super) fn on_abandoned(&mut self, query_index: QueryIndex) {
         if let Some(query) = self.query_mut(query_index) {
-            query.finished = true;
+            query.stage = QueryStage::Finished;
         }
     }
 }
--- a/crates/linenthread-core/src/policy/attempt_result.rs
+++ b/crates/linenthread-core/src/policy/attempt_result.rs
@@ -6,7 +6,7 @@
 use crate::interface::{
     AttemptOutcome, AttemptResult, DecisionSink, QueryIndex, ReplicaIndex, TenthMillis,
 };
-use crate::state::{Attempt, Observations, Outage};
+use crate::state::{Attempt, ConnectionUse, Observations, Outage};
 
 /// Where no probes are permitted, the first attempt tries a replica that is down after this time.
 ///
@@ -31,8 +31,7 @@
     elapsed: f64,
     /// A response time from which on attempts are slow, in tenths of a millisecond.
     slow: f64,
-    /// Whether its connection had been idle; `None` if that is not known.
-    idle_connection: Option<bool>,
+    connection: ConnectionUse,
 }
 
 impl FinishedAttempt {
@@ -47,10 +46,10 @@
     /// Whether its connection failed it: 1 if so, 0 if it succeeded, `None` if the outcome says nothing of
     /// that.
     fn connection_failure(&self) -> Option<f64> {
-        match self.outcome {
-            AttemptOutcome::Success => Some(0.0),
-            AttemptOutcome::ConnectionLost if self.idle_connection == Some(true) => Some(1.0),
-            AttemptOutcome::ConnectFailed if self.idle_connection == Some(false) => Some(1.0),
+        match (self.outcome, self.connection) {
+            (AttemptOutcome::Success, _) => Some(0.0),
+            (AttemptOutcome::ConnectionLost, ConnectionUse::Idle)
+            | (AttemptOutcome::ConnectFailed, ConnectionUse::Active) => Some(1.0),
             _ if self.was_given_up() && self.elapsed >= self.slow => Some(1.0),
             _ => None,
         }
@@ -73,7 +72,7 @@
             outcome: result.outcome,
             elapsed: result.elapsed.max(1) as f64,
             slow,
-            idle_connection: attempt.idle_connection,
+            connection: attempt.connection,
         };
         self.record_connection(&finished);
         let replica = &mut self.replicas[finished.replica];
@@ -100,14 +99,13 @@
 
     /// Counts how often idle connections fail, and how often others do.
     fn record_connection(&mut self, finished: &FinishedAttempt) {
-        let (Some(failure), Some(idle)) = (finished.connection_failure(), finished.idle_connection)
-        else {
+        let Some(failure) = finished.connection_failure() else {
             return;
         };
-        let failures = if idle {
-            &mut self.fleet.idle_connection_failures
-        } else {
-            &mut self.fleet.active_connection_failures
+        let failures = match finished.connection {
+            ConnectionUse::Idle => &mut self.fleet.idle_connection_failures,
+            ConnectionUse::Active => &mut self.fleet.active_connection_failures,
+            ConnectionUse::Unknown => return,
         };
         failures.record(self.now, CRASH_MEMORY, failure);
     }
@@ -158,7 +156,7 @@
             .log_latencies
             .record(self.now, RECENT, log_latency);
         let query = self.open_query(result.query);
-        if self.config.permissions.cancellation && !query.finished {
+        if self.config.permissions.cancellation && !query.is_finished() {
             let sub_request = &query.sub_requests[result.sub_request];
             sub_request.cancel(result.query, result.sub_request, sink);
         }
@@ -179,7 +177,7 @@
 
     fn mark_succeeded(&mut self, result: &AttemptResult) {
         let query = self.open_query_mut(result.query);
-        let is_wanted = !query.finished;
+        let is_wanted = !query.is_finished();
         let sub_request = &mut query.sub_requests[result.sub_request];
         sub_request.succeeded |= is_wanted;
         // The response to an attempt from before the continuation is not the one that is wanted once more.
--- a/crates/linenthread-core/src/policy/dispatch.rs
+++ b/crates/linenthread-core/src/policy/dispatch.rs
@@ -50,22 +50,17 @@
 }
 
 impl DispatchPlan {
-    /// Whether a sub-request is to be considered now. A first attempt uses up some of the weight that is still wanted,
-    /// also if no replica can take it.
-    fn includes(&mut self, sub_request: &SubRequest) -> bool {
-        if !sub_request.is_needed() {
-            return false;
-        }
-        let is_first_attempt = sub_request.attempts.is_empty();
-        if is_first_attempt && self.unsent_weight <= WEIGHT_ROUNDING / 2.0 {
-            return false;
+    /// Whether a response to a sub-request is wanted now. First attempts are wanted until their weight is reached.
+    fn wants(&self, sub_request: &SubRequest) -> bool {
+        let has_begun = !sub_request.attempts.is_empty();
+        sub_request.is_needed() && (has_begun || self.unsent_weight > WEIGHT_ROUNDING / 2.0)
+    }
+
+    /// Counts the weight of a first attempt, also where no replica can take it now.
+    fn count_first_attempt(&mut self, sub_request: &SubRequest) {
+        if sub_request.attempts.is_empty() {
+            self.unsent_weight -= sub_request.weight;
         }
-        self.unsent_weight -= if is_first_attempt {
-            sub_request.weight
-        } else {
-            0.0
-        };
-        true
     }
 }
 
@@ -85,9 +80,10 @@
         let mut plan = self.dispatch_plan(query, slow);
         for sub_request_index in std::mem::take(&mut plan.order) {
             let sub_request = &self.open_query(query_index).sub_requests[sub_request_index];
-            if !plan.includes(sub_request) {
+            if !plan.wants(sub_request) {
                 continue;
             }
+            plan.count_first_attempt(sub_request);
             let in_flight = sub_request.in_flight();
             let may_hedge = self.may_hedge(sub_request, &plan);
             if may_hedge && self.should_move(query_index, sub_request_index, slow) {
--- a/crates/linenthread-core/src/policy/health_probe.rs
+++ b/crates/linenthread-core/src/policy/health_probe.rs
@@ -6,7 +6,7 @@
 use crate::interface::{
     AttemptOutcome, DecisionSink, ProbeResult, QueryIndex, ReplicaIndex, TenthMillis,
 };
-use crate::state::{Outage, Query, SubRequest};
+use crate::state::{Outage, Query, QueryStage, SubRequest};
 
 /// The least time between two probes of a replica that is down, before it is spread and scaled.
 ///
@@ -124,8 +124,7 @@
         let is_too_late = self.now + 2 * max_wait > query.hard_deadline;
         is_seldom_observed
             && self.config.permissions.health_probes
-            && !query.admitted
-            && !query.finished
+            && query.stage == QueryStage::Arrived
             && !is_too_late
             && !query.sub_requests.is_empty()
     }
--- a/crates/linenthread-core/src/policy/membership_update.rs
+++ b/crates/linenthread-core/src/policy/membership_update.rs
@@ -20,33 +20,42 @@
 /// Unit: doublings (up to 4 s). Reason: a list that is older costs more than the requests.
 const MAX_WATCH_BACKOFF_DOUBLINGS: u32 = 4;
 
+/// What an update says of the replicas that it leaves out.
+#[derive(Clone, Copy, PartialEq, Eq)]
+enum UpdateScope {
+    /// Nothing: it names those that have changed.
+    Changes,
+    /// They are removed: it names all there are.
+    Complete,
+}
+
 impl Coordinator {
     pub(super) fn on_membership_update(&mut self, update: &MembershipUpdate) {
-        let (entries, is_complete) = match update {
-            MembershipUpdate::Delta(entries) => (entries, false),
-            MembershipUpdate::Snapshot(entries) => (entries, true),
+        let (entries, scope) = match update {
+            MembershipUpdate::Delta(entries) => (entries, UpdateScope::Changes),
+            MembershipUpdate::Snapshot(entries) => (entries, UpdateScope::Complete),
             MembershipUpdate::Cached(entries) => {
                 self.schedule_first_watch();
-                (entries, true)
+                (entries, UpdateScope::Complete)
             }
             MembershipUpdate::Unavailable => return self.back_off_watch(),
         };
         // Only an update that came without delay leaves a part of the drain grace: otherwise the replica may
         // have been draining for longer.
-        let grace = if is_complete || self.timers.watch_failures > 0 {
+        let grace = if scope == UpdateScope::Complete || self.timers.watch_failures > 0 {
             0
         } else {
             self.config.drain_grace / 2
         };
         self.timers.watch_failures = 0;
         self.timers.next_score = self.now;
-        if is_complete {
+        if scope == UpdateScope::Complete {
             for replica in &mut self.replicas {
                 replica.entry.phase = Phase::Removed;
             }
         }
         for entry in entries {
-            self.apply_entry(entry, is_complete, grace);
+            self.apply_entry(entry, scope, grace);
         }
     }
 
@@ -64,7 +73,7 @@
         self.timers.next_watch = Some(self.now + backoff / 2 + self.random_time(backoff / 2));
     }
 
-    fn apply_entry(&mut self, entry: &MembershipEntry, is_complete: bool, grace: TenthMillis) {
+    fn apply_entry(&mut self, entry: &MembershipEntry, scope: UpdateScope, grace: TenthMillis) {
         let replica_count = self.replicas.len().max(entry.replica.0 + 1);
         self.replicas.resize_with(replica_count, Replica::default);
         let zone_count = self.zones.len().max(entry.zone + 1);
@@ -82,8 +91,11 @@
             replica.returned_at = None;
         }
         let was_ready = replica.is_ready();
-        let reports_crashes = self.config.permissions.health_probes && !is_complete;
-        if reports_crashes && was_ready && entry.phase == Phase::Removed {
+        // A replica that leaves on purpose drains first. A complete list says nothing of that: the draining may have
+        // been missed.
+        let left_without_draining = was_ready && entry.phase == Phase::Removed;
+        let counts_crashes = self.config.permissions.health_probes && scope == UpdateScope::Changes;
+        if counts_crashes && left_without_draining {
             self.fleet.crashes.record(self.now, CRASH_MEMORY, 1.0);
         }
         if was_ready {
--- a/crates/linenthread-core/src/policy/resolution.rs
+++ b/crates/linenthread-core/src/policy/resolution.rs
@@ -8,7 +8,7 @@
     Completeness, DecisionSink, FailureCause, Idempotency, IndexConfig, QueryIndex,
     SubRequestIndex, TenthMillis,
 };
-use crate::state::{Query, SubRequest};
+use crate::state::{Query, QueryStage, SubRequest};
 
 /// An index whose late responses earn no more than this is given up at its soft deadline.
 ///
@@ -74,7 +74,8 @@
         let now = self.now;
         // While a phase has no sub-requests yet, they are waited for.
         let is_open = |query: &&Query| {
-            !query.finished && (!query.present_phase().is_empty() || now >= query.hard_deadline)
+            !query.is_finished()
+                && (!query.present_phase().is_empty() || now >= query.hard_deadline)
         };
         let Some(query) = self.queries[query_index].as_ref().filter(is_open) else {
             return;
@@ -86,7 +87,7 @@
         if let Some(cause) = self.failure_cause(query_index, &progress) {
             return self.give_up(query_index, cause, sink);
         }
-        self.open_query_mut(query_index).admitted = true;
+        self.open_query_mut(query_index).stage = QueryStage::Admitted;
         self.send_missing(query_index, sink);
     }
 
@@ -177,7 +178,9 @@
         sink.respond(query_index, completeness);
         self.cancel_all(query_index, sink);
         let query = self.open_query_mut(query_index);
-        query.finished = is_final;
+        if is_final {
+            query.stage = QueryStage::Finished;
+        }
         query.first_response = Some(completeness);
         query.phase_start = query.sub_requests.len();
     }
@@ -196,7 +199,7 @@
             Some(FailureCause::QueryOfDeath)
         } else if !progress.can_reach_min() {
             Some(FailureCause::Unanswerable)
-        } else if query.admitted {
+        } else if query.stage == QueryStage::Admitted {
             None
         } else {
             self.admission_failure(query_index)
@@ -221,7 +224,7 @@
             sink.fail(query_index);
         }
         self.cancel_all(query_index, sink);
-        self.open_query_mut(query_index).finished = true;
+        self.open_query_mut(query_index).stage = QueryStage::Finished;
     }
 
     /// Advice to come back after about one slow response time, spread at random; `None` where clients receive
@@ -249,7 +252,7 @@
         self.open_queries.retain(|&query_index| {
             let is_done = queries[query_index]
                 .as_ref()
-                .is_none_or(|query| query.finished && !query.is_in_flight());
+                .is_none_or(|query| query.is_finished() && !query.is_in_flight());
             if is_done {
                 queries[query_index] = None;
                 sink.release(query_index);
--- a/crates/linenthread-core/src/policy/send_guard.rs
+++ b/crates/linenthread-core/src/policy/send_guard.rs
@@ -31,7 +31,7 @@
         replica: ReplicaIndex,
     ) -> bool {
         self.may_run_again(query, sub_request)
-            && !query.finished
+            && !query.is_finished()
             && sub_request.is_needed()
             && self.is_member(replica)
             && sub_request.attempts.len() < self.config.permissions.max_attempts
--- a/crates/linenthread-core/src/policy/sending.rs
+++ b/crates/linenthread-core/src/policy/sending.rs
@@ -4,7 +4,7 @@
 use super::resolution::gives_up_at;
 use super::windows::{RECENT, REMEMBERED_RESPONSES};
 use crate::interface::{DecisionSink, QueryIndex, ReplicaIndex, SubRequestIndex, TenthMillis};
-use crate::state::Attempt;
+use crate::state::{Attempt, ConnectionUse};
 
 /// A connection is idle after this time without use.
 ///
@@ -28,56 +28,65 @@
             return;
         };
         let now = self.now;
-        let is_slow_start = self.slow_start_capacity(replica_index).is_some();
         let query = self.open_query(query_index);
         let gives_up_at = gives_up_at(query, self.index_of(query));
-        let sub_request = &query.sub_requests[sub_request_index];
-        let is_retry = !sub_request.attempts.is_empty();
-        let is_hedge = sub_request.in_flight() > 0;
-        self.fleet.hedges.record(now, RECENT, f64::from(is_hedge));
-
-        let idle_connection = self.prepare_connection(replica_index, sink);
+        self.count_attempt(query_index, sub_request_index, replica_index);
+        let connection = self.prepare_connection(replica_index, sink);
         let sub_request = &mut self.open_query_mut(query_index).sub_requests[sub_request_index];
         sub_request.attempts.push(Attempt {
             replica: replica_index,
             sent_at: now,
-            idle_connection,
+            connection,
             outcome: None,
             moved: false,
         });
-        let replica = &mut self.replicas[replica_index];
-        replica.last_used_at = now;
-        if replica.in_flight == 0 {
-            replica.last_response_at = now;
+        self.replicas[replica_index].on_send(now);
+        let timeout = (gives_up_at - now).max(1);
+        sink.send(query_index, sub_request_index, replica_index, timeout);
+    }
+
+    /// Counts an attempt that is about to be sent towards each budget that it uses up.
+    fn count_attempt(
+        &mut self,
+        query_index: QueryIndex,
+        sub_request_index: SubRequestIndex,
+        replica_index: ReplicaIndex,
+    ) {
+        let now = self.now;
+        let sub_request = &self.open_query(query_index).sub_requests[sub_request_index];
+        let is_retry = !sub_request.attempts.is_empty();
+        let is_hedge = sub_request.in_flight() > 0;
+        self.fleet.hedges.record(now, RECENT, f64::from(is_hedge));
+        if is_retry {
+            self.count_retry();
         }
-        replica.in_flight += 1;
-        if is_slow_start {
+        if self.slow_start_capacity(replica_index).is_some() {
             let window = self.config.slow_start.window;
+            let replica = &mut self.replicas[replica_index];
             replica.slow_start_sends.add(now, window, 1);
         }
-        if is_retry {
-            self.count_retry();
-        }
-        let timeout = (gives_up_at - now).max(1);
-        sink.send(query_index, sub_request_index, replica_index, timeout);
     }
 
-    /// Closes the idle connections to a replica where such connections fail. Returns whether the attempt will be sent
-    /// on a connection that had been idle; `None` where other attempts are in flight, since it is not known then which
-    /// connection it gets.
+    /// Closes the idle connections to a replica where such connections fail. Returns which connection the attempt will
+    /// be sent on.
     fn prepare_connection(
         &self,
         replica_index: ReplicaIndex,
         sink: &mut impl DecisionSink,
-    ) -> Option<bool> {
+    ) -> ConnectionUse {
         let replica = &self.replicas[replica_index];
-        let is_alone = replica.in_flight == 0;
-        let is_idle = is_alone && self.now - replica.last_used_at > IDLE_AFTER;
-        let closes_idle = is_idle && self.idle_connections_fail();
-        if closes_idle {
+        if replica.in_flight > 0 {
+            return ConnectionUse::Unknown;
+        }
+        let is_idle = self.now - replica.last_used_at > IDLE_AFTER;
+        if !is_idle {
+            return ConnectionUse::Active;
+        }
+        if self.idle_connections_fail() {
             sink.close_idle(replica_index);
+            return ConnectionUse::Active;
         }
-        is_alone.then_some(is_idle && !closes_idle)
+        ConnectionUse::Idle
     }
 
     fn idle_connections_fail(&self) -> bool {
--- a/crates/linenthread-core/src/state.rs
+++ b/crates/linenthread-core/src/state.rs
@@ -13,7 +13,7 @@
 pub(crate) use decaying_sums::{DecayingSums, Distribution, decay_factor};
 pub(crate) use fleet::FleetStatistics;
 pub(crate) use hash::hash_ids;
-pub(crate) use query::{Attempt, Query, SubRequest};
+pub(crate) use query::{Attempt, ConnectionUse, Query, QueryStage, SubRequest};
 pub(crate) use replica::{Observations, Outage, Replica};
 pub(crate) use timers::Timers;
 pub(crate) use window_counter::WindowCounter;
--- a/crates/linenthread-core/src/state/query.rs
+++ b/crates/linenthread-core/src/state/query.rs
@@ -5,13 +5,35 @@
     TenthMillis,
 };
 
+/// The connection that an attempt was sent on.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum ConnectionUse {
+    /// Nothing had used it for long.
+    Idle,
+    /// It is new, or had been used of late.
+    Active,
+    /// Other attempts were in flight at the replica, so which connection it got is not known.
+    Unknown,
+}
+
+/// How far a query is.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub(crate) enum QueryStage {
+    /// Nothing of it has been sent.
+    #[default]
+    Arrived,
+    /// It has passed admission control.
+    Admitted,
+    /// It has ended: it only waits for its attempts in flight.
+    Finished,
+}
+
 /// One attempt of a sub-request.
 pub(crate) struct Attempt {
     /// Where it was sent.
     pub replica: ReplicaIndex,
     pub sent_at: TenthMillis,
-    /// Whether its connection had been idle; `None` where other attempts were in flight at the replica.
-    pub idle_connection: Option<bool>,
+    pub connection: ConnectionUse,
     /// It was cancelled so that its sub-request can be sent elsewhere.
     pub moved: bool,
     /// How it ended; `None` while it is in flight.
@@ -112,13 +134,14 @@
     pub first_response: Option<Completeness>,
     /// Replicas whose connection was lost under one of its attempts.
     pub lost_connections: Vec<ReplicaIndex>,
-    /// It has passed admission control.
-    pub admitted: bool,
-    /// It has ended: it only waits for its attempts in flight.
-    pub finished: bool,
+    pub stage: QueryStage,
 }
 
 impl Query {
+    pub(crate) fn is_finished(&self) -> bool {
+        self.stage == QueryStage::Finished
+    }
+
     /// None of its sub-requests has succeeded.
     pub(crate) fn has_no_success(&self) -> bool {
         !self.sub_requests.iter().any(|s| s.succeeded)
--- a/crates/linenthread-core/src/state/replica.rs
+++ b/crates/linenthread-core/src/state/replica.rs
@@ -96,6 +96,16 @@
             * decay_factor(self.reported_since, now, time_constant)
     }
 
+    /// An attempt is sent to it.
+    pub(crate) fn on_send(&mut self, now: TenthMillis) {
+        self.last_used_at = now;
+        // Silence counts from here where nothing was in flight before.
+        if self.in_flight == 0 {
+            self.last_response_at = now;
+        }
+        self.in_flight += 1;
+    }
+
     /// It reported the depth of its queue.
     pub(crate) fn on_report(&mut self, now: TenthMillis, queue_depth: f64) {
         if queue_depth != self.reported_queue {
