--- a/crates/linenthread-core/src/policy/admission.rs
+++ b/crates/linenthread-core/src/policy/admission.rs
@@ -90,19 +90,29 @@
         (self.log_mean + deviations * self.log_deviation).exp()
     }
 
-    /// The expected delay, in tenths of a millisecond, of a query with so many sub-requests, both phases
-    /// counted. Those that a response may lack are not waited for.
+    /// The expected delay, in tenths of a millisecond, of a query with so many sub-requests, both phases counted.
     fn of_query(&self, sub_request_count: f64, index: &IndexConfig) -> f64 {
         let fetch_phase = if index.fetch_sub_requests > 0 {
             self.slowest_of(index.fetch_sub_requests as f64)
         } else {
             0.0
         };
+        // Those that a response may lack are not waited for: all count where it may lack none, else so few that their
+        // number stays below 1 / (1 - min_share).
         let needed = sub_request_count / (1.0 + (1.0 - index.min_share) * sub_request_count);
         self.slowest_of(needed) + fetch_phase
     }
 }
 
+/// What a query costs beside the others.
+struct QueryCost {
+    /// The cost of its sub-requests for its value, relative to the average. What a customer sends over its quota is
+    /// worth less, so it costs more for its value.
+    relative: f64,
+    /// Its customer is over its quota.
+    is_over_quota: bool,
+}
+
 impl Coordinator {
     /// Why a query is not admitted; `None` if it is. Counts the query in the statistics of admission.
     pub(super) fn admission_failure(&mut self, query_index: QueryIndex) -> Option<FailureCause> {
@@ -110,25 +120,12 @@
         let delays = self.delay_estimate();
         let slowdown = self.shard_slowdown(self.open_query(query_index), &delays);
         self.record_size(query_index);
-        let query = self.open_query(query_index);
-        let pressure = self.pressure(query, &delays, slowdown);
-        let is_over_quota = self.is_over_quota(query.customer);
-        let mut relative_cost = self.relative_cost(query_index);
-        if is_over_quota {
-            relative_cost /= self.config.over_quota_value.max(MIN_OVER_QUOTA_VALUE);
-        }
-        if self.draws_late_rejection(pressure, relative_cost) {
+        let pressure = self.pressure(self.open_query(query_index), &delays, slowdown);
+        let cost = self.query_cost(query_index);
+        if self.draws_late_rejection(pressure, &cost) {
             return Some(FailureCause::ExpectedLate);
         }
-        let limit_factor = if is_over_quota {
-            self.config
-                .over_quota_value
-                .max(MIN_OVER_QUOTA_LIMIT_FACTOR)
-        } else if relative_cost < 1.0 {
-            CHEAP_LIMIT_FACTOR
-        } else {
-            1.0
-        };
+        let limit_factor = self.limit_factor(&cost);
         self.is_saturated(self.open_query(query_index), limit_factor)
             .then_some(FailureCause::Saturated)
     }
@@ -136,9 +133,22 @@
     /// Decides at random whether a query is rejected since it is expected late: the more likely, the higher the
     /// pressure and the more it costs for its value. Where replicas keep their queues short none is, since no backlog
     /// delays its sub-requests.
-    fn draws_late_rejection(&mut self, pressure: f64, relative_cost: f64) -> bool {
+    fn draws_late_rejection(&mut self, pressure: f64, cost: &QueryCost) -> bool {
         !self.config.short_queues
-            && self.rng.rand_float() > pressure.powf(ADMISSION_EXPONENT * relative_cost)
+            && self.rng.rand_float() > pressure.powf(ADMISSION_EXPONENT * cost.relative)
+    }
+
+    /// What the limits on attempts in flight are multiplied by for a query.
+    fn limit_factor(&self, cost: &QueryCost) -> f64 {
+        if cost.is_over_quota {
+            self.config
+                .over_quota_value
+                .max(MIN_OVER_QUOTA_LIMIT_FACTOR)
+        } else if cost.relative < 1.0 {
+            CHEAP_LIMIT_FACTOR
+        } else {
+            1.0
+        }
     }
 
     fn decay_admission_statistics(&mut self) {
@@ -222,6 +232,18 @@
             })
     }
 
+    fn query_cost(&mut self, query_index: QueryIndex) -> QueryCost {
+        let is_over_quota = self.is_over_quota(self.open_query(query_index).customer);
+        let mut relative = self.relative_cost(query_index);
+        if is_over_quota {
+            relative /= self.config.over_quota_value.max(MIN_OVER_QUOTA_VALUE);
+        }
+        QueryCost {
+            relative,
+            is_over_quota,
+        }
+    }
+
     /// What the query's sub-requests cost for its value, relative to the average. Counts it in that average.
     fn relative_cost(&mut self, query_index: QueryIndex) -> f64 {
         let query = self.open_query(query_index);
--- a/crates/linenthread-core/src/policy/resolution.rs
+++ b/crates/linenthread-core/src/policy/resolution.rs
@@ -103,6 +103,7 @@
     fn progress(&self, query: &Query) -> Progress {
         let index = self.index_of(query);
         let total = query.phase_weight(|_| true).max(WEIGHT_ROUNDING);
+        // An index whose responses may be partial may also lack a part of what is fetched.
         let allows_partial_fetch = index.min_share < index.complete_share;
         Progress {
             gives_up_at: gives_up_at(query, index),
@@ -136,6 +137,7 @@
         let partial_value =
             index.partial_value * progress.succeeded_share / progress.complete_share;
         let partial_pays = partial_value > index.late_value_share;
+        // What is ready now is late if the fetch phase that follows would end late.
         let fetch_phase_follows = index.fetch_sub_requests > 0 && !query.is_fetching();
         let fetch_time = if fetch_phase_follows {
             FETCH_PHASE_TIME
@@ -169,9 +171,7 @@
         let is_final = query.first_response.is_some() || !has_fetch_phase;
         if query.is_continued() && self.now < progress.gives_up_at.min(query.soft_deadline) {
             self.send_missing(query_index, sink);
-            let is_awaited = |s: &SubRequest| s.continued_from.is_some() && s.in_flight() > 0;
-            let query = self.open_query(query_index);
-            if query.sub_requests.iter().any(is_awaited) {
+            if self.awaits_continuation(query_index) {
                 return;
             }
         }
@@ -185,6 +185,12 @@
         query.phase_start = query.sub_requests.len();
     }
 
+    fn awaits_continuation(&self, query_index: QueryIndex) -> bool {
+        let is_awaited = |s: &SubRequest| s.continued_from.is_some() && s.in_flight() > 0;
+        let query = self.open_query(query_index);
+        query.sub_requests.iter().any(is_awaited)
+    }
+
     /// Why a query without a response is given up; `None` if it is not.
     fn failure_cause(
         &mut self,
