--- a/crates/linenthread-core/src/policy/attempt_result.rs
+++ b/crates/linenthread-core/src/policy/attempt_result.rs
@@ -48,6 +48,7 @@
     fn connection_failure(&self) -> Option<f64> {
         match (self.outcome, self.connection) {
             (AttemptOutcome::Success, _) => Some(0.0),
+            // An idle connection that was dropped fails when it is used, a new one when it is made.
             (AttemptOutcome::ConnectionLost, ConnectionUse::Idle)
             | (AttemptOutcome::ConnectFailed, ConnectionUse::Active) => Some(1.0),
             _ if self.was_given_up() && self.elapsed >= self.slow => Some(1.0),
@@ -82,11 +83,17 @@
         match finished.outcome {
             AttemptOutcome::Success => self.on_success(result, &finished, sink),
             AttemptOutcome::Cancelled => self.record_lower_bound(&finished),
+            // A time-out that comes sooner than a slow response is its query's fault, not the replica's.
             AttemptOutcome::TimedOut if finished.elapsed < slow => {
                 self.record_lower_bound(&finished);
             }
+            // It says nothing of the replica.
             AttemptOutcome::NotSent => {}
-            _ => self.record_outcome(finished.replica, 1.0),
+            AttemptOutcome::TimedOut
+            | AttemptOutcome::Error
+            | AttemptOutcome::Rejected
+            | AttemptOutcome::ConnectFailed
+            | AttemptOutcome::ConnectionLost => self.record_outcome(finished.replica, 1.0),
         }
         self.record_outage(result.query, &finished);
     }
--- a/crates/linenthread-core/src/policy/score.rs
+++ b/crates/linenthread-core/src/policy/score.rs
@@ -85,12 +85,12 @@
         let median = replica.expected_latency * (1.0 + LOAD_PER_ATTEMPT * load);
         replica.score = median / self.largest_median
             + SEVERITY * severity(replica, zone)
-            + self.silence(replica)
-            + self.probe_owed(replica);
+            + self.silence_penalty(replica)
+            + self.probe_penalty(replica);
     }
 
     /// How long the replica has been silent, beyond a slow response time, in units of the largest median.
-    fn silence(&self, replica: &Replica) -> f64 {
+    fn silence_penalty(&self, replica: &Replica) -> f64 {
         let silent = if replica.in_flight > 0 {
             self.now - replica.last_response_at
         } else {
@@ -99,7 +99,8 @@
         (silent as f64 - self.slow).max(0.0) / self.largest_median
     }
 
-    fn probe_owed(&self, replica: &Replica) -> f64 {
+    /// What is added while the replica owes the end of a probe. A report from after the probe settles it, too.
+    fn probe_penalty(&self, replica: &Replica) -> f64 {
         replica
             .probe_sent_at
             .filter(|&at| self.now - at >= PROBE_TIMEOUT && replica.last_report_at < at)
--- a/crates/linenthread-dataplane/src/connection.rs
+++ b/crates/linenthread-dataplane/src/connection.rs
@@ -122,18 +122,19 @@
         max_bytes: usize,
         deadline: Instant,
     ) -> Result<Head, ConnectionError> {
-        let mut is_begun = false;
+        let mut has_begun = false;
         loop {
             if let Some(head) = Head::parse_response(&mut self.buffer, max_bytes)? {
                 return Ok(head);
             }
-            let filled = self.fill(deadline).await;
-            if is_begun {
-                filled?;
-            } else {
-                filled.map_err(before_any_byte)?;
-            }
-            is_begun = true;
+            self.fill(deadline).await.map_err(|error| {
+                if has_begun {
+                    error
+                } else {
+                    before_any_byte(error)
+                }
+            })?;
+            has_begun = true;
         }
     }
 
--- a/crates/linenthread-terms/src/coordinator.rs
+++ b/crates/linenthread-terms/src/coordinator.rs
@@ -7,7 +7,7 @@
 };
 use serde_json::Value;
 
-use crate::error::{SettingsError, UnknownWordSnafu};
+use crate::error::{SettingsError, UnknownChoiceSnafu};
 use crate::load_reports::reports_queue;
 use crate::reader::{
     count, entries, find, flag, number, number_at, optional_number, required, time,
@@ -114,6 +114,6 @@
         "safe" => Ok(Idempotency::Idempotent),
         "keyed" => Ok(Idempotency::Deduplicated(time(class, "window-ms")?)),
         "unsafe" => Ok(Idempotency::AtMostOnce),
-        word => UnknownWordSnafu { path, word }.fail(),
+        value => UnknownChoiceSnafu { path, value }.fail(),
     }
 }
--- a/crates/linenthread-terms/src/error.rs
+++ b/crates/linenthread-terms/src/error.rs
@@ -27,13 +27,13 @@
         /// Its value.
         value: Value,
     },
-    /// A setting that is one of several words is none of them.
-    #[snafu(display("settings: {path} cannot be {word}"))]
-    UnknownWord {
+    /// A setting that has to be one of several words is none of them.
+    #[snafu(display("settings: {path} cannot be {value}"))]
+    UnknownChoice {
         /// The setting.
         path: String,
         /// Its value.
-        word: String,
+        value: String,
     },
     /// A list has fewer entries than there are indexes.
     #[snafu(display("settings: {path} is too short"))]
--- a/crates/linenthread-terms/src/load_reports.rs
+++ b/crates/linenthread-terms/src/load_reports.rs
@@ -2,7 +2,7 @@
 
 use serde_json::Value;
 
-use crate::error::{SettingsError, UnknownWordSnafu};
+use crate::error::{SettingsError, UnknownChoiceSnafu};
 use crate::reader::{find, required};
 
 /// The name of the figure that tells how many sub-requests are queued.
@@ -31,6 +31,6 @@
     match required(root, path, Value::as_str)? {
         "none" => Ok(false),
         "answers" | "probe" => Ok(names.contains(&QUEUE)),
-        word => UnknownWordSnafu { path, word }.fail(),
+        value => UnknownChoiceSnafu { path, value }.fail(),
     }
 }
--- a/crates/linenthread-terms/tests/settings.rs
+++ b/crates/linenthread-terms/tests/settings.rs
@@ -80,7 +80,7 @@
 }
 
 #[test]
-fn load_reports_are_decoded_and_unknown_words_refused() {
+fn load_reports_are_decoded_and_unknown_choices_rejected() {
     let with = |telemetry: Value| {
         let mut changed = settings();
         changed["telemetry"] = telemetry;
