--- a/crates/linenthread-dataplane/tests/golden.rs
+++ b/crates/linenthread-dataplane/tests/golden.rs
@@ -18,87 +18,98 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::task::{LocalSet, spawn_local};
 
-/// One exchange: its name, what the client sends, and what each replica answers.
-type Case = (&'static str, &'static str, &'static str);
+/// One exchange.
+#[derive(Clone, Copy)]
+struct Case {
+    name: &'static str,
+    /// What the client sends.
+    request: &'static str,
+    /// What each replica answers.
+    answer: &'static str,
+}
 
 const CASES: [Case; 15] = [
-    (
-        "get",
-        "GET /one/find?q=a%20b HTTP/1.1\r\nHost: index.example\r\nX-Attempt-Id: a1\r\nAccept: */*\r\n\
+    Case {
+        name: "get",
+        request: "GET /one/find?q=a%20b HTTP/1.1\r\nHost: index.example\r\nX-Attempt-Id: a1\r\nAccept: */*\r\n\
          X-Two:  two words \r\nConnection: keep-alive, X-Hop\r\nX-Hop: no\r\nX-Target-Replica: no\r\n\r\n",
-        "HTTP/1.1 200 Fine\r\nX-Attempt-Id: a1\r\nX-Replica-Seal: s.1\r\nKeep-Alive: timeout=5\r\n\
+        answer: "HTTP/1.1 200 Fine\r\nX-Attempt-Id: a1\r\nX-Replica-Seal: s.1\r\nKeep-Alive: timeout=5\r\n\
          Content-Type: text/plain\r\nContent-Length: 2\r\n\r\nok",
-    ),
-    (
-        "post_in_chunks",
-        "POST /once/order HTTP/1.1\r\nHost: index.example:80\r\nX-Attempt-Id: a1\r\nX-Remaining-Ms: 250\r\n\
+    },
+    Case {
+        name: "post_in_chunks",
+        request: "POST /once/order HTTP/1.1\r\nHost: index.example:80\r\nX-Attempt-Id: a1\r\nX-Remaining-Ms: 250\r\n\
          Transfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n0\r\n\r\n",
-        "HTTP/1.1 201 Made\r\nX-Attempt-Id: a1\r\nX-Replica-Seal: s.1\r\nTransfer-Encoding: chunked\r\n\r\n\
+        answer: "HTTP/1.1 201 Made\r\nX-Attempt-Id: a1\r\nX-Replica-Seal: s.1\r\nTransfer-Encoding: chunked\r\n\r\n\
          3\r\nabc\r\n0\r\n\r\n",
-    ),
-    (
-        "empty_post",
-        "POST /once/order HTTP/1.1\r\nHost: index.example\r\nX-Attempt-Id: a1\r\nContent-Length: 0\r\n\r\n",
-        "HTTP/1.1 204 None\r\nX-Attempt-Id: a1\r\nX-Replica-Seal: s.1\r\n\r\n",
-    ),
-    (
-        "head",
-        "HEAD /one/find HTTP/1.1\r\nHost: index.example\r\nX-Attempt-Id: a1\r\n\r\n",
-        "HTTP/1.1 200 Fine\r\nX-Attempt-Id: a1\r\nX-Replica-Seal: s.1\r\nContent-Length: 9\r\n\r\n",
-    ),
-    (
-        "close",
-        "GET /one/find HTTP/1.1\r\nHost: index.example\r\nX-Attempt-Id: a1\r\nConnection: close\r\n\r\n",
-        "HTTP/1.1 404 None\r\nX-Attempt-Id: a1\r\nX-Replica-Seal: s.1\r\nContent-Length: 0\r\n\r\n",
-    ),
-    (
-        "expect",
-        "POST /once/order HTTP/1.1\r\nHost: index.example\r\nX-Attempt-Id: a1\r\nExpect: 100-continue\r\n\
+    },
+    Case {
+        name: "empty_post",
+        request: "POST /once/order HTTP/1.1\r\nHost: index.example\r\nX-Attempt-Id: a1\r\nContent-Length: 0\r\n\r\n",
+        answer: "HTTP/1.1 204 None\r\nX-Attempt-Id: a1\r\nX-Replica-Seal: s.1\r\n\r\n",
+    },
+    Case {
+        name: "head",
+        request: "HEAD /one/find HTTP/1.1\r\nHost: index.example\r\nX-Attempt-Id: a1\r\n\r\n",
+        answer: "HTTP/1.1 200 Fine\r\nX-Attempt-Id: a1\r\nX-Replica-Seal: s.1\r\nContent-Length: 9\r\n\r\n",
+    },
+    Case {
+        name: "close",
+        request: "GET /one/find HTTP/1.1\r\nHost: index.example\r\nX-Attempt-Id: a1\r\nConnection: close\r\n\r\n",
+        answer: "HTTP/1.1 404 None\r\nX-Attempt-Id: a1\r\nX-Replica-Seal: s.1\r\nContent-Length: 0\r\n\r\n",
+    },
+    Case {
+        name: "expect",
+        request: "POST /once/order HTTP/1.1\r\nHost: index.example\r\nX-Attempt-Id: a1\r\nExpect: 100-continue\r\n\
          Content-Length: 2\r\n\r\nhi",
-        "HTTP/1.1 200 Fine\r\nX-Attempt-Id: a1\r\nX-Replica-Seal: s.1\r\nContent-Length: 2\r\n\r\nok",
-    ),
-    (
-        "merged",
-        "GET /all/find HTTP/1.1\r\nHost: index.example\r\nX-Attempt-Id: a1\r\n\r\n",
-        "HTTP/1.1 200 Fine\r\nX-Attempt-Id: a1\r\nX-Replica-Seal: s.1\r\nContent-Length: 32\r\n\r\n\
+        answer: "HTTP/1.1 200 Fine\r\nX-Attempt-Id: a1\r\nX-Replica-Seal: s.1\r\nContent-Length: 2\r\n\r\nok",
+    },
+    Case {
+        name: "merged",
+        request: "GET /all/find HTTP/1.1\r\nHost: index.example\r\nX-Attempt-Id: a1\r\n\r\n",
+        answer: "HTTP/1.1 200 Fine\r\nX-Attempt-Id: a1\r\nX-Replica-Seal: s.1\r\nContent-Length: 32\r\n\r\n\
          0123456789abcdefFEDCBA9876543210",
-    ),
-    (
-        "rejected",
-        "POST /once/order HTTP/1.1\r\nHost: index.example\r\nX-Attempt-Id: a1\r\nContent-Length: 2\r\n\r\nhi",
-        "HTTP/1.1 503 Busy\r\nX-Attempt-Id: a1\r\nX-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n",
-    ),
-    (
-        "failed",
-        "POST /once/order HTTP/1.1\r\nHost: index.example\r\nX-Attempt-Id: a1\r\nContent-Length: 2\r\n\r\nhi",
-        "HTTP/1.1 500 Bad\r\nX-Attempt-Id: a1\r\nX-Replica-Seal: s.1\r\nContent-Length: 3\r\n\r\nbad",
-    ),
-    (
-        "unsealed",
-        "POST /once/order HTTP/1.1\r\nHost: index.example\r\nX-Attempt-Id: a1\r\nContent-Length: 2\r\n\r\nhi",
-        "HTTP/1.1 200 Fine\r\nX-Attempt-Id: a1\r\nContent-Length: 0\r\n\r\n",
-    ),
-    (
-        "no_route",
-        "GET /none HTTP/1.1\r\nHost: index.example\r\nX-Attempt-Id: a1\r\n\r\n",
-        "",
-    ),
-    (
-        "no_id",
-        "GET /one/find HTTP/1.1\r\nHost: index.example\r\n\r\n",
-        "",
-    ),
-    (
-        "malformed",
-        "GET /one/find HTTP/1.1\r\nHost: index.example\r\nContent-Length: x\r\n\r\n",
-        "",
-    ),
-    (
-        "body_too_long",
-        "POST /one/find HTTP/1.1\r\nHost: index.example\r\nContent-Length: 999999\r\n\r\n",
-        "",
-    ),
-    ("head_too_long", "GET /one/find HTTP/1.1\r\nX-Long: ", ""),
+    },
+    Case {
+        name: "rejected",
+        request: "POST /once/order HTTP/1.1\r\nHost: index.example\r\nX-Attempt-Id: a1\r\nContent-Length: 2\r\n\r\nhi",
+        answer: "HTTP/1.1 503 Busy\r\nX-Attempt-Id: a1\r\nX-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n",
+    },
+    Case {
+        name: "failed",
+        request: "POST /once/order HTTP/1.1\r\nHost: index.example\r\nX-Attempt-Id: a1\r\nContent-Length: 2\r\n\r\nhi",
+        answer: "HTTP/1.1 500 Bad\r\nX-Attempt-Id: a1\r\nX-Replica-Seal: s.1\r\nContent-Length: 3\r\n\r\nbad",
+    },
+    Case {
+        name: "unsealed",
+        request: "POST /once/order HTTP/1.1\r\nHost: index.example\r\nX-Attempt-Id: a1\r\nContent-Length: 2\r\n\r\nhi",
+        answer: "HTTP/1.1 200 Fine\r\nX-Attempt-Id: a1\r\nContent-Length: 0\r\n\r\n",
+    },
+    Case {
+        name: "no_route",
+        request: "GET /none HTTP/1.1\r\nHost: index.example\r\nX-Attempt-Id: a1\r\n\r\n",
+        answer: "",
+    },
+    Case {
+        name: "no_id",
+        request: "GET /one/find HTTP/1.1\r\nHost: index.example\r\n\r\n",
+        answer: "",
+    },
+    Case {
+        name: "malformed",
+        request: "GET /one/find HTTP/1.1\r\nHost: index.example\r\nContent-Length: x\r\n\r\n",
+        answer: "",
+    },
+    Case {
+        name: "body_too_long",
+        request: "POST /one/find HTTP/1.1\r\nHost: index.example\r\nContent-Length: 999999\r\n\r\n",
+        answer: "",
+    },
+    Case {
+        name: "head_too_long",
+        request: "GET /one/find HTTP/1.1\r\nX-Long: ",
+        answer: "",
+    },
 ];
 
 /// Retries that the ingress node may send: more than any case needs.
@@ -163,7 +174,12 @@
 }
 
 /// Plays one case: a line for what each replica got, and one for what the client got.
-async fn play((name, request, answer): Case) -> String {
+async fn play(case: Case) -> String {
+    let Case {
+        name,
+        request,
+        answer,
+    } = case;
     let received = Received::default();
     let plane = ingress(answer, &received);
     let (mut client, server) = tokio::io::duplex(1 << 16);
--- a/crates/linenthread-dataplane/tests/pool.rs
+++ b/crates/linenthread-dataplane/tests/pool.rs
@@ -15,7 +15,8 @@
 };
 use linenthread_dataplane_sim::replica::messages::{self, Message};
 
-const TIME: Duration = Duration::from_millis(200);
+/// The time-out of each attempt.
+const ATTEMPT_TIMEOUT: Duration = Duration::from_millis(200);
 
 /// What comes back to one request, and after how many milliseconds.
 type Reply = Vec<(u64, InboundEvent)>;
@@ -63,21 +64,24 @@
 
 /// A replica whose connections do this; each reply is to one request.
 fn rig(connections: Vec<Vec<Reply>>) -> Rig {
-    rig_of(
-        connections
-            .into_iter()
-            .map(|replies| (WriteFault::None, replies))
-            .collect(),
-    )
+    let scripted = connections.into_iter().map(|replies| Scripted {
+        write: WriteFault::None,
+        replies: replies.into(),
+    });
+    rig_of(scripted.collect())
 }
 
-fn rig_of(connections: Vec<(WriteFault, Vec<Reply>)>) -> Rig {
-    let script = Rc::new(Script::default());
-    let scripted = connections.into_iter().map(|(write, replies)| Scripted {
+/// A connection that fails requests as they are written, and carries no reply.
+fn failing(write: WriteFault) -> Scripted {
+    Scripted {
         write,
-        replies: replies.into(),
-    });
-    script.connections.borrow_mut().extend(scripted);
+        replies: VecDeque::new(),
+    }
+}
+
+fn rig_of(connections: Vec<Scripted>) -> Rig {
+    let script = Rc::new(Script::default());
+    script.connections.borrow_mut().extend(connections);
     let (network, address) = (Network::default(), SocketAddr::from(([10, 0, 0, 1], 80)));
     network.listen(address, script.clone());
     let replica = linenthread_messages::Replica {
@@ -128,7 +132,7 @@
 
 impl Rig {
     async fn call(&self, attempt: &str) -> CompletedAttempt {
-        self.pool.call(&request(attempt), TIME).await
+        self.pool.call(&request(attempt), ATTEMPT_TIMEOUT).await
     }
 
     /// The body that the request gets.
@@ -197,13 +201,18 @@
     ]);
     let request = request("a");
     assert!(may_have_run(
-        &rig.pool.call(&request, TIME).await,
+        &rig.pool.call(&request, ATTEMPT_TIMEOUT).await,
         AttemptOutcome::TimedOut
     ));
     assert_eq!(rig.pool.idle(), 0);
-    tokio::time::sleep(TIME).await;
+    tokio::time::sleep(ATTEMPT_TIMEOUT).await;
     assert_eq!(
-        rig.pool.call(&request, TIME).await.response.unwrap().body,
+        rig.pool
+            .call(&request, ATTEMPT_TIMEOUT)
+            .await
+            .response
+            .unwrap()
+            .body,
         b"2"
     );
     assert_eq!(rig.script.opened.get(), 2);
@@ -228,7 +237,7 @@
     let rig = rig(vec![vec![idle], vec![vec![(1, answer("b", "3"))]]]);
     rig.call("a").await;
     assert_eq!(rig.pool.idle(), 1);
-    tokio::time::sleep(TIME).await;
+    tokio::time::sleep(ATTEMPT_TIMEOUT).await;
     assert_eq!(rig.body("b").await.unwrap(), b"3");
     assert_eq!(rig.script.opened.get(), 2);
 }
@@ -240,7 +249,7 @@
         vec![vec![(1, answer("b", "2"))]],
     ]);
     rig.call("a").await;
-    tokio::time::sleep(TIME).await;
+    tokio::time::sleep(ATTEMPT_TIMEOUT).await;
     rig.pool.close_expired();
     assert_eq!(rig.pool.idle(), 0);
     assert_eq!(rig.body("b").await.unwrap(), b"2");
@@ -294,8 +303,8 @@
 #[tokio::test(start_paused = true)]
 async fn a_request_whose_write_fails_halfway_may_have_run() {
     let rig = rig_of(vec![
-        (WriteFault::FailsAfter(30), vec![]),
-        (WriteFault::StallsAfter(30), vec![]),
+        failing(WriteFault::FailsAfter(30)),
+        failing(WriteFault::StallsAfter(30)),
     ]);
     assert!(may_have_run(
         &rig.call("a").await,
@@ -307,8 +316,8 @@
 #[tokio::test(start_paused = true)]
 async fn a_request_of_which_no_byte_was_written_never_ran() {
     let rig = rig_of(vec![
-        (WriteFault::FailsAfter(0), vec![]),
-        (WriteFault::StallsAfter(0), vec![]),
+        failing(WriteFault::FailsAfter(0)),
+        failing(WriteFault::StallsAfter(0)),
     ]);
     for _ in 0..2 {
         let ended = rig.call("a").await;
@@ -343,12 +352,17 @@
     let rig = rig(vec![rejected_twice, vec![vec![(1, answer("a", "1"))]]]);
     let request = request("a");
     assert_eq!(
-        rig.pool.call(&request, TIME).await.outcome.sent,
+        rig.pool.call(&request, ATTEMPT_TIMEOUT).await.outcome.sent,
         SendState::Rejected
     );
     assert_eq!(rig.pool.idle(), 1);
     assert_eq!(
-        rig.pool.call(&request, TIME).await.response.unwrap().body,
+        rig.pool
+            .call(&request, ATTEMPT_TIMEOUT)
+            .await
+            .response
+            .unwrap()
+            .body,
         b"1"
     );
     assert_eq!(rig.script.opened.get(), 2);
@@ -376,7 +390,7 @@
     rig.pool.set_max_connections(2);
     let request = request("a");
     for waiting in [1, 2, 2] {
-        rig.pool.call(&request, TIME).await;
+        rig.pool.call(&request, ATTEMPT_TIMEOUT).await;
         assert_eq!(rig.pool.idle(), waiting);
     }
     assert_eq!(rig.script.opened.get(), 3);
