--- /dev/null
+++ b/crates/linenthread-zones/src/controller/evidence.rs
@@ -0,0 +1,111 @@
+//! What all coordinators observed in an interval, judged by majorities.
+
+use crate::report::{Report, RouteStats};
+use crate::zone_index::{ZoneIndex, ZonePair};
+
+/// A majority's opinion of a zone, from one zone of clients.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum Opinion {
+    Reachable,
+    Down,
+    /// Too few have an opinion.
+    Unknown,
+}
+
+impl Opinion {
+    /// `coordinators` are all in the zone of clients that report: a few that see nothing are themselves cut off.
+    fn new(stats: &RouteStats, coordinators: u32) -> Opinion {
+        let is_down = is_majority(stats.down, stats.observers);
+        if is_down && is_majority(stats.down, coordinators) {
+            Opinion::Down
+        } else if !is_down && stats.observers > 0 {
+            Opinion::Reachable
+        } else {
+            Opinion::Unknown
+        }
+    }
+}
+
+fn is_majority(part: u32, all: u32) -> bool {
+    all > 0 && 2 * part > all
+}
+
+/// How many other zones find a zone down or reachable.
+#[derive(Clone, Copy, Debug, Default)]
+pub(super) struct Votes {
+    pub(super) down: usize,
+    pub(super) reachable: usize,
+}
+
+/// One interval's evidence.
+pub(super) struct Evidence<'a> {
+    report: &'a Report,
+    zone_count: usize,
+}
+
+impl<'a> Evidence<'a> {
+    pub(super) fn new(report: &'a Report, zone_count: usize) -> Evidence<'a> {
+        Evidence { report, zone_count }
+    }
+
+    fn zones(&self) -> impl Iterator<Item = ZoneIndex> {
+        ZoneIndex::all(self.zone_count)
+    }
+
+    fn stats(&self, route: ZonePair) -> RouteStats {
+        let stats = self.report.routes.get(&route);
+        stats.copied().unwrap_or_default()
+    }
+
+    pub(super) fn opinion(&self, route: ZonePair) -> Opinion {
+        let demand = self.report.demand.get(&route.from);
+        let coordinators = demand.map_or(0, |demand| demand.observers);
+        Opinion::new(&self.stats(route), coordinators)
+    }
+
+    /// A zone that reaches nothing, itself neither, has no say on others: it is what is cut off.
+    fn is_isolated(&self, from: ZoneIndex) -> bool {
+        let mut routes = self.zones().map(|to| ZonePair { from, to });
+        !routes.any(|route| self.opinion(route) == Opinion::Reachable)
+    }
+
+    /// What other zones find of a zone; each has one vote, however many coordinators are there.
+    pub(super) fn votes(&self, to: ZoneIndex) -> Votes {
+        let mut votes = Votes::default();
+        let others = self.zones().filter(|from| *from != to);
+        for from in others.filter(|from| !self.is_isolated(*from)) {
+            match self.opinion(ZonePair { from, to }) {
+                Opinion::Down => votes.down += 1,
+                Opinion::Reachable => votes.reachable += 1,
+                Opinion::Unknown => {}
+            }
+        }
+        votes
+    }
+
+    /// Whether a zone is down. One that its own coordinators reach is not, however many others do not reach it: the
+    /// fault is between them.
+    pub(super) fn is_down(&self, zone: ZoneIndex, votes: Votes) -> bool {
+        let to_itself = ZonePair {
+            from: zone,
+            to: zone,
+        };
+        match self.opinion(to_itself) {
+            Opinion::Reachable => false,
+            // Others outvote its own coordinators, unless nobody else can tell.
+            Opinion::Down => votes.down > votes.reachable || votes.reachable == 0,
+            Opinion::Unknown => votes.down > votes.reachable,
+        }
+    }
+
+    /// Whether a majority of all who reach a zone finds it slow.
+    pub(super) fn is_slow(&self, to: ZoneIndex) -> bool {
+        let (mut slow, mut reaching) = (0, 0);
+        for from in self.zones() {
+            let stats = self.stats(ZonePair { from, to });
+            slow += stats.slow;
+            reaching = reaching + stats.observers - stats.down;
+        }
+        is_majority(slow, reaching)
+    }
+}
--- a/crates/linenthread-zones/src/health.rs
+++ b/crates/linenthread-zones/src/health.rs
@@ -3,6 +3,7 @@
 use linenthread_core::interface::TenthMillis;
 
 use crate::ALL_KEYS;
+use crate::config::FailoverConfig;
 
 /// So many consecutive evaluations must say the same.
 pub(crate) const CONFIRMATIONS: u32 = 2;
@@ -11,34 +12,21 @@
 /// A hold is doubled so often at most.
 const MAX_DOUBLINGS: u32 = 16;
 
-/// How failover behaves.
-#[derive(Clone, Debug, PartialEq)]
-pub struct FailoverConfig {
-    /// The share of a zone's capacity that may be used, for its own clients and for those that are moved there.
-    pub capacity_margin: f64,
-    /// How long a zone is ejected for the first time; each further time is twice as long.
-    pub hold: TenthMillis,
-    /// How long it is ejected at most.
-    pub max_hold: TenthMillis,
-    /// How long each step of a return takes: no less than a replica that starts cold needs to warm up.
-    pub return_step: TenthMillis,
-}
-
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum State {
+    /// Open.
     Healthy,
     /// Open as far as its capacity at its present latency goes.
-    Slow {
-        until: TenthMillis,
-    },
-    Ejected {
-        until: TenthMillis,
-    },
+    Slow { until: TenthMillis },
+    /// Closed for a hold, whatever is observed meanwhile: little goes there that could show anything.
+    Ejected { until: TenthMillis },
+    /// Open to a few keys, then to more.
     Returning {
         /// An index of [`RETURN_SHARES`].
         step: usize,
         until: TenthMillis,
     },
+    /// Closed by an operator, until the operator ends it.
     Drained,
 }
 
@@ -55,6 +43,10 @@
         }
     }
 
+    pub(crate) fn is_slow(self) -> bool {
+        matches!(self, State::Slow { .. })
+    }
+
     /// Healthy or slow: clients may go there.
     pub(crate) fn is_serving(self) -> bool {
         matches!(self, State::Healthy | State::Slow { .. })
@@ -128,7 +120,11 @@
                     self.state = State::Healthy;
                 }
             }
-            _ => {}
+            State::Healthy
+            | State::Slow { .. }
+            | State::Ejected { .. }
+            | State::Returning { .. }
+            | State::Drained => {}
         }
     }
 
--- a/crates/linenthread-zones/src/lib.rs
+++ b/crates/linenthread-zones/src/lib.rs
@@ -14,6 +14,7 @@
 //! sub-request stays in the nearest zone with its shard), *no-flap* (a bound on changes an hour under any evidence),
 //! *same-key-same-home* (a share that falls or grows moves the same keys, and moves them back).
 
+mod config;
 mod controller;
 mod error;
 mod health;
@@ -22,15 +23,17 @@
 mod report;
 mod table;
 mod topology;
+mod zone_index;
 
+pub use config::{ConfigError, FailoverConfig};
 pub use controller::{EVALUATION_INTERVAL, FailoverController};
 pub use error::{DrainError, FormatError};
-pub use health::FailoverConfig;
 pub use load::{limit_to_capacity, loads};
 pub use observer::ZoneObserver;
 pub use report::{Demand, Report, RouteStats};
 pub use table::{Reason, Route, RoutingTable, Row};
 pub use topology::{Placement, Topology, Zone};
+pub use zone_index::{ZoneIndex, ZonePair};
 
 /// The most zones.
 pub const MAX_ZONES: usize = 16;
--- a/crates/linenthread-zones/src/load.rs
+++ b/crates/linenthread-zones/src/load.rs
@@ -92,32 +92,62 @@
     (0..topology.zones.len()).map(from_zone).collect()
 }
 
+/// The load on one zone of replicas.
+#[derive(Clone, Copy)]
+struct ZoneLoad {
+    /// From the clients of the zone itself.
+    local: f64,
+    /// From those of all others.
+    remote: f64,
+}
+
+impl ZoneLoad {
+    fn new(loads: &[Vec<f64>], to: usize) -> ZoneLoad {
+        let others = loads.iter().enumerate().filter(|(from, _)| *from != to);
+        ZoneLoad {
+            local: loads[to][to],
+            remote: others.map(|(_, load)| load[to]).sum(),
+        }
+    }
+
+    fn fits(self, capacity: f64) -> bool {
+        self.local + self.remote <= capacity * ROUNDING_TOLERANCE
+    }
+
+    /// The part of the load of the zone's own clients for which there is capacity: they come first.
+    fn local_part(self, capacity: f64) -> f64 {
+        (capacity / self.local.max(f64::MIN_POSITIVE)).min(1.0)
+    }
+
+    /// The part of the others' load for which there is capacity: what the zone's own clients leave over.
+    fn remote_part(self, capacity: f64) -> f64 {
+        let left_over = (capacity - self.local).max(0.0);
+        (left_over / self.remote.max(f64::MIN_POSITIVE)).min(1.0)
+    }
+}
+
 /// Narrows routes until no zone gets more than its capacity, in sub-requests a second. The clients of the zone itself
-/// come first; those of others have what is left. Shares only fall, so it comes to an end.
+/// come first; those of others have what is left. What is closed here goes elsewhere, and may overload another zone:
+/// so it takes several rounds. Shares only fall, so it comes to an end.
 pub fn limit_to_capacity(topology: &Topology, demand: &[f64], capacity: &[f64], rows: &mut [Row]) {
     for round in 0..MAX_ROUNDS {
         let loads = loads(topology, demand, rows);
         let mut is_overloaded = false;
         for (to, &capacity) in capacity.iter().enumerate().take(topology.zones.len()) {
-            let local = loads[to][to];
-            let remote: f64 = loads
-                .iter()
-                .enumerate()
-                .filter(|(from, _)| *from != to)
-                .map(|(_, load)| load[to])
-                .sum();
-            if local + remote <= capacity * ROUNDING_TOLERANCE {
+            let load = ZoneLoad::new(&loads, to);
+            if load.fits(capacity) {
                 continue;
             }
             is_overloaded = true;
-            let local_part = (capacity / local.max(f64::MIN_POSITIVE)).min(1.0);
-            let left_over = (capacity - local).max(0.0);
-            let remote_part = (left_over / remote.max(f64::MIN_POSITIVE)).min(1.0);
             for (from, row) in rows.iter_mut().enumerate() {
-                let part = if from == to { local_part } else { remote_part };
-                narrow(&mut row.routes[to], part);
-                if round == CLOSING_ROUND && from != to {
-                    row.routes[to].share = 0;
+                let route = &mut row.routes[to];
+                if from == to {
+                    narrow(route, load.local_part(capacity));
+                } else {
+                    narrow(route, load.remote_part(capacity));
+                    if round == CLOSING_ROUND {
+                        route.share = 0;
+                    }
                 }
             }
         }
@@ -130,7 +160,13 @@
 /// Keeps a part of a route's share. It is rounded down, and at least by one, so that each round makes progress.
 fn narrow(route: &mut Route, part: f64) {
     if part < 1.0 && route.share > 0 {
-        let kept = (f64::from(route.share) * part) as u16;
+        let kept = f64::from(route.share) * part;
+        #[expect(
+            clippy::cast_possible_truncation,
+            clippy::cast_sign_loss,
+            reason = "it is between 0 and the share; a cast from a float rounds down, and no other conversion does"
+        )]
+        let kept = kept as u16;
         route.share = kept.min(route.share - 1);
         if route.reason == Reason::Healthy {
             route.reason = Reason::Capacity;
--- a/crates/linenthread-zones/src/observer.rs
+++ b/crates/linenthread-zones/src/observer.rs
@@ -4,8 +4,8 @@
 
 use linenthread_core::interface::{AttemptOutcome, TenthMillis};
 
-use crate::MAX_ZONES;
 use crate::report::{Demand, Report, RouteStats};
+use crate::zone_index::{ZoneIndex, ZonePair};
 
 /// With fewer recent sub-requests than this an observer has no opinion of a zone.
 const MIN_RECENT_COMPLETED: f64 = 5.0;
@@ -71,6 +71,13 @@
     }
 }
 
+/// A replica by its index in the decision module, in the zone that it had when a sub-request was sent to it.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct ZoneReplica {
+    zone: ZoneIndex,
+    replica: usize,
+}
+
 /// How the last sub-request to a replica ended.
 #[derive(Clone, Copy, Debug)]
 struct LastOutcome {
@@ -82,20 +89,23 @@
 /// Counts the outcomes of one coordinator's sub-requests.
 #[derive(Clone, Debug)]
 pub struct ZoneObserver {
-    local_zone: u8,
+    local_zone: ZoneIndex,
     sub_requests: u32,
     /// By zone of replicas, since the last report.
-    current: BTreeMap<u8, RouteStats>,
-    recent: BTreeMap<u8, RecentCounts>,
-    /// By zone and replica: a zone that is down gets little more than health checks after the first failures.
-    last_outcomes: BTreeMap<(u8, usize), LastOutcome>,
+    current: BTreeMap<ZoneIndex, RouteStats>,
+    /// By zone of replicas.
+    recent: BTreeMap<ZoneIndex, RecentCounts>,
+    /// Beside the recent counts, since a zone that is down gets little more than health checks after the first
+    /// failures.
+    last_outcomes: BTreeMap<ZoneReplica, LastOutcome>,
+    /// How many reports were made.
     reports: u64,
     usual_latency: UsualLatency,
 }
 
 impl ZoneObserver {
-    /// For a coordinator in the zone of this index.
-    pub fn new(local_zone: u8) -> ZoneObserver {
+    /// For a coordinator in this zone.
+    pub fn new(local_zone: ZoneIndex) -> ZoneObserver {
         ZoneObserver {
             local_zone,
             sub_requests: 0,
@@ -109,19 +119,20 @@
 
     /// A query that needs so many sub-requests has arrived.
     pub fn on_query(&mut self, sub_requests: usize) {
-        self.sub_requests = self.sub_requests.saturating_add(sub_requests as u32);
+        let sub_requests = u32::try_from(sub_requests).unwrap_or(u32::MAX);
+        self.sub_requests = self.sub_requests.saturating_add(sub_requests);
     }
 
     /// A sub-request to a replica has ended. One that was cancelled here, or rejected by a full replica, says nothing
     /// on whether the zone can be reached.
     pub fn on_outcome(
         &mut self,
-        zone: u8,
+        zone: ZoneIndex,
         replica: usize,
         outcome: AttemptOutcome,
         elapsed: TenthMillis,
     ) {
-        if usize::from(zone) >= MAX_ZONES || !self.is_evidence(outcome, elapsed) {
+        if !self.is_evidence(outcome, elapsed) {
             return;
         }
         let succeeded = outcome == AttemptOutcome::Success;
@@ -129,7 +140,8 @@
             succeeded,
             report: self.reports,
         };
-        self.last_outcomes.insert((zone, replica), last_outcome);
+        let replica = ZoneReplica { zone, replica };
+        self.last_outcomes.insert(replica, last_outcome);
         let stats = self.current.entry(zone).or_default();
         stats.completed = stats.completed.saturating_add(1);
         if succeeded {
@@ -145,7 +157,7 @@
             // which nothing comes through is noticed.
             AttemptOutcome::Cancelled => {
                 let usual_ms = self.usual_latency.mean_ms();
-                elapsed as f64 / 10.0 > SILENT_LATENCY_RATIO * usual_ms.max(1.0)
+                elapsed as f64 / TENTHS_PER_MS as f64 > SILENT_LATENCY_RATIO * usual_ms.max(1.0)
             }
             _ => true,
         }
@@ -153,7 +165,8 @@
 
     /// A replica is removed, or another one has its index: its outcomes do not count any more.
     pub fn on_replica_removed(&mut self, replica: usize) {
-        self.last_outcomes.retain(|(_, known), _| *known != replica);
+        self.last_outcomes
+            .retain(|known, _| known.replica != replica);
     }
 
     /// What was observed since the last report; `replicas` are those of each zone that accept sub-requests.
@@ -169,10 +182,14 @@
         let mut routes = BTreeMap::new();
         for (zone, recent) in &self.recent {
             let stats = current.get(zone).copied().unwrap_or_default();
-            let zone_replicas = replicas.get(usize::from(*zone)).copied();
+            let zone_replicas = replicas.get(zone.position()).copied();
             let all_failed = self.all_replicas_failed(*zone, zone_replicas.unwrap_or(u32::MAX));
             let judged = judge(stats, recent, all_failed, usual_ms);
-            routes.insert((self.local_zone, *zone), judged);
+            let route = ZonePair {
+                from: self.local_zone,
+                to: *zone,
+            };
+            routes.insert(route, judged);
         }
         for recent in self.recent.values_mut() {
             *recent = recent.decayed();
@@ -194,19 +211,20 @@
         let reports = self.reports;
         self.last_outcomes
             .retain(|_, last| last.report + OUTCOME_LIFETIME_REPORTS > reports);
-        for (zone, _) in self.last_outcomes.keys() {
-            self.recent.entry(*zone).or_default();
+        for replica in self.last_outcomes.keys() {
+            self.recent.entry(replica.zone).or_default();
         }
     }
 
     /// Whether most of a zone's replicas were tried, and the last attempt at each of these has failed.
-    fn all_replicas_failed(&self, zone: u8, replicas: u32) -> bool {
-        let outcomes = self.last_outcomes.iter();
-        let (tried, failed) = outcomes
-            .filter(|((known, _), _)| *known == zone)
-            .fold((0, 0), |(tried, failed), (_, last)| {
-                (tried + 1, failed + u32::from(!last.succeeded))
-            });
+    fn all_replicas_failed(&self, zone: ZoneIndex, replicas: u32) -> bool {
+        let (mut tried, mut failed) = (0, 0);
+        for (replica, last) in &self.last_outcomes {
+            if replica.zone == zone {
+                tried += 1;
+                failed += u32::from(!last.succeeded);
+            }
+        }
         failed == tried && 2 * tried > replicas
     }
 }
--- a/crates/linenthread-zones/src/report.rs
+++ b/crates/linenthread-zones/src/report.rs
@@ -5,8 +5,8 @@
 use linenthread_frames::{Decoder, Encoder};
 use snafu::ensure;
 
-use crate::MAX_ZONES;
-use crate::error::{FormatError, InconsistentCountsSnafu, UnknownZoneSnafu};
+use crate::error::{FormatError, InconsistentCountsSnafu};
+use crate::zone_index::{ZoneIndex, ZonePair};
 
 /// The most observers that are added up: a thousand coordinators, some of whose reports arrive twice.
 const MAX_OBSERVERS: u32 = 100_000;
@@ -41,9 +41,9 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Report {
     /// By zone of clients.
-    pub demand: BTreeMap<u8, Demand>,
+    pub demand: BTreeMap<ZoneIndex, Demand>,
     /// By zone of clients and zone of replicas.
-    pub routes: BTreeMap<(u8, u8), RouteStats>,
+    pub routes: BTreeMap<ZonePair, RouteStats>,
 }
 
 impl Report {
@@ -60,8 +60,8 @@
             sum.observers = observers.min(MAX_OBSERVERS);
             sum.sub_requests = sum.sub_requests.saturating_add(demand.sub_requests);
         }
-        for (zones, stats) in &other.routes {
-            self.routes.entry(*zones).or_default().add(stats);
+        for (route, stats) in &other.routes {
+            self.routes.entry(*route).or_default().add(stats);
         }
     }
 
@@ -70,13 +70,14 @@
         let mut encoder = Encoder::new();
         encoder.u16(u16::try_from(self.demand.len()).unwrap_or(u16::MAX));
         for (zone, demand) in &self.demand {
-            encoder.u8(*zone);
+            zone.encode(&mut encoder);
             encoder.u32(demand.observers);
             encoder.u32(demand.sub_requests);
         }
         encoder.u16(u16::try_from(self.routes.len()).unwrap_or(u16::MAX));
-        for ((from, to), stats) in &self.routes {
-            encoder.raw([*from, *to]);
+        for (route, stats) in &self.routes {
+            route.from.encode(&mut encoder);
+            route.to.encode(&mut encoder);
             stats.encode(&mut encoder);
         }
         encoder.into_bytes()
@@ -90,7 +91,7 @@
         let mut decoder = Decoder::new(bytes);
         let mut report = Report::default();
         for _ in 0..decoder.u16()? {
-            let zone = decode_zone(&mut decoder)?;
+            let zone = ZoneIndex::decode(&mut decoder)?;
             let demand = Demand {
                 observers: decoder.u32()?,
                 sub_requests: decoder.u32()?,
@@ -98,9 +99,12 @@
             report.demand.insert(zone, demand);
         }
         for _ in 0..decoder.u16()? {
-            let zones = (decode_zone(&mut decoder)?, decode_zone(&mut decoder)?);
+            let route = ZonePair {
+                from: ZoneIndex::decode(&mut decoder)?,
+                to: ZoneIndex::decode(&mut decoder)?,
+            };
             let stats = RouteStats::decode(&mut decoder)?;
-            report.routes.insert(zones, stats);
+            report.routes.insert(route, stats);
         }
         decoder.finish()?;
         Ok(report)
@@ -144,9 +148,3 @@
         Ok(stats)
     }
 }
-
-fn decode_zone(decoder: &mut Decoder) -> Result<u8, FormatError> {
-    let zone = decoder.u8()?;
-    ensure!(usize::from(zone) < MAX_ZONES, UnknownZoneSnafu { zone });
-    Ok(zone)
-}
--- a/crates/linenthread-zones/tests/golden.rs
+++ b/crates/linenthread-zones/tests/golden.rs
@@ -5,7 +5,9 @@
 
 use std::collections::BTreeMap;
 
-use linenthread_zones::{Demand, Reason, Report, Route, RouteStats, RoutingTable, Row};
+use linenthread_zones::{
+    Demand, Reason, Report, Route, RouteStats, RoutingTable, Row, ZoneIndex, ZonePair,
+};
 
 /// The lines of a golden file: a name, a space, and bytes in hexadecimal.
 fn golden(text: &str) -> BTreeMap<&str, Vec<u8>> {
@@ -50,9 +52,20 @@
     }
 }
 
+fn zone(position: usize) -> ZoneIndex {
+    ZoneIndex::new(position).expect("few zones")
+}
+
+fn route(from: usize, to: usize) -> ZonePair {
+    ZonePair {
+        from: zone(from),
+        to: zone(to),
+    }
+}
+
 /// A report with each number set to a value of its own.
 fn report() -> Report {
-    let way = |observers| RouteStats {
+    let stats = |observers| RouteStats {
         observers,
         down: 2,
         slow: 3,
@@ -65,8 +78,12 @@
         sub_requests,
     };
     Report {
-        demand: BTreeMap::from([(0, demand(6, 7_000_007)), (2, demand(8, 9))]),
-        routes: BTreeMap::from([((0, 1), way(10)), ((2, 0), way(11)), ((2, 2), way(12))]),
+        demand: BTreeMap::from([(zone(0), demand(6, 7_000_007)), (zone(2), demand(8, 9))]),
+        routes: BTreeMap::from([
+            (route(0, 1), stats(10)),
+            (route(2, 0), stats(11)),
+            (route(2, 2), stats(12)),
+        ]),
     }
 }
 
