--- a/crates/linenthread-service/src/fleet/zone_decisions.rs
+++ b/crates/linenthread-service/src/fleet/zone_decisions.rs
@@ -4,7 +4,7 @@
 use linenthread_fleet::{CommittedValue, ConditionalWrite, NumberedValue};
 use linenthread_installation as file;
 use linenthread_zones::{
-    FailoverConfig, FailoverController, Report, RouteStats, RoutingTable, Topology,
+    FailoverConfig, FailoverController, Report, RouteStats, RoutingTable, Topology, ZonePair,
 };
 use tracing::{info, warn};
 
@@ -205,10 +205,15 @@
         now: TenthMillis,
     ) -> Option<RoutingTable> {
         let mut failover = self.0.failover.borrow_mut();
-        let failover = failover.get_or_insert_with(|| {
+        if failover.is_none() {
             let known_zones = topology.zones.clone();
-            FailoverController::new(failover_config(zones), known_zones, committed, now)
-        });
+            let config = failover_config(zones);
+            match FailoverController::new(config, known_zones, committed, now) {
+                Ok(controller) => *failover = Some(controller),
+                Err(error) => warn!("zones are not decided on: {error}"),
+            }
+        }
+        let failover = failover.as_mut()?;
         let observations = self.0.observations.take();
         self.log_faults(&observations);
         failover.add_report(&observations);
@@ -225,7 +230,7 @@
 
     /// Logs the routes on which sub-requests failed or were slow.
     fn log_faults(&self, observations: &Report) {
-        let has_faults = |(_, stats): &(&(u8, u8), &RouteStats)| stats.down + stats.slow > 0;
+        let has_faults = |(_, stats): &(&ZonePair, &RouteStats)| stats.down + stats.slow > 0;
         let against: Vec<_> = observations.routes.iter().filter(has_faults).collect();
         if !against.is_empty()
             && let Some(left_out) = self.0.observation_log_limit.admit()
--- a/crates/linenthread-service/src/zone_routing.rs
+++ b/crates/linenthread-service/src/zone_routing.rs
@@ -7,7 +7,9 @@
     AttemptOutcome, MembershipEntry, MembershipUpdate, Phase, ShardLayout, TenthMillis, ZoneRoute,
 };
 use linenthread_protocol::hash_id;
-use linenthread_zones::{ALL_KEYS, Placement, Report, RoutingTable, Topology, Zone, ZoneObserver};
+use linenthread_zones::{
+    ALL_KEYS, Placement, Report, RoutingTable, Topology, Zone, ZoneIndex, ZoneObserver,
+};
 
 /// Distance of the process's own zone.
 const SAME_ZONE: u8 = 0;
@@ -63,7 +65,7 @@
         let local_zone = position(local_zone).unwrap_or_default();
         ZoneRouting {
             named_zones: zone_names.iter().map(named_zone).collect(),
-            observer: ZoneObserver::new(local_zone as u8),
+            observer: ZoneObserver::new(ZoneIndex::new(local_zone).unwrap_or_default()),
             zones,
             local_zone,
             layout,
@@ -124,9 +126,8 @@
         outcome: AttemptOutcome,
         elapsed: TenthMillis,
     ) {
-        if let Some(zone) = self.zone(replica) {
-            self.observer
-                .on_outcome(zone as u8, replica, outcome, elapsed);
+        if let Some(zone) = self.zone(replica).and_then(ZoneIndex::new) {
+            self.observer.on_outcome(zone, replica, outcome, elapsed);
         }
     }
 
--- a/crates/linenthread-simulation/src/failover_simulation/coordinator.rs
+++ b/crates/linenthread-simulation/src/failover_simulation/coordinator.rs
@@ -7,7 +7,7 @@
     TenthMillis, ZoneRoute,
 };
 use linenthread_core::{Coordinator, DecisionSink};
-use linenthread_zones::{ALL_KEYS, FailoverController, Row, ZoneObserver};
+use linenthread_zones::{ALL_KEYS, FailoverController, Row, ZoneIndex, ZoneObserver};
 
 use super::event::AttemptIndex;
 use super::replica::{COLD_SPEED, WARM_UP};
@@ -115,7 +115,7 @@
             queries: Vec::new(),
             free_queries: Vec::new(),
             wake_at: START,
-            observer: ZoneObserver::new(zone as u8),
+            observer: ZoneObserver::new(ZoneIndex::new(zone).expect("few zones")),
             controller: None,
             arriving_routes: VecDeque::new(),
         }
--- a/crates/linenthread-simulation/src/failover_simulation/routing.rs
+++ b/crates/linenthread-simulation/src/failover_simulation/routing.rs
@@ -102,6 +102,7 @@
         let node = &mut self.coordinators[index];
         let controller = node.controller.get_or_insert_with(|| {
             FailoverController::new(config(), topology.zones.clone(), None, now)
+                .expect("a valid configuration")
         });
         controller.add_report(report);
         if let Some(table) = controller.decide(now, 0, topology) {
--- a/crates/linenthread-simulation/src/failover_simulation/world.rs
+++ b/crates/linenthread-simulation/src/failover_simulation/world.rs
@@ -7,7 +7,7 @@
     AttemptOutcome, AttemptResult, MembershipEntry, MembershipUpdate, NewQuery, NewSubRequest,
     Phase, ProbeResult, TenthMillis,
 };
-use linenthread_zones::{FailoverController, Report};
+use linenthread_zones::{FailoverController, Report, ZoneIndex};
 use oorandom::Rand64;
 
 use super::coordinator::{CancelAttempt, CoordinatorNode, Query, SendAttempt, zone_routes};
@@ -77,6 +77,10 @@
     pub(super) totals: Totals,
 }
 
+fn zone_of(replica: usize) -> ZoneIndex {
+    ZoneIndex::new(replica % ZONES).expect("few zones")
+}
+
 impl World {
     pub(super) fn new(policy: Policy, fault: Fault, utilization: f64, seed: u64) -> World {
         let zones = routing::topology(&[]).zones;
@@ -98,7 +102,8 @@
                 .collect(),
             membership_updates: Vec::new(),
             query_rate,
-            controller: FailoverController::new(routing::config(), zones, None, START),
+            controller: FailoverController::new(routing::config(), zones, None, START)
+                .expect("a valid configuration"),
             pending_report: Report::default(),
             fault_is_active: false,
             fault_has_ended: false,
@@ -223,7 +228,7 @@
         }
         let elapsed = self.now - attempt.sent_at;
         let queue_depth = f64::from(attempt.queue_depth);
-        let zone = (attempt.replica % ZONES) as u8;
+        let zone = zone_of(attempt.replica);
         let node = &mut self.coordinators[attempt.coordinator];
         node.observer
             .on_outcome(zone, attempt.replica, outcome, elapsed);
@@ -329,7 +334,7 @@
     fn on_health_checked(&mut self, coordinator: usize, replica: usize, outcome: AttemptOutcome) {
         let queue_depth = self.replicas[replica].queue.len() as f64;
         let node = &mut self.coordinators[coordinator];
-        let zone = (replica % ZONES) as u8;
+        let zone = zone_of(replica);
         node.observer
             .on_outcome(zone, replica, outcome, OBSERVED_HEALTH_CHECK);
         node.inputs.probes.push(ProbeResult {
--- a/crates/linenthread-simulation/src/zones_simulation/traffic.rs
+++ b/crates/linenthread-simulation/src/zones_simulation/traffic.rs
@@ -1,10 +1,10 @@
 //! The traffic between zones, and what coordinators observe of it.
 
 use linenthread_core::interface::{AttemptOutcome, TenthMillis};
-use linenthread_zones::{Demand, Report, RouteStats, loads};
+use linenthread_zones::{Demand, Report, RouteStats, ZonePair, loads};
 
 use super::STEP_SECONDS;
-use super::world::World;
+use super::world::{World, zone_index};
 
 /// The factor by which a slow zone is slower.
 const SLOWDOWN: f64 = 6.0;
@@ -103,7 +103,7 @@
             let replicas = self.topology.replicas[to].into();
             let replica = REPLICAS_PER_ZONE * to + self.rng.rand_range(0..replicas) as usize;
             self.coordinators[coordinator].observer.on_outcome(
-                to as u8,
+                zone_index(to),
                 replica,
                 outcome,
                 elapsed as TenthMillis,
@@ -129,10 +129,10 @@
         let mut report = Report::default();
         let count = self.topology.zones.len() as u64;
         for _ in 0..self.rng.rand_range(0..12) {
-            let zones = (
-                self.rng.rand_range(0..count) as u8,
-                self.rng.rand_range(0..count) as u8,
-            );
+            let route = ZonePair {
+                from: zone_index(self.rng.rand_range(0..count) as usize),
+                to: zone_index(self.rng.rand_range(0..count) as usize),
+            };
             let observers = self.rng.rand_range(0..9) as u32;
             let completed = self.rng.rand_range(0..1_000) as u32;
             let stats = RouteStats {
@@ -143,12 +143,12 @@
                 succeeded: self.rng.rand_range(0..u64::from(completed) + 1) as u32,
                 latency_sum_ms: self.rng.rand_range(0..100_000),
             };
-            report.routes.insert(zones, stats);
+            report.routes.insert(route, stats);
             let demand = Demand {
                 observers: 3,
                 sub_requests: self.rng.rand_range(0..5_000) as u32,
             };
-            report.demand.insert(zones.0, demand);
+            report.demand.insert(route.from, demand);
         }
         Report::decode(&report.encode()).expect("a report of ours")
     }
--- a/crates/linenthread-simulation/src/zones_simulation/world.rs
+++ b/crates/linenthread-simulation/src/zones_simulation/world.rs
@@ -5,7 +5,7 @@
 use linenthread_core::interface::TenthMillis;
 use linenthread_zones::{
     ALL_KEYS, FailoverConfig, FailoverController, Placement, RoutingTable, Topology, Zone,
-    ZoneObserver,
+    ZoneIndex, ZoneObserver,
 };
 use oorandom::Rand64;
 
@@ -71,6 +71,10 @@
     }
 }
 
+pub(super) fn zone_index(zone: usize) -> ZoneIndex {
+    ZoneIndex::new(zone).expect("few zones")
+}
+
 /// Shards on a ring of replica groups: each shard is in several consecutive groups, and these go round the zones.
 fn placements(zones: usize, groups: usize, copies: usize) -> Vec<Placement> {
     let mut shares: BTreeMap<Vec<u16>, f64> = BTreeMap::new();
@@ -124,14 +128,15 @@
         let open = RoutingTable::open(names);
         let coordinator = |n: usize| Coordinator {
             zone: n % count,
-            observer: ZoneObserver::new((n % count) as u8),
+            observer: ZoneObserver::new(zone_index(n % count)),
             arriving: Vec::new(),
             table: open.clone(),
         };
         World {
             now: START,
             seed,
-            controller: FailoverController::new(config(), topology.zones.clone(), None, START),
+            controller: FailoverController::new(config(), topology.zones.clone(), None, START)
+                .expect("a valid configuration"),
             coordinators: (0..count * observers).map(coordinator).collect(),
             table: None,
             rng,
@@ -202,7 +207,8 @@
             self.topology.zones.clone(),
             self.table.as_ref(),
             self.now,
-        );
+        )
+        .expect("a valid configuration");
     }
 
     /// A table was made.
