--- a/crates/linenthread-http/tests/golden.rs
+++ b/crates/linenthread-http/tests/golden.rs
@@ -4,8 +4,10 @@
 //! pass: clients and replicas depend on what is forwarded to them.
 
 use bytes::BytesMut;
+use linenthread_golden::named_bytes;
 use linenthread_http::{
-    BodyReader, Framing, Head, merge_top_records, request_framing, response_framing, write_decimal,
+    BodyReader, Framing, Head, ResponseBody, merge_top_records, request_framing, response_framing,
+    write_decimal,
 };
 
 const MAX_HEAD: usize = 4_096;
@@ -51,17 +53,6 @@
     merge_top_records(parts.iter().map(Vec::as_slice), 10)
 }
 
-/// The lines of a golden file: a name, a space, and bytes in hexadecimal.
-fn golden(text: &str) -> Vec<(&str, Vec<u8>)> {
-    text.lines()
-        .map(|line| {
-            let (name, hex) = line.rsplit_once(' ').expect("a name and its bytes");
-            let byte = |at| u8::from_str_radix(&hex[at..at + 2], 16).expect("two digits");
-            (name, (0..hex.len()).step_by(2).map(byte).collect())
-        })
-        .collect()
-}
-
 #[test]
 fn heads_are_read_as_version_464716d_read_them() {
     let head = request_head();
@@ -80,8 +71,14 @@
         (head.status(), head.is_http_1_1(), head.keeps_alive()),
         (206, true, false)
     );
-    assert_eq!(response_framing(&head, false), Ok(Framing::Length(32)));
-    assert_eq!(response_framing(&head, true), Ok(Framing::Length(0)));
+    assert_eq!(
+        response_framing(&head, ResponseBody::Present),
+        Ok(Framing::Length(32))
+    );
+    assert_eq!(
+        response_framing(&head, ResponseBody::Absent),
+        Ok(Framing::Length(0))
+    );
     let mut body = BodyReader::new(Framing::Chunked, MAX_BODY);
     let mut buffer = BytesMut::from(REQUEST_BODY.as_bytes());
     assert_eq!(body.read_from(&mut buffer), Ok(true));
@@ -93,13 +90,13 @@
 
 #[test]
 fn headers_are_forwarded_with_the_bytes_of_version_464716d() {
-    let golden = golden(include_str!("golden/passed_on.hex"));
+    let golden = named_bytes(include_str!("golden/passed_on.hex")).collect::<Vec<_>>();
     assert_eq!(forwarded(), golden);
 }
 
 #[test]
 fn records_are_merged_to_the_bytes_of_version_464716d() {
-    let golden = golden(include_str!("golden/merged.hex"));
+    let golden = named_bytes(include_str!("golden/merged.hex")).collect::<Vec<_>>();
     assert_eq!(vec![("merged", merged())], golden);
 }
 
