--- a/crates/linenthread-fleet/src/frame/mod.rs
+++ b/crates/linenthread-fleet/src/frame/mod.rs
@@ -3,7 +3,7 @@
 mod raft_message;
 
 use linenthread_frames::{
-    Decoder, Encoder, Nonce, Proof, ProofDomain, Secrets, drain_frames, without_proof,
+    Decoder, Encoder, Nonce, Proof, ProofDomain, SecretIndex, Secrets, drain_frames, without_proof,
 };
 use raft::eraftpb::Message;
 use snafu::{OptionExt, ensure};
@@ -23,8 +23,6 @@
 /// Domains of the proofs of the side that connects and of the one that accepts. These bytes go into the proof.
 const CONNECTING: ProofDomain = *b"linenthread dial";
 const ACCEPTING: ProofDomain = *b"linenthread take";
-/// The secret by which a connecting side proves itself: the first that is configured.
-const FIRST_SECRET: usize = 0;
 
 /// The byte of a frame that says what it is.
 mod kind {
@@ -170,11 +168,11 @@
     /// Sets the proof for a peer that has sent this nonce.
     pub(crate) fn prove(&mut self, secrets: &Secrets, nonce: &Nonce) {
         let transcript = without_proof(Frame::Hello(self.clone()).encode());
-        self.proof = secrets.prove(FIRST_SECRET, CONNECTING, nonce, &transcript);
+        self.proof = secrets.prove(SecretIndex::FIRST, CONNECTING, nonce, &transcript);
     }
 
-    /// The index of the secret that the proof was made with; `None` if it proves nothing.
-    pub(crate) fn verify(&self, secrets: &Secrets, nonce: &Nonce) -> Option<usize> {
+    /// Which secret the proof was made with; `None` if it proves nothing.
+    pub(crate) fn verify(&self, secrets: &Secrets, nonce: &Nonce) -> Option<SecretIndex> {
         let transcript = without_proof(Frame::Hello(self.clone()).encode());
         secrets.verify(CONNECTING, nonce, &transcript, &self.proof)
     }
@@ -182,7 +180,7 @@
 
 impl Frame {
     /// A welcome, proven over the hello's nonce with the secret that the hello used.
-    pub(crate) fn proven_welcome(secrets: &Secrets, secret: usize, nonce: &Nonce) -> Frame {
+    pub(crate) fn proven_welcome(secrets: &Secrets, secret: SecretIndex, nonce: &Nonce) -> Frame {
         let proof = secrets.prove(secret, ACCEPTING, nonce, &welcome_transcript());
         Frame::Welcome { proof }
     }
--- a/crates/linenthread-fleet/src/members/mod.rs
+++ b/crates/linenthread-fleet/src/members/mod.rs
@@ -8,7 +8,7 @@
 
 use foca::Foca;
 use linenthread_core::interface::TenthMillis;
-use linenthread_frames::{Proof, ProofDomain, Secrets};
+use linenthread_frames::{Proof, ProofDomain, SecretIndex, Secrets};
 use oorandom::Rand64;
 use snafu::{OptionExt, ResultExt};
 
@@ -21,8 +21,6 @@
 
 /// The domain of the proofs of datagrams. These bytes go into the proof.
 const GOSSIP: ProofDomain = *b"linenthread goss";
-/// The secret by which datagrams are proven: the first that is configured.
-const FIRST_SECRET: usize = 0;
 const PROOF_BYTES: usize = size_of::<Proof>();
 /// How often a member is asked for all others while none is known; up to half as much is added at random.
 const JOIN_INTERVAL: TenthMillis = 10_000;
@@ -207,7 +205,7 @@
         // What foca cannot do it leaves undone; its timers go on by themselves.
         let _ = call(&mut self.gossip, &mut requests);
         for (to, mut bytes) in requests.datagrams {
-            let proof = self.secrets.prove(FIRST_SECRET, GOSSIP, &[], &bytes);
+            let proof = self.secrets.prove(SecretIndex::FIRST, GOSSIP, &[], &bytes);
             bytes.extend(proof);
             actions.push(MembersAction::Send { to, bytes });
         }
--- a/crates/linenthread-fleet/src/random.rs
+++ b/crates/linenthread-fleet/src/random.rs
@@ -1,17 +1,12 @@
 //! Random times and choices, from a generator whose seed determines all of them.
 
+use linenthread_core::conversion::to_tenth_millis;
 use linenthread_core::interface::TenthMillis;
 use oorandom::Rand64;
 
 /// A random time below `limit`.
 pub(crate) fn random_time(rng: &mut Rand64, limit: TenthMillis) -> TenthMillis {
-    let time = rng.rand_float() * limit as f64;
-    #[expect(
-        clippy::cast_possible_truncation,
-        reason = "it is between 0 and `limit`; a cast from a float rounds towards 0, and no other conversion does"
-    )]
-    let time = time as TenthMillis;
-    time
+    to_tenth_millis(rng.rand_float() * limit as f64)
 }
 
 /// A random index of a list of `count`; 0 where the list is empty.
--- a/crates/linenthread-frames/src/lib.rs
+++ b/crates/linenthread-frames/src/lib.rs
@@ -16,6 +16,6 @@
 pub use decoder::{DecodeError, Decoder};
 pub use encoder::Encoder;
 pub use proof::{
-    MIN_SECRET_LENGTH, Nonce, Proof, ProofDomain, SecretError, Secrets, without_proof,
+    MIN_SECRET_LENGTH, Nonce, Proof, ProofDomain, SecretError, SecretIndex, Secrets, without_proof,
 };
-pub use stream::{LENGTH_BYTES, drain_frames, first_frame};
+pub use stream::{FirstFrame, LENGTH_BYTES, drain_frames, first_frame};
--- a/crates/linenthread-frames/src/proof.rs
+++ b/crates/linenthread-frames/src/proof.rs
@@ -15,6 +15,15 @@
 /// Names a protocol and the role in it, so that a proof of one role is none for another.
 pub type ProofDomain = [u8; 16];
 
+/// Which of the configured secrets is meant, by its position.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct SecretIndex(pub usize);
+
+impl SecretIndex {
+    /// The first, which proves what is not an answer to a peer that has proven itself with another one.
+    pub const FIRST: SecretIndex = SecretIndex(0);
+}
+
 /// The shortest secret in bytes: a shorter one could be guessed.
 pub const MIN_SECRET_LENGTH: usize = 16;
 
@@ -48,33 +57,40 @@
         Ok(Secrets(secrets))
     }
 
-    /// Proves that a message comes from one that knows the secret. `secret` is its index: 0, or that of the secret by
-    /// which the peer has proven itself.
-    pub fn prove(&self, secret: usize, domain: ProofDomain, nonce: &[u8], message: &[u8]) -> Proof {
+    /// Proves that a message comes from one that knows the secret: the first, or the one by which the peer has proven
+    /// itself, which may not know the other one yet.
+    pub fn prove(
+        &self,
+        secret: SecretIndex,
+        domain: ProofDomain,
+        nonce: &[u8],
+        message: &[u8],
+    ) -> Proof {
         let mac = self
             .0
-            .get(secret)
+            .get(secret.0)
             .and_then(|secret| mac(secret, domain, &[nonce, message]));
         mac.map(|mac| mac.finalize().into_bytes().into())
             .unwrap_or_default()
     }
 
-    /// The index of the secret that proves a message, if one does.
+    /// Which secret proves a message, if one does.
     pub fn verify(
         &self,
         domain: ProofDomain,
         nonce: &[u8],
         message: &[u8],
         proof: &Proof,
-    ) -> Option<usize> {
+    ) -> Option<SecretIndex> {
         let proves = |secret: &Vec<u8>| {
             mac(secret, domain, &[nonce, message])
                 .is_some_and(|mac| mac.verify_slice(proof).is_ok())
         };
-        self.0.iter().position(proves)
+        self.0.iter().position(proves).map(SecretIndex)
     }
 }
 
+/// Each part is preceded by its length, so that bytes cannot move from one to the next.
 fn mac(secret: &[u8], domain: ProofDomain, parts: &[&[u8]]) -> Option<Hmac<Sha256>> {
     let mut mac = <Hmac<Sha256> as KeyInit>::new_from_slice(secret).ok()?;
     mac.update(&domain);
--- a/crates/linenthread-frames/src/stream.rs
+++ b/crates/linenthread-frames/src/stream.rs
@@ -6,15 +6,23 @@
 /// Bytes of a frame's length, which does not count itself.
 pub const LENGTH_BYTES: usize = 4;
 
-/// The first frame in the buffer, its kind first and without its length, and how many bytes of the buffer it takes;
-/// `None` while it is incomplete.
+/// A frame at the front of a buffer.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct FirstFrame<'b> {
+    /// Its kind and its fields, without its length.
+    pub fields: &'b [u8],
+    /// How many bytes of the buffer it takes, its length included.
+    pub encoded_bytes: usize,
+}
+
+/// The first frame in the buffer; `None` while it is incomplete.
 ///
 /// # Errors
 /// [`DecodeError::InvalidLength`] for a frame that is empty or longer than `max_length` bytes.
 pub fn first_frame(
     buffer: &[u8],
     max_length: usize,
-) -> Result<Option<(&[u8], usize)>, DecodeError> {
+) -> Result<Option<FirstFrame<'_>>, DecodeError> {
     let Some((prefix, rest)) = buffer.split_first_chunk::<LENGTH_BYTES>() else {
         return Ok(None);
     };
@@ -22,9 +30,10 @@
     if length == 0 || length > max_length {
         return InvalidLengthSnafu { length }.fail();
     }
-    Ok(rest
-        .get(..length)
-        .map(|fields| (fields, LENGTH_BYTES + length)))
+    Ok(rest.get(..length).map(|fields| FirstFrame {
+        fields,
+        encoded_bytes: LENGTH_BYTES + length,
+    }))
 }
 
 /// Removes all complete frames from the buffer and hands each to `handle`, in their order; an incomplete one stays.
@@ -41,9 +50,9 @@
     let result = loop {
         match first_frame(&buffer[consumed..], max_length) {
             Ok(None) => break Ok(()),
-            Ok(Some((fields, length))) => {
-                consumed += length;
-                if let Err(error) = handle(fields) {
+            Ok(Some(frame)) => {
+                consumed += frame.encoded_bytes;
+                if let Err(error) = handle(frame.fields) {
                     break Err(error);
                 }
             }
--- a/crates/linenthread-frames/tests/golden.rs
+++ b/crates/linenthread-frames/tests/golden.rs
@@ -4,7 +4,7 @@
 //! pass: the peers of a program that is being upgraded speak these bytes.
 
 use linenthread_frames::{
-    DecodeError, Decoder, Encoder, ProofDomain, Secrets, drain_frames, first_frame,
+    DecodeError, Decoder, Encoder, ProofDomain, SecretIndex, Secrets, drain_frames, first_frame,
 };
 use linenthread_golden::named_bytes;
 
@@ -35,9 +35,9 @@
             .to_vec()
     };
     vec![
-        ("first", proof(0, &[7; 16])),
-        ("second", proof(1, &[7; 16])),
-        ("without_nonce", proof(0, &[])),
+        ("first", proof(SecretIndex::FIRST, &[7; 16])),
+        ("second", proof(SecretIndex(1), &[7; 16])),
+        ("without_nonce", proof(SecretIndex::FIRST, &[])),
     ]
 }
 
@@ -56,11 +56,11 @@
         panic!("one frame");
     };
     assert_eq!(frame(), *bytes);
-    let (fields, length) = first_frame(bytes, MAX_LENGTH)
+    let frame = first_frame(bytes, MAX_LENGTH)
         .expect("a frame")
         .expect("all of it");
-    assert_eq!(length, bytes.len());
-    let mut decoder = Decoder::new(fields);
+    assert_eq!(frame.encoded_bytes, bytes.len());
+    let mut decoder = Decoder::new(frame.fields);
     assert_eq!(decoder.u8(), Ok(KIND));
     assert_eq!(decoder.u16(), Ok(0x0102));
     assert_eq!(decoder.u32(), Ok(0x0304_0506));
@@ -96,6 +96,6 @@
     for ((name, bytes), (secret, nonce)) in golden.into_iter().zip(expected) {
         let proof = bytes.try_into().expect("a proof's length");
         let proven = secrets().verify(DOMAIN, nonce, b"what is said", &proof);
-        assert_eq!(proven, Some(secret), "{name}");
+        assert_eq!(proven, Some(SecretIndex(secret)), "{name}");
     }
 }
--- a/crates/linenthread-zones/src/load.rs
+++ b/crates/linenthread-zones/src/load.rs
@@ -1,5 +1,7 @@
 //! How much load a table sends where, and how far routes must be closed so that no zone gets more than its capacity.
 
+use linenthread_core::conversion::to_u64;
+
 use crate::table::{Reason, Route, Row};
 use crate::topology::{Distance, Placement, Topology};
 use crate::{ALL_KEYS, MAX_ZONES};
@@ -160,13 +162,8 @@
 /// Keeps a part of a route's share. It is rounded down, and at least by one, so that each round makes progress.
 fn narrow(route: &mut Route, part: f64) {
     if part < 1.0 && route.share > 0 {
-        let kept = f64::from(route.share) * part;
-        #[expect(
-            clippy::cast_possible_truncation,
-            clippy::cast_sign_loss,
-            reason = "it is between 0 and the share; a cast from a float rounds down, and no other conversion does"
-        )]
-        let kept = kept as u16;
+        let kept = to_u64(f64::from(route.share) * part);
+        let kept = u16::try_from(kept).unwrap_or(u16::MAX);
         route.share = kept.min(route.share - 1);
         if route.reason == Reason::Healthy {
             route.reason = Reason::Capacity;
