--- a/crates/linenthread-link/src/frame/handshake.rs
+++ b/crates/linenthread-link/src/frame/handshake.rs
@@ -2,7 +2,9 @@
 //!
 //! Each end proves that it knows a shared secret by an HMAC over the other's nonce and its own frame.
 
-use linenthread_frames::{Decoder, Encoder, Nonce, Proof, ProofDomain, Secrets, without_proof};
+use linenthread_frames::{
+    Decoder, Encoder, Nonce, Proof, ProofDomain, SecretIndex, Secrets, without_proof,
+};
 
 use super::{Frame, FrameError};
 use crate::id::{CallNumber, SessionId};
@@ -12,7 +14,7 @@
 const SERVER: ProofDomain = *b"linenthread far ";
 
 /// The secret with which a client proves itself: the first one that is configured.
-const CLIENT_SECRET: usize = 0;
+const CLIENT_SECRET: SecretIndex = SecretIndex::FIRST;
 
 /// The first frame on a connection.
 #[derive(Clone, Debug, PartialEq)]
@@ -109,7 +111,7 @@
     }
 
     /// Which of the secrets the proof was made with, if it was made with one of them.
-    pub(crate) fn proven_by(&self, secrets: &Secrets, server_nonce: &Nonce) -> Option<usize> {
+    pub(crate) fn proven_by(&self, secrets: &Secrets, server_nonce: &Nonce) -> Option<SecretIndex> {
         let transcript = transcript(&Frame::Hello(self.clone()));
         secrets.verify(CLIENT, server_nonce, &transcript, &self.proof)
     }
@@ -135,7 +137,7 @@
     }
 
     /// Sets the proof for a client that has sent this nonce, with the secret that the client has used.
-    pub(crate) fn prove(&mut self, secrets: &Secrets, secret: usize, client_nonce: &Nonce) {
+    pub(crate) fn prove(&mut self, secrets: &Secrets, secret: SecretIndex, client_nonce: &Nonce) {
         let transcript = transcript(&Frame::Welcome(self.clone()));
         self.proof = secrets.prove(secret, SERVER, client_nonce, &transcript);
     }
--- a/crates/linenthread-link/src/frame/mod.rs
+++ b/crates/linenthread-link/src/frame/mod.rs
@@ -124,10 +124,13 @@
     ///
     /// The bytes cannot be a frame; the connection cannot be used further.
     pub fn decode(read: &[u8]) -> Result<Option<(Frame, usize)>, FrameError> {
-        let Some((fields, length)) = frames::first_frame(read, MAX_FRAME_LENGTH)? else {
+        let Some(first) = frames::first_frame(read, MAX_FRAME_LENGTH)? else {
             return Ok(None);
         };
-        Ok(Some((Frame::decode_fields(fields)?, length)))
+        Ok(Some((
+            Frame::decode_fields(first.fields)?,
+            first.encoded_bytes,
+        )))
     }
 
     /// Removes all complete frames from the front of `read`, in order, and passes each to `receive`.
--- a/crates/linenthread-link/src/server/handshake.rs
+++ b/crates/linenthread-link/src/server/handshake.rs
@@ -1,7 +1,7 @@
 //! The handshake: the first frame of a connection, and what a client is sent in reply.
 
 use linenthread_core::interface::TenthMillis;
-use linenthread_frames::Nonce;
+use linenthread_frames::{Nonce, SecretIndex};
 
 use super::connection::Connection;
 use super::{LinkServer, ServerAction, ServerCloseReason};
@@ -48,7 +48,7 @@
     }
 
     /// Which secret the hello is proven with, or why it is refused.
-    fn verify(&self, hello: &Hello, nonce: &Nonce) -> Result<usize, ServerCloseReason> {
+    fn verify(&self, hello: &Hello, nonce: &Nonce) -> Result<SecretIndex, ServerCloseReason> {
         if hello.version != VERSION {
             return Err(ServerCloseReason::UnsupportedVersion);
         }
