--- a/crates/linenthread-fleet/src/dialer.rs
+++ b/crates/linenthread-fleet/src/dialer.rs
@@ -29,9 +29,11 @@
     started_at: TenthMillis,
 }
 
+/// A process to be dialled.
 #[derive(Clone, Debug)]
 struct Target {
     address: SocketAddr,
+    /// Consecutive attempts that failed, or whose connection did not last.
     failures: u32,
     /// When it may be dialled next.
     next_attempt_at: TenthMillis,
@@ -54,14 +56,26 @@
     AnyOne,
 }
 
+/// Which targets are dialled.
+#[derive(Debug)]
+struct Selection {
+    mode: DialMode,
+    /// The target in use where any one will do.
+    current: Option<String>,
+}
+
+impl Selection {
+    fn includes(&self, name: &str) -> bool {
+        self.mode == DialMode::All || self.current.as_deref() == Some(name)
+    }
+}
+
 /// The processes that are dialled from here.
 #[derive(Debug)]
 pub(crate) struct Dialer {
     targets: BTreeMap<String, Target>,
     rng: Rand64,
-    mode: DialMode,
-    /// The target in use where any one will do.
-    selected: Option<String>,
+    selection: Selection,
 }
 
 impl Dialer {
@@ -85,8 +99,10 @@
         let mut dialer = Dialer {
             targets,
             rng,
-            mode,
-            selected: None,
+            selection: Selection {
+                mode,
+                current: None,
+            },
         };
         dialer.select();
         dialer
@@ -99,32 +115,28 @@
 
     /// Selects a random target, but not the one that has just failed where there is another.
     fn select(&mut self) {
-        if self.mode == DialMode::All || self.targets.is_empty() {
+        if self.selection.mode == DialMode::All || self.targets.is_empty() {
             return;
         }
         let names = self.targets.keys();
         let others: Vec<&String> = names
-            .filter(|name| Some(*name) != self.selected.as_ref())
+            .filter(|name| Some(*name) != self.selection.current.as_ref())
             .collect();
         let index = random_index(&mut self.rng, others.len());
         if let Some(name) = others.get(index) {
-            self.selected = Some((*name).clone());
+            self.selection.current = Some((*name).clone());
         }
     }
 
-    fn is_wanted(&self, name: &str) -> bool {
-        self.mode == DialMode::All || self.selected.as_deref() == Some(name)
-    }
-
     pub(crate) fn mode(&self) -> DialMode {
-        self.mode
+        self.selection.mode
     }
 
     /// When [`Dialer::due`] has something to dial.
     pub(crate) fn wake_at(&self) -> TenthMillis {
         self.targets
             .iter()
-            .filter(|(name, target)| target.attempt.is_none() && self.is_wanted(name))
+            .filter(|(name, target)| target.attempt.is_none() && self.selection.includes(name))
             .map(|(_, target)| target.next_attempt_at)
             .min()
             .unwrap_or(TenthMillis::MAX)
@@ -136,11 +148,10 @@
         now: TenthMillis,
         mut next_connection: impl FnMut() -> ConnectionId,
     ) -> Vec<DueDial> {
-        let (mode, selected) = (self.mode, self.selected.as_deref());
         let mut due = Vec::new();
         for (name, target) in &mut self.targets {
-            let is_wanted = mode == DialMode::All || selected == Some(name);
-            if !is_wanted || target.attempt.is_some() || target.next_attempt_at > now {
+            let is_idle = target.attempt.is_none() && target.next_attempt_at <= now;
+            if !is_idle || !self.selection.includes(name) {
                 continue;
             }
             let connection = next_connection();
@@ -159,9 +170,9 @@
 
     /// A connection could not be made, or has ended.
     pub(crate) fn on_closed(&mut self, now: TenthMillis, connection: ConnectionId) {
-        let is_it = |attempt: Attempt| attempt.connection == connection;
+        let is_closed = |attempt: Attempt| attempt.connection == connection;
         let mut targets = self.targets.values_mut();
-        let Some(target) = targets.find(|target| target.attempt.is_some_and(is_it)) else {
+        let Some(target) = targets.find(|target| target.attempt.is_some_and(is_closed)) else {
             return;
         };
         let attempt = target.attempt.take();
--- a/crates/linenthread-fleet/src/fleet/handshake.rs
+++ b/crates/linenthread-fleet/src/fleet/handshake.rs
@@ -15,11 +15,9 @@
 use crate::event::ConnectionEvent;
 use crate::frame::{Frame, Hello, Role, VERSION};
 use crate::identifiers::ConnectionId;
+use crate::node_identity::MAX_NAME_BYTES;
 use crate::voter::{Stage, Voter};
 
-/// The longest name of a process, in bytes.
-const MAX_NAME_BYTES: usize = 64;
-
 /// The reasons below go to the peer in [`Frame::Refuse`]: they are wire format.
 const UNPROVEN: &str = "it does not prove the secret";
 const INVALID_NAME: &str = "it cannot have that name here";
--- a/crates/linenthread-fleet/src/frame/mod.rs
+++ b/crates/linenthread-fleet/src/frame/mod.rs
@@ -1,16 +1,18 @@
 //! The messages between two processes of a fleet; byte by byte in `docs/fleet.md`.
 
+mod handshake;
+mod progress;
 mod raft_message;
 
-use linenthread_frames::{
-    Decoder, Encoder, Nonce, Proof, ProofDomain, SecretIndex, Secrets, drain_frames, without_proof,
-};
+use linenthread_frames::{Decoder, Encoder, Nonce, Proof, drain_frames};
 use raft::eraftpb::Message;
-use snafu::{OptionExt, ensure};
+use snafu::ensure;
 
-use crate::error::{RecordError, ReportTooLongSnafu, UnknownFrameSnafu, UnknownProgressSnafu};
+use crate::error::{RecordError, ReportTooLongSnafu, UnknownFrameSnafu};
 use crate::identifiers::{FoundersDigest, VoterIncarnation};
 use crate::state_table::CommittedValue;
+pub use handshake::{Hello, Role};
+pub use progress::Progress;
 pub(crate) use raft_message::{decode_entry, decode_snapshot, encode_entry, encode_snapshot};
 
 /// The protocol version that this package speaks.
@@ -20,10 +22,6 @@
 /// The longest report in bytes.
 pub const MAX_REPORT_BYTES: usize = 64 * 1024;
 
-/// Domains of the proofs of the side that connects and of the one that accepts. These bytes go into the proof.
-const CONNECTING: ProofDomain = *b"linenthread dial";
-const ACCEPTING: ProofDomain = *b"linenthread take";
-
 /// The byte of a frame that says what it is.
 mod kind {
     pub(super) const CHALLENGE: u8 = 1;
@@ -38,76 +36,6 @@
     pub(super) const PONG: u8 = 10;
 }
 
-/// How far a voter has come.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Progress {
-    /// Its disk is empty, and it has no identity yet.
-    Empty,
-    /// It is a founder of the fleet and waits until all others are founders too.
-    Founded,
-    /// It takes part in Raft.
-    Active,
-    /// Its disk has failed: what it holds is unknown.
-    Stopped,
-}
-
-/// A voter's progress by its number in a frame.
-const PROGRESSES: [Progress; 4] = [
-    Progress::Empty,
-    Progress::Founded,
-    Progress::Active,
-    Progress::Stopped,
-];
-
-impl Progress {
-    fn code(self) -> u8 {
-        match self {
-            Progress::Empty => 0,
-            Progress::Founded => 1,
-            Progress::Active => 2,
-            Progress::Stopped => 3,
-        }
-    }
-}
-
-/// What a process is in a connection.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Role {
-    /// A voter: it may send progress, Raft's messages and committed values.
-    Voter,
-    /// Any other process: it is sent what is committed.
-    Follower,
-}
-
-impl Role {
-    fn is_voter(self) -> bool {
-        self == Role::Voter
-    }
-
-    fn from_flag(is_voter: bool) -> Role {
-        if is_voter {
-            Role::Voter
-        } else {
-            Role::Follower
-        }
-    }
-}
-
-/// The first frame of the side that connects.
-#[derive(Clone, Debug, PartialEq)]
-pub struct Hello {
-    /// The protocol version that it has chosen.
-    pub version: u8,
-    /// Its name.
-    pub name: String,
-    /// As what it connects.
-    pub role: Role,
-    /// What the welcome has to prove itself over.
-    pub nonce: Nonce,
-    /// Proves the shared secret.
-    pub proof: Proof,
-}
-
 /// One message of the protocol.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Frame {
@@ -164,33 +92,7 @@
     },
 }
 
-impl Hello {
-    /// Sets the proof for a peer that has sent this nonce.
-    pub(crate) fn prove(&mut self, secrets: &Secrets, nonce: &Nonce) {
-        let transcript = without_proof(Frame::Hello(self.clone()).encode());
-        self.proof = secrets.prove(SecretIndex::FIRST, CONNECTING, nonce, &transcript);
-    }
-
-    /// Which secret the proof was made with; `None` if it proves nothing.
-    pub(crate) fn verify(&self, secrets: &Secrets, nonce: &Nonce) -> Option<SecretIndex> {
-        let transcript = without_proof(Frame::Hello(self.clone()).encode());
-        secrets.verify(CONNECTING, nonce, &transcript, &self.proof)
-    }
-}
-
 impl Frame {
-    /// A welcome, proven over the hello's nonce with the secret that the hello used.
-    pub(crate) fn proven_welcome(secrets: &Secrets, secret: SecretIndex, nonce: &Nonce) -> Frame {
-        let proof = secrets.prove(secret, ACCEPTING, nonce, &welcome_transcript());
-        Frame::Welcome { proof }
-    }
-
-    /// Whether a welcome's proof was made with one of the secrets.
-    pub(crate) fn verifies_welcome(secrets: &Secrets, nonce: &Nonce, proof: &Proof) -> bool {
-        let secret = secrets.verify(ACCEPTING, nonce, &welcome_transcript(), proof);
-        secret.is_some()
-    }
-
     /// The encoded frame, its length first.
     pub fn encode(&self) -> Vec<u8> {
         let mut encoder = Encoder::frame();
@@ -226,11 +128,7 @@
                 encoder.text(name);
             }
             Frame::Hello(hello) => {
-                encoder.u8(hello.version);
-                encoder.text(&hello.name);
-                encoder.flag(hello.role.is_voter());
-                encoder.raw(hello.nonce);
-                encoder.raw(hello.proof);
+                hello.encode(encoder);
             }
             Frame::Welcome { proof } => encoder.raw(proof),
             Frame::Refuse { reason } => encoder.text(reason),
@@ -239,7 +137,7 @@
                 incarnation,
                 founders,
             } => {
-                encoder.u8(progress.code());
+                progress.encode(encoder);
                 encoder.u64(incarnation.0);
                 encoder.u64(founders.0);
             }
@@ -267,13 +165,7 @@
                 nonce: decoder.array()?,
                 name: decoder.text()?,
             },
-            kind::HELLO => Frame::Hello(Hello {
-                version: decoder.u8()?,
-                name: decoder.text()?,
-                role: Role::from_flag(decoder.flag()?),
-                nonce: decoder.array()?,
-                proof: decoder.array()?,
-            }),
+            kind::HELLO => Frame::Hello(Hello::decode(&mut decoder)?),
             kind::WELCOME => Frame::Welcome {
                 proof: decoder.array()?,
             },
@@ -281,7 +173,7 @@
                 reason: decoder.text()?,
             },
             kind::PROGRESS => Frame::Progress {
-                progress: decode_progress(&mut decoder)?,
+                progress: Progress::decode(&mut decoder)?,
                 incarnation: VoterIncarnation(decoder.u64()?),
                 founders: FoundersDigest(decoder.u64()?),
             },
@@ -318,18 +210,6 @@
     }
 }
 
-/// A welcome proves itself over its own bytes, which are only its kind and length.
-fn welcome_transcript() -> Vec<u8> {
-    let proof = Proof::default();
-    without_proof(Frame::Welcome { proof }.encode())
-}
-
-fn decode_progress(decoder: &mut Decoder) -> Result<Progress, RecordError> {
-    let code = decoder.u8()?;
-    let progress = PROGRESSES.get(usize::from(code));
-    progress.copied().context(UnknownProgressSnafu { code })
-}
-
 fn decode_report(decoder: &mut Decoder) -> Result<Vec<u8>, RecordError> {
     let bytes = decoder.bytes()?;
     let length = bytes.len();
--- a/crates/linenthread-fleet/src/frame/raft_message.rs
+++ b/crates/linenthread-fleet/src/frame/raft_message.rs
@@ -5,7 +5,6 @@
 use snafu::{OptionExt, ensure};
 
 use crate::error::{ContextTooLongSnafu, RecordError, TooManyEntriesSnafu, UnknownMessageSnafu};
-use crate::state_table::count;
 
 /// The most entries of one message.
 const MAX_ENTRIES: u16 = 4_096;
@@ -48,7 +47,7 @@
     encoder.u64(message.reject_hint);
     encoder.u64(message.priority.cast_unsigned());
     encoder.bytes(&message.context);
-    encoder.u16(count(message.entries.len()));
+    encoder.count(message.entries.len());
     for entry in &message.entries {
         encode_entry(entry, encoder);
     }
@@ -117,7 +116,7 @@
     encoder.u64(metadata.index);
     encoder.u64(metadata.term);
     let voters = &metadata.get_conf_state().voters;
-    encoder.u16(count(voters.len()));
+    encoder.count(voters.len());
     for id in voters {
         encoder.u64(*id);
     }
--- a/crates/linenthread-fleet/src/lib.rs
+++ b/crates/linenthread-fleet/src/lib.rs
@@ -10,6 +10,18 @@
 //! Start reading at [`Fleet`]; `voter` has the table of a voter's stages. The messages are in [`frame`], and byte by
 //! byte in `docs/fleet.md`.
 //!
+//! The way of a value, from its proposal to all processes:
+//!
+//! | step | at | where |
+//! | --- | --- | --- |
+//! | proposed, while the lease lasts | the leader | [`Fleet::propose`], then `voter/inputs.rs` |
+//! | appended, synced, sent to the other voters | the leader | `voter/ready.rs`, `storage` |
+//! | checked, appended, synced, acknowledged | each other voter | `voter/message_check.rs`, then `voter/ready.rs` |
+//! | committed: on the disks of a majority | the leader, then all voters | Raft |
+//! | applied, where it is still based on the current value | each voter | `voter/ready.rs`, [`StateTable`] |
+//! | passed on | each voter, to its followers | `fleet/replication.rs` |
+//! | reported as [`FleetAction::Committed`] | each process | the caller |
+//!
 //! Invariants, checked by the simulation of fleets: *one-value* (no two values under one topic and number),
 //! *agreed-stays* (what was reported as committed is never undone while a majority of voters has its disks),
 //! *one-leader* (at no moment do two processes hold the lease), *former-self* (a voter that lost its disk never votes
--- a/crates/linenthread-fleet/src/node_identity.rs
+++ b/crates/linenthread-fleet/src/node_identity.rs
@@ -9,7 +9,7 @@
 use crate::identifiers::ProcessIncarnation;
 
 /// The longest name of a member, machine, zone or region, in bytes.
-const MAX_NAME_BYTES: usize = 64;
+pub(crate) const MAX_NAME_BYTES: usize = 64;
 
 const IPV4: u8 = 4;
 const IPV6: u8 = 6;
--- a/crates/linenthread-fleet/src/state_table.rs
+++ b/crates/linenthread-fleet/src/state_table.rs
@@ -170,13 +170,13 @@
 
     pub(crate) fn encode(&self) -> Vec<u8> {
         let mut encoder = Encoder::new();
-        encoder.u16(count(self.values.len()));
+        encoder.count(self.values.len());
         for (topic, entry) in &self.values {
             encoder.text(topic);
             encoder.u64(entry.number);
             encoder.bytes(&entry.value);
         }
-        encoder.u16(count(self.voter_identities.len()));
+        encoder.count(self.voter_identities.len());
         for identity in self.voter_identities.values() {
             identity.encode(&mut encoder);
         }
@@ -199,8 +199,3 @@
         Ok(table)
     }
 }
-
-/// A count as two bytes; the tables above are far smaller than that.
-pub(crate) fn count(length: usize) -> u16 {
-    u16::try_from(length).unwrap_or(u16::MAX)
-}
--- a/crates/linenthread-fleet/src/voter/clock.rs
+++ b/crates/linenthread-fleet/src/voter/clock.rs
@@ -55,8 +55,9 @@
         }
     }
 
-    /// Sets a random election time-out in place of Raft's own. It depends on the seed, the term and the role only, so
-    /// that a seed always gives the same.
+    /// Sets a random election time-out in place of Raft's own, which Raft draws anew whenever its term or role changes:
+    /// so this follows each step that may change them. It depends on the seed, the term and the role only, so that a
+    /// seed always gives the same.
     pub(super) fn set_election_timeout(&mut self) {
         if let State::Active(node) = &mut self.state {
             let term = node.raft.term.wrapping_mul(TERM_MULTIPLIER);
--- a/crates/linenthread-fleet/src/voter/inputs.rs
+++ b/crates/linenthread-fleet/src/voter/inputs.rs
@@ -9,7 +9,7 @@
 
 use super::stage::{PeerProgress, State};
 use super::{Voter, VoterAction};
-use crate::error::{NotLeaderSnafu, ProposeError, RefusedSnafu, StorageError, TooLongSnafu};
+use crate::error::{NotLeaderSnafu, ProposeError, RefusedSnafu, TooLongSnafu};
 use crate::event::FleetEvent;
 use crate::frame::Frame;
 use crate::state_table::ConditionalWrite;
@@ -21,18 +21,6 @@
 const MAX_VOTER_NAMES: usize = 64;
 
 impl<F: Files> Voter<F> {
-    /// The disk has failed: it steps down by sending nothing more, and others lead.
-    pub(super) fn stop(&mut self, cause: StorageError, actions: &mut Vec<VoterAction>) {
-        let stopped = State::Stopped(cause.to_string());
-        actions.push(VoterAction::Log(FleetEvent::SteppedDown { cause }));
-        if std::mem::take(&mut self.was_leader) {
-            let term = self.term();
-            actions.push(VoterAction::Log(FleetEvent::LeadershipLost { term }));
-        }
-        self.state = stopped;
-        self.lease.revoke();
-    }
-
     /// The connection to another voter is established. What was reported before it does not count any more.
     pub fn on_connected(&mut self, peer: &str, actions: &mut Vec<VoterAction>) {
         self.on_disconnected(peer);
--- a/crates/linenthread-fleet/src/voter/mod.rs
+++ b/crates/linenthread-fleet/src/voter/mod.rs
@@ -39,7 +39,7 @@
 use crate::event::FleetEvent;
 use crate::identifiers::{Term, VoterIncarnation};
 use crate::state_table::StateTable;
-use crate::storage::VoterStorage;
+use crate::storage::{OpenedStorage, VoterStorage};
 use crate::voter_identity::RaftId;
 pub use action::VoterAction;
 use inputs::PROGRESS_INTERVAL;
@@ -178,6 +178,18 @@
             .or(self.voter_names.get(&id))
             .map(String::as_str)
     }
+
+    /// The disk has failed: it steps down by sending nothing more, and others lead.
+    fn stop(&mut self, cause: StorageError, actions: &mut Vec<VoterAction>) {
+        let stopped = State::Stopped(cause.to_string());
+        actions.push(VoterAction::Log(FleetEvent::SteppedDown { cause }));
+        if std::mem::take(&mut self.was_leader) {
+            let term = self.term();
+            actions.push(VoterAction::Log(FleetEvent::LeadershipLost { term }));
+        }
+        self.state = stopped;
+        self.lease.revoke();
+    }
 }
 
 /// Opens the disk. A voter whose disk fails right now is stopped and may be opened again; one whose disk holds what no
@@ -187,7 +199,7 @@
     files: F,
     actions: &mut Vec<VoterAction>,
 ) -> Result<State<F>, OpenError> {
-    let (storage, torn_tail) = match VoterStorage::open(files) {
+    let OpenedStorage { storage, torn_tail } = match VoterStorage::open(files) {
         Ok(opened) => opened,
         Err(StorageError::Log {
             source: cause @ LogError::Disk { .. },
--- a/crates/linenthread-fleet/src/voter/startup.rs
+++ b/crates/linenthread-fleet/src/voter/startup.rs
@@ -54,7 +54,7 @@
     ) -> Result<StartedNode<F>, StartError> {
         let table = storage.state().context(StateSnafu)?;
         self.conf_state = storage.initial_state().context(RaftSnafu)?.conf_state;
-        self.applied = storage.applied();
+        self.applied = storage.snapshot_index();
         let config = raft_config(id, self.applied);
         let logger = slog::Logger::root(slog::Discard, slog::o!());
         let node = RawNode::new(&config, storage, &logger).context(RaftSnafu)?;
--- a/crates/linenthread-frames/src/encoder.rs
+++ b/crates/linenthread-frames/src/encoder.rs
@@ -50,6 +50,11 @@
         self.0.extend(number.to_be_bytes());
     }
 
+    /// How many items follow, in two bytes; the lists of our frames and records are far shorter than that.
+    pub fn count(&mut self, count: usize) {
+        self.u16(u16::try_from(count).unwrap_or(u16::MAX));
+    }
+
     /// One byte, 0 or 1.
     pub fn flag(&mut self, flag: bool) {
         self.0.push(flag.into());
--- a/crates/linenthread-zones/src/lib.rs
+++ b/crates/linenthread-zones/src/lib.rs
@@ -5,6 +5,17 @@
 //! [`FailoverController`], which makes a [`RoutingTable`]: for each zone of clients and each zone of replicas, for
 //! what share of keys the route between them is open. All act on one table; each coordinator's policy uses one row.
 //!
+//! The way of a failover, from the first failed sub-request to closed routes:
+//!
+//! | step | where |
+//! | --- | --- |
+//! | a coordinator counts outcomes, and has an opinion of the zone | `observer` |
+//! | opinions of all coordinators are added up on their way to the leader | `report` |
+//! | majorities find the zone down, or a pair of zones partitioned | `controller/evidence.rs` |
+//! | found so in two consecutive evaluations, it is ejected for a hold | `health` |
+//! | its routes close, and those to other zones are narrowed to their capacity | `controller/routes.rs`, `load` |
+//! | the table is proposed, unless it only opens routes and the budget for that is spent | `controller/adoption.rs` |
+//!
 //! This package must not know how reports and tables are carried: `linenthread-fleet` replicates the table, and takes
 //! care that a minority changes nothing. Start reading at [`FailoverController::decide`]; `docs/failover-design.md`
 //! has the reasons.
--- a/crates/linenthread-zones/src/report.rs
+++ b/crates/linenthread-zones/src/report.rs
@@ -68,13 +68,13 @@
     /// The report's bytes.
     pub fn encode(&self) -> Vec<u8> {
         let mut encoder = Encoder::new();
-        encoder.u16(u16::try_from(self.demand.len()).unwrap_or(u16::MAX));
+        encoder.count(self.demand.len());
         for (zone, demand) in &self.demand {
             zone.encode(&mut encoder);
             encoder.u32(demand.observers);
             encoder.u32(demand.sub_requests);
         }
-        encoder.u16(u16::try_from(self.routes.len()).unwrap_or(u16::MAX));
+        encoder.count(self.routes.len());
         for (route, stats) in &self.routes {
             route.from.encode(&mut encoder);
             route.to.encode(&mut encoder);
