--- a/crates/linenthread-fleet/tests/golden.rs
+++ b/crates/linenthread-fleet/tests/golden.rs
@@ -3,22 +3,23 @@
 //! The files under `tests/golden/` were written by commit 464716d. They must never be regenerated to make a test
 //! pass: processes of a fleet that is being upgraded, and voters' disks written before, hold such bytes.
 
-use std::cell::RefCell;
+mod cluster;
+
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
-use std::rc::Rc;
 
 use linenthread_fleet::frame::{Frame, Hello, Progress, Role};
 use linenthread_fleet::{
-    CommittedValue, ConditionalWrite, FoundersDigest, Members, MembersAction, MembersConfig,
-    NodeIdentity, NumberedValue, PeerAddress, ProcessIncarnation, Term, Voter, VoterAction,
-    VoterConfig, VoterIncarnation,
+    CommittedValue, FoundersDigest, Members, MembersAction, MembersConfig, NodeIdentity,
+    NumberedValue, PeerAddress, ProcessIncarnation, Term, VoterIncarnation,
 };
 use linenthread_frames::Secrets;
 use linenthread_golden::named_bytes;
-use linenthread_store::{Files, SimulatedDisk};
+use linenthread_store::Files;
 use raft::eraftpb::{Entry, EntryType, Message, MessageType, Snapshot};
 
+use cluster::{Cluster, Disk, NAMES};
+
 /// The names and bytes of a golden file.
 fn golden(text: &str) -> Vec<(String, Vec<u8>)> {
     named_bytes(text)
@@ -179,130 +180,38 @@
 
 // --- voters' disks ---
 
-const NAMES: [&str; 3] = ["catania", "messina", "palermo"];
-/// Tenths of a millisecond between two wake-ups.
-const STEP: i64 = 250;
-const STEPS_PER_SECOND: i64 = 40;
-
-type Disk = Rc<RefCell<SimulatedDisk>>;
-
-/// Voters on one clock whose messages arrive at once.
-struct Cluster {
-    now: i64,
-    voters: BTreeMap<String, Voter<Disk>>,
-    disks: BTreeMap<String, Disk>,
-    starts: u64,
-}
-
-impl Cluster {
-    fn new() -> Cluster {
-        let disks = NAMES.map(|name| (name.to_owned(), Disk::default()));
-        Cluster {
-            now: 1_000_000,
-            voters: BTreeMap::new(),
-            disks: BTreeMap::from(disks),
-            starts: 0,
-        }
-    }
-
-    fn start(&mut self, name: &str) {
-        self.starts += 1;
-        let config = VoterConfig {
-            name: name.to_owned(),
-            voters: NAMES.map(str::to_owned).to_vec(),
-            seed: self.starts,
-        };
-        let disk = self.disks[name].clone();
-        let voter = Voter::new(config, disk, self.now, &mut Vec::new());
-        self.voters
-            .insert(name.to_owned(), voter.expect("a disk without damage"));
-        let others: Vec<String> = self.voters.keys().filter(|n| *n != name).cloned().collect();
-        for other in &others {
-            self.act(name, |voter, _, to| voter.on_connected(other, to));
-            self.act(other, |voter, _, to| voter.on_connected(name, to));
-        }
-    }
-
-    fn stop(&mut self, name: &str) {
-        self.voters.remove(name);
-        let others: Vec<String> = self.voters.keys().cloned().collect();
-        for other in &others {
-            self.act(other, |voter, _, _| voter.on_disconnected(name));
-        }
-    }
-
-    fn act(&mut self, name: &str, call: impl FnOnce(&mut Voter<Disk>, i64, &mut Vec<VoterAction>)) {
-        let mut to = Vec::new();
-        let Some(voter) = self.voters.get_mut(name) else {
-            return;
-        };
-        call(voter, self.now, &mut to);
-        let mut actions: VecDeque<_> = to.into_iter().map(|one| (name.to_owned(), one)).collect();
-        while let Some((from, action)) = actions.pop_front() {
-            let VoterAction::Send { to: name, frame } = action else {
-                continue;
-            };
-            let mut bytes = frame.encode();
-            let mut more = Vec::new();
-            Frame::drain(&mut bytes, |frame| {
-                if let Some(voter) = self.voters.get_mut(&name) {
-                    voter.on_frame(self.now, &from, frame, &mut more);
-                }
-            })
-            .expect("a frame of ours");
-            actions.extend(more.into_iter().map(|one| (name.clone(), one)));
-        }
-    }
-
-    fn run(&mut self, seconds: i64) {
-        for _ in 0..seconds * STEPS_PER_SECOND {
-            self.now += STEP;
-            for name in NAMES {
-                self.act(name, linenthread_fleet::Voter::wake);
-            }
+/// Each voter's files with their bytes.
+fn files(cluster: &Cluster) -> Vec<(String, Vec<u8>)> {
+    let mut files = Vec::new();
+    for (voter, disk) in &cluster.disks {
+        let mut disk = disk.borrow_mut();
+        for name in disk.list().expect("a folder") {
+            let bytes = disk.read(&name).expect("a file");
+            files.push((format!("{voter}/{name}"), bytes));
         }
     }
+    files
+}
 
-    fn propose(&mut self, topic: &str, based_on: u64, value: &[u8]) {
-        let write = ConditionalWrite {
-            topic: topic.to_owned(),
-            expected_number: based_on,
-            value: value.to_vec(),
-        };
-        let leads = |name: &&str| {
-            self.voters
-                .get(*name)
-                .is_some_and(|v| v.is_leader(self.now))
-        };
-        let leader = NAMES.into_iter().find(leads).expect("one leads");
-        self.act(leader, |voter, now, to| {
-            let proposed = voter.propose(now, &write, to);
-            proposed.expect("the leader takes it");
-        });
+fn start_all(cluster: &mut Cluster) {
+    for name in NAMES {
+        cluster.start(name).expect("a disk without damage");
     }
+}
 
-    /// Each voter's files with their bytes.
-    fn files(&self) -> Vec<(String, Vec<u8>)> {
-        let mut files = Vec::new();
-        for (voter, disk) in &self.disks {
-            let mut disk = disk.borrow_mut();
-            for name in disk.list().expect("a folder") {
-                let bytes = disk.read(&name).expect("a file");
-                files.push((format!("{voter}/{name}"), bytes));
-            }
-        }
-        files
-    }
+fn propose(cluster: &mut Cluster, topic: &str, expected_number: u64, value: &[u8]) {
+    let proposed = cluster.propose(topic, expected_number, value);
+    proposed.expect("the leader takes it");
 }
 
 /// A fleet is founded and writes some values.
 fn founded() -> Cluster {
     let mut cluster = Cluster::new();
-    NAMES.iter().for_each(|name| cluster.start(name));
+    start_all(&mut cluster);
     cluster.run(5);
-    cluster.propose("table", 0, b"first");
-    cluster.propose("members", 0, &[0xff; 300]);
-    cluster.propose("table", 1, b"second");
+    propose(&mut cluster, "table", 0, b"first");
+    propose(&mut cluster, "members", 0, &[0xff; 300]);
+    propose(&mut cluster, "table", 1, b"second");
     cluster.run(1);
     cluster
 }
@@ -313,10 +222,10 @@
     let mut cluster = founded();
     cluster.stop("catania");
     cluster.disks.insert("catania".to_owned(), Disk::default());
-    cluster.start("catania");
+    cluster.start("catania").expect("an empty disk");
     cluster.run(10);
     for number in 2..280 {
-        cluster.propose("table", number, &number.to_be_bytes());
+        propose(&mut cluster, "table", number, &number.to_be_bytes());
     }
     cluster.run(1);
     cluster
@@ -328,9 +237,9 @@
     for (path, bytes) in files {
         let (voter, name) = path.split_once('/').expect("a voter and a file");
         let mut disk = cluster.disks[voter].borrow_mut();
-        disk.append(name, &bytes).expect("there is cluster");
+        disk.append(name, &bytes).expect("there is space");
     }
-    NAMES.iter().for_each(|name| cluster.start(name));
+    start_all(&mut cluster);
     cluster
 }
 
@@ -374,57 +283,78 @@
     }
 }
 
-/// Three members find each other, then one falls silent and is suspected and taken for gone. Each datagram with
-/// whom it goes to.
-fn gossip() -> Vec<(String, Vec<u8>)> {
+/// A datagram and the address that it goes to.
+type SentDatagram = (String, Vec<u8>);
+
+/// Members on one clock whose datagrams arrive at once, by address.
+struct Gossip {
+    members: BTreeMap<SocketAddr, Members>,
+    sent: Vec<SentDatagram>,
+}
+
+impl Gossip {
+    fn new(all: &[NodeIdentity]) -> Gossip {
+        let secrets =
+            Secrets::new(vec![b"a secret of this test".to_vec()]).expect("it is long enough");
+        let seed = |member: &NodeIdentity| PeerAddress {
+            name: member.name.clone(),
+            address: member.gossip,
+        };
+        let member = |(random_seed, local): (u64, &NodeIdentity)| {
+            let config = MembersConfig {
+                local: local.clone(),
+                seeds: all.iter().map(seed).collect(),
+                expected_members: 3,
+                probe_interval: 10_000,
+                secrets: secrets.clone(),
+                random_seed,
+            };
+            (local.gossip, Members::new(config, 0))
+        };
+        Gossip {
+            members: (1..).zip(all).map(member).collect(),
+            sent: Vec::new(),
+        }
+    }
+
+    /// Wakes all members, and delivers what they send and what follows from that.
+    fn step(&mut self, now: i64) {
+        let mut pending = VecDeque::new();
+        for member in self.members.values_mut() {
+            let mut actions = Vec::new();
+            member.wake(now, &mut actions);
+            pending.extend(actions);
+        }
+        while let Some(action) = pending.pop_front() {
+            let MembersAction::Send { to, bytes } = action else {
+                continue;
+            };
+            if let Some(member) = self.members.get_mut(&to) {
+                let mut actions = Vec::new();
+                let accepted = member.on_datagram(now, &bytes, &mut actions);
+                accepted.expect("a datagram of ours");
+                pending.extend(actions);
+            }
+            self.sent.push((to.to_string(), bytes));
+        }
+    }
+}
+
+/// All datagrams while three members find each other, and then one falls silent and is suspected and declared down.
+fn gossip() -> Vec<SentDatagram> {
     let all = [
         member("catania", "10.0.0.1:7001", 0x6162_6364_6566_6768),
         member("messina", "10.0.0.2:7002", 7),
         member("palermo", "[fd00::3]:7003", 8),
     ];
-    let seed = |member: &NodeIdentity| PeerAddress {
-        name: member.name.clone(),
-        address: member.gossip,
-    };
-    let seeds: Vec<PeerAddress> = all.iter().map(seed).collect();
-    let secrets = Secrets::new(vec![b"a secret of this test".to_vec()]).expect("it is long enough");
-    let mut members: BTreeMap<SocketAddr, Members> = BTreeMap::new();
-    for (random_seed, own) in (1..).zip(&all) {
-        let config = MembersConfig {
-            local: own.clone(),
-            seeds: seeds.clone(),
-            expected_members: 3,
-            probe_interval: 10_000,
-            secrets: secrets.clone(),
-            random_seed,
-        };
-        members.insert(own.gossip, Members::new(config, 0));
-    }
-    let mut sent = Vec::new();
+    let mut gossip = Gossip::new(&all);
     for now in (0..120_000).step_by(100) {
         if now == 30_000 {
-            members.remove(&all[2].gossip);
-        }
-        let mut actions = VecDeque::new();
-        for one in members.values_mut() {
-            let mut to = Vec::new();
-            one.wake(now, &mut to);
-            actions.extend(to);
-        }
-        while let Some(action) = actions.pop_front() {
-            let MembersAction::Send { to: address, bytes } = action else {
-                continue;
-            };
-            if let Some(one) = members.get_mut(&address) {
-                let mut to = Vec::new();
-                let received = one.on_datagram(now, &bytes, &mut to);
-                received.expect("a datagram of ours");
-                actions.extend(to);
-            }
-            sent.push((address.to_string(), bytes));
+            gossip.members.remove(&all[2].gossip);
         }
+        gossip.step(now);
     }
-    sent
+    gossip.sent
 }
 
 #[test]
@@ -448,7 +378,7 @@
 fn a_founded_fleet_writes_the_bytes_of_version_464716d() {
     let golden = golden(include_str!("golden/founded.hex"));
     let cluster = founded();
-    assert!(cluster.files() == golden, "the bytes differ");
+    assert!(files(&cluster) == golden, "the bytes differ");
     assert_eq!(
         cluster.voters["catania"].table().value("table"),
         Some(&NumberedValue {
@@ -462,7 +392,7 @@
 fn a_fleet_that_replaced_a_voter_and_compacted_writes_the_bytes_of_version_464716d() {
     let golden = golden(include_str!("golden/grown.hex"));
     let cluster = grown();
-    assert!(cluster.files() == golden, "the bytes differ");
+    assert!(files(&cluster) == golden, "the bytes differ");
     assert_ne!(
         cluster.voters["catania"].incarnation(),
         Some(VoterIncarnation::FOUNDER)
@@ -496,7 +426,7 @@
     let golden = golden(include_str!("golden/gossip.hex"));
     let sent = gossip();
     assert_eq!(sent.len(), golden.len());
-    for (number, (one, other)) in sent.into_iter().zip(golden).enumerate() {
-        assert_eq!(one, other, "datagram {number}");
+    for (number, (datagram, expected)) in sent.into_iter().zip(golden).enumerate() {
+        assert_eq!(datagram, expected, "datagram {number}");
     }
 }
--- a/crates/linenthread-fleet/tests/membership.rs
+++ b/crates/linenthread-fleet/tests/membership.rs
@@ -1,14 +1,17 @@
 //! Membership by gossip: members find each other, and notice who is down, who has left and who is back.
 
 use std::collections::VecDeque;
+use std::net::SocketAddr;
 
 use linenthread_fleet::{
     Members, MembersAction, MembersConfig, NodeIdentity, PeerAddress, ProcessIncarnation,
 };
 use linenthread_frames::Secrets;
 
+const FIRST_PORT: u16 = 4_000;
+
 fn config(n: u16, incarnation: u64) -> MembersConfig {
-    let at = |n: u16| ([127, 0, 0, 1], 4_000 + n).into();
+    let at = |n: u16| ([127, 0, 0, 1], FIRST_PORT + n).into();
     MembersConfig {
         local: NodeIdentity {
             incarnation: ProcessIncarnation(incarnation),
@@ -26,72 +29,90 @@
     }
 }
 
-fn member(n: u16, now: i64) -> Members {
-    Members::new(config(n, 1), now)
+/// Members on one clock whose datagrams arrive at once; `None` stands for one that is not there.
+struct Fleet {
+    now: i64,
+    members: Vec<Option<Members>>,
+}
+
+impl Fleet {
+    fn new(count: u16) -> Fleet {
+        let member = |n| Some(Members::new(config(n, 1), 0));
+        Fleet {
+            now: 0,
+            members: (0..count).map(member).collect(),
+        }
+    }
+
+    /// Whether each member knows so many others within so many seconds.
+    fn all_know(&mut self, others: usize, seconds: i64) -> bool {
+        let end = self.now + seconds * 10_000;
+        while self.now < end && !self.know(others) {
+            self.step();
+        }
+        self.know(others)
+    }
+
+    fn know(&self, others: usize) -> bool {
+        let mut members = self.members.iter().flatten();
+        members.all(|member| member.alive().count() == others)
+    }
+
+    fn step(&mut self) {
+        self.now += 500;
+        let mut pending = VecDeque::new();
+        for member in self.members.iter_mut().flatten() {
+            let mut actions = Vec::new();
+            member.wake(self.now, &mut actions);
+            pending.extend(actions);
+        }
+        while let Some(action) = pending.pop_front() {
+            if let MembersAction::Send { to, bytes } = action {
+                pending.extend(self.deliver(to, &bytes));
+            }
+        }
+    }
+
+    /// Delivers a datagram, and once more with a change: what a member does for the first alone.
+    fn deliver(&mut self, to: SocketAddr, datagram: &[u8]) -> Vec<MembersAction> {
+        let mut answers = Vec::new();
+        let index = usize::from(to.port() - FIRST_PORT);
+        if let Some(Some(member)) = self.members.get_mut(index) {
+            member
+                .on_datagram(self.now, datagram, &mut answers)
+                .unwrap();
+            // A datagram that was changed on its way proves nothing.
+            let mut changed = datagram.to_vec();
+            changed[9] ^= 1;
+            let refused = member.on_datagram(self.now, &changed, &mut answers);
+            assert!(refused.is_err());
+        }
+        answers
+    }
 }
 
 /// Eight members: all learn of all, one that falls silent is down for all within seconds, one that leaves at once.
 #[test]
 fn members_find_each_other_and_notice_who_is_down() {
-    let mut now = 0;
-    let mut all: Vec<Option<Members>> = (0..8).map(|n| Some(member(n, now))).collect();
-    let mut datagrams = VecDeque::new();
-    let mut run = |all: &mut Vec<Option<Members>>,
-                   seconds: i64,
-                   until: &dyn Fn(&[Option<Members>]) -> bool| {
-        let end = now + seconds * 10_000;
-        while now < end && !until(all) {
-            now += 500;
-            for one in all.iter_mut().flatten() {
-                let mut to = Vec::new();
-                one.wake(now, &mut to);
-                datagrams.extend(to);
-            }
-            while let Some(one) = datagrams.pop_front() {
-                let MembersAction::Send { to, bytes } = one else {
-                    continue;
-                };
-                if let Some(Some(member)) = all.get_mut(usize::from(to.port()) - 4_000) {
-                    let mut answers = Vec::new();
-                    member.on_datagram(now, &bytes, &mut answers).unwrap();
-                    // A datagram that was changed on its way proves nothing.
-                    let mut spoilt = bytes.clone();
-                    spoilt[9] ^= 1;
-                    assert!(member.on_datagram(now, &spoilt, &mut answers).is_err());
-                    datagrams.extend(answers);
-                }
-            }
-        }
-        until(all)
-    };
-    let known = |n: usize| {
-        move |all: &[Option<Members>]| all.iter().flatten().all(|m| m.alive().count() == n)
-    };
-    assert!(run(&mut all, 20, &known(7)), "all know all");
-    all[3] = None;
+    let mut fleet = Fleet::new(8);
+    assert!(fleet.all_know(7, 20), "all know all");
+    fleet.members[3] = None;
     assert!(
-        run(&mut all, 20, &known(6)),
+        fleet.all_know(6, 20),
         "one that fell silent is down for all"
     );
-    let mut to = Vec::new();
-    all[5].as_mut().unwrap().leave(1_000_000, &mut to);
-    assert!(
-        to.iter()
-            .any(|one| matches!(one, MembersAction::Send { .. }))
-    );
-    all[5] = None;
-    assert!(
-        run(&mut all, 20, &known(5)),
-        "one that left is down for all"
-    );
+    let mut actions = Vec::new();
+    let leaving = fleet.members[5].as_mut().unwrap();
+    leaving.leave(1_000_000, &mut actions);
+    let is_sent = |action: &MembersAction| matches!(action, MembersAction::Send { .. });
+    assert!(actions.iter().any(is_sent));
+    fleet.members[5] = None;
+    assert!(fleet.all_know(5, 20), "one that left is down for all");
     // Back under its name, in a later incarnation.
     let later_start = MembersConfig {
         random_seed: 99,
         ..config(3, 2)
     };
-    all[3] = Some(Members::new(later_start, 0));
-    assert!(
-        run(&mut all, 30, &known(6)),
-        "one that is back is known to all"
-    );
+    fleet.members[3] = Some(Members::new(later_start, 0));
+    assert!(fleet.all_know(6, 30), "one that is back is known to all");
 }
