--- a/crates/linenthread-simulation/src/zones_simulation/checks.rs
+++ b/crates/linenthread-simulation/src/zones_simulation/checks.rs
@@ -1,6 +1,6 @@
 //! What a table must hold when it is made, and what must hold at a schedule's end.
 
-use linenthread_zones::{ALL_KEYS, Reason, RoutingTable, loads};
+use linenthread_zones::{ALL_KEYS, Loads, Reason, RoutingTable, loads};
 
 use super::fault::Fault;
 use super::world::World;
@@ -15,13 +15,9 @@
 /// Openings that a new leader may add.
 const OPENINGS_PER_LEADER: f64 = 5.0;
 
-fn sum_to(loads: &[Vec<f64>], to: usize) -> f64 {
-    loads.iter().map(|from| from[to]).sum()
-}
-
 impl World {
     /// The load while all routes are open.
-    pub(super) fn usual_loads(&self) -> Vec<Vec<f64>> {
+    pub(super) fn usual_loads(&self) -> Loads {
         let names = vec![String::new(); self.topology.zones.len()];
         loads(
             &self.topology,
@@ -58,7 +54,7 @@
             } else {
                 self.capacity[to]
             };
-            let (load, usual) = (sum_to(&load, to), sum_to(&usual, to));
+            let (load, usual) = (load.on_replicas(to), usual.on_replicas(to));
             let is_configured = self.topology.zones[to].replica_capacity.is_some();
             if is_configured
                 && self.fault != Fault::HostileReports
@@ -95,8 +91,9 @@
         let usual = self.usual_loads();
         let coordinators = (self.coordinators.len() / self.topology.zones.len()) as f64;
         let is_used = |to: usize, except: usize| {
-            (0..usual.len()).any(|from| {
-                from != to && from != except && usual[from][to] / coordinators >= MIN_NOTICED
+            (0..self.topology.zones.len()).any(|from| {
+                let load = usual.between(from, to);
+                from != to && from != except && load / coordinators >= MIN_NOTICED
             })
         };
         match self.fault {
--- a/crates/linenthread-simulation/src/zones_simulation/traffic.rs
+++ b/crates/linenthread-simulation/src/zones_simulation/traffic.rs
@@ -56,7 +56,8 @@
             let zone = coordinator.zone;
             let mut demand = vec![0.0; zones];
             demand[zone] = self.demand[zone] / coordinators_per_zone * burst;
-            let flow = loads(&self.topology, &demand, &coordinator.table.rows)[zone].clone();
+            let flow = loads(&self.topology, &demand, &coordinator.table.rows);
+            let flow = flow.from_clients(zone).to_vec();
             for (load, flow) in load.iter_mut().zip(&flow) {
                 *load += flow;
             }
