--- a/crates/linenthread-fleet/src/fleet/mod.rs
+++ b/crates/linenthread-fleet/src/fleet/mod.rs
@@ -1,7 +1,7 @@
 //! One process's part in the fleet: membership, replicated state and connections put together.
 //!
 //! `connections` has what the caller tells of connections, `handshake` what happens before a peer has proven itself,
-//! and `replication` all that follows: it is where a value that was proposed here or committed elsewhere passes through.
+//! and `replication` all that follows: a value that is proposed here or was committed elsewhere passes through it.
 
 mod action;
 mod connection;
--- a/crates/linenthread-fleet/src/storage/mod.rs
+++ b/crates/linenthread-fleet/src/storage/mod.rs
@@ -183,7 +183,8 @@
         count >= COMPACT_AFTER_ENTRIES || count > 0 && self.log.bytes() > COMPACT_ABOVE_BYTES
     }
 
-    /// Replaces the entries up to `applied`, the last one that was applied, by a snapshot of the state that they lead to.
+    /// Replaces the entries up to `applied`, the last one that was applied, by a snapshot of the state that they lead
+    /// to.
     pub(crate) fn compact(
         &mut self,
         applied: u64,
--- a/crates/linenthread-fleet/src/voter/founding.rs
+++ b/crates/linenthread-fleet/src/voter/founding.rs
@@ -158,8 +158,8 @@
         storage.activate()
     }
 
-    /// Becomes a founder. It takes part in Raft only once all others are founders too: so an empty disk beside an active
-    /// voter is always one that was lost, never one that is still to be founded.
+    /// Becomes a founder. It takes part in Raft only once all others are founders too: so an empty disk beside an
+    /// active voter is always one that was lost, never one that is still to be founded.
     fn found(&mut self, actions: &mut Vec<VoterAction>) -> Result<(), StorageError> {
         let Some(mut storage) = self.state.take_waiting_storage() else {
             return Ok(());
--- a/crates/linenthread-fleet/src/voter/mod.rs
+++ b/crates/linenthread-fleet/src/voter/mod.rs
@@ -11,9 +11,9 @@
 //! for a founder's: it gets an identity that has never voted. The leader replaces the former identity by the new one,
 //! one change of voters at a time.
 //!
-//! Where to read what: `founding` goes through the stages, `startup` hands the disk to Raft, `clock` and `ready` drive it,
-//! `message_check` stands before it, `lease` proves who leads, `reconfiguration` replaces identities, and `inputs` is what
-//! the caller calls.
+//! Where to read what: `founding` goes through the stages, `startup` hands the disk to Raft, `clock` and `ready` drive
+//! it, `message_check` stands before it, `lease` proves who leads, `reconfiguration` replaces identities, and `inputs`
+//! is what the caller calls.
 
 mod action;
 mod clock;
