--- a/crates/linenthread-fakes/src/client.rs
+++ b/crates/linenthread-fakes/src/client.rs
@@ -8,7 +8,8 @@
 use crate::PATIENCE;
 use crate::http::read_message;
 
-/// A connection over which queries are made. Its methods panic if the connection fails, but for `try_*`.
+/// A connection over which queries are made. Its methods panic if the connection fails, but for `try_*` and
+/// [`Client::response`].
 pub struct Client(BufReader<TcpStream>);
 
 /// The text of a query's HTTP request.
@@ -46,23 +47,45 @@
     }
 
     /// Connects to an address.
+    ///
+    /// # Panics
+    ///
+    /// If nothing accepts the connection.
     pub fn connect(address: SocketAddr) -> Client {
-        let connection = TcpStream::connect(address).unwrap();
-        connection.set_read_timeout(Some(PATIENCE)).unwrap();
+        let connection = TcpStream::connect(address)
+            .unwrap_or_else(|error| panic!("{address} accepts connections: {error}"));
+        connection
+            .set_read_timeout(Some(PATIENCE))
+            .expect("the time-out is not zero");
         Client(BufReader::new(connection))
     }
 
     /// Sends a request, as [`request`] makes it.
+    ///
+    /// # Panics
+    ///
+    /// If the connection does not take it.
     pub fn send(&mut self, text: &str) {
-        self.0.get_mut().write_all(text.as_bytes()).unwrap();
+        self.0
+            .get_mut()
+            .write_all(text.as_bytes())
+            .expect("the connection takes the request");
     }
 
     /// Sends a query.
+    ///
+    /// # Panics
+    ///
+    /// If the connection does not take it.
     pub fn query(&mut self, index: &str, id: &str, shards: &[usize]) {
         self.send(&request(index, id, shards));
     }
 
     /// Queries a merged index; the status and the body of the response.
+    ///
+    /// # Panics
+    ///
+    /// If the connection does not take the query, or ends without a response.
     pub fn query_merged(
         &mut self,
         index: &str,
@@ -72,7 +95,7 @@
         page: &Value,
     ) -> (u16, Value) {
         self.send(&request_with(index, id, shards, text, page));
-        let (status, _, body) = self.response().expect("an answer");
+        let (status, _, body) = self.response().expect("a response arrives");
         (
             status,
             serde_json::from_str(&body).unwrap_or(Value::String(body)),
@@ -87,7 +110,11 @@
     }
 
     /// The status of the next response.
+    ///
+    /// # Panics
+    ///
+    /// If the connection ends without one.
     pub fn status(&mut self) -> u16 {
-        self.response().expect("an answer").0
+        self.response().expect("a response arrives").0
     }
 }
--- a/crates/linenthread-fakes/src/http.rs
+++ b/crates/linenthread-fakes/src/http.rs
@@ -11,10 +11,13 @@
     pub(crate) body: String,
 }
 
+/// Writes a response with status 200.
 pub(crate) fn write_response(mut connection: &TcpStream, body: &str) {
     let length = body.len();
     let response = format!("HTTP/1.1 200 OK\r\nContent-Length: {length}\r\n\r\n{body}");
-    connection.write_all(response.as_bytes()).unwrap();
+    connection
+        .write_all(response.as_bytes())
+        .expect("the connection takes the response");
 }
 
 /// Reads one HTTP message; `None` if the connection ends without one or it is malformed.
--- a/crates/linenthread-fakes/src/lib.rs
+++ b/crates/linenthread-fakes/src/lib.rs
@@ -11,6 +11,7 @@
 
 pub mod checker;
 mod client;
+mod files;
 mod http;
 mod loopback;
 pub mod network;
--- a/crates/linenthread-fakes/src/network.rs
+++ b/crates/linenthread-fakes/src/network.rs
@@ -10,6 +10,8 @@
 
 use oorandom::Rand64;
 
+use crate::sync::lock;
+
 /// Bytes that a connection's proxy reads at once.
 const CONNECTION_BUFFER: usize = 16 * 1024;
 /// Bytes of the longest datagram.
@@ -68,7 +70,7 @@
 
 impl Network {
     fn state(&self) -> MutexGuard<'_, State> {
-        self.0.lock().unwrap()
+        lock(&self.0)
     }
 
     /// Drops all from any of these nodes to any of those.
@@ -116,6 +118,10 @@
     }
 
     /// Forwards connections from one node to another.
+    ///
+    /// # Panics
+    ///
+    /// If the address on which to listen is in use.
     pub fn proxy_connections(
         &self,
         from: usize,
@@ -123,8 +129,8 @@
         to: usize,
         upstream: SocketAddr,
     ) {
-        let listener =
-            TcpListener::bind(listen).unwrap_or_else(|e| panic!("a proxy on {listen}: {e}"));
+        let listener = TcpListener::bind(listen)
+            .unwrap_or_else(|error| panic!("a proxy on {listen}: {error}"));
         let network = self.clone();
         spawn(move || {
             for client in listener.incoming().map_while(Result::ok) {
@@ -230,6 +236,10 @@
     }
 
     /// Forwards datagrams to a node; the sender is known by its address.
+    ///
+    /// # Panics
+    ///
+    /// If the address on which to listen is in use.
     pub fn proxy_datagrams(
         &self,
         listen: SocketAddr,
@@ -238,7 +248,8 @@
         senders: BTreeMap<SocketAddr, usize>,
         seed: u64,
     ) {
-        let socket = UdpSocket::bind(listen).unwrap_or_else(|e| panic!("a proxy on {listen}: {e}"));
+        let socket =
+            UdpSocket::bind(listen).unwrap_or_else(|error| panic!("a proxy on {listen}: {error}"));
         let network = self.clone();
         let mut rng = Rand64::new(u128::from(seed));
         spawn(move || {
--- a/crates/linenthread-fakes/src/program.rs
+++ b/crates/linenthread-fakes/src/program.rs
@@ -12,6 +12,7 @@
 use tempfile::TempDir;
 
 use crate::client::Client;
+use crate::files::{temporary_folder, write_file};
 use crate::wait;
 
 /// An index in the settings.
@@ -78,11 +79,19 @@
 }
 
 /// The contents of `config.json` with two replica groups, each with all four shards.
+///
+/// # Panics
+///
+/// If `known` is no membership.
 pub fn config(discovery: SocketAddr, known: &str) -> Value {
     config_of(discovery, known, &CLASSES, 2, 4)
 }
 
 /// The contents of `config.json` with these indexes.
+///
+/// # Panics
+///
+/// If `known` is no membership.
 pub fn config_of(
     discovery: SocketAddr,
     known: &str,
@@ -92,22 +101,28 @@
 ) -> Value {
     json!({"name": "n0", "listen": "127.0.0.1:0", "discovery": discovery.to_string(), "seed": "8c1f30d27a5be964",
            "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
-           "known": serde_json::from_str::<Value>(known).unwrap(),
+           "known": serde_json::from_str::<Value>(known).expect("a membership is JSON"),
            "settings": settings(classes, groups, shards)})
 }
 
 /// Runs the program to its end with a command and a configuration file.
+///
+/// # Panics
+///
+/// If it cannot be run.
 pub fn program(exe: &str, command: &[&str], config: &str) -> std::process::Output {
-    let folder = tempfile::tempdir().unwrap();
+    let folder = temporary_folder();
     let file = folder.path().join("config.json");
-    std::fs::write(&file, config).unwrap();
+    write_file(&file, config);
     let mut program = Command::new(exe);
     program.args(command);
     match command {
         ["serve", ..] => program.env("EDGE_CONFIG", &file),
         _ => program.arg(&file),
     };
-    program.output().unwrap()
+    program
+        .output()
+        .unwrap_or_else(|error| panic!("{exe} can be run: {error}"))
 }
 
 /// The program under test, killed at the end of the test.
@@ -125,8 +140,11 @@
     let status = Command::new("kill")
         .args([name, &process.to_string()])
         .status()
-        .unwrap();
-    assert!(status.success());
+        .expect("kill can be run");
+    assert!(
+        status.success(),
+        "process {process} takes the signal {name}"
+    );
 }
 
 /// The value of a field in a log line.
@@ -137,14 +155,22 @@
 
 impl Service {
     /// Starts the program with a configuration and waits until it serves.
+    ///
+    /// # Panics
+    ///
+    /// If it cannot be started, or does not serve in time.
     pub fn start(exe: &str, config: &Value) -> Service {
-        Service::start_in(tempfile::tempdir().unwrap(), exe, config, &[])
+        Service::start_in(temporary_folder(), exe, config, &[])
     }
 
     /// Starts the program in a folder with further files, with further arguments, and waits until it serves.
+    ///
+    /// # Panics
+    ///
+    /// If it cannot be started, or does not serve in time.
     pub fn start_in(folder: TempDir, exe: &str, config: &Value, arguments: &[&str]) -> Service {
         let file = folder.path().join("config.json");
-        std::fs::write(&file, config.to_string()).unwrap();
+        write_file(&file, &config.to_string());
         let mut program = Command::new(exe);
         program
             .arg("serve")
@@ -155,9 +181,10 @@
             .stdout(Stdio::piped())
             .stderr(Stdio::piped())
             .spawn()
-            .unwrap();
+            .unwrap_or_else(|error| panic!("{exe} can be started: {error}"));
         let (line_sender, lines) = channel();
-        let log = BufReader::new(child.stderr.take().unwrap());
+        let stderr = child.stderr.take().expect("the log is piped");
+        let log = BufReader::new(stderr);
         spawn(move || {
             log.lines()
                 .map_while(Result::ok)
@@ -170,7 +197,9 @@
             lines,
         };
         let line = service.wait_for_log("serving");
-        service.address = field(&line, "listen").unwrap().parse().unwrap();
+        service.address = field(&line, "listen")
+            .and_then(|address| address.parse().ok())
+            .expect("the log has the address that was bound");
         service
     }
 
@@ -185,6 +214,10 @@
     }
 
     /// Waits for the next log line with this text.
+    ///
+    /// # Panics
+    ///
+    /// If none arrives in time.
     pub fn wait_for_log(&self, text: &str) -> String {
         loop {
             let line = wait(&self.lines, text);
@@ -195,22 +228,38 @@
     }
 
     /// Sends a signal, as `kill` names it.
+    ///
+    /// # Panics
+    ///
+    /// If the process has ended.
     pub fn signal(&self, name: &str) {
         send_signal(self.child.id(), name);
     }
 
     /// Has the program reload its configuration from a new text.
+    ///
+    /// # Panics
+    ///
+    /// If the file cannot be written, or the process has ended.
     pub fn reload(&self, config: &str) {
-        std::fs::write(self.file("config.json"), config).unwrap();
+        write_file(&self.file("config.json"), config);
         self.signal("-HUP");
     }
 
     /// Connects a client.
+    ///
+    /// # Panics
+    ///
+    /// If the program does not accept the connection.
     pub fn connect(&self) -> Client {
         Client::connect(self.address)
     }
 
     /// Sends a query on a connection of its own.
+    ///
+    /// # Panics
+    ///
+    /// If the program does not accept the connection.
     pub fn query(&self, index: &str, id: &str, shards: &[usize]) -> Client {
         let mut client = self.connect();
         client.query(index, id, shards);
--- a/crates/linenthread-fakes/src/proxy.rs
+++ b/crates/linenthread-fakes/src/proxy.rs
@@ -2,11 +2,14 @@
 //! another server.
 
 use std::io::{Read, Write};
-use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
+use std::net::{Shutdown, SocketAddr, TcpStream};
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::thread::{sleep, spawn};
 use std::time::Duration;
 
+use crate::loopback;
+use crate::sync::lock;
+
 /// Bytes that are read at once.
 const BUFFER: usize = 4_096;
 
@@ -53,9 +56,13 @@
 
 impl Proxy {
     /// Starts a proxy that forwards to a server.
+    ///
+    /// # Panics
+    ///
+    /// If loopback has no free port.
     pub fn start(upstream: SocketAddr) -> Proxy {
-        let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-        let address = listener.local_addr().unwrap();
+        let listener = loopback::listen();
+        let address = loopback::address_of(&listener);
         let state = Arc::new(Mutex::new(State {
             upstream: Some(upstream),
             ..State::default()
@@ -71,7 +78,7 @@
     }
 
     fn state(&self) -> MutexGuard<'_, State> {
-        self.state.lock().unwrap()
+        lock(&self.state)
     }
 
     fn accept(&self, client: TcpStream) {
--- a/crates/linenthread-fakes/src/replicas.rs
+++ b/crates/linenthread-fakes/src/replicas.rs
@@ -1,12 +1,13 @@
 //! Fake replicas that leave each response to a test, or to whoever takes their sub-requests.
 
 use std::io::{Read, Write};
-use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
+use std::net::{Shutdown, SocketAddr, TcpStream};
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::mpsc::{Receiver, Sender, channel};
 use std::thread::spawn;
 
+use crate::loopback::{self, duplicate};
 use crate::{PATIENCE, wait};
 
 /// The type of a frame with sub-requests.
@@ -46,9 +47,14 @@
 }
 
 impl SubRequest {
-    /// Sends a frame; panics if the connection does not take it.
+    /// Sends a frame.
+    ///
+    /// # Panics
+    ///
+    /// If the connection does not take it.
     pub fn send_frame(&self, frame_type: u8, rest: &str) {
-        assert!(self.send_bytes(&encode_frame(frame_type, rest)));
+        let is_taken = self.send_bytes(&encode_frame(frame_type, rest));
+        assert!(is_taken, "the connection takes the frame {rest}");
     }
 
     /// Sends any bytes; whether the connection took them.
@@ -62,25 +68,46 @@
         self.send_bytes(&encode_frame(RESPONSE, &response))
     }
 
-    /// Sends a response with a value; panics if the connection does not take it.
+    /// Sends a response with a value.
+    ///
+    /// # Panics
+    ///
+    /// If the connection does not take it.
     pub fn respond(&self, value: &str) {
-        assert!(self.try_respond("hit", value));
+        let is_taken = self.try_respond("hit", value);
+        assert!(is_taken, "the connection takes the response {value}");
     }
 
     /// The other end of the connection.
+    ///
+    /// # Panics
+    ///
+    /// If the connection has ended.
     pub fn peer_address(&self) -> SocketAddr {
-        self.connection.peer_addr().unwrap()
+        self.connection.peer_addr().expect("the connection is open")
     }
 
-    /// Waits for the other side to close the connection; whether it did so without more bytes.
+    /// Waits for the other side to close the connection; whether it did so in time and without more bytes.
+    ///
+    /// # Panics
+    ///
+    /// If the operating system rejects the time-out of the read.
     pub fn is_closed(&self) -> bool {
-        self.connection.set_read_timeout(Some(PATIENCE)).unwrap();
+        self.connection
+            .set_read_timeout(Some(PATIENCE))
+            .expect("the time-out is not zero");
         self.connection.peek(&mut [0]).is_ok_and(|bytes| bytes == 0)
     }
 
     /// Closes the connection.
+    ///
+    /// # Panics
+    ///
+    /// If it has ended.
     pub fn disconnect(&self) {
-        self.connection.shutdown(Shutdown::Both).unwrap();
+        self.connection
+            .shutdown(Shutdown::Both)
+            .expect("the connection is open");
     }
 }
 
@@ -100,6 +127,10 @@
 
 impl FakeReplicas {
     /// Starts so many replicas.
+    ///
+    /// # Panics
+    ///
+    /// If loopback has no free port.
     pub fn start(count: usize) -> FakeReplicas {
         let (event_sender, events) = channel();
         let closing_on_reuse = Arc::new(AtomicUsize::new(0));
@@ -113,7 +144,11 @@
         }
     }
 
-    /// The next sub-request; panics if none arrives in time, or a cancellation does.
+    /// The next sub-request.
+    ///
+    /// # Panics
+    ///
+    /// If none arrives in time, or a cancellation does.
     pub fn sub_request(&self) -> SubRequest {
         match wait(&self.events, "a part") {
             Event::Received(sub_request) => sub_request,
@@ -121,7 +156,11 @@
         }
     }
 
-    /// The id of the next cancelled sub-request; panics if none arrives in time, or a new sub-request does.
+    /// The id of the next cancelled sub-request.
+    ///
+    /// # Panics
+    ///
+    /// If none arrives in time, or a new sub-request does.
     pub fn cancelled(&self) -> String {
         match wait(&self.events, "a part given up") {
             Event::Cancelled(id) => id,
@@ -147,19 +186,20 @@
     }
 }
 
+/// Starts a replica; where it listens.
 fn listen(
     replica: usize,
     event_sender: &Sender<Event>,
     closing_on_reuse: &Arc<AtomicUsize>,
 ) -> SocketAddr {
-    let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    let address = listener.local_addr().unwrap();
+    let listener = loopback::listen();
+    let address = loopback::address_of(&listener);
     let (event_sender, closing_on_reuse) = (event_sender.clone(), closing_on_reuse.clone());
     spawn(move || {
         for connection in listener.incoming() {
             let mut connection = Connection {
                 replica,
-                stream: connection.unwrap(),
+                stream: connection.expect("a connection can be accepted"),
                 event_sender: event_sender.clone(),
                 frames: 0,
             };
@@ -175,9 +215,9 @@
     let mut sub_requests = Vec::new();
     while let Some((head, tail)) = rest.split_once('\n') {
         let [id, shard, list, length] = head.split(' ').collect::<Vec<_>>()[..] else {
-            panic!("{head}")
+            panic!("not the head of a sub-request: {head}")
         };
-        let (text, next) = tail.split_at(length.parse().unwrap());
+        let (text, next) = tail.split_at(length.parse().expect("a length is a number"));
         sub_requests.push([id, shard, list, text]);
         rest = next;
     }
@@ -209,7 +249,9 @@
                 CANCEL => self.event_sender.send(Event::Cancelled(rest)).is_ok(),
                 HEALTH_CHECK => {
                     let response = encode_frame(HEALTH_CHECK, HEALTHY);
-                    self.stream.write_all(&response).unwrap();
+                    self.stream
+                        .write_all(&response)
+                        .expect("the connection takes the answer to a health check");
                     true
                 }
                 other => panic!("a frame with the letter {other}"),
@@ -238,7 +280,10 @@
         let length = usize::try_from(u32::from_be_bytes(length)).ok()?;
         let mut rest = vec![0; length - 1];
         self.stream.read_exact(&mut rest).ok()?;
-        Some((frame_type, String::from_utf8(rest).unwrap()))
+        Some((
+            frame_type,
+            String::from_utf8(rest).expect("a frame is a text"),
+        ))
     }
 
     /// Passes the sub-requests of a frame on; whether somebody takes them.
@@ -250,10 +295,10 @@
                 replica: self.replica,
                 frame: self.frames,
                 id,
-                shard: shard.parse().unwrap(),
+                shard: shard.parse().expect("a shard is a number"),
                 list,
                 text,
-                connection: self.stream.try_clone().unwrap(),
+                connection: duplicate(&self.stream),
             };
             self.event_sender.send(Event::Received(sub_request)).is_ok()
         })
--- a/crates/linenthread-fakes/src/rig/process.rs
+++ b/crates/linenthread-fakes/src/rig/process.rs
@@ -9,6 +9,7 @@
 
 use super::layout::{FLEET_KEY, Layout};
 use super::log::ProcessLog;
+use crate::files::{temporary_folder, write_file};
 use crate::program::send_signal;
 use crate::service_discovery::ServiceDiscovery;
 
@@ -31,13 +32,13 @@
         let known = layout.known_replicas(number);
         let discovery = ServiceDiscovery::start(known.clone());
         let settings = layout.settings(number, discovery.address, &known);
-        let folder = tempfile::tempdir().unwrap();
+        let folder = temporary_folder();
         for (file, contents) in [
             ("fleet.key", FLEET_KEY.to_owned()),
             ("config.json", settings.to_string()),
             ("installation.xml", layout.installation(number)),
         ] {
-            std::fs::write(folder.path().join(file), contents).unwrap();
+            write_file(&folder.path().join(file), &contents);
         }
         Process {
             name: layout.name(number),
@@ -66,8 +67,9 @@
             .stdout(Stdio::null())
             .stderr(Stdio::piped())
             .spawn()
-            .unwrap();
-        self.log.collect(child.stderr.take().unwrap());
+            .unwrap_or_else(|error| panic!("{exe} can be started: {error}"));
+        self.log
+            .collect(child.stderr.take().expect("the log is piped"));
         self.child = Some(child);
     }
 
@@ -78,7 +80,7 @@
             .args(arguments)
             .current_dir(self.folder.path())
             .output()
-            .unwrap()
+            .unwrap_or_else(|error| panic!("{exe} can be run: {error}"))
     }
 
     /// A file in the process's folder.
--- a/crates/linenthread-fakes/src/row_replicas.rs
+++ b/crates/linenthread-fakes/src/row_replicas.rs
@@ -7,6 +7,7 @@
 
 use crate::replicas::{FakeReplicas, SubRequest};
 use crate::row_store::RowStore;
+use crate::sync::lock;
 
 /// A frame of an unknown type.
 const MALFORMED_FRAME: &[u8] = b"\0\0\0\x02Zz";
@@ -44,6 +45,10 @@
 
 impl RowReplicas {
     /// Starts so many replicas; `cue` decides after how long each sub-request is treated, and how.
+    ///
+    /// # Panics
+    ///
+    /// If loopback has no free port.
     pub fn start(
         count: usize,
         store: RowStore,
@@ -61,7 +66,7 @@
                 spawn(move || {
                     sleep(delay);
                     let SubRequest { shard, text, .. } = &sub_request;
-                    let value = store.lock().unwrap().respond(*shard, text, max_rows);
+                    let value = lock(&store).respond(*shard, text, max_rows);
                     behave(&sub_request, &behavior, &value);
                 });
             }
--- a/crates/linenthread-fakes/src/row_store.rs
+++ b/crates/linenthread-fakes/src/row_store.rs
@@ -147,6 +147,10 @@
     }
 
     /// Adds a random row to a shard.
+    ///
+    /// # Panics
+    ///
+    /// If there is no such shard.
     pub fn add(&mut self, rng: &mut Rand64, shard: usize) -> Donation {
         self.last_id += 1;
         let charities = ["mensa", "ulivi", "etna", "faro", "ponte", "sale"];
--- a/crates/linenthread-fakes/src/sites.rs
+++ b/crates/linenthread-fakes/src/sites.rs
@@ -14,9 +14,11 @@
 
 pub use load::{QueryResult, disconnect_everywhere, query_during_fault};
 
-use crate::loopback::unused_loopback;
+use crate::files::{temporary_folder, write_file};
+use crate::loopback::{self, unused_loopback};
 use crate::program::millis;
 use crate::proxy::{Direction, Proxy};
+use crate::sync::lock;
 use crate::{Class, FakeReplicas, Service, ServiceDiscovery, config_of, member, membership};
 
 const SECRET: &str = "a secret between two sites\n";
@@ -134,7 +136,7 @@
     let received = received.clone();
     spawn(move || {
         while let Some(sub_request) = replicas.wait_for_sub_request() {
-            received.lock().unwrap().push(Received {
+            lock(&received).push(Received {
                 id: sub_request.id.clone(),
                 replica: sub_request.replica,
             });
@@ -163,10 +165,10 @@
 
 /// A folder with a deploy file that has these elements.
 fn folder_with(elements: &str) -> TempDir {
-    let folder = tempfile::tempdir().unwrap();
-    std::fs::write(folder.path().join("link.key"), SECRET).unwrap();
+    let folder = temporary_folder();
+    write_file(&folder.path().join("link.key"), SECRET);
     let text = format!("<installation version=\"1\">{elements}</installation>");
-    std::fs::write(folder.path().join("installation.xml"), text).unwrap();
+    write_file(&folder.path().join("installation.xml"), &text);
     folder
 }
 
@@ -178,10 +180,9 @@
 ) -> (Service, Proxy, SocketAddr) {
     // A port that was free a moment ago, on an address that nothing else here binds: on 127.0.0.1 any connection of
     // another test may have taken it meanwhile, and the gateway fails to start.
-    let link_address = TcpListener::bind((unused_loopback(), 0))
-        .unwrap()
-        .local_addr()
-        .unwrap();
+    let link_address = loopback::address_of(
+        &TcpListener::bind((unused_loopback(), 0)).expect("an unused address has a free port"),
+    );
     let element = format!("<gateway listen=\"{link_address}\" secret=\"link.key\"/>");
     let config = settings(discovery, known);
     let gateway = Service::start_in(folder_with(&element), exe, &config, &ARGUMENTS);
@@ -207,6 +208,10 @@
 
 impl Sites {
     /// Starts two sites, and waits until the coordinator knows all replicas behind the link.
+    ///
+    /// # Panics
+    ///
+    /// If one cannot be started, or the replicas are not known in time.
     pub fn start(exe: &str, config: SitesConfig) -> Sites {
         let received = Arc::default();
         let replicas = start_replicas(config.service_time, &received);
@@ -250,16 +255,27 @@
     }
 
     /// Waits until the coordinator knows so many replicas behind the link.
+    ///
+    /// # Panics
+    ///
+    /// If it does not in time.
     pub fn wait_for_remote_replicas(&mut self, count: usize) {
         while self.remote_replicas != count {
             let line = self.local.next_log_line().expect("the link comes up again");
             if let Some((_, known)) = line.split_once("replicas behind links far=") {
-                self.remote_replicas = known.trim().parse().unwrap();
+                self.remote_replicas = known
+                    .trim()
+                    .parse()
+                    .expect("the log has a number of replicas");
             }
         }
     }
 
     /// Closes the link for long enough that it is reported as down, and waits until it is up again.
+    ///
+    /// # Panics
+    ///
+    /// If it is not in time.
     pub fn reconnect(&mut self) {
         self.wait_for_remote_replicas(REPLICAS);
         self.proxy.set_upstream(None);
@@ -272,24 +288,28 @@
     /// How many times each sub-request was received by a replica, by its id.
     pub fn executions(&self) -> BTreeMap<String, usize> {
         let mut executions = BTreeMap::new();
-        for received in self.received.lock().unwrap().iter() {
+        for received in lock(&self.received).iter() {
             *executions.entry(received.id.clone()).or_default() += 1;
         }
         executions
     }
 
     fn executions_of(&self, sub_request: &str) -> usize {
-        let received = self.received.lock().unwrap();
+        let received = lock(&self.received);
         received.iter().filter(|one| one.id == sub_request).count()
     }
 
     /// How many sub-requests a replica has received.
     pub fn received_by(&self, replica: usize) -> usize {
-        let received = self.received.lock().unwrap();
+        let received = lock(&self.received);
         received.iter().filter(|one| one.replica == replica).count()
     }
 
     /// Makes a query of one shard, and checks its response against what was executed.
+    ///
+    /// # Panics
+    ///
+    /// If the coordinator does not accept the connection.
     pub fn query(&mut self, index: &str, verdict: &mut Verdict, what: &str) {
         self.queries += 1;
         let id = format!("{index}{}", self.queries);
@@ -320,6 +340,10 @@
     }
 
     /// How many bytes one complete exchange takes from the connection on, to the gateway and back.
+    ///
+    /// # Panics
+    ///
+    /// If the link does not come up again.
     pub fn measure_exchange(&mut self) -> [usize; 2] {
         self.reconnect();
         self.query("order", &mut Verdict::default(), "whole");
@@ -327,6 +351,10 @@
     }
 
     /// Makes non-idempotent queries with the link closed after each of these bytes in that direction.
+    ///
+    /// # Panics
+    ///
+    /// If the link does not come up again.
     pub fn disconnect_at(
         &mut self,
         direction: Direction,
--- a/crates/linenthread-fakes/src/sites/load.rs
+++ b/crates/linenthread-fakes/src/sites/load.rs
@@ -73,6 +73,10 @@
 
 /// Makes queries steadily while `inject` injects faults into the link, and checks each against what was executed and
 /// its deadline. The indexes take turns.
+///
+/// # Panics
+///
+/// If there are more than 2^32 queries.
 pub fn query_during_fault(
     sites: &mut Sites,
     tag: &str,
@@ -97,7 +101,8 @@
         }
     });
     inject(sites);
-    load.join().expect("queries go on");
+    load.join()
+        .expect("the thread that starts queries does not panic");
     let results: Vec<QueryResult> = result_receiver.iter().collect();
     sleep(IN_TRANSIT);
     let verdict = check(sites, &results);
@@ -129,6 +134,10 @@
 
 /// Closes the link in a non-idempotent exchange after every `step`th byte in both directions, with several pairs of
 /// sites at once.
+///
+/// # Panics
+///
+/// If a pair of sites cannot be started, or its link does not come up again.
 pub fn disconnect_everywhere(
     exe: &str,
     session_timeout: Duration,
@@ -161,7 +170,11 @@
         .collect();
     let mut sum = Verdict::default();
     for thread in threads {
-        sum.add(thread.join().expect("its sites stood"));
+        sum.add(
+            thread
+                .join()
+                .expect("the thread of a pair of sites does not panic"),
+        );
     }
     sum
 }
