--- a/crates/linenthread-core/src/policy/coordinator.rs
+++ b/crates/linenthread-core/src/policy/coordinator.rs
@@ -1,14 +1,18 @@
 //! The state machine: what it consists of, and the order of the decisions within a step.
 
+use crate::conversion::to_tenth_millis;
+use crate::interface::{
+    CoordinatorConfig, DecisionSink, IndexConfig, Inputs, QueryIndex, ReplicaIndex, TenthMillis,
+    ZoneRoute,
+};
 use oorandom::Rand64;
 
 use super::windows::{RECENT, RESET_INTERVAL};
-use crate::interface::{
-    CoordinatorConfig, DecisionSink, IndexConfig, Inputs, TenthMillis, ZoneRoute,
-};
 use crate::state::{DecayingSums, FleetStatistics, Observations, Query, Replica, Timers};
 
-/// A step is requested at least this often, in tenths of a millisecond.
+/// The longest time from one step to the next.
+///
+/// Unit: 0.1 ms (10 ms). Reason: hedging, deadlines and scores are due at moments at which nothing may arrive.
 const MAX_STEP_INTERVAL: TenthMillis = 100;
 
 /// One co-ordinator: a deterministic state machine without I/O or clock.
@@ -32,7 +36,7 @@
     /// By the queries' indices; `None` where an index is not in use.
     pub(super) queries: Vec<Option<Query>>,
     /// The indices of the queries that are not released, oldest first.
-    pub(super) open_queries: Vec<usize>,
+    pub(super) open_queries: Vec<QueryIndex>,
     pub(super) timers: Timers,
 }
 
@@ -86,10 +90,7 @@
     /// Takes all that arrived and writes what is decided on it.
     pub fn step(&mut self, inputs: &Inputs, sink: &mut impl DecisionSink) {
         self.now = inputs.now;
-        if self.timers.next_reset == 0 {
-            self.timers.started_at = self.now;
-            self.timers.next_reset = self.now + RESET_INTERVAL;
-        }
+        self.start_timers();
         self.apply(inputs, sink);
         self.update_scores();
         for query_index in self.open_queries.clone() {
@@ -100,6 +101,15 @@
         self.run_timers(sink);
     }
 
+    /// The clock of a co-ordinator begins with its first step.
+    fn start_timers(&mut self) {
+        let is_first_step = self.timers.next_reset == 0;
+        if is_first_step {
+            self.timers.started_at = self.now;
+            self.timers.next_reset = self.now + RESET_INTERVAL;
+        }
+    }
+
     /// Records the inputs. Those of one kind follow those of another in this order, so that a query's
     /// sub-requests find it recorded and an attempt that ended no longer counts as in flight.
     fn apply(&mut self, inputs: &Inputs, sink: &mut impl DecisionSink) {
@@ -119,8 +129,8 @@
         for result in &inputs.results {
             self.on_attempt_result(result, sink);
         }
-        for &(query_index, sub_request_index) in &inputs.continuations {
-            self.on_continuation(query_index, sub_request_index);
+        for &continuation in &inputs.continuations {
+            self.on_continuation(continuation);
         }
         for result in &inputs.probes {
             self.on_probe_result(result);
@@ -143,18 +153,28 @@
 
     /// A random time below a limit.
     pub(super) fn random_time(&mut self, limit: TenthMillis) -> TenthMillis {
-        (self.rng.rand_float() * limit as f64) as TenthMillis
+        to_tenth_millis(self.rng.rand_float() * limit as f64)
+    }
+
+    /// The indices of all replicas that were ever listed.
+    pub(super) fn replica_indices(&self) -> impl Iterator<Item = ReplicaIndex> + use<> {
+        (0..self.replicas.len()).map(ReplicaIndex)
+    }
+
+    /// The record of a query, unless it is released or unknown.
+    pub(super) fn query_mut(&mut self, query_index: QueryIndex) -> Option<&mut Query> {
+        self.queries.get_mut(query_index.0)?.as_mut()
     }
 
     /// The record of a query that is not released.
-    pub(super) fn open_query(&self, query_index: usize) -> &Query {
+    pub(super) fn open_query(&self, query_index: QueryIndex) -> &Query {
         self.queries[query_index]
             .as_ref()
             .expect("a query has its record until it is released")
     }
 
     /// The record of a query that is not released.
-    pub(super) fn open_query_mut(&mut self, query_index: usize) -> &mut Query {
+    pub(super) fn open_query_mut(&mut self, query_index: QueryIndex) -> &mut Query {
         self.queries[query_index]
             .as_mut()
             .expect("a query has its record until it is released")
