--- a/crates/linenthread-fakes/src/network.rs
+++ b/crates/linenthread-fakes/src/network.rs
@@ -17,10 +17,30 @@
 /// Bytes of the longest datagram.
 const MAX_DATAGRAM: usize = 2_048;
 
+/// Two nodes, in the direction in which one sends to the other.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct NodePair {
+    from: usize,
+    to: usize,
+}
+
+impl NodePair {
+    fn reversed(self) -> NodePair {
+        NodePair {
+            from: self.to,
+            to: self.from,
+        }
+    }
+
+    fn contains(self, node: usize) -> bool {
+        self.from == node || self.to == node
+    }
+}
+
 /// One open connection.
 struct OpenConnection {
-    /// The nodes at its two ends.
-    ends: (usize, usize),
+    /// The node that opened it, and the other.
+    ends: NodePair,
     streams: [TcpStream; 2],
     /// Bytes were lost in a partition: what follows them is of no use.
     corrupted: bool,
@@ -36,8 +56,8 @@
 
 #[derive(Default)]
 struct State {
-    /// From one node to another nothing passes.
-    partitioned: BTreeSet<(usize, usize)>,
+    /// From the one node to the other nothing passes.
+    partitioned: BTreeSet<NodePair>,
     /// Nodes that refuse connections.
     down: BTreeSet<usize>,
     delay: Duration,
@@ -62,12 +82,17 @@
 /// One direction of a connection.
 struct Flow {
     connection: u64,
-    from: usize,
-    to: usize,
+    nodes: NodePair,
     reader: TcpStream,
     writer: TcpStream,
 }
 
+/// What becomes of bytes that have arrived.
+struct Fate {
+    lost: bool,
+    delay: Duration,
+}
+
 impl Network {
     fn state(&self) -> MutexGuard<'_, State> {
         lock(&self.0)
@@ -78,7 +103,9 @@
         let mut state = self.state();
         for &from in from {
             let others = to.iter().filter(|to| **to != from);
-            state.partitioned.extend(others.map(|&to| (from, to)));
+            state
+                .partitioned
+                .extend(others.map(|&to| NodePair { from, to }));
         }
     }
 
@@ -106,7 +133,7 @@
             return;
         }
         state.down.insert(node);
-        let of_node = |open: &&OpenConnection| open.ends.0 == node || open.ends.1 == node;
+        let of_node = |open: &&OpenConnection| open.ends.contains(node);
         let connections = state.open.values().filter(of_node);
         connections.for_each(OpenConnection::close);
     }
@@ -135,23 +162,23 @@
         spawn(move || {
             for client in listener.incoming().map_while(Result::ok) {
                 let network = network.clone();
-                spawn(move || network.forward(from, client, to, upstream));
+                spawn(move || network.forward(NodePair { from, to }, client, upstream));
             }
         });
     }
 
-    fn is_partitioned(&self, from: usize, to: usize) -> bool {
-        self.state().partitioned.contains(&(from, to))
+    fn is_partitioned(&self, nodes: NodePair) -> bool {
+        self.state().partitioned.contains(&nodes)
     }
 
     /// Forwards one connection until it ends.
-    fn forward(&self, from: usize, client: TcpStream, to: usize, upstream: SocketAddr) {
-        if self.state().down.contains(&to) {
+    fn forward(&self, nodes: NodePair, client: TcpStream, upstream: SocketAddr) {
+        if self.state().down.contains(&nodes.to) {
             return;
         }
         client.set_nodelay(true).ok();
-        if self.is_partitioned(from, to) || self.is_partitioned(to, from) {
-            self.swallow((from, to), client);
+        if self.is_partitioned(nodes) || self.is_partitioned(nodes.reversed()) {
+            self.swallow(nodes, client);
             return;
         }
         let Ok(server) = TcpStream::connect(upstream) else {
@@ -159,21 +186,20 @@
         };
         server.set_nodelay(true).ok();
         let directions = [
-            (from, to, client.try_clone(), server.try_clone()),
-            (to, from, server.try_clone(), client.try_clone()),
+            (nodes, client.try_clone(), server.try_clone()),
+            (nodes.reversed(), server.try_clone(), client.try_clone()),
         ];
         let connection = self.state().insert(OpenConnection {
-            ends: (from, to),
+            ends: nodes,
             streams: [client, server],
             corrupted: false,
         });
         let threads: Vec<_> = directions
             .into_iter()
-            .filter_map(|(from, to, reader, writer)| {
+            .filter_map(|(nodes, reader, writer)| {
                 let flow = Flow {
                     connection,
-                    from,
-                    to,
+                    nodes,
                     reader: reader.ok()?,
                     writer: writer.ok()?,
                 };
@@ -189,7 +215,7 @@
 
     /// Reads a connection into a partition, until it is closed: by the client, or when the network heals. The
     /// server does not see it.
-    fn swallow(&self, ends: (usize, usize), mut client: TcpStream) {
+    fn swallow(&self, ends: NodePair, mut client: TcpStream) {
         let (Ok(first), Ok(second)) = (client.try_clone(), client.try_clone()) else {
             return;
         };
@@ -209,30 +235,33 @@
             if length == 0 {
                 break;
             }
-            let Some((lost, delay)) = self.fate(&flow) else {
+            let Some(fate) = self.fate(&flow) else {
                 break;
             };
-            sleep(delay);
-            if !lost && flow.writer.write_all(&buffer[..length]).is_err() {
+            sleep(fate.delay);
+            if !fate.lost && flow.writer.write_all(&buffer[..length]).is_err() {
                 break;
             }
         }
         // A partition hides the end: the other side finds out by itself, or when the network heals.
-        let hidden = self.is_partitioned(flow.from, flow.to);
+        let hidden = self.is_partitioned(flow.nodes);
         flow.reader.shutdown(Shutdown::Both).ok();
         if !hidden {
             flow.writer.shutdown(Shutdown::Both).ok();
         }
     }
 
-    /// Whether bytes that have just arrived are lost, and their delay; `None` if the connection is gone.
-    fn fate(&self, flow: &Flow) -> Option<(bool, Duration)> {
+    /// What becomes of bytes that have just arrived; `None` if the connection is gone.
+    fn fate(&self, flow: &Flow) -> Option<Fate> {
         let mut state = self.state();
-        let partitioned = state.partitioned.contains(&(flow.from, flow.to));
+        let partitioned = state.partitioned.contains(&flow.nodes);
         let delay = state.delay;
         let open = state.open.get_mut(&flow.connection)?;
         open.corrupted |= partitioned;
-        Some((open.corrupted, delay))
+        Some(Fate {
+            lost: open.corrupted,
+            delay,
+        })
     }
 
     /// Forwards datagrams to a node; the sender is known by its address.
@@ -263,7 +292,8 @@
                 };
                 let lost = {
                     let state = network.state();
-                    state.partitioned.contains(&(from, to)) || rng.rand_range(0..1_000) < state.loss
+                    state.partitioned.contains(&NodePair { from, to })
+                        || rng.rand_range(0..1_000) < state.loss
                 };
                 if !lost {
                     socket.send_to(&buffer[..length], upstream).ok();
--- a/crates/linenthread-fakes/src/proxy.rs
+++ b/crates/linenthread-fakes/src/proxy.rs
@@ -22,11 +22,20 @@
     FromUpstream,
 }
 
+/// After how many bytes in one direction a connection is closed.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct ByteLimit {
+    /// The direction in which bytes are counted.
+    pub direction: Direction,
+    /// The bytes that are forwarded.
+    pub bytes: usize,
+}
+
 #[derive(Default)]
 struct State {
     upstream: Option<SocketAddr>,
-    /// The next connection is closed once so many bytes have been forwarded in that direction.
-    limit: Option<(Direction, usize)>,
+    /// Of the next connection.
+    limit: Option<ByteLimit>,
     delay: Duration,
     /// By direction: bytes are read and never forwarded.
     silent: [bool; 2],
@@ -104,8 +113,8 @@
                 reader,
                 writer,
                 limit: limit
-                    .filter(|(limited, _)| *limited == direction)
-                    .map(|(_, bytes)| bytes),
+                    .filter(|limit| limit.direction == direction)
+                    .map(|limit| limit.bytes),
             };
             let proxy = self.clone();
             spawn(move || proxy.copy(flow));
@@ -147,7 +156,7 @@
 
     /// Has the next connection close once so many bytes have been forwarded in that direction.
     pub fn disconnect_next_after(&self, direction: Direction, bytes: usize) {
-        self.state().limit = Some((direction, bytes));
+        self.state().limit = Some(ByteLimit { direction, bytes });
     }
 
     /// Closes all open connections.
--- a/crates/linenthread-fakes/src/sites.rs
+++ b/crates/linenthread-fakes/src/sites.rs
@@ -17,7 +17,7 @@
 use crate::files::{temporary_folder, write_file};
 use crate::loopback::{self, unused_loopback};
 use crate::program::millis;
-use crate::proxy::{Direction, Proxy};
+use crate::proxy::{ByteLimit, Proxy};
 use crate::sync::lock;
 use crate::{Class, FakeReplicas, Service, ServiceDiscovery, config_of, member, membership};
 
@@ -172,12 +172,15 @@
     folder
 }
 
-/// Starts a gateway, and a proxy in front of where it takes links.
-fn start_gateway(
-    exe: &str,
-    discovery: &ServiceDiscovery,
-    known: &str,
-) -> (Service, Proxy, SocketAddr) {
+/// A gateway, and a proxy in front of where it takes links.
+struct Gateway {
+    service: Service,
+    proxy: Proxy,
+    link_address: SocketAddr,
+}
+
+/// Starts a gateway to the replicas that service discovery lists.
+fn start_gateway(exe: &str, discovery: &ServiceDiscovery, known: &str) -> Gateway {
     // A port that was free a moment ago, on an address that nothing else here binds: on 127.0.0.1 any connection of
     // another test may have taken it meanwhile, and the gateway fails to start.
     let link_address = loopback::address_of(
@@ -185,8 +188,11 @@
     );
     let element = format!("<gateway listen=\"{link_address}\" secret=\"link.key\"/>");
     let config = settings(discovery, known);
-    let gateway = Service::start_in(folder_with(&element), exe, &config, &ARGUMENTS);
-    (gateway, Proxy::start(link_address), link_address)
+    Gateway {
+        service: Service::start_in(folder_with(&element), exe, &config, &ARGUMENTS),
+        proxy: Proxy::start(link_address),
+        link_address,
+    }
 }
 
 /// The deploy file's elements for links to gateways.
@@ -223,25 +229,26 @@
         let none = membership(1, true, Vec::new());
         let gateway_discovery = ServiceDiscovery::start(all.clone());
         let local_discovery = ServiceDiscovery::start(none.clone());
-        let (gateway, proxy, link_address) = start_gateway(exe, &gateway_discovery, &all);
+        let gateway = start_gateway(exe, &gateway_discovery, &all);
         let second = config.second_gateway.then(|| {
             let discovery = ServiceDiscovery::start(all.clone());
-            let (gateway, proxy, _) = start_gateway(exe, &discovery, &all);
+            let second = start_gateway(exe, &discovery, &all);
             SecondGateway {
-                gateway,
-                proxy,
+                gateway: second.service,
+                proxy: second.proxy,
                 _discovery: discovery,
             }
         });
-        let proxies = std::iter::once(&proxy).chain(second.as_ref().map(|second| &second.proxy));
+        let proxies =
+            std::iter::once(&gateway.proxy).chain(second.as_ref().map(|second| &second.proxy));
         let folder = folder_with(&peer_elements(&config, proxies));
         let local_settings = settings(&local_discovery, &none);
         let local = Service::start_in(folder, exe, &local_settings, &ARGUMENTS);
         let mut sites = Sites {
             local,
-            gateway,
-            proxy,
-            link_address,
+            gateway: gateway.service,
+            proxy: gateway.proxy,
+            link_address: gateway.link_address,
             second,
             replicas,
             gateway_discovery,
@@ -350,23 +357,17 @@
         self.proxy.forwarded()
     }
 
-    /// Makes non-idempotent queries with the link closed after each of these bytes in that direction.
+    /// Makes a non-idempotent query with the link closed after so many bytes.
     ///
     /// # Panics
     ///
     /// If the link does not come up again.
-    pub fn disconnect_at(
-        &mut self,
-        direction: Direction,
-        bytes: impl Iterator<Item = usize>,
-        verdict: &mut Verdict,
-    ) {
-        for after in bytes {
-            self.proxy.disconnect_next_after(direction, after);
-            self.reconnect();
-            let what = format!("cut {direction:?} after {after} bytes");
-            self.query("order", verdict, &what);
-        }
+    pub fn disconnect_at(&mut self, limit: ByteLimit, verdict: &mut Verdict) {
+        let ByteLimit { direction, bytes } = limit;
+        self.proxy.disconnect_next_after(direction, bytes);
+        self.reconnect();
+        let what = format!("cut {direction:?} after {bytes} bytes");
+        self.query("order", verdict, &what);
         // Whatever was late has arrived by now.
         sleep(Duration::from_millis(100));
         let executions = self.executions();
--- a/crates/linenthread-fakes/src/sites/load.rs
+++ b/crates/linenthread-fakes/src/sites/load.rs
@@ -7,7 +7,7 @@
 
 use super::{SOFT_DEADLINE, Sites, SitesConfig, Verdict};
 use crate::Client;
-use crate::proxy::Direction;
+use crate::proxy::{ByteLimit, Direction};
 
 /// How much later than the soft deadline a response may arrive on a busy machine.
 const LATENESS: Duration = Duration::from_millis(1_500);
@@ -156,16 +156,17 @@
     };
     let [to_gateway, from_gateway] = Sites::start(exe, config).measure_exchange();
     // A position beyond the exchange meets the heartbeats after it, and does not interrupt the exchange.
-    let positions: Vec<(Direction, usize)> = (0..=to_gateway)
-        .map(|bytes| (Direction::ToUpstream, bytes))
-        .chain((0..=from_gateway).map(|bytes| (Direction::FromUpstream, bytes)))
+    let limit = |direction| move |bytes| ByteLimit { direction, bytes };
+    let limits: Vec<ByteLimit> = (0..=to_gateway)
+        .map(limit(Direction::ToUpstream))
+        .chain((0..=from_gateway).map(limit(Direction::FromUpstream)))
         .step_by(step.max(1))
         .collect();
-    let threads: Vec<_> = positions
-        .chunks(positions.len().div_ceil(at_once.max(1)))
-        .map(|positions| {
-            let (positions, exe) = (positions.to_vec(), exe.to_owned());
-            spawn(move || disconnect_at_each(&exe, config, &positions))
+    let threads: Vec<_> = limits
+        .chunks(limits.len().div_ceil(at_once.max(1)))
+        .map(|limits| {
+            let (limits, exe) = (limits.to_vec(), exe.to_owned());
+            spawn(move || disconnect_at_each(&exe, config, &limits))
         })
         .collect();
     let mut sum = Verdict::default();
@@ -179,11 +180,11 @@
     sum
 }
 
-fn disconnect_at_each(exe: &str, config: SitesConfig, positions: &[(Direction, usize)]) -> Verdict {
+fn disconnect_at_each(exe: &str, config: SitesConfig, limits: &[ByteLimit]) -> Verdict {
     let mut sites = Sites::start(exe, config);
     let mut verdict = Verdict::default();
-    for &(direction, bytes) in positions {
-        sites.disconnect_at(direction, std::iter::once(bytes), &mut verdict);
+    for limit in limits {
+        sites.disconnect_at(*limit, &mut verdict);
     }
     verdict
 }
