--- a/crates/linenthread-merge/src/lib.rs
+++ b/crates/linenthread-merge/src/lib.rs
@@ -15,16 +15,19 @@
 mod page;
 mod page_reader;
 mod plan;
+mod query;
 mod response;
 mod sort_key;
+mod sub_request;
 mod totals;
 
 pub use cursor::{CursorSigner, MIN_SECRET_BYTES, SecretError};
 pub use error::{CursorError, DecimalError, QueryError, ValueError};
-pub use merger::{Acceptance, MergeQuery, Merger, PageRequest, QueriedShard};
+pub use merger::{Acceptance, Merger};
 pub use plan::{
     Aggregation, FieldType, GroupOrder, GroupPlan, Measure, Plan, RowPlan, SortField, Statistic,
 };
+pub use query::{MergeQuery, PageRequest, QueriedShard};
 
 /// The most shards of a query: each is named in its response.
 pub const MAX_SHARDS: usize = 4_096;
--- a/crates/linenthread-merge/src/merger.rs
+++ b/crates/linenthread-merge/src/merger.rs
@@ -1,22 +1,12 @@
-//! The merge of one query: what each shard is asked for, what has been received, and what is reported.
+//! The merge of one query: what each shard is asked for, what has been merged, and what is reported.
 //!
-//! A sub-request has a *continuation* number, 0 at first; asking the shard for more begins the next. Transitions:
-//!
-//! | sub-request | event | next |
-//! | --- | --- | --- |
-//! | waiting, continuation c | a valid value of continuation c | received |
-//! | waiting, continuation c | an invalid one | as before: it has failed, and is reported so if nothing better arrives |
-//! | received | a second value of its continuation | compared and dropped: the first one counts |
-//! | received | the page lacks its further rows, and all others are received | waiting, continuation c + 1; what it has counts |
-//! | any | a value of an earlier continuation | dropped; compared if it is the last one received |
-
-use std::collections::hash_map::DefaultHasher;
-use std::hash::{Hash as _, Hasher};
+//! How far each shard has come is in [`SubRequest`].
 
 use serde_json::json;
+use snafu::{OptionExt, ensure};
 
 use crate::MAX_SHARDS;
-use crate::cursor::{self, CursorScope, CursorSigner};
+use crate::cursor::{CursorScope, CursorSigner};
 use crate::error::{
     CursorError, InvalidPageSizeSnafu, InvalidPositionSnafu, NoFurtherPagesSnafu, NoPagesSnafu,
     QueryError, TooManyShardsSnafu, ValueError,
@@ -25,48 +15,11 @@
 use crate::page::PageBuilder;
 use crate::page_reader::read_batch;
 use crate::plan::{Aggregation, GroupPlan, Measure, Plan, RowPlan};
+use crate::query::{MergeQuery, PageRequest, QueriedShard, by_shard};
 use crate::sort_key::SortKey;
+use crate::sub_request::{Arrival, MissingReason, SubRequest};
 use crate::totals::Totals;
 
-/// A shard that is queried.
-#[derive(Clone, Copy, Debug, PartialEq)]
-pub struct QueriedShard {
-    /// Its number.
-    pub shard: usize,
-    /// Its share of the query's weight.
-    pub weight: f64,
-}
-
-impl From<(usize, f64)> for QueriedShard {
-    fn from((shard, weight): (usize, f64)) -> QueriedShard {
-        QueriedShard { shard, weight }
-    }
-}
-
-/// What a client has asked, as far as merging is concerned.
-#[derive(Clone, Debug)]
-pub struct MergeQuery<'a> {
-    /// The customer, if the query names one.
-    pub customer: Option<&'a str>,
-    /// The key, if the query has one.
-    pub key: Option<&'a str>,
-    /// The client's text for every shard.
-    pub text: &'a str,
-    /// The queried shards, in the client's order: each is a sub-request, numbered from 0.
-    pub shards: &'a [QueriedShard],
-    /// How many shards there are in all.
-    pub shard_count: usize,
-}
-
-/// Which page is asked for.
-#[derive(Clone, Debug, Default, PartialEq)]
-pub struct PageRequest {
-    /// Rows on the page; `None` for the plan's default.
-    pub rows: Option<usize>,
-    /// The cursor in the response before; `None` for the first page.
-    pub cursor: Option<String>,
-}
-
 /// What became of a shard's value.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Acceptance {
@@ -81,45 +34,6 @@
     Invalid(ValueError),
 }
 
-/// Why a shard is missing from a response.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub(crate) enum MissingReason {
-    /// It has not responded.
-    #[default]
-    Unanswered,
-    /// It failed, or could not be asked.
-    Failed,
-    /// Its value is not valid.
-    Unreadable,
-}
-
-/// The value last received of a sub-request.
-#[derive(Clone, Copy)]
-struct ReceivedValue {
-    continuation: u32,
-    hash: u64,
-}
-
-pub(crate) struct SubRequest {
-    pub(crate) shard: usize,
-    pub(crate) weight: f64,
-    continuation: u32,
-    received: Option<ReceivedValue>,
-    pub(crate) missing_reason: MissingReason,
-}
-
-impl SubRequest {
-    pub(crate) fn is_received(&self) -> bool {
-        self.received.is_some()
-    }
-
-    /// Whether its present continuation has been answered.
-    fn is_current(&self) -> bool {
-        self.received
-            .is_some_and(|received| received.continuation == self.continuation)
-    }
-}
-
 /// What has been merged so far.
 pub(crate) enum Merged<'p> {
     Totals {
@@ -156,28 +70,27 @@
         signer: Option<&CursorSigner>,
         unix_seconds: u64,
     ) -> Result<Self, QueryError> {
-        if query.shards.len() > MAX_SHARDS {
-            return TooManyShardsSnafu.fail();
-        }
-        let scope = cursor_scope(plan, query);
+        ensure!(query.shards.len() <= MAX_SHARDS, TooManyShardsSnafu);
+        let index = &plan.index;
+        let scope = query.cursor_scope(plan);
+        let has_page = *page != PageRequest::default();
         let merged = match &plan.aggregation {
             Aggregation::Rows(rows) => {
-                let limit = page_size(&plan.index, rows, page)?;
-                let signer = signer.filter(|_| rows.paginated);
-                let start = match (&page.cursor, signer) {
-                    (None, _) => vec![None; query.shards.len()],
-                    (Some(cursor), Some(signer)) => {
-                        start_positions(cursor, signer, rows, query, &scope, unix_seconds)?
-                    }
-                    (Some(_), None) => {
-                        let index = &plan.index;
-                        return NoFurtherPagesSnafu { index }.fail();
+                let limit = page_size(index, rows, page)?;
+                let start = match &page.cursor {
+                    None => vec![None; query.shards.len()],
+                    Some(cursor) => {
+                        let signer = signer
+                            .filter(|_| rows.paginated)
+                            .context(NoFurtherPagesSnafu { index })?;
+                        let shards = query.shards.len();
+                        let positions = signer.verify(cursor, &scope, shards, unix_seconds)?;
+                        start_positions(positions, rows, query.shards)?
                     }
                 };
                 Merged::Rows(PageBuilder::new(rows, limit, start))
             }
-            _ if *page != PageRequest::default() => {
-                let index = &plan.index;
+            Aggregation::Totals(_) | Aggregation::Groups(_) if has_page => {
                 return NoPagesSnafu { index }.fail();
             }
             Aggregation::Totals(measures) => Merged::Totals {
@@ -189,24 +102,21 @@
                 groups: GroupTotals::new(plan),
             },
         };
-        let sub_request = |queried: &QueriedShard| SubRequest {
-            shard: queried.shard,
-            weight: queried.weight,
-            continuation: 0,
-            received: None,
-            missing_reason: MissingReason::default(),
-        };
         Ok(Merger {
             text: query.text.to_owned(),
             scope,
-            sub_requests: query.shards.iter().map(sub_request).collect(),
+            sub_requests: query.shards.iter().copied().map(SubRequest::new).collect(),
             merged,
         })
     }
 
     /// How many times a shard has been asked for more.
+    ///
+    /// # Panics
+    ///
+    /// If the query has no such sub-request; so do the other methods that take one.
     pub fn continuation(&self, sub_request: usize) -> u32 {
-        self.sub_requests[sub_request].continuation
+        self.sub_requests[sub_request].continuation()
     }
 
     /// What a shard is to be asked now: the client's text, for rows within
@@ -222,28 +132,18 @@
 
     /// Takes in a shard's value, the response to what it was asked in a continuation.
     pub fn accept(&mut self, sub_request: usize, continuation: u32, value: &str) -> Acceptance {
-        let state = &self.sub_requests[sub_request];
-        if let Some(received) = state.received
-            && continuation <= received.continuation
-        {
-            let differs = continuation == received.continuation && received.hash != hash_of(value);
-            return Acceptance::Duplicate { differs };
-        }
-        if continuation != state.continuation {
-            return Acceptance::Duplicate { differs: false };
-        }
-        match self.merge(sub_request, value) {
-            Ok(()) => {
-                self.sub_requests[sub_request].received = Some(ReceivedValue {
-                    continuation,
-                    hash: hash_of(value),
-                });
-                Acceptance::Counted
-            }
-            Err(error) => {
-                self.sub_requests[sub_request].missing_reason = MissingReason::Unreadable;
-                Acceptance::Invalid(error)
-            }
+        match self.sub_requests[sub_request].classify(continuation, value) {
+            Arrival::Duplicate { differs } => Acceptance::Duplicate { differs },
+            Arrival::Awaited => match self.merge(sub_request, value) {
+                Ok(()) => {
+                    self.sub_requests[sub_request].on_received(value);
+                    Acceptance::Counted
+                }
+                Err(error) => {
+                    self.sub_requests[sub_request].on_failed(MissingReason::Unreadable);
+                    Acceptance::Invalid(error)
+                }
+            },
         }
     }
 
@@ -262,7 +162,7 @@
 
     /// A sub-request has failed without a value.
     pub fn fail(&mut self, sub_request: usize) {
-        self.sub_requests[sub_request].missing_reason = MissingReason::Failed;
+        self.sub_requests[sub_request].on_failed(MissingReason::Failed);
     }
 
     /// Sub-requests whose shards must be asked for more before the page can be complete, each returned once for
@@ -276,7 +176,7 @@
         }
         let incomplete = page.incomplete();
         for &sub_request in &incomplete {
-            self.sub_requests[sub_request].continuation += 1;
+            self.sub_requests[sub_request].begin_continuation();
         }
         incomplete
     }
@@ -290,26 +190,6 @@
     }
 }
 
-/// What a cursor of this query is valid for.
-fn cursor_scope(plan: &Plan, query: &MergeQuery) -> CursorScope {
-    let optional =
-        |text: Option<&str>| text.map_or_else(Vec::new, |text| [b"+", text.as_bytes()].concat());
-    let shards: Vec<u8> = by_shard(query.shards, |queried| queried.shard)
-        .into_iter()
-        .flat_map(|index| (query.shards[index].shard as u64).to_be_bytes())
-        .collect();
-    CursorScope {
-        query: cursor::hash(&[
-            plan.index.as_bytes(),
-            plan.order_fingerprint().as_bytes(),
-            &optional(query.customer),
-            &optional(query.key),
-            query.text.as_bytes(),
-        ]),
-        shards: cursor::hash(&[&(query.shard_count as u64).to_be_bytes(), &shards]),
-    }
-}
-
 /// The rows on the page, if the plan permits so many.
 fn page_size(index: &str, rows: &RowPlan, page: &PageRequest) -> Result<usize, QueryError> {
     let limit = page.rows.unwrap_or(rows.page_size);
@@ -320,37 +200,21 @@
     Ok(limit)
 }
 
-/// Where each shard is to be read from, by the index of its sub-request.
+/// Where each shard is to be read from, by the index of its sub-request; a cursor has the positions by shard.
 fn start_positions(
-    cursor: &str,
-    signer: &CursorSigner,
+    positions: Vec<Option<SortKey>>,
     rows: &RowPlan,
-    query: &MergeQuery,
-    scope: &CursorScope,
-    unix_seconds: u64,
+    shards: &[QueriedShard],
 ) -> Result<Vec<Option<SortKey>>, CursorError> {
-    let order = by_shard(query.shards, |queried| queried.shard);
-    let positions = signer.verify(cursor, scope, order.len(), unix_seconds)?;
-    let mut start = vec![None; order.len()];
+    let is_valid = |key: &SortKey| rows.position_values(key).is_some();
+    ensure!(
+        positions.iter().flatten().all(is_valid),
+        InvalidPositionSnafu
+    );
+    let mut start = vec![None; shards.len()];
+    let order = by_shard(shards, |queried| queried.shard);
     for (index, position) in order.into_iter().zip(positions) {
         start[index] = position;
     }
-    let is_invalid = |key: &SortKey| rows.position_values(key).is_none();
-    if start.iter().flatten().any(is_invalid) {
-        return InvalidPositionSnafu.fail();
-    }
     Ok(start)
 }
-
-/// The indices of sub-requests in the order of their shards, in which a cursor lists them.
-pub(crate) fn by_shard<T>(sub_requests: &[T], shard: impl Fn(&T) -> usize) -> Vec<usize> {
-    let mut order: Vec<usize> = (0..sub_requests.len()).collect();
-    order.sort_by_key(|&index| shard(&sub_requests[index]));
-    order
-}
-
-fn hash_of(value: &str) -> u64 {
-    let mut hasher = DefaultHasher::new();
-    value.hash(&mut hasher);
-    hasher.finish()
-}
--- a/crates/linenthread-merge/src/response.rs
+++ b/crates/linenthread-merge/src/response.rs
@@ -5,8 +5,10 @@
 use serde_json::{Map, Value, json};
 
 use crate::cursor::CursorSigner;
-use crate::merger::{Merged, Merger, MissingReason, SubRequest, by_shard};
+use crate::merger::{Merged, Merger};
 use crate::page::{PageBuilder, VisiblePage};
+use crate::query::by_shard;
+use crate::sub_request::{MissingReason, SubRequest};
 
 /// The most bytes of rows or groups in a response: with the cursor and the shards' numbers it stays below 64 KiB.
 const MAX_BYTES: usize = 40 * 1024;
@@ -53,8 +55,7 @@
     fn shards_json(&self) -> Value {
         let mut missing = Map::new();
         for (reason, key) in MISSING_REASONS {
-            let shards =
-                self.shards(|shard| !shard.is_received() && shard.missing_reason == reason);
+            let shards = self.shards(|shard| shard.missing_reason() == Some(reason));
             if !shards.is_empty() {
                 missing.insert(key.into(), json!(shards));
             }
@@ -94,10 +95,12 @@
         let mut cut = self.cut_json(&visible, page.limit());
         let goes_on = incomplete || visible.has_more;
         let mut next = Value::Null;
-        if let (true, Some(signer)) = (goes_on, signer) {
+        if goes_on && let Some(signer) = signer {
             match self.issue_cursor(&visible, signer, unix_seconds) {
                 Some(cursor) => next = cursor.into(),
-                None => drop(cut.insert("mark".into(), json!("too long"))),
+                None => {
+                    cut.insert("mark".into(), json!("too long"));
+                }
             }
         }
         let cut = if cut.is_empty() {
