--- a/crates/linenthread-merge/src/lib.rs
+++ b/crates/linenthread-merge/src/lib.rs
@@ -17,6 +17,7 @@
 mod plan;
 mod query;
 mod response;
+mod row_fields;
 mod sort_key;
 mod sub_request;
 mod totals;
--- a/crates/linenthread-merge/src/page.rs
+++ b/crates/linenthread-merge/src/page.rs
@@ -8,32 +8,50 @@
 use std::collections::{BTreeMap, HashMap};
 
 use crate::plan::RowPlan;
-use crate::sort_key::{RowKey, SortKey};
+use crate::sort_key::SortKey;
 
+/// A row that may be on the page.
 struct RetainedRow {
+    /// Where it is from.
     sub_request: usize,
     json: Box<str>,
+    /// Its value of the distinct field.
     distinct: Option<Box<[u8]>>,
 }
 
+/// What a shard has beyond its frontier.
+#[derive(Clone, Copy, PartialEq, Eq)]
+enum Beyond {
+    /// It has not responded.
+    NotReceived,
+    /// No rows.
+    Nothing,
+    /// Rows that are not known.
+    Unknown,
+    /// Rows that rank after a full page, or were dropped from it: they are for a later one.
+    AfterPage,
+}
+
 /// How far a shard has been read.
-#[derive(Clone, Default)]
 struct ShardProgress {
     /// Where this query begins to read it; `None` for its first row.
     start: Option<SortKey>,
     /// The last row that is known of it, shown or not.
     frontier: Option<SortKey>,
-    /// It says that rows follow the frontier.
-    has_more: bool,
-    /// All that follows ranks after a full page.
-    trimmed: bool,
-    received: bool,
+    beyond: Beyond,
+}
+
+/// A row of a shard's value.
+pub(crate) struct Row {
+    pub(crate) key: SortKey,
+    /// Its value of the distinct field.
+    pub(crate) distinct: Option<Box<[u8]>>,
+    pub(crate) json: Box<str>,
 }
 
 /// The rows of one value, read and found to be sorted.
 pub(crate) struct Batch {
-    /// The rows' positions and JSON.
-    pub(crate) rows: Vec<(RowKey, Box<str>)>,
+    pub(crate) rows: Vec<Row>,
     /// The shard says that rows follow these.
     pub(crate) has_more: bool,
     /// Rows were skipped, as they rank after a full page.
@@ -51,6 +69,17 @@
     progress: Vec<ShardProgress>,
 }
 
+/// The rows at the front of a page.
+#[derive(Default)]
+struct ShownRows<'r> {
+    /// The rows' JSON.
+    rows: Vec<&'r str>,
+    /// The position of the last one.
+    last: Option<&'r SortKey>,
+    /// They were cut off for their length.
+    truncated: bool,
+}
+
 /// A page as far as it can be shown.
 pub(crate) struct VisiblePage<'r> {
     /// The rows' JSON.
@@ -71,7 +100,7 @@
         let progress = |start: Option<SortKey>| ShardProgress {
             frontier: start.clone(),
             start,
-            ..ShardProgress::default()
+            beyond: Beyond::NotReceived,
         };
         PageBuilder {
             plan,
@@ -108,26 +137,39 @@
 
     /// Adds what was read of a shard's value.
     pub(crate) fn add(&mut self, sub_request: usize, batch: Batch) {
-        for (row, json) in batch.rows {
-            self.progress[sub_request].frontier = Some(row.key.clone());
-            if self.rows.contains_key(&row.key) || self.was_shown(sub_request, &row.key) {
+        let mut trimmed = batch.trimmed;
+        for row in batch.rows {
+            let key = &row.key;
+            self.progress[sub_request].frontier = Some(key.clone());
+            if self.rows.contains_key(key) || self.was_shown(sub_request, key) {
                 continue;
             }
-            if self.is_beyond(&row.key) {
-                self.progress[sub_request].trimmed = true;
+            if self.is_beyond(key) {
+                trimmed = true;
                 break;
             }
-            self.insert(sub_request, row, json);
+            self.insert(sub_request, row);
         }
         let progress = &mut self.progress[sub_request];
-        (progress.received, progress.has_more) = (true, batch.has_more);
-        progress.trimmed |= batch.trimmed;
+        if trimmed {
+            progress.beyond = Beyond::AfterPage;
+        } else if progress.beyond != Beyond::AfterPage {
+            progress.beyond = if batch.has_more {
+                Beyond::Unknown
+            } else {
+                Beyond::Nothing
+            };
+        }
     }
 
     /// Retains a row, unless one with the same value of the distinct field ranks before it; drops the last row
     /// of a page that has become too long.
-    fn insert(&mut self, sub_request: usize, row: RowKey, json: Box<str>) {
-        let RowKey { key, distinct } = row;
+    fn insert(&mut self, sub_request: usize, row: Row) {
+        let Row {
+            key,
+            distinct,
+            json,
+        } = row;
         if let Some(value) = &distinct {
             match self.by_distinct.get(value) {
                 Some(earlier) if *earlier < key => return,
@@ -145,7 +187,7 @@
         if self.rows.len() > self.limit
             && let Some((_, last)) = self.rows.pop_last()
         {
-            self.progress[last.sub_request].trimmed = true;
+            self.progress[last.sub_request].beyond = Beyond::AfterPage;
             if let Some(value) = last.distinct {
                 self.by_distinct.remove(&value);
             }
@@ -165,9 +207,9 @@
     /// Sub-requests that hold the page back, as long as it is not full before their frontier.
     pub(crate) fn incomplete(&self) -> Vec<usize> {
         let holds_back = |progress: &ShardProgress| {
-            let is_unknown = progress.received && progress.has_more && !progress.trimmed;
-            let frontier = progress.frontier.as_ref();
-            is_unknown && frontier.is_none_or(|f| self.rows.range(..=f).count() < self.limit)
+            let is_full_before = |frontier| self.rows.range(..=frontier).count() >= self.limit;
+            progress.beyond == Beyond::Unknown
+                && !progress.frontier.as_ref().is_some_and(is_full_before)
         };
         (0..self.progress.len())
             .filter(|&index| holds_back(&self.progress[index]))
@@ -181,50 +223,66 @@
             .iter()
             .filter_map(|&sub_request| self.frontier(sub_request))
             .min();
+        let shown = self.rows_up_to(bound, max_bytes);
+        let has_more =
+            shown.rows.len() < self.rows.len() || self.progress.iter().any(ShardProgress::has_more);
+        VisiblePage {
+            // No shard holds back a page that is full of bytes.
+            incomplete: if shown.truncated {
+                Vec::new()
+            } else {
+                incomplete
+            },
+            truncated: shown.truncated,
+            next_positions: self
+                .progress
+                .iter()
+                .map(|shard| shard.next_position(shown.last))
+                .collect(),
+            has_more,
+            rows: shown.rows,
+        }
+    }
+
+    /// The rows up to a position, if there is one, within so many bytes; but at least one.
+    fn rows_up_to(&self, bound: Option<&SortKey>, max_bytes: usize) -> ShownRows<'_> {
         let known = self
             .rows
             .iter()
             .take_while(|(key, _)| bound.is_none_or(|bound| *key <= bound));
-        let mut rows = Vec::new();
-        let (mut remaining_bytes, mut last, mut truncated) = (max_bytes, None, false);
+        let mut shown = ShownRows::default();
+        let mut remaining_bytes = max_bytes;
         for (key, row) in known {
             // A comma follows each row.
             let bytes = row.json.len() + 1;
-            truncated = bytes > remaining_bytes && !rows.is_empty();
-            if truncated {
+            if bytes > remaining_bytes && !shown.rows.is_empty() {
+                shown.truncated = true;
                 break;
             }
             remaining_bytes = remaining_bytes.saturating_sub(bytes);
-            rows.push(&*row.json);
-            last = Some(key);
-        }
-        let has_more = rows.len() < self.rows.len()
-            || self
-                .progress
-                .iter()
-                .any(|shard| shard.received && (shard.has_more || shard.trimmed));
-        VisiblePage {
-            // No shard holds back a page that is full of bytes.
-            incomplete: if truncated { Vec::new() } else { incomplete },
-            truncated,
-            next_positions: self
-                .progress
-                .iter()
-                .map(|shard| shard.next_position(last))
-                .collect(),
-            has_more,
-            rows,
+            shown.rows.push(&row.json);
+            shown.last = Some(key);
         }
+        shown
     }
 }
 
 impl ShardProgress {
     /// Where it is to be read from for the next page, given the last row of this one.
     fn next_position(&self, last_shown: Option<&SortKey>) -> Option<SortKey> {
-        if self.received {
-            self.start.as_ref().max(last_shown).cloned()
-        } else {
-            self.start.clone()
+        match self.beyond {
+            Beyond::NotReceived => self.start.clone(),
+            Beyond::Nothing | Beyond::Unknown | Beyond::AfterPage => {
+                self.start.as_ref().max(last_shown).cloned()
+            }
+        }
+    }
+
+    /// Whether it has responded, and there are or may be rows beyond its frontier.
+    fn has_more(&self) -> bool {
+        match self.beyond {
+            Beyond::NotReceived | Beyond::Nothing => false,
+            Beyond::Unknown | Beyond::AfterPage => true,
         }
     }
 }
--- a/crates/linenthread-merge/src/page_reader.rs
+++ b/crates/linenthread-merge/src/page_reader.rs
@@ -7,7 +7,7 @@
 use serde_json::value::RawValue;
 
 use crate::error::{NoRowsSnafu, ValueError};
-use crate::page::{Batch, PageBuilder};
+use crate::page::{Batch, PageBuilder, Row};
 use crate::sort_key::{RowKey, SortKey};
 
 /// The most bytes of a row: one that fills a response by itself could never be passed on.
@@ -72,7 +72,7 @@
 }
 
 struct SortedRows {
-    rows: Vec<(RowKey, Box<str>)>,
+    rows: Vec<Row>,
     /// Rows were skipped, as they rank after a full page.
     trimmed: bool,
 }
@@ -102,17 +102,21 @@
         let mut rows = Vec::new();
         while let Some(json) = list.next_element::<&RawValue>()? {
             let json = json.get();
-            let row = self.page.plan().row_key(json).map_err(Error::custom)?;
-            self.check(&row, json).map_err(Error::custom)?;
-            if rows.len() >= self.page.limit() || self.page.is_beyond(&row.key) {
+            let RowKey { key, distinct } = self.page.plan().row_key(json).map_err(Error::custom)?;
+            self.check(&key, json).map_err(Error::custom)?;
+            if rows.len() >= self.page.limit() || self.page.is_beyond(&key) {
                 while list.next_element::<IgnoredAny>()?.is_some() {}
                 return Ok(SortedRows {
                     rows,
                     trimmed: true,
                 });
             }
-            self.last = Some(row.key.clone());
-            rows.push((row, json.into()));
+            self.last = Some(key.clone());
+            rows.push(Row {
+                key,
+                distinct,
+                json: json.into(),
+            });
         }
         Ok(SortedRows {
             rows,
@@ -123,11 +127,11 @@
 
 impl RowsVisitor<'_, '_> {
     /// Checks a row's length, and that it ranks after the one before.
-    fn check(&self, row: &RowKey, json: &str) -> Result<(), String> {
+    fn check(&self, key: &SortKey, json: &str) -> Result<(), String> {
         if json.len() > MAX_ROW_BYTES {
             return Err(format!("a row has more than {MAX_ROW_BYTES} bytes"));
         }
-        if self.last.as_ref().is_some_and(|last| row.key <= *last) {
+        if self.last.as_ref().is_some_and(|last| key <= last) {
             return Err("its rows are not in order, or before what was asked for".into());
         }
         Ok(())
--- a/crates/linenthread-merge/src/sort_key.rs
+++ b/crates/linenthread-merge/src/sort_key.rs
@@ -4,18 +4,12 @@
 //! by its bytes, inverted where the order descends; the identity ends the key. So keys from all shards compare in
 //! the same way, and a cursor can carry them.
 
-use std::borrow::Cow;
-
-use serde::de::{Deserializer, IgnoredAny, MapAccess, Visitor};
 use serde_json::Value;
-use serde_json::value::RawValue;
 
 use crate::decimal;
-use crate::error::{
-    FieldTooLongSnafu, InvalidFieldSnafu, MalformedRowSnafu, MissingIdentitySnafu, NotTextSnafu,
-    ValueError,
-};
+use crate::error::{MissingIdentitySnafu, NotTextSnafu, ValueError};
 use crate::plan::{FieldType, RowPlan, SortField};
+use crate::row_fields::{RowFields, is_json_string, scalar};
 
 const PRESENT: u8 = 1;
 /// Rows that lack a field come last, in either direction.
@@ -27,8 +21,6 @@
 const NUMBER_BYTES: usize = 16;
 /// Flipping the sign bit makes two's complement sort by its bytes.
 const SIGN_BIT: u128 = 1 << 127;
-/// The most bytes of a sort field or an identity.
-const MAX_FIELD_BYTES: usize = 256;
 /// What a key has room for before it must grow.
 const KEY_CAPACITY: usize = 64;
 
@@ -46,30 +38,24 @@
 impl RowPlan {
     /// Reads a row's position.
     pub(crate) fn row_key(&self, row: &str) -> Result<RowKey, ValueError> {
-        let found = self.find_fields(row)?;
+        let fields = RowFields::find(self, row)?;
         let mut key = Vec::with_capacity(KEY_CAPACITY);
         let mut distinct = None;
-        for (field, raw) in self.order.iter().zip(&found) {
+        for (field, raw) in self.order.iter().zip(fields.sort_fields()) {
             let start = key.len();
             let is_present = field.encode(*raw, &mut key)?;
-            if is_present && self.distinct.as_ref() == Some(&field.field) {
+            if is_present && self.is_distinct_by(field) {
                 // The value counts, not how it is written.
                 distinct = Some(key[start..].into());
             }
         }
-        let mut others = found[self.order.len()..].iter().copied();
-        let identity = scalar(others.next().flatten())?;
-        let Some(identity) = identity else {
+        let Some(identity) = scalar(fields.identity())? else {
             let field = &self.identity;
             return MissingIdentitySnafu { field }.fail();
         };
         encode_text(&mut key, &identity, false);
-        let is_sort_field = self
-            .order
-            .iter()
-            .any(|field| self.distinct.as_ref() == Some(&field.field));
-        if !is_sort_field {
-            distinct = scalar(others.next().flatten())?.map(|value| value.as_bytes().into());
+        if !self.order.iter().any(|field| self.is_distinct_by(field)) {
+            distinct = scalar(fields.distinct())?.map(|value| value.as_bytes().into());
         }
         Ok(RowKey {
             key: SortKey(key.into()),
@@ -77,17 +63,8 @@
         })
     }
 
-    /// The raw JSON of the sort fields, of the identity, and of the distinct field if there is one.
-    fn find_fields<'r>(&self, row: &'r str) -> Result<Vec<Option<&'r str>>, ValueError> {
-        let mut wanted: Vec<&str> = self.order.iter().map(|o| o.field.as_str()).collect();
-        wanted.push(&self.identity);
-        wanted.extend(self.distinct.as_deref());
-        serde_json::Deserializer::from_str(row)
-            .deserialize_map(FieldVisitor { wanted: &wanted })
-            .or_else(|error| {
-                let reason = error.to_string();
-                MalformedRowSnafu { reason }.fail()
-            })
+    fn is_distinct_by(&self, field: &SortField) -> bool {
+        self.distinct.as_ref() == Some(&field.field)
     }
 
     /// A position's values, for a shard to go on from: one for each sort field, then the identity. `None` if it
@@ -156,35 +133,6 @@
     }
 }
 
-fn is_json_string(raw: &str) -> bool {
-    raw.starts_with('"')
-}
-
-/// A value as it stands in JSON: a string's text, a number's digits, or nothing.
-fn scalar(raw: Option<&str>) -> Result<Option<Cow<'_, str>>, ValueError> {
-    let Some(raw) = raw else {
-        return Ok(None);
-    };
-    match raw.as_bytes().first() {
-        Some(b'"') => {
-            let inner = &raw[1..raw.len() - 1];
-            let text: Cow<str> = if inner.contains('\\') {
-                Cow::Owned(serde_json::from_str(raw)?)
-            } else {
-                Cow::Borrowed(inner)
-            };
-            if text.len() > MAX_FIELD_BYTES {
-                let max_bytes = MAX_FIELD_BYTES;
-                return FieldTooLongSnafu { max_bytes }.fail();
-            }
-            Ok(Some(text))
-        }
-        Some(b'n') => Ok(None),
-        Some(b'-' | b'0'..=b'9') if raw.len() <= MAX_FIELD_BYTES => Ok(Some(Cow::Borrowed(raw))),
-        _ => InvalidFieldSnafu.fail(),
-    }
-}
-
 /// A byte of a key in the order's direction.
 fn directed(byte: u8, descending: bool) -> u8 {
     if descending { !byte } else { byte }
@@ -229,39 +177,3 @@
     let bits = if descending { !bits } else { bits };
     Some((bits ^ SIGN_BIT).cast_signed())
 }
-
-/// Finds the raw JSON of some fields of a row without building the rest.
-struct FieldVisitor<'f> {
-    wanted: &'f [&'f str],
-}
-
-impl<'de> Visitor<'de> for FieldVisitor<'_> {
-    type Value = Vec<Option<&'de str>>;
-
-    fn expecting(&self, formatter: &mut std::fmt::Formatter) -> std::fmt::Result {
-        formatter.write_str("a row")
-    }
-
-    fn visit_map<A: MapAccess<'de>>(self, mut map: A) -> Result<Self::Value, A::Error> {
-        let mut found = vec![None; self.wanted.len()];
-        while let Some(name) = map.next_key::<Cow<'de, str>>()? {
-            let mut raw = None;
-            // A field may be wanted twice: to sort by and to be distinct by.
-            let slots = found.iter_mut().zip(self.wanted);
-            for (slot, _) in slots.filter(|(_, wanted)| **wanted == name) {
-                if slot.is_some() {
-                    return Err(serde::de::Error::custom("a field stands twice in a row"));
-                }
-                let value = match raw {
-                    Some(value) => value,
-                    None => *raw.insert(map.next_value::<&RawValue>()?.get()),
-                };
-                *slot = Some(value);
-            }
-            if raw.is_none() {
-                map.next_value::<IgnoredAny>()?;
-            }
-        }
-        Ok(found)
-    }
-}
--- a/crates/linenthread-merge/src/totals.rs
+++ b/crates/linenthread-merge/src/totals.rs
@@ -178,17 +178,17 @@
     fn figure(&self, statistic: Statistic, measure: &Measure, incomplete: bool) -> Value {
         let value = self.value(statistic, measure);
         let overflown = self.overflown && matches!(statistic, Statistic::Sum | Statistic::Mean);
-        let is = if overflown {
-            "overflown"
+        let accuracy = if overflown {
+            Accuracy::Overflown
         } else if !incomplete {
-            "exact"
+            Accuracy::Exact
         } else if value.is_none() {
             // No value at all bounds nothing.
-            EITHER_WAY
+            Accuracy::EitherWay
         } else {
-            bound(statistic, measure)
+            Accuracy::of_incomplete(statistic, measure)
         };
-        json!({"value": value, "is": is})
+        json!({"value": value, "is": accuracy.key()})
     }
 
     fn value(&self, statistic: Statistic, measure: &Measure) -> Option<Value> {
@@ -204,16 +204,40 @@
     }
 }
 
-/// The true figure may be more or less than the one reported.
-const EITHER_WAY: &str = "either-way";
+/// How a reported statistic relates to the true one.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum Accuracy {
+    Exact,
+    /// The true one is this or more.
+    AtLeast,
+    /// The true one is this or less.
+    AtMost,
+    /// The true one may be more or less.
+    EitherWay,
+    /// The sum left the range of numbers.
+    Overflown,
+}
 
-/// How a statistic relates to the true one where values are missing.
-fn bound(statistic: Statistic, measure: &Measure) -> &'static str {
-    match statistic {
-        Statistic::Sum if measure.never_negative => "at-least",
-        Statistic::Count | Statistic::Max => "at-least",
-        Statistic::Min => "at-most",
-        Statistic::Sum | Statistic::Mean => EITHER_WAY,
+impl Accuracy {
+    /// How a statistic relates to the true one where values are missing.
+    fn of_incomplete(statistic: Statistic, measure: &Measure) -> Accuracy {
+        match statistic {
+            Statistic::Sum if measure.never_negative => Accuracy::AtLeast,
+            Statistic::Count | Statistic::Max => Accuracy::AtLeast,
+            Statistic::Min => Accuracy::AtMost,
+            Statistic::Sum | Statistic::Mean => Accuracy::EitherWay,
+        }
+    }
+
+    /// Its key in responses.
+    fn key(self) -> &'static str {
+        match self {
+            Accuracy::Exact => "exact",
+            Accuracy::AtLeast => "at-least",
+            Accuracy::AtMost => "at-most",
+            Accuracy::EitherWay => "either-way",
+            Accuracy::Overflown => "overflown",
+        }
     }
 }
 
