--- a/crates/linenthread-merge/tests/cursors.rs
+++ b/crates/linenthread-merge/tests/cursors.rs
@@ -213,13 +213,10 @@
     after: Value,
 }
 
-/// Clients hold cursors of earlier versions: they stay valid, and the same are issued.
-#[test]
-fn cursors_are_those_of_earlier_versions() {
-    const NOW: u64 = 1_700_000_000;
+fn golden() -> [Golden; 2] {
     let text = |descending| sort_field("t\"q", FieldType::Text, descending);
     let number = || sort_field("n", FieldType::Decimal(2), true);
-    let golden = [
+    [
         Golden {
             rows: row_plan(vec![text(false), number()]),
             key: Some("k"),
@@ -235,7 +232,13 @@
             response: include_str!("golden/cursor-number-text-distinct.json"),
             after: json!(["12.50", "x\u{0}y", "a"]),
         },
-    ];
+    ]
+}
+
+/// Clients hold cursors of earlier versions: they stay valid, and the same are issued.
+#[test]
+fn cursors_are_those_of_earlier_versions() {
+    const NOW: u64 = 1_700_000_000;
     let secret = b"golden cursor secret".to_vec();
     let signer = CursorSigner::new(vec![secret], Duration::from_secs(600)).unwrap();
     for Golden {
@@ -243,7 +246,7 @@
         key,
         response,
         after,
-    } in golden
+    } in golden()
     {
         let plan = plan("history", rows);
         let shards = [(7, 0.25), (3, 0.75)].map(|(shard, weight)| QueriedShard { shard, weight });
--- a/crates/linenthread-merge/tests/pages.rs
+++ b/crates/linenthread-merge/tests/pages.rs
@@ -117,9 +117,8 @@
             let position = sorted.iter().position(|r| r.json()["id"] == last).unwrap();
             rows.retain(|r| sorted.iter().position(|s| s.id == r.id).unwrap() > position);
         }
-        let n = self
-            .max_rows
-            .min(request["rows"].as_u64().unwrap() as usize);
+        let limit = usize::try_from(request["rows"].as_u64().unwrap()).unwrap();
+        let n = self.max_rows.min(limit);
         let given: Vec<Value> = rows.iter().take(n).map(|r| r.json()).collect();
         json!({"rows": given, "more": rows.len() > n}).to_string()
     }
--- a/crates/linenthread-merge/tests/totals.rs
+++ b/crates/linenthread-merge/tests/totals.rs
@@ -26,7 +26,8 @@
 }
 
 /// A shard's value.
-fn value(count: u64, sum: &str, min: Value, max: Value) -> String {
+fn value(count: u64, sum: &str, min: impl Into<Value>, max: impl Into<Value>) -> String {
+    let (min, max): (Value, Value) = (min.into(), max.into());
     json!({"totals": {"a": {"count": count, "sum": sum, "least": min, "most": max}}}).to_string()
 }
 
