--- a/crates/linenthread-fakes/src/replicas.rs
+++ b/crates/linenthread-fakes/src/replicas.rs
@@ -40,7 +40,7 @@
     /// The shard that is queried.
     pub shard: usize,
     /// The index that is queried.
-    pub list: String,
+    pub index: String,
     /// The text of the query.
     pub text: String,
     connection: TcpStream,
@@ -214,11 +214,11 @@
 fn split_sub_requests(mut rest: &str) -> Vec<[&str; 4]> {
     let mut sub_requests = Vec::new();
     while let Some((head, tail)) = rest.split_once('\n') {
-        let [id, shard, list, length] = head.split(' ').collect::<Vec<_>>()[..] else {
+        let [id, shard, index, length] = head.split(' ').collect::<Vec<_>>()[..] else {
             panic!("not the head of a sub-request: {head}")
         };
         let (text, next) = tail.split_at(length.parse().expect("a length is a number"));
-        sub_requests.push([id, shard, list, text]);
+        sub_requests.push([id, shard, index, text]);
         rest = next;
     }
     sub_requests
@@ -290,13 +290,13 @@
     fn receive(&mut self, rest: &str) -> bool {
         self.frames += 1;
         split_sub_requests(rest).into_iter().all(|fields| {
-            let [id, shard, list, text] = fields.map(str::to_owned);
+            let [id, shard, index, text] = fields.map(str::to_owned);
             let sub_request = SubRequest {
                 replica: self.replica,
                 frame: self.frames,
                 id,
                 shard: shard.parse().expect("a shard is a number"),
-                list,
+                index,
                 text,
                 connection: duplicate(&self.stream),
             };
--- a/crates/linenthread-fakes/src/rig/waits.rs
+++ b/crates/linenthread-fakes/src/rig/waits.rs
@@ -8,7 +8,7 @@
 use crate::PATIENCE;
 
 /// In a log line that shows a routing table.
-const TABLE_LINE: &str = "acts on a table";
+const TABLE_IN_USE: &str = "acts on a table";
 
 impl Rig {
     /// How many lines a process has logged so far, over all its incarnations.
@@ -55,12 +55,12 @@
         n: usize,
         position: usize,
         zones: ZonePair,
-        is_wanted: impl Fn(&Route) -> bool,
+        matches: impl Fn(&Route) -> bool,
     ) -> String {
         let ZonePair { from, to } = zones;
         let what = format!("a table with the wanted way from zone {from} to {to}");
         self.wait_for_line(n, position, &what, &|line| {
-            line.contains(TABLE_LINE) && route(line, zones).is_some_and(|route| is_wanted(&route))
+            line.contains(TABLE_IN_USE) && route(line, zones).is_some_and(|route| matches(&route))
         })
     }
 
@@ -74,7 +74,7 @@
             route(line, zones).is_some_and(|route| route.is_left_for("Partitioned"))
         };
         self.wait_for_line(n, position, "a table with a pair of zones cut", &|line| {
-            line.contains(TABLE_LINE)
+            line.contains(TABLE_IN_USE)
                 && (is_partitioned(line, zones) || is_partitioned(line, zones.reversed()))
         })
     }
--- a/crates/linenthread-fakes/src/scenarios.rs
+++ b/crates/linenthread-fakes/src/scenarios.rs
@@ -47,7 +47,7 @@
     },
     Scenario {
         name: "pair-cut",
-        run: zones::pair_cut,
+        run: zones::zones_partitioned,
     },
     Scenario {
         name: "disk-lost",
--- a/crates/linenthread-fakes/src/scenarios/processes.rs
+++ b/crates/linenthread-fakes/src/scenarios/processes.rs
@@ -37,10 +37,10 @@
     let leader = rig.leader();
     stop(&rig, leader);
     let rest = others(&rig, &[leader]);
-    let began = Instant::now();
+    let started_at = Instant::now();
     wait_for_logs(&rig, &rest, &log_positions(&rig), "acts on a table");
     rig.wait_until_serving(&rest, 20);
-    sleep(LONG_STOP.saturating_sub(began.elapsed()));
+    sleep(LONG_STOP.saturating_sub(started_at.elapsed()));
     let from = rig.log_position(leader);
     rig.signal(leader, "-CONT");
     rig.wait_for_log_after(leader, from, "does not lead any more");
--- a/crates/linenthread-fakes/src/scenarios/zones.rs
+++ b/crates/linenthread-fakes/src/scenarios/zones.rs
@@ -68,7 +68,7 @@
 }
 
 /// Two zones are partitioned, with their coordinators: only the traffic between them moves.
-pub(super) fn pair_cut(exe: &str, seed: u64) -> Rig {
+pub(super) fn zones_partitioned(exe: &str, seed: u64) -> Rig {
     let rig = start_serving(exe, with_seed(seed));
     let (a, b) = (zone_by_seed(seed), zone_by_seed(seed + 1));
     let third = ALL_ZONES.iter().sum::<usize>() - a - b;
--- a/crates/linenthread-fakes/src/sites/load.rs
+++ b/crates/linenthread-fakes/src/sites/load.rs
@@ -40,7 +40,7 @@
         address: SocketAddr,
         id: String,
         index: &'static str,
-        began: Instant,
+        started_at: Instant,
         scheduled_at: Duration,
     ) -> QueryResult {
         let mut client = Client::connect(address);
@@ -51,7 +51,7 @@
             index,
             scheduled_at,
             status,
-            latency: began.elapsed().saturating_sub(scheduled_at),
+            latency: started_at.elapsed().saturating_sub(scheduled_at),
         }
     }
 
@@ -86,17 +86,23 @@
     inject: impl FnOnce(&mut Sites),
 ) -> (Verdict, Vec<QueryResult>) {
     let (result_sender, result_receiver) = channel();
-    let (address, began) = (sites.local.address, Instant::now());
+    let (address, started_at) = (sites.local.address, Instant::now());
     let count = lasting.as_millis() / interval.as_millis().max(1);
     let count = u32::try_from(count).expect("a run has fewer queries");
     let (tag, indexes) = (tag.to_owned(), indexes.to_vec());
     let load = spawn(move || {
         for (n, index) in (0..count).zip(indexes.into_iter().cycle()) {
             let scheduled_at = interval * n;
-            sleep((began + scheduled_at).saturating_duration_since(Instant::now()));
+            sleep((started_at + scheduled_at).saturating_duration_since(Instant::now()));
             let (result_sender, id) = (result_sender.clone(), format!("{tag}-{n}"));
             spawn(move || {
-                result_sender.send(QueryResult::of(address, id, index, began, scheduled_at))
+                result_sender.send(QueryResult::of(
+                    address,
+                    id,
+                    index,
+                    started_at,
+                    scheduled_at,
+                ))
             });
         }
     });
--- a/crates/linenthread-link/src/client/call_table.rs
+++ b/crates/linenthread-link/src/client/call_table.rs
@@ -174,7 +174,7 @@
     }
 
     /// The call's frame has been written completely.
-    pub(super) fn mark_written(&mut self, number: CallNumber) {
+    pub(super) fn on_written(&mut self, number: CallNumber) {
         if let Some(sent) = self.sent.get_mut(&number) {
             sent.delivery = Delivery::Written;
         }
--- a/crates/linenthread-link/src/client/calls.rs
+++ b/crates/linenthread-link/src/client/calls.rs
@@ -53,7 +53,7 @@
 
     /// The last byte of a call's frame has been written.
     pub fn on_call_written(&mut self, number: CallNumber) {
-        self.calls.mark_written(number);
+        self.calls.on_written(number);
     }
 
     /// Takes in the outcome of a call, and acknowledges it even if the call is not pending any more.
--- a/crates/linenthread-link/src/client/mod.rs
+++ b/crates/linenthread-link/src/client/mod.rs
@@ -159,10 +159,10 @@
 
     /// Does what is due by now.
     pub fn on_timeout(&mut self, now: TenthMillis, actions: &mut Vec<ClientAction>) {
-        if has_come(self.session_deadline(), now) {
+        if is_due(self.session_deadline(), now) {
             self.expire_session(now, actions);
         }
-        if has_come(self.grace_deadline(), now) {
+        if is_due(self.grace_deadline(), now) {
             self.set_availability(Availability::Down, actions);
         }
         self.fail_expired(now, actions);
@@ -250,7 +250,7 @@
     }
 }
 
-/// Whether a moment has come, if there is one.
-fn has_come(moment: Option<TenthMillis>, now: TenthMillis) -> bool {
+/// Whether a moment, if there is one, is now or was before.
+fn is_due(moment: Option<TenthMillis>, now: TenthMillis) -> bool {
     moment.is_some_and(|moment| moment <= now)
 }
--- a/crates/linenthread-link/src/server/calls.rs
+++ b/crates/linenthread-link/src/server/calls.rs
@@ -48,7 +48,7 @@
         }
         let bytes = call.credit_bytes();
         if !session.admits(number, bytes, &self.config) {
-            return Err(ServerCloseReason::CallOutOfTurn);
+            return Err(ServerCloseReason::UnexpectedCall);
         }
         session.start(number, bytes);
         if self.draining {
--- a/crates/linenthread-link/src/server/config.rs
+++ b/crates/linenthread-link/src/server/config.rs
@@ -96,7 +96,7 @@
     Superseded,
     /// A call that is not the session's next, or that exceeds the credit.
     #[snafu(display("a call beyond its turn or its credit"))]
-    CallOutOfTurn,
+    UnexpectedCall,
     /// A frame that only a server sends.
     #[snafu(display("a frame that has no place here"))]
     UnexpectedFrame,
--- a/crates/linenthread-merge/src/error.rs
+++ b/crates/linenthread-merge/src/error.rs
@@ -158,7 +158,7 @@
     },
     /// Groups are not sorted by name, or a name is repeated.
     #[snafu(display("its groups are not in order, or one stands twice"))]
-    GroupsOutOfOrder,
+    UnsortedGroups,
     /// A group's name is too long.
     #[snafu(display("a group's name has more than {max_bytes} bytes"))]
     GroupNameTooLong {
--- a/crates/linenthread-merge/src/groups.rs
+++ b/crates/linenthread-merge/src/groups.rs
@@ -7,7 +7,7 @@
 use serde::Deserialize;
 use serde_json::{Map, Value, json};
 
-use crate::error::{GroupNameTooLongSnafu, GroupsOutOfOrderSnafu, ValueError};
+use crate::error::{GroupNameTooLongSnafu, UnsortedGroupsSnafu, ValueError};
 use crate::plan::{GroupOrder, GroupPlan};
 use crate::totals::{MeasureValue, Totals, TotalsValue};
 
@@ -44,7 +44,7 @@
         let value: GroupsValue = serde_json::from_str(value)?;
         let groups = &value.groups;
         if groups.windows(2).any(|pair| pair[0].name >= pair[1].name) {
-            return GroupsOutOfOrderSnafu.fail();
+            return UnsortedGroupsSnafu.fail();
         }
         if groups.iter().any(|group| group.name.len() > MAX_NAME_BYTES) {
             let max_bytes = MAX_NAME_BYTES;
--- a/crates/linenthread-merge/src/totals.rs
+++ b/crates/linenthread-merge/src/totals.rs
@@ -209,9 +209,9 @@
 enum Accuracy {
     Exact,
     /// The true one is this or more.
-    AtLeast,
+    LowerBound,
     /// The true one is this or less.
-    AtMost,
+    UpperBound,
     /// The true one may be more or less.
     EitherWay,
     /// The sum left the range of numbers.
@@ -222,9 +222,9 @@
     /// How a statistic relates to the true one where values are missing.
     fn of_incomplete(statistic: Statistic, measure: &Measure) -> Accuracy {
         match statistic {
-            Statistic::Sum if measure.never_negative => Accuracy::AtLeast,
-            Statistic::Count | Statistic::Max => Accuracy::AtLeast,
-            Statistic::Min => Accuracy::AtMost,
+            Statistic::Sum if measure.never_negative => Accuracy::LowerBound,
+            Statistic::Count | Statistic::Max => Accuracy::LowerBound,
+            Statistic::Min => Accuracy::UpperBound,
             Statistic::Sum | Statistic::Mean => Accuracy::EitherWay,
         }
     }
@@ -233,8 +233,8 @@
     fn key(self) -> &'static str {
         match self {
             Accuracy::Exact => "exact",
-            Accuracy::AtLeast => "at-least",
-            Accuracy::AtMost => "at-most",
+            Accuracy::LowerBound => "at-least",
+            Accuracy::UpperBound => "at-most",
             Accuracy::EitherWay => "either-way",
             Accuracy::Overflown => "overflown",
         }
--- a/crates/linenthread-service/tests/service.rs
+++ b/crates/linenthread-service/tests/service.rs
@@ -46,7 +46,7 @@
             (part.id.as_str(), part.text.as_str()),
             (&*format!("7f.{}", part.shard), "what is asked")
         );
-        let wait: u64 = part.list.strip_prefix("d=").unwrap().parse().unwrap();
+        let wait: u64 = part.index.strip_prefix("d=").unwrap().parse().unwrap();
         assert!((10_000..=15_000).contains(&wait), "waits {wait} ms");
         // The load report is malformed, the response is not.
         part.send_frame(
