--- a/crates/linenthread-fakes/src/proxy.rs
+++ b/crates/linenthread-fakes/src/proxy.rs
@@ -22,6 +22,24 @@
     FromUpstream,
 }
 
+/// Something of each direction.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct ByDirection<T> {
+    /// From the client to the server.
+    pub to_upstream: T,
+    /// From the server to the client.
+    pub from_upstream: T,
+}
+
+impl<T> ByDirection<T> {
+    fn get_mut(&mut self, direction: Direction) -> &mut T {
+        match direction {
+            Direction::ToUpstream => &mut self.to_upstream,
+            Direction::FromUpstream => &mut self.from_upstream,
+        }
+    }
+}
+
 /// After how many bytes in one direction a connection is closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ByteLimit {
@@ -37,11 +55,12 @@
     /// Of the next connection.
     limit: Option<ByteLimit>,
     delay: Duration,
-    /// By direction: bytes are read and never forwarded.
-    silent: [bool; 2],
+    /// Bytes are read and never forwarded.
+    silent: ByDirection<bool>,
     open: Vec<TcpStream>,
-    /// By direction: bytes forwarded on the newest connection.
-    forwarded: [usize; 2],
+    /// Bytes forwarded on the newest connection.
+    forwarded: ByDirection<usize>,
+    /// How many connections were accepted, which numbers them.
     connections: usize,
 }
 
@@ -98,7 +117,7 @@
         client.set_nodelay(true).ok();
         server.set_nodelay(true).ok();
         state.connections += 1;
-        state.forwarded = [0; 2];
+        state.forwarded = ByDirection::default();
         let (connection, limit) = (state.connections, state.limit.take());
         for (direction, from, to) in [
             (Direction::ToUpstream, &client, &server),
@@ -134,8 +153,8 @@
                 .limit
                 .map_or(length, |limit| length.min(limit - forwarded));
             let (delay, silent) = {
-                let state = self.state();
-                (state.delay, state.silent[flow.direction as usize])
+                let mut state = self.state();
+                (state.delay, *state.silent.get_mut(flow.direction))
             };
             sleep(delay);
             if silent {
@@ -147,7 +166,7 @@
             forwarded += length;
             let mut state = self.state();
             if state.connections == flow.connection {
-                state.forwarded[flow.direction as usize] = forwarded;
+                *state.forwarded.get_mut(flow.direction) = forwarded;
             }
         }
         flow.reader.shutdown(Shutdown::Both).ok();
@@ -178,11 +197,11 @@
 
     /// Reads and drops all bytes in one direction; or forwards them again.
     pub fn silence(&self, direction: Direction, silent: bool) {
-        self.state().silent[direction as usize] = silent;
+        *self.state().silent.get_mut(direction) = silent;
     }
 
-    /// Bytes forwarded on the newest connection, to the server and from it.
-    pub fn forwarded(&self) -> [usize; 2] {
+    /// Bytes forwarded on the newest connection.
+    pub fn forwarded(&self) -> ByDirection<usize> {
         self.state().forwarded
     }
 }
--- a/crates/linenthread-fakes/src/sites.rs
+++ b/crates/linenthread-fakes/src/sites.rs
@@ -17,7 +17,7 @@
 use crate::files::{temporary_folder, write_file};
 use crate::loopback::{self, unused_loopback};
 use crate::program::millis;
-use crate::proxy::{ByteLimit, Proxy};
+use crate::proxy::{ByDirection, ByteLimit, Proxy};
 use crate::sync::lock;
 use crate::{Class, FakeReplicas, Service, ServiceDiscovery, config_of, member, membership};
 
@@ -351,7 +351,7 @@
     /// # Panics
     ///
     /// If the link does not come up again.
-    pub fn measure_exchange(&mut self) -> [usize; 2] {
+    pub fn measure_exchange(&mut self) -> ByDirection<usize> {
         self.reconnect();
         self.query("order", &mut Verdict::default(), "whole");
         self.proxy.forwarded()
--- a/crates/linenthread-fakes/src/sites/load.rs
+++ b/crates/linenthread-fakes/src/sites/load.rs
@@ -160,12 +160,12 @@
         },
         ..SitesConfig::default()
     };
-    let [to_gateway, from_gateway] = Sites::start(exe, config).measure_exchange();
+    let exchange = Sites::start(exe, config).measure_exchange();
     // A position beyond the exchange meets the heartbeats after it, and does not interrupt the exchange.
     let limit = |direction| move |bytes| ByteLimit { direction, bytes };
-    let limits: Vec<ByteLimit> = (0..=to_gateway)
+    let limits: Vec<ByteLimit> = (0..=exchange.to_upstream)
         .map(limit(Direction::ToUpstream))
-        .chain((0..=from_gateway).map(limit(Direction::FromUpstream)))
+        .chain((0..=exchange.from_upstream).map(limit(Direction::FromUpstream)))
         .step_by(step.max(1))
         .collect();
     let threads: Vec<_> = limits
