--- a/crates/linenthread-fakes/src/rig.rs
+++ b/crates/linenthread-fakes/src/rig.rs
@@ -36,6 +36,11 @@
 use crate::network::Network;
 use crate::sync::lock;
 
+/// In the log line of a process that uses another routing table; the line shows it.
+pub(crate) const TABLE_IN_USE: &str = "acts on a table";
+/// In the log line of a process that was the leader until then.
+pub(crate) const LEADERSHIP_LOST: &str = "does not lead any more";
+
 /// How often a condition without an event of its own is checked.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 /// Log lines of each process that are shown when a test fails.
@@ -67,12 +72,16 @@
         let replicas = setup::start_replicas(config.replica_count(), &executed);
         let count = config.process_count();
         let mut processes = Vec::with_capacity(count);
-        for n in 0..count {
+        for process in 0..count {
             for (replica, upstream) in replicas.iter().enumerate() {
-                let proxy = layout.replica_proxy(n, replica);
-                network.proxy_connections(n, proxy, count + replica, *upstream);
+                let proxy = layout.replica_proxy(process, replica);
+                network.proxy_connections(process, proxy, count + replica, *upstream);
             }
-            processes.push(Process::prepare(&layout, n, n % config.zones.len()));
+            processes.push(Process::prepare(
+                &layout,
+                process,
+                process % config.zones.len(),
+            ));
         }
         let shared = SharedState::default();
         lock(&shared.up).resize(count, false);
@@ -94,11 +103,11 @@
     /// If one cannot be started, or does not get that far in time.
     pub fn start_all(exe: &str, config: RigConfig) -> Rig {
         let mut rig = Rig::new(exe, config);
-        for n in rig.all() {
-            rig.start(n);
+        for process in rig.all() {
+            rig.start(process);
         }
-        for n in rig.all() {
-            rig.wait_for_log(n, "acts on a table");
+        for process in rig.all() {
+            rig.wait_for_log(process, TABLE_IN_USE);
         }
         rig
     }
@@ -129,7 +138,7 @@
     pub fn coordinators(&self, zone: usize) -> Vec<usize> {
         self.all()
             .into_iter()
-            .filter(|&n| self.processes[n].zone == zone)
+            .filter(|&process| self.processes[process].zone == zone)
             .collect()
     }
 }
@@ -137,12 +146,12 @@
 impl Drop for Rig {
     fn drop(&mut self) {
         self.shared.stopping.store(true, Ordering::SeqCst);
-        for n in self.all() {
-            self.signal(n, "-CONT");
-            self.kill(n, false);
+        for process in self.all() {
+            self.signal(process, "-CONT");
+            self.kill(process, false);
             if std::thread::panicking() {
-                println!("--- {}", self.name(n));
-                for line in self.processes[n].log.tail(SHOWN_LINES) {
+                println!("--- {}", self.name(process));
+                for line in self.processes[process].log.tail(SHOWN_LINES) {
                     println!("{line}");
                 }
             }
--- a/crates/linenthread-fakes/src/rig/load.rs
+++ b/crates/linenthread-fakes/src/rig/load.rs
@@ -42,18 +42,18 @@
 
 impl Rig {
     /// Sets whether clients query a process, and expect responses of it: not while it is stopped.
-    pub fn set_queried(&self, n: usize, queried: bool) {
-        lock(&self.shared.up)[n] = queried;
+    pub fn set_queried(&self, process: usize, queried: bool) {
+        lock(&self.shared.up)[process] = queried;
     }
 
     /// Starts a client of each process, with so many queries a second, one after another.
     pub fn start_clients(&mut self, per_second: u64) {
-        for (n, process) in self.processes.iter().enumerate() {
+        for (number, process) in self.processes.iter().enumerate() {
             let client = QueryLoop {
-                process: n,
+                process: number,
                 zone: process.zone,
                 http: process.http,
-                rng: Rand64::new(u128::from(self.config.seed) * 977 + n as u128),
+                rng: Rand64::new(u128::from(self.config.seed) * 977 + number as u128),
                 interval: Duration::from_micros(1_000_000 / per_second.max(1)),
                 shared: self.shared.clone(),
             };
--- a/crates/linenthread-fakes/src/rig/setup.rs
+++ b/crates/linenthread-fakes/src/rig/setup.rs
@@ -19,8 +19,9 @@
 /// Proxies between the processes.
 pub(super) fn connect_processes(network: &Network, layout: &Layout, config: &RigConfig) {
     let count = config.process_count();
-    let senders: BTreeMap<SocketAddr, usize> =
-        (0..count).map(|n| (layout.fleet_listen(n), n)).collect();
+    let senders: BTreeMap<SocketAddr, usize> = (0..count)
+        .map(|process| (layout.fleet_listen(process), process))
+        .collect();
     for to in 0..count {
         let upstream = layout.fleet_listen(to);
         network.proxy_datagrams(
--- a/crates/linenthread-fakes/src/row_store.rs
+++ b/crates/linenthread-fakes/src/row_store.rs
@@ -44,8 +44,16 @@
     pub charity: String,
 }
 
-/// What rows are sorted by: date descending, amount descending, id.
-pub type SortKey = (Reverse<String>, i64, String);
+/// What rows are sorted by: the latest comes first, then the largest, then the first by id.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub struct SortKey {
+    /// The date.
+    pub date: Reverse<String>,
+    /// The amount in hundredths.
+    pub cents: Reverse<i64>,
+    /// The id.
+    pub id: String,
+}
 
 fn money(cents: i64) -> String {
     format!("{}.{:02}", cents / 100, cents % 100)
@@ -59,7 +67,11 @@
 
     /// What rows are sorted by: the least comes first.
     pub fn sort_key(&self) -> SortKey {
-        (Reverse(self.date.clone()), -self.cents, self.id.clone())
+        SortKey {
+            date: Reverse(self.date.clone()),
+            cents: Reverse(self.cents),
+            id: self.id.clone(),
+        }
     }
 }
 
@@ -102,7 +114,11 @@
 fn cursor_key(after: &[Value]) -> SortKey {
     let text = |at: usize| after[at].as_str().unwrap_or_default().to_owned();
     let cents: i64 = text(1).replace('.', "").parse().unwrap_or_default();
-    (Reverse(text(0)), -cents, text(2))
+    SortKey {
+        date: Reverse(text(0)),
+        cents: Reverse(cents),
+        id: text(2),
+    }
 }
 
 /// A page of rows.
--- a/crates/linenthread-fakes/src/scenarios/processes.rs
+++ b/crates/linenthread-fakes/src/scenarios/processes.rs
@@ -7,7 +7,7 @@
 use super::steps::{
     log_positions, others, start_serving, stop, wait_for_logs, with_seed, zone_by_seed,
 };
-use crate::rig::Rig;
+use crate::rig::{LEADERSHIP_LOST, Rig, TABLE_IN_USE};
 
 /// Longer than any lease.
 const LONG_STOP: Duration = Duration::from_secs(10);
@@ -22,10 +22,10 @@
     let rest = others(&rig, &[leader]);
     let new = rig.leader();
     assert_ne!(new, leader);
-    wait_for_logs(&rig, &rest, &log_positions(&rig), "acts on a table");
+    wait_for_logs(&rig, &rest, &log_positions(&rig), TABLE_IN_USE);
     rig.wait_until_serving(&rest, 20);
     rig.start(leader);
-    rig.wait_for_log(leader, "acts on a table");
+    rig.wait_for_log(leader, TABLE_IN_USE);
     rig.wait_until_serving(&ALL_ZONES, 20);
     rig
 }
@@ -38,13 +38,13 @@
     stop(&rig, leader);
     let rest = others(&rig, &[leader]);
     let started_at = Instant::now();
-    wait_for_logs(&rig, &rest, &log_positions(&rig), "acts on a table");
+    wait_for_logs(&rig, &rest, &log_positions(&rig), TABLE_IN_USE);
     rig.wait_until_serving(&rest, 20);
     sleep(LONG_STOP.saturating_sub(started_at.elapsed()));
     let from = rig.log_position(leader);
     rig.signal(leader, "-CONT");
-    rig.wait_for_log_after(leader, from, "does not lead any more");
-    rig.wait_for_log_after(leader, from, "acts on a table");
+    rig.wait_for_log_after(leader, from, LEADERSHIP_LOST);
+    rig.wait_for_log_after(leader, from, TABLE_IN_USE);
     rig.set_queried(leader, true);
     assert_ne!(rig.leader(), leader);
     rig.wait_until_serving(&ALL_ZONES, 20);
@@ -62,14 +62,14 @@
     rig.start(lost);
     rig.wait_for_log(lost, "its disk is empty beside a record that goes on");
     wait_for_logs(&rig, &rest, &from, "is in");
-    rig.wait_for_log(lost, "acts on a table");
+    rig.wait_for_log(lost, TABLE_IN_USE);
     rig.wait_until_serving(&ALL_ZONES, 20);
     // Without another voter its vote is needed.
     let gone = rest[usize::from(seed / 3 % 2 == 1)];
     rig.kill(gone, false);
     rig.leader();
     let from = rig.log_position(lost);
-    rig.wait_for_log_after(lost, from, "acts on a table");
+    rig.wait_for_log_after(lost, from, TABLE_IN_USE);
     rig.start(gone);
     rig.wait_until_serving(&ALL_ZONES, 20);
     rig
@@ -82,12 +82,12 @@
     let from = rig.log_position(full);
     rig.fill_disk(full, Some(FULL_DISK_BYTES));
     rig.wait_for_log_after(full, from, "this voter steps down: the disk failed");
-    rig.wait_for_log_after(full, from, "does not lead any more");
+    rig.wait_for_log_after(full, from, LEADERSHIP_LOST);
     let new = rig.leader();
     assert_ne!(new, full);
     rig.wait_until_serving(&ALL_ZONES, 20);
     let from = rig.log_position(full);
-    rig.wait_for_log_after(full, from, "acts on a table");
+    rig.wait_for_log_after(full, from, TABLE_IN_USE);
     rig.fill_disk(full, None);
     rig.wait_for_log_after(full, from, "takes part as a voter");
     rig.wait_until_serving(&ALL_ZONES, 20);
@@ -97,12 +97,16 @@
 /// All are restarted one after the other.
 pub(super) fn rolling(exe: &str, seed: u64) -> Rig {
     let mut rig = start_serving(exe, with_seed(seed));
-    for n in rig.all() {
-        let rest = others(&rig, &[n]);
-        assert!(rig.terminate(n), "{} did not end well", rig.name(n));
+    for process in rig.all() {
+        let rest = others(&rig, &[process]);
+        assert!(
+            rig.terminate(process),
+            "{} did not end well",
+            rig.name(process)
+        );
         rig.wait_until_serving(&rest, 10);
-        rig.start(n);
-        rig.wait_for_log(n, "acts on a table");
+        rig.start(process);
+        rig.wait_for_log(process, TABLE_IN_USE);
         rig.leader();
     }
     rig.wait_until_serving(&ALL_ZONES, 20);
--- a/crates/linenthread-fakes/src/scenarios/steps.rs
+++ b/crates/linenthread-fakes/src/scenarios/steps.rs
@@ -29,12 +29,18 @@
 
 /// All processes but some.
 pub(super) fn others(rig: &Rig, not: &[usize]) -> Vec<usize> {
-    rig.all().into_iter().filter(|n| !not.contains(n)).collect()
+    rig.all()
+        .into_iter()
+        .filter(|process| !not.contains(process))
+        .collect()
 }
 
 /// The log positions of all processes.
 pub(super) fn log_positions(rig: &Rig) -> Vec<usize> {
-    rig.all().iter().map(|&n| rig.log_position(n)).collect()
+    rig.all()
+        .iter()
+        .map(|&process| rig.log_position(process))
+        .collect()
 }
 
 /// The zone, and the process in it, that a seed chooses.
@@ -45,8 +51,8 @@
 
 /// Waits until some processes log a text after these positions of all processes.
 pub(super) fn wait_for_logs(rig: &Rig, processes: &[usize], from: &[usize], text: &str) {
-    for &n in processes {
-        rig.wait_for_log_after(n, from[n], text);
+    for &process in processes {
+        rig.wait_for_log_after(process, from[process], text);
     }
 }
 
--- a/crates/linenthread-fakes/src/scenarios/zones.rs
+++ b/crates/linenthread-fakes/src/scenarios/zones.rs
@@ -6,7 +6,7 @@
     log_positions, lose_zone, others, restore_zone, start_serving, with_seed, zone_by_seed,
 };
 use super::{ALL_ZONES, ZONES};
-use crate::rig::{Rig, RigConfig, Route, ZonePair};
+use crate::rig::{Rig, RigConfig, Route, TABLE_IN_USE, ZonePair};
 
 /// Without faults, sub-requests stay in a zone that holds their shard, with two coordinators a zone, but for those
 /// that avoid a replica for its score: calls on loopback take a millisecond or so, and what else the machine does
@@ -38,12 +38,14 @@
     let from = log_positions(&rig);
     lose_zone(&mut rig, lost);
     for &zone in &rest {
-        for n in rig.coordinators(zone) {
+        for process in rig.coordinators(zone) {
             let zones = ZonePair {
                 from: zone,
                 to: lost,
             };
-            rig.wait_for_route(n, from[n], zones, |route| route.is_left_for("ZoneDown"));
+            rig.wait_for_route(process, from[process], zones, |route| {
+                route.is_left_for("ZoneDown")
+            });
         }
     }
     rig.wait_until_serving(&rest, 20);
@@ -55,13 +57,13 @@
     assert!(to_lost <= 3, "{traffic:?}");
     restore_zone(&mut rig, lost);
     let from = log_positions(&rig);
-    for n in rig.all() {
+    for process in rig.all() {
         let zones = ZonePair {
-            from: n % ZONES,
+            from: process % ZONES,
             to: lost,
         };
-        let position = from[n].min(rig.log_position(n));
-        rig.wait_for_route(n, position, zones, Route::is_healthy);
+        let position = from[process].min(rig.log_position(process));
+        rig.wait_for_route(process, position, zones, Route::is_healthy);
     }
     rig.wait_until_serving(&ALL_ZONES, 20);
     rig
@@ -75,12 +77,12 @@
     let from = log_positions(&rig);
     rig.network.partition(&rig.zone(a), &rig.zone(b));
     // The third zone's routes stay as they are; at least one of the two sees the shards of the other.
-    let n = rig.coordinators(third)[0];
+    let process = rig.coordinators(third)[0];
     let between = ZonePair { from: a, to: b };
-    rig.wait_for_partition(n, from[n], between);
+    rig.wait_for_partition(process, from[process], between);
     rig.wait_until_serving(&[third], 20);
     let to_first = ZonePair { from: third, to: a };
-    let line = rig.wait_for_route(n, from[n], to_first, |route| route.share > 0);
+    let line = rig.wait_for_route(process, from[process], to_first, |route| route.share > 0);
     assert!(
         !line.contains("Down"),
         "a zone is left for a pair that is cut: {line}"
@@ -88,7 +90,7 @@
     rig.wait_until_serving(&ALL_ZONES, 20);
     rig.network.heal();
     let from = log_positions(&rig);
-    rig.wait_for_route(n, from[n], between, Route::is_healthy);
+    rig.wait_for_route(process, from[process], between, Route::is_healthy);
     rig.wait_until_serving(&ALL_ZONES, 20);
     rig
 }
@@ -103,7 +105,7 @@
     rig.wait_until_serving(&ALL_ZONES, 20);
     let from = rig.log_position(alone);
     rig.network.heal();
-    rig.wait_for_log_after(alone, from, "acts on a table");
+    rig.wait_for_log_after(alone, from, TABLE_IN_USE);
     rig.wait_until_serving(&ALL_ZONES, 20);
     rig
 }
