--- a/crates/linenthread-link/src/client/backoff.rs
+++ b/crates/linenthread-link/src/client/backoff.rs
@@ -1,10 +1,10 @@
 //! The wait between two attempts to connect.
 
+use linenthread_core::conversion::to_tenth_millis;
 use linenthread_core::interface::TenthMillis;
 use oorandom::Rand64;
 
 use super::ClientConfig;
-use crate::time::whole_tenths;
 
 /// The wait doubles so many times at most.
 const MAX_DOUBLINGS: u32 = 16;
@@ -32,7 +32,7 @@
         let doublings = self.failures.min(MAX_DOUBLINGS);
         self.failures += 1;
         let wait = (self.min << doublings).min(self.max).max(1);
-        wait / 2 + whole_tenths(rng.rand_float() * wait as f64)
+        wait / 2 + to_tenth_millis(rng.rand_float() * wait as f64)
     }
 
     /// A connection was of use: the next failure is not one in a row.
--- a/crates/linenthread-link/src/client/round_trip.rs
+++ b/crates/linenthread-link/src/client/round_trip.rs
@@ -1,9 +1,8 @@
 //! An estimate of the round-trip time, smoothed as TCP does it (RFC 6298).
 
+use linenthread_core::conversion::to_tenth_millis;
 use linenthread_core::interface::TenthMillis;
 
-use crate::time::whole_tenths;
-
 /// Weight of a new sample in the mean: 1 / 8.
 const MEAN_DIVISOR: f64 = 8.0;
 /// Weight of a new sample in the deviation: 1 / 4.
@@ -37,11 +36,11 @@
 
     /// Half the round trip.
     pub(super) fn one_way(&self) -> TenthMillis {
-        whole_tenths(self.mean / 2.0)
+        to_tenth_millis(self.mean / 2.0)
     }
 
     /// A reply that takes longer than this is overdue.
     pub(super) fn timeout(&self) -> TenthMillis {
-        whole_tenths(self.mean + TIMEOUT_DEVIATIONS * self.deviation)
+        to_tenth_millis(self.mean + TIMEOUT_DEVIATIONS * self.deviation)
     }
 }
--- a/crates/linenthread-link/src/time.rs
+++ b/crates/linenthread-link/src/time.rs
@@ -17,12 +17,3 @@
 pub(crate) fn from_wire_millis(millis: u32) -> TenthMillis {
     TenthMillis::from(millis) * TenthMillis::from(TENTHS_PER_MS)
 }
-
-/// The whole part of a length of time that was calculated with fractions.
-#[expect(
-    clippy::cast_possible_truncation,
-    reason = "the fraction is to go; the cast saturates, and lengths of time are far below its limits"
-)]
-pub(crate) fn whole_tenths(length: f64) -> TenthMillis {
-    length as TenthMillis
-}
