--- a/crates/linenthread-config/src/error.rs
+++ b/crates/linenthread-config/src/error.rs
@@ -102,7 +102,7 @@
         reason: String,
     },
     /// The file as a whole violates the schema: a required field is missing.
-    #[snafu(display(": {reason}"))]
+    #[snafu(display("{reason}"))]
     Incomplete {
         /// The rule: it names the field.
         reason: String,
--- a/crates/linenthread-config/tests/validation.rs
+++ b/crates/linenthread-config/tests/validation.rs
@@ -36,6 +36,12 @@
     );
 }
 
+#[test]
+fn a_missing_field_is_named() {
+    let error = Settings::parse(&SETTINGS.replace("zone=a\n", "")).unwrap_err();
+    assert_eq!(error.to_string(), "\"zone\" is a required property");
+}
+
 #[parameterized(
     fraction = { "6.5", 6_500 },
     fraction_of_a_millisecond = { "0.0019", 1 },
--- a/crates/linenthread-ctl/src/commands.rs
+++ b/crates/linenthread-ctl/src/commands.rs
@@ -181,7 +181,11 @@
         match response.status {
             OK => Ok(Some(response.body)),
             NOT_FOUND => Ok(None),
-            status => Err(Error::Unavailable { path, status }),
+            status => Err(Error::Unavailable {
+                path,
+                status,
+                message: body_text(&response),
+            }),
         }
     }
 
--- a/crates/linenthread-ctl/src/error.rs
+++ b/crates/linenthread-ctl/src/error.rs
@@ -66,8 +66,12 @@
         source: serde_json::Error,
     },
     /// No control node can read the configuration in force, most often as none has contact with a majority.
-    #[snafu(display("{path}: status {status}"))]
-    Unavailable { path: &'static str, status: u16 },
+    #[snafu(display("{path}: status {status}: {message}"))]
+    Unavailable {
+        path: &'static str,
+        status: u16,
+        message: String,
+    },
     /// There is nothing to print: no configuration was ever taken.
     #[snafu(display("there is no configuration yet"))]
     NoConfiguration,
--- a/crates/linenthread-ctl/src/main.rs
+++ b/crates/linenthread-ctl/src/main.rs
@@ -19,7 +19,7 @@
     xflags::xflags! {
         /// The operators' client of the search front.
         cmd linenthread-ctl {
-            /// Addresses of control nodes, comma-separated: HOST:PORT,...; else the variable LINENTHREAD_CONTROL.
+            /// Addresses of control nodes, comma-separated: IP:PORT,...; else the variable LINENTHREAD_CONTROL.
             optional --control addresses: String
             /// Prints JSON.
             optional --json
--- a/crates/linenthread-ctl/tests/program.rs
+++ b/crates/linenthread-ctl/tests/program.rs
@@ -74,6 +74,13 @@
     assert_eq!(stderr, "linenthread-ctl: there is no configuration yet\n");
 }
 
+#[test]
+fn a_control_node_without_quorum_is_exit_code_3() {
+    let address = fake_control_node("503 Service Unavailable", "no contact");
+    let expected = "linenthread-ctl: /Configuration.Read: status 503: no contact\n".to_owned();
+    assert_eq!(run(address, &["read"]), (Some(3), String::new(), expected));
+}
+
 #[test]
 fn an_invalid_address_is_exit_code_2() {
     let output = Command::new(env!("CARGO_BIN_EXE_linenthread-ctl"))
