--- a/crates/linenthread-fakes/src/rig/layout.rs
+++ b/crates/linenthread-fakes/src/rig/layout.rs
@@ -1,18 +1,19 @@
 //! Addresses, names and files of the processes of a rig.
 
 use std::net::{IpAddr, SocketAddr};
+use std::time::Duration;
 
 use serde_json::{Value, json};
 
-use super::RigConfig;
+use super::{RigConfig, Zone};
 use crate::loopback::unused_loopback;
 use crate::program::{Class, config_of};
 use crate::service_discovery::{member, membership};
 
 /// Shards of the rig's indexes.
 pub(super) const SHARDS: usize = 12;
-/// The soft deadline of a query in milliseconds.
-pub(super) const SOFT_DEADLINE_MS: u64 = 1_500;
+/// The soft deadline of a query.
+pub(super) const SOFT_DEADLINE: Duration = Duration::from_millis(1_500);
 /// The secret that all processes of a rig share.
 pub(super) const FLEET_KEY: &str = "a secret of the rig's fleet\n";
 /// The least fleet size that a deploy file may give.
@@ -68,12 +69,12 @@
         self.at(REPLICA_PROXY_PORT + PORTS_PER_PROCESS * process + replica)
     }
 
-    fn zone_and_region(&self, process: usize) -> (&'static str, &'static str) {
+    fn zone(&self, process: usize) -> Zone {
         self.config.zones[process % self.config.zones.len()]
     }
 
     pub(super) fn name(&self, process: usize) -> String {
-        let (zone, _) = self.zone_and_region(process);
+        let zone = self.zone(process).name;
         format!("{zone}-{}", process / self.config.zones.len())
     }
 
@@ -82,7 +83,7 @@
         let zones = &self.config.zones;
         let members = (0..self.config.replica_count()).map(|replica| {
             let mut member = member(replica, self.replica_proxy(process, replica), "active");
-            member["locality"] = json!(zones[replica % zones.len()].0);
+            member["locality"] = json!(zones[replica % zones.len()].name);
             member
         });
         membership(1, true, members.collect())
@@ -93,13 +94,13 @@
         let class = |name, non_idempotent| Class {
             name,
             non_idempotent,
-            soft_deadline_ms: SOFT_DEADLINE_MS,
+            soft_deadline: SOFT_DEADLINE,
             floor: 1.0,
         };
         let classes = [class("find", false), class("order", true)];
         let replicas = self.config.replica_count();
         let mut config = config_of(discovery, known, &classes, replicas, SHARDS);
-        let zones: Vec<&str> = self.config.zones.iter().map(|(name, _)| *name).collect();
+        let zones: Vec<&str> = self.config.zones.iter().map(|zone| zone.name).collect();
         config["name"] = json!(self.name(process));
         config["listen"] = json!(self.http(process).to_string());
         let seed = self.config.seed * 1_000 + process as u64;
@@ -116,7 +117,7 @@
         } else {
             self.pair_proxy(process, voter)
         };
-        let (zone, region) = self.zone_and_region(voter);
+        let Zone { name: zone, region } = self.zone(voter);
         let name = self.name(voter);
         format!(
             "<voter name=\"{name}\" address=\"{address}\" zone=\"{zone}\" region=\"{region}\"/>"
@@ -132,9 +133,9 @@
             .config
             .zones
             .iter()
-            .map(|(name, region)| format!("<zone name=\"{name}\" region=\"{region}\"/>"))
+            .map(|Zone { name, region }| format!("<zone name=\"{name}\" region=\"{region}\"/>"))
             .collect();
-        let (zone, region) = self.zone_and_region(process);
+        let Zone { name: zone, region } = self.zone(process);
         format!(
             "<installation version=\"1\"><fleet address=\"{}\" listen=\"{}\" secret=\"fleet.key\" \
              machine=\"m{process}\" zone=\"{zone}\" region=\"{region}\" folder=\"record\" \
