--- a/crates/linenthread-checker/src/lease/state.rs
+++ b/crates/linenthread-checker/src/lease/state.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-use linenthread_consensus::{LeaderLease, NodeId};
+use linenthread_consensus::{Epoch, Incarnation, LeaderLease, NodeId, ValueNumber};
 use linenthread_messages::{LeaseRelease, LeaseRequest, LeaseVote};
 use linenthread_time::Instant;
 
@@ -21,7 +21,7 @@
 const LEASE_MILLIS: u32 = 2_000;
 
 /// Number of the value whose voters are asked; it does not change.
-const VALUE_NUMBER: u64 = 0;
+const VALUE_NUMBER: ValueNumber = ValueNumber::FIRST;
 
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 enum Message {
@@ -91,10 +91,10 @@
     leases: [LeaderLease; NODE_COUNT],
     incarnation_counts: [u64; NODE_COUNT],
     /// The greatest epoch that each disk holds, which is synced before a vote is sent.
-    durable_epochs: [u64; NODE_COUNT],
+    durable_epochs: [Epoch; NODE_COUNT],
     network: BTreeSet<InFlight>,
     /// Who has held the lease, by epoch.
-    holders: BTreeMap<u64, BTreeSet<Holder>>,
+    holders: BTreeMap<Epoch, BTreeSet<Holder>>,
     /// How often what may still happen.
     remaining: LeaseScenario,
     has_restarted: bool,
@@ -102,8 +102,8 @@
 }
 
 /// An incarnation that no two incarnations of any nodes share.
-fn incarnation(node: NodeIndex, count: u64) -> u64 {
-    count * 10 + NodeId::from(node).0
+fn incarnation(node: NodeIndex, count: u64) -> Incarnation {
+    Incarnation::new(count * 10 + NodeId::from(node).0)
 }
 
 fn is_majority(voters: Vec<NodeId>) -> bool {
@@ -112,13 +112,14 @@
 
 impl LeaseState {
     pub(crate) fn new(scenario: LeaseScenario) -> LeaseState {
-        let lease =
-            |node: NodeIndex| LeaderLease::new(incarnation(node, 1), Instant::START, true, 0);
+        let lease = |node: NodeIndex| {
+            LeaderLease::new(incarnation(node, 1), Instant::START, true, Epoch::NONE)
+        };
         LeaseState {
             now: Instant::START,
             leases: NodeIndex::ALL.map(lease),
             incarnation_counts: [1; NODE_COUNT],
-            durable_epochs: [0; NODE_COUNT],
+            durable_epochs: [Epoch::NONE; NODE_COUNT],
             network: BTreeSet::new(),
             holders: BTreeMap::new(),
             remaining: scenario,
@@ -133,7 +134,7 @@
     }
 
     /// The nodes that hold the lease now, each with the epoch.
-    fn current_leases(&self) -> impl Iterator<Item = (NodeIndex, u64)> {
+    fn current_leases(&self) -> impl Iterator<Item = (NodeIndex, Epoch)> {
         NodeIndex::ALL.into_iter().filter_map(|node| {
             let epoch = self.leases[node.get()].held_epoch(self.now)?;
             Some((node, epoch))
@@ -255,7 +256,7 @@
                     request_id,
                     lease_ms: LEASE_MILLIS,
                     incarnation,
-                    value_number: VALUE_NUMBER,
+                    value_number: VALUE_NUMBER.get(),
                 };
                 let vote = self.vote(to, from, &request);
                 self.network.insert(InFlight {
--- a/crates/linenthread-checker/src/register/history.rs
+++ b/crates/linenthread-checker/src/register/history.rs
@@ -2,26 +2,26 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use linenthread_consensus::{JobId, NodeId};
+use linenthread_consensus::{JobId, NodeId, ValueNumber};
 use linenthread_messages::{Ballot, OrderIdentity, Value};
 
 /// The decided values, and what callers were told.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub(crate) struct History {
     /// Each value that some node took for decided, by number.
-    decided: BTreeMap<u64, Value>,
+    decided: BTreeMap<ValueNumber, Value>,
     /// Two nodes took different values under one number for decided.
     has_conflicting_values: bool,
     /// A node took a value for decided that no majority of its voters had accepted.
     has_minority_decision: bool,
     /// The voters that have synced an acceptance, by number and ballot, for numbers that are not decided.
-    accepted_by: BTreeMap<(u64, Ballot), BTreeSet<NodeId>>,
+    accepted_by: BTreeMap<(ValueNumber, Ballot), BTreeSet<NodeId>>,
     acknowledged: Vec<OrderIdentity>,
     rejected: Vec<OrderIdentity>,
     /// The greatest number of a value that a caller was told of.
-    newest_reported: u64,
+    newest_reported: ValueNumber,
     /// `newest_reported` as of when each pending read was submitted.
-    read_floors: BTreeMap<JobId, u64>,
+    read_floors: BTreeMap<JobId, ValueNumber>,
     /// A read returned a value older than one that was reported before it was submitted.
     has_stale_read: bool,
     completed_reads: u8,
@@ -31,7 +31,7 @@
     /// The history of nodes that all start with this value.
     pub(crate) fn new(genesis: Value) -> History {
         History {
-            decided: BTreeMap::from([(genesis.number, genesis)]),
+            decided: BTreeMap::from([(ValueNumber::of(&genesis), genesis)]),
             ..History::default()
         }
     }
@@ -72,17 +72,17 @@
             .map_or(&[], |(_, value)| &value.recent_orders)
     }
 
-    pub(crate) fn is_decided(&self, number: u64) -> bool {
+    pub(crate) fn is_decided(&self, number: ValueNumber) -> bool {
         self.decided.contains_key(&number)
     }
 
     /// Whether [`History::record_decided`] would change anything.
     pub(crate) fn is_known(&self, value: &Value) -> bool {
-        self.decided.get(&value.number) == Some(value)
+        self.decided.get(&ValueNumber::of(value)) == Some(value)
     }
 
     /// A voter has synced an acceptance.
-    pub(crate) fn record_accepted(&mut self, number: u64, ballot: Ballot, voter: NodeId) {
+    pub(crate) fn record_accepted(&mut self, number: ValueNumber, ballot: Ballot, voter: NodeId) {
         self.accepted_by
             .entry((number, ballot))
             .or_default()
@@ -91,19 +91,21 @@
 
     /// A node takes a value for decided.
     pub(crate) fn record_decided(&mut self, value: &Value) {
-        if self.is_decided(value.number) {
+        let number = ValueNumber::of(value);
+        if self.is_decided(number) {
             self.has_conflicting_values |= !self.is_known(value);
             return;
         }
-        self.has_minority_decision |= !self.is_accepted_by_majority(value.number);
+        self.has_minority_decision |= !self.is_accepted_by_majority(number);
         self.accepted_by
-            .retain(|(number, _), _| *number != value.number);
-        self.decided.insert(value.number, value.clone());
+            .retain(|(accepted_number, _), _| *accepted_number != number);
+        self.decided.insert(number, value.clone());
     }
 
     /// Whether, under some ballot, a majority of the voters of the value before has accepted a value of this number.
-    fn is_accepted_by_majority(&self, number: u64) -> bool {
-        let Some(previous) = self.decided.get(&(number - 1)) else {
+    fn is_accepted_by_majority(&self, number: ValueNumber) -> bool {
+        let precedes = |value: &&Value| ValueNumber::of(value).next() == number;
+        let Some(previous) = self.decided.values().find(precedes) else {
             return false;
         };
         let is_voter = |id: &NodeId| {
@@ -132,7 +134,7 @@
             .decided
             .iter()
             .find(|(_, value)| value.recent_orders.contains(&order))
-            .map_or(0, |(number, _)| *number);
+            .map_or(ValueNumber::FIRST, |(number, _)| *number);
         self.newest_reported = self.newest_reported.max(first_number);
     }
 
@@ -150,9 +152,10 @@
 
     /// A read returned a value.
     pub(crate) fn record_read(&mut self, job: JobId, value: &Value) {
-        let floor = self.read_floors.remove(&job).unwrap_or(0);
-        self.has_stale_read |= value.number < floor;
-        self.newest_reported = self.newest_reported.max(value.number);
+        let number = ValueNumber::of(value);
+        let floor = self.read_floors.remove(&job);
+        self.has_stale_read |= floor.is_some_and(|floor| number < floor);
+        self.newest_reported = self.newest_reported.max(number);
         self.completed_reads += 1;
     }
 }
--- a/crates/linenthread-checker/src/register/obsolete.rs
+++ b/crates/linenthread-checker/src/register/obsolete.rs
@@ -2,7 +2,7 @@
 //!
 //! They are taken out of the network, so that states which differ in them alone are one state.
 
-use linenthread_consensus::NodeId;
+use linenthread_consensus::{NodeId, ValueNumber};
 use linenthread_messages::PeerMessage;
 
 use crate::node_index::NodeIndex;
@@ -21,16 +21,16 @@
 }
 
 /// Number of the newest value of the node with this identity.
-fn newest_number(state: &SystemState, id: NodeId) -> Option<u64> {
+fn newest_number(state: &SystemState, id: NodeId) -> Option<ValueNumber> {
     let node = state.nodes().find(|node| node.id == id)?;
-    node.register.decided().map(|value| value.number)
+    node.register.decided().map(ValueNumber::of)
 }
 
 /// The receiver has a value of the message's number. A request would be answered by that value, and is obsolete only if
 /// its sender has it as well.
 fn is_about_decided_number(state: &SystemState, message: &InFlight) -> bool {
     let receiver = newest_number(state, message.to);
-    let receiver_has = |number: u64| receiver >= Some(number);
+    let receiver_has = |number| receiver >= Some(ValueNumber::new(number));
     let sender_has_as_much = || newest_number(state, message.from) >= receiver;
     match &message.message {
         PeerMessage::Prepare(request) => receiver_has(request.number) && sender_has_as_much(),
--- a/crates/linenthread-checker/src/register/scenario.rs
+++ b/crates/linenthread-checker/src/register/scenario.rs
@@ -3,7 +3,7 @@
 use std::fmt;
 use std::str::FromStr;
 
-use linenthread_consensus::{Change, document_digest};
+use linenthread_consensus::{Change, Revision, document_digest};
 use linenthread_messages::OrderIdentity;
 use snafu::{OptionExt, Snafu};
 
@@ -51,8 +51,8 @@
     pub(crate) fn change(self) -> Option<Change> {
         let (identity, document) = self.order_and_document()?;
         Some(Change::Document {
-            base: identity.base,
-            revision: identity.revision,
+            base: Revision::new(identity.base),
+            revision: Revision::new(identity.revision),
             document: document.into(),
         })
     }
--- a/crates/linenthread-checker/src/register/state.rs
+++ b/crates/linenthread-checker/src/register/state.rs
@@ -3,7 +3,7 @@
 use std::hash::{Hash, Hasher};
 use std::sync::Arc;
 
-use linenthread_consensus::{DurableState, NodeId, Register};
+use linenthread_consensus::{DurableState, Incarnation, NodeId, Register};
 use linenthread_messages::{Envelope, PeerMessage, Record, Value, Voter};
 use linenthread_time::Instant;
 use prost::Message as _;
@@ -24,8 +24,8 @@
 
 /// An incarnation that no two incarnations of any nodes share. Their count is in the upper half, since read identities
 /// begin with it.
-fn incarnation(id: NodeId, count: u64) -> u64 {
-    count << 32 | id.0
+fn incarnation(id: NodeId, count: u64) -> Incarnation {
+    Incarnation::new(count << 32 | id.0)
 }
 
 fn voter(id: NodeId) -> Voter {
--- a/crates/linenthread-checker/src/register/transition.rs
+++ b/crates/linenthread-checker/src/register/transition.rs
@@ -3,7 +3,9 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-use linenthread_consensus::{Change, DeferredMessage, Effect, JobId, NodeId, Outcome};
+use linenthread_consensus::{
+    Change, DeferredMessage, Effect, Epoch, JobId, NodeId, Outcome, ValueNumber,
+};
 use linenthread_messages::{PeerMessage, Record, Value};
 use linenthread_time::Instant;
 
@@ -20,7 +22,7 @@
 const DEADLINE: Instant = Instant::NEVER;
 
 /// The epoch of the lease under which the voters are changed.
-const LEASE_EPOCH: u64 = 1;
+const LEASE_EPOCH: Epoch = Epoch::FIRST;
 
 /// The state after an enabled action.
 pub(crate) fn apply(state: &SystemState, scenario: &Scenario, action: Action) -> SystemState {
@@ -122,7 +124,9 @@
         }
         let register = &self.state.node(node).register;
         Some(Change::Voters {
-            base_number: register.decided().map_or(0, |value| value.number),
+            base_number: register
+                .decided()
+                .map_or(ValueNumber::FIRST, ValueNumber::of),
             voters: self.state.with_replaced_voter(register.voters()),
             epoch: LEASE_EPOCH,
         })
@@ -200,7 +204,7 @@
         UnsyncedRecord { record, after_sync }: UnsyncedRecord,
     ) {
         let id = self.state.node(node).id;
-        let number = record.number;
+        let number = ValueNumber::new(record.number);
         if let Some(accepted) = &record.accepted
             && !self.state.history().is_decided(number)
         {
--- a/crates/linenthread-consensus/src/acceptor.rs
+++ b/crates/linenthread-consensus/src/acceptor.rs
@@ -4,6 +4,8 @@
     Accept, AcceptAck, Accepted, Ballot, Prepare, Promise, Record, Rejected,
 };
 
+use crate::value_number::ValueNumber;
+
 /// What this node has promised and accepted for one number.
 ///
 /// Both methods return the record that must be synced before the reply leaves: what another node relies on survives a
@@ -13,14 +15,14 @@
     /// The number that the other fields belong to. After a restart it may be above the number after the newest decided
     /// value, if the disk dropped the record of a decided value. Every number below is decided then, and this node
     /// accepts nothing for it any more.
-    number: u64,
+    number: ValueNumber,
     promised: Option<Ballot>,
     accepted: Option<Accepted>,
 }
 
 impl Acceptor {
     pub(crate) fn new(
-        number: u64,
+        number: ValueNumber,
         promised: Option<Ballot>,
         accepted: Option<Accepted>,
     ) -> Acceptor {
@@ -32,7 +34,7 @@
     }
 
     /// The lowest number that it may vote on.
-    pub(crate) fn number(&self) -> u64 {
+    pub(crate) fn number(&self) -> ValueNumber {
         self.number
     }
 
@@ -42,7 +44,7 @@
     }
 
     /// Everything below this number is decided: promises for it bind no more.
-    pub(crate) fn advance_to(&mut self, number: u64) {
+    pub(crate) fn advance_to(&mut self, number: ValueNumber) {
         if number > self.number {
             *self = Acceptor::new(number, None, None);
         }
@@ -56,12 +58,12 @@
         self.check_ballot(request.ballot)?;
         self.promised = Some(request.ballot);
         let promise = Promise {
-            number: self.number,
+            number: self.number.get(),
             ballot: request.ballot,
             accepted: self.accepted.clone(),
         };
         let record = Record {
-            number: self.number,
+            number: self.number.get(),
             promised: self.promised,
             ..Record::default()
         };
@@ -80,11 +82,11 @@
             value: request.value,
         });
         let ack = AcceptAck {
-            number: self.number,
+            number: self.number.get(),
             ballot: request.ballot,
         };
         let record = Record {
-            number: self.number,
+            number: self.number.get(),
             promised: self.promised,
             accepted: self.accepted.clone(),
             ..Record::default()
@@ -95,7 +97,7 @@
     fn check_ballot(&self, ballot: Ballot) -> Result<(), Rejected> {
         match self.promised.filter(|promised| *promised > ballot) {
             Some(promised) => Err(Rejected {
-                number: self.number,
+                number: self.number.get(),
                 promised,
             }),
             None => Ok(()),
--- a/crates/linenthread-consensus/src/catch_up.rs
+++ b/crates/linenthread-consensus/src/catch_up.rs
@@ -8,6 +8,7 @@
 use crate::decided_state::DecidedState;
 use crate::effects::Effect;
 use crate::node_id::NodeId;
+use crate::revision::Revision;
 use crate::timing::{CATCH_UP_GIVE_UP, CATCH_UP_TIMEOUT};
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -20,7 +21,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Gap {
     /// Its newest revision.
-    newest: u64,
+    newest: Revision,
     since: Instant,
 }
 
@@ -55,15 +56,9 @@
         effects: &mut Vec<Effect>,
     ) {
         while let Some(request) = decided.order_log().missing() {
-            if self
-                .gap
-                .as_ref()
-                .is_none_or(|gap| gap.newest != request.newest)
-            {
-                self.gap = Some(Gap {
-                    newest: request.newest,
-                    since: now,
-                });
+            let newest = Revision::new(request.newest);
+            if self.gap.as_ref().is_none_or(|gap| gap.newest != newest) {
+                self.gap = Some(Gap { newest, since: now });
                 self.lacking.clear();
                 self.in_flight = None;
             }
--- a/crates/linenthread-consensus/src/change.rs
+++ b/crates/linenthread-consensus/src/change.rs
@@ -3,26 +3,30 @@
 use linenthread_messages::{DocumentDigest, Voter};
 use sha2::{Digest, Sha256};
 
+use crate::epoch::Epoch;
+use crate::revision::Revision;
+use crate::value_number::ValueNumber;
+
 /// A proposed change of the replicated value.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Change {
     /// An order: a new configuration document.
     Document {
         /// The revision that it builds on; it can only be decided while that is the newest one.
-        base: u64,
+        base: Revision,
         /// Its own revision, greater than `base`.
-        revision: u64,
+        revision: Revision,
         /// The document.
         document: Vec<u8>,
     },
     /// A new set of voters.
     Voters {
         /// Number of the value that it builds on; it can only be decided as the next one.
-        base_number: u64,
+        base_number: ValueNumber,
         /// The voters that decide the values after it.
         voters: Vec<Voter>,
         /// The epoch of the leader lease under which it is proposed.
-        epoch: u64,
+        epoch: Epoch,
     },
     /// No change of its own: whatever some acceptor has accepted for the next number is to be decided.
     Completion,
--- a/crates/linenthread-consensus/src/decided_state.rs
+++ b/crates/linenthread-consensus/src/decided_state.rs
@@ -5,8 +5,11 @@
 use linenthread_messages::{OrderIdentity, Value, Voter};
 use prost::bytes::Bytes;
 
+use crate::epoch::Epoch;
 use crate::node_id::NodeId;
 use crate::order_log::{OrderLog, OrderLogVerdict};
+use crate::revision::Revision;
+use crate::value_number::ValueNumber;
 
 /// Number of the newest orders that each value carries. A node that skips no more values than this finds their orders
 /// in the value itself; it fetches others from the order logs of its peers.
@@ -60,19 +63,23 @@
         &mut self.order_log
     }
 
-    /// Number of the newest value; 0 if none is known.
-    pub(crate) fn number(&self) -> u64 {
-        self.value.as_ref().map_or(0, |value| value.number)
+    /// Number of the newest value; [`ValueNumber::FIRST`] also if none is known.
+    pub(crate) fn number(&self) -> ValueNumber {
+        self.value
+            .as_ref()
+            .map_or(ValueNumber::FIRST, ValueNumber::of)
     }
 
-    /// The number to be decided next; 0 if no value is known.
-    pub(crate) fn next_number(&self) -> u64 {
-        self.value.as_ref().map_or(0, |value| value.number + 1)
+    /// The number to be decided next.
+    pub(crate) fn next_number(&self) -> ValueNumber {
+        self.value
+            .as_ref()
+            .map_or(ValueNumber::FIRST, |value| ValueNumber::of(value).next())
     }
 
-    /// The newest revision of the configuration; 0 if none is known.
-    pub(crate) fn revision(&self) -> u64 {
-        self.value.as_ref().map_or(0, |value| value.revision)
+    /// The newest revision of the configuration that is known.
+    pub(crate) fn revision(&self) -> Revision {
+        self.value.as_ref().map_or(Revision::NONE, Revision::of)
     }
 
     /// The nodes that decide the next value.
@@ -98,7 +105,7 @@
     /// Replaces the value by a newer one, whose recent orders join the log.
     pub(crate) fn adopt(&mut self, value: Value) {
         self.order_log.extend(&value.recent_orders);
-        self.order_log.link(value.revision);
+        self.order_log.link(Revision::of(&value));
         self.value = Some(value);
     }
 
@@ -106,16 +113,17 @@
     /// anything for the next number.
     pub(crate) fn judge(&self, order: &OrderIdentity) -> Verdict {
         let newest = self.revision();
-        if order.revision <= newest {
+        let (base, revision) = (Revision::new(order.base), Revision::new(order.revision));
+        if revision <= newest {
             return match self.order_log.judge(order) {
                 OrderLogVerdict::Committed => Verdict::Committed,
                 OrderLogVerdict::NotCommitted => Verdict::Conflict,
                 OrderLogVerdict::Unknown => Verdict::Unknown,
             };
         }
-        if order.base == newest {
+        if base == newest {
             Verdict::Proposable
-        } else if newest < order.base && order.base < order.revision {
+        } else if newest < base && base < revision {
             // Its base may be decided yet, and then the order accepted.
             Verdict::Unknown
         } else {
@@ -133,7 +141,7 @@
             .copied()
             .collect();
         Some(Value {
-            number: value.number + 1,
+            number: self.next_number().get(),
             revision: order.revision,
             document: document.clone(),
             order_count: value.order_count + 1,
@@ -143,14 +151,14 @@
     }
 
     /// The value that a change of the voters makes of the newest one.
-    pub(crate) fn with_voters(&self, voters: &[Voter], epoch: u64) -> Option<Value> {
+    pub(crate) fn with_voters(&self, voters: &[Voter], epoch: Epoch) -> Option<Value> {
         let value = self.value.as_ref()?;
-        let number = value.number + 1;
+        let number = self.next_number().get();
         Some(Value {
             number,
             voters: voters.to_vec(),
             voters_since: number,
-            epoch,
+            epoch: epoch.get(),
             ..value.clone()
         })
     }
--- a/crates/linenthread-consensus/src/durability.rs
+++ b/crates/linenthread-consensus/src/durability.rs
@@ -8,6 +8,7 @@
 use crate::effects::{DeferredMessage, Effect};
 use crate::node_id::NodeId;
 use crate::timing::{MAX_REWRITE_INTERVAL, REWRITE_INTERVAL};
+use crate::value_number::ValueNumber;
 
 /// Writes decided values and orders, and tracks which of them are synced.
 ///
@@ -17,7 +18,7 @@
 pub(crate) struct Durability {
     id: NodeId,
     /// Number of the newest decided value that is synced.
-    number: u64,
+    number: ValueNumber,
     /// The last record of the order log that was written.
     order_log_written: u64,
     /// The last record of the order log up to which nothing is missing on the disk.
@@ -33,7 +34,7 @@
 
 impl Durability {
     /// For a disk that holds the decided value of this number.
-    pub(crate) fn new(id: NodeId, number: u64) -> Durability {
+    pub(crate) fn new(id: NodeId, number: ValueNumber) -> Durability {
         Durability {
             id,
             number,
@@ -48,7 +49,7 @@
     }
 
     /// Number of the newest decided value that is synced.
-    pub(crate) fn number(&self) -> u64 {
+    pub(crate) fn number(&self) -> ValueNumber {
         self.number
     }
 
@@ -58,7 +59,7 @@
     }
 
     /// Whether the value of this number and all records of the order log are synced.
-    pub(crate) fn is_synced(&self, number: u64) -> bool {
+    pub(crate) fn is_synced(&self, number: ValueNumber) -> bool {
         self.number >= number && self.is_order_log_synced()
     }
 
@@ -111,7 +112,7 @@
             ..Record::default()
         };
         let synced = Synced {
-            number: 0,
+            number: ValueNumber::FIRST.get(),
             order_log_record: self.order_log_written,
         };
         self.persist(record, synced, effects);
@@ -130,7 +131,7 @@
 
     /// A record is synced.
     pub(crate) fn on_synced(&mut self, synced: &Synced) {
-        self.number = self.number.max(synced.number);
+        self.number = self.number.max(ValueNumber::new(synced.number));
         let record = synced.order_log_record;
         let repeats_all = record > self.order_log_required || record == self.order_log_snapshot;
         if record == self.order_log_synced + 1 || repeats_all {
@@ -139,7 +140,7 @@
     }
 
     /// Whether the value of this number and the order log are to be written again. The interval doubles each time.
-    pub(crate) fn is_rewrite_due(&mut self, now: Instant, number: u64) -> bool {
+    pub(crate) fn is_rewrite_due(&mut self, now: Instant, number: ValueNumber) -> bool {
         if self.is_synced(number) {
             self.rewrite_interval = REWRITE_INTERVAL;
             return false;
--- a/crates/linenthread-consensus/src/durable_state.rs
+++ b/crates/linenthread-consensus/src/durable_state.rs
@@ -3,8 +3,10 @@
 use linenthread_messages::{Accepted, Ballot, Record, Replica, Value};
 
 use crate::acceptor::Acceptor;
+use crate::epoch::Epoch;
 use crate::node_id::NodeId;
 use crate::order_log::OrderLog;
+use crate::value_number::ValueNumber;
 
 /// What the records on a disk add up to.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
@@ -14,11 +16,11 @@
     decided: Option<Value>,
     order_log: OrderLog,
     /// The number that `promised` and `accepted` belong to.
-    number: u64,
+    number: ValueNumber,
     promised: Option<Ballot>,
     accepted: Option<Accepted>,
     /// The greatest epoch of the leader lease that was voted for.
-    pub epoch: u64,
+    pub epoch: Epoch,
     /// The replicas as of the last record that lists them.
     pub replicas: Vec<Replica>,
 }
@@ -27,7 +29,7 @@
     /// Adds the next record, oldest first.
     pub fn add(&mut self, record: Record) {
         self.id = record.id.map(NodeId).or(self.id);
-        self.epoch = self.epoch.max(record.epoch);
+        self.epoch = self.epoch.max(Epoch::new(record.epoch));
         if !record.replicas.is_empty() {
             self.replicas = record.replicas;
         }
@@ -36,7 +38,8 @@
             self.add_decided(value);
         }
         if let Some(promised) = record.promised {
-            self.add_promise(record.number, promised, record.accepted);
+            let number = ValueNumber::new(record.number);
+            self.add_promise(number, promised, record.accepted);
         }
     }
 
@@ -51,7 +54,7 @@
         }
     }
 
-    fn add_promise(&mut self, number: u64, promised: Ballot, accepted: Option<Accepted>) {
+    fn add_promise(&mut self, number: ValueNumber, promised: Ballot, accepted: Option<Accepted>) {
         if number > self.number {
             (self.number, self.promised, self.accepted) = (number, None, None);
         }
@@ -67,13 +70,13 @@
             Record {
                 id: self.id.map(|NodeId(id)| id),
                 decided: self.decided.clone(),
-                epoch: self.epoch,
+                epoch: self.epoch.get(),
                 replicas: self.replicas.clone(),
                 order_log: self.order_log.iter().collect(),
                 ..Record::default()
             },
             Record {
-                number: self.number,
+                number: self.number.get(),
                 promised: self.promised,
                 accepted: self.accepted.clone(),
                 ..Record::default()
@@ -84,7 +87,9 @@
     /// The newest decided value, the order log, and the acceptor for the number after the value.
     pub(crate) fn into_parts(self, genesis: Option<Value>) -> (Option<Value>, OrderLog, Acceptor) {
         let decided = self.decided.or(genesis);
-        let next = decided.as_ref().map_or(0, |value| value.number + 1);
+        let next = decided
+            .as_ref()
+            .map_or(ValueNumber::FIRST, |value| ValueNumber::of(value).next());
         let acceptor = if self.number >= next {
             Acceptor::new(self.number, self.promised, self.accepted)
         } else {
@@ -93,8 +98,10 @@
         (decided, self.order_log, acceptor)
     }
 
-    /// Number of the newest decided value; 0 if none.
-    pub(crate) fn decided_number(&self) -> u64 {
-        self.decided.as_ref().map_or(0, |value| value.number)
+    /// Number of the newest decided value; [`ValueNumber::FIRST`] also if there is none.
+    pub(crate) fn decided_number(&self) -> ValueNumber {
+        self.decided
+            .as_ref()
+            .map_or(ValueNumber::FIRST, ValueNumber::of)
     }
 }
--- a/crates/linenthread-consensus/src/jobs.rs
+++ b/crates/linenthread-consensus/src/jobs.rs
@@ -2,6 +2,8 @@
 
 use linenthread_messages::Value;
 
+use crate::revision::Revision;
+
 /// Identifies a job to the caller that submitted it; chosen by that caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct JobId(pub u64);
@@ -11,9 +13,9 @@
 pub enum Outcome {
     /// The change is decided now, or was decided before; carries a revision of the configuration: the order's own,
     /// or the newest one where the change was no order.
-    Committed(u64),
+    Committed(Revision),
     /// The change is not decided and never will be; carries the newest revision of the configuration.
-    Conflict(u64),
+    Conflict(Revision),
     /// The newest value, as of a moment after the read was submitted.
     Newest(Value),
     /// It is not known whether the change is or will be decided, or which value is the newest: no majority of the
--- a/crates/linenthread-consensus/src/lease.rs
+++ b/crates/linenthread-consensus/src/lease.rs
@@ -6,44 +6,60 @@
 use linenthread_messages::{LeaseRelease, LeaseRequest, LeaseVote, Value, Voter};
 use linenthread_time::Instant;
 
+use crate::epoch::Epoch;
+use crate::incarnation::Incarnation;
 use crate::node_id::NodeId;
 use crate::timing::{LEASE_DURATION, LEASE_MARGIN, LEASE_MILLIS, LEASE_RENEWAL_INTERVAL};
+use crate::value_number::ValueNumber;
 
 /// The lease that this node holds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct HeldLease {
-    epoch: u64,
+    epoch: Epoch,
     expires_at: Instant,
     /// Number of the value whose voters granted it.
-    value_number: u64,
+    value_number: ValueNumber,
 }
 
 /// A vote of this node for a candidate.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct Grant {
     candidate: NodeId,
-    incarnation: u64,
-    epoch: u64,
+    incarnation: Incarnation,
+    epoch: Epoch,
     expires_at: Instant,
 }
 
 impl Grant {
-    fn is_for(&self, candidate: NodeId, incarnation: u64) -> bool {
+    fn is_for(&self, candidate: NodeId, incarnation: Incarnation) -> bool {
         (self.candidate, self.incarnation) == (candidate, incarnation)
     }
 }
 
+/// Tells this node's requests for the lease apart, within its incarnation: raised with each request. A vote repeats
+/// it, and counts for no other request.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
+struct RequestId(u64);
+
+impl RequestId {
+    fn next(self) -> RequestId {
+        RequestId(self.0 + 1)
+    }
+}
+
 /// This node's own request for the lease.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct OwnRequest {
-    request: LeaseRequest,
+    id: RequestId,
+    epoch: Epoch,
+    value_number: ValueNumber,
     sent_at: Instant,
 }
 
 /// The newest decided value, as far as the lease needs it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct NewestValue {
-    number: u64,
+    number: ValueNumber,
     voters: Vec<Voter>,
 }
 
@@ -59,26 +75,31 @@
 ///   candidates are majorities of the same voters.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct LeaderLease {
-    incarnation: u64,
+    incarnation: Incarnation,
     /// The last grant, which may have expired.
     grant: Option<Grant>,
     /// No grant before this: grants that this incarnation does not know of may last until then.
     grants_from: Instant,
     /// The greatest epoch that was granted, or that others are known to use.
-    epoch: u64,
+    epoch: Epoch,
     request: Option<OwnRequest>,
-    last_request_id: u64,
+    last_request_id: RequestId,
     granted_by: BTreeSet<NodeId>,
     held: Option<HeldLease>,
     /// The greatest epoch under which this node must not hold the lease again: it lost or released it.
-    retired_epoch: u64,
+    retired_epoch: Epoch,
     newest: NewestValue,
 }
 
 impl LeaderLease {
     /// A node that starts. `epoch` is the greatest one that its disk holds. Unless this is the very first start of
     /// all nodes (`is_genesis`), an earlier incarnation may have granted the lease: its grants must end first.
-    pub fn new(incarnation: u64, now: Instant, is_genesis: bool, epoch: u64) -> LeaderLease {
+    pub fn new(
+        incarnation: Incarnation,
+        now: Instant,
+        is_genesis: bool,
+        epoch: Epoch,
+    ) -> LeaderLease {
         LeaderLease {
             incarnation,
             grant: None,
@@ -89,19 +110,19 @@
             },
             epoch,
             request: None,
-            last_request_id: 0,
+            last_request_id: RequestId::default(),
             granted_by: BTreeSet::new(),
             held: None,
-            retired_epoch: 0,
+            retired_epoch: Epoch::NONE,
             newest: NewestValue {
-                number: 0,
+                number: ValueNumber::FIRST,
                 voters: Vec::new(),
             },
         }
     }
 
     /// The epoch under which this node holds the lease, if it does.
-    pub fn held_epoch(&self, now: Instant) -> Option<u64> {
+    pub fn held_epoch(&self, now: Instant) -> Option<Epoch> {
         self.held
             .filter(|held| now < held.expires_at)
             .map(|held| held.epoch)
@@ -109,7 +130,7 @@
 
     /// Whether this node holds the lease by the votes of the voters that the value of this number names. Only then may
     /// it change the voters (*one-holder-an-epoch*).
-    pub fn is_held_at(&self, now: Instant, value_number: u64) -> bool {
+    pub fn is_held_at(&self, now: Instant, value_number: ValueNumber) -> bool {
         self.held
             .is_some_and(|held| now < held.expires_at && held.value_number == value_number)
     }
@@ -120,7 +141,7 @@
         &mut self,
         now: Instant,
         is_candidate: bool,
-        value_number: u64,
+        value_number: ValueNumber,
     ) -> Option<LeaseRequest> {
         let holds = self.held_epoch(now).is_some();
         if !holds {
@@ -131,7 +152,7 @@
             return None;
         }
         let is_current = self.request.as_ref().is_some_and(|own| {
-            now < own.sent_at + LEASE_RENEWAL_INTERVAL && own.request.value_number == value_number
+            now < own.sent_at + LEASE_RENEWAL_INTERVAL && own.value_number == value_number
         });
         if is_current {
             return None;
@@ -147,34 +168,35 @@
         }
     }
 
-    fn start_request(&mut self, now: Instant, value_number: u64) -> LeaseRequest {
+    fn start_request(&mut self, now: Instant, value_number: ValueNumber) -> LeaseRequest {
         let epoch = self.epoch_to_request();
-        self.last_request_id += 1;
-        let request = LeaseRequest {
+        self.last_request_id = self.last_request_id.next();
+        self.request = Some(OwnRequest {
+            id: self.last_request_id,
             epoch,
-            request_id: self.last_request_id,
-            lease_ms: LEASE_MILLIS,
-            incarnation: self.incarnation,
             value_number,
-        };
-        self.request = Some(OwnRequest {
-            request: request.clone(),
             sent_at: now,
         });
         self.granted_by.clear();
-        request
+        LeaseRequest {
+            epoch: epoch.get(),
+            request_id: self.last_request_id.0,
+            lease_ms: LEASE_MILLIS,
+            incarnation: self.incarnation.get(),
+            value_number: value_number.get(),
+        }
     }
 
-    fn epoch_to_request(&self) -> u64 {
+    fn epoch_to_request(&self) -> Epoch {
         match (self.held, &self.request) {
             (Some(held), _) => held.epoch,
-            (None, Some(own)) if own.request.epoch > self.epoch => own.request.epoch,
-            _ => self.epoch.max(self.retired_epoch) + 1,
+            (None, Some(own)) if own.epoch > self.epoch => own.epoch,
+            _ => self.epoch.max(self.retired_epoch).next(),
         }
     }
 
     /// The greatest epoch that was granted. It must be synced to disk before a vote under a new epoch is sent.
-    pub fn epoch(&self) -> u64 {
+    pub fn epoch(&self) -> Epoch {
         self.epoch
     }
 
@@ -182,17 +204,17 @@
     /// the lease counts as granted at the new value: else orders in quick succession would keep the lease holder from
     /// changing the voters.
     pub fn on_decided(&mut self, value: &Value) {
-        let newest = &self.newest;
-        let same_voters = newest.number + 1 == value.number && newest.voters == value.voters;
+        let (newest, number) = (&self.newest, ValueNumber::of(value));
+        let same_voters = newest.number.next() == number && newest.voters == value.voters;
         if let Some(held) = self
             .held
             .as_mut()
             .filter(|held| same_voters && held.value_number == newest.number)
         {
-            held.value_number = value.number;
+            held.value_number = number;
         }
         self.newest = NewestValue {
-            number: value.number,
+            number,
             voters: value.voters.clone(),
         };
     }
@@ -200,7 +222,8 @@
     /// Whether the voters changed between the newest value and this one, in values that this node skips. It may have
     /// been removed and added again without noticing, and another node may hold the lease since.
     pub fn skips_voter_change(&self, value: &Value) -> bool {
-        value.number > self.newest.number + 1 && value.voters_since > self.newest.number
+        let voters_since = ValueNumber::new(value.voters_since);
+        ValueNumber::of(value) > self.newest.number.next() && voters_since > self.newest.number
     }
 
     /// A value with this epoch was decided: no lower epoch is granted from now on.
@@ -208,7 +231,7 @@
     /// A node that has become a voter anew (`is_new_voter`) does not know what the other voters granted so far. It
     /// grants nothing while that may last, not even to the candidate that it granted the lease to when it last was a
     /// voter: another one may have got the lease without it.
-    pub fn observe_epoch(&mut self, now: Instant, epoch: u64, is_new_voter: bool) {
+    pub fn observe_epoch(&mut self, now: Instant, epoch: Epoch, is_new_voter: bool) {
         self.epoch = self.epoch.max(epoch);
         if is_new_voter {
             self.grants_from = self.grants_from.max(now + LEASE_DURATION);
@@ -223,22 +246,24 @@
         now: Instant,
         from: NodeId,
         request: &LeaseRequest,
-        value_number: Option<u64>,
+        value_number: Option<ValueNumber>,
     ) -> LeaseVote {
-        let granted =
-            value_number == Some(request.value_number) && self.may_grant(now, from, request);
+        let epoch = Epoch::new(request.epoch);
+        let incarnation = Incarnation::new(request.incarnation);
+        let same_value = value_number == Some(ValueNumber::new(request.value_number));
+        let granted = same_value && self.may_grant(now, from, incarnation, epoch);
         if granted {
             let requested = Duration::from_millis(u64::from(request.lease_ms));
             self.grant = Some(Grant {
                 candidate: from,
-                incarnation: request.incarnation,
-                epoch: request.epoch,
+                incarnation,
+                epoch,
                 expires_at: now + requested.min(LEASE_DURATION),
             });
-            self.epoch = request.epoch;
+            self.epoch = epoch;
         }
         LeaseVote {
-            epoch: self.epoch,
+            epoch: self.epoch.get(),
             request_id: request.request_id,
             granted,
         }
@@ -247,19 +272,25 @@
     /// The candidate that has this node's grant may renew it, under a new epoch as well: else two candidates, each
     /// with some of the votes, would wait for each other's grants to expire again and again. A new incarnation of the
     /// candidate needs a new epoch.
-    fn may_grant(&self, now: Instant, from: NodeId, request: &LeaseRequest) -> bool {
+    fn may_grant(
+        &self,
+        now: Instant,
+        candidate: NodeId,
+        incarnation: Incarnation,
+        epoch: Epoch,
+    ) -> bool {
         if now < self.grants_from {
             return false;
         }
         let renews = self
             .grant
-            .is_some_and(|grant| grant.is_for(from, request.incarnation));
-        if renews && request.epoch >= self.epoch {
+            .is_some_and(|grant| grant.is_for(candidate, incarnation));
+        if renews && epoch >= self.epoch {
             return true;
         }
-        let same_candidate = self.grant.is_some_and(|grant| grant.candidate == from);
+        let same_candidate = self.grant.is_some_and(|grant| grant.candidate == candidate);
         let expired = self.grant.is_none_or(|grant| now >= grant.expires_at);
-        request.epoch > self.epoch && (same_candidate || expired)
+        epoch > self.epoch && (same_candidate || expired)
     }
 
     /// Counts a vote. Returns whether this node holds the lease from now on and did not before, or holds it now by
@@ -269,18 +300,17 @@
         now: Instant,
         from: NodeId,
         vote: &LeaseVote,
-        value_number: u64,
+        value_number: ValueNumber,
         is_majority: impl Fn(Vec<NodeId>) -> bool,
     ) -> bool {
-        let Some(OwnRequest { request, sent_at }) = &self.request else {
+        let Some(own) = &self.request else {
             return false;
         };
-        let expires_at = *sent_at + LEASE_DURATION.saturating_sub(LEASE_MARGIN);
+        let expires_at = own.sent_at + LEASE_DURATION.saturating_sub(LEASE_MARGIN);
         // The process may have been suspended since the request. A lease that has expired is not held again under the
         // same epoch.
         let expired = now >= expires_at || self.held.is_some_and(|held| now >= held.expires_at);
-        let is_current =
-            vote.request_id == request.request_id && request.value_number == value_number;
+        let is_current = RequestId(vote.request_id) == own.id && own.value_number == value_number;
         if !is_current || expired {
             return false;
         }
@@ -288,7 +318,7 @@
             self.on_denied(vote);
             return false;
         }
-        let epoch = request.epoch;
+        let epoch = own.epoch;
         self.granted_by.insert(from);
         if !is_majority(self.granted_by.iter().copied().collect()) {
             return false;
@@ -306,12 +336,13 @@
 
     /// A voter has granted a higher epoch: the next request uses one above it, and votes for the current one are void.
     fn on_denied(&mut self, vote: &LeaseVote) {
+        let granted_epoch = Epoch::new(vote.epoch);
         let is_outdated = self
             .request
             .as_ref()
-            .is_some_and(|own| vote.epoch >= own.request.epoch);
+            .is_some_and(|own| granted_epoch >= own.epoch);
         if self.held.is_none() && is_outdated {
-            self.epoch = self.epoch.max(vote.epoch);
+            self.epoch = self.epoch.max(granted_epoch);
             self.request = None;
         }
     }
@@ -320,14 +351,14 @@
     /// requested so far. Returns the message for all voters, this node included; none if it neither holds the lease
     /// nor has requested it.
     pub fn release(&mut self) -> Option<LeaseRelease> {
-        let requested = self.request.take().map(|own| own.request.epoch);
+        let requested = self.request.take().map(|own| own.epoch);
         let held = self.held.take().map(|held| held.epoch);
         let epoch = requested.max(held)?;
         self.granted_by.clear();
         self.retired_epoch = self.retired_epoch.max(epoch);
         Some(LeaseRelease {
-            epoch,
-            incarnation: self.incarnation,
+            epoch: epoch.get(),
+            incarnation: self.incarnation.get(),
         })
     }
 
@@ -341,13 +372,15 @@
     /// shorten the wait after a restart or after becoming a voter, which stands for grants that this incarnation does
     /// not know of.
     pub fn on_release(&mut self, from: NodeId, release: &LeaseRelease) -> bool {
-        let ended = self.grant.is_some_and(|grant| {
-            grant.is_for(from, release.incarnation) && grant.epoch <= release.epoch
-        });
+        let released = Epoch::new(release.epoch);
+        let incarnation = Incarnation::new(release.incarnation);
+        let ended = self
+            .grant
+            .is_some_and(|grant| grant.is_for(from, incarnation) && grant.epoch <= released);
         if ended {
             self.grant = None;
             // A request that was sent before the release, and arrives after it, must not be granted.
-            self.epoch = self.epoch.max(release.epoch);
+            self.epoch = self.epoch.max(released);
         }
         ended
     }
--- a/crates/linenthread-consensus/src/lib.rs
+++ b/crates/linenthread-consensus/src/lib.rs
@@ -28,6 +28,7 @@
 //! | `durability` | which decided values and orders are synced |
 //! | `durable_state` | what a disk holds, from its records |
 //! | `lease` | the leader lease |
+//! | `node_id`, `value_number`, `revision`, `epoch`, `incarnation` | what the numbers in messages and records are |
 //! | `timing` | time-outs and intervals, each with its reason |
 //!
 //! # Invariants
@@ -58,7 +59,9 @@
 mod durability;
 mod durable_state;
 mod effects;
+mod epoch;
 mod hash;
+mod incarnation;
 mod jobs;
 mod lease;
 mod node_id;
@@ -67,15 +70,21 @@
 mod proposer;
 mod reader;
 mod register;
+mod revision;
 mod round;
 mod timing;
+mod value_number;
 
 pub use change::{Change, document_digest};
 pub use durable_state::DurableState;
 pub use effects::{DeferredMessage, Effect};
+pub use epoch::Epoch;
 pub use hash::fnv1a_64;
+pub use incarnation::Incarnation;
 pub use jobs::{JobId, Outcome};
 pub use lease::LeaderLease;
 pub use node_id::NodeId;
 pub use order_log::{MAX_LOGGED_ORDERS, MAX_ORDERS_PER_MESSAGE, OrderLog};
 pub use register::Register;
+pub use revision::Revision;
+pub use value_number::ValueNumber;
--- a/crates/linenthread-consensus/src/order_log.rs
+++ b/crates/linenthread-consensus/src/order_log.rs
@@ -4,6 +4,8 @@
 
 use linenthread_messages::{DocumentDigest, OrderIdentity, OrderLogEntries, OrderLogRequest};
 
+use crate::revision::Revision;
+
 /// Number of the newest orders that are retained at least. One takes about 32 bytes on disk and 50 in memory.
 pub const MAX_LOGGED_ORDERS: usize = 65_536;
 
@@ -16,7 +18,7 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct Entry {
-    base: u64,
+    base: Revision,
     digest: DocumentDigest,
 }
 
@@ -38,20 +40,20 @@
 /// missing.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct OrderLog {
-    entries: BTreeMap<u64, Entry>,
+    entries: BTreeMap<Revision, Entry>,
     /// The newest accepted revision that this node knows of.
-    newest: u64,
-    /// The newest missing revision: above it the chain is complete. 0 if none is missing.
-    missing: u64,
+    newest: Revision,
+    /// The newest missing revision: above it the chain is complete. `None` if none is missing.
+    missing: Option<Revision>,
 }
 
 impl OrderLog {
     /// Adds an order, in any sequence; drops the oldest ones beyond the bound.
     pub fn insert(&mut self, order: &OrderIdentity) {
         self.entries.insert(
-            order.revision,
+            Revision::new(order.revision),
             Entry {
-                base: order.base,
+                base: Revision::new(order.base),
                 digest: order.digest,
             },
         );
@@ -89,47 +91,49 @@
 
     /// Whether no accepted order is missing, but for those that were dropped or that no voter has.
     pub fn is_complete(&self) -> bool {
-        self.missing == 0 || self.entries.len() >= MAX_LOGGED_ORDERS
+        self.missing.is_none() || self.entries.len() >= MAX_LOGGED_ORDERS
     }
 
     /// Judges an order whose revision is not above the newest accepted one.
     pub(crate) fn judge(&self, order: &OrderIdentity) -> OrderLogVerdict {
-        match self.entries.range(order.revision..).next() {
-            Some((revision, entry)) if *revision == order.revision => {
-                if (entry.base, entry.digest) == (order.base, order.digest) {
+        let revision = Revision::new(order.revision);
+        match self.entries.range(revision..).next() {
+            Some((found, entry)) if *found == revision => {
+                if (entry.base.get(), entry.digest) == (order.base, order.digest) {
                     OrderLogVerdict::Committed
                 } else {
                     OrderLogVerdict::NotCommitted
                 }
             }
             // The next accepted order builds on one below this revision, which was skipped.
-            Some((_, entry)) if entry.base < order.revision => OrderLogVerdict::NotCommitted,
+            Some((_, entry)) if entry.base < revision => OrderLogVerdict::NotCommitted,
             _ => OrderLogVerdict::Unknown,
         }
     }
 
     /// Notes the newest accepted revision, and finds the newest one that is missing below it.
-    pub(crate) fn link(&mut self, newest: u64) {
+    pub(crate) fn link(&mut self, newest: Revision) {
         let known = std::mem::replace(&mut self.newest, newest);
         if let Some(missing) = self.first_missing(newest, known) {
-            self.missing = missing;
+            self.missing = Some(missing);
         }
     }
 
     /// Follows the chain on from the missing revision, after orders were added.
     pub(crate) fn relink(&mut self) {
-        self.missing = self.first_missing(self.missing, 0).unwrap_or(0);
+        self.missing = self
+            .missing
+            .and_then(|missing| self.first_missing(missing, Revision::NONE));
     }
 
     /// No voter has the missing orders: the chain goes on with the next lower entry.
     pub(crate) fn give_up_missing(&mut self) {
-        let next = self.entries.range(..self.missing).next_back();
-        self.missing = next.map_or(0, |(revision, _)| *revision);
+        self.missing = self.missing.and_then(|missing| self.newest_below(missing));
         self.relink();
     }
 
     /// Follows the chain downwards from a revision; none if it is complete down to `until`.
-    fn first_missing(&self, from: u64, until: u64) -> Option<u64> {
+    fn first_missing(&self, from: Revision, until: Revision) -> Option<Revision> {
         let mut revision = from;
         while revision > until {
             match self.entries.get(&revision) {
@@ -140,27 +144,28 @@
         None
     }
 
+    /// The newest order in the log below a revision.
+    fn newest_below(&self, revision: Revision) -> Option<Revision> {
+        let (below, _) = self.entries.range(..revision).next_back()?;
+        Some(*below)
+    }
+
     /// The request for the newest missing orders; none if the log is complete.
     pub(crate) fn missing(&self) -> Option<OrderLogRequest> {
-        if self.is_complete() {
-            return None;
-        }
-        let above = self
-            .entries
-            .range(..self.missing)
-            .next_back()
-            .map_or(0, |(revision, _)| *revision);
+        let missing = self.missing.filter(|_| !self.is_complete())?;
+        let above = self.newest_below(missing).unwrap_or(Revision::NONE);
         Some(OrderLogRequest {
-            newest: self.missing,
-            above,
+            newest: missing.get(),
+            above: above.get(),
         })
     }
 
     /// The reply to another node's request.
     pub(crate) fn entries_for(&self, request: &OrderLogRequest) -> OrderLogEntries {
         let mut orders = Vec::new();
-        let mut revision = request.newest;
-        while revision > request.above && orders.len() < MAX_ORDERS_PER_MESSAGE {
+        let above = Revision::new(request.above);
+        let mut revision = Revision::new(request.newest);
+        while revision > above && orders.len() < MAX_ORDERS_PER_MESSAGE {
             let Some(entry) = self.entries.get(&revision) else {
                 break;
             };
@@ -174,10 +179,10 @@
     }
 }
 
-fn identity(revision: u64, entry: &Entry) -> OrderIdentity {
+fn identity(revision: Revision, entry: &Entry) -> OrderIdentity {
     OrderIdentity {
-        revision,
-        base: entry.base,
+        revision: revision.get(),
+        base: entry.base.get(),
         digest: entry.digest,
     }
 }
--- a/crates/linenthread-consensus/src/proposal.rs
+++ b/crates/linenthread-consensus/src/proposal.rs
@@ -6,7 +6,10 @@
 
 use crate::change::{Change, document_digest};
 use crate::decided_state::{DecidedState, Verdict};
+use crate::epoch::Epoch;
 use crate::jobs::{JobId, Outcome};
+use crate::revision::Revision;
+use crate::value_number::ValueNumber;
 
 /// How this node has learned that a value is decided.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -34,9 +37,9 @@
         document: Bytes,
     },
     Voters {
-        base_number: u64,
+        base_number: ValueNumber,
         voters: Vec<Voter>,
-        epoch: u64,
+        epoch: Epoch,
     },
     Completion,
 }
@@ -60,7 +63,7 @@
                 Verdict::Proposable => decided
                     .with_order(identity, document)
                     .ok_or(Outcome::Unknown),
-                Verdict::Committed => Err(Outcome::Committed(identity.revision)),
+                Verdict::Committed => Err(committed(identity)),
                 Verdict::Conflict => Err(Outcome::Conflict(revision)),
                 Verdict::Unknown => Err(Outcome::Unknown),
             },
@@ -89,7 +92,7 @@
             Proposal::Order { identity, .. } if learned == LearnedFrom::LocalRound => decided
                 .order_log()
                 .contains(identity)
-                .then_some(Outcome::Committed(identity.revision)),
+                .then(|| committed(identity)),
             Proposal::Voters { base_number, .. } if *base_number < decided.number() => {
                 Some(Outcome::Committed(decided.revision()))
             }
@@ -98,6 +101,11 @@
     }
 }
 
+/// The outcome of an order that was accepted.
+fn committed(identity: &OrderIdentity) -> Outcome {
+    Outcome::Committed(Revision::new(identity.revision))
+}
+
 impl From<Change> for Proposal {
     fn from(change: Change) -> Proposal {
         match change {
@@ -108,8 +116,8 @@
             } => {
                 let digest = document_digest(&document);
                 let identity = OrderIdentity {
-                    revision,
-                    base,
+                    revision: revision.get(),
+                    base: base.get(),
                     digest,
                 };
                 Proposal::Order {
--- a/crates/linenthread-consensus/src/proposer.rs
+++ b/crates/linenthread-consensus/src/proposer.rs
@@ -9,17 +9,19 @@
 use crate::change::Change;
 use crate::decided_state::DecidedState;
 use crate::effects::{Effect, send_to_all};
+use crate::incarnation::Incarnation;
 use crate::jobs::{JobId, Outcome};
 use crate::node_id::NodeId;
 use crate::proposal::{LearnedFrom, PendingChange};
 use crate::round::Round;
 use crate::timing::MAX_PENDING_JOBS;
+use crate::value_number::ValueNumber;
 
 /// The Paxos proposer of one node: at most one round at a time.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Proposer {
     /// Makes the ballots unique: no two incarnations of any nodes share it.
-    incarnation: u64,
+    incarnation: Incarnation,
     pending: VecDeque<PendingChange>,
     round: Option<Round>,
     backoff: Backoff,
@@ -30,12 +32,12 @@
 }
 
 impl Proposer {
-    pub(crate) fn new(incarnation: u64) -> Proposer {
+    pub(crate) fn new(incarnation: Incarnation) -> Proposer {
         Proposer {
             incarnation,
             pending: VecDeque::new(),
             round: None,
-            backoff: Backoff::new(incarnation),
+            backoff: Backoff::new(incarnation.get()),
             highest_round: 0,
             completion_requested: false,
         }
@@ -105,7 +107,7 @@
         self.highest_round += 1;
         let ballot = Ballot {
             round: self.highest_round,
-            proposer: self.incarnation,
+            proposer: self.incarnation.get(),
         };
         let round = Round::new(decided.next_number(), ballot, now);
         send_to_all(decided.voters(), &round.request(), effects);
@@ -187,7 +189,7 @@
         rejected: &Rejected,
         decided: &DecidedState,
     ) {
-        if rejected.number != decided.next_number() {
+        if ValueNumber::new(rejected.number) != decided.next_number() {
             return;
         }
         self.highest_round = self.highest_round.max(rejected.promised.round);
--- a/crates/linenthread-consensus/src/reader.rs
+++ b/crates/linenthread-consensus/src/reader.rs
@@ -7,9 +7,11 @@
 
 use crate::decided_state::DecidedState;
 use crate::effects::Effect;
+use crate::incarnation::Incarnation;
 use crate::jobs::{JobId, Outcome};
 use crate::node_id::NodeId;
 use crate::timing::{MAX_PENDING_JOBS, READ_RETRY_DELAY, RESEND_INTERVAL, ROUND_TIMEOUT};
+use crate::value_number::ValueNumber;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct PendingRead {
@@ -18,10 +20,26 @@
     deadline: Instant,
 }
 
+/// Tells read rounds apart: each incarnation of a node counts from a start of its own, so that a reply to an earlier
+/// incarnation confirms nothing.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
+struct ReadId(u64);
+
+impl ReadId {
+    /// Below the first round of an incarnation.
+    fn before_first(incarnation: Incarnation) -> ReadId {
+        ReadId(incarnation.get() >> 16 << 16)
+    }
+
+    fn next(self) -> ReadId {
+        ReadId(self.0 + 1)
+    }
+}
+
 /// One request to all voters, on behalf of the reads that were pending when it started.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct ReadRound {
-    read_id: u64,
+    id: ReadId,
     started_at: Instant,
     last_sent: Instant,
     reads: Vec<PendingRead>,
@@ -32,9 +50,7 @@
 impl ReadRound {
     /// Sends the request to the voters that have not replied yet.
     fn send(&self, decided: &DecidedState, effects: &mut Vec<Effect>) {
-        let message = PeerMessage::ReadRequest(ReadRequest {
-            read_id: self.read_id,
-        });
+        let message = PeerMessage::ReadRequest(ReadRequest { read_id: self.id.0 });
         let missing = decided
             .voter_ids()
             .filter(|id| !self.replies.contains_key(id));
@@ -63,18 +79,17 @@
 pub(crate) struct Reader {
     pending: Vec<PendingRead>,
     round: Option<ReadRound>,
-    /// Identity of the last round; each incarnation counts from another start.
-    last_read_id: u64,
+    last_read_id: ReadId,
     /// No round starts before this: an undecided value takes a while to be decided.
     not_before: Instant,
 }
 
 impl Reader {
-    pub(crate) fn new(incarnation: u64) -> Reader {
+    pub(crate) fn new(incarnation: Incarnation) -> Reader {
         Reader {
             pending: Vec::new(),
             round: None,
-            last_read_id: incarnation >> 16 << 16,
+            last_read_id: ReadId::before_first(incarnation),
             not_before: Instant::START,
         }
     }
@@ -120,9 +135,9 @@
     }
 
     fn start_round(&mut self, now: Instant, decided: &DecidedState, effects: &mut Vec<Effect>) {
-        self.last_read_id += 1;
+        self.last_read_id = self.last_read_id.next();
         let round = ReadRound {
-            read_id: self.last_read_id,
+            id: self.last_read_id,
             started_at: now,
             last_sent: now,
             reads: std::mem::take(&mut self.pending),
@@ -155,17 +170,18 @@
         decided: &DecidedState,
         effects: &mut Vec<Effect>,
     ) -> ReadProgress {
-        if reply.decided > decided.number() {
+        let reported = ValueNumber::new(reply.decided);
+        if reported > decided.number() {
             return ReadProgress::Lagging;
         }
         let Some(round) = self
             .round
             .as_mut()
-            .filter(|round| round.read_id == reply.read_id)
+            .filter(|round| round.id == ReadId(reply.read_id))
         else {
             return ReadProgress::Incomplete;
         };
-        let has_undecided = reply.pending && reply.decided == decided.number();
+        let has_undecided = reply.pending && reported == decided.number();
         round.replies.insert(from, has_undecided);
         if !decided.is_majority(round.replies.keys().copied()) {
             return ReadProgress::Incomplete;
--- a/crates/linenthread-consensus/src/register.rs
+++ b/crates/linenthread-consensus/src/register.rs
@@ -13,12 +13,14 @@
 use crate::durability::Durability;
 use crate::durable_state::DurableState;
 use crate::effects::{DeferredMessage, Effect};
+use crate::incarnation::Incarnation;
 use crate::jobs::{JobId, Outcome};
 use crate::node_id::NodeId;
 use crate::order_log::OrderLog;
 use crate::proposal::LearnedFrom;
 use crate::proposer::Proposer;
 use crate::reader::{ReadProgress, Reader};
+use crate::value_number::ValueNumber;
 
 /// One node's part in a register whose value is decided by a majority of the voters: proposer and reader, and acceptor
 /// if the node is a voter.
@@ -45,7 +47,7 @@
         id: NodeId,
         state: DurableState,
         genesis: Option<Value>,
-        incarnation: u64,
+        incarnation: Incarnation,
     ) -> Register {
         let durability = Durability::new(id, state.decided_number());
         let (value, order_log, acceptor) = state.into_parts(genesis);
@@ -107,8 +109,8 @@
         self.decided.order_log()
     }
 
-    /// Number of the newest decided value that is synced to this node's disk; 0 if none.
-    pub fn durable_number(&self) -> u64 {
+    /// Number of the newest decided value that is synced to this node's disk; [`ValueNumber::FIRST`] also if none is.
+    pub fn durable_number(&self) -> ValueNumber {
         self.durability.number()
     }
 
@@ -230,20 +232,21 @@
 
     /// Whether this node may vote on a number. Otherwise the sender is sent what it lacks, or asked for what this node
     /// lacks.
-    fn may_vote_on(&self, from: NodeId, number: u64, effects: &mut Vec<Effect>) -> bool {
+    fn may_vote_on(&self, from: NodeId, number: ValueNumber, effects: &mut Vec<Effect>) -> bool {
         let Some(value) = self.decided.value() else {
-            effects.push(catch_up_request(from, 0));
+            effects.push(catch_up_request(from, ValueNumber::FIRST));
             return false;
         };
-        if number <= value.number {
+        let newest = ValueNumber::of(value);
+        if number <= newest {
             effects.push(Effect::Send {
                 to: from,
                 message: PeerMessage::Decided(value.clone()),
             });
             return false;
         }
-        if number > value.number + 1 {
-            effects.push(catch_up_request(from, value.number));
+        if number > newest.next() {
+            effects.push(catch_up_request(from, newest));
             return false;
         }
         // A number below the acceptor's is decided, though the record of that value is lost: another node has it.
@@ -257,7 +260,7 @@
         request: &Prepare,
         effects: &mut Vec<Effect>,
     ) {
-        if !self.may_vote_on(from, request.number, effects) {
+        if !self.may_vote_on(from, ValueNumber::new(request.number), effects) {
             return;
         }
         let result = self.acceptor.on_prepare(request);
@@ -269,7 +272,7 @@
     }
 
     fn on_accept(&mut self, from: NodeId, request: Accept, effects: &mut Vec<Effect>) {
-        if !self.may_vote_on(from, request.value.number, effects) {
+        if !self.may_vote_on(from, ValueNumber::of(&request.value), effects) {
             return;
         }
         let result = self.acceptor.on_accept(request);
@@ -342,7 +345,7 @@
             return;
         }
         self.decided.adopt(value.clone());
-        self.acceptor.advance_to(value.number + 1);
+        self.acceptor.advance_to(self.decided.next_number());
         self.durability.persist_value(now, &value, effects);
         effects.push(Effect::Decided(value));
         self.reader.on_decided();
@@ -417,10 +420,12 @@
 }
 
 /// Asks a node for the values after the one of this number.
-fn catch_up_request(to: NodeId, number: u64) -> Effect {
+fn catch_up_request(to: NodeId, number: ValueNumber) -> Effect {
     Effect::Send {
         to,
-        message: PeerMessage::CatchUpRequest(CatchUpRequest { number }),
+        message: PeerMessage::CatchUpRequest(CatchUpRequest {
+            number: number.get(),
+        }),
     }
 }
 
--- a/crates/linenthread-consensus/src/round.rs
+++ b/crates/linenthread-consensus/src/round.rs
@@ -10,11 +10,12 @@
 use crate::decided_state::DecidedState;
 use crate::node_id::NodeId;
 use crate::timing::{RESEND_INTERVAL, ROUND_TIMEOUT};
+use crate::value_number::ValueNumber;
 
 /// A round under one ballot.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Round {
-    number: u64,
+    number: ValueNumber,
     ballot: Ballot,
     /// When the current phase began: each has the whole time-out, or disks that take a quarter of it would complete
     /// no round.
@@ -47,7 +48,7 @@
 
 impl Round {
     /// A round in its first phase.
-    pub(crate) fn new(number: u64, ballot: Ballot, now: Instant) -> Round {
+    pub(crate) fn new(number: ValueNumber, ballot: Ballot, now: Instant) -> Round {
         Round {
             number,
             ballot,
@@ -68,7 +69,7 @@
     pub(crate) fn request(&self) -> PeerMessage {
         match &self.phase {
             Phase::Prepare { .. } => PeerMessage::Prepare(Prepare {
-                number: self.number,
+                number: self.number.get(),
                 ballot: self.ballot,
             }),
             Phase::Accept { value, .. } => PeerMessage::Accept(Accept {
@@ -146,8 +147,9 @@
             .then(|| value.clone())
     }
 
+    /// Whether a reply that carries this number and ballot is one to this round.
     fn is_for(&self, number: u64, ballot: Ballot) -> bool {
-        (self.number, self.ballot) == (number, ballot)
+        (self.number, self.ballot) == (ValueNumber::new(number), ballot)
     }
 }
 
--- a/crates/linenthread-consensus/tests/consensus/acceptor.rs
+++ b/crates/linenthread-consensus/tests/consensus/acceptor.rs
@@ -1,6 +1,6 @@
 //! Who votes, on which numbers, and what a promise binds.
 
-use linenthread_consensus::{DurableState, Effect, NodeId, Register};
+use linenthread_consensus::{DurableState, Effect, Incarnation, NodeId, Register};
 use linenthread_messages::{Accept, Ballot, PeerMessage, Prepare, Record};
 use yare::parameterized;
 
@@ -103,7 +103,8 @@
         let state = restored(&records[..length]);
         let compacted = restored(&state.records());
         for state in [state, compacted] {
-            let mut restarted = Register::new(NodeId(1), state, Some(value(0)), 5);
+            let mut restarted =
+                Register::new(NodeId(1), state, Some(value(0)), Incarnation::new(5));
             let mut effects = Vec::new();
             restarted.on_message(at(0), NodeId(3), prepare(2, 8, 3), &mut effects);
             let is_complete = length == records.len();
@@ -136,7 +137,7 @@
 #[test]
 fn a_number_below_the_accepted_one_is_not_voted_on_again() {
     let state = restored(&records_without_value_1());
-    let mut register = Register::new(NodeId(1), state, Some(value(0)), 6);
+    let mut register = Register::new(NodeId(1), state, Some(value(0)), Incarnation::new(6));
     // Value 1 is decided; another one must not get this node's vote.
     assert!(!promises(&mut register, 1, 9));
     // Once it has value 1 again, its promise for value 2 still binds.
--- a/crates/linenthread-consensus/tests/consensus/cluster.rs
+++ b/crates/linenthread-consensus/tests/consensus/cluster.rs
@@ -4,7 +4,8 @@
 use std::time::Duration;
 
 use linenthread_consensus::{
-    Change, DeferredMessage, DurableState, Effect, JobId, NodeId, Outcome, Register,
+    Change, DeferredMessage, DurableState, Effect, Epoch, Incarnation, JobId, NodeId, Outcome,
+    Register, Revision, ValueNumber,
 };
 use linenthread_messages::{PeerMessage, Record, Value};
 use linenthread_time::Instant;
@@ -49,14 +50,24 @@
 /// An order whose document is this text.
 pub(crate) fn order(base: u64, revision: u64, document: &str) -> Change {
     Change::Document {
-        base,
-        revision,
+        base: Revision::new(base),
+        revision: Revision::new(revision),
         document: document.into(),
     }
 }
 
-fn incarnation(id: NodeId, count: u64) -> u64 {
-    id.0 * 1_000 + count
+/// The outcome of an order that was accepted under this revision.
+pub(crate) fn committed(revision: u64) -> Outcome {
+    Outcome::Committed(Revision::new(revision))
+}
+
+/// The outcome of an order that was rejected while this revision was the newest one.
+pub(crate) fn conflict(newest: u64) -> Outcome {
+    Outcome::Conflict(Revision::new(newest))
+}
+
+fn incarnation(id: NodeId, count: u64) -> Incarnation {
+    Incarnation::new(id.0 * 1_000 + count)
 }
 
 impl Cluster {
@@ -159,7 +170,7 @@
     pub(crate) fn commit_orders(&mut self, at: u64, revisions: std::ops::RangeInclusive<u64>) {
         for revision in revisions {
             let change = order(revision - 1, revision, &revision.to_string());
-            assert_eq!(self.order(at, change), Outcome::Committed(revision));
+            assert_eq!(self.order(at, change), committed(revision));
         }
     }
 
@@ -210,7 +221,8 @@
         );
         let new = node.id;
         let value = self.register(other).decided().expect("has one").clone();
-        let (on, epoch, mut voters) = (value.number, value.epoch, value.voters.clone());
+        let (base_number, epoch) = (ValueNumber::of(&value), Epoch::new(value.epoch));
+        let mut voters = value.voters.clone();
         let from = self.register(other).id();
         self.network.push_back(Message {
             from,
@@ -227,7 +239,7 @@
             self.order(
                 other,
                 Change::Voters {
-                    base_number: on,
+                    base_number,
                     voters,
                     epoch
                 }
--- a/crates/linenthread-consensus/tests/consensus/contention.rs
+++ b/crates/linenthread-consensus/tests/consensus/contention.rs
@@ -1,6 +1,9 @@
 //! Proposers that compete: how long one pauses after a rejection, and how much time a round has.
 
-use linenthread_consensus::{Change, DurableState, Effect, JobId, NodeId, Register};
+use linenthread_consensus::{
+    Change, DurableState, Effect, Epoch, Incarnation, JobId, NodeId, Register, Revision,
+    ValueNumber,
+};
 use linenthread_messages::{Accept, Ballot, PeerMessage, Prepare, Promise, Rejected, Value};
 
 use crate::fixtures::{self, at};
@@ -14,12 +17,24 @@
     }
 }
 
+/// The register of node 1; the incarnation seeds its random pauses.
+fn register(incarnation: u64) -> Register {
+    Register::new(
+        NodeId(1),
+        DurableState::default(),
+        Some(value(0)),
+        Incarnation::new(incarnation),
+    )
+}
+
 fn propose_other_voters(register: &mut Register, now: u64) -> Vec<Effect> {
-    let base_number = register.decided().map_or(0, |value| value.number);
+    let base_number = register
+        .decided()
+        .map_or(ValueNumber::FIRST, ValueNumber::of);
     let change = Change::Voters {
         base_number,
         voters: value(0).voters[..2].to_vec(),
-        epoch: 1,
+        epoch: Epoch::FIRST,
     };
     let mut effects = Vec::new();
     register.propose(at(now), JobId(now), change, at(now + 60_000), &mut effects);
@@ -27,10 +42,10 @@
 }
 
 fn propose_an_order(register: &mut Register, now: u64) -> Vec<Effect> {
-    let base = register.decided().map_or(0, |value| value.revision);
+    let base = register.decided().map_or(Revision::NONE, Revision::of);
     let change = Change::Document {
         base,
-        revision: base + 1_000,
+        revision: Revision::new(base.get() + 1_000),
         document: b"routes".to_vec(),
     };
     let mut effects = Vec::new();
@@ -76,7 +91,7 @@
 #[test]
 fn a_proposer_rejected_for_many_values_pauses_no_longer_than_after_one() {
     for seed in 1..100 {
-        let mut register = Register::new(NodeId(1), DurableState::default(), Some(value(0)), seed);
+        let mut register = register(seed);
         let mut now = 1_000;
         let mut ballot =
             started_round(&propose_an_order(&mut register, now)).expect("a round starts");
@@ -104,7 +119,7 @@
 
 #[test]
 fn each_phase_of_a_round_has_the_whole_time_out() {
-    let mut register = Register::new(NodeId(1), DurableState::default(), Some(value(0)), 7);
+    let mut register = register(7);
     let ballot =
         started_round(&propose_other_voters(&mut register, 1_000)).expect("a round starts");
     let mut effects = Vec::new();
@@ -144,7 +159,7 @@
 #[test]
 fn the_pause_follows_the_latency_of_the_voters() {
     let pause = |seed| {
-        let mut register = Register::new(NodeId(1), DurableState::default(), Some(value(0)), seed);
+        let mut register = register(seed);
         let ballot =
             started_round(&propose_an_order(&mut register, 1_000)).expect("a round starts");
         for from in [2, 3] {
@@ -177,7 +192,7 @@
 #[test]
 fn a_change_of_the_voters_hardly_pauses() {
     for seed in 1..50 {
-        let mut register = Register::new(NodeId(1), DurableState::default(), Some(value(0)), seed);
+        let mut register = register(seed);
         let mut now = 1_000;
         let mut ballot =
             started_round(&propose_other_voters(&mut register, now)).expect("a round starts");
@@ -205,7 +220,7 @@
         },
     };
     let voted = || {
-        let mut register = Register::new(NodeId(1), DurableState::default(), Some(value(0)), 7);
+        let mut register = register(7);
         register.on_message(
             at(1_000),
             NodeId(2),
--- a/crates/linenthread-consensus/tests/consensus/fixtures.rs
+++ b/crates/linenthread-consensus/tests/consensus/fixtures.rs
@@ -1,6 +1,6 @@
 //! Values, registers and instants that several tests start from.
 
-use linenthread_consensus::{DurableState, NodeId, Register};
+use linenthread_consensus::{DurableState, Epoch, Incarnation, NodeId, Register};
 use linenthread_messages::{LeaseRequest, LeaseVote, Value, Voter};
 use linenthread_time::Instant;
 
@@ -32,17 +32,21 @@
         NodeId(id),
         DurableState::default(),
         Some(value(0)),
-        incarnation,
+        Incarnation::new(incarnation),
     )
 }
 
 /// A request for the lease of 2 s at value 0.
-pub(crate) fn lease_request(incarnation: u64, epoch: u64, request_id: u64) -> LeaseRequest {
+pub(crate) fn lease_request(
+    incarnation: Incarnation,
+    epoch: Epoch,
+    request_id: u64,
+) -> LeaseRequest {
     LeaseRequest {
-        epoch,
+        epoch: epoch.get(),
         request_id,
         lease_ms: 2_000,
-        incarnation,
+        incarnation: incarnation.get(),
         value_number: 0,
     }
 }
--- a/crates/linenthread-consensus/tests/consensus/lease.rs
+++ b/crates/linenthread-consensus/tests/consensus/lease.rs
@@ -1,18 +1,24 @@
 //! Granting and holding the leader lease.
 
-use linenthread_consensus::{LeaderLease, NodeId};
+use linenthread_consensus::{Epoch, Incarnation, LeaderLease, NodeId, ValueNumber};
 use linenthread_messages::LeaseVote;
 use yare::parameterized;
 
 use crate::fixtures::{at, granted, lease_request};
 
+/// The incarnation of the node under test.
+const INCARNATION: Incarnation = Incarnation::new(9);
+
+/// The value that requests are at, where it makes no difference.
+const FIRST: ValueNumber = ValueNumber::FIRST;
+
 fn is_majority(ids: Vec<NodeId>) -> bool {
     ids.len() >= 2
 }
 
 /// A candidate of three voters, on the very first start.
 fn candidate() -> LeaderLease {
-    LeaderLease::new(9, at(0), true, 0)
+    LeaderLease::new(INCARNATION, at(0), true, Epoch::NONE)
 }
 
 #[parameterized(
@@ -33,106 +39,104 @@
     epoch: u64,
     granted: bool,
 ) {
-    let mut lease = LeaderLease::new(9, at(0), false, 0);
+    let mut lease = LeaderLease::new(INCARNATION, at(0), false, Epoch::NONE);
     if now > 5_000 {
-        lease.on_lease_request(at(5_000), NodeId(1), &lease_request(7, 1, 1), Some(0));
+        let earlier = lease_request(Incarnation::new(7), Epoch::FIRST, 1);
+        lease.on_lease_request(at(5_000), NodeId(1), &earlier, Some(FIRST));
     }
-    let vote = lease.on_lease_request(
-        at(now),
-        NodeId(from),
-        &lease_request(incarnation, epoch, 2),
-        Some(0),
-    );
+    let request = lease_request(Incarnation::new(incarnation), Epoch::new(epoch), 2);
+    let vote = lease.on_lease_request(at(now), NodeId(from), &request, Some(FIRST));
     assert_eq!(vote.granted, granted);
 }
 
 #[test]
 fn an_expired_lease_is_not_held_again_by_a_late_vote() {
     let mut lease = candidate();
-    let first = lease.tick(at(0), true, 0).expect("a request");
+    let first = lease.tick(at(0), true, FIRST).expect("a request");
     let vote = granted(&first);
-    assert!(!lease.on_lease_vote(at(1), NodeId(1), &vote, 0, is_majority));
-    assert!(lease.on_lease_vote(at(2), NodeId(2), &vote, 0, is_majority));
-    assert_eq!(lease.held_epoch(at(1_000)), Some(1));
+    assert!(!lease.on_lease_vote(at(1), NodeId(1), &vote, FIRST, is_majority));
+    assert!(lease.on_lease_vote(at(2), NodeId(2), &vote, FIRST, is_majority));
+    assert_eq!(lease.held_epoch(at(1_000)), Some(Epoch::FIRST));
     assert_eq!(lease.held_epoch(at(3_000)), None);
-    assert!(!lease.on_lease_vote(at(3_000), NodeId(3), &vote, 0, is_majority));
-    let next = lease.tick(at(3_000), true, 0).expect("a new request");
+    assert!(!lease.on_lease_vote(at(3_000), NodeId(3), &vote, FIRST, is_majority));
+    let next = lease.tick(at(3_000), true, FIRST).expect("a new request");
     assert!(next.epoch > first.epoch);
 }
 
 #[test]
 fn voters_are_changed_only_under_a_lease_of_the_newest_voters() {
     let mut lease = candidate();
-    let at_7 = lease.tick(at(0), true, 7).expect("a request");
-    lease.on_lease_vote(at(1), NodeId(1), &granted(&at_7), 7, is_majority);
+    let (seven, eight) = (ValueNumber::new(7), ValueNumber::new(8));
+    let at_7 = lease.tick(at(0), true, seven).expect("a request");
+    lease.on_lease_vote(at(1), NodeId(1), &granted(&at_7), seven, is_majority);
     assert!(
-        lease.on_lease_vote(at(2), NodeId(2), &granted(&at_7), 7, is_majority)
-            && lease.is_held_at(at(3), 7)
+        lease.on_lease_vote(at(2), NodeId(2), &granted(&at_7), seven, is_majority)
+            && lease.is_held_at(at(3), seven)
     );
     // The next value may name other voters: they are asked at once, and votes at the last value count no more.
-    assert!(lease.held_epoch(at(3)).is_some() && !lease.is_held_at(at(3), 8));
-    let at_8 = lease.tick(at(4), true, 8).expect("a new request");
-    lease.on_lease_vote(at(5), NodeId(1), &granted(&at_7), 8, is_majority);
-    assert!(!lease.on_lease_vote(at(5), NodeId(2), &granted(&at_7), 8, is_majority));
-    lease.on_lease_vote(at(6), NodeId(1), &granted(&at_8), 8, is_majority);
+    assert!(lease.held_epoch(at(3)).is_some() && !lease.is_held_at(at(3), eight));
+    let at_8 = lease.tick(at(4), true, eight).expect("a new request");
+    lease.on_lease_vote(at(5), NodeId(1), &granted(&at_7), eight, is_majority);
+    assert!(!lease.on_lease_vote(at(5), NodeId(2), &granted(&at_7), eight, is_majority));
+    lease.on_lease_vote(at(6), NodeId(1), &granted(&at_8), eight, is_majority);
     assert!(
-        lease.on_lease_vote(at(6), NodeId(2), &granted(&at_8), 8, is_majority)
-            && lease.is_held_at(at(7), 8)
+        lease.on_lease_vote(at(6), NodeId(2), &granted(&at_8), eight, is_majority)
+            && lease.is_held_at(at(7), eight)
     );
     assert_eq!(
         (at_8.epoch, lease.held_epoch(at(7))),
-        (at_7.epoch, Some(at_7.epoch))
+        (at_7.epoch, Some(Epoch::new(at_7.epoch)))
     );
 }
 
 #[test]
 fn votes_under_one_epoch_do_not_count_under_another() {
     let mut lease = candidate();
-    let first = lease.tick(at(0), true, 0).expect("a request");
+    let first = lease.tick(at(0), true, FIRST).expect("a request");
     let vote = granted(&first);
-    lease.on_lease_vote(at(1), NodeId(1), &vote, 0, is_majority);
+    lease.on_lease_vote(at(1), NodeId(1), &vote, FIRST, is_majority);
     let denied = LeaseVote {
         epoch: 6,
         granted: false,
         ..vote.clone()
     };
-    lease.on_lease_vote(at(2), NodeId(2), &denied, 0, is_majority);
-    assert!(!lease.on_lease_vote(at(3), NodeId(3), &vote, 0, is_majority));
-    let next = lease.tick(at(500), true, 0).expect("a new request");
+    lease.on_lease_vote(at(2), NodeId(2), &denied, FIRST, is_majority);
+    assert!(!lease.on_lease_vote(at(3), NodeId(3), &vote, FIRST, is_majority));
+    let next = lease.tick(at(500), true, FIRST).expect("a new request");
     assert_eq!((next.epoch, lease.held_epoch(at(500))), (7, None));
 }
 
 #[parameterized(
-    same_value = { Some(0), false, 1, true },
+    same_value = { Some(FIRST), false, 1, true },
     a_value_is_undecided = { None, false, 1, false },
-    another_value = { Some(1), false, 1, false },
-    a_new_voter = { Some(0), true, 1, false },
-    not_above_the_epoch_of_the_value = { Some(0), false, 0, false },
+    another_value = { Some(FIRST.next()), false, 1, false },
+    a_new_voter = { Some(FIRST), true, 1, false },
+    not_above_the_epoch_of_the_value = { Some(FIRST), false, 0, false },
 )]
 fn a_grant_waits_for_what_is_decided(
-    value_number: Option<u64>,
+    value_number: Option<ValueNumber>,
     is_new_voter: bool,
     above: u64,
     granted: bool,
 ) {
-    let mut lease = LeaderLease::new(9, at(0), false, 0);
-    lease.observe_epoch(at(5_000), 4, is_new_voter);
-    let request = lease_request(7, 4 + above, 1);
+    let mut lease = LeaderLease::new(INCARNATION, at(0), false, Epoch::NONE);
+    lease.observe_epoch(at(5_000), Epoch::new(4), is_new_voter);
+    let request = lease_request(Incarnation::new(7), Epoch::new(4 + above), 1);
     let vote = lease.on_lease_request(at(6_900), NodeId(1), &request, value_number);
     assert_eq!(vote.granted, granted);
     // Later it waits only for the same value on both sides, and for a higher epoch.
-    let vote = lease.on_lease_request(at(7_100), NodeId(1), &request, Some(0));
+    let vote = lease.on_lease_request(at(7_100), NodeId(1), &request, Some(FIRST));
     assert_eq!(vote.granted, above > 0);
 }
 
 #[test]
 fn votes_that_arrive_after_the_lease_would_have_ended_do_not_count() {
     let mut lease = candidate();
-    let request = lease.tick(at(0), true, 0).expect("a request");
+    let request = lease.tick(at(0), true, FIRST).expect("a request");
     let vote = granted(&request);
-    lease.on_lease_vote(at(1), NodeId(1), &vote, 0, is_majority);
+    lease.on_lease_vote(at(1), NodeId(1), &vote, FIRST, is_majority);
     // The process was suspended meanwhile.
-    lease.on_lease_vote(at(5_000), NodeId(2), &vote, 0, is_majority);
+    lease.on_lease_vote(at(5_000), NodeId(2), &vote, FIRST, is_majority);
     assert_eq!(lease.held_epoch(at(5_000)), None);
-    assert!(!lease.is_held_at(at(5_000), 0));
+    assert!(!lease.is_held_at(at(5_000), FIRST));
 }
--- a/crates/linenthread-consensus/tests/consensus/lease_release.rs
+++ b/crates/linenthread-consensus/tests/consensus/lease_release.rs
@@ -1,6 +1,6 @@
 //! A lease holder that shuts down: it holds nothing from then on, and its voters need not wait for their grants to end.
 
-use linenthread_consensus::{LeaderLease, NodeId};
+use linenthread_consensus::{Epoch, Incarnation, LeaderLease, NodeId, ValueNumber};
 use linenthread_messages::{LeaseRelease, LeaseRequest, Value};
 use yare::parameterized;
 
@@ -8,28 +8,33 @@
 
 const LEASE_HOLDER: u64 = 1;
 const OTHER: u64 = 2;
-const INCARNATION: u64 = 7;
+const INCARNATION: Incarnation = Incarnation::new(7);
+const OTHER_INCARNATION: Incarnation = Incarnation::new(8);
+const FIRST: ValueNumber = ValueNumber::FIRST;
 
-fn release(incarnation: u64, epoch: u64) -> LeaseRelease {
-    LeaseRelease { epoch, incarnation }
+fn release(incarnation: Incarnation, epoch: u64) -> LeaseRelease {
+    LeaseRelease {
+        epoch,
+        incarnation: incarnation.get(),
+    }
 }
 
 /// Whether a voter at value 0 grants the request.
 fn grants(voter: &mut LeaderLease, now: u64, from: u64, request: &LeaseRequest) -> bool {
     voter
-        .on_lease_request(at(now), NodeId(from), request, Some(0))
+        .on_lease_request(at(now), NodeId(from), request, Some(FIRST))
         .granted
 }
 
 /// A candidate on the very first start.
 fn candidate() -> LeaderLease {
-    LeaderLease::new(INCARNATION, at(0), true, 0)
+    LeaderLease::new(INCARNATION, at(0), true, Epoch::NONE)
 }
 
 /// A voter that granted the lease under epoch 3 at 5 s.
 fn voter() -> LeaderLease {
-    let mut voter = LeaderLease::new(9, at(0), false, 0);
-    let request = lease_request(INCARNATION, 3, 1);
+    let mut voter = LeaderLease::new(Incarnation::new(9), at(0), false, Epoch::NONE);
+    let request = lease_request(INCARNATION, Epoch::new(3), 1);
     assert!(grants(&mut voter, 5_000, LEASE_HOLDER, &request));
     voter
 }
@@ -38,12 +43,12 @@
     by_the_lease_holder = { LEASE_HOLDER, INCARNATION, 3, true },
     under_a_later_epoch = { LEASE_HOLDER, INCARNATION, 4, true },
     under_an_earlier_epoch = { LEASE_HOLDER, INCARNATION, 2, false },
-    of_another_incarnation = { LEASE_HOLDER, 6, 3, false },
+    of_another_incarnation = { LEASE_HOLDER, Incarnation::new(6), 3, false },
     by_another_node = { OTHER, INCARNATION, 3, false },
 )]
 fn a_release_frees_only_the_voters_of_that_lease_holder(
     from: u64,
-    incarnation: u64,
+    incarnation: Incarnation,
     epoch: u64,
     is_free: bool,
 ) {
@@ -53,7 +58,12 @@
         is_free
     );
     assert_eq!(
-        grants(&mut voter, 5_100, OTHER, &lease_request(8, 9, 1)),
+        grants(
+            &mut voter,
+            5_100,
+            OTHER,
+            &lease_request(OTHER_INCARNATION, Epoch::new(9), 1)
+        ),
         is_free
     );
 }
@@ -62,15 +72,15 @@
 fn a_request_that_arrives_after_the_release_is_not_granted() {
     let mut voter = voter();
     voter.on_release(NodeId(LEASE_HOLDER), &release(INCARNATION, 4));
-    let overtaken = lease_request(INCARNATION, 4, 2);
+    let overtaken = lease_request(INCARNATION, Epoch::new(4), 2);
     assert!(!grants(&mut voter, 5_100, LEASE_HOLDER, &overtaken));
 }
 
 #[test]
 fn a_new_voter_does_not_renew_its_earlier_grant() {
     let mut voter = voter();
-    voter.observe_epoch(at(9_000), 0, true);
-    let renewal = |request_id| lease_request(INCARNATION, 4, request_id);
+    voter.observe_epoch(at(9_000), Epoch::NONE, true);
+    let renewal = |request_id| lease_request(INCARNATION, Epoch::new(4), request_id);
     assert!(!grants(&mut voter, 10_900, LEASE_HOLDER, &renewal(2)));
     assert!(grants(&mut voter, 11_000, LEASE_HOLDER, &renewal(3)));
 }
@@ -98,46 +108,56 @@
 #[test]
 fn a_release_does_not_shorten_the_wait_of_a_new_voter() {
     let mut voter = voter();
-    voter.observe_epoch(at(5_050), 0, true);
+    voter.observe_epoch(at(5_050), Epoch::NONE, true);
     assert!(voter.on_release(NodeId(LEASE_HOLDER), &release(INCARNATION, 3)));
-    assert!(!grants(&mut voter, 5_100, OTHER, &lease_request(8, 9, 1)));
-    assert!(grants(&mut voter, 7_100, OTHER, &lease_request(8, 9, 2)));
+    assert!(!grants(
+        &mut voter,
+        5_100,
+        OTHER,
+        &lease_request(OTHER_INCARNATION, Epoch::new(9), 1)
+    ));
+    assert!(grants(
+        &mut voter,
+        7_100,
+        OTHER,
+        &lease_request(OTHER_INCARNATION, Epoch::new(9), 2)
+    ));
 }
 
 #[test]
 fn after_a_release_nothing_is_held_and_the_next_epoch_is_higher() {
     let mut lease = candidate();
-    let first = lease.tick(at(0), true, 0).expect("a request");
+    let first = lease.tick(at(0), true, FIRST).expect("a request");
     let is_majority = |ids: Vec<NodeId>| ids.len() >= 2;
     let vote = granted(&first);
-    lease.on_lease_vote(at(1), NodeId(LEASE_HOLDER), &vote, 0, is_majority);
+    lease.on_lease_vote(at(1), NodeId(LEASE_HOLDER), &vote, FIRST, is_majority);
     assert!(
-        lease.on_lease_vote(at(2), NodeId(OTHER), &vote, 0, is_majority)
+        lease.on_lease_vote(at(2), NodeId(OTHER), &vote, FIRST, is_majority)
             && lease.held_epoch(at(3)).is_some()
     );
     let released = lease.release().expect("a held lease");
     assert_eq!(released, release(INCARNATION, first.epoch));
     // Votes that were in flight do not bring it back.
     assert!(
-        !lease.on_lease_vote(at(4), NodeId(3), &vote, 0, is_majority)
+        !lease.on_lease_vote(at(4), NodeId(3), &vote, FIRST, is_majority)
             && lease.held_epoch(at(4)).is_none()
     );
     assert!(lease.release().is_none());
-    let next = lease.tick(at(6), true, 0).expect("a new request");
+    let next = lease.tick(at(6), true, FIRST).expect("a new request");
     assert!(next.epoch > released.epoch);
 }
 
 #[test]
 fn a_pending_request_is_released_as_well() {
     let mut lease = candidate();
-    let pending = lease.tick(at(0), true, 0).expect("a request");
+    let pending = lease.tick(at(0), true, FIRST).expect("a request");
     assert_eq!(
         lease.release().map(|release| release.epoch),
         Some(pending.epoch)
     );
     let vote = granted(&pending);
     assert!(
-        !lease.on_lease_vote(at(2), NodeId(OTHER), &vote, 0, |_| true)
+        !lease.on_lease_vote(at(2), NodeId(OTHER), &vote, FIRST, |_| true)
             && lease.held_epoch(at(2)).is_none()
     );
 }
@@ -145,9 +165,13 @@
 #[test]
 fn a_suspended_candidate_does_not_get_a_lease_that_has_ended() {
     let mut lease = candidate();
-    let pending = lease.tick(at(0), true, 0).expect("a request");
+    let pending = lease.tick(at(0), true, FIRST).expect("a request");
     // The driver would take this for a lease that begins.
-    assert!(!lease.on_lease_vote(at(20_000), NodeId(OTHER), &granted(&pending), 0, |_| true));
+    assert!(
+        !lease.on_lease_vote(at(20_000), NodeId(OTHER), &granted(&pending), FIRST, |_| {
+            true
+        })
+    );
     assert_eq!(lease.held_epoch(at(20_000)), None);
-    assert!(!lease.is_held_at(at(20_000), 0));
+    assert!(!lease.is_held_at(at(20_000), FIRST));
 }
--- a/crates/linenthread-consensus/tests/consensus/orders.rs
+++ b/crates/linenthread-consensus/tests/consensus/orders.rs
@@ -3,12 +3,13 @@
 use std::time::Duration;
 
 use linenthread_consensus::{
-    JobId, MAX_LOGGED_ORDERS, MAX_ORDERS_PER_MESSAGE, NodeId, OrderLog, Outcome, document_digest,
+    JobId, MAX_LOGGED_ORDERS, MAX_ORDERS_PER_MESSAGE, NodeId, OrderLog, Outcome, ValueNumber,
+    document_digest,
 };
 use linenthread_messages::{OrderIdentity, PeerMessage};
 use yare::parameterized;
 
-use crate::cluster::{Cluster, order};
+use crate::cluster::{Cluster, committed, conflict, order};
 
 /// As many orders as one long day brings.
 const LONG_DAY: u64 = 2_000;
@@ -24,32 +25,17 @@
 #[test]
 fn of_two_orders_under_one_revision_one_wins_at_each_node() {
     let mut cluster = Cluster::new(3);
-    assert_eq!(
-        cluster.order(1, order(0, 1, "first")),
-        Outcome::Committed(1)
-    );
+    assert_eq!(cluster.order(1, order(0, 1, "first")), committed(1));
     for at in 1..=3 {
-        assert_eq!(
-            cluster.order(at, order(0, 1, "second")),
-            Outcome::Conflict(1)
-        );
-        assert_eq!(
-            cluster.order(at, order(0, 1, "first")),
-            Outcome::Committed(1)
-        );
+        assert_eq!(cluster.order(at, order(0, 1, "second")), conflict(1));
+        assert_eq!(cluster.order(at, order(0, 1, "first")), committed(1));
     }
     cluster.commit_orders(2, 2..=100);
     cluster.restart_all();
     cluster.replace_disk(3);
     for at in 1..=3 {
-        assert_eq!(
-            cluster.order(at, order(0, 1, "second")),
-            Outcome::Conflict(100)
-        );
-        assert_eq!(
-            cluster.order(at, order(0, 1, "first")),
-            Outcome::Committed(1)
-        );
+        assert_eq!(cluster.order(at, order(0, 1, "second")), conflict(100));
+        assert_eq!(cluster.order(at, order(0, 1, "first")), committed(1));
     }
 }
 
@@ -61,10 +47,10 @@
 fn an_order_that_was_not_accepted_conflicts_long_after(change: linenthread_consensus::Change) {
     let mut cluster = Cluster::new(3);
     cluster.commit_orders(1, 1..=7);
-    assert_eq!(cluster.order(1, order(7, 9, "9")), Outcome::Committed(9));
+    assert_eq!(cluster.order(1, order(7, 9, "9")), committed(9));
     cluster.commit_orders(1, 10..=40);
     for at in 1..=3 {
-        assert_eq!(cluster.order(at, change.clone()), Outcome::Conflict(40));
+        assert_eq!(cluster.order(at, change.clone()), conflict(40));
     }
 }
 
@@ -73,19 +59,19 @@
     let mut cluster = Cluster::new(3);
     cluster.commit_orders(1, 1..=LONG_DAY + 1);
     for at in 1..=3 {
-        assert_eq!(cluster.order(at, order(0, 1, "1")), Outcome::Committed(1));
+        assert_eq!(cluster.order(at, order(0, 1, "1")), committed(1));
     }
     cluster.restart_all();
     for at in 1..=3 {
-        assert_eq!(cluster.order(at, order(0, 1, "1")), Outcome::Committed(1));
+        assert_eq!(cluster.order(at, order(0, 1, "1")), committed(1));
     }
     cluster.replace_disk(2);
-    assert_eq!(cluster.order(2, order(0, 1, "1")), Outcome::Committed(1));
+    assert_eq!(cluster.order(2, order(0, 1, "1")), committed(1));
     // And once more from that disk alone.
     cluster.restart(2);
     assert_eq!(
         cluster.order(2, order(999, 1_000, "1000")),
-        Outcome::Committed(1_000)
+        committed(1_000)
     );
 }
 
@@ -97,8 +83,8 @@
     cluster.lose(|_, to, message| to == NodeId(1) && matches!(message, PeerMessage::AcceptAck(_)));
     cluster.start_order(1, JobId(500), order(3, 4, "4"));
     cluster.lose(|_, _, _| false);
-    assert_eq!(cluster.order(3, order(3, 4, "4")), Outcome::Committed(4));
-    assert_eq!(cluster.outcome(JobId(500)), Some(Outcome::Committed(4)));
+    assert_eq!(cluster.order(3, order(3, 4, "4")), committed(4));
+    assert_eq!(cluster.outcome(JobId(500)), Some(committed(4)));
     assert_eq!(
         cluster.register(3).decided().map(|value| value.order_count),
         Some(4)
@@ -111,14 +97,8 @@
     cluster.lose(|_, to, message| to == NodeId(1) && matches!(message, PeerMessage::AcceptAck(_)));
     cluster.start_order(1, JobId(500), order(0, 1, "first"));
     cluster.lose(|_, _, _| false);
-    assert_eq!(
-        cluster.order(2, order(0, 1, "second")),
-        Outcome::Conflict(1)
-    );
-    assert_eq!(
-        cluster.order(3, order(0, 1, "first")),
-        Outcome::Committed(1)
-    );
+    assert_eq!(cluster.order(2, order(0, 1, "second")), conflict(1));
+    assert_eq!(cluster.order(3, order(0, 1, "first")), committed(1));
 }
 
 #[parameterized(accepted = { "1" }, conflicting = { "other" })]
@@ -137,28 +117,16 @@
     cluster.heal();
     // It learns the newest value, and gets no reply about the orders before the recent ones.
     cluster.lose(|_, _, message| matches!(message, PeerMessage::OrderLogEntries(_)));
-    assert_eq!(
-        cluster.order(3, order(99, 100, "100")),
-        Outcome::Committed(100)
-    );
+    assert_eq!(cluster.order(3, order(99, 100, "100")), committed(100));
     assert!(!cluster.register(3).order_log_complete());
     assert_eq!(cluster.order(3, order(39, 40, "40")), Outcome::Unknown);
     assert_eq!(cluster.order(3, order(39, 40, "other")), Outcome::Unknown);
-    assert_eq!(
-        cluster.order(3, order(94, 95, "other")),
-        Outcome::Conflict(100)
-    );
+    assert_eq!(cluster.order(3, order(94, 95, "other")), conflict(100));
     cluster.lose(|_, _, _| false);
     cluster.pass_time(Duration::from_secs(1));
     assert!(cluster.register(3).order_log_complete());
-    assert_eq!(
-        cluster.order(3, order(39, 40, "40")),
-        Outcome::Committed(40)
-    );
-    assert_eq!(
-        cluster.order(3, order(39, 40, "other")),
-        Outcome::Conflict(100)
-    );
+    assert_eq!(cluster.order(3, order(39, 40, "40")), committed(40));
+    assert_eq!(cluster.order(3, order(39, 40, "other")), conflict(100));
 }
 
 #[test]
@@ -166,10 +134,10 @@
     let mut cluster = Cluster::new(3);
     cluster.commit_orders(1, 1..=3);
     assert_eq!(cluster.order(2, order(4, 5, "5")), Outcome::Unknown);
-    assert_eq!(cluster.order(1, order(3, 4, "4")), Outcome::Committed(4));
-    assert_eq!(cluster.order(2, order(4, 5, "5")), Outcome::Committed(5));
+    assert_eq!(cluster.order(1, order(3, 4, "4")), committed(4));
+    assert_eq!(cluster.order(2, order(4, 5, "5")), committed(5));
     // One that can never be accepted is rejected at once.
-    assert_eq!(cluster.order(2, order(9, 9, "9")), Outcome::Conflict(5));
+    assert_eq!(cluster.order(2, order(9, 9, "9")), conflict(5));
 }
 
 #[test]
@@ -182,11 +150,17 @@
         cluster.register(3).order_log_complete(),
         "it has everything in memory"
     );
-    assert!(!cluster.register(3).is_fully_durable() && cluster.register(3).durable_number() == 0);
+    assert!(
+        !cluster.register(3).is_fully_durable()
+            && cluster.register(3).durable_number() == ValueNumber::FIRST
+    );
     assert!(!cluster.register(3).order_log_durable());
     cluster.sync_disk(3);
     assert!(cluster.register(3).is_fully_durable() && cluster.register(3).order_log_durable());
-    assert_eq!(cluster.register(3).durable_number(), LONG_DAY + 1);
+    assert_eq!(
+        cluster.register(3).durable_number(),
+        ValueNumber::new(LONG_DAY + 1)
+    );
 }
 
 #[test]
--- a/crates/linenthread-consensus/tests/consensus/reads.rs
+++ b/crates/linenthread-consensus/tests/consensus/reads.rs
@@ -1,7 +1,8 @@
 //! Reads beside undecided values and slow disks.
 
 use linenthread_consensus::{
-    Change, DeferredMessage, DurableState, Effect, JobId, NodeId, Outcome, Register,
+    Change, DeferredMessage, DurableState, Effect, Incarnation, JobId, NodeId, Outcome, Register,
+    Revision,
 };
 use linenthread_messages::{Accept, Ballot, PeerMessage, Value};
 
@@ -45,10 +46,15 @@
         voters: vec![voter(1)],
         ..Value::default()
     };
-    let mut register = Register::new(NodeId(1), DurableState::default(), Some(genesis), 5);
+    let mut register = Register::new(
+        NodeId(1),
+        DurableState::default(),
+        Some(genesis),
+        Incarnation::new(5),
+    );
     let change = Change::Document {
-        base: 0,
-        revision: 3,
+        base: Revision::NONE,
+        revision: Revision::new(3),
         document: "3".into(),
     };
     let (mut effects, mut requests, mut unsynced) = (Vec::new(), 0, Vec::new());
@@ -78,6 +84,6 @@
     register.on_message(at(5), NodeId(1), unsynced.remove(0), &mut effects);
     assert!(effects.contains(&Effect::Reply {
         job: JobId(1),
-        outcome: Outcome::Committed(3)
+        outcome: Outcome::Committed(Revision::new(3))
     }));
 }
--- a/crates/linenthread-consensus/tests/consensus/register.rs
+++ b/crates/linenthread-consensus/tests/consensus/register.rs
@@ -3,14 +3,15 @@
 use linenthread_consensus::{JobId, Outcome};
 use yare::parameterized;
 
+use crate::cluster::{committed, conflict};
 use crate::fixtures::at;
 use crate::trio::Trio;
 
 #[parameterized(
-    on_the_newest_revision = { 3, 5, Outcome::Committed(5) },
-    resubmitted = { 0, 3, Outcome::Committed(3) },
-    on_another_base = { 0, 5, Outcome::Conflict(3) },
-    not_above_the_newest_revision = { 3, 2, Outcome::Conflict(3) },
+    on_the_newest_revision = { 3, 5, committed(5) },
+    resubmitted = { 0, 3, committed(3) },
+    on_another_base = { 0, 5, conflict(3) },
+    not_above_the_newest_revision = { 3, 2, conflict(3) },
 )]
 fn a_change_is_committed_once_on_its_base(base: u64, revision: u64, outcome: Outcome) {
     let mut trio = Trio::new();
--- a/crates/linenthread-consensus/tests/consensus/suspension.rs
+++ b/crates/linenthread-consensus/tests/consensus/suspension.rs
@@ -1,6 +1,6 @@
 //! A process that was suspended: messages that waited for it meanwhile complete no job and no round.
 
-use linenthread_consensus::{Change, Effect, JobId, NodeId, Outcome, Register};
+use linenthread_consensus::{Change, Effect, JobId, NodeId, Outcome, Register, Revision};
 use linenthread_messages::{PeerMessage, Promise, ReadReply};
 use linenthread_time::Instant;
 
@@ -95,8 +95,8 @@
 fn a_change_past_its_deadline_goes_no_further() {
     let (mut register, mut effects) = (register(1, 77), Vec::new());
     let change = Change::Document {
-        base: 0,
-        revision: 1,
+        base: Revision::NONE,
+        revision: Revision::new(1),
         document: "1".into(),
     };
     register.propose(at(1_000), JobId(1), change, at(1_900), &mut effects);
--- a/crates/linenthread-consensus/tests/consensus/trio.rs
+++ b/crates/linenthread-consensus/tests/consensus/trio.rs
@@ -1,6 +1,8 @@
 //! Three registers whose messages arrive at once, and whose nodes do not announce decided values.
 
-use linenthread_consensus::{Change, DeferredMessage, Effect, JobId, NodeId, Outcome, Register};
+use linenthread_consensus::{
+    Change, DeferredMessage, Effect, JobId, NodeId, Outcome, Register, Revision,
+};
 use linenthread_messages::{PeerMessage, Record};
 
 use crate::fixtures::{at, register};
@@ -66,8 +68,8 @@
     pub(crate) fn order(&mut self, node: u64, job: u64, base: u64, revision: u64) {
         let mut effects = Vec::new();
         let change = Change::Document {
-            base,
-            revision,
+            base: Revision::new(base),
+            revision: Revision::new(revision),
             document: format!("{revision}").into(),
         };
         self.register(node)
--- a/crates/linenthread-control/src/config.rs
+++ b/crates/linenthread-control/src/config.rs
@@ -2,6 +2,8 @@
 
 use std::time::Duration;
 
+use linenthread_consensus::Incarnation;
+
 /// Identity and settings of one control node.
 #[derive(Clone, Debug)]
 pub struct NodeConfig {
@@ -10,7 +12,7 @@
     /// The failure domain that the node runs in.
     pub zone: String,
     /// Distinguishes this run of the process from all others.
-    pub incarnation: u64,
+    pub incarnation: Incarnation,
     /// `host:port` at which the node takes calls of replicas and operators; peers know it by this address.
     pub control_address: String,
     /// Whether the node may be made a voter.
--- a/crates/linenthread-control/src/control_node.rs
+++ b/crates/linenthread-control/src/control_node.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, VecDeque};
 
-use linenthread_consensus::{DurableState, LeaderLease, NodeId, Register};
+use linenthread_consensus::{DurableState, Epoch, LeaderLease, NodeId, Register, ValueNumber};
 use linenthread_messages::{IngressSession, PeerMessage, Value};
 use linenthread_time::Instant;
 
@@ -97,7 +97,8 @@
         self.voting.is_voter = self.is_voter();
         if let Some(value) = self.register.decided() {
             self.lease.on_decided(value);
-            self.lease.observe_epoch(now, value.epoch, false);
+            self.lease
+                .observe_epoch(now, Epoch::new(value.epoch), false);
         }
     }
 
@@ -112,7 +113,7 @@
     }
 
     /// The epoch under which this node holds the leader lease; `None` if it does not lead.
-    pub fn lease_epoch(&self, now: Instant) -> Option<u64> {
+    pub fn lease_epoch(&self, now: Instant) -> Option<Epoch> {
         self.lease.held_epoch(now)
     }
 
@@ -129,8 +130,10 @@
         self.shutdown_requested_at.is_some()
     }
 
-    /// Number of the newest value; 0 also if there is none.
-    pub(crate) fn value_number(&self) -> u64 {
-        self.register.decided().map_or(0, |value| value.number)
+    /// Number of the newest value; [`ValueNumber::FIRST`] also if there is none.
+    pub(crate) fn value_number(&self) -> ValueNumber {
+        self.register
+            .decided()
+            .map_or(ValueNumber::FIRST, ValueNumber::of)
     }
 }
--- a/crates/linenthread-control/src/event.rs
+++ b/crates/linenthread-control/src/event.rs
@@ -3,6 +3,7 @@
 use std::fmt;
 use std::time::Duration;
 
+use linenthread_consensus::{Epoch, Revision, ValueNumber};
 use linenthread_time::whole_millis;
 
 /// Something that an operator may want to see in the log. [`fmt::Display`] writes it as `key=value` pairs, the first
@@ -12,9 +13,9 @@
     /// A new value was decided, or learnt to be.
     ValueDecided {
         /// Number of the value.
-        number: u64,
+        number: ValueNumber,
         /// Revision of the configuration in it.
-        revision: u64,
+        revision: Revision,
         /// How many nodes vote on the next value.
         voters: usize,
     },
@@ -49,17 +50,17 @@
     /// The node holds the leader lease from now on.
     LeaseAcquired {
         /// Epoch of the lease.
-        epoch: u64,
+        epoch: Epoch,
     },
     /// The node gave the leader lease back.
     LeaseReleased {
         /// Epoch of the lease.
-        epoch: u64,
+        epoch: Epoch,
     },
     /// As the leader the node proposed other voters.
     VotersChanged {
         /// Number of the value that the change is based on.
-        based_on: u64,
+        based_on: ValueNumber,
         /// Control addresses of the proposed voters.
         voters: Vec<String>,
     },
--- a/crates/linenthread-control/src/heartbeats.rs
+++ b/crates/linenthread-control/src/heartbeats.rs
@@ -1,5 +1,6 @@
 //! Heartbeats with other control nodes and ingress nodes.
 
+use linenthread_consensus::ValueNumber;
 use linenthread_messages::{Heartbeat, PeerMessage};
 use linenthread_time::Instant;
 
@@ -8,11 +9,11 @@
 impl ControlNode {
     fn heartbeat(&self, now: Instant) -> Heartbeat {
         Heartbeat {
-            quota_request_or_value_number: self.value_number(),
+            quota_request_or_value_number: self.value_number().get(),
             has_quorum: self.has_quorum(now) && !self.is_shutting_down(),
             registry_digest: self.registry.digest(),
             revision: 0,
-            durable_value_number: self.durability.value_number(),
+            durable_value_number: self.durability.value_number().map(ValueNumber::get),
             sent_at: now.as_millis(),
             echoed_sent_at: None,
             leaving: self.is_shutting_down(),
--- a/crates/linenthread-control/src/ingress_nodes.rs
+++ b/crates/linenthread-control/src/ingress_nodes.rs
@@ -2,10 +2,12 @@
 
 use std::collections::BTreeMap;
 
-use linenthread_messages::{Hello, IngressSession, IngressUpdate, Replica, Value};
+use linenthread_consensus::{Incarnation, Revision};
+use linenthread_messages::{Hello, IngressSession, IngressUpdate, QuotaGrant, Replica, Value};
 use linenthread_time::Instant;
 
 use crate::address_book::AddressBook;
+use crate::change_log::ChangeLogOffset;
 use crate::timing::SESSION_TIMEOUT;
 use crate::{ChangeLog, ReplicaRegistry, SessionId};
 
@@ -23,14 +25,42 @@
     Confirmed,
 }
 
+/// One run of an ingress node: what a retry quota is granted to, since a restarted node does not know what it was
+/// granted before.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub struct IngressIncarnation {
+    /// The ingress node's name.
+    pub name: String,
+    /// Its incarnation.
+    pub incarnation: Incarnation,
+}
+
+impl From<&IngressSession> for IngressIncarnation {
+    fn from(session: &IngressSession) -> IngressIncarnation {
+        IngressIncarnation {
+            name: session.name.clone(),
+            incarnation: Incarnation::new(session.incarnation),
+        }
+    }
+}
+
+impl From<&QuotaGrant> for IngressIncarnation {
+    fn from(grant: &QuotaGrant) -> IngressIncarnation {
+        IngressIncarnation {
+            name: grant.name.clone(),
+            incarnation: Incarnation::new(grant.incarnation),
+        }
+    }
+}
+
 /// A session with an ingress node.
 pub(crate) struct IngressPeer {
     pub(crate) hello: Hello,
     pub(crate) last_received_at: Instant,
     /// The newest revision that was sent to it, or that it came with.
-    sent_revision: u64,
+    sent_revision: Revision,
     /// Offset in the change log up to which it was sent everything; `None` if it needs the whole registry.
-    sent_offset: Option<u64>,
+    sent_offset: Option<ChangeLogOffset>,
     /// Version of the address book that it was sent.
     addresses_version: u64,
     confirmation: Confirmation,
@@ -94,7 +124,7 @@
 /// All sessions with ingress nodes, and the log of changes that they follow.
 pub(crate) struct IngressNodes {
     /// The control node's incarnation, which identifies its change log.
-    change_log_id: u64,
+    change_log_id: Incarnation,
     peers: BTreeMap<SessionId, IngressPeer>,
     /// Sessions that other control nodes have, by this node's session with each of those.
     remote: BTreeMap<SessionId, Vec<IngressSession>>,
@@ -102,7 +132,7 @@
 }
 
 impl IngressNodes {
-    pub(crate) fn new(incarnation: u64) -> IngressNodes {
+    pub(crate) fn new(incarnation: Incarnation) -> IngressNodes {
         IngressNodes {
             change_log_id: incarnation,
             peers: BTreeMap::new(),
@@ -112,11 +142,12 @@
     }
 
     pub(crate) fn open(&mut self, now: Instant, session: SessionId, hello: Hello) {
-        let follows_this_log = hello.change_log_id == self.change_log_id;
+        let follows_this_log = hello.change_log_id == self.change_log_id.get();
+        let reached_offset = ChangeLogOffset::new(hello.change_log_offset);
         let peer = IngressPeer {
             last_received_at: now,
-            sent_revision: hello.value_number,
-            sent_offset: follows_this_log.then_some(hello.change_log_offset),
+            sent_revision: Revision::new(hello.value_number),
+            sent_offset: follows_this_log.then_some(reached_offset),
             addresses_version: 0,
             confirmation: Confirmation::Missing,
             sent_confirmed: false,
@@ -166,10 +197,13 @@
     }
 
     /// The session with one incarnation of an ingress node.
-    pub(crate) fn session_with(&self, name: &str, incarnation: u64) -> Option<SessionId> {
+    pub(crate) fn session_with(&self, ingress: &IngressIncarnation) -> Option<SessionId> {
+        let is_for = |hello: &Hello| {
+            hello.name == ingress.name && Incarnation::new(hello.incarnation) == ingress.incarnation
+        };
         self.peers
             .iter()
-            .find(|(_, peer)| peer.hello.name == name && peer.hello.incarnation == incarnation)
+            .find(|(_, peer)| is_for(&peer.hello))
             .map(|(session, _)| *session)
     }
 
@@ -234,7 +268,7 @@
         let confirmed = peer.is_confirmed();
         let value = source
             .decided
-            .filter(|value| confirmed && value.revision > peer.sent_revision)
+            .filter(|value| confirmed && Revision::of(value) > peer.sent_revision)
             .cloned();
         let newly_confirmed = confirmed && !peer.sent_confirmed;
         let new_addresses = peer.addresses_version != source.address_book.version();
@@ -243,14 +277,14 @@
             return None;
         }
         if let Some(value) = &value {
-            peer.sent_revision = value.revision;
+            peer.sent_revision = Revision::of(value);
         }
         peer.sent_offset = Some(offset);
         peer.sent_confirmed = confirmed;
         peer.addresses_version = source.address_book.version();
         Some(IngressUpdate {
-            change_log_id: self.change_log_id,
-            change_log_offset: offset,
+            change_log_id: self.change_log_id.get(),
+            change_log_offset: offset.get(),
             complete,
             replicas,
             value,
--- a/crates/linenthread-control/src/ingress_updates.rs
+++ b/crates/linenthread-control/src/ingress_updates.rs
@@ -79,10 +79,7 @@
     /// Forwards to the ingress nodes with a session here the grants that are theirs.
     pub(crate) fn forward_quota_grants(&self, grants: QuotaGrants, effects: &mut Vec<Effect>) {
         for grant in grants.grants {
-            let Some(session) = self
-                .ingress_nodes
-                .session_with(&grant.name, grant.incarnation)
-            else {
+            let Some(session) = self.ingress_nodes.session_with(&(&grant).into()) else {
                 continue;
             };
             let message = PeerMessage::QuotaGrants(QuotaGrants {
--- a/crates/linenthread-control/src/leader_lease.rs
+++ b/crates/linenthread-control/src/leader_lease.rs
@@ -1,6 +1,6 @@
 //! The leader lease of this node, and its vote for that of another.
 
-use linenthread_consensus::{DeferredMessage, NodeId};
+use linenthread_consensus::{DeferredMessage, Epoch, NodeId};
 use linenthread_messages::{LeaseRelease, LeaseRequest, LeaseVote, PeerMessage, Record};
 use linenthread_time::Instant;
 
@@ -68,7 +68,7 @@
             self.drive_register(now, |_, _| {}, effects);
         } else {
             let record = Record {
-                epoch,
+                epoch: epoch.get(),
                 ..Record::default()
             };
             let vote = DeferredMessage {
@@ -124,7 +124,7 @@
             return;
         };
         effects.push(Effect::Log(ControlEvent::LeaseReleased {
-            epoch: release.epoch,
+            epoch: Epoch::new(release.epoch),
         }));
         let voter_ids: Vec<NodeId> = self.register.voters().iter().map(NodeId::from).collect();
         for voter_id in voter_ids {
--- a/crates/linenthread-control/src/lib.rs
+++ b/crates/linenthread-control/src/lib.rs
@@ -59,12 +59,13 @@
 mod timing;
 mod voters;
 
-pub use change_log::ChangeLog;
+pub use change_log::{ChangeLog, ChangeLogOffset};
 pub use config::NodeConfig;
 pub use control_node::ControlNode;
 pub use effect::Effect;
 pub use event::ControlEvent;
 pub use ids::{CallId, SessionId};
+pub use ingress_nodes::IngressIncarnation;
 pub use replica_registry::{
     HeartbeatOutcome, RegisteredReplica, ReplicaHeartbeat, ReplicaPhase, ReplicaRegistry,
 };
@@ -74,4 +75,6 @@
 pub use timing::CONTACT_TIMEOUT;
 
 // Types of the consensus that this interface is made of.
-pub use linenthread_consensus::{DeferredMessage, NodeId};
+pub use linenthread_consensus::{
+    DeferredMessage, Epoch, Incarnation, NodeId, Revision, ValueNumber,
+};
--- a/crates/linenthread-control/src/membership.rs
+++ b/crates/linenthread-control/src/membership.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-use linenthread_consensus::NodeId;
+use linenthread_consensus::{NodeId, ValueNumber};
 use linenthread_messages::{Heartbeat, Hello, Voter};
 use linenthread_time::Instant;
 
@@ -24,9 +24,9 @@
     /// The peer is itself in contact with a majority of the voters.
     pub(crate) has_quorum: bool,
     /// Number of the newest value that the peer is known to have, in memory.
-    pub(crate) value_number: u64,
+    pub(crate) value_number: ValueNumber,
     /// Number of the newest value up to which the peer's disk holds everything.
-    pub(crate) durable_value_number: Option<u64>,
+    pub(crate) durable_value_number: Option<ValueNumber>,
     pub(crate) shutting_down: bool,
     /// The peer leads, and is about to change the voters.
     pub(crate) reconfiguring: bool,
@@ -48,7 +48,7 @@
         ControlPeer {
             last_received_at: now,
             has_quorum: false,
-            value_number: hello.value_number,
+            value_number: ValueNumber::new(hello.value_number),
             durable_value_number: None,
             shutting_down: false,
             reconfiguring: false,
@@ -77,10 +77,11 @@
         NodeId(self.hello.node_id)
     }
 
-    /// Whether the peer lacks the value of this number. The number of the first value of all is also the one that
-    /// stands for none.
-    pub(crate) fn lacks(&self, value_number: u64) -> bool {
-        self.value_number < value_number || value_number == 0 && self.durable_value_number.is_none()
+    /// Whether the peer lacks the value of this number. That of the first value of all also stands for none.
+    pub(crate) fn lacks(&self, value_number: ValueNumber) -> bool {
+        let may_have_none =
+            value_number == ValueNumber::FIRST && self.durable_value_number.is_none();
+        self.value_number < value_number || may_have_none
     }
 }
 
@@ -106,7 +107,7 @@
     /// By control address.
     last_contacts: BTreeMap<String, LastContact>,
     /// Nodes that ended after a graceful shutdown, and the newest value that the disk of each held.
-    departed: BTreeMap<NodeId, u64>,
+    departed: BTreeMap<NodeId, ValueNumber>,
 }
 
 impl Membership {
@@ -219,10 +220,9 @@
         let peer = self.peers.get_mut(&session)?;
         let begins_shutdown = heartbeat.leaving && !peer.shutting_down;
         peer.has_quorum = heartbeat.has_quorum;
-        peer.value_number = heartbeat.quota_request_or_value_number;
-        peer.durable_value_number = peer
-            .durable_value_number
-            .max(heartbeat.durable_value_number);
+        peer.value_number = ValueNumber::new(heartbeat.quota_request_or_value_number);
+        let durable = heartbeat.durable_value_number.map(ValueNumber::new);
+        peer.durable_value_number = peer.durable_value_number.max(durable);
         peer.shutting_down = heartbeat.leaving;
         peer.reconfiguring = heartbeat.reconfiguring;
         // A heartbeat that the peer received was sent before now, whatever the peer says.
@@ -258,7 +258,7 @@
     }
 
     /// The newest value that the disk of a departed node held.
-    pub(crate) fn departed(&self, node_id: NodeId) -> Option<u64> {
+    pub(crate) fn departed(&self, node_id: NodeId) -> Option<ValueNumber> {
         self.departed.get(&node_id).copied()
     }
 
@@ -266,7 +266,7 @@
     pub(crate) fn candidates(
         &self,
         now: Instant,
-        value_number: Option<u64>,
+        value_number: Option<ValueNumber>,
     ) -> impl Iterator<Item = Voter> {
         self.contacts(now)
             .filter(move |peer| {
--- a/crates/linenthread-control/src/operator_calls.rs
+++ b/crates/linenthread-control/src/operator_calls.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use linenthread_consensus::Change;
+use linenthread_consensus::{Change, Revision};
 use linenthread_time::Instant;
 
 use crate::pending_jobs::JobOwner;
@@ -18,8 +18,8 @@
         &mut self,
         now: Instant,
         call: CallId,
-        base: u64,
-        revision: u64,
+        base: Revision,
+        revision: Revision,
         document: Vec<u8>,
         effects: &mut Vec<Effect>,
     ) {
--- a/crates/linenthread-control/src/own_durability.rs
+++ b/crates/linenthread-control/src/own_durability.rs
@@ -1,5 +1,6 @@
 //! How much of what a control node knows its own disk holds, and how the others learn of it.
 
+use linenthread_consensus::{Epoch, ValueNumber};
 use linenthread_messages::{DurableProgress, PeerMessage};
 use linenthread_time::Instant;
 
@@ -8,14 +9,14 @@
 /// What the node's own disk is known to hold.
 pub(crate) struct OwnDurability {
     /// Number of the newest value up to which the disk holds everything.
-    value_number: Option<u64>,
+    value_number: Option<ValueNumber>,
     /// The newest epoch that the disk holds.
-    epoch: u64,
+    epoch: Epoch,
 }
 
 impl OwnDurability {
     /// As a start finds it: the epoch is durable; the values are once the register says so.
-    pub(crate) fn new(epoch: u64) -> OwnDurability {
+    pub(crate) fn new(epoch: Epoch) -> OwnDurability {
         OwnDurability {
             value_number: None,
             epoch,
@@ -23,22 +24,22 @@
     }
 
     /// Number of the newest value up to which the disk holds everything.
-    pub(crate) fn value_number(&self) -> Option<u64> {
+    pub(crate) fn value_number(&self) -> Option<ValueNumber> {
         self.value_number
     }
 
     /// Whether the disk holds an epoch.
-    pub(crate) fn holds_epoch(&self, epoch: u64) -> bool {
+    pub(crate) fn holds_epoch(&self, epoch: Epoch) -> bool {
         epoch <= self.epoch
     }
 
     /// An epoch was synced.
-    pub(crate) fn on_epoch_synced(&mut self, epoch: u64) {
+    pub(crate) fn on_epoch_synced(&mut self, epoch: Epoch) {
         self.epoch = self.epoch.max(epoch);
     }
 
     /// Takes in up to which value the disk holds everything; whether that is news.
-    fn advance(&mut self, value_number: Option<u64>) -> bool {
+    fn advance(&mut self, value_number: Option<ValueNumber>) -> bool {
         let is_news = value_number > self.value_number;
         if is_news {
             self.value_number = value_number;
@@ -58,8 +59,8 @@
             return;
         }
         let message = PeerMessage::DurableProgress(DurableProgress {
-            value_number,
-            epoch: 0,
+            value_number: value_number.map(ValueNumber::get),
+            epoch: Epoch::NONE.get(),
         });
         for (session, _) in self.membership.iter() {
             effects.push(Effect::Send {
@@ -78,7 +79,8 @@
         progress: &DurableProgress,
     ) {
         if let Some(peer) = self.membership.get_mut(session) {
-            peer.durable_value_number = peer.durable_value_number.max(progress.value_number);
+            let durable = progress.value_number.map(ValueNumber::new);
+            peer.durable_value_number = peer.durable_value_number.max(durable);
         }
         self.expedite_voter_change(now);
     }
--- a/crates/linenthread-control/src/pending_drains.rs
+++ b/crates/linenthread-control/src/pending_drains.rs
@@ -8,11 +8,32 @@
 use crate::timing::CALL_TIMEOUT;
 use crate::{CallId, Response, UnavailableReason};
 
+/// Names an update that the other control nodes are to acknowledge, among those of this node's incarnation: counted
+/// from 1. Acknowledgements of another update do not count.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub(crate) struct UpdateId(u64);
+
+impl UpdateId {
+    /// The id that an acknowledgement carries.
+    pub(crate) fn new(number: u64) -> UpdateId {
+        UpdateId(number)
+    }
+
+    /// The number that messages carry; 0 there is an update that is not acknowledged.
+    pub(crate) fn get(self) -> u64 {
+        self.0
+    }
+
+    fn next(self) -> UpdateId {
+        UpdateId(self.0 + 1)
+    }
+}
+
 struct PendingDrain {
     call: CallId,
     replica_id: String,
     /// Id of the update that was sent to the other control nodes.
-    update_id: u64,
+    update_id: UpdateId,
     deadline: Instant,
     /// Ids of the nodes that acknowledged the update.
     acknowledged_by: BTreeSet<NodeId>,
@@ -24,7 +45,7 @@
     /// The oldest first.
     pending: Vec<PendingDrain>,
     known_by_majority: BTreeSet<String>,
-    last_update_id: u64,
+    last_update_id: UpdateId,
 }
 
 impl PendingDrains {
@@ -55,8 +76,8 @@
         call: CallId,
         replica_id: &str,
         own_id: NodeId,
-    ) -> u64 {
-        self.last_update_id += 1;
+    ) -> UpdateId {
+        self.last_update_id = self.last_update_id.next();
         self.pending.push(PendingDrain {
             call,
             replica_id: replica_id.to_owned(),
@@ -68,7 +89,7 @@
     }
 
     /// A node acknowledged an update.
-    pub(crate) fn on_ack(&mut self, node_id: NodeId, update_id: u64) {
+    pub(crate) fn on_ack(&mut self, node_id: NodeId, update_id: UpdateId) {
         let drain = self
             .pending
             .iter_mut()
--- a/crates/linenthread-control/src/quota_allocator.rs
+++ b/crates/linenthread-control/src/quota_allocator.rs
@@ -2,11 +2,12 @@
 
 use std::collections::BTreeMap;
 
+use linenthread_consensus::Epoch;
 use linenthread_messages::{IngressSession, QuotaGrant};
 use linenthread_time::{Instant, whole_millis};
 
-use crate::RetryBudget;
 use crate::retry_budget::GRANT_LIFETIME;
+use crate::{IngressIncarnation, RetryBudget};
 
 /// The grants under the leases that this node held.
 pub(crate) struct QuotaAllocator {
@@ -14,9 +15,9 @@
     /// The whole system started for the first time with this process.
     is_genesis: bool,
     /// The epoch under which this process last held the lease.
-    last_epoch: Option<u64>,
-    /// By name and incarnation of an ingress node: its quota request that was last granted.
-    granted_requests: BTreeMap<(String, u64), u64>,
+    last_epoch: Option<Epoch>,
+    /// The quota request of each ingress node that was last granted, by the ingress node's count.
+    granted_requests: BTreeMap<IngressIncarnation, u64>,
 }
 
 impl QuotaAllocator {
@@ -31,9 +32,10 @@
 
     /// This node leads from now on. If it led under the epoch just before, nobody led in between: its own grants are
     /// all there are.
-    pub(crate) fn on_lease_acquired(&mut self, now: Instant, epoch: u64) {
-        if self.last_epoch != Some(epoch - 1) {
-            self.budget.begin(now, self.is_genesis && epoch == 1);
+    pub(crate) fn on_lease_acquired(&mut self, now: Instant, epoch: Epoch) {
+        if self.last_epoch.map(Epoch::next) != Some(epoch) {
+            let is_first_leader = self.is_genesis && epoch == Epoch::FIRST;
+            self.budget.begin(now, is_first_leader);
         }
         self.last_epoch = Some(epoch);
         self.granted_requests.clear();
@@ -43,37 +45,35 @@
     pub(crate) fn allocate(
         &mut self,
         now: Instant,
-        epoch: u64,
+        epoch: Epoch,
         ingress_nodes: &BTreeMap<String, IngressSession>,
     ) -> Vec<QuotaGrant> {
         let count = ingress_nodes.len();
         let mut grants = Vec::new();
         for (index, session) in ingress_nodes.values().enumerate() {
-            let key = (session.name.clone(), session.incarnation);
+            let ingress = IngressIncarnation::from(session);
             if session.quota_request == 0
-                || self.granted_requests.get(&key) == Some(&session.quota_request)
+                || self.granted_requests.get(&ingress) == Some(&session.quota_request)
             {
                 continue;
             }
-            let share = self
-                .budget
-                .grant(now, &session.name, session.incarnation, count);
-            self.granted_requests.insert(key, session.quota_request);
+            let share = self.budget.grant(now, &ingress, count);
+            self.granted_requests.insert(ingress, session.quota_request);
             grants.push(QuotaGrant {
                 name: session.name.clone(),
                 incarnation: session.incarnation,
                 quota_request: session.quota_request,
-                epoch,
+                epoch: epoch.get(),
                 share,
                 lease_ms: saturating_u32(whole_millis(GRANT_LIFETIME)),
                 ingress_count: saturating_u32(count),
                 ingress_index: saturating_u32(index),
             });
         }
-        self.granted_requests.retain(|(name, incarnation), _| {
+        self.granted_requests.retain(|ingress, _| {
             ingress_nodes
-                .get(name)
-                .is_some_and(|session| session.incarnation == *incarnation)
+                .get(&ingress.name)
+                .is_some_and(|session| IngressIncarnation::from(session) == *ingress)
         });
         grants
     }
--- a/crates/linenthread-control/src/register_driver.rs
+++ b/crates/linenthread-control/src/register_driver.rs
@@ -1,7 +1,8 @@
 //! Drives the register: carries out what it asks for, and takes in what it decided.
 
 use linenthread_consensus::{
-    DeferredMessage, Effect as RegisterEffect, JobId, NodeId, Outcome, Register,
+    DeferredMessage, Effect as RegisterEffect, Epoch, JobId, NodeId, Outcome, Register, Revision,
+    ValueNumber,
 };
 use linenthread_messages::{DurableProgress, PeerMessage, Record, Value};
 use linenthread_time::Instant;
@@ -101,7 +102,7 @@
             PeerMessage::LeaseVote(vote) => self.on_lease_vote(now, own_id, &vote, effects),
             PeerMessage::LeaseRelease(release) => drop(self.lease.on_release(own_id, &release)),
             PeerMessage::DurableProgress(progress) => {
-                self.durability.on_epoch_synced(progress.epoch);
+                self.durability.on_epoch_synced(Epoch::new(progress.epoch));
             }
             message => self.register.on_message(now, own_id, message, actions),
         }
@@ -109,8 +110,8 @@
 
     fn on_decided(&mut self, now: Instant, value: &Value, effects: &mut Vec<Effect>) {
         effects.push(Effect::Log(ControlEvent::ValueDecided {
-            number: value.number,
-            revision: value.revision,
+            number: ValueNumber::of(value),
+            revision: Revision::of(value),
             voters: value.voters.len(),
         }));
         for voter in &value.voters {
@@ -125,7 +126,8 @@
         let votes_again =
             is_voter && (!self.voting.is_voter || self.lease.skips_voter_change(value));
         self.lease.on_decided(value);
-        self.lease.observe_epoch(now, value.epoch, votes_again);
+        self.lease
+            .observe_epoch(now, Epoch::new(value.epoch), votes_again);
         self.voting.is_voter = is_voter;
         for session in self.membership.sessions() {
             self.send_value(session, effects);
--- a/crates/linenthread-control/src/replica_calls.rs
+++ b/crates/linenthread-control/src/replica_calls.rs
@@ -4,6 +4,7 @@
 use linenthread_messages::{ControlUpdate, PeerMessage, UpdateAck};
 use linenthread_time::Instant;
 
+use crate::pending_drains::UpdateId;
 use crate::{CallId, ControlNode, Effect, HeartbeatOutcome, ReplicaHeartbeat, Response};
 
 impl ControlNode {
@@ -96,7 +97,7 @@
             .collect();
         let update = ControlUpdate {
             replicas,
-            update_id,
+            update_id: update_id.get(),
             ..ControlUpdate::default()
         };
         for (session, _) in self.membership.iter() {
@@ -116,7 +117,8 @@
         ack: &UpdateAck,
         effects: &mut Vec<Effect>,
     ) {
-        self.pending_drains.on_ack(node_id, ack.update_id);
+        self.pending_drains
+            .on_ack(node_id, UpdateId::new(ack.update_id));
         self.complete_drains(now, effects);
     }
 
--- a/crates/linenthread-control/src/replica_snapshot.rs
+++ b/crates/linenthread-control/src/replica_snapshot.rs
@@ -3,13 +3,14 @@
 use linenthread_messages::{Record, Replica};
 use linenthread_time::Instant;
 
+use crate::change_log::ChangeLogOffset;
 use crate::timing::SNAPSHOT_INTERVAL;
 use crate::{ChangeLog, ControlNode, Effect, ReplicaRegistry};
 
 /// Decides when the registry is written to disk.
 pub(crate) struct ReplicaSnapshotWriter {
     /// Offset in the change log up to which changes are on disk.
-    written_offset: u64,
+    written_offset: ChangeLogOffset,
     /// When the registry was last written.
     written_at: Instant,
 }
@@ -17,7 +18,7 @@
 impl ReplicaSnapshotWriter {
     pub(crate) fn new(now: Instant) -> ReplicaSnapshotWriter {
         ReplicaSnapshotWriter {
-            written_offset: 0,
+            written_offset: ChangeLogOffset::START,
             written_at: now,
         }
     }
--- a/crates/linenthread-control/src/response.rs
+++ b/crates/linenthread-control/src/response.rs
@@ -2,6 +2,7 @@
 
 use std::fmt;
 
+use linenthread_consensus::Revision;
 use linenthread_messages::Value;
 
 /// The answer to a call of a replica or an operator.
@@ -10,11 +11,11 @@
     /// A replica's call was recorded; the address, if any, is where its later heartbeats should go.
     Acknowledged(Option<String>),
     /// The configuration of this revision was committed.
-    Committed(u64),
+    Committed(Revision),
     /// The newest configuration.
     Document(Value),
     /// Another revision, this one, is in place; the order was not taken and never will be.
-    Conflict(u64),
+    Conflict(Revision),
     /// This node can't tell; another may.
     Unavailable(UnavailableReason),
     /// This node shuts down; the one at this control address takes calls.
--- a/crates/linenthread-control/src/retry_budget.rs
+++ b/crates/linenthread-control/src/retry_budget.rs
@@ -5,6 +5,8 @@
 
 use linenthread_time::Instant;
 
+use crate::IngressIncarnation;
+
 /// How long a grant may be used, counted by the ingress node from when it requested it.
 pub(crate) const GRANT_LIFETIME: Duration = Duration::from_millis(5_000);
 
@@ -41,8 +43,7 @@
     window: Duration,
     /// Nothing is granted before: grants of an earlier leader may be in use.
     available_from: Instant,
-    /// By name and incarnation.
-    grantees: BTreeMap<(String, u64), Grantee>,
+    grantees: BTreeMap<IngressIncarnation, Grantee>,
 }
 
 impl RetryBudget {
@@ -71,8 +72,7 @@
     pub fn grant(
         &mut self,
         now: Instant,
-        name: &str,
-        incarnation: u64,
+        ingress: &IngressIncarnation,
         ingress_count: usize,
     ) -> f64 {
         if now < self.available_from {
@@ -82,18 +82,17 @@
             grantee.grants.retain(|grant| grant.in_use_until > now);
             !grantee.grants.is_empty()
         });
-        let key = (name.to_owned(), incarnation);
         let others: f64 = self
             .grantees
             .iter()
-            .filter(|(other, _)| **other != key)
+            .filter(|(other, _)| *other != ingress)
             .map(|(_, grantee)| grantee.max_share(|_| true))
             .sum();
         // Room for one more ingress node: the old share of one that restarts stays in use for a while.
         let share = (self.allowance / (ingress_count + 1) as f64)
             .min(self.allowance - others)
             .max(0.0);
-        let grants = &mut self.grantees.entry(key).or_default().grants;
+        let grants = &mut self.grantees.entry(ingress.clone()).or_default().grants;
         grants.retain(|grant| grant.share > share);
         grants.push(Grant {
             share,
--- a/crates/linenthread-control/src/sessions.rs
+++ b/crates/linenthread-control/src/sessions.rs
@@ -1,6 +1,6 @@
 //! Sessions with peers: how they begin and end, and which table each message goes to.
 
-use linenthread_consensus::NodeId;
+use linenthread_consensus::{NodeId, ValueNumber};
 use linenthread_messages::{Hello, PeerMessage, VERSION};
 use linenthread_time::Instant;
 
@@ -13,13 +13,13 @@
             version: VERSION,
             name: self.config.name.clone(),
             zone: self.config.zone.clone(),
-            incarnation: self.config.incarnation,
+            incarnation: self.config.incarnation.get(),
             control_address: self.config.control_address.clone(),
             node_id: self.register.id().0,
             is_voter: self.config.may_vote,
-            change_log_id: self.config.incarnation,
-            change_log_offset: self.ingress_nodes.changes.offset(),
-            value_number: self.value_number(),
+            change_log_id: self.config.incarnation.get(),
+            change_log_offset: self.ingress_nodes.changes.offset().get(),
+            value_number: self.value_number().get(),
         };
         effects.push(Effect::Send {
             session,
@@ -141,7 +141,8 @@
     fn accepts_hello(&self, session: SessionId, hello: &Hello) -> bool {
         let is_known =
             self.membership.get(session).is_some() || self.ingress_nodes.get(session).is_some();
-        hello.version == VERSION && hello.incarnation != self.config.incarnation && !is_known
+        let is_this_process = hello.incarnation == self.config.incarnation.get();
+        hello.version == VERSION && !is_this_process && !is_known
     }
 
     fn on_control_message(
@@ -184,7 +185,7 @@
         if let (PeerMessage::Decided(value), Some(peer)) =
             (&message, self.membership.get_mut(session))
         {
-            peer.value_number = peer.value_number.max(value.number);
+            peer.value_number = peer.value_number.max(ValueNumber::of(value));
         }
         self.drive_register(
             now,
@@ -201,9 +202,9 @@
         if let Some(peer) = self
             .membership
             .get_mut(session)
-            .filter(|peer| peer.lacks(value.number))
+            .filter(|peer| peer.lacks(ValueNumber::of(&value)))
         {
-            peer.value_number = value.number;
+            peer.value_number = ValueNumber::of(&value);
             effects.push(Effect::Send {
                 session,
                 message: PeerMessage::Decided(value),
--- a/crates/linenthread-control/src/shutdown.rs
+++ b/crates/linenthread-control/src/shutdown.rs
@@ -1,6 +1,6 @@
 //! The graceful shutdown of a control node.
 
-use linenthread_consensus::NodeId;
+use linenthread_consensus::{NodeId, ValueNumber};
 use linenthread_time::Instant;
 
 use crate::graceful_shutdown::{
@@ -48,7 +48,7 @@
     }
 
     pub(crate) fn next_shutdown_step(&self, now: Instant) -> ShutdownStep {
-        let Some(value_number) = self.register.decided().map(|value| value.number) else {
+        let Some(value_number) = self.register.decided().map(ValueNumber::of) else {
             return ShutdownStep::Exit;
         };
         next_shutdown_step(&ShutdownView {
@@ -77,7 +77,7 @@
         })
     }
 
-    fn peer_voter(&self, now: Instant, node_id: NodeId, value_number: u64) -> PeerVoter {
+    fn peer_voter(&self, now: Instant, node_id: NodeId, value_number: ValueNumber) -> PeerVoter {
         if let Some(peer) = self.membership.contact(now, node_id) {
             return PeerVoter {
                 node_id,
--- a/crates/linenthread-control/src/status.rs
+++ b/crates/linenthread-control/src/status.rs
@@ -1,6 +1,7 @@
 //! The status calls of operators: this node's own view, which no other node has confirmed. The JSON keys are part of
 //! the control API.
 
+use linenthread_consensus::{Epoch, Revision};
 use linenthread_messages::{IngressSession, Replica};
 use linenthread_time::{Instant, whole_millis};
 use serde_json::{Value as Json, json};
@@ -18,9 +19,9 @@
             "zone": self.config.zone,
             "whole": self.has_quorum(now),
             "leaving": self.is_shutting_down(),
-            "duty_epoch": self.lease_epoch(now),
-            "value": self.value_number(),
-            "revision": decided.map_or(0, |value| value.revision),
+            "duty_epoch": self.lease_epoch(now).map(Epoch::get),
+            "value": self.value_number().get(),
+            "revision": decided.map_or(Revision::NONE, Revision::of).get(),
             "counted": voters.iter().map(|voter| &voter.address).collect::<Vec<_>>(),
             "hubs": self.membership.iter().map(|(_, peer)| control_node(now, peer)).collect::<Vec<_>>(),
             "fronts": self.ingress_nodes.all().values().map(ingress_node).collect::<Vec<_>>(),
@@ -48,7 +49,7 @@
         "zone": peer.hello.zone,
         "control": peer.hello.control_address,
         "whole": peer.has_quorum,
-        "value": peer.value_number,
+        "value": peer.value_number.get(),
         "leaving": peer.shutting_down,
         "heard_ms": whole_millis(now.since(peer.last_received_at)),
     })
--- a/crates/linenthread-control/src/voters.rs
+++ b/crates/linenthread-control/src/voters.rs
@@ -1,6 +1,6 @@
 //! Who votes: what the leader sees of the voters, and the changes that it proposes.
 
-use linenthread_consensus::Change;
+use linenthread_consensus::{Change, Epoch, ValueNumber};
 use linenthread_messages::Voter;
 use linenthread_time::Instant;
 
@@ -46,14 +46,14 @@
     }
 
     /// As the leader under `epoch`, proposes the next voters if they should be others: one change at a time.
-    pub(crate) fn adjust_voters(&mut self, now: Instant, epoch: u64, effects: &mut Vec<Effect>) {
+    pub(crate) fn adjust_voters(&mut self, now: Instant, epoch: Epoch, effects: &mut Vec<Effect>) {
         let may_propose = !self.voting.change_in_flight
             && self.has_quorum(now)
             && self.lease.is_held_at(now, self.value_number());
         if !may_propose {
             return;
         }
-        let Some(based_on) = self.register.decided().map(|value| value.number) else {
+        let Some(based_on) = self.register.decided().map(ValueNumber::of) else {
             return;
         };
         let Some(voters) = next_voters(&self.voters_view(now, based_on)) else {
@@ -90,7 +90,7 @@
 
     /// Nodes in contact that may vote, do not yet, and do not shut down; with a number only those that may vote at
     /// once, since their disks hold the value of that number.
-    pub(crate) fn standbys(&self, now: Instant, value_number: Option<u64>) -> Vec<Voter> {
+    pub(crate) fn standbys(&self, now: Instant, value_number: Option<ValueNumber>) -> Vec<Voter> {
         let is_ready = self.config.may_vote
             && !self.is_shutting_down()
             && self.durability.value_number() >= value_number;
@@ -106,7 +106,7 @@
             .collect()
     }
 
-    fn voters_view(&self, now: Instant, value_number: u64) -> VotersView {
+    fn voters_view(&self, now: Instant, value_number: ValueNumber) -> VotersView {
         let in_contact = self.nodes_in_contact(now);
         VotersView {
             voters: self
--- a/crates/linenthread-control/tests/change_log.rs
+++ b/crates/linenthread-control/tests/change_log.rs
@@ -1,6 +1,6 @@
 //! The change log: what is remembered after an offset.
 
-use linenthread_control::ChangeLog;
+use linenthread_control::{ChangeLog, ChangeLogOffset};
 use yare::parameterized;
 
 #[parameterized(
@@ -16,5 +16,8 @@
     ["a", "b", "c", "d", "e"]
         .iter()
         .for_each(|id| log.append(id));
-    assert_eq!(log.since(offset).map(|c| c.len()), changes);
+    assert_eq!(
+        log.since(ChangeLogOffset::new(offset)).map(|c| c.len()),
+        changes
+    );
 }
--- a/crates/linenthread-control/tests/golden_json.rs
+++ b/crates/linenthread-control/tests/golden_json.rs
@@ -7,7 +7,8 @@
 
 use linenthread_consensus::{DurableState, NodeId};
 use linenthread_control::{
-    CallId, ControlNode, Effect, NodeConfig, ReplicaHeartbeat, ReplicaRegistry, SessionId,
+    CallId, ControlNode, Effect, Incarnation, NodeConfig, ReplicaHeartbeat, ReplicaRegistry,
+    SessionId,
 };
 use linenthread_messages::{Heartbeat, Hello, PeerMessage, Replica, VERSION, Value, Voter};
 use linenthread_time::Instant;
@@ -37,7 +38,7 @@
     let local = NodeConfig {
         name: "control-1".to_owned(),
         zone: "zone-a".to_owned(),
-        incarnation: 1,
+        incarnation: Incarnation::new(1),
         control_address: address(1),
         may_vote: true,
         min_voters: 3,
--- a/crates/linenthread-control/tests/nodes/cluster.rs
+++ b/crates/linenthread-control/tests/nodes/cluster.rs
@@ -6,7 +6,8 @@
 
 use linenthread_consensus::{DurableState, NodeId};
 use linenthread_control::{
-    CallId, ControlEvent, ControlNode, DeferredMessage, Effect, NodeConfig, Response, SessionId,
+    CallId, ControlEvent, ControlNode, DeferredMessage, Effect, Incarnation, NodeConfig, Response,
+    Revision, SessionId,
 };
 use linenthread_messages::{PeerMessage, Record, Value, Voter};
 use linenthread_time::Instant;
@@ -24,6 +25,11 @@
     Duration::from_millis(millis)
 }
 
+/// The response to an order that was accepted under this revision.
+pub(crate) fn committed(revision: u64) -> Response {
+    Response::Committed(Revision::new(revision))
+}
+
 enum Event {
     Opened {
         session: SessionId,
@@ -39,7 +45,7 @@
         address: String,
     },
     Synced {
-        incarnation: u64,
+        incarnation: Incarnation,
         count: usize,
         after_sync: Vec<DeferredMessage>,
     },
@@ -49,7 +55,7 @@
 pub(crate) struct Node {
     pub control: Option<ControlNode>,
     address: String,
-    incarnation: u64,
+    incarnation: Incarnation,
     disk: Vec<Record>,
     unsynced: Vec<Record>,
     pub sync_time: Duration,
@@ -119,7 +125,7 @@
 
     /// Starts a node from what its disk holds.
     pub(crate) fn start(&mut self, n: usize) {
-        let incarnation = self.number() * 1_000 + 1;
+        let incarnation = Incarnation::new(self.number() * 1_000 + 1);
         let mut state = DurableState::default();
         self.nodes[n]
             .disk
@@ -129,7 +135,7 @@
         let id = state.id.unwrap_or(if first {
             NodeId::genesis(&address(n))
         } else {
-            NodeId(incarnation)
+            NodeId(incarnation.get())
         });
         let genesis = first.then(|| self.genesis.clone());
         let local = NodeConfig {
@@ -161,7 +167,7 @@
     /// Kills a node; what its disk has not synced is gone.
     pub(crate) fn crash(&mut self, n: usize) {
         let node = &mut self.nodes[n];
-        (node.control, node.incarnation) = (None, 0);
+        (node.control, node.incarnation) = (None, Incarnation::default());
         node.unsynced.clear();
         node.backlog.clear();
         let sessions: Vec<SessionId> = self
@@ -351,6 +357,7 @@
     pub(crate) fn order(&mut self, n: usize, base: u64, revision: u64) -> CallId {
         let call = CallId(self.number());
         let document = format!("document {revision}").into_bytes();
+        let (base, revision) = (Revision::new(base), Revision::new(revision));
         self.at(n, |c, now, effects| {
             c.replace_configuration(now, call, base, revision, document, effects);
         });
--- a/crates/linenthread-control/tests/nodes/contact.rs
+++ b/crates/linenthread-control/tests/nodes/contact.rs
@@ -1,9 +1,10 @@
 //! What a node that is partitioned off, or was frozen, still confirms: nothing that it cannot know.
 
-use crate::cluster::{Cluster, address, ms};
+use crate::cluster::{Cluster, address, committed, ms};
 use linenthread_consensus::{DurableState, NodeId};
 use linenthread_control::{
-    CONTACT_TIMEOUT, CallId, ControlNode, Effect, NodeConfig, ReplicaHeartbeat, Response, SessionId,
+    CONTACT_TIMEOUT, CallId, ControlNode, Effect, Incarnation, NodeConfig, ReplicaHeartbeat,
+    Response, Revision, SessionId,
 };
 use linenthread_messages::{
     Heartbeat, Hello, PeerMessage, ReadReply, UpdateAck, VERSION, Value, Voter,
@@ -29,7 +30,7 @@
     let local = NodeConfig {
         name: "node-0".into(),
         zone: "z".into(),
-        incarnation: 1,
+        incarnation: Incarnation::new(1),
         control_address: address(0),
         may_vote: true,
         min_voters: 3,
@@ -324,14 +325,14 @@
     let mut cluster = Cluster::new(3, 3);
     assert_eq!(
         cluster.order_until_committed(ms(1_000), 0, 1),
-        Some(Response::Committed(1))
+        Some(committed(1))
     );
     for other in 1..3 {
         cluster.cut.extend([(0, other), (other, 0)]);
     }
     assert_eq!(
         cluster.order_until_committed(ms(5_000), 1, 2),
-        Some(Response::Committed(2))
+        Some(committed(2))
     );
     cluster.run(ms(3_000));
     // It has revision 1 as the newest: neither order is its to judge.
@@ -367,18 +368,20 @@
     let mut cluster = Cluster::new(3, 3);
     assert_eq!(
         cluster.order_until_committed(ms(1_000), 0, 1),
-        Some(Response::Committed(1))
+        Some(committed(1))
     );
     let leader = cluster.leader().unwrap();
     cluster.nodes[leader].frozen = true;
     cluster.run(ms(100));
     assert_eq!(
         cluster.order_until_committed(ms(6_000), 1, 2),
-        Some(Response::Committed(2))
+        Some(committed(2))
     );
     cluster.run(ms(12_000));
     cluster.thaw(leader, |control, now, effects| {
-        control.replace_configuration(now, CallId(1 << 32), 0, 9, b"late".to_vec(), effects);
+        let (base, revision) = (Revision::NONE, Revision::new(9));
+        let document = b"late".to_vec();
+        control.replace_configuration(now, CallId(1 << 32), base, revision, document, effects);
         control.read_configuration(now, CallId(2 << 32), effects);
         control.on_replica_heartbeat(
             now,
--- a/crates/linenthread-control/tests/nodes/orders_under_load.rs
+++ b/crates/linenthread-control/tests/nodes/orders_under_load.rs
@@ -14,12 +14,12 @@
 /// Sends orders to both of these nodes, the next ones as soon as the last are answered, until the time is over; the
 /// last revision that was committed.
 fn order_continuously(cluster: &mut Cluster, nodes: [usize; 2], until: Instant) -> u64 {
-    let mut revision = 0;
+    let mut newest = 0;
     while cluster.now < until {
         let calls: Vec<(usize, CallId)> = nodes
             .into_iter()
             .zip(1..)
-            .map(|(n, i)| (n, cluster.order(n, revision, revision + i)))
+            .map(|(n, i)| (n, cluster.order(n, newest, newest + i)))
             .collect();
         let answered = |c: &Cluster| {
             calls
@@ -29,11 +29,11 @@
         cluster.run_until(ms(1_000), answered);
         for (n, call) in calls {
             if let Some(Response::Committed(committed)) = cluster.nodes[n].responses.get(&call) {
-                revision = revision.max(*committed);
+                newest = newest.max(committed.get());
             }
         }
     }
-    revision
+    newest
 }
 
 #[parameterized(
--- a/crates/linenthread-control/tests/nodes/shutdown.rs
+++ b/crates/linenthread-control/tests/nodes/shutdown.rs
@@ -1,6 +1,6 @@
 //! Nodes that shut down and join, and a second loss at each moment of it.
 
-use crate::cluster::{Cluster, address, ms};
+use crate::cluster::{Cluster, address, committed, ms};
 use linenthread_control::Response;
 use yare::parameterized;
 
@@ -29,10 +29,7 @@
     cluster.nodes[slow].sync_time = ms(3_000);
     let call = cluster.order(leader, 0, 1);
     assert!(cluster.run_until(ms(900), |c| c.nodes[leader].responses.contains_key(&call)));
-    assert_eq!(
-        cluster.nodes[leader].responses[&call],
-        Response::Committed(1)
-    );
+    assert_eq!(cluster.nodes[leader].responses[&call], committed(1));
     shut_down(&mut cluster, leaving);
     assert!(
         !cluster.run_until(ms(1_500), |c| c.may_exit(leaving)),
@@ -48,7 +45,7 @@
     cluster.start(leaving);
     assert_eq!(
         cluster.order_until_committed(ms(8_000), 0, 1),
-        Some(Response::Committed(1))
+        Some(committed(1))
     );
 }
 
@@ -83,7 +80,7 @@
     assert!(cluster.run_until(ms(300), |c| c.leader().is_some_and(|n| n != leader)));
     assert_eq!(
         cluster.order_until_committed(ms(1_000), 0, 1),
-        Some(Response::Committed(1))
+        Some(committed(1))
     );
 }
 
@@ -134,7 +131,7 @@
     let mut cluster = Cluster::new(4, 3);
     assert_eq!(
         cluster.order_until_committed(ms(1_000), 0, 1),
-        Some(Response::Committed(1))
+        Some(committed(1))
     );
     cluster.nodes[3].sync_time = ms(4_000);
     cluster.start(3);
@@ -223,7 +220,7 @@
     cluster.start(joiner);
     assert_eq!(
         cluster.order_until_committed(ms(3_000), 0, 1),
-        Some(Response::Committed(1)),
+        Some(committed(1)),
         "{plan:?}"
     );
     // The successor has found the others; that it holds nothing yet does not matter.
@@ -243,7 +240,7 @@
     lose(&mut cluster, plan.lost);
     assert_eq!(
         cluster.order_until_committed(ms(10_000), 1, 2),
-        Some(Response::Committed(2)),
+        Some(committed(2)),
         "{plan:?}"
     );
 }
@@ -268,7 +265,7 @@
         let mut cluster = Cluster::new(4, 3);
         assert_eq!(
             cluster.order_until_committed(ms(3_000), 0, 1),
-            Some(Response::Committed(1))
+            Some(committed(1))
         );
         cluster.wipe(2);
         cluster.run(ms(100));
@@ -277,6 +274,6 @@
         cluster.run(ms(2_500));
         lose(&mut cluster, &[lost]);
         let answer = cluster.order_until_committed(ms(10_000), 1, 2);
-        assert_eq!(answer, Some(Response::Committed(2)), "node {lost} lost");
+        assert_eq!(answer, Some(committed(2)), "node {lost} lost");
     }
 }
--- a/crates/linenthread-control/tests/retry_budget.rs
+++ b/crates/linenthread-control/tests/retry_budget.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use linenthread_control::RetryBudget;
+use linenthread_control::{Incarnation, IngressIncarnation, RetryBudget};
 use linenthread_time::Instant;
 
 fn at(millis: u64) -> Instant {
@@ -13,23 +13,30 @@
     Duration::from_millis(millis)
 }
 
+fn ingress(name: &str, incarnation: u64) -> IngressIncarnation {
+    IngressIncarnation {
+        name: name.to_owned(),
+        incarnation: Incarnation::new(incarnation),
+    }
+}
+
 #[test]
 fn shares_stay_within_the_allowance_as_ingress_nodes_come_and_go() {
     let mut budget = RetryBudget::new(12.0, ms(10_000));
     budget.begin(at(0), true);
-    assert_eq!(budget.grant(at(0), "a", 1, 1), 6.0);
-    assert_eq!(budget.grant(at(0), "b", 1, 2), 4.0);
+    assert_eq!(budget.grant(at(0), &ingress("a", 1), 1), 6.0);
+    assert_eq!(budget.grant(at(0), &ingress("b", 1), 2), 4.0);
     // All of a's larger share may be in use until its lifetime and a window have passed.
-    assert_eq!(budget.grant(at(100), "a", 1, 2), 4.0);
-    assert_eq!(budget.grant(at(100), "c", 1, 3), 2.0);
+    assert_eq!(budget.grant(at(100), &ingress("a", 1), 2), 4.0);
+    assert_eq!(budget.grant(at(100), &ingress("c", 1), 3), 2.0);
     assert!(budget.granted(at(100)) <= 12.0);
     // A new incarnation is granted what the old one cannot have in use.
-    assert_eq!(budget.grant(at(200), "a", 2, 3), 0.0);
+    assert_eq!(budget.grant(at(200), &ingress("a", 2), 3), 0.0);
     for now in [5_000, 10_000, 14_000].map(at) {
-        budget.grant(now, "b", 1, 3);
-        budget.grant(now, "c", 1, 3);
+        budget.grant(now, &ingress("b", 1), 3);
+        budget.grant(now, &ingress("c", 1), 3);
     }
-    assert_eq!(budget.grant(at(15_300), "a", 2, 3), 3.0);
+    assert_eq!(budget.grant(at(15_300), &ingress("a", 2), 3), 3.0);
     assert!(budget.granted(at(15_300)) <= 12.0);
 }
 
@@ -37,6 +44,6 @@
 fn a_new_leader_waits_until_all_earlier_grants_have_ended() {
     let mut budget = RetryBudget::new(12.0, ms(10_000));
     budget.begin(at(1_000), false);
-    assert_eq!(budget.grant(at(15_999), "a", 1, 1), 0.0);
-    assert_eq!(budget.grant(at(16_000), "a", 1, 1), 6.0);
+    assert_eq!(budget.grant(at(15_999), &ingress("a", 1), 1), 0.0);
+    assert_eq!(budget.grant(at(16_000), &ingress("a", 1), 1), 6.0);
 }
--- a/crates/linenthread-control/tests/single_node.rs
+++ b/crates/linenthread-control/tests/single_node.rs
@@ -4,7 +4,7 @@
 
 use linenthread_consensus::{DurableState, NodeId};
 use linenthread_control::{
-    CallId, ControlNode, Effect, NodeConfig, ReplicaHeartbeat, Response, SessionId,
+    CallId, ControlNode, Effect, Incarnation, NodeConfig, ReplicaHeartbeat, Response, SessionId,
 };
 use linenthread_messages::{Heartbeat, Hello, PeerMessage, UpdateAck, VERSION, Value, Voter};
 use linenthread_time::Instant;
@@ -37,7 +37,7 @@
     let local = NodeConfig {
         name: "node-1".into(),
         zone: "z".into(),
-        incarnation: 1,
+        incarnation: Incarnation::new(1),
         control_address: address(1),
         may_vote: true,
         min_voters: 3,
--- a/crates/linenthread-control/tests/state_log.rs
+++ b/crates/linenthread-control/tests/state_log.rs
@@ -3,7 +3,7 @@
 use std::cell::RefCell;
 use std::rc::Rc;
 
-use linenthread_control::{OpenedState, StateLog, StateLogError};
+use linenthread_control::{Epoch, OpenedState, StateLog, StateLogError};
 use linenthread_messages::{Record, Value};
 use linenthread_store::{DirectoryError, SimulatedDisk};
 use oorandom::Rand64;
@@ -79,7 +79,7 @@
         .expect("there is room again");
     drop(opened);
     let opened = open(&disk);
-    assert_eq!((number(&opened), opened.state.epoch), (4, 3));
+    assert_eq!((number(&opened), opened.state.epoch), (4, Epoch::new(3)));
 }
 
 #[test]
--- a/crates/linenthread-hollow/src/control.rs
+++ b/crates/linenthread-hollow/src/control.rs
@@ -6,7 +6,8 @@
 use linenthread_config::Configuration;
 use linenthread_consensus::{DurableState, NodeId};
 use linenthread_control::{
-    CallId, ControlNode, DeferredMessage, Effect, NodeConfig, ReplicaHeartbeat, SessionId,
+    CallId, ControlNode, DeferredMessage, Effect, Incarnation, NodeConfig, ReplicaHeartbeat,
+    Revision, SessionId,
 };
 use linenthread_messages::{Record, Value, Voter, decode};
 use linenthread_time::Instant;
@@ -50,7 +51,7 @@
         NodeConfig {
             name: self.name,
             zone: self.zone,
-            incarnation: self.incarnation,
+            incarnation: Incarnation::new(self.incarnation),
             control_address: self.address,
             may_vote: self.may_vote,
             min_voters: MIN_VOTERS,
@@ -207,6 +208,7 @@
                 document,
             } => {
                 if Configuration::parse(&document).is_ok() {
+                    let (base, revision) = (Revision::new(base), Revision::new(revision));
                     control.replace_configuration(now, call, base, revision, document, effects);
                 }
                 Work::Configuration
--- a/crates/linenthread-node/src/control/api.rs
+++ b/crates/linenthread-node/src/control/api.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use linenthread_config::Configuration;
-use linenthread_control::ReplicaHeartbeat;
+use linenthread_control::{ReplicaHeartbeat, Revision};
 use linenthread_dataplane::connection::{ConnectionError, HttpConnection};
 use linenthread_http::{Head, ParseError, request_framing};
 use tokio::net::{TcpListener, TcpStream};
@@ -210,12 +210,14 @@
     document: Vec<u8>,
     handle: &ControlHandle,
 ) -> ApiResponse {
-    let base = head.header("x-base-revision").map_or(Ok(0), str::parse);
+    let base = head
+        .header("x-base-revision")
+        .map_or(Ok(Revision::NONE), |text| text.parse().map(Revision::new));
     let Ok(base) = base else {
         return ApiResponse::error(Status::BadRequest, "X-Base-Revision is no number");
     };
     let revision = match Configuration::parse(&document) {
-        Ok(configuration) => configuration.revision,
+        Ok(configuration) => Revision::new(configuration.revision),
         Err(error) => return ApiResponse::error(Status::BadRequest, error),
     };
     let call = Call::ReplaceConfiguration {
--- a/crates/linenthread-node/src/control/api_response.rs
+++ b/crates/linenthread-node/src/control/api_response.rs
@@ -2,7 +2,7 @@
 
 use std::fmt;
 
-use linenthread_control::Response;
+use linenthread_control::{Response, Revision};
 use serde_json::{Value as Json, json};
 
 use super::command::CallError;
@@ -151,15 +151,15 @@
             }
             Response::Acknowledged(None) => ApiResponse::Json(Status::Ok, json!({})),
             Response::Committed(revision) => {
-                ApiResponse::Json(Status::Ok, json!({"revision": revision}))
+                ApiResponse::Json(Status::Ok, json!({"revision": revision.get()}))
             }
-            Response::Document(value) if value.revision == 0 => {
+            Response::Document(value) if Revision::of(&value) == Revision::NONE => {
                 ApiResponse::error(Status::NotFound, "no configuration was taken yet")
             }
             Response::Document(value) => ApiResponse::Document(value.document.to_vec()),
             Response::Conflict(revision) => ApiResponse::Json(
                 Status::PreconditionFailed,
-                json!({"error": "another version is in place", "revision": revision}),
+                json!({"error": "another version is in place", "revision": revision.get()}),
             ),
             Response::Unavailable(reason) => ApiResponse::error(Status::ServiceUnavailable, reason),
             Response::Redirect(address) => ApiResponse::Redirect(address),
--- a/crates/linenthread-node/src/control/command.rs
+++ b/crates/linenthread-node/src/control/command.rs
@@ -3,7 +3,7 @@
 use std::fmt;
 
 use linenthread_control::graceful_shutdown::ShutdownBlocker;
-use linenthread_control::{DeferredMessage, ReplicaHeartbeat, Response, SessionId};
+use linenthread_control::{DeferredMessage, ReplicaHeartbeat, Response, Revision, SessionId};
 use linenthread_messages::PeerMessage;
 use tokio::sync::{mpsc, oneshot};
 
@@ -21,8 +21,8 @@
     Departure { replica_id: String },
     /// An operator replaces the configuration of revision `base`.
     ReplaceConfiguration {
-        base: u64,
-        revision: u64,
+        base: Revision,
+        revision: Revision,
         document: Vec<u8>,
     },
     /// An operator reads the configuration.
--- a/crates/linenthread-node/src/control/mod.rs
+++ b/crates/linenthread-node/src/control/mod.rs
@@ -17,7 +17,7 @@
 
 use linenthread_config::Settings;
 use linenthread_consensus::{DurableState, NodeId};
-use linenthread_control::{ControlNode, NodeConfig};
+use linenthread_control::{ControlNode, Incarnation, NodeConfig};
 use linenthread_dataplane::clock;
 use linenthread_messages::{Record, Value, Voter};
 use tokio::net::TcpListener;
@@ -130,7 +130,7 @@
     durable_state: DurableState,
     state_writer: &StateWriter,
 ) -> ControlNode {
-    let incarnation = incarnation::draw();
+    let incarnation = Incarnation::new(incarnation::draw());
     let control_address = address.to_string();
     let bootstrap: Vec<String> = settings
         .bootstrap_peers
@@ -145,7 +145,7 @@
         if is_first {
             NodeId::genesis(&control_address)
         } else {
-            NodeId(incarnation)
+            NodeId(incarnation.get())
         }
     });
     let genesis = settings.initial_boot.then(|| genesis_value(&bootstrap));
--- a/crates/linenthread-simulation/src/system/checker/catch_up.rs
+++ b/crates/linenthread-simulation/src/system/checker/catch_up.rs
@@ -2,6 +2,7 @@
 
 use std::time::Duration;
 
+use linenthread_consensus::ValueNumber;
 use linenthread_time::Instant;
 
 use super::super::invariant::Invariant;
@@ -18,7 +19,7 @@
 
 impl World {
     /// [`Invariant::CatchesUp`]: with a bounded number of messages and bytes, and in time without faults.
-    pub(super) fn check_catch_up(&mut self, node: usize, decided_number: u64) {
+    pub(super) fn check_catch_up(&mut self, node: usize, decided_number: ValueNumber) {
         let now = self.now();
         let machine = &mut self.machines[node];
         let Some(catch_up) = machine
@@ -57,7 +58,7 @@
     }
 
     /// The value that a machine should have by now and has not.
-    fn is_overdue(&self, node: usize) -> Option<u64> {
+    fn is_overdue(&self, node: usize) -> Option<ValueNumber> {
         let catch_up = self.machines[node].catch_up.as_ref()?;
         let start: Instant = catch_up.started_at.max(self.healed_at?);
         (self.now() > start + MAX_TIME).then_some(catch_up.target)
--- a/crates/linenthread-simulation/src/system/checker/configuration.rs
+++ b/crates/linenthread-simulation/src/system/checker/configuration.rs
@@ -1,5 +1,6 @@
 //! Decided values, and responses to changes and reads.
 
+use linenthread_consensus::{Revision, ValueNumber};
 use linenthread_messages::Value;
 
 use super::super::history::{Change, Commit};
@@ -17,7 +18,7 @@
         let Some(decided) = decided.cloned() else {
             return;
         };
-        let number = decided.number;
+        let number = ValueNumber::of(&decided);
         let before = std::mem::replace(&mut machine.decided_number, number);
         if number < before {
             let details = format!("control node {node} had {before}, now {number}");
@@ -36,7 +37,7 @@
 
     /// A value is decided: so the checker knows what is committed, whichever caller has a response.
     fn add_value(&mut self, value: Value) {
-        let revision = value.revision;
+        let revision = Revision::of(&value);
         match self.history.add_value(value) {
             Commit::New(Some(change)) if self.history.was_rejected(&change) => {
                 let details = format!("{revision} was rejected, and is committed now");
@@ -89,9 +90,9 @@
 
     /// [`Invariant::ReadsAreNewest`], [`Invariant::AcknowledgedLasts`]: a read returned this value, after
     /// `acknowledged` had been acknowledged.
-    pub(in super::super) fn check_read(&mut self, acknowledged: u64, value: &Value) {
+    pub(in super::super) fn check_read(&mut self, acknowledged: Revision, value: &Value) {
         self.report.coverage.reads += 1;
-        let revision = value.revision;
+        let revision = Revision::of(value);
         if revision < acknowledged {
             let details = format!("{revision} was read, {acknowledged} was acknowledged");
             self.violation(Invariant::ReadsAreNewest, &details);
--- a/crates/linenthread-simulation/src/system/checker/convergence.rs
+++ b/crates/linenthread-simulation/src/system/checker/convergence.rs
@@ -1,6 +1,6 @@
 //! What holds at the end of a schedule, some time after the faults.
 
-use linenthread_consensus::document_digest;
+use linenthread_consensus::{Revision, document_digest};
 use linenthread_control::ControlNode;
 use linenthread_messages::OrderIdentity;
 
@@ -33,7 +33,7 @@
 
     /// [`Invariant::AcknowledgedLasts`].
     fn check_acknowledged_changes(&mut self) {
-        let lost: Vec<u64> = self
+        let lost: Vec<Revision> = self
             .history
             .acknowledged
             .values()
@@ -52,7 +52,7 @@
         let newest = self
             .history
             .newest_value()
-            .map_or(0, |value| value.revision);
+            .map_or(Revision::NONE, Revision::of);
         if newest < acknowledged {
             let details = format!("{acknowledged} is acknowledged, {newest} is the newest");
             self.violation(Invariant::AcknowledgedLasts, &details);
@@ -61,18 +61,18 @@
 
     /// Nodes and acknowledged revisions that their order logs miss though they have decided later ones; replaced
     /// disks have them, too.
-    fn missing_in_order_logs(&self) -> Vec<(usize, u64)> {
+    fn missing_in_order_logs(&self) -> Vec<(usize, Revision)> {
         let mut missing = Vec::new();
         for (node, machine) in self.machines.iter().enumerate() {
             let control = machine.control.as_ref().filter(|_| !machine.decommissioned);
             let Some(register) = control.map(ControlNode::register) else {
                 continue;
             };
-            let newest = register.decided().map_or(0, |value| value.revision);
+            let newest = register.decided().map_or(Revision::NONE, Revision::of);
             for change in self.history.acknowledged.values() {
                 let order = OrderIdentity {
-                    revision: change.revision,
-                    base: change.base,
+                    revision: change.revision.get(),
+                    base: change.base.get(),
                     digest: document_digest(&change.document),
                 };
                 if change.revision <= newest && !register.order_log().contains(&order) {
--- a/crates/linenthread-simulation/src/system/checker/lease.rs
+++ b/crates/linenthread-simulation/src/system/checker/lease.rs
@@ -1,5 +1,7 @@
 //! The leader lease, and the retry allowance that is granted under it.
 
+use linenthread_consensus::Epoch;
+
 use super::super::ingress_node::RETRY_ALLOWANCE;
 use super::super::invariant::Invariant;
 use super::super::world::World;
@@ -14,7 +16,7 @@
             let control = self.machines[node].control.as_ref()?;
             control.lease_epoch(self.machine_clock(node))
         };
-        let holders: Vec<(usize, u64)> = (0..self.machines.len())
+        let holders: Vec<(usize, Epoch)> = (0..self.machines.len())
             .filter_map(|node| epoch_of(node).map(|epoch| (node, epoch)))
             .collect();
         if holders.len() > 1 {
--- a/crates/linenthread-simulation/src/system/event.rs
+++ b/crates/linenthread-simulation/src/system/event.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use linenthread_control::{DeferredMessage, SessionId};
+use linenthread_control::{DeferredMessage, Incarnation, SessionId};
 use linenthread_messages::PeerMessage;
 use linenthread_time::Instant;
 
@@ -21,7 +21,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct Process {
     pub(super) node: NodeIndex,
-    pub(super) incarnation: u64,
+    pub(super) incarnation: Incarnation,
 }
 
 /// What reaches a process from outside; lost if that process has ended.
@@ -57,7 +57,7 @@
     /// The disk is through with a write, in success or failure.
     WriteCompleted {
         node: usize,
-        incarnation: u64,
+        incarnation: Incarnation,
     },
     StartProcess {
         node: usize,
@@ -92,7 +92,7 @@
     },
     CheckShutdown {
         node: usize,
-        incarnation: u64,
+        incarnation: Incarnation,
     },
     RollingRestart {
         node: usize,
--- a/crates/linenthread-simulation/src/system/execution.rs
+++ b/crates/linenthread-simulation/src/system/execution.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use linenthread_consensus::{DurableState, NodeId};
+use linenthread_consensus::{DurableState, Incarnation, NodeId, ValueNumber};
 use linenthread_control::{ControlNode, DeferredMessage, Effect, NodeConfig};
 use linenthread_messages::{PeerMessage, Record};
 use linenthread_time::{Instant, whole_millis};
@@ -13,7 +13,7 @@
 use super::ingress_node::{RETRY_ALLOWANCE, RETRY_WINDOW};
 use super::invariant::Invariant;
 use super::loss_budget::CATCH_UP_TIME;
-use super::machine::{CatchUp, Contacts, ProcessEnd};
+use super::machine::{CatchUp, Contacts, NO_PROCESS, ProcessEnd};
 use super::world::World;
 
 /// A process whose disk does not open ends, and is started again after so long.
@@ -41,7 +41,7 @@
         let Some(state) = self.open_disk(node) else {
             return;
         };
-        let incarnation = self.random.bits() | 1;
+        let incarnation = Incarnation::new(self.random.bits() | 1);
         let clock = self.machine_clock(node);
         let machine = &self.machines[node];
         let is_empty = state.id.is_none();
@@ -50,7 +50,7 @@
         let new_id = if is_initial_voter {
             NodeId::genesis(&machine.address)
         } else {
-            NodeId(incarnation)
+            NodeId(incarnation.get())
         };
         let id = state.id.unwrap_or(new_id);
         let genesis = machine.is_initial.then(|| self.genesis.clone());
@@ -65,7 +65,7 @@
         machine.paused_until = Instant::START;
         machine.shutdown = None;
         machine.is_initial = false;
-        machine.decided_number = 0;
+        machine.decided_number = ValueNumber::FIRST;
         machine.contacts = Contacts::default();
         machine.catch_up = Some(CatchUp::new(target, now));
         if is_empty {
@@ -78,7 +78,7 @@
         }
     }
 
-    fn node_config(&self, node: usize, incarnation: u64, is_genesis: bool) -> NodeConfig {
+    fn node_config(&self, node: usize, incarnation: Incarnation, is_genesis: bool) -> NodeConfig {
         let machine = &self.machines[node];
         NodeConfig {
             name: format!("{NAME_PREFIX}-{node}"),
@@ -132,7 +132,7 @@
             machine.disk.lose_power(&mut self.random);
         }
         machine.control = None;
-        machine.incarnation = 0;
+        machine.incarnation = NO_PROCESS;
         machine.shutdown = None;
         machine.catch_up = None;
         let index = NodeIndex::Control(node);
@@ -305,7 +305,7 @@
     }
 
     /// The write in progress is on disk, or the disk has rejected it.
-    pub(super) fn complete_write(&mut self, node: usize, incarnation: u64) {
+    pub(super) fn complete_write(&mut self, node: usize, incarnation: Incarnation) {
         let now = self.now();
         let machine = &mut self.machines[node];
         if machine.incarnation != incarnation {
--- a/crates/linenthread-simulation/src/system/faults/crashes.rs
+++ b/crates/linenthread-simulation/src/system/faults/crashes.rs
@@ -2,6 +2,8 @@
 
 use std::time::Duration;
 
+use linenthread_control::Incarnation;
+
 use super::super::event::{Event, NodeIndex};
 use super::super::fault::FaultKind;
 use super::super::ingress_node::INGRESS_NODES;
@@ -89,7 +91,7 @@
     pub(super) fn restart_ingress(&mut self) {
         self.count_fault(FaultKind::IngressRestart);
         let index = self.random.index(INGRESS_NODES);
-        let incarnation = self.random.bits();
+        let incarnation = Incarnation::new(self.random.bits());
         let session = self.ingress.restart(index, incarnation, self.queue.now());
         if let Some(session) = session {
             self.close_session(session, NodeIndex::Ingress(index));
--- a/crates/linenthread-simulation/src/system/history.rs
+++ b/crates/linenthread-simulation/src/system/history.rs
@@ -2,14 +2,15 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
+use linenthread_consensus::{Epoch, Incarnation, Revision, ValueNumber};
 use linenthread_messages::Value;
 
 /// A change of the configuration, on top of another.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) struct Change {
     /// The revision that it builds on.
-    pub(super) base: u64,
-    pub(super) revision: u64,
+    pub(super) base: Revision,
+    pub(super) revision: Revision,
     pub(super) document: Vec<u8>,
 }
 
@@ -26,46 +27,46 @@
 #[derive(Default)]
 pub(super) struct History {
     /// Decided values by their numbers.
-    pub(super) values: BTreeMap<u64, Value>,
+    pub(super) values: BTreeMap<ValueNumber, Value>,
     /// The committed document of each revision.
-    committed: BTreeMap<u64, Vec<u8>>,
+    committed: BTreeMap<Revision, Vec<u8>>,
     /// The committed changes as they were sent, oldest first.
     pub(super) changes: Vec<Change>,
     /// All changes that were ever sent.
     pub(super) sent: Vec<Change>,
     /// Revision and document of each change that was rejected.
-    rejected: BTreeSet<(u64, Vec<u8>)>,
+    rejected: BTreeSet<(Revision, Vec<u8>)>,
     /// Acknowledged changes by revision.
-    pub(super) acknowledged: BTreeMap<u64, Change>,
+    pub(super) acknowledged: BTreeMap<Revision, Change>,
     /// Which revision was acknowledged on top of which.
-    pub(super) acknowledged_on: BTreeMap<u64, u64>,
+    pub(super) acknowledged_on: BTreeMap<Revision, Revision>,
     /// Which incarnation held the lease under which epoch.
-    pub(super) lease_holders: BTreeMap<u64, u64>,
+    pub(super) lease_holders: BTreeMap<Epoch, Incarnation>,
 }
 
 impl History {
     /// Notes a decided value.
     pub(super) fn add_value(&mut self, value: Value) -> Commit {
         let commit = self.commit(&value);
-        self.values.insert(value.number, value);
+        self.values.insert(ValueNumber::of(&value), value);
         commit
     }
 
     fn commit(&mut self, value: &Value) -> Commit {
-        if value.revision == 0 {
+        let revision = Revision::of(value);
+        if revision == Revision::NONE {
             return Commit::None;
         }
-        if let Some(document) = self.committed.get(&value.revision) {
+        if let Some(document) = self.committed.get(&revision) {
             return if document[..] == value.document[..] {
                 Commit::None
             } else {
                 Commit::Conflict
             };
         }
-        self.committed
-            .insert(value.revision, value.document.to_vec());
+        self.committed.insert(revision, value.document.to_vec());
         let is_committed = |change: &&Change| {
-            change.revision == value.revision && change.document[..] == value.document[..]
+            change.revision == revision && change.document[..] == value.document[..]
         };
         let change = self.sent.iter().rev().find(is_committed).cloned();
         self.changes.extend(change.clone());
@@ -76,8 +77,9 @@
         self.values.last_key_value().map(|(_, value)| value)
     }
 
-    pub(super) fn newest_number(&self) -> u64 {
-        self.newest_value().map_or(0, |value| value.number)
+    pub(super) fn newest_number(&self) -> ValueNumber {
+        self.newest_value()
+            .map_or(ValueNumber::FIRST, ValueNumber::of)
     }
 
     pub(super) fn is_committed(&self, change: &Change) -> bool {
@@ -96,7 +98,11 @@
             .contains(&(change.revision, change.document.clone()))
     }
 
-    pub(super) fn newest_acknowledged(&self) -> u64 {
-        self.acknowledged.keys().last().copied().unwrap_or(0)
+    pub(super) fn newest_acknowledged(&self) -> Revision {
+        self.acknowledged
+            .keys()
+            .last()
+            .copied()
+            .unwrap_or(Revision::NONE)
     }
 }
--- a/crates/linenthread-simulation/src/system/ingress_node.rs
+++ b/crates/linenthread-simulation/src/system/ingress_node.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use linenthread_control::SessionId;
+use linenthread_control::{ChangeLogOffset, Epoch, Incarnation, Revision, SessionId};
 use linenthread_messages::{Heartbeat, Hello, IngressUpdate, PeerMessage, QuotaGrant, VERSION};
 use linenthread_time::Instant;
 
@@ -39,23 +39,23 @@
 
 /// An ingress node was sent an older configuration than it has.
 pub(super) struct OlderRevision {
-    pub(super) revision: u64,
+    pub(super) revision: Revision,
 }
 
 pub(super) struct IngressNode {
-    pub(super) incarnation: u64,
+    pub(super) incarnation: Incarnation,
     pub(super) session: Option<SessionId>,
     /// The control node of its session, or of the last one.
     pub(super) control: usize,
     change_log_id: u64,
-    change_log_offset: u64,
+    change_log_offset: ChangeLogOffset,
     quota_requests: u64,
     quota_requested_at: BTreeMap<u64, Instant>,
     /// Grants of which some may have been used within the window.
     grants: Vec<Grant>,
     /// The newest epoch of the lease that it had a grant under.
-    epoch: u64,
-    pub(super) revision: u64,
+    epoch: Epoch,
+    pub(super) revision: Revision,
     /// Its configuration was confirmed as the newest one.
     pub(super) confirmed: bool,
     last_received_at: Instant,
@@ -68,18 +68,18 @@
 }
 
 impl IngressNode {
-    pub(super) fn new(incarnation: u64) -> IngressNode {
+    pub(super) fn new(incarnation: Incarnation) -> IngressNode {
         IngressNode {
             incarnation,
             session: None,
             control: 0,
             change_log_id: 0,
-            change_log_offset: 0,
+            change_log_offset: ChangeLogOffset::START,
             quota_requests: 0,
             quota_requested_at: BTreeMap::new(),
             grants: Vec::new(),
-            epoch: 0,
-            revision: 0,
+            epoch: Epoch::NONE,
+            revision: Revision::NONE,
             confirmed: false,
             last_received_at: Instant::START,
             heartbeats_without_quorum: 0,
@@ -134,10 +134,10 @@
             version: VERSION,
             name,
             zone: "z0".into(),
-            incarnation: self.incarnation,
+            incarnation: self.incarnation.get(),
             change_log_id: self.change_log_id,
-            change_log_offset: self.change_log_offset,
-            value_number: self.revision,
+            change_log_offset: self.change_log_offset.get(),
+            value_number: self.revision.get(),
             ..Hello::default()
         }
     }
@@ -148,7 +148,7 @@
         self.quota_requested_at.insert(self.quota_requests, now);
         Heartbeat {
             quota_request_or_value_number: self.quota_requests,
-            revision: self.revision,
+            revision: self.revision.get(),
             ..Heartbeat::default()
         }
     }
@@ -178,12 +178,12 @@
 
     fn on_update(&mut self, update: IngressUpdate) -> Result<(), OlderRevision> {
         self.change_log_id = update.change_log_id;
-        self.change_log_offset = update.change_log_offset;
+        self.change_log_offset = ChangeLogOffset::new(update.change_log_offset);
         self.confirmed |= update.confirmed;
         let Some(value) = update.value else {
             return Ok(());
         };
-        let revision = value.revision;
+        let revision = Revision::of(&value);
         let is_older = revision < self.revision;
         self.revision = revision;
         if is_older {
@@ -194,14 +194,15 @@
     }
 
     fn on_grant(&mut self, grant: &QuotaGrant, now: Instant) {
-        if grant.incarnation != self.incarnation || grant.epoch < self.epoch {
+        let epoch = Epoch::new(grant.epoch);
+        if Incarnation::new(grant.incarnation) != self.incarnation || epoch < self.epoch {
             return;
         }
         let Some(requested_at) = self.quota_requested_at.get(&grant.quota_request) else {
             return;
         };
         let until = *requested_at + Duration::from_millis(grant.lease_ms.into());
-        self.epoch = grant.epoch;
+        self.epoch = epoch;
         if until > now {
             let share = grant.share;
             self.grants.push(Grant { share, until });
@@ -228,7 +229,7 @@
     pub(super) fn restart(
         &mut self,
         index: usize,
-        incarnation: u64,
+        incarnation: Incarnation,
         now: Instant,
     ) -> Option<SessionId> {
         let old = std::mem::replace(&mut self.nodes[index], IngressNode::new(incarnation));
--- a/crates/linenthread-simulation/src/system/machine.rs
+++ b/crates/linenthread-simulation/src/system/machine.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use linenthread_consensus::NodeId;
+use linenthread_consensus::{Incarnation, NodeId, ValueNumber};
 use linenthread_control::ControlNode;
 use linenthread_messages::{Envelope, PeerMessage};
 use linenthread_time::Instant;
@@ -13,6 +13,9 @@
 use super::disk::Disk;
 use super::event::{NodeIndex, Process};
 
+/// Stands for the incarnation of a process that does not run; none is drawn that has this number.
+pub(super) const NO_PROCESS: Incarnation = Incarnation::new(0);
+
 /// How a process ends.
 #[derive(Clone, Copy, PartialEq)]
 pub(super) enum ProcessEnd {
@@ -43,14 +46,14 @@
 /// What it takes a process that was started to have the newest value.
 pub(super) struct CatchUp {
     /// The number of the newest value when it was started.
-    pub(super) target: u64,
+    pub(super) target: ValueNumber,
     pub(super) started_at: Instant,
     pub(super) messages: usize,
     pub(super) bytes: usize,
 }
 
 impl CatchUp {
-    pub(super) fn new(target: u64, started_at: Instant) -> CatchUp {
+    pub(super) fn new(target: ValueNumber, started_at: Instant) -> CatchUp {
         CatchUp {
             target,
             started_at,
@@ -100,8 +103,8 @@
     pub(super) address: String,
     /// The node of the running process.
     pub(super) control: Option<ControlNode>,
-    /// Of the running process; 0 while there is none.
-    pub(super) incarnation: u64,
+    /// Of the running process; [`NO_PROCESS`] while there is none.
+    pub(super) incarnation: Incarnation,
     /// When the newest process started.
     pub(super) started_at: Instant,
     /// The process does not run until then.
@@ -120,7 +123,7 @@
     /// Its disk was lost; what it had held is missing until then.
     pub(super) erased_until: Instant,
     /// The highest number of a value that the process has decided.
-    pub(super) decided_number: u64,
+    pub(super) decided_number: ValueNumber,
     pub(super) contacts: Contacts,
     /// While the process has not caught up.
     pub(super) catch_up: Option<CatchUp>,
@@ -137,7 +140,7 @@
         Machine {
             address,
             control: None,
-            incarnation: 0,
+            incarnation: NO_PROCESS,
             started_at: Instant::START,
             paused_until: Instant::START,
             shutdown: None,
@@ -148,7 +151,7 @@
             is_initial,
             lost_until: Instant::START,
             erased_until: Instant::START,
-            decided_number: 0,
+            decided_number: ValueNumber::FIRST,
             contacts: Contacts::default(),
             catch_up: None,
         }
--- a/crates/linenthread-simulation/src/system/operators.rs
+++ b/crates/linenthread-simulation/src/system/operators.rs
@@ -3,7 +3,7 @@
 
 use std::time::Duration;
 
-use linenthread_control::CallId;
+use linenthread_control::{CallId, Revision};
 
 use super::event::Event;
 use super::history::Change;
@@ -74,11 +74,12 @@
         let base = self.operators[operator].revision;
         let own_number = u64::try_from(operator).unwrap_or(u64::MAX);
         let revision = if self.plan.revisions_collide {
-            base + 1 + self.random.below(2)
+            base.get() + 1 + self.random.below(2)
         } else {
             let operators = u64::try_from(self.operators.len()).unwrap_or(u64::MAX);
-            base + 1 + operators * self.random.below(3) + own_number
+            base.get() + 1 + operators * self.random.below(3) + own_number
         };
+        let revision = Revision::new(revision);
         let document = format!(
             "{{\"by\":{operator},\"revision\":{revision},\"at\":{}}}",
             self.now().as_millis()
@@ -156,7 +157,7 @@
             // It builds on what is no longer the newest revision, or on it: no response may be sure of that.
             let stale = Change {
                 base: newest.base,
-                revision: newest.revision + UNUSED_REVISION,
+                revision: Revision::new(newest.revision.get() + UNUSED_REVISION),
                 document: b"{}".to_vec(),
             };
             let request = Request::Rival {
--- a/crates/linenthread-simulation/src/system/requests.rs
+++ b/crates/linenthread-simulation/src/system/requests.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use linenthread_control::CallId;
+use linenthread_control::{CallId, Revision};
 
 use super::history::Change;
 
@@ -25,7 +25,7 @@
     /// A read, when this revision had been acknowledged.
     Read {
         operator: usize,
-        acknowledged: u64,
+        acknowledged: Revision,
     },
     /// A heartbeat of a replica that drains.
     Drain {
--- a/crates/linenthread-simulation/src/system/responses.rs
+++ b/crates/linenthread-simulation/src/system/responses.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use linenthread_control::{CallId, Response};
+use linenthread_control::{CallId, Response, Revision};
 
 use super::checker::QUORUM_TIMEOUT;
 use super::event::Event;
@@ -48,7 +48,7 @@
                 Response::Document(value),
             ) => {
                 self.check_read(acknowledged, &value);
-                self.operators[operator].revision = value.revision;
+                self.operators[operator].revision = Revision::of(&value);
             }
             (Request::Drain { ident }, Response::Acknowledged(_)) => {
                 self.check_drain(node, &ident);
--- a/crates/linenthread-simulation/src/system/shutdown.rs
+++ b/crates/linenthread-simulation/src/system/shutdown.rs
@@ -3,6 +3,8 @@
 
 use std::time::Duration;
 
+use linenthread_control::Incarnation;
+
 use super::event::Event;
 use super::fault::FaultKind;
 use super::loss_budget::CATCH_UP_TIME;
@@ -38,7 +40,7 @@
     }
 
     /// A process that was asked to shut down ends, if control permits it or its deadline has passed.
-    pub(super) fn check_shutdown(&mut self, node: usize, incarnation: u64) {
+    pub(super) fn check_shutdown(&mut self, node: usize, incarnation: Incarnation) {
         let machine = &self.machines[node];
         let Some(shutdown) = machine
             .shutdown
--- a/crates/linenthread-simulation/src/system/simulation.rs
+++ b/crates/linenthread-simulation/src/system/simulation.rs
@@ -5,6 +5,7 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
 
+use linenthread_control::Incarnation;
 use linenthread_time::Instant;
 
 use super::event::{Delivery, Event, NodeIndex, Process};
@@ -135,7 +136,7 @@
             self.push_in(delay, Event::StartProcess { node });
         }
         for ingress in 0..INGRESS_NODES {
-            let incarnation = self.random.bits();
+            let incarnation = Incarnation::new(self.random.bits());
             self.ingress.nodes.push(IngressNode::new(incarnation));
             let delay = Duration::from_millis(500) + self.random.millis_below(500);
             self.push_in(delay, Event::IngressHeartbeat { ingress });
--- a/crates/linenthread-simulation/tests/no_wall_clock.rs
+++ b/crates/linenthread-simulation/tests/no_wall_clock.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use linenthread_consensus::{DurableState, NodeId};
-use linenthread_control::{ControlNode, Effect, NodeConfig, SessionId};
+use linenthread_control::{ControlNode, Effect, Incarnation, NodeConfig, SessionId};
 use linenthread_time::Instant;
 
 /// Names of the time of day.
@@ -137,7 +137,7 @@
     let local = NodeConfig {
         name: name.into(),
         zone: "z0".into(),
-        incarnation,
+        incarnation: Incarnation::new(incarnation),
         control_address: format!("{name}:80"),
         may_vote: true,
         min_voters: 3,
