--- a/crates/linenthread-control/src/control_node.rs
+++ b/crates/linenthread-control/src/control_node.rs
@@ -34,8 +34,6 @@
     pub(crate) membership: Membership,
     pub(crate) address_book: AddressBook,
     pub(crate) registry: ReplicaRegistry,
-    /// Heartbeats were received for so long that a replica which the registry lacks does not run.
-    pub(crate) registry_settled: bool,
     pub(crate) pending_drains: PendingDrains,
     pub(crate) snapshot_writer: ReplicaSnapshotWriter,
     pub(crate) ingress_nodes: IngressNodes,
@@ -73,7 +71,6 @@
                 now,
             ),
             registry: ReplicaRegistry::default(),
-            registry_settled: false,
             pending_drains: PendingDrains::default(),
             snapshot_writer: ReplicaSnapshotWriter::new(now),
             ingress_nodes: IngressNodes::new(config.incarnation),
@@ -84,9 +81,7 @@
         };
         control.adopt_durable_value(now);
         // The replicas of before the restart may still run: each has the usual time to send a heartbeat.
-        for replica in &replicas {
-            control.registry.observe(now, replica, &mut Vec::new());
-        }
+        control.registry.restore(now, &replicas);
         control
     }
 
--- a/crates/linenthread-control/src/ingress_nodes.rs
+++ b/crates/linenthread-control/src/ingress_nodes.rs
@@ -9,10 +9,7 @@
 use crate::address_book::AddressBook;
 use crate::change_log::ChangeLogOffset;
 use crate::timing::SESSION_TIMEOUT;
-use crate::{ChangeLog, ReplicaRegistry, SessionId};
-
-/// How many changes of replicas are remembered. An ingress node that lacks more is sent the whole registry.
-const MAX_LOGGED_CHANGES: usize = 4_096;
+use crate::{ReplicaRegistry, SessionId};
 
 /// How far the read of the newest configuration for a session has come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -118,17 +115,15 @@
     pub(crate) registry: &'a ReplicaRegistry,
     pub(crate) decided: Option<&'a Value>,
     pub(crate) address_book: &'a AddressBook,
-    pub(crate) registry_settled: bool,
 }
 
-/// All sessions with ingress nodes, and the log of changes that they follow.
+/// All sessions with ingress nodes.
 pub(crate) struct IngressNodes {
     /// The control node's incarnation, which identifies its change log.
     change_log_id: Incarnation,
     peers: BTreeMap<SessionId, IngressPeer>,
     /// Sessions that other control nodes have, by this node's session with each of those.
     remote: BTreeMap<SessionId, Vec<IngressSession>>,
-    pub(crate) changes: ChangeLog,
 }
 
 impl IngressNodes {
@@ -137,7 +132,6 @@
             change_log_id: incarnation,
             peers: BTreeMap::new(),
             remote: BTreeMap::new(),
-            changes: ChangeLog::new(MAX_LOGGED_CHANGES),
         }
     }
 
@@ -249,9 +243,10 @@
         session: SessionId,
         source: &UpdateSource,
     ) -> Option<IngressUpdate> {
-        let offset = self.changes.offset();
+        let change_log = source.registry.changes();
+        let offset = change_log.offset();
         let peer = self.peers.get_mut(&session)?;
-        let changed = peer.sent_offset.and_then(|sent| self.changes.since(sent));
+        let changed = peer.sent_offset.and_then(|sent| change_log.since(sent));
         let complete = changed.is_none();
         let replicas: Vec<Replica> = match changed {
             Some(replica_ids) => replica_ids
@@ -294,7 +289,7 @@
                 Vec::new()
             },
             confirmed,
-            registry_settled: source.registry_settled,
+            registry_settled: source.registry.is_settled(),
         })
     }
 }
--- a/crates/linenthread-control/src/ingress_updates.rs
+++ b/crates/linenthread-control/src/ingress_updates.rs
@@ -52,7 +52,6 @@
             registry: &self.registry,
             decided: self.register.decided(),
             address_book: &self.address_book,
-            registry_settled: self.registry_settled,
         };
         if let Some(update) = self.ingress_nodes.next_update(now, session, &source) {
             effects.push(Effect::Send {
--- a/crates/linenthread-control/src/lib.rs
+++ b/crates/linenthread-control/src/lib.rs
@@ -67,7 +67,8 @@
 pub use ids::{CallId, SessionId};
 pub use ingress_nodes::IngressIncarnation;
 pub use replica_registry::{
-    HeartbeatOutcome, RegisteredReplica, ReplicaHeartbeat, ReplicaPhase, ReplicaRegistry,
+    HeartbeatOutcome, Observation, RegisteredReplica, ReplicaHeartbeat, ReplicaPhase,
+    ReplicaRegistry,
 };
 pub use response::{Response, UnavailableReason};
 pub use retry_budget::RetryBudget;
--- a/crates/linenthread-control/src/replica_calls.rs
+++ b/crates/linenthread-control/src/replica_calls.rs
@@ -5,7 +5,9 @@
 use linenthread_time::Instant;
 
 use crate::pending_drains::UpdateId;
-use crate::{CallId, ControlNode, Effect, HeartbeatOutcome, ReplicaHeartbeat, Response};
+use crate::{
+    CallId, ControlNode, Effect, HeartbeatOutcome, RegisteredReplica, ReplicaHeartbeat, Response,
+};
 
 impl ControlNode {
     /// A replica's heartbeat.
@@ -23,16 +25,17 @@
             return;
         }
         let replica = heartbeat.into_replica(replica_id);
-        let mut superseded = Vec::new();
-        let outcome = self.registry.observe(now, &replica, &mut superseded);
-        self.record_change(replica_id, outcome, &superseded);
-        let is_draining = self
+        let observation = self.registry.observe(now, &replica);
+        if observation.outcome != HeartbeatOutcome::Stale {
+            self.forget_ended_drain(replica_id);
+            self.queue_for_peers(replica_id, &observation.superseded);
+        }
+        let is_leaving = self
             .registry
             .get(replica_id)
-            .is_some_and(|known| known.replica.draining || known.replica.removed_for_good);
-        let awaits_majority = replica.draining
-            && is_draining
-            && !self.pending_drains.is_known_by_majority(replica_id);
+            .is_some_and(RegisteredReplica::is_leaving);
+        let awaits_majority =
+            replica.draining && is_leaving && !self.pending_drains.is_known_by_majority(replica_id);
         if awaits_majority {
             self.await_majority(now, call, replica_id, effects);
         } else {
@@ -42,7 +45,7 @@
                 response: Response::Acknowledged(report_to),
             });
         }
-        if outcome == HeartbeatOutcome::Changed {
+        if observation.outcome == HeartbeatOutcome::Changed {
             self.flush_changed_replicas(now, effects);
         }
     }
@@ -62,7 +65,7 @@
         }
         if self.registry.mark_departed(now, replica_id) {
             self.pending_drains.forget(replica_id);
-            self.record_change(replica_id, HeartbeatOutcome::Changed, &[]);
+            self.queue_for_peers(replica_id, &[]);
         }
         // It may have departed before, and too few others have acknowledged that so far.
         let awaits_majority = self.registry.get(replica_id).is_some()
--- a/crates/linenthread-control/src/replica_registry.rs
+++ b/crates/linenthread-control/src/replica_registry.rs
@@ -1,4 +1,5 @@
-//! The registry of replicas: what is known of each, merged from heartbeats in whatever order they arrive.
+//! The registry of replicas: what is known of each, merged from heartbeats in whatever order they arrive, and the log
+//! of its changes.
 
 use std::cell::Cell;
 use std::collections::BTreeMap;
@@ -8,9 +9,14 @@
 use linenthread_time::{Instant, whole_millis};
 use serde::Deserialize;
 
+use crate::ChangeLog;
+
 /// An ended replica is remembered for so long, so that a late heartbeat does not bring it back.
 const REMEMBER_ENDED: Duration = Duration::from_millis(60_000);
 
+/// How many changes of replicas are remembered. An ingress node that lacks more is sent the whole registry.
+const MAX_LOGGED_CHANGES: usize = 4_096;
+
 /// What a replica says of itself with each heartbeat: the body of its call, in JSON.
 #[derive(Clone, Debug, Deserialize)]
 pub struct ReplicaHeartbeat {
@@ -86,6 +92,11 @@
         }
     }
 
+    /// Whether it drains, or ended for good: a majority must know of that before the replica is told that it may stop.
+    pub(crate) fn is_leaving(&self) -> bool {
+        self.replica.draining || self.replica.removed_for_good
+    }
+
     fn end(&mut self, now: Instant) {
         self.replica.removed_for_good = true;
         self.replica.removed = true;
@@ -148,14 +159,36 @@
     Changed,
 }
 
+/// What [`ReplicaRegistry::observe`] made of a report.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct Observation {
+    /// What the report changed of its replica.
+    pub outcome: HeartbeatOutcome,
+    /// The ids of other replicas that ended by it.
+    pub superseded: Vec<String>,
+}
+
 /// The replicas of all backends, by id.
-#[derive(Default)]
 pub struct ReplicaRegistry {
     replicas: BTreeMap<String, RegisteredReplica>,
+    changes: ChangeLog,
+    /// Heartbeats were received for so long that a replica which is not here does not run.
+    is_settled: bool,
     /// The last digest; `None` once what it covers has changed.
     digest: Cell<Option<u64>>,
 }
 
+impl Default for ReplicaRegistry {
+    fn default() -> ReplicaRegistry {
+        ReplicaRegistry {
+            replicas: BTreeMap::new(),
+            changes: ChangeLog::new(MAX_LOGGED_CHANGES),
+            is_settled: false,
+            digest: Cell::new(None),
+        }
+    }
+}
+
 impl ReplicaRegistry {
     /// The replica of an id, also if it has ended lately.
     pub fn get(&self, id: &str) -> Option<&RegisteredReplica> {
@@ -177,29 +210,61 @@
         self.replicas.is_empty()
     }
 
-    /// Takes in what a replica, or another control node, reports of it. The ids of other replicas that ended by this
-    /// are added to `superseded`.
-    pub fn observe(
-        &mut self,
-        now: Instant,
-        report: &Replica,
-        superseded: &mut Vec<String>,
-    ) -> HeartbeatOutcome {
-        let outcome = match self.replicas.get_mut(&report.id) {
-            Some(known) => known.merge(now, report),
-            None => {
-                self.insert(now, report, superseded);
-                HeartbeatOutcome::Changed
+    /// The log of changes, for ingress nodes.
+    pub fn changes(&self) -> &ChangeLog {
+        &self.changes
+    }
+
+    /// Whether heartbeats were received for so long that a replica which is not here does not run.
+    pub(crate) fn is_settled(&self) -> bool {
+        self.is_settled
+    }
+
+    /// Notes whether the registry is settled; returns whether it is from now on and was not before.
+    pub(crate) fn set_settled(&mut self, is_settled: bool) -> bool {
+        let was_settled = std::mem::replace(&mut self.is_settled, is_settled);
+        is_settled && !was_settled
+    }
+
+    /// Takes in the replicas that a disk holds. Nobody has been sent an offset of this log yet, so they are no changes.
+    pub(crate) fn restore(&mut self, now: Instant, replicas: &[Replica]) {
+        for replica in replicas {
+            self.merge(now, replica);
+        }
+    }
+
+    /// Takes in what a replica, or another control node, reports of it, and logs what that changed.
+    pub fn observe(&mut self, now: Instant, report: &Replica) -> Observation {
+        let observation = self.merge(now, report);
+        if observation.outcome == HeartbeatOutcome::Changed {
+            for id in observation.superseded.iter().chain([&report.id]) {
+                self.changes.append(id);
+            }
+        }
+        observation
+    }
+
+    fn merge(&mut self, now: Instant, report: &Replica) -> Observation {
+        let observation = if let Some(known) = self.replicas.get_mut(&report.id) {
+            Observation {
+                outcome: known.merge(now, report),
+                superseded: Vec::new(),
+            }
+        } else {
+            Observation {
+                outcome: HeartbeatOutcome::Changed,
+                superseded: self.insert(now, report),
             }
         };
-        if outcome == HeartbeatOutcome::Changed {
+        if observation.outcome == HeartbeatOutcome::Changed {
             self.digest.set(None);
         }
-        outcome
+        observation
     }
 
-    /// Adds a replica that was not known.
-    fn insert(&mut self, now: Instant, report: &Replica, superseded: &mut Vec<String>) {
+    /// Adds a replica that was not known; returns the ids of others that ended by it.
+    fn insert(&mut self, now: Instant, report: &Replica) -> Vec<String> {
+        let mut superseded = Vec::new();
         let mut new = RegisteredReplica {
             replica: Replica {
                 age_ms: 0,
@@ -228,6 +293,7 @@
         }
         superseded.retain(|id| *id != report.id);
         self.replicas.insert(report.id.clone(), new);
+        superseded
     }
 
     /// A replica announced that it ends; true if it had not before.
@@ -235,6 +301,7 @@
         match self.replicas.get_mut(id) {
             Some(known) if !known.replica.removed_for_good => {
                 known.end(now);
+                self.changes.append(id);
                 self.digest.set(None);
                 true
             }
@@ -267,6 +334,7 @@
         let mut expired = Vec::new();
         for known in self.replicas.values_mut().filter(|known| timed_out(known)) {
             known.replica.removed = true;
+            self.changes.append(&known.replica.id);
             expired.push(known.replica.id.clone());
         }
         expired
--- a/crates/linenthread-control/src/replica_snapshot.rs
+++ b/crates/linenthread-control/src/replica_snapshot.rs
@@ -5,7 +5,7 @@
 
 use crate::change_log::ChangeLogOffset;
 use crate::timing::SNAPSHOT_INTERVAL;
-use crate::{ChangeLog, ControlNode, Effect, ReplicaRegistry};
+use crate::{ControlNode, Effect, ReplicaRegistry};
 
 /// Decides when the registry is written to disk.
 pub(crate) struct ReplicaSnapshotWriter {
@@ -24,13 +24,8 @@
     }
 
     /// A record of the replicas that are there, if they changed and the last one is old enough.
-    fn next_record(
-        &mut self,
-        now: Instant,
-        changes: &ChangeLog,
-        registry: &ReplicaRegistry,
-    ) -> Option<Record> {
-        let offset = changes.offset();
+    fn next_record(&mut self, now: Instant, registry: &ReplicaRegistry) -> Option<Record> {
+        let offset = registry.changes().offset();
         if offset == self.written_offset || now < self.written_at + SNAPSHOT_INTERVAL {
             return None;
         }
@@ -53,9 +48,7 @@
 
 impl ControlNode {
     pub(crate) fn write_replica_snapshot(&mut self, now: Instant, effects: &mut Vec<Effect>) {
-        let record =
-            self.snapshot_writer
-                .next_record(now, &self.ingress_nodes.changes, &self.registry);
+        let record = self.snapshot_writer.next_record(now, &self.registry);
         effects.extend(record.map(|record| Effect::Persist {
             record,
             after_sync: Vec::new(),
--- a/crates/linenthread-control/src/replica_updates.rs
+++ b/crates/linenthread-control/src/replica_updates.rs
@@ -6,35 +6,20 @@
 use crate::{ControlNode, Effect, HeartbeatOutcome, SessionId};
 
 impl ControlNode {
-    /// Notes a replica's change for the next batch to the other control nodes, and for the ingress nodes.
-    /// `superseded` are the replicas that ended by it.
-    pub(crate) fn record_change(
-        &mut self,
-        replica_id: &str,
-        outcome: HeartbeatOutcome,
-        superseded: &[String],
-    ) {
-        if outcome == HeartbeatOutcome::Stale {
-            return;
-        }
-        self.forget_ended_drain(replica_id);
-        let changed = || superseded.iter().map(String::as_str).chain([replica_id]);
+    /// Queues a replica, and those that ended by it, for the next update of the other control nodes.
+    pub(crate) fn queue_for_peers(&mut self, replica_id: &str, superseded: &[String]) {
         for (_, peer) in self.membership.iter_mut() {
-            peer.changed_replicas.extend(changed().map(str::to_owned));
-        }
-        if outcome == HeartbeatOutcome::Changed {
-            for id in changed() {
-                self.ingress_nodes.changes.append(id);
-            }
+            let replica_ids = superseded.iter().map(String::as_str).chain([replica_id]);
+            peer.changed_replicas.extend(replica_ids.map(str::to_owned));
         }
     }
 
     /// A replica that drains no more has to be made known again when it drains the next time.
-    fn forget_ended_drain(&mut self, replica_id: &str) {
+    pub(crate) fn forget_ended_drain(&mut self, replica_id: &str) {
         let is_available = self
             .registry
             .get(replica_id)
-            .is_some_and(|known| !known.replica.draining && !known.replica.removed_for_good);
+            .is_some_and(|known| !known.is_leaving());
         if is_available {
             self.pending_drains.forget(replica_id);
         }
@@ -131,17 +116,11 @@
     ) {
         let mut any_changed = false;
         for replica in &update.replicas {
-            let mut superseded = Vec::new();
-            let outcome = self.registry.observe(now, replica, &mut superseded);
+            // A change goes on to ingress nodes, but not to further control nodes: each node sends to all others what
+            // it received itself.
+            let observation = self.registry.observe(now, replica);
+            any_changed |= observation.outcome == HeartbeatOutcome::Changed;
             self.forget_ended_drain(&replica.id);
-            // This goes on to ingress nodes, but not to further control nodes: each node sends to all others what it
-            // received itself.
-            if outcome == HeartbeatOutcome::Changed {
-                for id in superseded.iter().chain([&replica.id]) {
-                    self.ingress_nodes.changes.append(id);
-                }
-                any_changed = true;
-            }
         }
         for address in &update.control_addresses {
             self.address_book.learn(now, address);
--- a/crates/linenthread-control/src/sessions.rs
+++ b/crates/linenthread-control/src/sessions.rs
@@ -18,7 +18,7 @@
             node_id: self.register.id().0,
             is_voter: self.config.may_vote,
             change_log_id: self.config.incarnation.get(),
-            change_log_offset: self.ingress_nodes.changes.offset().get(),
+            change_log_offset: self.registry.changes().offset().get(),
             value_number: self.value_number().get(),
         };
         effects.push(Effect::Send {
--- a/crates/linenthread-control/src/ticks.rs
+++ b/crates/linenthread-control/src/ticks.rs
@@ -73,16 +73,14 @@
             .contact
             .since()
             .is_some_and(|since| now > since + timeout);
-        if settled && !self.registry_settled {
+        if self.registry.set_settled(settled) {
             // From now on a replica that an update does not name does not run.
             self.ingress_nodes.resend_all();
         }
-        self.registry_settled = settled;
         if !settled {
             return;
         }
         for id in self.registry.expire(now, timeout) {
-            self.ingress_nodes.changes.append(&id);
             effects.push(Effect::Log(ControlEvent::ReplicaTimedOut { id }));
         }
     }
--- a/crates/linenthread-control/tests/golden_json.rs
+++ b/crates/linenthread-control/tests/golden_json.rs
@@ -129,8 +129,8 @@
         ..Replica::default()
     };
     let mut registry = ReplicaRegistry::default();
-    registry.observe(NOW, &replica, &mut Vec::new());
-    registry.observe(NOW, &other, &mut Vec::new());
+    registry.observe(NOW, &replica);
+    registry.observe(NOW, &other);
     registry.mark_departed(NOW, "replica-2");
     registry.digest()
 }
--- a/crates/linenthread-control/tests/replica_registry.rs
+++ b/crates/linenthread-control/tests/replica_registry.rs
@@ -36,8 +36,8 @@
 )]
 fn heartbeats_merge_in_any_order(news: Replica, outcome: HeartbeatOutcome, a_has_ended: bool) {
     let mut registry = ReplicaRegistry::default();
-    registry.observe(at(1_000), &report("a", 2, "x"), &mut Vec::new());
-    assert_eq!(registry.observe(at(1_500), &news, &mut Vec::new()), outcome);
+    registry.observe(at(1_000), &report("a", 2, "x"));
+    assert_eq!(registry.observe(at(1_500), &news).outcome, outcome);
     assert_eq!(
         registry.get("a").unwrap().replica.removed_for_good,
         a_has_ended
@@ -56,11 +56,11 @@
 fn a_cached_digest_equals_a_computed_one(news: Replica) {
     let (mut cached, mut computed) = (ReplicaRegistry::default(), ReplicaRegistry::default());
     for registry in [&mut cached, &mut computed] {
-        registry.observe(at(1_000), &report("a", 2, "x"), &mut Vec::new());
+        registry.observe(at(1_000), &report("a", 2, "x"));
     }
     let before = cached.digest();
     for registry in [&mut cached, &mut computed] {
-        registry.observe(at(1_500), &news, &mut Vec::new());
+        registry.observe(at(1_500), &news);
     }
     assert_eq!(cached.digest(), computed.digest());
     assert_eq!(
@@ -77,10 +77,10 @@
 #[test]
 fn an_ended_incarnation_does_not_come_back() {
     let mut registry = ReplicaRegistry::default();
-    registry.observe(at(0), &report("a", 2, "x"), &mut Vec::new());
+    registry.observe(at(0), &report("a", 2, "x"));
     assert!(registry.mark_departed(at(10), "a") && !registry.mark_departed(at(11), "a"));
     assert_eq!(
-        registry.observe(at(20), &report("a", 3, "x"), &mut Vec::new()),
+        registry.observe(at(20), &report("a", 3, "x")).outcome,
         HeartbeatOutcome::Stale
     );
     assert!(registry.get("a").unwrap().replica.removed);
@@ -96,13 +96,12 @@
         registry.observe(
             at(last_heartbeat),
             &report(&format!("r{i}"), 1, &format!("x{i}")),
-            &mut Vec::new(),
         );
     }
     assert_eq!(registry.expire(at(6_000), ms(4_000)).len(), gone);
     if gone > 0 {
         assert_eq!(
-            registry.observe(at(6_100), &report("r0", 2, "x0"), &mut Vec::new()),
+            registry.observe(at(6_100), &report("r0", 2, "x0")).outcome,
             HeartbeatOutcome::Changed
         );
         assert!(!registry.get("r0").unwrap().replica.removed);
