--- a/crates/linenthread-control/src/address_book.rs
+++ b/crates/linenthread-control/src/address_book.rs
@@ -25,6 +25,20 @@
 /// A dial in progress is not repeated for so long.
 const DIAL_TIMEOUT: Duration = Duration::from_millis(600);
 
+/// Which addresses the book held at some moment: raised whenever one is learnt or forgotten. A peer that was sent the
+/// addresses of this version lacks none.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) struct AddressBookVersion(u64);
+
+impl AddressBookVersion {
+    /// Before the first one: what a peer has been sent at first.
+    pub(crate) const NONE: AddressBookVersion = AddressBookVersion(0);
+
+    fn next(self) -> AddressBookVersion {
+        AddressBookVersion(self.0 + 1)
+    }
+}
+
 struct DialState {
     next_dial_at: Instant,
     backoff: Duration,
@@ -38,7 +52,7 @@
     bootstrap: Vec<String>,
     started_at: Instant,
     known: BTreeMap<String, DialState>,
-    version: u64,
+    version: AddressBookVersion,
 }
 
 impl AddressBook {
@@ -48,7 +62,7 @@
             bootstrap: bootstrap.clone(),
             started_at: now,
             known: BTreeMap::new(),
-            version: 1,
+            version: AddressBookVersion::NONE.next(),
         };
         for address in &bootstrap {
             addresses.learn(now, address);
@@ -56,8 +70,7 @@
         addresses
     }
 
-    /// Increases when an address is learnt or forgotten.
-    pub(crate) fn version(&self) -> u64 {
+    pub(crate) fn version(&self) -> AddressBookVersion {
         self.version
     }
 
@@ -88,7 +101,7 @@
                 last_seen_at: now,
             },
         );
-        self.version += 1;
+        self.version = self.version.next();
     }
 
     /// A dial failed: the address is dialled less and less often.
@@ -132,7 +145,9 @@
             }
             remember
         });
-        self.version += u64::from(self.known.len() < count_before);
+        if self.known.len() < count_before {
+            self.version = self.version.next();
+        }
         to_dial
     }
 }
--- a/crates/linenthread-control/src/admission.rs
+++ b/crates/linenthread-control/src/admission.rs
@@ -27,7 +27,7 @@
             .find(|peer| peer.accepts_calls(now));
         other.map_or(
             Response::Unavailable(UnavailableReason::ShuttingDown),
-            |peer| Response::Redirect(peer.hello.control_address.clone()),
+            |peer| Response::Redirect(peer.hello().control_address.clone()),
         )
     }
 
--- a/crates/linenthread-control/src/control_node.rs
+++ b/crates/linenthread-control/src/control_node.rs
@@ -89,7 +89,7 @@
         for voter in self.register.voters().to_vec() {
             self.address_book.learn(now, &voter.address);
         }
-        self.voting.is_voter = self.is_voter();
+        self.voting.set_voter(self.is_voter());
         if let Some(value) = self.register.decided() {
             self.lease.on_decided(value);
             self.lease
--- a/crates/linenthread-control/src/heartbeats.rs
+++ b/crates/linenthread-control/src/heartbeats.rs
@@ -42,7 +42,7 @@
         let heartbeat = self.heartbeat(now);
         for (session, peer) in self.membership.iter() {
             let message = PeerMessage::Heartbeat(Heartbeat {
-                echoed_sent_at: peer.last_sent_at,
+                echoed_sent_at: peer.sent_at_to_echo(),
                 ..heartbeat.clone()
             });
             effects.push(Effect::Send { session, message });
--- a/crates/linenthread-control/src/ingress_nodes.rs
+++ b/crates/linenthread-control/src/ingress_nodes.rs
@@ -1,26 +1,14 @@
-//! Sessions with ingress nodes, at this and at other control nodes, and the updates that each ingress node lacks.
+//! All sessions with ingress nodes, at this and at other control nodes.
 
 use std::collections::BTreeMap;
 
-use linenthread_consensus::{Incarnation, Revision};
-use linenthread_messages::{Hello, IngressSession, IngressUpdate, QuotaGrant, Replica, Value};
+use linenthread_consensus::Incarnation;
+use linenthread_messages::{Hello, IngressSession, IngressUpdate, QuotaGrant};
 use linenthread_time::Instant;
 
-use crate::address_book::AddressBook;
-use crate::change_log::ChangeLogOffset;
+use crate::SessionId;
+use crate::ingress_peer::{IngressPeer, UpdateSource};
 use crate::timing::SESSION_TIMEOUT;
-use crate::{ReplicaRegistry, SessionId};
-
-/// How far the read of the newest configuration for a session has come.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Confirmation {
-    /// Not read yet.
-    Missing,
-    /// The read is in flight.
-    InFlight,
-    /// Read.
-    Confirmed,
-}
 
 /// One run of an ingress node: what a retry quota is granted to, since a restarted node does not know what it was
 /// granted before.
@@ -50,73 +38,6 @@
     }
 }
 
-/// A session with an ingress node.
-pub(crate) struct IngressPeer {
-    pub(crate) hello: Hello,
-    pub(crate) last_received_at: Instant,
-    /// The newest revision that was sent to it, or that it came with.
-    sent_revision: Revision,
-    /// Offset in the change log up to which it was sent everything; `None` if it needs the whole registry.
-    sent_offset: Option<ChangeLogOffset>,
-    /// Version of the address book that it was sent.
-    addresses_version: u64,
-    confirmation: Confirmation,
-    /// It was sent that the configuration is confirmed.
-    sent_confirmed: bool,
-    /// The heartbeat, by the ingress node's count, with which it last requested a quota.
-    quota_request: u64,
-    /// The revision of the configuration that it applies.
-    revision: u64,
-}
-
-impl IngressPeer {
-    fn is_confirmed(&self) -> bool {
-        self.confirmation == Confirmation::Confirmed
-    }
-
-    /// Whether a read of the newest configuration for it has to be started.
-    pub(crate) fn needs_confirmation(&self) -> bool {
-        self.confirmation == Confirmation::Missing
-    }
-
-    /// The read has been started.
-    pub(crate) fn start_confirmation(&mut self) {
-        self.confirmation = Confirmation::InFlight;
-    }
-
-    /// The read has ended.
-    pub(crate) fn on_confirmation(&mut self, succeeded: bool) {
-        self.confirmation = if succeeded {
-            Confirmation::Confirmed
-        } else {
-            Confirmation::Missing
-        };
-    }
-
-    /// A heartbeat of the ingress node.
-    pub(crate) fn on_heartbeat(&mut self, quota_request: u64, revision: u64) {
-        (self.quota_request, self.revision) = (quota_request, revision);
-    }
-
-    fn to_message(&self) -> IngressSession {
-        IngressSession {
-            name: self.hello.name.clone(),
-            zone: self.hello.zone.clone(),
-            incarnation: self.hello.incarnation,
-            quota_request: self.quota_request,
-            address: String::new(),
-            revision: self.revision,
-        }
-    }
-}
-
-/// What an update is made from.
-pub(crate) struct UpdateSource<'a> {
-    pub(crate) registry: &'a ReplicaRegistry,
-    pub(crate) decided: Option<&'a Value>,
-    pub(crate) address_book: &'a AddressBook,
-}
-
 /// All sessions with ingress nodes.
 pub(crate) struct IngressNodes {
     /// The control node's incarnation, which identifies its change log.
@@ -136,19 +57,7 @@
     }
 
     pub(crate) fn open(&mut self, now: Instant, session: SessionId, hello: Hello) {
-        let follows_this_log = hello.change_log_id == self.change_log_id.get();
-        let reached_offset = ChangeLogOffset::new(hello.change_log_offset);
-        let peer = IngressPeer {
-            last_received_at: now,
-            sent_revision: Revision::new(hello.value_number),
-            sent_offset: follows_this_log.then_some(reached_offset),
-            addresses_version: 0,
-            confirmation: Confirmation::Missing,
-            sent_confirmed: false,
-            quota_request: 0,
-            revision: 0,
-            hello,
-        };
+        let peer = IngressPeer::new(now, hello, self.change_log_id);
         self.peers.insert(session, peer);
     }
 
@@ -180,31 +89,28 @@
 
     /// Sessions on which nothing was received for too long.
     pub(crate) fn timed_out(&self, now: Instant) -> Vec<SessionId> {
-        self.sessions_where(|peer| now > peer.last_received_at + SESSION_TIMEOUT)
+        self.sessions_where(|peer| now > peer.last_received_at() + SESSION_TIMEOUT)
     }
 
     /// Sessions of earlier incarnations of an ingress node: they are over, whatever their connections look like.
     pub(crate) fn superseded(&self, hello: &Hello) -> Vec<SessionId> {
         self.sessions_where(|peer| {
-            peer.hello.name == hello.name && peer.hello.incarnation != hello.incarnation
+            peer.hello().name == hello.name && peer.hello().incarnation != hello.incarnation
         })
     }
 
     /// The session with one incarnation of an ingress node.
     pub(crate) fn session_with(&self, ingress: &IngressIncarnation) -> Option<SessionId> {
-        let is_for = |hello: &Hello| {
-            hello.name == ingress.name && Incarnation::new(hello.incarnation) == ingress.incarnation
-        };
         self.peers
             .iter()
-            .find(|(_, peer)| is_for(&peer.hello))
+            .find(|(_, peer)| peer.is_with(ingress))
             .map(|(session, _)| *session)
     }
 
     /// All ingress nodes are sent the whole registry once more.
     pub(crate) fn resend_all(&mut self) {
         for peer in self.peers.values_mut() {
-            peer.sent_offset = None;
+            peer.resend_registry();
         }
     }
 
@@ -235,61 +141,14 @@
         all
     }
 
-    /// All that an ingress node lacks; `None` if it lacks nothing. The configuration is part of it only once it was
-    /// read for this session, so that none older than the newest is applied anew.
+    /// All that an ingress node lacks; `None` if it lacks nothing.
     pub(crate) fn next_update(
         &mut self,
         now: Instant,
         session: SessionId,
         source: &UpdateSource,
     ) -> Option<IngressUpdate> {
-        let change_log = source.registry.changes();
-        let offset = change_log.offset();
         let peer = self.peers.get_mut(&session)?;
-        let changed = peer.sent_offset.and_then(|sent| change_log.since(sent));
-        let complete = changed.is_none();
-        let replicas: Vec<Replica> = match changed {
-            Some(replica_ids) => replica_ids
-                .iter()
-                .filter_map(|replica_id| source.registry.get(replica_id))
-                .map(|registered| registered.snapshot(now))
-                .collect(),
-            None => source
-                .registry
-                .iter()
-                .map(|registered| registered.snapshot(now))
-                .collect(),
-        };
-        let confirmed = peer.is_confirmed();
-        let value = source
-            .decided
-            .filter(|value| confirmed && Revision::of(value) > peer.sent_revision)
-            .cloned();
-        let newly_confirmed = confirmed && !peer.sent_confirmed;
-        let new_addresses = peer.addresses_version != source.address_book.version();
-        if !complete && replicas.is_empty() && value.is_none() && !newly_confirmed && !new_addresses
-        {
-            return None;
-        }
-        if let Some(value) = &value {
-            peer.sent_revision = Revision::of(value);
-        }
-        peer.sent_offset = Some(offset);
-        peer.sent_confirmed = confirmed;
-        peer.addresses_version = source.address_book.version();
-        Some(IngressUpdate {
-            change_log_id: self.change_log_id.get(),
-            change_log_offset: offset.get(),
-            complete,
-            replicas,
-            value,
-            control_addresses: if new_addresses {
-                source.address_book.all()
-            } else {
-                Vec::new()
-            },
-            confirmed,
-            registry_settled: source.registry.is_settled(),
-        })
+        peer.next_update(now, self.change_log_id, source)
     }
 }
--- /dev/null
+++ b/crates/linenthread-control/src/ingress_peer.rs
@@ -0,0 +1,187 @@
+//! A session with an ingress node: what the node reports, and what it was sent.
+
+use linenthread_consensus::{Incarnation, Revision};
+use linenthread_messages::{Heartbeat, Hello, IngressSession, IngressUpdate, Replica, Value};
+use linenthread_time::Instant;
+
+use crate::address_book::{AddressBook, AddressBookVersion};
+use crate::change_log::ChangeLogOffset;
+use crate::{IngressIncarnation, ReplicaRegistry};
+
+/// How far the read of the newest configuration for a session has come.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum Confirmation {
+    /// Not read yet.
+    Missing,
+    /// The read is in flight.
+    InFlight,
+    /// Read.
+    Confirmed,
+}
+
+/// What an update is made from.
+pub(crate) struct UpdateSource<'a> {
+    pub(crate) registry: &'a ReplicaRegistry,
+    pub(crate) decided: Option<&'a Value>,
+    pub(crate) address_book: &'a AddressBook,
+}
+
+/// A session with an ingress node.
+pub(crate) struct IngressPeer {
+    hello: Hello,
+    last_received_at: Instant,
+    /// The newest revision that was sent to it, or that it came with.
+    sent_revision: Revision,
+    /// Offset in the change log up to which it was sent everything; `None` if it needs the whole registry.
+    sent_offset: Option<ChangeLogOffset>,
+    /// The addresses that it was sent.
+    sent_addresses: AddressBookVersion,
+    confirmation: Confirmation,
+    /// It was sent that the configuration is confirmed.
+    sent_confirmed: bool,
+    /// The heartbeat, by the ingress node's count, with which it last requested a quota.
+    quota_request: u64,
+    /// The revision of the configuration that it applies.
+    revision: Revision,
+}
+
+impl IngressPeer {
+    /// A session that begins; `change_log_id` identifies this node's change log. An ingress node that has followed
+    /// another one, or none, needs the whole registry.
+    pub(crate) fn new(now: Instant, hello: Hello, change_log_id: Incarnation) -> IngressPeer {
+        let follows_this_log = hello.change_log_id == change_log_id.get();
+        let reached_offset = ChangeLogOffset::new(hello.change_log_offset);
+        IngressPeer {
+            last_received_at: now,
+            sent_revision: Revision::new(hello.value_number),
+            sent_offset: follows_this_log.then_some(reached_offset),
+            sent_addresses: AddressBookVersion::NONE,
+            confirmation: Confirmation::Missing,
+            sent_confirmed: false,
+            quota_request: 0,
+            revision: Revision::NONE,
+            hello,
+        }
+    }
+
+    /// How the ingress node introduced itself.
+    pub(crate) fn hello(&self) -> &Hello {
+        &self.hello
+    }
+
+    /// Whether the session is with this incarnation.
+    pub(crate) fn is_with(&self, ingress: &IngressIncarnation) -> bool {
+        self.hello.name == ingress.name && self.hello.incarnation == ingress.incarnation.get()
+    }
+
+    /// A message of the ingress node was received.
+    pub(crate) fn on_received(&mut self, now: Instant) {
+        self.last_received_at = now;
+    }
+
+    pub(crate) fn last_received_at(&self) -> Instant {
+        self.last_received_at
+    }
+
+    /// A heartbeat of the ingress node.
+    pub(crate) fn on_heartbeat(&mut self, heartbeat: &Heartbeat) {
+        self.quota_request = heartbeat.quota_request_or_value_number;
+        self.revision = Revision::new(heartbeat.revision);
+    }
+
+    /// The session as the other control nodes are sent it.
+    pub(crate) fn to_message(&self) -> IngressSession {
+        IngressSession {
+            name: self.hello.name.clone(),
+            zone: self.hello.zone.clone(),
+            incarnation: self.hello.incarnation,
+            quota_request: self.quota_request,
+            address: String::new(),
+            revision: self.revision.get(),
+        }
+    }
+
+    // --- the read of the newest configuration ---
+
+    fn is_confirmed(&self) -> bool {
+        self.confirmation == Confirmation::Confirmed
+    }
+
+    /// Whether a read of the newest configuration for it has to be started.
+    pub(crate) fn needs_confirmation(&self) -> bool {
+        self.confirmation == Confirmation::Missing
+    }
+
+    /// The read has been started.
+    pub(crate) fn start_confirmation(&mut self) {
+        self.confirmation = Confirmation::InFlight;
+    }
+
+    /// The read has ended.
+    pub(crate) fn on_confirmation(&mut self, succeeded: bool) {
+        self.confirmation = if succeeded {
+            Confirmation::Confirmed
+        } else {
+            Confirmation::Missing
+        };
+    }
+
+    // --- updates ---
+
+    /// The next update is to hold the whole registry.
+    pub(crate) fn resend_registry(&mut self) {
+        self.sent_offset = None;
+    }
+
+    /// All that the ingress node lacks; `None` if it lacks nothing. The configuration is part of it only once it was
+    /// read for this session, so that none older than the newest is applied anew.
+    pub(crate) fn next_update(
+        &mut self,
+        now: Instant,
+        change_log_id: Incarnation,
+        source: &UpdateSource,
+    ) -> Option<IngressUpdate> {
+        let change_log = source.registry.changes();
+        let changed = self.sent_offset.and_then(|sent| change_log.since(sent));
+        let complete = changed.is_none();
+        let replicas: Vec<Replica> = match changed {
+            Some(replica_ids) => replica_ids
+                .iter()
+                .filter_map(|replica_id| source.registry.get(replica_id))
+                .map(|registered| registered.snapshot(now))
+                .collect(),
+            None => source.registry.snapshot(now),
+        };
+        let confirmed = self.is_confirmed();
+        let value = source
+            .decided
+            .filter(|value| confirmed && Revision::of(value) > self.sent_revision)
+            .cloned();
+        let newly_confirmed = confirmed && !self.sent_confirmed;
+        let new_addresses = self.sent_addresses != source.address_book.version();
+        if !complete && replicas.is_empty() && value.is_none() && !newly_confirmed && !new_addresses
+        {
+            return None;
+        }
+        if let Some(value) = &value {
+            self.sent_revision = Revision::of(value);
+        }
+        self.sent_offset = Some(change_log.offset());
+        self.sent_confirmed = confirmed;
+        self.sent_addresses = source.address_book.version();
+        Some(IngressUpdate {
+            change_log_id: change_log_id.get(),
+            change_log_offset: change_log.offset().get(),
+            complete,
+            replicas,
+            value,
+            control_addresses: if new_addresses {
+                source.address_book.all()
+            } else {
+                Vec::new()
+            },
+            confirmed,
+            registry_settled: source.registry.is_settled(),
+        })
+    }
+}
--- a/crates/linenthread-control/src/ingress_updates.rs
+++ b/crates/linenthread-control/src/ingress_updates.rs
@@ -3,7 +3,7 @@
 use linenthread_messages::{PeerMessage, QuotaGrants};
 use linenthread_time::Instant;
 
-use crate::ingress_nodes::UpdateSource;
+use crate::ingress_peer::UpdateSource;
 use crate::pending_jobs::JobOwner;
 use crate::timing::CALL_TIMEOUT;
 use crate::{ControlNode, Effect, SessionId};
--- a/crates/linenthread-control/src/membership.rs
+++ b/crates/linenthread-control/src/membership.rs
@@ -1,97 +1,14 @@
-//! The other control nodes: sessions with them, which are in contact, which shut down.
+//! The other control nodes: all sessions with them, which are in contact, which shut down.
 
-use std::collections::{BTreeMap, BTreeSet};
-use std::time::Duration;
+use std::collections::BTreeMap;
 
 use linenthread_consensus::{NodeId, ValueNumber};
 use linenthread_messages::{Heartbeat, Hello, Voter};
 use linenthread_time::Instant;
 
 use crate::SessionId;
-use crate::timing::{CONTACT_TIMEOUT, SESSION_TIMEOUT, TICK_INTERVAL};
-
-/// How often the whole registry is sent, at most, to a peer whose own differs.
-const RESYNCHRONIZE_INTERVAL: Duration = Duration::from_millis(1_500);
-
-/// So many heartbeats in a row must carry another digest first: a difference that is merely on its way is over by
-/// then.
-const MIN_DIGEST_MISMATCHES: u32 = 2;
-
-/// A session with another control node.
-pub(crate) struct ControlPeer {
-    pub(crate) hello: Hello,
-    pub(crate) last_received_at: Instant,
-    /// The peer is itself in contact with a majority of the voters.
-    pub(crate) has_quorum: bool,
-    /// Number of the newest value that the peer is known to have, in memory.
-    pub(crate) value_number: ValueNumber,
-    /// Number of the newest value up to which the peer's disk holds everything.
-    pub(crate) durable_value_number: Option<ValueNumber>,
-    pub(crate) shutting_down: bool,
-    /// The peer leads, and is about to change the voters.
-    pub(crate) reconfiguring: bool,
-    /// When the newest heartbeat was sent, by this node, that the peer is known to have received.
-    pub(crate) acknowledged_sent_at: Option<Instant>,
-    /// When the peer, by its own clock, sent its newest heartbeat; echoed to it.
-    pub(crate) last_sent_at: Option<u64>,
-    /// Version of the address book that the peer was sent.
-    pub(crate) addresses_version: u64,
-    /// Replicas to send to the peer with the next batch.
-    pub(crate) changed_replicas: BTreeSet<String>,
-    /// When the peer was last sent the whole registry.
-    pub(crate) synchronized_at: Instant,
-    digest_mismatches: u32,
-}
-
-impl ControlPeer {
-    fn new(now: Instant, hello: Hello) -> ControlPeer {
-        ControlPeer {
-            last_received_at: now,
-            has_quorum: false,
-            value_number: ValueNumber::new(hello.value_number),
-            durable_value_number: None,
-            shutting_down: false,
-            reconfiguring: false,
-            acknowledged_sent_at: None,
-            last_sent_at: None,
-            addresses_version: 0,
-            changed_replicas: BTreeSet::new(),
-            synchronized_at: Instant::START,
-            digest_mismatches: 0,
-            hello,
-        }
-    }
-
-    /// A message went to the peer and back lately.
-    pub(crate) fn in_contact(&self, now: Instant) -> bool {
-        self.acknowledged_sent_at
-            .is_some_and(|sent_at| now <= sent_at + CONTACT_TIMEOUT)
-    }
-
-    /// Whether calls may be redirected to the peer.
-    pub(crate) fn accepts_calls(&self, now: Instant) -> bool {
-        self.in_contact(now) && self.has_quorum && !self.shutting_down
-    }
-
-    pub(crate) fn node_id(&self) -> NodeId {
-        NodeId(self.hello.node_id)
-    }
-
-    /// Whether the peer lacks the value of this number. That of the first value of all also stands for none.
-    pub(crate) fn lacks(&self, value_number: ValueNumber) -> bool {
-        let may_have_none =
-            value_number == ValueNumber::FIRST && self.durable_value_number.is_none();
-        self.value_number < value_number || may_have_none
-    }
-}
-
-/// What a heartbeat of a peer demands.
-pub(crate) struct HeartbeatDemand {
-    /// The peer is to learn at once that its heartbeat was received.
-    pub(crate) reply: bool,
-    /// The peer's registry has differed for some time: it is to be sent the whole one.
-    pub(crate) synchronize: bool,
-}
+use crate::control_peer::{ControlPeer, HeartbeatDemand};
+use crate::timing::{SESSION_TIMEOUT, TICK_INTERVAL};
 
 /// Which node was last in contact at an address, and when.
 pub(crate) struct LastContact {
@@ -155,7 +72,7 @@
     pub(crate) fn superseded(&self, hello: &Hello) -> Vec<SessionId> {
         self.iter()
             .filter(|(_, peer)| {
-                peer.hello.name == hello.name && peer.hello.incarnation != hello.incarnation
+                peer.hello().name == hello.name && peer.hello().incarnation != hello.incarnation
             })
             .map(|(session, _)| session)
             .collect()
@@ -164,7 +81,7 @@
     /// Sessions on which nothing was received for too long.
     pub(crate) fn timed_out(&self, now: Instant) -> Vec<SessionId> {
         self.iter()
-            .filter(|(_, peer)| now > peer.last_received_at + SESSION_TIMEOUT)
+            .filter(|(_, peer)| now > peer.last_received_at() + SESSION_TIMEOUT)
             .map(|(session, _)| session)
             .collect()
     }
@@ -183,16 +100,14 @@
 
     pub(crate) fn close(&mut self, now: Instant, session: SessionId) -> Option<ControlPeer> {
         let peer = self.peers.remove(&session)?;
-        if peer.shutting_down {
-            self.departed.insert(
-                peer.node_id(),
-                peer.durable_value_number.unwrap_or_default(),
-            );
+        if peer.is_shutting_down() {
+            let durable = peer.durable_value_number().unwrap_or(ValueNumber::FIRST);
+            self.departed.insert(peer.node_id(), durable);
         }
         if peer.in_contact(now) {
             self.note_contact(
-                &peer.hello.control_address,
-                now.min(peer.last_received_at + TICK_INTERVAL),
+                &peer.hello().control_address,
+                now.min(peer.last_received_at() + TICK_INTERVAL),
             );
         }
         Some(peer)
@@ -218,34 +133,12 @@
         digest: u64,
     ) -> Option<HeartbeatDemand> {
         let peer = self.peers.get_mut(&session)?;
-        let begins_shutdown = heartbeat.leaving && !peer.shutting_down;
-        peer.has_quorum = heartbeat.has_quorum;
-        peer.value_number = ValueNumber::new(heartbeat.quota_request_or_value_number);
-        let durable = heartbeat.durable_value_number.map(ValueNumber::new);
-        peer.durable_value_number = peer.durable_value_number.max(durable);
-        peer.shutting_down = heartbeat.leaving;
-        peer.reconfiguring = heartbeat.reconfiguring;
-        // A heartbeat that the peer received was sent before now, whatever the peer says.
-        let echoed_sent_at = heartbeat.echoed_sent_at.map(Instant::from_millis);
-        peer.acknowledged_sent_at = peer
-            .acknowledged_sent_at
-            .max(echoed_sent_at.map(|sent_at| sent_at.min(now)));
-        let is_first = peer.last_sent_at.replace(heartbeat.sent_at).is_none();
-        peer.digest_mismatches = if heartbeat.registry_digest == digest {
-            0
-        } else {
-            peer.digest_mismatches + 1
-        };
-        let synchronize = peer.digest_mismatches >= MIN_DIGEST_MISMATCHES
-            && now >= peer.synchronized_at + RESYNCHRONIZE_INTERVAL;
+        let demand = peer.on_heartbeat(now, heartbeat, digest);
         if peer.in_contact(now) {
-            let address = peer.hello.control_address.clone();
+            let address = peer.hello().control_address.clone();
             self.note_contact(&address, now);
         }
-        Some(HeartbeatDemand {
-            reply: is_first || begins_shutdown,
-            synchronize,
-        })
+        Some(demand)
     }
 
     /// Whether a node shuts down, or ended after a graceful shutdown.
@@ -254,7 +147,7 @@
             || self
                 .peers
                 .values()
-                .any(|peer| peer.shutting_down && peer.node_id() == node_id)
+                .any(|peer| peer.is_shutting_down() && peer.node_id() == node_id)
     }
 
     /// The newest value that the disk of a departed node held.
@@ -270,13 +163,13 @@
     ) -> impl Iterator<Item = Voter> {
         self.contacts(now)
             .filter(move |peer| {
-                peer.hello.is_voter
-                    && !peer.shutting_down
-                    && peer.durable_value_number >= value_number
+                peer.hello().is_voter
+                    && !peer.is_shutting_down()
+                    && peer.durable_value_number() >= value_number
             })
             .map(|peer| Voter {
-                id: peer.hello.node_id,
-                address: peer.hello.control_address.clone(),
+                id: peer.hello().node_id,
+                address: peer.hello().control_address.clone(),
             })
     }
 }
--- a/crates/linenthread-control/src/own_durability.rs
+++ b/crates/linenthread-control/src/own_durability.rs
@@ -79,8 +79,7 @@
         progress: &DurableProgress,
     ) {
         if let Some(peer) = self.membership.get_mut(session) {
-            let durable = progress.value_number.map(ValueNumber::new);
-            peer.durable_value_number = peer.durable_value_number.max(durable);
+            peer.observe_durable(progress.value_number.map(ValueNumber::new));
         }
         self.expedite_voter_change(now);
     }
--- a/crates/linenthread-control/src/pending_jobs.rs
+++ b/crates/linenthread-control/src/pending_jobs.rs
@@ -39,9 +39,16 @@
 
     /// Whether any operator waits.
     pub(crate) fn has_calls(&self) -> bool {
-        self.owners
-            .values()
-            .any(|owner| matches!(owner, JobOwner::Call(_)))
+        self.has(|owner| matches!(owner, JobOwner::Call(_)))
+    }
+
+    /// Whether a change of the voters, proposed by this node as the leader, is not decided yet.
+    pub(crate) fn has_voter_change(&self) -> bool {
+        self.has(|owner| matches!(owner, JobOwner::VoterChange))
+    }
+
+    fn has(&self, is_searched: impl Fn(&JobOwner) -> bool) -> bool {
+        self.owners.values().any(is_searched)
     }
 }
 
--- a/crates/linenthread-control/src/quorum_contact.rs
+++ b/crates/linenthread-control/src/quorum_contact.rs
@@ -5,7 +5,7 @@
 use linenthread_consensus::NodeId;
 use linenthread_time::Instant;
 
-use crate::membership::ControlPeer;
+use crate::control_peer::ControlPeer;
 use crate::timing::{PAUSE_TIMEOUT, STARTUP_GRACE};
 use crate::{ControlEvent, ControlNode, Effect};
 
--- a/crates/linenthread-control/src/register_driver.rs
+++ b/crates/linenthread-control/src/register_driver.rs
@@ -123,12 +123,11 @@
             .voters
             .iter()
             .any(|voter| NodeId::from(voter) == self.register.id());
-        let votes_again =
-            is_voter && (!self.voting.is_voter || self.lease.skips_voter_change(value));
+        let was_voter = self.voting.set_voter(is_voter);
+        let votes_again = is_voter && (!was_voter || self.lease.skips_voter_change(value));
         self.lease.on_decided(value);
         self.lease
             .observe_epoch(now, Epoch::new(value.epoch), votes_again);
-        self.voting.is_voter = is_voter;
         for session in self.membership.sessions() {
             self.send_value(session, effects);
         }
@@ -163,7 +162,6 @@
                 }
             }
             Some(JobOwner::VoterChange) => {
-                self.voting.change_in_flight = false;
                 // Nodes that shut down wait for this news.
                 self.ticks.expedite();
                 // If an order was decided first, the change is tried again at once, before the next order.
--- a/crates/linenthread-control/src/replica_calls.rs
+++ b/crates/linenthread-control/src/replica_calls.rs
@@ -145,8 +145,8 @@
         }
         self.membership
             .contacts(now)
-            .filter(|peer| peer.hello.zone == zone && peer.accepts_calls(now))
-            .map(|peer| &peer.hello.control_address)
+            .filter(|peer| peer.hello().zone == zone && peer.accepts_calls(now))
+            .map(|peer| &peer.hello().control_address)
             .min()
             .cloned()
     }
--- a/crates/linenthread-control/src/replica_registry.rs
+++ b/crates/linenthread-control/src/replica_registry.rs
@@ -200,6 +200,11 @@
         self.replicas.values()
     }
 
+    /// What is known of all replicas, with ages as of now.
+    pub(crate) fn snapshot(&self, now: Instant) -> Vec<Replica> {
+        self.iter().map(|known| known.snapshot(now)).collect()
+    }
+
     /// How many replicas are known, those that ended lately included.
     pub fn len(&self) -> usize {
         self.replicas.len()
--- a/crates/linenthread-control/src/replica_updates.rs
+++ b/crates/linenthread-control/src/replica_updates.rs
@@ -9,8 +9,7 @@
     /// Queues a replica, and those that ended by it, for the next update of the other control nodes.
     pub(crate) fn queue_for_peers(&mut self, replica_id: &str, superseded: &[String]) {
         for (_, peer) in self.membership.iter_mut() {
-            let replica_ids = superseded.iter().map(String::as_str).chain([replica_id]);
-            peer.changed_replicas.extend(replica_ids.map(str::to_owned));
+            peer.queue_replicas(superseded.iter().map(String::as_str).chain([replica_id]));
         }
     }
 
@@ -35,15 +34,9 @@
         let Some(peer) = self.membership.get_mut(session) else {
             return;
         };
-        peer.changed_replicas.clear();
-        peer.synchronized_at = now;
-        peer.addresses_version = self.address_book.version();
+        peer.on_synchronized(now, self.address_book.version());
         let update = ControlUpdate {
-            replicas: self
-                .registry
-                .iter()
-                .map(|known| known.snapshot(now))
-                .collect(),
+            replicas: self.registry.snapshot(now),
             sessions: self.ingress_nodes.local(),
             has_sessions: true,
             control_addresses: self.address_book.all(),
@@ -62,14 +55,13 @@
         let addresses = self.address_book.all();
         let version = self.address_book.version();
         for (session, peer) in self.membership.iter_mut() {
-            let sent_version = std::mem::replace(&mut peer.addresses_version, version);
             let update = ControlUpdate {
                 sessions: sessions.clone(),
                 has_sessions: true,
-                control_addresses: if sent_version == version {
-                    Vec::new()
-                } else {
+                control_addresses: if peer.update_addresses(version) {
                     addresses.clone()
+                } else {
+                    Vec::new()
                 },
                 ..ControlUpdate::default()
             };
@@ -84,10 +76,10 @@
     pub(crate) fn flush_changed_replicas(&mut self, now: Instant, effects: &mut Vec<Effect>) {
         let registry = &self.registry;
         for (session, peer) in self.membership.iter_mut() {
-            if peer.changed_replicas.is_empty() {
+            let changed = peer.take_queued_replicas();
+            if changed.is_empty() {
                 continue;
             }
-            let changed = std::mem::take(&mut peer.changed_replicas);
             let update = ControlUpdate {
                 replicas: changed
                     .iter()
--- a/crates/linenthread-control/src/sessions.rs
+++ b/crates/linenthread-control/src/sessions.rs
@@ -36,14 +36,14 @@
     ) {
         if let Some(ingress) = self.ingress_nodes.close(session) {
             effects.push(Effect::Log(ControlEvent::SessionClosed {
-                peer: ingress.hello.name,
+                peer: ingress.hello().name.clone(),
                 is_control_node: false,
             }));
         }
         if let Some(peer) = self.membership.close(now, session) {
             self.pending_drains.on_node_disconnected(peer.node_id());
             effects.push(Effect::Log(ControlEvent::SessionClosed {
-                peer: peer.hello.name,
+                peer: peer.hello().name.clone(),
                 is_control_node: true,
             }));
         }
@@ -84,12 +84,12 @@
         if let PeerMessage::Hello(hello) = message {
             self.on_hello(now, session, hello, effects);
         } else if let Some(ingress) = self.ingress_nodes.get_mut(session) {
-            ingress.last_received_at = now;
+            ingress.on_received(now);
             if let PeerMessage::Heartbeat(heartbeat) = message {
-                ingress.on_heartbeat(heartbeat.quota_request_or_value_number, heartbeat.revision);
+                ingress.on_heartbeat(&heartbeat);
             }
         } else if let Some(peer) = self.membership.get_mut(session) {
-            peer.last_received_at = now;
+            peer.on_received(now);
             let node_id = peer.node_id();
             self.on_control_message(now, session, node_id, message, effects);
         } else {
@@ -185,7 +185,7 @@
         if let (PeerMessage::Decided(value), Some(peer)) =
             (&message, self.membership.get_mut(session))
         {
-            peer.value_number = peer.value_number.max(ValueNumber::of(value));
+            peer.observe_value(ValueNumber::of(value));
         }
         self.drive_register(
             now,
@@ -204,7 +204,7 @@
             .get_mut(session)
             .filter(|peer| peer.lacks(ValueNumber::of(&value)))
         {
-            peer.value_number = ValueNumber::of(&value);
+            peer.on_value_sent(ValueNumber::of(&value));
             effects.push(Effect::Send {
                 session,
                 message: PeerMessage::Decided(value),
--- a/crates/linenthread-control/src/shutdown.rs
+++ b/crates/linenthread-control/src/shutdown.rs
@@ -3,6 +3,7 @@
 use linenthread_consensus::{NodeId, ValueNumber};
 use linenthread_time::Instant;
 
+use crate::control_peer::ControlPeer;
 use crate::graceful_shutdown::{
     PeerVoter, Presence, ShutdownBlocker, ShutdownStep, ShutdownView, next_shutdown_step,
 };
@@ -66,12 +67,15 @@
             unacknowledged: self
                 .membership
                 .contacts(now)
-                .any(|peer| peer.acknowledged_sent_at < self.shutdown_requested_at),
+                .any(|peer| !peer.has_acknowledged(self.shutdown_requested_at)),
             reconfiguring: self.is_reconfiguring(now)
-                || self.membership.contacts(now).any(|peer| peer.reconfiguring),
+                || self
+                    .membership
+                    .contacts(now)
+                    .any(ControlPeer::is_reconfiguring),
             undecided: self.register.has_undecided(),
             busy: self.pending_jobs.has_calls()
-                || self.voting.change_in_flight
+                || self.pending_jobs.has_voter_change()
                 || !self.pending_drains.is_empty(),
             is_leader: self.is_leader(now),
         })
@@ -81,8 +85,8 @@
         if let Some(peer) = self.membership.contact(now, node_id) {
             return PeerVoter {
                 node_id,
-                durable: peer.durable_value_number >= Some(value_number),
-                presence: if peer.shutting_down {
+                durable: peer.durable_value_number() >= Some(value_number),
+                presence: if peer.is_shutting_down() {
                     Presence::Leaving
                 } else {
                     Presence::InContact
--- a/crates/linenthread-control/src/status.rs
+++ b/crates/linenthread-control/src/status.rs
@@ -7,7 +7,7 @@
 use serde_json::{Value as Json, json};
 
 use crate::ControlNode;
-use crate::membership::ControlPeer;
+use crate::control_peer::ControlPeer;
 
 impl ControlNode {
     /// What this node knows of control nodes and ingress nodes.
@@ -30,12 +30,7 @@
 
     /// What this node knows of replicas.
     pub fn replicas_status(&self, now: Instant) -> Json {
-        Json::Array(
-            self.registry
-                .iter()
-                .map(|registered| replica(registered.snapshot(now)))
-                .collect(),
-        )
+        Json::Array(self.registry.snapshot(now).iter().map(replica).collect())
     }
 }
 
@@ -45,17 +40,17 @@
 
 fn control_node(now: Instant, peer: &ControlPeer) -> Json {
     json!({
-        "name": peer.hello.name,
-        "zone": peer.hello.zone,
-        "control": peer.hello.control_address,
-        "whole": peer.has_quorum,
-        "value": peer.value_number.get(),
-        "leaving": peer.shutting_down,
-        "heard_ms": whole_millis(now.since(peer.last_received_at)),
+        "name": peer.hello().name,
+        "zone": peer.hello().zone,
+        "control": peer.hello().control_address,
+        "whole": peer.has_quorum(),
+        "value": peer.value_number().get(),
+        "leaving": peer.is_shutting_down(),
+        "heard_ms": whole_millis(now.since(peer.last_received_at())),
     })
 }
 
-fn replica(replica: Replica) -> Json {
+fn replica(replica: &Replica) -> Json {
     let phase = match (replica.removed_for_good, replica.removed, replica.draining) {
         (true, _, _) => "ended",
         (_, true, _) => "silent",
--- a/crates/linenthread-control/src/ticks.rs
+++ b/crates/linenthread-control/src/ticks.rs
@@ -119,7 +119,7 @@
         let is_connected = |address: &str| {
             membership
                 .iter()
-                .any(|(_, peer)| peer.hello.control_address == address)
+                .any(|(_, peer)| peer.hello().control_address == address)
         };
         let is_voter = |address: &str| voters.iter().any(|voter| voter.address == address);
         let addresses = self.address_book.next_to_dial(now, is_connected, is_voter);
--- a/crates/linenthread-control/src/voters.rs
+++ b/crates/linenthread-control/src/voters.rs
@@ -4,7 +4,7 @@
 use linenthread_messages::Voter;
 use linenthread_time::Instant;
 
-use crate::membership::ControlPeer;
+use crate::control_peer::ControlPeer;
 use crate::pending_jobs::JobOwner;
 use crate::reconfiguration::{VoterState, VotersView, next_voters};
 use crate::timing::{CALL_TIMEOUT, VOTER_TIMEOUT};
@@ -20,14 +20,17 @@
 #[derive(Default)]
 pub(crate) struct VotingState {
     /// This node is one of the newest value's voters.
-    pub(crate) is_voter: bool,
-    /// A change of the voters, proposed by this node as the leader, is not decided yet.
-    pub(crate) change_in_flight: bool,
+    is_voter: bool,
     /// At how many full ticks in a row a value was undecided.
     undecided_ticks: u32,
 }
 
 impl VotingState {
+    /// Notes whether this node is one of the newest value's voters; returns whether it was before.
+    pub(crate) fn set_voter(&mut self, is_voter: bool) -> bool {
+        std::mem::replace(&mut self.is_voter, is_voter)
+    }
+
     /// Takes in whether a value is undecided at a full tick; whether it has been for too long.
     pub(crate) fn on_full_tick(&mut self, has_undecided: bool) -> bool {
         self.undecided_ticks = if has_undecided {
@@ -47,7 +50,7 @@
 
     /// As the leader under `epoch`, proposes the next voters if they should be others: one change at a time.
     pub(crate) fn adjust_voters(&mut self, now: Instant, epoch: Epoch, effects: &mut Vec<Effect>) {
-        let may_propose = !self.voting.change_in_flight
+        let may_propose = !self.pending_jobs.has_voter_change()
             && self.has_quorum(now)
             && self.lease.is_held_at(now, self.value_number());
         if !may_propose {
@@ -59,7 +62,6 @@
         let Some(voters) = next_voters(&self.voters_view(now, based_on)) else {
             return;
         };
-        self.voting.change_in_flight = true;
         effects.push(Effect::Log(ControlEvent::VotersChanged {
             based_on,
             voters: voters.iter().map(|voter| voter.address.clone()).collect(),
@@ -83,7 +85,7 @@
     /// Whether this node leads, and changes the voters, or will as soon as a standby's disk holds everything.
     pub(crate) fn is_reconfiguring(&self, now: Instant) -> bool {
         self.is_leader(now)
-            && (self.voting.change_in_flight
+            && (self.pending_jobs.has_voter_change()
                 || !self.standbys(now, None).is_empty()
                 || next_voters(&self.voters_view(now, self.value_number())).is_some())
     }
@@ -129,8 +131,9 @@
             last_contact.is_some_and(|contact| contact.node_id != voter.into() && contact.may_vote);
         // With another node at its address the old one does not come back. It stays for the moment if that node is
         // in contact: its successor is about to vote in its place.
-        let successor_joins =
-            |peer: &ControlPeer| peer.hello.control_address == voter.address && !peer.shutting_down;
+        let successor_joins = |peer: &ControlPeer| {
+            peer.hello().control_address == voter.address && !peer.is_shutting_down()
+        };
         let is_gone = replaced && !self.membership.contacts(now).any(successor_joins);
         VoterState {
             voter: voter.clone(),
