--- a/crates/linenthread-control/src/control_node.rs
+++ b/crates/linenthread-control/src/control_node.rs
@@ -1,4 +1,24 @@
-//! [`ControlNode`]: the tables of a control node. The other modules add what it does with them.
+//! [`ControlNode`]: the tables of a control node, and what happens between them.
+//!
+//! Each table owns its state and its rules, in a module of its own in the crate root. The modules below this one route:
+//! each takes calls, messages or the time to the tables, and turns what they say into effects. Only they see the
+//! fields of [`ControlNode`].
+
+mod admission;
+mod contact;
+mod durability;
+mod heartbeats;
+mod ingress_updates;
+mod leader_lease;
+mod operator_calls;
+mod register_driver;
+mod replica_calls;
+mod replica_updates;
+mod sessions;
+mod shutdown;
+mod status;
+mod ticks;
+mod voters;
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -16,31 +36,31 @@
 use crate::quota_allocator::QuotaAllocator;
 use crate::replica_snapshot::ReplicaSnapshotWriter;
 use crate::tick_schedule::TickSchedule;
-use crate::voters::VotingState;
+use crate::voting_state::VotingState;
 use crate::{NodeConfig, ReplicaRegistry, RetryBudget};
 
 /// One control node.
 pub struct ControlNode {
-    pub(crate) config: NodeConfig,
+    config: NodeConfig,
     /// Agreement on the configuration and the voters.
-    pub(crate) register: Register,
-    pub(crate) lease: LeaderLease,
-    pub(crate) voting: VotingState,
+    register: Register,
+    lease: LeaderLease,
+    voting: VotingState,
     /// Messages of this node to itself, as one of the voters.
-    pub(crate) loopback: VecDeque<PeerMessage>,
-    pub(crate) pending_jobs: PendingJobs,
-    pub(crate) durability: OwnDurability,
-    pub(crate) contact: QuorumContact,
-    pub(crate) membership: Membership,
-    pub(crate) address_book: AddressBook,
-    pub(crate) registry: ReplicaRegistry,
-    pub(crate) pending_drains: PendingDrains,
-    pub(crate) snapshot_writer: ReplicaSnapshotWriter,
-    pub(crate) ingress_nodes: IngressNodes,
-    pub(crate) quota_allocator: QuotaAllocator,
+    loopback: VecDeque<PeerMessage>,
+    pending_jobs: PendingJobs,
+    durability: OwnDurability,
+    contact: QuorumContact,
+    membership: Membership,
+    address_book: AddressBook,
+    registry: ReplicaRegistry,
+    pending_drains: PendingDrains,
+    snapshot_writer: ReplicaSnapshotWriter,
+    ingress_nodes: IngressNodes,
+    quota_allocator: QuotaAllocator,
     /// When a graceful shutdown was requested.
-    pub(crate) shutdown_requested_at: Option<Instant>,
-    pub(crate) ticks: TickSchedule,
+    shutdown_requested_at: Option<Instant>,
+    ticks: TickSchedule,
 }
 
 impl ControlNode {
@@ -117,16 +137,16 @@
         self.ingress_nodes.all()
     }
 
-    pub(crate) fn is_leader(&self, now: Instant) -> bool {
+    fn is_leader(&self, now: Instant) -> bool {
         self.lease_epoch(now).is_some()
     }
 
-    pub(crate) fn is_shutting_down(&self) -> bool {
+    fn is_shutting_down(&self) -> bool {
         self.shutdown_requested_at.is_some()
     }
 
     /// Number of the newest value; [`ValueNumber::FIRST`] also if there is none.
-    pub(crate) fn value_number(&self) -> ValueNumber {
+    fn value_number(&self) -> ValueNumber {
         self.register
             .decided()
             .map_or(ValueNumber::FIRST, ValueNumber::of)
--- a/crates/linenthread-control/src/admission.rs
+++ b/crates/linenthread-control/src/control_node/admission.rs
@@ -6,7 +6,7 @@
 
 impl ControlNode {
     /// Why a call is rejected outright, if so: this node shuts down, or is out of contact with a majority.
-    pub(crate) fn rejection(&self, now: Instant) -> Option<Response> {
+    pub(super) fn rejection(&self, now: Instant) -> Option<Response> {
         if self.is_shutting_down() {
             return Some(self.redirect(now));
         }
@@ -14,7 +14,7 @@
     }
 
     /// The same for calls that wait for a round of the voters: while the node starts, contact may come in time.
-    pub(crate) fn rejection_of_agreement(&self, now: Instant) -> Option<Response> {
+    pub(super) fn rejection_of_agreement(&self, now: Instant) -> Option<Response> {
         self.rejection(now)
             .filter(|_| self.is_shutting_down() || !self.contact.is_starting(now))
     }
@@ -33,7 +33,7 @@
 
     /// Whether an ingress node may open a session: one that would have to wait for contact goes elsewhere at once,
     /// but while this node starts it waits.
-    pub(crate) fn accepts_ingress_sessions(&self, now: Instant) -> bool {
+    pub(super) fn accepts_ingress_sessions(&self, now: Instant) -> bool {
         !self.is_shutting_down() && (self.has_quorum(now) || self.contact.is_starting(now))
     }
 }
--- a/crates/linenthread-control/src/heartbeats.rs
+++ b/crates/linenthread-control/src/control_node/heartbeats.rs
@@ -23,7 +23,7 @@
 
     /// Sends a heartbeat on one session; `echoed_sent_at` is when the peer, by its own clock, sent the last one of its
     /// heartbeats.
-    pub(crate) fn send_heartbeat(
+    pub(super) fn send_heartbeat(
         &self,
         now: Instant,
         session: SessionId,
@@ -38,7 +38,7 @@
     }
 
     /// Sends a heartbeat on each session.
-    pub(crate) fn send_heartbeats(&self, now: Instant, effects: &mut Vec<Effect>) {
+    pub(super) fn send_heartbeats(&self, now: Instant, effects: &mut Vec<Effect>) {
         let heartbeat = self.heartbeat(now);
         for (session, peer) in self.membership.iter() {
             let message = PeerMessage::Heartbeat(Heartbeat {
@@ -56,7 +56,7 @@
     }
 
     /// A heartbeat of another control node.
-    pub(crate) fn on_heartbeat(
+    pub(super) fn on_heartbeat(
         &mut self,
         now: Instant,
         session: SessionId,
--- a/crates/linenthread-control/src/ingress_updates.rs
+++ b/crates/linenthread-control/src/control_node/ingress_updates.rs
@@ -10,7 +10,7 @@
 
 impl ControlNode {
     /// Reads the newest configuration for an ingress node that has just connected.
-    pub(crate) fn confirm_configuration(
+    pub(super) fn confirm_configuration(
         &mut self,
         now: Instant,
         session: SessionId,
@@ -39,7 +39,7 @@
     }
 
     /// Sends an ingress node all that it lacks; nothing while out of contact with a majority.
-    pub(crate) fn update_ingress_node(
+    pub(super) fn update_ingress_node(
         &mut self,
         now: Instant,
         session: SessionId,
@@ -62,7 +62,7 @@
     }
 
     /// Sends the leader's grants to the ingress nodes here, and to the control nodes that the others are connected to.
-    pub(crate) fn send_quota_grants(&self, grants: QuotaGrants, effects: &mut Vec<Effect>) {
+    pub(super) fn send_quota_grants(&self, grants: QuotaGrants, effects: &mut Vec<Effect>) {
         if grants.grants.is_empty() {
             return;
         }
@@ -76,7 +76,7 @@
     }
 
     /// Forwards to the ingress nodes with a session here the grants that are theirs.
-    pub(crate) fn forward_quota_grants(&self, grants: QuotaGrants, effects: &mut Vec<Effect>) {
+    pub(super) fn forward_quota_grants(&self, grants: QuotaGrants, effects: &mut Vec<Effect>) {
         for grant in grants.grants {
             let Some(session) = self.ingress_nodes.session_with(&(&grant).into()) else {
                 continue;
--- a/crates/linenthread-control/src/leader_lease.rs
+++ b/crates/linenthread-control/src/control_node/leader_lease.rs
@@ -9,7 +9,7 @@
 
 impl ControlNode {
     /// Requests the lease, or more time of it, if this node may lead.
-    pub(crate) fn request_lease(&mut self, now: Instant, effects: &mut Vec<Effect>) {
+    pub(super) fn request_lease(&mut self, now: Instant, effects: &mut Vec<Effect>) {
         if !self.may_lead(now) {
             return;
         }
@@ -50,7 +50,7 @@
     }
 
     /// Votes for the requesting node, or against. A vote under a new epoch is sent only once that epoch is durable.
-    pub(crate) fn on_lease_request(
+    pub(super) fn on_lease_request(
         &mut self,
         now: Instant,
         from: NodeId,
@@ -80,7 +80,7 @@
     }
 
     /// A vote on this node's own request.
-    pub(crate) fn on_lease_vote(
+    pub(super) fn on_lease_vote(
         &mut self,
         now: Instant,
         from: NodeId,
@@ -108,7 +108,7 @@
     }
 
     /// Another node gave the lease back.
-    pub(crate) fn on_lease_release(&mut self, from: NodeId, release: &LeaseRelease) {
+    pub(super) fn on_lease_release(&mut self, from: NodeId, release: &LeaseRelease) {
         if self.lease.on_release(from, release) {
             // Whoever leads next need not wait for its tick.
             self.ticks.expedite();
@@ -116,7 +116,7 @@
     }
 
     /// A leader that shuts down and has nothing left to do lets another lead at once.
-    pub(crate) fn release_lease_for_shutdown(&mut self, now: Instant, effects: &mut Vec<Effect>) {
+    pub(super) fn release_lease_for_shutdown(&mut self, now: Instant, effects: &mut Vec<Effect>) {
         if !self.is_shutting_down() || self.next_shutdown_step(now) != ShutdownStep::ReleaseLease {
             return;
         }
--- a/crates/linenthread-control/src/register_driver.rs
+++ b/crates/linenthread-control/src/control_node/register_driver.rs
@@ -26,7 +26,7 @@
     }
 
     /// Sends a message to the node of an id, which may be this one. It is lost if there is no session with it.
-    pub(crate) fn send_to_node(
+    pub(super) fn send_to_node(
         &mut self,
         to: NodeId,
         message: PeerMessage,
@@ -40,7 +40,7 @@
     }
 
     /// Hands a record to the disk. If there is a new epoch in it, this node is notified when that is durable.
-    pub(crate) fn persist(
+    pub(super) fn persist(
         &mut self,
         record: Record,
         mut after_sync: Vec<DeferredMessage>,
@@ -59,7 +59,7 @@
     }
 
     /// Runs `first` on the register, then drives it until it has nothing more to do.
-    pub(crate) fn drive_register(
+    pub(super) fn drive_register(
         &mut self,
         now: Instant,
         first: impl FnOnce(&mut Register, &mut Vec<RegisterEffect>),
@@ -174,7 +174,7 @@
     }
 
     /// Has an undecided value decided, one way or the other.
-    pub(crate) fn complete_undecided(&mut self, now: Instant, effects: &mut Vec<Effect>) {
+    pub(super) fn complete_undecided(&mut self, now: Instant, effects: &mut Vec<Effect>) {
         self.drive_register(
             now,
             |register, actions| {
--- a/crates/linenthread-control/src/replica_calls.rs
+++ b/crates/linenthread-control/src/control_node/replica_calls.rs
@@ -113,7 +113,7 @@
     }
 
     /// Another control node acknowledged an update.
-    pub(crate) fn on_update_ack(
+    pub(super) fn on_update_ack(
         &mut self,
         now: Instant,
         node_id: NodeId,
@@ -126,7 +126,7 @@
     }
 
     /// Responds to the calls that a majority acknowledged by now, or that have timed out.
-    pub(crate) fn complete_drains(&mut self, now: Instant, effects: &mut Vec<Effect>) {
+    pub(super) fn complete_drains(&mut self, now: Instant, effects: &mut Vec<Effect>) {
         let register = &self.register;
         let completed = self
             .pending_drains
--- a/crates/linenthread-control/src/replica_updates.rs
+++ b/crates/linenthread-control/src/control_node/replica_updates.rs
@@ -7,14 +7,14 @@
 
 impl ControlNode {
     /// Queues a replica, and those that ended by it, for the next update of the other control nodes.
-    pub(crate) fn queue_for_peers(&mut self, replica_id: &str, superseded: &[String]) {
+    pub(super) fn queue_for_peers(&mut self, replica_id: &str, superseded: &[String]) {
         for (_, peer) in self.membership.iter_mut() {
             peer.queue_replicas(superseded.iter().map(String::as_str).chain([replica_id]));
         }
     }
 
     /// A replica that drains no more has to be made known again when it drains the next time.
-    pub(crate) fn forget_ended_drain(&mut self, replica_id: &str) {
+    pub(super) fn forget_ended_drain(&mut self, replica_id: &str) {
         let is_available = self
             .registry
             .get(replica_id)
@@ -25,7 +25,7 @@
     }
 
     /// Sends a control node all that this one has.
-    pub(crate) fn synchronize_peer(
+    pub(super) fn synchronize_peer(
         &mut self,
         now: Instant,
         session: SessionId,
@@ -50,7 +50,7 @@
     }
 
     /// Sends all control nodes the sessions that this one has with ingress nodes, and addresses that they lack.
-    pub(crate) fn send_ingress_sessions(&mut self, effects: &mut Vec<Effect>) {
+    pub(super) fn send_ingress_sessions(&mut self, effects: &mut Vec<Effect>) {
         let sessions = self.ingress_nodes.local();
         let addresses = self.address_book.all();
         let version = self.address_book.version();
@@ -73,7 +73,7 @@
     }
 
     /// Sends the changed replicas to all control nodes and ingress nodes.
-    pub(crate) fn flush_changed_replicas(&mut self, now: Instant, effects: &mut Vec<Effect>) {
+    pub(super) fn flush_changed_replicas(&mut self, now: Instant, effects: &mut Vec<Effect>) {
         let registry = &self.registry;
         for (session, peer) in self.membership.iter_mut() {
             let changed = peer.take_queued_replicas();
@@ -99,7 +99,7 @@
     }
 
     /// An update of another control node.
-    pub(crate) fn on_control_update(
+    pub(super) fn on_control_update(
         &mut self,
         now: Instant,
         session: SessionId,
--- a/crates/linenthread-control/src/sessions.rs
+++ b/crates/linenthread-control/src/control_node/sessions.rs
@@ -50,7 +50,7 @@
     }
 
     /// Ends a session from this side.
-    pub(crate) fn drop_session(
+    pub(super) fn drop_session(
         &mut self,
         now: Instant,
         session: SessionId,
@@ -61,7 +61,7 @@
     }
 
     /// Ends all sessions with ingress nodes: they connect to another control node.
-    pub(crate) fn drop_ingress_sessions(&mut self, now: Instant, effects: &mut Vec<Effect>) {
+    pub(super) fn drop_ingress_sessions(&mut self, now: Instant, effects: &mut Vec<Effect>) {
         for session in self.ingress_nodes.sessions() {
             self.drop_session(now, session, effects);
         }
@@ -195,7 +195,7 @@
     }
 
     /// Sends the newest value to a control node that is not known to have it.
-    pub(crate) fn send_value(&mut self, session: SessionId, effects: &mut Vec<Effect>) {
+    pub(super) fn send_value(&mut self, session: SessionId, effects: &mut Vec<Effect>) {
         let Some(value) = self.register.decided().cloned() else {
             return;
         };
--- a/crates/linenthread-control/src/shutdown.rs
+++ b/crates/linenthread-control/src/control_node/shutdown.rs
@@ -40,7 +40,7 @@
     }
 
     /// Whether a node, which may be this one, shuts down, or ended after a graceful shutdown.
-    pub(crate) fn node_is_shutting_down(&self, node_id: NodeId) -> bool {
+    pub(super) fn node_is_shutting_down(&self, node_id: NodeId) -> bool {
         if node_id == self.register.id() {
             self.is_shutting_down()
         } else {
@@ -48,7 +48,7 @@
         }
     }
 
-    pub(crate) fn next_shutdown_step(&self, now: Instant) -> ShutdownStep {
+    pub(super) fn next_shutdown_step(&self, now: Instant) -> ShutdownStep {
         let Some(value_number) = self.register.decided().map(ValueNumber::of) else {
             return ShutdownStep::Exit;
         };
--- a/crates/linenthread-control/src/ticks.rs
+++ b/crates/linenthread-control/src/control_node/ticks.rs
@@ -85,6 +85,16 @@
         }
     }
 
+    /// Writes the replicas to disk, if they changed, so that a start of all nodes at once need not wait for their
+    /// heartbeats.
+    fn write_replica_snapshot(&mut self, now: Instant, effects: &mut Vec<Effect>) {
+        let record = self.snapshot_writer.next_record(now, &self.registry);
+        effects.extend(record.map(|record| Effect::Persist {
+            record,
+            after_sync: Vec::new(),
+        }));
+    }
+
     fn full_tick(&mut self, now: Instant, effects: &mut Vec<Effect>) {
         self.send_heartbeats(now, effects);
         self.send_ingress_sessions(effects);
--- a/crates/linenthread-control/src/voters.rs
+++ b/crates/linenthread-control/src/control_node/voters.rs
@@ -13,43 +13,14 @@
 /// A change of the voters is given so many call time-outs: nobody waits for it who could try another node.
 const VOTER_CHANGE_TIMEOUT_CALLS: u32 = 3;
 
-/// A value must be undecided at so many full ticks in a row before this node completes it.
-const MAX_UNDECIDED_TICKS: u32 = 2;
-
-/// This node's part in the votes.
-#[derive(Default)]
-pub(crate) struct VotingState {
-    /// This node is one of the newest value's voters.
-    is_voter: bool,
-    /// At how many full ticks in a row a value was undecided.
-    undecided_ticks: u32,
-}
-
-impl VotingState {
-    /// Notes whether this node is one of the newest value's voters; returns whether it was before.
-    pub(crate) fn set_voter(&mut self, is_voter: bool) -> bool {
-        std::mem::replace(&mut self.is_voter, is_voter)
-    }
-
-    /// Takes in whether a value is undecided at a full tick; whether it has been for too long.
-    pub(crate) fn on_full_tick(&mut self, has_undecided: bool) -> bool {
-        self.undecided_ticks = if has_undecided {
-            self.undecided_ticks + 1
-        } else {
-            0
-        };
-        self.undecided_ticks >= MAX_UNDECIDED_TICKS
-    }
-}
-
 impl ControlNode {
     /// Whether this node is one of the newest value's voters.
-    pub(crate) fn is_voter(&self) -> bool {
+    pub(super) fn is_voter(&self) -> bool {
         self.register.is_voter(self.register.id())
     }
 
     /// As the leader under `epoch`, proposes the next voters if they should be others: one change at a time.
-    pub(crate) fn adjust_voters(&mut self, now: Instant, epoch: Epoch, effects: &mut Vec<Effect>) {
+    pub(super) fn adjust_voters(&mut self, now: Instant, epoch: Epoch, effects: &mut Vec<Effect>) {
         let may_propose = !self.pending_jobs.has_voter_change()
             && self.has_quorum(now)
             && self.lease.is_held_at(now, self.value_number());
@@ -83,7 +54,7 @@
     }
 
     /// Whether this node leads, and changes the voters, or will as soon as a standby's disk holds everything.
-    pub(crate) fn is_reconfiguring(&self, now: Instant) -> bool {
+    pub(super) fn is_reconfiguring(&self, now: Instant) -> bool {
         self.is_leader(now)
             && (self.pending_jobs.has_voter_change()
                 || !self.standbys(now, None).is_empty()
@@ -92,7 +63,7 @@
 
     /// Nodes in contact that may vote, do not yet, and do not shut down; with a number only those that may vote at
     /// once, since their disks hold the value of that number.
-    pub(crate) fn standbys(&self, now: Instant, value_number: Option<ValueNumber>) -> Vec<Voter> {
+    pub(super) fn standbys(&self, now: Instant, value_number: Option<ValueNumber>) -> Vec<Voter> {
         let is_ready = self.config.may_vote
             && !self.is_shutting_down()
             && self.durability.value_number() >= value_number;
--- a/crates/linenthread-control/src/lib.rs
+++ b/crates/linenthread-control/src/lib.rs
@@ -6,24 +6,24 @@
 //! their order. It must not know of sockets, files, threads or the time of day; only [`StateLog`] writes bytes, to
 //! whatever [`linenthread_store::Files`] it is given.
 //!
-//! Start reading at [`ControlNode`] (`control_node`), then `ticks` for what happens by time and `sessions` for what
-//! happens by message.
+//! Start reading at [`ControlNode`] (`control_node`), then `control_node/ticks` for what happens by time and
+//! `control_node/sessions` for what happens by message. A table, or a pure decision, knows nothing of the others; the
+//! modules below `control_node` route between them.
 //!
-//! | concern | modules |
-//! | --- | --- |
-//! | the node and what drives it | `control_node`, `ticks`, `tick_schedule`, `sessions`, `register_driver`, `pending_jobs` |
-//! | contact with a quorum, and what may be answered without it | `quorum_contact`, `admission`, `heartbeats` |
-//! | the other control nodes | `membership`, `address_book` |
-//! | replicas | `replica_registry`, `replica_calls`, `replica_updates`, `pending_drains`, `replica_snapshot` |
-//! | operators | `operator_calls`, `status` |
-//! | ingress nodes | `ingress_nodes`, `ingress_updates`, `change_log` |
-//! | leadership | `leader_lease`, `quota_allocator`, `retry_budget` |
-//! | voters | `voters`, with the pure decisions in [`reconfiguration`] |
-//! | graceful shutdown | `shutdown`, with the pure decisions in [`graceful_shutdown`] |
-//! | durable state | `own_durability`, `state_log` |
+//! | concern | tables and decisions | routing, below `control_node` |
+//! | --- | --- | --- |
+//! | what drives the node | `tick_schedule`, `pending_jobs` | `ticks`, `sessions`, `register_driver` |
+//! | contact with a quorum, and what may be answered without it | `quorum_contact` | `contact`, `admission`, `heartbeats` |
+//! | the other control nodes | `membership`, `control_peer`, `address_book` | `heartbeats`, `replica_updates` |
+//! | replicas | `replica_registry`, `change_log`, `pending_drains`, `replica_snapshot` | `replica_calls`, `replica_updates` |
+//! | operators | | `operator_calls`, `status` |
+//! | ingress nodes | `ingress_nodes`, `ingress_peer` | `ingress_updates` |
+//! | leadership | `quota_allocator`, `retry_budget` | `leader_lease` |
+//! | voters | `voting_state`, [`reconfiguration`] | `voters` |
+//! | graceful shutdown | [`graceful_shutdown`] | `shutdown` |
+//! | durable state | `own_durability`, `state_log` | `durability` |
 
 mod address_book;
-mod admission;
 mod change_log;
 mod config;
 mod control_node;
@@ -31,35 +31,24 @@
 mod effect;
 mod event;
 pub mod graceful_shutdown;
-mod heartbeats;
 mod ids;
 mod ingress_nodes;
 mod ingress_peer;
-mod ingress_updates;
-mod leader_lease;
 mod membership;
-mod operator_calls;
 mod own_durability;
 mod pending_drains;
 mod pending_jobs;
 mod quorum_contact;
 mod quota_allocator;
 pub mod reconfiguration;
-mod register_driver;
-mod replica_calls;
 mod replica_registry;
 mod replica_snapshot;
-mod replica_updates;
 mod response;
 mod retry_budget;
-mod sessions;
-mod shutdown;
 mod state_log;
-mod status;
 mod tick_schedule;
-mod ticks;
 mod timing;
-mod voters;
+mod voting_state;
 
 pub use change_log::{ChangeLog, ChangeLogOffset};
 pub use config::NodeConfig;
--- a/crates/linenthread-control/src/quorum_contact.rs
+++ b/crates/linenthread-control/src/quorum_contact.rs
@@ -2,12 +2,18 @@
 
 use std::time::Duration;
 
-use linenthread_consensus::NodeId;
 use linenthread_time::Instant;
 
-use crate::control_peer::ControlPeer;
 use crate::timing::{PAUSE_TIMEOUT, STARTUP_GRACE};
-use crate::{ControlEvent, ControlNode, Effect};
+
+/// What has become of the contact with a majority.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum ContactChange {
+    /// It begins.
+    Began,
+    /// It ends.
+    Ended,
+}
 
 /// Since when the node runs, and since when it is in contact with a majority of the voters.
 pub(crate) struct QuorumContact {
@@ -42,67 +48,30 @@
         now < self.started_at + STARTUP_GRACE
     }
 
-    /// Notes that the state machine runs; how long it did not, if that was long enough for a freeze.
-    fn on_activity(&mut self, now: Instant) -> Option<Duration> {
-        let paused = now.since(self.last_active_at);
-        self.last_active_at = now;
-        (paused > PAUSE_TIMEOUT).then_some(paused)
-    }
-}
-
-impl ControlNode {
-    /// Ids of the nodes in contact, this one included.
-    pub(crate) fn nodes_in_contact(&self, now: Instant) -> Vec<NodeId> {
-        let others = self.membership.contacts(now).map(ControlPeer::node_id);
-        others.chain([self.register.id()]).collect()
-    }
-
-    /// Whether messages have lately gone back and forth between this node and more than half of the voters.
-    pub fn has_quorum(&self, now: Instant) -> bool {
-        self.register.is_majority(self.nodes_in_contact(now))
-    }
-
-    /// Runs before all other work: after a freeze everything that rests on contact is stale, so all sessions are
-    /// closed, and what was pending is answered as unknown before anything else is answered.
-    pub(crate) fn detect_pause(&mut self, now: Instant, effects: &mut Vec<Effect>) {
-        let Some(paused) = self.contact.on_activity(now) else {
-            return;
-        };
-        effects.push(Effect::Log(ControlEvent::ResumedAfterPause { paused }));
-        let sessions = self
-            .membership
-            .sessions()
-            .into_iter()
-            .chain(self.ingress_nodes.sessions());
-        for session in sessions {
-            self.drop_session(now, session, effects);
-        }
-        self.contact.since = None;
-        self.complete_drains(now, effects);
-        self.drive_register(
-            now,
-            |register, actions| register.tick(now, actions),
-            effects,
-        );
-    }
-
-    /// Takes in that contact may have begun or ended. When it begins, the ingress nodes that waited are updated; when
-    /// it ends, all of them are sent elsewhere.
-    pub(crate) fn update_contact(&mut self, now: Instant, effects: &mut Vec<Effect>) {
-        match (self.has_quorum(now), self.contact.since) {
+    /// Takes in whether the node is in contact with a majority.
+    pub(crate) fn update(&mut self, now: Instant, has_quorum: bool) -> Option<ContactChange> {
+        match (has_quorum, self.since) {
             (true, None) => {
-                self.contact.since = Some(now);
-                for session in self.ingress_nodes.sessions() {
-                    self.confirm_configuration(now, session, effects);
-                    self.update_ingress_node(now, session, effects);
-                }
+                self.since = Some(now);
+                Some(ContactChange::Began)
             }
             (false, Some(_)) => {
-                self.contact.since = None;
-                effects.push(Effect::Log(ControlEvent::QuorumLost));
-                self.drop_ingress_sessions(now, effects);
+                self.since = None;
+                Some(ContactChange::Ended)
             }
-            _ => {}
+            _ => None,
         }
     }
+
+    /// The process was frozen: whatever contact there was is over.
+    pub(crate) fn reset(&mut self) {
+        self.since = None;
+    }
+
+    /// Notes that the state machine runs; how long it did not, if that was long enough for a freeze.
+    pub(crate) fn on_activity(&mut self, now: Instant) -> Option<Duration> {
+        let paused = now.since(self.last_active_at);
+        self.last_active_at = now;
+        (paused > PAUSE_TIMEOUT).then_some(paused)
+    }
 }
--- a/crates/linenthread-control/src/replica_snapshot.rs
+++ b/crates/linenthread-control/src/replica_snapshot.rs
@@ -3,9 +3,9 @@
 use linenthread_messages::{Record, Replica};
 use linenthread_time::Instant;
 
+use crate::ReplicaRegistry;
 use crate::change_log::ChangeLogOffset;
 use crate::timing::SNAPSHOT_INTERVAL;
-use crate::{ControlNode, Effect, ReplicaRegistry};
 
 /// Decides when the registry is written to disk.
 pub(crate) struct ReplicaSnapshotWriter {
@@ -24,7 +24,11 @@
     }
 
     /// A record of the replicas that are there, if they changed and the last one is old enough.
-    fn next_record(&mut self, now: Instant, registry: &ReplicaRegistry) -> Option<Record> {
+    pub(crate) fn next_record(
+        &mut self,
+        now: Instant,
+        registry: &ReplicaRegistry,
+    ) -> Option<Record> {
         let offset = registry.changes().offset();
         if offset == self.written_offset || now < self.written_at + SNAPSHOT_INTERVAL {
             return None;
@@ -45,13 +49,3 @@
         })
     }
 }
-
-impl ControlNode {
-    pub(crate) fn write_replica_snapshot(&mut self, now: Instant, effects: &mut Vec<Effect>) {
-        let record = self.snapshot_writer.next_record(now, &self.registry);
-        effects.extend(record.map(|record| Effect::Persist {
-            record,
-            after_sync: Vec::new(),
-        }));
-    }
-}
