--- a/crates/linenthread-consensus/src/node_id.rs
+++ b/crates/linenthread-consensus/src/node_id.rs
@@ -2,10 +2,9 @@
 
 use std::fmt;
 
+use linenthread_hash::fnv1a_64;
 use linenthread_messages::Voter;
 
-use crate::hash::fnv1a_64;
-
 /// Identifies a control node. It belongs to the node's disk: a node whose disk was replaced is another node
 /// (*an-empty-disk-is-nobody*).
 ///
--- a/crates/linenthread-control/src/replica_registry.rs
+++ b/crates/linenthread-control/src/replica_registry.rs
@@ -5,6 +5,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
+use linenthread_hash::fnv1a_64;
 use linenthread_messages::Replica;
 use linenthread_time::{Instant, whole_millis};
 use serde::Deserialize;
@@ -368,7 +369,7 @@
                     ..
                 } = &known.replica;
                 let text = format!("{id} {backend} {address} {draining}");
-                linenthread_consensus::fnv1a_64(text.as_bytes())
+                fnv1a_64(text.as_bytes())
             })
             .fold(0, u64::wrapping_add)
     }
--- a/crates/linenthread-dataplane/src/data_plane.rs
+++ b/crates/linenthread-dataplane/src/data_plane.rs
@@ -5,8 +5,8 @@
 use std::rc::Rc;
 
 use linenthread_config::{Configuration, Destination, ResolvedRoute, RoutingTable, Settings};
-use linenthread_consensus::fnv1a_64;
 use linenthread_core::interface::TenthMillis;
+use linenthread_hash::fnv1a_64;
 
 use crate::clock;
 use crate::counter::{Counter, CounterGuard};
--- a/crates/linenthread-dataplane/src/dispatcher.rs
+++ b/crates/linenthread-dataplane/src/dispatcher.rs
@@ -310,7 +310,7 @@
     };
     MembershipEntry {
         replica,
-        id: linenthread_consensus::fnv1a_64(pool.id().as_bytes()),
+        id: linenthread_hash::fnv1a_64(pool.id().as_bytes()),
         replica_group: backend,
         zone: zones.index_of(pool.zone()),
         phase,
--- a/crates/linenthread-dataplane/src/server.rs
+++ b/crates/linenthread-dataplane/src/server.rs
@@ -7,7 +7,7 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-use linenthread_consensus::fnv1a_64;
+use linenthread_hash::fnv1a_64;
 use tokio::io::{AsyncRead, AsyncWrite};
 
 use self::forward::{deadline, to_replica_request};
--- a/crates/linenthread-dataplane/src/zones.rs
+++ b/crates/linenthread-dataplane/src/zones.rs
@@ -31,7 +31,7 @@
     /// How each zone is to be used from here, by index: the local one first.
     pub(crate) fn ways(&self) -> Vec<ZoneRoute> {
         let way = |(index, zone): (usize, &String)| ZoneRoute {
-            id: linenthread_consensus::fnv1a_64(zone.as_bytes()),
+            id: linenthread_hash::fnv1a_64(zone.as_bytes()),
             distance: u8::from(index > 0),
             open_per_mille: OPEN_PER_MILLE,
         };
