--- a/crates/linenthread-core/src/policy/health_probe.rs
+++ b/crates/linenthread-core/src/policy/health_probe.rs
@@ -2,33 +2,43 @@
 
 use super::Coordinator;
 use super::windows::{CRASH_MEMORY, FRESH_REPORT, LONG_TERM, MIN_WEIGHT, PROBE_TIMEOUT, RECENT};
-use crate::interface::{AttemptOutcome, DecisionSink, ProbeResult, TenthMillis};
+use crate::conversion::to_tenth_millis;
+use crate::interface::{
+    AttemptOutcome, DecisionSink, ProbeResult, QueryIndex, ReplicaIndex, TenthMillis,
+};
 use crate::state::{Outage, Query, SubRequest};
 
-/// A replica that is down is probed after this time, in tenths of a millisecond, and as much again at random,
-/// times a quarter of the number of co-ordinators.
+/// The least time between two probes of a replica that is down, before it is spread and scaled.
+///
+/// Unit: 0.1 ms (150 ms). Reason: an attempt there would be lost, so its return is to be noticed soon.
 const OUTAGE_PROBE_INTERVAL: TenthMillis = 1_500;
 
-/// Probes are waited for up to this share of the shortest soft deadline while all holders of a shard owe the
-/// end of one.
+/// How long a query's first attempts wait while all holders of a shard owe the end of a probe.
+///
+/// Unit: share of the shortest soft deadline. Reason: a worse replica chosen now is better than a late choice.
 const MAX_PROBE_WAIT_SHARE: f64 = 0.05;
 
-/// Replicas are probed before a query's first attempts where they are remembered for longer than this multiple
-/// of [`RECENT`], since each is seen too seldom to be known.
+/// Replicas are probed before a query's first attempts where they are remembered for longer than this.
+///
+/// Unit: multiple of [`RECENT`]. Reason: what is remembered there is too old to recognise an unhealthy replica.
 const SELDOM_OBSERVED: f64 = 1.5;
 
-/// Where replicas report no queue, at least this share of queries probes first.
+/// Where replicas report no queue: how many queries probe first at least.
+///
+/// Unit: share of queries. Reason: without any probe no late one could be noticed.
 const MIN_PROBING_SHARE: f64 = 0.1;
 
-/// Where replicas report no queue, the share of queries that probe first is this multiple of the share of
-/// probes that were late: there a probe tells by its delay alone, if at all, so few go while all are quick.
+/// Where replicas report no queue: how many queries probe first for each probe that was late.
+///
+/// Unit: share of queries / share of probes. Reason: a probe tells by its delay alone there, so few go while all are
+/// quick.
 const PROBING_PER_LATE_PROBE: f64 = 12.0;
 
 impl Coordinator {
     pub(super) fn on_probe_result(&mut self, result: &ProbeResult) {
         let now = self.now;
         self.timers.next_score = now;
-        let Some(replica) = self.replicas.get_mut(result.replica) else {
+        let Some(replica) = self.replicas.get_mut(result.replica.0) else {
             return;
         };
         let sent_at = replica.probe_sent_at.take().unwrap_or(now);
@@ -51,18 +61,22 @@
                     retry_at: now + OUTAGE_PROBE_INTERVAL,
                 });
             }
-            // Too busy for a probe: nothing is known but that a soft deadline's worth is queued there.
+            // Too busy for a probe. How busy is not known: it counts as a whole soft deadline of queued sub-requests.
             _ => replica.on_report(now, self.min_soft_deadline / self.fleet.lowest_median),
         }
     }
 
-    /// Probes replicas that are down: an attempt sent there would be lost time and a spent attempt.
+    /// Probes replicas that are down, the more seldom the longer they are: a query's attempt that found out instead
+    /// would be wasted.
     pub(super) fn probe_outages(&mut self, sink: &mut impl DecisionSink) {
         if !self.config.permissions.health_probes {
             return;
         }
-        let share = (self.config.coordinator_count as TenthMillis / 4).max(1);
-        for replica_index in 0..self.replicas.len() {
+        // All co-ordinators probe the same replica, so each waits in proportion to their number.
+        let interval_factor = TenthMillis::try_from(self.config.coordinator_count / 4)
+            .unwrap_or(TenthMillis::MAX)
+            .max(1);
+        for replica_index in self.replica_indices() {
             let replica = &self.replicas[replica_index];
             let Some(outage) = replica.outage.filter(|_| replica.is_ready()) else {
                 continue;
@@ -70,7 +84,8 @@
             if outage.retry_at > self.now {
                 continue;
             }
-            let interval = OUTAGE_PROBE_INTERVAL.max((self.now - outage.since) / 4) * share;
+            let interval =
+                OUTAGE_PROBE_INTERVAL.max((self.now - outage.since) / 4) * interval_factor;
             let retry_at = self.now + interval + self.random_time(interval);
             let replica = &mut self.replicas[replica_index];
             replica.outage = Some(Outage { retry_at, ..outage });
@@ -79,25 +94,18 @@
         }
     }
 
-    /// Delays a query's first attempts while holders without a recent report are probed, where each replica is
-    /// seen seldom. Returns whether the query has to wait.
+    /// Probes holders without a recent report before a query's first attempts, where each replica is seen seldom.
+    /// Returns whether the query has to wait for the probes.
     pub(super) fn probe_before_first_attempts(
         &mut self,
-        query_index: usize,
+        query_index: QueryIndex,
         sink: &mut impl DecisionSink,
     ) -> bool {
-        let max_wait = (MAX_PROBE_WAIT_SHARE * self.min_soft_deadline) as TenthMillis;
-        let Some(Some(query)) = self.queries.get(query_index) else {
+        let max_wait = to_tenth_millis(MAX_PROBE_WAIT_SHARE * self.min_soft_deadline);
+        let Some(Some(query)) = self.queries.get(query_index.0) else {
             return false;
         };
-        let is_seldom_observed = self.fleet.time_constant > SELDOM_OBSERVED * RECENT;
-        let is_too_late =
-            query.admitted || query.finished || self.now + 2 * max_wait > query.hard_deadline;
-        if !is_seldom_observed
-            || !self.config.permissions.health_probes
-            || is_too_late
-            || query.sub_requests.is_empty()
-        {
+        if !self.is_probed_first(query, max_wait) {
             return false;
         }
         if let Some(probed_at) = query.probed_at {
@@ -109,6 +117,21 @@
         self.probe_shard_replicas(query_index, sink)
     }
 
+    /// Whether a query waits for probes at all: each replica is seen seldom, nothing of the query has been sent, and
+    /// there is time for it.
+    fn is_probed_first(&self, query: &Query, max_wait: TenthMillis) -> bool {
+        let is_seldom_observed = self.fleet.time_constant > SELDOM_OBSERVED * RECENT;
+        let is_too_late = self.now + 2 * max_wait > query.hard_deadline;
+        is_seldom_observed
+            && self.config.permissions.health_probes
+            && !query.admitted
+            && !query.finished
+            && !is_too_late
+            && !query.sub_requests.is_empty()
+    }
+
+    /// Whether the probes sent for a query are still waited for: any of them briefly, and for longer where all holders
+    /// of a shard owe the end of one.
     fn waits_for_probes(
         &self,
         query: &Query,
@@ -116,7 +139,7 @@
         max_wait: TenthMillis,
     ) -> bool {
         let waited = self.now - probed_at;
-        let is_probed = |replica: usize| self.replicas[replica].probe_sent_at.is_some();
+        let is_probed = |replica: ReplicaIndex| self.replicas[replica].probe_sent_at.is_some();
         let any_probed = |s: &SubRequest| self.shard_replicas(query, s).any(is_probed);
         let all_probed = |s: &SubRequest| self.shard_replicas(query, s).all(is_probed);
         waited < PROBE_TIMEOUT && query.sub_requests.iter().any(any_probed)
@@ -132,10 +155,14 @@
 
     /// Probes those holders of the query's shards that are up and have not reported of late. Returns whether
     /// there was any.
-    fn probe_shard_replicas(&mut self, query_index: usize, sink: &mut impl DecisionSink) -> bool {
+    fn probe_shard_replicas(
+        &mut self,
+        query_index: QueryIndex,
+        sink: &mut impl DecisionSink,
+    ) -> bool {
         let now = self.now;
         let query = self.open_query(query_index);
-        let mut replicas: Vec<usize> = query
+        let mut replicas: Vec<ReplicaIndex> = query
             .sub_requests
             .iter()
             .flat_map(|sub_request| self.shard_replicas(query, sub_request))
--- a/crates/linenthread-core/src/policy/sending.rs
+++ b/crates/linenthread-core/src/policy/sending.rs
@@ -3,22 +3,25 @@
 use super::Coordinator;
 use super::resolution::gives_up_at;
 use super::windows::{RECENT, REMEMBERED_RESPONSES};
-use crate::interface::{DecisionSink, TenthMillis};
+use crate::interface::{DecisionSink, QueryIndex, ReplicaIndex, SubRequestIndex, TenthMillis};
 use crate::state::Attempt;
 
-/// A connection is idle after this time without use, in tenths of a millisecond.
+/// A connection is idle after this time without use.
+///
+/// Unit: 0.1 ms (750 ms). Reason: what drops connections unnoticed does so to those that are not used.
 const IDLE_AFTER: TenthMillis = 7_500;
 
-/// Idle connections are closed before use where they fail more often than others by this share of attempts:
-/// something drops them unnoticed.
+/// Idle connections are closed before use where they fail more often than others by this.
+///
+/// Unit: share of attempts. Reason: a smaller difference is chance, and closing costs a handshake for each attempt.
 const IDLE_FAILURE_MARGIN: f64 = 0.08;
 
 impl Coordinator {
     /// Sends an attempt of a sub-request, if a replica may take it.
     pub(super) fn send_attempt(
         &mut self,
-        query_index: usize,
-        sub_request_index: usize,
+        query_index: QueryIndex,
+        sub_request_index: SubRequestIndex,
         sink: &mut impl DecisionSink,
     ) {
         let Some(replica_index) = self.choose_replica(query_index, sub_request_index) else {
@@ -27,7 +30,7 @@
         let now = self.now;
         let is_slow_start = self.slow_start_capacity(replica_index).is_some();
         let query = self.open_query(query_index);
-        let end = gives_up_at(query, self.index_of(query));
+        let gives_up_at = gives_up_at(query, self.index_of(query));
         let sub_request = &query.sub_requests[sub_request_index];
         let is_retry = !sub_request.attempts.is_empty();
         let is_hedge = sub_request.in_flight() > 0;
@@ -55,25 +58,26 @@
         if is_retry {
             self.count_retry();
         }
-        let timeout = (end - now).max(1);
+        let timeout = (gives_up_at - now).max(1);
         sink.send(query_index, sub_request_index, replica_index, timeout);
     }
 
-    /// Closes the idle connections to a replica where such connections fail. Returns whether the attempt's
-    /// connection will have been idle; `None` where other attempts are in flight.
+    /// Closes the idle connections to a replica where such connections fail. Returns whether the attempt will be sent
+    /// on a connection that had been idle; `None` where other attempts are in flight, since it is not known then which
+    /// connection it gets.
     fn prepare_connection(
         &self,
-        replica_index: usize,
+        replica_index: ReplicaIndex,
         sink: &mut impl DecisionSink,
     ) -> Option<bool> {
         let replica = &self.replicas[replica_index];
         let is_alone = replica.in_flight == 0;
         let is_idle = is_alone && self.now - replica.last_used_at > IDLE_AFTER;
-        let closes = is_idle && self.idle_connections_fail();
-        if closes {
+        let closes_idle = is_idle && self.idle_connections_fail();
+        if closes_idle {
             sink.close_idle(replica_index);
         }
-        is_alone.then_some(is_idle && !closes)
+        is_alone.then_some(is_idle && !closes_idle)
     }
 
     fn idle_connections_fail(&self) -> bool {
