--- a/crates/linenthread-checker/src/register/scenario.rs
+++ b/crates/linenthread-checker/src/register/scenario.rs
@@ -3,7 +3,7 @@
 use std::fmt;
 use std::str::FromStr;
 
-use linenthread_consensus::{Change, Revision, document_digest};
+use linenthread_consensus::{Change, Order, Revision, document_digest};
 use linenthread_messages::OrderIdentity;
 use snafu::{OptionExt, Snafu};
 
@@ -50,11 +50,11 @@
     /// The change to propose, if the call is an order.
     pub(crate) fn change(self) -> Option<Change> {
         let (identity, document) = self.order_and_document()?;
-        Some(Change::Document {
+        Some(Change::Order(Order {
             base: Revision::new(identity.base),
             revision: Revision::new(identity.revision),
             document: document.into(),
-        })
+        }))
     }
 
     fn name(self) -> &'static str {
--- a/crates/linenthread-consensus/src/change.rs
+++ b/crates/linenthread-consensus/src/change.rs
@@ -7,18 +7,22 @@
 use crate::revision::Revision;
 use crate::value_number::ValueNumber;
 
+/// An order of an operator: the replacement of one configuration by the next.
+#[derive(Clone, Debug, PartialEq, Eq, Hash)]
+pub struct Order {
+    /// The revision that it builds on; it can only be decided while that is the newest one.
+    pub base: Revision,
+    /// Its own revision, greater than `base`.
+    pub revision: Revision,
+    /// The configuration document.
+    pub document: Vec<u8>,
+}
+
 /// A proposed change of the replicated value.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Change {
-    /// An order: a new configuration document.
-    Document {
-        /// The revision that it builds on; it can only be decided while that is the newest one.
-        base: Revision,
-        /// Its own revision, greater than `base`.
-        revision: Revision,
-        /// The document.
-        document: Vec<u8>,
-    },
+    /// A new configuration.
+    Order(Order),
     /// A new set of voters.
     Voters {
         /// Number of the value that it builds on; it can only be decided as the next one.
--- a/crates/linenthread-consensus/src/lib.rs
+++ b/crates/linenthread-consensus/src/lib.rs
@@ -74,7 +74,7 @@
 mod timing;
 mod value_number;
 
-pub use change::{Change, document_digest};
+pub use change::{Change, Order, document_digest};
 pub use durable_state::DurableState;
 pub use effects::{DeferredMessage, Effect};
 pub use epoch::Epoch;
--- a/crates/linenthread-consensus/src/proposal.rs
+++ b/crates/linenthread-consensus/src/proposal.rs
@@ -109,22 +109,14 @@
 impl From<Change> for Proposal {
     fn from(change: Change) -> Proposal {
         match change {
-            Change::Document {
-                base,
-                revision,
-                document,
-            } => {
-                let digest = document_digest(&document);
-                let identity = OrderIdentity {
-                    revision: revision.get(),
-                    base: base.get(),
-                    digest,
-                };
-                Proposal::Order {
-                    identity,
-                    document: document.into(),
-                }
-            }
+            Change::Order(order) => Proposal::Order {
+                identity: OrderIdentity {
+                    revision: order.revision.get(),
+                    base: order.base.get(),
+                    digest: document_digest(&order.document),
+                },
+                document: order.document.into(),
+            },
             Change::Voters {
                 base_number,
                 voters,
--- a/crates/linenthread-consensus/tests/consensus/cluster.rs
+++ b/crates/linenthread-consensus/tests/consensus/cluster.rs
@@ -4,8 +4,8 @@
 use std::time::Duration;
 
 use linenthread_consensus::{
-    Change, DeferredMessage, DurableState, Effect, Epoch, Incarnation, JobId, NodeId, Outcome,
-    Register, Revision, ValueNumber,
+    Change, DeferredMessage, DurableState, Effect, Epoch, Incarnation, JobId, NodeId, Order,
+    Outcome, Register, Revision, ValueNumber,
 };
 use linenthread_messages::{PeerMessage, Record, Value};
 use linenthread_time::Instant;
@@ -49,11 +49,11 @@
 
 /// An order whose document is this text.
 pub(crate) fn order(base: u64, revision: u64, document: &str) -> Change {
-    Change::Document {
+    Change::Order(Order {
         base: Revision::new(base),
         revision: Revision::new(revision),
         document: document.into(),
-    }
+    })
 }
 
 /// The outcome of an order that was accepted under this revision.
--- a/crates/linenthread-consensus/tests/consensus/contention.rs
+++ b/crates/linenthread-consensus/tests/consensus/contention.rs
@@ -1,11 +1,11 @@
 //! Proposers that compete: how long one pauses after a rejection, and how much time a round has.
 
 use linenthread_consensus::{
-    Change, DurableState, Effect, Epoch, Incarnation, JobId, NodeId, Register, Revision,
-    ValueNumber,
+    Change, DurableState, Effect, Epoch, Incarnation, JobId, NodeId, Register, ValueNumber,
 };
 use linenthread_messages::{Accept, Ballot, PeerMessage, Prepare, Promise, Rejected, Value};
 
+use crate::cluster::order;
 use crate::fixtures::{self, at};
 
 const OTHER_PROPOSER: u64 = 99;
@@ -42,12 +42,8 @@
 }
 
 fn propose_an_order(register: &mut Register, now: u64) -> Vec<Effect> {
-    let base = register.decided().map_or(Revision::NONE, Revision::of);
-    let change = Change::Document {
-        base,
-        revision: Revision::new(base.get() + 1_000),
-        document: b"routes".to_vec(),
-    };
+    let base = register.decided().map_or(0, |value| value.revision);
+    let change = order(base, base + 1_000, "routes");
     let mut effects = Vec::new();
     register.propose(at(now), JobId(now), change, at(now + 60_000), &mut effects);
     effects
--- a/crates/linenthread-consensus/tests/consensus/reads.rs
+++ b/crates/linenthread-consensus/tests/consensus/reads.rs
@@ -1,11 +1,11 @@
 //! Reads beside undecided values and slow disks.
 
 use linenthread_consensus::{
-    Change, DeferredMessage, DurableState, Effect, Incarnation, JobId, NodeId, Outcome, Register,
-    Revision,
+    DeferredMessage, DurableState, Effect, Incarnation, JobId, NodeId, Outcome, Register,
 };
 use linenthread_messages::{Accept, Ballot, PeerMessage, Value};
 
+use crate::cluster::{committed, order};
 use crate::fixtures::{at, value, voter};
 use crate::trio::Trio;
 
@@ -52,11 +52,7 @@
         Some(genesis),
         Incarnation::new(5),
     );
-    let change = Change::Document {
-        base: Revision::NONE,
-        revision: Revision::new(3),
-        document: "3".into(),
-    };
+    let change = order(0, 3, "3");
     let (mut effects, mut requests, mut unsynced) = (Vec::new(), 0, Vec::new());
     register.propose(at(0), JobId(1), change, at(900), &mut effects);
     register.read(at(0), JobId(2), at(900), &mut effects);
@@ -84,6 +80,6 @@
     register.on_message(at(5), NodeId(1), unsynced.remove(0), &mut effects);
     assert!(effects.contains(&Effect::Reply {
         job: JobId(1),
-        outcome: Outcome::Committed(Revision::new(3))
+        outcome: committed(3)
     }));
 }
--- a/crates/linenthread-consensus/tests/consensus/suspension.rs
+++ b/crates/linenthread-consensus/tests/consensus/suspension.rs
@@ -1,9 +1,10 @@
 //! A process that was suspended: messages that waited for it meanwhile complete no job and no round.
 
-use linenthread_consensus::{Change, Effect, JobId, NodeId, Outcome, Register, Revision};
+use linenthread_consensus::{Effect, JobId, NodeId, Outcome, Register};
 use linenthread_messages::{PeerMessage, Promise, ReadReply};
 use linenthread_time::Instant;
 
+use crate::cluster::order;
 use crate::fixtures::{at, register};
 
 /// The identity of the read round that these effects start.
@@ -94,11 +95,7 @@
 #[test]
 fn a_change_past_its_deadline_goes_no_further() {
     let (mut register, mut effects) = (register(1, 77), Vec::new());
-    let change = Change::Document {
-        base: Revision::NONE,
-        revision: Revision::new(1),
-        document: "1".into(),
-    };
+    let change = order(0, 1, "1");
     register.propose(at(1_000), JobId(1), change, at(1_900), &mut effects);
     let prepare = |effect: &Effect| match effect {
         Effect::Send {
--- a/crates/linenthread-consensus/tests/consensus/trio.rs
+++ b/crates/linenthread-consensus/tests/consensus/trio.rs
@@ -1,10 +1,9 @@
 //! Three registers whose messages arrive at once, and whose nodes do not announce decided values.
 
-use linenthread_consensus::{
-    Change, DeferredMessage, Effect, JobId, NodeId, Outcome, Register, Revision,
-};
+use linenthread_consensus::{DeferredMessage, Effect, JobId, NodeId, Outcome, Register};
 use linenthread_messages::{PeerMessage, Record};
 
+use crate::cluster::order;
 use crate::fixtures::{at, register};
 
 /// The nodes 1, 2 and 3.
@@ -67,11 +66,7 @@
 
     pub(crate) fn order(&mut self, node: u64, job: u64, base: u64, revision: u64) {
         let mut effects = Vec::new();
-        let change = Change::Document {
-            base: Revision::new(base),
-            revision: Revision::new(revision),
-            document: format!("{revision}").into(),
-        };
+        let change = order(base, revision, &revision.to_string());
         self.register(node)
             .propose(at(0), JobId(job), change, at(900), &mut effects);
         self.carry_out(node, effects);
--- a/crates/linenthread-control/src/control_node/operator_calls.rs
+++ b/crates/linenthread-control/src/control_node/operator_calls.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use linenthread_consensus::{Change, Revision};
+use linenthread_consensus::{Change, Order};
 use linenthread_time::Instant;
 
 use crate::pending_jobs::JobOwner;
@@ -13,14 +13,12 @@
 const BYTES_PER_MILLISECOND: u64 = 1_000;
 
 impl ControlNode {
-    /// An operator replaces the configuration of revision `base` by this document, of another revision.
+    /// An operator replaces the configuration.
     pub fn replace_configuration(
         &mut self,
         now: Instant,
         call: CallId,
-        base: Revision,
-        revision: Revision,
-        document: Vec<u8>,
+        order: Order,
         effects: &mut Vec<Effect>,
     ) {
         self.detect_pause(now, effects);
@@ -29,17 +27,12 @@
             return;
         }
         let job = self.pending_jobs.add(JobOwner::Call(call));
-        let transfer = Duration::from_millis(document.len() as u64 / BYTES_PER_MILLISECOND);
+        let transfer = Duration::from_millis(order.document.len() as u64 / BYTES_PER_MILLISECOND);
         let deadline = now + CALL_TIMEOUT + transfer;
-        let change = Change::Document {
-            base,
-            revision,
-            document,
-        };
         self.drive_register(
             now,
             |register, actions| {
-                register.propose(now, job, change, deadline, actions);
+                register.propose(now, job, Change::Order(order), deadline, actions);
             },
             effects,
         );
--- a/crates/linenthread-control/src/lib.rs
+++ b/crates/linenthread-control/src/lib.rs
@@ -68,5 +68,5 @@
 
 // Types of the consensus that this interface is made of.
 pub use linenthread_consensus::{
-    DeferredMessage, Epoch, Incarnation, NodeId, Revision, ValueNumber,
+    DeferredMessage, Epoch, Incarnation, NodeId, Order, Revision, ValueNumber,
 };
--- a/crates/linenthread-control/tests/nodes/cluster.rs
+++ b/crates/linenthread-control/tests/nodes/cluster.rs
@@ -6,8 +6,8 @@
 
 use linenthread_consensus::{DurableState, NodeId};
 use linenthread_control::{
-    CallId, ControlEvent, ControlNode, DeferredMessage, Effect, Incarnation, NodeConfig, Response,
-    Revision, SessionId,
+    CallId, ControlEvent, ControlNode, DeferredMessage, Effect, Incarnation, NodeConfig, Order,
+    Response, Revision, SessionId,
 };
 use linenthread_messages::{PeerMessage, Record, Value, Voter};
 use linenthread_time::Instant;
@@ -356,10 +356,13 @@
     /// Sends an order to a node, and returns its call.
     pub(crate) fn order(&mut self, n: usize, base: u64, revision: u64) -> CallId {
         let call = CallId(self.number());
-        let document = format!("document {revision}").into_bytes();
-        let (base, revision) = (Revision::new(base), Revision::new(revision));
+        let order = Order {
+            base: Revision::new(base),
+            revision: Revision::new(revision),
+            document: format!("document {revision}").into_bytes(),
+        };
         self.at(n, |c, now, effects| {
-            c.replace_configuration(now, call, base, revision, document, effects);
+            c.replace_configuration(now, call, order, effects);
         });
         call
     }
--- a/crates/linenthread-control/tests/nodes/contact.rs
+++ b/crates/linenthread-control/tests/nodes/contact.rs
@@ -3,7 +3,7 @@
 use crate::cluster::{Cluster, address, committed, ms};
 use linenthread_consensus::{DurableState, NodeId};
 use linenthread_control::{
-    CONTACT_TIMEOUT, CallId, ControlNode, Effect, Incarnation, NodeConfig, ReplicaHeartbeat,
+    CONTACT_TIMEOUT, CallId, ControlNode, Effect, Incarnation, NodeConfig, Order, ReplicaHeartbeat,
     Response, Revision, SessionId,
 };
 use linenthread_messages::{
@@ -379,9 +379,12 @@
     );
     cluster.run(ms(12_000));
     cluster.thaw(leader, |control, now, effects| {
-        let (base, revision) = (Revision::NONE, Revision::new(9));
-        let document = b"late".to_vec();
-        control.replace_configuration(now, CallId(1 << 32), base, revision, document, effects);
+        let order = Order {
+            base: Revision::NONE,
+            revision: Revision::new(9),
+            document: b"late".to_vec(),
+        };
+        control.replace_configuration(now, CallId(1 << 32), order, effects);
         control.read_configuration(now, CallId(2 << 32), effects);
         control.on_replica_heartbeat(
             now,
--- a/crates/linenthread-hollow/src/control.rs
+++ b/crates/linenthread-hollow/src/control.rs
@@ -6,7 +6,7 @@
 use linenthread_config::Configuration;
 use linenthread_consensus::{DurableState, NodeId};
 use linenthread_control::{
-    CallId, ControlNode, DeferredMessage, Effect, Incarnation, NodeConfig, ReplicaHeartbeat,
+    CallId, ControlNode, DeferredMessage, Effect, Incarnation, NodeConfig, Order, ReplicaHeartbeat,
     Revision, SessionId,
 };
 use linenthread_messages::{Record, Value, Voter, decode};
@@ -208,8 +208,12 @@
                 document,
             } => {
                 if Configuration::parse(&document).is_ok() {
-                    let (base, revision) = (Revision::new(base), Revision::new(revision));
-                    control.replace_configuration(now, call, base, revision, document, effects);
+                    let order = Order {
+                        base: Revision::new(base),
+                        revision: Revision::new(revision),
+                        document,
+                    };
+                    control.replace_configuration(now, call, order, effects);
                 }
                 Work::Configuration
             }
--- a/crates/linenthread-node/src/control/api.rs
+++ b/crates/linenthread-node/src/control/api.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use linenthread_config::Configuration;
-use linenthread_control::{ReplicaHeartbeat, Revision};
+use linenthread_control::{Order, ReplicaHeartbeat, Revision};
 use linenthread_dataplane::connection::{ConnectionError, HttpConnection};
 use linenthread_http::{Head, ParseError, request_framing};
 use tokio::net::{TcpListener, TcpStream};
@@ -220,10 +220,10 @@
         Ok(configuration) => Revision::new(configuration.revision),
         Err(error) => return ApiResponse::error(Status::BadRequest, error),
     };
-    let call = Call::ReplaceConfiguration {
+    let call = Call::ReplaceConfiguration(Order {
         base,
         revision,
         document,
-    };
+    });
     handle.call(call).await.into()
 }
--- a/crates/linenthread-node/src/control/command.rs
+++ b/crates/linenthread-node/src/control/command.rs
@@ -3,7 +3,7 @@
 use std::fmt;
 
 use linenthread_control::graceful_shutdown::ShutdownBlocker;
-use linenthread_control::{DeferredMessage, ReplicaHeartbeat, Response, Revision, SessionId};
+use linenthread_control::{DeferredMessage, Order, ReplicaHeartbeat, Response, SessionId};
 use linenthread_messages::PeerMessage;
 use tokio::sync::{mpsc, oneshot};
 
@@ -19,12 +19,8 @@
     },
     /// A replica's departure.
     Departure { replica_id: String },
-    /// An operator replaces the configuration of revision `base`.
-    ReplaceConfiguration {
-        base: Revision,
-        revision: Revision,
-        document: Vec<u8>,
-    },
+    /// An operator replaces the configuration.
+    ReplaceConfiguration(Order),
     /// An operator reads the configuration.
     ReadConfiguration,
 }
--- a/crates/linenthread-node/src/control/task.rs
+++ b/crates/linenthread-node/src/control/task.rs
@@ -70,7 +70,7 @@
                     return;
                 }
                 if !self.has_left {
-                    self.take(now, command, &mut effects);
+                    self.handle(now, command, &mut effects);
                 }
             }
             if self.has_left {
@@ -111,7 +111,7 @@
         }
     }
 
-    fn take(&mut self, now: Instant, command: Command, effects: &mut Vec<Effect>) {
+    fn handle(&mut self, now: Instant, command: Command, effects: &mut Vec<Effect>) {
         match command {
             Command::SessionOpened(session, outbox) => {
                 self.sessions.insert(session, outbox);
@@ -125,7 +125,7 @@
                 self.control.on_session_closed(now, session, effects);
             }
             Command::DialFailed(address) => self.control.on_dial_failed(now, &address),
-            Command::Call(call, respond) => self.take_call(now, call, respond, effects),
+            Command::Call(call, respond) => self.handle_call(now, call, respond, effects),
             Command::MembersStatus(respond) => {
                 let _ = respond.send(self.control.members_status(now));
             }
@@ -145,7 +145,7 @@
         }
     }
 
-    fn take_call(
+    fn handle_call(
         &mut self,
         now: Instant,
         call: Call,
@@ -164,11 +164,9 @@
             Call::Departure { replica_id } => {
                 control.on_replica_departure(now, id, &replica_id, effects);
             }
-            Call::ReplaceConfiguration {
-                base,
-                revision,
-                document,
-            } => control.replace_configuration(now, id, base, revision, document, effects),
+            Call::ReplaceConfiguration(order) => {
+                control.replace_configuration(now, id, order, effects);
+            }
             Call::ReadConfiguration => control.read_configuration(now, id, effects),
         }
     }
--- a/crates/linenthread-simulation/src/system/operators.rs
+++ b/crates/linenthread-simulation/src/system/operators.rs
@@ -3,7 +3,7 @@
 
 use std::time::Duration;
 
-use linenthread_control::{CallId, Revision};
+use linenthread_control::{CallId, Order, Revision};
 
 use super::event::Event;
 use super::history::Change;
@@ -229,13 +229,13 @@
     }
 
     fn run_replace(&mut self, node: usize, call: CallId, change: Change) {
-        let Change {
-            base,
-            revision,
-            document,
-        } = change;
+        let order = Order {
+            base: change.base,
+            revision: change.revision,
+            document: change.document,
+        };
         self.run(node, |control, now, effects| {
-            control.replace_configuration(now, call, base, revision, document, effects);
+            control.replace_configuration(now, call, order, effects);
         });
     }
 }
