--- a/crates/linenthread-core/src/policy/resolution.rs
+++ b/crates/linenthread-core/src/policy/resolution.rs
@@ -8,7 +8,7 @@
     Completeness, DecisionSink, FailureCause, Idempotency, IndexConfig, QueryIndex,
     SubRequestIndex, TenthMillis,
 };
-use crate::state::{Query, SubRequest};
+use crate::state::{Query, QueryStage, SubRequest};
 
 /// An index whose late responses earn no more than this is given up at its soft deadline.
 ///
@@ -74,7 +74,8 @@
         let now = self.now;
         // While a phase has no sub-requests yet, they are waited for.
         let is_open = |query: &&Query| {
-            !query.finished && (!query.present_phase().is_empty() || now >= query.hard_deadline)
+            !query.is_finished()
+                && (!query.present_phase().is_empty() || now >= query.hard_deadline)
         };
         let Some(query) = self.queries[query_index].as_ref().filter(is_open) else {
             return;
@@ -86,7 +87,7 @@
         if let Some(cause) = self.failure_cause(query_index, &progress) {
             return self.give_up(query_index, cause, sink);
         }
-        self.open_query_mut(query_index).admitted = true;
+        self.open_query_mut(query_index).stage = QueryStage::Admitted;
         self.send_missing(query_index, sink);
     }
 
@@ -102,6 +103,7 @@
     fn progress(&self, query: &Query) -> Progress {
         let index = self.index_of(query);
         let total = query.phase_weight(|_| true).max(WEIGHT_ROUNDING);
+        // An index whose responses may be partial may also lack a part of what is fetched.
         let allows_partial_fetch = index.min_share < index.complete_share;
         Progress {
             gives_up_at: gives_up_at(query, index),
@@ -135,6 +137,7 @@
         let partial_value =
             index.partial_value * progress.succeeded_share / progress.complete_share;
         let partial_pays = partial_value > index.late_value_share;
+        // What is ready now is late if the fetch phase that follows would end late.
         let fetch_phase_follows = index.fetch_sub_requests > 0 && !query.is_fetching();
         let fetch_time = if fetch_phase_follows {
             FETCH_PHASE_TIME
@@ -168,20 +171,26 @@
         let is_final = query.first_response.is_some() || !has_fetch_phase;
         if query.is_continued() && self.now < progress.gives_up_at.min(query.soft_deadline) {
             self.send_missing(query_index, sink);
-            let is_awaited = |s: &SubRequest| s.continued_from.is_some() && s.in_flight() > 0;
-            let query = self.open_query(query_index);
-            if query.sub_requests.iter().any(is_awaited) {
+            if self.awaits_continuation(query_index) {
                 return;
             }
         }
         sink.respond(query_index, completeness);
         self.cancel_all(query_index, sink);
         let query = self.open_query_mut(query_index);
-        query.finished = is_final;
+        if is_final {
+            query.stage = QueryStage::Finished;
+        }
         query.first_response = Some(completeness);
         query.phase_start = query.sub_requests.len();
     }
 
+    fn awaits_continuation(&self, query_index: QueryIndex) -> bool {
+        let is_awaited = |s: &SubRequest| s.continued_from.is_some() && s.in_flight() > 0;
+        let query = self.open_query(query_index);
+        query.sub_requests.iter().any(is_awaited)
+    }
+
     /// Why a query without a response is given up; `None` if it is not.
     fn failure_cause(
         &mut self,
@@ -196,7 +205,7 @@
             Some(FailureCause::QueryOfDeath)
         } else if !progress.can_reach_min() {
             Some(FailureCause::Unanswerable)
-        } else if query.admitted {
+        } else if query.stage == QueryStage::Admitted {
             None
         } else {
             self.admission_failure(query_index)
@@ -221,7 +230,7 @@
             sink.fail(query_index);
         }
         self.cancel_all(query_index, sink);
-        self.open_query_mut(query_index).finished = true;
+        self.open_query_mut(query_index).stage = QueryStage::Finished;
     }
 
     /// Advice to come back after about one slow response time, spread at random; `None` where clients receive
@@ -249,7 +258,7 @@
         self.open_queries.retain(|&query_index| {
             let is_done = queries[query_index]
                 .as_ref()
-                .is_none_or(|query| query.finished && !query.is_in_flight());
+                .is_none_or(|query| query.is_finished() && !query.is_in_flight());
             if is_done {
                 queries[query_index] = None;
                 sink.release(query_index);
--- a/crates/linenthread-service/src/zone_routing.rs
+++ b/crates/linenthread-service/src/zone_routing.rs
@@ -9,7 +9,9 @@
 };
 use linenthread_installation as file;
 use linenthread_protocol::hash_id;
-use linenthread_zones::{ALL_KEYS, Placement, Report, RoutingTable, Topology, Zone, ZoneObserver};
+use linenthread_zones::{
+    ALL_KEYS, Placement, Report, RoutingTable, Topology, Zone, ZoneIndex, ZoneObserver,
+};
 
 /// Distance of the process's own zone.
 const SAME_ZONE: u8 = 0;
@@ -101,7 +103,7 @@
         let local_zone = position(&local_zone).unwrap_or_default();
         ZoneRouting {
             named_zones: zone_names.iter().map(named_zone).collect(),
-            observer: ZoneObserver::new(observed_zone(local_zone)),
+            observer: ZoneObserver::new(ZoneIndex::new(local_zone).unwrap_or_default()),
             zones,
             local_zone,
             layout,
@@ -165,9 +167,8 @@
         outcome: AttemptOutcome,
         elapsed: TenthMillis,
     ) {
-        if let Some(zone) = self.zone(replica) {
-            self.observer
-                .on_outcome(observed_zone(zone), replica.0, outcome, elapsed);
+        if let Some(zone) = self.zone(replica).and_then(ZoneIndex::new) {
+            self.observer.on_outcome(zone, replica.0, outcome, elapsed);
         }
     }
 
@@ -270,8 +271,3 @@
         }
     }
 }
-
-/// A zone by its position among the configured ones, of which there are few: the file's schema bounds them.
-fn observed_zone(position: usize) -> u8 {
-    u8::try_from(position).unwrap_or(u8::MAX)
-}
--- a/crates/linenthread-service/tests/service/queries.rs
+++ b/crates/linenthread-service/tests/service/queries.rs
@@ -18,7 +18,7 @@
             (&*format!("7f.{}", sub_request.shard), "what is asked")
         );
         let wait: u64 = sub_request
-            .list
+            .index
             .strip_prefix("d=")
             .unwrap()
             .parse()
--- a/crates/linenthread-zones/src/load.rs
+++ b/crates/linenthread-zones/src/load.rs
@@ -1,5 +1,7 @@
 //! How much load a table sends where, and how far routes must be closed so that no zone gets more than its capacity.
 
+use linenthread_core::conversion::to_u64;
+
 use crate::table::{Reason, Route, Row};
 use crate::topology::{Distance, Placement, Topology};
 use crate::{ALL_KEYS, MAX_ZONES};
@@ -82,42 +84,97 @@
     loads
 }
 
-/// Sub-requests a second from each zone of clients to each zone of replicas by the rows of a table: `[from][to]`.
-/// `demand` is how many a second the clients of each zone ask for.
-pub fn loads(topology: &Topology, demand: &[f64], rows: &[Row]) -> Vec<Vec<f64>> {
+/// Sub-requests a second from each zone of clients to each zone of replicas.
+#[derive(Clone, Debug, PartialEq)]
+pub struct Loads {
+    /// By zone of clients, then by zone of replicas.
+    by_clients: Vec<Vec<f64>>,
+}
+
+impl Loads {
+    /// The load from one zone of clients on one zone of replicas.
+    pub fn between(&self, from: usize, to: usize) -> f64 {
+        self.by_clients[from][to]
+    }
+
+    /// The load from one zone of clients, by zone of replicas.
+    pub fn from_clients(&self, from: usize) -> &[f64] {
+        &self.by_clients[from]
+    }
+
+    /// The load from all zones of clients on one zone of replicas.
+    pub fn on_replicas(&self, to: usize) -> f64 {
+        self.by_clients.iter().map(|from| from[to]).sum()
+    }
+}
+
+/// The loads by the rows of a table. `demand` is how many sub-requests a second the clients of each zone ask for.
+pub fn loads(topology: &Topology, demand: &[f64], rows: &[Row]) -> Loads {
     let from_zone = |from: usize| {
         let spread = spread(topology, from, &rows[from]);
         spread.into_iter().map(|load| load * demand[from]).collect()
     };
-    (0..topology.zones.len()).map(from_zone).collect()
+    Loads {
+        by_clients: (0..topology.zones.len()).map(from_zone).collect(),
+    }
+}
+
+/// The load on one zone of replicas.
+#[derive(Clone, Copy)]
+struct ZoneLoad {
+    /// From the clients of the zone itself.
+    local: f64,
+    /// From those of all others.
+    remote: f64,
+}
+
+impl ZoneLoad {
+    fn new(loads: &Loads, to: usize) -> ZoneLoad {
+        let others = (0..loads.by_clients.len()).filter(|from| *from != to);
+        ZoneLoad {
+            local: loads.between(to, to),
+            remote: others.map(|from| loads.between(from, to)).sum(),
+        }
+    }
+
+    fn fits(self, capacity: f64) -> bool {
+        self.local + self.remote <= capacity * ROUNDING_TOLERANCE
+    }
+
+    /// The part of the load of the zone's own clients for which there is capacity: they come first.
+    fn local_part(self, capacity: f64) -> f64 {
+        (capacity / self.local.max(f64::MIN_POSITIVE)).min(1.0)
+    }
+
+    /// The part of the others' load for which there is capacity: what the zone's own clients leave over.
+    fn remote_part(self, capacity: f64) -> f64 {
+        let left_over = (capacity - self.local).max(0.0);
+        (left_over / self.remote.max(f64::MIN_POSITIVE)).min(1.0)
+    }
 }
 
 /// Narrows routes until no zone gets more than its capacity, in sub-requests a second. The clients of the zone itself
-/// come first; those of others have what is left. Shares only fall, so it comes to an end.
+/// come first; those of others have what is left. What is closed here goes elsewhere, and may overload another zone:
+/// so it takes several rounds. Shares only fall, so it comes to an end.
 pub fn limit_to_capacity(topology: &Topology, demand: &[f64], capacity: &[f64], rows: &mut [Row]) {
     for round in 0..MAX_ROUNDS {
         let loads = loads(topology, demand, rows);
         let mut is_overloaded = false;
         for (to, &capacity) in capacity.iter().enumerate().take(topology.zones.len()) {
-            let local = loads[to][to];
-            let remote: f64 = loads
-                .iter()
-                .enumerate()
-                .filter(|(from, _)| *from != to)
-                .map(|(_, load)| load[to])
-                .sum();
-            if local + remote <= capacity * ROUNDING_TOLERANCE {
+            let load = ZoneLoad::new(&loads, to);
+            if load.fits(capacity) {
                 continue;
             }
             is_overloaded = true;
-            let local_part = (capacity / local.max(f64::MIN_POSITIVE)).min(1.0);
-            let left_over = (capacity - local).max(0.0);
-            let remote_part = (left_over / remote.max(f64::MIN_POSITIVE)).min(1.0);
             for (from, row) in rows.iter_mut().enumerate() {
-                let part = if from == to { local_part } else { remote_part };
-                narrow(&mut row.routes[to], part);
-                if round == CLOSING_ROUND && from != to {
-                    row.routes[to].share = 0;
+                let route = &mut row.routes[to];
+                if from == to {
+                    narrow(route, load.local_part(capacity));
+                } else {
+                    narrow(route, load.remote_part(capacity));
+                    if round == CLOSING_ROUND {
+                        route.share = 0;
+                    }
                 }
             }
         }
@@ -130,7 +187,8 @@
 /// Keeps a part of a route's share. It is rounded down, and at least by one, so that each round makes progress.
 fn narrow(route: &mut Route, part: f64) {
     if part < 1.0 && route.share > 0 {
-        let kept = (f64::from(route.share) * part) as u16;
+        let kept = to_u64(f64::from(route.share) * part);
+        let kept = u16::try_from(kept).unwrap_or(u16::MAX);
         route.share = kept.min(route.share - 1);
         if route.reason == Reason::Healthy {
             route.reason = Reason::Capacity;
