--- a/crates/linenthread-service/src/transports/connection/exchange.rs
+++ b/crates/linenthread-service/src/transports/connection/exchange.rs
@@ -28,13 +28,13 @@
     Closed,
 }
 
-/// How far one connection has come with reading.
+/// What was read and not yet decoded, and when there was traffic.
 struct ReadState {
     buffer: BytesMut,
-    /// The last read or write.
-    active: Instant,
-    /// The first byte of a frame that is incomplete.
-    frame_started: Instant,
+    /// When bytes were last read or written.
+    last_active: Instant,
+    /// When the first byte of the incomplete frame in the buffer was read.
+    frame_started_at: Instant,
 }
 
 impl Connection {
@@ -52,13 +52,13 @@
         let now = Instant::now();
         let mut read = ReadState {
             buffer: BytesMut::with_capacity(READ_BYTES),
-            active: now,
-            frame_started: now,
+            last_active: now,
+            frame_started_at: now,
         };
         let mut writing: Option<FrameWriter> = None;
         loop {
             if writing.is_none() {
-                writing = self.next_frame(read.active);
+                writing = self.next_frame(read.last_active);
             }
             let is_idle = writing.is_none() && self.is_empty();
             if is_idle && !self.is_usable() {
@@ -78,28 +78,28 @@
                 },
                 written = output.write(unwritten), if !unwritten.is_empty() => {
                     let written = written.context(IoSnafu)?;
-                    read.active = Instant::now();
+                    read.last_active = Instant::now();
                     if let Some(complete) = writing.take_if(|writer| writer.advance(written)) {
                         self.on_written(&complete.frame);
                     }
                 }
-                () = sleep_until(last_byte_at.unwrap_or(read.active)), if last_byte_at.is_some() => {}
+                () = sleep_until(last_byte_at.unwrap_or(read.last_active)), if last_byte_at.is_some() => {}
                 () = self.wake.notified() => {}
                 // A frame takes no longer than a connect: one that does will never be complete.
-                () = sleep_until(read.frame_started + config.connect_timeout), if !read.buffer.is_empty() => {
+                () = sleep_until(read.frame_started_at + config.connect_timeout), if !read.buffer.is_empty() => {
                     return IncompleteFrameSnafu.fail();
                 }
-                () = sleep_until(read.active + config.idle_timeout), if is_idle => return Ok(()),
+                () = sleep_until(read.last_active + config.idle_timeout), if is_idle => return Ok(()),
             }
         }
     }
 
-    /// The next frame to write, after the connection was last active at `active`.
-    fn next_frame(&self, active: Instant) -> Option<FrameWriter> {
+    /// The next frame to write, on a connection that was last active then.
+    fn next_frame(&self, last_active: Instant) -> Option<FrameWriter> {
         let frame = self.outgoing.borrow_mut().pop_front()?;
         let delays_last_byte = matches!(frame.contents, FrameContents::Requests(_))
             && self.is_established.get()
-            && active.elapsed() > IDLE_BEFORE_DELAY;
+            && last_active.elapsed() > IDLE_BEFORE_DELAY;
         Some(FrameWriter::new(frame, delays_last_byte))
     }
 
@@ -113,14 +113,14 @@
         match count.context(IoSnafu)? {
             0 if is_idle => return Ok(Turn::Closed),
             0 => return ClosedSnafu.fail(),
-            count if count == read.buffer.len() => read.frame_started = Instant::now(),
+            count if count == read.buffer.len() => read.frame_started_at = Instant::now(),
             _ => {}
         }
-        read.active = Instant::now();
+        read.last_active = Instant::now();
         while let Some(message) = frame::decode(&mut read.buffer).context(DecodeSnafu)? {
-            read.frame_started = read.active;
+            read.frame_started_at = read.last_active;
             // Only complete frames show that the replica is responsive.
-            self.last_read.set(read.active);
+            self.last_read.set(read.last_active);
             self.is_established.set(true);
             self.is_silent.set(false);
             self.on_message(message)?;
--- a/crates/linenthread-service/src/transports/connection/frame_writer.rs
+++ b/crates/linenthread-service/src/transports/connection/frame_writer.rs
@@ -4,6 +4,8 @@
 
 use tokio::time::Instant;
 
+use super::AttemptNumber;
+
 /// How long the last byte of a request is held back on a connection that was idle.
 const LAST_BYTE_DELAY: Duration = Duration::from_millis(2);
 
@@ -24,13 +26,12 @@
 pub(super) struct SentAttempt {
     /// The sub-request's id on the wire.
     pub(super) id: String,
-    /// Unique among all attempts of the process.
-    pub(super) number: u64,
+    pub(super) number: AttemptNumber,
 }
 
 impl OutgoingFrame {
     /// Whether it has nothing in it but this attempt.
-    pub(super) fn is_only_for(&self, number: u64) -> bool {
+    pub(super) fn is_only_for(&self, number: AttemptNumber) -> bool {
         match &self.contents {
             FrameContents::Requests(sent) => sent.len() == 1 && sent[0].number == number,
             FrameContents::Cancellation | FrameContents::Probe => false,
--- a/crates/linenthread-service/src/transports/connection/in_flight.rs
+++ b/crates/linenthread-service/src/transports/connection/in_flight.rs
@@ -5,16 +5,15 @@
 use linenthread_protocol::frame;
 use tokio::time::Instant;
 
-use super::Connection;
 use super::frame_writer::{FrameContents, OutgoingFrame};
+use super::{AttemptNumber, Connection};
 
 /// An attempt in flight at a replica. Dropping it cancels the attempt, unless it has finished.
 pub(crate) struct InFlightAttempt {
     pub(super) connection: Rc<Connection>,
     /// The sub-request's id on the wire.
     pub(super) id: String,
-    /// Unique among all attempts of the process.
-    pub(super) number: u64,
+    pub(super) number: AttemptNumber,
     pub(super) sent: Instant,
 }
 
--- a/crates/linenthread-service/src/transports/connection/mod.rs
+++ b/crates/linenthread-service/src/transports/connection/mod.rs
@@ -27,10 +27,14 @@
 /// Ids of finished sub-requests that are remembered, to recognise their late or duplicate responses.
 const MAX_REMEMBERED_IDS: usize = 512;
 
+/// A number that is unique among all attempts of the process, while the id of a sub-request is used again when it is
+/// retried.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(in crate::transports) struct AttemptNumber(pub(in crate::transports) u64);
+
 /// An attempt that waits for its response.
 struct PendingAttempt {
-    /// Unique among all attempts of the process.
-    number: u64,
+    number: AttemptNumber,
     key: AttemptKey,
     /// Its frame is written completely: it may run.
     is_written: bool,
@@ -98,7 +102,7 @@
         sub_requests: &[OutgoingSubRequest],
         wait_ms: u64,
         finished: &FinishedAttempts,
-        mut next_number: impl FnMut() -> u64,
+        mut next_number: impl FnMut() -> AttemptNumber,
     ) -> Vec<InFlightAttempt> {
         let encoded = ids
             .iter()
--- a/crates/linenthread-service/src/transports/replica_connections.rs
+++ b/crates/linenthread-service/src/transports/replica_connections.rs
@@ -15,7 +15,9 @@
 use crate::transports::attempt::{
     ConnectionConfig, FinishedAttempts, OutgoingSubRequest, ProbeReport, report_not_sent,
 };
-use crate::transports::connection::{Connection, ConnectionEnd, ConnectionError, InFlightAttempt};
+use crate::transports::connection::{
+    AttemptNumber, Connection, ConnectionEnd, ConnectionError, InFlightAttempt,
+};
 
 /// With fewer connections than this to a replica, each carries one request at a time: a connection that fails
 /// or falls silent then fails few others with it.
@@ -98,7 +100,7 @@
         let next_number = || {
             let number = self.0.next_attempt_number.get();
             self.0.next_attempt_number.set(number + 1);
-            number
+            AttemptNumber(number)
         };
         connection
             .send(ids, sub_requests, wait_ms, finished, next_number)
--- a/crates/linenthread-service/tests/processes.rs
+++ b/crates/linenthread-service/tests/processes.rs
@@ -9,12 +9,12 @@
 fn run_scenario(name: &str) {
     let scenario = scenarios::ALL.iter().find(|s| s.name == name).unwrap();
     let mut rig = (scenario.run)(EXE, 1);
-    let breaches = rig.check();
+    let violations = rig.check();
     assert!(
-        breaches.is_empty(),
-        "{} breaches: {:#?}",
-        breaches.len(),
-        &breaches[..breaches.len().min(5)]
+        violations.is_empty(),
+        "{} violations: {:#?}",
+        violations.len(),
+        &violations[..violations.len().min(5)]
     );
     assert!(rig.succeeded() > 40, "{} answered", rig.succeeded());
 }
@@ -80,14 +80,14 @@
         .args(["try", "--zones", "3"])
         .output()
         .unwrap();
-    let said = String::from_utf8(output.stdout).unwrap();
+    let text = String::from_utf8(output.stdout).unwrap();
     assert!(
         output.status.success(),
-        "{said}{}",
+        "{text}{}",
         String::from_utf8_lossy(&output.stderr)
     );
     assert!(
-        said.contains("Service is whole again") && said.contains(", 0 breaches of the rules"),
-        "{said}"
+        text.contains("Service is whole again") && text.contains(", 0 breaches of the rules"),
+        "{text}"
     );
 }
