--- a/crates/linenthread-service/src/cli.rs
+++ b/crates/linenthread-service/src/cli.rs
@@ -5,6 +5,7 @@
 use bpaf::{OptionParser, Parser, construct, long, positional, pure};
 
 use crate::demo::DemoOptions;
+use crate::migrate::MigrateOptions;
 use crate::zones_command::ZonesAction;
 
 /// What the process is to do.
@@ -27,14 +28,7 @@
     /// Print the schema of the installation file.
     Schema,
     /// Carry a configuration over to sets of replicas.
-    Migrate {
-        /// Write nothing, and say what would be written.
-        dry_run: bool,
-        /// The new file.
-        output: Option<PathBuf>,
-        /// The configuration to carry over.
-        old: PathBuf,
-    },
+    Migrate(MigrateOptions),
     /// Run a demo on this machine.
     Try(DemoOptions),
     /// Show the routing table of the fleet, drain a zone or take it back.
@@ -126,7 +120,8 @@
         .optional();
     let old =
         positional::<PathBuf>("OLD").help("The configuration to carry over; it is not changed");
-    construct!(Command::Migrate { dry_run, output, old })
+    construct!(MigrateOptions { dry_run, output, old })
+        .map(Command::Migrate)
         .to_options()
         .descr(
             "Writes the counterpart of a configuration for replicas in sets that report no load: the sets are \
--- a/crates/linenthread-service/src/installation.rs
+++ b/crates/linenthread-service/src/installation.rs
@@ -122,7 +122,7 @@
             })
         };
         let read = Installation::read_file(file, &known).context(FileSnafu)?;
-        let merging = merging(&read, index_names)?;
+        let merging = merge_plans(&read, index_names)?;
         let gateway = read
             .gateway
             .map(|gateway| WithSecrets::read(gateway, |gateway| &gateway.secret_files));
@@ -159,7 +159,10 @@
 }
 
 /// The plan of each index, in the order of the configuration, and the signer of cursors.
-fn merging(read: &Installation, index_names: &[String]) -> Result<MergePlans, InstallationError> {
+fn merge_plans(
+    read: &Installation,
+    index_names: &[String],
+) -> Result<MergePlans, InstallationError> {
     let plan = |name: &String| {
         let plans = &read.merging.plans;
         plans.iter().find(|plan| plan.index == *name).cloned()
--- a/crates/linenthread-service/src/main.rs
+++ b/crates/linenthread-service/src/main.rs
@@ -32,11 +32,7 @@
             installation,
             action,
         } => zones(&installation, &action),
-        Command::Migrate {
-            dry_run,
-            output,
-            old,
-        } => migrate::run(&old, output.as_deref(), dry_run),
+        Command::Migrate(options) => migrate::run(&options),
         Command::Try(options) => demo::run(&options),
         Command::Check {
             config,
--- a/crates/linenthread-service/src/migrate.rs
+++ b/crates/linenthread-service/src/migrate.rs
@@ -129,6 +129,17 @@
     written.map(drop).context(IoSnafu { file })
 }
 
+/// Options of `linenthread migrate`.
+#[derive(Clone, Debug)]
+pub struct MigrateOptions {
+    /// Write nothing, and say what would be written.
+    pub dry_run: bool,
+    /// The new file, which must not exist.
+    pub output: Option<PathBuf>,
+    /// The configuration to carry over.
+    pub old: PathBuf,
+}
+
 /// What a migration could carry over.
 enum Completeness {
     Complete,
@@ -137,19 +148,25 @@
 }
 
 /// Carries a configuration over.
-fn migrate(old: &Path, output: Option<&Path>, dry_run: bool) -> Result<Completeness, MigrateError> {
-    ensure!(output.is_some() || dry_run, NoOutputSnafu);
+fn migrate(options: &MigrateOptions) -> Result<Completeness, MigrateError> {
+    let MigrateOptions {
+        dry_run,
+        output,
+        old,
+    } = options;
+    ensure!(output.is_some() || *dry_run, NoOutputSnafu);
     let text = fs::read(old).context(IoSnafu { file: old })?;
     let Some(converted) = convert(&text).context(ConvertSnafu { file: old })? else {
         let old = old.display();
         println!("{old}: already of the new shape, nothing is written");
         return Ok(Completeness::Complete);
     };
-    if let Some(file) = output.filter(|_| !dry_run) {
-        write(file, &converted.new)?;
-        println!("written: {}", file.display());
-    } else {
-        println!("nothing is written; it would be:\n{:#}", converted.new);
+    match output {
+        Some(file) if !dry_run => {
+            write(file, &converted.new)?;
+            println!("written: {}", file.display());
+        }
+        _ => println!("nothing is written; it would be:\n{:#}", converted.new),
     }
     for line in &converted.moves {
         println!("to move: {line}");
@@ -165,8 +182,8 @@
 }
 
 /// Runs the command: exit code 0, 3 if something was left out, 2 if nothing could be written.
-pub fn run(old: &Path, output: Option<&Path>, dry_run: bool) -> ExitCode {
-    match migrate(old, output, dry_run) {
+pub fn run(options: &MigrateOptions) -> ExitCode {
+    match migrate(options) {
         Ok(Completeness::Complete) => ExitCode::SUCCESS,
         Ok(Completeness::Incomplete) => ExitCode::from(INCOMPLETE),
         Err(error) => {
--- a/crates/linenthread-service/src/query/mod.rs
+++ b/crates/linenthread-service/src/query/mod.rs
@@ -39,8 +39,8 @@
     pub dispatcher: Dispatcher,
     pub transports: Transports,
     pub cluster: ClusterConfig,
-    /// Attempts may be cancelled.
-    pub cancellation: bool,
+    /// Attempts are cancelled once the client has left.
+    pub sends_cancellations: bool,
     pub merging: ResponseMerging,
     /// The value of a query by its index, in thousandths.
     pub priorities: Vec<u32>,
--- a/crates/linenthread-service/src/query/task.rs
+++ b/crates/linenthread-service/src/query/task.rs
@@ -88,7 +88,7 @@
     fn on_client_left(&mut self) {
         self.client = None;
         self.context.dispatcher.abandon(self.index);
-        if self.context.cancellation {
+        if self.context.sends_cancellations {
             self.pending.cancel_all();
         }
     }
--- a/crates/linenthread-service/src/serve/mod.rs
+++ b/crates/linenthread-service/src/serve/mod.rs
@@ -215,7 +215,7 @@
         dispatcher,
         transports,
         cluster: config.cluster.clone(),
-        cancellation: config.coordinator.permissions.cancellation,
+        sends_cancellations: config.coordinator.permissions.cancellation,
         priorities: indexes.map(|index| thousandths(index.value)).collect(),
         merging: ResponseMerging {
             plans: RefCell::new(Rc::new(merging)),
