--- a/crates/linenthread-service/src/transports/replica_connections.rs
+++ b/crates/linenthread-service/src/transports/replica_connections.rs
@@ -41,6 +41,28 @@
     log_lines: LogRateLimit,
 }
 
+/// One of the connections that there may be at once. Dropping it gives it back.
+struct ConnectionPermit(Rc<Inner>);
+
+impl ConnectionPermit {
+    /// `None` where there are as many connections as there may be.
+    fn acquire(inner: &Rc<Inner>) -> Option<Self> {
+        let count = inner.connection_count.get();
+        let has_room = count < inner.config.max_connections;
+        has_room.then(|| {
+            inner.connection_count.set(count + 1);
+            ConnectionPermit(inner.clone())
+        })
+    }
+}
+
+impl Drop for ConnectionPermit {
+    fn drop(&mut self) {
+        let count = self.0.connection_count.get();
+        self.0.connection_count.set(count - 1);
+    }
+}
+
 /// The connections to all replicas that are reached directly.
 #[derive(Clone)]
 pub(crate) struct ReplicaConnections(Rc<Inner>);
@@ -187,24 +209,21 @@
         address: SocketAddr,
         endpoint: &mut Endpoint,
     ) -> Option<Rc<Connection>> {
-        if self.is_full() {
+        let Some(permit) = ConnectionPermit::acquire(&self.0) else {
             if let Some(left_out) = self.0.log_lines.admit() {
                 warn!(%address, left_out, "no connection left for a replica");
             }
             return None;
-        }
-        self.0
-            .connection_count
-            .set(self.0.connection_count.get() + 1);
+        };
         let sends_cancellations = self.0.config.sends_cancellations;
         let connection = Rc::new(Connection::new(replica, address, sends_cancellations));
         endpoint.connections.push(connection.clone());
-        actix_rt::spawn(self.clone().run(connection.clone()));
+        actix_rt::spawn(self.clone().run(connection.clone(), permit));
         Some(connection)
     }
 
     /// Runs one connection from its connect to its end.
-    async fn run(self, connection: Rc<Connection>) {
+    async fn run(self, connection: Rc<Connection>, permit: ConnectionPermit) {
         let config = self.0.config;
         let connected = connect(connection.address, &config).await;
         let failed_before =
@@ -228,20 +247,18 @@
             let spoilt = end == ConnectionEnd::ProtocolViolated;
             warn!(%address, out, spoilt, left_out, "replica connection ended: {cause}");
         }
-        self.release(&connection);
+        self.remove(&connection);
+        drop(permit);
         connection.end_all(end);
     }
 
-    /// The only place that releases a connection.
-    fn release(&self, connection: &Rc<Connection>) {
+    /// The only place that removes a connection.
+    fn remove(&self, connection: &Rc<Connection>) {
         if let Some(endpoint) = self.0.endpoints.borrow_mut().get_mut(connection.replica.0) {
             endpoint
                 .connections
                 .retain(|other| !Rc::ptr_eq(other, connection));
         }
-        self.0
-            .connection_count
-            .set(self.0.connection_count.get() - 1);
     }
 
     /// Records whether the last connect to a replica failed, and returns whether the one before it did.
