--- a/crates/linenthread-service/src/frontends/http/mod.rs
+++ b/crates/linenthread-service/src/frontends/http/mod.rs
@@ -58,6 +58,21 @@
 #[derive(Clone)]
 pub(crate) struct HttpFrontend(Rc<Inner>);
 
+/// A connection that counts among the frontend's. Dropping it is the only way to release its place.
+struct AdmittedClient {
+    frontend: HttpFrontend,
+    client: Rc<ClientConnection>,
+}
+
+impl Drop for AdmittedClient {
+    fn drop(&mut self) {
+        let inner = &self.frontend.0;
+        let mut clients = inner.clients.borrow_mut();
+        clients.retain(|other| !Rc::ptr_eq(other, &self.client));
+        inner.closed.notify_one();
+    }
+}
+
 impl HttpFrontend {
     /// `max_connections` bounds clients' connections, and `max_spent` those of them that have had an answer and
     /// send no further request.
@@ -188,20 +203,16 @@
     fn admit(&self, stream: TcpStream) {
         let client = Rc::new(ClientConnection::new());
         self.0.clients.borrow_mut().push(client.clone());
-        let frontend = self.clone();
+        let admitted = AdmittedClient {
+            frontend: self.clone(),
+            client: client.clone(),
+        };
         actix_rt::spawn(async move {
-            frontend.serve(stream, client.clone()).await;
-            frontend.release(&client);
+            admitted.frontend.serve(stream, client).await;
+            drop(admitted);
         });
     }
 
-    /// The only place that releases a client's connection.
-    fn release(&self, client: &Rc<ClientConnection>) {
-        let mut clients = self.0.clients.borrow_mut();
-        clients.retain(|other| !Rc::ptr_eq(other, client));
-        self.0.closed.notify_one();
-    }
-
     async fn serve(&self, stream: TcpStream, connection: Rc<ClientConnection>) {
         stream.set_nodelay(true).ok();
         let Ok(address) = stream.peer_addr() else {
