--- a/crates/linenthread-dataplane/src/data_plane.rs
+++ b/crates/linenthread-dataplane/src/data_plane.rs
@@ -188,7 +188,7 @@
         let dispatchers_of = |backend: &Rc<str>| {
             dispatchers
                 .values()
-                .filter(|dispatcher| dispatcher.queries(backend))
+                .filter(|dispatcher| dispatcher.sends_to(backend))
                 .count()
         };
         for (key, dispatcher) in dispatchers.iter() {
--- a/crates/linenthread-dataplane/src/dispatcher.rs
+++ b/crates/linenthread-dataplane/src/dispatcher.rs
@@ -67,15 +67,14 @@
     }
 
     /// Whether it sends anything to this backend.
-    pub(crate) fn queries(&self, backend: &Rc<str>) -> bool {
+    pub(crate) fn sends_to(&self, backend: &Rc<str>) -> bool {
         self.backends.contains(backend)
     }
 
-    /// Sets the retries of each window that are this process's; `share` is how many of them this dispatcher
-    /// may use.
-    pub(crate) fn set_retry_quota(&self, quota: &RetryQuota, share: f64) {
+    /// Sets the quota of this process, and how many of its retries this dispatcher may send in each window.
+    pub(crate) fn set_retry_quota(&self, quota: &RetryQuota, retries_per_window: f64) {
         self.state.borrow_mut().coordinator.set_retry_quota(
-            share,
+            retries_per_window,
             quota.ingress_index,
             quota.ingress_count,
         );
@@ -117,45 +116,57 @@
     ) -> PendingResponse<C> {
         let (client, response) = oneshot::channel();
         let mut state = self.state.borrow_mut();
-        let kind = state.query_kind(policy_inputs::index_config(resolved));
-        let index = state.free_query_index();
         let sequence_number = self.last_query.get().next();
         self.last_query.set(sequence_number);
-        state.inputs.queries.push(NewQuery {
-            query: index,
-            index: kind,
-            customer: 0,
-            key: Some(key),
-            sequence_number: sequence_number.0,
-            hard_deadline: deadline,
-        });
-        let sub_request_count = self.backends.len();
-        let sub_requests = (0..sub_request_count).map(|shard| NewSubRequest {
-            query: index,
-            shard,
-            weight: 1.0,
-        });
-        state.inputs.sub_requests.extend(sub_requests);
+        let id = QueryId {
+            index: state.free_query_index(),
+            sequence_number,
+        };
         let query = OpenQuery::new(
             sequence_number,
             request,
             resolved.clone(),
-            sub_request_count,
+            self.backends.len(),
             client,
             self.open_queries.enter(),
         );
-        state.open_query(index, query);
-        self.arrived.notify_one();
+        state.open_query(id.index, query);
+        self.submit(&mut state, id, resolved, key, deadline);
         PendingResponse {
             dispatcher: self.clone(),
-            query: QueryId {
-                index,
-                sequence_number,
-            },
+            query: id,
             response,
         }
     }
 
+    /// Hands a query to the decision module, with a sub-request for each backend. Customers and the weights of
+    /// sub-requests are not distinguished here.
+    fn submit(
+        &self,
+        state: &mut State<C>,
+        id: QueryId,
+        resolved: &ResolvedRoute,
+        key: u64,
+        deadline: TenthMillis,
+    ) {
+        let index = state.query_kind(policy_inputs::index_config(resolved));
+        state.inputs.queries.push(NewQuery {
+            query: id.index,
+            index,
+            customer: 0,
+            key: Some(key),
+            sequence_number: id.sequence_number.0,
+            hard_deadline: deadline,
+        });
+        let sub_requests = (0..self.backends.len()).map(|shard| NewSubRequest {
+            query: id.index,
+            shard,
+            weight: 1.0,
+        });
+        state.inputs.sub_requests.extend(sub_requests);
+        self.arrived.notify_one();
+    }
+
     /// Logs the queries that were abandoned, and frees the indices of replicas that departed.
     pub(crate) fn maintain(&self) {
         let mut state = self.state.borrow_mut();
@@ -185,21 +196,11 @@
         for decision in state.decide() {
             match decision {
                 Decision::Send(attempt) => self.send(&mut state, &attempt),
-                Decision::Respond { query } => {
-                    if let Some(query) = state.query_at(query) {
-                        query.complete();
-                    }
-                }
+                Decision::Respond { query } => state.with_query(query, OpenQuery::complete),
                 Decision::Reject { query, retry_after } => {
-                    if let Some(query) = state.query_at(query) {
-                        query.abandon(retry_after);
-                    }
-                }
-                Decision::Fail { query } => {
-                    if let Some(query) = state.query_at(query) {
-                        query.abandon(None);
-                    }
+                    state.with_query(query, |query| query.abandon(retry_after));
                 }
+                Decision::Fail { query } => state.with_query(query, |query| query.abandon(None)),
                 Decision::Release { query } => state.release_query(query),
                 Decision::CloseIdle { replica } => state.replicas.pool(replica).close_idle(),
             }
--- a/crates/linenthread-dataplane/src/dispatcher/state.rs
+++ b/crates/linenthread-dataplane/src/dispatcher/state.rs
@@ -85,6 +85,13 @@
         self.queries.get_mut(index.0)?.as_mut()
     }
 
+    /// Does this to the query that has an index now, if one is open.
+    pub(super) fn with_query(&mut self, index: QueryIndex, act: impl FnOnce(&mut OpenQuery)) {
+        if let Some(query) = self.query_at(index) {
+            act(query);
+        }
+    }
+
     /// A query, unless it has ended.
     pub(super) fn query(&mut self, id: QueryId) -> Option<&mut OpenQuery> {
         self.query_at(id.index)
--- a/crates/linenthread-http/src/body.rs
+++ b/crates/linenthread-http/src/body.rs
@@ -60,20 +60,8 @@
         loop {
             let next = match self.state {
                 State::Complete => return Ok(true),
-                State::Bytes(left) => match self.copy(left, buffer)? {
-                    0 => Some(State::Complete),
-                    left => {
-                        self.state = State::Bytes(left);
-                        None
-                    }
-                },
-                State::Chunk(left) => match self.copy(left, buffer)? {
-                    0 => Some(State::ChunkEnd),
-                    left => {
-                        self.state = State::Chunk(left);
-                        None
-                    }
-                },
+                State::Bytes(left) => self.copy(left, buffer, State::Bytes, State::Complete)?,
+                State::Chunk(left) => self.copy(left, buffer, State::Chunk, State::ChunkEnd)?,
                 State::ChunkSize => read_chunk_size(buffer)?,
                 State::ChunkEnd => read_chunk_end(buffer)?,
                 State::Trailers => read_trailer(buffer)?,
@@ -90,15 +78,27 @@
         self.bytes
     }
 
-    /// Copies up to `left` bytes of the buffer to the body; how many are still missing.
-    fn copy(&mut self, left: u64, buffer: &mut BytesMut) -> Result<u64, ParseError> {
+    /// Copies up to `left` bytes of the buffer to the body. Once none is missing it goes on with `next`; until then it
+    /// stays in the state `unfinished`, with what is missing.
+    fn copy(
+        &mut self,
+        left: u64,
+        buffer: &mut BytesMut,
+        unfinished: impl FnOnce(u64) -> State,
+        next: State,
+    ) -> Result<Option<State>, ParseError> {
         let count = bounded(left, buffer.len());
         if self.bytes.len() + count > self.max_bytes || left > self.max_bytes as u64 {
             return Err(ParseError::BodyTooLong);
         }
         self.bytes.extend_from_slice(&buffer[..count]);
         buffer.advance(count);
-        Ok(left - count as u64)
+        let left = left - count as u64;
+        if left == 0 {
+            return Ok(Some(next));
+        }
+        self.state = unfinished(left);
+        Ok(None)
     }
 }
 
