--- a/crates/linenthread-control/src/sessions.rs
+++ b/crates/linenthread-control/src/control_node/sessions.rs
@@ -1,6 +1,6 @@
 //! Sessions with peers: how they begin and end, and which table each message goes to.
 
-use linenthread_consensus::NodeId;
+use linenthread_consensus::{NodeId, ValueNumber};
 use linenthread_messages::{Hello, PeerMessage, VERSION};
 use linenthread_time::Instant;
 
@@ -13,13 +13,13 @@
             version: VERSION,
             name: self.config.name.clone(),
             zone: self.config.zone.clone(),
-            incarnation: self.config.incarnation,
+            incarnation: self.config.incarnation.get(),
             control_address: self.config.control_address.clone(),
             node_id: self.register.id().0,
             is_voter: self.config.may_vote,
-            change_log_id: self.config.incarnation,
-            change_log_offset: self.ingress_nodes.changes.offset(),
-            value_number: self.value_number(),
+            change_log_id: self.config.incarnation.get(),
+            change_log_offset: self.registry.changes().offset().get(),
+            value_number: self.value_number().get(),
         };
         effects.push(Effect::Send {
             session,
@@ -36,21 +36,21 @@
     ) {
         if let Some(ingress) = self.ingress_nodes.close(session) {
             effects.push(Effect::Log(ControlEvent::SessionClosed {
-                peer: ingress.hello.name,
+                peer: ingress.hello().name.clone(),
                 is_control_node: false,
             }));
         }
         if let Some(peer) = self.membership.close(now, session) {
             self.pending_drains.on_node_disconnected(peer.node_id());
             effects.push(Effect::Log(ControlEvent::SessionClosed {
-                peer: peer.hello.name,
+                peer: peer.hello().name.clone(),
                 is_control_node: true,
             }));
         }
     }
 
     /// Ends a session from this side.
-    pub(crate) fn drop_session(
+    pub(super) fn drop_session(
         &mut self,
         now: Instant,
         session: SessionId,
@@ -61,7 +61,7 @@
     }
 
     /// Ends all sessions with ingress nodes: they connect to another control node.
-    pub(crate) fn drop_ingress_sessions(&mut self, now: Instant, effects: &mut Vec<Effect>) {
+    pub(super) fn drop_ingress_sessions(&mut self, now: Instant, effects: &mut Vec<Effect>) {
         for session in self.ingress_nodes.sessions() {
             self.drop_session(now, session, effects);
         }
@@ -84,12 +84,12 @@
         if let PeerMessage::Hello(hello) = message {
             self.on_hello(now, session, hello, effects);
         } else if let Some(ingress) = self.ingress_nodes.get_mut(session) {
-            ingress.last_received_at = now;
+            ingress.on_received(now);
             if let PeerMessage::Heartbeat(heartbeat) = message {
-                ingress.on_heartbeat(heartbeat.quota_request_or_value_number, heartbeat.revision);
+                ingress.on_heartbeat(&heartbeat);
             }
         } else if let Some(peer) = self.membership.get_mut(session) {
-            peer.last_received_at = now;
+            peer.on_received(now);
             let node_id = peer.node_id();
             self.on_control_message(now, session, node_id, message, effects);
         } else {
@@ -141,7 +141,8 @@
     fn accepts_hello(&self, session: SessionId, hello: &Hello) -> bool {
         let is_known =
             self.membership.get(session).is_some() || self.ingress_nodes.get(session).is_some();
-        hello.version == VERSION && hello.incarnation != self.config.incarnation && !is_known
+        let is_this_process = hello.incarnation == self.config.incarnation.get();
+        hello.version == VERSION && !is_this_process && !is_known
     }
 
     fn on_control_message(
@@ -184,7 +185,7 @@
         if let (PeerMessage::Decided(value), Some(peer)) =
             (&message, self.membership.get_mut(session))
         {
-            peer.value_number = peer.value_number.max(value.number);
+            peer.observe_value(ValueNumber::of(value));
         }
         self.drive_register(
             now,
@@ -194,16 +195,16 @@
     }
 
     /// Sends the newest value to a control node that is not known to have it.
-    pub(crate) fn send_value(&mut self, session: SessionId, effects: &mut Vec<Effect>) {
+    pub(super) fn send_value(&mut self, session: SessionId, effects: &mut Vec<Effect>) {
         let Some(value) = self.register.decided().cloned() else {
             return;
         };
         if let Some(peer) = self
             .membership
             .get_mut(session)
-            .filter(|peer| peer.lacks(value.number))
+            .filter(|peer| peer.lacks(ValueNumber::of(&value)))
         {
-            peer.value_number = value.number;
+            peer.on_value_sent(ValueNumber::of(&value));
             effects.push(Effect::Send {
                 session,
                 message: PeerMessage::Decided(value),
