--- a/crates/linenthread-node/src/main.rs
+++ b/crates/linenthread-node/src/main.rs
@@ -57,7 +57,7 @@
 /// The environment variable that names the settings file.
 const SETTINGS_VARIABLE: &str = "LINENTHREAD_BOOT";
 
-/// So long before the end of its grace period a control node stops waiting for others.
+/// What is left of the grace period when a control node stops waiting for others.
 const SHUTDOWN_MARGIN: Duration = Duration::from_secs(1);
 
 /// The runtime looks for new events after so many tasks: often, since each task is short.
@@ -82,7 +82,7 @@
 
 fn run(command: flags::LinenthreadNodeCmd) -> Result<(), Error> {
     match command {
-        flags::LinenthreadNodeCmd::Serve(flags) => start(flags.settings, flags.pass_through),
+        flags::LinenthreadNodeCmd::Serve(flags) => start(flags),
         flags::LinenthreadNodeCmd::Check(flags) => check_configuration(&flags.configuration),
         flags::LinenthreadNodeCmd::CheckSettings(flags) => read_settings(&flags.settings).map(drop),
         flags::LinenthreadNodeCmd::Version(_) => {
@@ -109,12 +109,13 @@
 }
 
 /// Runs the daemon until its shutdown.
-fn start(settings_path: Option<PathBuf>, pass_through: bool) -> Result<(), Error> {
-    let settings_path = settings_path
+fn start(flags: flags::Serve) -> Result<(), Error> {
+    let settings_path = flags
+        .settings
         .or_else(|| std::env::var_os(SETTINGS_VARIABLE).map(Into::into))
         .ok_or(Error::NoSettings)?;
     let settings = Rc::new(Settings {
-        pass_through,
+        pass_through: flags.pass_through,
         ..read_settings(&settings_path)?
     });
     event_log::start();
