--- a/crates/linenthread-control/src/shutdown.rs
+++ b/crates/linenthread-control/src/control_node/shutdown.rs
@@ -1,8 +1,9 @@
 //! The graceful shutdown of a control node.
 
-use linenthread_consensus::NodeId;
+use linenthread_consensus::{NodeId, ValueNumber};
 use linenthread_time::Instant;
 
+use crate::control_peer::ControlPeer;
 use crate::graceful_shutdown::{
     PeerVoter, Presence, ShutdownBlocker, ShutdownStep, ShutdownView, next_shutdown_step,
 };
@@ -39,7 +40,7 @@
     }
 
     /// Whether a node, which may be this one, shuts down, or ended after a graceful shutdown.
-    pub(crate) fn node_is_shutting_down(&self, node_id: NodeId) -> bool {
+    pub(super) fn node_is_shutting_down(&self, node_id: NodeId) -> bool {
         if node_id == self.register.id() {
             self.is_shutting_down()
         } else {
@@ -47,8 +48,8 @@
         }
     }
 
-    pub(crate) fn next_shutdown_step(&self, now: Instant) -> ShutdownStep {
-        let Some(value_number) = self.register.decided().map(|value| value.number) else {
+    pub(super) fn next_shutdown_step(&self, now: Instant) -> ShutdownStep {
+        let Some(value_number) = self.register.decided().map(ValueNumber::of) else {
             return ShutdownStep::Exit;
         };
         next_shutdown_step(&ShutdownView {
@@ -66,23 +67,26 @@
             unacknowledged: self
                 .membership
                 .contacts(now)
-                .any(|peer| peer.acknowledged_sent_at < self.shutdown_requested_at),
+                .any(|peer| !peer.has_acknowledged(self.shutdown_requested_at)),
             reconfiguring: self.is_reconfiguring(now)
-                || self.membership.contacts(now).any(|peer| peer.reconfiguring),
+                || self
+                    .membership
+                    .contacts(now)
+                    .any(ControlPeer::is_reconfiguring),
             undecided: self.register.has_undecided(),
             busy: self.pending_jobs.has_calls()
-                || self.voting.change_in_flight
+                || self.pending_jobs.has_voter_change()
                 || !self.pending_drains.is_empty(),
             is_leader: self.is_leader(now),
         })
     }
 
-    fn peer_voter(&self, now: Instant, node_id: NodeId, value_number: u64) -> PeerVoter {
+    fn peer_voter(&self, now: Instant, node_id: NodeId, value_number: ValueNumber) -> PeerVoter {
         if let Some(peer) = self.membership.contact(now, node_id) {
             return PeerVoter {
                 node_id,
-                durable: peer.durable_value_number >= Some(value_number),
-                presence: if peer.shutting_down {
+                durable: peer.durable_value_number() >= Some(value_number),
+                presence: if peer.is_shutting_down() {
                     Presence::Leaving
                 } else {
                     Presence::InContact
--- a/crates/linenthread-control/src/status.rs
+++ b/crates/linenthread-control/src/control_node/status.rs
@@ -1,12 +1,13 @@
 //! The status calls of operators: this node's own view, which no other node has confirmed. The JSON keys are part of
 //! the control API.
 
+use linenthread_consensus::{Epoch, Revision};
 use linenthread_messages::{IngressSession, Replica};
 use linenthread_time::{Instant, whole_millis};
 use serde_json::{Value as Json, json};
 
 use crate::ControlNode;
-use crate::membership::ControlPeer;
+use crate::control_peer::ControlPeer;
 
 impl ControlNode {
     /// What this node knows of control nodes and ingress nodes.
@@ -18,9 +19,9 @@
             "zone": self.config.zone,
             "whole": self.has_quorum(now),
             "leaving": self.is_shutting_down(),
-            "duty_epoch": self.lease_epoch(now),
-            "value": self.value_number(),
-            "revision": decided.map_or(0, |value| value.revision),
+            "duty_epoch": self.lease_epoch(now).map(Epoch::get),
+            "value": self.value_number().get(),
+            "revision": decided.map_or(Revision::NONE, Revision::of).get(),
             "counted": voters.iter().map(|voter| &voter.address).collect::<Vec<_>>(),
             "hubs": self.membership.iter().map(|(_, peer)| control_node(now, peer)).collect::<Vec<_>>(),
             "fronts": self.ingress_nodes.all().values().map(ingress_node).collect::<Vec<_>>(),
@@ -29,12 +30,7 @@
 
     /// What this node knows of replicas.
     pub fn replicas_status(&self, now: Instant) -> Json {
-        Json::Array(
-            self.registry
-                .iter()
-                .map(|registered| replica(registered.snapshot(now)))
-                .collect(),
-        )
+        Json::Array(self.registry.snapshot(now).iter().map(replica).collect())
     }
 }
 
@@ -44,17 +40,17 @@
 
 fn control_node(now: Instant, peer: &ControlPeer) -> Json {
     json!({
-        "name": peer.hello.name,
-        "zone": peer.hello.zone,
-        "control": peer.hello.control_address,
-        "whole": peer.has_quorum,
-        "value": peer.value_number,
-        "leaving": peer.shutting_down,
-        "heard_ms": whole_millis(now.since(peer.last_received_at)),
+        "name": peer.hello().name,
+        "zone": peer.hello().zone,
+        "control": peer.hello().control_address,
+        "whole": peer.has_quorum(),
+        "value": peer.value_number().get(),
+        "leaving": peer.is_shutting_down(),
+        "heard_ms": whole_millis(now.since(peer.last_received_at())),
     })
 }
 
-fn replica(replica: Replica) -> Json {
+fn replica(replica: &Replica) -> Json {
     let phase = match (replica.removed_for_good, replica.removed, replica.draining) {
         (true, _, _) => "ended",
         (_, true, _) => "silent",
--- a/crates/linenthread-control/src/voters.rs
+++ b/crates/linenthread-control/src/control_node/voters.rs
@@ -1,10 +1,10 @@
 //! Who votes: what the leader sees of the voters, and the changes that it proposes.
 
-use linenthread_consensus::Change;
+use linenthread_consensus::{Change, Epoch, ValueNumber};
 use linenthread_messages::Voter;
 use linenthread_time::Instant;
 
-use crate::membership::ControlPeer;
+use crate::control_peer::ControlPeer;
 use crate::pending_jobs::JobOwner;
 use crate::reconfiguration::{VoterState, VotersView, next_voters};
 use crate::timing::{CALL_TIMEOUT, VOTER_TIMEOUT};
@@ -13,53 +13,26 @@
 /// A change of the voters is given so many call time-outs: nobody waits for it who could try another node.
 const VOTER_CHANGE_TIMEOUT_CALLS: u32 = 3;
 
-/// A value must be undecided at so many full ticks in a row before this node completes it.
-const MAX_UNDECIDED_TICKS: u32 = 2;
-
-/// This node's part in the votes.
-#[derive(Default)]
-pub(crate) struct VotingState {
-    /// This node is one of the newest value's voters.
-    pub(crate) is_voter: bool,
-    /// A change of the voters, proposed by this node as the leader, is not decided yet.
-    pub(crate) change_in_flight: bool,
-    /// At how many full ticks in a row a value was undecided.
-    undecided_ticks: u32,
-}
-
-impl VotingState {
-    /// Takes in whether a value is undecided at a full tick; whether it has been for too long.
-    pub(crate) fn on_full_tick(&mut self, has_undecided: bool) -> bool {
-        self.undecided_ticks = if has_undecided {
-            self.undecided_ticks + 1
-        } else {
-            0
-        };
-        self.undecided_ticks >= MAX_UNDECIDED_TICKS
-    }
-}
-
 impl ControlNode {
     /// Whether this node is one of the newest value's voters.
-    pub(crate) fn is_voter(&self) -> bool {
+    pub(super) fn is_voter(&self) -> bool {
         self.register.is_voter(self.register.id())
     }
 
     /// As the leader under `epoch`, proposes the next voters if they should be others: one change at a time.
-    pub(crate) fn adjust_voters(&mut self, now: Instant, epoch: u64, effects: &mut Vec<Effect>) {
-        let may_propose = !self.voting.change_in_flight
+    pub(super) fn adjust_voters(&mut self, now: Instant, epoch: Epoch, effects: &mut Vec<Effect>) {
+        let may_propose = !self.pending_jobs.has_voter_change()
             && self.has_quorum(now)
             && self.lease.is_held_at(now, self.value_number());
         if !may_propose {
             return;
         }
-        let Some(based_on) = self.register.decided().map(|value| value.number) else {
+        let Some(based_on) = self.register.decided().map(ValueNumber::of) else {
             return;
         };
         let Some(voters) = next_voters(&self.voters_view(now, based_on)) else {
             return;
         };
-        self.voting.change_in_flight = true;
         effects.push(Effect::Log(ControlEvent::VotersChanged {
             based_on,
             voters: voters.iter().map(|voter| voter.address.clone()).collect(),
@@ -81,16 +54,16 @@
     }
 
     /// Whether this node leads, and changes the voters, or will as soon as a standby's disk holds everything.
-    pub(crate) fn is_reconfiguring(&self, now: Instant) -> bool {
+    pub(super) fn is_reconfiguring(&self, now: Instant) -> bool {
         self.is_leader(now)
-            && (self.voting.change_in_flight
+            && (self.pending_jobs.has_voter_change()
                 || !self.standbys(now, None).is_empty()
                 || next_voters(&self.voters_view(now, self.value_number())).is_some())
     }
 
     /// Nodes in contact that may vote, do not yet, and do not shut down; with a number only those that may vote at
     /// once, since their disks hold the value of that number.
-    pub(crate) fn standbys(&self, now: Instant, value_number: Option<u64>) -> Vec<Voter> {
+    pub(super) fn standbys(&self, now: Instant, value_number: Option<ValueNumber>) -> Vec<Voter> {
         let is_ready = self.config.may_vote
             && !self.is_shutting_down()
             && self.durability.value_number() >= value_number;
@@ -106,7 +79,7 @@
             .collect()
     }
 
-    fn voters_view(&self, now: Instant, value_number: u64) -> VotersView {
+    fn voters_view(&self, now: Instant, value_number: ValueNumber) -> VotersView {
         let in_contact = self.nodes_in_contact(now);
         VotersView {
             voters: self
@@ -129,8 +102,9 @@
             last_contact.is_some_and(|contact| contact.node_id != voter.into() && contact.may_vote);
         // With another node at its address the old one does not come back. It stays for the moment if that node is
         // in contact: its successor is about to vote in its place.
-        let successor_joins =
-            |peer: &ControlPeer| peer.hello.control_address == voter.address && !peer.shutting_down;
+        let successor_joins = |peer: &ControlPeer| {
+            peer.hello().control_address == voter.address && !peer.is_shutting_down()
+        };
         let is_gone = replaced && !self.membership.contacts(now).any(successor_joins);
         VoterState {
             voter: voter.clone(),
