--- a/crates/linenthread-fakes/src/program.rs
+++ b/crates/linenthread-fakes/src/program.rs
@@ -15,6 +15,11 @@
 use crate::files::{temporary_folder, write_file};
 use crate::wait;
 
+/// The index whose queries may run again.
+pub(crate) const FIND: &str = "find";
+/// The index whose queries may run only once.
+pub(crate) const ORDER: &str = "order";
+
 /// An index in the settings.
 pub struct Class {
     /// Its name.
@@ -30,13 +35,13 @@
 /// The indexes `find`, `order` (non-idempotent), `swift` (700 ms), all with complete responses only.
 const CLASSES: [Class; 3] = [
     Class {
-        name: "find",
+        name: FIND,
         non_idempotent: false,
         soft_deadline: Duration::from_secs(15),
         floor: 1.0,
     },
     Class {
-        name: "order",
+        name: ORDER,
         non_idempotent: true,
         soft_deadline: Duration::from_secs(15),
         floor: 1.0,
--- a/crates/linenthread-fakes/src/rig/clients.rs
+++ b/crates/linenthread-fakes/src/rig/clients.rs
@@ -10,6 +10,7 @@
 use serde_json::{Value, json};
 
 use super::layout::SHARDS;
+use crate::program::{FIND, ORDER};
 use crate::random::random_index;
 use crate::sync::lock;
 use crate::{Client, request};
@@ -147,11 +148,7 @@
         let Some(mut client) = Client::try_connect(self.http) else {
             return;
         };
-        let index = if outcome.non_idempotent {
-            "order"
-        } else {
-            "find"
-        };
+        let index = if outcome.non_idempotent { ORDER } else { FIND };
         // A key for each query, so that all replicas are used.
         let key = format!("{:016x}", fnv1a(&outcome.id));
         let request = request(index, &outcome.id, &outcome.shards).replace(DEFAULT_KEY, &key);
--- a/crates/linenthread-fakes/src/rig/layout.rs
+++ b/crates/linenthread-fakes/src/rig/layout.rs
@@ -7,7 +7,7 @@
 
 use super::{RigConfig, Zone};
 use crate::loopback::unused_loopback;
-use crate::program::{Class, config_of};
+use crate::program::{Class, FIND, ORDER, config_of};
 use crate::service_discovery::{member, membership};
 
 /// Shards of the rig's indexes.
@@ -97,7 +97,7 @@
             soft_deadline: SOFT_DEADLINE,
             floor: 1.0,
         };
-        let classes = [class("find", false), class("order", true)];
+        let classes = [class(FIND, false), class(ORDER, true)];
         let replicas = self.config.replica_count();
         let mut config = config_of(discovery, known, &classes, replicas, SHARDS);
         let zones: Vec<&str> = self.config.zones.iter().map(|zone| zone.name).collect();
--- a/crates/linenthread-fakes/src/sites.rs
+++ b/crates/linenthread-fakes/src/sites.rs
@@ -2,33 +2,27 @@
 //! has all of them, with a link between that can be interrupted. What replicas received is on record.
 
 mod load;
+mod setup;
+mod verdict;
 
 use std::collections::BTreeMap;
-use std::net::{SocketAddr, TcpListener};
+use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
-use std::thread::{sleep, spawn};
+use std::thread::sleep;
 use std::time::Duration;
 
-use serde_json::Value;
-use tempfile::TempDir;
-
 pub use load::{QueryResult, disconnect_everywhere, query_during_fault};
+pub use verdict::Verdict;
 
-use crate::files::{temporary_folder, write_file};
-use crate::loopback::{self, unused_loopback};
-use crate::program::millis;
+use self::setup::{
+    ARGUMENTS, REPLICAS, folder_with, peer_elements, settings, start_gateway, start_replicas,
+};
+use self::verdict::QueryEnd;
+use crate::program::ORDER;
 use crate::proxy::{ByDirection, ByteLimit, Proxy};
 use crate::sync::lock;
-use crate::{Class, FakeReplicas, Service, ServiceDiscovery, config_of, member, membership};
+use crate::{Service, ServiceDiscovery, member, membership};
 
-const SECRET: &str = "a secret between two sites\n";
-const REPLICAS: usize = 2;
-const SHARDS: usize = 4;
-/// Sockets of each process: room for a thousand clients at once.
-const SOCKETS: usize = 4_096;
-/// The soft deadline of queries.
-const SOFT_DEADLINE: Duration = Duration::from_millis(1_500);
-const ARGUMENTS: [&str; 2] = ["--installation", "installation.xml"];
 /// How long after a rejection a sub-request may still be on its way to a replica.
 const IN_TRANSIT: Duration = Duration::from_millis(30);
 
@@ -94,124 +88,6 @@
     _local_discovery: ServiceDiscovery,
 }
 
-/// What became of the queries of a run.
-#[derive(Debug, Default, PartialEq)]
-pub struct Verdict {
-    /// Queries that were checked.
-    pub checked: usize,
-    /// Those that were answered.
-    pub succeeded: usize,
-    /// Those that were rejected: nothing was executed.
-    pub rejected: usize,
-    /// Those that failed: what was executed is unknown.
-    pub failed: usize,
-    /// Violations of the rules.
-    pub violations: Vec<String>,
-}
-
-impl Verdict {
-    fn count(&mut self, status: Option<u16>) {
-        self.checked += 1;
-        match status {
-            Some(200) => self.succeeded += 1,
-            Some(503) => self.rejected += 1,
-            Some(502) => self.failed += 1,
-            _ => {}
-        }
-    }
-
-    fn add(&mut self, other: Verdict) {
-        self.checked += other.checked;
-        self.succeeded += other.succeeded;
-        self.rejected += other.rejected;
-        self.failed += other.failed;
-        self.violations.extend(other.violations);
-    }
-}
-
-/// Starts replicas that respond after a while; their addresses.
-fn start_replicas(service_time: Duration, received: &Arc<Mutex<Vec<Received>>>) -> Vec<SocketAddr> {
-    let replicas = FakeReplicas::start(REPLICAS);
-    let addresses = replicas.addresses.clone();
-    let received = received.clone();
-    spawn(move || {
-        while let Some(sub_request) = replicas.wait_for_sub_request() {
-            lock(&received).push(Received {
-                id: sub_request.id.clone(),
-                replica: sub_request.replica,
-            });
-            spawn(move || {
-                sleep(service_time);
-                sub_request.try_respond("hit", "v");
-            });
-        }
-    });
-    addresses
-}
-
-/// The contents of `config.json` of a site.
-fn settings(discovery: &ServiceDiscovery, known: &str) -> Value {
-    let class = |name, non_idempotent| Class {
-        name,
-        non_idempotent,
-        soft_deadline: SOFT_DEADLINE,
-        floor: 1.0,
-    };
-    let classes = [class("find", false), class("order", true)];
-    let mut config = config_of(discovery.address, known, &classes, REPLICAS, SHARDS);
-    config["limits"]["sockets"] = SOCKETS.into();
-    config
-}
-
-/// A folder with a deploy file that has these elements.
-fn folder_with(elements: &str) -> TempDir {
-    let folder = temporary_folder();
-    write_file(&folder.path().join("link.key"), SECRET);
-    let text = format!("<installation version=\"1\">{elements}</installation>");
-    write_file(&folder.path().join("installation.xml"), &text);
-    folder
-}
-
-/// A gateway, and a proxy in front of where it takes links.
-struct Gateway {
-    service: Service,
-    proxy: Proxy,
-    link_address: SocketAddr,
-}
-
-/// Starts a gateway to the replicas that service discovery lists.
-fn start_gateway(exe: &str, discovery: &ServiceDiscovery, known: &str) -> Gateway {
-    // A port that was free a moment ago, on an address that nothing else here binds: on 127.0.0.1 any connection of
-    // another test may have taken it meanwhile, and the gateway fails to start.
-    let link_address = loopback::address_of(
-        &TcpListener::bind((unused_loopback(), 0)).expect("an unused address has a free port"),
-    );
-    let element = format!("<gateway listen=\"{link_address}\" secret=\"link.key\"/>");
-    let config = settings(discovery, known);
-    Gateway {
-        service: Service::start_in(folder_with(&element), exe, &config, &ARGUMENTS),
-        proxy: Proxy::start(link_address),
-        link_address,
-    }
-}
-
-/// The deploy file's elements for links to gateways.
-fn peer_elements<'p>(config: &SitesConfig, proxies: impl Iterator<Item = &'p Proxy>) -> String {
-    let session_timeout = millis(config.session_timeout);
-    let down_delay = millis(config.down_delay);
-    let peers: String = proxies
-        .enumerate()
-        .map(|(n, proxy)| {
-            format!(
-                "<peer name=\"far{n}\" address=\"{}\" secret=\"link.key\" keep=\"{session_timeout}\" \
-                 beat=\"100\" hold=\"{down_delay}\"/>",
-                proxy.address
-            )
-        })
-        .collect();
-    format!("<peers>{peers}</peers>")
-}
-
 impl Sites {
     /// Starts two sites, and waits until the coordinator knows all replicas behind the link.
     ///
@@ -322,26 +198,20 @@
         let id = format!("{index}{}", self.queries);
         let response = self.local.query(index, &id, &[1]).response();
         let status = response.map(|(status, ..)| status);
-        let sub_request = format!("{id}.1");
-        let non_idempotent = index == "order";
         verdict.count(status);
-        let violation = match status {
-            Some(200) => {
-                (self.executions_of(&sub_request) == 0).then_some("answered, and did not run")
-            }
-            Some(503) => {
-                sleep(IN_TRANSIT);
-                (non_idempotent && self.executions_of(&sub_request) > 0)
-                    .then_some("nacked, and ran")
-            }
-            Some(502) => None,
-            _ => Some("no final answer"),
+        if status == Some(503) {
+            // If its sub-request was sent all the same, it has arrived after this.
+            sleep(IN_TRANSIT);
+        }
+        let end = QueryEnd {
+            index,
+            status,
+            executions: self.executions_of(&format!("{id}.1")),
         };
-        let executions = self.executions_of(&sub_request);
-        let twice = (non_idempotent && executions > 1).then_some("ran twice");
-        for why in violation.into_iter().chain(twice) {
+        for why in end.false_status().into_iter().chain(end.ran_twice()) {
             verdict.violations.push(format!(
-                "{what}: {id} {why} (answer {status:?}, ran {executions})"
+                "{what}: {id} {why} (answer {status:?}, ran {})",
+                end.executions
             ));
         }
     }
@@ -353,7 +223,7 @@
     /// If the link does not come up again.
     pub fn measure_exchange(&mut self) -> ByDirection<usize> {
         self.reconnect();
-        self.query("order", &mut Verdict::default(), "whole");
+        self.query(ORDER, &mut Verdict::default(), "whole");
         self.proxy.forwarded()
     }
 
@@ -367,13 +237,13 @@
         self.proxy.disconnect_next_after(direction, bytes);
         self.reconnect();
         let what = format!("cut {direction:?} after {bytes} bytes");
-        self.query("order", verdict, &what);
+        self.query(ORDER, verdict, &what);
         // Whatever was late has arrived by now.
         sleep(Duration::from_millis(100));
         let executions = self.executions();
         let twice = executions
             .iter()
-            .filter(|(id, count)| id.starts_with("order") && **count > 1)
+            .filter(|(id, count)| id.starts_with(ORDER) && **count > 1)
             .map(|(id, count)| format!("{id} ran {count} times"));
         verdict.violations.extend(twice);
     }
--- a/crates/linenthread-fakes/src/sites/load.rs
+++ b/crates/linenthread-fakes/src/sites/load.rs
@@ -5,7 +5,9 @@
 use std::thread::{sleep, spawn};
 use std::time::{Duration, Instant};
 
-use super::{SOFT_DEADLINE, Sites, SitesConfig, Verdict};
+use super::setup::SOFT_DEADLINE;
+use super::verdict::{QueryEnd, Verdict};
+use super::{Sites, SitesConfig};
 use crate::Client;
 use crate::proxy::{ByteLimit, Direction};
 
@@ -57,17 +59,15 @@
 
     /// What is wrong with the result, if its sub-request was executed so many times.
     fn violation(&self, executions: usize) -> Option<&'static str> {
-        let non_idempotent = self.index == "order";
-        match self.status {
-            Some(200) if executions == 0 => Some("answered, and did not run"),
-            Some(503) if non_idempotent && executions > 0 => Some("nacked, and ran"),
-            Some(200 | 502 | 503) if non_idempotent && executions > 1 => Some("ran twice"),
-            Some(200 | 502 | 503) if self.latency > SOFT_DEADLINE + LATENESS => {
-                Some("answered late")
-            }
-            Some(200 | 502 | 503) => None,
-            _ => Some("no final answer"),
-        }
+        let end = QueryEnd {
+            index: self.index,
+            status: self.status,
+            executions,
+        };
+        let is_late = self.latency > SOFT_DEADLINE + LATENESS;
+        end.false_status()
+            .or_else(|| end.ran_twice())
+            .or_else(|| is_late.then_some("answered late"))
     }
 }
 
--- /dev/null
+++ b/crates/linenthread-fakes/src/sites/setup.rs
@@ -0,0 +1,120 @@
+//! What two sites consist of: their replicas, their files, and the gateways.
+
+use std::net::{SocketAddr, TcpListener};
+use std::sync::{Arc, Mutex};
+use std::thread::{sleep, spawn};
+use std::time::Duration;
+
+use serde_json::Value;
+use tempfile::TempDir;
+
+use super::{Received, SitesConfig};
+use crate::files::{temporary_folder, write_file};
+use crate::loopback::{self, unused_loopback};
+use crate::program::{FIND, ORDER, millis};
+use crate::proxy::Proxy;
+use crate::sync::lock;
+use crate::{Class, FakeReplicas, Service, ServiceDiscovery, config_of};
+
+/// The secret that both sites share.
+const SECRET: &str = "a secret between two sites\n";
+/// Replicas behind the gateway.
+pub(super) const REPLICAS: usize = 2;
+/// Shards of the indexes.
+const SHARDS: usize = 4;
+/// Sockets of each process: room for a thousand clients at once.
+const SOCKETS: usize = 4_096;
+/// The soft deadline of queries.
+pub(super) const SOFT_DEADLINE: Duration = Duration::from_millis(1_500);
+/// The program's arguments at either site.
+pub(super) const ARGUMENTS: [&str; 2] = ["--installation", "installation.xml"];
+
+/// Starts replicas that respond after a while; their addresses.
+pub(super) fn start_replicas(
+    service_time: Duration,
+    received: &Arc<Mutex<Vec<Received>>>,
+) -> Vec<SocketAddr> {
+    let replicas = FakeReplicas::start(REPLICAS);
+    let addresses = replicas.addresses.clone();
+    let received = received.clone();
+    spawn(move || {
+        while let Some(sub_request) = replicas.wait_for_sub_request() {
+            lock(&received).push(Received {
+                id: sub_request.id.clone(),
+                replica: sub_request.replica,
+            });
+            spawn(move || {
+                sleep(service_time);
+                sub_request.try_respond("hit", "v");
+            });
+        }
+    });
+    addresses
+}
+
+/// The contents of `config.json` of a site.
+pub(super) fn settings(discovery: &ServiceDiscovery, known: &str) -> Value {
+    let class = |name, non_idempotent| Class {
+        name,
+        non_idempotent,
+        soft_deadline: SOFT_DEADLINE,
+        floor: 1.0,
+    };
+    let classes = [class(FIND, false), class(ORDER, true)];
+    let mut config = config_of(discovery.address, known, &classes, REPLICAS, SHARDS);
+    config["limits"]["sockets"] = SOCKETS.into();
+    config
+}
+
+/// A folder with a deploy file that has these elements.
+pub(super) fn folder_with(elements: &str) -> TempDir {
+    let folder = temporary_folder();
+    write_file(&folder.path().join("link.key"), SECRET);
+    let text = format!("<installation version=\"1\">{elements}</installation>");
+    write_file(&folder.path().join("installation.xml"), &text);
+    folder
+}
+
+/// A gateway, and a proxy in front of where it takes links.
+pub(super) struct Gateway {
+    pub(super) service: Service,
+    pub(super) proxy: Proxy,
+    /// Where the gateway takes links.
+    pub(super) link_address: SocketAddr,
+}
+
+/// Starts a gateway to the replicas that service discovery lists.
+pub(super) fn start_gateway(exe: &str, discovery: &ServiceDiscovery, known: &str) -> Gateway {
+    // A port that was free a moment ago, on an address that nothing else here binds: on 127.0.0.1 any connection of
+    // another test may have taken it meanwhile, and the gateway fails to start.
+    let link_address = loopback::address_of(
+        &TcpListener::bind((unused_loopback(), 0)).expect("an unused address has a free port"),
+    );
+    let element = format!("<gateway listen=\"{link_address}\" secret=\"link.key\"/>");
+    let config = settings(discovery, known);
+    Gateway {
+        service: Service::start_in(folder_with(&element), exe, &config, &ARGUMENTS),
+        proxy: Proxy::start(link_address),
+        link_address,
+    }
+}
+
+/// The deploy file's elements for links to gateways.
+pub(super) fn peer_elements<'p>(
+    config: &SitesConfig,
+    proxies: impl Iterator<Item = &'p Proxy>,
+) -> String {
+    let session_timeout = millis(config.session_timeout);
+    let down_delay = millis(config.down_delay);
+    let peers: String = proxies
+        .enumerate()
+        .map(|(n, proxy)| {
+            format!(
+                "<peer name=\"far{n}\" address=\"{}\" secret=\"link.key\" keep=\"{session_timeout}\" \
+                 beat=\"100\" hold=\"{down_delay}\"/>",
+                proxy.address
+            )
+        })
+        .collect();
+    format!("<peers>{peers}</peers>")
+}
