--- a/crates/linenthread-fleet/src/frame/mod.rs
+++ b/crates/linenthread-fleet/src/frame/mod.rs
@@ -4,7 +4,7 @@
 mod progress;
 mod raft_message;
 
-use linenthread_frames::{Decoder, Encoder, Nonce, Proof, drain_frames};
+use linenthread_frames::{Decoder, Encoder, Nonce, Proof, drain_frames, encode_frame};
 use raft::eraftpb::Message;
 use snafu::ensure;
 
@@ -95,9 +95,7 @@
 impl Frame {
     /// The encoded frame, its length first.
     pub fn encode(&self) -> Vec<u8> {
-        let mut encoder = Encoder::frame();
-        self.encode_fields(&mut encoder);
-        encoder.into_frame(self.kind())
+        encode_frame(self.kind(), |encoder| self.encode_fields(encoder))
     }
 
     fn kind(&self) -> u8 {
--- a/crates/linenthread-frames/src/encoder.rs
+++ b/crates/linenthread-frames/src/encoder.rs
@@ -2,29 +2,27 @@
 
 use crate::stream::LENGTH_BYTES;
 
+/// A complete frame: its length, its kind, and the fields that `encode_fields` appends.
+pub fn encode_frame(kind: u8, encode_fields: impl FnOnce(&mut Encoder)) -> Vec<u8> {
+    let mut encoder = Encoder(vec![0; LENGTH_BYTES]);
+    encoder.u8(kind);
+    encode_fields(&mut encoder);
+    let mut frame = encoder.into_bytes();
+    let length = u32::try_from(frame.len() - LENGTH_BYTES).unwrap_or(u32::MAX);
+    frame[..LENGTH_BYTES].copy_from_slice(&length.to_be_bytes());
+    frame
+}
+
 /// Appends fields to bytes. Its counterpart is [`crate::Decoder`].
 #[derive(Debug, Default)]
 pub struct Encoder(Vec<u8>);
 
 impl Encoder {
-    /// Without a length or a kind: for records and values that are no frames.
+    /// Without a length or a kind: for records and values that are no frames. [`encode_frame`] is for frames.
     pub fn new() -> Encoder {
         Encoder::default()
     }
 
-    /// The beginning of a frame, with space for its length and its kind.
-    pub fn frame() -> Encoder {
-        Encoder(vec![0; LENGTH_BYTES + 1])
-    }
-
-    /// The complete frame, its length first; only for an encoder that [`Encoder::frame`] made.
-    pub fn into_frame(mut self, kind: u8) -> Vec<u8> {
-        self.0[LENGTH_BYTES] = kind;
-        let length = u32::try_from(self.0.len() - LENGTH_BYTES).unwrap_or(u32::MAX);
-        self.0[..LENGTH_BYTES].copy_from_slice(&length.to_be_bytes());
-        self.0
-    }
-
     /// The bytes so far.
     pub fn into_bytes(self) -> Vec<u8> {
         self.0
--- a/crates/linenthread-frames/tests/fields.rs
+++ b/crates/linenthread-frames/tests/fields.rs
@@ -1,6 +1,6 @@
 //! Fields that are cut short or malformed, and streams that hold no frames.
 
-use linenthread_frames::{DecodeError, Decoder, Encoder, Secrets, drain_frames, first_frame};
+use linenthread_frames::{DecodeError, Decoder, Secrets, drain_frames, encode_frame, first_frame};
 
 const MAX_LENGTH: usize = 100;
 
@@ -77,7 +77,7 @@
 
 #[test]
 fn frames_before_an_invalid_one_are_handled_and_removed() {
-    let frame = Encoder::frame().into_frame(3);
+    let frame = encode_frame(3, |_| {});
     let mut buffer = [&frame[..], &frame[..], &[0; 4]].concat();
     let mut handled = 0;
     let result = drain_frames(&mut buffer, MAX_LENGTH, |fields| {
--- a/crates/linenthread-frames/tests/golden.rs
+++ b/crates/linenthread-frames/tests/golden.rs
@@ -4,7 +4,8 @@
 //! pass: the peers of a program that is being upgraded speak these bytes.
 
 use linenthread_frames::{
-    DecodeError, Decoder, Encoder, ProofDomain, SecretIndex, Secrets, drain_frames, first_frame,
+    DecodeError, Decoder, ProofDomain, SecretIndex, Secrets, drain_frames, encode_frame,
+    first_frame,
 };
 use linenthread_golden::named_bytes;
 
@@ -14,16 +15,16 @@
 
 /// A frame with each sort of field.
 fn frame() -> Vec<u8> {
-    let mut encoder = Encoder::frame();
-    encoder.u16(0x0102);
-    encoder.u32(0x0304_0506);
-    encoder.u64(0x0708_090a_0b0c_0d0e);
-    encoder.bytes(&[0xff, 0, 1]);
-    encoder.text("t\u{e9}xt");
-    encoder.long_text("v\u{e4}lue");
-    encoder.optional_f64(Some(2.5));
-    encoder.optional_f64(None);
-    encoder.into_frame(KIND)
+    encode_frame(KIND, |encoder| {
+        encoder.u16(0x0102);
+        encoder.u32(0x0304_0506);
+        encoder.u64(0x0708_090a_0b0c_0d0e);
+        encoder.bytes(&[0xff, 0, 1]);
+        encoder.text("t\u{e9}xt");
+        encoder.long_text("v\u{e4}lue");
+        encoder.optional_f64(Some(2.5));
+        encoder.optional_f64(None);
+    })
 }
 
 /// Proofs by each of two secrets.
