--- a/crates/linenthread-link/src/frame/mod.rs
+++ b/crates/linenthread-link/src/frame/mod.rs
@@ -113,9 +113,7 @@
 impl Frame {
     /// The encoded frame, its length first.
     pub fn encode(&self) -> Vec<u8> {
-        let mut encoder = Encoder::frame();
-        self.encode_fields(&mut encoder);
-        encoder.into_frame(self.kind())
+        frames::encode_frame(self.kind(), |encoder| self.encode_fields(encoder))
     }
 
     /// The first complete frame in what was read, and how many bytes it occupies; `None` if more must be read.
