--- a/crates/linenthread-control/src/heartbeats.rs
+++ b/crates/linenthread-control/src/control_node/heartbeats.rs
@@ -1,5 +1,6 @@
 //! Heartbeats with other control nodes and ingress nodes.
 
+use linenthread_consensus::ValueNumber;
 use linenthread_messages::{Heartbeat, PeerMessage};
 use linenthread_time::Instant;
 
@@ -8,11 +9,11 @@
 impl ControlNode {
     fn heartbeat(&self, now: Instant) -> Heartbeat {
         Heartbeat {
-            quota_request_or_value_number: self.value_number(),
+            quota_request_or_value_number: self.value_number().get(),
             has_quorum: self.has_quorum(now) && !self.is_shutting_down(),
             registry_digest: self.registry.digest(),
             revision: 0,
-            durable_value_number: self.durability.value_number(),
+            durable_value_number: self.durability.value_number().map(ValueNumber::get),
             sent_at: now.as_millis(),
             echoed_sent_at: None,
             leaving: self.is_shutting_down(),
@@ -22,7 +23,7 @@
 
     /// Sends a heartbeat on one session; `echoed_sent_at` is when the peer, by its own clock, sent the last one of its
     /// heartbeats.
-    pub(crate) fn send_heartbeat(
+    pub(super) fn send_heartbeat(
         &self,
         now: Instant,
         session: SessionId,
@@ -37,11 +38,11 @@
     }
 
     /// Sends a heartbeat on each session.
-    pub(crate) fn send_heartbeats(&self, now: Instant, effects: &mut Vec<Effect>) {
+    pub(super) fn send_heartbeats(&self, now: Instant, effects: &mut Vec<Effect>) {
         let heartbeat = self.heartbeat(now);
         for (session, peer) in self.membership.iter() {
             let message = PeerMessage::Heartbeat(Heartbeat {
-                echoed_sent_at: peer.last_sent_at,
+                echoed_sent_at: peer.sent_at_to_echo(),
                 ..heartbeat.clone()
             });
             effects.push(Effect::Send { session, message });
@@ -55,7 +56,7 @@
     }
 
     /// A heartbeat of another control node.
-    pub(crate) fn on_heartbeat(
+    pub(super) fn on_heartbeat(
         &mut self,
         now: Instant,
         session: SessionId,
--- a/crates/linenthread-control/src/replica_updates.rs
+++ b/crates/linenthread-control/src/control_node/replica_updates.rs
@@ -6,42 +6,26 @@
 use crate::{ControlNode, Effect, HeartbeatOutcome, SessionId};
 
 impl ControlNode {
-    /// Notes a replica's change for the next batch to the other control nodes, and for the ingress nodes.
-    /// `superseded` are the replicas that ended by it.
-    pub(crate) fn record_change(
-        &mut self,
-        replica_id: &str,
-        outcome: HeartbeatOutcome,
-        superseded: &[String],
-    ) {
-        if outcome == HeartbeatOutcome::Stale {
-            return;
-        }
-        self.forget_ended_drain(replica_id);
-        let changed = || superseded.iter().map(String::as_str).chain([replica_id]);
+    /// Queues a replica, and those that ended by it, for the next update of the other control nodes.
+    pub(super) fn queue_for_peers(&mut self, replica_id: &str, superseded: &[String]) {
         for (_, peer) in self.membership.iter_mut() {
-            peer.changed_replicas.extend(changed().map(str::to_owned));
-        }
-        if outcome == HeartbeatOutcome::Changed {
-            for id in changed() {
-                self.ingress_nodes.changes.append(id);
-            }
+            peer.queue_replicas(superseded.iter().map(String::as_str).chain([replica_id]));
         }
     }
 
     /// A replica that drains no more has to be made known again when it drains the next time.
-    fn forget_ended_drain(&mut self, replica_id: &str) {
+    pub(super) fn forget_ended_drain(&mut self, replica_id: &str) {
         let is_available = self
             .registry
             .get(replica_id)
-            .is_some_and(|known| !known.replica.draining && !known.replica.removed_for_good);
+            .is_some_and(|known| !known.is_leaving());
         if is_available {
             self.pending_drains.forget(replica_id);
         }
     }
 
     /// Sends a control node all that this one has.
-    pub(crate) fn synchronize_peer(
+    pub(super) fn synchronize_peer(
         &mut self,
         now: Instant,
         session: SessionId,
@@ -50,15 +34,9 @@
         let Some(peer) = self.membership.get_mut(session) else {
             return;
         };
-        peer.changed_replicas.clear();
-        peer.synchronized_at = now;
-        peer.addresses_version = self.address_book.version();
+        peer.on_synchronized(now, self.address_book.version());
         let update = ControlUpdate {
-            replicas: self
-                .registry
-                .iter()
-                .map(|known| known.snapshot(now))
-                .collect(),
+            replicas: self.registry.snapshot(now),
             sessions: self.ingress_nodes.local(),
             has_sessions: true,
             control_addresses: self.address_book.all(),
@@ -72,19 +50,18 @@
     }
 
     /// Sends all control nodes the sessions that this one has with ingress nodes, and addresses that they lack.
-    pub(crate) fn send_ingress_sessions(&mut self, effects: &mut Vec<Effect>) {
+    pub(super) fn send_ingress_sessions(&mut self, effects: &mut Vec<Effect>) {
         let sessions = self.ingress_nodes.local();
         let addresses = self.address_book.all();
         let version = self.address_book.version();
         for (session, peer) in self.membership.iter_mut() {
-            let sent_version = std::mem::replace(&mut peer.addresses_version, version);
             let update = ControlUpdate {
                 sessions: sessions.clone(),
                 has_sessions: true,
-                control_addresses: if sent_version == version {
-                    Vec::new()
-                } else {
+                control_addresses: if peer.update_addresses(version) {
                     addresses.clone()
+                } else {
+                    Vec::new()
                 },
                 ..ControlUpdate::default()
             };
@@ -96,13 +73,13 @@
     }
 
     /// Sends the changed replicas to all control nodes and ingress nodes.
-    pub(crate) fn flush_changed_replicas(&mut self, now: Instant, effects: &mut Vec<Effect>) {
+    pub(super) fn flush_changed_replicas(&mut self, now: Instant, effects: &mut Vec<Effect>) {
         let registry = &self.registry;
         for (session, peer) in self.membership.iter_mut() {
-            if peer.changed_replicas.is_empty() {
+            let changed = peer.take_queued_replicas();
+            if changed.is_empty() {
                 continue;
             }
-            let changed = std::mem::take(&mut peer.changed_replicas);
             let update = ControlUpdate {
                 replicas: changed
                     .iter()
@@ -122,7 +99,7 @@
     }
 
     /// An update of another control node.
-    pub(crate) fn on_control_update(
+    pub(super) fn on_control_update(
         &mut self,
         now: Instant,
         session: SessionId,
@@ -131,17 +108,11 @@
     ) {
         let mut any_changed = false;
         for replica in &update.replicas {
-            let mut superseded = Vec::new();
-            let outcome = self.registry.observe(now, replica, &mut superseded);
+            // A change goes on to ingress nodes, but not to further control nodes: each node sends to all others what
+            // it received itself.
+            let observation = self.registry.observe(now, replica);
+            any_changed |= observation.outcome == HeartbeatOutcome::Changed;
             self.forget_ended_drain(&replica.id);
-            // This goes on to ingress nodes, but not to further control nodes: each node sends to all others what it
-            // received itself.
-            if outcome == HeartbeatOutcome::Changed {
-                for id in superseded.iter().chain([&replica.id]) {
-                    self.ingress_nodes.changes.append(id);
-                }
-                any_changed = true;
-            }
         }
         for address in &update.control_addresses {
             self.address_book.learn(now, address);
--- a/crates/linenthread-control/src/replica_snapshot.rs
+++ b/crates/linenthread-control/src/replica_snapshot.rs
@@ -3,13 +3,14 @@
 use linenthread_messages::{Record, Replica};
 use linenthread_time::Instant;
 
+use crate::ReplicaRegistry;
+use crate::change_log::ChangeLogOffset;
 use crate::timing::SNAPSHOT_INTERVAL;
-use crate::{ChangeLog, ControlNode, Effect, ReplicaRegistry};
 
 /// Decides when the registry is written to disk.
 pub(crate) struct ReplicaSnapshotWriter {
     /// Offset in the change log up to which changes are on disk.
-    written_offset: u64,
+    written_offset: ChangeLogOffset,
     /// When the registry was last written.
     written_at: Instant,
 }
@@ -17,19 +18,18 @@
 impl ReplicaSnapshotWriter {
     pub(crate) fn new(now: Instant) -> ReplicaSnapshotWriter {
         ReplicaSnapshotWriter {
-            written_offset: 0,
+            written_offset: ChangeLogOffset::START,
             written_at: now,
         }
     }
 
     /// A record of the replicas that are there, if they changed and the last one is old enough.
-    fn next_record(
+    pub(crate) fn next_record(
         &mut self,
         now: Instant,
-        changes: &ChangeLog,
         registry: &ReplicaRegistry,
     ) -> Option<Record> {
-        let offset = changes.offset();
+        let offset = registry.changes().offset();
         if offset == self.written_offset || now < self.written_at + SNAPSHOT_INTERVAL {
             return None;
         }
@@ -49,15 +49,3 @@
         })
     }
 }
-
-impl ControlNode {
-    pub(crate) fn write_replica_snapshot(&mut self, now: Instant, effects: &mut Vec<Effect>) {
-        let record =
-            self.snapshot_writer
-                .next_record(now, &self.ingress_nodes.changes, &self.registry);
-        effects.extend(record.map(|record| Effect::Persist {
-            record,
-            after_sync: Vec::new(),
-        }));
-    }
-}
