--- a/crates/linenthread-frames/src/lib.rs
+++ b/crates/linenthread-frames/src/lib.rs
@@ -5,8 +5,8 @@
 //! means: the packages that define frames (`linenthread-link`, `linenthread-fleet`) build on it. The same fields
 //! also make up records on disk and values in the fleet's record.
 //!
-//! Start reading at [`Encoder`] and [`Decoder`]; [`encode_frame`] and [`drain_frames`] are how connections use them, and
-//! [`Secrets`] holds the proofs.
+//! Start reading at [`Encoder`] and [`Decoder`]; [`encode_frame`] and [`drain_frames`] are how connections use them,
+//! and [`Secrets`] holds the proofs.
 
 mod decoder;
 mod encoder;
