--- a/crates/linenthread-fleet/src/dialer.rs
+++ b/crates/linenthread-fleet/src/dialer.rs
@@ -41,7 +41,7 @@
 }
 
 /// A process that is to be connected to now.
-pub(crate) struct DueDial {
+pub(crate) struct NewAttempt {
     pub(crate) connection: ConnectionId,
     pub(crate) name: String,
     pub(crate) address: SocketAddr,
@@ -132,7 +132,7 @@
         self.selection.mode
     }
 
-    /// When [`Dialer::due`] has something to dial.
+    /// When [`Dialer::start_attempts`] has something to dial.
     pub(crate) fn wake_at(&self) -> TenthMillis {
         self.targets
             .iter()
@@ -143,12 +143,12 @@
     }
 
     /// Those to be dialled now; `next_connection` numbers their connections.
-    pub(crate) fn due(
+    pub(crate) fn start_attempts(
         &mut self,
         now: TenthMillis,
         mut next_connection: impl FnMut() -> ConnectionId,
-    ) -> Vec<DueDial> {
-        let mut due = Vec::new();
+    ) -> Vec<NewAttempt> {
+        let mut attempts = Vec::new();
         for (name, target) in &mut self.targets {
             let is_idle = target.attempt.is_none() && target.next_attempt_at <= now;
             if !is_idle || !self.selection.includes(name) {
@@ -159,13 +159,13 @@
                 connection,
                 started_at: now,
             });
-            due.push(DueDial {
+            attempts.push(NewAttempt {
                 connection,
                 name: name.clone(),
                 address: target.address,
             });
         }
-        due
+        attempts
     }
 
     /// A connection could not be made, or has ended.
--- a/crates/linenthread-fleet/src/fleet/connection.rs
+++ b/crates/linenthread-fleet/src/fleet/connection.rs
@@ -49,8 +49,8 @@
     pub(super) result: Result<(), RecordError>,
 }
 
-/// What falls due on a connection.
-pub(super) enum Due {
+/// What has to be done on a connection whose time has come.
+pub(super) enum Timer {
     Ping,
     /// It has timed out, for this reason.
     Close(&'static str),
@@ -80,18 +80,18 @@
         }
     }
 
-    pub(super) fn due(&self, now: TenthMillis) -> Option<Due> {
+    pub(super) fn expired_timer(&self, now: TenthMillis) -> Option<Timer> {
         match self.phase {
             Phase::Established(_) if now >= self.received_at + RECEIVE_TIMEOUT => {
-                Some(Due::Close("it is silent"))
+                Some(Timer::Close("it is silent"))
             }
-            Phase::Established(_) if now >= self.pinged_at + PING_INTERVAL => Some(Due::Ping),
+            Phase::Established(_) if now >= self.pinged_at + PING_INTERVAL => Some(Timer::Ping),
             Phase::Established(_) | Phase::Closing => None,
             Phase::AwaitingChallenge { .. }
             | Phase::AwaitingWelcome { .. }
             | Phase::AwaitingHello { .. } => {
                 let has_timed_out = now >= self.opened_at + HANDSHAKE_TIMEOUT;
-                has_timed_out.then_some(Due::Close("it does not prove itself"))
+                has_timed_out.then_some(Timer::Close("it does not prove itself"))
             }
         }
     }
--- a/crates/linenthread-fleet/src/fleet/connections.rs
+++ b/crates/linenthread-fleet/src/fleet/connections.rs
@@ -3,7 +3,7 @@
 use linenthread_core::interface::TenthMillis;
 use linenthread_store::Files;
 
-use super::connection::{Connection, Due, Phase};
+use super::connection::{Connection, Phase, Timer};
 use super::{Fleet, FleetAction};
 use crate::event::ConnectionEvent;
 use crate::frame::{Frame, VERSION};
@@ -15,20 +15,24 @@
 const MAX_REASON_CHARS: usize = 160;
 
 /// A frame of another kind was expected. It goes to the peer in [`Frame::Refuse`]: it is wire format.
-pub(super) const OUT_OF_TURN: &str = "a frame came out of its turn";
+pub(super) const UNEXPECTED_FRAME: &str = "a frame came out of its turn";
 
 impl<F: Files> Fleet<F> {
     /// Dials whom it is time to dial.
-    pub(super) fn dial_due(&mut self, now: TenthMillis, actions: &mut Vec<FleetAction>) {
+    pub(super) fn start_connection_attempts(
+        &mut self,
+        now: TenthMillis,
+        actions: &mut Vec<FleetAction>,
+    ) {
         let last_connection = &mut self.last_connection;
-        let due = self.dialer.due(now, || next_id(last_connection));
-        for dial in due {
-            let phase = Phase::AwaitingChallenge { peer: dial.name };
+        let attempts = self.dialer.start_attempts(now, || next_id(last_connection));
+        for attempt in attempts {
+            let phase = Phase::AwaitingChallenge { peer: attempt.name };
             let connection = Connection::new(phase, now);
-            self.connections.insert(dial.connection, connection);
+            self.connections.insert(attempt.connection, connection);
             actions.push(FleetAction::Dial {
-                connection: dial.connection,
-                address: dial.address,
+                connection: attempt.connection,
+                address: attempt.address,
             });
         }
     }
@@ -105,10 +109,10 @@
     pub(super) fn check_connections(&mut self, now: TenthMillis, actions: &mut Vec<FleetAction>) {
         let mut timed_out = Vec::new();
         for (&id, connection) in &mut self.connections {
-            match connection.due(now) {
+            match connection.expired_timer(now) {
                 None => {}
-                Some(Due::Close(reason)) => timed_out.push((id, reason)),
-                Some(Due::Ping) => {
+                Some(Timer::Close(reason)) => timed_out.push((id, reason)),
+                Some(Timer::Ping) => {
                     connection.on_ping_sent(now);
                     let number = now.cast_unsigned();
                     write(id, &Frame::Ping { number }, actions);
--- a/crates/linenthread-fleet/src/fleet/handshake.rs
+++ b/crates/linenthread-fleet/src/fleet/handshake.rs
@@ -10,7 +10,7 @@
 use linenthread_store::Files;
 
 use super::connection::{Peer, Phase};
-use super::connections::{OUT_OF_TURN, write};
+use super::connections::{UNEXPECTED_FRAME, write};
 use super::{Fleet, FleetAction};
 use crate::event::ConnectionEvent;
 use crate::frame::{Frame, Hello, Role, VERSION};
@@ -87,7 +87,7 @@
                 let (peer, nonce) = (peer.clone(), *nonce);
                 self.on_welcome(id, peer, &nonce, &proof, actions);
             }
-            _ => self.refuse(id, OUT_OF_TURN, actions),
+            _ => self.refuse(id, UNEXPECTED_FRAME, actions),
         }
     }
 
--- a/crates/linenthread-fleet/src/fleet/mod.rs
+++ b/crates/linenthread-fleet/src/fleet/mod.rs
@@ -218,7 +218,7 @@
         let mut requested = Vec::new();
         self.members.wake(now, &mut requested);
         actions.extend(requested.into_iter().map(member_action));
-        self.dial_due(now, actions);
+        self.start_connection_attempts(now, actions);
         self.check_connections(now, actions);
     }
 
--- a/crates/linenthread-fleet/src/fleet/replication.rs
+++ b/crates/linenthread-fleet/src/fleet/replication.rs
@@ -5,7 +5,7 @@
 use snafu::OptionExt;
 
 use super::connection::Peer;
-use super::connections::{OUT_OF_TURN, write};
+use super::connections::{UNEXPECTED_FRAME, write};
 use super::{Fleet, FleetAction};
 use crate::dialer::DialMode;
 use crate::error::{NotVoterSnafu, ProposeError};
@@ -41,7 +41,7 @@
                 from: peer.name.clone(),
                 bytes,
             }),
-            _ => self.refuse(id, OUT_OF_TURN, actions),
+            _ => self.refuse(id, UNEXPECTED_FRAME, actions),
         }
     }
 
--- a/crates/linenthread-fleet/src/members/codec.rs
+++ b/crates/linenthread-fleet/src/members/codec.rs
@@ -60,7 +60,7 @@
 }
 
 /// Decodes one item off the buffer's front.
-fn take<T>(
+fn decode_item<T>(
     mut buffer: impl Buf,
     decode: impl FnOnce(&mut Decoder) -> Result<T, RecordError>,
 ) -> Result<T, CodecError> {
@@ -73,7 +73,7 @@
 }
 
 /// Appends an item, where the datagram has space for it.
-fn put(mut buffer: impl BufMut, item: Encoder) -> Result<(), CodecError> {
+fn encode_item(mut buffer: impl BufMut, item: Encoder) -> Result<(), CodecError> {
     let bytes = item.into_bytes();
     ensure!(buffer.remaining_mut() >= bytes.len(), DatagramFullSnafu);
     buffer.put_slice(&bytes);
@@ -156,11 +156,11 @@
         encoder.u16(header.src_incarnation);
         header.dst.encode(&mut encoder);
         encode_message(&header.message, &mut encoder);
-        put(buffer, encoder)
+        encode_item(buffer, encoder)
     }
 
     fn decode_header(&mut self, buffer: impl Buf) -> Result<Header<NodeIdentity>, CodecError> {
-        take(buffer, |decoder| {
+        decode_item(buffer, |decoder| {
             let header = Header {
                 src: NodeIdentity::decode(decoder)?,
                 src_incarnation: decoder.u16()?,
@@ -185,14 +185,14 @@
             State::Suspect => state::SUSPECT,
             State::Down => state::DOWN,
         });
-        put(buffer, encoder)
+        encode_item(buffer, encoder)
     }
 
     fn decode_member(
         &mut self,
         buffer: impl Buf,
     ) -> Result<foca::Member<NodeIdentity>, CodecError> {
-        take(buffer, |decoder| {
+        decode_item(buffer, |decoder| {
             let identity = NodeIdentity::decode(decoder)?;
             let incarnation = decoder.u16()?;
             let state = match decoder.u8()? {
--- a/crates/linenthread-fleet/src/voter/inputs.rs
+++ b/crates/linenthread-fleet/src/voter/inputs.rs
@@ -50,7 +50,7 @@
     /// it has received nothing from its quorum meanwhile.
     pub fn wake(&mut self, now: TenthMillis, actions: &mut Vec<VoterAction>) {
         self.run_clock(now, actions);
-        if !self.is_settled() && now >= self.progress_sent_at + PROGRESS_INTERVAL {
+        if !self.has_exchanged_progress() && now >= self.progress_sent_at + PROGRESS_INTERVAL {
             self.send_progress(now, actions);
         }
         self.advance_stage(now, actions);
@@ -60,7 +60,7 @@
     }
 
     /// Whether it takes part and every other voter has reported: nothing changes that it would have to report.
-    fn is_settled(&self) -> bool {
+    fn has_exchanged_progress(&self) -> bool {
         let others = self.config.others().count();
         matches!(self.state, State::Active(_)) && self.peers.len() == others
     }
--- a/crates/linenthread-fleet/src/voter/ready.rs
+++ b/crates/linenthread-fleet/src/voter/ready.rs
@@ -26,7 +26,7 @@
                 return self.stop(cause, actions);
             }
         }
-        self.note_leadership(actions);
+        self.update_leadership(actions);
     }
 
     /// Handles one batch of Raft's requests in the order that its library requires: persist, then advance; only then
@@ -118,7 +118,7 @@
     }
 
     /// Notes whether this process has begun or ceased to lead.
-    fn note_leadership(&mut self, actions: &mut Vec<VoterAction>) {
+    fn update_leadership(&mut self, actions: &mut Vec<VoterAction>) {
         let is_leader = self.has_leader_role();
         if is_leader == self.was_leader {
             return;
