--- a/crates/linenthread-zones/src/config.rs
+++ b/crates/linenthread-zones/src/config.rs
@@ -9,9 +9,9 @@
     /// The share of a zone's capacity that may be used, for its own clients and for those that are moved there.
     pub capacity_margin: f64,
     /// How long a zone is ejected for the first time; each further time is twice as long.
-    pub hold: TenthMillis,
+    pub ejection_time: TenthMillis,
     /// How long it is ejected at most.
-    pub max_hold: TenthMillis,
+    pub max_ejection_time: TenthMillis,
     /// How long each step of a return takes: no less than a replica that starts cold needs to warm up.
     pub return_step: TenthMillis,
 }
@@ -26,26 +26,32 @@
         margin: f64,
     },
     /// A zone that is ejected would return at once, or a step of its return would last no time.
-    #[snafu(display("a hold and a step of a return must be longer than 0"))]
-    NoHold,
-    /// The longest hold is shorter than the first.
-    #[snafu(display("the longest hold is shorter than the first"))]
-    MaxHoldTooShort,
+    #[snafu(display("an ejection and a step of a return must be longer than 0"))]
+    NoDuration,
+    /// The longest ejection is shorter than the first.
+    #[snafu(display("the longest ejection is shorter than the first"))]
+    MaxEjectionTooShort,
 }
 
 impl FailoverConfig {
     /// Checks that the values can be right together.
     ///
     /// # Errors
-    /// The margin is no share, a time is not positive, or the longest hold is shorter than the first.
+    /// The margin is no share, a time is not positive, or the longest ejection is shorter than the first.
     pub fn validate(&self) -> Result<(), ConfigError> {
         let margin = self.capacity_margin;
         ensure!(
             margin > 0.0 && margin <= 1.0,
             CapacityMarginSnafu { margin }
         );
-        ensure!(self.hold > 0 && self.return_step > 0, NoHoldSnafu);
-        ensure!(self.max_hold >= self.hold, MaxHoldTooShortSnafu);
+        ensure!(
+            self.ejection_time > 0 && self.return_step > 0,
+            NoDurationSnafu
+        );
+        ensure!(
+            self.max_ejection_time >= self.ejection_time,
+            MaxEjectionTooShortSnafu
+        );
         Ok(())
     }
 }
--- a/crates/linenthread-zones/src/controller/mod.rs
+++ b/crates/linenthread-zones/src/controller/mod.rs
@@ -3,8 +3,8 @@
 //! | a zone is | effect on the routes there | next state when |
 //! | --- | --- | --- |
 //! | healthy | open | a majority of those who see it finds it down in two consecutive evaluations: ejected. It finds it slow: slow |
-//! | slow | open as far as its capacity at its present latency goes | it is not found slow for a hold: healthy |
-//! | ejected | closed | its hold has passed: returning. A hold is twice the one before, up to a maximum |
+//! | slow | open as far as its capacity at its present latency goes | it is not found slow for the first ejection time: healthy |
+//! | ejected | closed | its ejection time has passed: returning. That is twice the one before, up to a maximum |
 //! | returning | open to 5, 15, 40 keys of a hundred, for the time of a step each | all steps are done: healthy. Found down: ejected |
 //! | drained | closed by an operator | the operator ends it: returning |
 //!
@@ -60,7 +60,7 @@
 }
 
 impl FailoverController {
-    /// Takes over from a former leader: what its last table had ejected is ejected for a hold from now on, and what
+    /// Takes over from a former leader: what its last table had ejected is ejected for the first ejection time from now on, and what
     /// was returning goes on from its step.
     ///
     /// # Errors
--- a/crates/linenthread-zones/src/controller/restoration.rs
+++ b/crates/linenthread-zones/src/controller/restoration.rs
@@ -36,7 +36,7 @@
 fn restored_health(route: Route, now: TenthMillis, config: &FailoverConfig) -> Health {
     let state = match route.reason {
         Reason::ZoneDown | Reason::Partitioned => State::Ejected {
-            until: now + config.hold,
+            until: now + config.ejection_time,
         },
         Reason::Drained => State::Drained,
         Reason::Returning => {
--- a/crates/linenthread-zones/src/health.rs
+++ b/crates/linenthread-zones/src/health.rs
@@ -9,7 +9,7 @@
 pub(crate) const CONFIRMATIONS: u32 = 2;
 /// The share of keys, in thousandths, that a returning zone gets, step by step.
 pub(crate) const RETURN_SHARES: [u16; 3] = [50, 150, 400];
-/// A hold is doubled so often at most.
+/// The time of an ejection is doubled so often at most.
 const MAX_DOUBLINGS: u32 = 16;
 
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -18,7 +18,7 @@
     Healthy,
     /// Open as far as its capacity at its present latency goes.
     Slow { until: TenthMillis },
-    /// Closed for a hold, whatever is observed meanwhile: little goes there that could show anything.
+    /// Closed for some time, whatever is observed meanwhile: little goes there that could show anything.
     Ejected { until: TenthMillis },
     /// Open to a few keys, then to more.
     Returning {
@@ -99,11 +99,11 @@
     }
 
     fn eject(&mut self, now: TenthMillis, config: &FailoverConfig) {
-        let hold = config.hold << self.ejections.min(MAX_DOUBLINGS);
+        let ejection_time = config.ejection_time << self.ejections.min(MAX_DOUBLINGS);
         self.ejections += 1;
         self.down_count = 0;
         self.state = State::Ejected {
-            until: now + hold.min(config.max_hold),
+            until: now + ejection_time.min(config.max_ejection_time),
         };
     }
 
@@ -114,7 +114,9 @@
             State::Healthy | State::Slow { .. } if self.down_count >= CONFIRMATIONS => {
                 self.eject(now, config);
             }
-            State::Healthy if self.ejections > 0 && now - self.healthy_since >= config.max_hold => {
+            State::Healthy
+                if self.ejections > 0 && now - self.healthy_since >= config.max_ejection_time =>
+            {
                 self.ejections -= 1;
                 self.healthy_since = now;
             }
@@ -150,7 +152,7 @@
         self.slow_count = if is_slow { self.slow_count + 1 } else { 0 };
         if self.slow_count >= CONFIRMATIONS && self.state.is_serving() {
             self.state = State::Slow {
-                until: now + config.hold,
+                until: now + config.ejection_time,
             };
         } else if matches!(self.state, State::Slow { until } if now >= until) {
             self.state = State::Healthy;
--- a/crates/linenthread-zones/src/lib.rs
+++ b/crates/linenthread-zones/src/lib.rs
@@ -12,7 +12,7 @@
 //! | a coordinator counts outcomes, and has an opinion of the zone | `observer` |
 //! | opinions of all coordinators are added up on their way to the leader | `report` |
 //! | majorities find the zone down, or a pair of zones partitioned | `controller/evidence.rs` |
-//! | found so in two consecutive evaluations, it is ejected for a hold | `health` |
+//! | found so in two consecutive evaluations, it is ejected for some time | `health` |
 //! | its routes close, and those to other zones are narrowed to their capacity | `controller/routes.rs`, `load` |
 //! | the table is proposed, unless it only opens routes and the budget for that is spent | `controller/adoption.rs` |
 //!
--- a/crates/linenthread-zones/tests/config.rs
+++ b/crates/linenthread-zones/tests/config.rs
@@ -5,8 +5,8 @@
 fn config() -> FailoverConfig {
     FailoverConfig {
         capacity_margin: 0.8,
-        hold: 50_000,
-        max_hold: 600_000,
+        ejection_time: 50_000,
+        max_ejection_time: 600_000,
         return_step: 30_000,
     }
 }
@@ -31,20 +31,20 @@
     };
     assert!(unknown.validate().is_err());
     let no_hold = FailoverConfig {
-        hold: 0,
+        ejection_time: 0,
         ..config()
     };
-    assert_eq!(no_hold.validate(), Err(ConfigError::NoHold));
+    assert_eq!(no_hold.validate(), Err(ConfigError::NoDuration));
     let no_step = FailoverConfig {
         return_step: 0,
         ..config()
     };
-    assert_eq!(no_step.validate(), Err(ConfigError::NoHold));
+    assert_eq!(no_step.validate(), Err(ConfigError::NoDuration));
     let short = FailoverConfig {
-        max_hold: 49_999,
+        max_ejection_time: 49_999,
         ..config()
     };
-    assert_eq!(short.validate(), Err(ConfigError::MaxHoldTooShort));
+    assert_eq!(short.validate(), Err(ConfigError::MaxEjectionTooShort));
     assert!(FailoverController::new(short, Vec::new(), None, 0).is_err());
 }
 
--- a/crates/linenthread-zones/tests/failover.rs
+++ b/crates/linenthread-zones/tests/failover.rs
@@ -8,7 +8,7 @@
 const ZONES: usize = 3;
 /// Coordinators in each zone.
 const COORDINATORS: u32 = 3;
-const HOLD: i64 = 5 * EVALUATION_INTERVAL;
+const EJECTION_TIME: i64 = 5 * EVALUATION_INTERVAL;
 const RETURN_STEP: i64 = 2 * EVALUATION_INTERVAL;
 
 fn topology() -> Topology {
@@ -30,8 +30,8 @@
 fn controller(former: Option<&RoutingTable>, now: i64) -> FailoverController {
     let config = FailoverConfig {
         capacity_margin: 0.8,
-        hold: HOLD,
-        max_hold: 10 * HOLD,
+        ejection_time: EJECTION_TIME,
+        max_ejection_time: 10 * EJECTION_TIME,
         return_step: RETURN_STEP,
     };
     let controller = FailoverController::new(config, topology().zones, former, now);
@@ -125,10 +125,10 @@
     assert_eq!(
         opened,
         [
-            (HOLD, 50),
-            (HOLD + RETURN_STEP, 150),
-            (HOLD + 2 * RETURN_STEP, 400),
-            (HOLD + 3 * RETURN_STEP, ALL_KEYS),
+            (EJECTION_TIME, 50),
+            (EJECTION_TIME + RETURN_STEP, 150),
+            (EJECTION_TIME + 2 * RETURN_STEP, 400),
+            (EJECTION_TIME + 3 * RETURN_STEP, ALL_KEYS),
         ]
     );
 }
@@ -160,7 +160,7 @@
     });
     assert_eq!(
         first,
-        Some((HOLD, 50)),
-        "it is ejected for a hold from then on"
+        Some((EJECTION_TIME, 50)),
+        "it is ejected anew from then on"
     );
 }
