--- a/crates/linenthread-service/src/fleet/zone_decisions.rs
+++ b/crates/linenthread-service/src/fleet/zone_decisions.rs
@@ -21,8 +21,8 @@
 fn failover_config(zones: &file::Zones) -> FailoverConfig {
     FailoverConfig {
         capacity_margin: f64::from(zones.max_utilization) / 1_000.0,
-        hold: tenth_millis(zones.min_evacuation),
-        max_hold: tenth_millis(zones.max_evacuation),
+        ejection_time: tenth_millis(zones.min_evacuation),
+        max_ejection_time: tenth_millis(zones.max_evacuation),
         return_step: tenth_millis(zones.return_step),
     }
 }
--- a/crates/linenthread-simulation/src/failover_simulation/routing.rs
+++ b/crates/linenthread-simulation/src/failover_simulation/routing.rs
@@ -33,8 +33,8 @@
 pub(super) fn config() -> FailoverConfig {
     FailoverConfig {
         capacity_margin: 0.8,
-        hold: 5 * SECOND,
-        max_hold: 60 * SECOND,
+        ejection_time: 5 * SECOND,
+        max_ejection_time: 60 * SECOND,
         return_step: 3 * SECOND,
     }
 }
--- a/crates/linenthread-simulation/src/zones_simulation/world.rs
+++ b/crates/linenthread-simulation/src/zones_simulation/world.rs
@@ -65,8 +65,8 @@
 fn config() -> FailoverConfig {
     FailoverConfig {
         capacity_margin: 0.8,
-        hold: 5 * SECOND,
-        max_hold: 60 * SECOND,
+        ejection_time: 5 * SECOND,
+        max_ejection_time: 60 * SECOND,
         return_step: 3 * SECOND,
     }
 }
@@ -295,7 +295,7 @@
         drain_accepted
     }
 
-    /// After the fault: after the longest hold and all steps, with some time for noise, all is open.
+    /// After the fault: after the longest ejection and all steps, with some time for noise, all is open.
     fn run_recovery(&mut self) {
         self.fault_is_active = false;
         self.drained.clear();
@@ -303,7 +303,7 @@
             return;
         }
         let config = config();
-        let recovery = 2 * (config.max_hold + 6 * config.return_step) + 20 * SECOND;
+        let recovery = 2 * (config.max_ejection_time + 6 * config.return_step) + 20 * SECOND;
         let end = self.now + recovery;
         while self.now < end && !self.is_open() {
             self.step();
