--- a/crates/linenthread-zones/src/controller/mod.rs
+++ b/crates/linenthread-zones/src/controller/mod.rs
@@ -60,8 +60,8 @@
 }
 
 impl FailoverController {
-    /// Takes over from a former leader: what its last table had ejected is ejected for the first ejection time from now on, and what
-    /// was returning goes on from its step.
+    /// Takes over from a former leader: what its last table had ejected is ejected for the first ejection time from
+    /// now on, and what was returning goes on from its step.
     ///
     /// # Errors
     /// The configuration is invalid.
