--- a/crates/linenthread-control/src/control_node/contact.rs
+++ b/crates/linenthread-control/src/control_node/contact.rs
@@ -38,7 +38,7 @@
         self.complete_drains(now, effects);
         self.drive_register(
             now,
-            |register, actions| register.tick(now, actions),
+            |register, register_effects| register.tick(now, register_effects),
             effects,
         );
     }
--- a/crates/linenthread-control/src/control_node/ingress_updates.rs
+++ b/crates/linenthread-control/src/control_node/ingress_updates.rs
@@ -31,8 +31,8 @@
         let deadline = now + CALL_TIMEOUT;
         self.drive_register(
             now,
-            |register, actions| {
-                register.read(now, job, deadline, actions);
+            |register, register_effects| {
+                register.read(now, job, deadline, register_effects);
             },
             effects,
         );
--- a/crates/linenthread-control/src/control_node/leader_lease.rs
+++ b/crates/linenthread-control/src/control_node/leader_lease.rs
@@ -65,7 +65,7 @@
         let epoch = self.lease.epoch();
         if self.durability.holds_epoch(epoch) {
             self.send_to_node(from, vote, effects);
-            self.drive_register(now, |_, _| {}, effects);
+            self.deliver_loopback(now, effects);
         } else {
             let record = Record {
                 epoch: epoch.get(),
@@ -134,6 +134,6 @@
                 effects,
             );
         }
-        self.drive_register(now, |_, _| {}, effects);
+        self.deliver_loopback(now, effects);
     }
 }
--- a/crates/linenthread-control/src/control_node/register_driver.rs
+++ b/crates/linenthread-control/src/control_node/register_driver.rs
@@ -22,7 +22,7 @@
         for DeferredMessage { to, message } in messages {
             self.send_to_node(to, message, effects);
         }
-        self.drive_register(now, |_, _| {}, effects);
+        self.deliver_loopback(now, effects);
     }
 
     /// Sends a message to the node of an id, which may be this one. It is lost if there is no session with it.
@@ -65,22 +65,27 @@
         first: impl FnOnce(&mut Register, &mut Vec<RegisterEffect>),
         effects: &mut Vec<Effect>,
     ) {
-        let mut actions = Vec::new();
-        first(&mut self.register, &mut actions);
+        let mut register_effects = Vec::new();
+        first(&mut self.register, &mut register_effects);
         loop {
-            for action in std::mem::take(&mut actions) {
-                self.carry_out(now, action, effects);
+            for effect in std::mem::take(&mut register_effects) {
+                self.carry_out(now, effect, effects);
             }
             let Some(message) = self.loopback.pop_front() else {
                 break;
             };
-            self.on_loopback_message(now, message, &mut actions, effects);
+            self.on_loopback_message(now, message, &mut register_effects, effects);
         }
         self.announce_durability(now, effects);
     }
 
-    fn carry_out(&mut self, now: Instant, action: RegisterEffect, effects: &mut Vec<Effect>) {
-        match action {
+    /// Delivers the messages of this node to itself.
+    pub(super) fn deliver_loopback(&mut self, now: Instant, effects: &mut Vec<Effect>) {
+        self.drive_register(now, |_, _| {}, effects);
+    }
+
+    fn carry_out(&mut self, now: Instant, effect: RegisterEffect, effects: &mut Vec<Effect>) {
+        match effect {
             RegisterEffect::Send { to, message } => self.send_to_node(to, message, effects),
             RegisterEffect::Persist { record, after_sync } => {
                 effects.push(Effect::Persist { record, after_sync });
@@ -94,7 +99,7 @@
         &mut self,
         now: Instant,
         message: PeerMessage,
-        actions: &mut Vec<RegisterEffect>,
+        register_effects: &mut Vec<RegisterEffect>,
         effects: &mut Vec<Effect>,
     ) {
         let own_id = self.register.id();
@@ -104,7 +109,9 @@
             PeerMessage::DurableProgress(progress) => {
                 self.durability.on_epoch_synced(Epoch::new(progress.epoch));
             }
-            message => self.register.on_message(now, own_id, message, actions),
+            message => self
+                .register
+                .on_message(now, own_id, message, register_effects),
         }
     }
 
@@ -177,9 +184,9 @@
     pub(super) fn complete_undecided(&mut self, now: Instant, effects: &mut Vec<Effect>) {
         self.drive_register(
             now,
-            |register, actions| {
+            |register, register_effects| {
                 register.complete_undecided();
-                register.tick(now, actions);
+                register.tick(now, register_effects);
             },
             effects,
         );
--- a/crates/linenthread-control/src/control_node/sessions.rs
+++ b/crates/linenthread-control/src/control_node/sessions.rs
@@ -189,7 +189,9 @@
         }
         self.drive_register(
             now,
-            |register, actions| register.on_message(now, node_id, message, actions),
+            |register, register_effects| {
+                register.on_message(now, node_id, message, register_effects)
+            },
             effects,
         );
     }
--- a/crates/linenthread-control/src/control_node/ticks.rs
+++ b/crates/linenthread-control/src/control_node/ticks.rs
@@ -16,18 +16,19 @@
 impl ControlNode {
     /// When [`ControlNode::tick`] is due at the latest.
     pub fn next_tick_at(&self, now: Instant) -> Instant {
-        let waits =
+        let awaits_messages =
             self.is_shutting_down() || self.register.is_busy() || !self.pending_drains.is_empty();
-        self.ticks.next_run_at(waits || self.is_discovering(now))
+        self.ticks
+            .next_tick_at(awaits_messages || self.is_discovering(now))
     }
 
     /// Does all that is due by time.
     pub fn tick(&mut self, now: Instant, effects: &mut Vec<Effect>) {
         self.detect_pause(now, effects);
-        self.ticks.start_run(now);
+        self.ticks.on_tick(now);
         self.drive_register(
             now,
-            |register, actions| register.tick(now, actions),
+            |register, register_effects| register.tick(now, register_effects),
             effects,
         );
         self.complete_drains(now, effects);
@@ -35,12 +36,12 @@
         if self.is_discovering(now) {
             self.dial(now, effects);
         }
-        if !self.ticks.start_batch(now) {
+        if !self.ticks.begin_upkeep(now) {
             return;
         }
-        self.batch(now, effects);
-        if self.ticks.start_full_tick(now) {
-            self.full_tick(now, effects);
+        self.upkeep(now, effects);
+        if self.ticks.begin_heartbeat(now) {
+            self.heartbeat_tick(now, effects);
         }
     }
 
@@ -49,7 +50,8 @@
         self.contact.is_starting(now) && !self.has_quorum(now)
     }
 
-    fn batch(&mut self, now: Instant, effects: &mut Vec<Effect>) {
+    /// Ends what has timed out, dials, and passes on what has changed since the last time.
+    fn upkeep(&mut self, now: Instant, effects: &mut Vec<Effect>) {
         let timed_out = self
             .membership
             .timed_out(now)
@@ -95,7 +97,8 @@
         }));
     }
 
-    fn full_tick(&mut self, now: Instant, effects: &mut Vec<Effect>) {
+    /// Sends heartbeats, and does what rests on those that were received: the lease, quota grants, voters.
+    fn heartbeat_tick(&mut self, now: Instant, effects: &mut Vec<Effect>) {
         self.send_heartbeats(now, effects);
         self.send_ingress_sessions(effects);
         let registry = &self.registry;
@@ -115,11 +118,11 @@
         }
     }
 
-    /// A value that is still undecided at the second full tick in a row is completed: no vote for a lease is cast
+    /// A value that is still undecided at the second heartbeat tick in a row is completed: no vote for a lease is cast
     /// meanwhile.
     fn complete_lasting_undecided(&mut self, now: Instant, effects: &mut Vec<Effect>) {
         let has_undecided = self.register.has_undecided();
-        if self.voting.on_full_tick(has_undecided) {
+        if self.voting.on_heartbeat_tick(has_undecided) {
             self.complete_undecided(now, effects);
         }
     }
--- a/crates/linenthread-control/src/control_node/voters.rs
+++ b/crates/linenthread-control/src/control_node/voters.rs
@@ -46,8 +46,8 @@
         let deadline = now + VOTER_CHANGE_TIMEOUT_CALLS * CALL_TIMEOUT;
         self.drive_register(
             now,
-            |register, actions| {
-                register.propose(now, job, change, deadline, actions);
+            |register, register_effects| {
+                register.propose(now, job, change, deadline, register_effects);
             },
             effects,
         );
--- a/crates/linenthread-control/src/membership.rs
+++ b/crates/linenthread-control/src/membership.rs
@@ -8,7 +8,7 @@
 
 use crate::SessionId;
 use crate::control_peer::{ControlPeer, HeartbeatDemand};
-use crate::timing::{SESSION_TIMEOUT, TICK_INTERVAL};
+use crate::timing::{PEER_HEARTBEAT_INTERVAL, SESSION_TIMEOUT};
 
 /// Which node was last in contact at an address, and when.
 pub(crate) struct LastContact {
@@ -107,7 +107,7 @@
         if peer.in_contact(now) {
             self.note_contact(
                 &peer.hello().control_address,
-                now.min(peer.last_received_at() + TICK_INTERVAL),
+                now.min(peer.last_received_at() + PEER_HEARTBEAT_INTERVAL),
             );
         }
         Some(peer)
--- a/crates/linenthread-control/src/timing.rs
+++ b/crates/linenthread-control/src/timing.rs
@@ -2,8 +2,9 @@
 
 use std::time::Duration;
 
-/// How often heartbeats are sent, at least, in both directions of a session.
-pub(crate) const TICK_INTERVAL: Duration = Duration::from_millis(500);
+/// How often heartbeats are sent, at least, in both directions of a session between nodes. How often replicas send
+/// theirs is a setting.
+pub(crate) const PEER_HEARTBEAT_INTERVAL: Duration = Duration::from_millis(500);
 
 /// A session on which nothing was received for so long has ended.
 pub(crate) const SESSION_TIMEOUT: Duration = Duration::from_millis(1_600);
@@ -21,8 +22,8 @@
 /// How often anything that waits for messages which may be lost is looked at again.
 pub(crate) const RETRY_INTERVAL: Duration = Duration::from_millis(25);
 
-/// Changed replicas are sent to the other control nodes in batches, this often.
-pub(crate) const BATCH_INTERVAL: Duration = Duration::from_millis(200);
+/// How often sessions and replicas are examined for time-outs, and changed replicas are sent to the other control nodes.
+pub(crate) const UPKEEP_INTERVAL: Duration = Duration::from_millis(200);
 
 /// For so long from its start a node waits for the others to be found before it rejects calls.
 pub(crate) const STARTUP_GRACE: Duration = Duration::from_millis(3_000);
--- a/crates/linenthread-control/src/voting_state.rs
+++ b/crates/linenthread-control/src/voting_state.rs
@@ -1,6 +1,6 @@
 //! What a control node remembers of its part in the votes from one look to the next.
 
-/// A value must be undecided at so many full ticks in a row before this node completes it.
+/// A value must be undecided at so many heartbeat ticks in a row before this node completes it.
 const MAX_UNDECIDED_TICKS: u32 = 2;
 
 /// This node's part in the votes.
@@ -8,7 +8,7 @@
 pub(crate) struct VotingState {
     /// This node is one of the voters of the value that it learned last.
     is_voter: bool,
-    /// At how many full ticks in a row a value was undecided.
+    /// At how many heartbeat ticks in a row a value was undecided.
     undecided_ticks: u32,
 }
 
@@ -18,8 +18,8 @@
         std::mem::replace(&mut self.is_voter, is_voter)
     }
 
-    /// Takes in whether a value is undecided at a full tick; whether it has been for too long.
-    pub(crate) fn on_full_tick(&mut self, has_undecided: bool) -> bool {
+    /// Takes in whether a value is undecided at a heartbeat tick; whether it has been for too long.
+    pub(crate) fn on_heartbeat_tick(&mut self, has_undecided: bool) -> bool {
         self.undecided_ticks = if has_undecided {
             self.undecided_ticks + 1
         } else {
