--- a/crates/linenthread-checker/src/lease/state.rs
+++ b/crates/linenthread-checker/src/lease/state.rs
@@ -106,7 +106,7 @@
     Incarnation::new(count * 10 + NodeId::from(node).0)
 }
 
-fn is_majority(voters: Vec<NodeId>) -> bool {
+fn is_majority(voters: &BTreeSet<NodeId>) -> bool {
     voters.len() * 2 > NODE_COUNT
 }
 
--- a/crates/linenthread-consensus/src/lease.rs
+++ b/crates/linenthread-consensus/src/lease.rs
@@ -227,15 +227,15 @@
     }
 
     /// A value with this epoch was decided: no lower epoch is granted from now on.
-    ///
-    /// A node that has become a voter anew (`is_new_voter`) does not know what the other voters granted so far. It
-    /// grants nothing while that may last, not even to the candidate that it granted the lease to when it last was a
-    /// voter: another one may have got the lease without it.
-    pub fn observe_epoch(&mut self, now: Instant, epoch: Epoch, is_new_voter: bool) {
+    pub fn observe_epoch(&mut self, epoch: Epoch) {
         self.epoch = self.epoch.max(epoch);
-        if is_new_voter {
-            self.grants_from = self.grants_from.max(now + LEASE_DURATION);
-        }
+    }
+
+    /// This node has become a voter anew, and does not know what the other voters granted so far. It grants nothing
+    /// while that may last, not even to the candidate that it granted the lease to when it last was a voter: another
+    /// one may have got the lease without it.
+    pub fn on_became_voter(&mut self, now: Instant) {
+        self.grants_from = self.grants_from.max(now + LEASE_DURATION);
     }
 
     /// Votes on a request of another node or of this one. `value_number` is the number of this node's newest value,
@@ -301,7 +301,7 @@
         from: NodeId,
         vote: &LeaseVote,
         value_number: ValueNumber,
-        is_majority: impl Fn(Vec<NodeId>) -> bool,
+        is_majority: impl Fn(&BTreeSet<NodeId>) -> bool,
     ) -> bool {
         let Some(own) = &self.request else {
             return false;
@@ -320,7 +320,7 @@
         }
         let epoch = own.epoch;
         self.granted_by.insert(from);
-        if !is_majority(self.granted_by.iter().copied().collect()) {
+        if !is_majority(&self.granted_by) {
             return false;
         }
         let is_new = self
--- a/crates/linenthread-consensus/tests/consensus/lease.rs
+++ b/crates/linenthread-consensus/tests/consensus/lease.rs
@@ -1,5 +1,7 @@
 //! Granting and holding the leader lease.
 
+use std::collections::BTreeSet;
+
 use linenthread_consensus::{Epoch, Incarnation, LeaderLease, NodeId, ValueNumber};
 use linenthread_messages::LeaseVote;
 use yare::parameterized;
@@ -12,7 +14,7 @@
 /// The value that requests are at, where it makes no difference.
 const FIRST: ValueNumber = ValueNumber::FIRST;
 
-fn is_majority(ids: Vec<NodeId>) -> bool {
+fn is_majority(ids: &BTreeSet<NodeId>) -> bool {
     ids.len() >= 2
 }
 
@@ -120,7 +122,10 @@
     granted: bool,
 ) {
     let mut lease = LeaderLease::new(INCARNATION, at(0), false, Epoch::NONE);
-    lease.observe_epoch(at(5_000), Epoch::new(4), is_new_voter);
+    lease.observe_epoch(Epoch::new(4));
+    if is_new_voter {
+        lease.on_became_voter(at(5_000));
+    }
     let request = lease_request(Incarnation::new(7), Epoch::new(4 + above), 1);
     let vote = lease.on_lease_request(at(6_900), NodeId(1), &request, value_number);
     assert_eq!(vote.granted, granted);
--- a/crates/linenthread-consensus/tests/consensus/lease_release.rs
+++ b/crates/linenthread-consensus/tests/consensus/lease_release.rs
@@ -1,5 +1,7 @@
 //! A lease holder that shuts down: it holds nothing from then on, and its voters need not wait for their grants to end.
 
+use std::collections::BTreeSet;
+
 use linenthread_consensus::{Epoch, Incarnation, LeaderLease, NodeId, ValueNumber};
 use linenthread_messages::{LeaseRelease, LeaseRequest, Value};
 use yare::parameterized;
@@ -79,7 +81,7 @@
 #[test]
 fn a_new_voter_does_not_renew_its_earlier_grant() {
     let mut voter = voter();
-    voter.observe_epoch(at(9_000), Epoch::NONE, true);
+    voter.on_became_voter(at(9_000));
     let renewal = |request_id| lease_request(INCARNATION, Epoch::new(4), request_id);
     assert!(!grants(&mut voter, 10_900, LEASE_HOLDER, &renewal(2)));
     assert!(grants(&mut voter, 11_000, LEASE_HOLDER, &renewal(3)));
@@ -108,7 +110,7 @@
 #[test]
 fn a_release_does_not_shorten_the_wait_of_a_new_voter() {
     let mut voter = voter();
-    voter.observe_epoch(at(5_050), Epoch::NONE, true);
+    voter.on_became_voter(at(5_050));
     assert!(voter.on_release(NodeId(LEASE_HOLDER), &release(INCARNATION, 3)));
     assert!(!grants(
         &mut voter,
@@ -128,7 +130,7 @@
 fn after_a_release_nothing_is_held_and_the_next_epoch_is_higher() {
     let mut lease = candidate();
     let first = lease.tick(at(0), true, FIRST).expect("a request");
-    let is_majority = |ids: Vec<NodeId>| ids.len() >= 2;
+    let is_majority = |ids: &BTreeSet<NodeId>| ids.len() >= 2;
     let vote = granted(&first);
     lease.on_lease_vote(at(1), NodeId(LEASE_HOLDER), &vote, FIRST, is_majority);
     assert!(
--- a/crates/linenthread-control/src/control_node.rs
+++ b/crates/linenthread-control/src/control_node.rs
@@ -112,8 +112,7 @@
         self.voting.set_voter(self.is_voter());
         if let Some(value) = self.register.decided() {
             self.lease.on_decided(value);
-            self.lease
-                .observe_epoch(now, Epoch::new(value.epoch), false);
+            self.lease.observe_epoch(Epoch::new(value.epoch));
         }
     }
 
--- a/crates/linenthread-control/src/control_node/leader_lease.rs
+++ b/crates/linenthread-control/src/control_node/leader_lease.rs
@@ -92,7 +92,7 @@
         let has_majority = self
             .lease
             .on_lease_vote(now, from, vote, value_number, |voters| {
-                register.is_majority(voters)
+                register.is_majority(voters.iter().copied())
             });
         if !has_majority {
             return;
--- a/crates/linenthread-control/src/control_node/register_driver.rs
+++ b/crates/linenthread-control/src/control_node/register_driver.rs
@@ -131,10 +131,12 @@
             .iter()
             .any(|voter| NodeId::from(voter) == self.register.id());
         let was_voter = self.voting.set_voter(is_voter);
-        let votes_again = is_voter && (!was_voter || self.lease.skips_voter_change(value));
+        let became_voter = is_voter && (!was_voter || self.lease.skips_voter_change(value));
         self.lease.on_decided(value);
-        self.lease
-            .observe_epoch(now, Epoch::new(value.epoch), votes_again);
+        self.lease.observe_epoch(Epoch::new(value.epoch));
+        if became_voter {
+            self.lease.on_became_voter(now);
+        }
         for session in self.membership.sessions() {
             self.send_value(session, effects);
         }
--- a/crates/linenthread-control/src/control_node/shutdown.rs
+++ b/crates/linenthread-control/src/control_node/shutdown.rs
@@ -5,7 +5,8 @@
 
 use crate::control_peer::ControlPeer;
 use crate::graceful_shutdown::{
-    PeerVoter, Presence, ShutdownBlocker, ShutdownStep, ShutdownView, next_shutdown_step,
+    LocalWork, PeerVoter, PeerWork, Presence, ShutdownBlocker, ShutdownStep, ShutdownView,
+    next_shutdown_step,
 };
 use crate::{ControlEvent, ControlNode, Effect};
 
@@ -60,24 +61,29 @@
                 .iter()
                 .map(|voter| self.peer_voter(now, voter.into(), value_number))
                 .collect(),
-            // Also one whose disk does not hold everything yet: it is about to.
-            standby: !self.standbys(now, None).is_empty(),
             min_voters: self.config.min_voters,
-            // The acknowledging heartbeat also says whether its sender shuts down, and whether it changes the voters.
-            unacknowledged: self
-                .membership
-                .contacts(now)
-                .any(|peer| !peer.has_acknowledged(self.shutdown_requested_at)),
-            reconfiguring: self.is_reconfiguring(now)
-                || self
+            local: LocalWork {
+                has_undecided_value: self.register.has_undecided(),
+                has_pending_calls: self.pending_jobs.has_calls()
+                    || self.pending_jobs.has_voter_change()
+                    || !self.pending_drains.is_empty(),
+                is_leader: self.is_leader(now),
+            },
+            peers: PeerWork {
+                // Also one whose disk does not hold everything yet: it is about to.
+                has_standby: !self.standbys(now, None).is_empty(),
+                // The acknowledging heartbeat also says whether its sender shuts down, and whether it changes the
+                // voters.
+                has_unacknowledged: self
                     .membership
                     .contacts(now)
-                    .any(ControlPeer::is_reconfiguring),
-            undecided: self.register.has_undecided(),
-            busy: self.pending_jobs.has_calls()
-                || self.pending_jobs.has_voter_change()
-                || !self.pending_drains.is_empty(),
-            is_leader: self.is_leader(now),
+                    .any(|peer| !peer.has_acknowledged(self.shutdown_requested_at)),
+                is_reconfiguring: self.is_reconfiguring(now)
+                    || self
+                        .membership
+                        .contacts(now)
+                        .any(ControlPeer::is_reconfiguring),
+            },
         })
     }
 
--- a/crates/linenthread-control/src/control_node/voters.rs
+++ b/crates/linenthread-control/src/control_node/voters.rs
@@ -6,7 +6,7 @@
 
 use crate::control_peer::ControlPeer;
 use crate::pending_jobs::JobOwner;
-use crate::reconfiguration::{VoterState, VotersView, next_voters};
+use crate::reconfiguration::{VoterContact, VoterState, VotersView, next_voters};
 use crate::timing::{CALL_TIMEOUT, VOTER_TIMEOUT};
 use crate::{ControlEvent, ControlNode, Effect};
 
@@ -108,10 +108,15 @@
         let is_gone = replaced && !self.membership.contacts(now).any(successor_joins);
         VoterState {
             voter: voter.clone(),
-            in_contact,
+            contact: if in_contact {
+                VoterContact::InContact
+            } else if is_gone || now > out_of_contact_since + VOTER_TIMEOUT {
+                VoterContact::Lost
+            } else {
+                VoterContact::OutOfContact
+            },
             replaced,
-            lost: !in_contact && (is_gone || now > out_of_contact_since + VOTER_TIMEOUT),
-            leaving: self.node_is_shutting_down(voter.into()),
+            shutting_down: self.node_is_shutting_down(voter.into()),
         }
     }
 }
--- a/crates/linenthread-control/src/graceful_shutdown.rs
+++ b/crates/linenthread-control/src/graceful_shutdown.rs
@@ -30,6 +30,28 @@
     pub presence: Presence,
 }
 
+/// What the node that shuts down has left to do itself.
+#[derive(Clone, Copy, Debug, Default)]
+pub struct LocalWork {
+    /// It accepted a value that it does not know to be decided.
+    pub has_undecided_value: bool,
+    /// Calls wait for their responses.
+    pub has_pending_calls: bool,
+    /// It holds the leader lease.
+    pub is_leader: bool,
+}
+
+/// What the node that shuts down waits for at the others.
+#[derive(Clone, Copy, Debug, Default)]
+pub struct PeerWork {
+    /// Some node may replace a voter at once.
+    pub has_standby: bool,
+    /// Some peer in contact has not yet acknowledged that the node shuts down.
+    pub has_unacknowledged: bool,
+    /// The leader is about to change the voters.
+    pub is_reconfiguring: bool,
+}
+
 /// All that the decision to exit rests on.
 #[derive(Clone, Debug)]
 pub struct ShutdownView {
@@ -37,20 +59,12 @@
     pub node_id: NodeId,
     /// In the order of the newest value.
     pub voters: Vec<PeerVoter>,
-    /// Some node may replace a voter at once.
-    pub standby: bool,
     /// A voter is removed without a successor only if more than so many vote.
     pub min_voters: usize,
-    /// Some peer in contact has not yet acknowledged that the node shuts down.
-    pub unacknowledged: bool,
-    /// The leader is about to change the voters.
-    pub reconfiguring: bool,
-    /// The node accepted a value that it does not know to be decided.
-    pub undecided: bool,
-    /// Calls wait for their responses.
-    pub busy: bool,
-    /// The node holds the leader lease.
-    pub is_leader: bool,
+    /// What the node has left to do itself.
+    pub local: LocalWork,
+    /// What it waits for at the others.
+    pub peers: PeerWork,
 }
 
 /// What a node that shuts down does next.
@@ -152,27 +166,27 @@
 
 /// Whether a node that shuts down may exit, and what it does or waits for otherwise.
 pub fn next_shutdown_step(view: &ShutdownView) -> ShutdownStep {
-    if view.undecided {
+    if view.local.has_undecided_value {
         return ShutdownStep::Wait(ShutdownBlocker::UndecidedValue);
     }
-    if view.busy {
+    if view.local.has_pending_calls {
         return ShutdownStep::Wait(ShutdownBlocker::PendingCalls);
     }
-    if view.unacknowledged {
+    if view.peers.has_unacknowledged {
         return ShutdownStep::Wait(ShutdownBlocker::Unacknowledged);
     }
-    if view.reconfiguring {
+    if view.peers.is_reconfiguring {
         return ShutdownStep::Wait(ShutdownBlocker::Reconfiguration);
     }
-    let will_be_removed =
-        view.standby || removes_leaving_voter(view.voters.len(), view.leaving(), view.min_voters);
+    let will_be_removed = view.peers.has_standby
+        || removes_leaving_voter(view.voters.len(), view.leaving(), view.min_voters);
     if will_be_removed && view.own_position().is_some() {
         return ShutdownStep::Wait(ShutdownBlocker::OwnVote);
     }
     if !view.others_hold_everything() {
         return ShutdownStep::Wait(ShutdownBlocker::TooFewCopies);
     }
-    if view.is_leader {
+    if view.local.is_leader {
         return ShutdownStep::ReleaseLease;
     }
     ShutdownStep::Exit
--- a/crates/linenthread-control/src/lib.rs
+++ b/crates/linenthread-control/src/lib.rs
@@ -62,7 +62,7 @@
     ReplicaRegistry,
 };
 pub use response::{Response, UnavailableReason};
-pub use retry_budget::RetryBudget;
+pub use retry_budget::{EarlierGrants, RetryBudget};
 pub use state_log::{OpenedState, StateLog, StateLogError};
 pub use timing::CONTACT_TIMEOUT;
 
--- a/crates/linenthread-control/src/quota_allocator.rs
+++ b/crates/linenthread-control/src/quota_allocator.rs
@@ -6,7 +6,7 @@
 use linenthread_messages::{IngressSession, QuotaGrant};
 use linenthread_time::{Instant, whole_millis};
 
-use crate::retry_budget::GRANT_LIFETIME;
+use crate::retry_budget::{EarlierGrants, GRANT_LIFETIME};
 use crate::{IngressIncarnation, RetryBudget};
 
 /// The grants under the leases that this node held.
@@ -35,7 +35,12 @@
     pub(crate) fn on_lease_acquired(&mut self, now: Instant, epoch: Epoch) {
         if self.last_epoch.map(Epoch::next) != Some(epoch) {
             let is_first_leader = self.is_genesis && epoch == Epoch::FIRST;
-            self.budget.begin(now, is_first_leader);
+            let earlier = if is_first_leader {
+                EarlierGrants::None
+            } else {
+                EarlierGrants::MayBeInUse
+            };
+            self.budget.begin(now, earlier);
         }
         self.last_epoch = Some(epoch);
         self.granted_requests.clear();
--- a/crates/linenthread-control/src/reconfiguration.rs
+++ b/crates/linenthread-control/src/reconfiguration.rs
@@ -2,19 +2,28 @@
 
 use linenthread_messages::Voter;
 
+/// Whether the leader is in contact with a voter.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum VoterContact {
+    /// Messages went back and forth lately.
+    InContact,
+    /// Out of contact for the moment.
+    OutOfContact,
+    /// Out of contact for so long that its place goes to a standby.
+    Lost,
+}
+
 /// One of the newest value's voters as the leader sees it.
 #[derive(Clone, Debug)]
 pub struct VoterState {
     /// The voter.
     pub voter: Voter,
-    /// Messages went back and forth lately.
-    pub in_contact: bool,
+    /// Whether it is in contact.
+    pub contact: VoterContact,
     /// Another node is at its address now.
     pub replaced: bool,
-    /// Out of contact for so long that its place goes to a standby.
-    pub lost: bool,
     /// It shuts down, or ended after a graceful shutdown.
-    pub leaving: bool,
+    pub shutting_down: bool,
 }
 
 /// All that the choice of the next voters rests on.
@@ -50,7 +59,10 @@
     }
 
     fn leaving(&self) -> usize {
-        self.voters.iter().filter(|state| state.leaving).count()
+        self.voters
+            .iter()
+            .filter(|state| state.shutting_down)
+            .count()
     }
 
     /// Whether one more voter makes the set safer: below the smallest set, from an even number to an odd one, or as
@@ -59,15 +71,19 @@
     fn needs_one_more(&self) -> bool {
         let count = self.voters.len();
         let helps = count < self.min_voters || count.is_multiple_of(2) || self.standbys.len() > 1;
-        helps && self.voters.iter().all(|state| state.in_contact)
+        helps
+            && self
+                .voters
+                .iter()
+                .all(|state| state.contact == VoterContact::InContact)
     }
 
     /// Position of the voter whose place is to be given away: replaced, else lost, else leaving.
     fn outgoing(&self) -> Option<usize> {
         let position = |which: &dyn Fn(&VoterState) -> bool| self.voters.iter().position(which);
         position(&|state| state.replaced && self.standby_at(&state.voter.address).is_some())
-            .or_else(|| position(&|state| state.lost))
-            .or_else(|| position(&|state| state.leaving))
+            .or_else(|| position(&|state| state.contact == VoterContact::Lost))
+            .or_else(|| position(&|state| state.shutting_down))
     }
 }
 
@@ -92,7 +108,7 @@
         next[outgoing] = standby.clone();
         return Some(next);
     }
-    let is_removed = state.lost && next.len() > view.min_voters
+    let is_removed = state.contact == VoterContact::Lost && next.len() > view.min_voters
         || removes_leaving_voter(next.len(), view.leaving(), view.min_voters);
     is_removed.then(|| {
         next.remove(outgoing);
--- a/crates/linenthread-control/src/retry_budget.rs
+++ b/crates/linenthread-control/src/retry_budget.rs
@@ -36,6 +36,15 @@
     }
 }
 
+/// Whether grants that this process did not make may be in use.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum EarlierGrants {
+    /// Nobody can have granted anything before.
+    None,
+    /// An earlier leader may have granted all of it.
+    MayBeInUse,
+}
+
 /// What the leader has granted of the retries that all ingress nodes together may make in any window. The sum of what
 /// may be in use never exceeds the allowance (rule *shares-within-the-whole*).
 pub struct RetryBudget {
@@ -57,12 +66,11 @@
         }
     }
 
-    /// The budget is this node's to grant from now on; `is_first_leader` if nobody can have granted any of it before.
-    pub fn begin(&mut self, now: Instant, is_first_leader: bool) {
-        self.available_from = if is_first_leader {
-            now
-        } else {
-            now + GRANT_LIFETIME + self.window
+    /// The budget is this node's to grant from now on.
+    pub fn begin(&mut self, now: Instant, earlier: EarlierGrants) {
+        self.available_from = match earlier {
+            EarlierGrants::None => now,
+            EarlierGrants::MayBeInUse => now + GRANT_LIFETIME + self.window,
         };
         self.grantees.clear();
     }
--- a/crates/linenthread-control/tests/retry_budget.rs
+++ b/crates/linenthread-control/tests/retry_budget.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use linenthread_control::{Incarnation, IngressIncarnation, RetryBudget};
+use linenthread_control::{EarlierGrants, Incarnation, IngressIncarnation, RetryBudget};
 use linenthread_time::Instant;
 
 fn at(millis: u64) -> Instant {
@@ -23,7 +23,7 @@
 #[test]
 fn shares_stay_within_the_allowance_as_ingress_nodes_come_and_go() {
     let mut budget = RetryBudget::new(12.0, ms(10_000));
-    budget.begin(at(0), true);
+    budget.begin(at(0), EarlierGrants::None);
     assert_eq!(budget.grant(at(0), &ingress("a", 1), 1), 6.0);
     assert_eq!(budget.grant(at(0), &ingress("b", 1), 2), 4.0);
     // All of a's larger share may be in use until its lifetime and a window have passed.
@@ -43,7 +43,7 @@
 #[test]
 fn a_new_leader_waits_until_all_earlier_grants_have_ended() {
     let mut budget = RetryBudget::new(12.0, ms(10_000));
-    budget.begin(at(1_000), false);
+    budget.begin(at(1_000), EarlierGrants::MayBeInUse);
     assert_eq!(budget.grant(at(15_999), &ingress("a", 1), 1), 0.0);
     assert_eq!(budget.grant(at(16_000), &ingress("a", 1), 1), 6.0);
 }
--- a/crates/linenthread-control/tests/voters_and_shutdown.rs
+++ b/crates/linenthread-control/tests/voters_and_shutdown.rs
@@ -2,9 +2,9 @@
 
 use linenthread_consensus::NodeId;
 use linenthread_control::graceful_shutdown::{
-    PeerVoter, Presence, ShutdownStep, ShutdownView, next_shutdown_step,
+    LocalWork, PeerVoter, PeerWork, Presence, ShutdownStep, ShutdownView, next_shutdown_step,
 };
-use linenthread_control::reconfiguration::{VoterState, VotersView, next_voters};
+use linenthread_control::reconfiguration::{VoterContact, VoterState, VotersView, next_voters};
 use linenthread_messages::Voter;
 use yare::parameterized;
 
@@ -20,9 +20,12 @@
 fn view(states: &str, standbys: &[u64], min_voters: usize) -> VotersView {
     let state = |(i, c): (usize, char)| VoterState {
         voter: voter(i as u64 + 1),
-        in_contact: !"slr".contains(c),
-        lost: c == 'l',
-        leaving: c == 'g',
+        contact: match c {
+            'l' => VoterContact::Lost,
+            's' | 'r' => VoterContact::OutOfContact,
+            _ => VoterContact::InContact,
+        },
+        shutting_down: c == 'g',
         replaced: c == 'r',
     };
     let standbys = standbys.iter().map(|id| voter(*id)).collect();
@@ -95,13 +98,9 @@
     ShutdownView {
         node_id: NodeId(own),
         voters,
-        standby: false,
         min_voters: 3,
-        unacknowledged: false,
-        reconfiguring: false,
-        undecided: false,
-        busy: false,
-        is_leader: false,
+        local: LocalWork::default(),
+        peers: PeerWork::default(),
     }
 }
 
@@ -132,13 +131,13 @@
 }
 
 #[parameterized(
-    undecided = { ShutdownView { undecided: true, ..shutdown_view(3, "+++") }, false },
-    busy = { ShutdownView { busy: true, ..shutdown_view(3, "+++") }, false },
-    a_standby_comes = { ShutdownView { standby: true, ..shutdown_view(3, "+++") }, false },
-    unacknowledged = { ShutdownView { unacknowledged: true, ..shutdown_view(3, "+++") }, false },
-    voters_change = { ShutdownView { reconfiguring: true, ..shutdown_view(3, "+++") }, false },
-    others_change = { ShutdownView { reconfiguring: true, ..shutdown_view(9, "+++") }, false },
-    a_standby_for_others = { ShutdownView { standby: true, ..shutdown_view(9, "+++") }, true },
+    undecided = { ShutdownView { local: LocalWork { has_undecided_value: true, ..LocalWork::default() }, ..shutdown_view(3, "+++") }, false },
+    busy = { ShutdownView { local: LocalWork { has_pending_calls: true, ..LocalWork::default() }, ..shutdown_view(3, "+++") }, false },
+    a_standby_comes = { ShutdownView { peers: PeerWork { has_standby: true, ..PeerWork::default() }, ..shutdown_view(3, "+++") }, false },
+    unacknowledged = { ShutdownView { peers: PeerWork { has_unacknowledged: true, ..PeerWork::default() }, ..shutdown_view(3, "+++") }, false },
+    voters_change = { ShutdownView { peers: PeerWork { is_reconfiguring: true, ..PeerWork::default() }, ..shutdown_view(3, "+++") }, false },
+    others_change = { ShutdownView { peers: PeerWork { is_reconfiguring: true, ..PeerWork::default() }, ..shutdown_view(9, "+++") }, false },
+    a_standby_for_others = { ShutdownView { peers: PeerWork { has_standby: true, ..PeerWork::default() }, ..shutdown_view(9, "+++") }, true },
     one_too_many = { shutdown_view(3, "++++"), false },
     five_that_bear_one_down = { shutdown_view(3, "+++++"), true },
     five_with_two_that_go = { shutdown_view(3, "++++l"), false },
@@ -151,12 +150,18 @@
 #[test]
 fn a_leader_releases_its_lease_last() {
     let view = ShutdownView {
-        is_leader: true,
+        local: LocalWork {
+            is_leader: true,
+            ..LocalWork::default()
+        },
         ..shutdown_view(3, "+++")
     };
     assert_eq!(next_shutdown_step(&view), ShutdownStep::ReleaseLease);
     let waits = ShutdownView {
-        is_leader: true,
+        local: LocalWork {
+            is_leader: true,
+            ..LocalWork::default()
+        },
         ..shutdown_view(3, "+P+")
     };
     assert!(matches!(next_shutdown_step(&waits), ShutdownStep::Wait(_)));
