--- a/crates/linenthread-checker/src/register/transition.rs
+++ b/crates/linenthread-checker/src/register/transition.rs
@@ -124,9 +124,7 @@
         }
         let register = &self.state.node(node).register;
         Some(Change::Voters {
-            base_number: register
-                .decided()
-                .map_or(ValueNumber::FIRST, ValueNumber::of),
+            base_number: register.value_number(),
             voters: self.state.with_replaced_voter(register.voters()),
             epoch: LEASE_EPOCH,
         })
--- a/crates/linenthread-consensus/src/durability.rs
+++ b/crates/linenthread-consensus/src/durability.rs
@@ -10,23 +10,36 @@
 use crate::timing::{MAX_REWRITE_INTERVAL, REWRITE_INTERVAL};
 use crate::value_number::ValueNumber;
 
+/// Numbers the records of the order log, from 1 within this incarnation: raised with each one that is written.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
+struct RecordNumber(u64);
+
+impl RecordNumber {
+    /// Before the first record; what a notification carries whose record holds no orders.
+    const NONE: RecordNumber = RecordNumber(0);
+
+    fn next(self) -> RecordNumber {
+        RecordNumber(self.0 + 1)
+    }
+}
+
 /// Writes decided values and orders, and tracks which of them are synced.
 ///
-/// Records of the order log are counted from 1 within this incarnation. A record may be dropped by the disk, so one
-/// is known to be durable only if all before it are, or if it repeats everything before it.
+/// A record may be dropped by the disk, so one is known to be durable only if all before it are, or if it repeats
+/// everything before it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Durability {
     id: NodeId,
     /// Number of the newest decided value that is synced.
     number: ValueNumber,
     /// The last record of the order log that was written.
-    order_log_written: u64,
+    order_log_written: RecordNumber,
     /// The last record of the order log up to which nothing is missing on the disk.
-    order_log_synced: u64,
+    order_log_synced: RecordNumber,
     /// The last record that held new orders: each one after it repeats the whole log.
-    order_log_required: u64,
+    order_log_required: RecordNumber,
     /// The last record that repeats the whole log.
-    order_log_snapshot: u64,
+    order_log_snapshot: RecordNumber,
     value_written_at: Instant,
     order_log_written_at: Instant,
     rewrite_interval: Duration,
@@ -38,10 +51,10 @@
         Durability {
             id,
             number,
-            order_log_written: 0,
-            order_log_synced: 0,
-            order_log_required: 0,
-            order_log_snapshot: 0,
+            order_log_written: RecordNumber::NONE,
+            order_log_synced: RecordNumber::NONE,
+            order_log_required: RecordNumber::NONE,
+            order_log_snapshot: RecordNumber::NONE,
             value_written_at: Instant::START,
             order_log_written_at: Instant::START,
             rewrite_interval: REWRITE_INTERVAL,
@@ -72,7 +85,7 @@
         };
         let synced = Synced {
             number: value.number,
-            order_log_record: 0,
+            order_log_record: RecordNumber::NONE.0,
         };
         self.persist(record, synced, effects);
     }
@@ -84,7 +97,7 @@
         orders: Vec<OrderIdentity>,
         effects: &mut Vec<Effect>,
     ) {
-        self.order_log_required = self.order_log_written + 1;
+        self.order_log_required = self.order_log_written.next();
         self.persist_order_log_record(now, orders, effects);
     }
 
@@ -95,7 +108,7 @@
         orders: Vec<OrderIdentity>,
         effects: &mut Vec<Effect>,
     ) {
-        self.order_log_snapshot = self.order_log_written + 1;
+        self.order_log_snapshot = self.order_log_written.next();
         self.persist_order_log_record(now, orders, effects);
     }
 
@@ -106,14 +119,14 @@
         effects: &mut Vec<Effect>,
     ) {
         self.order_log_written_at = now;
-        self.order_log_written += 1;
+        self.order_log_written = self.order_log_written.next();
         let record = Record {
             order_log: orders,
             ..Record::default()
         };
         let synced = Synced {
             number: ValueNumber::FIRST.get(),
-            order_log_record: self.order_log_written,
+            order_log_record: self.order_log_written.0,
         };
         self.persist(record, synced, effects);
     }
@@ -132,9 +145,9 @@
     /// A record is synced.
     pub(crate) fn on_synced(&mut self, synced: &Synced) {
         self.number = self.number.max(ValueNumber::new(synced.number));
-        let record = synced.order_log_record;
+        let record = RecordNumber(synced.order_log_record);
         let repeats_all = record > self.order_log_required || record == self.order_log_snapshot;
-        if record == self.order_log_synced + 1 || repeats_all {
+        if record == self.order_log_synced.next() || repeats_all {
             self.order_log_synced = self.order_log_synced.max(record);
         }
     }
--- a/crates/linenthread-consensus/src/register.rs
+++ b/crates/linenthread-consensus/src/register.rs
@@ -72,6 +72,11 @@
         self.decided.value()
     }
 
+    /// Number of that value; [`ValueNumber::FIRST`] also if there is none.
+    pub fn value_number(&self) -> ValueNumber {
+        self.decided.number()
+    }
+
     /// The nodes that decide the next value, as the newest value that this node knows names them.
     pub fn voters(&self) -> &[Voter] {
         self.decided.voters()
--- a/crates/linenthread-consensus/tests/consensus/contention.rs
+++ b/crates/linenthread-consensus/tests/consensus/contention.rs
@@ -1,7 +1,7 @@
 //! Proposers that compete: how long one pauses after a rejection, and how much time a round has.
 
 use linenthread_consensus::{
-    Change, DurableState, Effect, Epoch, Incarnation, JobId, NodeId, Register, ValueNumber,
+    Change, DurableState, Effect, Epoch, Incarnation, JobId, NodeId, Register,
 };
 use linenthread_messages::{Accept, Ballot, PeerMessage, Prepare, Promise, Rejected, Value};
 
@@ -28,9 +28,7 @@
 }
 
 fn propose_other_voters(register: &mut Register, now: u64) -> Vec<Effect> {
-    let base_number = register
-        .decided()
-        .map_or(ValueNumber::FIRST, ValueNumber::of);
+    let base_number = register.value_number();
     let change = Change::Voters {
         base_number,
         voters: value(0).voters[..2].to_vec(),
--- a/crates/linenthread-control/src/control_node.rs
+++ b/crates/linenthread-control/src/control_node.rs
@@ -146,8 +146,6 @@
 
     /// Number of the newest value; [`ValueNumber::FIRST`] also if there is none.
     fn value_number(&self) -> ValueNumber {
-        self.register
-            .decided()
-            .map_or(ValueNumber::FIRST, ValueNumber::of)
+        self.register.value_number()
     }
 }
--- a/crates/linenthread-control/src/control_node/heartbeats.rs
+++ b/crates/linenthread-control/src/control_node/heartbeats.rs
@@ -16,7 +16,7 @@
             durable_value_number: self.durability.value_number().map(ValueNumber::get),
             sent_at: now.as_millis(),
             echoed_sent_at: None,
-            leaving: self.is_shutting_down(),
+            shutting_down: self.is_shutting_down(),
             reconfiguring: self.is_reconfiguring(now),
         }
     }
--- a/crates/linenthread-control/src/control_node/replica_calls.rs
+++ b/crates/linenthread-control/src/control_node/replica_calls.rs
@@ -30,12 +30,13 @@
             self.forget_ended_drain(replica_id);
             self.queue_for_peers(replica_id, &observation.superseded);
         }
-        let is_leaving = self
+        let is_draining_or_ended = self
             .registry
             .get(replica_id)
-            .is_some_and(RegisteredReplica::is_leaving);
-        let awaits_majority =
-            replica.draining && is_leaving && !self.pending_drains.is_known_by_majority(replica_id);
+            .is_some_and(RegisteredReplica::is_draining_or_ended);
+        let awaits_majority = replica.draining
+            && is_draining_or_ended
+            && !self.pending_drains.is_known_by_majority(replica_id);
         if awaits_majority {
             self.await_majority(now, call, replica_id, effects);
         } else {
--- a/crates/linenthread-control/src/control_node/replica_updates.rs
+++ b/crates/linenthread-control/src/control_node/replica_updates.rs
@@ -18,7 +18,7 @@
         let is_available = self
             .registry
             .get(replica_id)
-            .is_some_and(|known| !known.is_leaving());
+            .is_some_and(|known| !known.is_draining_or_ended());
         if is_available {
             self.pending_drains.forget(replica_id);
         }
--- a/crates/linenthread-control/src/control_node/sessions.rs
+++ b/crates/linenthread-control/src/control_node/sessions.rs
@@ -16,10 +16,10 @@
             incarnation: self.config.incarnation.get(),
             control_address: self.config.control_address.clone(),
             node_id: self.register.id().0,
-            is_voter: self.config.may_vote,
+            may_vote: self.config.may_vote,
             change_log_id: self.config.incarnation.get(),
             change_log_offset: self.registry.changes().offset().get(),
-            value_number: self.value_number().get(),
+            value_number_or_revision: self.value_number().get(),
         };
         effects.push(Effect::Send {
             session,
--- a/crates/linenthread-control/src/control_node/shutdown.rs
+++ b/crates/linenthread-control/src/control_node/shutdown.rs
@@ -93,7 +93,7 @@
                 node_id,
                 durable: peer.durable_value_number() >= Some(value_number),
                 presence: if peer.is_shutting_down() {
-                    Presence::Leaving
+                    Presence::ShuttingDown
                 } else {
                     Presence::InContact
                 },
--- a/crates/linenthread-control/src/control_peer.rs
+++ b/crates/linenthread-control/src/control_peer.rs
@@ -56,7 +56,7 @@
         ControlPeer {
             last_received_at: now,
             has_quorum: false,
-            value_number: ValueNumber::new(hello.value_number),
+            value_number: ValueNumber::new(hello.value_number_or_revision),
             durable_value_number: None,
             is_shutting_down: false,
             is_reconfiguring: false,
@@ -137,11 +137,11 @@
         heartbeat: &Heartbeat,
         digest: u64,
     ) -> HeartbeatDemand {
-        let begins_shutdown = heartbeat.leaving && !self.is_shutting_down;
+        let begins_shutdown = heartbeat.shutting_down && !self.is_shutting_down;
         self.has_quorum = heartbeat.has_quorum;
         self.value_number = ValueNumber::new(heartbeat.quota_request_or_value_number);
         self.observe_durable(heartbeat.durable_value_number.map(ValueNumber::new));
-        self.is_shutting_down = heartbeat.leaving;
+        self.is_shutting_down = heartbeat.shutting_down;
         self.is_reconfiguring = heartbeat.reconfiguring;
         // A heartbeat that the peer received was sent before now, whatever the peer says.
         let echoed_sent_at = heartbeat.echoed_sent_at.map(Instant::from_millis);
--- a/crates/linenthread-control/src/graceful_shutdown.rs
+++ b/crates/linenthread-control/src/graceful_shutdown.rs
@@ -4,7 +4,7 @@
 
 use linenthread_consensus::NodeId;
 
-use crate::reconfiguration::removes_leaving_voter;
+use crate::reconfiguration::removes_voter_without_successor;
 
 /// How another voter is seen by a node that shuts down.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -12,7 +12,7 @@
     /// Messages went back and forth lately.
     InContact,
     /// In contact, and shutting down as well.
-    Leaving,
+    ShuttingDown,
     /// It ended after a graceful shutdown.
     Departed,
     /// Out of contact.
@@ -119,12 +119,12 @@
     }
 
     /// How many of the voters shut down, or have, this node included.
-    fn leaving(&self) -> usize {
+    fn shutting_down_count(&self) -> usize {
         self.voters
             .iter()
             .filter(|voter| {
                 voter.node_id == self.node_id
-                    || matches!(voter.presence, Presence::Leaving | Presence::Departed)
+                    || matches!(voter.presence, Presence::ShuttingDown | Presence::Departed)
             })
             .count()
     }
@@ -135,7 +135,7 @@
     fn stays(&self, position: usize, nobody_stays: bool) -> bool {
         match self.voters[position].presence {
             Presence::InContact => true,
-            Presence::Leaving => {
+            Presence::ShuttingDown => {
                 nobody_stays || self.own_position().is_none_or(|own| position > own)
             }
             Presence::Departed => nobody_stays,
@@ -152,9 +152,9 @@
             .enumerate()
             .filter(|(_, voter)| voter.node_id != self.node_id)
             .collect();
-        let nobody_stays = others
-            .iter()
-            .all(|(_, voter)| matches!(voter.presence, Presence::Leaving | Presence::Departed));
+        let nobody_stays = others.iter().all(|(_, voter)| {
+            matches!(voter.presence, Presence::ShuttingDown | Presence::Departed)
+        });
         let copies = others
             .iter()
             .filter(|(position, voter)| voter.durable && self.stays(*position, nobody_stays))
@@ -179,7 +179,11 @@
         return ShutdownStep::Wait(ShutdownBlocker::Reconfiguration);
     }
     let will_be_removed = view.peers.has_standby
-        || removes_leaving_voter(view.voters.len(), view.leaving(), view.min_voters);
+        || removes_voter_without_successor(
+            view.voters.len(),
+            view.shutting_down_count(),
+            view.min_voters,
+        );
     if will_be_removed && view.own_position().is_some() {
         return ShutdownStep::Wait(ShutdownBlocker::OwnVote);
     }
--- a/crates/linenthread-control/src/ingress_peer.rs
+++ b/crates/linenthread-control/src/ingress_peer.rs
@@ -53,7 +53,7 @@
         let reached_offset = ChangeLogOffset::new(hello.change_log_offset);
         IngressPeer {
             last_received_at: now,
-            sent_revision: Revision::new(hello.value_number),
+            sent_revision: Revision::new(hello.value_number_or_revision),
             sent_offset: follows_this_log.then_some(reached_offset),
             sent_addresses: AddressBookVersion::NONE,
             confirmation: Confirmation::Missing,
--- a/crates/linenthread-control/src/membership.rs
+++ b/crates/linenthread-control/src/membership.rs
@@ -89,7 +89,7 @@
     pub(crate) fn open(&mut self, now: Instant, session: SessionId, hello: Hello) {
         let contact = LastContact {
             node_id: NodeId(hello.node_id),
-            may_vote: hello.is_voter,
+            may_vote: hello.may_vote,
             at: now,
         };
         self.last_contacts
@@ -163,7 +163,7 @@
     ) -> impl Iterator<Item = Voter> {
         self.contacts(now)
             .filter(move |peer| {
-                peer.hello().is_voter
+                peer.hello().may_vote
                     && !peer.is_shutting_down()
                     && peer.durable_value_number() >= value_number
             })
--- a/crates/linenthread-control/src/reconfiguration.rs
+++ b/crates/linenthread-control/src/reconfiguration.rs
@@ -47,8 +47,12 @@
 
 /// Whether a voter that shuts down is removed first, without a standby to replace it: the set is large enough
 /// without it, and would not tolerate the faults it should with all that shut down, or have, counted as down.
-pub fn removes_leaving_voter(voters: usize, leaving: usize, min_voters: usize) -> bool {
-    voters > min_voters && !tolerates_down(voters, leaving, min_voters)
+pub fn removes_voter_without_successor(
+    voters: usize,
+    shutting_down: usize,
+    min_voters: usize,
+) -> bool {
+    voters > min_voters && !tolerates_down(voters, shutting_down, min_voters)
 }
 
 impl VotersView {
@@ -58,7 +62,7 @@
             .find(|standby| standby.address == address)
     }
 
-    fn leaving(&self) -> usize {
+    fn shutting_down_count(&self) -> usize {
         self.voters
             .iter()
             .filter(|state| state.shutting_down)
@@ -78,7 +82,7 @@
                 .all(|state| state.contact == VoterContact::InContact)
     }
 
-    /// Position of the voter whose place is to be given away: replaced, else lost, else leaving.
+    /// Position of the voter whose place is to be given away: replaced, else lost, else shutting down.
     fn outgoing(&self) -> Option<usize> {
         let position = |which: &dyn Fn(&VoterState) -> bool| self.voters.iter().position(which);
         position(&|state| state.replaced && self.standby_at(&state.voter.address).is_some())
@@ -88,7 +92,7 @@
 }
 
 /// The next value's voters, at most one node different from the present ones; `None` if they are as they should be. A
-/// voter that shuts down is replaced by a standby, or removed if [`removes_leaving_voter`] says so.
+/// voter that shuts down is replaced by a standby, or removed if [`removes_voter_without_successor`] says so.
 pub fn next_voters(view: &VotersView) -> Option<Vec<Voter>> {
     let mut next: Vec<Voter> = view
         .voters
@@ -109,7 +113,7 @@
         return Some(next);
     }
     let is_removed = state.contact == VoterContact::Lost && next.len() > view.min_voters
-        || removes_leaving_voter(next.len(), view.leaving(), view.min_voters);
+        || removes_voter_without_successor(next.len(), view.shutting_down_count(), view.min_voters);
     is_removed.then(|| {
         next.remove(outgoing);
         next
--- a/crates/linenthread-control/src/replica_registry.rs
+++ b/crates/linenthread-control/src/replica_registry.rs
@@ -94,7 +94,7 @@
     }
 
     /// Whether it drains, or ended for good: a majority must know of that before the replica is told that it may stop.
-    pub(crate) fn is_leaving(&self) -> bool {
+    pub(crate) fn is_draining_or_ended(&self) -> bool {
         self.replica.draining || self.replica.removed_for_good
     }
 
--- a/crates/linenthread-control/tests/voters_and_shutdown.rs
+++ b/crates/linenthread-control/tests/voters_and_shutdown.rs
@@ -88,7 +88,7 @@
         node_id: NodeId(i as u64 + 1),
         durable: !c.is_uppercase(),
         presence: match c.to_ascii_lowercase() {
-            'l' => Presence::Leaving,
+            'l' => Presence::ShuttingDown,
             'd' => Presence::Departed,
             'a' => Presence::Absent,
             _ => Presence::InContact,
--- a/crates/linenthread-hollow/src/messages.rs
+++ b/crates/linenthread-hollow/src/messages.rs
@@ -84,7 +84,7 @@
         incarnation,
         change_log_id: position.log,
         change_log_offset: position.offset,
-        value_number: revision,
+        value_number_or_revision: revision,
         ..Hello::default()
     })
 }
--- a/crates/linenthread-messages/src/agreement.rs
+++ b/crates/linenthread-messages/src/agreement.rs
@@ -38,7 +38,8 @@
     pub digest: DocumentDigest,
 }
 
-/// The replicated value. The voters decide one after another, each in a Paxos instance of its own.
+/// The replicated value. The voters decide one after another, each in a Paxos instance of its own, which the value's
+/// number names.
 #[derive(Clone, PartialEq, Eq, Hash, Message)]
 pub struct Value {
     /// The Paxos instance that decided it, counted from 0 without gaps.
@@ -165,7 +166,7 @@
     pub ballot: Ballot,
 }
 
-/// Refusal of a [`Prepare`] or [`Accept`]: a greater ballot was promised for this instance.
+/// Rejects a [`Prepare`] or [`Accept`]: a greater ballot was promised for this instance.
 #[derive(Clone, PartialEq, Eq, Hash, Message)]
 pub struct Rejected {
     /// The Paxos instance.
--- a/crates/linenthread-messages/src/envelope.rs
+++ b/crates/linenthread-messages/src/envelope.rs
@@ -49,7 +49,7 @@
     /// Paxos, phase 2b.
     #[prost(message, tag = "9")]
     AcceptAck(AcceptAck),
-    /// Refuses a [`Prepare`] or [`Accept`].
+    /// Rejects a [`Prepare`] or [`Accept`].
     #[prost(message, tag = "10")]
     Rejected(Rejected),
     /// Asks for newer decided values.
--- a/crates/linenthread-messages/src/sessions.rs
+++ b/crates/linenthread-messages/src/sessions.rs
@@ -60,7 +60,7 @@
     /// Its newest request for a retry quota, counted within its incarnation.
     #[prost(uint64, tag = "4")]
     pub quota_request: u64,
-    /// Its address.
+    /// Its address; empty in what this version sends.
     #[prost(string, tag = "5")]
     pub address: String,
     /// The revision of the configuration that it uses.
@@ -89,24 +89,25 @@
     /// The control node's identity on disk; 0 where there is none.
     #[prost(fixed64, tag = "6")]
     pub node_id: u64,
-    /// The sender is a voter, by the newest value that it has.
+    /// From a control node: its settings allow it to be made a voter.
     #[prost(bool, tag = "7")]
-    pub is_voter: bool,
+    pub may_vote: bool,
     /// The change log that the sender has followed.
     #[prost(fixed64, tag = "8")]
     pub change_log_id: u64,
     /// The offset in that log that it has reached.
     #[prost(uint64, tag = "9")]
     pub change_log_offset: u64,
-    /// Number of the newest value that the sender has.
+    /// From a control node: number of the newest value that it has. From an ingress node: the revision of the
+    /// configuration that it uses.
     #[prost(uint64, tag = "10")]
-    pub value_number: u64,
+    pub value_number_or_revision: u64,
 }
 
 /// A sign of life, sent both ways at an interval, and state that changes often.
 #[derive(Clone, PartialEq, Message)]
 pub struct Heartbeat {
-    /// From an ingress node: its newest request for a retry quota. Between control nodes: the newest value's number.
+    /// From an ingress node: its newest request for a retry quota. From a control node: the newest value's number.
     #[prost(uint64, tag = "1")]
     pub quota_request_or_value_number: u64,
     /// From a control node: it is in contact with a majority of the voters.
@@ -121,15 +122,15 @@
     /// From a control node: number of the newest value synced to its disk; none while there is none.
     #[prost(uint64, optional, tag = "5")]
     pub durable_value_number: Option<u64>,
-    /// The sender's steady clock in milliseconds.
+    /// The sender's steady clock in milliseconds, which means nothing to the receiver: it only echoes it.
     #[prost(uint64, tag = "6")]
     pub sent_at: u64,
     /// `sent_at` of the last heartbeat that the sender received on this session: proof of a round trip.
     #[prost(uint64, optional, tag = "7")]
     pub echoed_sent_at: Option<u64>,
-    /// From a control node: it is about to shut down.
+    /// From a control node: it shuts down gracefully.
     #[prost(bool, tag = "8")]
-    pub leaving: bool,
+    pub shutting_down: bool,
     /// From the holder of the leader lease: the voters are about to change.
     #[prost(bool, tag = "9")]
     pub reconfiguring: bool,
@@ -221,7 +222,7 @@
     /// The leader's epoch.
     #[prost(uint64, tag = "4")]
     pub epoch: u64,
-    /// Retries a second.
+    /// Retries in any window of the retry budget.
     #[prost(double, tag = "5")]
     pub share: f64,
     /// How long the share may be used, in milliseconds from the request.
--- a/crates/linenthread-messages/tests/golden.rs
+++ b/crates/linenthread-messages/tests/golden.rs
@@ -115,10 +115,10 @@
         incarnation: 0xe1e2_e3e4_e5e6_e7e8,
         control_address: "10.0.0.1:7100".to_owned(),
         node_id: 0xf1f2_f3f4_f5f6_f7f8,
-        is_voter: true,
+        may_vote: true,
         change_log_id: 0x2122_2324_2526_2728,
         change_log_offset: 4_321,
-        value_number: 70_000,
+        value_number_or_revision: 70_000,
     };
     let heartbeat = Heartbeat {
         quota_request_or_value_number: 93,
@@ -128,7 +128,7 @@
         durable_value_number: Some(69_999),
         sent_at: 5_000_000_001,
         echoed_sent_at: Some(5_000_000_000),
-        leaving: true,
+        shutting_down: true,
         reconfiguring: true,
     };
     // A field that is set to zero is on the wire, one that is not set isn't.
--- a/crates/linenthread-node/src/control_client/session.rs
+++ b/crates/linenthread-node/src/control_client/session.rs
@@ -104,7 +104,7 @@
             incarnation: self.client.incarnation,
             change_log_id: position.log_id,
             change_log_offset: position.offset,
-            value_number: plane.revision(),
+            value_number_or_revision: plane.revision(),
             ..Hello::default()
         }
     }
--- a/crates/linenthread-simulation/src/system/ingress_node.rs
+++ b/crates/linenthread-simulation/src/system/ingress_node.rs
@@ -137,7 +137,7 @@
             incarnation: self.incarnation.get(),
             change_log_id: self.change_log_id,
             change_log_offset: self.change_log_offset.get(),
-            value_number: self.revision.get(),
+            value_number_or_revision: self.revision.get(),
             ..Hello::default()
         }
     }
