--- a/crates/linenthread-consensus/tests/consensus/cluster.rs
+++ b/crates/linenthread-consensus/tests/consensus/cluster.rs
@@ -10,7 +10,7 @@
 use linenthread_messages::{PeerMessage, Record, Value};
 use linenthread_time::Instant;
 
-use crate::fixtures::voter;
+use crate::fixtures::{index, voter};
 
 /// The deadline of a job, as `linenthread-control` sets it.
 const JOB_TIMEOUT: Duration = Duration::from_millis(900);
@@ -106,7 +106,7 @@
     }
 
     pub(crate) fn register(&self, at: u64) -> &Register {
-        &self.nodes[at as usize - 1].register
+        &self.nodes[index(at)].register
     }
 
     pub(crate) fn outcome(&self, job: JobId) -> Option<Outcome> {
@@ -139,7 +139,7 @@
     }
 
     fn node(&mut self, at: u64) -> &mut Node {
-        &mut self.nodes[at as usize - 1]
+        &mut self.nodes[index(at)]
     }
 
     /// Submits an order as this job.
--- a/crates/linenthread-consensus/tests/consensus/fixtures.rs
+++ b/crates/linenthread-consensus/tests/consensus/fixtures.rs
@@ -9,6 +9,11 @@
     Instant::from_millis(millis)
 }
 
+/// The index of the node of this number, which counts from 1.
+pub(crate) fn index(node: u64) -> usize {
+    usize::try_from(node).expect("tests have few nodes") - 1
+}
+
 /// A voter with an address of its own.
 pub(crate) fn voter(id: u64) -> Voter {
     Voter {
--- a/crates/linenthread-consensus/tests/consensus/orders.rs
+++ b/crates/linenthread-consensus/tests/consensus/orders.rs
@@ -177,7 +177,7 @@
     cluster.restart(3);
     assert!(
         cluster.register(3).order_log_complete()
-            && cluster.register(3).order_log().len() == LONG_DAY as usize
+            && cluster.register(3).order_log().len() as u64 == LONG_DAY
     );
 }
 
--- a/crates/linenthread-consensus/tests/consensus/trio.rs
+++ b/crates/linenthread-consensus/tests/consensus/trio.rs
@@ -4,7 +4,7 @@
 use linenthread_messages::{PeerMessage, Record};
 
 use crate::cluster::order;
-use crate::fixtures::{at, register};
+use crate::fixtures::{at, index, register};
 
 /// The nodes 1, 2 and 3.
 pub(crate) struct Trio {
@@ -26,12 +26,12 @@
     }
 
     pub(crate) fn register(&mut self, node: u64) -> &mut Register {
-        &mut self.registers[node as usize - 1]
+        &mut self.registers[index(node)]
     }
 
     /// The records of a node, in the order in which they were synced.
     pub(crate) fn records(&self, node: u64) -> &[Record] {
-        &self.records[node as usize - 1]
+        &self.records[index(node)]
     }
 
     /// Carries out the effects of a node, and all that follow.
@@ -43,7 +43,7 @@
             match effect {
                 Effect::Send { to, message } => pending.extend(self.deliver(from, to.0, message)),
                 Effect::Persist { record, after_sync } => {
-                    self.records[from as usize - 1].push(record);
+                    self.records[index(from)].push(record);
                     for DeferredMessage { to, message } in after_sync {
                         pending.extend(self.deliver(from, to.0, message));
                     }
--- a/crates/linenthread-control/src/address_book.rs
+++ b/crates/linenthread-control/src/address_book.rs
@@ -56,15 +56,15 @@
 }
 
 impl AddressBook {
-    pub(crate) fn new(own: String, bootstrap: Vec<String>, now: Instant) -> AddressBook {
+    pub(crate) fn new(own: String, bootstrap: &[String], now: Instant) -> AddressBook {
         let mut addresses = AddressBook {
             own,
-            bootstrap: bootstrap.clone(),
+            bootstrap: bootstrap.to_vec(),
             started_at: now,
             known: BTreeMap::new(),
             version: AddressBookVersion::NONE.next(),
         };
-        for address in &bootstrap {
+        for address in bootstrap {
             addresses.learn(now, address);
         }
         addresses
--- a/crates/linenthread-control/src/control_node.rs
+++ b/crates/linenthread-control/src/control_node.rs
@@ -85,11 +85,7 @@
             durability: OwnDurability::new(epoch),
             contact: QuorumContact::new(now),
             membership: Membership::default(),
-            address_book: AddressBook::new(
-                config.control_address.clone(),
-                config.bootstrap.clone(),
-                now,
-            ),
+            address_book: AddressBook::new(config.control_address.clone(), &config.bootstrap, now),
             registry: ReplicaRegistry::default(),
             pending_drains: PendingDrains::default(),
             snapshot_writer: ReplicaSnapshotWriter::new(now),
--- a/crates/linenthread-control/src/control_node/sessions.rs
+++ b/crates/linenthread-control/src/control_node/sessions.rs
@@ -190,7 +190,7 @@
         self.drive_register(
             now,
             |register, register_effects| {
-                register.on_message(now, node_id, message, register_effects)
+                register.on_message(now, node_id, message, register_effects);
             },
             effects,
         );
--- a/crates/linenthread-control/tests/nodes/contact.rs
+++ b/crates/linenthread-control/tests/nodes/contact.rs
@@ -9,12 +9,15 @@
 use linenthread_messages::{
     Heartbeat, Hello, PeerMessage, ReadReply, UpdateAck, VERSION, Value, Voter,
 };
-use linenthread_time::Instant;
+use linenthread_time::{Instant, whole_millis};
 use yare::parameterized;
 
 const PEER: SessionId = SessionId(1);
 const INGRESS_NODE: SessionId = SessionId(9);
-const CONTACT_TIMEOUT_MS: u64 = CONTACT_TIMEOUT.as_millis() as u64;
+
+fn contact_timeout_ms() -> u64 {
+    whole_millis(CONTACT_TIMEOUT)
+}
 
 fn at(millis: u64) -> Instant {
     Instant::from_millis(millis)
@@ -170,10 +173,10 @@
 
 #[parameterized(
     acknowledged = { Some(0), 100, true },
-    just_in_time = { Some(0), CONTACT_TIMEOUT_MS, true },
-    too_long_ago = { Some(0), CONTACT_TIMEOUT_MS + 1, false },
+    just_in_time = { Some(0), contact_timeout_ms(), true },
+    too_long_ago = { Some(0), contact_timeout_ms() + 1, false },
     received_from_and_not_by_it = { None, 100, false },
-    from_the_future = { Some(1 << 40), CONTACT_TIMEOUT_MS + 1, false },
+    from_the_future = { Some(1 << 40), contact_timeout_ms() + 1, false },
 )]
 fn contact_rests_on_round_trips(echo: Option<u64>, now: u64, is: bool) {
     let mut control = node();
@@ -296,7 +299,7 @@
     let mut control = node_with_quorum(0);
     receive(&mut control, 0, INGRESS_NODE, ingress_hello());
     let mut effects = Vec::new();
-    for now in (200..=CONTACT_TIMEOUT_MS + 400).step_by(200) {
+    for now in (200..=contact_timeout_ms() + 400).step_by(200) {
         receive(&mut control, now, INGRESS_NODE, heartbeat(now, None));
         control.tick(at(now), &mut effects);
     }
@@ -307,11 +310,11 @@
     );
     let mut effects = receive(
         &mut control,
-        CONTACT_TIMEOUT_MS + 500,
+        contact_timeout_ms() + 500,
         INGRESS_NODE,
         ingress_hello(),
     );
-    control.tick(at(CONTACT_TIMEOUT_MS + 1_000), &mut effects);
+    control.tick(at(contact_timeout_ms() + 1_000), &mut effects);
     assert_eq!(sent(&effects), Sent::Nothing);
     let outside = |e: &Effect| matches!(e, Effect::Send { session: INGRESS_NODE, message: PeerMessage::Heartbeat(h) } if !h.has_quorum);
     assert!(
--- a/crates/linenthread-control/tests/state_log.rs
+++ b/crates/linenthread-control/tests/state_log.rs
@@ -18,7 +18,7 @@
 }
 
 fn decided(number: u64, bytes: usize) -> Record {
-    let document = vec![number as u8; bytes].into();
+    let document = vec![number.to_le_bytes()[0]; bytes].into();
     Record {
         decided: Some(Value {
             number,
@@ -53,7 +53,8 @@
             assert!(opened.log.bytes() < COMPACT_ABOVE + 400);
         }
         // The last write is interrupted by the loss of power.
-        disk.borrow_mut().syncs_until_failure = Some(random.rand_range(0..3) as usize);
+        let syncs = usize::try_from(random.rand_range(0..3)).expect("a small number");
+        disk.borrow_mut().syncs_until_failure = Some(syncs);
         let _ = opened.log.write(&[decided(synced + 1, 300)]);
         disk.borrow_mut().crash(&mut random);
     }
--- a/crates/linenthread-messages/src/frame.rs
+++ b/crates/linenthread-messages/src/frame.rs
@@ -32,14 +32,17 @@
     Empty,
 }
 
-/// Appends a message as a frame.
+/// Appends a message as a frame. Receivers reject one that is longer than [`MAX_FRAME_LENGTH`].
+///
+/// # Panics
+/// Only where the buffer would be longer than the address space.
 pub fn encode(message: PeerMessage, buffer: &mut BytesMut) {
     let envelope = Envelope {
         message: Some(message),
     };
     let length = envelope.encoded_len();
     buffer.reserve(length + LENGTH_BYTES);
-    buffer.put_u32(length as u32);
+    buffer.put_u32(u32::try_from(length).unwrap_or(u32::MAX));
     envelope
         .encode(buffer)
         .expect("a growing buffer has capacity for each message");
--- a/crates/linenthread-messages/tests/frames.rs
+++ b/crates/linenthread-messages/tests/frames.rs
@@ -38,7 +38,8 @@
 
 #[test]
 fn what_is_no_frame_ends_the_connection() {
-    let mut long = BytesMut::from(&(MAX_FRAME_LENGTH as u32 + 1).to_be_bytes()[..]);
+    let too_long = u32::try_from(MAX_FRAME_LENGTH + 1).expect("a frame's length has four bytes");
+    let mut long = BytesMut::from(&too_long.to_be_bytes()[..]);
     assert!(matches!(decode(&mut long), Err(FrameError::TooLong { .. })));
     assert!(matches!(
         decode(&mut BytesMut::from(&[0, 0, 0, 0][..])),
--- a/crates/linenthread-messages/tests/golden.rs
+++ b/crates/linenthread-messages/tests/golden.rs
@@ -108,6 +108,16 @@
 
 /// Every message with each field set to a value of its own.
 fn peer_messages() -> BTreeMap<&'static str, PeerMessage> {
+    let mut messages = BTreeMap::new();
+    messages.extend(session_messages());
+    messages.extend(update_messages());
+    messages.extend(paxos_messages());
+    messages.extend(read_and_log_messages());
+    messages.extend(lease_messages());
+    messages
+}
+
+fn session_messages() -> [(&'static str, PeerMessage); 4] {
     let hello = Hello {
         version: VERSION,
         name: "control-a".to_owned(),
@@ -137,6 +147,21 @@
         echoed_sent_at: Some(0),
         ..Heartbeat::default()
     };
+    [
+        ("hello", PeerMessage::Hello(hello)),
+        ("heartbeat", PeerMessage::Heartbeat(heartbeat)),
+        (
+            "heartbeat_of_zeros",
+            PeerMessage::Heartbeat(heartbeat_of_zeros),
+        ),
+        (
+            "heartbeat_empty",
+            PeerMessage::Heartbeat(Heartbeat::default()),
+        ),
+    ]
+}
+
+fn update_messages() -> [(&'static str, PeerMessage); 5] {
     let ingress_update = IngressUpdate {
         change_log_id: 0x4142_4344_4546_4748,
         change_log_offset: 4_322,
@@ -155,30 +180,31 @@
         update_id: 4_323,
         complete: true,
     };
-    let lease_request = LeaseRequest {
-        epoch: 46,
-        request_id: 94,
-        lease_ms: 3_000,
-        incarnation: 0x5152_5354_5556_5758,
-        value_number: 70_002,
-    };
-    BTreeMap::from([
-        ("hello", PeerMessage::Hello(hello)),
-        ("heartbeat", PeerMessage::Heartbeat(heartbeat)),
-        (
-            "heartbeat_of_zeros",
-            PeerMessage::Heartbeat(heartbeat_of_zeros),
-        ),
-        (
-            "heartbeat_empty",
-            PeerMessage::Heartbeat(Heartbeat::default()),
-        ),
+    [
         ("ingress_update", PeerMessage::IngressUpdate(ingress_update)),
         ("control_update", PeerMessage::ControlUpdate(control_update)),
         (
             "update_ack",
             PeerMessage::UpdateAck(UpdateAck { update_id: 4_324 }),
         ),
+        (
+            "quota_grants",
+            PeerMessage::QuotaGrants(QuotaGrants {
+                grants: vec![quota_grant("ingress-1", 1), quota_grant("ingress-2", 2)],
+            }),
+        ),
+        (
+            "durable_progress",
+            PeerMessage::DurableProgress(DurableProgress {
+                value_number: Some(70_009),
+                epoch: 49,
+            }),
+        ),
+    ]
+}
+
+fn paxos_messages() -> [(&'static str, PeerMessage); 6] {
+    [
         (
             "prepare",
             PeerMessage::Prepare(Prepare {
@@ -223,6 +249,11 @@
                 promised: ballot(26),
             }),
         ),
+    ]
+}
+
+fn read_and_log_messages() -> [(&'static str, PeerMessage); 8] {
+    [
         (
             "catch_up_request",
             PeerMessage::CatchUpRequest(CatchUpRequest { number: 70_007 }),
@@ -241,35 +272,6 @@
                 pending: true,
             }),
         ),
-        ("lease_request", PeerMessage::LeaseRequest(lease_request)),
-        (
-            "lease_vote",
-            PeerMessage::LeaseVote(LeaseVote {
-                epoch: 47,
-                request_id: 97,
-                granted: true,
-            }),
-        ),
-        (
-            "lease_release",
-            PeerMessage::LeaseRelease(LeaseRelease {
-                epoch: 48,
-                incarnation: 0x6162_6364_6566_6768,
-            }),
-        ),
-        (
-            "quota_grants",
-            PeerMessage::QuotaGrants(QuotaGrants {
-                grants: vec![quota_grant("ingress-1", 1), quota_grant("ingress-2", 2)],
-            }),
-        ),
-        (
-            "durable_progress",
-            PeerMessage::DurableProgress(DurableProgress {
-                value_number: Some(70_009),
-                epoch: 49,
-            }),
-        ),
         (
             "order_log_request",
             PeerMessage::OrderLogRequest(OrderLogRequest {
@@ -291,7 +293,35 @@
                 order_log_record: 98,
             }),
         ),
-    ])
+    ]
+}
+
+fn lease_messages() -> [(&'static str, PeerMessage); 3] {
+    let lease_request = LeaseRequest {
+        epoch: 46,
+        request_id: 94,
+        lease_ms: 3_000,
+        incarnation: 0x5152_5354_5556_5758,
+        value_number: 70_002,
+    };
+    [
+        ("lease_request", PeerMessage::LeaseRequest(lease_request)),
+        (
+            "lease_vote",
+            PeerMessage::LeaseVote(LeaseVote {
+                epoch: 47,
+                request_id: 97,
+                granted: true,
+            }),
+        ),
+        (
+            "lease_release",
+            PeerMessage::LeaseRelease(LeaseRelease {
+                epoch: 48,
+                incarnation: 0x6162_6364_6566_6768,
+            }),
+        ),
+    ]
 }
 
 /// Records as a control node's disk holds them.
--- a/crates/linenthread-store/src/simulated_disk.rs
+++ b/crates/linenthread-store/src/simulated_disk.rs
@@ -2,6 +2,7 @@
 
 use std::collections::BTreeMap;
 use std::io;
+use std::ops::Range;
 
 use oorandom::Rand64;
 
@@ -41,6 +42,12 @@
     io::ErrorKind::NotFound.into()
 }
 
+/// A random offset in this range, which is not empty.
+fn draw(random: &mut Rand64, range: Range<usize>) -> usize {
+    let drawn = random.rand_range(range.start as u64..range.end as u64);
+    usize::try_from(drawn).unwrap_or(range.start)
+}
+
 impl SimulatedDisk {
     /// The machine loses power: of what was not synced any page may be there, missing or spoilt. Faults end.
     pub fn crash(&mut self, random: &mut Rand64) {
@@ -52,8 +59,7 @@
         self.files
             .retain(|_, file| file.name_synced || random.rand_range(0..2) == 0);
         for file in self.files.values_mut() {
-            let at_least = file.synced_bytes as u64;
-            let end = random.rand_range(at_least..file.bytes.len() as u64 + 1) as usize;
+            let end = draw(random, file.synced_bytes..file.bytes.len() + 1);
             file.bytes.truncate(end);
             let mut at = file.synced_bytes;
             while at < end {
@@ -85,7 +91,7 @@
             .0
             .clone();
         let file = self.files.get_mut(&name)?;
-        let at = random.rand_range(0..file.synced_bytes as u64) as usize;
+        let at = draw(random, 0..file.synced_bytes);
         file.bytes[at] ^= 1 << random.rand_range(0..8);
         Some((name, at))
     }
--- a/crates/linenthread-store/tests/crashes.rs
+++ b/crates/linenthread-store/tests/crashes.rs
@@ -9,97 +9,153 @@
 /// The first generation's file.
 const FIRST: &str = "0000000000000001.log";
 
+/// A random number below `bound`.
+fn below(random: &mut Rand64, bound: u64) -> usize {
+    usize::try_from(random.rand_range(0..bound)).expect("bounds are small")
+}
+
 fn content(n: u64) -> Vec<u8> {
-    let length = Rand64::new(u128::from(n)).rand_range(0..150) as usize;
-    n.to_be_bytes()
+    let length = below(&mut Rand64::new(u128::from(n)), 150);
+    let bytes = n.to_be_bytes();
+    bytes
         .into_iter()
-        .chain(std::iter::repeat_n(n as u8, length))
+        .chain(std::iter::repeat_n(bytes[7], length))
         .collect()
 }
 
-/// One incarnation after another over one disk: each begins with what was synced and a prefix of the rest.
-fn run_incarnations(seed: u64) {
-    let mut random = Rand64::new(u128::from(seed));
-    let mut disk = SimulatedDisk::default();
-    // What the log held when it was last synced, and all that was added since.
-    let (mut synced, mut added, mut number) = (Vec::<Vec<u8>>::new(), Vec::<Vec<u8>>::new(), 0);
-    for incarnation in 0..6 {
+/// One incarnation after another over one disk, and what its log should hold.
+struct Incarnations {
+    seed: u64,
+    random: Rand64,
+    /// What the log held when it was last synced.
+    synced: Vec<Vec<u8>>,
+    /// All that was added since.
+    added: Vec<Vec<u8>>,
+    /// Number of the last content that was appended.
+    number: u64,
+}
+
+impl Incarnations {
+    fn new(seed: u64) -> Incarnations {
+        Incarnations {
+            seed,
+            random: Rand64::new(u128::from(seed)),
+            synced: Vec::new(),
+            added: Vec::new(),
+            number: 0,
+        }
+    }
+
+    /// Each incarnation begins with what was synced and a prefix of the rest.
+    fn run(&mut self) {
+        let mut disk = SimulatedDisk::default();
+        for incarnation in 0..6 {
+            let mut log = self.open(incarnation, disk);
+            self.draw_faults(&mut log);
+            for _ in 0..self.random.rand_range(0..25) {
+                let done;
+                (log, done) = self.step(incarnation, log);
+                if done.is_err() {
+                    self.check_stopped(&mut log);
+                    break;
+                }
+            }
+            disk = log.into_files();
+            disk.crash(&mut self.random);
+        }
+    }
+
+    fn open(&mut self, incarnation: u32, disk: SimulatedDisk) -> Log<SimulatedDisk> {
+        let seed = self.seed;
         let opened = Log::open(disk)
             .unwrap_or_else(|e| panic!("seed {seed}, incarnation {incarnation}: {e}"));
-        let (mut log, records) = (opened.log, opened.records);
-        let all: Vec<_> = synced.iter().chain(&added).cloned().collect();
+        let (log, records) = (opened.log, opened.records);
+        let all: Vec<_> = self.synced.iter().chain(&self.added).cloned().collect();
         assert!(
-            records.len() >= synced.len(),
+            records.len() >= self.synced.len(),
             "seed {seed}, incarnation {incarnation}: synced records are lost"
         );
         assert!(
             all.starts_with(&records),
             "seed {seed}, incarnation {incarnation}: what is there was never added so"
         );
-        (synced, added) = (records, Vec::new());
-        if random.rand_range(0..4) == 0 {
-            log.files().syncs_until_failure = Some(random.rand_range(0..4) as usize);
+        (self.synced, self.added) = (records, Vec::new());
+        log
+    }
+
+    fn draw_faults(&mut self, log: &mut Log<SimulatedDisk>) {
+        if self.random.rand_range(0..4) == 0 {
+            log.files().syncs_until_failure = Some(below(&mut self.random, 4));
         }
-        if random.rand_range(0..4) == 0 {
-            let room = log.bytes() as usize + random.rand_range(0..600) as usize;
-            log.files().capacity = Some(room);
+        if self.random.rand_range(0..4) == 0 {
+            let bytes = usize::try_from(log.bytes()).expect("a short log");
+            log.files().capacity = Some(bytes + below(&mut self.random, 600));
         }
-        for _ in 0..random.rand_range(0..25) {
-            let done = match random.rand_range(0..8) {
-                0..5 => {
-                    number += 1;
-                    let done = log.append(&content(number));
-                    added.extend(done.is_ok().then(|| content(number)));
-                    done
-                }
-                5..7 => {
-                    let done = log.sync();
-                    if done.is_ok() {
-                        synced.append(&mut added);
-                    }
-                    done
-                }
-                _ => {
-                    let rest: Vec<_> = synced.iter().chain(&added).skip(3).cloned().collect();
-                    match log.rewrite(&rest) {
-                        Ok(()) => {
-                            (synced, added) = (rest, Vec::new());
-                            Ok(())
-                        }
-                        // It may have been done or not: the next incarnation's records are one of the two.
-                        Err(_) => {
-                            disk = log.into_files();
-                            disk.crash(&mut random);
-                            let records = Log::open(disk.clone()).unwrap().records;
-                            assert!(
-                                records == rest || records == synced,
-                                "seed {seed}, incarnation {incarnation}"
-                            );
-                            (synced, added) = (records, Vec::new());
-                            log = Log::open(disk).unwrap().log;
-                            Ok(())
-                        }
-                    }
+    }
+
+    /// Appends, syncs or rewrites; the log is another one if the rewrite failed.
+    fn step(
+        &mut self,
+        incarnation: u32,
+        mut log: Log<SimulatedDisk>,
+    ) -> (Log<SimulatedDisk>, Result<(), LogError>) {
+        let done = match self.random.rand_range(0..8) {
+            0..5 => {
+                self.number += 1;
+                let done = log.append(&content(self.number));
+                self.added
+                    .extend(done.is_ok().then(|| content(self.number)));
+                done
+            }
+            5..7 => {
+                let done = log.sync();
+                if done.is_ok() {
+                    self.synced.append(&mut self.added);
                 }
-            };
-            if done.is_err() {
-                assert!(log.is_stopped());
-                assert!(matches!(log.append(&[]), Err(LogError::Stopped)));
-                assert!(
-                    matches!(log.sync(), Err(LogError::Stopped)),
-                    "seed {seed}: a failed sync is tried again"
-                );
-                break;
+                done
             }
+            _ => {
+                log = self.rewrite(incarnation, log);
+                Ok(())
+            }
+        };
+        (log, done)
+    }
+
+    fn rewrite(&mut self, incarnation: u32, mut log: Log<SimulatedDisk>) -> Log<SimulatedDisk> {
+        let all = self.synced.iter().chain(&self.added);
+        let rest: Vec<_> = all.skip(3).cloned().collect();
+        if log.rewrite(&rest).is_ok() {
+            (self.synced, self.added) = (rest, Vec::new());
+            return log;
         }
-        disk = log.into_files();
-        disk.crash(&mut random);
+        // It may have been done or not: the next incarnation's records are one of the two.
+        let mut disk = log.into_files();
+        disk.crash(&mut self.random);
+        let records = Log::open(disk.clone()).unwrap().records;
+        assert!(
+            records == rest || records == self.synced,
+            "seed {}, incarnation {incarnation}",
+            self.seed
+        );
+        (self.synced, self.added) = (records, Vec::new());
+        Log::open(disk).unwrap().log
+    }
+
+    fn check_stopped(&self, log: &mut Log<SimulatedDisk>) {
+        assert!(log.is_stopped());
+        assert!(matches!(log.append(&[]), Err(LogError::Stopped)));
+        assert!(
+            matches!(log.sync(), Err(LogError::Stopped)),
+            "seed {}: a failed sync is tried again",
+            self.seed
+        );
     }
 }
 
 #[test]
 fn what_was_synced_is_there_after_any_crash() {
-    (0..3_000).for_each(run_incarnations);
+    (0..3_000).for_each(|seed| Incarnations::new(seed).run());
 }
 
 /// A bit flipped in what was synced is reported with its file, unless it lies in the records of the last sync, which
