--- a/crates/linenthread-fakes/src/proxy.rs
+++ b/crates/linenthread-fakes/src/proxy.rs
@@ -2,11 +2,14 @@
 //! another server.
 
 use std::io::{Read, Write};
-use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
+use std::net::{Shutdown, SocketAddr, TcpStream};
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::thread::{sleep, spawn};
 use std::time::Duration;
 
+use crate::loopback;
+use crate::sync::lock;
+
 /// Bytes that are read at once.
 const BUFFER: usize = 4_096;
 
@@ -19,17 +22,45 @@
     FromUpstream,
 }
 
+/// Something of each direction.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct ByDirection<T> {
+    /// From the client to the server.
+    pub to_upstream: T,
+    /// From the server to the client.
+    pub from_upstream: T,
+}
+
+impl<T> ByDirection<T> {
+    fn get_mut(&mut self, direction: Direction) -> &mut T {
+        match direction {
+            Direction::ToUpstream => &mut self.to_upstream,
+            Direction::FromUpstream => &mut self.from_upstream,
+        }
+    }
+}
+
+/// After how many bytes in one direction a connection is closed.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct ByteLimit {
+    /// The direction in which bytes are counted.
+    pub direction: Direction,
+    /// The bytes that are forwarded.
+    pub bytes: usize,
+}
+
 #[derive(Default)]
 struct State {
     upstream: Option<SocketAddr>,
-    /// The next connection is closed once so many bytes have been forwarded in that direction.
-    limit: Option<(Direction, usize)>,
+    /// Of the next connection.
+    limit: Option<ByteLimit>,
     delay: Duration,
-    /// By direction: bytes are read and never forwarded.
-    silent: [bool; 2],
+    /// Bytes are read and never forwarded.
+    silent: ByDirection<bool>,
     open: Vec<TcpStream>,
-    /// By direction: bytes forwarded on the newest connection.
-    forwarded: [usize; 2],
+    /// Bytes forwarded on the newest connection.
+    forwarded: ByDirection<usize>,
+    /// How many connections were accepted, which numbers them.
     connections: usize,
 }
 
@@ -53,9 +84,13 @@
 
 impl Proxy {
     /// Starts a proxy that forwards to a server.
+    ///
+    /// # Panics
+    ///
+    /// If loopback has no free port.
     pub fn start(upstream: SocketAddr) -> Proxy {
-        let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-        let address = listener.local_addr().unwrap();
+        let listener = loopback::listen();
+        let address = loopback::address_of(&listener);
         let state = Arc::new(Mutex::new(State {
             upstream: Some(upstream),
             ..State::default()
@@ -71,7 +106,7 @@
     }
 
     fn state(&self) -> MutexGuard<'_, State> {
-        self.state.lock().unwrap()
+        lock(&self.state)
     }
 
     fn accept(&self, client: TcpStream) {
@@ -82,7 +117,7 @@
         client.set_nodelay(true).ok();
         server.set_nodelay(true).ok();
         state.connections += 1;
-        state.forwarded = [0; 2];
+        state.forwarded = ByDirection::default();
         let (connection, limit) = (state.connections, state.limit.take());
         for (direction, from, to) in [
             (Direction::ToUpstream, &client, &server),
@@ -97,8 +132,8 @@
                 reader,
                 writer,
                 limit: limit
-                    .filter(|(limited, _)| *limited == direction)
-                    .map(|(_, bytes)| bytes),
+                    .filter(|limit| limit.direction == direction)
+                    .map(|limit| limit.bytes),
             };
             let proxy = self.clone();
             spawn(move || proxy.copy(flow));
@@ -118,8 +153,8 @@
                 .limit
                 .map_or(length, |limit| length.min(limit - forwarded));
             let (delay, silent) = {
-                let state = self.state();
-                (state.delay, state.silent[flow.direction as usize])
+                let mut state = self.state();
+                (state.delay, *state.silent.get_mut(flow.direction))
             };
             sleep(delay);
             if silent {
@@ -131,7 +166,7 @@
             forwarded += length;
             let mut state = self.state();
             if state.connections == flow.connection {
-                state.forwarded[flow.direction as usize] = forwarded;
+                *state.forwarded.get_mut(flow.direction) = forwarded;
             }
         }
         flow.reader.shutdown(Shutdown::Both).ok();
@@ -140,7 +175,7 @@
 
     /// Has the next connection close once so many bytes have been forwarded in that direction.
     pub fn disconnect_next_after(&self, direction: Direction, bytes: usize) {
-        self.state().limit = Some((direction, bytes));
+        self.state().limit = Some(ByteLimit { direction, bytes });
     }
 
     /// Closes all open connections.
@@ -162,11 +197,11 @@
 
     /// Reads and drops all bytes in one direction; or forwards them again.
     pub fn silence(&self, direction: Direction, silent: bool) {
-        self.state().silent[direction as usize] = silent;
+        *self.state().silent.get_mut(direction) = silent;
     }
 
-    /// Bytes forwarded on the newest connection, to the server and from it.
-    pub fn forwarded(&self) -> [usize; 2] {
+    /// Bytes forwarded on the newest connection.
+    pub fn forwarded(&self) -> ByDirection<usize> {
         self.state().forwarded
     }
 }
--- a/crates/linenthread-fakes/src/sites/load.rs
+++ b/crates/linenthread-fakes/src/sites/load.rs
@@ -7,7 +7,7 @@
 
 use super::{SOFT_DEADLINE, Sites, SitesConfig, Verdict};
 use crate::Client;
-use crate::proxy::Direction;
+use crate::proxy::{ByteLimit, Direction};
 
 /// How much later than the soft deadline a response may arrive on a busy machine.
 const LATENESS: Duration = Duration::from_millis(1_500);
@@ -40,7 +40,7 @@
         address: SocketAddr,
         id: String,
         index: &'static str,
-        began: Instant,
+        started_at: Instant,
         scheduled_at: Duration,
     ) -> QueryResult {
         let mut client = Client::connect(address);
@@ -51,7 +51,7 @@
             index,
             scheduled_at,
             status,
-            latency: began.elapsed().saturating_sub(scheduled_at),
+            latency: started_at.elapsed().saturating_sub(scheduled_at),
         }
     }
 
@@ -73,6 +73,10 @@
 
 /// Makes queries steadily while `inject` injects faults into the link, and checks each against what was executed and
 /// its deadline. The indexes take turns.
+///
+/// # Panics
+///
+/// If there are more than 2^32 queries.
 pub fn query_during_fault(
     sites: &mut Sites,
     tag: &str,
@@ -82,22 +86,29 @@
     inject: impl FnOnce(&mut Sites),
 ) -> (Verdict, Vec<QueryResult>) {
     let (result_sender, result_receiver) = channel();
-    let (address, began) = (sites.local.address, Instant::now());
+    let (address, started_at) = (sites.local.address, Instant::now());
     let count = lasting.as_millis() / interval.as_millis().max(1);
     let count = u32::try_from(count).expect("a run has fewer queries");
     let (tag, indexes) = (tag.to_owned(), indexes.to_vec());
     let load = spawn(move || {
         for (n, index) in (0..count).zip(indexes.into_iter().cycle()) {
             let scheduled_at = interval * n;
-            sleep((began + scheduled_at).saturating_duration_since(Instant::now()));
+            sleep((started_at + scheduled_at).saturating_duration_since(Instant::now()));
             let (result_sender, id) = (result_sender.clone(), format!("{tag}-{n}"));
             spawn(move || {
-                result_sender.send(QueryResult::of(address, id, index, began, scheduled_at))
+                result_sender.send(QueryResult::of(
+                    address,
+                    id,
+                    index,
+                    started_at,
+                    scheduled_at,
+                ))
             });
         }
     });
     inject(sites);
-    load.join().expect("queries go on");
+    load.join()
+        .expect("the thread that starts queries does not panic");
     let results: Vec<QueryResult> = result_receiver.iter().collect();
     sleep(IN_TRANSIT);
     let verdict = check(sites, &results);
@@ -129,6 +140,10 @@
 
 /// Closes the link in a non-idempotent exchange after every `step`th byte in both directions, with several pairs of
 /// sites at once.
+///
+/// # Panics
+///
+/// If a pair of sites cannot be started, or its link does not come up again.
 pub fn disconnect_everywhere(
     exe: &str,
     session_timeout: Duration,
@@ -145,32 +160,37 @@
         },
         ..SitesConfig::default()
     };
-    let [to_gateway, from_gateway] = Sites::start(exe, config).measure_exchange();
+    let exchange = Sites::start(exe, config).measure_exchange();
     // A position beyond the exchange meets the heartbeats after it, and does not interrupt the exchange.
-    let positions: Vec<(Direction, usize)> = (0..=to_gateway)
-        .map(|bytes| (Direction::ToUpstream, bytes))
-        .chain((0..=from_gateway).map(|bytes| (Direction::FromUpstream, bytes)))
+    let limit = |direction| move |bytes| ByteLimit { direction, bytes };
+    let limits: Vec<ByteLimit> = (0..=exchange.to_upstream)
+        .map(limit(Direction::ToUpstream))
+        .chain((0..=exchange.from_upstream).map(limit(Direction::FromUpstream)))
         .step_by(step.max(1))
         .collect();
-    let threads: Vec<_> = positions
-        .chunks(positions.len().div_ceil(at_once.max(1)))
-        .map(|positions| {
-            let (positions, exe) = (positions.to_vec(), exe.to_owned());
-            spawn(move || disconnect_at_each(&exe, config, &positions))
+    let threads: Vec<_> = limits
+        .chunks(limits.len().div_ceil(at_once.max(1)))
+        .map(|limits| {
+            let (limits, exe) = (limits.to_vec(), exe.to_owned());
+            spawn(move || disconnect_at_each(&exe, config, &limits))
         })
         .collect();
     let mut sum = Verdict::default();
     for thread in threads {
-        sum.add(thread.join().expect("its sites stood"));
+        sum.add(
+            thread
+                .join()
+                .expect("the thread of a pair of sites does not panic"),
+        );
     }
     sum
 }
 
-fn disconnect_at_each(exe: &str, config: SitesConfig, positions: &[(Direction, usize)]) -> Verdict {
+fn disconnect_at_each(exe: &str, config: SitesConfig, limits: &[ByteLimit]) -> Verdict {
     let mut sites = Sites::start(exe, config);
     let mut verdict = Verdict::default();
-    for &(direction, bytes) in positions {
-        sites.disconnect_at(direction, std::iter::once(bytes), &mut verdict);
+    for limit in limits {
+        sites.disconnect_at(*limit, &mut verdict);
     }
     verdict
 }
