--- a/crates/linenthread-control/src/membership.rs
+++ b/crates/linenthread-control/src/membership.rs
@@ -8,7 +8,7 @@
 
 use crate::SessionId;
 use crate::control_peer::{ControlPeer, HeartbeatDemand};
-use crate::timing::{SESSION_TIMEOUT, TICK_INTERVAL};
+use crate::timing::{PEER_HEARTBEAT_INTERVAL, SESSION_TIMEOUT};
 
 /// Which node was last in contact at an address, and when.
 pub(crate) struct LastContact {
@@ -89,7 +89,7 @@
     pub(crate) fn open(&mut self, now: Instant, session: SessionId, hello: Hello) {
         let contact = LastContact {
             node_id: NodeId(hello.node_id),
-            may_vote: hello.is_voter,
+            may_vote: hello.may_vote,
             at: now,
         };
         self.last_contacts
@@ -107,7 +107,7 @@
         if peer.in_contact(now) {
             self.note_contact(
                 &peer.hello().control_address,
-                now.min(peer.last_received_at() + TICK_INTERVAL),
+                now.min(peer.last_received_at() + PEER_HEARTBEAT_INTERVAL),
             );
         }
         Some(peer)
@@ -163,7 +163,7 @@
     ) -> impl Iterator<Item = Voter> {
         self.contacts(now)
             .filter(move |peer| {
-                peer.hello().is_voter
+                peer.hello().may_vote
                     && !peer.is_shutting_down()
                     && peer.durable_value_number() >= value_number
             })
