--- a/crates/linenthread-fakes/src/checker/groups.rs
+++ b/crates/linenthread-fakes/src/checker/groups.rs
@@ -69,14 +69,18 @@
 
 /// Checks that the groups of a response have these names, in order.
 fn check_names(groups: &[Value], expected: &[String]) -> Result<(), CheckError> {
-    let actual: Vec<String> = groups
-        .iter()
-        .filter_map(|group| Some(group["of"].as_str()?.to_owned()))
-        .collect();
+    let actual: Vec<String> = groups.iter().map(name_of).collect();
     ensure!(actual == expected, GroupsSnafu { actual, expected });
     Ok(())
 }
 
+/// A group's name; of one without a name what stands there instead, which is the name of none.
+fn name_of(group: &Value) -> String {
+    let name = &group["of"];
+    name.as_str()
+        .map_or_else(|| name.to_string(), ToOwned::to_owned)
+}
+
 /// The sum over all groups but those that are listed.
 fn rest_of(groups: &BTreeMap<String, SumAndCount>, listed: &[String]) -> SumAndCount {
     let mut rest = SumAndCount::default();
--- a/crates/linenthread-fakes/tests/checker.rs
+++ b/crates/linenthread-fakes/tests/checker.rs
@@ -310,6 +310,10 @@
     assert_found!(check(&smaller), CheckError::Groups { .. });
     let none = planted(&groups(), "/groups", json!([]));
     assert_found!(check(&none), CheckError::Groups { .. });
+    let first = groups()["groups"][0].clone();
+    let nameless = json!({"totals": group_figures("0.00", 0)});
+    let one_more = planted(&groups(), "/groups", json!([first, nameless]));
+    assert_found!(check(&one_more), CheckError::Groups { .. });
     let sum = "/groups/0/totals/amount/sum";
     let figure_of_group = planted(&groups(), &format!("{sum}/value"), "14.99");
     assert_found!(check(&figure_of_group), CheckError::Figure { .. });
