--- a/crates/linenthread-control/src/control_node/voters.rs
+++ b/crates/linenthread-control/src/control_node/voters.rs
@@ -61,19 +61,19 @@
                 || next_voters(&self.voters_view(now, self.value_number())).is_some())
     }
 
-    /// Nodes in contact that may vote, do not yet, and do not shut down; with a number only those that may vote at
-    /// once, since their disks hold the value of that number.
-    pub(super) fn standbys(&self, now: Instant, value_number: Option<ValueNumber>) -> Vec<Voter> {
+    /// Nodes in contact that may vote, do not yet, and do not shut down. With a value that they `must_hold` only those
+    /// that may vote at once, since their disks hold it.
+    pub(super) fn standbys(&self, now: Instant, must_hold: Option<ValueNumber>) -> Vec<Voter> {
         let is_ready = self.config.may_vote
             && !self.is_shutting_down()
-            && self.durability.value_number() >= value_number;
+            && self.durability.value_number() >= must_hold;
         let this_node = is_ready.then(|| Voter {
             id: self.register.id().0,
             address: self.config.control_address.clone(),
         });
         let voters = self.register.voters();
         self.membership
-            .candidates(now, value_number)
+            .candidates(now, must_hold)
             .chain(this_node)
             .filter(|standby| voters.iter().all(|voter| voter.id != standby.id))
             .collect()
--- a/crates/linenthread-control/src/ingress_peer.rs
+++ b/crates/linenthread-control/src/ingress_peer.rs
@@ -6,7 +6,7 @@
 
 use crate::address_book::{AddressBook, AddressBookVersion};
 use crate::change_log::ChangeLogOffset;
-use crate::{IngressIncarnation, ReplicaRegistry};
+use crate::{IngressIncarnation, QuotaRequestNumber, ReplicaRegistry};
 
 /// How far the read of the newest configuration for a session has come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -39,8 +39,8 @@
     confirmation: Confirmation,
     /// It was sent that the configuration is confirmed.
     sent_confirmed: bool,
-    /// The heartbeat, by the ingress node's count, with which it last requested a quota.
-    quota_request: u64,
+    /// Its newest request for a quota.
+    quota_request: QuotaRequestNumber,
     /// The revision of the configuration that it applies.
     revision: Revision,
 }
@@ -58,7 +58,7 @@
             sent_addresses: AddressBookVersion::NONE,
             confirmation: Confirmation::Missing,
             sent_confirmed: false,
-            quota_request: 0,
+            quota_request: QuotaRequestNumber::NONE,
             revision: Revision::NONE,
             hello,
         }
@@ -85,7 +85,7 @@
 
     /// A heartbeat of the ingress node.
     pub(crate) fn on_heartbeat(&mut self, heartbeat: &Heartbeat) {
-        self.quota_request = heartbeat.quota_request_or_value_number;
+        self.quota_request = QuotaRequestNumber::new(heartbeat.quota_request_or_value_number);
         self.revision = Revision::new(heartbeat.revision);
     }
 
@@ -95,7 +95,7 @@
             name: self.hello.name.clone(),
             zone: self.hello.zone.clone(),
             incarnation: self.hello.incarnation,
-            quota_request: self.quota_request,
+            quota_request: self.quota_request.get(),
             address: String::new(),
             revision: self.revision.get(),
         }
--- a/crates/linenthread-control/src/lib.rs
+++ b/crates/linenthread-control/src/lib.rs
@@ -57,6 +57,7 @@
 pub use event::ControlEvent;
 pub use ids::{CallId, SessionId};
 pub use ingress_nodes::IngressIncarnation;
+pub use quota_allocator::QuotaRequestNumber;
 pub use replica_registry::{
     HeartbeatOutcome, Observation, RegisteredReplica, ReplicaHeartbeat, ReplicaPhase,
     ReplicaRegistry,
--- a/crates/linenthread-control/src/membership.rs
+++ b/crates/linenthread-control/src/membership.rs
@@ -155,17 +155,17 @@
         self.departed.get(&node_id).copied()
     }
 
-    /// Peers in contact that may vote and do not shut down; with a number only those whose disks hold that value.
+    /// Peers in contact that may vote, do not shut down, and hold the value `must_hold` on their disks, if any is given.
     pub(crate) fn candidates(
         &self,
         now: Instant,
-        value_number: Option<ValueNumber>,
+        must_hold: Option<ValueNumber>,
     ) -> impl Iterator<Item = Voter> {
         self.contacts(now)
             .filter(move |peer| {
                 peer.hello().may_vote
                     && !peer.is_shutting_down()
-                    && peer.durable_value_number() >= value_number
+                    && peer.durable_value_number() >= must_hold
             })
             .map(|peer| Voter {
                 id: peer.hello().node_id,
--- a/crates/linenthread-control/src/quota_allocator.rs
+++ b/crates/linenthread-control/src/quota_allocator.rs
@@ -1,6 +1,7 @@
 //! The leader's grants of retry quota to ingress nodes.
 
 use std::collections::BTreeMap;
+use std::fmt;
 
 use linenthread_consensus::Epoch;
 use linenthread_messages::{IngressSession, QuotaGrant};
@@ -9,6 +10,39 @@
 use crate::retry_budget::{EarlierGrants, GRANT_LIFETIME};
 use crate::{IngressIncarnation, RetryBudget};
 
+/// Numbers the requests of one incarnation of an ingress node for a retry quota: the ingress node raises it with each
+/// heartbeat, and the grant repeats it. So each request is granted once, and the ingress node knows from when a grant
+/// counts.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub struct QuotaRequestNumber(u64);
+
+impl QuotaRequestNumber {
+    /// Below every request: none was made yet.
+    pub const NONE: QuotaRequestNumber = QuotaRequestNumber(0);
+
+    /// The number that a message carries.
+    pub const fn new(number: u64) -> QuotaRequestNumber {
+        QuotaRequestNumber(number)
+    }
+
+    /// The number that messages carry.
+    pub const fn get(self) -> u64 {
+        self.0
+    }
+
+    /// The number of the next request.
+    #[must_use]
+    pub const fn next(self) -> QuotaRequestNumber {
+        QuotaRequestNumber(self.0 + 1)
+    }
+}
+
+impl fmt::Display for QuotaRequestNumber {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        self.0.fmt(formatter)
+    }
+}
+
 /// The grants under the leases that this node held.
 pub(crate) struct QuotaAllocator {
     budget: RetryBudget,
@@ -16,8 +50,8 @@
     is_genesis: bool,
     /// The epoch under which this process last held the lease.
     last_epoch: Option<Epoch>,
-    /// The quota request of each ingress node that was last granted, by the ingress node's count.
-    granted_requests: BTreeMap<IngressIncarnation, u64>,
+    /// The request of each ingress node that was last granted.
+    granted_requests: BTreeMap<IngressIncarnation, QuotaRequestNumber>,
 }
 
 impl QuotaAllocator {
@@ -57,17 +91,18 @@
         let mut grants = Vec::new();
         for (index, session) in ingress_nodes.values().enumerate() {
             let ingress = IngressIncarnation::from(session);
-            if session.quota_request == 0
-                || self.granted_requests.get(&ingress) == Some(&session.quota_request)
+            let request = QuotaRequestNumber::new(session.quota_request);
+            if request == QuotaRequestNumber::NONE
+                || self.granted_requests.get(&ingress) == Some(&request)
             {
                 continue;
             }
             let share = self.budget.grant(now, &ingress, count);
-            self.granted_requests.insert(ingress, session.quota_request);
+            self.granted_requests.insert(ingress, request);
             grants.push(QuotaGrant {
                 name: session.name.clone(),
                 incarnation: session.incarnation,
-                quota_request: session.quota_request,
+                quota_request: request.get(),
                 epoch: epoch.get(),
                 share,
                 lease_ms: saturating_u32(whole_millis(GRANT_LIFETIME)),
--- a/crates/linenthread-control/src/replica_registry.rs
+++ b/crates/linenthread-control/src/replica_registry.rs
@@ -79,8 +79,8 @@
     pub last_heartbeat_at: Instant,
     /// When it is warm.
     pub warmed_up_at: Instant,
-    /// When it ended, if it has.
-    ended_at: Instant,
+    /// When it ended for good, if it has.
+    ended_at: Option<Instant>,
 }
 
 impl RegisteredReplica {
@@ -101,7 +101,7 @@
     fn end(&mut self, now: Instant) {
         self.replica.removed_for_good = true;
         self.replica.removed = true;
-        self.ended_at = now;
+        self.ended_at = Some(now);
     }
 
     /// Takes in a report of the same replica.
@@ -280,9 +280,10 @@
             },
             last_heartbeat_at: reported_at(now, report),
             warmed_up_at: now + Duration::from_millis(u64::from(report.warmup_ms)),
-            ended_at: now,
+            ended_at: report.removed_for_good.then_some(now),
         };
-        // Of two incarnations at one address, the one with the newer heartbeat runs.
+        // Of two incarnations at one address, the one with the newer heartbeat runs. One that has ended says nothing of
+        // the others.
         for other in self.replicas.values_mut().filter(|other| {
             !other.replica.removed_for_good && other.replica.address == report.address
         }) {
@@ -319,7 +320,9 @@
     /// half time out at once, since then it is rather the heartbeats that do not arrive. Forgets what ended long ago.
     pub fn expire(&mut self, now: Instant, timeout: Duration) -> Vec<String> {
         self.replicas.retain(|_, known| {
-            !known.replica.removed_for_good || now < known.ended_at + REMEMBER_ENDED
+            known
+                .ended_at
+                .is_none_or(|ended_at| now < ended_at + REMEMBER_ENDED)
         });
         let timed_out = |known: &RegisteredReplica| {
             !known.replica.removed && now > known.last_heartbeat_at + timeout
--- a/crates/linenthread-node/src/control_client.rs
+++ b/crates/linenthread-node/src/control_client.rs
@@ -14,6 +14,7 @@
 use std::time::Duration;
 
 use linenthread_config::Settings;
+use linenthread_control::{ChangeLogOffset, Incarnation};
 use linenthread_dataplane::{DataPlane, clock};
 use linenthread_time::Instant;
 use oorandom::Rand64;
@@ -32,14 +33,15 @@
 /// How far this node has read the change log.
 #[derive(Clone, Copy, Default)]
 struct ChangeLogPosition {
-    log_id: u64,
-    offset: u64,
+    /// The incarnation of the control node whose change log it is.
+    log_id: Incarnation,
+    offset: ChangeLogOffset,
 }
 
 /// What outlasts a session.
 struct ControlClient {
     plane: Rc<DataPlane>,
-    incarnation: u64,
+    incarnation: Incarnation,
     position: Cell<ChangeLogPosition>,
     /// The control nodes, as the last session named them, and those of the settings.
     control_nodes: RefCell<Vec<SocketAddr>>,
@@ -52,10 +54,10 @@
 /// settings that were read since the start, if any.
 pub(crate) async fn run(
     plane: Rc<DataPlane>,
-    incarnation: u64,
+    incarnation: Incarnation,
     mut settings: watch::Receiver<Option<Rc<Settings>>>,
 ) {
-    let mut random = Rand64::new(u128::from(incarnation));
+    let mut random = Rand64::new(u128::from(incarnation.get()));
     let client = ControlClient {
         control_nodes: RefCell::new(plane.settings().bootstrap_peers.clone()),
         plane,
--- a/crates/linenthread-node/src/control_client/quota_requests.rs
+++ b/crates/linenthread-node/src/control_client/quota_requests.rs
@@ -2,13 +2,14 @@
 
 use std::collections::VecDeque;
 
+use linenthread_control::QuotaRequestNumber;
 use linenthread_time::Instant;
 
 /// So many requests are remembered; grants for older ones are of no use any more.
 const MAX_REMEMBERED: usize = 64;
 
 struct QuotaRequest {
-    number: u64,
+    number: QuotaRequestNumber,
     sent_at: Instant,
 }
 
@@ -16,14 +17,14 @@
 /// longer here than where it was given.
 #[derive(Default)]
 pub(super) struct QuotaRequests {
-    last_number: u64,
+    last_number: QuotaRequestNumber,
     recent: VecDeque<QuotaRequest>,
 }
 
 impl QuotaRequests {
     /// The number of a request that is sent now.
-    pub(super) fn next(&mut self, now: Instant) -> u64 {
-        self.last_number += 1;
+    pub(super) fn next(&mut self, now: Instant) -> QuotaRequestNumber {
+        self.last_number = self.last_number.next();
         self.recent.push_back(QuotaRequest {
             number: self.last_number,
             sent_at: now,
@@ -35,7 +36,7 @@
     }
 
     /// When a request was sent, if it is remembered.
-    pub(super) fn sent_at(&self, number: u64) -> Option<Instant> {
+    pub(super) fn sent_at(&self, number: QuotaRequestNumber) -> Option<Instant> {
         self.recent
             .iter()
             .find(|request| request.number == number)
--- a/crates/linenthread-node/src/control_client/session.rs
+++ b/crates/linenthread-node/src/control_client/session.rs
@@ -5,6 +5,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
+use linenthread_control::{ChangeLogOffset, Incarnation, QuotaRequestNumber};
 use linenthread_dataplane::{RetryQuota, UpdateScope, clock};
 use linenthread_messages::{
     Heartbeat, Hello, IngressUpdate, PeerMessage, QuotaGrant, QuotaGrants, VERSION,
@@ -101,9 +102,9 @@
             version: VERSION,
             name: plane.settings().node_name.clone(),
             zone: plane.settings().zone.clone(),
-            incarnation: self.client.incarnation,
-            change_log_id: position.log_id,
-            change_log_offset: position.offset,
+            incarnation: self.client.incarnation.get(),
+            change_log_id: position.log_id.get(),
+            change_log_offset: position.offset.get(),
             value_number_or_revision: plane.revision(),
             ..Hello::default()
         }
@@ -115,7 +116,7 @@
         loop {
             let quota_request = self.client.quota_requests.borrow_mut().next(clock::now());
             let heartbeat = Heartbeat {
-                quota_request_or_value_number: quota_request,
+                quota_request_or_value_number: quota_request.get(),
                 revision: plane.revision(),
                 ..Heartbeat::default()
             };
@@ -176,8 +177,8 @@
             plane, position, ..
         } = self.client;
         position.set(ChangeLogPosition {
-            log_id: update.change_log_id,
-            offset: update.change_log_offset,
+            log_id: Incarnation::new(update.change_log_id),
+            offset: ChangeLogOffset::new(update.change_log_offset),
         });
         if !update.control_addresses.is_empty() {
             self.set_control_nodes(&update.control_addresses);
@@ -217,11 +218,12 @@
         let ControlClient {
             plane, incarnation, ..
         } = self.client;
-        if grant.incarnation != *incarnation || grant.epoch < plane.retry_quota().epoch {
+        let is_for_this_process = Incarnation::new(grant.incarnation) == *incarnation;
+        if !is_for_this_process || grant.epoch < plane.retry_quota().epoch {
             return;
         }
         let requests = self.client.quota_requests.borrow();
-        let Some(sent_at) = requests.sent_at(grant.quota_request) else {
+        let Some(sent_at) = requests.sent_at(QuotaRequestNumber::new(grant.quota_request)) else {
             return;
         };
         plane.set_retry_quota(RetryQuota {
--- a/crates/linenthread-node/src/ingress.rs
+++ b/crates/linenthread-node/src/ingress.rs
@@ -6,6 +6,7 @@
 use std::time::Duration;
 
 use linenthread_config::Settings;
+use linenthread_control::Incarnation;
 use linenthread_dataplane::connection::HttpConnection;
 use linenthread_dataplane::transport::TcpConnector;
 use linenthread_dataplane::{DataPlane, log_rejected_input, serve};
@@ -50,7 +51,7 @@
     spawn_local(accept_clients(clients, address, plane.clone()));
     spawn_local(control_client::run(
         plane.clone(),
-        incarnation,
+        Incarnation::new(incarnation),
         signals.settings(),
     ));
     spawn_local(maintain(plane.clone()));
--- a/crates/linenthread-simulation/src/system/ingress_node.rs
+++ b/crates/linenthread-simulation/src/system/ingress_node.rs
@@ -4,7 +4,9 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use linenthread_control::{ChangeLogOffset, Epoch, Incarnation, Revision, SessionId};
+use linenthread_control::{
+    ChangeLogOffset, Epoch, Incarnation, QuotaRequestNumber, Revision, SessionId,
+};
 use linenthread_messages::{Heartbeat, Hello, IngressUpdate, PeerMessage, QuotaGrant, VERSION};
 use linenthread_time::Instant;
 
@@ -49,8 +51,8 @@
     pub(super) control: usize,
     change_log_id: u64,
     change_log_offset: ChangeLogOffset,
-    quota_requests: u64,
-    quota_requested_at: BTreeMap<u64, Instant>,
+    last_quota_request: QuotaRequestNumber,
+    quota_requested_at: BTreeMap<QuotaRequestNumber, Instant>,
     /// Grants of which some may have been used within the window.
     grants: Vec<Grant>,
     /// The newest epoch of the lease that it had a grant under.
@@ -75,7 +77,7 @@
             control: 0,
             change_log_id: 0,
             change_log_offset: ChangeLogOffset::START,
-            quota_requests: 0,
+            last_quota_request: QuotaRequestNumber::NONE,
             quota_requested_at: BTreeMap::new(),
             grants: Vec::new(),
             epoch: Epoch::NONE,
@@ -144,10 +146,10 @@
 
     /// The next heartbeat, which asks for a share of the allowance.
     pub(super) fn heartbeat(&mut self, now: Instant) -> Heartbeat {
-        self.quota_requests += 1;
-        self.quota_requested_at.insert(self.quota_requests, now);
+        self.last_quota_request = self.last_quota_request.next();
+        self.quota_requested_at.insert(self.last_quota_request, now);
         Heartbeat {
-            quota_request_or_value_number: self.quota_requests,
+            quota_request_or_value_number: self.last_quota_request.get(),
             revision: self.revision.get(),
             ..Heartbeat::default()
         }
@@ -198,7 +200,8 @@
         if Incarnation::new(grant.incarnation) != self.incarnation || epoch < self.epoch {
             return;
         }
-        let Some(requested_at) = self.quota_requested_at.get(&grant.quota_request) else {
+        let request = QuotaRequestNumber::new(grant.quota_request);
+        let Some(requested_at) = self.quota_requested_at.get(&request) else {
             return;
         };
         let until = *requested_at + Duration::from_millis(grant.lease_ms.into());
