--- a/crates/linenthread-control/src/reconfiguration.rs
+++ b/crates/linenthread-control/src/reconfiguration.rs
@@ -2,19 +2,28 @@
 
 use linenthread_messages::Voter;
 
+/// Whether the leader is in contact with a voter.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum VoterContact {
+    /// Messages went back and forth lately.
+    InContact,
+    /// Out of contact for the moment.
+    OutOfContact,
+    /// Out of contact for so long that its place goes to a standby.
+    Lost,
+}
+
 /// One of the newest value's voters as the leader sees it.
 #[derive(Clone, Debug)]
 pub struct VoterState {
     /// The voter.
     pub voter: Voter,
-    /// Messages went back and forth lately.
-    pub in_contact: bool,
+    /// Whether it is in contact.
+    pub contact: VoterContact,
     /// Another node is at its address now.
     pub replaced: bool,
-    /// Out of contact for so long that its place goes to a standby.
-    pub lost: bool,
     /// It shuts down, or ended after a graceful shutdown.
-    pub leaving: bool,
+    pub shutting_down: bool,
 }
 
 /// All that the choice of the next voters rests on.
@@ -38,8 +47,12 @@
 
 /// Whether a voter that shuts down is removed first, without a standby to replace it: the set is large enough
 /// without it, and would not tolerate the faults it should with all that shut down, or have, counted as down.
-pub fn removes_leaving_voter(voters: usize, leaving: usize, min_voters: usize) -> bool {
-    voters > min_voters && !tolerates_down(voters, leaving, min_voters)
+pub fn removes_voter_without_successor(
+    voters: usize,
+    shutting_down: usize,
+    min_voters: usize,
+) -> bool {
+    voters > min_voters && !tolerates_down(voters, shutting_down, min_voters)
 }
 
 impl VotersView {
@@ -49,8 +62,11 @@
             .find(|standby| standby.address == address)
     }
 
-    fn leaving(&self) -> usize {
-        self.voters.iter().filter(|state| state.leaving).count()
+    fn shutting_down_count(&self) -> usize {
+        self.voters
+            .iter()
+            .filter(|state| state.shutting_down)
+            .count()
     }
 
     /// Whether one more voter makes the set safer: below the smallest set, from an even number to an odd one, or as
@@ -59,20 +75,24 @@
     fn needs_one_more(&self) -> bool {
         let count = self.voters.len();
         let helps = count < self.min_voters || count.is_multiple_of(2) || self.standbys.len() > 1;
-        helps && self.voters.iter().all(|state| state.in_contact)
+        helps
+            && self
+                .voters
+                .iter()
+                .all(|state| state.contact == VoterContact::InContact)
     }
 
-    /// Position of the voter whose place is to be given away: replaced, else lost, else leaving.
+    /// Position of the voter whose place is to be given away: replaced, else lost, else shutting down.
     fn outgoing(&self) -> Option<usize> {
         let position = |which: &dyn Fn(&VoterState) -> bool| self.voters.iter().position(which);
         position(&|state| state.replaced && self.standby_at(&state.voter.address).is_some())
-            .or_else(|| position(&|state| state.lost))
-            .or_else(|| position(&|state| state.leaving))
+            .or_else(|| position(&|state| state.contact == VoterContact::Lost))
+            .or_else(|| position(&|state| state.shutting_down))
     }
 }
 
 /// The next value's voters, at most one node different from the present ones; `None` if they are as they should be. A
-/// voter that shuts down is replaced by a standby, or removed if [`removes_leaving_voter`] says so.
+/// voter that shuts down is replaced by a standby, or removed if [`removes_voter_without_successor`] says so.
 pub fn next_voters(view: &VotersView) -> Option<Vec<Voter>> {
     let mut next: Vec<Voter> = view
         .voters
@@ -92,8 +112,8 @@
         next[outgoing] = standby.clone();
         return Some(next);
     }
-    let is_removed = state.lost && next.len() > view.min_voters
-        || removes_leaving_voter(next.len(), view.leaving(), view.min_voters);
+    let is_removed = state.contact == VoterContact::Lost && next.len() > view.min_voters
+        || removes_voter_without_successor(next.len(), view.shutting_down_count(), view.min_voters);
     is_removed.then(|| {
         next.remove(outgoing);
         next
--- a/crates/linenthread-service/src/fleet/zone_decisions.rs
+++ b/crates/linenthread-service/src/fleet/zone_decisions.rs
@@ -29,8 +29,8 @@
 fn failover_config(zones: &file::Zones) -> FailoverConfig {
     FailoverConfig {
         capacity_margin: f64::from(zones.max_utilization) / 1_000.0,
-        hold: to_tenths(zones.min_evacuation),
-        max_hold: to_tenths(zones.max_evacuation),
+        ejection_time: to_tenths(zones.min_evacuation),
+        max_ejection_time: to_tenths(zones.max_evacuation),
         return_step: to_tenths(zones.return_step),
     }
 }
