--- a/crates/linenthread-checker/src/lease/state.rs
+++ b/crates/linenthread-checker/src/lease/state.rs
@@ -23,6 +23,8 @@
 /// Number of the value whose voters are asked; it does not change.
 const VALUE_NUMBER: ValueNumber = ValueNumber::FIRST;
 
+/// A message of the lease, without the fields that are the same in all: in an order, so that a set of messages has one
+/// representation.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 enum Message {
     Request {
--- a/crates/linenthread-consensus/src/lib.rs
+++ b/crates/linenthread-consensus/src/lib.rs
@@ -28,6 +28,7 @@
 //! | `durability` | which decided values and orders are synced |
 //! | `durable_state` | what a disk holds, from its records |
 //! | `lease` | the leader lease |
+//! | `change`, `jobs`, `effects` | what callers propose, what they are told, and what the driver has to do |
 //! | `node_id`, `value_number`, `revision`, `epoch`, `incarnation` | what the numbers in messages and records are |
 //! | `timing` | time-outs and intervals, each with its reason |
 //!
--- a/crates/linenthread-control/src/replica_registry.rs
+++ b/crates/linenthread-control/src/replica_registry.rs
@@ -76,9 +76,9 @@
     /// What is known of it, but for ages, which [`RegisteredReplica::snapshot`] fills in.
     pub replica: Replica,
     /// When its newest heartbeat was received, here or at another control node.
-    pub last_heartbeat_at: Instant,
+    last_heartbeat_at: Instant,
     /// When it is warm.
-    pub warmed_up_at: Instant,
+    warmed_up_at: Instant,
     /// When it ended for good, if it has.
     ended_at: Option<Instant>,
 }
--- a/crates/linenthread-node/src/control/task.rs
+++ b/crates/linenthread-node/src/control/task.rs
@@ -32,8 +32,8 @@
     peers_port: u16,
     /// Whom to notify when the process may exit.
     shutdown_waiters: Vec<oneshot::Sender<()>>,
-    /// It was notified that it may exit: nothing is taken or sent any more.
-    has_left: bool,
+    /// The process was notified that it may exit: nothing is handled or sent any more.
+    exit_permitted: bool,
 }
 
 impl ControlTask {
@@ -52,7 +52,7 @@
             handle,
             peers_port,
             shutdown_waiters: Vec::new(),
-            has_left: false,
+            exit_permitted: false,
         }
     }
 
@@ -69,11 +69,11 @@
                     let _ = stopped.send(());
                     return;
                 }
-                if !self.has_left {
+                if !self.exit_permitted {
                     self.handle(now, command, &mut effects);
                 }
             }
-            if self.has_left {
+            if self.exit_permitted {
                 effects.clear();
                 continue;
             }
@@ -84,7 +84,7 @@
                 self.carry_out(effect);
             }
             if !self.shutdown_waiters.is_empty() && self.control.may_exit(now) {
-                self.leave();
+                self.permit_exit();
             }
         }
     }
@@ -92,7 +92,7 @@
     /// Waits for commands, at most until the next tick is due.
     async fn wait(&self, queue: &mut mpsc::Receiver<Command>, commands: &mut Vec<Command>) {
         let received = queue.recv_many(commands, MAX_COMMANDS_PER_TURN);
-        if self.has_left {
+        if self.exit_permitted {
             received.await;
         } else {
             let tick_at = clock::to_std(self.control.next_tick_at(clock::now()));
@@ -102,8 +102,8 @@
 
     /// The process may exit. From here on nothing is sent: others may have been told that they may exit because this
     /// node had not yet.
-    fn leave(&mut self) {
-        self.has_left = true;
+    fn permit_exit(&mut self) {
+        self.exit_permitted = true;
         self.sessions.clear();
         self.calls.clear();
         for waiter in self.shutdown_waiters.drain(..) {
