--- a/crates/linenthread-control/src/control_node/replica_calls.rs
+++ b/crates/linenthread-control/src/control_node/replica_calls.rs
@@ -4,7 +4,7 @@
 use linenthread_messages::{ControlUpdate, PeerMessage, UpdateAck};
 use linenthread_time::Instant;
 
-use crate::pending_drains::UpdateId;
+use crate::pending_drains::{CompletedCall, UpdateId};
 use crate::{
     CallId, ControlNode, Effect, HeartbeatOutcome, RegisteredReplica, ReplicaHeartbeat, Response,
 };
@@ -135,7 +135,7 @@
         effects.extend(
             completed
                 .into_iter()
-                .map(|(call, response)| Effect::Respond { call, response }),
+                .map(|CompletedCall { call, response }| Effect::Respond { call, response }),
         );
     }
 
--- a/crates/linenthread-control/src/pending_drains.rs
+++ b/crates/linenthread-control/src/pending_drains.rs
@@ -39,6 +39,12 @@
     acknowledged_by: BTreeSet<NodeId>,
 }
 
+/// A call that has ended, with its response.
+pub(crate) struct CompletedCall {
+    pub(crate) call: CallId,
+    pub(crate) response: Response,
+}
+
 /// The calls that wait, and the replicas that a majority knows to drain or to have departed.
 #[derive(Default)]
 pub(crate) struct PendingDrains {
@@ -106,12 +112,12 @@
         }
     }
 
-    /// Removes the calls that end now, the oldest first, each with its response.
+    /// Removes the calls that end now, the oldest first.
     pub(crate) fn take_completed(
         &mut self,
         now: Instant,
         is_majority: impl Fn(&BTreeSet<NodeId>) -> bool,
-    ) -> Vec<(CallId, Response)> {
+    ) -> Vec<CompletedCall> {
         let known_by_majority = &mut self.known_by_majority;
         let mut completed = Vec::new();
         self.pending.retain(|drain| {
@@ -124,7 +130,10 @@
             } else {
                 return true;
             };
-            completed.push((drain.call, response));
+            completed.push(CompletedCall {
+                call: drain.call,
+                response,
+            });
             false
         });
         completed
--- a/crates/linenthread-simulation/src/system/checker/configuration.rs
+++ b/crates/linenthread-simulation/src/system/checker/configuration.rs
@@ -1,9 +1,9 @@
 //! Decided values, and responses to changes and reads.
 
-use linenthread_consensus::{Revision, ValueNumber};
+use linenthread_consensus::{Order, Revision, ValueNumber};
 use linenthread_messages::Value;
 
-use super::super::history::{Change, Commit};
+use super::super::history::Commit;
 use super::super::invariant::Invariant;
 use super::super::world::World;
 
@@ -52,7 +52,7 @@
     }
 
     /// [`Invariant::CommittedIsNeverRejected`].
-    pub(in super::super) fn check_rejection(&mut self, node: usize, change: &Change, later: usize) {
+    pub(in super::super) fn check_rejection(&mut self, node: usize, change: &Order, later: usize) {
         if self.history.is_committed(change) {
             let revision = change.revision;
             let details = format!("{revision} is rejected by {node}, {later} changes later");
@@ -61,7 +61,7 @@
     }
 
     /// [`Invariant::OneChangePerRevision`]: what is acknowledged is what is decided under its revision.
-    pub(in super::super) fn check_is_committed(&mut self, node: usize, change: &Change) {
+    pub(in super::super) fn check_is_committed(&mut self, node: usize, change: &Order) {
         if !self.history.is_committed(change) {
             let revision = change.revision;
             let details = format!("{revision} is acknowledged by {node} and is not decided");
@@ -70,14 +70,14 @@
     }
 
     /// [`Invariant::OneChangePerRevision`]: a rival of a committed change was acknowledged.
-    pub(in super::super) fn on_rival_acknowledged(&mut self, node: usize, change: &Change) {
+    pub(in super::super) fn on_rival_acknowledged(&mut self, node: usize, change: &Order) {
         let revision = change.revision;
         let details = format!("another change of {revision} is acknowledged by {node}");
         self.violation(Invariant::OneChangePerRevision, &details);
     }
 
     /// [`Invariant::OneChangePerRevision`], [`Invariant::OneChangePerBase`]: a new change is acknowledged.
-    pub(in super::super) fn check_acknowledgement(&mut self, node: usize, change: &Change) {
+    pub(in super::super) fn check_acknowledgement(&mut self, node: usize, change: &Order) {
         self.report.coverage.acknowledgements += 1;
         self.check_is_committed(node, change);
         let (base, revision) = (change.base, change.revision);
--- a/crates/linenthread-simulation/src/system/disk.rs
+++ b/crates/linenthread-simulation/src/system/disk.rs
@@ -23,6 +23,12 @@
 /// Of the syncs of one write, fewer than this have succeeded when a crash cuts it off.
 const TORN_WRITE_MAX_SYNCS: usize = 3;
 
+/// A record on its way to the disk, and the messages that wait until it is synced.
+struct QueuedRecord {
+    record: Record,
+    after_sync: Vec<DeferredMessage>,
+}
+
 type Files = Rc<RefCell<SimulatedDisk>>;
 type OpenFiles = Box<dyn FnMut() -> Result<Files, DirectoryError>>;
 
@@ -30,9 +36,9 @@
     files: Files,
     /// While a process runs.
     log: Option<StateLog<Files, OpenFiles>>,
-    waiting: VecDeque<(Record, Vec<DeferredMessage>)>,
+    waiting: VecDeque<QueuedRecord>,
     /// What the write in progress holds.
-    writing: Vec<(Record, Vec<DeferredMessage>)>,
+    writing: Vec<QueuedRecord>,
     is_full: bool,
     /// What a sync takes.
     pub(super) sync_duration: Duration,
@@ -105,7 +111,7 @@
     /// Queues a record with the messages that wait on it.
     pub(super) fn enqueue(&mut self, record: Record, after_sync: Vec<DeferredMessage>) {
         if self.waiting.len() < MAX_WAITING_RECORDS {
-            self.waiting.push_back((record, after_sync));
+            self.waiting.push_back(QueuedRecord { record, after_sync });
         }
     }
 
@@ -120,8 +126,11 @@
 
     /// Ends the write in progress.
     pub(super) fn complete_write(&mut self) -> WriteOutcome {
-        let (records, after_sync): (Vec<Record>, Vec<Vec<DeferredMessage>>) =
-            self.writing.drain(..).unzip();
+        let (records, after_sync): (Vec<Record>, Vec<Vec<DeferredMessage>>) = self
+            .writing
+            .drain(..)
+            .map(|queued| (queued.record, queued.after_sync))
+            .unzip();
         let Some(log) = self.log.as_mut() else {
             return WriteOutcome::NotOpen;
         };
@@ -136,7 +145,7 @@
     pub(super) fn close(&mut self, random: &mut Random) -> bool {
         let progress = random.below(3);
         let cut = random.index(TORN_WRITE_MAX_BYTES);
-        let records: Vec<Record> = self.writing.drain(..).map(|(record, _)| record).collect();
+        let records: Vec<Record> = self.writing.drain(..).map(|queued| queued.record).collect();
         self.waiting.clear();
         let log = self.log.take();
         let is_cut_off = !records.is_empty() && progress > 0 && !self.is_full;
--- a/crates/linenthread-simulation/src/system/history.rs
+++ b/crates/linenthread-simulation/src/system/history.rs
@@ -2,24 +2,15 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use linenthread_consensus::{Epoch, Incarnation, Revision, ValueNumber};
+use linenthread_consensus::{Epoch, Incarnation, Order, Revision, ValueNumber};
 use linenthread_messages::Value;
 
-/// A change of the configuration, on top of another.
-#[derive(Clone, Debug, PartialEq)]
-pub(super) struct Change {
-    /// The revision that it builds on.
-    pub(super) base: Revision,
-    pub(super) revision: Revision,
-    pub(super) document: Vec<u8>,
-}
-
 /// The configuration that became committed, by the decided values.
 pub(super) enum Commit {
     /// The value carries no new revision.
     None,
     /// A revision for the first time; the change that was sent for it, if there is one.
-    New(Option<Change>),
+    New(Option<Order>),
     /// Another document was committed under this revision before.
     Conflict,
 }
@@ -31,13 +22,13 @@
     /// The committed document of each revision.
     committed: BTreeMap<Revision, Vec<u8>>,
     /// The committed changes as they were sent, oldest first.
-    pub(super) changes: Vec<Change>,
+    pub(super) changes: Vec<Order>,
     /// All changes that were ever sent.
-    pub(super) sent: Vec<Change>,
+    pub(super) sent: Vec<Order>,
     /// Revision and document of each change that was rejected.
     rejected: BTreeSet<(Revision, Vec<u8>)>,
     /// Acknowledged changes by revision.
-    pub(super) acknowledged: BTreeMap<Revision, Change>,
+    pub(super) acknowledged: BTreeMap<Revision, Order>,
     /// Which revision was acknowledged on top of which.
     pub(super) acknowledged_on: BTreeMap<Revision, Revision>,
     /// Which incarnation held the lease under which epoch.
@@ -65,7 +56,7 @@
             };
         }
         self.committed.insert(revision, value.document.to_vec());
-        let is_committed = |change: &&Change| {
+        let is_committed = |change: &&Order| {
             change.revision == revision && change.document[..] == value.document[..]
         };
         let change = self.sent.iter().rev().find(is_committed).cloned();
@@ -82,18 +73,18 @@
             .map_or(ValueNumber::FIRST, ValueNumber::of)
     }
 
-    pub(super) fn is_committed(&self, change: &Change) -> bool {
+    pub(super) fn is_committed(&self, change: &Order) -> bool {
         self.committed
             .get(&change.revision)
             .is_some_and(|document| *document == change.document)
     }
 
     /// Notes that a change was rejected as a conflict.
-    pub(super) fn add_rejected(&mut self, change: Change) {
+    pub(super) fn add_rejected(&mut self, change: Order) {
         self.rejected.insert((change.revision, change.document));
     }
 
-    pub(super) fn was_rejected(&self, change: &Change) -> bool {
+    pub(super) fn was_rejected(&self, change: &Order) -> bool {
         self.rejected
             .contains(&(change.revision, change.document.clone()))
     }
--- a/crates/linenthread-simulation/src/system/operators.rs
+++ b/crates/linenthread-simulation/src/system/operators.rs
@@ -6,7 +6,6 @@
 use linenthread_control::{CallId, Order, Revision};
 
 use super::event::Event;
-use super::history::Change;
 use super::requests::Request;
 use super::world::World;
 
@@ -30,12 +29,12 @@
         self.push_in(wait, Event::OperatorStep { operator });
         let node = self.any_machine();
         let in_flight = self.operators[operator].in_flight;
-        if in_flight.is_some_and(|(_, since)| now < since + RESPONSE_TIMEOUT) {
+        if in_flight.is_some_and(|call| now < call.sent_at + RESPONSE_TIMEOUT) {
             return;
         }
-        if let Some((call, _)) = self.operators[operator].in_flight.take() {
+        if let Some(given_up) = self.operators[operator].in_flight.take() {
             // It gives the call up: a later response is not received.
-            self.calls.remove(call);
+            self.calls.remove(given_up.call);
         }
         if !self.is_running(node) {
             return;
@@ -49,13 +48,15 @@
     }
 
     fn send_operators_read(&mut self, node: usize, operator: usize) {
+        let now = self.now();
         if let Some(call) = self.send_read(node, operator) {
-            self.operators[operator].in_flight = Some((call, self.now()));
+            self.operators[operator].on_sent(call, now);
             self.run_read(node, call);
         }
     }
 
     fn send_operators_change(&mut self, node: usize, operator: usize) {
+        let now = self.now();
         let change = match self.operators[operator].change.clone() {
             Some(change) => change,
             None => self.draw_change(operator),
@@ -65,12 +66,12 @@
             change: change.clone(),
         };
         if let Some(call) = self.add_call(node, request) {
-            self.operators[operator].in_flight = Some((call, self.now()));
+            self.operators[operator].on_sent(call, now);
             self.run_replace(node, call, change);
         }
     }
 
-    fn draw_change(&mut self, operator: usize) -> Change {
+    fn draw_change(&mut self, operator: usize) -> Order {
         let base = self.operators[operator].revision;
         let own_number = u64::try_from(operator).unwrap_or(u64::MAX);
         let revision = if self.plan.revisions_collide {
@@ -85,7 +86,7 @@
             self.now().as_millis()
         )
         .into_bytes();
-        let change = Change {
+        let change = Order {
             base,
             revision,
             document,
@@ -155,7 +156,7 @@
         self.retry_change(node, 1);
         if let Some(newest) = self.history.changes.last().cloned() {
             // It builds on what is no longer the newest revision, or on it: no response may be sure of that.
-            let stale = Change {
+            let stale = Order {
                 base: newest.base,
                 revision: Revision::new(newest.revision.get() + UNUSED_REVISION),
                 document: b"{}".to_vec(),
@@ -228,14 +229,9 @@
         });
     }
 
-    fn run_replace(&mut self, node: usize, call: CallId, change: Change) {
-        let order = Order {
-            base: change.base,
-            revision: change.revision,
-            document: change.document,
-        };
+    fn run_replace(&mut self, node: usize, call: CallId, change: Order) {
         self.run(node, |control, now, effects| {
-            control.replace_configuration(now, call, order, effects);
+            control.replace_configuration(now, call, change, effects);
         });
     }
 }
--- a/crates/linenthread-simulation/src/system/requests.rs
+++ b/crates/linenthread-simulation/src/system/requests.rs
@@ -2,25 +2,23 @@
 
 use std::collections::BTreeMap;
 
-use linenthread_control::{CallId, Revision};
-
-use super::history::Change;
+use linenthread_control::{CallId, Order, Revision};
 
 /// What a call asks for.
 pub(super) enum Request {
     /// A new change of an operator, or one that it has had no clear response to.
     Replace {
         operator: usize,
-        change: Change,
+        change: Order,
     },
     /// A change that was committed, sent again after so many later ones.
     Retry {
-        change: Change,
+        change: Order,
         later: usize,
     },
     /// Another change under the revision of one that was committed.
     Rival {
-        change: Change,
+        change: Order,
     },
     /// A read, when this revision had been acknowledged.
     Read {
--- a/crates/linenthread-simulation/src/system/responses.rs
+++ b/crates/linenthread-simulation/src/system/responses.rs
@@ -2,11 +2,10 @@
 
 use std::time::Duration;
 
-use linenthread_control::{CallId, Response, Revision};
+use linenthread_control::{CallId, Order, Response, Revision};
 
 use super::checker::QUORUM_TIMEOUT;
 use super::event::Event;
-use super::history::Change;
 use super::requests::Request;
 use super::world::World;
 
@@ -82,7 +81,7 @@
         &mut self,
         node: usize,
         operator: usize,
-        change: Change,
+        change: Order,
         response: &Response,
     ) {
         match response {
