--- a/crates/linenthread-node/src/control/state_writer.rs
+++ b/crates/linenthread-node/src/control/state_writer.rs
@@ -21,7 +21,10 @@
 const STACK_BYTES: usize = 256 << 10;
 
 /// A record, and the messages that wait until it is durable.
-type QueuedRecord = (Record, Vec<DeferredMessage>);
+struct QueuedRecord {
+    record: Record,
+    after_sync: Vec<DeferredMessage>,
+}
 
 /// Handle of the thread that writes the state.
 pub(super) struct StateWriter {
@@ -58,7 +61,8 @@
     /// Queues a record; the messages that wait for it come back when it is durable. False if too many records wait
     /// already: this one is dropped.
     pub(super) fn persist(&self, record: Record, after_sync: Vec<DeferredMessage>) -> bool {
-        self.queue.try_send((record, after_sync)).is_ok()
+        let queued = QueuedRecord { record, after_sync };
+        self.queue.try_send(queued).is_ok()
     }
 }
 
@@ -68,11 +72,11 @@
     queue: &mpsc::Receiver<QueuedRecord>,
     on_synced: impl Fn(Vec<DeferredMessage>),
 ) {
-    while let Ok((record, after_sync)) = queue.recv() {
-        let (mut records, mut messages) = (vec![record], after_sync);
-        while let Ok((record, after_sync)) = queue.try_recv() {
-            records.push(record);
-            messages.extend(after_sync);
+    while let Ok(first) = queue.recv() {
+        let (mut records, mut messages) = (vec![first.record], first.after_sync);
+        while let Ok(next) = queue.try_recv() {
+            records.push(next.record);
+            messages.extend(next.after_sync);
         }
         let written: Result<(), StateLogError> = log.write(&records);
         match written {
--- a/crates/linenthread-store/src/directory.rs
+++ b/crates/linenthread-store/src/directory.rs
@@ -32,14 +32,21 @@
     },
 }
 
+/// A file that is open for appending.
+#[derive(Debug)]
+struct OpenFile {
+    name: String,
+    file: File,
+}
+
 /// A directory on the disk, used by one process at a time.
 #[derive(Debug)]
 pub struct Directory {
     path: PathBuf,
     /// Held as long as the directory is used.
     _lock: File,
-    /// The file that was last appended to, and its name.
-    open_file: Option<(String, File)>,
+    /// The file that was last appended to.
+    open_file: Option<OpenFile>,
 }
 
 impl Directory {
@@ -85,16 +92,17 @@
         let is_open = self
             .open_file
             .as_ref()
-            .is_some_and(|(open, _)| open == name);
+            .is_some_and(|open| open.name == name);
         if !is_open {
             self.open_file = None;
         }
         let path = self.path.join(name);
         match &mut self.open_file {
-            Some((_, file)) => Ok(file),
+            Some(open) => Ok(&mut open.file),
             slot @ None => {
                 let file = OpenOptions::new().create(true).append(true).open(path)?;
-                Ok(&mut slot.insert((name.to_owned(), file)).1)
+                let name = name.to_owned();
+                Ok(&mut slot.insert(OpenFile { name, file }).file)
             }
         }
     }
