--- a/crates/linenthread-consensus/src/proposer.rs
+++ b/crates/linenthread-consensus/src/proposer.rs
@@ -26,7 +26,7 @@
     round: Option<Round>,
     backoff: Backoff,
     /// The highest ballot round for the next number, of this node or reported by a rejection.
-    highest_round: u64,
+    highest_ballot_round: u64,
     /// An undecided value was seen, which is to be decided even if no change is pending.
     completion_requested: bool,
 }
@@ -38,7 +38,7 @@
             pending: VecDeque::new(),
             round: None,
             backoff: Backoff::new(incarnation.get()),
-            highest_round: 0,
+            highest_ballot_round: 0,
             completion_requested: false,
         }
     }
@@ -104,16 +104,20 @@
     }
 
     fn start_round(&mut self, now: Instant, decided: &DecidedState, effects: &mut Vec<Effect>) {
-        self.highest_round += 1;
-        let ballot = Ballot {
-            round: self.highest_round,
-            proposer: self.incarnation.get(),
-        };
-        let round = Round::new(decided.next_number(), ballot, now);
+        let round = Round::new(decided.next_number(), self.next_ballot(), now);
         send_to_all(decided.voters(), &round.request(), effects);
         self.round = Some(round);
     }
 
+    /// A ballot above all that are known for the next number.
+    fn next_ballot(&mut self) -> Ballot {
+        self.highest_ballot_round += 1;
+        Ballot {
+            round: self.highest_ballot_round,
+            proposer: self.incarnation.get(),
+        }
+    }
+
     /// The request of the current round, for a voter that has just caught up.
     pub(crate) fn current_request(&self) -> Option<PeerMessage> {
         self.round.as_ref().map(Round::request)
@@ -192,7 +196,7 @@
         if ValueNumber::new(rejected.number) != decided.next_number() {
             return;
         }
-        self.highest_round = self.highest_round.max(rejected.promised.round);
+        self.highest_ballot_round = self.highest_ballot_round.max(rejected.promised.round);
         let superseded = self
             .round
             .take_if(|round| round.ballot() < rejected.promised);
@@ -223,7 +227,7 @@
         effects: &mut Vec<Effect>,
     ) {
         self.abandon_round();
-        self.highest_round = 0;
+        self.highest_ballot_round = 0;
         self.backoff.reset();
         self.pending.retain(|change| {
             let outcome = change.proposal.outcome_after(decided, learned);
