--- a/crates/linenthread-fleet/src/voter_identity.rs
+++ b/crates/linenthread-fleet/src/voter_identity.rs
@@ -1,12 +1,10 @@
 //! Which disk of a voter is meant: two disks of one voter are two identities.
 
 use linenthread_frames::{DecodeError, Decoder, Encoder};
+use linenthread_hash::fnv1a_64;
 
 use crate::identifiers::{FoundersDigest, VoterIncarnation};
 
-const FNV_OFFSET: u64 = 0xcbf2_9ce4_8422_2325;
-const FNV_PRIME: u64 = 0x0100_0000_01b3;
-
 /// The id by which Raft knows a voter; never 0, which Raft takes for nobody.
 pub(crate) type RaftId = u64;
 
@@ -26,12 +24,11 @@
         }
     }
 
-    /// Its id in Raft: FNV-1a of the name and the incarnation. It lies on disks and must not change.
+    /// Its id in Raft: a hash of the name, a zero byte and the incarnation. It lies on disks and must not change.
     pub(crate) fn id(&self) -> RaftId {
-        let mix = |hash: u64, byte: &u8| (hash ^ u64::from(*byte)).wrapping_mul(FNV_PRIME);
-        let name = self.name.as_bytes().iter().fold(FNV_OFFSET, mix);
         let incarnation = self.incarnation.0.to_be_bytes();
-        incarnation.iter().fold(mix(name, &0), mix).max(1)
+        let bytes = [self.name.as_bytes(), &[0], &incarnation].concat();
+        fnv1a_64(&bytes).max(1)
     }
 
     pub(crate) fn encode(&self, encoder: &mut Encoder) {
