--- a/crates/linenthread-control/src/control_node.rs
+++ b/crates/linenthread-control/src/control_node.rs
@@ -85,11 +85,7 @@
             durability: OwnDurability::new(epoch),
             contact: QuorumContact::new(now),
             membership: Membership::default(),
-            address_book: AddressBook::new(
-                config.control_address.clone(),
-                config.bootstrap.clone(),
-                now,
-            ),
+            address_book: AddressBook::new(config.control_address.clone(), &config.bootstrap, now),
             registry: ReplicaRegistry::default(),
             pending_drains: PendingDrains::default(),
             snapshot_writer: ReplicaSnapshotWriter::new(now),
@@ -112,8 +108,7 @@
         self.voting.set_voter(self.is_voter());
         if let Some(value) = self.register.decided() {
             self.lease.on_decided(value);
-            self.lease
-                .observe_epoch(now, Epoch::new(value.epoch), false);
+            self.lease.observe_epoch(Epoch::new(value.epoch));
         }
     }
 
@@ -147,8 +142,6 @@
 
     /// Number of the newest value; [`ValueNumber::FIRST`] also if there is none.
     fn value_number(&self) -> ValueNumber {
-        self.register
-            .decided()
-            .map_or(ValueNumber::FIRST, ValueNumber::of)
+        self.register.value_number()
     }
 }
--- a/crates/linenthread-control/src/control_node/voters.rs
+++ b/crates/linenthread-control/src/control_node/voters.rs
@@ -6,7 +6,7 @@
 
 use crate::control_peer::ControlPeer;
 use crate::pending_jobs::JobOwner;
-use crate::reconfiguration::{VoterState, VotersView, next_voters};
+use crate::reconfiguration::{VoterContact, VoterState, VotersView, next_voters};
 use crate::timing::{CALL_TIMEOUT, VOTER_TIMEOUT};
 use crate::{ControlEvent, ControlNode, Effect};
 
@@ -46,8 +46,8 @@
         let deadline = now + VOTER_CHANGE_TIMEOUT_CALLS * CALL_TIMEOUT;
         self.drive_register(
             now,
-            |register, actions| {
-                register.propose(now, job, change, deadline, actions);
+            |register, register_effects| {
+                register.propose(now, job, change, deadline, register_effects);
             },
             effects,
         );
@@ -61,19 +61,19 @@
                 || next_voters(&self.voters_view(now, self.value_number())).is_some())
     }
 
-    /// Nodes in contact that may vote, do not yet, and do not shut down; with a number only those that may vote at
-    /// once, since their disks hold the value of that number.
-    pub(super) fn standbys(&self, now: Instant, value_number: Option<ValueNumber>) -> Vec<Voter> {
+    /// Nodes in contact that may vote, do not yet, and do not shut down. With a value that they `must_hold` only those
+    /// that may vote at once, since their disks hold it.
+    pub(super) fn standbys(&self, now: Instant, must_hold: Option<ValueNumber>) -> Vec<Voter> {
         let is_ready = self.config.may_vote
             && !self.is_shutting_down()
-            && self.durability.value_number() >= value_number;
+            && self.durability.value_number() >= must_hold;
         let this_node = is_ready.then(|| Voter {
             id: self.register.id().0,
             address: self.config.control_address.clone(),
         });
         let voters = self.register.voters();
         self.membership
-            .candidates(now, value_number)
+            .candidates(now, must_hold)
             .chain(this_node)
             .filter(|standby| voters.iter().all(|voter| voter.id != standby.id))
             .collect()
@@ -108,10 +108,15 @@
         let is_gone = replaced && !self.membership.contacts(now).any(successor_joins);
         VoterState {
             voter: voter.clone(),
-            in_contact,
+            contact: if in_contact {
+                VoterContact::InContact
+            } else if is_gone || now > out_of_contact_since + VOTER_TIMEOUT {
+                VoterContact::Lost
+            } else {
+                VoterContact::OutOfContact
+            },
             replaced,
-            lost: !in_contact && (is_gone || now > out_of_contact_since + VOTER_TIMEOUT),
-            leaving: self.node_is_shutting_down(voter.into()),
+            shutting_down: self.node_is_shutting_down(voter.into()),
         }
     }
 }
--- a/crates/linenthread-control/src/lib.rs
+++ b/crates/linenthread-control/src/lib.rs
@@ -57,12 +57,13 @@
 pub use event::ControlEvent;
 pub use ids::{CallId, SessionId};
 pub use ingress_nodes::IngressIncarnation;
+pub use quota_allocator::QuotaRequestNumber;
 pub use replica_registry::{
     HeartbeatOutcome, Observation, RegisteredReplica, ReplicaHeartbeat, ReplicaPhase,
     ReplicaRegistry,
 };
 pub use response::{Response, UnavailableReason};
-pub use retry_budget::RetryBudget;
+pub use retry_budget::{EarlierGrants, RetryBudget};
 pub use state_log::{OpenedState, StateLog, StateLogError};
 pub use timing::CONTACT_TIMEOUT;
 
