--- a/crates/linenthread-control/tests/replica_registry.rs
+++ b/crates/linenthread-control/tests/replica_registry.rs
@@ -1,5 +1,6 @@
 //! The registry of replicas: heartbeats in any order, departures, time-outs and the digest, as tables of cases.
 
+use std::collections::BTreeSet;
 use std::time::Duration;
 
 use linenthread_control::{HeartbeatOutcome, ReplicaRegistry};
@@ -107,3 +108,24 @@
         assert!(!registry.get("r0").unwrap().replica.removed);
     }
 }
+
+#[test]
+fn changes_are_logged_with_the_replicas_that_ended_by_them() {
+    let mut registry = ReplicaRegistry::default();
+    registry.observe(at(1_000), &report("a", 2, "x"));
+    let first = registry.changes().offset();
+    registry.observe(at(1_100), &report("a", 3, "x"));
+    assert_eq!(registry.changes().offset(), first, "nothing changed");
+    let observation = registry.observe(at(1_500), &report("b", 1, "x"));
+    assert_eq!(observation.superseded, ["a"]);
+    let second = registry.changes().offset();
+    assert_eq!(
+        registry.changes().since(first),
+        Some(BTreeSet::from(["a", "b"]))
+    );
+    assert!(registry.mark_departed(at(2_000), "b"));
+    assert_eq!(
+        registry.changes().since(second),
+        Some(BTreeSet::from(["b"]))
+    );
+}
