--- a/crates/linenthread-service/src/fleet/mod.rs
+++ b/crates/linenthread-service/src/fleet/mod.rs
@@ -12,23 +12,24 @@
 mod zone_decisions;
 
 use std::io;
-use std::net::{TcpListener, UdpSocket};
+use std::net::{SocketAddr, TcpListener, UdpSocket};
 use std::sync::mpsc as blocking;
 use std::time::Duration;
 
 use linenthread_frames::Secrets;
 use linenthread_installation as file;
-use linenthread_zones::{Report, RoutingTable, Topology, Zone};
+use linenthread_zones::{RoutingTable, Zone};
 use snafu::ResultExt;
 use tokio::sync::mpsc;
 use tokio::task::LocalSet;
 
 use crate::clock::Clock;
+use crate::zone_routing::ZoneReport;
 
 pub(crate) use error::StartError;
 use error::{ListenSnafu, RuntimeSnafu, SpawnSnafu};
 use member::Member;
-pub(crate) use orders::{Orders, encode_order};
+pub(crate) use orders::{Order, Orders, ZoneChange};
 
 /// Topic of the fleet's log under which the routing table stands.
 pub(crate) const TABLE_TOPIC: &str = "zones.table";
@@ -40,8 +41,8 @@
 
 /// A message to the fleet's thread.
 pub(crate) enum ToFleet {
-    /// Observations since the previous message, and the replicas of each zone now.
-    Observed(Report, Topology),
+    /// What this process has observed of the zones.
+    Observed(ZoneReport),
     /// Leave the fleet and end the thread.
     Leave,
 }
@@ -100,7 +101,7 @@
     from_fleet: mpsc::UnboundedSender<FromFleet>,
 ) -> Result<FleetHandle, StartError> {
     let address = config.fleet.listen;
-    let (tcp, udp) = bind(&config).context(ListenSnafu { address })?;
+    let sockets = Sockets::bind(address).context(ListenSnafu { address })?;
     let (sender, received) = mpsc::unbounded_channel();
     let (ended_sender, ended) = blocking::channel();
     let (started_sender, started) = blocking::channel();
@@ -114,7 +115,7 @@
             Err(error) => return drop(started_sender.send(Err(error))),
         };
         LocalSet::new().block_on(&runtime, async move {
-            match Member::new(config, clock, from_fleet, tcp, udp) {
+            match Member::new(config, clock, from_fleet, sockets) {
                 Ok(member) => {
                     started_sender.send(Ok(())).ok();
                     member.run(received).await;
@@ -128,15 +129,22 @@
         .name("fleet".into())
         .spawn(run)
         .context(SpawnSnafu)?;
-    started.recv().map_err(|_| StartError::ThreadEnded)??;
+    started.recv().map_err(|_| StartError::ThreadExited)??;
     Ok(FleetHandle { sender, ended })
 }
 
-/// Binds both sockets of a member to its one address.
-fn bind(config: &MemberConfig) -> io::Result<(TcpListener, UdpSocket)> {
-    let tcp = TcpListener::bind(config.fleet.listen)?;
-    let udp = UdpSocket::bind(config.fleet.listen)?;
-    tcp.set_nonblocking(true)?;
-    udp.set_nonblocking(true)?;
-    Ok((tcp, udp))
+/// The sockets of a member, both on its one address.
+struct Sockets {
+    tcp: TcpListener,
+    udp: UdpSocket,
+}
+
+impl Sockets {
+    fn bind(address: SocketAddr) -> io::Result<Sockets> {
+        let tcp = TcpListener::bind(address)?;
+        let udp = UdpSocket::bind(address)?;
+        tcp.set_nonblocking(true)?;
+        udp.set_nonblocking(true)?;
+        Ok(Sockets { tcp, udp })
+    }
 }
--- a/crates/linenthread-service/src/merge_responses.rs
+++ b/crates/linenthread-service/src/merge_responses/mod.rs
@@ -1,28 +1,20 @@
 //! Collects a query's responses and builds its body: values as they are, or merged by the plan of its index.
 
-use std::cell::{Cell, RefCell};
+mod anomalies;
+mod plans;
+
+use std::cell::RefCell;
 use std::rc::Rc;
 use std::time::{SystemTime, UNIX_EPOCH};
 
-use linenthread_core::interface::AttemptOutcome;
+use linenthread_core::interface::{AttemptOutcome, Completeness, SubRequestIndex};
 use linenthread_merge::{
-    Acceptance, CursorSigner, MergeQuery, Merger, PageRequest, Plan, QueriedShard, QueryError,
+    Acceptance, CursorSigner, MergeQuery, Merger, PageRequest, QueriedShard, QueryError,
 };
-use linenthread_protocol::query::{self as protocol, Page, Query};
-use tracing::warn;
-
-use crate::log::LogRateLimit;
-
-/// The longest reason in a log line, in characters.
-const MAX_LOGGED_REASON_CHARS: usize = 160;
+use linenthread_protocol::query::{self as protocol, Page, Query, ShardValue};
 
-/// Which indexes are merged, and how.
-#[derive(Default)]
-pub(crate) struct MergePlans {
-    /// By the index's position in the settings; `None` where it is not merged.
-    plans: Vec<Option<Plan>>,
-    signer: Option<CursorSigner>,
-}
+pub(crate) use anomalies::{Anomalies, ResponseSource};
+pub use plans::MergePlans;
 
 /// Seconds since 1970, for the lifetime of cursors.
 fn unix_seconds() -> u64 {
@@ -32,67 +24,6 @@
         .as_secs()
 }
 
-impl MergePlans {
-    /// Plans by the index's position in the settings.
-    pub(crate) fn new(plans: Vec<Option<Plan>>, signer: Option<CursorSigner>) -> MergePlans {
-        MergePlans { plans, signer }
-    }
-
-    /// The number of indexes that are merged.
-    pub(crate) fn count(&self) -> usize {
-        self.plans.iter().flatten().count()
-    }
-
-    pub(crate) fn is_merged(&self, index: usize) -> bool {
-        self.plan(index).is_some()
-    }
-
-    fn plan(&self, index: usize) -> Option<&Plan> {
-        self.plans.get(index)?.as_ref()
-    }
-}
-
-/// Counts unusual values of sub-requests, for the log.
-#[derive(Default)]
-pub(crate) struct Anomalies {
-    /// Responses to one sub-request that differ.
-    differing: Cell<u64>,
-    /// Values that cannot be merged.
-    invalid: Cell<u64>,
-    log_lines: LogRateLimit,
-}
-
-impl Anomalies {
-    fn on_differing(&self, source: impl Fn() -> ResponseSource) {
-        let all = increment(&self.differing);
-        if let Some(left_out) = self.log_lines.admit() {
-            let ResponseSource { replica, shard } = source();
-            warn!(
-                replica,
-                shard, all, left_out, "copies of a part differ, the first one counts"
-            );
-        }
-    }
-
-    fn on_invalid(&self, reason: &str, source: impl Fn() -> ResponseSource) {
-        let all = increment(&self.invalid);
-        if let Some(left_out) = self.log_lines.admit() {
-            let ResponseSource { replica, shard } = source();
-            let why: String = reason.chars().take(MAX_LOGGED_REASON_CHARS).collect();
-            warn!(
-                replica,
-                shard, all, left_out, "a part's value cannot be merged: {why}"
-            );
-        }
-    }
-}
-
-/// Counts one more; returns the new count.
-fn increment(counter: &Cell<u64>) -> u64 {
-    counter.set(counter.get() + 1);
-    counter.get()
-}
-
 /// What merging shares between queries.
 #[derive(Default)]
 pub(crate) struct ResponseMerging {
@@ -101,10 +32,16 @@
     pub anomalies: Anomalies,
 }
 
+/// What one attempt at a sub-request asks.
+pub(crate) struct AttemptRequest {
+    /// How many continuations of the sub-request came before.
+    pub continuation: u32,
+    pub text: Rc<str>,
+}
+
 /// The response of one attempt.
 pub(crate) struct AttemptResponse {
-    /// The sub-request's position in its query.
-    pub sub_request: usize,
+    pub sub_request: SubRequestIndex,
     /// How many continuations of the sub-request came before.
     pub continuation: u32,
     pub outcome: AttemptOutcome,
@@ -112,13 +49,6 @@
     pub value: String,
 }
 
-/// Where a response came from, for the log.
-pub(crate) struct ResponseSource {
-    /// The replica's id.
-    pub replica: String,
-    pub shard: usize,
-}
-
 /// The responses of one query.
 pub(crate) enum ResponseCollector<'a> {
     /// The first value of each sub-request, as it is.
@@ -178,14 +108,21 @@
         })
     }
 
-    /// What the next attempt at a sub-request asks: the number of continuations before it, and its text.
-    pub(crate) fn request(&self, sub_request: usize, text: &Rc<str>) -> (u32, Rc<str>) {
+    /// What the next attempt at a sub-request asks; `text` is that of the query.
+    pub(crate) fn next_request(
+        &self,
+        sub_request: SubRequestIndex,
+        text: &Rc<str>,
+    ) -> AttemptRequest {
         match self {
-            ResponseCollector::Unmerged(_) => (0, text.clone()),
-            ResponseCollector::Merged { merger, .. } => (
-                merger.continuation(sub_request),
-                merger.request_text(sub_request).into(),
-            ),
+            ResponseCollector::Unmerged(_) => AttemptRequest {
+                continuation: 0,
+                text: text.clone(),
+            },
+            ResponseCollector::Merged { merger, .. } => AttemptRequest {
+                continuation: merger.continuation(sub_request.0),
+                text: merger.request_text(sub_request.0).into(),
+            },
         }
     }
 
@@ -204,7 +141,7 @@
         let (merger, anomalies) = match self {
             ResponseCollector::Unmerged(values) => {
                 if outcome == AttemptOutcome::Success {
-                    values[sub_request].get_or_insert(value);
+                    values[sub_request.0].get_or_insert(value);
                 }
                 return outcome;
             }
@@ -213,10 +150,10 @@
             } => (merger, anomalies),
         };
         if outcome != AttemptOutcome::Success {
-            merger.fail(sub_request);
+            merger.fail(sub_request.0);
             return outcome;
         }
-        match merger.accept(sub_request, continuation, &value) {
+        match merger.accept(sub_request.0, continuation, &value) {
             Acceptance::Counted | Acceptance::Duplicate { differs: false } => outcome,
             Acceptance::Duplicate { differs: true } => {
                 anomalies.on_differing(source);
@@ -230,28 +167,32 @@
     }
 
     /// Sub-requests that have to be continued, each returned once.
-    pub(crate) fn take_continuations(&mut self) -> Vec<usize> {
+    pub(crate) fn take_continuations(&mut self) -> Vec<SubRequestIndex> {
         match self {
             ResponseCollector::Unmerged(_) => Vec::new(),
-            ResponseCollector::Merged { merger, .. } => merger.take_continuations(),
+            ResponseCollector::Merged { merger, .. } => {
+                let continued = merger.take_continuations().into_iter();
+                continued.map(SubRequestIndex).collect()
+            }
         }
     }
 
     /// The body of the response from the values so far.
-    pub(crate) fn response(&self, complete: bool, query: &Query) -> Vec<u8> {
+    pub(crate) fn response(&self, completeness: Completeness, query: &Query) -> Vec<u8> {
         match self {
             ResponseCollector::Unmerged(values) => {
-                let shards = query
-                    .sub_requests
-                    .iter()
-                    .map(|sub_request| sub_request.shard);
-                let found = shards
-                    .zip(values)
-                    .filter_map(|(shard, value)| Some((shard, value.as_deref()?)));
-                protocol::encode_response(complete, found)
+                let sub_requests = query.sub_requests.iter();
+                let found = sub_requests.zip(values).filter_map(|(sub_request, value)| {
+                    Some(ShardValue {
+                        shard: sub_request.shard,
+                        value: value.as_deref()?,
+                    })
+                });
+                protocol::encode_response(completeness, found)
             }
             ResponseCollector::Merged { merger, signer, .. } => {
-                merger.response(complete, *signer, unix_seconds())
+                let is_complete = completeness == Completeness::Complete;
+                merger.response(is_complete, *signer, unix_seconds())
             }
         }
     }
--- a/crates/linenthread-service/src/transports/attempt.rs
+++ b/crates/linenthread-service/src/transports/attempt.rs
@@ -3,19 +3,27 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use linenthread_core::interface::AttemptOutcome;
+use linenthread_core::interface::{AttemptOutcome, SubRequestIndex};
 use tokio::sync::mpsc;
 
+/// Identifies an attempt within its query.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub struct AttemptKey {
+    /// The sub-request's position in its query.
+    pub sub_request: SubRequestIndex,
+    /// The attempt's number within its sub-request.
+    pub attempt: usize,
+}
+
 /// Where a query's task receives the outcomes of its attempts.
-pub(crate) type FinishedAttempts = mpsc::UnboundedSender<FinishedAttempt>;
+pub type FinishedAttempts = mpsc::UnboundedSender<FinishedAttempt>;
 
 /// The outcome of one attempt, reported to the task of its query.
 #[derive(Debug)]
-pub(crate) struct FinishedAttempt {
-    /// The sub-request's position in its query.
-    pub sub_request: usize,
-    /// The attempt's number within its sub-request.
-    pub attempt: usize,
+pub struct FinishedAttempt {
+    /// Which attempt it is.
+    pub key: AttemptKey,
+    /// How it ended.
     pub outcome: AttemptOutcome,
     /// The queue depth that the replica reported.
     pub queue_depth: Option<f64>,
@@ -24,14 +32,9 @@
 }
 
 impl FinishedAttempt {
-    pub(crate) fn without_value(
-        sub_request: usize,
-        attempt: usize,
-        outcome: AttemptOutcome,
-    ) -> FinishedAttempt {
+    pub(crate) fn without_value(key: AttemptKey, outcome: AttemptOutcome) -> FinishedAttempt {
         FinishedAttempt {
-            sub_request,
-            attempt,
+            key,
             outcome,
             queue_depth: None,
             value: String::new(),
@@ -42,6 +45,7 @@
 /// The outcome of one probe of a replica.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ProbeReport {
+    /// How it ended.
     pub outcome: AttemptOutcome,
     /// The queue depth that the replica reported.
     pub queue_depth: Option<f64>,
@@ -62,40 +66,37 @@
     finished: &FinishedAttempts,
 ) -> Vec<Option<T>> {
     for outgoing in sub_requests {
-        finished
-            .send(FinishedAttempt::without_value(
-                outgoing.sub_request,
-                outgoing.attempt,
-                AttemptOutcome::NotSent,
-            ))
-            .ok();
+        let not_sent = FinishedAttempt::without_value(outgoing.key, AttemptOutcome::NotSent);
+        finished.send(not_sent).ok();
     }
     sub_requests.iter().map(|_| None).collect()
 }
 
 /// One attempt at a sub-request, ready to be sent.
 #[derive(Clone, Debug)]
-pub(crate) struct OutgoingSubRequest {
-    /// The sub-request's position in its query.
-    pub sub_request: usize,
-    /// The attempt's number within its sub-request.
-    pub attempt: usize,
+pub struct OutgoingSubRequest {
+    /// Which attempt it is.
+    pub key: AttemptKey,
+    /// The shard that it is for.
     pub shard: usize,
     /// How many continuations of this sub-request came before.
     pub continuation: u32,
+    /// What the replica is asked.
     pub text: Rc<str>,
     /// The value of its query, in thousandths: a link that is short of credit sends the highest first.
     pub priority: u32,
 }
 
-/// Limits and time-outs of the connections to replicas.
+/// How connections to replicas are used.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct ConnectionLimits {
+pub struct ConnectionConfig {
     /// Attempts in flight on one connection.
     pub max_streams: usize,
-    /// Replicas may be sent cancellations.
-    pub cancellation: bool,
+    /// Replicas are sent cancellations.
+    pub sends_cancellations: bool,
+    /// How long a connect may take.
     pub connect_timeout: Duration,
+    /// How long the response to a probe may take.
     pub probe_timeout: Duration,
     /// An idle connection is closed after this time, which is shorter than the replica's own.
     pub idle_timeout: Duration,
--- a/crates/linenthread-service/src/zone_routing.rs
+++ b/crates/linenthread-service/src/zone_routing.rs
@@ -4,8 +4,10 @@
 use std::collections::BTreeMap;
 
 use linenthread_core::interface::{
-    AttemptOutcome, MembershipEntry, MembershipUpdate, Phase, ShardLayout, TenthMillis, ZoneRoute,
+    AttemptOutcome, MembershipEntry, MembershipUpdate, Phase, ReplicaIndex, ShardLayout,
+    TenthMillis, ZoneRoute,
 };
+use linenthread_installation as file;
 use linenthread_protocol::hash_id;
 use linenthread_zones::{
     ALL_KEYS, Placement, Report, RoutingTable, Topology, Zone, ZoneIndex, ZoneObserver,
@@ -27,8 +29,43 @@
     configured: Option<usize>,
 }
 
-/// Identity of the process behind a replica number; another start time is another process.
-type ReplicaIdentity = (u64, Option<TenthMillis>);
+/// Identity of the process behind a replica's index; another start time is another process.
+#[derive(Clone, Copy, PartialEq, Eq)]
+struct ReplicaIdentity {
+    id: u64,
+    started_at: Option<TenthMillis>,
+}
+
+/// What a process tells the leader of its fleet about zones.
+pub(crate) struct ZoneReport {
+    /// Observations since the previous report.
+    pub observations: Report,
+    /// The placement of replicas now.
+    pub topology: Topology,
+}
+
+/// How a process routes between zones.
+pub(crate) struct ZoneRoutingConfig {
+    /// The zones of the installation file, in its order.
+    pub zones: Vec<Zone>,
+    /// Name of the zone of this process.
+    pub local_zone: String,
+    /// A routing table expires after this time unless it is renewed.
+    pub table_lifetime: TenthMillis,
+    pub layout: ShardLayout,
+    pub shard_count: usize,
+}
+
+/// All zones in the order of the dispatcher's numbers: those that the settings name, then the further ones of the
+/// installation file.
+pub(crate) fn numbered_zones(
+    in_settings: &[String],
+    in_installation: &[file::Zone],
+) -> Vec<String> {
+    let installed = in_installation.iter().map(|zone| &zone.name);
+    let further = installed.filter(|name| !in_settings.contains(name));
+    in_settings.iter().chain(further).cloned().collect()
+}
 
 /// Routing between zones, as seen from the zone of this process.
 pub(crate) struct ZoneRouting {
@@ -40,8 +77,8 @@
     layout: ShardLayout,
     shard_count: usize,
     observer: ZoneObserver,
-    listed: BTreeMap<usize, MembershipEntry>,
-    identities: BTreeMap<usize, ReplicaIdentity>,
+    listed: BTreeMap<ReplicaIndex, MembershipEntry>,
+    identities: BTreeMap<ReplicaIndex, ReplicaIdentity>,
     table: Option<RoutingTable>,
     /// The table expires then unless it is renewed.
     expires_at: TenthMillis,
@@ -49,20 +86,21 @@
 }
 
 impl ZoneRouting {
-    /// `zone_names` are the dispatcher's zones in its order; `local_zone` is the name of the fleet member's zone.
-    pub(crate) fn new(
-        zones: Vec<Zone>,
-        local_zone: &str,
-        table_lifetime: TenthMillis,
-        zone_names: &[String],
-        (layout, shard_count): (ShardLayout, usize),
-    ) -> ZoneRouting {
+    /// `zone_names` are the zones in the order of the dispatcher's numbers.
+    pub(crate) fn new(config: ZoneRoutingConfig, zone_names: &[String]) -> ZoneRouting {
+        let ZoneRoutingConfig {
+            zones,
+            local_zone,
+            table_lifetime,
+            layout,
+            shard_count,
+        } = config;
         let position = |name: &str| zones.iter().position(|zone| zone.name == name);
         let named_zone = |name: &String| NamedZone {
             name: name.clone(),
             configured: position(name),
         };
-        let local_zone = position(local_zone).unwrap_or_default();
+        let local_zone = position(&local_zone).unwrap_or_default();
         ZoneRouting {
             named_zones: zone_names.iter().map(named_zone).collect(),
             observer: ZoneObserver::new(ZoneIndex::new(local_zone).unwrap_or_default()),
@@ -94,22 +132,25 @@
     }
 
     fn on_entry(&mut self, entry: &MembershipEntry) {
-        let identity = (entry.id, entry.started_at);
-        // Observations of a former process or replica under this number do not hold for the new one.
-        if self.identities.insert(entry.replica.0, identity) != Some(identity) {
+        let identity = ReplicaIdentity {
+            id: entry.id,
+            started_at: entry.started_at,
+        };
+        // Observations of a former process or replica under this index do not hold for the new one.
+        if self.identities.insert(entry.replica, identity) != Some(identity) {
             self.observer.on_replica_removed(entry.replica.0);
         }
         match entry.phase {
             Phase::Removed => {
                 self.observer.on_replica_removed(entry.replica.0);
-                self.listed.remove(&entry.replica.0);
+                self.listed.remove(&entry.replica);
             }
-            _ => drop(self.listed.insert(entry.replica.0, entry.clone())),
+            _ => drop(self.listed.insert(entry.replica, entry.clone())),
         }
     }
 
     /// The configured zone of a listed replica.
-    fn zone(&self, replica: usize) -> Option<usize> {
+    fn zone(&self, replica: ReplicaIndex) -> Option<usize> {
         let listed = self.listed.get(&replica)?;
         self.named_zones.get(listed.zone)?.configured
     }
@@ -122,24 +163,24 @@
     /// A sub-request to a replica ended after `elapsed`.
     pub(crate) fn on_outcome(
         &mut self,
-        replica: usize,
+        replica: ReplicaIndex,
         outcome: AttemptOutcome,
         elapsed: TenthMillis,
     ) {
         if let Some(zone) = self.zone(replica).and_then(ZoneIndex::new) {
-            self.observer.on_outcome(zone, replica, outcome, elapsed);
+            self.observer.on_outcome(zone, replica.0, outcome, elapsed);
         }
     }
 
     /// The observations since the previous call, and the placement of replicas now.
-    pub(crate) fn report(&mut self) -> (Report, Topology) {
+    pub(crate) fn report(&mut self) -> ZoneReport {
         let zone_count = self.zones.len();
         let mut replicas = vec![0; zone_count];
         // Ready replicas by replica group, then by zone.
         let mut by_group = vec![vec![0_u16; zone_count]; self.layout.replica_groups];
         let ready = |entry: &&MembershipEntry| entry.phase == Phase::Ready;
         for entry in self.listed.values().filter(ready) {
-            let Some(zone) = self.zone(entry.replica.0) else {
+            let Some(zone) = self.zone(entry.replica) else {
                 continue;
             };
             replicas[zone] += 1;
@@ -152,7 +193,10 @@
             replicas,
             placements: self.placements(&by_group),
         };
-        (self.observer.report(&topology.replicas), topology)
+        ZoneReport {
+            observations: self.observer.report(&topology.replicas),
+            topology,
+        }
     }
 
     /// The ways in which shards are spread over zones, each with its share of all shards.
@@ -174,7 +218,7 @@
             .collect()
     }
 
-    /// Puts a table in force; one for other zones than the configured ones is refused with `false`.
+    /// Puts a table in force; returns whether it did, as one for other zones than the configured ones is rejected.
     pub(crate) fn accept_table(&mut self, table: RoutingTable, now: TenthMillis) -> bool {
         let configured = self.zones.iter().map(|zone| &zone.name);
         let is_applicable = table.zones.iter().eq(configured);
