--- a/crates/linenthread-simulation/src/commands/failover.rs
+++ b/crates/linenthread-simulation/src/commands/failover.rs
@@ -5,7 +5,7 @@
 use bpaf::{Parser, construct};
 
 use super::{arguments, outcome};
-use crate::failover_simulation;
+use crate::failover;
 
 #[derive(Clone)]
 pub(crate) struct Options {
@@ -29,6 +29,6 @@
 }
 
 pub(super) fn run(options: &Options) -> ExitCode {
-    let (checked, breaches) = failover_simulation::run(options.seeds, options.seed);
+    let (checked, breaches) = failover::run(options.seeds, options.seed);
     outcome::close(checked, breaches)
 }
--- a/crates/linenthread-simulation/src/commands/fleet.rs
+++ b/crates/linenthread-simulation/src/commands/fleet.rs
@@ -5,7 +5,7 @@
 use bpaf::{Parser, construct};
 
 use super::{arguments, outcome};
-pub(super) use crate::fleet_simulation::FleetSimulation as Options;
+pub(super) use crate::fleet::Options;
 
 pub(super) fn parser() -> impl Parser<Options> {
     let schedules = arguments::schedules(300);
--- a/crates/linenthread-simulation/src/commands/zones.rs
+++ b/crates/linenthread-simulation/src/commands/zones.rs
@@ -5,7 +5,7 @@
 use bpaf::{Parser, construct};
 
 use super::{arguments, outcome};
-pub(super) use crate::zones_simulation::ZonesSimulation as Options;
+pub(super) use crate::zones::Options;
 
 pub(super) fn parser() -> impl Parser<Options> {
     let schedules = arguments::schedules(300);
--- a/crates/linenthread-simulation/src/fleet_simulation/mod.rs
+++ b/crates/linenthread-simulation/src/fleet/mod.rs
@@ -1,11 +1,11 @@
 //! Fleets in simulated time: membership and the replicated state through loss, partitions, crashes with and without
 //! disk, pauses, failing disks and clocks that run apart.
 //!
-//! Start reading at [`World::run`]; `checks` has the invariants.
+//! Start reading at [`World::run`]; `invariants` has the invariants.
 
-mod checks;
 mod event;
 mod faults;
+mod invariants;
 mod network;
 mod process;
 mod world;
@@ -29,7 +29,7 @@
 
 /// Which schedules are run.
 #[derive(Clone, Debug)]
-pub(crate) struct FleetSimulation {
+pub(crate) struct Options {
     /// How many.
     pub(crate) schedules: usize,
     /// The seed of the first; the others count on from it.
@@ -100,7 +100,7 @@
     }
 }
 
-impl FleetSimulation {
+impl Options {
     /// Runs all schedules and prints a summary; how many were checked, and how many breaches there are.
     pub(crate) fn run(&self) -> (usize, usize) {
         let seeds = self.seed..self.seed + self.schedules as u64;
--- a/crates/linenthread-simulation/src/main.rs
+++ b/crates/linenthread-simulation/src/main.rs
@@ -7,8 +7,8 @@
 mod closed_output;
 mod commands;
 mod dataplane;
-mod failover_simulation;
-mod fleet_simulation;
+mod failover;
+mod fleet;
 mod link;
 mod link_speed;
 mod members;
@@ -17,7 +17,7 @@
 
 mod schedules;
 mod system;
-mod zones_simulation;
+mod zones;
 
 use std::process::ExitCode;
 
--- a/crates/linenthread-simulation/src/merged/mod.rs
+++ b/crates/linenthread-simulation/src/merged/mod.rs
@@ -2,12 +2,12 @@
 //! `linenthread-merge` over a fleet in simulated time. Each response is checked against the full data.
 
 mod plans;
-mod simulated_replicas;
+mod replicas;
 mod simulation;
 
 use oorandom::Rand64;
 
-use self::simulated_replicas::ReplicaBehavior;
+use replicas::ReplicaBehavior;
 use simulation::{Simulation, Statistics};
 
 /// Options of the command.
--- a/crates/linenthread-simulation/src/merged/simulation.rs
+++ b/crates/linenthread-simulation/src/merged/simulation.rs
@@ -14,7 +14,7 @@
 
 use super::Options;
 use super::plans::{self, GROUPS, MAX_GROUPS, ROWS, TOTALS};
-use super::simulated_replicas::{
+use super::replicas::{
     AttemptFate, Decision, Event, MAX_ATTEMPTS, ReplicaBehavior, SHARDS, SimulatedReplicas,
 };
 
--- a/crates/linenthread-simulation/src/zones_simulation/mod.rs
+++ b/crates/linenthread-simulation/src/zones/mod.rs
@@ -1,10 +1,10 @@
 //! Zones in simulated time: coordinators observe what truly happens through noise, loss and lag, one controller
 //! decides for all, and where its table sends requests is checked by what each zone can truly process.
 //!
-//! Start reading at [`World::run`]; `checks` has the invariants.
+//! Start reading at [`World::run`]; `invariants` has the invariants.
 
-mod checks;
 mod fault;
+mod invariants;
 mod traffic;
 mod world;
 
@@ -25,7 +25,7 @@
 
 /// Which schedules are run.
 #[derive(Clone, Debug)]
-pub(crate) struct ZonesSimulation {
+pub(crate) struct Options {
     /// How many.
     pub(crate) schedules: usize,
     /// The seed of the first; the others count on from it.
@@ -39,7 +39,7 @@
     handled_after: Option<TenthMillis>,
 }
 
-impl ZonesSimulation {
+impl Options {
     /// Runs all schedules and prints a summary; how many were checked, and how many breaches there are.
     pub(crate) fn run(&self) -> (usize, usize) {
         let seeds = self.seed..self.seed + self.schedules as u64;
