--- a/crates/linenthread-simulation/src/failover/coordinator.rs
+++ b/crates/linenthread-simulation/src/failover/coordinator.rs
@@ -2,13 +2,14 @@
 
 use std::collections::VecDeque;
 
+use linenthread_core::Coordinator;
 use linenthread_core::interface::{
     CoordinatorConfig, Idempotency, IndexConfig, Inputs, Permissions, ShardLayout, SlowStart,
     TenthMillis, ZoneRoute,
 };
-use linenthread_core::{Coordinator, DecisionSink};
 use linenthread_zones::{ALL_KEYS, FailoverController, Row, ZoneObserver};
 
+use super::decisions::Decisions;
 use super::event::AttemptIndex;
 use super::replica::{COLD_SPEED, WARM_UP};
 use super::{PER_ZONE, REPLICAS, SECOND, SOFT_DEADLINE, START, ZONES};
@@ -37,73 +38,6 @@
     pub(super) arriving_routes: VecDeque<(TenthMillis, Vec<ZoneRoute>)>,
 }
 
-/// What the decision module requests in one step.
-#[derive(Default)]
-pub(super) struct Decisions {
-    pub(super) attempts: Vec<SendAttempt>,
-    pub(super) responded: Vec<usize>,
-    pub(super) released: Vec<usize>,
-    pub(super) cancelled: Vec<CancelAttempt>,
-    pub(super) health_checks: Vec<usize>,
-    wake_at: Option<TenthMillis>,
-}
-
-pub(super) struct SendAttempt {
-    pub(super) query: usize,
-    pub(super) sub_request: usize,
-    pub(super) replica: usize,
-    pub(super) timeout: TenthMillis,
-}
-
-pub(super) struct CancelAttempt {
-    pub(super) query: usize,
-    pub(super) sub_request: usize,
-    pub(super) number: usize,
-}
-
-impl DecisionSink for Decisions {
-    fn send(&mut self, query: usize, sub_request: usize, replica: usize, timeout: TenthMillis) {
-        self.attempts.push(SendAttempt {
-            query,
-            sub_request,
-            replica,
-            timeout,
-        });
-    }
-
-    fn cancel(&mut self, query: usize, sub_request: usize, number: usize) {
-        self.cancelled.push(CancelAttempt {
-            query,
-            sub_request,
-            number,
-        });
-    }
-
-    fn respond(&mut self, query: usize, _: bool) {
-        self.responded.push(query);
-    }
-
-    fn reject(&mut self, _: usize, _: Option<TenthMillis>) {}
-
-    fn fail(&mut self, _: usize) {}
-
-    fn release(&mut self, query: usize) {
-        self.released.push(query);
-    }
-
-    fn close_idle(&mut self, _: usize) {}
-
-    fn probe(&mut self, replica: usize) {
-        self.health_checks.push(replica);
-    }
-
-    fn watch_membership(&mut self) {}
-
-    fn wake_at(&mut self, at: TenthMillis) {
-        self.wake_at = Some(at);
-    }
-}
-
 impl CoordinatorNode {
     pub(super) fn new(number: usize, seed: u64) -> CoordinatorNode {
         let zone = number % ZONES;
--- a/crates/linenthread-simulation/src/failover/mod.rs
+++ b/crates/linenthread-simulation/src/failover/mod.rs
@@ -5,15 +5,25 @@
 //! Start reading at [`World::run`]; `scenario` has the policies and the faults.
 
 mod coordinator;
+mod decisions;
 mod event;
+mod fault;
+mod faults;
+mod policy;
+mod processing;
 mod replica;
 mod routing;
-mod scenario;
+mod simulation;
+mod statistics;
+mod topology;
+mod traffic;
 mod world;
 
 use linenthread_core::interface::TenthMillis;
 
-use scenario::{Fault, Policy};
+use fault::Fault;
+use policy::Policy;
+use statistics::{Runs, print_heading, print_line};
 use world::World;
 
 const ZONES: usize = 3;
@@ -39,56 +49,6 @@
 /// The index of [`Policy::Common`] among all; those before it know no more than it.
 const COMMON: usize = 3;
 
-/// What a run counted, after the fault's start where it says so.
-#[derive(Clone, Copy, Debug, Default)]
-struct Totals {
-    /// Queries after the fault's start.
-    queries: f64,
-    /// Of them, those that were answered in time.
-    served: f64,
-    attempts: f64,
-    /// Of them, those to another zone.
-    crossing: f64,
-    /// Cold replicas that were overloaded until they failed.
-    failed_replicas: u32,
-    /// From the fault's start to the first table that closes a route.
-    reaction_time: Option<TenthMillis>,
-}
-
-/// The runs of one policy under one fault.
-struct Runs(Vec<Totals>);
-
-impl Runs {
-    fn sum(&self, of: fn(&Totals) -> f64) -> f64 {
-        self.0.iter().map(of).sum()
-    }
-
-    fn served_share(&self) -> f64 {
-        self.sum(|t| t.served) / self.sum(|t| t.queries).max(1.0)
-    }
-
-    fn crossing_share(&self) -> f64 {
-        self.sum(|t| t.crossing) / self.sum(|t| t.attempts).max(1.0)
-    }
-
-    /// A table's cell.
-    fn summary(&self) -> String {
-        format!(
-            "{:.3} {:.2} {}",
-            self.served_share(),
-            self.crossing_share(),
-            self.sum(|t| f64::from(t.failed_replicas))
-        )
-    }
-
-    fn median_reaction(&self) -> Option<TenthMillis> {
-        let times = self.0.iter().filter_map(|totals| totals.reaction_time);
-        let mut times: Vec<TenthMillis> = times.collect();
-        times.sort_unstable();
-        times.get(times.len() / 2).copied()
-    }
-}
-
 /// Runs all policies under a fault with the same seeds.
 fn run_policies(fault: Fault, utilization: f64, seeds: usize, seed: u64) -> Vec<Runs> {
     let run = |policy: Policy| {
@@ -121,23 +81,3 @@
     }
     (UTILIZATIONS.len() * Fault::ALL.len(), breaches)
 }
-
-fn print_heading(utilization: f64) {
-    println!(
-        "replicas busy to {utilization}: share of gain served, of parts that cross, cold replicas pushed over"
-    );
-    let headings = Policy::ALL.map(|policy| format!("{policy:>20}"));
-    println!("{:10} {}  table after", "", headings.join(" "));
-}
-
-fn print_line(fault: Fault, runs: &[Runs]) {
-    let cells: Vec<String> = runs
-        .iter()
-        .map(|runs| format!("{:>20}", runs.summary()))
-        .collect();
-    let reaction = runs[COMMON].median_reaction();
-    let reaction = reaction.map_or("-".into(), |time| {
-        format!("{:.1} s", time as f64 / SECOND as f64)
-    });
-    println!("{fault:10} {}  {reaction}", cells.join(" "));
-}
--- /dev/null
+++ b/crates/linenthread-simulation/src/failover/processing.rs
@@ -0,0 +1,71 @@
+//! What replicas do with the attempts that arrive.
+
+use linenthread_core::interface::TenthMillis;
+
+use super::event::{AttemptIndex, Event, Outcome};
+use super::world::{Attempt, World};
+use super::{CORES, SERVICE_TIME};
+
+impl World {
+    pub(super) fn on_arrival(&mut self, attempt: AttemptIndex) {
+        let replica = self.attempts[attempt].replica;
+        if !self.replicas[replica].is_up {
+            return self.respond(attempt, Outcome::ConnectFailed);
+        }
+        self.attempts[attempt].queue_depth = self.replicas[replica].queue.len() as u32;
+        self.replicas[replica].queue.push_back(attempt);
+        let speed = self.speed(replica);
+        if self.replicas[replica].fails_on_arrival(self.now, speed) {
+            self.totals.failed_replicas += 1;
+            self.stop_replica(replica);
+        }
+        self.process_queue(replica);
+    }
+
+    /// A replica processes what is queued, as far as it has cores.
+    fn process_queue(&mut self, replica: usize) {
+        let speed = self.speed(replica);
+        while self.replicas[replica].processing.len() < CORES
+            && let Some(attempt) = self.replicas[replica].queue.pop_front()
+        {
+            // What was cancelled is not processed.
+            if self.attempts[attempt].is_over {
+                continue;
+            }
+            let duration = SERVICE_TIME / speed * (0.5 + self.rng.rand_float());
+            self.replicas[replica].processing.push(attempt);
+            let processed = Event::Processed {
+                replica,
+                attempt,
+                incarnation: self.replicas[replica].incarnation,
+            };
+            self.after(duration as TenthMillis, processed);
+        }
+    }
+
+    pub(super) fn on_processed(&mut self, replica: usize, attempt: AttemptIndex) {
+        let processing = &mut self.replicas[replica].processing;
+        processing.retain(|other| *other != attempt);
+        if !self.is_cut_off(self.attempts[attempt].coordinator, replica) {
+            self.respond(attempt, Outcome::Success);
+        }
+        self.process_queue(replica);
+    }
+
+    pub(super) fn stop_replica(&mut self, replica: usize) {
+        for attempt in self.replicas[replica].stop() {
+            self.respond(attempt, Outcome::ConnectionLost);
+        }
+    }
+
+    /// An outcome goes to the attempt's coordinator.
+    fn respond(&mut self, attempt: AttemptIndex, outcome: Outcome) {
+        let Attempt {
+            coordinator,
+            replica,
+            ..
+        } = self.attempts[attempt];
+        let latency = self.latency(coordinator, replica);
+        self.after(latency, Event::Respond { attempt, outcome });
+    }
+}
--- a/crates/linenthread-simulation/src/failover/routing.rs
+++ b/crates/linenthread-simulation/src/failover/routing.rs
@@ -1,71 +1,24 @@
 //! The decisions on routes between zones, by each policy.
 
-use std::collections::BTreeMap;
-
 use linenthread_core::interface::TenthMillis;
 use linenthread_zones::{
-    FailoverConfig, FailoverController, Placement, Reason, Report, Route, RoutingTable, Topology,
-    Zone, limit_to_capacity,
+    FailoverController, Reason, Report, Route, RoutingTable, Topology, limit_to_capacity,
 };
 
 use super::coordinator::zone_routes;
-use super::replica::Replica;
-use super::scenario::Policy;
+use super::policy::Policy;
+use super::topology::{config, topology, zone_names};
 use super::world::World;
 use super::{
-    CORES, FAULT_START, PER_ZONE, REPLICAS, SECOND, SERVICE_TIME, SHARDS, START,
-    SUB_REQUESTS_PER_QUERY, ZONES,
+    CORES, FAULT_START, PER_ZONE, REPLICAS, SECOND, SERVICE_TIME, START, SUB_REQUESTS_PER_QUERY,
+    ZONES,
 };
 
-/// Replicas of each shard.
-const COPIES: usize = 2;
 /// Without a leader nobody decides for so long.
 const LEADER_ELECTION: TenthMillis = 2 * SECOND;
 /// The part of its capacity up to which the true state fills a zone.
 const TRUE_STATE_MARGIN: f64 = 0.95;
 
-fn zone_names() -> Vec<String> {
-    ["palermo", "catania", "messina"]
-        .map(str::to_owned)
-        .to_vec()
-}
-
-pub(super) fn config() -> FailoverConfig {
-    FailoverConfig {
-        capacity_margin: 0.8,
-        hold: 5 * SECOND,
-        max_hold: 60 * SECOND,
-        return_step: 3 * SECOND,
-    }
-}
-
-/// Zones and shards, with the replicas that are up.
-pub(super) fn topology(replicas: &[Replica]) -> Topology {
-    let mut running = vec![0; ZONES];
-    for (index, replica) in replicas.iter().enumerate() {
-        running[index % ZONES] += u32::from(replica.is_up);
-    }
-    let mut shares: BTreeMap<Vec<u16>, f64> = BTreeMap::new();
-    for shard in 0..SHARDS {
-        let mut replicas = vec![0; ZONES];
-        for copy in 0..COPIES {
-            replicas[(shard + copy) % REPLICAS % ZONES] += 1;
-        }
-        *shares.entry(replicas).or_default() += 1.0 / SHARDS as f64;
-    }
-    let zone = |name: String| Zone {
-        name,
-        region: "sicily".into(),
-        replica_capacity: None,
-    };
-    let placement = |(replicas, share)| Placement { replicas, share };
-    Topology {
-        zones: zone_names().into_iter().map(zone).collect(),
-        replicas: running,
-        placements: shares.into_iter().map(placement).collect(),
-    }
-}
-
 impl World {
     /// Collects reports and decides.
     pub(super) fn decide(&mut self) {
--- /dev/null
+++ b/crates/linenthread-simulation/src/failover/simulation.rs
@@ -0,0 +1,76 @@
+//! One run from its start to its end, event by event.
+
+use std::cmp::Reverse;
+
+use linenthread_core::interface::{AttemptOutcome, TenthMillis};
+
+use super::SECOND;
+use super::event::Event;
+use super::statistics::Totals;
+use super::world::World;
+
+const DURATION: TenthMillis = 60 * SECOND;
+/// The module runs this often.
+const STEP: TenthMillis = 10;
+const DECISION_INTERVAL: TenthMillis = 5_000;
+
+impl World {
+    /// Runs from the first queries to the end.
+    pub(super) fn run(mut self) -> Totals {
+        for coordinator in 0..self.coordinators.len() {
+            self.schedule_query(coordinator);
+        }
+        let mut decide_at = self.now + DECISION_INTERVAL;
+        let end = self.now + DURATION;
+        while self.now < end {
+            self.now += STEP;
+            self.handle_due_events();
+            self.update_fault();
+            if self.now >= decide_at {
+                decide_at += DECISION_INTERVAL;
+                self.decide();
+            }
+            for coordinator in 0..self.coordinators.len() {
+                if self.coordinators[coordinator].is_due(self.now) {
+                    self.run_coordinator(coordinator);
+                }
+            }
+        }
+        self.totals
+    }
+
+    fn handle_due_events(&mut self) {
+        while let Some(Reverse((at, _, event))) = self.events.peek() {
+            if *at > self.now {
+                break;
+            }
+            let event = *event;
+            self.events.pop();
+            self.handle(event);
+        }
+    }
+
+    fn handle(&mut self, event: Event) {
+        match event {
+            Event::Query { coordinator } => self.on_query(coordinator),
+            Event::Arrive { attempt } => self.on_arrival(attempt),
+            Event::Processed {
+                replica,
+                attempt,
+                incarnation,
+            } => {
+                if self.replicas[replica].incarnation == incarnation {
+                    self.on_processed(replica, attempt);
+                }
+            }
+            Event::Respond { attempt, outcome } => self.end_attempt(attempt, outcome.into()),
+            Event::TimeOut { attempt } => self.end_attempt(attempt, AttemptOutcome::TimedOut),
+            Event::HealthChecked {
+                coordinator,
+                replica,
+                outcome,
+            } => self.on_health_checked(coordinator, replica, outcome.into()),
+            Event::Membership { update } => self.on_membership(update),
+        }
+    }
+}
--- /dev/null
+++ b/crates/linenthread-simulation/src/failover/topology.rs
@@ -0,0 +1,53 @@
+//! The zones, where the shards lie, and the settings of the failover controller.
+
+use std::collections::BTreeMap;
+
+use linenthread_zones::{FailoverConfig, Placement, Topology, Zone};
+
+use super::replica::Replica;
+use super::{REPLICAS, SECOND, SHARDS, ZONES};
+
+/// Replicas of each shard.
+const COPIES: usize = 2;
+
+pub(super) fn zone_names() -> Vec<String> {
+    ["palermo", "catania", "messina"]
+        .map(str::to_owned)
+        .to_vec()
+}
+
+pub(super) fn config() -> FailoverConfig {
+    FailoverConfig {
+        capacity_margin: 0.8,
+        hold: 5 * SECOND,
+        max_hold: 60 * SECOND,
+        return_step: 3 * SECOND,
+    }
+}
+
+/// Zones and shards, with the replicas that are up.
+pub(super) fn topology(replicas: &[Replica]) -> Topology {
+    let mut running = vec![0; ZONES];
+    for (index, replica) in replicas.iter().enumerate() {
+        running[index % ZONES] += u32::from(replica.is_up);
+    }
+    let mut shares: BTreeMap<Vec<u16>, f64> = BTreeMap::new();
+    for shard in 0..SHARDS {
+        let mut replicas = vec![0; ZONES];
+        for copy in 0..COPIES {
+            replicas[(shard + copy) % REPLICAS % ZONES] += 1;
+        }
+        *shares.entry(replicas).or_default() += 1.0 / SHARDS as f64;
+    }
+    let zone = |name: String| Zone {
+        name,
+        region: "sicily".into(),
+        replica_capacity: None,
+    };
+    let placement = |(replicas, share)| Placement { replicas, share };
+    Topology {
+        zones: zone_names().into_iter().map(zone).collect(),
+        replicas: running,
+        placements: shares.into_iter().map(placement).collect(),
+    }
+}
--- /dev/null
+++ b/crates/linenthread-simulation/src/failover/traffic.rs
@@ -0,0 +1,196 @@
+//! Clients' queries, and the attempts and health checks by which coordinators serve them.
+
+use linenthread_core::interface::{
+    AttemptOutcome, AttemptResult, NewQuery, NewSubRequest, ProbeResult, TenthMillis,
+};
+
+use super::coordinator::Query;
+use super::decisions::{CancelAttempt, SendAttempt};
+use super::event::{AttemptIndex, Event, Outcome};
+use super::world::{Attempt, World};
+use super::{FAULT_START, SHARDS, SOFT_DEADLINE, START, SUB_REQUESTS_PER_QUERY, ZONES};
+
+const HARD_DEADLINE: TenthMillis = 15_000;
+/// What a health check takes beside its way, and one into a partition.
+const HEALTH_CHECK_TIME: TenthMillis = 5;
+const HEALTH_CHECK_TIMEOUT: TenthMillis = 1_000;
+/// The elapsed time that is observed of each health check.
+const OBSERVED_HEALTH_CHECK: TenthMillis = 30;
+const KEYS: u64 = 5_000;
+/// The shards of a query are so far apart.
+const SHARD_STRIDE: usize = 7;
+
+impl World {
+    pub(super) fn schedule_query(&mut self, coordinator: usize) {
+        let wait = -(1.0 - self.rng.rand_float()).ln() / self.query_rate;
+        self.after(wait as TenthMillis, Event::Query { coordinator });
+    }
+
+    pub(super) fn on_query(&mut self, coordinator: usize) {
+        self.schedule_query(coordinator);
+        // A lost zone's clients are lost with it.
+        if self.is_lost(self.coordinators[coordinator].zone) {
+            return;
+        }
+        let first_shard = self.rng.rand_range(0..SHARDS as u64) as usize;
+        let key = self.rng.rand_range(0..KEYS);
+        let now = self.now;
+        let node = &mut self.coordinators[coordinator];
+        let query = node.add_query(Query {
+            soft_deadline: now + SOFT_DEADLINE,
+            attempts: Vec::new(),
+        });
+        node.observer.on_query(SUB_REQUESTS_PER_QUERY);
+        node.inputs.queries.push(NewQuery {
+            query,
+            index: 0,
+            customer: 0,
+            key: Some(key),
+            sequence_number: self.last_event,
+            hard_deadline: now + HARD_DEADLINE,
+        });
+        let sub_request = |n: usize| NewSubRequest {
+            query,
+            shard: (first_shard + SHARD_STRIDE * n) % SHARDS,
+            weight: 1.0 / SUB_REQUESTS_PER_QUERY as f64,
+        };
+        let sub_requests = (0..SUB_REQUESTS_PER_QUERY).map(sub_request);
+        node.inputs.sub_requests.extend(sub_requests);
+        if now >= START + FAULT_START {
+            self.totals.queries += 1.0;
+        }
+    }
+
+    /// Runs a coordinator's decision module and does what it requests.
+    pub(super) fn run_coordinator(&mut self, coordinator: usize) {
+        let decisions = self.coordinators[coordinator].step(self.now);
+        for query in decisions.responded {
+            self.count_response(coordinator, query);
+        }
+        for attempt in &decisions.attempts {
+            self.send_attempt(coordinator, attempt);
+        }
+        for cancelled in &decisions.cancelled {
+            self.cancel_attempt(coordinator, cancelled);
+        }
+        for replica in decisions.health_checks {
+            self.check_health(coordinator, replica);
+        }
+        for query in decisions.released {
+            self.coordinators[coordinator].release_query(query);
+        }
+    }
+
+    /// Counts a query that was answered in time and arrived after the fault's start.
+    fn count_response(&mut self, coordinator: usize, query: usize) {
+        let Some(query) = self.coordinators[coordinator].query(query) else {
+            return;
+        };
+        let arrived_at = query.soft_deadline - SOFT_DEADLINE;
+        if self.now <= query.soft_deadline && arrived_at >= START + FAULT_START {
+            self.totals.served += 1.0;
+        }
+    }
+
+    fn send_attempt(&mut self, coordinator: usize, sent: &SendAttempt) {
+        let node = &mut self.coordinators[coordinator];
+        let Some(Some(query)) = node.queries.get_mut(sent.query) else {
+            return;
+        };
+        let attempts = query.attempts.iter();
+        let number = attempts
+            .filter(|&&other| self.attempts[other].sub_request == sent.sub_request)
+            .count();
+        let attempt = self.attempts.len();
+        query.attempts.push(attempt);
+        self.attempts.push(Attempt {
+            coordinator,
+            query: sent.query,
+            sub_request: sent.sub_request,
+            number,
+            replica: sent.replica,
+            sent_at: self.now,
+            is_over: false,
+            queue_depth: 0,
+        });
+        self.totals.attempts += 1.0;
+        if node.zone != sent.replica % ZONES {
+            self.totals.crossing += 1.0;
+        }
+        self.after(sent.timeout, Event::TimeOut { attempt });
+        if !self.is_cut_off(coordinator, sent.replica) {
+            let latency = self.latency(coordinator, sent.replica);
+            self.after(latency, Event::Arrive { attempt });
+        }
+    }
+
+    fn cancel_attempt(&mut self, coordinator: usize, cancelled: &CancelAttempt) {
+        let Some(query) = self.coordinators[coordinator].query(cancelled.query) else {
+            return;
+        };
+        let is_it = |index: &&AttemptIndex| {
+            let attempt = &self.attempts[**index];
+            attempt.sub_request == cancelled.sub_request && attempt.number == cancelled.number
+        };
+        if let Some(&attempt) = query.attempts.iter().find(is_it) {
+            self.end_attempt(attempt, AttemptOutcome::Cancelled);
+        }
+    }
+
+    /// An attempt is over for its coordinator.
+    pub(super) fn end_attempt(&mut self, attempt: AttemptIndex, outcome: AttemptOutcome) {
+        let attempt = &mut self.attempts[attempt];
+        if std::mem::replace(&mut attempt.is_over, true) {
+            return;
+        }
+        let elapsed = self.now - attempt.sent_at;
+        let queue_depth = f64::from(attempt.queue_depth);
+        let zone = (attempt.replica % ZONES) as u8;
+        let node = &mut self.coordinators[attempt.coordinator];
+        node.observer
+            .on_outcome(zone, attempt.replica, outcome, elapsed);
+        node.inputs.results.push(AttemptResult {
+            query: attempt.query,
+            sub_request: attempt.sub_request,
+            attempt: attempt.number,
+            outcome,
+            elapsed,
+            queue_depth: (outcome == AttemptOutcome::Success).then_some(queue_depth),
+        });
+    }
+
+    fn check_health(&mut self, coordinator: usize, replica: usize) {
+        let round_trip = 2 * self.latency(coordinator, replica);
+        let (wait, outcome) = if self.is_cut_off(coordinator, replica) {
+            (HEALTH_CHECK_TIMEOUT, Outcome::TimedOut)
+        } else if self.replicas[replica].is_up {
+            (round_trip + HEALTH_CHECK_TIME, Outcome::Success)
+        } else {
+            (round_trip, Outcome::ConnectFailed)
+        };
+        let checked = Event::HealthChecked {
+            coordinator,
+            replica,
+            outcome,
+        };
+        self.after(wait, checked);
+    }
+
+    pub(super) fn on_health_checked(
+        &mut self,
+        coordinator: usize,
+        replica: usize,
+        outcome: AttemptOutcome,
+    ) {
+        let queue_depth = self.replicas[replica].queue.len() as f64;
+        let node = &mut self.coordinators[coordinator];
+        let zone = (replica % ZONES) as u8;
+        node.observer
+            .on_outcome(zone, replica, outcome, OBSERVED_HEALTH_CHECK);
+        node.inputs.probes.push(ProbeResult {
+            replica,
+            outcome,
+            queue_depth: (outcome == AttemptOutcome::Success).then_some(queue_depth),
+        });
+    }
+}
