--- /dev/null
+++ b/crates/linenthread-simulation/src/fleet/execution.rs
@@ -0,0 +1,114 @@
+//! A step of a process: it is called, and what it requests is performed.
+
+use linenthread_core::interface::TenthMillis;
+use linenthread_fleet::{Fleet, FleetAction, FleetEvent};
+
+use super::TENTHS_PER_SECOND;
+use super::event::{Event, ProcessIndex};
+use super::process::{self, Disk, name, secrets};
+use super::world::World;
+
+/// Set in the environment, it has all events of the fleets printed.
+const SHOW_VARIABLE: &str = "SHOW";
+
+impl World {
+    /// Starts a process, if it does not run.
+    pub(super) fn start(&mut self, at: ProcessIndex) {
+        if self.processes[at].fleet.is_some() {
+            return;
+        }
+        let count = self.processes.len();
+        let seed = self.rng.rand_u64();
+        let process = &mut self.processes[at];
+        let now = process.local_time(self.now);
+        let config = process.next_config(at, self.voters, count);
+        let disk = process.disk.clone();
+        let mut actions = Vec::new();
+        match Fleet::new(config, Some(disk), secrets(), seed, now, &mut actions) {
+            Ok(fleet) => process.fleet = Some(fleet),
+            Err(error) => self.breach(format!("{} does not start: {error}", name(at))),
+        }
+        self.perform(at, actions);
+    }
+
+    /// Calls a process and performs what it requests.
+    pub(super) fn call(
+        &mut self,
+        at: ProcessIndex,
+        call: impl FnOnce(&mut Fleet<Disk>, TenthMillis, &mut Vec<FleetAction>),
+    ) {
+        let process = &mut self.processes[at];
+        let now = process.local_time(self.now);
+        let mut actions = Vec::new();
+        if let Some(fleet) = &mut process.fleet {
+            call(fleet, now, &mut actions);
+            self.perform(at, actions);
+            self.check(at);
+        }
+    }
+
+    pub(super) fn perform(&mut self, at: ProcessIndex, actions: Vec<FleetAction>) {
+        for action in actions {
+            match action {
+                FleetAction::Dial {
+                    connection,
+                    address,
+                } => {
+                    let latency = self.latency();
+                    let connect = Event::Connect {
+                        from: at,
+                        connection,
+                        to: process::index(address),
+                    };
+                    self.after(latency, connect);
+                }
+                FleetAction::Write { connection, bytes } => self.send(at, connection, bytes),
+                FleetAction::Close { connection, .. } => {
+                    if let Some(link) = self.network.link_at((at, connection)) {
+                        self.close_link(link, at);
+                    }
+                    self.call(at, |fleet, now, actions| {
+                        fleet.on_closed(now, connection, actions);
+                    });
+                }
+                FleetAction::Datagram { to, bytes } => {
+                    self.send_datagram(at, process::index(to), bytes);
+                }
+                FleetAction::Committed(committed) => self.on_committed(at, committed),
+                FleetAction::Log(event) => self.on_event(at, &event),
+                FleetAction::MemberUp(_)
+                | FleetAction::MemberDown(_)
+                | FleetAction::Report { .. }
+                | FleetAction::LogConnection(_) => {}
+            }
+        }
+        self.set_timer(at);
+    }
+
+    fn on_event(&mut self, at: ProcessIndex, event: &FleetEvent) {
+        match event {
+            FleetEvent::LeadershipAcquired { .. } => self.totals.leaders += 1,
+            FleetEvent::IdentityReplaced { .. } => self.totals.replaced += 1,
+            _ => {}
+        }
+        if std::env::var_os(SHOW_VARIABLE).is_some() {
+            let seconds = self.now as f64 / TENTHS_PER_SECOND;
+            println!("{seconds:8.2} {}: {event}", name(at));
+        }
+    }
+
+    /// Schedules the next timer of a process, where it is earlier than the current one.
+    fn set_timer(&mut self, at: ProcessIndex) {
+        let process = &mut self.processes[at];
+        let Some(fleet) = &process.fleet else {
+            return;
+        };
+        let wake_at = process.global_time(fleet.wake_at()).max(self.now + 1);
+        if wake_at < process.wake_at || process.wake_at <= self.now {
+            process.wake_at = wake_at;
+            process.timer += 1;
+            let event = Event::Wake(at, process.timer);
+            self.after(wake_at - self.now, event);
+        }
+    }
+}
--- a/crates/linenthread-simulation/src/fleet/faults.rs
+++ b/crates/linenthread-simulation/src/fleet/faults.rs
@@ -1,7 +1,5 @@
 //! Faults: crashes with and without disk, pauses, partitions, failing disks, loss and latency.
 
-use std::cmp::Reverse;
-
 use linenthread_core::interface::TenthMillis;
 use linenthread_fleet::Fleet;
 
@@ -33,7 +31,7 @@
                 let wait = self.random_time(5_000..30_000);
                 self.after(wait, Event::Restart);
             }
-            13 => self.handle(Event::Restart),
+            13 => self.restart_random(),
             9 => {
                 let syncs = self.rng.rand_range(0..5) as usize;
                 let mut disk = self.processes[at].disk.borrow_mut();
@@ -98,6 +96,35 @@
         self.after(wait, Event::Heal);
     }
 
+    /// Ends a process at once.
+    pub(super) fn crash(&mut self, at: ProcessIndex, loses_disk: bool) {
+        if self.processes[at].crash(loses_disk, &mut self.rng) {
+            for link in self.network.links_of(at) {
+                self.close_link(link, at);
+            }
+        }
+    }
+
+    /// A paused process resumes: what arrived meanwhile is all there at once, in its order.
+    pub(super) fn resume(&mut self, at: ProcessIndex) {
+        let process = &mut self.processes[at];
+        if !process.is_paused {
+            return;
+        }
+        process.is_paused = false;
+        process.wake_at = TenthMillis::MAX;
+        let mut waiting = std::mem::take(&mut process.waiting);
+        // Which of its own timers or its sockets it looks at first is random.
+        if self.rng.rand_range(0..2) == 0 {
+            self.call(at, Fleet::wake);
+        }
+        waiting.retain(|event| !matches!(event, Event::Wake(..)));
+        for event in waiting {
+            self.handle(event);
+        }
+        self.call(at, Fleet::wake);
+    }
+
     /// A random process crashes and starts again at once.
     pub(super) fn restart_random(&mut self) {
         let at = self.random_process();
@@ -105,33 +132,4 @@
         let wait = self.random_time(10..500);
         self.after(wait, Event::Start(at));
     }
-
-    /// Ends all faults.
-    pub(super) fn end_faults(&mut self) {
-        self.network.heal();
-        self.events.retain(|Reverse((_, _, event))| {
-            !matches!(event, Event::Fault | Event::Heal | Event::Restart)
-        });
-        for at in 0..self.processes.len() {
-            let mut disk = self.processes[at].disk.borrow_mut();
-            (disk.capacity, disk.syncs_until_failure) = (None, None);
-            drop(disk);
-            self.resume(at);
-            let fleet = self.processes[at].fleet.as_ref();
-            if fleet.is_some_and(Fleet::is_stopped) {
-                self.reopen_voter(at);
-            }
-            self.start(at);
-        }
-    }
-
-    /// Opens a voter anew, as the program does once its disk works again.
-    fn reopen_voter(&mut self, at: ProcessIndex) {
-        let disk = self.processes[at].disk.clone();
-        disk.borrow_mut().crash(&mut self.rng);
-        self.call(at, |fleet, now, actions| {
-            let opened = fleet.open_voter(disk, now, actions);
-            opened.expect("a sound disk");
-        });
-    }
 }
--- a/crates/linenthread-simulation/src/fleet/invariants.rs
+++ b/crates/linenthread-simulation/src/fleet/invariants.rs
@@ -6,7 +6,8 @@
 
 use super::event::ProcessIndex;
 use super::process::{Disk, name};
-use super::world::{TOPICS, World};
+use super::traffic::TOPICS;
+use super::world::World;
 
 impl World {
     pub(super) fn is_running_leader(&self, at: ProcessIndex) -> bool {
--- /dev/null
+++ b/crates/linenthread-simulation/src/fleet/recovery.rs
@@ -0,0 +1,39 @@
+//! Ends all faults of a schedule.
+
+use std::cmp::Reverse;
+
+use linenthread_fleet::Fleet;
+
+use super::event::{Event, ProcessIndex};
+use super::world::World;
+
+impl World {
+    /// Ends all faults.
+    pub(super) fn end_faults(&mut self) {
+        self.network.heal();
+        self.events.retain(|Reverse((_, _, event))| {
+            !matches!(event, Event::Fault | Event::Heal | Event::Restart)
+        });
+        for at in 0..self.processes.len() {
+            let mut disk = self.processes[at].disk.borrow_mut();
+            (disk.capacity, disk.syncs_until_failure) = (None, None);
+            drop(disk);
+            self.resume(at);
+            let fleet = self.processes[at].fleet.as_ref();
+            if fleet.is_some_and(Fleet::is_stopped) {
+                self.reopen_voter(at);
+            }
+            self.start(at);
+        }
+    }
+
+    /// Opens a voter anew, as the program does once its disk works again.
+    fn reopen_voter(&mut self, at: ProcessIndex) {
+        let disk = self.processes[at].disk.clone();
+        disk.borrow_mut().crash(&mut self.rng);
+        self.call(at, |fleet, now, actions| {
+            let opened = fleet.open_voter(disk, now, actions);
+            opened.expect("a sound disk");
+        });
+    }
+}
--- /dev/null
+++ b/crates/linenthread-simulation/src/fleet/simulation.rs
@@ -0,0 +1,119 @@
+//! One schedule from its start to its end, event by event.
+
+use std::cmp::Reverse;
+
+use linenthread_core::interface::TenthMillis;
+use linenthread_fleet::Fleet;
+
+use super::event::Event;
+use super::world::{MAX_BREACHES, World};
+use super::{FAULTS_END, Outcome, RECOVERY_TIME, SECOND, STABLE_TIME};
+
+/// How often [`World::run_until`] checks whether to stop.
+const STOP_CHECK_INTERVAL: TenthMillis = 1_000;
+
+impl World {
+    /// Runs a schedule.
+    pub(super) fn run(mut self) -> Outcome {
+        for at in 0..self.processes.len() {
+            let wait = self.random_time(0..20_000);
+            self.after(wait, Event::Start(at));
+        }
+        self.after(SECOND, Event::Propose);
+        // Faults may be injected while the fleet is founded.
+        let first = self.random_time(0..100_000);
+        self.after(first, Event::Fault);
+        self.run_until(FAULTS_END, |_| false);
+        self.end_faults();
+        self.run_recovery();
+        if self.proposals > 0 && self.committed.is_empty() {
+            self.breach("nothing was ever agreed on".into());
+        }
+        Outcome {
+            breaches: self.breaches,
+            totals: self.totals,
+        }
+    }
+
+    fn run_recovery(&mut self) {
+        let started_at = self.now;
+        let mut complete_since = None;
+        let recovered = self.run_until(started_at + RECOVERY_TIME, |world| {
+            complete_since = match world.why_incomplete() {
+                None => complete_since.or(Some(world.now)),
+                Some(_) => None,
+            };
+            complete_since.is_some_and(|since| world.now >= since + STABLE_TIME)
+        });
+        self.totals.recovered_after = self.now - started_at;
+        if !recovered && self.breaches.is_empty() {
+            let cause = self.why_incomplete();
+            let cause = cause.unwrap_or_else(|| "it does not last".into());
+            let seconds = RECOVERY_TIME / SECOND;
+            self.breach(format!(
+                "not whole {seconds} s after all was mended: {cause}"
+            ));
+        }
+    }
+
+    /// Handles events until a time, or until `stop` returns true, which is returned.
+    pub(super) fn run_until(
+        &mut self,
+        end: TenthMillis,
+        mut stop: impl FnMut(&World) -> bool,
+    ) -> bool {
+        let mut checked_at = self.now;
+        while let Some(Reverse((at, _, event))) = self.events.pop() {
+            if at > end {
+                self.events.push(Reverse((at, 0, event)));
+                break;
+            }
+            self.now = at;
+            self.handle(event);
+            if self.breaches.len() > MAX_BREACHES {
+                return false;
+            }
+            if self.now >= checked_at + STOP_CHECK_INTERVAL {
+                checked_at = self.now;
+                if stop(self) {
+                    return true;
+                }
+            }
+        }
+        false
+    }
+
+    pub(super) fn handle(&mut self, event: Event) {
+        let receiver = self.receiver(&event);
+        if let Some(at) = receiver.filter(|at| self.processes[*at].is_paused) {
+            self.processes[at].waiting.push(event);
+            return;
+        }
+        match event {
+            Event::Wake(at, timer) => {
+                if self.processes[at].timer == timer {
+                    self.processes[at].wake_at = TenthMillis::MAX;
+                    self.call(at, Fleet::wake);
+                }
+            }
+            Event::Connect {
+                from,
+                connection,
+                to,
+            } => self.on_connect(from, connection, to),
+            Event::Bytes { link, side, bytes } => self.on_bytes(link, side, &bytes),
+            Event::Closed { link, side } => self.on_closed(link, side),
+            Event::Datagram { to, bytes } => {
+                self.call(to, |fleet, now, actions| {
+                    fleet.on_datagram(now, &bytes, actions);
+                });
+            }
+            Event::Start(at) => self.start(at),
+            Event::Resume(at) => self.resume(at),
+            Event::Restart => self.restart_random(),
+            Event::Heal => self.network.partitions.clear(),
+            Event::Fault => self.inject_fault(),
+            Event::Propose => self.propose(),
+        }
+    }
+}
--- /dev/null
+++ b/crates/linenthread-simulation/src/fleet/traffic.rs
@@ -0,0 +1,52 @@
+//! The values that leaders propose, and those that are committed.
+
+use linenthread_fleet::CommittedValue;
+
+use super::event::{Event, ProcessIndex};
+use super::process::name;
+use super::world::World;
+
+/// The topics that values are proposed for.
+pub(super) const TOPICS: [&str; 2] = ["table", "orders"];
+
+impl World {
+    /// Each leader proposes a value; there is one at most, unless an invariant is broken.
+    pub(super) fn propose(&mut self) {
+        for at in 0..self.voters {
+            if !self.is_running_leader(at) {
+                continue;
+            }
+            self.proposals += 1;
+            let topic = TOPICS[self.proposals as usize % TOPICS.len()];
+            let mut value = self.proposals.to_be_bytes().to_vec();
+            value.resize(8 + self.rng.rand_range(0..200) as usize, 7);
+            self.call(at, |fleet, now, actions| {
+                let number = fleet.table().number(topic);
+                // One that is refused is proposed no more: another follows.
+                let _ = fleet.propose(now, topic, number, value, actions);
+            });
+        }
+        let wait = 500 + self.random_time(0..2_000);
+        self.after(wait, Event::Propose);
+    }
+
+    pub(super) fn on_committed(&mut self, at: ProcessIndex, committed: CommittedValue) {
+        let CommittedValue {
+            topic,
+            number,
+            value,
+        } = committed;
+        let known = self
+            .committed
+            .entry((topic.clone(), number))
+            .or_insert_with(|| value.clone());
+        if *known == value {
+            self.totals.committed += 1;
+        } else {
+            self.breach(format!(
+                "one-value: {topic} {number} is two things, at {}",
+                name(at)
+            ));
+        }
+    }
+}
--- /dev/null
+++ b/crates/linenthread-simulation/src/link/call_record.rs
@@ -0,0 +1,40 @@
+//! What truly became of each call.
+
+use linenthread_core::interface::{AttemptOutcome, TenthMillis};
+
+use super::{FAULTS, MILLISECOND, RECOVERY, START};
+
+/// A call that has this long must be answered once the link has recovered: both ways, the queue before it and
+/// its own run.
+const SUFFICIENT_TIME: TenthMillis = 500 * MILLISECOND;
+
+/// What truly became of a call, by the number of the call in the schedule.
+#[derive(Default, Debug)]
+pub(super) struct CallRecord {
+    pub(super) runs: usize,
+    pub(super) outcome: Option<AttemptOutcome>,
+    pub(super) made_at: TenthMillis,
+    pub(super) deadline: TenthMillis,
+}
+
+impl CallRecord {
+    /// The invariant that the call's outcome violates, if it does.
+    pub(super) fn violation(&self, call: u64) -> Option<String> {
+        let has_recovered = self.made_at > START + FAULTS + RECOVERY;
+        let had_time = self.deadline - self.made_at > SUFFICIENT_TIME;
+        match self.outcome {
+            None => Some(format!("call {call} has not ended")),
+            Some(outcome) if outcome.never_ran() && self.runs > 0 => {
+                Some(format!("call {call} ended as {outcome:?}, and ran"))
+            }
+            Some(
+                outcome @ (AttemptOutcome::NotSent
+                | AttemptOutcome::ConnectionLost
+                | AttemptOutcome::TimedOut),
+            ) if has_recovered && had_time => Some(format!(
+                "call {call} ended as {outcome:?} after the link had recovered"
+            )),
+            _ => None,
+        }
+    }
+}
--- /dev/null
+++ b/crates/linenthread-simulation/src/link/invariants.rs
@@ -0,0 +1,30 @@
+//! What must hold after each event, and at a schedule's end.
+
+use super::ends::{MAX_IN_FLIGHT, MAX_QUEUED_BYTES, MAX_SESSIONS, WINDOW_CALLS};
+use super::statistics::Statistics;
+use super::world::World;
+
+impl World {
+    pub(super) fn check_limits(&mut self) {
+        let max_retained = usize::try_from(WINDOW_CALLS).unwrap_or(usize::MAX) * MAX_SESSIONS;
+        if self.client.in_flight() > MAX_IN_FLIGHT
+            || self.client.queued_bytes() > MAX_QUEUED_BYTES
+            || self.server.retained_calls() > max_retained
+        {
+            self.violated("more is retained than may be".into());
+        }
+    }
+
+    /// Checks and counts all calls at the schedule's end.
+    pub(super) fn check_end(&mut self, statistics: &mut Statistics) {
+        if self.client.in_flight() == 0 && self.client.queued_bytes() > 0 {
+            self.violated("bytes are counted of calls that have completed".into());
+        }
+        for (call, record) in &self.records {
+            statistics.count(record.outcome);
+            if self.violation.is_none() {
+                self.violation = record.violation(*call);
+            }
+        }
+    }
+}
--- a/crates/linenthread-simulation/src/link/mod.rs
+++ b/crates/linenthread-simulation/src/link/mod.rs
@@ -1,17 +1,37 @@
 //! Simulation of a link between sites: both ends of `linenthread-link` in one deterministic run, through lost and
 //! one-way connections, slow and duplicated frames, restarts and time-outs, checked against a record of what ran.
 
+mod call_record;
+mod ends;
+mod event;
+mod execution;
+mod fault;
+mod faults;
+mod invariants;
 mod network;
 mod simulation;
 mod statistics;
+mod traffic;
+mod transport;
+mod world;
 
 use linenthread_core::interface::TenthMillis;
 
-use simulation::Simulation;
 use statistics::Statistics;
+use world::World;
 
 /// A millisecond in the simulation's unit of time.
 const MILLISECOND: TenthMillis = 10;
+/// When a schedule starts; not at 0, so that times before it can be computed.
+const START: TenthMillis = 1_000 * MILLISECOND;
+/// How long faults are injected.
+const FAULTS: TenthMillis = 3_000 * MILLISECOND;
+/// So long after the last fault the link must work as usual.
+const RECOVERY: TenthMillis = 4_000 * MILLISECOND;
+/// How long a schedule lasts.
+const LENGTH: TenthMillis = FAULTS + RECOVERY + 3_000 * MILLISECOND;
+/// No call is made in the schedule's last second, so that all can complete.
+const LAST_CALL: TenthMillis = LENGTH - 1_000 * MILLISECOND;
 /// The most violations that are printed.
 const MAX_PRINTED: usize = 10;
 
@@ -33,8 +53,8 @@
         let mut violations = 0;
         for index in 0..self.schedules as u64 {
             let seed = self.seed.wrapping_add(index);
-            let simulation = Simulation::new(seed, !self.no_resume);
-            let Some(violation) = simulation.run(&mut statistics) else {
+            let world = World::new(seed, !self.no_resume);
+            let Some(violation) = world.run(&mut statistics) else {
                 continue;
             };
             violations += 1;
--- /dev/null
+++ b/crates/linenthread-simulation/src/link/traffic.rs
@@ -0,0 +1,99 @@
+//! Calls of the client's user, and their runs at the server.
+
+use linenthread_core::interface::AttemptOutcome;
+use linenthread_link::frame::CallOutcome;
+use linenthread_link::{Call, CallId, CallNumber, ClientAction, SessionId};
+
+use super::MILLISECOND;
+use super::call_record::CallRecord;
+use super::event::Event;
+use super::world::World;
+
+impl World {
+    pub(super) fn make_call(&mut self, actions: &mut Vec<ClientAction>) {
+        let number = self.records.len() as u64;
+        let deadline = self.now + 100 * MILLISECOND + self.draw_below(900 * MILLISECOND);
+        self.records.insert(
+            number,
+            CallRecord {
+                made_at: self.now,
+                deadline,
+                ..CallRecord::default()
+            },
+        );
+        let call = Call {
+            replica: "r".into(),
+            query: format!("l{number}"),
+            shard: 0,
+            continuation: 0,
+            text: number.to_string(),
+        };
+        let priority = u32::try_from(number % 3).unwrap_or_default();
+        let id = self
+            .client
+            .call(self.now, call, deadline, priority, actions);
+        self.calls.insert(id, number);
+        self.schedule(deadline - self.now, Event::Deadline(id));
+        let after = 1 + self.draw_below(60 * MILLISECOND);
+        self.schedule(after, Event::MakeCall);
+    }
+
+    pub(super) fn give_up(&mut self, id: CallId, actions: &mut Vec<ClientAction>) {
+        let number = self.calls.get(&id).copied().unwrap_or_default();
+        let record = self.records.get_mut(&number);
+        if let Some(record) = record.filter(|record| record.outcome.is_none()) {
+            record.outcome = Some(AttemptOutcome::TimedOut);
+            self.client.withdraw(id, actions);
+        }
+    }
+
+    pub(super) fn run_call(&mut self, session: SessionId, number: CallNumber, call: &Call) {
+        let id: u64 = call.text.parse().unwrap_or_default();
+        let outcome = match self.draw_below(12) {
+            0 => AttemptOutcome::Rejected,
+            1 => AttemptOutcome::Error,
+            _ => AttemptOutcome::Success,
+        };
+        if !outcome.never_ran()
+            && let Some(record) = self.records.get_mut(&id)
+        {
+            record.runs += 1;
+            if record.runs > 1 {
+                self.violated(format!("call {id} ran twice"));
+            }
+        }
+        let after = 1 + self.draw_below(60 * MILLISECOND);
+        let event = Event::CallRan {
+            incarnation: self.server_incarnation,
+            session,
+            outcome: CallOutcome {
+                number,
+                outcome,
+                queue_depth: None,
+                value: id.to_string(),
+            },
+        };
+        self.schedule(after, event);
+    }
+
+    pub(super) fn on_completed(&mut self, id: CallId, outcome: AttemptOutcome, value: &str) {
+        let Some(number) = self.calls.get(&id).copied() else {
+            return;
+        };
+        let Some(record) = self.records.get_mut(&number) else {
+            return;
+        };
+        let earlier = record.outcome.replace(outcome);
+        let runs = record.runs;
+        if let Some(earlier) = earlier {
+            self.violated(format!(
+                "call {number} ended as {earlier:?} and then as {outcome:?}"
+            ));
+        }
+        if outcome == AttemptOutcome::Success && (runs != 1 || value != number.to_string()) {
+            self.violated(format!(
+                "call {number} is answered with {value}, and ran {runs} times"
+            ));
+        }
+    }
+}
--- /dev/null
+++ b/crates/linenthread-simulation/src/link/world.rs
@@ -0,0 +1,103 @@
+//! All state of a schedule: the two ends, the network between them, and the record of what ran.
+
+use std::cmp::Reverse;
+use std::collections::{BTreeMap, BinaryHeap};
+
+use linenthread_core::interface::TenthMillis;
+use linenthread_link::{CallId, LinkClient, LinkServer};
+use oorandom::Rand64;
+
+use super::call_record::CallRecord;
+use super::ends::{new_client, new_server};
+use super::event::Event;
+use super::network::Connections;
+use super::{MILLISECOND, START};
+
+/// One schedule.
+pub(super) struct World {
+    pub(super) now: TenthMillis,
+    pub(super) rng: Rand64,
+    /// Times and numbers of the events to come.
+    pub(super) timeline: BinaryHeap<Reverse<(TenthMillis, u64)>>,
+    pub(super) events: BTreeMap<u64, Event>,
+    pub(super) last_event: u64,
+    pub(super) client: LinkClient,
+    pub(super) server: LinkServer,
+    pub(super) server_seed: u64,
+    /// Starts of the server: calls that an earlier incarnation has started don't end.
+    pub(super) server_incarnation: u64,
+    pub(super) connections: Connections,
+    pub(super) records: BTreeMap<u64, CallRecord>,
+    pub(super) calls: BTreeMap<CallId, u64>,
+    /// The usual time of a frame one way.
+    latency: TenthMillis,
+    /// The probability that a frame takes much longer.
+    pub(super) slow_probability: f64,
+    /// The probability that a frame arrives twice.
+    pub(super) duplicate_probability: f64,
+    pub(super) violation: Option<String>,
+    pub(super) false_alarms: usize,
+    pub(super) detection_times: Vec<TenthMillis>,
+}
+
+impl World {
+    pub(super) fn new(seed: u64, resume: bool) -> World {
+        let mut rng = Rand64::new(u128::from(seed));
+        let client_seed = rng.rand_u64();
+        let server_seed = rng.rand_u64();
+        let latency = 1 + draw_below(&mut rng, 300);
+        let slow_probability = rng.rand_float() * 0.05;
+        let duplicate_probability = rng.rand_float() * 0.02;
+        World {
+            now: START,
+            rng,
+            timeline: BinaryHeap::new(),
+            events: BTreeMap::new(),
+            last_event: 0,
+            client: new_client(client_seed, resume),
+            server: new_server(server_seed),
+            server_seed,
+            server_incarnation: 0,
+            connections: Connections::default(),
+            records: BTreeMap::new(),
+            calls: BTreeMap::new(),
+            latency,
+            slow_probability,
+            duplicate_probability,
+            violation: None,
+            false_alarms: 0,
+            detection_times: Vec::new(),
+        }
+    }
+
+    pub(super) fn schedule(&mut self, after: TenthMillis, event: Event) {
+        self.last_event += 1;
+        self.timeline
+            .push(Reverse((self.now + after, self.last_event)));
+        self.events.insert(self.last_event, event);
+    }
+
+    pub(super) fn draw_below(&mut self, bound: TenthMillis) -> TenthMillis {
+        draw_below(&mut self.rng, bound)
+    }
+
+    pub(super) fn violated(&mut self, violation: String) {
+        self.violation.get_or_insert(violation);
+    }
+
+    /// How long a frame is on its way; now and then much longer than usual.
+    pub(super) fn draw_latency(&mut self) -> TenthMillis {
+        let usual = self.latency + self.draw_below(self.latency / 2 + 1);
+        if self.rng.rand_float() < self.slow_probability {
+            usual + self.draw_below(600 * MILLISECOND)
+        } else {
+            usual
+        }
+    }
+}
+
+/// A random number of at least 0 and below the bound, or 0.
+fn draw_below(rng: &mut Rand64, bound: TenthMillis) -> TenthMillis {
+    let bound = u64::try_from(bound).unwrap_or(0).max(1);
+    TenthMillis::try_from(rng.rand_range(0..bound)).unwrap_or(TenthMillis::MAX)
+}
--- /dev/null
+++ b/crates/linenthread-simulation/src/merged/faults.rs
@@ -0,0 +1,62 @@
+//! Draws what becomes of attempts, and changes replicas.
+
+use linenthread_core::interface::{MembershipUpdate, Phase, TenthMillis};
+
+use super::event::Event;
+use super::fault::{AttemptFate, ReplicaBehavior};
+use super::replicas::SimulatedReplicas;
+use super::settings::REPLICA_GROUPS;
+
+impl SimulatedReplicas {
+    /// A replica dies and is replaced, drains, or comes back.
+    pub(super) fn change(&mut self) {
+        let n = self.rng.rand_range(0..REPLICA_GROUPS as u64) as usize;
+        let entry = &mut self.members[n];
+        match (entry.phase, self.rng.rand_range(0..3)) {
+            (Phase::Ready, 0) => entry.phase = Phase::Draining,
+            (Phase::Ready, 1) => {
+                // Another process in its place, cold.
+                entry.started_at = Some(self.now);
+                self.is_alive[n] = true;
+            }
+            (Phase::Ready, _) => self.is_alive[n] = !self.is_alive[n],
+            (_, _) => {
+                (entry.phase, entry.started_at) = (Phase::Ready, Some(self.now));
+                self.is_alive[n] = true;
+            }
+        }
+        let update = MembershipUpdate::Delta(vec![entry.clone()]);
+        self.inputs.membership.push(update);
+        let after = 5_000 + self.rng.rand_range(0..40_000) as TenthMillis;
+        self.schedule(after, Event::MembershipChange);
+    }
+
+    pub(super) fn fate(&mut self, replica: usize) -> (TenthMillis, AttemptFate) {
+        let ReplicaBehavior { slow, faults, .. } = self.behavior;
+        if !self.is_alive[replica] {
+            return (
+                2 + self.rng.rand_range(0..20) as TenthMillis,
+                AttemptFate::ConnectFailed,
+            );
+        }
+        let usual = 10 + (400.0 * self.rng.rand_float().powi(3)) as TenthMillis;
+        if self.rng.rand_float() < slow {
+            return (1_000_000, AttemptFate::Success);
+        }
+        if self.rng.rand_float() >= faults {
+            return (usual, AttemptFate::Success);
+        }
+        let fates = [
+            AttemptFate::DuplicateSuccess,
+            AttemptFate::MalformedValue,
+            AttemptFate::Error,
+            AttemptFate::Rejected,
+            AttemptFate::ConnectFailed,
+            AttemptFate::ConnectionLost,
+        ];
+        (
+            usual,
+            fates[self.rng.rand_range(0..fates.len() as u64) as usize],
+        )
+    }
+}
--- a/crates/linenthread-simulation/src/merged/mod.rs
+++ b/crates/linenthread-simulation/src/merged/mod.rs
@@ -1,14 +1,25 @@
 //! Simulation of merged queries: clients that read pages, totals and groups through the decision module and
 //! `linenthread-merge` over a fleet in simulated time. Each response is checked against the full data.
 
+mod client;
+mod decision;
+mod event;
+mod fault;
+mod faults;
+mod invariants;
+mod open_query;
 mod plans;
 mod replicas;
+mod settings;
 mod simulation;
+mod statistics;
+mod traffic;
+mod world;
 
 use oorandom::Rand64;
 
-use replicas::ReplicaBehavior;
-use simulation::{Simulation, Statistics};
+use fault::ReplicaBehavior;
+use world::World;
 
 /// Options of the command.
 #[derive(Clone, Debug)]
@@ -29,7 +40,7 @@
     /// Makes all queries; how many there were, and how many violations were found.
     pub(crate) fn run(&self) -> (usize, usize) {
         let mut rng = Rand64::new(u128::from(self.seed));
-        let manner = ReplicaBehavior {
+        let behavior = ReplicaBehavior {
             slow: self.slow.unwrap_or_else(|| rng.rand_float() * 0.1),
             faults: if self.only_delays {
                 0.0
@@ -39,28 +50,11 @@
             changes: !self.only_delays,
         };
         let plans = plans::all();
-        let statistics = Simulation::new(self, &plans, manner, &mut rng).run();
-        self.print(&statistics, manner);
+        let statistics = World::new(self, &plans, behavior, &mut rng).run();
+        statistics.print(self.floor, behavior);
         (statistics.queries, statistics.violations)
     }
 
-    fn print(&self, statistics: &Statistics, manner: ReplicaBehavior) {
-        let percent = |count: usize| 100.0 * count as f64 / statistics.queries.max(1) as f64;
-        println!(
-            "slow {:.3}, faults {:.3}, floor {}: {:.1}% whole, {:.1}% partial, {:.1}% cut, {:.1}% refused; \
-             {} parts asked on, {} second answers",
-            manner.slow,
-            manner.faults,
-            self.floor,
-            percent(statistics.complete),
-            percent(statistics.partial),
-            percent(statistics.cut),
-            percent(statistics.refused),
-            statistics.continuations,
-            statistics.duplicates
-        );
-    }
-
     /// The arguments that repeat this run.
     fn arguments(&self) -> String {
         let Options {
--- /dev/null
+++ b/crates/linenthread-simulation/src/merged/settings.rs
@@ -0,0 +1,52 @@
+//! The settings of the decision module.
+
+use linenthread_core::interface::{
+    CoordinatorConfig, IndexConfig, Permissions, RetryBudget, ShardLayout, SlowStart,
+};
+
+/// Replica groups: each shard lies in two of them, and one replica stands in each.
+pub(super) const REPLICA_GROUPS: usize = 4;
+/// Shards of each index.
+pub(super) const SHARDS: usize = 12;
+/// Attempts that a sub-request may take.
+pub(super) const MAX_ATTEMPTS: usize = 3;
+/// What retries of all queries may take.
+const RETRY_BUDGET: RetryBudget = RetryBudget {
+    reserve: 20.0,
+    ratio: 0.5,
+    window: 100_000,
+};
+
+/// Settings with these indexes.
+pub(super) fn deployment(indexes: Vec<IndexConfig>) -> CoordinatorConfig {
+    CoordinatorConfig {
+        coordinator_number: 0,
+        coordinator_count: 1,
+        indexes,
+        customer_quotas: Vec::new(),
+        over_quota_value: 1.0,
+        value_by_work: false,
+        layout: ShardLayout {
+            replica_groups: REPLICA_GROUPS,
+            replication_factor: 2,
+        },
+        permissions: Permissions {
+            max_attempts: MAX_ATTEMPTS,
+            hedging: true,
+            cancellation: true,
+            health_probes: true,
+            max_retry_after: None,
+        },
+        slow_start: SlowStart {
+            initial_share: 0.5,
+            duration: 10_000,
+            budget_multiple: 2.0,
+            window: 10_000,
+        },
+        reports_queue: true,
+        short_queues: false,
+        drain_grace: 20_000,
+        retry_budget: Some(RETRY_BUDGET),
+        watch_membership: false,
+    }
+}
--- /dev/null
+++ b/crates/linenthread-simulation/src/merged/statistics.rs
@@ -0,0 +1,35 @@
+//! What became of all queries, and how it is printed.
+
+use super::fault::ReplicaBehavior;
+
+/// What became of all queries.
+#[derive(Default)]
+pub(super) struct Statistics {
+    pub(super) queries: usize,
+    pub(super) complete: usize,
+    pub(super) partial: usize,
+    pub(super) cut: usize,
+    pub(super) refused: usize,
+    pub(super) continuations: usize,
+    pub(super) duplicates: usize,
+    pub(super) violations: usize,
+}
+
+impl Statistics {
+    pub(super) fn print(&self, floor: f64, behavior: ReplicaBehavior) {
+        let percent = |count: usize| 100.0 * count as f64 / self.queries.max(1) as f64;
+        println!(
+            "slow {:.3}, faults {:.3}, floor {}: {:.1}% whole, {:.1}% partial, {:.1}% cut, {:.1}% refused; \
+             {} parts asked on, {} second answers",
+            behavior.slow,
+            behavior.faults,
+            floor,
+            percent(self.complete),
+            percent(self.partial),
+            percent(self.cut),
+            percent(self.refused),
+            self.continuations,
+            self.duplicates
+        );
+    }
+}
--- /dev/null
+++ b/crates/linenthread-simulation/src/merged/world.rs
@@ -0,0 +1,94 @@
+//! All state of a run: the clients, their queries, and the replicas.
+
+use std::collections::BTreeMap;
+use std::time::Duration;
+
+use linenthread_fakes::checker::PagedRead;
+use linenthread_fakes::row_store::RowStore;
+use linenthread_merge::{CursorSigner, Plan};
+use oorandom::Rand64;
+
+use super::Options;
+use super::client::{Client, MAX_SHARD_ROWS};
+use super::fault::ReplicaBehavior;
+use super::open_query::OpenQuery;
+use super::plans::{self, ROWS};
+use super::replicas::SimulatedReplicas;
+use super::settings::SHARDS;
+use super::statistics::Statistics;
+
+/// Clients at once, each with rows of its own.
+pub(super) const CLIENTS: usize = 6;
+/// The most violations that are printed.
+const MAX_PRINTED: usize = 10;
+/// The time of day for cursors, in seconds since 1970: it stands still.
+pub(super) const UNIX_SECONDS: u64 = 1_000;
+/// Longer than the time of day ever moves.
+const CURSOR_LIFETIME: Duration = Duration::from_secs(1 << 40);
+
+/// One run.
+pub(super) struct World<'p> {
+    pub(super) options: &'p Options,
+    pub(super) plans: &'p [Plan],
+    pub(super) signer: CursorSigner,
+    pub(super) fleet: SimulatedReplicas,
+    pub(super) open: BTreeMap<usize, OpenQuery<'p>>,
+    pub(super) clients: Vec<Client>,
+    pub(super) statistics: Statistics,
+    /// Indices of released queries, which may be used again.
+    pub(super) free_indices: Vec<usize>,
+    /// How many indices there are.
+    pub(super) indices: usize,
+}
+
+impl<'p> World<'p> {
+    pub(super) fn new(
+        options: &'p Options,
+        plans: &'p [Plan],
+        behavior: ReplicaBehavior,
+        rng: &mut Rand64,
+    ) -> World<'p> {
+        let secret = b"a secret of the drill".to_vec();
+        let mut client = || Client {
+            ledger: RowStore::new(rng, SHARDS, MAX_SHARD_ROWS),
+            shards: Vec::new(),
+            plan: ROWS,
+            reading: PagedRead::new(&[]),
+            added: Vec::new(),
+            cursor: None,
+            max_rows: 4,
+        };
+        World {
+            options,
+            plans,
+            signer: CursorSigner::new(vec![secret], CURSOR_LIFETIME).expect("long enough"),
+            clients: (0..CLIENTS).map(|_| client()).collect(),
+            fleet: SimulatedReplicas::new(
+                plans::index_configs(options.floor),
+                options.seed,
+                behavior,
+            ),
+            open: BTreeMap::new(),
+            statistics: Statistics::default(),
+            free_indices: Vec::new(),
+            indices: 0,
+        }
+    }
+
+    pub(super) fn violated(&mut self, query: usize, violation: &str) {
+        self.statistics.violations += 1;
+        if self.statistics.violations <= MAX_PRINTED {
+            println!("breach at lookup {query}: {violation}");
+            println!(
+                "  again: linenthread-simulation merged {}",
+                self.options.arguments()
+            );
+        }
+    }
+}
+
+/// A random number below the bound, or 0.
+pub(super) fn draw_below(rng: &mut Rand64, bound: usize) -> usize {
+    let drawn = rng.rand_range(0..bound.max(1) as u64);
+    usize::try_from(drawn).unwrap_or_default()
+}
--- a/crates/linenthread-simulation/src/zones/mod.rs
+++ b/crates/linenthread-simulation/src/zones/mod.rs
@@ -5,12 +5,17 @@
 
 mod fault;
 mod invariants;
+mod reports;
+mod simulation;
+mod statistics;
+mod tables;
 mod traffic;
 mod world;
 
 use linenthread_core::interface::TenthMillis;
 
 use crate::schedules;
+use statistics::print_summary;
 use world::World;
 
 const SECOND: TenthMillis = 10_000;
@@ -48,19 +53,7 @@
         for breach in breaches.iter().take(MAX_PRINTED) {
             println!("breach: {breach}");
         }
-        let handled = outcomes.iter().filter_map(|outcome| outcome.handled_after);
-        let mut handled: Vec<TenthMillis> = handled.collect();
-        handled.sort_unstable();
-        let percentile = |percent: usize| {
-            let time = handled.get(handled.len() * percent / 100);
-            time.map_or(0.0, |time| *time as f64 / TENTHS_PER_SECOND)
-        };
-        println!(
-            "{} zones left, by the record after {:.1} s in the median, {:.1} s at the 99th",
-            handled.len(),
-            percentile(50),
-            percentile(99)
-        );
+        print_summary(&outcomes);
         (self.schedules, breaches.len())
     }
 }
--- /dev/null
+++ b/crates/linenthread-simulation/src/zones/simulation.rs
@@ -0,0 +1,100 @@
+//! One schedule from its start to its end, step by step.
+
+use linenthread_core::interface::TenthMillis;
+
+use super::fault::Fault;
+use super::world::{MAX_BREACHES, World, config};
+use super::{Outcome, SECOND, STEP};
+
+/// A new leader takes over once in so many steps.
+const LEADER_CHANGE_STEPS: u64 = 60;
+/// Steps before the fault.
+const QUIET_STEPS: usize = 40;
+/// A fault must be handled within so long.
+const MAX_REACTION_TIME: TenthMillis = 8 * SECOND;
+
+impl World {
+    /// Runs the schedule.
+    pub(super) fn run(mut self) -> Outcome {
+        for _ in 0..QUIET_STEPS {
+            self.step();
+        }
+        if self.tables > 0 && self.fault != Fault::HostileReports {
+            self.breach("near-while-safe: a table before anything is wrong".into());
+        }
+        let drain_accepted = self.run_fault();
+        let must_be_noticed = self.must_be_noticed(drain_accepted);
+        let is_late = |after: TenthMillis| after > MAX_REACTION_TIME;
+        if must_be_noticed && self.handled_after.is_none_or(is_late) {
+            let after = self.handled_after;
+            self.breach(format!("not left in time: {after:?}"));
+        }
+        self.run_recovery();
+        self.check_openings();
+        Outcome {
+            breaches: self.breaches,
+            handled_after: self.handled_after.filter(|_| must_be_noticed),
+        }
+    }
+
+    /// Runs with the fault; whether the drain was accepted, if that is the fault.
+    fn run_fault(&mut self) -> bool {
+        self.fault_is_active = true;
+        let started_at = self.now;
+        let mut drain_accepted = true;
+        if let Fault::Drain(zone) = self.fault {
+            // Where shards are placed there alone it is refused.
+            let name = format!("z{zone}");
+            drain_accepted = self.topology.may_drain(&name, &self.drained).is_ok();
+            self.drained.extend(drain_accepted.then_some(name));
+        }
+        let steps = 40 + self.rng.rand_range(0..120) as usize;
+        for _ in 0..steps {
+            self.step();
+            if self.handled_after.is_none() && self.is_handled() {
+                self.handled_after = Some(self.now - started_at);
+            }
+            if self.breaches.len() > MAX_BREACHES {
+                break;
+            }
+        }
+        drain_accepted
+    }
+
+    /// After the fault: after the longest hold and all steps, with some time for noise, all is open.
+    fn run_recovery(&mut self) {
+        self.fault_is_active = false;
+        self.drained.clear();
+        if self.fault == Fault::HostileReports || !self.breaches.is_empty() {
+            return;
+        }
+        let config = config();
+        let recovery = 2 * (config.max_hold + 6 * config.return_step) + 20 * SECOND;
+        let end = self.now + recovery;
+        while self.now < end && !self.is_open() {
+            self.step();
+        }
+        if !self.is_open() {
+            let rows = self.table.as_ref().map(|table| table.rows.clone());
+            self.breach(format!("not all open again: {rows:?}"));
+        }
+    }
+
+    fn step(&mut self) {
+        self.now += STEP;
+        self.deliver_tables();
+        self.run_traffic();
+        let mut report = self.collect_reports();
+        if self.fault == Fault::HostileReports {
+            report.add(&self.hostile_report());
+        }
+        self.controller.add_report(&report);
+        if self.rng.rand_range(0..LEADER_CHANGE_STEPS) == 0 {
+            self.change_leader();
+        }
+        self.controller.set_drained(&self.drained, self.now);
+        if let Some(table) = self.controller.decide(self.now, 0, &self.topology) {
+            self.on_table(&table);
+        }
+    }
+}
--- /dev/null
+++ b/crates/linenthread-simulation/src/zones/tables.rs
@@ -0,0 +1,70 @@
+//! Routing tables on their way from the leader to the coordinators.
+
+use linenthread_core::interface::TenthMillis;
+use linenthread_zones::{ALL_KEYS, FailoverController, RoutingTable};
+
+use super::TENTHS_PER_SECOND;
+use super::world::{World, config};
+
+/// Set in the environment, it has all tables printed.
+const SHOW_VARIABLE: &str = "SHOW";
+
+impl World {
+    /// Tables arrive at each coordinator in their order, some late.
+    pub(super) fn deliver_tables(&mut self) {
+        for coordinator in &mut self.coordinators {
+            let arriving = &mut coordinator.arriving;
+            while arriving.first().is_some_and(|(at, _)| *at <= self.now) {
+                coordinator.table = arriving.remove(0).1;
+            }
+        }
+    }
+
+    /// A new leader goes on from the replicated table alone.
+    pub(super) fn change_leader(&mut self) {
+        self.leaders += 1;
+        self.controller = FailoverController::new(
+            config(),
+            self.topology.zones.clone(),
+            self.table.as_ref(),
+            self.now,
+        );
+    }
+
+    /// A table was made.
+    pub(super) fn on_table(&mut self, table: &RoutingTable) {
+        let table = RoutingTable::decode(&table.encode()).expect("a table of ours");
+        let before: Vec<u16> = match &self.table {
+            Some(table) => table.routes().map(|route| route.share).collect(),
+            None => vec![ALL_KEYS; self.topology.zones.len().pow(2)],
+        };
+        let opens = table
+            .routes()
+            .zip(before)
+            .any(|(new, before)| new.share > before);
+        self.openings += u32::from(opens);
+        self.tables += 1;
+        if std::env::var_os(SHOW_VARIABLE).is_some() {
+            println!(
+                "{:.1} {:?}",
+                self.now as f64 / TENTHS_PER_SECOND,
+                table.rows
+            );
+        }
+        self.send_table(&table);
+        self.table = Some(table.clone());
+        self.check_table(&table);
+    }
+
+    fn send_table(&mut self, table: &RoutingTable) {
+        for coordinator in &mut self.coordinators {
+            if self.fault_is_active && self.fault.cuts_off(coordinator.zone) {
+                continue;
+            }
+            let lag = self.rng.rand_range(0..9_000) as TenthMillis;
+            let last = coordinator.arriving.last();
+            let arrival = last.map_or(0, |(at, _)| *at).max(self.now + lag);
+            coordinator.arriving.push((arrival, table.clone()));
+        }
+    }
+}
