--- a/crates/linenthread-ctl/src/main.rs
+++ b/crates/linenthread-ctl/src/main.rs
@@ -7,8 +7,11 @@
 use std::io::{self, Write};
 use std::process::ExitCode;
 
+use linenthread_console::print_line;
+use snafu::ResultExt;
+
 use crate::commands::Output;
-use crate::error::Error;
+use crate::error::{Error, PrintSnafu};
 
 mod flags {
     use std::path::PathBuf;
@@ -52,7 +55,7 @@
         Ok(flags) => flags,
         Err(error) => error.exit(),
     };
-    match commands::run(flags).and_then(print) {
+    match commands::run(flags).and_then(|output| print(&output)) {
         Ok(code) => ExitCode::from(code),
         Err(error) => {
             // Nobody is left to read it if standard error is closed.
@@ -62,13 +65,10 @@
     }
 }
 
-/// Prints the output of a command and returns its exit code. A reader that closes the pipe has read enough.
-fn print(output: Output) -> Result<u8, Error> {
-    if output.text.is_empty() {
-        return Ok(output.exit_code);
-    }
-    match writeln!(io::stdout(), "{}", output.text) {
-        Err(source) if source.kind() != io::ErrorKind::BrokenPipe => Err(Error::Print { source }),
-        _ => Ok(output.exit_code),
+/// Prints the output of a command and returns its exit code.
+fn print(output: &Output) -> Result<u8, Error> {
+    if !output.text.is_empty() {
+        print_line(format_args!("{}", output.text)).context(PrintSnafu)?;
     }
+    Ok(output.exit_code)
 }
--- a/crates/linenthread-simulation/src/failover/coordinator.rs
+++ b/crates/linenthread-simulation/src/failover/coordinator.rs
@@ -5,7 +5,7 @@
 use linenthread_core::Coordinator;
 use linenthread_core::interface::{
     CoordinatorConfig, Idempotency, IndexConfig, Inputs, Permissions, ShardLayout, SlowStart,
-    TenthMillis, ZoneRoute,
+    TenthMillis, ValueGrowth, ZoneRoute,
 };
 use linenthread_zones::{ALL_KEYS, FailoverController, Row, ZoneObserver};
 
@@ -132,7 +132,7 @@
         indexes: vec![index],
         customer_quotas: Vec::new(),
         over_quota_value: 0.1,
-        value_by_work: false,
+        value_growth: ValueGrowth::Constant,
         layout: ShardLayout {
             replica_groups: REPLICAS,
             replication_factor: 2,
--- a/crates/linenthread-simulation/src/failover/traffic.rs
+++ b/crates/linenthread-simulation/src/failover/traffic.rs
@@ -1,7 +1,8 @@
 //! Clients' queries, and the attempts and health checks by which coordinators serve them.
 
 use linenthread_core::interface::{
-    AttemptOutcome, AttemptResult, NewQuery, NewSubRequest, ProbeResult, TenthMillis,
+    AttemptOutcome, AttemptResult, NewQuery, NewSubRequest, ProbeResult, QueryIndex, ReplicaIndex,
+    SubRequestIndex, TenthMillis,
 };
 
 use super::coordinator::Query;
@@ -42,7 +43,7 @@
         });
         node.observer.on_query(SUB_REQUESTS_PER_QUERY);
         node.inputs.queries.push(NewQuery {
-            query,
+            query: QueryIndex(query),
             index: 0,
             customer: 0,
             key: Some(key),
@@ -50,7 +51,7 @@
             hard_deadline: now + HARD_DEADLINE,
         });
         let sub_request = |n: usize| NewSubRequest {
-            query,
+            query: QueryIndex(query),
             shard: (first_shard + SHARD_STRIDE * n) % SHARDS,
             weight: 1.0 / SUB_REQUESTS_PER_QUERY as f64,
         };
@@ -150,8 +151,8 @@
         node.observer
             .on_outcome(zone, attempt.replica, outcome, elapsed);
         node.inputs.results.push(AttemptResult {
-            query: attempt.query,
-            sub_request: attempt.sub_request,
+            query: QueryIndex(attempt.query),
+            sub_request: SubRequestIndex(attempt.sub_request),
             attempt: attempt.number,
             outcome,
             elapsed,
@@ -188,7 +189,7 @@
         node.observer
             .on_outcome(zone, replica, outcome, OBSERVED_HEALTH_CHECK);
         node.inputs.probes.push(ProbeResult {
-            replica,
+            replica: ReplicaIndex(replica),
             outcome,
             queue_depth: (outcome == AttemptOutcome::Success).then_some(queue_depth),
         });
--- a/crates/linenthread-simulation/src/failover/world.rs
+++ b/crates/linenthread-simulation/src/failover/world.rs
@@ -3,7 +3,9 @@
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
-use linenthread_core::interface::{MembershipEntry, MembershipUpdate, Phase, TenthMillis};
+use linenthread_core::interface::{
+    MembershipEntry, MembershipUpdate, Phase, ReplicaIndex, TenthMillis,
+};
 use linenthread_zones::{FailoverController, Report};
 use oorandom::Rand64;
 
@@ -98,7 +100,7 @@
 
     pub(super) fn membership_entry(&self, replica: usize, phase: Phase) -> MembershipEntry {
         MembershipEntry {
-            replica,
+            replica: ReplicaIndex(replica),
             id: 1_000 + replica as u64,
             replica_group: replica,
             zone: replica % ZONES,
--- a/crates/linenthread-simulation/src/merged/decision.rs
+++ b/crates/linenthread-simulation/src/merged/decision.rs
@@ -1,7 +1,9 @@
 //! What the decision module decides in one step.
 
 use linenthread_core::DecisionSink;
-use linenthread_core::interface::TenthMillis;
+use linenthread_core::interface::{
+    Completeness, QueryIndex, ReplicaIndex, SubRequestIndex, TenthMillis,
+};
 
 /// A decision of the coordinator on one query.
 #[derive(Clone, Debug, PartialEq)]
@@ -37,7 +39,13 @@
 }
 
 impl DecisionSink for DecisionLog {
-    fn send(&mut self, query: usize, sub_request: usize, replica: usize, timeout: TenthMillis) {
+    fn send(
+        &mut self,
+        QueryIndex(query): QueryIndex,
+        SubRequestIndex(sub_request): SubRequestIndex,
+        ReplicaIndex(replica): ReplicaIndex,
+        timeout: TenthMillis,
+    ) {
         self.sent.push((query, sub_request, replica, timeout));
         self.decisions.push(Decision::Send {
             query,
@@ -45,24 +53,25 @@
             attempt: 0,
         });
     }
-    fn cancel(&mut self, query: usize, sub_request: usize, attempt: usize) {
-        self.cancelled.push((query, sub_request, attempt));
+    fn cancel(&mut self, query: QueryIndex, sub_request: SubRequestIndex, attempt: usize) {
+        self.cancelled.push((query.0, sub_request.0, attempt));
     }
-    fn respond(&mut self, query: usize, complete: bool) {
+    fn respond(&mut self, QueryIndex(query): QueryIndex, completeness: Completeness) {
+        let complete = completeness == Completeness::Complete;
         self.decisions.push(Decision::Respond { query, complete });
     }
-    fn reject(&mut self, query: usize, _: Option<TenthMillis>) {
+    fn reject(&mut self, QueryIndex(query): QueryIndex, _: Option<TenthMillis>) {
         self.decisions.push(Decision::Reject { query });
     }
-    fn fail(&mut self, query: usize) {
+    fn fail(&mut self, QueryIndex(query): QueryIndex) {
         self.decisions.push(Decision::Fail { query });
     }
-    fn release(&mut self, query: usize) {
+    fn release(&mut self, QueryIndex(query): QueryIndex) {
         self.decisions.push(Decision::Release { query });
     }
-    fn close_idle(&mut self, _: usize) {}
-    fn probe(&mut self, replica: usize) {
-        self.probes.push(replica);
+    fn close_idle(&mut self, _: ReplicaIndex) {}
+    fn probe(&mut self, replica: ReplicaIndex) {
+        self.probes.push(replica.0);
     }
     fn watch_membership(&mut self) {}
     fn wake_at(&mut self, at: TenthMillis) {
--- a/crates/linenthread-simulation/src/merged/replicas.rs
+++ b/crates/linenthread-simulation/src/merged/replicas.rs
@@ -6,7 +6,7 @@
 use linenthread_core::Coordinator;
 use linenthread_core::interface::{
     AttemptOutcome, AttemptResult, IndexConfig, Inputs, MembershipEntry, MembershipUpdate, Phase,
-    ProbeResult, TenthMillis,
+    ProbeResult, QueryIndex, ReplicaIndex, SubRequestIndex, TenthMillis,
 };
 use oorandom::Rand64;
 
@@ -39,7 +39,7 @@
         behavior: ReplicaBehavior,
     ) -> SimulatedReplicas {
         let entry = |n: usize| MembershipEntry {
-            replica: n,
+            replica: ReplicaIndex(n),
             id: 900 + n as u64,
             replica_group: n,
             zone: n % 2,
@@ -99,7 +99,7 @@
                         AttemptOutcome::ConnectFailed
                     };
                     self.inputs.probes.push(ProbeResult {
-                        replica,
+                        replica: ReplicaIndex(replica),
                         outcome,
                         queue_depth: Some(0.0),
                     });
@@ -121,8 +121,8 @@
         if let Some(sent) = self.in_flight.remove(&(query, sub_request, attempt)) {
             let elapsed = self.now - sent;
             self.inputs.results.push(AttemptResult {
-                query,
-                sub_request,
+                query: QueryIndex(query),
+                sub_request: SubRequestIndex(sub_request),
                 attempt,
                 outcome,
                 elapsed,
--- a/crates/linenthread-simulation/src/merged/settings.rs
+++ b/crates/linenthread-simulation/src/merged/settings.rs
@@ -1,7 +1,7 @@
 //! The settings of the decision module.
 
 use linenthread_core::interface::{
-    CoordinatorConfig, IndexConfig, Permissions, RetryBudget, ShardLayout, SlowStart,
+    CoordinatorConfig, IndexConfig, Permissions, RetryBudget, ShardLayout, SlowStart, ValueGrowth,
 };
 
 /// Replica groups: each shard lies in two of them, and one replica stands in each.
@@ -25,7 +25,7 @@
         indexes,
         customer_quotas: Vec::new(),
         over_quota_value: 1.0,
-        value_by_work: false,
+        value_growth: ValueGrowth::Constant,
         layout: ShardLayout {
             replica_groups: REPLICA_GROUPS,
             replication_factor: 2,
--- a/crates/linenthread-simulation/src/merged/traffic.rs
+++ b/crates/linenthread-simulation/src/merged/traffic.rs
@@ -2,7 +2,9 @@
 
 use std::collections::BTreeMap;
 
-use linenthread_core::interface::{AttemptOutcome, NewQuery, NewSubRequest, TenthMillis};
+use linenthread_core::interface::{
+    AttemptOutcome, Continuation, NewQuery, NewSubRequest, QueryIndex, SubRequestIndex, TenthMillis,
+};
 use linenthread_merge::{Acceptance, Aggregation, MergeQuery, Merger, PageRequest, QueriedShard};
 
 use super::event::Event;
@@ -59,7 +61,7 @@
     fn submit(&mut self, query: usize, client: usize, merger: Merger<'p>, page_size: usize) {
         let hard_deadline = self.fleet.now + HARD_DEADLINE;
         self.fleet.inputs.queries.push(NewQuery {
-            query,
+            query: QueryIndex(query),
             index: self.clients[client].plan,
             customer: 0,
             key: Some(client as u64),
@@ -67,7 +69,7 @@
             hard_deadline,
         });
         let sub_request = |&(shard, weight): &(usize, f64)| NewSubRequest {
-            query,
+            query: QueryIndex(query),
             shard,
             weight,
         };
@@ -148,7 +150,10 @@
         };
         let continuations = open.merger.take_continuations();
         self.statistics.continuations += continuations.len();
-        let continuations = continuations.into_iter().map(|index| (query, index));
+        let continuations = continuations.into_iter().map(|index| Continuation {
+            query: QueryIndex(query),
+            sub_request: SubRequestIndex(index),
+        });
         self.fleet.inputs.continuations.extend(continuations);
         self.fleet.complete(query, sub_request, attempt, outcome);
         if let Some(violation) = violation {
