--- a/crates/linenthread-demo/src/rounds.rs
+++ b/crates/linenthread-demo/src/rounds.rs
@@ -27,7 +27,7 @@
         }
     }
     print_line(format_args!(
-        "{rounds} rounds checked, {violations} breaches"
+        "{rounds} rounds checked, {violations} violations"
     ))?;
     ensure!(violations == 0, ViolationsSnafu { count: violations });
     Ok(())
@@ -44,7 +44,7 @@
     let mut random = Rand64::new(u128::from(seed));
     let findings = scenario.run(program, scale, &mut random)?;
     print_line(format_args!(
-        "seed {seed} point {} {scenario:?}: {} checks, {} breaches in {:.1} s",
+        "seed {seed} point {} {scenario:?}: {} checks, {} violations in {:.1} s",
         scenario.point(),
         findings.checks,
         findings.violations.len(),
@@ -54,7 +54,7 @@
         print_line(format_args!("    {note}"))?;
     }
     for violation in &findings.violations {
-        print_line(format_args!("    breach: {violation}"))?;
+        print_line(format_args!("    violation: {violation}"))?;
     }
     Ok(findings.violations.len())
 }
--- a/crates/linenthread-simulation/src/commands/dataplane.rs
+++ b/crates/linenthread-simulation/src/commands/dataplane.rs
@@ -12,13 +12,13 @@
     let sessions = arguments::count("sessions", "Sessions of clients to run", 2_000);
     let seed = arguments::first_seed();
     let summary = long("summary")
-        .help("Also print what was answered, and the digest of all that happened")
+        .help("Also print what became of the requests, and the digest of all that happened")
         .switch();
     construct!(Options { sessions, seed, summary })
         .to_options()
         .descr(
-            "The traffic path in simulated time against replicas that answer twice, in part, late or not at all, \
-             checked by each run at each replica and each answer at each client",
+            "The traffic path in simulated time against replicas that respond twice, in part, late or not at all, \
+             checked by each run at each replica and each response at each client",
         )
         .footer("Example: linenthread-simulation dataplane --sessions 100000 --seed 7")
         .command("dataplane")
@@ -28,6 +28,6 @@
 pub(super) fn run(options: &Options) -> ExitCode {
     let checked = dataplane::run(options);
     let (sessions, violations) = (checked.sessions, checked.violations);
-    println!("{sessions} sessions checked, {violations} breaches");
+    println!("{sessions} sessions checked, {violations} violations");
     outcome::exit_code(violations)
 }
--- a/crates/linenthread-simulation/src/commands/failover.rs
+++ b/crates/linenthread-simulation/src/commands/failover.rs
@@ -19,7 +19,7 @@
     construct!(Options { seeds, seed })
         .to_options()
         .descr(
-            "What agreement between zones is worth under six faults, beside the design alone, a fixed preference \
+            "What agreement between zones is worth under six faults, beside the selection of replicas alone, a fixed preference \
              for the local zone, each deciding alone, and the true state; counts where it is worse than those by \
              over 0.01",
         )
@@ -29,6 +29,6 @@
 }
 
 pub(super) fn run(options: &Options) -> ExitCode {
-    let (checked, breaches) = failover::run(options.seeds, options.seed);
-    outcome::close(checked, breaches)
+    let (checked, violations) = failover::run(options.seeds, options.seed);
+    outcome::close(checked, violations)
 }
--- a/crates/linenthread-simulation/src/commands/link.rs
+++ b/crates/linenthread-simulation/src/commands/link.rs
@@ -24,6 +24,6 @@
 }
 
 pub(super) fn run(options: &Options) -> ExitCode {
-    let (checked, breaches) = options.run();
-    outcome::close(checked, breaches)
+    let (checked, violations) = options.run();
+    outcome::close(checked, violations)
 }
--- a/crates/linenthread-simulation/src/commands/link_bytes.rs
+++ b/crates/linenthread-simulation/src/commands/link_bytes.rs
@@ -27,7 +27,7 @@
     construct!(Options { program, step, session_timeout_ms, at_once })
         .to_options()
         .descr(
-            "A lookup that may run only once between two sites on loopback, the link cut after each byte, in both \
+            "A query that may run only once between two sites on loopback, the link cut after each byte, in both \
              directions",
         )
         .footer("Example: linenthread-simulation link-bytes --keep 10")
@@ -43,11 +43,11 @@
         options.step,
         options.at_once,
     );
-    for breach in &verdict.violations {
-        println!("breach: {breach}");
+    for violation in &verdict.violations {
+        println!("violation: {violation}");
     }
     println!(
-        "{} answered, {} nacked, {} aborted",
+        "{} succeeded, {} rejected, {} failed",
         verdict.succeeded, verdict.rejected, verdict.failed
     );
     outcome::close(verdict.checked, verdict.violations.len())
--- a/crates/linenthread-simulation/src/commands/link_speed.rs
+++ b/crates/linenthread-simulation/src/commands/link_speed.rs
@@ -18,7 +18,7 @@
     construct!(Options { program })
         .to_options()
         .descr(
-            "What the hop adds to a lookup, parts a second over one link, and what partitions cost; some minutes",
+            "What the hop adds to a query, sub-requests a second over one link, and what partitions cost; some minutes",
         )
         .footer("Example: linenthread-simulation link-speed")
         .command("link-speed")
@@ -27,6 +27,6 @@
 
 pub(super) fn run(options: &Options) -> ExitCode {
     let program = arguments::program_path(options.program.as_ref());
-    let (checked, breaches) = link_speed::run(&program);
-    outcome::close(checked, breaches)
+    let (checked, violations) = link_speed::run(&program);
+    outcome::close(checked, violations)
 }
--- a/crates/linenthread-simulation/src/commands/members.rs
+++ b/crates/linenthread-simulation/src/commands/members.rs
@@ -23,6 +23,6 @@
 }
 
 pub(super) fn run(options: &Options) -> ExitCode {
-    let (checked, breaches) = members::run(options.seed);
-    outcome::close(checked, breaches)
+    let (checked, violations) = members::run(options.seed);
+    outcome::close(checked, violations)
 }
--- a/crates/linenthread-simulation/src/commands/merging_speed.rs
+++ b/crates/linenthread-simulation/src/commands/merging_speed.rs
@@ -16,13 +16,15 @@
     let rounds = arguments::count("rounds", "Runs of each size", 5);
     construct!(Options { rounds })
         .to_options()
-        .descr("Rows merged a second and memory used, beside collecting, sorting and cutting all")
+        .descr(
+            "Rows merged a second and memory used, beside collecting, sorting and truncating all",
+        )
         .footer("Example: linenthread-simulation merging-speed --rounds 9")
         .command("merging-speed")
         .help("Measure merging")
 }
 
 pub(super) fn run(options: &Options) -> ExitCode {
-    let (checked, breaches) = merging_speed::run(options.rounds);
-    outcome::close(checked, breaches)
+    let (checked, violations) = merging_speed::run(options.rounds);
+    outcome::close(checked, violations)
 }
--- a/crates/linenthread-simulation/src/commands/mod.rs
+++ b/crates/linenthread-simulation/src/commands/mod.rs
@@ -86,5 +86,5 @@
     ])
     .to_options()
     .descr("Long checks of linenthread's subsystems")
-    .footer("Example: linenthread-simulation merged --lookups 100000 --seed 7")
+    .footer("Example: linenthread-simulation merged --queries 100000 --seed 7")
 }
--- a/crates/linenthread-simulation/src/commands/outcome.rs
+++ b/crates/linenthread-simulation/src/commands/outcome.rs
@@ -2,15 +2,15 @@
 
 use std::process::ExitCode;
 
-/// Prints the closing line; fails if there were breaches.
-pub(super) fn close(checked: usize, breaches: usize) -> ExitCode {
-    println!("{checked} checked, {breaches} breaches");
-    exit_code(breaches)
+/// Prints the closing line; fails if there were violations.
+pub(super) fn close(checked: usize, violations: usize) -> ExitCode {
+    println!("{checked} checked, {violations} violations");
+    exit_code(violations)
 }
 
-/// Fails if there were breaches.
-pub(super) fn exit_code(breaches: usize) -> ExitCode {
-    if breaches == 0 {
+/// Fails if there were violations.
+pub(super) fn exit_code(violations: usize) -> ExitCode {
+    if violations == 0 {
         ExitCode::SUCCESS
     } else {
         ExitCode::FAILURE
--- a/crates/linenthread-simulation/src/commands/processes.rs
+++ b/crates/linenthread-simulation/src/commands/processes.rs
@@ -12,10 +12,10 @@
 const ZONES: &str = "zones";
 /// All scenarios but that.
 const ALL: &str = "all";
-/// Breaches of the rounds of zones that are printed.
-const MAX_PRINTED_BREACHES: usize = 20;
-/// Breaches of one run of a scenario that are printed.
-const MAX_PRINTED_BREACHES_OF_SCENARIO: usize = 5;
+/// Violations of the rounds of zones that are printed.
+const MAX_PRINTED_VIOLATIONS: usize = 20;
+/// Violations of one run of a scenario that are printed.
+const MAX_PRINTED_VIOLATIONS_OF_SCENARIO: usize = 5;
 /// The exit code if there is no such scenario.
 const USAGE_ERROR: u8 = 2;
 
@@ -57,11 +57,11 @@
 }
 
 fn run_zones(options: &Options, program: &str) -> ExitCode {
-    let (checked, breaches) = scenarios::rounds(program, options.rounds, options.seed);
-    for breach in breaches.iter().take(MAX_PRINTED_BREACHES) {
-        println!("breach: {breach}");
+    let (checked, violations) = scenarios::rounds(program, options.rounds, options.seed);
+    for violation in violations.iter().take(MAX_PRINTED_VIOLATIONS) {
+        println!("violation: {violation}");
     }
-    outcome::close(checked, breaches.len())
+    outcome::close(checked, violations.len())
 }
 
 fn run_scenarios(options: &Options, program: &str) -> ExitCode {
@@ -73,13 +73,13 @@
     for (name, script) in chosen {
         for seed in (options.seed..).take(options.rounds) {
             let mut rig = script(program, seed);
-            let breaches = rig.check();
-            for breach in breaches.iter().take(MAX_PRINTED_BREACHES_OF_SCENARIO) {
-                println!("breach: {name}, seed {seed}: {breach}");
+            let violations = rig.check();
+            for violation in violations.iter().take(MAX_PRINTED_VIOLATIONS_OF_SCENARIO) {
+                println!("violation: {name}, seed {seed}: {violation}");
             }
             checked += rig.outcomes().len();
-            all += breaches.len();
-            println!("{name}, seed {seed}: {} lookups", rig.outcomes().len());
+            all += violations.len();
+            println!("{name}, seed {seed}: {} queries", rig.outcomes().len());
         }
     }
     if checked == 0 {
--- a/crates/linenthread-simulation/src/commands/zones.rs
+++ b/crates/linenthread-simulation/src/commands/zones.rs
@@ -13,7 +13,7 @@
     construct!(Options { schedules, seed })
         .to_options()
         .descr(
-            "What is agreed on zones: left, slow, partitioned off, drained and back, checked by their true state",
+            "What is agreed on zones: lost, slow, partitioned off, drained and back, checked by their true state",
         )
         .footer("Example: linenthread-simulation zones --schedules 10000 --seed 7")
         .command("zones")
@@ -21,6 +21,6 @@
 }
 
 pub(super) fn run(options: &Options) -> ExitCode {
-    let (checked, breaches) = options.run();
-    outcome::close(checked, breaches)
+    let (checked, violations) = options.run();
+    outcome::close(checked, violations)
 }
--- a/crates/linenthread-simulation/src/dataplane.rs
+++ b/crates/linenthread-simulation/src/dataplane.rs
@@ -45,12 +45,12 @@
     for (number, (job, outcome)) in run_all(&jobs(options)).into_iter().enumerate() {
         if violations == 0 && !outcome.violations.is_empty() {
             let sessions = (number + 1) * SESSIONS;
-            println!("the first breach came within {sessions} sessions");
+            println!("the first violation came within {sessions} sessions");
         }
         for violation in &outcome.violations {
             violations += 1;
             if violations <= MAX_PRINTED {
-                println!("breach: seed {}: {violation}", job.seed);
+                println!("violation: seed {}: {violation}", job.seed);
             }
         }
         counts += outcome.counts;
--- a/crates/linenthread-simulation/src/failover/mod.rs
+++ b/crates/linenthread-simulation/src/failover/mod.rs
@@ -68,7 +68,7 @@
 /// Runs all and prints a table; how many comparisons, and in how many deciding in common is worse than the best of
 /// those that know no more.
 pub(crate) fn run(seeds: usize, seed: u64) -> (usize, usize) {
-    let mut breaches = 0;
+    let mut violations = 0;
     for utilization in UTILIZATIONS {
         print_heading(utilization);
         for fault in Fault::ALL {
@@ -76,8 +76,8 @@
             print_line(fault, &runs);
             let others = runs[..COMMON].iter().map(Runs::served_share);
             let best = others.fold(0.0, f64::max);
-            breaches += usize::from(runs[COMMON].served_share() < best - TOLERANCE);
+            violations += usize::from(runs[COMMON].served_share() < best - TOLERANCE);
         }
     }
-    (UTILIZATIONS.len() * Fault::ALL.len(), breaches)
+    (UTILIZATIONS.len() * Fault::ALL.len(), violations)
 }
--- a/crates/linenthread-simulation/src/failover/policy.rs
+++ b/crates/linenthread-simulation/src/failover/policy.rs
@@ -31,8 +31,8 @@
 impl fmt::Display for Policy {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         f.pad(match self {
-            Policy::SelectionAlone => "design alone",
-            Policy::FixedPreference => "near, fixed",
+            Policy::SelectionAlone => "selection alone",
+            Policy::FixedPreference => "local, fixed",
             Policy::EachAlone => "each alone",
             Policy::Common => "in common",
             Policy::TrueState => "true state",
--- a/crates/linenthread-simulation/src/failover/statistics.rs
+++ b/crates/linenthread-simulation/src/failover/statistics.rs
@@ -58,7 +58,7 @@
 
 pub(super) fn print_heading(utilization: f64) {
     println!(
-        "replicas busy to {utilization}: share of gain served, of parts that cross, cold replicas pushed over"
+        "utilization {utilization}: share of queries served, of attempts to other zones, warming-up replicas that failed"
     );
     let headings = Policy::ALL.map(|policy| format!("{policy:>20}"));
     println!("{:10} {}  table after", "", headings.join(" "));
--- a/crates/linenthread-simulation/src/fleet/execution.rs
+++ b/crates/linenthread-simulation/src/fleet/execution.rs
@@ -26,7 +26,7 @@
         let mut actions = Vec::new();
         match Fleet::new(config, Some(disk), secrets(), seed, now, &mut actions) {
             Ok(fleet) => process.fleet = Some(fleet),
-            Err(error) => self.breach(format!("{} does not start: {error}", name(at))),
+            Err(error) => self.violated(format!("{} does not start: {error}", name(at))),
         }
         self.perform(at, actions);
     }
--- a/crates/linenthread-simulation/src/fleet/invariants.rs
+++ b/crates/linenthread-simulation/src/fleet/invariants.rs
@@ -22,13 +22,13 @@
             .map(name)
             .collect();
         if leaders.len() > 1 {
-            self.breach(format!("one-leader: {}", leaders.join(" and ")));
+            self.violated(format!("one-leader: {}", leaders.join(" and ")));
         }
         let former = self.processes[at].former_incarnation;
         let incarnation = self.processes[at].incarnation();
         if former.is_some() && incarnation == former {
-            self.breach(format!(
-                "former-self: {} is {incarnation:?} again",
+            self.violated(format!(
+                "new-disk-new-identity: {} is {incarnation:?} again",
                 name(at)
             ));
         }
@@ -41,7 +41,7 @@
             .filter(|process| process.is_leader(self.now))
             .count();
         if leaders != 1 {
-            return Some(format!("{leaders} lead"));
+            return Some(format!("{leaders} leaders"));
         }
         (0..self.processes.len()).find_map(|at| self.why_process_incomplete(at))
     }
--- a/crates/linenthread-simulation/src/fleet/mod.rs
+++ b/crates/linenthread-simulation/src/fleet/mod.rs
@@ -30,7 +30,7 @@
 const RECOVERY_TIME: TenthMillis = 25 * SECOND;
 /// And it must stay so for this long.
 const STABLE_TIME: TenthMillis = SECOND;
-/// The most breaches that are printed.
+/// The most violations that are printed.
 const MAX_PRINTED: usize = 20;
 
 /// Which schedules are run.
@@ -44,21 +44,21 @@
 
 /// What became of a schedule.
 struct Outcome {
-    breaches: Vec<String>,
+    violations: Vec<String>,
     totals: Totals,
 }
 
 impl Options {
-    /// Runs all schedules and prints a summary; how many were checked, and how many breaches there are.
+    /// Runs all schedules and prints a summary; how many were checked, and how many violations there are.
     pub(crate) fn run(&self) -> (usize, usize) {
         let seeds = self.seed..self.seed + self.schedules as u64;
         let outcomes = schedules::run_all(seeds, |seed| World::new(seed).run());
-        let mut breaches: Vec<&String> = outcomes.iter().flat_map(|o| &o.breaches).collect();
-        breaches.sort_unstable();
-        for breach in breaches.iter().take(MAX_PRINTED) {
-            println!("breach: {breach}");
+        let mut violations: Vec<&String> = outcomes.iter().flat_map(|o| &o.violations).collect();
+        violations.sort_unstable();
+        for violation in violations.iter().take(MAX_PRINTED) {
+            println!("violation: {violation}");
         }
         print_summary(&outcomes);
-        (self.schedules, breaches.len())
+        (self.schedules, violations.len())
     }
 }
--- a/crates/linenthread-simulation/src/fleet/simulation.rs
+++ b/crates/linenthread-simulation/src/fleet/simulation.rs
@@ -6,7 +6,7 @@
 use linenthread_fleet::Fleet;
 
 use super::event::Event;
-use super::world::{MAX_BREACHES, World};
+use super::world::{MAX_VIOLATIONS, World};
 use super::{FAULTS_END, Outcome, RECOVERY_TIME, SECOND, STABLE_TIME};
 
 /// How often [`World::run_until`] checks whether to stop.
@@ -27,10 +27,10 @@
         self.end_faults();
         self.run_recovery();
         if self.proposals > 0 && self.committed.is_empty() {
-            self.breach("nothing was ever agreed on".into());
+            self.violated("no value was ever committed".into());
         }
         Outcome {
-            breaches: self.breaches,
+            violations: self.violations,
             totals: self.totals,
         }
     }
@@ -46,12 +46,12 @@
             complete_since.is_some_and(|since| world.now >= since + STABLE_TIME)
         });
         self.totals.recovered_after = self.now - started_at;
-        if !recovered && self.breaches.is_empty() {
+        if !recovered && self.violations.is_empty() {
             let cause = self.why_incomplete();
             let cause = cause.unwrap_or_else(|| "it does not last".into());
             let seconds = RECOVERY_TIME / SECOND;
-            self.breach(format!(
-                "not whole {seconds} s after all was mended: {cause}"
+            self.violated(format!(
+                "not complete {seconds} s after all faults ended: {cause}"
             ));
         }
     }
@@ -70,7 +70,7 @@
             }
             self.now = at;
             self.handle(event);
-            if self.breaches.len() > MAX_BREACHES {
+            if self.violations.len() > MAX_VIOLATIONS {
                 return false;
             }
             if self.now >= checked_at + STOP_CHECK_INTERVAL {
--- a/crates/linenthread-simulation/src/fleet/statistics.rs
+++ b/crates/linenthread-simulation/src/fleet/statistics.rs
@@ -29,8 +29,8 @@
         time.map_or(0.0, |time| *time as f64 / TENTHS_PER_SECOND)
     };
     println!(
-        "{} values told as agreed, {} times one began to lead, {} selves replaced; whole again after {:.1} s in the \
-         median, {:.1} s at the 99th",
+        "{} values reported as committed, {} leaders elected, {} identities replaced; complete again after {:.1} s in \
+         the median, {:.1} s at the 99th percentile",
         sum(|totals| totals.committed),
         sum(|totals| totals.leaders),
         sum(|totals| totals.replaced),
--- a/crates/linenthread-simulation/src/fleet/traffic.rs
+++ b/crates/linenthread-simulation/src/fleet/traffic.rs
@@ -43,8 +43,8 @@
         if *known == value {
             self.totals.committed += 1;
         } else {
-            self.breach(format!(
-                "one-value: {topic} {number} is two things, at {}",
+            self.violated(format!(
+                "one-value-per-number: {topic} {number} has two values, at {}",
                 name(at)
             ));
         }
--- a/crates/linenthread-simulation/src/fleet/world.rs
+++ b/crates/linenthread-simulation/src/fleet/world.rs
@@ -12,8 +12,8 @@
 use super::process::Process;
 use super::statistics::Totals;
 
-/// A schedule ends after so many breaches.
-pub(super) const MAX_BREACHES: usize = 3;
+/// A schedule ends after so many violations.
+pub(super) const MAX_VIOLATIONS: usize = 3;
 
 /// One schedule.
 pub(super) struct World {
@@ -30,7 +30,7 @@
     /// All values that any process has reported as committed.
     pub(super) committed: BTreeMap<(String, u64), Vec<u8>>,
     pub(super) proposals: u64,
-    pub(super) breaches: Vec<String>,
+    pub(super) violations: Vec<String>,
     pub(super) totals: Totals,
 }
 
@@ -51,15 +51,15 @@
             seed,
             committed: BTreeMap::new(),
             proposals: 0,
-            breaches: Vec::new(),
+            violations: Vec::new(),
             totals: Totals::default(),
         }
     }
 
-    pub(super) fn breach(&mut self, cause: String) {
+    pub(super) fn violated(&mut self, cause: String) {
         let seconds = self.now as f64 / TENTHS_PER_SECOND;
         let schedule = self.seed;
-        self.breaches
+        self.violations
             .push(format!("schedule {schedule}, {seconds:.1} s: {cause}"));
     }
 
--- a/crates/linenthread-simulation/src/link/mod.rs
+++ b/crates/linenthread-simulation/src/link/mod.rs
@@ -60,9 +60,9 @@
             violations += 1;
             if violations <= MAX_PRINTED {
                 let no_resume = if self.no_resume { " --no-resume" } else { "" };
-                println!("breach: {violation}");
+                println!("violation: {violation}");
                 println!(
-                    "  again: linenthread-simulation link --schedules 1 --seed {seed}{no_resume}"
+                    "  replay: linenthread-simulation link --schedules 1 --seed {seed}{no_resume}"
                 );
             }
         }
--- a/crates/linenthread-simulation/src/link/statistics.rs
+++ b/crates/linenthread-simulation/src/link/statistics.rs
@@ -8,7 +8,7 @@
 #[derive(Default)]
 pub(super) struct Statistics {
     calls: usize,
-    answered: usize,
+    succeeded: usize,
     never_ran: usize,
     may_have_run: usize,
     timed_out: usize,
@@ -23,7 +23,7 @@
     pub(super) fn count(&mut self, outcome: Option<AttemptOutcome>) {
         self.calls += 1;
         match outcome {
-            Some(AttemptOutcome::Success) => self.answered += 1,
+            Some(AttemptOutcome::Success) => self.succeeded += 1,
             Some(AttemptOutcome::TimedOut) => self.timed_out += 1,
             Some(outcome) if outcome.never_ran() => self.never_ran += 1,
             _ => self.may_have_run += 1,
@@ -35,14 +35,14 @@
         let calls = self.calls;
         let percent = |count: usize| 100.0 * count as f64 / calls.max(1) as f64;
         println!(
-            "{calls} calls: {:.1}% answered, {:.1}% never ran, {:.1}% may have run, {:.1}% timed out",
-            percent(self.answered),
+            "{calls} calls: {:.1}% succeeded, {:.1}% never ran, {:.1}% may have run, {:.1}% timed out",
+            percent(self.succeeded),
             percent(self.never_ran),
             percent(self.may_have_run),
             percent(self.timed_out)
         );
         println!(
-            "{} silent links noticed after {} ms (median), {} ms (99%); {} false alarms in {schedules} schedules",
+            "{} silent connections detected after {} ms (median), {} ms (99%); {} false alarms in {schedules} schedules",
             self.detection_times.len(),
             self.detection_quantile(0.5),
             self.detection_quantile(0.99),
--- a/crates/linenthread-simulation/src/link/traffic.rs
+++ b/crates/linenthread-simulation/src/link/traffic.rs
@@ -92,7 +92,7 @@
         }
         if outcome == AttemptOutcome::Success && (runs != 1 || value != number.to_string()) {
             self.violated(format!(
-                "call {number} is answered with {value}, and ran {runs} times"
+                "call {number} succeeded with {value}, and ran {runs} times"
             ));
         }
     }
--- a/crates/linenthread-simulation/src/link_speed.rs
+++ b/crates/linenthread-simulation/src/link_speed.rs
@@ -51,7 +51,7 @@
     }
     let [direct, across] = &mut times;
     println!(
-        "latency of {ALTERNATING_QUERIES} lookups each, in turn: direct {:.0} us median, {:.0} us at 99%; across {:.0} and {:.0} us",
+        "latency of {ALTERNATING_QUERIES} queries each, in turn: direct {:.0} us median, {:.0} us at 99%; across {:.0} and {:.0} us",
         quantile(direct, 0.5),
         quantile(direct, 0.99),
         quantile(across, 0.5),
@@ -111,7 +111,7 @@
         .map(|(id, before)| format!("{:.0}", (cpu_seconds(*id) - before) * 1e6 / done as f64))
         .collect();
     println!(
-        "{what}, {in_flight} at once: {:.0} parts a second, CPU a part {} us",
+        "{what}, {in_flight} at once: {:.0} sub-requests a second, CPU of each {} us",
         done as f64 / took,
         spent.join(" and ")
     );
@@ -132,20 +132,20 @@
 fn report(what: &str, verdict: &Verdict, recovery_ms: i64) -> (usize, usize) {
     let Verdict {
         checked,
-        succeeded: answered,
-        rejected: nacked,
-        failed: aborted,
-        violations: breaches,
+        succeeded,
+        rejected,
+        failed,
+        violations,
     } = verdict;
     println!(
-        "{what}: {checked} asked, {answered} answered, {nacked} nacked, {aborted} aborted, {} lost; whole again after {recovery_ms} ms",
-        checked - answered - nacked - aborted
+        "{what}: {checked} queries, {succeeded} succeeded, {rejected} rejected, {failed} failed, {} lost; recovered after {recovery_ms} ms",
+        checked - succeeded - rejected - failed
     );
-    breaches
+    violations
         .iter()
         .take(5)
-        .for_each(|why| println!("breach: {why}"));
-    (*checked, breaches.len())
+        .for_each(|why| println!("violation: {why}"));
+    (*checked, violations.len())
 }
 
 /// Makes non-idempotent queries steadily while the link is cut for so long.
@@ -194,7 +194,7 @@
         of.iter().filter(|t| t.status == Some(200)).count() as f64 / of.len().max(1) as f64
     };
     println!(
-        "one of two gateways killed: {:.1}% answered before, {:.1}% after",
+        "one of two gateways killed: {:.1}% succeeded before, {:.1}% after",
         100.0 * share(&early),
         100.0 * share(&late)
     );
@@ -236,7 +236,7 @@
         },
     );
     for (n, what) in [
-        "both sound",
+        "neither slow",
         "the first slow by 20 ms each way",
         "the second slow",
     ]
@@ -253,7 +253,7 @@
             .filter(|t| t.status == Some(200) && t.latency < slow / 2)
             .count();
         println!(
-            "two links, {what}: {:.1}% of {all} lookups within 10 ms",
+            "two links, {what}: {:.1}% of {all} queries within 10 ms",
             100.0 * quick as f64 / all.max(1) as f64
         );
     }
@@ -331,7 +331,7 @@
         measure_throughput(sites.local.address, in_flight, &[near, far], "across");
     }
     measure_stalled_link(exe);
-    let (mut checked, mut breaches) = (0, 0);
+    let (mut checked, mut violations) = (0, 0);
     for (keep, what) in [(15_000, "resumed"), (10, "not resumed")] {
         let mut sites = Sites::start(
             exe,
@@ -342,11 +342,11 @@
         );
         for ms in [50, 200, 1_000, 5_000, 10_000] {
             let (n, b) = measure_cut(&mut sites, Duration::from_millis(ms), what);
-            (checked, breaches) = (checked + n, breaches + b);
+            (checked, violations) = (checked + n, violations + b);
         }
     }
     for (n, b) in [measure_gateway_failure(exe), measure_link_choice(exe)] {
-        (checked, breaches) = (checked + n, breaches + b);
+        (checked, violations) = (checked + n, violations + b);
     }
-    (checked, breaches)
+    (checked, violations)
 }
--- a/crates/linenthread-simulation/src/main.rs
+++ b/crates/linenthread-simulation/src/main.rs
@@ -1,5 +1,5 @@
-//! `linenthread-simulation`: long checks of each subsystem. Each takes a seed and a count, prints what breaches it
-//! found with all that is needed to run them again, ends with `N checked, B breaches`, and exits with 1
+//! `linenthread-simulation`: long checks of each subsystem. Each takes a seed and a count, prints what violations it
+//! found with all that is needed to run them again, ends with `N checked, B violations`, and exits with 1
 //! where B is not 0.
 //!
 //! Start reading at [`commands`], which has a module for each of them.
--- a/crates/linenthread-simulation/src/members.rs
+++ b/crates/linenthread-simulation/src/members.rs
@@ -179,10 +179,10 @@
 /// Measures all sizes and prints a table; how many sizes, and how often their members did not agree in time.
 pub(crate) fn run(seed: u64) -> (usize, usize) {
     println!(
-        "members  all know all  datagrams/s  bytes/s  CPU us/s  one gone for all   (each, but for the times)"
+        "members    all joined  datagrams/s  bytes/s  CPU us/s       one removed   (per member, except the times)"
     );
-    let breaches = SIZES.map(|count| measure(count, seed)).into_iter().sum();
-    (SIZES.len(), breaches)
+    let violations = SIZES.map(|count| measure(count, seed)).into_iter().sum();
+    (SIZES.len(), violations)
 }
 
 /// Measures one size; how often its members did not agree in time.
--- a/crates/linenthread-simulation/src/merged/invariants.rs
+++ b/crates/linenthread-simulation/src/merged/invariants.rs
@@ -37,14 +37,14 @@
         let is_complete = response["finished"] == Value::Bool(true);
         self.statistics.complete += usize::from(is_complete);
         self.statistics.partial += usize::from(!is_complete);
-        self.statistics.cut += usize::from(response["cut"].is_object());
+        self.statistics.truncated += usize::from(response["cut"].is_object());
         let is_marked_truly = complete || !is_complete;
         let is_bounded = open.merger.retained_rows() <= open.page_size;
         let result = checked.and(ended).and_then(|()| {
             if is_marked_truly && is_bounded {
                 Ok(())
             } else {
-                Err("whole beyond the module's word, or more held than a page".into())
+                Err("complete though the decision module says partial, or more rows retained than a page".into())
             }
         });
         if let Err(violation) = result {
@@ -63,7 +63,7 @@
     ) -> Option<String> {
         match self.merger.accept(sub_request, continuation, OTHER_VALUE) {
             Acceptance::Duplicate { .. } => None,
-            other => Some(format!("a second answer is taken: {other:?}")),
+            other => Some(format!("a duplicate response counts: {other:?}")),
         }
     }
 }
--- a/crates/linenthread-simulation/src/merged/mod.rs
+++ b/crates/linenthread-simulation/src/merged/mod.rs
@@ -25,7 +25,7 @@
 #[derive(Clone, Debug)]
 pub(crate) struct Options {
     /// How many queries are made.
-    pub lookups: usize,
+    pub queries: usize,
     /// What all random numbers derive from.
     pub seed: u64,
     /// The share of sub-requests that take longer than a query waits; random if not given.
@@ -58,7 +58,7 @@
     /// The arguments that repeat this run.
     fn arguments(&self) -> String {
         let Options {
-            lookups,
+            queries,
             seed,
             slow,
             floor,
@@ -66,6 +66,6 @@
         } = self;
         let slow = slow.map_or_else(String::new, |slow| format!(" --slow {slow}"));
         let only_delays = if *only_delays { " --only-delays" } else { "" };
-        format!("--lookups {lookups} --seed {seed} --floor {floor}{slow}{only_delays}")
+        format!("--queries {queries} --seed {seed} --floor {floor}{slow}{only_delays}")
     }
 }
--- a/crates/linenthread-simulation/src/merged/simulation.rs
+++ b/crates/linenthread-simulation/src/merged/simulation.rs
@@ -12,7 +12,7 @@
             first_query_at += 1;
             self.fleet.schedule(first_query_at, Event::Client(client));
         }
-        while self.statistics.queries < self.options.lookups || !self.open.is_empty() {
+        while self.statistics.queries < self.options.queries || !self.open.is_empty() {
             self.step();
         }
         self.statistics
@@ -21,7 +21,7 @@
     fn step(&mut self) {
         for event in self.fleet.next() {
             match event {
-                Event::Client(client) if self.statistics.queries < self.options.lookups => {
+                Event::Client(client) if self.statistics.queries < self.options.queries => {
                     self.make_query(client);
                 }
                 Event::AttemptEnded(query, sub_request, attempt, fate) => {
@@ -46,7 +46,7 @@
                 self.free_indices.push(query);
                 let open = self.open.remove(&query);
                 if open.is_some_and(|open| !open.answered) {
-                    self.violated(query, "released without an answer");
+                    self.violated(query, "released without a response");
                 }
             }
             Decision::Respond { query, complete } => {
@@ -56,7 +56,7 @@
             }
             Decision::Reject { query } | Decision::Fail { query } => {
                 if self.on_answered(query) {
-                    self.statistics.refused += 1;
+                    self.statistics.rejected += 1;
                     let client = self.open[&query].client;
                     self.clients[client].cursor = None;
                 }
--- a/crates/linenthread-simulation/src/merged/statistics.rs
+++ b/crates/linenthread-simulation/src/merged/statistics.rs
@@ -8,8 +8,8 @@
     pub(super) queries: usize,
     pub(super) complete: usize,
     pub(super) partial: usize,
-    pub(super) cut: usize,
-    pub(super) refused: usize,
+    pub(super) truncated: usize,
+    pub(super) rejected: usize,
     pub(super) continuations: usize,
     pub(super) duplicates: usize,
     pub(super) violations: usize,
@@ -19,15 +19,15 @@
     pub(super) fn print(&self, floor: f64, behavior: ReplicaBehavior) {
         let percent = |count: usize| 100.0 * count as f64 / self.queries.max(1) as f64;
         println!(
-            "slow {:.3}, faults {:.3}, floor {}: {:.1}% whole, {:.1}% partial, {:.1}% cut, {:.1}% refused; \
-             {} parts asked on, {} second answers",
+            "slow {:.3}, faults {:.3}, floor {}: {:.1}% complete, {:.1}% partial, {:.1}% truncated, {:.1}% rejected; \
+             {} continuations, {} duplicate responses",
             behavior.slow,
             behavior.faults,
             floor,
             percent(self.complete),
             percent(self.partial),
-            percent(self.cut),
-            percent(self.refused),
+            percent(self.truncated),
+            percent(self.rejected),
             self.continuations,
             self.duplicates
         );
--- a/crates/linenthread-simulation/src/merged/traffic.rs
+++ b/crates/linenthread-simulation/src/merged/traffic.rs
@@ -53,7 +53,7 @@
             Err(error) => {
                 client.cursor = None;
                 self.fleet.schedule(1, Event::Client(index));
-                self.violated(query, &format!("not begun: {error}"));
+                self.violated(query, &format!("not started: {error}"));
             }
         }
     }
@@ -99,7 +99,10 @@
         let attempts = open.attempts.entry(sub_request).or_default();
         *attempts += 1;
         if *attempts > MAX_ATTEMPTS || open.answered {
-            self.violated(query, "a part is sent too often, or after the answer");
+            self.violated(
+                query,
+                "a sub-request is sent too often, or after the response",
+            );
         }
     }
 
@@ -132,7 +135,7 @@
                 if fate != AttemptFate::MalformedValue
                     && let Acceptance::Invalid(error) = &acceptance
                 {
-                    violation = Some(format!("a good value is not read: {error}: {value}"));
+                    violation = Some(format!("a valid value is not accepted: {error}: {value}"));
                 }
                 if fate == AttemptFate::DuplicateSuccess && violation.is_none() {
                     self.statistics.duplicates += 1;
@@ -173,7 +176,7 @@
         let pause = TenthMillis::try_from(pause).unwrap_or(TenthMillis::MAX);
         self.fleet.schedule(pause, Event::Client(client));
         if is_late {
-            self.violated(query, "answered late or a second time");
+            self.violated(query, "responded late or a second time");
         }
         true
     }
--- a/crates/linenthread-simulation/src/merged/world.rs
+++ b/crates/linenthread-simulation/src/merged/world.rs
@@ -78,9 +78,9 @@
     pub(super) fn violated(&mut self, query: usize, violation: &str) {
         self.statistics.violations += 1;
         if self.statistics.violations <= MAX_PRINTED {
-            println!("breach at lookup {query}: {violation}");
+            println!("violation at query {query}: {violation}");
             println!(
-                "  again: linenthread-simulation merged {}",
+                "  replay: linenthread-simulation merged {}",
                 self.options.arguments()
             );
         }
--- a/crates/linenthread-simulation/src/merging_speed.rs
+++ b/crates/linenthread-simulation/src/merging_speed.rs
@@ -122,7 +122,7 @@
     let values = shard_values(8, 20);
     let shards = equal_shards(values.len());
     let query = query(&shards);
-    let (mut merged, mut passed_on) = (Vec::new(), Vec::new());
+    let (mut merged, mut forwarded) = (Vec::new(), Vec::new());
     for _ in 0..rounds.max(1) {
         merged.push(microseconds_each(|| {
             let page = PageRequest::default();
@@ -136,12 +136,12 @@
             }
             black_box(merger.response(true, Some(&signer), 0));
         }));
-        passed_on.push(microseconds_each(|| {
+        forwarded.push(microseconds_each(|| {
             let values = values.iter().map(String::as_str).enumerate();
             black_box(encode_response(true, values));
         }));
     }
-    (median(merged), median(passed_on))
+    (median(merged), median(forwarded))
 }
 
 fn microseconds_each(mut action: impl FnMut()) -> f64 {
@@ -156,7 +156,7 @@
 pub(crate) fn run(rounds: usize) -> (usize, usize) {
     let (mut checked, mut violations) = (0, 0);
     println!(
-        "a page of {PAGE}; rows a second in millions, rows held; medians of {rounds} runs in turn, of one for the largest"
+        "a page of {PAGE}; rows a second in millions, rows retained; medians of {rounds} runs in turn, of one for the largest"
     );
     for shards in [10, 100, 1_000] {
         for rows_each in [100, 10_000] {
@@ -166,9 +166,9 @@
             violations += compare(shards, rows_each, rounds);
         }
     }
-    let (merged, passed_on) = one_query(rounds);
+    let (merged, forwarded) = one_query(rounds);
     println!(
-        "one lookup of 8 slices, 20 rows each: merged in {merged:.1} us, passed on in {passed_on:.1} us"
+        "one query of 8 shards, 20 rows each: merged in {merged:.1} us, forwarded in {forwarded:.1} us"
     );
     (checked, violations)
 }
@@ -194,7 +194,7 @@
     let million_rows_a_second = |time: f64| (shards * rows_each) as f64 / time / 1e6;
     let (merge_time, sort_time) = (median(merge_times), median(sort_times));
     println!(
-        "{shards:5} slices of {rows_each:5}: merged {:7.2} holding {merge_retained:4}, collected and sorted {:6.2} holding {sort_retained:7}; \
+        "{shards:5} shards of {rows_each:5}: merged {:7.2} retaining {merge_retained:4}, collected and sorted {:6.2} retaining {sort_retained:7}; \
          {:.1} times as fast",
         million_rows_a_second(merge_time),
         million_rows_a_second(sort_time),
--- a/crates/linenthread-simulation/src/zones/invariants.rs
+++ b/crates/linenthread-simulation/src/zones/invariants.rs
@@ -40,15 +40,15 @@
             .filter(|(from, to)| !fault.may_eject(*from, *to))
             .collect();
         if !wrong.is_empty() {
-            self.breach(format!("wrongly left, from and to: {wrong:?}"));
+            self.violated(format!("wrongly closed, from and to: {wrong:?}"));
         }
         let limited = routes_closed_for(table, &[Reason::Capacity, Reason::Slow]);
         if self.fault == Fault::Noise && !limited.is_empty() {
-            self.breach("near-while-safe: ways are closed though nothing is wrong".into());
+            self.violated("local-while-healthy: routes are closed though nothing is wrong".into());
         }
     }
 
-    /// *never-past-room*: by what a zone can truly process, or what it bears anyway while all is healthy.
+    /// *within-capacity*: by what a zone can truly process, or what it bears anyway while all is healthy.
     fn check_capacity(&mut self, table: &RoutingTable) {
         let load = loads(&self.topology, &self.demand, &table.rows);
         let usual = self.usual_loads();
@@ -64,8 +64,8 @@
                 && self.fault != Fault::HostileReports
                 && load > capacity.max(usual) * LOAD_TOLERANCE
             {
-                self.breach(format!(
-                    "never-past-room: zone {to} gets {load:.0}, takes {capacity:.0}, usually gets {usual:.0}"
+                self.violated(format!(
+                    "within-capacity: zone {to} gets {load:.0}, can process {capacity:.0}, usually gets {usual:.0}"
                 ));
             }
         }
@@ -112,14 +112,14 @@
         table.is_none_or(|table| table.routes().all(|route| route.share == ALL_KEYS))
     }
 
-    /// *no-flap*: openings in a row, one more with each minute, and some with each change of the leader.
+    /// *no-flapping*: openings in a row, one more with each minute, and some with each change of the leader.
     pub(super) fn check_openings(&mut self) {
         let minutes = (self.now - START) as f64 / MINUTE;
         let bound = MAX_OPENINGS + minutes + OPENINGS_PER_LEADER * f64::from(self.leaders);
         if f64::from(self.openings) > bound {
             let openings = self.openings;
-            self.breach(format!(
-                "no-flap: {openings} openings in {minutes:.1} minutes"
+            self.violated(format!(
+                "no-flapping: {openings} openings in {minutes:.1} minutes"
             ));
         }
     }
--- a/crates/linenthread-simulation/src/zones/mod.rs
+++ b/crates/linenthread-simulation/src/zones/mod.rs
@@ -25,7 +25,7 @@
 const START: TenthMillis = 100 * SECOND;
 const STEP: TenthMillis = 5_000;
 const STEP_SECONDS: f64 = 0.5;
-/// The most breaches that are printed.
+/// The most violations that are printed.
 const MAX_PRINTED: usize = 20;
 
 /// Which schedules are run.
@@ -39,21 +39,21 @@
 
 /// What became of a schedule.
 struct Outcome {
-    breaches: Vec<String>,
+    violations: Vec<String>,
     /// How long after its start a fault was handled that had to be.
     handled_after: Option<TenthMillis>,
 }
 
 impl Options {
-    /// Runs all schedules and prints a summary; how many were checked, and how many breaches there are.
+    /// Runs all schedules and prints a summary; how many were checked, and how many violations there are.
     pub(crate) fn run(&self) -> (usize, usize) {
         let seeds = self.seed..self.seed + self.schedules as u64;
         let outcomes = schedules::run_all(seeds, |seed| World::new(seed).run());
-        let breaches: Vec<&String> = outcomes.iter().flat_map(|o| &o.breaches).collect();
-        for breach in breaches.iter().take(MAX_PRINTED) {
-            println!("breach: {breach}");
+        let violations: Vec<&String> = outcomes.iter().flat_map(|o| &o.violations).collect();
+        for violation in violations.iter().take(MAX_PRINTED) {
+            println!("violation: {violation}");
         }
         print_summary(&outcomes);
-        (self.schedules, breaches.len())
+        (self.schedules, violations.len())
     }
 }
--- a/crates/linenthread-simulation/src/zones/simulation.rs
+++ b/crates/linenthread-simulation/src/zones/simulation.rs
@@ -3,7 +3,7 @@
 use linenthread_core::interface::TenthMillis;
 
 use super::fault::Fault;
-use super::world::{MAX_BREACHES, World, config};
+use super::world::{MAX_VIOLATIONS, World, config};
 use super::{Outcome, SECOND, STEP};
 
 /// A new leader takes over once in so many steps.
@@ -20,19 +20,19 @@
             self.step();
         }
         if self.tables > 0 && self.fault != Fault::HostileReports {
-            self.breach("near-while-safe: a table before anything is wrong".into());
+            self.violated("local-while-healthy: a table before anything is wrong".into());
         }
         let drain_accepted = self.run_fault();
         let must_be_noticed = self.must_be_noticed(drain_accepted);
         let is_late = |after: TenthMillis| after > MAX_REACTION_TIME;
         if must_be_noticed && self.handled_after.is_none_or(is_late) {
             let after = self.handled_after;
-            self.breach(format!("not left in time: {after:?}"));
+            self.violated(format!("not handled in time: {after:?}"));
         }
         self.run_recovery();
         self.check_openings();
         Outcome {
-            breaches: self.breaches,
+            violations: self.violations,
             handled_after: self.handled_after.filter(|_| must_be_noticed),
         }
     }
@@ -54,7 +54,7 @@
             if self.handled_after.is_none() && self.is_handled() {
                 self.handled_after = Some(self.now - started_at);
             }
-            if self.breaches.len() > MAX_BREACHES {
+            if self.violations.len() > MAX_VIOLATIONS {
                 break;
             }
         }
@@ -65,7 +65,7 @@
     fn run_recovery(&mut self) {
         self.fault_is_active = false;
         self.drained.clear();
-        if self.fault == Fault::HostileReports || !self.breaches.is_empty() {
+        if self.fault == Fault::HostileReports || !self.violations.is_empty() {
             return;
         }
         let config = config();
@@ -76,7 +76,7 @@
         }
         if !self.is_open() {
             let rows = self.table.as_ref().map(|table| table.rows.clone());
-            self.breach(format!("not all open again: {rows:?}"));
+            self.violated(format!("not all open again: {rows:?}"));
         }
     }
 
--- a/crates/linenthread-simulation/src/zones/statistics.rs
+++ b/crates/linenthread-simulation/src/zones/statistics.rs
@@ -14,7 +14,7 @@
         time.map_or(0.0, |time| *time as f64 / TENTHS_PER_SECOND)
     };
     println!(
-        "{} zones left, by the record after {:.1} s in the median, {:.1} s at the 99th",
+        "{} faults handled by the routing table after {:.1} s in the median, {:.1} s at the 99th percentile",
         handled.len(),
         percentile(50),
         percentile(99)
--- a/crates/linenthread-simulation/src/zones/world.rs
+++ b/crates/linenthread-simulation/src/zones/world.rs
@@ -11,8 +11,8 @@
 use super::fault::Fault;
 use super::{SECOND, START, TENTHS_PER_SECOND};
 
-/// A schedule ends after so many breaches.
-pub(super) const MAX_BREACHES: usize = 3;
+/// A schedule ends after so many violations.
+pub(super) const MAX_VIOLATIONS: usize = 3;
 /// The work that a replica does in a second, in milliseconds: two requests at once.
 const REPLICA_MS_PER_SECOND: f64 = 2_000.0;
 
@@ -45,7 +45,7 @@
     pub(super) fault_is_active: bool,
     /// Zones that operators drain.
     pub(super) drained: BTreeSet<String>,
-    pub(super) breaches: Vec<String>,
+    pub(super) violations: Vec<String>,
     pub(super) openings: u32,
     pub(super) leaders: u32,
     pub(super) tables: u32,
@@ -133,7 +133,7 @@
             fault,
             fault_is_active: false,
             drained: BTreeSet::new(),
-            breaches: Vec::new(),
+            violations: Vec::new(),
             openings: 0,
             leaders: 1,
             tables: 0,
@@ -141,10 +141,10 @@
         }
     }
 
-    pub(super) fn breach(&mut self, cause: String) {
+    pub(super) fn violated(&mut self, cause: String) {
         let seconds = self.now as f64 / TENTHS_PER_SECOND;
         let (schedule, fault) = (self.seed, self.fault);
-        self.breaches.push(format!(
+        self.violations.push(format!(
             "schedule {schedule}, {fault:?}, {seconds:.1} s: {cause}"
         ));
     }
