--- a/crates/linenthread-simulation/src/commands/dataplane.rs
+++ b/crates/linenthread-simulation/src/commands/dataplane.rs
@@ -26,8 +26,10 @@
 }
 
 pub(super) fn run(options: &Options) -> ExitCode {
-    let checked = dataplane::run(options);
-    let (sessions, violations) = (checked.sessions, checked.violations);
-    println!("{sessions} sessions checked, {violations} violations");
-    outcome::exit_code(violations)
+    let summary = dataplane::run(options);
+    println!(
+        "{} sessions checked, {} violations",
+        summary.checked, summary.violations
+    );
+    outcome::exit_code(summary.violations)
 }
--- a/crates/linenthread-simulation/src/commands/failover.rs
+++ b/crates/linenthread-simulation/src/commands/failover.rs
@@ -29,6 +29,5 @@
 }
 
 pub(super) fn run(options: &Options) -> ExitCode {
-    let (checked, violations) = failover::run(options.seeds, options.seed);
-    outcome::close(checked, violations)
+    outcome::close(failover::run(options.seeds, options.seed))
 }
--- a/crates/linenthread-simulation/src/commands/fleet.rs
+++ b/crates/linenthread-simulation/src/commands/fleet.rs
@@ -22,6 +22,5 @@
 }
 
 pub(super) fn run(options: &Options) -> ExitCode {
-    let (checked, violations) = options.run();
-    outcome::close(checked, violations)
+    outcome::close(options.run())
 }
--- a/crates/linenthread-simulation/src/commands/link_bytes.rs
+++ b/crates/linenthread-simulation/src/commands/link_bytes.rs
@@ -7,6 +7,7 @@
 use linenthread_fakes::sites::disconnect_everywhere;
 
 use super::{arguments, outcome};
+use crate::run_summary::RunSummary;
 
 #[derive(Clone)]
 pub(crate) struct Options {
@@ -50,5 +51,8 @@
         "{} succeeded, {} rejected, {} failed",
         verdict.succeeded, verdict.rejected, verdict.failed
     );
-    outcome::close(verdict.checked, verdict.violations.len())
+    outcome::close(RunSummary {
+        checked: verdict.checked,
+        violations: verdict.violations.len(),
+    })
 }
--- a/crates/linenthread-simulation/src/commands/members.rs
+++ b/crates/linenthread-simulation/src/commands/members.rs
@@ -23,6 +23,5 @@
 }
 
 pub(super) fn run(options: &Options) -> ExitCode {
-    let (checked, violations) = members::run(options.seed);
-    outcome::close(checked, violations)
+    outcome::close(members::run(options.seed))
 }
--- a/crates/linenthread-simulation/src/commands/merging_speed.rs
+++ b/crates/linenthread-simulation/src/commands/merging_speed.rs
@@ -25,6 +25,5 @@
 }
 
 pub(super) fn run(options: &Options) -> ExitCode {
-    let (checked, violations) = merging_speed::run(options.rounds);
-    outcome::close(checked, violations)
+    outcome::close(merging_speed::run(options.rounds))
 }
--- a/crates/linenthread-simulation/src/commands/outcome.rs
+++ b/crates/linenthread-simulation/src/commands/outcome.rs
@@ -2,8 +2,14 @@
 
 use std::process::ExitCode;
 
+use crate::run_summary::RunSummary;
+
 /// Prints the closing line; fails if there were violations.
-pub(super) fn close(checked: usize, violations: usize) -> ExitCode {
+pub(super) fn close(summary: RunSummary) -> ExitCode {
+    let RunSummary {
+        checked,
+        violations,
+    } = summary;
     println!("{checked} checked, {violations} violations");
     exit_code(violations)
 }
--- a/crates/linenthread-simulation/src/commands/processes.rs
+++ b/crates/linenthread-simulation/src/commands/processes.rs
@@ -7,6 +7,7 @@
 use linenthread_fakes::scenarios;
 
 use super::{arguments, outcome};
+use crate::run_summary::RunSummary;
 
 /// The scenario of random faults.
 const ZONES: &str = "zones";
@@ -61,7 +62,10 @@
     for violation in violations.iter().take(MAX_PRINTED_VIOLATIONS) {
         println!("violation: {violation}");
     }
-    outcome::close(checked, violations.len())
+    outcome::close(RunSummary {
+        checked,
+        violations: violations.len(),
+    })
 }
 
 fn run_scenarios(options: &Options, program: &str) -> ExitCode {
@@ -69,7 +73,7 @@
     let chosen = scenarios::ALL
         .iter()
         .filter(|(name, _)| scenario == ALL || scenario == name);
-    let (mut checked, mut all) = (0, 0);
+    let mut summary = RunSummary::default();
     for (name, script) in chosen {
         for seed in (options.seed..).take(options.rounds) {
             let mut rig = script(program, seed);
@@ -77,14 +81,16 @@
             for violation in violations.iter().take(MAX_PRINTED_VIOLATIONS_OF_SCENARIO) {
                 println!("violation: {name}, seed {seed}: {violation}");
             }
-            checked += rig.outcomes().len();
-            all += violations.len();
+            summary += RunSummary {
+                checked: rig.outcomes().len(),
+                violations: violations.len(),
+            };
             println!("{name}, seed {seed}: {} queries", rig.outcomes().len());
         }
     }
-    if checked == 0 {
+    if summary.checked == 0 {
         eprintln!("linenthread-simulation: there is no scenario {scenario}");
         return ExitCode::from(USAGE_ERROR);
     }
-    outcome::close(checked, all)
+    outcome::close(summary)
 }
--- a/crates/linenthread-simulation/src/commands/system.rs
+++ b/crates/linenthread-simulation/src/commands/system.rs
@@ -5,6 +5,7 @@
 use bpaf::{Parser, construct, long};
 
 use super::{arguments, outcome};
+use crate::run_summary::RunSummary;
 use crate::system;
 pub(super) use crate::system::Options;
 
@@ -37,5 +38,8 @@
 
 pub(super) fn run(options: &Options) -> ExitCode {
     let result = system::run(options);
-    outcome::close(result.checked, result.violations)
+    outcome::close(RunSummary {
+        checked: result.checked,
+        violations: result.violations,
+    })
 }
--- a/crates/linenthread-simulation/src/dataplane.rs
+++ b/crates/linenthread-simulation/src/dataplane.rs
@@ -5,6 +5,8 @@
 use linenthread_dataplane_sim::checker::Counts;
 use linenthread_dataplane_sim::simulation::{Outcome, SESSIONS, run as simulate};
 
+use crate::run_summary::RunSummary;
+
 /// How many violations are printed.
 const MAX_PRINTED: usize = 20;
 /// Simulations are independent of each other and so are run in parallel.
@@ -21,15 +23,6 @@
     pub(crate) summary: bool,
 }
 
-/// What was checked.
-#[derive(Clone, Copy, Debug)]
-pub(crate) struct Checked {
-    /// Sessions that were run.
-    pub(crate) sessions: usize,
-    /// Rules that were broken.
-    pub(crate) violations: usize,
-}
-
 /// One simulation to run.
 #[derive(Clone, Copy)]
 struct Job {
@@ -38,7 +31,7 @@
 }
 
 /// Runs all simulations and prints their violations, at most [`MAX_PRINTED`].
-pub(crate) fn run(options: &Options) -> Checked {
+pub(crate) fn run(options: &Options) -> RunSummary {
     let started_at = Instant::now();
     let (mut counts, mut executions, mut digest) = (Counts::default(), 0, 0u64);
     let mut violations = 0;
@@ -62,8 +55,8 @@
         let seconds = started_at.elapsed().as_secs_f64();
         println!("{executions} runs, digest {digest:016x}, {seconds:.1} s");
     }
-    Checked {
-        sessions: options.sessions,
+    RunSummary {
+        checked: options.sessions,
         violations,
     }
 }
--- a/crates/linenthread-simulation/src/failover/mod.rs
+++ b/crates/linenthread-simulation/src/failover/mod.rs
@@ -21,6 +21,7 @@
 
 use linenthread_core::interface::TenthMillis;
 
+use crate::run_summary::RunSummary;
 use fault::Fault;
 use policy::Policy;
 use statistics::{Runs, print_heading, print_line};
@@ -65,9 +66,9 @@
     })
 }
 
-/// Runs all and prints a table; how many comparisons, and in how many deciding in common is worse than the best of
-/// those that know no more.
-pub(crate) fn run(seeds: usize, seed: u64) -> (usize, usize) {
+/// Runs all and prints a table. Each line of it is checked: a violation is one in which deciding in common is worse
+/// than the best of those that know no more.
+pub(crate) fn run(seeds: usize, seed: u64) -> RunSummary {
     let mut violations = 0;
     for utilization in UTILIZATIONS {
         print_heading(utilization);
@@ -79,5 +80,8 @@
             violations += usize::from(runs[COMMON].served_share() < best - TOLERANCE);
         }
     }
-    (UTILIZATIONS.len() * Fault::ALL.len(), violations)
+    RunSummary {
+        checked: UTILIZATIONS.len() * Fault::ALL.len(),
+        violations,
+    }
 }
--- a/crates/linenthread-simulation/src/fleet/execution.rs
+++ b/crates/linenthread-simulation/src/fleet/execution.rs
@@ -5,6 +5,7 @@
 
 use super::TENTHS_PER_SECOND;
 use super::event::{Event, ProcessIndex};
+use super::invariant::Invariant;
 use super::process::{self, Disk, name, secrets};
 use super::world::World;
 
@@ -26,7 +27,10 @@
         let mut actions = Vec::new();
         match Fleet::new(config, Some(disk), secrets(), seed, now, &mut actions) {
             Ok(fleet) => process.fleet = Some(fleet),
-            Err(error) => self.violated(format!("{} does not start: {error}", name(at))),
+            Err(error) => self.violated(
+                Invariant::Restarts,
+                &format!("{} does not start: {error}", name(at)),
+            ),
         }
         self.perform(at, actions);
     }
--- a/crates/linenthread-simulation/src/fleet/invariants.rs
+++ b/crates/linenthread-simulation/src/fleet/invariants.rs
@@ -5,6 +5,7 @@
 use linenthread_fleet::{Fleet, Voter};
 
 use super::event::ProcessIndex;
+use super::invariant::Invariant;
 use super::process::{Disk, name};
 use super::traffic::TOPICS;
 use super::world::World;
@@ -22,15 +23,15 @@
             .map(name)
             .collect();
         if leaders.len() > 1 {
-            self.violated(format!("one-leader: {}", leaders.join(" and ")));
+            self.violated(Invariant::OneLeader, &format!("{}", leaders.join(" and ")));
         }
         let former = self.processes[at].former_incarnation;
         let incarnation = self.processes[at].incarnation();
         if former.is_some() && incarnation == former {
-            self.violated(format!(
-                "new-disk-new-identity: {} is {incarnation:?} again",
-                name(at)
-            ));
+            self.violated(
+                Invariant::NewDiskNewIdentity,
+                &format!("{} is {incarnation:?} again", name(at)),
+            );
         }
     }
 
--- a/crates/linenthread-simulation/src/fleet/mod.rs
+++ b/crates/linenthread-simulation/src/fleet/mod.rs
@@ -7,6 +7,7 @@
 mod event;
 mod execution;
 mod faults;
+mod invariant;
 mod invariants;
 mod network;
 mod process;
@@ -18,6 +19,7 @@
 
 use linenthread_core::interface::TenthMillis;
 
+use crate::run_summary::RunSummary;
 use crate::schedules;
 use statistics::{Totals, print_summary};
 use world::World;
@@ -49,8 +51,8 @@
 }
 
 impl Options {
-    /// Runs all schedules and prints a summary; how many were checked, and how many violations there are.
-    pub(crate) fn run(&self) -> (usize, usize) {
+    /// Runs all schedules and prints a summary of them.
+    pub(crate) fn run(&self) -> RunSummary {
         let seeds = self.seed..self.seed + self.schedules as u64;
         let outcomes = schedules::run_all(seeds, |seed| World::new(seed).run());
         let mut violations: Vec<&String> = outcomes.iter().flat_map(|o| &o.violations).collect();
@@ -59,6 +61,9 @@
             println!("violation: {violation}");
         }
         print_summary(&outcomes);
-        (self.schedules, violations.len())
+        RunSummary {
+            checked: self.schedules,
+            violations: violations.len(),
+        }
     }
 }
--- a/crates/linenthread-simulation/src/fleet/simulation.rs
+++ b/crates/linenthread-simulation/src/fleet/simulation.rs
@@ -6,6 +6,7 @@
 use linenthread_fleet::Fleet;
 
 use super::event::Event;
+use super::invariant::Invariant;
 use super::world::{MAX_VIOLATIONS, World};
 use super::{FAULTS_END, Outcome, RECOVERY_TIME, SECOND, STABLE_TIME};
 
@@ -27,7 +28,7 @@
         self.end_faults();
         self.run_recovery();
         if self.proposals > 0 && self.committed.is_empty() {
-            self.violated("no value was ever committed".into());
+            self.violated(Invariant::Commits, "no value was ever committed");
         }
         Outcome {
             violations: self.violations,
@@ -50,9 +51,10 @@
             let cause = self.why_incomplete();
             let cause = cause.unwrap_or_else(|| "it does not last".into());
             let seconds = RECOVERY_TIME / SECOND;
-            self.violated(format!(
-                "not complete {seconds} s after all faults ended: {cause}"
-            ));
+            self.violated(
+                Invariant::Recovers,
+                &format!("not complete {seconds} s after all faults ended: {cause}"),
+            );
         }
     }
 
--- a/crates/linenthread-simulation/src/fleet/traffic.rs
+++ b/crates/linenthread-simulation/src/fleet/traffic.rs
@@ -3,6 +3,7 @@
 use linenthread_fleet::CommittedValue;
 
 use super::event::{Event, ProcessIndex};
+use super::invariant::Invariant;
 use super::process::name;
 use super::world::World;
 
@@ -43,10 +44,10 @@
         if *known == value {
             self.totals.committed += 1;
         } else {
-            self.violated(format!(
-                "one-value-per-number: {topic} {number} has two values, at {}",
-                name(at)
-            ));
+            self.violated(
+                Invariant::OneValuePerNumber,
+                &format!("{topic} {number} has two values, at {}", name(at)),
+            );
         }
     }
 }
--- a/crates/linenthread-simulation/src/fleet/world.rs
+++ b/crates/linenthread-simulation/src/fleet/world.rs
@@ -8,6 +8,7 @@
 
 use super::TENTHS_PER_SECOND;
 use super::event::{Event, ProcessIndex};
+use super::invariant::Invariant;
 use super::network::Network;
 use super::process::Process;
 use super::statistics::Totals;
@@ -56,11 +57,13 @@
         }
     }
 
-    pub(super) fn violated(&mut self, cause: String) {
+    /// Records a violation.
+    pub(super) fn violated(&mut self, invariant: Invariant, details: &str) {
         let seconds = self.now as f64 / TENTHS_PER_SECOND;
         let schedule = self.seed;
-        self.violations
-            .push(format!("schedule {schedule}, {seconds:.1} s: {cause}"));
+        self.violations.push(format!(
+            "schedule {schedule}, {seconds:.1} s: {invariant}: {details}"
+        ));
     }
 
     pub(super) fn next_number(&mut self) -> u64 {
--- a/crates/linenthread-simulation/src/link/call_record.rs
+++ b/crates/linenthread-simulation/src/link/call_record.rs
@@ -2,6 +2,7 @@
 
 use linenthread_core::interface::{AttemptOutcome, TenthMillis};
 
+use super::invariant::Invariant;
 use super::{FAULTS, MILLISECOND, RECOVERY, START};
 
 /// A call that has this long must be answered once the link has recovered: both ways, the queue before it and
@@ -18,21 +19,23 @@
 }
 
 impl CallRecord {
-    /// The invariant that the call's outcome violates, if it does.
-    pub(super) fn violation(&self, call: u64) -> Option<String> {
+    /// The invariant that the call violates at the schedule's end, if it does, and how.
+    pub(super) fn violation(&self, call: u64) -> Option<(Invariant, String)> {
         let has_recovered = self.made_at > START + FAULTS + RECOVERY;
         let had_time = self.deadline - self.made_at > SUFFICIENT_TIME;
         match self.outcome {
-            None => Some(format!("call {call} has not ended")),
-            Some(outcome) if outcome.never_ran() && self.runs > 0 => {
-                Some(format!("call {call} ended as {outcome:?}, and ran"))
-            }
+            None => Some((Invariant::OneOutcome, format!("call {call} has not ended"))),
+            Some(outcome) if outcome.never_ran() && self.runs > 0 => Some((
+                Invariant::UnsentIsProven,
+                format!("call {call} ended as {outcome:?}, and ran"),
+            )),
             Some(
                 outcome @ (AttemptOutcome::NotSent
                 | AttemptOutcome::ConnectionLost
                 | AttemptOutcome::TimedOut),
-            ) if has_recovered && had_time => Some(format!(
-                "call {call} ended as {outcome:?} after the link had recovered"
+            ) if has_recovered && had_time => Some((
+                Invariant::Recovers,
+                format!("call {call} ended as {outcome:?} after the link had recovered"),
             )),
             _ => None,
         }
--- a/crates/linenthread-simulation/src/link/invariants.rs
+++ b/crates/linenthread-simulation/src/link/invariants.rs
@@ -1,6 +1,7 @@
 //! What must hold after each event, and at a schedule's end.
 
 use super::ends::{MAX_IN_FLIGHT, MAX_QUEUED_BYTES, MAX_SESSIONS, WINDOW_CALLS};
+use super::invariant::Invariant;
 use super::statistics::Statistics;
 use super::world::World;
 
@@ -11,19 +12,24 @@
             || self.client.queued_bytes() > MAX_QUEUED_BYTES
             || self.server.retained_calls() > max_retained
         {
-            self.violated("more is retained than may be".into());
+            self.violated(Invariant::Bounded, "more is retained than may be");
         }
     }
 
     /// Checks and counts all calls at the schedule's end.
     pub(super) fn check_end(&mut self, statistics: &mut Statistics) {
         if self.client.in_flight() == 0 && self.client.queued_bytes() > 0 {
-            self.violated("bytes are counted of calls that have completed".into());
+            self.violated(
+                Invariant::Bounded,
+                "bytes are counted of calls that have completed",
+            );
         }
         for (call, record) in &self.records {
             statistics.count(record.outcome);
             if self.violation.is_none() {
-                self.violation = record.violation(*call);
+                self.violation = record
+                    .violation(*call)
+                    .map(|(invariant, details)| format!("{invariant}: {details}"));
             }
         }
     }
--- a/crates/linenthread-simulation/src/link/mod.rs
+++ b/crates/linenthread-simulation/src/link/mod.rs
@@ -7,6 +7,7 @@
 mod execution;
 mod fault;
 mod faults;
+mod invariant;
 mod invariants;
 mod network;
 mod simulation;
@@ -17,6 +18,7 @@
 
 use linenthread_core::interface::TenthMillis;
 
+use crate::run_summary::RunSummary;
 use statistics::Statistics;
 use world::World;
 
@@ -47,8 +49,8 @@
 }
 
 impl Options {
-    /// Runs all schedules; how many, and how many of them violate an invariant.
-    pub(crate) fn run(&self) -> (usize, usize) {
+    /// Runs all schedules. A schedule ends with its first violation.
+    pub(crate) fn run(&self) -> RunSummary {
         let mut statistics = Statistics::default();
         let mut violations = 0;
         for index in 0..self.schedules as u64 {
@@ -67,6 +69,9 @@
             }
         }
         statistics.print(self.schedules);
-        (self.schedules, violations)
+        RunSummary {
+            checked: self.schedules,
+            violations,
+        }
     }
 }
--- a/crates/linenthread-simulation/src/link/traffic.rs
+++ b/crates/linenthread-simulation/src/link/traffic.rs
@@ -7,6 +7,7 @@
 use super::MILLISECOND;
 use super::call_record::CallRecord;
 use super::event::Event;
+use super::invariant::Invariant;
 use super::world::World;
 
 impl World {
@@ -59,7 +60,7 @@
         {
             record.runs += 1;
             if record.runs > 1 {
-                self.violated(format!("call {id} ran twice"));
+                self.violated(Invariant::AtMostOnce, &format!("call {id} ran twice"));
             }
         }
         let after = 1 + self.draw_below(60 * MILLISECOND);
@@ -86,14 +87,16 @@
         let earlier = record.outcome.replace(outcome);
         let runs = record.runs;
         if let Some(earlier) = earlier {
-            self.violated(format!(
-                "call {number} ended as {earlier:?} and then as {outcome:?}"
-            ));
+            self.violated(
+                Invariant::OneOutcome,
+                &format!("call {number} ended as {earlier:?} and then as {outcome:?}"),
+            );
         }
         if outcome == AttemptOutcome::Success && (runs != 1 || value != number.to_string()) {
-            self.violated(format!(
-                "call {number} succeeded with {value}, and ran {runs} times"
-            ));
+            self.violated(
+                Invariant::SuccessRanOnce,
+                &format!("call {number} succeeded with {value}, and ran {runs} times"),
+            );
         }
     }
 }
--- a/crates/linenthread-simulation/src/link/world.rs
+++ b/crates/linenthread-simulation/src/link/world.rs
@@ -10,6 +10,7 @@
 use super::call_record::CallRecord;
 use super::ends::{new_client, new_server};
 use super::event::Event;
+use super::invariant::Invariant;
 use super::network::Connections;
 use super::{MILLISECOND, START};
 
@@ -81,8 +82,10 @@
         draw_below(&mut self.rng, bound)
     }
 
-    pub(super) fn violated(&mut self, violation: String) {
-        self.violation.get_or_insert(violation);
+    /// Records a violation, if it is the first.
+    pub(super) fn violated(&mut self, invariant: Invariant, details: &str) {
+        self.violation
+            .get_or_insert_with(|| format!("{invariant}: {details}"));
     }
 
     /// How long a frame is on its way; now and then much longer than usual.
--- a/crates/linenthread-simulation/src/link_speed.rs
+++ b/crates/linenthread-simulation/src/link_speed.rs
@@ -10,6 +10,8 @@
 use linenthread_fakes::{Client, request_with};
 use serde_json::Value;
 
+use crate::run_summary::RunSummary;
+
 /// Queries made one after another, directly and across the link each.
 const ALTERNATING_QUERIES: usize = 1_000;
 /// How long queries are made as fast as they are answered.
@@ -128,8 +130,8 @@
         .unwrap_or(-1)
 }
 
-/// Prints the verdict on one run; how many queries were checked, and how many violations found.
-fn report(what: &str, verdict: &Verdict, recovery_ms: i64) -> (usize, usize) {
+/// Prints the verdict on one run.
+fn report(what: &str, verdict: &Verdict, recovery_ms: i64) -> RunSummary {
     let Verdict {
         checked,
         succeeded,
@@ -145,11 +147,14 @@
         .iter()
         .take(5)
         .for_each(|why| println!("violation: {why}"));
-    (*checked, violations.len())
+    RunSummary {
+        checked: *checked,
+        violations: violations.len(),
+    }
 }
 
 /// Makes non-idempotent queries steadily while the link is cut for so long.
-fn measure_cut(sites: &mut Sites, length: Duration, what: &str) -> (usize, usize) {
+fn measure_cut(sites: &mut Sites, length: Duration, what: &str) -> RunSummary {
     let before = Duration::from_millis(500);
     let lasting = before + length + Duration::from_secs(3);
     let tag = format!("{what}{}", length.as_millis()).replace(' ', "-");
@@ -169,7 +174,7 @@
 }
 
 /// Kills one of two gateways to the same replicas under load.
-fn measure_gateway_failure(exe: &str) -> (usize, usize) {
+fn measure_gateway_failure(exe: &str) -> RunSummary {
     let mut sites = Sites::start(
         exe,
         SitesConfig {
@@ -207,7 +212,7 @@
 
 /// Slows first one and then the other of two links: the share of queries that take no longer than on the link
 /// that is not slow, where the optimum is all of them.
-fn measure_link_choice(exe: &str) -> (usize, usize) {
+fn measure_link_choice(exe: &str) -> RunSummary {
     let mut sites = Sites::start(
         exe,
         SitesConfig {
@@ -257,7 +262,10 @@
             100.0 * quick as f64 / all.max(1) as f64
         );
     }
-    (verdict.checked, verdict.violations.len())
+    RunSummary {
+        checked: verdict.checked,
+        violations: verdict.violations.len(),
+    }
 }
 
 /// The resident memory of a process in megabytes.
@@ -315,8 +323,8 @@
     );
 }
 
-/// Runs all benchmarks of the program; how many queries were checked, and how many violations found.
-pub(crate) fn run(exe: &str) -> (usize, usize) {
+/// Runs all benchmarks of the program.
+pub(crate) fn run(exe: &str) -> RunSummary {
     let sites = Sites::start(
         exe,
         SitesConfig {
@@ -331,7 +339,7 @@
         measure_throughput(sites.local.address, in_flight, &[near, far], "across");
     }
     measure_stalled_link(exe);
-    let (mut checked, mut violations) = (0, 0);
+    let mut summary = RunSummary::default();
     for (keep, what) in [(15_000, "resumed"), (10, "not resumed")] {
         let mut sites = Sites::start(
             exe,
@@ -341,12 +349,10 @@
             },
         );
         for ms in [50, 200, 1_000, 5_000, 10_000] {
-            let (n, b) = measure_cut(&mut sites, Duration::from_millis(ms), what);
-            (checked, violations) = (checked + n, violations + b);
+            summary += measure_cut(&mut sites, Duration::from_millis(ms), what);
         }
     }
-    for (n, b) in [measure_gateway_failure(exe), measure_link_choice(exe)] {
-        (checked, violations) = (checked + n, violations + b);
-    }
-    (checked, violations)
+    summary += measure_gateway_failure(exe);
+    summary += measure_link_choice(exe);
+    summary
 }
--- a/crates/linenthread-simulation/src/main.rs
+++ b/crates/linenthread-simulation/src/main.rs
@@ -13,7 +13,7 @@
 mod members;
 mod merged;
 mod merging_speed;
-
+mod run_summary;
 mod schedules;
 mod system;
 mod zones;
--- a/crates/linenthread-simulation/src/members.rs
+++ b/crates/linenthread-simulation/src/members.rs
@@ -11,6 +11,8 @@
 use linenthread_fleet::{Members, MembersAction, MembersConfig, NodeIdentity};
 use linenthread_frames::Secrets;
 
+use crate::run_summary::RunSummary;
+
 const SECOND: TenthMillis = 10_000;
 const STEP: TenthMillis = 250;
 const LATENCY: TenthMillis = 10;
@@ -176,13 +178,16 @@
     }
 }
 
-/// Measures all sizes and prints a table; how many sizes, and how often their members did not agree in time.
-pub(crate) fn run(seed: u64) -> (usize, usize) {
+/// Measures all sizes and prints a table. A violation is that members did not agree in time.
+pub(crate) fn run(seed: u64) -> RunSummary {
     println!(
         "members    all joined  datagrams/s  bytes/s  CPU us/s       one removed   (per member, except the times)"
     );
     let violations = SIZES.map(|count| measure(count, seed)).into_iter().sum();
-    (SIZES.len(), violations)
+    RunSummary {
+        checked: SIZES.len(),
+        violations,
+    }
 }
 
 /// Measures one size; how often its members did not agree in time.
--- a/crates/linenthread-simulation/src/merged/client.rs
+++ b/crates/linenthread-simulation/src/merged/client.rs
@@ -1,5 +1,6 @@
 //! A client that reads on, page by page.
 
+use linenthread_core::interface::SubRequestIndex;
 use linenthread_fakes::checker::PagedRead;
 use linenthread_fakes::row_store::{Donation, RowStore};
 use oorandom::Rand64;
@@ -13,7 +14,8 @@
 
 /// A client that reads on, page by page.
 pub(super) struct Client {
-    pub(super) ledger: RowStore,
+    /// The data of all shards.
+    pub(super) rows: RowStore,
     /// The queried shards with their weights.
     pub(super) shards: Vec<(usize, f64)>,
     /// The index that it reads.
@@ -48,20 +50,24 @@
         self.added.clear();
         self.max_rows = 1 + draw_below(rng, 8);
         if draw_below(rng, 20) == 0 {
-            self.ledger = RowStore::new(rng, SHARDS, MAX_SHARD_ROWS);
+            self.rows = RowStore::new(rng, SHARDS, MAX_SHARD_ROWS);
         }
     }
 
     /// Adds a row to one of the queried shards.
     pub(super) fn add_row(&mut self, rng: &mut Rand64) {
         let (shard, _) = self.shards[draw_below(rng, self.shards.len())];
-        let row = self.ledger.add(rng, shard);
+        let row = self.rows.add(rng, shard);
         self.added.push(row);
     }
 
     /// A replica's response to a sub-request.
-    pub(super) fn respond(&self, sub_request: usize, text: &str) -> String {
+    pub(super) fn respond(
+        &self,
+        SubRequestIndex(sub_request): SubRequestIndex,
+        text: &str,
+    ) -> String {
         let (shard, _) = self.shards[sub_request];
-        self.ledger.respond(shard, text, self.max_rows)
+        self.rows.respond(shard, text, self.max_rows)
     }
 }
--- a/crates/linenthread-simulation/src/merged/decision.rs
+++ b/crates/linenthread-simulation/src/merged/decision.rs
@@ -5,76 +5,102 @@
     Completeness, QueryIndex, ReplicaIndex, SubRequestIndex, TenthMillis,
 };
 
+/// One attempt of a sub-request; its number counts from 0.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub(super) struct Attempt {
+    pub(super) query: QueryIndex,
+    pub(super) sub_request: SubRequestIndex,
+    pub(super) number: usize,
+}
+
 /// A decision of the coordinator on one query.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) enum Decision {
-    Send {
-        query: usize,
-        sub_request: usize,
-        attempt: usize,
-    },
+    Send(Attempt),
     Respond {
-        query: usize,
-        complete: bool,
-    },
-    Reject {
-        query: usize,
-    },
-    Fail {
-        query: usize,
-    },
-    Release {
-        query: usize,
+        query: QueryIndex,
+        completeness: Completeness,
     },
+    Reject(QueryIndex),
+    Fail(QueryIndex),
+    Release(QueryIndex),
 }
 
-/// Records what the coordinator decides in one step.
+/// An attempt that is sent to a replica.
+pub(super) struct SentAttempt {
+    pub(super) attempt: Attempt,
+    pub(super) replica: ReplicaIndex,
+    pub(super) timeout: TenthMillis,
+}
+
+/// Records what the coordinator decides in one step. Attempts have the number 0 here: it is not the module that
+/// numbers them.
 #[derive(Default)]
 pub(super) struct DecisionLog {
     pub(super) decisions: Vec<Decision>,
-    pub(super) sent: Vec<(usize, usize, usize, TenthMillis)>,
-    pub(super) cancelled: Vec<(usize, usize, usize)>,
-    pub(super) probes: Vec<usize>,
-    pub(super) wake: Option<TenthMillis>,
+    pub(super) sent: Vec<SentAttempt>,
+    pub(super) cancelled: Vec<Attempt>,
+    pub(super) health_checks: Vec<ReplicaIndex>,
+    pub(super) wake_at: Option<TenthMillis>,
 }
 
 impl DecisionSink for DecisionLog {
     fn send(
         &mut self,
-        QueryIndex(query): QueryIndex,
-        SubRequestIndex(sub_request): SubRequestIndex,
-        ReplicaIndex(replica): ReplicaIndex,
+        query: QueryIndex,
+        sub_request: SubRequestIndex,
+        replica: ReplicaIndex,
         timeout: TenthMillis,
     ) {
-        self.sent.push((query, sub_request, replica, timeout));
-        self.decisions.push(Decision::Send {
+        let attempt = Attempt {
             query,
             sub_request,
-            attempt: 0,
+            number: 0,
+        };
+        self.sent.push(SentAttempt {
+            attempt,
+            replica,
+            timeout,
         });
+        self.decisions.push(Decision::Send(attempt));
     }
-    fn cancel(&mut self, query: QueryIndex, sub_request: SubRequestIndex, attempt: usize) {
-        self.cancelled.push((query.0, sub_request.0, attempt));
+
+    fn cancel(&mut self, query: QueryIndex, sub_request: SubRequestIndex, number: usize) {
+        self.cancelled.push(Attempt {
+            query,
+            sub_request,
+            number,
+        });
     }
-    fn respond(&mut self, QueryIndex(query): QueryIndex, completeness: Completeness) {
-        let complete = completeness == Completeness::Complete;
-        self.decisions.push(Decision::Respond { query, complete });
+
+    fn respond(&mut self, query: QueryIndex, completeness: Completeness) {
+        self.decisions.push(Decision::Respond {
+            query,
+            completeness,
+        });
     }
-    fn reject(&mut self, QueryIndex(query): QueryIndex, _: Option<TenthMillis>) {
-        self.decisions.push(Decision::Reject { query });
+
+    fn reject(&mut self, query: QueryIndex, _: Option<TenthMillis>) {
+        self.decisions.push(Decision::Reject(query));
     }
-    fn fail(&mut self, QueryIndex(query): QueryIndex) {
-        self.decisions.push(Decision::Fail { query });
+
+    fn fail(&mut self, query: QueryIndex) {
+        self.decisions.push(Decision::Fail(query));
     }
-    fn release(&mut self, QueryIndex(query): QueryIndex) {
-        self.decisions.push(Decision::Release { query });
+
+    fn release(&mut self, query: QueryIndex) {
+        self.decisions.push(Decision::Release(query));
     }
+
     fn close_idle(&mut self, _: ReplicaIndex) {}
+
     fn probe(&mut self, replica: ReplicaIndex) {
-        self.probes.push(replica.0);
+        self.health_checks.push(replica);
     }
+
     fn watch_membership(&mut self) {}
+
     fn wake_at(&mut self, at: TenthMillis) {
-        self.wake = Some(at);
+        self.wake_at = Some(at);
     }
 }
--- a/crates/linenthread-simulation/src/merged/faults.rs
+++ b/crates/linenthread-simulation/src/merged/faults.rs
@@ -1,6 +1,6 @@
 //! Draws what becomes of attempts, and changes replicas.
 
-use linenthread_core::interface::{MembershipUpdate, Phase, TenthMillis};
+use linenthread_core::interface::{MembershipUpdate, Phase, ReplicaIndex, TenthMillis};
 
 use super::event::Event;
 use super::fault::{AttemptFate, ReplicaBehavior};
@@ -10,19 +10,19 @@
 impl SimulatedReplicas {
     /// A replica dies and is replaced, drains, or comes back.
     pub(super) fn change(&mut self) {
-        let n = self.rng.rand_range(0..REPLICA_GROUPS as u64) as usize;
-        let entry = &mut self.members[n];
+        let replica = self.rng.rand_range(0..REPLICA_GROUPS as u64) as usize;
+        let entry = &mut self.members[replica];
         match (entry.phase, self.rng.rand_range(0..3)) {
             (Phase::Ready, 0) => entry.phase = Phase::Draining,
             (Phase::Ready, 1) => {
-                // Another process in its place, cold.
+                // Another process in its place, which has to warm up.
                 entry.started_at = Some(self.now);
-                self.is_alive[n] = true;
+                self.is_alive[replica] = true;
             }
-            (Phase::Ready, _) => self.is_alive[n] = !self.is_alive[n],
+            (Phase::Ready, _) => self.is_alive[replica] = !self.is_alive[replica],
             (_, _) => {
                 (entry.phase, entry.started_at) = (Phase::Ready, Some(self.now));
-                self.is_alive[n] = true;
+                self.is_alive[replica] = true;
             }
         }
         let update = MembershipUpdate::Delta(vec![entry.clone()]);
@@ -31,7 +31,11 @@
         self.schedule(after, Event::MembershipChange);
     }
 
-    pub(super) fn fate(&mut self, replica: usize) -> (TenthMillis, AttemptFate) {
+    /// What becomes of an attempt at a replica, and how long after it was sent.
+    pub(super) fn fate(
+        &mut self,
+        ReplicaIndex(replica): ReplicaIndex,
+    ) -> (TenthMillis, AttemptFate) {
         let ReplicaBehavior { slow, faults, .. } = self.behavior;
         if !self.is_alive[replica] {
             return (
--- a/crates/linenthread-simulation/src/merged/mod.rs
+++ b/crates/linenthread-simulation/src/merged/mod.rs
@@ -6,6 +6,7 @@
 mod event;
 mod fault;
 mod faults;
+mod invariant;
 mod invariants;
 mod open_query;
 mod plans;
@@ -18,6 +19,7 @@
 
 use oorandom::Rand64;
 
+use crate::run_summary::RunSummary;
 use fault::ReplicaBehavior;
 use world::World;
 
@@ -37,8 +39,8 @@
 }
 
 impl Options {
-    /// Makes all queries; how many there were, and how many violations were found.
-    pub(crate) fn run(&self) -> (usize, usize) {
+    /// Makes all queries and prints what became of them.
+    pub(crate) fn run(&self) -> RunSummary {
         let mut rng = Rand64::new(u128::from(self.seed));
         let behavior = ReplicaBehavior {
             slow: self.slow.unwrap_or_else(|| rng.rand_float() * 0.1),
@@ -52,7 +54,10 @@
         let plans = plans::all();
         let statistics = World::new(self, &plans, behavior, &mut rng).run();
         statistics.print(self.floor, behavior);
-        (statistics.queries, statistics.violations)
+        RunSummary {
+            checked: statistics.queries,
+            violations: statistics.violations,
+        }
     }
 
     /// The arguments that repeat this run.
--- a/crates/linenthread-simulation/src/merged/replicas.rs
+++ b/crates/linenthread-simulation/src/merged/replicas.rs
@@ -10,11 +10,18 @@
 };
 use oorandom::Rand64;
 
-use super::decision::{Decision, DecisionLog};
+use super::decision::{Attempt, Decision, DecisionLog, SentAttempt};
 use super::event::Event;
 use super::fault::{AttemptFate, ReplicaBehavior};
 use super::settings::{REPLICA_GROUPS, deployment};
 
+/// When a run starts; not at 0, so that times before it can be computed.
+const START: TenthMillis = 36_000_000;
+/// When the first replica changes.
+const FIRST_CHANGE: TenthMillis = 20_000;
+/// What a health check takes.
+const HEALTH_CHECK_TIME: TenthMillis = 5;
+
 /// The replicas, the coordinator that sends them attempts, and the events of their simulated time.
 pub(super) struct SimulatedReplicas {
     pub(super) now: TenthMillis,
@@ -24,11 +31,13 @@
     coordinator: Coordinator,
     events: BinaryHeap<Reverse<(TenthMillis, u64, Event)>>,
     event_count: u64,
-    /// Part sent out, each since when, and how many were made of each sub_request.
-    in_flight: BTreeMap<(usize, usize, usize), TenthMillis>,
-    attempt_counts: BTreeMap<(usize, usize), usize>,
-    /// Replicas as members, and whether each is_alive.
+    /// Attempts that have not ended, and when each was sent.
+    in_flight: BTreeMap<Attempt, TenthMillis>,
+    /// How many attempts were made of each sub-request.
+    attempt_counts: BTreeMap<(QueryIndex, SubRequestIndex), usize>,
+    /// Replicas as service discovery reports them.
     pub(super) members: Vec<MembershipEntry>,
+    /// By replica, whether its process runs.
     pub(super) is_alive: Vec<bool>,
 }
 
@@ -48,8 +57,8 @@
             slow_start_share: None,
         };
         let members: Vec<_> = (0..REPLICA_GROUPS).map(entry).collect();
-        let mut fleet = SimulatedReplicas {
-            now: 36_000_000,
+        let mut replicas = SimulatedReplicas {
+            now: START,
             inputs: Inputs::default(),
             rng: Rand64::new(u128::from(seed)),
             behavior,
@@ -61,18 +70,16 @@
             is_alive: vec![true; members.len()],
             members,
         };
-        fleet
-            .inputs
-            .membership
-            .push(MembershipUpdate::Snapshot(fleet.members.clone()));
-        fleet.schedule(1, Event::Wake);
+        let snapshot = MembershipUpdate::Snapshot(replicas.members.clone());
+        replicas.inputs.membership.push(snapshot);
+        replicas.schedule(1, Event::Wake);
         if behavior.changes {
-            fleet.schedule(20_000, Event::MembershipChange);
+            replicas.schedule(FIRST_CHANGE, Event::MembershipChange);
         }
-        fleet
+        replicas
     }
 
-    /// An event so long from now.
+    /// Schedules an event so long from now.
     pub(super) fn schedule(&mut self, after: TenthMillis, event: Event) {
         self.event_count += 1;
         self.events
@@ -92,14 +99,14 @@
         {
             match event {
                 Event::MembershipChange => self.change(),
-                Event::Probed(replica, answers) => {
-                    let outcome = if answers {
+                Event::HealthChecked { replica, is_alive } => {
+                    let outcome = if is_alive {
                         AttemptOutcome::Success
                     } else {
                         AttemptOutcome::ConnectFailed
                     };
                     self.inputs.probes.push(ProbeResult {
-                        replica: ReplicaIndex(replica),
+                        replica,
                         outcome,
                         queue_depth: Some(0.0),
                     });
@@ -110,71 +117,87 @@
         events
     }
 
-    /// An attempt has ended: the module is told.
-    pub(super) fn complete(
-        &mut self,
-        query: usize,
-        sub_request: usize,
-        attempt: usize,
-        outcome: AttemptOutcome,
-    ) {
-        if let Some(sent) = self.in_flight.remove(&(query, sub_request, attempt)) {
-            let elapsed = self.now - sent;
+    /// An attempt has ended: the decision module is notified.
+    pub(super) fn complete(&mut self, attempt: Attempt, outcome: AttemptOutcome) {
+        if let Some(sent_at) = self.in_flight.remove(&attempt) {
             self.inputs.results.push(AttemptResult {
-                query: QueryIndex(query),
-                sub_request: SubRequestIndex(sub_request),
-                attempt,
+                query: attempt.query,
+                sub_request: attempt.sub_request,
+                attempt: attempt.number,
                 outcome,
-                elapsed,
+                elapsed: self.now - sent_at,
                 queue_depth: Some(0.0),
             });
         }
     }
 
     /// Whether an attempt has not ended yet.
-    pub(super) fn is_in_flight(&self, query: usize, sub_request: usize, attempt: usize) -> bool {
-        self.in_flight.contains_key(&(query, sub_request, attempt))
+    pub(super) fn is_in_flight(&self, attempt: &Attempt) -> bool {
+        self.in_flight.contains_key(attempt)
     }
 
-    /// One round of the module; what it decides, with each attempt under its number.
+    /// One step of the decision module; what it decides, with each attempt under its number.
     pub(super) fn step(&mut self) -> Vec<Decision> {
         self.inputs.now = self.now;
         let inputs = std::mem::take(&mut self.inputs);
         let mut log = DecisionLog::default();
         self.coordinator.step(&inputs, &mut log);
-        let mut attempts = Vec::new();
-        for (l, p, replica, timeout) in log.sent {
-            let attempt_count = self.attempt_counts.entry((l, p)).or_default();
-            let attempt = *attempt_count;
-            *attempt_count += 1;
-            attempts.push(attempt);
-            let (after, fate) = self.fate(replica);
-            self.in_flight.insert((l, p, attempt), self.now);
-            let (after, fate) = if after < timeout {
-                (after, fate)
-            } else {
-                (timeout, AttemptFate::TimedOut)
-            };
-            self.schedule(after, Event::AttemptEnded(l, p, attempt, fate));
+        let mut numbers = Vec::new();
+        for sent in log.sent {
+            numbers.push(self.send(sent));
         }
-        for (l, p, c) in log.cancelled {
-            self.schedule(0, Event::AttemptEnded(l, p, c, AttemptFate::Cancelled));
+        for attempt in log.cancelled {
+            let fate = AttemptFate::Cancelled;
+            self.schedule(0, Event::AttemptEnded { attempt, fate });
         }
-        for replica in log.probes {
-            let answers = self.is_alive[replica];
-            self.schedule(5, Event::Probed(replica, answers));
+        for replica in log.health_checks {
+            let is_alive = self.is_alive[replica.0];
+            self.schedule(
+                HEALTH_CHECK_TIME,
+                Event::HealthChecked { replica, is_alive },
+            );
         }
-        if let Some(at) = log.wake {
+        if let Some(at) = log.wake_at {
             self.schedule((at - self.now).max(1), Event::Wake);
         }
-        let mut attempts = attempts.into_iter();
+        let mut numbers = numbers.into_iter();
         for decision in &mut log.decisions {
             match decision {
-                Decision::Send { attempt, .. } => *attempt = attempts.next().unwrap_or_default(),
-                Decision::Release { query } => self.attempt_counts.retain(|(l, _), _| l != query),
+                Decision::Send(attempt) => attempt.number = numbers.next().unwrap_or_default(),
+                Decision::Release(query) => {
+                    self.attempt_counts
+                        .retain(|(counted, _), _| counted != query);
+                }
                 _ => {}
             }
         }
         log.decisions
     }
+
+    /// Sends an attempt to a replica; its number.
+    fn send(&mut self, sent: SentAttempt) -> usize {
+        let SentAttempt {
+            attempt: Attempt {
+                query, sub_request, ..
+            },
+            replica,
+            timeout,
+        } = sent;
+        let count = self.attempt_counts.entry((query, sub_request)).or_default();
+        let attempt = Attempt {
+            query,
+            sub_request,
+            number: *count,
+        };
+        *count += 1;
+        let (after, fate) = self.fate(replica);
+        self.in_flight.insert(attempt, self.now);
+        let (after, fate) = if after < timeout {
+            (after, fate)
+        } else {
+            (timeout, AttemptFate::TimedOut)
+        };
+        self.schedule(after, Event::AttemptEnded { attempt, fate });
+        attempt.number
+    }
 }
--- a/crates/linenthread-simulation/src/merged/simulation.rs
+++ b/crates/linenthread-simulation/src/merged/simulation.rs
@@ -2,15 +2,18 @@
 
 use super::decision::Decision;
 use super::event::Event;
+use super::invariant::Invariant;
 use super::statistics::Statistics;
 use super::world::{CLIENTS, World};
 
 impl World<'_> {
+    /// Makes all queries, and waits until all are released.
     pub(super) fn run(mut self) -> Statistics {
         let mut first_query_at = 0;
         for client in 0..CLIENTS {
             first_query_at += 1;
-            self.fleet.schedule(first_query_at, Event::Client(client));
+            self.replicas
+                .schedule(first_query_at, Event::NextQuery { client });
         }
         while self.statistics.queries < self.options.queries || !self.open.is_empty() {
             self.step();
@@ -19,43 +22,44 @@
     }
 
     fn step(&mut self) {
-        for event in self.fleet.next() {
+        for event in self.replicas.next() {
             match event {
-                Event::Client(client) if self.statistics.queries < self.options.queries => {
+                Event::NextQuery { client } if self.statistics.queries < self.options.queries => {
                     self.make_query(client);
                 }
-                Event::AttemptEnded(query, sub_request, attempt, fate) => {
-                    self.on_attempt_ended(query, sub_request, attempt, fate);
-                }
+                Event::AttemptEnded { attempt, fate } => self.on_attempt_ended(attempt, fate),
                 _ => {}
             }
         }
-        for decision in self.fleet.step() {
+        for decision in self.replicas.step() {
             self.on_decision(&decision);
         }
     }
 
     fn on_decision(&mut self, decision: &Decision) {
         match *decision {
-            Decision::Send {
-                query,
-                sub_request,
-                attempt,
-            } => self.on_attempt(query, sub_request, attempt),
-            Decision::Release { query } => {
+            Decision::Send(attempt) => self.on_attempt(attempt),
+            Decision::Release(query) => {
                 self.free_indices.push(query);
                 let open = self.open.remove(&query);
-                if open.is_some_and(|open| !open.answered) {
-                    self.violated(query, "released without a response");
+                if open.is_some_and(|open| !open.is_completed) {
+                    self.violated(
+                        query,
+                        Invariant::OneResponseInTime,
+                        "released without a response",
+                    );
                 }
             }
-            Decision::Respond { query, complete } => {
-                if self.on_answered(query) {
-                    self.check_response(query, complete);
+            Decision::Respond {
+                query,
+                completeness,
+            } => {
+                if self.on_completed(query) {
+                    self.check_response(query, completeness);
                 }
             }
-            Decision::Reject { query } | Decision::Fail { query } => {
-                if self.on_answered(query) {
+            Decision::Reject(query) | Decision::Fail(query) => {
+                if self.on_completed(query) {
                     self.statistics.rejected += 1;
                     let client = self.open[&query].client;
                     self.clients[client].cursor = None;
--- a/crates/linenthread-simulation/src/merged/statistics.rs
+++ b/crates/linenthread-simulation/src/merged/statistics.rs
@@ -1,5 +1,7 @@
 //! What became of all queries, and how it is printed.
 
+use serde_json::Value;
+
 use super::fault::ReplicaBehavior;
 
 /// What became of all queries.
@@ -16,6 +18,15 @@
 }
 
 impl Statistics {
+    /// Counts a response.
+    pub(super) fn count(&mut self, response: &Value) {
+        let is_complete = is_complete(response);
+        self.complete += usize::from(is_complete);
+        self.partial += usize::from(!is_complete);
+        self.truncated += usize::from(response["cut"].is_object());
+    }
+
+    /// Prints them, with what was drawn for the run.
     pub(super) fn print(&self, floor: f64, behavior: ReplicaBehavior) {
         let percent = |count: usize| 100.0 * count as f64 / self.queries.max(1) as f64;
         println!(
@@ -33,3 +44,8 @@
         );
     }
 }
+
+/// Whether a response says that it is complete.
+pub(super) fn is_complete(response: &Value) -> bool {
+    response["finished"] == Value::Bool(true)
+}
--- a/crates/linenthread-simulation/src/merged/traffic.rs
+++ b/crates/linenthread-simulation/src/merged/traffic.rs
@@ -5,10 +5,12 @@
 use linenthread_core::interface::{
     AttemptOutcome, Continuation, NewQuery, NewSubRequest, QueryIndex, SubRequestIndex, TenthMillis,
 };
-use linenthread_merge::{Acceptance, Aggregation, MergeQuery, Merger, PageRequest, QueriedShard};
+use linenthread_merge::{Aggregation, MergeQuery, Merger, PageRequest, QueriedShard};
 
+use super::decision::Attempt;
 use super::event::Event;
 use super::fault::AttemptFate;
+use super::invariant::Invariant;
 use super::open_query::{OpenQuery, Request};
 use super::settings::{MAX_ATTEMPTS, SHARDS};
 use super::world::{UNIX_SECONDS, World, draw_below};
@@ -20,9 +22,9 @@
 
 impl<'p> World<'p> {
     /// A client's next query: the next page, perhaps after rows were added, or the first of another reading.
-    pub(super) fn make_query(&mut self, index: usize) {
-        let client = &mut self.clients[index];
-        let rng = &mut self.fleet.rng;
+    pub(super) fn make_query(&mut self, client_index: usize) {
+        let client = &mut self.clients[client_index];
+        let rng = &mut self.replicas.rng;
         if client.cursor.is_none() {
             client.begin_reading(rng);
         } else if draw_below(rng, 2) == 0 {
@@ -45,138 +47,147 @@
         };
         let query = self.free_indices.pop().unwrap_or_else(|| {
             self.indices += 1;
-            self.indices - 1
+            QueryIndex(self.indices - 1)
         });
         self.statistics.queries += 1;
         match Merger::new(plan, &merge_query, &page, Some(&self.signer), UNIX_SECONDS) {
-            Ok(merger) => self.submit(query, index, merger, page_size),
+            Ok(merger) => self.submit(query, client_index, merger, page_size),
             Err(error) => {
                 client.cursor = None;
-                self.fleet.schedule(1, Event::Client(index));
-                self.violated(query, &format!("not started: {error}"));
+                let retry = Event::NextQuery {
+                    client: client_index,
+                };
+                self.replicas.schedule(1, retry);
+                self.violated(query, Invariant::QueriesStart, &error.to_string());
             }
         }
     }
 
-    fn submit(&mut self, query: usize, client: usize, merger: Merger<'p>, page_size: usize) {
-        let hard_deadline = self.fleet.now + HARD_DEADLINE;
-        self.fleet.inputs.queries.push(NewQuery {
-            query: QueryIndex(query),
+    /// Hands a query to the decision module.
+    fn submit(&mut self, query: QueryIndex, client: usize, merger: Merger<'p>, page_size: usize) {
+        let hard_deadline = self.replicas.now + HARD_DEADLINE;
+        self.replicas.inputs.queries.push(NewQuery {
+            query,
             index: self.clients[client].plan,
             customer: 0,
             key: Some(client as u64),
-            sequence_number: query as u64,
+            sequence_number: query.0 as u64,
             hard_deadline,
         });
         let sub_request = |&(shard, weight): &(usize, f64)| NewSubRequest {
-            query: QueryIndex(query),
+            query,
             shard,
             weight,
         };
         let sub_requests = self.clients[client].shards.iter().map(sub_request);
-        self.fleet.inputs.sub_requests.extend(sub_requests);
+        self.replicas.inputs.sub_requests.extend(sub_requests);
         let open = OpenQuery {
             merger,
             client,
             page_size,
             hard_deadline,
-            answered: false,
+            is_completed: false,
             attempts: BTreeMap::new(),
             requests: BTreeMap::new(),
         };
         self.open.insert(query, open);
     }
 
-    pub(super) fn on_attempt(&mut self, query: usize, sub_request: usize, attempt: usize) {
-        let Some(open) = self.open.get_mut(&query) else {
+    /// The decision module sends an attempt.
+    pub(super) fn on_attempt(&mut self, attempt: Attempt) {
+        let Some(open) = self.open.get_mut(&attempt.query) else {
             return;
         };
+        let SubRequestIndex(sub_request) = attempt.sub_request;
         let request = Request {
             continuation: open.merger.continuation(sub_request),
             text: open.merger.request_text(sub_request),
         };
-        open.requests.insert((sub_request, attempt), request);
-        let attempts = open.attempts.entry(sub_request).or_default();
+        open.requests.insert(attempt, request);
+        let attempts = open.attempts.entry(attempt.sub_request).or_default();
         *attempts += 1;
-        if *attempts > MAX_ATTEMPTS || open.answered {
+        if *attempts > MAX_ATTEMPTS || open.is_completed {
             self.violated(
-                query,
+                attempt.query,
+                Invariant::BoundedAttempts,
                 "a sub-request is sent too often, or after the response",
             );
         }
     }
 
-    pub(super) fn on_attempt_ended(
-        &mut self,
-        query: usize,
-        sub_request: usize,
-        attempt: usize,
-        fate: AttemptFate,
-    ) {
-        let Some(open) = self.open.get_mut(&query) else {
-            return;
-        };
-        if !self.fleet.is_in_flight(query, sub_request, attempt) {
+    /// An attempt has ended: its value goes to the merger, its outcome to the decision module.
+    pub(super) fn on_attempt_ended(&mut self, attempt: Attempt, fate: AttemptFate) {
+        if !self.replicas.is_in_flight(&attempt) {
             return;
         }
-        let client = &self.clients[open.client];
-        let request = open.requests.get(&(sub_request, attempt));
-        let request = request.cloned().unwrap_or_default();
+        let Some(open) = self.open.get_mut(&attempt.query) else {
+            return;
+        };
+        let Attempt {
+            query, sub_request, ..
+        } = attempt;
+        let request = open.requests.get(&attempt).cloned().unwrap_or_default();
         let mut violation = None;
-        let outcome = match fate {
-            AttemptFate::Success | AttemptFate::DuplicateSuccess | AttemptFate::MalformedValue => {
-                let valid = client.respond(sub_request, &request.text);
-                let value = if fate == AttemptFate::MalformedValue {
-                    INVALID_VALUE
-                } else {
-                    &valid
-                };
-                let acceptance = open.merger.accept(sub_request, request.continuation, value);
-                if fate != AttemptFate::MalformedValue
-                    && let Acceptance::Invalid(error) = &acceptance
-                {
-                    violation = Some(format!("a valid value is not accepted: {error}: {value}"));
-                }
+        let is_accepted = match fate {
+            AttemptFate::Success | AttemptFate::DuplicateSuccess => {
+                let value = self.clients[open.client].respond(sub_request, &request.text);
+                let accepted = open.accept_valid(sub_request, &request, &value);
+                violation = accepted.violation;
                 if fate == AttemptFate::DuplicateSuccess && violation.is_none() {
                     self.statistics.duplicates += 1;
-                    violation = open.accept_duplicate(sub_request, request.continuation);
-                }
-                match acceptance {
-                    Acceptance::Invalid(_) => fate.outcome(),
-                    Acceptance::Counted | Acceptance::Duplicate { .. } => AttemptOutcome::Success,
+                    violation = open.accept_duplicate(sub_request, &request);
                 }
+                accepted.is_accepted
             }
+            AttemptFate::MalformedValue => open.accepts(sub_request, &request, INVALID_VALUE),
             _ => {
-                open.merger.fail(sub_request);
-                fate.outcome()
+                open.merger.fail(sub_request.0);
+                false
             }
         };
+        let outcome = if is_accepted {
+            AttemptOutcome::Success
+        } else {
+            fate.outcome()
+        };
+        self.continue_sub_requests(query);
+        self.replicas.complete(attempt, outcome);
+        if let Some((invariant, details)) = violation {
+            self.violated(query, invariant, &details);
+        }
+    }
+
+    /// Has the decision module send those sub-requests again of which the merger needs more rows.
+    fn continue_sub_requests(&mut self, query: QueryIndex) {
+        let Some(open) = self.open.get_mut(&query) else {
+            return;
+        };
         let continuations = open.merger.take_continuations();
         self.statistics.continuations += continuations.len();
         let continuations = continuations.into_iter().map(|index| Continuation {
-            query: QueryIndex(query),
+            query,
             sub_request: SubRequestIndex(index),
         });
-        self.fleet.inputs.continuations.extend(continuations);
-        self.fleet.complete(query, sub_request, attempt, outcome);
-        if let Some(violation) = violation {
-            self.violated(query, &violation);
-        }
+        self.replicas.inputs.continuations.extend(continuations);
     }
 
-    /// Marks a query as answered, and schedules its client's next one; false if there is no such query.
-    pub(super) fn on_answered(&mut self, query: usize) -> bool {
+    /// Marks a query as completed, and schedules its client's next one; false if there is no such query.
+    pub(super) fn on_completed(&mut self, query: QueryIndex) -> bool {
         let Some(open) = self.open.get_mut(&query) else {
             return false;
         };
-        let was_answered = std::mem::replace(&mut open.answered, true);
-        let is_late = was_answered || self.fleet.now > open.hard_deadline;
+        let was_completed = std::mem::replace(&mut open.is_completed, true);
+        let is_late = was_completed || self.replicas.now > open.hard_deadline;
         let client = open.client;
-        let pause = 1 + draw_below(&mut self.fleet.rng, 100);
-        let pause = TenthMillis::try_from(pause).unwrap_or(TenthMillis::MAX);
-        self.fleet.schedule(pause, Event::Client(client));
+        let wait = 1 + draw_below(&mut self.replicas.rng, 100);
+        let wait = TenthMillis::try_from(wait).unwrap_or(TenthMillis::MAX);
+        self.replicas.schedule(wait, Event::NextQuery { client });
         if is_late {
-            self.violated(query, "responded late or a second time");
+            self.violated(
+                query,
+                Invariant::OneResponseInTime,
+                "responded late or a second time",
+            );
         }
         true
     }
--- a/crates/linenthread-simulation/src/merged/world.rs
+++ b/crates/linenthread-simulation/src/merged/world.rs
@@ -3,6 +3,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
+use linenthread_core::interface::QueryIndex;
 use linenthread_fakes::checker::PagedRead;
 use linenthread_fakes::row_store::RowStore;
 use linenthread_merge::{CursorSigner, Plan};
@@ -11,6 +12,7 @@
 use super::Options;
 use super::client::{Client, MAX_SHARD_ROWS};
 use super::fault::ReplicaBehavior;
+use super::invariant::Invariant;
 use super::open_query::OpenQuery;
 use super::plans::{self, ROWS};
 use super::replicas::SimulatedReplicas;
@@ -31,12 +33,12 @@
     pub(super) options: &'p Options,
     pub(super) plans: &'p [Plan],
     pub(super) signer: CursorSigner,
-    pub(super) fleet: SimulatedReplicas,
-    pub(super) open: BTreeMap<usize, OpenQuery<'p>>,
+    pub(super) replicas: SimulatedReplicas,
+    pub(super) open: BTreeMap<QueryIndex, OpenQuery<'p>>,
     pub(super) clients: Vec<Client>,
     pub(super) statistics: Statistics,
     /// Indices of released queries, which may be used again.
-    pub(super) free_indices: Vec<usize>,
+    pub(super) free_indices: Vec<QueryIndex>,
     /// How many indices there are.
     pub(super) indices: usize,
 }
@@ -50,7 +52,7 @@
     ) -> World<'p> {
         let secret = b"a secret of the drill".to_vec();
         let mut client = || Client {
-            ledger: RowStore::new(rng, SHARDS, MAX_SHARD_ROWS),
+            rows: RowStore::new(rng, SHARDS, MAX_SHARD_ROWS),
             shards: Vec::new(),
             plan: ROWS,
             reading: PagedRead::new(&[]),
@@ -63,7 +65,7 @@
             plans,
             signer: CursorSigner::new(vec![secret], CURSOR_LIFETIME).expect("long enough"),
             clients: (0..CLIENTS).map(|_| client()).collect(),
-            fleet: SimulatedReplicas::new(
+            replicas: SimulatedReplicas::new(
                 plans::index_configs(options.floor),
                 options.seed,
                 behavior,
@@ -75,10 +77,11 @@
         }
     }
 
-    pub(super) fn violated(&mut self, query: usize, violation: &str) {
+    /// Counts a violation, and prints it with the command that repeats the run.
+    pub(super) fn violated(&mut self, query: QueryIndex, invariant: Invariant, details: &str) {
         self.statistics.violations += 1;
         if self.statistics.violations <= MAX_PRINTED {
-            println!("violation at query {query}: {violation}");
+            println!("violation at query {}: {invariant}: {details}", query.0);
             println!(
                 "  replay: linenthread-simulation merged {}",
                 self.options.arguments()
--- a/crates/linenthread-simulation/src/merging_speed.rs
+++ b/crates/linenthread-simulation/src/merging_speed.rs
@@ -11,6 +11,8 @@
 use oorandom::Rand64;
 use serde_json::{Value, json};
 
+use crate::run_summary::RunSummary;
+
 /// Rows on a page.
 const PAGE: usize = 100;
 /// Queries between two readings of the clock.
@@ -152,8 +154,8 @@
     start.elapsed().as_secs_f64() * 1e6 / f64::from(QUERIES_A_ROUND)
 }
 
-/// Prints a line for each size; how many pages were compared, and how many differ.
-pub(crate) fn run(rounds: usize) -> (usize, usize) {
+/// Prints a line for each size. Pages are checked; a violation is one that differs from the obvious way.
+pub(crate) fn run(rounds: usize) -> RunSummary {
     let (mut checked, mut violations) = (0, 0);
     println!(
         "a page of {PAGE}; rows a second in millions, rows retained; medians of {rounds} runs in turn, of one for the largest"
@@ -170,7 +172,10 @@
     println!(
         "one query of 8 shards, 20 rows each: merged in {merged:.1} us, forwarded in {forwarded:.1} us"
     );
-    (checked, violations)
+    RunSummary {
+        checked,
+        violations,
+    }
 }
 
 /// Merges inputs of one size in both ways, and prints a line; how many pages differ.
--- /dev/null
+++ b/crates/linenthread-simulation/src/zones/invariant.rs
@@ -0,0 +1,33 @@
+//! The invariants that hold in every schedule. `docs/failover-design.md` says what upholds most of them.
+
+use std::fmt;
+
+/// An invariant. A violation is printed under its name.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum Invariant {
+    /// A table sends no zone more than it can process, or than it gets while all routes are open.
+    WithinCapacity,
+    /// No route is closed while nothing is wrong.
+    LocalWhileHealthy,
+    /// Routes are closed as down or partitioned only where the fault is.
+    OnlyFaultyClosed,
+    /// Routes are opened again only so often.
+    NoFlapping,
+    /// A fault that enough requests meet is handled within a few seconds.
+    HandledInTime,
+    /// After the fault all routes are open again.
+    Recovers,
+}
+
+impl fmt::Display for Invariant {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        formatter.write_str(match self {
+            Invariant::WithinCapacity => "within-capacity",
+            Invariant::LocalWhileHealthy => "local-while-healthy",
+            Invariant::OnlyFaultyClosed => "only-faulty-closed",
+            Invariant::NoFlapping => "no-flapping",
+            Invariant::HandledInTime => "handled-in-time",
+            Invariant::Recovers => "recovers",
+        })
+    }
+}
--- a/crates/linenthread-simulation/src/zones/invariants.rs
+++ b/crates/linenthread-simulation/src/zones/invariants.rs
@@ -3,6 +3,7 @@
 use linenthread_zones::{ALL_KEYS, Reason, RoutingTable, loads};
 
 use super::fault::Fault;
+use super::invariant::Invariant;
 use super::world::World;
 use super::{MINUTE, START};
 
@@ -40,11 +41,17 @@
             .filter(|(from, to)| !fault.may_eject(*from, *to))
             .collect();
         if !wrong.is_empty() {
-            self.violated(format!("wrongly closed, from and to: {wrong:?}"));
+            self.violated(
+                Invariant::OnlyFaultyClosed,
+                &format!("closed from and to: {wrong:?}"),
+            );
         }
         let limited = routes_closed_for(table, &[Reason::Capacity, Reason::Slow]);
         if self.fault == Fault::Noise && !limited.is_empty() {
-            self.violated("local-while-healthy: routes are closed though nothing is wrong".into());
+            self.violated(
+                Invariant::LocalWhileHealthy,
+                "routes are closed though nothing is wrong",
+            );
         }
     }
 
@@ -64,9 +71,7 @@
                 && self.fault != Fault::HostileReports
                 && load > capacity.max(usual) * LOAD_TOLERANCE
             {
-                self.violated(format!(
-                    "within-capacity: zone {to} gets {load:.0}, can process {capacity:.0}, usually gets {usual:.0}"
-                ));
+                self.violated(Invariant::WithinCapacity, &format!("zone {to} gets {load:.0}, can process {capacity:.0}, usually gets {usual:.0}"));
             }
         }
     }
@@ -118,9 +123,10 @@
         let bound = MAX_OPENINGS + minutes + OPENINGS_PER_LEADER * f64::from(self.leaders);
         if f64::from(self.openings) > bound {
             let openings = self.openings;
-            self.violated(format!(
-                "no-flapping: {openings} openings in {minutes:.1} minutes"
-            ));
+            self.violated(
+                Invariant::NoFlapping,
+                &format!("{openings} openings in {minutes:.1} minutes"),
+            );
         }
     }
 }
--- a/crates/linenthread-simulation/src/zones/mod.rs
+++ b/crates/linenthread-simulation/src/zones/mod.rs
@@ -4,6 +4,7 @@
 //! Start reading at [`World::run`]; `invariants` has the invariants.
 
 mod fault;
+mod invariant;
 mod invariants;
 mod reports;
 mod simulation;
@@ -14,6 +15,7 @@
 
 use linenthread_core::interface::TenthMillis;
 
+use crate::run_summary::RunSummary;
 use crate::schedules;
 use statistics::print_summary;
 use world::World;
@@ -45,8 +47,8 @@
 }
 
 impl Options {
-    /// Runs all schedules and prints a summary; how many were checked, and how many violations there are.
-    pub(crate) fn run(&self) -> (usize, usize) {
+    /// Runs all schedules and prints a summary of them.
+    pub(crate) fn run(&self) -> RunSummary {
         let seeds = self.seed..self.seed + self.schedules as u64;
         let outcomes = schedules::run_all(seeds, |seed| World::new(seed).run());
         let violations: Vec<&String> = outcomes.iter().flat_map(|o| &o.violations).collect();
@@ -54,6 +56,9 @@
             println!("violation: {violation}");
         }
         print_summary(&outcomes);
-        (self.schedules, violations.len())
+        RunSummary {
+            checked: self.schedules,
+            violations: violations.len(),
+        }
     }
 }
--- a/crates/linenthread-simulation/src/zones/simulation.rs
+++ b/crates/linenthread-simulation/src/zones/simulation.rs
@@ -3,6 +3,7 @@
 use linenthread_core::interface::TenthMillis;
 
 use super::fault::Fault;
+use super::invariant::Invariant;
 use super::world::{MAX_VIOLATIONS, World, config};
 use super::{Outcome, SECOND, STEP};
 
@@ -20,14 +21,20 @@
             self.step();
         }
         if self.tables > 0 && self.fault != Fault::HostileReports {
-            self.violated("local-while-healthy: a table before anything is wrong".into());
+            self.violated(
+                Invariant::LocalWhileHealthy,
+                "a table before anything is wrong",
+            );
         }
         let drain_accepted = self.run_fault();
         let must_be_noticed = self.must_be_noticed(drain_accepted);
         let is_late = |after: TenthMillis| after > MAX_REACTION_TIME;
         if must_be_noticed && self.handled_after.is_none_or(is_late) {
             let after = self.handled_after;
-            self.violated(format!("not handled in time: {after:?}"));
+            self.violated(
+                Invariant::HandledInTime,
+                &format!("handled after {after:?}"),
+            );
         }
         self.run_recovery();
         self.check_openings();
@@ -76,7 +83,10 @@
         }
         if !self.is_open() {
             let rows = self.table.as_ref().map(|table| table.rows.clone());
-            self.violated(format!("not all open again: {rows:?}"));
+            self.violated(
+                Invariant::Recovers,
+                &format!("not all open again: {rows:?}"),
+            );
         }
     }
 
--- a/crates/linenthread-simulation/src/zones/world.rs
+++ b/crates/linenthread-simulation/src/zones/world.rs
@@ -9,6 +9,7 @@
 use oorandom::Rand64;
 
 use super::fault::Fault;
+use super::invariant::Invariant;
 use super::{SECOND, START, TENTHS_PER_SECOND};
 
 /// A schedule ends after so many violations.
@@ -141,11 +142,12 @@
         }
     }
 
-    pub(super) fn violated(&mut self, cause: String) {
+    /// Records a violation.
+    pub(super) fn violated(&mut self, invariant: Invariant, details: &str) {
         let seconds = self.now as f64 / TENTHS_PER_SECOND;
         let (schedule, fault) = (self.seed, self.fault);
         self.violations.push(format!(
-            "schedule {schedule}, {fault:?}, {seconds:.1} s: {cause}"
+            "schedule {schedule}, {fault:?}, {seconds:.1} s: {invariant}: {details}"
         ));
     }
 
