--- a/crates/linenthread-simulation/src/commands/processes.rs
+++ b/crates/linenthread-simulation/src/commands/processes.rs
@@ -4,7 +4,7 @@
 use std::process::ExitCode;
 
 use bpaf::{Parser, construct, positional};
-use linenthread_fakes::scenarios;
+use linenthread_fakes::scenarios::{self, Scenario};
 
 use super::{arguments, outcome};
 use crate::run_summary::RunSummary;
@@ -29,7 +29,7 @@
 }
 
 pub(super) fn parser() -> impl Parser<Options> {
-    let names: Vec<&str> = scenarios::ALL.iter().map(|(name, _)| *name).collect();
+    let names: Vec<&str> = scenarios::ALL.iter().map(|s| s.name).collect();
     let help = format!(
         "{ZONES} (random faults, round after round), {ALL}, or one of: {}",
         names.join(", ")
@@ -58,13 +58,13 @@
 }
 
 fn run_zones(options: &Options, program: &str) -> ExitCode {
-    let (checked, violations) = scenarios::rounds(program, options.rounds, options.seed);
-    for violation in violations.iter().take(MAX_PRINTED_VIOLATIONS) {
+    let report = scenarios::rounds(program, options.rounds, options.seed);
+    for violation in report.violations.iter().take(MAX_PRINTED_VIOLATIONS) {
         println!("violation: {violation}");
     }
     outcome::close(RunSummary {
-        checked,
-        violations: violations.len(),
+        checked: report.queries,
+        violations: report.violations.len(),
     })
 }
 
@@ -72,11 +72,11 @@
     let scenario = &options.scenario;
     let chosen = scenarios::ALL
         .iter()
-        .filter(|(name, _)| scenario == ALL || scenario == name);
+        .filter(|one| scenario == ALL || scenario == one.name);
     let mut summary = RunSummary::default();
-    for (name, script) in chosen {
+    for Scenario { name, run } in chosen {
         for seed in (options.seed..).take(options.rounds) {
-            let mut rig = script(program, seed);
+            let mut rig = run(program, seed);
             let violations = rig.check();
             for violation in violations.iter().take(MAX_PRINTED_VIOLATIONS_OF_SCENARIO) {
                 println!("violation: {name}, seed {seed}: {violation}");
--- a/crates/linenthread-simulation/src/fleet/connections.rs
+++ b/crates/linenthread-simulation/src/fleet/connections.rs
@@ -2,6 +2,8 @@
 
 use linenthread_core::interface::TenthMillis;
 
+use linenthread_fleet::ConnectionId;
+
 use super::SECOND;
 use super::event::{Event, LinkNumber, ProcessIndex, Side};
 use super::world::World;
@@ -11,7 +13,12 @@
 const REFUSE_LATENCY: TenthMillis = 10;
 
 impl World {
-    pub(super) fn on_connect(&mut self, from: ProcessIndex, connection: u64, to: ProcessIndex) {
+    pub(super) fn on_connect(
+        &mut self,
+        from: ProcessIndex,
+        connection: ConnectionId,
+        to: ProcessIndex,
+    ) {
         let is_partitioned =
             self.network.is_partitioned(from, to) || self.network.is_partitioned(to, from);
         let both_run = self.processes[from].fleet.is_some() && self.processes[to].fleet.is_some();
@@ -25,12 +32,12 @@
         };
         let link = self.next_number();
         self.network
-            .add_refused(link, [(from, connection), (to, 0)]);
+            .add_refused(link, [(from, connection), (to, ConnectionId(0))]);
         self.after(wait, Event::Closed { link, side: 0 });
     }
 
     /// Whether a process accepts a connection.
-    fn accept(&mut self, from: (ProcessIndex, u64), to: ProcessIndex) -> bool {
+    fn accept(&mut self, from: (ProcessIndex, ConnectionId), to: ProcessIndex) -> bool {
         let link = self.next_number();
         let process = &mut self.processes[to];
         let now = process.local_time(self.now);
@@ -73,7 +80,7 @@
         }
     }
 
-    pub(super) fn send(&mut self, at: ProcessIndex, connection: u64, bytes: Vec<u8>) {
+    pub(super) fn send(&mut self, at: ProcessIndex, connection: ConnectionId, bytes: Vec<u8>) {
         let Some(link) = self.network.link_at((at, connection)) else {
             return;
         };
--- a/crates/linenthread-simulation/src/fleet/execution.rs
+++ b/crates/linenthread-simulation/src/fleet/execution.rs
@@ -6,7 +6,7 @@
 use super::TENTHS_PER_SECOND;
 use super::event::{Event, ProcessIndex};
 use super::invariant::Invariant;
-use super::process::{self, Disk, name, secrets};
+use super::process::{self, Disk, name};
 use super::world::World;
 
 /// Set in the environment, it has all events of the fleets printed.
@@ -22,10 +22,10 @@
         let seed = self.rng.rand_u64();
         let process = &mut self.processes[at];
         let now = process.local_time(self.now);
-        let config = process.next_config(at, self.voters, count);
+        let config = process.next_config(at, self.voters, count, seed);
         let disk = process.disk.clone();
         let mut actions = Vec::new();
-        match Fleet::new(config, Some(disk), secrets(), seed, now, &mut actions) {
+        match Fleet::new(config, Some(disk), now, &mut actions) {
             Ok(fleet) => process.fleet = Some(fleet),
             Err(error) => self.violated(
                 Invariant::Restarts,
--- a/crates/linenthread-simulation/src/fleet/traffic.rs
+++ b/crates/linenthread-simulation/src/fleet/traffic.rs
@@ -1,6 +1,6 @@
 //! The values that leaders propose, and those that are committed.
 
-use linenthread_fleet::CommittedValue;
+use linenthread_fleet::{CommittedValue, ConditionalWrite};
 
 use super::event::{Event, ProcessIndex};
 use super::invariant::Invariant;
@@ -22,9 +22,13 @@
             let mut value = self.proposals.to_be_bytes().to_vec();
             value.resize(8 + self.rng.rand_range(0..200) as usize, 7);
             self.call(at, |fleet, now, actions| {
-                let number = fleet.table().number(topic);
+                let write = ConditionalWrite {
+                    topic: topic.to_owned(),
+                    expected_number: fleet.table().number(topic),
+                    value,
+                };
                 // One that is refused is proposed no more: another follows.
-                let _ = fleet.propose(now, topic, number, value, actions);
+                let _ = fleet.propose(now, &write, actions);
             });
         }
         let wait = 500 + self.random_time(0..2_000);
--- a/crates/linenthread-simulation/src/merged/client.rs
+++ b/crates/linenthread-simulation/src/merged/client.rs
@@ -1,7 +1,7 @@
 //! A client that reads on, page by page.
 
 use linenthread_core::interface::SubRequestIndex;
-use linenthread_fakes::checker::PagedRead;
+use linenthread_fakes::checker::{PagedRead, ShardWeight};
 use linenthread_fakes::row_store::{Donation, RowStore};
 use oorandom::Rand64;
 
@@ -17,7 +17,7 @@
     /// The data of all shards.
     pub(super) rows: RowStore,
     /// The queried shards with their weights.
-    pub(super) shards: Vec<(usize, f64)>,
+    pub(super) shards: Vec<ShardWeight>,
     /// The index that it reads.
     pub(super) plan: usize,
     pub(super) reading: PagedRead,
@@ -43,7 +43,11 @@
             .collect();
         let all: f64 = weights.iter().sum();
         let shares = weights.iter().map(|weight| weight / all);
-        self.shards = shards.into_iter().zip(shares).collect();
+        self.shards = shards
+            .into_iter()
+            .zip(shares)
+            .map(|(shard, weight)| ShardWeight { shard, weight })
+            .collect();
         // Rows are read as often as the others together.
         self.plan = [ROWS, ROWS, TOTALS, GROUPS][draw_below(rng, 4)];
         self.reading = PagedRead::new(&self.shards);
@@ -56,7 +60,7 @@
 
     /// Adds a row to one of the queried shards.
     pub(super) fn add_row(&mut self, rng: &mut Rand64) {
-        let (shard, _) = self.shards[draw_below(rng, self.shards.len())];
+        let shard = self.shards[draw_below(rng, self.shards.len())].shard;
         let row = self.rows.add(rng, shard);
         self.added.push(row);
     }
@@ -67,7 +71,7 @@
         SubRequestIndex(sub_request): SubRequestIndex,
         text: &str,
     ) -> String {
-        let (shard, _) = self.shards[sub_request];
+        let shard = self.shards[sub_request].shard;
         self.rows.respond(shard, text, self.max_rows)
     }
 }
--- a/crates/linenthread-simulation/src/merged/traffic.rs
+++ b/crates/linenthread-simulation/src/merged/traffic.rs
@@ -5,6 +5,7 @@
 use linenthread_core::interface::{
     AttemptOutcome, Continuation, NewQuery, NewSubRequest, QueryIndex, SubRequestIndex, TenthMillis,
 };
+use linenthread_fakes::checker::ShardWeight;
 use linenthread_merge::{Aggregation, MergeQuery, Merger, PageRequest, QueriedShard};
 
 use super::decision::Attempt;
@@ -37,7 +38,11 @@
             rows: matches!(plan.aggregation, Aggregation::Rows(_)).then_some(page_size),
             cursor: client.cursor.clone(),
         };
-        let shards: Vec<QueriedShard> = client.shards.iter().copied().map(Into::into).collect();
+        let shards: Vec<QueriedShard> = client
+            .shards
+            .iter()
+            .map(|&ShardWeight { shard, weight }| QueriedShard { shard, weight })
+            .collect();
         let merge_query = MergeQuery {
             customer: None,
             key: None,
@@ -74,7 +79,7 @@
             sequence_number: query.0 as u64,
             hard_deadline,
         });
-        let sub_request = |&(shard, weight): &(usize, f64)| NewSubRequest {
+        let sub_request = |&ShardWeight { shard, weight }: &ShardWeight| NewSubRequest {
             query,
             shard,
             weight,
