--- a/crates/linenthread-demo/src/scenarios/catch_up.rs
+++ b/crates/linenthread-demo/src/scenarios/catch_up.rs
@@ -56,9 +56,9 @@
         "caught up after {elapsed:?}; disks: {bytes} bytes, the others {largest} at most"
     ));
 
-    let (lost, _) = draw_one(&others, context.random);
-    cluster.kill(&lost);
-    let survivors = cluster.control_addresses_except(&[&lost]);
+    let (killed, _) = draw_one(&others, context.random);
+    cluster.kill(&killed);
+    let survivors = cluster.control_addresses_except(&[&killed]);
     check_survivors(&mut findings, &survivors, peer, &last, context.random);
     Ok(findings)
 }
--- a/crates/linenthread-demo/src/scenarios/replacement.rs
+++ b/crates/linenthread-demo/src/scenarios/replacement.rs
@@ -48,7 +48,7 @@
     /// The one that takes its place.
     joined: String,
     /// The one whose disk is lost.
-    lost: String,
+    diskless: String,
     /// The one that stays.
     staying: String,
 }
@@ -57,14 +57,14 @@
     let mut findings = Findings::default();
     let (mut cluster, first) = start_cluster(context.program)?;
     let (leaving, others) = draw_one(&cluster.control_names(), context.random);
-    let (lost, others) = draw_one(&others, context.random);
+    let (diskless, others) = draw_one(&others, context.random);
     let writer = Writer::start(cluster.control_addresses(), first, &SERVICES, PAUSE);
     let joined = cluster.add_control_node()?;
     writer.set_addresses(cluster.control_addresses());
     let nodes = Nodes {
         leaving,
         joined,
-        lost,
+        diskless,
         staying: others[0].clone(),
     };
     let is_ready = is_in_contact(&cluster, &nodes.staying, &nodes.joined);
@@ -86,7 +86,7 @@
         return Ok(findings);
     };
     let next = check_survivors(&mut findings, &mut cluster, &nodes, &report, &survivors);
-    cluster.start_process(&nodes.lost)?;
+    cluster.start_process(&nodes.diskless)?;
     check_return(&mut findings, &cluster, &nodes, &next);
     Ok(findings)
 }
@@ -100,15 +100,15 @@
     loss: Loss,
     random: &mut Rand64,
 ) -> Result<Vec<SocketAddr>, DemoError> {
-    let Nodes { leaving, lost, .. } = nodes;
+    let Nodes { leaving, diskless, .. } = nodes;
     cluster.signal(leaving, Signal::Terminate);
     match loss {
         Loss::AfterEnd => check_shutdown(findings, cluster, leaving),
         Loss::AnyTime => std::thread::sleep(draw_duration(LOSS_WINDOW, random)),
     }
-    cluster.kill(lost);
-    cluster.erase_disk(lost)?;
-    let survivors = cluster.control_addresses_except(&[leaving, lost]);
+    cluster.kill(diskless);
+    cluster.erase_disk(diskless)?;
+    let survivors = cluster.control_addresses_except(&[leaving, diskless]);
     writer.set_addresses(survivors.clone());
     if loss == Loss::AnyTime {
         check_shutdown(findings, cluster, leaving);
@@ -134,7 +134,7 @@
     );
     findings.add_note(format!(
         "{} was replaced by {}, {} was lost",
-        nodes.leaving, nodes.joined, nodes.lost
+        nodes.leaving, nodes.joined, nodes.diskless
     ));
     for name in [&nodes.leaving, &nodes.joined, &nodes.staying] {
         for line in cluster.lines_with_any(name, &REPLACEMENT_EVENTS) {
@@ -146,16 +146,19 @@
 
 /// The node that lost its disk is back.
 fn check_return(findings: &mut Findings, cluster: &Cluster, nodes: &Nodes, newest: &Order) {
-    let votes = wait_for_vote(cluster, &nodes.staying, &nodes.lost, true);
+    let votes = wait_for_vote(cluster, &nodes.staying, &nodes.diskless, true);
     findings.check(votes, "the node that lost its disk votes again", || {
-        nodes.lost.clone()
+        nodes.diskless.clone()
     });
     // With two machines gone and one successor one of them stays in the set, until there is another successor.
     let is_removed = wait_for_vote(cluster, &nodes.staying, &nodes.leaving, false);
     findings.check(is_removed, "the old node does not vote any more", || {
         nodes.leaving.clone()
     });
-    let back: Vec<SocketAddr> = cluster.control_address(&nodes.lost).into_iter().collect();
+    let back: Vec<SocketAddr> = cluster
+        .control_address(&nodes.diskless)
+        .into_iter()
+        .collect();
     let outcome = read_anywhere(&back, RECOVERY_TIMEOUT);
     findings.check(
         outcome.body == newest.document,
--- a/crates/linenthread-hollow/src/main.rs
+++ b/crates/linenthread-hollow/src/main.rs
@@ -13,8 +13,10 @@
 };
 use snafu::{ResultExt, Snafu};
 
-/// Replicas to an ingress node at the target size.
-const REPLICAS_PER_INGRESS: f64 = 50_000.0 / 7_800.0;
+/// Replicas at the target size.
+const TARGET_REPLICAS: usize = 50_000;
+/// Ingress nodes at the target size.
+const TARGET_INGRESS_NODES: usize = 7_800;
 /// Voters, if there are as many control nodes.
 const DEFAULT_VOTERS: usize = 5;
 /// The fewest control nodes, and voters.
@@ -72,9 +74,9 @@
     }
 }
 
-/// Replicas in proportion to the ingress nodes.
+/// Replicas in the proportion to ingress nodes that they have at the target size, rounded.
 fn replicas_for(ingress_nodes: usize) -> usize {
-    (ingress_nodes as f64 * REPLICAS_PER_INGRESS).round() as usize
+    (ingress_nodes * TARGET_REPLICAS + TARGET_INGRESS_NODES / 2) / TARGET_INGRESS_NODES
 }
 
 fn run(flags: &flags::Run) -> Result<(), CommandError> {
--- a/crates/linenthread-hollow/tests/hollow.rs
+++ b/crates/linenthread-hollow/tests/hollow.rs
@@ -159,17 +159,17 @@
 fn a_file_is_fitted_by_role_and_column() {
     let text = "fronts,role,a,b\n10,x,1,5\n100,x,10,5\n10,y,2,0\nfronts,role,a,b\n100,y,200,0\n";
     let fitted = fit_csv(text, "fronts").expect("the file is good");
-    let found: Vec<(&str, &str, i64)> = fitted
+    let found: Vec<(&str, &str, f64)> = fitted
         .iter()
         .map(|fit| {
             (
                 fit.role.as_str(),
                 fit.column.as_str(),
-                fit.power.exponent.round() as i64,
+                fit.power.exponent.round(),
             )
         })
         .collect();
-    assert_eq!(found, [("x", "a", 1), ("x", "b", 0), ("y", "a", 2)]);
+    assert_eq!(found, [("x", "a", 1.0), ("x", "b", 0.0), ("y", "a", 2.0)]);
     assert!(matches!(
         fit_csv(text, "replicas"),
         Err(FitError::NoColumn { .. })
--- a/crates/linenthread-simulation/src/failover/coordinator.rs
+++ b/crates/linenthread-simulation/src/failover/coordinator.rs
@@ -13,6 +13,7 @@
 use super::event::AttemptIndex;
 use super::replica::{COLD_SPEED, WARM_UP};
 use super::{PER_ZONE, REPLICAS, SECOND, SOFT_DEADLINE, START, ZONES};
+use crate::number;
 
 /// The first zone's id; any number does.
 const FIRST_ZONE_ID: u64 = 77;
@@ -41,7 +42,7 @@
 impl CoordinatorNode {
     pub(super) fn new(number: usize, seed: u64) -> CoordinatorNode {
         let zone = number % ZONES;
-        let module_seed = seed.wrapping_mul(31) + number as u64;
+        let module_seed = seed.wrapping_mul(31) + number::count(number);
         CoordinatorNode {
             zone,
             module: Coordinator::new(config(number), module_seed),
@@ -49,7 +50,7 @@
             queries: Vec::new(),
             free_queries: Vec::new(),
             wake_at: START,
-            observer: ZoneObserver::new(zone as u8),
+            observer: ZoneObserver::new(number::zone_number(zone)),
             controller: None,
             arriving_routes: VecDeque::new(),
         }
@@ -108,7 +109,7 @@
 /// The routes of a zone as the module takes them; all open without a row.
 pub(super) fn zone_routes(local: usize, row: Option<&Row>) -> Vec<ZoneRoute> {
     let route = |zone: usize| ZoneRoute {
-        id: FIRST_ZONE_ID + zone as u64,
+        id: FIRST_ZONE_ID + number::count(zone),
         distance: u8::from(zone != local),
         open_per_mille: row.map_or(ALL_KEYS, |row| row.routes[zone].share),
     };
--- a/crates/linenthread-simulation/src/failover/mod.rs
+++ b/crates/linenthread-simulation/src/failover/mod.rs
@@ -21,6 +21,7 @@
 
 use linenthread_core::interface::TenthMillis;
 
+use crate::number::{self, SECOND};
 use crate::run_summary::RunSummary;
 use fault::Fault;
 use policy::Policy;
@@ -33,7 +34,6 @@
 const REPLICAS: usize = ZONES * PER_ZONE;
 const SHARDS: usize = 24;
 const SUB_REQUESTS_PER_QUERY: usize = 3;
-const SECOND: TenthMillis = 10_000;
 /// When a run starts.
 const START: TenthMillis = 100 * SECOND;
 /// The fault starts so long after the run.
@@ -53,7 +53,7 @@
 /// Runs all policies under a fault with the same seeds.
 fn run_policies(fault: Fault, utilization: f64, seeds: usize, seed: u64) -> Vec<Runs> {
     let run = |policy: Policy| {
-        let seeds = seed..seed + seeds as u64;
+        let seeds = seed..seed + number::count(seeds);
         let runs = seeds.map(|seed| World::new(policy, fault, utilization, seed).run());
         Runs(runs.collect())
     };
--- a/crates/linenthread-simulation/src/failover/processing.rs
+++ b/crates/linenthread-simulation/src/failover/processing.rs
@@ -1,10 +1,9 @@
 //! What replicas do with the attempts that arrive.
 
-use linenthread_core::interface::TenthMillis;
-
 use super::event::{AttemptIndex, Event, Outcome};
 use super::world::{Attempt, World};
 use super::{CORES, SERVICE_TIME};
+use crate::number;
 
 impl World {
     pub(super) fn on_arrival(&mut self, attempt: AttemptIndex) {
@@ -12,7 +11,7 @@
         if !self.replicas[replica].is_up {
             return self.respond(attempt, Outcome::ConnectFailed);
         }
-        self.attempts[attempt].queue_depth = self.replicas[replica].queue.len() as u32;
+        self.attempts[attempt].queue_depth = number::small(self.replicas[replica].queue.len());
         self.replicas[replica].queue.push_back(attempt);
         let speed = self.speed(replica);
         if self.replicas[replica].fails_on_arrival(self.now, speed) {
@@ -39,7 +38,7 @@
                 attempt,
                 incarnation: self.replicas[replica].incarnation,
             };
-            self.after(duration as TenthMillis, processed);
+            self.after(number::time(duration), processed);
         }
     }
 
--- a/crates/linenthread-simulation/src/failover/replica.rs
+++ b/crates/linenthread-simulation/src/failover/replica.rs
@@ -6,6 +6,7 @@
 
 use super::event::AttemptIndex;
 use super::{CORES, SECOND, SERVICE_TIME};
+use crate::number;
 
 /// A replica that starts is cold for so long.
 pub(super) const WARM_UP: TenthMillis = 10 * SECOND;
@@ -57,7 +58,8 @@
     /// Its speed as a part of a warm replica's.
     pub(super) fn warmth(&self, now: TenthMillis) -> f64 {
         self.started_at.map_or(1.0, |started_at| {
-            let age = (now - started_at).max(0) as f64 / WARM_UP as f64;
+            let age =
+                number::float_of_time((now - started_at).max(0)) / number::float_of_time(WARM_UP);
             (COLD_SPEED + (1.0 - COLD_SPEED) * age).min(1.0)
         })
     }
@@ -69,9 +71,10 @@
         while self.arrivals.front().is_some_and(|at| *at < now - SECOND) {
             self.arrivals.pop_front();
         }
-        let bearable = MAX_OVERLOAD * speed * CORES as f64 / SERVICE_TIME * SECOND as f64;
+        let bearable = MAX_OVERLOAD * speed * number::float(CORES) / SERVICE_TIME
+            * number::float_of_time(SECOND);
         let is_cold = self.started_at.is_some_and(|at| now - at < WARM_UP);
-        if !is_cold || self.arrivals.len() as f64 <= bearable {
+        if !is_cold || number::float(self.arrivals.len()) <= bearable {
             self.overloaded_since = None;
             return false;
         }
--- a/crates/linenthread-simulation/src/failover/routing.rs
+++ b/crates/linenthread-simulation/src/failover/routing.rs
@@ -13,6 +13,8 @@
     CORES, FAULT_START, PER_ZONE, REPLICAS, SECOND, SERVICE_TIME, START, SUB_REQUESTS_PER_QUERY,
     ZONES,
 };
+use crate::number;
+use crate::random;
 
 /// Without a leader nobody decides for so long.
 const LEADER_ELECTION: TenthMillis = 2 * SECOND;
@@ -87,7 +89,8 @@
             }
         }
         if self.fault_is_active || self.fault_has_ended {
-            let demand = self.query_rate * SUB_REQUESTS_PER_QUERY as f64 * PER_ZONE as f64;
+            let demand =
+                self.query_rate * number::float(SUB_REQUESTS_PER_QUERY) * number::float(PER_ZONE);
             let demand = vec![demand; ZONES];
             let capacity: Vec<f64> = (0..ZONES).map(|zone| self.true_capacity(zone)).collect();
             limit_to_capacity(topology, &demand, &capacity, &mut table.rows);
@@ -99,7 +102,9 @@
         let of_zone = (0..REPLICAS).filter(|index| index % ZONES == zone);
         let running = of_zone.filter(|index| self.replicas[*index].is_up);
         running
-            .map(|index| TRUE_STATE_MARGIN * self.speed(index) * CORES as f64 / SERVICE_TIME)
+            .map(|index| {
+                TRUE_STATE_MARGIN * self.speed(index) * number::float(CORES) / SERVICE_TIME
+            })
             .sum()
     }
 
@@ -113,7 +118,7 @@
             let lag = if self.policy == Policy::TrueState {
                 0
             } else {
-                3_000 + self.rng.rand_range(0..1_000) as TenthMillis
+                3_000 + random::time_below(&mut self.rng, 1_000)
             };
             let routes = zone_routes(node.zone, table.rows.get(node.zone));
             node.arriving_routes.push_back((self.now + lag, routes));
--- a/crates/linenthread-simulation/src/failover/statistics.rs
+++ b/crates/linenthread-simulation/src/failover/statistics.rs
@@ -2,9 +2,10 @@
 
 use linenthread_core::interface::TenthMillis;
 
+use super::COMMON;
 use super::fault::Fault;
 use super::policy::Policy;
-use super::{COMMON, SECOND};
+use crate::number;
 
 /// What a run counted, after the fault's start where it says so.
 #[derive(Clone, Copy, Debug, Default)]
@@ -70,8 +71,6 @@
         .map(|runs| format!("{:>20}", runs.summary()))
         .collect();
     let reaction = runs[COMMON].median_reaction();
-    let reaction = reaction.map_or("-".into(), |time| {
-        format!("{:.1} s", time as f64 / SECOND as f64)
-    });
+    let reaction = reaction.map_or("-".into(), |time| format!("{:.1} s", number::seconds(time)));
     println!("{fault:10} {}  {reaction}", cells.join(" "));
 }
--- a/crates/linenthread-simulation/src/failover/topology.rs
+++ b/crates/linenthread-simulation/src/failover/topology.rs
@@ -6,6 +6,7 @@
 
 use super::replica::Replica;
 use super::{REPLICAS, SECOND, SHARDS, ZONES};
+use crate::number;
 
 /// Replicas of each shard.
 const COPIES: usize = 2;
@@ -37,7 +38,7 @@
         for copy in 0..COPIES {
             replicas[(shard + copy) % REPLICAS % ZONES] += 1;
         }
-        *shares.entry(replicas).or_default() += 1.0 / SHARDS as f64;
+        *shares.entry(replicas).or_default() += 1.0 / number::float(SHARDS);
     }
     let zone = |name: String| Zone {
         name,
--- a/crates/linenthread-simulation/src/failover/traffic.rs
+++ b/crates/linenthread-simulation/src/failover/traffic.rs
@@ -10,6 +10,8 @@
 use super::event::{AttemptIndex, Event, Outcome};
 use super::world::{Attempt, World};
 use super::{FAULT_START, SHARDS, SOFT_DEADLINE, START, SUB_REQUESTS_PER_QUERY, ZONES};
+use crate::number;
+use crate::random;
 
 const HARD_DEADLINE: TenthMillis = 15_000;
 /// What a health check takes beside its way, and one into a partition.
@@ -24,7 +26,7 @@
 impl World {
     pub(super) fn schedule_query(&mut self, coordinator: usize) {
         let wait = -(1.0 - self.rng.rand_float()).ln() / self.query_rate;
-        self.after(wait as TenthMillis, Event::Query { coordinator });
+        self.after(number::time(wait), Event::Query { coordinator });
     }
 
     pub(super) fn on_query(&mut self, coordinator: usize) {
@@ -33,7 +35,7 @@
         if self.is_lost(self.coordinators[coordinator].zone) {
             return;
         }
-        let first_shard = self.rng.rand_range(0..SHARDS as u64) as usize;
+        let first_shard = random::index(&mut self.rng, SHARDS);
         let key = self.rng.rand_range(0..KEYS);
         let now = self.now;
         let node = &mut self.coordinators[coordinator];
@@ -53,7 +55,7 @@
         let sub_request = |n: usize| NewSubRequest {
             query: QueryIndex(query),
             shard: (first_shard + SHARD_STRIDE * n) % SHARDS,
-            weight: 1.0 / SUB_REQUESTS_PER_QUERY as f64,
+            weight: 1.0 / number::float(SUB_REQUESTS_PER_QUERY),
         };
         let sub_requests = (0..SUB_REQUESTS_PER_QUERY).map(sub_request);
         node.inputs.sub_requests.extend(sub_requests);
@@ -146,7 +148,7 @@
         }
         let elapsed = self.now - attempt.sent_at;
         let queue_depth = f64::from(attempt.queue_depth);
-        let zone = (attempt.replica % ZONES) as u8;
+        let zone = number::zone_number(attempt.replica % ZONES);
         let node = &mut self.coordinators[attempt.coordinator];
         node.observer
             .on_outcome(zone, attempt.replica, outcome, elapsed);
@@ -183,9 +185,9 @@
         replica: usize,
         outcome: AttemptOutcome,
     ) {
-        let queue_depth = self.replicas[replica].queue.len() as f64;
+        let queue_depth = number::float(self.replicas[replica].queue.len());
         let node = &mut self.coordinators[coordinator];
-        let zone = (replica % ZONES) as u8;
+        let zone = number::zone_number(replica % ZONES);
         node.observer
             .on_outcome(zone, replica, outcome, OBSERVED_HEALTH_CHECK);
         node.inputs.probes.push(ProbeResult {
--- a/crates/linenthread-simulation/src/failover/world.rs
+++ b/crates/linenthread-simulation/src/failover/world.rs
@@ -17,7 +17,10 @@
 use super::statistics::Totals;
 use super::topology;
 use super::{CORES, PER_ZONE, REPLICAS, SERVICE_TIME, START, SUB_REQUESTS_PER_QUERY, ZONES};
+use crate::number;
 
+/// The first replica's id; any number does.
+const FIRST_REPLICA_ID: u64 = 1_000;
 const LOCAL_LATENCY: TenthMillis = 5;
 const REMOTE_LATENCY: TenthMillis = 25;
 /// The factor by which a slow zone is slower.
@@ -61,10 +64,11 @@
 impl World {
     pub(super) fn new(policy: Policy, fault: Fault, utilization: f64, seed: u64) -> World {
         let zones = topology::topology(&[]).zones;
-        let capacity = REPLICAS as f64 * CORES as f64 / SERVICE_TIME;
+        let capacity = number::float(REPLICAS) * number::float(CORES) / SERVICE_TIME;
         let coordinators = ZONES * PER_ZONE;
-        let query_rate =
-            capacity * utilization / SUB_REQUESTS_PER_QUERY as f64 / coordinators as f64;
+        let query_rate = capacity * utilization
+            / number::float(SUB_REQUESTS_PER_QUERY)
+            / number::float(coordinators);
         let mut world = World {
             now: START,
             policy,
@@ -101,7 +105,7 @@
     pub(super) fn membership_entry(&self, replica: usize, phase: Phase) -> MembershipEntry {
         MembershipEntry {
             replica: ReplicaIndex(replica),
-            id: 1_000 + replica as u64,
+            id: FIRST_REPLICA_ID + number::count(replica),
             replica_group: replica,
             zone: replica % ZONES,
             phase,
--- a/crates/linenthread-simulation/src/fleet/execution.rs
+++ b/crates/linenthread-simulation/src/fleet/execution.rs
@@ -3,11 +3,11 @@
 use linenthread_core::interface::TenthMillis;
 use linenthread_fleet::{Fleet, FleetAction, FleetEvent};
 
-use super::TENTHS_PER_SECOND;
 use super::event::{Event, ProcessIndex};
 use super::invariant::Invariant;
 use super::process::{self, Disk, name};
 use super::world::World;
+use crate::number;
 
 /// Set in the environment, it has all events of the fleets printed.
 const SHOW_VARIABLE: &str = "SHOW";
@@ -96,7 +96,7 @@
             _ => {}
         }
         if std::env::var_os(SHOW_VARIABLE).is_some() {
-            let seconds = self.now as f64 / TENTHS_PER_SECOND;
+            let seconds = number::seconds(self.now);
             println!("{seconds:8.2} {}: {event}", name(at));
         }
     }
--- a/crates/linenthread-simulation/src/fleet/faults.rs
+++ b/crates/linenthread-simulation/src/fleet/faults.rs
@@ -5,6 +5,7 @@
 
 use super::event::{Event, ProcessIndex};
 use super::world::World;
+use crate::random;
 
 /// A pause lasts this much longer than other faults: longer than any lease.
 const EXTRA_PAUSE: TenthMillis = 20_000;
@@ -33,12 +34,12 @@
             }
             13 => self.restart_random(),
             9 => {
-                let syncs = self.rng.rand_range(0..5) as usize;
+                let syncs = random::index(&mut self.rng, 5);
                 let mut disk = self.processes[at].disk.borrow_mut();
                 disk.syncs_until_failure = Some(syncs);
             }
             10 => {
-                let capacity = self.rng.rand_range(200..6_000) as usize;
+                let capacity = random::within(&mut self.rng, 200..6_000);
                 self.processes[at].disk.borrow_mut().capacity = Some(capacity);
             }
             _ => {
--- a/crates/linenthread-simulation/src/fleet/invariants.rs
+++ b/crates/linenthread-simulation/src/fleet/invariants.rs
@@ -23,7 +23,7 @@
             .map(name)
             .collect();
         if leaders.len() > 1 {
-            self.violated(Invariant::OneLeader, &format!("{}", leaders.join(" and ")));
+            self.violated(Invariant::OneLeader, &leaders.join(" and "));
         }
         let former = self.processes[at].former_incarnation;
         let incarnation = self.processes[at].incarnation();
--- a/crates/linenthread-simulation/src/fleet/mod.rs
+++ b/crates/linenthread-simulation/src/fleet/mod.rs
@@ -19,13 +19,12 @@
 
 use linenthread_core::interface::TenthMillis;
 
+use crate::number::{self, SECOND};
 use crate::run_summary::RunSummary;
 use crate::schedules;
 use statistics::{Totals, print_summary};
 use world::World;
 
-const SECOND: TenthMillis = 10_000;
-const TENTHS_PER_SECOND: f64 = 10_000.0;
 /// Faults are injected for so long, then all of them end.
 const FAULTS_END: TenthMillis = 40 * SECOND;
 /// Within so long after that the fleet must be complete again.
@@ -53,7 +52,7 @@
 impl Options {
     /// Runs all schedules and prints a summary of them.
     pub(crate) fn run(&self) -> RunSummary {
-        let seeds = self.seed..self.seed + self.schedules as u64;
+        let seeds = self.seed..self.seed + number::count(self.schedules);
         let outcomes = schedules::run_all(seeds, |seed| World::new(seed).run());
         let mut violations: Vec<&String> = outcomes.iter().flat_map(|o| &o.violations).collect();
         violations.sort_unstable();
--- a/crates/linenthread-simulation/src/fleet/network.rs
+++ b/crates/linenthread-simulation/src/fleet/network.rs
@@ -7,6 +7,7 @@
 use oorandom::Rand64;
 
 use super::event::{LinkNumber, ProcessIndex, Side};
+use crate::random;
 
 /// A connection at a process: the process, and the connection's id there.
 pub(super) type End = (ProcessIndex, ConnectionId);
@@ -64,9 +65,9 @@
 impl Network {
     /// A random latency of one way.
     pub(super) fn latency(&self, rng: &mut Rand64) -> TenthMillis {
-        let usual = 5 + rng.rand_range(0..20) as TenthMillis;
+        let usual = 5 + random::time_below(rng, 20);
         if self.extra_latency > 0 {
-            usual + rng.rand_range(0..self.extra_latency as u64) as TenthMillis
+            usual + random::time_below(rng, self.extra_latency)
         } else {
             usual
         }
--- a/crates/linenthread-simulation/src/fleet/process.rs
+++ b/crates/linenthread-simulation/src/fleet/process.rs
@@ -14,6 +14,8 @@
 use oorandom::Rand64;
 
 use super::event::{Event, ProcessIndex};
+use crate::number;
+use crate::random;
 
 pub(super) type Disk = Rc<RefCell<SimulatedDisk>>;
 
@@ -46,7 +48,11 @@
 }
 
 pub(super) fn address(index: ProcessIndex) -> SocketAddr {
-    ([127, 0, 0, 1], FIRST_PORT + index as u16).into()
+    (
+        [127, 0, 0, 1],
+        FIRST_PORT + u16::try_from(index).expect("few processes"),
+    )
+        .into()
 }
 
 fn peer_address(index: ProcessIndex) -> PeerAddress {
@@ -71,7 +77,7 @@
             fleet: None,
             disk: Rc::default(),
             clock_rate: 0.95 + 0.1 * rng.rand_float(),
-            clock_offset: rng.rand_range(1_000_000..9_000_000) as TenthMillis,
+            clock_offset: random::within(rng, 1_000_000..9_000_000),
             is_paused: false,
             waiting: Vec::new(),
             timer: 0,
@@ -83,12 +89,12 @@
 
     /// The time by its own clock.
     pub(super) fn local_time(&self, now: TenthMillis) -> TenthMillis {
-        self.clock_offset + (now as f64 * self.clock_rate) as TenthMillis
+        self.clock_offset + number::time(number::float_of_time(now) * self.clock_rate)
     }
 
     /// The first moment of simulated time at which its own clock has reached a time.
     pub(super) fn global_time(&self, local: TenthMillis) -> TenthMillis {
-        ((local - self.clock_offset) as f64 / self.clock_rate).ceil() as TenthMillis
+        number::time((number::float_of_time(local - self.clock_offset) / self.clock_rate).ceil())
     }
 
     /// The configuration for its next start.
@@ -112,7 +118,7 @@
         FleetConfig {
             local,
             voters: (0..voters).map(peer_address).collect(),
-            expected_members: processes as u32,
+            expected_members: number::small(processes),
             probe_interval: PROBE_INTERVAL,
             secrets: secrets(),
             seed,
--- a/crates/linenthread-simulation/src/fleet/statistics.rs
+++ b/crates/linenthread-simulation/src/fleet/statistics.rs
@@ -2,7 +2,8 @@
 
 use linenthread_core::interface::TenthMillis;
 
-use super::{Outcome, STABLE_TIME, TENTHS_PER_SECOND};
+use super::{Outcome, STABLE_TIME};
+use crate::number;
 
 /// What a schedule counted.
 #[derive(Clone, Copy, Debug, Default)]
@@ -24,10 +25,7 @@
         .map(|o| o.totals.recovered_after - STABLE_TIME);
     let mut recovery: Vec<TenthMillis> = recovery.collect();
     recovery.sort_unstable();
-    let percentile = |percent: usize| {
-        let time = recovery.get(recovery.len() * percent / 100);
-        time.map_or(0.0, |time| *time as f64 / TENTHS_PER_SECOND)
-    };
+    let percentile = |percent| number::percentile_seconds(&recovery, percent);
     println!(
         "{} values reported as committed, {} leaders elected, {} identities replaced; complete again after {:.1} s in \
          the median, {:.1} s at the 99th percentile",
--- a/crates/linenthread-simulation/src/fleet/traffic.rs
+++ b/crates/linenthread-simulation/src/fleet/traffic.rs
@@ -6,6 +6,8 @@
 use super::invariant::Invariant;
 use super::process::name;
 use super::world::World;
+use crate::number;
+use crate::random;
 
 /// The topics that values are proposed for.
 pub(super) const TOPICS: [&str; 2] = ["table", "orders"];
@@ -18,9 +20,9 @@
                 continue;
             }
             self.proposals += 1;
-            let topic = TOPICS[self.proposals as usize % TOPICS.len()];
+            let topic = TOPICS[number::index(self.proposals) % TOPICS.len()];
             let mut value = self.proposals.to_be_bytes().to_vec();
-            value.resize(8 + self.rng.rand_range(0..200) as usize, 7);
+            value.resize(8 + random::index(&mut self.rng, 200), 7);
             self.call(at, |fleet, now, actions| {
                 let write = ConditionalWrite {
                     topic: topic.to_owned(),
--- a/crates/linenthread-simulation/src/fleet/world.rs
+++ b/crates/linenthread-simulation/src/fleet/world.rs
@@ -6,12 +6,13 @@
 use linenthread_core::interface::TenthMillis;
 use oorandom::Rand64;
 
-use super::TENTHS_PER_SECOND;
 use super::event::{Event, ProcessIndex};
 use super::invariant::Invariant;
 use super::network::Network;
 use super::process::Process;
 use super::statistics::Totals;
+use crate::number;
+use crate::random;
 
 /// A schedule ends after so many violations.
 pub(super) const MAX_VIOLATIONS: usize = 3;
@@ -38,8 +39,8 @@
 impl World {
     pub(super) fn new(seed: u64) -> World {
         let mut rng = Rand64::new(u128::from(seed));
-        let voters = [3, 3, 5][rng.rand_range(0..3) as usize];
-        let count = voters + rng.rand_range(0..4) as usize;
+        let voters = [3, 3, 5][random::index(&mut rng, 3)];
+        let count = voters + random::index(&mut rng, 4);
         let processes = (0..count).map(|_| Process::new(&mut rng)).collect();
         World {
             now: 0,
@@ -59,7 +60,7 @@
 
     /// Records a violation.
     pub(super) fn violated(&mut self, invariant: Invariant, details: &str) {
-        let seconds = self.now as f64 / TENTHS_PER_SECOND;
+        let seconds = number::seconds(self.now);
         let schedule = self.seed;
         self.violations.push(format!(
             "schedule {schedule}, {seconds:.1} s: {invariant}: {details}"
@@ -84,11 +85,11 @@
 
     /// A random time from `range`, in tenths of a millisecond.
     pub(super) fn random_time(&mut self, range: std::ops::Range<u64>) -> TenthMillis {
-        self.rng.rand_range(range) as TenthMillis
+        random::within(&mut self.rng, range)
     }
 
     pub(super) fn random_process(&mut self) -> ProcessIndex {
-        self.rng.rand_range(0..self.processes.len() as u64) as usize
+        random::index(&mut self.rng, self.processes.len())
     }
 
     /// The process that an event arrives at.
--- a/crates/linenthread-simulation/src/link/mod.rs
+++ b/crates/linenthread-simulation/src/link/mod.rs
@@ -18,6 +18,7 @@
 
 use linenthread_core::interface::TenthMillis;
 
+use crate::number;
 use crate::run_summary::RunSummary;
 use statistics::Statistics;
 use world::World;
@@ -53,7 +54,7 @@
     pub(crate) fn run(&self) -> RunSummary {
         let mut statistics = Statistics::default();
         let mut violations = 0;
-        for index in 0..self.schedules as u64 {
+        for index in 0..number::count(self.schedules) {
             let seed = self.seed.wrapping_add(index);
             let world = World::new(seed, !self.no_resume);
             let Some(violation) = world.run(&mut statistics) else {
--- a/crates/linenthread-simulation/src/link/statistics.rs
+++ b/crates/linenthread-simulation/src/link/statistics.rs
@@ -3,6 +3,7 @@
 use linenthread_core::interface::{AttemptOutcome, TenthMillis};
 
 use super::MILLISECOND;
+use crate::number;
 
 /// Counts over all schedules.
 #[derive(Default)]
@@ -33,7 +34,7 @@
     pub(super) fn print(mut self, schedules: usize) {
         self.detection_times.sort_unstable();
         let calls = self.calls;
-        let percent = |count: usize| 100.0 * count as f64 / calls.max(1) as f64;
+        let percent = |count: usize| number::percent(count, calls);
         println!(
             "{calls} calls: {:.1}% succeeded, {:.1}% never ran, {:.1}% may have run, {:.1}% timed out",
             percent(self.succeeded),
@@ -52,7 +53,7 @@
 
     /// A quantile of the sorted detection times, in milliseconds; 0 if there are none.
     fn detection_quantile(&self, quantile: f64) -> TenthMillis {
-        let rank = (self.detection_times.len() as f64 * quantile) as usize;
+        let rank = number::position(self.detection_times.len(), quantile);
         self.detection_times
             .get(rank)
             .map_or(0, |time| time / MILLISECOND)
--- a/crates/linenthread-simulation/src/link/traffic.rs
+++ b/crates/linenthread-simulation/src/link/traffic.rs
@@ -9,10 +9,11 @@
 use super::event::Event;
 use super::invariant::Invariant;
 use super::world::World;
+use crate::number;
 
 impl World {
     pub(super) fn make_call(&mut self, actions: &mut Vec<ClientAction>) {
-        let number = self.records.len() as u64;
+        let number = number::count(self.records.len());
         let deadline = self.now + 100 * MILLISECOND + self.draw_below(900 * MILLISECOND);
         self.records.insert(
             number,
--- a/crates/linenthread-simulation/src/link/world.rs
+++ b/crates/linenthread-simulation/src/link/world.rs
@@ -13,6 +13,7 @@
 use super::invariant::Invariant;
 use super::network::Connections;
 use super::{MILLISECOND, START};
+use crate::random;
 
 /// One schedule.
 pub(super) struct World {
@@ -46,7 +47,7 @@
         let mut rng = Rand64::new(u128::from(seed));
         let client_seed = rng.rand_u64();
         let server_seed = rng.rand_u64();
-        let latency = 1 + draw_below(&mut rng, 300);
+        let latency = 1 + random::time_below(&mut rng, 300);
         let slow_probability = rng.rand_float() * 0.05;
         let duplicate_probability = rng.rand_float() * 0.02;
         World {
@@ -79,7 +80,7 @@
     }
 
     pub(super) fn draw_below(&mut self, bound: TenthMillis) -> TenthMillis {
-        draw_below(&mut self.rng, bound)
+        random::time_below(&mut self.rng, bound)
     }
 
     /// Records a violation, if it is the first.
@@ -98,9 +99,3 @@
         }
     }
 }
-
-/// A random number of at least 0 and below the bound, or 0.
-fn draw_below(rng: &mut Rand64, bound: TenthMillis) -> TenthMillis {
-    let bound = u64::try_from(bound).unwrap_or(0).max(1);
-    TenthMillis::try_from(rng.rand_range(0..bound)).unwrap_or(TenthMillis::MAX)
-}
--- a/crates/linenthread-simulation/src/link_speed.rs
+++ b/crates/linenthread-simulation/src/link_speed.rs
@@ -10,6 +10,7 @@
 use linenthread_fakes::{Client, request_with};
 use serde_json::Value;
 
+use crate::number;
 use crate::run_summary::RunSummary;
 
 /// Queries made one after another, directly and across the link each.
@@ -30,7 +31,7 @@
 /// A quantile of the times, which are sorted for that.
 fn quantile(times: &mut [f64], share: f64) -> f64 {
     times.sort_by(f64::total_cmp);
-    times[((times.len() - 1) as f64 * share) as usize]
+    times[number::position(times.len() - 1, share)]
 }
 
 /// Makes a query; the status of its answer, if one arrives.
@@ -110,11 +111,16 @@
     let spent: Vec<String> = processes
         .iter()
         .zip(before)
-        .map(|(id, before)| format!("{:.0}", (cpu_seconds(*id) - before) * 1e6 / done as f64))
+        .map(|(id, before)| {
+            format!(
+                "{:.0}",
+                (cpu_seconds(*id) - before) * 1e6 / number::float(done)
+            )
+        })
         .collect();
     println!(
         "{what}, {in_flight} at once: {:.0} sub-requests a second, CPU of each {} us",
-        done as f64 / took,
+        number::float(done) / took,
         spent.join(" and ")
     );
 }
@@ -125,7 +131,7 @@
         .iter()
         .filter(|t| t.status == Some(200) && t.scheduled_at >= restored);
     answered
-        .map(|t| (t.scheduled_at - restored).as_millis() as i64)
+        .map(|t| i64::try_from((t.scheduled_at - restored).as_millis()).unwrap_or(i64::MAX))
         .min()
         .unwrap_or(-1)
 }
@@ -195,13 +201,14 @@
         },
     );
     let (early, late): (Vec<_>, Vec<_>) = results.iter().partition(|t| t.scheduled_at < before);
-    let share = |of: &[&QueryResult]| {
-        of.iter().filter(|t| t.status == Some(200)).count() as f64 / of.len().max(1) as f64
+    let percent = |of: &[&QueryResult]| {
+        let succeeded = of.iter().filter(|t| t.status == Some(200)).count();
+        number::percent(succeeded, of.len())
     };
     println!(
         "one of two gateways killed: {:.1}% succeeded before, {:.1}% after",
-        100.0 * share(&early),
-        100.0 * share(&late)
+        percent(&early),
+        percent(&late)
     );
     report(
         "one of two gateways killed",
@@ -240,16 +247,14 @@
             sleep(each);
         },
     );
-    for (n, what) in [
+    let phases = [
         "neither slow",
         "the first slow by 20 ms each way",
         "the second slow",
-    ]
-    .into_iter()
-    .enumerate()
-    {
+    ];
+    for (phase, what) in (0..).zip(phases) {
         let in_phase = |t: &&QueryResult| {
-            t.scheduled_at >= each * n as u32 && t.scheduled_at < each * (n as u32 + 1)
+            t.scheduled_at >= each * phase && t.scheduled_at < each * (phase + 1)
         };
         let all = results.iter().filter(in_phase).count();
         let quick = results
@@ -259,7 +264,7 @@
             .count();
         println!(
             "two links, {what}: {:.1}% of {all} queries within 10 ms",
-            100.0 * quick as f64 / all.max(1) as f64
+            number::percent(quick, all)
         );
     }
     RunSummary {
--- a/crates/linenthread-simulation/src/main.rs
+++ b/crates/linenthread-simulation/src/main.rs
@@ -13,6 +13,8 @@
 mod members;
 mod merged;
 mod merging_speed;
+mod number;
+mod random;
 mod run_summary;
 mod schedules;
 mod system;
--- a/crates/linenthread-simulation/src/members.rs
+++ b/crates/linenthread-simulation/src/members.rs
@@ -13,9 +13,9 @@
 };
 use linenthread_frames::Secrets;
 
+use crate::number::{self, SECOND};
 use crate::run_summary::RunSummary;
 
-const SECOND: TenthMillis = 10_000;
 const STEP: TenthMillis = 250;
 const LATENCY: TenthMillis = 10;
 const PORT: u16 = 7_500;
@@ -30,6 +30,8 @@
 const MEASURED_SECONDS: TenthMillis = 10;
 /// How many steps pass between two checks.
 const STEPS_PER_CHECK: usize = 10;
+/// Microseconds in a second.
+const MICROSECONDS: f64 = 1e6;
 /// Seeds of different runs are this far apart.
 const SEED_STRIDE: u64 = 10_007;
 
@@ -38,7 +40,9 @@
 }
 
 fn address(member: usize) -> SocketAddr {
-    ([127, (member >> 8) as u8 + 1, member as u8, 1], PORT).into()
+    let member = u16::try_from(member).expect("fewer than 65,280 members");
+    let [high, low] = member.to_be_bytes();
+    ([127, high + 1, low, 1], PORT).into()
 }
 
 fn peer_address(member: usize) -> PeerAddress {
@@ -61,7 +65,7 @@
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct Datagram {
     arrives_at: TenthMillis,
-    number: u64,
+    number: usize,
     to: usize,
     bytes: Vec<u8>,
 }
@@ -71,14 +75,14 @@
     /// None for one that has fallen silent.
     members: Vec<Option<Members>>,
     in_flight: BinaryHeap<Reverse<Datagram>>,
-    datagrams: u64,
-    bytes: u64,
+    datagrams: usize,
+    bytes: usize,
 }
 
 impl Simulation {
     fn new(count: usize, seed: u64) -> Simulation {
         let member = |number: usize| {
-            let seed = seed.wrapping_mul(SEED_STRIDE) + number as u64;
+            let seed = seed.wrapping_mul(SEED_STRIDE) + number::count(number);
             Some(Members::new(config(number, count, seed), 0))
         };
         Simulation {
@@ -96,7 +100,7 @@
                 && let Some(to) = member_at(to)
             {
                 self.datagrams += 1;
-                self.bytes += bytes.len() as u64;
+                self.bytes += bytes.len();
                 self.in_flight.push(Reverse(Datagram {
                     arrives_at: self.now + LATENCY,
                     number: self.datagrams,
@@ -176,7 +180,7 @@
     MembersConfig {
         local,
         seeds: (0..SEEDS).map(peer_address).collect(),
-        expected_members: count as u32,
+        expected_members: number::small(count),
         probe_interval: PROBE_INTERVAL,
         secrets: Secrets::new(vec![b"a secret of some length".to_vec()]).expect("long enough"),
         random_seed,
@@ -203,10 +207,10 @@
     let (datagrams, bytes) = (simulation.datagrams, simulation.bytes);
     let started_at = Instant::now();
     simulation.run_for(MEASURED_SECONDS * SECOND);
-    let member_seconds = count as f64 * MEASURED_SECONDS as f64;
-    let cpu = started_at.elapsed().as_micros() as f64 / member_seconds;
-    let datagrams = (simulation.datagrams - datagrams) as f64 / member_seconds;
-    let bytes = (simulation.bytes - bytes) as f64 / member_seconds;
+    let member_seconds = number::float(count) * number::float_of_time(MEASURED_SECONDS);
+    let cpu = MICROSECONDS * started_at.elapsed().as_secs_f64() / member_seconds;
+    let datagrams = number::float(simulation.datagrams - datagrams) / member_seconds;
+    let bytes = number::float(simulation.bytes - bytes) / member_seconds;
     simulation.members[count / 2] = None;
     let one_down = simulation.run_until_known(count - 2);
     println!(
@@ -219,6 +223,6 @@
 
 fn seconds(time: Option<TenthMillis>) -> String {
     time.map_or("never".into(), |time| {
-        format!("{:.1} s", time as f64 / SECOND as f64)
+        format!("{:.1} s", number::seconds(time))
     })
 }
--- a/crates/linenthread-simulation/src/merged/client.rs
+++ b/crates/linenthread-simulation/src/merged/client.rs
@@ -7,7 +7,8 @@
 
 use super::plans::{GROUPS, ROWS, TOTALS};
 use super::settings::SHARDS;
-use super::world::draw_below;
+use crate::number;
+use crate::random;
 
 /// The most rows that a shard has at first.
 pub(super) const MAX_SHARD_ROWS: u64 = 14;
@@ -31,36 +32,36 @@
 impl Client {
     /// Chooses an index and shards at random, and now and then other data.
     pub(super) fn begin_reading(&mut self, rng: &mut Rand64) {
-        let mut shards: Vec<usize> = (0..SHARDS).filter(|_| draw_below(rng, 3) > 0).collect();
+        let mut shards: Vec<usize> = (0..SHARDS).filter(|_| random::index(rng, 3) > 0).collect();
         if shards.is_empty() {
-            shards.push(draw_below(rng, SHARDS));
+            shards.push(random::index(rng, SHARDS));
         }
-        let first = draw_below(rng, shards.len());
+        let first = random::index(rng, shards.len());
         shards.rotate_left(first);
         let weights: Vec<f64> = shards
             .iter()
-            .map(|_| 1.0 + draw_below(rng, 4) as f64)
+            .map(|_| 1.0 + number::float(random::index(rng, 4)))
             .collect();
         let all: f64 = weights.iter().sum();
-        let shares = weights.iter().map(|weight| weight / all);
+        let normalized = weights.iter().map(|weight| weight / all);
         self.shards = shards
             .into_iter()
-            .zip(shares)
+            .zip(normalized)
             .map(|(shard, weight)| ShardWeight { shard, weight })
             .collect();
         // Rows are read as often as the others together.
-        self.plan = [ROWS, ROWS, TOTALS, GROUPS][draw_below(rng, 4)];
+        self.plan = [ROWS, ROWS, TOTALS, GROUPS][random::index(rng, 4)];
         self.reading = PagedRead::new(&self.shards);
         self.added.clear();
-        self.max_rows = 1 + draw_below(rng, 8);
-        if draw_below(rng, 20) == 0 {
+        self.max_rows = 1 + random::index(rng, 8);
+        if random::index(rng, 20) == 0 {
             self.rows = RowStore::new(rng, SHARDS, MAX_SHARD_ROWS);
         }
     }
 
     /// Adds a row to one of the queried shards.
     pub(super) fn add_row(&mut self, rng: &mut Rand64) {
-        let shard = self.shards[draw_below(rng, self.shards.len())].shard;
+        let shard = self.shards[random::index(rng, self.shards.len())].shard;
         let row = self.rows.add(rng, shard);
         self.added.push(row);
     }
--- a/crates/linenthread-simulation/src/merged/faults.rs
+++ b/crates/linenthread-simulation/src/merged/faults.rs
@@ -6,11 +6,13 @@
 use super::fault::{AttemptFate, ReplicaBehavior};
 use super::replicas::SimulatedReplicas;
 use super::settings::REPLICA_GROUPS;
+use crate::number;
+use crate::random;
 
 impl SimulatedReplicas {
     /// A replica dies and is replaced, drains, or comes back.
     pub(super) fn change(&mut self) {
-        let replica = self.rng.rand_range(0..REPLICA_GROUPS as u64) as usize;
+        let replica = random::index(&mut self.rng, REPLICA_GROUPS);
         let entry = &mut self.members[replica];
         match (entry.phase, self.rng.rand_range(0..3)) {
             (Phase::Ready, 0) => entry.phase = Phase::Draining,
@@ -27,7 +29,7 @@
         }
         let update = MembershipUpdate::Delta(vec![entry.clone()]);
         self.inputs.membership.push(update);
-        let after = 5_000 + self.rng.rand_range(0..40_000) as TenthMillis;
+        let after = 5_000 + random::time_below(&mut self.rng, 40_000);
         self.schedule(after, Event::MembershipChange);
     }
 
@@ -39,11 +41,11 @@
         let ReplicaBehavior { slow, faults, .. } = self.behavior;
         if !self.is_alive[replica] {
             return (
-                2 + self.rng.rand_range(0..20) as TenthMillis,
+                2 + random::time_below(&mut self.rng, 20),
                 AttemptFate::ConnectFailed,
             );
         }
-        let usual = 10 + (400.0 * self.rng.rand_float().powi(3)) as TenthMillis;
+        let usual = 10 + number::time(400.0 * self.rng.rand_float().powi(3));
         if self.rng.rand_float() < slow {
             return (1_000_000, AttemptFate::Success);
         }
@@ -58,9 +60,6 @@
             AttemptFate::ConnectFailed,
             AttemptFate::ConnectionLost,
         ];
-        (
-            usual,
-            fates[self.rng.rand_range(0..fates.len() as u64) as usize],
-        )
+        (usual, fates[random::index(&mut self.rng, fates.len())])
     }
 }
--- a/crates/linenthread-simulation/src/merged/replicas.rs
+++ b/crates/linenthread-simulation/src/merged/replicas.rs
@@ -14,11 +14,14 @@
 use super::event::Event;
 use super::fault::{AttemptFate, ReplicaBehavior};
 use super::settings::{REPLICA_GROUPS, deployment};
+use crate::number;
 
 /// When a run starts; not at 0, so that times before it can be computed.
 const START: TenthMillis = 36_000_000;
 /// When the first replica changes.
 const FIRST_CHANGE: TenthMillis = 20_000;
+/// The first replica's id; any number does.
+const FIRST_REPLICA_ID: u64 = 900;
 /// What a health check takes.
 const HEALTH_CHECK_TIME: TenthMillis = 5;
 
@@ -49,7 +52,7 @@
     ) -> SimulatedReplicas {
         let entry = |n: usize| MembershipEntry {
             replica: ReplicaIndex(n),
-            id: 900 + n as u64,
+            id: FIRST_REPLICA_ID + number::count(n),
             replica_group: n,
             zone: n % 2,
             phase: Phase::Ready,
@@ -144,7 +147,7 @@
         self.coordinator.step(&inputs, &mut log);
         let mut numbers = Vec::new();
         for sent in log.sent {
-            numbers.push(self.send(sent));
+            numbers.push(self.send(&sent));
         }
         for attempt in log.cancelled {
             let fate = AttemptFate::Cancelled;
@@ -175,27 +178,20 @@
     }
 
     /// Sends an attempt to a replica; its number.
-    fn send(&mut self, sent: SentAttempt) -> usize {
-        let SentAttempt {
-            attempt: Attempt {
-                query, sub_request, ..
-            },
-            replica,
-            timeout,
-        } = sent;
-        let count = self.attempt_counts.entry((query, sub_request)).or_default();
+    fn send(&mut self, sent: &SentAttempt) -> usize {
+        let counted = (sent.attempt.query, sent.attempt.sub_request);
+        let count = self.attempt_counts.entry(counted).or_default();
         let attempt = Attempt {
-            query,
-            sub_request,
             number: *count,
+            ..sent.attempt
         };
         *count += 1;
-        let (after, fate) = self.fate(replica);
+        let (after, fate) = self.fate(sent.replica);
         self.in_flight.insert(attempt, self.now);
-        let (after, fate) = if after < timeout {
+        let (after, fate) = if after < sent.timeout {
             (after, fate)
         } else {
-            (timeout, AttemptFate::TimedOut)
+            (sent.timeout, AttemptFate::TimedOut)
         };
         self.schedule(after, Event::AttemptEnded { attempt, fate });
         attempt.number
--- a/crates/linenthread-simulation/src/merged/statistics.rs
+++ b/crates/linenthread-simulation/src/merged/statistics.rs
@@ -3,6 +3,7 @@
 use serde_json::Value;
 
 use super::fault::ReplicaBehavior;
+use crate::number;
 
 /// What became of all queries.
 #[derive(Default)]
@@ -28,7 +29,7 @@
 
     /// Prints them, with what was drawn for the run.
     pub(super) fn print(&self, floor: f64, behavior: ReplicaBehavior) {
-        let percent = |count: usize| 100.0 * count as f64 / self.queries.max(1) as f64;
+        let percent = |count: usize| number::percent(count, self.queries);
         println!(
             "slow {:.3}, faults {:.3}, floor {}: {:.1}% complete, {:.1}% partial, {:.1}% truncated, {:.1}% rejected; \
              {} continuations, {} duplicate responses",
--- a/crates/linenthread-simulation/src/merged/traffic.rs
+++ b/crates/linenthread-simulation/src/merged/traffic.rs
@@ -14,7 +14,9 @@
 use super::invariant::Invariant;
 use super::open_query::{OpenQuery, Request};
 use super::settings::{MAX_ATTEMPTS, SHARDS};
-use super::world::{UNIX_SECONDS, World, draw_below};
+use super::world::{UNIX_SECONDS, World};
+use crate::number;
+use crate::random;
 
 /// After so long, in tenths of a millisecond, a client gives its query up.
 const HARD_DEADLINE: TenthMillis = 9_000;
@@ -28,12 +30,12 @@
         let rng = &mut self.replicas.rng;
         if client.cursor.is_none() {
             client.begin_reading(rng);
-        } else if draw_below(rng, 2) == 0 {
+        } else if random::index(rng, 2) == 0 {
             client.add_row(rng);
         }
         let plans = self.plans;
         let plan = &plans[client.plan];
-        let page_size = 1 + draw_below(rng, 9);
+        let page_size = 1 + random::index(rng, 9);
         let page = PageRequest {
             rows: matches!(plan.aggregation, Aggregation::Rows(_)).then_some(page_size),
             cursor: client.cursor.clone(),
@@ -75,8 +77,8 @@
             query,
             index: self.clients[client].plan,
             customer: 0,
-            key: Some(client as u64),
-            sequence_number: query.0 as u64,
+            key: Some(number::count(client)),
+            sequence_number: number::count(query.0),
             hard_deadline,
         });
         let sub_request = |&ShardWeight { shard, weight }: &ShardWeight| NewSubRequest {
@@ -184,8 +186,7 @@
         let was_completed = std::mem::replace(&mut open.is_completed, true);
         let is_late = was_completed || self.replicas.now > open.hard_deadline;
         let client = open.client;
-        let wait = 1 + draw_below(&mut self.replicas.rng, 100);
-        let wait = TenthMillis::try_from(wait).unwrap_or(TenthMillis::MAX);
+        let wait = 1 + random::time_below(&mut self.replicas.rng, 100);
         self.replicas.schedule(wait, Event::NextQuery { client });
         if is_late {
             self.violated(
--- a/crates/linenthread-simulation/src/merged/world.rs
+++ b/crates/linenthread-simulation/src/merged/world.rs
@@ -89,9 +89,3 @@
         }
     }
 }
-
-/// A random number below the bound, or 0.
-pub(super) fn draw_below(rng: &mut Rand64, bound: usize) -> usize {
-    let drawn = rng.rand_range(0..bound.max(1) as u64);
-    usize::try_from(drawn).unwrap_or_default()
-}
--- a/crates/linenthread-simulation/src/merging_speed.rs
+++ b/crates/linenthread-simulation/src/merging_speed.rs
@@ -11,6 +11,7 @@
 use oorandom::Rand64;
 use serde_json::{Value, json};
 
+use crate::number;
 use crate::run_summary::RunSummary;
 
 /// Rows on a page.
@@ -73,7 +74,7 @@
 }
 
 fn equal_shards(count: usize) -> Vec<QueriedShard> {
-    let weight = 1.0 / count as f64;
+    let weight = 1.0 / number::float(count);
     (0..count)
         .map(|shard| QueriedShard { shard, weight })
         .collect()
@@ -124,9 +125,9 @@
     let values = shard_values(8, 20);
     let shards = equal_shards(values.len());
     let query = query(&shards);
-    let (mut merged, mut forwarded) = (Vec::new(), Vec::new());
+    let (mut merge_times, mut forward_times) = (Vec::new(), Vec::new());
     for _ in 0..rounds.max(1) {
-        merged.push(microseconds_each(|| {
+        merge_times.push(microseconds_each(|| {
             let page = PageRequest::default();
             let Ok(mut merger) = Merger::new(&plan, &query, &page, Some(&signer), 0) else {
                 return;
@@ -138,12 +139,12 @@
             }
             black_box(merger.response(true, Some(&signer), 0));
         }));
-        forwarded.push(microseconds_each(|| {
+        forward_times.push(microseconds_each(|| {
             let values = values.iter().map(String::as_str).enumerate();
             black_box(encode_response(true, values));
         }));
     }
-    (median(merged), median(forwarded))
+    (median(merge_times), median(forward_times))
 }
 
 fn microseconds_each(mut action: impl FnMut()) -> f64 {
@@ -196,7 +197,7 @@
         sort_retained = retained;
         violations += usize::from(page != expected || page.len() != PAGE);
     }
-    let million_rows_a_second = |time: f64| (shards * rows_each) as f64 / time / 1e6;
+    let million_rows_a_second = |time: f64| number::float(shards * rows_each) / time / 1e6;
     let (merge_time, sort_time) = (median(merge_times), median(sort_times));
     println!(
         "{shards:5} shards of {rows_each:5}: merged {:7.2} retaining {merge_retained:4}, collected and sorted {:6.2} retaining {sort_retained:7}; \
--- a/crates/linenthread-simulation/src/schedules.rs
+++ b/crates/linenthread-simulation/src/schedules.rs
@@ -3,10 +3,12 @@
 use std::num::NonZero;
 use std::ops::Range;
 
+use crate::number;
+
 /// Runs one schedule for each seed, and returns what each gave. The order is that of the seeds modulo the number of
 /// processors.
 pub(crate) fn run_all<T: Send>(seeds: Range<u64>, run: impl Fn(u64) -> T + Sync) -> Vec<T> {
-    let threads = std::thread::available_parallelism().map_or(1, NonZero::get) as u64;
+    let threads = number::count(std::thread::available_parallelism().map_or(1, NonZero::get));
     std::thread::scope(|scope| {
         let run_part = |thread: u64| {
             let part = seeds.clone().filter(move |seed| seed % threads == thread);
--- a/crates/linenthread-simulation/src/zones/fault.rs
+++ b/crates/linenthread-simulation/src/zones/fault.rs
@@ -2,6 +2,8 @@
 
 use oorandom::Rand64;
 
+use crate::random;
+
 /// What goes wrong in a schedule.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum Fault {
@@ -20,18 +22,15 @@
 
 impl Fault {
     pub(super) fn random(zones: usize, rng: &mut Rand64) -> Fault {
-        let count = zones as u64;
-        let a = rng.rand_range(0..count) as usize;
-        let b = (a + 1 + rng.rand_range(0..(count - 1).max(1)) as usize) % zones;
+        let a = random::index(rng, zones);
+        let b = (a + 1 + random::index(rng, zones - 1)) % zones;
         match rng.rand_range(0..10) {
             0..3 => Fault::Noise,
             3..5 => Fault::ZoneLost(a),
             5 => Fault::PairPartitioned(a, b),
             6 => Fault::ZoneSlow(a),
             7 => Fault::ObserversIsolated(a),
-            8 if zones > 2 => {
-                [Fault::Drain(a), Fault::TwoZonesLost(a, b)][rng.rand_range(0..2) as usize]
-            }
+            8 if zones > 2 => [Fault::Drain(a), Fault::TwoZonesLost(a, b)][random::index(rng, 2)],
             _ => Fault::HostileReports,
         }
     }
--- a/crates/linenthread-simulation/src/zones/invariants.rs
+++ b/crates/linenthread-simulation/src/zones/invariants.rs
@@ -6,6 +6,7 @@
 use super::invariant::Invariant;
 use super::world::World;
 use super::{MINUTE, START};
+use crate::number;
 
 /// A zone may get this many times its capacity: demand is measured through noise.
 const LOAD_TOLERANCE: f64 = 1.15;
@@ -98,7 +99,7 @@
     /// Whether the fault must be noticed: enough requests go where it shows.
     pub(super) fn must_be_noticed(&self, drain_accepted: bool) -> bool {
         let usual = self.usual_loads();
-        let coordinators = (self.coordinators.len() / self.topology.zones.len()) as f64;
+        let coordinators = number::float(self.coordinators.len() / self.topology.zones.len());
         let is_used = |to: usize, except: usize| {
             (0..usual.len()).any(|from| {
                 from != to && from != except && usual[from][to] / coordinators >= MIN_NOTICED
@@ -119,7 +120,7 @@
 
     /// *no-flapping*: openings in a row, one more with each minute, and some with each change of the leader.
     pub(super) fn check_openings(&mut self) {
-        let minutes = (self.now - START) as f64 / MINUTE;
+        let minutes = number::float_of_time(self.now - START) / MINUTE;
         let bound = MAX_OPENINGS + minutes + OPENINGS_PER_LEADER * f64::from(self.leaders);
         if f64::from(self.openings) > bound {
             let openings = self.openings;
--- a/crates/linenthread-simulation/src/zones/mod.rs
+++ b/crates/linenthread-simulation/src/zones/mod.rs
@@ -15,13 +15,12 @@
 
 use linenthread_core::interface::TenthMillis;
 
+use crate::number::{self, SECOND};
 use crate::run_summary::RunSummary;
 use crate::schedules;
 use statistics::print_summary;
 use world::World;
 
-const SECOND: TenthMillis = 10_000;
-const TENTHS_PER_SECOND: f64 = 10_000.0;
 const MINUTE: f64 = 600_000.0;
 /// When a schedule starts.
 const START: TenthMillis = 100 * SECOND;
@@ -49,7 +48,7 @@
 impl Options {
     /// Runs all schedules and prints a summary of them.
     pub(crate) fn run(&self) -> RunSummary {
-        let seeds = self.seed..self.seed + self.schedules as u64;
+        let seeds = self.seed..self.seed + number::count(self.schedules);
         let outcomes = schedules::run_all(seeds, |seed| World::new(seed).run());
         let violations: Vec<&String> = outcomes.iter().flat_map(|o| &o.violations).collect();
         for violation in violations.iter().take(MAX_PRINTED) {
--- a/crates/linenthread-simulation/src/zones/reports.rs
+++ b/crates/linenthread-simulation/src/zones/reports.rs
@@ -3,6 +3,8 @@
 use linenthread_zones::{Demand, Report, RouteStats};
 
 use super::world::World;
+use crate::number;
+use crate::random;
 
 impl World {
     /// What arrives of all coordinators' reports: some are lost on the way, those of a lost zone all.
@@ -21,28 +23,26 @@
     /// A report of any content.
     pub(super) fn hostile_report(&mut self) -> Report {
         let mut report = Report::default();
-        let count = self.topology.zones.len() as u64;
-        for _ in 0..self.rng.rand_range(0..12) {
-            let zones = (
-                self.rng.rand_range(0..count) as u8,
-                self.rng.rand_range(0..count) as u8,
-            );
-            let observers = self.rng.rand_range(0..9) as u32;
-            let completed = self.rng.rand_range(0..1_000) as u32;
+        let zones = number::count(self.topology.zones.len());
+        let rng = &mut self.rng;
+        for _ in 0..rng.rand_range(0..12) {
+            let route = (random::within(rng, 0..zones), random::within(rng, 0..zones));
+            let observers = random::within(rng, 0..9);
+            let completed = random::within(rng, 0..1_000);
             let stats = RouteStats {
                 observers,
-                down: (self.rng.rand_range(0..2) as u32) * observers,
-                slow: (self.rng.rand_range(0..2) as u32) * observers,
+                down: observers * random::within::<u32>(rng, 0..2),
+                slow: observers * random::within::<u32>(rng, 0..2),
                 completed,
-                succeeded: self.rng.rand_range(0..u64::from(completed) + 1) as u32,
-                latency_sum_ms: self.rng.rand_range(0..100_000),
+                succeeded: random::within(rng, 0..u64::from(completed) + 1),
+                latency_sum_ms: rng.rand_range(0..100_000),
             };
-            report.routes.insert(zones, stats);
+            report.routes.insert(route, stats);
             let demand = Demand {
                 observers: 3,
-                sub_requests: self.rng.rand_range(0..5_000) as u32,
+                sub_requests: random::within(rng, 0..5_000),
             };
-            report.demand.insert(zones.0, demand);
+            report.demand.insert(route.0, demand);
         }
         Report::decode(&report.encode()).expect("a report of ours")
     }
--- a/crates/linenthread-simulation/src/zones/simulation.rs
+++ b/crates/linenthread-simulation/src/zones/simulation.rs
@@ -6,6 +6,7 @@
 use super::invariant::Invariant;
 use super::world::{MAX_VIOLATIONS, World, config};
 use super::{Outcome, SECOND, STEP};
+use crate::random;
 
 /// A new leader takes over once in so many steps.
 const LEADER_CHANGE_STEPS: u64 = 60;
@@ -55,7 +56,7 @@
             drain_accepted = self.topology.may_drain(&name, &self.drained).is_ok();
             self.drained.extend(drain_accepted.then_some(name));
         }
-        let steps = 40 + self.rng.rand_range(0..120) as usize;
+        let steps = 40 + random::index(&mut self.rng, 120);
         for _ in 0..steps {
             self.step();
             if self.handled_after.is_none() && self.is_handled() {
--- a/crates/linenthread-simulation/src/zones/statistics.rs
+++ b/crates/linenthread-simulation/src/zones/statistics.rs
@@ -2,17 +2,15 @@
 
 use linenthread_core::interface::TenthMillis;
 
-use super::{Outcome, TENTHS_PER_SECOND};
+use super::Outcome;
+use crate::number;
 
 /// Prints how long after their start faults were handled.
 pub(super) fn print_summary(outcomes: &[Outcome]) {
     let handled = outcomes.iter().filter_map(|outcome| outcome.handled_after);
     let mut handled: Vec<TenthMillis> = handled.collect();
     handled.sort_unstable();
-    let percentile = |percent: usize| {
-        let time = handled.get(handled.len() * percent / 100);
-        time.map_or(0.0, |time| *time as f64 / TENTHS_PER_SECOND)
-    };
+    let percentile = |percent| number::percentile_seconds(&handled, percent);
     println!(
         "{} faults handled by the routing table after {:.1} s in the median, {:.1} s at the 99th percentile",
         handled.len(),
--- a/crates/linenthread-simulation/src/zones/tables.rs
+++ b/crates/linenthread-simulation/src/zones/tables.rs
@@ -1,10 +1,10 @@
 //! Routing tables on their way from the leader to the coordinators.
 
-use linenthread_core::interface::TenthMillis;
 use linenthread_zones::{ALL_KEYS, FailoverController, RoutingTable};
 
-use super::TENTHS_PER_SECOND;
 use super::world::{World, config};
+use crate::number;
+use crate::random;
 
 /// Set in the environment, it has all tables printed.
 const SHOW_VARIABLE: &str = "SHOW";
@@ -45,11 +45,7 @@
         self.openings += u32::from(opens);
         self.tables += 1;
         if std::env::var_os(SHOW_VARIABLE).is_some() {
-            println!(
-                "{:.1} {:?}",
-                self.now as f64 / TENTHS_PER_SECOND,
-                table.rows
-            );
+            println!("{:.1} {:?}", number::seconds(self.now), table.rows);
         }
         self.send_table(&table);
         self.table = Some(table.clone());
@@ -61,7 +57,7 @@
             if self.fault_is_active && self.fault.cuts_off(coordinator.zone) {
                 continue;
             }
-            let lag = self.rng.rand_range(0..9_000) as TenthMillis;
+            let lag = random::time_below(&mut self.rng, 9_000);
             let last = coordinator.arriving.last();
             let arrival = last.map_or(0, |(at, _)| *at).max(self.now + lag);
             coordinator.arriving.push((arrival, table.clone()));
--- a/crates/linenthread-simulation/src/zones/traffic.rs
+++ b/crates/linenthread-simulation/src/zones/traffic.rs
@@ -1,10 +1,12 @@
 //! The traffic between zones, and what coordinators observe of it.
 
-use linenthread_core::interface::{AttemptOutcome, TenthMillis};
+use linenthread_core::interface::AttemptOutcome;
 use linenthread_zones::loads;
 
 use super::STEP_SECONDS;
 use super::world::World;
+use crate::number;
+use crate::random;
 
 /// The factor by which a slow zone is slower.
 const SLOWDOWN: f64 = 6.0;
@@ -29,7 +31,7 @@
     fn poisson(&mut self, mean: f64) -> u32 {
         if mean > MAX_EXACT_MEAN {
             let normal: f64 = (0..12).map(|_| self.rng.rand_float()).sum::<f64>() - 6.0;
-            return (mean + normal * mean.sqrt()).max(0.0) as u32;
+            return number::whole(mean + normal * mean.sqrt());
         }
         let (mut number, limit) = (0, (-mean).exp());
         let mut product = self.rng.rand_float();
@@ -43,7 +45,7 @@
     /// One step of traffic, as all coordinators observe it.
     pub(super) fn run_traffic(&mut self) {
         let zones = self.topology.zones.len();
-        let coordinators_per_zone = (self.coordinators.len() / zones) as f64;
+        let coordinators_per_zone = number::float(self.coordinators.len() / zones);
         let burst = if self.rng.rand_range(0..BURST_EVERY) == 0 {
             BURST
         } else {
@@ -68,7 +70,7 @@
             let sub_requests = self.poisson(mean);
             self.coordinators[index]
                 .observer
-                .on_query(sub_requests as usize);
+                .on_query(number::index(sub_requests.into()));
             for to in 0..zones {
                 self.observe(index, to, flow[to], load[to]);
             }
@@ -95,18 +97,19 @@
         for _ in 0..completed {
             let outcome = if self.rng.rand_float() < failures {
                 [AttemptOutcome::ConnectionLost, AttemptOutcome::TimedOut]
-                    [self.rng.rand_range(0..2) as usize]
+                    [random::index(&mut self.rng, 2)]
             } else {
                 AttemptOutcome::Success
             };
             let elapsed = latency_ms * (0.5 + self.rng.rand_float()) * TENTHS_PER_MS;
             let replicas = self.topology.replicas[to].into();
-            let replica = REPLICAS_PER_ZONE * to + self.rng.rand_range(0..replicas) as usize;
+            let replica =
+                REPLICAS_PER_ZONE * to + random::within::<usize>(&mut self.rng, 0..replicas);
             self.coordinators[coordinator].observer.on_outcome(
-                to as u8,
+                number::zone_number(to),
                 replica,
                 outcome,
-                elapsed as TenthMillis,
+                number::time(elapsed),
             );
         }
     }
--- a/crates/linenthread-simulation/src/zones/world.rs
+++ b/crates/linenthread-simulation/src/zones/world.rs
@@ -10,7 +10,9 @@
 
 use super::fault::Fault;
 use super::invariant::Invariant;
-use super::{SECOND, START, TENTHS_PER_SECOND};
+use super::{SECOND, START};
+use crate::number;
+use crate::random;
 
 /// A schedule ends after so many violations.
 pub(super) const MAX_VIOLATIONS: usize = 3;
@@ -71,7 +73,7 @@
         for copy in 0..copies {
             replicas[(shard + copy) % groups % zones] += 1;
         }
-        *shares.entry(replicas).or_default() += 1.0 / groups as f64;
+        *shares.entry(replicas).or_default() += 1.0 / number::float(groups);
     }
     let shares = shares.into_iter();
     shares
@@ -82,24 +84,24 @@
 impl World {
     pub(super) fn new(seed: u64) -> World {
         let mut rng = Rand64::new(u128::from(seed));
-        let count = 2 + rng.rand_range(0..4) as usize;
-        let regions = 1 + rng.rand_range(0..2) as usize;
-        let replicas = 2 + rng.rand_range(0..6) as usize;
+        let count = 2 + random::index(&mut rng, 4);
+        let regions = 1 + random::index(&mut rng, 2);
+        let replicas = 2 + random::index(&mut rng, 6);
         let service_ms = 5.0 + 40.0 * rng.rand_float();
-        let is_configured = rng.rand_range(0..2) == 0;
+        let is_configured = random::coin(&mut rng);
         let replica_capacity = REPLICA_MS_PER_SECOND / service_ms;
         let zone = |n: usize| Zone {
             name: format!("z{n}"),
             region: format!("r{}", n % regions),
             replica_capacity: is_configured.then_some(replica_capacity),
         };
-        let copies = 2 + rng.rand_range(0..2) as usize;
+        let copies = 2 + random::index(&mut rng, 2);
         let topology = Topology {
             zones: (0..count).map(zone).collect(),
-            replicas: vec![replicas as u32; count],
+            replicas: vec![number::small(replicas); count],
             placements: placements(count, replicas * count, copies),
         };
-        let capacity = vec![replica_capacity * replicas as f64; count];
+        let capacity = vec![replica_capacity * number::float(replicas); count];
         // From idle to nearly full.
         let utilization = 0.15 + 0.45 * rng.rand_float();
         let demand = capacity
@@ -107,7 +109,7 @@
             .map(|capacity| capacity * utilization * (0.8 + 0.4 * rng.rand_float()))
             .collect();
         let fault = Fault::random(count, &mut rng);
-        let observers = 3 + rng.rand_range(0..8) as usize;
+        let observers = 3 + random::index(&mut rng, 8);
         let names = topology
             .zones
             .iter()
@@ -116,7 +118,7 @@
         let open = RoutingTable::open(names);
         let coordinator = |n: usize| Coordinator {
             zone: n % count,
-            observer: ZoneObserver::new((n % count) as u8),
+            observer: ZoneObserver::new(number::zone_number(n % count)),
             arriving: Vec::new(),
             table: open.clone(),
         };
@@ -144,7 +146,7 @@
 
     /// Records a violation.
     pub(super) fn violated(&mut self, invariant: Invariant, details: &str) {
-        let seconds = self.now as f64 / TENTHS_PER_SECOND;
+        let seconds = number::seconds(self.now);
         let (schedule, fault) = (self.seed, self.fault);
         self.violations.push(format!(
             "schedule {schedule}, {fault:?}, {seconds:.1} s: {invariant}: {details}"
