--- a/crates/linenthread-demo/src/scenarios/replacement.rs
+++ b/crates/linenthread-demo/src/scenarios/replacement.rs
@@ -100,7 +100,9 @@
     loss: Loss,
     random: &mut Rand64,
 ) -> Result<Vec<SocketAddr>, DemoError> {
-    let Nodes { leaving, diskless, .. } = nodes;
+    let Nodes {
+        leaving, diskless, ..
+    } = nodes;
     cluster.signal(leaving, Signal::Terminate);
     match loss {
         Loss::AfterEnd => check_shutdown(findings, cluster, leaving),
--- a/crates/linenthread-simulation/src/failover/coordinator.rs
+++ b/crates/linenthread-simulation/src/failover/coordinator.rs
@@ -11,7 +11,7 @@
 
 use super::decisions::Decisions;
 use super::event::AttemptIndex;
-use super::replica::{COLD_SPEED, WARM_UP};
+use super::replica::{INITIAL_SPEED, WARM_UP};
 use super::{PER_ZONE, REPLICAS, SECOND, SOFT_DEADLINE, START, ZONES};
 use crate::number;
 
@@ -24,6 +24,7 @@
     pub(super) attempts: Vec<AttemptIndex>,
 }
 
+/// A coordinator of a zone.
 pub(super) struct CoordinatorNode {
     pub(super) zone: usize,
     module: Coordinator,
@@ -71,6 +72,7 @@
         self.free_queries.push(index);
     }
 
+    /// The query of this index, if it is in flight.
     pub(super) fn query(&self, index: usize) -> Option<&Query> {
         self.queries.get(index)?.as_ref()
     }
@@ -146,7 +148,7 @@
             max_retry_after: None,
         },
         slow_start: SlowStart {
-            initial_share: COLD_SPEED,
+            initial_share: INITIAL_SPEED,
             duration: WARM_UP,
             budget_multiple: 2.0,
             window: SECOND,
--- a/crates/linenthread-simulation/src/failover/decisions.rs
+++ b/crates/linenthread-simulation/src/failover/decisions.rs
@@ -16,6 +16,7 @@
     pub(super) wake_at: Option<TenthMillis>,
 }
 
+/// An attempt that the module sends.
 pub(super) struct SendAttempt {
     pub(super) query: usize,
     pub(super) sub_request: usize,
@@ -23,6 +24,7 @@
     pub(super) timeout: TenthMillis,
 }
 
+/// An attempt that the module gives up; its number counts the attempts of its sub-request from 0.
 pub(super) struct CancelAttempt {
     pub(super) query: usize,
     pub(super) sub_request: usize,
--- a/crates/linenthread-simulation/src/failover/fault.rs
+++ b/crates/linenthread-simulation/src/failover/fault.rs
@@ -9,7 +9,7 @@
     ZoneLost,
     ZoneSlow,
     PairPartitioned,
-    /// A zone is lost for a short time, and its replicas return cold.
+    /// A zone is lost for a short time, and its replicas return and have to warm up.
     ShortLoss,
     /// One zone is lost and another is slow.
     LostAndSlow,
@@ -30,6 +30,7 @@
         Fault::LostAndSlow,
     ];
 
+    /// Whether a zone is lost with all its replicas.
     pub(super) fn loses(self, zone: usize) -> bool {
         let loses_zone = matches!(
             self,
@@ -43,11 +44,13 @@
         self.loses(FAULTY_ZONE)
     }
 
+    /// Whether replicas of a zone are slow.
     pub(super) fn slows(self, zone: usize) -> bool {
         self == Fault::ZoneSlow && zone == FAULTY_ZONE
             || self == Fault::LostAndSlow && zone == OTHER_ZONE
     }
 
+    /// Whether two zones cannot reach each other.
     pub(super) fn partitions(self, a: usize, b: usize) -> bool {
         let pair = (a.min(b), a.max(b));
         self == Fault::PairPartitioned && pair == (OTHER_ZONE, FAULTY_ZONE)
--- a/crates/linenthread-simulation/src/failover/faults.rs
+++ b/crates/linenthread-simulation/src/failover/faults.rs
@@ -7,7 +7,9 @@
 use super::world::World;
 use super::{FAULT_START, REPLICAS, SECOND, START, ZONES};
 
+/// How long a fault lasts.
 const FAULT_DURATION: TenthMillis = 15 * SECOND;
+/// How long a zone is lost for a short time.
 const SHORT_FAULT_DURATION: TenthMillis = FAULT_DURATION / 3;
 /// Service discovery reports a change so long after it.
 const MEMBERSHIP_LAG: TenthMillis = 2 * SECOND;
@@ -62,10 +64,11 @@
         self.announce(entries);
     }
 
+    /// Service discovery will report these entries.
     fn announce(&mut self, members: Vec<MembershipEntry>) {
         self.membership_updates.push(members);
         let update = self.membership_updates.len() - 1;
-        self.after(MEMBERSHIP_LAG, Event::Membership { update });
+        self.schedule(MEMBERSHIP_LAG, Event::Membership { update });
     }
 
     /// A change of the membership reaches all coordinators.
--- a/crates/linenthread-simulation/src/failover/mod.rs
+++ b/crates/linenthread-simulation/src/failover/mod.rs
@@ -1,8 +1,16 @@
-//! What deciding in common is worth: the same fleet in simulated time, with the same faults and the same random
-//! numbers, under five policies. Replicas have queues, cores and cold starts; the decision module and the failover
-//! controller are the program's own.
+//! What it is worth to decide on failover in common: the same fleet in simulated time, with the same faults and the
+//! same random numbers, under five policies ([`policy::Policy`]). Replicas have queues, cores and a slow start; the
+//! decision module and the failover controller are the program's own.
 //!
-//! Start reading at [`World::run`]; `scenario` has the policies and the faults.
+//! Each run has one fault ([`fault::Fault`]) from its 15th second on: none, a zone lost for long or for a short time, a
+//! zone slow, two zones partitioned, or one lost and another slow.
+//!
+//! It is a comparison: there are no invariants in a run. A line of its table counts as a violation where deciding in
+//! common serves fewer queries than the best policy that knows no more, by over 0.01. The seeds of the runs are those
+//! from `--seed` on, `--seeds` of them; the same command prints the same table.
+//!
+//! Start reading at [`simulation`]; `routing` is what the policies decide, `traffic` what coordinators do, `processing`
+//! what replicas do.
 
 mod coordinator;
 mod decisions;
@@ -38,6 +46,7 @@
 const START: TenthMillis = 100 * SECOND;
 /// The fault starts so long after the run.
 const FAULT_START: TenthMillis = 15 * SECOND;
+/// A query that is answered within this time counts as served.
 const SOFT_DEADLINE: TenthMillis = 5_000;
 /// Sub-requests that a replica processes at once.
 const CORES: usize = 2;
--- a/crates/linenthread-simulation/src/failover/processing.rs
+++ b/crates/linenthread-simulation/src/failover/processing.rs
@@ -6,6 +6,7 @@
 use crate::number;
 
 impl World {
+    /// An attempt arrives at its replica, which may be down, or be brought down by it.
     pub(super) fn on_arrival(&mut self, attempt: AttemptIndex) {
         let replica = self.attempts[attempt].replica;
         if !self.replicas[replica].is_up {
@@ -38,10 +39,11 @@
                 attempt,
                 incarnation: self.replicas[replica].incarnation,
             };
-            self.after(number::time(duration), processed);
+            self.schedule(number::time(duration), processed);
         }
     }
 
+    /// A replica is done with an attempt; the response does not get through a partition.
     pub(super) fn on_processed(&mut self, replica: usize, attempt: AttemptIndex) {
         let processing = &mut self.replicas[replica].processing;
         processing.retain(|other| *other != attempt);
@@ -51,6 +53,7 @@
         self.process_queue(replica);
     }
 
+    /// A replica stops, and all that it has is lost.
     pub(super) fn stop_replica(&mut self, replica: usize) {
         for attempt in self.replicas[replica].stop() {
             self.respond(attempt, Outcome::ConnectionLost);
@@ -65,6 +68,6 @@
             ..
         } = self.attempts[attempt];
         let latency = self.latency(coordinator, replica);
-        self.after(latency, Event::Respond { attempt, outcome });
+        self.schedule(latency, Event::Respond { attempt, outcome });
     }
 }
--- a/crates/linenthread-simulation/src/failover/replica.rs
+++ b/crates/linenthread-simulation/src/failover/replica.rs
@@ -1,4 +1,4 @@
-//! A replica with a queue, several cores and a cold start.
+//! A replica with a queue, several cores and a slow start.
 
 use std::collections::VecDeque;
 
@@ -8,11 +8,11 @@
 use super::{CORES, SECOND, SERVICE_TIME};
 use crate::number;
 
-/// A replica that starts is cold for so long.
+/// A replica that starts warms up for so long.
 pub(super) const WARM_UP: TenthMillis = 10 * SECOND;
 /// The speed of a replica that has just started, as a part of a warm one's.
-pub(super) const COLD_SPEED: f64 = 0.2;
-/// A cold replica fails when it gets this many times what it can process, for a second.
+pub(super) const INITIAL_SPEED: f64 = 0.2;
+/// A replica that warms up fails when it gets this many times what it can process, for a second.
 const MAX_OVERLOAD: f64 = 2.0;
 
 #[derive(Clone, Default)]
@@ -38,7 +38,7 @@
         }
     }
 
-    /// It starts again, cold.
+    /// It starts again, and has to warm up.
     pub(super) fn restart(&mut self, now: TenthMillis) {
         *self = Replica {
             started_at: Some(now),
@@ -60,11 +60,11 @@
         self.started_at.map_or(1.0, |started_at| {
             let age =
                 number::float_of_time((now - started_at).max(0)) / number::float_of_time(WARM_UP);
-            (COLD_SPEED + (1.0 - COLD_SPEED) * age).min(1.0)
+            (INITIAL_SPEED + (1.0 - INITIAL_SPEED) * age).min(1.0)
         })
     }
 
-    /// An attempt arrives while it runs at this speed. Whether the replica fails by that: a cold one does that gets
+    /// An attempt arrives while it runs at this speed. Whether the replica fails by that: one does that warms up and gets
     /// far too much for a second.
     pub(super) fn fails_on_arrival(&mut self, now: TenthMillis, speed: f64) -> bool {
         self.arrivals.push_back(now);
@@ -73,8 +73,8 @@
         }
         let bearable = MAX_OVERLOAD * speed * number::float(CORES) / SERVICE_TIME
             * number::float_of_time(SECOND);
-        let is_cold = self.started_at.is_some_and(|at| now - at < WARM_UP);
-        if !is_cold || number::float(self.arrivals.len()) <= bearable {
+        let is_warming_up = self.started_at.is_some_and(|at| now - at < WARM_UP);
+        if !is_warming_up || number::float(self.arrivals.len()) <= bearable {
             self.overloaded_since = None;
             return false;
         }
--- a/crates/linenthread-simulation/src/failover/routing.rs
+++ b/crates/linenthread-simulation/src/failover/routing.rs
@@ -52,6 +52,7 @@
         sum
     }
 
+    /// One coordinator decides by its own report, for itself.
     fn decide_alone(&mut self, index: usize, report: &Report, topology: &Topology) {
         let now = self.now;
         let node = &mut self.coordinators[index];
@@ -65,6 +66,7 @@
         }
     }
 
+    /// The leader decides by the reports of all, unless there is no leader.
     fn decide_in_common(&mut self, report: &Report, topology: &Topology) -> Option<RoutingTable> {
         self.pending_report.add(report);
         let elected_at = START + FAULT_START + LEADER_ELECTION;
@@ -98,6 +100,7 @@
         table
     }
 
+    /// Sub-requests that a zone can truly process in a tenth of a millisecond.
     fn true_capacity(&self, zone: usize) -> f64 {
         let of_zone = (0..REPLICAS).filter(|index| index % ZONES == zone);
         let running = of_zone.filter(|index| self.replicas[*index].is_up);
--- a/crates/linenthread-simulation/src/failover/simulation.rs
+++ b/crates/linenthread-simulation/src/failover/simulation.rs
@@ -9,9 +9,11 @@
 use super::statistics::Totals;
 use super::world::World;
 
+/// How long a run lasts.
 const DURATION: TenthMillis = 60 * SECOND;
 /// The module runs this often.
 const STEP: TenthMillis = 10;
+/// How often routes are decided on.
 const DECISION_INTERVAL: TenthMillis = 5_000;
 
 impl World {
--- a/crates/linenthread-simulation/src/failover/statistics.rs
+++ b/crates/linenthread-simulation/src/failover/statistics.rs
@@ -17,7 +17,7 @@
     pub(super) attempts: f64,
     /// Of them, those to another zone.
     pub(super) crossing: f64,
-    /// Cold replicas that were overloaded until they failed.
+    /// Replicas that were overloaded while they warmed up, until they failed.
     pub(super) failed_replicas: u32,
     /// From the fault's start to the first table that closes a route.
     pub(super) reaction_time: Option<TenthMillis>,
@@ -31,10 +31,12 @@
         self.0.iter().map(of).sum()
     }
 
+    /// The share of queries that were served.
     pub(super) fn served_share(&self) -> f64 {
         self.sum(|t| t.served) / self.sum(|t| t.queries).max(1.0)
     }
 
+    /// The share of attempts that went to another zone.
     fn crossing_share(&self) -> f64 {
         self.sum(|t| t.crossing) / self.sum(|t| t.attempts).max(1.0)
     }
@@ -57,6 +59,7 @@
     }
 }
 
+/// Prints the heading of a table.
 pub(super) fn print_heading(utilization: f64) {
     println!(
         "utilization {utilization}: share of queries served, of attempts to other zones, warming-up replicas that failed"
@@ -65,6 +68,7 @@
     println!("{:10} {}  table after", "", headings.join(" "));
 }
 
+/// Prints the line of a fault: a cell for each policy, and the reaction time of deciding in common.
 pub(super) fn print_line(fault: Fault, runs: &[Runs]) {
     let cells: Vec<String> = runs
         .iter()
--- a/crates/linenthread-simulation/src/failover/topology.rs
+++ b/crates/linenthread-simulation/src/failover/topology.rs
@@ -9,7 +9,7 @@
 use crate::number;
 
 /// Replicas of each shard.
-const COPIES: usize = 2;
+const REPLICATION_FACTOR: usize = 2;
 
 pub(super) fn zone_names() -> Vec<String> {
     ["palermo", "catania", "messina"]
@@ -17,6 +17,7 @@
         .to_vec()
 }
 
+/// The settings of the failover controller.
 pub(super) fn config() -> FailoverConfig {
     FailoverConfig {
         capacity_margin: 0.8,
@@ -35,7 +36,7 @@
     let mut shares: BTreeMap<Vec<u16>, f64> = BTreeMap::new();
     for shard in 0..SHARDS {
         let mut replicas = vec![0; ZONES];
-        for copy in 0..COPIES {
+        for copy in 0..REPLICATION_FACTOR {
             replicas[(shard + copy) % REPLICAS % ZONES] += 1;
         }
         *shares.entry(replicas).or_default() += 1.0 / number::float(SHARDS);
--- a/crates/linenthread-simulation/src/failover/traffic.rs
+++ b/crates/linenthread-simulation/src/failover/traffic.rs
@@ -13,22 +13,27 @@
 use crate::number;
 use crate::random;
 
+/// After so long a query is over.
 const HARD_DEADLINE: TenthMillis = 15_000;
-/// What a health check takes beside its way, and one into a partition.
+/// What a health check takes beside its way.
 const HEALTH_CHECK_TIME: TenthMillis = 5;
+/// What a health check into a partition takes.
 const HEALTH_CHECK_TIMEOUT: TenthMillis = 1_000;
 /// The elapsed time that is observed of each health check.
 const OBSERVED_HEALTH_CHECK: TenthMillis = 30;
+/// How many different keys queries have.
 const KEYS: u64 = 5_000;
 /// The shards of a query are so far apart.
 const SHARD_STRIDE: usize = 7;
 
 impl World {
+    /// Schedules the next query of a client, at random.
     pub(super) fn schedule_query(&mut self, coordinator: usize) {
         let wait = -(1.0 - self.rng.rand_float()).ln() / self.query_rate;
-        self.after(number::time(wait), Event::Query { coordinator });
+        self.schedule(number::time(wait), Event::Query { coordinator });
     }
 
+    /// A client sends a query.
     pub(super) fn on_query(&mut self, coordinator: usize) {
         self.schedule_query(coordinator);
         // A lost zone's clients are lost with it.
@@ -120,10 +125,10 @@
         if node.zone != sent.replica % ZONES {
             self.totals.crossing += 1.0;
         }
-        self.after(sent.timeout, Event::TimeOut { attempt });
+        self.schedule(sent.timeout, Event::TimeOut { attempt });
         if !self.is_cut_off(coordinator, sent.replica) {
             let latency = self.latency(coordinator, sent.replica);
-            self.after(latency, Event::Arrive { attempt });
+            self.schedule(latency, Event::Arrive { attempt });
         }
     }
 
@@ -176,7 +181,7 @@
             replica,
             outcome,
         };
-        self.after(wait, checked);
+        self.schedule(wait, checked);
     }
 
     pub(super) fn on_health_checked(
--- a/crates/linenthread-simulation/src/failover/world.rs
+++ b/crates/linenthread-simulation/src/failover/world.rs
@@ -21,7 +21,9 @@
 
 /// The first replica's id; any number does.
 const FIRST_REPLICA_ID: u64 = 1_000;
+/// One way within a zone.
 const LOCAL_LATENCY: TenthMillis = 5;
+/// One way between zones.
 const REMOTE_LATENCY: TenthMillis = 25;
 /// The factor by which a slow zone is slower.
 const SLOWDOWN: f64 = 6.0;
@@ -62,6 +64,7 @@
 }
 
 impl World {
+    /// A world in which no query has been made yet.
     pub(super) fn new(policy: Policy, fault: Fault, utilization: f64, seed: u64) -> World {
         let zones = topology::topology(&[]).zones;
         let capacity = number::float(REPLICAS) * number::float(CORES) / SERVICE_TIME;
@@ -114,16 +117,19 @@
         }
     }
 
-    pub(super) fn after(&mut self, wait: TenthMillis, event: Event) {
+    /// Schedules an event.
+    pub(super) fn schedule(&mut self, wait: TenthMillis, event: Event) {
         self.last_event += 1;
         self.events
             .push(Reverse((self.now + wait.max(1), self.last_event, event)));
     }
 
+    /// Whether a zone is lost now.
     pub(super) fn is_lost(&self, zone: usize) -> bool {
         self.fault_is_active && self.fault.loses(zone)
     }
 
+    /// Whether two zones cannot reach each other now.
     pub(super) fn is_partitioned(&self, a: usize, b: usize) -> bool {
         self.fault_is_active && self.fault.partitions(a, b)
     }
@@ -133,6 +139,7 @@
         self.is_partitioned(self.coordinators[coordinator].zone, replica % ZONES)
     }
 
+    /// One way between a coordinator and a replica.
     pub(super) fn latency(&self, coordinator: usize, replica: usize) -> TenthMillis {
         if self.coordinators[coordinator].zone == replica % ZONES {
             LOCAL_LATENCY
--- a/crates/linenthread-simulation/src/fleet/connections.rs
+++ b/crates/linenthread-simulation/src/fleet/connections.rs
@@ -8,11 +8,13 @@
 use super::event::{Event, LinkNumber, ProcessIndex, Side};
 use super::world::World;
 
-/// How long a connection attempt into a partition takes, and one that is refused.
+/// How long a connection attempt into a partition takes.
 const CONNECT_TIMEOUT: TenthMillis = 10 * SECOND;
+/// How long a connection attempt takes that is refused.
 const REFUSE_LATENCY: TenthMillis = 10;
 
 impl World {
+    /// A connection attempt arrives: it is accepted, refused, or lost in a partition.
     pub(super) fn on_connect(
         &mut self,
         from: ProcessIndex,
@@ -33,7 +35,7 @@
         let link = self.next_number();
         self.network
             .add_refused(link, [(from, connection), (to, ConnectionId(0))]);
-        self.after(wait, Event::Closed { link, side: 0 });
+        self.schedule(wait, Event::Closed { link, side: 0 });
     }
 
     /// Whether a process accepts a connection.
@@ -54,6 +56,7 @@
         true
     }
 
+    /// Bytes arrive at a side of a link.
     pub(super) fn on_bytes(&mut self, link: LinkNumber, side: Side, bytes: &[u8]) {
         if let Some((at, connection)) = self.network.current_end(link, side) {
             self.call(at, |fleet, now, actions| {
@@ -62,6 +65,7 @@
         }
     }
 
+    /// A side of a link learns that the other has closed it.
     pub(super) fn on_closed(&mut self, link: LinkNumber, side: Side) {
         if let Some((at, connection)) = self.network.current_end(link, side) {
             self.network.forget((at, connection));
@@ -76,10 +80,11 @@
     pub(super) fn close_link(&mut self, link: LinkNumber, process: ProcessIndex) {
         if let Some(side) = self.network.close(link, process) {
             let latency = self.latency();
-            self.after(latency, Event::Closed { link, side });
+            self.schedule(latency, Event::Closed { link, side });
         }
     }
 
+    /// A process sends bytes on a connection.
     pub(super) fn send(&mut self, at: ProcessIndex, connection: ConnectionId, bytes: Vec<u8>) {
         let Some(link) = self.network.link_at((at, connection)) else {
             return;
@@ -87,14 +92,14 @@
         let latency = self.latency();
         let sent = self.network.send(link, (at, connection), self.now, latency);
         if let Some((arrival, side)) = sent {
-            self.after(arrival - self.now, Event::Bytes { link, side, bytes });
+            self.schedule(arrival - self.now, Event::Bytes { link, side, bytes });
         }
     }
 
     pub(super) fn send_datagram(&mut self, from: ProcessIndex, to: ProcessIndex, bytes: Vec<u8>) {
         if !self.network.is_partitioned(from, to) && self.rng.rand_float() >= self.network.loss {
             let latency = self.latency();
-            self.after(latency, Event::Datagram { to, bytes });
+            self.schedule(latency, Event::Datagram { to, bytes });
         }
     }
 }
--- a/crates/linenthread-simulation/src/fleet/execution.rs
+++ b/crates/linenthread-simulation/src/fleet/execution.rs
@@ -51,6 +51,7 @@
         }
     }
 
+    /// Performs what a process requests, and sets its timer.
     pub(super) fn perform(&mut self, at: ProcessIndex, actions: Vec<FleetAction>) {
         for action in actions {
             match action {
@@ -64,7 +65,7 @@
                         connection,
                         to: process::index(address),
                     };
-                    self.after(latency, connect);
+                    self.schedule(latency, connect);
                 }
                 FleetAction::Write { connection, bytes } => self.send(at, connection, bytes),
                 FleetAction::Close { connection, .. } => {
@@ -89,6 +90,7 @@
         self.set_timer(at);
     }
 
+    /// Counts what a process logs, and prints it if that is asked for.
     fn on_event(&mut self, at: ProcessIndex, event: &FleetEvent) {
         match event {
             FleetEvent::LeadershipAcquired { .. } => self.totals.leaders += 1,
@@ -112,7 +114,7 @@
             process.wake_at = wake_at;
             process.timer += 1;
             let event = Event::Wake(at, process.timer);
-            self.after(wake_at - self.now, event);
+            self.schedule(wake_at - self.now, event);
         }
     }
 }
--- a/crates/linenthread-simulation/src/fleet/faults.rs
+++ b/crates/linenthread-simulation/src/fleet/faults.rs
@@ -30,7 +30,7 @@
                 self.network.partitions.extend(both_ways);
                 self.heal_later();
                 let wait = self.random_time(5_000..30_000);
-                self.after(wait, Event::Restart);
+                self.schedule(wait, Event::Restart);
             }
             13 => self.restart_random(),
             9 => {
@@ -48,7 +48,7 @@
             }
         }
         let wait = self.random_time(500..40_000);
-        self.after(wait, Event::Fault);
+        self.schedule(wait, Event::Fault);
     }
 
     /// How long a fault lasts.
@@ -56,12 +56,13 @@
         self.random_time(1_000..80_000)
     }
 
+    /// A process crashes, perhaps with its disk, and starts again later.
     fn crash_for_a_while(&mut self, at: ProcessIndex) {
         let loses_disk =
             self.rng.rand_range(0..3) == 0 && (at >= self.voters || self.may_lose_disk(at));
         self.crash(at, loses_disk);
         let wait = self.random_duration();
-        self.after(wait, Event::Start(at));
+        self.schedule(wait, Event::Start(at));
     }
 
     /// Whether a voter's disk may be lost: all others vote, so that committed values are on a majority of disks.
@@ -69,11 +70,12 @@
         (0..self.voters).all(|voter| voter == at || self.processes[voter].votes())
     }
 
+    /// A process pauses; what arrives meanwhile waits.
     fn pause(&mut self, at: ProcessIndex) {
         if self.processes[at].fleet.is_some() && !self.processes[at].is_paused {
             self.processes[at].is_paused = true;
             let wait = self.random_duration() + EXTRA_PAUSE;
-            self.after(wait, Event::Resume(at));
+            self.schedule(wait, Event::Resume(at));
         }
     }
 
@@ -94,7 +96,7 @@
 
     fn heal_later(&mut self) {
         let wait = self.random_duration();
-        self.after(wait, Event::Heal);
+        self.schedule(wait, Event::Heal);
     }
 
     /// Ends a process at once.
@@ -131,6 +133,6 @@
         let at = self.random_process();
         self.crash(at, false);
         let wait = self.random_time(10..500);
-        self.after(wait, Event::Start(at));
+        self.schedule(wait, Event::Start(at));
     }
 }
--- a/crates/linenthread-simulation/src/fleet/invariants.rs
+++ b/crates/linenthread-simulation/src/fleet/invariants.rs
@@ -11,6 +11,7 @@
 use super::world::World;
 
 impl World {
+    /// Whether a process leads and is not paused.
     pub(super) fn is_running_leader(&self, at: ProcessIndex) -> bool {
         let process = &self.processes[at];
         !process.is_paused && process.is_leader(self.now)
--- a/crates/linenthread-simulation/src/fleet/mod.rs
+++ b/crates/linenthread-simulation/src/fleet/mod.rs
@@ -1,7 +1,23 @@
-//! Fleets in simulated time: membership and the replicated state through loss, partitions, crashes with and without
-//! disk, pauses, failing disks and clocks that run apart.
+//! Fleets of co-ordinators in simulated time: membership by gossip and the state that voters replicate.
 //!
-//! Start reading at [`World::run`]; `invariants` has the invariants.
+//! Leaders propose values on two topics. Faults ([`faults`]): processes crash with and without their disk, restart at
+//! once, and pause for longer than a lease; pairs and groups are partitioned, one way or both; disks fail to sync or
+//! are full; datagrams are lost, and everything is late. All clocks run at slightly different rates. Faults end after
+//! 40 s, and the fleet has 25 s to recover.
+//!
+//! | invariant | what must hold |
+//! | --- | --- |
+//! | one-value-per-number | no two values are committed under one topic and number |
+//! | one-leader | at no moment two running processes hold the lease |
+//! | new-disk-new-identity | a voter that lost its disk never votes under its former identity |
+//! | restarts | a process starts from whatever its disk holds |
+//! | commits | where values are proposed, some are committed |
+//! | recovers | after the faults: one leader, all voters vote, all know all members and the newest values |
+//!
+//! A violation is printed with its schedule, which is the seed. To run that one again, with all events of the fleets:
+//! `SHOW=1 linenthread-simulation fleet --schedules 1 --seed N`.
+//!
+//! Start reading at [`simulation`]; `execution` is a step of a process, `connections` what is sent between them.
 
 mod connections;
 mod event;
--- a/crates/linenthread-simulation/src/fleet/network.rs
+++ b/crates/linenthread-simulation/src/fleet/network.rs
@@ -73,10 +73,12 @@
         }
     }
 
+    /// Whether nothing arrives from one process at another.
     pub(super) fn is_partitioned(&self, from: ProcessIndex, to: ProcessIndex) -> bool {
         self.partitions.contains(&(from, to))
     }
 
+    /// Adds a connection that both sides have.
     pub(super) fn add_link(&mut self, number: LinkNumber, ends: [End; 2]) {
         self.links.insert(number, Link::open(ends));
         self.by_end.extend(ends.map(|end| (end, number)));
--- a/crates/linenthread-simulation/src/fleet/process.rs
+++ b/crates/linenthread-simulation/src/fleet/process.rs
@@ -17,6 +17,7 @@
 use crate::number;
 use crate::random;
 
+/// A disk, which outlives its process.
 pub(super) type Disk = Rc<RefCell<SimulatedDisk>>;
 
 const FIRST_PORT: u16 = 7_000;
@@ -43,10 +44,12 @@
     pub(super) former_incarnation: Option<VoterIncarnation>,
 }
 
+/// The name of a process.
 pub(super) fn name(index: ProcessIndex) -> String {
     format!("m{index:02}")
 }
 
+/// The address of a process.
 pub(super) fn address(index: ProcessIndex) -> SocketAddr {
     (
         [127, 0, 0, 1],
@@ -72,6 +75,7 @@
 }
 
 impl Process {
+    /// A process that has not started yet.
     pub(super) fn new(rng: &mut Rand64) -> Process {
         Process {
             fleet: None,
--- a/crates/linenthread-simulation/src/fleet/simulation.rs
+++ b/crates/linenthread-simulation/src/fleet/simulation.rs
@@ -18,12 +18,12 @@
     pub(super) fn run(mut self) -> Outcome {
         for at in 0..self.processes.len() {
             let wait = self.random_time(0..20_000);
-            self.after(wait, Event::Start(at));
+            self.schedule(wait, Event::Start(at));
         }
-        self.after(SECOND, Event::Propose);
+        self.schedule(SECOND, Event::Propose);
         // Faults may be injected while the fleet is founded.
         let first = self.random_time(0..100_000);
-        self.after(first, Event::Fault);
+        self.schedule(first, Event::Fault);
         self.run_until(FAULTS_END, |_| false);
         self.end_faults();
         self.run_recovery();
@@ -36,6 +36,7 @@
         }
     }
 
+    /// Runs on after all faults until the fleet is complete, and stays so.
     fn run_recovery(&mut self) {
         let started_at = self.now;
         let mut complete_since = None;
@@ -85,6 +86,7 @@
         false
     }
 
+    /// Handles an event; it waits if the process that it arrives at is paused.
     pub(super) fn handle(&mut self, event: Event) {
         let receiver = self.receiver(&event);
         if let Some(at) = receiver.filter(|at| self.processes[*at].is_paused) {
--- a/crates/linenthread-simulation/src/fleet/statistics.rs
+++ b/crates/linenthread-simulation/src/fleet/statistics.rs
@@ -18,6 +18,7 @@
     pub(super) recovered_after: TenthMillis,
 }
 
+/// Prints what all schedules counted together.
 pub(super) fn print_summary(outcomes: &[Outcome]) {
     let sum = |of: fn(&Totals) -> u64| -> u64 { outcomes.iter().map(|o| of(&o.totals)).sum() };
     let recovery = outcomes
--- a/crates/linenthread-simulation/src/fleet/traffic.rs
+++ b/crates/linenthread-simulation/src/fleet/traffic.rs
@@ -34,9 +34,10 @@
             });
         }
         let wait = 500 + self.random_time(0..2_000);
-        self.after(wait, Event::Propose);
+        self.schedule(wait, Event::Propose);
     }
 
+    /// A process reports a value as committed.
     pub(super) fn on_committed(&mut self, at: ProcessIndex, committed: CommittedValue) {
         let CommittedValue {
             topic,
--- a/crates/linenthread-simulation/src/fleet/world.rs
+++ b/crates/linenthread-simulation/src/fleet/world.rs
@@ -37,6 +37,7 @@
 }
 
 impl World {
+    /// A fleet of which no process has started yet.
     pub(super) fn new(seed: u64) -> World {
         let mut rng = Rand64::new(u128::from(seed));
         let voters = [3, 3, 5][random::index(&mut rng, 3)];
@@ -67,18 +68,20 @@
         ));
     }
 
+    /// A number for the next event or link.
     pub(super) fn next_number(&mut self) -> u64 {
         self.last_number += 1;
         self.last_number
     }
 
     /// Schedules an event.
-    pub(super) fn after(&mut self, wait: TenthMillis, event: Event) {
+    pub(super) fn schedule(&mut self, wait: TenthMillis, event: Event) {
         let number = self.next_number();
         self.events
             .push(Reverse((self.now + wait.max(0), number, event)));
     }
 
+    /// A random latency of one way.
     pub(super) fn latency(&mut self) -> TenthMillis {
         self.network.latency(&mut self.rng)
     }
--- a/crates/linenthread-simulation/src/link/execution.rs
+++ b/crates/linenthread-simulation/src/link/execution.rs
@@ -8,6 +8,7 @@
 use super::world::World;
 
 impl World {
+    /// Carries out what the client requests, and sets its timer.
     pub(super) fn carry_out_client(&mut self, actions: Vec<ClientAction>) {
         for action in actions {
             match action {
@@ -28,6 +29,7 @@
         }
     }
 
+    /// Carries out what the server requests, and sets its timer.
     pub(super) fn carry_out_server(&mut self, actions: Vec<ServerAction>) {
         for action in actions {
             match action {
--- a/crates/linenthread-simulation/src/link/fault.rs
+++ b/crates/linenthread-simulation/src/link/fault.rs
@@ -21,6 +21,7 @@
 pub(super) const FAULT_KINDS: TenthMillis = 7;
 
 impl Fault {
+    /// The fault of a drawn number, below [`FAULT_KINDS`].
     pub(super) fn drawn(number: TenthMillis) -> Fault {
         match number {
             0 | 1 => Fault::Cut,
--- a/crates/linenthread-simulation/src/link/faults.rs
+++ b/crates/linenthread-simulation/src/link/faults.rs
@@ -9,6 +9,7 @@
 use super::{FAULTS, MILLISECOND, START};
 
 impl World {
+    /// Injects a random fault and schedules the next one, until faults end.
     pub(super) fn inject_fault(&mut self) {
         if self.now > START + FAULTS {
             (self.slow_probability, self.duplicate_probability) = (0.0, 0.0);
@@ -43,6 +44,7 @@
         }
     }
 
+    /// The server restarts: it remembers nothing, and all connections are lost.
     fn restart_server(&mut self) {
         self.server_seed = self.server_seed.wrapping_add(1);
         self.server = new_server(self.server_seed);
--- a/crates/linenthread-simulation/src/link/invariants.rs
+++ b/crates/linenthread-simulation/src/link/invariants.rs
@@ -6,6 +6,7 @@
 use super::world::World;
 
 impl World {
+    /// Checks after each event what both ends retain.
     pub(super) fn check_limits(&mut self) {
         let max_retained = usize::try_from(WINDOW_CALLS).unwrap_or(usize::MAX) * MAX_SESSIONS;
         if self.client.in_flight() > MAX_IN_FLIGHT
--- a/crates/linenthread-simulation/src/link/mod.rs
+++ b/crates/linenthread-simulation/src/link/mod.rs
@@ -1,5 +1,25 @@
-//! Simulation of a link between sites: both ends of `linenthread-link` in one deterministic run, through lost and
-//! one-way connections, slow and duplicated frames, restarts and time-outs, checked against a record of what ran.
+//! A link between sites in simulated time: both ends of `linenthread-link` in one deterministic run, checked against a
+//! record of what truly ran.
+//!
+//! A client makes a call every few milliseconds, each with a deadline. Faults ([`fault`]): the connection is cut and
+//! both ends are notified; frames are lost silently, in one direction or both; the server restarts and remembers
+//! nothing. Besides, connections fail to open, and frames are late or arrive twice. The first 3 s of a schedule have
+//! faults, the last 3 s must work as usual.
+//!
+//! | invariant | what must hold |
+//! | --- | --- |
+//! | one-outcome | a call has exactly one outcome |
+//! | unsent-is-proven | a call that is reported as never run did not run |
+//! | at-most-once | no call runs twice |
+//! | success-ran-once | a call that succeeded ran once, and has the value of its own run |
+//! | bounded | what both ends retain stays within their limits, and is given back |
+//! | recovers | after the faults, calls with enough time are not lost, unsent or timed out |
+//!
+//! A schedule ends with its first violation. It is printed with the command that runs the schedule again:
+//! `linenthread-simulation link --schedules 1 --seed N`.
+//!
+//! Start reading at [`simulation`]; `execution` carries out what the two ends request, on the connections of
+//! `transport`.
 
 mod call_record;
 mod ends;
--- a/crates/linenthread-simulation/src/link/network.rs
+++ b/crates/linenthread-simulation/src/link/network.rs
@@ -43,6 +43,7 @@
         }
     }
 
+    /// No frame gets through any more.
     pub(super) fn cut(&mut self) {
         (self.to_server, self.to_client) = (false, false);
     }
@@ -57,14 +58,17 @@
 }
 
 impl Connections {
+    /// Whether frames of a connection get through to the server.
     pub(super) fn reaches_server(&self, id: ConnectionId) -> bool {
         self.all.get(&id).is_some_and(|c| c.to_server)
     }
 
+    /// Whether frames of a connection get through to the client.
     pub(super) fn reaches_client(&self, id: ConnectionId) -> bool {
         self.all.get(&id).is_some_and(|c| c.to_client)
     }
 
+    /// Whether this is the connection that the client uses.
     pub(super) fn is_current(&self, id: ConnectionId) -> bool {
         self.current == Some(id)
     }
--- a/crates/linenthread-simulation/src/link/simulation.rs
+++ b/crates/linenthread-simulation/src/link/simulation.rs
@@ -32,6 +32,7 @@
         self.violation
     }
 
+    /// Handles an event, carries out what the ends request then, and checks the limits.
     fn handle(&mut self, event: Event) {
         let now = self.now;
         let (mut client_actions, mut server_actions) = (Vec::new(), Vec::new());
--- a/crates/linenthread-simulation/src/link/statistics.rs
+++ b/crates/linenthread-simulation/src/link/statistics.rs
@@ -31,6 +31,7 @@
         }
     }
 
+    /// Prints all counts.
     pub(super) fn print(mut self, schedules: usize) {
         self.detection_times.sort_unstable();
         let calls = self.calls;
--- a/crates/linenthread-simulation/src/link/traffic.rs
+++ b/crates/linenthread-simulation/src/link/traffic.rs
@@ -12,6 +12,7 @@
 use crate::number;
 
 impl World {
+    /// The client's user makes a call, and schedules its next one.
     pub(super) fn make_call(&mut self, actions: &mut Vec<ClientAction>) {
         let number = number::count(self.records.len());
         let deadline = self.now + 100 * MILLISECOND + self.draw_below(900 * MILLISECOND);
@@ -40,6 +41,7 @@
         self.schedule(after, Event::MakeCall);
     }
 
+    /// A call's deadline is over: its user gives it up, unless it has ended.
     pub(super) fn give_up(&mut self, id: CallId, actions: &mut Vec<ClientAction>) {
         let number = self.calls.get(&id).copied().unwrap_or_default();
         let record = self.records.get_mut(&number);
@@ -49,6 +51,7 @@
         }
     }
 
+    /// The server runs a call.
     pub(super) fn run_call(&mut self, session: SessionId, number: CallNumber, call: &Call) {
         let id: u64 = call.text.parse().unwrap_or_default();
         let outcome = match self.draw_below(12) {
@@ -78,6 +81,7 @@
         self.schedule(after, event);
     }
 
+    /// The client reports the outcome of a call.
     pub(super) fn on_completed(&mut self, id: CallId, outcome: AttemptOutcome, value: &str) {
         let Some(number) = self.calls.get(&id).copied() else {
             return;
--- a/crates/linenthread-simulation/src/link/transport.rs
+++ b/crates/linenthread-simulation/src/link/transport.rs
@@ -7,6 +7,7 @@
 use super::world::World;
 
 impl World {
+    /// The client asks for a connection, which may not be made.
     pub(super) fn connect(&mut self) {
         // The number of the event by which it opens.
         let connection = ConnectionId(self.last_event + 1);
@@ -16,6 +17,7 @@
         self.connections.current = Some(connection);
     }
 
+    /// A connection is open at both ends.
     pub(super) fn open(&mut self, connection: ConnectionId, actions: &mut Vec<ServerAction>) {
         self.connections
             .all
@@ -24,6 +26,7 @@
         self.server.on_accepted(self.now, connection, actions);
     }
 
+    /// The client closes its connection; the server is notified later.
     pub(super) fn close(&mut self, reason: &ClientCloseReason) {
         let Some(id) = self.connections.current.take() else {
             return;
--- a/crates/linenthread-simulation/src/link/world.rs
+++ b/crates/linenthread-simulation/src/link/world.rs
@@ -43,6 +43,7 @@
 }
 
 impl World {
+    /// A link on which nothing has happened yet.
     pub(super) fn new(seed: u64, resume: bool) -> World {
         let mut rng = Rand64::new(u128::from(seed));
         let client_seed = rng.rand_u64();
@@ -72,6 +73,7 @@
         }
     }
 
+    /// Schedules an event.
     pub(super) fn schedule(&mut self, after: TenthMillis, event: Event) {
         self.last_event += 1;
         self.timeline
@@ -79,6 +81,7 @@
         self.events.insert(self.last_event, event);
     }
 
+    /// A random time below the bound.
     pub(super) fn draw_below(&mut self, bound: TenthMillis) -> TenthMillis {
         random::time_below(&mut self.rng, bound)
     }
--- a/crates/linenthread-simulation/src/link_speed.rs
+++ b/crates/linenthread-simulation/src/link_speed.rs
@@ -104,7 +104,7 @@
         sleep(THROUGHPUT_RUN);
         over.store(true, Ordering::Relaxed);
     });
-    let (took, done) = (
+    let (elapsed, done) = (
         begin.elapsed().as_secs_f64(),
         done.load(Ordering::Relaxed).max(1),
     );
@@ -120,7 +120,7 @@
         .collect();
     println!(
         "{what}, {in_flight} at once: {:.0} sub-requests a second, CPU of each {} us",
-        number::float(done) / took,
+        number::float(done) / elapsed,
         spent.join(" and ")
     );
 }
@@ -291,8 +291,8 @@
             ..SLOW_REPLICAS
         },
     );
-    let near = sites.local.child.id();
-    let before = resident_megabytes(near);
+    let client = sites.local.child.id();
+    let before = resident_megabytes(client);
     sites.proxy.silence(Direction::ToUpstream, true);
     let (max, over) = (std::sync::Mutex::new(0.0_f64), AtomicBool::new(false));
     scope(|threads| {
@@ -318,7 +318,7 @@
         for _ in 0..30 {
             sleep(Duration::from_millis(100));
             let mut max = max.lock().expect("not poisoned");
-            *max = max.max(resident_megabytes(near));
+            *max = max.max(resident_megabytes(client));
         }
         over.store(true, Ordering::Relaxed);
     });
@@ -338,18 +338,22 @@
         },
     );
     measure_latency(&sites);
-    let (near, far) = (sites.local.child.id(), sites.gateway.child.id());
+    let (client, gateway) = (sites.local.child.id(), sites.gateway.child.id());
     for in_flight in [1, 10, 100, 1_000] {
-        measure_throughput(sites.gateway.address, in_flight, &[far], "direct");
-        measure_throughput(sites.local.address, in_flight, &[near, far], "across");
+        measure_throughput(sites.gateway.address, in_flight, &[gateway], "direct");
+        measure_throughput(sites.local.address, in_flight, &[client, gateway], "across");
     }
     measure_stalled_link(exe);
     let mut summary = RunSummary::default();
-    for (keep, what) in [(15_000, "resumed"), (10, "not resumed")] {
+    let session_timeouts = [
+        (Duration::from_secs(15), "resumed"),
+        (Duration::from_millis(10), "not resumed"),
+    ];
+    for (session_timeout, what) in session_timeouts {
         let mut sites = Sites::start(
             exe,
             SitesConfig {
-                session_timeout: Duration::from_millis(keep),
+                session_timeout,
                 ..SLOW_REPLICAS
             },
         );
--- a/crates/linenthread-simulation/src/members.rs
+++ b/crates/linenthread-simulation/src/members.rs
@@ -16,17 +16,21 @@
 use crate::number::{self, SECOND};
 use crate::run_summary::RunSummary;
 
+/// How much time passes in a step.
 const STEP: TenthMillis = 250;
+/// One way of a datagram.
 const LATENCY: TenthMillis = 10;
 const PORT: u16 = 7_500;
 /// The numbers of members that are measured.
 const SIZES: [usize; 2] = [10, 100];
+/// Members that all others know from the start.
 const SEEDS: usize = 3;
 const PROBE_INTERVAL: TenthMillis = 5_000;
 /// No size needs longer than this to agree on the members.
 const MAX_WAIT: TenthMillis = 120 * SECOND;
 /// After so long only the traffic that goes on for ever is left.
 const SETTLING_TIME: TenthMillis = 20 * SECOND;
+/// How long the traffic is measured.
 const MEASURED_SECONDS: TenthMillis = 10;
 /// How many steps pass between two checks.
 const STEPS_PER_CHECK: usize = 10;
@@ -70,6 +74,7 @@
     bytes: Vec<u8>,
 }
 
+/// One fleet.
 struct Simulation {
     now: TenthMillis,
     /// None for one that has fallen silent.
@@ -94,6 +99,7 @@
         }
     }
 
+    /// Puts the datagrams among these actions on their way.
     fn send(&mut self, actions: Vec<MembersAction>) {
         for action in actions {
             if let MembersAction::Send { to, bytes } = action
@@ -111,6 +117,7 @@
         }
     }
 
+    /// One step of time: datagrams arrive, timers expire.
     fn step(&mut self) {
         self.now += STEP;
         self.deliver();
--- a/crates/linenthread-simulation/src/merged/fault.rs
+++ b/crates/linenthread-simulation/src/merged/fault.rs
@@ -17,6 +17,7 @@
 }
 
 impl AttemptFate {
+    /// The outcome that the decision module is notified of.
     pub(super) fn outcome(self) -> AttemptOutcome {
         match self {
             AttemptFate::Success | AttemptFate::DuplicateSuccess => AttemptOutcome::Success,
--- a/crates/linenthread-simulation/src/merged/invariants.rs
+++ b/crates/linenthread-simulation/src/merged/invariants.rs
@@ -70,6 +70,7 @@
         checked.and(ended)
     }
 
+    /// Checks what a response has, by the kind of its index.
     fn check_body(
         &mut self,
         response: &Value,
--- a/crates/linenthread-simulation/src/merged/mod.rs
+++ b/crates/linenthread-simulation/src/merged/mod.rs
@@ -1,5 +1,26 @@
-//! Simulation of merged queries: clients that read pages, totals and groups through the decision module and
-//! `linenthread-merge` over a fleet in simulated time. Each response is checked against the full data.
+//! Merged queries in simulated time: clients that read pages, totals and groups through the decision module and
+//! `linenthread-merge` from replicas. Each response is checked against the full data.
+//!
+//! Faults ([`fault`], [`faults`]): attempts take longer than a query waits, fail in every way, respond with a value that
+//! is not valid, or respond twice with different values; replicas die, drain and come back. How often is drawn from the
+//! seed. Rows are added while clients read.
+//!
+//! | invariant | what must hold |
+//! | --- | --- |
+//! | queries-start | every query can be started, also with the cursor of an earlier response |
+//! | valid-values-count | a valid value of a replica is accepted |
+//! | duplicates-do-not-count | a second value of one sub-request changes nothing |
+//! | bounded-attempts | a sub-request is sent only so often, and never after the response |
+//! | one-response-in-time | a query gets exactly one outcome, before its hard deadline |
+//! | matches-full-data | rows, totals, groups, shares and cursors of a response are right by the full data |
+//! | partial-is-marked | what is partial for the decision module is not marked as complete |
+//! | bounded-rows | no more rows are retained than a page has |
+//!
+//! There are no schedules: a violation is printed with the command that runs all queries again. The number of its query
+//! is the index that the decision module knows it by; indices are used again.
+//!
+//! Start reading at [`simulation`]; `replicas` is the decision module with its replicas, `open_query` and `client` are
+//! what the queries need.
 
 mod client;
 mod decision;
--- a/crates/linenthread-simulation/src/merged/simulation.rs
+++ b/crates/linenthread-simulation/src/merged/simulation.rs
@@ -21,6 +21,7 @@
         self.statistics
     }
 
+    /// Handles the events of one moment, and what the decision module decides then.
     fn step(&mut self) {
         for event in self.replicas.next() {
             match event {
@@ -36,6 +37,7 @@
         }
     }
 
+    /// Carries out a decision.
     fn on_decision(&mut self, decision: &Decision) {
         match *decision {
             Decision::Send(attempt) => self.on_attempt(attempt),
--- a/crates/linenthread-simulation/src/zones/fault.rs
+++ b/crates/linenthread-simulation/src/zones/fault.rs
@@ -21,6 +21,7 @@
 }
 
 impl Fault {
+    /// A random fault among so many zones.
     pub(super) fn random(zones: usize, rng: &mut Rand64) -> Fault {
         let a = random::index(rng, zones);
         let b = (a + 1 + random::index(rng, zones - 1)) % zones;
@@ -65,6 +66,7 @@
         self == Fault::ZoneLost(zone)
     }
 
+    /// Whether a zone is slow.
     pub(super) fn is_slow(self, zone: usize) -> bool {
         self == Fault::ZoneSlow(zone)
     }
--- a/crates/linenthread-simulation/src/zones/invariants.rs
+++ b/crates/linenthread-simulation/src/zones/invariants.rs
@@ -17,6 +17,7 @@
 /// Openings that a new leader may add.
 const OPENINGS_PER_LEADER: f64 = 5.0;
 
+/// The load of a zone from all zones together.
 fn sum_to(loads: &[Vec<f64>], to: usize) -> f64 {
     loads.iter().map(|from| from[to]).sum()
 }
@@ -77,6 +78,7 @@
         }
     }
 
+    /// Whether the table has closed a route.
     fn is_closed(&self, from: usize, to: usize) -> bool {
         let table = self.table.as_ref();
         table.is_some_and(|table| table.rows[from].routes[to].share == 0)
@@ -113,6 +115,7 @@
         }
     }
 
+    /// Whether all routes are open.
     pub(super) fn is_open(&self) -> bool {
         let table = self.table.as_ref();
         table.is_none_or(|table| table.routes().all(|route| route.share == ALL_KEYS))
@@ -132,6 +135,7 @@
     }
 }
 
+/// Routes, from and to, that a table has closed or limited for one of these reasons.
 fn routes_closed_for(table: &RoutingTable, reasons: &[Reason]) -> Vec<(usize, usize)> {
     let mut closed = Vec::new();
     for (from, row) in table.rows.iter().enumerate() {
--- a/crates/linenthread-simulation/src/zones/simulation.rs
+++ b/crates/linenthread-simulation/src/zones/simulation.rs
@@ -91,6 +91,7 @@
         }
     }
 
+    /// One step of time: tables arrive, requests are sent, reports are collected, the leader decides.
     fn step(&mut self) {
         self.now += STEP;
         self.deliver_tables();
--- a/crates/linenthread-simulation/src/zones/tables.rs
+++ b/crates/linenthread-simulation/src/zones/tables.rs
@@ -52,6 +52,7 @@
         self.check_table(&table);
     }
 
+    /// A table is on its way to all coordinators that it can reach.
     fn send_table(&mut self, table: &RoutingTable) {
         for coordinator in &mut self.coordinators {
             if self.fault_is_active && self.fault.cuts_off(coordinator.zone) {
--- a/crates/linenthread-simulation/src/zones/traffic.rs
+++ b/crates/linenthread-simulation/src/zones/traffic.rs
@@ -10,8 +10,9 @@
 
 /// The factor by which a slow zone is slower.
 const SLOWDOWN: f64 = 6.0;
-/// One step in twenty is a burst, with so many times the usual demand.
+/// In a burst there is so many times the usual demand.
 const BURST: f64 = 1.3;
+/// One step in so many is a burst.
 const BURST_EVERY: u64 = 20;
 /// The share of requests that fail at any time.
 const USUAL_FAILURES: f64 = 0.05;
@@ -28,6 +29,7 @@
 const TENTHS_PER_MS: f64 = 10.0;
 
 impl World {
+    /// A random number of a Poisson distribution.
     fn poisson(&mut self, mean: f64) -> u32 {
         if mean > MAX_EXACT_MEAN {
             let normal: f64 = (0..12).map(|_| self.rng.rand_float()).sum::<f64>() - 6.0;
--- a/crates/linenthread-simulation/src/zones/world.rs
+++ b/crates/linenthread-simulation/src/zones/world.rs
@@ -56,6 +56,7 @@
     pub(super) handled_after: Option<TenthMillis>,
 }
 
+/// The settings of the failover controller.
 pub(super) fn config() -> FailoverConfig {
     FailoverConfig {
         capacity_margin: 0.8,
@@ -82,6 +83,7 @@
 }
 
 impl World {
+    /// A world in which nothing is wrong yet.
     pub(super) fn new(seed: u64) -> World {
         let mut rng = Rand64::new(u128::from(seed));
         let count = 2 + random::index(&mut rng, 4);
