--- a/crates/linenthread-hollow/src/ingress.rs
+++ b/crates/linenthread-hollow/src/ingress.rs
@@ -1,4 +1,4 @@
-//! An ingress node without traffic: a session, heartbeats, and what it holds of control.
+//! An ingress node without traffic: a session, heartbeats, and the table that control sends it.
 
 use std::collections::HashMap;
 
@@ -33,11 +33,11 @@
     quota_requests: u64,
     pub(crate) revision: u64,
     pub(crate) cost: Cost,
-    /// What an ingress node holds, in some of them only.
+    /// Its table; only some ingress nodes have one, to measure its cost.
     pub(crate) table: Option<Table>,
 }
 
-/// Replicas and configuration as an ingress node has to hold them.
+/// Replicas and configuration as an ingress node has them.
 #[derive(Default)]
 pub(crate) struct Table {
     replicas: HashMap<String, Replica>,
@@ -46,7 +46,7 @@
 }
 
 impl Table {
-    /// How many replicas it holds.
+    /// How many replicas it has.
     pub(crate) fn len(&self) -> usize {
         self.replicas.len()
     }
--- a/crates/linenthread-hollow/src/leader_loss.rs
+++ b/crates/linenthread-hollow/src/leader_loss.rs
@@ -4,6 +4,7 @@
 
 use linenthread_time::Instant;
 
+use crate::loss::Loss;
 use crate::scale::Scale;
 use crate::world::{MEASURED_FROM, World, control_name};
 
@@ -16,15 +17,6 @@
 /// How long after the loss the first change is sent.
 const FIRST_CHANGE_DELAY: Duration = Duration::from_millis(1);
 
-/// How a node is lost.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Loss {
-    /// The process ends and the kernel closes its connections.
-    Killed,
-    /// The machine is gone: its connections hang.
-    Dark,
-}
-
 /// A step of a [`LossTimeline`].
 #[derive(Debug)]
 pub struct TimelineStep {
@@ -54,7 +46,7 @@
     world.run_until(MEASURED_FROM);
     world.trace = Some(Vec::new());
     let leader = world.leader().unwrap_or(0);
-    world.stop_control(leader, loss == Loss::Killed);
+    world.stop_control(leader, loss);
     let lost_at = world.now;
     let next_leader = watch(&mut world, lost_at);
     timeline(&mut world, loss, leader, lost_at, next_leader)
--- a/crates/linenthread-hollow/src/main.rs
+++ b/crates/linenthread-hollow/src/main.rs
@@ -1,4 +1,8 @@
 //! `linenthread-hollow`: what control costs each role, by size.
+//!
+//! `run` measures one size and writes lines of CSV, `fit` fits powers of growth to such lines, `kill` shows the time from
+//! the loss of the leader to the next acknowledgement. The same seed gives the same messages, bytes and times in the
+//! simulated system; processor time and heap are measured and differ from run to run.
 
 mod flags;
 
--- a/crates/linenthread-hollow/src/measure.rs
+++ b/crates/linenthread-hollow/src/measure.rs
@@ -63,8 +63,8 @@
     rows.extend(kinds.map(|work| ingress_row(world, Some(work), seconds)));
     let replicas = [&world.replica_cost];
     rows.push(row(Role::Replica, None, &replicas, scale.replicas, seconds));
-    for (role, votes) in [(Role::Voter, true), (Role::Learner, false)] {
-        rows.extend(control_rows(world, role, votes, seconds));
+    for role in [Role::Voter, Role::Learner] {
+        rows.extend(control_rows(world, role, seconds));
     }
     let busiest = world
         .control
@@ -75,8 +75,9 @@
     rows
 }
 
-/// The rows of the control nodes that vote or do not; none if there is no such node.
-fn control_rows(world: &World, role: Role, votes: bool, seconds: f64) -> Vec<RoleRow> {
+/// The rows of the voters or of the learners; none if there is no such node.
+fn control_rows(world: &World, role: Role, seconds: f64) -> Vec<RoleRow> {
+    let votes = role == Role::Voter;
     let costs: Vec<&Cost> = world
         .control
         .iter()
@@ -92,7 +93,7 @@
         .collect()
 }
 
-/// Traffic of all ingress nodes; processor time and heap of those that hold a table.
+/// Traffic of all ingress nodes; processor time and heap of those that have a table.
 fn ingress_row(world: &World, work: Option<Work>, seconds: f64) -> RoleRow {
     let all: Vec<&Cost> = world.ingress.iter().map(|node| &node.cost).collect();
     let tables = costs_with_tables(world, world.ingress.len());
@@ -104,7 +105,7 @@
     }
 }
 
-/// Costs of those of the first ingress nodes that hold a table.
+/// Costs of those of the first ingress nodes that have a table.
 fn costs_with_tables(world: &World, first: usize) -> Vec<&Cost> {
     world
         .ingress
--- a/crates/linenthread-hollow/src/number.rs
+++ b/crates/linenthread-hollow/src/number.rs
@@ -15,7 +15,7 @@
     u64::try_from(length).unwrap_or(u64::MAX)
 }
 
-/// A length as a difference to others.
+/// A length in bytes, for differences.
 pub(crate) fn signed(length: usize) -> i64 {
     i64::try_from(length).unwrap_or(i64::MAX)
 }
--- a/crates/linenthread-hollow/src/report/measurement.rs
+++ b/crates/linenthread-hollow/src/report/measurement.rs
@@ -102,7 +102,7 @@
     pub bytes: f64,
     /// Processor time of control nodes for one, in milliseconds.
     pub control_ms: f64,
-    /// Processor time of an ingress node that holds a table, in milliseconds.
+    /// Processor time of an ingress node that has a table, in milliseconds.
     pub ingress_ms: f64,
 }
 
@@ -121,7 +121,7 @@
     pub snapshot: Snapshot,
     /// Ingress nodes that have the newest configuration at the end.
     pub ingress_in_force: usize,
-    /// Replicas in the table of each ingress node that holds one.
+    /// Replicas in the table of each ingress node that has one.
     pub table_sizes: Vec<usize>,
     /// How many disks vote at the end.
     pub voters_at_end: usize,
--- a/crates/linenthread-hollow/src/world/callers.rs
+++ b/crates/linenthread-hollow/src/world/callers.rs
@@ -4,7 +4,7 @@
 
 use linenthread_time::Instant;
 
-use super::state::{Caller, Event, World};
+use super::state::{Caller, Change, Event, World};
 use crate::configuration::document;
 use crate::control::Input;
 use crate::cost::Work;
@@ -78,21 +78,22 @@
 impl World {
     /// Sends a change with this revision at this time.
     pub(crate) fn schedule_change(&mut self, sent_at: Instant, revision: u64) {
-        self.events
-            .push(sent_at, Event::Change { revision, sent_at });
+        let change = Change { revision, sent_at };
+        self.events.push(sent_at, Event::Change(change));
     }
 
     /// Sends a change to any control node.
-    pub(super) fn send_change(&mut self, revision: u64, sent_at: Instant) {
+    pub(super) fn send_change(&mut self, change: Change) {
+        let Change { revision, sent_at } = change;
         let control = self.any_control();
         let document = document(revision, self.scale.document_bytes);
         if sent_at == self.now {
-            self.newest_change = Some((revision, sent_at));
+            self.newest_change = Some(change);
         }
         let machine = &mut self.control[control];
         machine.cost.receive(Work::Configuration, document.len());
         let at = self.now + Zone::OPERATOR.latency_to(machine.zone);
-        let call = self.add_call(Caller::Operator { revision, sent_at });
+        let call = self.add_call(Caller::Operator(change));
         let input = Input::Replace {
             call,
             base: revision - 1,
--- a/crates/linenthread-hollow/src/world/control_nodes.rs
+++ b/crates/linenthread-hollow/src/world/control_nodes.rs
@@ -8,9 +8,12 @@
 use linenthread_time::Instant;
 use prost::Message;
 
-use super::state::{BOOTSTRAP_NODES, End, Event, TraceLine, World, control_name, other_end};
+use super::state::{
+    BOOTSTRAP_NODES, Change, End, Event, TraceLine, World, control_name, other_end,
+};
 use crate::control::{ControlProcess, ControlSettings, Input};
 use crate::cost::{Meter, Work, allocated};
+use crate::loss::Loss;
 use crate::messages::{Peer, Summary, work_of};
 use crate::number::{count, signed};
 
@@ -49,8 +52,8 @@
         self.set_timer(index);
     }
 
-    /// The process of a node ends. Its connections are closed, or hang if the machine is gone.
-    pub(crate) fn stop_control(&mut self, index: usize, closes_connections: bool) {
+    /// The process of a node ends, and with it its sessions.
+    pub(crate) fn stop_control(&mut self, index: usize, loss: Loss) {
         let machine = &mut self.control[index];
         machine.process = None;
         machine.incarnation = 0;
@@ -63,10 +66,11 @@
             .collect();
         sessions.sort_unstable();
         for session in sessions {
-            if closes_connections {
-                self.close_session(session, end);
-            } else {
-                self.sessions.remove(&session);
+            match loss {
+                Loss::Killed => self.close_session(session, end),
+                Loss::Dark => {
+                    self.sessions.remove(&session);
+                }
             }
         }
     }
@@ -76,10 +80,10 @@
         let Some(process) = &machine.process else {
             return;
         };
-        let due = process.next_tick_at(self.now).max(self.now);
-        if due != machine.timer {
-            machine.timer = due;
-            self.events.push(due, Event::Tick(index));
+        let next_tick = process.next_tick_at(self.now).max(self.now);
+        if next_tick != machine.timer {
+            machine.timer = next_tick;
+            self.events.push(next_tick, Event::Tick(index));
         }
     }
 }
@@ -100,7 +104,7 @@
     pub(super) fn run_control(&mut self, index: usize, input: Input) {
         let frame = input.frame();
         let peer = frame.map_or(Peer::Control, |(session, _)| self.peer_of(session));
-        let brought = signed(input.allocated());
+        let input_bytes = signed(input.allocated());
         let mut effects = std::mem::take(&mut self.effects);
         let capacity = effects.capacity();
         let machine = &mut self.control[index];
@@ -110,9 +114,9 @@
         let meter = Meter::start();
         let work = process.handle(self.now, input, peer, &mut effects);
         let mut spent = meter.spent();
-        // The list of effects is not the node's, and what the input brought was allocated by others.
+        // The list of effects is not the node's, and the input was allocated by others.
         let grown = (effects.capacity() - capacity) * size_of::<Effect>();
-        spent.heap += brought - signed(grown);
+        spent.heap += input_bytes - signed(grown);
         machine.cost.transient = machine.cost.transient.max(spent.heap);
         machine.cost.charge(work, &spent);
         if let Some((_, bytes)) = frame {
@@ -204,7 +208,11 @@
     }
 
     fn record_in_force(&mut self, ingress: usize, revision: Option<u64>, arrives: Instant) {
-        let Some((newest, sent_at)) = self.newest_change else {
+        let Some(Change {
+            revision: newest,
+            sent_at,
+        }) = self.newest_change
+        else {
             return;
         };
         let is_newest = revision.is_some_and(|revision| revision >= newest);
--- a/crates/linenthread-hollow/src/world/ingress_nodes.rs
+++ b/crates/linenthread-hollow/src/world/ingress_nodes.rs
@@ -4,7 +4,7 @@
 
 use linenthread_control::SessionId;
 
-use super::state::{End, Event, World};
+use super::state::{End, Event, JoinState, World};
 use crate::control::Input;
 use crate::ingress::Session;
 
@@ -12,8 +12,8 @@
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(500);
 
 impl World {
-    /// An ingress node opens a session: with nothing, or as one that was there a moment ago.
-    pub(super) fn join(&mut self, index: usize, fresh: bool) {
+    /// An ingress node opens a session with its control node, instead of the one that it has.
+    pub(super) fn join(&mut self, index: usize, state: JoinState) {
         if let Some(session) = self.ingress[index].session.take() {
             self.close_session(session.id, End::Ingress(index));
         }
@@ -27,11 +27,12 @@
             id: session,
             control,
         });
-        let frame = if fresh {
-            ingress.hello(None, 0)
-        } else {
-            ingress.revision = ingress.revision.max(1);
-            ingress.hello(self.control[control].position, ingress.revision)
+        let frame = match state {
+            JoinState::Nothing => ingress.hello(None, 0),
+            JoinState::UpToDate => {
+                ingress.revision = ingress.revision.max(1);
+                ingress.hello(self.control[control].position, ingress.revision)
+            }
         };
         let at = self.now + ingress.zone.latency_to(self.control[control].zone);
         self.push_input(at, control, Input::Opened(session));
--- a/crates/linenthread-hollow/src/world/responses.rs
+++ b/crates/linenthread-hollow/src/world/responses.rs
@@ -3,9 +3,9 @@
 use std::time::Duration;
 
 use linenthread_control::{CallId, Response};
-use linenthread_time::{Instant, whole_millis};
+use linenthread_time::whole_millis;
 
-use super::state::{Caller, Event, TraceLine, World, control_name};
+use super::state::{Caller, Change, Event, TraceLine, World, control_name};
 use crate::cost::Work;
 use crate::replica::response_bytes;
 use crate::zones::Zone;
@@ -19,24 +19,20 @@
             Some(Caller::Replica(replica)) => {
                 self.on_replica_response(control, replica, response);
             }
-            Some(Caller::Operator { revision, sent_at }) => {
-                self.on_operator_response(control, revision, sent_at, response);
+            Some(Caller::Operator(change)) => {
+                self.on_operator_response(control, change, response);
             }
             None => {}
         }
     }
 
-    fn on_operator_response(
-        &mut self,
-        control: usize,
-        revision: u64,
-        sent_at: Instant,
-        response: &Response,
-    ) {
+    /// A change that was committed counts as acknowledged; any other is sent again.
+    fn on_operator_response(&mut self, control: usize, change: Change, response: &Response) {
         let Response::Committed(_) = response else {
-            let retry = Event::Change { revision, sent_at };
+            let retry = Event::Change(change);
             return self.events.push(self.now + RETRY_DELAY, retry);
         };
+        let Change { revision, sent_at } = change;
         let received = self.now + Zone::OPERATOR.latency_to(self.control[control].zone);
         self.acknowledged
             .saturating_record(whole_millis(received.since(sent_at)));
--- a/crates/linenthread-hollow/src/world/run.rs
+++ b/crates/linenthread-hollow/src/world/run.rs
@@ -4,7 +4,7 @@
 
 use linenthread_time::Instant;
 
-use super::state::{Event, World};
+use super::state::{Event, JoinState, World};
 use crate::ingress::Table;
 use crate::number::count;
 
@@ -27,7 +27,7 @@
 const STORM: Duration = Duration::from_millis(400);
 /// A storm comes so long after the measured time.
 const STORM_DELAY: Duration = Duration::from_millis(1);
-/// Ingress nodes that hold what an ingress node holds, to measure it.
+/// Ingress nodes that have a table of replicas and routes, to measure its cost.
 const TABLES: usize = 3;
 
 impl World {
@@ -50,13 +50,13 @@
             if has_table {
                 self.ingress[ingress].table = Some(Table::default());
             }
-            let fresh = is_first || has_table;
-            let at = if fresh {
-                FIRST_INGRESS_AT
+            let (at, state) = if is_first || has_table {
+                (FIRST_INGRESS_AT, JoinState::Nothing)
             } else {
-                INGRESS_AT + self.millis_below(INGRESS_WITHIN)
+                let at = INGRESS_AT + self.millis_below(INGRESS_WITHIN);
+                (at, JoinState::UpToDate)
             };
-            self.events.push(at, Event::IngressJoins { ingress, fresh });
+            self.events.push(at, Event::IngressJoins { ingress, state });
         }
     }
 
@@ -82,7 +82,7 @@
                     self.run_control(control, input);
                 }
             }
-            Event::IngressJoins { ingress, fresh } => self.join(ingress, fresh),
+            Event::IngressJoins { ingress, state } => self.join(ingress, state),
             Event::IngressHeartbeat { ingress, session } => {
                 self.send_ingress_heartbeat(ingress, session);
             }
@@ -90,7 +90,7 @@
             Event::ReplicaRestart(replica) => self.restart_replica(replica),
             Event::ReplicaDeparts(replica) => self.depart_replica(replica),
             Event::ReplicaReturns(replica) => self.return_replica(replica),
-            Event::Change { revision, sent_at } => self.send_change(revision, sent_at),
+            Event::Change(change) => self.send_change(change),
         }
     }
 
@@ -133,7 +133,7 @@
         for ingress in 0..joining {
             let join = Event::IngressJoins {
                 ingress,
-                fresh: true,
+                state: JoinState::Nothing,
             };
             self.events.push(self.now + STORM_DELAY, join);
         }
--- a/crates/linenthread-hollow/src/world/state.rs
+++ b/crates/linenthread-hollow/src/world/state.rs
@@ -45,10 +45,10 @@
         incarnation: u64,
         input: Input,
     },
-    /// An ingress node opens a session; a fresh one has nothing.
+    /// An ingress node opens a session.
     IngressJoins {
         ingress: usize,
-        fresh: bool,
+        state: JoinState,
     },
     IngressHeartbeat {
         ingress: usize,
@@ -58,17 +58,31 @@
     ReplicaRestart(usize),
     ReplicaDeparts(usize),
     ReplicaReturns(usize),
-    /// The operator sends a change, for the first time at `sent_at`.
-    Change {
-        revision: u64,
-        sent_at: Instant,
-    },
+    /// The operator sends a change, for the first time or again.
+    Change(Change),
+}
+
+/// What an ingress node has when it joins.
+#[derive(Clone, Copy, PartialEq, Eq)]
+pub(super) enum JoinState {
+    /// Nothing: it needs a snapshot.
+    Nothing,
+    /// All up to where the change log of its control node is now, as one that was there a moment ago.
+    UpToDate,
+}
+
+/// A change of the configuration by the operator.
+#[derive(Clone, Copy)]
+pub(super) struct Change {
+    pub(super) revision: u64,
+    /// When it was sent for the first time.
+    pub(super) sent_at: Instant,
 }
 
 /// Who waits for the response to a call.
 pub(super) enum Caller {
     Replica(usize),
-    Operator { revision: u64, sent_at: Instant },
+    Operator(Change),
 }
 
 /// The machine of a control node.
@@ -118,8 +132,8 @@
     pub(crate) acknowledged: Histogram<u64>,
     /// Milliseconds from the operator's call to its being in force, ingress node by ingress node.
     pub(crate) in_force: Histogram<u64>,
-    /// The newest change, and when it was sent.
-    pub(super) newest_change: Option<(u64, Instant)>,
+    /// The newest change that was sent.
+    pub(super) newest_change: Option<Change>,
     /// What happened, if it is recorded.
     pub(crate) trace: Option<Vec<TraceLine>>,
 }
