--- a/crates/linenthread-demo/src/cluster.rs
+++ b/crates/linenthread-demo/src/cluster.rs
@@ -4,6 +4,7 @@
 use std::hash::BuildHasher;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
+use std::process::ExitStatus;
 use std::time::{Duration, Instant};
 
 use linenthread_ctl::{Client, MembersStatus, Request, RequestError, Response};
@@ -212,15 +213,17 @@
             .is_some_and(|machine| machine.signal(signal))
     }
 
-    /// Waits until the process of a machine has exited: whether with success; `None` when the time is over.
-    pub fn wait_for_exit(&mut self, name: &str, timeout: Duration) -> Option<bool> {
+    /// Waits until the process of a machine has exited; `None` when the time is over.
+    pub fn wait_for_exit(&mut self, name: &str, timeout: Duration) -> Option<ExitStatus> {
         self.machine_mut(name)?.wait_for_exit(timeout)
     }
 
     /// Asks the process of a machine to shut down and waits until it has; true if it exited with success in time.
     pub fn shut_down(&mut self, name: &str) -> bool {
         self.signal(name, Signal::Terminate)
-            && self.wait_for_exit(name, SHUTDOWN_TIMEOUT) == Some(true)
+            && self
+                .wait_for_exit(name, SHUTDOWN_TIMEOUT)
+                .is_some_and(|status| status.success())
     }
 
     /// Whether the process of a machine runs.
@@ -258,19 +261,19 @@
         self.lines.forget(name);
     }
 
-    /// Waits until the members as one control node knows them are as wanted; false when the time is over.
+    /// Waits until the members as one control node knows them are as expected; false when the time is over.
     pub fn wait_for_members(
         &self,
         name: &str,
         timeout: Duration,
-        is_wanted: impl Fn(&MembersStatus) -> bool,
+        is_expected: impl Fn(&MembersStatus) -> bool,
     ) -> bool {
         let Some(peer) = self.control_address(name) else {
             return false;
         };
         let deadline = Instant::now() + timeout;
         loop {
-            if members_at(peer).is_some_and(|members| is_wanted(&members)) {
+            if members_at(peer).is_some_and(|members| is_expected(&members)) {
                 return true;
             }
             if Instant::now() >= deadline {
--- a/crates/linenthread-demo/src/machine.rs
+++ b/crates/linenthread-demo/src/machine.rs
@@ -3,7 +3,7 @@
 use std::io::ErrorKind;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
-use std::process::{Child, ChildStdout, Command, Stdio};
+use std::process::{Child, ChildStdout, Command, ExitStatus, Stdio};
 use std::time::{Duration, Instant};
 
 use snafu::ResultExt;
@@ -194,14 +194,14 @@
         }
     }
 
-    /// Waits until its process has exited: whether with success; `None` when the time is over.
-    pub(crate) fn wait_for_exit(&mut self, timeout: Duration) -> Option<bool> {
+    /// Waits until its process has exited; `None` when the time is over.
+    pub(crate) fn wait_for_exit(&mut self, timeout: Duration) -> Option<ExitStatus> {
         let deadline = Instant::now() + timeout;
         loop {
             let exited = self.process.as_mut()?.try_wait();
             if let Ok(Some(status)) = exited {
                 self.process = None;
-                return Some(status.success());
+                return Some(status);
             }
             if Instant::now() >= deadline {
                 return None;
--- a/crates/linenthread-demo/src/scenarios/faulty_replicas.rs
+++ b/crates/linenthread-demo/src/scenarios/faulty_replicas.rs
@@ -146,7 +146,7 @@
     let outcomes = send_all(ingress, context.scale.requests);
     check_responses(&mut findings, &outcomes);
     check_runs(&mut findings, &cluster, &outcomes);
-    note_counts(&mut findings, &cluster, &outcomes);
+    add_counts(&mut findings, &cluster, &outcomes);
     Ok(findings)
 }
 
@@ -252,7 +252,8 @@
     }
 }
 
-fn note_counts(findings: &mut Findings, cluster: &Cluster, outcomes: &[RequestOutcome]) {
+/// Adds how often each status and each fault came.
+fn add_counts(findings: &mut Findings, cluster: &Cluster, outcomes: &[RequestOutcome]) {
     let mut statuses: BTreeMap<Option<u16>, usize> = BTreeMap::new();
     for outcome in outcomes {
         *statuses.entry(outcome.status).or_default() += 1;
--- a/crates/linenthread-demo/src/scenarios/lost_quorum.rs
+++ b/crates/linenthread-demo/src/scenarios/lost_quorum.rs
@@ -63,7 +63,7 @@
     Ok(findings)
 }
 
-/// While the others are paused, the node settles nothing, and knows that it has no quorum.
+/// While the others are paused, the node commits nothing, and knows that it has no quorum.
 fn check_node_alone(
     findings: &mut Findings,
     cluster: &Cluster,
@@ -95,7 +95,7 @@
         || describe(&outcome),
     );
     if !outcome.is(200) {
-        note_state(findings, cluster, order);
+        add_state(findings, cluster, order);
     }
     let applied = ["event=configuration_applied", "revision=2"];
     let is_applied = cluster.wait_for_line(INGRESS, &applied, RECOVERY_TIMEOUT);
@@ -106,8 +106,8 @@
     );
 }
 
-/// What each node knows and responds after an order had no clear response.
-fn note_state(findings: &mut Findings, cluster: &Cluster, order: &Order) {
+/// Adds what each node knows and responds after an order had no clear response.
+fn add_state(findings: &mut Findings, cluster: &Cluster, order: &Order) {
     for peer in cluster.control_addresses() {
         let outcome = replace_at(peer, order, RECOVERY_TIMEOUT);
         findings.add_note(format!(
--- a/crates/linenthread-demo/src/scenarios/mod.rs
+++ b/crates/linenthread-demo/src/scenarios/mod.rs
@@ -1,7 +1,11 @@
 //! The worst days of a deployment: each scenario starts a cluster of its own, injects one kind of fault, with
 //! moments drawn at random, and checks what callers see.
 //!
-//! The points 1 to 5 are the users' own list of what went wrong in systems of this kind.
+//! The points 1 to 5 are the users' own list of what went wrong in systems of this kind. Each scenario's module says
+//! what its fault is and what must hold; a [`Violation`] names the invariant as it stands in the check.
+//!
+//! `linenthread-demo rounds` prints the seed and the point of each scenario. `linenthread-demo rounds --seed N --point P`
+//! draws the same faults again, at the same moments; what real processes and sockets do between them may differ.
 
 mod catch_up;
 mod conflicting_orders;
--- a/crates/linenthread-demo/src/scenarios/paused_node.rs
+++ b/crates/linenthread-demo/src/scenarios/paused_node.rs
@@ -29,8 +29,11 @@
     Drain,
 }
 
-/// What one of them came to.
-type CallThread = JoinHandle<(PendingCall, CallOutcome)>;
+/// A call that waited, and its outcome.
+struct CompletedCall {
+    call: PendingCall,
+    outcome: CallOutcome,
+}
 
 pub(super) fn run(context: &mut Context<'_>) -> Result<Findings, DemoError> {
     let mut findings = Findings::default();
@@ -60,8 +63,8 @@
     let pending = start_calls(peer, first, second, conflict.clone(), resumes_at);
     std::thread::sleep(resumes_at.saturating_duration_since(Instant::now()));
     cluster.signal(&paused, Signal::Continue);
-    for call in pending {
-        if let Ok((call, outcome)) = call.join() {
+    for thread in pending {
+        if let Ok(CompletedCall { call, outcome }) = thread.join() {
             check_call(&mut findings, &call, &outcome, &others);
         }
     }
@@ -87,7 +90,7 @@
     second: Order,
     conflict: Order,
     resumes_at: Instant,
-) -> Vec<CallThread> {
+) -> Vec<JoinHandle<CompletedCall>> {
     let calls = [
         PendingCall::Read,
         PendingCall::Read,
@@ -104,7 +107,7 @@
         .collect()
 }
 
-fn start_call(peer: SocketAddr, call: PendingCall, timeout: Duration) -> CallThread {
+fn start_call(peer: SocketAddr, call: PendingCall, timeout: Duration) -> JoinHandle<CompletedCall> {
     std::thread::spawn(move || {
         let outcome = match &call {
             PendingCall::Read => read_at(peer, timeout),
@@ -113,7 +116,7 @@
             }
             PendingCall::Drain => drain_at(peer, DRAINING_REPLICA, SERVICES[0], timeout),
         };
-        (call, outcome)
+        CompletedCall { call, outcome }
     })
 }
 
--- a/crates/linenthread-demo/src/scenarios/replacement.rs
+++ b/crates/linenthread-demo/src/scenarios/replacement.rs
@@ -38,8 +38,8 @@
     "event=stopping",
     "event=stopped",
 ];
-/// Between two orders.
-const PAUSE: Duration = Duration::from_millis(30);
+/// The time between two orders.
+const ORDER_INTERVAL: Duration = Duration::from_millis(30);
 
 /// The control nodes of the scenario, by name.
 struct Nodes {
@@ -58,7 +58,12 @@
     let (mut cluster, first) = start_cluster(context.program)?;
     let (leaving, others) = draw_one(&cluster.control_names(), context.random);
     let (diskless, others) = draw_one(&others, context.random);
-    let writer = Writer::start(cluster.control_addresses(), first, &SERVICES, PAUSE);
+    let writer = Writer::start(
+        cluster.control_addresses(),
+        first,
+        &SERVICES,
+        ORDER_INTERVAL,
+    );
     let joined = cluster.add_control_node()?;
     writer.set_addresses(cluster.control_addresses());
     let nodes = Nodes {
--- a/crates/linenthread-demo/src/scenarios/rolling_restart.rs
+++ b/crates/linenthread-demo/src/scenarios/rolling_restart.rs
@@ -16,13 +16,18 @@
 const RESTART_TIMEOUT: Duration = Duration::from_secs(6);
 /// The longest time between two restarts.
 const MAX_DELAY: Duration = Duration::from_millis(500);
-/// Between two orders.
-const PAUSE: Duration = Duration::from_millis(30);
+/// The time between two orders.
+const ORDER_INTERVAL: Duration = Duration::from_millis(30);
 
 pub(super) fn run(context: &mut Context<'_>) -> Result<Findings, DemoError> {
     let mut findings = Findings::default();
     let (mut cluster, first) = start_cluster(context.program)?;
-    let writer = Writer::start(cluster.control_addresses(), first, &SERVICES, PAUSE);
+    let writer = Writer::start(
+        cluster.control_addresses(),
+        first,
+        &SERVICES,
+        ORDER_INTERVAL,
+    );
     let mut remaining = cluster.control_names();
     while !remaining.is_empty() {
         let (name, others) = draw_one(&remaining, context.random);
--- a/crates/linenthread-demo/src/scenarios/setup.rs
+++ b/crates/linenthread-demo/src/scenarios/setup.rs
@@ -184,7 +184,7 @@
 pub(super) fn check_shutdown(findings: &mut Findings, cluster: &mut Cluster, name: &str) {
     let exited = cluster.wait_for_exit(name, SHUTDOWN_TIMEOUT);
     findings.check(
-        exited == Some(true),
+        exited.is_some_and(|status| status.success()),
         "a node that is asked to shut down exits with success in its grace period",
         || format!("{name}: {exited:?}"),
     );
--- a/crates/linenthread-demo/src/writer.rs
+++ b/crates/linenthread-demo/src/writer.rs
@@ -45,19 +45,19 @@
 }
 
 impl Writer {
-    /// Starts with the order after one that was acknowledged, and pauses after each acknowledgement.
+    /// Starts with the order after one that was acknowledged, and waits for an interval after each acknowledgement.
     pub(crate) fn start(
         addresses: Vec<SocketAddr>,
         acknowledged: Order,
         services: &'static [&'static str],
-        pause: Duration,
+        interval: Duration,
     ) -> Writer {
         let shared = Arc::new(Shared {
             addresses: Mutex::new(addresses),
             is_stopped: AtomicBool::new(false),
         });
         let state = shared.clone();
-        let thread = std::thread::spawn(move || write(&state, acknowledged, services, pause));
+        let thread = std::thread::spawn(move || write(&state, acknowledged, services, interval));
         Writer { shared, thread }
     }
 
@@ -75,7 +75,12 @@
     }
 }
 
-fn write(shared: &Shared, acknowledged: Order, services: &[&str], pause: Duration) -> WriterReport {
+fn write(
+    shared: &Shared,
+    acknowledged: Order,
+    services: &[&str],
+    interval: Duration,
+) -> WriterReport {
     let mut report = WriterReport {
         last: acknowledged,
         pending: None,
@@ -98,7 +103,7 @@
                 report.last = order;
                 report.acknowledged += 1;
                 acknowledged_at = Instant::now();
-                std::thread::sleep(pause);
+                std::thread::sleep(interval);
             }
             Some(status) if outcome.is_clear() => {
                 let revision = order.revision;
