--- a/crates/linenthread-simulation/src/failover/coordinator.rs
+++ b/crates/linenthread-simulation/src/failover/coordinator.rs
@@ -51,7 +51,7 @@
             queries: Vec::new(),
             free_queries: Vec::new(),
             wake_at: START,
-            observer: ZoneObserver::new(number::zone_number(zone)),
+            observer: ZoneObserver::new(number::zone_index(zone)),
             controller: None,
             arriving_routes: VecDeque::new(),
         }
--- a/crates/linenthread-simulation/src/failover/routing.rs
+++ b/crates/linenthread-simulation/src/failover/routing.rs
@@ -1,13 +1,11 @@
 //! The decisions on routes between zones, by each policy.
 
 use linenthread_core::interface::TenthMillis;
-use linenthread_zones::{
-    FailoverController, Reason, Report, Route, RoutingTable, Topology, limit_to_capacity,
-};
+use linenthread_zones::{Reason, Report, Route, RoutingTable, Topology, limit_to_capacity};
 
 use super::coordinator::zone_routes;
 use super::policy::Policy;
-use super::topology::{config, topology, zone_names};
+use super::topology::{controller, topology, zone_names};
 use super::world::World;
 use super::{
     CORES, FAULT_START, PER_ZONE, REPLICAS, SECOND, SERVICE_TIME, START, SUB_REQUESTS_PER_QUERY,
@@ -56,11 +54,9 @@
     fn decide_alone(&mut self, index: usize, report: &Report, topology: &Topology) {
         let now = self.now;
         let node = &mut self.coordinators[index];
-        let controller = node.controller.get_or_insert_with(|| {
-            FailoverController::new(config(), topology.zones.clone(), None, now)
-        });
-        controller.add_report(report);
-        if let Some(table) = controller.decide(now, 0, topology) {
+        let local = node.controller.get_or_insert_with(|| controller(now));
+        local.add_report(report);
+        if let Some(table) = local.decide(now, 0, topology) {
             let routes = zone_routes(node.zone, table.rows.get(node.zone));
             node.arriving_routes.push_back((now, routes));
         }
--- a/crates/linenthread-simulation/src/failover/topology.rs
+++ b/crates/linenthread-simulation/src/failover/topology.rs
@@ -2,7 +2,8 @@
 
 use std::collections::BTreeMap;
 
-use linenthread_zones::{FailoverConfig, Placement, Topology, Zone};
+use linenthread_core::interface::TenthMillis;
+use linenthread_zones::{FailoverConfig, FailoverController, Placement, Topology, Zone};
 
 use super::replica::Replica;
 use super::{REPLICAS, SECOND, SHARDS, ZONES};
@@ -18,7 +19,7 @@
 }
 
 /// The settings of the failover controller.
-pub(super) fn config() -> FailoverConfig {
+fn config() -> FailoverConfig {
     FailoverConfig {
         capacity_margin: 0.8,
         hold: 5 * SECOND,
@@ -27,6 +28,12 @@
     }
 }
 
+/// A controller that has decided nothing yet.
+pub(super) fn controller(now: TenthMillis) -> FailoverController {
+    let zones = topology(&[]).zones;
+    FailoverController::new(config(), zones, None, now).expect("a valid configuration")
+}
+
 /// Zones and shards, with the replicas that are up.
 pub(super) fn topology(replicas: &[Replica]) -> Topology {
     let mut running = vec![0; ZONES];
--- a/crates/linenthread-simulation/src/failover/traffic.rs
+++ b/crates/linenthread-simulation/src/failover/traffic.rs
@@ -153,7 +153,7 @@
         }
         let elapsed = self.now - attempt.sent_at;
         let queue_depth = f64::from(attempt.queue_depth);
-        let zone = number::zone_number(attempt.replica % ZONES);
+        let zone = number::zone_index(attempt.replica % ZONES);
         let node = &mut self.coordinators[attempt.coordinator];
         node.observer
             .on_outcome(zone, attempt.replica, outcome, elapsed);
@@ -192,7 +192,7 @@
     ) {
         let queue_depth = number::float(self.replicas[replica].queue.len());
         let node = &mut self.coordinators[coordinator];
-        let zone = number::zone_number(replica % ZONES);
+        let zone = number::zone_index(replica % ZONES);
         node.observer
             .on_outcome(zone, replica, outcome, OBSERVED_HEALTH_CHECK);
         node.inputs.probes.push(ProbeResult {
--- a/crates/linenthread-simulation/src/failover/world.rs
+++ b/crates/linenthread-simulation/src/failover/world.rs
@@ -66,7 +66,6 @@
 impl World {
     /// A world in which no query has been made yet.
     pub(super) fn new(policy: Policy, fault: Fault, utilization: f64, seed: u64) -> World {
-        let zones = topology::topology(&[]).zones;
         let capacity = number::float(REPLICAS) * number::float(CORES) / SERVICE_TIME;
         let coordinators = ZONES * PER_ZONE;
         let query_rate = capacity * utilization
@@ -86,7 +85,7 @@
                 .collect(),
             membership_updates: Vec::new(),
             query_rate,
-            controller: FailoverController::new(topology::config(), zones, None, START),
+            controller: topology::controller(START),
             pending_report: Report::default(),
             fault_is_active: false,
             fault_has_ended: false,
--- a/crates/linenthread-simulation/src/number.rs
+++ b/crates/linenthread-simulation/src/number.rs
@@ -1,6 +1,7 @@
 //! Conversions between counts, simulated times and figures, in one place.
 
 use linenthread_core::interface::TenthMillis;
+use linenthread_zones::ZoneIndex;
 
 /// A second of simulated time.
 pub(crate) const SECOND: TenthMillis = 10_000;
@@ -59,9 +60,9 @@
     u32::try_from(length).expect("fewer than 2^32")
 }
 
-/// The number of a zone as reports have it.
-pub(crate) fn zone_number(zone: usize) -> u8 {
-    u8::try_from(zone).expect("fewer than 256 zones")
+/// The index of a zone as reports have it.
+pub(crate) fn zone_index(zone: usize) -> ZoneIndex {
+    ZoneIndex::new(zone).expect("few zones")
 }
 
 /// What part of all so many are, in percent; 0 of none.
--- a/crates/linenthread-simulation/src/zones/reports.rs
+++ b/crates/linenthread-simulation/src/zones/reports.rs
@@ -1,6 +1,6 @@
 //! What arrives at the leader of the coordinators' reports.
 
-use linenthread_zones::{Demand, Report, RouteStats};
+use linenthread_zones::{Demand, Report, RouteStats, ZonePair};
 
 use super::world::World;
 use crate::number;
@@ -23,10 +23,13 @@
     /// A report of any content.
     pub(super) fn hostile_report(&mut self) -> Report {
         let mut report = Report::default();
-        let zones = number::count(self.topology.zones.len());
+        let zones = self.topology.zones.len();
         let rng = &mut self.rng;
         for _ in 0..rng.rand_range(0..12) {
-            let route = (random::within(rng, 0..zones), random::within(rng, 0..zones));
+            let route = ZonePair {
+                from: number::zone_index(random::index(rng, zones)),
+                to: number::zone_index(random::index(rng, zones)),
+            };
             let observers = random::within(rng, 0..9);
             let completed = random::within(rng, 0..1_000);
             let stats = RouteStats {
@@ -42,7 +45,7 @@
                 observers: 3,
                 sub_requests: random::within(rng, 0..5_000),
             };
-            report.demand.insert(route.0, demand);
+            report.demand.insert(route.from, demand);
         }
         Report::decode(&report.encode()).expect("a report of ours")
     }
--- a/crates/linenthread-simulation/src/zones/tables.rs
+++ b/crates/linenthread-simulation/src/zones/tables.rs
@@ -1,8 +1,8 @@
 //! Routing tables on their way from the leader to the coordinators.
 
-use linenthread_zones::{ALL_KEYS, FailoverController, RoutingTable};
+use linenthread_zones::{ALL_KEYS, RoutingTable};
 
-use super::world::{World, config};
+use super::world::{World, controller};
 use crate::number;
 use crate::random;
 
@@ -23,12 +23,7 @@
     /// A new leader goes on from the replicated table alone.
     pub(super) fn change_leader(&mut self) {
         self.leaders += 1;
-        self.controller = FailoverController::new(
-            config(),
-            self.topology.zones.clone(),
-            self.table.as_ref(),
-            self.now,
-        );
+        self.controller = controller(&self.topology, self.table.as_ref(), self.now);
     }
 
     /// A table was made.
--- a/crates/linenthread-simulation/src/zones/world.rs
+++ b/crates/linenthread-simulation/src/zones/world.rs
@@ -66,6 +66,16 @@
     }
 }
 
+/// A controller that goes on from a table.
+pub(super) fn controller(
+    topology: &Topology,
+    table: Option<&RoutingTable>,
+    now: TenthMillis,
+) -> FailoverController {
+    FailoverController::new(config(), topology.zones.clone(), table, now)
+        .expect("a valid configuration")
+}
+
 /// Shards on a ring of replica groups: each shard is in several consecutive groups, and these go round the zones.
 fn placements(zones: usize, groups: usize, copies: usize) -> Vec<Placement> {
     let mut shares: BTreeMap<Vec<u16>, f64> = BTreeMap::new();
@@ -120,14 +130,14 @@
         let open = RoutingTable::open(names);
         let coordinator = |n: usize| Coordinator {
             zone: n % count,
-            observer: ZoneObserver::new(number::zone_number(n % count)),
+            observer: ZoneObserver::new(number::zone_index(n % count)),
             arriving: Vec::new(),
             table: open.clone(),
         };
         World {
             now: START,
             seed,
-            controller: FailoverController::new(config(), topology.zones.clone(), None, START),
+            controller: controller(&topology, None, START),
             coordinators: (0..count * observers).map(coordinator).collect(),
             table: None,
             rng,
