--- a/crates/linenthread-control/src/register_driver.rs
+++ b/crates/linenthread-control/src/control_node/register_driver.rs
@@ -1,7 +1,8 @@
 //! Drives the register: carries out what it asks for, and takes in what it decided.
 
 use linenthread_consensus::{
-    DeferredMessage, Effect as RegisterEffect, JobId, NodeId, Outcome, Register,
+    DeferredMessage, Effect as RegisterEffect, Epoch, JobId, NodeId, Outcome, Register, Revision,
+    ValueNumber,
 };
 use linenthread_messages::{DurableProgress, PeerMessage, Record, Value};
 use linenthread_time::Instant;
@@ -25,7 +26,7 @@
     }
 
     /// Sends a message to the node of an id, which may be this one. It is lost if there is no session with it.
-    pub(crate) fn send_to_node(
+    pub(super) fn send_to_node(
         &mut self,
         to: NodeId,
         message: PeerMessage,
@@ -39,7 +40,7 @@
     }
 
     /// Hands a record to the disk. If there is a new epoch in it, this node is notified when that is durable.
-    pub(crate) fn persist(
+    pub(super) fn persist(
         &mut self,
         record: Record,
         mut after_sync: Vec<DeferredMessage>,
@@ -58,7 +59,7 @@
     }
 
     /// Runs `first` on the register, then drives it until it has nothing more to do.
-    pub(crate) fn drive_register(
+    pub(super) fn drive_register(
         &mut self,
         now: Instant,
         first: impl FnOnce(&mut Register, &mut Vec<RegisterEffect>),
@@ -101,7 +102,7 @@
             PeerMessage::LeaseVote(vote) => self.on_lease_vote(now, own_id, &vote, effects),
             PeerMessage::LeaseRelease(release) => drop(self.lease.on_release(own_id, &release)),
             PeerMessage::DurableProgress(progress) => {
-                self.durability.on_epoch_synced(progress.epoch);
+                self.durability.on_epoch_synced(Epoch::new(progress.epoch));
             }
             message => self.register.on_message(now, own_id, message, actions),
         }
@@ -109,8 +110,8 @@
 
     fn on_decided(&mut self, now: Instant, value: &Value, effects: &mut Vec<Effect>) {
         effects.push(Effect::Log(ControlEvent::ValueDecided {
-            number: value.number,
-            revision: value.revision,
+            number: ValueNumber::of(value),
+            revision: Revision::of(value),
             voters: value.voters.len(),
         }));
         for voter in &value.voters {
@@ -122,11 +123,11 @@
             .voters
             .iter()
             .any(|voter| NodeId::from(voter) == self.register.id());
-        let votes_again =
-            is_voter && (!self.voting.is_voter || self.lease.skips_voter_change(value));
+        let was_voter = self.voting.set_voter(is_voter);
+        let votes_again = is_voter && (!was_voter || self.lease.skips_voter_change(value));
         self.lease.on_decided(value);
-        self.lease.observe_epoch(now, value.epoch, votes_again);
-        self.voting.is_voter = is_voter;
+        self.lease
+            .observe_epoch(now, Epoch::new(value.epoch), votes_again);
         for session in self.membership.sessions() {
             self.send_value(session, effects);
         }
@@ -161,7 +162,6 @@
                 }
             }
             Some(JobOwner::VoterChange) => {
-                self.voting.change_in_flight = false;
                 // Nodes that shut down wait for this news.
                 self.ticks.expedite();
                 // If an order was decided first, the change is tried again at once, before the next order.
@@ -174,7 +174,7 @@
     }
 
     /// Has an undecided value decided, one way or the other.
-    pub(crate) fn complete_undecided(&mut self, now: Instant, effects: &mut Vec<Effect>) {
+    pub(super) fn complete_undecided(&mut self, now: Instant, effects: &mut Vec<Effect>) {
         self.drive_register(
             now,
             |register, actions| {
--- a/crates/linenthread-control/src/ticks.rs
+++ b/crates/linenthread-control/src/control_node/ticks.rs
@@ -73,20 +73,28 @@
             .contact
             .since()
             .is_some_and(|since| now > since + timeout);
-        if settled && !self.registry_settled {
+        if self.registry.set_settled(settled) {
             // From now on a replica that an update does not name does not run.
             self.ingress_nodes.resend_all();
         }
-        self.registry_settled = settled;
         if !settled {
             return;
         }
         for id in self.registry.expire(now, timeout) {
-            self.ingress_nodes.changes.append(&id);
             effects.push(Effect::Log(ControlEvent::ReplicaTimedOut { id }));
         }
     }
 
+    /// Writes the replicas to disk, if they changed, so that a start of all nodes at once need not wait for their
+    /// heartbeats.
+    fn write_replica_snapshot(&mut self, now: Instant, effects: &mut Vec<Effect>) {
+        let record = self.snapshot_writer.next_record(now, &self.registry);
+        effects.extend(record.map(|record| Effect::Persist {
+            record,
+            after_sync: Vec::new(),
+        }));
+    }
+
     fn full_tick(&mut self, now: Instant, effects: &mut Vec<Effect>) {
         self.send_heartbeats(now, effects);
         self.send_ingress_sessions(effects);
@@ -121,7 +129,7 @@
         let is_connected = |address: &str| {
             membership
                 .iter()
-                .any(|(_, peer)| peer.hello.control_address == address)
+                .any(|(_, peer)| peer.hello().control_address == address)
         };
         let is_voter = |address: &str| voters.iter().any(|voter| voter.address == address);
         let addresses = self.address_book.next_to_dial(now, is_connected, is_voter);
