--- a/crates/linenthread-simulation/src/failover/processing.rs
+++ b/crates/linenthread-simulation/src/failover/processing.rs
@@ -1,6 +1,8 @@
 //! What replicas do with the attempts that arrive.
 
-use super::event::{AttemptIndex, Event, Outcome};
+use linenthread_core::interface::AttemptOutcome;
+
+use super::event::{AttemptIndex, Event};
 use super::world::{Attempt, World};
 use super::{CORES, SERVICE_TIME};
 use crate::number;
@@ -10,7 +12,7 @@
     pub(super) fn on_arrival(&mut self, attempt: AttemptIndex) {
         let replica = self.attempts[attempt].replica;
         if !self.replicas[replica].is_up {
-            return self.respond(attempt, Outcome::ConnectFailed);
+            return self.respond(attempt, AttemptOutcome::ConnectFailed);
         }
         self.attempts[attempt].queue_depth = number::small(self.replicas[replica].queue.len());
         self.replicas[replica].queue.push_back(attempt);
@@ -48,7 +50,7 @@
         let processing = &mut self.replicas[replica].processing;
         processing.retain(|other| *other != attempt);
         if !self.is_cut_off(self.attempts[attempt].coordinator, replica) {
-            self.respond(attempt, Outcome::Success);
+            self.respond(attempt, AttemptOutcome::Success);
         }
         self.process_queue(replica);
     }
@@ -56,12 +58,12 @@
     /// A replica stops, and all that it has is lost.
     pub(super) fn stop_replica(&mut self, replica: usize) {
         for attempt in self.replicas[replica].stop() {
-            self.respond(attempt, Outcome::ConnectionLost);
+            self.respond(attempt, AttemptOutcome::ConnectionLost);
         }
     }
 
     /// An outcome goes to the attempt's coordinator.
-    fn respond(&mut self, attempt: AttemptIndex, outcome: Outcome) {
+    fn respond(&mut self, attempt: AttemptIndex, outcome: AttemptOutcome) {
         let Attempt {
             coordinator,
             replica,
--- a/crates/linenthread-simulation/src/failover/simulation.rs
+++ b/crates/linenthread-simulation/src/failover/simulation.rs
@@ -1,7 +1,5 @@
 //! One run from its start to its end, event by event.
 
-use std::cmp::Reverse;
-
 use linenthread_core::interface::{AttemptOutcome, TenthMillis};
 
 use super::SECOND;
@@ -42,12 +40,7 @@
     }
 
     fn handle_due_events(&mut self) {
-        while let Some(Reverse((at, _, event))) = self.events.peek() {
-            if *at > self.now {
-                break;
-            }
-            let event = *event;
-            self.events.pop();
+        while let Some((_, event)) = self.events.pop_by(self.now) {
             self.handle(event);
         }
     }
@@ -65,13 +58,13 @@
                     self.on_processed(replica, attempt);
                 }
             }
-            Event::Respond { attempt, outcome } => self.end_attempt(attempt, outcome.into()),
+            Event::Respond { attempt, outcome } => self.end_attempt(attempt, outcome),
             Event::TimeOut { attempt } => self.end_attempt(attempt, AttemptOutcome::TimedOut),
             Event::HealthChecked {
                 coordinator,
                 replica,
                 outcome,
-            } => self.on_health_checked(coordinator, replica, outcome.into()),
+            } => self.on_health_checked(coordinator, replica, outcome),
             Event::Membership { update } => self.on_membership(update),
         }
     }
--- a/crates/linenthread-simulation/src/failover/traffic.rs
+++ b/crates/linenthread-simulation/src/failover/traffic.rs
@@ -7,7 +7,7 @@
 
 use super::coordinator::Query;
 use super::decisions::{CancelAttempt, SendAttempt};
-use super::event::{AttemptIndex, Event, Outcome};
+use super::event::{AttemptIndex, Event};
 use super::world::{Attempt, World};
 use super::{FAULT_START, SHARDS, SOFT_DEADLINE, START, SUB_REQUESTS_PER_QUERY, ZONES};
 use crate::number;
@@ -54,7 +54,7 @@
             index: 0,
             customer: 0,
             key: Some(key),
-            sequence_number: self.last_event,
+            sequence_number: self.events.last_number(),
             hard_deadline: now + HARD_DEADLINE,
         });
         let sub_request = |n: usize| NewSubRequest {
@@ -170,11 +170,11 @@
     fn check_health(&mut self, coordinator: usize, replica: usize) {
         let round_trip = 2 * self.latency(coordinator, replica);
         let (wait, outcome) = if self.is_cut_off(coordinator, replica) {
-            (HEALTH_CHECK_TIMEOUT, Outcome::TimedOut)
+            (HEALTH_CHECK_TIMEOUT, AttemptOutcome::TimedOut)
         } else if self.replicas[replica].is_up {
-            (round_trip + HEALTH_CHECK_TIME, Outcome::Success)
+            (round_trip + HEALTH_CHECK_TIME, AttemptOutcome::Success)
         } else {
-            (round_trip, Outcome::ConnectFailed)
+            (round_trip, AttemptOutcome::ConnectFailed)
         };
         let checked = Event::HealthChecked {
             coordinator,
--- a/crates/linenthread-simulation/src/failover/world.rs
+++ b/crates/linenthread-simulation/src/failover/world.rs
@@ -1,8 +1,5 @@
 //! The simulated world: coordinators, replicas and the network between them.
 
-use std::cmp::Reverse;
-use std::collections::BinaryHeap;
-
 use linenthread_core::interface::{
     MembershipEntry, MembershipUpdate, Phase, ReplicaIndex, TenthMillis,
 };
@@ -17,6 +14,7 @@
 use super::statistics::Totals;
 use super::topology;
 use super::{CORES, PER_ZONE, REPLICAS, SERVICE_TIME, START, SUB_REQUESTS_PER_QUERY, ZONES};
+use crate::event_queue::EventQueue;
 use crate::number;
 
 /// The first replica's id; any number does.
@@ -47,8 +45,7 @@
     pub(super) policy: Policy,
     pub(super) fault: Fault,
     pub(super) rng: Rand64,
-    pub(super) events: BinaryHeap<Reverse<(TenthMillis, u64, Event)>>,
-    pub(super) last_event: u64,
+    pub(super) events: EventQueue<Event>,
     pub(super) attempts: Vec<Attempt>,
     pub(super) replicas: Vec<Replica>,
     pub(super) coordinators: Vec<CoordinatorNode>,
@@ -76,8 +73,7 @@
             policy,
             fault,
             rng: Rand64::new(u128::from(seed)),
-            events: BinaryHeap::new(),
-            last_event: 0,
+            events: EventQueue::default(),
             attempts: Vec::new(),
             replicas: vec![Replica::running(); REPLICAS],
             coordinators: (0..coordinators)
@@ -116,11 +112,9 @@
         }
     }
 
-    /// Schedules an event.
+    /// Schedules an event, for the next moment at the earliest.
     pub(super) fn schedule(&mut self, wait: TenthMillis, event: Event) {
-        self.last_event += 1;
-        self.events
-            .push(Reverse((self.now + wait.max(1), self.last_event, event)));
+        self.events.push(self.now + wait.max(1), event);
     }
 
     /// Whether a zone is lost now.
--- a/crates/linenthread-simulation/src/fleet/connections.rs
+++ b/crates/linenthread-simulation/src/fleet/connections.rs
@@ -1,11 +1,11 @@
 //! Connections between processes, and the bytes and datagrams on their way.
 
 use linenthread_core::interface::TenthMillis;
-
 use linenthread_fleet::ConnectionId;
 
 use super::SECOND;
 use super::event::{Event, LinkNumber, ProcessIndex, Side};
+use super::network::{End, Sides};
 use super::world::World;
 
 /// How long a connection attempt into a partition takes.
@@ -24,7 +24,11 @@
         let is_partitioned =
             self.network.is_partitioned(from, to) || self.network.is_partitioned(to, from);
         let both_run = self.processes[from].fleet.is_some() && self.processes[to].fleet.is_some();
-        if both_run && !is_partitioned && self.accept((from, connection), to) {
+        let connecting = End {
+            process: from,
+            connection,
+        };
+        if both_run && !is_partitioned && self.accept(connecting, to) {
             return;
         }
         let wait = if is_partitioned {
@@ -32,15 +36,23 @@
         } else {
             REFUSE_LATENCY
         };
-        let link = self.next_number();
-        self.network
-            .add_refused(link, [(from, connection), (to, ConnectionId(0))]);
-        self.schedule(wait, Event::Closed { link, side: 0 });
+        let link = self.events.take_number();
+        let accepting = End {
+            process: to,
+            connection: ConnectionId(0),
+        };
+        let ends = Sides {
+            connecting,
+            accepting,
+        };
+        self.network.add_refused(link, ends);
+        let side = Side::Connecting;
+        self.schedule(wait, Event::Closed { link, side });
     }
 
     /// Whether a process accepts a connection.
-    fn accept(&mut self, from: (ProcessIndex, ConnectionId), to: ProcessIndex) -> bool {
-        let link = self.next_number();
+    fn accept(&mut self, connecting: End, to: ProcessIndex) -> bool {
+        let link = self.events.take_number();
         let process = &mut self.processes[to];
         let now = process.local_time(self.now);
         let Some(fleet) = &mut process.fleet else {
@@ -51,26 +63,34 @@
             return false;
         };
         // The link is there before anything is sent over it.
-        self.network.add_link(link, [from, (to, connection)]);
+        let accepting = End {
+            process: to,
+            connection,
+        };
+        let ends = Sides {
+            connecting,
+            accepting,
+        };
+        self.network.add_link(link, ends);
         self.perform(to, actions);
         true
     }
 
     /// Bytes arrive at a side of a link.
     pub(super) fn on_bytes(&mut self, link: LinkNumber, side: Side, bytes: &[u8]) {
-        if let Some((at, connection)) = self.network.current_end(link, side) {
-            self.call(at, |fleet, now, actions| {
-                fleet.on_received(now, connection, bytes, actions);
+        if let Some(end) = self.network.current_end(link, side) {
+            self.call(end.process, |fleet, now, actions| {
+                fleet.on_received(now, end.connection, bytes, actions);
             });
         }
     }
 
     /// A side of a link learns that the other has closed it.
     pub(super) fn on_closed(&mut self, link: LinkNumber, side: Side) {
-        if let Some((at, connection)) = self.network.current_end(link, side) {
-            self.network.forget((at, connection));
-            self.call(at, |fleet, now, actions| {
-                fleet.on_closed(now, connection, actions);
+        if let Some(end) = self.network.current_end(link, side) {
+            self.network.forget(end);
+            self.call(end.process, |fleet, now, actions| {
+                fleet.on_closed(now, end.connection, actions);
             });
         }
         self.network.remove_if_over(link);
@@ -86,16 +106,21 @@
 
     /// A process sends bytes on a connection.
     pub(super) fn send(&mut self, at: ProcessIndex, connection: ConnectionId, bytes: Vec<u8>) {
-        let Some(link) = self.network.link_at((at, connection)) else {
+        let from = End {
+            process: at,
+            connection,
+        };
+        let Some(link) = self.network.link_at(from) else {
             return;
         };
         let latency = self.latency();
-        let sent = self.network.send(link, (at, connection), self.now, latency);
+        let sent = self.network.send(link, from, self.now, latency);
         if let Some((arrival, side)) = sent {
             self.schedule(arrival - self.now, Event::Bytes { link, side, bytes });
         }
     }
 
+    /// A process sends a datagram, which may be lost.
     pub(super) fn send_datagram(&mut self, from: ProcessIndex, to: ProcessIndex, bytes: Vec<u8>) {
         if !self.network.is_partitioned(from, to) && self.rng.rand_float() >= self.network.loss {
             let latency = self.latency();
--- a/crates/linenthread-simulation/src/fleet/event.rs
+++ b/crates/linenthread-simulation/src/fleet/event.rs
@@ -7,11 +7,26 @@
 /// A link's number in the network.
 pub(super) type LinkNumber = u64;
 
-/// One end of a link: 0 connected, 1 accepted.
-pub(super) type Side = usize;
+/// A side of a link.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub(super) enum Side {
+    /// The process that asked for the connection.
+    Connecting,
+    /// The process that accepts it.
+    Accepting,
+}
+
+impl Side {
+    pub(super) fn other(self) -> Side {
+        match self {
+            Side::Connecting => Side::Accepting,
+            Side::Accepting => Side::Connecting,
+        }
+    }
+}
 
-/// An event in the queue. Events of one moment happen in the order in which they were scheduled.
-#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
+/// An event in the queue.
+#[derive(Clone, Debug, PartialEq)]
 pub(super) enum Event {
     /// A process's timer expires; the number tells the newest timer from those before it.
     Wake(ProcessIndex, u64),
--- a/crates/linenthread-simulation/src/fleet/execution.rs
+++ b/crates/linenthread-simulation/src/fleet/execution.rs
@@ -5,6 +5,7 @@
 
 use super::event::{Event, ProcessIndex};
 use super::invariant::Invariant;
+use super::network::End;
 use super::process::{self, Disk, name};
 use super::world::World;
 use crate::number;
@@ -69,7 +70,10 @@
                 }
                 FleetAction::Write { connection, bytes } => self.send(at, connection, bytes),
                 FleetAction::Close { connection, .. } => {
-                    if let Some(link) = self.network.link_at((at, connection)) {
+                    if let Some(link) = self.network.link_at(End {
+                        process: at,
+                        connection,
+                    }) {
                         self.close_link(link, at);
                     }
                     self.call(at, |fleet, now, actions| {
--- a/crates/linenthread-simulation/src/fleet/network.rs
+++ b/crates/linenthread-simulation/src/fleet/network.rs
@@ -1,6 +1,7 @@
 //! Links between processes, partitions, loss and latency.
 
 use std::collections::{BTreeMap, BTreeSet};
+use std::ops::{Index, IndexMut};
 
 use linenthread_core::interface::TenthMillis;
 use linenthread_fleet::ConnectionId;
@@ -9,34 +10,80 @@
 use super::event::{LinkNumber, ProcessIndex, Side};
 use crate::random;
 
-/// A connection at a process: the process, and the connection's id there.
-pub(super) type End = (ProcessIndex, ConnectionId);
+/// A connection at a process.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub(super) struct End {
+    pub(super) process: ProcessIndex,
+    /// The connection's number at the process.
+    pub(super) connection: ConnectionId,
+}
+
+/// A value of each side of a link.
+pub(super) struct Sides<T> {
+    pub(super) connecting: T,
+    pub(super) accepting: T,
+}
+
+impl<T: Copy> Sides<T> {
+    fn both(value: T) -> Sides<T> {
+        Sides {
+            connecting: value,
+            accepting: value,
+        }
+    }
+}
+
+impl<T> Sides<T> {
+    fn as_array(&self) -> [&T; 2] {
+        [&self.connecting, &self.accepting]
+    }
+}
+
+impl<T> Index<Side> for Sides<T> {
+    type Output = T;
+
+    fn index(&self, side: Side) -> &T {
+        match side {
+            Side::Connecting => &self.connecting,
+            Side::Accepting => &self.accepting,
+        }
+    }
+}
+
+impl<T> IndexMut<Side> for Sides<T> {
+    fn index_mut(&mut self, side: Side) -> &mut T {
+        match side {
+            Side::Connecting => &mut self.connecting,
+            Side::Accepting => &mut self.accepting,
+        }
+    }
+}
 
 /// A connection as the network has it. Bytes arrive in their order.
 pub(super) struct Link {
-    pub(super) ends: [End; 2],
+    pub(super) ends: Sides<End>,
     /// By sending side, when the last bytes arrive at the other.
-    last_arrival: [TenthMillis; 2],
+    last_arrival: Sides<TenthMillis>,
     /// By sending side: what it sends is lost from now on, since something was sent into a partition.
-    is_dead: [bool; 2],
+    is_dead: Sides<bool>,
     is_open: bool,
 }
 
 impl Link {
     /// A link that both processes have.
-    fn open(ends: [End; 2]) -> Link {
+    fn open(ends: Sides<End>) -> Link {
         Link {
             ends,
-            last_arrival: [0; 2],
-            is_dead: [false; 2],
+            last_arrival: Sides::both(0),
+            is_dead: Sides::both(false),
             is_open: true,
         }
     }
 
     /// A connection that could not be made.
-    fn refused(ends: [End; 2]) -> Link {
+    fn refused(ends: Sides<End>) -> Link {
         Link {
-            is_dead: [true; 2],
+            is_dead: Sides::both(true),
             is_open: false,
             ..Link::open(ends)
         }
@@ -44,7 +91,11 @@
 
     /// The side of a process.
     pub(super) fn side_of(&self, process: ProcessIndex) -> Side {
-        usize::from(self.ends[0].0 != process)
+        if self.ends.connecting.process == process {
+            Side::Connecting
+        } else {
+            Side::Accepting
+        }
     }
 }
 
@@ -79,15 +130,17 @@
     }
 
     /// Adds a connection that both sides have.
-    pub(super) fn add_link(&mut self, number: LinkNumber, ends: [End; 2]) {
+    pub(super) fn add_link(&mut self, number: LinkNumber, ends: Sides<End>) {
+        for end in ends.as_array() {
+            self.by_end.insert(*end, number);
+        }
         self.links.insert(number, Link::open(ends));
-        self.by_end.extend(ends.map(|end| (end, number)));
     }
 
     /// Adds a connection that only the connecting side has.
-    pub(super) fn add_refused(&mut self, number: LinkNumber, ends: [End; 2]) {
+    pub(super) fn add_refused(&mut self, number: LinkNumber, ends: Sides<End>) {
+        self.by_end.insert(ends.connecting, number);
         self.links.insert(number, Link::refused(ends));
-        self.by_end.insert(ends[0], number);
     }
 
     pub(super) fn link(&self, number: LinkNumber) -> Option<&Link> {
@@ -107,7 +160,12 @@
 
     pub(super) fn links_of(&self, process: ProcessIndex) -> Vec<LinkNumber> {
         let links = self.links.iter();
-        let of_process = links.filter(|(_, link)| link.ends.iter().any(|end| end.0 == process));
+        let of_process = links.filter(|(_, link)| {
+            link.ends
+                .as_array()
+                .iter()
+                .any(|end| end.process == process)
+        });
         of_process.map(|(number, _)| *number).collect()
     }
 
@@ -120,9 +178,14 @@
         latency: TenthMillis,
     ) -> Option<(TenthMillis, Side)> {
         let link = self.links.get_mut(&number)?;
-        let side = usize::from(link.ends[0] != from);
-        let other = 1 - side;
-        link.is_dead[side] |= self.partitions.contains(&(from.0, link.ends[other].0));
+        let side = if link.ends.connecting == from {
+            Side::Connecting
+        } else {
+            Side::Accepting
+        };
+        let other = side.other();
+        let pair = (from.process, link.ends[other].process);
+        link.is_dead[side] |= self.partitions.contains(&pair);
         if link.is_dead[side] {
             return None;
         }
@@ -135,10 +198,10 @@
     pub(super) fn close(&mut self, number: LinkNumber, process: ProcessIndex) -> Option<Side> {
         let link = self.links.get_mut(&number)?;
         let side = link.side_of(process);
-        let (end, other) = (link.ends[side], link.ends[1 - side]);
+        let (end, other) = (link.ends[side], link.ends[side.other()]);
         link.is_open = false;
         self.by_end.remove(&end);
-        (!self.is_partitioned(process, other.0)).then_some(1 - side)
+        (!self.is_partitioned(process, other.process)).then_some(side.other())
     }
 
     /// A process has learned that its connection is closed.
@@ -152,7 +215,7 @@
             return;
         };
         let has_end = |end: &End| self.by_end.get(end) == Some(&number);
-        if !link.is_open && !link.ends.iter().any(has_end) {
+        if !link.is_open && !link.ends.as_array().into_iter().any(has_end) {
             self.links.remove(&number);
         }
     }
--- a/crates/linenthread-simulation/src/fleet/recovery.rs
+++ b/crates/linenthread-simulation/src/fleet/recovery.rs
@@ -1,7 +1,5 @@
 //! Ends all faults of a schedule.
 
-use std::cmp::Reverse;
-
 use linenthread_fleet::Fleet;
 
 use super::event::{Event, ProcessIndex};
@@ -11,9 +9,8 @@
     /// Ends all faults.
     pub(super) fn end_faults(&mut self) {
         self.network.heal();
-        self.events.retain(|Reverse((_, _, event))| {
-            !matches!(event, Event::Fault | Event::Heal | Event::Restart)
-        });
+        self.events
+            .retain(|event| !matches!(event, Event::Fault | Event::Heal | Event::Restart));
         for at in 0..self.processes.len() {
             let mut disk = self.processes[at].disk.borrow_mut();
             (disk.capacity, disk.syncs_until_failure) = (None, None);
--- a/crates/linenthread-simulation/src/fleet/simulation.rs
+++ b/crates/linenthread-simulation/src/fleet/simulation.rs
@@ -1,7 +1,5 @@
 //! One schedule from its start to its end, event by event.
 
-use std::cmp::Reverse;
-
 use linenthread_core::interface::TenthMillis;
 use linenthread_fleet::Fleet;
 
@@ -66,11 +64,7 @@
         mut stop: impl FnMut(&World) -> bool,
     ) -> bool {
         let mut checked_at = self.now;
-        while let Some(Reverse((at, _, event))) = self.events.pop() {
-            if at > end {
-                self.events.push(Reverse((at, 0, event)));
-                break;
-            }
+        while let Some((at, event)) = self.events.pop_by(end) {
             self.now = at;
             self.handle(event);
             if self.violations.len() > MAX_VIOLATIONS {
--- a/crates/linenthread-simulation/src/fleet/world.rs
+++ b/crates/linenthread-simulation/src/fleet/world.rs
@@ -1,7 +1,6 @@
 //! The simulated world: a queue of events, processes on clocks of their own, and the network between them.
 
-use std::cmp::Reverse;
-use std::collections::{BTreeMap, BinaryHeap};
+use std::collections::BTreeMap;
 
 use linenthread_core::interface::TenthMillis;
 use oorandom::Rand64;
@@ -11,6 +10,7 @@
 use super::network::Network;
 use super::process::Process;
 use super::statistics::Totals;
+use crate::event_queue::EventQueue;
 use crate::number;
 use crate::random;
 
@@ -21,9 +21,7 @@
 pub(super) struct World {
     pub(super) now: TenthMillis,
     pub(super) rng: Rand64,
-    pub(super) events: BinaryHeap<Reverse<(TenthMillis, u64, Event)>>,
-    /// Numbers events and links.
-    last_number: u64,
+    pub(super) events: EventQueue<Event>,
     pub(super) network: Network,
     pub(super) processes: Vec<Process>,
     /// The first so many processes are voters.
@@ -46,8 +44,7 @@
         World {
             now: 0,
             rng,
-            events: BinaryHeap::new(),
-            last_number: 0,
+            events: EventQueue::default(),
             network: Network::default(),
             processes,
             voters,
@@ -68,17 +65,9 @@
         ));
     }
 
-    /// A number for the next event or link.
-    pub(super) fn next_number(&mut self) -> u64 {
-        self.last_number += 1;
-        self.last_number
-    }
-
     /// Schedules an event.
     pub(super) fn schedule(&mut self, wait: TenthMillis, event: Event) {
-        let number = self.next_number();
-        self.events
-            .push(Reverse((self.now + wait.max(0), number, event)));
+        self.events.push(self.now + wait.max(0), event);
     }
 
     /// A random latency of one way.
@@ -102,7 +91,7 @@
             Event::Connect { to, .. } | Event::Datagram { to, .. } => Some(*to),
             Event::Bytes { link, side, .. } | Event::Closed { link, side } => {
                 let link = self.network.link(*link)?;
-                Some(link.ends[*side].0)
+                Some(link.ends[*side].process)
             }
             _ => None,
         }
--- a/crates/linenthread-simulation/src/link/call_record.rs
+++ b/crates/linenthread-simulation/src/link/call_record.rs
@@ -2,7 +2,7 @@
 
 use linenthread_core::interface::{AttemptOutcome, TenthMillis};
 
-use super::invariant::Invariant;
+use super::invariant::{Invariant, Violation};
 use super::{FAULTS, MILLISECOND, RECOVERY, START};
 
 /// A call that has this long must be answered once the link has recovered: both ways, the queue before it and
@@ -19,13 +19,16 @@
 }
 
 impl CallRecord {
-    /// The invariant that the call violates at the schedule's end, if it does, and how.
-    pub(super) fn violation(&self, call: u64) -> Option<(Invariant, String)> {
+    /// How the call violates an invariant at the schedule's end, if it does.
+    pub(super) fn violation(&self, call: u64) -> Option<Violation> {
         let has_recovered = self.made_at > START + FAULTS + RECOVERY;
         let had_time = self.deadline - self.made_at > SUFFICIENT_TIME;
         match self.outcome {
-            None => Some((Invariant::OneOutcome, format!("call {call} has not ended"))),
-            Some(outcome) if outcome.never_ran() && self.runs > 0 => Some((
+            None => Some(Violation::new(
+                Invariant::OneOutcome,
+                format!("call {call} has not ended"),
+            )),
+            Some(outcome) if outcome.never_ran() && self.runs > 0 => Some(Violation::new(
                 Invariant::UnsentIsProven,
                 format!("call {call} ended as {outcome:?}, and ran"),
             )),
@@ -33,7 +36,7 @@
                 outcome @ (AttemptOutcome::NotSent
                 | AttemptOutcome::ConnectionLost
                 | AttemptOutcome::TimedOut),
-            ) if has_recovered && had_time => Some((
+            ) if has_recovered && had_time => Some(Violation::new(
                 Invariant::Recovers,
                 format!("call {call} ended as {outcome:?} after the link had recovered"),
             )),
--- a/crates/linenthread-simulation/src/link/invariants.rs
+++ b/crates/linenthread-simulation/src/link/invariants.rs
@@ -28,9 +28,7 @@
         for (call, record) in &self.records {
             statistics.count(record.outcome);
             if self.violation.is_none() {
-                self.violation = record
-                    .violation(*call)
-                    .map(|(invariant, details)| format!("{invariant}: {details}"));
+                self.violation = record.violation(*call);
             }
         }
     }
--- a/crates/linenthread-simulation/src/link/simulation.rs
+++ b/crates/linenthread-simulation/src/link/simulation.rs
@@ -1,30 +1,26 @@
 //! One schedule from its start to its end, event by event.
 
-use std::cmp::Reverse;
-
 use linenthread_link::Frame;
 
 use super::event::Event;
+use super::invariant::Violation;
 use super::network::Direction;
 use super::statistics::Statistics;
 use super::world::World;
 use super::{LAST_CALL, LENGTH, MILLISECOND, START};
 
 impl World {
-    /// Runs the schedule to its end; the first invariant that was violated, if one was.
-    pub(super) fn run(mut self, statistics: &mut Statistics) -> Option<String> {
+    /// Runs the schedule to its end, or to its first violation, which is returned.
+    pub(super) fn run(mut self, statistics: &mut Statistics) -> Option<Violation> {
         self.schedule(0, Event::ClientTimeout);
         self.schedule(0, Event::ServerTimeout);
         self.schedule(0, Event::MakeCall);
         self.schedule(200 * MILLISECOND, Event::Fault);
-        while let Some(Reverse((at, number))) = self.timeline.pop() {
-            if at > START + LENGTH || self.violation.is_some() {
-                break;
-            }
+        while self.violation.is_none()
+            && let Some((at, event)) = self.events.pop_by(START + LENGTH)
+        {
             self.now = at;
-            if let Some(event) = self.events.remove(&number) {
-                self.handle(event);
-            }
+            self.handle(event);
         }
         statistics.false_alarms += self.false_alarms;
         statistics.detection_times.append(&mut self.detection_times);
--- a/crates/linenthread-simulation/src/link/transport.rs
+++ b/crates/linenthread-simulation/src/link/transport.rs
@@ -9,8 +9,8 @@
 impl World {
     /// The client asks for a connection, which may not be made.
     pub(super) fn connect(&mut self) {
-        // The number of the event by which it opens.
-        let connection = ConnectionId(self.last_event + 1);
+        // The number of the event by which it opens: no other connection has it.
+        let connection = ConnectionId(self.events.last_number() + 1);
         let after = 1 + self.draw_latency();
         let open = self.rng.rand_range(0..10) > 0;
         self.schedule(after, Event::Connected { connection, open });
--- a/crates/linenthread-simulation/src/link/world.rs
+++ b/crates/linenthread-simulation/src/link/world.rs
@@ -1,7 +1,6 @@
 //! All state of a schedule: the two ends, the network between them, and the record of what ran.
 
-use std::cmp::Reverse;
-use std::collections::{BTreeMap, BinaryHeap};
+use std::collections::BTreeMap;
 
 use linenthread_core::interface::TenthMillis;
 use linenthread_link::{CallId, LinkClient, LinkServer};
@@ -10,19 +9,17 @@
 use super::call_record::CallRecord;
 use super::ends::{new_client, new_server};
 use super::event::Event;
-use super::invariant::Invariant;
+use super::invariant::{Invariant, Violation};
 use super::network::Connections;
 use super::{MILLISECOND, START};
+use crate::event_queue::EventQueue;
 use crate::random;
 
 /// One schedule.
 pub(super) struct World {
     pub(super) now: TenthMillis,
     pub(super) rng: Rand64,
-    /// Times and numbers of the events to come.
-    pub(super) timeline: BinaryHeap<Reverse<(TenthMillis, u64)>>,
-    pub(super) events: BTreeMap<u64, Event>,
-    pub(super) last_event: u64,
+    pub(super) events: EventQueue<Event>,
     pub(super) client: LinkClient,
     pub(super) server: LinkServer,
     pub(super) server_seed: u64,
@@ -37,7 +34,7 @@
     pub(super) slow_probability: f64,
     /// The probability that a frame arrives twice.
     pub(super) duplicate_probability: f64,
-    pub(super) violation: Option<String>,
+    pub(super) violation: Option<Violation>,
     pub(super) false_alarms: usize,
     pub(super) detection_times: Vec<TenthMillis>,
 }
@@ -54,9 +51,7 @@
         World {
             now: START,
             rng,
-            timeline: BinaryHeap::new(),
-            events: BTreeMap::new(),
-            last_event: 0,
+            events: EventQueue::default(),
             client: new_client(client_seed, resume),
             server: new_server(server_seed),
             server_seed,
@@ -75,10 +70,7 @@
 
     /// Schedules an event.
     pub(super) fn schedule(&mut self, after: TenthMillis, event: Event) {
-        self.last_event += 1;
-        self.timeline
-            .push(Reverse((self.now + after, self.last_event)));
-        self.events.insert(self.last_event, event);
+        self.events.push(self.now + after, event);
     }
 
     /// A random time below the bound.
@@ -89,7 +81,7 @@
     /// Records a violation, if it is the first.
     pub(super) fn violated(&mut self, invariant: Invariant, details: &str) {
         self.violation
-            .get_or_insert_with(|| format!("{invariant}: {details}"));
+            .get_or_insert_with(|| Violation::new(invariant, details));
     }
 
     /// How long a frame is on its way; now and then much longer than usual.
--- a/crates/linenthread-simulation/src/main.rs
+++ b/crates/linenthread-simulation/src/main.rs
@@ -36,6 +36,7 @@
 
 mod commands;
 mod dataplane;
+mod event_queue;
 mod failover;
 mod fleet;
 mod link;
--- a/crates/linenthread-simulation/src/merged/event.rs
+++ b/crates/linenthread-simulation/src/merged/event.rs
@@ -5,8 +5,8 @@
 use super::decision::Attempt;
 use super::fault::AttemptFate;
 
-/// An event in the queue. Events of one moment happen in the order in which they were scheduled.
-#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
+/// An event in the queue.
+#[derive(Clone, Debug, PartialEq)]
 pub(super) enum Event {
     /// An attempt ends; a value is there where it succeeded.
     AttemptEnded { attempt: Attempt, fate: AttemptFate },
--- a/crates/linenthread-simulation/src/merged/fault.rs
+++ b/crates/linenthread-simulation/src/merged/fault.rs
@@ -3,7 +3,7 @@
 use linenthread_core::interface::AttemptOutcome;
 
 /// What becomes of an attempt.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+#[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum AttemptFate {
     Success,
     DuplicateSuccess,
--- a/crates/linenthread-simulation/src/merged/invariants.rs
+++ b/crates/linenthread-simulation/src/merged/invariants.rs
@@ -5,7 +5,7 @@
 use serde_json::Value;
 
 use super::client::Client;
-use super::invariant::Invariant;
+use super::invariant::{Invariant, Violation};
 use super::open_query::OpenQuery;
 use super::plans::{MAX_GROUPS, ROWS, TOTALS};
 use super::statistics::is_complete;
@@ -27,29 +27,31 @@
         let client = &mut self.clients[open.client];
         let result = client
             .check(&response, self.options.floor, open.page_size)
-            .map_err(|error| (Invariant::MatchesFullData, error.to_string()))
+            .map_err(|error| {
+                Violation::new(Invariant::MatchesFullData, format!("{error}\n  {response}"))
+            })
             .and_then(|()| open.check_marks(&response, completeness));
-        if let Err((invariant, details)) = result {
+        if let Err(violation) = result {
             client.cursor = None;
-            self.violated(query, invariant, &format!("{details}\n  {response}"));
+            self.violated(query, &violation);
         }
     }
 }
 
 impl OpenQuery<'_> {
     /// Checks that a response is marked as partial where it is, and that memory is bounded.
-    fn check_marks(
-        &self,
-        response: &Value,
-        completeness: Completeness,
-    ) -> Result<(), (Invariant, String)> {
+    fn check_marks(&self, response: &Value, completeness: Completeness) -> Result<(), Violation> {
         if is_complete(response) && completeness != Completeness::Complete {
-            let details = "complete though the decision module says partial".to_owned();
-            return Err((Invariant::PartialIsMarked, details));
+            return Err(Violation::new(
+                Invariant::PartialIsMarked,
+                format!("complete though the decision module says partial\n  {response}"),
+            ));
         }
         if self.merger.retained_rows() > self.page_size {
-            let details = "more rows are retained than a page has".to_owned();
-            return Err((Invariant::BoundedRows, details));
+            return Err(Violation::new(
+                Invariant::BoundedRows,
+                format!("more rows are retained than a page has\n  {response}"),
+            ));
         }
         Ok(())
     }
--- a/crates/linenthread-simulation/src/merged/open_query.rs
+++ b/crates/linenthread-simulation/src/merged/open_query.rs
@@ -6,7 +6,7 @@
 use linenthread_merge::{Acceptance, Merger};
 
 use super::decision::Attempt;
-use super::invariant::Invariant;
+use super::invariant::{Invariant, Violation};
 
 /// What a second response to a sub-request has as its value: it must not count.
 const DUPLICATE_VALUE: &str = "{\"rows\":[],\"more\":false}";
@@ -37,8 +37,8 @@
 pub(super) struct AcceptedValue {
     /// The merger counts it, or had one already.
     pub(super) is_accepted: bool,
-    /// The invariant that was violated, if one was, and how.
-    pub(super) violation: Option<(Invariant, String)>,
+    /// How an invariant was violated, if one was.
+    pub(super) violation: Option<Violation>,
 }
 
 impl OpenQuery<'_> {
@@ -52,7 +52,10 @@
         match self.accept(sub_request, request, value) {
             Acceptance::Invalid(error) => AcceptedValue {
                 is_accepted: false,
-                violation: Some((Invariant::ValidValuesCount, format!("{error}: {value}"))),
+                violation: Some(Violation::new(
+                    Invariant::ValidValuesCount,
+                    format!("{error}: {value}"),
+                )),
             },
             Acceptance::Counted | Acceptance::Duplicate { .. } => AcceptedValue {
                 is_accepted: true,
@@ -79,10 +82,10 @@
         &mut self,
         sub_request: SubRequestIndex,
         request: &Request,
-    ) -> Option<(Invariant, String)> {
+    ) -> Option<Violation> {
         match self.accept(sub_request, request, DUPLICATE_VALUE) {
             Acceptance::Duplicate { .. } => None,
-            other => Some((
+            other => Some(Violation::new(
                 Invariant::DuplicatesDoNotCount,
                 format!("a duplicate response counts: {other:?}"),
             )),
--- a/crates/linenthread-simulation/src/merged/replicas.rs
+++ b/crates/linenthread-simulation/src/merged/replicas.rs
@@ -1,7 +1,6 @@
 //! Replicas in simulated time round one decision module: they respond, fail, hang and change.
 
-use std::cmp::Reverse;
-use std::collections::{BTreeMap, BinaryHeap};
+use std::collections::BTreeMap;
 
 use linenthread_core::Coordinator;
 use linenthread_core::interface::{
@@ -14,6 +13,7 @@
 use super::event::Event;
 use super::fault::{AttemptFate, ReplicaBehavior};
 use super::settings::{REPLICA_GROUPS, deployment};
+use crate::event_queue::EventQueue;
 use crate::number;
 
 /// When a run starts; not at 0, so that times before it can be computed.
@@ -32,8 +32,7 @@
     pub(super) rng: Rand64,
     pub(super) behavior: ReplicaBehavior,
     coordinator: Coordinator,
-    events: BinaryHeap<Reverse<(TenthMillis, u64, Event)>>,
-    event_count: u64,
+    events: EventQueue<Event>,
     /// Attempts that have not ended, and when each was sent.
     in_flight: BTreeMap<Attempt, TenthMillis>,
     /// How many attempts were made of each sub-request.
@@ -66,8 +65,7 @@
             rng: Rand64::new(u128::from(seed)),
             behavior,
             coordinator: Coordinator::new(deployment(indexes), seed),
-            events: BinaryHeap::new(),
-            event_count: 0,
+            events: EventQueue::default(),
             in_flight: BTreeMap::new(),
             attempt_counts: BTreeMap::new(),
             is_alive: vec![true; members.len()],
@@ -84,22 +82,17 @@
 
     /// Schedules an event so long from now.
     pub(super) fn schedule(&mut self, after: TenthMillis, event: Event) {
-        self.event_count += 1;
-        self.events
-            .push(Reverse((self.now + after, self.event_count, event)));
+        self.events.push(self.now + after, event);
     }
 
     /// The next events, all of one moment.
     pub(super) fn next(&mut self) -> Vec<Event> {
-        let Some(Reverse((at, _, _))) = self.events.peek() else {
+        let Some(at) = self.events.next_at() else {
             return Vec::new();
         };
-        self.now = *at;
+        self.now = at;
         let mut events = Vec::new();
-        while let Some(Reverse((at, _, _))) = self.events.peek()
-            && *at == self.now
-            && let Some(Reverse((_, _, event))) = self.events.pop()
-        {
+        while let Some((_, event)) = self.events.pop_by(at) {
             match event {
                 Event::MembershipChange => self.change(),
                 Event::HealthChecked { replica, is_alive } => {
--- a/crates/linenthread-simulation/src/merged/simulation.rs
+++ b/crates/linenthread-simulation/src/merged/simulation.rs
@@ -2,7 +2,7 @@
 
 use super::decision::Decision;
 use super::event::Event;
-use super::invariant::Invariant;
+use super::invariant::{Invariant, Violation};
 use super::statistics::Statistics;
 use super::world::{CLIENTS, World};
 
@@ -45,11 +45,9 @@
                 self.free_indices.push(query);
                 let open = self.open.remove(&query);
                 if open.is_some_and(|open| !open.is_completed) {
-                    self.violated(
-                        query,
-                        Invariant::OneResponseInTime,
-                        "released without a response",
-                    );
+                    let violation =
+                        Violation::new(Invariant::OneResponseInTime, "released without a response");
+                    self.violated(query, &violation);
                 }
             }
             Decision::Respond {
--- a/crates/linenthread-simulation/src/merged/traffic.rs
+++ b/crates/linenthread-simulation/src/merged/traffic.rs
@@ -11,7 +11,7 @@
 use super::decision::Attempt;
 use super::event::Event;
 use super::fault::AttemptFate;
-use super::invariant::Invariant;
+use super::invariant::{Invariant, Violation};
 use super::open_query::{OpenQuery, Request};
 use super::settings::{MAX_ATTEMPTS, SHARDS};
 use super::world::{UNIX_SECONDS, World};
@@ -65,7 +65,8 @@
                     client: client_index,
                 };
                 self.replicas.schedule(1, retry);
-                self.violated(query, Invariant::QueriesStart, &error.to_string());
+                let violation = Violation::new(Invariant::QueriesStart, error.to_string());
+                self.violated(query, &violation);
             }
         }
     }
@@ -114,11 +115,11 @@
         let attempts = open.attempts.entry(attempt.sub_request).or_default();
         *attempts += 1;
         if *attempts > MAX_ATTEMPTS || open.is_completed {
-            self.violated(
-                attempt.query,
+            let violation = Violation::new(
                 Invariant::BoundedAttempts,
                 "a sub-request is sent too often, or after the response",
             );
+            self.violated(attempt.query, &violation);
         }
     }
 
@@ -159,8 +160,8 @@
         };
         self.continue_sub_requests(query);
         self.replicas.complete(attempt, outcome);
-        if let Some((invariant, details)) = violation {
-            self.violated(query, invariant, &details);
+        if let Some(violation) = violation {
+            self.violated(query, &violation);
         }
     }
 
@@ -189,11 +190,11 @@
         let wait = 1 + random::time_below(&mut self.replicas.rng, 100);
         self.replicas.schedule(wait, Event::NextQuery { client });
         if is_late {
-            self.violated(
-                query,
+            let violation = Violation::new(
                 Invariant::OneResponseInTime,
                 "responded late or a second time",
             );
+            self.violated(query, &violation);
         }
         true
     }
--- a/crates/linenthread-simulation/src/merged/world.rs
+++ b/crates/linenthread-simulation/src/merged/world.rs
@@ -12,7 +12,7 @@
 use super::Options;
 use super::client::{Client, MAX_SHARD_ROWS};
 use super::fault::ReplicaBehavior;
-use super::invariant::Invariant;
+use super::invariant::Violation;
 use super::open_query::OpenQuery;
 use super::plans::{self, ROWS};
 use super::replicas::SimulatedReplicas;
@@ -78,10 +78,10 @@
     }
 
     /// Counts a violation, and prints it with the command that repeats the run.
-    pub(super) fn violated(&mut self, query: QueryIndex, invariant: Invariant, details: &str) {
+    pub(super) fn violated(&mut self, query: QueryIndex, violation: &Violation) {
         self.statistics.violations += 1;
         if self.statistics.violations <= MAX_PRINTED {
-            println!("violation at query {}: {invariant}: {details}", query.0);
+            println!("violation at query {}: {violation}", query.0);
             println!(
                 "  replay: linenthread-simulation merged {}",
                 self.options.arguments()
