--- a/crates/linenthread-simulation/src/failover/coordinator.rs
+++ b/crates/linenthread-simulation/src/failover/coordinator.rs
@@ -4,8 +4,8 @@
 
 use linenthread_core::Coordinator;
 use linenthread_core::interface::{
-    CoordinatorConfig, Idempotency, IndexConfig, Inputs, Permissions, ShardLayout, SlowStart,
-    TenthMillis, ValueGrowth, ZoneRoute,
+    CoordinatorConfig, Idempotency, IndexConfig, Inputs, Permissions, QueryIndex, ShardLayout,
+    SlowStart, TenthMillis, ValueGrowth, ZoneRoute,
 };
 use linenthread_zones::{ALL_KEYS, FailoverController, Row, ZoneObserver};
 
@@ -58,27 +58,27 @@
     }
 
     /// An index for a new query.
-    pub(super) fn add_query(&mut self, query: Query) -> usize {
+    pub(super) fn add_query(&mut self, query: Query) -> QueryIndex {
         let index = self.free_queries.pop().unwrap_or_else(|| {
             self.queries.push(None);
             self.queries.len() - 1
         });
         self.queries[index] = Some(query);
-        index
+        QueryIndex(index)
     }
 
-    pub(super) fn release_query(&mut self, index: usize) {
+    pub(super) fn release_query(&mut self, QueryIndex(index): QueryIndex) {
         self.queries[index] = None;
         self.free_queries.push(index);
     }
 
     /// The query of this index, if it is in flight.
-    pub(super) fn query(&self, index: usize) -> Option<&Query> {
+    pub(super) fn query(&self, QueryIndex(index): QueryIndex) -> Option<&Query> {
         self.queries.get(index)?.as_ref()
     }
 
     /// Whether the module has something to do.
-    pub(super) fn is_due(&self, now: TenthMillis) -> bool {
+    pub(super) fn has_work(&self, now: TenthMillis) -> bool {
         let inputs = &self.inputs;
         let has_inputs = !(inputs.queries.is_empty()
             && inputs.results.is_empty()
--- a/crates/linenthread-simulation/src/failover/decisions.rs
+++ b/crates/linenthread-simulation/src/failover/decisions.rs
@@ -9,8 +9,8 @@
 #[derive(Default)]
 pub(super) struct Decisions {
     pub(super) attempts: Vec<SendAttempt>,
-    pub(super) responded: Vec<usize>,
-    pub(super) released: Vec<usize>,
+    pub(super) responded: Vec<QueryIndex>,
+    pub(super) released: Vec<QueryIndex>,
     pub(super) cancelled: Vec<CancelAttempt>,
     pub(super) health_checks: Vec<usize>,
     pub(super) wake_at: Option<TenthMillis>,
@@ -18,16 +18,16 @@
 
 /// An attempt that the module sends.
 pub(super) struct SendAttempt {
-    pub(super) query: usize,
-    pub(super) sub_request: usize,
+    pub(super) query: QueryIndex,
+    pub(super) sub_request: SubRequestIndex,
     pub(super) replica: usize,
     pub(super) timeout: TenthMillis,
 }
 
 /// An attempt that the module gives up; its number counts the attempts of its sub-request from 0.
 pub(super) struct CancelAttempt {
-    pub(super) query: usize,
-    pub(super) sub_request: usize,
+    pub(super) query: QueryIndex,
+    pub(super) sub_request: SubRequestIndex,
     pub(super) number: usize,
 }
 
@@ -40,8 +40,8 @@
         timeout: TenthMillis,
     ) {
         self.attempts.push(SendAttempt {
-            query: query.0,
-            sub_request: sub_request.0,
+            query,
+            sub_request,
             replica: replica.0,
             timeout,
         });
@@ -49,14 +49,14 @@
 
     fn cancel(&mut self, query: QueryIndex, sub_request: SubRequestIndex, number: usize) {
         self.cancelled.push(CancelAttempt {
-            query: query.0,
-            sub_request: sub_request.0,
+            query,
+            sub_request,
             number,
         });
     }
 
     fn respond(&mut self, query: QueryIndex, _: Completeness) {
-        self.responded.push(query.0);
+        self.responded.push(query);
     }
 
     fn reject(&mut self, _: QueryIndex, _: Option<TenthMillis>) {}
@@ -64,7 +64,7 @@
     fn fail(&mut self, _: QueryIndex) {}
 
     fn release(&mut self, query: QueryIndex) {
-        self.released.push(query.0);
+        self.released.push(query);
     }
 
     fn close_idle(&mut self, _: ReplicaIndex) {}
--- a/crates/linenthread-simulation/src/failover/processing.rs
+++ b/crates/linenthread-simulation/src/failover/processing.rs
@@ -49,7 +49,7 @@
     pub(super) fn on_processed(&mut self, replica: usize, attempt: AttemptIndex) {
         let processing = &mut self.replicas[replica].processing;
         processing.retain(|other| *other != attempt);
-        if !self.is_cut_off(self.attempts[attempt].coordinator, replica) {
+        if !self.is_unreachable(self.attempts[attempt].coordinator, replica) {
             self.respond(attempt, AttemptOutcome::Success);
         }
         self.process_queue(replica);
--- a/crates/linenthread-simulation/src/failover/simulation.rs
+++ b/crates/linenthread-simulation/src/failover/simulation.rs
@@ -24,14 +24,14 @@
         let end = self.now + DURATION;
         while self.now < end {
             self.now += STEP;
-            self.handle_due_events();
+            self.handle_events();
             self.update_fault();
             if self.now >= decide_at {
                 decide_at += DECISION_INTERVAL;
                 self.decide();
             }
             for coordinator in 0..self.coordinators.len() {
-                if self.coordinators[coordinator].is_due(self.now) {
+                if self.coordinators[coordinator].has_work(self.now) {
                     self.run_coordinator(coordinator);
                 }
             }
@@ -39,7 +39,7 @@
         self.totals
     }
 
-    fn handle_due_events(&mut self) {
+    fn handle_events(&mut self) {
         while let Some((_, event)) = self.events.pop_by(self.now) {
             self.handle(event);
         }
--- a/crates/linenthread-simulation/src/failover/traffic.rs
+++ b/crates/linenthread-simulation/src/failover/traffic.rs
@@ -2,7 +2,7 @@
 
 use linenthread_core::interface::{
     AttemptOutcome, AttemptResult, NewQuery, NewSubRequest, ProbeResult, QueryIndex, ReplicaIndex,
-    SubRequestIndex, TenthMillis,
+    TenthMillis,
 };
 
 use super::coordinator::Query;
@@ -50,7 +50,7 @@
         });
         node.observer.on_query(SUB_REQUESTS_PER_QUERY);
         node.inputs.queries.push(NewQuery {
-            query: QueryIndex(query),
+            query,
             index: 0,
             customer: 0,
             key: Some(key),
@@ -58,7 +58,7 @@
             hard_deadline: now + HARD_DEADLINE,
         });
         let sub_request = |n: usize| NewSubRequest {
-            query: QueryIndex(query),
+            query,
             shard: (first_shard + SHARD_STRIDE * n) % SHARDS,
             weight: 1.0 / number::float(SUB_REQUESTS_PER_QUERY),
         };
@@ -90,7 +90,7 @@
     }
 
     /// Counts a query that was answered in time and arrived after the fault's start.
-    fn count_response(&mut self, coordinator: usize, query: usize) {
+    fn count_response(&mut self, coordinator: usize, query: QueryIndex) {
         let Some(query) = self.coordinators[coordinator].query(query) else {
             return;
         };
@@ -102,7 +102,7 @@
 
     fn send_attempt(&mut self, coordinator: usize, sent: &SendAttempt) {
         let node = &mut self.coordinators[coordinator];
-        let Some(Some(query)) = node.queries.get_mut(sent.query) else {
+        let Some(Some(query)) = node.queries.get_mut(sent.query.0) else {
             return;
         };
         let attempts = query.attempts.iter();
@@ -126,7 +126,7 @@
             self.totals.crossing += 1.0;
         }
         self.schedule(sent.timeout, Event::TimeOut { attempt });
-        if !self.is_cut_off(coordinator, sent.replica) {
+        if !self.is_unreachable(coordinator, sent.replica) {
             let latency = self.latency(coordinator, sent.replica);
             self.schedule(latency, Event::Arrive { attempt });
         }
@@ -158,8 +158,8 @@
         node.observer
             .on_outcome(zone, attempt.replica, outcome, elapsed);
         node.inputs.results.push(AttemptResult {
-            query: QueryIndex(attempt.query),
-            sub_request: SubRequestIndex(attempt.sub_request),
+            query: attempt.query,
+            sub_request: attempt.sub_request,
             attempt: attempt.number,
             outcome,
             elapsed,
@@ -169,7 +169,7 @@
 
     fn check_health(&mut self, coordinator: usize, replica: usize) {
         let round_trip = 2 * self.latency(coordinator, replica);
-        let (wait, outcome) = if self.is_cut_off(coordinator, replica) {
+        let (wait, outcome) = if self.is_unreachable(coordinator, replica) {
             (HEALTH_CHECK_TIMEOUT, AttemptOutcome::TimedOut)
         } else if self.replicas[replica].is_up {
             (round_trip + HEALTH_CHECK_TIME, AttemptOutcome::Success)
--- a/crates/linenthread-simulation/src/failover/world.rs
+++ b/crates/linenthread-simulation/src/failover/world.rs
@@ -1,7 +1,8 @@
 //! The simulated world: coordinators, replicas and the network between them.
 
 use linenthread_core::interface::{
-    MembershipEntry, MembershipUpdate, Phase, ReplicaIndex, TenthMillis,
+    MembershipEntry, MembershipUpdate, Phase, QueryIndex, ReplicaIndex, SubRequestIndex,
+    TenthMillis,
 };
 use linenthread_zones::{FailoverController, Report};
 use oorandom::Rand64;
@@ -29,8 +30,8 @@
 /// One attempt of a sub-request.
 pub(super) struct Attempt {
     pub(super) coordinator: usize,
-    pub(super) query: usize,
-    pub(super) sub_request: usize,
+    pub(super) query: QueryIndex,
+    pub(super) sub_request: SubRequestIndex,
     pub(super) number: usize,
     pub(super) replica: usize,
     pub(super) sent_at: TenthMillis,
@@ -128,7 +129,7 @@
     }
 
     /// Whether a coordinator and a replica cannot reach each other.
-    pub(super) fn is_cut_off(&self, coordinator: usize, replica: usize) -> bool {
+    pub(super) fn is_unreachable(&self, coordinator: usize, replica: usize) -> bool {
         self.is_partitioned(self.coordinators[coordinator].zone, replica % ZONES)
     }
 
--- a/crates/linenthread-simulation/src/link/execution.rs
+++ b/crates/linenthread-simulation/src/link/execution.rs
@@ -1,4 +1,4 @@
-//! Carries out what the two ends request.
+//! Performs what the two ends request.
 
 use linenthread_core::interface::TenthMillis;
 use linenthread_link::{ClientAction, ServerAction};
@@ -8,8 +8,8 @@
 use super::world::World;
 
 impl World {
-    /// Carries out what the client requests, and sets its timer.
-    pub(super) fn carry_out_client(&mut self, actions: Vec<ClientAction>) {
+    /// Performs what the client requests, and sets its timer.
+    pub(super) fn perform_client(&mut self, actions: Vec<ClientAction>) {
         for action in actions {
             match action {
                 ClientAction::Connect => self.connect(),
@@ -29,8 +29,8 @@
         }
     }
 
-    /// Carries out what the server requests, and sets its timer.
-    pub(super) fn carry_out_server(&mut self, actions: Vec<ServerAction>) {
+    /// Performs what the server requests, and sets its timer.
+    pub(super) fn perform_server(&mut self, actions: Vec<ServerAction>) {
         for action in actions {
             match action {
                 ServerAction::Send { connection, frame } => {
--- a/crates/linenthread-simulation/src/link/fault.rs
+++ b/crates/linenthread-simulation/src/link/fault.rs
@@ -6,7 +6,7 @@
 #[derive(Clone, Copy, PartialEq)]
 pub(super) enum Fault {
     /// The connection is cut, and both ends are notified.
-    Cut,
+    Disconnect,
     /// Frames are lost without notice, in the directions given.
     SilentLoss {
         to_server: bool,
@@ -24,7 +24,7 @@
     /// The fault of a drawn number, below [`FAULT_KINDS`].
     pub(super) fn drawn(number: TenthMillis) -> Fault {
         match number {
-            0 | 1 => Fault::Cut,
+            0 | 1 => Fault::Disconnect,
             2..=4 => Fault::SilentLoss {
                 to_server: number != 3,
                 to_client: number != 2,
--- a/crates/linenthread-simulation/src/link/faults.rs
+++ b/crates/linenthread-simulation/src/link/faults.rs
@@ -21,9 +21,9 @@
         let client_notified = self.draw_below(50 * MILLISECOND);
         let server_notified = self.draw_below(50 * MILLISECOND);
         match fault {
-            Fault::Cut => {
+            Fault::Disconnect => {
                 if let Some((id, connection)) = self.connections.current_mut() {
-                    connection.cut();
+                    connection.disconnect();
                     self.schedule(client_notified, Event::ClientDisconnected(id));
                     self.schedule(server_notified, Event::ServerDisconnected(id));
                 }
@@ -52,7 +52,7 @@
         let open: Vec<ConnectionId> = self.connections.all.keys().copied().collect();
         for id in open {
             if let Some(connection) = self.connections.all.get_mut(&id) {
-                connection.cut();
+                connection.disconnect();
             }
             let after = self.draw_below(30 * MILLISECOND);
             self.schedule(after, Event::ClientDisconnected(id));
--- a/crates/linenthread-simulation/src/link/mod.rs
+++ b/crates/linenthread-simulation/src/link/mod.rs
@@ -18,7 +18,7 @@
 //! A schedule ends with its first violation. It is printed with the command that runs the schedule again:
 //! `linenthread-simulation link --schedules 1 --seed N`.
 //!
-//! Start reading at [`simulation`]; `execution` carries out what the two ends request, on the connections of
+//! Start reading at [`simulation`]; `execution` performs what the two ends request, on the connections of
 //! `transport`.
 
 mod call_record;
--- a/crates/linenthread-simulation/src/link/network.rs
+++ b/crates/linenthread-simulation/src/link/network.rs
@@ -44,7 +44,7 @@
     }
 
     /// No frame gets through any more.
-    pub(super) fn cut(&mut self) {
+    pub(super) fn disconnect(&mut self) {
         (self.to_server, self.to_client) = (false, false);
     }
 }
--- a/crates/linenthread-simulation/src/link/simulation.rs
+++ b/crates/linenthread-simulation/src/link/simulation.rs
@@ -28,7 +28,7 @@
         self.violation
     }
 
-    /// Handles an event, carries out what the ends request then, and checks the limits.
+    /// Handles an event, performs what the ends request then, and checks the limits.
     fn handle(&mut self, event: Event) {
         let now = self.now;
         let (mut client_actions, mut server_actions) = (Vec::new(), Vec::new());
@@ -83,8 +83,8 @@
             Event::Fault => self.inject_fault(),
             _ => {}
         }
-        self.carry_out_client(client_actions);
-        self.carry_out_server(server_actions);
+        self.perform_client(client_actions);
+        self.perform_server(server_actions);
         self.check_limits();
     }
 }
--- a/crates/linenthread-simulation/src/link_speed.rs
+++ b/crates/linenthread-simulation/src/link_speed.rs
@@ -17,7 +17,7 @@
 const ALTERNATING_QUERIES: usize = 1_000;
 /// How long queries are made as fast as they are answered.
 const THROUGHPUT_RUN: Duration = Duration::from_secs(3);
-/// The time between two non-idempotent queries around a cut.
+/// The time between two non-idempotent queries around an outage.
 const QUERY_INTERVAL: Duration = Duration::from_millis(10);
 
 /// The default settings, but for a session time-out longer than any cut, and slow replicas.
@@ -159,8 +159,8 @@
     }
 }
 
-/// Makes non-idempotent queries steadily while the link is cut for so long.
-fn measure_cut(sites: &mut Sites, length: Duration, what: &str) -> RunSummary {
+/// Makes non-idempotent queries steadily while the link is down for so long.
+fn measure_outage(sites: &mut Sites, length: Duration, what: &str) -> RunSummary {
     let before = Duration::from_millis(500);
     let lasting = before + length + Duration::from_secs(3);
     let tag = format!("{what}{}", length.as_millis()).replace(' ', "-");
@@ -173,7 +173,7 @@
             sites.proxy.set_upstream(Some(sites.link_address));
         });
     report(
-        &format!("{what}, cut for {} ms", length.as_millis()),
+        &format!("{what}, link down for {} ms", length.as_millis()),
         &verdict,
         recovery_ms(&results, before + length),
     )
@@ -358,7 +358,7 @@
             },
         );
         for ms in [50, 200, 1_000, 5_000, 10_000] {
-            summary += measure_cut(&mut sites, Duration::from_millis(ms), what);
+            summary += measure_outage(&mut sites, Duration::from_millis(ms), what);
         }
     }
     summary += measure_gateway_failure(exe);
--- a/crates/linenthread-simulation/src/members.rs
+++ b/crates/linenthread-simulation/src/members.rs
@@ -2,8 +2,6 @@
 //! processor time of each member, and how long it takes until all know all others and until one that falls silent is
 //! down for all.
 
-use std::cmp::Reverse;
-use std::collections::BinaryHeap;
 use std::net::SocketAddr;
 use std::time::Instant;
 
@@ -13,6 +11,7 @@
 };
 use linenthread_frames::Secrets;
 
+use crate::event_queue::EventQueue;
 use crate::number::{self, SECOND};
 use crate::run_summary::RunSummary;
 
@@ -65,11 +64,8 @@
     Some(usize::from(high.checked_sub(1)?) << 8 | usize::from(low))
 }
 
-/// A datagram on its way; those of one moment arrive in the order in which they were sent.
-#[derive(PartialEq, Eq, PartialOrd, Ord)]
+/// A datagram on its way to a member.
 struct Datagram {
-    arrives_at: TenthMillis,
-    number: usize,
     to: usize,
     bytes: Vec<u8>,
 }
@@ -79,7 +75,7 @@
     now: TenthMillis,
     /// None for one that has fallen silent.
     members: Vec<Option<Members>>,
-    in_flight: BinaryHeap<Reverse<Datagram>>,
+    in_flight: EventQueue<Datagram>,
     datagrams: usize,
     bytes: usize,
 }
@@ -93,7 +89,7 @@
         Simulation {
             now: 0,
             members: (0..count).map(member).collect(),
-            in_flight: BinaryHeap::new(),
+            in_flight: EventQueue::default(),
             datagrams: 0,
             bytes: 0,
         }
@@ -107,12 +103,8 @@
             {
                 self.datagrams += 1;
                 self.bytes += bytes.len();
-                self.in_flight.push(Reverse(Datagram {
-                    arrives_at: self.now + LATENCY,
-                    number: self.datagrams,
-                    to,
-                    bytes,
-                }));
+                self.in_flight
+                    .push(self.now + LATENCY, Datagram { to, bytes });
             }
         }
     }
@@ -133,15 +125,7 @@
     }
 
     fn deliver(&mut self) {
-        let is_due = |datagram: &Reverse<Datagram>, now| datagram.0.arrives_at <= now;
-        while self
-            .in_flight
-            .peek()
-            .is_some_and(|next| is_due(next, self.now))
-        {
-            let Some(Reverse(datagram)) = self.in_flight.pop() else {
-                break;
-            };
+        while let Some((_, datagram)) = self.in_flight.pop_by(self.now) {
             let mut actions = Vec::new();
             if let Some(Some(member)) = self.members.get_mut(datagram.to) {
                 // A datagram that is refused changes nothing.
--- a/crates/linenthread-simulation/src/zones/fault.rs
+++ b/crates/linenthread-simulation/src/zones/fault.rs
@@ -62,7 +62,7 @@
     }
 
     /// Whether no table reaches a zone, and no report leaves it.
-    pub(super) fn cuts_off(self, zone: usize) -> bool {
+    pub(super) fn isolates(self, zone: usize) -> bool {
         self == Fault::ZoneLost(zone)
     }
 
--- a/crates/linenthread-simulation/src/zones/reports.rs
+++ b/crates/linenthread-simulation/src/zones/reports.rs
@@ -12,8 +12,8 @@
         let mut sum = Report::default();
         for coordinator in &mut self.coordinators {
             let report = coordinator.observer.report(&self.topology.replicas);
-            let is_cut_off = self.fault_is_active && self.fault.cuts_off(coordinator.zone);
-            if !is_cut_off && self.rng.rand_range(0..10) > 0 {
+            let is_isolated_zone = self.fault_is_active && self.fault.isolates(coordinator.zone);
+            if !is_isolated_zone && self.rng.rand_range(0..10) > 0 {
                 sum.add(&report);
             }
         }
--- a/crates/linenthread-simulation/src/zones/simulation.rs
+++ b/crates/linenthread-simulation/src/zones/simulation.rs
@@ -11,14 +11,14 @@
 /// A new leader takes over once in so many steps.
 const LEADER_CHANGE_STEPS: u64 = 60;
 /// Steps before the fault.
-const QUIET_STEPS: usize = 40;
+const HEALTHY_STEPS: usize = 40;
 /// A fault must be handled within so long.
 const MAX_REACTION_TIME: TenthMillis = 8 * SECOND;
 
 impl World {
     /// Runs the schedule.
     pub(super) fn run(mut self) -> Outcome {
-        for _ in 0..QUIET_STEPS {
+        for _ in 0..HEALTHY_STEPS {
             self.step();
         }
         if self.tables > 0 && self.fault != Fault::HostileReports {
--- a/crates/linenthread-simulation/src/zones/tables.rs
+++ b/crates/linenthread-simulation/src/zones/tables.rs
@@ -2,7 +2,7 @@
 
 use linenthread_zones::{ALL_KEYS, RoutingTable};
 
-use super::world::{World, controller};
+use super::world::{ArrivingTable, World, controller};
 use crate::number;
 use crate::random;
 
@@ -14,8 +14,8 @@
     pub(super) fn deliver_tables(&mut self) {
         for coordinator in &mut self.coordinators {
             let arriving = &mut coordinator.arriving;
-            while arriving.first().is_some_and(|(at, _)| *at <= self.now) {
-                coordinator.table = arriving.remove(0).1;
+            while let Some(arrived) = arriving.pop_front_if(|next| next.arrives_at <= self.now) {
+                coordinator.table = arrived.table;
             }
         }
     }
@@ -50,13 +50,16 @@
     /// A table is on its way to all coordinators that it can reach.
     fn send_table(&mut self, table: &RoutingTable) {
         for coordinator in &mut self.coordinators {
-            if self.fault_is_active && self.fault.cuts_off(coordinator.zone) {
+            if self.fault_is_active && self.fault.isolates(coordinator.zone) {
                 continue;
             }
             let lag = random::time_below(&mut self.rng, 9_000);
-            let last = coordinator.arriving.last();
-            let arrival = last.map_or(0, |(at, _)| *at).max(self.now + lag);
-            coordinator.arriving.push((arrival, table.clone()));
+            let last = coordinator.arriving.back();
+            let last_arrival = last.map_or(0, |last| last.arrives_at);
+            coordinator.arriving.push_back(ArrivingTable {
+                arrives_at: last_arrival.max(self.now + lag),
+                table: table.clone(),
+            });
         }
     }
 }
--- a/crates/linenthread-simulation/src/zones/world.rs
+++ b/crates/linenthread-simulation/src/zones/world.rs
@@ -1,6 +1,6 @@
 //! The simulated world: zones, their coordinators, and the leader's controller.
 
-use std::collections::{BTreeMap, BTreeSet};
+use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 use linenthread_core::interface::TenthMillis;
 use linenthread_zones::{
@@ -19,12 +19,18 @@
 /// The work that a replica does in a second, in milliseconds: two requests at once.
 const REPLICA_MS_PER_SECOND: f64 = 2_000.0;
 
+/// A table on its way to a coordinator.
+pub(super) struct ArrivingTable {
+    pub(super) arrives_at: TenthMillis,
+    pub(super) table: RoutingTable,
+}
+
 /// One coordinator.
 pub(super) struct Coordinator {
     pub(super) zone: usize,
     pub(super) observer: ZoneObserver,
-    /// Tables on their way, with the time of their arrival.
-    pub(super) arriving: Vec<(TenthMillis, RoutingTable)>,
+    /// Tables on their way, in the order in which they arrive.
+    pub(super) arriving: VecDeque<ArrivingTable>,
     /// The table that it acts on.
     pub(super) table: RoutingTable,
 }
@@ -131,7 +137,7 @@
         let coordinator = |n: usize| Coordinator {
             zone: n % count,
             observer: ZoneObserver::new(number::zone_index(n % count)),
-            arriving: Vec::new(),
+            arriving: VecDeque::new(),
             table: open.clone(),
         };
         World {
