--- a/crates/linenthread-simulation/src/failover/topology.rs
+++ b/crates/linenthread-simulation/src/failover/topology.rs
@@ -22,8 +22,8 @@
 fn config() -> FailoverConfig {
     FailoverConfig {
         capacity_margin: 0.8,
-        hold: 5 * SECOND,
-        max_hold: 60 * SECOND,
+        ejection_time: 5 * SECOND,
+        max_ejection_time: 60 * SECOND,
         return_step: 3 * SECOND,
     }
 }
