--- a/crates/linenthread-hollow/tests/hollow.rs
+++ b/crates/linenthread-hollow/tests/hollow.rs
@@ -82,7 +82,7 @@
     process_killed = { Loss::Killed },
     machine_dark = { Loss::Dark },
 )]
-fn the_loss_of_the_leader_does_not_hold_up_an_acknowledgement(loss: Loss) {
+fn the_loss_of_the_leader_does_not_delay_an_acknowledgement(loss: Loss) {
     let scale = Scale {
         ingress_nodes: 6,
         replicas: 20,
@@ -90,7 +90,7 @@
         ..Scale::default()
     };
     let timeline = lose_leader(&scale, loss);
-    // Far less than any wait for silence or a lease: five ways between regions and two syncs.
+    // Far less than any time-out or lease: five ways between regions and two syncs.
     let first = timeline
         .first_acknowledgement
         .expect("a survivor acknowledges");
@@ -108,7 +108,7 @@
 }
 
 #[test]
-fn a_configuration_is_valid_and_about_as_long_as_asked_for() {
+fn a_configuration_is_valid_and_about_as_long_as_requested() {
     for bytes in [1_000, 60_000, 200_000] {
         let made = document(7, bytes);
         assert_eq!(
--- a/crates/linenthread-simulation/src/dataplane.rs
+++ b/crates/linenthread-simulation/src/dataplane.rs
@@ -1,4 +1,8 @@
-//! The data plane in simulated time: simulations of some sessions each, one seed a simulation.
+//! The data plane in simulated time: simulations of [`SESSIONS`] sessions each, one seed a simulation.
+//!
+//! Faults and invariants are those of `linenthread-dataplane-sim`, in its modules `fault_plan` and `checker`. A violation
+//! is printed with the seed of its simulation. To run that one again, with a digest of all that happens:
+//! `linenthread-simulation dataplane --sessions 20 --seed N --summary`.
 
 use std::time::Instant;
 
--- a/crates/linenthread-simulation/src/event_queue.rs
+++ b/crates/linenthread-simulation/src/event_queue.rs
@@ -22,12 +22,12 @@
 impl<E> EventQueue<E> {
     /// Adds an event under the next number.
     pub(crate) fn push(&mut self, at: TenthMillis, event: E) {
-        let number = self.take_number();
+        let number = self.next_number();
         self.events.insert((at, number), event);
     }
 
     /// Takes the next number, for something other than an event.
-    pub(crate) fn take_number(&mut self) -> u64 {
+    pub(crate) fn next_number(&mut self) -> u64 {
         self.last_number += 1;
         self.last_number
     }
--- a/crates/linenthread-simulation/src/failover/faults.rs
+++ b/crates/linenthread-simulation/src/failover/faults.rs
@@ -19,7 +19,7 @@
     pub(super) fn update_fault(&mut self) {
         let elapsed = self.now - START;
         let is_due = elapsed >= FAULT_START && self.fault != Fault::None;
-        if is_due && !self.fault_is_active && !self.fault_has_ended {
+        if is_due && !self.fault_is_active && !self.fault_is_over {
             self.start_fault();
         }
         let duration = if self.fault == Fault::ShortLoss {
@@ -50,7 +50,7 @@
     fn end_fault(&mut self) {
         let lost = self.lost_replicas();
         self.fault_is_active = false;
-        self.fault_has_ended = true;
+        self.fault_is_over = true;
         for &replica in &lost {
             self.replicas[replica].restart(self.now);
         }
--- a/crates/linenthread-simulation/src/failover/routing.rs
+++ b/crates/linenthread-simulation/src/failover/routing.rs
@@ -86,7 +86,7 @@
                 }
             }
         }
-        if self.fault_is_active || self.fault_has_ended {
+        if self.fault_is_active || self.fault_is_over {
             let demand =
                 self.query_rate * number::float(SUB_REQUESTS_PER_QUERY) * number::float(PER_ZONE);
             let demand = vec![demand; ZONES];
--- a/crates/linenthread-simulation/src/failover/world.rs
+++ b/crates/linenthread-simulation/src/failover/world.rs
@@ -57,7 +57,7 @@
     /// Reports for the leader while there is none.
     pub(super) pending_report: Report,
     pub(super) fault_is_active: bool,
-    pub(super) fault_has_ended: bool,
+    pub(super) fault_is_over: bool,
     pub(super) totals: Totals,
 }
 
@@ -85,7 +85,7 @@
             controller: topology::controller(START),
             pending_report: Report::default(),
             fault_is_active: false,
-            fault_has_ended: false,
+            fault_is_over: false,
             totals: Totals::default(),
         };
         let members: Vec<MembershipEntry> = (0..REPLICAS)
--- a/crates/linenthread-simulation/src/fleet/connections.rs
+++ b/crates/linenthread-simulation/src/fleet/connections.rs
@@ -36,7 +36,7 @@
         } else {
             REFUSE_LATENCY
         };
-        let link = self.events.take_number();
+        let link = self.events.next_number();
         let accepting = End {
             process: to,
             connection: ConnectionId(0),
@@ -52,7 +52,7 @@
 
     /// Whether a process accepts a connection.
     fn accept(&mut self, connecting: End, to: ProcessIndex) -> bool {
-        let link = self.events.take_number();
+        let link = self.events.next_number();
         let process = &mut self.processes[to];
         let now = process.local_time(self.now);
         let Some(fleet) = &mut process.fleet else {
--- a/crates/linenthread-simulation/src/link/faults.rs
+++ b/crates/linenthread-simulation/src/link/faults.rs
@@ -1,4 +1,4 @@
-//! Injects faults: cuts, silent loss, and restarts of the server.
+//! Injects faults: disconnects, silent loss, and restarts of the server.
 
 use linenthread_link::ConnectionId;
 
--- a/crates/linenthread-simulation/src/link_speed.rs
+++ b/crates/linenthread-simulation/src/link_speed.rs
@@ -1,4 +1,5 @@
-//! Benchmark of a link between sites, on loopback sockets with the real program at both ends.
+//! Benchmark of a link between sites, on loopback sockets with the real program at both ends. Outages are checked, too:
+//! violations are those of the checker of `linenthread-fakes`.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
--- a/crates/linenthread-simulation/src/members.rs
+++ b/crates/linenthread-simulation/src/members.rs
@@ -1,6 +1,6 @@
 //! What membership costs: fleets of 10 and 100 members in simulated time that all join at once. Datagrams, bytes and
 //! processor time of each member, and how long it takes until all know all others and until one that falls silent is
-//! down for all.
+//! down for all. A violation is that one of these two times is over [`MAX_WAIT`].
 
 use std::net::SocketAddr;
 use std::time::Instant;
--- a/crates/linenthread-simulation/src/merged/event.rs
+++ b/crates/linenthread-simulation/src/merged/event.rs
@@ -9,7 +9,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub(super) enum Event {
     /// An attempt ends; a value is there where it succeeded.
-    AttemptEnded { attempt: Attempt, fate: AttemptFate },
+    AttemptCompleted { attempt: Attempt, fate: AttemptFate },
     /// A health check ends.
     HealthChecked {
         replica: ReplicaIndex,
--- a/crates/linenthread-simulation/src/merged/invariants.rs
+++ b/crates/linenthread-simulation/src/merged/invariants.rs
@@ -30,7 +30,7 @@
             .map_err(|error| {
                 Violation::new(Invariant::MatchesFullData, format!("{error}\n  {response}"))
             })
-            .and_then(|()| open.check_marks(&response, completeness));
+            .and_then(|()| open.check_completeness(&response, completeness));
         if let Err(violation) = result {
             client.cursor = None;
             self.violated(query, &violation);
@@ -40,7 +40,11 @@
 
 impl OpenQuery<'_> {
     /// Checks that a response is marked as partial where it is, and that memory is bounded.
-    fn check_marks(&self, response: &Value, completeness: Completeness) -> Result<(), Violation> {
+    fn check_completeness(
+        &self,
+        response: &Value,
+        completeness: Completeness,
+    ) -> Result<(), Violation> {
         if is_complete(response) && completeness != Completeness::Complete {
             return Err(Violation::new(
                 Invariant::PartialIsMarked,
--- a/crates/linenthread-simulation/src/merged/replicas.rs
+++ b/crates/linenthread-simulation/src/merged/replicas.rs
@@ -144,7 +144,7 @@
         }
         for attempt in log.cancelled {
             let fate = AttemptFate::Cancelled;
-            self.schedule(0, Event::AttemptEnded { attempt, fate });
+            self.schedule(0, Event::AttemptCompleted { attempt, fate });
         }
         for replica in log.health_checks {
             let is_alive = self.is_alive[replica.0];
@@ -186,7 +186,7 @@
         } else {
             (sent.timeout, AttemptFate::TimedOut)
         };
-        self.schedule(after, Event::AttemptEnded { attempt, fate });
+        self.schedule(after, Event::AttemptCompleted { attempt, fate });
         attempt.number
     }
 }
--- a/crates/linenthread-simulation/src/merged/simulation.rs
+++ b/crates/linenthread-simulation/src/merged/simulation.rs
@@ -28,7 +28,9 @@
                 Event::NextQuery { client } if self.statistics.queries < self.options.queries => {
                     self.make_query(client);
                 }
-                Event::AttemptEnded { attempt, fate } => self.on_attempt_ended(attempt, fate),
+                Event::AttemptCompleted { attempt, fate } => {
+                    self.on_attempt_completed(attempt, fate);
+                }
                 _ => {}
             }
         }
--- a/crates/linenthread-simulation/src/merged/traffic.rs
+++ b/crates/linenthread-simulation/src/merged/traffic.rs
@@ -124,7 +124,7 @@
     }
 
     /// An attempt has ended: its value goes to the merger, its outcome to the decision module.
-    pub(super) fn on_attempt_ended(&mut self, attempt: Attempt, fate: AttemptFate) {
+    pub(super) fn on_attempt_completed(&mut self, attempt: Attempt, fate: AttemptFate) {
         if !self.replicas.is_in_flight(&attempt) {
             return;
         }
--- a/crates/linenthread-simulation/src/merging_speed.rs
+++ b/crates/linenthread-simulation/src/merging_speed.rs
@@ -1,4 +1,5 @@
-//! Benchmark of merging rows, beside the obvious way in the same run: parse all, sort, truncate.
+//! Benchmark of merging rows, beside the obvious way in the same run: parse all, sort, truncate. A
+//! violation is that the two give different pages.
 
 use std::hint::black_box;
 use std::time::{Duration, Instant};
--- a/crates/linenthread-simulation/src/number.rs
+++ b/crates/linenthread-simulation/src/number.rs
@@ -36,13 +36,13 @@
     clippy::cast_sign_loss,
     reason = "the fraction is to be cut off; the conversion saturates"
 )]
-pub(crate) fn whole(figure: f64) -> u32 {
+pub(crate) fn truncated(figure: f64) -> u32 {
     figure as u32
 }
 
 /// The position at a share of a sorted list's length; the length itself at a share of 1.
 pub(crate) fn position(length: usize, share: f64) -> usize {
-    index(u64::from(whole(float(length) * share)))
+    index(u64::from(truncated(float(length) * share)))
 }
 
 /// A length as a count.
--- a/crates/linenthread-simulation/src/zones/traffic.rs
+++ b/crates/linenthread-simulation/src/zones/traffic.rs
@@ -33,7 +33,7 @@
     fn poisson(&mut self, mean: f64) -> u32 {
         if mean > MAX_EXACT_MEAN {
             let normal: f64 = (0..12).map(|_| self.rng.rand_float()).sum::<f64>() - 6.0;
-            return number::whole(mean + normal * mean.sqrt());
+            return number::truncated(mean + normal * mean.sqrt());
         }
         let (mut number, limit) = (0, (-mean).exp());
         let mut product = self.rng.rand_float();
