--- a/crates/linenthread-service/src/cli.rs
+++ b/crates/linenthread-service/src/cli.rs
@@ -5,34 +5,37 @@
 use bpaf::{OptionParser, Parser, construct, long, positional, pure};
 
 use crate::demo::DemoOptions;
+use crate::migrate::MigrateOptions;
 use crate::zones_command::ZonesAction;
 
 /// What the process is to do.
 #[derive(Clone)]
-pub(crate) enum Command {
+pub enum Command {
     /// Serve queries.
     Serve {
+        /// The platform's configuration file.
         config: Option<PathBuf>,
+        /// The operators' own file.
         installation: Option<PathBuf>,
     },
     /// Check a configuration as `Serve` would read it.
     Check {
+        /// The platform's configuration file.
         config: PathBuf,
+        /// The operators' own file.
         installation: Option<PathBuf>,
     },
     /// Print the schema of the installation file.
     Schema,
     /// Carry a configuration over to sets of replicas.
-    Migrate {
-        dry_run: bool,
-        output: Option<PathBuf>,
-        old: PathBuf,
-    },
+    Migrate(MigrateOptions),
     /// Run a demo on this machine.
     Try(DemoOptions),
     /// Show the routing table of the fleet, drain a zone or take it back.
     Zones {
+        /// The operators' own file, which names the fleet.
         installation: PathBuf,
+        /// What is asked of the fleet.
         action: ZonesAction,
     },
     /// Print the version.
@@ -40,7 +43,7 @@
 }
 
 /// The parser of the whole command line.
-pub(crate) fn command() -> OptionParser<Command> {
+pub fn command() -> OptionParser<Command> {
     let serve = serve();
     let check = check();
     let migrate = migrate();
@@ -117,7 +120,8 @@
         .optional();
     let old =
         positional::<PathBuf>("OLD").help("The configuration to carry over; it is not changed");
-    construct!(Command::Migrate { dry_run, output, old })
+    construct!(MigrateOptions { dry_run, output, old })
+        .map(Command::Migrate)
         .to_options()
         .descr(
             "Writes the counterpart of a configuration for replicas in sets that report no load: the sets are \
--- a/crates/linenthread-service/src/dispatcher/membership.rs
+++ b/crates/linenthread-service/src/dispatcher/membership.rs
@@ -5,23 +5,18 @@
 use linenthread_core::interface::{MembershipEntry, Phase, ReplicaIndex, TenthMillis};
 use linenthread_link::{Member, routing};
 use linenthread_protocol::{hash_id, membership};
-use tracing::{info, warn};
+use tracing::info;
 
 use crate::clock::Clock;
-use crate::dispatcher::replica_indices::ReplicaIndices;
+use crate::dispatcher::open_queries::QueryProgress;
+use crate::dispatcher::peer_members::PeerMembers;
+use crate::replica_indices::ReplicaIndices;
 use crate::transports::link::LinkEvent;
 use crate::transports::{Route, Transports};
 
 /// The share of traffic, in thousandths, that a replica is announced with to those behind a link.
 const FULL_SHARE: u16 = 1_000;
 
-/// What one peer's link reaches.
-#[derive(Default)]
-struct PeerMembers {
-    is_up: bool,
-    by_id: BTreeMap<String, Member>,
-}
-
 /// A replica behind links, as last passed to the coordinator.
 struct RemoteReplica {
     /// The peers whose links reach it.
@@ -64,14 +59,16 @@
         }
     }
 
-    /// Applies a list of the service discovery; returns its entries for the coordinator. `submitted` queries were
-    /// submitted so far, of which the first `completed` are over.
+    /// Applies a list of the service discovery; returns its entries for the coordinator.
     pub(super) fn apply_list(
         &mut self,
         list: &membership::MembershipList,
-        submitted: u64,
-        completed: u64,
+        progress: QueryProgress,
     ) -> Vec<MembershipEntry> {
+        let QueryProgress {
+            submitted,
+            completed,
+        } = progress;
         self.replicas
             .release_unused(completed, |replica| self.transports.is_vacant(replica));
         if list.complete {
@@ -85,12 +82,7 @@
             // A complete list leaves out what only peers reach.
             let remote = std::mem::take(&mut self.remote);
             for (id, replica) in &remote {
-                entries.push(self.remote_entry(
-                    id,
-                    Some(&replica.peers),
-                    &replica.member,
-                    submitted,
-                ));
+                entries.push(self.remote_entry(id, replica));
             }
             self.remote = remote;
             self.remove_unlisted(&entries, submitted);
@@ -112,14 +104,18 @@
             return None;
         }
         let replica = self.replicas.get_or_assign(&listed.id);
-        self.replicas
-            .set_removed(replica, is_removed.then_some(submitted));
-        let route = (!is_removed).then_some(Route::Direct(listed.address));
-        self.transports.set_route(replica, route);
+        if is_removed {
+            self.replicas.set_removed(replica, submitted);
+            self.transports.set_route(replica, None);
+        } else {
+            self.replicas.set_listed(replica);
+            let route = Route::Direct(listed.address);
+            self.transports.set_route(replica, Some(route));
+        }
         let started_at =
             (listed.started_at_ms > 0.0).then(|| self.clock.at_unix(listed.started_at_ms));
         Some(MembershipEntry {
-            replica: ReplicaIndex(replica),
+            replica,
             id: hash_id(&listed.id),
             replica_group: listed.replica_group,
             zone: self.zone(&listed.zone),
@@ -131,11 +127,12 @@
 
     /// Removes the replicas that a complete list does not name.
     fn remove_unlisted(&mut self, entries: &[MembershipEntry], submitted: u64) {
-        let mut is_listed = vec![false; self.replicas.len()];
+        let mut is_listed = vec![false; self.replicas.count()];
         for entry in entries {
             is_listed[entry.replica.0] = true;
         }
-        for replica in (0..is_listed.len()).filter(|replica| !is_listed[*replica]) {
+        let unlisted = (0..is_listed.len()).filter(|index| !is_listed[*index]);
+        for replica in unlisted.map(ReplicaIndex) {
             self.replicas.ensure_removed(replica, submitted);
             self.transports.set_route(replica, None);
         }
@@ -188,8 +185,8 @@
         }
     }
 
-    /// Determines what has changed behind links, for the coordinator. A link that goes down takes all with it that
-    /// no other reaches, so that none of these replicas has to be found failing by itself.
+    /// Determines what has changed behind links, for the coordinator. A link that goes down takes all replicas with it
+    /// that no other link reaches, so that the coordinator need not find out about each of them by failed attempts.
     pub(super) fn update_remote(&mut self, submitted: u64) -> Vec<MembershipEntry> {
         let current = self.reachable_remote();
         let previous = std::mem::take(&mut self.remote);
@@ -203,20 +200,11 @@
                     self.transports
                         .set_route(index, Some(via_link(&replica.peers, id)));
                 }
-                _ => entries.push(self.remote_entry(
-                    id,
-                    Some(&replica.peers),
-                    &replica.member,
-                    submitted,
-                )),
+                _ => entries.push(self.remote_entry(id, replica)),
             }
         }
         for (id, replica) in previous.iter().filter(|(id, _)| !current.contains_key(*id)) {
-            let removed = Member {
-                phase: Phase::Removed,
-                ..replica.member.clone()
-            };
-            entries.push(self.remote_entry(id, None, &removed, submitted));
+            entries.push(self.removed_remote_entry(id, &replica.member, submitted));
         }
         let count = current.len();
         self.remote = current;
@@ -247,28 +235,41 @@
         reachable
     }
 
-    /// A replica behind links; `peers` is `None` where it is removed.
-    fn remote_entry(
+    /// The entry of a replica that is reached over links from now on.
+    fn remote_entry(&mut self, id: &str, remote: &RemoteReplica) -> MembershipEntry {
+        let replica = self.replicas.get_or_assign(id);
+        self.replicas.set_listed(replica);
+        let route = via_link(&remote.peers, id);
+        self.transports.set_route(replica, Some(route));
+        self.entry(replica, id, &remote.member)
+    }
+
+    /// The entry of a replica that no link reaches any more.
+    fn removed_remote_entry(
         &mut self,
         id: &str,
-        peers: Option<&Vec<usize>>,
         member: &Member,
         submitted: u64,
     ) -> MembershipEntry {
         let replica = self.replicas.get_or_assign(id);
-        let removed_after = peers.is_none().then_some(submitted);
-        self.replicas.set_removed(replica, removed_after);
-        let route = peers.map(|peers| via_link(peers, id));
-        self.transports.set_route(replica, route);
+        self.replicas.set_removed(replica, submitted);
+        self.transports.set_route(replica, None);
         MembershipEntry {
-            replica: ReplicaIndex(replica),
+            phase: Phase::Removed,
+            ..self.entry(replica, id, member)
+        }
+    }
+
+    /// What a gateway reports of a replica, for the coordinator.
+    fn entry(&self, replica: ReplicaIndex, id: &str, member: &Member) -> MembershipEntry {
+        let age = |age_ms| TenthMillis::from(age_ms) * 10;
+        MembershipEntry {
+            replica,
             id: hash_id(id),
-            replica_group: member.replica_group as usize,
+            replica_group: group_index(member.replica_group),
             zone: self.zone(&member.zone),
             phase: member.phase,
-            started_at: member
-                .age_ms
-                .map(|age_ms| self.clock.now() - TenthMillis::from(age_ms) * 10),
+            started_at: member.age_ms.map(|age_ms| self.clock.now() - age(age_ms)),
             slow_start_share: Some(f64::from(member.slow_start_share) / f64::from(FULL_SHARE)),
         }
     }
@@ -279,46 +280,21 @@
     }
 
     /// The index of a listed replica that is reached directly.
-    pub(super) fn direct_replica(&self, id: &str) -> Option<usize> {
+    pub(super) fn direct_replica(&self, id: &str) -> Option<ReplicaIndex> {
         let replica = self.replicas.get(id)?;
         let is_direct = self.local.contains_key(id) && self.transports.is_direct(replica);
         is_direct.then_some(replica)
     }
 }
 
-impl PeerMembers {
-    /// Takes the members that a gateway reports: all of them where `complete`, else those that have changed.
-    fn update(&mut self, complete: bool, members: Vec<Member>, replica_groups: usize) {
-        let (valid, invalid): (Vec<_>, Vec<_>) = members
-            .into_iter()
-            .partition(|member| member.is_valid(replica_groups));
-        if let Some(bad) = invalid.first() {
-            warn!(
-                replica = bad.id,
-                cell = bad.replica_group,
-                "a gateway lists what can be no replica here"
-            );
-        }
-        if complete {
-            self.by_id.clear();
-        }
-        // A gateway may list no more than the service discovery; updates of those already listed always count.
-        for member in valid {
-            let has_room = self.by_id.len() < membership::MAX_REPLICAS;
-            match member.phase {
-                Phase::Removed => drop(self.by_id.remove(&member.id)),
-                _ if has_room || self.by_id.contains_key(&member.id) => {
-                    self.by_id.insert(member.id.clone(), member);
-                }
-                _ => {}
-            }
-        }
-    }
-}
-
 fn via_link(peers: &[usize], id: &str) -> Route {
     Route::ViaLink {
         peers: peers.to_vec(),
         replica_id: id.into(),
     }
 }
+
+/// The index of a replica group; every group that a gateway may report has one.
+fn group_index(replica_group: u32) -> usize {
+    usize::try_from(replica_group).unwrap_or(usize::MAX)
+}
--- a/crates/linenthread-service/src/fleet/member.rs
+++ b/crates/linenthread-service/src/fleet/member.rs
@@ -2,7 +2,6 @@
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
-use std::net::{TcpListener as StdTcpListener, UdpSocket as StdUdpSocket};
 use std::rc::Rc;
 use std::time::{SystemTime, UNIX_EPOCH};
 
@@ -26,9 +25,8 @@
     LogSnafu, NotConfiguredSnafu, NotVoterSnafu, OpenSnafu, SocketSnafu, VoterDirectoryError,
     VoterDirectorySnafu,
 };
-use super::{FromFleet, LEAVE_GRACE, MemberConfig, StartError, ToFleet};
-use crate::clock::Clock;
-use crate::duration::tenth_millis;
+use super::{FromFleet, LEAVE_GRACE, MemberConfig, Sockets, StartError, ToFleet};
+use crate::clock::{Clock, to_tenths};
 use crate::log::LogRateLimit;
 
 /// SIGXFSZ, which a write beyond the file size limit raises.
@@ -104,7 +102,7 @@
         local,
         voters: fleet.voters.into_iter().map(peer_address).collect(),
         expected_members: fleet.expected_members,
-        probe_interval: tenth_millis(fleet.probe_interval),
+        probe_interval: to_tenths(fleet.probe_interval),
         secrets: config.secrets.clone(),
         seed: config.seed,
     }
@@ -120,16 +118,15 @@
         config: MemberConfig,
         clock: Clock,
         from_fleet: mpsc::UnboundedSender<FromFleet>,
-        tcp: StdTcpListener,
-        udp: StdUdpSocket,
+        sockets: Sockets,
     ) -> Result<Member, StartError> {
         let mut actions = Vec::new();
         let fleet_config = fleet_config(&config);
         let now = clock.now();
         let directory = open_voter_directory(&config).context(VoterDirectorySnafu)?;
         let fleet = Fleet::new(fleet_config, directory, now, &mut actions).context(LogSnafu)?;
-        let udp = UdpSocket::from_std(udp).context(SocketSnafu)?;
-        let tcp = TcpListener::from_std(tcp).context(SocketSnafu)?;
+        let udp = UdpSocket::from_std(sockets.udp).context(SocketSnafu)?;
+        let tcp = TcpListener::from_std(sockets.tcp).context(SocketSnafu)?;
         let member = Member(Rc::new(Inner {
             config,
             clock,
@@ -167,9 +164,9 @@
                 () = sleep_until(self.0.clock.at(self.wake_at())) => {}
                 () = self.0.woken.notified() => {}
                 message = received.recv() => match message {
-                    Some(ToFleet::Observed(report, topology)) => {
-                        self.0.observations.borrow_mut().add(&report);
-                        self.0.topology.replace(Some(topology));
+                    Some(ToFleet::Observed(report)) => {
+                        self.0.observations.borrow_mut().add(&report.observations);
+                        self.0.topology.replace(Some(report.topology));
                     }
                     Some(ToFleet::Leave) | None => {
                         self.step(Fleet::leave);
--- a/crates/linenthread-service/src/serve/mod.rs
+++ b/crates/linenthread-service/src/serve/mod.rs
@@ -1,5 +1,6 @@
 //! `linenthread serve`: puts the parts of the process together and runs it until it is told to stop.
 
+mod descriptors;
 mod error;
 mod fleet_member;
 mod links;
@@ -19,31 +20,31 @@
 use crate::clock;
 use crate::config::Config;
 use crate::dispatcher::Dispatcher;
-use crate::duration::tenth_millis;
 use crate::fleet::{self, FleetHandle, ToFleet};
-use crate::frontends::http::{self, HttpFrontend};
+use crate::frontends::http::HttpFrontend;
 use crate::frontends::link::Gateway;
+use crate::frontends::listener;
 use crate::installation::InstallationSettings;
 use crate::merge_responses::{MergePlans, ResponseMerging};
 use crate::query::QueryContext;
-use crate::service_discovery;
+use crate::service_discovery::{self, FirstFetch};
 use crate::transports::Transports;
-use crate::transports::attempt::ConnectionLimits;
-use crate::zone_routing::ZoneRouting;
+use crate::transports::attempt::ConnectionConfig;
+use crate::zone_routing::{ZoneRouting, ZoneRoutingConfig, numbered_zones};
 
-pub(crate) use error::ServeError;
+use descriptors::{max_clients, max_spent_clients, replica_descriptors};
+pub use error::ServeError;
 use error::{FleetSnafu, ListenSnafu, SignalsSnafu};
 
-/// Descriptors that are neither a client's nor a replica's: standard streams, the listener, service discovery's
-/// and the runtime's own.
-const OWN_DESCRIPTORS: usize = 24;
 /// Time that calls of links may still take after the signal to stop.
 const LINKS_DRAIN: Duration = Duration::from_millis(1_500);
 
 /// The files that a running process reads again on SIGHUP.
 #[derive(Clone, Copy)]
-pub(crate) struct ReloadedFiles<'a> {
+pub struct ReloadedFiles<'a> {
+    /// The platform's configuration.
     pub config: &'a Path,
+    /// The operators' own file.
     pub installation: Option<&'a Path>,
 }
 
@@ -70,21 +71,21 @@
 /// # Errors
 ///
 /// It could not start, or an essential task has failed.
-pub(crate) async fn serve(
+pub async fn serve(
     config: Config,
     settings: InstallationSettings,
     files: ReloadedFiles<'_>,
     ready: impl FnOnce(SocketAddr),
 ) -> Result<(), ServeError> {
     let address = config.listen;
-    let listener = http::listen(address).context(ListenSnafu { address })?;
+    let listener = listener::listen(address).context(ListenSnafu { address })?;
     let mut signals = Signals::new()?;
     let max_clients = max_clients(&config, &settings);
     let transports = transports(&config);
     let dispatcher = dispatcher(&config, &transports, &settings);
-    let fleet = settings.fleet.map(|(fleet, secrets)| {
-        fleet_member::join(&config, &dispatcher, fleet, settings.zones, secrets)
-    });
+    let fleet = settings
+        .fleet
+        .map(|fleet| fleet_member::join(&config, &dispatcher, fleet, settings.zones));
     let fleet = fleet.transpose().context(FleetSnafu)?;
     let mut decisions = actix_rt::spawn(dispatcher.clone().run());
     let (discovery_address, watched_address) = watch::channel(config.discovery);
@@ -92,19 +93,23 @@
         dispatcher.clone(),
         watched_address,
         config.coordinator.layout.replica_groups,
-        !config.coordinator.watch_membership,
+        first_fetch(&config),
     ));
-    for (n, peer) in settings.peers.into_iter().enumerate() {
-        let seed = config.seed.wrapping_add(1 + n as u64);
+    for (peer, number) in settings.peers.into_iter().zip(1..) {
+        let seed = config.seed.wrapping_add(number);
         links::start_peer(&config, &dispatcher, &transports, peer, seed);
     }
-    let gateway = settings.gateway.map(|(gateway, secrets)| {
-        links::start_gateway(&config, &dispatcher, &transports, &gateway, secrets)
-    });
+    let gateway = settings
+        .gateway
+        .map(|gateway| links::start_gateway(&config, &dispatcher, &transports, gateway));
     let gateway = gateway.transpose()?;
     let query_context = query_context(&config, dispatcher, transports, settings.merging);
     let query_context = Rc::new(query_context);
-    let frontend = HttpFrontend::new(query_context.clone(), max_clients, config.sockets / 6);
+    let frontend = HttpFrontend::new(
+        query_context.clone(),
+        max_clients,
+        max_spent_clients(&config),
+    );
     let listen = listener.local_addr().unwrap_or(config.listen);
     let merged = query_context.merging.plans.borrow().count();
     info!(name = config.name, %listen, roster = %config.discovery, merged, "serving");
@@ -141,60 +146,64 @@
     }
 }
 
-/// Connections of clients that the descriptors leave room for.
-fn max_clients(config: &Config, settings: &InstallationSettings) -> usize {
-    let fleet = settings.fleet.as_ref();
-    let for_fleet = fleet.map_or(0, |(fleet, _)| fleet_member::descriptors(fleet));
-    let gateway = settings.gateway.as_ref().map(|(gateway, _)| gateway);
-    let for_links = links::descriptors(settings.peers.len(), gateway);
-    let reserved = replica_descriptors(config) + for_fleet + for_links + OWN_DESCRIPTORS;
-    config.sockets.saturating_sub(reserved).max(1)
-}
-
-/// Descriptors reserved for replicas, before those for clients: a quarter of all, or two a replica. More replicas may
-/// be discovered later, so at most half is reserved.
-fn replica_descriptors(config: &Config) -> usize {
-    (config.sockets / 4)
-        .max(config.cached_membership.replicas.len() * 2)
-        .min(config.sockets / 2)
+/// Where the settings have the coordinator watch the list, it says itself when it wants the first one.
+fn first_fetch(config: &Config) -> FirstFetch {
+    if config.coordinator.watch_membership {
+        FirstFetch::OnRequest
+    } else {
+        FirstFetch::AtOnce
+    }
 }
 
+/// The connections to replicas. Idle ones are closed somewhat earlier than replicas would close them.
 fn transports(config: &Config) -> Transports {
-    let surroundings = &config.cluster;
-    let connect_timeout = clock::to_duration(surroundings.connect_timeout.max(1));
-    let idle_timeout = clock::to_duration(surroundings.idle_timeout.max(1));
-    Transports::new(ConnectionLimits {
-        max_streams: surroundings.max_streams,
-        cancellation: config.coordinator.permissions.cancellation,
+    let cluster = &config.cluster;
+    let connect_timeout = clock::to_duration(cluster.connect_timeout.max(1));
+    let replica_idle_timeout = clock::to_duration(cluster.idle_timeout.max(1));
+    Transports::new(ConnectionConfig {
+        max_streams: cluster.max_streams,
+        sends_cancellations: config.coordinator.permissions.cancellation,
         connect_timeout,
         probe_timeout: connect_timeout,
-        idle_timeout: idle_timeout - idle_timeout / 8,
+        idle_timeout: replica_idle_timeout - replica_idle_timeout / 8,
         max_connections: replica_descriptors(config),
     })
 }
 
-/// The dispatcher, which routes between zones if this process is in a fleet that has them.
+/// The dispatcher, which routes between zones where a fleet decides on that.
 fn dispatcher(
     config: &Config,
     transports: &Transports,
     settings: &InstallationSettings,
 ) -> Dispatcher {
-    let (fleet, zones) = (settings.fleet.as_ref(), settings.zones.as_ref());
-    let zone_list = zones.iter().flat_map(|zones| &zones.zones);
-    let names: Vec<String> = zone_list.map(|zone| zone.name.clone()).collect();
-    Dispatcher::new(config, transports.clone(), &names, |sites| {
-        let ((fleet, _), zones) = (fleet?, zones?);
-        let layout = config.coordinator.layout.clone();
-        Some(ZoneRouting::new(
-            fleet::configured_zones(zones),
-            &fleet.zone,
-            tenth_millis(zones.table_lifetime),
-            sites,
-            (layout, config.cluster.shard_count),
-        ))
-    })
+    let installed_zones = settings.zones.as_ref().map(|zones| &zones.zones[..]);
+    let zone_names = numbered_zones(
+        &config.cluster.zone_names,
+        installed_zones.unwrap_or_default(),
+    );
+    let zones = zone_routing(config, settings, &zone_names);
+    Dispatcher::new(config, transports.clone(), zone_names, zones)
+}
+
+/// Routing between zones; `None` unless this process is in a fleet that has zones.
+fn zone_routing(
+    config: &Config,
+    settings: &InstallationSettings,
+    zone_names: &[String],
+) -> Option<ZoneRouting> {
+    let fleet = &settings.fleet.as_ref()?.section;
+    let zones = settings.zones.as_ref()?;
+    let routing_config = ZoneRoutingConfig {
+        zones: fleet::configured_zones(zones),
+        local_zone: fleet.zone.clone(),
+        table_lifetime: clock::to_tenths(zones.table_lifetime),
+        layout: config.coordinator.layout.clone(),
+        shard_count: config.cluster.shard_count,
+    };
+    Some(ZoneRouting::new(routing_config, zone_names))
 }
 
+/// What the tasks of all queries share.
 fn query_context(
     config: &Config,
     dispatcher: Dispatcher,
@@ -206,10 +215,8 @@
         dispatcher,
         transports,
         cluster: config.cluster.clone(),
-        cancellation: config.coordinator.permissions.cancellation,
-        priorities: indexes
-            .map(|index| (index.value * 1_000.0) as u32)
-            .collect(),
+        sends_cancellations: config.coordinator.permissions.cancellation,
+        priorities: indexes.map(|index| thousandths(index.value)).collect(),
         merging: ResponseMerging {
             plans: RefCell::new(Rc::new(merging)),
             ..ResponseMerging::default()
@@ -218,6 +225,16 @@
     }
 }
 
+/// A value in thousandths, rounded down.
+#[expect(
+    clippy::cast_possible_truncation,
+    clippy::cast_sign_loss,
+    reason = "the fraction is to go; the cast saturates, and values are far below its limit"
+)]
+fn thousandths(value: f64) -> u32 {
+    (value * 1_000.0) as u32
+}
+
 /// Reads the files again on each SIGHUP.
 async fn reload(
     hangup: &mut Signal,
--- a/crates/linenthread-service/src/transports/mod.rs
+++ b/crates/linenthread-service/src/transports/mod.rs
@@ -1,7 +1,7 @@
 //! The ways on which sub-requests travel to replicas. A transport ends each attempt exactly once, and its outcome
 //! says honestly whether the attempt ran, may have run, or was never sent.
 
-pub(crate) mod attempt;
+pub mod attempt;
 mod connection;
 pub(crate) mod link;
 mod replica_connections;
@@ -12,35 +12,38 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use linenthread_core::interface::AttemptOutcome;
+use linenthread_core::interface::{AttemptOutcome, ReplicaIndex};
 use linenthread_link::routing;
 
 use attempt::{
-    ConnectionLimits, FinishedAttempts, OutgoingSubRequest, ProbeReport, report_not_sent,
+    ConnectionConfig, FinishedAttempts, OutgoingSubRequest, ProbeReport, report_not_sent,
 };
 use replica_connections::ReplicaConnections;
 
 /// How a replica is reached.
 #[derive(Clone, Debug, PartialEq)]
-pub(crate) enum Route {
+pub enum Route {
+    /// By a connection to it.
     Direct(SocketAddr),
     /// Over the links of one of these peers.
     ViaLink {
+        /// The peers' numbers.
         peers: Vec<usize>,
+        /// The replica's id, by which the gateway knows it.
         replica_id: Rc<str>,
     },
 }
 
 /// All replicas, however they are reached.
 #[derive(Clone)]
-pub(crate) struct Transports(Rc<Inner>);
+pub struct Transports(Rc<Inner>);
 
 struct Inner {
     direct: ReplicaConnections,
     probe_timeout: Duration,
     peers: RefCell<Vec<link::Peer>>,
-    /// Replicas that are reached over a link, by their index.
-    remote: RefCell<BTreeMap<usize, RemoteReplica>>,
+    /// Replicas that are reached over a link.
+    remote: RefCell<BTreeMap<ReplicaIndex, RemoteReplica>>,
 }
 
 /// A replica that is reached over a link.
@@ -58,27 +61,30 @@
 }
 
 /// An attempt in flight at a replica. Dropping it cancels the attempt, unless it has finished.
-pub(crate) enum InFlightAttempt {
-    Direct(connection::InFlightAttempt),
-    Link(#[allow(dead_code, reason = "dropping it cancels the call")] link::InFlightAttempt),
+pub struct InFlightAttempt(AttemptOn);
+
+/// An attempt by what it travels on.
+enum AttemptOn {
+    Connection(connection::InFlightAttempt),
+    Link(link::InFlightAttempt),
 }
 
 impl InFlightAttempt {
-    /// Marks the connection as silent where nothing was read since the attempt was sent. A link judges itself by
-    /// its heartbeats.
-    pub(crate) fn timed_out(&self) {
-        match self {
-            InFlightAttempt::Direct(attempt) => attempt.timed_out(),
-            InFlightAttempt::Link(_) => {}
+    /// The attempt has run out of time, which may say something of what it travels on.
+    pub(crate) fn on_timeout(&self) {
+        match &self.0 {
+            AttemptOn::Connection(attempt) => attempt.on_timeout(),
+            AttemptOn::Link(attempt) => attempt.on_timeout(),
         }
     }
 }
 
 impl Transports {
-    pub(crate) fn new(limits: ConnectionLimits) -> Self {
+    /// No replica has a route at first.
+    pub fn new(config: ConnectionConfig) -> Self {
         Transports(Rc::new(Inner {
-            direct: ReplicaConnections::new(limits),
-            probe_timeout: limits.probe_timeout,
+            direct: ReplicaConnections::new(config),
+            probe_timeout: config.probe_timeout,
             peers: RefCell::default(),
             remote: RefCell::default(),
         }))
@@ -92,12 +98,12 @@
 
     /// Closes the connections to a replica on which nothing is in flight. A link judges its own connection by
     /// heartbeats.
-    pub(crate) fn close_idle(&self, replica: usize) {
+    pub(crate) fn close_idle(&self, replica: ReplicaIndex) {
         self.0.direct.close_idle(replica);
     }
 
     /// Sets how a replica is reached from now on.
-    pub(crate) fn set_route(&self, replica: usize, route: Option<Route>) {
+    pub fn set_route(&self, replica: ReplicaIndex, route: Option<Route>) {
         let mut remote = self.0.remote.borrow_mut();
         remote.remove(&replica);
         let address = match route {
@@ -117,20 +123,20 @@
     }
 
     /// Whether a replica is not reached over a link: what arrives over a link is never sent over another.
-    pub(crate) fn is_direct(&self, replica: usize) -> bool {
+    pub(crate) fn is_direct(&self, replica: ReplicaIndex) -> bool {
         !self.0.remote.borrow().contains_key(&replica)
     }
 
     /// Whether a replica has neither a route nor a connection: its index may be reused.
-    pub(crate) fn is_vacant(&self, replica: usize) -> bool {
+    pub(crate) fn is_vacant(&self, replica: ReplicaIndex) -> bool {
         self.is_direct(replica) && self.0.direct.is_vacant(replica)
     }
 
     /// Sends sub-requests of one query to one replica. Those that cannot be sent are reported as such, and are
     /// not in flight.
-    pub(crate) fn send(
+    pub fn send(
         &self,
-        replica: usize,
+        replica: ReplicaIndex,
         query_id: &str,
         sub_requests: &[OutgoingSubRequest],
         wait_ms: u64,
@@ -143,7 +149,9 @@
                 .send(replica, query_id, sub_requests, wait_ms, finished);
             return in_flight
                 .into_iter()
-                .map(|attempt| attempt.map(InFlightAttempt::Direct))
+                .map(|attempt| {
+                    attempt.map(|attempt| InFlightAttempt(AttemptOn::Connection(attempt)))
+                })
                 .collect();
         };
         let Some(peer) = selected.peer else {
@@ -152,12 +160,12 @@
         let wait = Duration::from_millis(wait_ms);
         peer.send(&selected.replica_id, query_id, sub_requests, wait, finished)
             .into_iter()
-            .map(|attempt| Some(InFlightAttempt::Link(attempt)))
+            .map(|attempt| Some(InFlightAttempt(AttemptOn::Link(attempt))))
             .collect()
     }
 
     /// Probes a replica for its health and load.
-    pub(crate) async fn probe(&self, replica: usize) -> ProbeReport {
+    pub(crate) async fn probe(&self, replica: ReplicaIndex) -> ProbeReport {
         match self.select_link(replica) {
             Some(SelectedLink {
                 peer: Some(peer),
@@ -171,7 +179,7 @@
     }
 
     /// Selects a link to a replica; `None` where it is reached directly.
-    fn select_link(&self, replica: usize) -> Option<SelectedLink> {
+    fn select_link(&self, replica: ReplicaIndex) -> Option<SelectedLink> {
         let mut remote = self.0.remote.borrow_mut();
         let RemoteReplica {
             peers: candidates,
--- /dev/null
+++ b/crates/linenthread-service/src/zones_command/error.rs
@@ -0,0 +1,53 @@
+//! Why `linenthread zones` has failed.
+
+use std::path::PathBuf;
+
+use linenthread_fleet::OpenError;
+use linenthread_installation::ReadFileError;
+use snafu::Snafu;
+
+use crate::installation::InstallationError;
+
+/// Why the command has failed. Each message is one line.
+#[derive(Debug, Snafu)]
+#[snafu(visibility(pub(super)))]
+pub enum ZonesError {
+    /// The installation file cannot be used.
+    #[snafu(display("{source}"), context(false))]
+    File {
+        /// The file, the line and the cause.
+        source: ReadFileError,
+    },
+    /// The installation file names no fleet.
+    #[snafu(display("{}: there is no <fleet>", file.display()))]
+    NoFleet {
+        /// The file.
+        file: PathBuf,
+    },
+    /// The fleet's secrets cannot be used.
+    #[snafu(display("{source}"), context(false))]
+    Secrets {
+        /// The file and the cause.
+        source: InstallationError,
+    },
+    /// The fleet's state machine cannot be started.
+    #[snafu(display("{source}"))]
+    Follow {
+        /// What is wrong.
+        source: OpenError,
+    },
+    /// The leader has rejected the order.
+    #[snafu(display("refused: {reason}"))]
+    Rejected {
+        /// The leader's reason.
+        reason: String,
+    },
+    /// A voter was reached, but no leader has carried the order out in time.
+    #[snafu(display(
+        "nobody who leads has answered: nothing was agreed on, as far as is known here"
+    ))]
+    NoLeader,
+    /// No voter has sent a committed value in time.
+    #[snafu(display("no voter could be reached, or nothing was agreed on yet"))]
+    NoVoter,
+}
