--- a/crates/linenthread-simulation/src/commands/fleet.rs
+++ b/crates/linenthread-simulation/src/commands/fleet.rs
@@ -5,7 +5,7 @@
 use bpaf::{Parser, construct};
 
 use super::{arguments, outcome};
-pub(super) use crate::fleet_simulation::FleetSimulation as Options;
+pub(super) use crate::fleet::Options;
 
 pub(super) fn parser() -> impl Parser<Options> {
     let schedules = arguments::schedules(300);
@@ -22,6 +22,5 @@
 }
 
 pub(super) fn run(options: &Options) -> ExitCode {
-    let (checked, breaches) = options.run();
-    outcome::close(checked, breaches)
+    outcome::close(options.run())
 }
--- a/crates/linenthread-simulation/src/commands/zones.rs
+++ b/crates/linenthread-simulation/src/commands/zones.rs
@@ -5,7 +5,7 @@
 use bpaf::{Parser, construct};
 
 use super::{arguments, outcome};
-pub(super) use crate::zones_simulation::ZonesSimulation as Options;
+pub(super) use crate::zones::Options;
 
 pub(super) fn parser() -> impl Parser<Options> {
     let schedules = arguments::schedules(300);
@@ -13,7 +13,7 @@
     construct!(Options { schedules, seed })
         .to_options()
         .descr(
-            "What is agreed on zones: left, slow, partitioned off, drained and back, checked by their true state",
+            "What is agreed on zones: lost, slow, partitioned off, drained and back, checked by their true state",
         )
         .footer("Example: linenthread-simulation zones --schedules 10000 --seed 7")
         .command("zones")
@@ -21,6 +21,5 @@
 }
 
 pub(super) fn run(options: &Options) -> ExitCode {
-    let (checked, breaches) = options.run();
-    outcome::close(checked, breaches)
+    outcome::close(options.run())
 }
--- /dev/null
+++ b/crates/linenthread-simulation/src/fleet/connections.rs
@@ -0,0 +1,130 @@
+//! Connections between processes, and the bytes and datagrams on their way.
+
+use linenthread_core::interface::TenthMillis;
+use linenthread_fleet::ConnectionId;
+
+use super::SECOND;
+use super::event::{Event, LinkNumber, ProcessIndex, Side};
+use super::network::{End, Sides};
+use super::world::World;
+
+/// How long a connection attempt into a partition takes.
+const CONNECT_TIMEOUT: TenthMillis = 10 * SECOND;
+/// How long a connection attempt takes that is refused.
+const REFUSE_LATENCY: TenthMillis = 10;
+
+impl World {
+    /// A connection attempt arrives: it is accepted, refused, or lost in a partition.
+    pub(super) fn on_connect(
+        &mut self,
+        from: ProcessIndex,
+        connection: ConnectionId,
+        to: ProcessIndex,
+    ) {
+        let is_partitioned =
+            self.network.is_partitioned(from, to) || self.network.is_partitioned(to, from);
+        let both_run = self.processes[from].fleet.is_some() && self.processes[to].fleet.is_some();
+        let connecting = End {
+            process: from,
+            connection,
+        };
+        if both_run && !is_partitioned && self.accept(connecting, to) {
+            return;
+        }
+        let wait = if is_partitioned {
+            CONNECT_TIMEOUT
+        } else {
+            REFUSE_LATENCY
+        };
+        let link = self.events.next_number();
+        let accepting = End {
+            process: to,
+            connection: ConnectionId(0),
+        };
+        let ends = Sides {
+            connecting,
+            accepting,
+        };
+        self.network.add_refused(link, ends);
+        let side = Side::Connecting;
+        self.schedule(wait, Event::Closed { link, side });
+    }
+
+    /// Whether a process accepts a connection.
+    fn accept(&mut self, connecting: End, to: ProcessIndex) -> bool {
+        let link = self.events.next_number();
+        let process = &mut self.processes[to];
+        let now = process.local_time(self.now);
+        let Some(fleet) = &mut process.fleet else {
+            return false;
+        };
+        let mut actions = Vec::new();
+        let Some(connection) = fleet.on_accepted(now, &mut actions) else {
+            return false;
+        };
+        // The link is there before anything is sent over it.
+        let accepting = End {
+            process: to,
+            connection,
+        };
+        let ends = Sides {
+            connecting,
+            accepting,
+        };
+        self.network.add_link(link, ends);
+        self.perform(to, actions);
+        true
+    }
+
+    /// Bytes arrive at a side of a link.
+    pub(super) fn on_bytes(&mut self, link: LinkNumber, side: Side, bytes: &[u8]) {
+        if let Some(end) = self.network.current_end(link, side) {
+            self.call(end.process, |fleet, now, actions| {
+                fleet.on_received(now, end.connection, bytes, actions);
+            });
+        }
+    }
+
+    /// A side of a link learns that the other has closed it.
+    pub(super) fn on_closed(&mut self, link: LinkNumber, side: Side) {
+        if let Some(end) = self.network.current_end(link, side) {
+            self.network.forget(end);
+            self.call(end.process, |fleet, now, actions| {
+                fleet.on_closed(now, end.connection, actions);
+            });
+        }
+        self.network.remove_if_over(link);
+    }
+
+    /// A process closes a link; the other side learns of it, if anything reaches it.
+    pub(super) fn close_link(&mut self, link: LinkNumber, process: ProcessIndex) {
+        if let Some(side) = self.network.close(link, process) {
+            let latency = self.latency();
+            self.schedule(latency, Event::Closed { link, side });
+        }
+    }
+
+    /// A process sends bytes on a connection.
+    pub(super) fn send(&mut self, at: ProcessIndex, connection: ConnectionId, bytes: Vec<u8>) {
+        let from = End {
+            process: at,
+            connection,
+        };
+        let Some(link) = self.network.link_at(from) else {
+            return;
+        };
+        let latency = self.latency();
+        let sent = self.network.send(link, from, self.now, latency);
+        if let Some((arrival, side)) = sent {
+            self.schedule(arrival - self.now, Event::Bytes { link, side, bytes });
+        }
+    }
+
+    /// A process sends a datagram, which may be lost.
+    pub(super) fn send_datagram(&mut self, from: ProcessIndex, to: ProcessIndex, bytes: Vec<u8>) {
+        if !self.network.is_partitioned(from, to) && self.rng.rand_float() >= self.network.loss {
+            let latency = self.latency();
+            self.schedule(latency, Event::Datagram { to, bytes });
+        }
+    }
+}
--- /dev/null
+++ b/crates/linenthread-simulation/src/merged/replicas.rs
@@ -0,0 +1,192 @@
+//! Replicas in simulated time round one decision module: they respond, fail, hang and change.
+
+use std::collections::BTreeMap;
+
+use linenthread_core::Coordinator;
+use linenthread_core::interface::{
+    AttemptOutcome, AttemptResult, IndexConfig, Inputs, MembershipEntry, MembershipUpdate, Phase,
+    ProbeResult, QueryIndex, ReplicaIndex, SubRequestIndex, TenthMillis,
+};
+use oorandom::Rand64;
+
+use super::decision::{Attempt, Decision, DecisionLog, SentAttempt};
+use super::event::Event;
+use super::fault::{AttemptFate, ReplicaBehavior};
+use super::settings::{REPLICA_GROUPS, deployment};
+use crate::event_queue::EventQueue;
+use crate::number;
+
+/// When a run starts; not at 0, so that times before it can be computed.
+const START: TenthMillis = 36_000_000;
+/// When the first replica changes.
+const FIRST_CHANGE: TenthMillis = 20_000;
+/// The first replica's id; any number does.
+const FIRST_REPLICA_ID: u64 = 900;
+/// What a health check takes.
+const HEALTH_CHECK_TIME: TenthMillis = 5;
+
+/// The replicas, the coordinator that sends them attempts, and the events of their simulated time.
+pub(super) struct SimulatedReplicas {
+    pub(super) now: TenthMillis,
+    pub(super) inputs: Inputs,
+    pub(super) rng: Rand64,
+    pub(super) behavior: ReplicaBehavior,
+    coordinator: Coordinator,
+    events: EventQueue<Event>,
+    /// Attempts that have not ended, and when each was sent.
+    in_flight: BTreeMap<Attempt, TenthMillis>,
+    /// How many attempts were made of each sub-request.
+    attempt_counts: BTreeMap<(QueryIndex, SubRequestIndex), usize>,
+    /// Replicas as service discovery reports them.
+    pub(super) members: Vec<MembershipEntry>,
+    /// By replica, whether its process runs.
+    pub(super) is_alive: Vec<bool>,
+}
+
+impl SimulatedReplicas {
+    pub(super) fn new(
+        indexes: Vec<IndexConfig>,
+        seed: u64,
+        behavior: ReplicaBehavior,
+    ) -> SimulatedReplicas {
+        let entry = |n: usize| MembershipEntry {
+            replica: ReplicaIndex(n),
+            id: FIRST_REPLICA_ID + number::count(n),
+            replica_group: n,
+            zone: n % 2,
+            phase: Phase::Ready,
+            started_at: None,
+            slow_start_share: None,
+        };
+        let members: Vec<_> = (0..REPLICA_GROUPS).map(entry).collect();
+        let mut replicas = SimulatedReplicas {
+            now: START,
+            inputs: Inputs::default(),
+            rng: Rand64::new(u128::from(seed)),
+            behavior,
+            coordinator: Coordinator::new(deployment(indexes), seed),
+            events: EventQueue::default(),
+            in_flight: BTreeMap::new(),
+            attempt_counts: BTreeMap::new(),
+            is_alive: vec![true; members.len()],
+            members,
+        };
+        let snapshot = MembershipUpdate::Snapshot(replicas.members.clone());
+        replicas.inputs.membership.push(snapshot);
+        replicas.schedule(1, Event::Wake);
+        if behavior.changes {
+            replicas.schedule(FIRST_CHANGE, Event::MembershipChange);
+        }
+        replicas
+    }
+
+    /// Schedules an event so long from now.
+    pub(super) fn schedule(&mut self, after: TenthMillis, event: Event) {
+        self.events.push(self.now + after, event);
+    }
+
+    /// The next events, all of one moment.
+    pub(super) fn next(&mut self) -> Vec<Event> {
+        let Some(at) = self.events.next_at() else {
+            return Vec::new();
+        };
+        self.now = at;
+        let mut events = Vec::new();
+        while let Some((_, event)) = self.events.pop_by(at) {
+            match event {
+                Event::MembershipChange => self.change(),
+                Event::HealthChecked { replica, is_alive } => {
+                    let outcome = if is_alive {
+                        AttemptOutcome::Success
+                    } else {
+                        AttemptOutcome::ConnectFailed
+                    };
+                    self.inputs.probes.push(ProbeResult {
+                        replica,
+                        outcome,
+                        queue_depth: Some(0.0),
+                    });
+                }
+                event => events.push(event),
+            }
+        }
+        events
+    }
+
+    /// An attempt has ended: the decision module is notified.
+    pub(super) fn complete(&mut self, attempt: Attempt, outcome: AttemptOutcome) {
+        if let Some(sent_at) = self.in_flight.remove(&attempt) {
+            self.inputs.results.push(AttemptResult {
+                query: attempt.query,
+                sub_request: attempt.sub_request,
+                attempt: attempt.number,
+                outcome,
+                elapsed: self.now - sent_at,
+                queue_depth: Some(0.0),
+            });
+        }
+    }
+
+    /// Whether an attempt has not ended yet.
+    pub(super) fn is_in_flight(&self, attempt: &Attempt) -> bool {
+        self.in_flight.contains_key(attempt)
+    }
+
+    /// One step of the decision module; what it decides, with each attempt under its number.
+    pub(super) fn step(&mut self) -> Vec<Decision> {
+        self.inputs.now = self.now;
+        let inputs = std::mem::take(&mut self.inputs);
+        let mut log = DecisionLog::default();
+        self.coordinator.step(&inputs, &mut log);
+        let mut numbers = Vec::new();
+        for sent in log.sent {
+            numbers.push(self.send(&sent));
+        }
+        for attempt in log.cancelled {
+            let fate = AttemptFate::Cancelled;
+            self.schedule(0, Event::AttemptCompleted { attempt, fate });
+        }
+        for replica in log.health_checks {
+            let is_alive = self.is_alive[replica.0];
+            self.schedule(
+                HEALTH_CHECK_TIME,
+                Event::HealthChecked { replica, is_alive },
+            );
+        }
+        if let Some(at) = log.wake_at {
+            self.schedule((at - self.now).max(1), Event::Wake);
+        }
+        let mut numbers = numbers.into_iter();
+        for decision in &mut log.decisions {
+            match decision {
+                Decision::Send(attempt) => attempt.number = numbers.next().unwrap_or_default(),
+                Decision::Release(query) => {
+                    self.attempt_counts
+                        .retain(|(counted, _), _| counted != query);
+                }
+                _ => {}
+            }
+        }
+        log.decisions
+    }
+
+    /// Sends an attempt to a replica; its number.
+    fn send(&mut self, sent: &SentAttempt) -> usize {
+        let counted = (sent.attempt.query, sent.attempt.sub_request);
+        let count = self.attempt_counts.entry(counted).or_default();
+        let attempt = Attempt {
+            number: *count,
+            ..sent.attempt
+        };
+        *count += 1;
+        let (after, fate) = self.fate(sent.replica);
+        self.in_flight.insert(attempt, self.now);
+        let (after, fate) = if after < sent.timeout {
+            (after, fate)
+        } else {
+            (sent.timeout, AttemptFate::TimedOut)
+        };
+        self.schedule(after, Event::AttemptCompleted { attempt, fate });
+        attempt.number
+    }
+}
--- a/crates/linenthread-simulation/src/zones_simulation/traffic.rs
+++ b/crates/linenthread-simulation/src/zones/traffic.rs
@@ -1,15 +1,18 @@
 //! The traffic between zones, and what coordinators observe of it.
 
-use linenthread_core::interface::{AttemptOutcome, TenthMillis};
-use linenthread_zones::{Demand, Report, RouteStats, ZonePair, loads};
+use linenthread_core::interface::AttemptOutcome;
+use linenthread_zones::loads;
 
 use super::STEP_SECONDS;
-use super::world::{World, zone_index};
+use super::world::World;
+use crate::number;
+use crate::random;
 
 /// The factor by which a slow zone is slower.
 const SLOWDOWN: f64 = 6.0;
-/// One step in twenty is a burst, with so many times the usual demand.
+/// In a burst there is so many times the usual demand.
 const BURST: f64 = 1.3;
+/// One step in so many is a burst.
 const BURST_EVERY: u64 = 20;
 /// The share of requests that fail at any time.
 const USUAL_FAILURES: f64 = 0.05;
@@ -26,10 +29,11 @@
 const TENTHS_PER_MS: f64 = 10.0;
 
 impl World {
+    /// A random number of a Poisson distribution.
     fn poisson(&mut self, mean: f64) -> u32 {
         if mean > MAX_EXACT_MEAN {
             let normal: f64 = (0..12).map(|_| self.rng.rand_float()).sum::<f64>() - 6.0;
-            return (mean + normal * mean.sqrt()).max(0.0) as u32;
+            return number::truncated(mean + normal * mean.sqrt());
         }
         let (mut number, limit) = (0, (-mean).exp());
         let mut product = self.rng.rand_float();
@@ -43,7 +47,7 @@
     /// One step of traffic, as all coordinators observe it.
     pub(super) fn run_traffic(&mut self) {
         let zones = self.topology.zones.len();
-        let coordinators_per_zone = (self.coordinators.len() / zones) as f64;
+        let coordinators_per_zone = number::float(self.coordinators.len() / zones);
         let burst = if self.rng.rand_range(0..BURST_EVERY) == 0 {
             BURST
         } else {
@@ -69,7 +73,7 @@
             let sub_requests = self.poisson(mean);
             self.coordinators[index]
                 .observer
-                .on_query(sub_requests as usize);
+                .on_query(number::index(sub_requests.into()));
             for to in 0..zones {
                 self.observe(index, to, flow[to], load[to]);
             }
@@ -96,61 +100,20 @@
         for _ in 0..completed {
             let outcome = if self.rng.rand_float() < failures {
                 [AttemptOutcome::ConnectionLost, AttemptOutcome::TimedOut]
-                    [self.rng.rand_range(0..2) as usize]
+                    [random::index(&mut self.rng, 2)]
             } else {
                 AttemptOutcome::Success
             };
             let elapsed = latency_ms * (0.5 + self.rng.rand_float()) * TENTHS_PER_MS;
             let replicas = self.topology.replicas[to].into();
-            let replica = REPLICAS_PER_ZONE * to + self.rng.rand_range(0..replicas) as usize;
+            let replica =
+                REPLICAS_PER_ZONE * to + random::within::<usize>(&mut self.rng, 0..replicas);
             self.coordinators[coordinator].observer.on_outcome(
-                zone_index(to),
+                number::zone_index(to),
                 replica,
                 outcome,
-                elapsed as TenthMillis,
+                number::time(elapsed),
             );
         }
     }
-
-    /// What arrives of all coordinators' reports: some are lost on the way, those of a lost zone all.
-    pub(super) fn collect_reports(&mut self) -> Report {
-        let mut sum = Report::default();
-        for coordinator in &mut self.coordinators {
-            let report = coordinator.observer.report(&self.topology.replicas);
-            let is_cut_off = self.fault_is_active && self.fault.cuts_off(coordinator.zone);
-            if !is_cut_off && self.rng.rand_range(0..10) > 0 {
-                sum.add(&report);
-            }
-        }
-        sum
-    }
-
-    /// A report of any content.
-    pub(super) fn hostile_report(&mut self) -> Report {
-        let mut report = Report::default();
-        let count = self.topology.zones.len() as u64;
-        for _ in 0..self.rng.rand_range(0..12) {
-            let route = ZonePair {
-                from: zone_index(self.rng.rand_range(0..count) as usize),
-                to: zone_index(self.rng.rand_range(0..count) as usize),
-            };
-            let observers = self.rng.rand_range(0..9) as u32;
-            let completed = self.rng.rand_range(0..1_000) as u32;
-            let stats = RouteStats {
-                observers,
-                down: (self.rng.rand_range(0..2) as u32) * observers,
-                slow: (self.rng.rand_range(0..2) as u32) * observers,
-                completed,
-                succeeded: self.rng.rand_range(0..u64::from(completed) + 1) as u32,
-                latency_sum_ms: self.rng.rand_range(0..100_000),
-            };
-            report.routes.insert(route, stats);
-            let demand = Demand {
-                observers: 3,
-                sub_requests: self.rng.rand_range(0..5_000) as u32,
-            };
-            report.demand.insert(route.from, demand);
-        }
-        Report::decode(&report.encode()).expect("a report of ours")
-    }
 }
