--- a/crates/linenthread-dataplane-sim/src/content.rs
+++ b/crates/linenthread-dataplane-sim/src/content.rs
@@ -1,6 +1,7 @@
 //! What replicas answer: a function of backend, path and attempt id alone, so that a response shows which request it
 //! was made for.
 
+use linenthread_hash::Fnv1a64;
 use linenthread_http::RECORD_BYTES;
 
 /// Paths with this prefix are sent to all backends of their route.
@@ -24,15 +25,11 @@
     body
 }
 
-/// A hash of words and a number that is the same on every machine (FNV-1a).
+/// A hash of words and a number that is the same on every machine.
 pub(crate) fn hash_words(words: &[&str], number: u64) -> u64 {
-    const OFFSET: u64 = 0xcbf2_9ce4_8422_2325;
-    const PRIME: u64 = 0x0100_0000_01b3;
-    let bytes = words
-        .iter()
-        .flat_map(|word| word.bytes().chain([0]))
-        .chain(number.to_be_bytes());
-    bytes.fold(OFFSET, |hash, byte| {
-        (hash ^ u64::from(byte)).wrapping_mul(PRIME)
-    })
+    let hash = words.iter().fold(Fnv1a64::default(), |hash, word| {
+        // The zero byte keeps apart words that would read the same if joined.
+        hash.update(word.as_bytes()).update(&[0])
+    });
+    hash.update(&number.to_be_bytes()).value()
 }
--- a/crates/linenthread-fakes/src/rig/clients.rs
+++ b/crates/linenthread-fakes/src/rig/clients.rs
@@ -6,6 +6,7 @@
 use std::thread::{JoinHandle, sleep, spawn};
 use std::time::{Duration, Instant};
 
+use linenthread_hash::fnv1a_64;
 use oorandom::Rand64;
 use serde_json::{Value, json};
 
@@ -150,7 +151,7 @@
         };
         let index = if outcome.non_idempotent { ORDER } else { FIND };
         // A key for each query, so that all replicas are used.
-        let key = format!("{:016x}", fnv1a(&outcome.id));
+        let key = format!("{:016x}", fnv1a_64(outcome.id.as_bytes()));
         let request = request(index, &outcome.id, &outcome.shards).replace(DEFAULT_KEY, &key);
         if client.try_send(&request)
             && let Some((status, _, body)) = client.response()
@@ -159,10 +160,3 @@
         }
     }
 }
-
-/// The 64-bit FNV-1a hash.
-fn fnv1a(text: &str) -> u64 {
-    text.bytes().fold(0xcbf2_9ce4_8422_2325, |hash, byte| {
-        (hash ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3)
-    })
-}
--- a/crates/linenthread-hash/tests/fnv1a.rs
+++ b/crates/linenthread-hash/tests/fnv1a.rs
@@ -1,6 +1,16 @@
 //! The hash of the published test vectors of FNV-1a.
 
-use linenthread_hash::fnv1a_64;
+use linenthread_hash::{Fnv1a64, fnv1a_64};
+
+#[test]
+fn the_hash_of_pieces_is_that_of_the_whole() {
+    let whole = b"foobar";
+    for end_of_first in 0..=whole.len() {
+        let (first, second) = whole.split_at(end_of_first);
+        let pieces = Fnv1a64::default().update(first).update(second);
+        assert_eq!(pieces.value(), 0x8594_4171_f739_67e8, "{end_of_first}");
+    }
+}
 
 #[test]
 fn the_hash_is_that_of_the_published_test_vectors() {
--- a/crates/linenthread-protocol/src/lib.rs
+++ b/crates/linenthread-protocol/src/lib.rs
@@ -9,11 +9,9 @@
 pub mod membership;
 pub mod query;
 
-/// The FNV-1a hash of an id, the same at every co-ordinator.
+use linenthread_hash::fnv1a_64;
+
+/// The number by which `linenthread-core` knows what has this id: the same at every co-ordinator.
 pub fn hash_id(id: &str) -> u64 {
-    const OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
-    const PRIME: u64 = 0x0000_0100_0000_01b3;
-    id.bytes().fold(OFFSET_BASIS, |hash, byte| {
-        (hash ^ u64::from(byte)).wrapping_mul(PRIME)
-    })
+    fnv1a_64(id.as_bytes())
 }
