--- a/crates/linenthread-control/src/control_node/register_driver.rs
+++ b/crates/linenthread-control/src/control_node/register_driver.rs
@@ -119,7 +119,7 @@
         effects.push(Effect::Log(ControlEvent::ValueDecided {
             number: ValueNumber::of(value),
             revision: Revision::of(value),
-            voters: value.voters.len(),
+            voter_count: value.voters.len(),
         }));
         for voter in &value.voters {
             self.address_book.learn(now, &voter.address);
--- a/crates/linenthread-control/src/control_node/voters.rs
+++ b/crates/linenthread-control/src/control_node/voters.rs
@@ -27,19 +27,19 @@
         if !may_propose {
             return;
         }
-        let Some(based_on) = self.register.decided().map(ValueNumber::of) else {
+        let Some(base_value) = self.register.decided().map(ValueNumber::of) else {
             return;
         };
-        let Some(voters) = next_voters(&self.voters_view(now, based_on)) else {
+        let Some(voters) = next_voters(&self.voters_view(now, base_value)) else {
             return;
         };
-        effects.push(Effect::Log(ControlEvent::VotersChanged {
-            based_on,
+        effects.push(Effect::Log(ControlEvent::VoterChangeProposed {
+            base_value,
             voters: voters.iter().map(|voter| voter.address.clone()).collect(),
         }));
         let job = self.pending_jobs.add(JobOwner::VoterChange);
         let change = Change::Voters {
-            base_number: based_on,
+            base_number: base_value,
             voters,
             epoch,
         };
--- a/crates/linenthread-control/src/event.rs
+++ b/crates/linenthread-control/src/event.rs
@@ -17,7 +17,7 @@
         /// Revision of the configuration in it.
         revision: Revision,
         /// How many nodes vote on the next value.
-        voters: usize,
+        voter_count: usize,
     },
     /// A session's peer has introduced itself.
     SessionOpened {
@@ -57,10 +57,10 @@
         /// Epoch of the lease.
         epoch: Epoch,
     },
-    /// As the leader the node proposed other voters.
-    VotersChanged {
+    /// As the leader the node proposed other voters; they vote once [`ControlEvent::ValueDecided`] follows.
+    VoterChangeProposed {
         /// Number of the value that the change is based on.
-        based_on: ValueNumber,
+        base_value: ValueNumber,
         /// Control addresses of the proposed voters.
         voters: Vec<String>,
     },
@@ -74,10 +74,10 @@
             ControlEvent::ValueDecided {
                 number,
                 revision,
-                voters,
+                voter_count,
             } => write!(
                 f,
-                "event=value_decided number={number} revision={revision} voters={voters}"
+                "event=value_decided number={number} revision={revision} voter_count={voter_count}"
             ),
             ControlEvent::SessionOpened {
                 peer,
@@ -95,7 +95,7 @@
                 "event=session_closed peer={peer} control_node={is_control_node}"
             ),
             ControlEvent::ReplicaTimedOut { id } => {
-                write!(f, "event=replica_timed_out ident={id}")
+                write!(f, "event=replica_timed_out id={id}")
             }
             ControlEvent::ResumedAfterPause { paused } => write!(
                 f,
@@ -109,9 +109,9 @@
             ControlEvent::LeaseReleased { epoch } => {
                 write!(f, "event=lease_released epoch={epoch}")
             }
-            ControlEvent::VotersChanged { based_on, voters } => write!(
+            ControlEvent::VoterChangeProposed { base_value, voters } => write!(
                 f,
-                "event=voters_changed on={based_on} voters={}",
+                "event=voter_change_proposed base_value={base_value} voters={}",
                 voters.join(",")
             ),
             ControlEvent::ShutdownRequested => f.write_str("event=shutdown_requested"),
--- a/crates/linenthread-control/tests/texts.rs
+++ b/crates/linenthread-control/tests/texts.rs
@@ -7,15 +7,15 @@
 use yare::parameterized;
 
 #[parameterized(
-    value_decided = { ControlEvent::ValueDecided { number: ValueNumber::new(3), revision: Revision::new(7), voters: 5 }, "event=value_decided number=3 revision=7 voters=5" },
+    value_decided = { ControlEvent::ValueDecided { number: ValueNumber::new(3), revision: Revision::new(7), voter_count: 5 }, "event=value_decided number=3 revision=7 voter_count=5" },
     session_opened = { ControlEvent::SessionOpened { peer: "front-1".into(), zone: "z0".into(), is_control_node: false }, "event=session_opened peer=front-1 zone=z0 control_node=false" },
     session_closed = { ControlEvent::SessionClosed { peer: "control-1".into(), is_control_node: true }, "event=session_closed peer=control-1 control_node=true" },
-    replica_timed_out = { ControlEvent::ReplicaTimedOut { id: "i-1".into() }, "event=replica_timed_out ident=i-1" },
+    replica_timed_out = { ControlEvent::ReplicaTimedOut { id: "i-1".into() }, "event=replica_timed_out id=i-1" },
     resumed = { ControlEvent::ResumedAfterPause { paused: Duration::from_millis(1_601) }, "event=resumed_after_pause paused_ms=1601" },
     quorum_lost = { ControlEvent::QuorumLost, "event=quorum_lost" },
     lease_acquired = { ControlEvent::LeaseAcquired { epoch: Epoch::new(4) }, "event=lease_acquired epoch=4" },
     lease_released = { ControlEvent::LeaseReleased { epoch: Epoch::new(4) }, "event=lease_released epoch=4" },
-    voters_changed = { ControlEvent::VotersChanged { based_on: ValueNumber::new(2), voters: vec!["10.0.0.1:80".into(), "10.0.0.2:80".into()] }, "event=voters_changed on=2 voters=10.0.0.1:80,10.0.0.2:80" },
+    voter_change_proposed = { ControlEvent::VoterChangeProposed { base_value: ValueNumber::new(2), voters: vec!["10.0.0.1:80".into(), "10.0.0.2:80".into()] }, "event=voter_change_proposed base_value=2 voters=10.0.0.1:80,10.0.0.2:80" },
     shutdown_requested = { ControlEvent::ShutdownRequested, "event=shutdown_requested" },
 )]
 fn events_are_logged_as_key_value_pairs(event: ControlEvent, line: &str) {
--- a/crates/linenthread-dataplane/src/data_plane.rs
+++ b/crates/linenthread-dataplane/src/data_plane.rs
@@ -142,7 +142,7 @@
             }
         }
         let available = self.replicas.borrow().available();
-        log::info!(available = available, changed = changed.len(); "event=replicas_updated");
+        log::info!(present = available, changed = changed.len(); "event=replicas_updated");
         for dispatcher in self.dispatchers.borrow().values() {
             dispatcher.update_replicas(&changed, &self.zones);
         }
--- a/crates/linenthread-demo/src/scenarios/replacement.rs
+++ b/crates/linenthread-demo/src/scenarios/replacement.rs
@@ -33,7 +33,7 @@
 const LOSS_WINDOW: Duration = Duration::from_secs(3);
 /// What control nodes log of a replacement.
 const REPLACEMENT_EVENTS: [&str; 4] = [
-    "event=voters_changed",
+    "event=voter_change_proposed",
     "event=shutdown_complete",
     "event=stopping",
     "event=stopped",
--- a/crates/linenthread-demo/src/scenarios/setup.rs
+++ b/crates/linenthread-demo/src/scenarios/setup.rs
@@ -51,10 +51,10 @@
     ensure_ready(outcome.is(200), || {
         "the first order is not acknowledged".to_owned()
     })?;
-    let available = format!("available={replicas}");
+    let present = format!("present={replicas}");
     for name in cluster.ingress_names() {
         let applied = ["event=configuration_applied", "revision=1"];
-        let updated = ["event=replicas_updated", &available];
+        let updated = ["event=replicas_updated", &present];
         let is_ready = cluster.wait_for_line(&name, &applied, START_TIMEOUT)
             && cluster.wait_for_line(&name, &updated, START_TIMEOUT);
         ensure_ready(is_ready, || format!("{name} is not ready"))?;
--- a/crates/linenthread-demo/src/show.rs
+++ b/crates/linenthread-demo/src/show.rs
@@ -65,7 +65,7 @@
         self.configure(0, 1)?;
         for name in self.cluster.ingress_names() {
             self.wait_for(&name, "event=configuration_applied", &["revision=1"])?;
-            self.wait_for(&name, "event=replicas_updated", &["available=6"])?;
+            self.wait_for(&name, "event=replicas_updated", &["present=6"])?;
         }
         print_line(format_args!(
             "a query of all shards: the five greatest records of their sub-responses"
--- a/crates/linenthread-node/src/control/mod.rs
+++ b/crates/linenthread-node/src/control/mod.rs
@@ -97,7 +97,7 @@
     let control = start_node(settings, address, durable_state, &state_writer);
     let calls = bind(address).await?;
     let peers = bind(SocketAddr::new(address.ip(), settings.peers_port)).await?;
-    log::info!(calls = address.to_string(), peers = settings.peers_port; "event=control_listening");
+    log::info!(control_address = address.to_string(), peers_port = settings.peers_port; "event=control_listening");
     let (handle, commands) = ControlHandle::new();
     let task = ControlTask::new(control, state_writer, handle.clone(), settings.peers_port);
     spawn_local(task.run(commands));
@@ -140,9 +140,9 @@
     let is_empty = durable_state.id.is_none();
     // A node with an empty disk is a new one, whatever was at its address before; only on the very first start its
     // identity follows from the address, so that all derive the same first voters.
-    let is_first = is_empty && settings.initial_boot && bootstrap.contains(&control_address);
+    let has_genesis_id = is_empty && settings.initial_boot && bootstrap.contains(&control_address);
     let id = durable_state.id.unwrap_or_else(|| {
-        if is_first {
+        if has_genesis_id {
             NodeId::genesis(&control_address)
         } else {
             NodeId(incarnation.get())
@@ -162,7 +162,7 @@
         retry_allowance: settings.retry_allowance,
         retry_window: settings.retry_window,
     };
-    log::info!(disk = id.0, empty = is_empty, first = is_first; "event=control_started");
+    log::info!(disk = id.0, empty = is_empty, genesis = has_genesis_id; "event=control_started");
     let control = ControlNode::new(config, id, durable_state, genesis.clone(), clock::now());
     if is_empty {
         let identity = Record {
--- a/crates/linenthread-node/tests/system.rs
+++ b/crates/linenthread-node/tests/system.rs
@@ -40,7 +40,7 @@
         ));
         assert!(cluster.wait_for_line(
             &format!("ingress-{n}"),
-            &["event=replicas_updated", "available=6"],
+            &["event=replicas_updated", "present=6"],
             LOG_TIMEOUT
         ));
     }
@@ -120,7 +120,7 @@
     cluster.start_process("control-1").unwrap();
     assert!(cluster.wait_for_line(
         "control-1",
-        &["event=control_started", "empty=true", "first=false"],
+        &["event=control_started", "empty=true", "genesis=false"],
         LOG_TIMEOUT
     ));
     // The replacement of the voter is a value of its own, which the new node learns.
