--- a/crates/linenthread-checker/src/lease/state.rs
+++ b/crates/linenthread-checker/src/lease/state.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use linenthread_consensus::{Epoch, Incarnation, LeaderLease, NodeId, ValueNumber};
-use linenthread_messages::{LeaseRelease, LeaseRequest, LeaseVote};
+use linenthread_messages::{LeaseRelease, LeaseReply, LeaseRequest};
 use linenthread_time::Instant;
 
 use crate::lease::LeaseScenario;
@@ -32,7 +32,7 @@
         request_id: u64,
         incarnation: u64,
     },
-    Vote {
+    Reply {
         epoch: u64,
         request_id: u64,
         granted: bool,
@@ -53,12 +53,12 @@
     }
 }
 
-impl From<&LeaseVote> for Message {
-    fn from(vote: &LeaseVote) -> Message {
-        Message::Vote {
-            epoch: vote.epoch,
-            request_id: vote.request_id,
-            granted: vote.granted,
+impl From<&LeaseReply> for Message {
+    fn from(reply: &LeaseReply) -> Message {
+        Message::Reply {
+            epoch: reply.epoch,
+            request_id: reply.request_id,
+            granted: reply.granted,
         }
     }
 }
@@ -92,7 +92,7 @@
     now: Instant,
     leases: [LeaderLease; NODE_COUNT],
     incarnation_counts: [u64; NODE_COUNT],
-    /// The greatest epoch that each disk holds, which is synced before a vote is sent.
+    /// The greatest epoch that each disk holds, which is synced before a reply is sent.
     durable_epochs: [Epoch; NODE_COUNT],
     network: BTreeSet<InFlight>,
     /// Who has held the lease, by epoch.
@@ -206,7 +206,7 @@
             }
         }
         self.record_holders();
-        self.discard_void_votes();
+        self.discard_void_replies();
     }
 
     fn request(&mut self, node: NodeIndex) {
@@ -214,20 +214,20 @@
             return;
         };
         self.send_to_others(node, &Message::from(&request));
-        let vote = self.vote(node, node, &request);
-        self.on_vote(node, node, &vote);
+        let reply = self.reply(node, node, &request);
+        self.on_reply(node, node, &reply);
     }
 
-    fn vote(&mut self, voter: NodeIndex, from: NodeIndex, request: &LeaseRequest) -> LeaseVote {
+    fn reply(&mut self, voter: NodeIndex, from: NodeIndex, request: &LeaseRequest) -> LeaseReply {
         let lease = &mut self.leases[voter.get()];
-        let vote = lease.on_lease_request(self.now, from.into(), request, Some(VALUE_NUMBER));
+        let reply = lease.on_lease_request(self.now, from.into(), request, Some(VALUE_NUMBER));
         self.durable_epochs[voter.get()] = lease.epoch();
-        vote
+        reply
     }
 
-    fn on_vote(&mut self, node: NodeIndex, from: NodeIndex, vote: &LeaseVote) {
+    fn on_reply(&mut self, node: NodeIndex, from: NodeIndex, reply: &LeaseReply) {
         let lease = &mut self.leases[node.get()];
-        lease.on_lease_vote(self.now, from.into(), vote, VALUE_NUMBER, is_majority);
+        lease.on_lease_reply(self.now, from.into(), reply, VALUE_NUMBER, is_majority);
     }
 
     fn send_to_others(&mut self, from: NodeIndex, message: &Message) {
@@ -260,24 +260,24 @@
                     incarnation,
                     value_number: VALUE_NUMBER.get(),
                 };
-                let vote = self.vote(to, from, &request);
+                let reply = self.reply(to, from, &request);
                 self.network.insert(InFlight {
                     to: from,
                     from: to,
-                    message: Message::from(&vote),
+                    message: Message::from(&reply),
                 });
             }
-            Message::Vote {
+            Message::Reply {
                 epoch,
                 request_id,
                 granted,
             } => {
-                let vote = LeaseVote {
+                let reply = LeaseReply {
                     epoch,
                     request_id,
                     granted,
                 };
-                self.on_vote(to, from, &vote);
+                self.on_reply(to, from, &reply);
             }
             Message::Release { epoch, incarnation } => {
                 let release = LeaseRelease { epoch, incarnation };
@@ -320,11 +320,11 @@
         }
     }
 
-    /// Votes for a request that is over have no effect, now or later: states that differ in them alone are one state.
-    fn discard_void_votes(&mut self) {
+    /// Replies to a request that is over have no effect, now or later: states that differ in them alone are one state.
+    fn discard_void_replies(&mut self) {
         let (now, leases) = (self.now, &self.leases);
         self.network.retain(|in_flight| {
-            let Message::Vote {
+            let Message::Reply {
                 epoch,
                 request_id,
                 granted,
@@ -332,14 +332,20 @@
             else {
                 return true;
             };
-            let vote = LeaseVote {
+            let reply = LeaseReply {
                 epoch,
                 request_id,
                 granted,
             };
             let receiver = &leases[in_flight.to.get()];
             let mut after = receiver.clone();
-            after.on_lease_vote(now, in_flight.from.into(), &vote, VALUE_NUMBER, is_majority);
+            after.on_lease_reply(
+                now,
+                in_flight.from.into(),
+                &reply,
+                VALUE_NUMBER,
+                is_majority,
+            );
             after != *receiver
         });
     }
--- a/crates/linenthread-consensus/src/durable_state.rs
+++ b/crates/linenthread-consensus/src/durable_state.rs
@@ -19,7 +19,7 @@
     number: ValueNumber,
     promised: Option<Ballot>,
     accepted: Option<Accepted>,
-    /// The greatest epoch of the leader lease that was voted for.
+    /// The greatest epoch under which this node granted the leader lease.
     pub epoch: Epoch,
     /// The replicas as of the last record that lists them.
     pub replicas: Vec<Replica>,
--- a/crates/linenthread-consensus/src/lease.rs
+++ b/crates/linenthread-consensus/src/lease.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-use linenthread_messages::{LeaseRelease, LeaseRequest, LeaseVote, Value, Voter};
+use linenthread_messages::{LeaseRelease, LeaseReply, LeaseRequest, Value, Voter};
 use linenthread_time::Instant;
 
 use crate::epoch::Epoch;
@@ -21,7 +21,7 @@
     value_number: ValueNumber,
 }
 
-/// A vote of this node for a candidate.
+/// The lease as this node, as a voter, granted it to a candidate.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct Grant {
     candidate: NodeId,
@@ -36,8 +36,8 @@
     }
 }
 
-/// Tells this node's requests for the lease apart, within its incarnation: raised with each request. A vote repeats
-/// it, and counts for no other request.
+/// Tells this node's requests for the lease apart, within its incarnation: raised with each request. A reply
+/// repeats it, and counts for no other request.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 struct RequestId(u64);
 
@@ -56,6 +56,23 @@
     sent_at: Instant,
 }
 
+/// What a reply to this node's own request has changed.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum LeaseProgress {
+    /// Nothing: no majority has granted the request yet, or the reply counts for no request that is still in time.
+    Pending,
+    /// This node holds the lease from now on, and did not before.
+    Acquired {
+        /// The epoch of the lease.
+        epoch: Epoch,
+    },
+    /// This node held the lease, and holds it now by grants of the voters that a newer value names: it may change the
+    /// voters (see [`LeaderLease::is_held_at`]).
+    RenewedAtNewValue,
+    /// This node held the lease at the same value, and now holds it for longer.
+    Renewed,
+}
+
 /// The newest decided value, as far as the lease needs it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct NewestValue {
@@ -128,26 +145,27 @@
             .map(|held| held.epoch)
     }
 
-    /// Whether this node holds the lease by the votes of the voters that the value of this number names. Only then may
+    /// Whether this node holds the lease by grants of the voters that the value of this number names. Only then may
     /// it change the voters (*one-holder-an-epoch*).
     pub fn is_held_at(&self, now: Instant, value_number: ValueNumber) -> bool {
         self.held
             .is_some_and(|held| now < held.expires_at && held.value_number == value_number)
     }
 
-    /// Requests the lease, or its renewal, of the voters that the value of this number names. `is_candidate` says that
-    /// no voter before this one, in the order of the value, is in contact.
+    /// Requests the lease, or its renewal, of the voters that the value of this number names. A node that does not
+    /// hold the lease requests it only if it `is_preferred`: of the voters in contact that may lead it is the first, in
+    /// the order of the value. So in the usual case two nodes do not compete.
     pub fn tick(
         &mut self,
         now: Instant,
-        is_candidate: bool,
+        is_preferred: bool,
         value_number: ValueNumber,
     ) -> Option<LeaseRequest> {
         let holds = self.held_epoch(now).is_some();
         if !holds {
             self.retire_expired();
         }
-        if !is_candidate && !holds {
+        if !is_preferred && !holds {
             self.request = None;
             return None;
         }
@@ -195,7 +213,7 @@
         }
     }
 
-    /// The greatest epoch that was granted. It must be synced to disk before a vote under a new epoch is sent.
+    /// The greatest epoch that was granted. It must be synced to disk before a grant under a new epoch is sent.
     pub fn epoch(&self) -> Epoch {
         self.epoch
     }
@@ -238,7 +256,7 @@
         self.grants_from = self.grants_from.max(now + LEASE_DURATION);
     }
 
-    /// Votes on a request of another node or of this one. `value_number` is the number of this node's newest value,
+    /// Grants or denies a request of another node or of this one. `value_number` is the number of this node's newest value,
     /// or none if it has accepted a value that it does not know to be decided: only a request at the same value is
     /// granted.
     pub fn on_lease_request(
@@ -247,7 +265,7 @@
         from: NodeId,
         request: &LeaseRequest,
         value_number: Option<ValueNumber>,
-    ) -> LeaseVote {
+    ) -> LeaseReply {
         let epoch = Epoch::new(request.epoch);
         let incarnation = Incarnation::new(request.incarnation);
         let same_value = value_number == Some(ValueNumber::new(request.value_number));
@@ -262,7 +280,7 @@
             });
             self.epoch = epoch;
         }
-        LeaseVote {
+        LeaseReply {
             epoch: self.epoch.get(),
             request_id: request.request_id,
             granted,
@@ -270,7 +288,7 @@
     }
 
     /// The candidate that has this node's grant may renew it, under a new epoch as well: else two candidates, each
-    /// with some of the votes, would wait for each other's grants to expire again and again. A new incarnation of the
+    /// with some of the grants, would wait for each other's grants to expire again and again. A new incarnation of the
     /// candidate needs a new epoch.
     fn may_grant(
         &self,
@@ -293,50 +311,50 @@
         epoch > self.epoch && (same_candidate || expired)
     }
 
-    /// Counts a vote. Returns whether this node holds the lease from now on and did not before, or holds it now by
-    /// the votes of the voters that the value of this number names.
-    pub fn on_lease_vote(
+    /// Counts a voter's reply to this node's own request, if it is at the value of this number.
+    pub fn on_lease_reply(
         &mut self,
         now: Instant,
         from: NodeId,
-        vote: &LeaseVote,
+        reply: &LeaseReply,
         value_number: ValueNumber,
         is_majority: impl Fn(&BTreeSet<NodeId>) -> bool,
-    ) -> bool {
+    ) -> LeaseProgress {
         let Some(own) = &self.request else {
-            return false;
+            return LeaseProgress::Pending;
         };
         let expires_at = own.sent_at + LEASE_DURATION.saturating_sub(LEASE_MARGIN);
         // The process may have been suspended since the request. A lease that has expired is not held again under the
         // same epoch.
         let expired = now >= expires_at || self.held.is_some_and(|held| now >= held.expires_at);
-        let is_current = RequestId(vote.request_id) == own.id && own.value_number == value_number;
+        let is_current = RequestId(reply.request_id) == own.id && own.value_number == value_number;
         if !is_current || expired {
-            return false;
+            return LeaseProgress::Pending;
         }
-        if !vote.granted {
-            self.on_denied(vote);
-            return false;
+        if !reply.granted {
+            self.on_denied(reply);
+            return LeaseProgress::Pending;
         }
         let epoch = own.epoch;
         self.granted_by.insert(from);
         if !is_majority(&self.granted_by) {
-            return false;
+            return LeaseProgress::Pending;
         }
-        let is_new = self
-            .held
-            .is_none_or(|held| held.value_number != value_number);
-        self.held = Some(HeldLease {
+        let before = self.held.replace(HeldLease {
             epoch,
             expires_at,
             value_number,
         });
-        is_new
+        match before {
+            None => LeaseProgress::Acquired { epoch },
+            Some(held) if held.value_number != value_number => LeaseProgress::RenewedAtNewValue,
+            Some(_) => LeaseProgress::Renewed,
+        }
     }
 
-    /// A voter has granted a higher epoch: the next request uses one above it, and votes for the current one are void.
-    fn on_denied(&mut self, vote: &LeaseVote) {
-        let granted_epoch = Epoch::new(vote.epoch);
+    /// A voter has granted a higher epoch: the next request uses one above it, and grants for the current one are void.
+    fn on_denied(&mut self, reply: &LeaseReply) {
+        let granted_epoch = Epoch::new(reply.epoch);
         let is_outdated = self
             .request
             .as_ref()
@@ -366,8 +384,8 @@
     /// grant ended.
     ///
     /// This keeps *one-holder-an-epoch*. Only the lease holder itself sends it, for its own incarnation, after
-    /// [`LeaderLease::release`]; from then on it requests only epochs above the released one. No vote that this
-    /// incarnation got up to that epoch can make it hold the lease again, since a vote counts only for the current
+    /// [`LeaderLease::release`]; from then on it requests only epochs above the released one. No grant that this
+    /// incarnation got up to that epoch can make it hold the lease again, since a grant counts only for the current
     /// request, and that is gone. However late the message arrives, it ends no grant under a later epoch; nor does it
     /// shorten the wait after a restart or after becoming a voter, which stands for grants that this incarnation does
     /// not know of.
--- a/crates/linenthread-consensus/src/lib.rs
+++ b/crates/linenthread-consensus/src/lib.rs
@@ -81,7 +81,7 @@
 pub use epoch::Epoch;
 pub use incarnation::Incarnation;
 pub use jobs::{JobId, Outcome};
-pub use lease::LeaderLease;
+pub use lease::{LeaderLease, LeaseProgress};
 pub use node_id::NodeId;
 pub use order_log::{MAX_LOGGED_ORDERS, MAX_ORDERS_PER_MESSAGE, OrderLog};
 pub use register::Register;
--- a/crates/linenthread-consensus/tests/consensus/fixtures.rs
+++ b/crates/linenthread-consensus/tests/consensus/fixtures.rs
@@ -1,7 +1,7 @@
 //! Values, registers and instants that several tests start from.
 
 use linenthread_consensus::{DurableState, Epoch, Incarnation, NodeId, Register};
-use linenthread_messages::{LeaseRequest, LeaseVote, Value, Voter};
+use linenthread_messages::{LeaseReply, LeaseRequest, Value, Voter};
 use linenthread_time::Instant;
 
 /// The instant this many milliseconds after the clock's start.
@@ -57,8 +57,8 @@
 }
 
 /// A vote that grants a request.
-pub(crate) fn granted(request: &LeaseRequest) -> LeaseVote {
-    LeaseVote {
+pub(crate) fn granted(request: &LeaseRequest) -> LeaseReply {
+    LeaseReply {
         epoch: request.epoch,
         request_id: request.request_id,
         granted: true,
--- a/crates/linenthread-consensus/tests/consensus/lease.rs
+++ b/crates/linenthread-consensus/tests/consensus/lease.rs
@@ -2,8 +2,8 @@
 
 use std::collections::BTreeSet;
 
-use linenthread_consensus::{Epoch, Incarnation, LeaderLease, NodeId, ValueNumber};
-use linenthread_messages::LeaseVote;
+use linenthread_consensus::{Epoch, Incarnation, LeaderLease, LeaseProgress, NodeId, ValueNumber};
+use linenthread_messages::LeaseReply;
 use yare::parameterized;
 
 use crate::fixtures::{at, granted, lease_request};
@@ -47,20 +47,31 @@
         lease.on_lease_request(at(5_000), NodeId(1), &earlier, Some(FIRST));
     }
     let request = lease_request(Incarnation::new(incarnation), Epoch::new(epoch), 2);
-    let vote = lease.on_lease_request(at(now), NodeId(from), &request, Some(FIRST));
-    assert_eq!(vote.granted, granted);
+    let reply = lease.on_lease_request(at(now), NodeId(from), &request, Some(FIRST));
+    assert_eq!(reply.granted, granted);
 }
 
 #[test]
-fn an_expired_lease_is_not_held_again_by_a_late_vote() {
+fn an_expired_lease_is_not_held_again_by_a_late_grant() {
     let mut lease = candidate();
     let first = lease.tick(at(0), true, FIRST).expect("a request");
-    let vote = granted(&first);
-    assert!(!lease.on_lease_vote(at(1), NodeId(1), &vote, FIRST, is_majority));
-    assert!(lease.on_lease_vote(at(2), NodeId(2), &vote, FIRST, is_majority));
+    let grant = granted(&first);
+    assert_eq!(
+        lease.on_lease_reply(at(1), NodeId(1), &grant, FIRST, is_majority),
+        LeaseProgress::Pending
+    );
+    assert_eq!(
+        lease.on_lease_reply(at(2), NodeId(2), &grant, FIRST, is_majority),
+        LeaseProgress::Acquired {
+            epoch: Epoch::FIRST
+        }
+    );
     assert_eq!(lease.held_epoch(at(1_000)), Some(Epoch::FIRST));
     assert_eq!(lease.held_epoch(at(3_000)), None);
-    assert!(!lease.on_lease_vote(at(3_000), NodeId(3), &vote, FIRST, is_majority));
+    assert_eq!(
+        lease.on_lease_reply(at(3_000), NodeId(3), &grant, FIRST, is_majority),
+        LeaseProgress::Pending
+    );
     let next = lease.tick(at(3_000), true, FIRST).expect("a new request");
     assert!(next.epoch > first.epoch);
 }
@@ -70,21 +81,28 @@
     let mut lease = candidate();
     let (seven, eight) = (ValueNumber::new(7), ValueNumber::new(8));
     let at_7 = lease.tick(at(0), true, seven).expect("a request");
-    lease.on_lease_vote(at(1), NodeId(1), &granted(&at_7), seven, is_majority);
-    assert!(
-        lease.on_lease_vote(at(2), NodeId(2), &granted(&at_7), seven, is_majority)
-            && lease.is_held_at(at(3), seven)
+    lease.on_lease_reply(at(1), NodeId(1), &granted(&at_7), seven, is_majority);
+    assert_eq!(
+        lease.on_lease_reply(at(2), NodeId(2), &granted(&at_7), seven, is_majority),
+        LeaseProgress::Acquired {
+            epoch: Epoch::new(at_7.epoch)
+        }
     );
-    // The next value may name other voters: they are asked at once, and votes at the last value count no more.
+    assert!(lease.is_held_at(at(3), seven));
+    // The next value may name other voters: they are asked at once, and grants at the last value count no more.
     assert!(lease.held_epoch(at(3)).is_some() && !lease.is_held_at(at(3), eight));
     let at_8 = lease.tick(at(4), true, eight).expect("a new request");
-    lease.on_lease_vote(at(5), NodeId(1), &granted(&at_7), eight, is_majority);
-    assert!(!lease.on_lease_vote(at(5), NodeId(2), &granted(&at_7), eight, is_majority));
-    lease.on_lease_vote(at(6), NodeId(1), &granted(&at_8), eight, is_majority);
-    assert!(
-        lease.on_lease_vote(at(6), NodeId(2), &granted(&at_8), eight, is_majority)
-            && lease.is_held_at(at(7), eight)
+    lease.on_lease_reply(at(5), NodeId(1), &granted(&at_7), eight, is_majority);
+    assert_eq!(
+        lease.on_lease_reply(at(5), NodeId(2), &granted(&at_7), eight, is_majority),
+        LeaseProgress::Pending
+    );
+    lease.on_lease_reply(at(6), NodeId(1), &granted(&at_8), eight, is_majority);
+    assert_eq!(
+        lease.on_lease_reply(at(6), NodeId(2), &granted(&at_8), eight, is_majority),
+        LeaseProgress::RenewedAtNewValue
     );
+    assert!(lease.is_held_at(at(7), eight));
     assert_eq!(
         (at_8.epoch, lease.held_epoch(at(7))),
         (at_7.epoch, Some(Epoch::new(at_7.epoch)))
@@ -92,18 +110,21 @@
 }
 
 #[test]
-fn votes_under_one_epoch_do_not_count_under_another() {
+fn grants_under_one_epoch_do_not_count_under_another() {
     let mut lease = candidate();
     let first = lease.tick(at(0), true, FIRST).expect("a request");
-    let vote = granted(&first);
-    lease.on_lease_vote(at(1), NodeId(1), &vote, FIRST, is_majority);
-    let denied = LeaseVote {
+    let grant = granted(&first);
+    lease.on_lease_reply(at(1), NodeId(1), &grant, FIRST, is_majority);
+    let denied = LeaseReply {
         epoch: 6,
         granted: false,
-        ..vote.clone()
+        ..grant.clone()
     };
-    lease.on_lease_vote(at(2), NodeId(2), &denied, FIRST, is_majority);
-    assert!(!lease.on_lease_vote(at(3), NodeId(3), &vote, FIRST, is_majority));
+    lease.on_lease_reply(at(2), NodeId(2), &denied, FIRST, is_majority);
+    assert_eq!(
+        lease.on_lease_reply(at(3), NodeId(3), &grant, FIRST, is_majority),
+        LeaseProgress::Pending
+    );
     let next = lease.tick(at(500), true, FIRST).expect("a new request");
     assert_eq!((next.epoch, lease.held_epoch(at(500))), (7, None));
 }
@@ -127,21 +148,21 @@
         lease.on_became_voter(at(5_000));
     }
     let request = lease_request(Incarnation::new(7), Epoch::new(4 + above), 1);
-    let vote = lease.on_lease_request(at(6_900), NodeId(1), &request, value_number);
-    assert_eq!(vote.granted, granted);
+    let reply = lease.on_lease_request(at(6_900), NodeId(1), &request, value_number);
+    assert_eq!(reply.granted, granted);
     // Later it waits only for the same value on both sides, and for a higher epoch.
-    let vote = lease.on_lease_request(at(7_100), NodeId(1), &request, Some(FIRST));
-    assert_eq!(vote.granted, above > 0);
+    let reply = lease.on_lease_request(at(7_100), NodeId(1), &request, Some(FIRST));
+    assert_eq!(reply.granted, above > 0);
 }
 
 #[test]
-fn votes_that_arrive_after_the_lease_would_have_ended_do_not_count() {
+fn grants_that_arrive_after_the_lease_would_have_ended_do_not_count() {
     let mut lease = candidate();
     let request = lease.tick(at(0), true, FIRST).expect("a request");
-    let vote = granted(&request);
-    lease.on_lease_vote(at(1), NodeId(1), &vote, FIRST, is_majority);
+    let grant = granted(&request);
+    lease.on_lease_reply(at(1), NodeId(1), &grant, FIRST, is_majority);
     // The process was suspended meanwhile.
-    lease.on_lease_vote(at(5_000), NodeId(2), &vote, FIRST, is_majority);
+    lease.on_lease_reply(at(5_000), NodeId(2), &grant, FIRST, is_majority);
     assert_eq!(lease.held_epoch(at(5_000)), None);
     assert!(!lease.is_held_at(at(5_000), FIRST));
 }
--- a/crates/linenthread-consensus/tests/consensus/lease_release.rs
+++ b/crates/linenthread-consensus/tests/consensus/lease_release.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeSet;
 
-use linenthread_consensus::{Epoch, Incarnation, LeaderLease, NodeId, ValueNumber};
+use linenthread_consensus::{Epoch, Incarnation, LeaderLease, LeaseProgress, NodeId, ValueNumber};
 use linenthread_messages::{LeaseRelease, LeaseRequest, Value};
 use yare::parameterized;
 
@@ -131,19 +131,23 @@
     let mut lease = candidate();
     let first = lease.tick(at(0), true, FIRST).expect("a request");
     let is_majority = |ids: &BTreeSet<NodeId>| ids.len() >= 2;
-    let vote = granted(&first);
-    lease.on_lease_vote(at(1), NodeId(LEASE_HOLDER), &vote, FIRST, is_majority);
-    assert!(
-        lease.on_lease_vote(at(2), NodeId(OTHER), &vote, FIRST, is_majority)
-            && lease.held_epoch(at(3)).is_some()
+    let grant = granted(&first);
+    lease.on_lease_reply(at(1), NodeId(LEASE_HOLDER), &grant, FIRST, is_majority);
+    assert_eq!(
+        lease.on_lease_reply(at(2), NodeId(OTHER), &grant, FIRST, is_majority),
+        LeaseProgress::Acquired {
+            epoch: Epoch::new(first.epoch)
+        }
     );
+    assert!(lease.held_epoch(at(3)).is_some());
     let released = lease.release().expect("a held lease");
     assert_eq!(released, release(INCARNATION, first.epoch));
-    // Votes that were in flight do not bring it back.
-    assert!(
-        !lease.on_lease_vote(at(4), NodeId(3), &vote, FIRST, is_majority)
-            && lease.held_epoch(at(4)).is_none()
+    // Grants that were in flight do not bring it back.
+    assert_eq!(
+        lease.on_lease_reply(at(4), NodeId(3), &grant, FIRST, is_majority),
+        LeaseProgress::Pending
     );
+    assert!(lease.held_epoch(at(4)).is_none());
     assert!(lease.release().is_none());
     let next = lease.tick(at(6), true, FIRST).expect("a new request");
     assert!(next.epoch > released.epoch);
@@ -157,11 +161,12 @@
         lease.release().map(|release| release.epoch),
         Some(pending.epoch)
     );
-    let vote = granted(&pending);
-    assert!(
-        !lease.on_lease_vote(at(2), NodeId(OTHER), &vote, FIRST, |_| true)
-            && lease.held_epoch(at(2)).is_none()
+    let grant = granted(&pending);
+    assert_eq!(
+        lease.on_lease_reply(at(2), NodeId(OTHER), &grant, FIRST, |_| true),
+        LeaseProgress::Pending
     );
+    assert!(lease.held_epoch(at(2)).is_none());
 }
 
 #[test]
@@ -169,10 +174,11 @@
     let mut lease = candidate();
     let pending = lease.tick(at(0), true, FIRST).expect("a request");
     // The driver would take this for a lease that begins.
-    assert!(
-        !lease.on_lease_vote(at(20_000), NodeId(OTHER), &granted(&pending), FIRST, |_| {
+    assert_eq!(
+        lease.on_lease_reply(at(20_000), NodeId(OTHER), &granted(&pending), FIRST, |_| {
             true
-        })
+        }),
+        LeaseProgress::Pending
     );
     assert_eq!(lease.held_epoch(at(20_000)), None);
     assert!(!lease.is_held_at(at(20_000), FIRST));
--- a/crates/linenthread-control/src/control_node/leader_lease.rs
+++ b/crates/linenthread-control/src/control_node/leader_lease.rs
@@ -1,7 +1,7 @@
-//! The leader lease of this node, and its vote for that of another.
+//! The leader lease of this node, and its grant of that of another.
 
-use linenthread_consensus::{DeferredMessage, Epoch, NodeId};
-use linenthread_messages::{LeaseRelease, LeaseRequest, LeaseVote, PeerMessage, Record};
+use linenthread_consensus::{DeferredMessage, Epoch, LeaseProgress, NodeId};
+use linenthread_messages::{LeaseRelease, LeaseReply, LeaseRequest, PeerMessage, Record};
 use linenthread_time::Instant;
 
 use crate::graceful_shutdown::ShutdownStep;
@@ -49,7 +49,8 @@
         !self.is_shutting_down() || matches!(self.next_shutdown_step(now), ShutdownStep::Wait(_))
     }
 
-    /// Votes for the requesting node, or against. A vote under a new epoch is sent only once that epoch is durable.
+    /// Grants the lease to the requesting node, or denies it. A reply under a new epoch is sent only once that epoch is
+    /// durable.
     pub(super) fn on_lease_request(
         &mut self,
         now: Instant,
@@ -58,53 +59,51 @@
         effects: &mut Vec<Effect>,
     ) {
         let value_number = Some(self.value_number()).filter(|_| !self.register.has_undecided());
-        let vote = self
+        let reply = self
             .lease
             .on_lease_request(now, from, request, value_number);
-        let vote = PeerMessage::LeaseVote(vote);
+        let reply = PeerMessage::LeaseReply(reply);
         let epoch = self.lease.epoch();
         if self.durability.holds_epoch(epoch) {
-            self.send_to_node(from, vote, effects);
+            self.send_to_node(from, reply, effects);
             self.deliver_loopback(now, effects);
         } else {
             let record = Record {
                 epoch: epoch.get(),
                 ..Record::default()
             };
-            let vote = DeferredMessage {
+            let reply = DeferredMessage {
                 to: from,
-                message: vote,
+                message: reply,
             };
-            self.persist(record, vec![vote], effects);
+            self.persist(record, vec![reply], effects);
         }
     }
 
-    /// A vote on this node's own request.
-    pub(super) fn on_lease_vote(
+    /// A voter's reply to this node's own request.
+    pub(super) fn on_lease_reply(
         &mut self,
         now: Instant,
         from: NodeId,
-        vote: &LeaseVote,
+        reply: &LeaseReply,
         effects: &mut Vec<Effect>,
     ) {
-        let was_leader = self.is_leader(now);
         let (register, value_number) = (&self.register, self.value_number());
-        let has_majority = self
+        let progress = self
             .lease
-            .on_lease_vote(now, from, vote, value_number, |voters| {
+            .on_lease_reply(now, from, reply, value_number, |voters| {
                 register.is_majority(voters.iter().copied())
             });
-        if !has_majority {
-            return;
+        match progress {
+            LeaseProgress::Pending | LeaseProgress::Renewed => {}
+            // The work of a leader does not wait for the next tick; at a new value that is a change of the voters.
+            LeaseProgress::RenewedAtNewValue => self.ticks.expedite(),
+            LeaseProgress::Acquired { epoch } => {
+                self.ticks.expedite();
+                self.quota_allocator.on_lease_acquired(now, epoch);
+                effects.push(Effect::Log(ControlEvent::LeaseAcquired { epoch }));
+            }
         }
-        // The work of a leader does not wait for the next tick.
-        self.ticks.expedite();
-        // The votes may have arrived so late that the lease is over already.
-        let Some(epoch) = self.lease_epoch(now).filter(|_| !was_leader) else {
-            return;
-        };
-        self.quota_allocator.on_lease_acquired(now, epoch);
-        effects.push(Effect::Log(ControlEvent::LeaseAcquired { epoch }));
     }
 
     /// Another node gave the lease back.
--- a/crates/linenthread-control/src/control_node/register_driver.rs
+++ b/crates/linenthread-control/src/control_node/register_driver.rs
@@ -104,7 +104,7 @@
     ) {
         let own_id = self.register.id();
         match message {
-            PeerMessage::LeaseVote(vote) => self.on_lease_vote(now, own_id, &vote, effects),
+            PeerMessage::LeaseReply(reply) => self.on_lease_reply(now, own_id, &reply, effects),
             PeerMessage::LeaseRelease(release) => drop(self.lease.on_release(own_id, &release)),
             PeerMessage::DurableProgress(progress) => {
                 self.durability.on_epoch_synced(Epoch::new(progress.epoch));
--- a/crates/linenthread-control/src/control_node/sessions.rs
+++ b/crates/linenthread-control/src/control_node/sessions.rs
@@ -169,7 +169,7 @@
                 self.on_lease_request(now, node_id, &request, effects);
             }
             PeerMessage::LeaseRelease(release) => self.on_lease_release(node_id, &release),
-            PeerMessage::LeaseVote(vote) => self.on_lease_vote(now, node_id, &vote, effects),
+            PeerMessage::LeaseReply(reply) => self.on_lease_reply(now, node_id, &reply, effects),
             message => self.on_register_message(now, session, node_id, message, effects),
         }
     }
--- a/crates/linenthread-control/src/control_node/ticks.rs
+++ b/crates/linenthread-control/src/control_node/ticks.rs
@@ -118,7 +118,7 @@
         }
     }
 
-    /// A value that is still undecided at the second heartbeat tick in a row is completed: no vote for a lease is cast
+    /// A value that is still undecided at the second heartbeat tick in a row is completed: no lease is granted
     /// meanwhile.
     fn complete_lasting_undecided(&mut self, now: Instant, effects: &mut Vec<Effect>) {
         let has_undecided = self.register.has_undecided();
--- a/crates/linenthread-hollow/src/messages.rs
+++ b/crates/linenthread-hollow/src/messages.rs
@@ -33,7 +33,7 @@
         PeerMessage::IngressUpdate(_) => Work::IngressUpdates,
         PeerMessage::ControlUpdate(update) if update.has_sessions => Work::PeerSessions,
         PeerMessage::ControlUpdate(_) | PeerMessage::UpdateAck(_) => Work::PeerReplicas,
-        PeerMessage::LeaseRequest(_) | PeerMessage::LeaseVote(_) => Work::Lease,
+        PeerMessage::LeaseRequest(_) | PeerMessage::LeaseReply(_) => Work::Lease,
         PeerMessage::QuotaGrants(_) => Work::RetryBudget,
         _ => Work::Configuration,
     }
--- a/crates/linenthread-messages/src/agreement.rs
+++ b/crates/linenthread-messages/src/agreement.rs
@@ -54,7 +54,7 @@
     /// The nodes that decide the next value.
     #[prost(message, repeated, tag = "4")]
     pub voters: Vec<Voter>,
-    /// The lease epoch under which the voters were last changed: a node that has this value votes for no lower one.
+    /// The lease epoch under which the voters were last changed: a node that has this value grants the lease under no lower one.
     #[prost(uint64, tag = "6")]
     pub epoch: u64,
     /// How many orders were ever accepted.
@@ -108,7 +108,7 @@
     /// What was accepted last.
     #[prost(message, optional, tag = "5")]
     pub accepted: Option<Accepted>,
-    /// The greatest epoch of the leader lease that was voted for.
+    /// The greatest epoch under which the leader lease was granted.
     #[prost(uint64, tag = "6")]
     pub epoch: u64,
     /// All replicas that were known, where this record lists them.
--- a/crates/linenthread-messages/src/envelope.rs
+++ b/crates/linenthread-messages/src/envelope.rs
@@ -4,7 +4,7 @@
 
 use crate::{
     Accept, AcceptAck, CatchUpRequest, ControlUpdate, DurableProgress, Heartbeat, Hello,
-    IngressUpdate, LeaseRelease, LeaseRequest, LeaseVote, OrderLogEntries, OrderLogRequest,
+    IngressUpdate, LeaseRelease, LeaseReply, LeaseRequest, OrderLogEntries, OrderLogRequest,
     Prepare, Promise, QuotaGrants, ReadReply, ReadRequest, Rejected, Synced, UpdateAck, Value,
 };
 
@@ -64,12 +64,12 @@
     /// The reply to a [`ReadRequest`].
     #[prost(message, tag = "14")]
     ReadReply(ReadReply),
-    /// Asks for a vote for the leader lease.
+    /// Asks a voter to grant the leader lease.
     #[prost(message, tag = "15")]
     LeaseRequest(LeaseRequest),
-    /// The vote.
+    /// Grants or denies it.
     #[prost(message, tag = "16")]
-    LeaseVote(LeaseVote),
+    LeaseReply(LeaseReply),
     /// Shares of the retry budget.
     #[prost(message, tag = "17")]
     QuotaGrants(QuotaGrants),
--- a/crates/linenthread-messages/src/lease.rs
+++ b/crates/linenthread-messages/src/lease.rs
@@ -8,7 +8,7 @@
     /// The epoch, which serves as fencing token.
     #[prost(uint64, tag = "1")]
     pub epoch: u64,
-    /// Counts the sender's requests; the vote repeats it.
+    /// Counts the sender's requests; the reply repeats it.
     #[prost(uint64, tag = "2")]
     pub request_id: u64,
     /// The lease's duration in milliseconds.
@@ -17,15 +17,15 @@
     /// The sender's incarnation: no two share an epoch.
     #[prost(fixed64, tag = "4")]
     pub incarnation: u64,
-    /// The newest value that the sender has: it names the voters whose votes count.
+    /// The newest value that the sender has: it names the voters whose grants count.
     #[prost(uint64, tag = "5")]
     pub value_number: u64,
 }
 
 /// The reply to a [`LeaseRequest`].
 #[derive(Clone, PartialEq, Eq, Hash, Message)]
-pub struct LeaseVote {
-    /// The greatest epoch that the sender has voted for.
+pub struct LeaseReply {
+    /// The greatest epoch under which the sender has granted the lease, or that it knows to be in use.
     #[prost(uint64, tag = "1")]
     pub epoch: u64,
     /// The request's identity.
--- a/crates/linenthread-messages/src/lib.rs
+++ b/crates/linenthread-messages/src/lib.rs
@@ -20,7 +20,7 @@
 };
 pub use envelope::{Envelope, PeerMessage};
 pub use frame::{FrameError, MAX_FRAME_LENGTH, decode, encode};
-pub use lease::{LeaseRelease, LeaseRequest, LeaseVote};
+pub use lease::{LeaseRelease, LeaseReply, LeaseRequest};
 pub use sessions::{
     ControlUpdate, DurableProgress, Heartbeat, Hello, IngressSession, IngressUpdate, QuotaGrant,
     QuotaGrants, Replica, UpdateAck,
--- a/crates/linenthread-messages/src/sessions.rs
+++ b/crates/linenthread-messages/src/sessions.rs
@@ -142,7 +142,7 @@
     /// Number of the newest value.
     #[prost(uint64, optional, tag = "1")]
     pub value_number: Option<u64>,
-    /// The greatest epoch of a lease that it voted for.
+    /// The greatest epoch under which it granted a lease.
     #[prost(uint64, tag = "2")]
     pub epoch: u64,
 }
--- a/crates/linenthread-messages/tests/golden.rs
+++ b/crates/linenthread-messages/tests/golden.rs
@@ -9,8 +9,8 @@
 use linenthread_golden::named_bytes;
 use linenthread_messages::{
     Accept, AcceptAck, Accepted, Ballot, CatchUpRequest, ControlUpdate, DocumentDigest,
-    DurableProgress, Heartbeat, Hello, IngressSession, IngressUpdate, LeaseRelease, LeaseRequest,
-    LeaseVote, OrderIdentity, OrderLogEntries, OrderLogRequest, PeerMessage, Prepare, Promise,
+    DurableProgress, Heartbeat, Hello, IngressSession, IngressUpdate, LeaseRelease, LeaseReply,
+    LeaseRequest, OrderIdentity, OrderLogEntries, OrderLogRequest, PeerMessage, Prepare, Promise,
     QuotaGrant, QuotaGrants, ReadReply, ReadRequest, Record, Rejected, Replica, Synced, UpdateAck,
     VERSION, Value, Voter, decode, encode,
 };
@@ -308,7 +308,7 @@
         ("lease_request", PeerMessage::LeaseRequest(lease_request)),
         (
             "lease_vote",
-            PeerMessage::LeaseVote(LeaseVote {
+            PeerMessage::LeaseReply(LeaseReply {
                 epoch: 47,
                 request_id: 97,
                 granted: true,
