--- a/crates/linenthread-control/src/config.rs
+++ b/crates/linenthread-control/src/config.rs
@@ -16,8 +16,8 @@
     /// `host:port` at which the node takes calls of replicas and operators; peers know it by this address.
     pub control_address: String,
     /// Whether the node may be made a voter.
-    pub may_vote: bool,
-    /// The set of voters is never made smaller than this.
+    pub voter_eligible: bool,
+    /// No voter is removed without a successor while this many vote, or fewer. At the start there may be fewer.
     pub min_voters: usize,
     /// About how often a replica sends a heartbeat.
     pub heartbeat_interval: Duration,
--- a/crates/linenthread-control/src/control_node/heartbeats.rs
+++ b/crates/linenthread-control/src/control_node/heartbeats.rs
@@ -4,12 +4,15 @@
 use linenthread_messages::{Heartbeat, PeerMessage};
 use linenthread_time::Instant;
 
+use crate::peer_heartbeat::ControlNodeHeartbeat;
 use crate::{ControlNode, Effect, SessionId};
 
 impl ControlNode {
     fn heartbeat(&self, now: Instant) -> Heartbeat {
         Heartbeat {
             quota_request_or_value_number: self.value_number().get(),
+            // Peers redirect calls to a node that says so, and ingress nodes leave one that does not: a node that shuts
+            // down is to get neither.
             has_quorum: self.has_quorum(now) && !self.is_shutting_down(),
             registry_digest: self.registry.digest(),
             revision: 0,
@@ -60,7 +63,7 @@
         &mut self,
         now: Instant,
         session: SessionId,
-        heartbeat: &Heartbeat,
+        heartbeat: &ControlNodeHeartbeat,
         effects: &mut Vec<Effect>,
     ) {
         let digest = self.registry.digest();
--- a/crates/linenthread-control/src/control_node/sessions.rs
+++ b/crates/linenthread-control/src/control_node/sessions.rs
@@ -4,6 +4,7 @@
 use linenthread_messages::{Hello, PeerMessage, VERSION};
 use linenthread_time::Instant;
 
+use crate::peer_hello::{ControlNodeHello, IngressNodeHello, PeerHello};
 use crate::{ControlEvent, ControlNode, Effect, SessionId};
 
 impl ControlNode {
@@ -16,7 +17,7 @@
             incarnation: self.config.incarnation.get(),
             control_address: self.config.control_address.clone(),
             node_id: self.register.id().0,
-            may_vote: self.config.may_vote,
+            voter_eligible: self.config.voter_eligible,
             change_log_id: self.config.incarnation.get(),
             change_log_offset: self.registry.changes().offset().get(),
             value_number_or_revision: self.value_number().get(),
@@ -86,7 +87,7 @@
         } else if let Some(ingress) = self.ingress_nodes.get_mut(session) {
             ingress.on_received(now);
             if let PeerMessage::Heartbeat(heartbeat) = message {
-                ingress.on_heartbeat(&heartbeat);
+                ingress.on_heartbeat(&(&heartbeat).into());
             }
         } else if let Some(peer) = self.membership.get_mut(session) {
             peer.on_received(now);
@@ -104,37 +105,58 @@
         hello: Hello,
         effects: &mut Vec<Effect>,
     ) {
-        let is_ingress_node = hello.control_address.is_empty();
-        if !self.accepts_hello(session, &hello)
-            || is_ingress_node && !self.accepts_ingress_sessions(now)
-        {
-            effects.push(Effect::Close(session));
-            return;
+        let is_accepted = self.accepts_hello(session, &hello);
+        match PeerHello::from(hello) {
+            PeerHello::ControlNode(hello) if is_accepted => {
+                self.open_control_session(now, session, hello, effects);
+            }
+            PeerHello::IngressNode(hello) if is_accepted && self.accepts_ingress_sessions(now) => {
+                self.open_ingress_session(now, session, hello, effects);
+            }
+            _ => effects.push(Effect::Close(session)),
         }
-        let superseded = if is_ingress_node {
-            self.ingress_nodes.superseded(&hello)
-        } else {
-            self.membership.superseded(&hello)
-        };
-        for old_session in superseded {
+    }
+
+    fn open_control_session(
+        &mut self,
+        now: Instant,
+        session: SessionId,
+        hello: ControlNodeHello,
+        effects: &mut Vec<Effect>,
+    ) {
+        for old_session in self.membership.superseded(&hello) {
             self.drop_session(now, old_session, effects);
         }
         effects.push(Effect::Log(ControlEvent::SessionOpened {
             peer: hello.name.clone(),
             zone: hello.zone.clone(),
-            is_control_node: !is_ingress_node,
+            is_control_node: true,
         }));
-        if is_ingress_node {
-            self.ingress_nodes.open(now, session, hello);
-            self.confirm_configuration(now, session, effects);
-            self.update_ingress_node(now, session, effects);
-        } else {
-            self.address_book.learn(now, &hello.control_address);
-            self.membership.open(now, session, hello);
-            self.send_heartbeat(now, session, None, effects);
-            self.synchronize_peer(now, session, effects);
-            self.send_value(session, effects);
+        self.address_book.learn(now, &hello.control_address);
+        self.membership.open(now, session, hello);
+        self.send_heartbeat(now, session, None, effects);
+        self.synchronize_peer(now, session, effects);
+        self.send_value(session, effects);
+    }
+
+    fn open_ingress_session(
+        &mut self,
+        now: Instant,
+        session: SessionId,
+        hello: IngressNodeHello,
+        effects: &mut Vec<Effect>,
+    ) {
+        for old_session in self.ingress_nodes.superseded(&hello) {
+            self.drop_session(now, old_session, effects);
         }
+        effects.push(Effect::Log(ControlEvent::SessionOpened {
+            peer: hello.name.clone(),
+            zone: hello.zone.clone(),
+            is_control_node: false,
+        }));
+        self.ingress_nodes.open(now, session, hello);
+        self.confirm_configuration(now, session, effects);
+        self.update_ingress_node(now, session, effects);
     }
 
     /// A peer must be of the same version, not this process itself, and introduce itself once.
@@ -155,7 +177,7 @@
     ) {
         match message {
             PeerMessage::Heartbeat(heartbeat) => {
-                self.on_heartbeat(now, session, &heartbeat, effects);
+                self.on_heartbeat(now, session, &(&heartbeat).into(), effects);
             }
             PeerMessage::ControlUpdate(update) => {
                 self.on_control_update(now, session, update, effects);
--- a/crates/linenthread-control/src/control_node/shutdown.rs
+++ b/crates/linenthread-control/src/control_node/shutdown.rs
@@ -71,7 +71,7 @@
             },
             peers: PeerWork {
                 // Also one whose disk does not hold everything yet: it is about to.
-                has_standby: !self.standbys(now, None).is_empty(),
+                has_standby: !self.standbys(now).is_empty(),
                 // The acknowledging heartbeat also says whether its sender shuts down, and whether it changes the
                 // voters.
                 has_unacknowledged: self
--- a/crates/linenthread-control/src/control_node/voters.rs
+++ b/crates/linenthread-control/src/control_node/voters.rs
@@ -57,23 +57,38 @@
     pub(super) fn is_reconfiguring(&self, now: Instant) -> bool {
         self.is_leader(now)
             && (self.pending_jobs.has_voter_change()
-                || !self.standbys(now, None).is_empty()
+                || !self.standbys(now).is_empty()
                 || next_voters(&self.voters_view(now, self.value_number())).is_some())
     }
 
-    /// Nodes in contact that may vote, do not yet, and do not shut down. With a value that they `must_hold` only those
-    /// that may vote at once, since their disks hold it.
-    pub(super) fn standbys(&self, now: Instant, must_hold: Option<ValueNumber>) -> Vec<Voter> {
-        let is_ready = self.config.may_vote
+    /// Nodes in contact that are eligible as voters, are none yet, and do not shut down.
+    pub(super) fn standbys(&self, now: Instant) -> Vec<Voter> {
+        self.standbys_where(now, |_| true)
+    }
+
+    /// The standbys that may become voters at once, since their disks hold everything up to this value.
+    pub(super) fn ready_standbys(&self, now: Instant, value_number: ValueNumber) -> Vec<Voter> {
+        self.standbys_where(now, |durable| durable >= Some(value_number))
+    }
+
+    /// `is_ready` is given the number of the newest value that a standby's disk is known to hold.
+    fn standbys_where(
+        &self,
+        now: Instant,
+        is_ready: impl Fn(Option<ValueNumber>) -> bool,
+    ) -> Vec<Voter> {
+        let this_node_is_ready = self.config.voter_eligible
             && !self.is_shutting_down()
-            && self.durability.value_number() >= must_hold;
-        let this_node = is_ready.then(|| Voter {
+            && is_ready(self.durability.value_number());
+        let this_node = this_node_is_ready.then(|| Voter {
             id: self.register.id().0,
             address: self.config.control_address.clone(),
         });
         let voters = self.register.voters();
         self.membership
-            .candidates(now, must_hold)
+            .eligible_voters(now)
+            .filter(|peer| is_ready(peer.durable_value_number()))
+            .map(|peer| peer.hello().voter())
             .chain(this_node)
             .filter(|standby| voters.iter().all(|voter| voter.id != standby.id))
             .collect()
@@ -88,20 +103,21 @@
                 .iter()
                 .map(|voter| self.voter_state(now, voter, in_contact.contains(&voter.into())))
                 .collect(),
-            standbys: self.standbys(now, Some(value_number)),
+            ready_standbys: self.ready_standbys(now, value_number),
             min_voters: self.config.min_voters,
         }
     }
 
     fn voter_state(&self, now: Instant, voter: &Voter, in_contact: bool) -> VoterState {
-        let last_contact = self.membership.last_contact(&voter.address);
-        let last_contact_at = last_contact.map_or(self.contact.started_at(), |contact| contact.at);
+        let last_seen = self.membership.last_seen(&voter.address);
+        let last_seen_at = last_seen.map_or(self.contact.started_at(), |seen| seen.at);
         // While this node was out of contact itself it could not tell whether the voter was there.
-        let out_of_contact_since = last_contact_at.max(self.contact.since().unwrap_or(now));
+        let out_of_contact_since = last_seen_at.max(self.contact.since().unwrap_or(now));
         let replaced =
-            last_contact.is_some_and(|contact| contact.node_id != voter.into() && contact.may_vote);
-        // With another node at its address the old one does not come back. It stays for the moment if that node is
-        // in contact: its successor is about to vote in its place.
+            last_seen.is_some_and(|seen| seen.node_id != voter.into() && seen.voter_eligible);
+        // With another node at its address the voter does not come back: it is lost at once, not only after the
+        // time-out. But while that other node is in contact and stays, it is going to take the voter's place itself, as
+        // soon as its disk holds everything: until the time-out the place is not given to another standby.
         let successor_joins = |peer: &ControlPeer| {
             peer.hello().control_address == voter.address && !peer.is_shutting_down()
         };
--- a/crates/linenthread-control/src/control_peer.rs
+++ b/crates/linenthread-control/src/control_peer.rs
@@ -4,10 +4,11 @@
 use std::time::Duration;
 
 use linenthread_consensus::{NodeId, ValueNumber};
-use linenthread_messages::{Heartbeat, Hello};
 use linenthread_time::Instant;
 
 use crate::address_book::AddressBookVersion;
+use crate::peer_heartbeat::ControlNodeHeartbeat;
+use crate::peer_hello::ControlNodeHello;
 use crate::timing::CONTACT_TIMEOUT;
 
 /// How often the whole registry is sent, at most, to a peer whose own differs.
@@ -27,7 +28,7 @@
 
 /// A session with another control node.
 pub(crate) struct ControlPeer {
-    hello: Hello,
+    hello: ControlNodeHello,
     last_received_at: Instant,
     /// The peer is itself in contact with a majority of the voters.
     has_quorum: bool,
@@ -52,11 +53,11 @@
 }
 
 impl ControlPeer {
-    pub(crate) fn new(now: Instant, hello: Hello) -> ControlPeer {
+    pub(crate) fn new(now: Instant, hello: ControlNodeHello) -> ControlPeer {
         ControlPeer {
             last_received_at: now,
             has_quorum: false,
-            value_number: ValueNumber::new(hello.value_number_or_revision),
+            value_number: hello.value_number,
             durable_value_number: None,
             is_shutting_down: false,
             is_reconfiguring: false,
@@ -73,12 +74,12 @@
     // --- identity ---
 
     /// How the peer introduced itself.
-    pub(crate) fn hello(&self) -> &Hello {
+    pub(crate) fn hello(&self) -> &ControlNodeHello {
         &self.hello
     }
 
     pub(crate) fn node_id(&self) -> NodeId {
-        NodeId(self.hello.node_id)
+        self.hello.node_id
     }
 
     // --- contact ---
@@ -134,20 +135,19 @@
     pub(crate) fn on_heartbeat(
         &mut self,
         now: Instant,
-        heartbeat: &Heartbeat,
+        heartbeat: &ControlNodeHeartbeat,
         digest: u64,
     ) -> HeartbeatDemand {
-        let begins_shutdown = heartbeat.shutting_down && !self.is_shutting_down;
+        let begins_shutdown = heartbeat.is_shutting_down && !self.is_shutting_down;
         self.has_quorum = heartbeat.has_quorum;
-        self.value_number = ValueNumber::new(heartbeat.quota_request_or_value_number);
-        self.observe_durable(heartbeat.durable_value_number.map(ValueNumber::new));
-        self.is_shutting_down = heartbeat.shutting_down;
-        self.is_reconfiguring = heartbeat.reconfiguring;
+        self.value_number = heartbeat.value_number;
+        self.observe_durable(heartbeat.durable_value_number);
+        self.is_shutting_down = heartbeat.is_shutting_down;
+        self.is_reconfiguring = heartbeat.is_reconfiguring;
         // A heartbeat that the peer received was sent before now, whatever the peer says.
-        let echoed_sent_at = heartbeat.echoed_sent_at.map(Instant::from_millis);
         self.acknowledged_sent_at = self
             .acknowledged_sent_at
-            .max(echoed_sent_at.map(|sent_at| sent_at.min(now)));
+            .max(heartbeat.echoed_sent_at.map(|sent_at| sent_at.min(now)));
         let is_first = self.last_sent_at.replace(heartbeat.sent_at).is_none();
         self.digest_mismatches = if heartbeat.registry_digest == digest {
             0
--- a/crates/linenthread-control/src/ingress_nodes.rs
+++ b/crates/linenthread-control/src/ingress_nodes.rs
@@ -3,11 +3,12 @@
 use std::collections::BTreeMap;
 
 use linenthread_consensus::Incarnation;
-use linenthread_messages::{Hello, IngressSession, IngressUpdate, QuotaGrant};
+use linenthread_messages::{IngressSession, IngressUpdate, QuotaGrant};
 use linenthread_time::Instant;
 
 use crate::SessionId;
 use crate::ingress_peer::{IngressPeer, UpdateSource};
+use crate::peer_hello::IngressNodeHello;
 use crate::timing::SESSION_TIMEOUT;
 
 /// One run of an ingress node: what a retry quota is granted to, since a restarted node does not know what it was
@@ -56,7 +57,7 @@
         }
     }
 
-    pub(crate) fn open(&mut self, now: Instant, session: SessionId, hello: Hello) {
+    pub(crate) fn open(&mut self, now: Instant, session: SessionId, hello: IngressNodeHello) {
         let peer = IngressPeer::new(now, hello, self.change_log_id);
         self.peers.insert(session, peer);
     }
@@ -93,7 +94,7 @@
     }
 
     /// Sessions of earlier incarnations of an ingress node: they are over, whatever their connections look like.
-    pub(crate) fn superseded(&self, hello: &Hello) -> Vec<SessionId> {
+    pub(crate) fn superseded(&self, hello: &IngressNodeHello) -> Vec<SessionId> {
         self.sessions_where(|peer| {
             peer.hello().name == hello.name && peer.hello().incarnation != hello.incarnation
         })
--- a/crates/linenthread-control/src/ingress_peer.rs
+++ b/crates/linenthread-control/src/ingress_peer.rs
@@ -1,11 +1,13 @@
 //! A session with an ingress node: what the node reports, and what it was sent.
 
 use linenthread_consensus::{Incarnation, Revision};
-use linenthread_messages::{Heartbeat, Hello, IngressSession, IngressUpdate, Replica, Value};
+use linenthread_messages::{IngressSession, IngressUpdate, Replica, Value};
 use linenthread_time::Instant;
 
 use crate::address_book::{AddressBook, AddressBookVersion};
 use crate::change_log::ChangeLogOffset;
+use crate::peer_heartbeat::IngressNodeHeartbeat;
+use crate::peer_hello::IngressNodeHello;
 use crate::{IngressIncarnation, QuotaRequestNumber, ReplicaRegistry};
 
 /// How far the read of the newest configuration for a session has come.
@@ -28,7 +30,7 @@
 
 /// A session with an ingress node.
 pub(crate) struct IngressPeer {
-    hello: Hello,
+    hello: IngressNodeHello,
     last_received_at: Instant,
     /// The newest revision that was sent to it, or that it came with.
     sent_revision: Revision,
@@ -48,13 +50,16 @@
 impl IngressPeer {
     /// A session that begins; `change_log_id` identifies this node's change log. An ingress node that has followed
     /// another one, or none, needs the whole registry.
-    pub(crate) fn new(now: Instant, hello: Hello, change_log_id: Incarnation) -> IngressPeer {
-        let follows_this_log = hello.change_log_id == change_log_id.get();
-        let reached_offset = ChangeLogOffset::new(hello.change_log_offset);
+    pub(crate) fn new(
+        now: Instant,
+        hello: IngressNodeHello,
+        change_log_id: Incarnation,
+    ) -> IngressPeer {
+        let follows_this_log = hello.change_log_id == change_log_id;
         IngressPeer {
             last_received_at: now,
-            sent_revision: Revision::new(hello.value_number_or_revision),
-            sent_offset: follows_this_log.then_some(reached_offset),
+            sent_revision: hello.revision,
+            sent_offset: follows_this_log.then_some(hello.change_log_offset),
             sent_addresses: AddressBookVersion::NONE,
             confirmation: Confirmation::Missing,
             sent_confirmed: false,
@@ -65,13 +70,13 @@
     }
 
     /// How the ingress node introduced itself.
-    pub(crate) fn hello(&self) -> &Hello {
+    pub(crate) fn hello(&self) -> &IngressNodeHello {
         &self.hello
     }
 
     /// Whether the session is with this incarnation.
     pub(crate) fn is_with(&self, ingress: &IngressIncarnation) -> bool {
-        self.hello.name == ingress.name && self.hello.incarnation == ingress.incarnation.get()
+        self.hello.name == ingress.name && self.hello.incarnation == ingress.incarnation
     }
 
     /// A message of the ingress node was received.
@@ -84,9 +89,9 @@
     }
 
     /// A heartbeat of the ingress node.
-    pub(crate) fn on_heartbeat(&mut self, heartbeat: &Heartbeat) {
-        self.quota_request = QuotaRequestNumber::new(heartbeat.quota_request_or_value_number);
-        self.revision = Revision::new(heartbeat.revision);
+    pub(crate) fn on_heartbeat(&mut self, heartbeat: &IngressNodeHeartbeat) {
+        self.quota_request = heartbeat.quota_request;
+        self.revision = heartbeat.revision;
     }
 
     /// The session as the other control nodes are sent it.
@@ -94,7 +99,7 @@
         IngressSession {
             name: self.hello.name.clone(),
             zone: self.hello.zone.clone(),
-            incarnation: self.hello.incarnation,
+            incarnation: self.hello.incarnation.get(),
             quota_request: self.quota_request.get(),
             address: String::new(),
             revision: self.revision.get(),
--- a/crates/linenthread-control/src/lib.rs
+++ b/crates/linenthread-control/src/lib.rs
@@ -14,6 +14,7 @@
 //! | --- | --- | --- |
 //! | what drives the node | `tick_schedule`, `pending_jobs` | `ticks`, `sessions`, `register_driver` |
 //! | contact with a quorum, and what may be answered without it | `quorum_contact` | `contact`, `admission`, `heartbeats` |
+//! | what peers send first and regularly, by their kind | `peer_hello`, `peer_heartbeat` | `sessions`, `heartbeats` |
 //! | the other control nodes | `membership`, `control_peer`, `address_book` | `heartbeats`, `replica_updates` |
 //! | replicas | `replica_registry`, `change_log`, `pending_drains`, `replica_snapshot` | `replica_calls`, `replica_updates` |
 //! | operators | | `operator_calls`, `status` |
@@ -36,6 +37,8 @@
 mod ingress_peer;
 mod membership;
 mod own_durability;
+mod peer_heartbeat;
+mod peer_hello;
 mod pending_drains;
 mod pending_jobs;
 mod quorum_contact;
--- a/crates/linenthread-control/src/membership.rs
+++ b/crates/linenthread-control/src/membership.rs
@@ -3,17 +3,20 @@
 use std::collections::BTreeMap;
 
 use linenthread_consensus::{NodeId, ValueNumber};
-use linenthread_messages::{Heartbeat, Hello, Voter};
 use linenthread_time::Instant;
 
 use crate::SessionId;
 use crate::control_peer::{ControlPeer, HeartbeatDemand};
+use crate::peer_heartbeat::ControlNodeHeartbeat;
+use crate::peer_hello::ControlNodeHello;
 use crate::timing::{PEER_HEARTBEAT_INTERVAL, SESSION_TIMEOUT};
 
-/// Which node was last in contact at an address, and when.
-pub(crate) struct LastContact {
+/// Which node was last seen at an address, and when.
+pub(crate) struct LastSeen {
     pub(crate) node_id: NodeId,
-    pub(crate) may_vote: bool,
+    pub(crate) voter_eligible: bool,
+    /// When its Hello was received, and later when it was last in contact. A Hello alone counts, though it proves no
+    /// round trip.
     pub(crate) at: Instant,
 }
 
@@ -22,7 +25,7 @@
 pub(crate) struct Membership {
     peers: BTreeMap<SessionId, ControlPeer>,
     /// By control address.
-    last_contacts: BTreeMap<String, LastContact>,
+    last_seen: BTreeMap<String, LastSeen>,
     /// Nodes that ended after a graceful shutdown, and the newest value that the disk of each held.
     departed: BTreeMap<NodeId, ValueNumber>,
 }
@@ -69,7 +72,7 @@
     }
 
     /// Sessions of earlier incarnations of a node: they are over, whatever their connections look like.
-    pub(crate) fn superseded(&self, hello: &Hello) -> Vec<SessionId> {
+    pub(crate) fn superseded(&self, hello: &ControlNodeHello) -> Vec<SessionId> {
         self.iter()
             .filter(|(_, peer)| {
                 peer.hello().name == hello.name && peer.hello().incarnation != hello.incarnation
@@ -86,15 +89,14 @@
             .collect()
     }
 
-    pub(crate) fn open(&mut self, now: Instant, session: SessionId, hello: Hello) {
-        let contact = LastContact {
-            node_id: NodeId(hello.node_id),
-            may_vote: hello.may_vote,
+    pub(crate) fn open(&mut self, now: Instant, session: SessionId, hello: ControlNodeHello) {
+        let seen = LastSeen {
+            node_id: hello.node_id,
+            voter_eligible: hello.voter_eligible,
             at: now,
         };
-        self.last_contacts
-            .insert(hello.control_address.clone(), contact);
-        self.departed.remove(&NodeId(hello.node_id));
+        self.last_seen.insert(hello.control_address.clone(), seen);
+        self.departed.remove(&hello.node_id);
         self.peers.insert(session, ControlPeer::new(now, hello));
     }
 
@@ -105,7 +107,7 @@
             self.departed.insert(peer.node_id(), durable);
         }
         if peer.in_contact(now) {
-            self.note_contact(
+            self.note_seen(
                 &peer.hello().control_address,
                 now.min(peer.last_received_at() + PEER_HEARTBEAT_INTERVAL),
             );
@@ -113,15 +115,15 @@
         Some(peer)
     }
 
-    fn note_contact(&mut self, address: &str, at: Instant) {
-        if let Some(contact) = self.last_contacts.get_mut(address) {
-            contact.at = at;
+    fn note_seen(&mut self, address: &str, at: Instant) {
+        if let Some(seen) = self.last_seen.get_mut(address) {
+            seen.at = at;
         }
     }
 
-    /// The last contact with whichever node was at an address.
-    pub(crate) fn last_contact(&self, address: &str) -> Option<&LastContact> {
-        self.last_contacts.get(address)
+    /// The node that was last seen at an address.
+    pub(crate) fn last_seen(&self, address: &str) -> Option<&LastSeen> {
+        self.last_seen.get(address)
     }
 
     /// Takes in a heartbeat of a peer; `digest` is that of this node's registry.
@@ -129,14 +131,14 @@
         &mut self,
         now: Instant,
         session: SessionId,
-        heartbeat: &Heartbeat,
+        heartbeat: &ControlNodeHeartbeat,
         digest: u64,
     ) -> Option<HeartbeatDemand> {
         let peer = self.peers.get_mut(&session)?;
         let demand = peer.on_heartbeat(now, heartbeat, digest);
         if peer.in_contact(now) {
             let address = peer.hello().control_address.clone();
-            self.note_contact(&address, now);
+            self.note_seen(&address, now);
         }
         Some(demand)
     }
@@ -155,21 +157,9 @@
         self.departed.get(&node_id).copied()
     }
 
-    /// Peers in contact that may vote, do not shut down, and hold the value `must_hold` on their disks, if any is given.
-    pub(crate) fn candidates(
-        &self,
-        now: Instant,
-        must_hold: Option<ValueNumber>,
-    ) -> impl Iterator<Item = Voter> {
+    /// Peers in contact that are eligible as voters and do not shut down.
+    pub(crate) fn eligible_voters(&self, now: Instant) -> impl Iterator<Item = &ControlPeer> {
         self.contacts(now)
-            .filter(move |peer| {
-                peer.hello().may_vote
-                    && !peer.is_shutting_down()
-                    && peer.durable_value_number() >= must_hold
-            })
-            .map(|peer| Voter {
-                id: peer.hello().node_id,
-                address: peer.hello().control_address.clone(),
-            })
+            .filter(|peer| peer.hello().voter_eligible && !peer.is_shutting_down())
     }
 }
--- /dev/null
+++ b/crates/linenthread-control/src/peer_heartbeat.rs
@@ -0,0 +1,58 @@
+//! The heartbeats of both kinds of peers: each sends [`Heartbeat`] with its own fields.
+
+use linenthread_consensus::{Revision, ValueNumber};
+use linenthread_messages::Heartbeat;
+use linenthread_time::Instant;
+
+use crate::QuotaRequestNumber;
+
+/// A heartbeat of another control node.
+pub(crate) struct ControlNodeHeartbeat {
+    /// The peer is itself in contact with a majority of the voters, and takes calls.
+    pub(crate) has_quorum: bool,
+    /// Number of the newest value that the peer has, in memory.
+    pub(crate) value_number: ValueNumber,
+    /// Number of the newest value up to which the peer's disk holds everything.
+    pub(crate) durable_value_number: Option<ValueNumber>,
+    /// Digest of the peer's replica registry.
+    pub(crate) registry_digest: u64,
+    /// When the peer, in milliseconds of its own clock, sent this heartbeat.
+    pub(crate) sent_at: u64,
+    /// When this node sent the last one of its own heartbeats that the peer has received.
+    pub(crate) echoed_sent_at: Option<Instant>,
+    pub(crate) is_shutting_down: bool,
+    /// The peer leads, and is about to change the voters.
+    pub(crate) is_reconfiguring: bool,
+}
+
+impl From<&Heartbeat> for ControlNodeHeartbeat {
+    fn from(heartbeat: &Heartbeat) -> ControlNodeHeartbeat {
+        ControlNodeHeartbeat {
+            has_quorum: heartbeat.has_quorum,
+            value_number: ValueNumber::new(heartbeat.quota_request_or_value_number),
+            durable_value_number: heartbeat.durable_value_number.map(ValueNumber::new),
+            registry_digest: heartbeat.registry_digest,
+            sent_at: heartbeat.sent_at,
+            echoed_sent_at: heartbeat.echoed_sent_at.map(Instant::from_millis),
+            is_shutting_down: heartbeat.shutting_down,
+            is_reconfiguring: heartbeat.reconfiguring,
+        }
+    }
+}
+
+/// A heartbeat of an ingress node.
+pub(crate) struct IngressNodeHeartbeat {
+    /// Its newest request for a retry quota.
+    pub(crate) quota_request: QuotaRequestNumber,
+    /// The revision of the configuration that it uses.
+    pub(crate) revision: Revision,
+}
+
+impl From<&Heartbeat> for IngressNodeHeartbeat {
+    fn from(heartbeat: &Heartbeat) -> IngressNodeHeartbeat {
+        IngressNodeHeartbeat {
+            quota_request: QuotaRequestNumber::new(heartbeat.quota_request_or_value_number),
+            revision: Revision::new(heartbeat.revision),
+        }
+    }
+}
--- a/crates/linenthread-control/src/reconfiguration.rs
+++ b/crates/linenthread-control/src/reconfiguration.rs
@@ -31,8 +31,9 @@
 pub struct VotersView {
     /// In the order of the newest value.
     pub voters: Vec<VoterState>,
-    /// Nodes in contact that may vote, do not yet, do not shut down, and hold the newest value on their disks.
-    pub standbys: Vec<Voter>,
+    /// Nodes in contact that are eligible as voters, are none yet, do not shut down, and hold the newest value on their
+    /// disks.
+    pub ready_standbys: Vec<Voter>,
     /// A voter is removed without a successor only if more than so many vote.
     pub min_voters: usize,
 }
@@ -57,7 +58,7 @@
 
 impl VotersView {
     fn standby_at(&self, address: &str) -> Option<&Voter> {
-        self.standbys
+        self.ready_standbys
             .iter()
             .find(|standby| standby.address == address)
     }
@@ -74,7 +75,8 @@
     /// voter that may be down: it stands by, for the place of the next one that shuts down or is lost.
     fn needs_one_more(&self) -> bool {
         let count = self.voters.len();
-        let helps = count < self.min_voters || count.is_multiple_of(2) || self.standbys.len() > 1;
+        let helps =
+            count < self.min_voters || count.is_multiple_of(2) || self.ready_standbys.len() > 1;
         helps
             && self
                 .voters
@@ -100,14 +102,17 @@
         .map(|state| state.voter.clone())
         .collect();
     let Some(outgoing) = view.outgoing() else {
-        let added = view.standbys.first().filter(|_| view.needs_one_more())?;
+        let added = view
+            .ready_standbys
+            .first()
+            .filter(|_| view.needs_one_more())?;
         next.push(added.clone());
         return Some(next);
     };
     let state = &view.voters[outgoing];
     let successor = view
         .standby_at(&state.voter.address)
-        .or(view.standbys.first());
+        .or(view.ready_standbys.first());
     if let Some(standby) = successor {
         next[outgoing] = standby.clone();
         return Some(next);
--- a/crates/linenthread-control/tests/golden_json.rs
+++ b/crates/linenthread-control/tests/golden_json.rs
@@ -40,7 +40,7 @@
         zone: "zone-a".to_owned(),
         incarnation: Incarnation::new(1),
         control_address: address(1),
-        may_vote: true,
+        voter_eligible: true,
         min_voters: 3,
         heartbeat_interval: Duration::from_millis(1_000),
         bootstrap: bootstrap.clone(),
--- a/crates/linenthread-control/tests/nodes/cluster.rs
+++ b/crates/linenthread-control/tests/nodes/cluster.rs
@@ -143,7 +143,7 @@
             zone: "z".into(),
             incarnation,
             control_address: address(n),
-            may_vote: true,
+            voter_eligible: true,
             min_voters: self.min_voters,
             heartbeat_interval: ms(1_000),
             bootstrap: (0..3).map(address).collect(),
--- a/crates/linenthread-control/tests/single_node.rs
+++ b/crates/linenthread-control/tests/single_node.rs
@@ -39,7 +39,7 @@
         zone: "z".into(),
         incarnation: Incarnation::new(1),
         control_address: address(1),
-        may_vote: true,
+        voter_eligible: true,
         min_voters: 3,
         heartbeat_interval: ms(1_000),
         bootstrap,
--- a/crates/linenthread-control/tests/voters_and_shutdown.rs
+++ b/crates/linenthread-control/tests/voters_and_shutdown.rs
@@ -31,7 +31,7 @@
     let standbys = standbys.iter().map(|id| voter(*id)).collect();
     VotersView {
         voters: states.chars().enumerate().map(state).collect(),
-        standbys,
+        ready_standbys: standbys,
         min_voters,
     }
 }
@@ -73,7 +73,7 @@
 #[test]
 fn a_replaced_voter_is_succeeded_by_the_node_at_its_address() {
     let mut view = view("rl+", &[7], 3);
-    view.standbys.push(Voter {
+    view.ready_standbys.push(Voter {
         id: 8,
         address: "address 1".into(),
     });
--- a/crates/linenthread-hollow/src/control.rs
+++ b/crates/linenthread-hollow/src/control.rs
@@ -53,7 +53,7 @@
             zone: self.zone,
             incarnation: Incarnation::new(self.incarnation),
             control_address: self.address,
-            may_vote: self.may_vote,
+            voter_eligible: self.may_vote,
             min_voters: MIN_VOTERS,
             heartbeat_interval: self.heartbeat_interval,
             bootstrap: self.bootstrap,
--- a/crates/linenthread-messages/src/sessions.rs
+++ b/crates/linenthread-messages/src/sessions.rs
@@ -91,7 +91,7 @@
     pub node_id: u64,
     /// From a control node: its settings allow it to be made a voter.
     #[prost(bool, tag = "7")]
-    pub may_vote: bool,
+    pub voter_eligible: bool,
     /// The change log that the sender has followed.
     #[prost(fixed64, tag = "8")]
     pub change_log_id: u64,
--- a/crates/linenthread-messages/tests/golden.rs
+++ b/crates/linenthread-messages/tests/golden.rs
@@ -125,7 +125,7 @@
         incarnation: 0xe1e2_e3e4_e5e6_e7e8,
         control_address: "10.0.0.1:7100".to_owned(),
         node_id: 0xf1f2_f3f4_f5f6_f7f8,
-        may_vote: true,
+        voter_eligible: true,
         change_log_id: 0x2122_2324_2526_2728,
         change_log_offset: 4_321,
         value_number_or_revision: 70_000,
--- a/crates/linenthread-node/src/control/mod.rs
+++ b/crates/linenthread-node/src/control/mod.rs
@@ -154,7 +154,7 @@
         zone: settings.zone.clone(),
         incarnation,
         control_address,
-        may_vote: settings.quorum_member,
+        voter_eligible: settings.quorum_member,
         min_voters: 2 * settings.machine_faults + 1,
         heartbeat_interval: settings.heartbeat_interval,
         bootstrap,
--- a/crates/linenthread-simulation/src/system/execution.rs
+++ b/crates/linenthread-simulation/src/system/execution.rs
@@ -85,7 +85,7 @@
             zone: format!("z{}", node % ZONES),
             incarnation,
             control_address: machine.address.clone(),
-            may_vote: true,
+            voter_eligible: true,
             min_voters: 2 * self.max_lost + 1,
             heartbeat_interval: HEARTBEAT_INTERVAL,
             bootstrap: machine.bootstrap.clone(),
--- a/crates/linenthread-simulation/tests/no_wall_clock.rs
+++ b/crates/linenthread-simulation/tests/no_wall_clock.rs
@@ -177,7 +177,7 @@
         zone: "z0".into(),
         incarnation: Incarnation::new(incarnation),
         control_address: format!("{name}:80"),
-        may_vote: true,
+        voter_eligible: true,
         min_voters: 3,
         heartbeat_interval: Duration::from_secs(1),
         bootstrap: Vec::new(),
