--- a/crates/linenthread-control/src/control_node/status.rs
+++ b/crates/linenthread-control/src/control_node/status.rs
@@ -2,7 +2,7 @@
 //! the control API.
 
 use linenthread_consensus::{Epoch, Revision};
-use linenthread_messages::{IngressSession, Replica};
+use linenthread_messages::{IngressSession, Replica, ReplicaState};
 use linenthread_time::{Instant, whole_millis};
 use serde_json::{Value as Json, json};
 
@@ -51,11 +51,11 @@
 }
 
 fn replica(replica: &Replica) -> Json {
-    let phase = match (replica.removed_for_good, replica.removed, replica.draining) {
-        (true, _, _) => "ended",
-        (_, true, _) => "silent",
-        (_, _, true) => "draining",
-        _ => "available",
+    let phase = match replica.state() {
+        ReplicaState::Available => "available",
+        ReplicaState::Draining => "draining",
+        ReplicaState::TimedOut => "silent",
+        ReplicaState::Ended => "ended",
     };
     json!({
         "ident": replica.id,
--- a/crates/linenthread-control/src/lib.rs
+++ b/crates/linenthread-control/src/lib.rs
@@ -62,8 +62,8 @@
 pub use ingress_nodes::IngressIncarnation;
 pub use quota_allocator::QuotaRequestNumber;
 pub use replica_registry::{
-    HeartbeatOutcome, Observation, RegisteredReplica, ReplicaHeartbeat, ReplicaPhase,
-    ReplicaRegistry,
+    HeartbeatOutcome, Observation, RegisteredReplica, ReplicaHeartbeat, ReplicaRegistry,
+    ReportedPhase,
 };
 pub use response::{Response, UnavailableReason};
 pub use retry_budget::{EarlierGrants, RetryBudget};
--- a/crates/linenthread-control/src/replica_registry.rs
+++ b/crates/linenthread-control/src/replica_registry.rs
@@ -34,7 +34,7 @@
     #[serde(default)]
     pub capacity: u32,
     /// Whether it takes requests.
-    pub phase: ReplicaPhase,
+    pub phase: ReportedPhase,
     /// How much longer it warms up, in milliseconds.
     #[serde(default)]
     pub warmup_ms: u32,
@@ -53,17 +53,17 @@
             revision: self.revision,
             capacity: self.capacity,
             call_count: self.call_count,
-            draining: self.phase == ReplicaPhase::Draining,
+            draining: self.phase == ReportedPhase::Draining,
             warmup_ms: self.warmup_ms,
             ..Replica::default()
         }
     }
 }
 
-/// Whether a replica takes requests, as it says itself.
+/// Whether a replica takes requests, as it reports itself with each heartbeat.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "lowercase")]
-pub enum ReplicaPhase {
+pub enum ReportedPhase {
     /// It takes requests.
     Available,
     /// It takes no new requests and is about to end.
@@ -95,21 +95,21 @@
 
     /// Whether it drains, or ended for good: a majority must know of that before the replica is told that it may stop.
     pub(crate) fn is_draining_or_ended(&self) -> bool {
-        self.replica.draining || self.replica.removed_for_good
+        self.replica.draining || self.replica.ended
     }
 
     fn end(&mut self, now: Instant) {
-        self.replica.removed_for_good = true;
-        self.replica.removed = true;
+        self.replica.ended = true;
+        self.replica.timed_out_or_ended = true;
         self.ended_at = Some(now);
     }
 
     /// Takes in a report of the same replica.
     fn merge(&mut self, now: Instant, report: &Replica) -> HeartbeatOutcome {
-        if self.replica.removed_for_good {
+        if self.replica.ended {
             return HeartbeatOutcome::Stale;
         }
-        if report.removed_for_good {
+        if report.ended {
             self.end(now);
             return HeartbeatOutcome::Changed;
         }
@@ -120,7 +120,7 @@
         if report.call_count == self.replica.call_count {
             return HeartbeatOutcome::Stale;
         }
-        let changed = self.replica.removed
+        let changed = self.replica.timed_out_or_ended
             || self.replica.draining != report.draining
             || self.replica.address != report.address
             || self.replica.backend != report.backend
@@ -129,7 +129,7 @@
         self.replica = Replica {
             age_ms: 0,
             warmup_ms: 0,
-            removed: false,
+            timed_out_or_ended: false,
             ..report.clone()
         };
         if changed {
@@ -275,19 +275,21 @@
             replica: Replica {
                 age_ms: 0,
                 warmup_ms: 0,
-                removed: report.removed_for_good,
+                timed_out_or_ended: report.ended,
                 ..report.clone()
             },
             last_heartbeat_at: reported_at(now, report),
             warmed_up_at: now + Duration::from_millis(u64::from(report.warmup_ms)),
-            ended_at: report.removed_for_good.then_some(now),
+            ended_at: report.ended.then_some(now),
         };
         // Of two incarnations at one address, the one with the newer heartbeat runs. One that has ended says nothing of
         // the others.
-        for other in self.replicas.values_mut().filter(|other| {
-            !other.replica.removed_for_good && other.replica.address == report.address
-        }) {
-            if new.replica.removed_for_good {
+        for other in self
+            .replicas
+            .values_mut()
+            .filter(|other| !other.replica.ended && other.replica.address == report.address)
+        {
+            if new.replica.ended {
                 break;
             }
             let ended = if other.last_heartbeat_at > new.last_heartbeat_at {
@@ -306,7 +308,7 @@
     /// A replica announced that it ends; true if it had not before.
     pub fn mark_departed(&mut self, now: Instant, id: &str) -> bool {
         match self.replicas.get_mut(id) {
-            Some(known) if !known.replica.removed_for_good => {
+            Some(known) if !known.replica.ended => {
                 known.end(now);
                 self.changes.append(id);
                 self.digest.set(None);
@@ -325,12 +327,12 @@
                 .is_none_or(|ended_at| now < ended_at + REMEMBER_ENDED)
         });
         let timed_out = |known: &RegisteredReplica| {
-            !known.replica.removed && now > known.last_heartbeat_at + timeout
+            !known.replica.timed_out_or_ended && now > known.last_heartbeat_at + timeout
         };
         let present = self
             .replicas
             .values()
-            .filter(|known| !known.replica.removed)
+            .filter(|known| !known.replica.timed_out_or_ended)
             .count();
         let timed_out_count = self
             .replicas
@@ -342,7 +344,7 @@
         }
         let mut expired = Vec::new();
         for known in self.replicas.values_mut().filter(|known| timed_out(known)) {
-            known.replica.removed = true;
+            known.replica.timed_out_or_ended = true;
             self.changes.append(&known.replica.id);
             expired.push(known.replica.id.clone());
         }
@@ -362,7 +364,7 @@
     fn compute_digest(&self) -> u64 {
         self.replicas
             .values()
-            .filter(|known| !known.replica.removed_for_good)
+            .filter(|known| !known.replica.ended)
             .map(|known| {
                 let Replica {
                     id,
--- a/crates/linenthread-control/src/replica_snapshot.rs
+++ b/crates/linenthread-control/src/replica_snapshot.rs
@@ -36,7 +36,7 @@
         (self.written_offset, self.written_at) = (offset, now);
         let replicas = registry
             .iter()
-            .filter(|registered| !registered.replica.removed)
+            .filter(|registered| !registered.replica.timed_out_or_ended)
             .map(|registered| Replica {
                 age_ms: 0,
                 warmup_ms: 0,
--- a/crates/linenthread-control/tests/golden.rs
+++ b/crates/linenthread-control/tests/golden.rs
@@ -104,10 +104,10 @@
         capacity: 48,
         call_count: 987_654,
         draining: true,
-        removed: false,
+        timed_out_or_ended: false,
         age_ms: 1_234,
         warmup_ms: 56_789,
-        removed_for_good: false,
+        ended: false,
     }
 }
 
--- a/crates/linenthread-control/tests/replica_registry.rs
+++ b/crates/linenthread-control/tests/replica_registry.rs
@@ -30,7 +30,7 @@
     drains = { Replica { draining: true, ..report("a", 3, "x") }, HeartbeatOutcome::Changed, false },
     late = { Replica { draining: true, ..report("a", 1, "x") }, HeartbeatOutcome::Stale, false },
     repeated = { report("a", 2, "x"), HeartbeatOutcome::Stale, false },
-    ended = { Replica { removed_for_good: true, ..report("a", 1, "x") }, HeartbeatOutcome::Changed, true },
+    ended = { Replica { ended: true, ..report("a", 1, "x") }, HeartbeatOutcome::Changed, true },
     another_at_its_address = { report("b", 1, "x"), HeartbeatOutcome::Changed, true },
     another_with_an_older_heartbeat = { Replica { age_ms: 900, ..report("b", 1, "x") }, HeartbeatOutcome::Changed, false },
     another_elsewhere = { report("b", 1, "y"), HeartbeatOutcome::Changed, false },
@@ -39,10 +39,7 @@
     let mut registry = ReplicaRegistry::default();
     registry.observe(at(1_000), &report("a", 2, "x"));
     assert_eq!(registry.observe(at(1_500), &news).outcome, outcome);
-    assert_eq!(
-        registry.get("a").unwrap().replica.removed_for_good,
-        a_has_ended
-    );
+    assert_eq!(registry.get("a").unwrap().replica.ended, a_has_ended);
 }
 
 /// The digest is cached until something that it covers changes: it is the same as if it had not been read before.
@@ -50,7 +47,7 @@
     newer = { report("a", 3, "x") },
     drains = { Replica { draining: true, ..report("a", 3, "x") } },
     moved = { report("a", 3, "z") },
-    ended = { Replica { removed_for_good: true, ..report("a", 1, "x") } },
+    ended = { Replica { ended: true, ..report("a", 1, "x") } },
     another_at_its_address = { report("b", 1, "x") },
     another_elsewhere = { report("b", 1, "y") },
 )]
@@ -66,11 +63,11 @@
     assert_eq!(cached.digest(), computed.digest());
     assert_eq!(
         cached.digest() == before,
-        news.id == "a" && news.address == "x" && !news.draining && !news.removed_for_good
+        news.id == "a" && news.address == "x" && !news.draining && !news.ended
     );
     assert!(
-        cached.mark_departed(at(2_000), &news.id) != news.removed_for_good
-            && computed.mark_departed(at(2_000), &news.id) != news.removed_for_good
+        cached.mark_departed(at(2_000), &news.id) != news.ended
+            && computed.mark_departed(at(2_000), &news.id) != news.ended
     );
     assert_eq!(cached.digest(), computed.digest());
 }
@@ -84,7 +81,7 @@
         registry.observe(at(20), &report("a", 3, "x")).outcome,
         HeartbeatOutcome::Stale
     );
-    assert!(registry.get("a").unwrap().replica.removed);
+    assert!(registry.get("a").unwrap().replica.timed_out_or_ended);
     registry.expire(at(70_000), ms(4_000));
     assert!(registry.is_empty());
 }
@@ -105,7 +102,7 @@
             registry.observe(at(6_100), &report("r0", 2, "x0")).outcome,
             HeartbeatOutcome::Changed
         );
-        assert!(!registry.get("r0").unwrap().replica.removed);
+        assert!(!registry.get("r0").unwrap().replica.timed_out_or_ended);
     }
 }
 
--- a/crates/linenthread-dataplane/src/pool.rs
+++ b/crates/linenthread-dataplane/src/pool.rs
@@ -83,7 +83,7 @@
             connector,
             status: Cell::new(ReplicaStatus {
                 draining: replica.draining,
-                departed: replica.removed,
+                departed: replica.timed_out_or_ended,
             }),
             departure_changed_at: Cell::new(Instant::START),
             max_connections: Cell::new(usize::MAX),
--- a/crates/linenthread-dataplane/src/replica_table.rs
+++ b/crates/linenthread-dataplane/src/replica_table.rs
@@ -55,7 +55,7 @@
     fn update_one(&mut self, replica: &Replica) -> Option<Rc<ReplicaPool<C>>> {
         let status = ReplicaStatus {
             draining: replica.draining,
-            departed: replica.removed || replica.removed_for_good,
+            departed: replica.timed_out_or_ended || replica.ended,
         };
         let Some(pool) = self.by_id.get(&replica.id).cloned() else {
             return if status.departed {
--- a/crates/linenthread-hollow/src/ingress.rs
+++ b/crates/linenthread-hollow/src/ingress.rs
@@ -56,7 +56,7 @@
             self.replicas.clear();
         }
         for replica in update.replicas {
-            if replica.removed_for_good {
+            if replica.ended {
                 self.replicas.remove(&replica.id);
             } else {
                 self.replicas.insert(replica.id.clone(), replica);
--- a/crates/linenthread-messages/src/lib.rs
+++ b/crates/linenthread-messages/src/lib.rs
@@ -23,7 +23,7 @@
 pub use lease::{LeaseRelease, LeaseReply, LeaseRequest};
 pub use sessions::{
     ControlUpdate, DurableProgress, Heartbeat, Hello, IngressSession, IngressUpdate, QuotaGrant,
-    QuotaGrants, Replica, UpdateAck,
+    QuotaGrants, Replica, ReplicaState, UpdateAck,
 };
 
 /// Peers of another version are rejected. 2: a value carries its last orders by identity, not all of them.
--- a/crates/linenthread-messages/src/sessions.rs
+++ b/crates/linenthread-messages/src/sessions.rs
@@ -28,21 +28,49 @@
     /// Rises with each of its heartbeats, so that a late one is recognised.
     #[prost(uint64, tag = "7")]
     pub call_count: u64,
-    /// It shuts down gracefully: no new requests.
+    /// It shuts down gracefully: no new requests. Stays set when it has timed out or ended.
     #[prost(bool, tag = "8")]
     pub draining: bool,
-    /// Departed, replaced at its address, or without a heartbeat for too long.
+    /// Without a heartbeat for too long, or ended. [`Replica::state`] has these three flags as one.
     #[prost(bool, tag = "9")]
-    pub removed: bool,
+    pub timed_out_or_ended: bool,
     /// Milliseconds from its last heartbeat until this message was sent.
     #[prost(uint32, tag = "10")]
     pub age_ms: u32,
     /// Milliseconds that it still warms up for, when this message was sent.
     #[prost(uint32, tag = "11")]
     pub warmup_ms: u32,
-    /// It will not come back: departed, or replaced.
+    /// It will not come back: departed, or replaced at its address.
     #[prost(bool, tag = "12")]
-    pub removed_for_good: bool,
+    pub ended: bool,
+}
+
+/// What has become of a replica, as the control node sees it that sends it.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum ReplicaState {
+    /// It takes requests.
+    Available,
+    /// It shuts down gracefully, and takes no new requests.
+    Draining,
+    /// It sent no heartbeat for too long; with the next one it is back.
+    TimedOut,
+    /// It departed, or another took its address: it will not come back.
+    Ended,
+}
+
+impl Replica {
+    /// What has become of it.
+    pub fn state(&self) -> ReplicaState {
+        if self.ended {
+            ReplicaState::Ended
+        } else if self.timed_out_or_ended {
+            ReplicaState::TimedOut
+        } else if self.draining {
+            ReplicaState::Draining
+        } else {
+            ReplicaState::Available
+        }
+    }
 }
 
 /// An ingress node's session with the control node that sends this.
@@ -60,7 +88,7 @@
     /// Its newest request for a retry quota, counted within its incarnation.
     #[prost(uint64, tag = "4")]
     pub quota_request: u64,
-    /// Its address; empty in what this version sends.
+    /// Not read. Its address; empty in what this version sends.
     #[prost(string, tag = "5")]
     pub address: String,
     /// The revision of the configuration that it uses.
@@ -156,7 +184,7 @@
     /// The offset in the change log after this update.
     #[prost(uint64, tag = "2")]
     pub change_log_offset: u64,
-    /// The update lists all replicas: one that it omits does not exist.
+    /// The update lists all replicas that the sender knows. One that it omits does not run, if `registry_settled` is set.
     #[prost(bool, tag = "3")]
     pub complete: bool,
     /// Replicas that changed, or all of them.
@@ -171,7 +199,9 @@
     /// The value was confirmed to be the newest at some moment since the session began.
     #[prost(bool, tag = "7")]
     pub confirmed: bool,
-    /// The control node has collected heartbeats for so long that a replica it does not list does not exist.
+    /// The control node has been in contact for longer than replicas take to time out: each replica that runs has sent a
+    /// heartbeat since, so one that a complete update omits does not run. Before, some may merely not have reached this
+    /// node yet, and a complete update takes none away.
     #[prost(bool, tag = "8")]
     pub registry_settled: bool,
 }
@@ -194,7 +224,7 @@
     /// To be acknowledged by an [`UpdateAck`]; 0 if not.
     #[prost(uint64, tag = "5")]
     pub update_id: u64,
-    /// The update lists all replicas that the sender has.
+    /// Not read. The update lists all replicas that the sender has.
     #[prost(bool, tag = "6")]
     pub complete: bool,
 }
--- a/crates/linenthread-messages/tests/golden.rs
+++ b/crates/linenthread-messages/tests/golden.rs
@@ -75,10 +75,10 @@
         capacity: 48,
         call_count: 987_654,
         draining: true,
-        removed: true,
+        timed_out_or_ended: true,
         age_ms: 1_234,
         warmup_ms: 56_789,
-        removed_for_good: true,
+        ended: true,
     }
 }
 
--- a/crates/linenthread-simulation/src/system/checker/replicas.rs
+++ b/crates/linenthread-simulation/src/system/checker/replicas.rs
@@ -38,7 +38,7 @@
     fn knows_drain(&self, voter: &Voter, ident: &str) -> bool {
         let is_known = |control: &ControlNode| {
             let known = control.registry().get(ident).map(|known| &known.replica);
-            known.is_some_and(|replica| replica.draining || replica.removed_for_good)
+            known.is_some_and(|replica| replica.draining || replica.ended)
         };
         self.machines
             .iter()
