--- a/crates/linenthread-consensus/src/lib.rs
+++ b/crates/linenthread-consensus/src/lib.rs
@@ -29,6 +29,7 @@
 //! | `durable_state` | what a disk holds, from its records |
 //! | `lease` | the leader lease |
 //! | `change`, `jobs`, `effects` | what callers propose, what they are told, and what the driver has to do |
+//! | `genesis_value` | the value that a cluster starts with |
 //! | `node_id`, `value_number`, `revision`, `epoch`, `incarnation` | what the numbers in messages and records are |
 //! | `timing` | time-outs and intervals, each with its reason |
 //!
@@ -61,6 +62,7 @@
 mod durable_state;
 mod effects;
 mod epoch;
+mod genesis_value;
 mod incarnation;
 mod jobs;
 mod lease;
@@ -79,6 +81,7 @@
 pub use durable_state::DurableState;
 pub use effects::{DeferredMessage, Effect};
 pub use epoch::Epoch;
+pub use genesis_value::genesis_value;
 pub use incarnation::Incarnation;
 pub use jobs::{JobId, Outcome};
 pub use lease::{LeaderLease, LeaseProgress};
--- a/crates/linenthread-hollow/src/control.rs
+++ b/crates/linenthread-hollow/src/control.rs
@@ -4,12 +4,12 @@
 
 use bytes::BytesMut;
 use linenthread_config::Configuration;
-use linenthread_consensus::{DurableState, NodeId};
+use linenthread_consensus::{DurableState, NodeId, genesis_value};
 use linenthread_control::{
     CallId, ControlNode, DeferredMessage, Effect, Incarnation, NodeConfig, Order, ReplicaHeartbeat,
     Revision, SessionId,
 };
-use linenthread_messages::{Record, Value, Voter, decode};
+use linenthread_messages::{Record, decode};
 use linenthread_time::Instant;
 
 use crate::cost::Work;
@@ -35,18 +35,6 @@
 }
 
 impl ControlSettings {
-    /// The value that the system starts with.
-    fn genesis(&self) -> Value {
-        let voter = |address: &String| Voter {
-            id: NodeId::genesis(address).0,
-            address: address.clone(),
-        };
-        Value {
-            voters: self.bootstrap.iter().map(voter).collect(),
-            ..Value::default()
-        }
-    }
-
     fn into_config(self) -> NodeConfig {
         NodeConfig {
             name: self.name,
@@ -131,7 +119,7 @@
         } else {
             NodeId(settings.incarnation)
         };
-        let genesis = settings.genesis();
+        let genesis = genesis_value(&settings.bootstrap);
         let record = Record {
             id: Some(id.0),
             decided: Some(genesis.clone()),
--- a/crates/linenthread-node/src/control/mod.rs
+++ b/crates/linenthread-node/src/control/mod.rs
@@ -16,10 +16,10 @@
 use std::time::Duration;
 
 use linenthread_config::Settings;
-use linenthread_consensus::{DurableState, NodeId};
+use linenthread_consensus::{DurableState, NodeId, genesis_value};
 use linenthread_control::{ControlNode, Incarnation, NodeConfig};
 use linenthread_dataplane::clock;
-use linenthread_messages::{Record, Value, Voter};
+use linenthread_messages::Record;
 use tokio::net::TcpListener;
 use tokio::sync::{mpsc, oneshot};
 use tokio::task::spawn_local;
@@ -174,18 +174,3 @@
     }
     control
 }
-
-/// Value 0: the nodes of the bootstrap list vote.
-fn genesis_value(bootstrap: &[String]) -> Value {
-    let voters = bootstrap
-        .iter()
-        .map(|address| Voter {
-            id: NodeId::genesis(address).0,
-            address: address.clone(),
-        })
-        .collect();
-    Value {
-        voters,
-        ..Value::default()
-    }
-}
--- a/crates/linenthread-simulation/src/system/world.rs
+++ b/crates/linenthread-simulation/src/system/world.rs
@@ -3,9 +3,9 @@
 
 use std::time::Duration;
 
-use linenthread_consensus::NodeId;
+use linenthread_consensus::genesis_value;
 use linenthread_control::SessionId;
-use linenthread_messages::{PeerMessage, Value, Voter};
+use linenthread_messages::{PeerMessage, Value};
 use linenthread_time::Instant;
 
 use super::clock::MachineClock;
@@ -52,13 +52,6 @@
     /// A world without nodes, for a core of so many machines.
     pub(super) fn new(core: usize, seed: u64, trace: bool) -> World {
         let bootstrap: Vec<String> = (0..core.min(BOOTSTRAP_NODES)).map(core_address).collect();
-        let voters = bootstrap
-            .iter()
-            .map(|address| Voter {
-                id: NodeId::genesis(address).0,
-                address: address.clone(),
-            })
-            .collect();
         World {
             queue: EventQueue::new(),
             random: Random::new(seed),
@@ -71,10 +64,7 @@
             history: History::default(),
             report: Report::new(trace),
             plan: Plan::default(),
-            genesis: Value {
-                voters,
-                ..Value::default()
-            },
+            genesis: genesis_value(&bootstrap),
             bootstrap,
             max_lost: (core - 1) / 2,
             healed_at: None,
