--- a/crates/linenthread-node/src/main.rs
+++ b/crates/linenthread-node/src/main.rs
@@ -22,10 +22,11 @@
 use std::time::Duration;
 
 use linenthread_config::{Configuration, Settings};
+use linenthread_console::print_line;
 use snafu::ResultExt;
 use tokio::task::LocalSet;
 
-use crate::error::{ConfigurationSnafu, Error, SettingsSnafu, read_file, step};
+use crate::error::{ConfigurationSnafu, Error, IoSnafu, SettingsSnafu, read_file, step};
 
 mod flags {
     use std::path::PathBuf;
@@ -85,13 +86,18 @@
         flags::LinenthreadNodeCmd::Serve(flags) => start(flags),
         flags::LinenthreadNodeCmd::Check(flags) => check_configuration(&flags.configuration),
         flags::LinenthreadNodeCmd::CheckSettings(flags) => read_settings(&flags.settings).map(drop),
-        flags::LinenthreadNodeCmd::Version(_) => {
-            println!("linenthread-node {}", env!("CARGO_PKG_VERSION"));
-            Ok(())
-        }
+        flags::LinenthreadNodeCmd::Version(_) => print_version(),
     }
 }
 
+fn print_version() -> Result<(), Error> {
+    let version = env!("CARGO_PKG_VERSION");
+    print_line(format_args!("linenthread-node {version}")).context(IoSnafu {
+        step: "printing",
+        target: "the version",
+    })
+}
+
 fn check_configuration(path: &Path) -> Result<(), Error> {
     let bytes = read_file(path)?;
     let file = path.display().to_string();
--- /dev/null
+++ b/crates/linenthread-node/tests/closed_output.rs
@@ -0,0 +1,13 @@
+//! A closed output pipe ends the program quietly.
+
+use std::process::Command;
+
+use linenthread_console::testing::run_with_closed_output;
+
+#[test]
+fn a_closed_output_pipe_ends_the_version_command_without_a_panic() {
+    let mut command = Command::new(env!("CARGO_BIN_EXE_linenthread-node"));
+    let output = run_with_closed_output(command.arg("version")).expect("the program runs");
+    assert!(output.status.success(), "{}", output.status);
+    assert_eq!(String::from_utf8_lossy(&output.stderr), "");
+}
