--- a/crates/linenthread-link/src/frame/member.rs
+++ b/crates/linenthread-link/src/frame/member.rs
@@ -76,7 +76,7 @@
         let members = self.members.get(..MAX_MEMBERS).unwrap_or(&self.members);
         encoder.u64(self.revision);
         encoder.flag(self.complete);
-        encoder.u16(u16::try_from(members.len()).unwrap_or(u16::MAX));
+        encoder.count(members.len());
         for member in members {
             member.encode(encoder);
         }
--- a/crates/linenthread-link/src/frame/mod.rs
+++ b/crates/linenthread-link/src/frame/mod.rs
@@ -230,9 +230,9 @@
 }
 
 fn encode_ack(numbers: &[CallNumber], encoder: &mut Encoder) {
-    let count = u16::try_from(numbers.len()).unwrap_or(u16::MAX);
-    encoder.u16(count);
-    for number in numbers.iter().take(usize::from(count)) {
+    // No more than the count can say.
+    encoder.count(numbers.len());
+    for number in numbers.iter().take(usize::from(u16::MAX)) {
         encoder.u64(number.0);
     }
 }
