--- a/crates/linenthread-simulation/src/commands/system.rs
+++ b/crates/linenthread-simulation/src/commands/system.rs
@@ -5,7 +5,6 @@
 use bpaf::{Parser, construct, long};
 
 use super::{arguments, outcome};
-use crate::run_summary::RunSummary;
 use crate::system;
 pub(super) use crate::system::Options;
 
@@ -37,9 +36,5 @@
 }
 
 pub(super) fn run(options: &Options) -> ExitCode {
-    let result = system::run(options);
-    outcome::close(RunSummary {
-        checked: result.checked,
-        violations: result.violations,
-    })
+    outcome::close(system::run(options))
 }
--- a/crates/linenthread-simulation/src/failover/topology.rs
+++ b/crates/linenthread-simulation/src/failover/topology.rs
@@ -3,10 +3,11 @@
 use std::collections::BTreeMap;
 
 use linenthread_core::interface::TenthMillis;
-use linenthread_zones::{FailoverConfig, FailoverController, Placement, Topology, Zone};
+use linenthread_zones::{FailoverController, Placement, Topology, Zone};
 
 use super::replica::Replica;
-use super::{REPLICAS, SECOND, SHARDS, ZONES};
+use super::{REPLICAS, SHARDS, ZONES};
+use crate::failover_config::failover_config;
 use crate::number;
 
 /// Replicas of each shard.
@@ -18,20 +19,10 @@
         .to_vec()
 }
 
-/// The settings of the failover controller.
-fn config() -> FailoverConfig {
-    FailoverConfig {
-        capacity_margin: 0.8,
-        ejection_time: 5 * SECOND,
-        max_ejection_time: 60 * SECOND,
-        return_step: 3 * SECOND,
-    }
-}
-
 /// A controller that has decided nothing yet.
 pub(super) fn controller(now: TenthMillis) -> FailoverController {
     let zones = topology(&[]).zones;
-    FailoverController::new(config(), zones, None, now).expect("a valid configuration")
+    FailoverController::new(failover_config(), zones, None, now).expect("a valid configuration")
 }
 
 /// Zones and shards, with the replicas that are up.
--- a/crates/linenthread-simulation/src/main.rs
+++ b/crates/linenthread-simulation/src/main.rs
@@ -38,6 +38,7 @@
 mod dataplane;
 mod event_queue;
 mod failover;
+mod failover_config;
 mod fleet;
 mod link;
 mod link_speed;
--- a/crates/linenthread-simulation/src/system/simulation.rs
+++ b/crates/linenthread-simulation/src/system/simulation.rs
@@ -14,6 +14,7 @@
 use super::plan;
 use super::report::Coverage;
 use super::world::{World, core_address};
+use crate::run_summary::RunSummary;
 
 /// How long a schedule goes on after the faults.
 const RECOVERY: Duration = Duration::from_millis(25_000);
@@ -47,16 +48,8 @@
     pub(crate) trace: bool,
 }
 
-/// How a simulation ended.
-pub(crate) struct Outcome {
-    /// Schedules that were run.
-    pub(crate) checked: usize,
-    /// Violations in all of them.
-    pub(crate) violations: usize,
-}
-
 /// Runs all schedules and prints the violations that they found.
-pub(crate) fn run(options: &Options) -> Outcome {
+pub(crate) fn run(options: &Options) -> RunSummary {
     let end = options.seed + u64::try_from(options.schedules).unwrap_or(u64::MAX);
     let next_seed = AtomicU64::new(options.seed);
     let results = Mutex::new(BTreeMap::new());
@@ -91,7 +84,7 @@
     if options.summary {
         coverage.print();
     }
-    Outcome {
+    RunSummary {
         checked: options.schedules,
         violations,
     }
--- a/crates/linenthread-simulation/src/zones/simulation.rs
+++ b/crates/linenthread-simulation/src/zones/simulation.rs
@@ -4,8 +4,9 @@
 
 use super::fault::Fault;
 use super::invariant::Invariant;
-use super::world::{MAX_VIOLATIONS, World, config};
+use super::world::{MAX_VIOLATIONS, World};
 use super::{Outcome, SECOND, STEP};
+use crate::failover_config::failover_config;
 use crate::random;
 
 /// A new leader takes over once in so many steps.
@@ -76,7 +77,7 @@
         if self.fault == Fault::HostileReports || !self.violations.is_empty() {
             return;
         }
-        let config = config();
+        let config = failover_config();
         let recovery = 2 * (config.max_ejection_time + 6 * config.return_step) + 20 * SECOND;
         let end = self.now + recovery;
         while self.now < end && !self.is_open() {
--- a/crates/linenthread-simulation/src/zones/world.rs
+++ b/crates/linenthread-simulation/src/zones/world.rs
@@ -4,13 +4,14 @@
 
 use linenthread_core::interface::TenthMillis;
 use linenthread_zones::{
-    FailoverConfig, FailoverController, Placement, RoutingTable, Topology, Zone, ZoneObserver,
+    FailoverController, Placement, RoutingTable, Topology, Zone, ZoneObserver,
 };
 use oorandom::Rand64;
 
+use super::START;
 use super::fault::Fault;
 use super::invariant::Invariant;
-use super::{SECOND, START};
+use crate::failover_config::failover_config;
 use crate::number;
 use crate::random;
 
@@ -62,23 +63,13 @@
     pub(super) handled_after: Option<TenthMillis>,
 }
 
-/// The settings of the failover controller.
-pub(super) fn config() -> FailoverConfig {
-    FailoverConfig {
-        capacity_margin: 0.8,
-        ejection_time: 5 * SECOND,
-        max_ejection_time: 60 * SECOND,
-        return_step: 3 * SECOND,
-    }
-}
-
 /// A controller that goes on from a table.
 pub(super) fn controller(
     topology: &Topology,
     table: Option<&RoutingTable>,
     now: TenthMillis,
 ) -> FailoverController {
-    FailoverController::new(config(), topology.zones.clone(), table, now)
+    FailoverController::new(failover_config(), topology.zones.clone(), table, now)
         .expect("a valid configuration")
 }
 
