--- a/crates/linenthread-adapter/tests/wire.rs
+++ b/crates/linenthread-adapter/tests/wire.rs
@@ -3,6 +3,8 @@
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
 
+use linenthread_golden::decode_hex;
+
 const SETTINGS: &str = r#"{"accounts": [], "unheard-of": 1, "balancers": 1, "membership-mode": "pushed",
  "allowed": {"cancel": true, "max-attempts": 3, "max-retry-after-ms": 500.0, "probes": false,
   "retry-after": false, "second-copies": true},
@@ -14,14 +16,6 @@
   "warm-up-ms": 14000.0}, "me": 0, "tick-ms": 5.0,
  "telemetry": {"names": ["odd", "queue"], "source": "answers"}}"#;
 
-fn bytes(hex: &str) -> Vec<u8> {
-    let digits: Vec<u8> = hex.bytes().filter(u8::is_ascii_hexdigit).collect();
-    digits
-        .chunks(2)
-        .map(|d| u8::from_str_radix(std::str::from_utf8(d).unwrap(), 16).unwrap())
-        .collect()
-}
-
 fn frame(clock_ms: f64, records: &[Vec<u8>]) -> Vec<u8> {
     let body = records.concat();
     let mut frame = (u32::try_from(body.len()).unwrap() + 12)
@@ -33,7 +27,7 @@
 }
 
 fn boot(settings: &str) -> Vec<u8> {
-    let mut record = bytes("01 00000003 0000000000000007");
+    let mut record = decode_hex("01 00000003 0000000000000007");
     record.extend(u32::try_from(settings.len()).unwrap().to_be_bytes());
     record.extend(settings.as_bytes());
     record
@@ -41,7 +35,7 @@
 
 /// One ready replica in a list, and the event that the list is complete.
 fn membership() -> Vec<u8> {
-    bytes(
+    decode_hex(
         "0b 0000 00000001 03124a07 0000 0000 0000 01 3f800000 0000000000000000 \
          02 00000003 02 0000000000000029 0000",
     )
@@ -49,7 +43,7 @@
 
 /// A query of one sub-request, with a deadline at 13000 ms.
 fn query() -> Vec<u8> {
-    bytes(
+    decode_hex(
         "03 00000003 000643ee0e6f2b19 0000 00000000 91f03b7c55d20a64 40c9640000000000 0000000000000000 \
          43560000 bf800000 3f800000 0000 \
          03 00000003 000a7e015d3a91c4 0000 00000000 91f03b7c55d20a64 40c9640000000000 4028000000000000 \
@@ -70,25 +64,25 @@
 }
 
 fn holds(output: &[u8], hex: &str) -> bool {
-    let record = bytes(hex);
+    let record = decode_hex(hex);
     output.windows(record.len()).any(|w| w == record)
 }
 
 #[test]
 fn an_empty_batch_gets_an_empty_reply() {
-    let output = run(&bytes("0000000c 40c06e2000000000"));
+    let output = run(&decode_hex("0000000c 40c06e2000000000"));
     assert_eq!(
         (output.status.code(), output.stdout),
-        (Some(0), bytes("00000008 00000000"))
+        (Some(0), decode_hex("00000008 00000000"))
     );
 }
 
 #[test]
 fn a_sub_request_is_sent_and_its_query_responded_to() {
-    let result = bytes(
+    let result = decode_hex(
         "05 00000003 000a7e015d3a91c4 00 03124a07 0064 4032800000000000 01 02 3f800000 3f800000",
     );
-    let abandoned = bytes("06 00000003 000643ee0e6f2b19");
+    let abandoned = decode_hex("06 00000003 000643ee0e6f2b19");
     let output = run(&[
         frame(10_000.0, &[boot(SETTINGS), membership(), query()]),
         frame(10_018.5, &[result]),
@@ -110,7 +104,7 @@
 
 #[test]
 fn a_killed_instance_starts_afresh_in_the_same_batch() {
-    let killed = bytes("0a 00000003");
+    let killed = decode_hex("0a 00000003");
     let output = run(&frame(
         10_000.0,
         &[
@@ -130,11 +124,11 @@
 fn invalid_input_is_reported_in_one_line() {
     let incomplete = SETTINGS.replace("\"cold-share\": 0.2, ", "");
     let cases = [
-        (bytes("0000000c 40c06e20"), "truncated frame"),
-        (bytes("0000"), "truncated frame"),
-        (frame(1.0, &[bytes("2a")]), "unknown event code 42"),
+        (decode_hex("0000000c 40c06e20"), "truncated frame"),
+        (decode_hex("0000"), "truncated frame"),
+        (frame(1.0, &[decode_hex("2a")]), "unknown event code 42"),
         (
-            frame(1.0, &[bytes("06 00000005 000643ee0e6f2b19")]),
+            frame(1.0, &[decode_hex("06 00000005 000643ee0e6f2b19")]),
             "unknown instance 5",
         ),
         (frame(1.0, &[boot("{")]), "settings do not parse"),
@@ -147,13 +141,13 @@
                 1.0,
                 &[
                     boot(SETTINGS),
-                    bytes("02 00000003 02 0000000000000029 0007"),
+                    decode_hex("02 00000003 02 0000000000000029 0007"),
                 ],
             ),
             "unknown list 7",
         ),
         (
-            frame(1.0, &[boot(SETTINGS), bytes("06 00000003 0006")]),
+            frame(1.0, &[boot(SETTINGS), decode_hex("06 00000003 0006")]),
             "truncated frame: request-id",
         ),
     ];
