--- a/crates/linenthread-dataplane/src/clock.rs
+++ b/crates/linenthread-dataplane/src/clock.rs
@@ -5,15 +5,15 @@
 use std::cell::Cell;
 use std::time::Duration;
 
-use linenthread_core::conversion::to_tenth_millis;
+use linenthread_core::conversion::{duration_to_tenth_millis, to_tenth_millis};
 use linenthread_core::interface::TenthMillis;
 use linenthread_time::{Instant, whole_millis};
 
+pub(crate) use linenthread_core::conversion::tenth_millis_to_duration;
+
 /// What the clock shows at its start, in milliseconds: not 0, so that durations can be subtracted from its first
 /// moments.
 const START_MS: u64 = 1_000_000;
-/// The unit of the decision module, in microseconds.
-const MICROS_PER_TENTH: u64 = 100;
 /// Units of the decision module in a millisecond.
 const TENTHS_PER_MS: f64 = 10.0;
 /// [`START_MS`] in the unit of the decision module.
@@ -61,18 +61,6 @@
     start().into_std() + tenth_millis_to_duration(at - START_TENTHS)
 }
 
-/// A length of time in the unit of the decision module, rounded down.
-fn duration_to_tenth_millis(duration: Duration) -> TenthMillis {
-    TenthMillis::try_from(duration.as_micros() / u128::from(MICROS_PER_TENTH))
-        .unwrap_or(TenthMillis::MAX)
-}
-
-/// A length of time of the decision module; zero if it is negative.
-pub(crate) fn tenth_millis_to_duration(tenths: TenthMillis) -> Duration {
-    let tenths = u64::try_from(tenths).unwrap_or(0);
-    Duration::from_micros(tenths.saturating_mul(MICROS_PER_TENTH))
-}
-
 /// Milliseconds of a configuration in the unit of the decision module, the fraction dropped; it saturates, as
 /// [`to_tenth_millis`] does.
 pub(crate) fn ms_to_tenth_millis(ms: f64) -> TenthMillis {
--- a/crates/linenthread-fleet/src/members/runtime.rs
+++ b/crates/linenthread-fleet/src/members/runtime.rs
@@ -8,6 +8,7 @@
 use std::time::Duration;
 
 use foca::{Foca, Notification, PeriodicParams, Timer};
+use linenthread_core::conversion::{duration_to_tenth_millis, tenth_millis_to_duration};
 use linenthread_core::interface::TenthMillis;
 use oorandom::Rand64;
 use rand::rand_core::{Infallible, TryRng};
@@ -22,7 +23,6 @@
 const DEFAULT_PROBE_INTERVAL: f64 = 10_000.0;
 /// Members that are down get the list of the others once in so many probe intervals.
 const DOWN_ANNOUNCE_INTERVALS: TenthMillis = 10;
-const MICROS_PER_TENTH_MILLI: u64 = 100;
 
 /// foca, with our identities and bytes, and without broadcasts of its users' own.
 pub(super) type Gossip = Foca<NodeIdentity, GossipCodec, GossipRng, foca::NoCustomBroadcast>;
@@ -114,13 +114,14 @@
     }
 }
 
+/// At least the smallest unit, so that no interval is 0.
 fn duration(tenth_millis: TenthMillis) -> Duration {
-    Duration::from_micros(tenth_millis.max(1).unsigned_abs() * MICROS_PER_TENTH_MILLI)
+    tenth_millis_to_duration(tenth_millis.max(1))
 }
 
+/// At least the smallest unit, so that no timer is due at once.
 fn tenth_millis(duration: Duration) -> TenthMillis {
-    let tenths = duration.as_micros() / u128::from(MICROS_PER_TENTH_MILLI);
-    TenthMillis::try_from(tenths.max(1)).unwrap_or(TenthMillis::MAX)
+    duration_to_tenth_millis(duration).max(1)
 }
 
 /// foca's defaults for a local network, with its times in proportion to our probe interval.
--- a/crates/linenthread-service/src/clock.rs
+++ b/crates/linenthread-service/src/clock.rs
@@ -5,27 +5,16 @@
 use linenthread_core::interface::TenthMillis;
 use tokio::time::Instant;
 
+pub(crate) use linenthread_core::conversion::{
+    duration_to_tenth_millis as to_tenths, tenth_millis_to_duration as to_duration,
+};
+
 /// The reading at the program's start: one hour, so that 0 lies far in the past.
 const EPOCH: TenthMillis = 36_000_000;
 
-/// Microseconds in one unit of the coordinator's time.
-const MICROS_PER_TENTH: u64 = 100;
-
 /// Units of the coordinator's time in one millisecond.
 const TENTHS_PER_MILLI: f64 = 10.0;
 
-/// A span of the coordinator's time; a negative one is zero.
-pub(crate) fn to_duration(tenths: TenthMillis) -> Duration {
-    let tenths = u64::try_from(tenths).unwrap_or(0);
-    Duration::from_micros(tenths.saturating_mul(MICROS_PER_TENTH))
-}
-
-/// A duration in the coordinator's unit, rounded down.
-pub(crate) fn to_tenths(duration: Duration) -> TenthMillis {
-    let tenths = duration.as_micros() / u128::from(MICROS_PER_TENTH);
-    TenthMillis::try_from(tenths).unwrap_or(TenthMillis::MAX)
-}
-
 /// A span of the coordinator's time in milliseconds, with its fraction.
 pub(crate) fn to_millis(tenths: TenthMillis) -> f64 {
     tenths as f64 / TENTHS_PER_MILLI
