--- a/crates/linenthread-fakes/src/lib.rs
+++ b/crates/linenthread-fakes/src/lib.rs
@@ -31,7 +31,7 @@
 use std::time::Duration;
 
 pub use client::{Client, request, request_with};
-pub use program::{Class, Service, config, config_of, program};
+pub use program::{IndexSettings, Service, config, config_of, program};
 pub use replicas::{FakeReplicas, SubRequest};
 pub use row_replicas::{Behavior, RowReplicas};
 pub use service_discovery::{ServiceDiscovery, member, membership};
--- a/crates/linenthread-fakes/src/program.rs
+++ b/crates/linenthread-fakes/src/program.rs
@@ -21,7 +21,7 @@
 pub(crate) const ORDER: &str = "order";
 
 /// An index in the settings.
-pub struct Class {
+pub struct IndexSettings {
     /// Its name.
     pub name: &'static str,
     /// Its queries may run only once.
@@ -33,20 +33,20 @@
 }
 
 /// The indexes `find`, `order` (non-idempotent), `swift` (700 ms), all with complete responses only.
-const CLASSES: [Class; 3] = [
-    Class {
+const DEFAULT_INDEXES: [IndexSettings; 3] = [
+    IndexSettings {
         name: FIND,
         non_idempotent: false,
         soft_deadline: Duration::from_secs(15),
         floor: 1.0,
     },
-    Class {
+    IndexSettings {
         name: ORDER,
         non_idempotent: true,
         soft_deadline: Duration::from_secs(15),
         floor: 1.0,
     },
-    Class {
+    IndexSettings {
         name: "swift",
         non_idempotent: false,
         soft_deadline: Duration::from_millis(700),
@@ -60,20 +60,21 @@
 }
 
 /// Settings with so many replica groups, where each shard is in two neighbouring groups.
-fn settings(classes: &[Class], groups: usize, shards: usize) -> Value {
-    let class = |c: &Class| {
-        json!({"name": c.name, "idempotency": if c.non_idempotent { "unsafe" } else { "safe" },
-               "promise-ms": millis(c.soft_deadline), "worth": 1.0, "late-share": 0.0, "deadline-ms": 20000,
+fn settings(indexes: &[IndexSettings], groups: usize, shards: usize) -> Value {
+    let class = |index: &IndexSettings| {
+        json!({"name": index.name, "idempotency": if index.non_idempotent { "unsafe" } else { "safe" },
+               "promise-ms": millis(index.soft_deadline), "worth": 1.0, "late-share": 0.0, "deadline-ms": 20000,
                "window-ms": 5000})
     };
-    let each = |of: &dyn Fn(&Class) -> f64| -> Vec<f64> { classes.iter().map(of).collect() };
+    let each =
+        |value: &dyn Fn(&IndexSettings) -> f64| -> Vec<f64> { indexes.iter().map(value).collect() };
     json!({
         "me": 0, "balancers": 1, "membership-mode": "pushed", "dcs": ["a"], "tick-ms": 5,
-        "classes": classes.iter().map(class).collect::<Vec<_>>(),
+        "classes": indexes.iter().map(class).collect::<Vec<_>>(),
         "accounts": [{"name": "acme", "quota-rps": 100.0, "share": 1.0}],
         "family-info": {"cells": groups, "in-a-row": 2, "ranges": shards, "parts-a-call": 1,
-                        "need-by-class": each(&|_| 1.0), "floor-by-class": each(&|c| c.floor),
-                        "incomplete-worth": each(&|c| if c.floor < 1.0 { 0.9 } else { 0.0 }),
+                        "need-by-class": each(&|_| 1.0), "floor-by-class": each(&|index| index.floor),
+                        "incomplete-worth": each(&|index| if index.floor < 1.0 { 0.9 } else { 0.0 }),
                         "fetch-parts": each(&|_| 0.0)},
         "allowed": {"max-attempts": 3, "second-copies": true, "cancel": true, "probes": true,
                     "retry-after": true, "max-retry-after-ms": 2000, "streams-per-conn": 100,
@@ -89,7 +90,7 @@
 ///
 /// If `known` is no membership.
 pub fn config(discovery: SocketAddr, known: &str) -> Value {
-    config_of(discovery, known, &CLASSES, 2, 4)
+    config_of(discovery, known, &DEFAULT_INDEXES, 2, 4)
 }
 
 /// The contents of `config.json` with these indexes.
@@ -100,14 +101,14 @@
 pub fn config_of(
     discovery: SocketAddr,
     known: &str,
-    classes: &[Class],
+    indexes: &[IndexSettings],
     groups: usize,
     shards: usize,
 ) -> Value {
     json!({"name": "n0", "listen": "127.0.0.1:0", "discovery": discovery.to_string(), "seed": "8c1f30d27a5be964",
            "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
            "known": serde_json::from_str::<Value>(known).expect("a membership is JSON"),
-           "settings": settings(classes, groups, shards)})
+           "settings": settings(indexes, groups, shards)})
 }
 
 /// Runs the program to its end with a command and a configuration file.
--- a/crates/linenthread-fakes/src/rig/layout.rs
+++ b/crates/linenthread-fakes/src/rig/layout.rs
@@ -7,7 +7,7 @@
 
 use super::{RigConfig, Zone};
 use crate::loopback::unused_loopback;
-use crate::program::{Class, FIND, ORDER, config_of};
+use crate::program::{FIND, IndexSettings, ORDER, config_of};
 use crate::service_discovery::{member, membership};
 
 /// Shards of the rig's indexes.
@@ -91,15 +91,15 @@
 
     /// The contents of `config.json` of a process.
     pub(super) fn settings(&self, process: usize, discovery: SocketAddr, known: &str) -> Value {
-        let class = |name, non_idempotent| Class {
+        let index = |name, non_idempotent| IndexSettings {
             name,
             non_idempotent,
             soft_deadline: SOFT_DEADLINE,
             floor: 1.0,
         };
-        let classes = [class(FIND, false), class(ORDER, true)];
+        let indexes = [index(FIND, false), index(ORDER, true)];
         let replicas = self.config.replica_count();
-        let mut config = config_of(discovery, known, &classes, replicas, SHARDS);
+        let mut config = config_of(discovery, known, &indexes, replicas, SHARDS);
         let zones: Vec<&str> = self.config.zones.iter().map(|zone| zone.name).collect();
         config["name"] = json!(self.name(process));
         config["listen"] = json!(self.http(process).to_string());
--- a/crates/linenthread-fakes/src/sites/setup.rs
+++ b/crates/linenthread-fakes/src/sites/setup.rs
@@ -14,7 +14,7 @@
 use crate::program::{FIND, ORDER, millis};
 use crate::proxy::Proxy;
 use crate::sync::lock;
-use crate::{Class, FakeReplicas, Service, ServiceDiscovery, config_of};
+use crate::{FakeReplicas, IndexSettings, Service, ServiceDiscovery, config_of};
 
 /// The secret that both sites share.
 const SECRET: &str = "a secret between two sites\n";
@@ -54,14 +54,14 @@
 
 /// The contents of `config.json` of a site.
 pub(super) fn settings(discovery: &ServiceDiscovery, known: &str) -> Value {
-    let class = |name, non_idempotent| Class {
+    let index = |name, non_idempotent| IndexSettings {
         name,
         non_idempotent,
         soft_deadline: SOFT_DEADLINE,
         floor: 1.0,
     };
-    let classes = [class(FIND, false), class(ORDER, true)];
-    let mut config = config_of(discovery.address, known, &classes, REPLICAS, SHARDS);
+    let indexes = [index(FIND, false), index(ORDER, true)];
+    let mut config = config_of(discovery.address, known, &indexes, REPLICAS, SHARDS);
     config["limits"]["sockets"] = SOCKETS.into();
     config
 }
--- a/crates/linenthread-service/src/demo/programs.rs
+++ b/crates/linenthread-service/src/demo/programs.rs
@@ -6,7 +6,8 @@
 
 use linenthread_fakes::row_store::{INSTALLATION, RowStore};
 use linenthread_fakes::{
-    Behavior, Class, RowReplicas, ServiceDiscovery, SubRequest, config_of, member, membership,
+    Behavior, IndexSettings, RowReplicas, ServiceDiscovery, SubRequest, config_of, member,
+    membership,
 };
 use oorandom::Rand64;
 use serde_json::Value;
@@ -89,18 +90,18 @@
 
 /// Starts stub service discovery for an endpoint list and gives a configuration that uses it.
 fn configuration(endpoints: &str) -> Value {
-    let class = |name| Class {
+    let index = |name| IndexSettings {
         name,
         non_idempotent: false,
         soft_deadline: Duration::from_secs(1),
         floor: 0.5,
     };
-    let classes = ["history", "pledges", "charities"].map(class);
+    let indexes = ["history", "pledges", "charities"].map(index);
     let discovery = ServiceDiscovery::start(endpoints.to_owned());
     let config = config_of(
         discovery.address,
         endpoints,
-        &classes,
+        &indexes,
         REPLICA_GROUPS,
         SHARDS,
     );
--- a/crates/linenthread-service/tests/merged/cluster.rs
+++ b/crates/linenthread-service/tests/merged/cluster.rs
@@ -4,7 +4,7 @@
 
 use linenthread_fakes::row_store::{INSTALLATION, RowStore};
 use linenthread_fakes::{
-    Behavior, Class, RowReplicas, Service, ServiceDiscovery, SubRequest, config_of, member,
+    Behavior, IndexSettings, RowReplicas, Service, ServiceDiscovery, SubRequest, config_of, member,
     membership,
 };
 use serde_json::Value;
@@ -98,23 +98,23 @@
 }
 
 fn configuration(discovery: &ServiceDiscovery, known: &str, soft_deadline: Duration) -> Value {
-    let class = |name| Class {
+    let index = |name| IndexSettings {
         name,
         non_idempotent: false,
         soft_deadline,
         floor: FLOOR,
     };
-    let once_only = Class {
+    let once_only = IndexSettings {
         name: "order",
         non_idempotent: true,
         soft_deadline,
         floor: 1.0,
     };
-    let classes = [
-        class("history"),
-        class("pledges"),
-        class("charities"),
+    let indexes = [
+        index("history"),
+        index("pledges"),
+        index("charities"),
         once_only,
     ];
-    config_of(discovery.address, known, &classes, 3, SHARDS)
+    config_of(discovery.address, known, &indexes, 3, SHARDS)
 }
--- a/crates/linenthread-service/tests/migrate.rs
+++ b/crates/linenthread-service/tests/migrate.rs
@@ -6,13 +6,13 @@
 use std::time::Duration;
 
 use linenthread_fakes::{
-    Class, FakeReplicas, Service, ServiceDiscovery, config_of, member, membership,
+    FakeReplicas, IndexSettings, Service, ServiceDiscovery, config_of, member, membership,
 };
 use serde_json::{Value, json};
 use tempfile::TempDir;
 
 const EXE: &str = env!("CARGO_BIN_EXE_linenthread");
-const FIND: Class = Class {
+const FIND: IndexSettings = IndexSettings {
     name: "find",
     non_idempotent: false,
     soft_deadline: Duration::from_secs(15),
