--- a/crates/linenthread-fakes/src/program.rs
+++ b/crates/linenthread-fakes/src/program.rs
@@ -54,6 +54,17 @@
     },
 ];
 
+/// The indexes `find` and `order` (non-idempotent), with complete responses only.
+pub(crate) fn find_and_order(soft_deadline: Duration) -> [IndexSettings; 2] {
+    let index = |name, non_idempotent| IndexSettings {
+        name,
+        non_idempotent,
+        soft_deadline,
+        floor: 1.0,
+    };
+    [index(FIND, false), index(ORDER, true)]
+}
+
 /// A length of time as the settings give it.
 pub(crate) fn millis(length: Duration) -> u64 {
     u64::try_from(length.as_millis()).expect("a length of time in the settings is short")
--- a/crates/linenthread-fakes/src/rig/layout.rs
+++ b/crates/linenthread-fakes/src/rig/layout.rs
@@ -7,7 +7,7 @@
 
 use super::{RigConfig, Zone};
 use crate::loopback::unused_loopback;
-use crate::program::{FIND, IndexSettings, ORDER, config_of};
+use crate::program::{config_of, find_and_order};
 use crate::service_discovery::{member, membership};
 
 /// Shards of the rig's indexes.
@@ -91,13 +91,7 @@
 
     /// The contents of `config.json` of a process.
     pub(super) fn settings(&self, process: usize, discovery: SocketAddr, known: &str) -> Value {
-        let index = |name, non_idempotent| IndexSettings {
-            name,
-            non_idempotent,
-            soft_deadline: SOFT_DEADLINE,
-            floor: 1.0,
-        };
-        let indexes = [index(FIND, false), index(ORDER, true)];
+        let indexes = find_and_order(SOFT_DEADLINE);
         let replicas = self.config.replica_count();
         let mut config = config_of(discovery, known, &indexes, replicas, SHARDS);
         let zones: Vec<&str> = self.config.zones.iter().map(|zone| zone.name).collect();
--- a/crates/linenthread-fakes/src/sites/setup.rs
+++ b/crates/linenthread-fakes/src/sites/setup.rs
@@ -11,10 +11,10 @@
 use super::{Received, SitesConfig};
 use crate::files::{temporary_folder, write_file};
 use crate::loopback::{self, unused_loopback};
-use crate::program::{FIND, ORDER, millis};
+use crate::program::{find_and_order, millis};
 use crate::proxy::Proxy;
 use crate::sync::lock;
-use crate::{FakeReplicas, IndexSettings, Service, ServiceDiscovery, config_of};
+use crate::{FakeReplicas, Service, ServiceDiscovery, config_of};
 
 /// The secret that both sites share.
 const SECRET: &str = "a secret between two sites\n";
@@ -54,13 +54,7 @@
 
 /// The contents of `config.json` of a site.
 pub(super) fn settings(discovery: &ServiceDiscovery, known: &str) -> Value {
-    let index = |name, non_idempotent| IndexSettings {
-        name,
-        non_idempotent,
-        soft_deadline: SOFT_DEADLINE,
-        floor: 1.0,
-    };
-    let indexes = [index(FIND, false), index(ORDER, true)];
+    let indexes = find_and_order(SOFT_DEADLINE);
     let mut config = config_of(discovery.address, known, &indexes, REPLICAS, SHARDS);
     config["limits"]["sockets"] = SOCKETS.into();
     config
