--- a/crates/linenthread-fakes/src/client.rs
+++ b/crates/linenthread-fakes/src/client.rs
@@ -12,6 +12,26 @@
 /// [`Client::response`].
 pub struct Client(BufReader<TcpStream>);
 
+/// An HTTP response.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct ClientResponse {
+    /// The status.
+    pub status: u16,
+    /// The headers, as `name: value` in lower case.
+    pub headers: Vec<String>,
+    /// The body.
+    pub body: String,
+}
+
+/// The response to a query of a merged index.
+#[derive(Clone, Debug, PartialEq)]
+pub struct MergedResponse {
+    /// The status.
+    pub status: u16,
+    /// The body; a string if it is not JSON.
+    pub body: Value,
+}
+
 /// The text of a query's HTTP request.
 pub fn request(index: &str, id: &str, shards: &[usize]) -> String {
     request_with(index, id, shards, "what is asked", &json!(null))
@@ -81,7 +101,7 @@
         self.send(&request(index, id, shards));
     }
 
-    /// Queries a merged index; the status and the body of the response.
+    /// Queries a merged index.
     ///
     /// # Panics
     ///
@@ -93,20 +113,23 @@
         shards: &[usize],
         text: &str,
         page: &Value,
-    ) -> (u16, Value) {
+    ) -> MergedResponse {
         self.send(&request_with(index, id, shards, text, page));
-        let (status, _, body) = self.response().expect("a response arrives");
-        (
+        let ClientResponse { status, body, .. } = self.response().expect("a response arrives");
+        MergedResponse {
             status,
-            serde_json::from_str(&body).unwrap_or(Value::String(body)),
-        )
+            body: serde_json::from_str(&body).unwrap_or(Value::String(body)),
+        }
     }
 
-    /// The next response: status, headers, body. `None` if the connection ends without one.
-    pub fn response(&mut self) -> Option<(u16, Vec<String>, String)> {
+    /// The next response. `None` if the connection ends without one.
+    pub fn response(&mut self) -> Option<ClientResponse> {
         let message = read_message(&mut self.0)?;
-        let status = message.start_line.split(' ').nth(1)?.parse().ok()?;
-        Some((status, message.headers, message.body))
+        Some(ClientResponse {
+            status: message.start_line.split(' ').nth(1)?.parse().ok()?,
+            headers: message.headers,
+            body: message.body,
+        })
     }
 
     /// The status of the next response.
@@ -115,6 +138,6 @@
     ///
     /// If the connection ends without one.
     pub fn status(&mut self) -> u16 {
-        self.response().expect("a response arrives").0
+        self.response().expect("a response arrives").status
     }
 }
--- a/crates/linenthread-fakes/src/lib.rs
+++ b/crates/linenthread-fakes/src/lib.rs
@@ -30,7 +30,7 @@
 use std::sync::mpsc::Receiver;
 use std::time::Duration;
 
-pub use client::{Client, request, request_with};
+pub use client::{Client, ClientResponse, MergedResponse, request, request_with};
 pub use program::{IndexSettings, Service, config, config_of, program};
 pub use replicas::{FakeReplicas, SubRequest};
 pub use row_replicas::{Behavior, RowReplicas};
--- a/crates/linenthread-fakes/src/rig/clients.rs
+++ b/crates/linenthread-fakes/src/rig/clients.rs
@@ -14,7 +14,7 @@
 use crate::program::{FIND, ORDER};
 use crate::random::random_index;
 use crate::sync::lock;
-use crate::{Client, request};
+use crate::{Client, ClientResponse, request};
 
 /// The placement key in requests made by [`request`].
 const DEFAULT_KEY: &str = "7f3a9c21e0b4d655";
@@ -56,9 +56,9 @@
         self.status == Some(200)
     }
 
-    fn read_response(&mut self, status: u16, body: &str) {
-        self.status = Some(status);
-        let body: Value = serde_json::from_str(body).unwrap_or_default();
+    fn read_response(&mut self, response: &ClientResponse) {
+        self.status = Some(response.status);
+        let body: Value = serde_json::from_str(&response.body).unwrap_or_default();
         self.complete = body["finished"] == json!(true);
         let found = body["found"].as_array().into_iter().flatten();
         self.found = found.filter_map(found_shard).collect();
@@ -154,9 +154,9 @@
         let key = format!("{:016x}", fnv1a_64(outcome.id.as_bytes()));
         let request = request(index, &outcome.id, &outcome.shards).replace(DEFAULT_KEY, &key);
         if client.try_send(&request)
-            && let Some((status, _, body)) = client.response()
+            && let Some(response) = client.response()
         {
-            outcome.read_response(status, &body);
+            outcome.read_response(&response);
         }
     }
 }
--- a/crates/linenthread-fakes/src/sites.rs
+++ b/crates/linenthread-fakes/src/sites.rs
@@ -197,7 +197,7 @@
         self.queries += 1;
         let id = format!("{index}{}", self.queries);
         let response = self.local.query(index, &id, &[1]).response();
-        let status = response.map(|(status, ..)| status);
+        let status = response.map(|response| response.status);
         verdict.count(status);
         if status == Some(503) {
             // If its sub-request was sent all the same, it has arrived after this.
--- a/crates/linenthread-fakes/src/sites/load.rs
+++ b/crates/linenthread-fakes/src/sites/load.rs
@@ -47,7 +47,7 @@
     ) -> QueryResult {
         let mut client = Client::connect(address);
         client.query(index, &id, &[1]);
-        let status = client.response().map(|(status, ..)| status);
+        let status = client.response().map(|response| response.status);
         QueryResult {
             id,
             index,
--- a/crates/linenthread-service/src/demo/queries.rs
+++ b/crates/linenthread-service/src/demo/queries.rs
@@ -4,7 +4,7 @@
 use std::thread;
 use std::time::Duration;
 
-use linenthread_fakes::Client;
+use linenthread_fakes::{Client, MergedResponse};
 use serde_json::{Value, json};
 
 use super::{LATE_SHARD, REPLICA_GROUPS, SHARDS};
@@ -84,11 +84,11 @@
             Value::Null
         };
         let id = format!("try-{number}");
-        let (status, answer) =
+        let MergedResponse { status, body } =
             Client::connect(address).query_merged(index, &id, &shards, index, &page);
-        cursor = answer["next"].clone();
+        cursor = body["next"].clone();
         all_answered &= status == OK;
-        println!("# {}\n{status} {answer:#}\n", query.title);
+        println!("# {}\n{status} {body:#}\n", query.title);
     }
     all_answered
 }
@@ -97,14 +97,14 @@
 pub(super) fn wait_until_reachable(address: SocketAddr) -> bool {
     for number in 0..MAX_REACH_ATTEMPTS {
         let id = format!("try-first-{number}");
-        let (status, _) = Client::connect(address).query_merged(
+        let response = Client::connect(address).query_merged(
             "charities",
             &id,
             &[0],
             "charities",
             &Value::Null,
         );
-        if status == OK {
+        if response.status == OK {
             return true;
         }
         thread::sleep(REACH_RETRY_INTERVAL);
--- a/crates/linenthread-service/tests/merged/cluster.rs
+++ b/crates/linenthread-service/tests/merged/cluster.rs
@@ -4,8 +4,8 @@
 
 use linenthread_fakes::row_store::{INSTALLATION, RowStore};
 use linenthread_fakes::{
-    Behavior, IndexSettings, RowReplicas, Service, ServiceDiscovery, SubRequest, config_of, member,
-    membership,
+    Behavior, IndexSettings, MergedResponse, RowReplicas, Service, ServiceDiscovery, SubRequest,
+    config_of, member, membership,
 };
 use serde_json::Value;
 
@@ -73,7 +73,7 @@
         Service::start_in(folder, EXE, &config, &arguments)
     }
 
-    /// Queries an index on a connection of its own; the status and the body of the response.
+    /// Queries an index on a connection of its own.
     pub(crate) fn query(
         &self,
         index: &str,
@@ -81,7 +81,7 @@
         shards: &[usize],
         text: &str,
         page: &Value,
-    ) -> (u16, Value) {
+    ) -> MergedResponse {
         let mut client = self.service.connect();
         client.query_merged(index, id, shards, text, page)
     }
--- a/crates/linenthread-service/tests/merged/faults.rs
+++ b/crates/linenthread-service/tests/merged/faults.rs
@@ -4,7 +4,7 @@
 
 use linenthread_fakes::checker::{self, PagedRead};
 use linenthread_fakes::row_store::{Donation, RowStore};
-use linenthread_fakes::{Behavior, SubRequest};
+use linenthread_fakes::{Behavior, MergedResponse, SubRequest};
 use oorandom::Rand64;
 use serde_json::{Value, json};
 
@@ -130,7 +130,10 @@
         } else {
             Value::Null
         };
-        let (status, answer) = self.cluster.query(index, &id, shards, index, &page);
+        let MergedResponse {
+            status,
+            body: answer,
+        } = self.cluster.query(index, &id, shards, index, &page);
         if status == 200 {
             self.counts.answered += 1;
             self.counts.partial += usize::from(answer["finished"] == json!(false));
--- a/crates/linenthread-service/tests/merged/installation_file.rs
+++ b/crates/linenthread-service/tests/merged/installation_file.rs
@@ -20,8 +20,9 @@
 fn query_pledges(cluster: &Cluster) -> Value {
     static QUERIES: AtomicUsize = AtomicUsize::new(0);
     let id = format!("f{}", QUERIES.fetch_add(1, Ordering::Relaxed));
-    let (_, answer) = cluster.query("pledges", &id, &[0, 1], "pledges", &Value::Null);
-    answer
+    cluster
+        .query("pledges", &id, &[0, 1], "pledges", &Value::Null)
+        .body
 }
 
 #[test]
--- a/crates/linenthread-service/tests/merged/main.rs
+++ b/crates/linenthread-service/tests/merged/main.rs
@@ -10,7 +10,7 @@
 
 use linenthread_fakes::checker::{self, PagedRead, ShardWeight};
 use linenthread_fakes::row_store::{INSTALLATION, RowStore};
-use linenthread_fakes::{Behavior, SubRequest};
+use linenthread_fakes::{Behavior, MergedResponse, SubRequest};
 use oorandom::Rand64;
 use serde_json::{Value, json};
 
@@ -51,7 +51,10 @@
     let rows = RowStore::new(&mut Rand64::new(11), SHARDS, 9);
     let cluster = Cluster::start(rows, 50, unreadable);
     let shards = [0, 1, 2, 3];
-    let (status, answer) = cluster.query("pledges", "u1", &shards, "pledges", &Value::Null);
+    let MergedResponse {
+        status,
+        body: answer,
+    } = cluster.query("pledges", "u1", &shards, "pledges", &Value::Null);
     assert_eq!(status, 200, "{answer}");
     assert_eq!(answer["slices"]["missing"], json!({"unreadable": [2]}));
     let rows = cluster.rows();
@@ -60,7 +63,9 @@
         .service
         .wait_for_log("a part's value cannot be merged");
     // Below the minimum share there is no result.
-    let (status, _) = cluster.query("pledges", "u2", &[2], "pledges", &Value::Null);
+    let status = cluster
+        .query("pledges", "u2", &[2], "pledges", &Value::Null)
+        .status;
     assert_eq!(status, 503);
 }
 
@@ -76,7 +81,10 @@
     let installation = INSTALLATION.replace("index=\"history\"", "index=\"order\"");
     let cluster = Cluster::start_with(AMPLE_DEADLINE, rows.clone(), 2, &installation, record);
     let weights = weights(&[0, 1]);
-    let (status, answer) = cluster.query("order", "o1", &[0, 1], "all", &json!({"rows": 5}));
+    let MergedResponse {
+        status,
+        body: answer,
+    } = cluster.query("order", "o1", &[0, 1], "all", &json!({"rows": 5}));
     assert_eq!(status, 200, "{answer}");
     // The page ends where a shard's next row is unknown, and says so.
     assert!(
@@ -102,7 +110,9 @@
         respond_at_once,
     );
     let weights = weights(&[0, 1]);
-    let (_, answer) = cluster.query("history", "h1", &[0, 1], "all", &json!({"rows": 5}));
+    let answer = cluster
+        .query("history", "h1", &[0, 1], "all", &json!({"rows": 5}))
+        .body;
     assert_eq!(
         (answer["rows"].as_array().unwrap().len(), &answer["cut"]),
         (5, &Value::Null),
--- a/crates/linenthread-service/tests/merged/pages.rs
+++ b/crates/linenthread-service/tests/merged/pages.rs
@@ -1,8 +1,8 @@
 //! Pages and their cursors: valid at every process with the secret, and for their own query only.
 
-use linenthread_fakes::Service;
 use linenthread_fakes::checker::PagedRead;
 use linenthread_fakes::row_store::RowStore;
+use linenthread_fakes::{MergedResponse, Service};
 use oorandom::Rand64;
 use serde_json::{Value, json};
 
@@ -23,7 +23,7 @@
     shards: &[usize],
     text: &str,
     cursor: Option<&str>,
-) -> (u16, Value) {
+) -> MergedResponse {
     let page = match cursor {
         Some(cursor) => json!({"rows": 3, "after": cursor}),
         None => json!({"rows": 3}),
@@ -34,7 +34,10 @@
 
 /// The first page, which must be served.
 fn first_page(cluster: &Cluster) -> Value {
-    let (status, first) = query_page(&cluster.service, "p1", &QUERIED_SHARDS, "all", None);
+    let MergedResponse {
+        status,
+        body: first,
+    } = query_page(&cluster.service, "p1", &QUERIED_SHARDS, "all", None);
     assert_eq!(status, 200);
     first
 }
@@ -49,7 +52,10 @@
     let first = first_page(&cluster);
     let cursor = next_cursor(&first);
     let other = cluster.start_second_program();
-    let (status, second) = query_page(&other, "p2", &QUERIED_SHARDS, "all", Some(&cursor));
+    let MergedResponse {
+        status,
+        body: second,
+    } = query_page(&other, "p2", &QUERIED_SHARDS, "all", Some(&cursor));
     assert_eq!(status, 200);
     let rows = cluster.rows();
     let weights = weights(&QUERIED_SHARDS);
@@ -99,7 +105,10 @@
     for (number, case) in cases.into_iter().enumerate() {
         let id = format!("bad{number}");
         let cursor = Some(case.cursor);
-        let (status, message) = query_page(&cluster.service, &id, case.shards, case.text, cursor);
+        let MergedResponse {
+            status,
+            body: message,
+        } = query_page(&cluster.service, &id, case.shards, case.text, cursor);
         assert!(
             status == 400 && message.to_string().contains(case.reason),
             "{number}: {status} {message}"
@@ -111,14 +120,19 @@
 fn pages_that_an_index_does_not_have_are_rejected() {
     let cluster = start();
     let too_many_rows = json!({"rows": 101});
-    let (status, message) =
-        cluster.query("history", "rows", &QUERIED_SHARDS, "all", &too_many_rows);
+    let MergedResponse {
+        status,
+        body: message,
+    } = cluster.query("history", "rows", &QUERIED_SHARDS, "all", &too_many_rows);
     assert!(
         status == 400 && message.to_string().contains("from 1 to 100"),
         "{message}"
     );
     let one_row = json!({"rows": 1});
-    let (status, message) = cluster.query("pledges", "t", &QUERIED_SHARDS, "pledges", &one_row);
+    let MergedResponse {
+        status,
+        body: message,
+    } = cluster.query("pledges", "t", &QUERIED_SHARDS, "pledges", &one_row);
     assert!(
         status == 400 && message.to_string().contains("no pages"),
         "{message}"
--- a/crates/linenthread-service/tests/service/client_connections.rs
+++ b/crates/linenthread-service/tests/service/client_connections.rs
@@ -33,7 +33,7 @@
     for (client, text) in &mut clients {
         let response = client.response();
         assert!(
-            response.is_none_or(|(status, _, _)| status == 408),
+            response.is_none_or(|response| response.status == 408),
             "after {text:?}"
         );
     }
@@ -83,7 +83,7 @@
     assert!(
         incomplete_clients[0]
             .response()
-            .is_none_or(|(status, _, _)| status == 400),
+            .is_none_or(|response| response.status == 400),
         "the oldest gives way"
     );
     client.query("find", "v2", &[0]);
@@ -113,7 +113,7 @@
         sub_request.respond("v");
         assert_eq!(client.status(), 200);
         let rest: Vec<u16> = iter::from_fn(|| client.response())
-            .map(|(status, _, _)| status)
+            .map(|response| response.status)
             .collect();
         assert!(
             !rest.is_empty() && rest.iter().all(|s| *s == 400),
--- a/crates/linenthread-service/tests/service/queries.rs
+++ b/crates/linenthread-service/tests/service/queries.rs
@@ -1,7 +1,7 @@
 //! Queries through the program: their responses, retries, time-outs and cancellations.
 
 use linenthread_fakes::{
-    FakeReplicas, Service, ServiceDiscovery, config, member, membership, request,
+    ClientResponse, FakeReplicas, Service, ServiceDiscovery, config, member, membership, request,
 };
 
 use crate::EXE;
@@ -34,7 +34,7 @@
         );
         sub_request.respond("a second copy, taken for nothing");
     }
-    let (status, _, body) = client.response().unwrap();
+    let ClientResponse { status, body, .. } = client.response().unwrap();
     let text = r#"{"finished":true,"found":[{"bucket":0,"item":"value of 0"},{"bucket":3,"item":"value of 3"}]}"#;
     assert_eq!((status, body.as_str()), (200, text));
     // The connection stays open, and a body may be chunked.
@@ -98,7 +98,9 @@
     let cluster = Cluster::start(1);
     let mut client = cluster.query("swift", "d1", &[1]);
     let sub_request = cluster.sub_request();
-    let (status, headers, _) = client.response().unwrap();
+    let ClientResponse {
+        status, headers, ..
+    } = client.response().unwrap();
     assert_eq!(status, 503);
     assert!(
         headers.iter().any(|h| h.starts_with("retry-after: ")),
@@ -162,7 +164,9 @@
     cluster.service.signal("-TERM");
     kept.send(rest);
     cluster.sub_request().respond("v");
-    let (status, headers, _) = kept.response().unwrap();
+    let ClientResponse {
+        status, headers, ..
+    } = kept.response().unwrap();
     assert_eq!(status, 200);
     assert!(
         headers.contains(&"connection: close".to_owned()),
--- a/crates/linenthread-simulation/src/link_speed.rs
+++ b/crates/linenthread-simulation/src/link_speed.rs
@@ -38,7 +38,7 @@
 /// Makes a query; the status of its answer, if one arrives.
 fn query(client: &mut Client, index: &str, id: &str) -> Option<u16> {
     client.query(index, id, &[1]);
-    client.response().map(|(status, ..)| status)
+    client.response().map(|response| response.status)
 }
 
 /// Measures the latency of queries made in turn at the gateway's own ingress and across the link.
