--- a/crates/linenthread-fakes/src/lib.rs
+++ b/crates/linenthread-fakes/src/lib.rs
@@ -33,7 +33,7 @@
 pub use client::{Client, ClientResponse, MergedResponse, request, request_with};
 pub use program::{IndexSettings, Service, config, config_of, program};
 pub use replicas::{FakeReplicas, SubRequest};
-pub use row_replicas::{Behavior, RowReplicas};
+pub use row_replicas::{Behavior, RowReplicas, Treatment};
 pub use service_discovery::{ServiceDiscovery, member, membership};
 
 /// How long an event is awaited.
--- a/crates/linenthread-fakes/src/row_replicas.rs
+++ b/crates/linenthread-fakes/src/row_replicas.rs
@@ -35,6 +35,25 @@
     NoResponse,
 }
 
+/// How a replica treats one sub-request.
+#[derive(Clone, Debug, PartialEq)]
+pub struct Treatment {
+    /// After how long it does something.
+    pub delay: Duration,
+    /// What it does.
+    pub behavior: Behavior,
+}
+
+impl Treatment {
+    /// It behaves so without delay.
+    pub fn at_once(behavior: Behavior) -> Treatment {
+        Treatment {
+            delay: Duration::ZERO,
+            behavior,
+        }
+    }
+}
+
 /// Replicas over one row store.
 pub struct RowReplicas {
     /// Where the replicas listen, by number.
@@ -44,7 +63,7 @@
 }
 
 impl RowReplicas {
-    /// Starts so many replicas; `cue` decides after how long each sub-request is treated, and how.
+    /// Starts so many replicas; `cue` decides how each sub-request is treated.
     ///
     /// # Panics
     ///
@@ -53,7 +72,7 @@
         count: usize,
         store: RowStore,
         max_rows: usize,
-        mut cue: impl FnMut(&SubRequest) -> (Duration, Behavior) + Send + 'static,
+        mut cue: impl FnMut(&SubRequest) -> Treatment + Send + 'static,
     ) -> RowReplicas {
         let replicas = FakeReplicas::start(count);
         let addresses = replicas.addresses.clone();
@@ -61,7 +80,7 @@
         let shared = store.clone();
         spawn(move || {
             while let Some(sub_request) = replicas.wait_for_sub_request() {
-                let (delay, behavior) = cue(&sub_request);
+                let Treatment { delay, behavior } = cue(&sub_request);
                 let store = shared.clone();
                 spawn(move || {
                     sleep(delay);
--- a/crates/linenthread-service/src/demo/programs.rs
+++ b/crates/linenthread-service/src/demo/programs.rs
@@ -6,8 +6,8 @@
 
 use linenthread_fakes::row_store::{INSTALLATION, RowStore};
 use linenthread_fakes::{
-    Behavior, IndexSettings, RowReplicas, ServiceDiscovery, SubRequest, config_of, member,
-    membership,
+    Behavior, IndexSettings, RowReplicas, ServiceDiscovery, SubRequest, Treatment, config_of,
+    member, membership,
 };
 use oorandom::Rand64;
 use serde_json::Value;
@@ -19,6 +19,8 @@
 use crate::installation::InstallationSettings;
 use crate::serve::{self, ReloadedFiles};
 
+/// Delay of all other responses.
+const USUAL_DELAY: Duration = Duration::from_millis(5);
 /// Delay of the late response, beyond the query's deadline.
 const LATE_DELAY: Duration = Duration::from_secs(3);
 
@@ -77,12 +79,15 @@
 
 /// Starts stub replicas and gives the endpoint list that names them.
 fn start_replicas(seed: u64) -> String {
-    let response = |sub_request: &SubRequest| match (sub_request.shard, sub_request.text.as_str()) {
-        (LATE_SHARD, "pledges") => (LATE_DELAY, Behavior::Respond),
-        _ => (Duration::from_millis(5), Behavior::Respond),
+    let treatment = |sub_request: &SubRequest| {
+        let is_late = sub_request.shard == LATE_SHARD && sub_request.text == "pledges";
+        Treatment {
+            delay: if is_late { LATE_DELAY } else { USUAL_DELAY },
+            behavior: Behavior::Respond,
+        }
     };
     let rows = RowStore::new(&mut Rand64::new(u128::from(seed)), SHARDS, 9);
-    let replicas = RowReplicas::start(REPLICA_GROUPS, rows, 50, response);
+    let replicas = RowReplicas::start(REPLICA_GROUPS, rows, 50, treatment);
     let addresses = replicas.addresses.iter().enumerate();
     let entries = addresses.map(|(replica, address)| member(replica, *address, "active"));
     membership(1, true, entries.collect())
--- a/crates/linenthread-service/tests/merged/cluster.rs
+++ b/crates/linenthread-service/tests/merged/cluster.rs
@@ -4,7 +4,7 @@
 
 use linenthread_fakes::row_store::{INSTALLATION, RowStore};
 use linenthread_fakes::{
-    Behavior, IndexSettings, MergedResponse, RowReplicas, Service, ServiceDiscovery, SubRequest,
+    IndexSettings, MergedResponse, RowReplicas, Service, ServiceDiscovery, SubRequest, Treatment,
     config_of, member, membership,
 };
 use serde_json::Value;
@@ -23,13 +23,13 @@
 }
 
 impl Cluster {
-    /// Replicas respond with at most `max_rows` rows, as `behavior` says of each sub-request.
+    /// Replicas respond with at most `max_rows` rows, as `cue` says of each sub-request.
     pub(crate) fn start(
         rows: RowStore,
         max_rows: usize,
-        behavior: impl FnMut(&SubRequest) -> (Duration, Behavior) + Send + 'static,
+        cue: impl FnMut(&SubRequest) -> Treatment + Send + 'static,
     ) -> Cluster {
-        Cluster::start_with(SOFT_DEADLINE, rows, max_rows, INSTALLATION, behavior)
+        Cluster::start_with(SOFT_DEADLINE, rows, max_rows, INSTALLATION, cue)
     }
 
     /// As [`Cluster::start`], with another soft deadline and installation file.
@@ -38,9 +38,9 @@
         rows: RowStore,
         max_rows: usize,
         installation: &str,
-        behavior: impl FnMut(&SubRequest) -> (Duration, Behavior) + Send + 'static,
+        cue: impl FnMut(&SubRequest) -> Treatment + Send + 'static,
     ) -> Cluster {
-        let replicas = RowReplicas::start(3, rows, max_rows, behavior);
+        let replicas = RowReplicas::start(3, rows, max_rows, cue);
         let members = replicas
             .addresses
             .iter()
--- a/crates/linenthread-service/tests/merged/faults.rs
+++ b/crates/linenthread-service/tests/merged/faults.rs
@@ -4,7 +4,7 @@
 
 use linenthread_fakes::checker::{self, PagedRead};
 use linenthread_fakes::row_store::{Donation, RowStore};
-use linenthread_fakes::{Behavior, MergedResponse, SubRequest};
+use linenthread_fakes::{Behavior, MergedResponse, SubRequest, Treatment};
 use oorandom::Rand64;
 use serde_json::{Value, json};
 
@@ -25,7 +25,7 @@
 }
 
 /// A fault, or a response after a random delay, which seldom exceeds the time that a query waits.
-fn faulty(mut rng: Rand64) -> impl FnMut(&SubRequest) -> (Duration, Behavior) + Send {
+fn faulty(mut rng: Rand64) -> impl FnMut(&SubRequest) -> Treatment + Send {
     move |_| {
         let behavior = match rng.rand_range(0..100) {
             0..2 => Behavior::RespondTwice,
@@ -37,7 +37,8 @@
             12..14 => Behavior::NoResponse,
             _ => Behavior::Respond,
         };
-        (Duration::from_micros(rng.rand_range(0..8_000)), behavior)
+        let delay = Duration::from_micros(rng.rand_range(0..8_000));
+        Treatment { delay, behavior }
     }
 }
 
--- a/crates/linenthread-service/tests/merged/main.rs
+++ b/crates/linenthread-service/tests/merged/main.rs
@@ -10,7 +10,7 @@
 
 use linenthread_fakes::checker::{self, PagedRead, ShardWeight};
 use linenthread_fakes::row_store::{INSTALLATION, RowStore};
-use linenthread_fakes::{Behavior, MergedResponse, SubRequest};
+use linenthread_fakes::{Behavior, MergedResponse, SubRequest, Treatment};
 use oorandom::Rand64;
 use serde_json::{Value, json};
 
@@ -34,8 +34,8 @@
         .collect()
 }
 
-fn respond_at_once(_: &SubRequest) -> (Duration, Behavior) {
-    (Duration::ZERO, Behavior::Respond)
+fn respond_at_once(_: &SubRequest) -> Treatment {
+    Treatment::at_once(Behavior::Respond)
 }
 
 #[test]
@@ -46,7 +46,7 @@
         } else {
             Behavior::Respond
         };
-        (Duration::ZERO, behavior)
+        Treatment::at_once(behavior)
     };
     let rows = RowStore::new(&mut Rand64::new(11), SHARDS, 9);
     let cluster = Cluster::start(rows, 50, unreadable);
@@ -75,7 +75,7 @@
     let recorded = received.clone();
     let record = move |sub_request: &SubRequest| {
         recorded.lock().unwrap().push(sub_request.id.clone());
-        (Duration::ZERO, Behavior::Respond)
+        Treatment::at_once(Behavior::Respond)
     };
     let rows = twelve_rows_on_two_shards();
     let installation = INSTALLATION.replace("index=\"history\"", "index=\"order\"");
