--- a/crates/linenthread-fakes/src/sites.rs
+++ b/crates/linenthread-fakes/src/sites.rs
@@ -11,7 +11,7 @@
 use std::thread::sleep;
 use std::time::Duration;
 
-pub use load::{QueryResult, disconnect_everywhere, query_during_fault};
+pub use load::{LoadReport, QueryResult, SteadyLoad, disconnect_everywhere, query_during_fault};
 pub use verdict::Verdict;
 
 use self::setup::{
--- a/crates/linenthread-fakes/src/sites/load.rs
+++ b/crates/linenthread-fakes/src/sites/load.rs
@@ -71,26 +71,50 @@
     }
 }
 
+/// Queries at a steady rate.
+#[derive(Clone, Debug)]
+pub struct SteadyLoad {
+    /// What the trace ids begin with; no other load on the same sites has it.
+    pub tag: String,
+    /// The indexes that are queried, which take turns.
+    pub indexes: Vec<&'static str>,
+    /// The time between two queries.
+    pub interval: Duration,
+    /// How long queries are made.
+    pub duration: Duration,
+}
+
+/// What became of a load.
+#[derive(Debug)]
+pub struct LoadReport {
+    /// What was counted, and the violations.
+    pub verdict: Verdict,
+    /// The result of each query, in the order of the responses.
+    pub results: Vec<QueryResult>,
+}
+
 /// Makes queries steadily while `inject` injects faults into the link, and checks each against what was executed and
-/// its deadline. The indexes take turns.
+/// its deadline.
 ///
 /// # Panics
 ///
 /// If there are more than 2^32 queries.
 pub fn query_during_fault(
     sites: &mut Sites,
-    tag: &str,
-    indexes: &[&'static str],
-    interval: Duration,
-    lasting: Duration,
+    load: SteadyLoad,
     inject: impl FnOnce(&mut Sites),
-) -> (Verdict, Vec<QueryResult>) {
+) -> LoadReport {
     let (result_sender, result_receiver) = channel();
     let (address, started_at) = (sites.local.address, Instant::now());
-    let count = lasting.as_millis() / interval.as_millis().max(1);
+    let SteadyLoad {
+        tag,
+        indexes,
+        interval,
+        duration,
+    } = load;
+    let count = duration.as_millis() / interval.as_millis().max(1);
     let count = u32::try_from(count).expect("a run has fewer queries");
-    let (tag, indexes) = (tag.to_owned(), indexes.to_vec());
-    let load = spawn(move || {
+    let starter = spawn(move || {
         for (n, index) in (0..count).zip(indexes.into_iter().cycle()) {
             let scheduled_at = interval * n;
             sleep((started_at + scheduled_at).saturating_duration_since(Instant::now()));
@@ -107,12 +131,15 @@
         }
     });
     inject(sites);
-    load.join()
+    starter
+        .join()
         .expect("the thread that starts queries does not panic");
     let results: Vec<QueryResult> = result_receiver.iter().collect();
     sleep(IN_TRANSIT);
-    let verdict = check(sites, &results);
-    (verdict, results)
+    LoadReport {
+        verdict: check(sites, &results),
+        results,
+    }
 }
 
 fn check(sites: &Sites, results: &[QueryResult]) -> Verdict {
--- a/crates/linenthread-service/tests/link.rs
+++ b/crates/linenthread-service/tests/link.rs
@@ -6,7 +6,7 @@
 
 use linenthread_fakes::proxy::Direction;
 use linenthread_fakes::sites::{
-    Sites, SitesConfig, Verdict, disconnect_everywhere, query_during_fault,
+    LoadReport, Sites, SitesConfig, SteadyLoad, Verdict, disconnect_everywhere, query_during_fault,
 };
 use linenthread_fakes::{member, membership};
 use oorandom::Rand64;
@@ -55,20 +55,19 @@
     };
     let mut sites = Sites::start(EXE, config);
     let mut rng = Rand64::new(u128::from(seed));
-    let (verdict, _) = query_during_fault(
-        &mut sites,
-        &format!("t{seed}"),
-        &["order", "find", "order"],
-        Duration::from_millis(15),
-        Duration::from_secs(4),
-        |sites| {
-            for turn in 0..FAULT_TURNS {
-                let may_kill = turn == KILL_TURN && seed.is_multiple_of(4);
-                inject_fault(sites, &mut rng, may_kill);
-                sleep(random_millis(&mut rng, 50..250));
-            }
-        },
-    );
+    let load = SteadyLoad {
+        tag: format!("t{seed}"),
+        indexes: vec!["order", "find", "order"],
+        interval: Duration::from_millis(15),
+        duration: Duration::from_secs(4),
+    };
+    let LoadReport { verdict, .. } = query_during_fault(&mut sites, load, |sites| {
+        for turn in 0..FAULT_TURNS {
+            let may_kill = turn == KILL_TURN && seed.is_multiple_of(4);
+            inject_fault(sites, &mut rng, may_kill);
+            sleep(random_millis(&mut rng, 50..250));
+        }
+    });
     assert_eq!(verdict.violations, [""; 0], "seed {seed}: {verdict:?}");
     assert!(
         verdict.checked > 200 && verdict.succeeded * 10 > verdict.checked,
@@ -201,17 +200,16 @@
         },
     );
     let every = Duration::from_millis(10);
-    let (verdict, results) = query_during_fault(
-        &mut sites,
-        "two",
-        &["order"],
-        every,
-        Duration::from_secs(2),
-        |sites| {
-            sleep(Duration::from_millis(500));
-            sites.gateway.signal("-KILL");
-        },
-    );
+    let load = SteadyLoad {
+        tag: "two".to_owned(),
+        indexes: vec!["order"],
+        interval: every,
+        duration: Duration::from_secs(2),
+    };
+    let LoadReport { verdict, results } = query_during_fault(&mut sites, load, |sites| {
+        sleep(Duration::from_millis(500));
+        sites.gateway.signal("-KILL");
+    });
     assert_eq!(verdict.violations, [""; 0], "{verdict:?}");
     let late: Vec<_> = results
         .iter()
--- a/crates/linenthread-simulation/src/link_speed.rs
+++ b/crates/linenthread-simulation/src/link_speed.rs
@@ -7,7 +7,9 @@
 use std::time::{Duration, Instant};
 
 use linenthread_fakes::proxy::Direction;
-use linenthread_fakes::sites::{QueryResult, Sites, SitesConfig, Verdict, query_during_fault};
+use linenthread_fakes::sites::{
+    LoadReport, QueryResult, Sites, SitesConfig, SteadyLoad, Verdict, query_during_fault,
+};
 use linenthread_fakes::{Client, request_with};
 use serde_json::Value;
 
@@ -163,16 +165,19 @@
 /// Makes non-idempotent queries steadily while the link is down for so long.
 fn measure_outage(sites: &mut Sites, length: Duration, what: &str) -> RunSummary {
     let before = Duration::from_millis(500);
-    let lasting = before + length + Duration::from_secs(3);
-    let tag = format!("{what}{}", length.as_millis()).replace(' ', "-");
-    let (verdict, results) =
-        query_during_fault(sites, &tag, &["order"], QUERY_INTERVAL, lasting, |sites| {
-            sleep(before);
-            sites.proxy.set_upstream(None);
-            sites.proxy.disconnect();
-            sleep(length);
-            sites.proxy.set_upstream(Some(sites.link_address));
-        });
+    let load = SteadyLoad {
+        tag: format!("{what}{}", length.as_millis()).replace(' ', "-"),
+        indexes: vec!["order"],
+        interval: QUERY_INTERVAL,
+        duration: before + length + Duration::from_secs(3),
+    };
+    let LoadReport { verdict, results } = query_during_fault(sites, load, |sites| {
+        sleep(before);
+        sites.proxy.set_upstream(None);
+        sites.proxy.disconnect();
+        sleep(length);
+        sites.proxy.set_upstream(Some(sites.link_address));
+    });
     report(
         &format!("{what}, link down for {} ms", length.as_millis()),
         &verdict,
@@ -190,17 +195,16 @@
         },
     );
     let before = Duration::from_millis(1_000);
-    let (verdict, results) = query_during_fault(
-        &mut sites,
-        "two",
-        &["order"],
-        QUERY_INTERVAL,
-        4 * before,
-        |sites| {
-            sleep(before);
-            sites.gateway.signal("-KILL");
-        },
-    );
+    let load = SteadyLoad {
+        tag: "two".to_owned(),
+        indexes: vec!["order"],
+        interval: QUERY_INTERVAL,
+        duration: 4 * before,
+    };
+    let LoadReport { verdict, results } = query_during_fault(&mut sites, load, |sites| {
+        sleep(before);
+        sites.gateway.signal("-KILL");
+    });
     let (early, late): (Vec<_>, Vec<_>) = results.iter().partition(|t| t.scheduled_at < before);
     let percent = |of: &[&QueryResult]| {
         let succeeded = of.iter().filter(|t| t.status == Some(200)).count();
@@ -230,24 +234,22 @@
         },
     );
     let (slow, each) = (Duration::from_millis(20), Duration::from_secs(2));
-    let (verdict, results) = query_during_fault(
-        &mut sites,
-        "best",
-        &["find"],
-        Duration::from_millis(5),
-        3 * each,
-        |sites| {
-            sleep(each);
-            sites.proxy.set_delay(slow);
-            sleep(each);
-            sites.proxy.set_delay(Duration::ZERO);
-            sites
-                .second
-                .iter()
-                .for_each(|second| second.proxy.set_delay(slow));
-            sleep(each);
-        },
-    );
+    let load = SteadyLoad {
+        tag: "best".to_owned(),
+        indexes: vec!["find"],
+        interval: Duration::from_millis(5),
+        duration: 3 * each,
+    };
+    let LoadReport { verdict, results } = query_during_fault(&mut sites, load, |sites| {
+        sleep(each);
+        sites.proxy.set_delay(slow);
+        sleep(each);
+        sites.proxy.set_delay(Duration::ZERO);
+        if let Some(second) = &sites.second {
+            second.proxy.set_delay(slow);
+        }
+        sleep(each);
+    });
     let phases = [
         "neither slow",
         "the first slow by 20 ms each way",
