--- a/crates/linenthread-hollow/src/control.rs
+++ b/crates/linenthread-hollow/src/control.rs
@@ -7,7 +7,7 @@
 use linenthread_consensus::{DurableState, NodeId, genesis_value};
 use linenthread_control::{
     CallId, ControlNode, DeferredMessage, Effect, Incarnation, NodeConfig, Order, ReplicaHeartbeat,
-    Revision, SessionId,
+    SessionId,
 };
 use linenthread_messages::{Record, decode};
 use linenthread_time::Instant;
@@ -27,7 +27,7 @@
     pub(crate) name: String,
     pub(crate) zone: String,
     pub(crate) address: String,
-    pub(crate) incarnation: u64,
+    pub(crate) incarnation: Incarnation,
     pub(crate) may_vote: bool,
     /// Addresses of the first voters.
     pub(crate) bootstrap: Vec<String>,
@@ -39,7 +39,7 @@
         NodeConfig {
             name: self.name,
             zone: self.zone,
-            incarnation: Incarnation::new(self.incarnation),
+            incarnation: self.incarnation,
             control_address: self.address,
             voter_eligible: self.may_vote,
             min_voters: MIN_VOTERS,
@@ -76,9 +76,7 @@
     /// An operator's change of the configuration.
     Replace {
         call: CallId,
-        base: u64,
-        revision: u64,
-        document: Vec<u8>,
+        order: Order,
     },
     /// A record is synced, and what waited on it may be sent.
     Synced(Vec<DeferredMessage>),
@@ -92,7 +90,7 @@
             Input::Frame { frame, .. } => frame.capacity(),
             Input::ReplicaHeartbeat { ident, body, .. } => ident.capacity() + body.capacity(),
             Input::ReplicaDeparture { ident, .. } => ident.capacity(),
-            Input::Replace { document, .. } => document.capacity(),
+            Input::Replace { order, .. } => order.document.capacity(),
             _ => 0,
         }
     }
@@ -117,7 +115,7 @@
         let id = if settings.bootstrap.contains(&settings.address) {
             NodeId::genesis(&settings.address)
         } else {
-            NodeId(settings.incarnation)
+            NodeId(settings.incarnation.get())
         };
         let genesis = genesis_value(&settings.bootstrap);
         let record = Record {
@@ -189,18 +187,8 @@
                 control.on_replica_departure(now, call, &ident, effects);
                 Work::ReplicaHeartbeats
             }
-            Input::Replace {
-                call,
-                base,
-                revision,
-                document,
-            } => {
-                if Configuration::parse(&document).is_ok() {
-                    let order = Order {
-                        base: Revision::new(base),
-                        revision: Revision::new(revision),
-                        document,
-                    };
+            Input::Replace { call, order } => {
+                if Configuration::parse(&order.document).is_ok() {
                     control.replace_configuration(now, call, order, effects);
                 }
                 Work::Configuration
--- a/crates/linenthread-hollow/src/ingress.rs
+++ b/crates/linenthread-hollow/src/ingress.rs
@@ -4,7 +4,7 @@
 
 use bytes::BytesMut;
 use linenthread_config::{Configuration, RoutingTable};
-use linenthread_control::SessionId;
+use linenthread_control::{Incarnation, QuotaRequestNumber, Revision, SessionId};
 use linenthread_messages::{IngressUpdate, PeerMessage, Replica, encode};
 
 use crate::cost::{Cost, Meter, Work};
@@ -28,10 +28,10 @@
 pub(crate) struct IngressNode {
     name: String,
     pub(crate) zone: Zone,
-    incarnation: u64,
+    incarnation: Incarnation,
     pub(crate) session: Option<Session>,
-    quota_requests: u64,
-    pub(crate) revision: u64,
+    last_quota_request: QuotaRequestNumber,
+    pub(crate) revision: Revision,
     pub(crate) cost: Cost,
     /// Its table; only some ingress nodes have one, to measure its cost.
     pub(crate) table: Option<Table>,
@@ -72,14 +72,14 @@
 }
 
 impl IngressNode {
-    pub(crate) fn new(number: usize, zone: Zone, incarnation: u64) -> IngressNode {
+    pub(crate) fn new(number: usize, zone: Zone, incarnation: Incarnation) -> IngressNode {
         IngressNode {
             name: format!("{NAME_PREFIX}-{number:05}"),
             zone,
             incarnation,
             session: None,
-            quota_requests: 0,
-            revision: 0,
+            last_quota_request: QuotaRequestNumber::NONE,
+            revision: Revision::NONE,
             cost: Cost::default(),
             table: None,
         }
@@ -88,7 +88,9 @@
     /// Counts a message. A node with a table reads the frame as it came and applies it.
     pub(crate) fn receive(&mut self, summary: &Summary, frame: &[u8]) {
         self.cost.receive(summary.work, frame.len());
-        self.revision = self.revision.max(summary.revision.unwrap_or(0));
+        self.revision = self
+            .revision
+            .max(summary.revision.unwrap_or(Revision::NONE));
         let Some(table) = &mut self.table else { return };
         let meter = Meter::start();
         if let Some(PeerMessage::IngressUpdate(update)) = messages::read_frame(frame) {
@@ -99,7 +101,11 @@
 
     /// Its first message, as a frame. `position` is how far it has followed the control node's change log; none
     /// if it has nothing.
-    pub(crate) fn hello(&mut self, position: Option<ChangeLogPosition>, revision: u64) -> BytesMut {
+    pub(crate) fn hello(
+        &mut self,
+        position: Option<ChangeLogPosition>,
+        revision: Revision,
+    ) -> BytesMut {
         let hello = messages::hello(
             &self.name,
             &self.zone.name(),
@@ -116,10 +122,10 @@
     /// Its next heartbeat, as a frame.
     pub(crate) fn heartbeat(&mut self) -> BytesMut {
         let mut frame = BytesMut::with_capacity(HEARTBEAT_BYTES);
-        self.quota_requests += 1;
+        self.last_quota_request = self.last_quota_request.next();
         let meter = Meter::start();
         encode(
-            messages::heartbeat(self.quota_requests, self.revision),
+            messages::heartbeat(self.last_quota_request, self.revision),
             &mut frame,
         );
         let mut spent = meter.spent();
--- a/crates/linenthread-hollow/src/leader_loss.rs
+++ b/crates/linenthread-hollow/src/leader_loss.rs
@@ -2,6 +2,7 @@
 
 use std::time::Duration;
 
+use linenthread_control::Revision;
 use linenthread_time::Instant;
 
 use crate::loss::Loss;
@@ -58,7 +59,7 @@
     // Revision 1 is there already.
     let mut revision = 2;
     let mut next_leader = None;
-    world.schedule_change(lost_at + FIRST_CHANGE_DELAY, revision);
+    world.schedule_change(lost_at + FIRST_CHANGE_DELAY, Revision::new(revision));
     let mut acknowledged = world.acknowledged.len();
     while world.now < lost_at + WATCHED {
         world.run_until(world.now + CHECK_INTERVAL);
@@ -68,7 +69,7 @@
         if world.acknowledged.len() > acknowledged {
             acknowledged = world.acknowledged.len();
             revision += 1;
-            world.schedule_change(world.now + CHANGE_DELAY, revision);
+            world.schedule_change(world.now + CHANGE_DELAY, Revision::new(revision));
         }
     }
     next_leader
--- a/crates/linenthread-hollow/src/messages.rs
+++ b/crates/linenthread-hollow/src/messages.rs
@@ -2,6 +2,7 @@
 //! know of them.
 
 use bytes::BytesMut;
+use linenthread_control::{ChangeLogOffset, Incarnation, QuotaRequestNumber, Revision};
 use linenthread_messages::{Heartbeat, Hello, PeerMessage, VERSION, decode};
 
 use crate::cost::Work;
@@ -9,8 +10,9 @@
 /// A position in the change log of one control node.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct ChangeLogPosition {
-    pub(crate) log: u64,
-    pub(crate) offset: u64,
+    /// The control node's incarnation, which identifies its change log.
+    pub(crate) log: Incarnation,
+    pub(crate) offset: ChangeLogOffset,
 }
 
 /// Who sends or receives a message, beside a control node.
@@ -43,7 +45,7 @@
 pub(crate) struct Summary {
     pub(crate) work: Work,
     /// The revision of the configuration in it.
-    pub(crate) revision: Option<u64>,
+    pub(crate) revision: Option<Revision>,
     /// The position after it.
     pub(crate) position: Option<ChangeLogPosition>,
 }
@@ -54,10 +56,10 @@
         match message {
             PeerMessage::IngressUpdate(update) => Summary {
                 work,
-                revision: update.value.as_ref().map(|value| value.revision),
+                revision: update.value.as_ref().map(Revision::of),
                 position: Some(ChangeLogPosition {
-                    log: update.change_log_id,
-                    offset: update.change_log_offset,
+                    log: Incarnation::new(update.change_log_id),
+                    offset: ChangeLogOffset::new(update.change_log_offset),
                 }),
             },
             _ => Summary {
@@ -73,27 +75,27 @@
 pub(crate) fn hello(
     name: &str,
     zone: &str,
-    incarnation: u64,
+    incarnation: Incarnation,
     position: ChangeLogPosition,
-    revision: u64,
+    revision: Revision,
 ) -> PeerMessage {
     PeerMessage::Hello(Hello {
         version: VERSION,
         name: name.to_owned(),
         zone: zone.to_owned(),
-        incarnation,
-        change_log_id: position.log,
-        change_log_offset: position.offset,
-        value_number_or_revision: revision,
+        incarnation: incarnation.get(),
+        change_log_id: position.log.get(),
+        change_log_offset: position.offset.get(),
+        value_number_or_revision: revision.get(),
         ..Hello::default()
     })
 }
 
 /// An ingress node's heartbeat.
-pub(crate) fn heartbeat(quota_request: u64, revision: u64) -> PeerMessage {
+pub(crate) fn heartbeat(quota_request: QuotaRequestNumber, revision: Revision) -> PeerMessage {
     PeerMessage::Heartbeat(Heartbeat {
-        quota_request_or_value_number: quota_request,
-        revision,
+        quota_request_or_value_number: quota_request.get(),
+        revision: revision.get(),
         ..Heartbeat::default()
     })
 }
--- a/crates/linenthread-hollow/src/report/measurement.rs
+++ b/crates/linenthread-hollow/src/report/measurement.rs
@@ -1,5 +1,7 @@
 //! What was measured of a system, role by role.
 
+use linenthread_control::Revision;
+
 use crate::cost::Work;
 use crate::number::count;
 use crate::scale::Scale;
@@ -150,7 +152,7 @@
     }
 
     /// The revision of the newest configuration at the end: there was one before the changes.
-    pub(crate) fn newest_revision(scale: &Scale) -> u64 {
-        count(scale.changes) + 1
+    pub(crate) fn newest_revision(scale: &Scale) -> Revision {
+        Revision::new(count(scale.changes) + 1)
     }
 }
--- a/crates/linenthread-hollow/src/world/callers.rs
+++ b/crates/linenthread-hollow/src/world/callers.rs
@@ -2,6 +2,7 @@
 
 use std::time::Duration;
 
+use linenthread_control::{Order, Revision};
 use linenthread_time::Instant;
 
 use super::state::{Caller, Change, Event, World};
@@ -77,7 +78,7 @@
 
 impl World {
     /// Sends a change with this revision at this time.
-    pub(crate) fn schedule_change(&mut self, sent_at: Instant, revision: u64) {
+    pub(crate) fn schedule_change(&mut self, sent_at: Instant, revision: Revision) {
         let change = Change { revision, sent_at };
         self.events.push(sent_at, Event::Change(change));
     }
@@ -86,7 +87,7 @@
     pub(super) fn send_change(&mut self, change: Change) {
         let Change { revision, sent_at } = change;
         let control = self.any_control();
-        let document = document(revision, self.scale.document_bytes);
+        let document = document(revision.get(), self.scale.document_bytes);
         if sent_at == self.now {
             self.newest_change = Some(change);
         }
@@ -94,12 +95,12 @@
         machine.cost.receive(Work::Configuration, document.len());
         let at = self.now + Zone::OPERATOR.latency_to(machine.zone);
         let call = self.add_call(Caller::Operator(change));
-        let input = Input::Replace {
-            call,
-            base: revision - 1,
+        let order = Order {
+            base: Revision::new(revision.get() - 1),
             revision,
             document,
         };
+        let input = Input::Replace { call, order };
         self.push_input(at, control, input);
     }
 }
--- a/crates/linenthread-hollow/src/world/control_nodes.rs
+++ b/crates/linenthread-hollow/src/world/control_nodes.rs
@@ -3,13 +3,13 @@
 use std::time::Duration;
 
 use bytes::BytesMut;
-use linenthread_control::{DeferredMessage, Effect, SessionId};
+use linenthread_control::{DeferredMessage, Effect, Incarnation, Revision, SessionId};
 use linenthread_messages::{PeerMessage, Record, encode};
 use linenthread_time::Instant;
 use prost::Message;
 
 use super::state::{
-    BOOTSTRAP_NODES, Change, End, Event, TraceLine, World, control_name, other_end,
+    BOOTSTRAP_NODES, Change, End, Event, NO_INCARNATION, TraceLine, World, control_name, other_end,
 };
 use crate::control::{ControlProcess, ControlSettings, Input};
 use crate::cost::{Meter, Work, allocated};
@@ -26,7 +26,7 @@
 
 impl World {
     pub(super) fn start_control(&mut self, index: usize) {
-        let incarnation = self.random.rand_u64() | 1;
+        let incarnation = Incarnation::new(self.random.rand_u64() | 1);
         let bootstrap = self
             .control
             .iter()
@@ -56,7 +56,7 @@
     pub(crate) fn stop_control(&mut self, index: usize, loss: Loss) {
         let machine = &mut self.control[index];
         machine.process = None;
-        machine.incarnation = 0;
+        machine.incarnation = NO_INCARNATION;
         let end = End::Control(index);
         let mut sessions: Vec<SessionId> = self
             .sessions
@@ -207,7 +207,7 @@
         self.ingress[ingress].receive(summary, &self.frame);
     }
 
-    fn record_in_force(&mut self, ingress: usize, revision: Option<u64>, arrives: Instant) {
+    fn record_in_force(&mut self, ingress: usize, revision: Option<Revision>, arrives: Instant) {
         let Some(Change {
             revision: newest,
             sent_at,
--- a/crates/linenthread-hollow/src/world/ingress_nodes.rs
+++ b/crates/linenthread-hollow/src/world/ingress_nodes.rs
@@ -2,9 +2,9 @@
 
 use std::time::Duration;
 
-use linenthread_control::SessionId;
+use linenthread_control::{Revision, SessionId};
 
-use super::state::{End, Event, JoinState, World};
+use super::state::{End, Event, FIRST_REVISION, JoinState, World};
 use crate::control::Input;
 use crate::ingress::Session;
 
@@ -28,9 +28,9 @@
             control,
         });
         let frame = match state {
-            JoinState::Nothing => ingress.hello(None, 0),
+            JoinState::Nothing => ingress.hello(None, Revision::NONE),
             JoinState::UpToDate => {
-                ingress.revision = ingress.revision.max(1);
+                ingress.revision = ingress.revision.max(FIRST_REVISION);
                 ingress.hello(self.control[control].position, ingress.revision)
             }
         };
--- a/crates/linenthread-hollow/src/world/run.rs
+++ b/crates/linenthread-hollow/src/world/run.rs
@@ -2,9 +2,10 @@
 
 use std::time::Duration;
 
+use linenthread_control::Revision;
 use linenthread_time::Instant;
 
-use super::state::{Event, JoinState, World};
+use super::state::{Event, FIRST_REVISION, JoinState, World};
 use crate::ingress::Table;
 use crate::number::count;
 
@@ -41,7 +42,7 @@
             let at = REPLICAS_AT + self.millis_below(self.scale.heartbeat_interval);
             self.events.push(at, Event::ReplicaHeartbeat(replica));
         }
-        self.schedule_change(FIRST_CONFIGURATION_AT, 1);
+        self.schedule_change(FIRST_CONFIGURATION_AT, FIRST_REVISION);
         let mut has_ingress = vec![false; self.control.len()];
         for ingress in 0..self.ingress.len() {
             let control = self.control_of_ingress(ingress);
@@ -117,7 +118,7 @@
         let changes = count(self.scale.changes);
         for nth in 0..changes {
             // Revision 1 is there already.
-            self.schedule_change(spread(nth, changes), nth + 2);
+            self.schedule_change(spread(nth, changes), Revision::new(nth + 2));
         }
         let restarts = count(self.scale.restarts);
         for nth in 0..restarts {
--- a/crates/linenthread-hollow/src/world/state.rs
+++ b/crates/linenthread-hollow/src/world/state.rs
@@ -5,7 +5,7 @@
 
 use bytes::BytesMut;
 use hdrhistogram::Histogram;
-use linenthread_control::{CallId, Effect, SessionId};
+use linenthread_control::{CallId, Effect, Incarnation, Revision, SessionId};
 use linenthread_time::Instant;
 use oorandom::Rand64;
 
@@ -21,6 +21,10 @@
 
 /// Nodes whose addresses the settings of all name.
 pub(super) const BOOTSTRAP_NODES: usize = 3;
+/// The revision of the first configuration.
+pub(super) const FIRST_REVISION: Revision = Revision::new(1);
+/// The incarnation of a machine without a process; those of processes are odd.
+pub(super) const NO_INCARNATION: Incarnation = Incarnation::new(0);
 /// Control nodes of one subnet.
 const SUBNET: usize = 200;
 /// The longest time that a histogram tells apart.
@@ -42,7 +46,7 @@
     /// Something reaches a control node; lost if its process has ended.
     Input {
         control: usize,
-        incarnation: u64,
+        incarnation: Incarnation,
         input: Input,
     },
     /// An ingress node opens a session.
@@ -74,7 +78,7 @@
 /// A change of the configuration by the operator.
 #[derive(Clone, Copy)]
 pub(super) struct Change {
-    pub(super) revision: u64,
+    pub(super) revision: Revision,
     /// When it was sent for the first time.
     pub(super) sent_at: Instant,
 }
@@ -92,8 +96,8 @@
     pub(super) address: String,
     pub(super) zone: Zone,
     pub(crate) may_vote: bool,
-    /// Of the running process; 0 while there is none.
-    pub(super) incarnation: u64,
+    /// Of the running process; [`NO_INCARNATION`] while there is none.
+    pub(super) incarnation: Incarnation,
     pub(crate) cost: Cost,
     /// When its timer is due.
     pub(super) timer: Instant,
@@ -152,13 +156,19 @@
             address: format!("10.0.{}.{}:8080", index / SUBNET, index % SUBNET + 1),
             zone: Zone::of_machine(index),
             may_vote: index < scale.voters,
-            incarnation: 0,
+            incarnation: NO_INCARNATION,
             cost: Cost::default(),
             timer: Instant::NEVER,
             position: None,
         });
         let ingress = (0..scale.ingress_nodes)
-            .map(|index| IngressNode::new(index, Zone::of_machine(index), random.rand_u64() | 1))
+            .map(|index| {
+                IngressNode::new(
+                    index,
+                    Zone::of_machine(index),
+                    Incarnation::new(random.rand_u64() | 1),
+                )
+            })
             .collect();
         let replica = |index| Replica::new(index, Zone::of_machine(index), index % scale.control);
         World {
