--- a/crates/linenthread-demo/src/client.rs
+++ b/crates/linenthread-demo/src/client.rs
@@ -3,6 +3,10 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
+use linenthread_ctl::control_api::{
+    FIRST_SERVER_ERROR, MEMBERS_PATH, OK, READ_CONFIGURATION_PATH, REPLICAS_PATH, REQUEST_TIMEOUT,
+    TOO_MANY_REQUESTS,
+};
 use linenthread_ctl::{
     MembersStatus, ReplicaPhase, ReplicaStatus, Request, RequestError, Response,
 };
@@ -10,6 +14,10 @@
 
 use crate::order::Order;
 
+/// Another control node serves the call.
+const TEMPORARY_REDIRECT: u16 = 307;
+/// Statuses below [`FIRST_SERVER_ERROR`] that leave open what is the case.
+const LEAVE_OPEN: [u16; 3] = [TEMPORARY_REDIRECT, REQUEST_TIMEOUT, TOO_MANY_REQUESTS];
 /// The time-out of one call at one address, where several are tried.
 pub(crate) const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 /// A caller follows so many redirects one after another.
@@ -41,7 +49,7 @@
     /// Whether the response says what is the case. No response, a redirect, 5xx, 408 and 429 leave it open.
     pub fn is_clear(&self) -> bool {
         self.status
-            .is_some_and(|status| status < 500 && !matches!(status, 307 | 408 | 429))
+            .is_some_and(|status| status < FIRST_SERVER_ERROR && !LEAVE_OPEN.contains(&status))
     }
 
     /// Whether the response is this status, or leaves open what is the case.
@@ -83,31 +91,25 @@
 
 /// Sends an order to one control node.
 pub fn replace_at(peer: SocketAddr, order: &Order, timeout: Duration) -> CallOutcome {
-    let headers = [("X-Base-Revision", order.base.to_string())];
-    let request = Request {
-        method: "POST",
-        path: "/Configuration.Replace",
-        headers: &headers,
-        body: &order.document,
-    };
-    call(peer, &request, timeout)
+    let headers = order.headers();
+    call(peer, &order.request(&headers), timeout)
 }
 
 /// Reads the configuration at one control node.
 pub fn read_at(peer: SocketAddr, timeout: Duration) -> CallOutcome {
-    call(peer, &Request::get("/Configuration.Read"), timeout)
+    call(peer, &Request::get(READ_CONFIGURATION_PATH), timeout)
 }
 
 /// The members as one control node knows them.
 pub(crate) fn members_at(peer: SocketAddr) -> Option<MembersStatus> {
-    let outcome = call(peer, &Request::get("/Members.Read"), CALL_TIMEOUT);
+    let outcome = call(peer, &Request::get(MEMBERS_PATH), CALL_TIMEOUT);
     let members = serde_json::from_slice(&outcome.body).ok();
-    members.filter(|_| outcome.is(200))
+    members.filter(|_| outcome.is(OK))
 }
 
 /// Whether a control node knows that a replica drains.
 pub(crate) fn is_draining_at(peer: SocketAddr, replica: &str) -> bool {
-    let outcome = call(peer, &Request::get("/Replicas.Read"), CALL_TIMEOUT);
+    let outcome = call(peer, &Request::get(REPLICAS_PATH), CALL_TIMEOUT);
     let replicas: Vec<ReplicaStatus> = serde_json::from_slice(&outcome.body).unwrap_or_default();
     replicas
         .iter()
@@ -173,7 +175,7 @@
 ) -> CallOutcome {
     let mut outcome = call(peer, timeout);
     for _ in 0..MAX_REDIRECTS {
-        let Some(next) = outcome.location.filter(|_| outcome.is(307)) else {
+        let Some(next) = outcome.location.filter(|_| outcome.is(TEMPORARY_REDIRECT)) else {
             break;
         };
         outcome = call(next, timeout);
--- a/crates/linenthread-demo/src/cluster.rs
+++ b/crates/linenthread-demo/src/cluster.rs
@@ -7,7 +7,7 @@
 use std::process::ExitStatus;
 use std::time::{Duration, Instant};
 
-use linenthread_ctl::{Client, MembersStatus, Request, RequestError, Response};
+use linenthread_ctl::{Client, MembersStatus, RequestError, Response};
 use snafu::ResultExt;
 
 use crate::client::{CALL_TIMEOUT, members_at, query_at};
@@ -329,14 +329,8 @@
             addresses: self.control_addresses(),
             timeout: CALL_TIMEOUT,
         };
-        let headers = [("X-Base-Revision", base.to_string())];
-        let request = Request {
-            method: "POST",
-            path: "/Configuration.Replace",
-            headers: &headers,
-            body: &order.document,
-        };
-        client.send(&request, REPLACE_ROUNDS)
+        let headers = order.headers();
+        client.send(&order.request(&headers), REPLACE_ROUNDS)
     }
 
     /// Sends a query to an ingress node, as a client does.
--- a/crates/linenthread-demo/src/order.rs
+++ b/crates/linenthread-demo/src/order.rs
@@ -1,5 +1,7 @@
 //! Orders of operators.
 
+use linenthread_ctl::Request;
+use linenthread_ctl::control_api::{BASE_REVISION_HEADER, REPLACE_CONFIGURATION_PATH};
 use serde_json::{Value, json};
 
 /// An order of an operator: a configuration and the revision that it builds on.
@@ -47,6 +49,21 @@
     pub(crate) fn next(&self, services: &[&str]) -> Order {
         Order::new(self.revision, self.revision + 1, services, 0)
     }
+
+    /// The headers of its call.
+    pub(crate) fn headers(&self) -> [(&'static str, String); 1] {
+        [(BASE_REVISION_HEADER, self.base.to_string())]
+    }
+
+    /// The call that replaces the configuration, with its [`headers`](Order::headers).
+    pub(crate) fn request<'a>(&'a self, headers: &'a [(&'static str, String)]) -> Request<'a> {
+        Request {
+            method: "POST",
+            path: REPLACE_CONFIGURATION_PATH,
+            headers,
+            body: &self.document,
+        }
+    }
 }
 
 fn route(label: &str, prefix: &str, mode: &str, destination: &Value) -> Value {
--- a/crates/linenthread-demo/src/scenarios/catch_up.rs
+++ b/crates/linenthread-demo/src/scenarios/catch_up.rs
@@ -4,6 +4,7 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
+use linenthread_ctl::control_api::OK;
 use oorandom::Rand64;
 
 use super::context::Context;
@@ -75,11 +76,11 @@
         let order = last.next(&SERVICES);
         let outcome = replace_anywhere(running, &order, RECOVERY_TIMEOUT);
         findings.check(
-            outcome.is(200),
+            outcome.is(OK),
             "an order is acknowledged with one node down",
             || describe(&outcome),
         );
-        if !outcome.is(200) {
+        if !outcome.is(OK) {
             return None;
         }
         last = order;
@@ -105,7 +106,7 @@
     loop {
         let outcome = read_at(peer, CATCH_UP_TIMEOUT);
         if outcome.is_clear() {
-            let is_newest = outcome.is(200) && outcome.body == last.document;
+            let is_newest = outcome.is(OK) && outcome.body == last.document;
             findings.check(is_newest, "its first read is the newest", || {
                 describe(&outcome)
             });
@@ -144,14 +145,14 @@
     for missed in missed_orders(last, random) {
         let outcome = replace_at(peer, &missed, RECOVERY_TIMEOUT);
         findings.check(
-            outcome.is_or_unclear(200),
+            outcome.is_or_unclear(OK),
             "an order that it missed is not rejected when sent again",
             || format!("revision {}: {}", missed.revision, describe(&outcome)),
         );
     }
     let outcome = replace_anywhere(survivors, &last.next(&SERVICES), RECOVERY_TIMEOUT);
     findings.check(
-        outcome.is(200),
+        outcome.is(OK),
         "a new order is acknowledged within the bound",
         || describe(&outcome),
     );
--- a/crates/linenthread-demo/src/scenarios/conflicting_orders.rs
+++ b/crates/linenthread-demo/src/scenarios/conflicting_orders.rs
@@ -5,6 +5,7 @@
 use std::sync::Barrier;
 use std::time::Duration;
 
+use linenthread_ctl::control_api::{OK, PRECONDITION_FAILED};
 use oorandom::Rand64;
 
 use super::context::Context;
@@ -53,8 +54,11 @@
     random: &mut Rand64,
 ) -> Option<Conflict> {
     let outcomes = race(&cluster.control_addresses(), &orders, random);
-    let committed = outcomes.iter().filter(|outcome| outcome.is(200)).count();
-    let rejected = outcomes.iter().filter(|outcome| outcome.is(412)).count();
+    let committed = outcomes.iter().filter(|outcome| outcome.is(OK)).count();
+    let rejected = outcomes
+        .iter()
+        .filter(|outcome| outcome.is(PRECONDITION_FAILED))
+        .count();
     findings.check(
         (committed, rejected) == (1, 1),
         "one of two is committed, the other rejected",
@@ -64,7 +68,7 @@
         return None;
     }
     let [left, right] = orders;
-    let (committed, rejected) = if outcomes[0].is(200) {
+    let (committed, rejected) = if outcomes[0].is(OK) {
         (left, right)
     } else {
         (right, left)
@@ -113,13 +117,13 @@
 fn check_conflict(findings: &mut Findings, peer: SocketAddr, conflict: &Conflict) {
     let outcome = replace_at(peer, &conflict.committed, CALL_TIMEOUT);
     findings.check(
-        outcome.is_or_unclear(200),
+        outcome.is_or_unclear(OK),
         "a committed order is never rejected",
         || describe(&outcome),
     );
     let outcome = replace_at(peer, &conflict.rejected, CALL_TIMEOUT);
     findings.check(
-        outcome.is_or_unclear(412),
+        outcome.is_or_unclear(PRECONDITION_FAILED),
         "the other order is never committed",
         || describe(&outcome),
     );
@@ -129,13 +133,13 @@
 fn check_newest(findings: &mut Findings, peer: SocketAddr, newest: &Conflict) {
     let outcome = replace_anywhere(&[peer], &newest.committed, RECOVERY_TIMEOUT);
     findings.check(
-        outcome.is(200),
+        outcome.is(OK),
         "the newest order is acknowledged again",
         || describe(&outcome),
     );
     let outcome = replace_anywhere(&[peer], &newest.rejected, RECOVERY_TIMEOUT);
     findings.check(
-        outcome.is(412),
+        outcome.is(PRECONDITION_FAILED),
         "the order in conflict with it is rejected at every node",
         || describe(&outcome),
     );
--- a/crates/linenthread-demo/src/scenarios/late_retry.rs
+++ b/crates/linenthread-demo/src/scenarios/late_retry.rs
@@ -1,5 +1,7 @@
 //! Point 2: an order is sent again after many later ones, to every node, before and after a restart of all.
 
+use linenthread_ctl::control_api::OK;
+
 use super::context::Context;
 use super::findings::Findings;
 use super::scale::RECOVERY_TIMEOUT;
@@ -18,11 +20,11 @@
         let order = last.next(&SERVICES);
         let outcome = replace_anywhere(&cluster.control_addresses(), &order, RECOVERY_TIMEOUT);
         findings.check(
-            outcome.is(200),
+            outcome.is(OK),
             "an order is acknowledged within the bound",
             || describe(&outcome),
         );
-        if !outcome.is(200) {
+        if !outcome.is(OK) {
             return Ok(findings);
         }
         last = order.clone();
@@ -47,7 +49,7 @@
         for order in orders {
             let outcome = replace_at(peer, order, CALL_TIMEOUT);
             findings.check(
-                outcome.is_or_unclear(200),
+                outcome.is_or_unclear(OK),
                 "a committed order is never rejected",
                 || {
                     format!(
--- a/crates/linenthread-demo/src/scenarios/lost_quorum.rs
+++ b/crates/linenthread-demo/src/scenarios/lost_quorum.rs
@@ -5,6 +5,8 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant};
 
+use linenthread_ctl::control_api::OK;
+
 use super::context::Context;
 use super::findings::Findings;
 use super::scale::RECOVERY_TIMEOUT;
@@ -90,11 +92,11 @@
 fn check_recovery(findings: &mut Findings, cluster: &mut Cluster, order: &Order) {
     let outcome = replace_anywhere(&cluster.control_addresses(), order, RECOVERY_TIMEOUT);
     findings.check(
-        outcome.is(200),
+        outcome.is(OK),
         "the order is committed within the bound when the others are back",
         || describe(&outcome),
     );
-    if !outcome.is(200) {
+    if !outcome.is(OK) {
         add_state(findings, cluster, order);
     }
     let applied = ["event=configuration_applied", "revision=2"];
--- a/crates/linenthread-demo/src/scenarios/paused_node.rs
+++ b/crates/linenthread-demo/src/scenarios/paused_node.rs
@@ -5,6 +5,8 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
+use linenthread_ctl::control_api::{OK, PRECONDITION_FAILED};
+
 use super::context::Context;
 use super::findings::Findings;
 use super::scale::RECOVERY_TIMEOUT;
@@ -48,7 +50,7 @@
     let resumes_at = Instant::now() + context.scale.pause;
     let second = first.next(&SERVICES);
     let outcome = replace_anywhere(&others, &second, RECOVERY_TIMEOUT);
-    findings.check(outcome.is(200), "the others acknowledge an order", || {
+    findings.check(outcome.is(OK), "the others acknowledge an order", || {
         describe(&outcome)
     });
     let applied = ["event=configuration_applied", "revision=2"];
@@ -76,7 +78,7 @@
     );
     let outcome = replace_anywhere(&[peer], &conflict, RECOVERY_TIMEOUT);
     findings.check(
-        outcome.is(412),
+        outcome.is(PRECONDITION_FAILED),
         "it rejects the other order once it knows",
         || describe(&outcome),
     );
@@ -128,7 +130,7 @@
 ) {
     match call {
         PendingCall::Read => {
-            let is_newest = !outcome.is_clear() || outcome.is(200) && outcome.revision() == Some(2);
+            let is_newest = !outcome.is_clear() || outcome.is(OK) && outcome.revision() == Some(2);
             findings.check(
                 is_newest,
                 "a read on resuming is the newest or unavailable",
@@ -137,17 +139,17 @@
             findings.add_note(format!("read on resuming: {}", describe(outcome)));
         }
         PendingCall::Retry(order) => findings.check(
-            outcome.is_or_unclear(200),
+            outcome.is_or_unclear(OK),
             "an acknowledged order is not rejected on resuming",
             || format!("revision {}: {}", order.revision, describe(outcome)),
         ),
         PendingCall::Conflict(order) => findings.check(
-            outcome.is_or_unclear(412),
+            outcome.is_or_unclear(PRECONDITION_FAILED),
             "another order of a committed revision is not acknowledged",
             || format!("revision {}: {}", order.revision, describe(outcome)),
         ),
         PendingCall::Drain => {
-            let is_known = !outcome.is(200)
+            let is_known = !outcome.is(OK)
                 || others
                     .iter()
                     .any(|other| is_draining_at(*other, DRAINING_REPLICA));
--- a/crates/linenthread-demo/src/scenarios/replacement.rs
+++ b/crates/linenthread-demo/src/scenarios/replacement.rs
@@ -4,6 +4,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
+use linenthread_ctl::control_api::OK;
 use oorandom::Rand64;
 
 use super::context::Context;
@@ -188,7 +189,7 @@
     });
     is_known
         && cluster.wait_for_members(name, JOIN_TIMEOUT, |members| members.quorum)
-        && read_anywhere(&[peer], RECOVERY_TIMEOUT).is(200)
+        && read_anywhere(&[peer], RECOVERY_TIMEOUT).is(OK)
 }
 
 /// Waits until a node's address is among the voters, or is not, as another node knows them; false when the time is
--- a/crates/linenthread-demo/src/scenarios/setup.rs
+++ b/crates/linenthread-demo/src/scenarios/setup.rs
@@ -4,6 +4,7 @@
 use std::path::Path;
 use std::time::Duration;
 
+use linenthread_ctl::control_api::OK;
 use oorandom::Rand64;
 
 use super::findings::Findings;
@@ -48,7 +49,7 @@
     }
     let first = Order::new(0, 1, &SERVICES, 0);
     let outcome = replace_anywhere(&cluster.control_addresses(), &first, START_TIMEOUT);
-    ensure_ready(outcome.is(200), || {
+    ensure_ready(outcome.is(OK), || {
         "the first order is not acknowledged".to_owned()
     })?;
     let present = format!("present={replicas}");
@@ -122,7 +123,7 @@
         || format!("{longest_ms} ms without an acknowledgement"),
     );
     let read = read_anywhere(addresses, RECOVERY_TIMEOUT);
-    let is_read = |order: &Order| read.is(200) && read.body == order.document;
+    let is_read = |order: &Order| read.is(OK) && read.body == order.document;
     let reads_back = is_read(&report.last) || report.pending.as_ref().is_some_and(is_read);
     findings.check(reads_back, "everything acknowledged reads back", || {
         format!(
@@ -147,7 +148,7 @@
     if let Some(pending) = &report.pending {
         let outcome = replace_anywhere(addresses, pending, RECOVERY_TIMEOUT);
         findings.check(
-            outcome.is(200),
+            outcome.is(OK),
             "an order without a clear response is committed when sent again",
             || describe(&outcome),
         );
@@ -156,7 +157,7 @@
     let next = last.next(&SERVICES);
     let outcome = replace_anywhere(addresses, &next, RECOVERY_TIMEOUT);
     findings.check(
-        outcome.is(200),
+        outcome.is(OK),
         "a new order is acknowledged within the bound",
         || describe(&outcome),
     );
