--- a/crates/linenthread-adapter/src/instance.rs
+++ b/crates/linenthread-adapter/src/instance.rs
@@ -177,7 +177,7 @@
     fn on_abandoned(&mut self, fields: &mut Fields) -> Result<(), AdapterError> {
         let id = fields.u64("request-id")?;
         if let Some(Target::Query(query)) = self.ids.target(id) {
-            self.inputs.abandoned.push(query);
+            self.inputs.cancelled.push(query);
         }
         Ok(())
     }
--- a/crates/linenthread-core/src/interface/inputs.rs
+++ b/crates/linenthread-core/src/interface/inputs.rs
@@ -34,6 +34,6 @@
     pub continuations: Vec<Continuation>,
     /// Probes that ended.
     pub probes: Vec<ProbeResult>,
-    /// Queries whose client has left.
-    pub abandoned: Vec<QueryIndex>,
+    /// Queries whose client has left: it is not waiting for the response any more.
+    pub cancelled: Vec<QueryIndex>,
 }
--- a/crates/linenthread-core/src/policy/arrival.rs
+++ b/crates/linenthread-core/src/policy/arrival.rs
@@ -1,4 +1,4 @@
-//! How queries and their sub-requests are recorded as they arrive, are continued and are abandoned.
+//! How queries and their sub-requests are recorded as they arrive, are continued and are cancelled by their clients.
 
 use super::Coordinator;
 use super::windows::LONG_TERM;
@@ -55,7 +55,7 @@
     }
 
     /// The client of a query has left: nothing more is sent or responded.
-    pub(super) fn on_abandoned(&mut self, query_index: QueryIndex) {
+    pub(super) fn on_cancelled(&mut self, query_index: QueryIndex) {
         if let Some(query) = self.query_mut(query_index) {
             query.stage = QueryStage::Finished;
         }
--- a/crates/linenthread-core/src/policy/coordinator.rs
+++ b/crates/linenthread-core/src/policy/coordinator.rs
@@ -135,8 +135,8 @@
         for result in &inputs.probes {
             self.on_probe_result(result);
         }
-        for &query_index in &inputs.abandoned {
-            self.on_abandoned(query_index);
+        for &query_index in &inputs.cancelled {
+            self.on_cancelled(query_index);
         }
     }
 
--- a/crates/linenthread-core/tests/scenarios/player.rs
+++ b/crates/linenthread-core/tests/scenarios/player.rs
@@ -95,7 +95,7 @@
             }
             "abandoned" => {
                 let query = self.query_index(rest[0])?;
-                self.inputs.abandoned.push(query);
+                self.inputs.cancelled.push(query);
             }
             "probed" => self.probed(rest)?,
             "serve" => self.serve(rest)?,
--- a/crates/linenthread-dataplane/src/dispatcher.rs
+++ b/crates/linenthread-dataplane/src/dispatcher.rs
@@ -185,7 +185,7 @@
     fn cancel(&self, query: QueryId) {
         let mut state = self.state.borrow_mut();
         if state.query(query).is_some() {
-            state.inputs.abandoned.push(query.index);
+            state.inputs.cancelled.push(query.index);
             self.arrived.notify_one();
         }
     }
--- a/crates/linenthread-service/src/dispatcher/mod.rs
+++ b/crates/linenthread-service/src/dispatcher/mod.rs
@@ -326,7 +326,7 @@
 
     /// A query's client has left.
     pub(crate) fn abandon(&self, query: usize) {
-        self.add_input(|inputs| inputs.abandoned.push(QueryIndex(query)));
+        self.add_input(|inputs| inputs.cancelled.push(QueryIndex(query)));
     }
 
     /// Probes a replica and reports the outcome.
@@ -503,7 +503,7 @@
         results,
         continuations,
         probes,
-        abandoned,
+        cancelled,
     } = inputs;
     membership.clear();
     *zone_routes = None;
@@ -512,5 +512,5 @@
     results.clear();
     continuations.clear();
     probes.clear();
-    abandoned.clear();
+    cancelled.clear();
 }
