--- a/crates/linenthread-core/src/policy/attempt_result.rs
+++ b/crates/linenthread-core/src/policy/attempt_result.rs
@@ -35,8 +35,8 @@
 }
 
 impl FinishedAttempt {
-    /// Whether it was given up, from here or by its time-out.
-    fn was_given_up(&self) -> bool {
+    /// Whether it ended before its replica responded: it was cancelled, or timed out.
+    fn was_cut_short(&self) -> bool {
         matches!(
             self.outcome,
             AttemptOutcome::TimedOut | AttemptOutcome::Cancelled
@@ -51,7 +51,7 @@
             // An idle connection that was dropped fails when it is used, a new one when it is made.
             (AttemptOutcome::ConnectionLost, ConnectionUse::Idle)
             | (AttemptOutcome::ConnectFailed, ConnectionUse::Active) => Some(1.0),
-            _ if self.was_given_up() && self.elapsed >= self.slow => Some(1.0),
+            _ if self.was_cut_short() && self.elapsed >= self.slow => Some(1.0),
             _ => None,
         }
     }
@@ -126,8 +126,8 @@
         }
         let sub_request = &self.open_query(result.query).sub_requests[result.sub_request];
         let is_response = finished.outcome == AttemptOutcome::Success;
-        let was_last_given_up = sub_request.in_flight() == 0 && finished.was_given_up();
-        if !sub_request.succeeded && (is_response || was_last_given_up) {
+        let was_last_cut_short = sub_request.in_flight() == 0 && finished.was_cut_short();
+        if !sub_request.succeeded && (is_response || was_last_cut_short) {
             let age = (now - sub_request.attempts[0].sent_at).max(1) as f64;
             self.fleet.log_delays.record(now, RECENT, age.ln());
         }
@@ -193,7 +193,7 @@
             .filter(|first| result.attempt < *first);
     }
 
-    /// An attempt that was given up would have taken longer still. That says something of the replica only if
+    /// An attempt that was cut short would have taken longer still. That says something of the replica only if
     /// it had already taken longer than usual.
     fn record_lower_bound(&mut self, finished: &FinishedAttempt) {
         let usual = self.replicas[finished.replica]
--- a/crates/linenthread-core/src/policy/mod.rs
+++ b/crates/linenthread-core/src/policy/mod.rs
@@ -31,7 +31,7 @@
 //! | --- | --- |
 //! | rejected or failed, [`DeadlineExceeded`](FailureCause::DeadlineExceeded) | `resolution`: `gives_up_at` |
 //! | rejected or failed, [`QueryOfDeath`](FailureCause::QueryOfDeath) | `query_of_death`: `may_be_query_of_death` |
-//! | rejected or failed, [`Unanswerable`](FailureCause::Unanswerable) | `resolution`: `is_hopeless` |
+//! | rejected or failed, [`Unanswerable`](FailureCause::Unanswerable) | `resolution`: `is_unanswerable` |
 //! | rejected, [`ExpectedLate`](FailureCause::ExpectedLate) | `admission`: `draws_late_rejection` |
 //! | rejected, [`Saturated`](FailureCause::Saturated) | `admission`: `is_saturated` |
 //! | failed rather than rejected | `resolution`: `give_up` |
--- a/crates/linenthread-core/src/policy/resolution.rs
+++ b/crates/linenthread-core/src/policy/resolution.rs
@@ -20,7 +20,7 @@
 /// Unit: slow response times. Reason: the fetch phase has to be over by the soft deadline.
 const FETCH_PHASE_TIME: f64 = 1.4;
 
-/// When a query is given up.
+/// When a query is given up: rejected or failed, whatever is still in flight.
 pub(super) fn gives_up_at(query: &Query, index: &IndexConfig) -> TenthMillis {
     if index.late_value_share > MIN_LATE_VALUE_SHARE {
         query.hard_deadline
@@ -44,8 +44,8 @@
     min_share: f64,
     /// The share of the weight that has succeeded.
     succeeded_share: f64,
-    /// The share of the weight that no further attempt can bring.
-    hopeless_share: f64,
+    /// The share of the weight that no further attempt can bring: see [`Coordinator::is_unanswerable`].
+    unanswerable_share: f64,
 }
 
 impl Progress {
@@ -54,11 +54,11 @@
     }
 
     fn can_become_complete(&self) -> bool {
-        reaches(1.0 - self.hopeless_share, self.complete_share)
+        reaches(1.0 - self.unanswerable_share, self.complete_share)
     }
 
     fn can_reach_min(&self) -> bool {
-        reaches(1.0 - self.hopeless_share, self.min_share)
+        reaches(1.0 - self.unanswerable_share, self.min_share)
     }
 }
 
@@ -114,13 +114,16 @@
                 index.min_share
             },
             succeeded_share: query.phase_weight(|s| s.succeeded) / total,
-            hopeless_share: query.phase_weight(|s| self.is_hopeless(query, s)) / total,
+            unanswerable_share: query.phase_weight(|s| self.is_unanswerable(query, s)) / total,
         }
     }
 
     /// Whether no further attempt can bring this sub-request's response: it may not run again, has no attempt left, or
-    /// none of its holders can be reached in time.
-    fn is_hopeless(&self, query: &Query, sub_request: &SubRequest) -> bool {
+    /// none of its shard's replicas can be reached in time.
+    ///
+    /// An exhausted retry budget is not among these. It is a window that moves on: a sub-request that it holds back now
+    /// may be sent later, so the query waits for it and, if it never is, is given up as [`FailureCause::DeadlineExceeded`].
+    fn is_unanswerable(&self, query: &Query, sub_request: &SubRequest) -> bool {
         !sub_request.succeeded
             && sub_request.in_flight() == 0
             && (!self.may_run_again(query, sub_request)
@@ -212,8 +215,8 @@
         }
     }
 
-    /// Ends a query without a response. It is rejected where sending it again is harmless, since any number of runs is
-    /// or none has begun; else it fails, which promises nothing.
+    /// Gives a query up: ends it without a response. It is rejected where sending it again is harmless, since it may
+    /// run any number of times or no attempt of it ran; else it fails, which promises nothing.
     fn give_up(
         &mut self,
         query_index: QueryIndex,
--- a/crates/linenthread-dataplane/src/dispatcher/decisions.rs
+++ b/crates/linenthread-dataplane/src/dispatcher/decisions.rs
@@ -19,12 +19,12 @@
     Send(SendAttempt),
     /// Answer from the responses that have arrived.
     Respond { query: QueryIndex },
-    /// Reject the query: it may be sent again, at best after this time.
+    /// Give the query up; it may be sent again, at best after this time.
     Reject {
         query: QueryIndex,
         retry_after: Option<TenthMillis>,
     },
-    /// Give the query up, with no promise.
+    /// Give the query up, without such a promise.
     Fail { query: QueryIndex },
     /// Nothing of the query is in flight: its index is free.
     Release { query: QueryIndex },
@@ -39,12 +39,12 @@
     /// When the module is to run again, if nothing arrives before.
     pub(super) wake_at: Option<TenthMillis>,
     /// Since they were last logged.
-    pub(super) abandoned: AbandonedCounts,
+    pub(super) given_up: GivenUpCounts,
 }
 
-/// How many queries were rejected or given up, by cause.
+/// How many queries were given up, by cause.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub(super) struct AbandonedCounts {
+pub(super) struct GivenUpCounts {
     pub(super) deadline_exceeded: u64,
     pub(super) crash_suspected: u64,
     pub(super) unanswerable: u64,
@@ -52,9 +52,9 @@
     pub(super) saturated: u64,
 }
 
-impl AbandonedCounts {
+impl GivenUpCounts {
     pub(super) fn is_empty(&self) -> bool {
-        *self == AbandonedCounts::default()
+        *self == GivenUpCounts::default()
     }
 }
 
@@ -74,6 +74,7 @@
         }));
     }
 
+    /// Not decided here: `Permissions::cancellation` is off in `policy_inputs`.
     fn cancel(&mut self, _query: QueryIndex, _sub_request: SubRequestIndex, _attempt: usize) {}
 
     fn respond(&mut self, query: QueryIndex, _completeness: Completeness) {
@@ -82,11 +83,11 @@
 
     fn failure_cause(&mut self, _query: QueryIndex, cause: FailureCause) {
         *match cause {
-            FailureCause::DeadlineExceeded => &mut self.abandoned.deadline_exceeded,
-            FailureCause::QueryOfDeath => &mut self.abandoned.crash_suspected,
-            FailureCause::Unanswerable => &mut self.abandoned.unanswerable,
-            FailureCause::ExpectedLate => &mut self.abandoned.too_slow,
-            FailureCause::Saturated => &mut self.abandoned.saturated,
+            FailureCause::DeadlineExceeded => &mut self.given_up.deadline_exceeded,
+            FailureCause::QueryOfDeath => &mut self.given_up.crash_suspected,
+            FailureCause::Unanswerable => &mut self.given_up.unanswerable,
+            FailureCause::ExpectedLate => &mut self.given_up.too_slow,
+            FailureCause::Saturated => &mut self.given_up.saturated,
         } += 1;
     }
 
@@ -102,12 +103,15 @@
         self.list.push(Decision::Release { query });
     }
 
+    /// Not decided here: `Permissions::health_probes` is off in `policy_inputs`.
     fn probe(&mut self, _replica: ReplicaIndex) {}
 
     fn close_idle(&mut self, replica: ReplicaIndex) {
         self.list.push(Decision::CloseIdle { replica });
     }
 
+    /// Not decided here: `CoordinatorConfig::watch_membership` is off in `policy_inputs`, since control nodes send
+    /// changes unasked.
     fn watch_membership(&mut self) {}
 
     fn wake_at(&mut self, at: TenthMillis) {
--- a/crates/linenthread-dataplane/src/dispatcher/query.rs
+++ b/crates/linenthread-dataplane/src/dispatcher/query.rs
@@ -142,12 +142,12 @@
         };
         match response {
             Some(response) => self.respond(response),
-            None => self.abandon(None),
+            None => self.give_up(None),
         }
     }
 
-    /// Answers that nothing could be had: with a replica's own failure, if there was one.
-    pub(super) fn abandon(&mut self, retry_after: Option<TenthMillis>) {
+    /// Responds that the query is given up: with a replica's own failure, if there was one.
+    pub(super) fn give_up(&mut self, retry_after: Option<TenthMillis>) {
         if self.client.is_none() {
             return;
         }
@@ -155,7 +155,7 @@
             Response::forwarded(failure)
         } else {
             let furthest = self.sub_requests.iter().map(SubRequest::sent).max();
-            Response::abandoned(furthest.unwrap_or(SendState::NotSent), retry_after)
+            Response::given_up(furthest.unwrap_or(SendState::NotSent), retry_after)
         };
         self.respond(response);
     }
