--- a/crates/linenthread-core/src/policy/admission.rs
+++ b/crates/linenthread-core/src/policy/admission.rs
@@ -179,7 +179,7 @@
         }
     }
 
-    /// How many times slower than the mean the query's slowest shard is. A shard is as slow as its quickest holder,
+    /// How many times slower than the mean the query's slowest shard is. A shard is as slow as its quickest replica,
     /// since all queries that need it meet in that one's queue; shards that a response may lack do not count.
     fn shard_slowdown(&self, query: &Query, delays: &DelayEstimate) -> f64 {
         let latency = |replica: ReplicaIndex| self.replicas[replica].expected_latency;
@@ -260,7 +260,7 @@
         cost * costs.weight / costs.sum.max(MIN_DIVISOR)
     }
 
-    /// Whether too much is in flight from here, in all or at the holders of a shard.
+    /// Whether too much is in flight from here, in all or at the replicas of a shard.
     fn is_saturated(&self, query: &Query, limit_factor: f64) -> bool {
         let pending: f64 = self.replicas.iter().map(Replica::pending).sum();
         pending >= limit_factor * self.fleet.max_in_flight
@@ -270,7 +270,7 @@
                 .any(|sub_request| self.is_shard_saturated(query, sub_request, limit_factor))
     }
 
-    /// Whether a shard's holders together have more pending than their limits, or each of them reports more queued
+    /// Whether a shard's replicas together have more pending than their limits, or each of them reports more queued
     /// than it can serve one by one within the shortest soft deadline.
     fn is_shard_saturated(
         &self,
--- a/crates/linenthread-core/src/policy/attempt_result.rs
+++ b/crates/linenthread-core/src/policy/attempt_result.rs
@@ -174,11 +174,13 @@
         let query = self.open_query(result.query);
         let sub_request = &query.sub_requests[result.sub_request];
         let is_overtaken = |earlier: &Attempt| {
-            earlier.is_in_flight() || earlier.moved && finished.elapsed < finished.slow
+            earlier.is_in_flight() || earlier.reissued && finished.elapsed < finished.slow
         };
         let mut earlier = sub_request.attempts[..result.attempt].iter();
         if !sub_request.succeeded && earlier.any(is_overtaken) {
-            self.fleet.hedges.subtract(self.now, RECENT, HEDGES_PER_WIN);
+            self.fleet
+                .hedge_share
+                .credit(self.now, RECENT, HEDGES_PER_WIN);
         }
     }
 
--- a/crates/linenthread-core/src/policy/capacity.rs
+++ b/crates/linenthread-core/src/policy/capacity.rs
@@ -55,8 +55,9 @@
         fleet.warm_capacity = (fleet.warm_capacity * (1.0 - SMOOTHING))
             .max(one_core)
             .max(observed);
-        // What is sent, not what responds: a saturated replica responds little.
-        fleet.sent_per_window = fleet.hedges.weight * window / RECENT / ready_count;
+        // What is sent, not what responds: a saturated replica responds little. The attempts that the share of hedged
+        // requests is counted in decay within RECENT, so this is their rate.
+        fleet.sent_per_window = fleet.hedge_share.attempts() * window / RECENT / ready_count;
     }
 
     fn mean_responses_of_warm_replicas(&self) -> f64 {
--- a/crates/linenthread-core/src/policy/dispatch.rs
+++ b/crates/linenthread-core/src/policy/dispatch.rs
@@ -44,7 +44,7 @@
     /// Little time is left before the soft deadline.
     is_urgent: bool,
     /// Share of attempts that may be hedged requests.
-    hedge_share: f64,
+    max_hedge_share: f64,
     /// One sub-request is sent first, and the others when it lasts.
     one_first: bool,
 }
@@ -68,7 +68,7 @@
     /// Sends what a query needs now: first attempts, retries of what failed, and hedged requests for what is slow.
     pub(super) fn send_missing(&mut self, query_index: QueryIndex, sink: &mut impl DecisionSink) {
         let now = self.now;
-        self.fleet.hedges.decay(now, RECENT);
+        self.fleet.hedge_share.decay(now, RECENT);
         self.fleet.crashes.decay(now, CRASH_MEMORY);
         let Some(Some(query)) = self.queries.get(query_index.0) else {
             return;
@@ -85,10 +85,10 @@
             }
             plan.count_first_attempt(sub_request);
             let in_flight = sub_request.in_flight();
-            let may_hedge = self.may_hedge(sub_request, &plan);
-            if may_hedge && self.should_move(query_index, sub_request_index, slow) {
-                self.cancel_to_move(query_index, sub_request_index, sink);
-            } else if in_flight == 0 || in_flight == 1 && may_hedge {
+            let is_hedge_due = self.is_hedge_due(sub_request, &plan);
+            if is_hedge_due && self.should_reissue(query_index, sub_request_index, slow) {
+                self.cancel_to_reissue(query_index, sub_request_index, sink);
+            } else if in_flight == 0 || in_flight == 1 && is_hedge_due {
                 self.send_attempt(query_index, sub_request_index, sink);
                 if plan.one_first {
                     return;
@@ -116,7 +116,7 @@
             unsent_weight: f64::INFINITY,
             slow,
             is_urgent: (query.soft_deadline - self.now) as f64 <= HEDGE_WITHIN * slow,
-            hedge_share: if lacks_only_one {
+            max_hedge_share: if lacks_only_one {
                 LAST_HEDGE_SHARE
             } else {
                 HEDGE_SHARE
@@ -125,7 +125,7 @@
         };
         let complete_share = self.complete_share(query);
         if complete_share < 1.0 {
-            // Those with the best holders are sent first. What is slow no longer counts as coming, so others follow.
+            // Those with the best replicas are sent first. What is slow no longer counts as coming, so others follow.
             let is_coming = |sub_request: &SubRequest| {
                 let is_quick = |attempt: &Attempt| attempt.is_in_flight_within(self.now, slow);
                 sub_request.succeeded || sub_request.attempts.iter().any(is_quick)
@@ -140,26 +140,32 @@
         plan
     }
 
-    /// The best score of the holders of a sub-request's shard, in thousandths.
+    /// The best score of the replicas of a sub-request's shard, in thousandths.
     fn best_score(&self, query: &Query, sub_request: &SubRequest) -> Option<u64> {
         self.shard_replicas(query, sub_request)
             .map(|replica| to_u64(SCORE_SCALE * self.replicas[replica].score))
             .min()
     }
 
-    /// Whether a sub-request may be hedged: its last attempt is slow, little time is left, and the share of hedged
-    /// requests has room for one more.
-    fn may_hedge(&self, sub_request: &SubRequest, plan: &DispatchPlan) -> bool {
+    /// Whether the time for a hedged request has come: the last attempt is slow, little time is left, and the share of
+    /// hedged requests has room for one more. Whether one is permitted at all is asked by `may_send`.
+    fn is_hedge_due(&self, sub_request: &SubRequest, plan: &DispatchPlan) -> bool {
         let is_slow = |last: &Attempt| (self.now - last.sent_at) as f64 > plan.slow;
-        let hedges = &self.fleet.hedges;
         sub_request.attempts.last().is_some_and(is_slow)
             && plan.is_urgent
-            && hedges.sum < plan.hedge_share * hedges.weight + 1.0
+            && self.has_room_for_hedge(plan.max_hedge_share)
     }
 
-    /// Whether an attempt in flight is to be cancelled so that the sub-request can go to another holder: one is as good
-    /// as lost, no further one may be in flight beside it, and none has been cancelled for this already.
-    fn should_move(
+    /// Whether the share of hedged requests among all attempts stays below a limit with one more. A single one is always
+    /// within it.
+    fn has_room_for_hedge(&self, max_share: f64) -> bool {
+        let share = &self.fleet.hedge_share;
+        share.hedges() < max_share * share.attempts() + 1.0
+    }
+
+    /// Whether an attempt in flight is to be cancelled so that the sub-request can go to another replica: one has
+    /// stalled, no further one may be in flight beside it, and none has been cancelled for this already.
+    fn should_reissue(
         &self,
         query_index: QueryIndex,
         sub_request_index: SubRequestIndex,
@@ -169,20 +175,23 @@
         let sub_request = &query.sub_requests[sub_request_index];
         self.config.permissions.cancellation
             && sub_request.in_flight() > usize::from(self.config.permissions.hedging)
-            && sub_request.attempts.iter().any(|a| self.is_lost(a, slow))
             && sub_request
                 .attempts
                 .iter()
-                .all(|attempt| !attempt.moved || !attempt.is_in_flight())
+                .any(|a| self.is_stalled(a, slow))
+            && sub_request
+                .attempts
+                .iter()
+                .all(|attempt| !attempt.reissued || !attempt.is_in_flight())
             && self.shard_replicas(query, sub_request).any(|replica| {
                 self.replicas[replica].outage.is_none()
                     && self.may_replace(query, sub_request, replica)
             })
     }
 
-    /// Cancels the oldest attempt in flight; its sub-request is sent elsewhere once it has finished. That counts
-    /// as a hedged request.
-    fn cancel_to_move(
+    /// Cancels the oldest attempt in flight; its sub-request is sent to another replica once that attempt has ended.
+    /// This counts as a hedged request.
+    fn cancel_to_reissue(
         &mut self,
         query_index: QueryIndex,
         sub_request_index: SubRequestIndex,
@@ -191,9 +200,9 @@
         let query = self.open_query_mut(query_index);
         let attempts = &mut query.sub_requests[sub_request_index].attempts;
         let oldest = attempts.iter().position(Attempt::is_in_flight);
-        let oldest = oldest.expect("a sub-request is moved only while an attempt is in flight");
-        attempts[oldest].moved = true;
+        let oldest = oldest.expect("a sub-request is reissued only while an attempt is in flight");
+        attempts[oldest].reissued = true;
         sink.cancel(query_index, sub_request_index, oldest);
-        self.fleet.hedges.sum += 1.0;
+        self.fleet.hedge_share.add_reissue();
     }
 }
--- a/crates/linenthread-core/src/policy/health_probe.rs
+++ b/crates/linenthread-core/src/policy/health_probe.rs
@@ -13,7 +13,7 @@
 /// Unit: 0.1 ms (150 ms). Reason: an attempt there would be lost, so its return is to be noticed soon.
 const OUTAGE_PROBE_INTERVAL: TenthMillis = 1_500;
 
-/// How long a query's first attempts wait while all holders of a shard owe the end of a probe.
+/// How long a query's first attempts wait while all replicas of a shard owe the end of a probe.
 ///
 /// Unit: share of the shortest soft deadline. Reason: a worse replica chosen now is better than a late choice.
 const MAX_PROBE_WAIT_SHARE: f64 = 0.05;
@@ -94,7 +94,7 @@
         }
     }
 
-    /// Probes holders without a recent report before a query's first attempts, where each replica is seen seldom.
+    /// Probes replicas without a recent report before a query's first attempts, where each replica is seen seldom.
     /// Returns whether the query has to wait for the probes.
     pub(super) fn probe_before_first_attempts(
         &mut self,
@@ -129,7 +129,7 @@
             && !query.sub_requests.is_empty()
     }
 
-    /// Whether the probes sent for a query are still waited for: any of them briefly, and for longer where all holders
+    /// Whether the probes sent for a query are still waited for: any of them briefly, and for longer where all replicas
     /// of a shard owe the end of one.
     fn waits_for_probes(
         &self,
@@ -152,7 +152,7 @@
         self.rng.rand_float() < probing_share
     }
 
-    /// Probes those holders of the query's shards that are up and have not reported of late. Returns whether
+    /// Probes those replicas of the query's shards that are up and have not reported recently. Returns whether
     /// there was any.
     fn probe_shard_replicas(
         &mut self,
--- a/crates/linenthread-core/src/policy/latency.rs
+++ b/crates/linenthread-core/src/policy/latency.rs
@@ -1,4 +1,4 @@
-//! Which response times are slow, and which attempts are as good as lost.
+//! Which response times are slow, and which attempts have stalled.
 
 use super::Coordinator;
 use super::windows::{MIN_WEIGHT, SLOW_DEVIATIONS};
@@ -21,24 +21,25 @@
         self.latency_at(SLOW_DEVIATIONS)
     }
 
-    /// The attempt is slow, and its replica has not responded for twice that time.
-    pub(super) fn is_lost(&self, attempt: &Attempt, slow: f64) -> bool {
+    /// Whether an attempt has stalled: it is slow, and its replica has not responded to anything for twice that time, so
+    /// it is treated as lost before its time-out.
+    pub(super) fn is_stalled(&self, attempt: &Attempt, slow: f64) -> bool {
         let silence = (self.now - self.replicas[attempt.replica].last_response_at) as f64;
         attempt.is_in_flight() && (self.now - attempt.sent_at) as f64 > slow && silence > 2.0 * slow
     }
 
-    /// Counts the attempts at each replica that are lost.
-    pub(super) fn count_lost(&mut self, slow: f64) {
+    /// Counts the attempts at each replica that have stalled.
+    pub(super) fn count_stalled(&mut self, slow: f64) {
         for replica in &mut self.replicas {
-            replica.lost = 0;
+            replica.stalled = 0;
         }
         for &query_index in &self.open_queries {
             let Some(query) = &self.queries[query_index] else {
                 continue;
             };
             for attempt in query.sub_requests.iter().flat_map(|s| &s.attempts) {
-                let is_lost = self.is_lost(attempt, slow);
-                self.replicas[attempt.replica].lost += u32::from(is_lost);
+                let is_stalled = self.is_stalled(attempt, slow);
+                self.replicas[attempt.replica].stalled += u32::from(is_stalled);
             }
         }
     }
--- a/crates/linenthread-core/src/policy/mod.rs
+++ b/crates/linenthread-core/src/policy/mod.rs
@@ -13,7 +13,7 @@
 //! | `health_probe` | when replicas are probed, and what a probe's end says |
 //! | `score` | the score of each replica |
 //! | `capacity` | how much may be in flight, and what a warm replica can serve |
-//! | `latency` | which response times are slow, and which attempts are lost |
+//! | `latency` | which response times are slow, and which attempts have stalled |
 //! | `natural_replica` | which replica an attempt goes to |
 //! | `send_guard` | whether an attempt may be sent at all |
 //! | `slow_start` | how many attempts a replica gets that has just started |
@@ -36,8 +36,8 @@
 //! | rejected, [`Saturated`](FailureCause::Saturated) | `admission`: `is_saturated` |
 //! | failed rather than rejected | `resolution`: `give_up` |
 //! | retried, or not | `dispatch`: `send_missing`; `send_guard`: `may_send`; `retry_budget` |
-//! | hedged, or not | `dispatch`: `may_hedge` |
-//! | an attempt cancelled and its sub-request sent elsewhere | `dispatch`: `should_move` |
+//! | hedged, or not | `dispatch`: `is_hedge_due` |
+//! | an attempt cancelled and its sub-request sent to another replica | `dispatch`: `should_reissue` |
 //! | sent to this replica and to no other | `natural_replica`: `choose_replica`; `score` |
 //!
 //! Constants that several modules use are in `windows`; the others are in the module that they belong to.
--- a/crates/linenthread-core/src/policy/natural_replica.rs
+++ b/crates/linenthread-core/src/policy/natural_replica.rs
@@ -177,11 +177,11 @@
             holds && self.distance(key, replica).is_some()
         };
         let any_ready = self.replicas.iter().any(|r| r.is_ready() && has_shard(r));
-        let is_holder = move |replica: &Replica| {
+        let may_serve = move |replica: &Replica| {
             let serves = replica.is_ready() || !any_ready && replica.is_last_resort(now);
             serves && has_shard(replica)
         };
         self.replica_indices()
-            .filter(move |&replica| is_holder(&self.replicas[replica]))
+            .filter(move |&replica| may_serve(&self.replicas[replica]))
     }
 }
--- a/crates/linenthread-core/src/policy/query_of_death.rs
+++ b/crates/linenthread-core/src/policy/query_of_death.rs
@@ -23,7 +23,7 @@
     ///
     /// Where no probes are permitted there is no proof, and a lost connection alone ends nothing.
     pub(super) fn may_be_query_of_death(&self, query: &Query, evidence: CrashEvidence) -> bool {
-        let is_lost = |replica: &Replica| {
+        let counts_as_lost = |replica: &Replica| {
             let is_proven = !replica.suspected_crash;
             replica.outage.is_some() && (evidence == CrashEvidence::Outage || is_proven)
         };
@@ -33,7 +33,7 @@
             && query
                 .lost_connections
                 .iter()
-                .filter(|&&replica| is_lost(&self.replicas[replica]))
+                .filter(|&&replica| counts_as_lost(&self.replicas[replica]))
                 .count()
                 > tolerated
     }
--- a/crates/linenthread-core/src/policy/resolution.rs
+++ b/crates/linenthread-core/src/policy/resolution.rs
@@ -122,7 +122,8 @@
     /// none of its shard's replicas can be reached in time.
     ///
     /// An exhausted retry budget is not among these. It is a window that moves on: a sub-request that it holds back now
-    /// may be sent later, so the query waits for it and, if it never is, is given up as [`FailureCause::DeadlineExceeded`].
+    /// may be sent later, so the query waits for it and, if it never is, is given up as
+    /// [`FailureCause::DeadlineExceeded`].
     fn is_unanswerable(&self, query: &Query, sub_request: &SubRequest) -> bool {
         !sub_request.succeeded
             && sub_request.in_flight() == 0
--- a/crates/linenthread-core/src/policy/score.rs
+++ b/crates/linenthread-core/src/policy/score.rs
@@ -108,13 +108,13 @@
     }
 }
 
-/// The share of failures. Lost attempts count as failures before their time-outs say so, which finds a replica
+/// The share of failures. Stalled attempts count as failures before their time-outs say so, which finds a replica
 /// that hangs; one imagined response keeps a single failure from deciding.
 fn severity(replica: &Replica, zone: &Observations) -> f64 {
-    let lost = f64::from(replica.lost);
+    let stalled = f64::from(replica.stalled);
     let failures = &replica.observations.failures;
-    (failures.sum + lost + zone.failures.mean_with_prior(FLEET_PRIOR, 0.0))
-        / (failures.weight + lost + 1.0)
+    (failures.sum + stalled + zone.failures.mean_with_prior(FLEET_PRIOR, 0.0))
+        / (failures.weight + stalled + 1.0)
 }
 
 impl Coordinator {
@@ -128,7 +128,7 @@
         let ready_count = self.ready_replicas().count().max(1) as f64;
         self.update_time_constant(ready_count);
         self.decay_observations();
-        self.count_lost(slow);
+        self.count_stalled(slow);
         self.score_replicas(slow);
         if self.now >= self.timers.next_reset {
             self.reset_observations();
--- a/crates/linenthread-core/src/policy/sending.rs
+++ b/crates/linenthread-core/src/policy/sending.rs
@@ -38,7 +38,7 @@
             sent_at: now,
             connection,
             outcome: None,
-            moved: false,
+            reissued: false,
         });
         self.replicas[replica_index].on_send(now);
         let timeout = (gives_up_at - now).max(1);
@@ -56,7 +56,7 @@
         let sub_request = &self.open_query(query_index).sub_requests[sub_request_index];
         let is_retry = !sub_request.attempts.is_empty();
         let is_hedge = sub_request.in_flight() > 0;
-        self.fleet.hedges.record(now, RECENT, f64::from(is_hedge));
+        self.fleet.hedge_share.record_attempt(now, RECENT, is_hedge);
         if is_retry {
             self.count_retry();
         }
--- a/crates/linenthread-core/src/state.rs
+++ b/crates/linenthread-core/src/state.rs
@@ -4,6 +4,7 @@
 mod decaying_sums;
 mod fleet;
 mod hash;
+mod hedge_share;
 mod indexing;
 mod query;
 mod replica;
@@ -13,6 +14,7 @@
 pub(crate) use decaying_sums::{DecayingSums, Distribution, decay_factor};
 pub(crate) use fleet::FleetStatistics;
 pub(crate) use hash::hash_ids;
+pub(crate) use hedge_share::HedgeShare;
 pub(crate) use query::{Attempt, ConnectionUse, Query, QueryStage, SubRequest};
 pub(crate) use replica::{Observations, Outage, Replica};
 pub(crate) use timers::Timers;
--- a/crates/linenthread-core/src/state/decaying_sums.rs
+++ b/crates/linenthread-core/src/state/decaying_sums.rs
@@ -46,12 +46,6 @@
         self.square_sum += value * value;
     }
 
-    /// Subtracts an amount from the sum, which does not fall below minus the weight.
-    pub(crate) fn subtract(&mut self, now: TenthMillis, time_constant: f64, amount: f64) {
-        self.decay(now, time_constant);
-        self.sum = (self.sum - amount).max(-self.weight);
-    }
-
     /// How the values are distributed, where the weight exceeds a minimum.
     pub(crate) fn distribution(&self, min_weight: f64) -> Option<Distribution> {
         (self.weight > min_weight).then(|| {
--- a/crates/linenthread-core/src/state/fleet.rs
+++ b/crates/linenthread-core/src/state/fleet.rs
@@ -1,6 +1,6 @@
 //! Statistics over all replicas and queries.
 
-use super::{DecayingSums, WindowCounter};
+use super::{DecayingSums, HedgeShare, WindowCounter};
 
 /// What was observed of all replicas and queries together.
 #[derive(Default)]
@@ -22,8 +22,8 @@
     pub accepted: WindowCounter,
     /// Attempts beyond the first of their sub-request.
     pub retries: WindowCounter,
-    /// 1 for each hedged request, 0 for each other attempt.
-    pub hedges: DecayingSums,
+    /// How many recent attempts were hedged requests.
+    pub hedge_share: HedgeShare,
     /// 1 for each probe that ended after it was no longer waited for, 0 for the others.
     pub late_probes: DecayingSums,
     /// 1 for each attempt that came to nothing, 0 for each success, on connections that had been idle.
--- a/crates/linenthread-core/src/state/query.rs
+++ b/crates/linenthread-core/src/state/query.rs
@@ -10,7 +10,7 @@
 pub(crate) enum ConnectionUse {
     /// Nothing had used it for long.
     Idle,
-    /// It is new, or had been used of late.
+    /// It is new, or had been used recently.
     Active,
     /// Other attempts were in flight at the replica, so which connection it got is not known.
     Unknown,
@@ -34,8 +34,8 @@
     pub replica: ReplicaIndex,
     pub sent_at: TenthMillis,
     pub connection: ConnectionUse,
-    /// It was cancelled so that its sub-request can be sent elsewhere.
-    pub moved: bool,
+    /// It was cancelled so that its sub-request can be sent to another replica.
+    pub reissued: bool,
     /// How it ended; `None` while it is in flight.
     pub outcome: Option<AttemptOutcome>,
 }
--- a/crates/linenthread-core/src/state/replica.rs
+++ b/crates/linenthread-core/src/state/replica.rs
@@ -33,8 +33,8 @@
     pub observations: Observations,
     /// Attempts in flight.
     pub in_flight: u32,
-    /// Those of them that are as good as lost.
-    pub lost: u32,
+    /// Those of them that have stalled: no response is expected of them any more.
+    pub stalled: u32,
     /// Set while it is down.
     pub outage: Option<Outage>,
     /// Its connection was lost under an attempt, and no probe has ended since.
@@ -78,9 +78,9 @@
         self.entry.phase == Phase::Draining && now < self.last_resort_until
     }
 
-    /// Attempts in flight that are not lost.
+    /// Attempts in flight that have not stalled.
     pub(crate) fn pending(&self) -> f64 {
-        f64::from(self.in_flight.saturating_sub(self.lost))
+        f64::from(self.in_flight.saturating_sub(self.stalled))
     }
 
     /// The depth of its queue by its last report: the report decays, and one sub-request is served in each
