--- a/crates/linenthread-core/src/interface/attempt.rs
+++ b/crates/linenthread-core/src/interface/attempt.rs
@@ -2,20 +2,24 @@
 
 use super::{QueryIndex, ReplicaIndex, SubRequestIndex, TenthMillis};
 
-/// How an attempt, or a probe, ended.
+/// How an attempt, or a probe, ended. What each outcome counts for at the replica is decided in
+/// `policy::attempt_result`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptOutcome {
     /// The replica responded.
     Success,
-    /// The replica responded with an error.
+    /// The replica was reached, and what it sent is of no use: an error, or not a response at all.
+    ///
+    /// It counts as one failure in the replica's score, and the attempt may have run. The replica is not marked down,
+    /// as it is after [`ConnectFailed`](Self::ConnectFailed) and [`ConnectionLost`](Self::ConnectionLost).
     Error,
     /// The replica rejected it before it ran: it is full or draining.
     Rejected,
-    /// No response came in time.
+    /// No response arrived in time.
     TimedOut,
-    /// No connection could be established.
+    /// The replica could not be reached. It is marked down.
     ConnectFailed,
-    /// The connection was lost while the attempt was in flight.
+    /// The connection was lost while the attempt was in flight. The replica is marked down and may have crashed.
     ConnectionLost,
     /// This co-ordinator cancelled it.
     Cancelled,
--- a/crates/linenthread-core/src/policy/dispatch.rs
+++ b/crates/linenthread-core/src/policy/dispatch.rs
@@ -156,8 +156,8 @@
             && self.has_room_for_hedge(plan.max_hedge_share)
     }
 
-    /// Whether the share of hedged requests among all attempts stays below a limit with one more. A single one is always
-    /// within it.
+    /// Whether the share of hedged requests among all attempts stays below a limit with one more. A single one is
+    /// always within it.
     fn has_room_for_hedge(&self, max_share: f64) -> bool {
         let share = &self.fleet.hedge_share;
         share.hedges() < max_share * share.attempts() + 1.0
--- a/crates/linenthread-core/src/policy/latency.rs
+++ b/crates/linenthread-core/src/policy/latency.rs
@@ -21,8 +21,8 @@
         self.latency_at(SLOW_DEVIATIONS)
     }
 
-    /// Whether an attempt has stalled: it is slow, and its replica has not responded to anything for twice that time, so
-    /// it is treated as lost before its time-out.
+    /// Whether an attempt has stalled: it is slow, and its replica has not responded to anything for twice that time,
+    /// so it is treated as lost before its time-out.
     pub(super) fn is_stalled(&self, attempt: &Attempt, slow: f64) -> bool {
         let silence = (self.now - self.replicas[attempt.replica].last_response_at) as f64;
         attempt.is_in_flight() && (self.now - attempt.sent_at) as f64 > slow && silence > 2.0 * slow
--- a/crates/linenthread-core/src/state/hedge_share.rs
+++ b/crates/linenthread-core/src/state/hedge_share.rs
@@ -27,8 +27,8 @@
         self.sums.sum += 1.0;
     }
 
-    /// Counts some hedged requests less, since one of them was needed. The count may fall below 0, which leaves room for
-    /// the next ones, but not below minus the number of attempts.
+    /// Counts some hedged requests less, since one of them was needed. The count may fall below 0, which leaves room
+    /// for the next ones, but not below minus the number of attempts.
     pub(crate) fn credit(&mut self, now: TenthMillis, time_constant: f64, hedges: f64) {
         self.sums.decay(now, time_constant);
         self.sums.sum = (self.sums.sum - hedges).max(-self.sums.weight);
--- a/crates/linenthread-dataplane/src/data_plane.rs
+++ b/crates/linenthread-dataplane/src/data_plane.rs
@@ -16,7 +16,7 @@
 use crate::retry_quota::RetryQuota;
 use crate::shutdown::{ClosingWatch, Shutdown};
 use crate::transport::{Connector, TcpConnector};
-use crate::zones::Zones;
+use crate::zone_indices::ZoneIndices;
 
 /// The fewest connections that this process may have to a replica, however many ingress nodes share its limit.
 const MIN_CONNECTIONS: usize = 2;
@@ -54,7 +54,7 @@
     routing_table: RefCell<Option<Rc<RoutingTable>>>,
     replicas: RefCell<ReplicaTable<C>>,
     dispatchers: RefCell<BTreeMap<DispatcherKey, Rc<Dispatcher<C>>>>,
-    zones: Zones,
+    zones: ZoneIndices,
     retry_quota: Cell<RetryQuota>,
     /// At some moment of this incarnation it had the newest configuration.
     is_confirmed: Cell<bool>,
@@ -68,7 +68,7 @@
 impl<C: Connector> DataPlane<C> {
     /// A data plane with no configuration and no replicas. Every random choice follows from the seed.
     pub fn new(settings: Rc<Settings>, seed: u64, connector: C) -> Rc<DataPlane<C>> {
-        let zones = Zones::new(&settings.zone);
+        let zones = ZoneIndices::new(&settings.zone);
         Rc::new(DataPlane {
             settings,
             seed,
--- a/crates/linenthread-dataplane/src/dispatcher.rs
+++ b/crates/linenthread-dataplane/src/dispatcher.rs
@@ -20,7 +20,7 @@
 use tokio::task::spawn_local;
 
 use self::decisions::{Decision, SendAttempt};
-use self::query::{AttemptKey, OpenQuery, Permission, QueryId, SequenceNumber};
+use self::query::{AttemptKey, OpenQuery, QueryId, SendSafety, SequenceNumber};
 use self::state::State;
 use crate::clock;
 use crate::counter::Counter;
@@ -28,7 +28,7 @@
 use crate::response::Response;
 use crate::retry_quota::RetryQuota;
 use crate::transport::Connector;
-use crate::zones::Zones;
+use crate::zone_indices::ZoneIndices;
 
 /// The shortest time-out of an attempt, in tenths of a millisecond.
 const MIN_TIMEOUT: TenthMillis = 10;
@@ -80,8 +80,8 @@
         );
     }
 
-    /// Takes in the status of replicas; those of other backends are left out.
-    pub(crate) fn update_replicas(&self, pools: &[Rc<ReplicaPool<C>>], zones: &Zones) {
+    /// Applies the status of replicas; those of other backends are left out.
+    pub(crate) fn update_replicas(&self, pools: &[Rc<ReplicaPool<C>>], zones: &ZoneIndices) {
         let mut state = self.state.borrow_mut();
         let entries: Vec<MembershipEntry> = pools
             .iter()
@@ -210,8 +210,8 @@
         state.decisions.wake_at
     }
 
-    /// Sends a sub-request to a replica, unless it may not run twice and an earlier attempt may have run. The decision
-    /// module has that rule, too; this second guard goes by what was observed on the connections.
+    /// Sends a sub-request to a replica, unless it must not run twice and an earlier attempt may have run. The decision
+    /// module has that rule, too; this second guard uses what was observed on the connections.
     fn send(self: &Rc<Self>, state: &mut State<C>, attempt: &SendAttempt) {
         let Some(query) = state.query_at(attempt.query) else {
             return;
@@ -225,7 +225,7 @@
             sub_request: attempt.sub_request,
             attempt: begun.number,
         };
-        if begun.permission == Permission::Denied {
+        if begun.safety == SendSafety::MayRunTwice {
             log::error!(route = query.resolved.route.name; "event=retry_rejected");
             self.report(state, id, AttemptOutcome::NotSent, 0);
             return;
@@ -281,14 +281,14 @@
 }
 
 impl<C: Connector> PendingResponse<C> {
-    /// The response, when it is there.
+    /// The response, once it has arrived.
     pub(crate) async fn response(&mut self) -> Response {
         (&mut self.response)
             .await
             .unwrap_or_else(|_| Response::empty(502))
     }
 
-    /// The client has left: nobody needs the response any more.
+    /// The client has left: nobody waits for the response any more.
     pub(crate) fn cancel(self) {
         self.dispatcher.cancel(self.query);
     }
@@ -299,7 +299,7 @@
     pool: &ReplicaPool<C>,
     replica: ReplicaIndex,
     backend: usize,
-    zones: &Zones,
+    zones: &ZoneIndices,
 ) -> MembershipEntry {
     let phase = match pool.status() {
         ReplicaStatus { departed: true, .. } => Phase::Removed,
@@ -328,7 +328,8 @@
             }
             None => dispatcher.arrived.notified().await,
         }
-        // The module names a moment only if the one that it named last is past.
+        // A step asks for a time to wake at only once the time that it asked for before has come. Until then it asks
+        // for none, and that earlier request still stands.
         let next = dispatcher.step();
         wake_at = next.or(wake_at.filter(|at| *at > clock::now_tenth_millis()));
     }
--- a/crates/linenthread-dataplane/src/dispatcher/decisions.rs
+++ b/crates/linenthread-dataplane/src/dispatcher/decisions.rs
@@ -17,7 +17,7 @@
 pub(super) enum Decision {
     /// Send a sub-request to a replica.
     Send(SendAttempt),
-    /// Answer from the responses that have arrived.
+    /// Respond with what has arrived.
     Respond { query: QueryIndex },
     /// Give the query up; it may be sent again, at best after this time.
     Reject {
--- a/crates/linenthread-dataplane/src/dispatcher/query.rs
+++ b/crates/linenthread-dataplane/src/dispatcher/query.rs
@@ -43,13 +43,13 @@
 struct SubRequest {
     response: Option<ReplicaResponse>,
     attempts: usize,
-    /// Attempts that may have run: all that are in flight, and those that ended without a word that they did not run.
+    /// Attempts that may have run: all that are in flight, and those that ended without proof that they did not run.
     may_have_run: usize,
 }
 
 impl SubRequest {
     /// The furthest that any of its attempts got.
-    fn sent(&self) -> SendState {
+    fn furthest_send_state(&self) -> SendState {
         match (self.may_have_run, self.attempts) {
             (0, 0) => SendState::NotSent,
             (0, _) => SendState::Rejected,
@@ -93,29 +93,28 @@
         }
     }
 
-    /// Counts one more attempt of a sub-request, and says whether it may be sent at all: it may not where an earlier
-    /// one may have run and the route does not allow it to run twice.
+    /// Counts one more attempt of a sub-request, and says whether it may be sent.
     pub(super) fn begin_attempt(&mut self, sub_request: SubRequestIndex) -> BegunAttempt {
         let sub_request = &mut self.sub_requests[sub_request.0];
-        let permission = if may_retry(self.resolved.route.mode, sub_request.sent()) {
+        let safety = if may_retry(self.resolved.route.mode, sub_request.furthest_send_state()) {
             sub_request.may_have_run += 1;
-            Permission::Granted
+            SendSafety::Safe
         } else {
-            Permission::Denied
+            SendSafety::MayRunTwice
         };
         let number = sub_request.attempts;
         sub_request.attempts += 1;
-        BegunAttempt { number, permission }
+        BegunAttempt { number, safety }
     }
 
-    /// Takes in how an attempt completed.
+    /// Records how an attempt completed.
     pub(super) fn end_attempt(
         &mut self,
         sub_request: SubRequestIndex,
         completed: CompletedAttempt,
     ) {
         let sub_request = &mut self.sub_requests[sub_request.0];
-        if completed.outcome.sent != SendState::MayHaveRun {
+        if completed.outcome.send_state != SendState::MayHaveRun {
             sub_request.may_have_run -= 1;
         }
         match completed.response {
@@ -127,7 +126,7 @@
         }
     }
 
-    /// Answers from the responses that have arrived: the replica's own, or the merged records of all sub-requests.
+    /// Responds with what has arrived: the replica's own, or the merged records of all sub-requests.
     pub(super) fn complete(&mut self) {
         if self.client.is_none() {
             return;
@@ -154,7 +153,11 @@
         let response = if let Some(failure) = self.failure.take() {
             Response::forwarded(failure)
         } else {
-            let furthest = self.sub_requests.iter().map(SubRequest::sent).max();
+            let furthest = self
+                .sub_requests
+                .iter()
+                .map(SubRequest::furthest_send_state)
+                .max();
             Response::given_up(furthest.unwrap_or(SendState::NotSent), retry_after)
         };
         self.respond(response);
@@ -188,12 +191,14 @@
 pub(super) struct BegunAttempt {
     /// Its number among those of the sub-request, from 0.
     pub(super) number: usize,
-    pub(super) permission: Permission,
+    pub(super) safety: SendSafety,
 }
 
-/// Whether an attempt may be sent.
+/// Whether an attempt may be sent, by what was observed of the earlier ones of its sub-request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Permission {
-    Granted,
-    Denied,
+pub(super) enum SendSafety {
+    /// No earlier one can have run, or the route allows it to run twice.
+    Safe,
+    /// An earlier one may have run and the route does not allow a second run: it must not be sent.
+    MayRunTwice,
 }
--- a/crates/linenthread-dataplane/src/lib.rs
+++ b/crates/linenthread-dataplane/src/lib.rs
@@ -29,7 +29,7 @@
 mod server;
 mod shutdown;
 pub mod transport;
-mod zones;
+mod zone_indices;
 
 pub use data_plane::DataPlane;
 pub use rejected_input::log_rejected_input;
--- a/crates/linenthread-dataplane/src/outcome.rs
+++ b/crates/linenthread-dataplane/src/outcome.rs
@@ -1,6 +1,13 @@
 //! What became of an attempt, derived from what was observed on its connection.
 //!
-//! This is the one place that decides whether an attempt may have run, and whether it may be sent again.
+//! This is the one place that decides whether an attempt may have run ([`SendState`]). Whether its sub-request may be
+//! sent again is decided twice, so that one mistake does not make a request run twice:
+//!
+//! - by the decision module (`send_guard` in `linenthread-core`), which knows the [`AttemptOutcome`] alone and asks
+//!   [`AttemptOutcome::never_ran`];
+//! - by the dispatcher, which asks [`may_retry`] about the [`SendState`] before it hands an attempt to a pool.
+//!
+//! [`Outcome::of`] derives both from the same observation; for each one they agree.
 
 use linenthread_config::Mode;
 use linenthread_core::interface::AttemptOutcome;
@@ -17,9 +24,9 @@
     MayHaveRun,
 }
 
-/// Whether an attempt may be sent after an earlier one of the same sub-request got so far.
-pub fn may_retry(mode: Mode, sent: SendState) -> bool {
-    match (mode, sent) {
+/// Whether an attempt may be sent, where earlier ones of the same sub-request got no further than `furthest`.
+pub fn may_retry(mode: Mode, furthest: SendState) -> bool {
+    match (mode, furthest) {
         (Mode::Idempotent, _) | (Mode::Mutating, SendState::NotSent | SendState::Rejected) => true,
         (Mode::Mutating, SendState::MayHaveRun) => false,
     }
@@ -91,8 +98,8 @@
 pub struct Outcome {
     /// For the decision module, which judges the replica by it.
     pub attempt_outcome: AttemptOutcome,
-    /// For the rules of retries ([`may_retry`]).
-    pub sent: SendState,
+    /// How far it got, for the rules of retries ([`may_retry`]).
+    pub send_state: SendState,
 }
 
 impl Outcome {
@@ -100,7 +107,7 @@
     pub fn of(event: WireEvent, age: ConnectionAge, response_use: ResponseUse) -> Outcome {
         Outcome {
             attempt_outcome: attempt_outcome(event, age, response_use),
-            sent: send_state(event),
+            send_state: send_state(event),
         }
     }
 }
@@ -133,12 +140,16 @@
 ) -> AttemptOutcome {
     match event {
         WireEvent::PoolExhausted => AttemptOutcome::NotSent,
+        // Misdirected: another replica has the address now, so the one that was meant cannot be reached there, as if
+        // nobody had accepted the connection. A rejection would say that it is full and may be asked again soon.
         WireEvent::ConnectFailed | WireEvent::Misdirected => AttemptOutcome::ConnectFailed,
-        // A replica may close a connection that rests: only on a new one does that count against the replica.
+        // A replica may close an idle connection at any time: only on a new one does that count against the replica.
         WireEvent::NothingWritten => match age {
             ConnectionAge::New => AttemptOutcome::ConnectFailed,
             ConnectionAge::Reused => AttemptOutcome::NotSent,
         },
+        // The same holds here, but bytes were written, so it may have run and is not `NotSent`: an error counts as one
+        // failure and, unlike a lost connection, does not mark the replica down or suspect a crash.
         WireEvent::WriteTruncated | WireEvent::ClosedBeforeResponse => match age {
             ConnectionAge::New => AttemptOutcome::ConnectionLost,
             ConnectionAge::Reused => AttemptOutcome::Error,
@@ -151,6 +162,8 @@
             ResponseUse::Forwarded => AttemptOutcome::Success,
             ResponseUse::Merged => AttemptOutcome::Error,
         },
+        // The replica sent bytes, so it is up, yet nothing that can be used. A cut or malformed response counts like
+        // its own failure.
         WireEvent::ServerError
         | WireEvent::Unsealed
         | WireEvent::ResponseTruncated
--- a/crates/linenthread-dataplane/src/zones.rs
+++ b/crates/linenthread-dataplane/src/zone_indices.rs
@@ -1,4 +1,4 @@
-//! Zones by index, as the decision module knows them.
+//! The indices under which the decision module knows zones.
 
 use std::cell::RefCell;
 
@@ -7,13 +7,13 @@
 /// To how many keys of a thousand each zone is open: all of them.
 const OPEN_PER_MILLE: u16 = 1_000;
 
-/// The zones met so far, each of which has an index for the decision module.
-pub(crate) struct Zones(RefCell<Vec<String>>);
+/// The names of the zones met so far; a zone's index is its position.
+pub(crate) struct ZoneIndices(RefCell<Vec<String>>);
 
-impl Zones {
+impl ZoneIndices {
     /// Index 0 is the zone of this process.
-    pub(crate) fn new(local: &str) -> Zones {
-        Zones(RefCell::new(vec![local.to_owned()]))
+    pub(crate) fn new(local: &str) -> ZoneIndices {
+        ZoneIndices(RefCell::new(vec![local.to_owned()]))
     }
 
     /// The index of a zone, which gets the next one if it is new.
--- a/crates/linenthread-dataplane/tests/outcome.rs
+++ b/crates/linenthread-dataplane/tests/outcome.rs
@@ -53,7 +53,7 @@
     event: WireEvent,
     new: AttemptOutcome,
     reused: AttemptOutcome,
-    sent: SendState,
+    send_state: SendState,
 ) {
     for (age, attempt_outcome) in [(ConnectionAge::New, new), (ConnectionAge::Reused, reused)] {
         let outcome = Outcome::of(event, age, ResponseUse::Forwarded);
@@ -61,7 +61,7 @@
             outcome,
             Outcome {
                 attempt_outcome,
-                sent
+                send_state
             }
         );
     }
@@ -75,11 +75,11 @@
             for response_use in [ResponseUse::Forwarded, ResponseUse::Merged] {
                 let Outcome {
                     attempt_outcome,
-                    sent,
+                    send_state,
                 } = Outcome::of(event, age, response_use);
                 assert_eq!(
                     attempt_outcome.never_ran(),
-                    sent != SendState::MayHaveRun,
+                    send_state != SendState::MayHaveRun,
                     "{event:?}"
                 );
             }
@@ -92,9 +92,9 @@
     rejected = { SendState::Rejected, true },
     may_have_run = { SendState::MayHaveRun, false },
 )]
-fn a_mutating_request_is_retried_only_where_it_never_ran(sent: SendState, again: bool) {
-    assert_eq!(may_retry(Mode::Mutating, sent), again);
-    assert!(may_retry(Mode::Idempotent, sent));
+fn a_mutating_request_is_retried_only_where_it_never_ran(furthest: SendState, again: bool) {
+    assert_eq!(may_retry(Mode::Mutating, furthest), again);
+    assert!(may_retry(Mode::Idempotent, furthest));
 }
 
 fn head(text: &str) -> Head {
--- a/crates/linenthread-dataplane/tests/pool.rs
+++ b/crates/linenthread-dataplane/tests/pool.rs
@@ -145,11 +145,11 @@
 }
 
 fn may_have_run(ended: &CompletedAttempt, attempt_outcome: AttemptOutcome) -> bool {
-    let sent = SendState::MayHaveRun;
+    let send_state = SendState::MayHaveRun;
     ended.outcome
         == Outcome {
             attempt_outcome,
-            sent,
+            send_state,
         }
         && ended.response.is_none()
 }
@@ -325,7 +325,7 @@
             ended.outcome,
             Outcome {
                 attempt_outcome: AttemptOutcome::ConnectFailed,
-                sent: SendState::NotSent
+                send_state: SendState::NotSent
             }
         );
     }
@@ -339,8 +339,8 @@
         vec![(1, rejection_without_id())],
     ];
     let rig = rig(vec![first]);
-    assert_eq!(rig.call("a").await.outcome.sent, SendState::Rejected);
-    assert_eq!(rig.call("b").await.outcome.sent, SendState::Rejected);
+    assert_eq!(rig.call("a").await.outcome.send_state, SendState::Rejected);
+    assert_eq!(rig.call("b").await.outcome.send_state, SendState::Rejected);
     assert!(may_have_run(&rig.call("c").await, AttemptOutcome::Error));
     assert_eq!(rig.pool.idle(), 0);
 }
@@ -352,7 +352,11 @@
     let rig = rig(vec![rejected_twice, vec![vec![(1, answer("a", "1"))]]]);
     let request = request("a");
     assert_eq!(
-        rig.pool.call(&request, ATTEMPT_TIMEOUT).await.outcome.sent,
+        rig.pool
+            .call(&request, ATTEMPT_TIMEOUT)
+            .await
+            .outcome
+            .send_state,
         SendState::Rejected
     );
     assert_eq!(rig.pool.idle(), 1);
@@ -377,7 +381,7 @@
         ended.outcome,
         Outcome {
             attempt_outcome: AttemptOutcome::ConnectFailed,
-            sent: SendState::Rejected
+            send_state: SendState::Rejected
         }
     );
     assert_eq!(rig.pool.idle(), 0);
