--- a/crates/linenthread-core/src/interface/config.rs
+++ b/crates/linenthread-core/src/interface/config.rs
@@ -102,9 +102,9 @@
 /// All that a co-ordinator is configured with at its start.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CoordinatorConfig {
-    /// This co-ordinator's number among all of them, from 0.
+    /// This co-ordinator's number among all of them, from 0. In an ingress node: the number of the ingress node.
     pub coordinator_number: usize,
-    /// Number of co-ordinators that share the replicas.
+    /// Number of co-ordinators that share the replicas. In an ingress node: the number of ingress nodes.
     pub coordinator_count: usize,
     /// The indexes by their number.
     pub indexes: Vec<IndexConfig>,
--- a/crates/linenthread-core/src/lib.rs
+++ b/crates/linenthread-core/src/lib.rs
@@ -5,8 +5,12 @@
 //! no I/O, reads no clock, and knows no protocol: its callers decode requests and settings, hand out indices
 //! for replicas and queries, and carry the decisions out.
 //!
-//! Start reading with [`interface`], the plain types that go in and come out, then [`policy`], where one module
-//! stands for each decision. The records and sums that decisions are based on are in `state`; nothing is
+//! A "co-ordinator" is here whoever runs a [`Coordinator`]: the process `linenthread` (`linenthread-service`), and each
+//! dispatcher of an ingress node (`linenthread-dataplane`). Where the module counts co-ordinators, it counts processes
+//! of the first kind, or ingress nodes.
+//!
+//! Start reading with [`interface`], the plain types that go in and come out, then [`policy`], where each
+//! decision has a module. The records and sums that decisions are based on are in `state`; nothing is
 //! decided there. What turns floating-point numbers into integers is in [`conversion`].
 
 pub mod conversion;
--- a/crates/linenthread-core/src/policy/admission.rs
+++ b/crates/linenthread-core/src/policy/admission.rs
@@ -9,7 +9,7 @@
 use crate::interface::{FailureCause, IndexConfig, QueryIndex, ReplicaIndex, ValueGrowth};
 use crate::state::{DecayingSums, Distribution, Query, Replica, SubRequest};
 
-/// While little was observed, so many sub-requests of usual delay weigh in the estimate of delays.
+/// How many sub-requests of usual delay count in the estimate of delays beside those that were observed.
 ///
 /// Unit: sub-requests. Reason: the first few delays after a start must not decide on admission alone.
 const USUAL_DELAY_WEIGHT: f64 = 6.0;
@@ -83,22 +83,22 @@
 }
 
 impl DelayEstimate {
-    /// The expected delay, in tenths of a millisecond, of the slowest of so many sub-requests: about the mean
+    /// The expected delay, in tenths of a millisecond, of the slowest of `count` sub-requests: about the mean
     /// of the largest of n normal values.
     fn slowest_of(&self, count: f64) -> f64 {
         let deviations = (SLOWEST_VARIANCE_FACTOR * count.max(1.0).ln()).sqrt();
         (self.log_mean + deviations * self.log_deviation).exp()
     }
 
-    /// The expected delay, in tenths of a millisecond, of a query with so many sub-requests, both phases counted.
+    /// The expected delay, in tenths of a millisecond, of a query with this many sub-requests, both phases counted.
     fn of_query(&self, sub_request_count: f64, index: &IndexConfig) -> f64 {
         let fetch_phase = if index.fetch_sub_requests > 0 {
             self.slowest_of(index.fetch_sub_requests as f64)
         } else {
             0.0
         };
-        // Those that a response may lack are not waited for: all count where it may lack none, else so few that their
-        // number stays below 1 / (1 - min_share).
+        // A response does not wait for the slowest sub-requests if it may lack them. Where it may lack none, all count;
+        // else the number that counts levels off below 1 / (1 - min_share), however many there are.
         let needed = sub_request_count / (1.0 + (1.0 - index.min_share) * sub_request_count);
         self.slowest_of(needed) + fetch_phase
     }
@@ -170,7 +170,7 @@
         let log_delays = &self.fleet.log_delays;
         let Distribution { mean, deviation } =
             log_delays.distribution(MIN_WEIGHT).unwrap_or_default();
-        // The share that what was observed weighs beside the usual delay.
+        // How much the observed delays count beside the usual one.
         let observed = log_delays.weight / (log_delays.weight + USUAL_DELAY_WEIGHT);
         let usual = (USUAL_DELAY_SHARE * self.min_soft_deadline).ln();
         DelayEstimate {
@@ -205,7 +205,7 @@
     /// it is greater. Above 1 the query is expected late.
     fn pressure(&self, query: &Query, delays: &DelayEstimate, slowdown: f64) -> f64 {
         let count = query.sub_requests.len() as f64;
-        // A client that leaves sooner is not worth the attempts.
+        // A client may leave before the soft deadline: a response after that is of no use.
         let end = query.soft_deadline.min(query.hard_deadline);
         let time_left = (end - self.now).max(1) as f64;
         let of_this_query = delays.of_query(count, self.index_of(query)) * slowdown / time_left;
@@ -216,9 +216,9 @@
         indexes.filter_map(of_index).fold(of_this_query, f64::max) / IN_TIME_SHARE
     }
 
-    /// Whether a customer sent clearly more than its share of the queries that arrived here of late. Its share is that
-    /// of the quotas and no number of queries, so that traffic that moves here from another co-ordinator puts nobody
-    /// over.
+    /// Whether a customer sent clearly more than its share of the queries that arrived here recently. Its share is that
+    /// of the quotas, not a number of queries: so nobody goes over it because traffic moves here from another
+    /// co-ordinator.
     fn is_over_quota(&self, customer: usize) -> bool {
         let (quotas, queries) = (&self.config.customer_quotas, &self.fleet.customer_queries);
         let all: f64 = queries.iter().map(|sums| sums.weight).sum();
--- a/crates/linenthread-core/src/policy/attempt_result.rs
+++ b/crates/linenthread-core/src/policy/attempt_result.rs
@@ -18,7 +18,7 @@
 /// Unit: 0.1 ms (3 s). Reason: the same as where probes are permitted but fail.
 const MAX_TRIAL_WAIT: TenthMillis = OUTAGE_TRIAL;
 
-/// A hedged request that came first makes room for so many more.
+/// A hedged request that came first makes room for this many more.
 ///
 /// Unit: attempts. Reason: it was needed, so where replicas hang the hedged requests may follow.
 const HEDGES_PER_WIN: f64 = 2.0;
@@ -226,7 +226,8 @@
         }
     }
 
-    /// The observations of a replica and those of its zone, which lend weight to replicas that are seldom observed.
+    /// The observations of a replica and those of its zone. Each attempt counts in both, since a replica that is seldom
+    /// observed is scored mostly by its zone's.
     fn observations_of(&mut self, replica: ReplicaIndex) -> [&mut Observations; 2] {
         let replica = &mut self.replicas[replica];
         let zone = &mut self.zones[replica.entry.zone];
@@ -245,8 +246,8 @@
         }
     }
 
-    /// A connection lost under a query may mean that the query made the replica crash; a probe is to tell. Each replica
-    /// is suspected once a query: further connections that it loses are no further evidence.
+    /// A connection lost under a query may mean that the query made the replica crash; a probe will show it. Each
+    /// replica is suspected once a query: further connections that it loses are no further evidence.
     fn suspect_crash(&mut self, query_index: QueryIndex, replica: ReplicaIndex) {
         let health_probes = self.config.permissions.health_probes;
         let query = self.open_query_mut(query_index);
--- a/crates/linenthread-core/src/policy/capacity.rs
+++ b/crates/linenthread-core/src/policy/capacity.rs
@@ -21,12 +21,12 @@
 /// Unit: factor. Reason: quick responses to few attempts do not show what many would meet.
 const MAX_QUICK_FACTOR: f64 = 2.0;
 
-/// So many attempts in flight at one replica are never too many.
+/// The limit on attempts in flight at one replica is never below this.
 ///
 /// Unit: attempts from here. Reason: with little traffic the estimate is too coarse to reject by.
 const MIN_IN_FLIGHT_PER_REPLICA: f64 = 5.0;
 
-/// So many attempts in flight are never too many in all.
+/// The limit on attempts in flight at all replicas together is never below this.
 ///
 /// Unit: attempts for each replica, divided by the root of the number of co-ordinators. Reason: as for one replica.
 const MIN_IN_FLIGHT: f64 = 3.0;
@@ -43,7 +43,7 @@
         }
     }
 
-    /// What a warm replica serves from here within the slow-start window. Only responses tell what a replica
+    /// What a warm replica serves from here within the slow-start window. Only responses show what a replica
     /// can do; one core serves at least one sub-request in the lowest median.
     fn learn_warm_capacity(&mut self, median: f64, ready_count: f64) {
         let window = self.config.slow_start.window as f64;
--- a/crates/linenthread-core/src/policy/coordinator.rs
+++ b/crates/linenthread-core/src/policy/coordinator.rs
@@ -15,7 +15,7 @@
 /// Unit: 0.1 ms (10 ms). Reason: hedging, deadlines and scores are due at moments at which nothing may arrive.
 const MAX_STEP_INTERVAL: TenthMillis = 100;
 
-/// One co-ordinator: a deterministic state machine without I/O or clock.
+/// One co-ordinator: a deterministic state machine without I/O or clock. It also runs inside each ingress node.
 ///
 /// Make one of a configuration and a seed, then call [`step`](Self::step) with all that arrived since and a
 /// sink for the decisions. It asks to be woken by itself.
@@ -73,7 +73,7 @@
     }
 
     /// Sets this co-ordinator's part of the retry budget: the attempts permitted whatever the load, its number,
-    /// and the number of co-ordinators.
+    /// and the number of co-ordinators; of ingress nodes, where it runs in one.
     pub fn set_retry_quota(
         &mut self,
         reserve: f64,
@@ -87,7 +87,7 @@
         }
     }
 
-    /// Takes all that arrived and writes what is decided on it.
+    /// Applies all that arrived and writes what is decided on it.
     pub fn step(&mut self, inputs: &Inputs, sink: &mut impl DecisionSink) {
         self.now = inputs.now;
         self.start_timers();
--- a/crates/linenthread-core/src/policy/health_probe.rs
+++ b/crates/linenthread-core/src/policy/health_probe.rs
@@ -13,7 +13,7 @@
 /// Unit: 0.1 ms (150 ms). Reason: an attempt there would be lost, so its return is to be noticed soon.
 const OUTAGE_PROBE_INTERVAL: TenthMillis = 1_500;
 
-/// How long a query's first attempts wait while all replicas of a shard owe the end of a probe.
+/// How long a query's first attempts wait while the probes of all replicas of a shard are in flight.
 ///
 /// Unit: share of the shortest soft deadline. Reason: a worse replica chosen now is better than a late choice.
 const MAX_PROBE_WAIT_SHARE: f64 = 0.05;
@@ -30,8 +30,8 @@
 
 /// Where replicas report no queue: how many queries probe first for each probe that was late.
 ///
-/// Unit: share of queries / share of probes. Reason: a probe tells by its delay alone there, so few go while all are
-/// quick.
+/// Unit: share of queries / share of probes. Reason: a probe shows load by its delay alone there, so few go while
+/// all are quick.
 const PROBING_PER_LATE_PROBE: f64 = 12.0;
 
 impl Coordinator {
@@ -129,8 +129,8 @@
             && !query.sub_requests.is_empty()
     }
 
-    /// Whether the probes sent for a query are still waited for: any of them briefly, and for longer where all replicas
-    /// of a shard owe the end of one.
+    /// Whether the probes sent for a query are still waited for: any of them briefly, and for longer where those of
+    /// all replicas of a shard are in flight.
     fn waits_for_probes(
         &self,
         query: &Query,
--- a/crates/linenthread-core/src/policy/latency.rs
+++ b/crates/linenthread-core/src/policy/latency.rs
@@ -5,7 +5,7 @@
 use crate::state::Attempt;
 
 impl Coordinator {
-    /// The response time over all replicas that lies so many standard deviations above the median, in tenths
+    /// The response time over all replicas that lies this many standard deviations above the median, in tenths
     /// of a millisecond. While nothing was observed, half of the shortest soft deadline.
     pub(super) fn latency_at(&self, deviations: f64) -> f64 {
         self.fleet
--- a/crates/linenthread-core/src/policy/mod.rs
+++ b/crates/linenthread-core/src/policy/mod.rs
@@ -1,5 +1,7 @@
 //! The decisions of one co-ordinator, one decision a module.
 //!
+//! "Co-ordinator" is whoever runs the [`Coordinator`]: the process of that name, or the dispatcher of an ingress node.
+//!
 //! The ordinary path is dynamic snitching: each sub-request has a natural replica, the first in a hash of its
 //! shard and the query's key (`natural_replica`), and leaves it only while that replica's score (`score`)
 //! is worse than the best by more than a threshold. The other modules decide what that design leaves open:
@@ -68,14 +70,14 @@
 
 pub use coordinator::Coordinator;
 
-/// Share of its value that a late response earns, where no settings tell.
+/// Share of its value that a late response earns, where no settings say.
 ///
 /// Unit: share of a query's value. Reason: above the limit under which `resolution` no longer waits for them.
 pub const DEFAULT_LATE_VALUE_SHARE: f64 = 0.3;
 
 /// What a partial response earns, times the share of the weight that succeeded.
 ///
-/// Unit: share of a query's value. Reason: with the share, it stands in for users who value a partial response by about
+/// Unit: share of a query's value. Reason: with the share, it approximates users who value a partial response by about
 /// the square of that share.
 pub const DEFAULT_PARTIAL_VALUE: f64 = 0.6;
 
--- a/crates/linenthread-core/src/policy/resolution.rs
+++ b/crates/linenthread-core/src/policy/resolution.rs
@@ -65,8 +65,8 @@
 impl Coordinator {
     /// Takes one open query a step further: responds to it, gives it up, or sends what it still needs.
     ///
-    /// The order matters: a response that is there is given even when the time is up, and a query is judged by
-    /// admission only once it could be answered at all.
+    /// The order matters: a query that has enough responses is responded to even when its time is up, and admission
+    /// judges a query only if it can be answered at all.
     pub(super) fn resolve(&mut self, query_index: QueryIndex, sink: &mut impl DecisionSink) {
         if self.probe_before_first_attempts(query_index, sink) {
             return;
--- a/crates/linenthread-core/src/policy/score.rs
+++ b/crates/linenthread-core/src/policy/score.rs
@@ -1,5 +1,5 @@
 //! The score of each replica, updated on a timer. The lower the better: the median response time relative to
-//! the largest one, plus penalties for failures, silence and a probe that is owed.
+//! the largest one, plus penalties for failures, silence and a late probe.
 
 use super::Coordinator;
 use super::windows::{
@@ -38,11 +38,11 @@
 /// What is added to the score of a replica that has not responded to a probe in time.
 ///
 /// Unit: score. Reason: between the slowest median, which counts 1, and a replica that only fails.
-const PROBE_OWED: f64 = 4.0;
+const LATE_PROBE: f64 = 4.0;
 
 /// How much slower observations decay at most where few responses come from each replica.
 ///
-/// Unit: factor. Reason: older observations than half a minute tell nothing of a replica's present.
+/// Unit: factor. Reason: observations older than half a minute say nothing of a replica's present.
 const MAX_TIME_CONSTANT_FACTOR: f64 = 10.0;
 
 /// The weight of one more update in a smoothed value.
@@ -55,7 +55,7 @@
     now: TenthMillis,
     /// A response time from which on attempts are slow.
     slow: f64,
-    /// The lowest recent median, which a queued sub-request takes at least.
+    /// The lowest recent median: a queued sub-request takes no less.
     lowest_median: f64,
     /// The mean logarithm of all response times.
     fleet_mean: f64,
@@ -64,8 +64,8 @@
 }
 
 impl Baseline {
-    /// The median response time of a replica. One that has responded seldom leans on its zone's average, and
-    /// a zone on the fleet's.
+    /// The median response time of a replica. One that has responded seldom is given mostly its zone's average, and a
+    /// zone that has mostly the fleet's.
     fn median(&self, replica: &Observations, zone: &Observations) -> f64 {
         let zone_mean = zone
             .log_latencies
@@ -99,12 +99,13 @@
         (silent as f64 - self.slow).max(0.0) / self.largest_median
     }
 
-    /// What is added while the replica owes the end of a probe. A report from after the probe settles it, too.
+    /// What is added while a probe of the replica is late. A report that was made after the probe was sent ends that,
+    /// too.
     fn probe_penalty(&self, replica: &Replica) -> f64 {
         replica
             .probe_sent_at
             .filter(|&at| self.now - at >= PROBE_TIMEOUT && replica.last_report_at < at)
-            .map_or(0.0, |_| PROBE_OWED)
+            .map_or(0.0, |_| LATE_PROBE)
     }
 }
 
--- a/crates/linenthread-core/src/policy/send_guard.rs
+++ b/crates/linenthread-core/src/policy/send_guard.rs
@@ -56,7 +56,9 @@
     ) -> bool {
         let replica = &self.replicas[replica_index];
         let gives_up_at = gives_up_at(query, self.index_of(query));
-        // Without probes only an attempt can find that the replica is back, so it counts as it is now.
+        // With probes, an attempt may try a replica whose outage has lasted long enough, even if no probe reached it:
+        // that may come before the query is given up. Without probes only an attempt can find that a replica is back,
+        // so waiting would show nothing, and the replica counts as it is now.
         let checked_at = if self.config.permissions.health_probes {
             gives_up_at
         } else {
@@ -67,8 +69,9 @@
         stays_down || is_retry && replica.expected_latency > (gives_up_at - self.now) as f64
     }
 
-    /// Whether attempts may be sent to the replica at a moment: it is up, or has been down for so long that an attempt
-    /// may try it. Where no probes are permitted attempts try it one at a time, soon and then less and less often.
+    /// Whether attempts may be sent to the replica at a moment: it is up, or its outage has lasted long enough for an
+    /// attempt to try it. Where no probes are permitted attempts try it one at a time, soon and then less and less
+    /// often.
     pub(super) fn is_up(&self, replica_index: ReplicaIndex, at: TenthMillis) -> bool {
         let replica = &self.replicas[replica_index];
         let may_be_tried = |outage: Outage| {
--- a/crates/linenthread-core/src/policy/slow_start.rs
+++ b/crates/linenthread-core/src/policy/slow_start.rs
@@ -9,7 +9,7 @@
 /// Unit: share of the budget. Reason: the capacity that it is a multiple of is estimated.
 const BUDGET_USE: f64 = 0.8;
 
-/// Where co-ordinators take turns, turns come so often that this share of them is used.
+/// Where co-ordinators take turns, their turns come often enough that this share of them is used.
 ///
 /// Unit: share of turns. Reason: a co-ordinator that sees little seldom has an attempt for the replica in its turn.
 const USED_TURNS: f64 = 0.5;
@@ -52,9 +52,12 @@
         }
     }
 
-    /// With a budget of less than one attempt in each window, the co-ordinators take turns, window by window
-    /// since the replica's start. One that sees little seldom has an attempt for it in its turn: there more
-    /// co-ordinators have theirs at once, so that the budget is not left unused.
+    /// Whether this co-ordinator may use the replica's budget in the present window.
+    ///
+    /// Where its budget is less than one attempt in each window, it has one attempt in each 1 / `budget` windows,
+    /// counted from the replica's start; the co-ordinators take turns. A co-ordinator with little traffic often has no
+    /// attempt for the replica in its turn, so its turns come up to [`MAX_TURN_FACTOR`] times as often, though some of
+    /// them then coincide with others': else most of the budget would be left unused.
     fn is_turn(&self, replica_index: ReplicaIndex, budget: f64) -> bool {
         let replica = &self.replicas[replica_index];
         let age = self.now - replica.started_at().unwrap_or(0);
--- a/crates/linenthread-core/src/policy/windows.rs
+++ b/crates/linenthread-core/src/policy/windows.rs
@@ -32,7 +32,7 @@
 /// Unit: observations. Reason: a mean of a few old remainders says nothing of the present.
 pub(super) const MIN_WEIGHT: f64 = 0.1;
 
-/// About so many responses of a replica are remembered.
+/// How many responses of a replica are remembered, about.
 ///
 /// Unit: responses. Reason: a memory by number holds as much where a replica is seen seldom.
 pub(super) const REMEMBERED_RESPONSES: f64 = 6.0;
@@ -52,7 +52,7 @@
 /// Unit: share of a query's weight. Reason: weights arrive as rounded shares, so all of them may sum to less than 1.
 pub(super) const WEIGHT_ROUNDING: f64 = 0.0001;
 
-/// A response time so many standard deviations above the mean is slow.
+/// A response time this many standard deviations above the mean is slow.
 ///
 /// Unit: standard deviations of the logarithm. Reason: about one response in forty takes longer.
 pub(super) const SLOW_DEVIATIONS: f64 = 2.0;
--- a/crates/linenthread-dataplane/src/connection.rs
+++ b/crates/linenthread-dataplane/src/connection.rs
@@ -48,7 +48,7 @@
 #[derive(Debug, PartialEq, Eq, Snafu)]
 #[snafu(display("after {written} bytes: {source}"))]
 pub struct WriteError {
-    /// How many bytes this side has handed over: so many may have reached the other side.
+    /// How many bytes this side has handed over. All of them may have reached the other side.
     pub written: usize,
     /// Why the rest was not.
     pub source: ConnectionError,
--- a/crates/linenthread-dataplane/src/data_plane.rs
+++ b/crates/linenthread-dataplane/src/data_plane.rs
@@ -20,7 +20,7 @@
 
 /// The fewest connections that this process may have to a replica, however many ingress nodes share its limit.
 const MIN_CONNECTIONS: usize = 2;
-/// An `f64` holds integers of so many bits exactly.
+/// An `f64` holds integers of this many bits exactly.
 const F64_BITS: u32 = 53;
 
 /// Which dispatcher: the backends that are queried together, in the order of their names, and how often each
@@ -130,7 +130,7 @@
         }
     }
 
-    /// Takes in what service discovery says of replicas.
+    /// Applies an update of the replicas from service discovery.
     pub fn update_replicas(&self, replicas: &[linenthread_messages::Replica], scope: UpdateScope) {
         let changed = self.replicas.borrow_mut().update(replicas, scope);
         if changed.is_empty() {
--- a/crates/linenthread-dataplane/src/dispatcher.rs
+++ b/crates/linenthread-dataplane/src/dispatcher.rs
@@ -71,7 +71,8 @@
         self.backends.contains(backend)
     }
 
-    /// Sets the quota of this process, and how many of its retries this dispatcher may send in each window.
+    /// Sets the quota of this process, and how many of its retries this dispatcher may send in each window. The ingress
+    /// nodes are the co-ordinators that the decision module counts.
     pub(crate) fn set_retry_quota(&self, quota: &RetryQuota, retries_per_window: f64) {
         self.state.borrow_mut().coordinator.set_retry_quota(
             retries_per_window,
--- a/crates/linenthread-dataplane/src/dispatcher/pass_through.rs
+++ b/crates/linenthread-dataplane/src/dispatcher/pass_through.rs
@@ -26,7 +26,7 @@
 }
 
 impl PassThrough {
-    /// One step: takes in what arrived, sends new sub-requests and ends queries whose sub-requests have all ended.
+    /// One step: applies what arrived, sends new sub-requests and ends queries whose sub-requests have all ended.
     pub(super) fn step(&mut self, inputs: &Inputs, sink: &mut impl DecisionSink) {
         for update in &inputs.membership {
             if let MembershipUpdate::Delta(listed) = update {
--- a/crates/linenthread-dataplane/src/dispatcher/policy_inputs.rs
+++ b/crates/linenthread-dataplane/src/dispatcher/policy_inputs.rs
@@ -11,13 +11,13 @@
 
 use crate::clock;
 
-/// The shortest time that is handed to the decision module, in milliseconds.
+/// The shortest time that the decision module gets, in milliseconds.
 const MIN_TIME_MS: f64 = 1.0;
-/// The longest time that is handed to the decision module, in milliseconds.
+/// The longest time that the decision module gets, in milliseconds.
 const MAX_TIME_MS: f64 = 1e9;
 /// Routes of lower priority are all of the same value.
 const MAX_PRIORITY: i64 = 1_000;
-/// The window of the decision module's budget for replicas that are warming up.
+/// The window of the decision module's budget for replicas in slow start, in tenths of a millisecond (1 s).
 const SLOW_START_WINDOW: TenthMillis = 10_000;
 
 fn tenth_millis(ms: f64) -> TenthMillis {
@@ -47,9 +47,8 @@
     }
 }
 
-/// The coordinator of so many backends that are queried together, each sub-request of which may be sent so many times.
-///
-/// The retry budget holds at each backend; that all retries went to one of them is allowed for.
+/// The configuration of the decision module for `backends` backends that are queried together, each sub-request of
+/// which may be sent `max_attempts` times.
 pub(super) fn coordinator_config(
     backends: usize,
     max_attempts: usize,
@@ -73,7 +72,8 @@
             health_probes: false,
             max_retry_after: Some(TenthMillis::MAX),
         },
-        // Replicas announce that they are slow after their start; nothing says that load makes them crash.
+        // Slow start is off: the operators' pages say that replicas are slow after their start, and nothing says that
+        // load makes them crash then.
         slow_start: SlowStart {
             initial_share: 1.0,
             duration: 0,
@@ -84,7 +84,11 @@
         short_queues: true,
         drain_grace: 0,
         retry_budget: Some(RetryBudget {
+            // A quota grant sets it (`set_retry_quota`).
             reserve: 0.0,
+            // The module permits `ratio` retries for each query and for each sub-request, of which a request has
+            // `backends`. Divided by their number, the retries of all backends together stay within the budget of the
+            // settings, which therefore holds at each backend even where all retries go to one.
             ratio: BUDGET_UTILIZATION * settings.retry_ratio / (1 + backends) as f64,
             window: tenth_millis(settings.retry_window.as_millis() as f64),
         }),
--- a/crates/linenthread-dataplane/src/dispatcher/replica_slots.rs
+++ b/crates/linenthread-dataplane/src/dispatcher/replica_slots.rs
@@ -38,7 +38,7 @@
         &self.pools[replica.0]
     }
 
-    /// Takes in the status of a replica; its index, unless it is unknown and has departed already. `last_query`
+    /// Applies the status of a replica; its index, unless it is unknown and has departed already. `last_query`
     /// is the last query that was opened.
     pub(super) fn update(
         &mut self,
@@ -56,7 +56,7 @@
         Some(replica)
     }
 
-    /// The index of a replica, which gets one if it is new and there.
+    /// The index of a replica, which gets one if it is new and has not departed.
     fn index_of(&mut self, pool: &Rc<ReplicaPool<C>>) -> Option<ReplicaIndex> {
         if let Some(known) = self.indices.get(pool.id()) {
             return Some(*known);
--- a/crates/linenthread-dataplane/src/pool.rs
+++ b/crates/linenthread-dataplane/src/pool.rs
@@ -25,7 +25,7 @@
 use crate::outcome::{ConnectionAge, Outcome, WireEvent, classify_response};
 use crate::transport::{Connector, TcpConnector};
 
-/// A replica that has departed is remembered for so long, since late updates may still name it.
+/// How long a replica that has departed is remembered, since late updates may still name it.
 const DEPARTED_RETENTION: Duration = Duration::from_secs(120);
 
 /// What service discovery says of a replica. Neither excludes the other: one that drained may depart, and return.
@@ -33,7 +33,7 @@
 pub struct ReplicaStatus {
     /// It has announced that it will end.
     pub draining: bool,
-    /// It is not there any more.
+    /// It is not registered any more.
     pub departed: bool,
 }
 
@@ -41,12 +41,12 @@
 pub struct CompletedAttempt {
     /// How it ended.
     pub outcome: Outcome,
-    /// Only one that a client may get.
+    /// Present only if a client may get it.
     pub response: Option<ReplicaResponse>,
 }
 
 impl ReplicaStatus {
-    /// Whether it is there to stay: connections to it are worth keeping.
+    /// Whether it is registered and not about to end, so that connections to it are worth keeping.
     pub fn is_available(self) -> bool {
         !self.draining && !self.departed
     }
@@ -107,12 +107,12 @@
         &self.zone
     }
 
-    /// What was last said of it.
+    /// Its status by the last update that named it.
     pub fn status(&self) -> ReplicaStatus {
         self.status.get()
     }
 
-    /// Notes what is said of it now.
+    /// Sets its status, by an update that names it.
     pub fn set_status(&self, status: ReplicaStatus) {
         self.status.set(status);
         self.departure_changed_at.set(clock::now());
@@ -189,8 +189,8 @@
         Ok(connection)
     }
 
-    /// Makes sure that one more connection is allowed. The oldest idle one is closed for it, if need be: those that are
-    /// idle at this point have all carried the request.
+    /// Makes sure that one more connection is allowed; if need be, closes the oldest idle one. Nothing is lost by that:
+    /// those that are still idle have all carried this request, so it cannot use them.
     fn reserve_capacity(&self) -> Result<(), WireEvent> {
         let max_connections = self.max_connections.get();
         let in_use = self.in_use.get();
--- a/crates/linenthread-dataplane/src/pool/exchange.rs
+++ b/crates/linenthread-dataplane/src/pool/exchange.rs
@@ -1,4 +1,4 @@
-//! One request and its response on a connection, and the observations that its errors stand for.
+//! One request and its response on a connection, and the observation that each of its errors is.
 
 use std::time::Duration;
 
@@ -14,8 +14,8 @@
 const MAX_HEAD_BYTES: usize = 16_384;
 /// The longest body of a response, in bytes.
 const MAX_BODY_BYTES: usize = 8 << 20;
-/// A replica ends an attempt by itself when the time that it was given is over; its message about that is
-/// awaited for so much longer.
+/// How long a response is awaited after the time that the replica was given: a replica ends an attempt by itself then,
+/// and says so.
 const RESPONSE_SLACK: Duration = Duration::from_millis(40);
 
 /// A replica's complete response.
--- a/crates/linenthread-dataplane/src/pool/leased.rs
+++ b/crates/linenthread-dataplane/src/pool/leased.rs
@@ -11,7 +11,7 @@
 use crate::outcome::ConnectionAge;
 use crate::transport::Connector;
 
-/// A connection is not used any more so shortly before the end that its replica announced.
+/// How long before the end that its replica announced a connection is no longer used.
 const KEEP_ALIVE_MARGIN: Duration = Duration::from_millis(700);
 
 /// The identity of a connection within this thread; never used again.
@@ -70,8 +70,8 @@
         }
     }
 
-    /// Ready for another request, if the replica keeps it open after a response with this head and nothing is
-    /// behind that.
+    /// Makes it ready for another request, if the replica keeps it open after a response with this head and no byte
+    /// follows the response.
     pub(super) fn into_idle(self, last_response: &Head) -> Option<IdleConnection<C>> {
         if !last_response.keeps_alive() || !self.http.is_idle() {
             return None;
--- a/crates/linenthread-dataplane/src/pool/request.rs
+++ b/crates/linenthread-dataplane/src/pool/request.rs
@@ -64,7 +64,7 @@
         self.connections.borrow_mut().push(connection);
     }
 
-    /// The bytes of an attempt to this replica, with so much time left.
+    /// The bytes of an attempt to this replica, with the time that is left for it.
     pub(super) fn to_bytes(&self, replica_id: &str, remaining: Duration) -> Vec<u8> {
         let length = self.head.len() + REPLICA_HEADER_BYTES + replica_id.len() + self.rest.len();
         let mut bytes = Vec::with_capacity(length);
--- a/crates/linenthread-dataplane/src/replica_table.rs
+++ b/crates/linenthread-dataplane/src/replica_table.rs
@@ -16,7 +16,7 @@
 /// What an update of replicas says of those that it leaves out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UpdateScope {
-    /// It names all there are: others have departed.
+    /// It names all registered replicas: others have departed.
     Complete,
     /// It names those that have changed.
     Changes,
@@ -38,7 +38,7 @@
         }
     }
 
-    /// Takes in an update; the pools of the replicas whose status changed.
+    /// Applies an update; the pools of the replicas whose status changed.
     pub(crate) fn update(&mut self, replicas: &[Replica], scope: UpdateScope) -> Pools<C> {
         let mut changed: Pools<C> = replicas
             .iter()
@@ -51,7 +51,7 @@
         changed
     }
 
-    /// Takes in what is said of one replica; its pool, if it changed.
+    /// Applies the update of one replica; its pool, if its status changed.
     fn update_one(&mut self, replica: &Replica) -> Option<Rc<ReplicaPool<C>>> {
         let status = ReplicaStatus {
             draining: replica.draining,
--- a/crates/linenthread-dataplane/src/server/receive.rs
+++ b/crates/linenthread-dataplane/src/server/receive.rs
@@ -50,7 +50,7 @@
 /// Why no request could be read.
 #[derive(Debug, Snafu)]
 pub(super) enum ReceiveError {
-    /// The client has left or is too slow: nobody is there to respond to.
+    /// The client has left or is too slow: there is nobody to respond to.
     #[snafu(display("{source}"))]
     Connection {
         /// What happened on the connection.
--- a/crates/linenthread-http/src/body.rs
+++ b/crates/linenthread-http/src/body.rs
@@ -107,7 +107,7 @@
     usize::try_from(length).map_or(limit, |length| length.min(limit))
 }
 
-/// Takes the size line of a chunk off the buffer, if it is there; what follows it.
+/// Takes the size line of a chunk off the buffer, if all of it has arrived; what follows it.
 fn read_chunk_size(buffer: &mut BytesMut) -> Result<Option<State>, ParseError> {
     match httparse::parse_chunk_size(buffer) {
         Ok(httparse::Status::Complete((length, size))) => {
@@ -122,7 +122,7 @@
     }
 }
 
-/// Takes the line end behind a chunk off the buffer, if it is there; what follows it.
+/// Takes the line end behind a chunk off the buffer, if all of it has arrived; what follows it.
 fn read_chunk_end(buffer: &mut BytesMut) -> Result<Option<State>, ParseError> {
     if buffer.len() < LINE_END.len() {
         return Ok(None);
@@ -134,7 +134,7 @@
     Ok(Some(State::ChunkSize))
 }
 
-/// Takes one trailer line off the buffer, if it is there; what follows it.
+/// Takes one trailer line off the buffer, if all of it has arrived; what follows it.
 fn read_trailer(buffer: &mut BytesMut) -> Result<Option<State>, ParseError> {
     let Some(length) = buffer
         .windows(LINE_END.len())
--- a/crates/linenthread-http/src/framing.rs
+++ b/crates/linenthread-http/src/framing.rs
@@ -2,7 +2,7 @@
 
 use crate::{Head, ParseError};
 
-/// The most digits of a `Content-Length`; every number of so many fits a `u64`.
+/// The most digits of a `Content-Length`; every number of that many fits a `u64`.
 const MAX_LENGTH_DIGITS: usize = 15;
 
 /// How the end of a body is found.
--- a/crates/linenthread-http/src/head.rs
+++ b/crates/linenthread-http/src/head.rs
@@ -68,7 +68,7 @@
 }
 
 impl Head {
-    /// Takes a complete request head of at most `max_bytes` bytes off the buffer, if one is there.
+    /// Takes a complete request head of at most `max_bytes` bytes off the buffer, if one has arrived.
     ///
     /// # Errors
     /// A malformed head, or one that is too long.
@@ -93,7 +93,7 @@
         Ok(Some(head))
     }
 
-    /// Takes a complete response head of at most `max_bytes` bytes off the buffer, if one is there. Heads that
+    /// Takes a complete response head of at most `max_bytes` bytes off the buffer, if one has arrived. Heads that
     /// only announce another (1xx) are skipped.
     ///
     /// # Errors
--- a/crates/linenthread-node/src/control_client/quota_requests.rs
+++ b/crates/linenthread-node/src/control_client/quota_requests.rs
@@ -1,10 +1,10 @@
-//! The requests for a retry quota that were sent lately.
+//! The requests for a retry quota that were sent recently.
 
 use std::collections::VecDeque;
 
 use linenthread_time::Instant;
 
-/// So many requests are remembered; grants for older ones are of no use any more.
+/// How many requests are remembered; grants for older ones are of no use any more.
 const MAX_REMEMBERED: usize = 64;
 
 struct QuotaRequest {
--- a/crates/linenthread-node/src/control_client/session.rs
+++ b/crates/linenthread-node/src/control_client/session.rs
@@ -18,11 +18,11 @@
 
 /// Between two heartbeats to the control node.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(500);
-/// A control node from which nothing arrives for so long is given up; it sends heartbeats of its own.
+/// How long nothing may arrive from the control node, which sends heartbeats of its own, before the session ends.
 const RECEIVE_TIMEOUT: Duration = Duration::from_millis(1_600);
 /// How long the connection may take.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(600);
-/// A control node that says in so many heartbeats in a row that it is without quorum is given up.
+/// How many heartbeats in a row may say that the control node is without quorum before the session ends.
 const MAX_HEARTBEATS_WITHOUT_QUORUM: u32 = 2;
 
 /// Why a session ended that had begun.
@@ -145,7 +145,7 @@
         }
     }
 
-    /// Takes in a message of the control node.
+    /// Applies a message of the control node.
     fn on_message(&self, message: PeerMessage) -> Flow {
         match message {
             PeerMessage::Hello(hello) => {
@@ -170,7 +170,7 @@
         Flow::Continue
     }
 
-    /// Takes in changes of control nodes, replicas and the configuration.
+    /// Applies changes of control nodes, replicas and the configuration.
     fn on_update(&self, update: IngressUpdate) {
         let ControlClient {
             plane, position, ..
@@ -212,7 +212,7 @@
         }
     }
 
-    /// Takes in a grant, if it is for this incarnation and not of an earlier leader than the one in force.
+    /// Applies a grant, if it is for this incarnation and not of an earlier leader than the one in force.
     fn on_quota_grant(&self, grant: &QuotaGrant) {
         let ControlClient {
             plane, incarnation, ..
--- a/crates/linenthread-node/src/ingress.rs
+++ b/crates/linenthread-node/src/ingress.rs
@@ -27,8 +27,8 @@
 const MAX_CLIENTS: usize = 2_500;
 /// How often the data plane closes and forgets what is out of date.
 const MAINTENANCE_INTERVAL: Duration = Duration::from_secs(1);
-/// New connections still arrive for so long after a shutdown was requested: load balancers check readiness once a
-/// second.
+/// How long new connections are still accepted after a shutdown was requested: load balancers check readiness once a
+/// second, so some still send clients here.
 const ACCEPT_WHILE_DRAINING: Duration = Duration::from_millis(2_600);
 /// What is left of the grace period when the last requests are given up.
 const SHUTDOWN_MARGIN: Duration = Duration::from_millis(600);
--- a/crates/linenthread-node/src/main.rs
+++ b/crates/linenthread-node/src/main.rs
@@ -60,7 +60,7 @@
 /// What is left of the grace period when a control node stops waiting for others.
 const SHUTDOWN_MARGIN: Duration = Duration::from_secs(1);
 
-/// The runtime looks for new events after so many tasks: often, since each task is short.
+/// How many tasks the runtime runs between two looks for new events: few, so that events do not wait.
 const TASKS_BETWEEN_EVENTS: u32 = 31;
 
 /// Exit code if the program could not do what it was called for.
--- a/crates/linenthread-node/src/peer_connection.rs
+++ b/crates/linenthread-node/src/peer_connection.rs
@@ -20,10 +20,10 @@
 /// Messages that may wait to be written; the connection with a peer that lets more wait is closed.
 pub(crate) const MAX_QUEUED_MESSAGES: usize = 512;
 
-/// A connection on which sent bytes stay unacknowledged for so long is closed.
+/// How long sent bytes may stay unacknowledged before the connection is closed.
 const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_millis(1_600);
 
-/// An idle connection is probed for the first time after so long.
+/// How long a connection is idle before it is probed for the first time.
 const KEEPALIVE_IDLE: Duration = Duration::from_secs(5);
 
 /// Between two probes of an idle connection.
