--- a/crates/linenthread-ctl/src/request.rs
+++ b/crates/linenthread-ctl/src/request.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 use bytes::BytesMut;
-use linenthread_http::{BodyReader, Head, ParseError, ResponseBody, response_framing};
+use linenthread_http::{BodyPresence, BodyReader, Head, ParseError, response_framing};
 use snafu::{ResultExt, Snafu};
 
 /// The longest response head that is read, in bytes.
@@ -192,9 +192,9 @@
     fn read_body(&mut self, head: &Head, to_head_request: bool) -> Result<Vec<u8>, RequestError> {
         let invalid = InvalidResponseSnafu { peer: self.peer };
         let body = if to_head_request {
-            ResponseBody::Absent
+            BodyPresence::Absent
         } else {
-            ResponseBody::Present
+            BodyPresence::Present
         };
         let framing = response_framing(head, body).context(invalid)?;
         let mut body = BodyReader::new(framing, MAX_BODY_BYTES);
--- a/crates/linenthread-dataplane-sim/src/client.rs
+++ b/crates/linenthread-dataplane-sim/src/client.rs
@@ -7,7 +7,7 @@
 
 use linenthread_dataplane::connection::HttpConnection;
 use linenthread_dataplane::{DataPlane, serve};
-use linenthread_http::{ResponseBody, response_framing};
+use linenthread_http::{BodyPresence, response_framing};
 use tokio::io::DuplexStream;
 use tokio::task::spawn_local;
 use tokio::time::{Instant, timeout};
@@ -225,7 +225,7 @@
         .read_response_head(MAX_RESPONSE_BYTES, deadline)
         .await
         .ok()?;
-    let framing = response_framing(&head, ResponseBody::Present).ok()?;
+    let framing = response_framing(&head, BodyPresence::Present).ok()?;
     let body = http
         .read_body(framing, MAX_RESPONSE_BYTES, FOREVER, Some(deadline))
         .await
--- a/crates/linenthread-dataplane-sim/src/replica/connection.rs
+++ b/crates/linenthread-dataplane-sim/src/replica/connection.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use bytes::BytesMut;
-use linenthread_http::{BodyReader, Head, ResponseBody, request_framing};
+use linenthread_http::{BodyPresence, BodyReader, Head, request_framing};
 use tokio::time::Instant;
 
 use super::messages::{Message, misdirection, rejection};
@@ -33,7 +33,7 @@
     request_id: String,
     path: String,
     target_replica: String,
-    response_body: ResponseBody,
+    response_body: BodyPresence,
 }
 
 /// A replica's end of one connection.
@@ -90,7 +90,7 @@
             request_id: header("x-attempt-id"),
             path: head.target().to_owned(),
             target_replica: header("x-target-replica"),
-            response_body: head.response_body(),
+            response_body: head.response_body_presence(),
         })
     }
 
@@ -204,8 +204,8 @@
     fn execute(&self, request: &Request, request_id: Option<&str>) -> Vec<u8> {
         let seal = self.replica.execute(&request.request_id, &request.path);
         let body = match request.response_body {
-            ResponseBody::Present => self.body(request),
-            ResponseBody::Absent => Vec::new(),
+            BodyPresence::Present => self.body(request),
+            BodyPresence::Absent => Vec::new(),
         };
         Message {
             request_id,
--- a/crates/linenthread-dataplane/src/pool/exchange.rs
+++ b/crates/linenthread-dataplane/src/pool/exchange.rs
@@ -57,7 +57,7 @@
         .await
         .map_err(head_event)?;
     let framing =
-        response_framing(&head, request.response_body).map_err(|_| WireEvent::Malformed)?;
+        response_framing(&head, request.body_presence).map_err(|_| WireEvent::Malformed)?;
     let body = http
         .read_body(
             framing,
--- a/crates/linenthread-dataplane/src/pool/request.rs
+++ b/crates/linenthread-dataplane/src/pool/request.rs
@@ -3,7 +3,7 @@
 use std::cell::RefCell;
 use std::time::Duration;
 
-use linenthread_http::{ResponseBody, write_decimal};
+use linenthread_http::{BodyPresence, write_decimal};
 use linenthread_time::whole_millis;
 use smallvec::SmallVec;
 
@@ -23,7 +23,8 @@
     rest: Vec<u8>,
     /// The client's id of the request.
     pub(crate) request_id: String,
-    pub(crate) response_body: ResponseBody,
+    /// Whether the responses to it have a body.
+    pub(crate) body_presence: BodyPresence,
     pub(crate) response_use: ResponseUse,
     /// The connections that carried it. A surplus response to an earlier attempt has the same id as the
     /// response to the next one, so those two never share a connection.
@@ -43,16 +44,16 @@
             head,
             rest,
             request_id,
-            response_body: ResponseBody::Present,
+            body_presence: BodyPresence::Present,
             response_use,
             connections: RefCell::default(),
         }
     }
 
-    /// The same request, the responses to which have such a body.
+    /// The same request, with responses that have a body or have none.
     #[must_use]
-    pub fn with_response_body(mut self, response_body: ResponseBody) -> ReplicaRequest {
-        self.response_body = response_body;
+    pub fn with_body_presence(mut self, body_presence: BodyPresence) -> ReplicaRequest {
+        self.body_presence = body_presence;
         self
     }
 
--- a/crates/linenthread-dataplane/src/server.rs
+++ b/crates/linenthread-dataplane/src/server.rs
@@ -8,7 +8,7 @@
 use std::rc::Rc;
 
 use linenthread_hash::fnv1a_64;
-use linenthread_http::ResponseBody;
+use linenthread_http::BodyPresence;
 use tokio::io::{AsyncRead, AsyncWrite};
 
 use self::forward::{deadline, to_replica_request};
@@ -66,7 +66,7 @@
     if let ReceiveError::Rejected { step, source } = error {
         log_rejected_input(step, peer, source);
         let response = Response::empty(rejection_status(*source));
-        let _ = respond(http, &response, Persistence::Close, ResponseBody::Present).await;
+        let _ = respond(http, &response, Persistence::Close, BodyPresence::Present).await;
     }
 }
 
@@ -96,7 +96,14 @@
     } else {
         Persistence::Close
     };
-    match respond(http, &response, persistence, request.head.response_body()).await {
+    match respond(
+        http,
+        &response,
+        persistence,
+        request.head.response_body_presence(),
+    )
+    .await
+    {
         Ok(()) => persistence,
         Err(_) => Persistence::Close,
     }
--- a/crates/linenthread-dataplane/src/server/forward.rs
+++ b/crates/linenthread-dataplane/src/server/forward.rs
@@ -48,7 +48,7 @@
         request_id(head)?.to_owned(),
         response_use,
     );
-    Ok(request.with_response_body(head.response_body()))
+    Ok(request.with_body_presence(head.response_body_presence()))
 }
 
 /// The moment at which a request ends: what the client leaves of its time, within the limit of the route.
--- a/crates/linenthread-dataplane/src/server/respond.rs
+++ b/crates/linenthread-dataplane/src/server/respond.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use linenthread_http::{ResponseBody, write_decimal};
+use linenthread_http::{BodyPresence, write_decimal};
 use tokio::io::{AsyncRead, AsyncWrite};
 use tokio::time::Instant;
 
@@ -21,12 +21,13 @@
     Close,
 }
 
-/// Writes a response. Where the request wants no body its length is stated all the same.
+/// Writes a response. Where the request wants no body, the length of the body that it would have is stated all the
+/// same.
 pub(super) async fn respond<S: AsyncRead + AsyncWrite + Unpin>(
     http: &mut HttpConnection<S>,
     response: &Response,
     persistence: Persistence,
-    body: ResponseBody,
+    body_presence: BodyPresence,
 ) -> Result<(), ConnectionError> {
     let length = HEAD_BYTES + response.headers.len() + response.body.len();
     let mut bytes = Vec::with_capacity(length);
@@ -45,7 +46,7 @@
         bytes.extend_from_slice(b"\r\n");
     }
     bytes.extend_from_slice(b"\r\n");
-    if body == ResponseBody::Present {
+    if body_presence == BodyPresence::Present {
         bytes.extend_from_slice(&response.body);
     }
     http.write(&bytes, Instant::now() + WRITE_TIMEOUT).await
--- a/crates/linenthread-http/src/framing.rs
+++ b/crates/linenthread-http/src/framing.rs
@@ -36,7 +36,7 @@
 
 /// Whether the responses to a request have a body.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ResponseBody {
+pub enum BodyPresence {
     /// They have one, which may be empty.
     Present,
     /// They have none, whatever length they state: the method is `HEAD`.
@@ -47,8 +47,8 @@
 ///
 /// # Errors
 /// An ambiguous framing, or none: a body that lasts until the connection ends cannot be told from a truncated one.
-pub fn response_framing(head: &Head, body: ResponseBody) -> Result<Framing, ParseError> {
-    if body == ResponseBody::Absent || matches!(head.status(), 204 | 304) {
+pub fn response_framing(head: &Head, presence: BodyPresence) -> Result<Framing, ParseError> {
+    if presence == BodyPresence::Absent || matches!(head.status(), 204 | 304) {
         return Ok(Framing::Length(0));
     }
     match (is_chunked(head)?, content_length(head)?) {
--- a/crates/linenthread-http/src/head.rs
+++ b/crates/linenthread-http/src/head.rs
@@ -3,7 +3,7 @@
 use bytes::{Bytes, BytesMut};
 use smallvec::SmallVec;
 
-use crate::{ParseError, ResponseBody};
+use crate::{BodyPresence, ParseError};
 
 /// Headers that concern one connection only and are not forwarded, nor is `content-length`, which whoever writes
 /// the body writes anew.
@@ -138,11 +138,11 @@
     }
 
     /// Whether the responses to this request have a body.
-    pub fn response_body(&self) -> ResponseBody {
+    pub fn response_body_presence(&self) -> BodyPresence {
         if self.method() == "HEAD" {
-            ResponseBody::Absent
+            BodyPresence::Absent
         } else {
-            ResponseBody::Present
+            BodyPresence::Present
         }
     }
 
--- a/crates/linenthread-http/tests/golden.rs
+++ b/crates/linenthread-http/tests/golden.rs
@@ -6,7 +6,7 @@
 use bytes::BytesMut;
 use linenthread_golden::named_bytes;
 use linenthread_http::{
-    BodyReader, Framing, Head, ResponseBody, merge_top_records, request_framing, response_framing,
+    BodyPresence, BodyReader, Framing, Head, merge_top_records, request_framing, response_framing,
     write_decimal,
 };
 
@@ -72,11 +72,11 @@
         (206, true, false)
     );
     assert_eq!(
-        response_framing(&head, ResponseBody::Present),
+        response_framing(&head, BodyPresence::Present),
         Ok(Framing::Length(32))
     );
     assert_eq!(
-        response_framing(&head, ResponseBody::Absent),
+        response_framing(&head, BodyPresence::Absent),
         Ok(Framing::Length(0))
     );
     let mut body = BodyReader::new(Framing::Chunked, MAX_BODY);
--- a/crates/linenthread-http/tests/messages.rs
+++ b/crates/linenthread-http/tests/messages.rs
@@ -2,7 +2,7 @@
 
 use bytes::BytesMut;
 use linenthread_http::{
-    BodyReader, Framing, Head, ParseError, ResponseBody, merge_top_records, request_framing,
+    BodyPresence, BodyReader, Framing, Head, ParseError, merge_top_records, request_framing,
     response_framing,
 };
 use yare::parameterized;
@@ -106,7 +106,7 @@
     let head = Head::parse_response(&mut BytesMut::from(text.as_bytes()), 1_000)
         .unwrap()
         .unwrap();
-    assert_eq!(response_framing(&head, ResponseBody::Present), framing);
+    assert_eq!(response_framing(&head, BodyPresence::Present), framing);
 }
 
 #[test]
