--- a/crates/linenthread-dataplane/src/server.rs
+++ b/crates/linenthread-dataplane/src/server.rs
@@ -7,12 +7,13 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
+use linenthread_config::RequestLimits;
 use linenthread_hash::fnv1a_64;
 use linenthread_http::BodyPresence;
 use tokio::io::{AsyncRead, AsyncWrite};
 
 use self::forward::{deadline, to_replica_request};
-use self::receive::{ClientRequest, ReceiveError, RequestLimits, receive, rejection_status};
+use self::receive::{ClientRequest, ReceiveError, receive, rejection_status};
 use self::respond::{Persistence, respond};
 use crate::connection::HttpConnection;
 use crate::data_plane::DataPlane;
@@ -34,7 +35,7 @@
     let _client = plane.count_client();
     let mut closing = plane.watch_closing();
     loop {
-        let limits = RequestLimits::of(plane.routing_table().as_deref());
+        let limits = request_limits(&plane);
         let arrived = tokio::select! {
             biased;
             arrived = http.wait_for_data(limits.idle_timeout) => arrived,
@@ -57,7 +58,16 @@
     }
 }
 
-/// Rejects what is not a request, if the client is still there.
+/// The limits of the configuration in force; the usual ones while there is none.
+fn request_limits<C: Connector>(plane: &DataPlane<C>) -> RequestLimits {
+    plane
+        .routing_table()
+        .map_or_else(RequestLimits::default, |routing_table| {
+            routing_table.limits.clone()
+        })
+}
+
+/// Rejects what is not a request, if the client is still connected.
 async fn reject<S: AsyncRead + AsyncWrite + Unpin>(
     http: &mut HttpConnection<S>,
     peer: SocketAddr,
--- a/crates/linenthread-dataplane/src/server/receive.rs
+++ b/crates/linenthread-dataplane/src/server/receive.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use linenthread_config::RoutingTable;
+use linenthread_config::RequestLimits;
 use linenthread_http::{Head, ParseError, request_framing};
 use snafu::Snafu;
 use tokio::io::{AsyncRead, AsyncWrite};
@@ -10,37 +10,9 @@
 
 use crate::connection::{ConnectionError, HttpConnection};
 
-/// The limits while there is no configuration.
-const DEFAULT_LIMITS: RequestLimits = RequestLimits {
-    max_head_bytes: 16_384,
-    max_body_bytes: 262_144,
-    head_timeout: Duration::from_secs(3),
-    idle_timeout: Duration::from_secs(15),
-};
 /// A client that waits for leave to send the body accepts it within this time.
 const CONTINUE_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// What a client may send, and how long it may take.
-pub(super) struct RequestLimits {
-    max_head_bytes: usize,
-    max_body_bytes: usize,
-    /// From the first byte of a head to its last.
-    head_timeout: Duration,
-    /// With no byte from the client.
-    pub(super) idle_timeout: Duration,
-}
-
-impl RequestLimits {
-    pub(super) fn of(routing_table: Option<&RoutingTable>) -> RequestLimits {
-        routing_table.map_or(DEFAULT_LIMITS, |routing_table| RequestLimits {
-            max_head_bytes: routing_table.limits.max_header_bytes,
-            max_body_bytes: routing_table.limits.max_body_bytes,
-            head_timeout: routing_table.limits.header_timeout,
-            idle_timeout: routing_table.limits.idle_timeout,
-        })
-    }
-}
-
 /// A complete request.
 pub(super) struct ClientRequest {
     pub(super) head: Head,
@@ -92,9 +64,9 @@
 ) -> Result<ClientRequest, ReceiveError> {
     let head = http
         .read_request_head(
-            limits.max_head_bytes,
+            limits.max_header_bytes,
             limits.idle_timeout,
-            limits.head_timeout,
+            limits.header_timeout,
         )
         .await
         .map_err(ReceiveError::at("reading a head"))?;
