--- a/crates/linenthread-adapter/src/instance.rs
+++ b/crates/linenthread-adapter/src/instance.rs
@@ -6,7 +6,8 @@
 use linenthread_core::Coordinator;
 use linenthread_core::conversion::{to_count, to_tenth_millis};
 use linenthread_core::interface::{
-    AttemptResult, Inputs, MembershipUpdate, NewQuery, NewSubRequest, ProbeResult, TenthMillis,
+    AttemptResult, Inputs, MembershipUpdate, NewQuery, NewSubRequest, ProbeResult, SearchIndex,
+    TenthMillis,
 };
 use linenthread_terms::{self as terms, tenth_millis};
 use snafu::{OptionExt, ensure};
@@ -137,7 +138,7 @@
         if shard < 0.0 {
             self.inputs.queries.push(NewQuery {
                 query: self.ids.add_query(id, number),
-                index,
+                search_index: SearchIndex(index),
                 customer,
                 key: (key != 0).then_some(key),
                 sequence_number: u64::from(number),
--- a/crates/linenthread-core/src/interface.rs
+++ b/crates/linenthread-core/src/interface.rs
@@ -7,9 +7,9 @@
 //! named it. The sub-requests of a query are numbered from 0 in the order they came, those of the fetch phase
 //! after those of the query phase.
 //!
-//! Indices that stand side by side have types of their own ([`ReplicaIndex`], [`QueryIndex`], [`SubRequestIndex`]).
-//! The numbers of search indexes, customers, zones, shards and replica groups are plain `usize`: each is named by its
-//! field wherever it stands, and is a position in a list of the configuration.
+//! Indices that occur side by side have types of their own ([`ReplicaIndex`], [`QueryIndex`], [`SubRequestIndex`],
+//! [`SearchIndex`]). The numbers of customers, zones, shards and replica groups are plain `usize`: each is named by its
+//! field, and is a position in a list of the configuration.
 //!
 //! All moments and lengths of time are [`TenthMillis`].
 
@@ -27,7 +27,7 @@
     ValueGrowth,
 };
 pub use decision::{Completeness, DecisionSink, FailureCause};
-pub use indices::{QueryIndex, ReplicaIndex, SubRequestIndex};
+pub use indices::{QueryIndex, ReplicaIndex, SearchIndex, SubRequestIndex};
 pub use inputs::{Continuation, Inputs};
 pub use membership::{MembershipEntry, MembershipUpdate, Phase, ZoneRoute};
 pub use query::{NewQuery, NewSubRequest};
--- a/crates/linenthread-core/src/interface/config.rs
+++ b/crates/linenthread-core/src/interface/config.rs
@@ -13,7 +13,7 @@
     AtMostOnce,
 }
 
-/// One index that queries name: their deadlines, value and completeness.
+/// One search index that queries name: their deadlines, value and completeness.
 #[derive(Clone, Debug, PartialEq)]
 pub struct IndexConfig {
     /// Whether its sub-requests may be retried.
@@ -106,7 +106,7 @@
     pub coordinator_number: usize,
     /// Number of co-ordinators that share the replicas. In an ingress node: the number of ingress nodes.
     pub coordinator_count: usize,
-    /// The indexes by their number.
+    /// The search indexes, by [`SearchIndex`](super::SearchIndex).
     pub indexes: Vec<IndexConfig>,
     /// Queries a second that each customer's quota allows, over all co-ordinators.
     pub customer_quotas: Vec<f64>,
--- a/crates/linenthread-core/src/interface/query.rs
+++ b/crates/linenthread-core/src/interface/query.rs
@@ -1,14 +1,14 @@
 //! Queries and their sub-requests as they arrive.
 
-use super::{QueryIndex, TenthMillis};
+use super::{QueryIndex, SearchIndex, TenthMillis};
 
 /// A query that has arrived.
 #[derive(Clone, Debug)]
 pub struct NewQuery {
     /// The query's index at this co-ordinator.
     pub query: QueryIndex,
-    /// The number of the index it is for.
-    pub index: usize,
+    /// The search index it is for.
+    pub search_index: SearchIndex,
     /// The number of the customer it is from.
     pub customer: usize,
     /// The routing key; `None` where the query carries none.
--- a/crates/linenthread-core/src/policy/admission.rs
+++ b/crates/linenthread-core/src/policy/admission.rs
@@ -6,7 +6,9 @@
 use super::Coordinator;
 use super::windows::{FRESH_REPORT, LONG_TERM, MIN_WEIGHT, RECENT};
 use crate::conversion::to_count;
-use crate::interface::{FailureCause, IndexConfig, QueryIndex, ReplicaIndex, ValueGrowth};
+use crate::interface::{
+    FailureCause, IndexConfig, QueryIndex, ReplicaIndex, SearchIndex, ValueGrowth,
+};
 use crate::state::{DecayingSums, Distribution, Query, Replica, SubRequest};
 
 /// How many sub-requests of usual delay count in the estimate of delays beside those that were observed.
@@ -162,7 +164,7 @@
 
     fn record_size(&mut self, query_index: QueryIndex) {
         let query = self.open_query(query_index);
-        let (index, count) = (query.index, query.sub_requests.len() as f64);
+        let (SearchIndex(index), count) = (query.search_index, query.sub_requests.len() as f64);
         self.fleet.query_sizes[index].record(self.now, LONG_TERM, count);
     }
 
@@ -189,7 +191,7 @@
         };
         let mut expected: Vec<f64> = query.sub_requests.iter().filter_map(quickest).collect();
         expected.sort_by(f64::total_cmp);
-        let min_share = self.index_of(query).min_share;
+        let min_share = self.index_config(query).min_share;
         let needed = to_count((min_share * expected.len() as f64).ceil());
         let slowdown = expected
             .get(needed.saturating_sub(1))
@@ -208,7 +210,7 @@
         // A client may leave before the soft deadline: a response after that is of no use.
         let end = query.soft_deadline.min(query.hard_deadline);
         let time_left = (end - self.now).max(1) as f64;
-        let of_this_query = delays.of_query(count, self.index_of(query)) * slowdown / time_left;
+        let of_this_query = delays.of_query(count, self.index_config(query)) * slowdown / time_left;
         let of_index = |(size, index): (&DecayingSums, &IndexConfig)| {
             Some(delays.of_query(size.mean(MIN_WEIGHT)?, index) / index.soft_deadline as f64)
         };
@@ -253,7 +255,7 @@
             ValueGrowth::WithWork => 1.0,
             ValueGrowth::Constant => count,
         };
-        let cost = work / self.index_of(query).value.max(MIN_DIVISOR);
+        let cost = work / self.index_config(query).value.max(MIN_DIVISOR);
         let costs = &mut self.fleet.costs;
         costs.weight += count;
         costs.sum += count * cost;
--- a/crates/linenthread-core/src/policy/arrival.rs
+++ b/crates/linenthread-core/src/policy/arrival.rs
@@ -16,9 +16,9 @@
     pub(super) fn on_query(&mut self, new: &NewQuery) {
         let query_count = self.queries.len().max(new.query.0 + 1);
         self.queries.resize_with(query_count, || None);
-        let soft_deadline = self.now + self.config.indexes[new.index].soft_deadline;
+        let soft_deadline = self.now + self.config.indexes[new.search_index.0].soft_deadline;
         self.queries[new.query] = Some(Query {
-            index: new.index,
+            search_index: new.search_index,
             customer: new.customer,
             key: new
                 .key
@@ -46,7 +46,7 @@
     /// A sub-request that has succeeded is wanted once more: only where it may run again.
     pub(super) fn on_continuation(&mut self, wanted: Continuation) {
         if let Some(Some(query)) = self.queries.get_mut(wanted.query.0)
-            && self.config.indexes[query.index].idempotency == Idempotency::Idempotent
+            && self.config.indexes[query.search_index.0].idempotency == Idempotency::Idempotent
             && let Some(sub_request) = query.sub_requests.get_mut(wanted.sub_request.0)
             && sub_request.succeeded
         {
--- a/crates/linenthread-core/src/policy/coordinator.rs
+++ b/crates/linenthread-core/src/policy/coordinator.rs
@@ -2,8 +2,8 @@
 
 use crate::conversion::to_tenth_millis;
 use crate::interface::{
-    CoordinatorConfig, DecisionSink, IndexConfig, Inputs, QueryIndex, ReplicaIndex, TenthMillis,
-    ZoneRoute,
+    CoordinatorConfig, DecisionSink, IndexConfig, Inputs, QueryIndex, ReplicaIndex, SearchIndex,
+    TenthMillis, ZoneRoute,
 };
 use oorandom::Rand64;
 
@@ -63,13 +63,13 @@
         coordinator
     }
 
-    /// Adds an index for queries accepted from now on, and returns its number.
-    pub fn add_index(&mut self, index: IndexConfig) -> usize {
+    /// Adds a search index for queries accepted from now on.
+    pub fn add_index(&mut self, index: IndexConfig) -> SearchIndex {
         let soft_deadline = index.soft_deadline.max(1) as f64;
         self.min_soft_deadline = self.min_soft_deadline.min(soft_deadline);
         self.fleet.query_sizes.push(DecayingSums::default());
         self.config.indexes.push(index);
-        self.config.indexes.len() - 1
+        SearchIndex(self.config.indexes.len() - 1)
     }
 
     /// Sets this co-ordinator's part of the retry budget: the attempts permitted whatever the load, its number,
@@ -180,8 +180,8 @@
             .expect("a query has its record until it is released")
     }
 
-    /// The index a query is for.
-    pub(super) fn index_of(&self, query: &Query) -> &IndexConfig {
-        &self.config.indexes[query.index]
+    /// The configuration of the search index that a query is for.
+    pub(super) fn index_config(&self, query: &Query) -> &IndexConfig {
+        &self.config.indexes[query.search_index.0]
     }
 }
--- a/crates/linenthread-core/src/policy/resolution.rs
+++ b/crates/linenthread-core/src/policy/resolution.rs
@@ -96,12 +96,12 @@
         if query.is_fetching() {
             1.0
         } else {
-            self.index_of(query).complete_share
+            self.index_config(query).complete_share
         }
     }
 
     fn progress(&self, query: &Query) -> Progress {
-        let index = self.index_of(query);
+        let index = self.index_config(query);
         let total = query.phase_weight(|_| true).max(WEIGHT_ROUNDING);
         // An index whose responses may be partial may also lack a part of what is fetched.
         let allows_partial_fetch = index.min_share < index.complete_share;
@@ -137,7 +137,7 @@
     /// Whether to respond now. A complete response is given at once; a partial one when it can no longer become
     /// complete, or when waiting longer earns less.
     fn should_respond(&self, query: &Query, progress: &Progress) -> bool {
-        let index = self.index_of(query);
+        let index = self.index_config(query);
         let partial_value =
             index.partial_value * progress.succeeded_share / progress.complete_share;
         let partial_pays = partial_value > index.late_value_share;
@@ -171,7 +171,7 @@
         } else {
             Completeness::Partial
         };
-        let has_fetch_phase = self.index_of(query).fetch_sub_requests > 0;
+        let has_fetch_phase = self.index_config(query).fetch_sub_requests > 0;
         let is_final = query.first_response.is_some() || !has_fetch_phase;
         if query.is_continued() && self.now < progress.gives_up_at.min(query.soft_deadline) {
             self.send_missing(query_index, sink);
@@ -226,7 +226,7 @@
     ) {
         sink.failure_cause(query_index, cause);
         let query = self.open_query(query_index);
-        let is_idempotent = self.index_of(query).idempotency == Idempotency::Idempotent;
+        let is_idempotent = self.index_config(query).idempotency == Idempotency::Idempotent;
         if is_idempotent || query.sub_requests.iter().all(SubRequest::never_ran) {
             let retry_after = self.draw_retry_after();
             sink.reject(query_index, retry_after);
--- a/crates/linenthread-core/src/policy/send_guard.rs
+++ b/crates/linenthread-core/src/policy/send_guard.rs
@@ -55,7 +55,7 @@
         replica_index: ReplicaIndex,
     ) -> bool {
         let replica = &self.replicas[replica_index];
-        let gives_up_at = gives_up_at(query, self.index_of(query));
+        let gives_up_at = gives_up_at(query, self.index_config(query));
         // With probes, an attempt may try a replica whose outage has lasted long enough, even if no probe reached it:
         // that may come before the query is given up. Without probes only an attempt can find that a replica is back,
         // so waiting would show nothing, and the replica counts as it is now.
@@ -86,7 +86,7 @@
 
     /// Whether the idempotency of its index lets a sub-request be sent, after what became of its attempts.
     pub(super) fn may_run_again(&self, query: &Query, sub_request: &SubRequest) -> bool {
-        match self.index_of(query).idempotency {
+        match self.index_config(query).idempotency {
             Idempotency::Idempotent => true,
             Idempotency::Deduplicated(window) => sub_request
                 .may_have_run_since()
--- a/crates/linenthread-core/src/policy/sending.rs
+++ b/crates/linenthread-core/src/policy/sending.rs
@@ -29,7 +29,7 @@
         };
         let now = self.now;
         let query = self.open_query(query_index);
-        let gives_up_at = gives_up_at(query, self.index_of(query));
+        let gives_up_at = gives_up_at(query, self.index_config(query));
         self.count_attempt(query_index, sub_request_index, replica_index);
         let connection = self.prepare_connection(replica_index, sink);
         let sub_request = &mut self.open_query_mut(query_index).sub_requests[sub_request_index];
--- a/crates/linenthread-core/src/state/query.rs
+++ b/crates/linenthread-core/src/state/query.rs
@@ -1,8 +1,8 @@
 //! Queries, their sub-requests and the attempts of these.
 
 use crate::interface::{
-    AttemptOutcome, Completeness, DecisionSink, QueryIndex, ReplicaIndex, SubRequestIndex,
-    TenthMillis,
+    AttemptOutcome, Completeness, DecisionSink, QueryIndex, ReplicaIndex, SearchIndex,
+    SubRequestIndex, TenthMillis,
 };
 
 /// The connection that an attempt was sent on.
@@ -118,8 +118,8 @@
 /// One query that is not released yet.
 #[derive(Default)]
 pub(crate) struct Query {
-    /// The number of its index.
-    pub index: usize,
+    /// The search index it is for.
+    pub search_index: SearchIndex,
     pub customer: usize,
     /// Its routing key, or what replaces it.
     pub key: u64,
--- a/crates/linenthread-core/tests/scenarios/player.rs
+++ b/crates/linenthread-core/tests/scenarios/player.rs
@@ -5,7 +5,7 @@
 use linenthread_core::Coordinator;
 use linenthread_core::interface::{
     AttemptOutcome, AttemptResult, Continuation, CoordinatorConfig, Inputs, MembershipEntry,
-    MembershipUpdate, NewQuery, NewSubRequest, ProbeResult, QueryIndex, ReplicaIndex,
+    MembershipUpdate, NewQuery, NewSubRequest, ProbeResult, QueryIndex, ReplicaIndex, SearchIndex,
     SubRequestIndex, TenthMillis, ZoneRoute,
 };
 
@@ -262,7 +262,7 @@
         let query = QueryIndex(number_of_query);
         let mut new = NewQuery {
             query,
-            index: 0,
+            search_index: SearchIndex(0),
             customer: 0,
             key: None,
             sequence_number: number_of_query as u64,
@@ -272,7 +272,7 @@
             let value = pair.get(1);
             match pair[0] {
                 "key" => new.key = Some(number(value)?),
-                "index" => new.index = number(value)?,
+                "index" => new.search_index = SearchIndex(number(value)?),
                 "customer" => new.customer = number(value)?,
                 "hard" => new.hard_deadline = self.now + time(value)?,
                 other => return Err(format!("a query has no {other}")),
--- a/crates/linenthread-dataplane/src/dispatcher.rs
+++ b/crates/linenthread-dataplane/src/dispatcher.rs
@@ -150,10 +150,10 @@
         key: u64,
         deadline: TenthMillis,
     ) {
-        let index = state.query_kind(policy_inputs::index_config(resolved));
+        let search_index = state.query_kind(policy_inputs::index_config(resolved));
         state.inputs.queries.push(NewQuery {
             query: id.index,
-            index,
+            search_index,
             customer: 0,
             key: Some(key),
             sequence_number: id.sequence_number.0,
--- a/crates/linenthread-dataplane/src/dispatcher/state.rs
+++ b/crates/linenthread-dataplane/src/dispatcher/state.rs
@@ -2,7 +2,7 @@
 
 use linenthread_config::Settings;
 use linenthread_core::Coordinator;
-use linenthread_core::interface::{IndexConfig, Inputs, QueryIndex};
+use linenthread_core::interface::{IndexConfig, Inputs, QueryIndex, SearchIndex};
 
 use super::decisions::{Decision, Decisions};
 use super::pass_through::PassThrough;
@@ -17,7 +17,7 @@
     pub(super) coordinator: Coordinator,
     /// Decides in the coordinator's place where only its cost is to be measured.
     pass_through: Option<PassThrough>,
-    /// The kinds of queries that the coordinator knows, by index.
+    /// The kinds of queries that the coordinator knows as its search indexes, in their order.
     query_kinds: Vec<IndexConfig>,
     /// What arrived since the last step.
     pub(super) inputs: Inputs,
@@ -59,10 +59,10 @@
         std::mem::take(&mut self.decisions.list)
     }
 
-    /// The index of a kind of query, which gets one if it is new.
-    pub(super) fn query_kind(&mut self, kind: IndexConfig) -> usize {
+    /// The search index that stands for a kind of query; one is added if the kind is new.
+    pub(super) fn query_kind(&mut self, kind: IndexConfig) -> SearchIndex {
         if let Some(known) = self.query_kinds.iter().position(|known| *known == kind) {
-            return known;
+            return SearchIndex(known);
         }
         self.query_kinds.push(kind.clone());
         self.coordinator.add_index(kind)
--- a/crates/linenthread-service/src/dispatcher/mod.rs
+++ b/crates/linenthread-service/src/dispatcher/mod.rs
@@ -8,7 +8,7 @@
 
 use linenthread_core::interface::{
     AttemptOutcome, AttemptResult, Completeness, Continuation, Inputs, MembershipEntry,
-    MembershipUpdate, NewQuery, NewSubRequest, ProbeResult, QueryIndex, ReplicaIndex,
+    MembershipUpdate, NewQuery, NewSubRequest, ProbeResult, QueryIndex, ReplicaIndex, SearchIndex,
     SubRequestIndex, TenthMillis,
 };
 use linenthread_core::{Coordinator, DecisionSink};
@@ -288,7 +288,7 @@
         let hard_deadline = self.0.clock.now() + submission.expires_in;
         state.inputs.queries.push(NewQuery {
             query: QueryIndex(query),
-            index: submission.index,
+            search_index: SearchIndex(submission.index),
             customer: submission.customer,
             key: submission.key,
             sequence_number: submission.sequence_number,
--- a/crates/linenthread-simulation/src/failover_simulation/world.rs
+++ b/crates/linenthread-simulation/src/failover_simulation/world.rs
@@ -5,7 +5,7 @@
 
 use linenthread_core::interface::{
     AttemptOutcome, AttemptResult, MembershipEntry, MembershipUpdate, NewQuery, NewSubRequest,
-    Phase, ProbeResult, QueryIndex, ReplicaIndex, SubRequestIndex, TenthMillis,
+    Phase, ProbeResult, QueryIndex, ReplicaIndex, SearchIndex, SubRequestIndex, TenthMillis,
 };
 use linenthread_zones::{FailoverController, Report, ZoneIndex};
 use oorandom::Rand64;
@@ -289,7 +289,7 @@
         node.observer.on_query(SUB_REQUESTS_PER_QUERY);
         node.inputs.queries.push(NewQuery {
             query: QueryIndex(query),
-            index: 0,
+            search_index: SearchIndex(0),
             customer: 0,
             key: Some(key),
             sequence_number: self.last_event,
--- a/crates/linenthread-simulation/src/merged/simulation.rs
+++ b/crates/linenthread-simulation/src/merged/simulation.rs
@@ -4,7 +4,8 @@
 use std::time::Duration;
 
 use linenthread_core::interface::{
-    AttemptOutcome, Continuation, NewQuery, NewSubRequest, QueryIndex, SubRequestIndex, TenthMillis,
+    AttemptOutcome, Continuation, NewQuery, NewSubRequest, QueryIndex, SearchIndex,
+    SubRequestIndex, TenthMillis,
 };
 use linenthread_fakes::checker::{self, PagedRead, ShardWeight};
 use linenthread_fakes::row_store::{Donation, RowStore};
@@ -226,7 +227,7 @@
         let hard_deadline = self.fleet.now + HARD_DEADLINE;
         self.fleet.inputs.queries.push(NewQuery {
             query: QueryIndex(query),
-            index: self.clients[client].plan,
+            search_index: SearchIndex(self.clients[client].plan),
             customer: 0,
             key: Some(client as u64),
             sequence_number: query as u64,
