--- a/crates/linenthread-service/src/fleet/orders.rs
+++ b/crates/linenthread-service/src/fleet/orders.rs
@@ -13,10 +13,10 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub(crate) struct Orders {
     pub drained: BTreeSet<String>,
-    /// Number of the last order that was carried out or refused.
-    pub last: u64,
-    /// Why the last order was refused; empty if it was carried out.
-    pub refused: String,
+    /// Number of the last order that was carried out or rejected.
+    pub last_order: u64,
+    /// Why the last order was rejected; empty if it was carried out.
+    pub rejection: String,
 }
 
 impl Orders {
@@ -24,8 +24,8 @@
         let mut encoder = Encoder::new();
         encoder.u16(u16::try_from(self.drained.len()).unwrap_or(u16::MAX));
         self.drained.iter().for_each(|zone| encoder.text(zone));
-        encoder.u64(self.last);
-        encoder.text(&self.refused);
+        encoder.u64(self.last_order);
+        encoder.text(&self.rejection);
         encoder.into_bytes()
     }
 
@@ -35,39 +35,52 @@
         for _ in 0..decoder.u16()? {
             orders.drained.insert(decoder.text()?);
         }
-        orders.last = decoder.u64()?;
-        orders.refused = decoder.text()?;
+        orders.last_order = decoder.u64()?;
+        orders.rejection = decoder.text()?;
         decoder.finish()?;
         Ok(orders)
     }
 }
 
+/// What an operator asks of a zone.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum ZoneChange {
+    /// All co-ordinators leave the zone.
+    Drain,
+    /// The zone is taken back, step by step.
+    Return,
+}
+
 /// One operator's order on its way to the leader.
-pub(super) struct Order {
+pub(crate) struct Order {
+    /// Drawn by the operator's program, to recognise the order in the log.
     pub number: u64,
     pub zone: String,
-    /// Whether the zone is to be drained; otherwise it is to be taken back.
-    pub drain: bool,
+    pub change: ZoneChange,
 }
 
 impl Order {
+    /// Encodes the order as a report to the leader.
+    pub(crate) fn encode(&self) -> Vec<u8> {
+        let mut encoder = Encoder::new();
+        encoder.u8(ORDER);
+        encoder.u64(self.number);
+        encoder.text(&self.zone);
+        encoder.u8((self.change == ZoneChange::Drain).into());
+        encoder.into_bytes()
+    }
+
     /// Decodes the report without its first byte.
     pub(super) fn decode(bytes: &[u8]) -> Result<Order, DecodeError> {
         let mut decoder = Decoder::new(bytes);
         Ok(Order {
             number: decoder.u64()?,
             zone: decoder.text()?,
-            drain: decoder.flag()?,
+            change: if decoder.flag()? {
+                ZoneChange::Drain
+            } else {
+                ZoneChange::Return
+            },
         })
     }
 }
-
-/// Encodes an operator's order as a report to the leader.
-pub(crate) fn encode_order(number: u64, zone: &str, drain: bool) -> Vec<u8> {
-    let mut encoder = Encoder::new();
-    encoder.u8(ORDER);
-    encoder.u64(number);
-    encoder.text(zone);
-    encoder.u8(drain.into());
-    encoder.into_bytes()
-}
--- a/crates/linenthread-service/src/installation.rs
+++ b/crates/linenthread-service/src/installation.rs
@@ -18,30 +18,68 @@
 
 /// Why the installation file, or a secret that it names, cannot be used. Each message is one line.
 #[derive(Debug, Snafu)]
-pub(crate) enum InstallationError {
+pub enum InstallationError {
+    /// The file cannot be read, or its text is not valid.
     #[snafu(display("{source}"))]
-    File { source: ReadFileError },
+    File {
+        /// The file, the line and the cause.
+        source: ReadFileError,
+    },
+    /// A secret's file cannot be read.
     #[snafu(display("{}: {source}", file.display()))]
-    ReadSecret { file: PathBuf, source: io::Error },
+    ReadSecret {
+        /// The file.
+        file: PathBuf,
+        /// The system's error.
+        source: io::Error,
+    },
+    /// A secret is too short.
     #[snafu(display("{}: a secret needs {MIN_SECRET_BYTES} bytes or more", file.display()))]
-    SecretTooShort { file: PathBuf },
+    SecretTooShort {
+        /// Its file.
+        file: PathBuf,
+    },
+    /// The secrets of cursors cannot be used.
     #[snafu(display("{source}"))]
     CursorSecrets {
+        /// What is wrong with them.
         source: linenthread_merge::SecretError,
     },
+    /// The secrets between processes cannot be used.
     #[snafu(display("{source}"))]
     LinkSecrets {
+        /// What is wrong with them.
         source: linenthread_frames::SecretError,
     },
 }
 
+/// A section of the installation file with the secrets that it names.
+pub struct WithSecrets<T> {
+    /// The section.
+    pub section: T,
+    /// The secrets of its connections.
+    pub secrets: Secrets,
+}
+
+impl<T> WithSecrets<T> {
+    fn read(section: T, files: impl Fn(&T) -> &[PathBuf]) -> Result<Self, InstallationError> {
+        let secrets = link_secrets(files(&section))?;
+        Ok(WithSecrets { section, secrets })
+    }
+}
+
 /// What the installation file switches on; nothing without one.
 #[derive(Default)]
-pub(crate) struct InstallationSettings {
+pub struct InstallationSettings {
+    /// The indexes whose responses are merged.
     pub merging: MergePlans,
-    pub gateway: Option<(Gateway, Secrets)>,
-    pub peers: Vec<(Peer, Secrets)>,
-    pub fleet: Option<(Fleet, Secrets)>,
+    /// This process as a gateway for other sites.
+    pub gateway: Option<WithSecrets<Gateway>>,
+    /// Gateways in other sites.
+    pub peers: Vec<WithSecrets<Peer>>,
+    /// This process's membership in the fleet.
+    pub fleet: Option<WithSecrets<Fleet>>,
+    /// How the fleet distributes traffic over zones.
     pub zones: Option<Zones>,
 }
 
@@ -74,10 +112,7 @@
     /// # Errors
     ///
     /// One line: file, line in it and cause.
-    pub(crate) fn read(
-        file: &Path,
-        config: &Config,
-    ) -> Result<InstallationSettings, InstallationError> {
+    pub fn read(file: &Path, config: &Config) -> Result<InstallationSettings, InstallationError> {
         let index_names = &config.cluster.index_names;
         let known = |name: &str| {
             let position = index_names.iter().position(|index| index == name)?;
@@ -87,21 +122,17 @@
             })
         };
         let read = Installation::read_file(file, &known).context(FileSnafu)?;
-        let merging = merging(&read, index_names)?;
-        let gateway = read.gateway.map(|gateway| {
-            let secrets = link_secrets(&gateway.secret_files)?;
-            Ok((gateway, secrets))
-        });
+        let merging = merge_plans(&read, index_names)?;
+        let gateway = read
+            .gateway
+            .map(|gateway| WithSecrets::read(gateway, |gateway| &gateway.secret_files));
         let gateway = gateway.transpose()?;
-        let peers = read.peers.into_iter().map(|peer| {
-            let secrets = link_secrets(&peer.secret_files)?;
-            Ok((peer, secrets))
-        });
+        let peers = read.peers.into_iter();
+        let peers = peers.map(|peer| WithSecrets::read(peer, |peer| &peer.secret_files));
         let peers = peers.collect::<Result<_, _>>()?;
-        let fleet = read.fleet.map(|fleet| {
-            let secrets = link_secrets(&fleet.secret_files)?;
-            Ok((fleet, secrets))
-        });
+        let fleet = read
+            .fleet
+            .map(|fleet| WithSecrets::read(fleet, |fleet| &fleet.secret_files));
         Ok(InstallationSettings {
             merging,
             gateway,
@@ -128,7 +159,10 @@
 }
 
 /// The plan of each index, in the order of the configuration, and the signer of cursors.
-fn merging(read: &Installation, index_names: &[String]) -> Result<MergePlans, InstallationError> {
+fn merge_plans(
+    read: &Installation,
+    index_names: &[String],
+) -> Result<MergePlans, InstallationError> {
     let plan = |name: &String| {
         let plans = &read.merging.plans;
         plans.iter().find(|plan| plan.index == *name).cloned()
--- a/crates/linenthread-service/src/migrate.rs
+++ b/crates/linenthread-service/src/migrate.rs
@@ -13,7 +13,7 @@
 use crate::config::{Config, ConfigError};
 
 /// Exit code if something could not be carried over; the lists say what.
-const LEFT_OUT: u8 = 3;
+const INCOMPLETE: u8 = 3;
 /// Exit code if nothing can be written.
 const FAILED: u8 = 2;
 
@@ -50,7 +50,7 @@
     new: Value,
     /// The shards that each replica must load before the new file can be served.
     moves: Vec<String>,
-    left_out: Vec<String>,
+    omitted: Vec<String>,
 }
 
 /// Consecutive groups become one set: group g of a ring with r groups in a row for each shard goes to set g / r, so
@@ -69,7 +69,7 @@
         replication_factor: 1,
     };
     let mut new: Value = serde_json::from_slice(text).context(ParseSnafu)?;
-    let left_out = remove_load_reports(&mut new);
+    let omitted = remove_load_reports(&mut new);
     let layout_settings = &mut new["settings"]["family-info"];
     layout_settings["cells"] = json!(sets.replica_groups);
     layout_settings["in-a-row"] = json!(sets.replication_factor);
@@ -78,12 +78,16 @@
     for (replica, member) in old.cached_membership.replicas.iter().zip(members) {
         let set = replica.replica_group / in_a_row;
         member["cell"] = json!(set);
-        let group = replica.replica_group;
-        let holds = |shard| (layout.holds(group, shard), sets.holds(set, shard));
-        let (loads, drops) = shard_moves(old.cluster.shard_count, holds);
-        let id = &replica.id;
+        let held_before = |shard| layout.holds(replica.replica_group, shard);
+        let held_after = |shard| sets.holds(set, shard);
+        let all = || 0..old.cluster.shard_count;
+        let loads = all().filter(|&shard| held_after(shard) && !held_before(shard));
+        let drops = all().filter(|&shard| held_before(shard) && !held_after(shard));
         moves.push(format!(
-            "{id}: set {set}; loads [{loads}], may then drop [{drops}]"
+            "{}: set {set}; loads [{}], may then drop [{}]",
+            replica.id,
+            join_shards(loads),
+            join_shards(drops)
         ));
     }
     let written = serde_json::to_vec(&new).context(SerializeSnafu)?;
@@ -91,7 +95,7 @@
     Ok(Some(Converted {
         new,
         moves,
-        left_out,
+        omitted,
     }))
 }
 
@@ -99,25 +103,16 @@
 fn remove_load_reports(new: &mut Value) -> Vec<String> {
     let telemetry = &mut new["settings"]["telemetry"];
     let names = telemetry["names"].as_array().into_iter().flatten();
-    let left_out = names
+    let omitted = names
         .map(|name| format!("settings: telemetry.names: {name}: replicas report no load there"))
         .collect();
     *telemetry = json!({"names": [], "source": "none"});
-    left_out
+    omitted
 }
 
-/// The shards that a replica has to load and those that it may drop. `holds` says of a shard whether the replica's
-/// group holds it and whether its set does.
-fn shard_moves(shard_count: usize, holds: impl Fn(usize) -> (bool, bool)) -> (String, String) {
-    let (mut loads, mut drops) = (Vec::new(), Vec::new());
-    for shard in 0..shard_count {
-        match holds(shard) {
-            (false, true) => loads.push(shard.to_string()),
-            (true, false) => drops.push(shard.to_string()),
-            _ => {}
-        }
-    }
-    (loads.join(" "), drops.join(" "))
+fn join_shards(shards: impl Iterator<Item = usize>) -> String {
+    let shards: Vec<String> = shards.map(|shard| shard.to_string()).collect();
+    shards.join(" ")
 }
 
 /// Writes a new file completely or not at all; an existing one is left alone.
@@ -134,35 +129,63 @@
     written.map(drop).context(IoSnafu { file })
 }
 
-/// Carries a configuration over; gives whether something was left out.
-fn migrate(old: &Path, output: Option<&Path>, dry_run: bool) -> Result<bool, MigrateError> {
-    ensure!(output.is_some() || dry_run, NoOutputSnafu);
+/// Options of `linenthread migrate`.
+#[derive(Clone, Debug)]
+pub struct MigrateOptions {
+    /// Write nothing, and say what would be written.
+    pub dry_run: bool,
+    /// The new file, which must not exist.
+    pub output: Option<PathBuf>,
+    /// The configuration to carry over.
+    pub old: PathBuf,
+}
+
+/// What a migration could carry over.
+enum Completeness {
+    Complete,
+    /// Some of it was left out; the lists say what.
+    Incomplete,
+}
+
+/// Carries a configuration over.
+fn migrate(options: &MigrateOptions) -> Result<Completeness, MigrateError> {
+    let MigrateOptions {
+        dry_run,
+        output,
+        old,
+    } = options;
+    ensure!(output.is_some() || *dry_run, NoOutputSnafu);
     let text = fs::read(old).context(IoSnafu { file: old })?;
     let Some(converted) = convert(&text).context(ConvertSnafu { file: old })? else {
         let old = old.display();
         println!("{old}: already of the new shape, nothing is written");
-        return Ok(false);
+        return Ok(Completeness::Complete);
     };
-    if let Some(file) = output.filter(|_| !dry_run) {
-        write(file, &converted.new)?;
-        println!("written: {}", file.display());
-    } else {
-        println!("nothing is written; it would be:\n{:#}", converted.new);
+    match output {
+        Some(file) if !dry_run => {
+            write(file, &converted.new)?;
+            println!("written: {}", file.display());
+        }
+        _ => println!("nothing is written; it would be:\n{:#}", converted.new),
     }
     for line in &converted.moves {
         println!("to move: {line}");
     }
-    for line in &converted.left_out {
+    for line in &converted.omitted {
         println!("left out: {line}");
     }
-    Ok(!converted.left_out.is_empty())
+    if converted.omitted.is_empty() {
+        Ok(Completeness::Complete)
+    } else {
+        Ok(Completeness::Incomplete)
+    }
 }
 
 /// Runs the command: exit code 0, 3 if something was left out, 2 if nothing could be written.
-pub(crate) fn run(old: &Path, output: Option<&Path>, dry_run: bool) -> ExitCode {
-    match migrate(old, output, dry_run) {
-        Ok(true) => ExitCode::from(LEFT_OUT),
-        Ok(false) => ExitCode::SUCCESS,
+pub fn run(options: &MigrateOptions) -> ExitCode {
+    match migrate(options) {
+        Ok(Completeness::Complete) => ExitCode::SUCCESS,
+        Ok(Completeness::Incomplete) => ExitCode::from(INCOMPLETE),
         Err(error) => {
             eprintln!("linenthread: {error}");
             ExitCode::from(FAILED)
--- a/crates/linenthread-service/src/serve/links.rs
+++ b/crates/linenthread-service/src/serve/links.rs
@@ -3,16 +3,18 @@
 use std::time::Duration;
 
 use linenthread_installation as file;
-use linenthread_link::{ClientConfig, LinkServer, Secrets, ServerConfig};
+use linenthread_link::{ClientConfig, LinkServer, ServerConfig};
 use snafu::ResultExt;
 use tokio::sync::mpsc;
 use tracing::info;
 
 use super::error::{ListenForLinksSnafu, ServeError};
+use crate::clock::to_tenths;
 use crate::config::Config;
 use crate::dispatcher::Dispatcher;
-use crate::duration::tenth_millis;
-use crate::frontends::link::{self as gateway_frontend, Gateway};
+use crate::frontends::link::Gateway;
+use crate::frontends::listener;
+use crate::installation::WithSecrets;
 use crate::transports::{Transports, link};
 
 /// Bytes of calls that may wait for one link.
@@ -36,20 +38,24 @@
     config: &Config,
     dispatcher: &Dispatcher,
     transports: &Transports,
-    (peer, secrets): (file::Peer, Secrets),
+    peer: WithSecrets<file::Peer>,
     seed: u64,
 ) {
+    let WithSecrets {
+        section: peer,
+        secrets,
+    } = peer;
     let number = dispatcher.add_peer();
     let (changes, mut events) = mpsc::unbounded_channel();
     let client = ClientConfig {
         name: config.name.clone(),
         max_in_flight: peer.max_in_flight,
         max_queued_bytes: MAX_QUEUED_BYTES,
-        session_timeout: tenth_millis(peer.session_timeout),
-        ping_interval: tenth_millis(peer.ping_interval),
-        grace_period: tenth_millis(peer.grace_period),
-        min_backoff: tenth_millis(MIN_BACKOFF),
-        max_backoff: tenth_millis(MAX_BACKOFF),
+        session_timeout: to_tenths(peer.session_timeout),
+        ping_interval: to_tenths(peer.ping_interval),
+        grace_period: to_tenths(peer.grace_period),
+        min_backoff: to_tenths(MIN_BACKOFF),
+        max_backoff: to_tenths(MAX_BACKOFF),
     };
     let link_config = link::LinkConfig {
         name: peer.name,
@@ -76,20 +82,23 @@
     config: &Config,
     dispatcher: &Dispatcher,
     transports: &Transports,
-    gateway: &file::Gateway,
-    secrets: Secrets,
+    gateway: WithSecrets<file::Gateway>,
 ) -> Result<Gateway, ServeError> {
+    let WithSecrets {
+        section: gateway,
+        secrets,
+    } = gateway;
     let address = gateway.listen;
-    let listener = gateway_frontend::listen(address).context(ListenForLinksSnafu { address })?;
+    let listener = listener::listen(address).context(ListenForLinksSnafu { address })?;
     let listen = listener.local_addr().unwrap_or(address);
     let server_config = ServerConfig {
         name: config.name.clone(),
         window_calls: gateway.window_calls,
         window_bytes: gateway.window_bytes,
-        session_timeout: tenth_millis(gateway.session_timeout),
+        session_timeout: to_tenths(gateway.session_timeout),
         max_sessions: gateway.max_sessions,
-        handshake_timeout: tenth_millis(HANDSHAKE_TIMEOUT),
-        idle_timeout: tenth_millis(IDLE_TIMEOUT),
+        handshake_timeout: to_tenths(HANDSHAKE_TIMEOUT),
+        idle_timeout: to_tenths(IDLE_TIMEOUT),
     };
     let server = LinkServer::new(server_config, secrets, config.seed);
     let gateway = Gateway::new(
--- a/crates/linenthread-service/src/transports/replica_connections.rs
+++ b/crates/linenthread-service/src/transports/replica_connections.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-use linenthread_core::interface::AttemptOutcome;
+use linenthread_core::interface::{AttemptOutcome, ReplicaIndex};
 use linenthread_protocol::frame;
 use tokio::net::TcpStream;
 use tokio::time::{Instant, timeout};
@@ -13,9 +13,11 @@
 
 use crate::log::LogRateLimit;
 use crate::transports::attempt::{
-    ConnectionLimits, FinishedAttempts, OutgoingSubRequest, ProbeReport, report_not_sent,
+    ConnectionConfig, FinishedAttempts, OutgoingSubRequest, ProbeReport, report_not_sent,
+};
+use crate::transports::connection::{
+    AttemptNumber, Connection, ConnectionEnd, ConnectionError, InFlightAttempt,
 };
-use crate::transports::connection::{Connection, ConnectionError, InFlightAttempt};
 
 /// With fewer connections than this to a replica, each carries one request at a time: a connection that fails
 /// or falls silent then fails few others with it.
@@ -31,7 +33,7 @@
 }
 
 struct Inner {
-    limits: ConnectionLimits,
+    config: ConnectionConfig,
     /// By the index of the replica.
     endpoints: RefCell<Vec<Endpoint>>,
     connection_count: Cell<usize>,
@@ -39,14 +41,36 @@
     log_lines: LogRateLimit,
 }
 
+/// One of the connections that there may be at once. Dropping it gives it back.
+struct ConnectionPermit(Rc<Inner>);
+
+impl ConnectionPermit {
+    /// `None` where there are as many connections as there may be.
+    fn acquire(inner: &Rc<Inner>) -> Option<Self> {
+        let count = inner.connection_count.get();
+        let has_room = count < inner.config.max_connections;
+        has_room.then(|| {
+            inner.connection_count.set(count + 1);
+            ConnectionPermit(inner.clone())
+        })
+    }
+}
+
+impl Drop for ConnectionPermit {
+    fn drop(&mut self) {
+        let count = self.0.connection_count.get();
+        self.0.connection_count.set(count - 1);
+    }
+}
+
 /// The connections to all replicas that are reached directly.
 #[derive(Clone)]
 pub(crate) struct ReplicaConnections(Rc<Inner>);
 
 impl ReplicaConnections {
-    pub(crate) fn new(limits: ConnectionLimits) -> Self {
+    pub(crate) fn new(config: ConnectionConfig) -> Self {
         ReplicaConnections(Rc::new(Inner {
-            limits,
+            config,
             endpoints: RefCell::default(),
             connection_count: Cell::new(0),
             next_attempt_number: Cell::new(0),
@@ -55,11 +79,11 @@
     }
 
     /// Sets a replica's address; connections to an earlier one close once nothing is in flight on them.
-    pub(crate) fn set_address(&self, replica: usize, address: Option<SocketAddr>) {
+    pub(crate) fn set_address(&self, replica: ReplicaIndex, address: Option<SocketAddr>) {
         let mut endpoints = self.0.endpoints.borrow_mut();
-        let len = endpoints.len().max(replica + 1);
+        let len = endpoints.len().max(replica.0 + 1);
         endpoints.resize_with(len, Endpoint::default);
-        let endpoint = &mut endpoints[replica];
+        let endpoint = &mut endpoints[replica.0];
         if endpoint.address != address {
             endpoint.address = address;
             endpoint.last_connect_failed = false;
@@ -70,10 +94,10 @@
     }
 
     /// Whether a replica has neither an address nor a connection: its index may be reused.
-    pub(crate) fn is_vacant(&self, replica: usize) -> bool {
+    pub(crate) fn is_vacant(&self, replica: ReplicaIndex) -> bool {
         let endpoints = self.0.endpoints.borrow();
         endpoints
-            .get(replica)
+            .get(replica.0)
             .is_none_or(|endpoint| endpoint.address.is_none() && endpoint.connections.is_empty())
     }
 
@@ -81,7 +105,7 @@
     /// such, and are not in flight.
     pub(crate) fn send(
         &self,
-        replica: usize,
+        replica: ReplicaIndex,
         query_id: &str,
         sub_requests: &[OutgoingSubRequest],
         wait_ms: u64,
@@ -98,7 +122,7 @@
         let next_number = || {
             let number = self.0.next_attempt_number.get();
             self.0.next_attempt_number.set(number + 1);
-            number
+            AttemptNumber(number)
         };
         connection
             .send(ids, sub_requests, wait_ms, finished, next_number)
@@ -108,10 +132,10 @@
     }
 
     /// Closes the connections to a replica on which nothing is in flight.
-    pub(crate) fn close_idle(&self, replica: usize) {
+    pub(crate) fn close_idle(&self, replica: ReplicaIndex) {
         let endpoints = self.0.endpoints.borrow();
         let connections = endpoints
-            .get(replica)
+            .get(replica.0)
             .into_iter()
             .flat_map(|endpoint| &endpoint.connections);
         connections
@@ -120,13 +144,13 @@
     }
 
     /// Probes a replica for its health and load.
-    pub(crate) async fn probe(&self, replica: usize) -> ProbeReport {
+    pub(crate) async fn probe(&self, replica: ReplicaIndex) -> ProbeReport {
         let Some(connection) = self.connection(replica, 1, |_| true) else {
             return ProbeReport::without_load(AttemptOutcome::NotSent);
         };
         let response = connection.send_probe();
         let sent = Instant::now();
-        match timeout(self.0.limits.probe_timeout, response).await {
+        match timeout(self.0.config.probe_timeout, response).await {
             Ok(Ok(report)) => report,
             Ok(Err(_)) => ProbeReport::without_load(AttemptOutcome::ConnectionLost),
             Err(_) => {
@@ -136,20 +160,20 @@
         }
     }
 
-    /// A connection with room for so many more requests, or a new one.
+    /// A suitable connection with room for `additional` more requests, or a new one.
     fn connection(
         &self,
-        replica: usize,
+        replica: ReplicaIndex,
         additional: usize,
         is_suitable: impl Fn(&Connection) -> bool,
     ) -> Option<Rc<Connection>> {
         let mut endpoints = self.0.endpoints.borrow_mut();
-        let endpoint = endpoints.get_mut(replica)?;
+        let endpoint = endpoints.get_mut(replica.0)?;
         let address = endpoint.address?;
-        let limits = &self.0.limits;
+        let config = &self.0.config;
         let has_room = |connection: &&Rc<Connection>| {
             let in_flight = connection.in_flight();
-            let fits = in_flight == 0 || in_flight + additional <= limits.max_streams;
+            let fits = in_flight == 0 || in_flight + additional <= config.max_streams;
             fits && connection.is_usable() && is_suitable(connection)
         };
         // The one with the least in flight, as requests pile up on one that is stuck; among equals the one read
@@ -166,30 +190,42 @@
             .iter()
             .filter(has_room)
             .min_by_key(rank);
-        let is_full = self.0.connection_count.get() >= limits.max_connections;
-        let may_share = is_full || endpoint.connections.len() >= MIN_SHARED_CONNECTIONS;
+        let may_share = self.is_full() || endpoint.connections.len() >= MIN_SHARED_CONNECTIONS;
         if let Some(connection) = best.filter(|best| best.in_flight() == 0 || may_share) {
             return Some(connection.clone());
         }
-        if is_full {
+        self.open(replica, address, endpoint)
+    }
+
+    /// Whether there are as many connections as there may be.
+    fn is_full(&self) -> bool {
+        self.0.connection_count.get() >= self.0.config.max_connections
+    }
+
+    /// Opens one more connection; `None` where there may be no more.
+    fn open(
+        &self,
+        replica: ReplicaIndex,
+        address: SocketAddr,
+        endpoint: &mut Endpoint,
+    ) -> Option<Rc<Connection>> {
+        let Some(permit) = ConnectionPermit::acquire(&self.0) else {
             if let Some(left_out) = self.0.log_lines.admit() {
                 warn!(%address, left_out, "no connection left for a replica");
             }
             return None;
-        }
-        self.0
-            .connection_count
-            .set(self.0.connection_count.get() + 1);
-        let connection = Rc::new(Connection::new(replica, address, limits.cancellation));
+        };
+        let sends_cancellations = self.0.config.sends_cancellations;
+        let connection = Rc::new(Connection::new(replica, address, sends_cancellations));
         endpoint.connections.push(connection.clone());
-        actix_rt::spawn(self.clone().run(connection.clone()));
+        actix_rt::spawn(self.clone().run(connection.clone(), permit));
         Some(connection)
     }
 
     /// Runs one connection from its connect to its end.
-    async fn run(self, connection: Rc<Connection>) {
-        let limits = self.0.limits;
-        let connected = connect(connection.address, &limits).await;
+    async fn run(self, connection: Rc<Connection>, permit: ConnectionPermit) {
+        let config = self.0.config;
+        let connected = connect(connection.address, &config).await;
         let failed_before =
             self.replace_last_connect_failed(connection.replica, connected.is_err());
         let result = match connected {
@@ -198,44 +234,47 @@
                     info!(address = %connection.address, "replica connects again");
                 }
                 stream.set_nodelay(true).ok();
-                connection.exchange(stream, &limits).await
+                connection.exchange(stream, &config).await
             }
             Err(_) if failed_before => Ok(()),
             Err(error) => Err(error),
         };
-        let violated = result
+        let end = result
             .as_ref()
-            .is_err_and(ConnectionError::is_protocol_violation);
+            .map_or_else(ConnectionError::end, |()| ConnectionEnd::Lost);
         if let (Err(cause), Some(left_out)) = (result, self.0.log_lines.admit()) {
             let (address, out) = (connection.address, connection.attempts_in_flight());
-            warn!(%address, out, spoilt = violated, left_out, "replica connection ended: {cause}");
+            let spoilt = end == ConnectionEnd::ProtocolViolated;
+            warn!(%address, out, spoilt, left_out, "replica connection ended: {cause}");
         }
-        // The only place that releases a connection, and ends all that is still in flight on it.
-        if let Some(endpoint) = self.0.endpoints.borrow_mut().get_mut(connection.replica) {
+        self.remove(&connection);
+        drop(permit);
+        connection.end_all(end);
+    }
+
+    /// The only place that removes a connection.
+    fn remove(&self, connection: &Rc<Connection>) {
+        if let Some(endpoint) = self.0.endpoints.borrow_mut().get_mut(connection.replica.0) {
             endpoint
                 .connections
-                .retain(|other| !Rc::ptr_eq(other, &connection));
+                .retain(|other| !Rc::ptr_eq(other, connection));
         }
-        self.0
-            .connection_count
-            .set(self.0.connection_count.get() - 1);
-        connection.end_all(violated);
     }
 
     /// Records whether the last connect to a replica failed, and returns whether the one before it did.
-    fn replace_last_connect_failed(&self, replica: usize, failed: bool) -> bool {
+    fn replace_last_connect_failed(&self, replica: ReplicaIndex, failed: bool) -> bool {
         let mut endpoints = self.0.endpoints.borrow_mut();
         endpoints
-            .get_mut(replica)
+            .get_mut(replica.0)
             .is_some_and(|endpoint| std::mem::replace(&mut endpoint.last_connect_failed, failed))
     }
 }
 
 async fn connect(
     address: SocketAddr,
-    limits: &ConnectionLimits,
+    config: &ConnectionConfig,
 ) -> Result<TcpStream, ConnectionError> {
-    match timeout(limits.connect_timeout, TcpStream::connect(address)).await {
+    match timeout(config.connect_timeout, TcpStream::connect(address)).await {
         Ok(connected) => connected.map_err(|source| ConnectionError::Connect { source }),
         Err(_) => Err(ConnectionError::ConnectTimeout),
     }
