--- a/crates/linenthread-node/src/control/mod.rs
+++ b/crates/linenthread-node/src/control/mod.rs
@@ -25,7 +25,7 @@
 use tokio::task::spawn_local;
 use tokio::time::Instant;
 
-use crate::error::{Error, step};
+use crate::error::{Error, io_context};
 use crate::incarnation;
 
 use command::{Command, ControlHandle};
@@ -110,7 +110,7 @@
 async fn bind(address: SocketAddr) -> Result<TcpListener, Error> {
     TcpListener::bind(address)
         .await
-        .map_err(step("binding", &address))
+        .map_err(io_context("binding", &address))
 }
 
 /// Takes the messages that waited on the disk from its thread to the task.
--- a/crates/linenthread-node/src/control/state_writer.rs
+++ b/crates/linenthread-node/src/control/state_writer.rs
@@ -9,7 +9,7 @@
 use linenthread_store::{Directory, DirectoryError};
 use snafu::ResultExt;
 
-use crate::error::{Error, StateSnafu, step};
+use crate::error::{Error, StateSnafu, io_context};
 
 /// The log is compacted once it is longer, in bytes.
 const COMPACT_ABOVE_BYTES: u64 = 16 << 20;
@@ -54,7 +54,7 @@
             .name("disk".into())
             .stack_size(STACK_BYTES)
             .spawn(move || write_records(log, &records, on_synced))
-            .map_err(step("starting the disk's thread", ""))?;
+            .map_err(io_context("starting the disk's thread", ""))?;
         Ok((StateWriter { queue }, opened.state))
     }
 
--- a/crates/linenthread-node/src/error.rs
+++ b/crates/linenthread-node/src/error.rs
@@ -38,7 +38,7 @@
 }
 
 /// Adds the step, and the peer, address or file, to an error of the operating system.
-pub(crate) fn step<T: ToString + ?Sized>(
+pub(crate) fn io_context<T: ToString + ?Sized>(
     step: &'static str,
     target: &T,
 ) -> impl FnOnce(io::Error) -> Error + use<T> {
@@ -52,5 +52,5 @@
 
 /// Reads a whole file.
 pub(crate) fn read_file(path: &Path) -> Result<Vec<u8>, Error> {
-    std::fs::read(path).map_err(step("reading", &path.display()))
+    std::fs::read(path).map_err(io_context("reading", &path.display()))
 }
--- a/crates/linenthread-node/src/ingress.rs
+++ b/crates/linenthread-node/src/ingress.rs
@@ -14,7 +14,7 @@
 use tokio::task::spawn_local;
 use tokio::time::Instant;
 
-use crate::error::{Error, step};
+use crate::error::{Error, io_context};
 use crate::signals::SignalWatch;
 use crate::{accept, control_client, incarnation};
 
@@ -31,8 +31,8 @@
 /// How long new connections are still accepted after a shutdown was requested: load balancers check readiness once a
 /// second, so some still send clients here.
 const ACCEPT_WHILE_DRAINING: Duration = Duration::from_millis(2_600);
-/// What is left of the grace period when the last requests are given up.
-const SHUTDOWN_MARGIN: Duration = Duration::from_millis(600);
+/// What is left of the grace period when the ingress role gives up the last requests: time for the process to end.
+const LAST_REQUESTS_MARGIN: Duration = Duration::from_millis(600);
 /// How often a shutdown looks whether all requests have ended.
 const SHUTDOWN_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
@@ -62,9 +62,11 @@
 pub(crate) async fn stop(plane: &DataPlane, grace: Duration) {
     plane.begin_drain();
     let now = Instant::now();
-    let latest = now + grace.saturating_sub(SHUTDOWN_MARGIN);
+    let latest = now + grace.saturating_sub(LAST_REQUESTS_MARGIN);
     tokio::time::sleep_until((now + ACCEPT_WHILE_DRAINING).min(latest)).await;
     plane.close();
+    // The connections' tasks run before the first look: a request that has arrived by now is counted, and a connection
+    // between two requests ends.
     tokio::task::yield_now().await;
     while plane.requests_in_flight() > 0 && Instant::now() < latest {
         tokio::time::sleep(SHUTDOWN_POLL_INTERVAL).await;
@@ -74,7 +76,7 @@
 async fn bind(address: SocketAddr) -> Result<TcpListener, Error> {
     TcpListener::bind(address)
         .await
-        .map_err(step("binding", &address))
+        .map_err(io_context("binding", &address))
 }
 
 /// Accepts clients until the data plane closes.
--- a/crates/linenthread-node/src/main.rs
+++ b/crates/linenthread-node/src/main.rs
@@ -25,7 +25,7 @@
 use snafu::ResultExt;
 use tokio::task::LocalSet;
 
-use crate::error::{ConfigurationSnafu, Error, SettingsSnafu, read_file, step};
+use crate::error::{ConfigurationSnafu, Error, SettingsSnafu, io_context, read_file};
 
 mod flags {
     use std::path::PathBuf;
@@ -57,8 +57,8 @@
 /// The environment variable that names the settings file.
 const SETTINGS_VARIABLE: &str = "LINENTHREAD_BOOT";
 
-/// What is left of the grace period when a control node stops waiting for others.
-const SHUTDOWN_MARGIN: Duration = Duration::from_secs(1);
+/// What is left of the grace period when the control role stops waiting for other nodes: time to stop and exit.
+const CONTROL_SHUTDOWN_MARGIN: Duration = Duration::from_secs(1);
 
 /// How many tasks the runtime runs between two looks for new events: few, so that events do not wait.
 const TASKS_BETWEEN_EVENTS: u32 = 31;
@@ -125,13 +125,13 @@
         .enable_time()
         .event_interval(TASKS_BETWEEN_EVENTS)
         .build()
-        .map_err(step("start of the runtime", ""))?;
+        .map_err(io_context("start of the runtime", ""))?;
     LocalSet::new().block_on(&runtime, serve(settings, settings_path))
 }
 
 /// How long the graceful shutdown of a control node may take; what is left of the grace period is for its end.
 fn control_shutdown_timeout(grace: Duration) -> Duration {
-    grace.saturating_sub(SHUTDOWN_MARGIN).max(grace / 2)
+    grace.saturating_sub(CONTROL_SHUTDOWN_MARGIN).max(grace / 2)
 }
 
 /// Serves what the settings bind until a shutdown is requested, and shuts down.
--- a/crates/linenthread-node/src/peer_connection.rs
+++ b/crates/linenthread-node/src/peer_connection.rs
@@ -15,7 +15,7 @@
 use tokio::sync::mpsc;
 
 use crate::connect_timeout::connect_timeout;
-use crate::error::{Error, FrameSnafu, step};
+use crate::error::{Error, FrameSnafu, io_context};
 
 /// Messages that may wait to be written; the connection with a peer that lets more wait is closed.
 pub(crate) const MAX_QUEUED_MESSAGES: usize = 512;
@@ -57,7 +57,7 @@
     let connected = tokio::time::timeout(timeout, TcpStream::connect(address))
         .await
         .unwrap_or_else(|_| Err(io::ErrorKind::TimedOut.into()));
-    let stream = connected.map_err(step("dialling", &address))?;
+    let stream = connected.map_err(io_context("dialling", &address))?;
     configure(&stream);
     Ok(stream)
 }
@@ -96,7 +96,7 @@
         let read = reader
             .read_buf(&mut buffer)
             .await
-            .map_err(step("reading from", peer))?;
+            .map_err(io_context("reading from", peer))?;
         if read == 0 {
             return Ok(());
         }
@@ -119,7 +119,7 @@
         writer
             .write_all(&buffer)
             .await
-            .map_err(step("writing to", peer))?;
+            .map_err(io_context("writing to", peer))?;
         buffer.clear();
         if buffer.capacity() > MAX_IDLE_WRITE_BUFFER_BYTES {
             buffer = BytesMut::new();
--- a/crates/linenthread-node/src/signals.rs
+++ b/crates/linenthread-node/src/signals.rs
@@ -7,7 +7,7 @@
 use tokio::signal::unix::{SignalKind, signal};
 use tokio::sync::watch;
 
-use crate::error::{Error, step};
+use crate::error::{Error, io_context};
 
 /// What signals request of the process.
 #[derive(Clone)]
@@ -35,7 +35,7 @@
 ///
 /// The system does not let the process listen.
 pub(crate) fn listen(settings_path: PathBuf) -> Result<SignalWatch, Error> {
-    let listen_for = |kind| signal(kind).map_err(step("listening for signals", ""));
+    let listen_for = |kind| signal(kind).map_err(io_context("listening for signals", ""));
     let mut terminate = listen_for(SignalKind::terminate())?;
     let mut interrupt = listen_for(SignalKind::interrupt())?;
     let mut hangup = listen_for(SignalKind::hangup())?;
