--- a/crates/linenthread-node/src/control_client.rs
+++ b/crates/linenthread-node/src/control_client.rs
@@ -6,29 +6,21 @@
 
 mod quota_requests;
 mod session;
+mod session_schedule;
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::rc::Rc;
-use std::time::Duration;
 
 use linenthread_config::Settings;
 use linenthread_control::{ChangeLogOffset, Incarnation};
 use linenthread_dataplane::{DataPlane, clock};
-use linenthread_time::Instant;
-use oorandom::Rand64;
 use tokio::sync::watch;
 
 use self::quota_requests::QuotaRequests;
 use self::session::Session;
-
-/// The first pause between two sessions, in milliseconds.
-const MIN_BACKOFF_MS: u64 = 50;
-/// The longest pause between two sessions, in milliseconds.
-const MAX_BACKOFF_MS: u64 = 800;
-/// A session that lasted longer than this was a good one: the next pause is the shortest.
-const STABLE_SESSION: Duration = Duration::from_secs(5);
+use self::session_schedule::{EndedSession, SessionSchedule};
 
 /// How far this node has read the change log.
 #[derive(Clone, Copy, Default)]
@@ -57,72 +49,38 @@
     incarnation: Incarnation,
     mut settings: watch::Receiver<Option<Rc<Settings>>>,
 ) {
-    let mut random = Rand64::new(u128::from(incarnation.get()));
-    let client = ControlClient {
-        control_nodes: RefCell::new(plane.settings().bootstrap_peers.clone()),
-        plane,
-        incarnation,
-        position: Cell::default(),
-        zones: RefCell::default(),
-        quota_requests: RefCell::default(),
-    };
-    let mut failures: HashMap<SocketAddr, Instant> = HashMap::new();
-    let mut backoff = Backoff::new();
+    let client = ControlClient::new(plane, incarnation);
+    let mut schedule = SessionSchedule::new(incarnation.get());
     loop {
-        if settings.has_changed().unwrap_or(false)
-            && let Some(settings) = settings.borrow_and_update().clone()
-        {
-            client.add_control_nodes(&settings.bootstrap_peers);
-        }
-        let candidates = client.candidates(&failures, &mut random);
+        client.apply_reloaded_settings(&mut settings);
+        let candidates = client.candidates(&mut schedule);
         let Some(control_node) = candidates.first().copied() else {
             return;
         };
         let started_at = clock::now();
         client.run_session(control_node).await;
-        let now = clock::now();
-        failures.insert(control_node, now);
-        let was_stable = now > started_at + STABLE_SESSION;
-        // While few control nodes have failed, the others are to be tried at once.
-        let has_untried = failures.len() <= candidates.len() / 2;
-        if was_stable || has_untried {
-            backoff.reset();
-        } else {
-            backoff.increase();
-        }
-        tokio::time::sleep(backoff.pause(&mut random)).await;
+        let pause = schedule.on_session_ended(EndedSession {
+            control_node,
+            started_at,
+            ended_at: clock::now(),
+            candidates: candidates.len(),
+        });
+        tokio::time::sleep(pause).await;
     }
 }
 
-/// The pause between two sessions, which grows while sessions fail.
-struct Backoff {
-    pause_ms: u64,
-}
-
-impl Backoff {
-    fn new() -> Backoff {
-        Backoff {
-            pause_ms: MIN_BACKOFF_MS,
+impl ControlClient {
+    fn new(plane: Rc<DataPlane>, incarnation: Incarnation) -> ControlClient {
+        ControlClient {
+            control_nodes: RefCell::new(plane.settings().bootstrap_peers.clone()),
+            plane,
+            incarnation,
+            position: Cell::default(),
+            zones: RefCell::default(),
+            quota_requests: RefCell::default(),
         }
     }
 
-    fn reset(&mut self) {
-        self.pause_ms = MIN_BACKOFF_MS;
-    }
-
-    fn increase(&mut self) {
-        self.pause_ms = (self.pause_ms * 2).min(MAX_BACKOFF_MS);
-    }
-
-    /// At least half of the pause, and at most all of it, so that the nodes that lost a session together do not all
-    /// come back together.
-    fn pause(&self, random: &mut Rand64) -> Duration {
-        let half = self.pause_ms / 2;
-        Duration::from_millis(half + random.rand_range(0..half + 1))
-    }
-}
-
-impl ControlClient {
     /// Has one session with a control node, and logs how it ended.
     async fn run_session(&self, control_node: SocketAddr) {
         match Session::new(self, control_node).run().await {
@@ -134,6 +92,15 @@
         }
     }
 
+    /// Adds the control nodes that settings name, if settings were read again since the last call.
+    fn apply_reloaded_settings(&self, settings: &mut watch::Receiver<Option<Rc<Settings>>>) {
+        if settings.has_changed().unwrap_or(false)
+            && let Some(settings) = settings.borrow_and_update().clone()
+        {
+            self.add_control_nodes(&settings.bootstrap_peers);
+        }
+    }
+
     /// Adds control nodes that the settings name, if they are new.
     fn add_control_nodes(&self, bootstrap_peers: &[SocketAddr]) {
         let mut control_nodes = self.control_nodes.borrow_mut();
@@ -144,21 +111,14 @@
         }
     }
 
-    /// The control nodes in the order to try them: that whose last session ended longest ago first; among equals
-    /// those of the local zone, then at random.
-    fn candidates(
-        &self,
-        failures: &HashMap<SocketAddr, Instant>,
-        random: &mut Rand64,
-    ) -> Vec<SocketAddr> {
+    /// The control nodes in the order to try them.
+    fn candidates(&self, schedule: &mut SessionSchedule) -> Vec<SocketAddr> {
         let mut candidates = self.control_nodes.borrow().clone();
         let zones = self.zones.borrow();
         let local_zone = &self.plane.settings().zone;
-        candidates.sort_by_cached_key(|address| {
-            let failed_at = failures.get(address).copied().unwrap_or(Instant::START);
-            let is_remote = zones.get(address).is_none_or(|zone| zone != local_zone);
-            (failed_at, is_remote, random.rand_u64())
-        });
+        let is_remote =
+            |address: &SocketAddr| zones.get(address).is_none_or(|zone| zone != local_zone);
+        schedule.sort(&mut candidates, is_remote);
         candidates
     }
 }
