--- a/crates/linenthread-control/src/control_peer.rs
+++ b/crates/linenthread-control/src/control_peer.rs
@@ -56,7 +56,7 @@
         ControlPeer {
             last_received_at: now,
             has_quorum: false,
-            value_number: ValueNumber::new(hello.value_number_or_revision),
+            value_number: ValueNumber::new(hello.value_number()),
             durable_value_number: None,
             is_shutting_down: false,
             is_reconfiguring: false,
@@ -139,7 +139,7 @@
     ) -> HeartbeatDemand {
         let begins_shutdown = heartbeat.shutting_down && !self.is_shutting_down;
         self.has_quorum = heartbeat.has_quorum;
-        self.value_number = ValueNumber::new(heartbeat.quota_request_or_value_number);
+        self.value_number = ValueNumber::new(heartbeat.value_number());
         self.observe_durable(heartbeat.durable_value_number.map(ValueNumber::new));
         self.is_shutting_down = heartbeat.shutting_down;
         self.is_reconfiguring = heartbeat.reconfiguring;
--- a/crates/linenthread-control/src/ingress_peer.rs
+++ b/crates/linenthread-control/src/ingress_peer.rs
@@ -53,7 +53,7 @@
         let reached_offset = ChangeLogOffset::new(hello.change_log_offset);
         IngressPeer {
             last_received_at: now,
-            sent_revision: Revision::new(hello.value_number_or_revision),
+            sent_revision: Revision::new(hello.revision()),
             sent_offset: follows_this_log.then_some(reached_offset),
             sent_addresses: AddressBookVersion::NONE,
             confirmation: Confirmation::Missing,
@@ -85,7 +85,7 @@
 
     /// A heartbeat of the ingress node.
     pub(crate) fn on_heartbeat(&mut self, heartbeat: &Heartbeat) {
-        self.quota_request = QuotaRequestNumber::new(heartbeat.quota_request_or_value_number);
+        self.quota_request = QuotaRequestNumber::new(heartbeat.quota_request());
         self.revision = Revision::new(heartbeat.revision);
     }
 
--- a/crates/linenthread-hollow/src/messages.rs
+++ b/crates/linenthread-hollow/src/messages.rs
@@ -91,11 +91,7 @@
 
 /// An ingress node's heartbeat.
 pub(crate) fn heartbeat(quota_request: u64, revision: u64) -> PeerMessage {
-    PeerMessage::Heartbeat(Heartbeat {
-        quota_request_or_value_number: quota_request,
-        revision,
-        ..Heartbeat::default()
-    })
+    PeerMessage::Heartbeat(Heartbeat::of_ingress_node(quota_request, revision))
 }
 
 /// The message of a complete frame.
--- a/crates/linenthread-messages/src/sessions.rs
+++ b/crates/linenthread-messages/src/sessions.rs
@@ -104,6 +104,19 @@
     pub value_number_or_revision: u64,
 }
 
+/// What the number of a hello is. The receiver knows by `control_address` who the sender is.
+impl Hello {
+    /// From an ingress node: the revision of the configuration that it uses.
+    pub fn revision(&self) -> u64 {
+        self.value_number_or_revision
+    }
+
+    /// From a control node: the number of the newest value that it has.
+    pub fn value_number(&self) -> u64 {
+        self.value_number_or_revision
+    }
+}
+
 /// A sign of life, sent both ways at an interval, and state that changes often.
 #[derive(Clone, PartialEq, Message)]
 pub struct Heartbeat {
@@ -136,6 +149,28 @@
     pub reconfiguring: bool,
 }
 
+/// What the first number of a heartbeat is. The receiver knows by the session's [`Hello`] who the sender is.
+impl Heartbeat {
+    /// The heartbeat of an ingress node, which requests a retry quota.
+    pub fn of_ingress_node(quota_request: u64, revision: u64) -> Heartbeat {
+        Heartbeat {
+            quota_request_or_value_number: quota_request,
+            revision,
+            ..Heartbeat::default()
+        }
+    }
+
+    /// From an ingress node: its newest request for a retry quota.
+    pub fn quota_request(&self) -> u64 {
+        self.quota_request_or_value_number
+    }
+
+    /// From a control node: the number of the newest value that it has.
+    pub fn value_number(&self) -> u64 {
+        self.quota_request_or_value_number
+    }
+}
+
 /// How much of the sender's state is synced to its disk.
 #[derive(Clone, PartialEq, Message)]
 pub struct DurableProgress {
--- a/crates/linenthread-node/src/control_client/session.rs
+++ b/crates/linenthread-node/src/control_client/session.rs
@@ -115,11 +115,7 @@
         let plane = &self.client.plane;
         loop {
             let quota_request = self.client.quota_requests.borrow_mut().next(clock::now());
-            let heartbeat = Heartbeat {
-                quota_request_or_value_number: quota_request.get(),
-                revision: plane.revision(),
-                ..Heartbeat::default()
-            };
+            let heartbeat = Heartbeat::of_ingress_node(quota_request.get(), plane.revision());
             if outbox.try_send(PeerMessage::Heartbeat(heartbeat)).is_err() {
                 return SessionEnd::SendQueueFull;
             }
--- a/crates/linenthread-simulation/src/system/ingress_node.rs
+++ b/crates/linenthread-simulation/src/system/ingress_node.rs
@@ -148,11 +148,7 @@
     pub(super) fn heartbeat(&mut self, now: Instant) -> Heartbeat {
         self.last_quota_request = self.last_quota_request.next();
         self.quota_requested_at.insert(self.last_quota_request, now);
-        Heartbeat {
-            quota_request_or_value_number: self.last_quota_request.get(),
-            revision: self.revision.get(),
-            ..Heartbeat::default()
-        }
+        Heartbeat::of_ingress_node(self.last_quota_request.get(), self.revision.get())
     }
 
     /// Works on a message of its control node.
