--- a/crates/linenthread-core/src/policy/attempt_result.rs
+++ b/crates/linenthread-core/src/policy/attempt_result.rs
@@ -23,8 +23,8 @@
 /// Unit: attempts. Reason: it was needed, so where replicas hang the hedged requests may follow.
 const HEDGES_PER_WIN: f64 = 2.0;
 
-/// An attempt that has just ended, with what its evaluation needs.
-struct FinishedAttempt {
+/// What an attempt that has just ended says of its replica.
+struct AttemptObservation {
     replica: ReplicaIndex,
     outcome: AttemptOutcome,
     /// From its sending to its end, in tenths of a millisecond.
@@ -34,7 +34,7 @@
     connection: ConnectionUse,
 }
 
-impl FinishedAttempt {
+impl AttemptObservation {
     /// Whether it ended before its replica responded: it was cancelled, or timed out.
     fn was_cut_short(&self) -> bool {
         matches!(
@@ -68,24 +68,24 @@
             return;
         };
         attempt.outcome = Some(result.outcome);
-        let finished = FinishedAttempt {
+        let observed = AttemptObservation {
             replica: attempt.replica,
             outcome: result.outcome,
             elapsed: result.elapsed.max(1) as f64,
             slow,
             connection: attempt.connection,
         };
-        self.record_connection(&finished);
-        let replica = &mut self.replicas[finished.replica];
+        self.record_connection(&observed);
+        let replica = &mut self.replicas[observed.replica];
         replica.in_flight -= 1;
         replica.last_used_at = self.now;
-        self.record_delay(result, &finished);
-        match finished.outcome {
-            AttemptOutcome::Success => self.on_success(result, &finished, sink),
-            AttemptOutcome::Cancelled => self.record_lower_bound(&finished),
+        self.record_delay(result, &observed);
+        match observed.outcome {
+            AttemptOutcome::Success => self.on_success(result, &observed, sink),
+            AttemptOutcome::Cancelled => self.record_lower_bound(&observed),
             // A time-out that comes sooner than a slow response is its query's fault, not the replica's.
-            AttemptOutcome::TimedOut if finished.elapsed < slow => {
-                self.record_lower_bound(&finished);
+            AttemptOutcome::TimedOut if observed.elapsed < slow => {
+                self.record_lower_bound(&observed);
             }
             // It says nothing of the replica.
             AttemptOutcome::NotSent => {}
@@ -93,9 +93,9 @@
             | AttemptOutcome::Error
             | AttemptOutcome::Rejected
             | AttemptOutcome::ConnectFailed
-            | AttemptOutcome::ConnectionLost => self.record_outcome(finished.replica, 1.0),
+            | AttemptOutcome::ConnectionLost => self.record_outcome(observed.replica, 1.0),
         }
-        self.record_outage(result.query, &finished);
+        self.record_outage(result.query, &observed);
     }
 
     fn attempt_mut(&mut self, result: &AttemptResult) -> Option<&mut Attempt> {
@@ -105,11 +105,11 @@
     }
 
     /// Counts how often idle connections fail, and how often others do.
-    fn record_connection(&mut self, finished: &FinishedAttempt) {
-        let Some(failure) = finished.connection_failure() else {
+    fn record_connection(&mut self, observed: &AttemptObservation) {
+        let Some(failure) = observed.connection_failure() else {
             return;
         };
-        let failures = match finished.connection {
+        let failures = match observed.connection {
             ConnectionUse::Idle => &mut self.fleet.idle_connection_failures,
             ConnectionUse::Active => &mut self.fleet.active_connection_failures,
             ConnectionUse::Unknown => return,
@@ -119,14 +119,14 @@
 
     /// Records how long the sub-request took or was waited for, counted from its first attempt: a hedged request that
     /// is quicker makes up for a slow attempt.
-    fn record_delay(&mut self, result: &AttemptResult, finished: &FinishedAttempt) {
+    fn record_delay(&mut self, result: &AttemptResult, observed: &AttemptObservation) {
         let now = self.now;
-        if finished.outcome == AttemptOutcome::Rejected {
-            return self.record_rejection(finished.replica);
+        if observed.outcome == AttemptOutcome::Rejected {
+            return self.record_rejection(observed.replica);
         }
         let sub_request = &self.open_query(result.query).sub_requests[result.sub_request];
-        let is_response = finished.outcome == AttemptOutcome::Success;
-        let was_last_cut_short = sub_request.in_flight() == 0 && finished.was_cut_short();
+        let is_response = observed.outcome == AttemptOutcome::Success;
+        let was_last_cut_short = sub_request.in_flight() == 0 && observed.was_cut_short();
         if !sub_request.succeeded && (is_response || was_last_cut_short) {
             let age = (now - sub_request.attempts[0].sent_at).max(1) as f64;
             self.fleet.log_delays.record(now, RECENT, age.ln());
@@ -148,17 +148,17 @@
     fn on_success(
         &mut self,
         result: &AttemptResult,
-        finished: &FinishedAttempt,
+        observed: &AttemptObservation,
         sink: &mut impl DecisionSink,
     ) {
-        self.credit_hedge_that_won(result, finished);
+        self.credit_hedge_that_won(result, observed);
         self.mark_succeeded(result);
-        let replica = &mut self.replicas[finished.replica];
+        let replica = &mut self.replicas[observed.replica];
         replica.last_response_at = self.now;
         replica.on_response(self.now, result.queue_depth);
-        let log_latency = finished.elapsed.ln();
-        self.record_outcome(finished.replica, 0.0);
-        self.record_latency(finished.replica, log_latency);
+        let log_latency = observed.elapsed.ln();
+        self.record_outcome(observed.replica, 0.0);
+        self.record_latency(observed.replica, log_latency);
         self.fleet
             .log_latencies
             .record(self.now, RECENT, log_latency);
@@ -170,11 +170,11 @@
     }
 
     /// Makes room for more hedged requests where one came before the attempt that it was sent beside.
-    fn credit_hedge_that_won(&mut self, result: &AttemptResult, finished: &FinishedAttempt) {
+    fn credit_hedge_that_won(&mut self, result: &AttemptResult, observed: &AttemptObservation) {
         let query = self.open_query(result.query);
         let sub_request = &query.sub_requests[result.sub_request];
         let is_overtaken = |earlier: &Attempt| {
-            earlier.is_in_flight() || earlier.reissued && finished.elapsed < finished.slow
+            earlier.is_in_flight() || earlier.reissued && observed.elapsed < observed.slow
         };
         let mut earlier = sub_request.attempts[..result.attempt].iter();
         if !sub_request.succeeded && earlier.any(is_overtaken) {
@@ -197,15 +197,15 @@
 
     /// An attempt that was cut short would have taken longer still. That says something of the replica only if
     /// it had already taken longer than usual.
-    fn record_lower_bound(&mut self, finished: &FinishedAttempt) {
-        let usual = self.replicas[finished.replica]
+    fn record_lower_bound(&mut self, observed: &AttemptObservation) {
+        let usual = self.replicas[observed.replica]
             .observations
             .log_latencies
             .mean(MIN_WEIGHT)
             .or(self.fleet.log_latencies.mean(MIN_WEIGHT));
-        let log_elapsed = finished.elapsed.ln();
+        let log_elapsed = observed.elapsed.ln();
         if usual.is_some_and(|log_median| log_elapsed > log_median) {
-            self.record_latency(finished.replica, log_elapsed);
+            self.record_latency(observed.replica, log_elapsed);
         }
     }
 
@@ -235,13 +235,13 @@
     }
 
     /// Makes the replica count as down after a lost connection or a failed connect.
-    fn record_outage(&mut self, query_index: QueryIndex, finished: &FinishedAttempt) {
-        match finished.outcome {
+    fn record_outage(&mut self, query_index: QueryIndex, observed: &AttemptObservation) {
+        match observed.outcome {
             AttemptOutcome::ConnectionLost => {
-                self.suspect_crash(query_index, finished.replica);
-                self.mark_down(finished.replica);
+                self.suspect_crash(query_index, observed.replica);
+                self.mark_down(observed.replica);
             }
-            AttemptOutcome::ConnectFailed => self.mark_down(finished.replica),
+            AttemptOutcome::ConnectFailed => self.mark_down(observed.replica),
             _ => {}
         }
     }
--- a/crates/linenthread-core/src/state/replica.rs
+++ b/crates/linenthread-core/src/state/replica.rs
@@ -13,7 +13,8 @@
     pub failures: DecayingSums,
 }
 
-/// A replica's connections fail or were lost: it is sent nothing until a probe or an attempt succeeds.
+/// A replica's connections fail or were lost: it is sent nothing until a probe or an attempt succeeds, or the outage has
+/// lasted so long that an attempt may try it (`policy::send_guard`).
 #[derive(Clone, Copy)]
 pub(crate) struct Outage {
     /// When it began.
@@ -23,6 +24,23 @@
 }
 
 /// One replica.
+///
+/// Whether it is up and whether its process crashed are separate findings, of attempts and of probes, which may end in
+/// any order. So `outage`, `suspected_crash` and `crashed` do not exclude one another:
+///
+/// | `outage` | `suspected_crash` | `crashed` | |
+/// | --- | --- | --- | --- |
+/// | | | | it is up |
+/// | set | | | connections to it fail; nothing says that its process is gone |
+/// | set | set | | a connection was lost under an attempt, and the probe that will show why has not ended |
+/// | set | | set | a probe found its process gone |
+/// | set | set | set | the same, and a connection was lost under another query since |
+/// | | set | | it responded, or is listed with a new process, before the probe ended |
+/// | | | set | it is listed with a new process that has not responded yet, or it responded before the probe failed |
+/// | | set | set | the same, and a connection was lost under another query before that |
+///
+/// The first response after `crashed` clears it and sets `returned_at`, which service discovery's next report of a start
+/// clears. Without probes `suspected_crash`, `crashed` and `returned_at` are never set.
 #[derive(Default)]
 pub(crate) struct Replica {
     /// How service discovery lists it.
