--- a/crates/linenthread-core/src/interface/decision.rs
+++ b/crates/linenthread-core/src/interface/decision.rs
@@ -2,7 +2,7 @@
 
 use super::{QueryIndex, ReplicaIndex, SubRequestIndex, TenthMillis};
 
-/// Why a query is given up, which is to say rejected or failed.
+/// Why a query is abandoned, which is to say rejected or failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FailureCause {
     /// Its time is up.
@@ -28,11 +28,11 @@
 
 /// Where decisions go, in the order they are taken.
 pub trait DecisionSink {
-    /// The query is given up for this cause: its [`reject`](Self::reject) or [`fail`](Self::fail) comes next.
+    /// The query is abandoned for this cause: its [`reject`](Self::reject) or [`fail`](Self::fail) comes next.
     fn failure_cause(&mut self, _query: QueryIndex, _cause: FailureCause) {}
     /// Send the next attempt of a sub-request to a replica.
     ///
-    /// `timeout` is the time until the query is given up: a slow attempt is hedged, not timed out.
+    /// `timeout` is the time until the query is abandoned: a slow attempt is hedged, not timed out.
     fn send(
         &mut self,
         query: QueryIndex,
@@ -45,9 +45,9 @@
     /// Respond from the sub-requests that have succeeded. With a fetch phase to come this is not yet the final
     /// response.
     fn respond(&mut self, query: QueryIndex, completeness: Completeness);
-    /// Give the query up; sending it again is harmless, at best after this time.
+    /// Abandon the query; sending it again is harmless, at best after this time.
     fn reject(&mut self, query: QueryIndex, retry_after: Option<TenthMillis>);
-    /// Give the query up without such a promise: an attempt of it may have run, and a second run
+    /// Abandon the query without such a promise: an attempt of it may have run, and a second run
     /// may do harm.
     fn fail(&mut self, query: QueryIndex);
     /// The query has ended and no attempt of it is in flight: its index may be reused.
--- a/crates/linenthread-core/src/interface/query.rs
+++ b/crates/linenthread-core/src/interface/query.rs
@@ -15,7 +15,7 @@
     pub key: Option<u64>,
     /// The query's own number, which replaces a routing key that it lacks.
     pub sequence_number: u64,
-    /// When the client gives this attempt up.
+    /// When the client stops waiting for the response.
     pub hard_deadline: TenthMillis,
 }
 
--- a/crates/linenthread-core/src/policy/mod.rs
+++ b/crates/linenthread-core/src/policy/mod.rs
@@ -31,12 +31,12 @@
 //!
 //! | observed | decided by |
 //! | --- | --- |
-//! | rejected or failed, [`DeadlineExceeded`](FailureCause::DeadlineExceeded) | `resolution`: `gives_up_at` |
+//! | rejected or failed, [`DeadlineExceeded`](FailureCause::DeadlineExceeded) | `resolution`: `abandon_at` |
 //! | rejected or failed, [`QueryOfDeath`](FailureCause::QueryOfDeath) | `query_of_death`: `may_be_query_of_death` |
 //! | rejected or failed, [`Unanswerable`](FailureCause::Unanswerable) | `resolution`: `is_unanswerable` |
 //! | rejected, [`ExpectedLate`](FailureCause::ExpectedLate) | `admission`: `draws_late_rejection` |
 //! | rejected, [`Saturated`](FailureCause::Saturated) | `admission`: `is_saturated` |
-//! | failed rather than rejected | `resolution`: `give_up` |
+//! | failed rather than rejected | `resolution`: `abandon` |
 //! | retried, or not | `dispatch`: `send_missing`; `send_guard`: `may_send`; `retry_budget` |
 //! | hedged, or not | `dispatch`: `is_hedge_due` |
 //! | an attempt cancelled and its sub-request sent to another replica | `dispatch`: `should_reissue` |
--- a/crates/linenthread-core/src/policy/resolution.rs
+++ b/crates/linenthread-core/src/policy/resolution.rs
@@ -10,7 +10,7 @@
 };
 use crate::state::{Query, QueryStage, SubRequest};
 
-/// An index whose late responses earn no more than this is given up at its soft deadline.
+/// Queries of an index whose late responses earn no more than this are abandoned at their soft deadline.
 ///
 /// Unit: share of the value. Reason: the attempts of a late query delay others that are still in time.
 const MIN_LATE_VALUE_SHARE: f64 = 0.15;
@@ -20,8 +20,8 @@
 /// Unit: slow response times. Reason: the fetch phase has to be over by the soft deadline.
 const FETCH_PHASE_TIME: f64 = 1.4;
 
-/// When a query is given up: rejected or failed, whatever is still in flight.
-pub(super) fn gives_up_at(query: &Query, index: &IndexConfig) -> TenthMillis {
+/// When a query is abandoned: rejected or failed, whatever is still in flight.
+pub(super) fn abandon_at(query: &Query, index: &IndexConfig) -> TenthMillis {
     if index.late_value_share > MIN_LATE_VALUE_SHARE {
         query.hard_deadline
     } else {
@@ -36,8 +36,8 @@
 
 /// How far the present phase of a query is.
 struct Progress {
-    /// When the query is given up.
-    gives_up_at: TenthMillis,
+    /// When the query is abandoned.
+    abandon_at: TenthMillis,
     /// The share of the weight that makes a complete response.
     complete_share: f64,
     /// The share of the weight under which no response may be given.
@@ -63,7 +63,7 @@
 }
 
 impl Coordinator {
-    /// Takes one open query a step further: responds to it, gives it up, or sends what it still needs.
+    /// Takes one open query a step further: responds to it, abandons it, or sends what it still needs.
     ///
     /// The order matters: a query that has enough responses is responded to even when its time is up, and admission
     /// judges a query only if it can be answered at all.
@@ -85,7 +85,7 @@
             return self.respond(query_index, &progress, sink);
         }
         if let Some(cause) = self.failure_cause(query_index, &progress) {
-            return self.give_up(query_index, cause, sink);
+            return self.abandon(query_index, cause, sink);
         }
         self.open_query_mut(query_index).stage = QueryStage::Admitted;
         self.send_missing(query_index, sink);
@@ -106,7 +106,7 @@
         // An index whose responses may be partial may also lack a part of what is fetched.
         let allows_partial_fetch = index.min_share < index.complete_share;
         Progress {
-            gives_up_at: gives_up_at(query, index),
+            abandon_at: abandon_at(query, index),
             complete_share: self.complete_share(query),
             min_share: if query.is_fetching() && !allows_partial_fetch {
                 1.0
@@ -122,7 +122,7 @@
     /// none of its shard's replicas can be reached in time.
     ///
     /// An exhausted retry budget is not among these. It is a window that moves on: a sub-request that it holds back now
-    /// may be sent later, so the query waits for it and, if it never is, is given up as
+    /// may be sent later, so the query waits for it and, if it never is, is abandoned as
     /// [`FailureCause::DeadlineExceeded`].
     fn is_unanswerable(&self, query: &Query, sub_request: &SubRequest) -> bool {
         !sub_request.succeeded
@@ -150,7 +150,7 @@
         };
         let ready_at = self.now + to_tenth_millis(fetch_time * self.slow_latency());
         let is_late =
-            ready_at >= progress.gives_up_at || ready_at >= query.soft_deadline && partial_pays;
+            ready_at >= progress.abandon_at || ready_at >= query.soft_deadline && partial_pays;
         progress.is_complete()
             || reaches(progress.succeeded_share, progress.min_share)
                 && (is_late || !progress.can_become_complete())
@@ -173,7 +173,7 @@
         };
         let has_fetch_phase = self.index_config(query).fetch_sub_requests > 0;
         let is_final = query.first_response.is_some() || !has_fetch_phase;
-        if query.is_continued() && self.now < progress.gives_up_at.min(query.soft_deadline) {
+        if query.is_continued() && self.now < progress.abandon_at.min(query.soft_deadline) {
             self.send_missing(query_index, sink);
             if self.awaits_continuation(query_index) {
                 return;
@@ -195,7 +195,7 @@
         query.sub_requests.iter().any(is_awaited)
     }
 
-    /// Why a query without a response is given up; `None` if it is not.
+    /// Why a query without a response is abandoned; `None` if it is not.
     fn failure_cause(
         &mut self,
         query_index: QueryIndex,
@@ -203,7 +203,7 @@
     ) -> Option<FailureCause> {
         let query = self.open_query(query_index);
         let is_query_of_death = || self.may_be_query_of_death(query, CrashEvidence::Proven);
-        if self.now >= progress.gives_up_at {
+        if self.now >= progress.abandon_at {
             Some(FailureCause::DeadlineExceeded)
         } else if is_query_of_death() && !query.is_in_flight() {
             Some(FailureCause::QueryOfDeath)
@@ -216,9 +216,9 @@
         }
     }
 
-    /// Gives a query up: ends it without a response. It is rejected where sending it again is harmless, since it may
+    /// Abandons a query: ends it without a response. It is rejected where sending it again is harmless, since it may
     /// run any number of times or no attempt of it ran; else it fails, which promises nothing.
-    fn give_up(
+    fn abandon(
         &mut self,
         query_index: QueryIndex,
         cause: FailureCause,
--- a/crates/linenthread-core/src/policy/send_guard.rs
+++ b/crates/linenthread-core/src/policy/send_guard.rs
@@ -2,7 +2,7 @@
 //! holds the rules.
 
 use super::Coordinator;
-use super::resolution::gives_up_at;
+use super::resolution::abandon_at;
 use crate::interface::{Idempotency, ReplicaIndex, TenthMillis};
 use crate::state::{Outage, Query, SubRequest};
 
@@ -47,7 +47,7 @@
     }
 
     /// Whether sending the sub-request to the replica is in vain: the replica is down up to the moment at which the
-    /// query is given up, or the attempt is a retry whose response is expected after that moment.
+    /// query is abandoned, or the attempt is a retry whose response is expected after that moment.
     pub(super) fn is_out_of_reach(
         &self,
         query: &Query,
@@ -55,18 +55,18 @@
         replica_index: ReplicaIndex,
     ) -> bool {
         let replica = &self.replicas[replica_index];
-        let gives_up_at = gives_up_at(query, self.index_config(query));
+        let abandon_at = abandon_at(query, self.index_config(query));
         // With probes, an attempt may try a replica whose outage has lasted long enough, even if no probe reached it:
-        // that may come before the query is given up. Without probes only an attempt can find that a replica is back,
+        // that may come before the query is abandoned. Without probes only an attempt can find that a replica is back,
         // so waiting would show nothing, and the replica counts as it is now.
         let checked_at = if self.config.permissions.health_probes {
-            gives_up_at
+            abandon_at
         } else {
             self.now
         };
         let stays_down = replica.outage.is_some() && !self.is_up(replica_index, checked_at);
         let is_retry = !sub_request.attempts.is_empty();
-        stays_down || is_retry && replica.expected_latency > (gives_up_at - self.now) as f64
+        stays_down || is_retry && replica.expected_latency > (abandon_at - self.now) as f64
     }
 
     /// Whether attempts may be sent to the replica at a moment: it is up, or its outage has lasted long enough for an
--- a/crates/linenthread-core/src/policy/sending.rs
+++ b/crates/linenthread-core/src/policy/sending.rs
@@ -1,7 +1,7 @@
 //! How an attempt is sent, and when idle connections are closed first.
 
 use super::Coordinator;
-use super::resolution::gives_up_at;
+use super::resolution::abandon_at;
 use super::windows::{RECENT, REMEMBERED_RESPONSES};
 use crate::interface::{DecisionSink, QueryIndex, ReplicaIndex, SubRequestIndex, TenthMillis};
 use crate::state::{Attempt, ConnectionUse};
@@ -29,7 +29,7 @@
         };
         let now = self.now;
         let query = self.open_query(query_index);
-        let gives_up_at = gives_up_at(query, self.index_config(query));
+        let abandon_at = abandon_at(query, self.index_config(query));
         self.count_attempt(query_index, sub_request_index, replica_index);
         let connection = self.prepare_connection(replica_index, sink);
         let sub_request = &mut self.open_query_mut(query_index).sub_requests[sub_request_index];
@@ -41,7 +41,7 @@
             reissued: false,
         });
         self.replicas[replica_index].on_send(now);
-        let timeout = (gives_up_at - now).max(1);
+        let timeout = (abandon_at - now).max(1);
         sink.send(query_index, sub_request_index, replica_index, timeout);
     }
 
--- a/crates/linenthread-core/src/state/replica.rs
+++ b/crates/linenthread-core/src/state/replica.rs
@@ -13,8 +13,8 @@
     pub failures: DecayingSums,
 }
 
-/// A replica's connections fail or were lost: it is sent nothing until a probe or an attempt succeeds, or the outage has
-/// lasted so long that an attempt may try it (`policy::send_guard`).
+/// A replica's connections fail or were lost: it is sent nothing until a probe or an attempt succeeds, or the outage
+/// has lasted so long that an attempt may try it (`policy::send_guard`).
 #[derive(Clone, Copy)]
 pub(crate) struct Outage {
     /// When it began.
@@ -39,8 +39,8 @@
 /// | | | set | it is listed with a new process that has not responded yet, or it responded before the probe failed |
 /// | | set | set | the same, and a connection was lost under another query before that |
 ///
-/// The first response after `crashed` clears it and sets `returned_at`, which service discovery's next report of a start
-/// clears. Without probes `suspected_crash`, `crashed` and `returned_at` are never set.
+/// The first response after `crashed` clears it and sets `returned_at`, which service discovery's next report of a
+/// start clears. Without probes `suspected_crash`, `crashed` and `returned_at` are never set.
 #[derive(Default)]
 pub(crate) struct Replica {
     /// How service discovery lists it.
--- a/crates/linenthread-dataplane/src/dispatcher.rs
+++ b/crates/linenthread-dataplane/src/dispatcher.rs
@@ -168,16 +168,16 @@
         self.arrived.notify_one();
     }
 
-    /// Logs how many queries were given up, and frees the indices of replicas that departed.
+    /// Logs how many queries were abandoned, and frees the indices of replicas that departed.
     pub(crate) fn maintain(&self) {
         let mut state = self.state.borrow_mut();
-        let given_up = std::mem::take(&mut state.decisions.given_up);
-        if !given_up.is_empty() {
+        let abandoned = std::mem::take(&mut state.decisions.abandoned);
+        if !abandoned.is_empty() {
             let backend = self.backends.first().map_or("", |backend| backend);
             log::info!(backend = backend, backends = self.backends.len(),
-                deadline_exceeded = given_up.deadline_exceeded, crash_suspected = given_up.crash_suspected,
-                unanswerable = given_up.unanswerable, too_slow = given_up.too_slow,
-                saturated = given_up.saturated; "event=request_abandoned");
+                deadline_exceeded = abandoned.deadline_exceeded, crash_suspected = abandoned.crash_suspected,
+                unanswerable = abandoned.unanswerable, too_slow = abandoned.too_slow,
+                saturated = abandoned.saturated; "event=request_abandoned");
         }
         state.free_departed_replicas();
     }
@@ -198,12 +198,12 @@
             match decision {
                 Decision::Send(attempt) => self.send(&mut state, &attempt),
                 Decision::Respond { query } => state.with_query(query, OpenQuery::complete),
-                // The status follows from what was sent, 503 or 502: see `Response::given_up`. What a rejection adds is
+                // The status follows from what was sent, 503 or 502: see `Response::abandoned`. What a rejection adds is
                 // the advice when to retry.
                 Decision::Reject { query, retry_after } => {
-                    state.with_query(query, |query| query.give_up(retry_after));
+                    state.with_query(query, |query| query.abandon(retry_after));
                 }
-                Decision::Fail { query } => state.with_query(query, |query| query.give_up(None)),
+                Decision::Fail { query } => state.with_query(query, |query| query.abandon(None)),
                 Decision::Release { query } => state.release_query(query),
                 Decision::CloseIdle { replica } => state.replicas.pool(replica).close_idle(),
             }
--- a/crates/linenthread-dataplane/src/dispatcher/decisions.rs
+++ b/crates/linenthread-dataplane/src/dispatcher/decisions.rs
@@ -19,12 +19,12 @@
     Send(SendAttempt),
     /// Respond with what has arrived.
     Respond { query: QueryIndex },
-    /// Give the query up; it may be sent again, at best after this time.
+    /// Abandon the query; it may be sent again, at best after this time.
     Reject {
         query: QueryIndex,
         retry_after: Option<TenthMillis>,
     },
-    /// Give the query up, without such a promise.
+    /// Abandon the query, without such a promise.
     Fail { query: QueryIndex },
     /// Nothing of the query is in flight: its index is free.
     Release { query: QueryIndex },
@@ -39,12 +39,12 @@
     /// When the module is to run again, if nothing arrives before.
     pub(super) wake_at: Option<TenthMillis>,
     /// Since they were last logged.
-    pub(super) given_up: GivenUpCounts,
+    pub(super) abandoned: AbandonedCounts,
 }
 
-/// How many queries were given up, by cause.
+/// How many queries were abandoned, by cause.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub(super) struct GivenUpCounts {
+pub(super) struct AbandonedCounts {
     pub(super) deadline_exceeded: u64,
     pub(super) crash_suspected: u64,
     pub(super) unanswerable: u64,
@@ -52,9 +52,9 @@
     pub(super) saturated: u64,
 }
 
-impl GivenUpCounts {
+impl AbandonedCounts {
     pub(super) fn is_empty(&self) -> bool {
-        *self == GivenUpCounts::default()
+        *self == AbandonedCounts::default()
     }
 }
 
@@ -83,11 +83,11 @@
 
     fn failure_cause(&mut self, _query: QueryIndex, cause: FailureCause) {
         *match cause {
-            FailureCause::DeadlineExceeded => &mut self.given_up.deadline_exceeded,
-            FailureCause::QueryOfDeath => &mut self.given_up.crash_suspected,
-            FailureCause::Unanswerable => &mut self.given_up.unanswerable,
-            FailureCause::ExpectedLate => &mut self.given_up.too_slow,
-            FailureCause::Saturated => &mut self.given_up.saturated,
+            FailureCause::DeadlineExceeded => &mut self.abandoned.deadline_exceeded,
+            FailureCause::QueryOfDeath => &mut self.abandoned.crash_suspected,
+            FailureCause::Unanswerable => &mut self.abandoned.unanswerable,
+            FailureCause::ExpectedLate => &mut self.abandoned.too_slow,
+            FailureCause::Saturated => &mut self.abandoned.saturated,
         } += 1;
     }
 
--- a/crates/linenthread-dataplane/src/dispatcher/query.rs
+++ b/crates/linenthread-dataplane/src/dispatcher/query.rs
@@ -141,12 +141,12 @@
         };
         match response {
             Some(response) => self.respond(response),
-            None => self.give_up(None),
+            None => self.abandon(None),
         }
     }
 
-    /// Responds that the query is given up: with a replica's own failure, if there was one.
-    pub(super) fn give_up(&mut self, retry_after: Option<TenthMillis>) {
+    /// Responds that the query is abandoned: with a replica's own failure, if there was one.
+    pub(super) fn abandon(&mut self, retry_after: Option<TenthMillis>) {
         if self.client.is_none() {
             return;
         }
@@ -158,7 +158,7 @@
                 .iter()
                 .map(SubRequest::furthest_send_state)
                 .max();
-            Response::given_up(furthest.unwrap_or(SendState::NotSent), retry_after)
+            Response::abandoned(furthest.unwrap_or(SendState::NotSent), retry_after)
         };
         self.respond(response);
     }
--- a/crates/linenthread-dataplane/src/response.rs
+++ b/crates/linenthread-dataplane/src/response.rs
@@ -88,10 +88,10 @@
         }
     }
 
-    /// The query was given up. `furthest` is how far the request got at any replica: only where nothing of it can have
+    /// The query was abandoned. `furthest` is how far the request got at any replica: only where nothing of it can have
     /// run does the status (503) promise that, else it promises nothing (502). It says when to retry, if there is
     /// advice.
-    pub(crate) fn given_up(furthest: SendState, retry_after: Option<TenthMillis>) -> Response {
+    pub(crate) fn abandoned(furthest: SendState, retry_after: Option<TenthMillis>) -> Response {
         let status = match furthest {
             SendState::NotSent | SendState::Rejected => 503,
             SendState::MayHaveRun => 502,
--- a/crates/linenthread-node/src/ingress.rs
+++ b/crates/linenthread-node/src/ingress.rs
@@ -31,7 +31,7 @@
 /// How long new connections are still accepted after a shutdown was requested: load balancers check readiness once a
 /// second, so some still send clients here.
 const ACCEPT_WHILE_DRAINING: Duration = Duration::from_millis(2_600);
-/// What is left of the grace period when the ingress role gives up the last requests: time for the process to end.
+/// What is left of the grace period when the ingress role abandons the last requests: time for the process to end.
 const LAST_REQUESTS_MARGIN: Duration = Duration::from_millis(600);
 /// How often a shutdown looks whether all requests have ended.
 const SHUTDOWN_POLL_INTERVAL: Duration = Duration::from_millis(10);
