--- a/crates/linenthread-node/src/control/peer_sessions.rs
+++ b/crates/linenthread-node/src/control/peer_sessions.rs
@@ -1,6 +1,7 @@
 //! Connections with other control nodes and with ingress nodes.
 
 use std::net::SocketAddr;
+use std::ops::ControlFlow;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
 
@@ -50,7 +51,14 @@
         return;
     }
     let receiver = handle.clone();
-    let receive = move |message| receiver.try_send(Command::MessageReceived(session, message));
+    let receive = move |message| {
+        let was_sent = receiver.try_send(Command::MessageReceived(session, message));
+        if was_sent {
+            ControlFlow::Continue(())
+        } else {
+            ControlFlow::Break(())
+        }
+    };
     if let Err(error) = peer_connection::exchange(stream, &peer, outgoing, receive).await {
         log::info!(cause = error.to_string(); "event=connection_closed");
     }
--- a/crates/linenthread-node/src/control_client.rs
+++ b/crates/linenthread-node/src/control_client.rs
@@ -59,7 +59,7 @@
         };
         let started_at = clock::now();
         client.run_session(control_node).await;
-        let pause = schedule.on_session_ended(EndedSession {
+        let pause = schedule.on_session_ended(&EndedSession {
             control_node,
             started_at,
             ended_at: clock::now(),
--- a/crates/linenthread-node/src/control_client/session.rs
+++ b/crates/linenthread-node/src/control_client/session.rs
@@ -3,6 +3,7 @@
 use std::cell::Cell;
 use std::fmt;
 use std::net::SocketAddr;
+use std::ops::ControlFlow;
 use std::time::Duration;
 
 use linenthread_control::{ChangeLogOffset, Incarnation, QuotaRequestNumber};
@@ -50,13 +51,6 @@
     }
 }
 
-/// Whether a session goes on after a message.
-#[derive(Clone, Copy, PartialEq, Eq)]
-enum Flow {
-    Continue,
-    End,
-}
-
 /// A session, from its connection to its end.
 pub(super) struct Session<'a> {
     client: &'a ControlClient,
@@ -86,7 +80,7 @@
         let name = peer.to_string();
         let receive = |message| {
             self.last_received_at.set(clock::now());
-            self.on_message(message) == Flow::Continue
+            self.on_message(message)
         };
         tokio::select! {
             closed = peer_connection::exchange(stream, &name, outgoing, receive) => closed.map(|()| SessionEnd::Closed),
@@ -142,14 +136,14 @@
         }
     }
 
-    /// Applies a message of the control node.
-    fn on_message(&self, message: PeerMessage) -> Flow {
+    /// Applies a message of the control node; whether the session goes on.
+    fn on_message(&self, message: PeerMessage) -> ControlFlow<()> {
         match message {
             PeerMessage::Hello(hello) => {
                 let mut zones = self.client.zones.borrow_mut();
                 zones.insert(self.control_node, hello.zone);
                 if hello.version != VERSION {
-                    return Flow::End;
+                    return ControlFlow::Break(());
                 }
             }
             PeerMessage::Heartbeat(heartbeat) => {
@@ -164,7 +158,7 @@
             PeerMessage::QuotaGrants(grants) => self.on_quota_grants(&grants),
             _ => {}
         }
-        Flow::Continue
+        ControlFlow::Continue(())
     }
 
     /// Applies changes of control nodes, replicas and the configuration.
--- a/crates/linenthread-node/src/control_client/session_schedule.rs
+++ b/crates/linenthread-node/src/control_client/session_schedule.rs
@@ -49,7 +49,7 @@
     }
 
     /// Records a session that has ended; the pause until the next one.
-    pub(super) fn on_session_ended(&mut self, session: EndedSession) -> Duration {
+    pub(super) fn on_session_ended(&mut self, session: &EndedSession) -> Duration {
         self.ended_at.insert(session.control_node, session.ended_at);
         let was_stable = session.ended_at > session.started_at + STABLE_SESSION;
         // While few control nodes have failed, the others are to be tried at once.
--- a/crates/linenthread-node/src/peer_connection.rs
+++ b/crates/linenthread-node/src/peer_connection.rs
@@ -2,6 +2,7 @@
 
 use std::io;
 use std::net::SocketAddr;
+use std::ops::ControlFlow;
 use std::time::Duration;
 
 use bytes::BytesMut;
@@ -62,8 +63,8 @@
     Ok(stream)
 }
 
-/// Reads and writes until either side ends. Each message that arrives goes to `receive`, which returns false to end the
-/// connection; the connection also ends when `outgoing` closes.
+/// Reads and writes until either side ends. Each message that arrives goes to `receive`, which may end the connection;
+/// the connection also ends when `outgoing` closes.
 ///
 /// # Errors
 ///
@@ -72,7 +73,7 @@
     stream: TcpStream,
     peer: &str,
     outgoing: mpsc::Receiver<PeerMessage>,
-    receive: impl FnMut(PeerMessage) -> bool,
+    receive: impl FnMut(PeerMessage) -> ControlFlow<()>,
 ) -> Result<(), Error> {
     let (reader, writer) = stream.into_split();
     tokio::select! {
@@ -84,12 +85,12 @@
 async fn read_messages(
     mut reader: OwnedReadHalf,
     peer: &str,
-    mut receive: impl FnMut(PeerMessage) -> bool,
+    mut receive: impl FnMut(PeerMessage) -> ControlFlow<()>,
 ) -> Result<(), Error> {
     let mut buffer = BytesMut::with_capacity(READ_BUFFER_BYTES);
     loop {
         while let Some(message) = decode(&mut buffer).context(FrameSnafu { peer })? {
-            if !receive(message) {
+            if receive(message).is_break() {
                 return Ok(());
             }
         }
