--- a/crates/linenthread-dataplane/src/dispatcher.rs
+++ b/crates/linenthread-dataplane/src/dispatcher.rs
@@ -30,7 +30,7 @@
 use crate::transport::Connector;
 use crate::zone_indices::ZoneIndices;
 
-/// The shortest time-out of an attempt, in tenths of a millisecond.
+/// The shortest time-out of an attempt, in tenths of a millisecond (1 ms).
 const MIN_TIMEOUT: TenthMillis = 10;
 
 /// Hands requests to the decision module and its decisions to the replicas' pools.
@@ -150,7 +150,7 @@
         key: u64,
         deadline: TenthMillis,
     ) {
-        let search_index = state.query_kind(policy_inputs::index_config(resolved));
+        let search_index = state.search_index_for(policy_inputs::index_config(resolved));
         state.inputs.queries.push(NewQuery {
             query: id.index,
             search_index,
--- a/crates/linenthread-dataplane/src/dispatcher/decisions.rs
+++ b/crates/linenthread-dataplane/src/dispatcher/decisions.rs
@@ -10,6 +10,7 @@
     pub(super) query: QueryIndex,
     pub(super) sub_request: SubRequestIndex,
     pub(super) replica: ReplicaIndex,
+    /// The time until the query is abandoned.
     pub(super) timeout: TenthMillis,
 }
 
--- a/crates/linenthread-dataplane/src/dispatcher/state.rs
+++ b/crates/linenthread-dataplane/src/dispatcher/state.rs
@@ -60,7 +60,7 @@
     }
 
     /// The search index that stands for a kind of query; one is added if the kind is new.
-    pub(super) fn query_kind(&mut self, kind: IndexConfig) -> SearchIndex {
+    pub(super) fn search_index_for(&mut self, kind: IndexConfig) -> SearchIndex {
         if let Some(known) = self.query_kinds.iter().position(|known| *known == kind) {
             return SearchIndex(known);
         }
