--- a/crates/linenthread-core/src/policy/admission.rs
+++ b/crates/linenthread-core/src/policy/admission.rs
@@ -256,6 +256,7 @@
             ValueGrowth::Constant => count,
         };
         let cost = work / self.index_config(query).value.max(MIN_DIVISOR);
+        // A query counts as often as it has sub-requests. Only the mean is used, so squares are not summed.
         let costs = &mut self.fleet.costs;
         costs.weight += count;
         costs.sum += count * cost;
--- a/crates/linenthread-dataplane/src/data_plane.rs
+++ b/crates/linenthread-dataplane/src/data_plane.rs
@@ -227,6 +227,8 @@
         let max_attempts = resolved.route.max_attempts;
         let dispatcher = match &resolved.destination {
             Destination::FanOut(backends) => self.dispatcher_of(backends, max_attempts),
+            // The hash of the request's id stands in for a random number: a request that is sent again with its id goes
+            // to the same backend.
             weighted @ Destination::Weighted(_) => {
                 let backend = weighted.pick(unit_interval(fnv1a_64(request.request_id.as_bytes())));
                 self.dispatcher_of(backend.map_or(&[], std::slice::from_ref), max_attempts)
@@ -284,7 +286,7 @@
     }
 }
 
-/// A hash as a number from 0 up to 1.
+/// A hash as a number from 0 up to, and without, 1.
 fn unit_interval(hash: u64) -> f64 {
     let bits = hash >> (u64::BITS - F64_BITS);
     bits as f64 / (1u64 << F64_BITS) as f64
--- a/crates/linenthread-node/src/control_client/session.rs
+++ b/crates/linenthread-node/src/control_client/session.rs
@@ -173,6 +173,8 @@
         if !update.control_addresses.is_empty() {
             self.set_control_nodes(&update.control_addresses);
         }
+        // A control node that has just started may not know of all replicas yet: one that it leaves out has not
+        // departed.
         let scope = if update.complete && update.registry_settled {
             UpdateScope::Complete
         } else {
