--- a/crates/linenthread-core/src/interface.rs
+++ b/crates/linenthread-core/src/interface.rs
@@ -26,7 +26,7 @@
     CoordinatorConfig, Idempotency, IndexConfig, Permissions, RetryBudget, ShardLayout, SlowStart,
     ValueGrowth,
 };
-pub use decision::{Completeness, DecisionSink, FailureCause};
+pub use decision::{AbandonCause, Completeness, DecisionSink};
 pub use indices::{QueryIndex, ReplicaIndex, SearchIndex, SubRequestIndex};
 pub use inputs::{Continuation, Inputs};
 pub use membership::{MembershipEntry, MembershipUpdate, Phase, ZoneRoute};
--- a/crates/linenthread-core/src/interface/decision.rs
+++ b/crates/linenthread-core/src/interface/decision.rs
@@ -4,7 +4,7 @@
 
 /// Why a query is abandoned, which is to say rejected or failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum FailureCause {
+pub enum AbandonCause {
     /// Its time is up.
     DeadlineExceeded,
     /// It may be what makes replicas crash.
@@ -29,7 +29,7 @@
 /// Where decisions go, in the order they are taken.
 pub trait DecisionSink {
     /// The query is abandoned for this cause: its [`reject`](Self::reject) or [`fail`](Self::fail) comes next.
-    fn failure_cause(&mut self, _query: QueryIndex, _cause: FailureCause) {}
+    fn abandon_cause(&mut self, _query: QueryIndex, _cause: AbandonCause) {}
     /// Send the next attempt of a sub-request to a replica.
     ///
     /// `timeout` is the time until the query is abandoned: a slow attempt is hedged, not timed out.
--- a/crates/linenthread-core/src/policy/admission.rs
+++ b/crates/linenthread-core/src/policy/admission.rs
@@ -7,7 +7,7 @@
 use super::windows::{FRESH_REPORT, LONG_TERM, MIN_WEIGHT, RECENT};
 use crate::conversion::to_count;
 use crate::interface::{
-    FailureCause, IndexConfig, QueryIndex, ReplicaIndex, SearchIndex, ValueGrowth,
+    AbandonCause, IndexConfig, QueryIndex, ReplicaIndex, SearchIndex, ValueGrowth,
 };
 use crate::state::{DecayingSums, Distribution, Query, Replica, SubRequest};
 
@@ -117,7 +117,7 @@
 
 impl Coordinator {
     /// Why a query is not admitted; `None` if it is. Counts the query in the statistics of admission.
-    pub(super) fn admission_failure(&mut self, query_index: QueryIndex) -> Option<FailureCause> {
+    pub(super) fn admission_rejection(&mut self, query_index: QueryIndex) -> Option<AbandonCause> {
         self.decay_admission_statistics();
         let delays = self.delay_estimate();
         let slowdown = self.shard_slowdown(self.open_query(query_index), &delays);
@@ -125,11 +125,11 @@
         let pressure = self.pressure(self.open_query(query_index), &delays, slowdown);
         let cost = self.query_cost(query_index);
         if self.draws_late_rejection(pressure, &cost) {
-            return Some(FailureCause::ExpectedLate);
+            return Some(AbandonCause::ExpectedLate);
         }
         let limit_factor = self.limit_factor(&cost);
         self.is_saturated(self.open_query(query_index), limit_factor)
-            .then_some(FailureCause::Saturated)
+            .then_some(AbandonCause::Saturated)
     }
 
     /// Decides at random whether a query is rejected since it is expected late: the more likely, the higher the
--- a/crates/linenthread-core/src/policy/mod.rs
+++ b/crates/linenthread-core/src/policy/mod.rs
@@ -31,11 +31,11 @@
 //!
 //! | observed | decided by |
 //! | --- | --- |
-//! | rejected or failed, [`DeadlineExceeded`](FailureCause::DeadlineExceeded) | `resolution`: `abandon_at` |
-//! | rejected or failed, [`QueryOfDeath`](FailureCause::QueryOfDeath) | `query_of_death`: `may_be_query_of_death` |
-//! | rejected or failed, [`Unanswerable`](FailureCause::Unanswerable) | `resolution`: `is_unanswerable` |
-//! | rejected, [`ExpectedLate`](FailureCause::ExpectedLate) | `admission`: `draws_late_rejection` |
-//! | rejected, [`Saturated`](FailureCause::Saturated) | `admission`: `is_saturated` |
+//! | rejected or failed, [`DeadlineExceeded`](AbandonCause::DeadlineExceeded) | `resolution`: `abandon_at` |
+//! | rejected or failed, [`QueryOfDeath`](AbandonCause::QueryOfDeath) | `query_of_death`: `may_be_query_of_death` |
+//! | rejected or failed, [`Unanswerable`](AbandonCause::Unanswerable) | `resolution`: `is_unanswerable` |
+//! | rejected, [`ExpectedLate`](AbandonCause::ExpectedLate) | `admission`: `draws_late_rejection` |
+//! | rejected, [`Saturated`](AbandonCause::Saturated) | `admission`: `is_saturated` |
 //! | failed rather than rejected | `resolution`: `abandon` |
 //! | retried, or not | `dispatch`: `send_missing`; `send_guard`: `may_send`; `retry_budget` |
 //! | hedged, or not | `dispatch`: `is_hedge_due` |
@@ -65,7 +65,7 @@
 mod windows;
 
 #[cfg(doc)]
-use crate::interface::FailureCause;
+use crate::interface::AbandonCause;
 use crate::interface::TenthMillis;
 
 pub use coordinator::Coordinator;
--- a/crates/linenthread-core/src/policy/resolution.rs
+++ b/crates/linenthread-core/src/policy/resolution.rs
@@ -5,7 +5,7 @@
 use super::windows::WEIGHT_ROUNDING;
 use crate::conversion::to_tenth_millis;
 use crate::interface::{
-    Completeness, DecisionSink, FailureCause, Idempotency, IndexConfig, QueryIndex,
+    AbandonCause, Completeness, DecisionSink, Idempotency, IndexConfig, QueryIndex,
     SubRequestIndex, TenthMillis,
 };
 use crate::state::{Query, QueryStage, SubRequest};
@@ -84,7 +84,7 @@
         if self.should_respond(query, &progress) {
             return self.respond(query_index, &progress, sink);
         }
-        if let Some(cause) = self.failure_cause(query_index, &progress) {
+        if let Some(cause) = self.abandon_cause(query_index, &progress) {
             return self.abandon(query_index, cause, sink);
         }
         self.open_query_mut(query_index).stage = QueryStage::Admitted;
@@ -123,7 +123,7 @@
     ///
     /// An exhausted retry budget is not among these. It is a window that moves on: a sub-request that it holds back now
     /// may be sent later, so the query waits for it and, if it never is, is abandoned as
-    /// [`FailureCause::DeadlineExceeded`].
+    /// [`AbandonCause::DeadlineExceeded`].
     fn is_unanswerable(&self, query: &Query, sub_request: &SubRequest) -> bool {
         !sub_request.succeeded
             && sub_request.in_flight() == 0
@@ -196,23 +196,23 @@
     }
 
     /// Why a query without a response is abandoned; `None` if it is not.
-    fn failure_cause(
+    fn abandon_cause(
         &mut self,
         query_index: QueryIndex,
         progress: &Progress,
-    ) -> Option<FailureCause> {
+    ) -> Option<AbandonCause> {
         let query = self.open_query(query_index);
         let is_query_of_death = || self.may_be_query_of_death(query, CrashEvidence::Proven);
         if self.now >= progress.abandon_at {
-            Some(FailureCause::DeadlineExceeded)
+            Some(AbandonCause::DeadlineExceeded)
         } else if is_query_of_death() && !query.is_in_flight() {
-            Some(FailureCause::QueryOfDeath)
+            Some(AbandonCause::QueryOfDeath)
         } else if !progress.can_reach_min() {
-            Some(FailureCause::Unanswerable)
+            Some(AbandonCause::Unanswerable)
         } else if query.stage == QueryStage::Admitted {
             None
         } else {
-            self.admission_failure(query_index)
+            self.admission_rejection(query_index)
         }
     }
 
@@ -221,10 +221,10 @@
     fn abandon(
         &mut self,
         query_index: QueryIndex,
-        cause: FailureCause,
+        cause: AbandonCause,
         sink: &mut impl DecisionSink,
     ) {
-        sink.failure_cause(query_index, cause);
+        sink.abandon_cause(query_index, cause);
         let query = self.open_query(query_index);
         let is_idempotent = self.index_config(query).idempotency == Idempotency::Idempotent;
         if is_idempotent || query.sub_requests.iter().all(SubRequest::never_ran) {
--- a/crates/linenthread-dataplane/src/dispatcher/decisions.rs
+++ b/crates/linenthread-dataplane/src/dispatcher/decisions.rs
@@ -2,7 +2,7 @@
 
 use linenthread_core::DecisionSink;
 use linenthread_core::interface::{
-    Completeness, FailureCause, QueryIndex, ReplicaIndex, SubRequestIndex, TenthMillis,
+    AbandonCause, Completeness, QueryIndex, ReplicaIndex, SubRequestIndex, TenthMillis,
 };
 
 /// The next attempt of a sub-request.
@@ -82,13 +82,13 @@
         self.list.push(Decision::Respond { query });
     }
 
-    fn failure_cause(&mut self, _query: QueryIndex, cause: FailureCause) {
+    fn abandon_cause(&mut self, _query: QueryIndex, cause: AbandonCause) {
         *match cause {
-            FailureCause::DeadlineExceeded => &mut self.abandoned.deadline_exceeded,
-            FailureCause::QueryOfDeath => &mut self.abandoned.crash_suspected,
-            FailureCause::Unanswerable => &mut self.abandoned.unanswerable,
-            FailureCause::ExpectedLate => &mut self.abandoned.too_slow,
-            FailureCause::Saturated => &mut self.abandoned.saturated,
+            AbandonCause::DeadlineExceeded => &mut self.abandoned.deadline_exceeded,
+            AbandonCause::QueryOfDeath => &mut self.abandoned.crash_suspected,
+            AbandonCause::Unanswerable => &mut self.abandoned.unanswerable,
+            AbandonCause::ExpectedLate => &mut self.abandoned.too_slow,
+            AbandonCause::Saturated => &mut self.abandoned.saturated,
         } += 1;
     }
 
