--- a/crates/linenthread-dataplane/src/dispatcher.rs
+++ b/crates/linenthread-dataplane/src/dispatcher.rs
@@ -198,8 +198,8 @@
             match decision {
                 Decision::Send(attempt) => self.send(&mut state, &attempt),
                 Decision::Respond { query } => state.with_query(query, OpenQuery::complete),
-                // The status follows from what was sent, 503 or 502: see `Response::abandoned`. What a rejection adds is
-                // the advice when to retry.
+                // The status follows from what was sent, 503 or 502: see `Response::abandoned`. What a rejection adds
+                // is the advice when to retry.
                 Decision::Reject { query, retry_after } => {
                     state.with_query(query, |query| query.abandon(retry_after));
                 }
