--- a/crates/linenthread-service/src/fleet/zone_decisions.rs
+++ b/crates/linenthread-service/src/fleet/zone_decisions.rs
@@ -233,10 +233,8 @@
         if failover.is_none() {
             let known_zones = topology.zones.clone();
             let config = failover_config(zones);
-            match FailoverController::new(config, known_zones, committed, now) {
-                Ok(controller) => *failover = Some(controller),
-                Err(error) => warn!("zones are not decided on: {error}"),
-            }
+            // Not an error here: reading the file rejects limits that the controller would reject.
+            *failover = FailoverController::new(config, known_zones, committed, now).ok();
         }
         let failover = failover.as_mut()?;
         let observations = self.0.observations.take();
