--- a/crates/linenthread-fakes/src/rig.rs
+++ b/crates/linenthread-fakes/src/rig.rs
@@ -37,9 +37,9 @@
 use crate::sync::lock;
 
 /// In the log line of a process that uses another routing table; the line shows it.
-pub(crate) const TABLE_IN_USE: &str = "acts on a table";
+pub(crate) const TABLE_IN_USE: &str = "routing table in use";
 /// In the log line of a process that was the leader until then.
-pub(crate) const LEADERSHIP_LOST: &str = "does not lead any more";
+pub(crate) const LEADERSHIP_LOST: &str = "lost leadership";
 
 /// How often a condition without an event of its own is checked.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
--- a/crates/linenthread-fakes/src/rig/process.rs
+++ b/crates/linenthread-fakes/src/rig/process.rs
@@ -118,7 +118,7 @@
 
     /// Whether the last log line on leadership since the start says that the process leads.
     pub(super) fn is_leader(&self) -> bool {
-        let gained = |line: &str| line.contains("leads from now on");
+        let gained = |line: &str| line.contains("became leader");
         let is_on_leadership = |line: &str| gained(line) || line.contains(LEADERSHIP_LOST);
         let last = self.log.last(self.started_at, is_on_leadership);
         self.child.is_some() && last.is_some_and(|line| gained(&line))
--- a/crates/linenthread-fakes/src/scenarios/processes.rs
+++ b/crates/linenthread-fakes/src/scenarios/processes.rs
@@ -60,8 +60,8 @@
     let rest = others(&rig, &[lost]);
     let from = log_positions(&rig);
     rig.start(lost);
-    rig.wait_for_log(lost, "its disk is empty beside a record that goes on");
-    wait_for_logs(&rig, &rest, &from, "is in");
+    rig.wait_for_log(lost, "the disk is empty although the fleet exists");
+    wait_for_logs(&rig, &rest, &from, "voter change committed: add");
     rig.wait_for_log(lost, TABLE_IN_USE);
     rig.wait_until_serving(&ALL_ZONES, 20);
     // Without another voter its vote is needed.
@@ -81,7 +81,7 @@
     let full = rig.leader();
     let from = rig.log_position(full);
     rig.fill_disk(full, Some(FULL_DISK_BYTES));
-    rig.wait_for_log_after(full, from, "this voter steps down: the disk failed");
+    rig.wait_for_log_after(full, from, "voter stopped: the disk failed");
     rig.wait_for_log_after(full, from, LEADERSHIP_LOST);
     let new = rig.leader();
     assert_ne!(new, full);
@@ -89,7 +89,7 @@
     let from = rig.log_position(full);
     rig.wait_for_log_after(full, from, TABLE_IN_USE);
     rig.fill_disk(full, None);
-    rig.wait_for_log_after(full, from, "takes part as a voter");
+    rig.wait_for_log_after(full, from, "voter started");
     rig.wait_until_serving(&ALL_ZONES, 20);
     rig
 }
--- a/crates/linenthread-fakes/src/scenarios/zones.rs
+++ b/crates/linenthread-fakes/src/scenarios/zones.rs
@@ -101,7 +101,7 @@
     let alone = zone_by_seed(seed);
     let from = rig.log_position(alone);
     rig.network.partition(&[alone], &others(&rig, &[alone]));
-    rig.wait_for_log_after(alone, from, "no word of the table for its life");
+    rig.wait_for_log_after(alone, from, "routing table expired");
     rig.wait_until_serving(&ALL_ZONES, 20);
     let from = rig.log_position(alone);
     rig.network.heal();
--- a/crates/linenthread-fakes/src/sites.rs
+++ b/crates/linenthread-fakes/src/sites.rs
@@ -145,7 +145,7 @@
     pub fn wait_for_remote_replicas(&mut self, count: usize) {
         while self.remote_replicas != count {
             let line = self.local.next_log_line().expect("the link comes up again");
-            if let Some((_, known)) = line.split_once("replicas behind links far=") {
+            if let Some((_, known)) = line.split_once("replicas behind links remote=") {
                 self.remote_replicas = known
                     .trim()
                     .parse()
--- a/crates/linenthread-fleet/src/config.rs
+++ b/crates/linenthread-fleet/src/config.rs
@@ -15,13 +15,13 @@
     #[snafu(display("the probe interval must be longer than 0"))]
     NoProbeInterval,
     /// Two voters have one name.
-    #[snafu(display("the voter {name} stands twice"))]
+    #[snafu(display("the voter {name} is listed twice"))]
     DuplicateVoter {
         /// The name.
         name: String,
     },
     /// A voter is to be opened where none is configured.
-    #[snafu(display("{name} is to be a voter, and is not among them"))]
+    #[snafu(display("{name} is to be a voter, but is not listed as one"))]
     NotAmongVoters {
         /// The process's name.
         name: String,
--- a/crates/linenthread-fleet/src/error.rs
+++ b/crates/linenthread-fleet/src/error.rs
@@ -151,10 +151,10 @@
 #[snafu(visibility(pub(crate)))]
 pub enum ProposeError {
     /// This process has no voter.
-    #[snafu(display("this process is no voter"))]
+    #[snafu(display("this process is not a voter"))]
     NotVoter,
     /// This process does not hold the leader's lease.
-    #[snafu(display("this process does not lead"))]
+    #[snafu(display("this process is not the leader"))]
     NotLeader,
     /// The topic or the value is longer than the limit.
     #[snafu(display("the value is too long"))]
@@ -172,10 +172,10 @@
 #[snafu(visibility(pub(crate)))]
 pub enum DatagramError {
     /// It is shorter than a proof.
-    #[snafu(display("a datagram is too short to prove anything"))]
+    #[snafu(display("a datagram is shorter than its proof"))]
     TooShort,
     /// It does not prove the secret.
-    #[snafu(display("a datagram does not prove the secret"))]
+    #[snafu(display("a datagram is not authenticated"))]
     Unproven,
     /// The gossip protocol refused it.
     #[snafu(display("{source}"))]
@@ -190,7 +190,7 @@
 #[snafu(visibility(pub(crate)))]
 pub enum MessageError {
     /// An entry does not follow the one before it, or contradicts a committed one.
-    #[snafu(display("entry {index} of term {term} cannot stand there"))]
+    #[snafu(display("entry {index} of term {term} does not fit the log"))]
     ImpossibleEntry {
         /// The entry's index.
         index: LogIndex,
@@ -198,7 +198,7 @@
         term: Term,
     },
     /// The commit index is beyond the entries that this voter has acknowledged.
-    #[snafu(display("{commit} cannot be agreed on where {last_index} entries are"))]
+    #[snafu(display("commit index {commit} is beyond the last entry, {last_index}"))]
     ImpossibleCommit {
         /// The message's commit index.
         commit: LogIndex,
@@ -212,7 +212,7 @@
         source: DecodeError,
     },
     /// A message that is only for a voter's own use.
-    #[snafu(display("nobody says that of itself"))]
+    #[snafu(display("a message for a voter's own use"))]
     LocalMessage,
 }
 
--- a/crates/linenthread-fleet/src/event.rs
+++ b/crates/linenthread-fleet/src/event.rs
@@ -101,51 +101,52 @@
             }) => {
                 write!(
                     f,
-                    "a torn end of {bytes} bytes was cut off {file} at {offset}"
+                    "torn record truncated: {bytes} bytes of {file} at {offset}"
                 )
             }
-            FleetEvent::VoterOpened => write!(f, "takes part as a voter"),
-            FleetEvent::Founded => write!(f, "the record is founded here"),
+            FleetEvent::VoterOpened => write!(f, "voter started"),
+            FleetEvent::Founded => write!(f, "fleet bootstrapped with this voter"),
             FleetEvent::IdentityReplaced { incarnation } => write!(
                 f,
-                "its disk is empty beside a record that goes on: new self {incarnation:x}"
+                "the disk is empty although the fleet exists, new identity {incarnation:x}"
             ),
             FleetEvent::LeadershipAcquired { term } => {
-                write!(f, "leads from now on, in term {term}")
+                write!(f, "became leader, term {term}")
             }
             FleetEvent::LeadershipLost { term } => {
-                write!(f, "does not lead any more, in term {term}")
+                write!(f, "lost leadership, term {term}")
             }
             FleetEvent::VoterChangeProposed(change) => {
-                write!(f, "{change} is to be {}", change.kind)
+                write!(f, "voter change proposed: {change}")
             }
-            FleetEvent::VoterChanged(change) => write!(f, "{change} is {}", change.kind),
-            FleetEvent::SteppedDown { cause } => write!(f, "this voter steps down: {cause}"),
+            FleetEvent::VoterChanged(change) => write!(f, "voter change committed: {change}"),
+            FleetEvent::SteppedDown { cause } => write!(f, "voter stopped: {cause}"),
             FleetEvent::OtherFounders { peer } => {
-                write!(
-                    f,
-                    "{peer} names other voters than this one: it is not heard"
-                )
+                write!(f, "{peer} is configured with other voters, ignored")
             }
             FleetEvent::MessageRejected { peer, cause } => {
-                write!(f, "a message of {peer} is not taken: {cause}")
+                write!(f, "message of {peer} rejected: {cause}")
             }
-            FleetEvent::DownRefuted => write!(f, "was taken for gone, and said that it is not"),
+            FleetEvent::DownRefuted => write!(f, "declared down by others, refuted"),
         }
     }
 }
 
 impl fmt::Display for VoterChange {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        write!(f, "{} with self {:x}", self.name, self.incarnation)
+        write!(
+            f,
+            "{} {}, identity {:x}",
+            self.kind, self.name, self.incarnation
+        )
     }
 }
 
 impl fmt::Display for VoterChangeKind {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         f.write_str(match self {
-            VoterChangeKind::Add => "in",
-            VoterChangeKind::Remove => "out",
+            VoterChangeKind::Add => "add",
+            VoterChangeKind::Remove => "remove",
         })
     }
 }
@@ -153,9 +154,9 @@
 impl fmt::Display for ConnectionEvent {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            ConnectionEvent::Connected { peer } => write!(f, "connected with {peer}"),
+            ConnectionEvent::Connected { peer } => write!(f, "connected to {peer}"),
             ConnectionEvent::Disconnected { peer } => {
-                write!(f, "the connection with {peer} has ended")
+                write!(f, "disconnected from {peer}")
             }
         }
     }
--- a/crates/linenthread-fleet/src/fleet/connection.rs
+++ b/crates/linenthread-fleet/src/fleet/connection.rs
@@ -83,7 +83,7 @@
     pub(super) fn expired_timer(&self, now: TenthMillis) -> Option<Timer> {
         match self.phase {
             Phase::Established(_) if now >= self.received_at + RECEIVE_TIMEOUT => {
-                Some(Timer::Close("it is silent"))
+                Some(Timer::Close("heartbeat timeout"))
             }
             Phase::Established(_) if now >= self.pinged_at + PING_INTERVAL => Some(Timer::Ping),
             Phase::Established(_) | Phase::Closing => None,
@@ -91,7 +91,7 @@
             | Phase::AwaitingWelcome { .. }
             | Phase::AwaitingHello { .. } => {
                 let has_timed_out = now >= self.opened_at + HANDSHAKE_TIMEOUT;
-                has_timed_out.then_some(Timer::Close("it does not prove itself"))
+                has_timed_out.then_some(Timer::Close("handshake timeout"))
             }
         }
     }
--- a/crates/linenthread-fleet/src/fleet/connections.rs
+++ b/crates/linenthread-fleet/src/fleet/connections.rs
@@ -95,7 +95,7 @@
             (Phase::Closing, _) => {}
             (_, Frame::Refuse { reason }) => {
                 let reason: String = reason.chars().take(MAX_REASON_CHARS).collect();
-                self.close(id, &format!("refused: {reason}"), actions);
+                self.close(id, &format!("rejected by the peer: {reason}"), actions);
             }
             (Phase::Established(peer), frame) => {
                 let peer = peer.clone();
--- a/crates/linenthread-fleet/src/fleet/handshake.rs
+++ b/crates/linenthread-fleet/src/fleet/handshake.rs
@@ -210,7 +210,7 @@
         }
         actions.push(FleetAction::Close {
             connection: older,
-            reason: "a newer connection takes its place".into(),
+            reason: "superseded by a newer connection".into(),
         });
     }
 
--- a/crates/linenthread-fleet/tests/voters.rs
+++ b/crates/linenthread-fleet/tests/voters.rs
@@ -90,7 +90,7 @@
     });
     let refused = refused.unwrap_err();
     assert!(matches!(refused, ProposeError::NotLeader));
-    assert_eq!(refused.to_string(), "this process does not lead");
+    assert_eq!(refused.to_string(), "this process is not the leader");
     cluster.propose("table", 1, b"second").unwrap();
     for name in NAMES {
         cluster.stop(name);
@@ -133,7 +133,7 @@
         }
     }
     let log_lines = log(&cluster);
-    let steps_down = |line: &String| line.contains("this voter steps down: the disk failed");
+    let steps_down = |line: &String| line.contains("voter stopped: the disk failed");
     assert!(log_lines.iter().any(steps_down), "{log_lines:?}");
     cluster.stop("catania");
     cluster.disks.insert("catania".into(), Disk::default());
@@ -161,7 +161,7 @@
     isolate(&mut cluster, &leader);
     cluster.act(&leader, Voter::wake);
     let line = last_line(&cluster);
-    assert!(line.contains("does not lead any more"), "{line}");
+    assert!(line.contains("lost leadership"), "{line}");
     cluster.partitions.clear();
     cluster.run(2);
     assert_eq!(cluster.leaders(), [new]);
@@ -265,9 +265,9 @@
     let mut with_a_gap = good;
     with_a_gap.entries[0].index += 7;
     for (message, why) in [
-        (commit_beyond_the_log, "cannot be agreed on"),
-        (other_than_committed, "cannot stand there"),
-        (with_a_gap, "cannot stand there"),
+        (commit_beyond_the_log, "is beyond the last entry"),
+        (other_than_committed, "does not fit the log"),
+        (with_a_gap, "does not fit the log"),
     ] {
         cluster.act(victim, |voter, now, actions| {
             voter.on_frame(now, leader, Frame::Raft(Box::new(message)), actions);
--- a/crates/linenthread-service/src/config.rs
+++ b/crates/linenthread-service/src/config.rs
@@ -182,7 +182,7 @@
         let new = match Config::read(file) {
             Ok(new) => new,
             Err(error) => {
-                warn!("configuration not taken, all goes on as it was: {error}");
+                warn!("configuration rejected, keeping the one in use: {error}");
                 return None;
             }
         };
@@ -197,7 +197,7 @@
         ];
         let changed = at_next_start.into_iter().filter(|(_, differs)| *differs);
         let changed: Vec<_> = changed.map(|(name, _)| name).collect();
-        info!(roster = %new.discovery, at_next_start = changed.join(","), "configuration read again");
+        info!(discovery = %new.discovery, at_next_start = changed.join(","), "configuration reloaded");
         Some(new.discovery)
     }
 }
--- a/crates/linenthread-service/src/dispatcher/membership.rs
+++ b/crates/linenthread-service/src/dispatcher/membership.rs
@@ -209,7 +209,7 @@
         let count = current.len();
         self.remote = current;
         if !entries.is_empty() {
-            info!(far = count, "replicas behind links");
+            info!(remote = count, "replicas behind links");
         }
         entries
     }
--- a/crates/linenthread-service/src/dispatcher/peer_members.rs
+++ b/crates/linenthread-service/src/dispatcher/peer_members.rs
@@ -23,8 +23,8 @@
         if let Some(bad) = invalid.first() {
             warn!(
                 replica = bad.id,
-                cell = bad.replica_group,
-                "a gateway lists what can be no replica here"
+                replica_group = bad.replica_group,
+                "gateway lists an invalid replica, ignoring it"
             );
         }
         if complete {
--- a/crates/linenthread-service/src/dispatcher/zones.rs
+++ b/crates/linenthread-service/src/dispatcher/zones.rs
@@ -37,7 +37,7 @@
     pub(crate) fn report_zones(&self) -> Option<ZoneReport> {
         let now = self.0.clock.now();
         if self.0.state.borrow_mut().zones.as_mut()?.expire_table(now) {
-            warn!("no word of the table for its life: all ways are open again, the nearest first");
+            warn!("routing table expired, all routes are open, the nearest zone first");
             self.update_zone_routes();
         }
         Some(self.0.state.borrow_mut().zones.as_mut()?.report())
--- a/crates/linenthread-service/src/fleet/connection.rs
+++ b/crates/linenthread-service/src/fleet/connection.rs
@@ -13,11 +13,11 @@
 /// Why a connection ended. The text goes to the log.
 #[derive(Debug, Snafu)]
 pub(super) enum ConnectionEnd {
-    #[snafu(display("closed by the other side"))]
+    #[snafu(display("closed by the peer"))]
     ClosedByPeer,
-    #[snafu(display("it does not take what it is told"))]
+    #[snafu(display("the peer reads too slowly"))]
     SlowPeer,
-    #[snafu(display("it takes nothing"))]
+    #[snafu(display("the peer has stopped reading"))]
     StalledPeer,
     #[snafu(display("{reason}"))]
     ClosedHere { reason: String },
--- a/crates/linenthread-service/src/fleet/error.rs
+++ b/crates/linenthread-service/src/fleet/error.rs
@@ -44,13 +44,13 @@
         source: VoterDirectoryError,
     },
     /// The voter's log cannot be opened.
-    #[snafu(display("the record: {source}"))]
+    #[snafu(display("cannot open the voter's log: {source}"))]
     Log {
         /// Why not.
         source: OpenError,
     },
     /// The thread has ended before the member was started.
-    #[snafu(display("the fleet's thread ended"))]
+    #[snafu(display("the fleet thread ended"))]
     ThreadExited,
 }
 
@@ -59,13 +59,13 @@
 #[snafu(visibility(pub(super)))]
 pub enum VoterDirectoryError {
     /// The installation file names none.
-    #[snafu(display("{name} is a voter, and <fleet> names no folder for its record"))]
+    #[snafu(display("{name} is a voter, but <fleet> has no folder"))]
     NotConfigured {
         /// The voter.
         name: String,
     },
     /// The member is no voter.
-    #[snafu(display("there is none"))]
+    #[snafu(display("this process is not a voter"))]
     NotVoter,
     /// It cannot be opened.
     #[snafu(display("{source}"))]
--- a/crates/linenthread-service/src/fleet/member.rs
+++ b/crates/linenthread-service/src/fleet/member.rs
@@ -158,7 +158,10 @@
 
     /// Runs until the member is to leave.
     pub(super) async fn run(self, mut received: mpsc::UnboundedReceiver<ToFleet>) {
-        info!(voter = self.0.fleet.borrow().stage().is_some(), "fleet");
+        info!(
+            voter = self.0.fleet.borrow().stage().is_some(),
+            "fleet member started"
+        );
         loop {
             tokio::select! {
                 () = sleep_until(self.0.clock.at(self.wake_at())) => {}
@@ -239,20 +242,20 @@
             FleetAction::Datagram { to, bytes } => drop(self.0.udp.try_send_to(&bytes, to)),
             FleetAction::Committed(value) => self.on_committed(value),
             FleetAction::MemberUp(who) => {
-                info!(member = who.name, zone = who.zone, "a member is there");
+                info!(member = who.name, zone = who.zone, "fleet member up");
             }
             FleetAction::MemberDown(who) => {
-                warn!(member = who.name, zone = who.zone, "a member is gone");
+                warn!(member = who.name, zone = who.zone, "fleet member down");
             }
             FleetAction::Report { from, bytes } => self.on_report(&from, bytes),
             FleetAction::LogConnection(line) => {
-                if let Some(left_out) = self.0.connection_log_limit.admit() {
-                    info!(left_out, "fleet: {line}");
+                if let Some(suppressed) = self.0.connection_log_limit.admit() {
+                    info!(suppressed, "fleet: {line}");
                 }
             }
             FleetAction::Log(line) => {
-                if let Some(left_out) = self.0.log_limit.admit() {
-                    info!(left_out, "fleet: {line}");
+                if let Some(suppressed) = self.0.log_limit.admit() {
+                    info!(suppressed, "fleet: {line}");
                 }
             }
         }
@@ -271,10 +274,10 @@
         match directory {
             Ok(directory) => self.step(|fleet, now, actions| {
                 if let Err(error) = fleet.open_voter(directory, now, actions) {
-                    warn!("this voter's folder cannot be used: {error}");
+                    warn!("cannot reopen the voter: {error}");
                 }
             }),
-            Err(error) => warn!("this voter's folder cannot be used: {error}"),
+            Err(error) => warn!("cannot reopen the voter: {error}"),
         }
     }
 }
--- a/crates/linenthread-service/src/fleet/sockets.rs
+++ b/crates/linenthread-service/src/fleet/sockets.rs
@@ -65,8 +65,8 @@
             // The only place where a connection is removed.
             member.0.connections.borrow_mut().remove(&number);
             member.step(|fleet, now, actions| fleet.on_closed(now, number, actions));
-            if let Some(left_out) = member.0.connection_log_limit.admit() {
-                info!(left_out, "a connection of the fleet ended: {end}");
+            if let Some(suppressed) = member.0.connection_log_limit.admit() {
+                info!(suppressed, "fleet connection ended: {end}");
             }
         });
     }
--- a/crates/linenthread-service/src/fleet/zone_decisions.rs
+++ b/crates/linenthread-service/src/fleet/zone_decisions.rs
@@ -64,11 +64,11 @@
         match topic.as_str() {
             TABLE_TOPIC => match RoutingTable::decode(&value) {
                 Ok(table) => drop(self.0.from_fleet.send(FromFleet::Table { number, table })),
-                Err(error) => warn!("a table that cannot be read was agreed on: {error}"),
+                Err(error) => warn!("committed routing table does not decode: {error}"),
             },
             ORDERS_TOPIC => {
                 if let Ok(orders) = Orders::decode(&value) {
-                    info!(number, drained = ?orders.drained, refused = orders.rejection, "orders on zones");
+                    info!(number, drained = ?orders.drained, rejected = orders.rejection, "zone orders committed");
                 }
             }
             _ => {}
@@ -81,8 +81,8 @@
             Some(&OBSERVATIONS) => match Report::decode(&bytes[1..]) {
                 Ok(report) => self.0.observations.borrow_mut().add(&report),
                 Err(error) => {
-                    if let Some(left_out) = self.0.log_limit.admit() {
-                        warn!(from, left_out, "a report is not taken: {error}");
+                    if let Some(suppressed) = self.0.log_limit.admit() {
+                        warn!(from, suppressed, "report rejected: {error}");
                     }
                 }
             },
@@ -207,7 +207,7 @@
             .as_ref()
             .is_none_or(|committed| table.routes_differently(committed));
         if is_new {
-            info!(number = number + 1, rows = ?table.rows, "proposes a table");
+            info!(number = number + 1, rows = ?table.rows, "proposing a routing table");
         }
         let write = ConditionalWrite {
             topic: TABLE_TOPIC.to_owned(),
@@ -216,7 +216,7 @@
         };
         self.step(|fleet, now, actions| {
             if let Err(error) = fleet.propose(now, &write, actions) {
-                warn!("a table was not proposed: {error}");
+                warn!("cannot propose a routing table: {error}");
             }
         });
     }
@@ -254,11 +254,11 @@
     /// Logs the routes on which sub-requests failed or were slow.
     fn log_faults(&self, observations: &Report) {
         let has_faults = |(_, stats): &(&ZonePair, &RouteStats)| stats.down + stats.slow > 0;
-        let against: Vec<_> = observations.routes.iter().filter(has_faults).collect();
-        if !against.is_empty()
-            && let Some(left_out) = self.0.observation_log_limit.admit()
+        let routes: Vec<_> = observations.routes.iter().filter(has_faults).collect();
+        if !routes.is_empty()
+            && let Some(suppressed) = self.0.observation_log_limit.admit()
         {
-            info!(?against, observers = ?observations.demand, left_out, "seen against zones");
+            info!(?routes, observers = ?observations.demand, suppressed, "faults reported between zones");
         }
     }
 }
--- a/crates/linenthread-service/src/frontends/http/mod.rs
+++ b/crates/linenthread-service/src/frontends/http/mod.rs
@@ -103,8 +103,8 @@
             match listener.accept().await {
                 Ok((stream, _)) => self.admit(stream),
                 Err(e) => {
-                    if let Some(left_out) = self.0.full_lines.admit() {
-                        warn!(left_out, "cannot accept a connection: {e}");
+                    if let Some(suppressed) = self.0.full_lines.admit() {
+                        warn!(suppressed, "cannot accept a connection: {e}");
                     }
                     self.evict_one();
                     sleep(ACCEPT_BACKOFF).await;
@@ -117,7 +117,7 @@
     pub(crate) async fn stop(&self, listener: TcpListener) {
         info!(
             clients = self.0.clients.borrow().len(),
-            "stopping: takes what still comes for a moment"
+            "shutting down, accepting connections a moment longer"
         );
         self.0.is_stopping.set(true);
         let began = Instant::now();
@@ -140,7 +140,7 @@
                 () = sleep(ACCEPT_WHILE_STOPPING) => self.close_idle(),
             }
         }
-        info!("stopped: all that was taken is answered");
+        info!("shutdown complete, every accepted request is answered");
     }
 
     /// Closes connections that are idle for too long, for as long as it is polled.
@@ -184,11 +184,10 @@
 
     /// Closes the connection that has been without a complete request for longest.
     fn evict_one(&self) {
-        if let Some(left_out) = self.0.full_lines.admit() {
+        if let Some(suppressed) = self.0.full_lines.admit() {
             warn!(
-                most = self.0.max_connections,
-                left_out,
-                "client connections are full; the one without a request for longest is closed"
+                max = self.0.max_connections,
+                suppressed, "too many client connections, closing the longest without a request"
             );
         }
         let clients = self.0.clients.borrow();
--- a/crates/linenthread-service/src/frontends/http/response.rs
+++ b/crates/linenthread-service/src/frontends/http/response.rs
@@ -83,17 +83,17 @@
         error: &RequestError,
     ) -> Response<BoxBody> {
         let status = error.status();
-        let why = error.to_string();
-        if let Some(left_out) = self.0.error_lines.admit() {
+        let reason = error.to_string();
+        if let Some(suppressed) = self.0.error_lines.admit() {
             info!(
                 status = status.as_u16(),
-                left_out, "request not taken: {why}"
+                suppressed, "request rejected: {reason}"
             );
         }
         client.discard_input();
         Response::build(status)
             .force_close()
-            .body(why)
+            .body(reason)
             .map_into_boxed_body()
     }
 }
--- a/crates/linenthread-service/src/frontends/link/connection.rs
+++ b/crates/linenthread-service/src/frontends/link/connection.rs
@@ -32,9 +32,9 @@
 /// Why a connection ended. The text goes to the log.
 #[derive(Debug, Snafu)]
 enum ConnectionEnd {
-    #[snafu(display("closed by the other side"))]
+    #[snafu(display("closed by the peer"))]
     ClosedByPeer,
-    #[snafu(display("it does not take what it is told"))]
+    #[snafu(display("the peer reads too slowly"))]
     SlowPeer,
     #[snafu(display("{reason}"))]
     ClosedHere { reason: ServerCloseReason },
@@ -111,8 +111,8 @@
                     actix_rt::spawn(self.clone().serve(stream, address));
                 }
                 Ok(_) => {
-                    if let Some(left_out) = self.0.log_lines.admit() {
-                        warn!(left_out, "no room for a link's connection");
+                    if let Some(suppressed) = self.0.log_lines.admit() {
+                        warn!(suppressed, "too many link connections, closing the new one");
                     }
                 }
                 Err(_) => sleep(ACCEPT_BACKOFF).await,
@@ -136,8 +136,8 @@
         // The only place that releases a connection.
         self.0.connections.borrow_mut().remove(&id);
         self.act(|server, now, _| server.on_disconnected(now, id));
-        if let Some(left_out) = self.0.log_lines.admit() {
-            info!(%address, left_out, "link's connection ended: {cause}");
+        if let Some(suppressed) = self.0.log_lines.admit() {
+            info!(%address, suppressed, "link connection ended: {cause}");
         }
     }
 
--- a/crates/linenthread-service/src/installation.rs
+++ b/crates/linenthread-service/src/installation.rs
@@ -147,11 +147,14 @@
     pub(crate) fn reload(file: &Path, config: &Config) -> Option<Rc<MergePlans>> {
         match InstallationSettings::read(file, config) {
             Ok(new) => {
-                info!(merged = new.merging.count(), "installation read again");
+                info!(
+                    merged_indexes = new.merging.count(),
+                    "installation reloaded"
+                );
                 Some(Rc::new(new.merging))
             }
             Err(error) => {
-                warn!("installation not taken, all goes on as it was: {error}");
+                warn!("installation rejected, keeping the one in use: {error}");
                 None
             }
         }
--- a/crates/linenthread-service/src/log.rs
+++ b/crates/linenthread-service/src/log.rs
@@ -30,7 +30,7 @@
 pub(crate) struct LogRateLimit {
     /// Start of the current second.
     since: Cell<Instant>,
-    /// Lines in the current second, written or left out.
+    /// Lines in the current second, written or suppressed.
     lines: Cell<u32>,
 }
 
@@ -44,15 +44,15 @@
 }
 
 impl LogRateLimit {
-    /// Whether a line may be written now; if so, how many were left out before it.
+    /// Whether a line may be written now; if so, how many were suppressed before it.
     pub(crate) fn admit(&self) -> Option<u32> {
-        let mut left_out = 0;
+        let mut suppressed = 0;
         if self.since.get().elapsed() >= Duration::from_secs(1) {
-            left_out = self.lines.get().saturating_sub(MAX_LINES_PER_SECOND);
+            suppressed = self.lines.get().saturating_sub(MAX_LINES_PER_SECOND);
             self.since.set(Instant::now());
             self.lines.set(0);
         }
         self.lines.set(self.lines.get().saturating_add(1));
-        (self.lines.get() <= MAX_LINES_PER_SECOND).then_some(left_out)
+        (self.lines.get() <= MAX_LINES_PER_SECOND).then_some(suppressed)
     }
 }
--- a/crates/linenthread-service/src/merge_responses/anomalies.rs
+++ b/crates/linenthread-service/src/merge_responses/anomalies.rs
@@ -28,24 +28,27 @@
 
 impl Anomalies {
     pub(super) fn on_differing(&self, source: impl Fn() -> ResponseSource) {
-        let all = increment(&self.differing);
-        if let Some(left_out) = self.log_lines.admit() {
+        let total = increment(&self.differing);
+        if let Some(suppressed) = self.log_lines.admit() {
             let ResponseSource { replica, shard } = source();
             warn!(
                 replica,
-                shard, all, left_out, "copies of a part differ, the first one counts"
+                shard,
+                total,
+                suppressed,
+                "replicas gave different values for a sub-request, using the first"
             );
         }
     }
 
     pub(super) fn on_invalid(&self, reason: &str, source: impl Fn() -> ResponseSource) {
-        let all = increment(&self.invalid);
-        if let Some(left_out) = self.log_lines.admit() {
+        let total = increment(&self.invalid);
+        if let Some(suppressed) = self.log_lines.admit() {
             let ResponseSource { replica, shard } = source();
-            let why: String = reason.chars().take(MAX_LOGGED_REASON_CHARS).collect();
+            let reason: String = reason.chars().take(MAX_LOGGED_REASON_CHARS).collect();
             warn!(
                 replica,
-                shard, all, left_out, "a part's value cannot be merged: {why}"
+                shard, total, suppressed, "value of a sub-request cannot be merged: {reason}"
             );
         }
     }
--- a/crates/linenthread-service/src/serve/error.rs
+++ b/crates/linenthread-service/src/serve/error.rs
@@ -43,6 +43,6 @@
     #[snafu(display("the decision module failed"))]
     Decisions,
     /// The task that follows service discovery has ended.
-    #[snafu(display("the roster's watch failed"))]
+    #[snafu(display("the service discovery watch failed"))]
     ServiceDiscovery,
 }
--- a/crates/linenthread-service/src/serve/fleet_member.rs
+++ b/crates/linenthread-service/src/serve/fleet_member.rs
@@ -65,7 +65,7 @@
                 if let Some(report) = dispatcher.report_zones()
                     && to_fleet.send(ToFleet::Observed(report)).is_err()
                 {
-                    warn!("the fleet's thread has ended: decides alone");
+                    warn!("fleet thread ended, deciding without the fleet");
                     return;
                 }
             }
@@ -73,9 +73,9 @@
                 sleep(time_until(table.valid_from_ms)).await;
                 let rows = table.rows.clone();
                 if dispatcher.apply_routing_table(table) {
-                    info!(number, ?rows, "acts on a table");
+                    info!(number, ?rows, "routing table in use");
                 } else {
-                    warn!(number, "a table of other zones than this file has is not acted on");
+                    warn!(number, "routing table ignored, its zones are not those of this file");
                 }
             }
         }
--- a/crates/linenthread-service/src/serve/links.rs
+++ b/crates/linenthread-service/src/serve/links.rs
@@ -109,6 +109,6 @@
     );
     let accepting = gateway.clone();
     actix_rt::spawn(async move { accepting.run(&listener).await });
-    info!(%listen, "gateway");
+    info!(%listen, "gateway listening");
     Ok(gateway)
 }
--- a/crates/linenthread-service/src/serve/mod.rs
+++ b/crates/linenthread-service/src/serve/mod.rs
@@ -111,8 +111,8 @@
         max_spent_clients(&config),
     );
     let listen = listener.local_addr().unwrap_or(config.listen);
-    let merged = query_context.merging.plans.borrow().count();
-    info!(name = config.name, %listen, roster = %config.discovery, merged, "serving");
+    let merged_indexes = query_context.merging.plans.borrow().count();
+    info!(name = config.name, %listen, discovery = %config.discovery, merged_indexes, "serving");
     ready(listen);
     tokio::select! {
         () = frontend.accept(&listener) => {}
--- a/crates/linenthread-service/src/service_discovery.rs
+++ b/crates/linenthread-service/src/service_discovery.rs
@@ -20,7 +20,7 @@
 /// Why the list could not be had. The text goes to the log.
 #[derive(Debug, Snafu)]
 enum FetchError {
-    #[snafu(display("no answer in time"))]
+    #[snafu(display("no response in time"))]
     Timeout,
     #[snafu(display("{source}"))]
     Request {
@@ -58,7 +58,7 @@
         let current = *address.borrow_and_update();
         tokio::select! {
             () = follow(&dispatcher, current, replica_groups) => {}
-            Ok(()) = address.changed() => info!(roster = %*address.borrow(), "the roster has moved"),
+            Ok(()) = address.changed() => info!(discovery = %*address.borrow(), "service discovery moved"),
         }
     }
 }
@@ -79,9 +79,9 @@
                 if list.complete || !list.replicas.is_empty() || failing {
                     info!(
                         revision = list.revision,
-                        whole = list.complete,
+                        complete = list.complete,
                         entries = list.replicas.len(),
-                        "roster told"
+                        "membership list received"
                     );
                 }
                 failing = false;
@@ -90,7 +90,7 @@
             }
             Err(cause) => {
                 if !failing {
-                    warn!("roster failed, the last list is kept: {cause}");
+                    warn!("service discovery failed, keeping the last membership list: {cause}");
                 }
                 failing = true;
                 dispatcher.on_membership(None);
--- a/crates/linenthread-service/src/transports/connection/error.rs
+++ b/crates/linenthread-service/src/transports/connection/error.rs
@@ -17,17 +17,17 @@
     Closed,
     #[snafu(display("{source}"))]
     Io { source: io::Error },
-    #[snafu(display("the replica could not use a frame: {message}"))]
+    #[snafu(display("the replica rejected a frame: {message}"))]
     FrameRejected { message: String },
     #[snafu(display("{source}"))]
     Decode { source: frame::FrameError },
-    #[snafu(display("a frame does not come whole"))]
+    #[snafu(display("a frame is not complete in time"))]
     IncompleteFrame,
-    #[snafu(display("it says more than was asked"))]
+    #[snafu(display("unsolicited data"))]
     UnsolicitedData,
-    #[snafu(display("an answer to a part not yet sent"))]
+    #[snafu(display("a response to a sub-request that is not sent yet"))]
     PrematureResponse,
-    #[snafu(display("an answer to a part that was never sent"))]
+    #[snafu(display("a response to an unknown sub-request"))]
     UnknownResponse,
 }
 
--- a/crates/linenthread-service/src/transports/connection/mod.rs
+++ b/crates/linenthread-service/src/transports/connection/mod.rs
@@ -167,7 +167,7 @@
     /// Marks the connection as silent where nothing was read since then.
     pub(in crate::transports) fn set_silent_since(&self, sent: Instant) {
         if self.last_read.get() < sent && !self.is_silent.replace(true) {
-            info!(address = %self.address, "replica connection is silent; no more goes on it");
+            info!(address = %self.address, "replica connection timed out, no longer used for new requests");
             self.wake.notify_one();
         }
     }
--- a/crates/linenthread-service/src/transports/link/connection.rs
+++ b/crates/linenthread-service/src/transports/link/connection.rs
@@ -51,8 +51,8 @@
                     Ok(stream) => self.exchange(stream).await,
                     Err(error) => error,
                 };
-                if let Some(left_out) = self.0.log_lines.admit() {
-                    warn!(peer = self.0.name, address = %self.0.address, left_out, "link lost: {cause}");
+                if let Some(suppressed) = self.0.log_lines.admit() {
+                    warn!(peer = self.0.name, address = %self.0.address, suppressed, "link lost: {cause}");
                 }
                 self.0.outgoing.borrow_mut().clear();
                 self.0.close_reason.take();
--- a/crates/linenthread-service/src/transports/link/mod.rs
+++ b/crates/linenthread-service/src/transports/link/mod.rs
@@ -183,7 +183,11 @@
                 self.0.events.send(event).ok();
             }
             ClientAction::Up(up) => {
-                info!(peer = self.0.name, up, "link");
+                if up {
+                    info!(peer = self.0.name, "link up");
+                } else {
+                    info!(peer = self.0.name, "link down");
+                }
                 self.0.events.send(LinkEvent::Up(up)).ok();
             }
         }
--- a/crates/linenthread-service/src/transports/replica_connections.rs
+++ b/crates/linenthread-service/src/transports/replica_connections.rs
@@ -210,8 +210,8 @@
         endpoint: &mut Endpoint,
     ) -> Option<Rc<Connection>> {
         let Some(permit) = ConnectionPermit::acquire(&self.0) else {
-            if let Some(left_out) = self.0.log_lines.admit() {
-                warn!(%address, left_out, "no connection left for a replica");
+            if let Some(suppressed) = self.0.log_lines.admit() {
+                warn!(%address, suppressed, "too many replica connections, not opening another");
             }
             return None;
         };
@@ -231,7 +231,7 @@
         let result = match connected {
             Ok(stream) => {
                 if failed_before {
-                    info!(address = %connection.address, "replica connects again");
+                    info!(address = %connection.address, "replica connected again");
                 }
                 stream.set_nodelay(true).ok();
                 connection.exchange(stream, &config).await
@@ -242,10 +242,10 @@
         let end = result
             .as_ref()
             .map_or_else(ConnectionError::end, |()| ConnectionEnd::Lost);
-        if let (Err(cause), Some(left_out)) = (result, self.0.log_lines.admit()) {
-            let (address, out) = (connection.address, connection.attempts_in_flight());
-            let spoilt = end == ConnectionEnd::ProtocolViolated;
-            warn!(%address, out, spoilt, left_out, "replica connection ended: {cause}");
+        if let (Err(cause), Some(suppressed)) = (result, self.0.log_lines.admit()) {
+            let (address, in_flight) = (connection.address, connection.attempts_in_flight());
+            let protocol_violation = end == ConnectionEnd::ProtocolViolated;
+            warn!(%address, in_flight, protocol_violation, suppressed, "replica connection ended: {cause}");
         }
         self.remove(&connection);
         drop(permit);
--- a/crates/linenthread-service/tests/link.rs
+++ b/crates/linenthread-service/tests/link.rs
@@ -26,7 +26,7 @@
     // Without a link there is no replica to query: the response says so at once.
     sites.proxy.set_upstream(None);
     sites.proxy.disconnect();
-    sites.local.wait_for_log("replicas behind links far=0");
+    sites.local.wait_for_log("replicas behind links remote=0");
     sites.query("order", &mut verdict, "no link");
     assert_eq!((verdict.rejected, &verdict.violations[..]), (1, &[][..]));
 }
--- a/crates/linenthread-service/tests/merged/installation_file.rs
+++ b/crates/linenthread-service/tests/merged/installation_file.rs
@@ -34,7 +34,7 @@
     let invalid = INSTALLATION.replace("index=\"pledges\"", "index=\"gifts\"");
     std::fs::write(&file, invalid).unwrap();
     service.signal("-HUP");
-    let line = service.wait_for_log("installation not taken");
+    let line = service.wait_for_log("installation rejected");
     assert!(
         line.contains("installation.xml:9: the settings have no index gifts"),
         "{line}"
@@ -43,7 +43,7 @@
     // A valid one applies from the next query on.
     std::fs::write(&file, "<installation version=\"1\"/>").unwrap();
     service.signal("-HUP");
-    service.wait_for_log("installation read again");
+    service.wait_for_log("installation reloaded");
     let answer = query_pledges(&cluster);
     assert!(answer["found"].is_array(), "answered as ever");
 }
--- a/crates/linenthread-service/tests/merged/main.rs
+++ b/crates/linenthread-service/tests/merged/main.rs
@@ -58,7 +58,7 @@
     checker::check_totals(&rows, &weights(&shards), FLOOR, &answer).unwrap();
     cluster
         .service
-        .wait_for_log("a part's value cannot be merged");
+        .wait_for_log("value of a sub-request cannot be merged");
     // Below the minimum share there is no result.
     let (status, _) = cluster.query("pledges", "u2", &[2], "pledges", &Value::Null);
     assert_eq!(status, 503);
--- a/crates/linenthread-service/tests/service/configuration.rs
+++ b/crates/linenthread-service/tests/service/configuration.rs
@@ -21,7 +21,7 @@
     ));
     cluster.service.wait_for_log("revision=2");
     cluster.discovery.answer_watch("no list at all");
-    cluster.service.wait_for_log("roster failed");
+    cluster.service.wait_for_log("service discovery failed");
     cluster
         .discovery
         .answer_watch(&membership(3, false, vec![]));
@@ -43,7 +43,7 @@
     let known = membership(1, true, vec![member(0, replicas.addresses[0], "active")]);
     let silent = TcpListener::bind("127.0.0.1:0").unwrap();
     let service = Service::start(EXE, &config(silent.local_addr().unwrap(), &known));
-    service.wait_for_log("roster failed");
+    service.wait_for_log("service discovery failed");
     let mut client = service.query("find", "j1", &[0]);
     replicas.sub_request().respond("v");
     assert_eq!(client.status(), 200);
@@ -74,7 +74,7 @@
     service.wait_for_log("revision=9");
     for bad in ["{", &good.to_string().replace("limits", "limit")] {
         service.reload(bad);
-        service.wait_for_log("WARN configuration not taken");
+        service.wait_for_log("WARN configuration rejected");
     }
     let mut moved = good.clone();
     moved["discovery"] = new.address.to_string().into();
@@ -82,7 +82,7 @@
     service.reload(&moved.to_string());
     assert!(
         service
-            .wait_for_log("read again")
+            .wait_for_log("configuration reloaded")
             .contains(r#"at_next_start="limits.sockets""#)
     );
     service.wait_for_log("revision=2");
@@ -99,9 +99,9 @@
     sub_request.respond("v");
     assert_eq!(waiting.status(), 200);
     service.signal("-TERM");
-    service.wait_for_log("stopping");
+    service.wait_for_log("shutting down");
     service.signal("-HUP");
-    service.wait_for_log("stopped");
+    service.wait_for_log("shutdown complete");
     assert_eq!(service.child.wait().unwrap().code(), Some(0));
 }
 
--- a/crates/linenthread-service/tests/service/queries.rs
+++ b/crates/linenthread-service/tests/service/queries.rs
@@ -105,7 +105,7 @@
         "{headers:?}"
     );
     assert_eq!(cluster.replicas.cancelled(), sub_request.id);
-    cluster.service.wait_for_log("silent");
+    cluster.service.wait_for_log("replica connection timed out");
 }
 
 #[test]
@@ -114,7 +114,7 @@
     let mut client = cluster.query("swift", "k1", &[1]);
     let late = cluster.sub_request();
     assert_eq!(client.status(), 503);
-    cluster.service.wait_for_log("silent");
+    cluster.service.wait_for_log("replica connection timed out");
     late.respond("too late");
     let mut client = cluster.query("find", "k2", &[1]);
     cluster.sub_request().respond("v");
@@ -155,7 +155,7 @@
     let (begun, rest) = next.split_at(30);
     kept.send(begun);
     cluster.service.signal("-TERM");
-    cluster.service.wait_for_log("stopping");
+    cluster.service.wait_for_log("shutting down");
     let mut late = cluster.service.connect();
     late.send(HEALTH_REQUEST);
     assert_eq!(late.status(), 503);
@@ -178,7 +178,7 @@
         incomplete.response().is_none(),
         "half a request holds up nothing"
     );
-    cluster.service.wait_for_log("stopped");
+    cluster.service.wait_for_log("shutdown complete");
     assert_eq!(cluster.service.child.wait().unwrap().code(), Some(0));
 }
 
--- a/crates/linenthread-service/tests/service/replica_connections.rs
+++ b/crates/linenthread-service/tests/service/replica_connections.rs
@@ -60,7 +60,9 @@
         .send_bytes(b"\0\0\x40\0Eo1.2 hit 1 -\nv");
     cluster.sub_request().respond("v");
     assert_eq!(client.status(), 200);
-    cluster.service.wait_for_log("does not come whole");
+    cluster
+        .service
+        .wait_for_log("a frame is not complete in time");
     // The same with bytes that trickle in.
     let mut client = cluster.query("find", "o2", &[2]);
     let slow = cluster.sub_request();
--- a/crates/linenthread-zones/src/error.rs
+++ b/crates/linenthread-zones/src/error.rs
@@ -40,7 +40,7 @@
         share: u16,
     },
     /// A report's counts contradict each other.
-    #[snafu(display("a way's numbers don't add up"))]
+    #[snafu(display("a route's counts contradict each other"))]
     InconsistentCounts,
 }
 
