--- a/crates/linenthread-fakes/src/scenarios/operator.rs
+++ b/crates/linenthread-fakes/src/scenarios/operator.rs
@@ -20,7 +20,7 @@
     let output = rig.run_operator_command(0, &["show"]);
     assert!(
         printed(&output).contains("0 drained")
-            && printed(&output).contains("left by order: messina"),
+            && printed(&output).contains("drained by order: messina"),
         "{}",
         printed(&output)
     );
--- a/crates/linenthread-installation/src/fleet.rs
+++ b/crates/linenthread-installation/src/fleet.rs
@@ -100,13 +100,13 @@
         let voter = Voter::check(section, element)?;
         let is_same = |other: &Voter| other.name == voter.name || other.address == voter.address;
         if voters.iter().any(is_same) {
-            let cause = format!("the voter {} or its address stands twice", voter.name);
+            let cause = format!("the voter {} or its address is listed twice", voter.name);
             return Err(element.error(cause));
         }
         voters.push(voter);
     }
     if !VOTER_COUNTS.contains(&voters.len()) {
-        let cause = format!("{} voters: a record needs 3, 5 or 7", voters.len());
+        let cause = format!("{} voters, not 3, 5 or 7", voters.len());
         return Err(element.error(cause));
     }
     Ok(voters)
@@ -117,7 +117,7 @@
     let zones = count_voters(voters, |voter| &voter.zone);
     match zones.first() {
         Some(largest) if 2 * largest.voters > voters.len() => Err(element.error(format!(
-            "most voters are in zone {}: with it nothing could be decided any more",
+            "most voters are in zone {}: without it there is no majority",
             largest.name
         ))),
         _ => Ok(()),
@@ -135,14 +135,14 @@
     let largest = regions.first().map_or("", |region| region.name);
     match (regions.len(), winning) {
         (2, None) => Err(element.error(format!(
-            "voters are in two regions only: say wins=\"{largest}\", which goes on when they are cut from each \
-             other or {largest} lives alone, or have a voter in a third"
+            "voters are in two regions only: set wins=\"{largest}\", the region that goes on when they are \
+             partitioned from each other, or have a voter in a third"
         ))),
         (2, Some(winning)) if winning != largest => Err(element.error(format!(
             "{winning} cannot win: most voters are in {largest}"
         ))),
         (2, Some(_)) | (_, None) => Ok(()),
-        (_, Some(_)) => Err(element.error("wins counts only where voters are in two regions")),
+        (_, Some(_)) => Err(element.error("wins is only for voters in two regions")),
     }
 }
 
--- a/crates/linenthread-installation/src/gateway.rs
+++ b/crates/linenthread-installation/src/gateway.rs
@@ -76,7 +76,7 @@
             let peer = Peer::check(section, element)?;
             let is_same = |other: &Peer| other.name == peer.name || other.address == peer.address;
             if peers.iter().any(is_same) {
-                let cause = format!("the peer {} or its address stands twice", peer.name);
+                let cause = format!("the peer {} or its address is listed twice", peer.name);
                 return Err(element.error(cause));
             }
             peers.push(peer);
--- a/crates/linenthread-installation/src/merging.rs
+++ b/crates/linenthread-installation/src/merging.rs
@@ -102,7 +102,7 @@
         let statistics = &measure.statistics;
         let is_repeated = |(index, statistic)| statistics[..index].contains(statistic);
         if statistics.iter().enumerate().any(is_repeated) {
-            let cause = format!("a figure of {} is asked for twice", measure.field);
+            let cause = format!("a figure of {} is listed twice", measure.field);
             return Err(element.error(cause));
         }
     }
@@ -114,7 +114,7 @@
 
 fn check_groups(section: GroupsSection, element: &Element) -> Result<GroupPlan, InstallationError> {
     if section.max_retained < section.max_groups {
-        let cause = "held is less than most: that many groups could not be told";
+        let cause = "held is less than most: so many groups could not be returned";
         return Err(element.error(cause));
     }
     Ok(GroupPlan {
@@ -135,7 +135,7 @@
     let max_page_size = section.max_page_size.unwrap_or(page_size);
     let paginated = section.paginated == YesNo::Yes;
     if page_size > max_page_size {
-        let cause = format!("page is {page_size}, more than most, {max_page_size}");
+        let cause = format!("page is {page_size}, more than most, which is {max_page_size}");
         return Err(element.error(cause));
     }
     if paginated && cursors.is_none() {
@@ -147,7 +147,7 @@
         }
     }
     if let Some(field) = first_repeated(section.order.iter().map(|o| o.field.as_str())) {
-        return Err(element.error(format!("{field} is ordered by twice")));
+        return Err(element.error(format!("the order has {field} twice")));
     }
     if paginated {
         check_distinct_pages(&section, element, settings)?;
@@ -181,7 +181,7 @@
     }
     if settings.min_share < 1.0 {
         return Err(element.error(
-            "rows in pages can only be distinct where the index's floor is 1: a slice missing on one page \
+            "rows in pages can only be distinct where the index's floor is 1: a shard missing on one page \
              could bring a value again on the next; or say pages=\"no\"",
         ));
     }
--- a/crates/linenthread-installation/src/schema/validate.rs
+++ b/crates/linenthread-installation/src/schema/validate.rs
@@ -12,7 +12,7 @@
     /// The first violation.
     pub(crate) fn validate(&self, root: &Element) -> Result<(), InstallationError> {
         if root.name != self.root.name {
-            let cause = format!("<{}> stands where <{}> must", root.name, self.root.name);
+            let cause = format!("<{}> stands in place of <{}>", root.name, self.root.name);
             return Err(error(root, cause));
         }
         self.validate_element(root, &self.root.type_name)
@@ -59,7 +59,7 @@
         }
         let mut required = declarations.iter().filter(|a| a.required);
         if let Some(missing) = required.find(|a| element.attribute(&a.name).is_none()) {
-            let cause = format!("<{name}> lacks its attribute {}", missing.name);
+            let cause = format!("<{name}> has no attribute {}", missing.name);
             return Err(error(element, cause));
         }
         Ok(())
@@ -80,7 +80,10 @@
             matcher.match_particle(content)?;
         }
         if let Some(extra) = matcher.next_child() {
-            let cause = format!("<{}> cannot stand here in <{}>", extra.name, element.name);
+            let cause = format!(
+                "<{}> is not permitted here in <{}>",
+                extra.name, element.name
+            );
             return Err(error(extra, cause));
         }
         let mut children = element.children.iter().zip(matcher.child_types);
@@ -105,11 +108,11 @@
                 enumeration,
             }) => {
                 if !enumeration.is_empty() && !enumeration.iter().any(|allowed| allowed == value) {
-                    return Err(format!("is none of {}", enumeration.join(", ")));
+                    return Err(format!("is not one of {}", enumeration.join(", ")));
                 }
                 let length = value.chars().count();
                 if length < *min_length || max_length.is_some_and(|max| length > max) {
-                    return Err(format!("cannot be of {length} letters"));
+                    return Err(format!("has an invalid length of {length} characters"));
                 }
                 Ok(())
             }
@@ -125,8 +128,8 @@
         return Ok(());
     }
     match max {
-        Some(max) => Err(format!("is no whole number from {min} to {max}")),
-        None => Err(format!("is no whole number from {min}")),
+        Some(max) => Err(format!("is not a whole number from {min} to {max}")),
+        None => Err(format!("is not a whole number from {min}")),
     }
 }
 
@@ -211,6 +214,6 @@
     /// The error that an element is missing where the next child stands.
     fn missing(&self, name: &str) -> InstallationError {
         let at = self.next_child().unwrap_or(self.element);
-        error(at, format!("<{}> lacks a <{name}> here", self.element.name))
+        error(at, format!("<{}> has no <{name}> here", self.element.name))
     }
 }
--- a/crates/linenthread-installation/src/xml.rs
+++ b/crates/linenthread-installation/src/xml.rs
@@ -91,14 +91,14 @@
                 }
             }
             Event::CData(_) | Event::GeneralRef(_) => tree.add_text(),
-            Event::DocType(_) => return Err(error(line, "a document type is not taken")),
+            Event::DocType(_) => return Err(error(line, "a document type is not permitted")),
             Event::Comment(_) | Event::Decl(_) | Event::PI(_) => {}
             Event::Eof => break,
         }
     }
     let last_line = lines.line;
     tree.finish()
-        .ok_or_else(|| error(last_line, "the file is not one element, begun and ended"))
+        .ok_or_else(|| error(last_line, "the file is not one complete element"))
 }
 
 fn error(line: usize, cause: impl Into<String>) -> InstallationError {
@@ -142,7 +142,7 @@
     fn count(&mut self, line: usize) -> Result<(), InstallationError> {
         self.element_count += 1;
         if self.open.len() > MAX_DEPTH || self.element_count > MAX_ELEMENTS {
-            let cause = "there are too many elements, or one within another";
+            let cause = "there are too many elements, or too many within each other";
             return Err(error(line, cause));
         }
         Ok(())
--- a/crates/linenthread-installation/src/zones.rs
+++ b/crates/linenthread-installation/src/zones.rs
@@ -42,16 +42,16 @@
         fleet: Option<&Fleet>,
     ) -> Result<Zones, InstallationError> {
         let Some(fleet) = fleet else {
-            return Err(element.error("zones are decided on by a <fleet>, and there is none"));
+            return Err(element.error("<zones> needs a <fleet>, and there is none"));
         };
         let mut names = BTreeSet::new();
         for (zone, element) in section.zones.iter().zip(element.children("zone")) {
             if !names.insert(zone.name.as_str()) {
-                return Err(element.error(format!("the zone {} stands twice", zone.name)));
+                return Err(element.error(format!("the zone {} is listed twice", zone.name)));
             }
         }
         if !names.contains(fleet.zone.as_str()) {
-            let cause = format!("the fleet's own zone {} is not among them", fleet.zone);
+            let cause = format!("the fleet's own zone {} is not listed", fleet.zone);
             return Err(element.error(cause));
         }
         if section.max_evacuation_ms < section.min_evacuation_ms {
--- a/crates/linenthread-installation/tests/reading.rs
+++ b/crates/linenthread-installation/tests/reading.rs
@@ -54,7 +54,7 @@
     let error = Installation::read_file(&file, &known).unwrap_err();
     assert!(matches!(error, ReadFileError::Invalid { .. }));
     let expected = format!(
-        "{}:1: <installation> lacks its attribute version",
+        "{}:1: <installation> has no attribute version",
         file.display()
     );
     assert_eq!(error.to_string(), expected);
@@ -120,9 +120,9 @@
 
 /// Files that are no XML, or not of the root element's form.
 const INVALID_XML: &[InvalidChange] = &[
-    change("version=\"1\"", "version=\"2\"", 2, "none of 1"),
+    change("version=\"1\"", "version=\"2\"", 2, "not one of 1"),
     change("<!-- money -->", "money", 2, "text"),
-    change("</installation>", "", 30, "begun and ended"),
+    change("</installation>", "", 30, "one complete element"),
     change(
         "<?xml version=\"1.0\"?>",
         "<!DOCTYPE x [<!ENTITY a \"b\">]>",
@@ -137,12 +137,12 @@
 const INVALID_MERGING: &[InvalidChange] = &[
     change("<merging>", "<merging why=\"x\">", 4, "attribute why"),
     change("life=\"900\"", "life=\"9\"", 5, "from 10 to 604800"),
-    change("life=\"900\" ", "", 5, "lacks its attribute life"),
+    change("life=\"900\" ", "", 5, "has no attribute life"),
     change(
         "figures=\"sum mean\"",
         "figures=\"sum mode\"",
         6,
-        "none of sum",
+        "not one of sum",
     ),
     change("figures=\"sum mean\"", "figures=\"\"", 6, "empty"),
     change("figures=\"sum mean\"", "figures=\"sum sum\"", 6, "twice"),
@@ -167,7 +167,7 @@
         "held",
     ),
     change("page=\"20\"", "page=\"200\"", 10, "page"),
-    change("<identity field=\"id\"/>", "", 10, "lacks a <identity>"),
+    change("<identity field=\"id\"/>", "", 10, "has no <identity>"),
     change(
         "<identity field=\"id\"/>",
         "<identity field=\"id\"/><distinct field=\"id\"/>",
@@ -184,7 +184,7 @@
         "<identity field=\"id\"/>",
         "<identity field=\"id\"/><also/>",
         13,
-        "cannot stand here",
+        "is not permitted here",
     ),
     change(
         "field=\"date\" ",
--- a/crates/linenthread-merge/src/error.rs
+++ b/crates/linenthread-merge/src/error.rs
@@ -9,7 +9,7 @@
 #[snafu(visibility(pub(crate)))]
 pub enum QueryError {
     /// The response could not name so many shards.
-    #[snafu(display("more than {MAX_SHARDS} shards are asked"))]
+    #[snafu(display("more than {MAX_SHARDS} shards are queried"))]
     TooManyShards,
     /// The number of rows is not one that the index's plan permits.
     #[snafu(display("a page of {index} has from 1 to {max_rows} rows"))]
@@ -44,25 +44,25 @@
 #[snafu(visibility(pub(crate)))]
 pub enum CursorError {
     /// It was not signed with one of the secrets, or is incomplete.
-    #[snafu(display("the page mark is not one that was given here, or not all of it"))]
+    #[snafu(display("the cursor is incomplete, or was not issued here"))]
     Unknown,
     /// It is of another version of this software.
-    #[snafu(display("the page mark has version {version}, and {CURSOR_VERSION} is known"))]
+    #[snafu(display("the cursor is of version {version}, only {CURSOR_VERSION} is known"))]
     UnknownVersion {
         /// The cursor's version.
         version: u8,
     },
     /// It is too old, or from the future.
-    #[snafu(display("the page mark is no longer good; begin with the first page"))]
+    #[snafu(display("the cursor has expired, start with the first page"))]
     Expired,
     /// It was issued for another query.
-    #[snafu(display("the page mark belongs to another lookup"))]
+    #[snafu(display("the cursor belongs to another query"))]
     OtherQuery,
     /// It was issued for other shards.
-    #[snafu(display("the page mark belongs to another layout of shards"))]
+    #[snafu(display("the cursor belongs to another layout of shards"))]
     OtherShards,
     /// It holds a position that the index's plan does not yield.
-    #[snafu(display("the page mark has a place that is none"))]
+    #[snafu(display("the cursor has an invalid position"))]
     InvalidPosition,
 }
 
@@ -71,7 +71,7 @@
 #[snafu(visibility(pub(crate)))]
 pub enum DecimalError {
     /// It is not a number such as `-12.50`.
-    #[snafu(display("{text:.40?} is no decimal number"))]
+    #[snafu(display("{text:.40?} is not a decimal number"))]
     NotDecimal {
         /// The text.
         text: String,
@@ -130,7 +130,7 @@
         field: String,
     },
     /// A row has no identity.
-    #[snafu(display("a row lacks {field}"))]
+    #[snafu(display("a row has no {field}"))]
     MissingIdentity {
         /// The identity's field.
         field: String,
@@ -145,19 +145,19 @@
         field: String,
     },
     /// The count, sum and range of a measure contradict each other.
-    #[snafu(display("the totals of {field} cannot be true together"))]
+    #[snafu(display("the totals of {field} contradict each other"))]
     InconsistentTotals {
         /// The measure's field.
         field: String,
     },
     /// A measure that the plan declares as never negative has a negative value.
-    #[snafu(display("{field} has a value below 0, and is said never to have one"))]
+    #[snafu(display("{field} has a value below 0, but is declared never negative"))]
     NegativeValue {
         /// The measure's field.
         field: String,
     },
     /// Groups are not sorted by name, or a name is repeated.
-    #[snafu(display("its groups are not in order, or one stands twice"))]
+    #[snafu(display("its groups are not in order, or one is repeated"))]
     UnsortedGroups,
     /// A group's name is too long.
     #[snafu(display("a group's name has more than {max_bytes} bytes"))]
--- a/crates/linenthread-merge/tests/cursors.rs
+++ b/crates/linenthread-merge/tests/cursors.rs
@@ -118,7 +118,7 @@
     for unix_seconds in [161, 39] {
         let error = cursor_error(begin(&plan, &signer, Some(cursor.clone()), unix_seconds));
         assert_eq!(error, CursorError::Expired);
-        assert!(error.to_string().contains("no longer good"));
+        assert!(error.to_string().contains("the cursor has expired"));
     }
 }
 
--- a/crates/linenthread-protocol/src/frame.rs
+++ b/crates/linenthread-protocol/src/frame.rs
@@ -61,13 +61,13 @@
 #[derive(Debug, Snafu)]
 pub enum FrameError {
     /// The length is 0 or too large.
-    #[snafu(display("a frame cannot be of {length} bytes"))]
+    #[snafu(display("a frame has an invalid length of {length} bytes"))]
     Length {
         /// The length in bytes.
         length: usize,
     },
     /// There are no frames of this kind.
-    #[snafu(display("a frame cannot have the letter {letter:?}"))]
+    #[snafu(display("a frame is of the unknown kind {letter:?}"))]
     Kind {
         /// The letter.
         letter: char,
@@ -79,19 +79,19 @@
         source: Utf8Error,
     },
     /// The first line of a response is incomplete.
-    #[snafu(display("an answer without its {field}"))]
+    #[snafu(display("a response has no {field}"))]
     MissingField {
         /// The first field that is missing.
         field: &'static str,
     },
     /// A response's outcome is none of the protocol's.
-    #[snafu(display("an answer cannot end with {outcome:.20?}"))]
+    #[snafu(display("a response has the unknown outcome {outcome:.20?}"))]
     Outcome {
         /// What stands in its place.
         outcome: String,
     },
     /// A response's score is no number.
-    #[snafu(display("an answer's score cannot be {score:.20?}"))]
+    #[snafu(display("a response has the invalid score {score:.20?}"))]
     Score {
         /// The score.
         score: String,
--- a/crates/linenthread-protocol/src/membership.rs
+++ b/crates/linenthread-protocol/src/membership.rs
@@ -62,7 +62,7 @@
 #[derive(Debug, Snafu)]
 pub enum MembershipError {
     /// It is not JSON, or has another form.
-    #[snafu(display("the list does not parse: {source}"))]
+    #[snafu(display("the list is invalid: {source}"))]
     Parse {
         /// What is wrong with it.
         source: serde_json::Error,
--- a/crates/linenthread-service/src/cli.rs
+++ b/crates/linenthread-service/src/cli.rs
@@ -27,7 +27,7 @@
     },
     /// Print the schema of the installation file.
     Schema,
-    /// Carry a configuration over to sets of replicas.
+    /// Migrate a configuration to sets of replicas.
     Migrate(MigrateOptions),
     /// Run a demo on this machine.
     Try(DemoOptions),
@@ -53,7 +53,7 @@
     let version = version();
     construct!([serve, check, migrate, schema, demo, zones, version])
         .to_options()
-        .descr("linenthread co-ordinates lookups over replicated shards")
+        .descr("linenthread co-ordinates queries over replicated shards")
         .footer("Start with: EDGE_CONFIG=/run/balancer/config.json linenthread serve")
 }
 
@@ -77,15 +77,15 @@
     })
         .to_options()
         .descr(
-            "Serves lookups until SIGTERM or SIGINT, then answers what it has taken; SIGHUP reads its files",
+            "Serves queries until SIGTERM or SIGINT, then completes those in flight; SIGHUP reloads its files",
         )
         .footer("Example: linenthread serve --config config.json --installation deploy/installation.xml")
         .command("serve")
-        .help("Serve lookups")
+        .help("Serve queries")
 }
 
 fn check() -> impl Parser<Command> {
-    let config = positional::<PathBuf>("FILE").help("The configuration to read");
+    let config = positional::<PathBuf>("FILE").help("The configuration to validate");
     let installation = installation();
     construct!(Command::Check {
         installation,
@@ -93,12 +93,12 @@
     })
         .to_options()
         .descr(
-            "Reads a configuration as serve would, and the operators' file beside it; says in one line what \
-             is wrong, with file and line, and exits with 2",
+            "Validates a configuration as serve would read it, and the operators' file beside it; prints in one line \
+             what is invalid, with file and line, and exits with 2",
         )
         .footer("Example: linenthread check config.json --installation deploy/installation.xml")
         .command("check")
-        .help("Check a configuration")
+        .help("Validate a configuration")
 }
 
 fn schema() -> impl Parser<Command> {
@@ -112,34 +112,32 @@
 
 fn migrate() -> impl Parser<Command> {
     let dry_run = long("dry-run")
-        .help("Say what would be written and left out, and write nothing")
+        .help("Print what would be written and left out, and write nothing")
         .switch();
     let output = long("output")
         .help("The new file; it must not exist")
         .argument::<PathBuf>("NEW")
         .optional();
-    let old =
-        positional::<PathBuf>("OLD").help("The configuration to carry over; it is not changed");
+    let old = positional::<PathBuf>("OLD").help("The configuration to migrate; it is not changed");
     construct!(MigrateOptions { dry_run, output, old })
         .map(Command::Migrate)
         .to_options()
         .descr(
-            "Writes the counterpart of a configuration for replicas in sets that report no load: the sets are \
-             made of neighbouring cells. Lists what each replica must hold besides and what could not be \
-             carried over. Exits with 0, with 3 where something was left out, with 2 where nothing can be \
-             written",
+            "Converts a configuration for sets of replicas that report no load; each set is made of neighbouring \
+             cells. Lists the shards that each replica must load first, and what was left out. Exit codes: 0, 3 if \
+             something was left out, 2 if nothing can be written",
         )
         .footer("Example: linenthread migrate --dry-run config.json, then --output new.json in its place")
         .command("migrate")
-        .help("Carry a configuration over to sets of replicas")
+        .help("Migrate a configuration to sets of replicas")
 }
 
 fn demo() -> impl Parser<Command> {
     let show = long("show")
-        .help("Ask some lookups, print their answers and end")
+        .help("Send some queries, print their responses and exit")
         .switch();
     let seed = long("seed")
-        .help("What the rows come from")
+        .help("The seed of the rows")
         .argument("S")
         .fallback(5);
     let sites = long("sites")
@@ -148,7 +146,7 @@
         .guard(|n| (1..=2).contains(n), "there are 1 or 2 sites")
         .fallback(1);
     let zones = long("zones")
-        .help("3: co-ordinators in three zones that decide in common; one is killed and comes back, shown")
+        .help("3: co-ordinators in three zones with a common routing table; one zone is killed and comes back")
         .argument::<u8>("N")
         .guard(|n| *n == 3, "there are 3 zones")
         .optional();
@@ -161,12 +159,12 @@
     .map(Command::Try)
         .to_options()
         .descr(
-            "Starts a small fleet of stand-ins, a roster and a co-ordinator with merged indexes on loopback, \
-             and prints the commands to ask it",
+            "Starts some fake replicas, their service discovery and a co-ordinator with merged indexes on loopback, \
+             and prints the commands to query it",
         )
         .footer("Example: linenthread try --show")
         .command("try")
-        .help("See it work on this machine, with nothing else set up")
+        .help("Run a demo on this machine, with nothing else set up")
 }
 
 fn zones() -> impl Parser<Command> {
@@ -179,10 +177,10 @@
         action
     })
     .to_options()
-    .descr("Looks at the table of zones that the fleet acts on, or has a zone left or taken back")
+    .descr("Shows the routing table between zones that the fleet uses, or drains a zone or takes it back")
     .footer("Example: linenthread zones --installation deploy/installation.xml drain palermo")
     .command("zones")
-    .help("Show zones, leave one or take it back")
+    .help("Show zones, drain one or take it back")
 }
 
 fn zones_action() -> impl Parser<ZonesAction> {
@@ -190,15 +188,15 @@
         || positional::<String>("ZONE").help("The zone's name, as the operators' file has it");
     let show = pure(ZonesAction::Show)
         .to_options()
-        .descr("Prints the table that all act on")
+        .descr("Prints the routing table in use")
         .command("show");
     let drain = zone().map(ZonesAction::Drain).to_options();
     let drain = drain
-        .descr("Has all co-ordinators leave a zone")
+        .descr("Drains a zone: all co-ordinators stop sending there")
         .command("drain");
     let back = zone().map(ZonesAction::Return).to_options();
     let back = back
-        .descr("Has a zone taken back, step by step")
+        .descr("Takes a drained zone back, step by step")
         .command("return");
     construct!([show, drain, back])
 }
--- a/crates/linenthread-service/src/config.rs
+++ b/crates/linenthread-service/src/config.rs
@@ -30,25 +30,25 @@
         field: &'static str,
     },
     /// A field is not a text.
-    #[snafu(display("{field} is not a text"))]
+    #[snafu(display("{field} is not a string"))]
     NotText {
         /// The field.
         field: &'static str,
     },
     /// A field is not a socket address.
-    #[snafu(display("{field} is not an address with its port"))]
+    #[snafu(display("{field} is not an address with a port"))]
     NotAddress {
         /// The field.
         field: &'static str,
     },
     /// The seed is no hexadecimal number.
-    #[snafu(display("seed is not of hex digits"))]
+    #[snafu(display("seed is not hexadecimal"))]
     Seed {
         /// What is wrong with it.
         source: std::num::ParseIntError,
     },
     /// The process may use too few descriptors to serve.
-    #[snafu(display("limits.sockets is no number from {MIN_SOCKETS}"))]
+    #[snafu(display("limits.sockets is not a number of at least {MIN_SOCKETS}"))]
     TooFewSockets,
     /// The settings of the decision module cannot be used.
     #[snafu(display("{source}"))]
@@ -58,7 +58,7 @@
     },
     /// An index needs a second step, for which replicas have no protocol.
     #[snafu(display(
-        "settings: family-info.fetch-parts: a second step, as index {index} has, has no protocol"
+        "settings: family-info.fetch-parts: index {index} has a second step, which the protocol does not support"
     ))]
     FetchStep {
         /// The index's position in the settings.
--- a/crates/linenthread-service/src/demo/error.rs
+++ b/crates/linenthread-service/src/demo/error.rs
@@ -13,7 +13,7 @@
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(super)))]
 pub(super) enum DemoError {
-    #[snafu(display("no folder for files: {source}"))]
+    #[snafu(display("cannot create a directory: {source}"))]
     Directory { source: io::Error },
     #[snafu(display("{}: {source}", file.display()))]
     Write { file: PathBuf, source: io::Error },
@@ -25,6 +25,6 @@
     FreePort { source: io::Error },
     #[snafu(display("{source}"), context(false))]
     Serve { source: ServeError },
-    #[snafu(display("a lookup was not answered"))]
+    #[snafu(display("a query had no successful response"))]
     Unanswered,
 }
--- a/crates/linenthread-service/src/demo/queries.rs
+++ b/crates/linenthread-service/src/demo/queries.rs
@@ -33,7 +33,7 @@
         index: "history",
     },
     ShownQuery {
-        title: "the total of all pledges, without slice 5, which comes too late",
+        title: "the total of all pledges, without shard 5, whose response is too late",
         index: "pledges",
     },
     ShownQuery {
@@ -59,11 +59,11 @@
     };
     let mark = "MARK=$(printf %s \"$PAGE\" | sed 's/.*\"next\":\"\\([^\"]*\\)\".*/\\1/')";
     format!(
-        "The co-ordinator listens on {address}, with {REPLICA_GROUPS} replicas of {SHARDS} slices behind it. Ask it:\n\n\
+        "The co-ordinator listens on {address}, with {REPLICA_GROUPS} replicas of {SHARDS} shards behind it. Query it:\n\n\
          # Page one of all donations, latest first, and page two.\n\
          PAGE=$({})\nprintf '%s\\n' \"$PAGE\"\n{mark}\n{}\n\n\
-         # The total of all pledges. Slice {LATE_SHARD} comes too late: the total says that it lacks it.\n{}\n\n\
-         # The three charities with the most, and the rest as one.\n{}\n\nCtrl-C ends it.",
+         # The total of all pledges. The response of shard {LATE_SHARD} is too late: the total says that it is missing.\n{}\n\n\
+         # The three charities with the most, and the rest as one.\n{}\n\nCtrl-C stops it.",
         curl("history", ",\"page\":{\"rows\":5}"),
         curl("history", ",\"page\":{\"rows\":5,\"after\":\"'$MARK'\"}"),
         curl("pledges", ""),
--- a/crates/linenthread-service/src/demo/zones.rs
+++ b/crates/linenthread-service/src/demo/zones.rs
@@ -18,7 +18,7 @@
             .enumerate()
             .map(|(to, name)| format!("{name} {}", flows.between(from, to)))
             .collect();
-        println!("  parts from {name}: {}", to.join(", "));
+        println!("  sub-requests from {name}: {}", to.join(", "));
     }
 }
 
@@ -38,7 +38,7 @@
 }
 
 /// Three zones, each of a co-ordinator and two replicas, with a common routing table: one is killed and comes back.
-/// Gives whether all rules were kept.
+/// Returns whether all invariants hold.
 fn show_zones(exe: &str, seed: u64) -> bool {
     let plan = RigConfig {
         seed,
@@ -46,7 +46,7 @@
     };
     let names: Vec<&str> = plan.zones.iter().map(|zone| zone.name).collect();
     println!(
-        "Three co-ordinators in {} found a fleet and a record.",
+        "Three co-ordinators in {} bootstrap a fleet.",
         names.join(", ")
     );
     let mut rig = Rig::start_all(exe, plan);
@@ -54,17 +54,17 @@
     rig.wait_until_serving(&[0, 1, 2], 20);
     let since = rig.executed();
     rig.wait_until_serving(&[0, 1, 2], 40);
-    println!("All act on one table; parts stay in the zones that hold their shards:");
+    println!("All use one routing table; sub-requests stay in the zones that hold their shards:");
     print_flows(&rig, &names, since);
     lose_zone(&mut rig, &names, LOST_ZONE);
     restore_zone(&mut rig, &names, LOST_ZONE);
-    let breaches = rig.check();
+    let violations = rig.check();
     println!(
-        "{} lookups, {} breaches of the rules.",
+        "{} queries, {} violations.",
         rig.outcomes().len(),
-        breaches.len()
+        violations.len()
     );
-    breaches.is_empty()
+    violations.is_empty()
 }
 
 /// Kills a zone and waits until the others act on a table without it.
@@ -86,13 +86,16 @@
         rig.wait_for_route(n, from[n], zones, |route| route.share == 0);
     }
     println!(
-        "After {:.1} s all others act on a table without it:",
+        "After {:.1} s all others use a routing table without it:",
         began.elapsed().as_secs_f64()
     );
     let since = rig.executed();
     rig.wait_until_serving(&[0, 1], 30);
     print_flows(rig, names, since);
-    println!("Service is whole again in {} and {}.\n", names[0], names[1]);
+    println!(
+        "Service is complete again in {} and {}.\n",
+        names[0], names[1]
+    );
 }
 
 /// Starts a zone again and waits until all keys are routed to it.
--- a/crates/linenthread-service/src/frontends/http/request.rs
+++ b/crates/linenthread-service/src/frontends/http/request.rs
@@ -18,7 +18,7 @@
 /// Why a request is rejected. The text is sent to the client.
 #[derive(Debug, Snafu)]
 pub(super) enum RequestError {
-    #[snafu(display("the body does not come"))]
+    #[snafu(display("the body was not complete in time"))]
     BodyTimeout,
     #[snafu(display("the body is too long"))]
     BodyTooLong,
@@ -38,7 +38,7 @@
     Page {
         source: linenthread_merge::QueryError,
     },
-    #[snafu(display("a lookup of this id is open"))]
+    #[snafu(display("a query of this id is in flight"))]
     DuplicateId,
 }
 
--- a/crates/linenthread-service/src/main.rs
+++ b/crates/linenthread-service/src/main.rs
@@ -1,4 +1,4 @@
-//! `linenthread`: a co-ordinator of lookups over replicated shards, on sockets.
+//! `linenthread`: a co-ordinator of queries over replicated shards, on sockets.
 
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -77,7 +77,7 @@
         };
         let name = config.name;
         print(&format!(
-            "{name}: {indexes} indexes{merged}, {replicas} replicas remembered\n"
+            "{name}: {indexes} indexes{merged}, {replicas} known replicas\n"
         ))
     })
 }
--- a/crates/linenthread-service/src/migrate.rs
+++ b/crates/linenthread-service/src/migrate.rs
@@ -23,21 +23,21 @@
     #[snafu(display("{source}"))]
     Old { source: ConfigError },
     #[snafu(display(
-        "settings: family-info.cells: {groups} cells cannot be parted into sets of {in_a_row} in a row"
+        "settings: family-info.cells: {groups} cells cannot be divided into sets of {in_a_row}"
     ))]
     Uneven { groups: usize, in_a_row: usize },
     #[snafu(display("does not parse: {source}"))]
     Parse { source: serde_json::Error },
     #[snafu(display("{source}"))]
     Serialize { source: serde_json::Error },
-    #[snafu(display("what would be written is no configuration: {source}"))]
+    #[snafu(display("the new configuration would be invalid: {source}"))]
     New { source: ConfigError },
 }
 
 /// Why nothing was written. Each message is one line.
 #[derive(Debug, Snafu)]
 enum MigrateError {
-    #[snafu(display("say --output NEW, or --dry-run"))]
+    #[snafu(display("--output NEW or --dry-run is required"))]
     NoOutput,
     #[snafu(display("{}: {source}", file.display()))]
     Io { file: PathBuf, source: io::Error },
--- a/crates/linenthread-service/src/serve/error.rs
+++ b/crates/linenthread-service/src/serve/error.rs
@@ -20,7 +20,7 @@
         source: io::Error,
     },
     /// It cannot handle signals.
-    #[snafu(display("cannot watch signals"))]
+    #[snafu(display("cannot handle signals"))]
     Signals {
         /// The system's error.
         source: io::Error,
--- a/crates/linenthread-service/src/zones_command/error.rs
+++ b/crates/linenthread-service/src/zones_command/error.rs
@@ -37,17 +37,15 @@
         source: OpenError,
     },
     /// The leader has rejected the order.
-    #[snafu(display("refused: {reason}"))]
+    #[snafu(display("rejected: {reason}"))]
     Rejected {
         /// The leader's reason.
         reason: String,
     },
     /// A voter was reached, but no leader has carried the order out in time.
-    #[snafu(display(
-        "nobody who leads has answered: nothing was agreed on, as far as is known here"
-    ))]
+    #[snafu(display("no leader has responded: nothing was committed, as far as is known here"))]
     NoLeader,
     /// No voter has sent a committed value in time.
-    #[snafu(display("no voter could be reached, or nothing was agreed on yet"))]
+    #[snafu(display("no voter could be reached, or nothing is committed yet"))]
     NoVoter,
 }
--- a/crates/linenthread-service/src/zones_command/mod.rs
+++ b/crates/linenthread-service/src/zones_command/mod.rs
@@ -67,16 +67,18 @@
 /// The committed routing table as text, and the zones that are drained by order.
 fn describe(follower: &Follower) -> String {
     let Some(NumberedValue { number, value }) = follower.value(TABLE_TOPIC) else {
-        return "no table was agreed on yet: all ways are open, the nearest first".into();
+        return "no routing table is committed yet: all routes are open, the nearest zone first"
+            .into();
     };
     let Ok(table) = RoutingTable::decode(value) else {
-        return "the table cannot be read by this version".into();
+        return "the routing table cannot be decoded by this version".into();
     };
-    let mut text = format!("table {number}; keys of a thousand to which each way is open\n");
+    let mut text =
+        format!("routing table {number}; keys of a thousand for which each route is open\n");
     text += &format_table(&table);
     let drained: Vec<String> = follower.orders().drained.into_iter().collect();
     if !drained.is_empty() {
-        text += &format!("\nleft by order: {}", drained.join(", "));
+        text += &format!("\ndrained by order: {}", drained.join(", "));
     }
     text
 }
@@ -117,10 +119,10 @@
         if last_order == order.number {
             ensure!(rejection.is_empty(), RejectedSnafu { reason: rejection });
             let outcome = match order.change {
-                ZoneChange::Drain => "is left",
+                ZoneChange::Drain => "is drained",
                 ZoneChange::Return => "returns in steps",
             };
-            return Ok(format!("zone {} {outcome}: agreed on", order.zone));
+            return Ok(format!("zone {} {outcome}: committed", order.zone));
         }
     }
     Err(timeout_error(follower))
--- a/crates/linenthread-service/tests/merged/pages.rs
+++ b/crates/linenthread-service/tests/merged/pages.rs
@@ -77,7 +77,7 @@
         shards: &QUERIED_SHARDS,
         text: "all",
         cursor,
-        reason: "not one that was given here",
+        reason: "incomplete, or was not issued here",
     };
     let cases = [
         unknown(&forged),
@@ -87,7 +87,7 @@
             shards: &QUERIED_SHARDS,
             text: "some",
             cursor: &cursor,
-            reason: "another lookup",
+            reason: "another query",
         },
         InvalidCursor {
             shards: &QUERIED_SHARDS[..3],
--- a/crates/linenthread-service/tests/processes.rs
+++ b/crates/linenthread-service/tests/processes.rs
@@ -87,7 +87,7 @@
         String::from_utf8_lossy(&output.stderr)
     );
     assert!(
-        text.contains("Service is whole again") && text.contains(", 0 breaches of the rules"),
+        text.contains("Service is complete again") && text.contains(", 0 violations."),
         "{text}"
     );
 }
--- a/crates/linenthread-zones/src/table.rs
+++ b/crates/linenthread-zones/src/table.rs
@@ -52,16 +52,16 @@
     }
 }
 
-/// The words of the operators' page.
+/// The word that `linenthread zones show` prints.
 impl fmt::Display for Reason {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         f.write_str(match self {
-            Reason::Healthy => "sound",
+            Reason::Healthy => "healthy",
             Reason::ZoneDown => "down",
-            Reason::Partitioned => "cut",
+            Reason::Partitioned => "partitioned",
             Reason::Drained => "drained",
             Reason::Returning => "returning",
-            Reason::Capacity => "room",
+            Reason::Capacity => "capacity",
             Reason::Slow => "slow",
         })
     }
