--- a/crates/linenthread-link/src/client/availability.rs
+++ b/crates/linenthread-link/src/client/availability.rs
@@ -2,9 +2,9 @@
 
 use linenthread_core::interface::TenthMillis;
 
-use super::{ClientAction, LinkClient};
+use super::{ClientAction, LinkAvailability, LinkClient};
 
-/// Whether the link accepts calls, as last reported to the driver by [`ClientAction::Up`].
+/// Whether the link accepts calls, as last reported to the driver by [`ClientAction::Availability`].
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum Availability {
     /// The connection is established, and the server accepts calls.
@@ -16,14 +16,19 @@
 }
 
 impl Availability {
-    /// Calls are accepted.
-    pub(super) fn is_usable(self) -> bool {
+    /// As the driver sees it, which is not told of short interruptions.
+    fn reported(self) -> LinkAvailability {
         match self {
-            Availability::Up | Availability::Interrupted { .. } => true,
-            Availability::Down => false,
+            Availability::Up | Availability::Interrupted { .. } => LinkAvailability::Up,
+            Availability::Down => LinkAvailability::Down,
         }
     }
 
+    /// Calls are accepted.
+    pub(super) fn is_usable(self) -> bool {
+        self.reported() == LinkAvailability::Up
+    }
+
     /// When an interrupted link is to be reported as down.
     pub(super) fn grace_deadline(self, grace_period: TenthMillis) -> Option<TenthMillis> {
         match self {
@@ -41,8 +46,8 @@
         actions: &mut Vec<ClientAction>,
     ) {
         let before = std::mem::replace(&mut self.availability, availability);
-        if before.is_usable() != availability.is_usable() {
-            actions.push(ClientAction::Up(availability.is_usable()));
+        if before.reported() != availability.reported() {
+            actions.push(ClientAction::Availability(availability.reported()));
         }
     }
 }
--- a/crates/linenthread-link/src/client/calls.rs
+++ b/crates/linenthread-link/src/client/calls.rs
@@ -81,7 +81,7 @@
 
     /// Sends what credit allows, in the queue's order; a call that would arrive too late is not sent.
     pub(super) fn send_queued(&mut self, now: TenthMillis, actions: &mut Vec<ClientAction>) {
-        while self.is_up() {
+        while self.is_ready() {
             match self.calls.next_to_send(now, self.heartbeat.one_way()) {
                 Some(NextCall::Send(request)) => {
                     actions.push(ClientAction::Send(Frame::Call(request)));
--- a/crates/linenthread-link/src/client/config.rs
+++ b/crates/linenthread-link/src/client/config.rs
@@ -60,14 +60,27 @@
         queue_depth: Option<f64>,
     },
     /// The replicas behind the link have changed.
-    Members {
-        /// This is the complete list; otherwise what has changed.
-        complete: bool,
-        /// The replicas.
-        members: Vec<Member>,
-    },
-    /// Calls are accepted from now on, or are not.
-    Up(bool),
+    Members(MembersReport),
+    /// Whether calls are accepted has changed.
+    Availability(LinkAvailability),
+}
+
+/// Whether a link accepts calls, as its driver sees it.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum LinkAvailability {
+    /// Calls are accepted. If the connection was just lost they wait for it.
+    Up,
+    /// Calls are rejected.
+    Down,
+}
+
+/// What a server reports of the replicas behind it.
+#[derive(Clone, Debug, PartialEq)]
+pub enum MembersReport {
+    /// All replicas: those not listed are gone.
+    Complete(Vec<Member>),
+    /// The replicas that have changed; the others are as before.
+    Changes(Vec<Member>),
 }
 
 /// Why a client closes its connection.
--- a/crates/linenthread-link/src/client/mod.rs
+++ b/crates/linenthread-link/src/client/mod.rs
@@ -46,7 +46,7 @@
 use availability::Availability;
 use backoff::Backoff;
 use call_table::CallTable;
-pub use config::{ClientAction, ClientCloseReason, ClientConfig};
+pub use config::{ClientAction, ClientCloseReason, ClientConfig, LinkAvailability, MembersReport};
 use connection::Connection;
 use heartbeat::Heartbeat;
 use session::Session;
@@ -110,8 +110,8 @@
         self.calls.len()
     }
 
-    /// The connection is established, and the server accepts calls.
-    pub fn is_up(&self) -> bool {
+    /// The connection is established, and the server accepts calls: a call is sent as soon as there is credit.
+    pub fn is_ready(&self) -> bool {
         matches!(
             self.connection,
             Connection::Established {
@@ -121,7 +121,7 @@
         )
     }
 
-    /// Calls are accepted: the link is up, or was within the grace period.
+    /// Calls are accepted: the link is ready, or was within the grace period.
     pub fn is_usable(&self) -> bool {
         self.availability.is_usable()
     }
@@ -130,7 +130,7 @@
     pub fn status(&self) -> LinkStatus {
         let max_in_flight = self.config.max_in_flight as u64;
         // One that is expected back is chosen only where no other is up.
-        let (one_way, capacity) = if self.is_up() {
+        let (one_way, capacity) = if self.is_ready() {
             let capacity = self.calls.credit_capacity().min(max_in_flight);
             (self.heartbeat.one_way(), capacity)
         } else {
@@ -138,7 +138,7 @@
             (one_way, max_in_flight)
         };
         LinkStatus {
-            up: self.is_usable(),
+            is_usable: self.is_usable(),
             one_way,
             in_flight: self.calls.len() as u64,
             capacity,
--- a/crates/linenthread-link/src/client/replicas.rs
+++ b/crates/linenthread-link/src/client/replicas.rs
@@ -2,7 +2,7 @@
 
 use linenthread_core::interface::{AttemptOutcome, TenthMillis};
 
-use super::{ClientAction, ClientCloseReason, LinkClient};
+use super::{ClientAction, ClientCloseReason, LinkClient, MembersReport};
 use crate::frame::{Frame, MembersUpdate, ProbeOutcome};
 use crate::id::ProbeId;
 
@@ -10,7 +10,7 @@
     /// Checks the health of a replica behind the link; [`ClientAction::ProbeCompleted`] may or may not follow.
     pub fn probe(&mut self, replica: String, actions: &mut Vec<ClientAction>) -> ProbeId {
         let id = ProbeId(self.next_id());
-        if self.is_up() && self.probes.len() < self.config.max_in_flight {
+        if self.is_ready() && self.probes.len() < self.config.max_in_flight {
             self.probes.insert(id);
             actions.push(ClientAction::Send(Frame::Probe { id, replica }));
         } else {
@@ -62,7 +62,11 @@
             return self.close(now, ClientCloseReason::MissedMembersUpdate, actions);
         }
         self.members_revision = revision;
-        actions.push(ClientAction::Members { complete, members });
+        actions.push(ClientAction::Members(if complete {
+            MembersReport::Complete(members)
+        } else {
+            MembersReport::Changes(members)
+        }));
     }
 }
 
--- a/crates/linenthread-link/src/lib.rs
+++ b/crates/linenthread-link/src/lib.rs
@@ -20,7 +20,9 @@
 mod server;
 mod time;
 
-pub use client::{ClientAction, ClientCloseReason, ClientConfig, LinkClient};
+pub use client::{
+    ClientAction, ClientCloseReason, ClientConfig, LinkAvailability, LinkClient, MembersReport,
+};
 pub use frame::{Call, Frame, FrameError, Member};
 pub use id::{CallId, CallNumber, ConnectionId, ProbeId, SessionId};
 pub use linenthread_frames::Secrets;
--- a/crates/linenthread-link/src/routing.rs
+++ b/crates/linenthread-link/src/routing.rs
@@ -1,6 +1,6 @@
 //! The choice among several links that lead to the same replica.
 //!
-//! What is a property of the link is judged here once for all replicas behind it: whether it is up, its latency,
+//! What is a property of the link is judged here once for all replicas behind it: whether it is usable, its latency,
 //! and how much of its credit is in use. A call takes the link with the lowest expected cost; the link chosen
 //! last keeps the calls while no other is better by more than a quarter, so that calls don't alternate between
 //! two equal links. Where several servers list one replica, the most conservative values apply.
@@ -12,8 +12,8 @@
 /// A link's state, for the choice among several.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LinkStatus {
-    /// It accepts calls.
-    pub up: bool,
+    /// It accepts calls: it is ready, or was within the grace period.
+    pub is_usable: bool,
     /// The time of a frame one way, in tenths of a millisecond; 0 while unknown.
     pub one_way: TenthMillis,
     /// Calls that have not completed.
@@ -36,7 +36,7 @@
         / (1.0 - utilization.min(MAX_UTILIZATION))
 }
 
-/// The link to use of those that lead to a replica; `None` if none is up and has capacity.
+/// The link to use of those that lead to a replica; `None` if none is usable and has capacity.
 ///
 /// `status` tells the state of a link by its number; `last` is the one chosen before.
 pub fn select_link(
@@ -47,7 +47,7 @@
     let available: Vec<(usize, f64)> = links
         .iter()
         .filter_map(|&link| {
-            let status = status(link).filter(|s| s.up && s.in_flight < s.capacity)?;
+            let status = status(link).filter(|s| s.is_usable && s.in_flight < s.capacity)?;
             Some((link, cost(&status)))
         })
         .collect();
--- a/crates/linenthread-link/tests/client_and_server/handshake.rs
+++ b/crates/linenthread-link/tests/client_and_server/handshake.rs
@@ -21,7 +21,7 @@
         let mut pair = Pair::new(client(client_has), server(server_has, 4));
         pair.time_out();
         assert_eq!(
-            pair.client.is_up(),
+            pair.client.is_ready(),
             accepted,
             "{client_has:?} {server_has:?}: {}",
             pair.close_reasons()
--- a/crates/linenthread-link/tests/client_and_server/interruptions.rs
+++ b/crates/linenthread-link/tests/client_and_server/interruptions.rs
@@ -2,7 +2,7 @@
 
 use linenthread_core::interface::AttemptOutcome;
 use linenthread_link::frame::Credit;
-use linenthread_link::{CallNumber, ClientAction, Frame};
+use linenthread_link::{CallNumber, ClientAction, Frame, LinkAvailability};
 
 use crate::pair::{Pair, call_frame, challenge};
 
@@ -14,7 +14,10 @@
     let queued = pair.call("b", 1);
     pair.now += 100;
     pair.time_out();
-    assert_eq!((pair.up.as_slice(), pair.completed.len()), (&[true][..], 0));
+    assert_eq!(
+        (pair.availability.as_slice(), pair.completed.len()),
+        (&[LinkAvailability::Up][..], 0)
+    );
     assert_eq!(
         pair.started[1].text, "b",
         "it is sent once the link is back"
@@ -33,7 +36,10 @@
         pair.client.on_disconnected(pair.now, &mut actions);
         pair.carry_out(actions);
     }
-    assert_eq!(pair.up, [true, false]);
+    assert_eq!(
+        pair.availability,
+        [LinkAvailability::Up, LinkAvailability::Down]
+    );
     assert_eq!(pair.completed.last().unwrap().1, AttemptOutcome::NotSent);
     let refused = pair.call("d", 1);
     assert_eq!(
@@ -58,7 +64,7 @@
         let id = pair.call("a", 1);
         pair.server_receives(frame.clone());
         assert!(
-            !pair.client.is_up() && pair.is_closed_by_either(),
+            !pair.client.is_ready() && pair.is_closed_by_either(),
             "{frame:?}"
         );
         // The session goes on, and the outcome with it.
--- a/crates/linenthread-link/tests/client_and_server/pair.rs
+++ b/crates/linenthread-link/tests/client_and_server/pair.rs
@@ -4,8 +4,8 @@
 use linenthread_link::frame::{CallOutcome, CallRequest, Challenge};
 use linenthread_link::{
     Call, CallId, CallNumber, ClientAction, ClientCloseReason, ClientConfig, ConnectionId, Frame,
-    LinkClient, LinkServer, Member, Secrets, ServerAction, ServerCloseReason, ServerConfig,
-    SessionId,
+    LinkAvailability, LinkClient, LinkServer, Member, MembersReport, Secrets, ServerAction,
+    ServerCloseReason, ServerConfig, SessionId,
 };
 
 pub(crate) const OLD: &[u8] = b"the secret that was used";
@@ -113,7 +113,7 @@
     pub(crate) connection: ConnectionId,
     pub(crate) started: Vec<Started>,
     pub(crate) completed: Vec<(CallId, AttemptOutcome)>,
-    pub(crate) up: Vec<bool>,
+    pub(crate) availability: Vec<LinkAvailability>,
     pub(crate) closed_by_client: Vec<ClientCloseReason>,
     pub(crate) closed_by_server: Vec<ServerCloseReason>,
     pub(crate) received_members: Vec<ReceivedMembers>,
@@ -130,7 +130,7 @@
             connection: ConnectionId(0),
             started: Vec::new(),
             completed: Vec::new(),
-            up: Vec::new(),
+            availability: Vec::new(),
             closed_by_client: Vec::new(),
             closed_by_server: Vec::new(),
             received_members: Vec::new(),
@@ -165,8 +165,12 @@
                 ClientAction::CallCompleted { id, outcome, .. } => {
                     self.completed.push((id, outcome));
                 }
-                ClientAction::Up(up) => self.up.push(up),
-                ClientAction::Members { complete, members } => {
+                ClientAction::Availability(availability) => self.availability.push(availability),
+                ClientAction::Members(report) => {
+                    let (complete, members) = match report {
+                        MembersReport::Complete(members) => (true, members),
+                        MembersReport::Changes(members) => (false, members),
+                    };
                     let phases = members.into_iter().map(|m| (m.id, m.phase)).collect();
                     self.received_members
                         .push(ReceivedMembers { complete, phases });
--- a/crates/linenthread-link/tests/client_and_server/replicas.rs
+++ b/crates/linenthread-link/tests/client_and_server/replicas.rs
@@ -26,7 +26,7 @@
         complete: false,
         members: Vec::new(),
     }));
-    assert!(!pair.client.is_up());
+    assert!(!pair.client.is_ready());
     pair.server.on_disconnected(pair.now, pair.connection);
     pair.now += 150;
     pair.time_out();
--- a/crates/linenthread-link/tests/routing.rs
+++ b/crates/linenthread-link/tests/routing.rs
@@ -4,9 +4,9 @@
 use linenthread_link::Member;
 use linenthread_link::routing::{LinkStatus, merge_reports, select_link};
 
-fn link(up: bool, one_way: TenthMillis, in_flight: u64) -> Option<LinkStatus> {
+fn link(is_usable: bool, one_way: TenthMillis, in_flight: u64) -> Option<LinkStatus> {
     Some(LinkStatus {
-        up,
+        is_usable,
         one_way,
         in_flight,
         capacity: 100,
--- a/crates/linenthread-service/src/dispatcher/membership.rs
+++ b/crates/linenthread-service/src/dispatcher/membership.rs
@@ -168,7 +168,7 @@
 
     /// Adds a peer; returns its number.
     pub(super) fn add_peer(&mut self) -> usize {
-        self.peers.push(PeerMembers::default());
+        self.peers.push(PeerMembers::new());
         self.peers.len() - 1
     }
 
@@ -178,10 +178,8 @@
             return;
         };
         match event {
-            LinkEvent::Up(is_up) => peer.is_up = is_up,
-            LinkEvent::Members { complete, members } => {
-                peer.update(complete, members, self.replica_groups);
-            }
+            LinkEvent::Availability(availability) => peer.link = availability,
+            LinkEvent::Members(report) => peer.update(report, self.replica_groups),
         }
     }
 
@@ -216,7 +214,12 @@
 
     /// The replicas that links reach which are up, other than those that are listed here.
     fn reachable_remote(&self) -> BTreeMap<String, RemoteReplica> {
-        let up = || self.peers.iter().enumerate().filter(|(_, peer)| peer.is_up);
+        let up = || {
+            self.peers
+                .iter()
+                .enumerate()
+                .filter(|(_, peer)| peer.is_reachable())
+        };
         let ids: BTreeSet<&String> = up()
             .flat_map(|(_, peer)| peer.by_id.keys())
             .filter(|id| !self.local.contains_key(*id))
--- a/crates/linenthread-service/src/dispatcher/peer_members.rs
+++ b/crates/linenthread-service/src/dispatcher/peer_members.rs
@@ -3,20 +3,36 @@
 use std::collections::BTreeMap;
 
 use linenthread_core::interface::Phase;
-use linenthread_link::Member;
+use linenthread_link::{LinkAvailability, Member, MembersReport};
 use linenthread_protocol::membership::MAX_REPLICAS;
 use tracing::warn;
 
 /// What one peer's link reaches.
-#[derive(Default)]
 pub(super) struct PeerMembers {
-    pub(super) is_up: bool,
+    pub(super) link: LinkAvailability,
     pub(super) by_id: BTreeMap<String, Member>,
 }
 
 impl PeerMembers {
-    /// Takes the members that a gateway reports: all of them where `complete`, else those that have changed.
-    pub(super) fn update(&mut self, complete: bool, members: Vec<Member>, replica_groups: usize) {
+    /// A link is down until it reports otherwise.
+    pub(super) fn new() -> Self {
+        PeerMembers {
+            link: LinkAvailability::Down,
+            by_id: BTreeMap::new(),
+        }
+    }
+
+    /// Whether the link accepts calls.
+    pub(super) fn is_reachable(&self) -> bool {
+        self.link == LinkAvailability::Up
+    }
+
+    /// Takes in what a gateway reports; invalid members are ignored.
+    pub(super) fn update(&mut self, report: MembersReport, replica_groups: usize) {
+        let (is_complete, members) = match report {
+            MembersReport::Complete(members) => (true, members),
+            MembersReport::Changes(members) => (false, members),
+        };
         let (valid, invalid): (Vec<_>, Vec<_>) = members
             .into_iter()
             .partition(|member| member.is_valid(replica_groups));
@@ -27,7 +43,7 @@
                 "gateway lists an invalid replica, ignoring it"
             );
         }
-        if complete {
+        if is_complete {
             self.by_id.clear();
         }
         // A gateway may list no more than the service discovery; updates of those already listed always count.
--- a/crates/linenthread-service/src/transports/link/mod.rs
+++ b/crates/linenthread-service/src/transports/link/mod.rs
@@ -13,8 +13,8 @@
 use linenthread_core::interface::{AttemptOutcome, TenthMillis};
 use linenthread_link::routing::LinkStatus;
 use linenthread_link::{
-    Call, CallId, ClientAction, ClientCloseReason, ClientConfig, Frame, LinkClient, Member,
-    ProbeId, Secrets,
+    Call, CallId, ClientAction, ClientCloseReason, ClientConfig, Frame, LinkAvailability,
+    LinkClient, MembersReport, ProbeId, Secrets,
 };
 use tokio::sync::{Notify, mpsc, oneshot};
 use tokio::time::timeout;
@@ -34,13 +34,10 @@
 
 /// A change of what a link reaches.
 pub(crate) enum LinkEvent {
-    /// The replicas behind the link: all of them where `complete`, else those that have changed.
-    Members {
-        complete: bool,
-        members: Vec<Member>,
-    },
-    /// The link is up, or down.
-    Up(bool),
+    /// The replicas behind the link have changed.
+    Members(MembersReport),
+    /// Whether the link accepts calls has changed.
+    Availability(LinkAvailability),
 }
 
 struct Inner {
@@ -123,7 +120,7 @@
         peer
     }
 
-    /// Whether the link is up, and its room.
+    /// Whether the link is usable, and its capacity.
     pub(crate) fn status(&self) -> LinkStatus {
         self.0.client.borrow().status()
     }
@@ -178,17 +175,16 @@
                     pending.send(report).ok();
                 }
             }
-            ClientAction::Members { complete, members } => {
-                let event = LinkEvent::Members { complete, members };
-                self.0.events.send(event).ok();
+            ClientAction::Members(report) => {
+                self.0.events.send(LinkEvent::Members(report)).ok();
             }
-            ClientAction::Up(up) => {
-                if up {
-                    info!(peer = self.0.name, "link up");
-                } else {
-                    info!(peer = self.0.name, "link down");
+            ClientAction::Availability(availability) => {
+                match availability {
+                    LinkAvailability::Up => info!(peer = self.0.name, "link up"),
+                    LinkAvailability::Down => info!(peer = self.0.name, "link down"),
                 }
-                self.0.events.send(LinkEvent::Up(up)).ok();
+                let event = LinkEvent::Availability(availability);
+                self.0.events.send(event).ok();
             }
         }
     }
--- a/crates/linenthread-simulation/src/link/simulation.rs
+++ b/crates/linenthread-simulation/src/link/simulation.rs
@@ -350,8 +350,8 @@
                     id, outcome, value, ..
                 } => self.on_completed(id, outcome, &value),
                 ClientAction::ProbeCompleted { .. }
-                | ClientAction::Members { .. }
-                | ClientAction::Up(_) => {}
+                | ClientAction::Members(_)
+                | ClientAction::Availability(_) => {}
             }
         }
         let timeout = self.client.next_timeout();
