--- a/crates/linenthread-service/src/frontends/link/calls.rs
+++ b/crates/linenthread-service/src/frontends/link/calls.rs
@@ -57,7 +57,7 @@
         call: &Call,
         cancelled: &Notify,
     ) -> FinishedAttempt {
-        let (finished, mut finished_attempts) = mpsc::unbounded_channel();
+        let (outcomes, mut finished_attempts) = mpsc::unbounded_channel();
         let outgoing = OutgoingSubRequest {
             key: ONLY_ATTEMPT,
             shard: usize::try_from(call.shard).unwrap_or(usize::MAX),
@@ -71,7 +71,7 @@
             &call.query,
             &[outgoing],
             clock::to_millis_ceil(wait),
-            &finished,
+            &outcomes,
         );
         // What is still in flight is cancelled as it is dropped.
         tokio::select! {
--- a/crates/linenthread-service/src/query/mod.rs
+++ b/crates/linenthread-service/src/query/mod.rs
@@ -108,7 +108,7 @@
         query: index,
         decisions,
     } = context.dispatcher.submit(submission);
-    let (finished, finished_attempts) = mpsc::unbounded_channel();
+    let (outcomes, finished_attempts) = mpsc::unbounded_channel();
     let task = QueryTask {
         context: &context,
         index,
@@ -118,7 +118,7 @@
         query: &query,
         responses,
         pending: PendingAttempts::new(&context, index),
-        finished,
+        outcomes,
         client: Some(client),
     };
     task.run(decisions, finished_attempts).await;
--- a/crates/linenthread-service/src/query/pending_attempts.rs
+++ b/crates/linenthread-service/src/query/pending_attempts.rs
@@ -11,7 +11,7 @@
 use super::QueryContext;
 use crate::clock;
 use crate::transports::InFlightAttempt;
-use crate::transports::attempt::{AttemptKey, FinishedAttempts, OutgoingSubRequest};
+use crate::transports::attempt::{AttemptKey, OutcomeSender, OutgoingSubRequest};
 
 /// An attempt that is cancelled this close to its deadline counts as timed out for its connection: a query that
 /// runs out of time cancels its attempts at about the moment when they time out.
@@ -103,7 +103,7 @@
         &mut self,
         batches: &mut SendBatches,
         query_id: &str,
-        finished: &FinishedAttempts,
+        outcomes: &OutcomeSender,
     ) {
         let now = Instant::now();
         let sent = self.context.dispatcher.clock().now();
@@ -113,7 +113,7 @@
             let wait_ms = clock::to_millis_ceil(wait);
             for sub_requests in batch.chunks(max_per_frame) {
                 let transports = &self.context.transports;
-                let in_flight = transports.send(replica, query_id, sub_requests, wait_ms, finished);
+                let in_flight = transports.send(replica, query_id, sub_requests, wait_ms, outcomes);
                 for (outgoing, in_flight) in sub_requests.iter().zip(in_flight) {
                     let pending = PendingAttempt {
                         sent,
--- a/crates/linenthread-service/src/query/task.rs
+++ b/crates/linenthread-service/src/query/task.rs
@@ -12,9 +12,7 @@
 use crate::clock;
 use crate::dispatcher::Decision;
 use crate::merge_responses::{AttemptRequest, AttemptResponse, ResponseCollector, ResponseSource};
-use crate::transports::attempt::{
-    AttemptKey, FinishedAttempt, FinishedAttempts, OutgoingSubRequest,
-};
+use crate::transports::attempt::{AttemptKey, FinishedAttempt, OutcomeSender, OutgoingSubRequest};
 
 /// The state of one query's task.
 pub(super) struct QueryTask<'a> {
@@ -30,7 +28,7 @@
     pub(super) attempt_counts: Vec<usize>,
     pub(super) pending: PendingAttempts<'a>,
     /// Given to the transports with each attempt.
-    pub(super) finished: FinishedAttempts,
+    pub(super) outcomes: OutcomeSender,
     /// `None` once it is answered or has left.
     pub(super) client: Option<oneshot::Sender<QueryOutcome>>,
 }
@@ -109,7 +107,7 @@
     }
 
     fn send(&mut self, batches: &mut SendBatches) {
-        self.pending.send(batches, &self.query.id, &self.finished);
+        self.pending.send(batches, &self.query.id, &self.outcomes);
     }
 
     /// The next attempt at a sub-request.
--- a/crates/linenthread-service/src/transports/attempt.rs
+++ b/crates/linenthread-service/src/transports/attempt.rs
@@ -15,8 +15,8 @@
     pub attempt: usize,
 }
 
-/// Where a query's task receives the outcomes of its attempts.
-pub type FinishedAttempts = mpsc::UnboundedSender<FinishedAttempt>;
+/// Sends the outcome of each attempt to the task of its query.
+pub type OutcomeSender = mpsc::UnboundedSender<FinishedAttempt>;
 
 /// The outcome of one attempt, reported to the task of its query.
 #[derive(Debug)]
@@ -63,11 +63,11 @@
 /// Reports sub-requests that never left this process; none of them is in flight.
 pub(crate) fn report_not_sent<T>(
     sub_requests: &[OutgoingSubRequest],
-    finished: &FinishedAttempts,
+    outcomes: &OutcomeSender,
 ) -> Vec<Option<T>> {
     for outgoing in sub_requests {
         let not_sent = FinishedAttempt::without_value(outgoing.key, AttemptOutcome::NotSent);
-        finished.send(not_sent).ok();
+        outcomes.send(not_sent).ok();
     }
     sub_requests.iter().map(|_| None).collect()
 }
--- a/crates/linenthread-service/src/transports/connection/error.rs
+++ b/crates/linenthread-service/src/transports/connection/error.rs
@@ -17,6 +17,8 @@
     Closed,
     #[snafu(display("{source}"))]
     Io { source: io::Error },
+    /// The replica keeps to the protocol, says that a frame was of no use to it, but not which one, and closes the
+    /// connection. So this is a lost connection and no violation: what was written may have run or not.
     #[snafu(display("the replica rejected a frame: {message}"))]
     FrameRejected { message: String },
     #[snafu(display("{source}"))]
--- a/crates/linenthread-service/src/transports/connection/messages.rs
+++ b/crates/linenthread-service/src/transports/connection/messages.rs
@@ -6,7 +6,7 @@
 
 use super::error::{FrameRejectedSnafu, PrematureResponseSnafu, UnknownResponseSnafu};
 use super::frame_writer::{FrameContents, OutgoingFrame, SentAttempt};
-use super::{Connection, ConnectionEnd, ConnectionError};
+use super::{Connection, ConnectionEnd, ConnectionError, PendingProbe, WriteProgress};
 use crate::transports::attempt::{FinishedAttempt, ProbeReport};
 
 impl Connection {
@@ -18,14 +18,16 @@
                 for SentAttempt { id, number } in sent {
                     let pending = attempts.get_mut(id);
                     if let Some(pending) = pending.filter(|pending| pending.number == *number) {
-                        pending.is_written = true;
+                        pending.progress = WriteProgress::Complete;
                     }
                 }
             }
             FrameContents::Probe => {
                 let mut probes = self.probes.borrow_mut();
-                if let Some(probe) = probes.iter_mut().find(|probe| !probe.is_written) {
-                    probe.is_written = true;
+                let is_incomplete =
+                    |probe: &&mut PendingProbe| probe.progress == WriteProgress::Incomplete;
+                if let Some(probe) = probes.iter_mut().find(is_incomplete) {
+                    probe.progress = WriteProgress::Complete;
                 }
             }
             FrameContents::Cancellation => {}
@@ -51,7 +53,9 @@
             } => {
                 // One that was not requested, or not yet, is ignored.
                 let mut probes = self.probes.borrow_mut();
-                if let Some(probe) = probes.pop_front_if(|probe| probe.is_written) {
+                let is_complete =
+                    |probe: &mut PendingProbe| probe.progress == WriteProgress::Complete;
+                if let Some(probe) = probes.pop_front_if(is_complete) {
                     let report = ProbeReport {
                         outcome,
                         queue_depth,
@@ -75,7 +79,7 @@
             .attempts
             .borrow()
             .get(id)
-            .is_some_and(|pending| !pending.is_written)
+            .is_some_and(|pending| pending.progress == WriteProgress::Incomplete)
         {
             return PrematureResponseSnafu.fail();
         }
@@ -88,7 +92,7 @@
                 queue_depth,
                 value,
             };
-            pending.finished.send(finished).ok();
+            pending.outcomes.send(finished).ok();
         } else if !self.finished_ids.borrow().contains(&hash_id(id)) {
             return UnknownResponseSnafu.fail();
         }
@@ -98,24 +102,33 @@
 
     /// Ends all that is in flight, as the connection is gone.
     pub(in crate::transports) fn end_all(&self, end: ConnectionEnd) {
-        // The loss of an established connection says nothing against its replica.
-        let unwritten = match end {
-            ConnectionEnd::Lost if !self.is_established.get() => AttemptOutcome::ConnectFailed,
-            ConnectionEnd::Lost | ConnectionEnd::ProtocolViolated => AttemptOutcome::NotSent,
-        };
-        let written = match end {
-            ConnectionEnd::Lost => AttemptOutcome::ConnectionLost,
-            ConnectionEnd::ProtocolViolated => AttemptOutcome::Error,
-        };
-        let outcome = |is_written: bool| if is_written { written } else { unwritten };
+        let outcome = |progress: WriteProgress| self.outcome_at_end(progress, end);
         for pending in std::mem::take(&mut *self.attempts.borrow_mut()).into_values() {
-            let finished = FinishedAttempt::without_value(pending.key, outcome(pending.is_written));
-            pending.finished.send(finished).ok();
+            let finished = FinishedAttempt::without_value(pending.key, outcome(pending.progress));
+            pending.outcomes.send(finished).ok();
         }
         for probe in self.probes.borrow_mut().drain(..) {
-            let report = ProbeReport::without_load(outcome(probe.is_written));
+            let report = ProbeReport::without_load(outcome(probe.progress));
             probe.report.send(report).ok();
         }
         self.outgoing.borrow_mut().clear();
     }
+
+    /// The outcome of what was in flight when the connection ended.
+    fn outcome_at_end(&self, progress: WriteProgress, end: ConnectionEnd) -> AttemptOutcome {
+        match (progress, end) {
+            // The replica may have run it or not.
+            (WriteProgress::Complete, ConnectionEnd::Lost) => AttemptOutcome::ConnectionLost,
+            // The replica runs, and has received it.
+            (WriteProgress::Complete, ConnectionEnd::ProtocolViolated) => AttemptOutcome::Error,
+            // The replica has never sent a frame on this connection: it may be down.
+            (WriteProgress::Incomplete, ConnectionEnd::Lost) if !self.is_established.get() => {
+                AttemptOutcome::ConnectFailed
+            }
+            // The replica has responded on this connection, rightly or not: the loss says nothing against it.
+            (WriteProgress::Incomplete, ConnectionEnd::Lost | ConnectionEnd::ProtocolViolated) => {
+                AttemptOutcome::NotSent
+            }
+        }
+    }
 }
--- a/crates/linenthread-service/src/transports/connection/mod.rs
+++ b/crates/linenthread-service/src/transports/connection/mod.rs
@@ -18,7 +18,7 @@
 use tokio::time::Instant;
 use tracing::info;
 
-use crate::transports::attempt::{AttemptKey, FinishedAttempts, OutgoingSubRequest, ProbeReport};
+use crate::transports::attempt::{AttemptKey, OutcomeSender, OutgoingSubRequest, ProbeReport};
 
 pub(in crate::transports) use error::{ConnectionEnd, ConnectionError};
 use frame_writer::{FrameContents, OutgoingFrame, SentAttempt};
@@ -32,19 +32,26 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(in crate::transports) struct AttemptNumber(pub(in crate::transports) u64);
 
+/// How far the frame of an attempt or a probe has come.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum WriteProgress {
+    /// It waits, or some of it is written: the replica cannot act on it.
+    Incomplete,
+    /// It is written completely: what it requests may run.
+    Complete,
+}
+
 /// An attempt that waits for its response.
 struct PendingAttempt {
     number: AttemptNumber,
     key: AttemptKey,
-    /// Its frame is written completely: it may run.
-    is_written: bool,
-    finished: FinishedAttempts,
+    progress: WriteProgress,
+    outcomes: OutcomeSender,
 }
 
 /// A probe that waits for its response.
 struct PendingProbe {
-    /// Its frame is written completely.
-    is_written: bool,
+    progress: WriteProgress,
     report: oneshot::Sender<ProbeReport>,
 }
 
@@ -101,7 +108,7 @@
         ids: Vec<String>,
         sub_requests: &[OutgoingSubRequest],
         wait_ms: u64,
-        finished: &FinishedAttempts,
+        outcomes: &OutcomeSender,
         mut next_number: impl FnMut() -> AttemptNumber,
     ) -> Vec<InFlightAttempt> {
         let encoded = ids
@@ -120,8 +127,8 @@
             let pending = PendingAttempt {
                 number,
                 key: outgoing.key,
-                is_written: false,
-                finished: finished.clone(),
+                progress: WriteProgress::Incomplete,
+                outcomes: outcomes.clone(),
             };
             self.attempts.borrow_mut().insert(id.clone(), pending);
             sent.push(SentAttempt {
@@ -147,7 +154,7 @@
     pub(in crate::transports) fn send_probe(&self) -> oneshot::Receiver<ProbeReport> {
         let (report, response) = oneshot::channel();
         self.probes.borrow_mut().push_back(PendingProbe {
-            is_written: false,
+            progress: WriteProgress::Incomplete,
             report,
         });
         self.outgoing.borrow_mut().push_back(OutgoingFrame {
--- a/crates/linenthread-service/src/transports/link/mod.rs
+++ b/crates/linenthread-service/src/transports/link/mod.rs
@@ -23,13 +23,13 @@
 use crate::clock::{self, Clock};
 use crate::log::LogRateLimit;
 use crate::transports::attempt::{
-    AttemptKey, FinishedAttempt, FinishedAttempts, OutgoingSubRequest, ProbeReport,
+    AttemptKey, FinishedAttempt, OutcomeSender, OutgoingSubRequest, ProbeReport,
 };
 
 /// A call that waits for its outcome.
 struct PendingCall {
     key: AttemptKey,
-    finished: FinishedAttempts,
+    outcomes: OutcomeSender,
 }
 
 /// A change of what a link reaches.
@@ -151,14 +151,14 @@
                 value,
             } => {
                 let pending = self.0.calls.borrow_mut().remove(&id);
-                if let Some(PendingCall { key, finished }) = pending {
+                if let Some(PendingCall { key, outcomes }) = pending {
                     let attempt = FinishedAttempt {
                         key,
                         outcome,
                         queue_depth,
                         value,
                     };
-                    finished.send(attempt).ok();
+                    outcomes.send(attempt).ok();
                 }
             }
             ClientAction::ProbeCompleted {
@@ -196,7 +196,7 @@
         query_id: &str,
         sub_requests: &[OutgoingSubRequest],
         wait: Duration,
-        finished: &FinishedAttempts,
+        outcomes: &OutcomeSender,
     ) -> Vec<InFlightAttempt> {
         let deadline = self.0.clock.now() + clock::to_tenths(wait);
         let start = |outgoing: &OutgoingSubRequest| {
@@ -207,7 +207,7 @@
                 continuation: outgoing.continuation,
                 text: outgoing.text.to_string(),
             };
-            self.start_call(call, deadline, outgoing, finished)
+            self.start_call(call, deadline, outgoing, outcomes)
         };
         sub_requests.iter().map(start).collect()
     }
@@ -217,7 +217,7 @@
         call: Call,
         deadline: TenthMillis,
         outgoing: &OutgoingSubRequest,
-        finished: &FinishedAttempts,
+        outcomes: &OutcomeSender,
     ) -> InFlightAttempt {
         let mut id = CallId(0);
         // The call may complete at once: it is registered before its actions are performed.
@@ -225,7 +225,7 @@
             id = client.call(now, call, deadline, outgoing.priority, actions);
             let pending = PendingCall {
                 key: outgoing.key,
-                finished: finished.clone(),
+                outcomes: outcomes.clone(),
             };
             self.0.calls.borrow_mut().insert(id, pending);
         });
--- a/crates/linenthread-service/src/transports/mod.rs
+++ b/crates/linenthread-service/src/transports/mod.rs
@@ -15,9 +15,7 @@
 use linenthread_core::interface::{AttemptOutcome, ReplicaIndex};
 use linenthread_link::routing;
 
-use attempt::{
-    ConnectionConfig, FinishedAttempts, OutgoingSubRequest, ProbeReport, report_not_sent,
-};
+use attempt::{ConnectionConfig, OutcomeSender, OutgoingSubRequest, ProbeReport, report_not_sent};
 use replica_connections::ReplicaConnections;
 
 /// How a replica is reached.
@@ -140,13 +138,13 @@
         query_id: &str,
         sub_requests: &[OutgoingSubRequest],
         wait_ms: u64,
-        finished: &FinishedAttempts,
+        outcomes: &OutcomeSender,
     ) -> Vec<Option<InFlightAttempt>> {
         let Some(selected) = self.select_link(replica) else {
             let in_flight = self
                 .0
                 .direct
-                .send(replica, query_id, sub_requests, wait_ms, finished);
+                .send(replica, query_id, sub_requests, wait_ms, outcomes);
             return in_flight
                 .into_iter()
                 .map(|attempt| {
@@ -155,10 +153,10 @@
                 .collect();
         };
         let Some(peer) = selected.peer else {
-            return report_not_sent(sub_requests, finished);
+            return report_not_sent(sub_requests, outcomes);
         };
         let wait = Duration::from_millis(wait_ms);
-        peer.send(&selected.replica_id, query_id, sub_requests, wait, finished)
+        peer.send(&selected.replica_id, query_id, sub_requests, wait, outcomes)
             .into_iter()
             .map(|attempt| Some(InFlightAttempt(AttemptOn::Link(attempt))))
             .collect()
--- a/crates/linenthread-service/src/transports/replica_connections.rs
+++ b/crates/linenthread-service/src/transports/replica_connections.rs
@@ -13,7 +13,7 @@
 
 use crate::log::LogRateLimit;
 use crate::transports::attempt::{
-    ConnectionConfig, FinishedAttempts, OutgoingSubRequest, ProbeReport, report_not_sent,
+    ConnectionConfig, OutcomeSender, OutgoingSubRequest, ProbeReport, report_not_sent,
 };
 use crate::transports::connection::{
     AttemptNumber, Connection, ConnectionEnd, ConnectionError, InFlightAttempt,
@@ -109,7 +109,7 @@
         query_id: &str,
         sub_requests: &[OutgoingSubRequest],
         wait_ms: u64,
-        finished: &FinishedAttempts,
+        outcomes: &OutcomeSender,
     ) -> Vec<Option<InFlightAttempt>> {
         let ids: Vec<String> = sub_requests
             .iter()
@@ -117,7 +117,7 @@
             .collect();
         let is_free_of_ids = |connection: &Connection| !connection.has_any(&ids);
         let Some(connection) = self.connection(replica, sub_requests.len(), is_free_of_ids) else {
-            return report_not_sent(sub_requests, finished);
+            return report_not_sent(sub_requests, outcomes);
         };
         let next_number = || {
             let number = self.0.next_attempt_number.get();
@@ -125,7 +125,7 @@
             AttemptNumber(number)
         };
         connection
-            .send(ids, sub_requests, wait_ms, finished, next_number)
+            .send(ids, sub_requests, wait_ms, outcomes, next_number)
             .into_iter()
             .map(Some)
             .collect()
