--- a/crates/linenthread-merge/src/response.rs
+++ b/crates/linenthread-merge/src/response.rs
@@ -1,5 +1,6 @@
 //! The response of a merged query, as JSON. The keys are those of `docs/merged-answers.md`.
 
+use linenthread_core::interface::Completeness;
 use serde::Serialize;
 use serde_json::value::RawValue;
 use serde_json::{Map, Value, json};
@@ -24,17 +25,18 @@
 }
 
 impl Merger<'_> {
-    /// The response from what has been received, as JSON. It is marked as complete only if `complete` is set and
-    /// no shard is missing. Cursors are issued by `signer`, at this time in seconds since 1970.
+    /// The response from what has been received, as JSON. `completeness` is what the decision module says of the
+    /// response; it is marked as complete only if that says so and no shard is missing. Cursors are issued by `signer`, at this time in seconds since 1970.
     pub fn response(
         &self,
-        complete: bool,
+        completeness: Completeness,
         signer: Option<&CursorSigner>,
         unix_seconds: u64,
     ) -> Vec<u8> {
         let incomplete = !self.sub_requests.iter().all(SubRequest::is_received);
         let mut body = Map::new();
-        body.insert("finished".into(), json!(complete && !incomplete));
+        let is_finished = completeness == Completeness::Complete && !incomplete;
+        body.insert("finished".into(), json!(is_finished));
         body.insert("slices".into(), self.shards_json());
         match &self.merged {
             Merged::Totals { measures, totals } => {
--- a/crates/linenthread-merge/tests/cursors.rs
+++ b/crates/linenthread-merge/tests/cursors.rs
@@ -2,6 +2,7 @@
 
 use std::time::Duration;
 
+use linenthread_core::interface::Completeness;
 use linenthread_merge::{
     Acceptance, Aggregation, CursorError, CursorSigner, FieldType, MergeQuery, Merger, PageRequest,
     Plan, QueriedShard, QueryError, RowPlan, SecretError, SortField,
@@ -83,7 +84,8 @@
 }
 
 fn response(merger: &Merger, signer: &CursorSigner, unix_seconds: u64) -> Value {
-    serde_json::from_slice(&merger.response(true, Some(signer), unix_seconds)).unwrap()
+    serde_json::from_slice(&merger.response(Completeness::Complete, Some(signer), unix_seconds))
+        .unwrap()
 }
 
 /// A cursor after the first of two rows.
@@ -270,7 +272,7 @@
             let value = json!({"rows": [row], "more": true}).to_string();
             assert_eq!(merger.accept(index, 0, &value), Acceptance::Counted);
         }
-        let body = merger.response(true, Some(&signer), NOW);
+        let body = merger.response(Completeness::Complete, Some(&signer), NOW);
         assert_eq!(String::from_utf8(body).unwrap(), response.trim_end());
         let response: Value = serde_json::from_str(response).unwrap();
         let cursor = response["next"].as_str().map(str::to_owned);
--- a/crates/linenthread-merge/tests/pages.rs
+++ b/crates/linenthread-merge/tests/pages.rs
@@ -4,6 +4,7 @@
 use std::cmp::Ordering;
 use std::time::Duration;
 
+use linenthread_core::interface::Completeness;
 use linenthread_merge::{
     Acceptance, Aggregation, CursorSigner, FieldType, MergeQuery, Merger, PageRequest, Plan,
     QueriedShard, RowPlan, SortField,
@@ -225,7 +226,7 @@
                 prop_assert!(merger.retained_rows() <= case.page_size);
                 pending.extend(merger.take_continuations());
             }
-            let response = merger.response(true, Some(&signer), 100);
+            let response = merger.response(Completeness::Complete, Some(&signer), 100);
             let response: Value = serde_json::from_slice(&response).unwrap();
             let rows = response["rows"].as_array().unwrap();
             prop_assert!(
--- a/crates/linenthread-merge/tests/sort_order.rs
+++ b/crates/linenthread-merge/tests/sort_order.rs
@@ -3,6 +3,7 @@
 mod common;
 
 use common::{begin, equal_shards};
+use linenthread_core::interface::Completeness;
 use linenthread_merge::{Acceptance, Aggregation, FieldType, Plan, RowPlan, SortField};
 use serde_json::{Value, json};
 
@@ -65,7 +66,8 @@
         let value = json!({"rows": [row], "more": false}).to_string();
         assert_eq!(merger.accept(index, 0, &value), Acceptance::Counted);
     }
-    let response: Value = serde_json::from_slice(&merger.response(true, None, 0)).unwrap();
+    let response: Value =
+        serde_json::from_slice(&merger.response(Completeness::Complete, None, 0)).unwrap();
     response["rows"].as_array().unwrap().clone()
 }
 
--- a/crates/linenthread-merge/tests/totals.rs
+++ b/crates/linenthread-merge/tests/totals.rs
@@ -3,6 +3,7 @@
 mod common;
 
 use common::{begin, equal_shards};
+use linenthread_core::interface::Completeness;
 use linenthread_merge::{Acceptance, Aggregation, Measure, Plan, Statistic};
 use serde_json::{Value, json};
 
@@ -46,7 +47,8 @@
             "{value}"
         );
     }
-    let response: Value = serde_json::from_slice(&merger.response(true, None, 0)).unwrap();
+    let response: Value =
+        serde_json::from_slice(&merger.response(Completeness::Complete, None, 0)).unwrap();
     response["totals"]["a"].clone()
 }
 
--- a/crates/linenthread-service/src/merge_responses/mod.rs
+++ b/crates/linenthread-service/src/merge_responses/mod.rs
@@ -191,8 +191,7 @@
                 protocol::encode_response(completeness, found)
             }
             ResponseCollector::Merged { merger, signer, .. } => {
-                let is_complete = completeness == Completeness::Complete;
-                merger.response(is_complete, *signer, unix_seconds())
+                merger.response(completeness, *signer, unix_seconds())
             }
         }
     }
--- a/crates/linenthread-simulation/src/merged/simulated_replicas.rs
+++ b/crates/linenthread-simulation/src/merged/simulated_replicas.rs
@@ -34,7 +34,7 @@
     },
     Respond {
         query: usize,
-        complete: bool,
+        completeness: Completeness,
     },
     Reject {
         query: usize,
@@ -123,8 +123,10 @@
         self.cancelled.push((query.0, sub_request.0, attempt));
     }
     fn respond(&mut self, QueryIndex(query): QueryIndex, completeness: Completeness) {
-        let complete = completeness == Completeness::Complete;
-        self.decisions.push(Decision::Respond { query, complete });
+        self.decisions.push(Decision::Respond {
+            query,
+            completeness,
+        });
     }
     fn reject(&mut self, QueryIndex(query): QueryIndex, _: Option<TenthMillis>) {
         self.decisions.push(Decision::Reject { query });
--- a/crates/linenthread-simulation/src/merged/simulation.rs
+++ b/crates/linenthread-simulation/src/merged/simulation.rs
@@ -4,7 +4,8 @@
 use std::time::Duration;
 
 use linenthread_core::interface::{
-    AttemptOutcome, Continuation, NewQuery, NewSubRequest, QueryIndex, SubRequestIndex, TenthMillis,
+    AttemptOutcome, Completeness, Continuation, NewQuery, NewSubRequest, QueryIndex,
+    SubRequestIndex, TenthMillis,
 };
 use linenthread_fakes::checker::{self, PagedRead, ShardWeight};
 use linenthread_fakes::row_store::{Donation, RowStore};
@@ -323,9 +324,12 @@
                     self.violated(query, "released without an answer");
                 }
             }
-            Decision::Respond { query, complete } => {
+            Decision::Respond {
+                query,
+                completeness,
+            } => {
                 if self.on_answered(query) {
-                    self.check_response(query, complete);
+                    self.check_response(query, completeness);
                 }
             }
             Decision::Reject { query } | Decision::Fail { query } => {
@@ -371,15 +375,15 @@
         true
     }
 
-    /// Checks a response against the full data; `complete` is what the decision module says of it.
-    fn check_response(&mut self, query: usize, complete: bool) {
+    /// Checks a response against the full data; `completeness` is what the decision module says of it.
+    fn check_response(&mut self, query: usize, completeness: Completeness) {
         let Some(open) = self.open.get(&query) else {
             return;
         };
         let client = &mut self.clients[open.client];
         let body = open
             .merger
-            .response(complete, Some(&self.signer), UNIX_SECONDS);
+            .response(completeness, Some(&self.signer), UNIX_SECONDS);
         let response: Value = serde_json::from_slice(&body).unwrap_or_default();
         let checked = client.check(&response, self.options.floor, open.page_size);
         client.cursor = response["next"].as_str().map(str::to_owned);
@@ -396,7 +400,7 @@
         self.statistics.complete += usize::from(is_complete);
         self.statistics.partial += usize::from(!is_complete);
         self.statistics.cut += usize::from(response["cut"].is_object());
-        let is_marked_truly = complete || !is_complete;
+        let is_marked_truly = completeness == Completeness::Complete || !is_complete;
         let is_bounded = open.merger.retained_rows() <= open.page_size;
         let result = checked.and(ended).and_then(|()| {
             if is_marked_truly && is_bounded {
--- a/crates/linenthread-simulation/src/merging_speed.rs
+++ b/crates/linenthread-simulation/src/merging_speed.rs
@@ -65,7 +65,7 @@
         }
         retained = retained.max(merger.retained_rows());
     }
-    let response = merger.response(true, None, 0);
+    let response = merger.response(Completeness::Complete, None, 0);
     let response: Value = serde_json::from_slice(&response).unwrap_or_default();
     let rows = response["rows"].as_array().cloned().unwrap_or_default();
     (rows, retained)
@@ -135,7 +135,7 @@
                 black_box(merger.accept(index, 0, value));
                 black_box(merger.take_continuations());
             }
-            black_box(merger.response(true, Some(&signer), 0));
+            black_box(merger.response(Completeness::Complete, Some(&signer), 0));
         }));
         passed_on.push(microseconds_each(|| {
             let values = values.iter().enumerate();
