--- a/crates/linenthread-service/src/dispatcher/decision.rs
+++ b/crates/linenthread-service/src/coordinator_driver/decision.rs
@@ -5,13 +5,13 @@
     Completeness, QueryIndex, ReplicaIndex, SubRequestIndex, TenthMillis,
 };
 
-use super::Dispatcher;
+use super::CoordinatorDriver;
 use super::membership::Membership;
-use super::open_queries::OpenQueries;
+use super::query_table::QueryTable;
 
 /// A decision on one query.
 #[derive(Clone, Copy, Debug)]
-pub(crate) enum Decision {
+pub(crate) enum QueryDecision {
     /// Make the next attempt at a sub-request.
     Send {
         sub_request: SubRequestIndex,
@@ -31,10 +31,10 @@
     Fail,
 }
 
-/// Passes on the decisions of one step: those on a query to its task, the others to the dispatcher's own parts.
+/// Passes on the decisions of one step: those on a query to its task, the others to the driver's own parts.
 pub(super) struct StepDecisions<'a> {
-    pub(super) dispatcher: &'a Dispatcher,
-    pub(super) queries: &'a mut OpenQueries,
+    pub(super) driver: &'a CoordinatorDriver,
+    pub(super) queries: &'a mut QueryTable,
     pub(super) membership: &'a mut Membership,
     pub(super) wake_at: &'a mut Option<TenthMillis>,
 }
@@ -47,7 +47,7 @@
         replica: ReplicaIndex,
         timeout: TenthMillis,
     ) {
-        let decision = Decision::Send {
+        let decision = QueryDecision::Send {
             sub_request,
             replica,
             timeout,
@@ -56,7 +56,7 @@
     }
 
     fn cancel(&mut self, query: QueryIndex, sub_request: SubRequestIndex, attempt: usize) {
-        let decision = Decision::Cancel {
+        let decision = QueryDecision::Cancel {
             sub_request,
             attempt,
         };
@@ -65,16 +65,16 @@
 
     fn respond(&mut self, query: QueryIndex, completeness: Completeness) {
         self.queries
-            .pass_on(query, Decision::Respond { completeness });
+            .pass_on(query, QueryDecision::Respond { completeness });
     }
 
     fn reject(&mut self, query: QueryIndex, retry_after: Option<TenthMillis>) {
         self.queries
-            .pass_on(query, Decision::Reject { retry_after });
+            .pass_on(query, QueryDecision::Reject { retry_after });
     }
 
     fn fail(&mut self, query: QueryIndex) {
-        self.queries.pass_on(query, Decision::Fail);
+        self.queries.pass_on(query, QueryDecision::Fail);
     }
 
     fn release(&mut self, query: QueryIndex) {
@@ -83,15 +83,15 @@
 
     fn probe(&mut self, replica: ReplicaIndex) {
         self.membership.replicas.start_probe(replica);
-        actix_rt::spawn(self.dispatcher.clone().probe(replica));
+        actix_rt::spawn(self.driver.clone().probe(replica));
     }
 
     fn close_idle(&mut self, replica: ReplicaIndex) {
-        self.dispatcher.0.transports.close_idle(replica);
+        self.driver.0.transports.close_idle(replica);
     }
 
     fn watch_membership(&mut self) {
-        self.dispatcher.0.membership_requested.notify_one();
+        self.driver.0.membership_requested.notify_one();
     }
 
     fn wake_at(&mut self, at: TenthMillis) {
--- a/crates/linenthread-service/src/dispatcher/membership.rs
+++ b/crates/linenthread-service/src/coordinator_driver/membership.rs
@@ -8,8 +8,8 @@
 use tracing::info;
 
 use crate::clock::Clock;
-use crate::dispatcher::open_queries::QueryProgress;
-use crate::dispatcher::peer_members::PeerMembers;
+use crate::coordinator_driver::peer_members::PeerMembers;
+use crate::coordinator_driver::query_table::QueryProgress;
 use crate::replica_indices::ReplicaIndices;
 use crate::transports::link::LinkEvent;
 use crate::transports::{Route, Transports};
--- a/crates/linenthread-service/src/dispatcher/membership_updates.rs
+++ b/crates/linenthread-service/src/coordinator_driver/membership_updates.rs
@@ -1,14 +1,14 @@
-//! The dispatcher's part in membership: lists of the service discovery and reports of links go to the coordinator, and
+//! The driver's part in membership: lists of the service discovery and reports of links go to the coordinator, and
 //! what is reached from here to those behind a link.
 
 use linenthread_core::interface::{MembershipEntry, MembershipUpdate, ReplicaIndex};
 use linenthread_link::Member;
 use linenthread_protocol::membership::MembershipList;
 
-use super::Dispatcher;
+use super::CoordinatorDriver;
 use crate::transports::link::LinkEvent;
 
-impl Dispatcher {
+impl CoordinatorDriver {
     /// A replica's id, for the log.
     pub(crate) fn replica_id(&self, replica: ReplicaIndex) -> String {
         let state = self.0.state.borrow();
--- a/crates/linenthread-service/src/dispatcher/mod.rs
+++ b/crates/linenthread-service/src/coordinator_driver/mod.rs
@@ -3,8 +3,8 @@
 mod decision;
 mod membership;
 mod membership_updates;
-mod open_queries;
 mod peer_members;
+mod query_table;
 mod zones;
 
 use std::cell::RefCell;
@@ -22,10 +22,10 @@
 use crate::config::Config;
 use crate::transports::Transports;
 use crate::zone_routing::ZoneRouting;
-pub(crate) use decision::Decision;
+pub(crate) use decision::QueryDecision;
 use decision::StepDecisions;
 use membership::Membership;
-use open_queries::OpenQueries;
+use query_table::QueryTable;
 
 /// A query to be submitted, checked against the deployment.
 pub(crate) struct QuerySubmission {
@@ -53,14 +53,14 @@
 pub(crate) struct SubmittedQuery {
     pub query: QueryIndex,
     /// The decisions on it. They end when it is over and none of its attempts is in flight.
-    pub decisions: mpsc::UnboundedReceiver<Decision>,
+    pub decisions: mpsc::UnboundedReceiver<QueryDecision>,
 }
 
 struct State {
     coordinator: Coordinator,
     /// The inputs of the next step.
     inputs: Inputs,
-    queries: OpenQueries,
+    queries: QueryTable,
     membership: Membership,
     /// When the coordinator is to be stepped although there are no inputs.
     wake_at: Option<TenthMillis>,
@@ -80,11 +80,12 @@
     transports: Transports,
 }
 
-/// The coordinator with its clock and its inputs, shared by all tasks.
+/// Drives the coordinator, the decision module's state machine without I/O: collects its inputs, steps it at the
+/// present instant, and carries out or passes on its decisions. All tasks share it.
 #[derive(Clone)]
-pub(crate) struct Dispatcher(Rc<Inner>);
+pub(crate) struct CoordinatorDriver(Rc<Inner>);
 
-impl Dispatcher {
+impl CoordinatorDriver {
     /// `zone_names` are the zones in the order of their numbers; `zones` routes between them, where a fleet decides on
     /// that.
     pub(crate) fn new(
@@ -96,12 +97,12 @@
         let clock = Clock::new();
         let replica_groups = config.coordinator.layout.replica_groups;
         let membership = Membership::new(clock, transports.clone(), replica_groups, zone_names);
-        let dispatcher = Dispatcher(Rc::new(Inner {
+        let driver = CoordinatorDriver(Rc::new(Inner {
             clock,
             state: RefCell::new(State {
                 coordinator: Coordinator::new(config.coordinator.clone(), config.seed),
                 inputs: Inputs::default(),
-                queries: OpenQueries::default(),
+                queries: QueryTable::default(),
                 membership,
                 wake_at: None,
                 zones,
@@ -111,10 +112,10 @@
             local_changed: Notify::new(),
             transports,
         }));
-        let entries = dispatcher.apply_list(&config.cached_membership);
-        dispatcher.update_membership(MembershipUpdate::Cached(entries));
-        dispatcher.update_zone_routes();
-        dispatcher
+        let entries = driver.apply_list(&config.cached_membership);
+        driver.update_membership(MembershipUpdate::Cached(entries));
+        driver.update_zone_routes();
+        driver
     }
 
     pub(crate) fn clock(&self) -> Clock {
@@ -148,7 +149,7 @@
         } = &mut *state;
         inputs.now = self.0.clock.now();
         let mut decisions = StepDecisions {
-            dispatcher: self,
+            driver: self,
             queries,
             membership,
             wake_at,
--- a/crates/linenthread-service/src/dispatcher/open_queries.rs
+++ b/crates/linenthread-service/src/coordinator_driver/query_table.rs
@@ -3,11 +3,11 @@
 use linenthread_core::interface::QueryIndex;
 use tokio::sync::mpsc;
 
-use super::decision::Decision;
+use super::decision::QueryDecision;
 
 /// An open query.
-struct OpenQuery {
-    decisions: mpsc::UnboundedSender<Decision>,
+struct QueryEntry {
+    decisions: mpsc::UnboundedSender<QueryDecision>,
     /// How many queries were submitted before it.
     submitted_before: u64,
 }
@@ -21,24 +21,24 @@
 
 /// The open queries by their indices, which are reused.
 #[derive(Default)]
-pub(super) struct OpenQueries {
+pub(super) struct QueryTable {
     /// A query's task ends when its entry is dropped.
-    by_index: Vec<Option<OpenQuery>>,
+    by_index: Vec<Option<QueryEntry>>,
     free: Vec<QueryIndex>,
     /// Queries submitted so far.
     submitted: u64,
 }
 
-impl OpenQueries {
+impl QueryTable {
     /// Assigns an index to a new query.
-    pub(super) fn open(&mut self, decisions: mpsc::UnboundedSender<Decision>) -> QueryIndex {
+    pub(super) fn open(&mut self, decisions: mpsc::UnboundedSender<QueryDecision>) -> QueryIndex {
         let submitted_before = self.submitted;
         self.submitted += 1;
         let query = self.free.pop().unwrap_or_else(|| {
             self.by_index.push(None);
             QueryIndex(self.by_index.len() - 1)
         });
-        self.by_index[query.0] = Some(OpenQuery {
+        self.by_index[query.0] = Some(QueryEntry {
             decisions,
             submitted_before,
         });
@@ -46,7 +46,7 @@
     }
 
     /// Passes a decision to the task of its query.
-    pub(super) fn pass_on(&self, query: QueryIndex, decision: Decision) {
+    pub(super) fn pass_on(&self, query: QueryIndex, decision: QueryDecision) {
         if let Some(Some(open)) = self.by_index.get(query.0) {
             open.decisions.send(decision).ok();
         }
--- a/crates/linenthread-service/src/dispatcher/zones.rs
+++ b/crates/linenthread-service/src/coordinator_driver/zones.rs
@@ -1,14 +1,14 @@
-//! The dispatcher's part in routing between zones: observations go to the fleet, its routing tables to the
+//! The driver's part in routing between zones: observations go to the fleet, its routing tables to the
 //! coordinator.
 
 use linenthread_core::interface::{AttemptOutcome, ReplicaIndex, TenthMillis};
 use linenthread_zones::RoutingTable;
 use tracing::warn;
 
-use super::Dispatcher;
+use super::CoordinatorDriver;
 use crate::zone_routing::{ZoneReport, ZoneRouting};
 
-impl Dispatcher {
+impl CoordinatorDriver {
     /// Passes the routes between zones to the coordinator, where there are zones.
     pub(super) fn update_zone_routes(&self) {
         let state = self.0.state.borrow();
--- a/crates/linenthread-service/src/demo/mod.rs
+++ b/crates/linenthread-service/src/demo/mod.rs
@@ -1,4 +1,5 @@
-//! `linenthread try`: a demo on loopback, of stub replicas, stub service discovery and this program, with rows to query.
+//! `linenthread try`: a demo on loopback, of stub replicas, stub service discovery and this program, with rows to
+//! query.
 
 mod error;
 mod programs;
--- a/crates/linenthread-service/src/fleet/zone_decisions.rs
+++ b/crates/linenthread-service/src/fleet/zone_decisions.rs
@@ -54,7 +54,7 @@
 }
 
 impl Member {
-    /// Passes a committed table on to the dispatcher, and logs committed orders.
+    /// Passes a committed table on to the coordinator driver, and logs committed orders.
     pub(super) fn on_committed(&self, committed: CommittedValue) {
         let CommittedValue {
             topic,
--- a/crates/linenthread-service/src/frontends/http/request.rs
+++ b/crates/linenthread-service/src/frontends/http/request.rs
@@ -12,7 +12,7 @@
 use tokio::time::{Instant, timeout_at};
 
 use crate::clock;
-use crate::dispatcher::{QuerySubmission, SubRequestSubmission};
+use crate::coordinator_driver::{QuerySubmission, SubRequestSubmission};
 use crate::query::{QueryContext, QueryRequest};
 
 /// Why a request is rejected. The text is sent to the client.
--- a/crates/linenthread-service/src/frontends/link/calls.rs
+++ b/crates/linenthread-service/src/frontends/link/calls.rs
@@ -35,7 +35,7 @@
         call: Call,
         cancelled: Rc<Notify>,
     ) {
-        let finished = match self.0.dispatcher.direct_replica(&call.replica) {
+        let finished = match self.0.driver.direct_replica(&call.replica) {
             None => FinishedAttempt::without_value(ONLY_ATTEMPT, AttemptOutcome::NotSent),
             Some(replica) => self.attempt(replica, timeout, &call, &cancelled).await,
         };
@@ -88,7 +88,7 @@
 
     /// Probes a replica for the other side, and sends it the outcome.
     pub(super) async fn probe(self, connection: ConnectionId, id: ProbeId, replica: String) {
-        let report = match self.0.dispatcher.direct_replica(&replica) {
+        let report = match self.0.driver.direct_replica(&replica) {
             Some(replica) => self.0.transports.probe(replica).await,
             None => ProbeReport::without_load(AttemptOutcome::NotSent),
         };
--- a/crates/linenthread-service/src/frontends/link/mod.rs
+++ b/crates/linenthread-service/src/frontends/link/mod.rs
@@ -18,7 +18,7 @@
 use tokio::sync::Notify;
 use tokio::time::{Instant, sleep, sleep_until, timeout};
 
-use crate::dispatcher::Dispatcher;
+use crate::coordinator_driver::CoordinatorDriver;
 use crate::log::LogRateLimit;
 use crate::transports::Transports;
 use calls::CallKey;
@@ -30,7 +30,7 @@
 const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 struct Inner {
-    dispatcher: Dispatcher,
+    driver: CoordinatorDriver,
     transports: Transports,
     server: RefCell<LinkServer>,
     /// The share, in thousandths, at which others start to use replicas here.
@@ -50,13 +50,13 @@
 
 impl Gateway {
     pub(crate) fn new(
-        dispatcher: Dispatcher,
+        driver: CoordinatorDriver,
         transports: Transports,
         server: LinkServer,
         slow_start_share: u16,
     ) -> Gateway {
         Gateway(Rc::new(Inner {
-            dispatcher,
+            driver,
             transports,
             server: RefCell::new(server),
             slow_start_share,
@@ -73,7 +73,7 @@
         let mut actions = Vec::new();
         input(
             &mut self.0.server.borrow_mut(),
-            self.0.dispatcher.clock().now(),
+            self.0.driver.clock().now(),
             &mut actions,
         );
         for action in actions {
@@ -131,7 +131,7 @@
         loop {
             let members = self
                 .0
-                .dispatcher
+                .driver
                 .local_members()
                 .into_iter()
                 .map(|member| Member {
@@ -140,7 +140,7 @@
                 })
                 .collect();
             self.act(|server, _, actions| server.set_members(members, actions));
-            self.0.dispatcher.local_changed().await;
+            self.0.driver.local_changed().await;
         }
     }
 
@@ -155,7 +155,7 @@
     }
 
     fn next_timeout(&self) -> Instant {
-        let clock = self.0.dispatcher.clock();
+        let clock = self.0.driver.clock();
         let next = self.0.server.borrow().next_timeout();
         clock.at(next.min(clock.now() + MAX_SLEEP))
     }
--- a/crates/linenthread-service/src/query/mod.rs
+++ b/crates/linenthread-service/src/query/mod.rs
@@ -1,5 +1,5 @@
-//! One query, from its submission until none of its attempts is in flight: [`run`] submits it to the dispatcher, and
-//! its task carries out the decisions that come back.
+//! One query, from its submission until none of its attempts is in flight: [`run`] submits it to the coordinator
+//! driver, and its task carries out the decisions that come back.
 
 mod pending_attempts;
 mod task;
@@ -13,7 +13,7 @@
 use linenthread_terms::ClusterConfig;
 use tokio::sync::{mpsc, oneshot};
 
-use crate::dispatcher::{Dispatcher, QuerySubmission, SubmittedQuery};
+use crate::coordinator_driver::{CoordinatorDriver, QuerySubmission, SubmittedQuery};
 use crate::merge_responses::{ResponseCollector, ResponseMerging};
 use crate::transports::Transports;
 use pending_attempts::PendingAttempts;
@@ -36,7 +36,7 @@
 
 /// What the tasks of all queries share.
 pub(crate) struct QueryContext {
-    pub dispatcher: Dispatcher,
+    pub driver: CoordinatorDriver,
     pub transports: Transports,
     pub cluster: ClusterConfig,
     /// Attempts are cancelled once the client has left.
@@ -107,7 +107,7 @@
     let SubmittedQuery {
         query: index,
         decisions,
-    } = context.dispatcher.submit(submission);
+    } = context.driver.submit(submission);
     let (outcomes, finished_attempts) = mpsc::unbounded_channel();
     let task = QueryTask {
         context: &context,
--- a/crates/linenthread-service/src/query/pending_attempts.rs
+++ b/crates/linenthread-service/src/query/pending_attempts.rs
@@ -85,10 +85,10 @@
             return;
         };
         pending.judge_connection(outcome);
-        let dispatcher = &self.context.dispatcher;
-        let elapsed = dispatcher.clock().now() - pending.sent;
-        dispatcher.observe_outcome(pending.replica, outcome, elapsed);
-        dispatcher.report_attempt(AttemptResult {
+        let driver = &self.context.driver;
+        let elapsed = driver.clock().now() - pending.sent;
+        driver.observe_outcome(pending.replica, outcome, elapsed);
+        driver.report_attempt(AttemptResult {
             query: self.query,
             sub_request: key.sub_request,
             attempt: key.attempt,
@@ -106,7 +106,7 @@
         outcomes: &OutcomeSender,
     ) {
         let now = Instant::now();
-        let sent = self.context.dispatcher.clock().now();
+        let sent = self.context.driver.clock().now();
         let max_per_frame = self.context.cluster.max_sub_requests_per_call;
         for (BatchKey { replica, timeout }, batch) in std::mem::take(batches) {
             let wait = clock::to_duration(timeout.max(1));
--- a/crates/linenthread-service/src/query/task.rs
+++ b/crates/linenthread-service/src/query/task.rs
@@ -10,7 +10,7 @@
 use super::pending_attempts::{BatchKey, PendingAttempts, SendBatches};
 use super::{QueryContext, QueryOutcome};
 use crate::clock;
-use crate::dispatcher::Decision;
+use crate::coordinator_driver::QueryDecision;
 use crate::merge_responses::{AttemptRequest, AttemptResponse, ResponseCollector, ResponseSource};
 use crate::transports::attempt::{AttemptKey, FinishedAttempt, OutcomeSender, OutgoingSubRequest};
 
@@ -34,10 +34,10 @@
 }
 
 impl QueryTask<'_> {
-    /// Runs until the dispatcher releases the query: it is over, and nothing is in flight.
+    /// Runs until the driver releases the query: it is over, and nothing is in flight.
     pub(super) async fn run(
         mut self,
-        mut decisions: mpsc::UnboundedReceiver<Decision>,
+        mut decisions: mpsc::UnboundedReceiver<QueryDecision>,
         mut finished_attempts: mpsc::UnboundedReceiver<FinishedAttempt>,
     ) {
         loop {
@@ -64,9 +64,9 @@
             return;
         };
         let replica = pending.replica;
-        let dispatcher = &self.context.dispatcher;
+        let driver = &self.context.driver;
         let source = || ResponseSource {
-            replica: dispatcher.replica_id(replica),
+            replica: driver.replica_id(replica),
             shard: self.query.sub_requests[key.sub_request.0].shard,
         };
         let response = AttemptResponse {
@@ -79,13 +79,13 @@
         self.pending.finish(key, outcome, finished.queue_depth);
         let continuations = self.responses.take_continuations();
         if !continuations.is_empty() {
-            dispatcher.continue_sub_requests(self.index, &continuations);
+            driver.continue_sub_requests(self.index, &continuations);
         }
     }
 
     fn on_client_left(&mut self) {
         self.client = None;
-        self.context.dispatcher.abandon(self.index);
+        self.context.driver.abandon(self.index);
         if self.context.sends_cancellations {
             self.pending.cancel_all();
         }
@@ -93,11 +93,15 @@
 
     /// Performs the decisions made on this query by now. Consecutive attempts that go to one replica share a
     /// frame; any other decision takes effect after the attempts before it.
-    fn on_decisions(&mut self, first: Decision, decisions: &mut mpsc::UnboundedReceiver<Decision>) {
+    fn on_decisions(
+        &mut self,
+        first: QueryDecision,
+        decisions: &mut mpsc::UnboundedReceiver<QueryDecision>,
+    ) {
         let mut batches = SendBatches::new();
         let mut next = Some(first);
         while let Some(decision) = next {
-            if !matches!(decision, Decision::Send { .. }) {
+            if !matches!(decision, QueryDecision::Send { .. }) {
                 self.send(&mut batches);
             }
             self.perform(decision, &mut batches);
@@ -129,9 +133,9 @@
     }
 
     /// Performs a decision; attempts to be sent are added to `batches`.
-    fn perform(&mut self, decision: Decision, batches: &mut SendBatches) {
+    fn perform(&mut self, decision: QueryDecision, batches: &mut SendBatches) {
         match decision {
-            Decision::Send {
+            QueryDecision::Send {
                 sub_request,
                 replica,
                 timeout,
@@ -140,7 +144,7 @@
                 let batch = batches.entry(BatchKey { replica, timeout });
                 batch.or_default().push(outgoing);
             }
-            Decision::Cancel {
+            QueryDecision::Cancel {
                 sub_request,
                 attempt,
             } => {
@@ -150,15 +154,15 @@
                 };
                 self.pending.finish(key, AttemptOutcome::Cancelled, None);
             }
-            Decision::Respond { completeness } => {
+            QueryDecision::Respond { completeness } => {
                 let body = self.responses.response(completeness, self.query);
                 self.answer(QueryOutcome::Success(body));
             }
-            Decision::Reject { retry_after } => {
+            QueryDecision::Reject { retry_after } => {
                 let retry_after_ms = retry_after.map(clock::to_millis);
                 self.answer(QueryOutcome::Rejected { retry_after_ms });
             }
-            Decision::Fail => self.answer(QueryOutcome::Failed),
+            QueryDecision::Fail => self.answer(QueryOutcome::Failed),
         }
     }
 
--- a/crates/linenthread-service/src/serve/fleet_member.rs
+++ b/crates/linenthread-service/src/serve/fleet_member.rs
@@ -1,4 +1,4 @@
-//! The fleet's thread and the dispatcher: observations go to the one, routing tables to the other.
+//! The fleet's thread and the coordinator driver: observations go to the one, routing tables to the other.
 
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
@@ -8,7 +8,7 @@
 use tracing::{info, warn};
 
 use crate::config::Config;
-use crate::dispatcher::Dispatcher;
+use crate::coordinator_driver::CoordinatorDriver;
 use crate::fleet::{self, FleetHandle, FromFleet, MemberConfig, StartError, ToFleet};
 use crate::installation::WithSecrets;
 
@@ -25,14 +25,14 @@
     MEMBER_DESCRIPTORS + fleet.voters.len() * 2 + members
 }
 
-/// Joins the fleet and connects its thread to the dispatcher.
+/// Joins the fleet and connects its thread to the coordinator driver.
 ///
 /// # Errors
 ///
 /// The fleet's thread could not start.
 pub(super) fn join(
     config: &Config,
-    dispatcher: &Dispatcher,
+    driver: &CoordinatorDriver,
     fleet: WithSecrets<Fleet>,
     zones: Option<Zones>,
 ) -> Result<FleetHandle, StartError> {
@@ -44,17 +44,13 @@
         secrets: fleet.secrets,
         seed: config.seed.rotate_left(17),
     };
-    let handle = fleet::start(member, dispatcher.clock(), from_fleet)?;
-    actix_rt::spawn(exchange(
-        dispatcher.clone(),
-        handle.sender.clone(),
-        received,
-    ));
+    let handle = fleet::start(member, driver.clock(), from_fleet)?;
+    actix_rt::spawn(exchange(driver.clone(), handle.sender.clone(), received));
     Ok(handle)
 }
 
 async fn exchange(
-    dispatcher: Dispatcher,
+    driver: CoordinatorDriver,
     to_fleet: mpsc::UnboundedSender<ToFleet>,
     mut received: mpsc::UnboundedReceiver<FromFleet>,
 ) {
@@ -62,7 +58,7 @@
     loop {
         tokio::select! {
             _ = observations.tick() => {
-                if let Some(report) = dispatcher.report_zones()
+                if let Some(report) = driver.report_zones()
                     && to_fleet.send(ToFleet::Observed(report)).is_err()
                 {
                     warn!("fleet thread ended, deciding without the fleet");
@@ -72,7 +68,7 @@
             Some(FromFleet::Table { number, table }) = received.recv() => {
                 sleep(time_until(table.valid_from_ms)).await;
                 let rows = table.rows.clone();
-                if dispatcher.apply_routing_table(table) {
+                if driver.apply_routing_table(table) {
                     info!(number, ?rows, "routing table in use");
                 } else {
                     warn!(number, "routing table ignored, its zones are not those of this file");
--- a/crates/linenthread-service/src/serve/links.rs
+++ b/crates/linenthread-service/src/serve/links.rs
@@ -11,7 +11,7 @@
 use super::error::{ListenForLinksSnafu, ServeError};
 use crate::clock::to_tenths;
 use crate::config::Config;
-use crate::dispatcher::Dispatcher;
+use crate::coordinator_driver::CoordinatorDriver;
 use crate::frontends::link::Gateway;
 use crate::frontends::listener;
 use crate::installation::WithSecrets;
@@ -36,7 +36,7 @@
 /// Starts the link to one peer; `seed` must differ between the links of a process.
 pub(super) fn start_peer(
     config: &Config,
-    dispatcher: &Dispatcher,
+    driver: &CoordinatorDriver,
     transports: &Transports,
     peer: WithSecrets<file::Peer>,
     seed: u64,
@@ -45,7 +45,7 @@
         section: peer,
         secrets,
     } = peer;
-    let number = dispatcher.add_peer();
+    let number = driver.add_peer();
     let (changes, mut events) = mpsc::unbounded_channel();
     let client = ClientConfig {
         name: config.name.clone(),
@@ -64,11 +64,11 @@
         client,
         seed,
     };
-    transports.add_peer(link::Peer::start(link_config, dispatcher.clock(), changes));
-    let dispatcher = dispatcher.clone();
+    transports.add_peer(link::Peer::start(link_config, driver.clock(), changes));
+    let driver = driver.clone();
     actix_rt::spawn(async move {
         while let Some(event) = events.recv().await {
-            dispatcher.on_link_event(number, event);
+            driver.on_link_event(number, event);
         }
     });
 }
@@ -80,7 +80,7 @@
 /// It cannot listen on the gateway's address.
 pub(super) fn start_gateway(
     config: &Config,
-    dispatcher: &Dispatcher,
+    driver: &CoordinatorDriver,
     transports: &Transports,
     gateway: WithSecrets<file::Gateway>,
 ) -> Result<Gateway, ServeError> {
@@ -102,7 +102,7 @@
     };
     let server = LinkServer::new(server_config, secrets, config.seed);
     let gateway = Gateway::new(
-        dispatcher.clone(),
+        driver.clone(),
         transports.clone(),
         server,
         gateway.slow_start_share,
--- a/crates/linenthread-service/src/serve/mod.rs
+++ b/crates/linenthread-service/src/serve/mod.rs
@@ -19,7 +19,7 @@
 
 use crate::clock;
 use crate::config::Config;
-use crate::dispatcher::Dispatcher;
+use crate::coordinator_driver::CoordinatorDriver;
 use crate::fleet::{self, FleetHandle, ToFleet};
 use crate::frontends::http::HttpFrontend;
 use crate::frontends::link::Gateway;
@@ -82,28 +82,28 @@
     let mut signals = Signals::new()?;
     let max_clients = max_clients(&config, &settings);
     let transports = transports(&config);
-    let dispatcher = dispatcher(&config, &transports, &settings);
+    let driver = driver(&config, &transports, &settings);
     let fleet = settings
         .fleet
-        .map(|fleet| fleet_member::join(&config, &dispatcher, fleet, settings.zones));
+        .map(|fleet| fleet_member::join(&config, &driver, fleet, settings.zones));
     let fleet = fleet.transpose().context(FleetSnafu)?;
-    let mut decisions = actix_rt::spawn(dispatcher.clone().run());
+    let mut decisions = actix_rt::spawn(driver.clone().run());
     let (discovery_address, watched_address) = watch::channel(config.discovery);
     let mut discovery = actix_rt::spawn(service_discovery::watch(
-        dispatcher.clone(),
+        driver.clone(),
         watched_address,
         config.coordinator.layout.replica_groups,
         first_fetch(&config),
     ));
     for (peer, number) in settings.peers.into_iter().zip(1..) {
         let seed = config.seed.wrapping_add(number);
-        links::start_peer(&config, &dispatcher, &transports, peer, seed);
+        links::start_peer(&config, &driver, &transports, peer, seed);
     }
     let gateway = settings
         .gateway
-        .map(|gateway| links::start_gateway(&config, &dispatcher, &transports, gateway));
+        .map(|gateway| links::start_gateway(&config, &driver, &transports, gateway));
     let gateway = gateway.transpose()?;
-    let query_context = query_context(&config, dispatcher, transports, settings.merging);
+    let query_context = query_context(&config, driver, transports, settings.merging);
     let query_context = Rc::new(query_context);
     let frontend = HttpFrontend::new(
         query_context.clone(),
@@ -170,19 +170,19 @@
     })
 }
 
-/// The dispatcher, which routes between zones where a fleet decides on that.
-fn dispatcher(
+/// The coordinator driver, which routes between zones where a fleet decides on that.
+fn driver(
     config: &Config,
     transports: &Transports,
     settings: &InstallationSettings,
-) -> Dispatcher {
+) -> CoordinatorDriver {
     let installed_zones = settings.zones.as_ref().map(|zones| &zones.zones[..]);
     let zone_names = numbered_zones(
         &config.cluster.zone_names,
         installed_zones.unwrap_or_default(),
     );
     let zones = zone_routing(config, settings, &zone_names);
-    Dispatcher::new(config, transports.clone(), zone_names, zones)
+    CoordinatorDriver::new(config, transports.clone(), zone_names, zones)
 }
 
 /// Routing between zones; `None` unless this process is in a fleet that has zones.
@@ -206,13 +206,13 @@
 /// What the tasks of all queries share.
 fn query_context(
     config: &Config,
-    dispatcher: Dispatcher,
+    driver: CoordinatorDriver,
     transports: Transports,
     merging: MergePlans,
 ) -> QueryContext {
     let indexes = config.coordinator.indexes.iter();
     QueryContext {
-        dispatcher,
+        driver,
         transports,
         cluster: config.cluster.clone(),
         sends_cancellations: config.coordinator.permissions.cancellation,
--- a/crates/linenthread-service/src/service_discovery.rs
+++ b/crates/linenthread-service/src/service_discovery.rs
@@ -1,4 +1,4 @@
-//! Follows the service discovery's list of replicas, and passes each update or failure to the dispatcher.
+//! Follows the service discovery's list of replicas, and passes each update or failure to the coordinator driver.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -9,7 +9,7 @@
 use tokio::time::timeout;
 use tracing::{info, warn};
 
-use crate::dispatcher::Dispatcher;
+use crate::coordinator_driver::CoordinatorDriver;
 
 /// How long the service is asked to keep a watch open, in milliseconds: the longest that it permits, since an open
 /// watch is answered as soon as there is an update, and one that ends has to be requested again.
@@ -46,18 +46,18 @@
 /// the request at the old one and starts with the complete list: revisions of two services cannot be compared.
 /// The last list is kept meanwhile.
 pub(crate) async fn watch(
-    dispatcher: Dispatcher,
+    driver: CoordinatorDriver,
     mut address: Receiver<SocketAddr>,
     replica_groups: usize,
     first_fetch: FirstFetch,
 ) {
     if first_fetch == FirstFetch::OnRequest {
-        dispatcher.membership_requested().await;
+        driver.membership_requested().await;
     }
     loop {
         let current = *address.borrow_and_update();
         tokio::select! {
-            () = follow(&dispatcher, current, replica_groups) => {}
+            () = follow(&driver, current, replica_groups) => {}
             Ok(()) = address.changed() => info!(discovery = %*address.borrow(), "service discovery moved"),
         }
     }
@@ -65,7 +65,7 @@
 
 /// Requests the complete list, then watches for changes. After a failure, and where the list is only watched on
 /// request, the coordinator says when to try again.
-async fn follow(dispatcher: &Dispatcher, address: SocketAddr, replica_groups: usize) {
+async fn follow(driver: &CoordinatorDriver, address: SocketAddr, replica_groups: usize) {
     let connector = awc::Connector::new().timeout(RESPONSE_TIMEOUT).limit(2);
     let client = awc::Client::builder()
         .connector(connector)
@@ -86,15 +86,15 @@
                 }
                 failing = false;
                 revision = Some(list.revision);
-                dispatcher.on_membership(Some(&list));
+                driver.on_membership(Some(&list));
             }
             Err(cause) => {
                 if !failing {
                     warn!("service discovery failed, keeping the last membership list: {cause}");
                 }
                 failing = true;
-                dispatcher.on_membership(None);
-                dispatcher.membership_requested().await;
+                driver.on_membership(None);
+                driver.membership_requested().await;
             }
         }
     }
--- a/crates/linenthread-service/src/zone_routing.rs
+++ b/crates/linenthread-service/src/zone_routing.rs
@@ -22,7 +22,7 @@
 /// Distance of a zone that the installation file does not name: farther than all that it names.
 const UNNAMED: u8 = 3;
 
-/// A zone of the dispatcher's numbering.
+/// A zone of the driver's numbering.
 struct NamedZone {
     name: String,
     /// Its position among the configured zones, if the installation file names it.
@@ -56,7 +56,7 @@
     pub shard_count: usize,
 }
 
-/// All zones in the order of the dispatcher's numbers: those that the settings name, then the further ones of the
+/// All zones in the order of the driver's numbers: those that the settings name, then the further ones of the
 /// installation file.
 pub(crate) fn numbered_zones(
     in_settings: &[String],
@@ -72,7 +72,7 @@
     zones: Vec<Zone>,
     /// Position of this process's zone in `zones`.
     local_zone: usize,
-    /// By the dispatcher's number of a zone.
+    /// By the driver's number of a zone.
     named_zones: Vec<NamedZone>,
     layout: ShardLayout,
     shard_count: usize,
@@ -86,7 +86,7 @@
 }
 
 impl ZoneRouting {
-    /// `zone_names` are the zones in the order of the dispatcher's numbers.
+    /// `zone_names` are the zones in the order of the driver's numbers.
     pub(crate) fn new(config: ZoneRoutingConfig, zone_names: &[String]) -> ZoneRouting {
         let ZoneRoutingConfig {
             zones,
@@ -234,7 +234,7 @@
         now >= self.expires_at && self.table.take().is_some()
     }
 
-    /// The routes to the dispatcher's zones, in its order, for the decision module.
+    /// The routes to the driver's zones, in its order, for the decision module.
     pub(crate) fn routes(&self) -> Vec<ZoneRoute> {
         self.named_zones
             .iter()
