--- a/crates/linenthread-hollow/tests/hollow.rs
+++ b/crates/linenthread-hollow/tests/hollow.rs
@@ -82,7 +82,7 @@
     process_killed = { Loss::Killed },
     machine_dark = { Loss::Dark },
 )]
-fn the_loss_of_the_leader_does_not_hold_up_an_acknowledgement(loss: Loss) {
+fn the_loss_of_the_leader_does_not_delay_an_acknowledgement(loss: Loss) {
     let scale = Scale {
         ingress_nodes: 6,
         replicas: 20,
@@ -90,7 +90,7 @@
         ..Scale::default()
     };
     let timeline = lose_leader(&scale, loss);
-    // Far less than any wait for silence or a lease: five ways between regions and two syncs.
+    // Far less than any time-out or lease: five ways between regions and two syncs.
     let first = timeline
         .first_acknowledgement
         .expect("a survivor acknowledges");
@@ -108,7 +108,7 @@
 }
 
 #[test]
-fn a_configuration_is_valid_and_about_as_long_as_asked_for() {
+fn a_configuration_is_valid_and_about_as_long_as_requested() {
     for bytes in [1_000, 60_000, 200_000] {
         let made = document(7, bytes);
         assert_eq!(
@@ -159,17 +159,17 @@
 fn a_file_is_fitted_by_role_and_column() {
     let text = "fronts,role,a,b\n10,x,1,5\n100,x,10,5\n10,y,2,0\nfronts,role,a,b\n100,y,200,0\n";
     let fitted = fit_csv(text, "fronts").expect("the file is good");
-    let found: Vec<(&str, &str, i64)> = fitted
+    let found: Vec<(&str, &str, f64)> = fitted
         .iter()
         .map(|fit| {
             (
                 fit.role.as_str(),
                 fit.column.as_str(),
-                fit.power.exponent.round() as i64,
+                fit.power.exponent.round(),
             )
         })
         .collect();
-    assert_eq!(found, [("x", "a", 1), ("x", "b", 0), ("y", "a", 2)]);
+    assert_eq!(found, [("x", "a", 1.0), ("x", "b", 0.0), ("y", "a", 2.0)]);
     assert!(matches!(
         fit_csv(text, "replicas"),
         Err(FitError::NoColumn { .. })
--- a/crates/linenthread-messages/tests/golden.rs
+++ b/crates/linenthread-messages/tests/golden.rs
@@ -9,8 +9,8 @@
 use linenthread_golden::named_bytes;
 use linenthread_messages::{
     Accept, AcceptAck, Accepted, Ballot, CatchUpRequest, ControlUpdate, DocumentDigest,
-    DurableProgress, Heartbeat, Hello, IngressSession, IngressUpdate, LeaseRelease, LeaseRequest,
-    LeaseVote, OrderIdentity, OrderLogEntries, OrderLogRequest, PeerMessage, Prepare, Promise,
+    DurableProgress, Heartbeat, Hello, IngressSession, IngressUpdate, LeaseRelease, LeaseReply,
+    LeaseRequest, OrderIdentity, OrderLogEntries, OrderLogRequest, PeerMessage, Prepare, Promise,
     QuotaGrant, QuotaGrants, ReadReply, ReadRequest, Record, Rejected, Replica, Synced, UpdateAck,
     VERSION, Value, Voter, decode, encode,
 };
@@ -75,10 +75,10 @@
         capacity: 48,
         call_count: 987_654,
         draining: true,
-        removed: true,
+        timed_out_or_ended: true,
         age_ms: 1_234,
         warmup_ms: 56_789,
-        removed_for_good: true,
+        ended: true,
     }
 }
 
@@ -125,7 +125,7 @@
         incarnation: 0xe1e2_e3e4_e5e6_e7e8,
         control_address: "10.0.0.1:7100".to_owned(),
         node_id: 0xf1f2_f3f4_f5f6_f7f8,
-        may_vote: true,
+        voter_eligible: true,
         change_log_id: 0x2122_2324_2526_2728,
         change_log_offset: 4_321,
         value_number_or_revision: 70_000,
@@ -308,7 +308,7 @@
         ("lease_request", PeerMessage::LeaseRequest(lease_request)),
         (
             "lease_vote",
-            PeerMessage::LeaseVote(LeaseVote {
+            PeerMessage::LeaseReply(LeaseReply {
                 epoch: 47,
                 request_id: 97,
                 granted: true,
--- a/crates/linenthread-simulation/src/commands/processes.rs
+++ b/crates/linenthread-simulation/src/commands/processes.rs
@@ -7,15 +7,16 @@
 use linenthread_fakes::scenarios::{self, Scenario};
 
 use super::{arguments, outcome};
+use crate::run_summary::RunSummary;
 
 /// The scenario of random faults.
 const ZONES: &str = "zones";
 /// All scenarios but that.
 const ALL: &str = "all";
-/// Breaches of the rounds of zones that are printed.
-const MAX_PRINTED_BREACHES: usize = 20;
-/// Breaches of one run of a scenario that are printed.
-const MAX_PRINTED_BREACHES_OF_SCENARIO: usize = 5;
+/// Violations of the rounds of zones that are printed.
+const MAX_PRINTED_VIOLATIONS: usize = 20;
+/// Violations of one run of a scenario that are printed.
+const MAX_PRINTED_VIOLATIONS_OF_SCENARIO: usize = 5;
 /// The exit code if there is no such scenario.
 const USAGE_ERROR: u8 = 2;
 
@@ -58,10 +59,13 @@
 
 fn run_zones(options: &Options, program: &str) -> ExitCode {
     let report = scenarios::rounds(program, options.rounds, options.seed);
-    for breach in report.violations.iter().take(MAX_PRINTED_BREACHES) {
-        println!("breach: {breach}");
+    for violation in report.violations.iter().take(MAX_PRINTED_VIOLATIONS) {
+        println!("violation: {violation}");
     }
-    outcome::close(report.queries, report.violations.len())
+    outcome::close(RunSummary {
+        checked: report.queries,
+        violations: report.violations.len(),
+    })
 }
 
 fn run_scenarios(options: &Options, program: &str) -> ExitCode {
@@ -69,22 +73,24 @@
     let chosen = scenarios::ALL
         .iter()
         .filter(|one| scenario == ALL || scenario == one.name);
-    let (mut checked, mut all) = (0, 0);
+    let mut summary = RunSummary::default();
     for Scenario { name, run } in chosen {
         for seed in (options.seed..).take(options.rounds) {
             let mut rig = run(program, seed);
-            let breaches = rig.check();
-            for breach in breaches.iter().take(MAX_PRINTED_BREACHES_OF_SCENARIO) {
-                println!("breach: {name}, seed {seed}: {breach}");
+            let violations = rig.check();
+            for violation in violations.iter().take(MAX_PRINTED_VIOLATIONS_OF_SCENARIO) {
+                println!("violation: {name}, seed {seed}: {violation}");
             }
-            checked += rig.outcomes().len();
-            all += breaches.len();
-            println!("{name}, seed {seed}: {} lookups", rig.outcomes().len());
+            summary += RunSummary {
+                checked: rig.outcomes().len(),
+                violations: violations.len(),
+            };
+            println!("{name}, seed {seed}: {} queries", rig.outcomes().len());
         }
     }
-    if checked == 0 {
+    if summary.checked == 0 {
         eprintln!("linenthread-simulation: there is no scenario {scenario}");
         return ExitCode::from(USAGE_ERROR);
     }
-    outcome::close(checked, all)
+    outcome::close(summary)
 }
--- a/crates/linenthread-simulation/src/failover_simulation/coordinator.rs
+++ b/crates/linenthread-simulation/src/failover/coordinator.rs
@@ -2,16 +2,18 @@
 
 use std::collections::VecDeque;
 
+use linenthread_core::Coordinator;
 use linenthread_core::interface::{
-    Completeness, CoordinatorConfig, Idempotency, IndexConfig, Inputs, Permissions, QueryIndex,
-    ReplicaIndex, ShardLayout, SlowStart, SubRequestIndex, TenthMillis, ValueGrowth, ZoneRoute,
+    CoordinatorConfig, Idempotency, IndexConfig, Inputs, Permissions, QueryIndex, ShardLayout,
+    SlowStart, TenthMillis, ValueGrowth, ZoneRoute,
 };
-use linenthread_core::{Coordinator, DecisionSink};
-use linenthread_zones::{ALL_KEYS, FailoverController, Row, ZoneIndex, ZoneObserver};
+use linenthread_zones::{ALL_KEYS, FailoverController, Row, ZoneObserver};
 
+use super::decisions::Decisions;
 use super::event::AttemptIndex;
-use super::replica::{COLD_SPEED, WARM_UP};
+use super::replica::{INITIAL_SPEED, WARM_UP};
 use super::{PER_ZONE, REPLICAS, SECOND, SOFT_DEADLINE, START, ZONES};
+use crate::number;
 
 /// The first zone's id; any number does.
 const FIRST_ZONE_ID: u64 = 77;
@@ -22,6 +24,7 @@
     pub(super) attempts: Vec<AttemptIndex>,
 }
 
+/// A coordinator of a zone.
 pub(super) struct CoordinatorNode {
     pub(super) zone: usize,
     module: Coordinator,
@@ -37,83 +40,10 @@
     pub(super) arriving_routes: VecDeque<(TenthMillis, Vec<ZoneRoute>)>,
 }
 
-/// What the decision module requests in one step.
-#[derive(Default)]
-pub(super) struct Decisions {
-    pub(super) attempts: Vec<SendAttempt>,
-    pub(super) responded: Vec<usize>,
-    pub(super) released: Vec<usize>,
-    pub(super) cancelled: Vec<CancelAttempt>,
-    pub(super) health_checks: Vec<usize>,
-    wake_at: Option<TenthMillis>,
-}
-
-pub(super) struct SendAttempt {
-    pub(super) query: usize,
-    pub(super) sub_request: usize,
-    pub(super) replica: usize,
-    pub(super) timeout: TenthMillis,
-}
-
-pub(super) struct CancelAttempt {
-    pub(super) query: usize,
-    pub(super) sub_request: usize,
-    pub(super) number: usize,
-}
-
-impl DecisionSink for Decisions {
-    fn send(
-        &mut self,
-        query: QueryIndex,
-        sub_request: SubRequestIndex,
-        replica: ReplicaIndex,
-        timeout: TenthMillis,
-    ) {
-        self.attempts.push(SendAttempt {
-            query: query.0,
-            sub_request: sub_request.0,
-            replica: replica.0,
-            timeout,
-        });
-    }
-
-    fn cancel(&mut self, query: QueryIndex, sub_request: SubRequestIndex, number: usize) {
-        self.cancelled.push(CancelAttempt {
-            query: query.0,
-            sub_request: sub_request.0,
-            number,
-        });
-    }
-
-    fn respond(&mut self, query: QueryIndex, _: Completeness) {
-        self.responded.push(query.0);
-    }
-
-    fn reject(&mut self, _: QueryIndex, _: Option<TenthMillis>) {}
-
-    fn fail(&mut self, _: QueryIndex) {}
-
-    fn release(&mut self, query: QueryIndex) {
-        self.released.push(query.0);
-    }
-
-    fn close_idle(&mut self, _: ReplicaIndex) {}
-
-    fn probe(&mut self, replica: ReplicaIndex) {
-        self.health_checks.push(replica.0);
-    }
-
-    fn watch_membership(&mut self) {}
-
-    fn wake_at(&mut self, at: TenthMillis) {
-        self.wake_at = Some(at);
-    }
-}
-
 impl CoordinatorNode {
     pub(super) fn new(number: usize, seed: u64) -> CoordinatorNode {
         let zone = number % ZONES;
-        let module_seed = seed.wrapping_mul(31) + number as u64;
+        let module_seed = seed.wrapping_mul(31) + number::count(number);
         CoordinatorNode {
             zone,
             module: Coordinator::new(config(number), module_seed),
@@ -121,33 +51,34 @@
             queries: Vec::new(),
             free_queries: Vec::new(),
             wake_at: START,
-            observer: ZoneObserver::new(ZoneIndex::new(zone).expect("few zones")),
+            observer: ZoneObserver::new(number::zone_index(zone)),
             controller: None,
             arriving_routes: VecDeque::new(),
         }
     }
 
     /// An index for a new query.
-    pub(super) fn add_query(&mut self, query: Query) -> usize {
+    pub(super) fn add_query(&mut self, query: Query) -> QueryIndex {
         let index = self.free_queries.pop().unwrap_or_else(|| {
             self.queries.push(None);
             self.queries.len() - 1
         });
         self.queries[index] = Some(query);
-        index
+        QueryIndex(index)
     }
 
-    pub(super) fn release_query(&mut self, index: usize) {
+    pub(super) fn release_query(&mut self, QueryIndex(index): QueryIndex) {
         self.queries[index] = None;
         self.free_queries.push(index);
     }
 
-    pub(super) fn query(&self, index: usize) -> Option<&Query> {
+    /// The query of this index, if it is in flight.
+    pub(super) fn query(&self, QueryIndex(index): QueryIndex) -> Option<&Query> {
         self.queries.get(index)?.as_ref()
     }
 
     /// Whether the module has something to do.
-    pub(super) fn is_due(&self, now: TenthMillis) -> bool {
+    pub(super) fn has_work(&self, now: TenthMillis) -> bool {
         let inputs = &self.inputs;
         let has_inputs = !(inputs.queries.is_empty()
             && inputs.results.is_empty()
@@ -180,7 +111,7 @@
 /// The routes of a zone as the module takes them; all open without a row.
 pub(super) fn zone_routes(local: usize, row: Option<&Row>) -> Vec<ZoneRoute> {
     let route = |zone: usize| ZoneRoute {
-        id: FIRST_ZONE_ID + zone as u64,
+        id: FIRST_ZONE_ID + number::count(zone),
         distance: u8::from(zone != local),
         open_per_mille: row.map_or(ALL_KEYS, |row| row.routes[zone].share),
     };
@@ -217,7 +148,7 @@
             max_retry_after: None,
         },
         slow_start: SlowStart {
-            initial_share: COLD_SPEED,
+            initial_share: INITIAL_SPEED,
             duration: WARM_UP,
             budget_multiple: 2.0,
             window: SECOND,
--- /dev/null
+++ b/crates/linenthread-simulation/src/failover/decisions.rs
@@ -0,0 +1,81 @@
+//! What the decision module of a coordinator requests in one step.
+
+use linenthread_core::DecisionSink;
+use linenthread_core::interface::{
+    Completeness, QueryIndex, ReplicaIndex, SubRequestIndex, TenthMillis,
+};
+
+/// What the decision module requests in one step.
+#[derive(Default)]
+pub(super) struct Decisions {
+    pub(super) attempts: Vec<SendAttempt>,
+    pub(super) responded: Vec<QueryIndex>,
+    pub(super) released: Vec<QueryIndex>,
+    pub(super) cancelled: Vec<CancelAttempt>,
+    pub(super) health_checks: Vec<usize>,
+    pub(super) wake_at: Option<TenthMillis>,
+}
+
+/// An attempt that the module sends.
+pub(super) struct SendAttempt {
+    pub(super) query: QueryIndex,
+    pub(super) sub_request: SubRequestIndex,
+    pub(super) replica: usize,
+    pub(super) timeout: TenthMillis,
+}
+
+/// An attempt that the module gives up; its number counts the attempts of its sub-request from 0.
+pub(super) struct CancelAttempt {
+    pub(super) query: QueryIndex,
+    pub(super) sub_request: SubRequestIndex,
+    pub(super) number: usize,
+}
+
+impl DecisionSink for Decisions {
+    fn send(
+        &mut self,
+        query: QueryIndex,
+        sub_request: SubRequestIndex,
+        replica: ReplicaIndex,
+        timeout: TenthMillis,
+    ) {
+        self.attempts.push(SendAttempt {
+            query,
+            sub_request,
+            replica: replica.0,
+            timeout,
+        });
+    }
+
+    fn cancel(&mut self, query: QueryIndex, sub_request: SubRequestIndex, number: usize) {
+        self.cancelled.push(CancelAttempt {
+            query,
+            sub_request,
+            number,
+        });
+    }
+
+    fn respond(&mut self, query: QueryIndex, _: Completeness) {
+        self.responded.push(query);
+    }
+
+    fn reject(&mut self, _: QueryIndex, _: Option<TenthMillis>) {}
+
+    fn fail(&mut self, _: QueryIndex) {}
+
+    fn release(&mut self, query: QueryIndex) {
+        self.released.push(query);
+    }
+
+    fn close_idle(&mut self, _: ReplicaIndex) {}
+
+    fn probe(&mut self, replica: ReplicaIndex) {
+        self.health_checks.push(replica.0);
+    }
+
+    fn watch_membership(&mut self) {}
+
+    fn wake_at(&mut self, at: TenthMillis) {
+        self.wake_at = Some(at);
+    }
+}
--- a/crates/linenthread-simulation/src/failover_simulation/scenario.rs
+++ b/crates/linenthread-simulation/src/failover/fault.rs
@@ -1,45 +1,7 @@
-//! What is compared: policies under faults.
+//! The fault of a run, and which zones it concerns.
 
 use std::fmt;
 
-/// How routes between zones are decided.
-#[derive(Clone, Copy, Debug, PartialEq)]
-pub(super) enum Policy {
-    /// Not at all: each coordinator selects replicas by its own measurements alone.
-    SelectionAlone,
-    /// A fixed preference for the local zone.
-    FixedPreference,
-    /// Each coordinator runs a controller on its own observations.
-    EachAlone,
-    /// One controller for all, on the observations of all.
-    Common,
-    /// One that knows the true state.
-    TrueState,
-}
-
-impl Policy {
-    pub(super) const ALL: [Policy; 5] = [
-        Policy::SelectionAlone,
-        Policy::FixedPreference,
-        Policy::EachAlone,
-        Policy::Common,
-        Policy::TrueState,
-    ];
-}
-
-/// The heading of a policy's column.
-impl fmt::Display for Policy {
-    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        f.pad(match self {
-            Policy::SelectionAlone => "design alone",
-            Policy::FixedPreference => "near, fixed",
-            Policy::EachAlone => "each alone",
-            Policy::Common => "in common",
-            Policy::TrueState => "true state",
-        })
-    }
-}
-
 /// What goes wrong.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum Fault {
@@ -47,7 +9,7 @@
     ZoneLost,
     ZoneSlow,
     PairPartitioned,
-    /// A zone is lost for a short time, and its replicas return cold.
+    /// A zone is lost for a short time, and its replicas return and have to warm up.
     ShortLoss,
     /// One zone is lost and another is slow.
     LostAndSlow,
@@ -68,6 +30,7 @@
         Fault::LostAndSlow,
     ];
 
+    /// Whether a zone is lost with all its replicas.
     pub(super) fn loses(self, zone: usize) -> bool {
         let loses_zone = matches!(
             self,
@@ -81,11 +44,13 @@
         self.loses(FAULTY_ZONE)
     }
 
+    /// Whether replicas of a zone are slow.
     pub(super) fn slows(self, zone: usize) -> bool {
         self == Fault::ZoneSlow && zone == FAULTY_ZONE
             || self == Fault::LostAndSlow && zone == OTHER_ZONE
     }
 
+    /// Whether two zones cannot reach each other.
     pub(super) fn partitions(self, a: usize, b: usize) -> bool {
         let pair = (a.min(b), a.max(b));
         self == Fault::PairPartitioned && pair == (OTHER_ZONE, FAULTY_ZONE)
--- a/crates/linenthread-simulation/src/fleet_simulation/checks.rs
+++ b/crates/linenthread-simulation/src/fleet/invariants.rs
@@ -5,10 +5,13 @@
 use linenthread_fleet::{Fleet, Voter};
 
 use super::event::ProcessIndex;
+use super::invariant::Invariant;
 use super::process::{Disk, name};
-use super::world::{TOPICS, World};
+use super::traffic::TOPICS;
+use super::world::World;
 
 impl World {
+    /// Whether a process leads and is not paused.
     pub(super) fn is_running_leader(&self, at: ProcessIndex) -> bool {
         let process = &self.processes[at];
         !process.is_paused && process.is_leader(self.now)
@@ -21,15 +24,15 @@
             .map(name)
             .collect();
         if leaders.len() > 1 {
-            self.breach(format!("one-leader: {}", leaders.join(" and ")));
+            self.violated(Invariant::OneLeader, &leaders.join(" and "));
         }
         let former = self.processes[at].former_incarnation;
         let incarnation = self.processes[at].incarnation();
         if former.is_some() && incarnation == former {
-            self.breach(format!(
-                "former-self: {} is {incarnation:?} again",
-                name(at)
-            ));
+            self.violated(
+                Invariant::NewDiskNewIdentity,
+                &format!("{} is {incarnation:?} again", name(at)),
+            );
         }
     }
 
@@ -40,7 +43,7 @@
             .filter(|process| process.is_leader(self.now))
             .count();
         if leaders != 1 {
-            return Some(format!("{leaders} lead"));
+            return Some(format!("{leaders} leaders"));
         }
         (0..self.processes.len()).find_map(|at| self.why_process_incomplete(at))
     }
--- a/crates/linenthread-simulation/src/link_speed.rs
+++ b/crates/linenthread-simulation/src/link_speed.rs
@@ -1,4 +1,5 @@
-//! Benchmark of a link between sites, on loopback sockets with the real program at both ends.
+//! Benchmark of a link between sites, on loopback sockets with the real program at both ends. Outages are checked, too:
+//! violations are those of the checker of `linenthread-fakes`.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
@@ -10,11 +11,14 @@
 use linenthread_fakes::{Client, request_with};
 use serde_json::Value;
 
+use crate::number;
+use crate::run_summary::RunSummary;
+
 /// Queries made one after another, directly and across the link each.
 const ALTERNATING_QUERIES: usize = 1_000;
 /// How long queries are made as fast as they are answered.
 const THROUGHPUT_RUN: Duration = Duration::from_secs(3);
-/// The time between two non-idempotent queries around a cut.
+/// The time between two non-idempotent queries around an outage.
 const QUERY_INTERVAL: Duration = Duration::from_millis(10);
 
 /// The default settings, but for a session time-out longer than any cut, and slow replicas.
@@ -28,7 +32,7 @@
 /// A quantile of the times, which are sorted for that.
 fn quantile(times: &mut [f64], share: f64) -> f64 {
     times.sort_by(f64::total_cmp);
-    times[((times.len() - 1) as f64 * share) as usize]
+    times[number::position(times.len() - 1, share)]
 }
 
 /// Makes a query; the status of its answer, if one arrives.
@@ -51,7 +55,7 @@
     }
     let [direct, across] = &mut times;
     println!(
-        "latency of {ALTERNATING_QUERIES} lookups each, in turn: direct {:.0} us median, {:.0} us at 99%; across {:.0} and {:.0} us",
+        "latency of {ALTERNATING_QUERIES} queries each, in turn: direct {:.0} us median, {:.0} us at 99%; across {:.0} and {:.0} us",
         quantile(direct, 0.5),
         quantile(direct, 0.99),
         quantile(across, 0.5),
@@ -101,18 +105,23 @@
         sleep(THROUGHPUT_RUN);
         over.store(true, Ordering::Relaxed);
     });
-    let (took, done) = (
+    let (elapsed, done) = (
         begin.elapsed().as_secs_f64(),
         done.load(Ordering::Relaxed).max(1),
     );
     let spent: Vec<String> = processes
         .iter()
         .zip(before)
-        .map(|(id, before)| format!("{:.0}", (cpu_seconds(*id) - before) * 1e6 / done as f64))
+        .map(|(id, before)| {
+            format!(
+                "{:.0}",
+                (cpu_seconds(*id) - before) * 1e6 / number::float(done)
+            )
+        })
         .collect();
     println!(
-        "{what}, {in_flight} at once: {:.0} parts a second, CPU a part {} us",
-        done as f64 / took,
+        "{what}, {in_flight} at once: {:.0} sub-requests a second, CPU of each {} us",
+        number::float(done) / elapsed,
         spent.join(" and ")
     );
 }
@@ -123,33 +132,36 @@
         .iter()
         .filter(|t| t.status == Some(200) && t.scheduled_at >= restored);
     answered
-        .map(|t| (t.scheduled_at - restored).as_millis() as i64)
+        .map(|t| i64::try_from((t.scheduled_at - restored).as_millis()).unwrap_or(i64::MAX))
         .min()
         .unwrap_or(-1)
 }
 
-/// Prints the verdict on one run; how many queries were checked, and how many violations found.
-fn report(what: &str, verdict: &Verdict, recovery_ms: i64) -> (usize, usize) {
+/// Prints the verdict on one run.
+fn report(what: &str, verdict: &Verdict, recovery_ms: i64) -> RunSummary {
     let Verdict {
         checked,
-        succeeded: answered,
-        rejected: nacked,
-        failed: aborted,
-        violations: breaches,
+        succeeded,
+        rejected,
+        failed,
+        violations,
     } = verdict;
     println!(
-        "{what}: {checked} asked, {answered} answered, {nacked} nacked, {aborted} aborted, {} lost; whole again after {recovery_ms} ms",
-        checked - answered - nacked - aborted
+        "{what}: {checked} queries, {succeeded} succeeded, {rejected} rejected, {failed} failed, {} lost; recovered after {recovery_ms} ms",
+        checked - succeeded - rejected - failed
     );
-    breaches
+    violations
         .iter()
         .take(5)
-        .for_each(|why| println!("breach: {why}"));
-    (*checked, breaches.len())
+        .for_each(|why| println!("violation: {why}"));
+    RunSummary {
+        checked: *checked,
+        violations: violations.len(),
+    }
 }
 
-/// Makes non-idempotent queries steadily while the link is cut for so long.
-fn measure_cut(sites: &mut Sites, length: Duration, what: &str) -> (usize, usize) {
+/// Makes non-idempotent queries steadily while the link is down for so long.
+fn measure_outage(sites: &mut Sites, length: Duration, what: &str) -> RunSummary {
     let before = Duration::from_millis(500);
     let lasting = before + length + Duration::from_secs(3);
     let tag = format!("{what}{}", length.as_millis()).replace(' ', "-");
@@ -162,14 +174,14 @@
             sites.proxy.set_upstream(Some(sites.link_address));
         });
     report(
-        &format!("{what}, cut for {} ms", length.as_millis()),
+        &format!("{what}, link down for {} ms", length.as_millis()),
         &verdict,
         recovery_ms(&results, before + length),
     )
 }
 
 /// Kills one of two gateways to the same replicas under load.
-fn measure_gateway_failure(exe: &str) -> (usize, usize) {
+fn measure_gateway_failure(exe: &str) -> RunSummary {
     let mut sites = Sites::start(
         exe,
         SitesConfig {
@@ -190,13 +202,14 @@
         },
     );
     let (early, late): (Vec<_>, Vec<_>) = results.iter().partition(|t| t.scheduled_at < before);
-    let share = |of: &[&QueryResult]| {
-        of.iter().filter(|t| t.status == Some(200)).count() as f64 / of.len().max(1) as f64
+    let percent = |of: &[&QueryResult]| {
+        let succeeded = of.iter().filter(|t| t.status == Some(200)).count();
+        number::percent(succeeded, of.len())
     };
     println!(
-        "one of two gateways killed: {:.1}% answered before, {:.1}% after",
-        100.0 * share(&early),
-        100.0 * share(&late)
+        "one of two gateways killed: {:.1}% succeeded before, {:.1}% after",
+        percent(&early),
+        percent(&late)
     );
     report(
         "one of two gateways killed",
@@ -207,7 +220,7 @@
 
 /// Slows first one and then the other of two links: the share of queries that take no longer than on the link
 /// that is not slow, where the optimum is all of them.
-fn measure_link_choice(exe: &str) -> (usize, usize) {
+fn measure_link_choice(exe: &str) -> RunSummary {
     let mut sites = Sites::start(
         exe,
         SitesConfig {
@@ -235,16 +248,14 @@
             sleep(each);
         },
     );
-    for (n, what) in [
-        "both sound",
+    let phases = [
+        "neither slow",
         "the first slow by 20 ms each way",
         "the second slow",
-    ]
-    .into_iter()
-    .enumerate()
-    {
+    ];
+    for (phase, what) in (0..).zip(phases) {
         let in_phase = |t: &&QueryResult| {
-            t.scheduled_at >= each * n as u32 && t.scheduled_at < each * (n as u32 + 1)
+            t.scheduled_at >= each * phase && t.scheduled_at < each * (phase + 1)
         };
         let all = results.iter().filter(in_phase).count();
         let quick = results
@@ -253,11 +264,14 @@
             .filter(|t| t.status == Some(200) && t.latency < slow / 2)
             .count();
         println!(
-            "two links, {what}: {:.1}% of {all} lookups within 10 ms",
-            100.0 * quick as f64 / all.max(1) as f64
+            "two links, {what}: {:.1}% of {all} queries within 10 ms",
+            number::percent(quick, all)
         );
     }
-    (verdict.checked, verdict.violations.len())
+    RunSummary {
+        checked: verdict.checked,
+        violations: verdict.violations.len(),
+    }
 }
 
 /// The resident memory of a process in megabytes.
@@ -278,8 +292,8 @@
             ..SLOW_REPLICAS
         },
     );
-    let near = sites.local.child.id();
-    let before = resident_megabytes(near);
+    let client = sites.local.child.id();
+    let before = resident_megabytes(client);
     sites.proxy.silence(Direction::ToUpstream, true);
     let (max, over) = (std::sync::Mutex::new(0.0_f64), AtomicBool::new(false));
     scope(|threads| {
@@ -305,7 +319,7 @@
         for _ in 0..30 {
             sleep(Duration::from_millis(100));
             let mut max = max.lock().expect("not poisoned");
-            *max = max.max(resident_megabytes(near));
+            *max = max.max(resident_megabytes(client));
         }
         over.store(true, Ordering::Relaxed);
     });
@@ -315,8 +329,8 @@
     );
 }
 
-/// Runs all benchmarks of the program; how many queries were checked, and how many violations found.
-pub(crate) fn run(exe: &str) -> (usize, usize) {
+/// Runs all benchmarks of the program.
+pub(crate) fn run(exe: &str) -> RunSummary {
     let sites = Sites::start(
         exe,
         SitesConfig {
@@ -325,28 +339,30 @@
         },
     );
     measure_latency(&sites);
-    let (near, far) = (sites.local.child.id(), sites.gateway.child.id());
+    let (client, gateway) = (sites.local.child.id(), sites.gateway.child.id());
     for in_flight in [1, 10, 100, 1_000] {
-        measure_throughput(sites.gateway.address, in_flight, &[far], "direct");
-        measure_throughput(sites.local.address, in_flight, &[near, far], "across");
+        measure_throughput(sites.gateway.address, in_flight, &[gateway], "direct");
+        measure_throughput(sites.local.address, in_flight, &[client, gateway], "across");
     }
     measure_stalled_link(exe);
-    let (mut checked, mut breaches) = (0, 0);
-    for (keep, what) in [(15_000, "resumed"), (10, "not resumed")] {
+    let mut summary = RunSummary::default();
+    let session_timeouts = [
+        (Duration::from_secs(15), "resumed"),
+        (Duration::from_millis(10), "not resumed"),
+    ];
+    for (session_timeout, what) in session_timeouts {
         let mut sites = Sites::start(
             exe,
             SitesConfig {
-                session_timeout: Duration::from_millis(keep),
+                session_timeout,
                 ..SLOW_REPLICAS
             },
         );
         for ms in [50, 200, 1_000, 5_000, 10_000] {
-            let (n, b) = measure_cut(&mut sites, Duration::from_millis(ms), what);
-            (checked, breaches) = (checked + n, breaches + b);
+            summary += measure_outage(&mut sites, Duration::from_millis(ms), what);
         }
     }
-    for (n, b) in [measure_gateway_failure(exe), measure_link_choice(exe)] {
-        (checked, breaches) = (checked + n, breaches + b);
-    }
-    (checked, breaches)
+    summary += measure_gateway_failure(exe);
+    summary += measure_link_choice(exe);
+    summary
 }
--- a/crates/linenthread-simulation/src/zones_simulation/checks.rs
+++ b/crates/linenthread-simulation/src/zones/invariants.rs
@@ -3,8 +3,10 @@
 use linenthread_zones::{ALL_KEYS, Loads, Reason, RoutingTable, loads};
 
 use super::fault::Fault;
+use super::invariant::Invariant;
 use super::world::World;
 use super::{MINUTE, START};
+use crate::number;
 
 /// A zone may get this many times its capacity: demand is measured through noise.
 const LOAD_TOLERANCE: f64 = 1.15;
@@ -36,15 +38,21 @@
             .filter(|(from, to)| !fault.may_eject(*from, *to))
             .collect();
         if !wrong.is_empty() {
-            self.breach(format!("wrongly left, from and to: {wrong:?}"));
+            self.violated(
+                Invariant::OnlyFaultyClosed,
+                &format!("closed from and to: {wrong:?}"),
+            );
         }
         let limited = routes_closed_for(table, &[Reason::Capacity, Reason::Slow]);
         if self.fault == Fault::Noise && !limited.is_empty() {
-            self.breach("near-while-safe: ways are closed though nothing is wrong".into());
+            self.violated(
+                Invariant::LocalWhileHealthy,
+                "routes are closed though nothing is wrong",
+            );
         }
     }
 
-    /// *never-past-room*: by what a zone can truly process, or what it bears anyway while all is healthy.
+    /// *within-capacity*: by what a zone can truly process, or what it bears anyway while all is healthy.
     fn check_capacity(&mut self, table: &RoutingTable) {
         let load = loads(&self.topology, &self.demand, &table.rows);
         let usual = self.usual_loads();
@@ -60,13 +68,12 @@
                 && self.fault != Fault::HostileReports
                 && load > capacity.max(usual) * LOAD_TOLERANCE
             {
-                self.breach(format!(
-                    "never-past-room: zone {to} gets {load:.0}, takes {capacity:.0}, usually gets {usual:.0}"
-                ));
+                self.violated(Invariant::WithinCapacity, &format!("zone {to} gets {load:.0}, can process {capacity:.0}, usually gets {usual:.0}"));
             }
         }
     }
 
+    /// Whether the table has closed a route.
     fn is_closed(&self, from: usize, to: usize) -> bool {
         let table = self.table.as_ref();
         table.is_some_and(|table| table.rows[from].routes[to].share == 0)
@@ -89,7 +96,7 @@
     /// Whether the fault must be noticed: enough requests go where it shows.
     pub(super) fn must_be_noticed(&self, drain_accepted: bool) -> bool {
         let usual = self.usual_loads();
-        let coordinators = (self.coordinators.len() / self.topology.zones.len()) as f64;
+        let coordinators = number::float(self.coordinators.len() / self.topology.zones.len());
         let is_used = |to: usize, except: usize| {
             (0..self.topology.zones.len()).any(|from| {
                 let load = usual.between(from, to);
@@ -104,24 +111,27 @@
         }
     }
 
+    /// Whether all routes are open.
     pub(super) fn is_open(&self) -> bool {
         let table = self.table.as_ref();
         table.is_none_or(|table| table.routes().all(|route| route.share == ALL_KEYS))
     }
 
-    /// *no-flap*: openings in a row, one more with each minute, and some with each change of the leader.
+    /// *no-flapping*: openings in a row, one more with each minute, and some with each change of the leader.
     pub(super) fn check_openings(&mut self) {
-        let minutes = (self.now - START) as f64 / MINUTE;
+        let minutes = number::float_of_time(self.now - START) / MINUTE;
         let bound = MAX_OPENINGS + minutes + OPENINGS_PER_LEADER * f64::from(self.leaders);
         if f64::from(self.openings) > bound {
             let openings = self.openings;
-            self.breach(format!(
-                "no-flap: {openings} openings in {minutes:.1} minutes"
-            ));
+            self.violated(
+                Invariant::NoFlapping,
+                &format!("{openings} openings in {minutes:.1} minutes"),
+            );
         }
     }
 }
 
+/// Routes, from and to, that a table has closed or limited for one of these reasons.
 fn routes_closed_for(table: &RoutingTable, reasons: &[Reason]) -> Vec<(usize, usize)> {
     let mut closed = Vec::new();
     for (from, row) in table.rows.iter().enumerate() {
