--- a/crates/linenthread-service/src/serve/mod.rs
+++ b/crates/linenthread-service/src/serve/mod.rs
@@ -15,6 +15,7 @@
 use tokio::net::TcpListener;
 use tokio::signal::unix::{Signal, SignalKind, signal};
 use tokio::sync::watch;
+use tokio::task::JoinHandle;
 use tracing::info;
 
 use crate::clock;
@@ -80,69 +81,116 @@
     let address = config.listen;
     let listener = listener::listen(address).context(ListenSnafu { address })?;
     let mut signals = Signals::new()?;
-    let max_clients = max_clients(&config, &settings);
-    let transports = transports(&config);
-    let driver = driver(&config, &transports, &settings);
-    let fleet = settings
-        .fleet
-        .map(|fleet| fleet_member::join(&config, &driver, fleet, settings.zones));
-    let fleet = fleet.transpose().context(FleetSnafu)?;
-    let mut decisions = actix_rt::spawn(driver.clone().run());
-    let (discovery_address, watched_address) = watch::channel(config.discovery);
-    let mut discovery = actix_rt::spawn(service_discovery::watch(
-        driver.clone(),
-        watched_address,
-        config.coordinator.layout.replica_groups,
-        first_fetch(&config),
-    ));
-    for (peer, number) in settings.peers.into_iter().zip(1..) {
-        let seed = config.seed.wrapping_add(number);
-        links::start_peer(&config, &driver, &transports, peer, seed);
-    }
-    let gateway = settings
-        .gateway
-        .map(|gateway| links::start_gateway(&config, &driver, &transports, gateway));
-    let gateway = gateway.transpose()?;
-    let query_context = query_context(&config, driver, transports, settings.merging);
-    let query_context = Rc::new(query_context);
-    let frontend = HttpFrontend::new(
-        query_context.clone(),
-        max_clients,
-        max_spent_clients(&config),
-    );
-    let listen = listener.local_addr().unwrap_or(config.listen);
-    let merged_indexes = query_context.merging.plans.borrow().count();
+    let mut process = Process::start(&config, settings)?;
+    let listen = listener.local_addr().unwrap_or(address);
+    let merged_indexes = process.query_context.merging.plans.borrow().count();
     info!(name = config.name, %listen, discovery = %config.discovery, merged_indexes, "serving");
     ready(listen);
-    tokio::select! {
-        () = frontend.accept(&listener) => {}
-        () = frontend.sweep() => {}
-        _ = &mut decisions => return Err(ServeError::Decisions),
-        _ = &mut discovery => return Err(ServeError::ServiceDiscovery),
-        _ = signals.terminate.recv() => {}
-        _ = signals.interrupt.recv() => {}
-        () = reload(&mut signals.hangup, &config, files, &discovery_address, &query_context) => {}
-    }
-    shut_down(fleet, gateway, frontend, listener).await;
+    process.run(&listener, &mut signals, &config, files).await?;
+    process.shut_down(listener).await;
     Ok(())
 }
 
-/// Leaves the fleet and the links, then answers the queries that were accepted.
-async fn shut_down(
+/// A process that serves.
+struct Process {
+    frontend: HttpFrontend,
+    query_context: Rc<QueryContext>,
     fleet: Option<FleetHandle>,
     gateway: Option<Gateway>,
-    frontend: HttpFrontend,
-    listener: TcpListener,
-) {
-    if let Some(fleet) = &fleet {
-        fleet.sender.send(ToFleet::Leave).ok();
+    /// Where service discovery is followed; its watch follows a change.
+    discovery_address: watch::Sender<SocketAddr>,
+    /// The task that steps the decision module.
+    decisions: JoinHandle<()>,
+    /// The task that follows service discovery.
+    discovery: JoinHandle<()>,
+}
+
+impl Process {
+    /// Starts all tasks but those that accept clients.
+    fn start(config: &Config, settings: InstallationSettings) -> Result<Process, ServeError> {
+        let max_clients = max_clients(config, &settings);
+        let transports = transports(config);
+        let driver = driver(config, &transports, &settings);
+        let fleet = settings
+            .fleet
+            .map(|fleet| fleet_member::join(config, &driver, fleet, settings.zones));
+        let fleet = fleet.transpose().context(FleetSnafu)?;
+        let decisions = actix_rt::spawn(driver.clone().run());
+        let (discovery_address, watched_address) = watch::channel(config.discovery);
+        let discovery = actix_rt::spawn(service_discovery::watch(
+            driver.clone(),
+            watched_address,
+            config.coordinator.layout.replica_groups,
+            first_fetch(config),
+        ));
+        for (peer, number) in settings.peers.into_iter().zip(1..) {
+            let seed = config.seed.wrapping_add(number);
+            links::start_peer(config, &driver, &transports, peer, seed);
+        }
+        let gateway = settings
+            .gateway
+            .map(|gateway| links::start_gateway(config, &driver, &transports, gateway));
+        let gateway = gateway.transpose()?;
+        let query_context = query_context(config, driver, transports, settings.merging);
+        let query_context = Rc::new(query_context);
+        let frontend = HttpFrontend::new(
+            query_context.clone(),
+            max_clients,
+            max_spent_clients(config),
+        );
+        Ok(Process {
+            frontend,
+            query_context,
+            fleet,
+            gateway,
+            discovery_address,
+            decisions,
+            discovery,
+        })
     }
-    if let Some(gateway) = gateway {
-        gateway.drain(LINKS_DRAIN).await;
+
+    /// Serves until SIGTERM or SIGINT, and reads the files again on each SIGHUP.
+    ///
+    /// # Errors
+    ///
+    /// An essential task has failed.
+    async fn run(
+        &mut self,
+        listener: &TcpListener,
+        signals: &mut Signals,
+        config: &Config,
+        files: ReloadedFiles<'_>,
+    ) -> Result<(), ServeError> {
+        let reload = reload(
+            &mut signals.hangup,
+            config,
+            files,
+            &self.discovery_address,
+            &self.query_context,
+        );
+        tokio::select! {
+            () = self.frontend.accept(listener) => Ok(()),
+            () = self.frontend.sweep() => Ok(()),
+            _ = &mut self.decisions => Err(ServeError::Decisions),
+            _ = &mut self.discovery => Err(ServeError::ServiceDiscovery),
+            _ = signals.terminate.recv() => Ok(()),
+            _ = signals.interrupt.recv() => Ok(()),
+            () = reload => Ok(()),
+        }
     }
-    frontend.stop(listener).await;
-    if let Some(fleet) = fleet {
-        fleet.leave();
+
+    /// Leaves the fleet and the links, then answers the queries that were accepted.
+    async fn shut_down(self, listener: TcpListener) {
+        if let Some(fleet) = &self.fleet {
+            fleet.sender.send(ToFleet::Leave).ok();
+        }
+        if let Some(gateway) = self.gateway {
+            gateway.drain(LINKS_DRAIN).await;
+        }
+        self.frontend.stop(listener).await;
+        if let Some(fleet) = self.fleet {
+            fleet.leave();
+        }
     }
 }
 
