--- a/crates/linenthread-fleet/src/error.rs
+++ b/crates/linenthread-fleet/src/error.rs
@@ -7,7 +7,8 @@
 use crate::config::ConfigError;
 use crate::identifiers::{LogIndex, Term};
 
-/// Why bytes are no frame of the fleet, no record of a voter's disk, or no datagram.
+/// Why bytes are no frame of the fleet, no record of a voter's disk, or no datagram. The text is sent to the peer whose
+/// frame it was: it is wire format.
 #[derive(Clone, Debug, PartialEq, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum RecordError {
--- a/crates/linenthread-link/src/client/config.rs
+++ b/crates/linenthread-link/src/client/config.rs
@@ -109,7 +109,7 @@
     #[snafu(display("the server does not prove that it knows the secret"))]
     Unauthenticated,
     /// The server has refused the connection.
-    #[snafu(display("refused: {reason}"))]
+    #[snafu(display("rejected by the server: {reason}"))]
     Refused {
         /// The server's reason.
         reason: String,
--- a/crates/linenthread-link/src/server/config.rs
+++ b/crates/linenthread-link/src/server/config.rs
@@ -73,7 +73,8 @@
     },
 }
 
-/// Why a server closes a connection. The texts are sent to the client in [`Frame::Refuse`].
+/// Why a server closes a connection. Except for `Superseded` and `SessionDropped`, which are only logged, the texts are
+/// sent to the client in [`Frame::Refuse`]: they are wire format.
 #[derive(Clone, Debug, PartialEq, Snafu)]
 pub enum ServerCloseReason {
     /// The first frame was not a hello.
@@ -92,7 +93,7 @@
     #[snafu(display("no room for a session"))]
     TooManySessions,
     /// The client has established another connection for the session.
-    #[snafu(display("the session goes on on another connection"))]
+    #[snafu(display("the session continues on another connection"))]
     Superseded,
     /// A call that is not the session's next, or that exceeds the credit.
     #[snafu(display("a call beyond its turn or its credit"))]
@@ -104,7 +105,7 @@
     #[snafu(display("nothing is heard"))]
     IdleTimeout,
     /// The session is dropped.
-    #[snafu(display("the session is given up"))]
+    #[snafu(display("the session was dropped"))]
     SessionDropped,
     /// The client has refused the connection.
     #[snafu(display("{reason}"))]
--- a/crates/linenthread-merge/src/page_reader.rs
+++ b/crates/linenthread-merge/src/page_reader.rs
@@ -58,7 +58,7 @@
                     })?);
                 }
                 "more" if more.is_none() => more = Some(map.next_value::<bool>()?),
-                "rows" | "more" => return Err(Error::custom(format!("{key} stands twice"))),
+                "rows" | "more" => return Err(Error::custom(format!("{key} is repeated"))),
                 _ => drop(map.next_value::<IgnoredAny>()?),
             }
         }
@@ -132,7 +132,7 @@
             return Err(format!("a row has more than {MAX_ROW_BYTES} bytes"));
         }
         if self.last.as_ref().is_some_and(|last| key <= last) {
-            return Err("its rows are not in order, or before what was asked for".into());
+            return Err("its rows are not in order, or not after the requested position".into());
         }
         Ok(())
     }
--- a/crates/linenthread-merge/src/row_fields.rs
+++ b/crates/linenthread-merge/src/row_fields.rs
@@ -112,7 +112,7 @@
             let raw = map.next_value::<&RawValue>()?.get();
             for slot in slots {
                 if slot.replace(raw).is_some() {
-                    return Err(Error::custom("a field stands twice in a row"));
+                    return Err(Error::custom("a field is repeated in a row"));
                 }
             }
         }
