--- a/crates/linenthread-service/src/transports/connection/mod.rs
+++ b/crates/linenthread-service/src/transports/connection/mod.rs
@@ -124,23 +124,11 @@
         let mut in_flight = Vec::new();
         for (id, outgoing) in ids.into_iter().zip(sub_requests) {
             let number = next_number();
-            let pending = PendingAttempt {
-                number,
-                key: outgoing.key,
-                progress: WriteProgress::Incomplete,
-                outcomes: outcomes.clone(),
-            };
-            self.attempts.borrow_mut().insert(id.clone(), pending);
             sent.push(SentAttempt {
                 id: id.clone(),
                 number,
             });
-            in_flight.push(InFlightAttempt {
-                connection: self.clone(),
-                id,
-                number,
-                sent: Instant::now(),
-            });
+            in_flight.push(self.register(id, number, outgoing.key, outcomes));
         }
         self.outgoing.borrow_mut().push_back(OutgoingFrame {
             bytes,
@@ -150,6 +138,29 @@
         in_flight
     }
 
+    /// Adds an attempt to those that wait for a response.
+    fn register(
+        self: &Rc<Self>,
+        id: String,
+        number: AttemptNumber,
+        key: AttemptKey,
+        outcomes: &OutcomeSender,
+    ) -> InFlightAttempt {
+        let pending = PendingAttempt {
+            number,
+            key,
+            progress: WriteProgress::Incomplete,
+            outcomes: outcomes.clone(),
+        };
+        self.attempts.borrow_mut().insert(id.clone(), pending);
+        InFlightAttempt {
+            connection: self.clone(),
+            id,
+            number,
+            sent: Instant::now(),
+        }
+    }
+
     /// Queues a probe.
     pub(in crate::transports) fn send_probe(&self) -> oneshot::Receiver<ProbeReport> {
         let (report, response) = oneshot::channel();
--- a/crates/linenthread-service/src/transports/link/mod.rs
+++ b/crates/linenthread-service/src/transports/link/mod.rs
@@ -32,6 +32,19 @@
     outcomes: OutcomeSender,
 }
 
+impl PendingCall {
+    /// Reports the outcome to the task of the call's query.
+    fn complete(self, outcome: AttemptOutcome, queue_depth: Option<f64>, value: String) {
+        let attempt = FinishedAttempt {
+            key: self.key,
+            outcome,
+            queue_depth,
+            value,
+        };
+        self.outcomes.send(attempt).ok();
+    }
+}
+
 /// A change of what a link reaches.
 pub(crate) enum LinkEvent {
     /// The replicas behind the link have changed.
@@ -151,14 +164,8 @@
                 value,
             } => {
                 let pending = self.0.calls.borrow_mut().remove(&id);
-                if let Some(PendingCall { key, outcomes }) = pending {
-                    let attempt = FinishedAttempt {
-                        key,
-                        outcome,
-                        queue_depth,
-                        value,
-                    };
-                    outcomes.send(attempt).ok();
+                if let Some(pending) = pending {
+                    pending.complete(outcome, queue_depth, value);
                 }
             }
             ClientAction::ProbeCompleted {
@@ -178,15 +185,18 @@
             ClientAction::Members(report) => {
                 self.0.events.send(LinkEvent::Members(report)).ok();
             }
-            ClientAction::Availability(availability) => {
-                match availability {
-                    LinkAvailability::Up => info!(peer = self.0.name, "link up"),
-                    LinkAvailability::Down => info!(peer = self.0.name, "link down"),
-                }
-                let event = LinkEvent::Availability(availability);
-                self.0.events.send(event).ok();
-            }
+            ClientAction::Availability(availability) => self.report_availability(availability),
+        }
+    }
+
+    /// Reports a change to the log and to the coordinator driver.
+    fn report_availability(&self, availability: LinkAvailability) {
+        match availability {
+            LinkAvailability::Up => info!(peer = self.0.name, "link up"),
+            LinkAvailability::Down => info!(peer = self.0.name, "link down"),
         }
+        let event = LinkEvent::Availability(availability);
+        self.0.events.send(event).ok();
     }
 
     /// Sends sub-requests of one query to one replica, each as a call of its own.
