--- a/crates/linenthread-fleet/src/event.rs
+++ b/crates/linenthread-fleet/src/event.rs
@@ -105,7 +105,7 @@
                 )
             }
             FleetEvent::VoterOpened => write!(f, "voter started"),
-            FleetEvent::Founded => write!(f, "fleet bootstrapped with this voter"),
+            FleetEvent::Founded => write!(f, "bootstrapped with this voter"),
             FleetEvent::IdentityReplaced { incarnation } => write!(
                 f,
                 "the disk is empty although the fleet exists, new identity {incarnation:x}"
