--- a/crates/linenthread-merge/tests/cursors.rs
+++ b/crates/linenthread-merge/tests/cursors.rs
@@ -2,6 +2,7 @@
 
 use std::time::Duration;
 
+use linenthread_core::interface::Completeness;
 use linenthread_merge::{
     Acceptance, Aggregation, CursorError, CursorSigner, FieldType, MergeQuery, Merger, PageRequest,
     Plan, QueriedShard, QueryError, RowPlan, SecretError, SortField,
@@ -83,7 +84,8 @@
 }
 
 fn response(merger: &Merger, signer: &CursorSigner, unix_seconds: u64) -> Value {
-    serde_json::from_slice(&merger.response(true, Some(signer), unix_seconds)).unwrap()
+    serde_json::from_slice(&merger.response(Completeness::Complete, Some(signer), unix_seconds))
+        .unwrap()
 }
 
 /// A cursor after the first of two rows.
@@ -118,7 +120,7 @@
     for unix_seconds in [161, 39] {
         let error = cursor_error(begin(&plan, &signer, Some(cursor.clone()), unix_seconds));
         assert_eq!(error, CursorError::Expired);
-        assert!(error.to_string().contains("no longer good"));
+        assert!(error.to_string().contains("the cursor has expired"));
     }
 }
 
@@ -270,7 +272,7 @@
             let value = json!({"rows": [row], "more": true}).to_string();
             assert_eq!(merger.accept(index, 0, &value), Acceptance::Counted);
         }
-        let body = merger.response(true, Some(&signer), NOW);
+        let body = merger.response(Completeness::Complete, Some(&signer), NOW);
         assert_eq!(String::from_utf8(body).unwrap(), response.trim_end());
         let response: Value = serde_json::from_str(response).unwrap();
         let cursor = response["next"].as_str().map(str::to_owned);
--- a/crates/linenthread-service/src/dispatcher/zones.rs
+++ b/crates/linenthread-service/src/coordinator_driver/zones.rs
@@ -1,14 +1,14 @@
-//! The dispatcher's part in routing between zones: observations go to the fleet, its routing tables to the
+//! The driver's part in routing between zones: observations go to the fleet, its routing tables to the
 //! coordinator.
 
 use linenthread_core::interface::{AttemptOutcome, ReplicaIndex, TenthMillis};
 use linenthread_zones::RoutingTable;
 use tracing::warn;
 
-use super::Dispatcher;
+use super::CoordinatorDriver;
 use crate::zone_routing::{ZoneReport, ZoneRouting};
 
-impl Dispatcher {
+impl CoordinatorDriver {
     /// Passes the routes between zones to the coordinator, where there are zones.
     pub(super) fn update_zone_routes(&self) {
         let state = self.0.state.borrow();
@@ -37,7 +37,7 @@
     pub(crate) fn report_zones(&self) -> Option<ZoneReport> {
         let now = self.0.clock.now();
         if self.0.state.borrow_mut().zones.as_mut()?.expire_table(now) {
-            warn!("no word of the table for its life: all ways are open again, the nearest first");
+            warn!("routing table expired, all routes are open, the nearest zone first");
             self.update_zone_routes();
         }
         Some(self.0.state.borrow_mut().zones.as_mut()?.report())
--- a/crates/linenthread-service/src/frontends/link/calls.rs
+++ b/crates/linenthread-service/src/frontends/link/calls.rs
@@ -35,7 +35,7 @@
         call: Call,
         cancelled: Rc<Notify>,
     ) {
-        let finished = match self.0.dispatcher.direct_replica(&call.replica) {
+        let finished = match self.0.driver.direct_replica(&call.replica) {
             None => FinishedAttempt::without_value(ONLY_ATTEMPT, AttemptOutcome::NotSent),
             Some(replica) => self.attempt(replica, timeout, &call, &cancelled).await,
         };
@@ -57,7 +57,7 @@
         call: &Call,
         cancelled: &Notify,
     ) -> FinishedAttempt {
-        let (finished, mut finished_attempts) = mpsc::unbounded_channel();
+        let (outcomes, mut finished_attempts) = mpsc::unbounded_channel();
         let outgoing = OutgoingSubRequest {
             key: ONLY_ATTEMPT,
             shard: usize::try_from(call.shard).unwrap_or(usize::MAX),
@@ -71,7 +71,7 @@
             &call.query,
             &[outgoing],
             clock::to_millis_ceil(wait),
-            &finished,
+            &outcomes,
         );
         // What is still in flight is cancelled as it is dropped.
         tokio::select! {
@@ -88,7 +88,7 @@
 
     /// Probes a replica for the other side, and sends it the outcome.
     pub(super) async fn probe(self, connection: ConnectionId, id: ProbeId, replica: String) {
-        let report = match self.0.dispatcher.direct_replica(&replica) {
+        let report = match self.0.driver.direct_replica(&replica) {
             Some(replica) => self.0.transports.probe(replica).await,
             None => ProbeReport::without_load(AttemptOutcome::NotSent),
         };
--- a/crates/linenthread-service/src/query/pending_attempts.rs
+++ b/crates/linenthread-service/src/query/pending_attempts.rs
@@ -11,7 +11,7 @@
 use super::QueryContext;
 use crate::clock;
 use crate::transports::InFlightAttempt;
-use crate::transports::attempt::{AttemptKey, FinishedAttempts, OutgoingSubRequest};
+use crate::transports::attempt::{AttemptKey, OutcomeSender, OutgoingSubRequest};
 
 /// An attempt that is cancelled this close to its deadline counts as timed out for its connection: a query that
 /// runs out of time cancels its attempts at about the moment when they time out.
@@ -85,10 +85,10 @@
             return;
         };
         pending.judge_connection(outcome);
-        let dispatcher = &self.context.dispatcher;
-        let elapsed = dispatcher.clock().now() - pending.sent;
-        dispatcher.observe_outcome(pending.replica, outcome, elapsed);
-        dispatcher.report_attempt(AttemptResult {
+        let driver = &self.context.driver;
+        let elapsed = driver.clock().now() - pending.sent;
+        driver.observe_outcome(pending.replica, outcome, elapsed);
+        driver.report_attempt(AttemptResult {
             query: self.query,
             sub_request: key.sub_request,
             attempt: key.attempt,
@@ -103,17 +103,17 @@
         &mut self,
         batches: &mut SendBatches,
         query_id: &str,
-        finished: &FinishedAttempts,
+        outcomes: &OutcomeSender,
     ) {
         let now = Instant::now();
-        let sent = self.context.dispatcher.clock().now();
+        let sent = self.context.driver.clock().now();
         let max_per_frame = self.context.cluster.max_sub_requests_per_call;
         for (BatchKey { replica, timeout }, batch) in std::mem::take(batches) {
             let wait = clock::to_duration(timeout.max(1));
             let wait_ms = clock::to_millis_ceil(wait);
             for sub_requests in batch.chunks(max_per_frame) {
                 let transports = &self.context.transports;
-                let in_flight = transports.send(replica, query_id, sub_requests, wait_ms, finished);
+                let in_flight = transports.send(replica, query_id, sub_requests, wait_ms, outcomes);
                 for (outgoing, in_flight) in sub_requests.iter().zip(in_flight) {
                     let pending = PendingAttempt {
                         sent,
--- a/crates/linenthread-service/src/transports/link/mod.rs
+++ b/crates/linenthread-service/src/transports/link/mod.rs
@@ -13,8 +13,8 @@
 use linenthread_core::interface::{AttemptOutcome, TenthMillis};
 use linenthread_link::routing::LinkStatus;
 use linenthread_link::{
-    Call, CallId, ClientAction, ClientCloseReason, ClientConfig, Frame, LinkClient, Member,
-    ProbeId, Secrets,
+    Call, CallId, ClientAction, ClientCloseReason, ClientConfig, Frame, LinkAvailability,
+    LinkClient, MembersReport, ProbeId, Secrets,
 };
 use tokio::sync::{Notify, mpsc, oneshot};
 use tokio::time::timeout;
@@ -23,24 +23,34 @@
 use crate::clock::{self, Clock};
 use crate::log::LogRateLimit;
 use crate::transports::attempt::{
-    AttemptKey, FinishedAttempt, FinishedAttempts, OutgoingSubRequest, ProbeReport,
+    AttemptKey, FinishedAttempt, OutcomeSender, OutgoingSubRequest, ProbeReport,
 };
 
 /// A call that waits for its outcome.
 struct PendingCall {
     key: AttemptKey,
-    finished: FinishedAttempts,
+    outcomes: OutcomeSender,
+}
+
+impl PendingCall {
+    /// Reports the outcome to the task of the call's query.
+    fn complete(self, outcome: AttemptOutcome, queue_depth: Option<f64>, value: String) {
+        let attempt = FinishedAttempt {
+            key: self.key,
+            outcome,
+            queue_depth,
+            value,
+        };
+        self.outcomes.send(attempt).ok();
+    }
 }
 
 /// A change of what a link reaches.
 pub(crate) enum LinkEvent {
-    /// The replicas behind the link: all of them where `complete`, else those that have changed.
-    Members {
-        complete: bool,
-        members: Vec<Member>,
-    },
-    /// The link is up, or down.
-    Up(bool),
+    /// The replicas behind the link have changed.
+    Members(MembersReport),
+    /// Whether the link accepts calls has changed.
+    Availability(LinkAvailability),
 }
 
 struct Inner {
@@ -123,7 +133,7 @@
         peer
     }
 
-    /// Whether the link is up, and its room.
+    /// Whether the link is usable, and its capacity.
     pub(crate) fn status(&self) -> LinkStatus {
         self.0.client.borrow().status()
     }
@@ -154,14 +164,8 @@
                 value,
             } => {
                 let pending = self.0.calls.borrow_mut().remove(&id);
-                if let Some(PendingCall { key, finished }) = pending {
-                    let attempt = FinishedAttempt {
-                        key,
-                        outcome,
-                        queue_depth,
-                        value,
-                    };
-                    finished.send(attempt).ok();
+                if let Some(pending) = pending {
+                    pending.complete(outcome, queue_depth, value);
                 }
             }
             ClientAction::ProbeCompleted {
@@ -178,15 +182,21 @@
                     pending.send(report).ok();
                 }
             }
-            ClientAction::Members { complete, members } => {
-                let event = LinkEvent::Members { complete, members };
-                self.0.events.send(event).ok();
-            }
-            ClientAction::Up(up) => {
-                info!(peer = self.0.name, up, "link");
-                self.0.events.send(LinkEvent::Up(up)).ok();
+            ClientAction::Members(report) => {
+                self.0.events.send(LinkEvent::Members(report)).ok();
             }
+            ClientAction::Availability(availability) => self.report_availability(availability),
+        }
+    }
+
+    /// Reports a change to the log and to the coordinator driver.
+    fn report_availability(&self, availability: LinkAvailability) {
+        match availability {
+            LinkAvailability::Up => info!(peer = self.0.name, "link up"),
+            LinkAvailability::Down => info!(peer = self.0.name, "link down"),
         }
+        let event = LinkEvent::Availability(availability);
+        self.0.events.send(event).ok();
     }
 
     /// Sends sub-requests of one query to one replica, each as a call of its own.
@@ -196,7 +206,7 @@
         query_id: &str,
         sub_requests: &[OutgoingSubRequest],
         wait: Duration,
-        finished: &FinishedAttempts,
+        outcomes: &OutcomeSender,
     ) -> Vec<InFlightAttempt> {
         let deadline = self.0.clock.now() + clock::to_tenths(wait);
         let start = |outgoing: &OutgoingSubRequest| {
@@ -207,7 +217,7 @@
                 continuation: outgoing.continuation,
                 text: outgoing.text.to_string(),
             };
-            self.start_call(call, deadline, outgoing, finished)
+            self.start_call(call, deadline, outgoing, outcomes)
         };
         sub_requests.iter().map(start).collect()
     }
@@ -217,7 +227,7 @@
         call: Call,
         deadline: TenthMillis,
         outgoing: &OutgoingSubRequest,
-        finished: &FinishedAttempts,
+        outcomes: &OutcomeSender,
     ) -> InFlightAttempt {
         let mut id = CallId(0);
         // The call may complete at once: it is registered before its actions are performed.
@@ -225,7 +235,7 @@
             id = client.call(now, call, deadline, outgoing.priority, actions);
             let pending = PendingCall {
                 key: outgoing.key,
-                finished: finished.clone(),
+                outcomes: outcomes.clone(),
             };
             self.0.calls.borrow_mut().insert(id, pending);
         });
