--- a/crates/linenthread-consensus/src/acceptor.rs
+++ b/crates/linenthread-consensus/src/acceptor.rs
@@ -8,7 +8,9 @@
 
 /// What this node has promised and accepted for one number.
 ///
-/// Both methods return the record that must be synced before the reply leaves: what another node relies on survives a
+/// A request for another number must not be handed to it: [`crate::Register`] checks that before.
+///
+/// `on_prepare` and `on_accept` return the record that must be synced before the reply leaves: what another node relies on survives a
 /// restart (*one-value-a-number*).
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Acceptor {
@@ -33,7 +35,7 @@
         }
     }
 
-    /// The lowest number that it may vote on.
+    /// The only number that it votes on: all below are decided, and the next one waits until this one is.
     pub(crate) fn number(&self) -> ValueNumber {
         self.number
     }
--- a/crates/linenthread-consensus/src/durability.rs
+++ b/crates/linenthread-consensus/src/durability.rs
@@ -36,10 +36,11 @@
     order_log_written: RecordNumber,
     /// The last record of the order log up to which nothing is missing on the disk.
     order_log_synced: RecordNumber,
-    /// The last record that held new orders: each one after it repeats the whole log.
-    order_log_required: RecordNumber,
-    /// The last record that repeats the whole log.
-    order_log_snapshot: RecordNumber,
+    /// The last record that held new orders. The log is durable once the disk holds this record and all before it; a
+    /// later one suffices by itself, since it repeats the whole log.
+    last_new_orders: RecordNumber,
+    /// The last record that repeats the whole log: it suffices by itself.
+    last_complete_log: RecordNumber,
     value_written_at: Instant,
     order_log_written_at: Instant,
     rewrite_interval: Duration,
@@ -53,8 +54,8 @@
             number,
             order_log_written: RecordNumber::NONE,
             order_log_synced: RecordNumber::NONE,
-            order_log_required: RecordNumber::NONE,
-            order_log_snapshot: RecordNumber::NONE,
+            last_new_orders: RecordNumber::NONE,
+            last_complete_log: RecordNumber::NONE,
             value_written_at: Instant::START,
             order_log_written_at: Instant::START,
             rewrite_interval: REWRITE_INTERVAL,
@@ -68,7 +69,7 @@
 
     /// Whether all records of the order log are synced.
     pub(crate) fn is_order_log_synced(&self) -> bool {
-        self.order_log_synced >= self.order_log_required
+        self.order_log_synced >= self.last_new_orders
     }
 
     /// Whether the value of this number and all records of the order log are synced.
@@ -97,7 +98,7 @@
         orders: Vec<OrderIdentity>,
         effects: &mut Vec<Effect>,
     ) {
-        self.order_log_required = self.order_log_written.next();
+        self.last_new_orders = self.order_log_written.next();
         self.persist_order_log_record(now, orders, effects);
     }
 
@@ -108,7 +109,7 @@
         orders: Vec<OrderIdentity>,
         effects: &mut Vec<Effect>,
     ) {
-        self.order_log_snapshot = self.order_log_written.next();
+        self.last_complete_log = self.order_log_written.next();
         self.persist_order_log_record(now, orders, effects);
     }
 
@@ -146,8 +147,8 @@
     pub(crate) fn on_synced(&mut self, synced: &Synced) {
         self.number = self.number.max(ValueNumber::new(synced.number));
         let record = RecordNumber(synced.order_log_record);
-        let repeats_all = record > self.order_log_required || record == self.order_log_snapshot;
-        if record == self.order_log_synced.next() || repeats_all {
+        let repeats_log = record > self.last_new_orders || record == self.last_complete_log;
+        if record == self.order_log_synced.next() || repeats_log {
             self.order_log_synced = self.order_log_synced.max(record);
         }
     }
--- a/crates/linenthread-consensus/src/order_log.rs
+++ b/crates/linenthread-consensus/src/order_log.rs
@@ -89,7 +89,8 @@
             .map(|(revision, entry)| identity(*revision, entry))
     }
 
-    /// Whether no accepted order is missing, but for those that were dropped or that no voter has.
+    /// Whether no accepted order is missing, but for those that were dropped or that no voter has. A log that holds
+    /// as many orders as are retained at least ([`MAX_LOGGED_ORDERS`]) asks for no more, and counts as complete.
     pub fn is_complete(&self) -> bool {
         self.missing.is_none() || self.entries.len() >= MAX_LOGGED_ORDERS
     }
--- a/crates/linenthread-control/src/address_book.rs
+++ b/crates/linenthread-control/src/address_book.rs
@@ -19,7 +19,8 @@
 /// The longest backoff later on.
 const MAX_BACKOFF: Duration = Duration::from_millis(1_600);
 
-/// The node with the higher address waits so long for the other to dial, so that not both do.
+/// A node that learns an address below its own waits so long for the node there to dial, so that not both do. After a
+/// connection has ended both wait so long.
 const YIELD: Duration = Duration::from_millis(300);
 
 /// A dial in progress is not repeated for so long.
--- a/crates/linenthread-control/src/control_node/admission.rs
+++ b/crates/linenthread-control/src/control_node/admission.rs
@@ -13,10 +13,13 @@
         (!self.has_quorum(now)).then_some(Response::Unavailable(UnavailableReason::NoQuorum))
     }
 
-    /// The same for calls that wait for a round of the voters: while the node starts, contact may come in time.
+    /// Why a call that waits for a round of the voters is rejected outright, if so: as the others, but while the node
+    /// starts, contact may come in time.
     pub(super) fn rejection_of_agreement(&self, now: Instant) -> Option<Response> {
+        if !self.is_shutting_down() && self.contact.is_starting(now) {
+            return None;
+        }
         self.rejection(now)
-            .filter(|_| self.is_shutting_down() || !self.contact.is_starting(now))
     }
 
     /// Calls that arrive during a shutdown go to another control node.
--- a/crates/linenthread-control/src/control_node/leader_lease.rs
+++ b/crates/linenthread-control/src/control_node/leader_lease.rs
@@ -1,7 +1,7 @@
 //! The leader lease of this node, and its grant of that of another.
 
 use linenthread_consensus::{DeferredMessage, Epoch, LeaseProgress, NodeId};
-use linenthread_messages::{LeaseRelease, LeaseReply, LeaseRequest, PeerMessage, Record};
+use linenthread_messages::{LeaseRelease, LeaseReply, LeaseRequest, PeerMessage};
 use linenthread_time::Instant;
 
 use crate::graceful_shutdown::ShutdownStep;
@@ -68,15 +68,11 @@
             self.send_to_node(from, reply, effects);
             self.deliver_loopback(now, effects);
         } else {
-            let record = Record {
-                epoch: epoch.get(),
-                ..Record::default()
-            };
             let reply = DeferredMessage {
                 to: from,
                 message: reply,
             };
-            self.persist(record, vec![reply], effects);
+            self.persist_epoch(epoch, reply, effects);
         }
     }
 
--- a/crates/linenthread-control/src/control_node/register_driver.rs
+++ b/crates/linenthread-control/src/control_node/register_driver.rs
@@ -39,23 +39,29 @@
         }
     }
 
-    /// Hands a record to the disk. If there is a new epoch in it, this node is notified when that is durable.
-    pub(super) fn persist(
-        &mut self,
-        record: Record,
-        mut after_sync: Vec<DeferredMessage>,
+    /// Hands the epoch of a lease that this node grants to the disk. Once it is durable the reply is sent, and this node
+    /// notified; the register notes by itself what of its own records is durable.
+    pub(super) fn persist_epoch(
+        &self,
+        epoch: Epoch,
+        reply: DeferredMessage,
         effects: &mut Vec<Effect>,
     ) {
-        if record.epoch > 0 {
-            after_sync.push(DeferredMessage {
-                to: self.register.id(),
-                message: PeerMessage::DurableProgress(DurableProgress {
-                    value_number: None,
-                    epoch: record.epoch,
-                }),
-            });
-        }
-        effects.push(Effect::Persist { record, after_sync });
+        let record = Record {
+            epoch: epoch.get(),
+            ..Record::default()
+        };
+        let notification = DeferredMessage {
+            to: self.register.id(),
+            message: PeerMessage::DurableProgress(DurableProgress {
+                value_number: None,
+                epoch: epoch.get(),
+            }),
+        };
+        effects.push(Effect::Persist {
+            record,
+            after_sync: vec![reply, notification],
+        });
     }
 
     /// Runs `first` on the register, then drives it until it has nothing more to do.
--- a/crates/linenthread-control/src/control_node/replica_calls.rs
+++ b/crates/linenthread-control/src/control_node/replica_calls.rs
@@ -68,7 +68,9 @@
             self.pending_drains.forget(replica_id);
             self.queue_for_peers(replica_id, &[]);
         }
-        // It may have departed before, and too few others have acknowledged that so far.
+        // It may have departed before, and too few others have acknowledged that so far. Of a replica that is not known
+        // here there is nothing to make known: it never reached this node, or ended so long ago that it is forgotten.
+        // Should another node know it still, it times out there.
         let awaits_majority = self.registry.get(replica_id).is_some()
             && !self.pending_drains.is_known_by_majority(replica_id);
         if awaits_majority {
--- a/crates/linenthread-control/src/graceful_shutdown.rs
+++ b/crates/linenthread-control/src/graceful_shutdown.rs
@@ -35,7 +35,7 @@
 pub struct LocalWork {
     /// It accepted a value that it does not know to be decided.
     pub has_undecided_value: bool,
-    /// Calls wait for their responses.
+    /// Calls of operators or replicas, or a change of the voters by this node, wait for their outcome.
     pub has_pending_calls: bool,
     /// It holds the leader lease.
     pub is_leader: bool,
--- a/crates/linenthread-control/src/pending_jobs.rs
+++ b/crates/linenthread-control/src/pending_jobs.rs
@@ -37,7 +37,7 @@
         self.owners.remove(&job)
     }
 
-    /// Whether any operator waits.
+    /// Whether the call of some operator waits for its job.
     pub(crate) fn has_calls(&self) -> bool {
         self.has(|owner| matches!(owner, JobOwner::Call(_)))
     }
--- a/crates/linenthread-control/src/replica_registry.rs
+++ b/crates/linenthread-control/src/replica_registry.rs
@@ -35,7 +35,7 @@
     pub capacity: u32,
     /// Whether it takes requests.
     pub phase: ReportedPhase,
-    /// How much longer it warms up, in milliseconds.
+    /// How much longer it warms up, in milliseconds. What the first heartbeat says counts.
     #[serde(default)]
     pub warmup_ms: u32,
     /// Its count of calls to control nodes, which orders them.
@@ -127,6 +127,8 @@
             || self.replica.capacity != report.capacity
             || self.replica.zone != report.zone;
         self.replica = Replica {
+            // Filled in by `snapshot`. `warmed_up_at` stays as the first report set it: later ones count down the same
+            // warm-up, and those by way of another control node arrive later than they were made.
             age_ms: 0,
             warmup_ms: 0,
             timed_out_or_ended: false,
--- a/crates/linenthread-node/src/control/state_writer.rs
+++ b/crates/linenthread-node/src/control/state_writer.rs
@@ -14,7 +14,9 @@
 /// The log is compacted once it is longer, in bytes.
 const COMPACT_ABOVE_BYTES: u64 = 16 << 20;
 
-/// Records that may wait to be written; more are dropped with their messages, which the register sends again later.
+/// Records that may wait to be written; more are dropped, with the messages that wait for them. The register hands its
+/// records over again when they are not synced in time, and the epoch of a lease comes back with the next request for
+/// it. The registry's snapshot is not handed over again before the registry changes.
 const MAX_QUEUED_RECORDS: usize = 256;
 
 /// The thread's stack, in bytes: it needs little.
