--- a/crates/linenthread-checker/src/register/state.rs
+++ b/crates/linenthread-checker/src/register/state.rs
@@ -3,7 +3,7 @@
 use std::hash::{Hash, Hasher};
 use std::sync::Arc;
 
-use linenthread_consensus::{DurableState, Incarnation, NodeId, Register};
+use linenthread_consensus::{DurableState, Incarnation, NodeId, Register, SyncedRecord};
 use linenthread_messages::{Envelope, PeerMessage, Record, Value, Voter};
 use linenthread_time::Instant;
 use prost::Message as _;
@@ -35,11 +35,18 @@
     }
 }
 
-/// A record that is not synced yet, with the messages that wait for it.
+/// A record that is not synced yet, with what waits for it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct UnsyncedRecord {
     pub(crate) record: Record,
-    pub(crate) after_sync: Vec<InFlight>,
+    pub(crate) after_sync: Vec<Waiting>,
+}
+
+/// What waits until a record is synced.
+#[derive(Clone, Debug, PartialEq, Eq, Hash)]
+pub(crate) enum Waiting {
+    Message(InFlight),
+    RecordSynced(SyncedRecord),
 }
 
 /// A node: what it has in memory, and what its disk holds.
--- a/crates/linenthread-checker/src/register/transition.rs
+++ b/crates/linenthread-checker/src/register/transition.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use linenthread_consensus::{
-    Change, DeferredMessage, Effect, Epoch, JobId, NodeId, Outcome, ValueNumber,
+    AfterSync, Change, Effect, Epoch, JobId, NodeId, Outcome, SyncedRecord, ValueNumber,
 };
 use linenthread_messages::{PeerMessage, Record, Value};
 use linenthread_time::Instant;
@@ -13,7 +13,7 @@
 use crate::register::action::Action;
 use crate::register::obsolete;
 use crate::register::scenario::{Call, Scenario};
-use crate::register::state::{InFlight, SystemState, UnsyncedRecord};
+use crate::register::state::{InFlight, SystemState, UnsyncedRecord, Waiting};
 
 /// A tick moves a node's clock by this much, past every time-out.
 const TICK: Duration = Duration::from_secs(2);
@@ -41,8 +41,13 @@
 struct Transition<'a> {
     state: SystemState,
     scenario: &'a Scenario,
-    /// Messages of the acting node to itself, which arrive at once.
-    loopback: VecDeque<PeerMessage>,
+    /// What the acting node tells itself, at once.
+    loopback: VecDeque<Loopback>,
+}
+
+enum Loopback {
+    Message(PeerMessage),
+    RecordSynced(SyncedRecord),
 }
 
 impl Transition<'_> {
@@ -150,14 +155,16 @@
         self.deliver_loopback(node);
     }
 
-    /// Delivers the acting node's messages to itself, until none is left.
+    /// Handles what the acting node tells itself, until nothing is left.
     fn deliver_loopback(&mut self, node: NodeIndex) {
-        while let Some(message) = self.loopback.pop_front() {
+        while let Some(event) = self.loopback.pop_front() {
             let mut effects = Vec::new();
             let acting = self.state.node_mut(node);
-            acting
-                .register
-                .on_message(acting.now, acting.id, message, &mut effects);
+            let (now, id, register) = (acting.now, acting.id, &mut acting.register);
+            match event {
+                Loopback::Message(message) => register.on_message(now, id, message, &mut effects),
+                Loopback::RecordSynced(synced) => register.on_synced(now, synced, &mut effects),
+            }
             self.carry_out_once(node, effects);
         }
     }
@@ -176,17 +183,24 @@
 
     fn send(&mut self, from: NodeId, message: InFlight) {
         if message.to == from {
-            self.loopback.push_back(message.message);
+            self.loopback.push_back(Loopback::Message(message.message));
         } else if self.state.find_node(message.to).is_some() {
             self.state.send(message);
         }
     }
 
-    fn persist(&mut self, node: NodeIndex, record: Record, after_sync: Vec<DeferredMessage>) {
+    fn persist(&mut self, node: NodeIndex, record: Record, after_sync: Vec<AfterSync>) {
         let from = self.state.node(node).id;
         let after_sync = after_sync
             .into_iter()
-            .map(|DeferredMessage { to, message }| InFlight::new(from, to, message))
+            .filter_map(|next| match next {
+                AfterSync::Send { to, message } => {
+                    Some(Waiting::Message(InFlight::new(from, to, message)))
+                }
+                AfterSync::RecordSynced(synced) => Some(Waiting::RecordSynced(synced)),
+                // No register asks for it.
+                AfterSync::EpochSynced(_) => None,
+            })
             .collect();
         let unsynced = UnsyncedRecord { record, after_sync };
         if self.scenario.slow_disks {
@@ -210,8 +224,13 @@
                 .update_history(|history| history.record_accepted(number, accepted.ballot, id));
         }
         self.state.node_mut(node).disk.add(record);
-        for message in after_sync {
-            self.send(id, message);
+        for waiting in after_sync {
+            match waiting {
+                Waiting::Message(message) => self.send(id, message),
+                Waiting::RecordSynced(synced) => {
+                    self.loopback.push_back(Loopback::RecordSynced(synced));
+                }
+            }
         }
     }
 
--- a/crates/linenthread-consensus/src/durability.rs
+++ b/crates/linenthread-consensus/src/durability.rs
@@ -2,45 +2,30 @@
 
 use std::time::Duration;
 
-use linenthread_messages::{OrderIdentity, PeerMessage, Record, Synced, Value};
+use linenthread_messages::{OrderIdentity, Record, Value};
 use linenthread_time::Instant;
 
-use crate::effects::{DeferredMessage, Effect};
-use crate::node_id::NodeId;
+use crate::effects::{AfterSync, Effect, OrderLogRecordNumber, SyncedRecord};
 use crate::timing::{MAX_REWRITE_INTERVAL, REWRITE_INTERVAL};
 use crate::value_number::ValueNumber;
 
-/// Numbers the records of the order log, from 1 within this incarnation: raised with each one that is written.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
-struct RecordNumber(u64);
-
-impl RecordNumber {
-    /// Before the first record; what a notification carries whose record holds no orders.
-    const NONE: RecordNumber = RecordNumber(0);
-
-    fn next(self) -> RecordNumber {
-        RecordNumber(self.0 + 1)
-    }
-}
-
 /// Writes decided values and orders, and tracks which of them are synced.
 ///
 /// A record may be dropped by the disk, so one is known to be durable only if all before it are, or if it repeats
 /// everything before it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Durability {
-    id: NodeId,
     /// Number of the newest decided value that is synced.
     number: ValueNumber,
     /// The last record of the order log that was written.
-    order_log_written: RecordNumber,
+    order_log_written: OrderLogRecordNumber,
     /// The last record of the order log up to which nothing is missing on the disk.
-    order_log_synced: RecordNumber,
+    order_log_synced: OrderLogRecordNumber,
     /// The last record that held new orders. The log is durable once the disk holds this record and all before it; a
     /// later one suffices by itself, since it repeats the whole log.
-    last_new_orders: RecordNumber,
+    last_new_orders: OrderLogRecordNumber,
     /// The last record that repeats the whole log: it suffices by itself.
-    last_complete_log: RecordNumber,
+    last_complete_log: OrderLogRecordNumber,
     value_written_at: Instant,
     order_log_written_at: Instant,
     rewrite_interval: Duration,
@@ -48,14 +33,13 @@
 
 impl Durability {
     /// For a disk that holds the decided value of this number.
-    pub(crate) fn new(id: NodeId, number: ValueNumber) -> Durability {
+    pub(crate) fn new(number: ValueNumber) -> Durability {
         Durability {
-            id,
             number,
-            order_log_written: RecordNumber::NONE,
-            order_log_synced: RecordNumber::NONE,
-            last_new_orders: RecordNumber::NONE,
-            last_complete_log: RecordNumber::NONE,
+            order_log_written: OrderLogRecordNumber::NONE,
+            order_log_synced: OrderLogRecordNumber::NONE,
+            last_new_orders: OrderLogRecordNumber::NONE,
+            last_complete_log: OrderLogRecordNumber::NONE,
             value_written_at: Instant::START,
             order_log_written_at: Instant::START,
             rewrite_interval: REWRITE_INTERVAL,
@@ -84,11 +68,8 @@
             decided: Some(value.clone()),
             ..Record::default()
         };
-        let synced = Synced {
-            number: value.number,
-            order_log_record: RecordNumber::NONE.0,
-        };
-        self.persist(record, synced, effects);
+        let synced = SyncedRecord::Value(ValueNumber::of(value));
+        persist(record, synced, effects);
     }
 
     /// Writes orders that were fetched from another node.
@@ -125,28 +106,19 @@
             order_log: orders,
             ..Record::default()
         };
-        let synced = Synced {
-            number: ValueNumber::FIRST.get(),
-            order_log_record: self.order_log_written.0,
-        };
-        self.persist(record, synced, effects);
+        let synced = SyncedRecord::Orders(self.order_log_written);
+        persist(record, synced, effects);
     }
 
-    fn persist(&self, record: Record, synced: Synced, effects: &mut Vec<Effect>) {
-        let notification = DeferredMessage {
-            to: self.id,
-            message: PeerMessage::Synced(synced),
-        };
-        effects.push(Effect::Persist {
-            record,
-            after_sync: vec![notification],
-        });
+    /// A record is synced.
+    pub(crate) fn on_synced(&mut self, synced: SyncedRecord) {
+        match synced {
+            SyncedRecord::Value(number) => self.number = self.number.max(number),
+            SyncedRecord::Orders(record) => self.on_orders_synced(record),
+        }
     }
 
-    /// A record is synced.
-    pub(crate) fn on_synced(&mut self, synced: &Synced) {
-        self.number = self.number.max(ValueNumber::new(synced.number));
-        let record = RecordNumber(synced.order_log_record);
+    fn on_orders_synced(&mut self, record: OrderLogRecordNumber) {
         let repeats_log = record > self.last_new_orders || record == self.last_complete_log;
         if record == self.order_log_synced.next() || repeats_log {
             self.order_log_synced = self.order_log_synced.max(record);
@@ -172,3 +144,10 @@
         due
     }
 }
+
+fn persist(record: Record, synced: SyncedRecord, effects: &mut Vec<Effect>) {
+    effects.push(Effect::Persist {
+        record,
+        after_sync: vec![AfterSync::RecordSynced(synced)],
+    });
+}
--- a/crates/linenthread-consensus/src/effects.rs
+++ b/crates/linenthread-consensus/src/effects.rs
@@ -2,8 +2,10 @@
 
 use linenthread_messages::{PeerMessage, Record, Value, Voter};
 
+use crate::epoch::Epoch;
 use crate::jobs::{JobId, Outcome};
 use crate::node_id::NodeId;
+use crate::value_number::ValueNumber;
 
 /// One step for the driver of a [`crate::Register`], which carries out effects in the order it receives them.
 #[derive(Clone, Debug, PartialEq)]
@@ -19,8 +21,8 @@
     Persist {
         /// The record.
         record: Record,
-        /// Messages to be sent once the record is synced, not before.
-        after_sync: Vec<DeferredMessage>,
+        /// What is to be done once the record is synced, not before, in this order.
+        after_sync: Vec<AfterSync>,
     },
     /// This node has learned a newer decided value.
     Decided(Value),
@@ -33,13 +35,43 @@
     },
 }
 
-/// A message that depends on a record: it may be sent only once the record is synced.
+/// What depends on a record: it is to be done only once the record is synced, and never if the record is dropped.
 #[derive(Clone, Debug, PartialEq)]
-pub struct DeferredMessage {
-    /// The receiving node, perhaps this one.
-    pub to: NodeId,
-    /// The message.
-    pub message: PeerMessage,
+pub enum AfterSync {
+    /// A message is to be sent.
+    Send {
+        /// The receiving node, perhaps this one.
+        to: NodeId,
+        /// The message.
+        message: PeerMessage,
+    },
+    /// The register is to be told, by [`crate::Register::on_synced`].
+    RecordSynced(SyncedRecord),
+    /// The node's disk holds this epoch of the leader lease. It comes from whoever drives the lease, not from a
+    /// [`crate::Register`].
+    EpochSynced(Epoch),
+}
+
+/// What a synced record of a register's decided state held.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
+pub enum SyncedRecord {
+    /// The decided value of this number.
+    Value(ValueNumber),
+    /// Orders.
+    Orders(OrderLogRecordNumber),
+}
+
+/// Numbers the records of the order log, from 1 within this incarnation: raised with each one that is written.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub struct OrderLogRecordNumber(u64);
+
+impl OrderLogRecordNumber {
+    /// Before the first record.
+    pub(crate) const NONE: OrderLogRecordNumber = OrderLogRecordNumber(0);
+
+    pub(crate) fn next(self) -> OrderLogRecordNumber {
+        OrderLogRecordNumber(self.0 + 1)
+    }
 }
 
 /// Sends a message to each of the voters, this node included if it is one.
--- a/crates/linenthread-consensus/src/lib.rs
+++ b/crates/linenthread-consensus/src/lib.rs
@@ -77,7 +77,7 @@
 
 pub use change::{Change, Order, document_digest};
 pub use durable_state::DurableState;
-pub use effects::{DeferredMessage, Effect};
+pub use effects::{AfterSync, Effect, OrderLogRecordNumber, SyncedRecord};
 pub use epoch::Epoch;
 pub use incarnation::Incarnation;
 pub use jobs::{JobId, Outcome};
--- a/crates/linenthread-consensus/src/register.rs
+++ b/crates/linenthread-consensus/src/register.rs
@@ -12,7 +12,7 @@
 use crate::decided_state::DecidedState;
 use crate::durability::Durability;
 use crate::durable_state::DurableState;
-use crate::effects::{DeferredMessage, Effect};
+use crate::effects::{AfterSync, Effect, SyncedRecord};
 use crate::incarnation::Incarnation;
 use crate::jobs::{JobId, Outcome};
 use crate::node_id::NodeId;
@@ -49,7 +49,7 @@
         genesis: Option<Value>,
         incarnation: Incarnation,
     ) -> Register {
-        let durability = Durability::new(id, state.decided_number());
+        let durability = Durability::new(state.decided_number());
         let (value, order_log, acceptor) = state.into_parts(genesis);
         Register {
             id,
@@ -230,11 +230,16 @@
             PeerMessage::OrderLogEntries(entries) => {
                 self.on_order_log_entries(now, from, entries, effects);
             }
-            PeerMessage::Synced(synced) if from == self.id => self.durability.on_synced(&synced),
             _ => {}
         }
     }
 
+    /// A record of this register is synced. Expired jobs and rounds end first, as before each message.
+    pub fn on_synced(&mut self, now: Instant, synced: SyncedRecord, effects: &mut Vec<Effect>) {
+        self.expire(now, effects);
+        self.durability.on_synced(synced);
+    }
+
     /// Whether this node may vote on a number. Otherwise the sender is sent what it lacks, or asked for what this node
     /// lacks.
     fn may_vote_on(&self, from: NodeId, number: ValueNumber, effects: &mut Vec<Effect>) -> bool {
@@ -439,7 +444,7 @@
     match reply {
         Ok((record, message)) => Effect::Persist {
             record,
-            after_sync: vec![DeferredMessage { to, message }],
+            after_sync: vec![AfterSync::Send { to, message }],
         },
         Err(rejected) => Effect::Send {
             to,
--- a/crates/linenthread-consensus/tests/consensus/acceptor.rs
+++ b/crates/linenthread-consensus/tests/consensus/acceptor.rs
@@ -1,6 +1,6 @@
 //! Who votes, on which numbers, and what a promise binds.
 
-use linenthread_consensus::{DurableState, Effect, Incarnation, NodeId, Register};
+use linenthread_consensus::{AfterSync, DurableState, Effect, Incarnation, NodeId, Register};
 use linenthread_messages::{Accept, Ballot, PeerMessage, Prepare, Record};
 use yare::parameterized;
 
@@ -56,7 +56,7 @@
     };
     register.on_message(at(0), NodeId(2), prepare(1, 5, 2), &mut effects);
     assert!(
-        matches!(&effects[..], [Effect::Persist { after_sync, .. }] if matches!(after_sync[0].message, PeerMessage::Promise(_)))
+        matches!(&effects[..], [Effect::Persist { after_sync, .. }] if matches!(after_sync[..], [AfterSync::Send { message: PeerMessage::Promise(_), .. }]))
     );
     effects.clear();
     let accept = Accept {
--- a/crates/linenthread-consensus/tests/consensus/cluster.rs
+++ b/crates/linenthread-consensus/tests/consensus/cluster.rs
@@ -4,8 +4,8 @@
 use std::time::Duration;
 
 use linenthread_consensus::{
-    Change, DeferredMessage, DurableState, Effect, Epoch, Incarnation, JobId, NodeId, Order,
-    Outcome, Register, Revision, ValueNumber,
+    AfterSync, Change, DurableState, Effect, Epoch, Incarnation, JobId, NodeId, Order, Outcome,
+    Register, Revision, SyncedRecord, ValueNumber,
 };
 use linenthread_messages::{PeerMessage, Record, Value};
 use linenthread_time::Instant;
@@ -25,7 +25,7 @@
     id: NodeId,
     incarnations: u64,
     disk: Vec<Record>,
-    unsynced: Vec<(Record, Vec<DeferredMessage>)>,
+    unsynced: Vec<(Record, Vec<AfterSync>)>,
     is_stalled: bool,
     is_isolated: bool,
 }
@@ -36,13 +36,20 @@
     message: PeerMessage,
 }
 
+/// What is on its way to a node.
+enum InFlight {
+    Message(Message),
+    /// A record of this node is synced.
+    RecordSynced(NodeId, SyncedRecord),
+}
+
 /// Nodes 1 to n; messages and syncs happen at once, unless they are lost or a disk is stalled.
 pub(crate) struct Cluster {
     nodes: Vec<Node>,
     now: Instant,
     last_job: u64,
     outcomes: BTreeMap<JobId, Outcome>,
-    network: VecDeque<Message>,
+    network: VecDeque<InFlight>,
     lost: LossRule,
     sent: Vec<PeerMessage>,
 }
@@ -224,11 +231,7 @@
         let (base_number, epoch) = (ValueNumber::of(&value), Epoch::new(value.epoch));
         let mut voters = value.voters.clone();
         let from = self.register(other).id();
-        self.network.push_back(Message {
-            from,
-            to: new,
-            message: PeerMessage::Decided(value),
-        });
+        self.send(from, new, PeerMessage::Decided(value));
         self.deliver_all();
         self.pass_time(Duration::from_secs(1));
         voters
@@ -275,9 +278,7 @@
         let ids: Vec<NodeId> = self.nodes.iter().map(|node| node.id).collect();
         for effect in effects {
             match effect {
-                Effect::Send { to, message } => {
-                    self.network.push_back(Message { from, to, message });
-                }
+                Effect::Send { to, message } => self.send(from, to, message),
                 Effect::Persist { record, after_sync } => {
                     self.node(at).unsynced.push((record, after_sync));
                 }
@@ -285,55 +286,77 @@
                 // The control node sends it to all others at once.
                 Effect::Decided(value) => {
                     for to in ids.iter().copied().filter(|to| *to != from) {
-                        let message = PeerMessage::Decided(value.clone());
-                        self.network.push_back(Message { from, to, message });
+                        self.send(from, to, PeerMessage::Decided(value.clone()));
                     }
                 }
             }
         }
     }
 
-    /// Delivers messages until none is in flight.
+    fn send(&mut self, from: NodeId, to: NodeId, message: PeerMessage) {
+        self.network
+            .push_back(InFlight::Message(Message { from, to, message }));
+    }
+
+    /// Delivers what is in flight until nothing is.
     fn deliver_all(&mut self) {
         loop {
             self.sync();
-            let Some(Message { from, to, message }) = self.network.pop_front() else {
-                return;
-            };
-            let is_isolated = |id| {
-                self.nodes
-                    .iter()
-                    .any(|node| node.id == id && node.is_isolated)
-            };
-            let lost = to != from && (is_isolated(to) || is_isolated(from))
-                || (self.lost)(from, to, &message);
-            let Some(at) = self
-                .nodes
-                .iter()
-                .position(|node| node.id == to)
-                .filter(|_| !lost)
-            else {
-                continue;
-            };
-            self.sent.push(message.clone());
-            let (now, mut effects) = (self.now, Vec::new());
-            self.nodes[at]
-                .register
-                .on_message(now, from, message, &mut effects);
-            self.carry_out(at as u64 + 1, effects);
+            match self.network.pop_front() {
+                Some(InFlight::Message(message)) => self.deliver(message),
+                Some(InFlight::RecordSynced(id, synced)) => self.on_synced(id, synced),
+                None => return,
+            }
         }
     }
 
+    fn deliver(&mut self, Message { from, to, message }: Message) {
+        let is_isolated = |id| {
+            self.nodes
+                .iter()
+                .any(|node| node.id == id && node.is_isolated)
+        };
+        let lost =
+            to != from && (is_isolated(to) || is_isolated(from)) || (self.lost)(from, to, &message);
+        let Some(at) = self.position(to).filter(|_| !lost) else {
+            return;
+        };
+        self.sent.push(message.clone());
+        let (now, mut effects) = (self.now, Vec::new());
+        self.nodes[at]
+            .register
+            .on_message(now, from, message, &mut effects);
+        self.carry_out(at as u64 + 1, effects);
+    }
+
+    fn on_synced(&mut self, id: NodeId, synced: SyncedRecord) {
+        let Some(at) = self.position(id) else {
+            return;
+        };
+        let (now, mut effects) = (self.now, Vec::new());
+        self.nodes[at].register.on_synced(now, synced, &mut effects);
+        self.carry_out(at as u64 + 1, effects);
+    }
+
+    fn position(&self, id: NodeId) -> Option<usize> {
+        self.nodes.iter().position(|node| node.id == id)
+    }
+
     fn sync(&mut self) {
         for node in self.nodes.iter_mut().filter(|node| !node.is_stalled) {
             let from = node.id;
             for (record, after_sync) in node.unsynced.drain(..) {
                 node.disk.push(record);
-                self.network.extend(
-                    after_sync
-                        .into_iter()
-                        .map(|DeferredMessage { to, message }| Message { from, to, message }),
-                );
+                self.network
+                    .extend(after_sync.into_iter().filter_map(|next| match next {
+                        AfterSync::Send { to, message } => {
+                            Some(InFlight::Message(Message { from, to, message }))
+                        }
+                        AfterSync::RecordSynced(synced) => {
+                            Some(InFlight::RecordSynced(from, synced))
+                        }
+                        AfterSync::EpochSynced(_) => None,
+                    }));
             }
         }
     }
--- a/crates/linenthread-consensus/tests/consensus/reads.rs
+++ b/crates/linenthread-consensus/tests/consensus/reads.rs
@@ -1,7 +1,7 @@
 //! Reads beside undecided values and slow disks.
 
 use linenthread_consensus::{
-    DeferredMessage, DurableState, Effect, Incarnation, JobId, NodeId, Outcome, Register,
+    AfterSync, DurableState, Effect, Incarnation, JobId, NodeId, Outcome, Register,
 };
 use linenthread_messages::{Accept, Ballot, PeerMessage, Value};
 
@@ -65,10 +65,19 @@
                     register.on_message(at(0), NodeId(1), message, &mut effects);
                 }
                 Effect::Persist { after_sync, .. } => {
-                    for DeferredMessage { message, .. } in after_sync {
-                        match message {
-                            PeerMessage::AcceptAck(_) => unsynced.push(message),
-                            message => register.on_message(at(0), NodeId(1), message, &mut effects),
+                    for next in after_sync {
+                        match next {
+                            AfterSync::Send {
+                                message: message @ PeerMessage::AcceptAck(_),
+                                ..
+                            } => unsynced.push(message),
+                            AfterSync::Send { message, .. } => {
+                                register.on_message(at(0), NodeId(1), message, &mut effects);
+                            }
+                            AfterSync::RecordSynced(synced) => {
+                                register.on_synced(at(0), synced, &mut effects);
+                            }
+                            AfterSync::EpochSynced(_) => {}
                         }
                     }
                 }
--- a/crates/linenthread-consensus/tests/consensus/trio.rs
+++ b/crates/linenthread-consensus/tests/consensus/trio.rs
@@ -1,6 +1,6 @@
 //! Three registers whose messages arrive at once, and whose nodes do not announce decided values.
 
-use linenthread_consensus::{DeferredMessage, Effect, JobId, NodeId, Outcome, Register};
+use linenthread_consensus::{AfterSync, Effect, JobId, NodeId, Outcome, Register};
 use linenthread_messages::{PeerMessage, Record};
 
 use crate::cluster::order;
@@ -44,8 +44,8 @@
                 Effect::Send { to, message } => pending.extend(self.deliver(from, to.0, message)),
                 Effect::Persist { record, after_sync } => {
                     self.records[index(from)].push(record);
-                    for DeferredMessage { to, message } in after_sync {
-                        pending.extend(self.deliver(from, to.0, message));
+                    for next in after_sync {
+                        pending.extend(self.after_sync(from, next));
                     }
                 }
                 Effect::Reply { job, outcome } => self.replies.push((job, outcome)),
@@ -54,6 +54,18 @@
         }
     }
 
+    fn after_sync(&mut self, node: u64, next: AfterSync) -> Vec<(u64, Effect)> {
+        let mut effects = Vec::new();
+        match next {
+            AfterSync::Send { to, message } => return self.deliver(node, to.0, message),
+            AfterSync::RecordSynced(synced) => {
+                self.register(node).on_synced(at(0), synced, &mut effects);
+            }
+            AfterSync::EpochSynced(_) => {}
+        }
+        effects.into_iter().map(|effect| (node, effect)).collect()
+    }
+
     fn deliver(&mut self, from: u64, to: u64, message: PeerMessage) -> Vec<(u64, Effect)> {
         if to != from && (self.isolated.contains(&to) || self.isolated.contains(&from)) {
             return Vec::new();
--- a/crates/linenthread-control/src/control_node.rs
+++ b/crates/linenthread-control/src/control_node.rs
@@ -23,7 +23,7 @@
 use std::collections::{BTreeMap, VecDeque};
 
 use linenthread_consensus::{DurableState, Epoch, LeaderLease, NodeId, Register, ValueNumber};
-use linenthread_messages::{IngressSession, PeerMessage, Value};
+use linenthread_messages::{IngressSession, Value};
 use linenthread_time::Instant;
 
 use crate::address_book::AddressBook;
@@ -39,6 +39,8 @@
 use crate::voting_state::VotingState;
 use crate::{NodeConfig, ReplicaRegistry, RetryBudget};
 
+use register_driver::LoopbackEvent;
+
 /// One control node.
 pub struct ControlNode {
     config: NodeConfig,
@@ -46,8 +48,8 @@
     register: Register,
     lease: LeaderLease,
     voting: VotingState,
-    /// Messages of this node to itself, as one of the voters.
-    loopback: VecDeque<PeerMessage>,
+    /// What this node has to tell itself: it is one of the voters, and has a disk.
+    loopback: VecDeque<LoopbackEvent>,
     pending_jobs: PendingJobs,
     durability: OwnDurability,
     contact: QuorumContact,
--- a/crates/linenthread-control/src/control_node/leader_lease.rs
+++ b/crates/linenthread-control/src/control_node/leader_lease.rs
@@ -1,6 +1,6 @@
 //! The leader lease of this node, and its grant of that of another.
 
-use linenthread_consensus::{DeferredMessage, Epoch, LeaseProgress, NodeId};
+use linenthread_consensus::{AfterSync, Epoch, LeaseProgress, NodeId};
 use linenthread_messages::{LeaseRelease, LeaseReply, LeaseRequest, PeerMessage};
 use linenthread_time::Instant;
 
@@ -68,11 +68,11 @@
             self.send_to_node(from, reply, effects);
             self.deliver_loopback(now, effects);
         } else {
-            let reply = DeferredMessage {
+            let reply = AfterSync::Send {
                 to: from,
                 message: reply,
             };
-            self.persist_epoch(epoch, reply, effects);
+            ControlNode::persist_epoch(epoch, reply, effects);
         }
     }
 
--- a/crates/linenthread-control/src/control_node/register_driver.rs
+++ b/crates/linenthread-control/src/control_node/register_driver.rs
@@ -1,26 +1,44 @@
 //! Drives the register: carries out what it asks for, and takes in what it decided.
 
 use linenthread_consensus::{
-    DeferredMessage, Effect as RegisterEffect, Epoch, JobId, NodeId, Outcome, Register, Revision,
-    ValueNumber,
+    AfterSync, Effect as RegisterEffect, Epoch, JobId, NodeId, Outcome, Register, Revision,
+    SyncedRecord, ValueNumber,
 };
-use linenthread_messages::{DurableProgress, PeerMessage, Record, Value};
+use linenthread_messages::{PeerMessage, Record, Value};
 use linenthread_time::Instant;
 
 use crate::pending_jobs::JobOwner;
 use crate::{ControlEvent, ControlNode, Effect};
 
+/// What a node has to tell itself. All of it is handled in the order in which it came up.
+pub(super) enum LoopbackEvent {
+    /// A message of this node to itself, as one of the voters.
+    Message(PeerMessage),
+    /// A record of the register is durable.
+    RecordSynced(SyncedRecord),
+    /// An epoch of a lease is durable.
+    EpochSynced(Epoch),
+}
+
 impl ControlNode {
-    /// A record is durable: `messages` are those that waited for it.
+    /// Records are durable: `after_sync` is what waited for them.
     pub fn on_synced(
         &mut self,
         now: Instant,
-        messages: Vec<DeferredMessage>,
+        after_sync: Vec<AfterSync>,
         effects: &mut Vec<Effect>,
     ) {
         self.detect_pause(now, effects);
-        for DeferredMessage { to, message } in messages {
-            self.send_to_node(to, message, effects);
+        for next in after_sync {
+            match next {
+                AfterSync::Send { to, message } => self.send_to_node(to, message, effects),
+                AfterSync::RecordSynced(synced) => {
+                    self.loopback.push_back(LoopbackEvent::RecordSynced(synced));
+                }
+                AfterSync::EpochSynced(epoch) => {
+                    self.loopback.push_back(LoopbackEvent::EpochSynced(epoch));
+                }
+            }
         }
         self.deliver_loopback(now, effects);
     }
@@ -33,7 +51,7 @@
         effects: &mut Vec<Effect>,
     ) {
         if to == self.register.id() {
-            self.loopback.push_back(message);
+            self.loopback.push_back(LoopbackEvent::Message(message));
         } else if let Some(session) = self.membership.session_with(to) {
             effects.push(Effect::Send { session, message });
         }
@@ -41,26 +59,14 @@
 
     /// Hands the epoch of a lease that this node grants to the disk. Once it is durable the reply is sent, and this node
     /// notified; the register notes by itself what of its own records is durable.
-    pub(super) fn persist_epoch(
-        &self,
-        epoch: Epoch,
-        reply: DeferredMessage,
-        effects: &mut Vec<Effect>,
-    ) {
+    pub(super) fn persist_epoch(epoch: Epoch, reply: AfterSync, effects: &mut Vec<Effect>) {
         let record = Record {
             epoch: epoch.get(),
             ..Record::default()
         };
-        let notification = DeferredMessage {
-            to: self.register.id(),
-            message: PeerMessage::DurableProgress(DurableProgress {
-                value_number: None,
-                epoch: epoch.get(),
-            }),
-        };
         effects.push(Effect::Persist {
             record,
-            after_sync: vec![reply, notification],
+            after_sync: vec![reply, AfterSync::EpochSynced(epoch)],
         });
     }
 
@@ -77,15 +83,15 @@
             for effect in std::mem::take(&mut register_effects) {
                 self.carry_out(now, effect, effects);
             }
-            let Some(message) = self.loopback.pop_front() else {
+            let Some(event) = self.loopback.pop_front() else {
                 break;
             };
-            self.on_loopback_message(now, message, &mut register_effects, effects);
+            self.on_loopback(now, event, &mut register_effects, effects);
         }
         self.announce_durability(now, effects);
     }
 
-    /// Delivers the messages of this node to itself.
+    /// Handles what this node has to tell itself.
     pub(super) fn deliver_loopback(&mut self, now: Instant, effects: &mut Vec<Effect>) {
         self.drive_register(now, |_, _| {}, effects);
     }
@@ -101,7 +107,25 @@
         }
     }
 
-    fn on_loopback_message(
+    fn on_loopback(
+        &mut self,
+        now: Instant,
+        event: LoopbackEvent,
+        register_effects: &mut Vec<RegisterEffect>,
+        effects: &mut Vec<Effect>,
+    ) {
+        match event {
+            LoopbackEvent::Message(message) => {
+                self.on_own_message(now, message, register_effects, effects);
+            }
+            LoopbackEvent::RecordSynced(synced) => {
+                self.register.on_synced(now, synced, register_effects);
+            }
+            LoopbackEvent::EpochSynced(epoch) => self.durability.on_epoch_synced(epoch),
+        }
+    }
+
+    fn on_own_message(
         &mut self,
         now: Instant,
         message: PeerMessage,
@@ -112,9 +136,6 @@
         match message {
             PeerMessage::LeaseReply(reply) => self.on_lease_reply(now, own_id, &reply, effects),
             PeerMessage::LeaseRelease(release) => drop(self.lease.on_release(own_id, &release)),
-            PeerMessage::DurableProgress(progress) => {
-                self.durability.on_epoch_synced(Epoch::new(progress.epoch));
-            }
             message => self
                 .register
                 .on_message(now, own_id, message, register_effects),
--- a/crates/linenthread-control/src/effect.rs
+++ b/crates/linenthread-control/src/effect.rs
@@ -1,6 +1,6 @@
 //! What a control node asks of its driver.
 
-use linenthread_consensus::DeferredMessage;
+use linenthread_consensus::AfterSync;
 use linenthread_messages::{PeerMessage, Record};
 
 use crate::{CallId, ControlEvent, Response, SessionId};
@@ -19,8 +19,8 @@
     Persist {
         /// The record.
         record: Record,
-        /// The messages that wait until the record is durable.
-        after_sync: Vec<DeferredMessage>,
+        /// What waits until the record is durable.
+        after_sync: Vec<AfterSync>,
     },
     /// Answer a call.
     Respond {
--- a/crates/linenthread-control/src/lib.rs
+++ b/crates/linenthread-control/src/lib.rs
@@ -72,5 +72,5 @@
 
 // Types of the consensus that this interface is made of.
 pub use linenthread_consensus::{
-    DeferredMessage, Epoch, Incarnation, NodeId, Order, Revision, ValueNumber,
+    AfterSync, Epoch, Incarnation, NodeId, Order, Revision, ValueNumber,
 };
--- a/crates/linenthread-control/tests/nodes/cluster.rs
+++ b/crates/linenthread-control/tests/nodes/cluster.rs
@@ -6,8 +6,8 @@
 
 use linenthread_consensus::{DurableState, NodeId};
 use linenthread_control::{
-    CallId, ControlEvent, ControlNode, DeferredMessage, Effect, Incarnation, NodeConfig, Order,
-    Response, Revision, SessionId,
+    AfterSync, CallId, ControlEvent, ControlNode, Effect, Incarnation, NodeConfig, Order, Response,
+    Revision, SessionId,
 };
 use linenthread_messages::{PeerMessage, Record, Value, Voter};
 use linenthread_time::Instant;
@@ -47,7 +47,7 @@
     Synced {
         incarnation: Incarnation,
         count: usize,
-        after_sync: Vec<DeferredMessage>,
+        after_sync: Vec<AfterSync>,
     },
 }
 
--- a/crates/linenthread-hollow/src/control.rs
+++ b/crates/linenthread-hollow/src/control.rs
@@ -6,7 +6,7 @@
 use linenthread_config::Configuration;
 use linenthread_consensus::{DurableState, NodeId};
 use linenthread_control::{
-    CallId, ControlNode, DeferredMessage, Effect, Incarnation, NodeConfig, Order, ReplicaHeartbeat,
+    AfterSync, CallId, ControlNode, Effect, Incarnation, NodeConfig, Order, ReplicaHeartbeat,
     Revision, SessionId,
 };
 use linenthread_messages::{Record, Value, Voter, decode};
@@ -93,7 +93,7 @@
         document: Vec<u8>,
     },
     /// A record is synced, and what waited on it may be sent.
-    Synced(Vec<DeferredMessage>),
+    Synced(Vec<AfterSync>),
     Tick,
 }
 
--- a/crates/linenthread-hollow/src/world/control_nodes.rs
+++ b/crates/linenthread-hollow/src/world/control_nodes.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use bytes::BytesMut;
-use linenthread_control::{DeferredMessage, Effect, SessionId};
+use linenthread_control::{AfterSync, Effect, SessionId};
 use linenthread_messages::{PeerMessage, Record, encode};
 use linenthread_time::Instant;
 use prost::Message;
@@ -159,7 +159,7 @@
         self.control[index].cost.heap += allocated() - before;
     }
 
-    fn persist(&mut self, index: usize, record: Record, after_sync: Vec<DeferredMessage>) {
+    fn persist(&mut self, index: usize, record: Record, after_sync: Vec<AfterSync>) {
         self.control[index].cost.disk_bytes += count(record.encoded_len());
         self.push_input(self.now + SYNC, index, Input::Synced(after_sync));
         self.release(index, record);
--- a/crates/linenthread-messages/src/agreement.rs
+++ b/crates/linenthread-messages/src/agreement.rs
@@ -207,7 +207,8 @@
     pub orders: Vec<OrderIdentity>,
 }
 
-/// What a node sends itself when a record of its own is synced; from another node it means nothing.
+/// Reserved: nothing sends it, and whoever receives it ignores it. Nodes told themselves with it that a record of their
+/// own is synced.
 #[derive(Clone, PartialEq, Eq, Hash, Message)]
 pub struct Synced {
     /// The decided value that the record holds; 0 if none.
--- a/crates/linenthread-messages/src/envelope.rs
+++ b/crates/linenthread-messages/src/envelope.rs
@@ -85,7 +85,7 @@
     /// Accepted orders.
     #[prost(message, tag = "20")]
     OrderLogEntries(OrderLogEntries),
-    /// A record of this node's own is synced.
+    /// Reserved: neither sent nor read.
     #[prost(message, tag = "21")]
     Synced(Synced),
 }
--- a/crates/linenthread-messages/src/sessions.rs
+++ b/crates/linenthread-messages/src/sessions.rs
@@ -170,7 +170,7 @@
     /// Number of the newest value.
     #[prost(uint64, optional, tag = "1")]
     pub value_number: Option<u64>,
-    /// The greatest epoch under which it granted a lease.
+    /// Not read. The greatest epoch under which it granted a lease; 0 in what this version sends.
     #[prost(uint64, tag = "2")]
     pub epoch: u64,
 }
--- a/crates/linenthread-node/src/control/command.rs
+++ b/crates/linenthread-node/src/control/command.rs
@@ -3,7 +3,7 @@
 use std::fmt;
 
 use linenthread_control::graceful_shutdown::ShutdownBlocker;
-use linenthread_control::{DeferredMessage, Order, ReplicaHeartbeat, Response, SessionId};
+use linenthread_control::{AfterSync, Order, ReplicaHeartbeat, Response, SessionId};
 use linenthread_messages::PeerMessage;
 use tokio::sync::{mpsc, oneshot};
 
@@ -41,8 +41,8 @@
     MembersStatus(oneshot::Sender<serde_json::Value>),
     /// An operator reads what this node knows of replicas.
     ReplicasStatus(oneshot::Sender<serde_json::Value>),
-    /// Records are durable; these messages waited for them.
-    Synced(Vec<DeferredMessage>),
+    /// Records are durable; this waited for them.
+    Synced(Vec<AfterSync>),
     /// A graceful shutdown was requested; the notification follows when the process may exit.
     BeginShutdown(oneshot::Sender<()>),
     /// Why the process may not exit yet.
--- a/crates/linenthread-node/src/control/mod.rs
+++ b/crates/linenthread-node/src/control/mod.rs
@@ -90,10 +90,10 @@
     settings: &Rc<Settings>,
     address: SocketAddr,
 ) -> Result<ControlServer, Error> {
-    let (synced, synced_messages) = mpsc::unbounded_channel();
+    let (synced, synced_records) = mpsc::unbounded_channel();
     let state_dir = settings.state_dir.as_deref().unwrap_or_default();
     let (state_writer, durable_state) =
-        StateWriter::start(state_dir, move |messages| drop(synced.send(messages)))?;
+        StateWriter::start(state_dir, move |after_sync| drop(synced.send(after_sync)))?;
     let control = start_node(settings, address, durable_state, &state_writer);
     let calls = bind(address).await?;
     let peers = bind(SocketAddr::new(address.ip(), settings.peers_port)).await?;
@@ -101,7 +101,7 @@
     let (handle, commands) = ControlHandle::new();
     let task = ControlTask::new(control, state_writer, handle.clone(), settings.peers_port);
     spawn_local(task.run(commands));
-    spawn_local(forward_synced(synced_messages, handle.clone()));
+    spawn_local(forward_synced(synced_records, handle.clone()));
     spawn_local(api::accept_calls(calls, handle.clone()));
     spawn_local(peer_sessions::accept_peers(peers, handle.clone()));
     Ok(ControlServer { handle })
@@ -113,13 +113,13 @@
         .map_err(step("binding", &address))
 }
 
-/// Takes the messages that waited on the disk from its thread to the task.
+/// Takes what waited on the disk from its thread to the task.
 async fn forward_synced(
-    mut synced: mpsc::UnboundedReceiver<Vec<linenthread_control::DeferredMessage>>,
+    mut synced: mpsc::UnboundedReceiver<Vec<linenthread_control::AfterSync>>,
     handle: ControlHandle,
 ) {
-    while let Some(messages) = synced.recv().await {
-        handle.send(Command::Synced(messages)).await;
+    while let Some(after_sync) = synced.recv().await {
+        handle.send(Command::Synced(after_sync)).await;
     }
 }
 
--- a/crates/linenthread-node/src/control/state_writer.rs
+++ b/crates/linenthread-node/src/control/state_writer.rs
@@ -4,7 +4,7 @@
 use std::sync::mpsc;
 
 use linenthread_consensus::DurableState;
-use linenthread_control::{DeferredMessage, StateLog, StateLogError};
+use linenthread_control::{AfterSync, StateLog, StateLogError};
 use linenthread_messages::Record;
 use linenthread_store::{Directory, DirectoryError};
 use snafu::ResultExt;
@@ -14,7 +14,7 @@
 /// The log is compacted once it is longer, in bytes.
 const COMPACT_ABOVE_BYTES: u64 = 16 << 20;
 
-/// Records that may wait to be written; more are dropped, with the messages that wait for them. The register hands its
+/// Records that may wait to be written; more are dropped, with what waits for them. The register hands its
 /// records over again when they are not synced in time, and the epoch of a lease comes back with the next request for
 /// it. The registry's snapshot is not handed over again before the registry changes.
 const MAX_QUEUED_RECORDS: usize = 256;
@@ -22,10 +22,10 @@
 /// The thread's stack, in bytes: it needs little.
 const STACK_BYTES: usize = 256 << 10;
 
-/// A record, and the messages that wait until it is durable.
+/// A record, and what waits until it is durable.
 struct QueuedRecord {
     record: Record,
-    after_sync: Vec<DeferredMessage>,
+    after_sync: Vec<AfterSync>,
 }
 
 /// Handle of the thread that writes the state.
@@ -34,15 +34,15 @@
 }
 
 impl StateWriter {
-    /// Opens what the disk holds, and starts the thread. `on_synced` is called on it with the messages that waited for
-    /// records that are durable now.
+    /// Opens what the disk holds, and starts the thread. `on_synced` is called on it with what waited for records that
+    /// are durable now.
     ///
     /// # Errors
     ///
     /// The directory is used by another process, or what it holds can't be read; or the thread can't be started.
     pub(super) fn start(
         path: &str,
-        on_synced: impl Fn(Vec<DeferredMessage>) + Send + 'static,
+        on_synced: impl Fn(Vec<AfterSync>) + Send + 'static,
     ) -> Result<(StateWriter, DurableState), Error> {
         let directory = PathBuf::from(path);
         let opened = StateLog::open(move || Directory::open(&directory), COMPACT_ABOVE_BYTES)
@@ -60,9 +60,9 @@
         Ok((StateWriter { queue }, opened.state))
     }
 
-    /// Queues a record; the messages that wait for it come back when it is durable. False if too many records wait
+    /// Queues a record; what waits for it comes back when it is durable. False if too many records wait
     /// already: this one is dropped.
-    pub(super) fn persist(&self, record: Record, after_sync: Vec<DeferredMessage>) -> bool {
+    pub(super) fn persist(&self, record: Record, after_sync: Vec<AfterSync>) -> bool {
         let queued = QueuedRecord { record, after_sync };
         self.queue.try_send(queued).is_ok()
     }
@@ -72,17 +72,17 @@
 fn write_records<O: FnMut() -> Result<Directory, DirectoryError>>(
     mut log: StateLog<Directory, O>,
     queue: &mpsc::Receiver<QueuedRecord>,
-    on_synced: impl Fn(Vec<DeferredMessage>),
+    on_synced: impl Fn(Vec<AfterSync>),
 ) {
     while let Ok(first) = queue.recv() {
-        let (mut records, mut messages) = (vec![first.record], first.after_sync);
+        let (mut records, mut after_sync) = (vec![first.record], first.after_sync);
         while let Ok(next) = queue.try_recv() {
             records.push(next.record);
-            messages.extend(next.after_sync);
+            after_sync.extend(next.after_sync);
         }
         let written: Result<(), StateLogError> = log.write(&records);
         match written {
-            Ok(()) => on_synced(messages),
+            Ok(()) => on_synced(after_sync),
             Err(cause) => log::error!(cause:% = cause; "event=disk_failed"),
         }
     }
--- a/crates/linenthread-node/src/control/task.rs
+++ b/crates/linenthread-node/src/control/task.rs
@@ -132,7 +132,7 @@
             Command::ReplicasStatus(respond) => {
                 let _ = respond.send(self.control.replicas_status(now));
             }
-            Command::Synced(messages) => self.control.on_synced(now, messages, effects),
+            Command::Synced(after_sync) => self.control.on_synced(now, after_sync, effects),
             Command::BeginShutdown(waiter) => {
                 self.control.begin_shutdown(now, effects);
                 self.shutdown_waiters.push(waiter);
--- a/crates/linenthread-simulation/src/system/disk.rs
+++ b/crates/linenthread-simulation/src/system/disk.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use linenthread_consensus::DurableState;
-use linenthread_control::{DeferredMessage, StateLog, StateLogError};
+use linenthread_control::{AfterSync, StateLog, StateLogError};
 use linenthread_messages::Record;
 use linenthread_store::{DirectoryError, SimulatedDisk};
 
@@ -26,7 +26,7 @@
 /// A record on its way to the disk, and the messages that wait until it is synced.
 struct QueuedRecord {
     record: Record,
-    after_sync: Vec<DeferredMessage>,
+    after_sync: Vec<AfterSync>,
 }
 
 type Files = Rc<RefCell<SimulatedDisk>>;
@@ -46,7 +46,7 @@
 
 /// How a write ended.
 pub(super) enum WriteOutcome {
-    Synced(Vec<DeferredMessage>),
+    Synced(Vec<AfterSync>),
     /// The disk is full.
     Rejected,
     /// No process has the disk open any more.
@@ -108,8 +108,8 @@
             .unwrap_or_default()
     }
 
-    /// Queues a record with the messages that wait on it.
-    pub(super) fn enqueue(&mut self, record: Record, after_sync: Vec<DeferredMessage>) {
+    /// Queues a record with what waits on it.
+    pub(super) fn enqueue(&mut self, record: Record, after_sync: Vec<AfterSync>) {
         if self.waiting.len() < MAX_WAITING_RECORDS {
             self.waiting.push_back(QueuedRecord { record, after_sync });
         }
@@ -126,7 +126,7 @@
 
     /// Ends the write in progress.
     pub(super) fn complete_write(&mut self) -> WriteOutcome {
-        let (records, after_sync): (Vec<Record>, Vec<Vec<DeferredMessage>>) = self
+        let (records, after_sync): (Vec<Record>, Vec<Vec<AfterSync>>) = self
             .writing
             .drain(..)
             .map(|queued| (queued.record, queued.after_sync))
--- a/crates/linenthread-simulation/src/system/event.rs
+++ b/crates/linenthread-simulation/src/system/event.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use linenthread_control::{DeferredMessage, Incarnation, SessionId};
+use linenthread_control::{AfterSync, Incarnation, SessionId};
 use linenthread_messages::PeerMessage;
 use linenthread_time::Instant;
 
@@ -44,7 +44,7 @@
     },
     /// A record is synced, and what waited on it may be sent.
     Synced {
-        after_sync: Vec<DeferredMessage>,
+        after_sync: Vec<AfterSync>,
     },
 }
 
--- a/crates/linenthread-simulation/src/system/execution.rs
+++ b/crates/linenthread-simulation/src/system/execution.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use linenthread_consensus::{DurableState, Incarnation, NodeId, ValueNumber};
-use linenthread_control::{ControlNode, DeferredMessage, Effect, NodeConfig};
+use linenthread_control::{AfterSync, ControlNode, Effect, NodeConfig};
 use linenthread_messages::{PeerMessage, Record};
 use linenthread_time::{Instant, whole_millis};
 
@@ -289,7 +289,7 @@
     }
 
     /// Queues a record; what waits on it is sent once it is synced.
-    fn persist(&mut self, node: usize, record: Record, after_sync: Vec<DeferredMessage>) {
+    fn persist(&mut self, node: usize, record: Record, after_sync: Vec<AfterSync>) {
         self.machines[node].disk.enqueue(record, after_sync);
         self.start_write(node);
     }
