--- a/crates/linenthread-consensus/src/catch_up.rs
+++ b/crates/linenthread-consensus/src/catch_up.rs
@@ -55,7 +55,7 @@
         decided: &mut DecidedState,
         effects: &mut Vec<Effect>,
     ) {
-        while let Some(request) = decided.order_log().missing() {
+        while let Some(request) = decided.order_log().request_for_gap() {
             let newest = Revision::new(request.newest);
             if self.gap.as_ref().is_none_or(|gap| gap.newest != newest) {
                 self.gap = Some(Gap { newest, since: now });
@@ -66,7 +66,7 @@
                 self.send(now, request, decided, effects);
                 return;
             }
-            decided.order_log_mut().give_up_missing();
+            decided.order_log_mut().skip_gap();
         }
         (self.in_flight, self.gap) = (None, None);
     }
@@ -142,7 +142,7 @@
             return false;
         }
         decided.order_log_mut().extend(&entries.orders);
-        decided.order_log_mut().relink();
+        decided.order_log_mut().refresh_gap();
         true
     }
 }
--- a/crates/linenthread-consensus/src/change.rs
+++ b/crates/linenthread-consensus/src/change.rs
@@ -32,8 +32,6 @@
         /// The epoch of the leader lease under which it is proposed.
         epoch: Epoch,
     },
-    /// No change of its own: whatever some acceptor has accepted for the next number is to be decided.
-    Completion,
 }
 
 /// The digest that identifies a document: the first 128 bits of its SHA-256.
--- a/crates/linenthread-consensus/src/decided_state.rs
+++ b/crates/linenthread-consensus/src/decided_state.rs
@@ -1,4 +1,4 @@
-//! What this node knows to be decided, and how an order is judged by it.
+//! What this node knows to be decided, and what it tells of an order.
 
 use std::collections::BTreeSet;
 
@@ -7,7 +7,7 @@
 
 use crate::epoch::Epoch;
 use crate::node_id::NodeId;
-use crate::order_log::{OrderLog, OrderLogVerdict};
+use crate::order_log::{LoggedOrderStatus, OrderLog};
 use crate::revision::Revision;
 use crate::value_number::ValueNumber;
 
@@ -17,7 +17,7 @@
 
 /// What the decided state tells of an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Verdict {
+pub(crate) enum OrderStatus {
     /// It builds on the newest revision: it may be proposed.
     Proposable,
     /// It was accepted.
@@ -105,29 +105,29 @@
     /// Replaces the value by a newer one, whose recent orders join the log.
     pub(crate) fn adopt(&mut self, value: Value) {
         self.order_log.extend(&value.recent_orders);
-        self.order_log.link(Revision::of(&value));
+        self.order_log.track(Revision::of(&value));
         self.value = Some(value);
     }
 
-    /// Judges an order by what is decided. The verdict is final only where no voter of a majority has accepted
+    /// Compares an order with what is decided. The status is final only where no voter of a majority has accepted
     /// anything for the next number.
-    pub(crate) fn judge(&self, order: &OrderIdentity) -> Verdict {
+    pub(crate) fn check_order(&self, order: &OrderIdentity) -> OrderStatus {
         let newest = self.revision();
         let (base, revision) = (Revision::new(order.base), Revision::new(order.revision));
         if revision <= newest {
-            return match self.order_log.judge(order) {
-                OrderLogVerdict::Committed => Verdict::Committed,
-                OrderLogVerdict::NotCommitted => Verdict::Conflict,
-                OrderLogVerdict::Unknown => Verdict::Unknown,
+            return match self.order_log.check_order(order) {
+                LoggedOrderStatus::Committed => OrderStatus::Committed,
+                LoggedOrderStatus::NotCommitted => OrderStatus::Conflict,
+                LoggedOrderStatus::Unknown => OrderStatus::Unknown,
             };
         }
         if base == newest {
-            Verdict::Proposable
+            OrderStatus::Proposable
         } else if newest < base && base < revision {
             // Its base may be decided yet, and then the order accepted.
-            Verdict::Unknown
+            OrderStatus::Unknown
         } else {
-            Verdict::Conflict
+            OrderStatus::Conflict
         }
     }
 
--- a/crates/linenthread-consensus/src/lib.rs
+++ b/crates/linenthread-consensus/src/lib.rs
@@ -16,7 +16,7 @@
 //! | module | job |
 //! | --- | --- |
 //! | `register` | routes messages and time to the other modules, adopts decided values |
-//! | `decided_state` | the newest decided value and the order log, and how an order is judged by them |
+//! | `decided_state` | the newest decided value and the order log, and what they tell of an order |
 //! | `acceptor` | what this node has promised and accepted for the next number |
 //! | `proposer` | pending changes, and the round that decides one of them |
 //! | `round` | both phases of Paxos for one number, from the proposer's side |
--- a/crates/linenthread-consensus/src/order_log.rs
+++ b/crates/linenthread-consensus/src/order_log.rs
@@ -24,7 +24,7 @@
 
 /// What the order log alone tells of a revision that is not above the newest one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum OrderLogVerdict {
+pub(crate) enum LoggedOrderStatus {
     /// This very order was accepted.
     Committed,
     /// Another order was accepted under this revision, or none was and none can be.
@@ -79,7 +79,7 @@
 
     /// Whether this very order is known to be accepted.
     pub fn contains(&self, order: &OrderIdentity) -> bool {
-        self.judge(order) == OrderLogVerdict::Committed
+        self.check_order(order) == LoggedOrderStatus::Committed
     }
 
     /// All orders, oldest first.
@@ -95,42 +95,42 @@
         self.missing.is_none() || self.entries.len() >= MAX_LOGGED_ORDERS
     }
 
-    /// Judges an order whose revision is not above the newest accepted one.
-    pub(crate) fn judge(&self, order: &OrderIdentity) -> OrderLogVerdict {
+    /// Looks an order up whose revision is not above the newest accepted one.
+    pub(crate) fn check_order(&self, order: &OrderIdentity) -> LoggedOrderStatus {
         let revision = Revision::new(order.revision);
         match self.entries.range(revision..).next() {
             Some((found, entry)) if *found == revision => {
                 if (entry.base.get(), entry.digest) == (order.base, order.digest) {
-                    OrderLogVerdict::Committed
+                    LoggedOrderStatus::Committed
                 } else {
-                    OrderLogVerdict::NotCommitted
+                    LoggedOrderStatus::NotCommitted
                 }
             }
             // The next accepted order builds on one below this revision, which was skipped.
-            Some((_, entry)) if entry.base < revision => OrderLogVerdict::NotCommitted,
-            _ => OrderLogVerdict::Unknown,
+            Some((_, entry)) if entry.base < revision => LoggedOrderStatus::NotCommitted,
+            _ => LoggedOrderStatus::Unknown,
         }
     }
 
-    /// Notes the newest accepted revision, and finds the newest one that is missing below it.
-    pub(crate) fn link(&mut self, newest: Revision) {
+    /// Notes the newest accepted revision, and finds the newest one that is missing below it: the upper end of the gap.
+    pub(crate) fn track(&mut self, newest: Revision) {
         let known = std::mem::replace(&mut self.newest, newest);
         if let Some(missing) = self.first_missing(newest, known) {
             self.missing = Some(missing);
         }
     }
 
-    /// Follows the chain on from the missing revision, after orders were added.
-    pub(crate) fn relink(&mut self) {
+    /// Follows the chain on from the missing revision, after orders were added that may fill the gap.
+    pub(crate) fn refresh_gap(&mut self) {
         self.missing = self
             .missing
             .and_then(|missing| self.first_missing(missing, Revision::NONE));
     }
 
-    /// No voter has the missing orders: the chain goes on with the next lower entry.
-    pub(crate) fn give_up_missing(&mut self) {
+    /// No voter has the missing orders: the gap is left as it is, and the chain goes on with the next lower entry.
+    pub(crate) fn skip_gap(&mut self) {
         self.missing = self.missing.and_then(|missing| self.newest_below(missing));
-        self.relink();
+        self.refresh_gap();
     }
 
     /// Follows the chain downwards from a revision; none if it is complete down to `until`.
@@ -152,7 +152,7 @@
     }
 
     /// The request for the newest missing orders; none if the log is complete.
-    pub(crate) fn missing(&self) -> Option<OrderLogRequest> {
+    pub(crate) fn request_for_gap(&self) -> Option<OrderLogRequest> {
         let missing = self.missing.filter(|_| !self.is_complete())?;
         let above = self.newest_below(missing).unwrap_or(Revision::NONE);
         Some(OrderLogRequest {
--- a/crates/linenthread-consensus/src/proposal.rs
+++ b/crates/linenthread-consensus/src/proposal.rs
@@ -5,7 +5,7 @@
 use prost::bytes::Bytes;
 
 use crate::change::{Change, document_digest};
-use crate::decided_state::{DecidedState, Verdict};
+use crate::decided_state::{DecidedState, OrderStatus};
 use crate::epoch::Epoch;
 use crate::jobs::{JobId, Outcome};
 use crate::revision::Revision;
@@ -41,7 +41,6 @@
         voters: Vec<Voter>,
         epoch: Epoch,
     },
-    Completion,
 }
 
 impl Proposal {
@@ -59,13 +58,13 @@
     pub(crate) fn next_value(&self, decided: &DecidedState) -> Result<Value, Outcome> {
         let revision = decided.revision();
         match self {
-            Proposal::Order { identity, document } => match decided.judge(identity) {
-                Verdict::Proposable => decided
+            Proposal::Order { identity, document } => match decided.check_order(identity) {
+                OrderStatus::Proposable => decided
                     .with_order(identity, document)
                     .ok_or(Outcome::Unknown),
-                Verdict::Committed => Err(committed(identity)),
-                Verdict::Conflict => Err(Outcome::Conflict(revision)),
-                Verdict::Unknown => Err(Outcome::Unknown),
+                OrderStatus::Committed => Err(committed(identity)),
+                OrderStatus::Conflict => Err(Outcome::Conflict(revision)),
+                OrderStatus::Unknown => Err(Outcome::Unknown),
             },
             Proposal::Voters {
                 base_number,
@@ -75,7 +74,6 @@
                 decided.with_voters(voters, *epoch).ok_or(Outcome::Unknown)
             }
             Proposal::Voters { .. } => Err(Outcome::Conflict(revision)),
-            Proposal::Completion => Err(Outcome::Committed(revision)),
         }
     }
 
@@ -126,7 +124,6 @@
                 voters,
                 epoch,
             },
-            Change::Completion => Proposal::Completion,
         }
     }
 }
--- a/crates/linenthread-consensus/src/proposer.rs
+++ b/crates/linenthread-consensus/src/proposer.rs
@@ -27,8 +27,8 @@
     backoff: Backoff,
     /// The highest ballot round for the next number, of this node or reported by a rejection.
     highest_ballot_round: u64,
-    /// An undecided value was seen, which is to be decided even if no change is pending.
-    completion_requested: bool,
+    /// An undecided value was seen, which is to be recovered even if no change is pending.
+    recovery_requested: bool,
 }
 
 impl Proposer {
@@ -39,7 +39,7 @@
             round: None,
             backoff: Backoff::new(incarnation.get()),
             highest_ballot_round: 0,
-            completion_requested: false,
+            recovery_requested: false,
         }
     }
 
@@ -63,13 +63,13 @@
         has_room
     }
 
-    /// Requests a round that decides what some acceptor has accepted.
-    pub(crate) fn request_completion(&mut self) {
-        self.completion_requested = true;
+    /// Requests a round that recovers what some acceptor has accepted: it is decided, by this node's ballot.
+    pub(crate) fn request_recovery(&mut self) {
+        self.recovery_requested = true;
     }
 
     pub(crate) fn is_busy(&self) -> bool {
-        !self.pending.is_empty() || self.completion_requested
+        !self.pending.is_empty() || self.recovery_requested
     }
 
     /// Completes changes whose deadline has passed.
@@ -124,7 +124,7 @@
     }
 
     /// A promise. Once a majority has promised, the value with the highest accepted ballot is proposed. If there is
-    /// none, the newest decided value is the newest there is, and the pending changes are judged by it.
+    /// none, the newest decided value is the newest there is, and the pending changes are checked against it.
     pub(crate) fn on_promise(
         &mut self,
         now: Instant,
@@ -156,7 +156,7 @@
     }
 
     fn abandon_round(&mut self) {
-        (self.round, self.completion_requested) = (None, false);
+        (self.round, self.recovery_requested) = (None, false);
     }
 
     /// The value that the first change makes of the newest one; changes that make none are completed.
--- a/crates/linenthread-consensus/src/register.rs
+++ b/crates/linenthread-consensus/src/register.rs
@@ -100,7 +100,7 @@
     /// Has the value decided that this node has accepted, if there is one that it does not know to be decided.
     pub fn complete_undecided(&mut self) {
         if self.acceptor.has_undecided() {
-            self.proposer.request_completion();
+            self.proposer.request_recovery();
         }
     }
 
@@ -395,7 +395,7 @@
             ReadProgress::Incomplete => {}
             ReadProgress::Lagging => effects.push(catch_up_request(from, self.decided.number())),
             ReadProgress::Undecided => {
-                self.proposer.request_completion();
+                self.proposer.request_recovery();
                 self.tick(now, effects);
             }
             ReadProgress::Completed => self.tick(now, effects),
--- a/crates/linenthread-control/src/control_node/shutdown.rs
+++ b/crates/linenthread-control/src/control_node/shutdown.rs
@@ -108,7 +108,7 @@
             None => PeerVoter {
                 node_id,
                 durable: false,
-                presence: Presence::Absent,
+                presence: Presence::OutOfContact,
             },
         }
     }
--- a/crates/linenthread-control/src/graceful_shutdown.rs
+++ b/crates/linenthread-control/src/graceful_shutdown.rs
@@ -15,8 +15,8 @@
     ShuttingDown,
     /// It ended after a graceful shutdown.
     Departed,
-    /// Out of contact.
-    Absent,
+    /// Out of contact, without a graceful shutdown that this node knows of.
+    OutOfContact,
 }
 
 /// One of the newest value's voters as a node that shuts down sees it.
@@ -139,7 +139,7 @@
                 nobody_stays || self.own_position().is_none_or(|own| position > own)
             }
             Presence::Departed => nobody_stays,
-            Presence::Absent => false,
+            Presence::OutOfContact => false,
         }
     }
 
--- a/crates/linenthread-control/src/ingress_peer.rs
+++ b/crates/linenthread-control/src/ingress_peer.rs
@@ -10,7 +10,8 @@
 use crate::peer_hello::IngressNodeHello;
 use crate::{IngressIncarnation, QuotaRequestNumber, ReplicaRegistry};
 
-/// How far the read of the newest configuration for a session has come.
+/// How far the read barrier of a session has come: the linearizable read, begun for this session, after which the
+/// configuration that this node has is known to be the newest.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Confirmation {
     /// Not read yet.
--- a/crates/linenthread-control/src/pending_jobs.rs
+++ b/crates/linenthread-control/src/pending_jobs.rs
@@ -10,7 +10,7 @@
 pub(crate) enum JobOwner {
     /// An operator's call.
     Call(CallId),
-    /// A session with an ingress node, which is sent the configuration once it was read for it.
+    /// A session with an ingress node, whose read barrier it is: it is sent the configuration once this read has ended.
     Confirmation(SessionId),
     /// A change of the voters by this node as the leader.
     VoterChange,
--- a/crates/linenthread-control/tests/voters_and_shutdown.rs
+++ b/crates/linenthread-control/tests/voters_and_shutdown.rs
@@ -90,7 +90,7 @@
         presence: match c.to_ascii_lowercase() {
             'l' => Presence::ShuttingDown,
             'd' => Presence::Departed,
-            'a' => Presence::Absent,
+            'a' => Presence::OutOfContact,
             _ => Presence::InContact,
         },
     };
