--- a/crates/linenthread-control/src/graceful_shutdown.rs
+++ b/crates/linenthread-control/src/graceful_shutdown.rs
@@ -100,13 +100,15 @@
 impl fmt::Display for ShutdownBlocker {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            ShutdownBlocker::UndecidedValue => "a value is in doubt",
-            ShutdownBlocker::PendingCalls => "calls wait for their answers",
-            ShutdownBlocker::Unacknowledged => "not all others know that it leaves",
+            ShutdownBlocker::UndecidedValue => "an accepted value is not known to be decided",
+            ShutdownBlocker::PendingCalls => "calls are in flight",
+            ShutdownBlocker::Unacknowledged => {
+                "not all control nodes in contact have acknowledged the shutdown"
+            }
             ShutdownBlocker::Reconfiguration => "the voters are being changed",
-            ShutdownBlocker::OwnVote => "its vote is to be taken off",
-            ShutdownBlocker::TooFewCopies => "too few others hold the newest value",
-            ShutdownBlocker::LeaderLease => "the leader lease is to be released",
+            ShutdownBlocker::OwnVote => "its vote is not replaced or removed yet",
+            ShutdownBlocker::TooFewCopies => "too few other disks hold the newest value",
+            ShutdownBlocker::LeaderLease => "the leader lease is not released yet",
         })
     }
 }
--- a/crates/linenthread-control/src/response.rs
+++ b/crates/linenthread-control/src/response.rs
@@ -38,10 +38,12 @@
 impl fmt::Display for UnavailableReason {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            UnavailableReason::NoQuorum => "no contact with more than half of the voters",
-            UnavailableReason::QuorumTimedOut => "no word of more than half of the voters",
-            UnavailableReason::NotReplicated => "too few others know of it",
-            UnavailableReason::ShuttingDown => "about to end",
+            UnavailableReason::NoQuorum => "no contact with a majority of the voters",
+            UnavailableReason::QuorumTimedOut => "a majority of the voters did not respond in time",
+            UnavailableReason::NotReplicated => {
+                "a majority of the voters did not acknowledge the change in time"
+            }
+            UnavailableReason::ShuttingDown => "the control node is shutting down",
         })
     }
 }
--- a/crates/linenthread-control/tests/texts.rs
+++ b/crates/linenthread-control/tests/texts.rs
@@ -23,23 +23,23 @@
 }
 
 #[parameterized(
-    no_quorum = { UnavailableReason::NoQuorum, "no contact with more than half of the voters" },
-    quorum_timed_out = { UnavailableReason::QuorumTimedOut, "no word of more than half of the voters" },
-    not_replicated = { UnavailableReason::NotReplicated, "too few others know of it" },
-    shutting_down = { UnavailableReason::ShuttingDown, "about to end" },
+    no_quorum = { UnavailableReason::NoQuorum, "no contact with a majority of the voters" },
+    quorum_timed_out = { UnavailableReason::QuorumTimedOut, "a majority of the voters did not respond in time" },
+    not_replicated = { UnavailableReason::NotReplicated, "a majority of the voters did not acknowledge the change in time" },
+    shutting_down = { UnavailableReason::ShuttingDown, "the control node is shutting down" },
 )]
 fn callers_receive_the_reason(reason: UnavailableReason, text: &str) {
     assert_eq!(reason.to_string(), text);
 }
 
 #[parameterized(
-    undecided = { ShutdownBlocker::UndecidedValue, "a value is in doubt" },
-    calls = { ShutdownBlocker::PendingCalls, "calls wait for their answers" },
-    unacknowledged = { ShutdownBlocker::Unacknowledged, "not all others know that it leaves" },
+    undecided = { ShutdownBlocker::UndecidedValue, "an accepted value is not known to be decided" },
+    calls = { ShutdownBlocker::PendingCalls, "calls are in flight" },
+    unacknowledged = { ShutdownBlocker::Unacknowledged, "not all control nodes in contact have acknowledged the shutdown" },
     reconfiguration = { ShutdownBlocker::Reconfiguration, "the voters are being changed" },
-    own_vote = { ShutdownBlocker::OwnVote, "its vote is to be taken off" },
-    copies = { ShutdownBlocker::TooFewCopies, "too few others hold the newest value" },
-    lease = { ShutdownBlocker::LeaderLease, "the leader lease is to be released" },
+    own_vote = { ShutdownBlocker::OwnVote, "its vote is not replaced or removed yet" },
+    copies = { ShutdownBlocker::TooFewCopies, "too few other disks hold the newest value" },
+    lease = { ShutdownBlocker::LeaderLease, "the leader lease is not released yet" },
 )]
 fn the_log_says_why_a_shutdown_waits(blocker: ShutdownBlocker, text: &str) {
     assert_eq!(blocker.to_string(), text);
--- a/crates/linenthread-node/src/control/api.rs
+++ b/crates/linenthread-node/src/control/api.rs
@@ -83,7 +83,7 @@
                 self.reject(
                     "reading a call's head",
                     Status::BadRequest,
-                    "not a request",
+                    "not an HTTP request",
                     source,
                 )
                 .await;
@@ -102,8 +102,13 @@
                 } else {
                     Status::BadRequest
                 };
-                self.reject("judging a call's head", status, "body refused", error)
-                    .await;
+                self.reject(
+                    "validating a call's head",
+                    status,
+                    "invalid framing, or body too long",
+                    error,
+                )
+                .await;
                 return Flow::Close;
             }
         };
@@ -179,8 +184,8 @@
             _,
             ["Replicas.Heartbeat" | "Replicas.Departure", _]
             | ["Configuration.Replace" | "Configuration.Read" | "Members.Read" | "Replicas.Read"],
-        ) => ApiResponse::error(Status::MethodNotAllowed, "another method is meant"),
-        _ => ApiResponse::error(Status::NotFound, "no such call"),
+        ) => ApiResponse::error(Status::MethodNotAllowed, "method not allowed for this path"),
+        _ => ApiResponse::error(Status::NotFound, "no such path"),
     }
 }
 
@@ -194,7 +199,7 @@
         Err(error) => return ApiResponse::error(Status::BadRequest, error),
     };
     if heartbeat.address.parse::<SocketAddr>().is_err() {
-        let message = format!("{} is no address", heartbeat.address);
+        let message = format!("{} is not an IP:PORT address", heartbeat.address);
         return ApiResponse::error(Status::BadRequest, message);
     }
     let replica_id = id.to_owned();
@@ -214,7 +219,7 @@
         .header("x-base-revision")
         .map_or(Ok(Revision::NONE), |text| text.parse().map(Revision::new));
     let Ok(base) = base else {
-        return ApiResponse::error(Status::BadRequest, "X-Base-Revision is no number");
+        return ApiResponse::error(Status::BadRequest, "X-Base-Revision is not a number");
     };
     let revision = match Configuration::parse(&document) {
         Ok(configuration) => Revision::new(configuration.revision),
--- a/crates/linenthread-node/src/control/api_response.rs
+++ b/crates/linenthread-node/src/control/api_response.rs
@@ -154,12 +154,12 @@
                 ApiResponse::Json(Status::Ok, json!({"revision": revision.get()}))
             }
             Response::Document(value) if Revision::of(&value) == Revision::NONE => {
-                ApiResponse::error(Status::NotFound, "no configuration was taken yet")
+                ApiResponse::error(Status::NotFound, "no configuration is in force yet")
             }
             Response::Document(value) => ApiResponse::Document(value.document.to_vec()),
             Response::Conflict(revision) => ApiResponse::Json(
                 Status::PreconditionFailed,
-                json!({"error": "another version is in place", "revision": revision.get()}),
+                json!({"error": "another revision is in force", "revision": revision.get()}),
             ),
             Response::Unavailable(reason) => ApiResponse::error(Status::ServiceUnavailable, reason),
             Response::Redirect(address) => ApiResponse::Redirect(address),
--- a/crates/linenthread-node/src/control/command.rs
+++ b/crates/linenthread-node/src/control/command.rs
@@ -63,8 +63,8 @@
 impl fmt::Display for CallError {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         formatter.write_str(match self {
-            CallError::QueueFull => "too much waits",
-            CallError::Stopping => "ending",
+            CallError::QueueFull => "too many calls are queued",
+            CallError::Stopping => "the control node is stopping",
         })
     }
 }
--- a/crates/linenthread-node/src/control/mod.rs
+++ b/crates/linenthread-node/src/control/mod.rs
@@ -64,7 +64,7 @@
         match tokio::time::timeout(BLOCKER_TIMEOUT, response).await {
             Ok(Ok(Some(blocker))) => blocker.to_string(),
             Ok(Ok(None)) => "nothing".to_owned(),
-            Ok(Err(_)) | Err(_) => "no answer".to_owned(),
+            Ok(Err(_)) | Err(_) => "the control task did not answer in time".to_owned(),
         }
     }
 
--- a/crates/linenthread-node/src/main.rs
+++ b/crates/linenthread-node/src/main.rs
@@ -33,18 +33,18 @@
     xflags::xflags! {
         /// The daemon of the search front.
         cmd linenthread-node {
-            /// Serves what the settings bind, until SIGTERM. This is what it does without any word.
+            /// Serves what the settings bind, until SIGTERM. The default if no command is given.
             default cmd serve {
                 /// The settings file; else the variable LINENTHREAD_BOOT names it.
                 optional --settings path: PathBuf
-                /// Passes requests on with no decision: only to measure beside.
+                /// Forwards requests without the decision module: only to measure against.
                 optional --pass-through
             }
-            /// Judges a configuration as a control call would; exit 2 and one line if it is bad.
+            /// Validates a configuration as a control call would; exit code 2 and one line if it is invalid.
             cmd check {
                 required configuration: PathBuf
             }
-            /// Judges a settings file; exit 2 and one line if it is bad.
+            /// Validates a settings file; exit code 2 and one line if it is invalid.
             cmd check-settings {
                 required settings: PathBuf
             }
--- a/crates/linenthread-store/src/error.rs
+++ b/crates/linenthread-store/src/error.rs
@@ -39,7 +39,7 @@
         source: io::Error,
     },
     /// The log failed before and accepts nothing until it is opened again.
-    #[snafu(display("the disk failed before"))]
+    #[snafu(display("the log stopped after an earlier failure of the disk"))]
     Stopped,
     /// A record is too long.
     #[snafu(display("a record of {bytes} bytes is longer than {MAX_RECORD_BYTES}"))]
