--- a/crates/linenthread-control/src/control_node/replica_calls.rs
+++ b/crates/linenthread-control/src/control_node/replica_calls.rs
@@ -30,14 +30,7 @@
             self.forget_ended_drain(replica_id);
             self.queue_for_peers(replica_id, &observation.superseded);
         }
-        let is_draining_or_ended = self
-            .registry
-            .get(replica_id)
-            .is_some_and(RegisteredReplica::is_draining_or_ended);
-        let awaits_majority = replica.draining
-            && is_draining_or_ended
-            && !self.pending_drains.is_known_by_majority(replica_id);
-        if awaits_majority {
+        if replica.draining && self.is_unknown_to_majority(replica_id) {
             self.await_majority(now, call, replica_id, effects);
         } else {
             let report_to = self.report_address(now, &replica.zone);
@@ -71,9 +64,7 @@
         // It may have departed before, and too few others have acknowledged that so far. Of a replica that is not known
         // here there is nothing to make known: it never reached this node, or ended so long ago that it is forgotten.
         // Should another node know it still, it times out there.
-        let awaits_majority = self.registry.get(replica_id).is_some()
-            && !self.pending_drains.is_known_by_majority(replica_id);
-        if awaits_majority {
+        if self.is_unknown_to_majority(replica_id) {
             self.await_majority(now, call, replica_id, effects);
             self.flush_changed_replicas(now, effects);
         } else {
@@ -84,6 +75,15 @@
         }
     }
 
+    /// Whether a replica is known here to drain or to have ended, and too few others are known to know it.
+    fn is_unknown_to_majority(&self, replica_id: &str) -> bool {
+        let is_draining_or_ended = self
+            .registry
+            .get(replica_id)
+            .is_some_and(RegisteredReplica::is_draining_or_ended);
+        is_draining_or_ended && !self.pending_drains.is_known_by_majority(replica_id)
+    }
+
     /// The call is acknowledged once more than half of the voters have acknowledged the replica's state.
     fn await_majority(
         &mut self,
--- a/crates/linenthread-control/src/ingress_peer.rs
+++ b/crates/linenthread-control/src/ingress_peer.rs
@@ -1,5 +1,7 @@
 //! A session with an ingress node: what the node reports, and what it was sent.
 
+use std::collections::BTreeSet;
+
 use linenthread_consensus::{Incarnation, Revision};
 use linenthread_messages::{IngressSession, IngressUpdate, Replica, Value};
 use linenthread_time::Instant;
@@ -139,55 +141,82 @@
         self.sent_offset = None;
     }
 
-    /// All that the ingress node lacks; `None` if it lacks nothing. The configuration is part of it only once it was
-    /// read for this session, so that none older than the newest is applied anew.
+    /// All that the ingress node lacks; `None` if it lacks nothing.
     pub(crate) fn next_update(
         &mut self,
         now: Instant,
         change_log_id: Incarnation,
         source: &UpdateSource,
     ) -> Option<IngressUpdate> {
+        let update = self.missing_state(now, change_log_id, source);
+        let newly_confirmed = update.confirmed && !self.sent_confirmed;
+        let is_needed = update.complete
+            || !update.replicas.is_empty()
+            || update.value.is_some()
+            || newly_confirmed
+            || !update.control_addresses.is_empty();
+        if !is_needed {
+            return None;
+        }
+        self.on_update_sent(&update, source);
+        Some(update)
+    }
+
+    /// What the ingress node lacks, as an update.
+    fn missing_state(
+        &self,
+        now: Instant,
+        change_log_id: Incarnation,
+        source: &UpdateSource,
+    ) -> IngressUpdate {
         let change_log = source.registry.changes();
         let changed = self.sent_offset.and_then(|sent| change_log.since(sent));
-        let complete = changed.is_none();
-        let replicas: Vec<Replica> = match changed {
-            Some(replica_ids) => replica_ids
-                .iter()
-                .filter_map(|replica_id| source.registry.get(replica_id))
-                .map(|registered| registered.snapshot(now))
-                .collect(),
-            None => source.registry.snapshot(now),
-        };
-        let confirmed = self.is_confirmed();
-        let value = source
-            .decided
-            .filter(|value| confirmed && Revision::of(value) > self.sent_revision)
-            .cloned();
-        let newly_confirmed = confirmed && !self.sent_confirmed;
         let new_addresses = self.sent_addresses != source.address_book.version();
-        if !complete && replicas.is_empty() && value.is_none() && !newly_confirmed && !new_addresses
-        {
-            return None;
-        }
-        if let Some(value) = &value {
-            self.sent_revision = Revision::of(value);
-        }
-        self.sent_offset = Some(change_log.offset());
-        self.sent_confirmed = confirmed;
-        self.sent_addresses = source.address_book.version();
-        Some(IngressUpdate {
+        IngressUpdate {
             change_log_id: change_log_id.get(),
             change_log_offset: change_log.offset().get(),
-            complete,
-            replicas,
-            value,
+            complete: changed.is_none(),
+            replicas: match changed {
+                Some(replica_ids) => snapshots(now, source.registry, &replica_ids),
+                None => source.registry.snapshot(now),
+            },
+            value: self.missing_value(source).cloned(),
             control_addresses: if new_addresses {
                 source.address_book.all()
             } else {
                 Vec::new()
             },
-            confirmed,
+            confirmed: self.is_confirmed(),
             registry_settled: source.registry.is_settled(),
-        })
+        }
     }
+
+    /// The newest value, if the ingress node has an older configuration, and only once it was read for this session: so
+    /// none older than the newest is applied anew.
+    fn missing_value<'a>(&self, source: &UpdateSource<'a>) -> Option<&'a Value> {
+        source
+            .decided
+            .filter(|value| self.is_confirmed() && Revision::of(value) > self.sent_revision)
+    }
+
+    fn on_update_sent(&mut self, update: &IngressUpdate, source: &UpdateSource) {
+        if let Some(value) = &update.value {
+            self.sent_revision = Revision::of(value);
+        }
+        self.sent_offset = Some(source.registry.changes().offset());
+        self.sent_confirmed = update.confirmed;
+        self.sent_addresses = source.address_book.version();
+    }
+}
+
+fn snapshots(
+    now: Instant,
+    registry: &ReplicaRegistry,
+    replica_ids: &BTreeSet<&str>,
+) -> Vec<Replica> {
+    replica_ids
+        .iter()
+        .filter_map(|replica_id| registry.get(replica_id))
+        .map(|registered| registered.snapshot(now))
+        .collect()
 }
--- a/crates/linenthread-node/src/control/api.rs
+++ b/crates/linenthread-node/src/control/api.rs
@@ -94,39 +94,47 @@
     }
 
     async fn serve(&mut self, head: &Head) -> Flow {
+        let Some(body) = self.read_body(head).await else {
+            return Flow::Close;
+        };
+        let response = dispatch(head, body, &self.handle).await;
+        if let Some(status) = response.rejected_status() {
+            let cause = format_args!("{status} {} {response}", head.path());
+            linenthread_dataplane::log_rejected_input("taking a call", self.peer, cause);
+        }
+        self.respond(head, &response).await
+    }
+
+    /// The body of a call; `None` if it was rejected or did not arrive.
+    async fn read_body(&mut self, head: &Head) -> Option<Vec<u8>> {
         let framing = match request_framing(head, MAX_BODY_BYTES) {
             Ok(framing) => framing,
             Err(error) => {
-                let status = if error == ParseError::BodyTooLong {
-                    Status::ContentTooLarge
-                } else {
-                    Status::BadRequest
-                };
-                self.reject(
-                    "validating a call's head",
-                    status,
-                    "invalid framing, or body too long",
-                    error,
-                )
-                .await;
-                return Flow::Close;
+                self.reject_framing(error).await;
+                return None;
             }
         };
         if head.has_token("expect", "100-continue") && !self.send_continue().await {
-            return Flow::Close;
+            return None;
         }
-        let read = self
-            .connection
+        self.connection
             .read_body(framing, MAX_BODY_BYTES, TRANSFER_TIMEOUT, None)
-            .await;
-        let Ok(body) = read else {
-            return Flow::Close;
+            .await
+            .ok()
+    }
+
+    async fn reject_framing(&mut self, error: ParseError) {
+        let status = if error == ParseError::BodyTooLong {
+            Status::ContentTooLarge
+        } else {
+            Status::BadRequest
         };
-        let response = dispatch(head, body, &self.handle).await;
-        if let Some(status) = response.rejected_status() {
-            let cause = format_args!("{status} {} {response}", head.path());
-            linenthread_dataplane::log_rejected_input("taking a call", self.peer, cause);
-        }
+        let message = "invalid framing, or body too long";
+        self.reject("validating a call's head", status, message, error)
+            .await;
+    }
+
+    async fn respond(&mut self, head: &Head, response: &ApiResponse) -> Flow {
         let keep_alive = head.keeps_alive();
         let bytes = response.encode(head.target(), keep_alive);
         if self.write(&bytes).await.is_err() {
--- a/crates/linenthread-node/src/control/mod.rs
+++ b/crates/linenthread-node/src/control/mod.rs
@@ -123,6 +123,42 @@
     }
 }
 
+/// Who this node is: its identity belongs to its disk, and what it starts from depends on whether that was empty.
+struct Identity {
+    id: NodeId,
+    disk_is_empty: bool,
+    /// The id follows from the address: the node is one of the first voters, on the very first start of the system.
+    is_genesis_voter: bool,
+}
+
+impl Identity {
+    /// A node with an empty disk is a new one, whatever was at its address before; only on the very first start its
+    /// identity follows from the address, so that all derive the same first voters.
+    fn new(
+        settings: &Settings,
+        control_address: SocketAddr,
+        durable_id: Option<NodeId>,
+        incarnation: Incarnation,
+    ) -> Identity {
+        let disk_is_empty = durable_id.is_none();
+        let is_genesis_voter = disk_is_empty
+            && settings.initial_boot
+            && settings.bootstrap_peers.contains(&control_address);
+        let new_id = || {
+            if is_genesis_voter {
+                NodeId::genesis(&control_address.to_string())
+            } else {
+                NodeId(incarnation.get())
+            }
+        };
+        Identity {
+            id: durable_id.unwrap_or_else(new_id),
+            disk_is_empty,
+            is_genesis_voter,
+        }
+    }
+}
+
 /// The control node, from its settings and what the disk holds. An empty disk is given its identity.
 fn start_node(
     settings: &Settings,
@@ -131,48 +167,42 @@
     state_writer: &StateWriter,
 ) -> ControlNode {
     let incarnation = Incarnation::new(incarnation::draw());
-    let control_address = address.to_string();
+    let identity = Identity::new(settings, address, durable_state.id, incarnation);
     let bootstrap: Vec<String> = settings
         .bootstrap_peers
         .iter()
         .map(SocketAddr::to_string)
         .collect();
-    let is_empty = durable_state.id.is_none();
-    // A node with an empty disk is a new one, whatever was at its address before; only on the very first start its
-    // identity follows from the address, so that all derive the same first voters.
-    let has_genesis_id = is_empty && settings.initial_boot && bootstrap.contains(&control_address);
-    let id = durable_state.id.unwrap_or_else(|| {
-        if has_genesis_id {
-            NodeId::genesis(&control_address)
-        } else {
-            NodeId(incarnation.get())
-        }
-    });
     let genesis = settings.initial_boot.then(|| genesis_value(&bootstrap));
     let config = NodeConfig {
         name: settings.node_name.clone(),
         zone: settings.zone.clone(),
         incarnation,
-        control_address,
+        control_address: address.to_string(),
         voter_eligible: settings.quorum_member,
         min_voters: 2 * settings.machine_faults + 1,
         heartbeat_interval: settings.heartbeat_interval,
         bootstrap,
-        is_genesis: settings.initial_boot && is_empty,
+        is_genesis: settings.initial_boot && identity.disk_is_empty,
         retry_allowance: settings.retry_allowance,
         retry_window: settings.retry_window,
     };
-    log::info!(disk = id.0, empty = is_empty, genesis = has_genesis_id; "event=control_started");
-    let control = ControlNode::new(config, id, durable_state, genesis.clone(), clock::now());
-    if is_empty {
-        let identity = Record {
-            id: Some(id.0),
-            decided: genesis,
-            ..Record::default()
-        };
-        state_writer.persist(identity, Vec::new());
+    log::info!(disk = identity.id.0, empty = identity.disk_is_empty, genesis = identity.is_genesis_voter;
+        "event=control_started");
+    if identity.disk_is_empty {
+        persist_identity(identity.id, genesis.clone(), state_writer);
     }
-    control
+    ControlNode::new(config, identity.id, durable_state, genesis, clock::now())
+}
+
+/// The first record of an empty disk: whose it is from now on.
+fn persist_identity(id: NodeId, genesis: Option<Value>, state_writer: &StateWriter) {
+    let record = Record {
+        id: Some(id.0),
+        decided: genesis,
+        ..Record::default()
+    };
+    state_writer.persist(record, Vec::new());
 }
 
 /// Value 0: the nodes of the bootstrap list vote.
--- a/crates/linenthread-store/src/log.rs
+++ b/crates/linenthread-store/src/log.rs
@@ -111,16 +111,7 @@
         remove_all(&mut files, others)?;
         let file = file_name(generation);
         let intact_bytes = content.intact_bytes as u64;
-        let torn_tail = (intact_bytes < file_bytes).then(|| TornTail {
-            file: file.clone(),
-            offset: intact_bytes,
-            bytes: file_bytes - intact_bytes,
-        });
-        if torn_tail.is_some() {
-            files
-                .truncate(&file, intact_bytes)
-                .context(disk("truncating", &file))?;
-        }
+        let torn_tail = truncate_torn_tail(&mut files, &file, intact_bytes, file_bytes)?;
         // What was read is relied on from now on, and may not have been synced before the crash.
         files.sync(&file).context(disk("syncing", &file))?;
         files
@@ -283,6 +274,26 @@
     Ok(None)
 }
 
+/// Truncates what a crash left unfinished behind the intact records.
+fn truncate_torn_tail<F: Files>(
+    files: &mut F,
+    file: &str,
+    intact_bytes: u64,
+    file_bytes: u64,
+) -> Result<Option<TornTail>, LogError> {
+    if intact_bytes >= file_bytes {
+        return Ok(None);
+    }
+    files
+        .truncate(file, intact_bytes)
+        .context(disk("truncating", file))?;
+    Ok(Some(TornTail {
+        file: file.to_owned(),
+        offset: intact_bytes,
+        bytes: file_bytes - intact_bytes,
+    }))
+}
+
 fn remove_all<F: Files>(
     files: &mut F,
     generations: impl Iterator<Item = u64>,
