--- a/crates/linenthread-checker/src/register/state.rs
+++ b/crates/linenthread-checker/src/register/state.rs
@@ -45,7 +45,7 @@
 /// What waits until a record is synced.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) enum Waiting {
-    Message(InFlight),
+    Message(Box<InFlight>),
     RecordSynced(SyncedRecord),
 }
 
--- a/crates/linenthread-checker/src/register/transition.rs
+++ b/crates/linenthread-checker/src/register/transition.rs
@@ -195,7 +195,7 @@
             .into_iter()
             .filter_map(|next| match next {
                 AfterSync::Send { to, message } => {
-                    Some(Waiting::Message(InFlight::new(from, to, message)))
+                    Some(Waiting::Message(Box::new(InFlight::new(from, to, message))))
                 }
                 AfterSync::RecordSynced(synced) => Some(Waiting::RecordSynced(synced)),
                 // No register asks for it.
@@ -226,7 +226,7 @@
         self.state.node_mut(node).disk.add(record);
         for waiting in after_sync {
             match waiting {
-                Waiting::Message(message) => self.send(id, message),
+                Waiting::Message(message) => self.send(id, *message),
                 Waiting::RecordSynced(synced) => {
                     self.loopback.push_back(Loopback::RecordSynced(synced));
                 }
