--- a/crates/linenthread-control/src/voting_state.rs
+++ b/crates/linenthread-control/src/voting_state.rs
@@ -1,9 +1,9 @@
-//! What a control node remembers of its part in the votes from one look to the next.
+//! What a control node remembers from one event to the next: whether it votes, and for how long a value was undecided.
 
 /// A value must be undecided at so many heartbeat ticks in a row before this node completes it.
 const MAX_UNDECIDED_TICKS: u32 = 2;
 
-/// This node's part in the votes.
+/// This node as a voter, when it last looked.
 #[derive(Default)]
 pub(crate) struct VotingState {
     /// This node is one of the voters of the value that it learned last.
--- a/crates/linenthread-simulation/src/system/disk.rs
+++ b/crates/linenthread-simulation/src/system/disk.rs
@@ -23,7 +23,7 @@
 /// Of the syncs of one write, fewer than this have succeeded when a crash cuts it off.
 const TORN_WRITE_MAX_SYNCS: usize = 3;
 
-/// A record on its way to the disk, and the messages that wait until it is synced.
+/// A record on its way to the disk, and what waits until it is synced.
 struct QueuedRecord {
     record: Record,
     after_sync: Vec<AfterSync>,
--- a/crates/linenthread-simulation/src/system/execution.rs
+++ b/crates/linenthread-simulation/src/system/execution.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use linenthread_consensus::{DurableState, Incarnation, NodeId, ValueNumber};
+use linenthread_consensus::{DurableState, Incarnation, NodeId};
 use linenthread_control::{AfterSync, ControlNode, Effect, NodeConfig};
 use linenthread_messages::{PeerMessage, Record};
 use linenthread_time::{Instant, whole_millis};
@@ -13,7 +13,7 @@
 use super::ingress_node::{RETRY_ALLOWANCE, RETRY_WINDOW};
 use super::invariant::Invariant;
 use super::loss_budget::CATCH_UP_TIME;
-use super::machine::{CatchUp, Contacts, NO_PROCESS, ProcessEnd};
+use super::machine::{CatchUp, NO_PROCESS, ProcessEnd};
 use super::world::World;
 
 /// A process whose disk does not open ends, and is started again after so long.
@@ -58,16 +58,7 @@
         let control = ControlNode::new(config, id, state, genesis.clone(), clock);
         self.trace(&format!("{node} starts"));
         let (target, now) = (self.history.newest_number(), self.now());
-        let machine = &mut self.machines[node];
-        machine.control = Some(control);
-        machine.incarnation = incarnation;
-        machine.started_at = now;
-        machine.paused_until = Instant::START;
-        machine.shutdown = None;
-        machine.is_initial = false;
-        machine.decided_number = ValueNumber::FIRST;
-        machine.contacts = Contacts::default();
-        machine.catch_up = Some(CatchUp::new(target, now));
+        self.machines[node].on_process_started(control, incarnation, CatchUp::new(target, now));
         if is_empty {
             let first = Record {
                 id: Some(id.0),
--- a/crates/linenthread-simulation/src/system/machine.rs
+++ b/crates/linenthread-simulation/src/system/machine.rs
@@ -157,6 +157,24 @@
         }
     }
 
+    /// A process was started, and has yet to catch up.
+    pub(super) fn on_process_started(
+        &mut self,
+        control: ControlNode,
+        incarnation: Incarnation,
+        catch_up: CatchUp,
+    ) {
+        self.control = Some(control);
+        self.incarnation = incarnation;
+        self.started_at = catch_up.started_at;
+        self.paused_until = Instant::START;
+        self.shutdown = None;
+        self.is_initial = false;
+        self.decided_number = ValueNumber::FIRST;
+        self.contacts = Contacts::default();
+        self.catch_up = Some(catch_up);
+    }
+
     pub(super) fn is_up(&self) -> bool {
         self.control.is_some()
     }
