--- a/crates/linenthread-checker/src/lease/state.rs
+++ b/crates/linenthread-checker/src/lease/state.rs
@@ -260,12 +260,7 @@
                     incarnation,
                     value_number: VALUE_NUMBER.get(),
                 };
-                let reply = self.reply(to, from, &request);
-                self.network.insert(InFlight {
-                    to: from,
-                    from: to,
-                    message: Message::from(&reply),
-                });
+                self.on_request(to, from, &request);
             }
             Message::Reply {
                 epoch,
@@ -286,6 +281,15 @@
         }
     }
 
+    fn on_request(&mut self, voter: NodeIndex, from: NodeIndex, request: &LeaseRequest) {
+        let reply = self.reply(voter, from, request);
+        self.network.insert(InFlight {
+            to: from,
+            from: voter,
+            message: Message::from(&reply),
+        });
+    }
+
     /// A connection ends with the process at its end: messages in flight to the node or from it are lost.
     fn crash(&mut self, node: NodeIndex) {
         self.has_restarted = true;
--- a/crates/linenthread-control/src/control_node/replica_calls.rs
+++ b/crates/linenthread-control/src/control_node/replica_calls.rs
@@ -36,7 +36,7 @@
             let report_to = self.report_address(now, &replica.zone);
             effects.push(Effect::Respond {
                 call,
-                response: Response::Acknowledged(report_to),
+                response: Response::Acknowledged { report_to },
             });
         }
         if observation.outcome == HeartbeatOutcome::Changed {
@@ -70,7 +70,7 @@
         } else {
             effects.push(Effect::Respond {
                 call,
-                response: Response::Acknowledged(None),
+                response: Response::Acknowledged { report_to: None },
             });
         }
     }
--- a/crates/linenthread-control/src/pending_drains.rs
+++ b/crates/linenthread-control/src/pending_drains.rs
@@ -126,7 +126,7 @@
                 Response::Unavailable(UnavailableReason::NotReplicated)
             } else if is_majority(&drain.acknowledged_by) {
                 known_by_majority.insert(drain.replica_id.clone());
-                Response::Acknowledged(None)
+                Response::Acknowledged { report_to: None }
             } else {
                 return true;
             };
--- a/crates/linenthread-control/src/response.rs
+++ b/crates/linenthread-control/src/response.rs
@@ -8,8 +8,11 @@
 /// The answer to a call of a replica or an operator.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Response {
-    /// A replica's call was recorded; the address, if any, is where its later heartbeats should go.
-    Acknowledged(Option<String>),
+    /// A replica's call was recorded.
+    Acknowledged {
+        /// The control address that its later heartbeats should go to, in its own zone; `None` if there is none to name.
+        report_to: Option<String>,
+    },
     /// The configuration of this revision was committed.
     Committed(Revision),
     /// The newest configuration.
--- a/crates/linenthread-control/tests/single_node.rs
+++ b/crates/linenthread-control/tests/single_node.rs
@@ -153,7 +153,9 @@
     );
     assert_eq!(
         responses(&effects),
-        [&Response::Acknowledged(Some(address(1)))]
+        [&Response::Acknowledged {
+            report_to: Some(address(1))
+        }]
     );
 }
 
@@ -167,7 +169,10 @@
     assert!(effects.iter().any(asks_for_ack));
     effects.clear();
     acknowledge(&mut control, 10, 1, &mut effects);
-    assert_eq!(responses(&effects), [&Response::Acknowledged(None)]);
+    assert_eq!(
+        responses(&effects),
+        [&Response::Acknowledged { report_to: None }]
+    );
 }
 
 #[test]
@@ -197,7 +202,10 @@
     acknowledge(&mut control, 30, 3, &mut effects);
     assert!(responses(&effects).is_empty());
     acknowledge(&mut control, 40, 4, &mut effects);
-    assert_eq!(responses(&effects), [&Response::Acknowledged(None)]);
+    assert_eq!(
+        responses(&effects),
+        [&Response::Acknowledged { report_to: None }]
+    );
 }
 
 #[test]
--- a/crates/linenthread-hollow/src/world/responses.rs
+++ b/crates/linenthread-hollow/src/world/responses.rs
@@ -50,7 +50,7 @@
 
     /// The replica follows an address that it is given, and goes elsewhere after a failure.
     fn on_replica_response(&mut self, control: usize, replica: usize, response: &Response) {
-        let address = if let Response::Acknowledged(report_to) = response {
+        let address = if let Response::Acknowledged { report_to } = response {
             report_to.as_deref()
         } else {
             self.replicas[replica].control = self.any_control();
--- a/crates/linenthread-node/src/control/api_response.rs
+++ b/crates/linenthread-node/src/control/api_response.rs
@@ -146,10 +146,10 @@
 impl From<Response> for ApiResponse {
     fn from(response: Response) -> ApiResponse {
         match response {
-            Response::Acknowledged(Some(report_to)) => {
-                ApiResponse::Json(Status::Ok, json!({"report_to": report_to}))
-            }
-            Response::Acknowledged(None) => ApiResponse::Json(Status::Ok, json!({})),
+            Response::Acknowledged {
+                report_to: Some(report_to),
+            } => ApiResponse::Json(Status::Ok, json!({"report_to": report_to})),
+            Response::Acknowledged { report_to: None } => ApiResponse::Json(Status::Ok, json!({})),
             Response::Committed(revision) => {
                 ApiResponse::Json(Status::Ok, json!({"revision": revision.get()}))
             }
--- a/crates/linenthread-simulation/src/system/checker/replicas.rs
+++ b/crates/linenthread-simulation/src/system/checker/replicas.rs
@@ -13,7 +13,7 @@
 
 impl World {
     /// [`Invariant::DrainsAreKnown`].
-    pub(in super::super) fn check_drain(&mut self, node: usize, ident: &str) {
+    pub(in super::super) fn check_drain(&mut self, node: usize, replica_id: &str) {
         self.report.coverage.drains += 1;
         let control = self.machines[node].control.as_ref();
         let Some(register) = control.map(ControlNode::register) else {
@@ -22,7 +22,7 @@
         let voters = register.voters();
         let known = voters
             .iter()
-            .filter(|voter| self.knows_drain(voter, ident))
+            .filter(|voter| self.knows_drain(voter, replica_id))
             .count();
         // One that knew and has ended since, even if it is back, counts as knowing.
         let restarted = voters
@@ -30,14 +30,17 @@
             .filter(|voter| !self.has_run_for_a_while(voter))
             .count();
         if (known + restarted) * 2 <= voters.len() {
-            let details = format!("{known} of {} know of {ident}", voters.len());
+            let details = format!("{known} of {} know of {replica_id}", voters.len());
             self.violation(Invariant::DrainsAreKnown, &details);
         }
     }
 
-    fn knows_drain(&self, voter: &Voter, ident: &str) -> bool {
+    fn knows_drain(&self, voter: &Voter, replica_id: &str) -> bool {
         let is_known = |control: &ControlNode| {
-            let known = control.registry().get(ident).map(|known| &known.replica);
+            let known = control
+                .registry()
+                .get(replica_id)
+                .map(|known| &known.replica);
             known.is_some_and(|replica| replica.draining || replica.ended)
         };
         self.machines
--- a/crates/linenthread-simulation/src/system/operators.rs
+++ b/crates/linenthread-simulation/src/system/operators.rs
@@ -191,17 +191,17 @@
     fn send_replica_heartbeat(&mut self, node: usize) {
         let now = self.now();
         let drawn = self.replicas.draw_heartbeat(&mut self.random, now);
-        let ident = drawn.ident;
+        let replica_id = drawn.replica_id;
         let request = if drawn.is_draining {
             Request::Drain {
-                ident: ident.clone(),
+                replica_id: replica_id.clone(),
             }
         } else {
             Request::Heartbeat
         };
         if let Some(call) = self.add_call(node, request) {
             self.run(node, |control, now, effects| {
-                control.on_replica_heartbeat(now, call, &ident, drawn.heartbeat, effects);
+                control.on_replica_heartbeat(now, call, &replica_id, drawn.heartbeat, effects);
             });
         }
     }
--- a/crates/linenthread-simulation/src/system/replicas.rs
+++ b/crates/linenthread-simulation/src/system/replicas.rs
@@ -19,7 +19,7 @@
 
 /// A heartbeat of a replica.
 pub(super) struct DrawnHeartbeat {
-    pub(super) ident: String,
+    pub(super) replica_id: String,
     pub(super) heartbeat: ReplicaHeartbeat,
     pub(super) is_draining: bool,
 }
@@ -36,13 +36,13 @@
         let replica = random.below(REPLICAS);
         let starts_to_drain = random.one_in(DRAINS);
         let generation = whole_millis(now.since(START)) / whole_millis(LIFETIME);
-        let ident = format!("i-{replica}-{generation}");
+        let replica_id = format!("i-{replica}-{generation}");
         // One that drains goes on draining.
         if starts_to_drain {
-            self.draining.insert(ident.clone());
+            self.draining.insert(replica_id.clone());
         }
-        let is_draining = self.draining.contains(&ident);
-        let count = self.heartbeats.entry(ident.clone()).or_default();
+        let is_draining = self.draining.contains(&replica_id);
+        let count = self.heartbeats.entry(replica_id.clone()).or_default();
         *count += 1;
         let phase = if is_draining { "draining" } else { "available" };
         let group = replica % GROUPS;
@@ -52,7 +52,7 @@
         );
         let heartbeat = serde_json::from_str(&text).expect("a heartbeat in proper form");
         DrawnHeartbeat {
-            ident,
+            replica_id,
             heartbeat,
             is_draining,
         }
--- a/crates/linenthread-simulation/src/system/requests.rs
+++ b/crates/linenthread-simulation/src/system/requests.rs
@@ -27,7 +27,7 @@
     },
     /// A heartbeat of a replica that drains.
     Drain {
-        ident: String,
+        replica_id: String,
     },
     Heartbeat,
 }
--- a/crates/linenthread-simulation/src/system/responses.rs
+++ b/crates/linenthread-simulation/src/system/responses.rs
@@ -49,8 +49,8 @@
                 self.check_read(acknowledged, &value);
                 self.operators[operator].revision = Revision::of(&value);
             }
-            (Request::Drain { ident }, Response::Acknowledged(_)) => {
-                self.check_drain(node, &ident);
+            (Request::Drain { replica_id }, Response::Acknowledged { .. }) => {
+                self.check_drain(node, &replica_id);
             }
             _ => {}
         }
@@ -71,7 +71,7 @@
             Response::Document(value) => {
                 self.check_quorum(node, &format!("Document {}", value.revision));
             }
-            Response::Acknowledged(_) => self.check_quorum(node, "Acknowledged"),
+            Response::Acknowledged { .. } => self.check_quorum(node, "Acknowledged"),
             _ => {}
         }
     }
