--- a/crates/linenthread-node/src/control/api_response.rs
+++ b/crates/linenthread-node/src/control/api_response.rs
@@ -146,20 +146,20 @@
 impl From<Response> for ApiResponse {
     fn from(response: Response) -> ApiResponse {
         match response {
-            Response::Acknowledged(Some(report_to)) => {
-                ApiResponse::Json(Status::Ok, json!({"report_to": report_to}))
-            }
-            Response::Acknowledged(None) => ApiResponse::Json(Status::Ok, json!({})),
+            Response::Acknowledged {
+                report_to: Some(report_to),
+            } => ApiResponse::Json(Status::Ok, json!({"report_to": report_to})),
+            Response::Acknowledged { report_to: None } => ApiResponse::Json(Status::Ok, json!({})),
             Response::Committed(revision) => {
                 ApiResponse::Json(Status::Ok, json!({"revision": revision.get()}))
             }
             Response::Document(value) if Revision::of(&value) == Revision::NONE => {
-                ApiResponse::error(Status::NotFound, "no configuration was taken yet")
+                ApiResponse::error(Status::NotFound, "no configuration is in force yet")
             }
             Response::Document(value) => ApiResponse::Document(value.document.to_vec()),
             Response::Conflict(revision) => ApiResponse::Json(
                 Status::PreconditionFailed,
-                json!({"error": "another version is in place", "revision": revision.get()}),
+                json!({"error": "another revision is in force", "revision": revision.get()}),
             ),
             Response::Unavailable(reason) => ApiResponse::error(Status::ServiceUnavailable, reason),
             Response::Redirect(address) => ApiResponse::Redirect(address),
--- a/crates/linenthread-node/src/control/mod.rs
+++ b/crates/linenthread-node/src/control/mod.rs
@@ -64,7 +64,7 @@
         match tokio::time::timeout(BLOCKER_TIMEOUT, response).await {
             Ok(Ok(Some(blocker))) => blocker.to_string(),
             Ok(Ok(None)) => "nothing".to_owned(),
-            Ok(Err(_)) | Err(_) => "no answer".to_owned(),
+            Ok(Err(_)) | Err(_) => "the control task did not answer in time".to_owned(),
         }
     }
 
@@ -90,10 +90,10 @@
     settings: &Rc<Settings>,
     address: SocketAddr,
 ) -> Result<ControlServer, Error> {
-    let (synced, synced_messages) = mpsc::unbounded_channel();
+    let (synced, synced_records) = mpsc::unbounded_channel();
     let state_dir = settings.state_dir.as_deref().unwrap_or_default();
     let (state_writer, durable_state) =
-        StateWriter::start(state_dir, move |messages| drop(synced.send(messages)))?;
+        StateWriter::start(state_dir, move |after_sync| drop(synced.send(after_sync)))?;
     let control = start_node(settings, address, durable_state, &state_writer);
     let calls = bind(address).await?;
     let peers = bind(SocketAddr::new(address.ip(), settings.peers_port)).await?;
@@ -101,7 +101,7 @@
     let (handle, commands) = ControlHandle::new();
     let task = ControlTask::new(control, state_writer, handle.clone(), settings.peers_port);
     spawn_local(task.run(commands));
-    spawn_local(forward_synced(synced_messages, handle.clone()));
+    spawn_local(forward_synced(synced_records, handle.clone()));
     spawn_local(api::accept_calls(calls, handle.clone()));
     spawn_local(peer_sessions::accept_peers(peers, handle.clone()));
     Ok(ControlServer { handle })
@@ -113,13 +113,49 @@
         .map_err(io_context("binding", &address))
 }
 
-/// Takes the messages that waited on the disk from its thread to the task.
+/// Takes what waited on the disk from its thread to the task.
 async fn forward_synced(
-    mut synced: mpsc::UnboundedReceiver<Vec<linenthread_control::DeferredMessage>>,
+    mut synced: mpsc::UnboundedReceiver<Vec<linenthread_control::AfterSync>>,
     handle: ControlHandle,
 ) {
-    while let Some(messages) = synced.recv().await {
-        handle.send(Command::Synced(messages)).await;
+    while let Some(after_sync) = synced.recv().await {
+        handle.send(Command::Synced(after_sync)).await;
+    }
+}
+
+/// Who this node is: its identity belongs to its disk, and what it starts from depends on whether that was empty.
+struct Identity {
+    id: NodeId,
+    disk_is_empty: bool,
+    /// The id follows from the address: the node is one of the first voters, on the very first start of the system.
+    is_genesis_voter: bool,
+}
+
+impl Identity {
+    /// A node with an empty disk is a new one, whatever was at its address before; only on the very first start its
+    /// identity follows from the address, so that all derive the same first voters.
+    fn new(
+        settings: &Settings,
+        control_address: SocketAddr,
+        durable_id: Option<NodeId>,
+        incarnation: Incarnation,
+    ) -> Identity {
+        let disk_is_empty = durable_id.is_none();
+        let is_genesis_voter = disk_is_empty
+            && settings.initial_boot
+            && settings.bootstrap_peers.contains(&control_address);
+        let new_id = || {
+            if is_genesis_voter {
+                NodeId::genesis(&control_address.to_string())
+            } else {
+                NodeId(incarnation.get())
+            }
+        };
+        Identity {
+            id: durable_id.unwrap_or_else(new_id),
+            disk_is_empty,
+            is_genesis_voter,
+        }
     }
 }
 
@@ -131,48 +167,42 @@
     state_writer: &StateWriter,
 ) -> ControlNode {
     let incarnation = Incarnation::new(incarnation::draw());
-    let control_address = address.to_string();
+    let identity = Identity::new(settings, address, durable_state.id, incarnation);
     let bootstrap: Vec<String> = settings
         .bootstrap_peers
         .iter()
         .map(SocketAddr::to_string)
         .collect();
-    let is_empty = durable_state.id.is_none();
-    // A node with an empty disk is a new one, whatever was at its address before; only on the very first start its
-    // identity follows from the address, so that all derive the same first voters.
-    let has_genesis_id = is_empty && settings.initial_boot && bootstrap.contains(&control_address);
-    let id = durable_state.id.unwrap_or_else(|| {
-        if has_genesis_id {
-            NodeId::genesis(&control_address)
-        } else {
-            NodeId(incarnation.get())
-        }
-    });
     let genesis = settings.initial_boot.then(|| genesis_value(&bootstrap));
     let config = NodeConfig {
         name: settings.node_name.clone(),
         zone: settings.zone.clone(),
         incarnation,
-        control_address,
+        control_address: address.to_string(),
         voter_eligible: settings.quorum_member,
         min_voters: 2 * settings.machine_faults + 1,
         heartbeat_interval: settings.heartbeat_interval,
         bootstrap,
-        is_genesis: settings.initial_boot && is_empty,
+        is_genesis: settings.initial_boot && identity.disk_is_empty,
         retry_allowance: settings.retry_allowance,
         retry_window: settings.retry_window,
     };
-    log::info!(disk = id.0, empty = is_empty, genesis = has_genesis_id; "event=control_started");
-    let control = ControlNode::new(config, id, durable_state, genesis.clone(), clock::now());
-    if is_empty {
-        let identity = Record {
-            id: Some(id.0),
-            decided: genesis,
-            ..Record::default()
-        };
-        state_writer.persist(identity, Vec::new());
+    log::info!(disk = identity.id.0, empty = identity.disk_is_empty, genesis = identity.is_genesis_voter;
+        "event=control_started");
+    if identity.disk_is_empty {
+        persist_identity(identity.id, genesis.clone(), state_writer);
     }
-    control
+    ControlNode::new(config, identity.id, durable_state, genesis, clock::now())
+}
+
+/// The first record of an empty disk: whose it is from now on.
+fn persist_identity(id: NodeId, genesis: Option<Value>, state_writer: &StateWriter) {
+    let record = Record {
+        id: Some(id.0),
+        decided: genesis,
+        ..Record::default()
+    };
+    state_writer.persist(record, Vec::new());
 }
 
 /// Value 0: the nodes of the bootstrap list vote.
