--- a/crates/linenthread-consensus/src/lib.rs
+++ b/crates/linenthread-consensus/src/lib.rs
@@ -16,7 +16,7 @@
 //! | module | job |
 //! | --- | --- |
 //! | `register` | routes messages and time to the other modules, adopts decided values |
-//! | `decided_state` | the newest decided value and the order log, and how an order is judged by them |
+//! | `decided_state` | the newest decided value and the order log, and what they tell of an order |
 //! | `acceptor` | what this node has promised and accepted for the next number |
 //! | `proposer` | pending changes, and the round that decides one of them |
 //! | `round` | both phases of Paxos for one number, from the proposer's side |
@@ -79,7 +79,7 @@
 
 pub use change::{Change, Order, document_digest};
 pub use durable_state::DurableState;
-pub use effects::{DeferredMessage, Effect};
+pub use effects::{AfterSync, Effect, OrderLogRecordNumber, SyncedRecord};
 pub use epoch::Epoch;
 pub use genesis_value::genesis_value;
 pub use incarnation::Incarnation;
--- a/crates/linenthread-control/src/graceful_shutdown.rs
+++ b/crates/linenthread-control/src/graceful_shutdown.rs
@@ -15,8 +15,8 @@
     ShuttingDown,
     /// It ended after a graceful shutdown.
     Departed,
-    /// Out of contact.
-    Absent,
+    /// Out of contact, without a graceful shutdown that this node knows of.
+    OutOfContact,
 }
 
 /// One of the newest value's voters as a node that shuts down sees it.
@@ -35,7 +35,7 @@
 pub struct LocalWork {
     /// It accepted a value that it does not know to be decided.
     pub has_undecided_value: bool,
-    /// Calls wait for their responses.
+    /// Calls of operators or replicas, or a change of the voters by this node, wait for their outcome.
     pub has_pending_calls: bool,
     /// It holds the leader lease.
     pub is_leader: bool,
@@ -100,13 +100,15 @@
 impl fmt::Display for ShutdownBlocker {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            ShutdownBlocker::UndecidedValue => "a value is in doubt",
-            ShutdownBlocker::PendingCalls => "calls wait for their answers",
-            ShutdownBlocker::Unacknowledged => "not all others know that it leaves",
+            ShutdownBlocker::UndecidedValue => "an accepted value is not known to be decided",
+            ShutdownBlocker::PendingCalls => "calls are in flight",
+            ShutdownBlocker::Unacknowledged => {
+                "not all control nodes in contact have acknowledged the shutdown"
+            }
             ShutdownBlocker::Reconfiguration => "the voters are being changed",
-            ShutdownBlocker::OwnVote => "its vote is to be taken off",
-            ShutdownBlocker::TooFewCopies => "too few others hold the newest value",
-            ShutdownBlocker::LeaderLease => "the leader lease is to be released",
+            ShutdownBlocker::OwnVote => "its vote is not replaced or removed yet",
+            ShutdownBlocker::TooFewCopies => "too few other disks hold the newest value",
+            ShutdownBlocker::LeaderLease => "the leader lease is not released yet",
         })
     }
 }
@@ -139,7 +141,7 @@
                 nobody_stays || self.own_position().is_none_or(|own| position > own)
             }
             Presence::Departed => nobody_stays,
-            Presence::Absent => false,
+            Presence::OutOfContact => false,
         }
     }
 
--- a/crates/linenthread-control/src/response.rs
+++ b/crates/linenthread-control/src/response.rs
@@ -8,8 +8,11 @@
 /// The answer to a call of a replica or an operator.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Response {
-    /// A replica's call was recorded; the address, if any, is where its later heartbeats should go.
-    Acknowledged(Option<String>),
+    /// A replica's call was recorded.
+    Acknowledged {
+        /// The control address that its later heartbeats should go to, in its own zone; `None` if there is none to name.
+        report_to: Option<String>,
+    },
     /// The configuration of this revision was committed.
     Committed(Revision),
     /// The newest configuration.
@@ -38,10 +41,12 @@
 impl fmt::Display for UnavailableReason {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            UnavailableReason::NoQuorum => "no contact with more than half of the voters",
-            UnavailableReason::QuorumTimedOut => "no word of more than half of the voters",
-            UnavailableReason::NotReplicated => "too few others know of it",
-            UnavailableReason::ShuttingDown => "about to end",
+            UnavailableReason::NoQuorum => "no contact with a majority of the voters",
+            UnavailableReason::QuorumTimedOut => "a majority of the voters did not respond in time",
+            UnavailableReason::NotReplicated => {
+                "a majority of the voters did not acknowledge the change in time"
+            }
+            UnavailableReason::ShuttingDown => "the control node is shutting down",
         })
     }
 }
--- a/crates/linenthread-core/src/interface/query.rs
+++ b/crates/linenthread-core/src/interface/query.rs
@@ -1,21 +1,21 @@
 //! Queries and their sub-requests as they arrive.
 
-use super::{QueryIndex, TenthMillis};
+use super::{QueryIndex, SearchIndex, TenthMillis};
 
 /// A query that has arrived.
 #[derive(Clone, Debug)]
 pub struct NewQuery {
     /// The query's index at this co-ordinator.
     pub query: QueryIndex,
-    /// The number of the index it is for.
-    pub index: usize,
+    /// The search index it is for.
+    pub search_index: SearchIndex,
     /// The number of the customer it is from.
     pub customer: usize,
     /// The routing key; `None` where the query carries none.
     pub key: Option<u64>,
     /// The query's own number, which replaces a routing key that it lacks.
     pub sequence_number: u64,
-    /// When the client gives this attempt up.
+    /// When the client stops waiting for the response.
     pub hard_deadline: TenthMillis,
 }
 
--- a/crates/linenthread-core/src/policy/admission.rs
+++ b/crates/linenthread-core/src/policy/admission.rs
@@ -6,10 +6,12 @@
 use super::Coordinator;
 use super::windows::{FRESH_REPORT, LONG_TERM, MIN_WEIGHT, RECENT};
 use crate::conversion::to_count;
-use crate::interface::{FailureCause, IndexConfig, QueryIndex, ReplicaIndex, ValueGrowth};
+use crate::interface::{
+    AbandonCause, IndexConfig, QueryIndex, ReplicaIndex, SearchIndex, ValueGrowth,
+};
 use crate::state::{DecayingSums, Distribution, Query, Replica, SubRequest};
 
-/// While little was observed, so many sub-requests of usual delay weigh in the estimate of delays.
+/// How many sub-requests of usual delay count in the estimate of delays beside those that were observed.
 ///
 /// Unit: sub-requests. Reason: the first few delays after a start must not decide on admission alone.
 const USUAL_DELAY_WEIGHT: f64 = 6.0;
@@ -83,22 +85,22 @@
 }
 
 impl DelayEstimate {
-    /// The expected delay, in tenths of a millisecond, of the slowest of so many sub-requests: about the mean
+    /// The expected delay, in tenths of a millisecond, of the slowest of `count` sub-requests: about the mean
     /// of the largest of n normal values.
     fn slowest_of(&self, count: f64) -> f64 {
         let deviations = (SLOWEST_VARIANCE_FACTOR * count.max(1.0).ln()).sqrt();
         (self.log_mean + deviations * self.log_deviation).exp()
     }
 
-    /// The expected delay, in tenths of a millisecond, of a query with so many sub-requests, both phases counted.
+    /// The expected delay, in tenths of a millisecond, of a query with this many sub-requests, both phases counted.
     fn of_query(&self, sub_request_count: f64, index: &IndexConfig) -> f64 {
         let fetch_phase = if index.fetch_sub_requests > 0 {
             self.slowest_of(index.fetch_sub_requests as f64)
         } else {
             0.0
         };
-        // Those that a response may lack are not waited for: all count where it may lack none, else so few that their
-        // number stays below 1 / (1 - min_share).
+        // A response does not wait for the slowest sub-requests if it may lack them. Where it may lack none, all count;
+        // else the number that counts levels off below 1 / (1 - min_share), however many there are.
         let needed = sub_request_count / (1.0 + (1.0 - index.min_share) * sub_request_count);
         self.slowest_of(needed) + fetch_phase
     }
@@ -115,7 +117,7 @@
 
 impl Coordinator {
     /// Why a query is not admitted; `None` if it is. Counts the query in the statistics of admission.
-    pub(super) fn admission_failure(&mut self, query_index: QueryIndex) -> Option<FailureCause> {
+    pub(super) fn admission_rejection(&mut self, query_index: QueryIndex) -> Option<AbandonCause> {
         self.decay_admission_statistics();
         let delays = self.delay_estimate();
         let slowdown = self.shard_slowdown(self.open_query(query_index), &delays);
@@ -123,11 +125,11 @@
         let pressure = self.pressure(self.open_query(query_index), &delays, slowdown);
         let cost = self.query_cost(query_index);
         if self.draws_late_rejection(pressure, &cost) {
-            return Some(FailureCause::ExpectedLate);
+            return Some(AbandonCause::ExpectedLate);
         }
         let limit_factor = self.limit_factor(&cost);
         self.is_saturated(self.open_query(query_index), limit_factor)
-            .then_some(FailureCause::Saturated)
+            .then_some(AbandonCause::Saturated)
     }
 
     /// Decides at random whether a query is rejected since it is expected late: the more likely, the higher the
@@ -162,7 +164,7 @@
 
     fn record_size(&mut self, query_index: QueryIndex) {
         let query = self.open_query(query_index);
-        let (index, count) = (query.index, query.sub_requests.len() as f64);
+        let (SearchIndex(index), count) = (query.search_index, query.sub_requests.len() as f64);
         self.fleet.query_sizes[index].record(self.now, LONG_TERM, count);
     }
 
@@ -170,7 +172,7 @@
         let log_delays = &self.fleet.log_delays;
         let Distribution { mean, deviation } =
             log_delays.distribution(MIN_WEIGHT).unwrap_or_default();
-        // The share that what was observed weighs beside the usual delay.
+        // How much the observed delays count beside the usual one.
         let observed = log_delays.weight / (log_delays.weight + USUAL_DELAY_WEIGHT);
         let usual = (USUAL_DELAY_SHARE * self.min_soft_deadline).ln();
         DelayEstimate {
@@ -179,7 +181,7 @@
         }
     }
 
-    /// How many times slower than the mean the query's slowest shard is. A shard is as slow as its quickest holder,
+    /// How many times slower than the mean the query's slowest shard is. A shard is as slow as its quickest replica,
     /// since all queries that need it meet in that one's queue; shards that a response may lack do not count.
     fn shard_slowdown(&self, query: &Query, delays: &DelayEstimate) -> f64 {
         let latency = |replica: ReplicaIndex| self.replicas[replica].expected_latency;
@@ -189,7 +191,7 @@
         };
         let mut expected: Vec<f64> = query.sub_requests.iter().filter_map(quickest).collect();
         expected.sort_by(f64::total_cmp);
-        let min_share = self.index_of(query).min_share;
+        let min_share = self.index_config(query).min_share;
         let needed = to_count((min_share * expected.len() as f64).ceil());
         let slowdown = expected
             .get(needed.saturating_sub(1))
@@ -205,10 +207,10 @@
     /// it is greater. Above 1 the query is expected late.
     fn pressure(&self, query: &Query, delays: &DelayEstimate, slowdown: f64) -> f64 {
         let count = query.sub_requests.len() as f64;
-        // A client that leaves sooner is not worth the attempts.
+        // A client may leave before the soft deadline: a response after that is of no use.
         let end = query.soft_deadline.min(query.hard_deadline);
         let time_left = (end - self.now).max(1) as f64;
-        let of_this_query = delays.of_query(count, self.index_of(query)) * slowdown / time_left;
+        let of_this_query = delays.of_query(count, self.index_config(query)) * slowdown / time_left;
         let of_index = |(size, index): (&DecayingSums, &IndexConfig)| {
             Some(delays.of_query(size.mean(MIN_WEIGHT)?, index) / index.soft_deadline as f64)
         };
@@ -216,9 +218,9 @@
         indexes.filter_map(of_index).fold(of_this_query, f64::max) / IN_TIME_SHARE
     }
 
-    /// Whether a customer sent clearly more than its share of the queries that arrived here of late. Its share is that
-    /// of the quotas and no number of queries, so that traffic that moves here from another co-ordinator puts nobody
-    /// over.
+    /// Whether a customer sent clearly more than its share of the queries that arrived here recently. Its share is that
+    /// of the quotas, not a number of queries: so nobody goes over it because traffic moves here from another
+    /// co-ordinator.
     fn is_over_quota(&self, customer: usize) -> bool {
         let (quotas, queries) = (&self.config.customer_quotas, &self.fleet.customer_queries);
         let all: f64 = queries.iter().map(|sums| sums.weight).sum();
@@ -253,14 +255,15 @@
             ValueGrowth::WithWork => 1.0,
             ValueGrowth::Constant => count,
         };
-        let cost = work / self.index_of(query).value.max(MIN_DIVISOR);
+        let cost = work / self.index_config(query).value.max(MIN_DIVISOR);
+        // A query counts as often as it has sub-requests. Only the mean is used, so squares are not summed.
         let costs = &mut self.fleet.costs;
         costs.weight += count;
         costs.sum += count * cost;
         cost * costs.weight / costs.sum.max(MIN_DIVISOR)
     }
 
-    /// Whether too much is in flight from here, in all or at the holders of a shard.
+    /// Whether too much is in flight from here, in all or at the replicas of a shard.
     fn is_saturated(&self, query: &Query, limit_factor: f64) -> bool {
         let pending: f64 = self.replicas.iter().map(Replica::pending).sum();
         pending >= limit_factor * self.fleet.max_in_flight
@@ -270,7 +273,7 @@
                 .any(|sub_request| self.is_shard_saturated(query, sub_request, limit_factor))
     }
 
-    /// Whether a shard's holders together have more pending than their limits, or each of them reports more queued
+    /// Whether a shard's replicas together have more pending than their limits, or each of them reports more queued
     /// than it can serve one by one within the shortest soft deadline.
     fn is_shard_saturated(
         &self,
--- a/crates/linenthread-core/src/policy/coordinator.rs
+++ b/crates/linenthread-core/src/policy/coordinator.rs
@@ -2,8 +2,8 @@
 
 use crate::conversion::to_tenth_millis;
 use crate::interface::{
-    CoordinatorConfig, DecisionSink, IndexConfig, Inputs, QueryIndex, ReplicaIndex, TenthMillis,
-    ZoneRoute,
+    CoordinatorConfig, DecisionSink, IndexConfig, Inputs, QueryIndex, ReplicaIndex, SearchIndex,
+    TenthMillis, ZoneRoute,
 };
 use oorandom::Rand64;
 
@@ -15,7 +15,7 @@
 /// Unit: 0.1 ms (10 ms). Reason: hedging, deadlines and scores are due at moments at which nothing may arrive.
 const MAX_STEP_INTERVAL: TenthMillis = 100;
 
-/// One co-ordinator: a deterministic state machine without I/O or clock.
+/// One co-ordinator: a deterministic state machine without I/O or clock. It also runs inside each ingress node.
 ///
 /// Make one of a configuration and a seed, then call [`step`](Self::step) with all that arrived since and a
 /// sink for the decisions. It asks to be woken by itself.
@@ -63,17 +63,17 @@
         coordinator
     }
 
-    /// Adds an index for queries accepted from now on, and returns its number.
-    pub fn add_index(&mut self, index: IndexConfig) -> usize {
+    /// Adds a search index for queries accepted from now on.
+    pub fn add_index(&mut self, index: IndexConfig) -> SearchIndex {
         let soft_deadline = index.soft_deadline.max(1) as f64;
         self.min_soft_deadline = self.min_soft_deadline.min(soft_deadline);
         self.fleet.query_sizes.push(DecayingSums::default());
         self.config.indexes.push(index);
-        self.config.indexes.len() - 1
+        SearchIndex(self.config.indexes.len() - 1)
     }
 
     /// Sets this co-ordinator's part of the retry budget: the attempts permitted whatever the load, its number,
-    /// and the number of co-ordinators.
+    /// and the number of co-ordinators; of ingress nodes, where it runs in one.
     pub fn set_retry_quota(
         &mut self,
         reserve: f64,
@@ -87,7 +87,7 @@
         }
     }
 
-    /// Takes all that arrived and writes what is decided on it.
+    /// Applies all that arrived and writes what is decided on it.
     pub fn step(&mut self, inputs: &Inputs, sink: &mut impl DecisionSink) {
         self.now = inputs.now;
         self.start_timers();
@@ -135,8 +135,8 @@
         for result in &inputs.probes {
             self.on_probe_result(result);
         }
-        for &query_index in &inputs.abandoned {
-            self.on_abandoned(query_index);
+        for &query_index in &inputs.cancelled {
+            self.on_cancelled(query_index);
         }
     }
 
@@ -180,8 +180,8 @@
             .expect("a query has its record until it is released")
     }
 
-    /// The index a query is for.
-    pub(super) fn index_of(&self, query: &Query) -> &IndexConfig {
-        &self.config.indexes[query.index]
+    /// The configuration of the search index that a query is for.
+    pub(super) fn index_config(&self, query: &Query) -> &IndexConfig {
+        &self.config.indexes[query.search_index.0]
     }
 }
--- a/crates/linenthread-core/src/policy/mod.rs
+++ b/crates/linenthread-core/src/policy/mod.rs
@@ -1,5 +1,7 @@
 //! The decisions of one co-ordinator, one decision a module.
 //!
+//! "Co-ordinator" is whoever runs the [`Coordinator`]: the process of that name, or the dispatcher of an ingress node.
+//!
 //! The ordinary path is dynamic snitching: each sub-request has a natural replica, the first in a hash of its
 //! shard and the query's key (`natural_replica`), and leaves it only while that replica's score (`score`)
 //! is worse than the best by more than a threshold. The other modules decide what that design leaves open:
@@ -13,7 +15,7 @@
 //! | `health_probe` | when replicas are probed, and what a probe's end says |
 //! | `score` | the score of each replica |
 //! | `capacity` | how much may be in flight, and what a warm replica can serve |
-//! | `latency` | which response times are slow, and which attempts are lost |
+//! | `latency` | which response times are slow, and which attempts have stalled |
 //! | `natural_replica` | which replica an attempt goes to |
 //! | `send_guard` | whether an attempt may be sent at all |
 //! | `slow_start` | how many attempts a replica gets that has just started |
@@ -29,15 +31,15 @@
 //!
 //! | observed | decided by |
 //! | --- | --- |
-//! | rejected or failed, [`DeadlineExceeded`](FailureCause::DeadlineExceeded) | `resolution`: `gives_up_at` |
-//! | rejected or failed, [`QueryOfDeath`](FailureCause::QueryOfDeath) | `query_of_death`: `may_be_query_of_death` |
-//! | rejected or failed, [`Unanswerable`](FailureCause::Unanswerable) | `resolution`: `is_hopeless` |
-//! | rejected, [`ExpectedLate`](FailureCause::ExpectedLate) | `admission`: `draws_late_rejection` |
-//! | rejected, [`Saturated`](FailureCause::Saturated) | `admission`: `is_saturated` |
-//! | failed rather than rejected | `resolution`: `give_up` |
+//! | rejected or failed, [`DeadlineExceeded`](AbandonCause::DeadlineExceeded) | `resolution`: `abandon_at` |
+//! | rejected or failed, [`QueryOfDeath`](AbandonCause::QueryOfDeath) | `query_of_death`: `may_be_query_of_death` |
+//! | rejected or failed, [`Unanswerable`](AbandonCause::Unanswerable) | `resolution`: `is_unanswerable` |
+//! | rejected, [`ExpectedLate`](AbandonCause::ExpectedLate) | `admission`: `draws_late_rejection` |
+//! | rejected, [`Saturated`](AbandonCause::Saturated) | `admission`: `is_saturated` |
+//! | failed rather than rejected | `resolution`: `abandon` |
 //! | retried, or not | `dispatch`: `send_missing`; `send_guard`: `may_send`; `retry_budget` |
-//! | hedged, or not | `dispatch`: `may_hedge` |
-//! | an attempt cancelled and its sub-request sent elsewhere | `dispatch`: `should_move` |
+//! | hedged, or not | `dispatch`: `is_hedge_due` |
+//! | an attempt cancelled and its sub-request sent to another replica | `dispatch`: `should_reissue` |
 //! | sent to this replica and to no other | `natural_replica`: `choose_replica`; `score` |
 //!
 //! Constants that several modules use are in `windows`; the others are in the module that they belong to.
@@ -63,19 +65,19 @@
 mod windows;
 
 #[cfg(doc)]
-use crate::interface::FailureCause;
+use crate::interface::AbandonCause;
 use crate::interface::TenthMillis;
 
 pub use coordinator::Coordinator;
 
-/// Share of its value that a late response earns, where no settings tell.
+/// Share of its value that a late response earns, where no settings say.
 ///
 /// Unit: share of a query's value. Reason: above the limit under which `resolution` no longer waits for them.
 pub const DEFAULT_LATE_VALUE_SHARE: f64 = 0.3;
 
 /// What a partial response earns, times the share of the weight that succeeded.
 ///
-/// Unit: share of a query's value. Reason: with the share, it stands in for users who value a partial response by about
+/// Unit: share of a query's value. Reason: with the share, it approximates users who value a partial response by about
 /// the square of that share.
 pub const DEFAULT_PARTIAL_VALUE: f64 = 0.6;
 
--- a/crates/linenthread-core/src/policy/resolution.rs
+++ b/crates/linenthread-core/src/policy/resolution.rs
@@ -5,12 +5,12 @@
 use super::windows::WEIGHT_ROUNDING;
 use crate::conversion::to_tenth_millis;
 use crate::interface::{
-    Completeness, DecisionSink, FailureCause, Idempotency, IndexConfig, QueryIndex,
+    AbandonCause, Completeness, DecisionSink, Idempotency, IndexConfig, QueryIndex,
     SubRequestIndex, TenthMillis,
 };
 use crate::state::{Query, QueryStage, SubRequest};
 
-/// An index whose late responses earn no more than this is given up at its soft deadline.
+/// Queries of an index whose late responses earn no more than this are abandoned at their soft deadline.
 ///
 /// Unit: share of the value. Reason: the attempts of a late query delay others that are still in time.
 const MIN_LATE_VALUE_SHARE: f64 = 0.15;
@@ -20,8 +20,8 @@
 /// Unit: slow response times. Reason: the fetch phase has to be over by the soft deadline.
 const FETCH_PHASE_TIME: f64 = 1.4;
 
-/// When a query is given up.
-pub(super) fn gives_up_at(query: &Query, index: &IndexConfig) -> TenthMillis {
+/// When a query is abandoned: rejected or failed, whatever is still in flight.
+pub(super) fn abandon_at(query: &Query, index: &IndexConfig) -> TenthMillis {
     if index.late_value_share > MIN_LATE_VALUE_SHARE {
         query.hard_deadline
     } else {
@@ -36,16 +36,16 @@
 
 /// How far the present phase of a query is.
 struct Progress {
-    /// When the query is given up.
-    gives_up_at: TenthMillis,
+    /// When the query is abandoned.
+    abandon_at: TenthMillis,
     /// The share of the weight that makes a complete response.
     complete_share: f64,
     /// The share of the weight under which no response may be given.
     min_share: f64,
     /// The share of the weight that has succeeded.
     succeeded_share: f64,
-    /// The share of the weight that no further attempt can bring.
-    hopeless_share: f64,
+    /// The share of the weight that no further attempt can bring: see [`Coordinator::is_unanswerable`].
+    unanswerable_share: f64,
 }
 
 impl Progress {
@@ -54,19 +54,19 @@
     }
 
     fn can_become_complete(&self) -> bool {
-        reaches(1.0 - self.hopeless_share, self.complete_share)
+        reaches(1.0 - self.unanswerable_share, self.complete_share)
     }
 
     fn can_reach_min(&self) -> bool {
-        reaches(1.0 - self.hopeless_share, self.min_share)
+        reaches(1.0 - self.unanswerable_share, self.min_share)
     }
 }
 
 impl Coordinator {
-    /// Takes one open query a step further: responds to it, gives it up, or sends what it still needs.
+    /// Takes one open query a step further: responds to it, abandons it, or sends what it still needs.
     ///
-    /// The order matters: a response that is there is given even when the time is up, and a query is judged by
-    /// admission only once it could be answered at all.
+    /// The order matters: a query that has enough responses is responded to even when its time is up, and admission
+    /// judges a query only if it can be answered at all.
     pub(super) fn resolve(&mut self, query_index: QueryIndex, sink: &mut impl DecisionSink) {
         if self.probe_before_first_attempts(query_index, sink) {
             return;
@@ -84,8 +84,8 @@
         if self.should_respond(query, &progress) {
             return self.respond(query_index, &progress, sink);
         }
-        if let Some(cause) = self.failure_cause(query_index, &progress) {
-            return self.give_up(query_index, cause, sink);
+        if let Some(cause) = self.abandon_cause(query_index, &progress) {
+            return self.abandon(query_index, cause, sink);
         }
         self.open_query_mut(query_index).stage = QueryStage::Admitted;
         self.send_missing(query_index, sink);
@@ -96,17 +96,17 @@
         if query.is_fetching() {
             1.0
         } else {
-            self.index_of(query).complete_share
+            self.index_config(query).complete_share
         }
     }
 
     fn progress(&self, query: &Query) -> Progress {
-        let index = self.index_of(query);
+        let index = self.index_config(query);
         let total = query.phase_weight(|_| true).max(WEIGHT_ROUNDING);
         // An index whose responses may be partial may also lack a part of what is fetched.
         let allows_partial_fetch = index.min_share < index.complete_share;
         Progress {
-            gives_up_at: gives_up_at(query, index),
+            abandon_at: abandon_at(query, index),
             complete_share: self.complete_share(query),
             min_share: if query.is_fetching() && !allows_partial_fetch {
                 1.0
@@ -114,13 +114,17 @@
                 index.min_share
             },
             succeeded_share: query.phase_weight(|s| s.succeeded) / total,
-            hopeless_share: query.phase_weight(|s| self.is_hopeless(query, s)) / total,
+            unanswerable_share: query.phase_weight(|s| self.is_unanswerable(query, s)) / total,
         }
     }
 
     /// Whether no further attempt can bring this sub-request's response: it may not run again, has no attempt left, or
-    /// none of its holders can be reached in time.
-    fn is_hopeless(&self, query: &Query, sub_request: &SubRequest) -> bool {
+    /// none of its shard's replicas can be reached in time.
+    ///
+    /// An exhausted retry budget is not among these. It is a window that moves on: a sub-request that it holds back now
+    /// may be sent later, so the query waits for it and, if it never is, is abandoned as
+    /// [`AbandonCause::DeadlineExceeded`].
+    fn is_unanswerable(&self, query: &Query, sub_request: &SubRequest) -> bool {
         !sub_request.succeeded
             && sub_request.in_flight() == 0
             && (!self.may_run_again(query, sub_request)
@@ -133,7 +137,7 @@
     /// Whether to respond now. A complete response is given at once; a partial one when it can no longer become
     /// complete, or when waiting longer earns less.
     fn should_respond(&self, query: &Query, progress: &Progress) -> bool {
-        let index = self.index_of(query);
+        let index = self.index_config(query);
         let partial_value =
             index.partial_value * progress.succeeded_share / progress.complete_share;
         let partial_pays = partial_value > index.late_value_share;
@@ -146,7 +150,7 @@
         };
         let ready_at = self.now + to_tenth_millis(fetch_time * self.slow_latency());
         let is_late =
-            ready_at >= progress.gives_up_at || ready_at >= query.soft_deadline && partial_pays;
+            ready_at >= progress.abandon_at || ready_at >= query.soft_deadline && partial_pays;
         progress.is_complete()
             || reaches(progress.succeeded_share, progress.min_share)
                 && (is_late || !progress.can_become_complete())
@@ -167,9 +171,9 @@
         } else {
             Completeness::Partial
         };
-        let has_fetch_phase = self.index_of(query).fetch_sub_requests > 0;
+        let has_fetch_phase = self.index_config(query).fetch_sub_requests > 0;
         let is_final = query.first_response.is_some() || !has_fetch_phase;
-        if query.is_continued() && self.now < progress.gives_up_at.min(query.soft_deadline) {
+        if query.is_continued() && self.now < progress.abandon_at.min(query.soft_deadline) {
             self.send_missing(query_index, sink);
             if self.awaits_continuation(query_index) {
                 return;
@@ -191,38 +195,38 @@
         query.sub_requests.iter().any(is_awaited)
     }
 
-    /// Why a query without a response is given up; `None` if it is not.
-    fn failure_cause(
+    /// Why a query without a response is abandoned; `None` if it is not.
+    fn abandon_cause(
         &mut self,
         query_index: QueryIndex,
         progress: &Progress,
-    ) -> Option<FailureCause> {
+    ) -> Option<AbandonCause> {
         let query = self.open_query(query_index);
         let is_query_of_death = || self.may_be_query_of_death(query, CrashEvidence::Proven);
-        if self.now >= progress.gives_up_at {
-            Some(FailureCause::DeadlineExceeded)
+        if self.now >= progress.abandon_at {
+            Some(AbandonCause::DeadlineExceeded)
         } else if is_query_of_death() && !query.is_in_flight() {
-            Some(FailureCause::QueryOfDeath)
+            Some(AbandonCause::QueryOfDeath)
         } else if !progress.can_reach_min() {
-            Some(FailureCause::Unanswerable)
+            Some(AbandonCause::Unanswerable)
         } else if query.stage == QueryStage::Admitted {
             None
         } else {
-            self.admission_failure(query_index)
+            self.admission_rejection(query_index)
         }
     }
 
-    /// Ends a query without a response. It is rejected where sending it again is harmless, since any number of runs is
-    /// or none has begun; else it fails, which promises nothing.
-    fn give_up(
+    /// Abandons a query: ends it without a response. It is rejected where sending it again is harmless, since it may
+    /// run any number of times or no attempt of it ran; else it fails, which promises nothing.
+    fn abandon(
         &mut self,
         query_index: QueryIndex,
-        cause: FailureCause,
+        cause: AbandonCause,
         sink: &mut impl DecisionSink,
     ) {
-        sink.failure_cause(query_index, cause);
+        sink.abandon_cause(query_index, cause);
         let query = self.open_query(query_index);
-        let is_idempotent = self.index_of(query).idempotency == Idempotency::Idempotent;
+        let is_idempotent = self.index_config(query).idempotency == Idempotency::Idempotent;
         if is_idempotent || query.sub_requests.iter().all(SubRequest::never_ran) {
             let retry_after = self.draw_retry_after();
             sink.reject(query_index, retry_after);
--- a/crates/linenthread-dataplane/src/data_plane.rs
+++ b/crates/linenthread-dataplane/src/data_plane.rs
@@ -16,11 +16,11 @@
 use crate::retry_quota::RetryQuota;
 use crate::shutdown::{ClosingWatch, Shutdown};
 use crate::transport::{Connector, TcpConnector};
-use crate::zones::Zones;
+use crate::zone_indices::ZoneIndices;
 
 /// The fewest connections that this process may have to a replica, however many ingress nodes share its limit.
 const MIN_CONNECTIONS: usize = 2;
-/// An `f64` holds integers of so many bits exactly.
+/// An `f64` holds integers of this many bits exactly.
 const F64_BITS: u32 = 53;
 
 /// Which dispatcher: the backends that are queried together, in the order of their names, and how often each
@@ -54,7 +54,7 @@
     routing_table: RefCell<Option<Rc<RoutingTable>>>,
     replicas: RefCell<ReplicaTable<C>>,
     dispatchers: RefCell<BTreeMap<DispatcherKey, Rc<Dispatcher<C>>>>,
-    zones: Zones,
+    zones: ZoneIndices,
     retry_quota: Cell<RetryQuota>,
     /// At some moment of this incarnation it had the newest configuration.
     is_confirmed: Cell<bool>,
@@ -68,7 +68,7 @@
 impl<C: Connector> DataPlane<C> {
     /// A data plane with no configuration and no replicas. Every random choice follows from the seed.
     pub fn new(settings: Rc<Settings>, seed: u64, connector: C) -> Rc<DataPlane<C>> {
-        let zones = Zones::new(&settings.zone);
+        let zones = ZoneIndices::new(&settings.zone);
         Rc::new(DataPlane {
             settings,
             seed,
@@ -130,7 +130,7 @@
         }
     }
 
-    /// Takes in what service discovery says of replicas.
+    /// Applies an update of the replicas from service discovery.
     pub fn update_replicas(&self, replicas: &[linenthread_messages::Replica], scope: UpdateScope) {
         let changed = self.replicas.borrow_mut().update(replicas, scope);
         if changed.is_empty() {
@@ -227,6 +227,8 @@
         let max_attempts = resolved.route.max_attempts;
         let dispatcher = match &resolved.destination {
             Destination::FanOut(backends) => self.dispatcher_of(backends, max_attempts),
+            // The hash of the request's id stands in for a random number: a request that is sent again with its id goes
+            // to the same backend.
             weighted @ Destination::Weighted(_) => {
                 let backend = weighted.pick(unit_interval(fnv1a_64(request.request_id.as_bytes())));
                 self.dispatcher_of(backend.map_or(&[], std::slice::from_ref), max_attempts)
@@ -284,7 +286,7 @@
     }
 }
 
-/// A hash as a number from 0 up to 1.
+/// A hash as a number from 0 up to, and without, 1.
 fn unit_interval(hash: u64) -> f64 {
     let bits = hash >> (u64::BITS - F64_BITS);
     bits as f64 / (1u64 << F64_BITS) as f64
--- a/crates/linenthread-dataplane/src/dispatcher.rs
+++ b/crates/linenthread-dataplane/src/dispatcher.rs
@@ -20,7 +20,7 @@
 use tokio::task::spawn_local;
 
 use self::decisions::{Decision, SendAttempt};
-use self::query::{AttemptKey, OpenQuery, Permission, QueryId, SequenceNumber};
+use self::query::{AttemptKey, OpenQuery, QueryId, SendSafety, SequenceNumber};
 use self::state::State;
 use crate::clock;
 use crate::counter::Counter;
@@ -28,9 +28,9 @@
 use crate::response::Response;
 use crate::retry_quota::RetryQuota;
 use crate::transport::Connector;
-use crate::zones::Zones;
+use crate::zone_indices::ZoneIndices;
 
-/// The shortest time-out of an attempt, in tenths of a millisecond.
+/// The shortest time-out of an attempt, in tenths of a millisecond (1 ms).
 const MIN_TIMEOUT: TenthMillis = 10;
 
 /// Hands requests to the decision module and its decisions to the replicas' pools.
@@ -71,7 +71,8 @@
         self.backends.contains(backend)
     }
 
-    /// Sets the quota of this process, and how many of its retries this dispatcher may send in each window.
+    /// Sets the quota of this process, and how many of its retries this dispatcher may send in each window. The ingress
+    /// nodes are the co-ordinators that the decision module counts.
     pub(crate) fn set_retry_quota(&self, quota: &RetryQuota, retries_per_window: f64) {
         self.state.borrow_mut().coordinator.set_retry_quota(
             retries_per_window,
@@ -80,8 +81,8 @@
         );
     }
 
-    /// Takes in the status of replicas; those of other backends are left out.
-    pub(crate) fn update_replicas(&self, pools: &[Rc<ReplicaPool<C>>], zones: &Zones) {
+    /// Applies the status of replicas; those of other backends are left out.
+    pub(crate) fn update_replicas(&self, pools: &[Rc<ReplicaPool<C>>], zones: &ZoneIndices) {
         let mut state = self.state.borrow_mut();
         let entries: Vec<MembershipEntry> = pools
             .iter()
@@ -149,10 +150,10 @@
         key: u64,
         deadline: TenthMillis,
     ) {
-        let index = state.query_kind(policy_inputs::index_config(resolved));
+        let search_index = state.search_index_for(policy_inputs::index_config(resolved));
         state.inputs.queries.push(NewQuery {
             query: id.index,
-            index,
+            search_index,
             customer: 0,
             key: Some(key),
             sequence_number: id.sequence_number.0,
@@ -167,7 +168,7 @@
         self.arrived.notify_one();
     }
 
-    /// Logs the queries that were abandoned, and frees the indices of replicas that departed.
+    /// Logs how many queries were abandoned, and frees the indices of replicas that departed.
     pub(crate) fn maintain(&self) {
         let mut state = self.state.borrow_mut();
         let abandoned = std::mem::take(&mut state.decisions.abandoned);
@@ -185,7 +186,7 @@
     fn cancel(&self, query: QueryId) {
         let mut state = self.state.borrow_mut();
         if state.query(query).is_some() {
-            state.inputs.abandoned.push(query.index);
+            state.inputs.cancelled.push(query.index);
             self.arrived.notify_one();
         }
     }
@@ -197,6 +198,8 @@
             match decision {
                 Decision::Send(attempt) => self.send(&mut state, &attempt),
                 Decision::Respond { query } => state.with_query(query, OpenQuery::complete),
+                // The status follows from what was sent, 503 or 502: see `Response::abandoned`. What a rejection adds
+                // is the advice when to retry.
                 Decision::Reject { query, retry_after } => {
                     state.with_query(query, |query| query.abandon(retry_after));
                 }
@@ -208,8 +211,8 @@
         state.decisions.wake_at
     }
 
-    /// Sends a sub-request to a replica, unless it may not run twice and an earlier attempt may have run. The decision
-    /// module has that rule, too; this second guard goes by what was observed on the connections.
+    /// Sends a sub-request to a replica, unless it must not run twice and an earlier attempt may have run. The decision
+    /// module has that rule, too; this second guard uses what was observed on the connections.
     fn send(self: &Rc<Self>, state: &mut State<C>, attempt: &SendAttempt) {
         let Some(query) = state.query_at(attempt.query) else {
             return;
@@ -223,7 +226,7 @@
             sub_request: attempt.sub_request,
             attempt: begun.number,
         };
-        if begun.permission == Permission::Denied {
+        if begun.safety == SendSafety::MayRunTwice {
             log::error!(route = query.resolved.route.name; "event=retry_rejected");
             self.report(state, id, AttemptOutcome::NotSent, 0);
             return;
@@ -279,14 +282,14 @@
 }
 
 impl<C: Connector> PendingResponse<C> {
-    /// The response, when it is there.
+    /// The response, once it has arrived.
     pub(crate) async fn response(&mut self) -> Response {
         (&mut self.response)
             .await
             .unwrap_or_else(|_| Response::empty(502))
     }
 
-    /// The client has left: nobody needs the response any more.
+    /// The client has left: nobody waits for the response any more.
     pub(crate) fn cancel(self) {
         self.dispatcher.cancel(self.query);
     }
@@ -297,7 +300,7 @@
     pool: &ReplicaPool<C>,
     replica: ReplicaIndex,
     backend: usize,
-    zones: &Zones,
+    zones: &ZoneIndices,
 ) -> MembershipEntry {
     let phase = match pool.status() {
         ReplicaStatus { departed: true, .. } => Phase::Removed,
@@ -326,7 +329,8 @@
             }
             None => dispatcher.arrived.notified().await,
         }
-        // The module names a moment only if the one that it named last is past.
+        // A step asks for a time to wake at only once the time that it asked for before has come. Until then it asks
+        // for none, and that earlier request still stands.
         let next = dispatcher.step();
         wake_at = next.or(wake_at.filter(|at| *at > clock::now_tenth_millis()));
     }
--- a/crates/linenthread-dataplane/src/dispatcher/decisions.rs
+++ b/crates/linenthread-dataplane/src/dispatcher/decisions.rs
@@ -2,7 +2,7 @@
 
 use linenthread_core::DecisionSink;
 use linenthread_core::interface::{
-    Completeness, FailureCause, QueryIndex, ReplicaIndex, SubRequestIndex, TenthMillis,
+    AbandonCause, Completeness, QueryIndex, ReplicaIndex, SubRequestIndex, TenthMillis,
 };
 
 /// The next attempt of a sub-request.
@@ -10,6 +10,7 @@
     pub(super) query: QueryIndex,
     pub(super) sub_request: SubRequestIndex,
     pub(super) replica: ReplicaIndex,
+    /// The time until the query is abandoned.
     pub(super) timeout: TenthMillis,
 }
 
@@ -17,14 +18,14 @@
 pub(super) enum Decision {
     /// Send a sub-request to a replica.
     Send(SendAttempt),
-    /// Answer from the responses that have arrived.
+    /// Respond with what has arrived.
     Respond { query: QueryIndex },
-    /// Reject the query: it may be sent again, at best after this time.
+    /// Abandon the query; it may be sent again, at best after this time.
     Reject {
         query: QueryIndex,
         retry_after: Option<TenthMillis>,
     },
-    /// Give the query up, with no promise.
+    /// Abandon the query, without such a promise.
     Fail { query: QueryIndex },
     /// Nothing of the query is in flight: its index is free.
     Release { query: QueryIndex },
@@ -42,7 +43,7 @@
     pub(super) abandoned: AbandonedCounts,
 }
 
-/// How many queries were rejected or given up, by cause.
+/// How many queries were abandoned, by cause.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(super) struct AbandonedCounts {
     pub(super) deadline_exceeded: u64,
@@ -74,19 +75,20 @@
         }));
     }
 
+    /// Not decided here: `Permissions::cancellation` is off in `policy_inputs`.
     fn cancel(&mut self, _query: QueryIndex, _sub_request: SubRequestIndex, _attempt: usize) {}
 
     fn respond(&mut self, query: QueryIndex, _completeness: Completeness) {
         self.list.push(Decision::Respond { query });
     }
 
-    fn failure_cause(&mut self, _query: QueryIndex, cause: FailureCause) {
+    fn abandon_cause(&mut self, _query: QueryIndex, cause: AbandonCause) {
         *match cause {
-            FailureCause::DeadlineExceeded => &mut self.abandoned.deadline_exceeded,
-            FailureCause::QueryOfDeath => &mut self.abandoned.crash_suspected,
-            FailureCause::Unanswerable => &mut self.abandoned.unanswerable,
-            FailureCause::ExpectedLate => &mut self.abandoned.too_slow,
-            FailureCause::Saturated => &mut self.abandoned.saturated,
+            AbandonCause::DeadlineExceeded => &mut self.abandoned.deadline_exceeded,
+            AbandonCause::QueryOfDeath => &mut self.abandoned.crash_suspected,
+            AbandonCause::Unanswerable => &mut self.abandoned.unanswerable,
+            AbandonCause::ExpectedLate => &mut self.abandoned.too_slow,
+            AbandonCause::Saturated => &mut self.abandoned.saturated,
         } += 1;
     }
 
@@ -102,12 +104,15 @@
         self.list.push(Decision::Release { query });
     }
 
+    /// Not decided here: `Permissions::health_probes` is off in `policy_inputs`.
     fn probe(&mut self, _replica: ReplicaIndex) {}
 
     fn close_idle(&mut self, replica: ReplicaIndex) {
         self.list.push(Decision::CloseIdle { replica });
     }
 
+    /// Not decided here: `CoordinatorConfig::watch_membership` is off in `policy_inputs`, since control nodes send
+    /// changes unasked.
     fn watch_membership(&mut self) {}
 
     fn wake_at(&mut self, at: TenthMillis) {
--- a/crates/linenthread-hollow/src/control.rs
+++ b/crates/linenthread-hollow/src/control.rs
@@ -6,7 +6,7 @@
 use linenthread_config::Configuration;
 use linenthread_consensus::{DurableState, NodeId, genesis_value};
 use linenthread_control::{
-    CallId, ControlNode, DeferredMessage, Effect, Incarnation, NodeConfig, Order, ReplicaHeartbeat,
+    AfterSync, CallId, ControlNode, Effect, Incarnation, NodeConfig, Order, ReplicaHeartbeat,
     SessionId,
 };
 use linenthread_messages::{Record, decode};
@@ -79,7 +79,7 @@
         order: Order,
     },
     /// A record is synced, and what waited on it may be sent.
-    Synced(Vec<DeferredMessage>),
+    Synced(Vec<AfterSync>),
     Tick,
 }
 
--- a/crates/linenthread-hollow/src/messages.rs
+++ b/crates/linenthread-hollow/src/messages.rs
@@ -93,11 +93,10 @@
 
 /// An ingress node's heartbeat.
 pub(crate) fn heartbeat(quota_request: QuotaRequestNumber, revision: Revision) -> PeerMessage {
-    PeerMessage::Heartbeat(Heartbeat {
-        quota_request_or_value_number: quota_request.get(),
-        revision: revision.get(),
-        ..Heartbeat::default()
-    })
+    PeerMessage::Heartbeat(Heartbeat::of_ingress_node(
+        quota_request.get(),
+        revision.get(),
+    ))
 }
 
 /// The message of a complete frame.
--- a/crates/linenthread-http/src/head.rs
+++ b/crates/linenthread-http/src/head.rs
@@ -3,7 +3,7 @@
 use bytes::{Bytes, BytesMut};
 use smallvec::SmallVec;
 
-use crate::{ParseError, ResponseBody};
+use crate::{BodyPresence, ParseError};
 
 /// Headers that concern one connection only and are not forwarded, nor is `content-length`, which whoever writes
 /// the body writes anew.
@@ -68,7 +68,7 @@
 }
 
 impl Head {
-    /// Takes a complete request head of at most `max_bytes` bytes off the buffer, if one is there.
+    /// Takes a complete request head of at most `max_bytes` bytes off the buffer, if one has arrived.
     ///
     /// # Errors
     /// A malformed head, or one that is too long.
@@ -93,7 +93,7 @@
         Ok(Some(head))
     }
 
-    /// Takes a complete response head of at most `max_bytes` bytes off the buffer, if one is there. Heads that
+    /// Takes a complete response head of at most `max_bytes` bytes off the buffer, if one has arrived. Heads that
     /// only announce another (1xx) are skipped.
     ///
     /// # Errors
@@ -138,11 +138,11 @@
     }
 
     /// Whether the responses to this request have a body.
-    pub fn response_body(&self) -> ResponseBody {
+    pub fn response_body_presence(&self) -> BodyPresence {
         if self.method() == "HEAD" {
-            ResponseBody::Absent
+            BodyPresence::Absent
         } else {
-            ResponseBody::Present
+            BodyPresence::Present
         }
     }
 
--- a/crates/linenthread-messages/src/sessions.rs
+++ b/crates/linenthread-messages/src/sessions.rs
@@ -164,13 +164,24 @@
     pub reconfiguring: bool,
 }
 
+impl Heartbeat {
+    /// The heartbeat of an ingress node, which requests a retry quota.
+    pub fn of_ingress_node(quota_request: u64, revision: u64) -> Heartbeat {
+        Heartbeat {
+            quota_request_or_value_number: quota_request,
+            revision,
+            ..Heartbeat::default()
+        }
+    }
+}
+
 /// How much of the sender's state is synced to its disk.
 #[derive(Clone, PartialEq, Message)]
 pub struct DurableProgress {
     /// Number of the newest value.
     #[prost(uint64, optional, tag = "1")]
     pub value_number: Option<u64>,
-    /// The greatest epoch under which it granted a lease.
+    /// Not read. The greatest epoch under which it granted a lease; 0 in what this version sends.
     #[prost(uint64, tag = "2")]
     pub epoch: u64,
 }
--- a/crates/linenthread-node/src/control/api.rs
+++ b/crates/linenthread-node/src/control/api.rs
@@ -83,7 +83,7 @@
                 self.reject(
                     "reading a call's head",
                     Status::BadRequest,
-                    "not a request",
+                    "not an HTTP request",
                     source,
                 )
                 .await;
@@ -94,34 +94,47 @@
     }
 
     async fn serve(&mut self, head: &Head) -> Flow {
+        let Some(body) = self.read_body(head).await else {
+            return Flow::Close;
+        };
+        let response = dispatch(head, body, &self.handle).await;
+        if let Some(status) = response.rejected_status() {
+            let cause = format_args!("{status} {} {response}", head.path());
+            linenthread_dataplane::log_rejected_input("taking a call", self.peer, cause);
+        }
+        self.respond(head, &response).await
+    }
+
+    /// The body of a call; `None` if it was rejected or did not arrive.
+    async fn read_body(&mut self, head: &Head) -> Option<Vec<u8>> {
         let framing = match request_framing(head, MAX_BODY_BYTES) {
             Ok(framing) => framing,
             Err(error) => {
-                let status = if error == ParseError::BodyTooLong {
-                    Status::ContentTooLarge
-                } else {
-                    Status::BadRequest
-                };
-                self.reject("judging a call's head", status, "body refused", error)
-                    .await;
-                return Flow::Close;
+                self.reject_framing(error).await;
+                return None;
             }
         };
         if head.has_token("expect", "100-continue") && !self.send_continue().await {
-            return Flow::Close;
+            return None;
         }
-        let read = self
-            .connection
+        self.connection
             .read_body(framing, MAX_BODY_BYTES, TRANSFER_TIMEOUT, None)
-            .await;
-        let Ok(body) = read else {
-            return Flow::Close;
+            .await
+            .ok()
+    }
+
+    async fn reject_framing(&mut self, error: ParseError) {
+        let status = if error == ParseError::BodyTooLong {
+            Status::ContentTooLarge
+        } else {
+            Status::BadRequest
         };
-        let response = dispatch(head, body, &self.handle).await;
-        if let Some(status) = response.rejected_status() {
-            let cause = format_args!("{status} {} {response}", head.path());
-            linenthread_dataplane::log_rejected_input("taking a call", self.peer, cause);
-        }
+        let message = "invalid framing, or body too long";
+        self.reject("validating a call's head", status, message, error)
+            .await;
+    }
+
+    async fn respond(&mut self, head: &Head, response: &ApiResponse) -> Flow {
         let keep_alive = head.keeps_alive();
         let bytes = response.encode(head.target(), keep_alive);
         if self.write(&bytes).await.is_err() {
@@ -179,8 +192,8 @@
             _,
             ["Replicas.Heartbeat" | "Replicas.Departure", _]
             | ["Configuration.Replace" | "Configuration.Read" | "Members.Read" | "Replicas.Read"],
-        ) => ApiResponse::error(Status::MethodNotAllowed, "another method is meant"),
-        _ => ApiResponse::error(Status::NotFound, "no such call"),
+        ) => ApiResponse::error(Status::MethodNotAllowed, "method not allowed for this path"),
+        _ => ApiResponse::error(Status::NotFound, "no such path"),
     }
 }
 
@@ -194,7 +207,7 @@
         Err(error) => return ApiResponse::error(Status::BadRequest, error),
     };
     if heartbeat.address.parse::<SocketAddr>().is_err() {
-        let message = format!("{} is no address", heartbeat.address);
+        let message = format!("{} is not an IP:PORT address", heartbeat.address);
         return ApiResponse::error(Status::BadRequest, message);
     }
     let replica_id = id.to_owned();
@@ -214,7 +227,7 @@
         .header("x-base-revision")
         .map_or(Ok(Revision::NONE), |text| text.parse().map(Revision::new));
     let Ok(base) = base else {
-        return ApiResponse::error(Status::BadRequest, "X-Base-Revision is no number");
+        return ApiResponse::error(Status::BadRequest, "X-Base-Revision is not a number");
     };
     let revision = match Configuration::parse(&document) {
         Ok(configuration) => Revision::new(configuration.revision),
--- a/crates/linenthread-node/src/control_client/session.rs
+++ b/crates/linenthread-node/src/control_client/session.rs
@@ -3,6 +3,7 @@
 use std::cell::Cell;
 use std::fmt;
 use std::net::SocketAddr;
+use std::ops::ControlFlow;
 use std::time::Duration;
 
 use linenthread_control::{ChangeLogOffset, Incarnation, QuotaRequestNumber};
@@ -19,11 +20,11 @@
 
 /// Between two heartbeats to the control node.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(500);
-/// A control node from which nothing arrives for so long is given up; it sends heartbeats of its own.
+/// How long nothing may arrive from the control node, which sends heartbeats of its own, before the session ends.
 const RECEIVE_TIMEOUT: Duration = Duration::from_millis(1_600);
 /// How long the connection may take.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(600);
-/// A control node that says in so many heartbeats in a row that it is without quorum is given up.
+/// How many heartbeats in a row may say that the control node is without quorum before the session ends.
 const MAX_HEARTBEATS_WITHOUT_QUORUM: u32 = 2;
 
 /// Why a session ended that had begun.
@@ -50,13 +51,6 @@
     }
 }
 
-/// Whether a session goes on after a message.
-#[derive(Clone, Copy, PartialEq, Eq)]
-enum Flow {
-    Continue,
-    End,
-}
-
 /// A session, from its connection to its end.
 pub(super) struct Session<'a> {
     client: &'a ControlClient,
@@ -86,7 +80,7 @@
         let name = peer.to_string();
         let receive = |message| {
             self.last_received_at.set(clock::now());
-            self.on_message(message) == Flow::Continue
+            self.on_message(message)
         };
         tokio::select! {
             closed = peer_connection::exchange(stream, &name, outgoing, receive) => closed.map(|()| SessionEnd::Closed),
@@ -115,11 +109,7 @@
         let plane = &self.client.plane;
         loop {
             let quota_request = self.client.quota_requests.borrow_mut().next(clock::now());
-            let heartbeat = Heartbeat {
-                quota_request_or_value_number: quota_request.get(),
-                revision: plane.revision(),
-                ..Heartbeat::default()
-            };
+            let heartbeat = Heartbeat::of_ingress_node(quota_request.get(), plane.revision());
             if outbox.try_send(PeerMessage::Heartbeat(heartbeat)).is_err() {
                 return SessionEnd::SendQueueFull;
             }
@@ -146,14 +136,14 @@
         }
     }
 
-    /// Takes in a message of the control node.
-    fn on_message(&self, message: PeerMessage) -> Flow {
+    /// Applies a message of the control node; whether the session goes on.
+    fn on_message(&self, message: PeerMessage) -> ControlFlow<()> {
         match message {
             PeerMessage::Hello(hello) => {
                 let mut zones = self.client.zones.borrow_mut();
                 zones.insert(self.control_node, hello.zone);
                 if hello.version != VERSION {
-                    return Flow::End;
+                    return ControlFlow::Break(());
                 }
             }
             PeerMessage::Heartbeat(heartbeat) => {
@@ -168,10 +158,10 @@
             PeerMessage::QuotaGrants(grants) => self.on_quota_grants(&grants),
             _ => {}
         }
-        Flow::Continue
+        ControlFlow::Continue(())
     }
 
-    /// Takes in changes of control nodes, replicas and the configuration.
+    /// Applies changes of control nodes, replicas and the configuration.
     fn on_update(&self, update: IngressUpdate) {
         let ControlClient {
             plane, position, ..
@@ -183,6 +173,8 @@
         if !update.control_addresses.is_empty() {
             self.set_control_nodes(&update.control_addresses);
         }
+        // A control node that has just started may not know of all replicas yet: one that it leaves out has not
+        // departed.
         let scope = if update.complete && update.registry_settled {
             UpdateScope::Complete
         } else {
@@ -213,7 +205,7 @@
         }
     }
 
-    /// Takes in a grant, if it is for this incarnation and not of an earlier leader than the one in force.
+    /// Applies a grant, if it is for this incarnation and not of an earlier leader than the one in force.
     fn on_quota_grant(&self, grant: &QuotaGrant) {
         let ControlClient {
             plane, incarnation, ..
--- a/crates/linenthread-node/src/main.rs
+++ b/crates/linenthread-node/src/main.rs
@@ -26,7 +26,7 @@
 use snafu::ResultExt;
 use tokio::task::LocalSet;
 
-use crate::error::{ConfigurationSnafu, Error, IoSnafu, SettingsSnafu, read_file, step};
+use crate::error::{ConfigurationSnafu, Error, IoSnafu, SettingsSnafu, io_context, read_file};
 
 mod flags {
     use std::path::PathBuf;
@@ -34,18 +34,18 @@
     xflags::xflags! {
         /// The daemon of the search front.
         cmd linenthread-node {
-            /// Serves what the settings bind, until SIGTERM. This is what it does without any word.
+            /// Serves what the settings bind, until SIGTERM. The default if no command is given.
             default cmd serve {
                 /// The settings file; else the variable LINENTHREAD_BOOT names it.
                 optional --settings path: PathBuf
-                /// Passes requests on with no decision: only to measure beside.
+                /// Forwards requests without the decision module: only to measure against.
                 optional --pass-through
             }
-            /// Judges a configuration as a control call would; exit 2 and one line if it is bad.
+            /// Validates a configuration as a control call would; exit code 2 and one line if it is invalid.
             cmd check {
                 required configuration: PathBuf
             }
-            /// Judges a settings file; exit 2 and one line if it is bad.
+            /// Validates a settings file; exit code 2 and one line if it is invalid.
             cmd check-settings {
                 required settings: PathBuf
             }
@@ -58,10 +58,10 @@
 /// The environment variable that names the settings file.
 const SETTINGS_VARIABLE: &str = "LINENTHREAD_BOOT";
 
-/// What is left of the grace period when a control node stops waiting for others.
-const SHUTDOWN_MARGIN: Duration = Duration::from_secs(1);
+/// What is left of the grace period when the control role stops waiting for other nodes: time to stop and exit.
+const CONTROL_SHUTDOWN_MARGIN: Duration = Duration::from_secs(1);
 
-/// The runtime looks for new events after so many tasks: often, since each task is short.
+/// How many tasks the runtime runs between two looks for new events: few, so that events do not wait.
 const TASKS_BETWEEN_EVENTS: u32 = 31;
 
 /// Exit code if the program could not do what it was called for.
@@ -131,13 +131,13 @@
         .enable_time()
         .event_interval(TASKS_BETWEEN_EVENTS)
         .build()
-        .map_err(step("start of the runtime", ""))?;
+        .map_err(io_context("start of the runtime", ""))?;
     LocalSet::new().block_on(&runtime, serve(settings, settings_path))
 }
 
 /// How long the graceful shutdown of a control node may take; what is left of the grace period is for its end.
 fn control_shutdown_timeout(grace: Duration) -> Duration {
-    grace.saturating_sub(SHUTDOWN_MARGIN).max(grace / 2)
+    grace.saturating_sub(CONTROL_SHUTDOWN_MARGIN).max(grace / 2)
 }
 
 /// Serves what the settings bind until a shutdown is requested, and shuts down.
--- a/crates/linenthread-node/src/peer_connection.rs
+++ b/crates/linenthread-node/src/peer_connection.rs
@@ -2,6 +2,7 @@
 
 use std::io;
 use std::net::SocketAddr;
+use std::ops::ControlFlow;
 use std::time::Duration;
 
 use bytes::BytesMut;
@@ -15,15 +16,15 @@
 use tokio::sync::mpsc;
 
 use crate::connect_timeout::connect_timeout;
-use crate::error::{Error, FrameSnafu, step};
+use crate::error::{Error, FrameSnafu, io_context};
 
 /// Messages that may wait to be written; the connection with a peer that lets more wait is closed.
 pub(crate) const MAX_QUEUED_MESSAGES: usize = 512;
 
-/// A connection on which sent bytes stay unacknowledged for so long is closed.
+/// How long sent bytes may stay unacknowledged before the connection is closed.
 const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_millis(1_600);
 
-/// An idle connection is probed for the first time after so long.
+/// How long a connection is idle before it is probed for the first time.
 const KEEPALIVE_IDLE: Duration = Duration::from_secs(5);
 
 /// Between two probes of an idle connection.
@@ -57,13 +58,13 @@
     let connected = tokio::time::timeout(timeout, TcpStream::connect(address))
         .await
         .unwrap_or_else(|_| Err(io::ErrorKind::TimedOut.into()));
-    let stream = connected.map_err(step("dialling", &address))?;
+    let stream = connected.map_err(io_context("dialling", &address))?;
     configure(&stream);
     Ok(stream)
 }
 
-/// Reads and writes until either side ends. Each message that arrives goes to `receive`, which returns false to end the
-/// connection; the connection also ends when `outgoing` closes.
+/// Reads and writes until either side ends. Each message that arrives goes to `receive`, which may end the connection;
+/// the connection also ends when `outgoing` closes.
 ///
 /// # Errors
 ///
@@ -72,7 +73,7 @@
     stream: TcpStream,
     peer: &str,
     outgoing: mpsc::Receiver<PeerMessage>,
-    receive: impl FnMut(PeerMessage) -> bool,
+    receive: impl FnMut(PeerMessage) -> ControlFlow<()>,
 ) -> Result<(), Error> {
     let (reader, writer) = stream.into_split();
     tokio::select! {
@@ -84,19 +85,19 @@
 async fn read_messages(
     mut reader: OwnedReadHalf,
     peer: &str,
-    mut receive: impl FnMut(PeerMessage) -> bool,
+    mut receive: impl FnMut(PeerMessage) -> ControlFlow<()>,
 ) -> Result<(), Error> {
     let mut buffer = BytesMut::with_capacity(READ_BUFFER_BYTES);
     loop {
         while let Some(message) = decode(&mut buffer).context(FrameSnafu { peer })? {
-            if !receive(message) {
+            if receive(message).is_break() {
                 return Ok(());
             }
         }
         let read = reader
             .read_buf(&mut buffer)
             .await
-            .map_err(step("reading from", peer))?;
+            .map_err(io_context("reading from", peer))?;
         if read == 0 {
             return Ok(());
         }
@@ -119,7 +120,7 @@
         writer
             .write_all(&buffer)
             .await
-            .map_err(step("writing to", peer))?;
+            .map_err(io_context("writing to", peer))?;
         buffer.clear();
         if buffer.capacity() > MAX_IDLE_WRITE_BUFFER_BYTES {
             buffer = BytesMut::new();
--- a/crates/linenthread-service/src/dispatcher/membership.rs
+++ b/crates/linenthread-service/src/coordinator_driver/membership.rs
@@ -8,8 +8,8 @@
 use tracing::info;
 
 use crate::clock::Clock;
-use crate::dispatcher::open_queries::QueryProgress;
-use crate::dispatcher::peer_members::PeerMembers;
+use crate::coordinator_driver::peer_members::PeerMembers;
+use crate::coordinator_driver::query_table::QueryProgress;
 use crate::replica_indices::ReplicaIndices;
 use crate::transports::link::LinkEvent;
 use crate::transports::{Route, Transports};
@@ -168,7 +168,7 @@
 
     /// Adds a peer; returns its number.
     pub(super) fn add_peer(&mut self) -> usize {
-        self.peers.push(PeerMembers::default());
+        self.peers.push(PeerMembers::new());
         self.peers.len() - 1
     }
 
@@ -178,10 +178,8 @@
             return;
         };
         match event {
-            LinkEvent::Up(is_up) => peer.is_up = is_up,
-            LinkEvent::Members { complete, members } => {
-                peer.update(complete, members, self.replica_groups);
-            }
+            LinkEvent::Availability(availability) => peer.link = availability,
+            LinkEvent::Members(report) => peer.update(report, self.replica_groups),
         }
     }
 
@@ -209,14 +207,19 @@
         let count = current.len();
         self.remote = current;
         if !entries.is_empty() {
-            info!(far = count, "replicas behind links");
+            info!(remote = count, "replicas behind links");
         }
         entries
     }
 
     /// The replicas that links reach which are up, other than those that are listed here.
     fn reachable_remote(&self) -> BTreeMap<String, RemoteReplica> {
-        let up = || self.peers.iter().enumerate().filter(|(_, peer)| peer.is_up);
+        let up = || {
+            self.peers
+                .iter()
+                .enumerate()
+                .filter(|(_, peer)| peer.is_reachable())
+        };
         let ids: BTreeSet<&String> = up()
             .flat_map(|(_, peer)| peer.by_id.keys())
             .filter(|id| !self.local.contains_key(*id))
--- a/crates/linenthread-service/src/transports/connection/mod.rs
+++ b/crates/linenthread-service/src/transports/connection/mod.rs
@@ -18,7 +18,7 @@
 use tokio::time::Instant;
 use tracing::info;
 
-use crate::transports::attempt::{AttemptKey, FinishedAttempts, OutgoingSubRequest, ProbeReport};
+use crate::transports::attempt::{AttemptKey, OutcomeSender, OutgoingSubRequest, ProbeReport};
 
 pub(in crate::transports) use error::{ConnectionEnd, ConnectionError};
 use frame_writer::{FrameContents, OutgoingFrame, SentAttempt};
@@ -32,19 +32,26 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(in crate::transports) struct AttemptNumber(pub(in crate::transports) u64);
 
+/// How far the frame of an attempt or a probe has come.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum WriteProgress {
+    /// It waits, or some of it is written: the replica cannot act on it.
+    Incomplete,
+    /// It is written completely: what it requests may run.
+    Complete,
+}
+
 /// An attempt that waits for its response.
 struct PendingAttempt {
     number: AttemptNumber,
     key: AttemptKey,
-    /// Its frame is written completely: it may run.
-    is_written: bool,
-    finished: FinishedAttempts,
+    progress: WriteProgress,
+    outcomes: OutcomeSender,
 }
 
 /// A probe that waits for its response.
 struct PendingProbe {
-    /// Its frame is written completely.
-    is_written: bool,
+    progress: WriteProgress,
     report: oneshot::Sender<ProbeReport>,
 }
 
@@ -101,7 +108,7 @@
         ids: Vec<String>,
         sub_requests: &[OutgoingSubRequest],
         wait_ms: u64,
-        finished: &FinishedAttempts,
+        outcomes: &OutcomeSender,
         mut next_number: impl FnMut() -> AttemptNumber,
     ) -> Vec<InFlightAttempt> {
         let encoded = ids
@@ -117,23 +124,11 @@
         let mut in_flight = Vec::new();
         for (id, outgoing) in ids.into_iter().zip(sub_requests) {
             let number = next_number();
-            let pending = PendingAttempt {
-                number,
-                key: outgoing.key,
-                is_written: false,
-                finished: finished.clone(),
-            };
-            self.attempts.borrow_mut().insert(id.clone(), pending);
             sent.push(SentAttempt {
                 id: id.clone(),
                 number,
             });
-            in_flight.push(InFlightAttempt {
-                connection: self.clone(),
-                id,
-                number,
-                sent: Instant::now(),
-            });
+            in_flight.push(self.register(id, number, outgoing.key, outcomes));
         }
         self.outgoing.borrow_mut().push_back(OutgoingFrame {
             bytes,
@@ -143,11 +138,34 @@
         in_flight
     }
 
+    /// Adds an attempt to those that wait for a response.
+    fn register(
+        self: &Rc<Self>,
+        id: String,
+        number: AttemptNumber,
+        key: AttemptKey,
+        outcomes: &OutcomeSender,
+    ) -> InFlightAttempt {
+        let pending = PendingAttempt {
+            number,
+            key,
+            progress: WriteProgress::Incomplete,
+            outcomes: outcomes.clone(),
+        };
+        self.attempts.borrow_mut().insert(id.clone(), pending);
+        InFlightAttempt {
+            connection: self.clone(),
+            id,
+            number,
+            sent: Instant::now(),
+        }
+    }
+
     /// Queues a probe.
     pub(in crate::transports) fn send_probe(&self) -> oneshot::Receiver<ProbeReport> {
         let (report, response) = oneshot::channel();
         self.probes.borrow_mut().push_back(PendingProbe {
-            is_written: false,
+            progress: WriteProgress::Incomplete,
             report,
         });
         self.outgoing.borrow_mut().push_back(OutgoingFrame {
@@ -167,7 +185,7 @@
     /// Marks the connection as silent where nothing was read since then.
     pub(in crate::transports) fn set_silent_since(&self, sent: Instant) {
         if self.last_read.get() < sent && !self.is_silent.replace(true) {
-            info!(address = %self.address, "replica connection is silent; no more goes on it");
+            info!(address = %self.address, "replica connection timed out, no longer used for new requests");
             self.wake.notify_one();
         }
     }
--- a/crates/linenthread-simulation/src/failover/traffic.rs
+++ b/crates/linenthread-simulation/src/failover/traffic.rs
@@ -2,7 +2,7 @@
 
 use linenthread_core::interface::{
     AttemptOutcome, AttemptResult, NewQuery, NewSubRequest, ProbeResult, QueryIndex, ReplicaIndex,
-    TenthMillis,
+    SearchIndex, TenthMillis,
 };
 
 use super::coordinator::Query;
@@ -51,7 +51,7 @@
         node.observer.on_query(SUB_REQUESTS_PER_QUERY);
         node.inputs.queries.push(NewQuery {
             query,
-            index: 0,
+            search_index: SearchIndex(0),
             customer: 0,
             key: Some(key),
             sequence_number: self.events.last_number(),
--- a/crates/linenthread-simulation/src/link/execution.rs
+++ b/crates/linenthread-simulation/src/link/execution.rs
@@ -19,8 +19,8 @@
                     id, outcome, value, ..
                 } => self.on_completed(id, outcome, &value),
                 ClientAction::ProbeCompleted { .. }
-                | ClientAction::Members { .. }
-                | ClientAction::Up(_) => {}
+                | ClientAction::Members(_)
+                | ClientAction::Availability(_) => {}
             }
         }
         let timeout = self.client.next_timeout();
--- a/crates/linenthread-simulation/src/merged/invariants.rs
+++ b/crates/linenthread-simulation/src/merged/invariants.rs
@@ -17,11 +17,9 @@
         let Some(open) = self.open.get(&query) else {
             return;
         };
-        let body = open.merger.response(
-            completeness == Completeness::Complete,
-            Some(&self.signer),
-            UNIX_SECONDS,
-        );
+        let body = open
+            .merger
+            .response(completeness, Some(&self.signer), UNIX_SECONDS);
         let response: Value = serde_json::from_slice(&body).unwrap_or_default();
         self.statistics.count(&response);
         let client = &mut self.clients[open.client];
--- a/crates/linenthread-simulation/src/merged/traffic.rs
+++ b/crates/linenthread-simulation/src/merged/traffic.rs
@@ -3,7 +3,8 @@
 use std::collections::BTreeMap;
 
 use linenthread_core::interface::{
-    AttemptOutcome, Continuation, NewQuery, NewSubRequest, QueryIndex, SubRequestIndex, TenthMillis,
+    AttemptOutcome, Continuation, NewQuery, NewSubRequest, QueryIndex, SearchIndex,
+    SubRequestIndex, TenthMillis,
 };
 use linenthread_fakes::checker::ShardWeight;
 use linenthread_merge::{Aggregation, MergeQuery, Merger, PageRequest, QueriedShard};
@@ -76,7 +77,7 @@
         let hard_deadline = self.replicas.now + HARD_DEADLINE;
         self.replicas.inputs.queries.push(NewQuery {
             query,
-            index: self.clients[client].plan,
+            search_index: SearchIndex(self.clients[client].plan),
             customer: 0,
             key: Some(number::count(client)),
             sequence_number: number::count(query.0),
