--- a/crates/linenthread-service/src/transports/attempt.rs
+++ b/crates/linenthread-service/src/transports/attempt.rs
@@ -42,6 +42,39 @@
     }
 }
 
+/// Reports the outcome of one attempt, once it has one, to the task of its query.
+pub(crate) struct OutcomeReporter {
+    key: AttemptKey,
+    outcomes: OutcomeSender,
+}
+
+impl OutcomeReporter {
+    pub(crate) fn new(key: AttemptKey, outcomes: &OutcomeSender) -> OutcomeReporter {
+        OutcomeReporter {
+            key,
+            outcomes: outcomes.clone(),
+        }
+    }
+
+    /// Reports what a response brought.
+    pub(crate) fn report(self, outcome: AttemptOutcome, queue_depth: Option<f64>, value: String) {
+        let finished = FinishedAttempt {
+            key: self.key,
+            outcome,
+            queue_depth,
+            value,
+        };
+        // A query that has ended needs no outcome.
+        self.outcomes.send(finished).ok();
+    }
+
+    /// Reports the end of an attempt that has no response.
+    pub(crate) fn report_without_response(self, outcome: AttemptOutcome) {
+        let finished = FinishedAttempt::without_value(self.key, outcome);
+        self.outcomes.send(finished).ok();
+    }
+}
+
 /// The outcome of one probe of a replica.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ProbeReport {
--- a/crates/linenthread-service/src/transports/connection/messages.rs
+++ b/crates/linenthread-service/src/transports/connection/messages.rs
@@ -7,7 +7,7 @@
 use super::error::{FrameRejectedSnafu, PrematureResponseSnafu, UnknownResponseSnafu};
 use super::frame_writer::{FrameContents, OutgoingFrame, SentAttempt};
 use super::{Connection, ConnectionEnd, ConnectionError, PendingProbe, WriteProgress};
-use crate::transports::attempt::{FinishedAttempt, ProbeReport};
+use crate::transports::attempt::ProbeReport;
 
 impl Connection {
     /// The last byte of a frame is written: what it requests may run from now on.
@@ -86,13 +86,7 @@
         let pending = self.attempts.borrow_mut().remove(id);
         if let Some(pending) = pending {
             self.remember_finished(id);
-            let finished = FinishedAttempt {
-                key: pending.key,
-                outcome,
-                queue_depth,
-                value,
-            };
-            pending.outcomes.send(finished).ok();
+            pending.reporter.report(outcome, queue_depth, value);
         } else if !self.finished_ids.borrow().contains(&hash_id(id)) {
             return UnknownResponseSnafu.fail();
         }
@@ -104,8 +98,8 @@
     pub(in crate::transports) fn end_all(&self, end: ConnectionEnd) {
         let outcome = |progress: WriteProgress| self.outcome_at_end(progress, end);
         for pending in std::mem::take(&mut *self.attempts.borrow_mut()).into_values() {
-            let finished = FinishedAttempt::without_value(pending.key, outcome(pending.progress));
-            pending.outcomes.send(finished).ok();
+            let outcome = outcome(pending.progress);
+            pending.reporter.report_without_response(outcome);
         }
         for probe in self.probes.borrow_mut().drain(..) {
             let report = ProbeReport::without_load(outcome(probe.progress));
--- a/crates/linenthread-service/src/transports/connection/mod.rs
+++ b/crates/linenthread-service/src/transports/connection/mod.rs
@@ -18,7 +18,7 @@
 use tokio::time::Instant;
 use tracing::info;
 
-use crate::transports::attempt::{AttemptKey, OutcomeSender, OutgoingSubRequest, ProbeReport};
+use crate::transports::attempt::{OutcomeReporter, OutcomeSender, OutgoingSubRequest, ProbeReport};
 
 pub(in crate::transports) use error::{ConnectionEnd, ConnectionError};
 use frame_writer::{FrameContents, OutgoingFrame, SentAttempt};
@@ -44,9 +44,8 @@
 /// An attempt that waits for its response.
 struct PendingAttempt {
     number: AttemptNumber,
-    key: AttemptKey,
     progress: WriteProgress,
-    outcomes: OutcomeSender,
+    reporter: OutcomeReporter,
 }
 
 /// A probe that waits for its response.
@@ -124,11 +123,12 @@
         let mut in_flight = Vec::new();
         for (id, outgoing) in ids.into_iter().zip(sub_requests) {
             let number = next_number();
+            let reporter = OutcomeReporter::new(outgoing.key, outcomes);
             sent.push(SentAttempt {
                 id: id.clone(),
                 number,
             });
-            in_flight.push(self.register(id, number, outgoing.key, outcomes));
+            in_flight.push(self.register(id, number, reporter));
         }
         self.outgoing.borrow_mut().push_back(OutgoingFrame {
             bytes,
@@ -143,14 +143,12 @@
         self: &Rc<Self>,
         id: String,
         number: AttemptNumber,
-        key: AttemptKey,
-        outcomes: &OutcomeSender,
+        reporter: OutcomeReporter,
     ) -> InFlightAttempt {
         let pending = PendingAttempt {
             number,
-            key,
             progress: WriteProgress::Incomplete,
-            outcomes: outcomes.clone(),
+            reporter,
         };
         self.attempts.borrow_mut().insert(id.clone(), pending);
         InFlightAttempt {
--- a/crates/linenthread-service/src/transports/link/mod.rs
+++ b/crates/linenthread-service/src/transports/link/mod.rs
@@ -22,28 +22,7 @@
 
 use crate::clock::{self, Clock};
 use crate::log::LogRateLimit;
-use crate::transports::attempt::{
-    AttemptKey, FinishedAttempt, OutcomeSender, OutgoingSubRequest, ProbeReport,
-};
-
-/// A call that waits for its outcome.
-struct PendingCall {
-    key: AttemptKey,
-    outcomes: OutcomeSender,
-}
-
-impl PendingCall {
-    /// Reports the outcome to the task of the call's query.
-    fn complete(self, outcome: AttemptOutcome, queue_depth: Option<f64>, value: String) {
-        let attempt = FinishedAttempt {
-            key: self.key,
-            outcome,
-            queue_depth,
-            value,
-        };
-        self.outcomes.send(attempt).ok();
-    }
-}
+use crate::transports::attempt::{OutcomeReporter, OutcomeSender, OutgoingSubRequest, ProbeReport};
 
 /// A change of what a link reaches.
 pub(crate) enum LinkEvent {
@@ -58,7 +37,8 @@
     address: SocketAddr,
     clock: Clock,
     client: RefCell<LinkClient>,
-    calls: RefCell<BTreeMap<CallId, PendingCall>>,
+    /// Calls that wait for their outcome.
+    calls: RefCell<BTreeMap<CallId, OutcomeReporter>>,
     probes: RefCell<BTreeMap<ProbeId, oneshot::Sender<ProbeReport>>>,
     outgoing: RefCell<VecDeque<Frame>>,
     /// The client wants to connect.
@@ -163,9 +143,9 @@
                 queue_depth,
                 value,
             } => {
-                let pending = self.0.calls.borrow_mut().remove(&id);
-                if let Some(pending) = pending {
-                    pending.complete(outcome, queue_depth, value);
+                let reporter = self.0.calls.borrow_mut().remove(&id);
+                if let Some(reporter) = reporter {
+                    reporter.report(outcome, queue_depth, value);
                 }
             }
             ClientAction::ProbeCompleted {
@@ -233,11 +213,8 @@
         // The call may complete at once: it is registered before its actions are performed.
         self.act(|client, now, actions| {
             id = client.call(now, call, deadline, outgoing.priority, actions);
-            let pending = PendingCall {
-                key: outgoing.key,
-                outcomes: outcomes.clone(),
-            };
-            self.0.calls.borrow_mut().insert(id, pending);
+            let reporter = OutcomeReporter::new(outgoing.key, outcomes);
+            self.0.calls.borrow_mut().insert(id, reporter);
         });
         InFlightAttempt {
             peer: self.clone(),
