--- a/crates/linenthread-simulation/src/link/invariant.rs
+++ b/crates/linenthread-simulation/src/link/invariant.rs
@@ -33,22 +33,4 @@
 }
 
 /// How an invariant was violated.
-pub(super) struct Violation {
-    invariant: Invariant,
-    details: String,
-}
-
-impl Violation {
-    pub(super) fn new(invariant: Invariant, details: impl Into<String>) -> Violation {
-        Violation {
-            invariant,
-            details: details.into(),
-        }
-    }
-}
-
-impl fmt::Display for Violation {
-    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(formatter, "{}: {}", self.invariant, self.details)
-    }
-}
+pub(super) type Violation = crate::violation::Violation<Invariant>;
--- a/crates/linenthread-simulation/src/main.rs
+++ b/crates/linenthread-simulation/src/main.rs
@@ -50,6 +50,7 @@
 mod run_summary;
 mod schedules;
 mod system;
+mod violation;
 mod zones;
 
 use std::process::ExitCode;
--- /dev/null
+++ b/crates/linenthread-simulation/src/violation.rs
@@ -0,0 +1,24 @@
+//! How an invariant was violated.
+
+use std::fmt;
+
+/// The name of an invariant of one simulation, and how it was violated.
+pub(crate) struct Violation<I> {
+    invariant: I,
+    details: String,
+}
+
+impl<I> Violation<I> {
+    pub(crate) fn new(invariant: I, details: impl Into<String>) -> Violation<I> {
+        Violation {
+            invariant,
+            details: details.into(),
+        }
+    }
+}
+
+impl<I: fmt::Display> fmt::Display for Violation<I> {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        write!(formatter, "{}: {}", self.invariant, self.details)
+    }
+}
