--- a/crates/linenthread-checker/src/lease.rs
+++ b/crates/linenthread-checker/src/lease.rs
@@ -77,8 +77,14 @@
 
     fn violated_invariants(&self, state: &LeaseState) -> Vec<&'static str> {
         let all = [
-            ("one-holder-at-a-time", state.current_holders().count() > 1),
-            ("one-holder-an-epoch", state.has_epoch_with_two_holders()),
+            (
+                "one-lease-holder-at-a-time",
+                state.current_holders().count() > 1,
+            ),
+            (
+                "one-lease-holder-per-epoch",
+                state.has_epoch_with_two_holders(),
+            ),
         ];
         names_of(all)
     }
--- a/crates/linenthread-checker/src/register/invariants.rs
+++ b/crates/linenthread-checker/src/register/invariants.rs
@@ -12,27 +12,27 @@
 
 const INVARIANTS: [Invariant; 7] = [
     Invariant {
-        name: "one-value-a-number",
+        name: "one-value-per-number",
         is_violated: |state| state.history().has_conflicting_values(),
     },
     Invariant {
-        name: "decided-by-those-who-count",
+        name: "decided-by-voters",
         is_violated: |state| state.history().has_minority_decision(),
     },
     Invariant {
-        name: "acked-lasts",
+        name: "acknowledged-lasts",
         is_violated: |state| loses_acknowledged_order(state.history()),
     },
     Invariant {
-        name: "one-a-base",
+        name: "one-order-per-base",
         is_violated: |state| has_two_orders_on_a_base(state.history()),
     },
     Invariant {
-        name: "never-refused-when-taken",
+        name: "committed-is-never-rejected",
         is_violated: |state| rejects_accepted_order(state.history()),
     },
     Invariant {
-        name: "known-at-each-node",
+        name: "orders-known-at-each-node",
         is_violated: has_node_without_accepted_order,
     },
     Invariant {
--- a/crates/linenthread-consensus/src/acceptor.rs
+++ b/crates/linenthread-consensus/src/acceptor.rs
@@ -11,7 +11,7 @@
 /// A request for another number must not be handed to it: [`crate::Register`] checks that before.
 ///
 /// `on_prepare` and `on_accept` return the record that must be synced before the reply leaves: what another node relies on survives a
-/// restart (*one-value-a-number*).
+/// restart (*one-value-per-number*).
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Acceptor {
     /// The number that the other fields belong to. After a restart it may be above the number after the newest decided
--- a/crates/linenthread-consensus/src/decided_state.rs
+++ b/crates/linenthread-consensus/src/decided_state.rs
@@ -96,7 +96,7 @@
         self.voter_ids().any(|voter| voter == id)
     }
 
-    /// Whether these nodes include more than half of the voters (*decided-by-those-who-count*).
+    /// Whether these nodes include more than half of the voters (*decided-by-voters*).
     pub(crate) fn is_majority(&self, ids: impl IntoIterator<Item = NodeId>) -> bool {
         let votes: BTreeSet<NodeId> = ids.into_iter().filter(|id| self.is_voter(*id)).collect();
         votes.len() * 2 > self.voters().len()
--- a/crates/linenthread-consensus/src/epoch.rs
+++ b/crates/linenthread-consensus/src/epoch.rs
@@ -6,7 +6,7 @@
 ///
 /// A candidate raises it when it requests a lease that it does not hold yet, above every epoch that it knows of; a
 /// voter grants no epoch below the greatest one that it granted, which it holds on its disk. So at most one incarnation
-/// of one node holds the lease under an epoch (*one-holder-an-epoch*), and whoever is sent something by two leaders,
+/// of one node holds the lease under an epoch (*one-lease-holder-per-epoch*), and whoever is sent something by two leaders,
 /// such as a quota grant, takes it from the greater epoch.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Epoch(u64);
--- a/crates/linenthread-consensus/src/lease.rs
+++ b/crates/linenthread-consensus/src/lease.rs
@@ -83,7 +83,7 @@
 /// One node's part in the leader lease: as a voter it grants the lease to one candidate at a time, as a candidate it
 /// may hold the lease.
 ///
-/// At most one node holds the lease under an epoch, and at most one at any time (*one-holder-an-epoch*). What this
+/// At most one node holds the lease under an epoch, and at most one at any time (*one-lease-holder-per-epoch*). What this
 /// rests on:
 /// - a grant lasts the lease duration from when the voter received the request; the lease lasts that long, less a
 ///   margin, from when the candidate sent the request, which was earlier;
@@ -146,7 +146,7 @@
     }
 
     /// Whether this node holds the lease by grants of the voters that the value of this number names. Only then may
-    /// it change the voters (*one-holder-an-epoch*).
+    /// it change the voters (*one-lease-holder-per-epoch*).
     pub fn is_held_at(&self, now: Instant, value_number: ValueNumber) -> bool {
         self.held
             .is_some_and(|held| now < held.expires_at && held.value_number == value_number)
@@ -383,7 +383,7 @@
     /// The node `from` has released the lease: this voter may grant it to another candidate at once. Returns whether a
     /// grant ended.
     ///
-    /// This keeps *one-holder-an-epoch*. Only the lease holder itself sends it, for its own incarnation, after
+    /// This keeps *one-lease-holder-per-epoch*. Only the lease holder itself sends it, for its own incarnation, after
     /// [`LeaderLease::release`]; from then on it requests only epochs above the released one. No grant that this
     /// incarnation got up to that epoch can make it hold the lease again, since a grant counts only for the current
     /// request, and that is gone. However late the message arrives, it ends no grant under a later epoch; nor does it
--- a/crates/linenthread-consensus/src/lib.rs
+++ b/crates/linenthread-consensus/src/lib.rs
@@ -37,21 +37,21 @@
 //!
 //! By the names that `docs/system-design.md` and `docs/control-orders.md` give them:
 //!
-//! - *one-value-a-number*: no two values are decided under one number. Paxos for each number; its voters are fixed by
+//! - *one-value-per-number*: no two values are decided under one number. Paxos for each number; its voters are fixed by
 //!   the value before, and promises and acceptances are synced before they are sent.
-//! - *decided-by-those-who-count*: only the voters that value n names decide value n + 1.
-//! - *an-empty-disk-is-nobody*: a node's identity belongs to its disk; a node with a new disk has a new identity, which
+//! - *decided-by-voters*: only the voters that value n names decide value n + 1.
+//! - *new-disk-new-identity*: a node's identity belongs to its disk; a node with a new disk has a new identity, which
 //!   no value names yet.
-//! - *no-ack-before-half-the-disks*: an order is acknowledged only after a majority of the voters has synced it.
-//! - *a-cut-off-node-confirms-nothing*: nothing is acknowledged, rejected or read without a round that a majority of
+//! - *acknowledged-at-majority*: an order is acknowledged only after a majority of the voters has synced it.
+//! - *no-response-without-quorum*: nothing is acknowledged, rejected or read without a round that a majority of
 //!   the voters took part in.
 //! - *reads-are-newest*: a read returns no value older than any that was acknowledged or read before it was submitted.
-//! - *nothing-goes-back*: a node replaces its newest value only by one with a greater number.
-//! - *one-a-base*: of all orders on one base at most one is accepted.
-//! - *acked-lasts*: an acknowledged order is part of the history of every later value.
-//! - *never-refused-when-taken*: an accepted order is never reported as a conflict, however late it is sent again.
-//! - *known-at-each-node*: each node knows the orders of its newest value's history, or knows that some are missing.
-//! - *one-holder-an-epoch*: under each epoch at most one incarnation of one node holds the leader lease.
+//! - *monotonic-state*: a node replaces its newest value only by one with a greater number.
+//! - *one-order-per-base*: of all orders on one base at most one is accepted.
+//! - *acknowledged-lasts*: an acknowledged order is part of the history of every later value.
+//! - *committed-is-never-rejected*: an accepted order is never reported as a conflict, however late it is sent again.
+//! - *orders-known-at-each-node*: each node knows the orders of its newest value's history, or knows that some are missing.
+//! - *one-lease-holder-per-epoch*: under each epoch at most one incarnation of one node holds the leader lease.
 
 mod acceptor;
 mod backoff;
--- a/crates/linenthread-consensus/src/node_id.rs
+++ b/crates/linenthread-consensus/src/node_id.rs
@@ -6,7 +6,7 @@
 use linenthread_messages::Voter;
 
 /// Identifies a control node. It belongs to the node's disk: a node whose disk was replaced is another node
-/// (*an-empty-disk-is-nobody*).
+/// (*new-disk-new-identity*).
 ///
 /// Messages and records carry it as a number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
--- a/crates/linenthread-consensus/src/proposal.rs
+++ b/crates/linenthread-consensus/src/proposal.rs
@@ -80,7 +80,7 @@
     /// The outcome of this change after a value was decided, if that value resolves it without a further round.
     ///
     /// An order that was decided in another node's round is not acknowledged here until a round of this node's own:
-    /// an acknowledgement needs contact with a majority of the voters (*a-cut-off-node-confirms-nothing*).
+    /// an acknowledgement needs contact with a majority of the voters (*no-response-without-quorum*).
     pub(crate) fn outcome_after(
         &self,
         decided: &DecidedState,
--- a/crates/linenthread-consensus/src/register.rs
+++ b/crates/linenthread-consensus/src/register.rs
@@ -130,7 +130,7 @@
     }
 
     /// Whether the newest decided value and the complete order log are synced to this node's disk. A node may become a
-    /// voter only then (*known-at-each-node*).
+    /// voter only then (*orders-known-at-each-node*).
     pub fn is_fully_durable(&self) -> bool {
         self.order_log_durable() && self.durability.is_synced(self.decided.number())
     }
@@ -339,7 +339,7 @@
         effects.extend(request.map(|message| Effect::Send { to: from, message }));
     }
 
-    /// Learns a decided value; an older one than the newest known is ignored (*nothing-goes-back*).
+    /// Learns a decided value; an older one than the newest known is ignored (*monotonic-state*).
     fn adopt(
         &mut self,
         now: Instant,
--- a/crates/linenthread-consensus/src/revision.rs
+++ b/crates/linenthread-consensus/src/revision.rs
@@ -8,7 +8,7 @@
 /// it builds on, and need not bring the next one.
 ///
 /// It protects an operator's change from being lost: an order can only be accepted while the revision that it builds on
-/// is the newest one (*one-a-base*).
+/// is the newest one (*one-order-per-base*).
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Revision(u64);
 
--- a/crates/linenthread-consensus/src/value_number.rs
+++ b/crates/linenthread-consensus/src/value_number.rs
@@ -8,8 +8,8 @@
 /// from 0 without gaps.
 ///
 /// Whoever proposes the value after the newest one raises it by one. A node replaces its newest value only by one with
-/// a greater number (*nothing-goes-back*), and votes only on the number after its newest value: the voters of value n
-/// decide value n + 1 (*decided-by-those-who-count*).
+/// a greater number (*monotonic-state*), and votes only on the number after its newest value: the voters of value n
+/// decide value n + 1 (*decided-by-voters*).
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ValueNumber(u64);
 
--- a/crates/linenthread-control/src/retry_budget.rs
+++ b/crates/linenthread-control/src/retry_budget.rs
@@ -46,7 +46,7 @@
 }
 
 /// What the leader has granted of the retries that all ingress nodes together may make in any window. The sum of what
-/// may be in use never exceeds the allowance (rule *shares-within-the-whole*).
+/// may be in use never exceeds the allowance (rule *grants-within-allowance*).
 pub struct RetryBudget {
     allowance: f64,
     window: Duration,
--- a/crates/linenthread-fleet/src/lib.rs
+++ b/crates/linenthread-fleet/src/lib.rs
@@ -22,9 +22,9 @@
 //! | passed on | each voter, to its followers | `fleet/replication.rs` |
 //! | reported as [`FleetAction::Committed`] | each process | the caller |
 //!
-//! Invariants, checked by the simulation of fleets: *one-value* (no two values under one topic and number),
-//! *agreed-stays* (what was reported as committed is never undone while a majority of voters has its disks),
-//! *one-leader* (at no moment do two processes hold the lease), *former-self* (a voter that lost its disk never votes
+//! Invariants, checked by the simulation of fleets: *one-value-per-number* (no two values under one topic and number),
+//! *committed-lasts* (what was reported as committed is never undone while a majority of voters has its disks),
+//! *one-leader* (at no moment do two processes hold the lease), *new-disk-new-identity* (a voter that lost its disk never votes
 //! under its former identity).
 
 mod config;
--- a/crates/linenthread-fleet/src/state_table.rs
+++ b/crates/linenthread-fleet/src/state_table.rs
@@ -1,6 +1,6 @@
 //! The replicated state: numbered values by topic, and which voter goes by which id.
 //!
-//! All voters apply the same committed entries in the same order, so all have the same table (*one-value*): whether an
+//! All voters apply the same committed entries in the same order, so all have the same table (*one-value-per-number*): whether an
 //! entry is applied must depend on the table and the entry alone.
 
 use std::collections::BTreeMap;
--- a/crates/linenthread-fleet/src/voter/founding.rs
+++ b/crates/linenthread-fleet/src/voter/founding.rs
@@ -141,7 +141,7 @@
         self.peers.get(voter).map(|peer| peer.progress)
     }
 
-    /// *former-self*: beside an existing fleet an empty disk gets an identity that has never voted.
+    /// *new-disk-new-identity*: beside an existing fleet an empty disk gets an identity that has never voted.
     fn join(&mut self, actions: &mut Vec<VoterAction>) -> Result<(), StorageError> {
         let State::Empty(storage) = &mut self.state else {
             return Ok(());
--- a/crates/linenthread-fleet/src/voter/ready.rs
+++ b/crates/linenthread-fleet/src/voter/ready.rs
@@ -30,7 +30,7 @@
     }
 
     /// Handles one batch of Raft's requests in the order that its library requires: persist, then advance; only then
-    /// send and apply. What is reported as committed is never undone (*agreed-stays*), since no message that lets
+    /// send and apply. What is reported as committed is never undone (*committed-lasts*), since no message that lets
     /// others count this voter's disk leaves before that disk is synced.
     fn handle_ready(&mut self, actions: &mut Vec<VoterAction>) -> Result<(), StorageError> {
         let State::Active(node) = &mut self.state else {
--- a/crates/linenthread-fleet/tests/cluster/mod.rs
+++ b/crates/linenthread-fleet/tests/cluster/mod.rs
@@ -151,7 +151,7 @@
         } = committed;
         let known = self.committed.entry((topic, number));
         let known = known.or_insert_with(|| value.clone());
-        assert_eq!(*known, value, "one-value");
+        assert_eq!(*known, value, "one-value-per-number");
     }
 
     pub(crate) fn run(&mut self, seconds: i64) {
--- a/crates/linenthread-fleet/tests/voters.rs
+++ b/crates/linenthread-fleet/tests/voters.rs
@@ -118,7 +118,11 @@
     cluster.start("catania").unwrap();
     cluster.run(10);
     let incarnation = cluster.voters["catania"].incarnation().unwrap();
-    assert_ne!(incarnation, VoterIncarnation::FOUNDER, "former-self");
+    assert_ne!(
+        incarnation,
+        VoterIncarnation::FOUNDER,
+        "new-disk-new-identity"
+    );
     assert!(cluster.voters["catania"].votes(), "{:?}", log(&cluster));
     // Both others' disks fail; then this one is lost again. What they hold is unknown: no fleet is founded again.
     for name in ["messina", "palermo"] {
--- a/crates/linenthread-simulation/src/system/invariant.rs
+++ b/crates/linenthread-simulation/src/system/invariant.rs
@@ -41,22 +41,22 @@
 impl fmt::Display for Invariant {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         formatter.write_str(match self {
-            Invariant::OneValuePerNumber => "one-value-a-number",
-            Invariant::OneChangePerBase => "one-a-base",
-            Invariant::OneChangePerRevision => "one-a-number",
-            Invariant::AcknowledgedLasts => "acked-lasts",
-            Invariant::CommittedIsNeverRejected => "taken-is-never-refused",
+            Invariant::OneValuePerNumber => "one-value-per-number",
+            Invariant::OneChangePerBase => "one-order-per-base",
+            Invariant::OneChangePerRevision => "one-order-per-revision",
+            Invariant::AcknowledgedLasts => "acknowledged-lasts",
+            Invariant::CommittedIsNeverRejected => "committed-is-never-rejected",
             Invariant::ReadsAreNewest => "reads-are-newest",
-            Invariant::MonotonicState => "nothing-goes-back",
+            Invariant::MonotonicState => "monotonic-state",
             Invariant::DrainsAreKnown => "drains-are-known",
-            Invariant::OneLeaseHolderPerEpoch => "one-holder-an-epoch",
-            Invariant::GrantsWithinAllowance => "shares-within-the-whole",
-            Invariant::NoResponseWithoutQuorum => "a-cut-off-node-confirms-nothing",
-            Invariant::IngressFailsOver => "fronts-leave",
+            Invariant::OneLeaseHolderPerEpoch => "one-lease-holder-per-epoch",
+            Invariant::GrantsWithinAllowance => "grants-within-allowance",
+            Invariant::NoResponseWithoutQuorum => "no-response-without-quorum",
+            Invariant::IngressFailsOver => "ingress-fails-over",
             Invariant::CatchesUp => "catches-up",
             Invariant::BoundedState => "bounded-state",
             Invariant::AcknowledgedIsSynced => "acknowledged-is-synced",
-            Invariant::Recovers => "all-comes-back",
+            Invariant::Recovers => "recovers",
         })
     }
 }
--- a/crates/linenthread-zones/src/controller/adoption.rs
+++ b/crates/linenthread-zones/src/controller/adoption.rs
@@ -1,5 +1,5 @@
 //! Which changes of the routes are acted on: routes close at once, and open no more often than a budget allows
-//! (*no-flap*).
+//! (*no-flapping*).
 
 use linenthread_core::interface::TenthMillis;
 
--- a/crates/linenthread-zones/src/controller/routes.rs
+++ b/crates/linenthread-zones/src/controller/routes.rs
@@ -1,4 +1,4 @@
-//! The routes that follow from the states, narrowed to what each zone can bear (*never-past-room*).
+//! The routes that follow from the states, narrowed to what each zone can bear (*within-capacity*).
 
 use super::FailoverController;
 use crate::ALL_KEYS;
@@ -10,7 +10,7 @@
 
 impl FailoverController {
     /// The routes as the states have them, narrowed as far as capacity requires. While all is healthy none is
-    /// (*near-while-safe*): peaks are then borne by each coordinator by itself.
+    /// (*local-while-healthy*): peaks are then borne by each coordinator by itself.
     pub(super) fn routes(&self, topology: &Topology) -> Vec<Row> {
         let row = |from: ZoneIndex| Row {
             routes: self.zones().map(|to| self.route(from, to)).collect(),
--- a/crates/linenthread-zones/src/lib.rs
+++ b/crates/linenthread-zones/src/lib.rs
@@ -20,10 +20,10 @@
 //! care that a minority changes nothing. Start reading at [`FailoverController::decide`]; `docs/failover-design.md`
 //! has the reasons.
 //!
-//! Invariants, checked by the simulation of zones: *never-past-room* (a table sends no zone more than its capacity
-//! beside its own clients' requests), *near-while-safe* (while all is healthy every route is open, so that each
-//! sub-request stays in the nearest zone with its shard), *no-flap* (a bound on changes an hour under any evidence),
-//! *same-key-same-home* (a share that falls or grows moves the same keys, and moves them back).
+//! Invariants, checked by the simulation of zones: *within-capacity* (a table sends no zone more than its capacity
+//! beside its own clients' requests), *local-while-healthy* (while all is healthy every route is open, so that each
+//! sub-request stays in the nearest zone with its shard), *no-flapping* (a bound on changes an hour under any evidence),
+//! *stable-placement* (a share that falls or grows moves the same keys, and moves them back).
 
 mod config;
 mod controller;
