--- a/crates/linenthread-installation/tests/reading.rs
+++ b/crates/linenthread-installation/tests/reading.rs
@@ -80,11 +80,11 @@
         .replace("as one.\n", "as one. -->\n")
         .replace("</totals>\n    -->", "</totals>")
         .replace("</groups>\n    -->", "</groups>")
-        .replace("own roster.\n", "own roster. -->\n")
+        .replace("discovery.\n", "discovery. -->\n")
         .replace("this one.\n", "this one. -->\n")
         .replace("/>\n  -->", "/>")
         .replace("</peers>\n  -->", "</peers>")
-        .replace("in common.\n", "in common. -->\n")
+        .replace("failover together.\n", "failover together. -->\n")
         .replace("</zones>\n  -->", "</zones>");
     let complete = read(&complete).unwrap();
     assert_eq!(complete.merging.plans.len(), 3);
