--- a/scripts/paired_days.py
+++ b/scripts/paired_days.py
@@ -1,19 +1,21 @@
 #!/usr/bin/env python3
-"""Writes days that pair kinds of trouble, for `fleetbench run SITE DAY.toml`.
+"""Writes days that pair faults, for `fleetbench run SITE DAY.toml`.
 
     scripts/paired_days.py SITE.toml OUTPUT_FOLDER FIRST_SEED COUNT
 
-Each day draws three to six pairs of troubles that strike within two seconds of each other, a rolling
-restart of the core, two to four planned works, one more trouble in the closing seconds and a closing fault.
-The same seed gives the same day. Traffic is that of the site's second standard day.
+Each day draws three to six pairs of faults that strike within two seconds of each other, a rolling
+restart of the control nodes, two to four planned works, one more fault in the closing seconds and a closing fault.
+The same seed gives the same day. Traffic is that of the site's second standard day. Names of kinds, fields and values
+are the bench's.
 """
 
+import argparse
 import random
-import sys
 import tomllib
+from pathlib import Path
 
-# Each trouble: its kind, and for each of its fields the values that are drawn from.
-CORE_TROUBLES = [
+# Each fault: its kind, and for each of its fields the values that are drawn from.
+CONTROL_FAULTS = [
     ("core_cut", {"count": [1], "for_s": [2.0, 4.5, 8.0],
                   "how": ["", "one_way", "leader", "leader race", "race", "both", "seeds", "hard"]}),
     ("node_kill", {"on": ["core"], "count": [1], "for_s": [0.5, 2.0, 4.0],
@@ -34,8 +36,8 @@
     ("ack_lost", {"x": [0.7], "for_s": [5.0]}),
     ("herd_kill", {"on": ["core"], "for_s": [0.5, 1.5], "how": ["", "power"]}),
 ]
-CLOSING_TROUBLES = CORE_TROUBLES[:8]
-TRAFFIC_TROUBLES = [
+LATE_FAULTS = CONTROL_FAULTS[:8]
+TRAFFIC_FAULTS = [
     ("garble", {"how": ["", "extra", "extra late"], "share": [0.5], "x": [0.03], "for_s": [5.0]}),
     ("answer_lost", {"how": ["", "reset"], "share": [0.5], "x": [0.05], "for_s": [5.0]}),
     ("srv_crash", {"how": ["", "dark", "gone", "across", "dark across"], "share": [0.15], "for_s": [4.0]}),
@@ -63,13 +65,22 @@
     ("release", {"share": [0.4], "x": [1], "gap_s": [1.0]}),
     ("scale_in", {"share": [0.15]}),
 ]
-ROLLING_CORE_RESTART = (
+ROLLING_CONTROL_RESTART = (
     "roll_term",
     {"on": ["core"], "share": [1.0], "x": [1.0], "gap_s": [3.0], "how": ["", "remove", "meet"]},
 )
 CLOSINGS = ["power_off_all", "kill_all", "wipe_after_ack"]
 WIPE_TIMINGS = ["aimed", "timed", ""]
+# Seconds between the two faults of a pair.
 PAIR_GAPS_S = [0.0, 0.05, 0.3, 1.0, 1.6, 2.0]
+# The fewest and the most of each, and the earliest and the latest time in seconds from the start of the day.
+PAIRS = (3, 6)
+PAIR_TIMES_S = (6, 24)
+LATE_TIMES_S = (30, 33.5)
+PLANNED_WORKS = (2, 4)
+PLANNED_TIMES_S = (1, 30)
+RESTART_TIMES_S = (6, 26)
+CLOSING_DOWN_S = (0.4, 1.5)
 
 
 def toml_value(value):
@@ -79,34 +90,37 @@
     return f'"{value}"' if isinstance(value, str) else f"{value}"
 
 
-def draw(source, at, trouble):
-    """One entry of a day, with each field drawn."""
-    kind, fields = trouble
+def draw(source, at, event):
+    """One entry of a day, with each field drawn; `event` is a fault or planned work."""
+    kind, fields = event
     entry = {"at": round(at, 2), "kind": kind}
     entry.update({field: source.choice(values) for field, values in fields.items()})
     return entry
 
 
 def draw_faults(source):
+    """Pairs of faults, and one late in the day."""
     faults = []
-    for _ in range(source.randint(3, 6)):
-        at = source.uniform(6, 24)
-        faults.append(draw(source, at, source.choice(CORE_TROUBLES)))
+    for _ in range(source.randint(*PAIRS)):
+        at = source.uniform(*PAIR_TIMES_S)
+        faults.append(draw(source, at, source.choice(CONTROL_FAULTS)))
         at += source.choice(PAIR_GAPS_S)
-        faults.append(draw(source, at, source.choice(CORE_TROUBLES + TRAFFIC_TROUBLES)))
-    faults.append(draw(source, source.uniform(30, 33.5), source.choice(CLOSING_TROUBLES)))
+        faults.append(draw(source, at, source.choice(CONTROL_FAULTS + TRAFFIC_FAULTS)))
+    faults.append(draw(source, source.uniform(*LATE_TIMES_S), source.choice(LATE_FAULTS)))
     return sorted(faults, key=lambda entry: entry["at"])
 
 
 def draw_planned(source):
-    planned = [draw(source, source.uniform(6, 26), ROLLING_CORE_RESTART)]
-    for _ in range(source.randint(2, 4)):
-        planned.append(draw(source, source.uniform(1, 30), source.choice(PLANNED_WORK)))
+    """The rolling restart, and other planned work."""
+    planned = [draw(source, source.uniform(*RESTART_TIMES_S), ROLLING_CONTROL_RESTART)]
+    for _ in range(source.randint(*PLANNED_WORKS)):
+        planned.append(draw(source, source.uniform(*PLANNED_TIMES_S), source.choice(PLANNED_WORK)))
     return sorted(planned, key=lambda entry: entry["at"])
 
 
 def draw_closing(source):
-    closing = {"kind": source.choice(CLOSINGS), "down_s": round(source.uniform(0.4, 1.5), 2)}
+    """The fault that ends the day."""
+    closing = {"kind": source.choice(CLOSINGS), "down_s": round(source.uniform(*CLOSING_DOWN_S), 2)}
     if closing["kind"] == "wipe_after_ack":
         closing["how"] = source.choice(WIPE_TIMINGS)
     return closing
@@ -125,13 +139,21 @@
     return "\n".join(lines) + "\n"
 
 
+def arguments():
+    parser = argparse.ArgumentParser(description="Writes days that pair faults.")
+    parser.add_argument("site", type=Path, help="the site's file; its second day gives the traffic")
+    parser.add_argument("folder", type=Path, help="where the days are written, as NAME-SEED.toml")
+    parser.add_argument("first_seed", type=int)
+    parser.add_argument("count", type=int, help="how many days, each with the next seed")
+    return parser.parse_args()
+
+
 def main():
-    site_file, folder, first, count = sys.argv[1], sys.argv[2], int(sys.argv[3]), int(sys.argv[4])
-    with open(site_file, "rb") as file:
-        site = tomllib.load(file)
-    for seed in range(first, first + count):
-        with open(f"{folder}/{site['name']}-{seed}.toml", "w") as file:
-            file.write(day(site, seed))
+    flags = arguments()
+    site = tomllib.loads(flags.site.read_text())
+    for seed in range(flags.first_seed, flags.first_seed + flags.count):
+        (flags.folder / f"{site['name']}-{seed}.toml").write_text(day(site, seed))
 
 
-main()
+if __name__ == "__main__":
+    main()
