--- a/crates/linenthread-core/src/interface.rs
+++ b/crates/linenthread-core/src/interface.rs
@@ -1,17 +1,17 @@
-//! What goes into a [`Coordinator`](crate::Coordinator) and the [`DecisionSink`] its decisions go to.
+//! The inputs of a [`Coordinator`](crate::Coordinator), and the [`DecisionSink`] that receives its decisions.
 //!
-//! Replicas, queries and sub-requests are small indices handed out by the caller. A replica keeps its index
-//! while the membership lists it. Afterwards, once every query accepted before its removal was reported is
-//! released and no probe of it is in flight, the index may be listed with another id: no observation of the
-//! former replica is applied to the new one. A query's index may be reused once [`DecisionSink::release`] has
-//! named it. The sub-requests of a query are numbered from 0 in the order they came, those of the fetch phase
-//! after those of the query phase.
+//! The caller identifies replicas, queries and sub-requests by small indices that it assigns. A replica keeps its index
+//! while the membership lists it. After its removal, the index may be assigned to another id once every query accepted
+//! before the removal was reported is released and no probe of the replica is in flight; observations of the former
+//! replica are not applied to the new one. A query's index may be reused after [`DecisionSink::release`]. The
+//! sub-requests of a query are numbered from 0 in order of arrival, those of the fetch phase after those of the query
+//! phase.
 //!
-//! Indices that occur side by side have types of their own ([`ReplicaIndex`], [`QueryIndex`], [`SubRequestIndex`],
-//! [`SearchIndex`]). The numbers of customers, zones, shards and replica groups are plain `usize`: each is named by its
-//! field, and is a position in a list of the configuration.
+//! Indices that occur side by side have their own types ([`ReplicaIndex`], [`QueryIndex`], [`SubRequestIndex`],
+//! [`SearchIndex`]). The numbers of customers, zones, shards and replica groups are plain `usize`: each is a position
+//! in a list of the configuration, identified by the name of its field.
 //!
-//! All moments and lengths of time are [`TenthMillis`].
+//! All points in time and durations are [`TenthMillis`].
 
 mod attempt;
 mod config;
@@ -32,8 +32,8 @@
 pub use membership::{MembershipEntry, MembershipUpdate, Phase, ZoneRoute};
 pub use query::{NewQuery, NewSubRequest};
 
-/// A moment or a length of time in tenths of a millisecond (units of 100 µs).
+/// A point in time or a duration, in tenths of a millisecond (units of 100 µs).
 ///
-/// Moments count from an origin that the caller chooses; it should lie well before the first step, since 0
+/// Points in time count from an origin chosen by the caller. The origin should lie well before the first step, since 0
 /// stands for "long ago".
 pub type TenthMillis = i64;
--- a/crates/linenthread-core/src/interface/attempt.rs
+++ b/crates/linenthread-core/src/interface/attempt.rs
@@ -1,19 +1,19 @@
-//! How attempts of sub-requests and probes of replicas ended.
+//! Results of sub-request attempts and of replica probes.
 
 use super::{QueryIndex, ReplicaIndex, SubRequestIndex, TenthMillis};
 
-/// How an attempt, or a probe, ended. What each outcome counts for at the replica is decided in
-/// `policy::attempt_result`.
+/// The outcome of an attempt or a probe. `policy::attempt_result` decides how each outcome affects the replica.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptOutcome {
     /// The replica responded.
     Success,
-    /// The replica was reached, and what it sent is of no use: an error, or not a response at all.
+    /// The replica was reached, but it sent an error or something that is not a response.
     ///
-    /// It counts as one failure in the replica's score, and the attempt may have run. The replica is not marked down,
-    /// as it is after [`ConnectFailed`](Self::ConnectFailed) and [`ConnectionLost`](Self::ConnectionLost).
+    /// It counts as one failure in the replica's score, and the attempt may have run. Unlike
+    /// [`ConnectFailed`](Self::ConnectFailed) and [`ConnectionLost`](Self::ConnectionLost), it does not mark the
+    /// replica down.
     Error,
-    /// The replica rejected it before it ran: it is full or draining.
+    /// The replica rejected the request before running it, because it is full or draining.
     Rejected,
     /// No response arrived in time.
     TimedOut,
@@ -21,14 +21,14 @@
     ConnectFailed,
     /// The connection was lost while the attempt was in flight. The replica is marked down and may have crashed.
     ConnectionLost,
-    /// This co-ordinator cancelled it.
+    /// This co-ordinator cancelled the attempt.
     Cancelled,
-    /// It never left this process, for a reason that says nothing of the replica.
+    /// The request never left this process, for a reason unrelated to the replica.
     NotSent,
 }
 
 impl AttemptOutcome {
-    /// Whether the attempt is known not to have run.
+    /// Reports whether the attempt is known not to have run.
     pub fn never_ran(self) -> bool {
         matches!(
             self,
@@ -37,30 +37,30 @@
     }
 }
 
-/// The end of an attempt.
+/// The result of an attempt.
 #[derive(Clone, Debug)]
 pub struct AttemptResult {
-    /// The query it belongs to.
+    /// The query that the attempt belongs to.
     pub query: QueryIndex,
     /// The sub-request, by its number within the query.
     pub sub_request: SubRequestIndex,
-    /// The attempt's number, from 0 in the order the sub-request's attempts were made.
+    /// The attempt's number, from 0 in the order in which the sub-request's attempts were sent.
     pub attempt: usize,
-    /// How it ended.
+    /// The outcome of the attempt.
     pub outcome: AttemptOutcome,
-    /// The time from its sending to its end.
+    /// The time from sending the attempt to its end.
     pub elapsed: TenthMillis,
-    /// Sub-requests that the replica reports as queued, where it does.
+    /// The number of queued sub-requests reported by the replica, if it reports one.
     pub queue_depth: Option<f64>,
 }
 
-/// The end of a probe.
+/// The result of a probe.
 #[derive(Clone, Debug)]
 pub struct ProbeResult {
     /// The replica that was probed.
     pub replica: ReplicaIndex,
-    /// How the probe ended.
+    /// The outcome of the probe.
     pub outcome: AttemptOutcome,
-    /// Sub-requests that the replica reports as queued, where it does.
+    /// The number of queued sub-requests reported by the replica, if it reports one.
     pub queue_depth: Option<f64>,
 }
--- a/crates/linenthread-core/src/interface/decision.rs
+++ b/crates/linenthread-core/src/interface/decision.rs
@@ -2,37 +2,38 @@
 
 use super::{QueryIndex, ReplicaIndex, SubRequestIndex, TenthMillis};
 
-/// Why a query is abandoned, which is to say rejected or failed.
+/// Why a query is abandoned, that is, rejected or failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AbandonCause {
-    /// Its time is up.
+    /// The query's deadline has passed.
     DeadlineExceeded,
-    /// It may be what makes replicas crash.
+    /// The query may be crashing replicas.
     QueryOfDeath,
-    /// No further attempt can bring what a response needs.
+    /// Further attempts cannot reach the minimum share that a response needs.
     Unanswerable,
-    /// Its slowest sub-request is expected too late.
+    /// The query's slowest sub-request is expected to finish too late.
     ExpectedLate,
-    /// Too much is in flight from here, at a shard's replicas or in all.
+    /// Too many attempts of this co-ordinator are in flight, at the replicas of a shard or in total.
     Saturated,
 }
 
-/// Whether a response has all that the query asked for.
+/// Whether a response covers everything the query asked for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Completeness {
-    /// It has the share of the sub-requests that makes a complete response.
+    /// The response reaches the share of the sub-requests that is required for a complete response.
     Complete,
-    /// It has at least the share under which no response may be given.
+    /// The response reaches only the minimum share that is required for any response.
     Partial,
 }
 
-/// Where decisions go, in the order they are taken.
+/// Receives the decisions of a step, in the order in which they are made.
 pub trait DecisionSink {
-    /// The query is abandoned for this cause: its [`reject`](Self::reject) or [`fail`](Self::fail) comes next.
+    /// Reports why a query is abandoned; called before the [`reject`](Self::reject) or [`fail`](Self::fail) of the
+    /// query.
     fn abandon_cause(&mut self, _query: QueryIndex, _cause: AbandonCause) {}
-    /// Send the next attempt of a sub-request to a replica.
+    /// Sends the next attempt of a sub-request to a replica.
     ///
-    /// `timeout` is the time until the query is abandoned: a slow attempt is hedged, not timed out.
+    /// `timeout` is the time until the query is abandoned: slow attempts are hedged, not timed out.
     fn send(
         &mut self,
         query: QueryIndex,
@@ -40,24 +41,23 @@
         replica: ReplicaIndex,
         timeout: TenthMillis,
     );
-    /// Cancel an attempt in flight.
+    /// Cancels an attempt in flight.
     fn cancel(&mut self, query: QueryIndex, sub_request: SubRequestIndex, attempt: usize);
-    /// Respond from the sub-requests that have succeeded. With a fetch phase to come this is not yet the final
-    /// response.
+    /// Responds with the results of the sub-requests that have succeeded. If a fetch phase follows, this is not the
+    /// final response.
     fn respond(&mut self, query: QueryIndex, completeness: Completeness);
-    /// Abandon the query; sending it again is harmless, at best after this time.
+    /// Abandons the query. Sending it again is harmless; `retry_after` is the recommended delay.
     fn reject(&mut self, query: QueryIndex, retry_after: Option<TenthMillis>);
-    /// Abandon the query without such a promise: an attempt of it may have run, and a second run
-    /// may do harm.
+    /// Abandons the query when sending it again may be harmful, because an attempt may have run.
     fn fail(&mut self, query: QueryIndex);
-    /// The query has ended and no attempt of it is in flight: its index may be reused.
+    /// Releases the query's index for reuse: the query has ended and none of its attempts is in flight.
     fn release(&mut self, query: QueryIndex);
-    /// Probe a replica.
+    /// Sends a probe to a replica.
     fn probe(&mut self, replica: ReplicaIndex);
-    /// Close the idle connections to a replica.
+    /// Closes the idle connections to a replica.
     fn close_idle(&mut self, replica: ReplicaIndex);
-    /// Watch service discovery for changes.
+    /// Starts a watch for changes at service discovery.
     fn watch_membership(&mut self);
-    /// Run a step at this time at the latest.
+    /// Requests a step no later than this time.
     fn wake_at(&mut self, at: TenthMillis);
 }
--- a/crates/linenthread-core/src/interface/indices.rs
+++ b/crates/linenthread-core/src/interface/indices.rs
@@ -1,13 +1,13 @@
-//! What replicas, queries, sub-requests and search indexes are called by.
+//! Indices of replicas, queries, sub-requests and search indexes.
 //!
-//! Each has a type of its own, since most decisions name two or three of them side by side. "Index" is a position in a
-//! list throughout; what clients search in is a *search index*.
+//! Each has its own type, since most decisions refer to two or three of them side by side. "Index" always means a
+//! position in a list; an index that clients search in is a *search index*.
 
-/// A replica's index at this co-ordinator: the caller's slot for it, which may later be another replica's.
+/// The index of a replica at this co-ordinator: a slot that the caller assigns and may later assign to another replica.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ReplicaIndex(pub usize);
 
-/// A query's index at this co-ordinator: the caller's slot for it, which may be used again once the query is released.
+/// The index of a query at this co-ordinator: a slot that the caller assigns and may reuse after the query is released.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct QueryIndex(pub usize);
 
@@ -15,7 +15,6 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct SubRequestIndex(pub usize);
 
-/// A search index that queries name, by its position in
-/// [`CoordinatorConfig::indexes`](super::CoordinatorConfig::indexes).
+/// A search index, by its position in [`CoordinatorConfig::indexes`](super::CoordinatorConfig::indexes).
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct SearchIndex(pub usize);
--- a/crates/linenthread-core/src/interface/inputs.rs
+++ b/crates/linenthread-core/src/interface/inputs.rs
@@ -5,35 +5,36 @@
     SubRequestIndex, TenthMillis, ZoneRoute,
 };
 
-/// A sub-request that has succeeded and is wanted once more, since its response brought less than its query needs.
+/// A request to repeat a sub-request that has succeeded, because its response contained less than the query needs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Continuation {
-    /// The query it belongs to.
+    /// The query that the sub-request belongs to.
     pub query: QueryIndex,
     /// The sub-request, by its number within the query.
     pub sub_request: SubRequestIndex,
 }
 
-/// All that arrived for one co-ordinator since its last step.
+/// Everything that arrived for one co-ordinator since its previous step.
 #[derive(Clone, Debug, Default)]
 pub struct Inputs {
     /// The time of this step.
     pub now: TenthMillis,
-    /// Updates from service discovery, in the order they came.
+    /// Updates from service discovery, in order of arrival.
     pub membership: Vec<MembershipUpdate>,
-    /// A new table of routes by zone, empty where there is none any more. A zone that it lacks is farthest.
+    /// A new table of routes by zone; an empty table removes the current one. Zones missing from the table count as the
+    /// farthest.
     pub zone_routes: Option<Vec<ZoneRoute>>,
     /// Queries that arrived.
     pub queries: Vec<NewQuery>,
-    /// Sub-requests that arrived, of these queries or of the fetch phase of earlier ones.
+    /// Sub-requests that arrived, either of these queries or of the fetch phase of earlier ones.
     pub sub_requests: Vec<NewSubRequest>,
     /// Attempts that ended.
     pub results: Vec<AttemptResult>,
-    /// Sub-requests that are wanted once more. The module decides whether that is possible; the response at hand
-    /// remains valid.
+    /// Sub-requests to repeat. The co-ordinator decides whether that is possible; the response already received remains
+    /// valid.
     pub continuations: Vec<Continuation>,
     /// Probes that ended.
     pub probes: Vec<ProbeResult>,
-    /// Queries whose client has left: it is not waiting for the response any more.
+    /// Queries whose client no longer waits for a response.
     pub cancelled: Vec<QueryIndex>,
 }
--- a/crates/linenthread-core/src/interface/membership.rs
+++ b/crates/linenthread-core/src/interface/membership.rs
@@ -1,20 +1,20 @@
-//! The replicas as service discovery lists them, and the routes to their zones.
+//! Replicas as listed by service discovery, and routes to their zones.
 
 use super::{ReplicaIndex, TenthMillis};
 
-/// What service discovery says of a replica.
+/// The state of a replica according to service discovery.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Phase {
-    /// It serves.
+    /// The replica accepts sub-requests.
     Ready,
-    /// It is about to leave and serves what it has accepted.
+    /// The replica is about to leave and only completes sub-requests that it has accepted.
     Draining,
-    /// It is not a member, or no longer one.
+    /// The replica is not a member, or no longer one.
     #[default]
     Removed,
 }
 
-/// One replica as service discovery lists it.
+/// One replica as listed by service discovery.
 #[derive(Clone, Debug, Default)]
 pub struct MembershipEntry {
     /// The replica's index at this co-ordinator.
@@ -23,14 +23,14 @@
     pub id: u64,
     /// The group of replicas that hold the same shards.
     pub replica_group: usize,
-    /// The zone it runs in.
+    /// The zone that the replica runs in.
     pub zone: usize,
-    /// Whether it serves.
+    /// The replica's current state.
     pub phase: Phase,
-    /// When it last started; `None` for long ago.
+    /// When the replica last started; `None` for long ago.
     pub started_at: Option<TenthMillis>,
-    /// What share of this co-ordinator's part of its slow-start budget may be used; `None` for all of it. A
-    /// gateway sets it to what the other users of the replica leave.
+    /// The usable share of this co-ordinator's part of the replica's slow-start budget; `None` for all of it. A gateway
+    /// sets it to the share that other users of the replica leave unused.
     pub slow_start_share: Option<f64>,
 }
 
@@ -39,21 +39,22 @@
 pub enum MembershipUpdate {
     /// The entries that changed.
     Delta(Vec<MembershipEntry>),
-    /// The complete list; a replica that it leaves out is removed.
+    /// The complete list; replicas missing from it are removed.
     Snapshot(Vec<MembershipEntry>),
-    /// The last complete list that was stored, of any age.
+    /// The last complete list that was stored; it may be arbitrarily old.
     Cached(Vec<MembershipEntry>),
     /// Service discovery could not be reached.
     Unavailable,
 }
 
-/// How a zone is to be used from here, by the table that all co-ordinators act on.
+/// The route to a zone from this co-ordinator, according to the table that all co-ordinators use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ZoneRoute {
-    /// The zone's id in hashes, the same at every co-ordinator.
+    /// The zone's id for hashing, the same at every co-ordinator.
     pub id: u64,
-    /// 0 is nearest.
+    /// The zone's rank by distance; 0 is nearest.
     pub distance: u8,
-    /// For how many keys of a thousand the route is open. As the number changes, the same keys come and go.
+    /// The number of keys per thousand for which the route is open. When it shrinks and grows back, the same keys lose
+    /// and regain the route.
     pub open_per_mille: u16,
 }
--- a/crates/linenthread-core/src/interface/query.rs
+++ b/crates/linenthread-core/src/interface/query.rs
@@ -7,25 +7,25 @@
 pub struct NewQuery {
     /// The query's index at this co-ordinator.
     pub query: QueryIndex,
-    /// The search index it is for.
+    /// The search index that the query is for.
     pub search_index: SearchIndex,
-    /// The number of the customer it is from.
+    /// The number of the customer that sent the query.
     pub customer: usize,
-    /// The routing key; `None` where the query carries none.
+    /// The routing key; `None` if the query has none.
     pub key: Option<u64>,
-    /// The query's own number, which replaces a routing key that it lacks.
+    /// The query's own number, which replaces a missing routing key.
     pub sequence_number: u64,
     /// When the client stops waiting for the response.
     pub hard_deadline: TenthMillis,
 }
 
-/// One more sub-request of a query.
+/// A sub-request that has arrived.
 #[derive(Clone, Debug)]
 pub struct NewSubRequest {
-    /// The query it belongs to.
+    /// The query that the sub-request belongs to.
     pub query: QueryIndex,
-    /// The shard it is for.
+    /// The shard that the sub-request is for.
     pub shard: usize,
-    /// Its share of the query's whole weight, above 0 and up to 1.
+    /// The sub-request's share of the query's total weight, above 0 and at most 1.
     pub weight: f64,
 }
--- a/crates/linenthread-core/src/lib.rs
+++ b/crates/linenthread-core/src/lib.rs
@@ -1,17 +1,17 @@
-//! The decisions of a co-ordinator of queries over replicated shards.
+//! Decision logic of a co-ordinator that runs queries over replicated shards.
 //!
-//! [`Coordinator`] is a deterministic state machine: each [`step`](Coordinator::step) takes what has arrived
-//! since the last one ([`interface::Inputs`]) and writes its decisions to a [`DecisionSink`]. The package does
-//! no I/O, reads no clock, and knows no protocol: its callers decode requests and settings, hand out indices
-//! for replicas and queries, and carry the decisions out.
+//! [`Coordinator`] is a deterministic state machine: each [`step`](Coordinator::step) consumes the inputs that arrived
+//! since the previous step ([`interface::Inputs`]) and writes its decisions to a [`DecisionSink`]. The crate does no
+//! I/O, reads no clock and implements no protocol: callers decode requests and settings, assign indices to replicas and
+//! queries, and carry out the decisions.
 //!
-//! A "co-ordinator" is here whoever runs a [`Coordinator`]: the process `linenthread` (`linenthread-service`), and each
-//! dispatcher of an ingress node (`linenthread-dataplane`). Where the module counts co-ordinators, it counts processes
-//! of the first kind, or ingress nodes.
+//! Two kinds of processes run a [`Coordinator`], and "co-ordinator" means either: the process `linenthread`
+//! (`linenthread-service`), and each dispatcher of an ingress node (`linenthread-dataplane`). A number of co-ordinators
+//! is the number of `linenthread` processes or of ingress nodes.
 //!
-//! Start reading with [`interface`], the plain types that go in and come out, then [`policy`], where each
-//! decision has a module. The records and sums that decisions are based on are in `state`; nothing is
-//! decided there. What turns floating-point numbers into integers is in [`conversion`].
+//! Start with [`interface`], the input and output types, then [`policy`], which has one module for each decision. The
+//! private module `state` holds the records and statistics that decisions are based on, and makes none itself.
+//! [`conversion`] converts floating-point numbers and durations to integers.
 
 pub mod conversion;
 pub mod interface;
