--- a/crates/linenthread-core/src/state.rs
+++ b/crates/linenthread-core/src/state.rs
@@ -1,5 +1,5 @@
-//! What a co-ordinator remembers: plain records and sums. No decision is taken here and no figure is set; all
-//! of that is in [`policy`](crate::policy).
+//! The state of a co-ordinator: plain records and statistics. Decisions and tuning constants belong in
+//! [`policy`](crate::policy).
 
 mod decaying_sums;
 mod fleet;
--- a/crates/linenthread-core/src/state/indexing.rs
+++ b/crates/linenthread-core/src/state/indexing.rs
@@ -1,4 +1,4 @@
-//! Lists that are indexed by the caller's indices, so that no index of another kind fits.
+//! Typed access to lists, so that each can be accessed only by its own kind of index.
 
 use std::ops::{Index, IndexMut};
 
--- a/crates/linenthread-core/src/state/query.rs
+++ b/crates/linenthread-core/src/state/query.rs
@@ -1,42 +1,40 @@
-//! Queries, their sub-requests and the attempts of these.
+//! Queries, their sub-requests and the attempts of sub-requests.
 
 use crate::interface::{
     AttemptOutcome, Completeness, DecisionSink, QueryIndex, ReplicaIndex, SearchIndex,
     SubRequestIndex, TenthMillis,
 };
 
-/// The connection that an attempt was sent on.
+/// The prior use of the connection that an attempt was sent on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ConnectionUse {
-    /// Nothing had used it for long.
+    /// The connection had been idle.
     Idle,
-    /// It is new, or had been used recently.
+    /// The connection is new or had been used recently.
     Active,
-    /// Other attempts were in flight at the replica, so which connection it got is not known.
+    /// Other attempts were in flight at the replica, so it is not known which connection was used.
     Unknown,
 }
 
-/// How far a query is.
+/// The stage of a query's life cycle.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) enum QueryStage {
-    /// Nothing of it has been sent.
+    /// No attempt has been sent.
     #[default]
     Arrived,
-    /// It has passed admission control.
+    /// The query has passed admission control.
     Admitted,
-    /// It has ended: it only waits for its attempts in flight.
+    /// The query has ended, but attempts may still be in flight.
     Finished,
 }
 
-/// One attempt of a sub-request.
 pub(crate) struct Attempt {
-    /// Where it was sent.
     pub replica: ReplicaIndex,
     pub sent_at: TenthMillis,
     pub connection: ConnectionUse,
-    /// It was cancelled so that its sub-request can be sent to another replica.
+    /// The attempt was cancelled so that its sub-request can be sent to another replica.
     pub reissued: bool,
-    /// How it ended; `None` while it is in flight.
+    /// `None` while the attempt is in flight.
     pub outcome: Option<AttemptOutcome>,
 }
 
@@ -45,49 +43,47 @@
         self.outcome.is_none()
     }
 
-    /// It has ended and is known not to have run.
+    /// Reports whether the attempt has ended and is known not to have run.
     pub(crate) fn never_ran(&self) -> bool {
         self.outcome.is_some_and(AttemptOutcome::never_ran)
     }
 
-    /// It is in flight, for no longer than this.
+    /// Reports whether the attempt is in flight and was sent no longer than `limit` ago.
     pub(crate) fn is_in_flight_within(&self, now: TenthMillis, limit: f64) -> bool {
         self.is_in_flight() && (now - self.sent_at) as f64 <= limit
     }
 }
 
-/// One sub-request of a query.
 #[derive(Default)]
 pub(crate) struct SubRequest {
     pub shard: usize,
-    /// Its share of the query.
+    /// Its share of the query's weight.
     pub weight: f64,
-    /// Its attempts, in the order they were sent.
+    /// In the order in which they were sent.
     pub attempts: Vec<Attempt>,
     pub succeeded: bool,
-    /// It has succeeded and is wanted once more, from its attempt of this number on.
+    /// Set if the sub-request has succeeded and is repeated: the number of the first repeated attempt.
     pub continued_from: Option<usize>,
 }
 
 impl SubRequest {
-    /// A response to it is still wanted.
+    /// Reports whether a response is still needed.
     pub(crate) fn is_needed(&self) -> bool {
         !self.succeeded || self.continued_from.is_some()
     }
 
-    /// Number of its attempts in flight.
+    /// Returns the number of attempts in flight.
     pub(crate) fn in_flight(&self) -> usize {
         self.attempts.iter().filter(|a| a.is_in_flight()).count()
     }
 
-    /// Whether an attempt of it is in flight at this replica.
     pub(crate) fn is_in_flight_at(&self, replica: ReplicaIndex) -> bool {
         self.attempts
             .iter()
             .any(|attempt| attempt.is_in_flight() && attempt.replica == replica)
     }
 
-    /// Cancels its attempts in flight.
+    /// Cancels all attempts in flight.
     pub(crate) fn cancel(
         &self,
         query_index: QueryIndex,
@@ -101,12 +97,12 @@
         }
     }
 
-    /// All its attempts are known not to have run.
+    /// Reports whether all attempts are known not to have run.
     pub(crate) fn never_ran(&self) -> bool {
         self.attempts.iter().all(Attempt::never_ran)
     }
 
-    /// When the first attempt that may have run was sent.
+    /// Returns the time at which the first attempt that may have run was sent.
     pub(crate) fn may_have_run_since(&self) -> Option<TenthMillis> {
         self.attempts
             .iter()
@@ -115,24 +111,23 @@
     }
 }
 
-/// One query that is not released yet.
+/// A query that has not been released yet.
 #[derive(Default)]
 pub(crate) struct Query {
-    /// The search index it is for.
     pub search_index: SearchIndex,
     pub customer: usize,
-    /// Its routing key, or what replaces it.
+    /// The routing key, or its replacement if the query has none.
     pub key: u64,
     pub soft_deadline: TenthMillis,
     pub hard_deadline: TenthMillis,
-    /// When its replicas were probed before its first attempts.
+    /// When replicas were probed ahead of the query's first attempts.
     pub probed_at: Option<TenthMillis>,
     pub sub_requests: Vec<SubRequest>,
-    /// The first sub-request of the present phase.
+    /// The number of the first sub-request in the current phase.
     pub phase_start: usize,
-    /// Set once the first phase has a response.
+    /// Set once the first phase has been responded to.
     pub first_response: Option<Completeness>,
-    /// Replicas whose connection was lost under one of its attempts.
+    /// Replicas that lost a connection while an attempt of this query was in flight.
     pub lost_connections: Vec<ReplicaIndex>,
     pub stage: QueryStage,
 }
@@ -142,32 +137,32 @@
         self.stage == QueryStage::Finished
     }
 
-    /// None of its sub-requests has succeeded.
+    /// Reports whether no sub-request has succeeded.
     pub(crate) fn has_no_success(&self) -> bool {
         !self.sub_requests.iter().any(|s| s.succeeded)
     }
 
-    /// An attempt of it is in flight.
+    /// Reports whether any attempt is in flight.
     pub(crate) fn is_in_flight(&self) -> bool {
         self.sub_requests.iter().any(|s| s.in_flight() > 0)
     }
 
-    /// A sub-request that has succeeded is wanted once more.
+    /// Reports whether a sub-request that has succeeded is being repeated.
     pub(crate) fn is_continued(&self) -> bool {
         self.sub_requests.iter().any(|s| s.continued_from.is_some())
     }
 
-    /// The sub-requests of the present phase.
+    /// Returns the sub-requests of the current phase.
     pub(crate) fn present_phase(&self) -> &[SubRequest] {
         &self.sub_requests[self.phase_start..]
     }
 
-    /// It is in its fetch phase.
+    /// Reports whether the query is in its fetch phase.
     pub(crate) fn is_fetching(&self) -> bool {
         self.phase_start > 0
     }
 
-    /// The weight of those sub-requests of the present phase that satisfy a condition.
+    /// Returns the total weight of those sub-requests of the current phase that satisfy a condition.
     pub(crate) fn phase_weight(&self, condition: impl Fn(&SubRequest) -> bool) -> f64 {
         self.present_phase()
             .iter()
--- a/crates/linenthread-core/src/state/replica.rs
+++ b/crates/linenthread-core/src/state/replica.rs
@@ -1,83 +1,81 @@
-//! What is known of one replica.
+//! The state of one replica.
 
 use super::{DecayingSums, WindowCounter, decay_factor};
 use crate::interface::{MembershipEntry, Phase, TenthMillis};
 
-/// What was observed of one replica, or of all of a zone.
+/// Response times and failures of one replica, or of all replicas of a zone.
 #[derive(Clone, Default)]
 pub(crate) struct Observations {
-    /// Logarithms of response times, in tenths of a millisecond. Response times are about log-normal, so the
+    /// Logarithms of response times, in tenths of a millisecond. Response times are approximately log-normal, so the
     /// mean of the logarithms is the logarithm of the median.
     pub log_latencies: DecayingSums,
     /// 1 for each failure, 0 for each response.
     pub failures: DecayingSums,
 }
 
-/// A replica's connections fail or were lost: it is sent nothing until a probe or an attempt succeeds, or the outage
-/// has lasted so long that an attempt may try it (`policy::send_guard`).
+/// An outage of a replica whose connections fail or were lost. Nothing is sent to the replica until a probe or an
+/// attempt succeeds, or until the outage has lasted long enough for a trial attempt (`policy::send_guard`).
 #[derive(Clone, Copy)]
 pub(crate) struct Outage {
-    /// When it began.
     pub since: TenthMillis,
-    /// When the replica is probed next; where probes are not permitted, when an attempt may try it.
+    /// When the next probe is due; where probes are not permitted, when the next trial attempt is due.
     pub retry_at: TenthMillis,
 }
 
 /// One replica.
 ///
-/// Whether it is up and whether its process crashed are separate findings, of attempts and of probes, which may end in
-/// any order. So `outage`, `suspected_crash` and `crashed` do not exclude one another:
+/// Attempts and probes, which may end in any order, determine independently whether the replica is up and whether its
+/// process crashed. Therefore `outage`, `suspected_crash` and `crashed` do not exclude each other:
 ///
-/// | `outage` | `suspected_crash` | `crashed` | |
+/// | `outage` | `suspected_crash` | `crashed` | meaning |
 /// | --- | --- | --- | --- |
-/// | | | | it is up |
-/// | set | | | connections to it fail; nothing says that its process is gone |
-/// | set | set | | a connection was lost under an attempt, and the probe that will show why has not ended |
-/// | set | | set | a probe found its process gone |
-/// | set | set | set | the same, and a connection was lost under another query since |
-/// | | set | | it responded, or is listed with a new process, before the probe ended |
+/// | | | | up |
+/// | set | | | connections fail; there is no sign that the process crashed |
+/// | set | set | | a connection was lost during an attempt; the probe to determine the cause has not ended |
+/// | set | | set | a probe found that the process crashed |
+/// | set | set | set | the same, and another query lost a connection since |
+/// | | set | | the replica responded, or is listed with a new process, before the probe ended |
 /// | | | set | it is listed with a new process that has not responded yet, or it responded before the probe failed |
-/// | | set | set | the same, and a connection was lost under another query before that |
+/// | | set | set | the same, and another query lost a connection before that |
 ///
-/// The first response after `crashed` clears it and sets `returned_at`, which service discovery's next report of a
-/// start clears. Without probes `suspected_crash`, `crashed` and `returned_at` are never set.
+/// The first response after `crashed` clears it and sets `returned_at`, which is cleared when service discovery next
+/// reports a start. Without probes, `suspected_crash`, `crashed` and `returned_at` are never set.
 #[derive(Default)]
 pub(crate) struct Replica {
-    /// How service discovery lists it.
+    /// The replica as listed by service discovery.
     pub entry: MembershipEntry,
-    /// Until then it may be sent sub-requests although it drains.
+    /// Until when sub-requests may be sent to the replica although it is draining.
     pub last_resort_until: TenthMillis,
-    /// Response times and failures.
     pub observations: Observations,
-    /// Attempts in flight.
+    /// Number of attempts in flight.
     pub in_flight: u32,
-    /// Those of them that have stalled: no response is expected of them any more.
+    /// Number of attempts in flight that have stalled, so that no response is expected any more.
     pub stalled: u32,
-    /// Set while it is down.
+    /// Set while the replica is down.
     pub outage: Option<Outage>,
-    /// Its connection was lost under an attempt, and no probe has ended since.
+    /// A connection was lost during an attempt, and no probe has ended since.
     pub suspected_crash: bool,
-    /// A probe found that its process is gone.
+    /// A probe found that the process crashed.
     pub crashed: bool,
     /// When a new process first responded after a crash.
     pub returned_at: Option<TenthMillis>,
-    /// When it last responded, or was sent an attempt with none in flight.
+    /// When the replica last responded, or when an attempt was sent to it while none was in flight.
     pub last_response_at: TenthMillis,
-    /// When an attempt was last sent there or ended there.
+    /// When an attempt at the replica was last sent or ended.
     pub last_used_at: TenthMillis,
-    /// When it last reported anything, by a response or a probe.
+    /// When a response or a probe last reported the replica's state.
     pub last_report_at: TenthMillis,
-    /// The depth of its queue by its last report.
+    /// The queue depth in the last report.
     pub reported_queue: f64,
-    /// When it first reported just that depth: the same report repeated is no newer.
+    /// When this queue depth was first reported: an unchanged report is not treated as newer.
     pub reported_since: TenthMillis,
-    /// When the probe in flight was sent.
+    /// When the probe in flight was sent; `None` if there is none.
     pub probe_sent_at: Option<TenthMillis>,
-    /// The lower the better.
+    /// Lower is better.
     pub score: f64,
-    /// The present median response time, in tenths of a millisecond.
+    /// The current median response time, in tenths of a millisecond.
     pub expected_latency: f64,
-    /// Attempts sent while it was in slow start.
+    /// Attempts sent during slow start.
     pub slow_start_sends: WindowCounter,
 }
 
@@ -86,23 +84,24 @@
         self.entry.phase == Phase::Ready
     }
 
-    /// When its process started, by service discovery or by its first response after a crash.
+    /// Returns when the process started: the start listed by service discovery or the first response after a crash,
+    /// whichever is later.
     pub(crate) fn started_at(&self) -> Option<TenthMillis> {
         self.entry.started_at.max(self.returned_at)
     }
 
-    /// It drains, and may still be sent sub-requests.
+    /// Reports whether the replica is draining but may still be sent sub-requests.
     pub(crate) fn is_last_resort(&self, now: TenthMillis) -> bool {
         self.entry.phase == Phase::Draining && now < self.last_resort_until
     }
 
-    /// Attempts in flight that have not stalled.
+    /// Returns the number of attempts in flight that have not stalled.
     pub(crate) fn pending(&self) -> f64 {
         f64::from(self.in_flight.saturating_sub(self.stalled))
     }
 
-    /// The depth of its queue by its last report: the report decays, and one sub-request is served in each
-    /// `service_time`.
+    /// Estimates the current queue depth from the last report, assuming that one sub-request is served per
+    /// `service_time`. The report also decays with `time_constant`.
     pub(crate) fn estimated_queue(
         &self,
         now: TenthMillis,
@@ -114,17 +113,16 @@
             * decay_factor(self.reported_since, now, time_constant)
     }
 
-    /// An attempt is sent to it.
     pub(crate) fn on_send(&mut self, now: TenthMillis) {
         self.last_used_at = now;
-        // Silence counts from here where nothing was in flight before.
+        // The time without a response counts from here if no attempt was in flight before.
         if self.in_flight == 0 {
             self.last_response_at = now;
         }
         self.in_flight += 1;
     }
 
-    /// It reported the depth of its queue.
+    /// Records a report of the queue depth.
     pub(crate) fn on_report(&mut self, now: TenthMillis, queue_depth: f64) {
         if queue_depth != self.reported_queue {
             self.reported_queue = queue_depth;
@@ -133,7 +131,8 @@
         self.last_report_at = now;
     }
 
-    /// It responded to an attempt or a probe. A response without a report leaves the reported depth as it is.
+    /// Records a response to an attempt or a probe. A response without a queue depth leaves the reported depth
+    /// unchanged.
     pub(crate) fn on_response(&mut self, now: TenthMillis, queue_depth: Option<f64>) {
         self.outage = None;
         if std::mem::take(&mut self.crashed) {
--- a/crates/linenthread-core/src/state/timers.rs
+++ b/crates/linenthread-core/src/state/timers.rs
@@ -1,20 +1,20 @@
-//! When periodic work is due.
+//! Due times of periodic work.
 
 use crate::interface::TenthMillis;
 
-/// When the co-ordinator started, and when its periodic work is due next.
+/// The start time of the co-ordinator and the due times of its periodic work.
 #[derive(Default)]
 pub(crate) struct Timers {
-    /// The first step.
+    /// The time of the first step.
     pub started_at: TenthMillis,
-    /// Scores are updated then.
+    /// When scores are next updated.
     pub next_score: TenthMillis,
-    /// Observations of replicas are forgotten then; 0 before the first step.
+    /// When observations of replicas are next reset; 0 before the first step.
     pub next_reset: TenthMillis,
-    /// A step was requested for then.
+    /// The time of the last requested wake-up.
     pub next_wake: TenthMillis,
-    /// Service discovery is to be watched from then on.
+    /// When the watch at service discovery is to be started, if it is.
     pub next_watch: Option<TenthMillis>,
-    /// How often in a row service discovery was unavailable, up to the longest backoff.
+    /// Number of consecutive failures of service discovery, limited to the number that gives the longest backoff.
     pub watch_failures: u32,
 }
--- a/crates/linenthread-core/src/state/window_counter.rs
+++ b/crates/linenthread-core/src/state/window_counter.rs
@@ -1,21 +1,21 @@
-//! Counts within a sliding window.
+//! Event counts within a sliding window.
 
 use std::collections::VecDeque;
 
 use crate::interface::TenthMillis;
 
-/// What was counted at one moment.
+/// The events counted at one point in time.
 struct CountAt {
     at: TenthMillis,
     count: usize,
 }
 
-/// How much was counted at which moment, within the window that a limit is stated for; oldest first.
+/// Event counts within the window of a limit, oldest first.
 #[derive(Default)]
 pub(crate) struct WindowCounter(VecDeque<CountAt>);
 
 impl WindowCounter {
-    /// Counts `count` now and forgets what lies before the window.
+    /// Adds `count` events at `now` and discards counts from before the window.
     pub(crate) fn add(&mut self, now: TenthMillis, window: TenthMillis, count: usize) {
         if count > 0 {
             self.0.retain(|counted| counted.at >= now - window);
@@ -23,7 +23,7 @@
         }
     }
 
-    /// The total counted from `start` on.
+    /// Returns the number of events from `start` on.
     pub(crate) fn since(&self, start: TenthMillis) -> usize {
         self.0
             .iter()
