--- a/crates/linenthread-core/src/policy/admission.rs
+++ b/crates/linenthread-core/src/policy/admission.rs
@@ -1,7 +1,7 @@
-//! Which queries are rejected when they arrive: those whose slowest sub-request is expected too late, and those that
-//! would add to a saturated fleet.
+//! Admission control: rejects queries on arrival if their slowest sub-request is expected too late, or if they would
+//! add load to a saturated fleet.
 //!
-//! A query is judged once. One that is admitted is not rejected here later on.
+//! Each query is evaluated once; an admitted query is not rejected here later.
 
 use super::Coordinator;
 use super::windows::{FRESH_REPORT, LONG_TERM, MIN_WEIGHT, RECENT};
@@ -11,112 +11,114 @@
 };
 use crate::state::{DecayingSums, Distribution, Query, Replica, SubRequest};
 
-/// How many sub-requests of usual delay count in the estimate of delays beside those that were observed.
+/// The number of observations that the prior counts for in the estimate of delays.
 ///
-/// Unit: sub-requests. Reason: the first few delays after a start must not decide on admission alone.
+/// Unit: sub-requests. Reason: the first few delays after a start must not determine admission on their own.
 const USUAL_DELAY_WEIGHT: f64 = 6.0;
 
-/// The usual delay of a sub-request.
+/// The prior delay of a sub-request.
 ///
 /// Unit: share of the shortest soft deadline. Reason: an index whose sub-requests take much longer could not meet it.
 const USUAL_DELAY_SHARE: f64 = 0.2;
 
-/// The standard deviation of the usual delay.
+/// The standard deviation of the prior delay.
 ///
-/// Unit: deviation of the natural logarithm. Reason: it stands in until a spread was observed.
+/// Unit: deviation of the natural logarithm. Reason: used until a spread has been observed.
 const USUAL_LOG_DEVIATION: f64 = 0.6;
 
-/// The part of the time left within which a query's slowest sub-request is to be expected.
+/// The part of the remaining time within which a query's slowest sub-request must be expected to finish.
 ///
-/// Unit: share of the time left. Reason: the expectation is a mean, so the rest is a margin for what comes later.
+/// Unit: share of the remaining time. Reason: the expectation is a mean, so slower responses need a margin.
 const IN_TIME_SHARE: f64 = 0.75;
 
-/// The power to which a shard's slowdown counts where replicas report no queue.
+/// The exponent applied to a shard's slowdown where replicas do not report their queues.
 ///
-/// Unit: exponent. Reason: there saturation shows by delay alone, and late.
+/// Unit: exponent. Reason: there, saturation is visible only through delays, and late.
 const UNREPORTED_SLOWDOWN_POWER: i32 = 3;
 
-/// The mean of the largest of n normal values is the root of this times ln(n), in standard deviations.
+/// The mean of the maximum of n normal values is the square root of this times ln(n), in standard deviations.
 ///
-/// Unit: none. Reason: about right for 10 to 100 sub-requests; 2 is the limit for very many.
+/// Unit: none. Reason: approximately right for 10 to 100 sub-requests; 2 is the limit for large n.
 const SLOWEST_VARIANCE_FACTOR: f64 = 1.25;
 
-/// The probability to admit a query is the pressure to the power of this times the query's relative cost.
+/// The probability of admitting a query is the pressure to the power of this times the query's relative cost.
 ///
-/// Unit: exponent. Reason: it has to fall steeply enough that the queries admitted come in time, yet not all at once.
+/// Unit: exponent. Reason: it has to fall steeply enough for admitted queries to be in time, but not all at once.
 const ADMISSION_EXPONENT: f64 = -3.0;
 
 /// A customer is over its quota above this multiple of its share of the queries.
 ///
-/// Unit: factor. Reason: counts over a few seconds vary by chance.
+/// Unit: factor. Reason: counts over a few seconds vary randomly.
 const OVER_QUOTA_FACTOR: f64 = 1.25;
 
-/// No customer is over its quota before more queries than this were observed.
+/// The number of observed queries up to which no customer counts as over its quota.
 ///
-/// Unit: queries of all customers. Reason: shares of a handful of queries are chance.
+/// Unit: queries of all customers. Reason: shares of a few queries are random.
 const MIN_QUERIES_FOR_QUOTAS: f64 = 8.0;
 
-/// How much higher the limits on attempts in flight are for queries that cost less than the average.
+/// Factor on the limits on attempts in flight for queries that cost less than average.
 ///
-/// Unit: factor. Reason: near the limits the costly queries are rejected first.
+/// Unit: factor. Reason: near the limits, costly queries are rejected first.
 const CHEAP_LIMIT_FACTOR: f64 = 1.25;
 
-/// How far the limits on attempts in flight are lowered at most for customers over their quota.
+/// The minimum factor on the limits on attempts in flight for customers over their quota.
 ///
-/// Unit: factor. Reason: what such a customer is worth may be near 0, and it is not to be cut off altogether.
+/// Unit: factor. Reason: the value of such a customer may be near 0, but some of its queries must still be admitted.
 const MIN_OVER_QUOTA_LIMIT_FACTOR: f64 = 0.6;
 
-/// The least that a query of a customer over its quota is worth.
+/// The minimum value of a query of a customer over its quota.
 ///
-/// Unit: share of the query's value. Reason: its relative cost is divided by this.
+/// Unit: share of the query's value. Reason: the query's relative cost is divided by this.
 const MIN_OVER_QUOTA_VALUE: f64 = 0.1;
 
-/// The least value, cost or quota that is divided by.
+/// The minimum for a value, cost or quota used as a divisor.
 ///
 /// Unit: that of the divisor. Reason: configured values and sums may be 0.
 const MIN_DIVISOR: f64 = 0.001;
 
-/// The distribution of sub-requests' delays, which is about log-normal.
+/// The estimated distribution of sub-request delays, approximately log-normal.
 struct DelayEstimate {
-    /// The mean logarithm, in tenths of a millisecond.
+    /// The mean of the logarithm of the delay in tenths of a millisecond.
     log_mean: f64,
-    /// The standard deviation of the logarithm.
+    /// The standard deviation of that logarithm.
     log_deviation: f64,
 }
 
 impl DelayEstimate {
-    /// The expected delay, in tenths of a millisecond, of the slowest of `count` sub-requests: about the mean
-    /// of the largest of n normal values.
+    /// Returns the expected delay, in tenths of a millisecond, of the slowest of `count` sub-requests: approximately
+    /// the mean of the maximum of that many normal values.
     fn slowest_of(&self, count: f64) -> f64 {
         let deviations = (SLOWEST_VARIANCE_FACTOR * count.max(1.0).ln()).sqrt();
         (self.log_mean + deviations * self.log_deviation).exp()
     }
 
-    /// The expected delay, in tenths of a millisecond, of a query with this many sub-requests, both phases counted.
+    /// Returns the expected delay, in tenths of a millisecond, of a query with this many sub-requests, including its
+    /// fetch phase.
     fn of_query(&self, sub_request_count: f64, index: &IndexConfig) -> f64 {
         let fetch_phase = if index.fetch_sub_requests > 0 {
             self.slowest_of(index.fetch_sub_requests as f64)
         } else {
             0.0
         };
-        // A response does not wait for the slowest sub-requests if it may lack them. Where it may lack none, all count;
-        // else the number that counts levels off below 1 / (1 - min_share), however many there are.
+        // A response does not wait for the slowest sub-requests if it may omit them. If it may omit none, all of them
+        // count; otherwise the number that counts stays below 1 / (1 - min_share), however many there are.
         let needed = sub_request_count / (1.0 + (1.0 - index.min_share) * sub_request_count);
         self.slowest_of(needed) + fetch_phase
     }
 }
 
-/// What a query costs beside the others.
+/// The cost of a query compared with other queries.
 struct QueryCost {
-    /// The cost of its sub-requests for its value, relative to the average. What a customer sends over its quota is
-    /// worth less, so it costs more for its value.
+    /// The cost of the sub-requests per value of the query, relative to the average. Queries of customers over their
+    /// quota have a lower value and therefore a higher cost.
     relative: f64,
-    /// Its customer is over its quota.
+    /// Whether the query's customer is over its quota.
     is_over_quota: bool,
 }
 
 impl Coordinator {
-    /// Why a query is not admitted; `None` if it is. Counts the query in the statistics of admission.
+    /// Returns why a query is rejected, or `None` if it is admitted. Also records the query in the admission
+    /// statistics.
     pub(super) fn admission_rejection(&mut self, query_index: QueryIndex) -> Option<AbandonCause> {
         self.decay_admission_statistics();
         let delays = self.delay_estimate();
@@ -132,15 +134,15 @@
             .then_some(AbandonCause::Saturated)
     }
 
-    /// Decides at random whether a query is rejected since it is expected late: the more likely, the higher the
-    /// pressure and the more it costs for its value. Where replicas keep their queues short none is, since no backlog
-    /// delays its sub-requests.
+    /// Decides at random whether a query is rejected because it is expected late. The probability increases with the
+    /// pressure and with the query's relative cost. No query is rejected where replicas keep their queues short,
+    /// because no backlog delays its sub-requests there.
     fn draws_late_rejection(&mut self, pressure: f64, cost: &QueryCost) -> bool {
         !self.config.short_queues
             && self.rng.rand_float() > pressure.powf(ADMISSION_EXPONENT * cost.relative)
     }
 
-    /// What the limits on attempts in flight are multiplied by for a query.
+    /// Returns the factor on the limits on attempts in flight for a query.
     fn limit_factor(&self, cost: &QueryCost) -> f64 {
         if cost.is_over_quota {
             self.config
@@ -172,7 +174,7 @@
         let log_delays = &self.fleet.log_delays;
         let Distribution { mean, deviation } =
             log_delays.distribution(MIN_WEIGHT).unwrap_or_default();
-        // How much the observed delays count beside the usual one.
+        // The weight of the observed delays against the prior.
         let observed = log_delays.weight / (log_delays.weight + USUAL_DELAY_WEIGHT);
         let usual = (USUAL_DELAY_SHARE * self.min_soft_deadline).ln();
         DelayEstimate {
@@ -181,8 +183,9 @@
         }
     }
 
-    /// How many times slower than the mean the query's slowest shard is. A shard is as slow as its quickest replica,
-    /// since all queries that need it meet in that one's queue; shards that a response may lack do not count.
+    /// Returns how many times slower than the mean the query's slowest shard is. A shard is as slow as its fastest
+    /// replica, because that replica's queue serves all queries that need the shard. Shards that a response may omit do
+    /// not count.
     fn shard_slowdown(&self, query: &Query, delays: &DelayEstimate) -> f64 {
         let latency = |replica: ReplicaIndex| self.replicas[replica].expected_latency;
         let quickest = |sub_request: &SubRequest| {
@@ -203,11 +206,11 @@
         })
     }
 
-    /// The expected delay of the query as a share of the time within which it has to come; that of the worst index if
-    /// it is greater. Above 1 the query is expected late.
+    /// Returns the expected delay of the query as a share of the time available, or the value of the worst index if
+    /// that is greater. Above 1 the query is expected late.
     fn pressure(&self, query: &Query, delays: &DelayEstimate, slowdown: f64) -> f64 {
         let count = query.sub_requests.len() as f64;
-        // A client may leave before the soft deadline: a response after that is of no use.
+        // The client may stop waiting before the soft deadline; a response after that is useless.
         let end = query.soft_deadline.min(query.hard_deadline);
         let time_left = (end - self.now).max(1) as f64;
         let of_this_query = delays.of_query(count, self.index_config(query)) * slowdown / time_left;
@@ -218,9 +221,9 @@
         indexes.filter_map(of_index).fold(of_this_query, f64::max) / IN_TIME_SHARE
     }
 
-    /// Whether a customer sent clearly more than its share of the queries that arrived here recently. Its share is that
-    /// of the quotas, not a number of queries: so nobody goes over it because traffic moves here from another
-    /// co-ordinator.
+    /// Reports whether a customer recently sent clearly more than its share of the queries received here. The share is
+    /// derived from the quotas and is not an absolute number of queries, so a customer does not exceed it when traffic
+    /// moves here from another co-ordinator.
     fn is_over_quota(&self, customer: usize) -> bool {
         let (quotas, queries) = (&self.config.customer_quotas, &self.fleet.customer_queries);
         let all: f64 = queries.iter().map(|sums| sums.weight).sum();
@@ -246,24 +249,25 @@
         }
     }
 
-    /// What the query's sub-requests cost for its value, relative to the average. Counts it in that average.
+    /// Returns the cost of the query's sub-requests per value, relative to the average, and includes the query in that
+    /// average.
     fn relative_cost(&mut self, query_index: QueryIndex) -> f64 {
         let query = self.open_query(query_index);
         let count = query.sub_requests.len() as f64;
-        // A value that grows with the work makes all queries cost alike for it.
+        // If the value grows with the work, all queries have the same cost per value.
         let work = match self.config.value_growth {
             ValueGrowth::WithWork => 1.0,
             ValueGrowth::Constant => count,
         };
         let cost = work / self.index_config(query).value.max(MIN_DIVISOR);
-        // A query counts as often as it has sub-requests. Only the mean is used, so squares are not summed.
+        // A query has the weight of its number of sub-requests. Only the mean is used, so squares are not summed.
         let costs = &mut self.fleet.costs;
         costs.weight += count;
         costs.sum += count * cost;
         cost * costs.weight / costs.sum.max(MIN_DIVISOR)
     }
 
-    /// Whether too much is in flight from here, in all or at the replicas of a shard.
+    /// Reports whether too many attempts are in flight from here, in total or at the replicas of a shard.
     fn is_saturated(&self, query: &Query, limit_factor: f64) -> bool {
         let pending: f64 = self.replicas.iter().map(Replica::pending).sum();
         pending >= limit_factor * self.fleet.max_in_flight
@@ -273,8 +277,8 @@
                 .any(|sub_request| self.is_shard_saturated(query, sub_request, limit_factor))
     }
 
-    /// Whether a shard's replicas together have more pending than their limits, or each of them reports more queued
-    /// than it can serve one by one within the shortest soft deadline.
+    /// Reports whether the pending attempts at a shard's replicas together exceed their limits, or each of these
+    /// replicas reports a longer queue than it can serve sequentially within the shortest soft deadline.
     fn is_shard_saturated(
         &self,
         query: &Query,
--- a/crates/linenthread-core/src/policy/arrival.rs
+++ b/crates/linenthread-core/src/policy/arrival.rs
@@ -1,4 +1,4 @@
-//! How queries and their sub-requests are recorded as they arrive, are continued and are cancelled by their clients.
+//! Records queries and sub-requests that arrive, continuations, and cancellations by clients.
 
 use super::Coordinator;
 use super::windows::LONG_TERM;
@@ -7,9 +7,9 @@
 };
 use crate::state::{Query, QueryStage, SubRequest, hash_ids};
 
-/// How long before its deadline a response leaves.
+/// How long before its deadline a response is sent.
 ///
-/// Unit: 0.1 ms (15 ms). Reason: the response has to be at the client by then.
+/// Unit: 0.1 ms (15 ms). Reason: the response has to reach the client by the deadline.
 const DEADLINE_MARGIN: TenthMillis = 150;
 
 impl Coordinator {
@@ -43,7 +43,7 @@
         }
     }
 
-    /// A sub-request that has succeeded is wanted once more: only where it may run again.
+    /// Marks a sub-request that has succeeded to be repeated, if its index permits repeats.
     pub(super) fn on_continuation(&mut self, wanted: Continuation) {
         if let Some(Some(query)) = self.queries.get_mut(wanted.query.0)
             && self.config.indexes[query.search_index.0].idempotency == Idempotency::Idempotent
@@ -54,7 +54,7 @@
         }
     }
 
-    /// The client of a query has left: nothing more is sent or responded.
+    /// Ends a query whose client no longer waits: nothing more is sent and no response is given.
     pub(super) fn on_cancelled(&mut self, query_index: QueryIndex) {
         if let Some(query) = self.query_mut(query_index) {
             query.stage = QueryStage::Finished;
--- a/crates/linenthread-core/src/policy/attempt_result.rs
+++ b/crates/linenthread-core/src/policy/attempt_result.rs
@@ -1,4 +1,4 @@
-//! What the end of an attempt says of its replica, its zone and the fleet.
+//! Evaluates an attempt's outcome for its replica, its zone and the fleet.
 
 use super::Coordinator;
 use super::send_guard::OUTAGE_TRIAL;
@@ -8,34 +8,34 @@
 };
 use crate::state::{Attempt, ConnectionUse, Observations, Outage};
 
-/// Where no probes are permitted, the first attempt tries a replica that is down after this time.
+/// The initial delay before a trial attempt to a replica that is down, where probes are not permitted.
 ///
-/// Unit: 0.1 ms (250 ms). Reason: no probe says when it is back, so attempts have to; the wait grows with the outage.
+/// Unit: 0.1 ms (250 ms). Reason: without probes, only attempts can detect a recovery; the delay grows with the outage.
 const FIRST_TRIAL: TenthMillis = 2_500;
 
-/// The longest such wait.
+/// The longest such delay.
 ///
 /// Unit: 0.1 ms (3 s). Reason: the same as where probes are permitted but fail.
 const MAX_TRIAL_WAIT: TenthMillis = OUTAGE_TRIAL;
 
-/// A hedged request that came first makes room for this many more.
+/// The number of additional hedged requests permitted after a hedged request responded first.
 ///
-/// Unit: attempts. Reason: it was needed, so where replicas hang the hedged requests may follow.
+/// Unit: attempts. Reason: it was needed, so where replicas hang, more hedged requests may follow.
 const HEDGES_PER_WIN: f64 = 2.0;
 
-/// What an attempt that has just ended says of its replica.
+/// The result of an attempt, as an observation of its replica.
 struct AttemptObservation {
     replica: ReplicaIndex,
     outcome: AttemptOutcome,
-    /// From its sending to its end, in tenths of a millisecond.
+    /// The time from sending the attempt to its end, in tenths of a millisecond.
     elapsed: f64,
-    /// A response time from which on attempts are slow, in tenths of a millisecond.
+    /// The response time from which attempts are slow, in tenths of a millisecond.
     slow: f64,
     connection: ConnectionUse,
 }
 
 impl AttemptObservation {
-    /// Whether it ended before its replica responded: it was cancelled, or timed out.
+    /// Reports whether the attempt was cancelled or timed out before the replica responded.
     fn was_cut_short(&self) -> bool {
         matches!(
             self.outcome,
@@ -43,12 +43,12 @@
         )
     }
 
-    /// Whether its connection failed it: 1 if so, 0 if it succeeded, `None` if the outcome says nothing of
-    /// that.
+    /// Returns 1 if the connection failed, 0 if the attempt succeeded, and `None` if the outcome does not allow a
+    /// conclusion about the connection.
     fn connection_failure(&self) -> Option<f64> {
         match (self.outcome, self.connection) {
             (AttemptOutcome::Success, _) => Some(0.0),
-            // An idle connection that was dropped fails when it is used, a new one when it is made.
+            // A dropped idle connection fails when it is used; a new connection fails when it is established.
             (AttemptOutcome::ConnectionLost, ConnectionUse::Idle)
             | (AttemptOutcome::ConnectFailed, ConnectionUse::Active) => Some(1.0),
             _ if self.was_cut_short() && self.elapsed >= self.slow => Some(1.0),
@@ -83,11 +83,11 @@
         match observed.outcome {
             AttemptOutcome::Success => self.on_success(result, &observed, sink),
             AttemptOutcome::Cancelled => self.record_lower_bound(&observed),
-            // A time-out that comes sooner than a slow response is its query's fault, not the replica's.
+            // A time-out before a slow response time is due to the query's deadline, not to the replica.
             AttemptOutcome::TimedOut if observed.elapsed < slow => {
                 self.record_lower_bound(&observed);
             }
-            // It says nothing of the replica.
+            // No observation of the replica.
             AttemptOutcome::NotSent => {}
             AttemptOutcome::TimedOut
             | AttemptOutcome::Error
@@ -104,7 +104,7 @@
         sub_request.attempts.get_mut(result.attempt)
     }
 
-    /// Counts how often idle connections fail, and how often others do.
+    /// Records failures and successes of idle and of other connections.
     fn record_connection(&mut self, observed: &AttemptObservation) {
         let Some(failure) = observed.connection_failure() else {
             return;
@@ -117,8 +117,8 @@
         failures.record(self.now, CRASH_MEMORY, failure);
     }
 
-    /// Records how long the sub-request took or was waited for, counted from its first attempt: a hedged request that
-    /// is quicker makes up for a slow attempt.
+    /// Records the delay of the sub-request, or the time it was waited for. The delay counts from the first attempt,
+    /// since a faster hedged request makes up for a slow attempt.
     fn record_delay(&mut self, result: &AttemptResult, observed: &AttemptObservation) {
         let now = self.now;
         if observed.outcome == AttemptOutcome::Rejected {
@@ -133,8 +133,8 @@
         }
     }
 
-    /// A full replica is one that would take long: a rejection counts as a response time and a delay of a whole soft
-    /// deadline. One that drains has rejected it for good, so it is no last resort any more.
+    /// Records a rejection as a response time and a delay of a full soft deadline, since a full replica would respond
+    /// late. A draining replica that rejects an attempt accepts nothing more, so it is no longer a last resort.
     fn record_rejection(&mut self, replica: ReplicaIndex) {
         let (now, time_constant) = (self.now, self.fleet.time_constant);
         let log_deadline = self.min_soft_deadline.ln();
@@ -169,7 +169,7 @@
         }
     }
 
-    /// Makes room for more hedged requests where one came before the attempt that it was sent beside.
+    /// Permits more hedged requests if this one responded before the attempt that it hedged.
     fn credit_hedge_that_won(&mut self, result: &AttemptResult, observed: &AttemptObservation) {
         let query = self.open_query(result.query);
         let sub_request = &query.sub_requests[result.sub_request];
@@ -189,14 +189,14 @@
         let is_wanted = !query.is_finished();
         let sub_request = &mut query.sub_requests[result.sub_request];
         sub_request.succeeded |= is_wanted;
-        // The response to an attempt from before the continuation is not the one that is wanted once more.
+        // A response to an attempt from before the continuation does not satisfy the continuation.
         sub_request.continued_from = sub_request
             .continued_from
             .filter(|first| result.attempt < *first);
     }
 
-    /// An attempt that was cut short would have taken longer still. That says something of the replica only if
-    /// it had already taken longer than usual.
+    /// Records the elapsed time of an attempt that ended early as a lower bound of its response time. This is
+    /// meaningful only if the attempt had already taken longer than usual.
     fn record_lower_bound(&mut self, observed: &AttemptObservation) {
         let usual = self.replicas[observed.replica]
             .observations
@@ -209,7 +209,7 @@
         }
     }
 
-    /// Records a response time, as its logarithm, for a replica and its zone.
+    /// Records the logarithm of a response time for a replica and its zone.
     fn record_latency(&mut self, replica: ReplicaIndex, log_latency: f64) {
         let (now, time_constant) = (self.now, self.fleet.time_constant);
         for observations in self.observations_of(replica) {
@@ -226,15 +226,15 @@
         }
     }
 
-    /// The observations of a replica and those of its zone. Each attempt counts in both, since a replica that is seldom
-    /// observed is scored mostly by its zone's.
+    /// Returns the observations of a replica and of its zone. Each attempt counts in both, since the score of a replica
+    /// with few observations is based mainly on its zone.
     fn observations_of(&mut self, replica: ReplicaIndex) -> [&mut Observations; 2] {
         let replica = &mut self.replicas[replica];
         let zone = &mut self.zones[replica.entry.zone];
         [&mut replica.observations, zone]
     }
 
-    /// Makes the replica count as down after a lost connection or a failed connect.
+    /// Marks the replica as down after a lost connection or a failed connect.
     fn record_outage(&mut self, query_index: QueryIndex, observed: &AttemptObservation) {
         match observed.outcome {
             AttemptOutcome::ConnectionLost => {
@@ -246,8 +246,8 @@
         }
     }
 
-    /// A connection lost under a query may mean that the query made the replica crash; a probe will show it. Each
-    /// replica is suspected once a query: further connections that it loses are no further evidence.
+    /// Records that a connection was lost during a query, which may mean that the query crashed the replica; a probe
+    /// will find out. Each replica counts once per query: further lost connections to it are no additional evidence.
     fn suspect_crash(&mut self, query_index: QueryIndex, replica: ReplicaIndex) {
         let health_probes = self.config.permissions.health_probes;
         let query = self.open_query_mut(query_index);
--- a/crates/linenthread-core/src/policy/capacity.rs
+++ b/crates/linenthread-core/src/policy/capacity.rs
@@ -1,50 +1,50 @@
-//! How much may be in flight, and what a warm replica can serve. Replicas do not report their capacity: it is
-//! derived from recent responses.
+//! Estimates how many attempts may be in flight and what a warm replica can serve. Replicas do not report their
+//! capacity, so it is derived from recent responses.
 
 use super::Coordinator;
 use super::score::SMOOTHING;
 use super::windows::RECENT;
 use crate::state::decay_factor;
 
-/// How much may be in flight of what comes back within the shortest soft deadline.
+/// The limit on attempts in flight, relative to the responses expected within the shortest soft deadline.
 ///
-/// Unit: share of responses. Reason: a backlog longer than that makes all of it late.
+/// Unit: share of responses. Reason: a longer backlog makes all of its responses late.
 const IN_FLIGHT_SHARE: f64 = 0.45;
 
-/// While the median response is quicker than this, more may be in flight.
+/// The median response time below which more attempts may be in flight.
 ///
-/// Unit: share of the shortest soft deadline. Reason: a burst may fill what a backlog may not.
+/// Unit: share of the shortest soft deadline. Reason: a short burst may exceed what a lasting backlog may not.
 const QUICK_SHARE: f64 = 0.3;
 
-/// How far the limits grow at most while responses are quick.
+/// The maximum factor by which the limits grow while responses are fast.
 ///
-/// Unit: factor. Reason: quick responses to few attempts do not show what many would meet.
+/// Unit: factor. Reason: fast responses to few attempts do not predict those to many attempts.
 const MAX_QUICK_FACTOR: f64 = 2.0;
 
-/// The limit on attempts in flight at one replica is never below this.
+/// The minimum of the limit on attempts in flight at one replica.
 ///
-/// Unit: attempts from here. Reason: with little traffic the estimate is too coarse to reject by.
+/// Unit: attempts from here. Reason: with little traffic the estimate is too coarse to reject queries by.
 const MIN_IN_FLIGHT_PER_REPLICA: f64 = 5.0;
 
-/// The limit on attempts in flight at all replicas together is never below this.
+/// The minimum of the limit on attempts in flight at all replicas together.
 ///
-/// Unit: attempts for each replica, divided by the root of the number of co-ordinators. Reason: as for one replica.
+/// Unit: attempts per replica, divided by the square root of the number of co-ordinators. Reason: as for one replica.
 const MIN_IN_FLIGHT: f64 = 3.0;
 
 impl Coordinator {
-    /// Derives from recent responses how much may be in flight, and what a warm replica can serve.
+    /// Updates the limits on attempts in flight and the capacity of a warm replica from recent responses.
     pub(super) fn learn_capacity(&mut self, ready_count: f64) {
         let median = self.latency_at(0.0);
         self.learn_warm_capacity(median, ready_count);
-        // In its first soft deadline's time a co-ordinator has observed too little to reject anything.
+        // Within its first soft deadline a co-ordinator has observed too little to reject anything.
         let age = (self.now - self.timers.started_at) as f64;
         if age >= self.min_soft_deadline {
             self.learn_limits(median, ready_count);
         }
     }
 
-    /// What a warm replica serves from here within the slow-start window. Only responses show what a replica
-    /// can do; one core serves at least one sub-request in the lowest median.
+    /// Updates what a warm replica serves for this co-ordinator within the slow-start window. Only responses reveal a
+    /// replica's capacity; a single core serves at least one sub-request per lowest median.
     fn learn_warm_capacity(&mut self, median: f64, ready_count: f64) {
         let window = self.config.slow_start.window as f64;
         let responses = self.mean_responses_of_warm_replicas();
@@ -55,8 +55,8 @@
         fleet.warm_capacity = (fleet.warm_capacity * (1.0 - SMOOTHING))
             .max(one_core)
             .max(observed);
-        // What is sent, not what responds: a saturated replica responds little. The attempts that the share of hedged
-        // requests is counted in decay within RECENT, so this is their rate.
+        // Based on attempts sent rather than on responses, since a saturated replica responds to few. The attempt count
+        // of the hedge share decays with RECENT, which makes it a rate.
         fleet.sent_per_window = fleet.hedge_share.attempts() * window / RECENT / ready_count;
     }
 
@@ -72,7 +72,7 @@
     }
 
     fn learn_limits(&mut self, median: f64, ready_count: f64) {
-        // A co-ordinator that has just started has not yet observed a whole time constant of responses.
+        // A co-ordinator that has recently started has not yet observed a full time constant of responses.
         let observed_time = RECENT * (1.0 - decay_factor(self.timers.started_at, self.now, RECENT));
         let soft_deadline = self.min_soft_deadline;
         let quick_factor = (QUICK_SHARE * soft_deadline / median).clamp(1.0, MAX_QUICK_FACTOR);
--- a/crates/linenthread-core/src/policy/coordinator.rs
+++ b/crates/linenthread-core/src/policy/coordinator.rs
@@ -1,4 +1,4 @@
-//! The state machine: what it consists of, and the order of the decisions within a step.
+//! The state machine, and the order of the decisions within a step.
 
 use crate::conversion::to_tenth_millis;
 use crate::interface::{
@@ -10,38 +10,38 @@
 use super::windows::{RECENT, RESET_INTERVAL};
 use crate::state::{DecayingSums, FleetStatistics, Observations, Query, Replica, Timers};
 
-/// The longest time from one step to the next.
+/// The longest time between two steps.
 ///
-/// Unit: 0.1 ms (10 ms). Reason: hedging, deadlines and scores are due at moments at which nothing may arrive.
+/// Unit: 0.1 ms (10 ms). Reason: hedging, deadlines and scores may become due when no input arrives.
 const MAX_STEP_INTERVAL: TenthMillis = 100;
 
-/// One co-ordinator: a deterministic state machine without I/O or clock. It also runs inside each ingress node.
+/// A co-ordinator: a deterministic state machine without I/O or clock. The dispatcher of an ingress node runs one, too.
 ///
-/// Make one of a configuration and a seed, then call [`step`](Self::step) with all that arrived since and a
-/// sink for the decisions. It asks to be woken by itself.
+/// Create it from a configuration and a seed, then call [`step`](Self::step) with the inputs that have arrived and a
+/// sink for the decisions. It requests its own wake-ups through the sink.
 pub struct Coordinator {
     pub(super) config: CoordinatorConfig,
-    /// The shortest soft deadline of all indexes, in tenths of a millisecond.
+    /// The shortest soft deadline of all search indexes, in tenths of a millisecond.
     pub(super) min_soft_deadline: f64,
     pub(super) rng: Rand64,
-    /// The time of the present step.
+    /// The time of the current step.
     pub(super) now: TenthMillis,
     pub(super) fleet: FleetStatistics,
-    /// By the replicas' indices.
+    /// Indexed by [`ReplicaIndex`].
     pub(super) replicas: Vec<Replica>,
-    /// Observations by zone.
+    /// Indexed by zone.
     pub(super) zones: Vec<Observations>,
-    /// By zone; empty while there is no table.
+    /// Indexed by zone; empty while there is no routing table.
     pub(super) zone_routes: Vec<ZoneRoute>,
-    /// By the queries' indices; `None` where an index is not in use.
+    /// Indexed by [`QueryIndex`]; `None` for unused indices.
     pub(super) queries: Vec<Option<Query>>,
-    /// The indices of the queries that are not released, oldest first.
+    /// Queries that have not been released, oldest first.
     pub(super) open_queries: Vec<QueryIndex>,
     pub(super) timers: Timers,
 }
 
 impl Coordinator {
-    /// A co-ordinator that has received nothing yet. The seed determines all its random choices.
+    /// Returns a co-ordinator that has received no inputs. The seed determines all of its random choices.
     pub fn new(mut config: CoordinatorConfig, seed: u64) -> Self {
         let indexes = std::mem::take(&mut config.indexes);
         let mut coordinator = Coordinator {
@@ -72,8 +72,8 @@
         SearchIndex(self.config.indexes.len() - 1)
     }
 
-    /// Sets this co-ordinator's part of the retry budget: the attempts permitted whatever the load, its number,
-    /// and the number of co-ordinators; of ingress nodes, where it runs in one.
+    /// Sets this co-ordinator's part of the retry budget: the attempts permitted regardless of the load, this
+    /// co-ordinator's number, and the number of co-ordinators (in an ingress node, of ingress nodes).
     pub fn set_retry_quota(
         &mut self,
         reserve: f64,
@@ -87,7 +87,7 @@
         }
     }
 
-    /// Applies all that arrived and writes what is decided on it.
+    /// Applies the inputs and writes the resulting decisions to the sink.
     pub fn step(&mut self, inputs: &Inputs, sink: &mut impl DecisionSink) {
         self.now = inputs.now;
         self.start_timers();
@@ -101,7 +101,7 @@
         self.run_timers(sink);
     }
 
-    /// The clock of a co-ordinator begins with its first step.
+    /// Starts the timers at the first step.
     fn start_timers(&mut self) {
         let is_first_step = self.timers.next_reset == 0;
         if is_first_step {
@@ -110,8 +110,8 @@
         }
     }
 
-    /// Records the inputs. Those of one kind follow those of another in this order, so that a query's
-    /// sub-requests find it recorded and an attempt that ended no longer counts as in flight.
+    /// Records the inputs, kind by kind in a fixed order: a query is recorded before its sub-requests, and an attempt
+    /// that has ended no longer counts as in flight.
     fn apply(&mut self, inputs: &Inputs, sink: &mut impl DecisionSink) {
         for update in &inputs.membership {
             self.on_membership_update(update);
@@ -151,36 +151,36 @@
         }
     }
 
-    /// A random time below a limit.
+    /// Returns a random time below a limit.
     pub(super) fn random_time(&mut self, limit: TenthMillis) -> TenthMillis {
         to_tenth_millis(self.rng.rand_float() * limit as f64)
     }
 
-    /// The indices of all replicas that were ever listed.
+    /// Returns the indices of all replicas that have ever been listed.
     pub(super) fn replica_indices(&self) -> impl Iterator<Item = ReplicaIndex> + use<> {
         (0..self.replicas.len()).map(ReplicaIndex)
     }
 
-    /// The record of a query, unless it is released or unknown.
+    /// Returns a query, or `None` if it is unknown or has been released.
     pub(super) fn query_mut(&mut self, query_index: QueryIndex) -> Option<&mut Query> {
         self.queries.get_mut(query_index.0)?.as_mut()
     }
 
-    /// The record of a query that is not released.
+    /// Returns a query that has not been released.
     pub(super) fn open_query(&self, query_index: QueryIndex) -> &Query {
         self.queries[query_index]
             .as_ref()
             .expect("a query has its record until it is released")
     }
 
-    /// The record of a query that is not released.
+    /// Returns a query that has not been released.
     pub(super) fn open_query_mut(&mut self, query_index: QueryIndex) -> &mut Query {
         self.queries[query_index]
             .as_mut()
             .expect("a query has its record until it is released")
     }
 
-    /// The configuration of the search index that a query is for.
+    /// Returns the configuration of the search index that a query is for.
     pub(super) fn index_config(&self, query: &Query) -> &IndexConfig {
         &self.config.indexes[query.search_index.0]
     }
--- a/crates/linenthread-core/src/policy/dispatch.rs
+++ b/crates/linenthread-core/src/policy/dispatch.rs
@@ -1,4 +1,4 @@
-//! Which sub-requests of a query are sent now: first attempts, retries, and hedged requests.
+//! Selects the sub-requests of a query to send now: first attempts, retries and hedged requests.
 
 use super::Coordinator;
 use super::query_of_death::CrashEvidence;
@@ -7,56 +7,58 @@
 use crate::interface::{DecisionSink, QueryIndex, SubRequestIndex};
 use crate::state::{Attempt, Query, SubRequest};
 
-/// How many of the attempts may be hedged requests.
+/// The maximum share of hedged requests among all attempts.
 ///
-/// Unit: share of attempts (1 in 200). Reason: the attempt that loses is work in vain, and on most deployments
-/// cancelling stops none of it.
+/// Unit: share of attempts (1 in 200). Reason: the losing attempt is wasted work, and on most deployments cancellation
+/// saves none of it.
 const HEDGE_SHARE: f64 = 0.005;
 
-/// The same for the last sub-request that a query lacks.
+/// The same limit for the last missing sub-request of a query.
 ///
-/// Unit: share of attempts (1 in 50). Reason: there one more response completes the query.
+/// Unit: share of attempts (1 in 50). Reason: one more response completes the query.
 const LAST_HEDGE_SHARE: f64 = 0.02;
 
-/// Requests are hedged once no more time than this is left before the soft deadline.
+/// The time before the soft deadline from which requests are hedged.
 ///
-/// Unit: slow response times. Reason: a response that comes sooner than the deadline asks for earns nothing.
+/// Unit: slow response times. Reason: a response earlier than the deadline requires gains nothing.
 const HEDGE_WITHIN: f64 = 2.5;
 
-/// Where a share of the sub-requests makes a complete response: how many of the others are sent at first.
+/// Where a share of the sub-requests makes a complete response: the part of the remaining ones that is also sent at
+/// first.
 ///
-/// Unit: share of the others' weight. Reason: some of those that are sent will be slow or fail.
+/// Unit: share of the remaining weight. Reason: some of the attempts sent will be slow or fail.
 const EXTRA_SHARE: f64 = 0.25;
 
-/// The scale in which scores are compared when sub-requests are ordered.
+/// The scale at which scores are compared to order sub-requests.
 ///
-/// Unit: 1 / score. Reason: integers can be sorted by, and scores closer than this are alike.
+/// Unit: 1 / score. Reason: integers can be sorted, and scores that differ by less are equivalent.
 const SCORE_SCALE: f64 = 1_000.0;
 
-/// What is to be sent of a query, and how hedging is limited. Times are in tenths of a millisecond.
+/// The sub-requests of a query to send, and the limits on hedging. Times are in tenths of a millisecond.
 struct DispatchPlan {
-    /// The sub-requests in the order they are sent.
+    /// The sub-requests in sending order.
     order: Vec<SubRequestIndex>,
-    /// The weight of first attempts that is still wanted; infinite where all are.
+    /// The weight of first attempts still to be sent; infinite if all are to be sent.
     unsent_weight: f64,
-    /// A response time from which on attempts are slow.
+    /// The response time from which attempts are slow.
     slow: f64,
-    /// Little time is left before the soft deadline.
+    /// Whether little time is left before the soft deadline.
     is_urgent: bool,
-    /// Share of attempts that may be hedged requests.
+    /// The maximum share of hedged requests among all attempts.
     max_hedge_share: f64,
-    /// One sub-request is sent first, and the others when it lasts.
+    /// Whether a single sub-request is sent first, and the others once it has succeeded or is slow.
     one_first: bool,
 }
 
 impl DispatchPlan {
-    /// Whether a response to a sub-request is wanted now. First attempts are wanted until their weight is reached.
+    /// Reports whether a response to a sub-request is needed now. Sub-requests without an attempt are needed until
+    /// enough weight has been sent.
     fn wants(&self, sub_request: &SubRequest) -> bool {
         let has_begun = !sub_request.attempts.is_empty();
         sub_request.is_needed() && (has_begun || self.unsent_weight > WEIGHT_ROUNDING / 2.0)
     }
 
-    /// Counts the weight of a first attempt, also where no replica can take it now.
+    /// Subtracts the weight of a first attempt, even if no replica can take the attempt now.
     fn count_first_attempt(&mut self, sub_request: &SubRequest) {
         if sub_request.attempts.is_empty() {
             self.unsent_weight -= sub_request.weight;
@@ -65,7 +67,8 @@
 }
 
 impl Coordinator {
-    /// Sends what a query needs now: first attempts, retries of what failed, and hedged requests for what is slow.
+    /// Sends the attempts that a query needs now: first attempts, retries of failed attempts, and hedged requests for
+    /// slow ones.
     pub(super) fn send_missing(&mut self, query_index: QueryIndex, sink: &mut impl DecisionSink) {
         let now = self.now;
         self.fleet.hedge_share.decay(now, RECENT);
@@ -97,8 +100,8 @@
         }
     }
 
-    /// Whether nothing of the query is sent now: it may make replicas crash, or its first sub-request has neither
-    /// succeeded nor outlasted a slow response time yet.
+    /// Reports whether sending is deferred, either because the query may be crashing replicas, or because its first
+    /// sub-request has neither succeeded nor exceeded a slow response time yet.
     fn is_deferred(&self, query: &Query, slow: f64) -> bool {
         let mut attempts = query.sub_requests.iter().flat_map(|s| &s.attempts);
         self.may_be_query_of_death(query, CrashEvidence::Outage)
@@ -125,7 +128,8 @@
         };
         let complete_share = self.complete_share(query);
         if complete_share < 1.0 {
-            // Those with the best replicas are sent first. What is slow no longer counts as coming, so others follow.
+            // Sub-requests with the best replicas are sent first. Slow attempts no longer count as expected responses,
+            // so more sub-requests are sent in their place.
             let is_coming = |sub_request: &SubRequest| {
                 let is_quick = |attempt: &Attempt| attempt.is_in_flight_within(self.now, slow);
                 sub_request.succeeded || sub_request.attempts.iter().any(is_quick)
@@ -140,15 +144,15 @@
         plan
     }
 
-    /// The best score of the replicas of a sub-request's shard, in thousandths.
+    /// Returns the best score among the replicas of a sub-request's shard, in thousandths.
     fn best_score(&self, query: &Query, sub_request: &SubRequest) -> Option<u64> {
         self.shard_replicas(query, sub_request)
             .map(|replica| to_u64(SCORE_SCALE * self.replicas[replica].score))
             .min()
     }
 
-    /// Whether the time for a hedged request has come: the last attempt is slow, little time is left, and the share of
-    /// hedged requests has room for one more. Whether one is permitted at all is asked by `may_send`.
+    /// Reports whether a hedged request is due: the last attempt is slow, little time is left, and the share of hedged
+    /// requests permits one more. `may_send` checks whether hedging is permitted at all.
     fn is_hedge_due(&self, sub_request: &SubRequest, plan: &DispatchPlan) -> bool {
         let is_slow = |last: &Attempt| (self.now - last.sent_at) as f64 > plan.slow;
         sub_request.attempts.last().is_some_and(is_slow)
@@ -156,15 +160,15 @@
             && self.has_room_for_hedge(plan.max_hedge_share)
     }
 
-    /// Whether the share of hedged requests among all attempts stays below a limit with one more. A single one is
-    /// always within it.
+    /// Reports whether the share of hedged requests among all attempts permits one more. A single hedged request is
+    /// always permitted.
     fn has_room_for_hedge(&self, max_share: f64) -> bool {
         let share = &self.fleet.hedge_share;
         share.hedges() < max_share * share.attempts() + 1.0
     }
 
-    /// Whether an attempt in flight is to be cancelled so that the sub-request can go to another replica: one has
-    /// stalled, no further one may be in flight beside it, and none has been cancelled for this already.
+    /// Reports whether to cancel an attempt in flight so that the sub-request can go to another replica: an attempt has
+    /// stalled, no further attempt may be in flight at the same time, and no cancellation for this purpose is pending.
     fn should_reissue(
         &self,
         query_index: QueryIndex,
@@ -189,7 +193,7 @@
             })
     }
 
-    /// Cancels the oldest attempt in flight; its sub-request is sent to another replica once that attempt has ended.
+    /// Cancels the oldest attempt in flight; the sub-request is sent to another replica once that attempt has ended.
     /// This counts as a hedged request.
     fn cancel_to_reissue(
         &mut self,
--- a/crates/linenthread-core/src/policy/health_probe.rs
+++ b/crates/linenthread-core/src/policy/health_probe.rs
@@ -1,4 +1,4 @@
-//! When replicas are probed, and what the end of a probe says.
+//! Decides when replicas are probed, and evaluates the results of probes.
 
 use super::Coordinator;
 use super::windows::{CRASH_MEMORY, FRESH_REPORT, LONG_TERM, MIN_WEIGHT, PROBE_TIMEOUT, RECENT};
@@ -8,30 +8,30 @@
 };
 use crate::state::{Outage, Query, QueryStage, SubRequest};
 
-/// The least time between two probes of a replica that is down, before it is spread and scaled.
+/// The minimum interval between probes of a replica that is down, before scaling and random spread.
 ///
-/// Unit: 0.1 ms (150 ms). Reason: an attempt there would be lost, so its return is to be noticed soon.
+/// Unit: 0.1 ms (150 ms). Reason: attempts at the replica would be lost, so its recovery must be detected soon.
 const OUTAGE_PROBE_INTERVAL: TenthMillis = 1_500;
 
-/// How long a query's first attempts wait while the probes of all replicas of a shard are in flight.
+/// How long a query's first attempts wait while probes of all replicas of a shard are in flight.
 ///
-/// Unit: share of the shortest soft deadline. Reason: a worse replica chosen now is better than a late choice.
+/// Unit: share of the shortest soft deadline. Reason: choosing a worse replica now is better than choosing late.
 const MAX_PROBE_WAIT_SHARE: f64 = 0.05;
 
-/// Replicas are probed before a query's first attempts where they are remembered for longer than this.
+/// Replicas are probed before a query's first attempts if the time constant of their observations exceeds this.
 ///
-/// Unit: multiple of [`RECENT`]. Reason: what is remembered there is too old to recognise an unhealthy replica.
+/// Unit: multiple of [`RECENT`]. Reason: observations are then too old to detect an unhealthy replica.
 const SELDOM_OBSERVED: f64 = 1.5;
 
-/// Where replicas report no queue: how many queries probe first at least.
+/// Where replicas do not report their queues: the minimum share of queries that probe first.
 ///
-/// Unit: share of queries. Reason: without any probe no late one could be noticed.
+/// Unit: share of queries. Reason: without any probes, late ones could not be detected.
 const MIN_PROBING_SHARE: f64 = 0.1;
 
-/// Where replicas report no queue: how many queries probe first for each probe that was late.
+/// Where replicas do not report their queues: the share of queries that probe first, per share of late probes.
 ///
-/// Unit: share of queries / share of probes. Reason: a probe shows load by its delay alone there, so few go while
-/// all are quick.
+/// Unit: share of queries / share of probes. Reason: there a probe reveals load only by its delay, so few are sent
+/// while all are fast.
 const PROBING_PER_LATE_PROBE: f64 = 12.0;
 
 impl Coordinator {
@@ -44,8 +44,7 @@
         let sent_at = replica.probe_sent_at.take().unwrap_or(now);
         let was_late = f64::from(now - sent_at >= PROBE_TIMEOUT);
         self.fleet.late_probes.record(now, LONG_TERM, was_late);
-        // A replica whose connection was lost and whose process is gone may have crashed; one that responds
-        // has not.
+        // A replica that lost a connection and whose process is gone may have crashed; a replica that responds has not.
         if replica.suspected_crash && result.outcome != AttemptOutcome::Rejected {
             replica.suspected_crash = false;
             replica.crashed = result.outcome != AttemptOutcome::Success;
@@ -61,18 +60,19 @@
                     retry_at: now + OUTAGE_PROBE_INTERVAL,
                 });
             }
-            // Too busy for a probe. How busy is not known: it counts as a whole soft deadline of queued sub-requests.
+            // The replica is too busy for a probe. Its load is unknown; assume a queue that takes a full soft deadline
+            // to serve.
             _ => replica.on_report(now, self.min_soft_deadline / self.fleet.lowest_median),
         }
     }
 
-    /// Probes replicas that are down, the more seldom the longer they are: a query's attempt that found out instead
-    /// would be wasted.
+    /// Probes replicas that are down, at intervals that grow with the outage. Detecting a recovery by an attempt
+    /// instead would waste attempts of queries.
     pub(super) fn probe_outages(&mut self, sink: &mut impl DecisionSink) {
         if !self.config.permissions.health_probes {
             return;
         }
-        // All co-ordinators probe the same replica, so each waits in proportion to their number.
+        // All co-ordinators probe the same replica, so the interval is proportional to their number.
         let interval_factor = TenthMillis::try_from(self.config.coordinator_count / 4)
             .unwrap_or(TenthMillis::MAX)
             .max(1);
@@ -94,8 +94,8 @@
         }
     }
 
-    /// Probes replicas without a recent report before a query's first attempts, where each replica is seen seldom.
-    /// Returns whether the query has to wait for the probes.
+    /// Probes replicas without a recent report before a query's first attempts, if each replica is observed seldom.
+    /// Returns whether the query must wait for the probes.
     pub(super) fn probe_before_first_attempts(
         &mut self,
         query_index: QueryIndex,
@@ -117,8 +117,8 @@
         self.probe_shard_replicas(query_index, sink)
     }
 
-    /// Whether a query waits for probes at all: each replica is seen seldom, nothing of the query has been sent, and
-    /// there is time for it.
+    /// Reports whether a query may wait for probes: each replica is observed seldom, nothing of the query has been
+    /// sent, and enough time is left.
     fn is_probed_first(&self, query: &Query, max_wait: TenthMillis) -> bool {
         let is_seldom_observed = self.fleet.time_constant > SELDOM_OBSERVED * RECENT;
         let is_too_late = self.now + 2 * max_wait > query.hard_deadline;
@@ -129,8 +129,8 @@
             && !query.sub_requests.is_empty()
     }
 
-    /// Whether the probes sent for a query are still waited for: any of them briefly, and for longer where those of
-    /// all replicas of a shard are in flight.
+    /// Reports whether the query still waits for the probes sent for it: until [`PROBE_TIMEOUT`] for any of them, and
+    /// for up to `max_wait` while the probes of all replicas of a shard are in flight.
     fn waits_for_probes(
         &self,
         query: &Query,
@@ -152,8 +152,8 @@
         self.rng.rand_float() < probing_share
     }
 
-    /// Probes those replicas of the query's shards that are up and have not reported recently. Returns whether
-    /// there was any.
+    /// Probes the replicas of the query's shards that are up and have not reported recently. Returns whether there were
+    /// any.
     fn probe_shard_replicas(
         &mut self,
         query_index: QueryIndex,
--- a/crates/linenthread-core/src/policy/latency.rs
+++ b/crates/linenthread-core/src/policy/latency.rs
@@ -1,12 +1,12 @@
-//! Which response times are slow, and which attempts have stalled.
+//! Determines which response times are slow and which attempts have stalled.
 
 use super::Coordinator;
 use super::windows::{MIN_WEIGHT, SLOW_DEVIATIONS};
 use crate::state::Attempt;
 
 impl Coordinator {
-    /// The response time over all replicas that lies this many standard deviations above the median, in tenths
-    /// of a millisecond. While nothing was observed, half of the shortest soft deadline.
+    /// Returns the response time over all replicas that is this many standard deviations above the median, in tenths of
+    /// a millisecond. Without observations, returns half of the shortest soft deadline.
     pub(super) fn latency_at(&self, deviations: f64) -> f64 {
         self.fleet
             .log_latencies
@@ -16,19 +16,19 @@
             })
     }
 
-    /// The response time from which on an attempt is slow, in tenths of a millisecond.
+    /// Returns the response time from which an attempt is slow, in tenths of a millisecond.
     pub(super) fn slow_latency(&self) -> f64 {
         self.latency_at(SLOW_DEVIATIONS)
     }
 
-    /// Whether an attempt has stalled: it is slow, and its replica has not responded to anything for twice that time,
-    /// so it is treated as lost before its time-out.
+    /// Reports whether an attempt has stalled: it is slow, and its replica has not responded to anything for twice that
+    /// time. Stalled attempts are treated as lost before they time out.
     pub(super) fn is_stalled(&self, attempt: &Attempt, slow: f64) -> bool {
         let silence = (self.now - self.replicas[attempt.replica].last_response_at) as f64;
         attempt.is_in_flight() && (self.now - attempt.sent_at) as f64 > slow && silence > 2.0 * slow
     }
 
-    /// Counts the attempts at each replica that have stalled.
+    /// Updates the number of stalled attempts at each replica.
     pub(super) fn count_stalled(&mut self, slow: f64) {
         for replica in &mut self.replicas {
             replica.stalled = 0;
--- a/crates/linenthread-core/src/policy/membership_update.rs
+++ b/crates/linenthread-core/src/policy/membership_update.rs
@@ -1,31 +1,31 @@
-//! What an update from service discovery changes.
+//! Applies updates from service discovery.
 
 use super::Coordinator;
 use super::windows::CRASH_MEMORY;
 use crate::interface::{MembershipEntry, MembershipUpdate, Phase, TenthMillis};
 use crate::state::{Observations, Replica};
 
-/// After a start from a cached list, service discovery is watched within this time.
+/// The time within which the watch at service discovery is started after a start from a cached list.
 ///
-/// Unit: 0.1 ms (200 ms). Reason: restarts may come together, so their requests are spread out at random.
+/// Unit: 0.1 ms (200 ms). Reason: many co-ordinators may restart together, so their requests are spread at random.
 const WATCH_SPREAD: TenthMillis = 2_000;
 
-/// The backoff after service discovery was unavailable, before it doubles with each failure.
+/// The backoff after a failure of service discovery, before it doubles with each failure.
 ///
-/// Unit: 0.1 ms (250 ms). Reason: soon enough for a short fault, without load on a service discovery that is down.
+/// Unit: 0.1 ms (250 ms). Reason: short enough for a brief failure, without load on an unavailable service discovery.
 const WATCH_BACKOFF: TenthMillis = 2_500;
 
-/// How often that backoff doubles at most.
+/// The maximum number of times that the backoff doubles.
 ///
-/// Unit: doublings (up to 4 s). Reason: a list that is older costs more than the requests.
+/// Unit: doublings (up to 4 s). Reason: using an older list costs more than the requests.
 const MAX_WATCH_BACKOFF_DOUBLINGS: u32 = 4;
 
-/// What an update says of the replicas that it leaves out.
+/// How an update treats replicas that it does not list.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum UpdateScope {
-    /// Nothing: it names those that have changed.
+    /// They are unchanged: the update lists only replicas that have changed.
     Changes,
-    /// They are removed: it names all there are.
+    /// They are removed: the update lists all replicas.
     Complete,
 }
 
@@ -40,8 +40,8 @@
             }
             MembershipUpdate::Unavailable => return self.back_off_watch(),
         };
-        // Only an update that came without delay leaves a part of the drain grace: otherwise the replica may
-        // have been draining for longer.
+        // Part of the drain grace remains only if the update arrived without delay: otherwise the replica may have been
+        // draining for longer.
         let grace = if scope == UpdateScope::Complete || self.timers.watch_failures > 0 {
             0
         } else {
@@ -81,18 +81,18 @@
 
         let replica = &mut self.replicas[entry.replica];
         if replica.entry.id != entry.id {
-            // Another replica has the index now.
+            // The index now belongs to another replica.
             *replica = Replica::default();
         }
         if replica.entry.started_at != entry.started_at {
-            // A new process: no observation of the old one counts against it.
+            // A new process: observations of the old one do not apply to it.
             replica.observations = Observations::default();
             replica.outage = None;
             replica.returned_at = None;
         }
         let was_ready = replica.is_ready();
-        // A replica that leaves on purpose drains first. A complete list says nothing of that: the draining may have
-        // been missed.
+        // A replica that leaves on purpose drains first. A complete list is no evidence of a crash, since it may have
+        // missed the draining.
         let left_without_draining = was_ready && entry.phase == Phase::Removed;
         let counts_crashes = self.config.permissions.health_probes && scope == UpdateScope::Changes;
         if counts_crashes && left_without_draining {
--- a/crates/linenthread-core/src/policy/mod.rs
+++ b/crates/linenthread-core/src/policy/mod.rs
@@ -1,33 +1,34 @@
-//! The decisions of one co-ordinator, one decision a module.
+//! The decisions of one co-ordinator, with one module for each decision.
 //!
-//! "Co-ordinator" is whoever runs the [`Coordinator`]: the process of that name, or the dispatcher of an ingress node.
+//! "Co-ordinator" means any process that runs a [`Coordinator`]: the process of that name, or the dispatcher of an
+//! ingress node.
 //!
-//! The ordinary path is dynamic snitching: each sub-request has a natural replica, the first in a hash of its
-//! shard and the query's key (`natural_replica`), and leaves it only while that replica's score (`score`)
-//! is worse than the best by more than a threshold. The other modules decide what that design leaves open:
+//! The base algorithm is dynamic snitching: each sub-request has a natural replica, the first in a hash order of its
+//! shard and the query's key (`natural_replica`), and goes elsewhere only while that replica's score (`score`) is worse
+//! than the best score by more than a threshold. The other modules decide what the base algorithm leaves open:
 //!
 //! | module | decides |
 //! | --- | --- |
 //! | `coordinator` | the order of the decisions within a step |
 //! | `membership_update` | what an update from service discovery changes |
 //! | `arrival` | how queries and sub-requests are recorded |
-//! | `attempt_result` | what the end of an attempt says of its replica |
-//! | `health_probe` | when replicas are probed, and what a probe's end says |
+//! | `attempt_result` | what an attempt's outcome means for its replica |
+//! | `health_probe` | when replicas are probed, and what a probe's outcome means |
 //! | `score` | the score of each replica |
-//! | `capacity` | how much may be in flight, and what a warm replica can serve |
+//! | `capacity` | how many attempts may be in flight, and what a warm replica can serve |
 //! | `latency` | which response times are slow, and which attempts have stalled |
-//! | `natural_replica` | which replica an attempt goes to |
+//! | `natural_replica` | which replica an attempt is sent to |
 //! | `send_guard` | whether an attempt may be sent at all |
-//! | `slow_start` | how many attempts a replica gets that has just started |
-//! | `retry_budget` | how many retries and hedged requests there may be |
+//! | `slow_start` | how many attempts are sent to a replica that has recently started |
+//! | `retry_budget` | how many retries and hedged requests are permitted |
 //! | `sending` | how an attempt is sent |
 //! | `dispatch` | which sub-requests are sent now: first attempts, retries, hedged requests |
-//! | `query_of_death` | which queries may make replicas crash |
-//! | `admission` | which queries are rejected when they arrive |
+//! | `query_of_death` | which queries may be crashing replicas |
+//! | `admission` | which queries are rejected on arrival |
 //! | `resolution` | when a query is responded to, rejected or failed |
 //!
-//! To explain what became of one query, start at `Coordinator::resolve` (in `resolution`), which each step runs
-//! once for each open query:
+//! To explain the result of a query, start at `Coordinator::resolve` (in `resolution`), which each step runs once for
+//! each open query:
 //!
 //! | observed | decided by |
 //! | --- | --- |
@@ -40,10 +41,10 @@
 //! | retried, or not | `dispatch`: `send_missing`; `send_guard`: `may_send`; `retry_budget` |
 //! | hedged, or not | `dispatch`: `is_hedge_due` |
 //! | an attempt cancelled and its sub-request sent to another replica | `dispatch`: `should_reissue` |
-//! | sent to this replica and to no other | `natural_replica`: `choose_replica`; `score` |
+//! | sent to a particular replica | `natural_replica`: `choose_replica`; `score` |
 //!
-//! Constants that several modules use are in `windows`; the others are in the module that they belong to.
-//! The reasons at length, with figures, are in `docs/design.md`.
+//! Constants that several modules use are in `windows`; other constants are in the module that uses them.
+//! `docs/design.md` gives the full rationale, with figures.
 
 mod admission;
 mod arrival;
@@ -70,23 +71,23 @@
 
 pub use coordinator::Coordinator;
 
-/// Share of its value that a late response earns, where no settings say.
+/// Default share of its value that a late response earns, used if the settings specify none.
 ///
-/// Unit: share of a query's value. Reason: above the limit under which `resolution` no longer waits for them.
+/// Unit: share of a query's value. Reason: above the limit below which `resolution` does not wait for late responses.
 pub const DEFAULT_LATE_VALUE_SHARE: f64 = 0.3;
 
-/// What a partial response earns, times the share of the weight that succeeded.
+/// Default value of a partial response, multiplied by the share of the weight that succeeded.
 ///
-/// Unit: share of a query's value. Reason: with the share, it approximates users who value a partial response by about
-/// the square of that share.
+/// Unit: share of a query's value. Reason: multiplied by the share, it approximates users who value a partial response
+/// by about the square of that share.
 pub const DEFAULT_PARTIAL_VALUE: f64 = 0.6;
 
-/// How much is used of a budget that others count by clocks of their own.
+/// The usable part of a budget that others measure by their own clocks.
 ///
-/// Unit: share of the budget. Reason: the rest covers what falls into another window by their clocks.
+/// Unit: share of the budget. Reason: the rest covers requests that fall into another window by those clocks.
 pub const BUDGET_UTILIZATION: f64 = 0.85;
 
-/// A connection that is not established within this time counts as a replica that is away.
+/// The time within which a connection must be established; otherwise the replica counts as unreachable.
 ///
 /// Unit: 0.1 ms (300 ms). Reason: an attempt that waits for a process that is gone is wasted.
 pub const CONNECT_TIMEOUT: TenthMillis = 3_000;
--- a/crates/linenthread-core/src/policy/natural_replica.rs
+++ b/crates/linenthread-core/src/policy/natural_replica.rs
@@ -1,49 +1,48 @@
-//! The replica of an attempt: the natural one, unless that scores too badly.
+//! Selects the replica for an attempt: the natural replica, unless its score is too bad.
 
 use super::Coordinator;
 use crate::interface::{AttemptOutcome, QueryIndex, ReplicaIndex, SubRequestIndex, TenthMillis};
 use crate::state::{Attempt, Query, Replica, SubRequest, hash_ids};
 
-/// How much worse than the best a natural replica may score and keep its sub-requests.
+/// How much worse than the best score a natural replica's score may be before its sub-requests go elsewhere.
 ///
-/// Unit: share of the best score. Reason: with less, too many of a key's sub-requests leave their natural replica.
+/// Unit: share of the best score. Reason: with less, too many sub-requests of a key leave their natural replica.
 const BADNESS_THRESHOLD: f64 = 0.6;
 
-/// How many more attempts than the least loaded replica one may have pending and get another.
+/// A replica is eligible only if it has at most this many more pending attempts than the least loaded replica.
 ///
-/// Unit: attempts from here. Reason: a wide query fills one replica before the scores are next updated.
+/// Unit: attempts from here. Reason: a query with many sub-requests would fill one replica before scores are updated.
 const MAX_PENDING_IMBALANCE: f64 = 1.0;
 
-/// A replica that failed a sub-request is sent the same one again after this time.
+/// The time before a sub-request is sent again to a replica that failed it.
 ///
-/// Unit: 0.1 ms (100 ms). Reason: at once it would most likely fail again, and use up an attempt.
+/// Unit: 0.1 ms (100 ms). Reason: an immediate retry there would most likely fail and use up an attempt.
 const RETRY_BACKOFF: TenthMillis = 1_000;
 
-/// The distance of a zone that the table lacks.
+/// The distance of a zone that is missing from the routing table.
 ///
-/// Unit: rank, as in the table. Reason: nothing says how near it is, so it is used last.
+/// Unit: rank, as in the table. Reason: its distance is unknown, so it is used last.
 const FARTHEST: u8 = u8::MAX;
 
-/// Which of the replicas that are up are considered, strictest first: the next one applies only if the one before
-/// found no replica.
+/// Criteria for replicas that are up, strictest first: each applies only if the previous one matched no replica.
 #[derive(Clone, Copy)]
 enum Eligibility {
-    /// It has not failed this sub-request and is not saturated.
+    /// The replica has not failed this sub-request and is not saturated.
     UntriedAndUnsaturated,
-    /// It has not failed this sub-request.
+    /// The replica has not failed this sub-request.
     Untried,
-    /// The sub-request's last failure is long enough ago, wherever that was.
+    /// The backoff after the sub-request's last failure, at any replica, has passed.
     AfterBackoff,
 }
 
-/// Whether an attempt speaks against sending the sub-request to its replica again. One in flight does; one that
-/// succeeded does not, since a continuation belongs to the same replica.
+/// Reports whether an earlier attempt rules out its replica for the sub-request. An attempt in flight does; one that
+/// succeeded does not, because continuations go to the same replica.
 fn speaks_against_replica(attempt: &Attempt) -> bool {
     attempt.outcome != Some(AttemptOutcome::Success)
 }
 
 impl Coordinator {
-    /// The replica for a sub-request's next attempt; `None` if there is none to be sent to now.
+    /// Returns the replica for a sub-request's next attempt, or `None` if the attempt cannot be sent now.
     pub(super) fn choose_replica(
         &self,
         query_index: QueryIndex,
@@ -73,8 +72,8 @@
         })
     }
 
-    /// Full queues don't empty at once: after two rejections each further attempt waits twice as long as the
-    /// one before.
+    /// Reports whether the sub-request backs off because of full queues, which do not empty immediately: after two
+    /// rejections, the backoff doubles with each attempt.
     fn backs_off_from_full_queues(&self, sub_request: &SubRequest) -> bool {
         let rejections = sub_request
             .attempts
@@ -84,7 +83,7 @@
         rejections > 1 && self.was_sent_within(sub_request, RETRY_BACKOFF << rejections)
     }
 
-    /// Whether the sub-request's last attempt has failed or is in flight, and was sent less than this time ago.
+    /// Reports whether the sub-request's last attempt has failed or is in flight, and was sent less than `backoff` ago.
     fn was_sent_within(&self, sub_request: &SubRequest, backoff: TenthMillis) -> bool {
         sub_request
             .attempts
@@ -114,8 +113,8 @@
             }
     }
 
-    /// Of the candidates that score well enough, those of the nearest zone; of these, the first in hash order
-    /// that has few attempts pending.
+    /// Returns the preferred candidate: among those with a sufficient score, the zone must be the nearest, and among
+    /// the ones with few pending attempts the first in hash order wins.
     fn preferred(
         &self,
         query: &Query,
@@ -148,14 +147,15 @@
             .max_by_key(|&replica| self.hash_rank(query, sub_request, replica))
     }
 
-    /// The rank of a replica in rendezvous hashing, highest first: all co-ordinators agree on it, and a replica that
-    /// comes or goes moves only its own keys.
+    /// Returns the rank of a replica in rendezvous hashing; the highest rank is the first choice. All co-ordinators
+    /// compute the same ranks, and adding or removing a replica moves only that replica's keys.
     fn hash_rank(&self, query: &Query, sub_request: &SubRequest, replica: ReplicaIndex) -> u64 {
         let shard = sub_request.shard as u64 + 1;
         hash_ids([query.key, shard, self.replicas[replica].entry.id])
     }
 
-    /// The distance of a replica's zone, if its route is open to this key. Without a table all are alike.
+    /// Returns the distance of a replica's zone, or `None` if its route is closed to this key. Without a routing table
+    /// all zones have the same distance.
     fn distance(&self, key: u64, replica: &Replica) -> Option<u8> {
         let Some(route) = self.zone_routes.get(replica.entry.zone) else {
             return Some(FARTHEST);
@@ -164,8 +164,8 @@
         is_open.then_some(route.distance)
     }
 
-    /// The replicas that hold a sub-request's shard and are open to its key. Where none is ready, one that
-    /// drains serves as the last resort, until it rejects a sub-request.
+    /// Returns the replicas that hold a sub-request's shard and whose route is open to its key. If none of them is
+    /// ready, draining replicas serve as a last resort until they reject a sub-request.
     pub(super) fn shard_replicas(
         &self,
         query: &Query,
--- a/crates/linenthread-core/src/policy/query_of_death.rs
+++ b/crates/linenthread-core/src/policy/query_of_death.rs
@@ -1,27 +1,27 @@
-//! Queries that may be what makes replicas crash, and how the others are sent while replicas crash.
+//! Detects queries that may be crashing replicas, and limits what other queries send while replicas crash.
 
 use super::Coordinator;
 use crate::state::{Query, Replica};
 
-/// With more crashes remembered than this, replicas count as crashing.
+/// The decayed number of crashes above which replicas are considered to be crashing.
 ///
-/// Unit: crashes. Reason: a single crash may be a machine's; a second one may be the work of a query.
+/// Unit: crashes. Reason: a single crash may be caused by the machine; a second one may be caused by a query.
 const MANY_CRASHES: f64 = 1.0;
 
-/// What makes a lost connection count against a query.
+/// The evidence required for a lost connection to count against a query.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum CrashEvidence {
     /// The replica is down.
     Outage,
-    /// A probe found that the replica is gone.
+    /// A probe found that the process crashed.
     Proven,
 }
 
 impl Coordinator {
-    /// Whether a query may be what makes replicas crash: none of its sub-requests has succeeded, and two replicas were
-    /// lost under it. While replicas crash anyhow, one lost replica is enough.
+    /// Reports whether a query may be crashing replicas: none of its sub-requests has succeeded, and two replicas were
+    /// lost while they ran it; one is enough while replicas are crashing in general.
     ///
-    /// Where no probes are permitted there is no proof, and a lost connection alone ends nothing.
+    /// Without probes nothing proves a crash, so lost connections alone never count against a query.
     pub(super) fn may_be_query_of_death(&self, query: &Query, evidence: CrashEvidence) -> bool {
         let counts_as_lost = |replica: &Replica| {
             let is_proven = !replica.suspected_crash;
@@ -38,8 +38,8 @@
                 > tolerated
     }
 
-    /// Whether a query sends one sub-request first, and the others once that one has succeeded or outlasted a slow
-    /// response time. So a query that makes replicas crash costs one of them, not one for each shard.
+    /// Reports whether a query sends a single sub-request first, and the others once it has succeeded or exceeded a
+    /// slow response time. A query that crashes replicas then costs one replica rather than one per shard.
     pub(super) fn sends_one_first(&self, query: &Query) -> bool {
         query.has_no_success() && self.replicas_crash()
     }
--- a/crates/linenthread-core/src/policy/resolution.rs
+++ b/crates/linenthread-core/src/policy/resolution.rs
@@ -1,4 +1,4 @@
-//! When a query is responded to, rejected or failed, and when it is released.
+//! Decides when a query is responded to, rejected or failed, and when it is released.
 
 use super::Coordinator;
 use super::query_of_death::CrashEvidence;
@@ -12,15 +12,15 @@
 
 /// Queries of an index whose late responses earn no more than this are abandoned at their soft deadline.
 ///
-/// Unit: share of the value. Reason: the attempts of a late query delay others that are still in time.
+/// Unit: share of the value. Reason: attempts of a late query delay queries that can still be in time.
 const MIN_LATE_VALUE_SHARE: f64 = 0.15;
 
-/// The time that a first response leaves for the fetch phase.
+/// The time reserved for the fetch phase when the first response is given.
 ///
-/// Unit: slow response times. Reason: the fetch phase has to be over by the soft deadline.
+/// Unit: slow response times. Reason: the fetch phase has to end by the soft deadline.
 const FETCH_PHASE_TIME: f64 = 1.4;
 
-/// When a query is abandoned: rejected or failed, whatever is still in flight.
+/// Returns when a query is rejected or failed, regardless of attempts in flight.
 pub(super) fn abandon_at(query: &Query, index: &IndexConfig) -> TenthMillis {
     if index.late_value_share > MIN_LATE_VALUE_SHARE {
         query.hard_deadline
@@ -29,22 +29,22 @@
     }
 }
 
-/// Whether a share reaches a required one, but for the rounding of weights.
+/// Reports whether a share reaches a required share, within the rounding of weights.
 fn reaches(share: f64, required: f64) -> bool {
     share >= required - WEIGHT_ROUNDING / 2.0
 }
 
-/// How far the present phase of a query is.
+/// The progress of a query's current phase.
 struct Progress {
     /// When the query is abandoned.
     abandon_at: TenthMillis,
-    /// The share of the weight that makes a complete response.
+    /// Minimum share of the weight for a complete response.
     complete_share: f64,
-    /// The share of the weight under which no response may be given.
+    /// Minimum share of the weight for any response.
     min_share: f64,
     /// The share of the weight that has succeeded.
     succeeded_share: f64,
-    /// The share of the weight that no further attempt can bring: see [`Coordinator::is_unanswerable`].
+    /// The share of the weight that further attempts cannot obtain: see [`Coordinator::is_unanswerable`].
     unanswerable_share: f64,
 }
 
@@ -63,16 +63,16 @@
 }
 
 impl Coordinator {
-    /// Takes one open query a step further: responds to it, abandons it, or sends what it still needs.
+    /// Advances one open query: responds to it, abandons it, or sends what it still needs.
     ///
-    /// The order matters: a query that has enough responses is responded to even when its time is up, and admission
-    /// judges a query only if it can be answered at all.
+    /// The order matters: a query with enough responses is responded to even after its deadline, and admission is
+    /// checked only for queries that can be answered at all.
     pub(super) fn resolve(&mut self, query_index: QueryIndex, sink: &mut impl DecisionSink) {
         if self.probe_before_first_attempts(query_index, sink) {
             return;
         }
         let now = self.now;
-        // While a phase has no sub-requests yet, they are waited for.
+        // A phase without sub-requests waits for them to arrive.
         let is_open = |query: &&Query| {
             !query.is_finished()
                 && (!query.present_phase().is_empty() || now >= query.hard_deadline)
@@ -91,7 +91,7 @@
         self.send_missing(query_index, sink);
     }
 
-    /// The share of the present phase's weight that makes a complete response; all of the fetch phase's.
+    /// Returns the share of the current phase's weight that a complete response requires; the fetch phase requires all.
     pub(super) fn complete_share(&self, query: &Query) -> f64 {
         if query.is_fetching() {
             1.0
@@ -103,7 +103,7 @@
     fn progress(&self, query: &Query) -> Progress {
         let index = self.index_config(query);
         let total = query.phase_weight(|_| true).max(WEIGHT_ROUNDING);
-        // An index whose responses may be partial may also lack a part of what is fetched.
+        // If the index allows partial responses, the fetch phase may be incomplete, too.
         let allows_partial_fetch = index.min_share < index.complete_share;
         Progress {
             abandon_at: abandon_at(query, index),
@@ -118,12 +118,11 @@
         }
     }
 
-    /// Whether no further attempt can bring this sub-request's response: it may not run again, has no attempt left, or
-    /// none of its shard's replicas can be reached in time.
+    /// Reports whether further attempts cannot obtain a response to this sub-request: it may not run again, has no
+    /// attempts left, or none of its shard's replicas can be reached in time.
     ///
-    /// An exhausted retry budget is not among these. It is a window that moves on: a sub-request that it holds back now
-    /// may be sent later, so the query waits for it and, if it never is, is abandoned as
-    /// [`AbandonCause::DeadlineExceeded`].
+    /// An exhausted retry budget is not a reason, because its window moves on: a sub-request that it blocks now may be
+    /// sent later. The query waits for it and is abandoned with [`AbandonCause::DeadlineExceeded`] if it is never sent.
     fn is_unanswerable(&self, query: &Query, sub_request: &SubRequest) -> bool {
         !sub_request.succeeded
             && sub_request.in_flight() == 0
@@ -134,14 +133,14 @@
                     .all(|replica| self.is_out_of_reach(query, sub_request, replica)))
     }
 
-    /// Whether to respond now. A complete response is given at once; a partial one when it can no longer become
-    /// complete, or when waiting longer earns less.
+    /// Reports whether to respond now. A complete response is given immediately; a partial one when it can no longer
+    /// become complete, or when waiting longer lowers its value.
     fn should_respond(&self, query: &Query, progress: &Progress) -> bool {
         let index = self.index_config(query);
         let partial_value =
             index.partial_value * progress.succeeded_share / progress.complete_share;
         let partial_pays = partial_value > index.late_value_share;
-        // What is ready now is late if the fetch phase that follows would end late.
+        // A response before the fetch phase is late if the fetch phase would end late.
         let fetch_phase_follows = index.fetch_sub_requests > 0 && !query.is_fetching();
         let fetch_time = if fetch_phase_follows {
             FETCH_PHASE_TIME
@@ -156,8 +155,8 @@
                 && (is_late || !progress.can_become_complete())
     }
 
-    /// Responds, unless a continuation is in flight, which is awaited up to the soft deadline. A continuation that no
-    /// attempt, budget or replica is left for now is not awaited.
+    /// Responds, unless a continuation is in flight, which is awaited until the soft deadline. A continuation that
+    /// cannot be sent now, for lack of attempts, budget or replicas, is not awaited.
     fn respond(
         &mut self,
         query_index: QueryIndex,
@@ -195,7 +194,7 @@
         query.sub_requests.iter().any(is_awaited)
     }
 
-    /// Why a query without a response is abandoned; `None` if it is not.
+    /// Returns why a query without a response is abandoned, or `None` if it is not.
     fn abandon_cause(
         &mut self,
         query_index: QueryIndex,
@@ -216,8 +215,8 @@
         }
     }
 
-    /// Abandons a query: ends it without a response. It is rejected where sending it again is harmless, since it may
-    /// run any number of times or no attempt of it ran; else it fails, which promises nothing.
+    /// Ends a query without a response. The query is rejected if sending it again is harmless, because its index is
+    /// idempotent or no attempt ran. Otherwise it fails, which makes no such promise.
     fn abandon(
         &mut self,
         query_index: QueryIndex,
@@ -237,8 +236,7 @@
         self.open_query_mut(query_index).stage = QueryStage::Finished;
     }
 
-    /// Advice to come back after about one slow response time, spread at random; `None` where clients receive
-    /// none.
+    /// Returns a random retry delay of about one slow response time; `None` if clients receive no such advice.
     fn draw_retry_after(&mut self) -> Option<TenthMillis> {
         let slow = to_tenth_millis(self.slow_latency());
         let wait = slow / 2 + self.random_time(slow.max(1));
@@ -256,7 +254,7 @@
         }
     }
 
-    /// Releases the queries that have ended and have no attempt in flight.
+    /// Releases queries that have ended and have no attempts in flight.
     pub(super) fn release_finished(&mut self, sink: &mut impl DecisionSink) {
         let queries = &mut self.queries;
         self.open_queries.retain(|&query_index| {
--- a/crates/linenthread-core/src/policy/retry_budget.rs
+++ b/crates/linenthread-core/src/policy/retry_budget.rs
@@ -1,9 +1,9 @@
-//! How many retries and hedged requests there may be: all attempts of a sub-request beyond its first.
+//! Limits retries and hedged requests, that is, all attempts of a sub-request after its first.
 
 use super::Coordinator;
 
 impl Coordinator {
-    /// Counts queries and sub-requests that were accepted, to which the budget is proportional.
+    /// Counts accepted queries and sub-requests; the budget is proportional to their number.
     pub(super) fn count_accepted(&mut self, count: usize) {
         if let Some(budget) = &self.config.retry_budget {
             self.fleet.accepted.add(self.now, budget.window, count);
@@ -17,8 +17,8 @@
         }
     }
 
-    /// Whether the budget has room for one more retry or hedged request. At the edge of the window retries still
-    /// count and accepted queries no longer do, so that the limit holds for any window.
+    /// Reports whether the budget permits one more retry or hedged request. Exactly one window ago, retries still count
+    /// but accepted queries no longer do, so that the limit holds for every window.
     pub(super) fn has_retry_budget(&self) -> bool {
         let Some(budget) = &self.config.retry_budget else {
             return true;
--- a/crates/linenthread-core/src/policy/score.rs
+++ b/crates/linenthread-core/src/policy/score.rs
@@ -1,5 +1,5 @@
-//! The score of each replica, updated on a timer. The lower the better: the median response time relative to
-//! the largest one, plus penalties for failures, silence and a late probe.
+//! Updates the score of each replica on a timer. Lower is better: a score is the median response time relative to the
+//! largest one, plus penalties for failures, missing responses and a late probe.
 
 use super::Coordinator;
 use super::windows::{
@@ -10,62 +10,62 @@
 use crate::interface::TenthMillis;
 use crate::state::{Observations, Replica};
 
-/// How much the mean of its zone weighs in a replica's median.
+/// The weight of the zone's mean in a replica's median.
 ///
-/// Unit: responses. Reason: a replica that has not responded yet counts as its zone does.
+/// Unit: responses. Reason: a replica that has not responded yet is rated like its zone.
 const ZONE_PRIOR: f64 = 1.0;
 
-/// How much the mean of the fleet weighs in a zone's median.
+/// The weight of the fleet's mean in a zone's median.
 ///
-/// Unit: responses. Reason: a zone that has responded seldom counts as the fleet does.
+/// Unit: responses. Reason: a zone with few responses is rated like the fleet.
 const FLEET_PRIOR: f64 = 4.0;
 
-/// What each attempt in flight from here, beyond the average, adds to a replica's median.
+/// The increase of a replica's median for each attempt in flight from here above the average.
 ///
-/// Unit: share of the median. Reason: response times show a burst only once it has been served.
+/// Unit: share of the median. Reason: response times reflect a burst only after it has been served.
 const LOAD_PER_ATTEMPT: f64 = 1.0;
 
-/// What each sub-request that a replica reports as queued adds to its median.
+/// The increase of a replica's median for each sub-request that it reports as queued.
 ///
-/// Unit: share of the median. Reason: reports are older than what is counted here, so they count half.
+/// Unit: share of the median. Reason: reports are older than the local count of attempts, so they count half.
 const LOAD_PER_QUEUED: f64 = 0.5;
 
-/// What a replica that only fails has added to its score.
+/// The penalty added to the score of a replica whose attempts all fail.
 ///
 /// Unit: score (the slowest median counts 1). Reason: it has to score far worse than the slowest replica that responds.
 const SEVERITY: f64 = 8.0;
 
-/// What is added to the score of a replica that has not responded to a probe in time.
+/// The penalty added to the score of a replica that has not responded to a probe in time.
 ///
-/// Unit: score. Reason: between the slowest median, which counts 1, and a replica that only fails.
+/// Unit: score. Reason: between the slowest median, which counts 1, and a replica whose attempts all fail.
 const LATE_PROBE: f64 = 4.0;
 
-/// How much slower observations decay at most where few responses come from each replica.
+/// The maximum factor by which the decay of observations slows down where there are few responses per replica.
 ///
-/// Unit: factor. Reason: observations older than half a minute say nothing of a replica's present.
+/// Unit: factor. Reason: observations older than half a minute say nothing about a replica's current state.
 const MAX_TIME_CONSTANT_FACTOR: f64 = 10.0;
 
-/// The weight of one more update in a smoothed value.
+/// The weight of each update in an exponentially smoothed value.
 ///
-/// Unit: share. Reason: the value then follows within about a reset interval.
+/// Unit: share. Reason: the value then follows changes within about a reset interval.
 pub(super) const SMOOTHING: f64 = SCORE_INTERVAL as f64 / RESET_INTERVAL as f64;
 
-/// What all scores of one update are relative to. Times are in tenths of a millisecond.
+/// Values that all scores of one update are relative to. Times are in tenths of a millisecond.
 struct Baseline {
     now: TenthMillis,
-    /// A response time from which on attempts are slow.
+    /// The response time from which attempts are slow.
     slow: f64,
-    /// The lowest recent median: a queued sub-request takes no less.
+    /// The lowest recent median, used as the minimum service time of a queued sub-request.
     lowest_median: f64,
     /// The mean logarithm of all response times.
     fleet_mean: f64,
-    /// The largest median of a replica that is ready.
+    /// The largest median among the ready replicas.
     largest_median: f64,
 }
 
 impl Baseline {
-    /// The median response time of a replica. One that has responded seldom is given mostly its zone's average, and a
-    /// zone that has mostly the fleet's.
+    /// Returns the median response time of a replica. With few responses it is mainly the average of its zone, and that
+    /// of a zone with few responses mainly the average of the fleet.
     fn median(&self, replica: &Observations, zone: &Observations) -> f64 {
         let zone_mean = zone
             .log_latencies
@@ -76,7 +76,7 @@
             .exp()
     }
 
-    /// Updates the score of a replica. `usual_in_flight` is what replicas have in flight on average.
+    /// Updates the score of a replica. `usual_in_flight` is the average number of attempts in flight per replica.
     fn score(&self, replica: &mut Replica, zone: &Observations, usual_in_flight: f64) {
         let queued = replica.estimated_queue(self.now, FRESH_REPORT, self.lowest_median);
         let in_flight = f64::from(replica.in_flight);
@@ -89,7 +89,8 @@
             + self.probe_penalty(replica);
     }
 
-    /// How long the replica has been silent, beyond a slow response time, in units of the largest median.
+    /// Returns the penalty for missing responses: the time since the last response beyond a slow response time, in
+    /// units of the largest median.
     fn silence_penalty(&self, replica: &Replica) -> f64 {
         let silent = if replica.in_flight > 0 {
             self.now - replica.last_response_at
@@ -99,8 +100,7 @@
         (silent as f64 - self.slow).max(0.0) / self.largest_median
     }
 
-    /// What is added while a probe of the replica is late. A report that was made after the probe was sent ends that,
-    /// too.
+    /// Returns the penalty for a late probe. It ends with the probe, or with a report made after the probe was sent.
     fn probe_penalty(&self, replica: &Replica) -> f64 {
         replica
             .probe_sent_at
@@ -109,8 +109,8 @@
     }
 }
 
-/// The share of failures. Stalled attempts count as failures before their time-outs say so, which finds a replica
-/// that hangs; one imagined response keeps a single failure from deciding.
+/// Returns the share of failures. Stalled attempts count as failures before they time out, which detects hanging
+/// replicas. One added response prevents a single failure from dominating.
 fn severity(replica: &Replica, zone: &Observations) -> f64 {
     let stalled = f64::from(replica.stalled);
     let failures = &replica.observations.failures;
@@ -119,7 +119,7 @@
 }
 
 impl Coordinator {
-    /// Updates the scores, once an interval.
+    /// Updates the scores if they are due.
     pub(super) fn update_scores(&mut self) {
         if self.now < self.timers.next_score {
             return;
@@ -141,7 +141,7 @@
         self.replicas.iter().filter(|replica| replica.is_ready())
     }
 
-    /// Replicas are remembered for about [`REMEMBERED_RESPONSES`] responses each.
+    /// Sets the time constant so that about [`REMEMBERED_RESPONSES`] responses of each replica are retained.
     fn update_time_constant(&mut self, ready_count: f64) {
         let fleet = &mut self.fleet;
         fleet.log_latencies.decay(self.now, RECENT);
@@ -185,8 +185,8 @@
         }
     }
 
-    /// Attempts in flight at the average replica that a zone's replicas are compared with. While a table routes
-    /// by zone, one has more in flight than others only beside those of its own zone.
+    /// Returns the average number of attempts in flight that a zone's replicas are compared with. While a routing table
+    /// is in use, they are compared only with replicas of the same zone.
     fn usual_in_flight(&self, zone: usize) -> f64 {
         let compares_zones = self.zone_routes.is_empty();
         let in_flight = || {
@@ -197,7 +197,7 @@
         in_flight().sum::<f64>() / in_flight().count() as f64
     }
 
-    /// Forgets the observations of replicas, not those of zones.
+    /// Clears the observations of replicas, but not those of zones.
     fn reset_observations(&mut self) {
         let interval = RESET_INTERVAL as f64 * self.fleet.time_constant / RECENT;
         self.timers.next_reset = self.now + to_tenth_millis(interval);
--- a/crates/linenthread-core/src/policy/send_guard.rs
+++ b/crates/linenthread-core/src/policy/send_guard.rs
@@ -1,18 +1,18 @@
-//! Whether an attempt may be sent at all. Every attempt passes [`Coordinator::may_send`], and nothing else
-//! holds the rules.
+//! Decides whether an attempt may be sent at all. Every attempt must pass [`Coordinator::may_send`]; the rules exist
+//! only here.
 
 use super::Coordinator;
 use super::resolution::abandon_at;
 use crate::interface::{Idempotency, ReplicaIndex, TenthMillis};
 use crate::state::{Outage, Query, SubRequest};
 
-/// After an outage of this length attempts may try a replica that no probe has reached.
+/// The length of an outage after which attempts may be sent to a replica that no probe has reached.
 ///
-/// Unit: 0.1 ms (3 s). Reason: it may be a replica that fails probes only.
+/// Unit: 0.1 ms (3 s). Reason: the replica may fail only probes.
 pub(super) const OUTAGE_TRIAL: TenthMillis = 30_000;
 
 impl Coordinator {
-    /// Whether an attempt may be sent to a replica.
+    /// Reports whether an attempt may be sent to a replica.
     pub(super) fn may_send(
         &self,
         query: &Query,
@@ -23,7 +23,7 @@
             && self.may_replace(query, sub_request, replica)
     }
 
-    /// Whether an attempt may be sent to a replica once another attempt in flight has been cancelled.
+    /// Reports whether an attempt may be sent to a replica once another attempt in flight has been cancelled.
     pub(super) fn may_replace(
         &self,
         query: &Query,
@@ -46,8 +46,8 @@
         replica.is_ready() || replica.is_last_resort(self.now)
     }
 
-    /// Whether sending the sub-request to the replica is in vain: the replica is down up to the moment at which the
-    /// query is abandoned, or the attempt is a retry whose response is expected after that moment.
+    /// Reports whether sending the sub-request to the replica would be useless: either the replica stays down until the
+    /// query is abandoned, or the attempt is a retry whose response is expected after that time.
     pub(super) fn is_out_of_reach(
         &self,
         query: &Query,
@@ -56,9 +56,9 @@
     ) -> bool {
         let replica = &self.replicas[replica_index];
         let abandon_at = abandon_at(query, self.index_config(query));
-        // With probes, an attempt may try a replica whose outage has lasted long enough, even if no probe reached it:
-        // that may come before the query is abandoned. Without probes only an attempt can find that a replica is back,
-        // so waiting would show nothing, and the replica counts as it is now.
+        // With probes, a trial attempt may be sent to a replica whose outage has lasted long enough, even if no probe
+        // has reached it, and that may happen before the query is abandoned. Without probes, only an attempt can detect
+        // that a replica has recovered, so waiting reveals nothing and only the replica's current state counts.
         let checked_at = if self.config.permissions.health_probes {
             abandon_at
         } else {
@@ -69,9 +69,9 @@
         stays_down || is_retry && replica.expected_latency > (abandon_at - self.now) as f64
     }
 
-    /// Whether attempts may be sent to the replica at a moment: it is up, or its outage has lasted long enough for an
-    /// attempt to try it. Where no probes are permitted attempts try it one at a time, soon and then less and less
-    /// often.
+    /// Reports whether attempts may be sent to the replica at a given time: it is up, or its outage has lasted long
+    /// enough for a trial attempt. Where probes are not permitted, trial attempts are sent one at a time, at increasing
+    /// intervals.
     pub(super) fn is_up(&self, replica_index: ReplicaIndex, at: TenthMillis) -> bool {
         let replica = &self.replicas[replica_index];
         let may_be_tried = |outage: Outage| {
@@ -84,7 +84,7 @@
         replica.outage.is_none_or(may_be_tried)
     }
 
-    /// Whether the idempotency of its index lets a sub-request be sent, after what became of its attempts.
+    /// Reports whether the idempotency of the search index permits another attempt, given the outcomes of earlier ones.
     pub(super) fn may_run_again(&self, query: &Query, sub_request: &SubRequest) -> bool {
         match self.index_config(query).idempotency {
             Idempotency::Idempotent => true,
--- a/crates/linenthread-core/src/policy/sending.rs
+++ b/crates/linenthread-core/src/policy/sending.rs
@@ -1,4 +1,4 @@
-//! How an attempt is sent, and when idle connections are closed first.
+//! Sends an attempt, and closes idle connections first if they tend to fail.
 
 use super::Coordinator;
 use super::resolution::abandon_at;
@@ -6,18 +6,18 @@
 use crate::interface::{DecisionSink, QueryIndex, ReplicaIndex, SubRequestIndex, TenthMillis};
 use crate::state::{Attempt, ConnectionUse};
 
-/// A connection is idle after this time without use.
+/// The time without use after which a connection counts as idle.
 ///
-/// Unit: 0.1 ms (750 ms). Reason: what drops connections unnoticed does so to those that are not used.
+/// Unit: 0.1 ms (750 ms). Reason: connections that are dropped without notice are those that are not in use.
 const IDLE_AFTER: TenthMillis = 7_500;
 
-/// Idle connections are closed before use where they fail more often than others by this.
+/// Idle connections are closed before use if their failure rate exceeds that of other connections by more than this.
 ///
-/// Unit: share of attempts. Reason: a smaller difference is chance, and closing costs a handshake for each attempt.
+/// Unit: share of attempts. Reason: smaller differences are random, and closing costs a handshake for each attempt.
 const IDLE_FAILURE_MARGIN: f64 = 0.08;
 
 impl Coordinator {
-    /// Sends an attempt of a sub-request, if a replica may take it.
+    /// Sends an attempt of a sub-request if a replica is available for it.
     pub(super) fn send_attempt(
         &mut self,
         query_index: QueryIndex,
@@ -45,7 +45,7 @@
         sink.send(query_index, sub_request_index, replica_index, timeout);
     }
 
-    /// Counts an attempt that is about to be sent towards each budget that it uses up.
+    /// Counts an attempt about to be sent against each budget that it uses.
     fn count_attempt(
         &mut self,
         query_index: QueryIndex,
@@ -67,8 +67,8 @@
         }
     }
 
-    /// Closes the idle connections to a replica where such connections fail. Returns which connection the attempt will
-    /// be sent on.
+    /// Closes the idle connections to a replica if such connections tend to fail. Returns the kind of connection that
+    /// the attempt will use.
     fn prepare_connection(
         &self,
         replica_index: ReplicaIndex,
--- a/crates/linenthread-core/src/policy/slow_start.rs
+++ b/crates/linenthread-core/src/policy/slow_start.rs
@@ -1,26 +1,26 @@
-//! How many attempts a replica gets that has just started.
+//! Limits the attempts sent to a replica that has recently started.
 
 use super::Coordinator;
 use crate::conversion::to_u64;
 use crate::interface::ReplicaIndex;
 
-/// How much is used of the slow-start budget.
+/// The usable part of the slow-start budget.
 ///
-/// Unit: share of the budget. Reason: the capacity that it is a multiple of is estimated.
+/// Unit: share of the budget. Reason: the capacity that the budget is a multiple of is an estimate.
 const BUDGET_USE: f64 = 0.8;
 
-/// Where co-ordinators take turns, their turns come often enough that this share of them is used.
+/// Where co-ordinators take turns, turns are frequent enough for this share of them to be used.
 ///
-/// Unit: share of turns. Reason: a co-ordinator that sees little seldom has an attempt for the replica in its turn.
+/// Unit: share of turns. Reason: a co-ordinator with little traffic seldom has an attempt for the replica in its turn.
 const USED_TURNS: f64 = 0.5;
 
-/// How much more often turns come at most.
+/// The maximum factor by which turns become more frequent.
 ///
-/// Unit: factor. Reason: turns that coincide all use the budget.
+/// Unit: factor. Reason: co-ordinators whose turns coincide all use the budget.
 const MAX_TURN_FACTOR: f64 = 2.0;
 
 impl Coordinator {
-    /// The share of its full capacity that a replica has while it is in slow start; `None` once it is warm.
+    /// Returns the share of its full capacity that a replica has during slow start; `None` once it is warm.
     pub(super) fn slow_start_capacity(&self, replica: ReplicaIndex) -> Option<f64> {
         let slow_start = &self.config.slow_start;
         let age = self.now - self.replicas[replica].started_at()?;
@@ -30,8 +30,8 @@
         })
     }
 
-    /// Whether a replica's slow-start budget has room for one more attempt: this co-ordinator's share of the
-    /// budget, from what warm replicas serve from here.
+    /// Reports whether a replica's slow-start budget permits one more attempt. The budget is this co-ordinator's share,
+    /// derived from what warm replicas serve for it.
     pub(super) fn has_slow_start_budget(&self, replica_index: ReplicaIndex) -> bool {
         let Some(capacity_share) = self.slow_start_capacity(replica_index) else {
             return true;
@@ -52,19 +52,20 @@
         }
     }
 
-    /// Whether this co-ordinator may use the replica's budget in the present window.
+    /// Reports whether this co-ordinator may use the replica's budget in the current window.
     ///
-    /// Where its budget is less than one attempt in each window, it has one attempt in each 1 / `budget` windows,
-    /// counted from the replica's start; the co-ordinators take turns. A co-ordinator with little traffic often has no
-    /// attempt for the replica in its turn, so its turns come up to [`MAX_TURN_FACTOR`] times as often, though some of
-    /// them then coincide with others': else most of the budget would be left unused.
+    /// If the budget is less than one attempt per window, this co-ordinator may send one attempt in every 1 / `budget`
+    /// windows, counted from the replica's start, and the co-ordinators take turns. A co-ordinator with little traffic
+    /// often has no attempt for the replica in its turn, which would leave most of the budget unused. Its turns are
+    /// therefore up to [`MAX_TURN_FACTOR`] times as frequent, although some of them then coincide with those of others.
     fn is_turn(&self, replica_index: ReplicaIndex, budget: f64) -> bool {
         let replica = &self.replicas[replica_index];
         let age = self.now - replica.started_at().unwrap_or(0);
         let used_share = 1.0 - (-self.fleet.sent_per_window).exp();
         let budget = budget * (USED_TURNS / used_share).clamp(1.0, MAX_TURN_FACTOR);
         let window = self.config.slow_start.window.max(1);
-        // A start that service discovery dates in the future is before window 0; the turns go on by wrapping round.
+        // If service discovery reports a start in the future, the window is negative; the turns continue by wrapping
+        // around.
         let turn = (age / window).cast_unsigned()
             + self.config.coordinator_number as u64
             + replica.entry.id;
--- a/crates/linenthread-core/src/policy/windows.rs
+++ b/crates/linenthread-core/src/policy/windows.rs
@@ -1,58 +1,59 @@
-//! Constants that several decisions share. Times are in tenths of a millisecond.
+//! Constants shared by several decisions. Times are in tenths of a millisecond.
 
 use crate::interface::TenthMillis;
 
-/// The time from one update of the scores to the next.
+/// The interval between updates of the scores.
 ///
-/// Unit: 0.1 ms (5 ms). Reason: far below a response time, so decisions rest on current scores.
+/// Unit: 0.1 ms (5 ms). Reason: far below a response time, so decisions are based on current scores.
 pub(super) const SCORE_INTERVAL: TenthMillis = 50;
 
-/// The time after which observations of replicas are forgotten.
+/// The interval at which observations of replicas are cleared.
 ///
 /// Unit: 0.1 ms (10 s). Reason: a replica that is avoided is not observed, so without a reset it would stay avoided.
 pub(super) const RESET_INTERVAL: TenthMillis = 100_000;
 
-/// The time constant of recent observations: within it, one loses most of its weight.
+/// The decay time constant of short-term observations; an observation loses most of its weight within this time.
 ///
 /// Unit: 0.1 ms (3 s). Reason: long enough to estimate a spread, short enough to follow a fault.
 pub(super) const RECENT: f64 = 30_000.0;
 
-/// The time constant of what is compared over a longer time, such as the queries of each customer.
+/// The decay time constant of values compared over a longer time, such as the queries of each customer.
 ///
 /// Unit: 0.1 ms (9 s). Reason: a single customer or index has too few queries within `RECENT`.
 pub(super) const LONG_TERM: f64 = 3.0 * RECENT;
 
-/// The time constant with which crashes and failures of connections are remembered.
+/// The decay time constant of crashes and connection failures.
 ///
-/// Unit: 0.1 ms (20 s). Reason: these are rare, and acting on them again costs replicas.
+/// Unit: 0.1 ms (20 s). Reason: these are rare, and detecting them again costs replicas.
 pub(super) const CRASH_MEMORY: f64 = 200_000.0;
 
-/// With less weight than this left, nothing counts as observed.
+/// The decayed weight up to which a value counts as not observed.
 ///
-/// Unit: observations. Reason: a mean of a few old remainders says nothing of the present.
+/// Unit: observations. Reason: a mean of a few decayed observations says nothing about the current state.
 pub(super) const MIN_WEIGHT: f64 = 0.1;
 
-/// How many responses of a replica are remembered, about.
+/// The approximate number of responses of each replica that are retained.
 ///
-/// Unit: responses. Reason: a memory by number holds as much where a replica is seen seldom.
+/// Unit: responses. Reason: retention by number keeps as many responses for a replica with little traffic.
 pub(super) const REMEMBERED_RESPONSES: f64 = 6.0;
 
-/// The age up to which a report of a replica is fresh, and the time constant with which it decays.
+/// The age up to which a replica's report is considered fresh, and the decay time constant of the report.
 ///
-/// Unit: 0.1 ms (1 s). Reason: the queue that an older report told of has mostly been served.
+/// Unit: 0.1 ms (1 s). Reason: the queue in an older report has mostly been served.
 pub(super) const FRESH_REPORT: f64 = 10_000.0;
 
-/// The time for which a probe is waited for.
+/// The time after which a probe is late and no longer waited for.
 ///
-/// Unit: 0.1 ms (25 ms). Reason: a query's first attempts may wait for it, so it has to be a small part of a deadline.
+/// Unit: 0.1 ms (25 ms). Reason: a query's first attempts may wait for probes, which may cost only a small part of a
+/// deadline.
 pub(super) const PROBE_TIMEOUT: TenthMillis = 250;
 
-/// How far a sum of sub-requests' weights may be from exact.
+/// The rounding error of a sum of sub-requests' weights.
 ///
 /// Unit: share of a query's weight. Reason: weights arrive as rounded shares, so all of them may sum to less than 1.
 pub(super) const WEIGHT_ROUNDING: f64 = 0.0001;
 
-/// A response time this many standard deviations above the mean is slow.
+/// The number of standard deviations above the mean at which a response time is slow.
 ///
 /// Unit: standard deviations of the logarithm. Reason: about one response in forty takes longer.
 pub(super) const SLOW_DEVIATIONS: f64 = 2.0;
