--- a/crates/linenthread-core/src/policy/admission.rs
+++ b/crates/linenthread-core/src/policy/admission.rs
@@ -4,7 +4,7 @@
 //! Each query is evaluated once; an admitted query is not rejected here later.
 
 use super::Coordinator;
-use super::windows::{FRESH_REPORT, LONG_TERM, MIN_WEIGHT, RECENT};
+use super::windows::{LONG_TERM, MIN_WEIGHT, REPORT_LIFETIME, SHORT_TERM};
 use crate::conversion::to_count;
 use crate::interface::{
     AbandonCause, IndexConfig, QueryIndex, ReplicaIndex, SearchIndex, ValueGrowth,
@@ -14,22 +14,22 @@
 /// The number of observations that the prior counts for in the estimate of delays.
 ///
 /// Unit: sub-requests. Reason: the first few delays after a start must not determine admission on their own.
-const USUAL_DELAY_WEIGHT: f64 = 6.0;
+const PRIOR_DELAY_WEIGHT: f64 = 6.0;
 
 /// The prior delay of a sub-request.
 ///
 /// Unit: share of the shortest soft deadline. Reason: an index whose sub-requests take much longer could not meet it.
-const USUAL_DELAY_SHARE: f64 = 0.2;
+const PRIOR_DELAY_SHARE: f64 = 0.2;
 
 /// The standard deviation of the prior delay.
 ///
 /// Unit: deviation of the natural logarithm. Reason: used until a spread has been observed.
-const USUAL_LOG_DEVIATION: f64 = 0.6;
+const PRIOR_LOG_DEVIATION: f64 = 0.6;
 
 /// The part of the remaining time within which a query's slowest sub-request must be expected to finish.
 ///
 /// Unit: share of the remaining time. Reason: the expectation is a mean, so slower responses need a margin.
-const IN_TIME_SHARE: f64 = 0.75;
+const MAX_DELAY_SHARE: f64 = 0.75;
 
 /// The exponent applied to a shard's slowdown where replicas do not report their queues.
 ///
@@ -126,7 +126,7 @@
         self.record_size(query_index);
         let pressure = self.pressure(self.open_query(query_index), &delays, slowdown);
         let cost = self.query_cost(query_index);
-        if self.draws_late_rejection(pressure, &cost) {
+        if self.rejects_as_late(pressure, &cost) {
             return Some(AbandonCause::ExpectedLate);
         }
         let limit_factor = self.limit_factor(&cost);
@@ -137,7 +137,7 @@
     /// Decides at random whether a query is rejected because it is expected late. The probability increases with the
     /// pressure and with the query's relative cost. No query is rejected where replicas keep their queues short,
     /// because no backlog delays its sub-requests there.
-    fn draws_late_rejection(&mut self, pressure: f64, cost: &QueryCost) -> bool {
+    fn rejects_as_late(&mut self, pressure: f64, cost: &QueryCost) -> bool {
         !self.config.short_queues
             && self.rng.rand_float() > pressure.powf(ADMISSION_EXPONENT * cost.relative)
     }
@@ -157,7 +157,7 @@
 
     fn decay_admission_statistics(&mut self) {
         let now = self.now;
-        self.fleet.log_delays.decay(now, RECENT);
+        self.fleet.log_delays.decay(now, SHORT_TERM);
         self.fleet.costs.decay(now, LONG_TERM);
         for queries in &mut self.fleet.customer_queries {
             queries.decay(now, LONG_TERM);
@@ -175,11 +175,11 @@
         let Distribution { mean, deviation } =
             log_delays.distribution(MIN_WEIGHT).unwrap_or_default();
         // The weight of the observed delays against the prior.
-        let observed = log_delays.weight / (log_delays.weight + USUAL_DELAY_WEIGHT);
-        let usual = (USUAL_DELAY_SHARE * self.min_soft_deadline).ln();
+        let observed = log_delays.weight / (log_delays.weight + PRIOR_DELAY_WEIGHT);
+        let prior = (PRIOR_DELAY_SHARE * self.min_soft_deadline).ln();
         DelayEstimate {
-            log_mean: observed * mean + (1.0 - observed) * usual,
-            log_deviation: observed * deviation + (1.0 - observed) * USUAL_LOG_DEVIATION,
+            log_mean: observed * mean + (1.0 - observed) * prior,
+            log_deviation: observed * deviation + (1.0 - observed) * PRIOR_LOG_DEVIATION,
         }
     }
 
@@ -188,11 +188,15 @@
     /// not count.
     fn shard_slowdown(&self, query: &Query, delays: &DelayEstimate) -> f64 {
         let latency = |replica: ReplicaIndex| self.replicas[replica].expected_latency;
-        let quickest = |sub_request: &SubRequest| {
+        let fastest_latency = |sub_request: &SubRequest| {
             let latencies = self.shard_replicas(query, sub_request).map(latency);
             latencies.min_by(f64::total_cmp)
         };
-        let mut expected: Vec<f64> = query.sub_requests.iter().filter_map(quickest).collect();
+        let mut expected: Vec<f64> = query
+            .sub_requests
+            .iter()
+            .filter_map(fastest_latency)
+            .collect();
         expected.sort_by(f64::total_cmp);
         let min_share = self.index_config(query).min_share;
         let needed = to_count((min_share * expected.len() as f64).ceil());
@@ -218,7 +222,7 @@
             Some(delays.of_query(size.mean(MIN_WEIGHT)?, index) / index.soft_deadline as f64)
         };
         let indexes = self.fleet.query_sizes.iter().zip(&self.config.indexes);
-        indexes.filter_map(of_index).fold(of_this_query, f64::max) / IN_TIME_SHARE
+        indexes.filter_map(of_index).fold(of_this_query, f64::max) / MAX_DELAY_SHARE
     }
 
     /// Reports whether a customer recently sent clearly more than its share of the queries received here. The share is
@@ -292,7 +296,7 @@
             let replica = &self.replicas[replica];
             excess += replica.pending() - limit_factor * self.fleet.max_in_flight_per_replica;
             shortest_queue = replica
-                .estimated_queue(self.now, FRESH_REPORT, lowest_median)
+                .estimated_queue(self.now, REPORT_LIFETIME, lowest_median)
                 .min(shortest_queue);
         }
         let max_queue = limit_factor * self.min_soft_deadline / lowest_median;
--- a/crates/linenthread-core/src/policy/attempt_result.rs
+++ b/crates/linenthread-core/src/policy/attempt_result.rs
@@ -1,8 +1,8 @@
 //! Evaluates an attempt's outcome for its replica, its zone and the fleet.
 
 use super::Coordinator;
-use super::send_guard::OUTAGE_TRIAL;
-use super::windows::{CRASH_MEMORY, MIN_WEIGHT, RECENT};
+use super::send_guard::OUTAGE_TRIAL_DELAY;
+use super::windows::{CRASH_TIME_CONSTANT, MIN_WEIGHT, SHORT_TERM};
 use crate::interface::{
     AttemptOutcome, AttemptResult, DecisionSink, QueryIndex, ReplicaIndex, TenthMillis,
 };
@@ -11,12 +11,12 @@
 /// The initial delay before a trial attempt to a replica that is down, where probes are not permitted.
 ///
 /// Unit: 0.1 ms (250 ms). Reason: without probes, only attempts can detect a recovery; the delay grows with the outage.
-const FIRST_TRIAL: TenthMillis = 2_500;
+const INITIAL_TRIAL_DELAY: TenthMillis = 2_500;
 
 /// The longest such delay.
 ///
 /// Unit: 0.1 ms (3 s). Reason: the same as where probes are permitted but fail.
-const MAX_TRIAL_WAIT: TenthMillis = OUTAGE_TRIAL;
+const MAX_TRIAL_DELAY: TenthMillis = OUTAGE_TRIAL_DELAY;
 
 /// The number of additional hedged requests permitted after a hedged request responded first.
 ///
@@ -36,7 +36,7 @@
 
 impl AttemptObservation {
     /// Reports whether the attempt was cancelled or timed out before the replica responded.
-    fn was_cut_short(&self) -> bool {
+    fn was_interrupted(&self) -> bool {
         matches!(
             self.outcome,
             AttemptOutcome::TimedOut | AttemptOutcome::Cancelled
@@ -51,7 +51,7 @@
             // A dropped idle connection fails when it is used; a new connection fails when it is established.
             (AttemptOutcome::ConnectionLost, ConnectionUse::Idle)
             | (AttemptOutcome::ConnectFailed, ConnectionUse::Active) => Some(1.0),
-            _ if self.was_cut_short() && self.elapsed >= self.slow => Some(1.0),
+            _ if self.was_interrupted() && self.elapsed >= self.slow => Some(1.0),
             _ => None,
         }
     }
@@ -114,7 +114,7 @@
             ConnectionUse::Active => &mut self.fleet.active_connection_failures,
             ConnectionUse::Unknown => return,
         };
-        failures.record(self.now, CRASH_MEMORY, failure);
+        failures.record(self.now, CRASH_TIME_CONSTANT, failure);
     }
 
     /// Records the delay of the sub-request, or the time it was waited for. The delay counts from the first attempt,
@@ -126,10 +126,10 @@
         }
         let sub_request = &self.open_query(result.query).sub_requests[result.sub_request];
         let is_response = observed.outcome == AttemptOutcome::Success;
-        let was_last_cut_short = sub_request.in_flight() == 0 && observed.was_cut_short();
-        if !sub_request.succeeded && (is_response || was_last_cut_short) {
+        let was_last_interrupted = sub_request.in_flight() == 0 && observed.was_interrupted();
+        if !sub_request.succeeded && (is_response || was_last_interrupted) {
             let age = (now - sub_request.attempts[0].sent_at).max(1) as f64;
-            self.fleet.log_delays.record(now, RECENT, age.ln());
+            self.fleet.log_delays.record(now, SHORT_TERM, age.ln());
         }
     }
 
@@ -138,7 +138,7 @@
     fn record_rejection(&mut self, replica: ReplicaIndex) {
         let (now, time_constant) = (self.now, self.fleet.time_constant);
         let log_deadline = self.min_soft_deadline.ln();
-        self.fleet.log_delays.record(now, RECENT, log_deadline);
+        self.fleet.log_delays.record(now, SHORT_TERM, log_deadline);
         let replica = &mut self.replicas[replica];
         replica.last_resort_until = now;
         let log_latencies = &mut replica.observations.log_latencies;
@@ -151,7 +151,7 @@
         observed: &AttemptObservation,
         sink: &mut impl DecisionSink,
     ) {
-        self.credit_hedge_that_won(result, observed);
+        self.credit_winning_hedge(result, observed);
         self.mark_succeeded(result);
         let replica = &mut self.replicas[observed.replica];
         replica.last_response_at = self.now;
@@ -161,7 +161,7 @@
         self.record_latency(observed.replica, log_latency);
         self.fleet
             .log_latencies
-            .record(self.now, RECENT, log_latency);
+            .record(self.now, SHORT_TERM, log_latency);
         let query = self.open_query(result.query);
         if self.config.permissions.cancellation && !query.is_finished() {
             let sub_request = &query.sub_requests[result.sub_request];
@@ -170,7 +170,7 @@
     }
 
     /// Permits more hedged requests if this one responded before the attempt that it hedged.
-    fn credit_hedge_that_won(&mut self, result: &AttemptResult, observed: &AttemptObservation) {
+    fn credit_winning_hedge(&mut self, result: &AttemptResult, observed: &AttemptObservation) {
         let query = self.open_query(result.query);
         let sub_request = &query.sub_requests[result.sub_request];
         let is_overtaken = |earlier: &Attempt| {
@@ -180,7 +180,7 @@
         if !sub_request.succeeded && earlier.any(is_overtaken) {
             self.fleet
                 .hedge_share
-                .credit(self.now, RECENT, HEDGES_PER_WIN);
+                .credit(self.now, SHORT_TERM, HEDGES_PER_WIN);
         }
     }
 
@@ -198,13 +198,13 @@
     /// Records the elapsed time of an attempt that ended early as a lower bound of its response time. This is
     /// meaningful only if the attempt had already taken longer than usual.
     fn record_lower_bound(&mut self, observed: &AttemptObservation) {
-        let usual = self.replicas[observed.replica]
+        let log_median = self.replicas[observed.replica]
             .observations
             .log_latencies
             .mean(MIN_WEIGHT)
             .or(self.fleet.log_latencies.mean(MIN_WEIGHT));
         let log_elapsed = observed.elapsed.ln();
-        if usual.is_some_and(|log_median| log_elapsed > log_median) {
+        if log_median.is_some_and(|log_median| log_elapsed > log_median) {
             self.record_latency(observed.replica, log_elapsed);
         }
     }
@@ -267,7 +267,7 @@
         let retry_at = if self.config.permissions.health_probes {
             outage.retry_at
         } else {
-            now + (FIRST_TRIAL + (now - outage.since) / 4).min(MAX_TRIAL_WAIT)
+            now + (INITIAL_TRIAL_DELAY + (now - outage.since) / 4).min(MAX_TRIAL_DELAY)
         };
         replica.outage = Some(Outage { retry_at, ..outage });
     }
--- a/crates/linenthread-core/src/policy/dispatch.rs
+++ b/crates/linenthread-core/src/policy/dispatch.rs
@@ -2,7 +2,7 @@
 
 use super::Coordinator;
 use super::query_of_death::CrashEvidence;
-use super::windows::{CRASH_MEMORY, RECENT, WEIGHT_ROUNDING};
+use super::windows::{CRASH_TIME_CONSTANT, SHORT_TERM, WEIGHT_ROUNDING};
 use crate::conversion::to_u64;
 use crate::interface::{DecisionSink, QueryIndex, SubRequestIndex};
 use crate::state::{Attempt, Query, SubRequest};
@@ -21,7 +21,7 @@
 /// The time before the soft deadline from which requests are hedged.
 ///
 /// Unit: slow response times. Reason: a response earlier than the deadline requires gains nothing.
-const HEDGE_WITHIN: f64 = 2.5;
+const HEDGE_WINDOW: f64 = 2.5;
 
 /// Where a share of the sub-requests makes a complete response: the part of the remaining ones that is also sent at
 /// first.
@@ -46,16 +46,16 @@
     is_urgent: bool,
     /// The maximum share of hedged requests among all attempts.
     max_hedge_share: f64,
-    /// Whether a single sub-request is sent first, and the others once it has succeeded or is slow.
-    one_first: bool,
+    /// Whether a single sub-request is sent first, as a canary, and the others once it has succeeded or is slow.
+    canary_first: bool,
 }
 
 impl DispatchPlan {
     /// Reports whether a response to a sub-request is needed now. Sub-requests without an attempt are needed until
     /// enough weight has been sent.
-    fn wants(&self, sub_request: &SubRequest) -> bool {
-        let has_begun = !sub_request.attempts.is_empty();
-        sub_request.is_needed() && (has_begun || self.unsent_weight > WEIGHT_ROUNDING / 2.0)
+    fn needs_response_now(&self, sub_request: &SubRequest) -> bool {
+        let was_attempted = !sub_request.attempts.is_empty();
+        sub_request.is_needed() && (was_attempted || self.unsent_weight > WEIGHT_ROUNDING / 2.0)
     }
 
     /// Subtracts the weight of a first attempt, even if no replica can take the attempt now.
@@ -71,8 +71,8 @@
     /// slow ones.
     pub(super) fn send_missing(&mut self, query_index: QueryIndex, sink: &mut impl DecisionSink) {
         let now = self.now;
-        self.fleet.hedge_share.decay(now, RECENT);
-        self.fleet.crashes.decay(now, CRASH_MEMORY);
+        self.fleet.hedge_share.decay(now, SHORT_TERM);
+        self.fleet.crashes.decay(now, CRASH_TIME_CONSTANT);
         let Some(Some(query)) = self.queries.get(query_index.0) else {
             return;
         };
@@ -83,7 +83,7 @@
         let mut plan = self.dispatch_plan(query, slow);
         for sub_request_index in std::mem::take(&mut plan.order) {
             let sub_request = &self.open_query(query_index).sub_requests[sub_request_index];
-            if !plan.wants(sub_request) {
+            if !plan.needs_response_now(sub_request) {
                 continue;
             }
             plan.count_first_attempt(sub_request);
@@ -93,50 +93,50 @@
                 self.cancel_to_reissue(query_index, sub_request_index, sink);
             } else if in_flight == 0 || in_flight == 1 && is_hedge_due {
                 self.send_attempt(query_index, sub_request_index, sink);
-                if plan.one_first {
+                if plan.canary_first {
                     return;
                 }
             }
         }
     }
 
-    /// Reports whether sending is deferred, either because the query may be crashing replicas, or because its first
-    /// sub-request has neither succeeded nor exceeded a slow response time yet.
+    /// Reports whether sending is deferred, either because the query may be crashing replicas, or because its canary
+    /// has neither succeeded nor exceeded a slow response time yet.
     fn is_deferred(&self, query: &Query, slow: f64) -> bool {
         let mut attempts = query.sub_requests.iter().flat_map(|s| &s.attempts);
         self.may_be_query_of_death(query, CrashEvidence::Outage)
-            || self.sends_one_first(query)
+            || self.sends_canary_first(query)
                 && attempts.any(|attempt| attempt.is_in_flight_within(self.now, slow))
     }
 
     fn dispatch_plan(&self, query: &Query, slow: f64) -> DispatchPlan {
-        let missing = query.present_phase().iter().filter(|s| !s.succeeded);
-        let lacks_only_one = missing.count() <= 1;
+        let missing = query.current_phase().iter().filter(|s| !s.succeeded);
+        let at_most_one_missing = missing.count() <= 1;
         let mut plan = DispatchPlan {
             order: (query.phase_start..query.sub_requests.len())
                 .map(SubRequestIndex)
                 .collect(),
             unsent_weight: f64::INFINITY,
             slow,
-            is_urgent: (query.soft_deadline - self.now) as f64 <= HEDGE_WITHIN * slow,
-            max_hedge_share: if lacks_only_one {
+            is_urgent: (query.soft_deadline - self.now) as f64 <= HEDGE_WINDOW * slow,
+            max_hedge_share: if at_most_one_missing {
                 LAST_HEDGE_SHARE
             } else {
                 HEDGE_SHARE
             },
-            one_first: self.sends_one_first(query) && !query.is_in_flight(),
+            canary_first: self.sends_canary_first(query) && !query.is_in_flight(),
         };
         let complete_share = self.complete_share(query);
         if complete_share < 1.0 {
             // Sub-requests with the best replicas are sent first. Slow attempts no longer count as expected responses,
             // so more sub-requests are sent in their place.
-            let is_coming = |sub_request: &SubRequest| {
-                let is_quick = |attempt: &Attempt| attempt.is_in_flight_within(self.now, slow);
-                sub_request.succeeded || sub_request.attempts.iter().any(is_quick)
+            let is_expected_response = |sub_request: &SubRequest| {
+                let is_not_slow = |attempt: &Attempt| attempt.is_in_flight_within(self.now, slow);
+                sub_request.succeeded || sub_request.attempts.iter().any(is_not_slow)
             };
             plan.unsent_weight = (complete_share + EXTRA_SHARE * (1.0 - complete_share))
                 * query.phase_weight(|_| true)
-                - query.phase_weight(is_coming);
+                - query.phase_weight(is_expected_response);
             plan.order.sort_by_cached_key(|&sub_request_index| {
                 self.best_score(query, &query.sub_requests[sub_request_index])
             });
@@ -157,12 +157,12 @@
         let is_slow = |last: &Attempt| (self.now - last.sent_at) as f64 > plan.slow;
         sub_request.attempts.last().is_some_and(is_slow)
             && plan.is_urgent
-            && self.has_room_for_hedge(plan.max_hedge_share)
+            && self.permits_hedge(plan.max_hedge_share)
     }
 
     /// Reports whether the share of hedged requests among all attempts permits one more. A single hedged request is
     /// always permitted.
-    fn has_room_for_hedge(&self, max_share: f64) -> bool {
+    fn permits_hedge(&self, max_share: f64) -> bool {
         let share = &self.fleet.hedge_share;
         share.hedges() < max_share * share.attempts() + 1.0
     }
@@ -189,7 +189,7 @@
                 .all(|attempt| !attempt.reissued || !attempt.is_in_flight())
             && self.shard_replicas(query, sub_request).any(|replica| {
                 self.replicas[replica].outage.is_none()
-                    && self.may_replace(query, sub_request, replica)
+                    && self.may_send_after_cancellation(query, sub_request, replica)
             })
     }
 
@@ -207,6 +207,6 @@
         let oldest = oldest.expect("a sub-request is reissued only while an attempt is in flight");
         attempts[oldest].reissued = true;
         sink.cancel(query_index, sub_request_index, oldest);
-        self.fleet.hedge_share.add_reissue();
+        self.fleet.hedge_share.record_reissue();
     }
 }
--- a/crates/linenthread-core/src/policy/health_probe.rs
+++ b/crates/linenthread-core/src/policy/health_probe.rs
@@ -1,7 +1,9 @@
 //! Decides when replicas are probed, and evaluates the results of probes.
 
 use super::Coordinator;
-use super::windows::{CRASH_MEMORY, FRESH_REPORT, LONG_TERM, MIN_WEIGHT, PROBE_TIMEOUT, RECENT};
+use super::windows::{
+    CRASH_TIME_CONSTANT, LONG_TERM, MIN_WEIGHT, PROBE_TIMEOUT, REPORT_LIFETIME, SHORT_TERM,
+};
 use crate::conversion::to_tenth_millis;
 use crate::interface::{
     AttemptOutcome, DecisionSink, ProbeResult, QueryIndex, ReplicaIndex, TenthMillis,
@@ -20,8 +22,8 @@
 
 /// Replicas are probed before a query's first attempts if the time constant of their observations exceeds this.
 ///
-/// Unit: multiple of [`RECENT`]. Reason: observations are then too old to detect an unhealthy replica.
-const SELDOM_OBSERVED: f64 = 1.5;
+/// Unit: multiple of [`SHORT_TERM`]. Reason: observations are then too old to detect an unhealthy replica.
+const SPARSE_OBSERVATION_FACTOR: f64 = 1.5;
 
 /// Where replicas do not report their queues: the minimum share of queries that probe first.
 ///
@@ -49,7 +51,7 @@
             replica.suspected_crash = false;
             replica.crashed = result.outcome != AttemptOutcome::Success;
             let crash = f64::from(replica.crashed);
-            self.fleet.crashes.record(now, CRASH_MEMORY, crash);
+            self.fleet.crashes.record(now, CRASH_TIME_CONSTANT, crash);
         }
         match result.outcome {
             AttemptOutcome::Success => replica.on_response(now, result.queue_depth),
@@ -105,13 +107,13 @@
         let Some(Some(query)) = self.queries.get(query_index.0) else {
             return false;
         };
-        if !self.is_probed_first(query, max_wait) {
+        if !self.may_probe_first(query, max_wait) {
             return false;
         }
         if let Some(probed_at) = query.probed_at {
             return self.waits_for_probes(query, probed_at, max_wait);
         }
-        if !self.config.reports_queue && !self.draws_probing() {
+        if !self.config.reports_queue && !self.sample_probe_first() {
             return false;
         }
         self.probe_shard_replicas(query_index, sink)
@@ -119,10 +121,11 @@
 
     /// Reports whether a query may wait for probes: each replica is observed seldom, nothing of the query has been
     /// sent, and enough time is left.
-    fn is_probed_first(&self, query: &Query, max_wait: TenthMillis) -> bool {
-        let is_seldom_observed = self.fleet.time_constant > SELDOM_OBSERVED * RECENT;
+    fn may_probe_first(&self, query: &Query, max_wait: TenthMillis) -> bool {
+        let is_sparsely_observed =
+            self.fleet.time_constant > SPARSE_OBSERVATION_FACTOR * SHORT_TERM;
         let is_too_late = self.now + 2 * max_wait > query.hard_deadline;
-        is_seldom_observed
+        is_sparsely_observed
             && self.config.permissions.health_probes
             && query.stage == QueryStage::Arrived
             && !is_too_late
@@ -146,7 +149,7 @@
     }
 
     /// Decides at random whether this query probes first.
-    fn draws_probing(&mut self) -> bool {
+    fn sample_probe_first(&mut self) -> bool {
         let late_share = self.fleet.late_probes.mean(MIN_WEIGHT).unwrap_or(1.0);
         let probing_share = (PROBING_PER_LATE_PROBE * late_share).max(MIN_PROBING_SHARE);
         self.rng.rand_float() < probing_share
@@ -168,7 +171,7 @@
             .collect();
         replicas.retain(|&replica_index| {
             let replica = &mut self.replicas[replica_index];
-            let is_stale = (now - replica.last_report_at) as f64 > FRESH_REPORT;
+            let is_stale = (now - replica.last_report_at) as f64 > REPORT_LIFETIME;
             replica.outage.is_none() && is_stale && replica.probe_sent_at.replace(now).is_none()
         });
         for &replica_index in &replicas {
--- a/crates/linenthread-core/src/policy/latency.rs
+++ b/crates/linenthread-core/src/policy/latency.rs
@@ -24,8 +24,11 @@
     /// Reports whether an attempt has stalled: it is slow, and its replica has not responded to anything for twice that
     /// time. Stalled attempts are treated as lost before they time out.
     pub(super) fn is_stalled(&self, attempt: &Attempt, slow: f64) -> bool {
-        let silence = (self.now - self.replicas[attempt.replica].last_response_at) as f64;
-        attempt.is_in_flight() && (self.now - attempt.sent_at) as f64 > slow && silence > 2.0 * slow
+        let time_without_response =
+            (self.now - self.replicas[attempt.replica].last_response_at) as f64;
+        attempt.is_in_flight()
+            && (self.now - attempt.sent_at) as f64 > slow
+            && time_without_response > 2.0 * slow
     }
 
     /// Updates the number of stalled attempts at each replica.
--- a/crates/linenthread-core/src/policy/membership_update.rs
+++ b/crates/linenthread-core/src/policy/membership_update.rs
@@ -1,7 +1,7 @@
 //! Applies updates from service discovery.
 
 use super::Coordinator;
-use super::windows::CRASH_MEMORY;
+use super::windows::CRASH_TIME_CONSTANT;
 use crate::interface::{MembershipEntry, MembershipUpdate, Phase, TenthMillis};
 use crate::state::{Observations, Replica};
 
@@ -88,7 +88,7 @@
             // A new process: observations of the old one do not apply to it.
             replica.observations = Observations::default();
             replica.outage = None;
-            replica.returned_at = None;
+            replica.restarted_at = None;
         }
         let was_ready = replica.is_ready();
         // A replica that leaves on purpose drains first. A complete list is no evidence of a crash, since it may have
@@ -96,7 +96,9 @@
         let left_without_draining = was_ready && entry.phase == Phase::Removed;
         let counts_crashes = self.config.permissions.health_probes && scope == UpdateScope::Changes;
         if counts_crashes && left_without_draining {
-            self.fleet.crashes.record(self.now, CRASH_MEMORY, 1.0);
+            self.fleet
+                .crashes
+                .record(self.now, CRASH_TIME_CONSTANT, 1.0);
         }
         if was_ready {
             replica.last_resort_until = self.now + grace;
--- a/crates/linenthread-core/src/policy/mod.rs
+++ b/crates/linenthread-core/src/policy/mod.rs
@@ -35,7 +35,7 @@
 //! | rejected or failed, [`DeadlineExceeded`](AbandonCause::DeadlineExceeded) | `resolution`: `abandon_at` |
 //! | rejected or failed, [`QueryOfDeath`](AbandonCause::QueryOfDeath) | `query_of_death`: `may_be_query_of_death` |
 //! | rejected or failed, [`Unanswerable`](AbandonCause::Unanswerable) | `resolution`: `is_unanswerable` |
-//! | rejected, [`ExpectedLate`](AbandonCause::ExpectedLate) | `admission`: `draws_late_rejection` |
+//! | rejected, [`ExpectedLate`](AbandonCause::ExpectedLate) | `admission`: `rejects_as_late` |
 //! | rejected, [`Saturated`](AbandonCause::Saturated) | `admission`: `is_saturated` |
 //! | failed rather than rejected | `resolution`: `abandon` |
 //! | retried, or not | `dispatch`: `send_missing`; `send_guard`: `may_send`; `retry_budget` |
--- a/crates/linenthread-core/src/policy/natural_replica.rs
+++ b/crates/linenthread-core/src/policy/natural_replica.rs
@@ -37,7 +37,7 @@
 
 /// Reports whether an earlier attempt rules out its replica for the sub-request. An attempt in flight does; one that
 /// succeeded does not, because continuations go to the same replica.
-fn speaks_against_replica(attempt: &Attempt) -> bool {
+fn rules_out_replica(attempt: &Attempt) -> bool {
     attempt.outcome != Some(AttemptOutcome::Success)
 }
 
@@ -88,7 +88,7 @@
         sub_request
             .attempts
             .last()
-            .is_some_and(|last| speaks_against_replica(last) && self.now < last.sent_at + backoff)
+            .is_some_and(|last| rules_out_replica(last) && self.now < last.sent_at + backoff)
     }
 
     fn is_eligible(
@@ -101,7 +101,7 @@
             !sub_request
                 .attempts
                 .iter()
-                .any(|attempt| attempt.replica == replica && speaks_against_replica(attempt))
+                .any(|attempt| attempt.replica == replica && rules_out_replica(attempt))
         };
         let is_saturated =
             || self.replicas[replica].pending() > self.fleet.max_in_flight_per_replica;
--- a/crates/linenthread-core/src/policy/query_of_death.rs
+++ b/crates/linenthread-core/src/policy/query_of_death.rs
@@ -6,7 +6,7 @@
 /// The decayed number of crashes above which replicas are considered to be crashing.
 ///
 /// Unit: crashes. Reason: a single crash may be caused by the machine; a second one may be caused by a query.
-const MANY_CRASHES: f64 = 1.0;
+const CRASHING_THRESHOLD: f64 = 1.0;
 
 /// The evidence required for a lost connection to count against a query.
 #[derive(Clone, Copy, PartialEq, Eq)]
@@ -27,7 +27,7 @@
             let is_proven = !replica.suspected_crash;
             replica.outage.is_some() && (evidence == CrashEvidence::Outage || is_proven)
         };
-        let tolerated = usize::from(!self.replicas_crash());
+        let tolerated = usize::from(!self.replicas_are_crashing());
         self.config.permissions.health_probes
             && query.has_no_success()
             && query
@@ -38,13 +38,13 @@
                 > tolerated
     }
 
-    /// Reports whether a query sends a single sub-request first, and the others once it has succeeded or exceeded a
-    /// slow response time. A query that crashes replicas then costs one replica rather than one per shard.
-    pub(super) fn sends_one_first(&self, query: &Query) -> bool {
-        query.has_no_success() && self.replicas_crash()
+    /// Reports whether a query sends a single sub-request first, as a canary, and the others once it has succeeded or
+    /// exceeded a slow response time. A query that crashes replicas then costs one replica rather than one per shard.
+    pub(super) fn sends_canary_first(&self, query: &Query) -> bool {
+        query.has_no_success() && self.replicas_are_crashing()
     }
 
-    fn replicas_crash(&self) -> bool {
-        self.fleet.crashes.sum > MANY_CRASHES
+    fn replicas_are_crashing(&self) -> bool {
+        self.fleet.crashes.sum > CRASHING_THRESHOLD
     }
 }
--- a/crates/linenthread-core/src/policy/resolution.rs
+++ b/crates/linenthread-core/src/policy/resolution.rs
@@ -75,7 +75,7 @@
         // A phase without sub-requests waits for them to arrive.
         let is_open = |query: &&Query| {
             !query.is_finished()
-                && (!query.present_phase().is_empty() || now >= query.hard_deadline)
+                && (!query.current_phase().is_empty() || now >= query.hard_deadline)
         };
         let Some(query) = self.queries[query_index].as_ref().filter(is_open) else {
             return;
@@ -130,7 +130,7 @@
                 || sub_request.attempts.len() >= self.config.permissions.max_attempts
                 || self
                     .shard_replicas(query, sub_request)
-                    .all(|replica| self.is_out_of_reach(query, sub_request, replica)))
+                    .all(|replica| self.is_unreachable_in_time(query, sub_request, replica)))
     }
 
     /// Reports whether to respond now. A complete response is given immediately; a partial one when it can no longer
@@ -139,7 +139,7 @@
         let index = self.index_config(query);
         let partial_value =
             index.partial_value * progress.succeeded_share / progress.complete_share;
-        let partial_pays = partial_value > index.late_value_share;
+        let prefers_partial = partial_value > index.late_value_share;
         // A response before the fetch phase is late if the fetch phase would end late.
         let fetch_phase_follows = index.fetch_sub_requests > 0 && !query.is_fetching();
         let fetch_time = if fetch_phase_follows {
@@ -149,7 +149,7 @@
         };
         let ready_at = self.now + to_tenth_millis(fetch_time * self.slow_latency());
         let is_late =
-            ready_at >= progress.abandon_at || ready_at >= query.soft_deadline && partial_pays;
+            ready_at >= progress.abandon_at || ready_at >= query.soft_deadline && prefers_partial;
         progress.is_complete()
             || reaches(progress.succeeded_share, progress.min_share)
                 && (is_late || !progress.can_become_complete())
@@ -227,7 +227,7 @@
         let query = self.open_query(query_index);
         let is_idempotent = self.index_config(query).idempotency == Idempotency::Idempotent;
         if is_idempotent || query.sub_requests.iter().all(SubRequest::never_ran) {
-            let retry_after = self.draw_retry_after();
+            let retry_after = self.random_retry_after();
             sink.reject(query_index, retry_after);
         } else {
             sink.fail(query_index);
@@ -237,7 +237,7 @@
     }
 
     /// Returns a random retry delay of about one slow response time; `None` if clients receive no such advice.
-    fn draw_retry_after(&mut self) -> Option<TenthMillis> {
+    fn random_retry_after(&mut self) -> Option<TenthMillis> {
         let slow = to_tenth_millis(self.slow_latency());
         let wait = slow / 2 + self.random_time(slow.max(1));
         let max_retry_after = self.config.permissions.max_retry_after;
--- a/crates/linenthread-core/src/policy/score.rs
+++ b/crates/linenthread-core/src/policy/score.rs
@@ -3,8 +3,8 @@
 
 use super::Coordinator;
 use super::windows::{
-    FRESH_REPORT, MIN_WEIGHT, PROBE_TIMEOUT, RECENT, REMEMBERED_RESPONSES, RESET_INTERVAL,
-    SCORE_INTERVAL,
+    MIN_WEIGHT, PROBE_TIMEOUT, REPORT_LIFETIME, RESET_INTERVAL, RETAINED_RESPONSES, SCORE_INTERVAL,
+    SHORT_TERM,
 };
 use crate::conversion::to_tenth_millis;
 use crate::interface::TenthMillis;
@@ -33,12 +33,12 @@
 /// The penalty added to the score of a replica whose attempts all fail.
 ///
 /// Unit: score (the slowest median counts 1). Reason: it has to score far worse than the slowest replica that responds.
-const SEVERITY: f64 = 8.0;
+const FAILURE_PENALTY: f64 = 8.0;
 
 /// The penalty added to the score of a replica that has not responded to a probe in time.
 ///
 /// Unit: score. Reason: between the slowest median, which counts 1, and a replica whose attempts all fail.
-const LATE_PROBE: f64 = 4.0;
+const LATE_PROBE_PENALTY: f64 = 4.0;
 
 /// The maximum factor by which the decay of observations slows down where there are few responses per replica.
 ///
@@ -76,28 +76,28 @@
             .exp()
     }
 
-    /// Updates the score of a replica. `usual_in_flight` is the average number of attempts in flight per replica.
-    fn score(&self, replica: &mut Replica, zone: &Observations, usual_in_flight: f64) {
-        let queued = replica.estimated_queue(self.now, FRESH_REPORT, self.lowest_median);
+    /// Updates the score of a replica. `average_in_flight` is the average number of attempts in flight per replica.
+    fn score(&self, replica: &mut Replica, zone: &Observations, average_in_flight: f64) {
+        let queued = replica.estimated_queue(self.now, REPORT_LIFETIME, self.lowest_median);
         let in_flight = f64::from(replica.in_flight);
-        let load = (in_flight - usual_in_flight).max(0.0) + LOAD_PER_QUEUED * queued;
+        let load = (in_flight - average_in_flight).max(0.0) + LOAD_PER_QUEUED * queued;
         replica.expected_latency = self.median(&replica.observations, zone);
         let median = replica.expected_latency * (1.0 + LOAD_PER_ATTEMPT * load);
         replica.score = median / self.largest_median
-            + SEVERITY * severity(replica, zone)
-            + self.silence_penalty(replica)
+            + FAILURE_PENALTY * failure_share(replica, zone)
+            + self.unresponsive_penalty(replica)
             + self.probe_penalty(replica);
     }
 
     /// Returns the penalty for missing responses: the time since the last response beyond a slow response time, in
     /// units of the largest median.
-    fn silence_penalty(&self, replica: &Replica) -> f64 {
-        let silent = if replica.in_flight > 0 {
+    fn unresponsive_penalty(&self, replica: &Replica) -> f64 {
+        let time_without_response = if replica.in_flight > 0 {
             self.now - replica.last_response_at
         } else {
             0
         };
-        (silent as f64 - self.slow).max(0.0) / self.largest_median
+        (time_without_response as f64 - self.slow).max(0.0) / self.largest_median
     }
 
     /// Returns the penalty for a late probe. It ends with the probe, or with a report made after the probe was sent.
@@ -105,13 +105,13 @@
         replica
             .probe_sent_at
             .filter(|&at| self.now - at >= PROBE_TIMEOUT && replica.last_report_at < at)
-            .map_or(0.0, |_| LATE_PROBE)
+            .map_or(0.0, |_| LATE_PROBE_PENALTY)
     }
 }
 
 /// Returns the share of failures. Stalled attempts count as failures before they time out, which detects hanging
 /// replicas. One added response prevents a single failure from dominating.
-fn severity(replica: &Replica, zone: &Observations) -> f64 {
+fn failure_share(replica: &Replica, zone: &Observations) -> f64 {
     let stalled = f64::from(replica.stalled);
     let failures = &replica.observations.failures;
     (failures.sum + stalled + zone.failures.mean_with_prior(FLEET_PRIOR, 0.0))
@@ -134,27 +134,28 @@
         if self.now >= self.timers.next_reset {
             self.reset_observations();
         }
-        self.learn_capacity(ready_count);
+        self.update_capacity(ready_count);
     }
 
     fn ready_replicas(&self) -> impl Iterator<Item = &Replica> {
         self.replicas.iter().filter(|replica| replica.is_ready())
     }
 
-    /// Sets the time constant so that about [`REMEMBERED_RESPONSES`] responses of each replica are retained.
+    /// Sets the time constant so that about [`RETAINED_RESPONSES`] responses of each replica are retained.
     fn update_time_constant(&mut self, ready_count: f64) {
         let fleet = &mut self.fleet;
-        fleet.log_latencies.decay(self.now, RECENT);
+        fleet.log_latencies.decay(self.now, SHORT_TERM);
         let response_weight = if fleet.response_weight > 0.0 {
             fleet.response_weight
         } else {
-            REMEMBERED_RESPONSES * ready_count
+            RETAINED_RESPONSES * ready_count
         };
         let difference = fleet.log_latencies.weight - response_weight;
         fleet.response_weight =
             response_weight + difference * SCORE_INTERVAL as f64 / RESET_INTERVAL as f64;
-        fleet.time_constant = (RECENT * REMEMBERED_RESPONSES * ready_count / fleet.response_weight)
-            .clamp(RECENT, RECENT * MAX_TIME_CONSTANT_FACTOR);
+        fleet.time_constant = (SHORT_TERM * RETAINED_RESPONSES * ready_count
+            / fleet.response_weight)
+            .clamp(SHORT_TERM, SHORT_TERM * MAX_TIME_CONSTANT_FACTOR);
     }
 
     fn decay_observations(&mut self) {
@@ -176,18 +177,18 @@
         };
         let median = |r: &Replica| baseline.median(&r.observations, &self.zones[r.entry.zone]);
         baseline.largest_median = self.ready_replicas().map(median).fold(1.0, f64::max);
-        let usual_in_flight: Vec<f64> = (0..self.zones.len())
-            .map(|zone| self.usual_in_flight(zone))
+        let average_in_flight: Vec<f64> = (0..self.zones.len())
+            .map(|zone| self.average_in_flight(zone))
             .collect();
         for replica in self.replicas.iter_mut().filter(|r| r.is_ready()) {
             let zone = replica.entry.zone;
-            baseline.score(replica, &self.zones[zone], usual_in_flight[zone]);
+            baseline.score(replica, &self.zones[zone], average_in_flight[zone]);
         }
     }
 
     /// Returns the average number of attempts in flight that a zone's replicas are compared with. While a routing table
     /// is in use, they are compared only with replicas of the same zone.
-    fn usual_in_flight(&self, zone: usize) -> f64 {
+    fn average_in_flight(&self, zone: usize) -> f64 {
         let compares_zones = self.zone_routes.is_empty();
         let in_flight = || {
             self.ready_replicas()
@@ -199,7 +200,7 @@
 
     /// Clears the observations of replicas, but not those of zones.
     fn reset_observations(&mut self) {
-        let interval = RESET_INTERVAL as f64 * self.fleet.time_constant / RECENT;
+        let interval = RESET_INTERVAL as f64 * self.fleet.time_constant / SHORT_TERM;
         self.timers.next_reset = self.now + to_tenth_millis(interval);
         for replica in &mut self.replicas {
             replica.observations = Observations::default();
--- a/crates/linenthread-core/src/policy/send_guard.rs
+++ b/crates/linenthread-core/src/policy/send_guard.rs
@@ -9,7 +9,7 @@
 /// The length of an outage after which attempts may be sent to a replica that no probe has reached.
 ///
 /// Unit: 0.1 ms (3 s). Reason: the replica may fail only probes.
-pub(super) const OUTAGE_TRIAL: TenthMillis = 30_000;
+pub(super) const OUTAGE_TRIAL_DELAY: TenthMillis = 30_000;
 
 impl Coordinator {
     /// Reports whether an attempt may be sent to a replica.
@@ -20,11 +20,11 @@
         replica: ReplicaIndex,
     ) -> bool {
         sub_request.in_flight() <= usize::from(self.config.permissions.hedging)
-            && self.may_replace(query, sub_request, replica)
+            && self.may_send_after_cancellation(query, sub_request, replica)
     }
 
     /// Reports whether an attempt may be sent to a replica once another attempt in flight has been cancelled.
-    pub(super) fn may_replace(
+    pub(super) fn may_send_after_cancellation(
         &self,
         query: &Query,
         sub_request: &SubRequest,
@@ -38,7 +38,7 @@
             && !sub_request.is_in_flight_at(replica)
             && self.has_slow_start_budget(replica)
             && (sub_request.attempts.is_empty() || self.has_retry_budget())
-            && !self.is_out_of_reach(query, sub_request, replica)
+            && !self.is_unreachable_in_time(query, sub_request, replica)
     }
 
     fn is_member(&self, replica: ReplicaIndex) -> bool {
@@ -48,7 +48,7 @@
 
     /// Reports whether sending the sub-request to the replica would be useless: either the replica stays down until the
     /// query is abandoned, or the attempt is a retry whose response is expected after that time.
-    pub(super) fn is_out_of_reach(
+    pub(super) fn is_unreachable_in_time(
         &self,
         query: &Query,
         sub_request: &SubRequest,
@@ -74,14 +74,14 @@
     /// intervals.
     pub(super) fn is_up(&self, replica_index: ReplicaIndex, at: TenthMillis) -> bool {
         let replica = &self.replicas[replica_index];
-        let may_be_tried = |outage: Outage| {
+        let allows_trial = |outage: Outage| {
             if self.config.permissions.health_probes {
-                at > outage.since + OUTAGE_TRIAL
+                at > outage.since + OUTAGE_TRIAL_DELAY
             } else {
                 at >= outage.retry_at && replica.in_flight == 0
             }
         };
-        replica.outage.is_none_or(may_be_tried)
+        replica.outage.is_none_or(allows_trial)
     }
 
     /// Reports whether the idempotency of the search index permits another attempt, given the outcomes of earlier ones.
--- a/crates/linenthread-core/src/policy/sending.rs
+++ b/crates/linenthread-core/src/policy/sending.rs
@@ -2,7 +2,7 @@
 
 use super::Coordinator;
 use super::resolution::abandon_at;
-use super::windows::{RECENT, REMEMBERED_RESPONSES};
+use super::windows::{RETAINED_RESPONSES, SHORT_TERM};
 use crate::interface::{DecisionSink, QueryIndex, ReplicaIndex, SubRequestIndex, TenthMillis};
 use crate::state::{Attempt, ConnectionUse};
 
@@ -56,7 +56,9 @@
         let sub_request = &self.open_query(query_index).sub_requests[sub_request_index];
         let is_retry = !sub_request.attempts.is_empty();
         let is_hedge = sub_request.in_flight() > 0;
-        self.fleet.hedge_share.record_attempt(now, RECENT, is_hedge);
+        self.fleet
+            .hedge_share
+            .record_attempt(now, SHORT_TERM, is_hedge);
         if is_retry {
             self.count_retry();
         }
@@ -92,8 +94,8 @@
     fn idle_connections_fail(&self) -> bool {
         let idle = self.fleet.idle_connection_failures;
         let active = self.fleet.active_connection_failures;
-        idle.mean(REMEMBERED_RESPONSES)
-            .zip(active.mean(REMEMBERED_RESPONSES))
+        idle.mean(RETAINED_RESPONSES)
+            .zip(active.mean(RETAINED_RESPONSES))
             .is_some_and(|(idle, active)| idle > active + IDLE_FAILURE_MARGIN)
     }
 }
--- a/crates/linenthread-core/src/policy/slow_start.rs
+++ b/crates/linenthread-core/src/policy/slow_start.rs
@@ -7,12 +7,12 @@
 /// The usable part of the slow-start budget.
 ///
 /// Unit: share of the budget. Reason: the capacity that the budget is a multiple of is an estimate.
-const BUDGET_USE: f64 = 0.8;
+const SLOW_START_UTILIZATION: f64 = 0.8;
 
 /// Where co-ordinators take turns, turns are frequent enough for this share of them to be used.
 ///
 /// Unit: share of turns. Reason: a co-ordinator with little traffic seldom has an attempt for the replica in its turn.
-const USED_TURNS: f64 = 0.5;
+const TARGET_TURN_UTILIZATION: f64 = 0.5;
 
 /// The maximum factor by which turns become more frequent.
 ///
@@ -41,7 +41,7 @@
         let sent = replica.slow_start_sends.since(self.now - slow_start.window);
         let own_share = replica.entry.slow_start_share.unwrap_or(1.0);
         let budget = slow_start.budget_multiple
-            * BUDGET_USE
+            * SLOW_START_UTILIZATION
             * capacity_share
             * own_share
             * self.fleet.warm_capacity;
@@ -62,7 +62,7 @@
         let replica = &self.replicas[replica_index];
         let age = self.now - replica.started_at().unwrap_or(0);
         let used_share = 1.0 - (-self.fleet.sent_per_window).exp();
-        let budget = budget * (USED_TURNS / used_share).clamp(1.0, MAX_TURN_FACTOR);
+        let budget = budget * (TARGET_TURN_UTILIZATION / used_share).clamp(1.0, MAX_TURN_FACTOR);
         let window = self.config.slow_start.window.max(1);
         // If service discovery reports a start in the future, the window is negative; the turns continue by wrapping
         // around.
--- a/crates/linenthread-core/src/policy/windows.rs
+++ b/crates/linenthread-core/src/policy/windows.rs
@@ -15,17 +15,17 @@
 /// The decay time constant of short-term observations; an observation loses most of its weight within this time.
 ///
 /// Unit: 0.1 ms (3 s). Reason: long enough to estimate a spread, short enough to follow a fault.
-pub(super) const RECENT: f64 = 30_000.0;
+pub(super) const SHORT_TERM: f64 = 30_000.0;
 
 /// The decay time constant of values compared over a longer time, such as the queries of each customer.
 ///
-/// Unit: 0.1 ms (9 s). Reason: a single customer or index has too few queries within `RECENT`.
-pub(super) const LONG_TERM: f64 = 3.0 * RECENT;
+/// Unit: 0.1 ms (9 s). Reason: a single customer or index has too few queries within `SHORT_TERM`.
+pub(super) const LONG_TERM: f64 = 3.0 * SHORT_TERM;
 
 /// The decay time constant of crashes and connection failures.
 ///
 /// Unit: 0.1 ms (20 s). Reason: these are rare, and detecting them again costs replicas.
-pub(super) const CRASH_MEMORY: f64 = 200_000.0;
+pub(super) const CRASH_TIME_CONSTANT: f64 = 200_000.0;
 
 /// The decayed weight up to which a value counts as not observed.
 ///
@@ -35,12 +35,12 @@
 /// The approximate number of responses of each replica that are retained.
 ///
 /// Unit: responses. Reason: retention by number keeps as many responses for a replica with little traffic.
-pub(super) const REMEMBERED_RESPONSES: f64 = 6.0;
+pub(super) const RETAINED_RESPONSES: f64 = 6.0;
 
 /// The age up to which a replica's report is considered fresh, and the decay time constant of the report.
 ///
 /// Unit: 0.1 ms (1 s). Reason: the queue in an older report has mostly been served.
-pub(super) const FRESH_REPORT: f64 = 10_000.0;
+pub(super) const REPORT_LIFETIME: f64 = 10_000.0;
 
 /// The time after which a probe is late and no longer waited for.
 ///
--- a/crates/linenthread-core/src/state/hedge_share.rs
+++ b/crates/linenthread-core/src/state/hedge_share.rs
@@ -22,7 +22,7 @@
 
     /// Counts one more hedged request without an attempt. The replacement for a cancelled attempt is counted as an
     /// attempt when it is sent, but no longer as a hedged request, since nothing else is in flight then.
-    pub(crate) fn add_reissue(&mut self) {
+    pub(crate) fn record_reissue(&mut self) {
         self.sums.sum += 1.0;
     }
 
--- a/crates/linenthread-core/src/state/query.rs
+++ b/crates/linenthread-core/src/state/query.rs
@@ -153,7 +153,7 @@
     }
 
     /// Returns the sub-requests of the current phase.
-    pub(crate) fn present_phase(&self) -> &[SubRequest] {
+    pub(crate) fn current_phase(&self) -> &[SubRequest] {
         &self.sub_requests[self.phase_start..]
     }
 
@@ -164,7 +164,7 @@
 
     /// Returns the total weight of those sub-requests of the current phase that satisfy a condition.
     pub(crate) fn phase_weight(&self, condition: impl Fn(&SubRequest) -> bool) -> f64 {
-        self.present_phase()
+        self.current_phase()
             .iter()
             .filter(|sub_request| condition(sub_request))
             .map(|sub_request| sub_request.weight)
--- a/crates/linenthread-core/src/state/replica.rs
+++ b/crates/linenthread-core/src/state/replica.rs
@@ -38,8 +38,8 @@
 /// | | | set | it is listed with a new process that has not responded yet, or it responded before the probe failed |
 /// | | set | set | the same, and another query lost a connection before that |
 ///
-/// The first response after `crashed` clears it and sets `returned_at`, which is cleared when service discovery next
-/// reports a start. Without probes, `suspected_crash`, `crashed` and `returned_at` are never set.
+/// The first response after `crashed` clears it and sets `restarted_at`, which is cleared when service discovery next
+/// reports a start. Without probes, `suspected_crash`, `crashed` and `restarted_at` are never set.
 #[derive(Default)]
 pub(crate) struct Replica {
     /// The replica as listed by service discovery.
@@ -58,7 +58,7 @@
     /// A probe found that the process crashed.
     pub crashed: bool,
     /// When a new process first responded after a crash.
-    pub returned_at: Option<TenthMillis>,
+    pub restarted_at: Option<TenthMillis>,
     /// When the replica last responded, or when an attempt was sent to it while none was in flight.
     pub last_response_at: TenthMillis,
     /// When an attempt at the replica was last sent or ended.
@@ -87,7 +87,7 @@
     /// Returns when the process started: the start listed by service discovery or the first response after a crash,
     /// whichever is later.
     pub(crate) fn started_at(&self) -> Option<TenthMillis> {
-        self.entry.started_at.max(self.returned_at)
+        self.entry.started_at.max(self.restarted_at)
     }
 
     /// Reports whether the replica is draining but may still be sent sub-requests.
@@ -136,7 +136,7 @@
     pub(crate) fn on_response(&mut self, now: TenthMillis, queue_depth: Option<f64>) {
         self.outage = None;
         if std::mem::take(&mut self.crashed) {
-            self.returned_at = Some(now);
+            self.restarted_at = Some(now);
         }
         self.on_report(now, queue_depth.unwrap_or(self.reported_queue));
     }
