--- a/crates/linenthread-core/tests/conversion.rs
+++ b/crates/linenthread-core/tests/conversion.rs
@@ -1,4 +1,4 @@
-//! Conversions between lengths of time.
+//! Conversions between [`Duration`] and tenths of a millisecond.
 
 use std::time::Duration;
 
@@ -6,7 +6,7 @@
 use linenthread_core::interface::TenthMillis;
 
 #[test]
-fn a_duration_loses_what_is_less_than_a_tenth_of_a_millisecond() {
+fn durations_are_truncated_to_tenths_of_a_millisecond() {
     let cases = [
         (Duration::ZERO, 0),
         (Duration::from_micros(99), 0),
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn a_negative_length_of_time_is_no_duration() {
+fn negative_times_become_zero_durations() {
     let cases = [
         (TenthMillis::MIN, Duration::ZERO),
         (-1, Duration::ZERO),
--- a/crates/linenthread-core/tests/scenarios/decision_log.rs
+++ b/crates/linenthread-core/tests/scenarios/decision_log.rs
@@ -1,4 +1,4 @@
-//! The decisions of a scenario as lines of words, and the patterns they are matched with.
+//! The decisions of a scenario as lines of words, and the patterns that match them.
 
 use std::collections::HashMap;
 
@@ -7,7 +7,7 @@
     Completeness, QueryIndex, ReplicaIndex, SubRequestIndex, TenthMillis,
 };
 
-/// The first words of the log's lines.
+/// The possible first words of a line.
 const DECISIONS: [&str; 10] = [
     "send",
     "cancel",
@@ -21,25 +21,25 @@
     "watch",
 ];
 
-/// The words that `$x` and the like stand for.
+/// The words bound to variables such as `$x`.
 pub(crate) type Bindings = HashMap<String, String>;
 
-/// An attempt that was sent in the present step.
+/// An attempt sent in the current step.
 pub(crate) struct SentAttempt {
     pub(crate) query: QueryIndex,
     pub(crate) sub_request: SubRequestIndex,
     pub(crate) replica: ReplicaIndex,
 }
 
-/// What was decided and not taken off the log.
+/// Decisions that no `expect` statement has matched yet.
 #[derive(Default)]
 pub(crate) struct DecisionLog {
     pub(crate) lines: Vec<Vec<String>>,
-    /// Attempts sent since they were last taken.
+    /// Attempts sent since the list was last drained.
     pub(crate) sent: Vec<SentAttempt>,
-    /// Names by the queries' indices.
+    /// Query names, by index.
     pub(crate) queries: Vec<String>,
-    /// Names by the replicas' indices.
+    /// Replica names, by index.
     pub(crate) replicas: Vec<String>,
 }
 
@@ -49,41 +49,42 @@
         self.lines.push(words.collect());
     }
 
-    /// How many lines match.
+    /// Returns the number of lines that match.
     pub(crate) fn count(&self, pattern: &[&str], bindings: &Bindings) -> Result<usize, String> {
         check_pattern(pattern)?;
         let matches = |line: &&Vec<String>| match_line(pattern, line, bindings).is_some();
         Ok(self.lines.iter().filter(matches).count())
     }
 
-    /// Takes the first line that matches off the log, and returns the bindings with those of the match.
+    /// Removes the first matching line and returns the bindings extended by the match.
     pub(crate) fn take(
         &mut self,
         pattern: &[&str],
         bindings: &Bindings,
     ) -> Result<Bindings, String> {
         check_pattern(pattern)?;
-        let found = self.lines.iter().enumerate().find_map(|(at, line)| {
+        let found = self.lines.iter().enumerate().find_map(|(position, line)| {
             let bindings = match_line(pattern, line, bindings)?;
-            Some((at, bindings))
+            Some((position, bindings))
         });
-        let (at, bindings) = found.ok_or_else(|| format!("not decided; log: {:?}", self.lines))?;
-        self.lines.remove(at);
+        let (position, bindings) =
+            found.ok_or_else(|| format!("no matching decision; log: {:?}", self.lines))?;
+        self.lines.remove(position);
         Ok(bindings)
     }
 }
 
-/// A pattern that can match nothing is a mistake in the scenario.
+/// Rejects patterns that can never match, which are mistakes in the scenario.
 fn check_pattern(pattern: &[&str]) -> Result<(), String> {
-    let first = pattern.first().ok_or("a decision is missing")?;
+    let first = pattern.first().ok_or("missing decision")?;
     if DECISIONS.contains(first) || *first == "*" {
         Ok(())
     } else {
-        Err(format!("{first} is no decision"))
+        Err(format!("unknown decision: {first}"))
     }
 }
 
-/// The bindings after a match of the line's first words.
+/// Matches a pattern against the first words of a line and returns the bindings extended by the match.
 fn match_line(pattern: &[&str], line: &[String], bindings: &Bindings) -> Option<Bindings> {
     let mut bindings = bindings.clone();
     let mut matches = |pattern: &str, word: &String| {
--- a/crates/linenthread-core/tests/scenarios/player.rs
+++ b/crates/linenthread-core/tests/scenarios/runner.rs
@@ -13,22 +13,21 @@
 use crate::setup::{INDEX, configure, default_config};
 use crate::values::{number, outcome, phase, time};
 
-/// The clock when a scenario begins.
-const START: TenthMillis = 10_000_000;
+/// The time at which a scenario starts.
+const START_TIME: TenthMillis = 10_000_000;
 
-/// Steps run this often, in tenths of a millisecond.
-const STEP: TenthMillis = 50;
+/// The interval between steps, in tenths of a millisecond.
+const STEP_INTERVAL: TenthMillis = 50;
 
-/// A replica that fails attempts takes this long, in tenths of a millisecond.
+/// The time after which a replica fails an attempt, in tenths of a millisecond.
 const FAILURE_TIME: TenthMillis = 500;
 
-/// A query's hard deadline where it states none, in tenths of a millisecond from its arrival.
+/// The default hard deadline of a query, in tenths of a millisecond from its arrival.
 const HARD_DEADLINE: TenthMillis = 40_000;
 
-/// The seed of the co-ordinator.
 const SEED: u64 = 7;
 
-/// Replicas are in zones by turns: a's, b's, c's.
+/// Replicas are assigned to zones in rotation: a's, b's, c's.
 const ZONE_COUNT: usize = 3;
 
 /// An attempt in flight.
@@ -40,32 +39,32 @@
     sent_at: TenthMillis,
 }
 
-/// How a replica ends its attempts by itself; `None` if it hangs.
+/// How a replica ends its attempts automatically; `None` if it hangs.
 type Service = Option<(AttemptOutcome, TenthMillis)>;
 
-pub(crate) struct Player {
+pub(crate) struct Runner {
     config: CoordinatorConfig,
-    /// Made at the first step, so that it can be configured before.
+    /// Created at the first step, so that it can be configured before.
     coordinator: Option<Coordinator>,
-    /// What arrived since the last step.
+    /// Inputs since the last step.
     inputs: Inputs,
     now: TenthMillis,
     log: DecisionLog,
-    /// Attempts so far by query and sub-request.
+    /// Number of attempts so far, by query and sub-request.
     attempt_counts: HashMap<(QueryIndex, SubRequestIndex), usize>,
-    /// In the order they were sent.
+    /// In the order in which they were sent.
     in_flight: Vec<InFlight>,
     services: HashMap<ReplicaIndex, Service>,
     bindings: Bindings,
 }
 
-impl Player {
+impl Runner {
     pub(crate) fn new() -> Self {
-        Player {
+        Runner {
             config: default_config(),
             coordinator: None,
             inputs: Inputs::default(),
-            now: START,
+            now: START_TIME,
             log: DecisionLog::default(),
             attempt_counts: HashMap::new(),
             in_flight: Vec::new(),
@@ -75,12 +74,12 @@
     }
 
     pub(crate) fn run_statement(&mut self, words: &[&str]) -> Result<(), String> {
-        let (first, rest) = words.split_first().ok_or("an empty statement")?;
+        let (first, rest) = words.split_first().ok_or("empty statement")?;
         match *first {
             "with" => configure(&mut self.config, rest)?,
             "index" if rest.is_empty() => self.config.indexes.push(INDEX),
-            "snapshot" => self.list(rest, MembershipUpdate::Snapshot)?,
-            "cached" => self.list(rest, MembershipUpdate::Cached)?,
+            "snapshot" => self.membership_list(rest, MembershipUpdate::Snapshot)?,
+            "cached" => self.membership_list(rest, MembershipUpdate::Cached)?,
             "delta" => self.delta(rest)?,
             "unavailable" => self.inputs.membership.push(MembershipUpdate::Unavailable),
             "routes" => self.routes(rest)?,
@@ -90,7 +89,7 @@
                 self.sub_requests(query, &rest[1..])?;
             }
             "continue" => {
-                let target = self.sub_request_at(rest[0])?;
+                let target = self.parse_sub_request(rest[0])?;
                 self.inputs.continuations.push(target);
             }
             "abandoned" => {
@@ -100,7 +99,7 @@
             "probed" => self.probed(rest)?,
             "serve" => self.serve(rest)?,
             "stream" => self.stream(rest)?,
-            "at" => self.run_to(START + time(rest.first())?),
+            "at" => self.run_to(START_TIME + time(rest.first())?),
             "forget" => {
                 self.step();
                 self.log.lines.clear();
@@ -119,23 +118,23 @@
                 self.check_count(&rest[1..], |count| count >= limit)?;
             }
             target => {
-                let [how] = rest else {
-                    return Err(format!("what is {target}?"));
+                let [outcome_word] = rest else {
+                    return Err(format!("unknown statement: {target}"));
                 };
-                self.end_attempt(target, how)?;
+                self.end_attempt(target, outcome_word)?;
             }
         }
         Ok(())
     }
 
-    /// One step with all that has arrived.
+    /// Runs one step with all pending inputs.
     fn step(&mut self) {
         let now = self.now;
-        for at in (0..self.in_flight.len()).rev() {
-            let attempt = &self.in_flight[at];
+        for position in (0..self.in_flight.len()).rev() {
+            let attempt = &self.in_flight[position];
             match self.services.get(&attempt.replica) {
                 Some(&Some((outcome, after))) if attempt.sent_at + after <= now => {
-                    self.end(at, outcome);
+                    self.end(position, outcome);
                 }
                 _ => {}
             }
@@ -170,12 +169,12 @@
     fn run_to(&mut self, end: TenthMillis) {
         self.step();
         while self.now < end {
-            self.now += STEP;
+            self.now += STEP_INTERVAL;
             self.step();
         }
     }
 
-    /// `NAME:GROUP`, or `NAME=FORMER:GROUP` for a replica that gets the index of a former one.
+    /// Parses `NAME:GROUP`, or `NAME=FORMER:GROUP` for a replica that takes over the index of a former one.
     fn entry(
         &mut self,
         word: &str,
@@ -205,7 +204,7 @@
         })
     }
 
-    fn list(
+    fn membership_list(
         &mut self,
         words: &[&str],
         update: impl Fn(Vec<MembershipEntry>) -> MembershipUpdate,
@@ -223,10 +222,10 @@
 
     fn delta(&mut self, words: &[&str]) -> Result<(), String> {
         let [word, phase, options @ ..] = words else {
-            return Err("delta NAME:GROUP PHASE".into());
+            return Err("usage: delta NAME:GROUP PHASE".into());
         };
         let started_at = match options.first() {
-            Some(_) => Some(START + time(options.first())?),
+            Some(_) => Some(START_TIME + time(options.first())?),
             None => None,
         };
         let mut entry = self.entry(word, phase, started_at)?;
@@ -241,7 +240,9 @@
 
     fn routes(&mut self, words: &[&str]) -> Result<(), String> {
         let route = |(zone, word): (usize, &&str)| {
-            let (distance, open) = word.split_once('/').ok_or("routes DISTANCE/OPEN ...")?;
+            let (distance, open) = word
+                .split_once('/')
+                .ok_or("usage: routes DISTANCE/OPEN ...")?;
             Ok::<_, String>(ZoneRoute {
                 id: zone as u64 + 500,
                 distance: number(Some(&distance))?,
@@ -257,15 +258,15 @@
         let shards_at = words
             .iter()
             .position(|word| *word == "shards")
-            .ok_or("shards are missing")?;
-        let number_of_query = self.log.queries.len();
-        let query = QueryIndex(number_of_query);
+            .ok_or("missing shards")?;
+        let query_count = self.log.queries.len();
+        let query = QueryIndex(query_count);
         let mut new = NewQuery {
             query,
             search_index: SearchIndex(0),
             customer: 0,
             key: None,
-            sequence_number: number_of_query as u64,
+            sequence_number: query_count as u64,
             hard_deadline: self.now + HARD_DEADLINE,
         };
         for pair in words[1..shards_at].chunks(2) {
@@ -275,7 +276,7 @@
                 "index" => new.search_index = SearchIndex(number(value)?),
                 "customer" => new.customer = number(value)?,
                 "hard" => new.hard_deadline = self.now + time(value)?,
-                other => return Err(format!("a query has no {other}")),
+                other => return Err(format!("unknown query option: {other}")),
             }
         }
         self.log.queries.push(words[0].to_owned());
@@ -283,7 +284,7 @@
         self.sub_requests(query, &words[shards_at + 1..])
     }
 
-    /// Sub-requests for these shards, of equal weight.
+    /// Adds sub-requests of equal weight for these shards.
     fn sub_requests(&mut self, query: QueryIndex, shards: &[&str]) -> Result<(), String> {
         for shard in shards {
             self.inputs.sub_requests.push(NewSubRequest {
@@ -296,13 +297,13 @@
     }
 
     fn probed(&mut self, words: &[&str]) -> Result<(), String> {
-        let [name, how, options @ ..] = words else {
-            return Err("probed REPLICA OUTCOME".into());
+        let [name, outcome_word, options @ ..] = words else {
+            return Err("usage: probed REPLICA OUTCOME".into());
         };
         let queue_depth = options.first().map(|depth| number(Some(depth)));
         let result = ProbeResult {
             replica: self.replica_index(name)?,
-            outcome: outcome(how)?,
+            outcome: outcome(outcome_word)?,
             queue_depth: queue_depth.transpose()?,
         };
         self.inputs.probes.push(result);
@@ -310,10 +311,12 @@
     }
 
     fn serve(&mut self, words: &[&str]) -> Result<(), String> {
-        let (how, names) = words.split_first().ok_or("serve HOW REPLICA ...")?;
+        let (behaviour, names) = words
+            .split_first()
+            .ok_or("usage: serve BEHAVIOUR REPLICA ...")?;
         for name in names {
             let replica = self.replica_index(name)?;
-            let service = match (*how, outcome(how)) {
+            let service = match (*behaviour, outcome(behaviour)) {
                 ("never", _) => None,
                 (_, Ok(outcome)) => Some((outcome, FAILURE_TIME)),
                 (after, Err(_)) => Some((AttemptOutcome::Success, time(Some(&after))?)),
@@ -323,9 +326,9 @@
         Ok(())
     }
 
-    /// `stream INTERVAL END ...` starts queries of their own names and keys.
+    /// `stream INTERVAL END ...` starts queries with unique names and keys.
     fn stream(&mut self, words: &[&str]) -> Result<(), String> {
-        let end = START + time(words.get(1))?;
+        let end = START_TIME + time(words.get(1))?;
         while self.now < end {
             let number = self.log.queries.len();
             let (name, key) = (format!("s{number}"), (number + 1000).to_string());
@@ -345,19 +348,22 @@
         if is_expected(count) {
             Ok(())
         } else {
-            Err(format!("decided {count} times; log: {:?}", self.log.lines))
+            Err(format!(
+                "{count} matching decisions; log: {:?}",
+                self.log.lines
+            ))
         }
     }
 
     /// Ends the oldest attempt in flight of `QUERY.SUB_REQUEST`, or `QUERY.SUB_REQUEST#ATTEMPT`.
-    fn end_attempt(&mut self, target: &str, how: &str) -> Result<(), String> {
+    fn end_attempt(&mut self, target: &str, outcome_word: &str) -> Result<(), String> {
         let (sub_request, attempt) = match target.split_once('#') {
             Some((sub_request, attempt)) => (sub_request, Some(number(Some(&attempt))?)),
             None => (target, None),
         };
-        let Continuation { query, sub_request } = self.sub_request_at(sub_request)?;
+        let Continuation { query, sub_request } = self.parse_sub_request(sub_request)?;
         self.step();
-        let at = self
+        let position = self
             .in_flight
             .iter()
             .position(|a| {
@@ -365,13 +371,13 @@
                     && attempt.is_none_or(|number: usize| number == a.attempt)
             })
             .ok_or_else(|| format!("no attempt of {target} is in flight"))?;
-        self.end(at, outcome(how)?);
+        self.end(position, outcome(outcome_word)?);
         Ok(())
     }
 
-    /// The attempt at this place among those in flight ends.
-    fn end(&mut self, at: usize, outcome: AttemptOutcome) {
-        let ended = self.in_flight.remove(at);
+    /// Ends the attempt at this position among those in flight.
+    fn end(&mut self, position: usize, outcome: AttemptOutcome) {
+        let ended = self.in_flight.remove(position);
         self.inputs.results.push(AttemptResult {
             query: ended.query,
             sub_request: ended.sub_request,
@@ -388,7 +394,7 @@
         let index = replicas.iter().position(|replica| replica == name);
         index
             .map(ReplicaIndex)
-            .ok_or_else(|| format!("no replica {name}"))
+            .ok_or_else(|| format!("unknown replica: {name}"))
     }
 
     fn query_index(&self, name: &str) -> Result<QueryIndex, String> {
@@ -396,14 +402,14 @@
         let index = queries.iter().position(|query| query == name);
         index
             .map(QueryIndex)
-            .ok_or_else(|| format!("no query {name}"))
+            .ok_or_else(|| format!("unknown query: {name}"))
     }
 
-    /// `QUERY.SUB_REQUEST`.
-    fn sub_request_at(&self, word: &str) -> Result<Continuation, String> {
+    /// Parses `QUERY.SUB_REQUEST`.
+    fn parse_sub_request(&self, word: &str) -> Result<Continuation, String> {
         let (name, sub_request) = word
             .split_once('.')
-            .ok_or_else(|| format!("what is {word}?"))?;
+            .ok_or_else(|| format!("not a sub-request, QUERY.NUMBER: {word}"))?;
         Ok(Continuation {
             query: self.query_index(name)?,
             sub_request: SubRequestIndex(number(Some(&sub_request))?),
--- a/crates/linenthread-core/tests/scenarios/setup.rs
+++ b/crates/linenthread-core/tests/scenarios/setup.rs
@@ -1,4 +1,4 @@
-//! How the co-ordinator of a scenario is configured.
+//! The configuration of a scenario's co-ordinator.
 
 use linenthread_core::interface::{
     CoordinatorConfig, Idempotency, IndexConfig, Permissions, RetryBudget, ShardLayout, SlowStart,
@@ -7,7 +7,7 @@
 
 use crate::values::{number, time};
 
-/// An index before it is configured.
+/// The default configuration of an index.
 pub(crate) const INDEX: IndexConfig = IndexConfig {
     idempotency: Idempotency::Idempotent,
     soft_deadline: 10_000,
@@ -22,7 +22,7 @@
 /// The window of a retry budget, in tenths of a millisecond.
 const RETRY_WINDOW: i64 = 100_000;
 
-/// The co-ordinator before it is configured.
+/// The default configuration of the co-ordinator.
 pub(crate) fn default_config() -> CoordinatorConfig {
     CoordinatorConfig {
         coordinator_number: 0,
@@ -56,10 +56,10 @@
     }
 }
 
-/// Sets what pairs of name and value say; what belongs to an index is set for the last one.
+/// Applies pairs of a name and a value; settings of an index apply to the last one.
 pub(crate) fn configure(config: &mut CoordinatorConfig, words: &[&str]) -> Result<(), String> {
     let permissions = &mut config.permissions;
-    let index = config.indexes.last_mut().ok_or("there is no index")?;
+    let index = config.indexes.last_mut().ok_or("no index to configure")?;
     for pair in words.chunks(2) {
         let value = pair.get(1);
         match (pair[0], value) {
@@ -89,7 +89,7 @@
             ("min", _) => index.min_share = number(value)?,
             ("complete", _) => index.complete_share = number(value)?,
             ("fetch", _) => index.fetch_sub_requests = number(value)?,
-            (other, _) => return Err(format!("{other} cannot be set")),
+            (other, _) => return Err(format!("unknown setting: {other}")),
         }
     }
     Ok(())
--- a/crates/linenthread-core/tests/scenarios/values.rs
+++ b/crates/linenthread-core/tests/scenarios/values.rs
@@ -1,4 +1,4 @@
-//! Values within statements.
+//! Parses values within statements.
 
 use std::str::FromStr;
 
@@ -6,11 +6,11 @@
 use linenthread_core::interface::{AttemptOutcome, Phase, TenthMillis};
 
 pub(crate) fn number<T: FromStr>(word: Option<&&str>) -> Result<T, String> {
-    let word = word.ok_or("a number is missing")?;
-    word.parse().map_err(|_| format!("{word} is no number"))
+    let word = word.ok_or("missing number")?;
+    word.parse().map_err(|_| format!("invalid number: {word}"))
 }
 
-/// A time stated in milliseconds.
+/// Parses a time in milliseconds.
 pub(crate) fn time(word: Option<&&str>) -> Result<TenthMillis, String> {
     Ok(to_tenth_millis(number::<f64>(word)? * 10.0))
 }
@@ -24,7 +24,7 @@
         "connection-lost" => AttemptOutcome::ConnectionLost,
         "timed-out" => AttemptOutcome::TimedOut,
         "cancelled" => AttemptOutcome::Cancelled,
-        _ => return Err(format!("{word} is no outcome")),
+        _ => return Err(format!("unknown outcome: {word}")),
     })
 }
 
@@ -33,6 +33,6 @@
         "ready" => Phase::Ready,
         "draining" => Phase::Draining,
         "removed" => Phase::Removed,
-        _ => return Err(format!("{word} is no phase")),
+        _ => return Err(format!("unknown phase: {word}")),
     })
 }
