--- a/crates/linenthread-adapter/src/encoder.rs
+++ b/crates/linenthread-adapter/src/encoder.rs
@@ -1,4 +1,4 @@
-//! Encodes one co-ordinator's decisions.
+//! Encodes the decisions of one co-ordinator.
 
 use linenthread_core::DecisionSink;
 use linenthread_core::interface::{
@@ -15,10 +15,10 @@
     pub(crate) reply: &'a mut Reply,
 }
 
-/// Units of the decision module in a millisecond.
+/// Units of [`TenthMillis`] in a millisecond.
 const TENTHS_PER_MS: f64 = 10.0;
 
-/// A time on the wire: milliseconds.
+/// Encodes a time in milliseconds, the unit on the wire.
 fn millis(time: TenthMillis) -> [u8; 8] {
     (time as f64 / TENTHS_PER_MS).to_be_bytes()
 }
@@ -105,7 +105,7 @@
     }
 
     fn wake_at(&mut self, at: TenthMillis) {
-        // There is one timer an instance.
+        // Each instance has a single timer.
         let label: u64 = 0;
         self.reply
             .record(action::WAKE_AT, self.instance)
--- a/crates/linenthread-adapter/src/error.rs
+++ b/crates/linenthread-adapter/src/error.rs
@@ -1,11 +1,11 @@
-//! What ends the adapter.
+//! Errors that terminate the adapter.
 
 use std::io;
 
 use linenthread_terms::SettingsError;
 use snafu::Snafu;
 
-/// Why the adapter cannot go on. Each message is one line.
+/// Why the adapter terminates. Each message is a single line.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub(crate) enum AdapterError {
--- a/crates/linenthread-adapter/src/event.rs
+++ b/crates/linenthread-adapter/src/event.rs
@@ -1,4 +1,4 @@
-//! The kinds of events, and the values within them.
+//! Event kinds, and the values that events contain.
 
 use linenthread_core::interface::{AttemptOutcome, MembershipEntry, Phase};
 use linenthread_terms::tenth_millis;
@@ -7,20 +7,20 @@
 use crate::fields::Fields;
 use crate::ids::IdTable;
 
-/// What an event is, by its code on the wire.
+/// The kind of an event, identified by its code on the wire.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum EventKind {
-    /// It has a list that later events refer to.
+    /// Defines a list that later events refer to.
     List,
-    /// It starts an instance.
+    /// Starts an instance.
     Boot,
-    /// It ends an instance.
+    /// Ends an instance.
     Killed,
-    /// It is for a running instance.
+    /// Addressed to a running instance.
     Input(InputKind),
 }
 
-/// What an event for a running instance says.
+/// The kind of an event for a running instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum InputKind {
     Membership,
@@ -52,7 +52,7 @@
     }
 }
 
-/// What a membership event says of service discovery.
+/// Codes of the kinds of membership updates.
 pub(crate) mod membership_mode {
     pub(crate) const DELTA: u8 = 0;
     pub(crate) const SNAPSHOT: u8 = 1;
@@ -60,16 +60,16 @@
     pub(crate) const UNAVAILABLE: u8 = 3;
 }
 
-/// The bytes of a streaming event after the instance; no index of this family streams.
+/// Size of a streaming event after the instance number. Such events are skipped, since no index of this family streams.
 pub(crate) const STREAMING_BYTES: usize = 21;
 
-/// An entry of a list as it came. It is given an instance's index only when a membership event refers to it.
+/// A list entry as received. Its replica gets an index in an instance only when a membership event refers to the list.
 pub(crate) struct ListEntry {
     replica: u32,
     zone: u16,
     replica_group: u16,
     phase: Phase,
-    /// In milliseconds; 0 for long ago.
+    /// In milliseconds; 0 means long ago.
     started_at: f64,
 }
 
@@ -108,7 +108,7 @@
     }
 }
 
-/// How an attempt or a probe ended.
+/// Reads the outcome of an attempt or a probe.
 pub(crate) fn read_outcome(fields: &mut Fields) -> Result<AttemptOutcome, AdapterError> {
     Ok(match fields.u16("rc")? {
         100 => AttemptOutcome::Success,
@@ -123,7 +123,7 @@
     })
 }
 
-/// The number of queued sub-requests of a load report, where it is at a position.
+/// Reads a load report and returns its number of queued sub-requests, which is at `position` if the report includes it.
 pub(crate) fn read_queue_depth(
     fields: &mut Fields,
     position: Option<usize>,
--- a/crates/linenthread-adapter/src/fields.rs
+++ b/crates/linenthread-adapter/src/fields.rs
@@ -4,7 +4,7 @@
 
 use crate::error::{AdapterError, NotFiniteSnafu, TruncatedFieldSnafu};
 
-/// What is left of a batch. Running out is an error that names the field.
+/// The unread part of a batch. Reading past the end is an error that names the field.
 pub(crate) struct Fields<'a> {
     rest: &'a [u8],
 }
@@ -18,7 +18,7 @@
         self.rest.is_empty()
     }
 
-    /// The next bytes, so many.
+    /// Reads the next `needed` bytes.
     pub(crate) fn bytes(
         &mut self,
         needed: usize,
@@ -54,7 +54,7 @@
         Ok(u32::from_be_bytes(self.array(field)?))
     }
 
-    /// A count or number of 32 bits.
+    /// Reads a 32-bit count or number.
     pub(crate) fn count(&mut self, field: &'static str) -> Result<usize, AdapterError> {
         Ok(usize::try_from(self.u32(field)?).expect("usize has at least 32 bits"))
     }
--- a/crates/linenthread-adapter/src/frame.rs
+++ b/crates/linenthread-adapter/src/frame.rs
@@ -1,4 +1,4 @@
-//! Frames on standard input: four bytes of length, which counts itself, and the rest.
+//! Reads frames from standard input: a length of four bytes, which includes itself, followed by the body.
 
 use std::io::{ErrorKind, Read};
 
@@ -8,13 +8,13 @@
     AdapterError, ReadSnafu, ShortLengthSnafu, TruncatedFrameSnafu, TruncatedLengthSnafu,
 };
 
-/// The bytes of a frame's length.
+/// Size of the length field.
 const LENGTH_BYTES: usize = 4;
 
-/// The bytes of a batch's header: the length and the clock.
+/// Size of a batch's header, which consists of the length and the clock.
 const HEADER_BYTES: u64 = 12;
 
-/// The next frame without its length, or `None` where the input ends between frames.
+/// Reads the next frame and returns its body, or `None` if the input ends between frames.
 pub(crate) fn read(input: &mut impl Read) -> Result<Option<Vec<u8>>, AdapterError> {
     let Some(length) = read_length(input)? else {
         return Ok(None);
--- a/crates/linenthread-adapter/src/host.rs
+++ b/crates/linenthread-adapter/src/host.rs
@@ -1,4 +1,4 @@
-//! Hosts the instances: hands each the events of a batch that are for it, and collects their decisions.
+//! Hosts the instances: passes the events of a batch to their instances and collects the decisions.
 
 use std::collections::BTreeMap;
 
@@ -15,14 +15,14 @@
 #[derive(Default)]
 pub(crate) struct Host {
     lists: Lists,
-    /// By their numbers, so that replies are the same whatever else the process hosts.
+    /// Ordered by number, so that the reply does not depend on other instances in the process.
     instances: BTreeMap<u32, Instance>,
-    /// Instances that had an event in the present batch.
+    /// Instances that received an event in the current batch.
     active: Vec<u32>,
 }
 
 impl Host {
-    /// Takes one batch, without its length, and returns the reply to it.
+    /// Processes one batch, passed without its length, and returns the reply.
     pub(crate) fn on_batch(&mut self, batch: &[u8]) -> Result<Vec<u8>, AdapterError> {
         let mut fields = Fields::new(batch);
         let now = tenth_millis(fields.f64("clock")?);
@@ -34,7 +34,7 @@
         self.active.dedup();
         let mut reply = Reply::new();
         for &number in &self.active {
-            // One that was killed in this batch is gone.
+            // Instances killed in this batch no longer exist.
             if let Some(instance) = self.instances.get_mut(&number) {
                 instance.step(number, now, &mut reply);
             }
--- a/crates/linenthread-adapter/src/ids.rs
+++ b/crates/linenthread-adapter/src/ids.rs
@@ -1,19 +1,19 @@
-//! Which index stands for which id of the wire, one way and back.
+//! Maps ids on the wire to the indices of replicas, queries and sub-requests, and back.
 
 use std::collections::HashMap;
 
 use linenthread_core::interface::{QueryIndex, ReplicaIndex, SubRequestIndex};
 
-/// The ids behind one query's index.
+/// The ids of one query.
 #[derive(Default)]
 pub(crate) struct QueryIds {
     pub(crate) query: u64,
-    /// The number by which the wire joins sub-requests to their query.
+    /// The number that links sub-requests to their query on the wire.
     number: u32,
     pub(crate) sub_requests: Vec<u64>,
 }
 
-/// What an id of the wire stands for.
+/// The query or sub-request that an id on the wire refers to.
 #[derive(Clone, Copy)]
 pub(crate) enum Target {
     Query(QueryIndex),
@@ -23,22 +23,22 @@
     },
 }
 
-/// The ids that one instance knows.
+/// The ids known to one instance.
 #[derive(Default)]
 pub(crate) struct IdTable {
-    /// By the replicas' indices.
+    /// Indexed by [`ReplicaIndex`].
     replicas: Vec<u32>,
     replica_indices: HashMap<u32, ReplicaIndex>,
-    /// By the queries' indices.
+    /// Indexed by [`QueryIndex`].
     queries: Vec<QueryIds>,
-    /// Indices of queries that may be used again.
-    free: Vec<QueryIndex>,
+    /// Query indices available for reuse.
+    free_queries: Vec<QueryIndex>,
     queries_by_number: HashMap<u32, QueryIndex>,
     targets: HashMap<u64, Target>,
 }
 
 impl IdTable {
-    /// The index of a replica, a new one if it has none.
+    /// Returns the index of a replica, and assigns one if it has none.
     pub(crate) fn replica_index(&mut self, id: u32) -> ReplicaIndex {
         let replicas = &mut self.replicas;
         *self.replica_indices.entry(id).or_insert_with(|| {
@@ -59,16 +59,16 @@
         self.targets.get(&id).copied()
     }
 
-    /// Gives a query an index.
+    /// Adds a query and assigns it an index.
     pub(crate) fn add_query(&mut self, id: u64, number: u32) -> QueryIndex {
         let ids = QueryIds {
             query: id,
             number,
             sub_requests: Vec::new(),
         };
-        let query = if let Some(free) = self.free.pop() {
-            self.queries[free.0] = ids;
-            free
+        let query = if let Some(index) = self.free_queries.pop() {
+            self.queries[index.0] = ids;
+            index
         } else {
             self.queries.push(ids);
             QueryIndex(self.queries.len() - 1)
@@ -78,7 +78,8 @@
         query
     }
 
-    /// Adds a sub-request to the query of a number and returns that query's index, where there is one.
+    /// Adds a sub-request to the query with this number. Returns that query's index, or `None` if the number is
+    /// unknown.
     pub(crate) fn add_sub_request(&mut self, id: u64, number: u32) -> Option<QueryIndex> {
         let query = *self.queries_by_number.get(&number)?;
         let sub_requests = &mut self.queries[query.0].sub_requests;
@@ -91,7 +92,7 @@
         Some(query)
     }
 
-    /// Forgets a query; its index may be used again.
+    /// Removes a query; its index may be reused.
     pub(crate) fn release_query(&mut self, index: QueryIndex) {
         let ids = std::mem::take(&mut self.queries[index.0]);
         for id in ids.sub_requests.iter().chain([&ids.query]) {
@@ -100,6 +101,6 @@
         if self.queries_by_number.get(&ids.number) == Some(&index) {
             self.queries_by_number.remove(&ids.number);
         }
-        self.free.push(index);
+        self.free_queries.push(index);
     }
 }
--- a/crates/linenthread-adapter/src/instance.rs
+++ b/crates/linenthread-adapter/src/instance.rs
@@ -1,4 +1,4 @@
-//! One co-ordinator: decodes its events into inputs, and runs its steps.
+//! One co-ordinator instance: decodes its events into inputs and runs its steps.
 
 use std::collections::HashMap;
 use std::panic::{AssertUnwindSafe, catch_unwind};
@@ -21,20 +21,20 @@
 use crate::ids::{IdTable, Target};
 use crate::reply::{Reply, action};
 
-/// Units of the decision module in a millisecond.
+/// Units of [`TenthMillis`] in a millisecond.
 const TENTHS_PER_MS: f64 = 10.0;
 
-/// The lists that membership events refer to, by their numbers.
+/// Lists that membership events refer to, by number.
 pub(crate) type Lists = HashMap<u16, Vec<ListEntry>>;
 
-/// One co-ordinator with its ids.
+/// A co-ordinator and its table of ids.
 pub(crate) struct Instance {
     coordinator: Coordinator,
     ids: IdTable,
     index_count: usize,
-    /// Where the number of queued sub-requests is in a load report.
+    /// The position of the queue depth in a load report.
     queue_position: Option<usize>,
-    /// What arrived in the present batch.
+    /// Inputs received in the current batch.
     inputs: Inputs,
 }
 
@@ -54,7 +54,7 @@
         })
     }
 
-    /// Reads an event of a running instance.
+    /// Reads an event for a running instance.
     pub(crate) fn on_event(
         &mut self,
         kind: InputKind,
@@ -67,7 +67,7 @@
             InputKind::Streaming => _ = fields.bytes(STREAMING_BYTES, "streaming")?,
             InputKind::AttemptResult => self.on_attempt_result(fields)?,
             InputKind::Abandoned => self.on_abandoned(fields)?,
-            // There is one timer; that the instance is run is the event's whole meaning.
+            // There is a single timer, and its only purpose is to run the instance.
             InputKind::Timer => _ = fields.u64("label")?,
             InputKind::ProbeResult => self.on_probe_result(fields)?,
             InputKind::PeerMessage => skip_peer_message(fields)?,
@@ -75,7 +75,7 @@
         Ok(())
     }
 
-    /// Runs a step on what arrived and writes its decisions into the reply.
+    /// Runs a step on the inputs received and writes its decisions to the reply.
     pub(crate) fn step(&mut self, number: u32, now: TenthMillis, reply: &mut Reply) {
         self.inputs.now = now;
         let (coordinator, inputs) = (&mut self.coordinator, &self.inputs);
@@ -121,14 +121,14 @@
         Ok(())
     }
 
-    /// A query, or one of its sub-requests: those name their shard.
+    /// Reads a query or one of its sub-requests; only sub-requests have a shard of 0 or more.
     fn on_request(&mut self, fields: &mut Fields) -> Result<(), AdapterError> {
         let id = fields.u64("request-id")?;
         let index = usize::from(fields.u16("class")?);
         ensure!(index < self.index_count, UnknownClassSnafu { class: index });
         let customer = fields.count("client-group")?;
         let key = fields.u64("partition-key")?;
-        // Rounded down, unlike all other times: a response must not come after it.
+        // Rounded down, unlike other times, because a response must not arrive after the deadline.
         let hard_deadline = to_tenth_millis((fields.f64("deadline-ms")? * TENTHS_PER_MS).floor());
         fields.f64("expected-ms")?;
         let number = fields.f32("whole-no")?.to_bits();
@@ -197,7 +197,7 @@
     }
 }
 
-/// Co-ordinators share nothing: what another one sends is not read.
+/// Skips a message from another co-ordinator, since co-ordinators share no state.
 fn skip_peer_message(fields: &mut Fields) -> Result<(), AdapterError> {
     fields.u32("from")?;
     let length = usize::from(fields.u16("body")?);
--- a/crates/linenthread-adapter/src/main.rs
+++ b/crates/linenthread-adapter/src/main.rs
@@ -1,8 +1,8 @@
-//! `linenthread-adapter`: hosts many independent co-ordinators for the simulator, on its wire on standard input
-//! and output.
+//! `linenthread-adapter`: hosts independent co-ordinators for the simulator, and exchanges messages with it in its
+//! binary protocol over standard input and output.
 //!
-//! Each batch of events that comes in is answered by one reply with the decisions. The adapter decides nothing
-//! itself, reads no clock and keeps the instances apart. Start reading with [`host`].
+//! Each batch of events is answered by one reply that contains the decisions. The adapter makes no decisions itself,
+//! reads no clock and keeps the instances isolated from each other. Start reading with [`host`].
 
 mod encoder;
 mod error;
@@ -22,7 +22,7 @@
 use crate::error::{AdapterError, WriteSnafu};
 use crate::host::Host;
 
-/// The size of the buffer on standard input, in bytes.
+/// Size of the standard input buffer, in bytes.
 const INPUT_BUFFER: usize = 1 << 16;
 
 fn serve() -> Result<(), AdapterError> {
@@ -40,7 +40,7 @@
 }
 
 fn main() -> ExitCode {
-    // A panic of the decision module goes out on the wire; its trace would only repeat it.
+    // A panic of the decision module is reported on the wire, so its message is not printed as well.
     std::panic::set_hook(Box::new(|_| {}));
     match serve() {
         Ok(()) => ExitCode::SUCCESS,
--- a/crates/linenthread-adapter/src/reply.rs
+++ b/crates/linenthread-adapter/src/reply.rs
@@ -1,6 +1,6 @@
-//! Builds replies: a header, then records of big-endian fields without padding.
+//! Builds replies: a header, followed by records of big-endian fields without padding.
 
-/// The codes of actions.
+/// The action codes.
 pub(crate) mod action {
     pub(crate) const FAIL: u8 = 1;
     pub(crate) const WAKE_AT: u8 = 2;
@@ -14,10 +14,10 @@
     pub(crate) const PROBE: u8 = 13;
 }
 
-/// The bytes of a reply's length, and of the count of records that follows it.
-const FIELD_BYTES: usize = 4;
+/// Size of each header field: the reply's length and its number of records.
+const HEADER_FIELD_BYTES: usize = 4;
 
-/// A reply being built; its header is filled in at the end.
+/// A reply under construction; the header is written by [`finish`](Self::finish).
 pub(crate) struct Reply {
     bytes: Vec<u8>,
     record_count: u32,
@@ -26,37 +26,37 @@
 impl Reply {
     pub(crate) fn new() -> Self {
         Reply {
-            bytes: vec![0; 2 * FIELD_BYTES],
+            bytes: vec![0; 2 * HEADER_FIELD_BYTES],
             record_count: 0,
         }
     }
 
-    /// Begins a record of an instance.
+    /// Starts a record for an instance.
     pub(crate) fn record(&mut self, code: u8, instance: u32) -> &mut Self {
         self.record_count += 1;
         self.bytes.push(code);
         self.put(&instance.to_be_bytes())
     }
 
-    /// Adds a field to the record.
+    /// Appends a field to the record.
     pub(crate) fn put(&mut self, field: &[u8]) -> &mut Self {
         self.bytes.extend_from_slice(field);
         self
     }
 
-    /// Adds a text after its length, cut to what the length can say.
+    /// Appends a text with its length, truncated to the maximum of the length field.
     pub(crate) fn put_text(&mut self, text: &str) -> &mut Self {
         let length = u16::try_from(text.len()).unwrap_or(u16::MAX);
         let text = &text.as_bytes()[..usize::from(length)];
         self.put(&length.to_be_bytes()).put(text)
     }
 
-    /// The bytes of the reply.
+    /// Writes the header and returns the bytes of the reply.
     pub(crate) fn finish(mut self) -> Vec<u8> {
         let length = u32::try_from(self.bytes.len()).expect("a reply is under 4 GiB");
-        let (length_field, rest) = self.bytes.split_at_mut(FIELD_BYTES);
+        let (length_field, rest) = self.bytes.split_at_mut(HEADER_FIELD_BYTES);
         length_field.copy_from_slice(&length.to_be_bytes());
-        rest[..FIELD_BYTES].copy_from_slice(&self.record_count.to_be_bytes());
+        rest[..HEADER_FIELD_BYTES].copy_from_slice(&self.record_count.to_be_bytes());
         self.bytes
     }
 }
--- a/crates/linenthread-adapter/tests/wire.rs
+++ b/crates/linenthread-adapter/tests/wire.rs
@@ -1,4 +1,4 @@
-//! Runs the adapter on bytes, and checks its output, exit status and error message.
+//! Runs the adapter on binary input and checks its output, exit status and error message.
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
@@ -33,7 +33,7 @@
     record
 }
 
-/// One ready replica in a list, and the event that the list is complete.
+/// A list with one ready replica, and the event that makes it the complete membership.
 fn membership() -> Vec<u8> {
     decode_hex(
         "0b 0000 00000001 03124a07 0000 0000 0000 01 3f800000 0000000000000000 \
@@ -41,7 +41,7 @@
     )
 }
 
-/// A query of one sub-request, with a deadline at 13000 ms.
+/// A query with one sub-request and a deadline at 13000 ms.
 fn query() -> Vec<u8> {
     decode_hex(
         "03 00000003 000643ee0e6f2b19 0000 00000000 91f03b7c55d20a64 40c9640000000000 0000000000000000 \
@@ -58,12 +58,12 @@
         .stderr(Stdio::piped())
         .spawn()
         .unwrap();
-    // The adapter stops reading at invalid input, so writing the rest may fail.
+    // The adapter stops reading after invalid input, so writing the rest may fail.
     let _ = child.stdin.take().unwrap().write_all(input);
     child.wait_with_output().unwrap()
 }
 
-fn holds(output: &[u8], hex: &str) -> bool {
+fn contains_record(output: &[u8], hex: &str) -> bool {
     let record = decode_hex(hex);
     output.windows(record.len()).any(|w| w == record)
 }
@@ -95,15 +95,18 @@
         "{}",
         String::from_utf8_lossy(&output.stderr)
     );
-    assert!(holds(
+    assert!(contains_record(
         &output.stdout,
         "0c 00000003 000a7e015d3a91c4 03124a07"
     ));
-    assert!(holds(&output.stdout, "08 00000003 000643ee0e6f2b19 01"));
+    assert!(contains_record(
+        &output.stdout,
+        "08 00000003 000643ee0e6f2b19 01"
+    ));
 }
 
 #[test]
-fn a_killed_instance_starts_afresh_in_the_same_batch() {
+fn a_killed_instance_restarts_without_its_state_in_the_same_batch() {
     let killed = decode_hex("0a 00000003");
     let output = run(&frame(
         10_000.0,
@@ -117,7 +120,7 @@
         ],
     ));
     assert_eq!(output.status.code(), Some(0));
-    assert!(!holds(&output.stdout, "000a7e015d3a91c4"));
+    assert!(!contains_record(&output.stdout, "000a7e015d3a91c4"));
 }
 
 #[test]
