--- a/crates/linenthread-core/src/policy/admission.rs
+++ b/crates/linenthread-core/src/policy/admission.rs
@@ -217,12 +217,16 @@
         // The client may stop waiting before the soft deadline; a response after that is useless.
         let end = query.soft_deadline.min(query.hard_deadline);
         let time_left = (end - self.now).max(1) as f64;
-        let of_this_query = delays.of_query(count, self.index_config(query)) * slowdown / time_left;
-        let of_index = |(size, index): (&DecayingSums, &IndexConfig)| {
+        let query_delay_share =
+            delays.of_query(count, self.index_config(query)) * slowdown / time_left;
+        let index_delay_share = |(size, index): (&DecayingSums, &IndexConfig)| {
             Some(delays.of_query(size.mean(MIN_WEIGHT)?, index) / index.soft_deadline as f64)
         };
         let indexes = self.fleet.query_sizes.iter().zip(&self.config.indexes);
-        indexes.filter_map(of_index).fold(of_this_query, f64::max) / MAX_DELAY_SHARE
+        indexes
+            .filter_map(index_delay_share)
+            .fold(query_delay_share, f64::max)
+            / MAX_DELAY_SHARE
     }
 
     /// Reports whether a customer recently sent clearly more than its share of the queries received here. The share is
@@ -230,13 +234,13 @@
     /// moves here from another co-ordinator.
     fn is_over_quota(&self, customer: usize) -> bool {
         let (quotas, queries) = (&self.config.customer_quotas, &self.fleet.customer_queries);
-        let all: f64 = queries.iter().map(|sums| sums.weight).sum();
-        let queries_per_quota = all / quotas.iter().sum::<f64>().max(MIN_DIVISOR);
+        let total: f64 = queries.iter().map(|sums| sums.weight).sum();
+        let queries_per_quota = total / quotas.iter().sum::<f64>().max(MIN_DIVISOR);
         quotas
             .get(customer)
             .zip(queries.get(customer))
             .is_some_and(|(quota, sums)| {
-                all > MIN_QUERIES_FOR_QUOTAS
+                total > MIN_QUERIES_FOR_QUOTAS
                     && sums.weight > OVER_QUOTA_FACTOR * queries_per_quota * quota
             })
     }
--- a/crates/linenthread-core/src/policy/attempt_result.rs
+++ b/crates/linenthread-core/src/policy/attempt_result.rs
@@ -126,8 +126,8 @@
         }
         let sub_request = &self.open_query(result.query).sub_requests[result.sub_request];
         let is_response = observed.outcome == AttemptOutcome::Success;
-        let was_last_interrupted = sub_request.in_flight() == 0 && observed.was_interrupted();
-        if !sub_request.succeeded && (is_response || was_last_interrupted) {
+        let ended_without_response = sub_request.in_flight() == 0 && observed.was_interrupted();
+        if !sub_request.succeeded && (is_response || ended_without_response) {
             let age = (now - sub_request.attempts[0].sent_at).max(1) as f64;
             self.fleet.log_delays.record(now, SHORT_TERM, age.ln());
         }
--- a/crates/linenthread-core/src/policy/natural_replica.rs
+++ b/crates/linenthread-core/src/policy/natural_replica.rs
@@ -72,8 +72,8 @@
         })
     }
 
-    /// Reports whether the sub-request backs off because of full queues, which do not empty immediately: after two
-    /// rejections, the backoff doubles with each attempt.
+    /// Reports whether the sub-request backs off because of full queues, which do not empty immediately: from the
+    /// second rejection on, the backoff doubles with each rejection.
     fn backs_off_from_full_queues(&self, sub_request: &SubRequest) -> bool {
         let rejections = sub_request
             .attempts
@@ -130,19 +130,20 @@
             .copied()
             .map(score)
             .min_by(f64::total_cmp)?;
-        let mut good: Vec<ReplicaIndex> = candidates
+        let mut acceptable: Vec<ReplicaIndex> = candidates
             .iter()
             .copied()
             .filter(|&replica| score(replica) <= best_score * (1.0 + BADNESS_THRESHOLD))
             .collect();
-        let nearest = good.iter().copied().filter_map(distance).min();
-        good.retain(|&replica| distance(replica) == nearest);
-        let least_pending = good
+        let nearest = acceptable.iter().copied().filter_map(distance).min();
+        acceptable.retain(|&replica| distance(replica) == nearest);
+        let least_pending = acceptable
             .iter()
             .copied()
             .map(pending)
             .fold(f64::INFINITY, f64::min);
-        good.into_iter()
+        acceptable
+            .into_iter()
             .filter(|&replica| pending(replica) <= least_pending + MAX_PENDING_IMBALANCE)
             .max_by_key(|&replica| self.hash_rank(query, sub_request, replica))
     }
--- a/crates/linenthread-core/src/policy/query_of_death.rs
+++ b/crates/linenthread-core/src/policy/query_of_death.rs
@@ -13,7 +13,7 @@
 pub(super) enum CrashEvidence {
     /// The replica is down.
     Outage,
-    /// A probe found that the process crashed.
+    /// A probe found that the process is gone.
     Proven,
 }
 
--- a/crates/linenthread-core/src/policy/windows.rs
+++ b/crates/linenthread-core/src/policy/windows.rs
@@ -48,7 +48,7 @@
 /// deadline.
 pub(super) const PROBE_TIMEOUT: TenthMillis = 250;
 
-/// The rounding error of a sum of sub-requests' weights.
+/// The maximum rounding error of a sum of sub-requests' weights.
 ///
 /// Unit: share of a query's weight. Reason: weights arrive as rounded shares, so all of them may sum to less than 1.
 pub(super) const WEIGHT_ROUNDING: f64 = 0.0001;
--- a/crates/linenthread-core/src/state/replica.rs
+++ b/crates/linenthread-core/src/state/replica.rs
@@ -30,9 +30,9 @@
 /// | `outage` | `suspected_crash` | `crashed` | meaning |
 /// | --- | --- | --- | --- |
 /// | | | | up |
-/// | set | | | connections fail; there is no sign that the process crashed |
+/// | set | | | connections fail; there is no sign that the process is gone |
 /// | set | set | | a connection was lost during an attempt; the probe to determine the cause has not ended |
-/// | set | | set | a probe found that the process crashed |
+/// | set | | set | a probe found that the process is gone |
 /// | set | set | set | the same, and another query lost a connection since |
 /// | | set | | the replica responded, or is listed with a new process, before the probe ended |
 /// | | | set | it is listed with a new process that has not responded yet, or it responded before the probe failed |
@@ -55,7 +55,7 @@
     pub outage: Option<Outage>,
     /// A connection was lost during an attempt, and no probe has ended since.
     pub suspected_crash: bool,
-    /// A probe found that the process crashed.
+    /// A probe found that the process is gone.
     pub crashed: bool,
     /// When a new process first responded after a crash.
     pub restarted_at: Option<TenthMillis>,
