--- a/crates/linenthread-core/tests/scenarios/main.rs
+++ b/crates/linenthread-core/tests/scenarios/main.rs
@@ -1,23 +1,24 @@
 //! Runs the scenario files in this folder. A scenario is a list of statements, one per line or separated by `;`. Times
 //! are in milliseconds.
 //!
-//! - `with soft 500 late 0.3 min 0.8 fetch 2 runs at-most-once ...` configures the co-ordinator and the last added index;
-//!   `index` adds an index;
-//! - `snapshot a:0 b:1/draining` and `cached a:0` are complete lists of replicas and their groups; `delta a:0 draining` and
-//!   `delta a:0 ready 500 0.1` are changes (the latter with a start time and a share of the slow-start budget);
+//! - `with soft 500 late 0.3 min 0.8 fetch 2 runs at-most-once ...` configures the co-ordinator and the last added
+//!   index; `index` adds an index;
+//! - `snapshot a:0 b:1/draining` and `cached a:0` are complete lists of replicas and their groups; `delta a:0 draining`
+//!   and `delta a:0 ready 500 0.1` are changes (the latter with a start time and a share of the slow-start budget);
 //!   `delta c=a:0 ready` lists c under the former index of a; `unavailable` is a failure of service discovery;
-//! - `query L key 7 hard 4000 shards 0 1` starts a query, `sub-requests L 0 1` adds a fetch phase, and `abandoned L` means
-//!   that the client has left;
+//! - `query L key 7 hard 4000 shards 0 1` starts a query, `sub-requests L 0 1` adds a fetch phase, and `abandoned L`
+//!   means that the client has left;
 //! - `routes 0/1000 1/500 1/0` is a routing table: for each zone (of a, b, c) its distance and the number of keys per
 //!   thousand for which the route is open; `routes` alone removes the table;
 //! - `continue L.0` repeats a sub-request that has succeeded;
 //! - `L.0 error` ends the oldest attempt in flight of a sub-request, `L.0#1 success` a specific one;
 //! - `serve 100 a b` ends all attempts at these replicas with success after 100 ms, `serve error a` fails them, and
-//!   `serve never a` makes the replica hang; `probed a success 3` ends a probe, with the number of queued sub-requests that
-//!   the replica reports;
+//!   `serve never a` makes the replica hang; `probed a success 3` ends a probe, with the number of queued sub-requests
+//!   that the replica reports;
 //! - `at 300` runs steps until that time; `stream 50 300 shards 0` also starts a query every 50 ms;
-//! - `expect send L.0 $x` removes a matching decision from the log; `never`, `at-most 3` and `at-least 3` check the number
-//!   of matching decisions; `*` matches any word, and `$x` the word that it matched first; `forget` clears the log.
+//! - `expect send L.0 $x` removes a matching decision from the log; `never`, `at-most 3` and `at-least 3` check the
+//!   number of matching decisions; `*` matches any word, and `$x` the word that it matched first; `forget` clears the
+//!   log.
 
 mod decision_log;
 mod runner;
