--- a/crates/linenthread-core/src/policy/score.rs
+++ b/crates/linenthread-core/src/policy/score.rs
@@ -1,71 +1,71 @@
-//! The score of each replica, updated on a timer. The lower the better: the median response time relative to
-//! the largest one, plus penalties for failures, silence and a late probe.
+//! Updates the score of each replica on a timer. Lower is better: a score is the median response time relative to the
+//! largest one, plus penalties for failures, missing responses and a late probe.
 
 use super::Coordinator;
 use super::windows::{
-    FRESH_REPORT, MIN_WEIGHT, PROBE_TIMEOUT, RECENT, REMEMBERED_RESPONSES, RESET_INTERVAL,
-    SCORE_INTERVAL,
+    MIN_WEIGHT, PROBE_TIMEOUT, REPORT_LIFETIME, RESET_INTERVAL, RETAINED_RESPONSES, SCORE_INTERVAL,
+    SHORT_TERM,
 };
 use crate::conversion::to_tenth_millis;
 use crate::interface::TenthMillis;
 use crate::state::{Observations, Replica};
 
-/// How much the mean of its zone weighs in a replica's median.
+/// The weight of the zone's mean in a replica's median.
 ///
-/// Unit: responses. Reason: a replica that has not responded yet counts as its zone does.
+/// Unit: responses. Reason: a replica that has not responded yet is rated like its zone.
 const ZONE_PRIOR: f64 = 1.0;
 
-/// How much the mean of the fleet weighs in a zone's median.
+/// The weight of the fleet's mean in a zone's median.
 ///
-/// Unit: responses. Reason: a zone that has responded seldom counts as the fleet does.
+/// Unit: responses. Reason: a zone with few responses is rated like the fleet.
 const FLEET_PRIOR: f64 = 4.0;
 
-/// What each attempt in flight from here, beyond the average, adds to a replica's median.
+/// The increase of a replica's median for each attempt in flight from here above the average.
 ///
-/// Unit: share of the median. Reason: response times show a burst only once it has been served.
+/// Unit: share of the median. Reason: response times reflect a burst only after it has been served.
 const LOAD_PER_ATTEMPT: f64 = 1.0;
 
-/// What each sub-request that a replica reports as queued adds to its median.
+/// The increase of a replica's median for each sub-request that it reports as queued.
 ///
-/// Unit: share of the median. Reason: reports are older than what is counted here, so they count half.
+/// Unit: share of the median. Reason: reports are older than the local count of attempts, so they count half.
 const LOAD_PER_QUEUED: f64 = 0.5;
 
-/// What a replica that only fails has added to its score.
+/// The penalty added to the score of a replica whose attempts all fail.
 ///
 /// Unit: score (the slowest median counts 1). Reason: it has to score far worse than the slowest replica that responds.
-const SEVERITY: f64 = 8.0;
+const FAILURE_PENALTY: f64 = 8.0;
 
-/// What is added to the score of a replica that has not responded to a probe in time.
+/// The penalty added to the score of a replica that has not responded to a probe in time.
 ///
-/// Unit: score. Reason: between the slowest median, which counts 1, and a replica that only fails.
-const LATE_PROBE: f64 = 4.0;
+/// Unit: score. Reason: between the slowest median, which counts 1, and a replica whose attempts all fail.
+const LATE_PROBE_PENALTY: f64 = 4.0;
 
-/// How much slower observations decay at most where few responses come from each replica.
+/// The maximum factor by which the decay of observations slows down where there are few responses per replica.
 ///
-/// Unit: factor. Reason: observations older than half a minute say nothing of a replica's present.
+/// Unit: factor. Reason: observations older than half a minute say nothing about a replica's current state.
 const MAX_TIME_CONSTANT_FACTOR: f64 = 10.0;
 
-/// The weight of one more update in a smoothed value.
+/// The weight of each update in an exponentially smoothed value.
 ///
-/// Unit: share. Reason: the value then follows within about a reset interval.
+/// Unit: share. Reason: the value then follows changes within about a reset interval.
 pub(super) const SMOOTHING: f64 = SCORE_INTERVAL as f64 / RESET_INTERVAL as f64;
 
-/// What all scores of one update are relative to. Times are in tenths of a millisecond.
+/// Values that all scores of one update are relative to. Times are in tenths of a millisecond.
 struct Baseline {
     now: TenthMillis,
-    /// A response time from which on attempts are slow.
+    /// The response time from which attempts are slow.
     slow: f64,
-    /// The lowest recent median: a queued sub-request takes no less.
+    /// The lowest recent median, used as the minimum service time of a queued sub-request.
     lowest_median: f64,
     /// The mean logarithm of all response times.
     fleet_mean: f64,
-    /// The largest median of a replica that is ready.
+    /// The largest median among the ready replicas.
     largest_median: f64,
 }
 
 impl Baseline {
-    /// The median response time of a replica. One that has responded seldom is given mostly its zone's average, and a
-    /// zone that has mostly the fleet's.
+    /// Returns the median response time of a replica. With few responses it is mainly the average of its zone, and that
+    /// of a zone with few responses mainly the average of the fleet.
     fn median(&self, replica: &Observations, zone: &Observations) -> f64 {
         let zone_mean = zone
             .log_latencies
@@ -76,42 +76,42 @@
             .exp()
     }
 
-    /// Updates the score of a replica. `usual_in_flight` is what replicas have in flight on average.
-    fn score(&self, replica: &mut Replica, zone: &Observations, usual_in_flight: f64) {
-        let queued = replica.estimated_queue(self.now, FRESH_REPORT, self.lowest_median);
+    /// Updates the score of a replica. `average_in_flight` is the average number of attempts in flight per replica.
+    fn score(&self, replica: &mut Replica, zone: &Observations, average_in_flight: f64) {
+        let queued = replica.estimated_queue(self.now, REPORT_LIFETIME, self.lowest_median);
         let in_flight = f64::from(replica.in_flight);
-        let load = (in_flight - usual_in_flight).max(0.0) + LOAD_PER_QUEUED * queued;
+        let load = (in_flight - average_in_flight).max(0.0) + LOAD_PER_QUEUED * queued;
         replica.expected_latency = self.median(&replica.observations, zone);
         let median = replica.expected_latency * (1.0 + LOAD_PER_ATTEMPT * load);
         replica.score = median / self.largest_median
-            + SEVERITY * severity(replica, zone)
-            + self.silence_penalty(replica)
+            + FAILURE_PENALTY * failure_share(replica, zone)
+            + self.unresponsive_penalty(replica)
             + self.probe_penalty(replica);
     }
 
-    /// How long the replica has been silent, beyond a slow response time, in units of the largest median.
-    fn silence_penalty(&self, replica: &Replica) -> f64 {
-        let silent = if replica.in_flight > 0 {
+    /// Returns the penalty for missing responses: the time since the last response beyond a slow response time, in
+    /// units of the largest median.
+    fn unresponsive_penalty(&self, replica: &Replica) -> f64 {
+        let time_without_response = if replica.in_flight > 0 {
             self.now - replica.last_response_at
         } else {
             0
         };
-        (silent as f64 - self.slow).max(0.0) / self.largest_median
+        (time_without_response as f64 - self.slow).max(0.0) / self.largest_median
     }
 
-    /// What is added while a probe of the replica is late. A report that was made after the probe was sent ends that,
-    /// too.
+    /// Returns the penalty for a late probe. It ends with the probe, or with a report made after the probe was sent.
     fn probe_penalty(&self, replica: &Replica) -> f64 {
         replica
             .probe_sent_at
             .filter(|&at| self.now - at >= PROBE_TIMEOUT && replica.last_report_at < at)
-            .map_or(0.0, |_| LATE_PROBE)
+            .map_or(0.0, |_| LATE_PROBE_PENALTY)
     }
 }
 
-/// The share of failures. Stalled attempts count as failures before their time-outs say so, which finds a replica
-/// that hangs; one imagined response keeps a single failure from deciding.
-fn severity(replica: &Replica, zone: &Observations) -> f64 {
+/// Returns the share of failures. Stalled attempts count as failures before they time out, which detects hanging
+/// replicas. One added response prevents a single failure from dominating.
+fn failure_share(replica: &Replica, zone: &Observations) -> f64 {
     let stalled = f64::from(replica.stalled);
     let failures = &replica.observations.failures;
     (failures.sum + stalled + zone.failures.mean_with_prior(FLEET_PRIOR, 0.0))
@@ -119,7 +119,7 @@
 }
 
 impl Coordinator {
-    /// Updates the scores, once an interval.
+    /// Updates the scores if they are due.
     pub(super) fn update_scores(&mut self) {
         if self.now < self.timers.next_score {
             return;
@@ -134,27 +134,28 @@
         if self.now >= self.timers.next_reset {
             self.reset_observations();
         }
-        self.learn_capacity(ready_count);
+        self.update_capacity(ready_count);
     }
 
     fn ready_replicas(&self) -> impl Iterator<Item = &Replica> {
         self.replicas.iter().filter(|replica| replica.is_ready())
     }
 
-    /// Replicas are remembered for about [`REMEMBERED_RESPONSES`] responses each.
+    /// Sets the time constant so that about [`RETAINED_RESPONSES`] responses of each replica are retained.
     fn update_time_constant(&mut self, ready_count: f64) {
         let fleet = &mut self.fleet;
-        fleet.log_latencies.decay(self.now, RECENT);
+        fleet.log_latencies.decay(self.now, SHORT_TERM);
         let response_weight = if fleet.response_weight > 0.0 {
             fleet.response_weight
         } else {
-            REMEMBERED_RESPONSES * ready_count
+            RETAINED_RESPONSES * ready_count
         };
         let difference = fleet.log_latencies.weight - response_weight;
         fleet.response_weight =
             response_weight + difference * SCORE_INTERVAL as f64 / RESET_INTERVAL as f64;
-        fleet.time_constant = (RECENT * REMEMBERED_RESPONSES * ready_count / fleet.response_weight)
-            .clamp(RECENT, RECENT * MAX_TIME_CONSTANT_FACTOR);
+        fleet.time_constant = (SHORT_TERM * RETAINED_RESPONSES * ready_count
+            / fleet.response_weight)
+            .clamp(SHORT_TERM, SHORT_TERM * MAX_TIME_CONSTANT_FACTOR);
     }
 
     fn decay_observations(&mut self) {
@@ -176,18 +177,18 @@
         };
         let median = |r: &Replica| baseline.median(&r.observations, &self.zones[r.entry.zone]);
         baseline.largest_median = self.ready_replicas().map(median).fold(1.0, f64::max);
-        let usual_in_flight: Vec<f64> = (0..self.zones.len())
-            .map(|zone| self.usual_in_flight(zone))
+        let average_in_flight: Vec<f64> = (0..self.zones.len())
+            .map(|zone| self.average_in_flight(zone))
             .collect();
         for replica in self.replicas.iter_mut().filter(|r| r.is_ready()) {
             let zone = replica.entry.zone;
-            baseline.score(replica, &self.zones[zone], usual_in_flight[zone]);
+            baseline.score(replica, &self.zones[zone], average_in_flight[zone]);
         }
     }
 
-    /// Attempts in flight at the average replica that a zone's replicas are compared with. While a table routes
-    /// by zone, one has more in flight than others only beside those of its own zone.
-    fn usual_in_flight(&self, zone: usize) -> f64 {
+    /// Returns the average number of attempts in flight that a zone's replicas are compared with. While a routing table
+    /// is in use, they are compared only with replicas of the same zone.
+    fn average_in_flight(&self, zone: usize) -> f64 {
         let compares_zones = self.zone_routes.is_empty();
         let in_flight = || {
             self.ready_replicas()
@@ -197,9 +198,9 @@
         in_flight().sum::<f64>() / in_flight().count() as f64
     }
 
-    /// Forgets the observations of replicas, not those of zones.
+    /// Clears the observations of replicas, but not those of zones.
     fn reset_observations(&mut self) {
-        let interval = RESET_INTERVAL as f64 * self.fleet.time_constant / RECENT;
+        let interval = RESET_INTERVAL as f64 * self.fleet.time_constant / SHORT_TERM;
         self.timers.next_reset = self.now + to_tenth_millis(interval);
         for replica in &mut self.replicas {
             replica.observations = Observations::default();
