--- a/crates/linenthread-consensus/src/acceptor.rs
+++ b/crates/linenthread-consensus/src/acceptor.rs
@@ -6,17 +6,17 @@
 
 use crate::value_number::ValueNumber;
 
-/// What this node has promised and accepted for one number.
+/// The promises and the accepted value of this node for one number.
 ///
-/// A request for another number must not be handed to it: [`crate::Register`] checks that before.
+/// [`crate::Register`] passes it only requests for this number.
 ///
-/// `on_prepare` and `on_accept` return the record that must be synced before the reply leaves: what another node relies on survives a
-/// restart (*one-value-per-number*).
+/// `on_prepare` and `on_accept` return a record that must be synced before the reply is sent, so that promises and
+/// acceptances survive a restart (*one-value-per-number*).
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Acceptor {
-    /// The number that the other fields belong to. After a restart it may be above the number after the newest decided
-    /// value, if the disk dropped the record of a decided value. Every number below is decided then, and this node
-    /// accepts nothing for it any more.
+    /// The number that the other fields apply to. Normally the one after the newest decided value. After a restart it
+    /// may be higher, if the disk dropped the record of a decided value. In that case all lower numbers are decided,
+    /// and this node no longer accepts anything for them.
     number: ValueNumber,
     promised: Option<Ballot>,
     accepted: Option<Accepted>,
@@ -35,27 +35,28 @@
         }
     }
 
-    /// The only number that it votes on: all below are decided, and the next one waits until this one is.
+    /// Returns the only number that this acceptor votes on: all lower ones are decided, and the next one can only be
+    /// decided after this one.
     pub(crate) fn number(&self) -> ValueNumber {
         self.number
     }
 
-    /// Whether it has accepted a value that is not known to be decided.
+    /// Reports whether this node has accepted a value that it does not know to be decided.
     pub(crate) fn has_undecided(&self) -> bool {
         self.accepted.is_some()
     }
 
-    /// Everything below this number is decided: promises for it bind no more.
+    /// Discards the promises and acceptances for lower numbers, which are all decided.
     pub(crate) fn advance_to(&mut self, number: ValueNumber) {
         if number > self.number {
             *self = Acceptor::new(number, None, None);
         }
     }
 
-    /// Phase 1: promises to accept nothing under a lower ballot.
+    /// Handles phase 1: promises not to accept a value under a lower ballot.
     ///
     /// # Errors
-    /// A higher ballot is promised already.
+    /// Fails if a higher ballot is promised already.
     pub(crate) fn on_prepare(&mut self, request: &Prepare) -> Result<(Record, Promise), Rejected> {
         self.check_ballot(request.ballot)?;
         self.promised = Some(request.ballot);
@@ -72,10 +73,10 @@
         Ok((record, promise))
     }
 
-    /// Phase 2: accepts a value.
+    /// Handles phase 2: accepts a value.
     ///
     /// # Errors
-    /// A higher ballot is promised.
+    /// Fails if a higher ballot is promised already.
     pub(crate) fn on_accept(&mut self, request: Accept) -> Result<(Record, AcceptAck), Rejected> {
         self.check_ballot(request.ballot)?;
         self.promised = Some(request.ballot);
--- a/crates/linenthread-consensus/src/backoff.rs
+++ b/crates/linenthread-consensus/src/backoff.rs
@@ -1,4 +1,4 @@
-//! When a proposer whose rounds compete with those of other nodes may start the next one.
+//! Randomized delay before a proposer starts the next round after another node's round rejected the last one.
 
 use std::hash::{Hash, Hasher};
 use std::time::Duration;
@@ -7,18 +7,19 @@
 use oorandom::Rand64;
 
 use crate::timing::{
-    BACKOFF_BASE, EAGER_REJECTIONS, MAX_BACKOFF, MAX_BACKOFF_DOUBLINGS, MIN_BACKOFF,
-    VOTER_CHANGE_PAUSE_PHASES,
+    BACKOFF_BASE, MAX_BACKOFF, MAX_BACKOFF_DOUBLINGS, MIN_BACKOFF, VOTER_CHANGE_BACKOFF_PHASES,
+    VOTER_CHANGE_FAST_RETRIES,
 };
 
-/// Randomized exponential backoff that leaves a competing round the time it needs.
+/// Randomized exponential backoff that leaves a competing round enough time to complete.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Backoff {
-    /// No round starts before this.
+    /// No round starts before this instant.
     not_before: Instant,
-    /// Rounds in a row that were rejected.
+    /// Number of consecutive rejected rounds.
     rejections: u32,
-    /// How long the voters took for the last phase of a round. A shorter pause would lead to the next rejection.
+    /// Latency of the voters in the last completed phase of a round. A shorter backoff would lead to another
+    /// rejection.
     phase_latency: Duration,
     jitter: Jitter,
 }
@@ -37,39 +38,41 @@
         now >= self.not_before
     }
 
-    /// A majority of the voters has replied within this time.
+    /// Records the time within which a majority of the voters replied.
     pub(crate) fn observe_phase_latency(&mut self, latency: Duration) {
         self.phase_latency = latency;
     }
 
-    /// The pause that a pending order caused does not hold up a change of the voters.
-    pub(crate) fn skip_pause(&mut self) {
+    /// Ends the current backoff, so that one caused by a pending order does not delay a voter change.
+    pub(crate) fn skip_backoff(&mut self) {
         self.not_before = Instant::START;
     }
 
-    /// A round of this node was completed.
+    /// Resets the count of rejections after a completed round of this node.
     pub(crate) fn on_accepted(&mut self) {
         self.rejections = 0;
     }
 
-    /// The next number is open: its proposers start without a history, or the one that was rejected most often would
-    /// wait longest for every number.
+    /// Resets the backoff for a new number. Otherwise the proposer that was rejected most often for earlier numbers
+    /// would wait longest for every number.
     pub(crate) fn reset(&mut self) {
         (self.not_before, self.rejections) = (Instant::START, 0);
     }
 
-    /// A round of this node was rejected in favour of another one. The competing round is left the time of one phase
-    /// at least; not so by a change of the voters, since a second node may be lost before the successor of the first
-    /// one votes. But after [`EAGER_REJECTIONS`] in a row the competing rounds may be changes of the voters as well, and
-    /// two proposers with slow voters that hardly pause would reject each other for ever.
+    /// Starts a backoff after a round of this node was rejected in favour of a competing one.
+    ///
+    /// The backoff leaves the competing round at least the time of one phase. That of a voter change is shorter,
+    /// since a second node may fail before the replacement of the first one votes. After
+    /// [`VOTER_CHANGE_FAST_RETRIES`] consecutive rejections the competing rounds may be voter changes as well: with
+    /// slow voters and a short backoff, two such proposers would reject each other forever.
     pub(crate) fn on_rejected(&mut self, now: Instant, is_voter_change: bool) {
         self.rejections = (self.rejections + 1).min(MAX_BACKOFF_DOUBLINGS);
-        let pause = if is_voter_change {
-            let is_eager = self.rejections <= EAGER_REJECTIONS;
-            let phases = if is_eager {
+        let backoff = if is_voter_change {
+            let is_fast_retry = self.rejections <= VOTER_CHANGE_FAST_RETRIES;
+            let phases = if is_fast_retry {
                 0
             } else {
-                VOTER_CHANGE_PAUSE_PHASES
+                VOTER_CHANGE_BACKOFF_PHASES
             };
             let range = (phases * self.phase_latency).clamp(BACKOFF_BASE, MAX_BACKOFF);
             self.jitter.below(range)
@@ -78,23 +81,23 @@
             let range = range.saturating_mul(1 << self.rejections).min(MAX_BACKOFF);
             self.phase_latency.min(MAX_BACKOFF) + self.jitter.below(range)
         };
-        self.not_before = now + MIN_BACKOFF + pause;
+        self.not_before = now + MIN_BACKOFF + backoff;
     }
 
-    /// This node votes in another node's round, which is left the time of both phases.
+    /// Delays the next round by the time of both phases, because this node votes in a competing round.
     pub(crate) fn yield_to_competing_round(&mut self, now: Instant) {
         let both_phases = 2 * self.phase_latency.clamp(BACKOFF_BASE, MAX_BACKOFF);
         self.not_before = self.not_before.max(now + both_phases);
     }
 }
 
-/// The random number generator. It does not take part in comparisons and hashes: states that differ in it alone are
-/// one state to a model checker.
+/// Random number generator of the backoff. Comparisons and hashes ignore it, so that a model checker treats states
+/// that differ only in it as one state.
 #[derive(Clone, Debug)]
 struct Jitter(Rand64);
 
 impl Jitter {
-    /// A random duration below `limit`, in whole milliseconds.
+    /// Returns a random duration below `limit`, in whole milliseconds.
     fn below(&mut self, limit: Duration) -> Duration {
         Duration::from_millis(self.0.rand_range(0..whole_millis(limit)))
     }
--- a/crates/linenthread-consensus/src/catch_up.rs
+++ b/crates/linenthread-consensus/src/catch_up.rs
@@ -1,4 +1,4 @@
-//! Fetches the orders that this node's order log lacks from other voters.
+//! Fetches orders that are missing in this node's order log from other voters.
 
 use std::collections::BTreeSet;
 
@@ -9,7 +9,7 @@
 use crate::effects::Effect;
 use crate::node_id::NodeId;
 use crate::revision::Revision;
-use crate::timing::{CATCH_UP_GIVE_UP, CATCH_UP_TIMEOUT};
+use crate::timing::{CATCH_UP_ABANDON_TIMEOUT, CATCH_UP_TIMEOUT};
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct InFlight {
@@ -17,24 +17,25 @@
     sent_at: Instant,
 }
 
-/// The gap in the order log that is being filled.
+/// The gap in the order log that is currently being filled.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Gap {
-    /// Its newest revision.
+    /// The newest missing revision.
     newest: Revision,
     since: Instant,
 }
 
-/// Requests missing orders, one request at a time.
+/// Client of the other voters' order logs, with one request in flight at a time.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct OrderLogCatchUp {
     id: NodeId,
     in_flight: Option<InFlight>,
-    /// Voters that replied that they lack the newest revision of the gap.
-    lacking: BTreeSet<NodeId>,
+    /// Voters that replied without the newest missing revision.
+    voters_without_newest: BTreeSet<NodeId>,
     gap: Option<Gap>,
-    /// Selects the voter to ask, modulo their number; counted up when one does not reply.
-    turn: usize,
+    /// Round-robin counter that selects the voter to ask, modulo their number. Incremented when a voter does not
+    /// reply.
+    voter_index: usize,
 }
 
 impl OrderLogCatchUp {
@@ -42,13 +43,13 @@
         OrderLogCatchUp {
             id,
             in_flight: None,
-            lacking: BTreeSet::new(),
+            voters_without_newest: BTreeSet::new(),
             gap: None,
-            turn: 0,
+            voter_index: 0,
         }
     }
 
-    /// Requests the newest missing orders; gives them up if no voter has them.
+    /// Requests the newest missing orders, and skips those that no voter has.
     pub(crate) fn tick(
         &mut self,
         now: Instant,
@@ -59,10 +60,10 @@
             let newest = Revision::new(request.newest);
             if self.gap.as_ref().is_none_or(|gap| gap.newest != newest) {
                 self.gap = Some(Gap { newest, since: now });
-                self.lacking.clear();
+                self.voters_without_newest.clear();
                 self.in_flight = None;
             }
-            if !self.is_lost(now, decided) {
+            if !self.is_unrecoverable(now, decided) {
                 self.send(now, request, decided, effects);
                 return;
             }
@@ -72,22 +73,23 @@
     }
 
     fn other_voters<'a>(&self, decided: &'a DecidedState) -> impl Iterator<Item = NodeId> + 'a {
-        let local = self.id;
-        decided.voter_ids().filter(move |id| *id != local)
+        let local_id = self.id;
+        decided.voter_ids().filter(move |id| *id != local_id)
     }
 
-    /// Whether no voter has the missing orders: all others lack them, or a majority does and the rest has not replied
-    /// for long enough.
-    fn is_lost(&self, now: Instant, decided: &DecidedState) -> bool {
-        let waited = self
+    /// Reports whether the missing orders are considered lost: all other voters lack them, or a majority of all
+    /// voters does and the others have not replied within [`CATCH_UP_ABANDON_TIMEOUT`].
+    fn is_unrecoverable(&self, now: Instant, decided: &DecidedState) -> bool {
+        let timed_out = self
             .gap
             .as_ref()
-            .is_some_and(|gap| now >= gap.since + CATCH_UP_GIVE_UP);
-        let majority_lacks = decided.is_majority(self.lacking.iter().copied().chain([self.id]));
+            .is_some_and(|gap| now >= gap.since + CATCH_UP_ABANDON_TIMEOUT);
+        let without_newest = self.voters_without_newest.iter().copied().chain([self.id]);
+        let majority_lacks = decided.is_majority(without_newest);
         let all_lack = self
             .other_voters(decided)
-            .all(|id| self.lacking.contains(&id));
-        all_lack || majority_lacks && waited
+            .all(|id| self.voters_without_newest.contains(&id));
+        all_lack || majority_lacks && timed_out
     }
 
     fn send(
@@ -99,18 +101,18 @@
     ) {
         match &self.in_flight {
             Some(in_flight) if now < in_flight.sent_at + CATCH_UP_TIMEOUT => return,
-            Some(_) => self.turn = self.turn.wrapping_add(1),
-            // The voter that replied last is asked again.
+            Some(_) => self.voter_index = self.voter_index.wrapping_add(1),
+            // The voter that replied to the previous request is asked again.
             None => {}
         }
         let candidates: Vec<NodeId> = self
             .other_voters(decided)
-            .filter(|id| !self.lacking.contains(id))
+            .filter(|id| !self.voters_without_newest.contains(id))
             .collect();
         if candidates.is_empty() {
             return;
         }
-        let to = candidates[self.turn % candidates.len()];
+        let to = candidates[self.voter_index % candidates.len()];
         self.in_flight = Some(InFlight {
             request: request.clone(),
             sent_at: now,
@@ -121,7 +123,8 @@
         });
     }
 
-    /// A reply, however late: accepted orders stay accepted. Returns whether orders were added to the log.
+    /// Adds the orders of a reply to the log, and reports whether there were any. Late replies are used as well,
+    /// since accepted orders stay accepted.
     pub(crate) fn on_entries(
         &mut self,
         from: NodeId,
@@ -137,7 +140,7 @@
         }
         if entries.orders.is_empty() {
             if awaited && decided.is_voter(from) {
-                self.lacking.insert(from);
+                self.voters_without_newest.insert(from);
             }
             return false;
         }
--- a/crates/linenthread-consensus/src/change.rs
+++ b/crates/linenthread-consensus/src/change.rs
@@ -1,4 +1,4 @@
-//! The changes that a caller may propose.
+//! Changes that a caller can propose.
 
 use linenthread_messages::{DocumentDigest, UsageReport, Voter};
 use linenthread_time::WindowNumber;
@@ -8,12 +8,12 @@
 use crate::revision::Revision;
 use crate::value_number::ValueNumber;
 
-/// An order of an operator: the replacement of one configuration by the next.
+/// An operator's request to replace the configuration.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Order {
-    /// The revision that it builds on; it can only be decided while that is the newest one.
+    /// The revision that the order replaces. The order can only be decided while this is the newest one.
     pub base: Revision,
-    /// Its own revision, greater than `base`.
+    /// Revision of the new configuration, greater than `base`.
     pub revision: Revision,
     /// The configuration document.
     pub document: Vec<u8>,
@@ -26,23 +26,24 @@
     Order(Order),
     /// A new set of voters.
     Voters {
-        /// Number of the value that it builds on; it can only be decided as the next one.
+        /// Number of the value that the change is based on. It can only be decided as the value that follows.
         base_number: ValueNumber,
-        /// The voters that decide the values after it.
+        /// The voters that decide the subsequent values.
         voters: Vec<Voter>,
         /// The epoch of the leader lease under which it is proposed.
         epoch: Epoch,
     },
-    /// The usage report of the window after the newest one whose report is decided; of any window, if there is none.
+    /// A usage report for the window that follows the newest reported one, or for any window if none is reported yet.
     Usage {
         /// The report. Once decided it never changes (*one-report-per-window*).
         report: UsageReport,
-        /// The newest window whose report the platform has: values carry it, and earlier ones, no longer.
+        /// The newest window whose report was delivered to the platform. The new value omits this report and all
+        /// earlier ones.
         delivered: Option<WindowNumber>,
     },
 }
 
-/// The digest that identifies a document: the first 128 bits of its SHA-256.
+/// Returns the digest that identifies a document: the first 128 bits of its SHA-256.
 pub fn document_digest(document: &[u8]) -> DocumentDigest {
     let hash = Sha256::digest(document);
     let big_endian = |bytes: &[u8]| {
--- a/crates/linenthread-consensus/src/decided_state.rs
+++ b/crates/linenthread-consensus/src/decided_state.rs
@@ -1,4 +1,4 @@
-//! What this node knows to be decided, and what it tells of an order.
+//! The decided state known to this node, and the status of orders and usage reports according to it.
 
 use std::collections::BTreeSet;
 
@@ -13,31 +13,31 @@
 use crate::revision::Revision;
 use crate::value_number::ValueNumber;
 
-/// Number of the newest orders that each value carries. A node that skips no more values than this finds their orders
-/// in the value itself; it fetches others from the order logs of its peers.
+/// Number of the newest orders that each value contains. A node that missed at most this many values finds their
+/// orders in the value itself; it fetches older ones from the order logs of its peers.
 const RECENT_ORDERS: usize = 16;
 
-/// What the decided state tells of an order.
+/// Status of an order according to the decided state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum OrderStatus {
-    /// It builds on the newest revision: it may be proposed.
+    /// Its base is the newest revision, so it may be proposed.
     Proposable,
     /// It was accepted.
     Committed,
     /// It was not accepted and never will be.
     Conflict,
-    /// This node cannot tell.
+    /// This node cannot determine the status.
     Unknown(UnknownReason),
 }
 
-/// What the decided state tells of a usage report.
+/// Status of a usage report according to the decided state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum UsageStatus {
-    /// Its window follows the newest one whose report is decided.
+    /// Its window follows the newest one whose report is decided, or no report is decided yet.
     Proposable,
-    /// A report of its window is decided, this one or another.
+    /// A report for its window, or for a later one, is decided already.
     Decided,
-    /// A window before it has no report yet.
+    /// An earlier window has no report yet.
     TooEarly,
 }
 
@@ -49,7 +49,7 @@
 }
 
 impl DecidedState {
-    /// The state that a disk holds.
+    /// Creates the state from the value and order log on disk.
     pub(crate) fn new(value: Option<Value>, order_log: OrderLog) -> DecidedState {
         let mut state = DecidedState {
             value: None,
@@ -61,12 +61,12 @@
         state
     }
 
-    /// The newest value that this node knows to be decided.
+    /// Returns the newest value that this node knows to be decided.
     pub(crate) fn value(&self) -> Option<&Value> {
         self.value.as_ref()
     }
 
-    /// The accepted orders that this node knows of.
+    /// Returns the accepted orders that this node knows.
     pub(crate) fn order_log(&self) -> &OrderLog {
         &self.order_log
     }
@@ -75,26 +75,26 @@
         &mut self.order_log
     }
 
-    /// Number of the newest value; [`ValueNumber::FIRST`] also if none is known.
+    /// Returns the number of the newest value; [`ValueNumber::FIRST`] also if none is known.
     pub(crate) fn number(&self) -> ValueNumber {
         self.value
             .as_ref()
             .map_or(ValueNumber::FIRST, ValueNumber::of)
     }
 
-    /// The number to be decided next.
+    /// Returns the number to be decided next.
     pub(crate) fn next_number(&self) -> ValueNumber {
         self.value
             .as_ref()
             .map_or(ValueNumber::FIRST, |value| ValueNumber::of(value).next())
     }
 
-    /// The newest revision of the configuration that is known.
+    /// Returns the newest known revision of the configuration.
     pub(crate) fn revision(&self) -> Revision {
         self.value.as_ref().map_or(Revision::NONE, Revision::of)
     }
 
-    /// The nodes that decide the next value.
+    /// Returns the nodes that decide the next value.
     pub(crate) fn voters(&self) -> &[Voter] {
         self.value.as_ref().map_or(&[], |value| &value.voters)
     }
@@ -103,25 +103,25 @@
         self.voters().iter().map(NodeId::from)
     }
 
-    /// Whether a node votes on the next value.
+    /// Reports whether a node votes on the next value.
     pub(crate) fn is_voter(&self, id: NodeId) -> bool {
         self.voter_ids().any(|voter| voter == id)
     }
 
-    /// Whether these nodes include more than half of the voters (*decided-by-voters*).
+    /// Reports whether these nodes include more than half of the voters (*decided-by-voters*).
     pub(crate) fn is_majority(&self, ids: impl IntoIterator<Item = NodeId>) -> bool {
         let votes: BTreeSet<NodeId> = ids.into_iter().filter(|id| self.is_voter(*id)).collect();
         votes.len() * 2 > self.voters().len()
     }
 
-    /// Replaces the value by a newer one, whose recent orders join the log.
+    /// Replaces the value with a newer one, and adds its recent orders to the log.
     pub(crate) fn adopt(&mut self, value: Value) {
         self.order_log.extend(&value.recent_orders);
-        self.order_log.track(Revision::of(&value));
+        self.order_log.set_newest(Revision::of(&value));
         self.value = Some(value);
     }
 
-    /// Compares an order with what is decided. The status is final only where no voter of a majority has accepted
+    /// Returns the status of an order. It is final only if there is a majority of voters of which none has accepted
     /// anything for the next number.
     pub(crate) fn check_order(&self, order: &OrderIdentity) -> OrderStatus {
         let newest = self.revision();
@@ -136,14 +136,14 @@
         if base == newest {
             OrderStatus::Proposable
         } else if newest < base && base < revision {
-            // Its base may be decided yet, and then the order accepted.
+            // Its base may still be decided, and the order accepted afterwards.
             OrderStatus::Unknown(UnknownReason::BaseNotDecided)
         } else {
             OrderStatus::Conflict
         }
     }
 
-    /// The value that an order makes of the newest one.
+    /// Returns the value that results from applying an order to the newest value.
     pub(crate) fn with_order(&self, order: &OrderIdentity, document: &Bytes) -> Option<Value> {
         let value = self.value.as_ref()?;
         let dropped = value.recent_orders.len().saturating_sub(RECENT_ORDERS - 1);
@@ -162,7 +162,7 @@
         })
     }
 
-    /// The value that a change of the voters makes of the newest one.
+    /// Returns the value that results from applying a voter change to the newest value.
     pub(crate) fn with_voters(&self, voters: &[Voter], epoch: Epoch) -> Option<Value> {
         let value = self.value.as_ref()?;
         let number = self.next_number().get();
@@ -175,13 +175,13 @@
         })
     }
 
-    /// The newest window whose usage report is decided.
+    /// Returns the newest window whose usage report is decided.
     pub(crate) fn newest_usage_window(&self) -> Option<WindowNumber> {
         let usage = self.value.as_ref()?.usage.as_ref()?;
         Some(WindowNumber::new(usage.newest_window))
     }
 
-    /// Compares the window of a usage report with those whose reports are decided (*one-report-per-window*).
+    /// Returns the status of a usage report for this window (*one-report-per-window*).
     pub(crate) fn check_usage(&self, window: WindowNumber) -> UsageStatus {
         match self.newest_usage_window() {
             Some(newest) if window <= newest => UsageStatus::Decided,
@@ -190,21 +190,27 @@
         }
     }
 
-    /// The value that a usage report makes of the newest one, without reports that the platform has.
+    /// Returns the value that results from adding a usage report to the newest value, and removing the reports that
+    /// were delivered to the platform.
     pub(crate) fn with_usage(
         &self,
         report: &UsageReport,
         delivered: Option<WindowNumber>,
     ) -> Option<Value> {
         let value = self.value.as_ref()?;
-        let is_kept =
-            |kept: &&UsageReport| delivered.is_none_or(|delivered| kept.window > delivered.get());
+        let is_undelivered = |report: &&UsageReport| {
+            delivered.is_none_or(|delivered| report.window > delivered.get())
+        };
         let reports = value.usage.iter().flat_map(|usage| &usage.reports);
         Some(Value {
             number: self.next_number().get(),
             usage: Some(Box::new(DecidedUsage {
                 newest_window: report.window,
-                reports: reports.filter(is_kept).chain([report]).cloned().collect(),
+                reports: reports
+                    .filter(is_undelivered)
+                    .chain([report])
+                    .cloned()
+                    .collect(),
             })),
             ..value.clone()
         })
--- a/crates/linenthread-consensus/src/durability.rs
+++ b/crates/linenthread-consensus/src/durability.rs
@@ -1,4 +1,4 @@
-//! Which decided values and which records of the order log are synced to this node's disk.
+//! Tracks which decided values and which records of the order log are synced to this node's disk.
 
 use std::time::Duration;
 
@@ -9,22 +9,22 @@
 use crate::timing::{MAX_REWRITE_INTERVAL, REWRITE_INTERVAL};
 use crate::value_number::ValueNumber;
 
-/// Writes decided values and orders, and tracks which of them are synced.
+/// Writer of decided values and orders, which tracks which of them are synced.
 ///
-/// A record may be dropped by the disk, so one is known to be durable only if all before it are, or if it repeats
-/// everything before it.
+/// Since the disk may drop records, the order log is durable up to a record only if all earlier records are synced as
+/// well, or if the record contains the complete log.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Durability {
     /// Number of the newest decided value that is synced.
     number: ValueNumber,
     /// The last record of the order log that was written.
     order_log_written: OrderLogRecordNumber,
-    /// The last record of the order log up to which nothing is missing on the disk.
+    /// The last record of the order log up to which all orders are on the disk.
     order_log_synced: OrderLogRecordNumber,
-    /// The last record that held new orders. The log is durable once the disk holds this record and all before it; a
-    /// later one suffices by itself, since it repeats the whole log.
+    /// The last record with new orders. The log is durable once this record and all earlier ones are synced, or any
+    /// later one, since all later ones contain the complete log.
     last_new_orders: OrderLogRecordNumber,
-    /// The last record that repeats the whole log: it suffices by itself.
+    /// The last record with the complete log; the log is durable once this record is synced.
     last_complete_log: OrderLogRecordNumber,
     value_written_at: Instant,
     order_log_written_at: Instant,
@@ -32,7 +32,7 @@
 }
 
 impl Durability {
-    /// For a disk that holds the decided value of this number.
+    /// Creates the state for a disk that contains the decided value of this number.
     pub(crate) fn new(number: ValueNumber) -> Durability {
         Durability {
             number,
@@ -46,17 +46,17 @@
         }
     }
 
-    /// Number of the newest decided value that is synced.
+    /// Returns the number of the newest decided value that is synced.
     pub(crate) fn number(&self) -> ValueNumber {
         self.number
     }
 
-    /// Whether all records of the order log are synced.
+    /// Reports whether all orders that were written are synced.
     pub(crate) fn is_order_log_synced(&self) -> bool {
         self.order_log_synced >= self.last_new_orders
     }
 
-    /// Whether the value of this number and all records of the order log are synced.
+    /// Reports whether the value of this number and all orders are synced.
     pub(crate) fn is_synced(&self, number: ValueNumber) -> bool {
         self.number >= number && self.is_order_log_synced()
     }
@@ -83,7 +83,7 @@
         self.persist_order_log_record(now, orders, effects);
     }
 
-    /// Writes the whole order log in one record.
+    /// Writes the complete order log in one record.
     pub(crate) fn persist_complete_order_log(
         &mut self,
         now: Instant,
@@ -110,7 +110,7 @@
         persist(record, synced, effects);
     }
 
-    /// A record is synced.
+    /// Handles the notification that a record is synced.
     pub(crate) fn on_synced(&mut self, synced: SyncedRecord) {
         match synced {
             SyncedRecord::Value(number) => self.number = self.number.max(number),
@@ -119,20 +119,21 @@
     }
 
     fn on_orders_synced(&mut self, record: OrderLogRecordNumber) {
-        let repeats_log = record > self.last_new_orders || record == self.last_complete_log;
-        if record == self.order_log_synced.next() || repeats_log {
+        let has_complete_log = record > self.last_new_orders || record == self.last_complete_log;
+        if record == self.order_log_synced.next() || has_complete_log {
             self.order_log_synced = self.order_log_synced.max(record);
         }
     }
 
-    /// Whether the value of this number and the order log are to be written again. The interval doubles each time.
+    /// Reports whether the value of this number and the order log must be written again now. If so, doubles the
+    /// interval until the next rewrite.
     pub(crate) fn is_rewrite_due(&mut self, now: Instant, number: ValueNumber) -> bool {
         if self.is_synced(number) {
             self.rewrite_interval = REWRITE_INTERVAL;
             return false;
         }
-        // Both are considered apart: new values are written again and again, while a record of the order log that was
-        // dropped is not.
+        // Value and order log have separate timers: frequent writes of new values must not postpone the rewrite of a
+        // dropped record of the order log.
         let value_due =
             self.number < number && now >= self.value_written_at + self.rewrite_interval;
         let order_log_due =
--- a/crates/linenthread-consensus/src/durable_state.rs
+++ b/crates/linenthread-consensus/src/durable_state.rs
@@ -1,4 +1,4 @@
-//! The state that a node's disk holds, rebuilt from its records.
+//! The state on a node's disk, rebuilt from its records.
 
 use linenthread_messages::{Accepted, Ballot, Record, Replica, Value};
 
@@ -8,25 +8,25 @@
 use crate::order_log::OrderLog;
 use crate::value_number::ValueNumber;
 
-/// What the records on a disk add up to.
+/// The state that results from all records on a disk.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct DurableState {
-    /// The node's identity; none on an empty disk.
+    /// The node's identity; `None` on an empty disk.
     pub id: Option<NodeId>,
     decided: Option<Value>,
     order_log: OrderLog,
-    /// The number that `promised` and `accepted` belong to.
+    /// The number that `promised` and `accepted` apply to.
     number: ValueNumber,
     promised: Option<Ballot>,
     accepted: Option<Accepted>,
     /// The greatest epoch under which this node granted the leader lease.
     pub epoch: Epoch,
-    /// The replicas as of the last record that lists them.
+    /// The replicas from the last record that lists or clears them.
     pub replicas: Vec<Replica>,
 }
 
 impl DurableState {
-    /// Adds the next record, oldest first.
+    /// Applies the next record; records must be added oldest first.
     pub fn add(&mut self, record: Record) {
         self.id = record.id.map(NodeId).or(self.id);
         self.epoch = self.epoch.max(Epoch::new(record.epoch));
@@ -64,7 +64,7 @@
         }
     }
 
-    /// The records that hold this state, for a compacted log.
+    /// Returns records that represent this state, for a compacted log.
     pub fn records(&self) -> Vec<Record> {
         vec![
             Record {
@@ -84,7 +84,7 @@
         ]
     }
 
-    /// The newest decided value, the order log, and the acceptor for the number after the value.
+    /// Returns the newest decided value, the order log, and the acceptor for the next number to vote on.
     pub(crate) fn into_parts(self, genesis: Option<Value>) -> (Option<Value>, OrderLog, Acceptor) {
         let decided = self.decided.or(genesis);
         let next = decided
@@ -98,7 +98,7 @@
         (decided, self.order_log, acceptor)
     }
 
-    /// Number of the newest decided value; [`ValueNumber::FIRST`] also if there is none.
+    /// Returns the number of the newest decided value; [`ValueNumber::FIRST`] also if there is none.
     pub(crate) fn decided_number(&self) -> ValueNumber {
         self.decided
             .as_ref()
--- a/crates/linenthread-consensus/src/effects.rs
+++ b/crates/linenthread-consensus/src/effects.rs
@@ -1,4 +1,4 @@
-//! What the state machines ask of their driver.
+//! Actions that the state machines request from their driver.
 
 use linenthread_messages::{PeerMessage, Record, Value, Voter};
 
@@ -7,26 +7,27 @@
 use crate::node_id::NodeId;
 use crate::value_number::ValueNumber;
 
-/// One step for the driver of a [`crate::Register`], which carries out effects in the order it receives them.
+/// An action for the driver of a [`crate::Register`]. The driver executes effects in the order in which it receives
+/// them.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
-    /// A message is to be sent to a node, perhaps to this one.
+    /// Send a message to a node, possibly to this one.
     Send {
         /// The receiving node.
         to: NodeId,
         /// The message.
         message: PeerMessage,
     },
-    /// A record is to be appended to this node's disk.
+    /// Append a record to this node's disk.
     Persist {
         /// The record.
         record: Record,
-        /// What is to be done once the record is synced, not before, in this order.
+        /// Actions to execute in this order once the record is synced, not before.
         after_sync: Vec<AfterSync>,
     },
     /// This node has learned a newer decided value.
     Decided(Value),
-    /// A job is completed.
+    /// A job is completed; its caller must be notified.
     Reply {
         /// The job.
         job: JobId,
@@ -35,56 +36,56 @@
     },
 }
 
-/// What depends on a record: it is to be done only once the record is synced, and never if the record is dropped.
+/// An action that depends on a record: executed only once the record is synced, and never if the record is dropped.
 #[derive(Clone, Debug, PartialEq)]
 pub enum AfterSync {
-    /// A message is to be sent.
+    /// Send a message.
     Send {
-        /// The receiving node, perhaps this one.
+        /// The receiving node, possibly this one.
         to: NodeId,
         /// The message.
         message: PeerMessage,
     },
-    /// The register is to be told, by [`crate::Register::on_synced`].
+    /// Notify the register by [`crate::Register::on_synced`].
     RecordSynced(SyncedRecord),
-    /// The node's disk holds this epoch of the leader lease. It comes from whoever drives the lease, not from a
+    /// This epoch of the leader lease is on the node's disk. Requested by the driver of the lease, not by a
     /// [`crate::Register`].
     EpochSynced(Epoch),
-    /// The node's disk holds this snapshot of the replicas. It comes from whoever writes snapshots, not from a
+    /// This snapshot of the replicas is on the node's disk. Requested by the writer of the snapshots, not by a
     /// [`crate::Register`].
     SnapshotSynced(SnapshotNumber),
 }
 
-/// Numbers the snapshots of the replicas, from 1 within this incarnation.
+/// Number of a snapshot of the replicas, counted from 1 within an incarnation.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct SnapshotNumber(u64);
 
 impl SnapshotNumber {
-    /// Before the first snapshot.
+    /// Stands for no snapshot; the first one has the next number.
     pub const NONE: SnapshotNumber = SnapshotNumber(0);
 
-    /// The number of the snapshot after this one.
+    /// Returns the number of the following snapshot.
     #[must_use]
     pub fn next(self) -> SnapshotNumber {
         SnapshotNumber(self.0 + 1)
     }
 }
 
-/// What a synced record of a register's decided state held.
+/// The content of a synced record of a register's decided state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum SyncedRecord {
     /// The decided value of this number.
     Value(ValueNumber),
-    /// Orders.
+    /// Entries of the order log, written in the record of this number.
     Orders(OrderLogRecordNumber),
 }
 
-/// Numbers the records of the order log, from 1 within this incarnation: raised with each one that is written.
+/// Number of a record of the order log, counted from 1 within an incarnation in the order in which they are written.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct OrderLogRecordNumber(u64);
 
 impl OrderLogRecordNumber {
-    /// Before the first record.
+    /// Stands for no record; the first one has the next number.
     pub(crate) const NONE: OrderLogRecordNumber = OrderLogRecordNumber(0);
 
     pub(crate) fn next(self) -> OrderLogRecordNumber {
@@ -92,7 +93,7 @@
     }
 }
 
-/// Sends a message to each of the voters, this node included if it is one.
+/// Sends a message to each of the voters, including this node if it is one of them.
 pub(crate) fn send_to_all(voters: &[Voter], message: &PeerMessage, effects: &mut Vec<Effect>) {
     effects.extend(voters.iter().map(|voter| Effect::Send {
         to: NodeId::from(voter),
--- a/crates/linenthread-consensus/src/incarnation.rs
+++ b/crates/linenthread-consensus/src/incarnation.rs
@@ -2,22 +2,21 @@
 
 use std::fmt;
 
-/// One run of a process, told apart from all other runs of any process: drawn at random when the process starts, and
-/// never raised.
+/// Unique identity of one run of a process: drawn at random when the process starts, and constant until it ends.
 ///
-/// It makes the ballots of a proposer unique (*one-value-per-number*), keeps a restarted node from using what it was
-/// granted before (*one-lease-holder-per-epoch*), and tells peers that earlier sessions of a node are over. A node's identity
-/// on disk, which outlasts its runs, is [`NodeId`](crate::NodeId).
+/// It makes the ballots of a proposer unique (*one-value-per-number*), prevents a restarted node from using lease
+/// grants from before the restart (*one-lease-holder-per-epoch*), and lets peers detect that earlier sessions of a
+/// node have ended. The identity of a node that survives restarts is [`NodeId`](crate::NodeId).
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Incarnation(u64);
 
 impl Incarnation {
-    /// The incarnation that was drawn, or that a message carries.
+    /// Creates an incarnation from a random number or from the number in a message.
     pub const fn new(number: u64) -> Incarnation {
         Incarnation(number)
     }
 
-    /// The number that messages carry.
+    /// Returns the number used in messages.
     pub const fn get(self) -> u64 {
         self.0
     }
--- a/crates/linenthread-consensus/src/jobs.rs
+++ b/crates/linenthread-consensus/src/jobs.rs
@@ -1,24 +1,24 @@
-//! Jobs, which are proposals and reads on behalf of a caller, and their outcomes.
+//! Jobs (proposals and reads submitted by a caller) and their outcomes.
 
 use linenthread_messages::Value;
 
 use crate::revision::Revision;
 
-/// Identifies a job to the caller that submitted it; chosen by that caller.
+/// Identifier of a job, chosen by the caller that submits it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct JobId(pub u64);
 
 /// The result of a job.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Outcome {
-    /// The change is decided now, or was decided before; carries a revision of the configuration: the order's own,
-    /// or the newest one where the change was no order.
+    /// The change is decided, now or earlier. Contains the order's revision, or the newest revision of the
+    /// configuration if the change was not an order.
     Committed(Revision),
-    /// The change is not decided and never will be; carries the newest revision of the configuration.
+    /// The change is not decided and never will be. Contains the newest revision of the configuration.
     Conflict(Revision),
-    /// The newest value, as of a moment after the read was submitted.
+    /// The newest value at some time after the read was submitted.
     Newest(Box<Value>),
-    /// It is not known whether the change is or will be decided, or which value is the newest.
+    /// For a change, it is unknown whether it is or will be decided; for a read, which value is the newest.
     Unknown(UnknownReason),
 }
 
@@ -29,10 +29,10 @@
     TimedOut,
     /// Too many jobs are pending on this node.
     TooManyPending,
-    /// This node has just joined, and knows no value yet.
+    /// This node has just joined and has not received a value yet.
     NoValue,
-    /// The order builds on a revision above the newest one that is decided, which may be decided yet.
+    /// The order's base is above the newest decided revision, and may still be decided.
     BaseNotDecided,
-    /// This node's order log lacks the part that would tell.
+    /// This node's order log lacks the entries needed to determine the outcome.
     OrderLogGap,
 }
--- a/crates/linenthread-consensus/src/lease.rs
+++ b/crates/linenthread-consensus/src/lease.rs
@@ -1,4 +1,4 @@
-//! The leader lease: a majority of the voters grants it to one node at a time, under an epoch.
+//! The leader lease, which a majority of the voters grants to one node at a time under an epoch.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -21,7 +21,7 @@
     value_number: ValueNumber,
 }
 
-/// The lease as this node, as a voter, granted it to a candidate.
+/// The lease that this node, as a voter, granted to a candidate.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct Grant {
     candidate: NodeId,
@@ -36,8 +36,8 @@
     }
 }
 
-/// Tells this node's requests for the lease apart, within its incarnation: raised with each request. A reply
-/// repeats it, and counts for no other request.
+/// Identifier of a lease request within an incarnation of this node, incremented with each request. A reply contains
+/// the identifier of its request and counts for no other one.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 struct RequestId(u64);
 
@@ -47,32 +47,33 @@
     }
 }
 
-/// This node's own request for the lease.
+/// This node's pending request for the lease.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct OwnRequest {
+struct PendingRequest {
     id: RequestId,
     epoch: Epoch,
     value_number: ValueNumber,
     sent_at: Instant,
 }
 
-/// What a reply to this node's own request has changed.
+/// The result of a reply to this node's lease request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LeaseProgress {
-    /// Nothing: no majority has granted the request yet, or the reply counts for no request that is still in time.
+    /// Nothing changed: no majority has granted the request yet, or the reply is not for a current request that is
+    /// still in time.
     Pending,
-    /// This node holds the lease from now on, and did not before.
+    /// This node has acquired the lease, which it did not hold before.
     Acquired {
         /// The epoch of the lease.
         epoch: Epoch,
     },
-    /// This node held the lease, and holds it now by grants of the voters that a newer value names.
+    /// This node already held the lease, and now holds it by grants of the voters of a newer value.
     RenewedAtNewValue,
-    /// This node held the lease at the same value, and now holds it for longer.
+    /// This node already held the lease at the same value, and has extended it.
     Renewed,
 }
 
-/// The newest decided value, as far as the lease needs it.
+/// The parts of the newest decided value that the lease depends on.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct NewestValue {
     number: ValueNumber,
@@ -81,46 +82,49 @@
     voters_since: ValueNumber,
 }
 
-/// One node's part in the leader lease: as a voter it grants the lease to one candidate at a time, as a candidate it
-/// may hold the lease.
+/// One node's state of the leader lease. As a voter the node grants the lease to one candidate at a time; as a
+/// candidate it can hold the lease.
 ///
-/// At most one node holds the lease under an epoch, and at most one at any time (*one-lease-holder-per-epoch*). What this
-/// rests on:
-/// - a grant lasts the lease duration from when the voter received the request; the lease lasts that long, less a
-///   margin, from when the candidate sent the request, which was earlier;
-/// - a voter that has restarted, or has become a voter anew, waits for as long as grants it does not know of may last;
-/// - candidate and voter have the same newest value, and the voter has accepted no other one: the majorities of two
-///   candidates are majorities of the same voters;
-/// - where the voters change while a lease lasts, fewer than half of the set that granted it have not granted it. So a
-///   majority of a later set, as long as that is smaller by one at most, includes a new voter, which still waits: its wait
-///   began after the later set was decided, when the earlier one had stopped to grant;
-/// - a set becomes smaller by one at a time, and only by the holder of a lease that the set itself has granted, or once the
-///   leases that earlier sets granted are over ([`LEASE_DURATION`]). Else two removals in a row could leave a majority that
-///   has granted nothing;
-/// - an epoch that is requested anew is above all of earlier eras (see [`Epoch`]).
+/// At most one node holds the lease under an epoch, and at most one at any time (*one-lease-holder-per-epoch*). This
+/// follows from these rules:
+/// - A grant lasts for the lease duration from when the voter received the request. The lease lasts for that
+///   duration, less a margin, from when the candidate sent the request, which was earlier.
+/// - A voter that has restarted, or has become a voter again, grants nothing until all grants that it may not know
+///   have expired.
+/// - A request is only granted if candidate and voter have the same newest value, and the voter has accepted no other
+///   one. Hence the majorities of two candidates are majorities of the same voters.
+/// - If the voters change during a lease, fewer than half of the set that granted it have not granted it. Hence a
+///   majority of a later set that is smaller by at most one includes a new voter, which does not grant yet: its
+///   waiting period began after the later set was decided, when the earlier set had stopped granting.
+/// - A set shrinks by one voter at a time, and only by the holder of a lease that the set itself has granted, or
+///   after the leases that earlier sets granted have expired ([`LEASE_DURATION`]). Otherwise two consecutive removals
+///   could leave a majority that has granted nothing.
+/// - The epoch of a new lease is above all epochs of earlier eras (see [`Epoch`]).
 ///
-/// So a node that holds no lease may change the voters, too.
+/// Hence a node may change the voters even if it does not hold the lease.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct LeaderLease {
     incarnation: Incarnation,
-    /// The last grant, which may have expired.
+    /// The last grant, possibly expired.
     grant: Option<Grant>,
-    /// No grant before this: grants that this incarnation does not know of may last until then.
-    grants_from: Instant,
-    /// The greatest epoch that was granted, or that others are known to use.
+    /// No request is granted before this instant, until which unknown earlier grants may last.
+    grants_allowed_from: Instant,
+    /// The greatest epoch that this node granted, or that it knows from other nodes.
     epoch: Epoch,
-    request: Option<OwnRequest>,
+    request: Option<PendingRequest>,
     last_request_id: RequestId,
     granted_by: BTreeSet<NodeId>,
     held: Option<HeldLease>,
-    /// The greatest epoch under which this node must not hold the lease again: it lost or released it.
+    /// The greatest epoch of a lease that this node lost or released. It must not hold the lease under this epoch
+    /// again.
     retired_epoch: Epoch,
     newest: NewestValue,
 }
 
 impl LeaderLease {
-    /// A node that starts. `epoch` is the greatest one that its disk holds. Unless this is the very first start of
-    /// all nodes (`is_genesis`), an earlier incarnation may have granted the lease: its grants must end first.
+    /// Creates the state of a starting node. `epoch` is the greatest one on its disk. Unless this is the first start
+    /// of all nodes (`is_genesis`), an earlier incarnation may have granted the lease, and the node grants nothing
+    /// until those grants have expired.
     pub fn new(
         incarnation: Incarnation,
         now: Instant,
@@ -130,7 +134,7 @@
         LeaderLease {
             incarnation,
             grant: None,
-            grants_from: if is_genesis {
+            grants_allowed_from: if is_genesis {
                 now
             } else {
                 now + LEASE_DURATION
@@ -149,29 +153,31 @@
         }
     }
 
-    /// The epoch under which this node holds the lease, if it does.
+    /// Returns the epoch under which this node holds the lease, or `None` if it does not hold it.
     pub fn held_epoch(&self, now: Instant) -> Option<Epoch> {
         self.held
             .filter(|held| now < held.expires_at)
             .map(|held| held.epoch)
     }
 
-    /// When the lease that this node holds ends, unless it is renewed; none if it holds none.
+    /// Returns when the lease of this node expires unless it is renewed, or `None` if it does not hold the lease.
     pub fn expires_at(&self, now: Instant) -> Option<Instant> {
         self.held
             .map(|held| held.expires_at)
             .filter(|expires_at| now < *expires_at)
     }
 
-    /// Whether this node holds the lease by grants of the voters that the value of this number names.
+    /// Reports whether this node holds the lease by grants of the voters that the value of this number names.
     pub fn is_held_at(&self, now: Instant, value_number: ValueNumber) -> bool {
         self.held
             .is_some_and(|held| now < held.expires_at && held.value_number == value_number)
     }
 
-    /// Requests the lease, or its renewal, of the voters that the value of this number names. A node that does not
-    /// hold the lease requests it only if it `is_preferred`: of the voters in contact that may lead it is the first, in
-    /// the order of the value. So in the usual case two nodes do not compete.
+    /// Returns a request for the lease or its renewal, if one is due, to be sent to the voters that the value of this
+    /// number names.
+    ///
+    /// A node that does not hold the lease requests it only if it `is_preferred`: it is the first, in the order of
+    /// the value, of the connected voters that may lead. This usually prevents two nodes from competing.
     pub fn tick(
         &mut self,
         now: Instant,
@@ -186,8 +192,8 @@
             self.request = None;
             return None;
         }
-        let is_current = self.request.as_ref().is_some_and(|own| {
-            now < own.sent_at + LEASE_RENEWAL_INTERVAL && own.value_number == value_number
+        let is_current = self.request.as_ref().is_some_and(|pending| {
+            now < pending.sent_at + LEASE_RENEWAL_INTERVAL && pending.value_number == value_number
         });
         if is_current {
             return None;
@@ -195,7 +201,7 @@
         Some(self.start_request(now, value_number))
     }
 
-    /// Forgets a lease that has expired: its epoch is not used again.
+    /// Drops an expired lease, and marks its epoch as not to be used again.
     fn retire_expired(&mut self) {
         if let Some(expired) = self.held.take() {
             self.request = None;
@@ -206,7 +212,7 @@
     fn start_request(&mut self, now: Instant, value_number: ValueNumber) -> LeaseRequest {
         let epoch = self.epoch_to_request();
         self.last_request_id = self.last_request_id.next();
-        self.request = Some(OwnRequest {
+        self.request = Some(PendingRequest {
             id: self.last_request_id,
             epoch,
             value_number,
@@ -222,24 +228,25 @@
         }
     }
 
-    /// The lease that is held is renewed under its epoch. Another one is requested above all epochs that this node knows
-    /// of, and above all earlier eras.
+    /// Returns the epoch of the current lease for a renewal. Otherwise returns an epoch above all that this node
+    /// knows and above all earlier eras.
     fn epoch_to_request(&self) -> Epoch {
         let floor = self.epoch.max(Epoch::before_era(self.newest.voters_since));
         match (self.held, &self.request) {
             (Some(held), _) => held.epoch,
-            (None, Some(own)) if own.epoch > floor => own.epoch,
+            (None, Some(pending)) if pending.epoch > floor => pending.epoch,
             _ => floor.max(self.retired_epoch).next(),
         }
     }
 
-    /// The greatest epoch that was granted. It must be synced to disk before a grant under a new epoch is sent.
+    /// Returns the greatest epoch that this node granted or knows from other nodes. It must be synced to disk before
+    /// a grant under a new epoch is sent.
     pub fn epoch(&self) -> Epoch {
         self.epoch
     }
 
-    /// A value was decided. If it directly follows the one that the lease was granted at, and names the same voters,
-    /// the lease counts as granted at the new value.
+    /// Handles a decided value. If it directly follows the value at which the lease was granted and has the same
+    /// voters, the lease counts as granted at the new value.
     pub fn on_decided(&mut self, value: &Value) {
         let (newest, number) = (&self.newest, ValueNumber::of(value));
         let same_voters = newest.number.next() == number && newest.voters == value.voters;
@@ -257,28 +264,29 @@
         };
     }
 
-    /// Whether the voters changed between the newest value and this one, in values that this node skips. It may have
-    /// been removed and added again without noticing, and another node may hold the lease since.
+    /// Reports whether the voters changed in a value after the newest one that this node knows, if this value does
+    /// not directly follow that one. This node may have been removed and added again unnoticed, and another node may
+    /// have acquired the lease in the meantime.
     pub fn skips_voter_change(&self, value: &Value) -> bool {
         let voters_since = ValueNumber::new(value.voters_since);
         ValueNumber::of(value) > self.newest.number.next() && voters_since > self.newest.number
     }
 
-    /// A value with this epoch was decided: no lower epoch is granted from now on.
+    /// Handles a decided value with this epoch: no lower epoch is granted from now on.
     pub fn observe_epoch(&mut self, epoch: Epoch) {
         self.epoch = self.epoch.max(epoch);
     }
 
-    /// This node has become a voter anew, and does not know what the other voters granted so far. It grants nothing
-    /// while that may last, not even to the candidate that it granted the lease to when it last was a voter: another
-    /// one may have got the lease without it.
+    /// Blocks grants for [`LEASE_DURATION`] after this node has become a voter again, since it does not know the
+    /// other voters' grants. This includes the candidate of its own last grant: another candidate may have acquired
+    /// the lease without this node.
     pub fn on_became_voter(&mut self, now: Instant) {
-        self.grants_from = self.grants_from.max(now + LEASE_DURATION);
+        self.grants_allowed_from = self.grants_allowed_from.max(now + LEASE_DURATION);
     }
 
-    /// Grants or denies a request of another node or of this one. `value_number` is the number of this node's newest value,
-    /// or none if it has accepted a value that it does not know to be decided: only a request at the same value is
-    /// granted.
+    /// Grants or denies a request from another node or from this one. `value_number` is the number of this node's
+    /// newest value, or `None` if it has accepted a value that it does not know to be decided. Only a request at the
+    /// same value is granted.
     pub fn on_lease_request(
         &mut self,
         now: Instant,
@@ -307,9 +315,9 @@
         }
     }
 
-    /// The candidate that has this node's grant may renew it, under a new epoch as well: else two candidates, each
-    /// with some of the grants, would wait for each other's grants to expire again and again. A new incarnation of the
-    /// candidate needs a new epoch.
+    /// Reports whether a request may be granted. The candidate of the current grant may renew it, also under a new
+    /// epoch. Otherwise two candidates with some of the grants each would repeatedly wait for the other's grants to
+    /// expire. A new incarnation of the candidate needs a new epoch.
     fn may_grant(
         &self,
         now: Instant,
@@ -317,7 +325,7 @@
         incarnation: Incarnation,
         epoch: Epoch,
     ) -> bool {
-        if now < self.grants_from {
+        if now < self.grants_allowed_from {
             return false;
         }
         let renews = self
@@ -331,7 +339,7 @@
         epoch > self.epoch && (same_candidate || expired)
     }
 
-    /// Counts a voter's reply to this node's own request, if it is at the value of this number.
+    /// Handles a voter's reply to this node's request, if the request was at the value of this number.
     pub fn on_lease_reply(
         &mut self,
         now: Instant,
@@ -340,14 +348,15 @@
         value_number: ValueNumber,
         is_majority: impl Fn(&BTreeSet<NodeId>) -> bool,
     ) -> LeaseProgress {
-        let Some(own) = &self.request else {
+        let Some(pending) = &self.request else {
             return LeaseProgress::Pending;
         };
-        let expires_at = own.sent_at + LEASE_DURATION.saturating_sub(LEASE_MARGIN);
-        // The process may have been suspended since the request. A lease that has expired is not held again under the
-        // same epoch.
+        let expires_at = pending.sent_at + LEASE_DURATION.saturating_sub(LEASE_MARGIN);
+        // The process may have been suspended since the request was sent. An expired lease must not be acquired again
+        // under the same epoch.
         let expired = now >= expires_at || self.held.is_some_and(|held| now >= held.expires_at);
-        let is_current = RequestId(reply.request_id) == own.id && own.value_number == value_number;
+        let is_current =
+            RequestId(reply.request_id) == pending.id && pending.value_number == value_number;
         if !is_current || expired {
             return LeaseProgress::Pending;
         }
@@ -355,41 +364,42 @@
             self.on_denied(reply);
             return LeaseProgress::Pending;
         }
-        let epoch = own.epoch;
+        let epoch = pending.epoch;
         self.granted_by.insert(from);
         if !is_majority(&self.granted_by) {
             return LeaseProgress::Pending;
         }
-        let before = self.held.replace(HeldLease {
+        let previous = self.held.replace(HeldLease {
             epoch,
             expires_at,
             value_number,
         });
-        match before {
+        match previous {
             None => LeaseProgress::Acquired { epoch },
             Some(held) if held.value_number != value_number => LeaseProgress::RenewedAtNewValue,
             Some(_) => LeaseProgress::Renewed,
         }
     }
 
-    /// A voter has granted a higher epoch: the next request uses one above it, and grants for the current one are void.
+    /// Cancels the pending request if the voter has already granted the requested epoch or a higher one, unless this
+    /// node holds the lease. The next request uses a higher epoch, and grants of the cancelled one no longer count.
     fn on_denied(&mut self, reply: &LeaseReply) {
         let granted_epoch = Epoch::new(reply.epoch);
         let is_outdated = self
             .request
             .as_ref()
-            .is_some_and(|own| granted_epoch >= own.epoch);
+            .is_some_and(|pending| granted_epoch >= pending.epoch);
         if self.held.is_none() && is_outdated {
             self.epoch = self.epoch.max(granted_epoch);
             self.request = None;
         }
     }
 
-    /// Gives up the lease, and all requests for it: this node does not hold it again under any epoch that it has
-    /// requested so far. Returns the message for all voters, this node included; none if it neither holds the lease
-    /// nor has requested it.
+    /// Releases the lease and cancels a pending request. This node will not hold the lease again under any epoch that
+    /// it has requested so far. Returns the message to send to all voters, including this node, or `None` if this
+    /// node neither holds the lease nor has requested it.
     pub fn release(&mut self) -> Option<LeaseRelease> {
-        let requested = self.request.take().map(|own| own.epoch);
+        let requested = self.request.take().map(|pending| pending.epoch);
         let held = self.held.take().map(|held| held.epoch);
         let epoch = requested.max(held)?;
         self.granted_by.clear();
@@ -400,15 +410,15 @@
         })
     }
 
-    /// The node `from` has released the lease: this voter may grant it to another candidate at once. Returns whether a
-    /// grant ended.
+    /// Handles the release of the lease by the node `from`: ends this voter's grant to it, so that another candidate
+    /// can be granted the lease immediately. Reports whether a grant ended.
     ///
-    /// This keeps *one-lease-holder-per-epoch*. Only the lease holder itself sends it, for its own incarnation, after
-    /// [`LeaderLease::release`]; from then on it requests only epochs above the released one. No grant that this
-    /// incarnation got up to that epoch can make it hold the lease again, since a grant counts only for the current
-    /// request, and that is gone. However late the message arrives, it ends no grant under a later epoch; nor does it
-    /// shorten the wait after a restart or after becoming a voter, which stands for grants that this incarnation does
-    /// not know of.
+    /// This preserves *one-lease-holder-per-epoch*. Only the lease holder itself sends the message, for its own
+    /// incarnation, after [`LeaderLease::release`]; from then on it requests only epochs above the released one.
+    /// Grants that this incarnation received up to that epoch cannot make it hold the lease again, since a grant
+    /// counts only for the current request, which is cancelled. However late the message arrives, it never ends a
+    /// grant under a later epoch. Nor does it shorten the waiting period after a restart or after becoming a voter,
+    /// which covers grants that this incarnation does not know.
     pub fn on_release(&mut self, from: NodeId, release: &LeaseRelease) -> bool {
         let released = Epoch::new(release.epoch);
         let incarnation = Incarnation::new(release.incarnation);
@@ -417,7 +427,7 @@
             .is_some_and(|grant| grant.is_for(from, incarnation) && grant.epoch <= released);
         if ended {
             self.grant = None;
-            // A request that was sent before the release, and arrives after it, must not be granted.
+            // A request that was sent before the release but arrives after it must not be granted.
             self.epoch = self.epoch.max(released);
         }
         ended
--- a/crates/linenthread-consensus/src/node_id.rs
+++ b/crates/linenthread-consensus/src/node_id.rs
@@ -5,16 +5,16 @@
 use linenthread_hash::fnv1a_64;
 use linenthread_messages::Voter;
 
-/// Identifies a control node. It belongs to the node's disk: a node whose disk was replaced is another node
+/// Identity of a control node. It is stored on the node's disk: a node whose disk was replaced has a new identity
 /// (*new-disk-new-identity*).
 ///
-/// Messages and records carry it as a number.
+/// Messages and records contain it as a number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct NodeId(pub u64);
 
 impl NodeId {
-    /// The identity of the node at an address on the very first start of a cluster, where all nodes must know each
-    /// other's before they have talked. Never 0.
+    /// Returns the identity of the node at an address on the first start of a cluster. It is derived from the
+    /// address, since all nodes must know each other's identities before they communicate. Never 0.
     pub fn genesis(address: &str) -> NodeId {
         NodeId(fnv1a_64(format!("first {address}").as_bytes()) | 1)
     }
--- a/crates/linenthread-consensus/src/order_log.rs
+++ b/crates/linenthread-consensus/src/order_log.rs
@@ -1,4 +1,4 @@
-//! The accepted orders of the past, apart from the replicated value.
+//! History of accepted orders, stored outside of the replicated value.
 
 use std::collections::BTreeMap;
 
@@ -6,14 +6,14 @@
 
 use crate::revision::Revision;
 
-/// Number of the newest orders that are retained at least. One takes about 32 bytes on disk and 50 in memory.
+/// Minimum number of the newest orders that the log retains. Each takes about 32 bytes on disk and 50 in memory.
 pub const MAX_LOGGED_ORDERS: usize = 65_536;
 
-/// Number of orders that are dropped at once, oldest first, when the log holds that many more than
+/// Number of orders that are evicted together, oldest first, when the log contains that many more than
 /// [`MAX_LOGGED_ORDERS`].
-const DROPPED_AT_ONCE: usize = 1_024;
+const EVICTION_BATCH: usize = 1_024;
 
-/// Number of orders in one [`OrderLogEntries`] at most, which bounds it to about 33 KB.
+/// Maximum number of orders in one [`OrderLogEntries`], which limits it to about 33 KB.
 pub const MAX_ORDERS_PER_MESSAGE: usize = 1_024;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
@@ -22,33 +22,34 @@
     digest: DocumentDigest,
 }
 
-/// What the order log alone tells of a revision that is not above the newest one.
+/// Status of an order according to the order log alone, if its revision is not above the newest one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum LoggedOrderStatus {
     /// This very order was accepted.
     Committed,
-    /// Another order was accepted under this revision, or none was and none can be.
+    /// Another order was accepted under this revision, or none was and none ever will be.
     NotCommitted,
-    /// The entries that would tell are missing or dropped.
+    /// The entries needed to determine the status are missing or evicted.
     Unknown,
 }
 
 /// The accepted orders, by revision.
 ///
-/// Revisions rise from one accepted order to the next, and the base of each is the revision accepted before it. So
-/// the log is a chain: an entry proves that nothing between its base and itself was accepted, whatever else is
-/// missing.
+/// Revisions increase from one accepted order to the next, and the base of each is the previously accepted revision.
+/// The log is therefore a chain: an entry proves that no order between its base and itself was accepted, even if
+/// other entries are missing.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct OrderLog {
     entries: BTreeMap<Revision, Entry>,
-    /// The newest accepted revision that this node knows of.
+    /// The newest accepted revision known to this node.
     newest: Revision,
-    /// The newest missing revision: above it the chain is complete. `None` if none is missing.
+    /// The newest missing revision; the chain is complete above it. `None` if none is missing.
     missing: Option<Revision>,
 }
 
 impl OrderLog {
-    /// Adds an order, in any sequence; drops the oldest ones beyond the bound.
+    /// Adds an order; orders may be added in any sequence. Evicts the oldest ones if the log exceeds its maximum
+    /// size.
     pub fn insert(&mut self, order: &OrderIdentity) {
         self.entries.insert(
             Revision::new(order.revision),
@@ -57,45 +58,45 @@
                 digest: order.digest,
             },
         );
-        if self.entries.len() >= MAX_LOGGED_ORDERS + DROPPED_AT_ONCE {
-            (0..DROPPED_AT_ONCE).for_each(|_| _ = self.entries.pop_first());
+        if self.entries.len() >= MAX_LOGGED_ORDERS + EVICTION_BATCH {
+            (0..EVICTION_BATCH).for_each(|_| _ = self.entries.pop_first());
         }
     }
 
-    /// Adds orders, as [`OrderLog::insert`].
+    /// Adds several orders by [`OrderLog::insert`].
     pub(crate) fn extend(&mut self, orders: &[OrderIdentity]) {
         orders.iter().for_each(|order| self.insert(order));
     }
 
-    /// Number of orders in the log.
+    /// Returns the number of orders in the log.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether the log holds no order.
+    /// Reports whether the log contains no orders.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// Whether this very order is known to be accepted.
+    /// Reports whether this very order is known to be accepted.
     pub fn contains(&self, order: &OrderIdentity) -> bool {
         self.check_order(order) == LoggedOrderStatus::Committed
     }
 
-    /// All orders, oldest first.
+    /// Iterates over all orders, oldest first.
     pub fn iter(&self) -> impl Iterator<Item = OrderIdentity> {
         self.entries
             .iter()
             .map(|(revision, entry)| identity(*revision, entry))
     }
 
-    /// Whether no accepted order is missing, but for those that were dropped or that no voter has. A log that holds
-    /// as many orders as are retained at least ([`MAX_LOGGED_ORDERS`]) asks for no more, and counts as complete.
+    /// Reports whether no accepted order is missing, apart from those that were evicted or that no voter has. A log
+    /// with at least [`MAX_LOGGED_ORDERS`] orders counts as complete and needs no more.
     pub fn is_complete(&self) -> bool {
         self.missing.is_none() || self.entries.len() >= MAX_LOGGED_ORDERS
     }
 
-    /// Looks an order up whose revision is not above the newest accepted one.
+    /// Returns the status of an order whose revision is not above the newest accepted one.
     pub(crate) fn check_order(&self, order: &OrderIdentity) -> LoggedOrderStatus {
         let revision = Revision::new(order.revision);
         match self.entries.range(revision..).next() {
@@ -106,34 +107,35 @@
                     LoggedOrderStatus::NotCommitted
                 }
             }
-            // The next accepted order builds on one below this revision, which was skipped.
+            // The base of the next accepted order is below this revision, so no order was accepted under it.
             Some((_, entry)) if entry.base < revision => LoggedOrderStatus::NotCommitted,
             _ => LoggedOrderStatus::Unknown,
         }
     }
 
-    /// Notes the newest accepted revision, and finds the newest one that is missing below it: the upper end of the gap.
-    pub(crate) fn track(&mut self, newest: Revision) {
-        let known = std::mem::replace(&mut self.newest, newest);
-        if let Some(missing) = self.first_missing(newest, known) {
+    /// Sets the newest accepted revision, and finds the newest missing one, which is the upper end of a gap.
+    pub(crate) fn set_newest(&mut self, newest: Revision) {
+        let previous = std::mem::replace(&mut self.newest, newest);
+        if let Some(missing) = self.first_missing(newest, previous) {
             self.missing = Some(missing);
         }
     }
 
-    /// Follows the chain on from the missing revision, after orders were added that may fill the gap.
+    /// Updates the gap after orders were added that may fill it: follows the chain down from the missing revision.
     pub(crate) fn refresh_gap(&mut self) {
         self.missing = self
             .missing
             .and_then(|missing| self.first_missing(missing, Revision::NONE));
     }
 
-    /// No voter has the missing orders: the gap is left as it is, and the chain goes on with the next lower entry.
+    /// Skips a gap whose orders no voter has, and continues the chain with the next lower entry.
     pub(crate) fn skip_gap(&mut self) {
         self.missing = self.missing.and_then(|missing| self.newest_below(missing));
         self.refresh_gap();
     }
 
-    /// Follows the chain downwards from a revision; none if it is complete down to `until`.
+    /// Follows the chain downwards from a revision. Returns the first missing revision, or `None` if the chain is
+    /// complete down to `until`.
     fn first_missing(&self, from: Revision, until: Revision) -> Option<Revision> {
         let mut revision = from;
         while revision > until {
@@ -145,13 +147,13 @@
         None
     }
 
-    /// The newest order in the log below a revision.
+    /// Returns the newest logged revision below the given one.
     fn newest_below(&self, revision: Revision) -> Option<Revision> {
         let (below, _) = self.entries.range(..revision).next_back()?;
         Some(*below)
     }
 
-    /// The request for the newest missing orders; none if the log is complete.
+    /// Returns the request for the newest missing orders, or `None` if the log is complete.
     pub(crate) fn request_for_gap(&self) -> Option<OrderLogRequest> {
         let missing = self.missing.filter(|_| !self.is_complete())?;
         let above = self.newest_below(missing).unwrap_or(Revision::NONE);
@@ -161,7 +163,7 @@
         })
     }
 
-    /// The reply to another node's request.
+    /// Returns the reply to another node's request.
     pub(crate) fn entries_for(&self, request: &OrderLogRequest) -> OrderLogEntries {
         let mut orders = Vec::new();
         let above = Revision::new(request.above);
--- a/crates/linenthread-consensus/src/proposal.rs
+++ b/crates/linenthread-consensus/src/proposal.rs
@@ -1,4 +1,4 @@
-//! A change on its way through the proposer: what it makes of the newest value, and when it is resolved.
+//! A pending change in the proposer: the value that results from it, and its outcome.
 
 use linenthread_messages::{OrderIdentity, UsageReport, Value, Voter};
 use linenthread_time::{Instant, WindowNumber};
@@ -16,20 +16,20 @@
 pub(crate) enum LearnedFrom {
     /// A majority of the voters has just accepted it in a round of this node.
     LocalRound,
-    /// Another node sent it, at some earlier time; the connection may work in one direction only.
+    /// Another node sent it, possibly some time ago and over a connection that works in one direction only.
     Peer,
 }
 
-/// A change that waits for its round.
+/// A change that is waiting for a round.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct PendingChange {
     pub(crate) job: JobId,
     pub(crate) proposal: Proposal,
-    /// When it is completed as [`Outcome::Unknown`].
+    /// The time at which the change is completed as [`Outcome::Unknown`].
     pub(crate) deadline: Instant,
 }
 
-/// A [`Change`] as the proposer holds it, with the document's digest computed once.
+/// The proposer's form of a [`Change`], in which the digest of the document is computed once.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) enum Proposal {
     Order {
@@ -52,13 +52,13 @@
         matches!(self, Proposal::Voters { .. })
     }
 
-    /// The value that this change makes of the newest one.
+    /// Returns the value that results from applying this change to the newest value.
     ///
-    /// To be called only after a majority of the voters has promised and none of them had accepted anything for the
-    /// next number: only then is the newest value that this node knows the newest one there is.
+    /// Must only be called after a majority of the voters has promised and none of them has accepted a value for the
+    /// next number. Only then is the newest value known to this node also the newest decided one.
     ///
     /// # Errors
-    /// The outcome of the change, if it needs no round or can never be decided.
+    /// Returns the outcome of the change if it needs no round or can never be decided.
     pub(crate) fn next_value(&self, decided: &DecidedState) -> Result<Value, Outcome> {
         let revision = decided.revision();
         match self {
@@ -90,10 +90,10 @@
         }
     }
 
-    /// The outcome of this change after a value was decided, if that value resolves it without a further round.
+    /// Returns the outcome of this change after a value was decided, if no further round is needed to determine it.
     ///
-    /// An order that was decided in another node's round is not acknowledged here until a round of this node's own:
-    /// an acknowledgement needs contact with a majority of the voters (*no-response-without-quorum*).
+    /// An order that was decided in another node's round is only acknowledged after a round of this node, because an
+    /// acknowledgement requires contact with a majority of the voters (*no-response-without-quorum*).
     pub(crate) fn outcome_after(
         &self,
         decided: &DecidedState,
@@ -118,7 +118,7 @@
     }
 }
 
-/// The outcome of an order that was accepted.
+/// Returns the outcome of an accepted order.
 fn committed(identity: &OrderIdentity) -> Outcome {
     Outcome::Committed(Revision::new(identity.revision))
 }
--- a/crates/linenthread-consensus/src/proposer.rs
+++ b/crates/linenthread-consensus/src/proposer.rs
@@ -18,18 +18,18 @@
 use crate::timing::MAX_PENDING_JOBS;
 use crate::value_number::ValueNumber;
 
-/// The Paxos proposer of one node: at most one round at a time.
+/// The Paxos proposer of one node, which runs at most one round at a time.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Proposer {
-    /// Makes the ballots unique: no two incarnations of any nodes share it.
+    /// Used as proposer number in ballots. It makes them unique, since it differs for each run of each node.
     incarnation: Incarnation,
     pending: VecDeque<PendingChange>,
     round: Option<Round>,
     round_timeout: RoundTimeout,
     backoff: Backoff,
-    /// The highest ballot round for the next number, of this node or reported by a rejection.
+    /// The highest ballot round for the next number that this node has used or that a rejection reported.
     highest_ballot_round: u64,
-    /// An undecided value was seen, which is to be recovered even if no change is pending.
+    /// Whether an undecided value was seen, which must be recovered even if no change is pending.
     recovery_requested: bool,
 }
 
@@ -39,15 +39,15 @@
             incarnation,
             pending: VecDeque::new(),
             round: None,
-            round_timeout: RoundTimeout::SHORTEST,
+            round_timeout: RoundTimeout::MIN,
             backoff: Backoff::new(incarnation.get()),
             highest_ballot_round: 0,
             recovery_requested: false,
         }
     }
 
-    /// Submits a change; false if too many are pending. A change of the voters goes before all orders, since each
-    /// value that is decided before it makes it void.
+    /// Submits a change; returns false if too many are pending. A voter change is queued before all other changes,
+    /// since it becomes invalid if another value is decided first.
     pub(crate) fn submit(&mut self, job: JobId, change: Change, deadline: Instant) -> bool {
         let pending = PendingChange {
             job,
@@ -56,7 +56,7 @@
         };
         if pending.proposal.is_voter_change() {
             self.pending.push_front(pending);
-            self.backoff.skip_pause();
+            self.backoff.skip_backoff();
             return true;
         }
         let has_room = self.pending.len() < MAX_PENDING_JOBS;
@@ -66,7 +66,8 @@
         has_room
     }
 
-    /// Requests a round that recovers what some acceptor has accepted: it is decided, by this node's ballot.
+    /// Requests a round that recovers an undecided value: a value that some acceptor has accepted is proposed again
+    /// under this node's ballot.
     pub(crate) fn request_recovery(&mut self) {
         self.recovery_requested = true;
     }
@@ -89,7 +90,7 @@
         });
     }
 
-    /// Starts a round, sends its request again, or abandons it.
+    /// Starts a round, resends its request, or abandons it.
     pub(crate) fn tick(&mut self, now: Instant, decided: &DecidedState, effects: &mut Vec<Effect>) {
         if !self.is_busy() {
             self.round = None;
@@ -116,7 +117,7 @@
         self.round = Some(round);
     }
 
-    /// A ballot above all that are known for the next number.
+    /// Returns a ballot above all known ones for the next number.
     fn next_ballot(&mut self) -> Ballot {
         self.highest_ballot_round += 1;
         Ballot {
@@ -125,13 +126,13 @@
         }
     }
 
-    /// The request of the current round, for a voter that has just caught up.
+    /// Returns the request of the current round, to resend to a voter that has just caught up.
     pub(crate) fn current_request(&self) -> Option<PeerMessage> {
         self.round.as_ref().map(Round::request)
     }
 
-    /// A promise. Once a majority has promised, the value with the highest accepted ballot is proposed. If there is
-    /// none, the newest decided value is the newest there is, and the pending changes are checked against it.
+    /// Handles a promise. Once a majority has promised, proposes the accepted value with the highest ballot. If there
+    /// is none, no value newer than the newest known one is decided, and the pending changes are applied to that one.
     pub(crate) fn on_promise(
         &mut self,
         now: Instant,
@@ -158,7 +159,7 @@
                 round.propose(now, value);
                 send_to_all(decided.voters(), &round.request(), effects);
             }
-            // Nothing is accepted and nothing is pending any more.
+            // There is neither an accepted value nor a pending change.
             _ => self.abandon_round(),
         }
     }
@@ -167,7 +168,8 @@
         (self.round, self.recovery_requested) = (None, false);
     }
 
-    /// The value that the first change makes of the newest one; changes that make none are completed.
+    /// Returns the value that results from the first pending change that can be proposed, and completes the changes
+    /// before it.
     fn next_value(&mut self, decided: &DecidedState, effects: &mut Vec<Effect>) -> Option<Value> {
         while let Some(change) = self.pending.front() {
             match change.proposal.next_value(decided) {
@@ -182,7 +184,7 @@
         None
     }
 
-    /// An acceptance; returns the value if a majority has accepted it, which decides it.
+    /// Handles an acceptance. Returns the value if a majority has accepted it, and it is thereby decided.
     pub(crate) fn on_accept_ack(
         &mut self,
         from: NodeId,
@@ -194,7 +196,7 @@
         Some(value)
     }
 
-    /// A voter has promised a higher ballot: the round is abandoned, and the next one starts after a pause.
+    /// Abandons the round if a voter has promised a higher ballot; the next one starts after a backoff.
     pub(crate) fn on_rejected(
         &mut self,
         now: Instant,
@@ -209,25 +211,24 @@
             .round
             .take_if(|round| round.ballot() < rejected.promised);
         if superseded.is_some() {
-            self.backoff.on_rejected(now, self.has_voter_change_first());
+            self.backoff.on_rejected(now, self.is_voter_change_next());
         }
     }
 
-    /// This node votes in a round of another one.
+    /// Delays the next round after this node has voted in a round of another node, unless a voter change is next.
     pub(crate) fn on_competing_round(&mut self, now: Instant) {
-        if self.round.is_none() && !self.has_voter_change_first() {
+        if self.round.is_none() && !self.is_voter_change_next() {
             self.backoff.yield_to_competing_round(now);
         }
     }
 
-    fn has_voter_change_first(&self) -> bool {
+    fn is_voter_change_next(&self) -> bool {
         self.pending
             .front()
             .is_some_and(|change| change.proposal.is_voter_change())
     }
 
-    /// A value was decided: ballots count from the start for the next number, and changes that it resolves are
-    /// completed.
+    /// Resets the round, ballots and backoff after a value was decided, and completes the changes that it resolves.
     pub(crate) fn on_decided(
         &mut self,
         decided: &DecidedState,
--- a/crates/linenthread-consensus/src/reader.rs
+++ b/crates/linenthread-consensus/src/reader.rs
@@ -16,17 +16,17 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct PendingRead {
     job: JobId,
-    /// When it is completed as [`Outcome::Unknown`].
+    /// The time at which the read is completed as [`Outcome::Unknown`].
     deadline: Instant,
 }
 
-/// Tells read rounds apart: each incarnation of a node counts from a start of its own, so that a reply to an earlier
-/// incarnation confirms nothing.
+/// Identifier of a read round. Each incarnation of a node counts from a different start, so that replies to an
+/// earlier incarnation are ignored.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct ReadId(u64);
 
 impl ReadId {
-    /// Below the first round of an incarnation.
+    /// Returns the number that precedes the first round of an incarnation.
     fn before_first(incarnation: Incarnation) -> ReadId {
         ReadId(incarnation.get() >> 16 << 16)
     }
@@ -36,14 +36,14 @@
     }
 }
 
-/// One request to all voters, on behalf of the reads that were pending when it started.
+/// One request to all voters, for the reads that were pending when it started.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct ReadRound {
     id: ReadId,
     started_at: Instant,
     last_sent: Instant,
     reads: Vec<PendingRead>,
-    /// The voters that replied, and whether each has accepted a value that is not known to be decided.
+    /// The nodes that replied, and whether each has accepted a value that it does not know to be decided.
     replies: BTreeMap<NodeId, bool>,
 }
 
@@ -61,14 +61,14 @@
     }
 }
 
-/// What a reply led to.
+/// The result of handling a reply.
 #[derive(Debug, PartialEq, Eq)]
 pub(crate) enum ReadProgress {
-    /// Further replies are needed, or this one belongs to no current round.
+    /// More replies are needed, or this one does not belong to the current round.
     Incomplete,
     /// The voter knows a newer value than this node.
     Lagging,
-    /// A voter has accepted an undecided value, which has to be decided first.
+    /// A voter has accepted a value that is not known to be decided and must be decided first.
     Undecided,
     /// The round's reads are completed.
     Completed,
@@ -80,7 +80,7 @@
     pending: Vec<PendingRead>,
     round: Option<ReadRound>,
     last_read_id: ReadId,
-    /// No round starts before this: an undecided value takes a while to be decided.
+    /// No round starts before this instant, to leave time for an undecided value to be decided.
     not_before: Instant,
 }
 
@@ -94,7 +94,7 @@
         }
     }
 
-    /// Submits a read; false if too many are pending.
+    /// Submits a read; returns false if too many are pending.
     pub(crate) fn submit(&mut self, job: JobId, deadline: Instant) -> bool {
         let has_room = self.pending.len() < MAX_PENDING_JOBS;
         if has_room {
@@ -107,8 +107,8 @@
         !self.pending.is_empty() || self.round.is_some()
     }
 
-    /// Completes reads whose deadline has passed, and abandons a round that is too old. To be called before each
-    /// message is handled: a reply that waited while this process was suspended confirms nothing.
+    /// Completes reads whose deadline has passed, and abandons a round that has timed out. Must be called before each
+    /// message is handled, so that a reply that was queued while this process was suspended does not complete a read.
     pub(crate) fn expire(&mut self, now: Instant, effects: &mut Vec<Effect>) {
         expire_reads(&mut self.pending, now, effects);
         let Some(round) = &mut self.round else {
@@ -120,7 +120,7 @@
         }
     }
 
-    /// Starts a round, or sends its request again.
+    /// Starts a round, or resends its request.
     pub(crate) fn tick(&mut self, now: Instant, decided: &DecidedState, effects: &mut Vec<Effect>) {
         match &mut self.round {
             Some(round) if now >= round.last_sent + RESEND_INTERVAL => {
@@ -147,21 +147,22 @@
         self.round = Some(round);
     }
 
-    /// The reads of the current round become pending again.
+    /// Returns the reads of the current round to the pending ones.
     fn abandon_round(&mut self) {
         if let Some(round) = self.round.take() {
             self.pending.extend(round.reads);
         }
     }
 
-    /// A value was decided: replies about an older one count no more, and there is nothing to wait for.
+    /// Abandons the current round after a value was decided, since its replies refer to an older value. The next
+    /// round may start immediately.
     pub(crate) fn on_decided(&mut self) {
         self.not_before = Instant::START;
         self.abandon_round();
     }
 
-    /// A reply. Reads are completed when a majority of the voters of the newest value, asked after the reads were
-    /// submitted, know no newer value and have accepted none (*reads-are-newest*).
+    /// Handles a reply. The round's reads, all submitted before its request was sent, are completed when a majority
+    /// of the voters of the newest value neither know a newer value nor have accepted one (*reads-are-newest*).
     pub(crate) fn on_reply(
         &mut self,
         now: Instant,
--- a/crates/linenthread-consensus/src/register.rs
+++ b/crates/linenthread-consensus/src/register.rs
@@ -1,4 +1,4 @@
-//! The replicated register: routes messages and time to its parts, and adopts decided values.
+//! The replicated register: dispatches messages and ticks to the other modules, and adopts decided values.
 
 use linenthread_messages::{
     Accept, AcceptAck, CatchUpRequest, OrderLogEntries, OrderLogRequest, PeerMessage, Prepare,
@@ -22,11 +22,11 @@
 use crate::reader::{ReadProgress, Reader};
 use crate::value_number::ValueNumber;
 
-/// One node's part in a register whose value is decided by a majority of the voters: proposer and reader, and acceptor
-/// if the node is a voter.
+/// One node's state of a replicated register whose value is decided by a majority of the voters. The node acts as
+/// proposer and reader, and as acceptor if it is a voter.
 ///
-/// Each method that may lead to effects appends them to `effects`; the driver carries them out in that order. All
-/// instants come from one steady clock and never go back.
+/// Methods append their effects to `effects`; the driver executes them in that order. All instants must come from one
+/// monotonic clock.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Register {
     id: NodeId,
@@ -39,10 +39,10 @@
 }
 
 impl Register {
-    /// A node that starts with the state that its disk holds.
+    /// Creates the register of a starting node from the state on its disk.
     ///
-    /// `genesis` is value 0 where all nodes start for the first time. `incarnation` must be shared with no other
-    /// incarnation of any node.
+    /// `genesis` is value 0 on the first start of all nodes. `incarnation` must be unique among all runs of all
+    /// nodes.
     pub fn new(
         id: NodeId,
         state: DurableState,
@@ -62,86 +62,90 @@
         }
     }
 
-    /// This node's identity, which belongs to its disk: a node whose disk was replaced is another one.
+    /// Returns this node's identity, which is bound to its disk: a node whose disk was replaced has a new identity.
     pub fn id(&self) -> NodeId {
         self.id
     }
 
-    /// The newest value that this node knows to be decided.
+    /// Returns the newest value that this node knows to be decided.
     pub fn decided(&self) -> Option<&Value> {
         self.decided.value()
     }
 
-    /// Number of that value; [`ValueNumber::FIRST`] also if there is none.
+    /// Returns the number of the newest decided value known to this node; [`ValueNumber::FIRST`] also if there is
+    /// none.
     pub fn value_number(&self) -> ValueNumber {
         self.decided.number()
     }
 
-    /// The newest window whose usage report this node knows to be decided.
+    /// Returns the newest window whose usage report this node knows to be decided.
     pub fn newest_usage_window(&self) -> Option<WindowNumber> {
         self.decided.newest_usage_window()
     }
 
-    /// The nodes that decide the next value, as the newest value that this node knows names them.
+    /// Returns the nodes that decide the next value, according to the newest decided value known to this node.
     pub fn voters(&self) -> &[Voter] {
         self.decided.voters()
     }
 
-    /// Whether a node is one of the voters.
+    /// Reports whether a node is one of the voters.
     pub fn is_voter(&self, id: NodeId) -> bool {
         self.decided.is_voter(id)
     }
 
-    /// Whether these nodes include more than half of the voters.
+    /// Reports whether these nodes include more than half of the voters.
     pub fn is_majority(&self, ids: impl IntoIterator<Item = NodeId>) -> bool {
         self.decided.is_majority(ids)
     }
 
-    /// Whether this node has accepted a value that it does not know to be decided.
+    /// Reports whether this node has accepted a value that it does not know to be decided.
     pub fn has_undecided(&self) -> bool {
         self.acceptor.has_undecided()
     }
 
-    /// Has the value decided that this node has accepted, if there is one that it does not know to be decided.
+    /// Requests a round that decides the value that this node has accepted, if it has accepted one that it does not
+    /// know to be decided. The round starts at a later [`Register::tick`].
     pub fn complete_undecided(&mut self) {
         if self.acceptor.has_undecided() {
             self.proposer.request_recovery();
         }
     }
 
-    /// Whether a job or round is pending, so that [`Register::tick`] is needed soon.
+    /// Reports whether a job or round is pending, so that [`Register::tick`] must be called frequently.
     pub fn is_busy(&self) -> bool {
         self.proposer.is_busy() || self.reader.is_busy()
     }
 
-    /// The accepted orders that this node knows of.
+    /// Returns the accepted orders that this node knows.
     pub fn order_log(&self) -> &OrderLog {
         self.decided.order_log()
     }
 
-    /// Number of the newest decided value that is synced to this node's disk; [`ValueNumber::FIRST`] also if none is.
+    /// Returns the number of the newest decided value that is synced to this node's disk; [`ValueNumber::FIRST`] also
+    /// if there is none.
     pub fn durable_number(&self) -> ValueNumber {
         self.durability.number()
     }
 
-    /// Whether the order log, within its bound, lacks no order that other voters have.
+    /// Reports whether this node has a value and its order log is complete, within the log's size limit and apart
+    /// from orders that no voter has.
     pub fn order_log_complete(&self) -> bool {
         self.decided.value().is_some() && self.decided.order_log().is_complete()
     }
 
-    /// Whether the order log is complete and synced to this node's disk.
+    /// Reports whether the order log is complete and synced to this node's disk.
     pub fn order_log_durable(&self) -> bool {
         self.order_log_complete() && self.durability.is_order_log_synced()
     }
 
-    /// Whether the newest decided value and the complete order log are synced to this node's disk. A node may become a
-    /// voter only then (*orders-known-at-each-node*).
+    /// Reports whether the newest decided value and the complete order log are synced to this node's disk, which is
+    /// the precondition for becoming a voter (*orders-known-at-each-node*).
     pub fn is_fully_durable(&self) -> bool {
         self.order_log_durable() && self.durability.is_synced(self.decided.number())
     }
 
-    /// Proposes a change. The job is completed by an [`Effect::Reply`], as [`Outcome::Unknown`] at `deadline` at the
-    /// latest.
+    /// Proposes a change. The job is completed by an [`Effect::Reply`]: at `deadline` with [`Outcome::Unknown`], if
+    /// not earlier.
     pub fn propose(
         &mut self,
         now: Instant,
@@ -155,8 +159,8 @@
         self.start_or_reject(now, job, submitted, effects);
     }
 
-    /// Reads the newest value. The job is completed by an [`Effect::Reply`], as [`Outcome::Unknown`] at `deadline` at
-    /// the latest.
+    /// Reads the newest value. The job is completed by an [`Effect::Reply`]: at `deadline` with [`Outcome::Unknown`],
+    /// if not earlier.
     pub fn read(&mut self, now: Instant, job: JobId, deadline: Instant, effects: &mut Vec<Effect>) {
         let submitted = self.decided.value().is_some() && self.reader.submit(job, deadline);
         self.start_or_reject(now, job, submitted, effects);
@@ -181,8 +185,8 @@
         }
     }
 
-    /// Does what is due: completes jobs whose deadline has passed, sends requests again, starts rounds. To be called
-    /// every few milliseconds while [`Register::is_busy`], and every now and then otherwise.
+    /// Handles timers: completes jobs whose deadline has passed, resends requests, starts rounds. Must be called
+    /// every few milliseconds while [`Register::is_busy`], and occasionally otherwise.
     pub fn tick(&mut self, now: Instant, effects: &mut Vec<Effect>) {
         self.expire(now, effects);
         self.reader.tick(now, &self.decided, effects);
@@ -196,7 +200,7 @@
         self.reader.expire(now, effects);
     }
 
-    /// Writes the decided state again, where the disk has dropped records.
+    /// Writes the decided state again if the disk has dropped records of it.
     fn rewrite_if_due(&mut self, now: Instant, effects: &mut Vec<Effect>) {
         if !self.durability.is_rewrite_due(now, self.decided.number()) {
             return;
@@ -209,10 +213,10 @@
             .persist_complete_order_log(now, orders, effects);
     }
 
-    /// Handles a message of another node, or of this node to itself; ignores messages that are not the register's.
+    /// Handles a message from another node or from this node itself. Ignores messages that are not for the register.
     ///
-    /// Jobs and rounds whose time has passed end first, so that a message that waited while this process was suspended
-    /// does not complete them.
+    /// Expires jobs and rounds first, so that a message that was queued while this process was suspended does not
+    /// complete them.
     pub fn on_message(
         &mut self,
         now: Instant,
@@ -243,14 +247,15 @@
         }
     }
 
-    /// A record of this register is synced. Expired jobs and rounds end first, as before each message.
+    /// Handles the notification that a record of this register is synced. Expires jobs and rounds first, as for
+    /// messages.
     pub fn on_synced(&mut self, now: Instant, synced: SyncedRecord, effects: &mut Vec<Effect>) {
         self.expire(now, effects);
         self.durability.on_synced(synced);
     }
 
-    /// Whether this node may vote on a number. Otherwise the sender is sent what it lacks, or asked for what this node
-    /// lacks.
+    /// Reports whether this node may vote on a number. If the sender or this node has an older value than the other,
+    /// the newer one is sent or requested.
     fn may_vote_on(&self, from: NodeId, number: ValueNumber, effects: &mut Vec<Effect>) -> bool {
         let Some(value) = self.decided.value() else {
             effects.push(catch_up_request(from, ValueNumber::FIRST));
@@ -268,7 +273,7 @@
             effects.push(catch_up_request(from, newest));
             return false;
         }
-        // A number below the acceptor's is decided, though the record of that value is lost: another node has it.
+        // A number below the acceptor's is decided: this node has lost the record of the value, but another has it.
         number >= self.acceptor.number() && self.decided.is_voter(self.id)
     }
 
@@ -327,7 +332,8 @@
         self.proposer.on_rejected(now, rejected, &self.decided);
     }
 
-    /// Another node has an older value: it is sent the newest one, and the request that it could not handle again.
+    /// Sends the newest value to a node that has an older one, and resends the current request, which it could not
+    /// handle before.
     fn on_catch_up_request(
         &mut self,
         from: NodeId,
@@ -348,7 +354,7 @@
         effects.extend(request.map(|message| Effect::Send { to: from, message }));
     }
 
-    /// Learns a decided value; an older one than the newest known is ignored (*monotonic-state*).
+    /// Adopts a decided value; ignores one that is not newer than the newest known value (*monotonic-state*).
     fn adopt(
         &mut self,
         now: Instant,
@@ -438,7 +444,7 @@
     }
 }
 
-/// Asks a node for the values after the one of this number.
+/// Builds the request to a node for a newer value than the one of this number.
 fn catch_up_request(to: NodeId, number: ValueNumber) -> Effect {
     Effect::Send {
         to,
@@ -448,7 +454,7 @@
     }
 }
 
-/// An acceptor's reply leaves once its record is synced; a rejection, which needs none, at once.
+/// Sends an acceptor's reply once its record is synced, or a rejection, which has no record, immediately.
 fn acceptor_reply(to: NodeId, reply: Result<(Record, PeerMessage), Rejected>) -> Effect {
     match reply {
         Ok((record, message)) => Effect::Persist {
--- a/crates/linenthread-consensus/src/revision.rs
+++ b/crates/linenthread-consensus/src/revision.rs
@@ -4,29 +4,29 @@
 
 use linenthread_messages::Value;
 
-/// Names one version of the configuration. Operators choose it: each order brings a greater revision than the one that
-/// it builds on, and need not bring the next one.
+/// Version of the configuration, chosen by operators. The revision of an order is greater than that of its base, but
+/// need not be the next number.
 ///
-/// It protects an operator's change from being lost: an order can only be accepted while the revision that it builds on
-/// is the newest one (*one-order-per-base*).
+/// Revisions prevent lost updates: an order can only be accepted while its base is the newest revision
+/// (*one-order-per-base*).
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Revision(u64);
 
 impl Revision {
-    /// Below every revision: what the first order builds on, while there is no configuration.
+    /// Below every revision; the base of the first order, before there is a configuration.
     pub const NONE: Revision = Revision(0);
 
-    /// The revision that a message, a record, an order or a configuration carries.
+    /// Creates a revision from the number in a message, record, order or configuration.
     pub const fn new(number: u64) -> Revision {
         Revision(number)
     }
 
-    /// The revision of the configuration in a value.
+    /// Returns the revision of the configuration in a value.
     pub fn of(value: &Value) -> Revision {
         Revision(value.revision)
     }
 
-    /// The number that messages, records, configurations and the control API carry.
+    /// Returns the number used in messages, records, configurations and the control API.
     pub const fn get(self) -> u64 {
         self.0
     }
--- a/crates/linenthread-consensus/src/round.rs
+++ b/crates/linenthread-consensus/src/round.rs
@@ -1,4 +1,4 @@
-//! One attempt to decide the next number: both phases of Paxos, from the proposer's side.
+//! One attempt to decide the next number: the proposer's side of both phases of Paxos.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -14,13 +14,13 @@
 use crate::timing::RESEND_INTERVAL;
 use crate::value_number::ValueNumber;
 
-/// A round under one ballot.
+/// The state of a round under one ballot.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Round {
     number: ValueNumber,
     ballot: Ballot,
-    /// When the current phase began: each has the whole time-out, or disks that take a quarter of it would complete
-    /// no round.
+    /// Start of the current phase. The timeout applies to each phase separately; otherwise rounds would fail with
+    /// disks that take a quarter of it for a sync.
     phase_started_at: Instant,
     last_sent: Instant,
     phase: Phase,
@@ -30,7 +30,7 @@
 enum Phase {
     Prepare {
         promised_by: BTreeSet<NodeId>,
-        /// Of what the promises report, the one with the greatest ballot.
+        /// The accepted value with the highest ballot among those that the promises report.
         highest_accepted: Option<Accepted>,
     },
     Accept {
@@ -39,17 +39,17 @@
     },
 }
 
-/// A majority of the voters has promised.
+/// The result of the first phase, after a majority of the voters has promised.
 pub(crate) struct Prepared {
-    /// The value that must be proposed: one of the voters has accepted it, and it may be decided already. If there is
-    /// none, no value is decided for this number, nor can be under a lower ballot.
+    /// The value that must be proposed, since one of the voters has accepted it and it may be decided already. If
+    /// `None`, no value is decided for this number, and none can be under a lower ballot.
     pub(crate) accepted: Option<Value>,
-    /// When the phase began.
+    /// Start of the first phase.
     pub(crate) started_at: Instant,
 }
 
 impl Round {
-    /// A round in its first phase.
+    /// Creates a round in its first phase.
     pub(crate) fn new(number: ValueNumber, ballot: Ballot, now: Instant) -> Round {
         Round {
             number,
@@ -67,7 +67,7 @@
         self.ballot
     }
 
-    /// The current phase's request to the voters.
+    /// Returns the current phase's request to the voters.
     pub(crate) fn request(&self) -> PeerMessage {
         match &self.phase {
             Phase::Prepare { .. } => PeerMessage::Prepare(Prepare {
@@ -81,7 +81,7 @@
         }
     }
 
-    /// How long the current phase takes so far.
+    /// Returns the time since the start of the current phase.
     pub(crate) fn phase_latency(&self, now: Instant) -> Duration {
         now.since(self.phase_started_at)
     }
@@ -98,7 +98,7 @@
         self.last_sent = now;
     }
 
-    /// Counts a promise; returns the result of the phase once a majority has promised.
+    /// Counts a promise. Returns the result of the first phase once a majority has promised.
     pub(crate) fn on_promise(
         &mut self,
         from: NodeId,
@@ -126,7 +126,7 @@
         })
     }
 
-    /// Enters the second phase with the value to propose.
+    /// Starts the second phase with the value to propose.
     pub(crate) fn propose(&mut self, now: Instant, value: Value) {
         self.phase = Phase::Accept {
             value,
@@ -135,7 +135,7 @@
         (self.phase_started_at, self.last_sent) = (now, now);
     }
 
-    /// Counts an acceptance; returns the value once a majority has accepted it, which decides it.
+    /// Counts an acceptance. Returns the value once a majority has accepted it, and it is thereby decided.
     pub(crate) fn on_accept_ack(
         &mut self,
         from: NodeId,
@@ -154,7 +154,7 @@
             .then(|| value.clone())
     }
 
-    /// Whether a reply that carries this number and ballot is one to this round.
+    /// Reports whether a reply with this number and ballot belongs to this round.
     fn is_for(&self, number: u64, ballot: Ballot) -> bool {
         (self.number, self.ballot) == (ValueNumber::new(number), ballot)
     }
--- a/crates/linenthread-consensus/src/value_number.rs
+++ b/crates/linenthread-consensus/src/value_number.rs
@@ -1,39 +1,38 @@
-//! Numbers of the register's values.
+//! Numbers of the register's decided values.
 
 use std::fmt;
 
 use linenthread_messages::Value;
 
-/// The place of a value in the chain of decided values, and the name of the Paxos instance that decides it. Counted
-/// from 0 without gaps.
+/// Position of a value in the sequence of decided values, and the number of the Paxos instance that decides it.
+/// Starts at 0, without gaps.
 ///
-/// Whoever proposes the value after the newest one raises it by one. A node replaces its newest value only by one with
-/// a greater number (*monotonic-state*), and votes only on the number after its newest value: the voters of value n
-/// decide value n + 1 (*decided-by-voters*).
+/// A node replaces its newest value only with one of a greater number (*monotonic-state*). It votes only on the
+/// number that follows its newest value, since the voters of value n decide value n + 1 (*decided-by-voters*).
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ValueNumber(u64);
 
 impl ValueNumber {
-    /// The number of the first value of all, which the settings give. Where a message or record can't say that it has
-    /// no value, it stands for that, too.
+    /// Number of the genesis value, which is derived from the settings. Also used where a message, record or function
+    /// has no other way to express that there is no value.
     pub const FIRST: ValueNumber = ValueNumber(0);
 
-    /// The number that a message or record carries.
+    /// Creates a value number from the number in a message or record.
     pub const fn new(number: u64) -> ValueNumber {
         ValueNumber(number)
     }
 
-    /// The number of a value.
+    /// Returns the number of a value.
     pub fn of(value: &Value) -> ValueNumber {
         ValueNumber(value.number)
     }
 
-    /// The number that messages, records and the control API carry.
+    /// Returns the number used in messages, records and the control API.
     pub const fn get(self) -> u64 {
         self.0
     }
 
-    /// The number of the value that follows.
+    /// Returns the number of the following value.
     #[must_use]
     pub const fn next(self) -> ValueNumber {
         ValueNumber(self.0 + 1)
