--- a/crates/linenthread-consensus/src/catch_up.rs
+++ b/crates/linenthread-consensus/src/catch_up.rs
@@ -84,8 +84,8 @@
             .gap
             .as_ref()
             .is_some_and(|gap| now >= gap.since + CATCH_UP_ABANDON_TIMEOUT);
-        let without_newest = self.voters_without_newest.iter().copied().chain([self.id]);
-        let majority_lacks = decided.is_majority(without_newest);
+        let majority_lacks =
+            decided.is_majority(self.voters_without_newest.iter().copied().chain([self.id]));
         let all_lack = self
             .other_voters(decided)
             .all(|id| self.voters_without_newest.contains(&id));
--- a/crates/linenthread-consensus/src/lease.rs
+++ b/crates/linenthread-consensus/src/lease.rs
@@ -89,8 +89,8 @@
 /// follows from these rules:
 /// - A grant lasts for the lease duration from when the voter received the request. The lease lasts for that
 ///   duration, less a margin, from when the candidate sent the request, which was earlier.
-/// - A voter that has restarted, or has become a voter again, grants nothing until all grants that it may not know
-///   have expired.
+/// - A voter that has restarted, or has become a voter, grants nothing until all grants that it may not know have
+///   expired.
 /// - A request is only granted if candidate and voter have the same newest value, and the voter has accepted no other
 ///   one. Hence the majorities of two candidates are majorities of the same voters.
 /// - If the voters change during a lease, fewer than half of the set that granted it have not granted it. Hence a
@@ -277,9 +277,9 @@
         self.epoch = self.epoch.max(epoch);
     }
 
-    /// Blocks grants for [`LEASE_DURATION`] after this node has become a voter again, since it does not know the
-    /// other voters' grants. This includes the candidate of its own last grant: another candidate may have acquired
-    /// the lease without this node.
+    /// Blocks grants for [`LEASE_DURATION`] after this node has become a voter, since it does not know the other
+    /// voters' grants. If it was a voter before, not even the candidate of its last grant is granted a renewal:
+    /// another candidate may have acquired the lease without this node.
     pub fn on_became_voter(&mut self, now: Instant) {
         self.grants_allowed_from = self.grants_allowed_from.max(now + LEASE_DURATION);
     }
--- a/crates/linenthread-consensus/tests/consensus/acceptor.rs
+++ b/crates/linenthread-consensus/tests/consensus/acceptor.rs
@@ -1,4 +1,4 @@
-//! Who votes, on which numbers, and what a promise binds.
+//! Tests of the acceptor: which nodes vote, on which numbers, and under which ballots.
 
 use linenthread_consensus::{AfterSync, DurableState, Effect, Incarnation, NodeId, Register};
 use linenthread_messages::{Accept, Ballot, PeerMessage, Prepare, Record};
@@ -14,7 +14,7 @@
     })
 }
 
-/// Whether the register promises, which it does by a record.
+/// Reports whether the register makes a promise, for which it writes a record.
 fn promises(register: &mut Register, number: u64, round: u64) -> bool {
     let mut effects = Vec::new();
     register.on_message(at(0), NodeId(3), prepare(number, round, 3), &mut effects);
@@ -73,10 +73,10 @@
 }
 
 #[parameterized(
-    no_voter = { 9, 1, false },
+    not_a_voter = { 9, 1, false },
     voter = { 1, 1, true },
     previous_value_missing = { 1, 2, false },
-    decided_long_ago = { 1, 0, false },
+    already_decided = { 1, 0, false },
 )]
 fn only_a_voter_that_has_the_previous_value_votes(id: u64, number: u64, votes: bool) {
     let (mut register, mut effects) = (register(id, id * 77), Vec::new());
@@ -89,15 +89,15 @@
     );
 }
 
-/// Each prefix of the synced records is a state that a restart may find; the complete one binds the node.
+/// A restart may find any prefix of the records on disk. With the complete sequence, the node must keep its promise.
 #[test]
-fn promises_bind_after_a_restart() {
+fn a_promise_is_kept_after_a_restart() {
     let mut trio = Trio::new();
-    trio.order(1, 1, 0, 3);
+    trio.propose_order(1, 1, 0, 3);
     let mut effects = Vec::new();
     trio.register(1)
         .on_message(at(0), NodeId(2), prepare(2, 9, 2), &mut effects);
-    trio.carry_out(1, effects);
+    trio.execute(1, effects);
     let records = trio.records(1);
     for length in 0..=records.len() {
         let state = restored(&records[..length]);
@@ -113,7 +113,8 @@
     }
 }
 
-/// The records of a node that learned value 1 and accepted value 2, but whose disk dropped the record of value 1.
+/// Returns the records of a node that learned value 1 and accepted value 2, but whose disk dropped the record of
+/// value 1.
 fn records_without_value_1() -> Vec<Record> {
     let (mut register, mut effects) = (register(1, 5), Vec::new());
     register.on_message(
@@ -135,12 +136,12 @@
 }
 
 #[test]
-fn a_number_below_the_accepted_one_is_not_voted_on_again() {
+fn a_node_does_not_vote_on_numbers_below_the_accepted_one() {
     let state = restored(&records_without_value_1());
     let mut register = Register::new(NodeId(1), state, Some(value(0)), Incarnation::new(6));
-    // Value 1 is decided; another one must not get this node's vote.
+    // Value 1 is decided, so the node must not vote for another one.
     assert!(!promises(&mut register, 1, 9));
-    // Once it has value 1 again, its promise for value 2 still binds.
+    // After the node has received value 1 again, its promise for value 2 is still in force.
     register.on_message(
         at(0),
         NodeId(2),
--- a/crates/linenthread-consensus/tests/consensus/cluster.rs
+++ b/crates/linenthread-consensus/tests/consensus/cluster.rs
@@ -1,4 +1,4 @@
-//! Registers on modelled disks and a modelled network, with one clock for all.
+//! A simulated cluster of registers with simulated disks, a simulated network and a common clock.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -12,18 +12,18 @@
 
 use crate::fixtures::{index, voter};
 
-/// The deadline of a job, as `linenthread-control` sets it.
+/// Timeout of a job, as set by `linenthread-control`.
 const JOB_TIMEOUT: Duration = Duration::from_millis(900);
-/// Time between two ticks.
-const STEP: Duration = Duration::from_millis(25);
+/// Interval between two ticks.
+const TICK_INTERVAL: Duration = Duration::from_millis(25);
 
-/// Whether a message from one node to another is lost.
+/// Reports whether a message from one node (the first) to another is lost.
 type LossRule = Box<dyn Fn(NodeId, NodeId, &PeerMessage) -> bool>;
 
 struct Node {
     register: Register,
     id: NodeId,
-    incarnations: u64,
+    incarnation_count: u64,
     disk: Vec<Record>,
     unsynced: Vec<(Record, Vec<AfterSync>)>,
     is_stalled: bool,
@@ -36,25 +36,26 @@
     message: PeerMessage,
 }
 
-/// What is on its way to a node.
+/// A message or notification that is on its way to a node.
 enum InFlight {
     Message(Message),
-    /// A record of this node is synced.
+    /// Notification of this node that its record is synced.
     RecordSynced(NodeId, SyncedRecord),
 }
 
-/// Nodes 1 to n; messages and syncs happen at once, unless they are lost or a disk is stalled.
+/// A cluster of the nodes 1 to n. Messages arrive without delay unless they are lost, and records are synced without
+/// delay unless the disk is stalled.
 pub(crate) struct Cluster {
     nodes: Vec<Node>,
     now: Instant,
     last_job: u64,
     outcomes: BTreeMap<JobId, Outcome>,
     network: VecDeque<InFlight>,
-    lost: LossRule,
+    loss_rule: LossRule,
     sent: Vec<PeerMessage>,
 }
 
-/// An order whose document is this text.
+/// Returns an order with this text as document.
 pub(crate) fn order(base: u64, revision: u64, document: &str) -> Change {
     Change::Order(Order {
         base: Revision::new(base),
@@ -63,12 +64,12 @@
     })
 }
 
-/// The outcome of an order that was accepted under this revision.
+/// Returns the outcome of an order that was accepted under this revision.
 pub(crate) fn committed(revision: u64) -> Outcome {
     Outcome::Committed(Revision::new(revision))
 }
 
-/// The outcome of an order that was rejected while this revision was the newest one.
+/// Returns the outcome of an order that was rejected while this revision was the newest one.
 pub(crate) fn conflict(newest: u64) -> Outcome {
     Outcome::Conflict(Revision::new(newest))
 }
@@ -91,7 +92,7 @@
                 incarnation(id, 1),
             ),
             id,
-            incarnations: 1,
+            incarnation_count: 1,
             disk: vec![Record {
                 id: Some(id.0),
                 decided: Some(genesis.clone()),
@@ -107,28 +108,31 @@
             last_job: 1_000,
             outcomes: BTreeMap::new(),
             network: VecDeque::new(),
-            lost: Box::new(|_, _, _| false),
+            loss_rule: Box::new(|_, _, _| false),
             sent: Vec::new(),
         }
     }
 
-    pub(crate) fn register(&self, at: u64) -> &Register {
-        &self.nodes[index(at)].register
+    pub(crate) fn register(&self, node: u64) -> &Register {
+        &self.nodes[index(node)].register
     }
 
     pub(crate) fn outcome(&self, job: JobId) -> Option<Outcome> {
         self.outcomes.get(&job).cloned()
     }
 
-    /// From now on messages are lost by this rule of sender, receiver and message.
-    pub(crate) fn lose(&mut self, lost: impl Fn(NodeId, NodeId, &PeerMessage) -> bool + 'static) {
-        self.lost = Box::new(lost);
+    /// Sets the rule of sender, receiver and message by which messages are lost from now on.
+    pub(crate) fn set_loss_rule(
+        &mut self,
+        loss_rule: impl Fn(NodeId, NodeId, &PeerMessage) -> bool + 'static,
+    ) {
+        self.loss_rule = Box::new(loss_rule);
     }
 
     pub(crate) fn isolate(&mut self, nodes: &[u64]) {
         nodes
             .iter()
-            .for_each(|at| self.node(*at).is_isolated = true);
+            .for_each(|node| self.node(*node).is_isolated = true);
     }
 
     pub(crate) fn heal(&mut self) {
@@ -145,56 +149,56 @@
         self.sent.iter().filter(|message| matches(message)).count()
     }
 
-    fn node(&mut self, at: u64) -> &mut Node {
-        &mut self.nodes[index(at)]
+    fn node(&mut self, node: u64) -> &mut Node {
+        &mut self.nodes[index(node)]
     }
 
-    /// Submits an order as this job.
-    pub(crate) fn start_order(&mut self, at: u64, job: JobId, change: Change) {
-        let until = self.now + JOB_TIMEOUT;
-        self.drive(at, |register, now, effects| {
-            register.propose(now, job, change, until, effects);
+    /// Proposes a change as this job, without waiting for its outcome.
+    pub(crate) fn start_proposal(&mut self, node: u64, job: JobId, change: Change) {
+        let deadline = self.now + JOB_TIMEOUT;
+        self.drive(node, |register, now, effects| {
+            register.propose(now, job, change, deadline, effects);
         });
     }
 
-    /// Submits an order, and waits for its outcome.
-    pub(crate) fn order(&mut self, at: u64, change: Change) -> Outcome {
+    /// Proposes a change, and waits for its outcome.
+    pub(crate) fn propose(&mut self, node: u64, change: Change) -> Outcome {
         self.last_job += 1;
         let job = JobId(self.last_job);
-        self.start_order(at, job, change);
+        self.start_proposal(node, job, change);
         self.await_outcome(job)
     }
 
     fn await_outcome(&mut self, job: JobId) -> Outcome {
         let end = self.now + JOB_TIMEOUT * 2;
         while !self.outcomes.contains_key(&job) && self.now < end {
-            self.pass_time(STEP);
+            self.advance_time(TICK_INTERVAL);
         }
         self.outcome(job).expect("each job is completed in time")
     }
 
-    /// Commits orders in a row, each on the one before it.
-    pub(crate) fn commit_orders(&mut self, at: u64, revisions: std::ops::RangeInclusive<u64>) {
+    /// Commits orders of consecutive revisions, each based on the previous one.
+    pub(crate) fn commit_orders(&mut self, node: u64, revisions: std::ops::RangeInclusive<u64>) {
         for revision in revisions {
             let change = order(revision - 1, revision, &revision.to_string());
-            assert_eq!(self.order(at, change), committed(revision));
+            assert_eq!(self.propose(node, change), committed(revision));
         }
     }
 
-    pub(crate) fn pass_time(&mut self, time: Duration) {
-        let end = self.now + time;
+    pub(crate) fn advance_time(&mut self, duration: Duration) {
+        let end = self.now + duration;
         while self.now < end {
-            self.now += STEP;
-            for at in 1..=self.nodes.len() as u64 {
-                self.drive(at, linenthread_consensus::Register::tick);
+            self.now += TICK_INTERVAL;
+            for node in 1..=self.nodes.len() as u64 {
+                self.drive(node, linenthread_consensus::Register::tick);
             }
         }
     }
 
-    /// Starts a new incarnation; what was not synced is lost.
-    pub(crate) fn restart(&mut self, at: u64) {
-        let node = self.node(at);
-        node.incarnations += 1;
+    /// Restarts a node, which loses all records that are not synced.
+    pub(crate) fn restart(&mut self, node: u64) {
+        let node = self.node(node);
+        node.incarnation_count += 1;
         node.unsynced.clear();
         let mut state = DurableState::default();
         node.disk
@@ -204,22 +208,22 @@
             node.id,
             state,
             None,
-            incarnation(node.id, node.incarnations),
+            incarnation(node.id, node.incarnation_count),
         );
     }
 
     pub(crate) fn restart_all(&mut self) {
-        (1..=self.nodes.len() as u64).for_each(|at| self.restart(at));
+        (1..=self.nodes.len() as u64).for_each(|node| self.restart(node));
     }
 
-    /// Replaces a disk by an empty one, which learns what is decided; then another node makes it a voter in the place of
-    /// the old one.
-    pub(crate) fn replace_disk(&mut self, at: u64) {
-        let other = at % self.nodes.len() as u64 + 1;
-        let node = self.node(at);
+    /// Replaces a node's disk with an empty one, which gives the node a new identity. The node learns the newest
+    /// value and the orders; then another node proposes it as a voter in place of the old identity.
+    pub(crate) fn replace_disk(&mut self, node: u64) {
+        let other = node % self.nodes.len() as u64 + 1;
+        let node = self.node(node);
         let old = node.id;
         node.id.0 += 100;
-        (node.incarnations, node.disk, node.unsynced) = (1, Vec::new(), Vec::new());
+        (node.incarnation_count, node.disk, node.unsynced) = (1, Vec::new(), Vec::new());
         node.register = Register::new(
             node.id,
             DurableState::default(),
@@ -227,19 +231,23 @@
             incarnation(node.id, 1),
         );
         let new = node.id;
-        let value = self.register(other).decided().expect("has one").clone();
+        let value = self
+            .register(other)
+            .decided()
+            .expect("a decided value")
+            .clone();
         let (base_number, epoch) = (ValueNumber::of(&value), Epoch::new(value.epoch));
         let mut voters = value.voters.clone();
         let from = self.register(other).id();
         self.send(from, new, PeerMessage::Decided(value));
         self.deliver_all();
-        self.pass_time(Duration::from_secs(1));
+        self.advance_time(Duration::from_secs(1));
         voters
             .iter_mut()
             .filter(|voter| NodeId::from(&**voter) == old)
             .for_each(|voter| voter.id = new.0);
         assert!(matches!(
-            self.order(
+            self.propose(
                 other,
                 Change::Voters {
                     base_number,
@@ -251,39 +259,39 @@
         ));
     }
 
-    /// From now on no record is synced at this node, until [`Cluster::sync_disk`].
-    pub(crate) fn stall_disk(&mut self, at: u64) {
-        self.node(at).is_stalled = true;
+    /// Stops syncing records at this node until [`Cluster::sync_disk`].
+    pub(crate) fn stall_disk(&mut self, node: u64) {
+        self.node(node).is_stalled = true;
     }
 
-    pub(crate) fn sync_disk(&mut self, at: u64) {
-        self.node(at).is_stalled = false;
+    pub(crate) fn sync_disk(&mut self, node: u64) {
+        self.node(node).is_stalled = false;
         self.deliver_all();
     }
 
-    /// Drops the records that wait for a stalled disk, and the messages that wait for them.
-    pub(crate) fn drop_unsynced(&mut self, at: u64) {
-        self.node(at).unsynced.clear();
+    /// Drops the unsynced records of a stalled disk, and the messages that depend on them.
+    pub(crate) fn drop_unsynced(&mut self, node: u64) {
+        self.node(node).unsynced.clear();
     }
 
-    fn drive(&mut self, at: u64, step: impl FnOnce(&mut Register, Instant, &mut Vec<Effect>)) {
+    fn drive(&mut self, node: u64, step: impl FnOnce(&mut Register, Instant, &mut Vec<Effect>)) {
         let (now, mut effects) = (self.now, Vec::new());
-        step(&mut self.node(at).register, now, &mut effects);
-        self.carry_out(at, effects);
+        step(&mut self.node(node).register, now, &mut effects);
+        self.execute(node, effects);
         self.deliver_all();
     }
 
-    fn carry_out(&mut self, at: u64, effects: Vec<Effect>) {
-        let from = self.node(at).id;
+    fn execute(&mut self, node: u64, effects: Vec<Effect>) {
+        let from = self.node(node).id;
         let ids: Vec<NodeId> = self.nodes.iter().map(|node| node.id).collect();
         for effect in effects {
             match effect {
                 Effect::Send { to, message } => self.send(from, to, message),
                 Effect::Persist { record, after_sync } => {
-                    self.node(at).unsynced.push((record, after_sync));
+                    self.node(node).unsynced.push((record, after_sync));
                 }
                 Effect::Reply { job, outcome } => _ = self.outcomes.insert(job, outcome),
-                // The control node sends it to all others at once.
+                // As `linenthread-control` does, sends the value to all other nodes immediately.
                 Effect::Decided(value) => {
                     for to in ids.iter().copied().filter(|to| *to != from) {
                         self.send(from, to, PeerMessage::Decided(value.clone()));
@@ -298,7 +306,7 @@
             .push_back(InFlight::Message(Message { from, to, message }));
     }
 
-    /// Delivers what is in flight until nothing is.
+    /// Delivers messages and syncs records until nothing is in flight.
     fn deliver_all(&mut self) {
         loop {
             self.sync();
@@ -316,26 +324,28 @@
                 .iter()
                 .any(|node| node.id == id && node.is_isolated)
         };
-        let lost =
-            to != from && (is_isolated(to) || is_isolated(from)) || (self.lost)(from, to, &message);
-        let Some(at) = self.position(to).filter(|_| !lost) else {
+        let lost = to != from && (is_isolated(to) || is_isolated(from))
+            || (self.loss_rule)(from, to, &message);
+        let Some(index) = self.position(to).filter(|_| !lost) else {
             return;
         };
         self.sent.push(message.clone());
         let (now, mut effects) = (self.now, Vec::new());
-        self.nodes[at]
+        self.nodes[index]
             .register
             .on_message(now, from, message, &mut effects);
-        self.carry_out(at as u64 + 1, effects);
+        self.execute(index as u64 + 1, effects);
     }
 
     fn on_synced(&mut self, id: NodeId, synced: SyncedRecord) {
-        let Some(at) = self.position(id) else {
+        let Some(index) = self.position(id) else {
             return;
         };
         let (now, mut effects) = (self.now, Vec::new());
-        self.nodes[at].register.on_synced(now, synced, &mut effects);
-        self.carry_out(at as u64 + 1, effects);
+        self.nodes[index]
+            .register
+            .on_synced(now, synced, &mut effects);
+        self.execute(index as u64 + 1, effects);
     }
 
     fn position(&self, id: NodeId) -> Option<usize> {
--- a/crates/linenthread-consensus/tests/consensus/contention.rs
+++ b/crates/linenthread-consensus/tests/consensus/contention.rs
@@ -1,4 +1,4 @@
-//! Proposers that compete: how long one pauses after a rejection, and how much time a round has.
+//! Tests of competing proposers: the backoff after a rejection, and the timeout of a round.
 
 use linenthread_consensus::{
     Change, DurableState, Effect, Epoch, Incarnation, JobId, NodeId, Register,
@@ -17,7 +17,7 @@
     }
 }
 
-/// The register of node 1; the incarnation seeds its random pauses.
+/// Returns the register of node 1. The incarnation is the seed of its random backoff.
 fn register(incarnation: u64) -> Register {
     Register::new(
         NodeId(1),
@@ -27,7 +27,7 @@
     )
 }
 
-fn propose_other_voters(register: &mut Register, now: u64) -> Vec<Effect> {
+fn propose_voter_change(register: &mut Register, now: u64) -> Vec<Effect> {
     let base_number = register.value_number();
     let change = Change::Voters {
         base_number,
@@ -39,7 +39,7 @@
     effects
 }
 
-fn propose_an_order(register: &mut Register, now: u64) -> Vec<Effect> {
+fn propose_order(register: &mut Register, now: u64) -> Vec<Effect> {
     let base = register.decided().map_or(0, |value| value.revision);
     let change = order(base, base + 1_000, "routes");
     let mut effects = Vec::new();
@@ -47,7 +47,7 @@
     effects
 }
 
-/// The ballot of the round that these effects start, if they start one.
+/// Returns the ballot of the round that these effects start, if any.
 fn started_round(effects: &[Effect]) -> Option<Ballot> {
     effects.iter().find_map(|effect| match effect {
         Effect::Send {
@@ -58,7 +58,7 @@
     })
 }
 
-/// Ticks until a round starts; returns when, and its ballot.
+/// Ticks until a round starts; returns the time in milliseconds and its ballot.
 fn next_round(register: &mut Register, from: u64) -> (u64, Ballot) {
     (from..from + 10_000)
         .find_map(|now| {
@@ -83,12 +83,11 @@
 }
 
 #[test]
-fn a_proposer_rejected_for_many_values_pauses_no_longer_than_after_one() {
+fn backoff_does_not_grow_across_values() {
     for seed in 1..100 {
         let mut register = register(seed);
         let mut now = 1_000;
-        let mut ballot =
-            started_round(&propose_an_order(&mut register, now)).expect("a round starts");
+        let mut ballot = started_round(&propose_order(&mut register, now)).expect("a round starts");
         for number in 1..10 {
             reject(&mut register, now, number, ballot);
             let (restarted_at, _) = next_round(&mut register, now + 1);
@@ -112,10 +111,10 @@
 }
 
 #[test]
-fn each_phase_of_a_round_has_the_whole_time_out() {
+fn each_phase_of_a_round_has_the_full_timeout() {
     let mut register = register(7);
     let ballot =
-        started_round(&propose_other_voters(&mut register, 1_000)).expect("a round starts");
+        started_round(&propose_voter_change(&mut register, 1_000)).expect("a round starts");
     let mut effects = Vec::new();
     for from in [2, 3] {
         let promise = Promise {
@@ -148,14 +147,13 @@
     );
 }
 
-/// Voters that take 240 ms for a phase: the competing round is left that time, and the next rounds of two proposers that
-/// were both rejected start further apart than the shortest pause.
+/// With voters that take 240 ms for a phase, the backoff leaves the competing round that time. Its random part is
+/// large enough that two rejected proposers start their next rounds at different times.
 #[test]
-fn the_pause_follows_the_latency_of_the_voters() {
-    let pause = |seed| {
+fn backoff_grows_with_the_latency_of_the_voters() {
+    let backoff = |seed| {
         let mut register = register(seed);
-        let ballot =
-            started_round(&propose_an_order(&mut register, 1_000)).expect("a round starts");
+        let ballot = started_round(&propose_order(&mut register, 1_000)).expect("a round starts");
         for from in [2, 3] {
             let promise = Promise {
                 number: 1,
@@ -172,10 +170,10 @@
         reject(&mut register, 1_300, 1, ballot);
         next_round(&mut register, 1_301).0 - 1_300
     };
-    let pauses: Vec<u64> = (1..50).map(pause).collect();
+    let backoffs: Vec<u64> = (1..50).map(backoff).collect();
     let (shortest, longest) = (
-        pauses.iter().min().expect("pauses"),
-        pauses.iter().max().expect("pauses"),
+        backoffs.iter().min().expect("backoffs"),
+        backoffs.iter().max().expect("backoffs"),
     );
     assert!(
         *shortest >= 240 && (340..=721).contains(longest),
@@ -184,12 +182,12 @@
 }
 
 #[test]
-fn a_change_of_the_voters_hardly_pauses() {
+fn a_voter_change_has_a_short_backoff() {
     for seed in 1..50 {
         let mut register = register(seed);
         let mut now = 1_000;
         let mut ballot =
-            started_round(&propose_other_voters(&mut register, now)).expect("a round starts");
+            started_round(&propose_voter_change(&mut register, now)).expect("a round starts");
         for _ in 0..8 {
             reject(&mut register, now, 1, ballot);
             let (restarted_at, next) = next_round(&mut register, now + 1);
@@ -203,15 +201,15 @@
     }
 }
 
-/// Two proposers of changes of the voters, each rejected by the other again and again: with voters that take 130 ms for a
-/// phase their pauses spread over the time that a round needs, so that one of them gets through.
+/// Guards against two proposers of voter changes that reject each other forever. With voters that take 130 ms for a
+/// phase, the backoff after several rejections is spread over the duration of a round, so that one proposer succeeds.
 #[test]
-fn rejected_changes_of_the_voters_spread_over_the_time_of_a_round() {
-    let pause = |seed, rejections| {
+fn repeatedly_rejected_voter_changes_spread_their_backoff_over_a_round() {
+    let backoff = |seed, rejections| {
         let mut register = register(seed);
         let (mut now, mut last) = (1_000, 0);
         let mut ballot =
-            started_round(&propose_other_voters(&mut register, now)).expect("a round starts");
+            started_round(&propose_voter_change(&mut register, now)).expect("a round starts");
         for _ in 0..rejections {
             for from in [2, 3] {
                 let promise = Promise {
@@ -229,13 +227,13 @@
         }
         last
     };
-    let longest = |rejections| (1..50).map(|seed| pause(seed, rejections)).max();
+    let longest = |rejections| (1..50).map(|seed| backoff(seed, rejections)).max();
     assert!(longest(2) <= Some(26), "{:?}", longest(2));
     assert!(longest(3) >= Some(400), "{:?}", longest(3));
     assert!(longest(8) <= Some(522), "{:?}", longest(8));
 }
 
-/// A round of another node that this one votes in is left its time, though not by a change of the voters.
+/// A node that votes in another node's round delays its own order, but not a voter change.
 #[test]
 fn an_order_waits_for_a_competing_round() {
     let prepare = Prepare {
@@ -256,13 +254,13 @@
         register
     };
     let mut register = voted();
-    assert_eq!(started_round(&propose_an_order(&mut register, 1_001)), None);
+    assert_eq!(started_round(&propose_order(&mut register, 1_001)), None);
     assert_eq!(next_round(&mut register, 1_002).0, 1_050);
-    assert!(started_round(&propose_other_voters(&mut voted(), 1_001)).is_some());
+    assert!(started_round(&propose_voter_change(&mut voted(), 1_001)).is_some());
 }
 
-/// Ticks until the round of this ballot is abandoned for another one; returns when, and the other one's ballot.
-fn abandoned(register: &mut Register, from: u64, ballot: Ballot) -> (u64, Ballot) {
+/// Ticks until a new round replaces the one of this ballot; returns the time in milliseconds and the new ballot.
+fn next_round_after(register: &mut Register, from: u64, ballot: Ballot) -> (u64, Ballot) {
     let (mut now, mut next) = (from, ballot);
     while next == ballot {
         (now, next) = next_round(register, now + 1);
@@ -270,14 +268,14 @@
     (now, next)
 }
 
-/// A phase has longer after each one that timed out, up to a bound, and less again after phases that were short.
+/// The timeout of a phase grows up to its maximum with each phase that times out, and shrinks after short phases.
 #[test]
-fn the_time_out_of_a_round_follows_the_voters() {
+fn the_timeout_of_a_round_adapts_to_the_latency_of_the_voters() {
     let mut register = register(7);
     let mut now = 1_000;
-    let mut ballot = started_round(&propose_an_order(&mut register, now)).expect("a round starts");
+    let mut ballot = started_round(&propose_order(&mut register, now)).expect("a round starts");
     for timeout in [450, 900, 1_500, 1_500] {
-        let (abandoned_at, next) = abandoned(&mut register, now, ballot);
+        let (abandoned_at, next) = next_round_after(&mut register, now, ballot);
         assert_eq!(abandoned_at - now, timeout);
         (now, ballot) = (abandoned_at, next);
     }
@@ -297,6 +295,6 @@
         register.on_message(at(now), NodeId(2), decided, &mut effects);
         ballot = started_round(&effects).expect("the order is still pending, and a round starts");
     }
-    let (abandoned_at, _) = abandoned(&mut register, now, ballot);
+    let (abandoned_at, _) = next_round_after(&mut register, now, ballot);
     assert_eq!(abandoned_at - now, 450);
 }
--- a/crates/linenthread-consensus/tests/consensus/fixtures.rs
+++ b/crates/linenthread-consensus/tests/consensus/fixtures.rs
@@ -1,20 +1,20 @@
-//! Values, registers and instants that several tests start from.
+//! Values, registers, instants and lease messages shared by several tests.
 
 use linenthread_consensus::{DurableState, Epoch, Incarnation, NodeId, Register};
 use linenthread_messages::{LeaseReply, LeaseRequest, Value, Voter};
 use linenthread_time::Instant;
 
-/// The instant this many milliseconds after the clock's start.
+/// Returns the instant this many milliseconds after the start of the clock.
 pub(crate) fn at(millis: u64) -> Instant {
     Instant::from_millis(millis)
 }
 
-/// The index of the node of this number, which counts from 1.
+/// Returns the index of a node. Nodes are numbered from 1.
 pub(crate) fn index(node: u64) -> usize {
     usize::try_from(node).expect("tests have few nodes") - 1
 }
 
-/// A voter with an address of its own.
+/// Returns a voter with a unique address.
 pub(crate) fn voter(id: u64) -> Voter {
     Voter {
         id,
@@ -22,7 +22,7 @@
     }
 }
 
-/// A value whose voters are the nodes 1, 2 and 3.
+/// Returns a value whose voters are the nodes 1, 2 and 3.
 pub(crate) fn value(number: u64) -> Value {
     Value {
         number,
@@ -31,7 +31,7 @@
     }
 }
 
-/// A register with an empty disk that starts from value 0 of the nodes 1, 2 and 3.
+/// Returns a register with an empty disk that starts from value 0 of the nodes 1, 2 and 3.
 pub(crate) fn register(id: u64, incarnation: u64) -> Register {
     Register::new(
         NodeId(id),
@@ -41,7 +41,7 @@
     )
 }
 
-/// A request for the lease of 2 s at value 0.
+/// Returns a request for a lease of 2 s at value 0.
 pub(crate) fn lease_request(
     incarnation: Incarnation,
     epoch: Epoch,
@@ -56,7 +56,7 @@
     }
 }
 
-/// A vote that grants a request.
+/// Returns a reply that grants a request.
 pub(crate) fn granted(request: &LeaseRequest) -> LeaseReply {
     LeaseReply {
         epoch: request.epoch,
--- a/crates/linenthread-consensus/tests/consensus/lease.rs
+++ b/crates/linenthread-consensus/tests/consensus/lease.rs
@@ -1,4 +1,4 @@
-//! Granting and holding the leader lease.
+//! Tests of granting and holding the leader lease.
 
 use std::collections::BTreeSet;
 
@@ -11,14 +11,14 @@
 /// The incarnation of the node under test.
 const INCARNATION: Incarnation = Incarnation::new(9);
 
-/// The value that requests are at, where it makes no difference.
+/// The value of requests in tests that do not depend on it.
 const FIRST: ValueNumber = ValueNumber::FIRST;
 
 fn is_majority(ids: &BTreeSet<NodeId>) -> bool {
     ids.len() >= 2
 }
 
-/// A candidate of three voters, on the very first start.
+/// Returns a candidate of three voters on the first start of all nodes.
 fn candidate() -> LeaderLease {
     LeaderLease::new(INCARNATION, at(0), true, Epoch::NONE)
 }
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn voters_are_changed_only_under_a_lease_of_the_newest_voters() {
+fn a_new_value_requires_new_grants_of_its_voters() {
     let mut lease = candidate();
     let (seven, eight) = (ValueNumber::new(7), ValueNumber::new(8));
     let at_7 = lease.tick(at(0), true, seven).expect("a request");
@@ -89,7 +89,8 @@
         }
     );
     assert!(lease.is_held_at(at(3), seven));
-    // The next value may name other voters: they are asked at once, and grants at the last value count no more.
+    // The next value may have other voters. They are asked immediately, and grants at the previous value no longer
+    // count.
     assert!(lease.held_epoch(at(3)).is_some() && !lease.is_held_at(at(3), eight));
     let at_8 = lease.tick(at(4), true, eight).expect("a new request");
     lease.on_lease_reply(at(5), NodeId(1), &granted(&at_7), eight, is_majority);
@@ -136,7 +137,7 @@
     a_new_voter = { Some(FIRST), true, 1, false },
     not_above_the_epoch_of_the_value = { Some(FIRST), false, 0, false },
 )]
-fn a_grant_waits_for_what_is_decided(
+fn a_voter_grants_only_at_its_own_value_and_above_its_epoch(
     value_number: Option<ValueNumber>,
     is_new_voter: bool,
     above: u64,
@@ -150,24 +151,24 @@
     let request = lease_request(Incarnation::new(7), Epoch::new(4 + above), 1);
     let reply = lease.on_lease_request(at(6_900), NodeId(1), &request, value_number);
     assert_eq!(reply.granted, granted);
-    // Later it waits only for the same value on both sides, and for a higher epoch.
+    // After the waiting period, only the value and the epoch matter.
     let reply = lease.on_lease_request(at(7_100), NodeId(1), &request, Some(FIRST));
     assert_eq!(reply.granted, above > 0);
 }
 
 #[test]
-fn grants_that_arrive_after_the_lease_would_have_ended_do_not_count() {
+fn grants_that_arrive_after_the_lease_would_have_expired_do_not_count() {
     let mut lease = candidate();
     let request = lease.tick(at(0), true, FIRST).expect("a request");
     let grant = granted(&request);
     lease.on_lease_reply(at(1), NodeId(1), &grant, FIRST, is_majority);
-    // The process was suspended meanwhile.
+    // The process was suspended in the meantime.
     lease.on_lease_reply(at(5_000), NodeId(2), &grant, FIRST, is_majority);
     assert_eq!(lease.held_epoch(at(5_000)), None);
     assert!(!lease.is_held_at(at(5_000), FIRST));
 }
 
-/// A value of this number whose voters were first named by the value of the number `voters_since`.
+/// Returns a value of this number whose voters were first named by the value of the number `voters_since`.
 fn value_with_voters_since(number: u64, voters_since: u64) -> Value {
     Value {
         voters_since,
@@ -176,7 +177,7 @@
 }
 
 #[test]
-fn an_epoch_that_is_requested_anew_is_above_all_earlier_eras() {
+fn the_epoch_of_a_new_request_is_above_all_earlier_eras() {
     let mut lease = candidate();
     let first = lease.tick(at(0), true, FIRST).expect("a request");
     assert_eq!(Epoch::new(first.epoch), Epoch::FIRST);
@@ -185,13 +186,13 @@
     let next = lease.tick(at(10), true, ninth).expect("a request");
     let era = Epoch::before_era(ValueNumber::new(7));
     assert_eq!(Epoch::new(next.epoch), era.next());
-    // However high an epoch of an earlier era was, this one is above it.
+    // Even the highest possible epoch of an earlier era is lower.
     let earlier = Epoch::before_era(ValueNumber::new(6));
     assert!(Epoch::new(earlier.get() + u64::from(u32::MAX)) < Epoch::new(next.epoch));
 }
 
 #[test]
-fn a_lease_that_is_held_keeps_its_epoch_when_the_voters_change() {
+fn a_held_lease_keeps_its_epoch_when_the_voters_change() {
     let mut lease = candidate();
     let first = lease.tick(at(0), true, FIRST).expect("a request");
     for voter in [1, 2] {
@@ -206,6 +207,6 @@
     first_era = { Epoch::new(5), "5" },
     later_era = { Epoch::before_era(ValueNumber::new(7)).next(), "7.1" },
 )]
-fn an_epoch_is_shown_by_era_and_count(epoch: Epoch, text: &str) {
+fn an_epoch_is_displayed_as_era_and_count(epoch: Epoch, text: &str) {
     assert_eq!(epoch.to_string(), text);
 }
--- a/crates/linenthread-consensus/tests/consensus/lease_release.rs
+++ b/crates/linenthread-consensus/tests/consensus/lease_release.rs
@@ -1,4 +1,5 @@
-//! A lease holder that shuts down: it holds nothing from then on, and its voters need not wait for their grants to end.
+//! Tests of the release of the leader lease, with which a lease holder that shuts down ends the grants of its voters
+//! early.
 
 use std::collections::BTreeSet;
 
@@ -21,19 +22,19 @@
     }
 }
 
-/// Whether a voter at value 0 grants the request.
+/// Reports whether a voter at value 0 grants the request.
 fn grants(voter: &mut LeaderLease, now: u64, from: u64, request: &LeaseRequest) -> bool {
     voter
         .on_lease_request(at(now), NodeId(from), request, Some(FIRST))
         .granted
 }
 
-/// A candidate on the very first start.
+/// Returns a candidate on the first start of all nodes.
 fn candidate() -> LeaderLease {
     LeaderLease::new(INCARNATION, at(0), true, Epoch::NONE)
 }
 
-/// A voter that granted the lease under epoch 3 at 5 s.
+/// Returns a voter that granted the lease under epoch 3 at 5 s.
 fn voter() -> LeaderLease {
     let mut voter = LeaderLease::new(Incarnation::new(9), at(0), false, Epoch::NONE);
     let request = lease_request(INCARNATION, Epoch::new(3), 1);
@@ -48,7 +49,7 @@
     of_another_incarnation = { LEASE_HOLDER, Incarnation::new(6), 3, false },
     by_another_node = { OTHER, INCARNATION, 3, false },
 )]
-fn a_release_frees_only_the_voters_of_that_lease_holder(
+fn a_release_ends_only_grants_to_its_sender_up_to_its_epoch(
     from: u64,
     incarnation: Incarnation,
     epoch: u64,
@@ -74,8 +75,8 @@
 fn a_request_that_arrives_after_the_release_is_not_granted() {
     let mut voter = voter();
     voter.on_release(NodeId(LEASE_HOLDER), &release(INCARNATION, 4));
-    let overtaken = lease_request(INCARNATION, Epoch::new(4), 2);
-    assert!(!grants(&mut voter, 5_100, LEASE_HOLDER, &overtaken));
+    let late_request = lease_request(INCARNATION, Epoch::new(4), 2);
+    assert!(!grants(&mut voter, 5_100, LEASE_HOLDER, &late_request));
 }
 
 #[test]
@@ -93,7 +94,7 @@
     a_skipped_change = { 12, 9, true },
     a_change_by_the_value_itself = { 12, 12, true },
 )]
-fn a_skipped_change_of_the_voters_is_noticed(number: u64, voters_since: u64, skips: bool) {
+fn a_skipped_voter_change_is_detected(number: u64, voters_since: u64, skips: bool) {
     let mut voter = voter();
     voter.on_decided(&Value {
         number: 7,
@@ -108,7 +109,7 @@
 }
 
 #[test]
-fn a_release_does_not_shorten_the_wait_of_a_new_voter() {
+fn a_release_does_not_shorten_the_waiting_period_of_a_new_voter() {
     let mut voter = voter();
     voter.on_became_voter(at(5_050));
     assert!(voter.on_release(NodeId(LEASE_HOLDER), &release(INCARNATION, 3)));
@@ -127,7 +128,7 @@
 }
 
 #[test]
-fn after_a_release_nothing_is_held_and_the_next_epoch_is_higher() {
+fn after_a_release_no_lease_is_held_and_the_next_epoch_is_higher() {
     let mut lease = candidate();
     let first = lease.tick(at(0), true, FIRST).expect("a request");
     let is_majority = |ids: &BTreeSet<NodeId>| ids.len() >= 2;
@@ -142,7 +143,7 @@
     assert!(lease.held_epoch(at(3)).is_some());
     let released = lease.release().expect("a held lease");
     assert_eq!(released, release(INCARNATION, first.epoch));
-    // Grants that were in flight do not bring it back.
+    // Grants that were in flight do not restore the lease.
     assert_eq!(
         lease.on_lease_reply(at(4), NodeId(3), &grant, FIRST, is_majority),
         LeaseProgress::Pending
@@ -170,10 +171,10 @@
 }
 
 #[test]
-fn a_suspended_candidate_does_not_get_a_lease_that_has_ended() {
+fn a_suspended_candidate_does_not_acquire_a_lease_that_has_expired() {
     let mut lease = candidate();
     let pending = lease.tick(at(0), true, FIRST).expect("a request");
-    // The driver would take this for a lease that begins.
+    // Otherwise the driver would start to act as lease holder.
     assert_eq!(
         lease.on_lease_reply(at(20_000), NodeId(OTHER), &granted(&pending), FIRST, |_| {
             true
--- a/crates/linenthread-consensus/tests/consensus/reads.rs
+++ b/crates/linenthread-consensus/tests/consensus/reads.rs
@@ -1,4 +1,4 @@
-//! Reads beside undecided values and slow disks.
+//! Tests of reads during undecided values and slow disks.
 
 use linenthread_consensus::{
     AfterSync, DurableState, Effect, Incarnation, JobId, NodeId, Outcome, Register,
@@ -11,7 +11,7 @@
 
 #[test]
 fn a_read_completes_an_undecided_value() {
-    // The nodes 1 and 2 have accepted it, and all further messages of its proposer were lost.
+    // Nodes 1 and 2 have accepted the value, and all further messages of its proposer were lost.
     let mut trio = Trio::new();
     let undecided = Value {
         revision: 3,
@@ -56,7 +56,7 @@
     let (mut effects, mut requests, mut unsynced) = (Vec::new(), 0, Vec::new());
     register.propose(at(0), JobId(1), change, at(900), &mut effects);
     register.read(at(0), JobId(2), at(900), &mut effects);
-    // Messages to itself arrive at once; the acceptance waits for the disk.
+    // Messages to the node itself arrive immediately; the acceptance waits for the disk.
     for _ in 0..100 {
         for effect in std::mem::take(&mut effects) {
             match effect {
--- a/crates/linenthread-consensus/tests/consensus/register.rs
+++ b/crates/linenthread-consensus/tests/consensus/register.rs
@@ -1,4 +1,4 @@
-//! Orders on their base, with and without a majority.
+//! Tests of orders and reads with and without a majority.
 
 use linenthread_consensus::{JobId, Outcome, UnknownReason};
 use yare::parameterized;
@@ -13,10 +13,10 @@
     on_another_base = { 0, 5, conflict(3) },
     not_above_the_newest_revision = { 3, 2, conflict(3) },
 )]
-fn a_change_is_committed_once_on_its_base(base: u64, revision: u64, outcome: Outcome) {
+fn an_order_is_committed_once_and_only_on_its_base(base: u64, revision: u64, outcome: Outcome) {
     let mut trio = Trio::new();
-    trio.order(1, 1, 0, 3);
-    trio.order(2, 2, base, revision);
+    trio.propose_order(1, 1, 0, 3);
+    trio.propose_order(2, 2, base, revision);
     assert_eq!(trio.last_outcome(), &outcome);
 }
 
@@ -24,12 +24,12 @@
 fn a_minority_acknowledges_nothing_and_reads_nothing() {
     let mut trio = Trio::new();
     trio.isolated = vec![2, 3];
-    trio.order(1, 1, 0, 3);
+    trio.propose_order(1, 1, 0, 3);
     trio.read(1, 2);
     assert!(trio.replies.is_empty());
     let mut effects = Vec::new();
     trio.register(1).tick(at(1_000), &mut effects);
-    trio.carry_out(1, effects);
+    trio.execute(1, effects);
     assert_eq!(
         trio.replies,
         [
--- a/crates/linenthread-consensus/tests/consensus/suspension.rs
+++ b/crates/linenthread-consensus/tests/consensus/suspension.rs
@@ -1,4 +1,4 @@
-//! A process that was suspended: messages that waited for it meanwhile complete no job and no round.
+//! Tests of suspended processes: messages that were queued during the suspension do not complete jobs or rounds.
 
 use linenthread_consensus::{Effect, JobId, NodeId, Outcome, Register, UnknownReason};
 use linenthread_messages::{PeerMessage, Promise, ReadReply};
@@ -7,7 +7,7 @@
 use crate::cluster::order;
 use crate::fixtures::{at, register};
 
-/// The identity of the read round that these effects start.
+/// Returns the identifier of the read round that these effects start.
 fn read_id_of(effects: &[Effect]) -> u64 {
     let read_id = |effect: &Effect| match effect {
         Effect::Send {
@@ -19,8 +19,8 @@
     effects.iter().find_map(read_id).expect("a read round")
 }
 
-/// Two voters reply that they know nothing newer.
-fn reply_twice(register: &mut Register, now: u64, read_id: u64) -> Vec<Effect> {
+/// Delivers the replies of two voters that know no newer value.
+fn deliver_replies(register: &mut Register, now: u64, read_id: u64) -> Vec<Effect> {
     let mut effects = Vec::new();
     for from in [1, 2] {
         let reply = ReadReply {
@@ -50,7 +50,7 @@
 fn a_read_past_its_deadline_is_not_completed_by_delayed_replies() {
     let (mut register, mut effects) = (register(1, 77), Vec::new());
     register.read(at(1_000), JobId(1), at(1_900), &mut effects);
-    let effects = reply_twice(&mut register, 21_000, read_id_of(&effects));
+    let effects = deliver_replies(&mut register, 21_000, read_id_of(&effects));
     assert_eq!(
         outcomes(effects),
         [(JobId(1), Outcome::Unknown(UnknownReason::TimedOut))]
@@ -58,18 +58,18 @@
 }
 
 #[test]
-fn replies_to_a_request_from_before_the_suspension_confirm_nothing() {
+fn replies_to_a_request_from_before_the_suspension_do_not_complete_a_read() {
     let (mut register, mut effects) = (register(1, 77), Vec::new());
-    // A read without a deadline, so that only the age of its round can tell.
+    // The read has no deadline, so that only the timeout of its round applies.
     register.read(at(1_000), JobId(1), Instant::NEVER, &mut effects);
     let old = read_id_of(&effects);
-    let effects = reply_twice(&mut register, 21_000, old);
+    let effects = deliver_replies(&mut register, 21_000, old);
     assert!(outcomes(effects).is_empty());
     let mut effects = Vec::new();
     register.tick(at(21_000), &mut effects);
     let new = read_id_of(&effects);
     assert!(new > old);
-    let effects = reply_twice(&mut register, 21_010, new);
+    let effects = deliver_replies(&mut register, 21_010, new);
     assert!(matches!(
         outcomes(effects)[..],
         [(JobId(1), Outcome::Newest(_))]
@@ -82,13 +82,13 @@
     register.read(at(1_000), JobId(1), at(1_900), &mut effects);
     let first = read_id_of(&effects);
     register.read(at(1_010), JobId(2), at(1_910), &mut Vec::new());
-    let effects = reply_twice(&mut register, 1_020, first);
+    let effects = deliver_replies(&mut register, 1_020, first);
     let second = read_id_of(&effects);
     assert!(matches!(
         outcomes(effects)[..],
         [(JobId(1), Outcome::Newest(_))]
     ));
-    let effects = reply_twice(&mut register, 1_030, second);
+    let effects = deliver_replies(&mut register, 1_030, second);
     assert!(matches!(
         outcomes(effects)[..],
         [(JobId(2), Outcome::Newest(_))]
@@ -96,7 +96,7 @@
 }
 
 #[test]
-fn a_change_past_its_deadline_goes_no_further() {
+fn a_change_past_its_deadline_is_not_proposed_on_delayed_promises() {
     let (mut register, mut effects) = (register(1, 77), Vec::new());
     let change = order(0, 1, "1");
     register.propose(at(1_000), JobId(1), change, at(1_900), &mut effects);
--- a/crates/linenthread-consensus/tests/consensus/trio.rs
+++ b/crates/linenthread-consensus/tests/consensus/trio.rs
@@ -1,4 +1,4 @@
-//! Three registers whose messages arrive at once, and whose nodes do not announce decided values.
+//! Three registers with immediate delivery of messages, which do not broadcast decided values.
 
 use linenthread_consensus::{AfterSync, Effect, JobId, NodeId, Outcome, Register};
 use linenthread_messages::{PeerMessage, Record};
@@ -9,7 +9,7 @@
 /// The nodes 1, 2 and 3.
 pub(crate) struct Trio {
     registers: Vec<Register>,
-    /// Nodes that neither send nor receive anything.
+    /// Nodes that neither send messages to other nodes nor receive any from them.
     pub(crate) isolated: Vec<u64>,
     pub(crate) replies: Vec<(JobId, Outcome)>,
     records: Vec<Vec<Record>>,
@@ -29,13 +29,13 @@
         &mut self.registers[index(node)]
     }
 
-    /// The records of a node, in the order in which they were synced.
+    /// Returns the records of a node in the order in which they were synced.
     pub(crate) fn records(&self, node: u64) -> &[Record] {
         &self.records[index(node)]
     }
 
-    /// Carries out the effects of a node, and all that follow.
-    pub(crate) fn carry_out(&mut self, node: u64, effects: Vec<Effect>) {
+    /// Executes the effects of a node and all effects that result from them.
+    pub(crate) fn execute(&mut self, node: u64, effects: Vec<Effect>) {
         let mut pending: Vec<(u64, Effect)> =
             effects.into_iter().map(|effect| (node, effect)).collect();
         while !pending.is_empty() {
@@ -76,23 +76,23 @@
         effects.into_iter().map(|effect| (to, effect)).collect()
     }
 
-    pub(crate) fn order(&mut self, node: u64, job: u64, base: u64, revision: u64) {
+    pub(crate) fn propose_order(&mut self, node: u64, job: u64, base: u64, revision: u64) {
         let mut effects = Vec::new();
         let change = order(base, revision, &revision.to_string());
         self.register(node)
             .propose(at(0), JobId(job), change, at(900), &mut effects);
-        self.carry_out(node, effects);
-        // It may have waited for the round of another node.
+        self.execute(node, effects);
+        // The order may have been delayed by a round of another node.
         let mut effects = Vec::new();
         self.register(node).tick(at(60), &mut effects);
-        self.carry_out(node, effects);
+        self.execute(node, effects);
     }
 
     pub(crate) fn read(&mut self, node: u64, job: u64) {
         let mut effects = Vec::new();
         self.register(node)
             .read(at(0), JobId(job), at(900), &mut effects);
-        self.carry_out(node, effects);
+        self.execute(node, effects);
     }
 
     pub(crate) fn last_outcome(&self) -> &Outcome {
--- a/crates/linenthread-consensus/tests/genesis_value.rs
+++ b/crates/linenthread-consensus/tests/genesis_value.rs
@@ -1,10 +1,10 @@
-//! The value that a cluster starts with.
+//! Tests of the initial value of a cluster.
 
 use linenthread_consensus::{NodeId, genesis_value};
 use linenthread_messages::{Value, Voter};
 
 #[test]
-fn the_nodes_at_the_bootstrap_addresses_vote_in_their_order() {
+fn the_voters_are_the_nodes_at_the_bootstrap_addresses_in_their_order() {
     let addresses = ["10.0.0.2:8080".to_owned(), "10.0.0.1:8080".to_owned()];
     let voter = |address: &str| Voter {
         id: NodeId::genesis(address).0,
