--- a/crates/linenthread-consensus/tests/consensus/cluster.rs
+++ b/crates/linenthread-consensus/tests/consensus/cluster.rs
@@ -17,7 +17,7 @@
 /// Interval between two ticks.
 const TICK_INTERVAL: Duration = Duration::from_millis(25);
 
-/// Reports whether a message from one node (the first) to another is lost.
+/// Predicate of sender, receiver and message that selects the messages to lose.
 type LossRule = Box<dyn Fn(NodeId, NodeId, &PeerMessage) -> bool>;
 
 struct Node {
--- a/crates/linenthread-consensus/tests/consensus/lease.rs
+++ b/crates/linenthread-consensus/tests/consensus/lease.rs
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn a_new_value_requires_new_grants_of_its_voters() {
+fn a_lease_is_held_at_a_value_only_by_grants_at_that_value() {
     let mut lease = candidate();
     let (seven, eight) = (ValueNumber::new(7), ValueNumber::new(8));
     let at_7 = lease.tick(at(0), true, seven).expect("a request");
