--- a/crates/linenthread-control/src/control_node.rs
+++ b/crates/linenthread-control/src/control_node.rs
@@ -1,8 +1,8 @@
-//! [`ControlNode`]: the tables of a control node, and what happens between them.
+//! [`ControlNode`]: owns the tables of a control node and routes events between them.
 //!
-//! Each table owns its state and its rules, in a module of its own in the crate root. The modules below this one route:
-//! each takes calls, messages or the time to the tables, and turns what they say into effects. Only they see the
-//! fields of [`ControlNode`].
+//! Each table owns its state and its rules, in its own module in the crate root. The submodules of this module are the
+//! routing layer: each passes calls, messages or timer ticks to the tables and turns the results into effects. Only they
+//! access the fields of [`ControlNode`].
 
 mod admission;
 mod contact;
@@ -46,16 +46,17 @@
 
 use register_driver::LoopbackEvent;
 
-/// One control node.
+/// The state machine of one control node: it takes calls, messages and ticks, and returns effects for the caller to
+/// perform. It does no I/O and reads no clock.
 pub struct ControlNode {
     config: NodeConfig,
-    /// Agreement on the configuration and the voters.
+    /// The replicated register that holds the configuration and the voters.
     register: Register,
     lease: LeaderLease,
-    /// When this node last acquired the leader lease, renewals aside.
+    /// When this node last acquired the leader lease; renewals do not count.
     lease_acquired_at: Option<Instant>,
     voting: VotingState,
-    /// What this node has to tell itself: it is one of the voters, and has a disk.
+    /// Events from this node to itself: messages as one of the voters, and completed syncs of its disk.
     loopback: VecDeque<LoopbackEvent>,
     pending_jobs: PendingJobs,
     durability: OwnDurability,
@@ -76,7 +77,7 @@
 }
 
 impl ControlNode {
-    /// Starts a node from what its disk holds. `id` is the identity of the disk; `genesis` is value 0 if the whole
+    /// Creates a node from the state on its disk. `id` is the identity of the disk; `genesis` is value 0 if the whole
     /// system starts for the first time.
     pub fn new(
         config: NodeConfig,
@@ -112,7 +113,7 @@
             config,
         };
         control.adopt_durable_value(now);
-        // The replicas of before the restart may still run: each has the usual time to send a heartbeat.
+        // Replicas known before the restart may still be running: each gets the usual time to send a heartbeat.
         control.registry.restore(now, &replicas);
         control
     }
@@ -129,28 +130,29 @@
         }
     }
 
-    /// The agreement as this node knows it.
+    /// Returns this node's view of the replicated register.
     pub fn register(&self) -> &Register {
         &self.register
     }
 
-    /// The replicas as this node knows them.
+    /// Returns this node's view of the replicas.
     pub fn registry(&self) -> &ReplicaRegistry {
         &self.registry
     }
 
-    /// The epoch under which this node holds the leader lease; `None` if it does not lead.
+    /// Returns the epoch under which this node holds the leader lease, or `None` if it is not the leader.
     pub fn lease_epoch(&self, now: Instant) -> Option<Epoch> {
         self.lease.held_epoch(now)
     }
 
-    /// All ingress nodes with a session at any control node, by name.
+    /// Returns all ingress nodes that have a session with any control node, by name.
     pub fn ingress_sessions(&self) -> BTreeMap<String, IngressSession> {
         self.ingress_nodes.all()
     }
 
-    /// The time of day that the control nodes agree on, as an offset from this node's steady clock; `None` while none is
-    /// known. Without contact to a majority ([`ControlNode::has_quorum`]) it may be that of a few.
+    /// Returns the time of day that the control nodes agree on, as an offset from this node's monotonic clock; `None`
+    /// while it is unknown. Without contact with a majority ([`ControlNode::has_quorum`]) it may rest on the clocks of
+    /// only a few nodes.
     pub fn agreed_offset(&self, now: Instant) -> Option<ClockOffset> {
         self.agreed_time.offset(now)
     }
@@ -163,13 +165,13 @@
         self.shutdown_requested_at.is_some()
     }
 
-    /// Number of the newest value; [`ValueNumber::FIRST`] also if there is none.
+    /// Returns the number of the newest value, or [`ValueNumber::FIRST`] if there is none.
     fn value_number(&self) -> ValueNumber {
         self.register.value_number()
     }
 }
 
-/// This node's part in the duty to report usage; where none is configured it never acts.
+/// Creates the state of usage reporting. Without a usage configuration it is never used to make calls.
 fn new_usage_duty(config: &NodeConfig, now: Instant) -> UsageDuty {
     let (lease, calls_per_second) = config
         .usage
--- a/crates/linenthread-control/src/control_node/admission.rs
+++ b/crates/linenthread-control/src/control_node/admission.rs
@@ -1,11 +1,12 @@
-//! Which calls and sessions a control node accepts.
+//! Admission control: which calls and ingress sessions a control node accepts.
 
 use linenthread_time::Instant;
 
 use crate::{ControlNode, Response, UnavailableReason};
 
 impl ControlNode {
-    /// Why a call is rejected outright, if so: this node shuts down, or is out of contact with a majority.
+    /// Returns the response to a call that must be rejected because this node is shutting down or is out of contact with
+    /// a majority; `None` if the call is accepted.
     pub(super) fn rejection(&self, now: Instant) -> Option<Response> {
         if self.is_shutting_down() {
             return Some(self.redirect(now));
@@ -13,16 +14,16 @@
         (!self.has_quorum(now)).then_some(Response::Unavailable(UnavailableReason::NoQuorum))
     }
 
-    /// Why a call that waits for a round of the voters is rejected outright, if so: as the others, but while the node
-    /// starts, contact may come in time.
-    pub(super) fn rejection_of_agreement(&self, now: Instant) -> Option<Response> {
+    /// Returns the response to a call on the register that must be rejected. Unlike [`ControlNode::rejection`], it accepts
+    /// calls during startup: they wait for a round of the voters anyway, and contact may be established in time.
+    pub(super) fn register_call_rejection(&self, now: Instant) -> Option<Response> {
         if !self.is_shutting_down() && self.contact.is_starting(now) {
             return None;
         }
         self.rejection(now)
     }
 
-    /// Calls that arrive during a shutdown go to another control node.
+    /// Redirects a call that arrives during a shutdown to another control node.
     fn redirect(&self, now: Instant) -> Response {
         let other = self
             .membership
@@ -34,8 +35,8 @@
         )
     }
 
-    /// Whether an ingress node may open a session: one that would have to wait for contact goes elsewhere at once,
-    /// but while this node starts it waits.
+    /// Reports whether an ingress node may open a session. Without contact with a majority it has to connect to another
+    /// control node, except during startup, when it waits for contact here.
     pub(super) fn accepts_ingress_sessions(&self, now: Instant) -> bool {
         !self.is_shutting_down() && (self.has_quorum(now) || self.contact.is_starting(now))
     }
--- a/crates/linenthread-control/src/control_node/contact.rs
+++ b/crates/linenthread-control/src/control_node/contact.rs
@@ -1,4 +1,4 @@
-//! Contact with a majority of the voters: when it begins and ends, and what a freeze of the process does to it.
+//! Contact with a majority of the voters: handles its start, its loss, and pauses of the process.
 
 use linenthread_consensus::NodeId;
 use linenthread_time::Instant;
@@ -8,19 +8,21 @@
 use crate::{ControlEvent, ControlNode, Effect};
 
 impl ControlNode {
-    /// Ids of the nodes in contact, this one included.
+    /// Returns the ids of the nodes in contact, including this one.
     pub(super) fn nodes_in_contact(&self, now: Instant) -> Vec<NodeId> {
         let others = self.membership.contacts(now).map(ControlPeer::node_id);
         others.chain([self.register.id()]).collect()
     }
 
-    /// Whether messages have lately gone back and forth between this node and more than half of the voters.
+    /// Reports whether this node has had a recent round trip of messages with each of more than half of the voters,
+    /// counting itself if it is one.
     pub fn has_quorum(&self, now: Instant) -> bool {
         self.register.is_majority(self.nodes_in_contact(now))
     }
 
-    /// Runs before all other work: after a freeze everything that rests on contact is stale, so all sessions are
-    /// closed, and what was pending is answered as unknown before anything else is answered.
+    /// Detects that the process was paused; must run before any other work. After a pause all state that depends on
+    /// contact is stale, so all sessions are closed, and pending calls are answered as unknown before any new call is
+    /// answered.
     pub(super) fn detect_pause(&mut self, now: Instant, effects: &mut Vec<Effect>) {
         let Some(paused) = self.contact.on_activity(now) else {
             return;
@@ -43,8 +45,8 @@
         );
     }
 
-    /// Takes in that contact may have begun or ended. When it begins, the ingress nodes that waited are updated; when
-    /// it ends, all of them are sent elsewhere.
+    /// Re-evaluates contact with a majority. When contact starts, the waiting ingress nodes are updated; when it is lost,
+    /// their sessions are closed so that they connect to another control node.
     pub(super) fn update_contact(&mut self, now: Instant, effects: &mut Vec<Effect>) {
         let has_quorum = self.has_quorum(now);
         match self.contact.update(now, has_quorum) {
--- a/crates/linenthread-control/src/control_node/durability.rs
+++ b/crates/linenthread-control/src/control_node/durability.rs
@@ -1,4 +1,4 @@
-//! How the control nodes learn what each other's disks hold.
+//! Exchange of durability progress: control nodes tell each other up to which value their disks are complete.
 
 use linenthread_consensus::{Epoch, ValueNumber};
 use linenthread_messages::{DurableProgress, PeerMessage};
@@ -7,7 +7,7 @@
 use crate::{ControlNode, Effect, SessionId};
 
 impl ControlNode {
-    /// Notifies the other control nodes as soon as the own disk holds all that this node knows.
+    /// Notifies the other control nodes once this node's disk holds everything that the node knows.
     pub(super) fn announce_durability(&mut self, now: Instant, effects: &mut Vec<Effect>) {
         let value_number = self
             .register
@@ -29,7 +29,7 @@
         self.expedite_voter_change(now);
     }
 
-    /// A peer's disk holds more than before.
+    /// Handles a peer's report that its disk holds more than before.
     pub(super) fn on_durable_progress(
         &mut self,
         now: Instant,
@@ -42,9 +42,11 @@
         self.expedite_voter_change(now);
     }
 
-    /// A standby that has just become ready need not wait for the next tick.
+    /// Expedites the next tick if a standby is ready to become a voter.
     fn expedite_voter_change(&mut self, now: Instant) {
-        if self.changes_voters(now) && !self.ready_standbys(now, self.value_number()).is_empty() {
+        if self.proposes_voter_changes(now)
+            && !self.ready_standbys(now, self.value_number()).is_empty()
+        {
             self.ticks.expedite();
         }
     }
--- a/crates/linenthread-control/src/control_node/heartbeats.rs
+++ b/crates/linenthread-control/src/control_node/heartbeats.rs
@@ -1,4 +1,4 @@
-//! Heartbeats with other control nodes and ingress nodes.
+//! Heartbeats exchanged with other control nodes and ingress nodes.
 
 use linenthread_consensus::ValueNumber;
 use linenthread_messages::{Heartbeat, PeerMessage};
@@ -8,18 +8,18 @@
 use crate::{ControlNode, Effect, SessionId};
 
 impl ControlNode {
-    /// This node's own clock shows `wall` at `now`. To be called before messages and ticks of this moment: it decides
-    /// only which window of usage reports a moment belongs to.
+    /// Records that this node's wall clock shows `wall` at `now`. Call it before passing in messages and ticks of the same
+    /// instant. The wall clock is used only to assign instants to windows of usage reports.
     pub fn observe_wall_clock(&mut self, now: Instant, wall: WallTime) {
         self.agreed_time.observe_own(now, wall);
     }
 
-    /// What a heartbeat tells every peer.
+    /// Builds the part of a heartbeat that is the same for all peers.
     fn heartbeat(&self, now: Instant) -> Heartbeat {
         Heartbeat {
             quota_request_or_value_number: self.value_number().get(),
-            // Peers redirect calls to a node that says so, and ingress nodes leave one that does not: a node that shuts
-            // down is to get neither.
+            // Peers redirect calls to a node that reports a quorum, and ingress nodes leave a node that does not. A node
+            // that is shutting down should receive neither, so it reports none.
             has_quorum: self.has_quorum(now) && !self.is_shutting_down(),
             registry_digest: self.registry.digest(),
             revision: 0,
@@ -33,8 +33,8 @@
         }
     }
 
-    /// What a heartbeat tells another control node. `echoed_sent_at` is when the peer, by its own clock, sent the last
-    /// one of its heartbeats.
+    /// Builds the heartbeat sent to another control node. `echoed_sent_at` is the send time of the peer's latest
+    /// heartbeat, by the peer's clock.
     fn control_heartbeat(&self, now: Instant, echoed_sent_at: Option<u64>) -> Heartbeat {
         Heartbeat {
             echoed_sent_at,
@@ -43,8 +43,8 @@
         }
     }
 
-    /// What a heartbeat tells an ingress node: the agreed time only in contact with a majority, since the clocks of a
-    /// few may be off.
+    /// Builds the heartbeat sent to an ingress node. It carries the agreed time only while in contact with a majority,
+    /// because the clocks of a minority may be wrong.
     fn ingress_heartbeat(&self, now: Instant) -> Heartbeat {
         let heartbeat = self.heartbeat(now);
         let agreed = self
@@ -57,7 +57,6 @@
         }
     }
 
-    /// Sends a heartbeat to another control node on one session.
     pub(super) fn send_heartbeat(
         &self,
         now: Instant,
@@ -69,7 +68,7 @@
         effects.push(Effect::Send { session, message });
     }
 
-    /// Sends a heartbeat on each session.
+    /// Sends a heartbeat on every session with a control node or an ingress node.
     pub(super) fn send_heartbeats(&self, now: Instant, effects: &mut Vec<Effect>) {
         let heartbeat = self.control_heartbeat(now, None);
         for (session, peer) in self.membership.iter() {
@@ -88,7 +87,7 @@
         }
     }
 
-    /// Takes in the clock of another control node.
+    /// Records the wall clock reading of another control node.
     fn observe_peer_clock(
         &mut self,
         now: Instant,
@@ -101,7 +100,7 @@
         }
     }
 
-    /// A heartbeat of another control node.
+    /// Handles a heartbeat from another control node.
     pub(super) fn on_heartbeat(
         &mut self,
         now: Instant,
--- a/crates/linenthread-control/src/control_node/ingress_updates.rs
+++ b/crates/linenthread-control/src/control_node/ingress_updates.rs
@@ -1,4 +1,4 @@
-//! The configuration, the replicas and the quota grants on their way to ingress nodes.
+//! Sends the configuration, the replicas and the quota grants to ingress nodes.
 
 use linenthread_messages::{PeerMessage, QuotaGrants};
 use linenthread_time::Instant;
@@ -9,7 +9,7 @@
 use crate::{ControlNode, Effect, SessionId};
 
 impl ControlNode {
-    /// Reads the newest configuration for an ingress node that has just connected.
+    /// Starts a read that confirms the newest configuration, if an ingress node still needs the confirmation.
     pub(super) fn confirm_configuration(
         &mut self,
         now: Instant,
@@ -38,7 +38,7 @@
         );
     }
 
-    /// Sends an ingress node all that it lacks; nothing while out of contact with a majority.
+    /// Sends an ingress node all updates it has not received yet. Sends nothing while out of contact with a majority.
     pub(super) fn update_ingress_node(
         &mut self,
         now: Instant,
@@ -61,7 +61,7 @@
         }
     }
 
-    /// Sends the leader's grants to the ingress nodes here, and to the control nodes that the others are connected to.
+    /// Sends the leader's grants to the ingress nodes connected to this node, and to all control nodes for the others.
     pub(super) fn send_quota_grants(&self, grants: QuotaGrants, effects: &mut Vec<Effect>) {
         if grants.grants.is_empty() {
             return;
@@ -75,7 +75,7 @@
         self.forward_quota_grants(grants, effects);
     }
 
-    /// Forwards to the ingress nodes with a session here the grants that are theirs.
+    /// Forwards each grant to its ingress node, if that has a session with this node.
     pub(super) fn forward_quota_grants(&self, grants: QuotaGrants, effects: &mut Vec<Effect>) {
         for grant in grants.grants {
             let Some(session) = self.ingress_nodes.session_with(&(&grant).into()) else {
--- a/crates/linenthread-control/src/control_node/leader_lease.rs
+++ b/crates/linenthread-control/src/control_node/leader_lease.rs
@@ -1,4 +1,4 @@
-//! The leader lease of this node, and its grant of that of another.
+//! The leader lease: requests it for this node, and grants it to other nodes as a voter.
 
 use linenthread_consensus::{AfterSync, Epoch, LeaseProgress, NodeId};
 use linenthread_messages::{LeaseRelease, LeaseReply, LeaseRequest, PeerMessage};
@@ -8,7 +8,7 @@
 use crate::{ControlEvent, ControlNode, Effect};
 
 impl ControlNode {
-    /// Requests the lease, or more time of it, if this node may lead.
+    /// Requests the lease, or its renewal, if this node may lead.
     pub(super) fn request_lease(&mut self, now: Instant, effects: &mut Vec<Effect>) {
         if !self.may_lead(now) {
             return;
@@ -26,8 +26,9 @@
         self.on_lease_request(now, self.register.id(), &request, effects);
     }
 
-    /// Whether this node is the first voter in contact, in the order of the newest value, of those that do not shut
-    /// down; if all do, of all: without a leader no standby could replace any of them.
+    /// Reports whether this node is the preferred leader: the first voter, in the order of the newest value, that is in
+    /// contact and not shutting down. If all voters in contact are shutting down it is the first of them, because without
+    /// a leader no standby could replace any of them.
     pub(super) fn is_preferred_leader(&self, now: Instant) -> bool {
         let own_id = self.register.id();
         let in_contact = self.nodes_in_contact(now);
@@ -44,12 +45,13 @@
         preferred == Some(own_id)
     }
 
-    /// A node that shuts down requests no more time once it has nothing left to do as the leader.
+    /// Reports whether this node may request or renew the lease. A node that is shutting down stops once it has nothing
+    /// left to do as the leader.
     fn may_lead(&self, now: Instant) -> bool {
         !self.is_shutting_down() || matches!(self.next_shutdown_step(now), ShutdownStep::Wait(_))
     }
 
-    /// Grants the lease to the requesting node, or denies it. A reply under a new epoch is sent only once that epoch is
+    /// Grants or denies the lease to the requesting node. A reply under a new epoch is sent only after that epoch is
     /// durable.
     pub(super) fn on_lease_request(
         &mut self,
@@ -76,7 +78,7 @@
         }
     }
 
-    /// A voter's reply to this node's own request.
+    /// Handles a voter's reply to this node's lease request.
     pub(super) fn on_lease_reply(
         &mut self,
         now: Instant,
@@ -92,7 +94,7 @@
             });
         match progress {
             LeaseProgress::Pending | LeaseProgress::Renewed => {}
-            // The work of a leader does not wait for the next tick; at a new value that is a change of the voters.
+            // The leader starts its work without waiting for the next tick; at a new value that is a voter change.
             LeaseProgress::RenewedAtNewValue => self.ticks.expedite(),
             LeaseProgress::Acquired { epoch } => {
                 self.lease_acquired_at = Some(now);
@@ -103,15 +105,15 @@
         }
     }
 
-    /// Another node gave the lease back.
+    /// Handles the release of the lease by its holder.
     pub(super) fn on_lease_release(&mut self, from: NodeId, release: &LeaseRelease) {
         if self.lease.on_release(from, release) {
-            // Whoever leads next need not wait for its tick.
+            // This node may be the next leader and need not wait for its regular tick.
             self.ticks.expedite();
         }
     }
 
-    /// A leader that shuts down and has nothing left to do lets another lead at once.
+    /// Releases the lease if this node is shutting down and has nothing left to do as the leader.
     pub(super) fn release_lease_for_shutdown(&mut self, now: Instant, effects: &mut Vec<Effect>) {
         if !self.is_shutting_down() || self.next_shutdown_step(now) != ShutdownStep::ReleaseLease {
             return;
@@ -119,7 +121,7 @@
         self.release_lease(now, effects);
     }
 
-    /// Gives up the lease, so that another node may lead at once.
+    /// Releases the lease, so that another node can acquire it without waiting for it to expire.
     pub(super) fn release_lease(&mut self, now: Instant, effects: &mut Vec<Effect>) {
         let Some(release) = self.lease.release() else {
             return;
--- a/crates/linenthread-control/src/control_node/operator_calls.rs
+++ b/crates/linenthread-control/src/control_node/operator_calls.rs
@@ -1,4 +1,4 @@
-//! Calls of operators: replacing and reading the configuration.
+//! Operator calls: replacing and reading the configuration.
 
 use std::time::Duration;
 
@@ -9,11 +9,12 @@
 use crate::timing::CALL_TIMEOUT;
 use crate::{CallId, ControlNode, Effect};
 
-/// A configuration's call may take a millisecond longer for each so many bytes.
+/// The deadline of a call that replaces the configuration is extended by 1 ms for each of this many bytes.
 const BYTES_PER_MILLISECOND: u64 = 1_000;
 
 impl ControlNode {
-    /// An operator replaces the configuration.
+    /// Proposes a configuration sent by an operator. The response follows as an effect once the outcome is known, or when
+    /// the call times out.
     pub fn replace_configuration(
         &mut self,
         now: Instant,
@@ -22,7 +23,7 @@
         effects: &mut Vec<Effect>,
     ) {
         self.detect_pause(now, effects);
-        if let Some(response) = self.rejection_of_agreement(now) {
+        if let Some(response) = self.register_call_rejection(now) {
             effects.push(Effect::Respond { call, response });
             return;
         }
@@ -38,10 +39,11 @@
         );
     }
 
-    /// An operator reads the newest configuration.
+    /// Reads the newest configuration for an operator. The response follows as an effect once a majority of the voters
+    /// has confirmed that the value is the newest, or when the call times out.
     pub fn read_configuration(&mut self, now: Instant, call: CallId, effects: &mut Vec<Effect>) {
         self.detect_pause(now, effects);
-        if let Some(response) = self.rejection_of_agreement(now) {
+        if let Some(response) = self.register_call_rejection(now) {
             effects.push(Effect::Respond { call, response });
             return;
         }
--- a/crates/linenthread-control/src/control_node/register_driver.rs
+++ b/crates/linenthread-control/src/control_node/register_driver.rs
@@ -1,4 +1,4 @@
-//! Drives the register: carries out what it asks for, and takes in what it decided.
+//! Drives the register: performs its effects and applies the values it decides.
 
 use linenthread_consensus::{
     AfterSync, Effect as RegisterEffect, Epoch, JobId, NodeId, Outcome, Register, Revision,
@@ -10,20 +10,20 @@
 use crate::pending_jobs::JobOwner;
 use crate::{ControlEvent, ControlNode, Effect, Response, UnavailableReason};
 
-/// What a node has to tell itself. All of it is handled in the order in which it came up.
+/// An event from a node to itself. These events are handled in the order in which they were queued.
 pub(super) enum LoopbackEvent {
-    /// A message of this node to itself, as one of the voters.
+    /// A message from this node to itself as one of the voters.
     Message(PeerMessage),
-    /// A record of the register is durable.
+    /// A register record is durable.
     RecordSynced(SyncedRecord),
-    /// An epoch of a lease is durable.
+    /// A lease epoch is durable.
     EpochSynced(Epoch),
-    /// A snapshot of the replicas is durable.
+    /// A replica snapshot is durable.
     SnapshotSynced(SnapshotNumber),
 }
 
 impl ControlNode {
-    /// Records are durable: `after_sync` is what waited for them.
+    /// Handles the completed sync of records to disk. `after_sync` lists the actions that waited for these records.
     pub fn on_synced(
         &mut self,
         now: Instant,
@@ -31,8 +31,8 @@
         effects: &mut Vec<Effect>,
     ) {
         self.detect_pause(now, effects);
-        for next in after_sync {
-            match next {
+        for action in after_sync {
+            match action {
                 AfterSync::Send { to, message } => self.send_to_node(to, message, effects),
                 AfterSync::RecordSynced(synced) => {
                     self.loopback.push_back(LoopbackEvent::RecordSynced(synced));
@@ -49,7 +49,8 @@
         self.deliver_loopback(now, effects);
     }
 
-    /// Sends a message to the node of an id, which may be this one. It is lost if there is no session with it.
+    /// Sends a message to the node with this id, which may be this node. Drops the message if there is no session with
+    /// that node.
     pub(super) fn send_to_node(
         &mut self,
         to: NodeId,
@@ -63,8 +64,8 @@
         }
     }
 
-    /// Hands the epoch of a lease that this node grants to the disk. Once it is durable the reply is sent, and this node
-    /// notified; the register notes by itself what of its own records is durable.
+    /// Persists the epoch of a lease that this node grants. Once it is durable the reply is sent and this node is
+    /// notified. The register tracks the durability of its own records itself.
     pub(super) fn persist_epoch(epoch: Epoch, reply: AfterSync, effects: &mut Vec<Effect>) {
         let record = Record {
             epoch: epoch.get(),
@@ -76,18 +77,18 @@
         });
     }
 
-    /// Runs `first` on the register, then drives it until it has nothing more to do.
+    /// Runs `operation` on the register, then processes its effects and loopback events until there are none left.
     pub(super) fn drive_register(
         &mut self,
         now: Instant,
-        first: impl FnOnce(&mut Register, &mut Vec<RegisterEffect>),
+        operation: impl FnOnce(&mut Register, &mut Vec<RegisterEffect>),
         effects: &mut Vec<Effect>,
     ) {
         let mut register_effects = Vec::new();
-        first(&mut self.register, &mut register_effects);
+        operation(&mut self.register, &mut register_effects);
         loop {
             for effect in std::mem::take(&mut register_effects) {
-                self.carry_out(now, effect, effects);
+                self.apply_register_effect(now, effect, effects);
             }
             let Some(event) = self.loopback.pop_front() else {
                 break;
@@ -97,12 +98,17 @@
         self.announce_durability(now, effects);
     }
 
-    /// Handles what this node has to tell itself.
+    /// Handles all queued loopback events.
     pub(super) fn deliver_loopback(&mut self, now: Instant, effects: &mut Vec<Effect>) {
         self.drive_register(now, |_, _| {}, effects);
     }
 
-    fn carry_out(&mut self, now: Instant, effect: RegisterEffect, effects: &mut Vec<Effect>) {
+    fn apply_register_effect(
+        &mut self,
+        now: Instant,
+        effect: RegisterEffect,
+        effects: &mut Vec<Effect>,
+    ) {
         match effect {
             RegisterEffect::Send { to, message } => self.send_to_node(to, message, effects),
             RegisterEffect::Persist { record, after_sync } => {
@@ -158,7 +164,7 @@
         for voter in &value.voters {
             self.address_book.learn(now, &voter.address);
         }
-        // The lease is requested again, from those who vote now, before another value is undecided.
+        // Request the lease again from the current voters, before another value becomes undecided.
         self.ticks.expedite();
         let is_voter = value
             .voters
@@ -182,8 +188,8 @@
         }
     }
 
-    /// A job has ended. What one peer has sent may be true and the newest there is; but out of contact with a majority
-    /// nothing is confirmed, and nothing conclusively rejected.
+    /// Handles the end of a job. While out of contact with a majority nothing is confirmed and nothing conclusively
+    /// rejected, even though a value received from a single peer may be correct and the newest.
     fn on_outcome(
         &mut self,
         now: Instant,
@@ -209,21 +215,22 @@
                 }
             }
             Some(JobOwner::VoterChange) => {
-                // Nodes that shut down wait for this news.
+                // Nodes that are shutting down wait for this outcome.
                 self.ticks.expedite();
-                // If an order was decided first, the change is tried again at once, before the next order.
-                self.adjust_voters(now, effects);
+                // If an order was decided first, propose the change again immediately, before the next order.
+                self.propose_voter_change(now, effects);
             }
-            // What is decided, this report or another one of its window, is sent at once.
+            // A report for this window is decided, this one or another: send it to the platform immediately.
             Some(JobOwner::UsageReport) if matches!(outcome, Outcome::Committed(_)) => {
                 self.report_usage(now, effects);
             }
-            // It is proposed again at the next tick: at once the register might reject it at once again, without an end.
+            // The report is proposed again at the next tick. An immediate retry could loop forever, because the register
+            // may reject each attempt immediately.
             Some(JobOwner::UsageReport) | None => {}
         }
     }
 
-    /// Has an undecided value decided, one way or the other.
+    /// Makes the register complete an undecided value, whichever value that turns out to be.
     pub(super) fn complete_undecided(&mut self, now: Instant, effects: &mut Vec<Effect>) {
         self.drive_register(
             now,
--- a/crates/linenthread-control/src/control_node/replica_calls.rs
+++ b/crates/linenthread-control/src/control_node/replica_calls.rs
@@ -1,4 +1,4 @@
-//! Calls of replicas: heartbeats and departures.
+//! Replica calls: heartbeats and departures.
 
 use linenthread_consensus::NodeId;
 use linenthread_messages::{ControlUpdate, PeerMessage, UpdateAck};
@@ -10,7 +10,8 @@
 };
 
 impl ControlNode {
-    /// A replica's heartbeat.
+    /// Handles a heartbeat from a replica. The heartbeat of a draining replica is acknowledged only after a majority of
+    /// the voters has acknowledged the drain.
     pub fn on_replica_heartbeat(
         &mut self,
         now: Instant,
@@ -30,7 +31,7 @@
             self.forget_ended_drain(replica_id);
             self.queue_for_peers(replica_id, &observation.superseded);
         }
-        if replica.draining && self.is_unknown_to_majority(replica_id) {
+        if replica.draining && self.needs_majority_ack(replica_id) {
             self.await_majority(now, call, replica_id, effects);
         } else {
             let report_to = self.report_address(now, &replica.zone);
@@ -44,7 +45,8 @@
         }
     }
 
-    /// A replica announces that it ends.
+    /// Handles a replica's announcement that it departs. If this node knows the replica, the call is acknowledged only
+    /// after a majority of the voters has acknowledged the departure.
     pub fn on_replica_departure(
         &mut self,
         now: Instant,
@@ -61,10 +63,10 @@
             self.pending_drains.forget(replica_id);
             self.queue_for_peers(replica_id, &[]);
         }
-        // It may have departed before, and too few others have acknowledged that so far. Of a replica that is not known
-        // here there is nothing to make known: it never reached this node, or ended so long ago that it is forgotten.
-        // Should another node know it still, it times out there.
-        if self.is_unknown_to_majority(replica_id) {
+        // The replica may have departed earlier without an acknowledgement by a majority so far. For a replica that this
+        // node does not know there is nothing to announce: it never reached this node, or ended so long ago that its
+        // entry was removed. If another node still knows it, it times out there.
+        if self.needs_majority_ack(replica_id) {
             self.await_majority(now, call, replica_id, effects);
             self.flush_changed_replicas(now, effects);
         } else {
@@ -75,8 +77,8 @@
         }
     }
 
-    /// Whether a replica is known here to drain or to have ended, and too few others are known to know it.
-    fn is_unknown_to_majority(&self, replica_id: &str) -> bool {
+    /// Reports whether a replica is draining or has ended, and a majority of the voters has not acknowledged that yet.
+    fn needs_majority_ack(&self, replica_id: &str) -> bool {
         let is_draining_or_ended = self
             .registry
             .get(replica_id)
@@ -84,7 +86,8 @@
         is_draining_or_ended && !self.pending_drains.is_known_by_majority(replica_id)
     }
 
-    /// The call is acknowledged once more than half of the voters have acknowledged the replica's state.
+    /// Sends the replica's state to the other control nodes, and delays the response to the call until more than half of
+    /// the voters have acknowledged it.
     fn await_majority(
         &mut self,
         now: Instant,
@@ -115,7 +118,7 @@
         self.complete_drains(now, effects);
     }
 
-    /// Another control node acknowledged an update.
+    /// Handles another control node's acknowledgement of an update.
     pub(super) fn on_update_ack(
         &mut self,
         now: Instant,
@@ -128,7 +131,7 @@
         self.complete_drains(now, effects);
     }
 
-    /// Responds to the calls that a majority acknowledged by now, or that have timed out.
+    /// Responds to the calls whose updates a majority has acknowledged, and to those that have timed out.
     pub(super) fn complete_drains(&mut self, now: Instant, effects: &mut Vec<Effect>) {
         let register = &self.register;
         let completed = self
@@ -141,7 +144,8 @@
         );
     }
 
-    /// Control address of a node of a zone that takes calls: this one's if the zone is its own, else the first one's.
+    /// Returns the control address that replicas of a zone should report to: this node's if it is in that zone, else the
+    /// lowest address of a control node there that accepts calls.
     fn report_address(&self, now: Instant, zone: &str) -> Option<String> {
         if self.config.zone == zone {
             return Some(self.config.control_address.clone());
--- a/crates/linenthread-control/src/control_node/replica_updates.rs
+++ b/crates/linenthread-control/src/control_node/replica_updates.rs
@@ -1,4 +1,4 @@
-//! What control nodes send each other of replicas, of ingress nodes' sessions, and of addresses.
+//! Updates between control nodes: replicas, sessions of ingress nodes, and control addresses.
 
 use linenthread_messages::{ControlUpdate, PeerMessage, UpdateAck};
 use linenthread_time::Instant;
@@ -6,14 +6,14 @@
 use crate::{ControlNode, Effect, HeartbeatOutcome, SessionId};
 
 impl ControlNode {
-    /// Queues a replica, and those that ended by it, for the next update of the other control nodes.
+    /// Queues a replica, and those it has superseded, for the next update to the other control nodes.
     pub(super) fn queue_for_peers(&mut self, replica_id: &str, superseded: &[String]) {
         for (_, peer) in self.membership.iter_mut() {
             peer.queue_replicas(superseded.iter().map(String::as_str).chain([replica_id]));
         }
     }
 
-    /// A replica that drains no more has to be made known again when it drains the next time.
+    /// Forgets the drain of a replica that is no longer draining: its next drain needs acknowledgements of its own.
     pub(super) fn forget_ended_drain(&mut self, replica_id: &str) {
         let is_available = self
             .registry
@@ -24,7 +24,7 @@
         }
     }
 
-    /// Sends a control node all that this one has.
+    /// Sends a control node the complete state of replicas, local ingress sessions and control addresses.
     pub(super) fn synchronize_peer(
         &mut self,
         now: Instant,
@@ -49,7 +49,7 @@
         });
     }
 
-    /// Sends all control nodes the sessions that this one has with ingress nodes, and addresses that they lack.
+    /// Sends all control nodes this node's sessions with ingress nodes, and the control addresses they have not received.
     pub(super) fn send_ingress_sessions(&mut self, effects: &mut Vec<Effect>) {
         let sessions = self.ingress_nodes.local();
         let addresses = self.address_book.all();
@@ -72,7 +72,7 @@
         }
     }
 
-    /// Sends the changed replicas to all control nodes and ingress nodes.
+    /// Sends the changed replicas to all control nodes and to all ingress nodes with a session.
     pub(super) fn flush_changed_replicas(&mut self, now: Instant, effects: &mut Vec<Effect>) {
         let registry = &self.registry;
         for (session, peer) in self.membership.iter_mut() {
@@ -98,7 +98,7 @@
         }
     }
 
-    /// An update of another control node.
+    /// Handles an update from another control node.
     pub(super) fn on_control_update(
         &mut self,
         now: Instant,
@@ -108,8 +108,8 @@
     ) {
         let mut any_changed = false;
         for replica in &update.replicas {
-            // A change goes on to ingress nodes, but not to further control nodes: each node sends to all others what
-            // it received itself.
+            // A change is forwarded to ingress nodes but not to other control nodes: the node that received it from the
+            // replica sends it to all of them.
             let observation = self.registry.observe(now, replica);
             any_changed |= observation.outcome == HeartbeatOutcome::Changed;
             self.forget_ended_drain(&replica.id);
--- a/crates/linenthread-control/src/control_node/sessions.rs
+++ b/crates/linenthread-control/src/control_node/sessions.rs
@@ -1,4 +1,4 @@
-//! Sessions with peers: how they begin and end, and which table each message goes to.
+//! Sessions with peers: opens and closes them, and dispatches their messages.
 
 use linenthread_consensus::{NodeId, ValueNumber};
 use linenthread_messages::{Hello, PeerMessage, VERSION};
@@ -8,7 +8,7 @@
 use crate::{ControlEvent, ControlNode, Effect, SessionId};
 
 impl ControlNode {
-    /// A connection with a peer was established, by either side.
+    /// Handles a new connection with a peer, opened by either side: sends this node's [`Hello`].
     pub fn on_session_opened(&mut self, session: SessionId, effects: &mut Vec<Effect>) {
         let hello = Hello {
             version: VERSION,
@@ -28,7 +28,7 @@
         });
     }
 
-    /// A connection has ended.
+    /// Handles the end of a connection. Does nothing if the session is unknown or already closed.
     pub fn on_session_closed(
         &mut self,
         now: Instant,
@@ -52,7 +52,7 @@
         }
     }
 
-    /// Ends a session from this side.
+    /// Closes a session and its connection.
     pub(super) fn drop_session(
         &mut self,
         now: Instant,
@@ -63,24 +63,24 @@
         effects.push(Effect::Close(session));
     }
 
-    /// Ends all sessions with ingress nodes: they connect to another control node.
+    /// Closes all sessions with ingress nodes, which then connect to another control node.
     pub(super) fn drop_ingress_sessions(&mut self, now: Instant, effects: &mut Vec<Effect>) {
         for session in self.ingress_nodes.sessions() {
             self.drop_session(now, session, effects);
         }
     }
 
-    /// The settings were read again: they name these control addresses.
+    /// Replaces the control addresses from the settings, after the settings were reloaded.
     pub fn set_bootstrap(&mut self, now: Instant, bootstrap: &[String]) {
         self.address_book.set_bootstrap(now, bootstrap);
     }
 
-    /// A control node could not be dialled.
+    /// Records that dialling a control node at this address failed.
     pub fn on_dial_failed(&mut self, now: Instant, address: &str) {
         self.address_book.on_dial_failed(now, address);
     }
 
-    /// A message of a peer. The first one of a session must be a [`Hello`].
+    /// Handles a message from a peer. The first message of a session must be a [`Hello`]; otherwise the session is closed.
     pub fn on_message(
         &mut self,
         now: Instant,
@@ -169,12 +169,13 @@
         self.update_ingress_node(now, session, effects);
     }
 
-    /// A peer must be of the same version, not this process itself, and introduce itself once.
+    /// Reports whether a hello is acceptable: same protocol version, not from this process itself, and the first hello
+    /// of its session.
     fn accepts_hello(&self, session: SessionId, hello: &Hello) -> bool {
-        let is_known =
+        let has_hello =
             self.membership.get(session).is_some() || self.ingress_nodes.get(session).is_some();
         let is_this_process = hello.incarnation == self.config.incarnation.get();
-        hello.version == VERSION && !is_this_process && !is_known
+        hello.version == VERSION && !is_this_process && !has_hello
     }
 
     fn on_control_message(
@@ -229,7 +230,7 @@
         );
     }
 
-    /// Sends the newest value to a control node that is not known to have it.
+    /// Sends the newest value to a control node unless it is known to have it.
     pub(super) fn send_value(&mut self, session: SessionId, effects: &mut Vec<Effect>) {
         let Some(value) = self.register.decided().cloned() else {
             return;
--- a/crates/linenthread-control/src/control_node/shutdown.rs
+++ b/crates/linenthread-control/src/control_node/shutdown.rs
@@ -11,7 +11,7 @@
 use crate::{ControlEvent, ControlNode, Effect};
 
 impl ControlNode {
-    /// A graceful shutdown was requested. A second request changes nothing.
+    /// Starts a graceful shutdown. Further calls have no effect.
     pub fn begin_shutdown(&mut self, now: Instant, effects: &mut Vec<Effect>) {
         self.detect_pause(now, effects);
         if self.is_shutting_down() {
@@ -25,13 +25,14 @@
         self.ticks.expedite();
     }
 
-    /// Whether the process may exit now: other disks hold what this node holds, and it leads no more. Once this has
-    /// returned true the node must send nothing more: others may exit because this one had not yet.
+    /// Reports whether the process may exit now: other disks hold everything that this node's disk holds, and this node
+    /// is no longer the leader. After this has returned true the node must send nothing more, because another node that
+    /// is shutting down may exit on the assumption that this one is still running.
     pub fn may_exit(&self, now: Instant) -> bool {
         self.is_shutting_down() && self.next_shutdown_step(now) == ShutdownStep::Exit
     }
 
-    /// Why the process may not exit yet; `None` if nothing keeps it.
+    /// Returns the reason why the process may not exit yet, or `None` if nothing prevents it.
     pub fn shutdown_blocker(&self, now: Instant) -> Option<ShutdownBlocker> {
         match self.next_shutdown_step(now) {
             ShutdownStep::Wait(blocker) => Some(blocker),
@@ -40,7 +41,7 @@
         }
     }
 
-    /// Whether a node, which may be this one, shuts down, or ended after a graceful shutdown.
+    /// Reports whether a node (which may be this one) is shutting down, or has exited after a graceful shutdown.
     pub(super) fn node_is_shutting_down(&self, node_id: NodeId) -> bool {
         if node_id == self.register.id() {
             self.is_shutting_down()
@@ -70,10 +71,10 @@
                 is_leader: self.is_leader(now),
             },
             peers: PeerWork {
-                // Also one whose disk does not hold everything yet: it is about to.
+                // Includes standbys whose disks do not hold everything yet, because they soon will.
                 has_standby: !self.standbys(now).is_empty(),
-                // The acknowledging heartbeat also says whether its sender shuts down, and whether it changes the
-                // voters.
+                // The heartbeat that acknowledges the shutdown also tells whether its sender is shutting down, and
+                // whether it is changing the voters.
                 has_unacknowledged: self
                     .membership
                     .contacts(now)
--- a/crates/linenthread-control/src/control_node/status.rs
+++ b/crates/linenthread-control/src/control_node/status.rs
@@ -1,5 +1,5 @@
-//! The status calls of operators: this node's own view, which no other node has confirmed. The JSON keys are part of
-//! the control API.
+//! Status calls of operators. They report this node's local view, which no other node has confirmed. The JSON keys are
+//! part of the control API.
 
 use linenthread_consensus::{Epoch, Revision};
 use linenthread_messages::{IngressSession, Replica, ReplicaState};
@@ -10,7 +10,7 @@
 use crate::control_peer::ControlPeer;
 
 impl ControlNode {
-    /// What this node knows of control nodes and ingress nodes.
+    /// Returns this node's view of the control nodes and ingress nodes, as a JSON object.
     pub fn members_status(&self, now: Instant) -> Json {
         let decided = self.register.decided();
         let voters = self.register.voters();
@@ -28,7 +28,7 @@
         })
     }
 
-    /// What this node knows of replicas.
+    /// Returns this node's view of the replicas, as a JSON array.
     pub fn replicas_status(&self, now: Instant) -> Json {
         Json::Array(self.registry.snapshot(now).iter().map(replica).collect())
     }
--- a/crates/linenthread-control/src/control_node/ticks.rs
+++ b/crates/linenthread-control/src/control_node/ticks.rs
@@ -1,4 +1,4 @@
-//! What a control node does as time passes.
+//! Periodic work of a control node.
 
 use std::time::Duration;
 
@@ -8,14 +8,14 @@
 
 use crate::{ControlEvent, ControlNode, Effect};
 
-/// A replica has timed out after this many heartbeat intervals without a heartbeat, and [`REPLICA_TIMEOUT_MARGIN`].
+/// A replica times out after this many heartbeat intervals plus [`REPLICA_TIMEOUT_MARGIN`] without a heartbeat.
 const MISSED_HEARTBEATS: u32 = 3;
 
-/// Time for a heartbeat to reach this node by way of another control node.
+/// Time allowed for a heartbeat to reach this node through another control node.
 const REPLICA_TIMEOUT_MARGIN: Duration = Duration::from_millis(1_000);
 
 impl ControlNode {
-    /// When [`ControlNode::tick`] is due at the latest.
+    /// Returns the time by which [`ControlNode::tick`] must be called next.
     pub fn next_tick_at(&self, now: Instant) -> Instant {
         let awaits_messages =
             self.is_shutting_down() || self.register.is_busy() || !self.pending_drains.is_empty();
@@ -23,7 +23,7 @@
             .next_tick_at(awaits_messages || self.is_discovering(now))
     }
 
-    /// Does all that is due by time.
+    /// Performs all work that is due at `now`. Call it at [`ControlNode::next_tick_at`] at the latest.
     pub fn tick(&mut self, now: Instant, effects: &mut Vec<Effect>) {
         self.detect_pause(now, effects);
         self.ticks.on_tick(now);
@@ -46,12 +46,13 @@
         }
     }
 
-    /// The node has just started, and has not found a majority yet.
+    /// Reports whether the node has just started and has not found a majority yet.
     fn is_discovering(&self, now: Instant) -> bool {
         self.contact.is_starting(now) && !self.has_quorum(now)
     }
 
-    /// Ends what has timed out, dials, and passes on what has changed since the last time.
+    /// Closes duplicate sessions, ends sessions and replicas that have timed out, dials missing control nodes, and sends
+    /// the changes since the last run.
     fn upkeep(&mut self, now: Instant, effects: &mut Vec<Effect>) {
         let timed_out = self
             .membership
@@ -69,13 +70,13 @@
         self.dial(now, effects);
         self.flush_changed_replicas(now, effects);
         self.write_replica_snapshot(now, effects);
-        self.adjust_voters(now, effects);
+        self.propose_voter_change(now, effects);
         self.flush_usage(effects);
         self.report_usage(now, effects);
     }
 
-    /// Replicas time out only while this node has been in contact for as long as their time-out: before, their
-    /// heartbeats might not have reached it.
+    /// Expires replicas, but only after this node has been in contact with a majority for longer than the replica
+    /// time-out: before that, heartbeats may not have reached it.
     fn expire_replicas(&mut self, now: Instant, effects: &mut Vec<Effect>) {
         let timeout = MISSED_HEARTBEATS * self.config.heartbeat_interval + REPLICA_TIMEOUT_MARGIN;
         let settled = self
@@ -83,7 +84,7 @@
             .since()
             .is_some_and(|since| now > since + timeout);
         if self.registry.set_settled(settled) {
-            // From now on a replica that an update does not name does not run.
+            // From now on a replica that is missing from a complete update is not running.
             self.ingress_nodes.resend_all();
         }
         if !settled {
@@ -94,8 +95,8 @@
         }
     }
 
-    /// Writes the replicas to disk, if they changed, so that a start of all nodes at once need not wait for their
-    /// heartbeats.
+    /// Writes a snapshot of the replicas to disk if they changed, so that a restart of all nodes at once does not have to
+    /// wait for their heartbeats.
     fn write_replica_snapshot(&mut self, now: Instant, effects: &mut Vec<Effect>) {
         let snapshot = self.snapshot_writer.next_snapshot(now, &self.registry);
         effects.extend(snapshot.map(|snapshot| Effect::Persist {
@@ -104,7 +105,7 @@
         }));
     }
 
-    /// Sends heartbeats, and does what rests on those that were received: the lease, quota grants.
+    /// Sends heartbeats, and performs the work that depends on received heartbeats: lease requests and quota grants.
     fn heartbeat_tick(&mut self, now: Instant, effects: &mut Vec<Effect>) {
         let voters = self.register.voters();
         self.agreed_time.forget_silent(now, |address| {
@@ -118,7 +119,7 @@
         for session in self.ingress_nodes.sessions() {
             self.confirm_configuration(now, session, effects);
         }
-        self.complete_lasting_undecided(now, effects);
+        self.complete_stalled_value(now, effects);
         self.request_lease(now, effects);
         if let Some(epoch) = self.lease_epoch(now) {
             let grants = self
@@ -128,9 +129,9 @@
         }
     }
 
-    /// A value that is still undecided at the second heartbeat tick in a row is completed: no lease is granted
-    /// meanwhile.
-    fn complete_lasting_undecided(&mut self, now: Instant, effects: &mut Vec<Effect>) {
+    /// Completes a value that is still undecided at the second heartbeat tick in a row, because no lease is granted while
+    /// a value is undecided.
+    fn complete_stalled_value(&mut self, now: Instant, effects: &mut Vec<Effect>) {
         let has_undecided = self.register.has_undecided();
         if self.voting.on_heartbeat_tick(has_undecided) {
             self.complete_undecided(now, effects);
--- a/crates/linenthread-control/src/control_node/usage.rs
+++ b/crates/linenthread-control/src/control_node/usage.rs
@@ -1,4 +1,5 @@
-//! Usage on its way: from ingress nodes to all control nodes, into decided reports, and to the platform.
+//! Usage reporting: collects counts from ingress nodes, shares them between control nodes, proposes reports to the
+//! register, and sends decided reports to the platform.
 
 use linenthread_consensus::{Change, Epoch, Register, ValueNumber};
 use linenthread_messages::{PeerMessage, UsageReport, UsageUpdate};
@@ -12,37 +13,38 @@
 use crate::usage_duty::{CallConsequence, Tenure};
 use crate::{ControlEvent, ControlNode, Effect, SessionId};
 
-/// Of the time from the end of a window until its report is due, this part is left for late counts to arrive.
+/// The fraction of the report delay, counted from the end of a window, during which late counts are still awaited.
 const COLLECTION_SHARE: f64 = 0.4;
-/// The very first report is of a window no more than so many before the last closed one: an ingress node whose clock was
-/// far off must not pin the reports to the past.
-const MAX_FIRST_WINDOWS: u64 = 16;
-/// The most decided reports that the platform is not known to have. While there are so many, counts wait in memory.
+/// The very first report covers a window at most this many windows before the last closed one. Otherwise an ingress node
+/// with a very wrong clock could hold all reports in the past.
+const MAX_FIRST_REPORT_LAG_WINDOWS: u64 = 16;
+/// Maximum number of decided reports that are not known to be delivered to the platform. When it is reached, no report is
+/// proposed and counts stay in memory.
 const MAX_UNDELIVERED_REPORTS: usize = 32;
 
 impl ControlNode {
-    /// Counts of an ingress node with a session here.
+    /// Adds counts sent by an ingress node on its session with this node. Counts of any other ingress node are ignored.
     pub(super) fn on_ingress_usage(&mut self, session: SessionId, update: UsageUpdate) {
         let Some(ingress) = self.ingress_nodes.get(session) else {
             return;
         };
-        let own = update
+        let own_usage = update
             .ingress_nodes
             .into_iter()
             .filter(|usage| ingress.is_with(&usage.into()));
-        for usage in own {
+        for usage in own_usage {
             self.usage_ledger.on_ingress_usage(usage);
         }
     }
 
-    /// Counts that another control node has received.
+    /// Merges counts that another control node has received.
     pub(super) fn on_control_usage(&mut self, update: &UsageUpdate) {
         for usage in &update.ingress_nodes {
             self.usage_ledger.merge(usage);
         }
     }
 
-    /// Sends a control node that has just connected all counts that this one has.
+    /// Sends all counts of this node to a control node that has just connected.
     pub(super) fn synchronize_usage(&self, session: SessionId, effects: &mut Vec<Effect>) {
         let ingress_nodes = self.usage_ledger.all();
         if !ingress_nodes.is_empty() {
@@ -53,7 +55,7 @@
         }
     }
 
-    /// Sends the other control nodes the counts that arrived here since the last time.
+    /// Sends the other control nodes the counts that this node has received since the last call.
     pub(super) fn flush_usage(&mut self, effects: &mut Vec<Effect>) {
         let ingress_nodes = self.usage_ledger.take_news();
         if ingress_nodes.is_empty() {
@@ -71,8 +73,8 @@
         );
     }
 
-    /// Does what is due of the duty to report usage: has the next report decided, and sends the platform those that it
-    /// lacks. Only the holder of the leader lease does, in contact with a majority.
+    /// Performs the usage reporting that is due: proposes the next report, and sends decided reports to the platform.
+    /// Only the holder of the leader lease does so, and only while in contact with a majority.
     pub(super) fn report_usage(&mut self, now: Instant, effects: &mut Vec<Effect>) {
         if let Some(newest) = self.register.newest_usage_window() {
             self.usage_ledger.close(newest);
@@ -84,7 +86,7 @@
         self.call_platform(now, tenure, effects);
     }
 
-    /// Under what this node may exercise the duty now.
+    /// Returns the lease epoch and expiry under which this node may report usage now; `None` if it may not.
     fn usage_tenure(&self, now: Instant) -> Option<Tenure> {
         let has_duty = self.config.usage.is_some() && self.has_quorum(now);
         let epoch = self.lease_epoch(now).filter(|_| has_duty)?;
@@ -94,7 +96,7 @@
         })
     }
 
-    /// Has the report of the next window decided, once the window has been over for long enough.
+    /// Proposes the report of the next window, once that window ended long enough ago.
     fn propose_usage_report(&mut self, now: Instant, effects: &mut Vec<Effect>) {
         let is_settled = now >= self.contact.started_at() + USAGE_SETTLE_TIME;
         let is_busy = self.pending_jobs.has_usage_report()
@@ -125,19 +127,21 @@
         );
     }
 
-    /// The time of day that the control nodes agree on.
     fn agreed_time(&self, now: Instant) -> Option<WallTime> {
         let offset = self.agreed_offset(now)?;
         Some(offset.wall_time(now))
     }
 
-    /// The next window to report, if it has been over for long enough.
+    /// Returns the next window to report, if it ended long enough ago.
     fn next_usage_window(&self, now: Instant) -> Option<WindowNumber> {
         let usage = self.config.usage.as_ref()?;
-        let collected = usage.report_delay.mul_f64(COLLECTION_SHARE);
-        let until = self.agreed_time(now)?.as_millis();
-        let until = until.checked_sub(whole_millis(collected))?;
-        let current = WindowNumber::of(WallTime::from_millis(until), usage.window_length);
+        let collection_time = usage.report_delay.mul_f64(COLLECTION_SHARE);
+        let now_ms = self.agreed_time(now)?.as_millis();
+        let collected_until_ms = now_ms.checked_sub(whole_millis(collection_time))?;
+        let current = WindowNumber::of(
+            WallTime::from_millis(collected_until_ms),
+            usage.window_length,
+        );
         let newest_closed = WindowNumber::new(current.get().checked_sub(1)?);
         let next = self.register.newest_usage_window().map_or_else(
             || self.first_usage_window(newest_closed),
@@ -146,14 +150,17 @@
         (next <= newest_closed).then_some(next)
     }
 
-    /// The window of the very first report: the first one with counts, or the last closed one.
+    /// Returns the window of the very first report: the oldest one with counts, limited to
+    /// [`MAX_FIRST_REPORT_LAG_WINDOWS`], or the last closed one if there are no counts.
     fn first_usage_window(&self, newest_closed: WindowNumber) -> WindowNumber {
-        let earliest = newest_closed.get().saturating_sub(MAX_FIRST_WINDOWS);
+        let earliest = newest_closed
+            .get()
+            .saturating_sub(MAX_FIRST_REPORT_LAG_WINDOWS);
         let oldest = self.usage_ledger.oldest_window().unwrap_or(newest_closed);
         oldest.clamp(WindowNumber::new(earliest), newest_closed)
     }
 
-    /// How many decided reports the platform is not known to have.
+    /// Returns the number of decided reports that are not known to be delivered to the platform.
     fn undelivered_reports(&self) -> usize {
         let reports = decided_reports(&self.register);
         self.usage_duty.undelivered(reports).count()
@@ -166,7 +173,7 @@
         }
     }
 
-    /// A call at the platform has ended.
+    /// Handles the outcome of a call to the platform.
     pub fn on_platform_outcome(
         &mut self,
         now: Instant,
@@ -188,7 +195,7 @@
         }
     }
 
-    /// Another node acts under a higher fence: if this one still holds the lease under the refused epoch, it gives it up.
+    /// Releases the lease if this node still holds it under the refused epoch: another node has used a higher fence.
     fn step_down(&mut self, now: Instant, refused: Epoch, effects: &mut Vec<Effect>) {
         effects.push(Effect::Log(ControlEvent::FenceRefused { epoch: refused }));
         if self.lease_epoch(now) == Some(refused) {
@@ -196,7 +203,8 @@
         }
     }
 
-    /// The duties as this node knows them. The JSON keys are part of the control API.
+    /// Returns this node's view of the usage reporting duty, as a JSON array that is empty if none is configured. The JSON
+    /// keys are part of the control API.
     pub fn duties_status(&self, now: Instant) -> Json {
         if self.config.usage.is_none() {
             return json!([]);
@@ -220,7 +228,7 @@
     }
 }
 
-/// The decided reports that the newest value carries, oldest first.
+/// Returns the decided reports in the newest value, oldest first.
 fn decided_reports(register: &Register) -> &[UsageReport] {
     let usage = register.decided().and_then(|value| value.usage.as_ref());
     usage.map_or(&[], |usage| &usage.reports)
--- a/crates/linenthread-control/src/control_node/voters.rs
+++ b/crates/linenthread-control/src/control_node/voters.rs
@@ -1,4 +1,4 @@
-//! Who votes: what the leader sees of the voters, and the changes that it proposes.
+//! Voter changes: assesses the state of the voters and proposes replacements.
 
 use linenthread_consensus::{Change, Epoch, ValueNumber};
 use linenthread_messages::Voter;
@@ -10,35 +10,39 @@
 use crate::timing::{CALL_TIMEOUT, VOTER_TIMEOUT};
 use crate::{ControlEvent, ControlNode, Effect};
 
-/// A change of the voters is given so many call time-outs: nobody waits for it who could try another node.
+/// Time-out of a voter change, in multiples of [`CALL_TIMEOUT`]. It can be longer than for other calls because no caller
+/// waits that could try another node.
 const VOTER_CHANGE_TIMEOUT_CALLS: u32 = 3;
 
 impl ControlNode {
-    /// Whether this node is one of the newest value's voters.
+    /// Reports whether this node is one of the voters of the newest value.
     pub(super) fn is_voter(&self) -> bool {
         self.register.is_voter(self.register.id())
     }
 
-    /// Whether it is this node that changes the voters: the one that is preferred as the leader, whether or not it leads
-    /// yet.
+    /// Reports whether this node is responsible for voter changes: it is if it is the preferred leader, whether or not it
+    /// holds the lease yet.
     ///
-    /// That saves rounds, and is no condition of safety: the register decides between rivals. So no lease delays the
-    /// replacement of a lost voter, not even of the leader itself.
-    pub(super) fn changes_voters(&self, now: Instant) -> bool {
+    /// Having a single proposer only saves rounds; safety does not depend on it, since the register decides between
+    /// concurrent proposals. Because no lease is required, none delays the replacement of a lost voter, not even that of
+    /// the leader itself.
+    pub(super) fn proposes_voter_changes(&self, now: Instant) -> bool {
         self.is_preferred_leader(now)
     }
 
-    /// Whether nobody can hold the lease by grants of earlier voters than the present ones: they have granted it to this
-    /// node, or enough time has passed. Else two removals in a row could lead to two holders.
-    fn earlier_leases_are_void(&self, now: Instant) -> bool {
+    /// Reports whether no node can still hold the lease through grants of earlier voters: either the current voters have
+    /// granted it to this node, or all earlier grants have expired. Without this check two removals in a row could lead
+    /// to two lease holders.
+    fn earlier_leases_have_ended(&self, now: Instant) -> bool {
         self.lease.is_held_at(now, self.value_number()) || self.voting.earlier_leases_are_over(now)
     }
 
-    /// Proposes the next voters if they should be others and this node is to change them: one change at a time.
-    pub(super) fn adjust_voters(&mut self, now: Instant, effects: &mut Vec<Effect>) {
+    /// Proposes a change of the voters if one is needed and this node is responsible for it. Only one change is in
+    /// progress at a time.
+    pub(super) fn propose_voter_change(&mut self, now: Instant, effects: &mut Vec<Effect>) {
         let may_propose = !self.pending_jobs.has_voter_change()
             && self.has_quorum(now)
-            && self.changes_voters(now);
+            && self.proposes_voter_changes(now);
         if !may_propose {
             return;
         }
@@ -49,7 +53,7 @@
             return;
         };
         let is_smaller = voters.len() < self.register.voters().len();
-        if is_smaller && !self.earlier_leases_are_void(now) {
+        if is_smaller && !self.earlier_leases_have_ended(now) {
             return;
         }
         effects.push(Effect::Log(ControlEvent::VoterChangeProposed {
@@ -72,25 +76,26 @@
         );
     }
 
-    /// Whether this node changes the voters, or will as soon as a standby's disk holds everything.
+    /// Reports whether this node is changing the voters, or will do so once a standby's disk holds everything.
     pub(super) fn is_reconfiguring(&self, now: Instant) -> bool {
-        self.changes_voters(now)
+        self.proposes_voter_changes(now)
             && (self.pending_jobs.has_voter_change()
                 || !self.standbys(now).is_empty()
                 || next_voters(&self.voters_view(now, self.value_number())).is_some())
     }
 
-    /// Nodes in contact that are eligible as voters, are none yet, and do not shut down.
+    /// Returns the nodes in contact that are eligible as voters, are not voters yet, and are not shutting down.
     pub(super) fn standbys(&self, now: Instant) -> Vec<Voter> {
         self.standbys_where(now, |_| true)
     }
 
-    /// The standbys that may become voters at once, since their disks hold everything up to this value.
+    /// Returns the standbys that can become voters now because their disks hold everything up to this value.
     pub(super) fn ready_standbys(&self, now: Instant, value_number: ValueNumber) -> Vec<Voter> {
         self.standbys_where(now, |durable| durable >= Some(value_number))
     }
 
-    /// `is_ready` is given the number of the newest value that a standby's disk is known to hold.
+    /// Returns the standbys for which `is_ready` is true. Its argument is the number of the newest value up to which the
+    /// standby's disk is known to hold everything.
     fn standbys_where(
         &self,
         now: Instant,
@@ -110,9 +115,9 @@
             .filter(|peer| is_ready(peer.durable_value_number()))
             .map(|peer| peer.hello().voter());
         for standby in ready.chain(this_node) {
-            // There may be two sessions with a node.
-            let mut known = self.register.voters().iter().chain(&standbys);
-            if known.all(|voter| voter.id != standby.id) {
+            // A node can have two sessions and so appear twice.
+            let mut listed = self.register.voters().iter().chain(&standbys);
+            if listed.all(|voter| voter.id != standby.id) {
                 standbys.push(standby);
             }
         }
@@ -136,22 +141,22 @@
     fn voter_state(&self, now: Instant, voter: &Voter, in_contact: bool) -> VoterState {
         let last_seen = self.membership.last_seen(&voter.address);
         let last_seen_at = last_seen.map_or(self.contact.started_at(), |seen| seen.at);
-        // While this node was out of contact itself it could not tell whether the voter was there.
+        // While this node was itself out of contact with a majority, it could not tell whether the voter was running.
         let out_of_contact_since = last_seen_at.max(self.contact.since().unwrap_or(now));
         let replaced =
             last_seen.is_some_and(|seen| seen.node_id != voter.into() && seen.voter_eligible);
-        // With another node at its address the voter does not come back: it is lost at once, not only after the
-        // time-out. But while that other node is in contact and stays, it is going to take the voter's place itself, as
-        // soon as its disk holds everything: until the time-out the place is not given to another standby.
-        let successor_joins = |peer: &ControlPeer| {
+        // If another node runs at the voter's address, the voter will not return: it counts as lost immediately, without
+        // waiting for the time-out. However, while that other node is in contact and not shutting down, it will take the
+        // voter's place itself once its disk holds everything. Until the time-out the place is kept for it.
+        let is_successor = |peer: &ControlPeer| {
             peer.hello().control_address == voter.address && !peer.is_shutting_down()
         };
-        let is_gone = replaced && !self.membership.contacts(now).any(successor_joins);
+        let is_known_lost = replaced && !self.membership.contacts(now).any(is_successor);
         VoterState {
             voter: voter.clone(),
             contact: if in_contact {
                 VoterContact::InContact
-            } else if is_gone || now > out_of_contact_since + VOTER_TIMEOUT {
+            } else if is_known_lost || now > out_of_contact_since + VOTER_TIMEOUT {
                 VoterContact::Lost
             } else {
                 VoterContact::OutOfContact
