--- a/crates/linenthread-control/tests/nodes/cluster.rs
+++ b/crates/linenthread-control/tests/nodes/cluster.rs
@@ -1,5 +1,5 @@
-//! A few control nodes stepped by hand on one clock: messages take a millisecond, disks lose what they have not
-//! synced, connections can be cut in one direction, nodes can be frozen.
+//! A simulated cluster of control nodes on one simulated clock. Messages take 1 ms, a crash loses the records that the
+//! disk has not synced, connections can be blocked in one direction, and nodes can be paused.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -14,23 +14,23 @@
 
 use crate::platform::Platform;
 
-/// How far the clock moves at a time.
+/// The step by which the simulated clock advances.
 const STEP: Duration = ms(5);
 
-/// How long a message, or the news of a connection, takes.
+/// Latency of messages, connection events and platform calls.
 const LATENCY: Duration = ms(1);
 
-/// When the nodes of the first start begin to run.
+/// When the first start of the whole system happens, with the genesis value.
 const FIRST_START: Instant = Instant::from_millis(10_000);
 
-/// The time of day at the clock's start: at the start of a window of 1 s, 2 s or 5 s.
+/// The time of day at time 0 of the simulated clock. It is the start of a window of 1 s, 2 s or 5 s.
 const WALL_START_MS: u64 = 1_700_000_000_000;
 
 pub(crate) const fn ms(millis: u64) -> Duration {
     Duration::from_millis(millis)
 }
 
-/// The response to an order that was accepted under this revision.
+/// Returns the response to an order that was committed with this revision.
 pub(crate) fn committed(revision: u64) -> Response {
     Response::Committed(Revision::new(revision))
 }
@@ -68,15 +68,16 @@
     incarnation: Incarnation,
     disk: Vec<Record>,
     unsynced: Vec<Record>,
-    /// What waits for each of the unsynced records that the current sync does not include.
-    waiting: Vec<Vec<AfterSync>>,
-    /// The disk syncs one group of records at a time, as the daemon's thread does.
+    /// The actions to perform after the sync of each unsynced record that the current sync does not include.
+    pending_after_sync: Vec<Vec<AfterSync>>,
+    /// The disk syncs one group of records at a time, like the daemon's disk writer thread.
     is_syncing: bool,
     pub sync_time: Duration,
-    pub frozen: bool,
+    pub paused: bool,
+    /// Events that arrived while the node was paused.
     backlog: Vec<Event>,
     pub responses: BTreeMap<CallId, Response>,
-    /// How far the node's time of day is ahead of the true one, in milliseconds.
+    /// How far the node's wall clock is ahead of the true time, in milliseconds.
     pub clock_error_ms: i64,
     pub events: Vec<ControlEvent>,
 }
@@ -87,11 +88,13 @@
     genesis: Value,
     connections: BTreeMap<SessionId, (usize, usize)>,
     events: BTreeMap<(Instant, u64), (usize, Event)>,
-    pub cut: BTreeSet<(usize, usize)>,
-    numbers: u64,
-    /// The set of voters is never made smaller.
+    /// Blocked directions, as (sender, receiver): messages in a blocked direction are lost, and neither of its nodes can
+    /// dial the other.
+    pub blocked: BTreeSet<(usize, usize)>,
+    last_number: u64,
+    /// Equals the initial number of voters, so that the set of voters never shrinks.
     min_voters: usize,
-    /// How nodes that start from now on report usage.
+    /// Configuration of usage reports for nodes that start from now on.
     pub usage: Option<UsageConfig>,
     pub platform: Platform,
 }
@@ -101,12 +104,13 @@
 }
 
 impl Cluster {
-    /// So many nodes, the first `voters` of which are started and vote, after 4 s to find each other.
+    /// Creates a cluster of `nodes` nodes. The first `voters` of them are voters; they are started and given 4 s to find
+    /// each other. The others are not started.
     pub(crate) fn new(nodes: usize, voters: usize) -> Cluster {
         Cluster::with_usage(nodes, voters, None)
     }
 
-    /// The same, with usage reports.
+    /// Like [`Cluster::new`], with usage reports if `usage` is set.
     pub(crate) fn with_usage(nodes: usize, voters: usize, usage: Option<UsageConfig>) -> Cluster {
         let voter = |n: usize| Voter {
             id: NodeId::genesis(&address(n)).0,
@@ -122,8 +126,8 @@
             genesis,
             connections: BTreeMap::new(),
             events: BTreeMap::new(),
-            cut: BTreeSet::new(),
-            numbers: 0,
+            blocked: BTreeSet::new(),
+            last_number: 0,
             min_voters: voters,
             usage,
             platform: Platform::default(),
@@ -140,31 +144,31 @@
         cluster
     }
 
-    fn number(&mut self) -> u64 {
-        self.numbers += 1;
-        self.numbers
+    fn next_number(&mut self) -> u64 {
+        self.last_number += 1;
+        self.last_number
     }
 
     pub(crate) fn control(&self, n: usize) -> &ControlNode {
-        self.nodes[n].control.as_ref().expect("runs")
+        self.nodes[n].control.as_ref().expect("the node is running")
     }
 
-    /// Starts a node from what its disk holds.
+    /// Starts a node from the synced records on its disk.
     pub(crate) fn start(&mut self, n: usize) {
-        let incarnation = Incarnation::new(self.number() * 1_000 + 1);
+        let incarnation = Incarnation::new(self.next_number() * 1_000 + 1);
         let mut state = DurableState::default();
         self.nodes[n]
             .disk
             .iter()
             .for_each(|record| state.add(record.clone()));
-        let first = state.id.is_none() && self.now == FIRST_START;
-        let id = state.id.unwrap_or(if first {
+        let is_first_start = state.id.is_none() && self.now == FIRST_START;
+        let id = state.id.unwrap_or(if is_first_start {
             NodeId::genesis(&address(n))
         } else {
             NodeId(incarnation.get())
         });
-        let genesis = first.then(|| self.genesis.clone());
-        let local = NodeConfig {
+        let genesis = is_first_start.then(|| self.genesis.clone());
+        let config = NodeConfig {
             name: format!("node-{n}"),
             zone: "z".into(),
             incarnation,
@@ -173,16 +177,16 @@
             min_voters: self.min_voters,
             heartbeat_interval: ms(1_000),
             bootstrap: (0..3).map(address).collect(),
-            is_genesis: first,
+            is_genesis: is_first_start,
             retry_allowance: 10.0,
             retry_window: ms(10_000),
             usage: self.usage.clone(),
         };
-        let empty = state.id.is_none();
-        let control = ControlNode::new(local, id, state, genesis.clone(), self.now);
+        let disk_is_empty = state.id.is_none();
+        let control = ControlNode::new(config, id, state, genesis.clone(), self.now);
         let node = &mut self.nodes[n];
-        (node.control, node.incarnation, node.frozen) = (Some(control), incarnation, false);
-        if empty {
+        (node.control, node.incarnation, node.paused) = (Some(control), incarnation, false);
+        if disk_is_empty {
             node.disk.push(Record {
                 id: Some(id.0),
                 decided: genesis,
@@ -191,12 +195,12 @@
         }
     }
 
-    /// Kills a node; what its disk has not synced is gone.
+    /// Crashes a node. Records that its disk has not synced are lost.
     pub(crate) fn crash(&mut self, n: usize) {
         let node = &mut self.nodes[n];
         (node.control, node.incarnation) = (None, Incarnation::default());
         node.unsynced.clear();
-        node.waiting.clear();
+        node.pending_after_sync.clear();
         node.is_syncing = false;
         node.backlog.clear();
         let sessions: Vec<SessionId> = self
@@ -210,13 +214,14 @@
         }
     }
 
+    /// Crashes a node and erases its disk.
     pub(crate) fn wipe(&mut self, n: usize) {
         self.crash(n);
         self.nodes[n].disk.clear();
     }
 
-    fn push(&mut self, after: Duration, to: usize, event: Event) {
-        let key = (self.now + after, self.number());
+    fn schedule(&mut self, after: Duration, to: usize, event: Event) {
+        let key = (self.now + after, self.next_number());
         self.events.insert(key, (to, event));
     }
 
@@ -224,18 +229,18 @@
         let Some((a, b)) = self.connections.remove(&session) else {
             return;
         };
-        self.push(
+        self.schedule(
             LATENCY,
             if a == by { b } else { a },
             Event::Closed { session },
         );
     }
 
-    /// Runs something at a node and carries out its effects.
-    pub(crate) fn at(
+    /// Runs an operation on a node and performs its effects. Does nothing if the node is down.
+    pub(crate) fn run_on(
         &mut self,
         n: usize,
-        run: impl FnOnce(&mut ControlNode, Instant, &mut Vec<Effect>),
+        operation: impl FnOnce(&mut ControlNode, Instant, &mut Vec<Effect>),
     ) {
         let now = self.now;
         let mut effects = Vec::new();
@@ -247,27 +252,27 @@
             return;
         };
         control.observe_wall_clock(now, WallTime::from_millis(wall_time));
-        run(control, now, &mut effects);
+        operation(control, now, &mut effects);
         for effect in effects {
-            self.carry_out(n, effect);
+            self.perform(n, effect);
         }
     }
 
-    fn carry_out(&mut self, n: usize, effect: Effect) {
+    fn perform(&mut self, n: usize, effect: Effect) {
         match effect {
             Effect::Send { session, message } => {
                 let Some(&(a, b)) = self.connections.get(&session) else {
                     return;
                 };
                 let to = if a == n { b } else { a };
-                if !self.cut.contains(&(n, to)) {
-                    self.push(LATENCY, to, Event::Message { session, message });
+                if !self.blocked.contains(&(n, to)) {
+                    self.schedule(LATENCY, to, Event::Message { session, message });
                 }
             }
             Effect::Persist { record, after_sync } => {
                 let node = &mut self.nodes[n];
                 node.unsynced.push(record);
-                node.waiting.push(after_sync);
+                node.pending_after_sync.push(after_sync);
                 if !node.is_syncing {
                     self.begin_sync(n);
                 }
@@ -280,15 +285,16 @@
                     .nodes
                     .iter()
                     .position(|o| o.address == to && o.control.is_some());
-                match other.filter(|&o| !self.cut.contains(&(n, o)) && !self.cut.contains(&(o, n)))
+                match other
+                    .filter(|&o| !self.blocked.contains(&(n, o)) && !self.blocked.contains(&(o, n)))
                 {
                     Some(other) => {
-                        let session = SessionId(self.number());
+                        let session = SessionId(self.next_number());
                         self.connections.insert(session, (n, other));
-                        self.push(LATENCY, n, Event::Opened { session });
-                        self.push(LATENCY, other, Event::Opened { session });
+                        self.schedule(LATENCY, n, Event::Opened { session });
+                        self.schedule(LATENCY, other, Event::Opened { session });
                     }
-                    None => self.push(LATENCY, n, Event::DialFailed { address: to }),
+                    None => self.schedule(LATENCY, n, Event::DialFailed { address: to }),
                 }
             }
             Effect::Close(session) => self.disconnect(session, n),
@@ -297,14 +303,14 @@
         }
     }
 
-    /// Syncs all records that wait, in one group.
+    /// Starts the sync of all waiting records as one group.
     fn begin_sync(&mut self, n: usize) {
         let node = &mut self.nodes[n];
-        node.is_syncing = !node.waiting.is_empty();
+        node.is_syncing = !node.pending_after_sync.is_empty();
         if !node.is_syncing {
             return;
         }
-        let group = std::mem::take(&mut node.waiting);
+        let group = std::mem::take(&mut node.pending_after_sync);
         let (sync_time, synced) = (
             node.sync_time,
             Event::Synced {
@@ -313,7 +319,7 @@
                 after_sync: group.into_iter().flatten().collect(),
             },
         );
-        self.push(sync_time, n, synced);
+        self.schedule(sync_time, n, synced);
     }
 
     fn call_platform(&mut self, n: usize, call: &PlatformCall) {
@@ -323,50 +329,50 @@
             call: call.id,
             outcome,
         };
-        self.push(LATENCY, n, event);
+        self.schedule(LATENCY, n, event);
     }
 
-    /// The time of day, to which windows refer.
+    /// Returns the true time of day, by which windows are counted.
     pub(crate) fn true_time(&self) -> WallTime {
         WallTime::from_millis(WALL_START_MS + self.now.as_millis())
     }
 
-    fn take(&mut self, to: usize, event: Event) {
-        if self.nodes[to].frozen {
+    fn deliver(&mut self, to: usize, event: Event) {
+        if self.nodes[to].paused {
             self.nodes[to].backlog.push(event);
             return;
         }
         match event {
             Event::Opened { session } if self.connections.contains_key(&session) => {
-                self.at(to, |c, _, effects| c.on_session_opened(session, effects));
+                self.run_on(to, |c, _, effects| c.on_session_opened(session, effects));
             }
             Event::Message { session, message } if self.connections.contains_key(&session) => {
-                self.at(to, |c, now, effects| {
+                self.run_on(to, |c, now, effects| {
                     c.on_message(now, session, message, effects);
                 });
             }
-            Event::Closed { session } => self.at(to, |c, now, effects| {
+            Event::Closed { session } => self.run_on(to, |c, now, effects| {
                 c.on_session_closed(now, session, effects);
             }),
             Event::DialFailed { address } => {
-                self.at(to, |c, now, _| c.on_dial_failed(now, &address));
+                self.run_on(to, |c, now, _| c.on_dial_failed(now, &address));
             }
             Event::Synced {
                 incarnation,
                 count,
                 after_sync,
             } if self.nodes[to].incarnation == incarnation => {
-                let done: Vec<Record> = self.nodes[to].unsynced.drain(..count).collect();
-                self.nodes[to].disk.extend(done);
+                let synced: Vec<Record> = self.nodes[to].unsynced.drain(..count).collect();
+                self.nodes[to].disk.extend(synced);
                 self.begin_sync(to);
-                self.at(to, |c, now, effects| c.on_synced(now, after_sync, effects));
+                self.run_on(to, |c, now, effects| c.on_synced(now, after_sync, effects));
             }
             Event::PlatformCallEnded {
                 incarnation,
                 call,
                 outcome,
             } if self.nodes[to].incarnation == incarnation => {
-                self.at(to, |c, now, effects| {
+                self.run_on(to, |c, now, effects| {
                     c.on_platform_outcome(now, call, outcome, effects);
                 });
             }
@@ -374,16 +380,16 @@
         }
     }
 
-    /// A frozen node resumes: `before` runs first, then what was queued meanwhile.
-    pub(crate) fn thaw(
+    /// Resumes a paused node: runs `before` on it, then delivers the events that were queued during the pause.
+    pub(crate) fn resume(
         &mut self,
         n: usize,
         before: impl FnOnce(&mut ControlNode, Instant, &mut Vec<Effect>),
     ) {
-        self.nodes[n].frozen = false;
-        self.at(n, before);
+        self.nodes[n].paused = false;
+        self.run_on(n, before);
         for event in std::mem::take(&mut self.nodes[n].backlog) {
-            self.take(n, event);
+            self.deliver(n, event);
         }
     }
 
@@ -397,8 +403,8 @@
                 .filter(|(key, _)| key.0 <= self.now)
             {
                 let key = *key;
-                let (to, event) = self.events.remove(&key).expect("was seen");
-                self.take(to, event);
+                let (to, event) = self.events.remove(&key).expect("the first event");
+                self.deliver(to, event);
             }
             for n in 0..self.nodes.len() {
                 let now = self.now;
@@ -406,41 +412,42 @@
                     .control
                     .as_ref()
                     .is_some_and(|c| now >= c.next_tick_at(now));
-                if due && !self.nodes[n].frozen {
-                    self.at(n, linenthread_control::ControlNode::tick);
+                if due && !self.nodes[n].paused {
+                    self.run_on(n, linenthread_control::ControlNode::tick);
                 }
             }
         }
     }
 
-    /// Runs until `holds` is true, at most for `timeout`; whether it became true.
+    /// Runs until `condition` is true, at most for `timeout`. Returns whether it became true.
     pub(crate) fn run_until(
         &mut self,
         timeout: Duration,
-        holds: impl Fn(&Cluster) -> bool,
+        condition: impl Fn(&Cluster) -> bool,
     ) -> bool {
         let end = self.now + timeout;
-        while self.now < end && !holds(self) {
+        while self.now < end && !condition(self) {
             self.run(STEP);
         }
-        holds(self)
+        condition(self)
     }
 
-    /// Sends an order to a node, and returns its call.
+    /// Sends an order to a node, and returns the id of the call.
     pub(crate) fn order(&mut self, n: usize, base: u64, revision: u64) -> CallId {
-        let call = CallId(self.number());
+        let call = CallId(self.next_number());
         let order = Order {
             base: Revision::new(base),
             revision: Revision::new(revision),
             document: format!("document {revision}").into_bytes(),
         };
-        self.at(n, |c, now, effects| {
+        self.run_on(n, |c, now, effects| {
             c.replace_configuration(now, call, order, effects);
         });
         call
     }
 
-    /// Sends an order until some node acknowledges it, at most for `timeout`; the response, if it is conclusive.
+    /// Sends an order to the nodes in turn until one responds that it is committed or conflicts, at most for `timeout`.
+    /// Returns that response, or `None` on a time-out.
     pub(crate) fn order_until_committed(
         &mut self,
         timeout: Duration,
@@ -475,7 +482,7 @@
         self.nodes.iter().position(leads)
     }
 
-    /// Addresses of the voters as a node knows them.
+    /// Returns the addresses of the voters as this node knows them.
     pub(crate) fn voters(&self, n: usize) -> Vec<String> {
         self.control(n)
             .register()
--- a/crates/linenthread-control/tests/nodes/contact.rs
+++ b/crates/linenthread-control/tests/nodes/contact.rs
@@ -1,4 +1,4 @@
-//! What a node that is partitioned off, or was frozen, still confirms: nothing that it cannot know.
+//! A node that is partitioned or was paused must not confirm anything that it cannot know to be current.
 
 use crate::cluster::{Cluster, address, committed, ms};
 use linenthread_consensus::{DurableState, NodeId};
@@ -30,7 +30,7 @@
         address: a.clone(),
     };
     let voters = bootstrap.iter().map(voter).collect();
-    let local = NodeConfig {
+    let config = NodeConfig {
         name: "node-0".into(),
         zone: "z".into(),
         incarnation: Incarnation::new(1),
@@ -51,7 +51,7 @@
         ..Value::default()
     };
     ControlNode::new(
-        local,
+        config,
         NodeId::genesis(&address(0)),
         DurableState::default(),
         Some(value),
@@ -71,14 +71,14 @@
 }
 
 fn hello(n: usize) -> PeerMessage {
-    let control = address(n);
-    let node_id = NodeId::genesis(&control).0;
+    let control_address = address(n);
+    let node_id = NodeId::genesis(&control_address).0;
     let name = format!("node-{n}");
     PeerMessage::Hello(Hello {
         version: VERSION,
         name,
         incarnation: 100,
-        control_address: control,
+        control_address,
         node_id,
         ..Hello::default()
     })
@@ -94,11 +94,11 @@
     })
 }
 
-fn heartbeat(sent: u64, echo: Option<u64>) -> PeerMessage {
+fn heartbeat(sent_at: u64, echoed_sent_at: Option<u64>) -> PeerMessage {
     PeerMessage::Heartbeat(Heartbeat {
         has_quorum: true,
-        sent_at: sent,
-        echoed_sent_at: echo,
+        sent_at,
+        echoed_sent_at,
         ..Heartbeat::default()
     })
 }
@@ -130,7 +130,7 @@
     effects.iter().filter_map(response).collect()
 }
 
-/// The reply of a peer that knows nothing newer to the read request among these effects.
+/// Returns the reply to the read request among these effects, from a peer that knows no newer value.
 fn read_reply(effects: &[Effect]) -> PeerMessage {
     let read_id = effects.iter().find_map(|effect| match effect {
         Effect::Send {
@@ -146,15 +146,15 @@
     })
 }
 
-/// The most that an ingress node was sent.
+/// The most complete update that an ingress node was sent.
 #[derive(Debug, PartialEq)]
-enum Sent {
+enum SentUpdate {
     Nothing,
     Replicas,
     Configuration,
 }
 
-fn sent(effects: &[Effect]) -> Sent {
+fn sent_update(effects: &[Effect]) -> SentUpdate {
     let update = |e: &Effect| match e {
         Effect::Send {
             session: INGRESS_NODE,
@@ -164,11 +164,11 @@
     };
     let has_configuration: Vec<bool> = effects.iter().filter_map(update).collect();
     if has_configuration.is_empty() {
-        Sent::Nothing
+        SentUpdate::Nothing
     } else if has_configuration.contains(&true) {
-        Sent::Configuration
+        SentUpdate::Configuration
     } else {
-        Sent::Replicas
+        SentUpdate::Replicas
     }
 }
 
@@ -176,16 +176,16 @@
     acknowledged = { Some(0), 100, true },
     just_in_time = { Some(0), contact_timeout_ms(), true },
     too_long_ago = { Some(0), contact_timeout_ms() + 1, false },
-    received_from_and_not_by_it = { None, 100, false },
-    from_the_future = { Some(1 << 40), contact_timeout_ms() + 1, false },
+    received_but_not_acknowledged = { None, 100, false },
+    echo_from_the_future = { Some(1 << 40), contact_timeout_ms() + 1, false },
 )]
-fn contact_rests_on_round_trips(echo: Option<u64>, now: u64, is: bool) {
+fn contact_requires_a_recent_round_trip(echo: Option<u64>, now: u64, expected: bool) {
     let mut control = node();
     control.on_session_opened(PEER, &mut Vec::new());
     receive(&mut control, 0, PEER, hello(1));
     receive(&mut control, 0, PEER, heartbeat(0, echo));
-    assert_eq!(control.has_quorum(at(now)), is);
-    // That its messages arrive here says nothing of whether ours arrive there.
+    assert_eq!(control.has_quorum(at(now)), expected);
+    // Messages that arrive from the peer do not prove that messages reach the peer.
     if echo.is_none() {
         for now in (500..5_000).step_by(500) {
             receive(&mut control, now, PEER, heartbeat(now, None));
@@ -195,7 +195,7 @@
 }
 
 #[test]
-fn a_node_that_receives_but_does_not_reach_others_acknowledges_nothing() {
+fn a_node_that_receives_messages_but_cannot_send_any_acknowledges_no_calls() {
     let mut control = node_with_quorum(0);
     let mut effects = Vec::new();
     for now in (200..=2_200).step_by(200) {
@@ -221,7 +221,7 @@
 }
 
 #[test]
-fn a_node_that_resumes_answers_nothing_by_what_it_knew() {
+fn a_node_that_resumes_after_a_pause_does_not_answer_from_stale_state() {
     let mut control = node_with_quorum(0);
     receive(&mut control, 0, INGRESS_NODE, ingress_hello());
     let mut effects = Vec::new();
@@ -234,7 +234,7 @@
     );
     assert!(responses(&effects).is_empty());
     effects.clear();
-    // Calls and messages that have waited come before any tick.
+    // Calls and messages that were queued during the pause are handled before any tick.
     control.on_replica_heartbeat(
         at(20_000),
         CallId(2),
@@ -261,7 +261,7 @@
         effects
             .iter()
             .any(|e| matches!(e, Effect::Close(INGRESS_NODE))),
-        "its ingress nodes go elsewhere"
+        "the sessions of its ingress nodes are closed"
     );
     effects.extend(receive(
         &mut control,
@@ -269,11 +269,13 @@
         SessionId(10),
         ingress_hello(),
     ));
-    assert!(sent(&effects) == Sent::Nothing && control.lease_epoch(at(20_000)).is_none());
+    assert!(
+        sent_update(&effects) == SentUpdate::Nothing && control.lease_epoch(at(20_000)).is_none()
+    );
 }
 
 #[test]
-fn a_read_that_waited_through_a_freeze_is_unavailable() {
+fn a_read_that_was_pending_during_a_pause_is_answered_as_unavailable() {
     let mut control = node_with_quorum(0);
     let mut effects = Vec::new();
     control.read_configuration(at(10), CallId(1), &mut effects);
@@ -286,17 +288,17 @@
 }
 
 #[test]
-fn an_ingress_node_is_sent_the_configuration_only_once_it_was_read_for_it() {
+fn an_ingress_node_is_sent_the_configuration_only_after_a_confirming_read() {
     let mut control = node_with_quorum(0);
     let effects = receive(&mut control, 0, INGRESS_NODE, ingress_hello());
-    assert_eq!(sent(&effects), Sent::Replicas);
+    assert_eq!(sent_update(&effects), SentUpdate::Replicas);
     let reply = read_reply(&effects);
     let effects = receive(&mut control, 5, PEER, reply);
-    assert_eq!(sent(&effects), Sent::Configuration);
+    assert_eq!(sent_update(&effects), SentUpdate::Configuration);
 }
 
 #[test]
-fn out_of_contact_it_drops_its_ingress_nodes_and_sends_new_ones_nothing() {
+fn a_node_out_of_contact_drops_its_ingress_nodes_and_sends_new_ones_no_updates() {
     let mut control = node_with_quorum(0);
     receive(&mut control, 0, INGRESS_NODE, ingress_hello());
     let mut effects = Vec::new();
@@ -316,30 +318,30 @@
         ingress_hello(),
     );
     control.tick(at(contact_timeout_ms() + 1_000), &mut effects);
-    assert_eq!(sent(&effects), Sent::Nothing);
-    let outside = |e: &Effect| matches!(e, Effect::Send { session: INGRESS_NODE, message: PeerMessage::Heartbeat(h) } if !h.has_quorum);
+    assert_eq!(sent_update(&effects), SentUpdate::Nothing);
+    let reports_no_quorum = |e: &Effect| matches!(e, Effect::Send { session: INGRESS_NODE, message: PeerMessage::Heartbeat(h) } if !h.has_quorum);
     assert!(
-        effects.iter().any(outside),
-        "its heartbeat says that it is out of contact"
+        effects.iter().any(reports_no_quorum),
+        "its heartbeat reports that it has no quorum"
     );
 }
 
 #[test]
-fn a_partitioned_node_rejects_and_confirms_no_order() {
+fn a_partitioned_node_neither_rejects_nor_confirms_an_order() {
     let mut cluster = Cluster::new(3, 3);
     assert_eq!(
         cluster.order_until_committed(ms(1_000), 0, 1),
         Some(committed(1))
     );
     for other in 1..3 {
-        cluster.cut.extend([(0, other), (other, 0)]);
+        cluster.blocked.extend([(0, other), (other, 0)]);
     }
     assert_eq!(
         cluster.order_until_committed(ms(5_000), 1, 2),
         Some(committed(2))
     );
     cluster.run(ms(3_000));
-    // It has revision 1 as the newest: neither order is its to judge.
+    // The newest revision that it knows is 1, so it can judge none of these orders conclusively.
     for (base, revision) in [(0, 1), (0, 9), (1, 3)] {
         let call = cluster.order(0, base, revision);
         cluster.run(ms(1_500));
@@ -352,37 +354,37 @@
     assert!(!cluster.control(0).has_quorum(cluster.now));
 }
 
-#[parameterized(out = { true }, inward = { false })]
-fn a_one_way_partition_ends_contact_on_both_sides(outgoing: bool) {
+#[parameterized(outgoing = { true }, incoming = { false })]
+fn a_one_way_partition_ends_contact_whichever_direction_is_blocked(outgoing: bool) {
     let mut cluster = Cluster::new(3, 3);
     for other in 1..3 {
         cluster
-            .cut
+            .blocked
             .insert(if outgoing { (0, other) } else { (other, 0) });
     }
-    let contact = |c: &Cluster, n: usize| c.control(n).has_quorum(c.now);
-    assert!(cluster.run_until(CONTACT_TIMEOUT + ms(100), |c| !contact(c, 0)));
-    assert!(contact(&cluster, 1) && contact(&cluster, 2));
+    let has_quorum = |c: &Cluster, n: usize| c.control(n).has_quorum(c.now);
+    assert!(cluster.run_until(CONTACT_TIMEOUT + ms(100), |c| !has_quorum(c, 0)));
+    assert!(has_quorum(&cluster, 1) && has_quorum(&cluster, 2));
     cluster.run(ms(4_000));
-    assert!(cluster.leader().is_some_and(|n| n != 0) && !contact(&cluster, 0));
+    assert!(cluster.leader().is_some_and(|n| n != 0) && !has_quorum(&cluster, 0));
 }
 
 #[test]
-fn a_frozen_leader_leads_no_more_when_it_resumes_and_finds_the_others_again() {
+fn a_paused_leader_has_lost_the_lease_and_rejects_calls_when_it_resumes() {
     let mut cluster = Cluster::new(3, 3);
     assert_eq!(
         cluster.order_until_committed(ms(1_000), 0, 1),
         Some(committed(1))
     );
     let leader = cluster.leader().unwrap();
-    cluster.nodes[leader].frozen = true;
+    cluster.nodes[leader].paused = true;
     cluster.run(ms(100));
     assert_eq!(
         cluster.order_until_committed(ms(6_000), 1, 2),
         Some(committed(2))
     );
     cluster.run(ms(12_000));
-    cluster.thaw(leader, |control, now, effects| {
+    cluster.resume(leader, |control, now, effects| {
         let order = Order {
             base: Revision::NONE,
             revision: Revision::new(9),
@@ -410,7 +412,7 @@
     assert!(cluster.run_until(ms(3_000), |c| c.control(leader).has_quorum(c.now)));
 }
 
-/// Three voters and a standby, and which of them leads.
+/// Returns a cluster of three voters and a standby, with the index of the leader.
 fn three_voters_and_a_standby() -> (Cluster, usize) {
     let mut cluster = Cluster::new(4, 3);
     cluster.start(3);
@@ -420,19 +422,19 @@
 }
 
 #[test]
-fn a_voter_that_connects_again_and_again_without_a_round_trip_is_replaced_all_the_same() {
+fn a_voter_that_keeps_reconnecting_without_a_round_trip_is_still_replaced() {
     let (mut cluster, leader) = three_voters_and_a_standby();
-    let victim = (0..3).find(|n| *n != leader).expect("three voters");
-    cluster.crash(victim);
+    let crashed = (0..3).find(|n| *n != leader).expect("three voters");
+    cluster.crash(crashed);
     for attempt in 0..10 {
-        cluster.at(leader, |control, now, effects| {
+        cluster.run_on(leader, |control, now, effects| {
             let session = SessionId(1_000_000 + attempt);
             let hello = PeerMessage::Hello(Hello {
                 version: VERSION,
-                name: format!("node-{victim}"),
+                name: format!("node-{crashed}"),
                 incarnation: 5_000 + attempt,
-                control_address: address(victim),
-                node_id: NodeId::genesis(&address(victim)).0,
+                control_address: address(crashed),
+                node_id: NodeId::genesis(&address(crashed)).0,
                 voter_eligible: true,
                 ..Hello::default()
             });
@@ -442,17 +444,21 @@
         });
         cluster.run(ms(400));
     }
-    assert!(!cluster.voters(leader).contains(&address(victim)));
+    assert!(!cluster.voters(leader).contains(&address(crashed)));
 }
 
 #[test]
-fn a_lost_leader_is_replaced_before_another_one_leads() {
+fn a_lost_leader_is_replaced_as_a_voter_before_another_node_acquires_the_lease() {
     let (mut cluster, lost) = three_voters_and_a_standby();
     let survivor = (0..3).find(|n| *n != lost).expect("three voters");
     cluster.wipe(lost);
     let is_replaced = |c: &Cluster| !c.voters(survivor).contains(&address(lost));
     assert!(cluster.run_until(ms(1_900), is_replaced));
-    assert_eq!(cluster.leader(), None, "no lease was waited for");
+    assert_eq!(
+        cluster.leader(),
+        None,
+        "the replacement did not wait for a new lease"
+    );
     cluster.run(ms(4_500));
     assert!(cluster.leader().is_some());
 }
--- a/crates/linenthread-control/tests/nodes/main.rs
+++ b/crates/linenthread-control/tests/nodes/main.rs
@@ -1,4 +1,5 @@
-//! Control nodes stepped together: contact, freezes, shutdowns and joins, second losses.
+//! Tests of several control nodes in one simulated cluster: loss of contact, pauses, shutdowns, replacement of voters,
+//! and usage reports.
 
 mod cluster;
 mod contact;
--- a/crates/linenthread-control/tests/nodes/orders_under_load.rs
+++ b/crates/linenthread-control/tests/nodes/orders_under_load.rs
@@ -1,4 +1,4 @@
-//! A voter is replaced while operators send one order after another.
+//! Orders under load: replacement of a voter while operators send orders back to back, and orders with slow disks.
 
 use std::time::Duration;
 
@@ -8,18 +8,18 @@
 
 use crate::cluster::{Cluster, address, committed, ms};
 
-/// A successor votes within this time from its start.
+/// Time from the start of a successor within which it must become a voter.
 const SUCCESSOR_JOINS_WITHIN: Duration = ms(4_000);
 
-/// Sends orders to both of these nodes, the next ones as soon as the last are answered, until the time is over; the
-/// last revision that was committed.
+/// Sends orders to both nodes until `until`, each pair as soon as the previous pair is answered or after 1 s. Returns the
+/// last committed revision.
 fn order_continuously(cluster: &mut Cluster, nodes: [usize; 2], until: Instant) -> u64 {
     let mut newest = 0;
     while cluster.now < until {
         let calls: Vec<(usize, CallId)> = nodes
             .into_iter()
             .zip(1..)
-            .map(|(n, i)| (n, cluster.order(n, newest, newest + i)))
+            .map(|(n, increment)| (n, cluster.order(n, newest, newest + increment)))
             .collect();
         let answered = |c: &Cluster| {
             calls
@@ -42,9 +42,9 @@
     disks_of_60_ms = { 60 },
     disks_of_110_ms = { 110 },
 )]
-fn orders_one_after_another_do_not_delay_a_successor(sync_ms: u64) {
+fn back_to_back_orders_do_not_delay_the_replacement_of_a_voter(sync_ms: u64) {
     let mut cluster = Cluster::new(4, 3);
-    let leader = cluster.leader().expect("one leads");
+    let leader = cluster.leader().expect("a leader");
     let others: Vec<usize> = (0..3).filter(|n| *n != leader).collect();
     cluster
         .nodes
@@ -54,7 +54,10 @@
     cluster.start(3);
     let until = cluster.now + SUCCESSOR_JOINS_WITHIN;
     let committed = order_continuously(&mut cluster, [leader, others[0]], until);
-    assert!(committed > 3, "orders are committed meanwhile: {committed}");
+    assert!(
+        committed > 3,
+        "orders are committed during the replacement: {committed}"
+    );
     let voters = cluster.voters(leader);
     assert!(
         voters.contains(&address(3)) && voters.len() == 3,
@@ -62,11 +65,11 @@
     );
 }
 
-/// An operator's order is acknowledged within this time after any single loss.
+/// Time within which an operator's order must be acknowledged after any single loss.
 const RECOVERS_WITHIN: Duration = ms(6_000);
 
-/// With one of three voters down both others' disks are needed: orders are acknowledged though each sync takes long.
-/// An order needs two syncs one after another in the 900 ms of a call.
+/// With one of three voters down, an order needs the disks of both others: two syncs one after another within the 900 ms
+/// of a call. Orders must be acknowledged even if each sync is slow.
 #[parameterized(
     disks_of_100_ms = { 100 },
     disks_of_200_ms = { 200 },
@@ -74,7 +77,7 @@
     disks_of_300_ms = { 300 },
     disks_of_400_ms = { 400 },
 )]
-fn orders_are_acknowledged_though_syncs_are_slow(sync_ms: u64) {
+fn orders_are_acknowledged_despite_slow_syncs(sync_ms: u64) {
     let mut cluster = Cluster::new(3, 3);
     cluster.crash(0);
     cluster
--- a/crates/linenthread-control/tests/nodes/platform.rs
+++ b/crates/linenthread-control/tests/nodes/platform.rs
@@ -1,18 +1,18 @@
-//! The platform of a cluster under test: it checks fences, keeps what it accepted, and can be in trouble.
+//! A simulated platform that receives usage reports: checks fences, records accepted calls, and simulates failures.
 
 use linenthread_control::{Epoch, PlatformCall, PlatformOutcome};
 use linenthread_time::Instant;
 
-/// How the platform responds.
+/// How the simulated platform responds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) enum Behaviour {
-    /// It accepts what the fence allows.
+    /// Accepts all calls whose fence is not too low.
     #[default]
     Healthy,
-    /// It turns every call away.
+    /// Rejects every call as busy.
     Busy,
-    /// It takes calls in, and its answers are lost.
-    AnswersLost,
+    /// Accepts calls like [`Behaviour::Healthy`], but its responses are lost.
+    ResponsesLost,
 }
 
 /// A call that the platform has accepted.
@@ -33,7 +33,7 @@
 }
 
 impl Platform {
-    /// A call arrives; what the caller gets to know of it.
+    /// Handles a call and returns the outcome that the caller observes.
     pub(crate) fn receive(
         &mut self,
         now: Instant,
@@ -58,12 +58,12 @@
             body: call.report.body.to_vec(),
         });
         match self.behaviour {
-            Behaviour::AnswersLost => PlatformOutcome::Unknown,
+            Behaviour::ResponsesLost => PlatformOutcome::Unknown,
             Behaviour::Healthy | Behaviour::Busy => PlatformOutcome::Accepted,
         }
     }
 
-    /// The windows in the order in which they were first accepted.
+    /// Returns the reported windows, in the order in which they were first accepted.
     pub(crate) fn windows(&self) -> Vec<u64> {
         let mut windows = Vec::new();
         for call in &self.accepted {
@@ -74,15 +74,16 @@
         windows
     }
 
-    /// The body of a window, of the first call with it.
+    /// Returns the body of the first accepted call for a window.
     pub(crate) fn body(&self, window: u64) -> Option<String> {
         let call = self.accepted.iter().find(|call| call.window == window)?;
-        Some(String::from_utf8(call.body.clone()).expect("a body is text"))
+        Some(String::from_utf8(call.body.clone()).expect("a body is UTF-8"))
     }
 
-    /// What the users' rule ONE forbids: two bodies for a window, two nodes with one fence, calls of a node, of another
-    /// and of the first one again within the lease time.
-    pub(crate) fn check(&self, lease: std::time::Duration) {
+    /// Panics if the accepted calls violate *one-report-per-window* (two different bodies for a window),
+    /// *one-sender-per-fence* (two nodes with the same fence), or *no-return-within-lease* (a node calls again within the
+    /// lease time of its earlier call, with a call of another node in between).
+    pub(crate) fn assert_single_reporter(&self, lease: std::time::Duration) {
         for (index, call) in self.accepted.iter().enumerate() {
             for later in &self.accepted[index + 1..] {
                 if later.window == call.window {
@@ -97,14 +98,17 @@
                     .iter()
                     .any(|between| between.node != call.node)
             };
-            let returns = self
+            let returned = self
                 .accepted
                 .iter()
                 .enumerate()
                 .skip(index + 1)
                 .find(|(end, later)| later.node == call.node && others_between(*end));
-            if let Some((_, later)) = returns {
-                assert!(later.at >= call.at + lease, "{call:?} and again {later:?}");
+            if let Some((_, later)) = returned {
+                assert!(
+                    later.at >= call.at + lease,
+                    "{call:?} was followed too soon by {later:?}"
+                );
             }
         }
     }
