--- a/crates/linenthread-control/src/control_node.rs
+++ b/crates/linenthread-control/src/control_node.rs
@@ -1,8 +1,8 @@
 //! [`ControlNode`]: owns the tables of a control node and routes events between them.
 //!
 //! Each table owns its state and its rules, in its own module in the crate root. The submodules of this module are the
-//! routing layer: each passes calls, messages or timer ticks to the tables and turns the results into effects. Only they
-//! access the fields of [`ControlNode`].
+//! routing layer: each passes calls, messages or timer ticks to the tables and turns the results into effects. Only these
+//! modules access the fields of [`ControlNode`].
 
 mod admission;
 mod contact;
--- a/crates/linenthread-control/src/control_node/contact.rs
+++ b/crates/linenthread-control/src/control_node/contact.rs
@@ -15,7 +15,7 @@
     }
 
     /// Reports whether this node has had a recent round trip of messages with each of more than half of the voters,
-    /// counting itself if it is one.
+    /// counting itself if it is a voter.
     pub fn has_quorum(&self, now: Instant) -> bool {
         self.register.is_majority(self.nodes_in_contact(now))
     }
--- a/crates/linenthread-control/src/control_node/ingress_updates.rs
+++ b/crates/linenthread-control/src/control_node/ingress_updates.rs
@@ -75,7 +75,7 @@
         self.forward_quota_grants(grants, effects);
     }
 
-    /// Forwards each grant to its ingress node, if that has a session with this node.
+    /// Forwards each grant to its ingress node, if that node has a session with this control node.
     pub(super) fn forward_quota_grants(&self, grants: QuotaGrants, effects: &mut Vec<Effect>) {
         for grant in grants.grants {
             let Some(session) = self.ingress_nodes.session_with(&(&grant).into()) else {
--- a/crates/linenthread-control/src/control_node/usage.rs
+++ b/crates/linenthread-control/src/control_node/usage.rs
@@ -16,7 +16,7 @@
 /// The fraction of the report delay, counted from the end of a window, during which late counts are still awaited.
 const COLLECTION_SHARE: f64 = 0.4;
 /// The very first report covers a window at most this many windows before the last closed one. Otherwise an ingress node
-/// with a very wrong clock could hold all reports in the past.
+/// whose clock is far off could keep all reports in the past.
 const MAX_FIRST_REPORT_LAG_WINDOWS: u64 = 16;
 /// Maximum number of decided reports that are not known to be delivered to the platform. When it is reached, no report is
 /// proposed and counts stay in memory.
--- a/crates/linenthread-control/tests/nodes/usage_reports.rs
+++ b/crates/linenthread-control/tests/nodes/usage_reports.rs
@@ -358,7 +358,7 @@
 }
 
 // Guards against millions of empty reports that must be delivered before the first real one. A machine without a
-// real-time clock starts in 1970, and of the clocks that only two nodes know, its clock is half.
+// real-time clock starts in 1970. While two nodes know only each other's clocks, its wrong clock is half of them.
 #[test]
 fn very_old_counts_do_not_delay_the_first_report() {
     let mut cluster = Cluster::new(3, 3);
