--- a/crates/linenthread-control/src/config.rs
+++ b/crates/linenthread-control/src/config.rs
@@ -1,4 +1,4 @@
-//! What a control node is started with.
+//! The configuration that a control node is started with.
 
 use std::time::Duration;
 
@@ -10,39 +10,41 @@
 pub struct NodeConfig {
     /// The node's name, unique among the control nodes.
     pub name: String,
-    /// The failure domain that the node runs in.
+    /// The failure domain in which the node runs.
     pub zone: String,
-    /// Distinguishes this run of the process from all others.
+    /// Distinguishes this run of the process from all other runs.
     pub incarnation: Incarnation,
-    /// `host:port` at which the node takes calls of replicas and operators; peers know it by this address.
+    /// `host:port` at which the node accepts calls of replicas and operators. Peers identify the node by this address.
     pub control_address: String,
-    /// Whether the node may be made a voter.
+    /// Whether the node may become a voter.
     pub voter_eligible: bool,
-    /// No voter is removed without a successor while this many vote, or fewer. At the start there may be fewer.
+    /// A voter is removed without a successor only if there are more voters than this. The initial number of voters may
+    /// be smaller.
     pub min_voters: usize,
-    /// About how often a replica sends a heartbeat.
+    /// The approximate interval between the heartbeats of a replica.
     pub heartbeat_interval: Duration,
-    /// Control addresses to dial on start.
+    /// Control addresses to dial at start-up.
     pub bootstrap: Vec<String>,
-    /// The whole system starts for the first time, and this node's disk was empty.
+    /// The cluster starts for the first time, and this node's disk was empty.
     pub is_genesis: bool,
-    /// Retries that all ingress nodes together may make in any window.
+    /// The number of retries that all ingress nodes together may make in any window.
     pub retry_allowance: f64,
-    /// The window of [`NodeConfig::retry_allowance`].
+    /// The length of the window of [`NodeConfig::retry_allowance`].
     pub retry_window: Duration,
-    /// How usage is reported to the platform; none if it is not.
+    /// How usage is reported to the platform; `None` if it is not reported.
     pub usage: Option<UsageConfig>,
 }
 
-/// How usage is reported to the platform.
+/// Settings of the usage reports to the platform.
 #[derive(Clone, Debug, PartialEq)]
 pub struct UsageConfig {
-    /// The length of the windows that are reported.
+    /// The length of the reported windows.
     pub window_length: WindowLength,
     /// How long after the end of a window its report is due.
     pub report_delay: Duration,
-    /// Within so long the platform must not see calls of one node, of another one, and of the first one again.
+    /// The platform must not receive calls from one node, then from another one and then from the first again within
+    /// this time.
     pub lease: Duration,
-    /// How many calls a second the platform takes of all nodes together.
+    /// The number of calls per second that the platform accepts from all nodes together.
     pub calls_per_second: f64,
 }
--- a/crates/linenthread-control/src/effect.rs
+++ b/crates/linenthread-control/src/effect.rs
@@ -1,16 +1,17 @@
-//! What a control node asks of its driver.
+//! The actions that a control node requests from its driver.
 
 use linenthread_consensus::AfterSync;
 use linenthread_messages::{PeerMessage, Record};
 
 use crate::{CallId, ControlEvent, PlatformCall, Response, SessionId};
 
-/// What whoever drives a control node has to do, in the order in which the effects were returned.
+/// An action that the driver of a control node must carry out. Effects are carried out in the order in which they were
+/// returned.
 #[derive(Debug)]
 pub enum Effect {
-    /// Send a message over a session; it may be lost.
+    /// Send a message on a session. The message may be lost.
     Send {
-        /// The session, as the driver named it.
+        /// The session, as identified by the driver.
         session: SessionId,
         /// The message.
         message: PeerMessage,
@@ -19,21 +20,21 @@
     Persist {
         /// The record.
         record: Record,
-        /// What waits until the record is durable.
+        /// The actions that wait until the record is durable.
         after_sync: Vec<AfterSync>,
     },
-    /// Answer a call.
+    /// Respond to a call.
     Respond {
-        /// The call, as the driver named it.
+        /// The call, as identified by the driver.
         call: CallId,
-        /// The answer.
+        /// The response.
         response: Response,
     },
-    /// Connect to the control node at this control address.
+    /// Connect to the control node at this address.
     Dial(String),
     /// Close a session's connection.
     Close(SessionId),
-    /// Make a call at the platform, then call [`crate::ControlNode::on_platform_outcome`], whatever became of it.
+    /// Make a call to the platform's API, then call [`crate::ControlNode::on_platform_outcome`], whatever the outcome.
     CallPlatform(PlatformCall),
     /// Write an event to the log.
     Log(ControlEvent),
--- a/crates/linenthread-control/src/event.rs
+++ b/crates/linenthread-control/src/event.rs
@@ -1,4 +1,4 @@
-//! Events of a control node, for its log.
+//! Log events of a control node.
 
 use std::fmt;
 use std::time::Duration;
@@ -8,58 +8,58 @@
 
 use crate::PlatformOutcome;
 
-/// Something that an operator may want to see in the log. [`fmt::Display`] writes it as `key=value` pairs, the first
-/// of which is `event`.
+/// An event that is logged for operators. [`fmt::Display`] writes it as `key=value` pairs, starting with `event`.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ControlEvent {
-    /// A new value was decided, or learnt to be.
+    /// This node decided a new value, or learned that it was decided.
     ValueDecided {
-        /// Number of the value.
+        /// Number of the decided value.
         number: ValueNumber,
-        /// Revision of the configuration in it.
+        /// Revision of the configuration in the value.
         revision: Revision,
-        /// How many nodes vote on the next value.
+        /// Number of voters on the next value.
         voter_count: usize,
     },
-    /// A session's peer has introduced itself.
+    /// The first message of a session, in which the peer identifies itself, was received.
     SessionOpened {
         /// The peer's name.
         peer: String,
         /// The peer's failure domain.
         zone: String,
-        /// A control node, not an ingress node.
+        /// Whether the peer is a control node rather than an ingress node.
         is_control_node: bool,
     },
     /// A session has ended.
     SessionClosed {
         /// The peer's name.
         peer: String,
-        /// A control node, not an ingress node.
+        /// Whether the peer is a control node rather than an ingress node.
         is_control_node: bool,
     },
-    /// A replica sent no heartbeat for too long.
+    /// A replica timed out: it sent no heartbeat for too long.
     ReplicaTimedOut {
         /// The replica's id.
         id: String,
     },
-    /// The process did not run for so long that all it knew of its peers is stale.
+    /// The process did not run for so long that its view of its peers is stale.
     ResumedAfterPause {
-        /// How long it did not run.
+        /// For how long the process did not run.
         paused: Duration,
     },
     /// The node is no longer in contact with a majority of the voters.
     QuorumLost,
-    /// The node holds the leader lease from now on.
+    /// The node acquired the leader lease.
     LeaseAcquired {
         /// Epoch of the lease.
         epoch: Epoch,
     },
-    /// The node gave the leader lease back.
+    /// The node released the leader lease.
     LeaseReleased {
         /// Epoch of the lease.
         epoch: Epoch,
     },
-    /// As the leader the node proposed other voters; they vote once [`ControlEvent::ValueDecided`] follows.
+    /// The node, as the leader, proposed a change of the voters. The proposed voters vote once
+    /// [`ControlEvent::ValueDecided`] follows.
     VoterChangeProposed {
         /// Number of the value that the change is based on.
         base_value: ValueNumber,
@@ -68,21 +68,21 @@
     },
     /// A graceful shutdown was requested.
     ShutdownRequested,
-    /// The usage report of a window is with the platform, or given up.
+    /// The platform has the usage report of a window, or the report was abandoned.
     UsageReported {
         /// The window.
         window: WindowNumber,
         /// How the call ended.
         outcome: PlatformOutcome,
     },
-    /// A call with a usage report failed; it will be made again.
+    /// A call with a usage report failed and will be retried.
     UsageDelayed {
         /// The window.
         window: WindowNumber,
         /// How the call ended.
         outcome: PlatformOutcome,
     },
-    /// The platform has refused the fence of a call, since it has seen a higher one.
+    /// The platform refused the fencing token of a call, since it has seen a higher one.
     FenceRefused {
         /// The refused epoch.
         epoch: Epoch,
--- a/crates/linenthread-control/src/ids.rs
+++ b/crates/linenthread-control/src/ids.rs
@@ -1,12 +1,12 @@
-//! Identifiers that the driver of a control node hands out.
+//! Identifiers assigned by the driver of a control node.
 
 use std::fmt;
 
-/// A connection with a peer, named by whoever owns the sockets. Never used twice by one process.
+/// Identifies a connection with a peer. Assigned by the owner of the sockets, and never reused within a process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct SessionId(pub u64);
 
-/// A call that waits for its [`Response`](crate::Response), named by whoever accepted it.
+/// Identifies a call that awaits its [`Response`](crate::Response). Assigned by the component that accepted the call.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CallId(pub u64);
 
--- a/crates/linenthread-control/src/lib.rs
+++ b/crates/linenthread-control/src/lib.rs
@@ -1,25 +1,25 @@
-//! A control node as one state machine: it keeps the registry of replicas, serves operators and ingress nodes, and
-//! takes part in the agreement on the configuration.
+//! The control node as a state machine: it maintains the replica registry, serves operators and ingress nodes, and
+//! takes part in the consensus on the configuration.
 //!
-//! The package does no I/O and reads no clock. Whoever drives it (the daemon, a simulation, a test) passes in
-//! messages, calls and the present [`linenthread_time::Instant`], and carries out the [`Effect`]s that come back, in
-//! their order. It must not know of sockets, files, threads or the time of day; only [`StateLog`] writes bytes, to
-//! whatever [`linenthread_store::Files`] it is given.
+//! This crate does no I/O and reads no clock. Its driver (the daemon, a simulation or a test) passes in messages, calls
+//! and the current [`linenthread_time::Instant`], and carries out the returned [`Effect`]s in order. The crate must not
+//! depend on sockets, files, threads or the time of day; only [`StateLog`] writes bytes, to the
+//! [`linenthread_store::Files`] it is given.
 //!
-//! Start reading at [`ControlNode`] (`control_node`), then `control_node/ticks` for what happens by time and
-//! `control_node/sessions` for what happens by message. A table, or a pure decision, knows nothing of the others; the
-//! modules below `control_node` route between them.
+//! Start reading at [`ControlNode`] (`control_node`), then `control_node/ticks` for work driven by time and
+//! `control_node/sessions` for work driven by messages. The state tables and decision functions don't depend on each
+//! other; the modules below `control_node` connect them.
 //!
-//! | concern | tables and decisions | routing, below `control_node` |
+//! | concern | state tables and decision functions | connected in, below `control_node` |
 //! | --- | --- | --- |
-//! | what drives the node | `tick_schedule`, `pending_jobs` | `ticks`, `sessions`, `register_driver` |
-//! | contact with a quorum, and what may be answered without it | `quorum_contact` | `contact`, `admission`, `heartbeats` |
-//! | what peers send first and regularly, by their kind | `peer_hello`, `peer_heartbeat` | `sessions`, `heartbeats` |
+//! | scheduling and pending jobs | `tick_schedule`, `pending_jobs` | `ticks`, `sessions`, `register_driver` |
+//! | contact with a quorum, and which calls are answered without it | `quorum_contact` | `contact`, `admission`, `heartbeats` |
+//! | hello messages and heartbeats, by kind of peer | `peer_hello`, `peer_heartbeat` | `sessions`, `heartbeats` |
 //! | the other control nodes | `membership`, `control_peer`, `address_book` | `heartbeats`, `replica_updates` |
 //! | replicas | `replica_registry`, `change_log`, `pending_drains`, `replica_snapshot` | `replica_calls`, `replica_updates` |
 //! | operators | | `operator_calls`, `status` |
 //! | ingress nodes | `ingress_nodes`, `ingress_peer` | `ingress_updates` |
-//! | the time of day, for windows of usage reports only | `agreed_time` | `heartbeats` |
+//! | wall-clock time, for usage report windows only | `agreed_time` | `heartbeats` |
 //! | leadership | `quota_allocator`, `retry_budget` | `leader_lease` |
 //! | usage reports | `usage_ledger`, `usage_duty`, `usage_body`, `platform_call` | `usage` |
 //! | voters | `voting_state`, [`reconfiguration`] | `voters` |
@@ -79,7 +79,7 @@
 pub use state_log::{OpenedState, StateLog, StateLogError};
 pub use timing::CONTACT_TIMEOUT;
 
-// Types of the consensus that this interface is made of.
+// Consensus types that appear in the public interface of this crate.
 pub use linenthread_consensus::{
     AfterSync, Epoch, Incarnation, NodeId, Order, Revision, ValueNumber,
 };
--- a/crates/linenthread-control/src/response.rs
+++ b/crates/linenthread-control/src/response.rs
@@ -1,48 +1,51 @@
-//! Answers to the calls of replicas and operators.
+//! Responses to the calls of replicas and operators.
 
 use std::fmt;
 
 use linenthread_consensus::{Revision, UnknownReason};
 use linenthread_messages::Value;
 
-/// The answer to a call of a replica or an operator.
+/// The response to a call of a replica or an operator.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Response {
     /// A replica's call was recorded.
     Acknowledged {
-        /// The control address that its later heartbeats should go to, in its own zone; `None` if there is none to name.
+        /// The control address, in the replica's own zone, to which the replica should send its next heartbeats; `None`
+        /// if there is no such address.
         report_to: Option<String>,
     },
     /// The configuration of this revision was committed.
     Committed(Revision),
     /// The newest configuration.
     Document(Value),
-    /// Another revision, this one, is in place; the order was not taken and never will be.
+    /// The order was rejected and will never be committed, since the newest configuration has this revision instead of
+    /// the order's base revision.
     Conflict(Revision),
-    /// This node can't tell; another may.
+    /// This node can't answer the call; another one may.
     Unavailable(UnavailableReason),
-    /// This node shuts down; the one at this control address takes calls.
+    /// This node is shutting down; the node at this control address accepts calls.
     Redirect(String),
 }
 
-/// Why a control node can't answer a call. [`fmt::Display`] gives the text that the caller receives.
+/// Why a control node can't answer a call. [`fmt::Display`] writes the text that the caller receives.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UnavailableReason {
     /// The node is out of contact with a majority of the voters.
     NoQuorum,
-    /// A majority of the voters did not reply in time: what was ordered may come into force or not.
+    /// A majority of the voters did not respond in time: the order may or may not be committed.
     QuorumTimedOut,
-    /// The change was recorded here, but a majority did not acknowledge it in time.
+    /// This node recorded the change, but a majority of the voters did not acknowledge it in time.
     NotReplicated,
-    /// The node shuts down, and knows no other that takes calls.
+    /// The node is shutting down, and knows no other node that accepts calls.
     ShuttingDown,
-    /// Too many orders or reads wait on this node: nothing was begun.
+    /// Too many orders or reads are pending on this node: the call was not started.
     TooManyPending,
-    /// The node has just joined, and has not learned the configuration yet: nothing was begun.
+    /// The node has just joined and has not learned the configuration yet: the call was not started.
     Joining,
-    /// The revision that the order builds on is above the newest one: it may come into force yet, or never.
+    /// The base revision of the order is above the newest revision: it may be committed later, or never.
     BaseNotCommitted,
-    /// The order is older than what this node remembers, or in a part of the order log that it has not fetched.
+    /// The order is older than the orders that this node retains, or in a part of the order log that the node has not
+    /// fetched.
     OrderNotRemembered,
 }
 
--- a/crates/linenthread-control/src/timing.rs
+++ b/crates/linenthread-control/src/timing.rs
@@ -1,43 +1,43 @@
-//! Intervals and time-outs of a control node, on its steady clock.
+//! Intervals and time-outs of a control node, measured on its monotonic clock.
 
 use std::time::Duration;
 
-/// How often heartbeats are sent, at least, in both directions of a session between nodes. How often replicas send
-/// theirs is a setting.
+/// The maximum interval between heartbeats, in both directions of a session between nodes. The interval of replica
+/// heartbeats is a setting.
 pub(crate) const PEER_HEARTBEAT_INTERVAL: Duration = Duration::from_millis(500);
 
-/// A session on which nothing was received for so long has ended.
+/// A session is closed when nothing was received on it for this long.
 pub(crate) const SESSION_TIMEOUT: Duration = Duration::from_millis(1_600);
 
-/// A peer counts as in contact for so long after a heartbeat of ours was sent that it has acknowledged.
+/// A peer is in contact for this long after the sending of the latest heartbeat that it has acknowledged.
 pub const CONTACT_TIMEOUT: Duration = Duration::from_millis(2_000);
 
-/// A process that did not run for longer was frozen: its peers have ended their sessions with it by now, and what it
-/// knew of them is stale.
+/// A process that did not run for longer than this was paused: by now its peers have closed their sessions with it, and
+/// its view of them is stale.
 pub(crate) const PAUSE_TIMEOUT: Duration = SESSION_TIMEOUT;
 
-/// How long a call of an operator or a replica is worked on before the caller is told to try another node.
+/// How long a call of an operator or a replica may take before the caller is told to try another node.
 pub(crate) const CALL_TIMEOUT: Duration = Duration::from_millis(900);
 
-/// How often anything that waits for messages which may be lost is looked at again.
+/// How often work is retried that waits for messages which may have been lost.
 pub(crate) const RETRY_INTERVAL: Duration = Duration::from_millis(25);
 
-/// How often sessions and replicas are examined for time-outs, and changed replicas are sent to the other control nodes.
+/// How often sessions and replicas are checked for time-outs, and changed replicas are sent to the other control nodes.
 pub(crate) const UPKEEP_INTERVAL: Duration = Duration::from_millis(200);
 
-/// For so long from its start a node waits for the others to be found before it rejects calls.
+/// How long after its start a node keeps looking for the other nodes before it rejects calls.
 pub(crate) const STARTUP_GRACE: Duration = Duration::from_millis(3_000);
 
-/// A voter that is out of contact for longer is replaced by a standby.
+/// A voter that is out of contact for longer than this is replaced by a standby.
 pub(crate) const VOTER_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// How often the replicas are written to disk, at most.
+/// The minimum interval between two snapshots of the replicas on disk.
 pub(crate) const SNAPSHOT_INTERVAL: Duration = Duration::from_millis(1_000);
 
-/// A snapshot that is not synced after so long is written again: a full disk, or one with too many records waiting,
+/// A snapshot that is not synced within this time is written again: a full disk, or one with too many queued records,
 /// drops it.
 pub(crate) const SNAPSHOT_REWRITE_INTERVAL: Duration = Duration::from_millis(3_000);
 
-/// For so long from its start a node proposes no usage report: ingress nodes that lost their sessions send what they have
-/// counted once they have found another control node.
+/// How long after its start a node proposes no usage report: ingress nodes whose sessions were closed send their counts
+/// once they have connected to another control node.
 pub(crate) const USAGE_SETTLE_TIME: Duration = Duration::from_millis(3_000);
