--- a/crates/linenthread-control/src/change_log.rs
+++ b/crates/linenthread-control/src/change_log.rs
@@ -1,28 +1,29 @@
-//! The log of changes of the replica registry that ingress nodes follow.
+//! The log of changes to the replica registry, which ingress nodes follow.
 
 use std::collections::{BTreeSet, VecDeque};
 use std::fmt;
 
-/// A place in the change log of one control node: the number of changes up to there. The control node raises it with
-/// each change; an ingress node that names the last one it received is sent just the changes after it.
+/// An offset in the change log of one control node: the number of changes up to it. The control node increments it with
+/// each change. An ingress node that reports the offset of the last change it received is sent only the changes after
+/// it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ChangeLogOffset(u64);
 
 impl ChangeLogOffset {
-    /// Before the first change.
+    /// The offset before the first change.
     pub const START: ChangeLogOffset = ChangeLogOffset(0);
 
-    /// The offset that a message carries.
+    /// Converts the number in a message.
     pub const fn new(changes: u64) -> ChangeLogOffset {
         ChangeLogOffset(changes)
     }
 
-    /// The number that messages carry.
+    /// Returns the number that is sent in messages.
     pub const fn get(self) -> u64 {
         self.0
     }
 
-    /// The offset of the next change.
+    /// Returns the offset of the next change.
     #[must_use]
     pub const fn next(self) -> ChangeLogOffset {
         ChangeLogOffset(self.0 + 1)
@@ -35,23 +36,22 @@
     }
 }
 
-/// One change of the replica registry.
 struct Change {
     offset: ChangeLogOffset,
     replica_id: String,
 }
 
-/// Which replicas changed, in order; the oldest changes are forgotten.
+/// The ids of the replicas that changed, in order. Only the newest changes are retained.
 pub struct ChangeLog {
     /// Offset of the newest change.
     offset: ChangeLogOffset,
-    /// The remembered changes, the oldest first.
+    /// The retained changes, oldest first.
     changes: VecDeque<Change>,
     max_changes: usize,
 }
 
 impl ChangeLog {
-    /// An empty log that remembers so many changes.
+    /// Creates an empty log that retains the newest `max_changes` changes.
     pub fn new(max_changes: usize) -> ChangeLog {
         ChangeLog {
             offset: ChangeLogOffset::START,
@@ -60,7 +60,7 @@
         }
     }
 
-    /// Offset of the newest change; [`ChangeLogOffset::START`] if there was none.
+    /// Returns the offset of the newest change; [`ChangeLogOffset::START`] if there was none.
     pub fn offset(&self) -> ChangeLogOffset {
         self.offset
     }
@@ -77,8 +77,8 @@
         }
     }
 
-    /// The replicas that changed after an offset; `None` if changes since then are forgotten, or the offset was never
-    /// reached.
+    /// Returns the ids of the replicas that changed after an offset; `None` if changes since then are no longer
+    /// retained, or the offset is beyond the end of the log.
     pub fn since(&self, offset: ChangeLogOffset) -> Option<BTreeSet<&str>> {
         let oldest = self
             .changes
--- a/crates/linenthread-control/src/membership.rs
+++ b/crates/linenthread-control/src/membership.rs
@@ -1,4 +1,4 @@
-//! The other control nodes: all sessions with them, which are in contact, which shut down.
+//! The other control nodes: the sessions with them, whether they are in contact, and whether they are shutting down.
 
 use std::collections::BTreeMap;
 
@@ -6,29 +6,29 @@
 use linenthread_time::Instant;
 
 use crate::SessionId;
-use crate::control_peer::{ControlPeer, HeartbeatDemand};
+use crate::control_peer::{ControlPeer, HeartbeatActions};
 use crate::peer_heartbeat::ControlNodeHeartbeat;
 use crate::peer_hello::ControlNodeHello;
 use crate::timing::{PEER_HEARTBEAT_INTERVAL, SESSION_TIMEOUT};
 
-/// Which node was last seen at an address, and when.
+/// The node that was last seen at an address.
 pub(crate) struct LastSeen {
     pub(crate) node_id: NodeId,
     pub(crate) voter_eligible: bool,
-    /// When it was last in contact, or its first Hello since then was received. That Hello alone counts, though it
-    /// proves no round trip: contact follows within milliseconds, or not at all.
+    /// When the node was last in contact, or when the first Hello since then was received. Only that first Hello
+    /// counts, though it proves no round trip: contact follows within milliseconds or not at all.
     pub(crate) at: Instant,
-    /// A Hello was received since it was last in contact: a further one does not count.
+    /// Whether a Hello was received since the node was last in contact; further ones do not count.
     awaits_contact: bool,
 }
 
-/// All sessions with other control nodes, and what is remembered of those that have ended.
+/// All sessions with other control nodes, and what is retained of closed sessions.
 #[derive(Default)]
 pub(crate) struct Membership {
     peers: BTreeMap<SessionId, ControlPeer>,
     /// By control address.
     last_seen: BTreeMap<String, LastSeen>,
-    /// Nodes that ended after a graceful shutdown, and the newest value that the disk of each held.
+    /// Nodes that exited after a graceful shutdown, with the newest value that each node's disk held.
     departed: BTreeMap<NodeId, ValueNumber>,
 }
 
@@ -55,17 +55,17 @@
         self.peers.keys().copied().collect()
     }
 
-    /// The peers in contact.
+    /// Returns the peers in contact.
     pub(crate) fn contacts(&self, now: Instant) -> impl Iterator<Item = &ControlPeer> {
         self.peers.values().filter(move |peer| peer.in_contact(now))
     }
 
-    /// The peer of a node id, if it is in contact.
+    /// Returns the peer with a node id, if it is in contact.
     pub(crate) fn contact(&self, now: Instant, node_id: NodeId) -> Option<&ControlPeer> {
         self.contacts(now).find(|peer| peer.node_id() == node_id)
     }
 
-    /// The newest session with a node.
+    /// Returns the newest session with a node.
     pub(crate) fn session_with(&self, node_id: NodeId) -> Option<SessionId> {
         self.iter()
             .filter(|(_, peer)| peer.node_id() == node_id)
@@ -73,20 +73,20 @@
             .last()
     }
 
-    /// The newest session with each node: after both sides have dialled there are two, which are as good as one.
+    /// Returns the newest session with each node: if both sides have dialled, there are two equivalent sessions.
     pub(crate) fn newest_sessions(&self) -> impl Iterator<Item = &ControlPeer> {
         self.iter()
             .filter(|(session, peer)| self.session_with(peer.node_id()) == Some(*session))
             .map(|(_, peer)| peer)
     }
 
-    /// Sessions with nodes that another session is with, too, and that messages have lately gone back and forth on. Of
-    /// those in contact the newest one is kept.
+    /// Returns the sessions to close because another session with the same node is in contact. Of several sessions in
+    /// contact the newest one is kept.
     ///
-    /// To be closed by one of the two nodes only, or each might close the session that the other one keeps: by the one
-    /// of the lower address.
+    /// Only the node with the lower address closes them: if both nodes did, each might close the session that the other
+    /// one keeps.
     pub(crate) fn duplicates(&self, now: Instant, own_address: &str) -> Vec<SessionId> {
-        // Of several sessions with a node the last one stays in the map.
+        // Of several sessions with a node, the newest one remains in the map.
         let kept: BTreeMap<NodeId, SessionId> = self
             .iter()
             .filter(|(_, peer)| peer.in_contact(now))
@@ -102,7 +102,8 @@
             .collect()
     }
 
-    /// Sessions of earlier incarnations of a node: they are over, whatever their connections look like.
+    /// Returns the sessions with earlier incarnations of a node. They are obsolete, even if their connections seem to
+    /// be open.
     pub(crate) fn superseded(&self, hello: &ControlNodeHello) -> Vec<SessionId> {
         self.iter()
             .filter(|(_, peer)| {
@@ -112,7 +113,7 @@
             .collect()
     }
 
-    /// Sessions on which nothing was received for too long.
+    /// Returns the sessions on which nothing was received for too long.
     pub(crate) fn timed_out(&self, now: Instant) -> Vec<SessionId> {
         self.iter()
             .filter(|(_, peer)| now > peer.last_received_at() + SESSION_TIMEOUT)
@@ -144,7 +145,7 @@
             self.departed.insert(peer.node_id(), durable);
         }
         if peer.in_contact(now) {
-            self.note_seen(
+            self.record_contact(
                 &peer.hello().control_address,
                 now.min(peer.last_received_at() + PEER_HEARTBEAT_INTERVAL),
             );
@@ -152,36 +153,37 @@
         Some(peer)
     }
 
-    fn note_seen(&mut self, address: &str, at: Instant) {
+    fn record_contact(&mut self, address: &str, at: Instant) {
         if let Some(seen) = self.last_seen.get_mut(address) {
             seen.at = at;
             seen.awaits_contact = false;
         }
     }
 
-    /// The node that was last seen at an address.
+    /// Returns the node that was last seen at an address.
     pub(crate) fn last_seen(&self, address: &str) -> Option<&LastSeen> {
         self.last_seen.get(address)
     }
 
-    /// Takes in a heartbeat of a peer; `digest` is that of this node's registry.
+    /// Processes a heartbeat of a peer; `digest` is the digest of this node's registry. `None` if the session is not
+    /// open.
     pub(crate) fn on_heartbeat(
         &mut self,
         now: Instant,
         session: SessionId,
         heartbeat: &ControlNodeHeartbeat,
         digest: u64,
-    ) -> Option<HeartbeatDemand> {
+    ) -> Option<HeartbeatActions> {
         let peer = self.peers.get_mut(&session)?;
-        let demand = peer.on_heartbeat(now, heartbeat, digest);
+        let actions = peer.on_heartbeat(now, heartbeat, digest);
         if peer.in_contact(now) {
             let address = peer.hello().control_address.clone();
-            self.note_seen(&address, now);
+            self.record_contact(&address, now);
         }
-        Some(demand)
+        Some(actions)
     }
 
-    /// Whether a node shuts down, or ended after a graceful shutdown.
+    /// Reports whether a node is shutting down, or exited after a graceful shutdown.
     pub(crate) fn is_shutting_down(&self, node_id: NodeId) -> bool {
         self.departed.contains_key(&node_id)
             || self
@@ -190,12 +192,12 @@
                 .any(|peer| peer.is_shutting_down() && peer.node_id() == node_id)
     }
 
-    /// The newest value that the disk of a departed node held.
+    /// Returns the newest value that the disk of a departed node held.
     pub(crate) fn departed(&self, node_id: NodeId) -> Option<ValueNumber> {
         self.departed.get(&node_id).copied()
     }
 
-    /// Peers in contact that are eligible as voters and do not shut down.
+    /// Returns the peers in contact that are eligible as voters and are not shutting down.
     pub(crate) fn eligible_voters(&self, now: Instant) -> impl Iterator<Item = &ControlPeer> {
         self.contacts(now)
             .filter(|peer| peer.hello().voter_eligible && !peer.is_shutting_down())
--- a/crates/linenthread-control/src/own_durability.rs
+++ b/crates/linenthread-control/src/own_durability.rs
@@ -1,17 +1,17 @@
-//! How much of what a control node knows its own disk holds.
+//! Tracks how much of a control node's state its own disk holds.
 
 use linenthread_consensus::{Epoch, ValueNumber};
 
-/// What the node's own disk is known to hold.
+/// What is known to be durable on the node's own disk.
 pub(crate) struct OwnDurability {
     /// Number of the newest value up to which the disk holds everything.
     value_number: Option<ValueNumber>,
-    /// The newest epoch that the disk holds.
+    /// The newest epoch on the disk.
     epoch: Epoch,
 }
 
 impl OwnDurability {
-    /// As a start finds it: the epoch is durable; the values are once the register says so.
+    /// The state at start-up: the epoch is durable; the values are not known to be until the register reports them.
     pub(crate) fn new(epoch: Epoch) -> OwnDurability {
         OwnDurability {
             value_number: None,
@@ -19,27 +19,27 @@
         }
     }
 
-    /// Number of the newest value up to which the disk holds everything.
+    /// Returns the number of the newest value up to which the disk holds everything.
     pub(crate) fn value_number(&self) -> Option<ValueNumber> {
         self.value_number
     }
 
-    /// Whether the disk holds an epoch.
+    /// Reports whether the disk holds an epoch.
     pub(crate) fn holds_epoch(&self, epoch: Epoch) -> bool {
         epoch <= self.epoch
     }
 
-    /// An epoch was synced.
+    /// Records that an epoch was synced.
     pub(crate) fn on_epoch_synced(&mut self, epoch: Epoch) {
         self.epoch = self.epoch.max(epoch);
     }
 
-    /// Takes in up to which value the disk holds everything; whether that is news.
+    /// Records the newest value up to which the disk holds everything; returns whether it is newer than the last one.
     pub(crate) fn advance(&mut self, value_number: Option<ValueNumber>) -> bool {
-        let is_news = value_number > self.value_number;
-        if is_news {
+        let is_newer = value_number > self.value_number;
+        if is_newer {
             self.value_number = value_number;
         }
-        is_news
+        is_newer
     }
 }
--- a/crates/linenthread-control/src/peer_heartbeat.rs
+++ b/crates/linenthread-control/src/peer_heartbeat.rs
@@ -1,4 +1,4 @@
-//! The heartbeats of both kinds of peers: each sends [`Heartbeat`] with its own fields.
+//! The heartbeats of control nodes and ingress nodes: both send [`Heartbeat`], but each kind sets its own fields.
 
 use linenthread_consensus::{Revision, ValueNumber};
 use linenthread_messages::Heartbeat;
@@ -8,7 +8,7 @@
 
 /// A heartbeat of another control node.
 pub(crate) struct ControlNodeHeartbeat {
-    /// The peer is itself in contact with a majority of the voters, and takes calls.
+    /// Whether the peer is in contact with a majority of the voters and accepts calls.
     pub(crate) has_quorum: bool,
     /// Number of the newest value that the peer has, in memory.
     pub(crate) value_number: ValueNumber,
@@ -16,14 +16,14 @@
     pub(crate) durable_value_number: Option<ValueNumber>,
     /// Digest of the peer's replica registry.
     pub(crate) registry_digest: u64,
-    /// When the peer, in milliseconds of its own clock, sent this heartbeat.
+    /// When the peer sent this heartbeat, in milliseconds of the peer's clock.
     pub(crate) sent_at: u64,
-    /// When this node sent the last one of its own heartbeats that the peer has received.
+    /// When this node sent the newest of its heartbeats that the peer has received.
     pub(crate) echoed_sent_at: Option<Instant>,
     pub(crate) is_shutting_down: bool,
-    /// The peer leads, and is about to change the voters.
+    /// Whether the peer is the leader and is about to change the voters.
     pub(crate) is_reconfiguring: bool,
-    /// What the peer's own clock showed when it sent this heartbeat.
+    /// The time of the peer's own wall clock when it sent this heartbeat.
     pub(crate) wall_time: Option<WallTime>,
 }
 
@@ -45,7 +45,7 @@
 
 /// A heartbeat of an ingress node.
 pub(crate) struct IngressNodeHeartbeat {
-    /// Its newest request for a retry quota.
+    /// Number of its newest request for a retry quota.
     pub(crate) quota_request: QuotaRequestNumber,
     /// The revision of the configuration that it uses.
     pub(crate) revision: Revision,
--- a/crates/linenthread-control/src/peer_hello.rs
+++ b/crates/linenthread-control/src/peer_hello.rs
@@ -1,32 +1,32 @@
-//! How a peer introduced itself: which of the two kinds of node it is, and the fields that its kind sends.
+//! The first message of a session, by which a peer identifies itself as a control node or an ingress node.
 
 use linenthread_consensus::{Incarnation, NodeId, Revision, ValueNumber};
 use linenthread_messages::{Hello, Voter};
 
 use crate::change_log::ChangeLogOffset;
 
-/// The first message of a session, by the kind of its sender: both send [`Hello`], each with its own fields.
+/// A hello message, by the kind of its sender: both kinds send [`Hello`], but each sets its own fields.
 pub(crate) enum PeerHello {
     ControlNode(ControlNodeHello),
     IngressNode(IngressNodeHello),
 }
 
-/// How another control node introduced itself.
+/// The hello message of another control node.
 pub(crate) struct ControlNodeHello {
     pub(crate) name: String,
     pub(crate) zone: String,
     pub(crate) incarnation: Incarnation,
-    /// Where it takes calls; its peers know it by this address.
+    /// The address at which the node accepts calls, and by which its peers identify it.
     pub(crate) control_address: String,
     pub(crate) node_id: NodeId,
-    /// Its settings allow it to be made a voter.
+    /// Whether the node's settings allow it to become a voter.
     pub(crate) voter_eligible: bool,
-    /// Number of the newest value that it has.
+    /// Number of the newest value that the node has.
     pub(crate) value_number: ValueNumber,
 }
 
 impl ControlNodeHello {
-    /// The node as a voter, which it may be or become.
+    /// Returns the entry for the node in a list of voters, whether or not it is a voter.
     pub(crate) fn voter(&self) -> Voter {
         Voter {
             id: self.node_id.0,
@@ -35,21 +35,21 @@
     }
 }
 
-/// How an ingress node introduced itself.
+/// The hello message of an ingress node.
 pub(crate) struct IngressNodeHello {
     pub(crate) name: String,
     pub(crate) zone: String,
     pub(crate) incarnation: Incarnation,
-    /// The change log that it followed last: that of the control node of this incarnation.
+    /// The change log that the ingress node followed last, identified by the incarnation of its control node.
     pub(crate) change_log_id: Incarnation,
-    /// The offset in that log up to which it has everything.
+    /// The offset in that log up to which the ingress node has all changes.
     pub(crate) change_log_offset: ChangeLogOffset,
-    /// The revision of the configuration that it uses.
+    /// The revision of the configuration that the ingress node uses.
     pub(crate) revision: Revision,
 }
 
 impl From<Hello> for PeerHello {
-    /// Only control nodes have a control address.
+    /// Only control nodes send a control address.
     fn from(hello: Hello) -> PeerHello {
         let incarnation = Incarnation::new(hello.incarnation);
         if hello.control_address.is_empty() {
--- a/crates/linenthread-control/src/pending_jobs.rs
+++ b/crates/linenthread-control/src/pending_jobs.rs
@@ -1,4 +1,4 @@
-//! Jobs of the register that are in flight, and who waits for the outcome of each.
+//! The jobs of the register that are in flight, and the owner of each.
 
 use std::collections::BTreeMap;
 
@@ -6,13 +6,14 @@
 
 use crate::{CallId, Response, SessionId};
 
-/// Who waits for the outcome of a job.
+/// The owner of a job, which receives its outcome.
 pub(crate) enum JobOwner {
     /// An operator's call.
     Call(CallId),
-    /// A session with an ingress node, whose read barrier it is: it is sent the configuration once this read has ended.
+    /// A session with an ingress node, for which the job is the read barrier: the configuration is sent on the session
+    /// once this read has completed.
     Confirmation(SessionId),
-    /// A change of the voters by this node as the leader.
+    /// A change of the voters that this node proposed as the leader.
     VoterChange,
     /// A usage report that this node proposed as the leader.
     UsageReport,
@@ -21,45 +22,45 @@
 /// The jobs in flight.
 #[derive(Default)]
 pub(crate) struct PendingJobs {
-    last: u64,
+    last_id: u64,
     owners: BTreeMap<JobId, JobOwner>,
 }
 
 impl PendingJobs {
-    /// Numbers a new job.
+    /// Adds a job and returns its new id.
     pub(crate) fn add(&mut self, owner: JobOwner) -> JobId {
-        self.last += 1;
-        let job = JobId(self.last);
+        self.last_id += 1;
+        let job = JobId(self.last_id);
         self.owners.insert(job, owner);
         job
     }
 
-    /// Removes a job that has ended.
+    /// Removes a completed job and returns its owner.
     pub(crate) fn take(&mut self, job: JobId) -> Option<JobOwner> {
         self.owners.remove(&job)
     }
 
-    /// Whether the call of some operator waits for its job.
+    /// Reports whether an operator's call waits for its job.
     pub(crate) fn has_calls(&self) -> bool {
         self.has(|owner| matches!(owner, JobOwner::Call(_)))
     }
 
-    /// Whether a change of the voters, proposed by this node as the leader, is not decided yet.
+    /// Reports whether a change of the voters, proposed by this node as the leader, is not decided yet.
     pub(crate) fn has_voter_change(&self) -> bool {
         self.has(|owner| matches!(owner, JobOwner::VoterChange))
     }
 
-    /// Whether a usage report, proposed by this node as the leader, is not decided yet.
+    /// Reports whether a usage report, proposed by this node as the leader, is not decided yet.
     pub(crate) fn has_usage_report(&self) -> bool {
         self.has(|owner| matches!(owner, JobOwner::UsageReport))
     }
 
-    fn has(&self, is_searched: impl Fn(&JobOwner) -> bool) -> bool {
-        self.owners.values().any(is_searched)
+    fn has(&self, predicate: impl Fn(&JobOwner) -> bool) -> bool {
+        self.owners.values().any(predicate)
     }
 }
 
-/// An outcome as the response to an operator's call.
+/// Converts the outcome of a job to the response to an operator's call.
 impl From<Outcome> for Response {
     fn from(outcome: Outcome) -> Response {
         match outcome {
--- a/crates/linenthread-control/src/quorum_contact.rs
+++ b/crates/linenthread-control/src/quorum_contact.rs
@@ -1,4 +1,5 @@
-//! Contact with a majority of the voters: nothing may be confirmed, and nothing conclusively rejected, without it.
+//! Tracks contact with a majority of the voters. Without it nothing may be confirmed, and nothing conclusively
+//! rejected.
 
 use std::time::Duration;
 
@@ -6,21 +7,21 @@
 
 use crate::timing::{PAUSE_TIMEOUT, STARTUP_GRACE};
 
-/// What has become of the contact with a majority.
+/// A change of the contact with a majority.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ContactChange {
-    /// It begins.
+    /// The node came into contact with a majority.
     Began,
-    /// It ends.
+    /// The node is no longer in contact with a majority.
     Ended,
 }
 
-/// Since when the node runs, and since when it is in contact with a majority of the voters.
+/// When the node started, and since when it is in contact with a majority of the voters.
 pub(crate) struct QuorumContact {
     started_at: Instant,
-    /// `None` while out of contact.
+    /// When the current contact began; `None` while out of contact.
     since: Option<Instant>,
-    /// When the state machine last ran at all.
+    /// When the state machine last processed anything.
     last_active_at: Instant,
 }
 
@@ -33,22 +34,22 @@
         }
     }
 
-    /// When the node started.
+    /// Returns when the node started.
     pub(crate) fn started_at(&self) -> Instant {
         self.started_at
     }
 
-    /// Since when contact has lasted without interruption.
+    /// Returns since when contact has lasted without interruption; `None` while out of contact.
     pub(crate) fn since(&self) -> Option<Instant> {
         self.since
     }
 
-    /// Whether the node started so recently that the others may not have been found yet.
+    /// Reports whether the node started so recently that it may not have found the other nodes yet.
     pub(crate) fn is_starting(&self, now: Instant) -> bool {
         now < self.started_at + STARTUP_GRACE
     }
 
-    /// Takes in whether the node is in contact with a majority.
+    /// Records whether the node is in contact with a majority; returns the change, if there is one.
     pub(crate) fn update(&mut self, now: Instant, has_quorum: bool) -> Option<ContactChange> {
         match (has_quorum, self.since) {
             (true, None) => {
@@ -63,12 +64,12 @@
         }
     }
 
-    /// The process was frozen: whatever contact there was is over.
+    /// Ends any contact, after the process was paused.
     pub(crate) fn reset(&mut self) {
         self.since = None;
     }
 
-    /// Notes that the state machine runs; how long it did not, if that was long enough for a freeze.
+    /// Records that the state machine runs; returns for how long it did not run, if that exceeds [`PAUSE_TIMEOUT`].
     pub(crate) fn on_activity(&mut self, now: Instant) -> Option<Duration> {
         let paused = now.since(self.last_active_at);
         self.last_active_at = now;
--- a/crates/linenthread-control/src/quota_allocator.rs
+++ b/crates/linenthread-control/src/quota_allocator.rs
@@ -1,4 +1,4 @@
-//! The leader's grants of retry quota to ingress nodes.
+//! Grants retry quotas to ingress nodes, on the leader.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -10,27 +10,27 @@
 use crate::retry_budget::{EarlierGrants, GRANT_LIFETIME};
 use crate::{IngressIncarnation, RetryBudget};
 
-/// Numbers the requests of one incarnation of an ingress node for a retry quota: the ingress node raises it with each
-/// heartbeat, and the grant repeats it. So each request is granted once, and the ingress node knows from when a grant
-/// counts.
+/// Number of a request for a retry quota, within one incarnation of an ingress node. The ingress node increments it
+/// with each heartbeat, and the grant repeats it, so that each request is granted once and the ingress node knows from
+/// when a grant is valid.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct QuotaRequestNumber(u64);
 
 impl QuotaRequestNumber {
-    /// Below every request: none was made yet.
+    /// Less than the number of every request: no request was made yet.
     pub const NONE: QuotaRequestNumber = QuotaRequestNumber(0);
 
-    /// The number that a message carries.
+    /// Converts the number in a message.
     pub const fn new(number: u64) -> QuotaRequestNumber {
         QuotaRequestNumber(number)
     }
 
-    /// The number that messages carry.
+    /// Returns the number that is sent in messages.
     pub const fn get(self) -> u64 {
         self.0
     }
 
-    /// The number of the next request.
+    /// Returns the number of the next request.
     #[must_use]
     pub const fn next(self) -> QuotaRequestNumber {
         QuotaRequestNumber(self.0 + 1)
@@ -43,14 +43,14 @@
     }
 }
 
-/// The grants under the leases that this node held.
+/// The grants that this node made under its leases.
 pub(crate) struct QuotaAllocator {
     budget: RetryBudget,
-    /// The whole system started for the first time with this process.
+    /// Whether the cluster started for the first time with this process.
     is_genesis: bool,
-    /// The epoch under which this process last held the lease.
+    /// The epoch of the last lease that this process held.
     last_epoch: Option<Epoch>,
-    /// The request of each ingress node that was last granted.
+    /// The last granted request of each ingress node.
     granted_requests: BTreeMap<IngressIncarnation, QuotaRequestNumber>,
 }
 
@@ -64,8 +64,8 @@
         }
     }
 
-    /// This node leads from now on. If it led under the epoch just before, nobody led in between: its own grants are
-    /// all there are.
+    /// Starts granting under a newly acquired lease. If this node also held the lease of the previous epoch, no other
+    /// node led in between, and its own grants are the only ones.
     pub(crate) fn on_lease_acquired(&mut self, now: Instant, epoch: Epoch) {
         if self.last_epoch.map(Epoch::next) != Some(epoch) {
             let is_first_leader = self.is_genesis && epoch == Epoch::FIRST;
@@ -80,7 +80,7 @@
         self.granted_requests.clear();
     }
 
-    /// Grants for all ingress nodes with a request that was not granted yet.
+    /// Returns grants for all ingress nodes whose latest request was not granted yet.
     pub(crate) fn allocate(
         &mut self,
         now: Instant,
--- a/crates/linenthread-control/src/tick_schedule.rs
+++ b/crates/linenthread-control/src/tick_schedule.rs
@@ -1,10 +1,10 @@
-//! When the periodic work of a control node is due.
+//! Schedules the periodic work of a control node.
 //!
 //! | work | how often |
 //! | --- | --- |
-//! | retries: what waits for messages that may be lost | every [`RETRY_INTERVAL`] while anything waits |
-//! | upkeep: time-outs, dialling, changed replicas to peers and to the disk | every [`UPKEEP_INTERVAL`] |
-//! | heartbeats, and what follows from them: leases, quota grants, voters | with the first upkeep after [`PEER_HEARTBEAT_INTERVAL`] |
+//! | retries of work that waits for messages which may be lost | every [`RETRY_INTERVAL`] while there is such work |
+//! | upkeep: time-outs, dialling, sending changed replicas to peers and writing them to disk | every [`UPKEEP_INTERVAL`] |
+//! | heartbeats, then leases, quota grants and voter changes | with the first upkeep after [`PEER_HEARTBEAT_INTERVAL`] |
 
 use std::time::Duration;
 
@@ -12,7 +12,7 @@
 
 use crate::timing::{PEER_HEARTBEAT_INTERVAL, RETRY_INTERVAL, UPKEEP_INTERVAL};
 
-/// When each kind of periodic work was last done.
+/// The time at which each kind of periodic work was last done.
 pub(crate) struct TickSchedule {
     last_tick: Instant,
     last_upkeep: Instant,
@@ -20,7 +20,7 @@
 }
 
 impl TickSchedule {
-    /// All is due at once.
+    /// A schedule by which all work is due immediately.
     pub(crate) fn new() -> TickSchedule {
         TickSchedule {
             last_tick: Instant::START,
@@ -29,13 +29,13 @@
         }
     }
 
-    /// Makes upkeep and heartbeats due at once.
+    /// Makes upkeep and heartbeats due immediately.
     pub(crate) fn expedite(&mut self) {
         self.last_heartbeat = Instant::START;
         self.last_upkeep = Instant::START;
     }
 
-    /// When the next tick is due; `awaits_messages` if something waits for messages that may be lost.
+    /// Returns when the next tick is due. `awaits_messages` says whether any work waits for messages that may be lost.
     pub(crate) fn next_tick_at(&self, awaits_messages: bool) -> Instant {
         let retry_at = if awaits_messages {
             self.last_tick + RETRY_INTERVAL
@@ -45,17 +45,17 @@
         retry_at.min(self.last_upkeep + UPKEEP_INTERVAL)
     }
 
-    /// A tick begins, whatever is due with it.
+    /// Records the start of a tick, whichever work is due.
     pub(crate) fn on_tick(&mut self, now: Instant) {
         self.last_tick = now;
     }
 
-    /// Whether upkeep is due; if so, it is noted as done.
+    /// Reports whether upkeep is due, and if so records it as done.
     pub(crate) fn begin_upkeep(&mut self, now: Instant) -> bool {
         begin_if_due(&mut self.last_upkeep, now, UPKEEP_INTERVAL)
     }
 
-    /// Whether heartbeats are due; if so, they are noted as sent.
+    /// Reports whether heartbeats are due, and if so records them as sent.
     pub(crate) fn begin_heartbeat(&mut self, now: Instant) -> bool {
         begin_if_due(&mut self.last_heartbeat, now, PEER_HEARTBEAT_INTERVAL)
     }
--- a/crates/linenthread-control/src/usage_body.rs
+++ b/crates/linenthread-control/src/usage_body.rs
@@ -1,11 +1,11 @@
-//! The body of a usage report, as the platform reads it.
+//! The body of a usage report in the platform's JSON format.
 
 use std::collections::BTreeMap;
 
 use linenthread_time::WindowNumber;
 use serde::Serialize;
 
-/// The fields of the body; their names are the platform's.
+/// The body; its field names are given by the platform.
 #[derive(Serialize)]
 struct Body<'a> {
     #[serde(rename = "epoch")]
@@ -14,11 +14,11 @@
     requests: &'a BTreeMap<&'a str, u64>,
 }
 
-/// The body of the report of a window: the requests of each tenant.
+/// Encodes the body of the report of a window, with the number of requests of each tenant.
 pub(crate) fn usage_body(window: WindowNumber, requests: &BTreeMap<&str, u64>) -> Vec<u8> {
     let body = Body {
         window: window.get(),
         requests,
     };
-    serde_json::to_vec(&body).expect("names and numbers are JSON")
+    serde_json::to_vec(&body).expect("a map of strings to integers encodes as JSON")
 }
--- a/crates/linenthread-control/src/voting_state.rs
+++ b/crates/linenthread-control/src/voting_state.rs
@@ -1,26 +1,27 @@
-//! What a control node remembers from one event to the next: whether it votes, and for how long a value was undecided.
+//! The voting state of a control node: whether it is a voter, since when the voters are known, and for how long a value
+//! has been undecided.
 
 use linenthread_consensus::{LEASE_DURATION, ValueNumber};
 use linenthread_messages::Value;
 use linenthread_time::Instant;
 
-/// A value must be undecided at so many heartbeat ticks in a row before this node completes it.
+/// A value that is undecided at this many heartbeat ticks in a row is completed by this node.
 const MAX_UNDECIDED_TICKS: u32 = 2;
 
-/// This node as a voter, when it last looked.
+/// The voting state as of the last event.
 pub(crate) struct VotingState {
-    /// This node is one of the voters of the value that it learned last.
+    /// Whether this node is one of the voters of the value that it learned last.
     is_voter: bool,
-    /// Number of the value that first named the voters.
+    /// Number of the first value with the current voters.
     voters_since: ValueNumber,
-    /// When this node learned of these voters: they had been decided by then.
+    /// When this node learned of the current voters, which is after they were decided.
     voters_learned_at: Instant,
-    /// At how many heartbeat ticks in a row a value was undecided.
+    /// Number of heartbeat ticks in a row at which a value was undecided.
     undecided_ticks: u32,
 }
 
 impl VotingState {
-    /// For a node that starts at this instant.
+    /// The state of a node that starts at `now`.
     pub(crate) fn new(now: Instant) -> VotingState {
         VotingState {
             is_voter: false,
@@ -30,27 +31,29 @@
         }
     }
 
-    /// Notes the voters of a new value; whether they are others than before.
+    /// Records the voters of a new value; returns whether they differ from the previous voters.
     pub(crate) fn on_decided(&mut self, now: Instant, value: &Value) -> bool {
         let voters_since = ValueNumber::new(value.voters_since);
-        let are_others = voters_since > self.voters_since;
-        if are_others {
+        let voters_changed = voters_since > self.voters_since;
+        if voters_changed {
             (self.voters_since, self.voters_learned_at) = (voters_since, now);
         }
-        are_others
+        voters_changed
     }
 
-    /// Whether all leases are over that earlier sets of voters granted.
+    /// Reports whether all leases granted by earlier sets of voters have expired.
     pub(crate) fn earlier_leases_are_over(&self, now: Instant) -> bool {
         now >= self.voters_learned_at + LEASE_DURATION
     }
 
-    /// Notes whether this node is one of a new value's voters; returns whether it was one of the value's before.
+    /// Records whether this node is one of the voters of a new value; returns whether it was one of the previous
+    /// value's.
     pub(crate) fn set_voter(&mut self, is_voter: bool) -> bool {
         std::mem::replace(&mut self.is_voter, is_voter)
     }
 
-    /// Takes in whether a value is undecided at a heartbeat tick; whether it has been for too long.
+    /// Records whether a value is undecided at a heartbeat tick; returns whether it has been undecided for
+    /// [`MAX_UNDECIDED_TICKS`] ticks.
     pub(crate) fn on_heartbeat_tick(&mut self, has_undecided: bool) -> bool {
         self.undecided_ticks = if has_undecided {
             self.undecided_ticks + 1
