--- a/crates/linenthread-control/src/graceful_shutdown.rs
+++ b/crates/linenthread-control/src/graceful_shutdown.rs
@@ -1,4 +1,5 @@
-//! When a control node that shuts down may exit: pure functions from its view to a decision.
+//! Decides when a control node that is shutting down may exit. The functions are pure: they map the node's view to a
+//! decision.
 
 use std::fmt;
 
@@ -6,94 +7,94 @@
 
 use crate::reconfiguration::removes_voter_without_successor;
 
-/// How another voter is seen by a node that shuts down.
+/// The state of another voter, as seen by a node that is shutting down.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Presence {
-    /// Messages went back and forth lately.
+    /// A round trip succeeded recently.
     InContact,
-    /// In contact, and shutting down as well.
+    /// In contact, and shutting down.
     ShuttingDown,
-    /// It ended after a graceful shutdown.
+    /// It exited after a graceful shutdown.
     Departed,
-    /// Out of contact, without a graceful shutdown that this node knows of.
+    /// Out of contact, without a graceful shutdown known to this node.
     OutOfContact,
 }
 
-/// One of the newest value's voters as a node that shuts down sees it.
+/// A voter of the newest value, as seen by a node that is shutting down.
 #[derive(Clone, Copy, Debug)]
 pub struct PeerVoter {
     /// The voter's id.
     pub node_id: NodeId,
-    /// Its disk holds the newest value that the node knows.
+    /// Whether the voter's disk holds the newest value that the node knows.
     pub durable: bool,
-    /// How it is seen.
+    /// The state of the voter.
     pub presence: Presence,
 }
 
-/// What the node that shuts down has left to do itself.
+/// The unfinished work of the node that is shutting down.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct LocalWork {
     /// It accepted a value that it does not know to be decided.
     pub has_undecided_value: bool,
-    /// Calls of operators or replicas, or a change of the voters by this node, wait for their outcome.
+    /// Calls of operators or replicas, or a change of the voters by this node, are pending.
     pub has_pending_calls: bool,
     /// It holds the leader lease.
     pub is_leader: bool,
 }
 
-/// What the node that shuts down waits for at the others.
+/// The work of other nodes that the node which is shutting down waits for.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct PeerWork {
-    /// Some node may replace a voter at once.
+    /// A standby is ready to replace a voter.
     pub has_standby: bool,
-    /// Some peer in contact has not yet acknowledged that the node shuts down.
+    /// A peer in contact has not yet acknowledged that the node is shutting down.
     pub has_unacknowledged: bool,
     /// The leader is about to change the voters.
     pub is_reconfiguring: bool,
 }
 
-/// All that the decision to exit rests on.
+/// The input of [`next_shutdown_step`].
 #[derive(Clone, Debug)]
 pub struct ShutdownView {
-    /// Id of the node that shuts down.
+    /// Id of the node that is shutting down.
     pub node_id: NodeId,
-    /// In the order of the newest value.
+    /// The voters of the newest value, in its order.
     pub voters: Vec<PeerVoter>,
-    /// A voter is removed without a successor only if more than so many vote.
+    /// A voter is removed without a successor only if there are more voters than this.
     pub min_voters: usize,
-    /// What the node has left to do itself.
+    /// The node's own unfinished work.
     pub local: LocalWork,
-    /// What it waits for at the others.
+    /// The work of other nodes that the node waits for.
     pub peers: PeerWork,
 }
 
-/// What a node that shuts down does next.
+/// The next step of a node that is shutting down.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ShutdownStep {
     /// Wait, for this reason.
     Wait(ShutdownBlocker),
-    /// Others hold everything: give the leader lease back.
+    /// Release the leader lease: enough other voters hold the newest value.
     ReleaseLease,
-    /// End the process.
+    /// Exit the process.
     Exit,
 }
 
-/// What keeps a node that shuts down from exiting. [`fmt::Display`] gives the text for the log.
+/// The reason why a node that is shutting down can't exit yet. [`fmt::Display`] writes the text for the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ShutdownBlocker {
     /// It accepted a value that it does not know to be decided.
     UndecidedValue,
-    /// Calls wait for their responses.
+    /// Calls are pending.
     PendingCalls,
-    /// Some peer does not know yet that it shuts down.
+    /// A peer does not know yet that the node is shutting down.
     Unacknowledged,
     /// The voters are being changed.
     Reconfiguration,
-    /// It is a voter that is about to be replaced or removed.
+    /// The node is a voter that is about to be replaced or removed.
     OwnVote,
     /// Too few other disks hold the newest value.
     TooFewCopies,
-    /// It still holds the leader lease.
+    /// The node still holds the leader lease.
     LeaderLease,
 }
 
@@ -120,7 +121,7 @@
             .position(|voter| voter.node_id == self.node_id)
     }
 
-    /// How many of the voters shut down, or have, this node included.
+    /// Returns how many of the voters, this node included, are shutting down or have departed.
     fn shutting_down_count(&self) -> usize {
         self.voters
             .iter()
@@ -131,42 +132,44 @@
             .count()
     }
 
-    /// Whether the voter at this position goes on holding what this node leaves behind. Of several that shut down at
-    /// once the first in order exits first, and the later ones wait for its return. If nobody stays, what the disks
-    /// hold is all that can be had.
-    fn stays(&self, position: usize, nobody_stays: bool) -> bool {
+    /// Reports whether the voter at this position remains available as a copy of the state after this node's exit. If
+    /// several nodes shut down at once, the first in order exits first, and the later ones wait until it has returned.
+    /// If all other voters shut down or have departed, the copies on their disks are the best that can be had.
+    fn is_lasting_copy(&self, position: usize, all_others_shut_down: bool) -> bool {
         match self.voters[position].presence {
             Presence::InContact => true,
             Presence::ShuttingDown => {
-                nobody_stays || self.own_position().is_none_or(|own| position > own)
+                all_others_shut_down || self.own_position().is_none_or(|own| position > own)
             }
-            Presence::Departed => nobody_stays,
+            Presence::Departed => all_others_shut_down,
             Presence::OutOfContact => false,
         }
     }
 
-    /// Whether more than half of the voters hold the newest value without this node; or all others, if there are too
-    /// few of them.
-    fn others_hold_everything(&self) -> bool {
+    /// Reports whether a majority of the voters hold the newest value without this node; or all other voters, if they
+    /// are fewer than a majority.
+    fn has_enough_copies(&self) -> bool {
         let others: Vec<(usize, &PeerVoter)> = self
             .voters
             .iter()
             .enumerate()
             .filter(|(_, voter)| voter.node_id != self.node_id)
             .collect();
-        let nobody_stays = others.iter().all(|(_, voter)| {
+        let all_others_shut_down = others.iter().all(|(_, voter)| {
             matches!(voter.presence, Presence::ShuttingDown | Presence::Departed)
         });
         let copies = others
             .iter()
-            .filter(|(position, voter)| voter.durable && self.stays(*position, nobody_stays))
+            .filter(|(position, voter)| {
+                voter.durable && self.is_lasting_copy(*position, all_others_shut_down)
+            })
             .count();
         let majority = self.voters.len() / 2 + 1;
         copies >= majority.min(others.len())
     }
 }
 
-/// Whether a node that shuts down may exit, and what it does or waits for otherwise.
+/// Decides whether a node that is shutting down may exit, and otherwise what it does or waits for.
 pub fn next_shutdown_step(view: &ShutdownView) -> ShutdownStep {
     if view.local.has_undecided_value {
         return ShutdownStep::Wait(ShutdownBlocker::UndecidedValue);
@@ -189,7 +192,7 @@
     if will_be_removed && view.own_position().is_some() {
         return ShutdownStep::Wait(ShutdownBlocker::OwnVote);
     }
-    if !view.others_hold_everything() {
+    if !view.has_enough_copies() {
         return ShutdownStep::Wait(ShutdownBlocker::TooFewCopies);
     }
     if view.local.is_leader {
--- a/crates/linenthread-control/src/reconfiguration.rs
+++ b/crates/linenthread-control/src/reconfiguration.rs
@@ -1,53 +1,54 @@
-//! Who votes next: pure functions from the leader's view to a decision.
+//! Decides which nodes are the next voters. The functions are pure: they map the leader's view to a decision.
 
 use linenthread_messages::Voter;
 
-/// Whether the leader is in contact with a voter.
+/// The state of the leader's contact with a voter.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum VoterContact {
-    /// Messages went back and forth lately.
+    /// A round trip succeeded recently.
     InContact,
-    /// Out of contact for the moment.
+    /// Out of contact, but not for long enough to be lost.
     OutOfContact,
-    /// Out of contact for so long that its place goes to a standby.
+    /// Out of contact for so long that a standby replaces it.
     Lost,
 }
 
-/// One of the newest value's voters as the leader sees it.
+/// A voter of the newest value, as seen by the leader.
 #[derive(Clone, Debug)]
 pub struct VoterState {
     /// The voter.
     pub voter: Voter,
-    /// Whether it is in contact.
+    /// The state of the leader's contact with the voter.
     pub contact: VoterContact,
-    /// Another node is at its address now.
+    /// Whether another node is at the voter's address now.
     pub replaced: bool,
-    /// It shuts down, or ended after a graceful shutdown.
+    /// Whether the voter is shutting down, or exited after a graceful shutdown.
     pub shutting_down: bool,
 }
 
-/// All that the choice of the next voters rests on.
+/// The input of [`next_voters`].
 #[derive(Clone, Debug)]
 pub struct VotersView {
-    /// In the order of the newest value.
+    /// The voters of the newest value, in its order.
     pub voters: Vec<VoterState>,
-    /// Nodes in contact that are eligible as voters, are none yet, do not shut down, and hold the newest value on their
-    /// disks.
+    /// Nodes in contact that are eligible as voters, are not voters yet, are not shutting down, and hold the newest
+    /// value on their disks.
     pub ready_standbys: Vec<Voter>,
-    /// A voter is removed without a successor only if more than so many vote.
+    /// A voter is removed without a successor only if there are more voters than this.
     pub min_voters: usize,
 }
 
-/// Whether `down` of the voters may be down for good with the fault budget still complete: a majority is left after
-/// as many further losses as the smallest set of voters tolerates.
+/// Reports whether the set of voters keeps its full fault budget while `down` of them stay down: a majority must remain
+/// after as many further losses as the smallest set of voters tolerates.
 fn tolerates_down(voters: usize, down: usize, min_voters: usize) -> bool {
     let majority = voters / 2 + 1;
     let fault_budget = min_voters.saturating_sub(1) / 2;
     voters >= majority + fault_budget + down
 }
 
-/// Whether a voter that shuts down is removed first, without a standby to replace it: the set is large enough
-/// without it, and would not tolerate the faults it should with all that shut down, or have, counted as down.
+/// Reports whether a voter that is shutting down is removed first, without a standby to replace it. It is removed if
+/// more than `min_voters` vote and the set would not keep its fault budget with all `shutting_down` voters, those
+/// already departed included, counted as down.
 pub fn removes_voter_without_successor(
     voters: usize,
     shutting_down: usize,
@@ -75,10 +76,11 @@
             .count()
     }
 
-    /// Whether one more voter makes the set safer: below the smallest set, from an even number to an odd one, or as
-    /// the first of two. One more beside an odd number would only raise the majority, and so would one more beside a
-    /// voter that may be down: it stands by, for the place of the next one that shuts down or is lost.
-    fn needs_one_more(&self) -> bool {
+    /// Reports whether an additional voter makes the set safer: if the set is smaller than `min_voters`, if its size is
+    /// even, or if at least two standbys are ready. With only one standby, an odd set would just get a larger majority.
+    /// The same holds beside a voter that may be down, so none is added then: the standby is kept to replace the next
+    /// voter that shuts down or is lost.
+    fn needs_additional_voter(&self) -> bool {
         let count = self.voters.len();
         let helps =
             count < self.min_voters || count.is_multiple_of(2) || self.ready_standbys.len() > 1;
@@ -89,12 +91,13 @@
                 .all(|state| state.contact == VoterContact::InContact)
     }
 
-    /// The voters that are lost or replaced, each with a ready standby in its place: all at once, since the next loss may
-    /// come before another change. `None` if there is no such voter or no standby.
+    /// Returns the voters with each lost or replaced voter exchanged for a ready standby. All are exchanged at once,
+    /// since the next loss may come before another change. `None` if there is no such voter or no standby.
     fn with_successors_of_lost(&self) -> Option<Vec<Voter>> {
         let mut standbys = self.ready_standbys.clone();
         let mut next = self.present_voters();
-        // A standby at the address of a voter is its successor; those at other addresses take the places that are left.
+        // A standby at the address of a voter succeeds that voter; standbys at other addresses fill the remaining
+        // places.
         for (position, state) in self.voters.iter().enumerate() {
             let successor = standbys
                 .iter()
@@ -106,16 +109,17 @@
             }
         }
         for (position, state) in self.voters.iter().enumerate() {
-            let has_place_left = next[position] == state.voter;
-            if state.contact == VoterContact::Lost && has_place_left && !standbys.is_empty() {
+            let is_unreplaced = next[position] == state.voter;
+            if state.contact == VoterContact::Lost && is_unreplaced && !standbys.is_empty() {
                 next[position] = standbys.remove(0);
             }
         }
         (next != self.present_voters()).then_some(next)
     }
 
-    /// Position of the voter that is removed, or replaced alone: lost, else ended after a graceful shutdown, else still
-    /// shutting down. One that has ended holds nothing up any more, and may be gone for good.
+    /// Returns the position of the voter to remove, or to replace on its own: first a lost one, then one that has
+    /// departed, then one that is still shutting down. A departed voter no longer blocks anything, and may be gone for
+    /// good.
     fn outgoing(&self) -> Option<usize> {
         let position = |which: &dyn Fn(&VoterState) -> bool| self.voters.iter().position(which);
         let is_in_contact = |state: &VoterState| state.contact == VoterContact::InContact;
@@ -131,11 +135,11 @@
     }
 }
 
-/// The next value's voters; `None` if they are as they should be. All voters that are lost are replaced at once, as far
-/// as there are standbys; apart from that one node is different from the present ones. A voter that shuts down is
+/// Returns the voters of the next value; `None` if the present voters need no change. All lost voters are replaced at
+/// once, as far as there are standbys; apart from that, the sets differ by one node. A voter that is shutting down is
 /// replaced by a standby, or removed if [`removes_voter_without_successor`] says so.
 ///
-/// The next set is smaller than the present one by one voter at most, which the lease relies on (`LeaderLease` in
+/// The next set is at most one voter smaller than the present one, which the lease relies on (`LeaderLease` in
 /// `linenthread-consensus`).
 pub fn next_voters(view: &VotersView) -> Option<Vec<Voter>> {
     if let Some(next) = view.with_successors_of_lost() {
@@ -146,7 +150,7 @@
         let added = view
             .ready_standbys
             .first()
-            .filter(|_| view.needs_one_more())?;
+            .filter(|_| view.needs_additional_voter())?;
         next.push(added.clone());
         return Some(next);
     };
--- a/crates/linenthread-control/src/retry_budget.rs
+++ b/crates/linenthread-control/src/retry_budget.rs
@@ -1,4 +1,4 @@
-//! The retry budget of the whole system, and the shares of it that are in use.
+//! The retry budget of the cluster, and the shares of it that may be in use.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -7,15 +7,15 @@
 
 use crate::IngressIncarnation;
 
-/// How long a grant may be used, counted by the ingress node from when it requested it.
+/// How long a grant may be used, counted from when the ingress node requested it.
 pub(crate) const GRANT_LIFETIME: Duration = Duration::from_millis(5_000);
 
 /// A grant that may still be in use.
 #[derive(Clone, Copy)]
 struct Grant {
-    /// Retries in any window.
+    /// The number of retries in any window.
     share: f64,
-    /// Until when retries under it may fall into a window.
+    /// The end of the time in which retries under the grant may fall into a window.
     in_use_until: Instant,
 }
 
@@ -26,37 +26,38 @@
 }
 
 impl Grantee {
-    /// The largest share among some of the grants: only one of them is used at a time.
-    fn max_share(&self, counts: impl Fn(&Grant) -> bool) -> f64 {
+    /// Returns the largest share of the selected grants: only one of them is used at a time.
+    fn max_share(&self, is_selected: impl Fn(&Grant) -> bool) -> f64 {
         self.grants
             .iter()
-            .filter(|grant| counts(grant))
+            .filter(|grant| is_selected(grant))
             .map(|grant| grant.share)
             .fold(0.0, f64::max)
     }
 }
 
-/// Whether grants that this process did not make may be in use.
+/// Whether grants by an earlier leader may still be in use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EarlierGrants {
-    /// Nobody can have granted anything before.
+    /// There was no earlier leader.
     None,
-    /// An earlier leader may have granted all of it.
+    /// An earlier leader may have granted the whole allowance.
     MayBeInUse,
 }
 
-/// What the leader has granted of the retries that all ingress nodes together may make in any window. The sum of what
-/// may be in use never exceeds the allowance (rule *grants-within-allowance*).
+/// The shares of the retry allowance that the leader has granted, where the allowance is the number of retries that all
+/// ingress nodes together may make in any window. The sum of the shares that may be in use never exceeds the allowance
+/// (rule *grants-within-allowance*).
 pub struct RetryBudget {
     allowance: f64,
     window: Duration,
-    /// Nothing is granted before: grants of an earlier leader may be in use.
+    /// Nothing is granted before this instant: grants of an earlier leader may be in use.
     available_from: Instant,
     grantees: BTreeMap<IngressIncarnation, Grantee>,
 }
 
 impl RetryBudget {
-    /// A budget of `allowance` retries in any `window`, of which nothing is granted before [`RetryBudget::begin`].
+    /// Creates a budget of `allowance` retries in any `window`. Nothing is granted before [`RetryBudget::begin`].
     pub fn new(allowance: f64, window: Duration) -> RetryBudget {
         RetryBudget {
             allowance,
@@ -66,7 +67,7 @@
         }
     }
 
-    /// The budget is this node's to grant from now on.
+    /// Makes this node the one that grants from the budget, from `now` on.
     pub fn begin(&mut self, now: Instant, earlier: EarlierGrants) {
         self.available_from = match earlier {
             EarlierGrants::None => now,
@@ -75,8 +76,8 @@
         self.grantees.clear();
     }
 
-    /// Grants a share, in retries in any window, to one incarnation of an ingress node, where there are
-    /// `ingress_count` ingress nodes. 0 if nothing is available.
+    /// Grants a share to one incarnation of an ingress node, out of `ingress_count` ingress nodes, and returns it as
+    /// the number of retries in any window; 0 if nothing is available.
     pub fn grant(
         &mut self,
         now: Instant,
@@ -96,7 +97,7 @@
             .filter(|(other, _)| *other != ingress)
             .map(|(_, grantee)| grantee.max_share(|_| true))
             .sum();
-        // Room for one more ingress node: the old share of one that restarts stays in use for a while.
+        // Leaves a share for one more ingress node: the old share of a restarted node remains in use for a while.
         let share = (self.allowance / (ingress_count + 1) as f64)
             .min(self.allowance - others)
             .max(0.0);
@@ -109,7 +110,7 @@
         share
     }
 
-    /// How many retries in any window may be in use of all that was granted.
+    /// Returns how many retries in any window may be in use under all grants.
     pub fn granted(&self, now: Instant) -> f64 {
         self.grantees
             .values()
--- a/crates/linenthread-control/src/state_log.rs
+++ b/crates/linenthread-control/src/state_log.rs
@@ -1,5 +1,5 @@
-//! The durable state of a control node as a log on disk: records in parts, compaction, and recovery after the disk
-//! failed. Generic over the files, so that the daemon and the simulation run the same code.
+//! The durable state of a control node as a log on disk: records in parts, compaction, and recovery after a disk
+//! failure. Generic over the files, so that the daemon and the simulation run the same code.
 
 use linenthread_consensus::DurableState;
 use linenthread_messages::Record;
@@ -9,10 +9,10 @@
 use prost::Message;
 use snafu::{OptionExt, ResultExt, Snafu};
 
-/// Longest part of a record that one entry of the log holds, in bytes, without its marker.
+/// The maximum length of a record part in one entry of the log, in bytes, without its marker.
 const MAX_PART_BYTES: usize = MAX_RECORD_BYTES / 2;
 
-/// First byte of an entry: the record goes on in the next entry.
+/// First byte of an entry: the record continues in the next entry.
 const PART: u8 = 0;
 
 /// First byte of an entry: the record ends with this entry.
@@ -44,42 +44,43 @@
     },
 }
 
-/// What the entries of a log add up to.
+/// The state decoded from the entries of a log.
 struct Decoded {
     state: DurableState,
-    /// Each part belongs to a record that was written completely: a record that is appended is read as itself.
+    /// Whether every part belongs to a completely written record. If not, an appended record could be joined with the
+    /// parts of an interrupted one.
     is_complete: bool,
 }
 
-/// What [`StateLog::open`] found.
+/// The result of [`StateLog::open`].
 pub struct OpenedState<F: Files, O: FnMut() -> Result<F, DirectoryError>> {
     /// The log, ready to be written.
     pub log: StateLog<F, O>,
     /// The durable state.
     pub state: DurableState,
-    /// What a crash had left unfinished, and was truncated.
+    /// The incomplete write that a crash left behind and that was truncated, if any.
     pub torn_tail: Option<TornTail>,
 }
 
 /// The log of one node's durable state.
 pub struct StateLog<F: Files, O: FnMut() -> Result<F, DirectoryError>> {
-    /// Opens the node's files; called again after each failure.
+    /// Opens the node's files. Called again after each failure.
     open_files: O,
-    /// `None` where nothing may be appended: after a failure, when what the disk holds is unknown, and where the log
-    /// has parts of an interrupted record, to which the next record would be joined.
+    /// `None` while nothing may be appended: after a failure, when the contents of the disk are unknown, and while the
+    /// log ends with parts of an interrupted record, to which the next record would be joined.
     log: Option<Log<F>>,
-    /// All that was handed over, synced or not.
+    /// All records passed in so far, synced or not.
     state: DurableState,
     compact_above: u64,
 }
 
 impl<F: Files, O: FnMut() -> Result<F, DirectoryError>> StateLog<F, O> {
-    /// Opens what the disk holds. The log is compacted once it is longer than `compact_above` bytes. `open_files` opens
-    /// the node's files; after a failed write it is called again.
+    /// Opens the log on disk. The log is compacted once it is longer than `compact_above` bytes. `open_files` opens the
+    /// node's files, and is called again after a failed write.
     ///
     /// # Errors
     ///
-    /// The files can't be opened, or what was synced is not readable any more.
+    /// The files can't be opened, or synced data is no longer readable.
     pub fn open(mut open_files: O, compact_above: u64) -> Result<OpenedState<F, O>, StateLogError> {
         let opened = open_log(&mut open_files)?;
         let Decoded { state, is_complete } = decode(&opened.records)?;
@@ -96,9 +97,9 @@
         })
     }
 
-    /// Writes and syncs these records. After a failure, and where a crash interrupted a record in several parts, the
-    /// next call opens the log again and writes the complete state: until then, records whose write failed may be on
-    /// disk or not.
+    /// Writes and syncs these records. After a failure, or if a crash interrupted a record in several parts, the next
+    /// call opens the log again and writes the complete state. Until then, records whose write failed may or may not be
+    /// on disk.
     ///
     /// # Errors
     ///
@@ -118,12 +119,12 @@
         Ok(())
     }
 
-    /// Bytes of the log on disk; 0 while it is not open.
+    /// Returns the length of the log on disk in bytes; 0 while it is not open.
     pub fn bytes(&self) -> u64 {
         self.log.as_ref().map_or(0, Log::bytes)
     }
 
-    /// Bytes of the complete state as records.
+    /// Returns the length of the complete state in bytes, encoded as records.
     pub fn compacted_bytes(&self) -> u64 {
         self.state
             .records()
@@ -154,7 +155,7 @@
     Ok(log)
 }
 
-/// A record as entries of the log: its parts, each behind a marker.
+/// Splits a record into entries of the log: its parts, each after a marker.
 fn entries(record: &Record) -> Vec<Vec<u8>> {
     let bytes = record.encode_to_vec();
     if bytes.is_empty() {
@@ -173,8 +174,8 @@
         .collect()
 }
 
-/// Adds up the records of a log. A crash may have left the first parts of a record behind all others, and an earlier
-/// version may then have appended another record to them: see [`decode_record`].
+/// Decodes the state from the entries of a log. A crash may have left the first parts of a record at the end, and an
+/// earlier version may then have appended another record to them: see [`decode_record`].
 fn decode(entries: &[Vec<u8>]) -> Result<Decoded, StateLogError> {
     let mut state = DurableState::default();
     let mut parts: Vec<&[u8]> = Vec::new();
@@ -194,11 +195,11 @@
 }
 
 /// Decodes the record that ends with the last of these parts, and counts the parts before it that belong to a record
-/// that a crash interrupted. Versions before December 2026 appended the next record to such parts. What was interrupted
-/// was never synced, so nothing that was acknowledged is in it; what follows it was.
+/// interrupted by a crash. Versions before December 2026 appended the next record to such parts. An interrupted record
+/// was never synced, so it contains nothing that was acknowledged; the record after it may have been acknowledged.
 ///
-/// A join of two records could decode by chance. It would not encode to the same bytes again, so a record that does is
-/// preferred.
+/// Two joined records could decode by chance, but the result would not encode to the same bytes again. A record that
+/// does is therefore preferred.
 fn decode_record(parts: &[&[u8]]) -> Result<(Record, usize), StateLogError> {
     if let [only] = parts {
         return Ok((Record::decode(*only).context(DecodeSnafu)?, 0));
--- a/crates/linenthread-control/src/usage_duty.rs
+++ b/crates/linenthread-control/src/usage_duty.rs
@@ -1,7 +1,8 @@
-//! The duty to report usage to the platform: who may make calls, under which fence, and which call is next.
+//! The leader's duty to report usage to the platform: which node may make calls, under which fencing token, and which
+//! call is next.
 //!
-//! The holder of the leader lease has the duty, under the epoch of its lease: `docs/usage-design.md`. This module decides
-//! for one node; it neither keeps counts nor makes calls.
+//! The holder of the leader lease has the duty, under the epoch of its lease: `docs/usage-design.md`. This module
+//! decides for one node; it neither keeps counts nor makes calls.
 
 use std::time::Duration;
 
@@ -12,49 +13,50 @@
 
 use crate::platform_call::{PlatformCall, PlatformCallId, PlatformOutcome};
 
-/// The first pause after a call that failed.
-const MIN_PAUSE: Duration = Duration::from_millis(200);
-/// The longest pause after calls that failed.
-const MAX_PAUSE: Duration = Duration::from_millis(1_600);
-/// The lowest rate of calls that is kept to; a lower one has no interval that can be waited for.
+/// The upper limit of the backoff after the first failed call.
+const INITIAL_BACKOFF: Duration = Duration::from_millis(200);
+/// The upper limit of the backoff after many failed calls.
+const MAX_BACKOFF: Duration = Duration::from_millis(1_600);
+/// The minimum rate of calls. The interval of a lower rate would be too long to represent or to wait for.
 const MIN_CALLS_PER_SECOND: f64 = 1e-3;
-/// A report that the platform has rejected so often is given up: later ones must not wait for it for ever.
+/// A report is abandoned after this many rejections by the platform, so that later reports don't wait for it forever.
 const MAX_REJECTIONS: u32 = 8;
 
-/// What the duty is exercised under.
+/// The leader lease under which calls are made.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Tenure {
     /// The epoch of the leader lease.
     pub epoch: Epoch,
-    /// When the lease ends, unless it is renewed.
+    /// When the lease expires, unless it is renewed.
     pub expires_at: Instant,
 }
 
-/// What follows from the end of a call.
+/// What this node must do after a call has completed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallConsequence {
-    /// The platform has the report, or it is given up.
+    /// The platform has the report, or the report was abandoned.
     ReportClosed {
         /// The window of the report.
         window: WindowNumber,
         /// How the call ended.
         outcome: PlatformOutcome,
     },
-    /// The report is to be sent again, to the byte, after a pause.
+    /// The report is sent again after a backoff, with the same bytes.
     Retry {
         /// The window of the report.
         window: WindowNumber,
         /// How the call ended.
         outcome: PlatformOutcome,
     },
-    /// Another node has acted under a higher fence: this one gives the lease up and never uses its epoch again.
+    /// Another node has made a call under a higher fencing token: this node releases the lease and never uses its epoch
+    /// again.
     StepDown {
         /// The refused epoch.
         epoch: Epoch,
     },
 }
 
-/// A call that has not ended.
+/// A call that has not completed.
 #[derive(Clone, Copy, Debug)]
 struct CallInFlight {
     id: PlatformCallId,
@@ -62,44 +64,48 @@
     window: WindowNumber,
 }
 
-/// One node's part in the duty.
+/// The state of the duty at one node.
 ///
-/// Its rules:
+/// It follows these rules:
 /// - *one-sender-per-fence*: calls are made only under an epoch of the leader lease, which at most one incarnation of one
 ///   node holds, and before that lease ends;
-/// - *no-return-within-lease*: under an epoch in which this node has made no call yet, it makes none for the time
-///   [`UsageDuty::new`] was given after the end of its last call under an earlier one, or after its start, since an
-///   earlier incarnation may have made one just before. So if others made calls in between, they lie further apart;
+/// - *no-return-within-lease*: under an epoch in which this node has not made a call yet, it waits for the lease time
+///   passed to [`UsageDuty::new`] before the first one. The wait starts at the end of its last call under an earlier
+///   epoch, or at its own start, since an earlier incarnation may have made a call just before. Calls of this node that
+///   have calls of other nodes in between are therefore at least that far apart;
 /// - *refused-is-refused*: no call is made under an epoch that the platform has refused, or a lower one;
-/// - *same-bytes*: what is sent was decided before, so whoever repeats it sends the same bytes.
+/// - *same-bytes*: the bytes of a report are decided before it is sent, so every node that sends it sends the same
+///   bytes.
 #[derive(Debug)]
 pub struct UsageDuty {
-    /// How far apart calls of this node must be with those of another one between them.
+    /// The minimum time between two calls of this node that may have calls of another node in between.
     lease: Duration,
-    /// The shortest time between two calls.
+    /// The minimum time between two calls.
     call_interval: Duration,
-    /// Makes the pauses of two nodes different.
+    /// Seed of the backoff jitter, which differs between nodes.
     seed: u64,
-    /// When this node last made a call, or may have made one in an earlier incarnation.
-    last_acted_at: Instant,
-    /// The epoch under which it last made a call.
+    /// When this node last started or completed a call. Initially its start, since an earlier incarnation may have made
+    /// a call until then.
+    last_call_at: Instant,
+    /// The epoch of the latest call.
     acting_epoch: Option<Epoch>,
     /// The greatest epoch that the platform has refused.
     refused_epoch: Epoch,
     in_flight: Option<CallInFlight>,
-    last_call: PlatformCallId,
-    /// The newest window whose report the platform is known to have.
+    last_call_id: PlatformCallId,
+    /// The newest window whose report the platform is known to have, or whose report was abandoned.
     delivered: Option<WindowNumber>,
     next_call_at: Instant,
-    /// Calls that failed in a row.
+    /// Number of consecutive failed calls.
     failures: u32,
-    /// Rejections in a row.
+    /// Number of consecutive rejections.
     rejections: u32,
 }
 
 impl UsageDuty {
-    /// A node that starts now. `lease` is the time within which the platform must not see calls of this node, of another
-    /// and of this one again; `calls_per_second` is what the platform takes of all nodes together.
+    /// Creates the state of a node that starts at `now`. `lease` is the time within which the platform must not receive
+    /// calls from this node, from another one and from this one again; `calls_per_second` is the rate that the platform
+    /// accepts from all nodes together; `seed` varies the backoff between nodes.
     pub fn new(now: Instant, lease: Duration, calls_per_second: f64, seed: u64) -> UsageDuty {
         UsageDuty {
             lease,
@@ -107,11 +113,11 @@
                 1.0 / calls_per_second.max(MIN_CALLS_PER_SECOND),
             ),
             seed,
-            last_acted_at: now,
+            last_call_at: now,
             acting_epoch: None,
             refused_epoch: Epoch::NONE,
             in_flight: None,
-            last_call: PlatformCallId::default(),
+            last_call_id: PlatformCallId::default(),
             delivered: None,
             next_call_at: Instant::START,
             failures: 0,
@@ -119,12 +125,12 @@
         }
     }
 
-    /// The newest window whose report the platform is known to have.
+    /// Returns the newest window whose report the platform is known to have, or whose report was abandoned.
     pub fn delivered(&self) -> Option<WindowNumber> {
         self.delivered
     }
 
-    /// Of these decided reports, oldest first, those that the platform is not known to have.
+    /// Returns those of these decided reports, ordered from the oldest, that the platform is not known to have.
     pub fn undelivered<'a>(
         &self,
         reports: &'a [UsageReport],
@@ -135,22 +141,22 @@
             .filter(move |report| Some(WindowNumber::new(report.window)) > delivered)
     }
 
-    /// The epoch under which this node last made a call.
+    /// Returns the epoch under which this node last made a call.
     pub fn acting_epoch(&self) -> Option<Epoch> {
         self.acting_epoch
     }
 
-    /// Whether the platform has refused this epoch, or a higher one.
+    /// Reports whether the platform has refused this epoch or a higher one.
     pub fn is_refused(&self, epoch: Epoch) -> bool {
         epoch <= self.refused_epoch
     }
 
-    fn may_act(&self, now: Instant, epoch: Epoch) -> bool {
-        let has_acted = self.acting_epoch == Some(epoch);
-        !self.is_refused(epoch) && (has_acted || now >= self.last_acted_at + self.lease)
+    fn may_call(&self, now: Instant, epoch: Epoch) -> bool {
+        let has_called = self.acting_epoch == Some(epoch);
+        !self.is_refused(epoch) && (has_called || now >= self.last_call_at + self.lease)
     }
 
-    /// The next call, if one is due: of the oldest decided report that the platform is not known to have.
+    /// Returns the next call, if one is due. It sends the oldest decided report that the platform is not known to have.
     pub fn next_call(
         &mut self,
         now: Instant,
@@ -158,27 +164,27 @@
         reports: &[UsageReport],
     ) -> Option<PlatformCall> {
         let is_due = self.in_flight.is_none() && now >= self.next_call_at;
-        if !is_due || now >= tenure.expires_at || !self.may_act(now, tenure.epoch) {
+        if !is_due || now >= tenure.expires_at || !self.may_call(now, tenure.epoch) {
             return None;
         }
         let report = self.undelivered(reports).next()?;
-        self.last_call = self.last_call.next();
+        self.last_call_id = self.last_call_id.next();
         self.in_flight = Some(CallInFlight {
-            id: self.last_call,
+            id: self.last_call_id,
             epoch: tenure.epoch,
             window: WindowNumber::new(report.window),
         });
         self.acting_epoch = Some(tenure.epoch);
-        self.last_acted_at = now;
+        self.last_call_at = now;
         Some(PlatformCall {
-            id: self.last_call,
+            id: self.last_call_id,
             fence: tenure.epoch,
             report: report.clone(),
             not_after: tenure.expires_at,
         })
     }
 
-    /// A call has ended. None if it is not the one in flight.
+    /// Processes the outcome of a call; `None` if the call is not the one in flight.
     pub fn on_outcome(
         &mut self,
         now: Instant,
@@ -186,7 +192,7 @@
         outcome: PlatformOutcome,
     ) -> Option<CallConsequence> {
         let call = self.in_flight.take_if(|call| call.id == id)?;
-        self.last_acted_at = now;
+        self.last_call_at = now;
         self.rejections = match outcome {
             PlatformOutcome::Rejected => self.rejections + 1,
             _ => 0,
@@ -206,7 +212,7 @@
             | PlatformOutcome::NotSent
             | PlatformOutcome::Unknown => {
                 self.failures += 1;
-                self.next_call_at = now + self.pause();
+                self.next_call_at = now + self.backoff();
                 CallConsequence::Retry { window, outcome }
             }
         })
@@ -224,15 +230,16 @@
         CallConsequence::ReportClosed { window, outcome }
     }
 
-    /// Doubles with each failure, and is between half and all of that, so that the calls of two nodes do not coincide.
-    fn pause(&self) -> Duration {
+    /// Returns the time to wait after a failed call: the limit doubles with each failure, and the result is a
+    /// pseudo-random time between half the limit and the limit, so that the calls of two nodes do not coincide.
+    fn backoff(&self) -> Duration {
         let doublings = self.failures.saturating_sub(1).min(u32::BITS - 1);
-        let longest = MIN_PAUSE
+        let longest = INITIAL_BACKOFF
             .saturating_mul(1 << doublings)
-            .min(MAX_PAUSE)
+            .min(MAX_BACKOFF)
             .max(self.call_interval);
         let longest = whole_millis(longest);
-        let random = fnv1a_64(&(self.seed ^ self.last_call.get()).to_be_bytes());
+        let random = fnv1a_64(&(self.seed ^ self.last_call_id.get()).to_be_bytes());
         Duration::from_millis(longest / 2 + random % (longest / 2 + 1))
     }
 }
--- a/crates/linenthread-control/src/usage_ledger.rs
+++ b/crates/linenthread-control/src/usage_ledger.rs
@@ -1,4 +1,4 @@
-//! What ingress nodes have counted in the windows whose reports are not decided yet.
+//! The request counts of ingress nodes for the windows whose reports are not decided yet.
 
 use std::collections::BTreeMap;
 
@@ -7,13 +7,13 @@
 
 use crate::IngressIncarnation;
 
-/// The most windows that are kept; counts of further ones are dropped. They are the newest ones, since reports are
-/// decided in order.
+/// The maximum number of windows that are kept. Counts of further windows are dropped; these are the newest windows,
+/// since reports are decided in order.
 const MAX_WINDOWS: usize = 1_024;
-/// What the counts may take up in memory, in bytes; counts beyond that are dropped. All of them fit into one message, since
-/// a control node that has just connected is sent them in one.
+/// The maximum memory of the counts, in bytes; further counts are dropped. All counts fit into one message, in which
+/// they are sent to a control node that has just connected.
 const MAX_COUNT_BYTES: usize = 14 << 20;
-/// What a count takes up beside the name of its tenant, in bytes: more than in a message.
+/// The memory of a count besides the name of its tenant, in bytes. More than its size in a message.
 const COUNT_OVERHEAD_BYTES: usize = 40;
 
 /// Requests by tenant.
@@ -21,29 +21,29 @@
 
 /// The counts of all ingress nodes, by window.
 ///
-/// A count of one incarnation of an ingress node only rises, and the greatest one that was received counts. So the order
-/// of messages does not matter, nor how often one arrives (*counted-once*).
+/// The counts of an incarnation of an ingress node only rise, and the greatest received value is used. The order of
+/// messages and repeated messages therefore make no difference (*counted-once*).
 #[derive(Debug, Default)]
 pub struct UsageLedger {
     windows: BTreeMap<WindowNumber, BTreeMap<IngressIncarnation, TenantCounts>>,
-    /// The report of this window, and of those before it, is decided: it changes no more.
+    /// The newest window whose report is decided. Counts of this window and earlier ones no longer change.
     closed: Option<WindowNumber>,
-    /// What was received from ingress nodes since it was last taken for the other control nodes.
-    news: Vec<IngressUsage>,
-    /// What the counts of all windows take up.
+    /// Counts received from ingress nodes that were not sent to the other control nodes yet.
+    unsent: Vec<IngressUsage>,
+    /// The memory of all counts, in bytes.
     count_bytes: usize,
-    /// Requests that were dropped because too many windows, or counts, wait for their reports.
+    /// Number of requests dropped because too many windows or counts were waiting for their reports.
     dropped_requests: u64,
 }
 
 impl UsageLedger {
-    /// Takes in counts that an ingress node has sent to this node; the other control nodes are to get them, too.
+    /// Adds counts that an ingress node sent to this node, and queues them for the other control nodes.
     pub fn on_ingress_usage(&mut self, usage: IngressUsage) {
         self.merge(&usage);
-        self.news.push(usage);
+        self.unsent.push(usage);
     }
 
-    /// Takes in counts, from whomever.
+    /// Merges counts from any source.
     pub fn merge(&mut self, usage: &IngressUsage) {
         let ingress = IngressIncarnation::from(usage);
         for counts in &usage.windows {
@@ -76,12 +76,13 @@
         }
     }
 
-    /// What the other control nodes are to be sent: everything that was received from ingress nodes since the last time.
+    /// Removes and returns the counts to send to the other control nodes: those received from ingress nodes since the
+    /// last call.
     pub fn take_news(&mut self) -> Vec<IngressUsage> {
-        std::mem::take(&mut self.news)
+        std::mem::take(&mut self.unsent)
     }
 
-    /// All counts, for a control node that has just connected.
+    /// Returns all counts, for a control node that has just connected.
     pub fn all(&self) -> Vec<IngressUsage> {
         let mut by_ingress: BTreeMap<&IngressIncarnation, Vec<WindowCounts>> = BTreeMap::new();
         for (window, counts) in &self.windows {
@@ -100,12 +101,12 @@
             .collect()
     }
 
-    /// The oldest window with counts.
+    /// Returns the oldest window with counts.
     pub fn oldest_window(&self) -> Option<WindowNumber> {
         self.windows.keys().next().copied()
     }
 
-    /// The requests of each tenant in a window, of all ingress nodes together.
+    /// Returns the number of requests of each tenant in a window, summed over all ingress nodes.
     pub fn totals(&self, window: WindowNumber) -> BTreeMap<&str, u64> {
         let mut totals = BTreeMap::new();
         let counts = self.windows.get(&window).into_iter();
@@ -116,7 +117,7 @@
         totals
     }
 
-    /// The reports up to this window are decided: their counts are needed no more.
+    /// Removes the counts of all windows up to `newest_decided`, whose reports are decided.
     pub fn close(&mut self, newest_decided: WindowNumber) {
         if self.closed >= Some(newest_decided) {
             return;
@@ -128,13 +129,13 @@
         self.count_bytes = tenants.map(|tenant| count_bytes(tenant)).sum();
     }
 
-    /// How many requests were dropped because too many windows, or counts, wait for their reports.
+    /// Returns how many requests were dropped because too many windows or counts were waiting for their reports.
     pub fn dropped_requests(&self) -> u64 {
         self.dropped_requests
     }
 }
 
-/// What a count of this tenant takes up.
+/// Returns the memory that the count of a tenant takes.
 fn count_bytes(tenant: &str) -> usize {
     tenant.len() + COUNT_OVERHEAD_BYTES
 }
