--- a/crates/linenthread-control/src/address_book.rs
+++ b/crates/linenthread-control/src/address_book.rs
@@ -1,4 +1,4 @@
-//! The control addresses of all known control nodes, and when each is dialled.
+//! The control addresses of all known control nodes, and when to dial each.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -7,32 +7,32 @@
 
 use crate::timing::STARTUP_GRACE;
 
-/// An address that cannot be reached for so long is forgotten.
-const FORGET_AFTER: Duration = Duration::from_millis(20_000);
+/// An address that cannot be reached for this long is forgotten.
+const ADDRESS_RETENTION: Duration = Duration::from_millis(20_000);
 
-/// Backoff after the first failed dial of an address.
+/// The initial backoff after a failed dial of an address.
 const MIN_BACKOFF: Duration = Duration::from_millis(50);
 
-/// The longest backoff while nodes start: they are expected to be there soon.
+/// The maximum backoff during start-up, when nodes are expected to become reachable soon.
 const MAX_STARTUP_BACKOFF: Duration = Duration::from_millis(100);
 
-/// The longest backoff later on.
+/// The maximum backoff after start-up.
 const MAX_BACKOFF: Duration = Duration::from_millis(1_600);
 
-/// A node that learns an address below its own waits so long for the node there to dial, so that not both do. After a
-/// connection has ended both wait so long.
-const YIELD: Duration = Duration::from_millis(300);
+/// How long a node that learns an address below its own waits for the node there to dial, so that only one of them
+/// dials. After the loss of a connection both nodes wait this long.
+const DIAL_PRIORITY_DELAY: Duration = Duration::from_millis(300);
 
-/// A dial in progress is not repeated for so long.
+/// A dial is not repeated within this time, in which it may still succeed.
 const DIAL_TIMEOUT: Duration = Duration::from_millis(600);
 
-/// Which addresses the book held at some moment: raised whenever one is learnt or forgotten. A peer that was sent the
-/// addresses of this version lacks none.
+/// Version of the set of addresses, incremented whenever one is added or removed. A peer that was sent the addresses of
+/// the current version lacks none.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct AddressBookVersion(u64);
 
 impl AddressBookVersion {
-    /// Before the first one: what a peer has been sent at first.
+    /// Less than every version in use: the peer has been sent no addresses.
     pub(crate) const NONE: AddressBookVersion = AddressBookVersion(0);
 
     fn next(self) -> AddressBookVersion {
@@ -43,11 +43,11 @@
 struct DialState {
     next_dial_at: Instant,
     backoff: Duration,
-    /// When the address was last connected to, or else learnt.
+    /// When the address was last connected, or when it was learned if it never was.
     last_seen_at: Instant,
 }
 
-/// The table of addresses.
+/// The known control addresses, with the state of dialling for each.
 pub(crate) struct AddressBook {
     own: String,
     bootstrap: Vec<String>,
@@ -73,7 +73,7 @@
         self.version
     }
 
-    /// All addresses, the own one included.
+    /// Returns all addresses, including this node's own.
     pub(crate) fn all(&self) -> Vec<String> {
         self.known
             .keys()
@@ -82,7 +82,7 @@
             .collect()
     }
 
-    /// The settings name these addresses from now on.
+    /// Replaces the bootstrap addresses after a change of the settings.
     pub(crate) fn set_bootstrap(&mut self, now: Instant, bootstrap: &[String]) {
         self.bootstrap = bootstrap.to_vec();
         for address in bootstrap {
@@ -90,7 +90,7 @@
         }
     }
 
-    /// Adds an address if it is a new one.
+    /// Adds an address if it is unknown.
     pub(crate) fn learn(&mut self, now: Instant, address: &str) {
         if address == self.own || address.is_empty() || self.known.contains_key(address) {
             return;
@@ -98,7 +98,7 @@
         let delay = if self.own.as_str() < address {
             Duration::ZERO
         } else {
-            YIELD
+            DIAL_PRIORITY_DELAY
         };
         self.known.insert(
             address.to_owned(),
@@ -111,7 +111,7 @@
         self.version = self.version.next();
     }
 
-    /// A dial failed: the address is dialled less and less often.
+    /// Records a failed dial, and increases the backoff of the address.
     pub(crate) fn on_dial_failed(&mut self, now: Instant, address: &str) {
         let max_backoff = if now < self.started_at + STARTUP_GRACE {
             MAX_STARTUP_BACKOFF
@@ -124,7 +124,8 @@
         }
     }
 
-    /// The addresses to dial now. Those of voters and of the bootstrap are never forgotten.
+    /// Returns the addresses to dial now, and forgets addresses that can't be reached. Addresses of voters and
+    /// bootstrap addresses are never forgotten.
     pub(crate) fn next_to_dial(
         &mut self,
         now: Instant,
@@ -137,20 +138,20 @@
         self.known.retain(|address, state| {
             if is_connected(address) {
                 *state = DialState {
-                    next_dial_at: now + YIELD,
+                    next_dial_at: now + DIAL_PRIORITY_DELAY,
                     backoff: MIN_BACKOFF,
                     last_seen_at: now,
                 };
                 return true;
             }
-            let remember = now < state.last_seen_at + FORGET_AFTER
+            let is_retained = now < state.last_seen_at + ADDRESS_RETENTION
                 || is_voter(address)
                 || bootstrap.contains(address);
-            if remember && now >= state.next_dial_at {
+            if is_retained && now >= state.next_dial_at {
                 state.next_dial_at = now + state.backoff.max(DIAL_TIMEOUT);
                 to_dial.push(address.clone());
             }
-            remember
+            is_retained
         });
         if self.known.len() < count_before {
             self.version = self.version.next();
--- a/crates/linenthread-control/src/ingress_nodes.rs
+++ b/crates/linenthread-control/src/ingress_nodes.rs
@@ -1,4 +1,4 @@
-//! All sessions with ingress nodes, at this and at other control nodes.
+//! The sessions of all ingress nodes, with this control node and with others.
 
 use std::collections::BTreeMap;
 
@@ -11,8 +11,8 @@
 use crate::peer_hello::IngressNodeHello;
 use crate::timing::SESSION_TIMEOUT;
 
-/// One run of an ingress node: what a retry quota is granted to, since a restarted node does not know what it was
-/// granted before.
+/// One incarnation of an ingress node. Retry quotas are granted to an incarnation, since a restarted node does not know
+/// its earlier grants.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct IngressIncarnation {
     /// The ingress node's name.
@@ -48,12 +48,12 @@
     }
 }
 
-/// All sessions with ingress nodes.
+/// The sessions of all ingress nodes.
 pub(crate) struct IngressNodes {
-    /// The control node's incarnation, which identifies its change log.
+    /// Identifies this node's change log; equal to the node's incarnation.
     change_log_id: Incarnation,
     peers: BTreeMap<SessionId, IngressPeer>,
-    /// Sessions that other control nodes have, by this node's session with each of those.
+    /// The ingress sessions of other control nodes, by this node's session with each of those.
     remote: BTreeMap<SessionId, Vec<IngressSession>>,
 }
 
@@ -71,7 +71,8 @@
         self.peers.insert(session, peer);
     }
 
-    /// A session has ended, with an ingress node or with a control node that sent the sessions it has.
+    /// Removes a closed session, which is with an ingress node or with a control node that reported its ingress
+    /// sessions.
     pub(crate) fn close(&mut self, session: SessionId) -> Option<IngressPeer> {
         self.remote.remove(&session);
         self.peers.remove(&session)
@@ -97,19 +98,20 @@
             .collect()
     }
 
-    /// Sessions on which nothing was received for too long.
+    /// Returns the sessions on which nothing was received for too long.
     pub(crate) fn timed_out(&self, now: Instant) -> Vec<SessionId> {
         self.sessions_where(|peer| now > peer.last_received_at() + SESSION_TIMEOUT)
     }
 
-    /// Sessions of earlier incarnations of an ingress node: they are over, whatever their connections look like.
+    /// Returns the sessions with earlier incarnations of an ingress node. They are obsolete, even if their connections
+    /// seem to be open.
     pub(crate) fn superseded(&self, hello: &IngressNodeHello) -> Vec<SessionId> {
         self.sessions_where(|peer| {
             peer.hello().name == hello.name && peer.hello().incarnation != hello.incarnation
         })
     }
 
-    /// The session with one incarnation of an ingress node.
+    /// Returns the session with one incarnation of an ingress node.
     pub(crate) fn session_with(&self, ingress: &IngressIncarnation) -> Option<SessionId> {
         self.peers
             .iter()
@@ -117,25 +119,25 @@
             .map(|(session, _)| *session)
     }
 
-    /// All ingress nodes are sent the whole registry once more.
+    /// Schedules the whole registry to be sent to all ingress nodes again.
     pub(crate) fn resend_all(&mut self) {
         for peer in self.peers.values_mut() {
             peer.resend_registry();
         }
     }
 
-    /// This node's own sessions, as it sends them to the other control nodes.
+    /// Returns this node's own ingress sessions, in the form in which they are sent to the other control nodes.
     pub(crate) fn local(&self) -> Vec<IngressSession> {
         self.peers.values().map(IngressPeer::to_message).collect()
     }
 
-    /// Takes in the sessions that another control node has.
+    /// Records the ingress sessions that another control node reported.
     pub(crate) fn set_remote(&mut self, session: SessionId, sessions: Vec<IngressSession>) {
         self.remote.insert(session, sessions);
     }
 
-    /// All ingress nodes with a session anywhere, by name. Of several sessions of one incarnation the one with the
-    /// newest quota request counts.
+    /// Returns all ingress nodes with a session with any control node, by name. Of several sessions of one incarnation,
+    /// the one with the newest quota request is returned.
     pub(crate) fn all(&self) -> BTreeMap<String, IngressSession> {
         let mut all: BTreeMap<String, IngressSession> = BTreeMap::new();
         let local = self.local();
@@ -151,7 +153,7 @@
         all
     }
 
-    /// All that an ingress node lacks; `None` if it lacks nothing.
+    /// Returns everything that an ingress node lacks, as one update; `None` if it lacks nothing.
     pub(crate) fn next_update(
         &mut self,
         now: Instant,
--- a/crates/linenthread-control/src/ingress_peer.rs
+++ b/crates/linenthread-control/src/ingress_peer.rs
@@ -1,4 +1,4 @@
-//! A session with an ingress node: what the node reports, and what it was sent.
+//! A session with an ingress node: the state that the node reported, and what it was sent.
 
 use std::collections::BTreeSet;
 
@@ -12,19 +12,19 @@
 use crate::peer_hello::IngressNodeHello;
 use crate::{IngressIncarnation, QuotaRequestNumber, ReplicaRegistry};
 
-/// How far the read barrier of a session has come: the linearizable read, begun for this session, after which the
+/// Progress of the read barrier of a session: a linearizable read, started for this session, after whose completion the
 /// configuration that this node has is known to be the newest.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Confirmation {
-    /// Not read yet.
+    /// No read was started, or the last one failed.
     Missing,
     /// The read is in flight.
     InFlight,
-    /// Read.
+    /// The read succeeded.
     Confirmed,
 }
 
-/// What an update is made from.
+/// The state that updates are built from.
 pub(crate) struct UpdateSource<'a> {
     pub(crate) registry: &'a ReplicaRegistry,
     pub(crate) decided: Option<&'a Value>,
@@ -35,24 +35,24 @@
 pub(crate) struct IngressPeer {
     hello: IngressNodeHello,
     last_received_at: Instant,
-    /// The newest revision that was sent to it, or that it came with.
+    /// The newest revision that the ingress node was sent, or that it had at the start of the session.
     sent_revision: Revision,
-    /// Offset in the change log up to which it was sent everything; `None` if it needs the whole registry.
+    /// Offset in the change log up to which it was sent all changes; `None` if it needs the whole registry.
     sent_offset: Option<ChangeLogOffset>,
-    /// The addresses that it was sent.
+    /// Version of the addresses that it was sent.
     sent_addresses: AddressBookVersion,
     confirmation: Confirmation,
-    /// It was sent that the configuration is confirmed.
+    /// Whether it was sent that the configuration is confirmed.
     sent_confirmed: bool,
-    /// Its newest request for a quota.
+    /// Number of its newest request for a quota.
     quota_request: QuotaRequestNumber,
-    /// The revision of the configuration that it applies.
+    /// The revision of the configuration that the ingress node uses.
     revision: Revision,
 }
 
 impl IngressPeer {
-    /// A session that begins; `change_log_id` identifies this node's change log. An ingress node that has followed
-    /// another one, or none, needs the whole registry.
+    /// Creates the state of a new session. `change_log_id` identifies this node's change log. An ingress node that
+    /// followed another log, or none, needs the whole registry.
     pub(crate) fn new(
         now: Instant,
         hello: IngressNodeHello,
@@ -72,17 +72,17 @@
         }
     }
 
-    /// How the ingress node introduced itself.
+    /// Returns the ingress node's hello message.
     pub(crate) fn hello(&self) -> &IngressNodeHello {
         &self.hello
     }
 
-    /// Whether the session is with this incarnation.
+    /// Reports whether the session is with this incarnation.
     pub(crate) fn is_with(&self, ingress: &IngressIncarnation) -> bool {
         self.hello.name == ingress.name && self.hello.incarnation == ingress.incarnation
     }
 
-    /// A message of the ingress node was received.
+    /// Records that a message of the ingress node was received.
     pub(crate) fn on_received(&mut self, now: Instant) {
         self.last_received_at = now;
     }
@@ -91,13 +91,13 @@
         self.last_received_at
     }
 
-    /// A heartbeat of the ingress node.
+    /// Processes a heartbeat of the ingress node.
     pub(crate) fn on_heartbeat(&mut self, heartbeat: &IngressNodeHeartbeat) {
         self.quota_request = heartbeat.quota_request;
         self.revision = heartbeat.revision;
     }
 
-    /// The session as the other control nodes are sent it.
+    /// Returns the session in the form in which it is sent to the other control nodes.
     pub(crate) fn to_message(&self) -> IngressSession {
         IngressSession {
             name: self.hello.name.clone(),
@@ -109,23 +109,23 @@
         }
     }
 
-    // --- the read of the newest configuration ---
+    // --- read barrier ---
 
     fn is_confirmed(&self) -> bool {
         self.confirmation == Confirmation::Confirmed
     }
 
-    /// Whether a read of the newest configuration for it has to be started.
+    /// Reports whether the read of the newest configuration must be started for this session.
     pub(crate) fn needs_confirmation(&self) -> bool {
         self.confirmation == Confirmation::Missing
     }
 
-    /// The read has been started.
+    /// Records that the read was started.
     pub(crate) fn start_confirmation(&mut self) {
         self.confirmation = Confirmation::InFlight;
     }
 
-    /// The read has ended.
+    /// Records whether the read succeeded.
     pub(crate) fn on_confirmation(&mut self, succeeded: bool) {
         self.confirmation = if succeeded {
             Confirmation::Confirmed
@@ -136,12 +136,12 @@
 
     // --- updates ---
 
-    /// The next update is to hold the whole registry.
+    /// Makes the next update contain the whole registry.
     pub(crate) fn resend_registry(&mut self) {
         self.sent_offset = None;
     }
 
-    /// All that the ingress node lacks; `None` if it lacks nothing.
+    /// Returns everything that the ingress node lacks, as one update; `None` if it lacks nothing.
     pub(crate) fn next_update(
         &mut self,
         now: Instant,
@@ -162,7 +162,7 @@
         Some(update)
     }
 
-    /// What the ingress node lacks, as an update.
+    /// Builds the update with everything that the ingress node lacks.
     fn missing_state(
         &self,
         now: Instant,
@@ -191,8 +191,8 @@
         }
     }
 
-    /// The newest value, if the ingress node has an older configuration, and only once it was read for this session: so
-    /// none older than the newest is applied anew.
+    /// Returns the newest value if the ingress node has an older configuration, and only once the read for this session
+    /// has succeeded. The ingress node therefore never starts to use a configuration that is older than the newest one.
     fn missing_value<'a>(&self, source: &UpdateSource<'a>) -> Option<&'a Value> {
         source
             .decided
--- a/crates/linenthread-control/src/pending_drains.rs
+++ b/crates/linenthread-control/src/pending_drains.rs
@@ -1,4 +1,5 @@
-//! Calls of replicas that drain or depart, each acknowledged once a majority of the voters know of it.
+//! Pending calls of replicas that drain or depart. Each call is acknowledged once a majority of the voters have
+//! recorded it.
 
 use std::collections::BTreeSet;
 
@@ -8,18 +9,18 @@
 use crate::timing::CALL_TIMEOUT;
 use crate::{CallId, Response, UnavailableReason};
 
-/// Names an update that the other control nodes are to acknowledge, among those of this node's incarnation: counted
-/// from 1. Acknowledgements of another update do not count.
+/// Id of an update that the other control nodes acknowledge, unique within this node's incarnation and counted from 1.
+/// Acknowledgements of other updates do not count.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct UpdateId(u64);
 
 impl UpdateId {
-    /// The id that an acknowledgement carries.
+    /// Converts the number in an acknowledgement.
     pub(crate) fn new(number: u64) -> UpdateId {
         UpdateId(number)
     }
 
-    /// The number that messages carry; 0 there is an update that is not acknowledged.
+    /// Returns the number that is sent in messages, where 0 stands for an update that is not acknowledged.
     pub(crate) fn get(self) -> u64 {
         self.0
     }
@@ -39,7 +40,7 @@
     acknowledged_by: BTreeSet<NodeId>,
 }
 
-/// A call that has ended, with its response.
+/// A completed call, with its response.
 pub(crate) struct CompletedCall {
     pub(crate) call: CallId,
     pub(crate) response: Response,
@@ -55,7 +56,7 @@
 }
 
 impl PendingDrains {
-    /// Whether no call waits.
+    /// Reports whether no call is pending.
     pub(crate) fn is_empty(&self) -> bool {
         self.pending.is_empty()
     }
@@ -64,23 +65,23 @@
         self.known_by_majority.contains(replica_id)
     }
 
-    /// The replica's next drain has to be made known again.
+    /// Forgets that a majority knows of the replica's drain, so that its next drain is replicated again.
     pub(crate) fn forget(&mut self, replica_id: &str) {
         self.known_by_majority.remove(replica_id);
     }
 
-    /// The voters are others: what a majority of the former ones knew, a majority of these may not.
+    /// Clears what a majority knows, after a change of the voters: a majority of the new voters may not know it.
     pub(crate) fn on_voters_changed(&mut self) {
         self.known_by_majority.clear();
     }
 
-    /// Forgets the replicas for which `is_registered` does not hold.
+    /// Forgets the drains of replicas for which `is_registered` is false.
     pub(crate) fn retain(&mut self, is_registered: impl Fn(&str) -> bool) {
         self.known_by_majority
             .retain(|replica_id| is_registered(replica_id));
     }
 
-    /// A call waits from now on; the id of the update that the other nodes are to acknowledge.
+    /// Adds a pending call; returns the id of the update that the other nodes acknowledge.
     pub(crate) fn begin(
         &mut self,
         now: Instant,
@@ -99,7 +100,7 @@
         self.last_update_id
     }
 
-    /// A node acknowledged an update.
+    /// Records that a node acknowledged an update.
     pub(crate) fn on_ack(&mut self, node_id: NodeId, update_id: UpdateId) {
         let drain = self
             .pending
@@ -110,14 +111,14 @@
         }
     }
 
-    /// A node's session ended: what the node knew may be lost with it.
+    /// Discards the acknowledgements of a node whose session was closed: the node may have lost the updates.
     pub(crate) fn on_node_disconnected(&mut self, node_id: NodeId) {
         for drain in &mut self.pending {
             drain.acknowledged_by.remove(&node_id);
         }
     }
 
-    /// Removes the calls that end now, the oldest first.
+    /// Removes the calls that complete now, and returns them with their responses, oldest first.
     pub(crate) fn take_completed(
         &mut self,
         now: Instant,
@@ -126,7 +127,8 @@
         let known_by_majority = &mut self.known_by_majority;
         let mut completed = Vec::new();
         self.pending.retain(|drain| {
-            // The deadline comes first: after a freeze, acknowledgements that are there by now are too late.
+            // The deadline is checked first: after a pause of the process, acknowledgements that have arrived by now
+            // are too late.
             let response = if now >= drain.deadline {
                 Response::Unavailable(UnavailableReason::NotReplicated)
             } else if is_majority(&drain.acknowledged_by) {
--- a/crates/linenthread-control/src/replica_snapshot.rs
+++ b/crates/linenthread-control/src/replica_snapshot.rs
@@ -1,4 +1,5 @@
-//! The registry of replicas on disk, so that a start of all nodes at once need not wait for their heartbeats.
+//! Snapshots of the replica registry on disk, so that after a simultaneous restart of all nodes they need not wait for
+//! heartbeats.
 
 use linenthread_consensus::SnapshotNumber;
 use linenthread_messages::{Record, Replica};
@@ -8,23 +9,23 @@
 use crate::change_log::ChangeLogOffset;
 use crate::timing::{SNAPSHOT_INTERVAL, SNAPSHOT_REWRITE_INTERVAL};
 
-/// The replicas as they are to be written.
+/// A snapshot to be written.
 pub(crate) struct Snapshot {
-    /// Which snapshot it is.
+    /// Number of the snapshot.
     pub(crate) number: SnapshotNumber,
-    /// The replicas that are there.
+    /// The present replicas.
     pub(crate) record: Record,
 }
 
 /// Decides when the registry is written to disk.
 pub(crate) struct ReplicaSnapshotWriter {
-    /// Offset in the change log up to which changes were written.
+    /// Offset in the change log up to which changes are in the last snapshot.
     written_offset: ChangeLogOffset,
-    /// When the registry was last written.
+    /// When the last snapshot was written.
     written_at: Instant,
-    /// The newest snapshot that was written.
+    /// Number of the last snapshot that was written.
     written_number: SnapshotNumber,
-    /// The newest snapshot that is synced.
+    /// Number of the newest snapshot that is synced.
     synced_number: SnapshotNumber,
 }
 
@@ -38,13 +39,13 @@
         }
     }
 
-    /// A snapshot is synced.
+    /// Records that a snapshot is synced.
     pub(crate) fn on_synced(&mut self, number: SnapshotNumber) {
         self.synced_number = self.synced_number.max(number);
     }
 
-    /// The replicas that are there, if they changed and the last snapshot is old enough, or if that one seems to have
-    /// been dropped by the disk.
+    /// Returns a new snapshot, if replicas changed and the last snapshot is old enough, or if the disk seems to have
+    /// dropped the last snapshot.
     pub(crate) fn next_snapshot(
         &mut self,
         now: Instant,
@@ -58,7 +59,7 @@
         self.written_number = self.written_number.next();
         Some(Snapshot {
             number: self.written_number,
-            record: record_of(now, registry),
+            record: snapshot_record(now, registry),
         })
     }
 
@@ -71,8 +72,8 @@
     }
 }
 
-/// The replicas that are there as a record.
-fn record_of(now: Instant, registry: &ReplicaRegistry) -> Record {
+/// Builds the record of the present replicas.
+fn snapshot_record(now: Instant, registry: &ReplicaRegistry) -> Record {
     let replicas: Vec<Replica> = registry
         .iter()
         .filter(|registered| !registered.replica.timed_out_or_ended)
