--- a/crates/linenthread-control/src/replica_registry.rs
+++ b/crates/linenthread-control/src/replica_registry.rs
@@ -1,5 +1,4 @@
-//! The registry of replicas: what is known of each, merged from heartbeats in whatever order they arrive, and the log
-//! of its changes.
+//! The registry of replicas: the state of each, merged from heartbeats in any order, and the log of changes.
 
 use std::cell::Cell;
 use std::collections::BTreeMap;
@@ -12,38 +11,38 @@
 
 use crate::ChangeLog;
 
-/// An ended replica is remembered for so long, so that a late heartbeat does not bring it back.
-const REMEMBER_ENDED: Duration = Duration::from_millis(60_000);
+/// How long an ended replica is retained, so that a late heartbeat does not add it again.
+const ENDED_RETENTION: Duration = Duration::from_millis(60_000);
 
-/// How many changes of replicas are remembered. An ingress node that lacks more is sent the whole registry.
+/// How many changes of replicas are retained. An ingress node that lacks more is sent the whole registry.
 const MAX_LOGGED_CHANGES: usize = 4_096;
 
-/// What a replica says of itself with each heartbeat: the body of its call, in JSON.
+/// The body of a replica's heartbeat call, in JSON.
 #[derive(Clone, Debug, Deserialize)]
 pub struct ReplicaHeartbeat {
-    /// Name of the backend that it is a replica of.
+    /// Name of the backend that the replica belongs to.
     pub backend: String,
-    /// `host:port` at which it serves requests.
+    /// `host:port` at which the replica serves requests.
     pub address: String,
-    /// The failure domain that it runs in.
+    /// The failure domain in which the replica runs.
     pub zone: String,
-    /// The revision of its software.
+    /// The revision of the replica's software.
     #[serde(default)]
     pub revision: String,
-    /// How many requests it processes at once; 0 if it does not say.
+    /// How many requests the replica processes concurrently; 0 if it is not reported.
     #[serde(default)]
     pub capacity: u32,
-    /// Whether it takes requests.
+    /// Whether the replica accepts requests.
     pub phase: ReportedPhase,
-    /// How much longer it warms up, in milliseconds. What the first heartbeat says counts.
+    /// The remaining time of the replica's warm-up, in milliseconds. Only the value in the first heartbeat is used.
     #[serde(default)]
     pub warmup_ms: u32,
-    /// Its count of calls to control nodes, which orders them.
+    /// The replica's count of its calls to control nodes, which orders the calls.
     pub call_count: u64,
 }
 
 impl ReplicaHeartbeat {
-    /// The heartbeat as control nodes send it to each other.
+    /// Converts the heartbeat to the form that control nodes send to each other.
     pub(crate) fn into_replica(self, id: &str) -> Replica {
         Replica {
             id: id.to_owned(),
@@ -60,31 +59,31 @@
     }
 }
 
-/// Whether a replica takes requests, as it reports itself with each heartbeat.
+/// Whether a replica accepts requests, as reported in its heartbeats.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "lowercase")]
 pub enum ReportedPhase {
-    /// It takes requests.
+    /// The replica accepts requests.
     Available,
-    /// It takes no new requests and is about to end.
+    /// The replica accepts no new requests and is about to end.
     Draining,
 }
 
-/// One incarnation of a replica, as the registry knows it.
+/// One incarnation of a replica in the registry.
 #[derive(Clone, Debug)]
 pub struct RegisteredReplica {
-    /// What is known of it, but for ages, which [`RegisteredReplica::snapshot`] fills in.
+    /// The merged state of the replica, without ages, which [`RegisteredReplica::snapshot`] sets.
     pub replica: Replica,
-    /// When its newest heartbeat was received, here or at another control node.
+    /// When the newest heartbeat was received, here or at another control node.
     last_heartbeat_at: Instant,
-    /// When it is warm.
+    /// When the warm-up ends.
     warmed_up_at: Instant,
-    /// When it ended for good, if it has.
+    /// When the replica ended, if it has.
     ended_at: Option<Instant>,
 }
 
 impl RegisteredReplica {
-    /// What is known of the replica, with ages as of now.
+    /// Returns the state of the replica, with ages as of now.
     pub fn snapshot(&self, now: Instant) -> Replica {
         Replica {
             age_ms: saturating_millis(now.since(self.last_heartbeat_at)),
@@ -93,7 +92,8 @@
         }
     }
 
-    /// Whether it drains, or ended for good: a majority must know of that before the replica is told that it may stop.
+    /// Reports whether the replica drains or has ended. A majority must know this before the replica is told that it
+    /// may stop.
     pub(crate) fn is_draining_or_ended(&self) -> bool {
         self.replica.draining || self.replica.ended
     }
@@ -104,7 +104,7 @@
         self.ended_at = Some(now);
     }
 
-    /// Takes in a report of the same replica.
+    /// Merges a report of the same replica.
     fn merge(&mut self, now: Instant, report: &Replica) -> HeartbeatOutcome {
         if self.replica.ended {
             return HeartbeatOutcome::Stale;
@@ -127,8 +127,8 @@
             || self.replica.capacity != report.capacity
             || self.replica.zone != report.zone;
         self.replica = Replica {
-            // Filled in by `snapshot`. `warmed_up_at` stays as the first report set it: later ones count down the same
-            // warm-up, and those by way of another control node arrive later than they were made.
+            // Set by `snapshot`. `warmed_up_at` keeps its value from the first report: later reports count down the
+            // same warm-up, and those forwarded by another control node arrive later than they were made.
             age_ms: 0,
             warmup_ms: 0,
             timed_out_or_ended: false,
@@ -146,28 +146,28 @@
     u32::try_from(whole_millis(duration)).unwrap_or(u32::MAX)
 }
 
-/// When the heartbeat that a report rests on was received.
+/// Returns when the heartbeat behind a report was received.
 fn reported_at(now: Instant, report: &Replica) -> Instant {
     now.saturating_sub(Duration::from_millis(u64::from(report.age_ms)))
 }
 
-/// What a report of a replica changed.
+/// The change that a report of a replica made.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HeartbeatOutcome {
-    /// It is older than what is known.
+    /// The report is not newer than the known state.
     Stale,
-    /// The replica still runs; nothing else is new.
+    /// The replica is still running. Ingress nodes need not be notified.
     Refreshed,
-    /// Ingress nodes must be notified.
+    /// The state changed, and ingress nodes must be notified.
     Changed,
 }
 
-/// What [`ReplicaRegistry::observe`] made of a report.
+/// The result of [`ReplicaRegistry::observe`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Observation {
-    /// What the report changed of its replica.
+    /// The change to the reported replica.
     pub outcome: HeartbeatOutcome,
-    /// The ids of other replicas that ended by it.
+    /// The ids of other replicas that the report showed to have ended.
     pub superseded: Vec<String>,
 }
 
@@ -175,9 +175,9 @@
 pub struct ReplicaRegistry {
     replicas: BTreeMap<String, RegisteredReplica>,
     changes: ChangeLog,
-    /// Heartbeats were received for so long that a replica which is not here does not run.
+    /// Whether heartbeats were received for so long that a replica which is not in the registry can't be running.
     is_settled: bool,
-    /// The last digest; `None` once what it covers has changed.
+    /// The cached digest; `None` if the replicas it covers have changed.
     digest: Cell<Option<u64>>,
 }
 
@@ -193,55 +193,57 @@
 }
 
 impl ReplicaRegistry {
-    /// The replica of an id, also if it has ended lately.
+    /// Returns the replica with this id, even if it ended recently.
     pub fn get(&self, id: &str) -> Option<&RegisteredReplica> {
         self.replicas.get(id)
     }
 
-    /// All replicas in the order of their ids, those that ended lately included.
+    /// Returns all replicas in the order of their ids, including those that ended recently.
     pub fn iter(&self) -> impl Iterator<Item = &RegisteredReplica> {
         self.replicas.values()
     }
 
-    /// What is known of all replicas, with ages as of now.
+    /// Returns the state of all replicas, with ages as of now.
     pub(crate) fn snapshot(&self, now: Instant) -> Vec<Replica> {
         self.iter().map(|known| known.snapshot(now)).collect()
     }
 
-    /// How many replicas are known, those that ended lately included.
+    /// Returns how many replicas are known, including those that ended recently.
     pub fn len(&self) -> usize {
         self.replicas.len()
     }
 
-    /// Whether no replica is known.
+    /// Reports whether no replica is known.
     pub fn is_empty(&self) -> bool {
         self.replicas.is_empty()
     }
 
-    /// The log of changes, for ingress nodes.
+    /// Returns the log of changes, which ingress nodes follow.
     pub fn changes(&self) -> &ChangeLog {
         &self.changes
     }
 
-    /// Whether heartbeats were received for so long that a replica which is not here does not run.
+    /// Reports whether heartbeats were received for so long that a replica which is not in the registry can't be
+    /// running.
     pub(crate) fn is_settled(&self) -> bool {
         self.is_settled
     }
 
-    /// Notes whether the registry is settled; returns whether it is from now on and was not before.
+    /// Records whether the registry is settled; returns whether it has just become so.
     pub(crate) fn set_settled(&mut self, is_settled: bool) -> bool {
         let was_settled = std::mem::replace(&mut self.is_settled, is_settled);
         is_settled && !was_settled
     }
 
-    /// Takes in the replicas that a disk holds. Nobody has been sent an offset of this log yet, so they are no changes.
+    /// Restores the replicas from disk. They are not logged as changes, since nobody has been sent an offset of this
+    /// log yet.
     pub(crate) fn restore(&mut self, now: Instant, replicas: &[Replica]) {
         for replica in replicas {
             self.merge(now, replica);
         }
     }
 
-    /// Takes in what a replica, or another control node, reports of it, and logs what that changed.
+    /// Merges a report of a replica, sent by itself or by another control node, and logs the changes.
     pub fn observe(&mut self, now: Instant, report: &Replica) -> Observation {
         let observation = self.merge(now, report);
         if observation.outcome == HeartbeatOutcome::Changed {
@@ -270,7 +272,7 @@
         observation
     }
 
-    /// Adds a replica that was not known; returns the ids of others that ended by it.
+    /// Adds an unknown replica; returns the ids of other replicas that it shows to have ended.
     fn insert(&mut self, now: Instant, report: &Replica) -> Vec<String> {
         let mut superseded = Vec::new();
         let mut new = RegisteredReplica {
@@ -284,8 +286,8 @@
             warmed_up_at: now + Duration::from_millis(u64::from(report.warmup_ms)),
             ended_at: report.ended.then_some(now),
         };
-        // Of two incarnations at one address, the one with the newer heartbeat runs. One that has ended says nothing of
-        // the others.
+        // Of two incarnations at one address, the one with the newer heartbeat is running. A report of an ended
+        // incarnation tells nothing about others.
         for other in self
             .replicas
             .values_mut()
@@ -307,7 +309,7 @@
         superseded
     }
 
-    /// A replica announced that it ends; true if it had not before.
+    /// Records that a replica announced its end; returns whether the replica was known and had not ended before.
     pub fn mark_departed(&mut self, now: Instant, id: &str) -> bool {
         match self.replicas.get_mut(id) {
             Some(known) if !known.replica.ended => {
@@ -320,13 +322,14 @@
         }
     }
 
-    /// Removes the replicas without a heartbeat for longer than `timeout`, and returns their ids; none if more than
-    /// half time out at once, since then it is rather the heartbeats that do not arrive. Forgets what ended long ago.
+    /// Times out the replicas without a heartbeat for longer than `timeout`, and returns their ids. Times out none if
+    /// more than half would time out at once, since the cause is then more likely a loss of heartbeats. Also removes
+    /// replicas that ended long ago.
     pub fn expire(&mut self, now: Instant, timeout: Duration) -> Vec<String> {
         self.replicas.retain(|_, known| {
             known
                 .ended_at
-                .is_none_or(|ended_at| now < ended_at + REMEMBER_ENDED)
+                .is_none_or(|ended_at| now < ended_at + ENDED_RETENTION)
         });
         let timed_out = |known: &RegisteredReplica| {
             !known.replica.timed_out_or_ended && now > known.last_heartbeat_at + timeout
@@ -353,7 +356,7 @@
         expired
     }
 
-    /// A checksum that is equal where the same replicas are known, whatever the order in which they were reported.
+    /// Returns a checksum that is equal for registries with the same replicas, whatever the order of the reports.
     pub fn digest(&self) -> u64 {
         if let Some(digest) = self.digest.get() {
             return digest;
