--- a/crates/linenthread-control/tests/golden_json.rs
+++ b/crates/linenthread-control/tests/golden_json.rs
@@ -1,4 +1,4 @@
-//! The JSON of control calls, held fast by texts that an earlier version read and wrote.
+//! The JSON of control calls, compared with texts that an earlier version read and wrote.
 //!
 //! The files under `tests/golden/` were written by commit 464716d. They must never be regenerated to make a test
 //! pass: replicas, the client and the operators' own tools depend on these keys.
@@ -13,16 +13,16 @@
 use linenthread_messages::{Heartbeat, Hello, PeerMessage, Replica, VERSION, Value, Voter};
 use linenthread_time::Instant;
 
-/// A replica's heartbeat as it is posted, with each key.
+/// The body of a replica's heartbeat, with all keys.
 const HEARTBEAT: &str = r#"{"backend":"shard-7","address":"10.9.0.1:9000","zone":"zone-b",
     "revision":"r2026.05","capacity":48,"phase":"draining","warmup_ms":1500,"call_count":987654}"#;
-/// With the keys that must be there only.
+/// The body of a replica's heartbeat, with the required keys only.
 const SHORT_HEARTBEAT: &str = r#"{"backend":"shard-8","address":"10.9.0.2:9000","zone":"zone-c",
     "phase":"available","call_count":1}"#;
 
 /// When the messages and calls arrive.
 const NOW: Instant = Instant::from_millis(1_000);
-/// How long after that the status is read.
+/// How long after [`NOW`] the status is read.
 const READ_AFTER: Duration = Duration::from_millis(50);
 
 fn address(n: usize) -> String {
@@ -109,7 +109,7 @@
     control
 }
 
-/// A registry's digest, which control nodes send each other to compare what they know.
+/// The digest of a registry, which control nodes exchange to compare their registries.
 fn registry_digest() -> u64 {
     let replica = Replica {
         id: "replica-1".to_owned(),
@@ -137,7 +137,7 @@
 }
 
 #[test]
-fn members_have_the_keys_of_version_464716d() {
+fn members_status_equals_that_of_version_464716d() {
     let golden = include_str!("golden/members.json");
     assert_eq!(
         busy_control_node()
@@ -148,7 +148,7 @@
 }
 
 #[test]
-fn replicas_have_the_keys_of_version_464716d() {
+fn replicas_status_equals_that_of_version_464716d() {
     let golden = include_str!("golden/replicas.json");
     assert_eq!(
         busy_control_node()
@@ -159,13 +159,13 @@
 }
 
 #[test]
-fn a_registry_has_the_digest_of_version_464716d() {
+fn the_registry_digest_equals_that_of_version_464716d() {
     let golden = include_str!("golden/registry_digest.txt");
     assert_eq!(registry_digest().to_string(), golden.trim_end());
 }
 
 #[test]
-fn heartbeats_of_replicas_are_read_by_their_keys() {
+fn all_keys_of_replica_heartbeats_are_read() {
     let read: ReplicaHeartbeat = serde_json::from_str(HEARTBEAT).expect("a heartbeat");
     assert_eq!(
         (read.backend.as_str(), read.address.as_str()),
--- a/crates/linenthread-control/tests/single_node.rs
+++ b/crates/linenthread-control/tests/single_node.rs
@@ -1,4 +1,4 @@
-//! One control node among peers that are played by the test: what it acknowledges when, and which sessions it closes.
+//! A single control node whose peers are simulated by the test: what it acknowledges, and which sessions it closes.
 
 use std::time::Duration;
 
@@ -64,7 +64,7 @@
     )
 }
 
-/// Opens a session with control node `n`, which acknowledges at once.
+/// Opens a session with control node `n`, which acknowledges the first heartbeat immediately.
 fn connect(
     control: &mut ControlNode,
     now: u64,
@@ -88,7 +88,7 @@
     effects
 }
 
-/// A heartbeat of a peer that has received what was sent at `now`.
+/// A heartbeat of a peer that has received the heartbeat sent at `now`.
 fn round_trip(now: u64) -> PeerMessage {
     let heartbeat = Heartbeat {
         has_quorum: true,
@@ -107,13 +107,13 @@
     serde_json::from_str(&text).unwrap()
 }
 
-/// A replica says at 0 that it drains.
+/// Sends the heartbeat of a draining replica at 0 ms.
 fn drain(control: &mut ControlNode, effects: &mut Vec<Effect>) {
     let heartbeat = replica_heartbeat("draining", 1);
     control.on_replica_heartbeat(at(0), CallId(1), "i", heartbeat, effects);
 }
 
-/// The peer of a session acknowledges the first update.
+/// Acknowledges the first update on behalf of the peer of a session.
 fn acknowledge(control: &mut ControlNode, now: u64, session: u64, effects: &mut Vec<Effect>) {
     let ack = PeerMessage::UpdateAck(UpdateAck { update_id: 1 });
     control.on_message(at(now), SessionId(session), ack, effects);
@@ -133,7 +133,7 @@
 }
 
 #[test]
-fn without_a_quorum_a_node_takes_no_heartbeats() {
+fn replica_heartbeats_are_rejected_without_a_quorum() {
     let (mut control, mut effects) = (node(), Vec::new());
     control.on_replica_heartbeat(
         at(0),
@@ -164,13 +164,13 @@
 }
 
 #[test]
-fn a_drain_is_acknowledged_when_a_majority_knows() {
+fn a_drain_is_acknowledged_once_a_majority_has_recorded_it() {
     let (mut control, mut effects) = (node(), Vec::new());
     connect(&mut control, 0, 1, 2, VERSION);
     drain(&mut control, &mut effects);
     assert!(responses(&effects).is_empty());
-    let asks_for_ack = |effect: &Effect| matches!(effect, Effect::Send { message: PeerMessage::ControlUpdate(update), .. } if update.update_id == 1);
-    assert!(effects.iter().any(asks_for_ack));
+    let requests_ack = |effect: &Effect| matches!(effect, Effect::Send { message: PeerMessage::ControlUpdate(update), .. } if update.update_id == 1);
+    assert!(effects.iter().any(requests_ack));
     effects.clear();
     acknowledge(&mut control, 10, 1, &mut effects);
     assert_eq!(
@@ -180,7 +180,7 @@
 }
 
 #[test]
-fn a_drain_that_no_other_node_knows_is_not_acknowledged() {
+fn a_drain_recorded_by_no_other_node_is_not_acknowledged() {
     let (mut control, mut effects) = (node(), Vec::new());
     connect(&mut control, 0, 1, 2, VERSION);
     drain(&mut control, &mut effects);
@@ -195,7 +195,7 @@
 }
 
 #[test]
-fn the_acknowledgement_of_a_node_that_has_gone_does_not_count() {
+fn the_acknowledgement_of_a_disconnected_node_does_not_count() {
     let (mut control, mut effects) = (node_among(5), Vec::new());
     for n in 2..=4 {
         connect(&mut control, 0, n as u64, n, VERSION);
@@ -213,7 +213,7 @@
 }
 
 #[test]
-fn sessions_with_another_version_or_itself_are_closed() {
+fn sessions_with_another_protocol_version_or_with_itself_are_closed() {
     let mut control = node();
     let effects = connect(&mut control, 0, 1, 2, VERSION + 1);
     assert!(
@@ -237,7 +237,7 @@
 }
 
 #[test]
-fn a_session_times_out_and_its_node_is_dialled_again() {
+fn a_timed_out_session_is_closed_and_its_node_redialled() {
     let (mut control, mut effects) = (node(), Vec::new());
     connect(&mut control, 0, 1, 2, VERSION);
     connect(&mut control, 0, 2, 3, VERSION);
@@ -261,7 +261,7 @@
     assert!(control.has_quorum(at(2_000)));
 }
 
-/// The snapshots of replicas that the node hands to its disk among these effects.
+/// Returns the replica snapshots that the node writes to disk with these effects.
 fn snapshots(effects: &[Effect]) -> Vec<(&Record, &[AfterSync])> {
     effects
         .iter()
@@ -276,7 +276,7 @@
         .collect()
 }
 
-/// A node in contact with a majority, to which a replica has sent a heartbeat at 0.
+/// A node in contact with a majority that received the heartbeat of a replica at 0 ms.
 fn node_with_replica() -> ControlNode {
     let (mut control, mut effects) = (node(), Vec::new());
     connect(&mut control, 0, 1, 2, VERSION);
@@ -286,17 +286,17 @@
 }
 
 #[test]
-fn a_snapshot_that_the_disk_dropped_is_written_again_and_one_that_is_synced_is_not() {
+fn only_a_snapshot_that_was_not_synced_is_written_again() {
     let mut control = node_with_replica();
     let mut effects = Vec::new();
     control.tick(at(1_200), &mut effects);
-    assert_eq!(snapshots(&effects).len(), 1, "the first one");
+    assert_eq!(snapshots(&effects).len(), 1, "the first snapshot");
     effects.clear();
     control.tick(at(4_000), &mut effects);
-    assert!(snapshots(&effects).is_empty(), "it may be on its way");
+    assert!(snapshots(&effects).is_empty(), "it may still be in flight");
     control.tick(at(4_400), &mut effects);
     let [(record, after_sync)] = snapshots(&effects)[..] else {
-        panic!("it is not synced: written again");
+        panic!("a snapshot that is not synced is written repeated");
     };
     assert_eq!(record.replicas.len(), 1);
     control.on_synced(at(4_410), after_sync.to_vec(), &mut Vec::new());
@@ -308,7 +308,7 @@
 }
 
 #[test]
-fn a_node_that_knows_no_replica_any_more_starts_without_any() {
+fn the_snapshot_of_an_empty_registry_removes_the_replicas_from_disk() {
     let mut control = node_with_replica();
     let mut effects = Vec::new();
     control.tick(at(1_200), &mut effects);
@@ -324,7 +324,7 @@
 }
 
 #[test]
-fn two_sessions_with_a_node_are_one_node_in_the_status() {
+fn a_node_with_two_sessions_is_listed_once_in_the_status() {
     let mut control = node();
     connect(&mut control, 0, 1, 2, VERSION);
     connect(&mut control, 0, 5, 2, VERSION);
@@ -340,7 +340,7 @@
 }
 
 #[test]
-fn control_addresses_of_reloaded_settings_are_dialled_and_not_forgotten() {
+fn reloaded_bootstrap_addresses_are_dialled_and_not_forgotten() {
     let mut control = node();
     control.set_bootstrap(at(1_000), &[address(8), address(9)]);
     let mut dialled_late = std::collections::BTreeSet::new();
@@ -358,8 +358,8 @@
     assert!(dialled_late.contains(&address(8)) && dialled_late.contains(&address(9)));
 }
 
-/// The sessions that the node closes among these effects.
-fn closed(effects: &[Effect]) -> Vec<SessionId> {
+/// Returns the sessions that the node closes with these effects.
+fn closed_sessions(effects: &[Effect]) -> Vec<SessionId> {
     effects
         .iter()
         .filter_map(|effect| match effect {
@@ -370,18 +370,22 @@
 }
 
 #[test]
-fn of_two_sessions_with_a_node_the_one_of_the_lower_address_closes_the_older() {
+fn the_node_with_the_lower_address_closes_the_older_duplicate_session() {
     let (mut control, mut effects) = (node(), Vec::new());
     connect(&mut control, 0, 1, 2, VERSION);
     connect(&mut control, 0, 5, 2, VERSION);
     connect(&mut control, 0, 6, 0, VERSION);
     connect(&mut control, 0, 7, 0, VERSION);
     control.tick(at(200), &mut effects);
-    assert_eq!(closed(&effects), [SessionId(1)], "node 0 closes its own");
+    assert_eq!(
+        closed_sessions(&effects),
+        [SessionId(1)],
+        "node 0 closes its own duplicates"
+    );
 }
 
 #[test]
-fn an_acknowledged_drain_counts_on_while_another_session_with_that_node_stands() {
+fn an_acknowledgement_counts_while_another_session_with_the_node_is_open() {
     let (mut control, mut effects) = (node_among(5), Vec::new());
     connect(&mut control, 0, 1, 2, VERSION);
     connect(&mut control, 0, 5, 2, VERSION);
@@ -397,7 +401,7 @@
 }
 
 #[test]
-fn a_drain_is_made_known_again_once_the_voters_are_others() {
+fn a_drain_is_replicated_again_after_a_change_of_the_voters() {
     let (mut control, mut effects) = (node(), Vec::new());
     connect(&mut control, 0, 1, 2, VERSION);
     drain(&mut control, &mut effects);
@@ -417,11 +421,11 @@
     let decided = PeerMessage::Decided(four_voters);
     control.on_message(at(20), SessionId(1), decided, &mut effects);
     effects.clear();
-    let again = replica_heartbeat("draining", 2);
-    control.on_replica_heartbeat(at(30), CallId(2), "i", again, &mut effects);
+    let repeated = replica_heartbeat("draining", 2);
+    control.on_replica_heartbeat(at(30), CallId(2), "i", repeated, &mut effects);
     assert!(
         responses(&effects).is_empty(),
-        "two of four may not know it"
+        "two of four voters may not have recorded it"
     );
     for session in [1, 4] {
         let ack = PeerMessage::UpdateAck(UpdateAck { update_id: 2 });
@@ -430,11 +434,11 @@
     assert_eq!(responses(&effects).len(), 1);
 }
 
-/// The true time of day at the start of the steady clock.
+/// The true wall-clock time at the start of the monotonic clock.
 const TRUE_START_MS: u64 = 1_767_225_600_000;
 
-/// A heartbeat of a peer whose clock is off by so many milliseconds.
-fn with_clock(now: u64, error_ms: u64) -> PeerMessage {
+/// A heartbeat of a peer whose clock is ahead by `error_ms`.
+fn heartbeat_with_clock(now: u64, error_ms: u64) -> PeerMessage {
     let PeerMessage::Heartbeat(heartbeat) = round_trip(now) else {
         panic!("no heartbeat")
     };
@@ -458,7 +462,7 @@
     control.on_message(at(now), session, PeerMessage::Hello(hello), &mut effects);
 }
 
-/// The wall time and the agreed time of the heartbeats that a tick sends, by session.
+/// Returns the wall time and the agreed time of the heartbeats that a tick sends, with their sessions.
 fn times_sent(control: &mut ControlNode, now: u64) -> Vec<(u64, Option<u64>, Option<u64>)> {
     let mut effects = Vec::new();
     control.tick(at(now), &mut effects);
@@ -479,15 +483,16 @@
         .collect()
 }
 
-/// Peers get this node's own clock, which is off here; ingress nodes get the time that the three agree on.
+/// Control nodes are sent this node's own clock, which is wrong in this test; ingress nodes are sent the time that the
+/// three nodes agree on.
 #[test]
-fn peers_are_sent_the_clock_and_ingress_nodes_the_agreed_time() {
+fn control_nodes_are_sent_the_local_clock_and_ingress_nodes_the_agreed_time() {
     let mut control = node();
     control.observe_wall_clock(at(100), WallTime::from_millis(TRUE_START_MS + 100 + 5_000));
     for (n, node) in [(2, 2), (3, 3)] {
         connect(&mut control, 100, n, node, VERSION);
         let effects = &mut Vec::new();
-        control.on_message(at(100), SessionId(n), with_clock(100, n), effects);
+        control.on_message(at(100), SessionId(n), heartbeat_with_clock(100, n), effects);
     }
     connect_ingress_node(&mut control, 100, 9);
     assert_eq!(
@@ -501,16 +506,16 @@
 }
 
 #[test]
-fn out_of_contact_no_time_is_agreed_on() {
+fn no_agreed_time_is_sent_without_a_quorum() {
     let mut control = node();
     control.observe_wall_clock(at(100), WallTime::from_millis(TRUE_START_MS + 100));
     connect_ingress_node(&mut control, 100, 9);
     assert_eq!(times_sent(&mut control, 600), [(9, None, None)]);
 }
 
-/// A message that this node has no use for ends no session.
+/// An unexpected message must not close a session: this node does not report usage.
 #[test]
-fn usage_of_an_ingress_node_leaves_its_session_open() {
+fn an_unexpected_usage_update_does_not_close_the_session() {
     let mut control = node();
     connect(&mut control, 100, 2, 2, VERSION);
     connect_ingress_node(&mut control, 100, 9);
--- a/crates/linenthread-control/tests/texts.rs
+++ b/crates/linenthread-control/tests/texts.rs
@@ -1,4 +1,4 @@
-//! Texts that operators and their tools read: log lines of events, and reasons in responses and in the log.
+//! Texts that operators and their tools read: log lines of events, reasons in responses, and shutdown blockers.
 
 use std::time::Duration;
 
@@ -32,7 +32,7 @@
     base_not_committed = { UnavailableReason::BaseNotCommitted, "the base revision is above the newest one: correct it, or send the order again once it is in force" },
     order_not_remembered = { UnavailableReason::OrderNotRemembered, "the control node does not remember what became of this order: ask another one" },
 )]
-fn callers_receive_the_reason(reason: UnavailableReason, text: &str) {
+fn unavailable_responses_state_the_reason(reason: UnavailableReason, text: &str) {
     assert_eq!(reason.to_string(), text);
 }
 
@@ -45,6 +45,6 @@
     copies = { ShutdownBlocker::TooFewCopies, "too few other disks hold the newest value" },
     lease = { ShutdownBlocker::LeaderLease, "the leader lease is not released yet" },
 )]
-fn the_log_says_why_a_shutdown_waits(blocker: ShutdownBlocker, text: &str) {
+fn the_log_states_why_a_shutdown_waits(blocker: ShutdownBlocker, text: &str) {
     assert_eq!(blocker.to_string(), text);
 }
