--- a/crates/linenthread-control/tests/golden.rs
+++ b/crates/linenthread-control/tests/golden.rs
@@ -1,8 +1,8 @@
-//! State folders that an earlier version wrote: they open with the state that was written, and writing the same
-//! records again gives the same bytes.
+//! State directories written by an earlier version: they open with the state that was written, and writing the same
+//! records again produces the same bytes.
 //!
-//! The files under `tests/golden/` were written by commit 464716d. They must never be regenerated to make a test
-//! pass: the disks of control nodes that are being upgraded hold such bytes.
+//! The files under `tests/golden/` were written by commit 464716d. They must never be regenerated to make a test pass:
+//! the disks of control nodes that are being upgraded contain such bytes.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -15,15 +15,15 @@
 };
 use linenthread_store::{DirectoryError, Files, SimulatedDisk};
 
-/// The only file of a log that was never compacted.
+/// Name of the only file of a log that was never compacted.
 const FIRST_FILE: &str = "0000000000000001.log";
-/// The file after the first compaction.
+/// Name of the file after the first compaction.
 const SECOND_FILE: &str = "0000000000000002.log";
-/// Longer than any log of these tests.
+/// Greater than the length of any log in these tests.
 const NEVER_COMPACT: u64 = u64::MAX;
-/// So many bytes of the record that did not fit were written before the disk was full.
+/// Number of bytes that were written, before the disk was full, of the record that did not fit.
 const TORN_BYTES: usize = 60;
-/// A document whose record takes two entries of the log.
+/// Length of a document whose record takes two entries of the log.
 const LONG_DOCUMENT: usize = 600_000;
 
 type Disk = Rc<RefCell<SimulatedDisk>>;
@@ -33,7 +33,7 @@
     compact_above: u64,
 ) -> OpenedState<Disk, impl FnMut() -> Result<Disk, DirectoryError> + use<>> {
     let disk = disk.clone();
-    StateLog::open(move || Ok(disk.clone()), compact_above).expect("the folder opens")
+    StateLog::open(move || Ok(disk.clone()), compact_above).expect("the directory opens")
 }
 
 fn disk_with(name: &str, bytes: &[u8]) -> Disk {
@@ -44,9 +44,9 @@
     disk
 }
 
-/// The one file on the disk.
+/// Returns the name and the contents of the only file on the disk.
 fn file(disk: &Disk) -> (String, Vec<u8>) {
-    let names = disk.borrow_mut().list().expect("a folder");
+    let names = disk.borrow_mut().list().expect("a directory");
     assert_eq!(names.len(), 1, "{names:?}");
     let bytes = disk.borrow_mut().read(&names[0]).expect("a file");
     (names[0].clone(), bytes)
@@ -112,8 +112,8 @@
     }
 }
 
-/// What a control node wrote, one call after another: its identity, decided values, orders, replicas, a vote for
-/// the leader lease, and last a promise and an accepted value that is not decided.
+/// The records that a control node wrote, call by call: its identity, decided values, orders, replicas, a vote for the
+/// leader lease, a promise, and an accepted value that is not decided.
 fn writes() -> Vec<Vec<Record>> {
     let identity = Record {
         id: Some(0xa1a2_a3a4_a5a6_a7a8),
@@ -158,7 +158,7 @@
     ]
 }
 
-/// A record of which the disk took only the beginning.
+/// A record of which only the beginning fitted on the disk.
 fn torn_write() -> Record {
     Record {
         decided: Some(value(13, b"{\"routes\":[1]}".to_vec())),
@@ -166,7 +166,7 @@
     }
 }
 
-/// What is written after the torn end was cut off.
+/// The record that is written after the torn tail was truncated.
 fn write_after_torn() -> Record {
     Record {
         number: 13,
@@ -182,16 +182,16 @@
     }
 }
 
-/// The state that records add up to.
+/// Returns the state that results from these records.
 fn state_of(records: impl IntoIterator<Item = Record>) -> DurableState {
     let mut state = DurableState::default();
     records.into_iter().for_each(|record| state.add(record));
     state
 }
 
-/// The two records that hold the state of [`writes`], written out: what consensus starts from.
+/// The two records into which the state of [`writes`] is compacted, spelled out: the consensus starts from them.
 fn expected_records() -> Vec<Record> {
-    let kept = Record {
+    let compacted = Record {
         id: Some(0xa1a2_a3a4_a5a6_a7a8),
         decided: Some(value(12, b"{\"routes\":[]}".to_vec())),
         epoch: 45,
@@ -200,11 +200,11 @@
         ..Record::default()
     };
     let accepted = writes().pop().expect("writes").pop().expect("a record");
-    vec![kept, accepted]
+    vec![compacted, accepted]
 }
 
 #[test]
-fn a_state_folder_of_version_464716d_opens_with_its_state() {
+fn a_state_directory_of_version_464716d_opens_with_its_state() {
     let bytes = decode_hex(include_str!("golden/state.hex"));
     let opened = open(&disk_with(FIRST_FILE, &bytes), NEVER_COMPACT);
     assert_eq!(opened.torn_tail, None);
@@ -213,7 +213,7 @@
 }
 
 #[test]
-fn writing_the_same_records_gives_the_bytes_of_version_464716d() {
+fn writing_the_same_records_produces_the_bytes_of_version_464716d() {
     let disk = Disk::default();
     let mut opened = open(&disk, NEVER_COMPACT);
     for records in writes() {
@@ -224,7 +224,7 @@
 }
 
 #[test]
-fn compaction_gives_the_bytes_of_version_464716d() {
+fn compaction_produces_the_bytes_of_version_464716d() {
     let disk = disk_with(FIRST_FILE, &decode_hex(include_str!("golden/state.hex")));
     open(&disk, 0).log.write(&[]).expect("there is room");
     let compacted = decode_hex(include_str!("golden/state_compacted.hex"));
@@ -234,12 +234,12 @@
 }
 
 #[test]
-fn a_torn_end_of_version_464716d_is_cut_and_written_over_as_it_did() {
+fn a_torn_tail_of_version_464716d_is_truncated_and_overwritten_with_the_same_bytes() {
     let complete = decode_hex(include_str!("golden/state.hex"));
     let torn = decode_hex(include_str!("golden/state_torn.hex"));
     let disk = disk_with(FIRST_FILE, &torn);
     let mut opened = open(&disk, NEVER_COMPACT);
-    let torn_tail = opened.torn_tail.as_ref().expect("a torn end");
+    let torn_tail = opened.torn_tail.as_ref().expect("a torn tail");
     assert_eq!(torn_tail.file, FIRST_FILE);
     assert_eq!(torn_tail.offset, complete.len() as u64);
     assert_eq!(torn_tail.bytes, TORN_BYTES as u64);
@@ -255,7 +255,7 @@
 }
 
 #[test]
-fn a_full_disk_is_left_with_the_torn_end_of_version_464716d() {
+fn a_full_disk_has_the_torn_tail_of_version_464716d() {
     let complete = decode_hex(include_str!("golden/state.hex"));
     let disk = disk_with(FIRST_FILE, &complete);
     let mut opened = open(&disk, NEVER_COMPACT);
@@ -269,7 +269,7 @@
 }
 
 #[test]
-fn a_record_in_pieces_has_the_bytes_of_version_464716d() {
+fn a_record_in_several_parts_has_the_bytes_of_version_464716d() {
     let bytes = decode_hex(include_str!("golden/state_pieces.hex"));
     let opened = open(&disk_with(FIRST_FILE, &bytes), NEVER_COMPACT);
     assert_eq!(opened.state, state_of([long_write(11)]));
@@ -280,7 +280,7 @@
 }
 
 #[test]
-fn a_record_of_which_version_464716d_wrote_only_the_first_piece_is_left_out() {
+fn a_record_of_which_version_464716d_wrote_only_the_first_part_is_ignored() {
     let bytes = decode_hex(include_str!("golden/state_first_piece.hex"));
     let opened = open(&disk_with(FIRST_FILE, &bytes), NEVER_COMPACT);
     assert!(opened.torn_tail.is_some());
--- a/crates/linenthread-control/tests/replica_registry.rs
+++ b/crates/linenthread-control/tests/replica_registry.rs
@@ -1,4 +1,4 @@
-//! The registry of replicas: heartbeats in any order, departures, time-outs and the digest, as tables of cases.
+//! The replica registry: heartbeats in any order, departures, time-outs and the digest.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -28,52 +28,59 @@
 #[parameterized(
     newer = { report("a", 3, "x"), HeartbeatOutcome::Refreshed, false },
     drains = { Replica { draining: true, ..report("a", 3, "x") }, HeartbeatOutcome::Changed, false },
-    late = { Replica { draining: true, ..report("a", 1, "x") }, HeartbeatOutcome::Stale, false },
+    older = { Replica { draining: true, ..report("a", 1, "x") }, HeartbeatOutcome::Stale, false },
     repeated = { report("a", 2, "x"), HeartbeatOutcome::Stale, false },
     ended = { Replica { ended: true, ..report("a", 1, "x") }, HeartbeatOutcome::Changed, true },
     another_at_its_address = { report("b", 1, "x"), HeartbeatOutcome::Changed, true },
     another_with_an_older_heartbeat = { Replica { age_ms: 900, ..report("b", 1, "x") }, HeartbeatOutcome::Changed, false },
     another_elsewhere = { report("b", 1, "y"), HeartbeatOutcome::Changed, false },
 )]
-fn heartbeats_merge_in_any_order(news: Replica, outcome: HeartbeatOutcome, a_has_ended: bool) {
+fn heartbeats_merge_in_any_order(
+    new_report: Replica,
+    outcome: HeartbeatOutcome,
+    a_has_ended: bool,
+) {
     let mut registry = ReplicaRegistry::default();
     registry.observe(at(1_000), &report("a", 2, "x"));
-    assert_eq!(registry.observe(at(1_500), &news).outcome, outcome);
+    assert_eq!(registry.observe(at(1_500), &new_report).outcome, outcome);
     assert_eq!(registry.get("a").unwrap().replica.ended, a_has_ended);
 }
 
-/// The digest is cached until something that it covers changes: it is the same as if it had not been read before.
+/// The digest is cached until the replicas it covers change. Reading it earlier must not affect later values.
 #[parameterized(
     newer = { report("a", 3, "x") },
     drains = { Replica { draining: true, ..report("a", 3, "x") } },
-    moved = { report("a", 3, "z") },
+    new_address = { report("a", 3, "z") },
     ended = { Replica { ended: true, ..report("a", 1, "x") } },
     another_at_its_address = { report("b", 1, "x") },
     another_elsewhere = { report("b", 1, "y") },
 )]
-fn a_cached_digest_equals_a_computed_one(news: Replica) {
+fn a_cached_digest_equals_a_computed_one(new_report: Replica) {
     let (mut cached, mut computed) = (ReplicaRegistry::default(), ReplicaRegistry::default());
     for registry in [&mut cached, &mut computed] {
         registry.observe(at(1_000), &report("a", 2, "x"));
     }
     let before = cached.digest();
     for registry in [&mut cached, &mut computed] {
-        registry.observe(at(1_500), &news);
+        registry.observe(at(1_500), &new_report);
     }
     assert_eq!(cached.digest(), computed.digest());
     assert_eq!(
         cached.digest() == before,
-        news.id == "a" && news.address == "x" && !news.draining && !news.ended
+        new_report.id == "a"
+            && new_report.address == "x"
+            && !new_report.draining
+            && !new_report.ended
     );
     assert!(
-        cached.mark_departed(at(2_000), &news.id) != news.ended
-            && computed.mark_departed(at(2_000), &news.id) != news.ended
+        cached.mark_departed(at(2_000), &new_report.id) != new_report.ended
+            && computed.mark_departed(at(2_000), &new_report.id) != new_report.ended
     );
     assert_eq!(cached.digest(), computed.digest());
 }
 
 #[test]
-fn an_ended_incarnation_does_not_come_back() {
+fn an_ended_incarnation_is_not_added_again() {
     let mut registry = ReplicaRegistry::default();
     registry.observe(at(0), &report("a", 2, "x"));
     assert!(registry.mark_departed(at(10), "a") && !registry.mark_departed(at(11), "a"));
@@ -86,8 +93,8 @@
     assert!(registry.is_empty());
 }
 
-#[parameterized(one = { 1, 1 }, half = { 2, 2 }, most = { 3, 0 })]
-fn a_few_replicas_time_out_and_never_most(silent: usize, gone: usize) {
+#[parameterized(one = { 1, 1 }, half = { 2, 2 }, more_than_half = { 3, 0 })]
+fn replicas_time_out_unless_more_than_half_are_silent(silent: usize, expired: usize) {
     let mut registry = ReplicaRegistry::default();
     for i in 0..4 {
         let last_heartbeat = if i < silent { 0 } else { 5_000 };
@@ -96,8 +103,8 @@
             &report(&format!("r{i}"), 1, &format!("x{i}")),
         );
     }
-    assert_eq!(registry.expire(at(6_000), ms(4_000)).len(), gone);
-    if gone > 0 {
+    assert_eq!(registry.expire(at(6_000), ms(4_000)).len(), expired);
+    if expired > 0 {
         assert_eq!(
             registry.observe(at(6_100), &report("r0", 2, "x0")).outcome,
             HeartbeatOutcome::Changed
@@ -107,7 +114,7 @@
 }
 
 #[test]
-fn changes_are_logged_with_the_replicas_that_ended_by_them() {
+fn changes_are_logged_together_with_superseded_replicas() {
     let mut registry = ReplicaRegistry::default();
     registry.observe(at(1_000), &report("a", 2, "x"));
     let first = registry.changes().offset();
--- a/crates/linenthread-control/tests/retry_budget.rs
+++ b/crates/linenthread-control/tests/retry_budget.rs
@@ -1,4 +1,4 @@
-//! The retry budget: what is granted never exceeds the allowance.
+//! The retry budget: the granted shares never exceed the allowance.
 
 use std::time::Duration;
 
@@ -21,16 +21,16 @@
 }
 
 #[test]
-fn shares_stay_within_the_allowance_as_ingress_nodes_come_and_go() {
+fn shares_stay_within_the_allowance_as_ingress_nodes_join_and_restart() {
     let mut budget = RetryBudget::new(12.0, ms(10_000));
     budget.begin(at(0), EarlierGrants::None);
     assert_eq!(budget.grant(at(0), &ingress("a", 1), 1), 6.0);
     assert_eq!(budget.grant(at(0), &ingress("b", 1), 2), 4.0);
-    // All of a's larger share may be in use until its lifetime and a window have passed.
+    // The larger first share of `a` may be in use in full until the grant's lifetime and a window have passed.
     assert_eq!(budget.grant(at(100), &ingress("a", 1), 2), 4.0);
     assert_eq!(budget.grant(at(100), &ingress("c", 1), 3), 2.0);
     assert!(budget.granted(at(100)) <= 12.0);
-    // A new incarnation is granted what the old one cannot have in use.
+    // A new incarnation is granted only what the old one can't be using.
     assert_eq!(budget.grant(at(200), &ingress("a", 2), 3), 0.0);
     for now in [5_000, 10_000, 14_000].map(at) {
         budget.grant(now, &ingress("b", 1), 3);
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn a_new_leader_waits_until_all_earlier_grants_have_ended() {
+fn a_new_leader_grants_nothing_until_all_earlier_grants_have_expired() {
     let mut budget = RetryBudget::new(12.0, ms(10_000));
     budget.begin(at(1_000), EarlierGrants::MayBeInUse);
     assert_eq!(budget.grant(at(15_999), &ingress("a", 1), 1), 0.0);
--- a/crates/linenthread-control/tests/state_log.rs
+++ b/crates/linenthread-control/tests/state_log.rs
@@ -1,4 +1,4 @@
-//! The state's log over the modelled disk: crashes at any moment, full disks, compaction.
+//! The state log on a simulated disk: crashes at any point, full disks, and compaction.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -9,18 +9,18 @@
 use oorandom::Rand64;
 
 const COMPACT_ABOVE: u64 = 4_000;
-/// Longer than any log of these tests.
+/// Greater than the length of any log in these tests.
 const NEVER_COMPACT: u64 = u64::MAX;
-/// Length of every entry of a long record but its last, with the marker in front.
+/// Length of every entry of a long record except its last, including the marker.
 const PART_ENTRY_BYTES: usize = linenthread_store::MAX_RECORD_BYTES / 2 + 1;
 /// First byte of such an entry.
 const PART_MARKER: u8 = 0;
 /// First byte of the last entry of a record.
 const LAST_PART_MARKER: u8 = 1;
-/// Bytes of a document that takes two entries.
-const TWO_ENTRIES: usize = 600_000;
-/// Bytes of a document that takes three entries.
-const THREE_ENTRIES: usize = 1_100_000;
+/// Length of a document whose record takes two entries.
+const TWO_ENTRY_BYTES: usize = 600_000;
+/// Length of a document whose record takes three entries.
+const THREE_ENTRY_BYTES: usize = 1_100_000;
 
 type Disk = Rc<RefCell<SimulatedDisk>>;
 
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn written_state_outlasts_losses_of_power_and_compaction() {
+fn written_state_survives_power_loss_and_compaction() {
     let (disk, mut random) = (Disk::default(), Rand64::new(7));
     let mut synced = 0;
     for round in 0..300 {
@@ -71,7 +71,7 @@
             synced += 1;
             assert!(opened.log.bytes() < COMPACT_ABOVE + 400);
         }
-        // The last write is interrupted by the loss of power.
+        // A loss of power interrupts the last write.
         let syncs = usize::try_from(random.rand_range(0..3)).expect("a small number");
         disk.borrow_mut().syncs_until_failure = Some(syncs);
         let _ = opened.log.write(&[decided(synced + 1, 300)]);
@@ -80,7 +80,7 @@
 }
 
 #[test]
-fn a_full_disk_fails_and_everything_is_written_once_there_is_space() {
+fn everything_is_written_once_a_full_disk_has_space_again() {
     let disk = Disk::default();
     let mut opened = open(&disk);
     opened.log.write(&[decided(1, 300)]).expect("there is room");
@@ -113,7 +113,7 @@
     assert_eq!(open(&disk).state.records()[0].decided, record.decided);
 }
 
-/// The entries of this record's log.
+/// Returns the log entries of a record.
 fn entries(record: &Record) -> Vec<Vec<u8>> {
     let disk = Disk::default();
     open(&disk)
@@ -123,7 +123,7 @@
     Log::open(disk).expect("a disk without damage").records
 }
 
-/// A disk whose log has these entries.
+/// Returns a disk whose log consists of these entries.
 fn disk_with(entries: &[Vec<u8>]) -> Disk {
     let disk = Disk::default();
     let mut log = Log::open(disk.clone()).expect("an empty disk").log;
@@ -135,16 +135,16 @@
 }
 
 #[test]
-fn a_record_after_one_that_a_crash_interrupted_is_read_as_itself() {
-    for interrupted in [TWO_ENTRIES, THREE_ENTRIES] {
+fn a_record_after_an_interrupted_one_is_not_joined_with_it() {
+    for interrupted in [TWO_ENTRY_BYTES, THREE_ENTRY_BYTES] {
         let abandoned = entries(&decided(2, interrupted));
-        for first_parts in 1..abandoned.len() {
-            for next in [300, TWO_ENTRIES, THREE_ENTRIES] {
+        for written_parts in 1..abandoned.len() {
+            for next in [300, TWO_ENTRY_BYTES, THREE_ENTRY_BYTES] {
                 let mut on_disk = entries(&decided(1, 300));
-                on_disk.extend_from_slice(&abandoned[..first_parts]);
+                on_disk.extend_from_slice(&abandoned[..written_parts]);
                 let disk = disk_with(&on_disk);
                 let mut opened = open_with(&disk, NEVER_COMPACT);
-                assert_eq!(number(&opened), 1, "the interrupted record is left out");
+                assert_eq!(number(&opened), 1, "the interrupted record is ignored");
                 opened
                     .log
                     .write(&[decided(3, next)])
@@ -154,7 +154,7 @@
                 assert_eq!(
                     number(&open(&disk)),
                     4,
-                    "{interrupted} {first_parts} {next}"
+                    "{interrupted} {written_parts} {next}"
                 );
             }
         }
@@ -162,14 +162,14 @@
 }
 
 #[test]
-fn a_folder_in_which_an_earlier_version_joined_two_records_opens_with_all_that_was_acknowledged() {
-    for interrupted in [TWO_ENTRIES, THREE_ENTRIES] {
+fn acknowledged_records_that_an_earlier_version_joined_are_recovered() {
+    for interrupted in [TWO_ENTRY_BYTES, THREE_ENTRY_BYTES] {
         let abandoned = entries(&decided(2, interrupted));
-        for first_parts in 1..abandoned.len() {
-            for next in [300, TWO_ENTRIES, THREE_ENTRIES] {
+        for written_parts in 1..abandoned.len() {
+            for next in [300, TWO_ENTRY_BYTES, THREE_ENTRY_BYTES] {
                 let acknowledged = decided(3, next);
                 let mut on_disk = entries(&decided(1, 300));
-                on_disk.extend_from_slice(&abandoned[..first_parts]);
+                on_disk.extend_from_slice(&abandoned[..written_parts]);
                 on_disk.extend(entries(&acknowledged));
                 on_disk.extend(entries(&Record {
                     epoch: 5,
@@ -181,7 +181,7 @@
                     assert_eq!(
                         opened.state.records()[0].decided,
                         acknowledged.decided,
-                        "{interrupted} {first_parts} {next}"
+                        "{interrupted} {written_parts} {next}"
                     );
                     assert_eq!(opened.state.epoch, Epoch::new(5));
                     opened
@@ -195,7 +195,7 @@
 }
 
 #[test]
-fn entries_that_hold_no_record_are_an_error_wherever_they_begin() {
+fn entries_that_do_not_decode_are_an_error() {
     let part = |marker: u8, bytes: usize| {
         let mut entry = vec![0xff; bytes];
         entry[0] = marker;
@@ -215,34 +215,39 @@
 }
 
 #[test]
-fn long_records_outlast_crashes_at_any_byte_and_full_disks() {
+fn long_records_survive_crashes_at_any_byte_and_full_disks() {
     let (disk, mut random) = (Disk::default(), Rand64::new(11));
     let (mut acknowledged, mut next) = (0, 1);
     for round in 0..30 {
         let mut opened = open_with(&disk, NEVER_COMPACT);
         assert!(number(&opened) >= acknowledged, "round {round}");
         for _ in 0..random.rand_range(0..3) {
-            let bytes = [300, TWO_ENTRIES][usize::from(random.rand_range(0..3) == 0)];
+            let bytes = [300, TWO_ENTRY_BYTES][usize::from(random.rand_range(0..3) == 0)];
             opened
                 .log
                 .write(&[decided(next, bytes)])
                 .expect("there is room");
             (acknowledged, next) = (next, next + 1);
         }
-        let full = random.rand_range(0..2) == 0;
-        if full {
-            let free = usize::try_from(random.rand_range(0..THREE_ENTRIES as u64)).expect("small");
-            disk.borrow_mut().limit_free_bytes(free);
+        let is_full = random.rand_range(0..2) == 0;
+        if is_full {
+            let free_bytes =
+                usize::try_from(random.rand_range(0..THREE_ENTRY_BYTES as u64)).expect("small");
+            disk.borrow_mut().limit_free_bytes(free_bytes);
         } else {
             disk.borrow_mut().syncs_until_failure = Some(0);
         }
-        if opened.log.write(&[decided(next, THREE_ENTRIES)]).is_ok() {
+        if opened
+            .log
+            .write(&[decided(next, THREE_ENTRY_BYTES)])
+            .is_ok()
+        {
             acknowledged = next;
         }
         next += 1;
         drop(opened);
-        if full {
-            // The process ends, and what the disk had room for stays.
+        if is_full {
+            // The process exits, and the bytes that fitted on the disk remain.
             disk.borrow_mut().capacity = None;
         } else {
             disk.borrow_mut().crash(&mut random);
--- a/crates/linenthread-control/tests/usage_duty.rs
+++ b/crates/linenthread-control/tests/usage_duty.rs
@@ -1,6 +1,7 @@
-//! The duty to report usage at one node: under which fence it acts, when, and what follows from the end of a call.
+//! The duty to report usage at one node: under which fencing token it makes calls, when, and what follows from the
+//! outcome of a call.
 //!
-//! Each edge of the table in `docs/usage-design.md` is a test.
+//! There is a test for each edge of the table in `docs/usage-design.md`.
 
 use std::time::Duration;
 
@@ -41,13 +42,13 @@
     duty.next_call(at(now), tenure(epoch), &reports)
 }
 
-/// Makes a call under an epoch and has it accepted.
-fn act(duty: &mut UsageDuty, now: u64, epoch: u64, window: u64) {
+/// Makes a call under an epoch, which the platform accepts.
+fn make_accepted_call(duty: &mut UsageDuty, now: u64, epoch: u64, window: u64) {
     let made = call(duty, now, epoch, &[window]).expect("a call");
     duty.on_outcome(at(now), made.id, PlatformOutcome::Accepted);
 }
 
-// Guards against two calls of different nodes under one fence, and against bytes that differ from the decided ones.
+// Guards against calls of different nodes under one fencing token, and against bytes that differ from the decided ones.
 #[test]
 fn a_call_carries_the_epoch_of_the_lease_and_the_decided_bytes() {
     let mut duty = duty();
@@ -59,7 +60,7 @@
 
 // Guards against a call whose first byte is written when another node may hold the lease.
 #[test]
-fn no_call_is_made_once_the_lease_has_ended() {
+fn no_call_is_made_once_the_lease_has_expired() {
     let mut duty = duty();
     let expired = Tenure {
         expires_at: at(4_000),
@@ -68,26 +69,27 @@
     assert_eq!(duty.next_call(at(4_000), expired, &[report(5)]), None);
 }
 
-// Guards against A, B, A within the lease time, where A has restarted in between.
+// Guards against calls of nodes A, B and A again within the lease time, where A restarted in between.
 #[test]
-fn after_its_start_a_node_waits_for_the_lease_time() {
+fn a_started_node_waits_for_the_lease_time() {
     let mut duty = duty();
     assert_eq!(call(&mut duty, 3_999, 9, &[5]), None);
     assert!(call(&mut duty, 4_000, 9, &[5]).is_some());
 }
 
-// Guards against A, B, A within the lease time, where A kept running and lost the duty in between.
+// Guards against calls of nodes A, B and A again within the lease time, where A kept running and lost the duty in
+// between.
 #[test]
-fn under_a_new_epoch_a_node_waits_for_the_lease_time_since_its_last_call() {
+fn a_node_under_a_new_epoch_waits_for_the_lease_time_after_its_last_call() {
     let mut duty = duty();
-    act(&mut duty, 10_000, 9, 5);
+    make_accepted_call(&mut duty, 10_000, 9, 5);
     assert_eq!(call(&mut duty, 12_999, 11, &[6]), None);
     assert!(call(&mut duty, 13_000, 11, &[6]).is_some());
 }
 
-// Guards against a wait that begins at the start of a call which was written later.
+// Guards against a wait counted from the start of the last call, whose bytes may have been written later.
 #[test]
-fn the_wait_begins_when_the_last_call_has_ended() {
+fn the_wait_starts_at_the_end_of_the_last_call() {
     let mut duty = duty();
     let made = call(&mut duty, 10_000, 9, &[5]).expect("a call");
     assert_eq!(call(&mut duty, 12_000, 11, &[5]), None, "still in flight");
@@ -97,13 +99,13 @@
 }
 
 #[test]
-fn under_the_same_epoch_a_node_goes_on_at_once() {
+fn a_node_under_the_same_epoch_does_not_wait() {
     let mut duty = duty();
-    act(&mut duty, 10_000, 9, 5);
+    make_accepted_call(&mut duty, 10_000, 9, 5);
     assert!(call(&mut duty, 10_100, 9, &[5, 6]).is_some());
 }
 
-// Guards against a second use of a fence that the platform has refused.
+// Guards against using a fencing token again that the platform has refused.
 #[test]
 fn a_refused_epoch_is_never_used_again() {
     let mut duty = duty();
@@ -120,15 +122,15 @@
     assert!(call(&mut duty, 100_000, 10, &[5]).is_some());
 }
 
-// Guards against a report that is taken for delivered though the platform may not have it, and against a busy platform
-// that is called without a pause.
+// Guards against a report that counts as delivered though the platform may not have it, and against calls to a busy
+// platform without a backoff.
 #[parameterized(
     busy = { PlatformOutcome::Busy },
     rejected = { PlatformOutcome::Rejected },
     not_sent = { PlatformOutcome::NotSent },
     unknown = { PlatformOutcome::Unknown },
 )]
-fn after_a_failure_the_same_report_is_sent_again_after_a_pause(outcome: PlatformOutcome) {
+fn a_failed_report_is_sent_again_after_a_backoff(outcome: PlatformOutcome) {
     let mut duty = duty();
     let made = call(&mut duty, 10_000, 9, &[5, 6]).expect("a call");
     assert_eq!(
@@ -145,9 +147,9 @@
     assert_eq!(duty.delivered(), None);
 }
 
-// Guards against a platform that is down for long and called more and more often, or hardly ever.
+// Guards against calling a platform that is down for a long time ever more often, or hardly ever.
 #[test]
-fn pauses_grow_to_a_bound() {
+fn the_backoff_grows_up_to_a_limit() {
     let (mut duty, mut now) = (duty(), 10_000);
     let mut called_at = Vec::new();
     while called_at.len() < 12 {
@@ -157,14 +159,20 @@
         }
         now += 10;
     }
-    let pauses: Vec<u64> = called_at.windows(2).map(|pair| pair[1] - pair[0]).collect();
-    assert!((100..=210).contains(&pauses[0]), "{pauses:?}");
-    assert!(pauses.iter().all(|pause| *pause <= 1_610), "{pauses:?}");
-    assert!(pauses[5..].iter().all(|pause| *pause >= 800), "{pauses:?}");
+    let backoffs: Vec<u64> = called_at.windows(2).map(|pair| pair[1] - pair[0]).collect();
+    assert!((100..=210).contains(&backoffs[0]), "{backoffs:?}");
+    assert!(
+        backoffs.iter().all(|backoff| *backoff <= 1_610),
+        "{backoffs:?}"
+    );
+    assert!(
+        backoffs[5..].iter().all(|backoff| *backoff >= 800),
+        "{backoffs:?}"
+    );
 }
 
 #[test]
-fn one_call_is_in_flight_at_a_time() {
+fn only_one_call_is_in_flight_at_a_time() {
     let mut duty = duty();
     let made = call(&mut duty, 10_000, 9, &[5, 6]).expect("a call");
     assert_eq!(call(&mut duty, 10_100, 9, &[5, 6]), None);
@@ -174,7 +182,7 @@
 }
 
 #[test]
-fn the_outcome_of_another_call_changes_nothing() {
+fn the_outcome_of_another_call_is_ignored() {
     let mut duty = duty();
     let made = call(&mut duty, 10_000, 9, &[5]).expect("a call");
     let other = made.id.next();
@@ -185,18 +193,18 @@
     assert_eq!(duty.delivered(), None);
 }
 
-// Guards against more calls a second than the platform takes.
+// Guards against exceeding the rate of calls that the platform accepts.
 #[test]
-fn calls_keep_the_rate() {
+fn calls_do_not_exceed_the_rate() {
     let mut duty = UsageDuty::new(START, LEASE, 2.0, SEED);
-    act(&mut duty, 10_000, 9, 5);
+    make_accepted_call(&mut duty, 10_000, 9, 5);
     assert_eq!(call(&mut duty, 10_499, 9, &[6]), None);
     assert!(call(&mut duty, 10_500, 9, &[6]).is_some());
 }
 
-// Guards against one report that the platform never takes, and that all later ones wait for.
+// Guards against one report that the platform never accepts and that blocks all later ones.
 #[test]
-fn a_report_that_is_rejected_again_and_again_is_given_up() {
+fn a_report_is_abandoned_after_repeated_rejections() {
     let mut duty = duty();
     let mut last = None;
     for round in 0..8u64 {
--- a/crates/linenthread-control/tests/usage_ledger.rs
+++ b/crates/linenthread-control/tests/usage_ledger.rs
@@ -1,4 +1,4 @@
-//! The merged counts of ingress nodes: repeats, reordering and several incarnations.
+//! The merged counts of ingress nodes: repeated and reordered messages, and several incarnations.
 
 use linenthread_control::usage_ledger::UsageLedger;
 use linenthread_messages::{
@@ -36,9 +36,9 @@
     (tenant.to_owned(), requests)
 }
 
-// Guards against requests that are counted twice since a message arrived twice, or late.
+// Guards against requests being counted twice because a message arrives twice or late.
 #[test]
-fn repeats_and_reordered_messages_change_nothing() {
+fn repeated_and_reordered_messages_change_nothing() {
     let mut ledger = UsageLedger::default();
     let (first, second) = (usage("a", 1, &[(7, "t", 3)]), usage("a", 1, &[(7, "t", 5)]));
     for message in [&second, &first, &second, &first] {
@@ -47,9 +47,10 @@
     assert_eq!(totals(&ledger, 7), [count("t", 5)]);
 }
 
-// Guards against the counts of an ingress node that are lost, or hide those of its next life, when it restarts.
+// Guards against losing the counts of an ingress node when it restarts, or hiding them by those of its next
+// incarnation.
 #[test]
-fn incarnations_and_ingress_nodes_add_up() {
+fn counts_of_incarnations_and_ingress_nodes_are_added() {
     let mut ledger = UsageLedger::default();
     for message in [
         usage("a", 1, &[(7, "t", 3)]),
@@ -64,7 +65,7 @@
 }
 
 #[test]
-fn a_control_node_that_connects_gets_all_counts() {
+fn a_connecting_control_node_is_sent_all_counts() {
     let (mut ledger, mut other) = (UsageLedger::default(), UsageLedger::default());
     ledger.on_ingress_usage(usage("a", 1, &[(7, "t", 3), (8, "u", 1)]));
     ledger.merge(&usage("b", 4, &[(8, "t", 2)]));
@@ -76,9 +77,9 @@
     }
 }
 
-// Guards against counts that go round and round among control nodes.
+// Guards against counts being forwarded between control nodes without end.
 #[test]
-fn only_what_ingress_nodes_sent_here_is_passed_on_and_only_once() {
+fn only_counts_sent_by_ingress_nodes_are_forwarded_and_only_once() {
     let mut ledger = UsageLedger::default();
     let own = usage("a", 1, &[(7, "t", 3)]);
     ledger.on_ingress_usage(own.clone());
@@ -87,9 +88,9 @@
     assert_eq!(ledger.take_news(), []);
 }
 
-// Guards against a second report for a window, and against memory that grows.
+// Guards against a second report for a window, and against unbounded memory.
 #[test]
-fn closed_windows_take_nothing_more() {
+fn closed_windows_accept_no_counts() {
     let mut ledger = UsageLedger::default();
     ledger.merge(&usage("a", 1, &[(7, "t", 3), (8, "t", 1)]));
     ledger.close(WindowNumber::new(7));
@@ -102,7 +103,7 @@
 }
 
 #[test]
-fn the_number_of_windows_is_bounded_and_what_is_dropped_is_counted() {
+fn the_number_of_windows_is_bounded_and_dropped_requests_are_counted() {
     let mut ledger = UsageLedger::default();
     for window in 0..1_030 {
         ledger.merge(&usage("a", 1, &[(window, "t", 2)]));
@@ -112,8 +113,8 @@
     assert_eq!(ledger.dropped_requests(), 12);
 }
 
-/// One request of each of so many tenants in each of so many windows.
-fn usage_of_many(name: &str, windows: u64, tenants: usize) -> IngressUsage {
+/// One request by each of `tenants` tenants in each of `windows` windows.
+fn usage_of_many_tenants(name: &str, windows: u64, tenants: usize) -> IngressUsage {
     let tenants: Vec<TenantCount> = (0..tenants)
         .map(|tenant| TenantCount {
             tenant: format!("tenant-{tenant}"),
@@ -131,16 +132,20 @@
     }
 }
 
-// Guards against control nodes that run out of memory, and whose peers reject the message with all counts, after the
-// platform was in trouble for some minutes: no control node could rejoin the others.
+// Guards against control nodes running out of memory after the platform has failed for some minutes, and against their
+// peers rejecting the message with all counts: then no control node could rejoin the others.
 #[test]
-fn all_counts_fit_into_a_message_and_what_is_dropped_is_counted() {
+fn all_counts_fit_into_a_message_and_dropped_requests_are_counted() {
     const INGRESS_NODES: u64 = 90;
     const WINDOWS: u64 = 150;
     const TENANTS: usize = 90;
     let mut ledger = UsageLedger::default();
     for ingress in 0..INGRESS_NODES {
-        ledger.merge(&usage_of_many(&format!("i-{ingress}"), WINDOWS, TENANTS));
+        ledger.merge(&usage_of_many_tenants(
+            &format!("i-{ingress}"),
+            WINDOWS,
+            TENANTS,
+        ));
     }
     let kept: u64 = (0..WINDOWS)
         .flat_map(|window| ledger.totals(WindowNumber::new(window)).into_values())
@@ -159,12 +164,12 @@
     );
 }
 
-// Guards against a ledger that was full once and drops what comes after its windows are closed.
+// Guards against a ledger that was once full and drops counts even after its windows are closed.
 #[test]
-fn closed_windows_make_room() {
+fn closing_windows_frees_memory() {
     const WINDOWS: u64 = 1_000;
     let mut ledger = UsageLedger::default();
-    ledger.merge(&usage_of_many("a", WINDOWS, 500));
+    ledger.merge(&usage_of_many_tenants("a", WINDOWS, 500));
     let dropped = ledger.dropped_requests();
     assert!(dropped > 0);
     ledger.close(WindowNumber::new(WINDOWS - 1));
