--- a/crates/linenthread-control/src/control_peer.rs
+++ b/crates/linenthread-control/src/control_peer.rs
@@ -104,7 +104,7 @@
         self.acknowledged_sent_at >= sent_at
     }
 
-    /// Returns the sending time that the next heartbeat to the peer echoes: that of the peer's newest heartbeat, in
+    /// Returns the time to echo in the next heartbeat to the peer: when the peer sent its newest heartbeat, in
     /// milliseconds of the peer's clock.
     pub(crate) fn sent_at_to_echo(&self) -> Option<u64> {
         self.last_sent_at
--- a/crates/linenthread-control/src/event.rs
+++ b/crates/linenthread-control/src/event.rs
@@ -29,7 +29,7 @@
         /// Whether the peer is a control node rather than an ingress node.
         is_control_node: bool,
     },
-    /// A session has ended.
+    /// A session was closed.
     SessionClosed {
         /// The peer's name.
         peer: String,
@@ -72,14 +72,14 @@
     UsageReported {
         /// The window.
         window: WindowNumber,
-        /// How the call ended.
+        /// The outcome of the call.
         outcome: PlatformOutcome,
     },
     /// A call with a usage report failed and will be retried.
     UsageDelayed {
         /// The window.
         window: WindowNumber,
-        /// How the call ended.
+        /// The outcome of the call.
         outcome: PlatformOutcome,
     },
     /// The platform refused the fencing token of a call, since it has seen a higher one.
--- a/crates/linenthread-control/src/graceful_shutdown.rs
+++ b/crates/linenthread-control/src/graceful_shutdown.rs
@@ -42,7 +42,7 @@
     pub is_leader: bool,
 }
 
-/// The work of other nodes that the node which is shutting down waits for.
+/// The work of other nodes that delays the shutdown.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct PeerWork {
     /// A standby is ready to replace a voter.
--- a/crates/linenthread-control/src/ingress_peer.rs
+++ b/crates/linenthread-control/src/ingress_peer.rs
@@ -12,8 +12,8 @@
 use crate::peer_hello::IngressNodeHello;
 use crate::{IngressIncarnation, QuotaRequestNumber, ReplicaRegistry};
 
-/// Progress of the read barrier of a session: a linearizable read, started for this session, after whose completion the
-/// configuration that this node has is known to be the newest.
+/// Progress of the read barrier of a session. The barrier is a linearizable read that is started for the session; once
+/// it has succeeded, this node's configuration is known to be the newest.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Confirmation {
     /// No read was started, or the last one failed.
--- a/crates/linenthread-control/src/lib.rs
+++ b/crates/linenthread-control/src/lib.rs
@@ -4,7 +4,7 @@
 //! This crate does no I/O and reads no clock. Its driver (the daemon, a simulation or a test) passes in messages, calls
 //! and the current [`linenthread_time::Instant`], and carries out the returned [`Effect`]s in order. The crate must not
 //! depend on sockets, files, threads or the time of day; only [`StateLog`] writes bytes, to the
-//! [`linenthread_store::Files`] it is given.
+//! [`linenthread_store::Files`] passed to it.
 //!
 //! Start reading at [`ControlNode`] (`control_node`), then `control_node/ticks` for work driven by time and
 //! `control_node/sessions` for work driven by messages. The state tables and decision functions don't depend on each
--- a/crates/linenthread-control/src/membership.rs
+++ b/crates/linenthread-control/src/membership.rs
@@ -22,7 +22,7 @@
     awaits_contact: bool,
 }
 
-/// All sessions with other control nodes, and what is retained of closed sessions.
+/// The sessions with other control nodes, and the state retained from closed sessions.
 #[derive(Default)]
 pub(crate) struct Membership {
     peers: BTreeMap<SessionId, ControlPeer>,
--- a/crates/linenthread-control/src/own_durability.rs
+++ b/crates/linenthread-control/src/own_durability.rs
@@ -11,7 +11,8 @@
 }
 
 impl OwnDurability {
-    /// The state at start-up: the epoch is durable; the values are not known to be until the register reports them.
+    /// Creates the state at start-up: the epoch is durable; the values are not known to be until the register reports
+    /// them.
     pub(crate) fn new(epoch: Epoch) -> OwnDurability {
         OwnDurability {
             value_number: None,
--- a/crates/linenthread-control/src/pending_drains.rs
+++ b/crates/linenthread-control/src/pending_drains.rs
@@ -46,10 +46,10 @@
     pub(crate) response: Response,
 }
 
-/// The calls that wait, and the replicas that a majority of the present voters knows to drain or to have departed.
+/// The pending calls, and the replicas that a majority of the present voters know to be draining or departed.
 #[derive(Default)]
 pub(crate) struct PendingDrains {
-    /// The oldest first.
+    /// Oldest first.
     pending: Vec<PendingDrain>,
     known_by_majority: BTreeSet<String>,
     last_update_id: UpdateId,
@@ -70,7 +70,8 @@
         self.known_by_majority.remove(replica_id);
     }
 
-    /// Clears what a majority knows, after a change of the voters: a majority of the new voters may not know it.
+    /// Clears the drains known to a majority, after a change of the voters: a majority of the new voters may not know
+    /// them.
     pub(crate) fn on_voters_changed(&mut self) {
         self.known_by_majority.clear();
     }
--- a/crates/linenthread-control/src/reconfiguration.rs
+++ b/crates/linenthread-control/src/reconfiguration.rs
@@ -137,7 +137,7 @@
 
 /// Returns the voters of the next value; `None` if the present voters need no change. All lost voters are replaced at
 /// once, as far as there are standbys; apart from that, the sets differ by one node. A voter that is shutting down is
-/// replaced by a standby, or removed if [`removes_voter_without_successor`] says so.
+/// replaced by a standby, or removed if [`removes_voter_without_successor`] returns true.
 ///
 /// The next set is at most one voter smaller than the present one, which the lease relies on (`LeaderLease` in
 /// `linenthread-consensus`).
--- a/crates/linenthread-control/src/state_log.rs
+++ b/crates/linenthread-control/src/state_log.rs
@@ -24,22 +24,22 @@
     /// The directory can't be opened.
     #[snafu(display("opening the directory: {source}"))]
     OpenDirectory {
-        /// What the directory reported.
+        /// The error of the directory.
         source: DirectoryError,
     },
     /// The log can't be read or written.
     #[snafu(display("{source}"))]
     Log {
-        /// What the log reported.
+        /// The error of the log.
         source: LogError,
     },
-    /// The log holds an entry without a marker.
+    /// The log contains an entry without a marker.
     #[snafu(display("the log holds an empty entry"))]
     EmptyEntry,
-    /// The log holds a record that does not decode.
+    /// The log contains a record that can't be decoded.
     #[snafu(display("a record does not decode: {source}"))]
     Decode {
-        /// What is wrong with it.
+        /// The decoding error.
         source: prost::DecodeError,
     },
 }
@@ -80,7 +80,7 @@
     ///
     /// # Errors
     ///
-    /// The files can't be opened, or synced data is no longer readable.
+    /// Fails if the files can't be opened, or if synced data is no longer readable.
     pub fn open(mut open_files: O, compact_above: u64) -> Result<OpenedState<F, O>, StateLogError> {
         let opened = open_log(&mut open_files)?;
         let Decoded { state, is_complete } = decode(&opened.records)?;
@@ -103,7 +103,7 @@
     ///
     /// # Errors
     ///
-    /// The disk failed or is full: no message that waits for these records may be sent.
+    /// Fails if the disk failed or is full. Then no message that waits for these records may be sent.
     pub fn write(&mut self, records: &[Record]) -> Result<(), StateLogError> {
         for record in records {
             self.state.add(record.clone());
@@ -196,7 +196,7 @@
 
 /// Decodes the record that ends with the last of these parts, and counts the parts before it that belong to a record
 /// interrupted by a crash. Versions before December 2026 appended the next record to such parts. An interrupted record
-/// was never synced, so it contains nothing that was acknowledged; the record after it may have been acknowledged.
+/// was never synced, so it contains nothing that was acknowledged; the record after it was acknowledged.
 ///
 /// Two joined records could decode by chance, but the result would not encode to the same bytes again. A record that
 /// does is therefore preferred.
--- a/crates/linenthread-control/src/tick_schedule.rs
+++ b/crates/linenthread-control/src/tick_schedule.rs
@@ -20,7 +20,7 @@
 }
 
 impl TickSchedule {
-    /// A schedule by which all work is due immediately.
+    /// Creates a schedule by which all work is due immediately.
     pub(crate) fn new() -> TickSchedule {
         TickSchedule {
             last_tick: Instant::START,
@@ -35,7 +35,7 @@
         self.last_upkeep = Instant::START;
     }
 
-    /// Returns when the next tick is due. `awaits_messages` says whether any work waits for messages that may be lost.
+    /// Returns when the next tick is due. `awaits_messages` is true if any work waits for messages that may be lost.
     pub(crate) fn next_tick_at(&self, awaits_messages: bool) -> Instant {
         let retry_at = if awaits_messages {
             self.last_tick + RETRY_INTERVAL
--- a/crates/linenthread-control/src/usage_body.rs
+++ b/crates/linenthread-control/src/usage_body.rs
@@ -5,7 +5,7 @@
 use linenthread_time::WindowNumber;
 use serde::Serialize;
 
-/// The body; its field names are given by the platform.
+/// The body; the platform defines its field names.
 #[derive(Serialize)]
 struct Body<'a> {
     #[serde(rename = "epoch")]
--- a/crates/linenthread-control/src/usage_duty.rs
+++ b/crates/linenthread-control/src/usage_duty.rs
@@ -38,14 +38,14 @@
     ReportClosed {
         /// The window of the report.
         window: WindowNumber,
-        /// How the call ended.
+        /// The outcome of the call.
         outcome: PlatformOutcome,
     },
     /// The report is sent again after a backoff, with the same bytes.
     Retry {
         /// The window of the report.
         window: WindowNumber,
-        /// How the call ended.
+        /// The outcome of the call.
         outcome: PlatformOutcome,
     },
     /// Another node has made a call under a higher fencing token: this node releases the lease and never uses its epoch
@@ -67,8 +67,8 @@
 /// The state of the duty at one node.
 ///
 /// It follows these rules:
-/// - *one-sender-per-fence*: calls are made only under an epoch of the leader lease, which at most one incarnation of one
-///   node holds, and before that lease ends;
+/// - *one-sender-per-fence*: calls are made only under an epoch of the leader lease, which at most one incarnation of
+///   one node holds, and only before that lease expires;
 /// - *no-return-within-lease*: under an epoch in which this node has not made a call yet, it waits for the lease time
 ///   passed to [`UsageDuty::new`] before the first one. The wait starts at the end of its last call under an earlier
 ///   epoch, or at its own start, since an earlier incarnation may have made a call just before. Calls of this node that
--- a/crates/linenthread-control/src/voting_state.rs
+++ b/crates/linenthread-control/src/voting_state.rs
@@ -21,7 +21,7 @@
 }
 
 impl VotingState {
-    /// The state of a node that starts at `now`.
+    /// Creates the state of a node that starts at `now`.
     pub(crate) fn new(now: Instant) -> VotingState {
         VotingState {
             is_voter: false,
