--- a/crates/linenthread-control/src/usage_duty.rs
+++ b/crates/linenthread-control/src/usage_duty.rs
@@ -160,27 +160,27 @@
     pub fn next_call(
         &mut self,
         now: Instant,
-        tenure: Tenure,
+        current_lease: Tenure,
         reports: &[UsageReport],
     ) -> Option<PlatformCall> {
         let is_due = self.in_flight.is_none() && now >= self.next_call_at;
-        if !is_due || now >= tenure.expires_at || !self.may_call(now, tenure.epoch) {
+        if !is_due || now >= current_lease.expires_at || !self.may_call(now, current_lease.epoch) {
             return None;
         }
         let report = self.undelivered(reports).next()?;
         self.last_call_id = self.last_call_id.next();
         self.in_flight = Some(CallInFlight {
             id: self.last_call_id,
-            epoch: tenure.epoch,
+            epoch: current_lease.epoch,
             window: WindowNumber::new(report.window),
         });
-        self.acting_epoch = Some(tenure.epoch);
+        self.acting_epoch = Some(current_lease.epoch);
         self.last_call_at = now;
         Some(PlatformCall {
             id: self.last_call_id,
-            fence: tenure.epoch,
+            fence: current_lease.epoch,
             report: report.clone(),
-            not_after: tenure.expires_at,
+            not_after: current_lease.expires_at,
         })
     }
 
--- a/crates/linenthread-control/tests/usage_duty.rs
+++ b/crates/linenthread-control/tests/usage_duty.rs
@@ -23,7 +23,7 @@
     UsageDuty::new(START, LEASE, 50.0, SEED)
 }
 
-fn tenure(epoch: u64) -> Tenure {
+fn current_lease(epoch: u64) -> Tenure {
     Tenure {
         epoch: Epoch::new(epoch),
         expires_at: at(1_000_000),
@@ -39,7 +39,7 @@
 
 fn call(duty: &mut UsageDuty, now: u64, epoch: u64, windows: &[u64]) -> Option<PlatformCall> {
     let reports: Vec<UsageReport> = windows.iter().map(|window| report(*window)).collect();
-    duty.next_call(at(now), tenure(epoch), &reports)
+    duty.next_call(at(now), current_lease(epoch), &reports)
 }
 
 /// Makes a call under an epoch, which the platform accepts.
@@ -64,7 +64,7 @@
     let mut duty = duty();
     let expired = Tenure {
         expires_at: at(4_000),
-        ..tenure(9)
+        ..current_lease(9)
     };
     assert_eq!(duty.next_call(at(4_000), expired, &[report(5)]), None);
 }
