--- a/crates/linenthread-config/src/configuration.rs
+++ b/crates/linenthread-config/src/configuration.rs
@@ -14,7 +14,7 @@
 };
 use crate::schema::Schema;
 
-/// The schema of a configuration.
+/// The JSON schema of configuration documents.
 pub(crate) const CONFIGURATION_SCHEMA: &str = include_str!("../configuration.schema.json");
 
 static SCHEMA: LazyLock<Schema> =
@@ -30,7 +30,7 @@
     Mutating,
 }
 
-/// One of the backends between which a route splits its traffic.
+/// A backend that receives part of a route's traffic.
 #[derive(Clone, Debug, Deserialize)]
 pub struct WeightedBackend {
     /// Name of the backend.
@@ -40,57 +40,58 @@
     pub weight: f64,
 }
 
-/// Which requests go where, and how. Exactly one of `backend`, `weighted_backends` and `fanout` is given.
+/// Which requests a route matches, and where and how they are sent. Exactly one of `backend`, `weighted_backends` and
+/// `fanout` is given.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Route {
     /// Name of the route, for logs.
     #[serde(rename = "label")]
     pub name: String,
-    /// The `Host` that requests are for; case and port don't matter.
+    /// The `Host` that the route matches, regardless of case and port.
     pub host: String,
-    /// Prefix of the request path; begins and ends with `/`. The longest that matches wins.
+    /// Prefix of the request path; begins and ends with `/`. The route with the longest matching prefix is used.
     pub path_prefix: String,
     /// Whether requests may be sent more than once.
     pub mode: Mode,
-    /// How long a request may take, in milliseconds; fractions are permitted.
+    /// Time-out of a request in milliseconds; may be fractional.
     #[serde(rename = "limit_ms")]
     pub timeout_ms: f64,
-    /// The latency that responses should keep to, in milliseconds; absent: the time-out.
+    /// Target latency of responses in milliseconds; absent: the time-out.
     #[serde(default, rename = "target_ms")]
     pub latency_target_ms: Option<f64>,
     /// Priority under load; 0 is the highest.
     #[serde(default, rename = "rank")]
     pub priority: i64,
-    /// How many attempts each sub-request may have, the first included.
+    /// Maximum number of attempts at each sub-request, including the first.
     #[serde(default = "one_attempt", rename = "tries")]
     pub max_attempts: usize,
-    /// The only backend of the route.
+    /// The backend that receives all requests.
     #[serde(default)]
     pub backend: Option<String>,
     /// The backends between which requests are split.
     #[serde(default, rename = "apportion")]
     pub weighted_backends: Option<Vec<WeightedBackend>>,
-    /// The backends that are all sent each request; their responses are gathered.
+    /// The backends that each receive every request; their responses are merged.
     #[serde(default)]
     pub fanout: Option<Vec<String>>,
-    /// The most records that a gathered response holds.
+    /// Maximum number of records in a merged response.
     #[serde(default)]
     pub result_limit: usize,
-    /// The least fraction of backends, from 0 to 1, that a gathered response may be made of.
+    /// Minimum fraction of backends, from 0 to 1, whose responses a merged response must include.
     #[serde(default)]
     pub min_coverage: f64,
-    /// Whether requests need no tenant's key.
+    /// Whether requests are accepted without a tenant's key.
     #[serde(default)]
     pub public: bool,
 }
 
-/// A request that isn't configured otherwise is sent once.
+/// Returns the default of [`Route::max_attempts`].
 fn one_attempt() -> usize {
     1
 }
 
 impl Route {
-    /// Names of all backends that a request on this route may go to.
+    /// Returns the names of all backends to which requests on this route may be sent.
     pub fn backends(&self) -> impl Iterator<Item = &str> {
         let weighted = self.weighted_backends.iter().flatten();
         self.backend
@@ -100,17 +101,18 @@
             .chain(self.fanout.iter().flatten().map(String::as_str))
     }
 
-    /// The requests that the route matches; where two routes match the same, one of them would never be used.
-    fn matched_requests(&self) -> (String, &str) {
+    /// Returns the lower-case host and the path prefix that the route matches. If two routes had the same, one of them
+    /// would never be used.
+    fn host_and_prefix(&self) -> (String, &str) {
         (self.host.to_ascii_lowercase(), &self.path_prefix)
     }
 
-    /// Whether requests that must not be repeated would be sent to several backends.
+    /// Reports whether requests that must not be repeated would be sent to several backends.
     fn fans_out_mutating_requests(&self) -> bool {
         self.fanout.is_some() && self.mode == Mode::Mutating
     }
 
-    /// Whether the route splits its traffic and no backend has a positive weight.
+    /// Reports whether the route splits its traffic and no backend has a positive weight.
     fn has_zero_weights(&self) -> bool {
         self.weighted_backends
             .as_ref()
@@ -118,34 +120,34 @@
     }
 }
 
-/// A service, all replicas of which do the same work.
+/// A service whose replicas are interchangeable.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Backend {
     /// Name of the backend, by which routes and replicas refer to it.
     #[serde(rename = "label")]
     pub name: String,
-    /// Path of its replicas' health check.
+    /// Path of the replicas' health check.
     #[serde(default, rename = "probe_path")]
     pub health_check_path: Option<String>,
-    /// How many connections a replica accepts from all ingress nodes together; absent: no limit.
+    /// Maximum number of connections that a replica accepts from all ingress nodes together; absent: no limit.
     #[serde(default, rename = "max_conns")]
     pub max_connections: Option<usize>,
 }
 
-/// What clients may send, and how long it may take.
+/// Size limits and time-outs of clients' requests.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(default)]
 pub struct RequestLimits {
-    /// The longest request head, in bytes.
+    /// Maximum length of a request head, in bytes.
     #[serde(rename = "header_bytes")]
     pub max_header_bytes: usize,
-    /// The longest request body, in bytes.
+    /// Maximum length of a request body, in bytes.
     #[serde(rename = "payload_bytes")]
     pub max_body_bytes: usize,
-    /// How long a request head may take from its first byte to its last.
+    /// Time-out for receiving a request head, from its first byte to its last.
     #[serde(rename = "header_ms", deserialize_with = "milliseconds")]
     pub header_timeout: Duration,
-    /// How long a connection may be idle.
+    /// Time after which an idle connection is closed.
     #[serde(rename = "quiet_ms", deserialize_with = "milliseconds")]
     pub idle_timeout: Duration,
 }
@@ -155,7 +157,7 @@
     u64::deserialize(deserializer).map(Duration::from_millis)
 }
 
-/// The limits of a configuration that gives none.
+/// The limits that apply where a configuration sets none.
 impl Default for RequestLimits {
     fn default() -> Self {
         RequestLimits {
@@ -170,17 +172,18 @@
 /// One revision of the configuration.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Configuration {
-    /// Number of the revision, from 1; each replacement has a higher one.
+    /// Revision number, from 1; each replacement has a higher one.
     pub revision: u64,
     /// The routes. Requests that match none are rejected.
     #[serde(rename = "route_table")]
     pub routes: Vec<Route>,
-    /// The backends that routes may name.
+    /// The backends to which routes may refer.
     pub backends: Vec<Backend>,
-    /// Limits on all clients' requests.
+    /// Limits that apply to the requests of all clients.
     #[serde(default, rename = "constraints")]
     pub limits: RequestLimits,
-    /// The tenants whose requests are accepted; absent: those of everyone. An empty list accepts nobody's.
+    /// The tenants whose requests are accepted; absent: requests need no key. With an empty list, requests are accepted
+    /// on public routes only.
     #[serde(default)]
     pub clients: Option<Vec<Client>>,
 }
@@ -189,7 +192,7 @@
     /// Decodes a configuration that was validated before, such as one that control nodes have agreed on.
     ///
     /// # Errors
-    /// [`ConfigurationError::Decode`] if the document isn't one.
+    /// [`ConfigurationError::Decode`] if the document is not a configuration.
     pub fn decode(document: &[u8]) -> Result<Configuration, ConfigurationError> {
         serde_json::from_slice(document).map_err(|error| ConfigurationError::Decode {
             line: error.line(),
@@ -197,10 +200,11 @@
         })
     }
 
-    /// Decodes and validates what an operator sends: against the schema first, then by [`Configuration::validate`].
+    /// Decodes and validates a document from an operator: against the schema first, then with
+    /// [`Configuration::validate`].
     ///
     /// # Errors
-    /// The first violation, with its place in the document.
+    /// Returns the first violation, with its position in the document.
     pub fn parse(document: &[u8]) -> Result<Configuration, ConfigurationError> {
         let value: serde_json::Value =
             serde_json::from_slice(document).map_err(|source| ConfigurationError::Syntax {
@@ -219,11 +223,12 @@
         Ok(configuration)
     }
 
-    /// Checks what the schema can't express: names refer to something, no two routes match the same requests, and no
-    /// two tenants are taken for one another.
+    /// Checks the rules that the schema can't express. Backend names are unique, and routes refer to existing backends.
+    /// No two routes have the same host and path prefix. A route that splits its traffic has a positive weight, and one
+    /// that fans out is idempotent. Tenants have unique, valid names and share no keys.
     ///
     /// # Errors
-    /// The first violation, with its place in the document.
+    /// Returns the first violation, with its position in the document.
     pub fn validate(&self) -> Result<(), ConfigurationError> {
         let backends = self.backend_names()?;
         let mut matches = HashSet::new();
@@ -232,7 +237,7 @@
             if let Some(backend) = unknown {
                 return UnknownBackendSnafu { index, backend }.fail();
             }
-            let is_new = matches.insert(route.matched_requests());
+            let is_new = matches.insert(route.host_and_prefix());
             ensure!(
                 is_new,
                 DuplicateRouteSnafu {
@@ -250,7 +255,7 @@
         validate_clients(self.clients.as_deref().unwrap_or_default())
     }
 
-    /// The names of the backends, if no two are the same.
+    /// Returns the names of the backends, or an error if a name occurs twice.
     fn backend_names(&self) -> Result<HashSet<&str>, ConfigurationError> {
         let mut names = HashSet::new();
         for (index, Backend { name, .. }) in self.backends.iter().enumerate() {
--- a/crates/linenthread-config/src/error.rs
+++ b/crates/linenthread-config/src/error.rs
@@ -1,4 +1,4 @@
-//! Why a settings file or a configuration is rejected. Operators see these messages, and logs hold them: none quotes
+//! Errors in settings files and configurations. The messages are shown to operators and logged, so none of them quotes
 //! a tenant's key.
 
 use std::net::AddrParseError;
@@ -6,7 +6,7 @@
 
 use snafu::Snafu;
 
-/// Why a configuration is rejected: the place in the document, and the reason.
+/// The reason why a configuration is rejected, with the position in the document.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum ConfigurationError {
@@ -17,19 +17,19 @@
         line: usize,
         /// Column of the error, from 1.
         column: usize,
-        /// What the JSON parser reports.
+        /// The error of the JSON parser.
         source: serde_json::Error,
     },
     /// The document violates the schema.
     #[snafu(display("{path}: {reason}"))]
     Schema {
-        /// The JSON pointer of the value at fault.
+        /// JSON pointer to the invalid value.
         path: String,
-        /// The rule, and the value that violates it unless that may hold a key.
+        /// The violated rule, with the invalid value unless it may contain a key.
         reason: String,
     },
-    /// The document can't be decoded. What the JSON decoder reports is left out: it may quote a key.
-    #[snafu(display("line {line} column {column}: not what a configuration has there"))]
+    /// The document can't be decoded. The decoder's message is left out, since it may quote a key.
+    #[snafu(display("line {line} column {column}: unexpected field or value"))]
     Decode {
         /// Line of the error, from 1.
         line: usize,
@@ -37,14 +37,14 @@
         column: usize,
     },
     /// Two backends have the same name.
-    #[snafu(display("/backends/{index}: {name} is named twice"))]
+    #[snafu(display("/backends/{index}: duplicate backend name {name}"))]
     DuplicateBackend {
         /// Index of the second one.
         index: usize,
-        /// The name of both.
+        /// Their name.
         name: String,
     },
-    /// A route names a backend that isn't listed.
+    /// A route refers to a backend that isn't listed.
     #[snafu(display("/route_table/{index}: no backend is named {backend}"))]
     UnknownBackend {
         /// Index of the route.
@@ -52,38 +52,38 @@
         /// The name that isn't listed.
         backend: String,
     },
-    /// Two routes match the same requests.
+    /// Two routes have the same host and path prefix.
     #[snafu(display("/route_table/{index}: host {host} has prefix {path_prefix} twice"))]
     DuplicateRoute {
         /// Index of the second one.
         index: usize,
-        /// The host of both.
+        /// Their host.
         host: String,
-        /// The path prefix of both.
+        /// Their path prefix.
         path_prefix: String,
     },
-    /// A route splits its traffic, but gives no backend any of it.
+    /// A route splits its traffic, but no backend has a positive weight.
     #[snafu(display("/route_table/{index}: the shares sum to 0"))]
     ZeroWeights {
         /// Index of the route.
         index: usize,
     },
     /// A route fans out requests that must not be repeated.
-    #[snafu(display("/route_table/{index}: a route with fanout is idempotent"))]
+    #[snafu(display("/route_table/{index}: a route with fanout must be idempotent"))]
     MutatingFanOut {
         /// Index of the route.
         index: usize,
     },
-    /// The name of a tenant can't be sent as a header.
+    /// The name of a tenant can't be sent as a header value.
     #[snafu(display(
-        "/clients/{index}/label: is not printable ASCII without a space at either end"
+        "/clients/{index}/label: must be printable ASCII without leading or trailing spaces"
     ))]
     InvalidClientName {
         /// Index of the tenant.
         index: usize,
     },
     /// Two tenants have the same name.
-    #[snafu(display("/clients/{index}/label: is that of /clients/{first} too"))]
+    #[snafu(display("/clients/{index}/label: same name as /clients/{first}"))]
     DuplicateClient {
         /// Index of the second one.
         index: usize,
@@ -95,19 +95,19 @@
     SharedKey {
         /// Index of the second tenant.
         index: usize,
-        /// Index of the key among those of the second tenant.
+        /// Index of the key in the second tenant's list.
         key_index: usize,
         /// Index of the first tenant.
         first: usize,
     },
 }
 
-/// Why a settings file is rejected: the line or the field, and the reason.
+/// The reason why a settings file is rejected, with the line or the field.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum SettingsError {
     /// A line has no `=`.
-    #[snafu(display("line {line}: is not field=value"))]
+    #[snafu(display("line {line}: not field=value"))]
     NotFieldAndValue {
         /// Line of the file, from 1.
         line: usize,
@@ -117,23 +117,23 @@
     DuplicateField {
         /// Line of the second one, from 1.
         line: usize,
-        /// The field.
+        /// Name of the field.
         field: String,
     },
-    /// The value of a field violates the schema, or a rule that a schema can't express.
+    /// A field's value violates the schema, or a rule that a schema can't express.
     #[snafu(display("line {line}, {field}: {reason}"))]
     InvalidValue {
         /// Line of the field, from 1.
         line: usize,
-        /// The field.
+        /// Name of the field.
         field: String,
-        /// The rule, and the value that violates it.
+        /// The violated rule, with the invalid value.
         reason: String,
     },
-    /// The file as a whole violates the schema: a required field is missing.
+    /// A required field is missing.
     #[snafu(display("{reason}"))]
     Incomplete {
-        /// The rule: it names the field.
+        /// The violated rule, which names the field.
         reason: String,
     },
     /// A value is not an IP address, or not an address with a port.
@@ -141,11 +141,11 @@
     InvalidAddress {
         /// Line of the field, from 1.
         line: usize,
-        /// The field.
+        /// Name of the field.
         field: &'static str,
         /// Its value.
         value: String,
-        /// What the parser reports.
+        /// The error of the address parser.
         source: AddrParseError,
     },
     /// A value is not a number.
@@ -153,9 +153,9 @@
     InvalidNumber {
         /// Line of the field, from 1.
         line: usize,
-        /// The field.
+        /// Name of the field.
         field: &'static str,
-        /// What the parser reports.
+        /// The error of the number parser.
         source: ParseFloatError,
     },
     /// A bound of the port range is not a port.
@@ -163,21 +163,19 @@
     InvalidPort {
         /// Line of the field, from 1.
         line: usize,
-        /// What the parser reports.
+        /// The error of the number parser.
         source: ParseIntError,
     },
-    /// The port range holds no port.
-    #[snafu(display("line {line}: port_range: no port is in it"))]
+    /// The port range contains no port: it starts at 0 or ends before its start.
+    #[snafu(display("line {line}: port_range: contains no port"))]
     EmptyPortRange {
         /// Line of the field, from 1.
         line: usize,
     },
-    /// The process would serve neither traffic nor control.
-    #[snafu(display(
-        "bind.ingress, bind.control_plane: neither is given: there is nothing to serve"
-    ))]
+    /// The process would be neither an ingress node nor a control node.
+    #[snafu(display("neither bind.ingress nor bind.control_plane is set: nothing to serve"))]
     NothingToServe,
-    /// A control node has nowhere to store its state.
-    #[snafu(display("state_dir: is needed where bind.control_plane is given"))]
+    /// A control node has no directory for its state.
+    #[snafu(display("state_dir: needed when bind.control_plane is set"))]
     MissingStateDir,
 }
--- a/crates/linenthread-config/src/ignored_fields.rs
+++ b/crates/linenthread-config/src/ignored_fields.rs
@@ -1,4 +1,4 @@
-//! Fields of a configuration that this version has no meaning for.
+//! Detection of configuration fields that have no effect in this version.
 
 use std::collections::BTreeSet;
 use std::sync::LazyLock;
@@ -11,19 +11,19 @@
     serde_json::from_str(CONFIGURATION_SCHEMA).expect("a schema file of this crate is JSON")
 });
 
-/// In the schema, beside a field that is known but has an effect with this value only.
+/// Schema keyword for a field whose only supported value is the given one.
 const SUPPORTED_VALUE: &str = "x-supported";
-/// Stands for all indices of a list.
+/// Replaces the index of a list item in paths.
 const ANY_INDEX: &str = "*";
-/// Stands for names of fields of tenants, which could be a key that was put in the wrong place.
-const WITHHELD: &str = "(name withheld)";
-/// The part of a document whose names are withheld.
-const SECRET_PART: &str = "/clients";
+/// Replaces names of unknown fields of tenants: such a name could be a misplaced key.
+const WITHHELD_NAME: &str = "(name withheld)";
+/// Path of the part of a document in which names of unknown fields are withheld.
+const SECRET_PATH: &str = "/clients";
 
-/// The fields of a document that the schema does not know, or whose value is not supported: each by its path, with `*`
-/// for the index in a list.
+/// Returns the paths of the fields that the schema doesn't define or whose value is not supported, with `*` in place of
+/// list indices.
 ///
-/// A configuration with such fields is in force without them. An operator who relies on one is to be told.
+/// A configuration with such fields is applied without them; callers report them, so that operators don't rely on them.
 pub fn ignored_fields(document: &Value) -> BTreeSet<String> {
     let mut ignored = BTreeSet::new();
     collect(&SCHEMA, document, "", &mut ignored);
@@ -61,15 +61,15 @@
 }
 
 fn ignored_path(parent: &str, name: &str) -> String {
-    let name = if parent.starts_with(SECRET_PART) {
-        WITHHELD
+    let name = if parent.starts_with(SECRET_PATH) {
+        WITHHELD_NAME
     } else {
         name
     };
     format!("{parent}/{name}")
 }
 
-/// The definition that a `$ref` within the schema names; other schemas as they are.
+/// Returns the definition to which a `$ref` points, or the schema itself if it has no `$ref`.
 fn resolve(schema: &Value) -> &Value {
     schema["$ref"]
         .as_str()
--- a/crates/linenthread-config/src/lib.rs
+++ b/crates/linenthread-config/src/lib.rs
@@ -1,12 +1,11 @@
-//! The two inputs of the system: the settings file of each process, and the configuration that operators replace
-//! while the system runs.
+//! The settings file of each process, and the configuration that operators replace while the system runs.
 //!
-//! Both are checked against a JSON schema that stands beside the code, then against the rules that a schema can't
-//! express. Every error names the line, the field or the JSON path at fault.
+//! Both are validated against a JSON schema that is part of this crate, then against the rules that a schema can't
+//! express. Every error names the line, the field or the JSON path that is invalid.
 //!
-//! This crate does no I/O and knows neither the wire protocol nor how requests are scheduled. Start reading at
-//! [`Configuration`], then [`RoutingTable`], the form in which requests are matched against it. The keys of the
-//! file formats are fixed by the operators' pages; where a Rust name differs, `serde` maps it.
+//! This crate does no I/O and is independent of the wire protocol and of the scheduling of requests. Start reading at
+//! [`Configuration`], then [`RoutingTable`], which matches requests to routes. The keys of both file formats are fixed
+//! by the operators' documentation; where a Rust name differs from a key, `serde` maps it.
 
 mod client;
 mod configuration;
--- a/crates/linenthread-config/src/platform_settings.rs
+++ b/crates/linenthread-config/src/platform_settings.rs
@@ -1,4 +1,4 @@
-//! What the settings say about the platform's API: where usage is reported, how often, and under which lease.
+//! Settings of the platform's API: where and how often usage is reported, and the lease of the reporting node.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -8,7 +8,7 @@
 use crate::error::{InvalidValueSnafu, SettingsError};
 use crate::settings::{Fields, MIN_INTERVAL_MS, MS_PER_S, duration_from_millis};
 
-/// The task of reporting usage, as the list of tasks names it.
+/// Name of the usage reporting task in the list of tasks.
 const ACCOUNTING_TASK: &str = "accounting";
 
 const ADDRESS_FIELD: &str = "cloud_api.address";
@@ -18,30 +18,31 @@
 const REPORT_WINDOW_FIELD: &str = "limits_table.report_window_s";
 const REPORT_DELAY_FIELD: &str = "limits_table.usage_delay_s";
 
-// What a settings file means that leaves a field out.
+// Defaults of fields that are absent from the settings file.
 const DEFAULT_CALLS_PER_SECOND: f64 = 1.0;
 const DEFAULT_LEASE_MS: f64 = 3_000.0;
 const DEFAULT_REPORT_WINDOW_S: f64 = 5.0;
 const DEFAULT_REPORT_DELAY_S: f64 = 10.0;
 
-/// How usage is reported to the platform.
+/// Settings for reporting usage to the platform.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PlatformSettings {
-    /// Where the platform's API is called.
+    /// Address of the platform's API.
     pub address: SocketAddr,
-    /// How many calls a second the platform takes from all nodes together; more than 0.
+    /// Number of calls per second that the platform accepts from all nodes together; greater than 0.
     pub calls_per_second: f64,
-    /// Within this time after a call of one node, the platform does not expect calls of another node and of the
-    /// first one again.
+    /// Time after a call from one node within which the platform does not expect a call from another node that is
+    /// followed by another call from the first.
     pub lease: Duration,
-    /// How long each window of a report lasts; a millisecond at least.
+    /// Length of a report window; at least one millisecond.
     pub report_window: Duration,
-    /// How long after the end of its window a report is due.
+    /// Delay from the end of a window until its report is due.
     pub report_delay: Duration,
 }
 
 impl PlatformSettings {
-    /// The fields of the platform's API; `None` where no address is given or usage is not to be reported.
+    /// Reads the fields of the platform's API. Returns `None` if no address is given or the usage reporting task is not
+    /// listed.
     pub(crate) fn from_fields(fields: &Fields) -> Result<Option<PlatformSettings>, SettingsError> {
         let Some(address) = fields.address(ADDRESS_FIELD)? else {
             return Ok(None);
@@ -62,7 +63,7 @@
     }
 }
 
-/// The rate of calls: without any, no report could be made.
+/// Returns the call rate. It must not be 0, since no report could be sent then.
 fn call_rate(fields: &Fields) -> Result<f64, SettingsError> {
     let Some(field) = fields.get(CALL_RATE_FIELD) else {
         return Ok(DEFAULT_CALLS_PER_SECOND);
--- a/crates/linenthread-config/src/routing_table.rs
+++ b/crates/linenthread-config/src/routing_table.rs
@@ -1,4 +1,4 @@
-//! A configuration in the form in which requests are matched against it.
+//! Routing of requests by host and path prefix, built from a configuration.
 
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -6,7 +6,7 @@
 use crate::configuration::{Configuration, RequestLimits, Route, WeightedBackend};
 use crate::tenants::{Credentials, Tenant, Tenants, UnknownKey};
 
-/// A backend with the range of samples that fall to it.
+/// A backend of a weighted split, with its cumulative weight.
 #[derive(Clone, Debug)]
 pub struct WeightedDestination {
     /// Name of the backend.
@@ -15,17 +15,17 @@
     pub cumulative_weight: f64,
 }
 
-/// Where the requests of a route go.
+/// The backends to which the requests of a route are sent.
 #[derive(Clone, Debug)]
 pub enum Destination {
-    /// Each to one of these backends, in proportion to its weight.
+    /// Each request is sent to one of these backends, chosen in proportion to the weights.
     Weighted(Vec<WeightedDestination>),
-    /// Each to one replica of every one of these backends.
+    /// Each request is sent to one replica of every backend.
     FanOut(Rc<[Rc<str>]>),
 }
 
 impl Destination {
-    /// The backend for a request with this sample, from 0 up to 1; none for a fan-out.
+    /// Returns the backend that a random sample selects; `None` for a fan-out. The sample is at least 0 and less than 1.
     pub fn pick(&self, sample: f64) -> Option<&Rc<str>> {
         let Destination::Weighted(backends) = self else {
             return None;
@@ -44,29 +44,29 @@
 pub struct ResolvedRoute {
     /// The route as configured.
     pub route: Route,
-    /// Where its requests go.
+    /// The backends to which its requests are sent.
     pub destination: Destination,
 }
 
 /// One revision of the configuration, indexed by host and path prefix.
 #[derive(Debug)]
 pub struct RoutingTable {
-    /// Number of the revision.
+    /// Revision number.
     pub revision: u64,
-    /// Limits on all clients' requests.
+    /// Limits that apply to the requests of all clients.
     pub limits: RequestLimits,
     /// The routes, in the order of the configuration.
     pub routes: Vec<Rc<ResolvedRoute>>,
-    /// Connections that a replica accepts from all ingress nodes together, by backend; absent: no limit.
+    /// Maximum number of connections that a replica accepts from all ingress nodes together, by backend; absent: no limit.
     pub max_connections: HashMap<Rc<str>, usize>,
-    /// Index into `routes`, by lower-case host and by path prefix.
+    /// Index into `routes`, by lower-case host and then by path prefix.
     hosts: HashMap<String, HashMap<String, usize>>,
-    /// The tenants by their keys; absent where everyone's requests are accepted.
+    /// The tenants by key; absent if requests need no key.
     tenants: Option<Tenants>,
 }
 
 impl RoutingTable {
-    /// Indexes a configuration.
+    /// Builds the routing table of a configuration.
     pub fn new(configuration: Configuration) -> RoutingTable {
         let names = BackendNames::new(&configuration);
         let max_connections = configuration
@@ -92,7 +92,7 @@
         }
     }
 
-    /// The route of a request: that with the longest prefix of its path among those of its host.
+    /// Returns the route of a request: among the routes of its host, the one with the longest matching path prefix.
     pub fn find(&self, host: &str, path: &str) -> Option<&Rc<ResolvedRoute>> {
         let host = host.split_once(':').map_or(host, |(name, _)| name);
         let prefixes = match self.hosts.get(host) {
@@ -105,16 +105,16 @@
         Some(&self.routes[*index])
     }
 
-    /// Whether requests on this route need a tenant's key.
+    /// Reports whether requests on this route need a tenant's key.
     pub fn needs_key(&self, route: &Route) -> bool {
         self.tenants.is_some() && !route.public
     }
 
-    /// The tenant whose key a request on this route carries. There is none where the configuration has no tenants at
-    /// all, nor where the route is public and the key is not known.
+    /// Returns the tenant whose key a request on this route carries, or `None` if the configuration has no `clients`
+    /// list or the route is public and the key is unknown.
     ///
     /// # Errors
-    /// The route is not public, and no tenant has the key.
+    /// [`UnknownKey`] if the route is not public and no tenant has the key.
     pub fn authorize(
         &self,
         route: &Route,
@@ -130,7 +130,7 @@
     }
 }
 
-/// The names of the backends, each allocated once.
+/// The backend names, each allocated once and shared.
 struct BackendNames(HashMap<String, Rc<str>>);
 
 impl BackendNames {
@@ -158,7 +158,7 @@
         Destination::Weighted(only.collect())
     }
 
-    /// The backends that get any traffic, with the running sum of their weights.
+    /// Returns the backends with a positive weight, with their cumulative weights.
     fn weighted(&self, backends: &[WeightedBackend]) -> Vec<WeightedDestination> {
         let mut cumulative_weight = 0.0;
         let mut weighted = Vec::new();
--- a/crates/linenthread-config/src/settings.rs
+++ b/crates/linenthread-config/src/settings.rs
@@ -1,4 +1,4 @@
-//! The settings file of a process: lines of `field=value`, as the platform writes them.
+//! The settings file of a process, which the platform writes as lines of `field=value`.
 
 use std::collections::BTreeMap;
 use std::net::{AddrParseError, IpAddr, SocketAddr};
@@ -20,13 +20,14 @@
 static SCHEMA: LazyLock<Schema> =
     LazyLock::new(|| Schema::compile(include_str!("../settings.schema.json")));
 
-/// The most machine faults that can be asked for: more would need more voters than any deployment has.
+/// Maximum number of tolerated machine faults: more would need more voters than any deployment has.
 const MAX_MACHINE_FAULTS: f64 = 16.0;
-/// The shortest interval or window: a timer of zero would fire without end, a window of zero would count nothing.
+/// Minimum interval or window: a timer with interval 0 would fire continuously, and a window of length 0 would count
+/// nothing.
 pub(crate) const MIN_INTERVAL_MS: f64 = 1.0;
 pub(crate) const MS_PER_S: f64 = 1_000.0;
 
-// What a settings file means that leaves a field out. Numbers are `f64` since the platform may write fractions.
+// Defaults of fields that are absent from the settings file. They are `f64`, since the platform may write fractions.
 const DEFAULT_MACHINE_FAULTS: f64 = 1.0;
 const DEFAULT_HEARTBEAT_MS: f64 = 1_000.0;
 const DEFAULT_DRAIN_MS: f64 = 3_000.0;
@@ -45,43 +46,42 @@
     pub zone: String,
     /// Address of the node.
     pub ip_addr: IpAddr,
-    /// Where clients' requests are accepted; absent: this is no ingress node.
+    /// Listen address for clients' requests; absent: this is not an ingress node.
     pub ingress_bind: Option<SocketAddr>,
-    /// Where the platform asks whether the ingress node is ready.
+    /// Listen address of the readiness check, which the platform sends to ingress nodes.
     pub readiness_bind: Option<SocketAddr>,
-    /// Where replicas and operators are served; absent: this is no control node.
+    /// Listen address of the control API for replicas and operators; absent: this is not a control node.
     pub control_bind: Option<SocketAddr>,
-    /// Port of the sessions between nodes: the first of the port range.
+    /// Port for sessions between nodes: the first of the port range.
     pub peers_port: u16,
-    /// Control addresses of the first control nodes.
+    /// Control addresses of the initial control nodes.
     pub bootstrap_peers: Vec<SocketAddr>,
-    /// This is the very first start of the system, so an empty disk has lost nothing.
+    /// Whether this is the first start of the system, so that an empty disk does not mean lost data.
     pub initial_boot: bool,
-    /// Whether the node's disk may vote.
+    /// Whether the node may be a voter.
     pub quorum_member: bool,
-    /// How many machines of voters may be lost at the same time.
+    /// Number of voters' machines whose simultaneous loss is tolerated.
     pub machine_faults: usize,
     /// Directory of the control node's state.
     pub state_dir: Option<String>,
-    /// Interval between two heartbeats of a replica.
+    /// Interval between a replica's heartbeats.
     pub heartbeat_interval: Duration,
-    /// How long a replica that leaves goes on serving what it has accepted.
+    /// Time for which a departing replica continues to serve the requests it has accepted.
     pub drain_timeout: Duration,
-    /// How long the process may take from SIGTERM to its end.
+    /// Maximum time from SIGTERM to the end of the process.
     pub shutdown_grace: Duration,
-    /// Retries that the budget permits, as a fraction of first attempts.
+    /// Retries that the retry budget permits, as a fraction of first attempts.
     pub retry_ratio: f64,
     /// Window over which the retry budget is counted.
     pub retry_window: Duration,
-    /// Retries that the budget permits in each window even without traffic.
+    /// Retries that the retry budget permits in each window even without traffic.
     pub retry_allowance: f64,
-    /// How usage is reported to the platform; absent: it is not.
+    /// Settings for reporting usage to the platform; absent: usage is not reported.
     pub platform: Option<PlatformSettings>,
-    /// How long a key that was taken away may go on to work at an ingress node that has lost control; absent: without
-    /// limit.
+    /// Maximum time for which an ingress node without contact to control nodes may accept a revoked key; absent: no limit.
     pub revocation_limit: Option<Duration>,
-    /// Requests are forwarded without any decision, to measure the overhead of the decisions. A command-line
-    /// flag sets this; no settings file can.
+    /// Whether requests are forwarded without any decision, to measure the overhead of the decisions. Set by a
+    /// command-line flag, never by a settings file.
     pub pass_through: bool,
 }
 
@@ -89,7 +89,7 @@
     /// Parses and validates the text of a settings file. Unknown fields are ignored.
     ///
     /// # Errors
-    /// The first line that is not `field=value`, or the first field that is given twice, has a bad value or is
+    /// Returns the first error found: a line that is not `field=value`, or a field that is given twice, invalid or
     /// missing.
     pub fn parse(text: &str) -> Result<Settings, SettingsError> {
         let fields = Fields::parse(text)?;
@@ -121,10 +121,10 @@
         Ok(settings)
     }
 
-    /// Checks what concerns more than one field.
+    /// Checks the rules that involve several fields.
     ///
     /// # Errors
-    /// If the process would serve nothing, or a control node has nowhere to store its state.
+    /// [`SettingsError::NothingToServe`] or [`SettingsError::MissingStateDir`].
     pub fn validate(&self) -> Result<(), SettingsError> {
         let serves = self.ingress_bind.is_some() || self.control_bind.is_some();
         ensure!(serves, NothingToServeSnafu);
@@ -134,12 +134,12 @@
     }
 }
 
-/// A duration of so many milliseconds, rounded down to a whole number.
+/// Converts milliseconds to a duration, rounded down to whole milliseconds.
 pub(crate) fn duration_from_millis(millis: f64) -> Duration {
     Duration::from_millis(floor(millis))
 }
 
-/// The greatest whole number that is not above a number; 0 below 0, and at most what a `u64` holds.
+/// Rounds a number down to an integer, saturated at 0 and at `u64::MAX`.
 #[expect(
     clippy::cast_possible_truncation,
     clippy::cast_sign_loss,
@@ -149,10 +149,10 @@
     number as u64
 }
 
-/// The fields of a settings file that has passed the schema.
+/// The fields of a settings file that conforms to the schema.
 pub(crate) struct Fields(BTreeMap<String, Field>);
 
-/// The value of one field.
+/// The value and the line of a field.
 pub(crate) struct Field {
     value: String,
     /// Line of the file, from 1.
@@ -185,7 +185,7 @@
         Ok(fields)
     }
 
-    /// The fields as the schema describes them: one object, whose values are all texts.
+    /// Returns the fields in the form that the schema describes: an object whose values are strings.
     fn to_json(&self) -> Value {
         let fields = self.0.iter();
         let pairs = fields.map(|(name, field)| (name.clone(), field.value.as_str().into()));
@@ -205,12 +205,12 @@
         }
     }
 
-    /// A field, if it is given and not empty.
+    /// Returns a field, or `None` if it is absent or empty.
     pub(crate) fn get(&self, name: &str) -> Option<&Field> {
         self.0.get(name).filter(|field| !field.value.is_empty())
     }
 
-    /// A field without which a file does not pass the schema.
+    /// Returns a field that the schema requires.
     fn required(&self, name: &str) -> Result<&Field, SettingsError> {
         self.get(name).with_context(|| IncompleteSnafu {
             reason: format!("\"{name}\" is a required property"),
@@ -266,13 +266,13 @@
             .transpose()
     }
 
-    /// Whether an item is in a comma-separated list.
+    /// Reports whether a comma-separated list contains an item.
     pub(crate) fn list_contains(&self, name: &str, item: &str) -> bool {
         self.get(name)
             .is_some_and(|field| field.value.split(',').any(|other| other.trim() == item))
     }
 
-    /// The addresses of a comma-separated list.
+    /// Parses a comma-separated list of addresses.
     fn addresses(&self, name: &'static str) -> Result<Vec<SocketAddr>, SettingsError> {
         let Some(field) = self.get(name) else {
             return Ok(Vec::new());
@@ -285,7 +285,7 @@
             .collect()
     }
 
-    /// The first port of the range.
+    /// Returns the first port of the port range.
     fn first_port(&self) -> Result<u16, SettingsError> {
         let Field { value, line } = self.required("port_range")?;
         let line = *line;
@@ -313,7 +313,7 @@
     }
 }
 
-/// An address in the field `name` at a line of the file.
+/// Parses an address; `name` and `line` identify the field in errors.
 fn parse_address<A>(name: &'static str, value: &str, line: usize) -> Result<A, SettingsError>
 where
     A: FromStr<Err = AddrParseError>,
--- a/crates/linenthread-config/src/tenants.rs
+++ b/crates/linenthread-config/src/tenants.rs
@@ -1,7 +1,7 @@
-//! The tenants of a configuration, found by the key that a request carries.
+//! Lookup of tenants by the key that a request carries.
 //!
-//! Keys are kept and looked up as digests under a random key of this table. Nobody outside of the process can compute
-//! the digest of a guess, so the time that a look-up takes says nothing about the keys that there are.
+//! Keys are stored and looked up as digests that are keyed with a random secret of the table. Nobody outside the process
+//! can compute the digest of a guessed key, so the duration of a lookup reveals nothing about the stored keys.
 
 use std::collections::HashMap;
 use std::collections::hash_map::RandomState;
@@ -14,51 +14,51 @@
 
 use crate::client::Client;
 
-/// The length of a digest, in bytes.
+/// Length of a digest, in bytes.
 const DIGEST_BYTES: usize = 16;
-/// The length of the key of the digests, in bytes. With it, a key of 23 bytes or less fits into one block of SHA-256.
+/// Length of the digest key, in bytes. With this length, a tenant's key of up to 23 bytes needs only one SHA-256 block.
 const DIGEST_KEY_BYTES: usize = 32;
 
 type KeyDigest = [u8; DIGEST_BYTES];
 
-/// Whose request it is.
+/// The tenant that sent a request.
 #[derive(Debug, PartialEq, Eq)]
 pub struct Tenant {
-    /// The tenant's name, which replicas are told.
+    /// The tenant's name, sent to replicas as a header.
     pub name: Rc<str>,
-    /// Priority of the tenant's requests, which goes before that of the route; absent: the route's.
+    /// Priority of the tenant's requests, which overrides the route's; absent: the route's priority applies.
     pub priority: Option<i64>,
 }
 
-/// The route is not public, and no tenant has the key of the request.
+/// The error for a request on a route that is not public if no tenant has the request's key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Snafu)]
 #[snafu(display("no tenant has the key of the request"))]
 pub struct UnknownKey;
 
-/// What a request carries to say whose it is.
+/// The credentials in a request's `Authorization` header.
 #[derive(Clone, Copy)]
 pub enum Credentials<'a> {
-    /// Nothing.
+    /// The request has no credentials.
     None,
-    /// One key, by the scheme `Bearer`.
+    /// One key, with the scheme `Bearer`.
     Bearer(&'a [u8]),
-    /// Something else: another scheme, or several keys.
+    /// Anything else, such as another scheme or several keys.
     Invalid,
 }
 
-/// The tenants by the digests of their keys.
+/// The tenants, indexed by the digests of their keys.
 pub(crate) struct Tenants {
     digest_key: [u8; DIGEST_KEY_BYTES],
     by_key: HashMap<KeyDigest, Rc<Tenant>>,
 }
 
 impl Tenants {
-    /// Indexes the tenants. Of a document that was not validated, the first tenant has a key that several have, and one
-    /// whose name can't be sent to replicas has none.
+    /// Indexes the tenants. In a document that was not validated, a key that several tenants share belongs to the first
+    /// of them, and a tenant whose name can't be sent to replicas is left out.
     pub(crate) fn new(clients: &[Client]) -> Tenants {
         let digest_key = random_digest_key();
         let mut by_key = HashMap::new();
-        for client in clients.iter().filter(|client| client.has_header_name()) {
+        for client in clients.iter().filter(|client| client.has_valid_name()) {
             let tenant = Rc::new(Tenant {
                 name: Rc::from(client.name.as_str()),
                 priority: client.priority,
@@ -72,7 +72,7 @@
         Tenants { digest_key, by_key }
     }
 
-    /// The tenant that has this key.
+    /// Returns the tenant with these credentials.
     pub(crate) fn find(&self, credentials: Credentials<'_>) -> Option<&Rc<Tenant>> {
         match credentials {
             Credentials::Bearer(key) => self.by_key.get(&digest(&self.digest_key, key)),
@@ -81,7 +81,7 @@
     }
 }
 
-/// Shows neither digests nor their key.
+/// Prints neither the digests nor the digest key.
 impl fmt::Debug for Tenants {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         let keys = self.by_key.len();
@@ -92,7 +92,7 @@
     }
 }
 
-/// Shows the kind of credentials, not the key.
+/// Prints the kind of credentials, not the key.
 impl fmt::Debug for Credentials<'_> {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         formatter.write_str(match self {
@@ -103,7 +103,7 @@
     }
 }
 
-/// A key of digests that nobody else knows.
+/// Generates a random digest key.
 fn random_digest_key() -> [u8; DIGEST_KEY_BYTES] {
     let random = RandomState::new();
     let mut key = [0; DIGEST_KEY_BYTES];
@@ -113,7 +113,7 @@
     key
 }
 
-/// The first bytes of the SHA-256 of both keys.
+/// Returns the first bytes of the SHA-256 hash of the digest key followed by the tenant's key.
 fn digest(digest_key: &[u8; DIGEST_KEY_BYTES], key: &[u8]) -> KeyDigest {
     let hash = Sha256::new()
         .chain_update(digest_key)
--- a/crates/linenthread-config/tests/golden.rs
+++ b/crates/linenthread-config/tests/golden.rs
@@ -1,6 +1,6 @@
-//! Each key of the settings file and of the configuration document, as commit 464716d reads them.
+//! Compatibility of both file formats with commit 464716d: every key is read as it was then.
 //!
-//! The texts must never be changed to make a test pass: operators' files and state folders hold such documents.
+//! Never change the texts to make a test pass: operators' files and state directories contain such documents.
 
 use std::time::Duration;
 
@@ -33,8 +33,8 @@
 }"#;
 
 #[test]
-fn each_setting_is_read_by_its_key() {
-    let read = Settings::parse(SETTINGS).expect("good settings");
+fn every_setting_is_read_from_its_key() {
+    let read = Settings::parse(SETTINGS).expect("valid settings");
     let address = |text: &str| text.parse().expect("an address");
     let expected = Settings {
         node_name: "control-1".to_owned(),
@@ -63,8 +63,8 @@
 }
 
 #[test]
-fn each_field_of_a_configuration_is_read_by_its_key() {
-    let read = Configuration::parse(CONFIGURATION.as_bytes()).expect("a good configuration");
+fn every_configuration_field_is_read_from_its_key() {
+    let read = Configuration::parse(CONFIGURATION.as_bytes()).expect("a valid configuration");
     assert_eq!(read.revision, 312);
     let [find, put, mixed] = &read.routes[..] else {
         panic!("three routes");
--- a/crates/linenthread-config/tests/ignored_fields.rs
+++ b/crates/linenthread-config/tests/ignored_fields.rs
@@ -1,4 +1,4 @@
-//! Which fields of a configuration have no effect, so that an operator can be told.
+//! Detection of configuration fields that have no effect, so that operators can be warned.
 
 use linenthread_config::ignored_fields;
 use serde_json::{Value, json};
@@ -22,38 +22,38 @@
 }
 
 #[test]
-fn every_known_field_has_an_effect() {
+fn no_supported_field_is_reported() {
     assert_eq!(ignored(&document()), Vec::<String>::new());
 }
 
-// Guards against a part of the protocol that is not built and that nobody is told of: `clients` was one.
+// Guards against fields that are silently ignored because this version doesn't implement them, as `clients` once was.
 #[parameterized(
-    top = { "", "quotas", "/quotas" },
+    top_level = { "", "quotas", "/quotas" },
     route = { "/route_table/0", "rate_s", "/route_table/*/rate_s" },
     part_of_a_route = { "/route_table/0/apportion/0", "zone", "/route_table/*/apportion/*/zone" },
     backend = { "/backends/0", "weight", "/backends/*/weight" },
     limits = { "/constraints", "idle_ms", "/constraints/idle_ms" },
 )]
-fn a_field_that_is_not_known_is_named(parent: &str, name: &str, path: &str) {
+fn unknown_fields_are_reported(parent: &str, name: &str, path: &str) {
     let mut document = document();
-    document.pointer_mut(parent).expect("is there")[name] = json!({ "nested": 1 });
+    document.pointer_mut(parent).expect("an existing parent")[name] = json!({ "nested": 1 });
     assert_eq!(ignored(&document), [path]);
 }
 
-// Guards against a backend that is to be spoken to by TLS, or by HTTP/2, and is not, without a word.
+// Guards against a backend that is configured for TLS or HTTP/2, which are not supported, without a warning.
 #[parameterized(
     protocol = { "protocol", json!("h2") },
     secure = { "secure", json!(true) },
 )]
-fn a_value_that_is_not_supported_is_named(name: &str, value: Value) {
+fn unsupported_values_are_reported(name: &str, value: Value) {
     let mut document = document();
     document["backends"][0][name] = value;
     assert_eq!(ignored(&document), [format!("/backends/*/{name}")]);
 }
 
-// Guards against a key in a log line: one that was put where a field's name belongs.
+// Guards against logging a key that was misplaced as a field's name.
 #[test]
-fn names_of_fields_of_tenants_are_withheld() {
+fn names_of_unknown_tenant_fields_are_withheld() {
     let mut document = document();
     document["clients"][0]["secret-key"] = json!(1);
     assert_eq!(ignored(&document), ["/clients/*/(name withheld)"]);
--- a/crates/linenthread-config/tests/platform_settings.rs
+++ b/crates/linenthread-config/tests/platform_settings.rs
@@ -1,11 +1,11 @@
-//! What the settings file says about reports at the platform.
+//! Settings of usage reports to the platform.
 
 use std::time::Duration;
 
 use linenthread_config::{PlatformSettings, Settings};
 use yare::parameterized;
 
-/// Eight lines; those of the platform follow.
+/// The settings in lines 1 to 8; those of the platform follow.
 const BASE: &str = "node_name=hub-1\nzone=a\nip_addr=10.1.0.3\nbind.control_plane=10.1.0.3:8729\n\
     port_range=7120,7135\nstate_dir=/data/hub\ninitial_boot=true\nquorum_member=true\n";
 
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn each_field_is_read_by_its_key() {
+fn every_field_is_read_from_its_key() {
     let expected = PlatformSettings {
         address: "10.200.0.168:8204".parse().unwrap(),
         calls_per_second: 12.5,
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn fields_that_are_left_out_have_defaults() {
+fn absent_fields_have_defaults() {
     let expected = PlatformSettings {
         address: "10.0.0.1:80".parse().unwrap(),
         calls_per_second: 1.0,
@@ -52,18 +52,18 @@
     empty_tasks = { "cloud_api.address=10.0.0.1:80\ncloud_api.tasks=\n" },
     other_tasks = { "cloud_api.address=10.0.0.1:80\ncloud_api.tasks=gates,accounting-2\n" },
 )]
-fn without_the_task_or_an_address_nothing_is_reported(platform: &str) {
+fn usage_is_not_reported_without_an_address_or_the_task(platform: &str) {
     assert_eq!(parse(platform), Ok(None));
 }
 
 #[test]
-fn the_task_may_be_one_of_several() {
+fn the_task_may_be_listed_among_others() {
     let platform = "cloud_api.address=10.0.0.1:80\ncloud_api.tasks=gates, accounting,more\n";
     assert!(parse(platform).unwrap().is_some());
 }
 
 #[test]
-fn a_window_lasts_a_millisecond_at_least() {
+fn the_report_window_is_at_least_one_millisecond() {
     let settings =
         parse(&PLATFORM.replace("report_window_s=4.5", "report_window_s=0.0001")).unwrap();
     assert_eq!(
@@ -87,7 +87,10 @@
     window = { "window_s=4.5", "window_s=4,5", "line 14, limits_table.report_window_s", "4,5" },
     delay = { "usage_delay_s=9", "usage_delay_s=9s", "line 15, limits_table.usage_delay_s", "9s" },
 )]
-fn a_bad_field_is_rejected_with_its_line(good: &str, bad: &str, place: &str, reason: &str) {
+fn an_invalid_field_is_rejected_with_its_line(good: &str, bad: &str, position: &str, reason: &str) {
     let error = parse(&PLATFORM.replacen(good, bad, 1)).unwrap_err();
-    assert!(error.contains(place) && error.contains(reason), "{error}");
+    assert!(
+        error.contains(position) && error.contains(reason),
+        "{error}"
+    );
 }
--- a/crates/linenthread-config/tests/tenants.rs
+++ b/crates/linenthread-config/tests/tenants.rs
@@ -1,5 +1,4 @@
-//! The tenants of a configuration: which documents are rejected, whose request a key makes, and that no key is shown
-//! anywhere.
+//! The tenants of a configuration: validation, lookup by key, and error and debug texts without keys.
 
 use std::error::Error;
 use std::rc::Rc;
@@ -9,10 +8,11 @@
 };
 use yare::parameterized;
 
-/// The key that is at fault in each document of these tests.
+/// The key that errors and debug output must not contain.
 const KEY: &str = "prymh2rrytapjsujqurt";
 
-/// A configuration with a route that needs a key and one that is public, and with these tenants.
+/// Returns a configuration with a route that needs a key, a public one and one without the field, followed by further
+/// fields such as `clients`.
 fn configuration(clients: &str) -> String {
     let route = |name: &str, rest: &str| {
         format!(
@@ -31,12 +31,12 @@
     )
 }
 
-/// A configuration with these tenants.
+/// Returns a configuration with these tenants.
 fn with_clients(clients: &str) -> String {
     configuration(&format!(r#","clients":{clients}"#))
 }
 
-/// All that an error says to operators and to logs, in lower case.
+/// Returns all texts of an error and its sources that operators or logs may show, in lower case.
 fn texts(error: &ConfigurationError) -> String {
     let mut texts = format!("{error} {error:?} {error:#?}");
     let mut source = error.source();
@@ -47,12 +47,12 @@
     texts.to_lowercase()
 }
 
-// Guards against requests being counted for whichever of two tenants was read last: a key says who sent a request.
+// Guards against attributing requests to the tenant that was read last: a key must identify one tenant.
 #[parameterized(
-    spelled_alike = { r#"[{"label":"a","credentials":["prymh2rrytapjsujqurt"]},{"label":"b","credentials":["x","prymh2rrytapjsujqurt"]}]"# },
-    spelled_with_escapes = { r#"[{"label":"a","credentials":["x","prymh2rrytapjsujqurt"]},{"label":"b","credentials":["y","\u0070rymh2rrytapjsujqur\u0074"]}]"# },
+    same_spelling = { r#"[{"label":"a","credentials":["prymh2rrytapjsujqurt"]},{"label":"b","credentials":["x","prymh2rrytapjsujqurt"]}]"# },
+    different_escapes = { r#"[{"label":"a","credentials":["x","prymh2rrytapjsujqurt"]},{"label":"b","credentials":["y","\u0070rymh2rrytapjsujqur\u0074"]}]"# },
 )]
-fn a_key_of_two_tenants_is_invalid(clients: &str) {
+fn a_key_shared_by_two_tenants_is_rejected(clients: &str) {
     let error = Configuration::parse(with_clients(clients).as_bytes()).unwrap_err();
     assert_eq!(
         error.to_string(),
@@ -61,7 +61,7 @@
     assert!(!texts(&error).contains(KEY), "{error}");
 }
 
-// Guards against tenants that can't be told apart, or whose names can't be sent to replicas as a header.
+// Guards against tenants that can't be distinguished, or whose names can't be sent to replicas as a header.
 #[parameterized(
     same_name = { r#"[{"label":"a","credentials":[]},{"label":"b","credentials":[]},{"label":"a","credentials":["k"]}]"#,
         "/clients/2/label", "/clients/0" },
@@ -79,14 +79,14 @@
     no_keys = { r#"[{"label":"a"}]"#, "/clients/0", "credentials" },
     null = { "null", "/clients", "array" },
 )]
-fn invalid_tenants_are_rejected_with_their_json_path(clients: &str, place: &str, cause: &str) {
+fn invalid_tenants_are_rejected_with_their_json_path(clients: &str, path: &str, cause: &str) {
     let error = Configuration::parse(with_clients(clients).as_bytes()).unwrap_err();
     let text = error.to_string();
-    assert!(text.starts_with(place) && text.contains(cause), "{text}");
+    assert!(text.starts_with(path) && text.contains(cause), "{text}");
 }
 
 #[test]
-fn a_route_is_public_or_not() {
+fn the_public_field_of_a_route_must_be_a_boolean() {
     let document = configuration("").replace(r#""public":true"#, r#""public":"yes""#);
     let error = Configuration::parse(document.as_bytes()).unwrap_err();
     assert_eq!(
@@ -100,7 +100,7 @@
     without_keys = { r#"[{"label":"a","credentials":[]}]"#, 1 },
     a_key_twice_in_one_tenant = { r#"[{"label":"a","credentials":["k","k"]}]"#, 1 },
     a_key_like_a_name = { r#"[{"label":"a","credentials":["b"]},{"label":"b","credentials":["a"]}]"#, 2 },
-    names_in_other_letters = { r#"[{"label":"a","credentials":["k"]},{"label":"A","credentials":["K"]}]"#, 2 },
+    names_in_other_case = { r#"[{"label":"a","credentials":["k"]},{"label":"A","credentials":["K"]}]"#, 2 },
     name_of_two_words = { r#"[{"label":"a b","credentials":["k"]}]"#, 1 },
     a_key_that_no_client_can_send = { r#"[{"label":"a","credentials":["k\r\n\u0000è"]}]"#, 1 },
     unknown_fields = { r#"[{"label":"a","credentials":["k"],"contact":7}]"#, 1 },
@@ -110,7 +110,7 @@
     assert_eq!(read.clients.map(|clients| clients.len()), Some(expected));
 }
 
-// Guards against keys in operators' terminals and in logs: messages quote the value at fault elsewhere.
+// Guards against keys in operators' terminals and in logs. Error messages for other fields quote the invalid value.
 #[parameterized(
     in_place_of_the_list = { with_clients(r#""prymh2rrytapjsujqurt""#) },
     as_a_field = { with_clients(r#"{"prymh2rrytapjsujqurt":"a"}"#) },
@@ -161,11 +161,11 @@
     assert_eq!(format!("{credentials:?}"), "Bearer(..)");
 }
 
-/// The tenants `a`, with a priority and two keys, and `b`, with neither a priority nor a key in common.
+/// The tenants `a`, with a priority and two keys, and `b`, with another key and no priority.
 const TWO_TENANTS: &str =
     r#"[{"label":"a","credentials":["k1","k2"],"rank":-2},{"label":"b","credentials":["k3"]}]"#;
 
-/// Whose request it is that carries this to a route of a configuration with these tenants.
+/// Authorizes a request with these credentials on a route of a configuration with these tenants.
 fn authorize(
     clients: Option<&str>,
     path: &str,
@@ -182,20 +182,21 @@
     Some(Rc::new(Tenant { name, priority }))
 }
 
-// Guards against ROUTE and against 401 where a key is there: which requests are accepted, and whose they are.
+// Guards against accepting requests without a valid key, rejecting requests with one, and attributing requests to the
+// wrong tenant.
 #[parameterized(
     known = { Some(TWO_TENANTS), "/closed/", Credentials::Bearer(b"k1"), Ok(tenant("a", Some(-2))) },
-    another_key_of_it = { Some(TWO_TENANTS), "/closed/", Credentials::Bearer(b"k2"), Ok(tenant("a", Some(-2))) },
+    another_key_of_the_tenant = { Some(TWO_TENANTS), "/closed/", Credentials::Bearer(b"k2"), Ok(tenant("a", Some(-2))) },
     of_another_tenant = { Some(TWO_TENANTS), "/closed/", Credentials::Bearer(b"k3"), Ok(tenant("b", None)) },
     unknown = { Some(TWO_TENANTS), "/closed/", Credentials::Bearer(b"k4"), Err(UnknownKey) },
     part = { Some(TWO_TENANTS), "/closed/", Credentials::Bearer(b"k"), Err(UnknownKey) },
-    in_other_letters = { Some(TWO_TENANTS), "/closed/", Credentials::Bearer(b"K1"), Err(UnknownKey) },
+    in_other_case = { Some(TWO_TENANTS), "/closed/", Credentials::Bearer(b"K1"), Err(UnknownKey) },
     with_a_space = { Some(TWO_TENANTS), "/closed/", Credentials::Bearer(b"k1 "), Err(UnknownKey) },
     empty = { Some(TWO_TENANTS), "/closed/", Credentials::Bearer(b""), Err(UnknownKey) },
     not_utf_8 = { Some(TWO_TENANTS), "/closed/", Credentials::Bearer(b"\xff"), Err(UnknownKey) },
     missing = { Some(TWO_TENANTS), "/closed/", Credentials::None, Err(UnknownKey) },
     invalid = { Some(TWO_TENANTS), "/closed/", Credentials::Invalid, Err(UnknownKey) },
-    not_public_unless_it_says_so = { Some(TWO_TENANTS), "/unmarked/", Credentials::None, Err(UnknownKey) },
+    not_public_by_default = { Some(TWO_TENANTS), "/unmarked/", Credentials::None, Err(UnknownKey) },
     public_and_known = { Some(TWO_TENANTS), "/open/", Credentials::Bearer(b"k1"), Ok(tenant("a", Some(-2))) },
     public_and_unknown = { Some(TWO_TENANTS), "/open/", Credentials::Bearer(b"k4"), Ok(None) },
     public_and_missing = { Some(TWO_TENANTS), "/open/", Credentials::None, Ok(None) },
@@ -205,7 +206,7 @@
     tenants_absent = { None, "/closed/", Credentials::Bearer(b"k1"), Ok(None) },
     tenants_absent_and_missing = { None, "/closed/", Credentials::None, Ok(None) },
 )]
-fn a_key_says_whose_request_it_is(
+fn requests_are_authorized_by_their_key(
     clients: Option<&str>,
     path: &str,
     credentials: Credentials<'_>,
@@ -214,12 +215,13 @@
     assert_eq!(authorize(clients, path, credentials), expected);
 }
 
-// Guards against documents that earlier versions accepted, without a look at `clients`, and that state folders hold.
+// Guards against faults with documents in state directories: earlier versions accepted them without validating
+// `clients`.
 #[parameterized(
     shared_key = { r#"[{"label":"a","credentials":["k"]},{"label":"b","credentials":["k"]}]"#, Ok(tenant("a", None)) },
     name_with_line_end = { r#"[{"label":"a\r\nX-Admin: 1","credentials":["k"]}]"#, Err(UnknownKey) },
 )]
-fn documents_that_were_not_validated_are_read_safely(
+fn unvalidated_tenants_are_indexed_safely(
     clients: &str,
     expected: Result<Option<Rc<Tenant>>, UnknownKey>,
 ) {
--- a/crates/linenthread-config/tests/validation.rs
+++ b/crates/linenthread-config/tests/validation.rs
@@ -1,4 +1,5 @@
-//! Settings files and configurations: a bad one is rejected with its place, and a good one is read as meant.
+//! Validation of settings files and configurations: invalid ones are rejected with the position of the error, and valid
+//! ones are decoded and routed correctly.
 
 use std::time::Duration;
 
@@ -37,7 +38,7 @@
 }
 
 #[test]
-fn a_missing_field_is_named() {
+fn the_error_for_a_missing_field_names_it() {
     let error = Settings::parse(&SETTINGS.replace("zone=a\n", "")).unwrap_err();
     assert_eq!(error.to_string(), "\"zone\" is a required property");
 }
@@ -57,7 +58,7 @@
     );
 }
 
-// Guards against a system that goes on with keys that were taken away because these fields are not read.
+// Guards against accepting revoked keys without limit because these fields are not read.
 #[parameterized(
     absent = { "", None },
     absent_limit = { "limits_table.revocation_total=true\n", Some(5_000) },
@@ -65,14 +66,14 @@
     at_once = { "limits_table.revocation_total=true\nlimits_table.revoke_ms=0\n", Some(0) },
     off = { "limits_table.revocation_total=false\nlimits_table.revoke_ms=70\n", None },
 )]
-fn the_limit_of_revocation_is_read(fields: &str, expected_millis: Option<u64>) {
+fn the_revocation_limit_is_read(fields: &str, expected_millis: Option<u64>) {
     let settings = Settings::parse(&format!("{SETTINGS}{fields}")).unwrap();
     let expected = expected_millis.map(Duration::from_millis);
     assert_eq!(settings.revocation_limit, expected);
 }
 
 #[test]
-fn a_heartbeat_interval_of_zero_is_a_millisecond() {
+fn a_heartbeat_interval_of_zero_becomes_one_millisecond() {
     let settings = Settings::parse(&SETTINGS.replace("heartbeat_ms=1200", "heartbeat_ms=0"));
     assert_eq!(
         settings.unwrap().heartbeat_interval,
@@ -84,7 +85,7 @@
     rounded_down = { "1.9", 1 },
     limited = { "1000", 16 },
 )]
-fn machine_faults_are_a_small_whole_number(machine_faults: &str, expected: usize) {
+fn machine_faults_are_rounded_down_and_limited(machine_faults: &str, expected: usize) {
     let field = format!("machine_faults={machine_faults}");
     let settings = Settings::parse(&SETTINGS.replace("machine_faults=2", &field)).unwrap();
     assert_eq!(settings.machine_faults, expected);
@@ -106,13 +107,13 @@
 fn invalid_settings_are_rejected_with_their_line_or_field(
     good: &str,
     bad: &str,
-    place: &str,
+    position: &str,
     cause: &str,
 ) {
     let error = Settings::parse(&SETTINGS.replacen(good, bad, 1))
         .unwrap_err()
         .to_string();
-    assert!(error.contains(place) && error.contains(cause), "{error}");
+    assert!(error.contains(position) && error.contains(cause), "{error}");
 }
 
 fn configuration(routes: &str) -> String {
@@ -161,13 +162,13 @@
 )]
 fn invalid_configurations_are_rejected_with_their_json_path(
     document: String,
-    place: &str,
+    path: &str,
     cause: &str,
 ) {
     let error = Configuration::parse(document.as_bytes())
         .unwrap_err()
         .to_string();
-    assert!(error.contains(place) && error.contains(cause), "{error}");
+    assert!(error.contains(path) && error.contains(cause), "{error}");
 }
 
 #[parameterized(
@@ -178,7 +179,11 @@
     other_host = { "g", "/a/b/c", None },
     any_case_and_port = { "H:80", "/a/x", Some("/a/") },
 )]
-fn the_longest_prefix_of_the_host_wins(host: &str, path: &str, prefix: Option<&str>) {
+fn the_route_with_the_longest_matching_prefix_is_used(
+    host: &str,
+    path: &str,
+    prefix: Option<&str>,
+) {
     let two = [
         route("h", "/a/", r#""backend":"s1""#),
         route("h", "/a/b/", r#""fanout":["s1","s2"]"#),
