--- a/crates/linenthread-http/src/body.rs
+++ b/crates/linenthread-http/src/body.rs
@@ -1,37 +1,37 @@
-//! Reading a body off a buffer, piece by piece.
+//! Incremental decoding of message bodies.
 
 use bytes::{Buf, BytesMut};
 
 use crate::{Framing, ParseError};
 
-/// The longest size line of a chunk, or trailer line, in bytes: both are ignored but for the size itself.
+/// Maximum length of a chunk's size line or of a trailer line, in bytes. Only the size itself is used; chunk extensions
+/// and trailers are ignored.
 const MAX_LINE_BYTES: usize = 4_096;
-/// The most memory that is reserved in advance for a body of stated length, in bytes: the length is the peer's
-/// claim.
+/// Maximum initial capacity for a body with a stated length, in bytes. It is bounded because the peer may state any
+/// length.
 const MAX_RESERVED_BYTES: usize = 65_536;
-/// The end of a line.
 const LINE_END: &[u8] = b"\r\n";
 
-/// What is due next.
+/// The part of the body that is expected next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum State {
-    /// This many bytes of a body of stated length.
+    /// This many bytes of a body with a stated length.
     Bytes(u64),
     /// The size line of a chunk.
     ChunkSize,
     /// This many bytes of a chunk.
     Chunk(u64),
-    /// The line end behind a chunk.
+    /// The line end after a chunk.
     ChunkEnd,
-    /// Trailer lines, up to an empty one.
+    /// Trailer lines, up to an empty line.
     Trailers,
-    /// All bytes up to the end of the connection.
+    /// All bytes until the connection is closed.
     UntilClose,
-    /// Nothing.
+    /// Nothing: the body is complete.
     Complete,
 }
 
-/// The decoder of one body. It owns the bytes of the body that have been read so far.
+/// A decoder for one body, which collects the bytes of the body.
 #[derive(Debug)]
 pub struct BodyReader {
     state: State,
@@ -40,7 +40,7 @@
 }
 
 impl BodyReader {
-    /// A body of this framing, of at most `max_bytes` bytes.
+    /// Returns a decoder for a body with this framing and at most `max_bytes` bytes.
     pub fn new(framing: Framing, max_bytes: usize) -> BodyReader {
         let (state, reserved) = match framing {
             Framing::Length(0) => (State::Complete, 0),
@@ -55,10 +55,10 @@
         }
     }
 
-    /// Takes what belongs to the body off the buffer; true once the body is complete.
+    /// Consumes the bytes of the body from the buffer. Returns true once the body is complete.
     ///
     /// # Errors
-    /// Malformed chunks, or more bytes than allowed.
+    /// The chunks are malformed, or the body is longer than allowed.
     pub fn read_from(&mut self, buffer: &mut BytesMut) -> Result<bool, ParseError> {
         loop {
             let next = match self.state {
@@ -80,7 +80,8 @@
         }
     }
 
-    /// Notes that the sender closed the connection, in order, behind what was read; true if that completes the body.
+    /// Handles an orderly close of the connection by the sender, after the bytes read so far. Returns true if the body is
+    /// complete.
     pub fn on_close(&mut self) -> bool {
         if self.state == State::UntilClose {
             self.state = State::Complete;
@@ -88,12 +89,12 @@
         self.state == State::Complete
     }
 
-    /// The bytes read so far, without the framing.
+    /// Returns the bytes read so far, without the framing.
     pub fn into_bytes(self) -> Vec<u8> {
         self.bytes
     }
 
-    /// Copies the whole buffer to the body.
+    /// Moves the whole buffer to the body.
     fn copy_all(&mut self, buffer: &mut BytesMut) -> Result<(), ParseError> {
         if self.bytes.len() + buffer.len() > self.max_bytes {
             return Err(ParseError::BodyTooLong);
@@ -103,8 +104,8 @@
         Ok(())
     }
 
-    /// Copies up to `left` bytes of the buffer to the body. Once none is missing it goes on with `next`; until then it
-    /// stays in the state `unfinished`, with what is missing.
+    /// Moves up to `left` bytes from the buffer to the body. Returns the state `next` once none is missing; until then
+    /// sets the state `unfinished` with the number of missing bytes and returns `None`.
     fn copy(
         &mut self,
         left: u64,
@@ -127,12 +128,12 @@
     }
 }
 
-/// A length that a peer states, as a length in memory of at most `limit`.
+/// Converts a length that a peer states to `usize`, limited to `limit`.
 fn bounded(length: u64, limit: usize) -> usize {
     usize::try_from(length).map_or(limit, |length| length.min(limit))
 }
 
-/// Takes the size line of a chunk off the buffer, if all of it has arrived; what follows it.
+/// Consumes the size line of a chunk, if it has arrived completely, and returns the next state.
 fn read_chunk_size(buffer: &mut BytesMut) -> Result<Option<State>, ParseError> {
     match httparse::parse_chunk_size(buffer) {
         Ok(httparse::Status::Complete((length, size))) => {
@@ -147,7 +148,7 @@
     }
 }
 
-/// Takes the line end behind a chunk off the buffer, if all of it has arrived; what follows it.
+/// Consumes the line end after a chunk, if it has arrived completely, and returns the next state.
 fn read_chunk_end(buffer: &mut BytesMut) -> Result<Option<State>, ParseError> {
     if buffer.len() < LINE_END.len() {
         return Ok(None);
@@ -159,7 +160,7 @@
     Ok(Some(State::ChunkSize))
 }
 
-/// Takes one trailer line off the buffer, if all of it has arrived; what follows it.
+/// Consumes a trailer line, if it has arrived completely, and returns the next state.
 fn read_trailer(buffer: &mut BytesMut) -> Result<Option<State>, ParseError> {
     let Some(length) = buffer
         .windows(LINE_END.len())
--- a/crates/linenthread-http/src/framing.rs
+++ b/crates/linenthread-http/src/framing.rs
@@ -1,26 +1,26 @@
-//! How the body of a message is delimited.
+//! Framing of message bodies.
 
 use crate::{Head, ParseError};
 
-/// The most digits of a `Content-Length`; every number of that many fits a `u64`.
+/// Maximum number of digits of a `Content-Length`; every number with this many digits fits into a `u64`.
 const MAX_LENGTH_DIGITS: usize = 15;
 
-/// How the end of a body is found.
+/// How the end of a body is determined.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Framing {
-    /// It has this many bytes.
+    /// The body has this many bytes.
     Length(u64),
-    /// It comes in chunks, the last of which is empty.
+    /// The body is sent in chunks, the last of which is empty.
     Chunked,
-    /// It lasts until its sender closes the connection. Only responses come like this.
+    /// The body ends when its sender closes the connection. Only responses use this.
     UntilClose,
 }
 
-/// The framing of a request's body.
+/// Returns the framing of a request's body.
 ///
 /// # Errors
-/// An ambiguous framing, a target that is not a path, no `Host` header or several, a stated length over
-/// `max_body_bytes`.
+/// [`ParseError::Malformed`] if the framing is ambiguous, the target is not a path, or there is not exactly one `Host`
+/// header; [`ParseError::BodyTooLong`] if the stated length exceeds `max_body_bytes`.
 pub fn request_framing(head: &Head, max_body_bytes: usize) -> Result<Framing, ParseError> {
     if !head.target().starts_with('/')
         || head.method().is_empty()
@@ -36,19 +36,19 @@
     }
 }
 
-/// Whether the responses to a request have a body.
+/// Whether responses to a request have a body.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BodyPresence {
-    /// They have one, which may be empty.
+    /// They have a body, which may be empty.
     Present,
-    /// They have none, whatever length they state: the method is `HEAD`.
+    /// They have no body, whatever length they state, because the method is `HEAD`.
     Absent,
 }
 
-/// The framing of the body of a response to such a request.
+/// Returns the framing of a response's body; `presence` depends on the request's method.
 ///
 /// # Errors
-/// An ambiguous framing.
+/// [`ParseError::Malformed`] if the framing is ambiguous.
 pub fn response_framing(head: &Head, presence: BodyPresence) -> Result<Framing, ParseError> {
     if presence == BodyPresence::Absent || matches!(head.status(), 204 | 304) {
         return Ok(Framing::Length(0));
@@ -61,11 +61,11 @@
     }
 }
 
-/// The one length that a head states, if it states any. A response to a `HEAD` states that of the body which it leaves
-/// out.
+/// Returns the `Content-Length` of a head, if there is one. A response to a `HEAD` request states the length of the body
+/// that it omits.
 ///
 /// # Errors
-/// Something that is not a length, or several lengths.
+/// [`ParseError::Malformed`] if a value is not a length, or if values differ.
 pub fn content_length(head: &Head) -> Result<Option<u64>, ParseError> {
     let mut length = None;
     for value in head.header_values("content-length") {
@@ -78,7 +78,7 @@
     Ok(length)
 }
 
-/// A length in digits alone: no sign, no list.
+/// Parses a length, which must consist of digits only, without a sign or a list.
 fn parse_length(value: &[u8]) -> Result<u64, ParseError> {
     let text = std::str::from_utf8(value)
         .map_err(|_| ParseError::Malformed)?
@@ -91,7 +91,7 @@
     text.parse().map_err(|_| ParseError::Malformed)
 }
 
-/// Whether the body comes in chunks; every other transfer coding is rejected.
+/// Reports whether the body is chunked. Rejects every other transfer coding.
 fn is_chunked(head: &Head) -> Result<bool, ParseError> {
     let mut codings = head.header_values("transfer-encoding");
     let Some(first) = codings.next() else {
--- a/crates/linenthread-http/src/head.rs
+++ b/crates/linenthread-http/src/head.rs
@@ -1,4 +1,4 @@
-//! The first line and the headers of a message.
+//! Parsing of message heads: the first line and the headers.
 
 use std::fmt;
 
@@ -7,8 +7,8 @@
 
 use crate::{BodyPresence, ParseError};
 
-/// Headers that concern one connection only and are not forwarded, nor is `content-length`, which whoever writes
-/// the body writes anew.
+/// Headers that concern a single connection and are not forwarded. `content-length` is not forwarded either, because
+/// the sender of the body writes it.
 const HOP_BY_HOP_HEADERS: [&str; 10] = [
     "connection",
     "keep-alive",
@@ -21,11 +21,11 @@
     "upgrade",
     "content-length",
 ];
-/// A head with more headers is rejected.
+/// Maximum number of headers of a head.
 const MAX_HEADERS: usize = 64;
-/// Heads with no more headers than this need no allocation for their spans.
+/// Number of headers up to which the spans of a head need no allocation.
 const INLINE_HEADERS: usize = 12;
-/// The status that announces another protocol; the other 1xx announce another head, which follows.
+/// The status of a switch to another protocol. Every other 1xx response is followed by another head.
 const SWITCHING_PROTOCOLS: u16 = 101;
 
 /// A range of bytes of a head.
@@ -36,7 +36,7 @@
 }
 
 impl Span {
-    /// Where `part` lies in `raw`; empty if it is empty.
+    /// Returns the position of `part` in `raw`; an empty span for an empty part.
     fn of(raw: &[u8], part: &[u8]) -> Span {
         let bounds = || {
             let start = part.as_ptr().addr().checked_sub(raw.as_ptr().addr())?;
@@ -51,14 +51,14 @@
     }
 }
 
-/// Where the name and the value of a header lie.
+/// The positions of a header's name and value.
 #[derive(Clone, Copy, Debug)]
 struct HeaderSpan {
     name: Span,
     value: Span,
 }
 
-/// A request's or response's first line and headers, in one piece of memory.
+/// The first line and the headers of a request or response, stored as one buffer and spans into it.
 #[derive(Clone)]
 pub struct Head {
     raw: Bytes,
@@ -69,7 +69,7 @@
     headers: SmallVec<[HeaderSpan; INLINE_HEADERS]>,
 }
 
-/// Shows the names of the headers and not their values, one of which may be a client's key.
+/// Prints the names of the headers but not their values, which may contain a client's key.
 impl fmt::Debug for Head {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         let names: SmallVec<[&str; INLINE_HEADERS]> =
@@ -85,10 +85,10 @@
 }
 
 impl Head {
-    /// Takes a complete request head of at most `max_bytes` bytes off the buffer, if one has arrived.
+    /// Consumes a request head of at most `max_bytes` bytes from the buffer. Returns `None` if the head is incomplete.
     ///
     /// # Errors
-    /// A malformed head, or one that is too long.
+    /// The head is malformed or too long.
     pub fn parse_request(
         buffer: &mut BytesMut,
         max_bytes: usize,
@@ -110,11 +110,11 @@
         Ok(Some(head))
     }
 
-    /// Takes a complete response head of at most `max_bytes` bytes off the buffer, if one has arrived. Heads that
-    /// only announce another (1xx) are skipped.
+    /// Consumes a response head of at most `max_bytes` bytes from the buffer. Returns `None` if the head is incomplete.
+    /// Skips informational heads (1xx), except 101.
     ///
     /// # Errors
-    /// A malformed head, or one that is too long.
+    /// The head is malformed or too long.
     pub fn parse_response(
         buffer: &mut BytesMut,
         max_bytes: usize,
@@ -127,7 +127,7 @@
         }
     }
 
-    /// Takes a response head off the buffer, whatever its status is.
+    /// Consumes a response head with any status from the buffer.
     fn parse_any_response(
         buffer: &mut BytesMut,
         max_bytes: usize,
@@ -149,12 +149,12 @@
         Ok(Some(head))
     }
 
-    /// The method of a request; empty for a response.
+    /// Returns the method of a request; empty for a response.
     pub fn method(&self) -> &str {
         self.text(self.method)
     }
 
-    /// Whether the responses to this request have a body.
+    /// Returns whether responses to this request have a body.
     pub fn response_body_presence(&self) -> BodyPresence {
         if self.method() == "HEAD" {
             BodyPresence::Absent
@@ -163,42 +163,42 @@
         }
     }
 
-    /// Path and query of a request; empty for a response.
+    /// Returns the path and the query of a request; empty for a response.
     pub fn target(&self) -> &str {
         self.text(self.target)
     }
 
-    /// The target without its query.
+    /// Returns the target without its query.
     pub fn path(&self) -> &str {
         let target = self.target();
         target.split_once('?').map_or(target, |(path, _)| path)
     }
 
-    /// The status code of a response; 0 for a request.
+    /// Returns the status code of a response; 0 for a request.
     pub fn status(&self) -> u16 {
         self.status
     }
 
-    /// Whether it is HTTP/1.1; else it is 1.0.
+    /// Reports whether the version is HTTP/1.1 rather than 1.0.
     pub fn is_http_1_1(&self) -> bool {
         self.is_http_1_1
     }
 
-    /// All headers in their order: names as sent, and values with no white space around them.
+    /// Returns all headers in their order, with names as sent and values without surrounding white space.
     pub fn headers(&self) -> impl Iterator<Item = (&str, &[u8])> {
         self.headers
             .iter()
             .map(|header| (self.text(header.name), self.bytes(header.value)))
     }
 
-    /// The values of all headers of this name, whatever its case.
+    /// Returns the values of all headers with this name, ignoring case.
     pub fn header_values<'a>(&'a self, name: &'a str) -> impl Iterator<Item = &'a [u8]> {
         self.headers()
             .filter(move |(other, _)| other.eq_ignore_ascii_case(name))
             .map(|(_, value)| value)
     }
 
-    /// The value of the first header of this name, if it is text.
+    /// Returns the value of the first header with this name, if there is one and its value is UTF-8.
     pub fn header<'a>(&'a self, name: &'a str) -> Option<&'a str> {
         self.header_values(name)
             .next()
@@ -206,14 +206,14 @@
             .map(str::trim)
     }
 
-    /// Whether this token is in the comma-separated list of a header, whatever its case.
+    /// Reports whether the comma-separated list of a header contains a token, ignoring case.
     pub fn has_token(&self, name: &str, token: &str) -> bool {
         self.header_values(name)
             .flat_map(list_items)
             .any(|item| item.eq_ignore_ascii_case(token.as_bytes()))
     }
 
-    /// Whether its sender keeps the connection open after this message.
+    /// Reports whether the sender keeps the connection open after this message.
     pub fn keeps_alive(&self) -> bool {
         if self.is_http_1_1 {
             !self.has_token("connection", "close")
@@ -222,7 +222,7 @@
         }
     }
 
-    /// Appends the header lines that concern more than one connection, except those named.
+    /// Appends the end-to-end headers as lines, except those with a name in `except`.
     pub fn forward_headers(&self, to: &mut Vec<u8>, except: &[&str]) {
         let connection_options: SmallVec<[&[u8]; 4]> = self
             .header_values("connection")
@@ -254,7 +254,7 @@
     }
 }
 
-/// The length of a head that was parsed; none if it is not complete yet.
+/// Returns the length of a parsed head, or `None` if the head is incomplete.
 fn complete_length(
     parsed: httparse::Result<usize>,
     buffered: usize,
@@ -281,7 +281,7 @@
         .collect()
 }
 
-/// The items of a comma-separated list.
+/// Returns the items of a comma-separated list.
 fn list_items(value: &[u8]) -> impl Iterator<Item = &[u8]> {
     value.split(|byte| *byte == b',').map(<[u8]>::trim_ascii)
 }
--- a/crates/linenthread-http/src/lib.rs
+++ b/crates/linenthread-http/src/lib.rs
@@ -1,12 +1,12 @@
-//! HTTP/1.1 messages as bytes: bounded heads, bodies with a length or in chunks, forwarding of headers, and the
-//! merge of record bodies.
+//! HTTP/1.1 messages: parsing of heads and bodies with bounded sizes, forwarding of headers, and merging of bodies that
+//! consist of records.
 //!
-//! This package does no input or output, reads no clock and takes no routing decision; its callers hand it the
-//! buffers that they read. It accepts strictly: a message whose end could be read in two ways is an error, since
-//! two parties that disagree about it would take one client's bytes for another's.
+//! This crate does no I/O, reads no clock and makes no routing decisions; callers pass in the buffers that they read.
+//! Parsing is strict: a message with an ambiguous end is rejected, since two parties that disagree about the end would
+//! mistake one client's bytes for another's.
 //!
-//! Start reading at [`Head`]; [`request_framing`] and [`response_framing`] say how the body of a head comes, and
-//! [`BodyReader`] reads it.
+//! Start reading at [`Head`]. [`request_framing`] and [`response_framing`] determine how the body of a message ends, and
+//! [`BodyReader`] decodes it.
 
 mod body;
 mod decimal;
--- a/crates/linenthread-http/src/records.rs
+++ b/crates/linenthread-http/src/records.rs
@@ -1,11 +1,12 @@
-//! Bodies that are sequences of records, and the merge of several.
+//! Merging of bodies that consist of records.
 
-/// The length of a record in bytes.
+/// Length of a record in bytes.
 pub const RECORD_BYTES: usize = 16;
 
-/// The `limit` greatest records of all bodies, in descending order.
+/// Returns the `limit` greatest records of all bodies, in descending order.
 ///
-/// Records compare as big-endian numbers. Equal records all count; a remainder shorter than a record is ignored.
+/// Records are compared as big-endian numbers. Equal records are all retained; a body's remainder that is shorter than a
+/// record is ignored.
 pub fn merge_top_records<'a>(bodies: impl Iterator<Item = &'a [u8]>, limit: usize) -> Vec<u8> {
     let mut records: Vec<u128> = bodies
         .flat_map(|body| body.as_chunks::<RECORD_BYTES>().0)
--- a/crates/linenthread-http/tests/golden.rs
+++ b/crates/linenthread-http/tests/golden.rs
@@ -1,7 +1,7 @@
-//! Heads, framing and merged records, checked against bytes that an earlier version wrote.
+//! Compatibility of heads, framing and merged records with commit 464716d.
 //!
-//! The files under `tests/golden/` were written by commit 464716d. They must never be regenerated to make a test
-//! pass: clients and replicas depend on what is forwarded to them.
+//! The files under `tests/golden/` were written by that commit. They must never be regenerated to make a test pass:
+//! clients and replicas depend on the forwarded bytes.
 
 use bytes::BytesMut;
 use linenthread_golden::named_bytes;
@@ -22,7 +22,7 @@
     Content-Type: application/octet-stream\r\nContent-Length: 32\r\nConnection: close\r\n\
     X-Load: 0.5,queue=3\r\n\r\n";
 
-/// What of these heads is forwarded.
+/// Returns the forwarded headers of both heads.
 fn forwarded() -> Vec<(&'static str, Vec<u8>)> {
     let mut request = Vec::new();
     request_head().forward_headers(&mut request, &["x-ours"]);
@@ -43,7 +43,7 @@
     head.expect("all of it")
 }
 
-/// The merged records of several responses.
+/// Returns the merged records of several responses.
 fn merged() -> Vec<u8> {
     let part = |first: u8, records: u8| -> Vec<u8> {
         let record = |n: u8| [first.wrapping_mul(n), n, first].into_iter().chain([n; 13]);
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn heads_are_read_as_version_464716d_read_them() {
+fn heads_and_chunked_bodies_are_read_as_by_commit_464716d() {
     let head = request_head();
     assert_eq!(
         (head.method(), head.target()),
@@ -89,13 +89,13 @@
 }
 
 #[test]
-fn headers_are_forwarded_with_the_bytes_of_version_464716d() {
+fn headers_are_forwarded_as_by_commit_464716d() {
     let golden = named_bytes(include_str!("golden/passed_on.hex")).collect::<Vec<_>>();
     assert_eq!(forwarded(), golden);
 }
 
 #[test]
-fn records_are_merged_to_the_bytes_of_version_464716d() {
+fn records_are_merged_as_by_commit_464716d() {
     let golden = named_bytes(include_str!("golden/merged.hex")).collect::<Vec<_>>();
     assert_eq!(vec![("merged", merged())], golden);
 }
--- a/crates/linenthread-http/tests/messages.rs
+++ b/crates/linenthread-http/tests/messages.rs
@@ -1,4 +1,4 @@
-//! Heads and bodies byte by byte, and the merge of records against a plain sort.
+//! Parsing of heads and bodies, also in small pieces, and merging of records compared with a full sort.
 
 use bytes::BytesMut;
 use linenthread_http::{
@@ -36,19 +36,19 @@
         "POST /a HTTP/1.1\nHost: h\nTransfer-Encoding: chunked\nTransfer-Encoding: x\n\n",
         Err(ParseError::Malformed)
     },
-    old_chunks = { "POST /a HTTP/1.0\nHost: h\nTransfer-Encoding: chunked\n\n", Err(ParseError::Malformed) },
+    chunks_in_http_1_0 = { "POST /a HTTP/1.0\nHost: h\nTransfer-Encoding: chunked\n\n", Err(ParseError::Malformed) },
     signed = { "POST /a HTTP/1.1\nHost: h\nContent-Length: +7\n\n", Err(ParseError::Malformed) },
     no_host = { "GET /a HTTP/1.1\n\n", Err(ParseError::Malformed) },
     two_hosts = { "GET /a HTTP/1.1\nHost: h\nHost: g\n\n", Err(ParseError::Malformed) },
     no_path = { "GET http://h/a HTTP/1.1\nHost: h\n\n", Err(ParseError::Malformed) },
-    too_much = { "POST /a HTTP/1.1\nHost: h\nContent-Length: 501\n\n", Err(ParseError::BodyTooLong) },
+    too_long = { "POST /a HTTP/1.1\nHost: h\nContent-Length: 501\n\n", Err(ParseError::BodyTooLong) },
 )]
-fn an_ambiguous_framing_is_rejected(text: &str, framing: Result<Framing, ParseError>) {
+fn request_framing_is_strict(text: &str, framing: Result<Framing, ParseError>) {
     assert_eq!(request_framing(&head(text).unwrap(), 500), framing);
 }
 
 #[test]
-fn heads_are_bounded_and_complete() {
+fn request_heads_are_bounded_and_may_arrive_in_parts() {
     let text = format!("GET / HTTP/1.1\r\nHost: h\r\nX-Long: {}", "x".repeat(1_000));
     assert!(matches!(
         Head::parse_request(&mut BytesMut::from(text.as_bytes()), 1_000),
@@ -95,7 +95,7 @@
 
 #[parameterized(
     with_length = { "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\n", Ok(Framing::Length(3)) },
-    until_the_end = { "HTTP/1.1 200 OK\r\n\r\n", Ok(Framing::UntilClose) },
+    until_close = { "HTTP/1.1 200 OK\r\n\r\n", Ok(Framing::UntilClose) },
     both = {
         "HTTP/1.1 200 OK\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n",
         Err(ParseError::Malformed)
@@ -104,13 +104,13 @@
         "HTTP/1.1 200 OK\r\nContent-Length: 3\r\nContent-Length: 4\r\n\r\n",
         Err(ParseError::Malformed)
     },
-    after_a_hint = {
+    after_an_informational_head = {
         "HTTP/1.1 103 Hint\r\n\r\nHTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n",
         Ok(Framing::Chunked)
     },
     no_content = { "HTTP/1.1 204 No Content\r\n\r\n", Ok(Framing::Length(0)) },
 )]
-fn the_end_of_a_response_is_never_ambiguous(text: &str, framing: Result<Framing, ParseError>) {
+fn response_framing_is_strict(text: &str, framing: Result<Framing, ParseError>) {
     let head = Head::parse_response(&mut BytesMut::from(text.as_bytes()), 1_000)
         .unwrap()
         .unwrap();
@@ -141,7 +141,7 @@
 }
 
 #[test]
-fn a_body_without_a_length_is_complete_once_the_connection_is_closed() {
+fn a_body_without_a_length_ends_when_the_connection_is_closed() {
     let mut body = BodyReader::new(Framing::UntilClose, 6);
     for (piece, complete) in [("abc", false), ("", false), ("def", false)] {
         let mut buffer = BytesMut::from(piece);
@@ -159,8 +159,8 @@
 }
 
 #[parameterized(
-    of_a_length = { Framing::Length(4) },
-    in_chunks = { Framing::Chunked },
+    with_length = { Framing::Length(4) },
+    chunked = { Framing::Chunked },
 )]
 fn a_close_within_a_body_does_not_complete_it(framing: Framing) {
     let mut body = BodyReader::new(framing, 20);
@@ -170,12 +170,12 @@
 }
 
 #[parameterized(
-    no_size = { "x\r\n", ParseError::Malformed },
-    no_end = { "3\r\nabcd\r\n", ParseError::Malformed },
-    over = { "15\r\n0123456789012345678901234\r\n", ParseError::BodyTooLong },
-    vast = { "ffffffffffffffff\r\n", ParseError::BodyTooLong },
+    invalid_size = { "x\r\n", ParseError::Malformed },
+    missing_line_end = { "3\r\nabcd\r\n", ParseError::Malformed },
+    longer_than_allowed = { "15\r\n0123456789012345678901234\r\n", ParseError::BodyTooLong },
+    maximum_size = { "ffffffffffffffff\r\n", ParseError::BodyTooLong },
 )]
-fn bad_chunks_end_the_body(text: &str, error: ParseError) {
+fn invalid_chunks_are_rejected(text: &str, error: ParseError) {
     let mut buffer = BytesMut::from(text.as_bytes());
     assert_eq!(
         BodyReader::new(Framing::Chunked, 20).read_from(&mut buffer),
@@ -184,7 +184,7 @@
 }
 
 #[test]
-fn the_merged_records_are_those_of_a_plain_sort() {
+fn merged_records_equal_those_of_a_full_sort() {
     let mut x = 7u64;
     let mut next = || {
         x = x
@@ -193,9 +193,9 @@
         usize::try_from(x >> 33).unwrap()
     };
     for _ in 0..200 {
-        // Few distinct bytes, so that equal records come often; some parts end in a rest.
-        let part = |n: usize, rest: usize, next: &mut dyn FnMut() -> usize| -> Vec<u8> {
-            (0..n * 16 + rest)
+        // Few distinct bytes, so that equal records are frequent; some parts end with an incomplete record.
+        let part = |n: usize, remainder: usize, next: &mut dyn FnMut() -> usize| -> Vec<u8> {
+            (0..n * 16 + remainder)
                 .map(|_| [0, 1, 0xff][next() % 3])
                 .collect()
         };
@@ -205,7 +205,7 @@
         let limit = next() % 20;
         let mut all: Vec<&[u8]> = parts.iter().flat_map(|p| p.chunks_exact(16)).collect();
         all.sort();
-        let plain: Vec<u8> = all
+        let expected: Vec<u8> = all
             .iter()
             .rev()
             .take(limit)
@@ -213,14 +213,14 @@
             .collect();
         assert_eq!(
             merge_top_records(parts.iter().map(Vec::as_slice), limit),
-            plain
+            expected
         );
     }
 }
 
-// Guards against: a head that is logged, or is part of a panic's message, shows the key of its client.
+// Guards against a client's key in logs and panic messages that contain a head.
 #[test]
-fn the_debug_text_of_a_head_shows_no_value_of_a_header() {
+fn debug_output_of_a_head_contains_no_header_values() {
     let text = "GET /a HTTP/1.1\nHost: h\nAuthorization: Bearer qwertz\nX-Other: asdf\n\n";
     let debug = format!("{:?} {0:#?}", head(text).unwrap());
     assert!(
