--- a/crates/linenthread-console/src/lib.rs
+++ b/crates/linenthread-console/src/lib.rs
@@ -1,7 +1,7 @@
-//! Standard output of programs whose reader may close the pipe early, as `head` does.
+//! Standard output for programs whose reader may close the pipe early, as `head` does.
 //!
-//! Rust ignores SIGPIPE, so that a write to a closed pipe is an error, and `println!` panics. Here such an error means
-//! that the reader has read enough: it is no failure of the program. Every other error is returned.
+//! Rust ignores SIGPIPE, so a write to a closed pipe returns an error, on which `println!` panics. The functions of this
+//! crate treat that error as success, since the reader needs no more output. Every other error is returned.
 
 pub mod testing;
 
@@ -10,17 +10,17 @@
 use std::panic;
 use std::process;
 
-/// The exit code of a program that ended early because its reader has closed the pipe: what shells report for SIGPIPE.
-/// It is neither success nor a finding, since the rest of the work was not done.
+/// The exit code of a program that ended early because its reader closed the pipe; shells report the same code for
+/// SIGPIPE. It signals neither success nor a finding, since the rest of the work was not done.
 pub const CLOSED_OUTPUT_EXIT_CODE: u8 = 141;
 
-/// What `println!` panics with if it can't write, in lower case.
+/// Start of the panic message of `println!` when a write fails, in lower case.
 const PRINTLN_FAILED: &str = "failed printing to stdout";
 
-/// Prints a text as it is.
+/// Prints a text without a line end.
 ///
 /// # Errors
-/// The write failed for another reason than a closed pipe.
+/// The write failed for a reason other than a closed pipe.
 pub fn print(text: &str) -> io::Result<()> {
     allow_closed_output(io::stdout().write_all(text.as_bytes()))
 }
@@ -28,15 +28,15 @@
 /// Prints a line.
 ///
 /// # Errors
-/// As [`print`].
+/// The write failed for a reason other than a closed pipe.
 pub fn print_line(line: fmt::Arguments<'_>) -> io::Result<()> {
     allow_closed_output(writeln!(io::stdout(), "{line}"))
 }
 
-/// The result of a write to standard output, where a closed pipe is no error.
+/// Converts the result of a write to standard output so that a closed pipe counts as success.
 ///
 /// # Errors
-/// The write failed for another reason.
+/// The write failed for a reason other than a closed pipe.
 pub fn allow_closed_output(written: io::Result<()>) -> io::Result<()> {
     match written {
         Err(error) if is_closed_output(&error) => Ok(()),
@@ -44,17 +44,17 @@
     }
 }
 
-/// Whether a write failed because the reader has closed the pipe.
+/// Reports whether a write failed because the reader closed the pipe.
 #[must_use]
 pub fn is_closed_output(error: &io::Error) -> bool {
     error.kind() == ErrorKind::BrokenPipe
 }
 
-/// From now on a `println!` to a closed pipe ends the process without a message, with [`CLOSED_OUTPUT_EXIT_CODE`]. For
-/// programs that print from many places, where the error can't be returned.
+/// Installs a panic hook: a `println!` to a closed pipe then ends the process with [`CLOSED_OUTPUT_EXIT_CODE`] and
+/// without a message. For programs that print in many places where the error can't be returned.
 pub fn exit_on_closed_output() {
     let broken_pipe = io::Error::from(ErrorKind::BrokenPipe).to_string();
-    let report_panic = panic::take_hook();
+    let previous_hook = panic::take_hook();
     panic::set_hook(Box::new(move |info| {
         let is_closed_output = info.payload_as_str().is_some_and(|message| {
             let message = message.to_lowercase();
@@ -63,6 +63,6 @@
         if is_closed_output {
             process::exit(CLOSED_OUTPUT_EXIT_CODE.into());
         }
-        report_panic(info);
+        previous_hook(info);
     }));
 }
--- a/crates/linenthread-console/src/testing.rs
+++ b/crates/linenthread-console/src/testing.rs
@@ -1,12 +1,12 @@
-//! For tests of programs that print.
+//! Helpers for tests of programs that print.
 
 use std::io;
 use std::process::{Command, Output, Stdio};
 
-/// Runs a program whose standard output has no reader, and waits for its end. Its standard error is captured.
+/// Runs a program whose standard output has no reader, and waits for it to exit. Its standard error is captured.
 ///
 /// # Errors
-/// The program can't be started.
+/// The program can't be started, or waiting for it or reading its standard error failed.
 pub fn run_with_closed_output(command: &mut Command) -> io::Result<Output> {
     let mut child = command
         .stdout(Stdio::piped())
--- a/crates/linenthread-console/tests/closed_output.rs
+++ b/crates/linenthread-console/tests/closed_output.rs
@@ -1,5 +1,5 @@
-//! Writes to standard output after its reader has closed the pipe, each in a process of its own: this test program,
-//! run again.
+//! Writes to standard output after the reader closed the pipe. Each write takes place in a child process, which runs
+//! this test program again.
 
 use std::env;
 use std::io::{self, BufRead, BufReader, ErrorKind, Write};
@@ -11,36 +11,36 @@
 };
 use yare::parameterized;
 
-/// The variable that tells a child how to write.
-const WRITER: &str = "LINENTHREAD_CONSOLE_WRITER";
-/// A child prints this line when it is about to write.
+/// The environment variable that selects how the child writes.
+const WRITER_VARIABLE: &str = "LINENTHREAD_CONSOLE_WRITER";
+/// The line that a child prints when it is ready to write.
 const READY: &str = "the child is ready";
-/// The exit code of a child whose write returned success.
+/// The exit code of a child whose write succeeded.
 const WRITTEN: i32 = 10;
-/// The exit code of a child whose write returned an error.
+/// The exit code of a child whose write failed.
 const WRITE_FAILED: i32 = 11;
 
-/// How the child writes, and the exit code that is expected of it.
+// Each case names how the child writes and the expected exit code.
 #[parameterized(
     print = { "print", WRITTEN },
     print_line = { "print_line", WRITTEN },
     no_handling = { "no_handling", WRITE_FAILED },
     println = { "println", CLOSED_OUTPUT_EXIT_CODE.into() },
 )]
-fn a_closed_pipe_is_no_failure(writer: &str, expected_exit_code: i32) {
+fn a_closed_pipe_is_not_reported_as_a_failure(writer: &str, expected_exit_code: i32) {
     let (status, errors) = run_child(writer);
     assert_eq!(errors, "");
     assert_eq!(status.code(), Some(expected_exit_code));
 }
 
-/// The child's side: does nothing unless the parent has set the variable.
+/// The entry point of the child process. Does nothing unless the parent has set the variable.
 #[test]
 fn child() {
-    let Ok(writer) = env::var(WRITER) else {
+    let Ok(writer) = env::var(WRITER_VARIABLE) else {
         return;
     };
     println!("{READY}");
-    // The parent closes its end of standard output, then the child's standard input.
+    // The parent closes the child's standard output, then its standard input; wait for the latter.
     io::stdin().read_line(&mut String::new()).expect("read");
     let written = match &*writer {
         "print" => print("a text\n"),
@@ -51,7 +51,7 @@
             println!("a line");
             Ok(())
         }
-        other => panic!("no writer is named {other}"),
+        other => panic!("unknown writer {other}"),
     };
     process::exit(if written.is_ok() {
         WRITTEN
@@ -60,11 +60,11 @@
     });
 }
 
-/// Runs the child until it has written to a closed pipe; returns how it ended and its standard error.
+/// Runs a child that writes to a closed pipe; returns its exit status and its standard error.
 fn run_child(writer: &str) -> (ExitStatus, String) {
     let mut child = Command::new(env::current_exe().expect("a path"))
         .args(["--exact", "child", "--nocapture"])
-        .env(WRITER, writer)
+        .env(WRITER_VARIABLE, writer)
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn a_closed_pipe_is_told_from_other_errors() {
+fn a_closed_pipe_is_distinguished_from_other_errors() {
     let closed = || io::Error::from(ErrorKind::BrokenPipe);
     let full = || io::Error::from(ErrorKind::StorageFull);
     assert!(is_closed_output(&closed()));
