--- a/crates/linenthread-config/src/routing_table.rs
+++ b/crates/linenthread-config/src/routing_table.rs
@@ -25,7 +25,7 @@
 }
 
 impl Destination {
-    /// Returns the backend that a random sample selects; `None` for a fan-out. The sample is at least 0 and less than 1.
+    /// Returns the backend that a random sample from 0 (inclusive) to 1 (exclusive) selects; `None` for a fan-out.
     pub fn pick(&self, sample: f64) -> Option<&Rc<str>> {
         let Destination::Weighted(backends) = self else {
             return None;
@@ -57,7 +57,8 @@
     pub limits: RequestLimits,
     /// The routes, in the order of the configuration.
     pub routes: Vec<Rc<ResolvedRoute>>,
-    /// Maximum number of connections that a replica accepts from all ingress nodes together, by backend; absent: no limit.
+    /// Maximum number of connections that a replica accepts from all ingress nodes together, by backend; absent: no
+    /// limit.
     pub max_connections: HashMap<Rc<str>, usize>,
     /// Index into `routes`, by lower-case host and then by path prefix.
     hosts: HashMap<String, HashMap<String, usize>>,
--- a/crates/linenthread-config/src/settings.rs
+++ b/crates/linenthread-config/src/settings.rs
@@ -78,7 +78,8 @@
     pub retry_allowance: f64,
     /// Settings for reporting usage to the platform; absent: usage is not reported.
     pub platform: Option<PlatformSettings>,
-    /// Maximum time for which an ingress node without contact to control nodes may accept a revoked key; absent: no limit.
+    /// Maximum time for which an ingress node without contact to control nodes may accept a revoked key; absent: no
+    /// limit.
     pub revocation_limit: Option<Duration>,
     /// Whether requests are forwarded without any decision, to measure the overhead of the decisions. Set by a
     /// command-line flag, never by a settings file.
--- a/crates/linenthread-config/src/tenants.rs
+++ b/crates/linenthread-config/src/tenants.rs
@@ -1,7 +1,7 @@
 //! Lookup of tenants by the key that a request carries.
 //!
-//! Keys are stored and looked up as digests that are keyed with a random secret of the table. Nobody outside the process
-//! can compute the digest of a guessed key, so the duration of a lookup reveals nothing about the stored keys.
+//! Keys are stored and looked up as digests that are keyed with a random secret of the table. Nobody outside the
+//! process can compute the digest of a guessed key, so the duration of a lookup reveals nothing about the stored keys.
 
 use std::collections::HashMap;
 use std::collections::hash_map::RandomState;
--- a/crates/linenthread-http/src/body.rs
+++ b/crates/linenthread-http/src/body.rs
@@ -80,8 +80,8 @@
         }
     }
 
-    /// Handles an orderly close of the connection by the sender, after the bytes read so far. Returns true if the body is
-    /// complete.
+    /// Handles an orderly close of the connection by the sender, after the bytes read so far. Returns true if the body
+    /// is complete.
     pub fn on_close(&mut self) -> bool {
         if self.state == State::UntilClose {
             self.state = State::Complete;
--- a/crates/linenthread-http/src/framing.rs
+++ b/crates/linenthread-http/src/framing.rs
@@ -61,8 +61,8 @@
     }
 }
 
-/// Returns the `Content-Length` of a head, if there is one. A response to a `HEAD` request states the length of the body
-/// that it omits.
+/// Returns the `Content-Length` of a head, if there is one. A response to a `HEAD` request states the length of the
+/// body that it omits.
 ///
 /// # Errors
 /// [`ParseError::Malformed`] if a value is not a length, or if values differ.
--- a/crates/linenthread-http/src/lib.rs
+++ b/crates/linenthread-http/src/lib.rs
@@ -5,8 +5,8 @@
 //! Parsing is strict: a message with an ambiguous end is rejected, since two parties that disagree about the end would
 //! mistake one client's bytes for another's.
 //!
-//! Start reading at [`Head`]. [`request_framing`] and [`response_framing`] determine how the body of a message ends, and
-//! [`BodyReader`] decodes it.
+//! Start reading at [`Head`]. [`request_framing`] and [`response_framing`] determine how the body of a message ends,
+//! and [`BodyReader`] decodes it.
 
 mod body;
 mod decimal;
--- a/crates/linenthread-http/src/records.rs
+++ b/crates/linenthread-http/src/records.rs
@@ -5,8 +5,8 @@
 
 /// Returns the `limit` greatest records of all bodies, in descending order.
 ///
-/// Records are compared as big-endian numbers. Equal records are all retained; a body's remainder that is shorter than a
-/// record is ignored.
+/// Records are compared as big-endian numbers. Equal records are all retained; a body's remainder that is shorter than
+/// a record is ignored.
 pub fn merge_top_records<'a>(bodies: impl Iterator<Item = &'a [u8]>, limit: usize) -> Vec<u8> {
     let mut records: Vec<u128> = bodies
         .flat_map(|body| body.as_chunks::<RECORD_BYTES>().0)
