--- a/crates/linenthread-ctl/src/client.rs
+++ b/crates/linenthread-ctl/src/client.rs
@@ -1,4 +1,4 @@
-//! Requests that go to the first of several control nodes that gives a final response.
+//! Requests to a list of control nodes, of which the first final response is used.
 
 use std::collections::VecDeque;
 use std::fmt;
@@ -10,55 +10,56 @@
 use crate::control_api::{OK, TEMPORARY_REDIRECT, is_final};
 use crate::request::{Request, RequestError, Response};
 
-/// So many redirects to addresses that the client was not given are followed in a round.
-const MAX_REDIRECTS: usize = 2;
+/// Maximum number of redirects per round to addresses that are not in the client's list.
+const MAX_UNLISTED_REDIRECTS: usize = 2;
 
-/// The addresses of the control nodes.
+/// A client of the control API that knows several control nodes.
 #[derive(Clone, Debug)]
 pub struct Client {
-    /// Addresses, in the order in which they are tried.
+    /// Addresses of the control nodes, in the order in which they are tried.
     pub addresses: Vec<SocketAddr>,
-    /// How long one address may take.
+    /// Time-out of an attempt at one address.
     pub timeout: Duration,
 }
 
-/// No control node gave a final response.
+/// The error if no control node gave a final response.
 #[derive(Debug, Default, Snafu)]
-#[snafu(display("{}", failures_text(failures)))]
+#[snafu(display("{}", describe_failures(failures)))]
 pub struct NoFinalResponse {
-    /// What came of the last try at each address, in the order of these tries.
+    /// The last failure at each address, in the order of the attempts.
     pub failures: Vec<AddressFailure>,
-    /// Whether at any try, the last ones or those before them, a control node may have begun with the request.
-    pub may_have_begun: bool,
+    /// Whether a control node may have begun to process the request in any attempt, also one before the last at its
+    /// address.
+    pub may_have_been_processed: bool,
 }
 
-/// What came of a try at one address.
+/// A failed attempt at one address.
 #[derive(Debug)]
 pub struct AddressFailure {
     /// The address.
     pub address: SocketAddr,
-    /// Why it is not final.
+    /// Why the attempt gave no final response.
     pub reason: FailureReason,
 }
 
-/// Why the try at an address is not final.
+/// The reason why an attempt gave no final response.
 #[derive(Debug)]
 pub enum FailureReason {
-    /// The control node does not serve it now, or does not know what became of it.
+    /// The control node can't serve the request now, or doesn't know its outcome.
     Status {
         /// The HTTP status.
         status: u16,
         /// The body of the response.
         message: String,
     },
-    /// There is no response.
+    /// No response was received.
     NoResponse(RequestError),
 }
 
 impl Client {
-    /// Sends a request to one address after another, up to `rounds` times through the list, until one of them gives
-    /// a final response. A failure to get a response is not final, nor is a server error, a status that may pass, or
-    /// a redirect; the address that a redirect names is tried next.
+    /// Sends a request to one address after another until one gives a final response. Goes through the list up to
+    /// `rounds` times, at least once. A missing response, a server error, a transient status or a redirect is not
+    /// final; the target of a redirect is tried next.
     ///
     /// # Errors
     /// No address gave a final response.
@@ -72,10 +73,10 @@
         Err(failed)
     }
 
-    /// Sends a request to one address, once.
+    /// Sends a request to one address, without retries.
     ///
     /// # Errors
-    /// There is no response, or its status is not 200.
+    /// No response was received, or its status is not 200.
     pub fn send_to_one(
         &self,
         address: SocketAddr,
@@ -83,23 +84,23 @@
     ) -> Result<Response, FailureReason> {
         match request.send_to(address, self.timeout) {
             Ok(response) if response.status == OK => Ok(response),
-            Ok(response) => Err(FailureReason::of(&response)),
+            Ok(response) => Err(FailureReason::from_response(&response)),
             Err(error) => Err(FailureReason::NoResponse(error)),
         }
     }
 
-    /// Tries each address once, and those that redirects name; notes the failures.
+    /// Tries each address and the targets of redirects once; adds the failures to `failed`.
     fn send_once(&self, request: &Request<'_>, failed: &mut NoFinalResponse) -> Option<Response> {
         let mut untried: VecDeque<SocketAddr> = self.addresses.iter().copied().collect();
-        let mut redirects = MAX_REDIRECTS;
+        let mut redirects_left = MAX_UNLISTED_REDIRECTS;
         while let Some(address) = untried.pop_front() {
             let reason = match request.send_to(address, self.timeout) {
                 Ok(response) if is_final(response.status) => return Some(response),
                 Ok(response) => {
                     if let Some(target) = response.redirect_target() {
-                        try_next(&mut untried, target, &mut redirects, &self.addresses);
+                        prioritize(&mut untried, target, &mut redirects_left, &self.addresses);
                     }
-                    FailureReason::of(&response)
+                    FailureReason::from_response(&response)
                 }
                 Err(error) => FailureReason::NoResponse(error),
             };
@@ -109,43 +110,44 @@
     }
 }
 
-/// Moves the target of a redirect to the front of the addresses that are still to be tried. One that is not in the
-/// client's list is added, as long as redirects are left.
-fn try_next(
+/// Moves the target of a redirect to the front of the untried addresses. A target that is not in the client's list is
+/// added, as long as redirects are left.
+fn prioritize(
     untried: &mut VecDeque<SocketAddr>,
     target: SocketAddr,
-    redirects: &mut usize,
+    redirects_left: &mut usize,
     listed: &[SocketAddr],
 ) {
     if let Some(position) = untried.iter().position(|address| *address == target) {
         untried.remove(position);
         untried.push_front(target);
-    } else if !listed.contains(&target) && *redirects > 0 {
-        *redirects -= 1;
+    } else if !listed.contains(&target) && *redirects_left > 0 {
+        *redirects_left -= 1;
         untried.push_front(target);
     }
 }
 
 impl NoFinalResponse {
-    /// Adds a failure, in place of the former one of its address.
+    /// Adds a failure, which replaces an earlier one at the same address.
     fn add(&mut self, failure: AddressFailure) {
-        self.may_have_begun |= failure.reason.may_have_begun();
+        self.may_have_been_processed |= failure.reason.may_have_been_processed();
         self.failures
-            .retain(|former| former.address != failure.address);
+            .retain(|earlier| earlier.address != failure.address);
         self.failures.push(failure);
     }
 }
 
 impl FailureReason {
-    fn of(response: &Response) -> FailureReason {
+    fn from_response(response: &Response) -> FailureReason {
         FailureReason::Status {
             status: response.status,
             message: response.body_text(),
         }
     }
 
-    /// A redirect promises that nothing began; without a connection nothing was sent.
-    fn may_have_begun(&self) -> bool {
+    /// Reports whether the control node may have begun to process the request. A redirect guarantees that it did not,
+    /// and without a connection nothing was sent.
+    fn may_have_been_processed(&self) -> bool {
         match self {
             FailureReason::Status { status, .. } => *status != TEMPORARY_REDIRECT,
             FailureReason::NoResponse(error) => error.may_have_been_sent(),
@@ -165,8 +167,8 @@
     }
 }
 
-/// What came of each address; which one it was is said where there are several.
-fn failures_text(failures: &[AddressFailure]) -> String {
+/// Describes the failures, with their addresses if there are several.
+fn describe_failures(failures: &[AddressFailure]) -> String {
     match failures {
         [] => RequestError::NoAddress.to_string(),
         [only] => only.reason.to_string(),
@@ -174,7 +176,7 @@
             let texts: Vec<String> = several
                 .iter()
                 .map(|failure| match &failure.reason {
-                    // Its text names the address.
+                    // The error's text contains the address.
                     FailureReason::NoResponse(error) => error.to_string(),
                     FailureReason::Status { .. } => {
                         format!("{}: {}", failure.address, failure.reason)
--- a/crates/linenthread-ctl/src/commands.rs
+++ b/crates/linenthread-ctl/src/commands.rs
@@ -1,4 +1,4 @@
-//! The commands: each calls the control API and returns the text to print.
+//! The commands. Each calls the control API and returns the text to print.
 
 use std::net::{AddrParseError, SocketAddr};
 use std::path::Path;
@@ -24,31 +24,31 @@
 };
 use crate::flags::{LinenthreadCtl, LinenthreadCtlCmd};
 
-/// The environment variable that names the control nodes.
+/// The environment variable for the addresses of the control nodes.
 const CONTROL_VARIABLE: &str = "LINENTHREAD_CONTROL";
-/// How long one control node may take to respond.
+/// Time-out of a request to one control node.
 const TIMEOUT: Duration = Duration::from_secs(3);
-/// How often all control nodes are tried for a read.
+/// Number of times that all control nodes are tried for a read.
 const READ_ROUNDS: usize = 2;
-/// How often all control nodes are tried for a replacement. It is worth more patience than a read, since operators
-/// can't tell what became of one without a response; sending it again is harmless.
+/// Number of times that all control nodes are tried for a replacement. It is higher than for a read, since operators
+/// can't know the outcome of a replacement without a response; sending it again is harmless.
 const REPLACE_ROUNDS: usize = 5;
 
-/// What a command prints, and the exit code if printing succeeds.
+/// The output of a command, and the exit code if printing succeeds.
 #[derive(Debug)]
 pub(crate) struct Output {
     pub(crate) text: String,
     pub(crate) exit_code: u8,
 }
 
-/// The output of a command that has succeeded.
+/// Converts the text of a successful command.
 impl From<String> for Output {
     fn from(text: String) -> Output {
         Output { text, exit_code: 0 }
     }
 }
 
-/// Carries out the command of the command line.
+/// Executes the command given on the command line.
 pub(crate) fn run(flags: LinenthreadCtl) -> Result<Output, Error> {
     let commands = Commands {
         client: Client {
@@ -85,7 +85,7 @@
         .collect()
 }
 
-/// The commands, with what the flags before them say.
+/// The commands, with the global flags.
 struct Commands {
     client: Client,
     json: bool,
@@ -111,7 +111,7 @@
         let address_count = addresses.len();
         for address in addresses {
             match self.duty_reports(&address) {
-                Ok(of_node) => reports.extend(of_node),
+                Ok(node_reports) => reports.extend(node_reports),
                 Err(reason) => unreachable.push(UnreachableNode {
                     name: members.name_of(&address).map(str::to_owned),
                     address,
@@ -125,7 +125,7 @@
         self.format(&status, DutiesStatus::to_string)
     }
 
-    /// What one control node reports of its duties, or why it does not.
+    /// Returns the duties that one control node reports, or the reason why it could not be queried.
     fn duty_reports(&self, address: &str) -> Result<Vec<DutyReport>, String> {
         let address = address
             .parse()
@@ -141,22 +141,24 @@
         let mut replicas: Vec<ReplicaStatus> = self.get(REPLICAS_PATH)?;
         replicas.retain(|replica| backend.is_none_or(|backend| replica.backend == backend));
         replicas.sort_by(|a, b| (&a.backend, &a.id).cmp(&(&b.backend, &b.id)));
-        self.format(&replicas, |replicas| lines(replicas))
+        self.format(&replicas, |replicas| join_lines(replicas))
     }
 
     fn read(&self) -> Result<String, Error> {
-        let document = self.current()?.context(NoConfigurationSnafu)?;
+        let document = self
+            .current_configuration()?
+            .context(NoConfigurationSnafu)?;
         Ok(String::from_utf8_lossy(&document).into_owned())
     }
 
-    /// What a file would change; exit code 1 if anything.
+    /// Returns the changes that a file would make; the exit code is 1 if there are any.
     fn diff(&self, path: &Path) -> Result<Output, Error> {
         let new = read_configuration(path)?;
-        let old = self.current()?;
+        let old = self.current_configuration()?;
         let changes = configuration_changes(old.as_deref(), &new).context(CompareSnafu)?;
         let texts: Vec<String> = changes.iter().map(Change::to_string).collect();
         Ok(Output {
-            text: self.format(&texts, |texts| lines(texts))?,
+            text: self.format(&texts, |texts| join_lines(texts))?,
             exit_code: u8::from(!changes.is_empty()),
         })
     }
@@ -177,8 +179,9 @@
         }
     }
 
-    /// Why a replacement was rejected for another one. A control node that has committed this very document would have
-    /// accepted it again: where the revision in force is the file's own, its content or its base differs.
+    /// Returns the error for a replacement whose base is not the revision in force. A control node accepts a document
+    /// again that it has already committed on the same base. So if the revision in force has the file's number, its
+    /// content or its base differs.
     fn conflict(&self, document: &[u8], message: String) -> Error {
         let sent = Configuration::decode(document).map(|sent| sent.revision);
         match (sent, self.current_revision()) {
@@ -202,10 +205,10 @@
         };
         self.client
             .send(&request, REPLACE_ROUNDS)
-            .map_err(Error::of_replacement)
+            .map_err(Error::replacement_failed)
     }
 
-    /// What a control node reports at a path.
+    /// Reads and decodes a control node's report.
     fn get<T: DeserializeOwned>(&self, path: &'static str) -> Result<T, Error> {
         let response = self.send_get(path)?;
         ensure!(
@@ -219,8 +222,8 @@
         serde_json::from_slice(&response.body).context(UnreadableResponseSnafu { path })
     }
 
-    /// The configuration in force, if there is one.
-    fn current(&self) -> Result<Option<Vec<u8>>, Error> {
+    /// Returns the configuration in force, if there is one.
+    fn current_configuration(&self) -> Result<Option<Vec<u8>>, Error> {
         let path = READ_CONFIGURATION_PATH;
         let response = self.send_get(path)?;
         match response.status {
@@ -234,9 +237,9 @@
         }
     }
 
-    /// Revision of the configuration in force; 0 for none.
+    /// Returns the revision of the configuration in force, or 0 if there is none.
     fn current_revision(&self) -> Result<u64, Error> {
-        let Some(document) = self.current()? else {
+        let Some(document) = self.current_configuration()? else {
             return Ok(0);
         };
         let current = Configuration::decode(&document).context(InvalidCurrentConfigurationSnafu)?;
@@ -249,7 +252,7 @@
             .context(UnavailableSnafu { path })
     }
 
-    /// JSON if the flag asks for it, else what `human_readable` makes of the value.
+    /// Encodes a value as JSON if the `--json` flag is set, else formats it with `human_readable`.
     fn format<T: Serialize>(
         &self,
         value: &T,
@@ -263,14 +266,14 @@
     }
 }
 
-/// The content of a file that is a valid configuration.
+/// Reads and validates a configuration file; returns its content.
 fn read_configuration(path: &Path) -> Result<Vec<u8>, Error> {
     let document = std::fs::read(path).context(ReadFileSnafu { path })?;
     Configuration::parse(&document).context(InvalidConfigurationSnafu { path })?;
     Ok(document)
 }
 
-fn lines<T: ToString>(items: &[T]) -> String {
+fn join_lines<T: ToString>(items: &[T]) -> String {
     let lines: Vec<String> = items.iter().map(T::to_string).collect();
     lines.join("\n")
 }
--- a/crates/linenthread-ctl/src/control_api.rs
+++ b/crates/linenthread-ctl/src/control_api.rs
@@ -1,41 +1,41 @@
-//! The paths, the header and the statuses of the control API that a client uses. A control node serves them in
-//! `linenthread-node` (`control/api.rs`, `control/api_response.rs`).
+//! Paths, headers and statuses of the control API. Its server is in `linenthread-node` (`control/api.rs`,
+//! `control/api_response.rs`).
 
-/// What the control node that is asked knows of the nodes; it responds without contact to others.
+/// Reads the nodes that the queried control node knows. It responds without contacting others.
 pub const MEMBERS_PATH: &str = "/Members.Read";
-/// What the control node that is asked knows of duties at the platform; it responds without contact to others.
+/// Reads the duties at the platform that the queried control node knows. It responds without contacting others.
 pub const DUTIES_PATH: &str = "/Duties.Read";
-/// What the control node that is asked knows of the replicas; it responds without contact to others.
+/// Reads the replicas that the queried control node knows. It responds without contacting others.
 pub const REPLICAS_PATH: &str = "/Replicas.Read";
-/// The configuration in force, confirmed by a majority of the voters.
+/// Reads the configuration in force, confirmed by a majority of the voters.
 pub const READ_CONFIGURATION_PATH: &str = "/Configuration.Read";
 /// Replaces the configuration in force.
 pub const REPLACE_CONFIGURATION_PATH: &str = "/Configuration.Replace";
 
-/// The revision that a replacement builds on; 0 for the first configuration.
+/// The base revision of a replacement, which must be the one in force; 0 for the first configuration.
 pub const BASE_REVISION_HEADER: &str = "X-Base-Revision";
 
 /// The call succeeded.
 pub const OK: u16 = 200;
-/// Another control node serves the call, which this one, as it shuts down, did not begin.
+/// The control node is shutting down and did not begin to process the call; another one serves it.
 pub const TEMPORARY_REDIRECT: u16 = 307;
 /// There is no configuration yet.
 pub const NOT_FOUND: u16 = 404;
-/// The caller was too slow; no control node sends it, but a proxy between may.
+/// The caller was too slow. Control nodes don't send this status, but a proxy may.
 pub const REQUEST_TIMEOUT: u16 = 408;
-/// Another revision than the base of a replacement is in force.
+/// The base revision of a replacement is not the one in force.
 pub const PRECONDITION_FAILED: u16 = 412;
-/// There are too many calls; no control node sends it, but a proxy between may.
+/// There were too many calls. Control nodes don't send this status, but a proxy may.
 pub const TOO_MANY_REQUESTS: u16 = 429;
-/// From here on the fault is the control node's: most often it has no contact with a majority.
+/// The lowest status of a server error, most often caused by lack of contact with a majority of the voters.
 pub const FIRST_SERVER_ERROR: u16 = 500;
 
-/// Whether another control node would not respond any better, so that a response of this status says what is the case.
-/// A redirect, a status that may pass and a server error leave it open.
+/// Reports whether a response with this status is final, so that there is no need to try another control node.
+/// Redirects, transient statuses and server errors are not final.
 pub fn is_final(status: u16) -> bool {
-    let may_pass = matches!(
+    let is_transient = matches!(
         status,
         TEMPORARY_REDIRECT | REQUEST_TIMEOUT | TOO_MANY_REQUESTS
     );
-    status < FIRST_SERVER_ERROR && !may_pass
+    status < FIRST_SERVER_ERROR && !is_transient
 }
--- a/crates/linenthread-ctl/src/difference.rs
+++ b/crates/linenthread-ctl/src/difference.rs
@@ -1,4 +1,4 @@
-//! What differs between two configurations.
+//! The differences between two configurations.
 
 use std::fmt;
 
@@ -6,7 +6,7 @@
 
 use crate::tenant_difference::{TenantChange, tenant_changes};
 
-/// The lists of a configuration whose entries have names.
+/// A list in a configuration whose entries have names.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Section {
     /// The routes.
@@ -18,7 +18,7 @@
 impl Section {
     const ALL: [Section; 2] = [Section::Routes, Section::Backends];
 
-    /// The key of the section in the document.
+    /// Returns the key of the section in the document.
     pub fn key(self) -> &'static str {
         match self {
             Section::Routes => "route_table",
@@ -27,28 +27,28 @@
     }
 }
 
-/// Keys of a configuration whose values are compared as a whole.
-const WHOLE_VALUES: [&str; 2] = ["revision", "constraints"];
-/// The key of an entry's name, by which the entries of two configurations are compared.
-const LABEL: &str = "label";
+/// Keys outside the sections, whose values are compared as a whole.
+const UNSECTIONED_KEYS: [&str; 2] = ["revision", "constraints"];
+/// The key of an entry's name, which identifies the entry in both configurations.
+const NAME_KEY: &str = "label";
 
 /// One difference between two configurations.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Change {
-    /// An entry that only the new one has.
+    /// An entry that only the new configuration has.
     Added(Section, Value),
-    /// An entry that only the old one has.
+    /// An entry that only the old configuration has.
     Removed(Section, Value),
-    /// An entry of both, with its old and its new content.
+    /// An entry whose content differs.
     Modified {
-        /// Where it is.
+        /// The section of the entry.
         section: Section,
         /// The old entry.
         old: Value,
         /// The new entry.
         new: Value,
     },
-    /// A value that is no entry of a section.
+    /// A changed value outside the sections.
     Replaced {
         /// Its key in the document.
         key: &'static str,
@@ -75,10 +75,11 @@
     }
 }
 
-/// What differs: entries of the sections and tenants by name, then the rest by key.
+/// Returns the differences: first the entries of the sections and the tenants, compared by name, then the remaining
+/// keys.
 ///
 /// # Errors
-/// If a document isn't JSON.
+/// A document is not JSON.
 pub fn configuration_changes(
     old: Option<&[u8]>,
     new: &[u8],
@@ -95,7 +96,9 @@
         ));
     }
     changes.extend(tenant_changes(&old, &new).into_iter().map(Change::Tenant));
-    let replaced = WHOLE_VALUES.into_iter().filter(|key| old[key] != new[key]);
+    let replaced = UNSECTIONED_KEYS
+        .into_iter()
+        .filter(|key| old[key] != new[key]);
     changes.extend(replaced.map(|key| Change::Replaced {
         key,
         old: old[key].clone(),
@@ -105,14 +108,14 @@
 }
 
 fn entry_changes(section: Section, old: &[Value], new: &[Value]) -> Vec<Change> {
-    let of_same_name = |all: &[Value], entry: &Value| {
+    let find_by_name = |all: &[Value], entry: &Value| {
         all.iter()
-            .find(|other| other[LABEL] == entry[LABEL])
+            .find(|other| other[NAME_KEY] == entry[NAME_KEY])
             .cloned()
     };
     let mut changes = Vec::new();
     for entry in new {
-        match of_same_name(old, entry) {
+        match find_by_name(old, entry) {
             None => changes.push(Change::Added(section, entry.clone())),
             Some(old) if old != *entry => changes.push(Change::Modified {
                 section,
@@ -124,7 +127,7 @@
     }
     let removed = old
         .iter()
-        .filter(|entry| of_same_name(new, entry).is_none());
+        .filter(|entry| find_by_name(new, entry).is_none());
     changes.extend(removed.map(|entry| Change::Removed(section, entry.clone())));
     changes
 }
@@ -133,9 +136,9 @@
     section.as_array().map_or(&[], Vec::as_slice)
 }
 
-/// The name of an entry, without quotes.
+/// Returns the name of an entry, without quotes.
 fn name(entry: &Value) -> String {
-    let name = &entry[LABEL];
+    let name = &entry[NAME_KEY];
     name.as_str()
         .map_or_else(|| name.to_string(), str::to_owned)
 }
--- a/crates/linenthread-ctl/src/duties.rs
+++ b/crates/linenthread-ctl/src/duties.rs
@@ -1,4 +1,4 @@
-//! Duties at the platform, as several control nodes report them, and how operators see them.
+//! The status of duties at the platform, merged from the reports of several control nodes.
 
 use std::collections::BTreeSet;
 use std::fmt;
@@ -8,63 +8,64 @@
 
 use crate::MembersStatus;
 
-/// A duty as one control node knows it. A report that lacks a key is an error: it is from another version.
+/// The state of a duty as one control node knows it. A report without one of the keys is from another version and is
+/// rejected.
 #[derive(Clone, Debug, Deserialize)]
 pub struct DutyReport {
     /// The name of the duty.
     pub duty: String,
-    /// Name of the control node that reports.
+    /// Name of the reporting control node.
     pub node: String,
-    /// The epoch under which this node holds the duty; absent: it does not hold it.
+    /// The epoch in which this node holds the duty; absent if it doesn't.
     #[serde(deserialize_with = "Option::deserialize")]
     pub fence: Option<u64>,
-    /// How long this node has held the duty under this epoch, in milliseconds; absent: it does not hold it.
+    /// How long this node has held the duty in this epoch, in milliseconds; absent if it doesn't hold it.
     #[serde(deserialize_with = "Option::deserialize")]
     pub held_ms: Option<u64>,
-    /// Whether the platform has refused the fence.
+    /// Whether the platform has rejected this node's fencing token.
     pub refused: bool,
-    /// The newest window whose report is decided, as far as this node knows.
+    /// The newest window with a decided report, as far as this node knows.
     #[serde(deserialize_with = "Option::deserialize")]
     pub decided_window: Option<u64>,
-    /// The newest window that the platform is known to have, as far as this node knows.
+    /// The newest window whose report has reached the platform, as far as this node knows.
     #[serde(deserialize_with = "Option::deserialize")]
     pub delivered_window: Option<u64>,
-    /// Decided reports that the platform is not known to have, as far as this node knows.
+    /// Number of decided reports that are not known to have reached the platform, as far as this node knows.
     pub undelivered: u64,
 }
 
-/// A control node that could not be asked for its duties.
+/// A control node that could not be queried for its duties.
 #[derive(Clone, Debug, Serialize)]
 pub struct UnreachableNode {
     /// Its control address.
     pub address: String,
     /// Its name, if another control node knows it.
     pub name: Option<String>,
-    /// What the request failed at.
+    /// Why the request failed.
     pub reason: String,
 }
 
-/// What control nodes report of duties, put together.
+/// The merged reports of all control nodes.
 #[derive(Clone, Debug, Serialize)]
 pub struct DutiesStatus {
-    /// Each duty that a control node reports, by name.
+    /// All reported duties, ordered by name.
     pub duties: Vec<DutyStatus>,
-    /// The control nodes that could not be asked. One of them may hold a duty.
+    /// The control nodes that could not be queried. One of them may hold a duty.
     pub unreachable: Vec<UnreachableNode>,
 }
 
-/// A duty, from the reports of all control nodes that could be asked.
+/// The state of a duty, merged from the reports of all control nodes that could be queried.
 #[derive(Clone, Debug, Serialize)]
 pub struct DutyStatus {
     /// The name of the duty.
     pub duty: String,
-    /// Who holds it; absent: none of those that could be asked.
+    /// The holder; absent if none of the queried nodes holds the duty.
     pub holder: Option<DutyHolder>,
-    /// The newest window whose report is decided.
+    /// The newest window with a decided report.
     pub decided_window: Option<u64>,
-    /// The newest window that the platform is known to have.
+    /// The newest window whose report is known to have reached the platform.
     pub delivered_window: Option<u64>,
-    /// Decided reports that the platform is not known to have.
+    /// Number of decided reports that are not known to have reached the platform.
     pub undelivered: u64,
 }
 
@@ -73,21 +74,21 @@
 pub struct DutyHolder {
     /// Its name.
     pub node: String,
-    /// The epoch under which it holds the duty, which its calls at the platform carry.
+    /// The epoch in which it holds the duty, sent to the platform as the fencing token of its calls.
     pub fence: u64,
-    /// How long it has held the duty under this epoch, in milliseconds.
+    /// How long it has held the duty in this epoch, in milliseconds.
     pub held_ms: u64,
-    /// Whether the platform has refused the fence.
+    /// Whether the platform has rejected the fencing token.
     pub refused: bool,
 }
 
 impl DutiesStatus {
-    /// Puts the reports of control nodes together. A node that reports twice, at two addresses, does no harm.
+    /// Merges the reports of control nodes. A node may report twice, at two addresses.
     pub fn new(reports: &[DutyReport], unreachable: Vec<UnreachableNode>) -> DutiesStatus {
         let names: BTreeSet<&str> = reports.iter().map(|report| report.duty.as_str()).collect();
         let duties = names.into_iter().map(|name| {
-            let of_duty = reports.iter().filter(|report| report.duty == name);
-            DutyStatus::new(name, &of_duty.collect::<Vec<_>>())
+            let duty_reports = reports.iter().filter(|report| report.duty == name);
+            DutyStatus::new(name, &duty_reports.collect::<Vec<_>>())
         });
         DutiesStatus {
             duties: duties.collect(),
@@ -98,25 +99,26 @@
 
 impl DutyStatus {
     fn new(duty: &str, reports: &[&DutyReport]) -> DutyStatus {
-        let holders = reports.iter().copied().filter_map(DutyHolder::of);
+        let holders = reports.iter().copied().filter_map(DutyHolder::from_report);
         let decided_window = reports.iter().filter_map(|r| r.decided_window).max();
         let newest = reports
             .iter()
             .filter(|r| r.decided_window == decided_window);
         DutyStatus {
             duty: duty.to_owned(),
-            // The nodes were asked one after another: the duty may have moved meanwhile, to a higher fence.
+            // The nodes are queried one after another, so the duty may move in between. The new holder has a higher
+            // fencing token.
             holder: holders.max_by_key(|holder| holder.fence),
             decided_window,
             delivered_window: reports.iter().filter_map(|r| r.delivered_window).max(),
-            // A node may not know yet of a delivery that another one has made.
+            // A node may not know yet of another node's deliveries.
             undelivered: newest.map(|r| r.undelivered).min().unwrap_or(0),
         }
     }
 }
 
 impl DutyHolder {
-    fn of(report: &DutyReport) -> Option<DutyHolder> {
+    fn from_report(report: &DutyReport) -> Option<DutyHolder> {
         Some(DutyHolder {
             node: report.node.clone(),
             fence: report.fence?,
@@ -126,7 +128,8 @@
     }
 }
 
-/// The addresses of all control nodes: those that were given, and those that a control node knows. Each stands there once.
+/// Returns the addresses of all control nodes without duplicates: first the given ones, then those that a control node
+/// knows.
 pub fn control_node_addresses(given: &[SocketAddr], members: &MembersStatus) -> Vec<String> {
     let known = members.control_nodes.iter().map(|node| &node.address);
     let addresses = given
@@ -139,11 +142,11 @@
         .collect()
 }
 
-/// A line for each duty, then one for each control node that could not be asked.
+/// Prints a line for each duty, then one for each unreachable control node.
 impl fmt::Display for DutiesStatus {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let all_asked = self.unreachable.is_empty();
-        let duties = self.duties.iter().map(|duty| duty.line(all_asked));
+        let all_reached = self.unreachable.is_empty();
+        let duties = self.duties.iter().map(|duty| duty.format_line(all_reached));
         let nodes = self.unreachable.iter().map(UnreachableNode::to_string);
         let lines: Vec<String> = duties.chain(nodes).collect();
         f.write_str(&lines.join("\n"))
@@ -151,18 +154,19 @@
 }
 
 impl DutyStatus {
-    /// Where some control nodes could not be asked, one of them may be the holder.
-    fn line(&self, all_asked: bool) -> String {
+    /// Formats the duty as a line. Unless all control nodes were reached, a missing holder is printed as unknown, since
+    /// an unreachable node may hold the duty.
+    fn format_line(&self, all_reached: bool) -> String {
         let holder = match &self.holder {
             Some(holder) => holder.to_string(),
-            None if all_asked => "held_by=none".to_owned(),
+            None if all_reached => "held_by=none".to_owned(),
             None => "held_by=unknown".to_owned(),
         };
         format!(
             "duty={} {holder} decided_window={} delivered_window={} undelivered={}",
             self.duty,
-            text(self.decided_window),
-            text(self.delivered_window),
+            format_window(self.decided_window),
+            format_window(self.delivered_window),
             self.undelivered
         )
     }
@@ -194,7 +198,6 @@
     }
 }
 
-/// A window as lines show it.
-fn text(window: Option<u64>) -> String {
+fn format_window(window: Option<u64>) -> String {
     window.map_or_else(|| "none".to_owned(), |window| window.to_string())
 }
--- a/crates/linenthread-ctl/src/lib.rs
+++ b/crates/linenthread-ctl/src/lib.rs
@@ -1,8 +1,8 @@
-//! The library of `linenthread-ctl`, the operators' client: HTTP calls to control nodes, what they report, and the
-//! difference between two configurations.
+//! The library of `linenthread-ctl`, the operators' command-line client: HTTP calls to control nodes, decoding of their
+//! reports, and differences between configurations.
 //!
-//! The client keeps no state and takes no decision of its own. It knows the paths and the JSON of the control API,
-//! but not the protocol that nodes speak to each other. Start reading at [`Client`].
+//! The client is stateless. It uses the HTTP control API and is independent of the protocol between nodes. Start
+//! reading at [`Client`].
 
 mod client;
 pub mod control_api;
--- a/crates/linenthread-ctl/src/main.rs
+++ b/crates/linenthread-ctl/src/main.rs
@@ -1,5 +1,7 @@
-//! `linenthread-ctl`, the operators' client. Exit codes: 0 done; 1 rejected or different; 2 the command line or a file
-//! is invalid; 3 no response, or the outcome is unknown.
+//! `linenthread-ctl`, the operators' command-line client.
+//!
+//! Exit codes: 0 success; 1 rejected, or differences found; 2 invalid command line or file, or a local failure; 3 no
+//! response, or an unknown outcome.
 
 mod commands;
 mod error;
@@ -17,34 +19,34 @@
     use std::path::PathBuf;
 
     xflags::xflags! {
-        /// The operators' client of the search front.
+        /// Command-line client for operators of the search front.
         cmd linenthread-ctl {
-            /// Addresses of control nodes, comma-separated: IP:PORT,...; else the variable LINENTHREAD_CONTROL.
+            /// Addresses of control nodes, comma-separated: IP:PORT,...; default: the variable LINENTHREAD_CONTROL.
             optional --control addresses: String
             /// Prints JSON.
             optional --json
-            /// One line on the system: nodes, voters, quorum, configuration, replicas.
+            /// Prints a summary in one line: nodes, voters, quorum, configuration, replicas.
             cmd status {}
-            /// The nodes that have a session.
+            /// Lists the nodes that have a session.
             cmd members {}
-            /// Who holds which duty at the platform, and what is reported: asks all control nodes.
+            /// Prints the holder and the reports of each duty at the platform; queries all control nodes.
             cmd duties {}
-            /// The replicas, by backend.
+            /// Lists the replicas, ordered by backend.
             cmd replicas {
-                /// Only those of this backend.
+                /// Lists only the replicas of this backend.
                 optional --backend name: String
             }
             /// Prints the configuration in force.
             cmd read {}
-            /// Validates a file and replaces the configuration by it.
+            /// Validates a file and replaces the configuration in force with it.
             cmd replace {
                 required configuration: PathBuf
-                /// The revision that it replaces; else the one in force.
+                /// The revision to replace; default: the one in force.
                 optional --base revision: u64
                 /// Only validates the file, and prints what would change.
                 optional --dry-run
             }
-            /// What a file would change; exit code 1 if anything.
+            /// Prints the changes that a file would make; the exit code is 1 if there are any.
             cmd diff {
                 required configuration: PathBuf
             }
@@ -60,7 +62,7 @@
     match commands::run(flags).and_then(|output| print(&output)) {
         Ok(code) => ExitCode::from(code),
         Err(error) => {
-            // Nobody is left to read it if standard error is closed.
+            // If standard error is closed, there is nowhere to report the error.
             let _ = writeln!(io::stderr(), "linenthread-ctl: {error}");
             ExitCode::from(error.exit_code())
         }
--- a/crates/linenthread-ctl/src/request.rs
+++ b/crates/linenthread-ctl/src/request.rs
@@ -1,4 +1,4 @@
-//! HTTP requests at one address: one over a connection of its own, or several over a connection that is kept.
+//! Blocking HTTP requests to one address, over a new connection or a persistent one.
 
 use std::fmt::Write as _;
 use std::io::{self, Read, Write};
@@ -11,16 +11,16 @@
 
 use crate::control_api::TEMPORARY_REDIRECT;
 
-/// The longest response head that is read, in bytes.
+/// Maximum length of a response head, in bytes.
 const MAX_HEAD_BYTES: usize = 16_384;
-/// The longest response body that is read, in bytes: a list of all replicas fits many times over.
+/// Maximum length of a response body, in bytes; many times the length of a list of all replicas.
 const MAX_BODY_BYTES: usize = 64 << 20;
-/// Bytes that are read from the connection at once.
+/// Maximum number of bytes per read from the connection.
 const READ_BYTES: usize = 16_384;
-/// The shortest time-out that is set: the operating system takes zero for no time-out at all.
+/// Minimum time-out, since the operating system treats 0 as no time-out.
 const MIN_TIMEOUT: Duration = Duration::from_millis(1);
 
-/// Why a request has no response.
+/// The reason why a request has no valid response.
 #[derive(Debug, Snafu)]
 pub enum RequestError {
     /// No connection was made, so nothing was sent.
@@ -31,22 +31,22 @@
         /// What the operating system reports.
         source: io::Error,
     },
-    /// The connection failed, or the time was over.
+    /// The connection failed, or the deadline passed.
     #[snafu(display("{step} {peer}: {source}"))]
     Connection {
-        /// What was being done.
+        /// The step that failed.
         step: &'static str,
         /// The address that was called.
         peer: SocketAddr,
         /// What the operating system reports.
         source: io::Error,
     },
-    /// The peer sent something that is not an HTTP response, or one that is too long.
+    /// The peer sent an invalid HTTP response, or one that is too long.
     #[snafu(display("{peer} sent no valid HTTP response: {source}"))]
     InvalidResponse {
         /// The address that was called.
         peer: SocketAddr,
-        /// What is wrong with it.
+        /// The error of the HTTP parser.
         source: ParseError,
     },
     /// There is no address to call.
@@ -54,14 +54,15 @@
     NoAddress,
 }
 
-/// A request of the control API, or one that a client sends to an ingress node.
+/// A request to the control API or to an ingress node.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Request<'a> {
     /// The HTTP method.
     pub method: &'a str,
     /// The path, with the query if there is one.
     pub path: &'a str,
-    /// Headers beside `Content-Length` and `Connection`; without a `Host`, the address is sent as such.
+    /// Headers other than `Content-Length` and `Connection`; if they include no `Host`, the peer's address is sent as
+    /// the host.
     pub headers: &'a [(&'a str, String)],
     /// The body; may be empty.
     pub body: &'a [u8],
@@ -79,14 +80,14 @@
 }
 
 impl RequestError {
-    /// Whether the request may have reached the peer.
+    /// Reports whether the request may have reached the peer.
     pub fn may_have_been_sent(&self) -> bool {
         !matches!(self, RequestError::Connect { .. })
     }
 }
 
 impl Response {
-    /// The address that a redirect names: that of `http://ADDRESS/path`.
+    /// Returns the target of a redirect: the address in a `Location` of the form `http://ADDRESS/path`.
     pub fn redirect_target(&self) -> Option<SocketAddr> {
         if self.status != TEMPORARY_REDIRECT {
             return None;
@@ -95,14 +96,14 @@
         after_scheme.split('/').next()?.parse().ok()
     }
 
-    /// The body as text.
+    /// Returns the body as text, with invalid UTF-8 replaced.
     pub fn body_text(&self) -> String {
         String::from_utf8_lossy(&self.body).into_owned()
     }
 }
 
 impl<'a> Request<'a> {
-    /// A `GET` without headers.
+    /// Returns a `GET` request without headers or a body.
     pub fn get(path: &'a str) -> Request<'a> {
         Request {
             method: "GET",
@@ -111,18 +112,18 @@
         }
     }
 
-    /// Sends the request and waits for the whole response.
+    /// Sends the request over a new connection and waits for the complete response.
     ///
     /// # Errors
-    /// The step at which it failed; [`io::ErrorKind::WouldBlock`] or `TimedOut` if `timeout` was over.
+    /// The step that failed. After a time-out, the kind of the source is [`io::ErrorKind::WouldBlock`] or `TimedOut`.
     pub fn send_to(&self, peer: SocketAddr, timeout: Duration) -> Result<Response, RequestError> {
-        Connection::open(peer, timeout)?.exchange(self, Persistence::Closed)
+        Connection::open(peer, timeout)?.exchange(self, Persistence::Close)
     }
 
     fn encode(&self, peer: SocketAddr, persistence: Persistence) -> Vec<u8> {
         let (method, path, length) = (self.method, self.path, self.body.len());
         let mut head = format!("{method} {path} HTTP/1.1\r\nContent-Length: {length}\r\n");
-        if persistence == Persistence::Closed {
+        if persistence == Persistence::Close {
             head.push_str("Connection: close\r\n");
         }
         let mut names = self.headers.iter().map(|(name, _)| name);
@@ -137,30 +138,30 @@
     }
 }
 
-/// What becomes of a connection after a response.
+/// Whether a connection stays open after a response.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Persistence {
-    /// The peer is asked to close it.
-    Closed,
+    /// The peer is asked to close the connection.
+    Close,
     /// Another request may follow.
-    Kept,
+    KeepAlive,
 }
 
-/// A connection that carries one request after another, with a deadline for what is being done on it.
+/// A connection for consecutive requests, each of which has a deadline.
 #[derive(Debug)]
 pub struct Connection {
     peer: SocketAddr,
     stream: TcpStream,
     deadline: Instant,
-    /// What was read and belongs to no message yet.
+    /// Bytes that were read but not parsed yet.
     buffer: BytesMut,
 }
 
 impl Connection {
-    /// Connects.
+    /// Opens a connection.
     ///
     /// # Errors
-    /// No connection was made in time.
+    /// [`RequestError::Connect`] if no connection is made within `timeout`.
     pub fn open(peer: SocketAddr, timeout: Duration) -> Result<Connection, RequestError> {
         let deadline = Instant::now() + timeout;
         let stream = TcpStream::connect_timeout(&peer, timeout.max(MIN_TIMEOUT))
@@ -173,17 +174,17 @@
         })
     }
 
-    /// Sends a request, waits for the whole response and keeps the connection.
+    /// Sends a request, waits for the complete response and keeps the connection open.
     ///
     /// # Errors
-    /// The step at which it failed; nothing more can be sent on the connection.
+    /// The step that failed. The connection can't be used afterwards.
     pub fn send(
         &mut self,
         request: &Request<'_>,
         timeout: Duration,
     ) -> Result<Response, RequestError> {
         self.deadline = Instant::now() + timeout;
-        self.exchange(request, Persistence::Kept)
+        self.exchange(request, Persistence::KeepAlive)
     }
 
     fn exchange(
@@ -195,7 +196,7 @@
         self.read_response(request.method == "HEAD")
     }
 
-    /// The time until the deadline.
+    /// Returns the time until the deadline, at least [`MIN_TIMEOUT`].
     fn remaining(&self) -> Duration {
         self.deadline
             .saturating_duration_since(Instant::now())
@@ -214,7 +215,7 @@
     }
 
     /// Reads more bytes into the buffer.
-    fn fill(&mut self) -> Result<(), RequestError> {
+    fn read_more(&mut self) -> Result<(), RequestError> {
         let timeout = self.remaining();
         let mut chunk = [0; READ_BYTES];
         let read = self
@@ -249,7 +250,7 @@
             if let Some(head) = head.context(InvalidResponseSnafu { peer: self.peer })? {
                 return Ok(head);
             }
-            self.fill()?;
+            self.read_more()?;
         }
     }
 
@@ -263,7 +264,7 @@
         let framing = response_framing(head, body).context(invalid)?;
         let mut body = BodyReader::new(framing, MAX_BODY_BYTES);
         while !body.read_from(&mut self.buffer).context(invalid)? {
-            self.fill()?;
+            self.read_more()?;
         }
         Ok(body.into_bytes())
     }
--- a/crates/linenthread-ctl/src/status.rs
+++ b/crates/linenthread-ctl/src/status.rs
@@ -1,30 +1,30 @@
-//! What a control node reports of nodes and replicas, and how operators see it.
+//! Reports of a control node about nodes and replicas, and their output.
 //!
-//! The JSON keys of the control API are older than the terms that operators read here: `serde` maps them when a
-//! report is decoded, and the fields' own names are printed.
+//! The JSON keys of the control API differ from the terms of the output for compatibility. `serde` maps them when a
+//! report is decoded; the output uses the fields' own names.
 
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
 
-/// The view of the control node that was asked, not confirmed by others. A report that lacks a key is an error: it is
-/// from another version, and a default would look like an outage.
+/// The nodes as the queried control node knows them, not confirmed by others. A report without one of the keys is from
+/// another version and is rejected, since a default would look like an outage.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 pub struct MembersStatus {
-    /// Name of the control node that reports.
+    /// Name of the reporting control node.
     pub name: String,
-    /// Its zone.
+    /// Zone of the reporting control node.
     pub zone: String,
-    /// Whether it is in contact with a majority of the voters.
+    /// Whether the reporting node is in contact with a majority of the voters.
     #[serde(rename(deserialize = "whole"))]
     pub quorum: bool,
-    /// Whether it is shutting down.
+    /// Whether the reporting node is shutting down.
     #[serde(rename = "leaving")]
     pub shutting_down: bool,
-    /// The epoch of the leader lease that it holds, if it holds one.
+    /// Epoch of the leader lease; absent if the reporting node doesn't hold the lease.
     #[serde(rename(deserialize = "duty_epoch"))]
     pub lease_epoch: Option<u64>,
-    /// Number of the last value that it knows to be committed.
+    /// Number of the last value that the reporting node knows to be committed.
     #[serde(rename = "value")]
     pub value_number: u64,
     /// Revision of the configuration in force; 0 for none.
@@ -32,15 +32,15 @@
     /// Control addresses of the voters.
     #[serde(rename(deserialize = "counted"))]
     pub voters: Vec<String>,
-    /// The other control nodes with which it has a session.
+    /// The other control nodes with which the reporting node has a session.
     #[serde(rename(deserialize = "hubs"))]
     pub control_nodes: Vec<ControlNodeStatus>,
-    /// The ingress nodes with a session at any control node.
+    /// The ingress nodes that have a session with any control node.
     #[serde(rename(deserialize = "fronts"))]
     pub ingress_nodes: Vec<IngressStatus>,
 }
 
-/// Another control node, as the one that reports sees it.
+/// Another control node, as the reporting one sees it.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 pub struct ControlNodeStatus {
     /// Its name.
@@ -50,7 +50,7 @@
     /// Its control address.
     #[serde(rename(deserialize = "control"))]
     pub address: String,
-    /// Whether it says that it is in contact with a majority of the voters.
+    /// Whether it reports contact with a majority of the voters.
     #[serde(rename(deserialize = "whole"))]
     pub quorum: bool,
     /// Number of the last value that it knows to be committed.
@@ -79,16 +79,16 @@
 #[derive(Clone, Copy, Debug, Default, Deserialize, Serialize, PartialEq, Eq)]
 #[serde(rename_all = "snake_case")]
 pub enum ReplicaPhase {
-    /// It takes requests.
+    /// The replica accepts requests.
     Available,
-    /// It finishes what it has, and takes nothing new.
+    /// The replica completes its accepted requests and accepts no new ones.
     Draining,
-    /// Its heartbeats stopped.
+    /// The replica's heartbeats stopped.
     #[serde(rename(deserialize = "silent"))]
     TimedOut,
-    /// It has departed, or another took its address.
+    /// The replica has departed, or another one uses its address.
     Ended,
-    /// The control node reports a phase that this client doesn't know.
+    /// The control node reports a phase that this version doesn't know.
     #[default]
     #[serde(other)]
     Unknown,
@@ -97,7 +97,7 @@
 /// A replica of a backend.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 pub struct ReplicaStatus {
-    /// Its id.
+    /// Its identifier.
     #[serde(rename(deserialize = "ident"))]
     pub id: String,
     /// Name of its backend.
@@ -113,40 +113,40 @@
     pub last_heartbeat_ms: u64,
 }
 
-/// The system at a glance.
+/// A summary of the system.
 #[derive(Clone, Debug, Serialize)]
 pub struct Summary {
-    /// Control nodes that the one that reports is in contact with, itself included.
+    /// Control nodes with which the reporting one has a session, itself included.
     pub control_nodes: usize,
-    /// Nodes whose disk votes.
+    /// Voters that the reporting control node knows.
     pub voters: usize,
     /// Ingress nodes with a session.
     pub ingress_nodes: usize,
-    /// Whether the control node that reports is in contact with a majority of the voters.
+    /// Whether the reporting control node is in contact with a majority of the voters.
     pub quorum: bool,
     /// Revision of the configuration in force; 0 for none.
     pub revision: u64,
-    /// Replicas that take requests.
+    /// Replicas that accept requests.
     pub available: usize,
-    /// Replicas that finish what they have.
+    /// Replicas that complete their accepted requests and accept no new ones.
     pub draining: usize,
     /// Replicas whose heartbeats stopped.
     pub timed_out: usize,
 }
 
 impl Summary {
-    /// Counts what a control node reports.
+    /// Counts the nodes and replicas in a control node's reports.
     pub fn new(members: &MembersStatus, replicas: &[ReplicaStatus]) -> Summary {
-        let in_phase = |phase| replicas.iter().filter(|r| r.phase == phase).count();
+        let count_in_phase = |phase| replicas.iter().filter(|r| r.phase == phase).count();
         Summary {
             control_nodes: members.control_nodes.len() + 1,
             voters: members.voters.len(),
             ingress_nodes: members.ingress_nodes.len(),
             quorum: members.quorum,
             revision: members.revision,
-            available: in_phase(ReplicaPhase::Available),
-            draining: in_phase(ReplicaPhase::Draining),
-            timed_out: in_phase(ReplicaPhase::TimedOut),
+            available: count_in_phase(ReplicaPhase::Available),
+            draining: count_in_phase(ReplicaPhase::Draining),
+            timed_out: count_in_phase(ReplicaPhase::TimedOut),
         }
     }
 }
@@ -170,7 +170,7 @@
 }
 
 impl MembersStatus {
-    /// The name of the other control node with this address.
+    /// Returns the name of another control node by its address, or `None` if the reporting one has no session with it.
     pub fn name_of(&self, address: &str) -> Option<&str> {
         let mut nodes = self.control_nodes.iter();
         let node = nodes.find(|node| node.address == address)?;
@@ -178,7 +178,7 @@
     }
 }
 
-/// A line for the node that reports, then one for each other node.
+/// Prints a line for the reporting node, then one for each other node.
 impl fmt::Display for MembersStatus {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "reported_by={} zone={}", self.name, self.zone)?;
--- a/crates/linenthread-ctl/src/tenant_difference.rs
+++ b/crates/linenthread-ctl/src/tenant_difference.rs
@@ -1,4 +1,4 @@
-//! What differs between the tenants of two configurations. Keys are counted and never shown.
+//! The differences between the tenants of two configurations. Keys are counted but never shown.
 
 use std::collections::HashSet;
 use std::fmt;
@@ -6,45 +6,45 @@
 use serde_json::Value;
 
 /// The key of the tenants in the document.
-const CLIENTS: &str = "clients";
+const TENANTS_KEY: &str = "clients";
 
 /// One difference between the tenants of two configurations.
 #[derive(Clone, Debug, PartialEq)]
 pub enum TenantChange {
-    /// A tenant that only the new one has.
+    /// A tenant that only the new configuration has.
     Added {
         /// The tenant's name.
         name: String,
-        /// How many keys it has.
+        /// The number of its keys.
         keys: usize,
     },
-    /// A tenant that only the old one has.
+    /// A tenant that only the old configuration has.
     Removed {
         /// The tenant's name.
         name: String,
     },
-    /// A tenant of both.
+    /// A tenant whose keys or rank differ.
     Modified {
         /// The tenant's name.
         name: String,
-        /// How many keys only the new one has.
+        /// The number of keys that only the new configuration has.
         keys_added: usize,
-        /// How many keys only the old one has.
+        /// The number of keys that only the old configuration has.
         keys_removed: usize,
         /// The old and the new rank, if they differ.
         rank: Option<(Option<i64>, Option<i64>)>,
     },
-    /// Only the new one asks for keys at all.
+    /// Only the new configuration requires keys.
     KeysRequired,
-    /// Only the old one asks for keys at all.
+    /// Only the old configuration requires keys.
     KeysNotRequired,
 }
 
 impl fmt::Display for TenantChange {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            TenantChange::Added { name, keys } => write!(f, "+ {CLIENTS} {name}: {keys} keys"),
-            TenantChange::Removed { name } => write!(f, "- {CLIENTS} {name}"),
+            TenantChange::Added { name, keys } => write!(f, "+ {TENANTS_KEY} {name}: {keys} keys"),
+            TenantChange::Removed { name } => write!(f, "- {TENANTS_KEY} {name}"),
             TenantChange::Modified {
                 name,
                 keys_added,
@@ -53,25 +53,25 @@
             } => {
                 write!(
                     f,
-                    "~ {CLIENTS} {name}: {keys_added} keys added, {keys_removed} removed"
+                    "~ {TENANTS_KEY} {name}: {keys_added} keys added, {keys_removed} removed"
                 )?;
                 match rank {
-                    Some((old, new)) => write!(f, ", rank {} -> {}", text(*old), text(*new)),
+                    Some((old, new)) => {
+                        write!(f, ", rank {} -> {}", format_rank(*old), format_rank(*new))
+                    }
                     None => Ok(()),
                 }
             }
-            TenantChange::KeysRequired => write!(f, "~ {CLIENTS}: absent -> given"),
-            TenantChange::KeysNotRequired => write!(f, "~ {CLIENTS}: given -> absent"),
+            TenantChange::KeysRequired => write!(f, "~ {TENANTS_KEY}: absent -> given"),
+            TenantChange::KeysNotRequired => write!(f, "~ {TENANTS_KEY}: given -> absent"),
         }
     }
 }
 
-/// A rank as lines show it.
-fn text(rank: Option<i64>) -> String {
+fn format_rank(rank: Option<i64>) -> String {
     rank.map_or_else(|| "none".to_owned(), |rank| rank.to_string())
 }
 
-/// A tenant of a document.
 struct Tenant<'a> {
     name: &'a str,
     keys: HashSet<&'a str>,
@@ -79,7 +79,7 @@
 }
 
 impl Tenant<'_> {
-    /// What differs from the same tenant of an older document.
+    /// Returns the change from the same tenant in the old document, if there is any.
     fn change_since(&self, old: &Tenant<'_>) -> Option<TenantChange> {
         let keys_added = self.keys.difference(&old.keys).count();
         let keys_removed = old.keys.difference(&self.keys).count();
@@ -94,9 +94,9 @@
     }
 }
 
-/// What differs between the tenants of two documents, by name.
+/// Returns the differences between the tenants of two documents, compared by name.
 pub(crate) fn tenant_changes(old: &Value, new: &Value) -> Vec<TenantChange> {
-    let (old, new) = (&old[CLIENTS], &new[CLIENTS]);
+    let (old, new) = (&old[TENANTS_KEY], &new[TENANTS_KEY]);
     let (old_tenants, new_tenants) = (tenants(old), tenants(new));
     let mut changes = Vec::new();
     for tenant in &new_tenants {
@@ -126,7 +126,8 @@
     tenants.iter().find(|tenant| tenant.name == name)
 }
 
-/// The tenants of a document. What is no tenant is left out: the document may be of an earlier version.
+/// Returns the tenants of a document. Skips invalid ones, since earlier versions accepted documents without validating
+/// the tenants.
 fn tenants(clients: &Value) -> Vec<Tenant<'_>> {
     let clients = clients.as_array().into_iter().flatten();
     clients.filter_map(tenant).collect()
--- a/crates/linenthread-ctl/tests/duties.rs
+++ b/crates/linenthread-ctl/tests/duties.rs
@@ -1,4 +1,4 @@
-//! What control nodes report of duties, put together and printed.
+//! Merging and printing of control nodes' reports about duties.
 
 use std::net::SocketAddr;
 
@@ -9,7 +9,7 @@
 use serde_json::{Value, json};
 use yare::parameterized;
 
-/// A report as a control node sends it.
+/// Returns a report as a control node sends it.
 fn report(node: &str, fence: Option<u64>) -> Value {
     json!({
         "duty": "accounting",
@@ -48,21 +48,21 @@
         &[report("c1", None), report("c2", Some(7))],
         "held_by=c2 fence=7 held_ms=90000 refused=false"
     },
-    held_by_nobody = { &[report("c1", None), report("c2", None)], "held_by=none" },
-    moved_between_the_requests = {
+    not_held = { &[report("c1", None), report("c2", None)], "held_by=none" },
+    moved_between_requests = {
         &[report("c1", Some(9)), report("c2", Some(7))],
         "held_by=c1 fence=9 held_ms=90000 refused=false"
     },
 )]
-fn a_duty_is_a_line_with_its_holder(reports: &[Value], expected: &str) {
+fn each_duty_is_printed_with_its_holder(reports: &[Value], expected: &str) {
     let windows = "decided_window=812 delivered_window=811 undelivered=1";
     let expected = format!("duty=accounting {expected} {windows}");
     assert_eq!(status(reports, Vec::new()).to_string(), expected);
 }
 
-// Guards against "nobody" where the holder is the one that could not be asked.
+// Guards against printing that nobody holds a duty when an unreachable node may hold it.
 #[test]
-fn the_holder_is_unknown_where_a_node_could_not_be_asked() {
+fn the_holder_is_unknown_if_a_node_is_unreachable() {
     assert_eq!(
         status(&[report("c1", None)], vec![unreachable()]).to_string(),
         "duty=accounting held_by=unknown decided_window=812 delivered_window=811 undelivered=1\n\
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn the_newest_that_any_node_knows_is_shown() {
+fn the_newest_known_windows_are_printed() {
     let mut behind = report("c1", None);
     behind["decided_window"] = json!(700);
     behind["delivered_window"] = Value::Null;
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn before_the_first_report_there_are_no_windows() {
+fn windows_are_printed_as_none_before_the_first_report() {
     let mut first = report("c1", Some(1));
     first["decided_window"] = Value::Null;
     first["delivered_window"] = Value::Null;
@@ -97,7 +97,7 @@
 }
 
 #[test]
-fn json_output_has_the_same_terms() {
+fn json_output_uses_the_same_terms_as_text_output() {
     let json = serde_json::to_value(status(&[report("c1", Some(7))], vec![unreachable()])).unwrap();
     let expected = json!({
         "duties": [{
@@ -115,7 +115,7 @@
 }
 
 #[test]
-fn a_report_that_lacks_a_key_is_an_error() {
+fn a_report_without_a_key_is_rejected() {
     let keys = [
         "duty",
         "node",
@@ -135,7 +135,7 @@
 }
 
 #[test]
-fn each_control_node_is_asked_once() {
+fn each_control_node_address_is_listed_once() {
     let given: [SocketAddr; 2] = [
         "10.1.0.3:8729".parse().unwrap(),
         "10.9.0.9:8729".parse().unwrap(),
--- a/crates/linenthread-ctl/tests/program.rs
+++ b/crates/linenthread-ctl/tests/program.rs
@@ -1,4 +1,4 @@
-//! The program against a fake control node: its output, its exit codes, and a reader that closes the pipe.
+//! Output and exit codes of the program against a fake control node, also with a closed output pipe.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -8,27 +8,31 @@
 use linenthread_console::testing::run_with_closed_output;
 use yare::parameterized;
 
-/// Serves the same response to every request, for as long as the test runs.
+/// Starts a fake control node that gives the same response to every request.
 fn fake_control_node(status: &'static str, body: &'static str) -> SocketAddr {
-    fake_control_node_with(status, String::new(), body)
+    fake_control_node_with_headers(status, String::new(), body)
 }
 
-/// The same, with these header lines.
-fn fake_control_node_with(status: &'static str, headers: String, body: &'static str) -> SocketAddr {
-    fake_control_node_that(move |_| (status, headers.clone(), body))
+/// Like [`fake_control_node`], with additional header lines.
+fn fake_control_node_with_headers(
+    status: &'static str,
+    headers: String,
+    body: &'static str,
+) -> SocketAddr {
+    fake_control_node_with_responses(move |_| (status, headers.clone(), body))
 }
 
-/// Serves to each request, by how many came before it, a status, header lines and a body.
-fn fake_control_node_that(
+/// Starts a fake control node whose responses (status, header lines, body) depend on the number of earlier requests.
+fn fake_control_node_with_responses(
     response: impl Fn(usize) -> (&'static str, String, &'static str) + Send + 'static,
 ) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     std::thread::spawn(move || {
-        for (earlier, stream) in listener.incoming().enumerate() {
+        for (earlier_requests, stream) in listener.incoming().enumerate() {
             let mut stream = stream.unwrap();
             read_request(&mut stream);
-            let (status, headers, body) = response(earlier);
+            let (status, headers, body) = response(earlier_requests);
             let length = body.len();
             let _ = write!(
                 stream,
@@ -39,7 +43,7 @@
     address
 }
 
-/// Reads a head and the body that it announces: a connection that is closed before would be reset.
+/// Reads a request with its body. Closing the connection with unread bytes would reset it.
 fn read_request(stream: &mut TcpStream) {
     let mut head = Vec::new();
     let mut byte = [0];
@@ -133,7 +137,7 @@
         "unknown whether the configuration is in force: ADDRESS sent no valid HTTP response: malformed message"
     },
 )]
-fn the_outcome_of_a_replacement_is_an_exit_code_and_a_line(
+fn the_outcome_of_a_replacement_determines_exit_code_and_error(
     status: &'static str,
     body: &'static str,
     expected_exit_code: i32,
@@ -152,13 +156,13 @@
     assert_eq!((code, stderr), (Some(expected_exit_code), expected_line));
 }
 
-/// A control node that shuts down and names another one.
+/// Starts a control node that is shutting down and redirects to another one.
 fn redirecting_control_node(to: SocketAddr) -> SocketAddr {
     let location = format!("Location: http://{to}/path\r\n");
-    fake_control_node_with("307 Temporary Redirect", location, "")
+    fake_control_node_with_headers("307 Temporary Redirect", location, "")
 }
 
-/// An address at which nothing listens.
+/// Returns an address on which nothing listens.
 fn unused_address() -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     listener.local_addr().unwrap()
@@ -171,7 +175,7 @@
 }
 
 #[test]
-fn a_redirect_leads_to_a_control_node_that_was_not_listed() {
+fn redirects_to_unlisted_control_nodes_are_followed() {
     let serving = fake_control_node("200 OK", CONFIGURATION);
     let address = redirecting_control_node(redirecting_control_node(serving));
     let (code, stdout, _) = run(address, &["read"]);
@@ -185,7 +189,7 @@
 }
 
 #[test]
-fn a_listed_control_node_is_tried_after_one_that_redirects_to_nobody() {
+fn a_listed_control_node_is_tried_after_a_redirect_to_an_unused_address() {
     let redirecting = redirecting_control_node(unused_address());
     let serving = fake_control_node("200 OK", CONFIGURATION);
     let (code, _, _) = run_at(&[redirecting, serving], &["read"]);
@@ -193,7 +197,7 @@
 }
 
 #[test]
-fn control_nodes_that_redirect_in_a_circle_are_not_tried_for_ever() {
+fn redirect_loops_end() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let first = listener.local_addr().unwrap();
     drop(listener);
@@ -203,10 +207,10 @@
 }
 
 #[test]
-fn a_replacement_that_no_control_node_began_has_changed_nothing() {
+fn a_replacement_that_no_control_node_accepted_is_reported_as_unchanged() {
     let unused = unused_address();
     let redirecting = redirecting_control_node(unused);
-    let file = configuration_file("not begun.json");
+    let file = configuration_file("not accepted.json");
     let arguments = ["replace", file.as_str(), "--base", "3"];
     let (code, _, stderr) = run_at(&[redirecting], &arguments);
     assert_eq!(code, Some(3));
@@ -224,12 +228,12 @@
 }
 
 #[test]
-fn a_replacement_that_was_unclear_once_stays_unclear() {
-    let address = fake_control_node_that(|earlier| match earlier {
+fn an_unknown_outcome_is_not_superseded_by_a_later_redirect() {
+    let address = fake_control_node_with_responses(|earlier_requests| match earlier_requests {
         0 => ("503 Service Unavailable", String::new(), "late"),
         _ => ("307 Temporary Redirect", String::new(), ""),
     });
-    let file = configuration_file("unclear once.json");
+    let file = configuration_file("unknown outcome.json");
     let (code, _, stderr) = run(address, &["replace", &file, "--base", "3"]);
     assert_eq!(code, Some(3));
     let expected = "linenthread-ctl: unknown whether the configuration is in force: status 307\n";
@@ -237,8 +241,8 @@
 }
 
 #[test]
-fn a_changed_file_whose_revision_was_not_raised_is_not_taken_for_a_success() {
-    let address = fake_control_node_that(|earlier| match earlier {
+fn a_changed_file_without_a_raised_revision_is_rejected() {
+    let address = fake_control_node_with_responses(|earlier_requests| match earlier_requests {
         0 => ("412 Precondition Failed", String::new(), "revision 4"),
         _ => ("200 OK", String::new(), CONFIGURATION),
     });
@@ -251,7 +255,7 @@
 }
 
 #[test]
-fn what_each_address_failed_at_is_printed() {
+fn the_failure_at_each_address_is_printed() {
     let unused = unused_address();
     let without_quorum = fake_control_node("503 Service Unavailable", "no contact");
     let (code, _, stderr) = run_at(&[without_quorum, unused], &["read"]);
@@ -275,11 +279,11 @@
 /// Two tenants that share a key.
 const SHARED_KEY: &str = r#"{"revision":4,"route_table":[],"backends":[],"constraints":{},
     "clients":[{"label":"a","credentials":["secret"]},{"label":"b","credentials":["secret"]}]}"#;
-/// A key where none belongs.
+/// A key in place of a tenant.
 const KEY_AS_TENANT: &str =
     r#"{"revision":4,"route_table":[],"backends":[],"constraints":{},"clients":["secret"]}"#;
 
-// Guards against keys in operators' terminals: an error names the place of a key, never the key.
+// Guards against keys in operators' terminals: an error contains the path of the key, never the key.
 #[parameterized(
     of_two_tenants = { SHARED_KEY, "/clients/1/credentials/0: is a key of /clients/0 too" },
     as_a_tenant = { KEY_AS_TENANT, "/clients/0: value is not of type \"object\"" },
@@ -299,12 +303,12 @@
     }
 }
 
-// Guards against keys in operators' terminals: what a replacement would change is counted.
+// Guards against keys in operators' terminals: a difference contains the number of changed keys, never the keys.
 #[parameterized(
     as_lines = { &["diff"], "+ clients a: 1 keys\n~ clients: absent -> given\n" },
     as_json = { &["--json", "diff"], "[\"+ clients a: 1 keys\",\"~ clients: absent -> given\"]\n" },
 )]
-fn a_difference_of_keys_is_shown_without_them(command: &[&str], expected: &str) {
+fn a_difference_does_not_show_keys(command: &[&str], expected: &str) {
     let document = CONFIGURATION.replace(
         r#""constraints":{}"#,
         r#""constraints":{},"clients":[{"label":"a","credentials":["secret"]}]"#,
@@ -318,16 +322,20 @@
     assert_eq!((code, stdout.as_str()), (Some(1), expected));
 }
 
-/// Serves the first request, for members, and then the others, for duties.
+/// Starts a fake control node that responds with members to the first request and with duties to all others.
 fn fake_control_node_with_duties(members: String, duties: &'static str) -> SocketAddr {
     let members: &'static str = members.leak();
-    fake_control_node_that(move |earlier| {
-        let body = if earlier == 0 { members } else { duties };
+    fake_control_node_with_responses(move |earlier_requests| {
+        let body = if earlier_requests == 0 {
+            members
+        } else {
+            duties
+        };
         ("200 OK", String::new(), body)
     })
 }
 
-/// The members that a control node reports, with another one at this address.
+/// Returns a report of members with another control node at this address.
 fn members_with(other: SocketAddr) -> String {
     format!(
         r#"{{"name":"c1","zone":"a","whole":true,"leaving":false,"duty_epoch":null,"value":3,"revision":9,"counted":[],
@@ -342,7 +350,7 @@
     "decided_window":812,"delivered_window":811,"undelivered":1}]"#;
 
 #[test]
-fn duties_are_asked_of_the_control_nodes_that_the_first_one_knows() {
+fn duties_are_read_from_all_control_nodes_that_the_first_one_knows() {
     let other = fake_control_node("200 OK", HELD);
     let address = fake_control_node_with_duties(members_with(other), NOT_HELD);
     let expected = "duty=accounting held_by=c2 fence=7 held_ms=1200 refused=false \
@@ -354,7 +362,7 @@
 }
 
 #[test]
-fn a_control_node_that_could_not_be_asked_for_duties_is_named() {
+fn an_unreachable_control_node_is_listed_with_the_duties() {
     let other = fake_control_node("404 Not Found", "no such path");
     let address = fake_control_node_with_duties(members_with(other), NOT_HELD);
     let (code, stdout, _) = run(address, &["duties"]);
@@ -366,7 +374,7 @@
 }
 
 #[test]
-fn no_report_of_duties_at_all_is_exit_code_3() {
+fn duties_without_any_report_are_exit_code_3() {
     let other = unused_address();
     let address = fake_control_node_with_duties(members_with(other), "{}");
     let (code, stdout, stderr) = run(address, &["--json", "duties"]);
@@ -377,7 +385,7 @@
 }
 
 #[test]
-fn a_closed_output_pipe_ends_it_quietly() {
+fn a_closed_output_pipe_is_not_an_error() {
     let address = fake_control_node("200 OK", CONFIGURATION);
     let output = run_with_closed_output(&mut ctl(&[address], &["read"])).unwrap();
     assert_eq!(String::from_utf8(output.stderr).unwrap(), "");
--- a/crates/linenthread-ctl/tests/status.rs
+++ b/crates/linenthread-ctl/tests/status.rs
@@ -1,4 +1,4 @@
-//! What control nodes report, decoded by the keys of the control API and printed in the client's terms.
+//! Reports of control nodes: decoded from the keys of the control API, printed in the client's terms.
 
 use linenthread_ctl::{MembersStatus, ReplicaStatus, Summary};
 
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn members_are_a_line_each() {
+fn each_member_is_printed_as_a_line() {
     assert_eq!(
         members().to_string(),
         "reported_by=c1 zone=a\n\
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn replicas_are_a_line_each() {
+fn each_replica_is_printed_as_a_line() {
     let lines: Vec<String> = replicas().iter().map(ToString::to_string).collect();
     assert_eq!(
         lines[1],
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn json_output_has_the_same_terms() {
+fn json_output_uses_the_same_terms_as_text_output() {
     let json = serde_json::to_value(members()).unwrap();
     assert_eq!(json["quorum"], true);
     assert_eq!(json["lease_epoch"], 7);
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn a_report_that_lacks_a_key_is_an_error_and_no_outage() {
+fn a_report_without_a_key_is_rejected() {
     for key in ["whole", "counted", "hubs", "fronts", "revision"] {
         let mut report: serde_json::Value = serde_json::from_str(MEMBERS).unwrap();
         report.as_object_mut().unwrap().remove(key);
