--- a/crates/linenthread-config/src/configuration.rs
+++ b/crates/linenthread-config/src/configuration.rs
@@ -26,7 +26,7 @@
 pub enum Mode {
     /// Requests may be repeated: they can be retried, hedged and fanned out.
     Idempotent,
-    /// Requests change state: one that may have reached a replica is not sent again.
+    /// Requests change state: a request that may have reached a replica is not sent again.
     Mutating,
 }
 
--- a/crates/linenthread-config/src/schema.rs
+++ b/crates/linenthread-config/src/schema.rs
@@ -37,7 +37,7 @@
     }
 
     /// Marks the value at a JSON pointer as secret: violations then quote neither that value nor anything below it.
-    /// Nor do they quote objects, lists and the whole document, which may contain the secret at another position.
+    /// Nor do they quote any object, list or whole document, which may contain the secret at another position.
     pub(crate) fn with_secret(self, pointer: &'static str) -> Schema {
         Schema {
             secret: Some(pointer),
--- a/crates/linenthread-console/src/lib.rs
+++ b/crates/linenthread-console/src/lib.rs
@@ -1,7 +1,7 @@
 //! Standard output for programs whose reader may close the pipe early, as `head` does.
 //!
-//! Rust ignores SIGPIPE, so a write to a closed pipe returns an error, on which `println!` panics. The functions of
-//! this crate treat that error as success, since the reader needs no more output. Every other error is returned.
+//! Rust ignores SIGPIPE, so a write to a closed pipe returns an error, on which `println!` panics. [`print`] and
+//! [`print_line`] treat that error as success, since the reader needs no more output. They return every other error.
 
 pub mod testing;
 
--- a/crates/linenthread-console/tests/closed_output.rs
+++ b/crates/linenthread-console/tests/closed_output.rs
@@ -27,7 +27,7 @@
     no_handling = { "no_handling", WRITE_FAILED },
     println = { "println", CLOSED_OUTPUT_EXIT_CODE.into() },
 )]
-fn a_closed_pipe_is_not_reported_as_a_failure(writer: &str, expected_exit_code: i32) {
+fn writes_to_a_closed_pipe_are_handled(writer: &str, expected_exit_code: i32) {
     let (status, errors) = run_child(writer);
     assert_eq!(errors, "");
     assert_eq!(status.code(), Some(expected_exit_code));
--- a/crates/linenthread-ctl/src/client.rs
+++ b/crates/linenthread-ctl/src/client.rs
@@ -1,4 +1,4 @@
-//! Requests to a list of control nodes, of which the first final response is used.
+//! Requests to several control nodes in turn, until one gives a final response.
 
 use std::collections::VecDeque;
 use std::fmt;
@@ -28,8 +28,8 @@
 pub struct NoFinalResponse {
     /// The last failure at each address, in the order of the attempts.
     pub failures: Vec<AddressFailure>,
-    /// Whether a control node may have begun to process the request in any attempt, also one before the last at its
-    /// address.
+    /// Whether a control node may have begun to process the request in any attempt, including earlier attempts than
+    /// those in `failures`.
     pub may_have_been_processed: bool,
 }
 
@@ -52,7 +52,7 @@
         /// The body of the response.
         message: String,
     },
-    /// No response was received.
+    /// No valid response was received.
     NoResponse(RequestError),
 }
 
@@ -76,7 +76,7 @@
     /// Sends a request to one address, without retries.
     ///
     /// # Errors
-    /// No response was received, or its status is not 200.
+    /// No valid response was received, or its status is not 200.
     pub fn send_to_one(
         &self,
         address: SocketAddr,
--- a/crates/linenthread-ctl/src/commands.rs
+++ b/crates/linenthread-ctl/src/commands.rs
@@ -180,8 +180,8 @@
     }
 
     /// Returns the error for a replacement whose base is not the revision in force. A control node accepts a document
-    /// again that it has already committed on the same base. So if the revision in force has the file's number, its
-    /// content or its base differs.
+    /// that it has already committed on the same base, so if the revision in force has the file's number, its content
+    /// or its base differs.
     fn conflict(&self, document: &[u8], message: String) -> Error {
         let sent = Configuration::decode(document).map(|sent| sent.revision);
         match (sent, self.current_revision()) {
--- a/crates/linenthread-ctl/src/control_api.rs
+++ b/crates/linenthread-ctl/src/control_api.rs
@@ -12,7 +12,7 @@
 /// Replaces the configuration in force.
 pub const REPLACE_CONFIGURATION_PATH: &str = "/Configuration.Replace";
 
-/// The base revision of a replacement, which must be the one in force; 0 for the first configuration.
+/// The revision on which a replacement is based; 0 for the first configuration.
 pub const BASE_REVISION_HEADER: &str = "X-Base-Revision";
 
 /// The call succeeded.
--- a/crates/linenthread-ctl/src/duties.rs
+++ b/crates/linenthread-ctl/src/duties.rs
@@ -22,7 +22,7 @@
     /// How long this node has held the duty in this epoch, in milliseconds; absent if it doesn't hold it.
     #[serde(deserialize_with = "Option::deserialize")]
     pub held_ms: Option<u64>,
-    /// Whether the platform has rejected this node's fencing token.
+    /// Whether the platform has rejected the fencing token.
     pub refused: bool,
     /// The newest window with a decided report, as far as this node knows.
     #[serde(deserialize_with = "Option::deserialize")]
--- a/crates/linenthread-ctl/src/main.rs
+++ b/crates/linenthread-ctl/src/main.rs
@@ -43,7 +43,7 @@
                 required configuration: PathBuf
                 /// The revision to replace; default: the one in force.
                 optional --base revision: u64
-                /// Only validates the file, and prints what would change.
+                /// Only validates the file and prints the changes it would make.
                 optional --dry-run
             }
             /// Prints the changes that a file would make; the exit code is 1 if there are any.
--- a/crates/linenthread-ctl/src/request.rs
+++ b/crates/linenthread-ctl/src/request.rs
@@ -28,7 +28,7 @@
     Connect {
         /// The address that was called.
         peer: SocketAddr,
-        /// What the operating system reports.
+        /// The error of the operating system.
         source: io::Error,
     },
     /// The connection failed, or the deadline passed.
@@ -38,7 +38,7 @@
         step: &'static str,
         /// The address that was called.
         peer: SocketAddr,
-        /// What the operating system reports.
+        /// The error of the operating system.
         source: io::Error,
     },
     /// The peer sent an invalid HTTP response, or one that is too long.
@@ -49,7 +49,7 @@
         /// The error of the HTTP parser.
         source: ParseError,
     },
-    /// There is no address to call.
+    /// No address was given.
     #[snafu(display("no address is given"))]
     NoAddress,
 }
@@ -214,8 +214,8 @@
             })
     }
 
-    /// Reads more bytes into the buffer.
-    fn read_more(&mut self) -> Result<(), RequestError> {
+    /// Reads more bytes from the connection into the buffer.
+    fn fill_buffer(&mut self) -> Result<(), RequestError> {
         let timeout = self.remaining();
         let mut chunk = [0; READ_BYTES];
         let read = self
@@ -250,7 +250,7 @@
             if let Some(head) = head.context(InvalidResponseSnafu { peer: self.peer })? {
                 return Ok(head);
             }
-            self.read_more()?;
+            self.fill_buffer()?;
         }
     }
 
@@ -264,7 +264,7 @@
         let framing = response_framing(head, body).context(invalid)?;
         let mut body = BodyReader::new(framing, MAX_BODY_BYTES);
         while !body.read_from(&mut self.buffer).context(invalid)? {
-            self.read_more()?;
+            self.fill_buffer()?;
         }
         Ok(body.into_bytes())
     }
--- a/crates/linenthread-ctl/tests/program.rs
+++ b/crates/linenthread-ctl/tests/program.rs
@@ -114,7 +114,7 @@
 
 #[test]
 fn no_response_is_exit_code_3() {
-    // A port that was just closed: connections to it are refused.
+    // The listener is closed at once, so connections to its port are refused.
     let address = TcpListener::bind("127.0.0.1:0")
         .unwrap()
         .local_addr()
--- a/crates/linenthread-http/src/framing.rs
+++ b/crates/linenthread-http/src/framing.rs
@@ -19,8 +19,8 @@
 /// Returns the framing of a request's body.
 ///
 /// # Errors
-/// [`ParseError::Malformed`] if the framing is ambiguous, the target is not a path, or there is not exactly one `Host`
-/// header; [`ParseError::BodyTooLong`] if the stated length exceeds `max_body_bytes`.
+/// [`ParseError::Malformed`] if the framing is invalid or ambiguous, the target is not a path, or there is not exactly
+/// one `Host` header; [`ParseError::BodyTooLong`] if the stated length exceeds `max_body_bytes`.
 pub fn request_framing(head: &Head, max_body_bytes: usize) -> Result<Framing, ParseError> {
     if !head.target().starts_with('/')
         || head.method().is_empty()
@@ -48,7 +48,7 @@
 /// Returns the framing of a response's body; `presence` depends on the request's method.
 ///
 /// # Errors
-/// [`ParseError::Malformed`] if the framing is ambiguous.
+/// [`ParseError::Malformed`] if the framing is invalid or ambiguous.
 pub fn response_framing(head: &Head, presence: BodyPresence) -> Result<Framing, ParseError> {
     if presence == BodyPresence::Absent || matches!(head.status(), 204 | 304) {
         return Ok(Framing::Length(0));
