--- a/crates/linenthread-dataplane/src/agreed_clock.rs
+++ b/crates/linenthread-dataplane/src/agreed_clock.rs
@@ -1,28 +1,28 @@
-//! The time of day that the control nodes agree on, as an offset from this process's steady clock.
+//! The wall-clock time that the control nodes agree on, as an offset from this process's monotonic clock.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 
 use linenthread_time::{ClockOffset, Instant, WallTime};
 
-/// How many samples are kept; control nodes send one every 500 ms.
+/// Number of samples kept; control nodes send one every 500 ms.
 const MAX_SAMPLES: usize = 8;
-/// A sample that differs by more is late, or comes from a control node whose peers are away: it counts only once all
-/// samples do.
+/// A sample that differs from the estimate by more than this was delayed, or comes from a control node that cannot
+/// reach its peers. It is ignored unless all samples differ that much.
 const TOLERANCE: Duration = Duration::from_millis(250);
 
-/// An estimate of the offset, from what control nodes send.
+/// Estimates the offset of the control nodes' time from this process's monotonic clock.
 ///
-/// The delay of a message makes its sample smaller, never greater, so the greatest of the last few is the best one.
+/// Network delay only makes a sample smaller, never larger, so the largest of the recent samples is the most accurate.
 #[derive(Debug, Default)]
 pub struct AgreedClock {
-    /// The newest last.
+    /// Newest last.
     samples: VecDeque<ClockOffset>,
     offset: Option<ClockOffset>,
 }
 
 impl AgreedClock {
-    /// A message arrived at `now`; the control nodes' time was `agreed` when it was sent.
+    /// Records a message that arrived at `now` and was sent at time `agreed` of the control nodes.
     pub fn observe(&mut self, now: Instant, agreed: WallTime) {
         if self.samples.len() == MAX_SAMPLES {
             self.samples.pop_front();
@@ -30,20 +30,21 @@
         let is_settled = self.samples.len() + 1 == MAX_SAMPLES;
         self.samples.push_back(ClockOffset::between(now, agreed));
         let estimate = self.offset.filter(|_| is_settled);
-        let near = estimate.and_then(|estimate| {
+        let largest_within_tolerance = estimate.and_then(|estimate| {
             let samples = self.samples.iter().copied();
-            samples.filter(|sample| is_near(*sample, estimate)).max()
+            samples
+                .filter(|sample| is_within_tolerance(*sample, estimate))
+                .max()
         });
-        self.offset = near.or_else(|| self.samples.iter().copied().max());
+        self.offset = largest_within_tolerance.or_else(|| self.samples.iter().copied().max());
     }
 
-    /// The estimate; `None` before the first sample.
+    /// Returns the estimate, or `None` before the first sample.
     pub fn offset(&self) -> Option<ClockOffset> {
         self.offset
     }
 }
 
-/// Whether two offsets are within [`TOLERANCE`] of each other.
-fn is_near(one: ClockOffset, other: ClockOffset) -> bool {
+fn is_within_tolerance(one: ClockOffset, other: ClockOffset) -> bool {
     one.difference(other) <= TOLERANCE
 }
--- a/crates/linenthread-dataplane/src/connection.rs
+++ b/crates/linenthread-dataplane/src/connection.rs
@@ -1,4 +1,4 @@
-//! One HTTP/1.1 connection: complete heads and bodies are read off it, complete messages are written to it.
+//! One HTTP/1.1 connection, from which complete heads and bodies are read and to which complete messages are written.
 
 use std::io;
 use std::time::Duration;
@@ -12,28 +12,28 @@
 
 use crate::transport::ReplicaTransport;
 
-/// Space that is reserved for each read, in bytes.
+/// Buffer space reserved for each read, in bytes.
 const READ_BYTES: usize = 2_048;
-/// An empty buffer that has grown beyond this is freed after the message, and no more than this of a next message
-/// is read ahead, in bytes.
+/// An empty buffer larger than this is freed after a message, and at most this much of a following message is read
+/// ahead, in bytes.
 const MAX_IDLE_BUFFER_BYTES: usize = 16_384;
 
 /// Why a message could not be read or written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Snafu)]
 pub enum ConnectionError {
-    /// The other side closed or reset the connection before any byte of the message arrived.
+    /// The peer closed or reset the connection before any byte of the message arrived.
     #[snafu(display("the connection was closed"))]
     Closed,
     /// The connection failed, or was closed, in the middle of a message.
     #[snafu(display("the connection broke within a message"))]
     Broken,
-    /// The message did not arrive, or was not accepted by the other side, in time.
+    /// The message did not arrive, or was not accepted by the peer, in time.
     #[snafu(display("timed out"))]
     TimedOut,
-    /// What arrived is not in the protocol, or is longer than allowed.
+    /// The received bytes are not valid HTTP, or exceed a size limit.
     #[snafu(display("{source}"))]
     Invalid {
-        /// What is wrong with it.
+        /// The parse error.
         source: ParseError,
     },
 }
@@ -48,29 +48,29 @@
 #[derive(Debug, PartialEq, Eq, Snafu)]
 #[snafu(display("after {written} bytes: {source}"))]
 pub struct WriteError {
-    /// How many bytes this side has handed over. All of them may have reached the other side.
+    /// The number of bytes passed to the transport. All of them may have reached the peer.
     pub written: usize,
-    /// Why the rest was not.
+    /// Why the rest was not written.
     pub source: ConnectionError,
 }
 
-/// What a read brought.
+/// The result of a read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ReadProgress {
-    /// Some bytes.
+    /// At least one byte was read.
     Bytes,
-    /// The other side has closed the connection in order.
+    /// The peer closed the connection in order.
     Closed,
 }
 
-/// A connection and the bytes that were read off it and not consumed yet.
+/// A connection, with the bytes that were read from it and not yet consumed.
 pub struct HttpConnection<S = TcpStream> {
     stream: S,
     buffer: BytesMut,
 }
 
 impl<S: AsyncRead + AsyncWrite + Unpin> HttpConnection<S> {
-    /// A connection on which nothing has been read yet.
+    /// Wraps a stream from which nothing has been read yet.
     pub fn new(stream: S) -> HttpConnection<S> {
         HttpConnection {
             stream,
@@ -78,7 +78,7 @@
         }
     }
 
-    /// Reads some bytes into the buffer, if any come.
+    /// Reads bytes into the buffer, or reports that the peer closed the connection.
     async fn read_more(&mut self, deadline: Instant) -> Result<ReadProgress, ConnectionError> {
         self.buffer.reserve(READ_BYTES);
         match timeout_at(deadline, self.stream.read_buf(&mut self.buffer)).await {
@@ -89,7 +89,7 @@
         }
     }
 
-    /// Reads some bytes into the buffer, which are due.
+    /// Reads bytes into the buffer; the end of the connection is an error.
     async fn fill(&mut self, deadline: Instant) -> Result<(), ConnectionError> {
         match self.read_more(deadline).await? {
             ReadProgress::Bytes => Ok(()),
@@ -97,10 +97,10 @@
         }
     }
 
-    /// Waits until some bytes of the next message have arrived.
+    /// Waits until bytes of the next message have arrived.
     ///
     /// # Errors
-    /// None arrived within `idle_timeout`, or the connection ended.
+    /// Fails if none arrived within `idle_timeout`, or the connection ended.
     pub async fn wait_for_data(&mut self, idle_timeout: Duration) -> Result<(), ConnectionError> {
         if self.buffer.is_empty() {
             self.fill(Instant::now() + idle_timeout).await?;
@@ -108,11 +108,11 @@
         Ok(())
     }
 
-    /// Reads a request head of at most `max_bytes` bytes. Its first byte may take `idle_timeout`, and all of it
-    /// `head_timeout` from there on.
+    /// Reads a request head of at most `max_bytes` bytes. Its first byte must arrive within `idle_timeout`, and the
+    /// rest within `head_timeout` after that.
     ///
     /// # Errors
-    /// The connection ended, the time is over, or what arrived is not a request head.
+    /// Fails if the connection ended, the time is over, or the received bytes are not a request head.
     pub async fn read_request_head(
         &mut self,
         max_bytes: usize,
@@ -121,7 +121,7 @@
     ) -> Result<Head, ConnectionError> {
         self.wait_for_data(idle_timeout)
             .await
-            .map_err(before_any_byte)?;
+            .map_err(broken_to_closed)?;
         let deadline = Instant::now() + head_timeout;
         loop {
             if let Some(head) = Head::parse_request(&mut self.buffer, max_bytes)? {
@@ -134,34 +134,34 @@
     /// Reads a response head of at most `max_bytes` bytes.
     ///
     /// # Errors
-    /// The connection ended, the time is over, or what arrived is not a response head.
+    /// Fails if the connection ended, the time is over, or the received bytes are not a response head.
     pub async fn read_response_head(
         &mut self,
         max_bytes: usize,
         deadline: Instant,
     ) -> Result<Head, ConnectionError> {
-        let mut has_begun = false;
+        let mut has_started = false;
         loop {
             if let Some(head) = Head::parse_response(&mut self.buffer, max_bytes)? {
                 return Ok(head);
             }
             self.fill(deadline).await.map_err(|error| {
-                if has_begun {
+                if has_started {
                     error
                 } else {
-                    before_any_byte(error)
+                    broken_to_closed(error)
                 }
             })?;
-            has_begun = true;
+            has_started = true;
         }
     }
 
-    /// Reads a body of at most `max_bytes` bytes: no gap within it may last `idle_timeout`, and all of it arrives
+    /// Reads a body of at most `max_bytes` bytes. No gap within it may last `idle_timeout`, and all of it must arrive
     /// before the deadline, if there is one.
     ///
     /// # Errors
-    /// The connection ended within the body, the time is over, or what arrived is not a body of this framing. A body
-    /// that lasts until the connection is closed is incomplete if it is reset.
+    /// Fails if the connection ended within the body, the time is over, or the received bytes are not a body of this
+    /// framing. A body that is delimited by the close of the connection is incomplete if the connection is reset.
     pub async fn read_body(
         &mut self,
         framing: Framing,
@@ -188,17 +188,17 @@
     /// Writes a complete message.
     ///
     /// # Errors
-    /// The connection failed, or did not accept all of it before the deadline.
+    /// Fails if the connection failed, or did not accept all bytes before the deadline.
     pub async fn write(&mut self, bytes: &[u8], deadline: Instant) -> Result<(), ConnectionError> {
         self.write_with_progress(bytes, deadline)
             .await
             .map_err(|error| error.source)
     }
 
-    /// Writes a complete message; the error says how much of it may have reached the other side.
+    /// Writes a complete message. The error says how much of it may have reached the peer.
     ///
     /// # Errors
-    /// The connection failed, or did not accept all of it before the deadline.
+    /// Fails if the connection failed, or did not accept all bytes before the deadline.
     pub async fn write_with_progress(
         &mut self,
         bytes: &[u8],
@@ -222,8 +222,8 @@
         Err(WriteError { written, source })
     }
 
-    /// Returns when the other side has closed the connection. What it sends meanwhile stays in the buffer; once
-    /// that is full, an end is no longer noticed.
+    /// Waits until the peer has closed the connection. Bytes received meanwhile stay in the buffer; once it is full,
+    /// the close is no longer detected.
     pub async fn wait_closed(&mut self) {
         loop {
             if self.buffer.len() > MAX_IDLE_BUFFER_BYTES {
@@ -238,14 +238,14 @@
 }
 
 impl<S: ReplicaTransport> HttpConnection<S> {
-    /// Whether no byte waits on it and the other side has not closed it.
+    /// Reports whether no byte is pending and the peer has not closed the connection.
     pub fn is_idle(&self) -> bool {
         self.buffer.is_empty() && self.stream.is_idle()
     }
 }
 
-/// A connection that ends before any byte of a message was closed, not broken.
-fn before_any_byte(error: ConnectionError) -> ConnectionError {
+/// Maps a failure before any byte of a message to [`ConnectionError::Closed`].
+fn broken_to_closed(error: ConnectionError) -> ConnectionError {
     match error {
         ConnectionError::Broken => ConnectionError::Closed,
         other => other,
--- a/crates/linenthread-dataplane/src/counter.rs
+++ b/crates/linenthread-dataplane/src/counter.rs
@@ -1,9 +1,9 @@
-//! Counts of what is in use, given back when its guard is dropped.
+//! Counters of resources in use, decremented when a guard is dropped.
 
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// How many guards of it there are.
+/// The number of live guards.
 #[derive(Clone, Default)]
 pub(crate) struct Counter(Rc<Cell<usize>>);
 
@@ -12,14 +12,14 @@
         self.0.get()
     }
 
-    /// Counts one more for as long as the guard lives.
-    pub(crate) fn enter(&self) -> CounterGuard {
+    /// Increments the count until the guard is dropped.
+    pub(crate) fn increment(&self) -> CounterGuard {
         self.0.set(self.0.get() + 1);
         CounterGuard(self.clone())
     }
 }
 
-/// One of what a [`Counter`] counts.
+/// Holds one unit of a [`Counter`].
 pub(crate) struct CounterGuard(Counter);
 
 impl Drop for CounterGuard {
--- a/crates/linenthread-dataplane/src/data_plane.rs
+++ b/crates/linenthread-dataplane/src/data_plane.rs
@@ -1,4 +1,4 @@
-//! The data plane: the configuration in force, the replicas, and a dispatcher for each group of backends.
+//! The data plane: the configuration in force, the replicas, and a dispatcher for each set of backends.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -21,15 +21,15 @@
 use crate::usage_counter::UsageCounter;
 use crate::zone_indices::ZoneIndices;
 
-/// The fewest connections that this process may have to a replica, however many ingress nodes share its limit.
+/// The minimum connection limit of this process per replica, however many ingress nodes share the configured limit.
 const MIN_CONNECTIONS: usize = 2;
-/// How long a window of usage lasts where no report is configured: nobody reads what is counted then.
+/// The length of a usage window when no reports are configured; the counts are not read in that case.
 const DEFAULT_REPORT_WINDOW: Duration = Duration::from_secs(5);
-/// An `f64` holds integers of this many bits exactly.
+/// The number of bits of an integer that `f64` represents exactly.
 const F64_BITS: u32 = 53;
 
-/// Which dispatcher: the backends that are queried together, in the order of their names, and how often each
-/// sub-request may be sent.
+/// Identifies a dispatcher by the backends that are queried together, sorted by name, and the maximum number of
+/// attempts per sub-request.
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord)]
 struct DispatcherKey {
     backends: Vec<Rc<str>>,
@@ -46,13 +46,13 @@
         }
     }
 
-    /// The same for equal keys in every process. Simulations depend on the text that is hashed.
+    /// Returns the same hash for equal keys in every process. Simulations depend on the text that is hashed.
     fn hash(&self) -> u64 {
         fnv1a_64(format!("{:?}", (&self.backends, self.max_attempts)).as_bytes())
     }
 }
 
-/// What an ingress node knows, and where its traffic goes.
+/// The state of an ingress node's request path.
 pub struct DataPlane<C: Connector = TcpConnector> {
     settings: Rc<Settings>,
     seed: u64,
@@ -61,21 +61,21 @@
     dispatchers: RefCell<BTreeMap<DispatcherKey, Rc<Dispatcher<C>>>>,
     zones: ZoneIndices,
     retry_quota: Cell<RetryQuota>,
-    /// Shared with the dispatchers, which record in it.
+    /// Shared with the dispatchers, which record into it.
     usage: Rc<RefCell<UsageCounter>>,
-    /// At some moment of this incarnation it had the newest configuration.
+    /// Whether this incarnation had the newest configuration at some moment.
     is_confirmed: Cell<bool>,
-    /// When a control node that a majority can reach was last heard; absent: never.
+    /// When a message last arrived from a control node that can reach a majority; `None` if never.
     last_control_contact: Cell<Option<Instant>>,
     shutdown: Shutdown,
-    /// Requests of which a byte was read and whose responses are not written yet.
+    /// Requests of which at least one byte was read and whose responses are not yet written.
     requests: Counter,
-    /// Clients' connections.
+    /// Client connections.
     clients: Counter,
 }
 
 impl<C: Connector> DataPlane<C> {
-    /// A data plane with no configuration and no replicas. Every random choice follows from the seed.
+    /// Creates a data plane without configuration and replicas. All random choices derive from the seed.
     pub fn new(settings: Rc<Settings>, seed: u64, connector: C) -> Rc<DataPlane<C>> {
         let zones = ZoneIndices::new(&settings.zone);
         let report_window = settings
@@ -100,17 +100,17 @@
         })
     }
 
-    /// The settings of this process.
+    /// Returns the settings of this process.
     pub fn settings(&self) -> &Settings {
         &self.settings
     }
 
-    /// The configuration in force, if there is one.
+    /// Returns the configuration in force, if there is one.
     pub fn routing_table(&self) -> Option<Rc<RoutingTable>> {
         self.routing_table.borrow().clone()
     }
 
-    /// The revision of the configuration in force; 0 for none.
+    /// Returns the revision of the configuration in force; 0 if there is none.
     pub fn revision(&self) -> u64 {
         self.routing_table
             .borrow()
@@ -118,15 +118,15 @@
             .map_or(0, |routing_table| routing_table.revision)
     }
 
-    /// Whether clients may be sent here.
+    /// Reports whether this node is ready for client traffic: it has a configuration that was confirmed since the
+    /// start, and is not draining.
     pub fn is_ready(&self) -> bool {
         self.is_confirmed.get()
             && !self.shutdown.is_draining()
             && self.routing_table.borrow().is_some()
     }
 
-    /// Applies a configuration that was committed, unless one at least as new is in force. One that cannot be read
-    /// is logged.
+    /// Applies a committed configuration, unless one at least as new is in force. Logs one that cannot be decoded.
     pub fn apply_configuration(&self, document: &[u8]) {
         match Configuration::decode(document) {
             Ok(read) if read.revision > self.revision() => {
@@ -139,20 +139,20 @@
         }
     }
 
-    /// Notes that no newer configuration than the one in force was committed at some moment since the start.
+    /// Records that, at some moment since the start, no configuration newer than the one in force was committed.
     pub fn confirm_configuration(&self) {
         if !self.is_confirmed.replace(true) {
             log::info!(revision = self.revision(); "event=configuration_confirmed");
         }
     }
 
-    /// Notes that a control node with quorum has just been heard: what it sent before is applied.
+    /// Records contact with a control node that has quorum; its earlier messages have been applied.
     pub fn note_control_contact(&self) {
         self.last_control_contact.set(Some(clock::now()));
     }
 
-    /// Whether a key may have been taken away so long ago that it must not work any more, unknown to this process. The
-    /// settings may permit that.
+    /// Reports whether this process may have missed the revocation of a key that is older than the settings allow.
+    /// Always false if the settings set no limit.
     pub(crate) fn may_lack_revocations(&self) -> bool {
         let last_contact = self.last_control_contact.get();
         self.settings.revocation_limit.is_some_and(|limit| {
@@ -179,8 +179,8 @@
         self.limit_connections();
     }
 
-    /// Limits the connections to each replica: a limit of the configuration is for all ingress nodes together, of which
-    /// this process gets an equal part.
+    /// Limits the connections to each replica. A configured limit applies to all ingress nodes together, and this
+    /// process gets an equal share.
     fn limit_connections(&self) {
         let ingress_count = self.retry_quota.get().ingress_count.max(1);
         let routing_table = self.routing_table.borrow();
@@ -197,7 +197,7 @@
         });
     }
 
-    /// Sets this process's part of the retry budget.
+    /// Sets this process's share of the retry budget.
     pub fn set_retry_quota(&self, quota: RetryQuota) {
         if quota != self.retry_quota.get() {
             self.retry_quota.set(quota);
@@ -206,13 +206,13 @@
         }
     }
 
-    /// The retry quota in force.
+    /// Returns the retry quota in force.
     pub fn retry_quota(&self) -> RetryQuota {
         self.retry_quota.get()
     }
 
-    /// Divides the quota among the dispatchers. It holds at each backend, so dispatchers that share a backend divide
-    /// it; one that has several backends gets the least of its parts.
+    /// Divides the quota among the dispatchers. It applies per backend, so dispatchers that share a backend divide it;
+    /// a dispatcher with several backends gets the smallest of its shares.
     fn divide_retry_quota(&self) {
         let (quota, dispatchers) = (self.retry_quota.get(), self.dispatchers.borrow());
         let dispatchers_of = |backend: &Rc<str>| {
@@ -228,7 +228,7 @@
         }
     }
 
-    /// The dispatcher of these backends, which is started if there is none.
+    /// Returns the dispatcher of these backends, and starts it if there is none.
     fn dispatcher_of(&self, backends: &[Rc<str>], max_attempts: usize) -> Rc<Dispatcher<C>> {
         let key = DispatcherKey::new(backends, max_attempts);
         if let Some(dispatcher) = self.dispatchers.borrow().get(&key) {
@@ -247,7 +247,7 @@
         dispatcher
     }
 
-    /// Hands a request to the dispatcher of its route.
+    /// Passes a request to the dispatcher of its route.
     pub fn dispatch(
         &self,
         request: Rc<ReplicaRequest>,
@@ -257,8 +257,8 @@
         let max_attempts = resolved.route.max_attempts;
         let dispatcher = match &resolved.destination {
             Destination::FanOut(backends) => self.dispatcher_of(backends, max_attempts),
-            // The hash of the request's id stands in for a random number: a request that is sent again with its id goes
-            // to the same backend.
+            // The hash of the request's id replaces a random number, so that a request that is sent again with the
+            // same id goes to the same backend.
             weighted @ Destination::Weighted(_) => {
                 let backend = weighted.pick(unit_interval(fnv1a_64(request.request_id.as_bytes())));
                 self.dispatcher_of(backend.map_or(&[], std::slice::from_ref), max_attempts)
@@ -267,8 +267,7 @@
         dispatcher.dispatch(request, resolved, parameters)
     }
 
-    /// To be called several times a second, whether or not there is a control node: ends the retry quota if its time is
-    /// over.
+    /// Ends the retry quota when its time is over. Call it several times a second, with or without a control node.
     pub fn expire(&self) {
         let quota = self.retry_quota.get();
         if quota.expires_at <= clock::now() && quota.retries_per_window > 0.0 {
@@ -279,8 +278,8 @@
         }
     }
 
-    /// To be called about once a second: closes connections that their replicas are about to close, and forgets
-    /// replicas that departed long ago. Logs how many requests usage reports will lack.
+    /// Closes connections that their replicas are about to close, removes replicas that departed long ago, and logs
+    /// how many requests usage reports will lack. Call it about once a second.
     pub fn maintain(&self) {
         for dispatcher in self.dispatchers.borrow().values() {
             dispatcher.maintain();
@@ -292,38 +291,38 @@
         }
     }
 
-    /// A message of a control node arrived at `now`; the time that the control nodes agree on was `agreed` when it was
-    /// sent.
+    /// Records a message of a control node that arrived at `now` and was sent at time `agreed` of the control nodes.
     pub fn observe_agreed_time(&self, now: Instant, agreed: WallTime) {
         self.usage.borrow_mut().observe_agreed_time(now, agreed);
     }
 
-    /// Whether any count of usage is kept.
+    /// Reports whether any usage counts are kept.
     pub fn has_usage(&self) -> bool {
         !self.usage.borrow().is_empty()
     }
 
-    /// All counts of usage that are kept; none of them is changed any more.
+    /// Returns all usage counts and marks them as sent.
     pub fn all_usage(&self) -> Vec<WindowCounts> {
         self.usage.borrow_mut().all()
     }
 
-    /// The counts of usage that have risen since they were last taken, by this call or by [`DataPlane::all_usage`].
+    /// Returns the usage counts that have risen since they were last returned by this method or by
+    /// [`DataPlane::all_usage`], and marks them as sent.
     pub fn changed_usage(&self) -> Vec<WindowCounts> {
         self.usage.borrow_mut().take_changed()
     }
 
-    /// First step of a shutdown: it is not ready any more, and connections end with their next response.
+    /// First step of a shutdown: the node is no longer ready, and each connection closes after its next response.
     pub fn begin_drain(&self) {
         self.shutdown.begin_drain();
     }
 
-    /// Second step of a shutdown: nothing new is accepted, and connections between two requests end.
+    /// Second step of a shutdown: no new connections are accepted, and connections without a request in flight close.
     pub fn close(&self) {
         self.shutdown.close();
     }
 
-    /// For those who wait for [`DataPlane::close`].
+    /// Returns a watch that completes on [`DataPlane::close`].
     pub fn watch_closing(&self) -> ClosingWatch {
         self.shutdown.watch()
     }
@@ -332,28 +331,28 @@
         self.shutdown.is_draining()
     }
 
-    /// How many requests are in flight: a byte was read, and the response is not written yet.
+    /// Returns the number of requests in flight: at least one byte was read, and the response is not yet written.
     pub fn requests_in_flight(&self) -> usize {
         self.requests.get()
     }
 
-    /// How many clients' connections there are.
+    /// Returns the number of client connections.
     pub fn client_connections(&self) -> usize {
         self.clients.get()
     }
 
-    /// Counts a request for as long as the guard lives.
+    /// Counts a request until the guard is dropped.
     pub(crate) fn count_request(&self) -> CounterGuard {
-        self.requests.enter()
+        self.requests.increment()
     }
 
-    /// Counts a client's connection for as long as the guard lives.
+    /// Counts a client connection until the guard is dropped.
     pub(crate) fn count_client(&self) -> CounterGuard {
-        self.clients.enter()
+        self.clients.increment()
     }
 }
 
-/// A hash as a number from 0 up to, and without, 1.
+/// Maps a hash to the half-open interval from 0 to 1.
 fn unit_interval(hash: u64) -> f64 {
     let bits = hash >> (u64::BITS - F64_BITS);
     bits as f64 / (1u64 << F64_BITS) as f64
--- a/crates/linenthread-dataplane/src/dispatcher.rs
+++ b/crates/linenthread-dataplane/src/dispatcher.rs
@@ -1,5 +1,5 @@
-//! The dispatcher of backends that are queried together: it owns their decision module, hands it what arrived and
-//! carries out what it decides.
+//! The dispatcher of a set of backends that are queried together. It owns their decision module, passes it new inputs
+//! and carries out its decisions.
 
 mod decisions;
 mod pass_through;
@@ -34,33 +34,33 @@
 /// The shortest time-out of an attempt, in tenths of a millisecond (1 ms).
 const MIN_TIMEOUT: TenthMillis = 10;
 
-/// What the decision module gets to know of a request beside its route.
+/// Parameters of a query that do not follow from its route.
 #[derive(Clone, Copy)]
 pub struct QueryParameters {
-    /// Decides which replicas are preferred, so that equal requests meet warm caches.
+    /// Determines which replicas are preferred, so that equal requests reach warm caches.
     pub affinity_key: u64,
-    /// When the request ends.
+    /// The deadline, in tenths of a millisecond of [`crate::clock::now_tenth_millis`].
     pub deadline: TenthMillis,
     /// Priority under load; 0 is the highest.
     pub priority: i64,
 }
 
-/// Hands requests to the decision module and its decisions to the replicas' pools.
+/// Passes requests to the decision module, and its decisions to the replicas' connection pools.
 pub(crate) struct Dispatcher<C: Connector> {
-    /// What is queried together, by name: the sub-requests of each query in their order.
+    /// The names of the backends that are queried together; also the order of the sub-requests of each query.
     backends: Rc<[Rc<str>]>,
     state: RefCell<State<C>>,
-    /// Something arrived for the decision module.
-    arrived: Notify,
+    /// Signals new inputs for the decision module.
+    input_arrived: Notify,
     open_queries: Counter,
     usage: Rc<RefCell<UsageCounter>>,
-    /// The last query that was opened.
+    /// The sequence number of the newest query.
     last_query: Cell<SequenceNumber>,
 }
 
 impl<C: Connector> Dispatcher<C> {
-    /// Starts the task that runs the decision module; within a `LocalSet`. Each sub-request may be sent `max_attempts`
-    /// times. Requests that replicas begin are recorded in `usage`.
+    /// Starts the task that runs the decision module; call it within a `LocalSet`. Each sub-request may be sent up to
+    /// `max_attempts` times. Requests that replicas start are recorded in `usage`.
     pub(crate) fn new(
         backends: Rc<[Rc<str>]>,
         max_attempts: usize,
@@ -72,7 +72,7 @@
         let dispatcher = Rc::new(Dispatcher {
             backends,
             state: RefCell::new(state),
-            arrived: Notify::new(),
+            input_arrived: Notify::new(),
             open_queries: Counter::default(),
             usage,
             last_query: Cell::default(),
@@ -81,13 +81,12 @@
         dispatcher
     }
 
-    /// Whether it sends anything to this backend.
     pub(crate) fn sends_to(&self, backend: &Rc<str>) -> bool {
         self.backends.contains(backend)
     }
 
-    /// Sets the quota of this process, and how many of its retries this dispatcher may send in each window. The ingress
-    /// nodes are the co-ordinators that the decision module counts.
+    /// Sets the quota of this process, and how many retries of it this dispatcher may send per window. The ingress
+    /// nodes are what the decision module counts as co-ordinators.
     pub(crate) fn set_retry_quota(&self, quota: &RetryQuota, retries_per_window: f64) {
         self.state.borrow_mut().coordinator.set_retry_quota(
             retries_per_window,
@@ -96,7 +95,7 @@
         );
     }
 
-    /// Applies the status of replicas; those of other backends are left out.
+    /// Applies the status of replicas; replicas of other backends are ignored.
     pub(crate) fn update_replicas(&self, pools: &[Rc<ReplicaPool<C>>], zones: &ZoneIndices) {
         let mut state = self.state.borrow_mut();
         let entries: Vec<MembershipEntry> = pools
@@ -118,10 +117,9 @@
             .membership
             .push(MembershipUpdate::Delta(entries));
         state.inputs.zone_routes = Some(zones.routes());
-        self.arrived.notify_one();
+        self.input_arrived.notify_one();
     }
 
-    /// Opens a query for a request.
     pub(crate) fn dispatch(
         self: &Rc<Self>,
         request: Rc<ReplicaRequest>,
@@ -142,7 +140,7 @@
             resolved.clone(),
             self.backends.len(),
             client,
-            self.open_queries.enter(),
+            self.open_queries.increment(),
         );
         state.open_query(id.index, query);
         self.submit(&mut state, id, resolved, parameters);
@@ -153,8 +151,8 @@
         }
     }
 
-    /// Hands a query to the decision module, with a sub-request for each backend. Customers and the weights of
-    /// sub-requests are not distinguished here.
+    /// Passes a query to the decision module, with one sub-request for each backend. Customers and sub-request weights
+    /// are not distinguished here.
     fn submit(
         &self,
         state: &mut State<C>,
@@ -178,10 +176,10 @@
             weight: 1.0,
         });
         state.inputs.sub_requests.extend(sub_requests);
-        self.arrived.notify_one();
+        self.input_arrived.notify_one();
     }
 
-    /// Logs how many queries were abandoned, and frees the indices of replicas that departed.
+    /// Logs how many queries were abandoned, and frees the indices of departed replicas.
     pub(crate) fn maintain(&self) {
         let mut state = self.state.borrow_mut();
         let abandoned = std::mem::take(&mut state.decisions.abandoned);
@@ -195,24 +193,24 @@
         state.free_departed_replicas();
     }
 
-    /// The client of a query has left.
+    /// Cancels a query whose client has disconnected.
     fn cancel(&self, query: QueryId) {
         let mut state = self.state.borrow_mut();
         if state.query(query).is_some() {
             state.inputs.cancelled.push(query.index);
-            self.arrived.notify_one();
+            self.input_arrived.notify_one();
         }
     }
 
-    /// Runs one step of the decision module and carries out its decisions; when to run the next one at the latest.
+    /// Runs one step of the decision module and carries out its decisions. Returns the latest time for the next step.
     fn step(self: &Rc<Self>) -> Option<TenthMillis> {
         let mut state = self.state.borrow_mut();
         for decision in state.decide() {
             match decision {
                 Decision::Send(attempt) => self.send(&mut state, &attempt),
                 Decision::Respond { query } => state.with_query(query, OpenQuery::complete),
-                // The status follows from what was sent, 503 or 502: see `Response::abandoned`. What a rejection adds
-                // is the advice when to retry.
+                // The status, 503 or 502, follows from what was sent: see `Response::abandoned`. A rejection only adds
+                // the time to retry after.
                 Decision::Reject { query, retry_after } => {
                     state.with_query(query, |query| query.abandon(retry_after));
                 }
@@ -224,22 +222,22 @@
         state.decisions.wake_at
     }
 
-    /// Sends a sub-request to a replica, unless it must not run twice and an earlier attempt may have run. The decision
-    /// module has that rule, too; this second guard uses what was observed on the connections.
+    /// Sends a sub-request to a replica, unless it must not run twice and an earlier attempt may have run. The
+    /// decision module has the same rule; this second guard relies on what was observed on the connections.
     fn send(self: &Rc<Self>, state: &mut State<C>, attempt: &SendAttempt) {
         let Some(query) = state.query_at(attempt.query) else {
             return;
         };
-        let begun = query.begin_attempt(attempt.sub_request);
+        let registered = query.register_attempt(attempt.sub_request);
         let id = AttemptKey {
             query: QueryId {
                 index: attempt.query,
                 sequence_number: query.sequence_number,
             },
             sub_request: attempt.sub_request,
-            attempt: begun.number,
+            attempt: registered.number,
         };
-        if begun.safety == SendSafety::MayRunTwice {
+        if registered.safety == SendSafety::MayRunTwice {
             log::error!(route = query.resolved.route.name; "event=retry_rejected");
             self.report(state, id, AttemptOutcome::NotSent, 0);
             return;
@@ -255,7 +253,7 @@
         });
     }
 
-    /// An attempt has completed that was sent at this moment.
+    /// Handles the completion of an attempt that was sent at `started_at`.
     fn on_completed(&self, id: AttemptKey, started_at: TenthMillis, completed: CompletedAttempt) {
         let elapsed = clock::now_tenth_millis() - started_at;
         let mut state = self.state.borrow_mut();
@@ -264,15 +262,17 @@
             return;
         };
         let attempt_outcome = completed.outcome.attempt_outcome;
-        let began = query.end_attempt(id.sub_request, completed);
-        if let (1.., Some(tenant)) = (began, &query.request.tenant) {
-            let began_at = clock::from_tenth_millis(started_at);
-            self.usage.borrow_mut().record(tenant, began_at, began);
+        let started_requests = query.end_attempt(id.sub_request, completed);
+        if let (1.., Some(tenant)) = (started_requests, &query.request.tenant) {
+            let started_at_instant = clock::from_tenth_millis(started_at);
+            self.usage
+                .borrow_mut()
+                .record(tenant, started_at_instant, started_requests);
         }
         self.report(&mut state, id, attempt_outcome, elapsed);
     }
 
-    /// Hands the end of an attempt to the decision module.
+    /// Reports the end of an attempt to the decision module.
     fn report(
         &self,
         state: &mut State<C>,
@@ -288,11 +288,11 @@
             elapsed,
             queue_depth: None,
         });
-        self.arrived.notify_one();
+        self.input_arrived.notify_one();
     }
 }
 
-/// A query whose response is awaited.
+/// A query whose response is pending.
 pub struct PendingResponse<C: Connector> {
     dispatcher: Rc<Dispatcher<C>>,
     query: QueryId,
@@ -300,20 +300,20 @@
 }
 
 impl<C: Connector> PendingResponse<C> {
-    /// The response, once it has arrived.
+    /// Waits for the response.
     pub(crate) async fn response(&mut self) -> Response {
         (&mut self.response)
             .await
             .unwrap_or_else(|_| Response::empty(502))
     }
 
-    /// The client has left: nobody waits for the response any more.
+    /// Cancels the query because the client has disconnected.
     pub(crate) fn cancel(self) {
         self.dispatcher.cancel(self.query);
     }
 }
 
-/// A replica in the terms of the decision module.
+/// Converts the state of a replica to the decision module's form.
 fn membership_entry<C: Connector>(
     pool: &ReplicaPool<C>,
     replica: ReplicaIndex,
@@ -336,19 +336,19 @@
     }
 }
 
-/// Runs a step of the decision module whenever something arrived, or when it asked for one.
+/// Runs a step of the decision module whenever inputs arrive or the requested wake-up time is reached.
 async fn run<C: Connector>(dispatcher: Rc<Dispatcher<C>>) {
     let mut wake_at: Option<TenthMillis> = None;
     loop {
         match wake_at.filter(|_| dispatcher.open_queries.get() > 0) {
             Some(at) => {
                 let at = clock::tenth_millis_to_std(at).into();
-                let _ = tokio::time::timeout_at(at, dispatcher.arrived.notified()).await;
+                let _ = tokio::time::timeout_at(at, dispatcher.input_arrived.notified()).await;
             }
-            None => dispatcher.arrived.notified().await,
+            None => dispatcher.input_arrived.notified().await,
         }
-        // A step asks for a time to wake at only once the time that it asked for before has come. Until then it asks
-        // for none, and that earlier request still stands.
+        // A step requests a new wake-up time only after the previous one has passed. Until then it requests none, and
+        // the previous request remains valid.
         let next = dispatcher.step();
         wake_at = next.or(wake_at.filter(|at| *at > clock::now_tenth_millis()));
     }
--- a/crates/linenthread-dataplane/src/dispatcher/decisions.rs
+++ b/crates/linenthread-dataplane/src/dispatcher/decisions.rs
@@ -1,11 +1,11 @@
-//! What the decision module decides in one step, as a list that the dispatcher carries out.
+//! Collects the decisions of one step of the decision module, for the dispatcher to carry out.
 
 use linenthread_core::DecisionSink;
 use linenthread_core::interface::{
     AbandonCause, Completeness, QueryIndex, ReplicaIndex, SubRequestIndex, TenthMillis,
 };
 
-/// The next attempt of a sub-request.
+/// An attempt of a sub-request that is to be sent.
 pub(super) struct SendAttempt {
     pub(super) query: QueryIndex,
     pub(super) sub_request: SubRequestIndex,
@@ -14,36 +14,35 @@
     pub(super) timeout: TenthMillis,
 }
 
-/// One decision.
 pub(super) enum Decision {
     /// Send a sub-request to a replica.
     Send(SendAttempt),
-    /// Respond with what has arrived.
+    /// Respond with the responses received so far.
     Respond { query: QueryIndex },
-    /// Abandon the query; it may be sent again, at best after this time.
+    /// Abandon the query; the client may send it again, at the earliest after `retry_after`.
     Reject {
         query: QueryIndex,
         retry_after: Option<TenthMillis>,
     },
-    /// Abandon the query, without such a promise.
+    /// Abandon the query without such advice.
     Fail { query: QueryIndex },
-    /// Nothing of the query is in flight: its index is free.
+    /// No attempt of the query is in flight: free its index.
     Release { query: QueryIndex },
     /// Close the idle connections to a replica.
     CloseIdle { replica: ReplicaIndex },
 }
 
-/// The decisions of a step, in the order they were taken.
+/// The decisions of a step, in the order in which they were made.
 #[derive(Default)]
 pub(super) struct Decisions {
     pub(super) list: Vec<Decision>,
-    /// When the module is to run again, if nothing arrives before.
+    /// When to run the next step, unless inputs arrive earlier.
     pub(super) wake_at: Option<TenthMillis>,
-    /// Since they were last logged.
+    /// The counts since they were last logged.
     pub(super) abandoned: AbandonedCounts,
 }
 
-/// How many queries were abandoned, by cause.
+/// The number of abandoned queries by cause.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(super) struct AbandonedCounts {
     pub(super) deadline_exceeded: u64,
@@ -75,7 +74,7 @@
         }));
     }
 
-    /// Not decided here: `Permissions::cancellation` is off in `policy_inputs`.
+    /// Never called: `Permissions::cancellation` is off in `policy_inputs`.
     fn cancel(&mut self, _query: QueryIndex, _sub_request: SubRequestIndex, _attempt: usize) {}
 
     fn respond(&mut self, query: QueryIndex, _completeness: Completeness) {
@@ -104,15 +103,15 @@
         self.list.push(Decision::Release { query });
     }
 
-    /// Not decided here: `Permissions::health_probes` is off in `policy_inputs`.
+    /// Never called: `Permissions::health_probes` is off in `policy_inputs`.
     fn probe(&mut self, _replica: ReplicaIndex) {}
 
     fn close_idle(&mut self, replica: ReplicaIndex) {
         self.list.push(Decision::CloseIdle { replica });
     }
 
-    /// Not decided here: `CoordinatorConfig::watch_membership` is off in `policy_inputs`, since control nodes send
-    /// changes unasked.
+    /// Never called: `CoordinatorConfig::watch_membership` is off in `policy_inputs`, since control nodes push changes
+    /// without being asked.
     fn watch_membership(&mut self) {}
 
     fn wake_at(&mut self, at: TenthMillis) {
--- a/crates/linenthread-dataplane/src/dispatcher/pass_through.rs
+++ b/crates/linenthread-dataplane/src/dispatcher/pass_through.rs
@@ -1,5 +1,5 @@
-//! A replacement of the decision module that decides nothing, to measure what the module costs. Each sub-request goes
-//! once to the replica that a hash names; nothing is scored, retried or rejected. Not for production.
+//! A replacement for the decision module, used to measure the module's cost. Each sub-request is sent once, to a
+//! replica chosen by hash; nothing is scored, retried or rejected. Not for production.
 
 use linenthread_core::DecisionSink;
 use linenthread_core::interface::{
@@ -7,7 +7,7 @@
     QueryIndex, SubRequestIndex, TenthMillis,
 };
 
-/// A query that has not ended.
+/// An open query.
 struct Query {
     key: u64,
     deadline: TenthMillis,
@@ -18,7 +18,7 @@
     failed: bool,
 }
 
-/// The replicas and the queries, by their indices.
+/// Replicas and queries by index.
 #[derive(Default)]
 pub(super) struct PassThrough {
     replicas: Vec<MembershipEntry>,
@@ -26,11 +26,11 @@
 }
 
 impl PassThrough {
-    /// One step: applies what arrived, sends new sub-requests and ends queries whose sub-requests have all ended.
+    /// Runs one step: applies the inputs, sends new sub-requests and ends queries whose sub-requests have all ended.
     pub(super) fn step(&mut self, inputs: &Inputs, sink: &mut impl DecisionSink) {
         for update in &inputs.membership {
-            if let MembershipUpdate::Delta(listed) = update {
-                self.update_replicas(listed);
+            if let MembershipUpdate::Delta(entries) = update {
+                self.update_replicas(entries);
             }
         }
         for new in &inputs.queries {
@@ -60,8 +60,8 @@
         }
     }
 
-    fn update_replicas(&mut self, listed: &[MembershipEntry]) {
-        for entry in listed {
+    fn update_replicas(&mut self, entries: &[MembershipEntry]) {
+        for entry in entries {
             let count = self.replicas.len().max(entry.replica.0 + 1);
             self.replicas.resize_with(count, MembershipEntry::default);
             self.replicas[entry.replica.0] = entry.clone();
@@ -83,7 +83,7 @@
 }
 
 impl Query {
-    /// Sends each sub-request that has not been sent to one of the nearest available replicas of its shard.
+    /// Sends each unsent sub-request to one of the nearest available replicas of its shard.
     fn send_new(
         &mut self,
         index: QueryIndex,
@@ -93,7 +93,7 @@
     ) {
         for number in self.sent..self.shards.len() {
             self.sent += 1;
-            if let Some(chosen) = choose(replicas, self.shards[number], self.key) {
+            if let Some(chosen) = choose_replica(replicas, self.shards[number], self.key) {
                 let timeout = (self.deadline - now).max(1);
                 sink.send(index, SubRequestIndex(number), chosen.replica, timeout);
             } else {
@@ -113,8 +113,12 @@
     }
 }
 
-/// The replica of a shard that a key names, among those of the local zone if there are any.
-fn choose(replicas: &[MembershipEntry], shard: usize, key: u64) -> Option<&MembershipEntry> {
+/// Chooses the replica of a shard by `key`, among those of the local zone if there are any.
+fn choose_replica(
+    replicas: &[MembershipEntry],
+    shard: usize,
+    key: u64,
+) -> Option<&MembershipEntry> {
     let is_remote = |replica: &MembershipEntry| replica.zone > 0;
     let available = || {
         replicas
--- a/crates/linenthread-dataplane/src/dispatcher/policy_inputs.rs
+++ b/crates/linenthread-dataplane/src/dispatcher/policy_inputs.rs
@@ -1,4 +1,4 @@
-//! Routes and settings in the terms of the decision module.
+//! Converts routes and settings to the decision module's types.
 
 use linenthread_config::{Destination, Mode, ResolvedRoute, Settings};
 use linenthread_core::interface::{
@@ -11,20 +11,20 @@
 
 use crate::clock;
 
-/// The shortest time that the decision module gets, in milliseconds.
+/// The shortest duration passed to the decision module, in milliseconds.
 const MIN_TIME_MS: f64 = 1.0;
-/// The longest time that the decision module gets, in milliseconds.
+/// The longest duration passed to the decision module, in milliseconds.
 const MAX_TIME_MS: f64 = 1e9;
-/// Requests of lower priority are all of the same value.
+/// Priority numbers above this, that is lower priorities, are treated like this one.
 const MAX_PRIORITY: i64 = 1_000;
-/// The window of the decision module's budget for replicas in slow start, in tenths of a millisecond (1 s).
+/// The window of the decision module's slow-start budget, in tenths of a millisecond (1 s).
 const SLOW_START_WINDOW: TenthMillis = 10_000;
 
 fn tenth_millis(ms: f64) -> TenthMillis {
     clock::ms_to_tenth_millis(ms.clamp(MIN_TIME_MS, MAX_TIME_MS))
 }
 
-/// The requests of a route that have this priority as a kind of query.
+/// Describes the requests of a route that have this priority as a kind of query.
 pub(super) fn index_config(resolved: &ResolvedRoute, priority: i64) -> IndexConfig {
     let route = &resolved.route;
     let min_share = match resolved.destination {
@@ -47,8 +47,8 @@
     }
 }
 
-/// The configuration of the decision module for `backends` backends that are queried together, each sub-request of
-/// which may be sent `max_attempts` times.
+/// Builds the configuration of the decision module for `backends` backends that are queried together, with up to
+/// `max_attempts` attempts per sub-request.
 pub(super) fn coordinator_config(
     backends: usize,
     max_attempts: usize,
@@ -72,8 +72,8 @@
             health_probes: false,
             max_retry_after: Some(TenthMillis::MAX),
         },
-        // Slow start is off: the operators' pages say that replicas are slow after their start, and nothing says that
-        // load makes them crash then.
+        // Slow start is off: the operators' pages state that replicas are slow after their start, but not that load
+        // makes them crash then.
         slow_start: SlowStart {
             initial_share: 1.0,
             duration: 0,
@@ -84,11 +84,11 @@
         short_queues: true,
         drain_grace: 0,
         retry_budget: Some(RetryBudget {
-            // A quota grant sets it (`set_retry_quota`).
+            // Set by each quota grant (`set_retry_quota`).
             reserve: 0.0,
             // The module permits `ratio` retries for each query and for each sub-request, of which a request has
-            // `backends`. Divided by their number, the retries of all backends together stay within the budget of the
-            // settings, which therefore holds at each backend even where all retries go to one.
+            // `backends`. Dividing by their number keeps the retries of all backends together within the budget of the
+            // settings, which therefore holds at each backend even if all retries go to one.
             ratio: BUDGET_UTILIZATION * settings.retry_ratio / (1 + backends) as f64,
             window: tenth_millis(settings.retry_window.as_millis() as f64),
         }),
--- a/crates/linenthread-dataplane/src/dispatcher/query.rs
+++ b/crates/linenthread-dataplane/src/dispatcher/query.rs
@@ -1,5 +1,5 @@
-//! A client's request as a query to one backend or several: its sub-requests, what has arrived for them, and the
-//! response that follows from it.
+//! A client's request as a query to one or more backends: its sub-requests, the responses received for them, and the
+//! response to the client.
 
 use std::rc::Rc;
 
@@ -12,9 +12,9 @@
 use crate::outcome::{SendState, may_retry};
 use crate::pool::{CompletedAttempt, ReplicaRequest, ReplicaResponse};
 use crate::response::{Response, SubRequestResponses};
-use crate::usage_rule::{UsageRule, began_requests};
+use crate::usage_rule::{UsageRule, requests_started};
 
-/// The number of a query among all of its dispatcher, from 1.
+/// The number of a query within its dispatcher, from 1.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct SequenceNumber(pub(super) u64);
 
@@ -24,14 +24,14 @@
     }
 }
 
-/// Which query: its index, which is used again after its end, and its sequence number, which is not.
+/// Identifies a query by its index, which is reused after its end, and its sequence number, which is not.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct QueryId {
     pub(super) index: QueryIndex,
     pub(super) sequence_number: SequenceNumber,
 }
 
-/// Which attempt: its query, its sub-request, and its number among those of the sub-request.
+/// Identifies an attempt by its query, its sub-request, and its number within the sub-request.
 #[derive(Clone, Copy)]
 pub(super) struct AttemptKey {
     pub(super) query: QueryId,
@@ -39,17 +39,18 @@
     pub(super) attempt: usize,
 }
 
-/// What goes to one backend, and its attempts.
+/// The part of a query that is sent to one backend, with its attempts.
 #[derive(Default)]
 struct SubRequest {
     response: Option<ReplicaResponse>,
     attempts: usize,
-    /// Attempts that may have run: all that are in flight, and those that ended without proof that they did not run.
+    /// The number of attempts that may have run: those in flight, and those that ended without proof that they did not
+    /// run.
     may_have_run: usize,
 }
 
 impl SubRequest {
-    /// The furthest that any of its attempts got.
+    /// Returns how far any of the attempts got at most.
     fn furthest_send_state(&self) -> SendState {
         match (self.may_have_run, self.attempts) {
             (0, 0) => SendState::NotSent,
@@ -59,18 +60,18 @@
     }
 }
 
-/// A query that has not completed.
+/// A query that has not ended.
 pub(super) struct OpenQuery {
     pub(super) sequence_number: SequenceNumber,
     pub(super) request: Rc<ReplicaRequest>,
     pub(super) resolved: Rc<ResolvedRoute>,
-    /// None once the client has its response.
+    /// `None` once the response was sent.
     client: Option<oneshot::Sender<Response>>,
     sub_requests: SmallVec<[SubRequest; 4]>,
-    /// A replica's own failure, which is forwarded where nothing better arrives.
+    /// An error response of a replica, which is forwarded if there is no success.
     failure: Option<ReplicaResponse>,
-    /// Attempts that have ended and may have run.
-    begun_attempts: usize,
+    /// The number of attempts that have ended and may have run.
+    ended_may_have_run: usize,
     _open: CounterGuard,
 }
 
@@ -92,13 +93,13 @@
                 .map(|_| SubRequest::default())
                 .collect(),
             failure: None,
-            begun_attempts: 0,
+            ended_may_have_run: 0,
             _open: open,
         }
     }
 
-    /// Counts one more attempt of a sub-request, and says whether it may be sent.
-    pub(super) fn begin_attempt(&mut self, sub_request: SubRequestIndex) -> BegunAttempt {
+    /// Registers a new attempt of a sub-request, and determines whether it may be sent.
+    pub(super) fn register_attempt(&mut self, sub_request: SubRequestIndex) -> RegisteredAttempt {
         let sub_request = &mut self.sub_requests[sub_request.0];
         let safety = if may_retry(self.resolved.route.mode, sub_request.furthest_send_state()) {
             sub_request.may_have_run += 1;
@@ -108,10 +109,10 @@
         };
         let number = sub_request.attempts;
         sub_request.attempts += 1;
-        BegunAttempt { number, safety }
+        RegisteredAttempt { number, safety }
     }
 
-    /// Records how an attempt completed; how many requests began with it, for usage reports.
+    /// Records the end of an attempt. Returns how many started requests to count for it in usage reports.
     pub(super) fn end_attempt(
         &mut self,
         sub_request: SubRequestIndex,
@@ -119,9 +120,10 @@
     ) -> u64 {
         let sub_request = &mut self.sub_requests[sub_request.0];
         let send_state = completed.outcome.send_state;
-        let began = began_requests(UsageRule::IN_FORCE, send_state, self.begun_attempts);
+        let started_requests =
+            requests_started(UsageRule::IN_FORCE, send_state, self.ended_may_have_run);
         if send_state == SendState::MayHaveRun {
-            self.begun_attempts += 1;
+            self.ended_may_have_run += 1;
         } else {
             sub_request.may_have_run -= 1;
         }
@@ -132,10 +134,10 @@
             Some(response) => self.failure = Some(response),
             None => {}
         }
-        began
+        started_requests
     }
 
-    /// Responds with what has arrived: the replica's own, or the merged records of all sub-requests.
+    /// Responds with the responses received: the one replica's response, or the merged records of all sub-requests.
     pub(super) fn complete(&mut self) {
         if self.client.is_none() {
             return;
@@ -154,7 +156,7 @@
         }
     }
 
-    /// Responds that the query is abandoned: with a replica's own failure, if there was one.
+    /// Abandons the query: forwards a replica's error response if there is one, else responds with an error status.
     pub(super) fn abandon(&mut self, retry_after: Option<TenthMillis>) {
         if self.client.is_none() {
             return;
@@ -188,7 +190,7 @@
         })
     }
 
-    /// The first response is the client's; a client that has left gets none.
+    /// Sends the response, unless one was sent before or the client has disconnected.
     fn respond(&mut self, response: Response) {
         if let Some(client) = self.client.take() {
             let _ = client.send(response);
@@ -196,18 +198,18 @@
     }
 }
 
-/// An attempt that is counted and not sent yet.
-pub(super) struct BegunAttempt {
-    /// Its number among those of the sub-request, from 0.
+/// An attempt that is registered but not yet sent.
+pub(super) struct RegisteredAttempt {
+    /// Its number within the sub-request, from 0.
     pub(super) number: usize,
     pub(super) safety: SendSafety,
 }
 
-/// Whether an attempt may be sent, by what was observed of the earlier ones of its sub-request.
+/// Whether an attempt may be sent, judging by the earlier attempts of its sub-request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum SendSafety {
-    /// No earlier one can have run, or the route allows it to run twice.
+    /// No earlier attempt can have run, or the route allows a second run.
     Safe,
-    /// An earlier one may have run and the route does not allow a second run: it must not be sent.
+    /// An earlier attempt may have run and the route does not allow a second run, so this one must not be sent.
     MayRunTwice,
 }
--- a/crates/linenthread-dataplane/src/dispatcher/replica_slots.rs
+++ b/crates/linenthread-dataplane/src/dispatcher/replica_slots.rs
@@ -1,4 +1,4 @@
-//! The indices under which the decision module knows replicas.
+//! Maps replicas to the indices that the decision module uses for them.
 
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -9,14 +9,14 @@
 use crate::pool::ReplicaPool;
 use crate::transport::Connector;
 
-/// The index of a replica that has departed.
+/// The index of a departed replica.
 struct DepartedReplica {
     replica: ReplicaIndex,
-    /// The last query that was opened before.
+    /// The newest query at the time of the departure.
     last_query: SequenceNumber,
 }
 
-/// The pools of the replicas by index, and the indices by the replicas' ids.
+/// Pools by replica index, and indices by replica id.
 pub(super) struct ReplicaSlots<C: Connector> {
     pools: Vec<Rc<ReplicaPool<C>>>,
     indices: HashMap<String, ReplicaIndex>,
@@ -38,8 +38,8 @@
         &self.pools[replica.0]
     }
 
-    /// Applies the status of a replica; its index, unless it is unknown and has departed already. `last_query`
-    /// is the last query that was opened.
+    /// Applies the status of a replica and returns its index; `None` if the replica is unknown and has already
+    /// departed. `last_query` is the newest query.
     pub(super) fn update(
         &mut self,
         pool: &Rc<ReplicaPool<C>>,
@@ -56,7 +56,7 @@
         Some(replica)
     }
 
-    /// The index of a replica, which gets one if it is new and has not departed.
+    /// Returns the index of a replica, and assigns one if the replica is new and has not departed.
     fn index_of(&mut self, pool: &Rc<ReplicaPool<C>>) -> Option<ReplicaIndex> {
         if let Some(known) = self.indices.get(pool.id()) {
             return Some(*known);
@@ -75,13 +75,13 @@
         Some(replica)
     }
 
-    /// Whether an index waits to be free again.
+    /// Reports whether indices of departed replicas are still to be freed.
     pub(super) fn has_departed(&self) -> bool {
         !self.departed.is_empty()
     }
 
-    /// Frees the indices of replicas that departed before the oldest open query was opened, since no query can
-    /// name them any more; of all that departed, where no query is open.
+    /// Frees the indices of replicas that departed before the oldest open query was opened, since no query can refer
+    /// to them any more. If no query is open, frees those of all departed replicas.
     pub(super) fn free_departed(&mut self, oldest_open_query: Option<SequenceNumber>) {
         let (pools, indices, free) = (&self.pools, &mut self.indices, &mut self.free);
         self.departed.retain(|departed| {
--- a/crates/linenthread-dataplane/src/dispatcher/state.rs
+++ b/crates/linenthread-dataplane/src/dispatcher/state.rs
@@ -1,4 +1,4 @@
-//! What a dispatcher owns: the decision module, the open queries and the replicas that they may go to.
+//! The state of a dispatcher: the decision module, the open queries and the replicas they may be sent to.
 
 use linenthread_config::Settings;
 use linenthread_core::Coordinator;
@@ -12,14 +12,13 @@
 use crate::clock;
 use crate::transport::Connector;
 
-/// A dispatcher's tables.
 pub(super) struct State<C: Connector> {
     pub(super) coordinator: Coordinator,
-    /// Decides in the coordinator's place where only its cost is to be measured.
+    /// Replaces the coordinator, to measure the coordinator's cost.
     pass_through: Option<PassThrough>,
-    /// The kinds of queries that the coordinator knows as its search indexes, in their order.
+    /// The kinds of queries, each at the position of its search index in the coordinator.
     query_kinds: Vec<IndexConfig>,
-    /// What arrived since the last step.
+    /// Inputs since the last step.
     pub(super) inputs: Inputs,
     pub(super) replicas: ReplicaSlots<C>,
     queries: Vec<Option<OpenQuery>>,
@@ -47,7 +46,7 @@
         }
     }
 
-    /// One step of the decision module on all that arrived; its decisions.
+    /// Runs one step of the decision module on the collected inputs and returns its decisions.
     pub(super) fn decide(&mut self) -> Vec<Decision> {
         self.inputs.now = clock::now_tenth_millis();
         let inputs = std::mem::take(&mut self.inputs);
@@ -59,7 +58,7 @@
         std::mem::take(&mut self.decisions.list)
     }
 
-    /// The search index that stands for a kind of query; one is added if the kind is new.
+    /// Returns the search index that represents a kind of query, and adds one for a new kind.
     pub(super) fn search_index_for(&mut self, kind: IndexConfig) -> SearchIndex {
         if let Some(known) = self.query_kinds.iter().position(|known| *known == kind) {
             return SearchIndex(known);
@@ -68,7 +67,7 @@
         self.coordinator.add_index(kind)
     }
 
-    /// An index that no open query has.
+    /// Returns an index that no open query uses.
     pub(super) fn free_query_index(&mut self) -> QueryIndex {
         self.free_queries.pop().unwrap_or_else(|| {
             self.queries.push(None);
@@ -80,32 +79,32 @@
         self.queries[index.0] = Some(query);
     }
 
-    /// The query that has an index now, if one is open.
+    /// Returns the open query at an index, if there is one.
     pub(super) fn query_at(&mut self, index: QueryIndex) -> Option<&mut OpenQuery> {
         self.queries.get_mut(index.0)?.as_mut()
     }
 
-    /// Does this to the query that has an index now, if one is open.
-    pub(super) fn with_query(&mut self, index: QueryIndex, act: impl FnOnce(&mut OpenQuery)) {
+    /// Applies `action` to the open query at an index, if there is one.
+    pub(super) fn with_query(&mut self, index: QueryIndex, action: impl FnOnce(&mut OpenQuery)) {
         if let Some(query) = self.query_at(index) {
-            act(query);
+            action(query);
         }
     }
 
-    /// A query, unless it has ended.
+    /// Returns the query with this id, unless it has ended.
     pub(super) fn query(&mut self, id: QueryId) -> Option<&mut OpenQuery> {
         self.query_at(id.index)
             .filter(|query| query.sequence_number == id.sequence_number)
     }
 
-    /// Ends a query: its index is free.
+    /// Ends a query and frees its index.
     pub(super) fn release_query(&mut self, index: QueryIndex) {
         if self.queries[index.0].take().is_some() {
             self.free_queries.push(index);
         }
     }
 
-    /// Frees the indices of replicas that no open query can name any more.
+    /// Frees the indices of departed replicas that no open query can refer to any more.
     pub(super) fn free_departed_replicas(&mut self) {
         if !self.replicas.has_departed() {
             return;
--- a/crates/linenthread-dataplane/src/lib.rs
+++ b/crates/linenthread-dataplane/src/lib.rs
@@ -1,5 +1,5 @@
-//! The traffic path of an ingress node: clients' connections, the dispatchers that hand requests to the decision
-//! module, and the connections to replicas.
+//! The request path of an ingress node: client connections, the dispatchers that feed requests to the decision module,
+//! and the connections to replicas.
 //!
 //! ```text
 //! client -> server (receive, forward) -> data_plane -> dispatcher <-> decision module
@@ -7,13 +7,12 @@
 //! client <- server (respond) <- response <- query <----- pool (exchange) <-> replica
 //! ```
 //!
-//! All input and output goes through the traits in [`transport`] and all time through `tokio::time`, so that the
-//! same code runs in the daemon over TCP and in the simulator over connections in memory with a paused clock. This
-//! package knows nothing of control nodes or operators: whoever runs it hands it configurations, replicas and
-//! quotas. What ties a response to its request, and what keeps a request that is not idempotent from running
-//! twice, is written down in `docs/dataplane-safety.md`.
+//! All I/O goes through the traits in [`transport`] and all time through `tokio::time`, so that the same code runs in
+//! the daemon over TCP and in the simulator over in-memory connections with a paused clock. This package knows nothing
+//! of control nodes or operators: its caller supplies configurations, replicas and quotas. `docs/dataplane-safety.md`
+//! describes how a response is matched to its request, and what keeps a non-idempotent request from running twice.
 //!
-//! Start reading at [`DataPlane`] and [`serve`]; the rules of retries are in [`outcome`].
+//! Start reading at [`DataPlane`] and [`serve`]; the retry rules are in [`outcome`].
 
 mod agreed_clock;
 pub mod clock;
@@ -43,4 +42,4 @@
 pub use server::serve;
 pub use shutdown::ClosingWatch;
 pub use usage_counter::UsageCounter;
-pub use usage_rule::{UsageRule, began_requests};
+pub use usage_rule::{UsageRule, requests_started};
--- a/crates/linenthread-dataplane/src/outcome.rs
+++ b/crates/linenthread-dataplane/src/outcome.rs
@@ -1,30 +1,31 @@
-//! What became of an attempt, derived from what was observed on its connection.
+//! The outcome of an attempt, derived from what was observed on its connection.
 //!
-//! This is the one place that decides whether an attempt may have run ([`SendState`]). Whether its sub-request may be
-//! sent again is decided twice, so that one mistake does not make a request run twice:
+//! Only this module decides whether an attempt may have run ([`SendState`]). Whether its sub-request may be sent again
+//! is checked twice, so that a single fault cannot make a request run twice:
 //!
-//! - by the decision module (`send_guard` in `linenthread-core`), which knows the [`AttemptOutcome`] alone and asks
+//! - by the decision module (`send_guard` in `linenthread-core`), which knows only the [`AttemptOutcome`] and asks
 //!   [`AttemptOutcome::never_ran`];
-//! - by the dispatcher, which asks [`may_retry`] about the [`SendState`] before it hands an attempt to a pool.
+//! - by the dispatcher, which asks [`may_retry`] about the [`SendState`] before it passes an attempt to a pool.
 //!
-//! [`Outcome::of`] derives both from the same observation; for each one they agree.
+//! [`Outcome::of`] derives both from the same observation, and they agree for every observation.
 
 use linenthread_config::Mode;
 use linenthread_core::interface::AttemptOutcome;
 use linenthread_http::Head;
 
-/// How far an attempt got, the least first.
+/// How far an attempt got, in ascending order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum SendState {
-    /// No byte of it left this process.
+    /// No byte of the request left this process.
     NotSent,
-    /// Its replica, or the one that has its address now, says that it did not run it.
+    /// The replica, or another one that now has its address, states that it did not run the request.
     Rejected,
-    /// All else: it may be running, have run, or run later.
+    /// Any other case: the request may be running, may have run, or may run later.
     MayHaveRun,
 }
 
-/// Whether an attempt may be sent, where earlier ones of the same sub-request got no further than `furthest`.
+/// Reports whether an attempt may be sent when earlier attempts of the same sub-request got no further than
+/// `furthest`.
 pub fn may_retry(mode: Mode, furthest: SendState) -> bool {
     match (mode, furthest) {
         (Mode::Idempotent, _) | (Mode::Mutating, SendState::NotSent | SendState::Rejected) => true,
@@ -35,60 +36,60 @@
 /// Whether a connection carried earlier requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectionAge {
-    /// This is its first request: nothing that arrives on it can belong to another.
+    /// The attempt is the first on the connection: nothing that arrives can belong to an earlier request.
     New,
-    /// A surplus response to an earlier request may still arrive on it.
+    /// An unsolicited extra response to an earlier request may still arrive.
     Reused,
 }
 
-/// What a replica's response is used for.
+/// How a replica's response is used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ResponseUse {
-    /// It is the client's response, as it stands.
+    /// The response goes to the client unchanged.
     Forwarded,
-    /// It is merged with those of other backends, so only a success is of use.
+    /// The response is merged with those of other backends, so only a success is usable.
     Merged,
 }
 
-/// What was observed of an attempt.
+/// What was observed on the connection of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WireEvent {
-    /// The replica has as many connections of this process as it may.
+    /// This process already has the maximum number of connections to the replica.
     PoolExhausted,
-    /// No connection was made in time.
+    /// No connection was established in time.
     ConnectFailed,
     /// The connection failed, or accepted nothing, before a byte of the request was written.
     NothingWritten,
     /// The connection failed, or stopped accepting bytes, after some were written.
     WriteTruncated,
-    /// Closed or reset before a byte of a response arrived.
+    /// The connection was closed or reset before any byte of a response arrived.
     ClosedBeforeResponse,
-    /// Closed or reset within a response, head or body.
+    /// The connection was closed or reset within the head or the body of a response.
     ResponseTruncated,
-    /// No complete response in time.
+    /// No complete response arrived in time.
     TimedOut,
-    /// What arrived is not a response in the protocol, or is longer than any is.
+    /// The received bytes are not a valid response, or exceed the size limits.
     Malformed,
-    /// A response arrived that is not known to be this request's.
+    /// A response arrived that cannot be matched to this request.
     Unattributed,
-    /// Another replica has the address: it says which.
+    /// Another replica now has the address and identifies itself.
     Misdirected,
-    /// The replica says that it did not run it.
+    /// The replica states that it did not run the request.
     NotExecuted,
     /// A success with the replica's seal.
     Success,
-    /// A success without a seal: nothing that may be forwarded.
+    /// A success without a seal, which must not be forwarded.
     Unsealed,
-    /// The replica rejects the request itself (3xx, 4xx).
+    /// The replica rejects the request as such (3xx, 4xx).
     RequestRejected,
-    /// The replica's own failure (5xx).
+    /// The replica failed (5xx).
     ServerError,
 }
 
 impl WireEvent {
-    /// Whether a complete response proves that its connection is in step: the next response on it will be that of the
-    /// next request.
-    pub(crate) fn leaves_connection_in_step(self) -> bool {
+    /// Reports whether, after a complete response, the connection is known to be in sync: the next response on it will
+    /// belong to the next request.
+    pub(crate) fn leaves_connection_in_sync(self) -> bool {
         !matches!(self, WireEvent::Unattributed | WireEvent::Misdirected)
     }
 }
@@ -96,14 +97,14 @@
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Outcome {
-    /// For the decision module, which judges the replica by it.
+    /// The outcome as the decision module sees it, which rates the replica by it.
     pub attempt_outcome: AttemptOutcome,
-    /// How far it got, for the rules of retries ([`may_retry`]).
+    /// How far the attempt got, for the retry rules ([`may_retry`]).
     pub send_state: SendState,
 }
 
 impl Outcome {
-    /// The outcome of an attempt on such a connection, of which this was observed.
+    /// Derives the outcome of an attempt from an observation on a connection of this age.
     pub fn of(event: WireEvent, age: ConnectionAge, response_use: ResponseUse) -> Outcome {
         Outcome {
             attempt_outcome: attempt_outcome(event, age, response_use),
@@ -112,7 +113,6 @@
     }
 }
 
-/// How far an attempt got of which this was observed.
 fn send_state(event: WireEvent) -> SendState {
     match event {
         WireEvent::PoolExhausted | WireEvent::ConnectFailed | WireEvent::NothingWritten => {
@@ -132,7 +132,7 @@
     }
 }
 
-/// What the decision module gets to know of an attempt: what counts against its replica.
+/// Derives the outcome that the decision module sees, which determines what counts against the replica.
 fn attempt_outcome(
     event: WireEvent,
     age: ConnectionAge,
@@ -140,16 +140,16 @@
 ) -> AttemptOutcome {
     match event {
         WireEvent::PoolExhausted => AttemptOutcome::NotSent,
-        // Misdirected: another replica has the address now, so the one that was meant cannot be reached there, as if
-        // nobody had accepted the connection. A rejection would say that it is full and may be asked again soon.
+        // Misdirected: another replica has the address now, so the intended one cannot be reached there, as if the
+        // connection had been refused. `Rejected` would mean that it is overloaded and may be tried again soon.
         WireEvent::ConnectFailed | WireEvent::Misdirected => AttemptOutcome::ConnectFailed,
-        // A replica may close an idle connection at any time: only on a new one does that count against the replica.
+        // A replica may close an idle connection at any time, so this counts against it only on a new connection.
         WireEvent::NothingWritten => match age {
             ConnectionAge::New => AttemptOutcome::ConnectFailed,
             ConnectionAge::Reused => AttemptOutcome::NotSent,
         },
-        // The same holds here, but bytes were written, so it may have run and is not `NotSent`: an error counts as one
-        // failure and, unlike a lost connection, does not mark the replica down or suspect a crash.
+        // As above, but bytes were written, so the request may have run and the outcome is not `NotSent`. An error
+        // counts as one failure and, unlike a lost connection, neither marks the replica down nor suspects a crash.
         WireEvent::WriteTruncated | WireEvent::ClosedBeforeResponse => match age {
             ConnectionAge::New => AttemptOutcome::ConnectionLost,
             ConnectionAge::Reused => AttemptOutcome::Error,
@@ -157,13 +157,13 @@
         WireEvent::NotExecuted => AttemptOutcome::Rejected,
         WireEvent::TimedOut => AttemptOutcome::TimedOut,
         WireEvent::Success => AttemptOutcome::Success,
-        // The replica is well, and the client gets its response as it stands; there is nothing in it to merge.
+        // The replica is healthy, and the client gets the response unchanged; it contains nothing to merge.
         WireEvent::RequestRejected => match response_use {
             ResponseUse::Forwarded => AttemptOutcome::Success,
             ResponseUse::Merged => AttemptOutcome::Error,
         },
-        // The replica sent bytes, so it is up, yet nothing that can be used. A cut or malformed response counts like
-        // its own failure.
+        // The replica sent bytes, so it is up, but nothing usable. A truncated or malformed response counts like a
+        // failure of the replica.
         WireEvent::ServerError
         | WireEvent::Unsealed
         | WireEvent::ResponseTruncated
@@ -172,12 +172,12 @@
     }
 }
 
-/// What a complete response is to the request in flight on its connection. It is the request's own by its id, its
-/// connection and its order on it.
+/// Classifies a complete response. It is matched to the request in flight by its id, its connection and its position
+/// on the connection.
 ///
-/// Replicas repeat the id in every response to a request that they read. One without it answers what they did not
-/// read, or comes from before they looked: it is never forwarded, and its promise that nothing ran counts only
-/// where no earlier request on the connection can have caused it.
+/// Replicas echo the id in every response to a request that they read. A response without an id answers something that
+/// the replica did not read, or was sent before the replica read the request. It is never forwarded, and its statement
+/// that nothing ran counts only where no earlier request on the connection can have caused it.
 pub fn classify_response(
     head: &Head,
     request_id: &str,
@@ -185,18 +185,18 @@
     age: ConnectionAge,
 ) -> WireEvent {
     let id = Header::of(head, "x-attempt-id");
-    let is_own = id == Header::Once(request_id);
-    let is_foreign = !is_own && id != Header::Absent;
-    // A coded body is not the bytes that the replica sealed.
-    if is_foreign || head.header("content-encoding").is_some() {
+    let has_request_id = id == Header::Once(request_id);
+    let has_other_id = !has_request_id && id != Header::Absent;
+    // An encoded body differs from the bytes that the replica sealed.
+    if has_other_id || head.header("content-encoding").is_some() {
         return WireEvent::Unattributed;
     }
     let is_sealed = head.header("x-replica-seal").is_some();
-    let is_credible = (is_own || age == ConnectionAge::New) && !is_sealed;
+    let is_credible = (has_request_id || age == ConnectionAge::New) && !is_sealed;
     match head.status() {
         421 if is_credible && names_other_replica(head, replica_id) => WireEvent::Misdirected,
         400.. if is_credible && head.header("x-not-executed").is_some() => WireEvent::NotExecuted,
-        _ if !is_own => WireEvent::Unattributed,
+        _ if !has_request_id => WireEvent::Unattributed,
         200..=299 if is_sealed => WireEvent::Success,
         200..=299 => WireEvent::Unsealed,
         500.. => WireEvent::ServerError,
@@ -209,7 +209,7 @@
         .is_some_and(|other| other != replica_id)
 }
 
-/// A header that may be there once.
+/// The values of a header that must not be repeated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Header<'a> {
     Absent,
--- a/crates/linenthread-dataplane/src/pool.rs
+++ b/crates/linenthread-dataplane/src/pool.rs
@@ -1,8 +1,8 @@
-//! Connections to one replica, and the attempts that go over them.
+//! A connection pool for one replica, and the attempts sent over it.
 //!
-//! A connection is owned by one attempt at a time. It returns to the pool at one place only: after a complete
-//! response that is known to be that request's, with nothing behind it. On any other way out of an attempt it
-//! is dropped, which closes it. So no connection with an unanswered request is ever used again.
+//! Each connection is owned by one attempt at a time. It returns to the pool in one place only: after a complete
+//! response that is known to belong to that request, with no bytes after it. In any other case the attempt drops it,
+//! which closes it, so a connection with an unanswered request is never reused.
 
 mod exchange;
 mod leased;
@@ -25,34 +25,35 @@
 use crate::outcome::{ConnectionAge, Outcome, WireEvent, classify_response};
 use crate::transport::{Connector, TcpConnector};
 
-/// How long a replica that has departed is remembered, since late updates may still name it.
+/// How long a departed replica is retained, since late updates may still name it.
 const DEPARTED_RETENTION: Duration = Duration::from_secs(120);
 
-/// What service discovery says of a replica. Neither excludes the other: one that drained may depart, and return.
+/// The status of a replica in service discovery. The two flags are independent: a drained replica may depart, and
+/// return.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ReplicaStatus {
-    /// It has announced that it will end.
+    /// The replica has announced that it will shut down.
     pub draining: bool,
-    /// It is not registered any more.
+    /// The replica is no longer registered.
     pub departed: bool,
 }
 
-/// How an attempt ended, and the replica's response where it gave one that may be forwarded.
+/// The result of an attempt.
 pub struct CompletedAttempt {
-    /// How it ended.
+    /// How the attempt ended.
     pub outcome: Outcome,
-    /// Present only if a client may get it.
+    /// The replica's response; present only if it may be forwarded to a client.
     pub response: Option<ReplicaResponse>,
 }
 
 impl ReplicaStatus {
-    /// Whether it is registered and not about to end, so that connections to it are worth keeping.
+    /// Reports whether the replica is registered and not draining, so that idle connections to it are worth keeping.
     pub fn is_available(self) -> bool {
         !self.draining && !self.departed
     }
 }
 
-/// One incarnation of a replica and the connections to it.
+/// One incarnation of a replica, with the connections to it.
 pub struct ReplicaPool<C: Connector = TcpConnector> {
     id: String,
     backend: Rc<str>,
@@ -60,7 +61,7 @@
     address: Cell<SocketAddr>,
     connector: C,
     status: Cell<ReplicaStatus>,
-    /// When its departure, or its return, was last learned.
+    /// When the status last changed.
     departure_changed_at: Cell<Instant>,
     max_connections: Cell<usize>,
     idle: RefCell<Vec<IdleConnection<C>>>,
@@ -68,7 +69,7 @@
 }
 
 impl<C: Connector> ReplicaPool<C> {
-    /// A pool with no connection yet, of a replica of this backend at this address.
+    /// Creates a pool without connections for a replica of this backend at this address.
     pub fn new(
         replica: &linenthread_messages::Replica,
         backend: Rc<str>,
@@ -92,51 +93,51 @@
         }
     }
 
-    /// The replica's own id.
+    /// Returns the replica's id.
     pub fn id(&self) -> &str {
         &self.id
     }
 
-    /// The backend that it belongs to.
+    /// Returns the name of the replica's backend.
     pub fn backend(&self) -> &Rc<str> {
         &self.backend
     }
 
-    /// The zone that it runs in.
+    /// Returns the replica's zone.
     pub fn zone(&self) -> &str {
         &self.zone
     }
 
-    /// Its status by the last update that named it.
+    /// Returns the status according to the last update that named the replica.
     pub fn status(&self) -> ReplicaStatus {
         self.status.get()
     }
 
-    /// Sets its status, by an update that names it.
+    /// Sets the status from an update that names the replica.
     pub fn set_status(&self, status: ReplicaStatus) {
         self.status.set(status);
         self.departure_changed_at.set(clock::now());
     }
 
-    /// Sets its address, by an update that names it. Nothing new goes to the former one; what is in flight there ends
-    /// there.
+    /// Sets the address from an update that names the replica. The former address gets no new requests, and
+    /// connections to it end with the requests in flight.
     pub fn set_address(&self, address: SocketAddr) {
         if self.address.replace(address) != address {
             self.close_idle();
         }
     }
 
-    /// Whether it departed so long ago that no update names it any more.
-    pub fn is_forgotten(&self, now: Instant) -> bool {
+    /// Reports whether the replica departed so long ago that no update names it any more.
+    pub fn is_past_retention(&self, now: Instant) -> bool {
         self.status().departed && now > self.departure_changed_at.get() + DEPARTED_RETENTION
     }
 
-    /// Limits the connections that this process may have to it.
+    /// Limits the connections of this process to the replica.
     pub fn set_max_connections(&self, max_connections: usize) {
         self.max_connections.set(max_connections);
     }
 
-    /// How many connections are idle.
+    /// Returns the number of idle connections.
     pub fn idle(&self) -> usize {
         self.idle.borrow().len()
     }
@@ -146,7 +147,7 @@
         self.idle.borrow_mut().clear();
     }
 
-    /// Closes the idle connections that the replica has closed, or is about to close.
+    /// Closes the idle connections that the replica has closed or is about to close.
     pub fn close_expired(&self) {
         let now = tokio::time::Instant::now();
         self.idle
@@ -154,22 +155,24 @@
             .retain(|connection| connection.is_usable(now));
     }
 
-    /// Sends one attempt, from its connection to its complete response.
+    /// Sends one attempt and waits for its complete response, for at most `timeout` plus a short allowance.
     pub async fn call(&self, request: &ReplicaRequest, timeout: Duration) -> CompletedAttempt {
         let deadline = tokio::time::Instant::now() + timeout;
         let response_use = request.response_use;
         let mut connection = match self.lease(request, timeout).await {
             Ok(connection) => connection,
-            // Whether the connection would have been new makes no difference where there is none.
-            Err(event) => return failed(Outcome::of(event, ConnectionAge::New, response_use)),
+            // Without a connection, its age makes no difference to the outcome.
+            Err(event) => {
+                return failed_attempt(Outcome::of(event, ConnectionAge::New, response_use));
+            }
         };
         let age = connection.age;
         let response = match exchange(&mut connection.http, request, &self.id, deadline).await {
             Ok(response) => response,
-            Err(event) => return failed(Outcome::of(event, age, response_use)),
+            Err(event) => return failed_attempt(Outcome::of(event, age, response_use)),
         };
         let event = classify_response(&response.head, &request.request_id, &self.id, age);
-        if event.leaves_connection_in_step() {
+        if event.leaves_connection_in_sync() {
             self.return_connection(connection, &response);
         }
         CompletedAttempt {
@@ -180,26 +183,26 @@
         }
     }
 
-    /// A connection for the request: an idle one, else a new one.
+    /// Returns a connection for the request: an idle one, or else a new one.
     async fn lease(
         &self,
         request: &ReplicaRequest,
         timeout: Duration,
     ) -> Result<LeasedConnection<C>, WireEvent> {
         let connection = if let Some(idle) = self.take_idle(request) {
-            idle.into_leased(self.in_use.enter())
+            idle.into_leased(self.in_use.increment())
         } else {
             self.reserve_capacity()?;
             let address = self.address.get();
             let transport = self.connect(address, timeout).await?;
-            LeasedConnection::new(transport, address, self.in_use.enter())
+            LeasedConnection::new(transport, address, self.in_use.increment())
         };
         request.add_connection(connection.id);
         Ok(connection)
     }
 
-    /// Makes sure that one more connection is allowed; if need be, closes the oldest idle one. Nothing is lost by that:
-    /// those that are still idle have all carried this request, so it cannot use them.
+    /// Checks that one more connection is allowed, and closes the oldest idle one if necessary. Any connections that
+    /// are still idle have already carried this request, so it could not use them anyway.
     fn reserve_capacity(&self) -> Result<(), WireEvent> {
         let max_connections = self.max_connections.get();
         let in_use = self.in_use.get();
@@ -213,7 +216,7 @@
         Ok(())
     }
 
-    /// The newest idle connection that is still usable and has not carried this request.
+    /// Takes the newest idle connection that is still usable and has not carried this request.
     fn take_idle(&self, request: &ReplicaRequest) -> Option<IdleConnection<C>> {
         let now = tokio::time::Instant::now();
         let mut idle = self.idle.borrow_mut();
@@ -241,7 +244,7 @@
         }
     }
 
-    /// Returns a connection to the pool, if it can carry another request.
+    /// Returns a connection to the pool if it can carry another request.
     fn return_connection(&self, connection: LeasedConnection<C>, response: &ReplicaResponse) {
         if !self.status().is_available() || connection.peer != self.address.get() {
             return;
@@ -252,8 +255,7 @@
     }
 }
 
-/// An attempt that brought no response.
-fn failed(outcome: Outcome) -> CompletedAttempt {
+fn failed_attempt(outcome: Outcome) -> CompletedAttempt {
     CompletedAttempt {
         outcome,
         response: None,
--- a/crates/linenthread-dataplane/src/pool/exchange.rs
+++ b/crates/linenthread-dataplane/src/pool/exchange.rs
@@ -1,4 +1,4 @@
-//! One request and its response on a connection, and the observation that each of its errors is.
+//! Exchanges one request and response on a connection, and maps errors to observations.
 
 use std::time::Duration;
 
@@ -10,12 +10,12 @@
 use crate::outcome::{ResponseUse, WireEvent};
 use crate::transport::ReplicaTransport;
 
-/// The longest head of a response, in bytes.
+/// Maximum length of a response head, in bytes.
 const MAX_HEAD_BYTES: usize = 16_384;
-/// The longest body of a response, in bytes.
+/// Maximum length of a response body, in bytes.
 const MAX_BODY_BYTES: usize = 8 << 20;
-/// How long a response is awaited after the time that the replica was given: a replica ends an attempt by itself then,
-/// and says so.
+/// How long to wait for a response beyond the time given to the replica: a replica ends an attempt by itself at that
+/// time, and responds accordingly.
 const RESPONSE_SLACK: Duration = Duration::from_millis(40);
 
 /// A replica's complete response.
@@ -27,7 +27,8 @@
 }
 
 impl ReplicaResponse {
-    /// Whether a client may get it: it has the replica's seal, and is a success if it is merged with others.
+    /// Reports whether the response may be forwarded to a client: it has the replica's seal, and is a success if it is
+    /// to be merged with others.
     pub(super) fn may_be_forwarded(&self, event: WireEvent, response_use: ResponseUse) -> bool {
         match event {
             WireEvent::Success => true,
--- a/crates/linenthread-dataplane/src/pool/leased.rs
+++ b/crates/linenthread-dataplane/src/pool/leased.rs
@@ -1,4 +1,4 @@
-//! Connections of a pool: idle ones, and those that an attempt has to itself.
+//! Connections of a pool: idle ones, and those leased to an attempt.
 
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -12,10 +12,10 @@
 use crate::outcome::ConnectionAge;
 use crate::transport::Connector;
 
-/// How long before the end that its replica announced a connection is no longer used.
+/// How long before the replica's announced idle time-out a connection is no longer used.
 const KEEP_ALIVE_MARGIN: Duration = Duration::from_millis(700);
 
-/// The identity of a connection within this thread; never used again.
+/// Identifies a connection within this thread; never reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct ConnectionId(u64);
 
@@ -29,17 +29,17 @@
     }
 }
 
-/// A connection that no request is in flight on.
+/// A connection without a request in flight.
 pub(super) struct IdleConnection<C: Connector> {
     http: HttpConnection<C::Transport>,
     pub(super) id: ConnectionId,
     peer: SocketAddr,
-    /// When to stop using it, where the replica announced that it will close it.
+    /// When to stop using the connection, if the replica announced an idle time-out.
     expires_at: Option<Instant>,
 }
 
 impl<C: Connector> IdleConnection<C> {
-    /// Whether nothing arrived on it since its last response, and it does not end soon.
+    /// Reports whether nothing has arrived since the last response and the connection does not expire soon.
     pub(super) fn is_usable(&self, now: Instant) -> bool {
         self.expires_at.is_none_or(|expires_at| now < expires_at) && self.http.is_idle()
     }
@@ -55,11 +55,11 @@
     }
 }
 
-/// A connection that one attempt has to itself. It counts as in use for as long as it lives.
+/// A connection leased to one attempt, which counts as in use until it is dropped.
 pub(super) struct LeasedConnection<C: Connector> {
     pub(super) http: HttpConnection<C::Transport>,
     pub(super) id: ConnectionId,
-    /// The address that it leads to.
+    /// The remote address.
     pub(super) peer: SocketAddr,
     pub(super) age: ConnectionAge,
     _in_use: CounterGuard,
@@ -80,8 +80,8 @@
         }
     }
 
-    /// Makes it ready for another request, if the replica keeps it open after a response with this head and no byte
-    /// follows the response. Where the end of the connection was the end of the response, it is not idle.
+    /// Converts to an idle connection if the replica keeps the connection open after a response with this head and no
+    /// bytes follow the response. A connection whose close delimited the response is not idle.
     pub(super) fn into_idle(self, last_response: &Head) -> Option<IdleConnection<C>> {
         if !last_response.keeps_alive() || !self.http.is_idle() {
             return None;
@@ -97,7 +97,7 @@
     }
 }
 
-/// How long the replica says that it keeps an idle connection.
+/// Returns the idle time-out that the replica announces in `Keep-Alive`.
 fn announced_idle_timeout(head: &Head) -> Option<Duration> {
     let parameters = head.header("keep-alive")?;
     let seconds = parameters
--- a/crates/linenthread-dataplane/src/pool/request.rs
+++ b/crates/linenthread-dataplane/src/pool/request.rs
@@ -1,4 +1,4 @@
-//! A client's request as it is sent to replicas.
+//! A client's request in the form sent to replicas.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -11,33 +11,32 @@
 use super::ConnectionId;
 use crate::outcome::ResponseUse;
 
-/// A request with no more attempts than this needs no allocation to remember their connections.
+/// The number of attempts whose connections are recorded without a heap allocation.
 const INLINE_ATTEMPTS: usize = 12;
-/// Space for the headers that are not among the client's, in bytes, without the replica's id and the tenant's name.
+/// Initial capacity for the headers added for each replica, in bytes, without the replica's id and the tenant's name.
 const REPLICA_HEADER_BYTES: usize = 96;
 
-/// A request on its way to replicas. All of them get the same bytes, but for two headers; the key of its tenant is not
-/// among them.
+/// A request to replicas. All replicas get the same bytes, except for two headers; the tenant's key is not included.
 pub struct ReplicaRequest {
-    /// The request line and the headers before those of the replica.
+    /// The request line and the headers before those added for each replica.
     head: Vec<u8>,
     /// The rest of the head, and the body.
     rest: Vec<u8>,
-    /// The client's id of the request.
+    /// The request's id, chosen by the client.
     pub(crate) request_id: String,
-    /// Whether the responses to it have a body.
+    /// Whether responses to this request have a body.
     pub(crate) body_presence: BodyPresence,
     pub(crate) response_use: ResponseUse,
     /// The tenant whose key the client sent, if any.
     pub(crate) tenant: Option<Rc<str>>,
-    /// The connections that carried it. A surplus response to an earlier attempt has the same id as the
-    /// response to the next one, so those two never share a connection.
+    /// The connections that carried attempts of this request. A surplus response to one attempt has the same id as the
+    /// response to the next, so two attempts never share a connection.
     connections: RefCell<SmallVec<[ConnectionId; INLINE_ATTEMPTS]>>,
 }
 
 impl ReplicaRequest {
-    /// A request whose responses have a body. `head` and `rest` are the bytes before and after the headers that each
-    /// replica gets of its own; whole lines.
+    /// Creates a request whose responses have a body. `head` and `rest` are the bytes before and after the headers
+    /// added for each replica; both consist of complete lines, apart from the body.
     pub fn new(
         head: Vec<u8>,
         rest: Vec<u8>,
@@ -55,14 +54,14 @@
         }
     }
 
-    /// The same request, with responses that have a body or have none.
+    /// Sets whether responses to the request have a body.
     #[must_use]
     pub fn with_body_presence(mut self, body_presence: BodyPresence) -> ReplicaRequest {
         self.body_presence = body_presence;
         self
     }
 
-    /// The same request, on behalf of a tenant.
+    /// Sets the tenant on whose behalf the request is sent.
     #[must_use]
     pub fn with_tenant(mut self, tenant: Option<Rc<str>>) -> ReplicaRequest {
         self.tenant = tenant;
@@ -77,7 +76,7 @@
         self.connections.borrow_mut().push(connection);
     }
 
-    /// The bytes of an attempt to this replica, with the time that is left for it.
+    /// Encodes an attempt at this replica, with the time that remains for it.
     pub(super) fn to_bytes(&self, replica_id: &str, remaining: Duration) -> Vec<u8> {
         let tenant = self.tenant.as_deref().unwrap_or_default();
         let variable = tenant.len() + replica_id.len();
--- a/crates/linenthread-dataplane/src/rejected_input.rs
+++ b/crates/linenthread-dataplane/src/rejected_input.rs
@@ -1,4 +1,4 @@
-//! Log lines about input that was rejected. Peers cause them, so their number is limited.
+//! Rate-limited log lines about rejected input. Peers cause these lines, so their number must be bounded.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -6,30 +6,30 @@
 
 use crate::clock;
 
-/// The most lines for one step in a second.
+/// Maximum number of lines per step and second.
 const MAX_LINES_PER_SECOND: u32 = 5;
 
-/// The lines for one step in the second of the last one.
+/// The number of lines for one step in the second of the latest line.
 #[derive(Clone, Copy, Default)]
-struct Logged {
+struct LineCount {
     second: u64,
     lines: u32,
 }
 
 thread_local! {
-    static LOGGED: RefCell<HashMap<&'static str, Logged>> = RefCell::default();
+    static LINE_COUNTS: RefCell<HashMap<&'static str, LineCount>> = RefCell::default();
 }
 
-/// Logs that what a peer sent was rejected, at which step and why; a few lines a second for each step.
+/// Logs that input of a peer was rejected, at which step and why; limited to a few lines a second per step.
 pub fn log_rejected_input(step: &'static str, peer: impl Display, cause: impl Display) {
     let second = clock::now().as_millis() / 1_000;
-    let lines = LOGGED.with_borrow_mut(|steps| {
-        let logged = steps.entry(step).or_default();
-        if logged.second != second {
-            *logged = Logged { second, lines: 0 };
+    let lines = LINE_COUNTS.with_borrow_mut(|steps| {
+        let count = steps.entry(step).or_default();
+        if count.second != second {
+            *count = LineCount { second, lines: 0 };
         }
-        logged.lines += 1;
-        logged.lines
+        count.lines += 1;
+        count.lines
     });
     if lines <= MAX_LINES_PER_SECOND {
         let (peer, cause) = (peer.to_string(), cause.to_string());
--- a/crates/linenthread-dataplane/src/replica_table.rs
+++ b/crates/linenthread-dataplane/src/replica_table.rs
@@ -1,4 +1,4 @@
-//! The replicas that service discovery names: their pools by id and by backend.
+//! The replicas known from service discovery: their pools by id and by backend.
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::net::SocketAddr;
@@ -10,19 +10,18 @@
 use crate::pool::{ReplicaPool, ReplicaStatus};
 use crate::transport::Connector;
 
-/// Connection pools of replicas.
 pub(crate) type Pools<C> = Vec<Rc<ReplicaPool<C>>>;
 
-/// What an update of replicas says of those that it leaves out.
+/// What an update of replicas implies for the replicas it does not list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UpdateScope {
-    /// It names all registered replicas: others have departed.
+    /// The update lists all registered replicas: any other replica has departed.
     Complete,
-    /// It names those that have changed.
+    /// The update lists only the replicas that changed.
     Changes,
 }
 
-/// All replicas that are remembered, departed ones too.
+/// All known replicas, including departed ones that are still retained.
 pub(crate) struct ReplicaTable<C: Connector> {
     connector: C,
     by_id: BTreeMap<String, Rc<ReplicaPool<C>>>,
@@ -38,7 +37,7 @@
         }
     }
 
-    /// Applies an update; the pools of the replicas whose status changed.
+    /// Applies an update and returns the pools of the replicas whose status changed.
     pub(crate) fn update(&mut self, replicas: &[Replica], scope: UpdateScope) -> Pools<C> {
         let mut changed: Pools<C> = replicas
             .iter()
@@ -51,7 +50,7 @@
         changed
     }
 
-    /// Applies the update of one replica; its pool, if its status changed.
+    /// Updates one replica and returns its pool if its status changed.
     fn update_one(&mut self, replica: &Replica) -> Option<Rc<ReplicaPool<C>>> {
         let status = ReplicaStatus {
             draining: replica.draining,
@@ -74,7 +73,7 @@
         Some(pool)
     }
 
-    /// A pool for a new replica, if its address can be read.
+    /// Adds a pool for a new replica, unless its address is invalid.
     fn add(&mut self, replica: &Replica) -> Option<Rc<ReplicaPool<C>>> {
         let address = replica.address.parse::<SocketAddr>().ok()?;
         let backend = match self.by_backend.get_key_value(replica.backend.as_str()) {
@@ -96,7 +95,7 @@
         Some(pool)
     }
 
-    /// Marks all replicas as departed that are not named; those that were not before.
+    /// Marks all replicas that are not `named` as departed, and returns those that were not departed before.
     fn depart_all_except(&self, named: &HashSet<&str>) -> Pools<C> {
         let departed: Pools<C> = self
             .by_id
@@ -113,7 +112,7 @@
         departed
     }
 
-    /// How many replicas have not departed.
+    /// Returns the number of replicas that have not departed.
     pub(crate) fn available(&self) -> usize {
         self.by_id
             .values()
@@ -121,7 +120,7 @@
             .count()
     }
 
-    /// The pools of these backends, in the backends' order.
+    /// Returns the pools of these backends, in the order of `backends`.
     pub(crate) fn pools_of(&self, backends: &[Rc<str>]) -> Pools<C> {
         backends
             .iter()
@@ -131,7 +130,7 @@
             .collect()
     }
 
-    /// Limits the connections to each replica by its backend.
+    /// Sets the connection limit of each replica according to its backend.
     pub(crate) fn limit_connections(&self, max_connections: impl Fn(&str) -> usize) {
         for (backend, pools) in &self.by_backend {
             let max_connections = max_connections(backend);
@@ -141,16 +140,16 @@
         }
     }
 
-    /// Closes connections that their replicas are about to close, and forgets replicas that departed long ago.
+    /// Closes idle connections that their replicas are about to close, and removes replicas that departed long ago.
     pub(crate) fn maintain(&mut self, now: Instant) {
         for pool in self.by_id.values() {
             pool.close_expired();
         }
         let known = self.by_id.len();
-        self.by_id.retain(|_, pool| !pool.is_forgotten(now));
+        self.by_id.retain(|_, pool| !pool.is_past_retention(now));
         if self.by_id.len() < known {
             for pools in self.by_backend.values_mut() {
-                pools.retain(|pool| !pool.is_forgotten(now));
+                pools.retain(|pool| !pool.is_past_retention(now));
             }
         }
     }
--- a/crates/linenthread-dataplane/src/response.rs
+++ b/crates/linenthread-dataplane/src/response.rs
@@ -1,4 +1,4 @@
-//! What a client gets.
+//! Responses to clients.
 
 use linenthread_core::interface::TenthMillis;
 use linenthread_http::{content_length, merge_top_records, write_decimal};
@@ -7,49 +7,46 @@
 use crate::outcome::SendState;
 use crate::pool::ReplicaResponse;
 
-/// Units of the decision module in a second.
+/// Time units of the decision module per second.
 const TENTHS_PER_SECOND: f64 = 10_000.0;
-/// The shortest wait that clients are advised, in seconds: the header has three decimal places.
+/// The shortest `Retry-After`, in seconds: the header has three decimal places.
 const MIN_RETRY_AFTER_SECONDS: f64 = 0.001;
-/// Space for the header lines of a forwarded response, in bytes.
+/// Initial capacity for the header lines of a forwarded response, in bytes.
 const FORWARDED_HEADER_BYTES: usize = 256;
 
-/// Space for the header lines of a merged response, in bytes, without the seals.
+/// Initial capacity for the header lines of a merged response without the seals, in bytes.
 const MERGED_HEADER_BYTES: usize = 128;
-/// Space for each seal of a merged response, in bytes.
+/// Initial capacity per seal of a merged response, in bytes.
 const SEAL_BYTES: usize = 64;
 
-/// The responses of the sub-requests that were answered.
+/// The responses of the sub-requests that succeeded.
 pub(crate) type SubRequestResponses<'a> = SmallVec<[&'a ReplicaResponse; 8]>;
 
-/// The length that the response to a `HEAD` states, for the body that it leaves out.
+/// The `Content-Length` of a response to a `HEAD`, which omits the body.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum OmittedLength {
-    /// That of the response's own body: it would be the same for a `GET`.
+    /// The length of the response's own body: it would be the same for a `GET`.
     OfBody,
     /// The length that the replica stated.
     Stated(u64),
-    /// Nobody knows it, so none is stated.
+    /// The length is unknown, so the header is omitted.
     Unknown,
 }
 
-/// A status, headers and a body.
 pub(crate) struct Response {
     pub(crate) status: u16,
-    /// Whole lines, without those of the connection and of the length.
+    /// Complete lines, without `Connection` and `Content-Length`.
     pub(crate) headers: Vec<u8>,
     pub(crate) body: Vec<u8>,
-    /// What a response to a `HEAD` states.
+    /// Determines `Content-Length` in a response to a `HEAD`.
     pub(crate) omitted_length: OmittedLength,
 }
 
 impl Response {
-    /// A status alone.
     pub(crate) fn empty(status: u16) -> Response {
         Response::with_headers(status, Vec::new())
     }
 
-    /// A status and headers, with no body.
     pub(crate) fn with_headers(status: u16, headers: Vec<u8>) -> Response {
         Response {
             status,
@@ -59,7 +56,7 @@
         }
     }
 
-    /// A replica's response as it arrived.
+    /// Forwards a replica's response unchanged.
     pub(crate) fn forwarded(response: ReplicaResponse) -> Response {
         let mut headers = Vec::with_capacity(FORWARDED_HEADER_BYTES);
         response.head.forward_headers(&mut headers, &[]);
@@ -71,8 +68,8 @@
         }
     }
 
-    /// The `limit` greatest records of the sub-requests that were answered, and how many of
-    /// `sub_request_count` are missing.
+    /// Merges responses into the `limit` greatest records, and states how many of the `sub_request_count` sub-requests
+    /// are missing.
     pub(crate) fn merged(
         request_id: &str,
         responses: &[&ReplicaResponse],
@@ -100,14 +97,14 @@
                 responses.iter().map(|response| response.body.as_slice()),
                 limit,
             ),
-            // Without the replicas' records the length of the merged ones is not known.
+            // Without the replicas' records, the length of the merged body is unknown.
             omitted_length: OmittedLength::Unknown,
         }
     }
 
-    /// The query was abandoned. `furthest` is how far the request got at any replica: only where nothing of it can have
-    /// run does the status (503) promise that, else it promises nothing (502). It says when to retry, if there is
-    /// advice.
+    /// Builds the response to an abandoned query. `furthest` is how far the request got at any replica: if nothing of
+    /// it can have run, the status is 503, which promises that; otherwise it is 502, which promises nothing. If
+    /// `retry_after` is present, the response says when to retry.
     pub(crate) fn abandoned(furthest: SendState, retry_after: Option<TenthMillis>) -> Response {
         let status = match furthest {
             SendState::NotSent | SendState::Rejected => 503,
@@ -121,7 +118,6 @@
     }
 }
 
-/// The length that a replica's response states.
 fn stated_length(response: &ReplicaResponse) -> OmittedLength {
     match content_length(&response.head) {
         Ok(Some(length)) => OmittedLength::Stated(length),
--- a/crates/linenthread-dataplane/src/retry_quota.rs
+++ b/crates/linenthread-dataplane/src/retry_quota.rs
@@ -1,23 +1,23 @@
-//! This process's part of the retry budget that all ingress nodes share.
+//! This process's share of the retry budget of all ingress nodes.
 
 use linenthread_time::Instant;
 
-/// How many retries this process may send, as the leader among the control nodes last granted it.
+/// The number of retries that this process may send, as last granted by the leader of the control nodes.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RetryQuota {
-    /// Retries in each window of the budget.
+    /// Retries per window of the budget.
     pub retries_per_window: f64,
-    /// When the grant ends; the quota is zero from then on.
+    /// When the grant expires; from then on the quota is zero.
     pub expires_at: Instant,
     /// The index of this process among the ingress nodes, from 0.
     pub ingress_index: usize,
-    /// How many ingress nodes there are; 0 while none is known.
+    /// The number of ingress nodes; 0 while none is known.
     pub ingress_count: usize,
-    /// The epoch of the leader lease under which it was granted.
+    /// The epoch of the leader lease under which the quota was granted.
     pub epoch: u64,
 }
 
-/// No retries, from before any grant.
+/// A quota of no retries, in force before the first grant.
 impl Default for RetryQuota {
     fn default() -> RetryQuota {
         RetryQuota {
--- a/crates/linenthread-dataplane/src/server.rs
+++ b/crates/linenthread-dataplane/src/server.rs
@@ -1,4 +1,4 @@
-//! Clients' connections, one request after another.
+//! Serves client connections, one request at a time per connection.
 
 mod credentials;
 mod forward;
@@ -24,12 +24,13 @@
 use crate::response::Response;
 use crate::transport::Connector;
 
-/// Advice to a client while there is no configuration yet, or none that is known to be the newest where it must be.
+/// Header of the 503 while there is no configuration yet, or while a route with keys requires one that is known to be
+/// current.
 const NO_CONFIGURATION_ADVICE: &[u8] = b"Retry-After: 0.5\r\n";
-/// What a request without a known key lacks.
+/// Header of the 401 for a request without a known key.
 const NEEDED_CREDENTIALS: &[u8] = b"WWW-Authenticate: Bearer\r\n";
 
-/// Serves one client's connection until either side ends it.
+/// Serves one client connection until either side closes it.
 pub async fn serve<S, C>(stream: S, peer: SocketAddr, plane: Rc<DataPlane<C>>)
 where
     S: AsyncRead + AsyncWrite + Unpin,
@@ -40,12 +41,12 @@
     let mut closing = plane.watch_closing();
     loop {
         let limits = request_limits(&plane);
-        let arrived = tokio::select! {
+        let readable = tokio::select! {
             biased;
-            arrived = http.wait_for_data(limits.idle_timeout) => arrived,
+            readable = http.wait_for_data(limits.idle_timeout) => readable,
             () = closing.closing() => return,
         };
-        if arrived.is_err() {
+        if readable.is_err() {
             return;
         }
         let _request = plane.count_request();
@@ -62,7 +63,7 @@
     }
 }
 
-/// The limits of the configuration in force; the usual ones while there is none.
+/// Returns the limits of the configuration in force, or the defaults while there is none.
 fn request_limits<C: Connector>(plane: &DataPlane<C>) -> RequestLimits {
     plane
         .routing_table()
@@ -71,7 +72,7 @@
         })
 }
 
-/// Rejects what is not a request, if the client is still connected.
+/// Responds to input that is not a valid request, if the client is still connected.
 async fn reject<S: AsyncRead + AsyncWrite + Unpin>(
     http: &mut HttpConnection<S>,
     peer: SocketAddr,
@@ -84,7 +85,7 @@
     }
 }
 
-/// Serves one request; whether the connection stays open.
+/// Serves one request and returns whether the connection stays open.
 async fn serve_request<S, C>(
     http: &mut HttpConnection<S>,
     request: &ClientRequest,
@@ -123,9 +124,9 @@
     }
 }
 
-/// Dispatches a request along its route, on behalf of the tenant whose key it carries; else the response that it is
-/// rejected with. Keys are looked up for each request in the configuration that is in force then, so that one that was
-/// taken away is rejected on open connections, too.
+/// Dispatches a request along its route on behalf of the tenant whose key it carries, or returns the response that
+/// rejects it. The key is looked up for every request in the configuration then in force, so that a revoked key is
+/// rejected on open connections, too.
 fn dispatch<C: Connector>(
     request: &ClientRequest,
     plane: &DataPlane<C>,
@@ -156,7 +157,7 @@
     Ok(plane.dispatch(Rc::new(replica_request), resolved, parameters))
 }
 
-/// The priority of a request: its tenant's, else that of its route.
+/// Returns the priority of the tenant, or else that of the route.
 fn priority(route: &Route, tenant: Option<&Tenant>) -> i64 {
     tenant
         .and_then(|tenant| tenant.priority)
--- a/crates/linenthread-dataplane/src/server/credentials.rs
+++ b/crates/linenthread-dataplane/src/server/credentials.rs
@@ -1,14 +1,13 @@
-//! The key that a request carries to say whose it is.
+//! Reads the tenant's key from a request.
 
 use linenthread_config::Credentials;
 use linenthread_http::Head;
 
-/// The header that carries the key.
 const AUTHORIZATION: &str = "authorization";
-/// The scheme of keys; its case does not matter.
+/// The authentication scheme, in lower case; it is compared without regard to case.
 const SCHEME: &[u8] = b"bearer";
 
-/// What a request says of whose it is.
+/// Returns the credentials of a request. A repeated header is invalid.
 pub(super) fn credentials(head: &Head) -> Credentials<'_> {
     let mut values = head.header_values(AUTHORIZATION);
     match (values.next(), values.next()) {
@@ -18,7 +17,7 @@
     }
 }
 
-/// The key of a value of the form `Bearer KEY`.
+/// Returns the key of a header value of the form `Bearer KEY`.
 fn bearer_key(value: &[u8]) -> Option<&[u8]> {
     let (scheme, rest) = value.split_at_checked(SCHEME.len())?;
     let key = rest.strip_prefix(b" ")?.trim_ascii();
--- a/crates/linenthread-dataplane/src/server/forward.rs
+++ b/crates/linenthread-dataplane/src/server/forward.rs
@@ -1,4 +1,4 @@
-//! A client's request as replicas get it, and what its headers say of it.
+//! Converts a client's request to the form sent to replicas.
 
 use linenthread_config::ResolvedRoute;
 use linenthread_core::interface::TenthMillis;
@@ -10,8 +10,8 @@
 use crate::outcome::ResponseUse;
 use crate::pool::ReplicaRequest;
 
-/// Headers that are not forwarded: they are this connection's, are written anew, or hold a secret. Replicas believe
-/// that `X-Client-Name` names the tenant, and never see its key.
+/// Headers that are not forwarded because they apply to the client connection only, are written anew, or hold a
+/// secret. Replicas trust `X-Client-Name` to name the tenant, and never see the tenant's key.
 const REPLACED_HEADERS: [&str; 6] = [
     "x-remaining-ms",
     "x-target-replica",
@@ -20,26 +20,26 @@
     "authorization",
     "x-client-name",
 ];
-/// Space for the head that goes to replicas, in bytes.
+/// Initial capacity for the head sent to replicas, in bytes.
 const HEAD_BYTES: usize = 256;
-/// Space for the line of the body's length, in bytes.
+/// Initial capacity for the `Content-Length` line, in bytes.
 const LENGTH_LINE_BYTES: usize = 32;
 
-/// What is wrong with the headers of a request.
+/// Why the headers of a request are invalid.
 #[derive(Debug, Snafu)]
 pub(super) enum HeaderError {
-    /// It has no id, or several.
+    /// The request has no id, or several.
     #[snafu(display("exactly one X-Attempt-Id is needed"))]
     AttemptId,
-    /// The time that the client leaves is not a number.
+    /// The client's remaining time is not a number.
     #[snafu(display("X-Remaining-Ms is not a number: {source}"))]
     RemainingTime {
-        /// Why.
+        /// The parse error.
         source: std::num::ParseIntError,
     },
 }
 
-/// The request as it goes to replicas.
+/// Builds the request that is sent to replicas.
 pub(super) fn to_replica_request(
     request: &ClientRequest,
     host: &str,
@@ -51,15 +51,15 @@
         None => ResponseUse::Forwarded,
     };
     let request = ReplicaRequest::new(
-        head_to_replicas(head, host),
-        rest_to_replicas(head, body),
+        encode_head(head, host),
+        encode_rest(head, body),
         request_id(head)?.to_owned(),
         response_use,
     );
     Ok(request.with_body_presence(head.response_body_presence()))
 }
 
-/// The moment at which a request ends: what the client leaves of its time, within the limit of the route.
+/// Returns the deadline of a request: the client's remaining time, at most the time-out of the route.
 pub(super) fn deadline(head: &Head, resolved: &ResolvedRoute) -> Result<TenthMillis, HeaderError> {
     let limit_ms = resolved.route.timeout_ms;
     let remaining_ms = match head.header("x-remaining-ms") {
@@ -69,7 +69,7 @@
     Ok(clock::now_tenth_millis() + clock::ms_to_tenth_millis(remaining_ms.min(limit_ms)))
 }
 
-/// The id by which the responses to the request are known.
+/// Returns the id that replicas echo in their responses to the request.
 fn request_id(head: &Head) -> Result<&str, HeaderError> {
     let is_only = head.header_values("x-attempt-id").count() == 1;
     head.header("x-attempt-id")
@@ -77,8 +77,8 @@
         .context(AttemptIdSnafu)
 }
 
-/// The head for replicas, up to the headers that each of them gets of its own.
-fn head_to_replicas(head: &Head, host: &str) -> Vec<u8> {
+/// Encodes the head for replicas, except for the headers that differ between replicas and the end of the head.
+fn encode_head(head: &Head, host: &str) -> Vec<u8> {
     let mut bytes = Vec::with_capacity(HEAD_BYTES);
     for piece in [
         head.method(),
@@ -94,8 +94,8 @@
     bytes
 }
 
-/// The end of the head, and the body.
-fn rest_to_replicas(head: &Head, body: &[u8]) -> Vec<u8> {
+/// Encodes the end of the head, and the body.
+fn encode_rest(head: &Head, body: &[u8]) -> Vec<u8> {
     let mut bytes = Vec::with_capacity(LENGTH_LINE_BYTES + body.len());
     if !body.is_empty() || !matches!(head.method(), "GET" | "HEAD" | "DELETE") {
         bytes.extend_from_slice(b"Content-Length: ");
--- a/crates/linenthread-dataplane/src/server/receive.rs
+++ b/crates/linenthread-dataplane/src/server/receive.rs
@@ -1,4 +1,4 @@
-//! Reading one request off a client's connection, within the limits of the configuration.
+//! Reads one request from a client connection, within the limits of the configuration.
 
 use std::time::Duration;
 
@@ -10,7 +10,7 @@
 
 use crate::connection::{ConnectionError, HttpConnection};
 
-/// A client that waits for leave to send the body accepts it within this time.
+/// A client that sent `Expect: 100-continue` must accept the interim response within this time.
 const CONTINUE_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// A complete request.
@@ -19,27 +19,26 @@
     pub(super) body: Vec<u8>,
 }
 
-/// Why no request could be read.
 #[derive(Debug, Snafu)]
 pub(super) enum ReceiveError {
-    /// The client has left or is too slow: there is nobody to respond to.
+    /// The client disconnected or is too slow, so no response can be sent.
     #[snafu(display("{source}"))]
     Connection {
-        /// What happened on the connection.
+        /// The failure of the connection.
         source: ConnectionError,
     },
-    /// It is malformed or longer than allowed.
+    /// The request is malformed or exceeds a limit.
     #[snafu(display("{step}: {source}"))]
     Rejected {
-        /// Where it was noticed.
+        /// What was being read or checked.
         step: &'static str,
-        /// What is wrong with it.
+        /// The parse error.
         source: ParseError,
     },
 }
 
 impl ReceiveError {
-    /// `step` names what was being read.
+    /// Converts an error that occurred at `step`.
     fn at(step: &'static str) -> impl FnOnce(ConnectionError) -> ReceiveError {
         move |error| match error {
             ConnectionError::Invalid { source } => ReceiveError::Rejected { step, source },
@@ -48,7 +47,7 @@
     }
 }
 
-/// The status that a request is rejected with.
+/// Returns the status of the response to an invalid request.
 pub(super) fn rejection_status(error: ParseError) -> u16 {
     match error {
         ParseError::Malformed => 400,
--- a/crates/linenthread-dataplane/src/server/respond.rs
+++ b/crates/linenthread-dataplane/src/server/respond.rs
@@ -1,4 +1,4 @@
-//! Writing a response to a client's connection.
+//! Writes responses to client connections.
 
 use std::time::Duration;
 
@@ -9,9 +9,9 @@
 use crate::connection::{ConnectionError, HttpConnection};
 use crate::response::{OmittedLength, Response};
 
-/// A client accepts a response within this time.
+/// A client must accept a response within this time.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(10);
-/// Space for the status line and the lines that are written here, in bytes.
+/// Initial capacity for the status line and the header lines written here, in bytes.
 const HEAD_BYTES: usize = 128;
 
 /// Whether the connection stays open after a response.
@@ -21,8 +21,8 @@
     Close,
 }
 
-/// Writes a response. Where the request wants no body, the length of the body that it would have is stated all the
-/// same, if it is known.
+/// Writes a response. If the request permits no body, the body is omitted, and `Content-Length` states the length it
+/// would have, if known.
 pub(super) async fn respond<S: AsyncRead + AsyncWrite + Unpin>(
     http: &mut HttpConnection<S>,
     response: &Response,
@@ -52,7 +52,7 @@
     http.write(&bytes, Instant::now() + WRITE_TIMEOUT).await
 }
 
-/// The length that the head states, if it states one.
+/// Returns the value of `Content-Length`, or `None` if the header is omitted.
 fn stated_length(response: &Response, body_presence: BodyPresence) -> Option<u64> {
     if matches!(response.status, 204 | 304) {
         return None;
--- a/crates/linenthread-dataplane/src/shutdown.rs
+++ b/crates/linenthread-dataplane/src/shutdown.rs
@@ -4,7 +4,7 @@
 
 use tokio::sync::watch;
 
-/// How far the shutdown of this process has come.
+/// The progress of this process's shutdown.
 pub(crate) struct Shutdown {
     is_draining: Cell<bool>,
     is_closing: watch::Sender<bool>,
@@ -18,12 +18,12 @@
         }
     }
 
-    /// First step: requests are still served, connections end with their next response.
+    /// First step: requests are still served, but each connection closes after its next response.
     pub(crate) fn begin_drain(&self) {
         self.is_draining.set(true);
     }
 
-    /// Second step: nothing new is accepted, and connections between two requests end.
+    /// Second step: no new connections are accepted, and connections without a request in flight close.
     pub(crate) fn close(&self) {
         self.is_closing.send_replace(true);
     }
@@ -41,9 +41,9 @@
 pub struct ClosingWatch(watch::Receiver<bool>);
 
 impl ClosingWatch {
-    /// Returns when nothing new may be accepted any more.
+    /// Returns once no new connections may be accepted.
     pub async fn closing(&mut self) {
-        // The sender's end is the end of the process, too.
+        // An error means that the sender was dropped: the process is exiting.
         let _ = self.0.wait_for(|is_closing| *is_closing).await;
     }
 }
--- a/crates/linenthread-dataplane/src/transport.rs
+++ b/crates/linenthread-dataplane/src/transport.rs
@@ -1,4 +1,4 @@
-//! Where connections to replicas come from: TCP in the daemon, memory in simulations and tests.
+//! Transports to replicas: TCP in the daemon, memory in simulations and tests.
 
 use std::future::Future;
 use std::io;
@@ -9,20 +9,20 @@
 
 /// A connection to a replica.
 pub trait ReplicaTransport: AsyncRead + AsyncWrite + Unpin + 'static {
-    /// Whether nothing can be read from it at this moment: no byte waits and the other side has not closed it. A
-    /// connection that was once not idle here is not used again, so the check may consume bytes.
+    /// Reports whether nothing can be read at this moment: no byte is pending and the peer has not closed the
+    /// connection. A connection for which this was once false is not used again, so the check may consume bytes.
     fn is_idle(&self) -> bool;
 }
 
 /// Opens connections to replicas.
 pub trait Connector: Clone + 'static {
-    /// The connections that it opens.
+    /// The type of connection that is opened.
     type Transport: ReplicaTransport;
 
-    /// Connects; the caller limits the time.
+    /// Connects to a replica. The caller applies a time-out.
     ///
     /// # Errors
-    /// No connection could be made.
+    /// Fails if no connection could be established.
     fn connect(&self, address: SocketAddr) -> impl Future<Output = io::Result<Self::Transport>>;
 }
 
--- a/crates/linenthread-dataplane/src/usage_counter.rs
+++ b/crates/linenthread-dataplane/src/usage_counter.rs
@@ -1,4 +1,4 @@
-//! How many requests of each tenant replicas began, by windows of the time of day.
+//! The number of requests of each tenant that replicas started, by window of wall-clock time.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -8,42 +8,42 @@
 
 use crate::agreed_clock::AgreedClock;
 
-/// How many windows are kept, the newest ones.
+/// The number of windows kept; older ones are dropped.
 const MAX_WINDOWS: usize = 16;
-/// How many requests are kept while the time of day is not known.
+/// The number of records kept while the wall-clock time is unknown.
 const MAX_UNASSIGNED: usize = 4_096;
 
 /// The requests of one tenant in one window.
 #[derive(Debug, Default)]
 struct Count {
     requests: u64,
-    /// It has risen since it was last sent.
+    /// Whether the count has risen since it was last sent.
     is_changed: bool,
 }
 
-/// Requests whose window is not known yet.
+/// Requests whose window is still unknown.
 #[derive(Debug)]
 struct Unassigned {
     tenant: Rc<str>,
-    began_at: Instant,
+    started_at: Instant,
     requests: u64,
 }
 
 type Window = BTreeMap<Rc<str>, Count>;
 
-/// Counts requests that replicas began: totals that only rise, by window and tenant.
+/// Counts requests that replicas started: totals by window and tenant, which only increase.
 #[derive(Debug)]
 pub struct UsageCounter {
     window_length: WindowLength,
     clock: AgreedClock,
     windows: BTreeMap<WindowNumber, Window>,
-    /// Requests from before the first sample of the clock.
+    /// Requests recorded before the first clock sample.
     unassigned: Vec<Unassigned>,
     dropped: u64,
 }
 
 impl UsageCounter {
-    /// Nothing counted yet, for windows of this length.
+    /// Creates an empty counter with windows of this length.
     pub fn new(window_length: WindowLength) -> UsageCounter {
         UsageCounter {
             window_length,
@@ -54,25 +54,29 @@
         }
     }
 
-    /// A message of a control node arrived at `now`; the control nodes' time was `agreed` when it was sent.
+    /// Records a message of a control node that arrived at `now` and was sent at time `agreed` of the control nodes.
     pub fn observe_agreed_time(&mut self, now: Instant, agreed: WallTime) {
         self.clock.observe(now, agreed);
         for unassigned in std::mem::take(&mut self.unassigned) {
-            self.record(&unassigned.tenant, unassigned.began_at, unassigned.requests);
+            self.record(
+                &unassigned.tenant,
+                unassigned.started_at,
+                unassigned.requests,
+            );
         }
     }
 
-    /// Replicas began so many requests of a tenant at this moment.
-    pub fn record(&mut self, tenant: &Rc<str>, began_at: Instant, requests: u64) {
+    /// Adds requests of a tenant that replicas started at `started_at`.
+    pub fn record(&mut self, tenant: &Rc<str>, started_at: Instant, requests: u64) {
         match self.clock.offset() {
             Some(offset) => {
-                let moment = offset.wall_time(began_at);
+                let moment = offset.wall_time(started_at);
                 let window = WindowNumber::of(moment, self.window_length);
                 self.count(window, tenant, requests);
             }
             None if self.unassigned.len() < MAX_UNASSIGNED => self.unassigned.push(Unassigned {
                 tenant: tenant.clone(),
-                began_at,
+                started_at,
                 requests,
             }),
             None => self.dropped += requests,
@@ -91,7 +95,8 @@
         }
     }
 
-    /// A window that is kept, or is kept from now on in place of the oldest one; `None` if it is too old.
+    /// Returns a window. A new one replaces the oldest if the limit is reached; `None` if the window is older than all
+    /// that are kept.
     fn open_window(&mut self, number: WindowNumber) -> Option<&mut Window> {
         if !self.windows.contains_key(&number) && self.windows.len() == MAX_WINDOWS {
             let oldest = self.windows.first_entry()?;
@@ -103,22 +108,22 @@
         Some(self.windows.entry(number).or_default())
     }
 
-    /// Whether no count is kept.
+    /// Reports whether no counts are kept.
     pub fn is_empty(&self) -> bool {
         self.windows.is_empty()
     }
 
-    /// All counts that are kept; none of them is changed any more.
+    /// Returns all counts and marks them as sent.
     pub fn all(&mut self) -> Vec<WindowCounts> {
         self.take(|_| true)
     }
 
-    /// The counts that have risen since they were last taken.
+    /// Returns the counts that have risen since they were last returned, and marks them as sent.
     pub fn take_changed(&mut self) -> Vec<WindowCounts> {
         self.take(|count| count.is_changed)
     }
 
-    /// The counts that are wanted, which are not changed any more; the oldest window first.
+    /// Returns the counts that `is_wanted` selects, oldest window first, and marks them as sent.
     fn take(&mut self, is_wanted: impl Fn(&Count) -> bool) -> Vec<WindowCounts> {
         let mut taken = Vec::new();
         for (number, window) in &mut self.windows {
@@ -137,7 +142,7 @@
         taken
     }
 
-    /// How many requests were not counted, or were counted and never sent, since the last call.
+    /// Returns the number of requests since the last call that were not counted, or whose counts were dropped unsent.
     pub fn take_dropped(&mut self) -> u64 {
         std::mem::take(&mut self.dropped)
     }
@@ -158,7 +163,7 @@
     }
 }
 
-/// The requests of tenants whose counts have risen since they were last sent.
+/// Sums the counts that have risen since they were last sent.
 fn unsent(window: &Window) -> u64 {
     window
         .values()
--- a/crates/linenthread-dataplane/src/usage_rule.rs
+++ b/crates/linenthread-dataplane/src/usage_rule.rs
@@ -1,24 +1,24 @@
-//! What counts as a request that replicas began.
+//! Which requests count as usage.
 
 use crate::outcome::SendState;
 
-/// How often a request counts for its tenant.
+/// How often a request counts towards its tenant's usage.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UsageRule {
-    /// Once, however many of its attempts may have run.
+    /// Once, regardless of how many of its attempts may have run.
     OncePerRequest,
-    /// Once for each of its attempts that may have run: retries, hedges and the parts of a fan-out.
+    /// Once per attempt that may have run: retries, hedges and the sub-requests of a fan-out.
     OncePerAttempt,
 }
 
 impl UsageRule {
-    /// The rule by which requests are counted.
+    /// The rule in force.
     pub const IN_FORCE: UsageRule = UsageRule::OncePerRequest;
 }
 
-/// How many requests began with an attempt that ended like this, where `earlier` attempts of the same request that may
-/// have run have ended before.
-pub fn began_requests(rule: UsageRule, send_state: SendState, earlier: usize) -> u64 {
+/// Returns how many requests to count for an attempt that ended in `send_state`. `earlier` is the number of attempts
+/// of the same request that have already ended and may have run.
+pub fn requests_started(rule: UsageRule, send_state: SendState, earlier: usize) -> u64 {
     let is_counted = match rule {
         UsageRule::OncePerRequest => earlier == 0,
         UsageRule::OncePerAttempt => true,
--- a/crates/linenthread-dataplane/src/zone_indices.rs
+++ b/crates/linenthread-dataplane/src/zone_indices.rs
@@ -1,22 +1,22 @@
-//! The indices under which the decision module knows zones.
+//! Maps zones to the indices that the decision module uses for them.
 
 use std::cell::RefCell;
 
 use linenthread_core::interface::ZoneRoute;
 
-/// To how many keys of a thousand each zone is open: all of them.
+/// The share of keys for which each zone may be used, per mille: all of them.
 const OPEN_PER_MILLE: u16 = 1_000;
 
-/// The names of the zones met so far; a zone's index is its position.
+/// The names of the zones seen so far; a zone's index is its position.
 pub(crate) struct ZoneIndices(RefCell<Vec<String>>);
 
 impl ZoneIndices {
-    /// Index 0 is the zone of this process.
+    /// Creates a table with the zone of this process at index 0.
     pub(crate) fn new(local: &str) -> ZoneIndices {
         ZoneIndices(RefCell::new(vec![local.to_owned()]))
     }
 
-    /// The index of a zone, which gets the next one if it is new.
+    /// Returns the index of a zone, and assigns the next one to a new zone.
     pub(crate) fn index_of(&self, zone: &str) -> usize {
         let mut zones = self.0.borrow_mut();
         zones
@@ -28,7 +28,7 @@
             })
     }
 
-    /// How each zone is to be used from here, by index: the local one first.
+    /// Returns the routes from this process to each zone, by index: the local zone first.
     pub(crate) fn routes(&self) -> Vec<ZoneRoute> {
         let route = |(index, zone): (usize, &String)| ZoneRoute {
             id: linenthread_hash::fnv1a_64(zone.as_bytes()),
--- a/crates/linenthread-dataplane/tests/usage_counter.rs
+++ b/crates/linenthread-dataplane/tests/usage_counter.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use linenthread_dataplane::outcome::SendState;
-use linenthread_dataplane::{UsageCounter, UsageRule, began_requests};
+use linenthread_dataplane::{UsageCounter, UsageRule, requests_started};
 use linenthread_messages::{TenantCount, WindowCounts};
 use linenthread_time::{Instant, WallTime, WindowLength};
 use yare::parameterized;
@@ -145,7 +145,7 @@
     once_per_request: u64,
     once_per_attempt: u64,
 ) {
-    let began = |rule| began_requests(rule, send_state, earlier);
-    assert_eq!(began(UsageRule::OncePerRequest), once_per_request);
-    assert_eq!(began(UsageRule::OncePerAttempt), once_per_attempt);
+    let started = |rule| requests_started(rule, send_state, earlier);
+    assert_eq!(started(UsageRule::OncePerRequest), once_per_request);
+    assert_eq!(started(UsageRule::OncePerAttempt), once_per_attempt);
 }
