--- a/crates/linenthread-dataplane/src/pool.rs
+++ b/crates/linenthread-dataplane/src/pool.rs
@@ -163,13 +163,13 @@
             Ok(connection) => connection,
             // Without a connection, its age makes no difference to the outcome.
             Err(event) => {
-                return failed_attempt(Outcome::of(event, ConnectionAge::New, response_use));
+                return failed(Outcome::of(event, ConnectionAge::New, response_use));
             }
         };
         let age = connection.age;
         let response = match exchange(&mut connection.http, request, &self.id, deadline).await {
             Ok(response) => response,
-            Err(event) => return failed_attempt(Outcome::of(event, age, response_use)),
+            Err(event) => return failed(Outcome::of(event, age, response_use)),
         };
         let event = classify_response(&response.head, &request.request_id, &self.id, age);
         if event.leaves_connection_in_sync() {
@@ -255,7 +255,7 @@
     }
 }
 
-fn failed_attempt(outcome: Outcome) -> CompletedAttempt {
+fn failed(outcome: Outcome) -> CompletedAttempt {
     CompletedAttempt {
         outcome,
         response: None,
--- a/crates/linenthread-dataplane/tests/agreed_clock.rs
+++ b/crates/linenthread-dataplane/tests/agreed_clock.rs
@@ -1,15 +1,15 @@
-//! The estimate of the agreed time from samples that are late, or off for a while.
+//! Tests of the agreed-time estimate with samples that are delayed or temporarily wrong.
 
 use linenthread_dataplane::AgreedClock;
 use linenthread_time::{ClockOffset, Instant, WallTime};
 use yare::parameterized;
 
-/// The true time of day at the start of the steady clock.
+/// The true wall-clock time at the start of the monotonic clock.
 const TRUE_START_MS: u64 = 1_767_225_600_000;
-/// Between two samples.
+/// The interval between samples.
 const INTERVAL_MS: u64 = 500;
 
-/// The error of the estimate in milliseconds after samples with these errors, one an interval.
+/// Returns the error of the estimate in milliseconds, after one sample with each of these errors per interval.
 fn error_after(sample_errors: &[i64]) -> i64 {
     let mut clock = AgreedClock::default();
     let mut now = Instant::START;
@@ -30,25 +30,25 @@
 
 #[parameterized(
     first = { &[-3], -3 },
-    least_delayed = { &[-9, -2, -7], -2 },
+    smallest_delay = { &[-9, -2, -7], -2 },
     late_at_first = { &[-2_000, -3], -3 },
     one_late = { &[-1, -1, -1, -1, -1, -1, -1, -1, -2_000], -1 },
     seven_late = { &[-1, -2, -2_000, -1_900, -1_800, -1_700, -1_600, -1_500, -1_400], -2 },
     one_ahead = { &[-1, -1, -1, -1, -1, -1, -1, -1, 5_000], -1 },
     seven_ahead = { &[-1, -1, -1, -1, -1, -1, -1, -1, 5_000, 5_000, 5_000, 5_000, 5_000, 5_000, 5_000], -1 },
     eight_ahead = { &[-1, -1, -1, -1, -1, -1, -1, -1, 5_000, 5_000, 5_000, 5_001, 5_000, 5_000, 5_000, 5_000], 5_001 },
-    eight_back = { &[0, 0, 0, 0, 0, 0, 0, 0, -5_000, -5_000, -5_000, -4_999, -5_000, -5_000, -5_000, -5_000], -4_999 },
-    ahead_and_back = { &[0, 0, 0, 0, 0, 0, 0, 0, 5_000, 5_000, 5_000, 5_000, 0, 0, 0, 0, 0, 0, 0, 0], 0 },
+    eight_behind = { &[0, 0, 0, 0, 0, 0, 0, 0, -5_000, -5_000, -5_000, -4_999, -5_000, -5_000, -5_000, -5_000], -4_999 },
+    temporarily_ahead = { &[0, 0, 0, 0, 0, 0, 0, 0, 5_000, 5_000, 5_000, 5_000, 0, 0, 0, 0, 0, 0, 0, 0], 0 },
     within_the_tolerance = { &[0, 0, 0, 0, 0, 0, 0, 0, 250], 250 },
     beyond_the_tolerance = { &[0, 0, 0, 0, 0, 0, 0, 0, 251], 0 },
     drift = { &[0, -1, -2, -3, -4, -5, -6, -7, -8, -9], -2 },
 )]
-fn the_greatest_sample_near_the_estimate_counts(sample_errors: &[i64], expected: i64) {
+fn the_largest_sample_within_the_tolerance_is_used(sample_errors: &[i64], expected: i64) {
     assert_eq!(error_after(sample_errors), expected);
 }
 
 #[test]
-fn offsets_differ_by_the_same_either_way() {
+fn the_difference_of_offsets_is_symmetric() {
     let offset = |wall| ClockOffset::between(Instant::START, WallTime::from_millis(wall));
     assert_eq!(offset(7).difference(offset(9)).as_millis(), 2);
     assert_eq!(offset(9).difference(offset(7)).as_millis(), 2);
--- a/crates/linenthread-dataplane/tests/golden.rs
+++ b/crates/linenthread-dataplane/tests/golden.rs
@@ -1,8 +1,8 @@
-//! The bytes that replicas and clients get, checked against bytes that an earlier version wrote.
+//! Checks the bytes sent to replicas and clients against those written by an earlier version.
 //!
 //! The file under `tests/golden/` was written by commit 464716d. It must never be regenerated to make a test pass:
-//! clients and replicas depend on these bytes. One line differs from that version: it gave `HEAD` a length of 0, and
-//! the test held it to that fault.
+//! clients and replicas depend on these bytes. One line differs from that version, which wrongly gave the response to
+//! a `HEAD` a length of 0.
 
 use std::cell::RefCell;
 use std::fmt::Write;
@@ -23,9 +23,9 @@
 #[derive(Clone, Copy)]
 struct Case {
     name: &'static str,
-    /// What the client sends.
+    /// The bytes that the client sends.
     request: &'static str,
-    /// What each replica answers.
+    /// The bytes of each replica's response.
     answer: &'static str,
 }
 
@@ -113,12 +113,12 @@
     },
 ];
 
-/// Retries that the ingress node may send: more than any case needs.
+/// The retry quota of the ingress node: more than any case needs.
 const RETRIES_PER_WINDOW: f64 = 100.0;
-/// What follows the start of a head that is too long.
+/// The number of bytes appended to a head to make it too long.
 const LONG_HEADER_BYTES: usize = 20_000;
 
-/// The bytes that each replica got, in the order of their arrival.
+/// The bytes that each replica received, in the order of arrival.
 type Received = Rc<RefCell<Vec<(u8, Vec<u8>)>>>;
 
 #[derive(Clone)]
@@ -151,11 +151,11 @@
     }
 }
 
-/// An ingress node with one replica of each backend.
+/// Creates an ingress node with one replica of each backend.
 fn ingress(answer: &'static str, received: &Received) -> Rc<DataPlane<Network>> {
     let network = Network::default();
     let plane = data_plane(1, network.clone(), RETRIES_PER_WINDOW);
-    let listed = (1u8..=4).map(|number| {
+    let registered = (1u8..=4).map(|number| {
         let address = SocketAddr::from(([10, 0, 0, number], 80));
         let replica = Replica {
             number,
@@ -170,12 +170,12 @@
             ..Default::default()
         }
     });
-    plane.update_replicas(&listed.collect::<Vec<_>>(), UpdateScope::Complete);
+    plane.update_replicas(&registered.collect::<Vec<_>>(), UpdateScope::Complete);
     plane
 }
 
-/// Plays one case: a line for what each replica got, and one for what the client got.
-async fn play(case: Case) -> String {
+/// Runs one case and returns one line per replica request and one for the response to the client.
+async fn run_case(case: Case) -> String {
     let Case {
         name,
         request,
@@ -189,10 +189,13 @@
     if name == "head_too_long" {
         bytes.extend_from_slice(&[b'x'; LONG_HEADER_BYTES]);
     }
-    client.write_all(&bytes).await.expect("room for a request");
+    client
+        .write_all(&bytes)
+        .await
+        .expect("a buffer large enough for the request");
     let mut response = Vec::new();
     let reading = client.read_to_end(&mut response);
-    // The client waits for more, then leaves.
+    // The client waits for more bytes, then disconnects.
     let _ = tokio::time::timeout(Duration::from_secs(3), reading).await;
     let mut lines = String::new();
     for (number, bytes) in received.borrow().iter() {
@@ -207,7 +210,7 @@
 }
 
 #[test]
-fn replicas_and_clients_get_the_bytes_of_version_464716d_but_for_the_length_of_head() {
+fn replicas_and_clients_get_the_bytes_of_version_464716d_except_the_length_of_head() {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_time()
         .start_paused(true)
@@ -215,7 +218,7 @@
         .expect("a runtime without I/O");
     let mut lines = String::new();
     for case in CASES {
-        lines.push_str(&LocalSet::new().block_on(&runtime, play(case)));
+        lines.push_str(&LocalSet::new().block_on(&runtime, run_case(case)));
     }
     assert_eq!(lines, include_str!("golden/wire.txt"));
 }
--- a/crates/linenthread-dataplane/tests/key_secrecy.rs
+++ b/crates/linenthread-dataplane/tests/key_secrecy.rs
@@ -1,4 +1,4 @@
-//! The text of a key is in no line of the log, whatever becomes of the request that has it.
+//! Tests that no log line contains a key, however the request that carries it ends.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -15,12 +15,12 @@
 use tokio::task::spawn_local;
 use tokio::time::Instant;
 
-/// What the keys of these tests contain, and nothing else does.
-const KEY_MARK: &str = "qwertz";
-/// Nothing takes longer.
-const PATIENCE: Duration = Duration::from_secs(20);
+/// A text that all keys of these tests contain, and nothing else does.
+const KEY_SUBSTRING: &str = "qwertz";
+/// Longer than any exchange takes.
+const EXCHANGE_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// All lines of the log, each with its fields.
+/// All log lines, with their fields.
 struct Lines(Mutex<Vec<String>>);
 
 static LINES: Lines = Lines(Mutex::new(Vec::new()));
@@ -33,7 +33,7 @@
     fn log(&self, record: &log::Record<'_>) {
         let mut line = record.args().to_string();
         let fields = record.key_values().visit(&mut Fields(&mut line));
-        fields.expect("fields that can be written");
+        fields.expect("fields that can be formatted");
         self.0
             .lock()
             .expect("no test panics while it logs")
@@ -43,7 +43,7 @@
     fn flush(&self) {}
 }
 
-/// Appends fields to a line.
+/// Appends fields to a log line.
 struct Fields<'a>(&'a mut String);
 
 impl<'kvs> VisitSource<'kvs> for Fields<'_> {
@@ -53,25 +53,25 @@
     }
 }
 
-/// Sends these bytes on a connection of their own, and reads until it ends.
+/// Sends bytes on a new connection, and reads until it is closed.
 async fn send(plane: &Rc<DataPlane<Network>>, bytes: &str) -> String {
     let (client, server) = tokio::io::duplex(16_384);
     let peer = SocketAddr::from(([127, 0, 0, 1], 1));
     spawn_local(serve(server, peer, plane.clone()));
     let (mut reader, writer) = tokio::io::split(client);
     let mut http = HttpConnection::new(tokio::io::join(tokio::io::empty(), writer));
-    http.write(bytes.as_bytes(), Instant::now() + PATIENCE)
+    http.write(bytes.as_bytes(), Instant::now() + EXCHANGE_TIMEOUT)
         .await
-        .expect("it is read");
+        .expect("the request is written");
     let mut response = String::new();
     let reading = reader.read_to_string(&mut response);
-    let _ = tokio::time::timeout(PATIENCE, reading).await;
+    let _ = tokio::time::timeout(EXCHANGE_TIMEOUT, reading).await;
     response
 }
 
-// Guards against: somebody who may read the logs of an ingress node finds a key there, or a client in a response.
+// Guards against disclosing a key to readers of an ingress node's logs, or to a client in a response.
 #[test]
-fn no_line_of_the_log_and_no_response_shows_a_key() {
+fn no_log_line_and_no_response_contains_a_key() {
     log::set_logger(&LINES).expect("the only logger");
     log::set_max_level(log::LevelFilter::Trace);
     let start = format!("GET /one/x HTTP/1.1\r\nHost: {HOST}\r\nX-Attempt-Id: a\r\n");
@@ -93,7 +93,7 @@
             "constraints":{{"header_bytes":1024,"payload_bytes":1024,"header_ms":3000,"quiet_ms":15000}},
             "clients":[{{"label":"acme","credentials":["qwertz-1"]}}]}}"#
     );
-    // These cannot be read: a text in place of a list of keys, and a number in place of a key.
+    // Invalid: a string in place of the list of keys, and a number in place of a key.
     let malformed = [r#""qwertz-1""#, r#"["qwertz-1",2]"#].map(|credentials| {
         document
             .replace(r#""revision":2"#, r#""revision":3"#)
@@ -108,11 +108,11 @@
         for request in &requests {
             let response = send(&plane, request).await;
             assert!(response.starts_with("HTTP/1.1 "), "{request}: {response}");
-            assert!(!response.contains(KEY_MARK), "{request}: {response}");
+            assert!(!response.contains(KEY_SUBSTRING), "{request}: {response}");
         }
         plane.maintain();
     });
-    let lines = LINES.0.lock().expect("nobody logs any more");
+    let lines = LINES.0.lock().expect("no test panicked while logging");
     for event in [
         "configuration_applied",
         "configuration_invalid",
@@ -123,6 +123,6 @@
             "{event}: {lines:#?}"
         );
     }
-    let with_key = lines.iter().find(|line| line.contains(KEY_MARK));
+    let with_key = lines.iter().find(|line| line.contains(KEY_SUBSTRING));
     assert_eq!(with_key, None);
 }
--- a/crates/linenthread-dataplane/tests/keyed_ingress/mod.rs
+++ b/crates/linenthread-dataplane/tests/keyed_ingress/mod.rs
@@ -1,4 +1,4 @@
-//! An ingress node, its clients and a replica, with a route that needs a key and one that is public.
+//! A test fixture: an ingress node, its clients and a replica, with one route that needs a key and one public route.
 
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -19,7 +19,7 @@
 use tokio::io::DuplexStream;
 use tokio::task::spawn_local;
 
-/// One tenant with one key, whose requests are of the route that isn't public.
+/// One tenant with one key.
 pub(crate) const ONE_TENANT: &str =
     r#"[{"label":"milo40","credentials":["key-of-milo40"],"rank":1}]"#;
 /// The longest response head that a test reads, in bytes.
@@ -27,12 +27,12 @@
 /// The longest response body that a test reads, in bytes.
 const MAX_BODY_BYTES: usize = 4_096;
 /// How long a client waits for a response.
-const WAIT: Duration = Duration::from_secs(10);
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Replicas that answer each request, and count them.
+/// Replicas that respond to each request, and count the requests.
 #[derive(Clone, Default)]
 pub(crate) struct Replicas {
-    /// How many requests have run.
+    /// The number of requests that have run.
     pub(crate) requests: Rc<Cell<usize>>,
 }
 
@@ -63,14 +63,15 @@
     }
 }
 
-/// An ingress node without a configuration, whose settings were changed so, and a replica of its only backend.
+/// Creates an ingress node without a configuration, with settings modified by `change`, and a replica of its only
+/// backend.
 pub(crate) fn ingress(
     replicas: &Replicas,
     change: impl FnOnce(&mut Settings),
 ) -> Rc<DataPlane<Network>> {
     let network = Network::default();
-    let usual = data_plane_without_configuration(1, network.clone());
-    let mut settings = usual.settings().clone();
+    let default_plane = data_plane_without_configuration(1, network.clone());
+    let mut settings = default_plane.settings().clone();
     change(&mut settings);
     let plane = DataPlane::new(Rc::new(settings), 1, network.clone());
     let address = SocketAddr::from(([10, 0, 0, 1], 80));
@@ -92,7 +93,7 @@
     plane
 }
 
-/// A configuration with these tenants, if the field is there.
+/// Returns a configuration with these tenants, or without the field if `None`.
 pub(crate) fn configuration(revision: u64, clients: Option<&str>) -> String {
     let clients = clients.map_or_else(String::new, |clients| format!(r#","clients":{clients}"#));
     let route = |name: &str, public: bool| {
@@ -108,7 +109,7 @@
     )
 }
 
-/// A client's connection to an ingress node.
+/// A client connection to an ingress node.
 pub(crate) struct Client(HttpConnection<DuplexStream>);
 
 impl Client {
@@ -118,9 +119,9 @@
         Client(HttpConnection::new(client))
     }
 
-    /// The status of the response to a request with these header lines; its body is read too.
+    /// Sends a request with these header lines, reads the complete response and returns its status.
     pub(crate) async fn status(&mut self, path: &str, headers: &str) -> u16 {
-        let deadline = tokio::time::Instant::now() + WAIT;
+        let deadline = tokio::time::Instant::now() + RESPONSE_TIMEOUT;
         let request = format!(
             "GET {path} HTTP/1.1\r\nHost: index.example\r\nX-Attempt-Id: a\r\n{headers}\r\n"
         );
@@ -131,7 +132,9 @@
             .await
             .unwrap();
         let framing = response_framing(&head, BodyPresence::Present).unwrap();
-        let body = self.0.read_body(framing, MAX_BODY_BYTES, WAIT, None);
+        let body = self
+            .0
+            .read_body(framing, MAX_BODY_BYTES, RESPONSE_TIMEOUT, None);
         body.await.unwrap();
         head.status()
     }
--- a/crates/linenthread-dataplane/tests/outcome.rs
+++ b/crates/linenthread-dataplane/tests/outcome.rs
@@ -1,4 +1,5 @@
-//! The complete tables: whose response it is, how an attempt ended, and whether it may be retried.
+//! Tests of the complete tables: which request a response belongs to, how an attempt ended, and whether it may be
+//! retried.
 
 use bytes::BytesMut;
 use linenthread_config::Mode;
@@ -67,9 +68,9 @@
     }
 }
 
-/// The decision module sees the attempt outcome alone, so that must claim no more than is known.
+/// The decision module sees only the attempt outcome, which therefore must not claim more than is known.
 #[test]
-fn no_outcome_claims_that_what_may_have_run_never_ran() {
+fn attempt_outcome_and_send_state_agree_on_whether_it_never_ran() {
     for event in EVENTS {
         for age in [ConnectionAge::New, ConnectionAge::Reused] {
             for response_use in [ResponseUse::Forwarded, ResponseUse::Merged] {
@@ -92,8 +93,8 @@
     rejected = { SendState::Rejected, true },
     may_have_run = { SendState::MayHaveRun, false },
 )]
-fn a_mutating_request_is_retried_only_where_it_never_ran(furthest: SendState, again: bool) {
-    assert_eq!(may_retry(Mode::Mutating, furthest), again);
+fn a_mutating_request_is_retried_only_if_it_never_ran(furthest: SendState, expected: bool) {
+    assert_eq!(may_retry(Mode::Mutating, furthest), expected);
     assert!(may_retry(Mode::Idempotent, furthest));
 }
 
@@ -104,7 +105,7 @@
 }
 
 #[parameterized(
-    own = { "200 OK\r\nX-Attempt-Id: a\r\nX-Replica-Seal: s", WireEvent::Success, WireEvent::Success },
+    own_id = { "200 OK\r\nX-Attempt-Id: a\r\nX-Replica-Seal: s", WireEvent::Success, WireEvent::Success },
     without_id = { "200 OK\r\nX-Replica-Seal: s", WireEvent::Unattributed, WireEvent::Unattributed },
     of_another_request = {
         "200 OK\r\nX-Attempt-Id: b\r\nX-Replica-Seal: s",
@@ -113,7 +114,7 @@
     of_two_requests = { "200 OK\r\nX-Attempt-Id: a\r\nX-Attempt-Id: b\r\nX-Replica-Seal: s",
         WireEvent::Unattributed, WireEvent::Unattributed },
     unsealed = { "200 OK\r\nX-Attempt-Id: a", WireEvent::Unsealed, WireEvent::Unsealed },
-    coded = { "200 OK\r\nX-Attempt-Id: a\r\nX-Replica-Seal: s\r\nContent-Encoding: gzip",
+    encoded = { "200 OK\r\nX-Attempt-Id: a\r\nX-Replica-Seal: s\r\nContent-Encoding: gzip",
         WireEvent::Unattributed, WireEvent::Unattributed },
     not_executed = { "503 Busy\r\nX-Attempt-Id: a\r\nX-Not-Executed: 1",
         WireEvent::NotExecuted, WireEvent::NotExecuted },
@@ -126,13 +127,17 @@
         WireEvent::Unsealed, WireEvent::Unsealed },
     misdirected = { "421 Misdirected\r\nX-Replica-Id: other", WireEvent::Misdirected, WireEvent::Unattributed },
     misdirected_without_id = { "421 Misdirected", WireEvent::Unattributed, WireEvent::Unattributed },
-    misdirected_by_itself = { "421 Misdirected\r\nX-Attempt-Id: a\r\nX-Replica-Id: i",
+    misdirected_naming_itself = { "421 Misdirected\r\nX-Attempt-Id: a\r\nX-Replica-Id: i",
         WireEvent::RequestRejected, WireEvent::RequestRejected },
-    without_id_or_promise = { "408 Late", WireEvent::Unattributed, WireEvent::Unattributed },
+    with_neither_id_nor_not_executed = { "408 Late", WireEvent::Unattributed, WireEvent::Unattributed },
     server_error = { "500 Failed\r\nX-Attempt-Id: a", WireEvent::ServerError, WireEvent::ServerError },
     request_rejected = { "404 None\r\nX-Attempt-Id: a", WireEvent::RequestRejected, WireEvent::RequestRejected },
 )]
-fn a_response_belongs_to_a_request_by_its_id(text: &str, new: WireEvent, reused: WireEvent) {
+fn a_response_is_classified_by_id_seal_and_connection_age(
+    text: &str,
+    new: WireEvent,
+    reused: WireEvent,
+) {
     assert_eq!(
         classify_response(&head(text), "a", "i", ConnectionAge::New),
         new
--- a/crates/linenthread-dataplane/tests/pool.rs
+++ b/crates/linenthread-dataplane/tests/pool.rs
@@ -1,4 +1,4 @@
-//! The hard cases of the connections to a replica, one by one, in simulated time.
+//! Tests of a replica's connection pool under faults, in simulated time.
 
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
@@ -18,18 +18,18 @@
 /// The time-out of each attempt.
 const ATTEMPT_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// What comes back to one request, and after how many milliseconds.
+/// The events that follow a request, each with its delay in milliseconds.
 type Reply = Vec<(u64, InboundEvent)>;
 
-/// What each connection does, in the order they are opened.
+/// The behaviour of each connection, in the order they are opened.
 #[derive(Default)]
 struct Script {
-    connections: RefCell<VecDeque<Scripted>>,
+    connections: RefCell<VecDeque<ScriptedConnection>>,
     opened: Cell<usize>,
 }
 
 #[derive(Clone)]
-struct Scripted {
+struct ScriptedConnection {
     write: WriteFault,
     replies: VecDeque<Reply>,
 }
@@ -45,7 +45,7 @@
     }
 }
 
-impl Peer for Scripted {
+impl Peer for ScriptedConnection {
     fn write_fault(&mut self, _: &[u8]) -> WriteFault {
         self.write
     }
@@ -57,29 +57,29 @@
     }
 }
 
-struct Rig {
+struct Fixture {
     script: Rc<Script>,
     pool: ReplicaPool<Network>,
 }
 
-/// A replica whose connections do this; each reply is to one request.
-fn rig(connections: Vec<Vec<Reply>>) -> Rig {
-    let scripted = connections.into_iter().map(|replies| Scripted {
+/// Creates a replica whose connections send these replies, one per request.
+fn fixture(connections: Vec<Vec<Reply>>) -> Fixture {
+    let connections_without_faults = connections.into_iter().map(|replies| ScriptedConnection {
         write: WriteFault::None,
         replies: replies.into(),
     });
-    rig_of(scripted.collect())
+    fixture_with_connections(connections_without_faults.collect())
 }
 
-/// A connection that fails requests as they are written, and carries no reply.
-fn failing(write: WriteFault) -> Scripted {
-    Scripted {
+/// Returns a connection that fails while a request is written, and sends no reply.
+fn failing(write: WriteFault) -> ScriptedConnection {
+    ScriptedConnection {
         write,
         replies: VecDeque::new(),
     }
 }
 
-fn rig_of(connections: Vec<Scripted>) -> Rig {
+fn fixture_with_connections(connections: Vec<ScriptedConnection>) -> Fixture {
     let script = Rc::new(Script::default());
     script.connections.borrow_mut().extend(connections);
     let (network, address) = (Network::default(), SocketAddr::from(([10, 0, 0, 1], 80)));
@@ -88,7 +88,7 @@
         id: "i".into(),
         ..Default::default()
     };
-    Rig {
+    Fixture {
         script,
         pool: ReplicaPool::new(&replica, "s".into(), address, network),
     }
@@ -114,11 +114,11 @@
     .to_bytes()
 }
 
-fn answer(id: &str, body: &str) -> InboundEvent {
+fn response(id: &str, body: &str) -> InboundEvent {
     InboundEvent::Bytes(sealed(Some(id), body))
 }
 
-fn answer_without_id(body: &str) -> InboundEvent {
+fn response_without_id(body: &str) -> InboundEvent {
     InboundEvent::Bytes(sealed(None, body))
 }
 
@@ -130,12 +130,12 @@
     InboundEvent::Bytes(messages::rejection(None))
 }
 
-impl Rig {
+impl Fixture {
     async fn call(&self, attempt: &str) -> CompletedAttempt {
         self.pool.call(&request(attempt), ATTEMPT_TIMEOUT).await
     }
 
-    /// The body that the request gets.
+    /// Returns the body of the response, if there is one.
     async fn body(&self, attempt: &str) -> Option<Vec<u8>> {
         self.call(attempt)
             .await
@@ -156,58 +156,65 @@
 
 #[tokio::test(start_paused = true)]
 async fn a_connection_carries_one_request_after_another() {
-    let rig = rig(vec![vec![
-        vec![(1, answer("a", "1"))],
-        vec![(1, answer("b", "2"))],
+    let fixture = fixture(vec![vec![
+        vec![(1, response("a", "1"))],
+        vec![(1, response("b", "2"))],
     ]]);
-    assert_eq!(rig.body("a").await.unwrap(), b"1");
-    assert_eq!(rig.body("b").await.unwrap(), b"2");
-    assert_eq!(rig.script.opened.get(), 1);
+    assert_eq!(fixture.body("a").await.unwrap(), b"1");
+    assert_eq!(fixture.body("b").await.unwrap(), b"2");
+    assert_eq!(fixture.script.opened.get(), 1);
 }
 
 #[tokio::test(start_paused = true)]
 async fn a_late_second_response_to_the_previous_request_is_not_accepted() {
-    let late = vec![(1, answer("a", "1")), (5, answer("b", "2"))];
-    let rig = rig(vec![vec![vec![(1, answer("a", "1"))], late]]);
-    rig.call("a").await;
-    assert!(may_have_run(&rig.call("b").await, AttemptOutcome::Error));
-    assert_eq!(rig.pool.idle(), 0);
+    let late = vec![(1, response("a", "1")), (5, response("b", "2"))];
+    let fixture = fixture(vec![vec![vec![(1, response("a", "1"))], late]]);
+    fixture.call("a").await;
+    assert!(may_have_run(
+        &fixture.call("b").await,
+        AttemptOutcome::Error
+    ));
+    assert_eq!(fixture.pool.idle(), 0);
 }
 
 #[tokio::test(start_paused = true)]
 async fn a_response_without_an_id_is_not_accepted() {
-    let rig = rig(vec![
-        vec![vec![(1, answer_without_id("1"))]],
+    let fixture = fixture(vec![
+        vec![vec![(1, response_without_id("1"))]],
         vec![
-            vec![(1, answer("a", "1"))],
-            vec![(1, answer_without_id("2"))],
+            vec![(1, response("a", "1"))],
+            vec![(1, response_without_id("2"))],
         ],
     ]);
     assert!(may_have_run(
-        &rig.call("fresh").await,
+        &fixture.call("fresh").await,
+        AttemptOutcome::Error
+    ));
+    assert_eq!(fixture.pool.idle(), 0);
+    fixture.call("a").await;
+    assert!(may_have_run(
+        &fixture.call("b").await,
         AttemptOutcome::Error
     ));
-    assert_eq!(rig.pool.idle(), 0);
-    rig.call("a").await;
-    assert!(may_have_run(&rig.call("b").await, AttemptOutcome::Error));
-    assert_eq!(rig.pool.idle(), 0);
+    assert_eq!(fixture.pool.idle(), 0);
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_connection_that_timed_out_is_not_used_again() {
-    let rig = rig(vec![
-        vec![vec![(300, answer("a", "late"))]],
-        vec![vec![(1, answer("a", "2"))]],
+async fn a_connection_is_not_reused_after_a_time_out() {
+    let fixture = fixture(vec![
+        vec![vec![(300, response("a", "late"))]],
+        vec![vec![(1, response("a", "2"))]],
     ]);
     let request = request("a");
     assert!(may_have_run(
-        &rig.pool.call(&request, ATTEMPT_TIMEOUT).await,
+        &fixture.pool.call(&request, ATTEMPT_TIMEOUT).await,
         AttemptOutcome::TimedOut
     ));
-    assert_eq!(rig.pool.idle(), 0);
+    assert_eq!(fixture.pool.idle(), 0);
     tokio::time::sleep(ATTEMPT_TIMEOUT).await;
     assert_eq!(
-        rig.pool
+        fixture
+            .pool
             .call(&request, ATTEMPT_TIMEOUT)
             .await
             .response
@@ -215,62 +222,65 @@
             .body,
         b"2"
     );
-    assert_eq!(rig.script.opened.get(), 2);
+    assert_eq!(fixture.script.opened.get(), 2);
 }
 
 #[tokio::test(start_paused = true)]
-async fn surplus_bytes_after_a_response_end_the_connection() {
+async fn surplus_bytes_after_a_response_close_the_connection() {
     let mut two = sealed(Some("a"), "1");
     two.extend(sealed(Some("b"), "2"));
-    let rig = rig(vec![
+    let fixture = fixture(vec![
         vec![vec![(1, InboundEvent::Bytes(two))]],
-        vec![vec![(1, answer("b", "3"))]],
+        vec![vec![(1, response("b", "3"))]],
     ]);
-    assert_eq!(rig.body("a").await.unwrap(), b"1");
-    assert_eq!(rig.pool.idle(), 0);
-    assert_eq!(rig.body("b").await.unwrap(), b"3");
+    assert_eq!(fixture.body("a").await.unwrap(), b"1");
+    assert_eq!(fixture.pool.idle(), 0);
+    assert_eq!(fixture.body("b").await.unwrap(), b"3");
 }
 
 #[tokio::test(start_paused = true)]
-async fn unread_bytes_on_an_idle_connection_end_it() {
-    let idle = vec![(1, answer("a", "1")), (20, answer("b", "2"))];
-    let rig = rig(vec![vec![idle], vec![vec![(1, answer("b", "3"))]]]);
-    rig.call("a").await;
-    assert_eq!(rig.pool.idle(), 1);
+async fn unread_bytes_on_an_idle_connection_close_it() {
+    let idle = vec![(1, response("a", "1")), (20, response("b", "2"))];
+    let fixture = fixture(vec![vec![idle], vec![vec![(1, response("b", "3"))]]]);
+    fixture.call("a").await;
+    assert_eq!(fixture.pool.idle(), 1);
     tokio::time::sleep(ATTEMPT_TIMEOUT).await;
-    assert_eq!(rig.body("b").await.unwrap(), b"3");
-    assert_eq!(rig.script.opened.get(), 2);
+    assert_eq!(fixture.body("b").await.unwrap(), b"3");
+    assert_eq!(fixture.script.opened.get(), 2);
 }
 
 #[tokio::test(start_paused = true)]
 async fn an_idle_connection_that_the_replica_closed_is_not_used() {
-    let rig = rig(vec![
-        vec![vec![(1, answer("a", "1")), (20, InboundEvent::Close)]],
-        vec![vec![(1, answer("b", "2"))]],
+    let fixture = fixture(vec![
+        vec![vec![(1, response("a", "1")), (20, InboundEvent::Close)]],
+        vec![vec![(1, response("b", "2"))]],
     ]);
-    rig.call("a").await;
+    fixture.call("a").await;
     tokio::time::sleep(ATTEMPT_TIMEOUT).await;
-    rig.pool.close_expired();
-    assert_eq!(rig.pool.idle(), 0);
-    assert_eq!(rig.body("b").await.unwrap(), b"2");
+    fixture.pool.close_expired();
+    assert_eq!(fixture.pool.idle(), 0);
+    assert_eq!(fixture.body("b").await.unwrap(), b"2");
 }
 
 #[tokio::test(start_paused = true)]
 async fn a_request_on_a_connection_that_the_replica_dropped_may_have_run() {
-    let rig = rig(vec![vec![
-        vec![(1, answer("a", "1"))],
+    let fixture = fixture(vec![vec![
+        vec![(1, response("a", "1"))],
         vec![(1, InboundEvent::Reset)],
     ]]);
-    rig.call("a").await;
-    assert!(may_have_run(&rig.call("b").await, AttemptOutcome::Error));
+    fixture.call("a").await;
+    assert!(may_have_run(
+        &fixture.call("b").await,
+        AttemptOutcome::Error
+    ));
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_request_answered_by_a_reset_or_a_close_may_have_run() {
+async fn a_request_whose_connection_is_reset_or_closed_may_have_run() {
     for end in [InboundEvent::Reset, InboundEvent::Close] {
-        let rig = rig(vec![vec![vec![(1, end)]]]);
+        let fixture = fixture(vec![vec![vec![(1, end)]]]);
         assert!(may_have_run(
-            &rig.call("a").await,
+            &fixture.call("a").await,
             AttemptOutcome::ConnectionLost
         ));
     }
@@ -282,12 +292,12 @@
     for length in 1..complete.len() {
         for end in [InboundEvent::Reset, InboundEvent::Close] {
             let half = InboundEvent::Bytes(complete[..length].to_vec());
-            let rig = rig(vec![vec![vec![(1, half), (2, end)]]]);
+            let fixture = fixture(vec![vec![vec![(1, half), (2, end)]]]);
             assert!(
-                may_have_run(&rig.call("a").await, AttemptOutcome::Error),
+                may_have_run(&fixture.call("a").await, AttemptOutcome::Error),
                 "{length}"
             );
-            assert_eq!(rig.pool.idle(), 0);
+            assert_eq!(fixture.pool.idle(), 0);
         }
     }
 }
@@ -295,32 +305,38 @@
 #[tokio::test(start_paused = true)]
 async fn a_request_whose_response_stalls_may_have_run() {
     let half = InboundEvent::Bytes(sealed(Some("a"), "whole")[..40].to_vec());
-    let rig = rig(vec![vec![vec![(1, half)]]]);
-    assert!(may_have_run(&rig.call("a").await, AttemptOutcome::TimedOut));
-    assert_eq!(rig.pool.idle(), 0);
+    let fixture = fixture(vec![vec![vec![(1, half)]]]);
+    assert!(may_have_run(
+        &fixture.call("a").await,
+        AttemptOutcome::TimedOut
+    ));
+    assert_eq!(fixture.pool.idle(), 0);
 }
 
 #[tokio::test(start_paused = true)]
 async fn a_request_whose_write_fails_halfway_may_have_run() {
-    let rig = rig_of(vec![
+    let fixture = fixture_with_connections(vec![
         failing(WriteFault::FailsAfter(30)),
         failing(WriteFault::StallsAfter(30)),
     ]);
     assert!(may_have_run(
-        &rig.call("a").await,
+        &fixture.call("a").await,
         AttemptOutcome::ConnectionLost
     ));
-    assert!(may_have_run(&rig.call("b").await, AttemptOutcome::TimedOut));
+    assert!(may_have_run(
+        &fixture.call("b").await,
+        AttemptOutcome::TimedOut
+    ));
 }
 
 #[tokio::test(start_paused = true)]
 async fn a_request_of_which_no_byte_was_written_never_ran() {
-    let rig = rig_of(vec![
+    let fixture = fixture_with_connections(vec![
         failing(WriteFault::FailsAfter(0)),
         failing(WriteFault::StallsAfter(0)),
     ]);
     for _ in 0..2 {
-        let ended = rig.call("a").await;
+        let ended = fixture.call("a").await;
         assert_eq!(
             ended.outcome,
             Outcome {
@@ -332,36 +348,48 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_rejection_counts_with_its_id_or_on_a_first_request() {
+async fn a_rejection_is_accepted_with_the_request_id_or_on_a_new_connection() {
     let first = vec![
         vec![(1, rejection_without_id())],
         vec![(1, rejection("b"))],
         vec![(1, rejection_without_id())],
     ];
-    let rig = rig(vec![first]);
-    assert_eq!(rig.call("a").await.outcome.send_state, SendState::Rejected);
-    assert_eq!(rig.call("b").await.outcome.send_state, SendState::Rejected);
-    assert!(may_have_run(&rig.call("c").await, AttemptOutcome::Error));
-    assert_eq!(rig.pool.idle(), 0);
+    let fixture = fixture(vec![first]);
+    assert_eq!(
+        fixture.call("a").await.outcome.send_state,
+        SendState::Rejected
+    );
+    assert_eq!(
+        fixture.call("b").await.outcome.send_state,
+        SendState::Rejected
+    );
+    assert!(may_have_run(
+        &fixture.call("c").await,
+        AttemptOutcome::Error
+    ));
+    assert_eq!(fixture.pool.idle(), 0);
 }
 
-/// A repeated rejection has the same id as the response to the next attempt: they never meet.
+/// A repeated rejection has the same id as the response to the next attempt, so the two attempts must not share a
+/// connection.
 #[tokio::test(start_paused = true)]
 async fn a_request_is_never_sent_twice_over_one_connection() {
     let rejected_twice = vec![vec![(1, rejection("a"))], vec![(1, rejection("a"))]];
-    let rig = rig(vec![rejected_twice, vec![vec![(1, answer("a", "1"))]]]);
+    let fixture = fixture(vec![rejected_twice, vec![vec![(1, response("a", "1"))]]]);
     let request = request("a");
     assert_eq!(
-        rig.pool
+        fixture
+            .pool
             .call(&request, ATTEMPT_TIMEOUT)
             .await
             .outcome
             .send_state,
         SendState::Rejected
     );
-    assert_eq!(rig.pool.idle(), 1);
+    assert_eq!(fixture.pool.idle(), 1);
     assert_eq!(
-        rig.pool
+        fixture
+            .pool
             .call(&request, ATTEMPT_TIMEOUT)
             .await
             .response
@@ -369,14 +397,14 @@
             .body,
         b"1"
     );
-    assert_eq!(rig.script.opened.get(), 2);
+    assert_eq!(fixture.script.opened.get(), 2);
 }
 
 #[tokio::test(start_paused = true)]
 async fn a_misdirected_request_has_not_run() {
     let misdirected = InboundEvent::Bytes(messages::misdirection("j"));
-    let rig = rig(vec![vec![vec![(1, misdirected)]]]);
-    let ended = rig.call("a").await;
+    let fixture = fixture(vec![vec![vec![(1, misdirected)]]]);
+    let ended = fixture.call("a").await;
     assert_eq!(
         ended.outcome,
         Outcome {
@@ -384,18 +412,18 @@
             send_state: SendState::Rejected
         }
     );
-    assert_eq!(rig.pool.idle(), 0);
+    assert_eq!(fixture.pool.idle(), 0);
 }
 
 #[tokio::test(start_paused = true)]
-async fn no_more_connections_are_open_than_the_limit_allows() {
+async fn open_connections_stay_within_the_limit() {
     let rejected = || vec![vec![(1, rejection("a"))]];
-    let rig = rig(vec![rejected(), rejected(), rejected()]);
-    rig.pool.set_max_connections(2);
+    let fixture = fixture(vec![rejected(), rejected(), rejected()]);
+    fixture.pool.set_max_connections(2);
     let request = request("a");
-    for waiting in [1, 2, 2] {
-        rig.pool.call(&request, ATTEMPT_TIMEOUT).await;
-        assert_eq!(rig.pool.idle(), waiting);
+    for expected_idle in [1, 2, 2] {
+        fixture.pool.call(&request, ATTEMPT_TIMEOUT).await;
+        assert_eq!(fixture.pool.idle(), expected_idle);
     }
-    assert_eq!(rig.script.opened.get(), 3);
+    assert_eq!(fixture.script.opened.get(), 3);
 }
--- a/crates/linenthread-dataplane/tests/revoked_keys.rs
+++ b/crates/linenthread-dataplane/tests/revoked_keys.rs
@@ -1,5 +1,5 @@
-//! Keys of tenants on a kept client connection: each request goes by the configuration in force when it is sent, and no
-//! key reaches a replica.
+//! Changes of tenant keys while a client connection stays open: each request is authorized by the configuration in
+//! force when it is sent, and no key reaches a replica.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -22,50 +22,50 @@
 use tokio::time::Instant;
 use yare::parameterized;
 
-/// The services behind the routes; requests on `/all/` go to each of them.
-const SERVICES: [&str; 2] = ["s1", "s2"];
-/// Keys of tenants. They are long and unlike anything else, so that they are found wherever they are passed on.
+/// The backends of the routes; requests to `/all/` go to each of them.
+const BACKENDS: [&str; 2] = ["s1", "s2"];
+/// Keys of tenants: long and distinctive, so that they are found wherever they are forwarded.
 const KEY: &str = "prymh2rrytapjsujqurt";
 const OTHER_KEY: &str = "yiikdrbn4ryrbbkf83fg";
-/// How long a response may take in simulated time.
+/// How long to wait for a response, in simulated time.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(10);
-/// How long a simulated replica takes to answer.
-const ANSWER_DELAY: Duration = Duration::from_millis(2);
-/// The longest head and the longest body of a response, in bytes.
+/// The delay of a simulated replica's response.
+const RESPONSE_DELAY: Duration = Duration::from_millis(2);
+/// Maximum length of a response head and of a response body, in bytes.
 const MAX_RESPONSE_BYTES: usize = 16_384;
 
-/// Replicas that answer each request, and keep what they received.
+/// Replicas that respond to each request, and record the requests.
 #[derive(Clone, Default)]
 struct Replicas(Rc<RefCell<Vec<String>>>);
 
 impl Replicas {
-    /// How many requests arrived since tenants were last taken.
+    /// Returns the number of requests since the last call of [`Replicas::take_tenants`].
     fn count(&self) -> usize {
         self.0.borrow().len()
     }
 
-    /// The tenants of the requests so far, one for each request, and forgets them.
+    /// Removes the recorded requests and returns the tenant of each.
     ///
     /// # Panics
-    /// A request carries a key, or names more than one tenant.
+    /// Panics if a request carries a key, or names more than one tenant.
     fn take_tenants(&self) -> Vec<Option<String>> {
         let received = std::mem::take(&mut *self.0.borrow_mut());
         received.iter().map(|text| tenant_of(text)).collect()
     }
 }
 
-/// The tenant that a request names at a replica. No key may have come with it.
+/// Returns the tenant that a replica's request names, and checks that it carries no key.
 fn tenant_of(request: &str) -> Option<String> {
-    let passes_a_key = [KEY, OTHER_KEY].iter().any(|key| request.contains(key));
-    assert!(!passes_a_key, "a replica received a key: {request}");
+    let has_key = [KEY, OTHER_KEY].iter().any(|key| request.contains(key));
+    assert!(!has_key, "a replica received a key: {request}");
     let names: Vec<&str> = values(request, "authorization");
     assert!(names.is_empty(), "a replica received {names:?}");
     let tenants = values(request, "x-client-name");
-    assert!(tenants.len() <= 1, "several tenants: {request}");
+    assert!(tenants.len() <= 1, "more than one tenant: {request}");
     tenants.first().map(|name| (*name).to_owned())
 }
 
-/// The values of a header in the text of a message.
+/// Returns the values of a header in the text of a message.
 fn values<'a>(message: &'a str, header: &str) -> Vec<&'a str> {
     let lines = message.lines().take_while(|line| !line.is_empty());
     lines
@@ -92,7 +92,7 @@
     fn receive(&mut self, bytes: &[u8], inbound: &mut Inbound) {
         let text = String::from_utf8_lossy(bytes).into_owned();
         let mut received = self.0.borrow_mut();
-        // Each execution has a seal of its own: a gathered response names none twice.
+        // Each execution has its own seal, so a merged response contains no seal twice.
         let seal = format!("seal-{}", received.len());
         let answer = Message {
             request_id: values(&text, "x-attempt-id").first().copied(),
@@ -100,23 +100,23 @@
             body: b"a 16-byte record",
             ..Message::default()
         };
-        inbound.push(ANSWER_DELAY, InboundEvent::Bytes(answer.to_bytes()));
+        inbound.push(RESPONSE_DELAY, InboundEvent::Bytes(answer.to_bytes()));
         received.push(text);
     }
 }
 
-/// A configuration with these tenants: routes `/one/` and `/once/` to a single service, `/all/` to each, and `/open/`,
-/// which is public. `clients` is its JSON, if the configuration has any.
+/// Returns a configuration with these tenants: routes `/one/` and `/once/` to a single backend, `/all/` to all, and
+/// the public route `/open/`. `clients` is its JSON, if the configuration has any.
 fn configuration(revision: u64, clients: Option<&str>) -> String {
-    let services = SERVICES.map(|name| format!("\"{name}\"")).join(",");
-    let to_one = format!(r#""backend":"{}""#, SERVICES[0]);
+    let backends = BACKENDS.map(|name| format!("\"{name}\"")).join(",");
+    let to_one = format!(r#""backend":"{}""#, BACKENDS[0]);
     let routes = [
         route("one", "idempotent", &to_one),
         route("once", "mutating", &to_one),
         route(
             "all",
             "idempotent",
-            &format!(r#""fanout":[{services}],"result_limit":5,"min_coverage":1.0"#),
+            &format!(r#""fanout":[{backends}],"result_limit":5,"min_coverage":1.0"#),
         ),
         route("open", "idempotent", &format!(r#"{to_one},"public":true"#)),
     ]
@@ -132,7 +132,7 @@
     )
 }
 
-/// The JSON of tenants, each with its keys.
+/// Returns the JSON of tenants and their keys.
 fn clients(tenants: &[(&str, &[&str])]) -> String {
     let tenants: Vec<String> = tenants
         .iter()
@@ -147,7 +147,7 @@
     format!("[{}]", tenants.join(","))
 }
 
-/// An ingress node, its replicas, and one connection of a client to it.
+/// An ingress node, its replicas, and one client connection to it.
 struct Deployment {
     plane: Rc<DataPlane<Network>>,
     replicas: Replicas,
@@ -167,7 +167,7 @@
             epoch: 1,
         });
         let replicas = Replicas::default();
-        let listed: Vec<Replica> = SERVICES
+        let registered: Vec<Replica> = BACKENDS
             .iter()
             .zip(1u8..)
             .map(|(service, n)| {
@@ -181,7 +181,7 @@
                 }
             })
             .collect();
-        plane.update_replicas(&listed, UpdateScope::Complete);
+        plane.update_replicas(&registered, UpdateScope::Complete);
         let (client, server) = tokio::io::duplex(MAX_RESPONSE_BYTES);
         let peer = SocketAddr::from(([127, 0, 0, 1], 1));
         spawn_local(serve(server, peer, plane.clone()));
@@ -198,7 +198,7 @@
         self.plane.apply_configuration(document.as_bytes());
     }
 
-    /// Sends a request on the client's connection; returns the status of the response.
+    /// Sends a request on the client connection and returns the status of the response.
     async fn get(&mut self, path: &str, key: Option<&str>) -> u16 {
         self.send("GET", path, key, "").await
     }
@@ -218,13 +218,13 @@
         self.client
             .write(request.as_bytes(), deadline)
             .await
-            .expect("the connection takes a request");
+            .expect("the request is written");
         let head = self
             .client
             .read_response_head(MAX_RESPONSE_BYTES, deadline)
             .await
-            .expect("each request has a response");
-        let framing = response_framing(&head, BodyPresence::Present).expect("a framing");
+            .expect("a response head");
+        let framing = response_framing(&head, BodyPresence::Present).expect("a valid framing");
         self.client
             .read_body(
                 framing,
@@ -233,23 +233,23 @@
                 Some(deadline),
             )
             .await
-            .expect("the whole body");
+            .expect("the complete body");
         head.status()
     }
 }
 
-/// The tenants that so many replicas saw, all of them this one.
-fn seen(tenant: &str, replicas: usize) -> Vec<Option<String>> {
-    vec![Some(tenant.to_owned()); replicas]
+/// Returns the expected tenants of `count` requests of one tenant.
+fn tenant_of_each(tenant: &str, count: usize) -> Vec<Option<String>> {
+    vec![Some(tenant.to_owned()); count]
 }
 
-// Guards against CONFIG: a request runs with a key that the configuration in force does not have any more.
+// Guards against running a request with a key that the configuration in force no longer contains (CONFIG).
 #[parameterized(
     idempotent = { "/one/x", 1 },
     mutating = { "/once/x", 1 },
-    gathered = { "/all/x", 2 },
+    fan_out = { "/all/x", 2 },
 )]
-fn a_key_taken_away_is_refused_on_an_open_connection(path: &str, replicas: usize) {
+fn a_revoked_key_is_rejected_on_an_open_connection(path: &str, replicas: usize) {
     in_simulated_time(async {
         let mut deployment = Deployment::start();
         deployment.configure(1, Some(&clients(&[("left", &[KEY, OTHER_KEY])])));
@@ -258,18 +258,22 @@
 
         deployment.configure(2, Some(&clients(&[("left", &[OTHER_KEY])])));
         assert_eq!(deployment.get(path, Some(KEY)).await, 401);
-        assert_eq!(deployment.replicas.count(), replicas, "none after that");
+        assert_eq!(
+            deployment.replicas.count(),
+            replicas,
+            "no request reached a replica after the revocation"
+        );
         assert_eq!(deployment.get(path, Some(OTHER_KEY)).await, 200);
         assert_eq!(
             deployment.replicas.take_tenants(),
-            seen("left", 2 * replicas)
+            tenant_of_each("left", 2 * replicas)
         );
     });
 }
 
-// Guards against CONFIG: the keys of a tenant that a configuration drops altogether go on being served.
+// Guards against accepting the keys of a tenant that the configuration no longer contains (CONFIG).
 #[test]
-fn the_keys_of_a_dropped_tenant_are_refused_on_an_open_connection() {
+fn the_keys_of_a_removed_tenant_are_rejected_on_an_open_connection() {
     in_simulated_time(async {
         let mut deployment = Deployment::start();
         let both: [(&str, &[&str]); 2] = [("left", &[KEY]), ("right", &[OTHER_KEY])];
@@ -279,13 +283,16 @@
         assert_eq!(deployment.get("/one/x", Some(KEY)).await, 401);
         assert_eq!(deployment.get("/one/x", Some(OTHER_KEY)).await, 200);
         let tenants = deployment.replicas.take_tenants();
-        assert_eq!(tenants, [seen("left", 1), seen("right", 1)].concat());
+        assert_eq!(
+            tenants,
+            [tenant_of_each("left", 1), tenant_of_each("right", 1)].concat()
+        );
     });
 }
 
-// Guards against UNASKED: a replica is told the tenant that held a key before, not the one that holds it now.
+// Guards against passing a replica the former tenant of a key instead of the present one (UNASKED).
 #[test]
-fn a_key_moved_to_another_tenant_is_that_tenants_on_an_open_connection() {
+fn a_key_moved_to_another_tenant_identifies_that_tenant_on_an_open_connection() {
     in_simulated_time(async {
         let mut deployment = Deployment::start();
         deployment.configure(1, Some(&clients(&[("left", &[KEY]), ("right", &[])])));
@@ -293,11 +300,14 @@
         deployment.configure(2, Some(&clients(&[("left", &[]), ("right", &[KEY])])));
         assert_eq!(deployment.get("/one/x", Some(KEY)).await, 200);
         let tenants = deployment.replicas.take_tenants();
-        assert_eq!(tenants, [seen("left", 1), seen("right", 1)].concat());
+        assert_eq!(
+            tenants,
+            [tenant_of_each("left", 1), tenant_of_each("right", 1)].concat()
+        );
     });
 }
 
-// Guards against UNASKED: a replica is told a name that the tenant does not have any more.
+// Guards against passing a replica a tenant's former name (UNASKED).
 #[test]
 fn a_renamed_tenant_has_its_new_name_on_an_open_connection() {
     in_simulated_time(async {
@@ -307,26 +317,33 @@
         deployment.configure(2, Some(&clients(&[("after", &[KEY])])));
         assert_eq!(deployment.get("/all/x", Some(KEY)).await, 200);
         let tenants = deployment.replicas.take_tenants();
-        assert_eq!(tenants, [seen("before", 2), seen("after", 2)].concat());
+        assert_eq!(
+            tenants,
+            [tenant_of_each("before", 2), tenant_of_each("after", 2)].concat()
+        );
     });
 }
 
-// Guards against CONFIG: a key that is there is refused with 401, as only an older configuration allows.
+// Guards against a 401 for a key of the configuration in force, which only an older configuration would justify
+// (CONFIG).
 #[test]
-fn an_added_key_is_served_at_once_on_the_connection_that_was_refused() {
+fn an_added_key_is_accepted_at_once_on_a_connection_where_it_was_rejected() {
     in_simulated_time(async {
         let mut deployment = Deployment::start();
         deployment.configure(1, Some(&clients(&[("left", &[OTHER_KEY])])));
         assert_eq!(deployment.get("/one/x", Some(KEY)).await, 401);
         deployment.configure(2, Some(&clients(&[("left", &[OTHER_KEY, KEY])])));
         assert_eq!(deployment.get("/one/x", Some(KEY)).await, 200);
-        assert_eq!(deployment.replicas.take_tenants(), seen("left", 1));
+        assert_eq!(
+            deployment.replicas.take_tenants(),
+            tenant_of_each("left", 1)
+        );
     });
 }
 
-// Guards against CONFIG: an older configuration that arrives late brings a key back that was taken away.
+// Guards against an older configuration that arrives late and restores a revoked key (CONFIG).
 #[test]
-fn an_older_configuration_that_arrives_late_does_not_bring_a_key_back() {
+fn an_older_configuration_that_arrives_late_does_not_restore_a_revoked_key() {
     in_simulated_time(async {
         let mut deployment = Deployment::start();
         let with_key = clients(&[("left", &[KEY])]);
@@ -341,13 +358,15 @@
     });
 }
 
-// Guards against CONFIG: a configuration without `clients` asks for keys, or one with `clients` asks for none.
+// Guards against requiring keys under a configuration without `clients`, and against not requiring them under one with
+// `clients` (CONFIG).
 #[test]
-fn keys_are_required_only_while_the_configuration_names_clients() {
+fn keys_are_required_only_while_the_configuration_has_clients() {
     in_simulated_time(async {
         let mut deployment = Deployment::start();
         let some = clients(&[("left", &[KEY])]);
-        // Each configuration, and the statuses of a request without a key, with the tenant's and with an unknown one.
+        // Each configuration, and the statuses of requests without a key, with the tenant's key and with an unknown
+        // one.
         let steps = [
             (None, [200, 200, 200]),
             (Some(some.as_str()), [401, 200, 401]),
@@ -365,16 +384,16 @@
             let served = expected.iter().filter(|status| **status == 200).count();
             let tenants = match (clients, served) {
                 (None, served) => vec![None; served],
-                (Some(_), served) => seen("left", served),
+                (Some(_), served) => tenant_of_each("left", served),
             };
             assert_eq!(deployment.replicas.take_tenants(), tenants);
         }
     });
 }
 
-// Guards against DENIED: a public route asks for a key; and against UNASKED: it passes the key on.
+// Guards against requiring a key on a public route (DENIED), and against forwarding it there (UNASKED).
 #[test]
-fn a_public_route_needs_no_key_and_passes_none_on() {
+fn a_public_route_needs_no_key_and_forwards_none() {
     in_simulated_time(async {
         let mut deployment = Deployment::start();
         let some = clients(&[("left", &[KEY])]);
@@ -388,23 +407,26 @@
     });
 }
 
-// Guards against MIXED: the body of a refused request is taken for the next request on its connection.
+// Guards against parsing the body of a rejected request as the next request on its connection (MIXED).
 #[test]
-fn a_connection_is_usable_after_a_refused_request_with_a_body() {
+fn a_connection_is_usable_after_a_rejected_request_with_a_body() {
     in_simulated_time(async {
         let mut deployment = Deployment::start();
         deployment.configure(1, Some(&clients(&[("left", &[KEY])])));
         let smuggled = format!("GET /open/y HTTP/1.1\r\nHost: {HOST}\r\nX-Attempt-Id: s\r\n\r\n");
-        let refused = deployment.send("POST", "/once/x", Some(OTHER_KEY), &smuggled);
-        assert_eq!(refused.await, 401);
+        let rejected = deployment.send("POST", "/once/x", Some(OTHER_KEY), &smuggled);
+        assert_eq!(rejected.await, 401);
         assert_eq!(deployment.get("/one/x", Some(KEY)).await, 200);
-        assert_eq!(deployment.replicas.take_tenants(), seen("left", 1));
+        assert_eq!(
+            deployment.replicas.take_tenants(),
+            tenant_of_each("left", 1)
+        );
     });
 }
 
-// Guards against DENIED: a request on a route that does not exist is refused for its key instead of with 404.
+// Guards against a 401 instead of a 404 for a route that does not exist (DENIED).
 #[test]
-fn a_route_that_does_not_exist_is_404_with_and_without_a_key() {
+fn an_unknown_route_responds_404_with_and_without_a_key() {
     in_simulated_time(async {
         let mut deployment = Deployment::start();
         deployment.configure(1, Some(&clients(&[("left", &[KEY])])));
--- a/crates/linenthread-dataplane/tests/server.rs
+++ b/crates/linenthread-dataplane/tests/server.rs
@@ -1,5 +1,5 @@
-//! From a client's connection to the replicas and back, in simulated time: one final response to each request,
-//! how often it is sent, and what its status promises.
+//! Tests of the path from a client connection to the replicas and back, in simulated time: one final response per
+//! request, the number of attempts, and what the status guarantees.
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -22,22 +22,22 @@
 use tokio::time::Instant;
 use yare::parameterized;
 
-/// Retries that the ingress node may send: more than any test needs.
+/// The retry quota of the ingress node: more than any test needs.
 const RETRIES_PER_WINDOW: f64 = 100.0;
 
-/// Replicas that do the same with each request, and count them.
+/// Replicas that send the same reply to each request, and count the requests.
 #[derive(Clone)]
 struct Replicas {
     reply: Vec<InboundEvent>,
     requests: Rc<Cell<usize>>,
 }
 
-/// Replicas that reset each request, and keep what they received and when.
+/// Replicas that reset the connection at each request, and record each request with its time.
 #[derive(Clone, Default)]
 struct RecordingReplicas(Rc<RefCell<Vec<(Instant, String)>>>);
 
 impl RecordingReplicas {
-    /// How long after `start` each request arrived, and the time in milliseconds that it left the replica.
+    /// Returns for each request the milliseconds since `start`, and the milliseconds that its `X-Remaining-Ms` grants.
     fn remaining_times(&self, start: Instant) -> Vec<(u64, u64)> {
         let received = self.0.borrow();
         let remaining = |text: &str| {
@@ -79,8 +79,8 @@
 }
 
 impl Replicas {
-    /// Replicas that answer each request.
-    fn that_answer() -> Replicas {
+    /// Creates replicas that respond to each request.
+    fn responding() -> Replicas {
         Replicas {
             reply: vec![InboundEvent::Bytes(sealed(Some("a")))],
             requests: Rc::default(),
@@ -110,7 +110,7 @@
     }
 }
 
-/// An ingress node with these replicas of both backends that are queried alone.
+/// Creates an ingress node with these replicas for both backends that are queried alone.
 fn ingress(replicas: Option<&Replicas>) -> Rc<DataPlane<Network>> {
     match replicas {
         Some(replicas) => ingress_with(&Rc::new(replicas.clone())),
@@ -118,11 +118,11 @@
     }
 }
 
-/// An ingress node with what listens here at all replicas.
+/// Creates an ingress node whose replicas are all served by `replicas`.
 fn ingress_with<L: Listener + 'static>(replicas: &Rc<L>) -> Rc<DataPlane<Network>> {
     let network = Network::default();
     let plane = data_plane(1, network.clone(), RETRIES_PER_WINDOW);
-    let listed = ["s1", "s4", "s1", "s4"]
+    let registered = ["s1", "s4", "s1", "s4"]
         .iter()
         .zip(1u8..)
         .map(|(service, n)| {
@@ -135,16 +135,16 @@
                 ..Default::default()
             }
         });
-    plane.update_replicas(&listed.collect::<Vec<_>>(), UpdateScope::Complete);
+    plane.update_replicas(&registered.collect::<Vec<_>>(), UpdateScope::Complete);
     plane
 }
 
-/// The status of an ingress node's response to a request.
+/// Returns the status of an ingress node's response to a request.
 async fn status(replicas: Option<Replicas>, path: &str, headers: &str) -> u16 {
     response_head(replicas, "GET", path, headers).await.status()
 }
 
-/// The head of an ingress node's response to a request.
+/// Returns the head of an ingress node's response to a request.
 async fn response_head(
     replicas: Option<Replicas>,
     method: &str,
@@ -154,7 +154,7 @@
     response_head_at(ingress(replicas.as_ref()), method, path, headers).await
 }
 
-/// The status of the response to a request at this ingress node.
+/// Returns the status of the response to a request to this ingress node.
 async fn status_at(plane: Rc<DataPlane<Network>>, path: &str) -> u16 {
     let headers = "X-Attempt-Id: a\r\n";
     response_head_at(plane, "GET", path, headers).await.status()
@@ -182,7 +182,7 @@
     two_ids = { "X-Attempt-Id: a\r\nX-Attempt-Id: b\r\n", 400 },
     time_that_is_not_a_number = { "X-Attempt-Id: a\r\nX-Remaining-Ms: soon\r\n", 400 },
 )]
-fn a_request_needs_one_id(headers: &str, expected: u16) {
+fn a_request_needs_exactly_one_id(headers: &str, expected: u16) {
     assert_eq!(in_simulated_time(status(None, "/one/x", headers)), expected);
 }
 
@@ -229,12 +229,12 @@
         reply,
         requests: Rc::default(),
     };
-    let got = in_simulated_time(status(
+    let actual = in_simulated_time(status(
         Some(replicas.clone()),
         "/once/x",
         "X-Attempt-Id: a\r\n",
     ));
-    assert_eq!((got, replicas.requests.get()), (expected, 1));
+    assert_eq!((actual, replicas.requests.get()), (expected, 1));
 }
 
 #[parameterized(
@@ -242,21 +242,21 @@
     on_a_first_request = { messages::rejection(None) },
     by_another_replica_at_the_address = { messages::misdirection("j") },
 )]
-fn a_mutating_request_that_never_ran_is_retried_and_rejected_with_a_promise(reply: Vec<u8>) {
+fn a_mutating_request_that_never_ran_is_retried_and_finally_gets_503(reply: Vec<u8>) {
     let replicas = Replicas {
         reply: vec![InboundEvent::Bytes(reply)],
         requests: Rc::default(),
     };
-    let got = in_simulated_time(status(
+    let actual = in_simulated_time(status(
         Some(replicas.clone()),
         "/once/x",
         "X-Attempt-Id: a\r\n",
     ));
-    assert_eq!(got, 503);
+    assert_eq!(actual, 503);
     assert!(replicas.requests.get() > 1);
 }
 
-/// A sealed response without a length.
+/// Returns a sealed response without `Content-Length`.
 fn without_length() -> InboundEvent {
     let response = String::from_utf8(sealed(Some("a"))).unwrap();
     InboundEvent::Bytes(response.replace("Content-Length: 4\r\n", "").into_bytes())
@@ -274,12 +274,12 @@
         reply: vec![without_length(), end],
         requests: Rc::default(),
     };
-    let got = in_simulated_time(status(
+    let actual = in_simulated_time(status(
         Some(replicas.clone()),
         "/once/x",
         "X-Attempt-Id: a\r\n",
     ));
-    assert_eq!((got, replicas.requests.get()), (expected, 1));
+    assert_eq!((actual, replicas.requests.get()), (expected, 1));
 }
 
 #[test]
@@ -288,16 +288,16 @@
         reply: vec![InboundEvent::Reset],
         requests: Rc::default(),
     };
-    let got = in_simulated_time(status(
+    let actual = in_simulated_time(status(
         Some(replicas.clone()),
         "/one/x",
         "X-Attempt-Id: a\r\n",
     ));
-    assert_eq!(got, 502);
+    assert_eq!(actual, 502);
     assert!(replicas.requests.get() > 1);
 }
 
-/// The head of a replica's response to a `HEAD`, with these lines beside id and seal.
+/// Returns the head of a replica's response to a `HEAD`, with these lines in addition to id and seal.
 fn response_to_head(lines: &str) -> Vec<u8> {
     format!("HTTP/1.1 200 OK\r\nX-Attempt-Id: a\r\nX-Replica-Seal: s\r\n{lines}\r\n").into_bytes()
 }
@@ -305,9 +305,9 @@
 #[parameterized(
     with_length = { Some("Content-Length: 17\r\n"), Some("17") },
     without_length = { Some(""), None },
-    rejected_here = { None, Some("0") },
+    rejected_by_the_ingress_node = { None, Some("0") },
 )]
-fn the_response_to_a_head_states_the_length_that_is_known(
+fn a_response_to_head_states_the_length_if_it_is_known(
     lines: Option<&str>,
     expected: Option<&str>,
 ) {
@@ -326,13 +326,13 @@
 
 #[test]
 fn requests_follow_a_replica_to_its_new_address() {
-    let (former, present) = (Replicas::that_answer(), Replicas::that_answer());
+    let (former_replica, new_replica) = (Replicas::responding(), Replicas::responding());
     let statuses = in_simulated_time(async {
         let network = Network::default();
         let plane = data_plane(1, network.clone(), RETRIES_PER_WINDOW);
         let addresses = [1, 2].map(|n| SocketAddr::from(([10, 0, 0, n], 80)));
-        network.listen(addresses[0], Rc::new(former.clone()));
-        network.listen(addresses[1], Rc::new(present.clone()));
+        network.listen(addresses[0], Rc::new(former_replica.clone()));
+        network.listen(addresses[1], Rc::new(new_replica.clone()));
         let mut statuses = Vec::new();
         for address in addresses {
             let replica = linenthread_messages::Replica {
@@ -347,11 +347,14 @@
         statuses
     });
     assert_eq!(statuses, [200, 200]);
-    assert_eq!((former.requests.get(), present.requests.get()), (1, 1));
+    assert_eq!(
+        (former_replica.requests.get(), new_replica.requests.get()),
+        (1, 1)
+    );
 }
 
 #[test]
-fn a_retry_quota_ends_although_no_control_node_can_be_reached() {
+fn a_retry_quota_expires_without_contact_to_control_nodes() {
     let left = in_simulated_time(async {
         let plane = data_plane(1, Network::default(), RETRIES_PER_WINDOW);
         plane.set_retry_quota(RetryQuota {
@@ -371,7 +374,7 @@
 }
 
 #[test]
-fn without_a_configuration_every_request_is_rejected_for_now_and_none_as_unknown() {
+fn without_a_configuration_a_request_gets_503_and_not_404() {
     let head = in_simulated_time(async {
         let plane = data_plane_without_configuration(1, Network::default());
         response_head_at(plane, "GET", "/no/such/route", "X-Attempt-Id: a\r\n").await
@@ -381,13 +384,10 @@
 }
 
 #[parameterized(
-    of_the_route = { "X-Remaining-Ms: 60000\r\n", ROUTE_TIMEOUT_MS },
-    of_the_client = { "X-Remaining-Ms: 300\r\n", 300 },
+    route_timeout = { "X-Remaining-Ms: 60000\r\n", ROUTE_TIMEOUT_MS },
+    remaining_time_of_the_client = { "X-Remaining-Ms: 300\r\n", 300 },
 )]
-fn a_request_that_no_replica_answers_has_its_final_answer_at_its_limit(
-    headers: &str,
-    limit_ms: u64,
-) {
+fn a_request_that_no_replica_answers_fails_at_its_deadline(headers: &str, limit_ms: u64) {
     let silent = Replicas {
         reply: Vec::new(),
         requests: Rc::default(),
@@ -406,7 +406,7 @@
 }
 
 #[test]
-fn each_attempt_leaves_its_replica_no_more_time_than_the_client_has_left() {
+fn no_attempt_grants_more_time_than_the_client_has_left() {
     let replicas = Rc::new(RecordingReplicas::default());
     let times = in_simulated_time(async {
         let start = Instant::now();
@@ -415,17 +415,17 @@
         response_head_at(plane, "GET", "/one/x", headers).await;
         replicas.remaining_times(start)
     });
-    assert!(times.len() > 1, "it is retried: {times:?}");
+    assert!(times.len() > 1, "expected a retry: {times:?}");
     for (elapsed, remaining) in times {
         assert!(
             elapsed + remaining <= 700,
-            "{elapsed} ms after the start: {remaining} ms"
+            "{elapsed} ms after the start, {remaining} ms remained"
         );
     }
 }
 
 #[test]
-fn nothing_more_is_sent_for_a_client_that_has_left() {
+fn no_retry_is_sent_after_the_client_disconnects() {
     let replicas = Rc::new(RecordingReplicas::default());
     let requests = in_simulated_time(async {
         let plane = ingress_with(&replicas);
--- a/crates/linenthread-dataplane/tests/starved_tenants.rs
+++ b/crates/linenthread-dataplane/tests/starved_tenants.rs
@@ -1,4 +1,4 @@
-//! Tenants of low priority while replicas are overloaded, in simulated time.
+//! Tests of how tenants of low priority are served while replicas are overloaded, in simulated time.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -19,23 +19,24 @@
 use tokio::time::Instant;
 use yare::parameterized;
 
-/// Retries that the ingress node may send: more than any test needs.
+/// The retry quota of the ingress node: more than any test needs.
 const RETRIES_PER_WINDOW: f64 = 100.0;
-/// Requests that a replica works on at the same time, for so long each: with two replicas 200 a second.
+/// The number of requests that a replica processes concurrently, each for `WORK`: 200 a second with two replicas.
 const SLOTS: usize = 2;
 const WORK: Duration = Duration::from_millis(20);
-/// A replica turns away what would wait longer.
+/// A replica rejects requests that would wait longer than this.
 const MAX_WAIT: Duration = Duration::from_millis(80);
 /// Longer than any request, in tenths of a millisecond.
 const DEADLINE_TENTHS: i64 = 10_000;
-/// In the first seconds the decision module learns what replicas can do.
+/// Requests of the first seconds are not counted, while the decision module learns the capacity of the replicas.
 const WARM_UP_MS: u64 = 5_000;
 const END_MS: u64 = 20_000;
-/// Draws in each millisecond, each of which may be a request of any tenant: so their requests come in no fixed order.
+/// Random draws per millisecond. Each may yield a request of any tenant, so that the requests arrive in no fixed
+/// order.
 const DRAWS_PER_MS: u64 = 8;
 const DRAWS_PER_SECOND: u64 = DRAWS_PER_MS * 1_000;
 
-/// How many requests there were, by tenant.
+/// The number of requests by tenant.
 type Counts = Rc<RefCell<BTreeMap<String, u64>>>;
 
 fn add_one(counts: &Counts, tenant: &str) {
@@ -45,7 +46,7 @@
 /// A replica with a queue.
 #[derive(Clone)]
 struct Replica {
-    /// When each slot is free.
+    /// When each slot becomes free.
     free_at: Rc<RefCell<[Instant; SLOTS]>>,
     served: Counts,
 }
@@ -59,7 +60,7 @@
     }
 }
 
-/// The value of a header.
+/// Returns the value of a header.
 fn header<'a>(request: &'a str, name: &str) -> &'a str {
     let lines = request.lines();
     let mut headers = lines.filter_map(|line| line.split_once(": "));
@@ -96,11 +97,11 @@
     }
 }
 
-/// An ingress node with two replicas, which count what they serve.
+/// Creates an ingress node with two replicas, which count the requests they serve.
 fn ingress(served: &Counts) -> Rc<DataPlane<Network>> {
     let network = Network::default();
     let plane = data_plane(1, network.clone(), RETRIES_PER_WINDOW);
-    let listed = (1..=2).map(|n| {
+    let registered = (1..=2).map(|n| {
         let address = SocketAddr::from(([10, 0, 0, n], 80));
         let replica = Replica {
             free_at: Rc::new(RefCell::new([Instant::now(); SLOTS])),
@@ -114,11 +115,11 @@
             ..Default::default()
         }
     });
-    plane.update_replicas(&listed.collect::<Vec<_>>(), UpdateScope::Complete);
+    plane.update_replicas(&registered.collect::<Vec<_>>(), UpdateScope::Complete);
     plane
 }
 
-/// A tenant and the requests that it sends.
+/// A tenant and its request rate.
 #[derive(Clone, Copy)]
 struct Load {
     tenant: &'static str,
@@ -145,7 +146,7 @@
         self.0
     }
 
-    /// The tenant that sends a request now, if one does.
+    /// Draws the tenant that sends a request now, if any.
     fn draw(&mut self, loads: &[Load]) -> Option<Load> {
         let mut position = self.next() % DRAWS_PER_SECOND;
         loads.iter().copied().find(|load| {
@@ -171,7 +172,7 @@
     drop(plane.dispatch(Rc::new(request), resolved, parameters));
 }
 
-/// The share of its requests that each tenant gets served, and that of all requests.
+/// Returns the share of each tenant's requests that is served, and the share of all requests.
 async fn served_shares(loads: &[Load]) -> (BTreeMap<String, f64>, f64) {
     let (sent, served) = (Counts::default(), Counts::default());
     let plane = ingress(&served);
@@ -204,8 +205,8 @@
     in_simulated_time(served_shares(loads))
 }
 
-// Guards against a tenant of low priority that is not served at all while those of higher priority overload the replicas:
-// the users' bound is a quarter of what is served of all.
+// Guards against a tenant of low priority that is not served at all while tenants of higher priority overload the
+// replicas. The users' bound is a quarter of the share served of all requests.
 #[parameterized(
     some = { load("a", 0, 300), load("b", 1, 30) },
     twice = { load("a", 0, 400), load("b", 1, 30) },
--- a/crates/linenthread-dataplane/tests/tenant_keys.rs
+++ b/crates/linenthread-dataplane/tests/tenant_keys.rs
@@ -1,4 +1,5 @@
-//! Keys of clients: which tenant a replica sees, that it never sees the key itself, and who is rejected without one.
+//! Tests of clients' keys: which tenant a replica sees, that it never sees the key, and which requests without a key
+//! are rejected.
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -22,24 +23,24 @@
 use tokio::time::Instant;
 use yare::parameterized;
 
-/// Retries that the ingress node may send: more than any test needs.
+/// The retry quota of the ingress node: more than any test needs.
 const RETRIES_PER_WINDOW: f64 = 100.0;
-/// No message of these tests is longer, in bytes.
+/// Maximum length of a message in these tests, in bytes.
 const MAX_MESSAGE_BYTES: usize = 16_384;
-/// Nothing takes longer.
-const PATIENCE: Duration = Duration::from_secs(10);
+/// Longer than any exchange takes.
+const EXCHANGE_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Two tenants, the first of which has two keys.
+/// Two tenants, the first with two keys.
 const CLIENTS: &str = r#"[{"label":"acme","credentials":["qwertz-1-acme","qwertz-2-acme"]},
     {"label":"globex","credentials":["qwertz-3-globex"]}]"#;
-/// The header line with a key of `acme`.
+/// A header line with a key of `acme`.
 const ACME: &str = "Authorization: Bearer qwertz-1-acme\r\n";
-/// The header line with a key that no tenant has.
+/// A header line with a key of no tenant.
 const UNKNOWN: &str = "Authorization: Bearer qwertz-9-nobody\r\n";
-/// What every key of these tests contains, and nothing else does.
-const KEY_MARK: &str = "qwertz";
+/// A text that all keys of these tests contain, and nothing else does.
+const KEY_SUBSTRING: &str = "qwertz";
 
-/// What a replica does with a request.
+/// How a replica replies to a request.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Reply {
     Answer,
@@ -48,7 +49,7 @@
     Nothing,
 }
 
-/// Replicas that keep the bytes of each request that they receive.
+/// Replicas that record the bytes of each request.
 struct Replicas {
     reply: Cell<Reply>,
     received: RefCell<Vec<String>>,
@@ -62,11 +63,11 @@
         })
     }
 
-    fn that_answer() -> Rc<Replicas> {
+    fn responding() -> Rc<Replicas> {
         Replicas::new(Reply::Answer)
     }
 
-    /// The values of all `X-Client-Name` lines of each request, in the order of the requests.
+    /// Returns the values of all `X-Client-Name` lines of each request, in the order of the requests.
     fn client_names(&self) -> Vec<Vec<String>> {
         self.header_values("x-client-name")
     }
@@ -86,13 +87,16 @@
         self.received.borrow().len()
     }
 
-    /// No request that was received has an `Authorization` line or a key, wherever in its bytes.
-    fn assert_that_no_key_arrived(&self) {
+    /// Checks that no request contained an `Authorization` line or, anywhere in its bytes, a key.
+    fn assert_no_key_received(&self) {
         for text in self.received.borrow().iter() {
-            assert!(!text.contains(KEY_MARK), "a key arrived: {text}");
+            assert!(
+                !text.contains(KEY_SUBSTRING),
+                "a replica received a key: {text}"
+            );
             assert!(
                 !text.to_ascii_lowercase().contains("authorization"),
-                "an Authorization arrived: {text}"
+                "a replica received an Authorization header: {text}"
             );
         }
     }
@@ -100,29 +104,29 @@
 
 fn parse(request: &[u8]) -> Head {
     Head::parse_request(&mut BytesMut::from(request), MAX_MESSAGE_BYTES)
-        .expect("a request")
-        .expect("all of it")
+        .expect("a valid request")
+        .expect("a complete request head")
 }
 
-/// Replicas as the network sees them.
-struct AtAddress(Rc<Replicas>);
+/// Accepts connections to the replicas.
+struct ReplicaListener(Rc<Replicas>);
 
-impl Listener for AtAddress {
+impl Listener for ReplicaListener {
     fn accept(&self) -> Option<Accepted> {
         Some(Accepted {
             after: Duration::ZERO,
-            peer: Box::new(AtAddress(self.0.clone())),
+            peer: Box::new(ReplicaListener(self.0.clone())),
         })
     }
 }
 
-impl Peer for AtAddress {
+impl Peer for ReplicaListener {
     fn write_fault(&mut self, _: &[u8]) -> WriteFault {
         WriteFault::None
     }
 
     fn receive(&mut self, bytes: &[u8], inbound: &mut Inbound) {
-        let AtAddress(replicas) = self;
+        let ReplicaListener(replicas) = self;
         let text = String::from_utf8_lossy(bytes).into_owned();
         replicas.received.borrow_mut().push(text);
         let head = parse(bytes);
@@ -147,8 +151,8 @@
     .to_bytes()
 }
 
-/// A configuration with these `clients`, or without any such field. The routes `/one/` (one replica), `/once/` (not to
-/// be repeated) and `/all/` (three backends) need a key, and `/open/` needs none.
+/// Returns a configuration with these `clients`, or without the field. The routes `/one/` (one backend), `/once/` (one
+/// backend, mutating) and `/all/` (three backends) need a key; `/open/` is public.
 fn document(revision: u64, clients: Option<&str>) -> String {
     let route = |name: &str, mode: &str, rest: &str| {
         format!(
@@ -171,7 +175,7 @@
     format!(r#"{{"revision":{revision},"route_table":[{routes}],"backends":[]{clients}}}"#)
 }
 
-/// An ingress node with these replicas of all backends, and with such a configuration.
+/// Creates an ingress node with these replicas for all backends, and a configuration with these clients.
 fn ingress(replicas: &Rc<Replicas>, clients: Option<&str>) -> Rc<DataPlane<Network>> {
     let network = Network::default();
     let plane = data_plane(1, network.clone(), RETRIES_PER_WINDOW);
@@ -179,11 +183,8 @@
     plane
 }
 
-/// The same, without the decision module.
-fn ingress_that_passes_through(
-    replicas: &Rc<Replicas>,
-    clients: Option<&str>,
-) -> Rc<DataPlane<Network>> {
+/// Creates the same without the decision module.
+fn pass_through_ingress(replicas: &Rc<Replicas>, clients: Option<&str>) -> Rc<DataPlane<Network>> {
     clock::restart();
     let network = Network::default();
     let settings = Settings {
@@ -202,9 +203,9 @@
     clients: Option<&str>,
 ) {
     plane.apply_configuration(document(2, clients).as_bytes());
-    let listed = (1u8..=8).map(|n| {
+    let registered = (1u8..=8).map(|n| {
         let address = SocketAddr::from(([10, 0, 0, n], 80));
-        network.listen(address, Rc::new(AtAddress(replicas.clone())));
+        network.listen(address, Rc::new(ReplicaListener(replicas.clone())));
         linenthread_messages::Replica {
             id: format!("i{n}"),
             backend: format!("s{}", 1 + n % 4),
@@ -212,10 +213,10 @@
             ..Default::default()
         }
     });
-    plane.update_replicas(&listed.collect::<Vec<_>>(), UpdateScope::Complete);
+    plane.update_replicas(&registered.collect::<Vec<_>>(), UpdateScope::Complete);
 }
 
-/// A client's connection.
+/// A client connection.
 struct Client(HttpConnection<DuplexStream>);
 
 impl Client {
@@ -226,45 +227,45 @@
         Client(HttpConnection::new(client))
     }
 
-    /// Sends a request with these header lines and without a body; the head of its response.
+    /// Sends a request with these header lines and without a body, and returns the head of the response.
     async fn get(&mut self, path: &str, headers: &str) -> Head {
         self.send("GET", path, &format!("{headers}\r\n")).await
     }
 
-    /// Sends a request of which `rest` is what follows the id.
+    /// Writes a request; `rest` follows the header line with its id.
     async fn write(&mut self, method: &str, path: &str, rest: &str) {
         let Client(http) = self;
         let request =
             format!("{method} {path} HTTP/1.1\r\nHost: {HOST}\r\nX-Attempt-Id: a\r\n{rest}");
-        let deadline = Instant::now() + PATIENCE;
+        let deadline = Instant::now() + EXCHANGE_TIMEOUT;
         http.write(request.as_bytes(), deadline).await.unwrap();
     }
 
-    /// Sends such a request; the head of its response, the body of which is read.
+    /// Sends a request, reads the complete response and returns its head.
     async fn send(&mut self, method: &str, path: &str, rest: &str) -> Head {
         self.write(method, path, rest).await;
         let Client(http) = self;
-        let deadline = Instant::now() + PATIENCE;
+        let deadline = Instant::now() + EXCHANGE_TIMEOUT;
         let head = http.read_response_head(MAX_MESSAGE_BYTES, deadline).await;
         let head = head.unwrap();
         let framing = response_framing(&head, BodyPresence::Present).unwrap();
-        http.read_body(framing, MAX_MESSAGE_BYTES, PATIENCE, Some(deadline))
+        http.read_body(framing, MAX_MESSAGE_BYTES, EXCHANGE_TIMEOUT, Some(deadline))
             .await
             .unwrap();
         head
     }
 }
 
-/// The head of the response to one request on a new connection.
+/// Sends one request on a new connection and returns the head of the response.
 async fn get(plane: &Rc<DataPlane<Network>>, path: &str, headers: &str) -> Head {
     Client::connect(plane).get(path, headers).await
 }
 
-// Guards against: a replica runs a request without the name of the tenant that has the key, or sees the key.
+// Guards against a replica that runs a request without the name of the key's tenant, or sees the key.
 #[parameterized(
     one_replica = { "/one/x", ACME, "acme", 1 },
-    each_part_of_a_fan_out = { "/all/x", ACME, "acme", 3 },
-    not_to_be_repeated = { "/once/x", ACME, "acme", 1 },
+    fan_out_to_three_backends = { "/all/x", ACME, "acme", 3 },
+    mutating = { "/once/x", ACME, "acme", 1 },
     public = { "/open/x", ACME, "acme", 1 },
     another_tenant = { "/one/x", "Authorization: Bearer qwertz-3-globex\r\n", "globex", 1 },
     second_key = { "/one/x", "Authorization: Bearer qwertz-2-acme\r\n", "acme", 1 },
@@ -275,25 +276,25 @@
     path: &str,
     headers: &str,
     tenant: &str,
-    replicas_asked: usize,
+    replica_count: usize,
 ) {
-    let replicas = Replicas::that_answer();
+    let replicas = Replicas::responding();
     let head =
         in_simulated_time(async { get(&ingress(&replicas, Some(CLIENTS)), path, headers).await });
     assert_eq!(head.status(), 200);
-    assert_eq!(replicas.client_names(), vec![vec![tenant]; replicas_asked]);
-    replicas.assert_that_no_key_arrived();
+    assert_eq!(replicas.client_names(), vec![vec![tenant]; replica_count]);
+    replicas.assert_no_key_received();
 }
 
-// Guards against: only the first attempt is sent as it must be, and a retry or a hedge shows the key or lacks the tenant.
+// Guards against retries and hedges that, unlike the first attempt, contain the key or lack the tenant.
 #[parameterized(
     after_a_rejection = { "/one/x", Reply::Reject },
-    after_a_rejection_where_it_may_not_run_twice = { "/once/x", Reply::Reject },
+    after_a_rejection_on_a_mutating_route = { "/once/x", Reply::Reject },
     after_a_reset = { "/one/x", Reply::Reset },
-    beside_a_silent_replica = { "/one/x", Reply::Nothing },
-    of_the_parts_of_a_fan_out = { "/all/x", Reply::Reset },
+    after_no_response = { "/one/x", Reply::Nothing },
+    in_a_fan_out = { "/all/x", Reply::Reset },
 )]
-fn every_further_attempt_has_the_tenant_and_not_the_key(path: &str, reply: Reply) {
+fn retries_and_hedges_carry_the_tenant_and_not_the_key(path: &str, reply: Reply) {
     let replicas = Replicas::new(reply);
     in_simulated_time(async { get(&ingress(&replicas, Some(CLIENTS)), path, ACME).await });
     let parts = if path.starts_with("/all/") { 3 } else { 1 };
@@ -302,25 +303,25 @@
         replicas.client_names(),
         vec![vec!["acme"]; replicas.count()]
     );
-    replicas.assert_that_no_key_arrived();
+    replicas.assert_no_key_received();
 }
 
-// Guards against: the path that measures the cost of the decision module forwards the key, or needs none.
+// Guards against forwarding the key, or not requiring one, on the path that measures the cost of the decision module.
 #[test]
 fn the_pass_through_path_hides_the_key_names_the_tenant_and_rejects_unknown_keys() {
-    let replicas = Replicas::that_answer();
+    let replicas = Replicas::responding();
     let statuses = in_simulated_time(async {
-        let plane = ingress_that_passes_through(&replicas, Some(CLIENTS));
+        let plane = pass_through_ingress(&replicas, Some(CLIENTS));
         let known = get(&plane, "/all/x", ACME).await.status();
         (known, get(&plane, "/all/x", UNKNOWN).await.status())
     });
     assert_eq!(statuses, (200, 401));
     assert_eq!(replicas.client_names(), vec![vec!["acme"]; 3]);
-    replicas.assert_that_no_key_arrived();
+    replicas.assert_no_key_received();
 }
 
-/// Credentials that name no tenant.
-const USELESS_CREDENTIALS: [&str; 9] = [
+/// Credentials that identify no tenant.
+const INVALID_CREDENTIALS: [&str; 9] = [
     UNKNOWN,
     "Authorization: Basic qwertz-1-acme\r\n",
     "Authorization: qwertz-1-acme\r\n",
@@ -332,35 +333,35 @@
     "Authorization: Bearer qwertz-1-acme\r\nX-Other: 1\r\nAuthorization: Basic qwertz\r\n",
 ];
 
-// Guards against: an Authorization that is of no use here is forwarded like any other header.
+// Guards against forwarding an invalid `Authorization` like any other header.
 #[parameterized(
     on_a_public_route = { "/open/x", Some(CLIENTS) },
     where_the_configuration_has_no_clients = { "/one/x", None },
-    of_a_fan_out_where_the_configuration_has_no_clients = { "/all/x", None },
+    on_a_fan_out_where_the_configuration_has_no_clients = { "/all/x", None },
     on_a_public_route_where_no_client_has_a_key = { "/open/x", Some("[]") },
 )]
-fn useless_credentials_are_not_forwarded_where_no_key_is_needed(path: &str, clients: Option<&str>) {
-    for headers in USELESS_CREDENTIALS {
-        let replicas = Replicas::that_answer();
+fn invalid_credentials_are_not_forwarded_where_no_key_is_needed(path: &str, clients: Option<&str>) {
+    for headers in INVALID_CREDENTIALS {
+        let replicas = Replicas::responding();
         let head =
             in_simulated_time(async { get(&ingress(&replicas, clients), path, headers).await });
         assert_eq!(head.status(), 200, "{headers}");
         assert!(replicas.client_names().concat().is_empty(), "{headers}");
-        replicas.assert_that_no_key_arrived();
+        replicas.assert_no_key_received();
     }
 }
 
-// Guards against: a known key is forwarded because the configuration asks for none.
+// Guards against forwarding a valid key when the configuration does not require one.
 #[test]
 fn a_key_is_not_forwarded_where_the_configuration_has_no_clients() {
-    let replicas = Replicas::that_answer();
+    let replicas = Replicas::responding();
     let head = in_simulated_time(async { get(&ingress(&replicas, None), "/one/x", ACME).await });
     assert_eq!(head.status(), 200);
     assert!(replicas.client_names().concat().is_empty());
-    replicas.assert_that_no_key_arrived();
+    replicas.assert_no_key_received();
 }
 
-// Guards against: a client passes for another tenant by a header of its own.
+// Guards against a client that impersonates another tenant by sending the header itself.
 #[parameterized(
     one_line = { "X-Client-Name: globex\r\n" },
     other_case = { "x-cLIENT-nAME: globex\r\n" },
@@ -369,7 +370,7 @@
     named_in_connection = { "Connection: X-Client-Name\r\nX-Client-Name: globex\r\n" },
     named_in_a_list_in_connection = { "Connection: keep-alive, x-client-name, authorization\r\nX-Client-Name: globex\r\n" },
 )]
-fn the_clients_own_tenant_name_never_arrives(headers: &str) {
+fn a_tenant_name_sent_by_the_client_is_never_forwarded(headers: &str) {
     let cases = [
         ("/one/x", ACME, Some(CLIENTS), vec!["acme"]),
         ("/all/x", ACME, Some(CLIENTS), vec!["acme"]),
@@ -384,7 +385,7 @@
             format!("{credentials}{headers}"),
             format!("{headers}{credentials}"),
         ] {
-            let replicas = Replicas::that_answer();
+            let replicas = Replicas::responding();
             let head = in_simulated_time(async {
                 get(&ingress(&replicas, clients), path, &headers).await
             });
@@ -392,15 +393,15 @@
             for names in replicas.client_names() {
                 assert_eq!(names, expected, "{path} {headers}");
             }
-            replicas.assert_that_no_key_arrived();
+            replicas.assert_no_key_received();
         }
     }
 }
 
-// Guards against: a trailer behind a body in chunks becomes a header of the request.
+// Guards against treating a trailer of a chunked body as a header of the request.
 #[test]
-fn trailers_name_no_tenant_and_show_no_key() {
-    let replicas = Replicas::that_answer();
+fn trailers_set_no_tenant_and_forward_no_key() {
+    let replicas = Replicas::responding();
     let rest = format!(
         "{ACME}Transfer-Encoding: chunked\r\nTrailer: X-Client-Name\r\n\r\n\
          2\r\nhi\r\n0\r\nX-Client-Name: globex\r\n{ACME}\r\n"
@@ -411,20 +412,20 @@
     });
     assert_eq!(head.status(), 200);
     assert_eq!(replicas.client_names(), [["acme"]]);
-    replicas.assert_that_no_key_arrived();
+    replicas.assert_no_key_received();
 }
 
-// Guards against: a request without a key that a tenant has is run, or is rejected as if it might be repeated.
+// Guards against running a request without a valid key, and against rejecting it with a status that invites a retry.
 #[parameterized(
     one_replica = { "/one/x" },
     fan_out = { "/all/x" },
-    not_to_be_repeated = { "/once/x" },
+    mutating = { "/once/x" },
 )]
 fn a_request_without_a_known_key_is_rejected_and_never_runs(path: &str) {
     let no_key = ["", "X-Client-Name: acme\r\n"];
-    for headers in USELESS_CREDENTIALS.into_iter().chain(no_key) {
+    for headers in INVALID_CREDENTIALS.into_iter().chain(no_key) {
         for clients in [CLIENTS, "[]"] {
-            let replicas = Replicas::that_answer();
+            let replicas = Replicas::responding();
             let head = in_simulated_time(async {
                 get(&ingress(&replicas, Some(clients)), path, headers).await
             });
@@ -435,10 +436,10 @@
     }
 }
 
-// Guards against: a public route asks for a key, or forgets the tenant of a key that it does not need.
+// Guards against requiring a key on a public route, and against losing the tenant of a key that was sent there anyway.
 #[test]
 fn a_public_route_needs_no_key() {
-    let replicas = Replicas::that_answer();
+    let replicas = Replicas::responding();
     let statuses = in_simulated_time(async {
         let plane = ingress(&replicas, Some(CLIENTS));
         let mut statuses = Vec::new();
@@ -451,11 +452,12 @@
     assert_eq!(replicas.client_names(), [vec![], vec![], vec!["acme"]]);
 }
 
-// Guards against: a client learns by 401 that a route might be there, and does not try again where it gets one.
+// Guards against a 401 for a route that does not exist: it suggests that the route exists, and keeps the client from
+// trying again.
 #[test]
-fn a_request_on_no_route_is_unknown_whatever_its_key() {
+fn an_unknown_route_responds_404_regardless_of_the_key() {
     let statuses = in_simulated_time(async {
-        let plane = ingress(&Replicas::that_answer(), Some(CLIENTS));
+        let plane = ingress(&Replicas::responding(), Some(CLIENTS));
         let mut statuses = Vec::new();
         for headers in ["", UNKNOWN, ACME] {
             statuses.push(get(&plane, "/no/such/route", headers).await.status());
@@ -465,9 +467,9 @@
     assert_eq!(statuses, [404, 404, 404]);
 }
 
-// Guards against: before the first configuration, a client is told that its key is wrong and does not try again.
+// Guards against a 401 before the first configuration, after which the client would not try again.
 #[test]
-fn without_a_configuration_a_request_is_rejected_for_now_and_not_for_its_key() {
+fn without_a_configuration_a_request_gets_503_and_not_401() {
     let status = in_simulated_time(async {
         let plane = deployment::data_plane_without_configuration(1, Network::default());
         get(&plane, "/one/x", UNKNOWN).await.status()
@@ -475,14 +477,15 @@
     assert_eq!(status, 503);
 }
 
-// Guards against: a 401 ends the connection, or the body of the rejected request is taken for the next request.
+// Guards against a 401 that closes the connection, and against parsing the body of the rejected request as the next
+// request.
 #[parameterized(
     no_body = { "GET", "\r\n" },
     body_with_a_length = { "POST", "Content-Length: 20\r\n\r\nGET /open/y HTTP/1.1" },
-    body_in_chunks = { "POST", "Transfer-Encoding: chunked\r\n\r\n5\r\nGET /\r\n0\r\n\r\n" },
+    chunked_body = { "POST", "Transfer-Encoding: chunked\r\n\r\n5\r\nGET /\r\n0\r\n\r\n" },
 )]
 fn a_connection_can_be_used_after_a_rejected_key(method: &str, rest: &str) {
-    let replicas = Replicas::that_answer();
+    let replicas = Replicas::responding();
     let (rejected, accepted) = in_simulated_time(async {
         let mut client = Client::connect(&ingress(&replicas, Some(CLIENTS)));
         let rest = format!("{UNKNOWN}{rest}");
@@ -494,10 +497,10 @@
     assert_eq!(replicas.client_names(), [["acme"]]);
 }
 
-// Guards against: a key that was taken away, or moved, still counts on connections that were open before.
+// Guards against a revoked or reassigned key that remains valid on connections opened before.
 #[test]
-fn a_new_configuration_holds_for_the_next_request_on_an_open_connection() {
-    let replicas = Replicas::that_answer();
+fn a_new_configuration_applies_to_the_next_request_on_an_open_connection() {
+    let replicas = Replicas::responding();
     let moved = r#"[{"label":"globex","credentials":["qwertz-1-acme"]}]"#;
     let removed = r#"[{"label":"acme","credentials":["qwertz-2-acme"]}]"#;
     let statuses = in_simulated_time(async {
@@ -518,10 +521,10 @@
     );
 }
 
-// Guards against: two requests at once on one connection are taken for the same tenant.
+// Guards against attributing consecutive requests on one connection to the same tenant.
 #[test]
 fn each_request_on_a_connection_has_the_tenant_of_its_own_key() {
-    let replicas = Replicas::that_answer();
+    let replicas = Replicas::responding();
     let statuses = in_simulated_time(async {
         let mut client = Client::connect(&ingress(&replicas, Some(CLIENTS)));
         let mut statuses = Vec::new();
@@ -535,14 +538,14 @@
     assert_eq!(replicas.client_names(), [["acme"], ["globex"], ["acme"]]);
 }
 
-/// Sends as many requests of `acme` as of `globex`, in turns and more than the replicas can take; how many more of
-/// `acme` are sent on.
-async fn surplus_under_load(clients: &str) -> i64 {
+/// Sends equally many requests of `acme` and `globex`, alternating and more than the replicas can serve. Returns how
+/// many more of `acme` than of `globex` are forwarded.
+async fn forwarded_difference_under_load(clients: &str) -> i64 {
     const REQUESTS_OF_EACH: usize = 30;
-    /// No request is rejected for load in the first moments of a dispatcher.
+    /// A new dispatcher rejects no request for overload within this time.
     const WARM_UP: Duration = Duration::from_millis(500);
     let globex = "Authorization: Bearer qwertz-3-globex\r\n";
-    let replicas = Replicas::that_answer();
+    let replicas = Replicas::responding();
     let plane = ingress(&replicas, Some(clients));
     for _ in 0..2 {
         assert_eq!(get(&plane, "/once/x", globex).await.status(), 200);
@@ -562,28 +565,31 @@
     }
     tokio::time::sleep(Duration::from_millis(5)).await;
     let names = replicas.client_names().split_off(answered).concat();
-    assert!(names.len() < 2 * REQUESTS_OF_EACH, "all are sent on");
-    let sent_on = |tenant: &str| {
+    assert!(
+        names.len() < 2 * REQUESTS_OF_EACH,
+        "all requests were forwarded"
+    );
+    let forwarded = |tenant: &str| {
         names
             .iter()
             .map(|name| i64::from(name == tenant))
             .sum::<i64>()
     };
-    sent_on("acme") - sent_on("globex")
+    forwarded("acme") - forwarded("globex")
 }
 
-// Guards against: under load, a request is judged by the rank of its route where its tenant has one.
+// Guards against ranking a request under load by its route's priority when its tenant has one.
 #[parameterized(
     higher_than_that_of_the_route = { r#","rank":0"#, 1 },
     the_same = { r#","rank":9"#, 0 },
     lower = { r#","rank":20"#, -1 },
     none = { "", 0 },
 )]
-fn the_rank_of_the_tenant_goes_before_that_of_the_route(rank: &str, sign: i64) {
+fn the_priority_of_the_tenant_overrides_that_of_the_route(rank: &str, sign: i64) {
     let clients = format!(
         r#"[{{"label":"acme","credentials":["qwertz-1-acme"]{rank}}},
             {{"label":"globex","credentials":["qwertz-3-globex"]}}]"#
     );
-    let surplus = in_simulated_time(surplus_under_load(&clients));
-    assert_eq!(surplus.signum(), sign, "{surplus}");
+    let difference = in_simulated_time(forwarded_difference_under_load(&clients));
+    assert_eq!(difference.signum(), sign, "{difference}");
 }
--- a/crates/linenthread-dataplane/tests/unknown_keys.rs
+++ b/crates/linenthread-dataplane/tests/unknown_keys.rs
@@ -1,4 +1,4 @@
-//! Requests whose key no configuration in force holds: none runs at a replica, and each is answered 401.
+//! Requests whose key is not in the configuration in force: no replica runs them, and the response is a 401.
 
 mod keyed_ingress;
 
@@ -7,11 +7,11 @@
 
 use self::keyed_ingress::{Client, ONE_TENANT, Replicas, configuration, ingress};
 
-// Guards against ROUTE: a request ran whose key no configuration ever held.
+// Guards against running a request whose key was never in any configuration (ROUTE).
 #[parameterized(
     known_key = { ONE_TENANT, "/closed/x", "Authorization: Bearer key-of-milo40\r\n", 200 },
     unknown_key = { ONE_TENANT, "/closed/x", "Authorization: Bearer key-of-nobody\r\n", 401 },
-    key_in_other_letters = { ONE_TENANT, "/closed/x", "Authorization: Bearer KEY-OF-MILO40\r\n", 401 },
+    key_in_upper_case = { ONE_TENANT, "/closed/x", "Authorization: Bearer KEY-OF-MILO40\r\n", 401 },
     part_of_a_key = { ONE_TENANT, "/closed/x", "Authorization: Bearer key-of-milo4\r\n", 401 },
     no_key = { ONE_TENANT, "/closed/x", "", 401 },
     other_scheme = { ONE_TENANT, "/closed/x", "Authorization: Basic key-of-milo40\r\n", 401 },
@@ -33,9 +33,9 @@
     assert_eq!((status, replicas.requests.get()), (expected, runs));
 }
 
-// Guards against a key that was taken away going on to work on a connection that was opened with it.
+// Guards against a revoked key that remains valid on a connection on which it was used before.
 #[test]
-fn a_key_that_a_later_revision_lacks_stops_on_open_connections() {
+fn a_key_removed_by_a_later_revision_is_rejected_on_open_connections() {
     let replicas = Replicas::default();
     let key = "Authorization: Bearer key-of-milo40\r\n";
     let statuses = in_simulated_time(async {
--- a/crates/linenthread-dataplane/tests/usage.rs
+++ b/crates/linenthread-dataplane/tests/usage.rs
@@ -1,4 +1,4 @@
-//! What a request through the dispatchers counts for its tenant, in simulated time.
+//! Tests of how requests through the dispatchers are counted per tenant, in simulated time.
 
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -18,25 +18,25 @@
 use linenthread_time::WallTime;
 use yare::parameterized;
 
-/// Retries that the ingress node may send: more than any test needs.
+/// The retry quota of the ingress node: more than any test needs.
 const RETRIES_PER_WINDOW: f64 = 100.0;
 /// The window in which requests are sent.
 const WINDOW: u64 = 100;
-/// How long a window lasts, in milliseconds.
+/// The length of a window, in milliseconds.
 const WINDOW_MS: u64 = 5_000;
 /// Longer than any request, in tenths of a millisecond.
 const DEADLINE_TENTHS: i64 = 10_000;
-/// By then all attempts have ended.
-const SETTLED: Duration = Duration::from_secs(4);
+/// The time after which all attempts have ended.
+const SETTLE_TIME: Duration = Duration::from_secs(4);
 
-/// Replicas that answer their first requests with some replies, one each, and all others with the last one.
+/// Replicas that respond to their first requests with one reply each, and to all others with the last reply.
 #[derive(Clone)]
 struct Replicas {
     replies: Rc<[Reply]>,
     requests: Rc<Cell<usize>>,
 }
 
-/// What a replica sends, and how many milliseconds after the request.
+/// The delay in milliseconds after the request, and the events that the replica sends.
 type Reply = (u64, Vec<InboundEvent>);
 
 impl Listener for Replicas {
@@ -79,12 +79,12 @@
     vec![InboundEvent::Bytes(messages::misdirection("j"))]
 }
 
-/// An ingress node with two replicas of each backend.
+/// Creates an ingress node with two replicas of each backend.
 fn ingress(replicas: &Replicas) -> Rc<DataPlane<Network>> {
     let network = Network::default();
     let plane = data_plane(1, network.clone(), RETRIES_PER_WINDOW);
     let backends = ["s1", "s2", "s3", "s4", "s1", "s2", "s3", "s4"];
-    let listed = backends.iter().zip(1u8..).map(|(backend, n)| {
+    let registered = backends.iter().zip(1u8..).map(|(backend, n)| {
         let address = SocketAddr::from(([10, 0, 0, n], 80));
         network.listen(address, Rc::new(replicas.clone()));
         linenthread_messages::Replica {
@@ -94,11 +94,11 @@
             ..Default::default()
         }
     });
-    plane.update_replicas(&listed.collect::<Vec<_>>(), UpdateScope::Complete);
+    plane.update_replicas(&registered.collect::<Vec<_>>(), UpdateScope::Complete);
     plane
 }
 
-/// Sends a request of a tenant.
+/// Sends a request on behalf of a tenant.
 fn send(plane: &DataPlane<Network>, path: &str, tenant: Option<&str>) {
     let table = plane.routing_table().expect("a configuration");
     let resolved = table.find(HOST, path).expect("a route");
@@ -117,13 +117,13 @@
     drop(plane.dispatch(Rc::new(request), resolved, parameters));
 }
 
-/// The moment that the control nodes agree on is so long after the start of [`WINDOW`].
+/// Sets the agreed time to `after_ms` after the start of [`WINDOW`].
 fn synchronize(plane: &DataPlane<Network>, after_ms: u64) {
     let agreed = WallTime::from_millis(WINDOW * WINDOW_MS + after_ms);
     plane.observe_agreed_time(clock::now(), agreed);
 }
 
-/// The counts that an ingress node keeps, as (window, tenant, requests).
+/// Returns the counts of an ingress node as (window, tenant, requests).
 fn usage(plane: &DataPlane<Network>) -> Vec<(u64, String, u64)> {
     let counts = plane.all_usage().into_iter().flat_map(|counts| {
         let window = counts.window;
@@ -135,7 +135,7 @@
     counts.collect()
 }
 
-/// How many requests replicas received, and what was counted.
+/// Sends one request, and returns the number of requests that replicas received, and the counts.
 async fn count_one(path: &str, replies: Vec<Reply>, after_ms: u64) -> (usize, Vec<(u64, u64)>) {
     let replicas = Replicas {
         replies: replies.into(),
@@ -144,7 +144,7 @@
     let plane = ingress(&replicas);
     synchronize(&plane, after_ms);
     send(&plane, path, Some("t"));
-    tokio::time::sleep(SETTLED).await;
+    tokio::time::sleep(SETTLE_TIME).await;
     let counted = usage(&plane)
         .into_iter()
         .map(|(window, _, requests)| (window, requests));
@@ -159,17 +159,20 @@
     hedged = { "/one/x", vec![(900, sealed()), (2, sealed())], 2 },
     fanned_out = { "/all/x", vec![(2, sealed())], 3 },
     fanned_out_and_retried = { "/all/x", vec![(2, vec![InboundEvent::Reset]), (2, sealed())], 4 },
-    of_a_mutating_route = { "/once/x", vec![(2, vec![InboundEvent::Reset])], 1 },
+    on_a_mutating_route = { "/once/x", vec![(2, vec![InboundEvent::Reset])], 1 },
 )]
 fn a_request_that_may_have_run_counts_once(path: &str, replies: Vec<Reply>, at_least: usize) {
     let (requests, counted) = in_simulated_time(count_one(path, replies, 0));
-    assert!(requests >= at_least, "{requests} were sent");
+    assert!(
+        requests >= at_least,
+        "replicas received {requests} requests"
+    );
     assert_eq!(counted, [(WINDOW, 1)]);
 }
 
 #[parameterized(
     rejected = { "/one/x", rejection() },
-    rejected_by_all_parts = { "/all/x", rejection() },
+    rejected_by_all_backends = { "/all/x", rejection() },
     rejected_on_a_mutating_route = { "/once/x", rejection() },
     misdirected = { "/one/x", misdirection() },
 )]
@@ -179,7 +182,7 @@
     assert_eq!(counted, []);
 }
 
-/// It is sent 100 ms before the end of its window, and answered after it.
+/// The request is sent 100 ms before the end of its window, and the response arrives in the next.
 #[test]
 fn a_request_counts_in_the_window_of_its_start() {
     let replies = vec![(300, sealed())];
@@ -188,7 +191,7 @@
 }
 
 #[test]
-fn requests_count_for_their_tenants_and_none_without_one() {
+fn requests_are_counted_per_tenant_and_not_without_a_tenant() {
     let counted = in_simulated_time(async {
         let replicas = Replicas {
             replies: vec![(2, sealed())].into(),
--- a/crates/linenthread-dataplane/tests/usage_counter.rs
+++ b/crates/linenthread-dataplane/tests/usage_counter.rs
@@ -1,4 +1,4 @@
-//! Counts of usage by window and tenant: which window a moment belongs to, what is sent, what is dropped.
+//! Tests of usage counts: assignment to windows, which counts are sent, and which are dropped.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -9,9 +9,9 @@
 use linenthread_time::{Instant, WallTime, WindowLength};
 use yare::parameterized;
 
-/// The first moment of window 100 on the steady clock.
+/// The start of window 100 on the monotonic clock.
 const START: Instant = Instant::from_millis(1_000_000);
-/// The window that begins at [`START`].
+/// The window that starts at [`START`].
 const FIRST_WINDOW: u64 = 100;
 const WINDOW_MS: u64 = 5_000;
 
@@ -23,7 +23,7 @@
     counter.observe_agreed_time(START, WallTime::from_millis(FIRST_WINDOW * WINDOW_MS));
 }
 
-/// A counter that knows the time of day.
+/// Creates a counter that knows the wall-clock time.
 fn synchronized() -> UsageCounter {
     let mut counter = counter();
     observe(&mut counter);
@@ -38,8 +38,8 @@
     name.into()
 }
 
-/// The counts of windows, as (window, tenant, requests).
-fn flat(windows: Vec<WindowCounts>) -> Vec<(u64, String, u64)> {
+/// Returns the counts of windows as (window, tenant, requests).
+fn flatten(windows: Vec<WindowCounts>) -> Vec<(u64, String, u64)> {
     let counts = windows.into_iter().flat_map(|counts| {
         let window = counts.window;
         let of = move |TenantCount { tenant, requests }| (window, tenant, requests);
@@ -60,14 +60,14 @@
     next_window = { START + Duration::from_millis(5_000), 101 },
     before = { Instant::from_millis(999_999), 99 },
 )]
-fn a_request_counts_in_the_window_in_which_it_began(began_at: Instant, expected: u64) {
+fn a_request_counts_in_the_window_in_which_it_started(started_at: Instant, expected: u64) {
     let mut counter = synchronized();
-    counter.record(&tenant("a"), began_at, 1);
-    assert_eq!(flat(counter.all()), counts(&[(expected, "a", 1)]));
+    counter.record(&tenant("a"), started_at, 1);
+    assert_eq!(flatten(counter.all()), counts(&[(expected, "a", 1)]));
 }
 
 #[test]
-fn only_what_has_risen_is_sent_again_and_as_a_total() {
+fn only_increased_counts_are_sent_again_as_totals() {
     let mut counter = synchronized();
     assert!(counter.is_empty());
     let (a, b) = (tenant("a"), tenant("b"));
@@ -75,42 +75,43 @@
     counter.record(&b, at(100), 2);
     counter.record(&a, at(101), 1);
     let all = counts(&[(100, "a", 1), (100, "b", 2), (101, "a", 1)]);
-    assert_eq!(flat(counter.take_changed()), all);
+    assert_eq!(flatten(counter.take_changed()), all);
     assert!(counter.take_changed().is_empty());
     counter.record(&b, at(100), 1);
     assert!(!counter.is_empty());
-    assert_eq!(flat(counter.take_changed()), counts(&[(100, "b", 3)]));
+    assert_eq!(flatten(counter.take_changed()), counts(&[(100, "b", 3)]));
     counter.record(&a, at(101), 1);
     let all = counts(&[(100, "a", 1), (100, "b", 3), (101, "a", 2)]);
-    assert_eq!(flat(counter.all()), all);
+    assert_eq!(flatten(counter.all()), all);
     assert!(counter.take_changed().is_empty());
 }
 
 #[test]
-fn requests_before_the_first_sample_are_assigned_by_it() {
+fn requests_recorded_before_the_first_sample_are_assigned_on_it() {
     let mut counter = counter();
     counter.record(&tenant("a"), at(100), 1);
     counter.record(&tenant("a"), at(101), 1);
     assert!(counter.all().is_empty());
     observe(&mut counter);
     let expected = counts(&[(100, "a", 1), (101, "a", 1)]);
-    assert_eq!(flat(counter.take_changed()), expected);
+    assert_eq!(flatten(counter.take_changed()), expected);
     assert_eq!(counter.take_dropped(), 0);
 }
 
 #[test]
-fn a_bounded_number_of_requests_waits_for_the_first_sample() {
+fn the_number_of_requests_kept_before_the_first_sample_is_bounded() {
     let mut counter = counter();
     (0..4_100).for_each(|_| counter.record(&tenant("a"), at(100), 1));
     assert_eq!(counter.take_dropped(), 4);
     observe(&mut counter);
-    assert_eq!(flat(counter.all()), counts(&[(100, "a", 4_096)]));
+    assert_eq!(flatten(counter.all()), counts(&[(100, "a", 4_096)]));
     assert_eq!(counter.take_dropped(), 0);
 }
 
-/// The newest 16 windows stay; of those that go, what was not sent is dropped, and so is what comes later.
+/// The newest 16 windows are kept. Unsent counts of removed windows are dropped, as are requests that later fall into
+/// a removed window.
 #[test]
-fn old_windows_make_room_and_what_is_lost_by_that_is_known() {
+fn old_windows_are_removed_and_unsent_counts_are_reported_as_dropped() {
     let mut counter = synchronized();
     let a = tenant("a");
     counter.record(&a, at(100), 7);
