--- a/crates/linenthread-dataplane/src/pool.rs
+++ b/crates/linenthread-dataplane/src/pool.rs
@@ -162,9 +162,7 @@
         let mut connection = match self.lease(request, timeout).await {
             Ok(connection) => connection,
             // Without a connection, its age makes no difference to the outcome.
-            Err(event) => {
-                return failed(Outcome::of(event, ConnectionAge::New, response_use));
-            }
+            Err(event) => return failed(Outcome::of(event, ConnectionAge::New, response_use)),
         };
         let age = connection.age;
         let response = match exchange(&mut connection.http, request, &self.id, deadline).await {
