--- a/crates/linenthread-dataplane/src/connection.rs
+++ b/crates/linenthread-dataplane/src/connection.rs
@@ -46,7 +46,7 @@
 
 /// A message was not written completely.
 #[derive(Debug, PartialEq, Eq, Snafu)]
-#[snafu(display("after {written} bytes: {source}"))]
+#[snafu(display("write failed after {written} bytes: {source}"))]
 pub struct WriteError {
     /// The number of bytes passed to the transport. All of them may have reached the peer.
     pub written: usize,
--- a/crates/linenthread-dataplane/src/response.rs
+++ b/crates/linenthread-dataplane/src/response.rs
@@ -103,7 +103,7 @@
     }
 
     /// Builds the response to an abandoned query. `furthest` is how far the request got at any replica: if nothing of
-    /// it can have run, the status is 503, which promises that; otherwise it is 502, which promises nothing. If
+    /// it can have run, the status is 503, which guarantees that; otherwise it is 502, which guarantees nothing. If
     /// `retry_after` is present, the response says when to retry.
     pub(crate) fn abandoned(furthest: SendState, retry_after: Option<TenthMillis>) -> Response {
         let status = match furthest {
