--- a/crates/linenthread-dataplane/src/clock.rs
+++ b/crates/linenthread-dataplane/src/clock.rs
@@ -46,7 +46,7 @@
     Instant::from_millis(START_MS + whole_millis(uptime()))
 }
 
-/// Converts a time to the operating system's instant; times before the clock's start become its start.
+/// Converts a time to [`std::time::Instant`]; times before the clock's start become its start.
 pub fn to_std(at: Instant) -> std::time::Instant {
     start().into_std() + at.since(Instant::from_millis(START_MS))
 }
@@ -63,8 +63,7 @@
     Instant::from_millis(START_MS) + since_start
 }
 
-/// Converts a time of the decision module to the operating system's instant; times before the clock's start become its
-/// start.
+/// Converts a time of the decision module to [`std::time::Instant`]; times before the clock's start become its start.
 pub(crate) fn tenth_millis_to_std(at: TenthMillis) -> std::time::Instant {
     start().into_std() + tenth_millis_to_duration(at - START_TENTHS)
 }
--- a/crates/linenthread-dataplane/src/data_plane.rs
+++ b/crates/linenthread-dataplane/src/data_plane.rs
@@ -151,8 +151,8 @@
         self.last_control_contact.set(Some(clock::now()));
     }
 
-    /// Reports whether this process may have missed the revocation of a key that is older than the settings allow.
-    /// Always false if the settings set no limit.
+    /// Reports whether this process may have missed a revocation of keys for longer than the settings allow. Always
+    /// false if the settings set no limit.
     pub(crate) fn may_lack_revocations(&self) -> bool {
         let last_contact = self.last_control_contact.get();
         self.settings.revocation_limit.is_some_and(|limit| {
--- a/crates/linenthread-dataplane/src/dispatcher.rs
+++ b/crates/linenthread-dataplane/src/dispatcher.rs
@@ -39,7 +39,7 @@
 pub struct QueryParameters {
     /// Determines which replicas are preferred, so that equal requests reach warm caches.
     pub affinity_key: u64,
-    /// The deadline, in tenths of a millisecond of [`crate::clock::now_tenth_millis`].
+    /// The deadline, on the clock of [`crate::clock::now_tenth_millis`].
     pub deadline: TenthMillis,
     /// Priority under load; 0 is the highest.
     pub priority: i64,
--- a/crates/linenthread-dataplane/src/dispatcher/decisions.rs
+++ b/crates/linenthread-dataplane/src/dispatcher/decisions.rs
@@ -38,7 +38,7 @@
     pub(super) list: Vec<Decision>,
     /// When to run the next step, unless inputs arrive earlier.
     pub(super) wake_at: Option<TenthMillis>,
-    /// The counts since they were last logged.
+    /// Counts since the last log entry.
     pub(super) abandoned: AbandonedCounts,
 }
 
--- a/crates/linenthread-dataplane/src/outcome.rs
+++ b/crates/linenthread-dataplane/src/outcome.rs
@@ -148,8 +148,9 @@
             ConnectionAge::New => AttemptOutcome::ConnectFailed,
             ConnectionAge::Reused => AttemptOutcome::NotSent,
         },
-        // As above, but bytes were written, so the request may have run and the outcome is not `NotSent`. An error
-        // counts as one failure and, unlike a lost connection, neither marks the replica down nor suspects a crash.
+        // As above, but bytes were written, so the request may have run and the outcome is not `NotSent`. `Error`
+        // counts as one failure; unlike `ConnectionLost`, it neither marks the replica down nor counts as a suspected
+        // crash.
         WireEvent::WriteTruncated | WireEvent::ClosedBeforeResponse => match age {
             ConnectionAge::New => AttemptOutcome::ConnectionLost,
             ConnectionAge::Reused => AttemptOutcome::Error,
--- a/crates/linenthread-dataplane/src/replica_table.rs
+++ b/crates/linenthread-dataplane/src/replica_table.rs
@@ -45,7 +45,7 @@
             .collect();
         if scope == UpdateScope::Complete {
             let named: HashSet<&str> = replicas.iter().map(|r| r.id.as_str()).collect();
-            changed.extend(self.depart_all_except(&named));
+            changed.extend(self.mark_others_departed(&named));
         }
         changed
     }
@@ -95,8 +95,8 @@
         Some(pool)
     }
 
-    /// Marks all replicas that are not `named` as departed, and returns those that were not departed before.
-    fn depart_all_except(&self, named: &HashSet<&str>) -> Pools<C> {
+    /// Marks all replicas that are not `named` as departed, and returns those that had not departed before.
+    fn mark_others_departed(&self, named: &HashSet<&str>) -> Pools<C> {
         let departed: Pools<C> = self
             .by_id
             .values()
--- a/crates/linenthread-dataplane/src/server.rs
+++ b/crates/linenthread-dataplane/src/server.rs
@@ -26,9 +26,9 @@
 
 /// Header of the 503 while there is no configuration yet, or while a route with keys requires one that is known to be
 /// current.
-const NO_CONFIGURATION_ADVICE: &[u8] = b"Retry-After: 0.5\r\n";
+const RETRY_AFTER_HEADER: &[u8] = b"Retry-After: 0.5\r\n";
 /// Header of the 401 for a request without a known key.
-const NEEDED_CREDENTIALS: &[u8] = b"WWW-Authenticate: Bearer\r\n";
+const AUTHENTICATE_HEADER: &[u8] = b"WWW-Authenticate: Bearer\r\n";
 
 /// Serves one client connection until either side closes it.
 pub async fn serve<S, C>(stream: S, peer: SocketAddr, plane: Rc<DataPlane<C>>)
@@ -133,19 +133,19 @@
 ) -> Result<PendingResponse<C>, Response> {
     let routing_table = plane
         .routing_table()
-        .ok_or_else(|| Response::with_headers(503, NO_CONFIGURATION_ADVICE.to_vec()))?;
+        .ok_or_else(|| Response::with_headers(503, RETRY_AFTER_HEADER.to_vec()))?;
     let head = &request.head;
     let host = head.header("host").unwrap_or_default();
     let resolved = routing_table
         .find(host, head.path())
         .ok_or_else(|| Response::empty(404))?;
     if routing_table.needs_key(&resolved.route) && plane.may_lack_revocations() {
-        let advice = NO_CONFIGURATION_ADVICE.to_vec();
-        return Err(Response::with_headers(503, advice));
+        let headers = RETRY_AFTER_HEADER.to_vec();
+        return Err(Response::with_headers(503, headers));
     }
     let tenant = routing_table
         .authorize(&resolved.route, credentials(head))
-        .map_err(|UnknownKey| Response::with_headers(401, NEEDED_CREDENTIALS.to_vec()))?;
+        .map_err(|UnknownKey| Response::with_headers(401, AUTHENTICATE_HEADER.to_vec()))?;
     let replica_request =
         to_replica_request(request, host, resolved).map_err(|_| Response::empty(400))?;
     let parameters = QueryParameters {
