--- a/crates/linenthread-zones/src/config.rs
+++ b/crates/linenthread-zones/src/config.rs
@@ -1,31 +1,31 @@
-//! How failover behaves.
+//! Configuration of failover.
 
 use linenthread_core::interface::TenthMillis;
 use snafu::{Snafu, ensure};
 
-/// How failover behaves.
+/// The configuration of failover.
 #[derive(Clone, Debug, PartialEq)]
 pub struct FailoverConfig {
-    /// The share of a zone's capacity that may be used, for its own clients and for those that are moved there.
+    /// The share of a zone's capacity that may be used, by its own clients and by those of other zones together.
     pub capacity_margin: f64,
-    /// How long a zone is ejected for the first time; each further time is twice as long.
+    /// The duration of a zone's first ejection; each further ejection lasts twice as long.
     pub ejection_time: TenthMillis,
-    /// How long it is ejected at most.
+    /// The maximum duration of an ejection.
     pub max_ejection_time: TenthMillis,
-    /// How long each step of a return takes: no less than a replica that starts cold needs to warm up.
+    /// The duration of each step of a return; no shorter than the warm-up of a replica that starts cold.
     pub return_step: TenthMillis,
 }
 
-/// Why failover cannot be configured so.
+/// The reason why a configuration is rejected.
 #[derive(Clone, Debug, PartialEq, Snafu)]
 pub enum ConfigError {
-    /// With this margin no zone could bear its own clients, or each is taken to bear more than it can.
+    /// The margin is no share: it would leave a zone no capacity, or assume more than the zone has.
     #[snafu(display("a capacity margin of {margin} is not above 0 and at most 1"))]
     CapacityMargin {
         /// The margin.
         margin: f64,
     },
-    /// A zone that is ejected would return at once, or a step of its return would last no time.
+    /// An ejection, or a step of a return, would have no duration.
     #[snafu(display("an ejection and a step of a return must be longer than 0"))]
     NoDuration,
     /// The longest ejection is shorter than the first.
@@ -34,10 +34,10 @@
 }
 
 impl FailoverConfig {
-    /// Checks that the values can be right together.
+    /// Checks the values, each by itself and against each other.
     ///
     /// # Errors
-    /// The margin is no share, a time is not positive, or the longest ejection is shorter than the first.
+    /// The margin is not a share, a duration is not positive, or the longest ejection is shorter than the first.
     pub fn validate(&self) -> Result<(), ConfigError> {
         let margin = self.capacity_margin;
         ensure!(
--- a/crates/linenthread-zones/src/controller/adoption.rs
+++ b/crates/linenthread-zones/src/controller/adoption.rs
@@ -1,4 +1,4 @@
-//! Which changes of the routes are acted on: routes close at once, and open no more often than a budget allows
+//! Decides which changes of the routes take effect: routes close at once, but open no more often than a budget allows
 //! (*no-flapping*).
 
 use linenthread_core::interface::TenthMillis;
@@ -8,16 +8,16 @@
 use crate::health::OPENINGS_OF_RETURN;
 use crate::table::Row;
 
-/// How often routes may be opened further: this many times in a row, and once more with each minute that passes. Steps
-/// of a return that an operator ordered come on top.
+/// The maximum of the budget: routes may open further this many times in a row, and once more per minute. The steps of
+/// a return that an operator ordered are added to it.
 const MAX_OPENINGS: f64 = 20.0;
-/// A new leader may open routes so often at first.
+/// The budget that a new leader begins with.
 const INITIAL_OPENINGS: f64 = 5.0;
-const MINUTE: TenthMillis = 600_000;
-/// Shares that differ by less than this part are not worth a new table.
+const TENTHS_PER_MINUTE: TenthMillis = 600_000;
+/// A change of a share by no more than this part of the larger one does not by itself cause a new table.
 const MIN_RELATIVE_CHANGE: f64 = 0.05;
 
-/// Limits how often routes are opened further.
+/// The budget that limits how often routes open further.
 #[derive(Clone, Debug)]
 pub(super) struct OpeningBudget {
     openings: f64,
@@ -35,13 +35,14 @@
     }
 
     fn refill(&mut self, now: TenthMillis) {
-        let refilled = self.openings + (now - self.refilled_at) as f64 / MINUTE as f64;
-        // What an order allowed may exceed the maximum, but does not grow.
+        let refilled = self.openings + (now - self.refilled_at) as f64 / TENTHS_PER_MINUTE as f64;
+        // Above the maximum, through openings for an ordered return, the budget is kept but not refilled.
         self.openings = refilled.min(MAX_OPENINGS.max(self.openings));
         self.refilled_at = now;
     }
 
-    /// An operator lets a zone return. Its steps are not taken from what failures may use: an order is no flapping.
+    /// Adds the openings of a return that an operator ordered, so that it does not use up the budget for failures: an
+    /// ordered return is not flapping.
     pub(super) fn allow_ordered_return(&mut self) {
         self.openings += OPENINGS_OF_RETURN;
     }
@@ -52,12 +53,12 @@
     }
 }
 
-/// What differs between two tables' routes.
+/// The differences between the routes of two tables.
 #[derive(Clone, Copy, Default)]
 struct Changes {
-    /// Some route closes further, by more than a little.
+    /// Some route closes further, by a relevant difference.
     closes: bool,
-    /// Some route opens further, to all keys or by more than a little.
+    /// Some route opens further, to all keys or by a relevant difference.
     opens: bool,
     /// Some route has another reason.
     reasons: bool,
@@ -79,16 +80,16 @@
     }
 }
 
-/// Which part of new routes is acted on.
+/// The part of new routes that takes effect.
 enum Adoption {
     Everything,
-    /// What closes is closed; what would open stays as it is.
+    /// Routes that close further do so; those that would open further stay as they are.
     OnlyClosing,
     Nothing,
 }
 
 impl FailoverController {
-    /// Adopts these routes as far as they may be acted on now, and returns whether any has changed.
+    /// Applies these routes as far as they may take effect now, and reports whether anything was applied.
     pub(super) fn adopt(&mut self, rows: Vec<Row>, now: TenthMillis) -> bool {
         self.budget.refill(now);
         let changes = Changes::between(&rows, &self.rows);
@@ -113,7 +114,8 @@
         }
     }
 
-    /// Capacity that comes and goes, with no other reason, is followed upwards no faster than a zone returns.
+    /// Reports whether the budget allows an opening. An opening for capacity alone must also wait for the duration of a
+    /// return's step since the last one.
     fn may_open(&self, changes: Changes, now: TenthMillis) -> bool {
         let is_step_over = now >= self.budget.opened_at + self.config.return_step;
         self.budget.openings >= 1.0 && (changes.reasons || is_step_over)
--- a/crates/linenthread-zones/src/controller/evidence.rs
+++ b/crates/linenthread-zones/src/controller/evidence.rs
@@ -1,25 +1,26 @@
-//! What all coordinators observed in an interval, judged by majorities.
+//! Evaluates by majorities what all coordinators observed in an interval.
 
 use crate::report::{Report, RouteStats};
 use crate::zone_index::{ZoneIndex, ZonePair};
 
-/// A majority's opinion of a zone, from one zone of clients.
+/// The majority opinion of a zone among the coordinators of one zone of clients.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Opinion {
     Reachable,
     Down,
-    /// Too few have an opinion.
+    /// Too few coordinators have an opinion.
     Unknown,
 }
 
 impl Opinion {
-    /// `coordinators` are all in the zone of clients that report: a few that see nothing are themselves cut off.
+    /// Forms the opinion. `coordinators` is the number of all that report in the zone of clients: if only a few of them
+    /// get no response, these are themselves cut off.
     fn new(stats: &RouteStats, coordinators: u32) -> Opinion {
         let is_down = is_majority(stats.down, stats.observers);
         if is_down && is_majority(stats.down, coordinators) {
             Opinion::Down
         } else if !is_down && stats.observers > 0 || is_majority(stats.succeeded, stats.completed) {
-            // With little traffic no single observer has an opinion; what all of them completed together is one.
+            // With little traffic no single observer has an opinion, but their sub-requests together allow one.
             Opinion::Reachable
         } else {
             Opinion::Unknown
@@ -31,14 +32,14 @@
     all > 0 && 2 * part > all
 }
 
-/// How many other zones find a zone down or reachable.
+/// The numbers of other zones that find a zone down or reachable.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Votes {
     pub(super) down: usize,
     pub(super) reachable: usize,
 }
 
-/// One interval's evidence.
+/// The evidence of one interval.
 pub(super) struct Evidence<'a> {
     report: &'a Report,
     zone_count: usize,
@@ -64,13 +65,13 @@
         Opinion::new(&self.stats(route), coordinators)
     }
 
-    /// A zone that reaches nothing, itself neither, has no say on others: it is what is cut off.
+    /// Reports whether a zone reaches no zone, not even itself: it is then cut off, and has no vote on others.
     fn is_isolated(&self, from: ZoneIndex) -> bool {
         let mut routes = self.zones().map(|to| ZonePair { from, to });
         !routes.any(|route| self.opinion(route) == Opinion::Reachable)
     }
 
-    /// What other zones find of a zone; each has one vote, however many coordinators are there.
+    /// Counts the votes of the other zones on a zone; each zone has one, however many coordinators it has.
     pub(super) fn votes(&self, to: ZoneIndex) -> Votes {
         let mut votes = Votes::default();
         let others = self.zones().filter(|from| *from != to);
@@ -84,8 +85,8 @@
         votes
     }
 
-    /// Whether a zone is down. One that its own coordinators reach is not, however many others do not reach it: the
-    /// fault is between them.
+    /// Reports whether a zone is down. One that its own coordinators reach is not, however many others cannot reach it:
+    /// the fault then lies between the zones.
     pub(super) fn is_down(&self, zone: ZoneIndex, votes: Votes) -> bool {
         let to_itself = ZonePair {
             from: zone,
@@ -93,13 +94,13 @@
         };
         match self.opinion(to_itself) {
             Opinion::Reachable => false,
-            // Others outvote its own coordinators, unless nobody else can tell.
+            // Other zones can outvote its own coordinators; without other votes these decide.
             Opinion::Down => votes.down > votes.reachable || votes.reachable == 0,
             Opinion::Unknown => votes.down > votes.reachable,
         }
     }
 
-    /// Whether a majority of all who reach a zone finds it slow.
+    /// Reports whether a majority of all coordinators that reach a zone find it slow.
     pub(super) fn is_slow(&self, to: ZoneIndex) -> bool {
         let (mut slow, mut reaching) = (0, 0);
         for from in self.zones() {
--- a/crates/linenthread-zones/src/controller/mod.rs
+++ b/crates/linenthread-zones/src/controller/mod.rs
@@ -1,19 +1,19 @@
-//! The decisions for the whole fleet, made by its leader once per interval.
+//! The failover decisions for the whole fleet, which its leader makes once per interval.
 //!
-//! | a zone is | effect on the routes there | next state when |
+//! | state of a zone | routes to it | next state and its condition |
 //! | --- | --- | --- |
-//! | healthy | open | a majority of those who see it finds it down in two consecutive evaluations: ejected. It finds it slow: slow |
-//! | slow | open as far as its capacity at its present latency goes | it is not found slow for the first ejection time: healthy |
-//! | ejected | closed | its ejection time has passed: returning. That is twice the one before, up to a maximum |
-//! | returning | open to 5, 15, 40 keys of a hundred, for the time of a step each | all steps are done: healthy. Found down: ejected |
-//! | drained | closed by an operator | the operator ends it: returning |
+//! | healthy | open | ejected, if majorities find it down in two consecutive evaluations; slow, if they find it slow in as many |
+//! | slow | open as far as its capacity at its current latency allows | ejected, as above; healthy, if it is not found slow again for the duration of a first ejection |
+//! | ejected | closed | returning, after the ejection time; that doubles with each recent ejection, up to a maximum |
+//! | returning | open to 5, 15, then 40 % of keys, each for the duration of a step | healthy, after the last step; ejected, if found down |
+//! | drained | closed | returning, when the operator ends the drain |
 //!
-//! A pair of zones is partitioned while the remote one is not ejected and a majority in the local one finds it down:
-//! the route between them goes through the same states by itself. So an observer that is itself cut off is outvoted in
-//! its own zone, and a zone that only one other cannot reach is not ejected for all.
+//! A pair of zones is partitioned if the remote zone is serving but a majority of the local coordinators find it down;
+//! the route between the two then goes through the same states on its own. So an observer that is itself cut off is
+//! outvoted in its own zone, and a zone that only one other zone cannot reach is not ejected for all.
 //!
-//! Where to read what, in the order of [`FailoverController::decide`]: `measurements`, `evidence`, the states in
-//! [`crate::health`], `routes`, and `adoption`; `restoration` is what a new leader begins with.
+//! Modules in the order in which [`FailoverController::decide`] uses them: `measurements`, `evidence`, the states in
+//! [`crate::health`], `routes`, and `adoption`; `restoration` sets the initial state of a new leader.
 
 mod adoption;
 mod evidence;
@@ -36,31 +36,31 @@
 use evidence::{Evidence, Opinion};
 use measurements::Measurements;
 
-/// Evidence is collected for so long before it is evaluated.
+/// The interval for which evidence is collected before it is evaluated.
 pub const EVALUATION_INTERVAL: TenthMillis = 10_000;
 const TENTHS_PER_SECOND: f64 = 10_000.0;
 
-/// Decides for the whole fleet.
+/// Makes the routing table for the whole fleet from its coordinators' reports; used by the fleet's leader.
 #[derive(Clone, Debug)]
 pub struct FailoverController {
     config: FailoverConfig,
     zone_names: Vec<String>,
-    /// By zone.
+    /// The health of each zone.
     health: Vec<Health>,
-    /// Routes between pairs of zones that are, or were lately, partitioned.
+    /// The health of routes between pairs of zones that are, or recently were, partitioned.
     pairs: BTreeMap<ZonePair, Health>,
-    /// What was reported in this interval.
+    /// The sum of the reports of the current interval.
     report: Report,
     interval_started_at: TenthMillis,
     measurements: Measurements,
-    /// The current table's.
+    /// The rows of the current table.
     rows: Vec<Row>,
     budget: OpeningBudget,
 }
 
 impl FailoverController {
-    /// Takes over from a former leader: what its last table had ejected is ejected for the first ejection time from
-    /// now on, and what was returning goes on from its step.
+    /// Creates the controller of a new leader from the last table of the former one. Zones and pairs that were ejected
+    /// there are ejected for a first ejection from now on; returns continue from their step.
     ///
     /// # Errors
     /// The configuration is invalid.
@@ -99,22 +99,22 @@
         ZoneIndex::all(self.zone_names.len())
     }
 
-    /// Adds what others observed.
+    /// Adds a report to the current interval.
     pub fn add_report(&mut self, report: &Report) {
         self.report.add(report);
     }
 
-    /// When [`FailoverController::decide`] has something to evaluate.
+    /// Returns the end of the current interval, when [`FailoverController::decide`] should next be called.
     pub fn wake_at(&self) -> TenthMillis {
         self.interval_started_at + EVALUATION_INTERVAL
     }
 
-    /// The current routes, by zone of clients.
+    /// Returns the current routes, by zone of clients.
     pub fn rows(&self) -> &[Row] {
         &self.rows
     }
 
-    /// Sets which zones operators drain; those that are no longer named return.
+    /// Sets the zones that operators have drained; the return of those no longer among them begins.
     pub fn set_drained(&mut self, drained: &BTreeSet<String>, now: TenthMillis) {
         for (name, health) in self.zone_names.iter().zip(&mut self.health) {
             if drained.contains(name) {
@@ -125,7 +125,7 @@
         }
     }
 
-    /// Evaluates the interval if it is over, and returns the table to be replicated where that changes a route.
+    /// Evaluates the interval if it is over, and returns the table to replicate if the routes have changed.
     pub fn decide(
         &mut self,
         now: TenthMillis,
@@ -138,13 +138,13 @@
         let report = std::mem::take(&mut self.report);
         let seconds = (now - self.interval_started_at) as f64 / TENTHS_PER_SECOND;
         self.interval_started_at = now;
-        self.measurements.measure(&report, seconds);
+        self.measurements.update(&report, seconds);
         self.evaluate(&report, now);
         let rows = self.routes(topology);
         self.adopt(rows, now).then(|| self.table(valid_from_ms))
     }
 
-    /// The current routes as a table.
+    /// Returns the current routes as a table.
     pub fn table(&self, valid_from_ms: u64) -> RoutingTable {
         RoutingTable {
             valid_from_ms,
@@ -153,7 +153,7 @@
         }
     }
 
-    /// Evaluates each zone and each pair.
+    /// Updates the health of each zone and of each pair of zones.
     fn evaluate(&mut self, report: &Report, now: TenthMillis) {
         let count = self.zone_names.len();
         let evidence = Evidence::new(report, count);
@@ -166,7 +166,7 @@
             let is_serving = health.state.is_serving() && !is_down;
             for from in ZoneIndex::all(count) {
                 let pair = ZonePair { from, to };
-                // Its own coordinators alone do not make a zone partitioned from itself, unless others outvote them.
+                // A zone counts as partitioned from itself only if other zones outvote its own coordinators.
                 let may_be_partitioned = from != to || votes.reachable > votes.down;
                 let is_partitioned =
                     is_serving && may_be_partitioned && evidence.opinion(pair) == Opinion::Down;
@@ -182,7 +182,7 @@
         let healthy = Health::new(State::Healthy, now);
         let health = self.pairs.entry(pair).or_insert(healthy);
         health.evaluate(now, is_partitioned, &self.config);
-        if health.is_unremarkable() {
+        if health.is_fully_recovered() {
             self.pairs.remove(&pair);
         }
     }
--- a/crates/linenthread-zones/src/controller/restoration.rs
+++ b/crates/linenthread-zones/src/controller/restoration.rs
@@ -1,4 +1,4 @@
-//! What a new leader knows of the past: the states that the routes of the last table stand for.
+//! Restores the health of zones and pairs at a new leader, as the routes of the former leader's last table imply it.
 
 use linenthread_core::interface::TenthMillis;
 
@@ -9,14 +9,14 @@
 use crate::zone_index::{ZoneIndex, ZonePair};
 
 impl FailoverController {
-    /// Restores the states from the routes of a former table.
+    /// Restores the health of zones and pairs from the current rows, which are those of the former leader's table.
     pub(super) fn restore_health(&mut self, now: TenthMillis) {
         let count = self.zone_names.len();
         for from in ZoneIndex::all(count) {
             for to in ZoneIndex::all(count) {
                 let route = self.rows[from.position()].routes[to.position()];
                 let health = restored_health(route, now, &self.config);
-                if self.is_of_zone(to, route.reason) {
+                if self.applies_to_zone(to, route.reason) {
                     self.health[to.position()] = health;
                 } else if matches!(route.reason, Reason::Partitioned | Reason::Returning) {
                     self.pairs.insert(ZonePair { from, to }, health);
@@ -25,14 +25,14 @@
         }
     }
 
-    /// A reason that is the same for all zones of clients is the zone's own.
-    fn is_of_zone(&self, to: ZoneIndex, reason: Reason) -> bool {
+    /// Reports whether a route's reason lies with the zone rather than the pair: all zones of clients then have it.
+    fn applies_to_zone(&self, to: ZoneIndex, reason: Reason) -> bool {
         let mut reasons = self.rows.iter().map(|row| row.routes[to.position()].reason);
         reason != Reason::Partitioned && reasons.all(|other| other == reason)
     }
 }
 
-/// The state that a route of a former leader's table stands for.
+/// Returns the health that a route of the former leader's table implies.
 fn restored_health(route: Route, now: TenthMillis, config: &FailoverConfig) -> Health {
     let state = match route.reason {
         Reason::ZoneDown | Reason::Partitioned => State::Ejected {
--- a/crates/linenthread-zones/src/controller/routes.rs
+++ b/crates/linenthread-zones/src/controller/routes.rs
@@ -1,4 +1,4 @@
-//! The routes that follow from the states, narrowed to what each zone can bear (*within-capacity*).
+//! Derives the routes from the health of zones and pairs, and narrows them to each zone's capacity (*within-capacity*).
 
 use super::FailoverController;
 use crate::ALL_KEYS;
@@ -9,8 +9,8 @@
 use crate::zone_index::{ZoneIndex, ZonePair};
 
 impl FailoverController {
-    /// The routes as the states have them, narrowed as far as capacity requires. While all is healthy none is
-    /// (*local-while-healthy*): peaks are then borne by each coordinator by itself.
+    /// Returns the routes that follow from the health of zones and pairs, narrowed as far as capacity requires. While all
+    /// are healthy none is narrowed (*local-while-healthy*); each coordinator then handles peaks by itself.
     pub(super) fn routes(&self, topology: &Topology) -> Vec<Row> {
         let row = |from: ZoneIndex| Row {
             routes: self.zones().map(|to| self.route(from, to)).collect(),
@@ -24,7 +24,7 @@
         rows
     }
 
-    /// What is wrong with the zone counts before what is wrong with the pair.
+    /// Returns the route that follows from the zone's health or, if the zone is serving, from the pair's.
     fn route(&self, from: ZoneIndex, to: ZoneIndex) -> Route {
         let zone = &self.health[to.position()];
         let pair = self.pairs.get(&ZonePair { from, to });
@@ -51,10 +51,11 @@
         }
     }
 
-    /// The capacity of each zone. What a zone bears while all is healthy it bears now, unless it is slow.
+    /// Returns the capacity of each zone. Unless a zone is slow or its capacity is configured, it is assumed to have at
+    /// least the capacity for the load that it gets while all zones are healthy.
     fn capacities(&self, topology: &Topology) -> Vec<f64> {
         let open = RoutingTable::open(self.zone_names.clone()).rows;
-        let usual = loads(topology, self.measurements.demand(), &open);
+        let healthy_loads = loads(topology, self.measurements.demand(), &open);
         let capacity_of = |zone: ZoneIndex| {
             let capacity = self.capacity(topology, zone);
             let position = zone.position();
@@ -62,22 +63,22 @@
             if self.health[position].state.is_slow() || is_configured {
                 capacity
             } else {
-                capacity.max(usual.on_replicas(position))
+                capacity.max(healthy_loads.on_replicas(position))
             }
         };
         self.zones().map(capacity_of).collect()
     }
 
-    /// The sub-requests a second that a zone can process, as configured; less for one that is slow. What could be
-    /// measured instead, from the shortest latencies and the greatest throughput, is less than what replicas of several
-    /// cores can process: rejecting by it cost a sixth of the value where all requests would have fitted (simulation
-    /// of failover). So where capacity is not configured no route is closed for it, and each coordinator sheds by
-    /// itself what is too much.
+    /// Returns the configured number of sub-requests per second that a zone can process; less if the zone is slow.
+    ///
+    /// Without a configured capacity no route is closed for it, and each coordinator sheds excess load by itself. An
+    /// estimate from the shortest latencies and the highest throughput is too low for replicas with several cores: in the
+    /// simulation of failover, rejecting by it cost a sixth of the value where all requests would have fitted.
     fn capacity(&self, topology: &Topology, zone: ZoneIndex) -> f64 {
         let position = zone.position();
         let configured = topology.zones[position].replica_capacity;
-        let capacity = configured.map_or(f64::INFINITY, |each| {
-            each * f64::from(topology.replicas[position]) * self.config.capacity_margin
+        let capacity = configured.map_or(f64::INFINITY, |per_replica| {
+            per_replica * f64::from(topology.replicas[position]) * self.config.capacity_margin
         });
         if self.health[position].state.is_slow() {
             capacity * self.measurements.latency(zone).capacity_part()
--- a/crates/linenthread-zones/src/error.rs
+++ b/crates/linenthread-zones/src/error.rs
@@ -1,40 +1,40 @@
-//! Why a table or a report does not decode, and why a zone cannot be drained.
+//! Errors of decoding tables and reports, and of draining a zone.
 
 use linenthread_frames::DecodeError;
 use snafu::Snafu;
 
-use crate::ALL_KEYS;
+use crate::{ALL_KEYS, MAX_ZONES};
 
-/// Why bytes are no table, or no report.
+/// The error of decoding a table or a report.
 #[derive(Clone, Debug, PartialEq, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum FormatError {
-    /// A field does not decode.
+    /// A field cannot be decoded.
     #[snafu(transparent)]
     Field {
-        /// What the decoder found.
+        /// The decoder's error.
         source: DecodeError,
     },
-    /// A zone's number is over the limit.
+    /// A zone's index is not below [`MAX_ZONES`].
     #[snafu(display("there is no zone {zone}"))]
     UnknownZone {
-        /// The number.
+        /// The index.
         zone: u8,
     },
-    /// A table has more zones than [`crate::MAX_ZONES`].
-    #[snafu(display("{count} zones are too many"))]
+    /// A table has more zones than [`MAX_ZONES`].
+    #[snafu(display("a table has {count} zones, more than {MAX_ZONES}"))]
     TooManyZones {
-        /// How many.
+        /// The number of zones.
         count: usize,
     },
     /// A reason is unknown.
-    #[snafu(display("no reason is {code}"))]
+    #[snafu(display("a route has the unknown reason {code}"))]
     UnknownReason {
-        /// The byte that stands for the reason.
+        /// The byte that encodes the reason.
         code: u8,
     },
-    /// A share is over [`ALL_KEYS`].
-    #[snafu(display("{share} of {ALL_KEYS} keys are too many"))]
+    /// A share is greater than [`ALL_KEYS`].
+    #[snafu(display("a route's share of {share} is more than {ALL_KEYS}"))]
     ShareTooLarge {
         /// The share, in thousandths.
         share: u16,
@@ -44,17 +44,17 @@
     InconsistentCounts,
 }
 
-/// Why a zone cannot be drained.
+/// The reason why a zone cannot be drained.
 #[derive(Clone, Debug, PartialEq, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum DrainError {
     /// No zone has that name.
     #[snafu(display("there is no zone {zone}"))]
     NoSuchZone {
-        /// The name.
+        /// The requested name.
         zone: String,
     },
-    /// Some shards have replicas nowhere else.
+    /// Some shards have replicas in no other undrained zone.
     #[snafu(display("{percent:.0}% of parts would have no replica left"))]
     NoReplicaLeft {
         /// The share of sub-requests that would be rejected, in percent.
--- a/crates/linenthread-zones/src/health.rs
+++ b/crates/linenthread-zones/src/health.rs
@@ -1,39 +1,39 @@
-//! The states that a zone, or the route between a pair of zones, goes through.
+//! The health states of a zone, or of the route between a pair of zones.
 
 use linenthread_core::interface::TenthMillis;
 
 use crate::ALL_KEYS;
 use crate::config::FailoverConfig;
 
-/// So many consecutive evaluations must say the same.
+/// Consecutive evaluations with the same finding that are needed for a change of state.
 pub(crate) const CONFIRMATIONS: u32 = 2;
-/// The share of keys, in thousandths, that a returning zone gets, step by step.
+/// The share of keys, in thousandths, that a returning zone gets in each step.
 pub(crate) const RETURN_SHARES: [u16; 3] = [50, 150, 400];
-/// How often the routes to a returning zone open further: at each step, and to all keys.
+/// The number of times that the routes to a returning zone open further: once per step, then once to all keys.
 pub(crate) const OPENINGS_OF_RETURN: f64 = RETURN_SHARES.len() as f64 + 1.0;
-/// The time of an ejection is doubled so often at most.
+/// The maximum number of times that the duration of an ejection is doubled.
 const MAX_DOUBLINGS: u32 = 16;
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum State {
-    /// Open.
+    /// Open to all keys.
     Healthy,
-    /// Open as far as its capacity at its present latency goes.
+    /// Open as far as its capacity at its current latency allows.
     Slow { until: TenthMillis },
-    /// Closed for some time, whatever is observed meanwhile: little goes there that could show anything.
+    /// Closed for some time, whatever is observed meanwhile: with so little traffic observations say little.
     Ejected { until: TenthMillis },
-    /// Open to a few keys, then to more.
+    /// Open to few keys, then step by step to more.
     Returning {
-        /// An index of [`RETURN_SHARES`].
+        /// An index into [`RETURN_SHARES`].
         step: usize,
         until: TenthMillis,
     },
-    /// Closed by an operator, until the operator ends it.
+    /// Closed by an operator, until the operator ends the drain.
     Drained,
 }
 
 impl State {
-    /// The first step of a return.
+    /// Returns the state at the first step of a return.
     pub(crate) fn returning(now: TenthMillis, config: &FailoverConfig) -> State {
         State::returning_at(0, now, config)
     }
@@ -49,7 +49,7 @@
         matches!(self, State::Slow { .. })
     }
 
-    /// Healthy or slow: clients may go there.
+    /// Reports whether it is healthy or slow: open to all keys as far as its capacity allows.
     pub(crate) fn is_serving(self) -> bool {
         matches!(self, State::Healthy | State::Slow { .. })
     }
@@ -63,9 +63,9 @@
     down_count: u32,
     /// Consecutive evaluations that found it slow.
     slow_count: u32,
-    /// How often it was ejected lately.
+    /// Recent ejections; each further one lasts twice as long.
     ejections: u32,
-    /// Since when it is healthy, or since when one ejection less counts.
+    /// When it became healthy, or when `ejections` was last reduced by one.
     healthy_since: TenthMillis,
 }
 
@@ -80,7 +80,7 @@
         }
     }
 
-    /// As a former leader's table had it: an ejected or returning one counts as ejected once.
+    /// Restores the health from a former leader's table; an ejected or returning one counts as ejected once.
     pub(crate) fn restored(state: State, was_ejected: bool, now: TenthMillis) -> Health {
         Health {
             ejections: u32::from(was_ejected),
@@ -88,12 +88,11 @@
         }
     }
 
-    /// An operator drains it.
     pub(crate) fn drain(&mut self) {
         self.state = State::Drained;
     }
 
-    /// No operator drains it any more: it returns, if one did. Whether it does.
+    /// Begins the return if an operator had drained it, and reports whether that is so.
     pub(crate) fn end_drain(&mut self, now: TenthMillis, config: &FailoverConfig) -> bool {
         let was_drained = self.state == State::Drained;
         if was_drained {
@@ -111,7 +110,7 @@
         };
     }
 
-    /// Takes in one evaluation, and what the time brings.
+    /// Applies the finding of one evaluation, and the transitions that are due by now.
     pub(crate) fn evaluate(&mut self, now: TenthMillis, is_down: bool, config: &FailoverConfig) {
         self.down_count = if is_down { self.down_count + 1 } else { 0 };
         match self.state {
@@ -128,7 +127,7 @@
                 self.down_count = 0;
                 self.state = State::returning(now, config);
             }
-            // Few keys go there now: one evaluation is enough.
+            // Few keys are routed here, so one evaluation is enough.
             State::Returning { .. } if is_down => self.eject(now, config),
             State::Returning { step, until } if now >= until => {
                 if step + 1 < RETURN_SHARES.len() {
@@ -146,7 +145,7 @@
         }
     }
 
-    /// Takes in whether the zone was found slow.
+    /// Applies whether one evaluation found the zone slow.
     pub(crate) fn evaluate_latency(
         &mut self,
         now: TenthMillis,
@@ -163,12 +162,12 @@
         }
     }
 
-    /// Whether nothing is left to remember of it.
-    pub(crate) fn is_unremarkable(&self) -> bool {
+    /// Reports whether it is healthy with no recent ejection or finding, so that it need not be kept.
+    pub(crate) fn is_fully_recovered(&self) -> bool {
         self.state == State::Healthy && self.ejections == 0 && self.down_count == 0
     }
 
-    /// The share of keys, in thousandths, that it is open to.
+    /// Returns the share of keys, in thousandths, to which it is open.
     pub(crate) fn share(&self) -> u16 {
         match self.state {
             State::Healthy | State::Slow { .. } => ALL_KEYS,
--- a/crates/linenthread-zones/src/load.rs
+++ b/crates/linenthread-zones/src/load.rs
@@ -1,4 +1,4 @@
-//! How much load a table sends where, and how far routes must be closed so that no zone gets more than its capacity.
+//! Computes the load that a table sends to each zone, and narrows routes so that no zone gets more than its capacity.
 
 use linenthread_core::conversion::to_u64;
 
@@ -6,23 +6,23 @@
 use crate::topology::{Distance, Placement, Topology};
 use crate::{ALL_KEYS, MAX_ZONES};
 
-/// Routes are narrowed in so many rounds at most.
+/// The maximum number of rounds in which routes are narrowed.
 const MAX_ROUNDS: usize = 64;
-/// In this round all routes from other zones to an overloaded one are closed, so that the last round only checks.
+/// The round in which all routes from other zones to an overloaded one are closed, so that the last round only checks.
 const CLOSING_ROUND: usize = MAX_ROUNDS - 2;
-/// A load this many times the capacity is a matter of rounding.
+/// A load of up to this many times the capacity is attributed to rounding.
 const ROUNDING_TOLERANCE: f64 = 1.001;
 
-/// How the keys of a zone of clients meet the routes to one group of zones.
-struct Spread<'a> {
+/// The distribution of one zone's clients over the zones of replicas at one distance.
+struct Distribution<'a> {
     placement: &'a Placement,
     routes: &'a [Route],
-    /// The zones of replicas at one distance whose routes are not closed.
+    /// The zones at this distance that have replicas of the placement and whose routes are not closed.
     zones: Vec<usize>,
 }
 
-impl Spread<'_> {
-    /// The probability that the route to the `n`-th zone is open to a key.
+impl Distribution<'_> {
+    /// Returns the probability that the route to the `n`-th zone is open to a key.
     fn open_probability(&self, n: usize) -> f64 {
         f64::from(self.routes[self.zones[n]].share) / f64::from(ALL_KEYS)
     }
@@ -31,11 +31,11 @@
         f64::from(self.placement.replicas[self.zones[n]])
     }
 
-    /// Adds the part of `share` that each zone gets, and returns the part that finds no route open.
+    /// Adds to each zone's load its part of `share`, and returns the probability that no route is open to a key.
     fn distribute(&self, share: f64, loads: &mut [f64]) -> f64 {
         let count = self.zones.len();
         let mut unserved = 0.0;
-        // Every combination of routes that are open or closed to a key.
+        // Each bit of a combination says whether one route is open to a key.
         for combination in 0..1_u32 << count.min(MAX_ZONES) {
             let is_open = |n: usize| combination >> n & 1 == 1;
             let probability: f64 = (0..count)
@@ -58,11 +58,12 @@
     }
 }
 
-/// The load on each zone of replicas from one zone of clients, for each sub-request that its clients ask for.
+/// Returns the load on each zone of replicas from one zone of clients, per sub-request that its clients ask for.
 ///
-/// For each key each route is open or closed by a hash of both. The key goes to the nearest zones with its shard whose
-/// route is open, to each of their replicas alike; where none is open it is rejected.
-fn spread(topology: &Topology, from: usize, row: &Row) -> Vec<f64> {
+/// A hash of the key and the route decides whether the route is open to the key. The key's sub-requests go to the nearest
+/// zones that have its shard and whose routes are open to it, evenly to all their replicas; if none is open they are
+/// rejected.
+fn load_per_sub_request(topology: &Topology, from: usize, row: &Row) -> Vec<f64> {
     let count = topology.zones.len();
     let mut loads = vec![0.0; count];
     for placement in &topology.placements {
@@ -73,18 +74,18 @@
                     && topology.distance(from, to) == distance
                     && row.routes[to].share > 0
             };
-            let spread = Spread {
+            let distribution = Distribution {
                 placement,
                 routes: &row.routes,
                 zones: (0..count).filter(is_candidate).collect(),
             };
-            remaining *= spread.distribute(remaining, &mut loads);
+            remaining *= distribution.distribute(remaining, &mut loads);
         }
     }
     loads
 }
 
-/// Sub-requests a second from each zone of clients to each zone of replicas.
+/// The load from each zone of clients on each zone of replicas, in sub-requests per second.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Loads {
     /// By zone of clients, then by zone of replicas.
@@ -92,27 +93,28 @@
 }
 
 impl Loads {
-    /// The load from one zone of clients on one zone of replicas.
+    /// Returns the load from one zone of clients on one zone of replicas.
     pub fn between(&self, from: usize, to: usize) -> f64 {
         self.by_clients[from][to]
     }
 
-    /// The load from one zone of clients, by zone of replicas.
+    /// Returns the load from one zone of clients, by zone of replicas.
     pub fn from_clients(&self, from: usize) -> &[f64] {
         &self.by_clients[from]
     }
 
-    /// The load from all zones of clients on one zone of replicas.
+    /// Returns the load from all zones of clients on one zone of replicas.
     pub fn on_replicas(&self, to: usize) -> f64 {
         self.by_clients.iter().map(|from| from[to]).sum()
     }
 }
 
-/// The loads by the rows of a table. `demand` is how many sub-requests a second the clients of each zone ask for.
+/// Computes the loads that the rows of a table result in. `demand` is the number of sub-requests per second that the
+/// clients of each zone ask for.
 pub fn loads(topology: &Topology, demand: &[f64], rows: &[Row]) -> Loads {
     let from_zone = |from: usize| {
-        let spread = spread(topology, from, &rows[from]);
-        spread.into_iter().map(|load| load * demand[from]).collect()
+        let loads = load_per_sub_request(topology, from, &rows[from]);
+        loads.into_iter().map(|load| load * demand[from]).collect()
     };
     Loads {
         by_clients: (0..topology.zones.len()).map(from_zone).collect(),
@@ -124,7 +126,7 @@
 struct ZoneLoad {
     /// From the clients of the zone itself.
     local: f64,
-    /// From those of all others.
+    /// From the clients of all other zones.
     remote: f64,
 }
 
@@ -141,21 +143,21 @@
         self.local + self.remote <= capacity * ROUNDING_TOLERANCE
     }
 
-    /// The part of the load of the zone's own clients for which there is capacity: they come first.
+    /// Returns the part of the local clients' load for which there is capacity; they have priority.
     fn local_part(self, capacity: f64) -> f64 {
         (capacity / self.local.max(f64::MIN_POSITIVE)).min(1.0)
     }
 
-    /// The part of the others' load for which there is capacity: what the zone's own clients leave over.
+    /// Returns the part of the remote clients' load for which the local clients leave capacity.
     fn remote_part(self, capacity: f64) -> f64 {
-        let left_over = (capacity - self.local).max(0.0);
-        (left_over / self.remote.max(f64::MIN_POSITIVE)).min(1.0)
+        let remaining = (capacity - self.local).max(0.0);
+        (remaining / self.remote.max(f64::MIN_POSITIVE)).min(1.0)
     }
 }
 
-/// Narrows routes until no zone gets more than its capacity, in sub-requests a second. The clients of the zone itself
-/// come first; those of others have what is left. What is closed here goes elsewhere, and may overload another zone:
-/// so it takes several rounds. Shares only fall, so it comes to an end.
+/// Narrows routes until no zone gets more than its capacity, in sub-requests per second. Clients of the zone itself have
+/// priority over those of other zones. The load that is turned away from one zone may overload another, so this takes
+/// several rounds; it terminates since shares only fall.
 pub fn limit_to_capacity(topology: &Topology, demand: &[f64], capacity: &[f64], rows: &mut [Row]) {
     for round in 0..MAX_ROUNDS {
         let loads = loads(topology, demand, rows);
@@ -184,7 +186,7 @@
     }
 }
 
-/// Keeps a part of a route's share. It is rounded down, and at least by one, so that each round makes progress.
+/// Reduces a route's share to a part of it, rounded down, and by at least one, so that each round makes progress.
 fn narrow(route: &mut Route, part: f64) {
     if part < 1.0 && route.share > 0 {
         let kept = to_u64(f64::from(route.share) * part);
--- a/crates/linenthread-zones/src/observer.rs
+++ b/crates/linenthread-zones/src/observer.rs
@@ -1,4 +1,4 @@
-//! One coordinator's view of each zone.
+//! Observes the zones from one coordinator.
 
 use std::collections::BTreeMap;
 
@@ -7,25 +7,25 @@
 use crate::report::{Demand, Report, RouteStats};
 use crate::zone_index::{ZoneIndex, ZonePair};
 
-/// With fewer recent sub-requests than this an observer has no opinion of a zone.
+/// With fewer recent sub-requests to a zone, an observer has no opinion of it.
 const MIN_RECENT_COMPLETED: f64 = 5.0;
-/// What is left of the recent counts after each report.
+/// The factor by which the recent counts are multiplied after each report.
 const RECENT_DECAY: f64 = 0.5;
-/// Recent counts below this are forgotten.
-const NEGLIGIBLE: f64 = 0.1;
-/// A replica's last outcome counts for so many reports.
+/// Recent counts of no more sub-requests than this are dropped.
+const NEGLIGIBLE_COUNT: f64 = 0.1;
+/// The number of reports for which a replica's last outcome counts.
 const OUTCOME_LIFETIME_REPORTS: u64 = 16;
-/// A zone is seen down when this share of its recent sub-requests failed.
+/// A zone is considered down if at least this share of its recent sub-requests failed.
 const DOWN_FAILURE_SHARE: f64 = 0.6;
-/// A zone is seen slow when its latency is so many times the usual one of all zones.
+/// A zone is considered slow if its latency is more than this many times the usual latency of all zones.
 const SLOW_LATENCY_RATIO: f64 = 3.0;
-/// A sub-request that was cancelled after so many times the usual latency had met with silence.
+/// A cancelled sub-request counts as failed if it had run for more than this many times the usual latency.
 const SILENT_LATENCY_RATIO: f64 = 20.0;
-/// What is left of the usual latency's sums after each report.
+/// The factor by which the sums of the usual latency are multiplied before the counts of each zone are added.
 const USUAL_DECAY: f64 = 0.98;
 const TENTHS_PER_MS: TenthMillis = 10;
 
-/// Recent counts of a zone, which decay with each report.
+/// Counts of a zone's recent sub-requests, which decay with each report.
 #[derive(Clone, Copy, Debug, Default)]
 struct RecentCounts {
     completed: f64,
@@ -49,7 +49,7 @@
     }
 }
 
-/// The usual latency over all zones: sums that decay with each report.
+/// The usual latency of all zones, from sums that decay as counts are added.
 #[derive(Clone, Copy, Debug, Default)]
 struct UsualLatency {
     sum_ms: f64,
@@ -71,22 +71,22 @@
     }
 }
 
-/// A replica by its index in the decision module, in the zone that it had when a sub-request was sent to it.
+/// A replica, by its index in the decision module and by its zone when the sub-request was sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct ZoneReplica {
     zone: ZoneIndex,
     replica: usize,
 }
 
-/// How the last sub-request to a replica ended.
+/// The outcome of the last sub-request to a replica.
 #[derive(Clone, Copy, Debug)]
 struct LastOutcome {
     succeeded: bool,
-    /// The number of the report that it belongs to.
+    /// The number of reports made before it.
     report: u64,
 }
 
-/// Counts the outcomes of one coordinator's sub-requests.
+/// Counts the outcomes of one coordinator's sub-requests by zone, and summarizes them in reports.
 #[derive(Clone, Debug)]
 pub struct ZoneObserver {
     local_zone: ZoneIndex,
@@ -95,16 +95,16 @@
     current: BTreeMap<ZoneIndex, RouteStats>,
     /// By zone of replicas.
     recent: BTreeMap<ZoneIndex, RecentCounts>,
-    /// Beside the recent counts, since a zone that is down gets little more than health checks after the first
-    /// failures.
+    /// Kept in addition to the recent counts, since after the first failures a zone that is down receives little more
+    /// than health checks.
     last_outcomes: BTreeMap<ZoneReplica, LastOutcome>,
-    /// How many reports were made.
+    /// The number of reports made so far.
     reports: u64,
     usual_latency: UsualLatency,
 }
 
 impl ZoneObserver {
-    /// For a coordinator in this zone.
+    /// Creates the observer of a coordinator in this zone.
     pub fn new(local_zone: ZoneIndex) -> ZoneObserver {
         ZoneObserver {
             local_zone,
@@ -117,14 +117,14 @@
         }
     }
 
-    /// A query that needs so many sub-requests has arrived.
+    /// Records the arrival of a query that needs this many sub-requests.
     pub fn on_query(&mut self, sub_requests: usize) {
         let sub_requests = u32::try_from(sub_requests).unwrap_or(u32::MAX);
         self.sub_requests = self.sub_requests.saturating_add(sub_requests);
     }
 
-    /// A sub-request to a replica has ended. One that was cancelled here, or rejected by a full replica, says nothing
-    /// on whether the zone can be reached.
+    /// Records the end of a sub-request to a replica. It is ignored if it was not sent, was rejected by a full replica or
+    /// was cancelled early: that says nothing about whether the zone can be reached.
     pub fn on_outcome(
         &mut self,
         zone: ZoneIndex,
@@ -153,8 +153,8 @@
     fn is_evidence(&self, outcome: AttemptOutcome, elapsed: TenthMillis) -> bool {
         match outcome {
             AttemptOutcome::NotSent | AttemptOutcome::Rejected => false,
-            // Another attempt was quicker, which says nothing, unless this one had been silent for long: so a route on
-            // which nothing comes through is noticed.
+            // Usually another attempt was just faster. But without any response for long the attempt counts, so that a
+            // route that delivers nothing is detected.
             AttemptOutcome::Cancelled => {
                 let usual_ms = self.usual_latency.mean_ms();
                 elapsed as f64 / TENTHS_PER_MS as f64 > SILENT_LATENCY_RATIO * usual_ms.max(1.0)
@@ -163,13 +163,14 @@
         }
     }
 
-    /// A replica is removed, or another one has its index: its outcomes do not count any more.
+    /// Drops the outcomes of a replica that was removed, or whose index now denotes another replica.
     pub fn on_replica_removed(&mut self, replica: usize) {
         self.last_outcomes
             .retain(|known, _| known.replica != replica);
     }
 
-    /// What was observed since the last report; `replicas` are those of each zone that accept sub-requests.
+    /// Returns what was observed since the last report, and begins the next one. `replicas` is the number of replicas
+    /// that accept sub-requests, by zone.
     pub fn report(&mut self, replicas: &[u32]) -> Report {
         let usual_ms = self.usual_latency.mean_ms();
         let current = std::mem::take(&mut self.current);
@@ -184,18 +185,18 @@
             let stats = current.get(zone).copied().unwrap_or_default();
             let zone_replicas = replicas.get(zone.position()).copied();
             let all_failed = self.all_replicas_failed(*zone, zone_replicas.unwrap_or(u32::MAX));
-            let judged = judge(stats, recent, all_failed, usual_ms);
+            let stats = with_opinion(stats, recent, all_failed, usual_ms);
             let route = ZonePair {
                 from: self.local_zone,
                 to: *zone,
             };
-            routes.insert(route, judged);
+            routes.insert(route, stats);
         }
         for recent in self.recent.values_mut() {
             *recent = recent.decayed();
         }
         self.recent
-            .retain(|_, recent| recent.completed > NEGLIGIBLE);
+            .retain(|_, recent| recent.completed > NEGLIGIBLE_COUNT);
         let demand = Demand {
             observers: 1,
             sub_requests: std::mem::take(&mut self.sub_requests),
@@ -206,7 +207,7 @@
         }
     }
 
-    /// Forgets outcomes that are too old; zones with others are judged.
+    /// Drops outcomes that are too old, and adds the zones of the others to those on which an opinion is formed.
     fn expire_outcomes(&mut self) {
         let reports = self.reports;
         self.last_outcomes
@@ -216,7 +217,7 @@
         }
     }
 
-    /// Whether most of a zone's replicas were tried, and the last attempt at each of these has failed.
+    /// Reports whether most of a zone's replicas were tried and the last attempt at each of them failed.
     fn all_replicas_failed(&self, zone: ZoneIndex, replicas: u32) -> bool {
         let (mut tried, mut failed) = (0, 0);
         for (replica, last) in &self.last_outcomes {
@@ -229,8 +230,13 @@
     }
 }
 
-/// Adds an observer's opinion to what happened on a route.
-fn judge(stats: RouteStats, recent: &RecentCounts, all_failed: bool, usual_ms: f64) -> RouteStats {
+/// Adds the observer's opinion of the zone to the counts of the route to it.
+fn with_opinion(
+    stats: RouteStats,
+    recent: &RecentCounts,
+    all_failed: bool,
+    usual_ms: f64,
+) -> RouteStats {
     let failure_share = 1.0 - recent.succeeded / recent.completed.max(1.0);
     let is_down = all_failed || failure_share >= DOWN_FAILURE_SHARE;
     let is_slow = !is_down
--- a/crates/linenthread-zones/src/report.rs
+++ b/crates/linenthread-zones/src/report.rs
@@ -1,4 +1,4 @@
-//! What one coordinator observed, or what many observed together.
+//! Reports of what one or many coordinators observed.
 
 use std::collections::BTreeMap;
 
@@ -8,36 +8,36 @@
 use crate::error::{FormatError, InconsistentCountsSnafu};
 use crate::zone_index::{ZoneIndex, ZonePair};
 
-/// The most observers that are added up: a thousand coordinators, some of whose reports arrive twice.
+/// Limit of the number of observers in a sum: enough for a thousand coordinators, some of whose reports arrive twice.
 const MAX_OBSERVERS: u32 = 100_000;
 
-/// What the clients of a zone asked for within a span of time.
+/// The demand of a zone's clients within an interval.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Demand {
-    /// Coordinators that report.
+    /// The coordinators that report.
     pub observers: u32,
-    /// Sub-requests that their queries needed.
+    /// The sub-requests that their queries needed.
     pub sub_requests: u32,
 }
 
-/// What happened on one route, from a zone of clients to a zone of replicas, within a span of time.
+/// Counts of one route, from a zone of clients to a zone of replicas, within an interval.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RouteStats {
-    /// Observers that have an opinion on the zone of replicas.
+    /// Observers that have an opinion of the zone of replicas.
     pub observers: u32,
-    /// Of them, those that see it down.
+    /// Those of them that consider it down.
     pub down: u32,
-    /// Of them, those that see it slow.
+    /// Those of them that consider it slow.
     pub slow: u32,
-    /// Sub-requests that were completed, in whatever way.
+    /// Sub-requests that ended, without those that [`ZoneObserver::on_outcome`](crate::ZoneObserver::on_outcome) ignores.
     pub completed: u32,
-    /// Of them, those that succeeded.
+    /// Those of them that succeeded.
     pub succeeded: u32,
-    /// The latencies of those that succeeded, summed up, in milliseconds.
+    /// The sum of the latencies of those that succeeded, in milliseconds.
     pub latency_sum_ms: u64,
 }
 
-/// What one or many observers saw within a span of time.
+/// What one or many observers reported for an interval.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Report {
     /// By zone of clients.
@@ -47,12 +47,12 @@
 }
 
 impl Report {
-    /// Whether it says nothing.
+    /// Reports whether it contains neither demand nor counts.
     pub fn is_empty(&self) -> bool {
         self.demand.is_empty() && self.routes.is_empty()
     }
 
-    /// Adds another report to this one.
+    /// Adds another report to this one; sums saturate instead of overflowing.
     pub fn add(&mut self, other: &Report) {
         for (zone, demand) in &other.demand {
             let sum = self.demand.entry(*zone).or_default();
@@ -65,7 +65,7 @@
         }
     }
 
-    /// The report's bytes.
+    /// Encodes the report for the network.
     pub fn encode(&self) -> Vec<u8> {
         let mut encoder = Encoder::new();
         encoder.count(self.demand.len());
@@ -83,10 +83,10 @@
         encoder.into_bytes()
     }
 
-    /// The report of these bytes.
+    /// Decodes a report.
     ///
     /// # Errors
-    /// They are no report.
+    /// The bytes are not a valid report.
     pub fn decode(bytes: &[u8]) -> Result<Report, FormatError> {
         let mut decoder = Decoder::new(bytes);
         let mut report = Report::default();
--- a/crates/linenthread-zones/src/table.rs
+++ b/crates/linenthread-zones/src/table.rs
@@ -8,26 +8,26 @@
 use crate::error::{FormatError, ShareTooLargeSnafu, TooManyZonesSnafu, UnknownReasonSnafu};
 use crate::{ALL_KEYS, MAX_ZONES};
 
-/// Why a route is not open to all keys.
+/// The reason for the share of a route.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reason {
-    /// It is open: nothing is wrong.
+    /// Nothing is wrong; the route is open to all keys.
     Healthy,
-    /// The zone is down, as a majority of its observers sees it.
+    /// The zone was found down by a majority of its observers.
     ZoneDown,
-    /// Only this pair of zones is partitioned.
+    /// This pair of zones is partitioned; the zone itself is not down.
     Partitioned,
     /// An operator drains the zone.
     Drained,
-    /// The zone was ejected and is taken back step by step.
+    /// The zone, or the route, was closed and is being reopened step by step.
     Returning,
-    /// The zone has no capacity for more.
+    /// The zone has no capacity for more load.
     Capacity,
-    /// The zone is slow, and has less capacity for that.
+    /// The zone is slow and therefore assumed to have less capacity.
     Slow,
 }
 
-/// Reasons by their number in an encoded table.
+/// The reasons, indexed by their code in an encoded table.
 const REASONS: [Reason; 7] = [
     Reason::Healthy,
     Reason::ZoneDown,
@@ -52,7 +52,7 @@
     }
 }
 
-/// The word that `linenthread zones show` prints.
+/// Writes the word that `linenthread zones show` prints.
 impl fmt::Display for Reason {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         f.write_str(match self {
@@ -70,20 +70,20 @@
 /// The route from a zone of clients to a zone of replicas.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Route {
-    /// For how many keys it is open, in thousandths.
+    /// The share of keys to which it is open, in thousandths.
     pub share: u16,
-    /// Why not for all.
+    /// The reason for this share.
     pub reason: Reason,
 }
 
 impl Route {
-    /// Open to all keys.
+    /// The route that is open to all keys.
     pub const OPEN: Route = Route {
         share: ALL_KEYS,
         reason: Reason::Healthy,
     };
 
-    /// Closed to all keys.
+    /// Returns a route that is closed to all keys.
     pub const fn closed(reason: Reason) -> Route {
         Route { share: 0, reason }
     }
@@ -92,23 +92,23 @@
 /// The routes of one zone of clients.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Row {
-    /// By zone of replicas.
+    /// The routes, by zone of replicas.
     pub routes: Vec<Route>,
 }
 
-/// The routing table.
+/// A routing table.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RoutingTable {
-    /// From when on it is valid, in milliseconds since 1970 by the clock of the leader that made it.
+    /// The time from which it is valid, in milliseconds since 1970 by the clock of the leader that made it.
     pub valid_from_ms: u64,
-    /// The zones' names: they say which zone an index means.
+    /// The names of the zones, in the order of their indices.
     pub zones: Vec<String>,
-    /// By zone of clients.
+    /// The rows, by zone of clients.
     pub rows: Vec<Row>,
 }
 
 impl RoutingTable {
-    /// All routes are open.
+    /// Returns a table in which all routes are open.
     pub fn open(zones: Vec<String>) -> RoutingTable {
         let row = Row {
             routes: vec![Route::OPEN; zones.len()],
@@ -120,12 +120,12 @@
         }
     }
 
-    /// All routes, row by row.
+    /// Iterates over all routes, row by row.
     pub fn routes(&self) -> impl Iterator<Item = &Route> {
         self.rows.iter().flat_map(|row| &row.routes)
     }
 
-    /// The table's bytes.
+    /// Encodes the table.
     pub fn encode(&self) -> Vec<u8> {
         let mut encoder = Encoder::new();
         encoder.u64(self.valid_from_ms);
@@ -140,10 +140,10 @@
         encoder.into_bytes()
     }
 
-    /// The table of these bytes.
+    /// Decodes a table.
     ///
     /// # Errors
-    /// They are no table.
+    /// The bytes are not a valid table.
     pub fn decode(bytes: &[u8]) -> Result<RoutingTable, FormatError> {
         let mut decoder = Decoder::new(bytes);
         let valid_from_ms = decoder.u64()?;
@@ -167,7 +167,7 @@
         })
     }
 
-    /// Whether it routes keys differently from another table.
+    /// Reports whether its zones or the shares of its routes differ from another table's, whatever the reasons.
     pub fn routes_differently(&self, other: &RoutingTable) -> bool {
         let shares = self.routes().map(|route| route.share);
         self.zones != other.zones || shares.ne(other.routes().map(|route| route.share))
--- a/crates/linenthread-zones/src/topology.rs
+++ b/crates/linenthread-zones/src/topology.rs
@@ -1,4 +1,4 @@
-//! What there is: zones, their replicas, and where shards are placed.
+//! The zones, their replicas, and the placement of shards.
 
 use std::collections::BTreeSet;
 
@@ -6,39 +6,38 @@
 
 use crate::error::{DrainError, NoReplicaLeftSnafu, NoSuchZoneSnafu};
 
-/// A zone, as it is configured.
+/// A zone as configured.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Zone {
-    /// Its name.
+    /// The name, by which routing tables and operators refer to the zone.
     pub name: String,
-    /// The region that it belongs to.
+    /// The region; zones of the same region are preferred to those of others.
     pub region: String,
-    /// Sub-requests a second that one of its replicas can process. Where it is not configured, no route is closed
-    /// for capacity.
+    /// Sub-requests per second that one of its replicas can process. Without it, no route is closed for capacity.
     pub replica_capacity: Option<f64>,
 }
 
-/// Shards that are placed in the same zones.
+/// A set of shards that are placed in the same zones.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Placement {
-    /// By zone, how many replicas with these shards accept sub-requests.
+    /// The number of replicas with these shards that accept sub-requests, by zone.
     pub replicas: Vec<u16>,
-    /// The share of sub-requests that are for these shards.
+    /// The share of all sub-requests that are for these shards.
     pub share: f64,
 }
 
-/// Zones, replicas and shards at a moment.
+/// The zones, replicas and shards at one moment.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Topology {
-    /// The zones; their indices are used wherever a zone is meant.
+    /// The zones; a zone's index in this list identifies it everywhere else.
     pub zones: Vec<Zone>,
-    /// By zone, how many replicas accept sub-requests.
+    /// The number of replicas that accept sub-requests, by zone.
     pub replicas: Vec<u32>,
-    /// All shards by their placement.
+    /// All shards, grouped by their placement.
     pub placements: Vec<Placement>,
 }
 
-/// How far one zone is from another; nearer ones are preferred.
+/// The distance between two zones; nearer zones are preferred.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Distance {
     Local,
@@ -62,10 +61,11 @@
         }
     }
 
-    /// Whether a zone may be drained beside those that are drained already.
+    /// Checks that a zone may be drained in addition to those that already are.
     ///
     /// # Errors
-    /// There is no such zone, or shards are placed nowhere else: requests for them would be rejected.
+    /// There is no such zone, or some shards have replicas in no other undrained zone: requests for them would be
+    /// rejected.
     pub fn may_drain(&self, zone: &str, drained: &BTreeSet<String>) -> Result<(), DrainError> {
         let mut names = self.zones.iter().map(|zone| &zone.name);
         let drains = names
--- a/crates/linenthread-zones/src/zone_index.rs
+++ b/crates/linenthread-zones/src/zone_index.rs
@@ -1,4 +1,4 @@
-//! Zones by their position, and pairs of them.
+//! Indices of zones, and pairs of them.
 
 use std::fmt;
 
@@ -8,23 +8,23 @@
 use crate::MAX_ZONES;
 use crate::error::{FormatError, UnknownZoneSnafu};
 
-/// A zone, by its position among the zones of the topology: below [`MAX_ZONES`].
+/// A zone's position among the zones of the topology, below [`MAX_ZONES`].
 #[derive(Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ZoneIndex(u8);
 
 impl ZoneIndex {
-    /// The zone at a position; `None` where no zone can be.
+    /// Returns the zone at a position; `None` if the position is not below [`MAX_ZONES`].
     pub fn new(position: usize) -> Option<ZoneIndex> {
         let index = u8::try_from(position).ok()?;
         (position < MAX_ZONES).then_some(ZoneIndex(index))
     }
 
-    /// The first so many zones.
+    /// Iterates over the first `count` zones.
     pub(crate) fn all(count: usize) -> impl Iterator<Item = ZoneIndex> {
         (0..).map(ZoneIndex).take(count.min(MAX_ZONES))
     }
 
-    /// Its position.
+    /// Returns the position, for indexing lists that are kept by zone.
     pub fn position(self) -> usize {
         self.0.into()
     }
@@ -39,7 +39,7 @@
     }
 }
 
-/// The number alone: reports are written to the log.
+/// Prints only the number, since reports are logged.
 impl fmt::Debug for ZoneIndex {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         self.0.fmt(f)
@@ -55,7 +55,7 @@
     pub to: ZoneIndex,
 }
 
-/// The numbers alone: reports are written to the log.
+/// Prints only the two numbers, since reports are logged.
 impl fmt::Debug for ZonePair {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         (self.from, self.to).fmt(f)
--- a/crates/linenthread-zones/tests/config.rs
+++ b/crates/linenthread-zones/tests/config.rs
@@ -1,4 +1,4 @@
-//! Configurations of failover that cannot be right are rejected.
+//! Validation of the failover configuration, and limits of zone indices.
 
 use linenthread_zones::{ConfigError, FailoverConfig, FailoverController, MAX_ZONES, ZoneIndex};
 
@@ -12,44 +12,47 @@
 }
 
 #[test]
-fn margins_and_times_that_cannot_be_are_rejected() {
+fn invalid_margins_and_durations_are_rejected() {
     assert_eq!(config().validate(), Ok(()));
     for capacity_margin in [0.0, -0.1, 1.1, f64::INFINITY] {
-        let wrong = FailoverConfig {
+        let invalid = FailoverConfig {
             capacity_margin,
             ..config()
         };
         let margin = capacity_margin;
         assert_eq!(
-            wrong.validate(),
+            invalid.validate(),
             Err(ConfigError::CapacityMargin { margin })
         );
     }
-    let unknown = FailoverConfig {
+    let not_a_number = FailoverConfig {
         capacity_margin: f64::NAN,
         ..config()
     };
-    assert!(unknown.validate().is_err());
-    let no_hold = FailoverConfig {
+    assert!(not_a_number.validate().is_err());
+    let no_ejection = FailoverConfig {
         ejection_time: 0,
         ..config()
     };
-    assert_eq!(no_hold.validate(), Err(ConfigError::NoDuration));
+    assert_eq!(no_ejection.validate(), Err(ConfigError::NoDuration));
     let no_step = FailoverConfig {
         return_step: 0,
         ..config()
     };
     assert_eq!(no_step.validate(), Err(ConfigError::NoDuration));
-    let short = FailoverConfig {
+    let short_max_ejection = FailoverConfig {
         max_ejection_time: 49_999,
         ..config()
     };
-    assert_eq!(short.validate(), Err(ConfigError::MaxEjectionTooShort));
-    assert!(FailoverController::new(short, Vec::new(), None, 0).is_err());
+    assert_eq!(
+        short_max_ejection.validate(),
+        Err(ConfigError::MaxEjectionTooShort)
+    );
+    assert!(FailoverController::new(short_max_ejection, Vec::new(), None, 0).is_err());
 }
 
 #[test]
-fn a_zone_index_is_below_the_limit() {
+fn zone_indices_are_below_the_maximum_number_of_zones() {
     let last = ZoneIndex::new(MAX_ZONES - 1).map(ZoneIndex::position);
     assert_eq!(last, Some(MAX_ZONES - 1));
     assert_eq!(ZoneIndex::new(MAX_ZONES), None);
--- a/crates/linenthread-zones/tests/failover.rs
+++ b/crates/linenthread-zones/tests/failover.rs
@@ -1,4 +1,4 @@
-//! One failover, one evaluation at a time: what the simulation of zones checks under random faults, as examples.
+//! Examples of failovers, evaluation by evaluation; the simulation of zones checks the same under random faults.
 
 use linenthread_zones::{
     ALL_KEYS, Demand, EVALUATION_INTERVAL, FailoverConfig, FailoverController, Placement, Reason,
@@ -38,7 +38,7 @@
     controller.expect("a valid configuration")
 }
 
-/// What all coordinators observe while requests fail on these routes, and on no other.
+/// Returns the report of all coordinators while sub-requests fail on exactly the routes that `fails` selects.
 fn report(fails: impl Fn(usize, usize) -> bool) -> Report {
     let zone = |position| ZoneIndex::new(position).expect("few zones");
     let mut report = Report::default();
@@ -68,7 +68,7 @@
     report
 }
 
-/// What the others observe while a zone is lost: nothing arrives from there.
+/// Returns the report of the other zones while one is lost: its own coordinators report nothing.
 fn report_without(lost: usize) -> Report {
     let mut report = report(|_, to| to == lost);
     report.demand.retain(|zone, _| zone.position() != lost);
@@ -78,7 +78,7 @@
     report
 }
 
-/// The tables of consecutive evaluations with the same report, and when each was made.
+/// Runs consecutive evaluations with the same report, and returns the tables with the time of each.
 fn run(
     controller: &mut FailoverController,
     report: &Report,
@@ -107,20 +107,20 @@
 }
 
 #[test]
-fn a_zone_that_is_down_is_left_after_two_evaluations_and_returns_step_by_step() {
+fn a_zone_that_is_down_is_ejected_after_two_evaluations_and_returns_step_by_step() {
     let mut controller = controller(None, 0);
     let tables = run(&mut controller, &report_without(2), 3);
-    let [(left_at, table)] = &tables[..] else {
+    let [(ejected_at, table)] = &tables[..] else {
         panic!("one table: {tables:?}");
     };
-    assert_eq!(*left_at, 2 * EVALUATION_INTERVAL);
+    assert_eq!(*ejected_at, 2 * EVALUATION_INTERVAL);
     let closed = Route::closed(Reason::ZoneDown);
     assert_eq!(all_routes_to(table, 2), [closed; ZONES]);
     assert_eq!(all_routes_to(table, 0), [Route::OPEN; ZONES]);
     let tables = run(&mut controller, &report(|_, _| false), 20);
     let opened: Vec<(i64, u16)> = tables
         .iter()
-        .map(|(now, table)| (now - left_at, table.rows[0].routes[2].share))
+        .map(|(now, table)| (now - ejected_at, table.rows[0].routes[2].share))
         .collect();
     assert_eq!(
         opened,
@@ -134,7 +134,7 @@
 }
 
 #[test]
-fn a_pair_that_is_partitioned_closes_its_own_routes_only() {
+fn a_partition_between_two_zones_closes_only_the_routes_between_them() {
     let mut controller = controller(None, 0);
     let partitioned = report(|from, to| (from, to) == (0, 2) || (from, to) == (2, 0));
     let tables = run(&mut controller, &partitioned, 3);
@@ -147,26 +147,26 @@
 }
 
 #[test]
-fn a_new_leader_holds_what_the_former_one_had_left() {
+fn a_new_leader_keeps_the_former_leaders_ejections_for_a_first_ejection() {
     let mut former = controller(None, 0);
     let tables = run(&mut former, &report_without(2), 3);
     let table = tables.last().map(|(_, table)| table);
-    let taken_over_at = 10 * EVALUATION_INTERVAL;
-    let mut successor = controller(table, taken_over_at);
+    let new_leader_at = 10 * EVALUATION_INTERVAL;
+    let mut successor = controller(table, new_leader_at);
     let tables = run(&mut successor, &report(|_, _| false), 6);
     let first = tables.first().map(|(now, table)| {
         let route = table.rows[0].routes[2];
-        (now - taken_over_at, route.share)
+        (now - new_leader_at, route.share)
     });
     assert_eq!(
         first,
         Some((EJECTION_TIME, 50)),
-        "it is ejected anew from then on"
+        "the first ejection begins again at the new leader"
     );
 }
 
-/// Coordinators of zone 0 find zone 2 down. All others had too few sub-requests for an opinion; of what they sent to
-/// zone 2 so many were completed, and so many succeeded.
+/// Returns a report in which the coordinators of zone 0 find zone 2 down, while those of the other zones had too few
+/// sub-requests for an opinion: on each of their routes to zone 2 `completed` ended, of which `succeeded` succeeded.
 fn report_of_little_traffic(completed: u32, succeeded: u32) -> Report {
     let mut report = report(|from, to| (from, to) == (0, 2));
     for (route, stats) in &mut report.routes {
@@ -183,7 +183,7 @@
 }
 
 #[test]
-fn a_zone_that_one_zone_does_not_reach_stays_open_for_others_with_little_traffic() {
+fn a_zone_that_only_one_zone_cannot_reach_stays_open_to_others_with_little_traffic() {
     let mut controller = controller(None, 0);
     let tables = run(&mut controller, &report_of_little_traffic(4, 4), 3);
     let [(_, table)] = &tables[..] else {
@@ -194,7 +194,7 @@
 }
 
 #[test]
-fn a_zone_that_gives_nobody_a_success_is_left_by_all() {
+fn a_zone_at_which_no_sub_request_succeeds_is_ejected_for_all() {
     let mut controller = controller(None, 0);
     let tables = run(&mut controller, &report_of_little_traffic(4, 0), 3);
     let [(_, table)] = &tables[..] else {
@@ -205,7 +205,7 @@
 }
 
 #[test]
-fn a_return_that_an_operator_orders_does_not_delay_the_return_after_a_fault() {
+fn returns_ordered_by_an_operator_do_not_delay_the_return_after_a_fault() {
     let mut controller = controller(None, 0);
     let healthy = report(|_, _| false);
     for _ in 0..3 {
@@ -218,9 +218,9 @@
         assert_eq!(controller.rows()[0].routes[2], Route::OPEN);
     }
     let tables = run(&mut controller, &report_without(2), 3);
-    let left_at = tables.first().map(|(now, _)| *now).expect("a table");
+    let ejected_at = tables.first().map(|(now, _)| *now).expect("a table");
     let tables = run(&mut controller, &healthy, 20);
     let (returned_at, table) = tables.last().expect("a table");
     assert_eq!(table.rows[0].routes[2], Route::OPEN);
-    assert_eq!(returned_at - left_at, EJECTION_TIME + 3 * RETURN_STEP);
+    assert_eq!(returned_at - ejected_at, EJECTION_TIME + 3 * RETURN_STEP);
 }
--- a/crates/linenthread-zones/tests/golden.rs
+++ b/crates/linenthread-zones/tests/golden.rs
@@ -1,7 +1,7 @@
-//! The bytes of tables and reports, checked against bytes that an earlier version wrote.
+//! Compares encoded tables and reports with the bytes that an earlier version wrote.
 //!
 //! The file under `tests/golden/` was written by commit 464716d. It must never be regenerated to make a test pass:
-//! tables lie in the fleet's record, on disks, and reports come from processes that may run an older version.
+//! tables are stored in the fleet's log on disk, and reports arrive from processes that may run an older version.
 
 use std::collections::BTreeMap;
 
@@ -10,7 +10,7 @@
     Demand, Reason, Report, Route, RouteStats, RoutingTable, Row, ZoneIndex, ZonePair,
 };
 
-/// A table in which each reason stands.
+/// Returns a table that contains each reason.
 fn table() -> RoutingTable {
     let rows = [
         [
@@ -53,7 +53,7 @@
     }
 }
 
-/// A report with each number set to a value of its own.
+/// Returns a report in which each field has a value of its own.
 fn report() -> Report {
     let stats = |observers| RouteStats {
         observers,
