--- a/crates/linenthread-merge/src/response.rs
+++ b/crates/linenthread-merge/src/response.rs
@@ -26,7 +26,8 @@
 
 impl Merger<'_> {
     /// The response from what has been received, as JSON. `completeness` is what the decision module says of the
-    /// response; it is marked as complete only if that says so and no shard is missing. Cursors are issued by `signer`, at this time in seconds since 1970.
+    /// response; it is marked as complete only if that says so and no shard is missing. Cursors are issued by `signer`,
+    /// at this time in seconds since 1970.
     pub fn response(
         &self,
         completeness: Completeness,
--- a/crates/linenthread-zones/src/controller/routes.rs
+++ b/crates/linenthread-zones/src/controller/routes.rs
@@ -9,8 +9,8 @@
 use crate::zone_index::{ZoneIndex, ZonePair};
 
 impl FailoverController {
-    /// Returns the routes that follow from the health of zones and pairs, narrowed as far as capacity requires. While all
-    /// are healthy none is narrowed (*local-while-healthy*); each coordinator then handles peaks by itself.
+    /// Returns the routes that follow from the health of zones and pairs, narrowed as far as capacity requires. While
+    /// all are healthy none is narrowed (*local-while-healthy*); each coordinator then handles peaks by itself.
     pub(super) fn routes(&self, topology: &Topology) -> Vec<Row> {
         let row = |from: ZoneIndex| Row {
             routes: self.zones().map(|to| self.route(from, to)).collect(),
@@ -72,8 +72,8 @@
     /// Returns the configured number of sub-requests per second that a zone can process; less if the zone is slow.
     ///
     /// Without a configured capacity no route is closed for it, and each coordinator sheds excess load by itself. An
-    /// estimate from the shortest latencies and the highest throughput is too low for replicas with several cores: in the
-    /// simulation of failover, rejecting by it cost a sixth of the value where all requests would have fitted.
+    /// estimate from the shortest latencies and the highest throughput is too low for replicas with several cores: in
+    /// the simulation of failover, rejecting by it cost a sixth of the value where all requests would have fitted.
     fn capacity(&self, topology: &Topology, zone: ZoneIndex) -> f64 {
         let position = zone.position();
         let configured = topology.zones[position].replica_capacity;
--- a/crates/linenthread-zones/src/load.rs
+++ b/crates/linenthread-zones/src/load.rs
@@ -60,9 +60,9 @@
 
 /// Returns the load on each zone of replicas from one zone of clients, per sub-request that its clients ask for.
 ///
-/// A hash of the key and the route decides whether the route is open to the key. The key's sub-requests go to the nearest
-/// zones that have its shard and whose routes are open to it, evenly to all their replicas; if none is open they are
-/// rejected.
+/// A hash of the key and the route decides whether the route is open to the key. The key's sub-requests go to the
+/// nearest zones that have its shard and whose routes are open to it, evenly to all their replicas; if none is open
+/// they are rejected.
 fn load_per_sub_request(topology: &Topology, from: usize, row: &Row) -> Vec<f64> {
     let count = topology.zones.len();
     let mut loads = vec![0.0; count];
@@ -155,9 +155,9 @@
     }
 }
 
-/// Narrows routes until no zone gets more than its capacity, in sub-requests per second. Clients of the zone itself have
-/// priority over those of other zones. The load that is turned away from one zone may overload another, so this takes
-/// several rounds; it terminates since shares only fall.
+/// Narrows routes until no zone gets more than its capacity, in sub-requests per second. Clients of the zone itself
+/// have priority over those of other zones. The load that is turned away from one zone may overload another, so this
+/// takes several rounds; it terminates since shares only fall.
 pub fn limit_to_capacity(topology: &Topology, demand: &[f64], capacity: &[f64], rows: &mut [Row]) {
     for round in 0..MAX_ROUNDS {
         let loads = loads(topology, demand, rows);
--- a/crates/linenthread-zones/src/observer.rs
+++ b/crates/linenthread-zones/src/observer.rs
@@ -123,8 +123,8 @@
         self.sub_requests = self.sub_requests.saturating_add(sub_requests);
     }
 
-    /// Records the end of a sub-request to a replica. It is ignored if it was not sent, was rejected by a full replica or
-    /// was cancelled early: that says nothing about whether the zone can be reached.
+    /// Records the end of a sub-request to a replica. It is ignored if it was not sent, was rejected by a full replica
+    /// or was cancelled early: that says nothing about whether the zone can be reached.
     pub fn on_outcome(
         &mut self,
         zone: ZoneIndex,
--- a/crates/linenthread-zones/src/report.rs
+++ b/crates/linenthread-zones/src/report.rs
@@ -29,7 +29,8 @@
     pub down: u32,
     /// Those of them that consider it slow.
     pub slow: u32,
-    /// Sub-requests that ended, without those that [`ZoneObserver::on_outcome`](crate::ZoneObserver::on_outcome) ignores.
+    /// Sub-requests that ended, without those that [`ZoneObserver::on_outcome`](crate::ZoneObserver::on_outcome)
+    /// ignores.
     pub completed: u32,
     /// Those of them that succeeded.
     pub succeeded: u32,
