--- a/crates/linenthread-merge/src/cursor.rs
+++ b/crates/linenthread-merge/src/cursor.rs
@@ -1,16 +1,17 @@
-//! Cursors for the next page: how far each shard was read, signed, so that any coordinator can go on.
+//! Cursors for the next page: the signed positions up to which each shard was read, so that any coordinator can
+//! continue.
 //!
-//! The bytes, before they are written in base64 (URL alphabet, no padding):
+//! A cursor is the base64 encoding (URL alphabet, no padding) of these fields:
 //!
-//! | bytes | what |
+//! | bytes | content |
 //! | --- | --- |
 //! | 1 | version, 1 |
-//! | 8 | when it was issued, seconds since 1970 |
-//! | 16 | the query: index, order, customer, key and text, hashed |
-//! | 16 | the shards: how many there are and which are queried, hashed |
-//! | 1, then 2 + n each | positions: how many, then each one's length and bytes |
-//! | 1 each | for each shard, in ascending order: 0 for its first row, else the position's number from 1 |
-//! | 16 | the first bytes of HMAC-SHA-256 over all before them |
+//! | 8 | time of issue, in seconds since 1970 |
+//! | 16 | hash of the query: index, order, customer, key and text |
+//! | 16 | hash of the shards: how many there are and which are queried |
+//! | 1, then 2 + n each | the number of distinct positions, then the length and bytes of each |
+//! | 1 each | for each queried shard, in ascending order: 0 for its first row, otherwise the number of its position, from 1 |
+//! | 16 | signature: the first bytes of the HMAC-SHA-256 of all fields before it |
 
 use std::fmt;
 use std::time::Duration;
@@ -27,22 +28,22 @@
 };
 use crate::sort_key::SortKey;
 
-/// The bytes of a shortened HMAC.
+/// The length of a truncated HMAC in bytes.
 const SIGNATURE_BYTES: usize = 16;
-/// The longest cursor in characters; a longer one is neither issued nor read.
+/// The maximum length of a cursor in characters; a longer one is neither issued nor accepted.
 const MAX_LENGTH: usize = 8 * 1024;
-/// How far the clocks of two coordinators may differ, in seconds.
+/// The tolerated difference between the clocks of two coordinators, in seconds.
 const MAX_CLOCK_SKEW_SECONDS: u64 = 60;
-/// The shortest secret in bytes; a shorter one could be guessed.
+/// The minimum length of a secret in bytes; a shorter one could be guessed.
 pub const MIN_SECRET_BYTES: usize = 16;
 
-/// A shortened SHA-256.
+/// A truncated SHA-256 digest.
 pub(crate) type Hash = [u8; 16];
 
-/// Why secrets cannot sign cursors.
+/// The reason why secrets are rejected.
 #[derive(Clone, Debug, PartialEq, Snafu)]
 pub enum SecretError {
-    /// There is no secret, or one that is too short.
+    /// There is no secret, or one of them is too short.
     #[snafu(display("a secret needs {MIN_SECRET_BYTES} bytes or more"))]
     TooShort,
 }
@@ -50,7 +51,7 @@
 /// Issues and verifies cursors.
 #[derive(Clone, PartialEq)]
 pub struct CursorSigner {
-    /// The one that signs, then others that are still accepted.
+    /// The secret that signs, then the others whose signatures are accepted.
     secrets: Vec<Vec<u8>>,
     lifetime: Duration,
 }
@@ -65,14 +66,14 @@
     }
 }
 
-/// What a cursor is valid for.
+/// The query and the shards for which a cursor is valid, hashed.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct CursorScope {
     pub(crate) query: Hash,
     pub(crate) shards: Hash,
 }
 
-/// Hashes texts so that the boundaries between them count.
+/// Hashes a list of texts, including their boundaries.
 pub(crate) fn hash(texts: &[&[u8]]) -> Hash {
     let mut hasher = Sha256::new();
     for text in texts {
@@ -86,18 +87,19 @@
 }
 
 impl CursorSigner {
-    /// Signs with the first secret and accepts all; cursors are valid for the lifetime, in whole seconds.
+    /// Creates a signer that signs with the first secret and accepts the signatures of all. Cursors are valid for
+    /// `lifetime`, in whole seconds.
     ///
     /// # Errors
     ///
-    /// There is no secret, or one that is shorter than [`MIN_SECRET_BYTES`].
+    /// There is no secret, or one is shorter than [`MIN_SECRET_BYTES`].
     pub fn new(secrets: Vec<Vec<u8>>, lifetime: Duration) -> Result<CursorSigner, SecretError> {
-        let all_long = secrets.iter().all(|s| s.len() >= MIN_SECRET_BYTES);
-        ensure!(all_long && !secrets.is_empty(), TooShortSnafu);
+        let are_long_enough = secrets.iter().all(|s| s.len() >= MIN_SECRET_BYTES);
+        ensure!(are_long_enough && !secrets.is_empty(), TooShortSnafu);
         Ok(CursorSigner { secrets, lifetime })
     }
 
-    /// A cursor for shards read up to these positions; `None` where it would be too long.
+    /// Issues a cursor for shards that were read up to these positions; `None` if it would be too long.
     pub(crate) fn issue(
         &self,
         scope: &CursorScope,
@@ -125,11 +127,12 @@
         (cursor.len() <= MAX_LENGTH).then_some(cursor)
     }
 
-    /// The positions in a cursor, of so many shards.
+    /// Verifies a cursor, and returns its positions of `shard_count` shards.
     ///
     /// # Errors
     ///
-    /// It was not issued with one of the secrets, or for another scope, or is too old.
+    /// The cursor is not signed with one of the secrets, was issued for another scope, has expired, or has an encoding
+    /// of another version.
     pub(crate) fn verify(
         &self,
         cursor: &str,
@@ -141,11 +144,11 @@
         let bytes = BASE64.decode(cursor).ok().context(UnknownSnafu)?;
         let signed = self.signed_bytes(&bytes).context(UnknownSnafu)?;
         let mut reader = Reader(signed);
-        self.verify_head(&mut reader, scope, unix_seconds)?;
+        self.verify_header(&mut reader, scope, unix_seconds)?;
         reader.positions(shard_count).context(UnknownSnafu)
     }
 
-    /// The bytes before the signature, if that is valid.
+    /// Returns the bytes before the signature, if the signature is valid.
     fn signed_bytes<'b>(&self, bytes: &'b [u8]) -> Option<&'b [u8]> {
         let length = bytes.len().checked_sub(SIGNATURE_BYTES)?;
         let (signed, signature) = bytes.split_at(length);
@@ -155,21 +158,21 @@
         self.secrets.iter().any(is_signed_with).then_some(signed)
     }
 
-    fn verify_head(
+    fn verify_header(
         &self,
         reader: &mut Reader,
         scope: &CursorScope,
         unix_seconds: u64,
     ) -> Result<(), CursorError> {
-        let head = reader.head().context(UnknownSnafu)?;
-        let version = head.version;
+        let header = reader.header().context(UnknownSnafu)?;
+        let version = header.version;
         ensure!(version == CURSOR_VERSION, UnknownVersionSnafu { version });
-        let expires_at = head.issued_at.saturating_add(self.lifetime.as_secs());
+        let expires_at = header.issued_at.saturating_add(self.lifetime.as_secs());
         let is_valid =
-            head.issued_at <= unix_seconds + MAX_CLOCK_SKEW_SECONDS && unix_seconds <= expires_at;
+            header.issued_at <= unix_seconds + MAX_CLOCK_SKEW_SECONDS && unix_seconds <= expires_at;
         ensure!(is_valid, ExpiredSnafu);
-        ensure!(head.scope.query == scope.query, OtherQuerySnafu);
-        ensure!(head.scope.shards == scope.shards, OtherShardsSnafu);
+        ensure!(header.scope.query == scope.query, OtherQuerySnafu);
+        ensure!(header.scope.shards == scope.shards, OtherShardsSnafu);
         Ok(())
     }
 }
@@ -180,7 +183,7 @@
     Some(mac)
 }
 
-/// A position's number among the sorted ones, from 1; 0 for a shard's first row.
+/// Returns a position's number among the sorted ones, from 1; 0 stands for a shard's first row.
 fn position_number(position: Option<&SortKey>, sorted: &[&SortKey]) -> Option<u8> {
     match position.and_then(|position| sorted.binary_search(&position).ok()) {
         None => Some(0),
@@ -188,14 +191,14 @@
     }
 }
 
-struct Head {
+struct Header {
     version: u8,
     /// Seconds since 1970.
     issued_at: u64,
     scope: CursorScope,
 }
 
-/// Takes fields off the front of a cursor's bytes.
+/// Reads fields from the front of a cursor's bytes.
 struct Reader<'b>(&'b [u8]);
 
 impl<'b> Reader<'b> {
@@ -209,8 +212,8 @@
         self.take(N)?.try_into().ok()
     }
 
-    fn head(&mut self) -> Option<Head> {
-        Some(Head {
+    fn header(&mut self) -> Option<Header> {
+        Some(Header {
             version: u8::from_be_bytes(self.array()?),
             issued_at: u64::from_be_bytes(self.array()?),
             scope: CursorScope {
@@ -220,7 +223,7 @@
         })
     }
 
-    /// All that follows the head.
+    /// Reads all fields after the header, up to the end.
     fn positions(mut self, shard_count: usize) -> Option<Vec<Option<SortKey>>> {
         let count = u8::from_be_bytes(self.array()?);
         let mut positions = Vec::new();
--- a/crates/linenthread-merge/src/decimal.rs
+++ b/crates/linenthread-merge/src/decimal.rs
@@ -1,16 +1,16 @@
-//! Exact decimal numbers of a stated scale, as integers of the smallest unit: sums of money are never rounded.
+//! Decimal numbers of a given scale, as integers of the smallest unit, so that sums of money are exact.
 
 use crate::error::{DecimalError, NotDecimalSnafu, TooManyDigitsSnafu, TooPreciseSnafu};
 
-/// The most digits of a number, so that no sum over [`MAX_SHARDS`](crate::MAX_SHARDS) shards can overflow.
+/// The maximum number of digits of a number, so that no sum over [`MAX_SHARDS`](crate::MAX_SHARDS) shards can overflow.
 const MAX_DIGITS: usize = 30;
 
-/// Parses a number such as `-12.50` into units of so many digits after the point.
+/// Parses a number such as `-12.50` into an integer number of units of 10^-`scale`.
 ///
 /// # Errors
 ///
-/// The text is not such a number, has more digits after the point than the scale (trailing zeros aside), or
-/// more than 30 in all.
+/// The text is not such a number, has more than `scale` digits after the point (apart from trailing zeros), or needs
+/// more than 30 digits in all.
 pub(crate) fn parse(text: &str, scale: u32) -> Result<i128, DecimalError> {
     let (negative, digits) = match text.strip_prefix('-') {
         Some(rest) => (true, rest),
@@ -37,7 +37,7 @@
     Ok(if negative { -units } else { units })
 }
 
-/// Formats a number with all digits of its scale.
+/// Formats a number with `scale` digits after the point.
 pub(crate) fn format(units: i128, scale: u32) -> String {
     let width = digits_in(scale) + 1;
     let digits = format!("{:0>width$}", units.unsigned_abs());
@@ -50,7 +50,7 @@
     }
 }
 
-/// The quotient rounded to whole units, halves to the even one; `None` if the count is 0.
+/// Returns the mean rounded to whole units, halves to the even one; `None` if the count is 0.
 pub(crate) fn mean(sum: i128, count: u64) -> Option<i128> {
     let count = i128::from(count);
     if count == 0 {
--- a/crates/linenthread-merge/src/error.rs
+++ b/crates/linenthread-merge/src/error.rs
@@ -1,31 +1,31 @@
-//! Why a query cannot be merged, or a shard's value cannot be used.
+//! Errors of queries, cursors and shards' values.
 
 use snafu::Snafu;
 
 use crate::{CURSOR_VERSION, MAX_SHARDS};
 
-/// Why a query cannot be merged as asked. The texts are sent to the client.
+/// The reason why a query cannot be merged as requested. The texts are sent to the client.
 #[derive(Clone, Debug, PartialEq, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum QueryError {
-    /// The response could not name so many shards.
+    /// There are more shards than a response can list.
     #[snafu(display("more than {MAX_SHARDS} shards are queried"))]
     TooManyShards,
-    /// The number of rows is not one that the index's plan permits.
+    /// The index's plan does not permit a page of this many rows.
     #[snafu(display("a page of {index} has from 1 to {max_rows} rows"))]
     InvalidPageSize {
         /// The index.
         index: String,
-        /// The plan's limit.
+        /// The plan's maximum.
         max_rows: usize,
     },
-    /// A cursor is given, and the index's plan provides none.
+    /// A cursor is given, but the index's plan does not provide cursors.
     #[snafu(display("{index} has no further pages"))]
     NoFurtherPages {
         /// The index.
         index: String,
     },
-    /// A page is asked for, and the index's plan is not one of rows.
+    /// A page is requested, but the index's plan does not merge rows.
     #[snafu(display("{index} has no pages"))]
     NoPages {
         /// The index.
@@ -34,49 +34,49 @@
     /// The cursor is not valid for this query.
     #[snafu(transparent)]
     Cursor {
-        /// Why.
+        /// The reason.
         source: CursorError,
     },
 }
 
-/// Why a cursor is not valid. The texts are sent to the client.
+/// The reason why a cursor is rejected. The texts are sent to the client.
 #[derive(Clone, Debug, PartialEq, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum CursorError {
-    /// It was not signed with one of the secrets, or is incomplete.
+    /// The cursor is not signed with one of the secrets, or is incomplete or malformed.
     #[snafu(display("the cursor is incomplete, or was not issued here"))]
     Unknown,
-    /// It is of another version of this software.
+    /// The cursor has an encoding of another version.
     #[snafu(display("the cursor is of version {version}, only {CURSOR_VERSION} is known"))]
     UnknownVersion {
         /// The cursor's version.
         version: u8,
     },
-    /// It is too old, or from the future.
+    /// The cursor's lifetime is over, or its time of issue is in the future.
     #[snafu(display("the cursor has expired, start with the first page"))]
     Expired,
-    /// It was issued for another query.
+    /// The cursor was issued for another query.
     #[snafu(display("the cursor belongs to another query"))]
     OtherQuery,
-    /// It was issued for other shards.
+    /// The cursor was issued for other shards.
     #[snafu(display("the cursor belongs to another layout of shards"))]
     OtherShards,
-    /// It holds a position that the index's plan does not yield.
+    /// The cursor contains a position that does not fit the index's plan.
     #[snafu(display("the cursor has an invalid position"))]
     InvalidPosition,
 }
 
-/// Why a text is not a decimal number of a stated scale.
+/// The reason why a text is not a decimal number of a given scale.
 #[derive(Clone, Debug, PartialEq, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum DecimalError {
-    /// It is not a number such as `-12.50`.
+    /// The text is not a number such as `-12.50`.
     #[snafu(display("{text:.40?} is not a decimal number"))]
     NotDecimal {
         /// The text.
         text: String,
     },
-    /// It has more digits after the point than the scale.
+    /// The number has more digits after the point than the scale.
     #[snafu(display("{text:.40?} has more than {scale} digits after the point"))]
     TooPrecise {
         /// The text.
@@ -84,7 +84,7 @@
         /// The digits after the point that are allowed.
         scale: u32,
     },
-    /// It has too many digits in all.
+    /// The number has too many digits in all.
     #[snafu(display("{text:.40?} has too many digits"))]
     TooManyDigits {
         /// The text.
@@ -92,26 +92,26 @@
     },
 }
 
-/// Why a shard's value cannot be merged.
+/// The reason why a shard's value cannot be merged. The texts are logged.
 #[derive(Clone, Debug, PartialEq, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum ValueError {
-    /// It is not JSON of the form that the plan expects.
+    /// The value is not JSON of the form that the plan expects.
     #[snafu(display("{reason}"))]
     Malformed {
         /// What the decoder says.
         reason: String,
     },
     /// A row is not JSON of the form that the plan expects.
-    #[snafu(display("a row: {reason}"))]
+    #[snafu(display("a row is malformed: {reason}"))]
     MalformedRow {
         /// What the decoder says.
         reason: String,
     },
-    /// A number is not valid.
+    /// A number is not a valid decimal of its scale.
     #[snafu(transparent)]
     Decimal {
-        /// Why.
+        /// The reason.
         source: DecimalError,
     },
     /// A field of a row is too long.
@@ -135,16 +135,16 @@
         /// The identity's field.
         field: String,
     },
-    /// It claims to have more rows and gives none.
-    #[snafu(display("it has more rows and gives none"))]
+    /// The value contains no rows although it says that more follow.
+    #[snafu(display("it has no rows but says that more follow"))]
     NoRows,
-    /// It has no totals of a measure.
+    /// The value lacks the totals of a measure.
     #[snafu(display("the totals of {field} are missing"))]
     MissingTotals {
         /// The measure's field.
         field: String,
     },
-    /// The count, sum and range of a measure contradict each other.
+    /// The count, sum and range of a measure are inconsistent.
     #[snafu(display("the totals of {field} contradict each other"))]
     InconsistentTotals {
         /// The measure's field.
--- a/crates/linenthread-merge/src/groups.rs
+++ b/crates/linenthread-merge/src/groups.rs
@@ -1,4 +1,4 @@
-//! Totals by group: so many groups by name, and the others aggregated as the rest.
+//! Totals by group: a limited number of groups by name, and the others aggregated as the rest.
 
 use std::borrow::Cow;
 use std::cmp::Reverse;
@@ -11,10 +11,10 @@
 use crate::plan::{GroupOrder, GroupPlan};
 use crate::totals::{MeasureValue, Totals, TotalsValue};
 
-/// The most bytes of a group's name.
+/// The maximum length of a group's name in bytes.
 const MAX_NAME_BYTES: usize = 64;
 
-/// The JSON of a value: `{"groups":[{"of":NAME,"totals":{...}},...],"rest":{"totals":{...}}}`.
+/// A shard's value as JSON: `{"groups":[{"of":NAME,"totals":{...}},...],"rest":{"totals":{...}}}`.
 #[derive(Deserialize)]
 struct GroupsValue<'a> {
     #[serde(borrow)]
@@ -31,15 +31,15 @@
     totals: HashMap<Cow<'a, str>, MeasureValue<'a>>,
 }
 
-/// A shard's groups, checked.
+/// A shard's groups, checked for validity.
 pub(crate) struct ShardGroups {
     groups: Vec<(Box<str>, Totals)>,
-    /// Groups that the shard has not listed.
+    /// The totals of the groups that the shard has not listed.
     rest: Option<Totals>,
 }
 
 impl ShardGroups {
-    /// Reads a shard's value, its groups by ascending name.
+    /// Parses a shard's value, in which groups must be in ascending order of their names.
     pub(crate) fn parse(value: &str, plan: &GroupPlan) -> Result<ShardGroups, ValueError> {
         let value: GroupsValue = serde_json::from_str(value)?;
         let groups = &value.groups;
@@ -66,16 +66,16 @@
     }
 }
 
-/// Groups of all shards.
+/// The merged groups of all shards.
 pub(crate) struct GroupTotals {
     by_name: BTreeMap<Box<str>, Totals>,
     rest: Totals,
-    /// Some groups went into the rest, here or at a shard.
+    /// Some groups were aggregated into the rest, here or at a shard.
     has_rest: bool,
-    /// A shard has reported a rest of its own: any group may be in it.
+    /// A shard has reported a rest of its own, which may contain values of any group.
     has_shard_rest: bool,
-    /// There were more groups than may be retained, where they are ordered by size.
-    overfull: bool,
+    /// There were more groups than may be retained, and groups are ordered by size.
+    exceeds_retained: bool,
 }
 
 impl GroupTotals {
@@ -85,14 +85,15 @@
             rest: Totals::zero(&plan.measures),
             has_rest: false,
             has_shard_rest: false,
-            overfull: false,
+            exceeds_retained: false,
         }
     }
 
     /// Adds a shard's groups.
     ///
-    /// No more groups are retained by name than may be listed, or than may be retained where size decides: the
-    /// last ones by name go into the rest. The result does not depend on the order of the shards.
+    /// The number of groups retained by name is limited: to those that may be listed if the order is by name, to
+    /// `max_retained` if it is by size. The last ones by name are added to the rest, so that the result does not depend
+    /// on the order in which shards respond.
     pub(crate) fn add(&mut self, shard: ShardGroups, plan: &GroupPlan) {
         for (name, totals) in shard.groups {
             self.add_group(name, totals, plan);
@@ -128,10 +129,10 @@
     fn add_to_rest(&mut self, totals: &Totals, plan: &GroupPlan) {
         self.rest.add(totals);
         self.has_rest = true;
-        self.overfull |= plan.order == GroupOrder::Largest;
+        self.exceeds_retained |= plan.order == GroupOrder::Largest;
     }
 
-    /// The groups that are listed, within so many bytes, and the rest.
+    /// Returns the listed groups, within `max_bytes`, and the rest.
     pub(crate) fn to_json(
         &self,
         plan: &GroupPlan,
@@ -150,7 +151,7 @@
                 remaining_bytes -= bytes;
                 listed.push(group);
             } else {
-                // No smaller group is listed after one that was left out.
+                // No group is listed after one that was left out, even if it would fit.
                 remaining_bytes = 0;
                 rest.add(totals);
                 has_rest = true;
@@ -159,7 +160,7 @@
         let rest = has_rest.then(|| json!({"totals": rest.to_json(&plan.measures, incomplete)}));
         let largest_are_sure = match plan.order {
             GroupOrder::Name => Value::Null,
-            GroupOrder::Largest => json!(!self.overfull && !may_lack_values),
+            GroupOrder::Largest => json!(!self.exceeds_retained && !may_lack_values),
         };
         Map::from_iter([
             ("groups".to_owned(), listed.into()),
@@ -172,7 +173,7 @@
         let by_name = self.by_name.iter();
         let mut groups: Vec<_> = by_name.map(|(name, totals)| (&**name, totals)).collect();
         if order == GroupOrder::Largest {
-            // The sort is stable: groups of the same size stay in the order of their names.
+            // The sort is stable, so groups of the same size stay in the order of their names.
             groups.sort_by_key(|(_, totals)| Reverse(totals.first_sum()));
         }
         groups
--- a/crates/linenthread-merge/src/lib.rs
+++ b/crates/linenthread-merge/src/lib.rs
@@ -1,10 +1,10 @@
-//! Responses of many shards merged into one: totals, totals by group, and ranked rows in pages.
+//! Merges the responses of many shards into one: totals, totals by group, and ranked rows in pages.
 //!
-//! A [`Merger`] is made for one query from the [`Plan`] of its index. It says what each sub-request asks for,
-//! accepts the shards' values in any order, says which shards must be asked for more, and writes the response
-//! with a statement of what is in it. The forms of values and responses are in `docs/merged-answers.md`.
+//! A [`Merger`] is created for one query from the [`Plan`] of its index. It provides the text of each sub-request,
+//! accepts the shards' values in any order, determines which shards must be asked for more, and writes the response
+//! with a statement of how complete it is. `docs/merged-answers.md` has the formats of values and responses.
 //!
-//! The crate does no I/O and reads no clock; which replica is asked and when to respond are decided elsewhere.
+//! The crate does no I/O and reads no clock. Its caller decides which replicas to ask and when to respond.
 //! Start reading at [`Plan`], then [`Merger`].
 
 mod cursor;
@@ -30,9 +30,9 @@
 };
 pub use query::{MergeQuery, PageRequest, QueriedShard};
 
-/// The most shards of a query: each is named in its response.
+/// The maximum number of shards of a query, since its response lists each of them.
 pub const MAX_SHARDS: usize = 4_096;
-/// The most digits after the point that a plan may ask for.
+/// The maximum number of digits after the point that a plan may use.
 pub const MAX_SCALE: u32 = 12;
-/// The version of a cursor's encoding.
+/// The version of the encoding of cursors.
 pub(crate) const CURSOR_VERSION: u8 = 1;
--- a/crates/linenthread-merge/src/merger.rs
+++ b/crates/linenthread-merge/src/merger.rs
@@ -1,6 +1,6 @@
-//! The merge of one query: what each shard is asked for, what has been merged, and what is reported.
+//! Merges the values that the shards return for one query.
 //!
-//! How far each shard has come is in [`SubRequest`].
+//! [`SubRequest`] has the state of each shard.
 
 use serde_json::json;
 use snafu::{OptionExt, ensure};
@@ -17,24 +17,24 @@
 use crate::plan::{Aggregation, GroupPlan, Measure, Plan, RowPlan};
 use crate::query::{MergeQuery, PageRequest, QueriedShard, by_shard};
 use crate::sort_key::SortKey;
-use crate::sub_request::{Arrival, MissingReason, SubRequest};
+use crate::sub_request::{MissingReason, SubRequest, ValueKind};
 use crate::totals::Totals;
 
-/// What became of a shard's value.
+/// The result of [`Merger::accept`].
 #[derive(Clone, Debug, PartialEq)]
 pub enum Acceptance {
-    /// It counts.
+    /// The value was merged.
     Counted,
-    /// A value of the sub-request was received before, and that one counts.
+    /// The value was dropped, as its continuation is not waiting for one.
     Duplicate {
-        /// This one is not the same.
+        /// It differs from the value that was merged for its continuation, as far as that is still known.
         differs: bool,
     },
-    /// It cannot be merged: the sub-request has run, and has failed.
+    /// The value cannot be merged: the sub-request was executed, and counts as failed.
     Invalid(ValueError),
 }
 
-/// What has been merged so far.
+/// The values merged so far.
 pub(crate) enum Merged<'p> {
     Totals {
         measures: &'p [Measure],
@@ -47,9 +47,9 @@
     Rows(PageBuilder<'p>),
 }
 
-/// The merge of one query.
+/// The merge of the values of one query.
 ///
-/// Its memory is bounded by a page's rows or the groups that may be retained, and a record for each shard.
+/// Its memory is bounded by the rows of a page, or the groups that may be retained, and a record for each shard.
 pub struct Merger<'p> {
     text: String,
     pub(crate) scope: CursorScope,
@@ -58,11 +58,11 @@
 }
 
 impl<'p> Merger<'p> {
-    /// Begins a query's merge; cursors are verified by `signer` at this time in seconds since 1970.
+    /// Begins the merge of a query. A cursor is verified by `signer` at the time `unix_seconds`, in seconds since 1970.
     ///
     /// # Errors
     ///
-    /// The plan does not provide the page, or the cursor is not valid for this query.
+    /// There are too many shards, the plan does not provide the page, or the cursor is not valid for this query.
     pub fn new(
         plan: &'p Plan,
         query: &MergeQuery,
@@ -110,16 +110,16 @@
         })
     }
 
-    /// How many times a shard has been asked for more.
+    /// Returns the number of times that a shard has been asked for more.
     ///
     /// # Panics
     ///
-    /// If the query has no such sub-request; so do the other methods that take one.
+    /// If the query has no such sub-request, as with the other methods that take one.
     pub fn continuation(&self, sub_request: usize) -> u32 {
         self.sub_requests[sub_request].continuation()
     }
 
-    /// What a shard is to be asked now: the client's text, for rows within
+    /// Returns the text to send to a shard now: the client's text or, for rows,
     /// `{"query":TEXT,"rows":N,"after":[VALUES,IDENTITY]}`, where `after` is null for the first row.
     pub fn request_text(&self, sub_request: usize) -> String {
         let Merged::Rows(page) = &self.merged else {
@@ -130,11 +130,12 @@
         json!({"query": self.text, "rows": page.limit(), "after": after}).to_string()
     }
 
-    /// Takes in a shard's value, the response to what it was asked in a continuation.
+    /// Merges a shard's value, if it answers the current continuation and is valid. `continuation` is the one in which
+    /// the shard was asked.
     pub fn accept(&mut self, sub_request: usize, continuation: u32, value: &str) -> Acceptance {
         match self.sub_requests[sub_request].classify(continuation, value) {
-            Arrival::Duplicate { differs } => Acceptance::Duplicate { differs },
-            Arrival::Awaited => match self.merge(sub_request, value) {
+            ValueKind::Duplicate { differs } => Acceptance::Duplicate { differs },
+            ValueKind::Expected => match self.merge(sub_request, value) {
                 Ok(()) => {
                     self.sub_requests[sub_request].on_received(value);
                     Acceptance::Counted
@@ -147,7 +148,7 @@
         }
     }
 
-    /// Adds a value; nothing of it counts if it is invalid.
+    /// Adds a value; an invalid one changes nothing.
     fn merge(&mut self, sub_request: usize, value: &str) -> Result<(), ValueError> {
         match &mut self.merged {
             Merged::Totals { measures, totals } => totals.add(&Totals::parse(value, measures)?),
@@ -160,13 +161,14 @@
         Ok(())
     }
 
-    /// A sub-request has failed without a value.
+    /// Records that a sub-request has failed without a value.
     pub fn fail(&mut self, sub_request: usize) {
         self.sub_requests[sub_request].on_failed(MissingReason::Failed);
     }
 
-    /// Sub-requests whose shards must be asked for more before the page can be complete, each returned once for
-    /// a continuation. There are none before all are received: what is still to come may fill the page.
+    /// Returns the sub-requests whose shards must be asked for more to complete the page, and begins a continuation of
+    /// each. Returns none while any sub-request is unanswered, since the values that are still missing may fill the
+    /// page.
     pub fn take_continuations(&mut self) -> Vec<usize> {
         let Merged::Rows(page) = &self.merged else {
             return Vec::new();
@@ -181,7 +183,7 @@
         incomplete
     }
 
-    /// The rows that are retained at this moment.
+    /// Returns the number of rows that are retained now; 0 unless rows are merged.
     pub fn retained_rows(&self) -> usize {
         match &self.merged {
             Merged::Rows(page) => page.retained_rows(),
@@ -190,7 +192,7 @@
     }
 }
 
-/// The rows on the page, if the plan permits so many.
+/// Returns the maximum number of rows on the page, if the plan permits it.
 fn page_size(index: &str, rows: &RowPlan, page: &PageRequest) -> Result<usize, QueryError> {
     let limit = page.rows.unwrap_or(rows.page_size);
     let max_rows = rows.max_page_size;
@@ -200,7 +202,7 @@
     Ok(limit)
 }
 
-/// Where each shard is to be read from, by the index of its sub-request; a cursor has the positions by shard.
+/// Reorders a cursor's positions, which are in the order of the shards, into the order of the sub-requests.
 fn start_positions(
     positions: Vec<Option<SortKey>>,
     rows: &RowPlan,
--- a/crates/linenthread-merge/src/page.rs
+++ b/crates/linenthread-merge/src/page.rs
@@ -1,9 +1,9 @@
-//! Rows of many shards, each sorted, merged into one page: memory is bounded by the page, not by the data.
+//! Merges the sorted rows of many shards into one page, in memory bounded by the page rather than by the data.
 //!
-//! No more than a page of rows is ever retained. A row that ranks after all of a full page is dropped, and so is
-//! the rest of its shard's value, unread: neither can be on this page. What a shard has beyond the last row that
-//! is known of it (its *frontier*) is unknown while it says that there is more, so rows that rank after that
-//! frontier can't be shown yet.
+//! No more rows are retained than fit on the page. A row that ranks after all rows of a full page is dropped, and the
+//! rest of its shard's value is skipped: none of them can be on this page. The last row known of a shard is its
+//! *frontier*. While a shard says that it has more rows, those beyond its frontier are unknown, so rows that rank after
+//! the frontier cannot be shown yet.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -12,49 +12,49 @@
 
 /// A row that may be on the page.
 struct RetainedRow {
-    /// Where it is from.
+    /// The sub-request in whose value it was received.
     sub_request: usize,
     json: Box<str>,
-    /// Its value of the distinct field.
+    /// The value of the distinct field.
     distinct: Option<Box<[u8]>>,
 }
 
-/// What a shard has beyond its frontier.
+/// The rows that a shard has beyond its frontier.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Beyond {
-    /// It has not responded.
+enum Remaining {
+    /// Not known, as the shard has not responded.
     NotReceived,
-    /// No rows.
-    Nothing,
-    /// Rows that are not known.
+    /// None.
+    Exhausted,
+    /// At least one, not received yet.
     Unknown,
-    /// Rows that rank after a full page, or were dropped from it: they are for a later one.
+    /// Rows that rank after a full page or were dropped from it, and belong to a later page.
     AfterPage,
 }
 
 /// How far a shard has been read.
 struct ShardProgress {
-    /// Where this query begins to read it; `None` for its first row.
+    /// The position after which this query begins to read; `None` for the first row.
     start: Option<SortKey>,
-    /// The last row that is known of it, shown or not.
+    /// The last row known of the shard, shown or not.
     frontier: Option<SortKey>,
-    beyond: Beyond,
+    remaining: Remaining,
 }
 
 /// A row of a shard's value.
 pub(crate) struct Row {
     pub(crate) key: SortKey,
-    /// Its value of the distinct field.
+    /// The value of the distinct field.
     pub(crate) distinct: Option<Box<[u8]>>,
     pub(crate) json: Box<str>,
 }
 
-/// The rows of one value, read and found to be sorted.
+/// The rows of one value, checked to be sorted.
 pub(crate) struct Batch {
     pub(crate) rows: Vec<Row>,
     /// The shard says that rows follow these.
     pub(crate) has_more: bool,
-    /// Rows were skipped, as they rank after a full page.
+    /// Rows were skipped because they rank after a full page or exceed its limit.
     pub(crate) trimmed: bool,
 }
 
@@ -63,44 +63,44 @@
     plan: &'p RowPlan,
     limit: usize,
     rows: BTreeMap<SortKey, RetainedRow>,
-    /// The row that is retained for each value of the distinct field.
+    /// The retained row of each value of the distinct field.
     by_distinct: HashMap<Box<[u8]>, SortKey>,
     /// By the index of the sub-request.
     progress: Vec<ShardProgress>,
 }
 
-/// The rows at the front of a page.
+/// The rows at the beginning of a page that can be shown.
 #[derive(Default)]
 struct ShownRows<'r> {
     /// The rows' JSON.
     rows: Vec<&'r str>,
     /// The position of the last one.
     last: Option<&'r SortKey>,
-    /// They were cut off for their length.
+    /// Further rows were left out for the limit in bytes.
     truncated: bool,
 }
 
-/// A page as far as it can be shown.
+/// The part of a page that can be shown.
 pub(crate) struct VisiblePage<'r> {
     /// The rows' JSON.
     pub(crate) rows: Vec<&'r str>,
-    /// Sub-requests that hold the page back: what follows their last row is not known.
+    /// Sub-requests whose rows beyond their frontier are not known and may belong on this page.
     pub(crate) incomplete: Vec<usize>,
-    /// The page was cut off for its length.
+    /// Further rows were left out for the page's limit in bytes.
     pub(crate) truncated: bool,
-    /// Where each shard is to be read from for the next page.
+    /// The position after which each shard is to be read for the next page; `None` for its first row.
     pub(crate) next_positions: Vec<Option<SortKey>>,
-    /// There are or may be rows after these in the shards that have responded.
+    /// The shards that have responded have, or may have, rows after these.
     pub(crate) has_more: bool,
 }
 
 impl<'p> PageBuilder<'p> {
-    /// A page of at most so many rows, with each shard read from a position on.
+    /// Creates an empty page of at most `limit` rows, with the position after which each shard is read.
     pub(crate) fn new(plan: &'p RowPlan, limit: usize, start: Vec<Option<SortKey>>) -> Self {
         let progress = |start: Option<SortKey>| ShardProgress {
             frontier: start.clone(),
             start,
-            beyond: Beyond::NotReceived,
+            remaining: Remaining::NotReceived,
         };
         PageBuilder {
             plan,
@@ -119,23 +119,23 @@
         self.limit
     }
 
-    /// The last row that is known of a shard, from which it is to be read on.
+    /// Returns the position of the last row known of a shard, after which it is to be read on.
     pub(crate) fn frontier(&self, sub_request: usize) -> Option<&SortKey> {
         self.progress[sub_request].frontier.as_ref()
     }
 
-    /// How many rows are retained; never more than the page's limit.
+    /// Returns the number of retained rows, at most the page's limit.
     pub(crate) fn retained_rows(&self) -> usize {
         self.rows.len()
     }
 
-    /// Whether the page is full of rows that rank before this one.
-    pub(crate) fn is_beyond(&self, key: &SortKey) -> bool {
+    /// Reports whether the page is full of rows that rank before this one.
+    pub(crate) fn ranks_after_page(&self, key: &SortKey) -> bool {
         let last = self.rows.last_key_value();
         self.rows.len() >= self.limit && last.is_some_and(|(last, _)| key > last)
     }
 
-    /// Adds what was read of a shard's value.
+    /// Adds the rows read from a shard's value.
     pub(crate) fn add(&mut self, sub_request: usize, batch: Batch) {
         let mut trimmed = batch.trimmed;
         for row in batch.rows {
@@ -144,7 +144,7 @@
             if self.rows.contains_key(key) || self.was_shown(sub_request, key) {
                 continue;
             }
-            if self.is_beyond(key) {
+            if self.ranks_after_page(key) {
                 trimmed = true;
                 break;
             }
@@ -152,18 +152,18 @@
         }
         let progress = &mut self.progress[sub_request];
         if trimmed {
-            progress.beyond = Beyond::AfterPage;
-        } else if progress.beyond != Beyond::AfterPage {
-            progress.beyond = if batch.has_more {
-                Beyond::Unknown
+            progress.remaining = Remaining::AfterPage;
+        } else if progress.remaining != Remaining::AfterPage {
+            progress.remaining = if batch.has_more {
+                Remaining::Unknown
             } else {
-                Beyond::Nothing
+                Remaining::Exhausted
             };
         }
     }
 
-    /// Retains a row, unless one with the same value of the distinct field ranks before it; drops the last row
-    /// of a page that has become too long.
+    /// Retains a row unless one with the same value of the distinct field ranks before it, and drops the last row if
+    /// the page then exceeds its limit.
     fn insert(&mut self, sub_request: usize, row: Row) {
         let Row {
             key,
@@ -187,14 +187,14 @@
         if self.rows.len() > self.limit
             && let Some((_, last)) = self.rows.pop_last()
         {
-            self.progress[last.sub_request].beyond = Beyond::AfterPage;
+            self.progress[last.sub_request].remaining = Remaining::AfterPage;
             if let Some(value) = last.distinct {
                 self.by_distinct.remove(&value);
             }
         }
     }
 
-    /// Whether the row's value of the distinct field was the last one on the page before.
+    /// Reports whether the last row of the previous page has the same value of the distinct field.
     fn was_shown(&self, sub_request: usize, key: &SortKey) -> bool {
         if self.plan.distinct.is_none() {
             return false;
@@ -204,19 +204,20 @@
         shown.is_some_and(|value| self.plan.first_field(key) == Some(value))
     }
 
-    /// Sub-requests that hold the page back, as long as it is not full before their frontier.
+    /// Returns the sub-requests whose rows beyond their frontier are not known and may belong on this page: it is not
+    /// full up to their frontier.
     pub(crate) fn incomplete(&self) -> Vec<usize> {
-        let holds_back = |progress: &ShardProgress| {
-            let is_full_before = |frontier| self.rows.range(..=frontier).count() >= self.limit;
-            progress.beyond == Beyond::Unknown
-                && !progress.frontier.as_ref().is_some_and(is_full_before)
+        let is_incomplete = |progress: &ShardProgress| {
+            let is_full_up_to = |frontier| self.rows.range(..=frontier).count() >= self.limit;
+            progress.remaining == Remaining::Unknown
+                && !progress.frontier.as_ref().is_some_and(is_full_up_to)
         };
         (0..self.progress.len())
-            .filter(|&index| holds_back(&self.progress[index]))
+            .filter(|&index| is_incomplete(&self.progress[index]))
             .collect()
     }
 
-    /// The page as far as it is known, within so many bytes.
+    /// Returns the part of the page that is known, within `max_bytes`.
     pub(crate) fn visible(&self, max_bytes: usize) -> VisiblePage<'_> {
         let incomplete = self.incomplete();
         let bound = incomplete
@@ -227,7 +228,7 @@
         let has_more =
             shown.rows.len() < self.rows.len() || self.progress.iter().any(ShardProgress::has_more);
         VisiblePage {
-            // No shard holds back a page that is full of bytes.
+            // A page that has reached its limit in bytes waits for no shard.
             incomplete: if shown.truncated {
                 Vec::new()
             } else {
@@ -244,7 +245,8 @@
         }
     }
 
-    /// The rows up to a position, if there is one, within so many bytes; but at least one.
+    /// Returns the rows up to and including the position `bound`, if given, within `max_bytes`; the first row is
+    /// returned even if it exceeds that.
     fn rows_up_to(&self, bound: Option<&SortKey>, max_bytes: usize) -> ShownRows<'_> {
         let known = self
             .rows
@@ -268,21 +270,21 @@
 }
 
 impl ShardProgress {
-    /// Where it is to be read from for the next page, given the last row of this one.
+    /// Returns the position after which to read for the next page, given the last row of this one.
     fn next_position(&self, last_shown: Option<&SortKey>) -> Option<SortKey> {
-        match self.beyond {
-            Beyond::NotReceived => self.start.clone(),
-            Beyond::Nothing | Beyond::Unknown | Beyond::AfterPage => {
+        match self.remaining {
+            Remaining::NotReceived => self.start.clone(),
+            Remaining::Exhausted | Remaining::Unknown | Remaining::AfterPage => {
                 self.start.as_ref().max(last_shown).cloned()
             }
         }
     }
 
-    /// Whether it has responded, and there are or may be rows beyond its frontier.
+    /// Reports whether the shard has responded and has, or may have, rows after this page.
     fn has_more(&self) -> bool {
-        match self.beyond {
-            Beyond::NotReceived | Beyond::Nothing => false,
-            Beyond::Unknown | Beyond::AfterPage => true,
+        match self.remaining {
+            Remaining::NotReceived | Remaining::Exhausted => false,
+            Remaining::Unknown | Remaining::AfterPage => true,
         }
     }
 }
--- a/crates/linenthread-merge/src/page_reader.rs
+++ b/crates/linenthread-merge/src/page_reader.rs
@@ -1,4 +1,4 @@
-//! Reads a shard's rows in order, and skips them from where they can't be on the page any more.
+//! Reads a shard's rows and checks their order; rows that can no longer be on the page are skipped.
 
 use std::borrow::Cow;
 use std::fmt;
@@ -10,15 +10,15 @@
 use crate::page::{Batch, PageBuilder, Row};
 use crate::sort_key::{RowKey, SortKey};
 
-/// The most bytes of a row: one that fills a response by itself could never be passed on.
+/// The maximum length of a row in bytes; a row that alone filled a response could never be returned.
 const MAX_ROW_BYTES: usize = 16 * 1024;
 
-/// Reads a shard's value `{"rows":[...],"more":...}`; nothing of it counts before [`PageBuilder::add`].
+/// Reads a shard's value `{"rows":[...],"more":...}`. The page changes only by [`PageBuilder::add`].
 ///
 /// # Errors
 ///
-/// What is wrong with it: its form, a row without its fields, or rows that are not sorted or rank before the
-/// position that was asked for.
+/// The value is malformed, a row lacks required fields or is too long, or the rows are not sorted or do not rank after
+/// the requested position.
 pub(crate) fn read_batch(
     page: &PageBuilder<'_>,
     sub_request: usize,
@@ -36,7 +36,7 @@
 
 struct BatchVisitor<'r, 'p> {
     page: &'r PageBuilder<'p>,
-    /// The row before the value's first.
+    /// The position after which the value's rows must rank.
     last: Option<SortKey>,
 }
 
@@ -73,13 +73,13 @@
 
 struct SortedRows {
     rows: Vec<Row>,
-    /// Rows were skipped, as they rank after a full page.
+    /// Rows were skipped because they rank after a full page or exceed its limit.
     trimmed: bool,
 }
 
 struct RowsVisitor<'r, 'p> {
     page: &'r PageBuilder<'p>,
-    /// The row before.
+    /// The position of the previous row.
     last: Option<SortKey>,
 }
 
@@ -104,7 +104,7 @@
             let json = json.get();
             let RowKey { key, distinct } = self.page.plan().row_key(json).map_err(Error::custom)?;
             self.check(&key, json).map_err(Error::custom)?;
-            if rows.len() >= self.page.limit() || self.page.is_beyond(&key) {
+            if rows.len() >= self.page.limit() || self.page.ranks_after_page(&key) {
                 while list.next_element::<IgnoredAny>()?.is_some() {}
                 return Ok(SortedRows {
                     rows,
@@ -126,7 +126,7 @@
 }
 
 impl RowsVisitor<'_, '_> {
-    /// Checks a row's length, and that it ranks after the one before.
+    /// Checks a row's length, and that it ranks after the previous one.
     fn check(&self, key: &SortKey, json: &str) -> Result<(), String> {
         if json.len() > MAX_ROW_BYTES {
             return Err(format!("a row has more than {MAX_ROW_BYTES} bytes"));
--- a/crates/linenthread-merge/src/plan.rs
+++ b/crates/linenthread-merge/src/plan.rs
@@ -1,11 +1,11 @@
-//! What the responses of an index are merged into, as the installation file says.
+//! Merge plans: how the responses of an index are merged, as configured in the installation file.
 
 /// A statistic of a field's values.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Statistic {
     /// The exact sum.
     Sum,
-    /// How many values there are.
+    /// The number of values.
     Count,
     /// The lowest value.
     Min,
@@ -18,76 +18,77 @@
 /// A field whose values are aggregated.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Measure {
-    /// The field.
+    /// The name of the field in values and responses.
     pub field: String,
-    /// Digits after the point, at most [`MAX_SCALE`](crate::MAX_SCALE).
+    /// The number of digits after the point, at most [`MAX_SCALE`](crate::MAX_SCALE).
     pub scale: u32,
-    /// No value of it is negative, so that a sum that lacks some is a lower bound.
+    /// No value is negative, so that a sum without the missing values is a lower bound.
     pub never_negative: bool,
-    /// What the response says of it.
+    /// The statistics in the response.
     pub statistics: Vec<Statistic>,
 }
 
-/// Which groups are listed where there are more than the limit.
+/// The order of groups, which decides the groups that are listed if there are more than the limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum GroupOrder {
-    /// Those first by name.
+    /// By ascending name.
     Name,
-    /// Those with the largest sum of the first measure.
+    /// By descending sum of the first measure.
     Largest,
 }
 
-/// Totals by group.
+/// The plan for totals by group.
 #[derive(Clone, Debug, PartialEq)]
 pub struct GroupPlan {
-    /// What is aggregated in each group.
+    /// The fields that are aggregated in each group.
     pub measures: Vec<Measure>,
-    /// The most groups that are listed; the others are aggregated as the rest.
+    /// The maximum number of groups that are listed; the others are aggregated as the rest.
     pub max_groups: usize,
-    /// Which groups are listed, and in which order.
+    /// The order of the groups, which also decides which are listed.
     pub order: GroupOrder,
-    /// The most groups that are retained during the merge, where they are ordered by size.
+    /// The maximum number of groups that are retained during the merge if they are ordered by size.
     pub max_retained: usize,
 }
 
-/// How a field is sorted.
+/// How the values of a field are sorted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FieldType {
-    /// By its bytes.
+    /// Bytewise, as text.
     Text,
-    /// By its value, a number with so many digits after the point.
+    /// Numerically, as a decimal number with at most this many digits after the point.
     Decimal(u32),
 }
 
 /// A field by which rows are sorted.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SortField {
-    /// The field.
+    /// The name of the field in rows.
     pub field: String,
-    /// How it is sorted.
+    /// How its values are sorted.
     pub field_type: FieldType,
-    /// The highest value comes first.
+    /// The highest value comes first; otherwise the lowest.
     pub descending: bool,
 }
 
-/// Ranked rows in pages.
+/// The plan for ranked rows in pages.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RowPlan {
-    /// The most significant field first. Rows that lack a field come after those that have it, in either direction.
+    /// The sort fields, the most significant first. Rows that lack a field come after those that have it, whether
+    /// ascending or descending.
     pub order: Vec<SortField>,
-    /// The field that distinguishes a row from all others; it breaks ties, ascending.
+    /// The field that identifies a row uniquely; it breaks ties in ascending order.
     pub identity: String,
-    /// Of rows with the same value of this field only the first is shown.
+    /// If set, only the first of the rows with the same value of this field is shown.
     pub distinct: Option<String>,
-    /// Rows on a page where the client does not say.
+    /// The maximum number of rows on a page if the client requests none.
     pub page_size: usize,
-    /// The most rows on a page.
+    /// The highest number of rows that a client may request for a page.
     pub max_page_size: usize,
-    /// Pages carry a cursor for the next one.
+    /// Responses contain a cursor for the next page.
     pub paginated: bool,
 }
 
-/// What the values of an index are merged into.
+/// The way in which the values of an index are merged.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Aggregation {
     /// Totals of these measures.
@@ -103,14 +104,15 @@
 pub struct Plan {
     /// The index's name.
     pub index: String,
-    /// What its values are merged into.
+    /// The way in which its values are merged.
     pub aggregation: Aggregation,
 }
 
 impl Plan {
-    /// A text that differs wherever a cursor of one plan would mean something else under another.
+    /// Returns a text that differs between plans under which a cursor would have different meanings.
     ///
-    /// It is hashed into cursors: clients hold cursors of earlier versions, so the text stays as those wrote it.
+    /// It is hashed into cursors. Since clients hold cursors of earlier versions, the text must stay as those versions
+    /// wrote it.
     pub(crate) fn order_fingerprint(&self) -> String {
         match &self.aggregation {
             Aggregation::Rows(rows) => rows.order_fingerprint(),
--- a/crates/linenthread-merge/src/query.rs
+++ b/crates/linenthread-merge/src/query.rs
@@ -1,4 +1,4 @@
-//! What is to be merged: the query with its shards, and which page is asked for.
+//! The query to merge, with its shards and the requested page.
 
 use crate::cursor::{self, CursorScope};
 use crate::plan::Plan;
@@ -6,40 +6,40 @@
 /// A shard that is queried.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct QueriedShard {
-    /// Its number.
+    /// The shard's number.
     pub shard: usize,
-    /// Its share of the query's weight.
+    /// The shard's share of the query's weight.
     pub weight: f64,
 }
 
-/// What a client has asked, as far as merging is concerned.
+/// The parts of a client's query that matter for merging.
 #[derive(Clone, Debug)]
 pub struct MergeQuery<'a> {
     /// The customer, if the query names one.
     pub customer: Option<&'a str>,
-    /// The key, if the query has one.
+    /// The routing key, if the query has one.
     pub key: Option<&'a str>,
-    /// The client's text for every shard.
+    /// The client's text, sent to every shard.
     pub text: &'a str,
-    /// The queried shards, in the client's order: each is a sub-request, numbered from 0.
+    /// The queried shards, in the client's order; the index in this list is the number of the sub-request.
     pub shards: &'a [QueriedShard],
-    /// How many shards there are in all.
+    /// The total number of shards, queried or not.
     pub shard_count: usize,
 }
 
-/// Which page is asked for.
+/// The requested page.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct PageRequest {
-    /// Rows on the page; `None` for the plan's default.
+    /// The maximum number of rows on the page; `None` for the plan's default.
     pub rows: Option<usize>,
-    /// The cursor in the response before; `None` for the first page.
+    /// The cursor from the response with the previous page; `None` for the first page.
     pub cursor: Option<String>,
 }
 
 impl MergeQuery<'_> {
-    /// What a cursor of this query is valid for.
+    /// Returns the scope in which a cursor of this query is valid.
     pub(crate) fn cursor_scope(&self, plan: &Plan) -> CursorScope {
-        // A text that is absent differs from one that is empty.
+        // The prefix distinguishes an empty text from an absent one.
         let optional = |text: Option<&str>| {
             text.map_or_else(Vec::new, |text| [b"+", text.as_bytes()].concat())
         };
@@ -60,7 +60,7 @@
     }
 }
 
-/// The indices of sub-requests in the order of their shards, in which a cursor lists them.
+/// Returns the indices of sub-requests in the order of their shards, in which a cursor lists positions.
 pub(crate) fn by_shard<T>(sub_requests: &[T], shard: impl Fn(&T) -> usize) -> Vec<usize> {
     let mut order: Vec<usize> = (0..sub_requests.len()).collect();
     order.sort_by_key(|&index| shard(&sub_requests[index]));
--- a/crates/linenthread-merge/src/response.rs
+++ b/crates/linenthread-merge/src/response.rs
@@ -1,4 +1,4 @@
-//! The response of a merged query, as JSON. The keys are those of `docs/merged-answers.md`.
+//! Writes the response to a merged query as JSON. `docs/merged-answers.md` describes its keys.
 
 use linenthread_core::interface::Completeness;
 use serde::Serialize;
@@ -11,12 +11,13 @@
 use crate::query::by_shard;
 use crate::sub_request::{MissingReason, SubRequest};
 
-/// The most bytes of rows or groups in a response: with the cursor and the shards' numbers it stays below 64 KiB.
+/// The maximum size of the rows or groups in a response, so that with the cursor and the shards' numbers it stays
+/// below 64 KiB.
 const MAX_BYTES: usize = 40 * 1024;
-/// Shares of weight are reported to four digits.
+/// Shares of weight are reported with four digits.
 const SHARE_RESOLUTION: f64 = 1e4;
 
-/// A response with the rows as the shards wrote them.
+/// A response that contains the rows unchanged, as received from the shards.
 #[derive(Serialize)]
 struct PageResponse<'r> {
     #[serde(flatten)]
@@ -25,9 +26,9 @@
 }
 
 impl Merger<'_> {
-    /// The response from what has been received, as JSON. `completeness` is what the decision module says of the
-    /// response; it is marked as complete only if that says so and no shard is missing. Cursors are issued by `signer`,
-    /// at this time in seconds since 1970.
+    /// Returns the response from what has been received, as JSON. It is marked as complete only if `completeness`, the
+    /// decision module's verdict, says so and no shard is missing. A cursor is issued by `signer` at the time
+    /// `unix_seconds`, in seconds since 1970.
     pub fn response(
         &self,
         completeness: Completeness,
@@ -54,7 +55,8 @@
         serde_json::to_vec(&body).unwrap_or_default()
     }
 
-    /// Which shards are in the response, and which are missing and why.
+    /// Returns the shards whose values are in the response, the missing ones by reason, and the share of weight
+    /// present.
     fn shards_json(&self) -> Value {
         let mut missing = Map::new();
         for (reason, key) in MISSING_REASONS {
@@ -66,14 +68,14 @@
         let share = if missing.is_empty() {
             1.0
         } else {
-            // Rounded down, so that the share is never overstated.
+            // Rounded down, so that the reported share is never too high.
             let share = self.weight(SubRequest::is_received) / self.weight(|_| true);
             (share * SHARE_RESOLUTION).floor() / SHARE_RESOLUTION
         };
         json!({"in": self.shards(SubRequest::is_received), "missing": missing, "share": share})
     }
 
-    /// The shards of some sub-requests, in ascending order.
+    /// Returns the shards of the sub-requests that `filter` selects, in ascending order.
     fn shards(&self, filter: impl Fn(&SubRequest) -> bool) -> Vec<usize> {
         let filtered = self.sub_requests.iter().filter(|shard| filter(shard));
         let mut shards: Vec<usize> = filtered.map(|shard| shard.shard).collect();
@@ -122,7 +124,7 @@
         serde_json::to_vec(&PageResponse { body, rows }).unwrap_or_default()
     }
 
-    /// Why the page has fewer rows than asked for; empty if it has not.
+    /// Returns the reasons why the page ends before its limit although more rows may follow; empty if there are none.
     fn cut_json(&self, visible: &VisiblePage, limit: usize) -> Map<String, Value> {
         let mut cut = Map::new();
         if !visible.incomplete.is_empty() && visible.rows.len() < limit {
@@ -150,7 +152,7 @@
     }
 }
 
-/// The reasons for which a shard may be missing, and their keys.
+/// The reasons why a shard may be missing, and their keys in responses.
 const MISSING_REASONS: [(MissingReason, &str); 3] = [
     (MissingReason::Unanswered, "unanswered"),
     (MissingReason::Failed, "failed"),
--- a/crates/linenthread-merge/src/row_fields.rs
+++ b/crates/linenthread-merge/src/row_fields.rs
@@ -1,4 +1,4 @@
-//! Finds the fields of a row that a merge must know, without building the rest of it.
+//! Finds the fields of a row that a merge needs, without parsing the rest into values.
 
 use std::borrow::Cow;
 
@@ -8,12 +8,12 @@
 use crate::error::{FieldTooLongSnafu, InvalidFieldSnafu, MalformedRowSnafu, ValueError};
 use crate::plan::RowPlan;
 
-/// The most bytes of a sort field or an identity.
+/// The maximum length of a sort field, a distinct field or an identity in bytes.
 const MAX_FIELD_BYTES: usize = 256;
 
-/// The raw JSON of the fields that a plan names; `None` for those that the row lacks.
+/// The raw JSON of the fields that a plan uses; `None` for those that the row lacks.
 pub(crate) struct RowFields<'r> {
-    /// The sort fields, the identity, and the distinct field if the plan has one.
+    /// The sort fields, then the identity, then the distinct field if the plan has one.
     found: Vec<Option<&'r str>>,
     sort_field_count: usize,
 }
@@ -38,7 +38,7 @@
         })
     }
 
-    /// The sort fields, in the plan's order.
+    /// Returns the sort fields, in the plan's order.
     pub(crate) fn sort_fields(&self) -> &[Option<&'r str>] {
         &self.found[..self.sort_field_count]
     }
@@ -47,18 +47,18 @@
         self.found[self.sort_field_count]
     }
 
-    /// The field by which rows are to be distinct.
+    /// Returns the distinct field, if the plan has one.
     pub(crate) fn distinct(&self) -> Option<&'r str> {
         *self.found.get(self.sort_field_count + 1)?
     }
 }
 
-/// Whether raw JSON is a string.
+/// Reports whether raw JSON is a string.
 pub(crate) fn is_json_string(raw: &str) -> bool {
     raw.starts_with('"')
 }
 
-/// A value as it stands in JSON: a string's text, a number's digits, or nothing.
+/// Returns the text of a JSON string or the digits of a JSON number; `None` for null or an absent field.
 pub(crate) fn scalar(raw: Option<&str>) -> Result<Option<Cow<'_, str>>, ValueError> {
     let Some(raw) = raw else {
         return Ok(None);
@@ -98,7 +98,7 @@
     fn visit_map<A: MapAccess<'de>>(self, mut map: A) -> Result<Self::Value, A::Error> {
         let mut found = vec![None; self.names.len()];
         while let Some(name) = map.next_key::<Cow<'de, str>>()? {
-            // A field may be named twice: to sort by and to be distinct by.
+            // A plan may name a field twice: as a sort field and as the distinct field.
             let mut slots = found
                 .iter_mut()
                 .zip(self.names)
--- a/crates/linenthread-merge/src/sort_key.rs
+++ b/crates/linenthread-merge/src/sort_key.rs
@@ -1,8 +1,8 @@
-//! A row's position in its index's order: bytes that compare as the rows do.
+//! Sort keys: the position of a row in its index's order, encoded as bytes that compare as the rows do.
 //!
 //! Each sort field contributes a byte that says whether it is present, then its value in an encoding that sorts
-//! by its bytes, inverted where the order descends; the identity ends the key. So keys from all shards compare in
-//! the same way, and a cursor can carry them.
+//! bytewise, inverted if the order is descending. The row's identity ends the key. So keys from all shards can be
+//! compared with each other and stored in cursors.
 
 use serde_json::Value;
 
@@ -12,23 +12,23 @@
 use crate::row_fields::{RowFields, is_json_string, scalar};
 
 const PRESENT: u8 = 1;
-/// Rows that lack a field come last, in either direction.
+/// Greater than [`PRESENT`], so that rows that lack a field come last, whether ascending or descending.
 const ABSENT: u8 = 2;
-/// Ends a text, twice; a zero within the text is followed by [`ESCAPED`].
+/// Two of these end a text; a zero byte within the text is followed by [`ESCAPED`].
 const TERMINATOR: u8 = 0;
 const ESCAPED: u8 = 0xff;
-/// The bytes of an encoded number.
+/// The length of an encoded number in bytes.
 const NUMBER_BYTES: usize = 16;
-/// Flipping the sign bit makes two's complement sort by its bytes.
+/// Flipped in encoded numbers, so that two's complement sorts bytewise.
 const SIGN_BIT: u128 = 1 << 127;
-/// What a key has room for before it must grow.
+/// The initial capacity of a key in bytes.
 const KEY_CAPACITY: usize = 64;
 
-/// A row's position in the order.
+/// The encoded position of a row in its index's order.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(crate) struct SortKey(pub(crate) Box<[u8]>);
 
-/// What a merge must know of a row.
+/// The parts of a row that a merge needs.
 pub(crate) struct RowKey {
     pub(crate) key: SortKey,
     /// The value of the field by which rows are to be distinct.
@@ -36,7 +36,7 @@
 }
 
 impl RowPlan {
-    /// Reads a row's position.
+    /// Reads a row's position and the value of its distinct field.
     pub(crate) fn row_key(&self, row: &str) -> Result<RowKey, ValueError> {
         let fields = RowFields::find(self, row)?;
         let mut key = Vec::with_capacity(KEY_CAPACITY);
@@ -45,7 +45,7 @@
             let start = key.len();
             let is_present = field.encode(*raw, &mut key)?;
             if is_present && self.is_distinct_by(field) {
-                // The value counts, not how it is written.
+                // The encoded value, so that different notations of a number are equal.
                 distinct = Some(key[start..].into());
             }
         }
@@ -67,8 +67,8 @@
         self.distinct.as_ref() == Some(&field.field)
     }
 
-    /// A position's values, for a shard to go on from: one for each sort field, then the identity. `None` if it
-    /// is not a position in this order.
+    /// Decodes a position into the values after which a shard is to continue: one for each sort field, then the
+    /// identity. Returns `None` if the key is not a position in this order.
     pub(crate) fn position_values(&self, key: &SortKey) -> Option<Vec<Value>> {
         let mut rest = &key.0[..];
         let mut values = Vec::with_capacity(self.order.len() + 1);
@@ -79,7 +79,7 @@
         rest.is_empty().then_some(values)
     }
 
-    /// The part of a key that encodes the first sort field, if the field is present.
+    /// Returns the part of a key that encodes the first sort field, if the field is present.
     pub(crate) fn first_field<'k>(&self, key: &'k SortKey) -> Option<&'k [u8]> {
         let field = self.order.first()?;
         let (presence, mut rest) = key.0.split_first()?;
@@ -95,7 +95,7 @@
 }
 
 impl SortField {
-    /// Adds the field's raw JSON value to a key; whether the row has one.
+    /// Appends the field's raw JSON value to a key, and reports whether the row has one.
     fn encode(&self, raw: Option<&str>, key: &mut Vec<u8>) -> Result<bool, ValueError> {
         let Some(value) = scalar(raw)? else {
             key.push(ABSENT);
@@ -117,7 +117,7 @@
         Ok(true)
     }
 
-    /// Takes the field's value off a key.
+    /// Decodes the field's value from the front of a key, and advances the key.
     fn decode(&self, key: &mut &[u8]) -> Option<Value> {
         let (presence, rest) = key.split_first()?;
         *key = rest;
@@ -133,25 +133,25 @@
     }
 }
 
-/// A byte of a key in the order's direction.
-fn directed(byte: u8, descending: bool) -> u8 {
+/// Inverts a byte of a key if the order is descending.
+fn in_direction(byte: u8, descending: bool) -> u8 {
     if descending { !byte } else { byte }
 }
 
 fn encode_text(key: &mut Vec<u8>, text: &str, descending: bool) {
     for byte in text.bytes() {
-        key.push(directed(byte, descending));
+        key.push(in_direction(byte, descending));
         if byte == TERMINATOR {
-            key.push(directed(ESCAPED, descending));
+            key.push(in_direction(ESCAPED, descending));
         }
     }
-    key.extend([directed(TERMINATOR, descending); 2]);
+    key.extend([in_direction(TERMINATOR, descending); 2]);
 }
 
 fn decode_text(key: &mut &[u8], descending: bool) -> Option<String> {
     let encoded = *key;
     let mut text = Vec::new();
-    let mut bytes = encoded.iter().map(|byte| directed(*byte, descending));
+    let mut bytes = encoded.iter().map(|byte| in_direction(*byte, descending));
     loop {
         let byte = bytes.next()?;
         if byte == TERMINATOR && bytes.next()? == TERMINATOR {
--- a/crates/linenthread-merge/src/sub_request.rs
+++ b/crates/linenthread-merge/src/sub_request.rs
@@ -1,44 +1,45 @@
-//! One shard's part in a merge: what it is asked for, what has been received of it, or why it is missing.
+//! The state of one sub-request in a merge: whether its shard has responded, or why the shard is missing.
 //!
-//! A sub-request has a *continuation* number, 0 at first; asking the shard for more begins the next. Transitions:
+//! A sub-request has a *continuation* number, initially 0; asking the shard for more begins the next continuation.
+//! Transitions:
 //!
-//! | sub-request | event | next |
+//! | state | event | next state |
 //! | --- | --- | --- |
 //! | waiting, continuation c | a valid value of continuation c | received |
-//! | waiting, continuation c | an invalid one | as before: it has failed, and is reported so if nothing better arrives |
-//! | received | a second value of its continuation | compared and dropped: the first one counts |
-//! | received | the page lacks its further rows, and all others are received | waiting, continuation c + 1; what it has counts |
-//! | any | a value of an earlier continuation | dropped; compared if it is the last one received |
+//! | waiting, continuation c | an invalid value of continuation c | unchanged; while nothing is received, the shard is reported as unreadable |
+//! | received | another value of the same continuation | unchanged; the value is compared with the first and dropped |
+//! | received | all others are received, and the page needs more of its rows | waiting, continuation c + 1; the rows received so far remain merged |
+//! | any | a value of an earlier continuation | unchanged; the value is dropped, and compared if that continuation was the last one received |
 
 use std::collections::hash_map::DefaultHasher;
 use std::hash::{Hash as _, Hasher};
 
 use crate::query::QueriedShard;
 
-/// Why a shard is missing from a response.
+/// The reason why a shard is missing from a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum MissingReason {
-    /// It has not responded.
+    /// The shard has not responded.
     Unanswered,
-    /// It failed, or could not be asked.
+    /// The sub-request failed or could not be sent.
     Failed,
-    /// Its value is not valid.
+    /// The shard's value is not valid.
     Unreadable,
 }
 
-/// What a value is to a sub-request.
+/// The role of a received value for a sub-request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Arrival {
-    /// The sub-request waits for it.
-    Awaited,
-    /// Another value counts.
+pub(crate) enum ValueKind {
+    /// The value answers the current continuation.
+    Expected,
+    /// The value is to be dropped, as its continuation is not waiting for one.
     Duplicate {
-        /// This one is not the same.
+        /// It differs from the value that was merged for its continuation, as far as that is still known.
         differs: bool,
     },
 }
 
-/// The value last received of a sub-request.
+/// The last merged value of a sub-request.
 #[derive(Clone, Copy)]
 struct ReceivedValue {
     continuation: u32,
@@ -50,7 +51,7 @@
     pub(crate) weight: f64,
     continuation: u32,
     received: Option<ReceivedValue>,
-    /// Why nothing is received, as long as that is so.
+    /// The reason that applies while nothing has been received.
     missing_reason: MissingReason,
 }
 
@@ -69,40 +70,40 @@
         self.received.is_some()
     }
 
-    /// Why the shard is missing; `None` if it is not, even where it lacks a later continuation.
+    /// Returns why the shard is missing; `None` if any continuation was answered.
     pub(crate) fn missing_reason(&self) -> Option<MissingReason> {
         (!self.is_received()).then_some(self.missing_reason)
     }
 
-    /// How many times the shard has been asked for more.
+    /// Returns the number of times that the shard has been asked for more.
     pub(crate) fn continuation(&self) -> u32 {
         self.continuation
     }
 
-    /// Whether its present continuation has been answered.
+    /// Reports whether the current continuation has been answered.
     pub(crate) fn is_current(&self) -> bool {
         self.received
             .is_some_and(|received| received.continuation == self.continuation)
     }
 
-    /// What a value is that answers a continuation.
-    pub(crate) fn classify(&self, continuation: u32, value: &str) -> Arrival {
+    /// Classifies a value that answers a continuation.
+    pub(crate) fn classify(&self, continuation: u32, value: &str) -> ValueKind {
         if let Some(received) = self.received
             && continuation <= received.continuation
         {
             let is_last = continuation == received.continuation;
             let differs = is_last && received.hash != hash_of(value);
-            return Arrival::Duplicate { differs };
+            return ValueKind::Duplicate { differs };
         }
         if continuation == self.continuation {
-            Arrival::Awaited
+            ValueKind::Expected
         } else {
-            // Nothing is known of a continuation that was not asked for.
-            Arrival::Duplicate { differs: false }
+            // There is no value of this continuation to compare with.
+            ValueKind::Duplicate { differs: false }
         }
     }
 
-    /// The value that was awaited has been merged.
+    /// Records that the value of the current continuation has been merged.
     pub(crate) fn on_received(&mut self, value: &str) {
         self.received = Some(ReceivedValue {
             continuation: self.continuation,
@@ -110,12 +111,12 @@
         });
     }
 
-    /// An attempt has ended without a value that can be merged.
+    /// Records that an attempt has ended without a value that can be merged.
     pub(crate) fn on_failed(&mut self, reason: MissingReason) {
         self.missing_reason = reason;
     }
 
-    /// The shard is to be asked for more.
+    /// Begins the next continuation, in which the shard is to be asked for more.
     pub(crate) fn begin_continuation(&mut self) {
         self.continuation += 1;
     }
--- a/crates/linenthread-merge/src/totals.rs
+++ b/crates/linenthread-merge/src/totals.rs
@@ -1,4 +1,4 @@
-//! Totals of many shards, exact, and with a statement of how each statistic may be off.
+//! Exact totals over many shards, with a statement for each statistic of how it relates to the true value.
 
 use std::borrow::Cow;
 use std::collections::HashMap;
@@ -11,14 +11,14 @@
 use crate::error::{InconsistentTotalsSnafu, MissingTotalsSnafu, NegativeValueSnafu, ValueError};
 use crate::plan::{Measure, Statistic};
 
-/// The JSON of a value: `{"totals":{FIELD:{"count":..,"sum":..,"least":..,"most":..}}}`.
+/// A shard's value as JSON: `{"totals":{FIELD:{"count":..,"sum":..,"least":..,"most":..}}}`.
 #[derive(Deserialize)]
 pub(crate) struct TotalsValue<'a> {
     #[serde(borrow)]
     totals: HashMap<Cow<'a, str>, MeasureValue<'a>>,
 }
 
-/// One measure of a value, as a shard reports it.
+/// The totals of one measure as a shard reports them.
 #[derive(Deserialize)]
 pub(crate) struct MeasureValue<'a> {
     count: u64,
@@ -30,22 +30,22 @@
     max: Option<&'a RawValue>,
 }
 
-/// The lowest and the highest of some values, in units of the measure's scale.
+/// The lowest and the highest value, in units of the measure's scale.
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct Range {
     min: i128,
     max: i128,
 }
 
-/// What is known of one measure's values, in units of its scale.
+/// The totals of one measure's values, in units of its scale.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 struct MeasureTotal {
     count: u64,
     sum: i128,
     /// `None` if there is no value.
     range: Option<Range>,
-    /// The sum has overflowed, and is not reported.
-    overflown: bool,
+    /// The sum has overflowed and is not reported.
+    overflowed: bool,
 }
 
 /// One total for each measure, in the plan's order.
@@ -53,18 +53,18 @@
 pub(crate) struct Totals(Vec<MeasureTotal>);
 
 impl Totals {
-    /// The totals of no value at all.
+    /// Returns the totals of no values.
     pub(crate) fn zero(measures: &[Measure]) -> Totals {
         Totals(vec![MeasureTotal::default(); measures.len()])
     }
 
-    /// Reads a shard's value.
+    /// Parses a shard's value and checks its totals.
     pub(crate) fn parse(value: &str, measures: &[Measure]) -> Result<Totals, ValueError> {
         let value: TotalsValue = serde_json::from_str(value)?;
         Totals::from_values(&value.totals, measures)
     }
 
-    /// Checks what a shard reports of each measure.
+    /// Checks the totals that a shard reports, and converts them to the plan's measures.
     pub(crate) fn from_values(
         values: &HashMap<Cow<str>, MeasureValue>,
         measures: &[Measure],
@@ -89,12 +89,12 @@
         }
     }
 
-    /// The sum of the first measure, by which groups are compared; 0 if there is none.
+    /// Returns the sum of the first measure, by which groups are ordered; 0 if there is no measure.
     pub(crate) fn first_sum(&self) -> i128 {
         self.0.first().map_or(0, |total| total.sum)
     }
 
-    /// The statistics of each measure; `incomplete` says that values are missing.
+    /// Returns the statistics of each measure as JSON; `incomplete` means that values are missing.
     pub(crate) fn to_json(&self, measures: &[Measure], incomplete: bool) -> Value {
         let totals: Map<String, Value> = measures
             .iter()
@@ -116,9 +116,9 @@
         self.count = self.count.saturating_add(other.count);
         match self.sum.checked_add(other.sum) {
             Some(sum) => self.sum = sum,
-            None => self.overflown = true,
+            None => self.overflowed = true,
         }
-        self.overflown |= other.overflown;
+        self.overflowed |= other.overflowed;
         self.range = match (self.range, other.range) {
             (Some(a), Some(b)) => Some(Range {
                 min: a.min.min(b.min),
@@ -128,7 +128,7 @@
         };
     }
 
-    /// Checks what a shard reports of a measure for consistency.
+    /// Converts the totals that a shard reports of a measure, and checks their consistency.
     fn from_value(value: &MeasureValue, measure: &Measure) -> Result<MeasureTotal, ValueError> {
         let number = |raw: &RawValue| parse_number(raw, measure.scale);
         let present = |raw: Option<&RawValue>| {
@@ -142,7 +142,7 @@
             count: value.count,
             sum,
             range: min.zip(max).map(|(min, max)| Range { min, max }),
-            overflown: false,
+            overflowed: false,
         };
         let field = &measure.field;
         if !total.is_consistent() {
@@ -154,7 +154,7 @@
         Ok(total)
     }
 
-    /// Whether there can be values of this count, sum and range.
+    /// Reports whether values with this count, sum and range can exist.
     fn is_consistent(&self) -> bool {
         let Some(Range { min, max }) = self.range else {
             return self.count == 0 && self.sum == 0;
@@ -166,25 +166,25 @@
             && times_count(max).is_some_and(|highest| self.sum <= highest)
     }
 
-    /// The statistics asked for, each with how it may be off where values are missing.
+    /// Returns the measure's statistics as JSON, each with its accuracy.
     fn to_json(self, measure: &Measure, incomplete: bool) -> Value {
         let statistic = |statistic: &Statistic| {
-            let figure = self.figure(*statistic, measure, incomplete);
-            (name(*statistic).to_owned(), figure)
+            let json = self.statistic_json(*statistic, measure, incomplete);
+            (response_key(*statistic).to_owned(), json)
         };
         Value::Object(measure.statistics.iter().map(statistic).collect())
     }
 
-    fn figure(&self, statistic: Statistic, measure: &Measure, incomplete: bool) -> Value {
+    fn statistic_json(&self, statistic: Statistic, measure: &Measure, incomplete: bool) -> Value {
         let value = self.value(statistic, measure);
-        let overflown = self.overflown && matches!(statistic, Statistic::Sum | Statistic::Mean);
-        let accuracy = if overflown {
-            Accuracy::Overflown
+        let overflowed = self.overflowed && matches!(statistic, Statistic::Sum | Statistic::Mean);
+        let accuracy = if overflowed {
+            Accuracy::Overflowed
         } else if !incomplete {
             Accuracy::Exact
         } else if value.is_none() {
-            // No value at all bounds nothing.
-            Accuracy::EitherWay
+            // Without any value there is no bound.
+            Accuracy::Unbounded
         } else {
             Accuracy::of_incomplete(statistic, measure)
         };
@@ -192,7 +192,7 @@
     }
 
     fn value(&self, statistic: Statistic, measure: &Measure) -> Option<Value> {
-        let sum = (!self.overflown).then_some(self.sum);
+        let sum = (!self.overflowed).then_some(self.sum);
         let units = match statistic {
             Statistic::Count => return Some(json!(self.count)),
             Statistic::Sum => sum,
@@ -204,45 +204,45 @@
     }
 }
 
-/// How a reported statistic relates to the true one.
+/// The relation of a reported statistic to the true value.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Accuracy {
     Exact,
-    /// The true one is this or more.
+    /// The true value is the same or higher.
     LowerBound,
-    /// The true one is this or less.
+    /// The true value is the same or lower.
     UpperBound,
-    /// The true one may be more or less.
-    EitherWay,
-    /// The sum left the range of numbers.
-    Overflown,
+    /// The true value may be higher or lower.
+    Unbounded,
+    /// The sum has overflowed.
+    Overflowed,
 }
 
 impl Accuracy {
-    /// How a statistic relates to the true one where values are missing.
+    /// Returns the accuracy of a statistic while values are missing.
     fn of_incomplete(statistic: Statistic, measure: &Measure) -> Accuracy {
         match statistic {
             Statistic::Sum if measure.never_negative => Accuracy::LowerBound,
             Statistic::Count | Statistic::Max => Accuracy::LowerBound,
             Statistic::Min => Accuracy::UpperBound,
-            Statistic::Sum | Statistic::Mean => Accuracy::EitherWay,
+            Statistic::Sum | Statistic::Mean => Accuracy::Unbounded,
         }
     }
 
-    /// Its key in responses.
+    /// Returns its key in responses.
     fn key(self) -> &'static str {
         match self {
             Accuracy::Exact => "exact",
             Accuracy::LowerBound => "at-least",
             Accuracy::UpperBound => "at-most",
-            Accuracy::EitherWay => "either-way",
-            Accuracy::Overflown => "overflown",
+            Accuracy::Unbounded => "either-way",
+            Accuracy::Overflowed => "overflown",
         }
     }
 }
 
-/// A statistic's key in responses.
-fn name(statistic: Statistic) -> &'static str {
+/// Returns a statistic's key in responses.
+fn response_key(statistic: Statistic) -> &'static str {
     match statistic {
         Statistic::Sum => "sum",
         Statistic::Count => "count",
@@ -252,7 +252,7 @@
     }
 }
 
-/// A number, written as one or as a text.
+/// Parses a number that is given as a JSON number or as a JSON string.
 fn parse_number(raw: &RawValue, scale: u32) -> Result<i128, ValueError> {
     let text: Cow<str> = if raw.get().starts_with('"') {
         Cow::Owned(serde_json::from_str(raw.get())?)
--- a/crates/linenthread-merge/tests/common/mod.rs
+++ b/crates/linenthread-merge/tests/common/mod.rs
@@ -1,8 +1,8 @@
-//! Queries that several tests make.
+//! Queries shared by several tests.
 
 use linenthread_merge::{MergeQuery, Merger, PageRequest, Plan, QueriedShard};
 
-/// Shards 0, 1, ... of the same weight.
+/// Returns the shards 0, 1, ... with equal weights.
 pub(crate) fn equal_shards(count: usize) -> Vec<QueriedShard> {
     let weight = 1.0 / count as f64;
     (0..count)
@@ -10,7 +10,7 @@
         .collect()
 }
 
-/// A query of all shards, and of the first page if it has pages.
+/// Begins the merge of a query of all shards, for the first page if the plan has pages.
 pub(crate) fn begin<'p>(plan: &'p Plan, shards: &[QueriedShard]) -> Merger<'p> {
     let query = MergeQuery {
         customer: None,
--- a/crates/linenthread-merge/tests/cursors.rs
+++ b/crates/linenthread-merge/tests/cursors.rs
@@ -1,4 +1,4 @@
-//! Cursors: for how long and for what they are valid, and the bytes that earlier versions have issued.
+//! Cursors: their lifetime and scope, and compatibility with those that earlier versions issued.
 
 use std::time::Duration;
 
@@ -11,9 +11,9 @@
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 use serde_json::{Value, json};
 
-/// How long cursors are valid.
+/// The lifetime of cursors.
 const LIFETIME: Duration = Duration::from_secs(60);
-/// When the cursors of the tests are issued, in seconds since 1970.
+/// The time at which the tests issue cursors, in seconds since 1970.
 const ISSUED_AT: u64 = 100;
 
 const SHARDS: [QueriedShard; 2] = [
@@ -88,7 +88,7 @@
         .unwrap()
 }
 
-/// A cursor after the first of two rows.
+/// Issues a cursor after the first row of a query whose two shards have returned one row each.
 fn issue(plan: &Plan, signer: &CursorSigner) -> String {
     let mut merger = begin(plan, signer, None, ISSUED_AT).unwrap();
     for index in 0..SHARDS.len() {
@@ -109,7 +109,7 @@
 }
 
 #[test]
-fn a_cursor_is_valid_for_its_lifetime_and_clocks_may_differ() {
+fn a_cursor_is_valid_for_its_lifetime_with_tolerance_for_clock_skew() {
     let (plan, signer) = (text_and_number(), signer(&[7]));
     let cursor = issue(&plan, &signer);
     assert!(begin(&plan, &signer, Some(cursor.clone()), 160).is_ok());
@@ -137,7 +137,7 @@
 }
 
 #[test]
-fn a_cursor_that_was_altered_is_refused() {
+fn an_altered_or_shortened_cursor_is_rejected() {
     let (plan, signer) = (text_and_number(), signer(&[7]));
     let cursor = issue(&plan, &signer);
     for index in 0..cursor.len() {
@@ -157,7 +157,7 @@
 }
 
 #[test]
-fn random_values_and_cursors_do_no_harm() {
+fn random_values_and_cursors_cause_no_panic_and_no_cursor_is_accepted() {
     let (plan, signer) = (text_and_number(), signer(&[7]));
     let values = "(\\{\"(rows|more|totals|groups|rest)\":)?[\\[\\]{}\",:0-9a-z.\\-]{0,40}";
     let config = Config {
@@ -177,7 +177,7 @@
 }
 
 #[test]
-fn rows_that_are_not_in_order_or_incomplete_are_invalid() {
+fn unsorted_or_incomplete_rows_are_invalid() {
     let (plan, signer) = (text_and_number(), signer(&[7]));
     let invalid = [
         r#"{"rows":[{"id":"b","t":"a"},{"id":"a","t":"a"}],"more":false}"#,
@@ -197,17 +197,17 @@
     }
     let cursor = issue(&plan, &signer);
     let mut second_page = begin(&plan, &signer, Some(cursor), ISSUED_AT).unwrap();
-    let shown_before = json!({"rows": [{"id": "r0", "t": "a"}], "more": false}).to_string();
+    let previous_row = json!({"rows": [{"id": "r0", "t": "a"}], "more": false}).to_string();
     assert!(
         matches!(
-            second_page.accept(0, 0, &shown_before),
+            second_page.accept(0, 0, &previous_row),
             Acceptance::Invalid(_)
         ),
-        "a row of the page before"
+        "a row of the previous page"
     );
 }
 
-/// A plan, a key, and what the version before the renaming of this package (464716d) has answered.
+/// A plan and a key, with the response and the position that version 464716d returned for them.
 struct Golden {
     rows: RowPlan,
     key: Option<&'static str>,
@@ -237,9 +237,9 @@
     ]
 }
 
-/// Clients hold cursors of earlier versions: they stay valid, and the same are issued.
+/// Clients hold cursors of earlier versions: these must stay valid, and the same cursors must be issued.
 #[test]
-fn cursors_are_those_of_earlier_versions() {
+fn cursors_are_compatible_with_earlier_versions() {
     const NOW: u64 = 1_700_000_000;
     let secret = b"golden cursor secret".to_vec();
     let signer = CursorSigner::new(vec![secret], Duration::from_secs(600)).unwrap();
--- a/crates/linenthread-merge/tests/pages.rs
+++ b/crates/linenthread-merge/tests/pages.rs
@@ -1,5 +1,5 @@
-//! Random rows, orders, shards and page sizes against a plain sort of all rows. The seed is fixed, so every run
-//! tries the same.
+//! Compares pages of random rows, orders, shards and page sizes with a plain sort of all rows. The seed is fixed, so
+//! that every run tests the same cases.
 
 use std::cmp::Ordering;
 use std::time::Duration;
@@ -14,7 +14,7 @@
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 use serde_json::{Map, Value, json};
 
-/// How long cursors are valid.
+/// The lifetime of cursors.
 const LIFETIME: Duration = Duration::from_secs(60);
 
 #[derive(Clone, Debug)]
@@ -29,12 +29,12 @@
 struct Case {
     rows: Vec<Row>,
     shards: usize,
-    /// The first sort field: 0 is the text, 1 the number.
+    /// The first sort field: 0 for the text, 1 for the number.
     first: usize,
-    /// Whether the text and the number descend.
+    /// Whether the text and the number are sorted in descending order.
     descending: [bool; 2],
     page_size: usize,
-    /// The most rows that a shard gives at once.
+    /// The maximum number of rows that a shard returns at once.
     max_rows: usize,
     distinct: bool,
 }
@@ -88,12 +88,12 @@
     }
 
     fn compare(&self, a: &Row, b: &Row) -> Ordering {
-        let of = |field: usize| match field {
+        let compare_field = |field: usize| match field {
             0 => compare(&a.text, &b.text, self.descending[0]),
             _ => compare(&a.units, &b.units, self.descending[1]),
         };
-        of(self.first)
-            .then(of(1 - self.first))
+        compare_field(self.first)
+            .then(compare_field(1 - self.first))
             .then(a.id.cmp(&b.id))
     }
 
@@ -105,7 +105,7 @@
         }
     }
 
-    /// A shard's value for a request, from its own rows in order.
+    /// Returns a shard's value for a request, from its rows among all `sorted` ones.
     fn value(&self, sub_request: usize, request: &str, sorted: &[Row]) -> String {
         let request: Value = serde_json::from_str(request).unwrap();
         let mut rows: Vec<&Row> = sorted
@@ -113,15 +113,15 @@
             .filter(|r| r.sub_request == sub_request)
             .collect();
         if let Some(after) = request["after"].as_array() {
-            // The position is that of a row, in whichever shard.
+            // The position is that of a row, which may be from another shard.
             let last = after.last().unwrap().as_str().unwrap();
             let position = sorted.iter().position(|r| r.json()["id"] == last).unwrap();
             rows.retain(|r| sorted.iter().position(|s| s.id == r.id).unwrap() > position);
         }
         let limit = usize::try_from(request["rows"].as_u64().unwrap()).unwrap();
-        let n = self.max_rows.min(limit);
-        let given: Vec<Value> = rows.iter().take(n).map(|r| r.json()).collect();
-        json!({"rows": given, "more": rows.len() > n}).to_string()
+        let count = self.max_rows.min(limit);
+        let returned: Vec<Value> = rows.iter().take(count).map(|r| r.json()).collect();
+        json!({"rows": returned, "more": rows.len() > count}).to_string()
     }
 }
 
@@ -188,7 +188,7 @@
 }
 
 #[test]
-fn successive_pages_are_the_sorted_rows() {
+fn successive_pages_contain_all_rows_in_order() {
     let signer = signer(7);
     let run = |case: Case| {
         let plan = case.plan();
@@ -210,12 +210,12 @@
             .collect();
         let query = query(&shards);
         let (mut shown, mut cursor) = (Vec::new(), None);
-        for turn in 0.. {
+        for page_number in 0.. {
             let page = PageRequest { rows: None, cursor };
             let mut merger = Merger::new(&plan, &query, &page, Some(&signer), 100).unwrap();
             let mut pending: Vec<usize> = (0..case.shards).collect();
             // Shards respond in another order on each page.
-            pending.rotate_left(turn % case.shards);
+            pending.rotate_left(page_number % case.shards);
             while let Some(index) = pending.pop() {
                 let value = case.value(index, &merger.request_text(index), &sorted);
                 let continuation = merger.continuation(index);
@@ -242,7 +242,7 @@
                 Some(next) => cursor = Some(next.to_owned()),
                 None => break,
             }
-            prop_assert!(turn < 100, "it never ends");
+            prop_assert!(page_number < 100, "the pages do not end");
         }
         prop_assert_eq!(shown, expected);
         Ok(())
--- a/crates/linenthread-merge/tests/sort_order.rs
+++ b/crates/linenthread-merge/tests/sort_order.rs
@@ -1,4 +1,4 @@
-//! The order of rows, and the positions from which shards are asked for more.
+//! The order of rows, and the positions after which shards are asked for more.
 
 mod common;
 
@@ -51,7 +51,7 @@
     }
 }
 
-/// A row of the same identity for each value.
+/// Returns a row with this value; all rows have the same identity.
 fn row(value: Option<&str>) -> Value {
     match value {
         Some(value) => json!({"id": "x", "f": value, "more": [1, {"f": 2}]}),
@@ -59,7 +59,7 @@
     }
 }
 
-/// The rows merged from shards that have one each.
+/// Merges shards that have one row each, and returns the rows of the response.
 fn merged(plan: &Plan, rows: &[Value]) -> Vec<Value> {
     let mut merger = begin(plan, &equal_shards(rows.len()));
     for (index, row) in rows.iter().enumerate() {
@@ -71,7 +71,7 @@
     response["rows"].as_array().unwrap().clone()
 }
 
-/// The values of the position after this row.
+/// Returns the values of the position after which a shard with this row is asked for more.
 fn position_after(plan: &Plan, row: &Value) -> Vec<Value> {
     let mut merger = begin(plan, &equal_shards(1));
     let value = json!({"rows": [row], "more": true}).to_string();
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn rows_sort_as_their_values_and_absent_fields_come_last() {
+fn rows_are_sorted_by_value_and_those_without_the_field_come_last() {
     for (field_type, values) in [
         (FieldType::Text, &TEXTS[..]),
         (FieldType::Decimal(2), &NUMBERS[..]),
@@ -95,7 +95,7 @@
             expected.push(row(None));
             let mut rows = expected.clone();
             for _ in 0..rows.len() {
-                // No row is taken for another, and the order of the shards doesn't matter.
+                // All rows are distinct, and the order of the shards does not matter.
                 rows.rotate_left(1);
                 assert_eq!(merged(&plan, &rows), expected, "{field_type:?}");
             }
@@ -106,7 +106,7 @@
 }
 
 #[test]
-fn a_position_has_the_values_of_its_row() {
+fn a_position_contains_the_values_of_its_row() {
     for descending in [false, true] {
         let texts = plan(FieldType::Text, descending);
         for text in TEXTS {
@@ -121,7 +121,7 @@
             assert_eq!(fraction.len(), 2, "{formatted}");
             let same = position_after(&numbers, &row(Some(formatted)));
             assert_eq!(same, position);
-            // The same number, or the rows would not be one.
+            // Both notations are the same number, so the two rows are merged into one.
             let rows = [row(Some(number)), row(Some(formatted))];
             assert_eq!(merged(&numbers, &rows).len(), 1, "{number} {formatted}");
             assert_eq!(position[1], "x");
--- a/crates/linenthread-merge/tests/totals.rs
+++ b/crates/linenthread-merge/tests/totals.rs
@@ -1,4 +1,4 @@
-//! Totals: exact decimal numbers, and values that cannot be true.
+//! Totals: exact decimal numbers, and rejection of inconsistent values.
 
 mod common;
 
@@ -26,18 +26,18 @@
     }
 }
 
-/// A shard's value.
+/// Returns a shard's value.
 fn value(count: u64, sum: &str, min: impl Into<Value>, max: impl Into<Value>) -> String {
     let (min, max): (Value, Value) = (min.into(), max.into());
     json!({"totals": {"a": {"count": count, "sum": sum, "least": min, "most": max}}}).to_string()
 }
 
-/// The value of a shard that has one number.
+/// Returns the value of a shard that has a single number.
 fn single(number: &str) -> String {
     value(1, number, json!(number), json!(number))
 }
 
-/// The totals of the field, merged from one value a shard.
+/// Merges one value per shard, and returns the totals of the field.
 fn totals(plan: &Plan, values: &[String]) -> Value {
     let mut merger = begin(plan, &equal_shards(values.len()));
     for (index, value) in values.iter().enumerate() {
@@ -58,8 +58,8 @@
 }
 
 #[test]
-fn numbers_are_exact_and_written_with_all_digits_of_their_scale() {
-    for (text, scale, written) in [
+fn numbers_are_exact_and_formatted_with_all_digits_of_their_scale() {
+    for (text, scale, formatted) in [
         ("0.1", 2, "0.10"),
         ("-0.05", 2, "-0.05"),
         ("7", 0, "7"),
@@ -70,7 +70,7 @@
     ] {
         let totals = totals(&plan(scale, false), &[single(text)]);
         for statistic in ["sum", "least", "most", "mean"] {
-            assert_eq!(totals[statistic]["value"], written, "{text} {statistic}");
+            assert_eq!(totals[statistic]["value"], formatted, "{text} {statistic}");
         }
     }
     let tenths: Vec<String> = (0..10).map(|_| single("0.1")).collect();
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn what_is_not_a_decimal_number_of_the_scale_is_invalid() {
+fn texts_that_are_not_decimal_numbers_of_the_scale_are_invalid() {
     let plan = plan(2, false);
     for text in [
         "",
@@ -99,7 +99,7 @@
 }
 
 #[test]
-fn means_are_rounded_to_the_scale_and_halves_to_the_even_digit() {
+fn means_are_rounded_to_the_scale_with_halves_to_the_even_digit() {
     for (count, sum, min, max, mean) in [
         (2, "5", "2", "3", "2"),
         (2, "7", "3", "4", "4"),
@@ -116,7 +116,7 @@
 }
 
 #[test]
-fn totals_that_cannot_be_true_are_invalid() {
+fn inconsistent_totals_are_invalid() {
     let plan = plan(2, true);
     let invalid = [
         value(2, "0.30", json!("0.20"), json!("0.20")),
