--- a/crates/linenthread-protocol/src/frame.rs
+++ b/crates/linenthread-protocol/src/frame.rs
@@ -1,5 +1,5 @@
-//! The frames to and from replicas: four bytes of length, most significant first, a letter for the kind, and
-//! the payload. The length counts the letter.
+//! Frames to and from replicas: a length of four bytes, most significant first, a letter for the kind, and the payload.
+//! The length includes the letter.
 
 use std::str::Utf8Error;
 
@@ -7,75 +7,75 @@
 use linenthread_core::interface::AttemptOutcome;
 use snafu::{OptionExt, ResultExt, Snafu, ensure};
 
-/// The bytes of a frame's length.
+/// The size of the length field in bytes.
 const LENGTH_BYTES: usize = 4;
 
-/// Longer frames from a replica, in bytes, are not read: no response to a client has room for more than 64 KiB.
+/// The maximum length in bytes of a frame from a replica: a response to a client cannot contain more than 64 KiB.
 const MAX_FRAME_BYTES: usize = 65 * 1024;
 
-/// Of a replica's reason for a protocol error, so many characters are kept.
+/// The number of characters that are kept of a replica's reason for a protocol error.
 const MAX_REASON_CHARACTERS: usize = 80;
 
-/// The kinds of frames.
+/// The letters of the kinds of frames.
 mod kind {
     /// To a replica: sub-requests.
     pub(super) const REQUESTS: u8 = b'A';
-    /// To a replica: a sub-request is cancelled.
+    /// To a replica: the cancellation of a sub-request.
     pub(super) const CANCEL: u8 = b'B';
-    /// From a replica: the end of a probe, of the older form.
+    /// From a replica: the response to a probe, in the older form.
     pub(super) const PROBE_RESULT: u8 = b'C';
     /// To a replica: a probe that asks for a load report. From a replica: the response to it.
     pub(super) const PROBE: u8 = b'D';
     /// From a replica: the response to a sub-request.
     pub(super) const RESPONSE: u8 = b'E';
-    /// From a replica: the frame before could not be used.
+    /// From a replica: the previous frame was invalid.
     pub(super) const PROTOCOL_ERROR: u8 = b'F';
 }
 
-/// What a replica sends.
+/// A message from a replica.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ReplicaMessage {
     /// The response to a sub-request.
     Response {
-        /// The sub-request, see [`sub_request_id`].
+        /// The id of the sub-request, see [`sub_request_id`].
         id: String,
         /// Success, error or rejection.
         outcome: AttemptOutcome,
-        /// Sub-requests that the replica reports as queued, where it does.
+        /// The number of queued sub-requests, if the replica reports it.
         queue_depth: Option<f64>,
-        /// The value, empty unless it succeeded.
+        /// The value; empty unless the sub-request succeeded.
         value: String,
     },
     /// The response to a probe.
     ProbeResponse {
         /// Success, error or rejection.
         outcome: AttemptOutcome,
-        /// Sub-requests that the replica reports as queued, where it does.
+        /// The number of queued sub-requests, if the replica reports it.
         queue_depth: Option<f64>,
     },
-    /// The frame before could not be used, with the replica's reason; the connection is closed.
+    /// The replica found the previous frame invalid, for this reason, and closes the connection.
     ProtocolError(String),
 }
 
-/// Why a frame cannot be read. Nothing that follows it on its connection can be.
+/// The reason why a frame cannot be decoded. Nothing after it on the same connection can be decoded either.
 #[derive(Debug, Snafu)]
 pub enum FrameError {
-    /// The length is 0 or too large.
+    /// The length is 0 or above the maximum.
     #[snafu(display("a frame has an invalid length of {length} bytes"))]
     Length {
         /// The length in bytes.
         length: usize,
     },
-    /// There are no frames of this kind.
+    /// The kind is unknown.
     #[snafu(display("a frame is of the unknown kind {letter:?}"))]
     Kind {
         /// The letter.
         letter: char,
     },
-    /// Its text is not UTF-8.
+    /// A text in the frame is not UTF-8.
     #[snafu(display("a frame's text is not UTF-8"))]
     Text {
-        /// Where it is not.
+        /// The position of the invalid bytes.
         source: Utf8Error,
     },
     /// The first line of a response is incomplete.
@@ -84,16 +84,16 @@
         /// The first field that is missing.
         field: &'static str,
     },
-    /// A response's outcome is none of the protocol's.
+    /// A response's outcome is unknown.
     #[snafu(display("a response has the unknown outcome {outcome:.20?}"))]
     Outcome {
-        /// What stands in its place.
+        /// The text of the outcome.
         outcome: String,
     },
-    /// A response's score is no number.
+    /// A response's score is neither a finite number nor `-`.
     #[snafu(display("a response has the invalid score {score:.20?}"))]
     Score {
-        /// The score.
+        /// The text of the score.
         score: String,
     },
 }
@@ -103,8 +103,8 @@
     [&length.to_be_bytes()[..], &[kind], payload].concat()
 }
 
-/// The id of a sub-request on the wire. Each continuation of it, numbered from 1, has another id, so that a late
-/// response to an earlier one is recognised.
+/// Returns the id of a sub-request on the wire. Each of its continuations, numbered from 1, has an id of its own, so
+/// that late responses to earlier ones are recognized.
 pub fn sub_request_id(query: &str, shard: usize, continuation: u32) -> String {
     match continuation {
         0 => format!("{query}.{shard}"),
@@ -112,18 +112,18 @@
     }
 }
 
-/// One sub-request as a replica gets it.
+/// A sub-request as sent to a replica.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SubRequest<'a> {
-    /// Its id, see [`sub_request_id`].
+    /// The id, see [`sub_request_id`].
     pub id: &'a str,
-    /// The shard that it is for.
+    /// The number of the queried shard.
     pub shard: usize,
-    /// What is asked of the shard.
+    /// The text that is sent to the shard.
     pub body: &'a str,
 }
 
-/// Encodes sub-requests that are waited for `wait_ms` milliseconds.
+/// Encodes sub-requests whose responses are awaited for `wait_ms` milliseconds.
 pub fn encode_requests<'a>(
     sub_requests: impl Iterator<Item = SubRequest<'a>>,
     wait_ms: u64,
@@ -137,7 +137,7 @@
     encode(kind::REQUESTS, &payload)
 }
 
-/// Encodes that a sub-request is no longer waited for.
+/// Encodes the cancellation of a sub-request.
 pub fn encode_cancel(id: &str) -> Vec<u8> {
     encode(kind::CANCEL, id.as_bytes())
 }
@@ -147,11 +147,11 @@
     encode(kind::PROBE, b"")
 }
 
-/// Takes the next frame off what was read; `None` while it is incomplete.
+/// Decodes the next frame and removes it from the buffer `read`; returns `None` while the frame is incomplete.
 ///
 /// # Errors
 ///
-/// [`FrameError`] if the frame cannot be read.
+/// [`FrameError`] if the frame cannot be decoded.
 pub fn decode(read: &mut BytesMut) -> Result<Option<ReplicaMessage>, FrameError> {
     let Some(length) = read.first_chunk::<LENGTH_BYTES>() else {
         return Ok(None);
@@ -178,7 +178,7 @@
     }
 }
 
-/// Decodes a response: a line with id, outcome, score and load report, then the value.
+/// Decodes a response: a line of id, outcome, score and load report, then the value.
 fn decode_response(mut payload: Bytes) -> Result<ReplicaMessage, FrameError> {
     let line_length = payload
         .iter()
@@ -196,7 +196,7 @@
     })?;
     let is_score = score == "-" || score.parse().is_ok_and(f64::is_finite);
     ensure!(is_score, ScoreSnafu { score });
-    // The payload still begins with the end of the line.
+    // The payload still begins with the line feed.
     let value = text(&payload[1..])?;
     Ok(ReplicaMessage::Response {
         id: id.into(),
@@ -206,7 +206,7 @@
     })
 }
 
-/// Decodes a probe's end: an outcome, or a load report from a replica that responds.
+/// Decodes the response to a probe: either an outcome, or a load report, which implies success.
 fn decode_probe_response(payload: &[u8]) -> ReplicaMessage {
     let outcome = std::str::from_utf8(payload).ok().and_then(parse_outcome);
     ReplicaMessage::ProbeResponse {
@@ -224,8 +224,8 @@
     }
 }
 
-/// The number of queued sub-requests of a load report. A report that cannot be read counts as none, and spoils
-/// nothing of the response that it came with.
+/// Returns the number of queued sub-requests from a load report. A report that cannot be decoded is ignored, so that
+/// the response that contains it stays valid.
 fn parse_queue_depth(report: &[u8]) -> Option<f64> {
     let mut fields = std::str::from_utf8(report).ok()?.split(',');
     let value = fields.find_map(|field| field.trim().strip_prefix("queue="))?;
--- a/crates/linenthread-protocol/src/lib.rs
+++ b/crates/linenthread-protocol/src/lib.rs
@@ -1,9 +1,9 @@
-//! The messages of a co-ordinator on sockets: what clients request and get, the frames to and from replicas,
-//! and the lists of service discovery. Each is decoded once into a small typed value and encoded once.
+//! Encodes and decodes the messages of a co-ordinator: the queries of clients and their responses, the frames to and
+//! from replicas, and the lists of service discovery.
 //!
-//! No socket and no clock is known here, and the wire's names are known nowhere else. Start reading with
-//! [`query`], what clients send; [`frame`] is what goes to replicas for it, and [`membership`] says which
-//! replicas there are.
+//! The package uses neither sockets nor a clock, and no other package uses the names of the wire format. Start reading
+//! with [`query`], which has the requests of clients; [`frame`] has the resulting messages to replicas, and
+//! [`membership`] the lists of the replicas.
 
 pub mod frame;
 pub mod membership;
@@ -11,7 +11,7 @@
 
 use linenthread_hash::fnv1a_64;
 
-/// The number by which `linenthread-core` knows what has this id: the same at every co-ordinator.
+/// Hashes an id to the number that `linenthread-core` uses in its place; the same at every co-ordinator.
 pub fn hash_id(id: &str) -> u64 {
     fnv1a_64(id.as_bytes())
 }
--- a/crates/linenthread-protocol/src/membership.rs
+++ b/crates/linenthread-protocol/src/membership.rs
@@ -1,4 +1,4 @@
-//! The lists of replicas that service discovery serves.
+//! Decodes the lists of replicas that service discovery serves.
 
 use std::net::SocketAddr;
 
@@ -6,81 +6,81 @@
 use serde::Deserialize;
 use snafu::{ResultExt, Snafu, ensure};
 
-/// A list of more replicas than these is not accepted.
+/// The maximum number of replicas in a list; a longer list is rejected.
 pub const MAX_REPLICAS: usize = 4096;
 
-/// A longer body, in bytes, is not read.
+/// The maximum size of a list's body in bytes; callers must not read a larger one.
 pub const MAX_BYTES: usize = 2 * 1024 * 1024;
 
-/// The path of the complete list.
+/// The path from which the complete list is requested.
 pub const LIST_PATH: &str = "/v1/servers";
 
-/// The longest id of a replica, and the longest name of a zone, in bytes.
+/// The maximum length of a replica's id and of a zone's name, in bytes.
 const MAX_NAME_BYTES: usize = 128;
 
-/// The path of a watch for what is newer than a revision; the response is held back for up to `hold_ms`
-/// milliseconds while there is nothing.
+/// Returns the path of a long poll for changes after a revision; service discovery responds at the latest after
+/// `hold_ms` milliseconds, even if there are none.
 pub fn watch_path(revision: u64, hold_ms: u64) -> String {
     format!("{LIST_PATH}?from={revision}&hold_ms={hold_ms}")
 }
 
-/// A list of replicas, or of those that have changed.
+/// A list of all replicas, or of those that have changed.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 pub struct MembershipList {
-    /// Rises with each change.
+    /// The revision; it increases with each change.
     pub revision: u64,
-    /// Replicas that the list leaves out are removed.
+    /// The list is complete: replicas that it does not contain are removed.
     pub complete: bool,
-    /// The entries.
+    /// The replicas.
     #[serde(rename = "members")]
     pub replicas: Vec<Member>,
 }
 
-/// One replica as a list has it.
+/// A replica in a list.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 pub struct Member {
-    /// Its id, the same at every co-ordinator.
+    /// The id, the same at every co-ordinator.
     pub id: String,
-    /// Where it listens.
+    /// The address on which it listens.
     #[serde(rename = "host_port")]
     pub address: SocketAddr,
-    /// The zone it runs in.
+    /// The name of the zone in which it runs.
     #[serde(rename = "locality")]
     pub zone: String,
     /// The number of its replica group.
     #[serde(rename = "cell")]
     pub replica_group: usize,
-    /// Whether it serves.
+    /// Whether it is ready, draining or removed.
     #[serde(deserialize_with = "phase")]
     pub phase: Phase,
-    /// When it last started, in milliseconds since 1970; 0 for long ago.
+    /// The time of its last start, in milliseconds since 1970; 0, the default, means long ago.
     #[serde(rename = "up_since_ms", default)]
     pub started_at_ms: f64,
 }
 
-/// Why a list cannot be used.
+/// The reason why a list is rejected.
 #[derive(Debug, Snafu)]
 pub enum MembershipError {
-    /// It is not JSON, or has another form.
+    /// The list is not JSON, or not of the expected form.
     #[snafu(display("the list is invalid: {source}"))]
     Parse {
-        /// What is wrong with it.
+        /// The parser's error.
         source: serde_json::Error,
     },
-    /// It has more than [`MAX_REPLICAS`] entries.
+    /// The list has more than [`MAX_REPLICAS`] entries.
     #[snafu(display("the list has {count} replicas, more than {MAX_REPLICAS}"))]
     TooManyReplicas {
-        /// Number of its entries.
+        /// The number of entries.
         count: usize,
     },
-    /// An entry names a replica group that does not exist, or has too long a name.
+    /// An entry has a replica group that does not exist, or too long an id or zone name.
     #[snafu(display("the list places {id:.40} in cell {replica_group} of {replica_groups}"))]
     InvalidMember {
-        /// The replica.
+        /// The id of the replica.
         id: String,
-        /// Its replica group.
+        /// The number of its replica group.
         replica_group: usize,
-        /// Number of replica groups.
+        /// The number of replica groups in the cluster.
         replica_groups: usize,
     },
 }
@@ -96,11 +96,11 @@
     }
 }
 
-/// Decodes a list, for a cluster with so many replica groups.
+/// Decodes a list for a cluster with `replica_groups` replica groups.
 ///
 /// # Errors
 ///
-/// [`MembershipError`] if it does not parse or does not fit the cluster.
+/// [`MembershipError`] if the list cannot be parsed, is too long or does not fit the cluster.
 pub fn decode(text: &[u8], replica_groups: usize) -> Result<MembershipList, MembershipError> {
     let list = serde_json::from_slice(text).context(ParseSnafu)?;
     validate(list, replica_groups)
--- a/crates/linenthread-protocol/src/query/wire.rs
+++ b/crates/linenthread-protocol/src/query/wire.rs
@@ -1,36 +1,34 @@
-//! Bodies as they are on the wire.
-//!
-//! A request that does not parse is answered with the parser's message, which contains the names of these types
-//! and fields: they are part of the wire and do not change.
+//! The bodies of requests and responses as they are on the wire. The names of the fields are part of the wire format
+//! and must not change.
 
 use serde::{Deserialize, Serialize};
 
-/// The length of a part's seed, in hexadecimal digits.
+/// The length of a seed in hexadecimal digits.
 const SEED_DIGITS: usize = 16;
 
-/// A request's body.
+/// The body of a request.
 #[derive(Deserialize)]
-pub(super) struct Asked {
-    pub(super) buckets: Vec<Part>,
+pub(super) struct RequestBody {
+    pub(super) buckets: Vec<RequestedPart>,
     pub(super) body: String,
 }
 
-/// One sub-request.
+/// A sub-request.
 #[derive(Deserialize)]
-pub(super) struct Part {
-    /// The shard.
+pub(super) struct RequestedPart {
+    /// The number of the shard.
     pub(super) bucket: usize,
     /// The weight.
     pub(super) part: f64,
-    /// An estimate of the work in microseconds; only its form is checked.
+    /// An estimate of the work in microseconds; it is validated but not used.
     #[serde(default)]
     effort: Option<f64>,
-    /// 16 hexadecimal digits; only their form is checked.
+    /// [`SEED_DIGITS`] hexadecimal digits; they are validated but not used.
     #[serde(default)]
     seed: Option<String>,
 }
 
-impl Part {
+impl RequestedPart {
     pub(super) fn is_well_formed(&self) -> bool {
         let is_seed = |seed: &String| {
             seed.len() == SEED_DIGITS && seed.bytes().all(|digit| digit.is_ascii_hexdigit())
@@ -42,16 +40,16 @@
     }
 }
 
-/// A response's body.
+/// The body of a response.
 #[derive(Serialize)]
-pub(super) struct Body<'a> {
+pub(super) struct ResponseBody<'a> {
     pub(super) finished: bool,
-    pub(super) found: Vec<Found<'a>>,
+    pub(super) found: Vec<FoundValue<'a>>,
 }
 
-/// One shard's value.
+/// The value of a shard.
 #[derive(Serialize)]
-pub(super) struct Found<'a> {
+pub(super) struct FoundValue<'a> {
     pub(super) bucket: usize,
     pub(super) item: &'a str,
 }
--- a/crates/linenthread-protocol/tests/golden.rs
+++ b/crates/linenthread-protocol/tests/golden.rs
@@ -1,4 +1,4 @@
-//! The messages to and from replicas and clients, held fast by bytes that an earlier version wrote.
+//! Compares messages to and from replicas and clients with the bytes that an earlier version wrote or read.
 //!
 //! The file under `tests/golden/` was written by commit 464716d. It must never be regenerated to make a test pass:
 //! replicas and clients depend on these bytes.
@@ -10,8 +10,8 @@
 use linenthread_protocol::query::ShardValue;
 use linenthread_protocol::{hash_id, membership, query};
 
-/// Everything that is written to replicas and clients.
-fn written() -> Vec<(&'static str, Vec<u8>)> {
+/// Encodes each kind of message to replicas, clients and service discovery, by its name in the golden file.
+fn encoded_messages() -> Vec<(&'static str, Vec<u8>)> {
     let first = frame::sub_request_id("9b1f03aa5c7e2d41", 3, 0);
     let again = frame::sub_request_id("9b1f03aa5c7e2d41", 12, 2);
     let two = [
@@ -65,33 +65,33 @@
 }
 
 #[test]
-fn messages_are_written_with_the_bytes_of_version_464716d() {
+fn messages_are_encoded_with_the_bytes_of_version_464716d() {
     assert_eq!(
-        written(),
+        encoded_messages(),
         named_bytes(include_str!("golden/written.hex")).collect::<Vec<_>>()
     );
 }
 
 #[test]
-fn frames_of_replicas_are_read_as_version_464716d_read_them() {
-    let part = |ending, queue, value: &str| ReplicaMessage::Response {
+fn frames_of_replicas_are_decoded_as_in_version_464716d() {
+    let response = |outcome, queue_depth, value: &str| ReplicaMessage::Response {
         id: "9b1f.3".to_owned(),
-        outcome: ending,
-        queue_depth: queue,
+        outcome,
+        queue_depth,
         value: value.to_owned(),
     };
     let frames: [(&[u8], ReplicaMessage); 6] = [
         (
             b"E9b1f.3 hit 1840277719 inflight=7,queue=2.5\nv 1",
-            part(AttemptOutcome::Success, Some(2.5), "v 1"),
+            response(AttemptOutcome::Success, Some(2.5), "v 1"),
         ),
         (
             b"E9b1f.3 fault 0 -\n",
-            part(AttemptOutcome::Error, None, ""),
+            response(AttemptOutcome::Error, None, ""),
         ),
         (
             b"E9b1f.3 overload - queue=4\n",
-            part(AttemptOutcome::Rejected, Some(4.0), ""),
+            response(AttemptOutcome::Rejected, Some(4.0), ""),
         ),
         (
             b"Chit",
@@ -112,18 +112,18 @@
             ReplicaMessage::ProtocolError("no such frame".to_owned()),
         ),
     ];
-    for (bytes, word) in frames {
+    for (bytes, expected) in frames {
         let mut read = BytesMut::new();
         let length = u32::try_from(bytes.len()).expect("a short frame");
         read.extend_from_slice(&length.to_be_bytes());
         read.extend_from_slice(bytes);
-        assert_eq!(frame::decode(&mut read).unwrap(), Some(word));
+        assert_eq!(frame::decode(&mut read).unwrap(), Some(expected));
         assert!(read.is_empty());
     }
 }
 
 #[test]
-fn requests_of_clients_are_read_by_their_headers_and_keys() {
+fn requests_of_clients_are_decoded_by_the_names_of_headers_and_json_keys() {
     let header = |name: &str| match name {
         "x-trace-id" => Some("9b1f03aa5c7e2d41"),
         "x-customer" => Some("acme"),
@@ -133,17 +133,20 @@
     };
     let body = br#"{"buckets":[{"bucket":3,"part":0.25,"effort":9000,"seed":"0123456789abcdef"},
         {"bucket":9,"part":0.75}],"body":"c41e77d0","page":{"rows":20,"after":"MARK"}}"#;
-    let read = query::decode(header, body).expect("a request");
-    assert_eq!(read.id, "9b1f03aa5c7e2d41");
-    assert_eq!(read.customer.as_deref(), Some("acme"));
-    assert_eq!(read.key.as_deref(), Some("7f3a9c21e0b4d655"));
-    assert_eq!((read.expires_in_ms, read.body.as_str()), (480, "c41e77d0"));
-    let parts: Vec<_> = read
+    let query = query::decode(header, body).expect("a request");
+    assert_eq!(query.id, "9b1f03aa5c7e2d41");
+    assert_eq!(query.customer.as_deref(), Some("acme"));
+    assert_eq!(query.key.as_deref(), Some("7f3a9c21e0b4d655"));
+    assert_eq!(
+        (query.expires_in_ms, query.body.as_str()),
+        (480, "c41e77d0")
+    );
+    let sub_requests: Vec<_> = query
         .sub_requests
         .iter()
-        .map(|part| (part.shard, part.weight))
+        .map(|sub_request| (sub_request.shard, sub_request.weight))
         .collect();
-    assert_eq!(parts, [(3, 0.25), (9, 0.75)]);
+    assert_eq!(sub_requests, [(3, 0.25), (9, 0.75)]);
     let page = query::decode_page(body).expect("a page");
     assert_eq!(
         (page.rows, page.cursor.as_deref()),
@@ -154,7 +157,7 @@
 }
 
 #[test]
-fn lists_of_replicas_are_read_by_their_keys() {
+fn lists_of_replicas_are_decoded_by_their_json_keys() {
     let list = br#"{"revision":7,"complete":true,"members":[
         {"id":"s-1","host_port":"10.0.0.1:9001","locality":"messina","cell":2,"phase":"active",
          "up_since_ms":1700000000123.5},
--- a/crates/linenthread-protocol/tests/messages.rs
+++ b/crates/linenthread-protocol/tests/messages.rs
@@ -1,4 +1,4 @@
-//! Every message from valid, truncated and invalid bytes.
+//! Encoding of all messages, and decoding from valid, truncated and invalid bytes.
 
 use bytes::BytesMut;
 use linenthread_core::interface::{AttemptOutcome, Completeness, Phase};
@@ -6,9 +6,9 @@
 use linenthread_protocol::query::{Query, QueryError, ShardValue};
 use linenthread_protocol::{membership, query};
 
-fn framed(letter: u8, rest: &[u8]) -> Vec<u8> {
-    let length = u32::try_from(rest.len() + 1).expect("a short frame");
-    [&length.to_be_bytes()[..], &[letter], rest].concat()
+fn framed(kind: u8, payload: &[u8]) -> Vec<u8> {
+    let length = u32::try_from(payload.len() + 1).expect("a short frame");
+    [&length.to_be_bytes()[..], &[kind], payload].concat()
 }
 
 fn response(
@@ -32,7 +32,7 @@
     }
 }
 
-/// A frame without its length, and what it is decoded into.
+/// A frame without its length field, and the decoded message.
 struct ValidFrame {
     bytes: &'static [u8],
     message: ReplicaMessage,
@@ -94,7 +94,7 @@
 
 #[test]
 fn invalid_frames_are_rejected() {
-    let bad: [&[u8]; 9] = [
+    let invalid: [&[u8]; 9] = [
         &[0, 0, 0, 0],
         &[0xff, 0xff, 0xff, 0xff],
         &framed(b'A', b"7f.3 3 d=1 0\n"),
@@ -105,7 +105,7 @@
         &framed(b'E', b"7f.3 hit\nv"),
         &framed(b'E', b"7f.3 hit 1 -\n\xff\xfe"),
     ];
-    for bytes in bad {
+    for bytes in invalid {
         assert!(
             frame::decode(&mut BytesMut::from(bytes)).is_err(),
             "{bytes:?}"
@@ -133,9 +133,14 @@
 
 const BODY: &str = r#"{"buckets":[{"bucket":3,"part":0.5,"effort":9000},{"bucket":9,"part":0.5}],"body":"c41e77d0"}"#;
 
-fn read(changed: &str, value: Option<&'static str>, body: &str) -> Result<Query, QueryError> {
+/// Decodes a valid query with this body, after replacing the value of one header.
+fn decode_with(
+    changed_header: &str,
+    value: Option<&'static str>,
+    body: &str,
+) -> Result<Query, QueryError> {
     let header = |name: &str| match name {
-        _ if name == changed => value,
+        _ if name == changed_header => value,
         "x-trace-id" => Some("9b1f03aa5c7e2d41"),
         "x-customer" => Some("acme"),
         "x-object" => Some("7f3a9c21e0b4d655"),
@@ -147,7 +152,7 @@
 
 #[test]
 fn queries_are_decoded_and_responses_encoded() {
-    let query = read("", None, BODY).unwrap();
+    let query = decode_with("", None, BODY).unwrap();
     assert_eq!(
         (query.id.as_str(), query.expires_in_ms, query.body.as_str()),
         ("9b1f03aa5c7e2d41", 480, "c41e77d0")
@@ -164,7 +169,7 @@
             .collect::<Vec<_>>(),
         [(3, 0.5), (9, 0.5)]
     );
-    assert_eq!(read("x-object", None, BODY).unwrap().key, None);
+    assert_eq!(decode_with("x-object", None, BODY).unwrap().key, None);
     assert_eq!(query::index_name("/checkout/more"), "checkout");
     let values = [(3, "5be2a07c19f04d63"), (9, "a \"b\"")];
     let values = values.map(|(shard, value)| ShardValue { shard, value });
@@ -190,7 +195,7 @@
         ("x-customer", Some("")),
     ];
     for (name, value) in headers {
-        assert!(read(name, value, BODY).is_err(), "{name}: {value:?}");
+        assert!(decode_with(name, value, BODY).is_err(), "{name}: {value:?}");
     }
     let bodies = [
         "",
@@ -206,13 +211,13 @@
         r#"{"buckets":[{"bucket":3,"part":0.5},{"bucket":3,"part":0.5}],"body":"x"}"#,
     ];
     for body in bodies {
-        assert!(read("", None, body).is_err(), "{body}");
+        assert!(decode_with("", None, body).is_err(), "{body}");
     }
 }
 
-/// Clients get these messages: they are part of the wire.
+/// These messages are sent to clients, so they are part of the wire format.
 #[test]
-fn messages_to_clients_stay_as_they_are() {
+fn error_messages_to_clients_do_not_change() {
     let cases = [
         (
             "[]",
@@ -246,7 +251,10 @@
         ),
     ];
     for (body, message) in cases {
-        assert_eq!(read("", None, body).unwrap_err().to_string(), message);
+        assert_eq!(
+            decode_with("", None, body).unwrap_err().to_string(),
+            message
+        );
     }
     let page = |body: &str| query::decode_page(body.as_bytes()).unwrap_err().to_string();
     assert_eq!(
@@ -269,13 +277,13 @@
         );
         format!(r#"{{"revision":43,"complete":false,"members":[{member}]}}"#)
     };
-    let read = |text: &str| membership::decode(text.as_bytes(), 4);
-    for (word, phase) in [
+    let decode = |text: &str| membership::decode(text.as_bytes(), 4);
+    for (name, phase) in [
         ("active", Phase::Ready),
         ("leaving", Phase::Draining),
         ("left", Phase::Removed),
     ] {
-        let decoded = read(&list("3", word, "127.0.0.1:5000")).unwrap();
+        let decoded = decode(&list("3", name, "127.0.0.1:5000")).unwrap();
         assert_eq!(
             (decoded.revision, decoded.complete, decoded.replicas.len()),
             (43, false, 1)
@@ -290,17 +298,18 @@
             ("s-5be2a07c", "127.0.0.1:5000".parse().unwrap())
         );
     }
-    let bad = [
+    let invalid = [
         list("4", "active", "127.0.0.1:5000"),
         list("3", "asleep", "127.0.0.1:5000"),
         list("3", "active", "here"),
     ];
-    for text in
-        bad.iter()
-            .map(String::as_str)
-            .chain(["", "{}", "[1]", r#"{"revision":1,"complete":true}"#])
-    {
-        assert!(read(text).is_err(), "{text}");
+    for text in invalid.iter().map(String::as_str).chain([
+        "",
+        "{}",
+        "[1]",
+        r#"{"revision":1,"complete":true}"#,
+    ]) {
+        assert!(decode(text).is_err(), "{text}");
     }
     assert_eq!(
         membership::watch_path(41, 20_000),
--- a/crates/linenthread-terms/src/cluster.rs
+++ b/crates/linenthread-terms/src/cluster.rs
@@ -1,4 +1,4 @@
-//! What the cluster calls its parts, and what connections to its replicas may do.
+//! Decodes the names within a cluster and the limits of connections to its replicas.
 
 use linenthread_core::interface::TenthMillis;
 use serde_json::Value;
@@ -6,32 +6,33 @@
 use crate::error::SettingsError;
 use crate::reader::{count, names, time};
 
-/// The names within a cluster, and the limits of connections to its replicas.
+/// The names within a cluster, and the limits of connections to its replicas. Names are in the order of the numbers by
+/// which the decision module identifies indexes, customers and zones.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ClusterConfig {
-    /// The indexes, in the order of their numbers.
+    /// The names of the indexes.
     pub index_names: Vec<String>,
-    /// The customers, in the order of their numbers.
+    /// The names of the customers.
     pub customer_names: Vec<String>,
-    /// The zones, in the order of their numbers.
+    /// The names of the zones.
     pub zone_names: Vec<String>,
-    /// Number of shards.
+    /// The number of shards.
     pub shard_count: usize,
-    /// Sub-requests that one request to a replica carries at most; at least 1.
+    /// The maximum number of sub-requests in one request to a replica; at least 1.
     pub max_sub_requests_per_call: usize,
-    /// Requests that one connection carries at once; at least 1.
+    /// The maximum number of concurrent requests on one connection; at least 1.
     pub max_streams: usize,
-    /// How long a connection may take to be established.
+    /// The time limit for establishing a connection.
     pub connect_timeout: TenthMillis,
-    /// A connection idle for this long is closed by the replica.
+    /// The time after which a replica closes an idle connection.
     pub idle_timeout: TenthMillis,
 }
 
-/// Decodes what connections need.
+/// Decodes the configuration of connections.
 ///
 /// # Errors
 ///
-/// [`SettingsError`] if a setting is missing or has another type.
+/// [`SettingsError`] if a setting is missing or has the wrong type.
 pub fn cluster_config(root: &Value) -> Result<ClusterConfig, SettingsError> {
     Ok(ClusterConfig {
         index_names: names(root, "classes", |class| class.get("name")?.as_str())?,
--- a/crates/linenthread-terms/src/coordinator.rs
+++ b/crates/linenthread-terms/src/coordinator.rs
@@ -1,4 +1,4 @@
-//! What decisions need.
+//! Decodes the configuration of decisions.
 
 use linenthread_core::conversion::to_count;
 use linenthread_core::interface::{
@@ -14,11 +14,11 @@
 };
 use crate::tenth_millis;
 
-/// Decodes what decisions need.
+/// Decodes the configuration of decisions.
 ///
 /// # Errors
 ///
-/// [`SettingsError`] if a setting is missing, has another type, or is a word that is not known.
+/// [`SettingsError`] if a setting is missing, has the wrong type, or is an unknown choice.
 pub fn coordinator_config(root: &Value) -> Result<CoordinatorConfig, SettingsError> {
     let classes = required(root, "classes", Value::as_array)?;
     let retry_budget = retry_budget(root)?;
@@ -80,7 +80,7 @@
     })
 }
 
-/// The budget for retries and hedged requests; there is none where no ratio is set.
+/// Decodes the budget for retries and hedged requests; `None` if no ratio is set.
 fn retry_budget(root: &Value) -> Result<Option<RetryBudget>, SettingsError> {
     let ratio = "safety.repeat-ratio";
     if find(root, ratio).is_none() {
@@ -93,18 +93,18 @@
     }))
 }
 
-/// The index at a position. A part of its settings is in lists beside the classes.
+/// Decodes the index at a position of the classes. Some of its settings are in lists outside the classes.
 fn index(root: &Value, position: usize, class: &Value) -> Result<IndexConfig, SettingsError> {
-    let figure = |path: &str| number_at(root, path, position);
+    let list_entry = |path: &str| number_at(root, path, position);
     Ok(IndexConfig {
         idempotency: idempotency(class)?,
         soft_deadline: time(class, "promise-ms")?,
         value: number(class, "worth")?,
         late_value_share: number(class, "late-share")?,
-        complete_share: figure("family-info.need-by-class")?,
-        min_share: figure("family-info.floor-by-class")?,
-        partial_value: figure("family-info.incomplete-worth")?,
-        fetch_sub_requests: to_count(figure("family-info.fetch-parts")?),
+        complete_share: list_entry("family-info.need-by-class")?,
+        min_share: list_entry("family-info.floor-by-class")?,
+        partial_value: list_entry("family-info.incomplete-worth")?,
+        fetch_sub_requests: to_count(list_entry("family-info.fetch-parts")?),
     })
 }
 
--- a/crates/linenthread-terms/src/error.rs
+++ b/crates/linenthread-terms/src/error.rs
@@ -1,50 +1,51 @@
-//! What can be wrong with settings.
+//! Errors of decoding settings.
 
 use serde_json::Value;
 use snafu::Snafu;
 
-/// Why settings cannot be used. Each message is one line and names the setting by its path.
+/// The reason why settings are rejected. Each message is a single line and contains the path of the setting, if the
+/// error concerns one.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum SettingsError {
-    /// They are not JSON.
+    /// The settings are not JSON.
     #[snafu(display("settings do not parse: {source}"))]
     Parse {
-        /// What is wrong with the JSON text.
+        /// The parser's error.
         source: serde_json::Error,
     },
     /// A required setting is missing.
     #[snafu(display("settings lack {path}"))]
     Missing {
-        /// The setting.
+        /// The path of the setting.
         path: String,
     },
-    /// A setting has another type than it should.
+    /// A setting has the wrong type.
     #[snafu(display("settings: {path} cannot be {value}"))]
     Invalid {
-        /// The setting.
+        /// The path of the setting.
         path: String,
-        /// Its value.
+        /// The rejected value.
         value: Value,
     },
-    /// A setting that has to be one of several words is none of them.
+    /// A setting is none of the permitted words.
     #[snafu(display("settings: {path} cannot be {value}"))]
     UnknownChoice {
-        /// The setting.
+        /// The path of the setting.
         path: String,
-        /// Its value.
+        /// The rejected word.
         value: String,
     },
     /// A list has fewer entries than there are indexes.
     #[snafu(display("settings: {path} is too short"))]
     TooShort {
-        /// The list.
+        /// The path of the list.
         path: String,
     },
     /// A list has an entry without a name.
     #[snafu(display("settings: {path} has an entry with no name"))]
     Unnamed {
-        /// The list.
+        /// The path of the list.
         path: String,
     },
 }
--- a/crates/linenthread-terms/src/lib.rs
+++ b/crates/linenthread-terms/src/lib.rs
@@ -1,9 +1,9 @@
-//! Decodes the settings that a co-ordinator is started with: what its decisions need into a
-//! [`CoordinatorConfig`](linenthread_core::interface::CoordinatorConfig), what its connections need into a
+//! Decodes the settings with which a co-ordinator is started: those for its decisions into a
+//! [`CoordinatorConfig`](linenthread_core::interface::CoordinatorConfig), those for its connections into a
 //! [`ClusterConfig`].
 //!
-//! The names of settings are known here and nowhere else. The package reads no file; it takes the parsed JSON
-//! value, from [`parse_settings`] or from a larger document. Start reading with [`coordinator_config`].
+//! This is the only package that uses the names of settings. It reads no file but takes a parsed JSON value, from
+//! [`parse_settings`] or from a larger document. Start reading with [`coordinator_config`].
 
 mod cluster;
 mod coordinator;
@@ -20,10 +20,10 @@
 pub use load_reports::queue_position;
 pub use reader::parse_settings;
 
-/// Units of the decision module in a millisecond.
+/// The number of [`TenthMillis`] in a millisecond.
 const TENTHS_PER_MS: f64 = 10.0;
 
-/// Converts milliseconds, rounded to the nearest tenth of one.
+/// Converts milliseconds to the decision module's unit, rounded to the nearest tenth of a millisecond.
 pub fn tenth_millis(ms: f64) -> TenthMillis {
     to_tenth_millis((ms * TENTHS_PER_MS).round())
 }
--- a/crates/linenthread-terms/src/load_reports.rs
+++ b/crates/linenthread-terms/src/load_reports.rs
@@ -1,15 +1,15 @@
-//! The load that replicas report.
+//! Decodes the settings of the load reports that replicas send.
 
 use serde_json::Value;
 
 use crate::error::{SettingsError, UnknownChoiceSnafu};
 use crate::reader::{find, required};
 
-/// The name of the figure that tells how many sub-requests are queued.
+/// The name of the figure that is the number of queued sub-requests.
 const QUEUE: &str = "queue";
 
-/// The position, among the figures of a load report, of the number of queued sub-requests; `None` where it is
-/// not reported.
+/// Returns the position of the number of queued sub-requests among the figures of a load report; `None` if it is not
+/// reported.
 pub fn queue_position(root: &Value) -> Option<usize> {
     find(root, "telemetry.names")?
         .as_array()?
@@ -17,8 +17,8 @@
         .position(|name| name == QUEUE)
 }
 
-/// Whether replicas report the depth of their queue. Settings that say nothing of load reports are older than
-/// these settings, when replicas always did.
+/// Reports whether replicas report the depth of their queue. Settings without any on load reports date from before
+/// these existed, when replicas always reported it.
 pub(crate) fn reports_queue(root: &Value) -> Result<bool, SettingsError> {
     if find(root, "telemetry").is_none() {
         return Ok(true);
--- a/crates/linenthread-terms/src/reader.rs
+++ b/crates/linenthread-terms/src/reader.rs
@@ -1,4 +1,4 @@
-//! Reads single settings by their path.
+//! Reads individual settings by their path.
 
 use linenthread_core::interface::TenthMillis;
 use serde_json::Value;
@@ -18,14 +18,14 @@
     serde_json::from_slice(text).context(ParseSnafu)
 }
 
-/// The value at a dotted path, where there is one.
+/// Returns the value at a dotted path; `None` if it is absent or null.
 pub(crate) fn find<'a>(root: &'a Value, path: &str) -> Option<&'a Value> {
     path.split('.')
         .try_fold(root, |value, key| value.get(key))
         .filter(|value| !value.is_null())
 }
 
-/// The value at a dotted path, read by a function that returns `None` for a wrong type.
+/// Returns the required value at a dotted path, converted by `read`, which returns `None` for a wrong type.
 pub(crate) fn required<'a, T>(
     root: &'a Value,
     path: &str,
@@ -38,32 +38,32 @@
     })
 }
 
-/// A required number.
+/// Returns a required number.
 pub(crate) fn number(root: &Value, path: &str) -> Result<f64, SettingsError> {
     required(root, path, Value::as_f64)
 }
 
-/// A required time, stated in milliseconds.
+/// Returns a required duration, which is set in milliseconds.
 pub(crate) fn time(root: &Value, path: &str) -> Result<TenthMillis, SettingsError> {
     number(root, path).map(tenth_millis)
 }
 
-/// A required whole number.
+/// Returns a required non-negative integer.
 pub(crate) fn count(root: &Value, path: &str) -> Result<usize, SettingsError> {
     required(root, path, |value| usize::try_from(value.as_u64()?).ok())
 }
 
-/// A required yes or no.
+/// Returns a required boolean.
 pub(crate) fn flag(root: &Value, path: &str) -> Result<bool, SettingsError> {
     required(root, path, Value::as_bool)
 }
 
-/// A number where there is one.
+/// Returns a number; `None` if it is absent or not a number.
 pub(crate) fn optional_number(root: &Value, path: &str) -> Option<f64> {
     find(root, path).and_then(Value::as_f64)
 }
 
-/// The entry at a position of a required list of numbers.
+/// Returns the entry at a position of a required list of numbers.
 pub(crate) fn number_at(root: &Value, path: &str, position: usize) -> Result<f64, SettingsError> {
     let numbers: Vec<f64> = required(root, path, |value| {
         value.as_array()?.iter().map(Value::as_f64).collect()
@@ -74,14 +74,14 @@
         .context(TooShortSnafu { path })
 }
 
-/// The entries of a list; empty where there is no such list.
+/// Returns the entries of a list; none if it is absent or not a list.
 pub(crate) fn entries<'a>(root: &'a Value, path: &str) -> &'a [Value] {
     find(root, path)
         .and_then(Value::as_array)
         .map_or(&[], Vec::as_slice)
 }
 
-/// The names of the entries of a list.
+/// Returns the names of the entries of a list; none if it is absent or not a list.
 pub(crate) fn names(
     root: &Value,
     path: &str,
--- a/crates/linenthread-terms/tests/settings.rs
+++ b/crates/linenthread-terms/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Settings and what they are decoded to.
+//! Decoding of settings into the configuration of decisions.
 
 use linenthread_core::interface::{
     CoordinatorConfig, Idempotency, IndexConfig, Permissions, RetryBudget, ShardLayout, SlowStart,
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn all_settings_are_decoded_and_telemetry_may_be_missing() {
+fn all_settings_are_decoded_and_telemetry_is_optional() {
     let expected = CoordinatorConfig {
         coordinator_number: 1,
         coordinator_count: 3,
@@ -70,7 +70,7 @@
         watch_membership: false,
     };
     assert_eq!(coordinator_config(&settings()).unwrap(), expected);
-    // Older settings say nothing of load reports: replicas report their queue.
+    // Older settings have none on load reports; the queue is then assumed to be reported.
     let mut without_telemetry = settings();
     without_telemetry
         .as_object_mut()
@@ -88,7 +88,7 @@
     };
     assert!(!with(json!({"names": [], "source": "none"})).unwrap());
     assert!(!with(json!({"names": ["util"], "source": "answers"})).unwrap());
-    for (field, bad) in [
+    for (field, invalid) in [
         (
             "telemetry.source",
             json!({"names": [], "source": "perhaps"}),
@@ -96,7 +96,7 @@
         ("telemetry.source", json!({"names": []})),
         ("telemetry.names", json!({"names": [1], "source": "none"})),
     ] {
-        let message = with(bad).unwrap_err().to_string();
+        let message = with(invalid).unwrap_err().to_string();
         assert!(
             message.contains(field) && message.lines().count() == 1,
             "{message}"
