--- a/crates/linenthread-merge/src/page.rs
+++ b/crates/linenthread-merge/src/page.rs
@@ -24,7 +24,7 @@
 enum Remaining {
     /// Not known, as the shard has not responded.
     NotReceived,
-    /// None.
+    /// No rows.
     Exhausted,
     /// At least one, not received yet.
     Unknown,
@@ -76,7 +76,7 @@
     rows: Vec<&'r str>,
     /// The position of the last one.
     last: Option<&'r SortKey>,
-    /// Further rows were left out for the limit in bytes.
+    /// Further rows were left out because of the limit in bytes.
     truncated: bool,
 }
 
@@ -86,7 +86,7 @@
     pub(crate) rows: Vec<&'r str>,
     /// Sub-requests whose rows beyond their frontier are not known and may belong on this page.
     pub(crate) incomplete: Vec<usize>,
-    /// Further rows were left out for the page's limit in bytes.
+    /// Further rows were left out because of the page's limit in bytes.
     pub(crate) truncated: bool,
     /// The position after which each shard is to be read for the next page; `None` for its first row.
     pub(crate) next_positions: Vec<Option<SortKey>>,
@@ -119,7 +119,7 @@
         self.limit
     }
 
-    /// Returns the position of the last row known of a shard, after which it is to be read on.
+    /// Returns the position of the last row known of a shard, after which reading continues.
     pub(crate) fn frontier(&self, sub_request: usize) -> Option<&SortKey> {
         self.progress[sub_request].frontier.as_ref()
     }
--- a/crates/linenthread-protocol/src/lib.rs
+++ b/crates/linenthread-protocol/src/lib.rs
@@ -1,9 +1,9 @@
 //! Encodes and decodes the messages of a co-ordinator: the queries of clients and their responses, the frames to and
 //! from replicas, and the lists of service discovery.
 //!
-//! The package uses neither sockets nor a clock, and no other package uses the names of the wire format. Start reading
-//! with [`query`], which has the requests of clients; [`frame`] has the resulting messages to replicas, and
-//! [`membership`] the lists of the replicas.
+//! The package uses neither sockets nor a clock. Apart from the fakes for tests, no other package uses the names of
+//! this wire format. Start reading with [`query`], which has the requests of clients; [`frame`] has the resulting
+//! messages to replicas, and [`membership`] the lists of the replicas.
 
 pub mod frame;
 pub mod membership;
--- a/crates/linenthread-terms/src/lib.rs
+++ b/crates/linenthread-terms/src/lib.rs
@@ -2,8 +2,9 @@
 //! [`CoordinatorConfig`](linenthread_core::interface::CoordinatorConfig), those for its connections into a
 //! [`ClusterConfig`].
 //!
-//! This is the only package that uses the names of settings. It reads no file but takes a parsed JSON value, from
-//! [`parse_settings`] or from a larger document. Start reading with [`coordinator_config`].
+//! Apart from the migration of older settings in `linenthread-service` and the fakes for tests, only this package uses
+//! the names of settings. It reads no file but takes a parsed JSON value, from [`parse_settings`] or from a larger
+//! document. Start reading with [`coordinator_config`].
 
 mod cluster;
 mod coordinator;
--- a/crates/linenthread-terms/src/load_reports.rs
+++ b/crates/linenthread-terms/src/load_reports.rs
@@ -17,8 +17,8 @@
         .position(|name| name == QUEUE)
 }
 
-/// Reports whether replicas report the depth of their queue. Settings without any on load reports date from before
-/// these existed, when replicas always reported it.
+/// Reports whether replicas report the depth of their queue. Settings that do not mention load reports date from
+/// before there was a setting for them, when replicas always reported it.
 pub(crate) fn reports_queue(root: &Value) -> Result<bool, SettingsError> {
     if find(root, "telemetry").is_none() {
         return Ok(true);
--- a/crates/linenthread-terms/tests/settings.rs
+++ b/crates/linenthread-terms/tests/settings.rs
@@ -70,7 +70,7 @@
         watch_membership: false,
     };
     assert_eq!(coordinator_config(&settings()).unwrap(), expected);
-    // Older settings have none on load reports; the queue is then assumed to be reported.
+    // Older settings do not mention load reports; replicas are then assumed to report their queue.
     let mut without_telemetry = settings();
     without_telemetry
         .as_object_mut()
--- a/crates/linenthread-zones/src/controller/evidence.rs
+++ b/crates/linenthread-zones/src/controller/evidence.rs
@@ -13,8 +13,8 @@
 }
 
 impl Opinion {
-    /// Forms the opinion. `coordinators` is the number of all that report in the zone of clients: if only a few of them
-    /// get no response, these are themselves cut off.
+    /// Forms the opinion. `coordinators` is the number of all that report in the zone of clients: if only a minority of
+    /// them find the zone down, they are assumed to be cut off themselves.
     fn new(stats: &RouteStats, coordinators: u32) -> Opinion {
         let is_down = is_majority(stats.down, stats.observers);
         if is_down && is_majority(stats.down, coordinators) {
--- a/crates/linenthread-zones/src/controller/measurements.rs
+++ b/crates/linenthread-zones/src/controller/measurements.rs
@@ -3,7 +3,7 @@
 use crate::report::{Report, RouteStats};
 use crate::zone_index::ZoneIndex;
 
-/// The part of the difference by which the measured demand falls per evaluation.
+/// The part of the difference to a lower reported demand by which the measured demand falls per evaluation.
 const DEMAND_DECAY: f64 = 0.1;
 /// The number of successes in an interval below which a zone's latency is not measured.
 const MIN_SUCCEEDED: f64 = 20.0;
--- a/crates/linenthread-zones/src/health.rs
+++ b/crates/linenthread-zones/src/health.rs
@@ -20,7 +20,7 @@
     Healthy,
     /// Open as far as its capacity at its current latency allows.
     Slow { until: TenthMillis },
-    /// Closed for some time, whatever is observed meanwhile: with so little traffic observations say little.
+    /// Closed for some time, whatever is observed meanwhile, since too little traffic is left for evidence.
     Ejected { until: TenthMillis },
     /// Open to few keys, then step by step to more.
     Returning {
@@ -145,7 +145,7 @@
         }
     }
 
-    /// Applies whether one evaluation found the zone slow.
+    /// Applies the finding of one evaluation about the zone's latency.
     pub(crate) fn evaluate_latency(
         &mut self,
         now: TenthMillis,
@@ -162,7 +162,7 @@
         }
     }
 
-    /// Reports whether it is healthy with no recent ejection or finding, so that it need not be kept.
+    /// Reports whether it is healthy, has no counted ejection and was not found down last, so that it need not be kept.
     pub(crate) fn is_fully_recovered(&self) -> bool {
         self.state == State::Healthy && self.ejections == 0 && self.down_count == 0
     }
