--- a/crates/linenthread-merge/src/page.rs
+++ b/crates/linenthread-merge/src/page.rs
@@ -26,7 +26,7 @@
     NotReceived,
     /// No rows.
     Exhausted,
-    /// At least one, not received yet.
+    /// Rows that have not been received.
     Unknown,
     /// Rows that rank after a full page or were dropped from it, and belong to a later page.
     AfterPage,
