--- a/crates/linenthread-hash/tests/fnv1a.rs
+++ b/crates/linenthread-hash/tests/fnv1a.rs
@@ -1,19 +1,19 @@
-//! The hash of the published test vectors of FNV-1a.
+//! Checks the hash against the published FNV-1a test vectors, in one piece and in two.
 
 use linenthread_hash::{Fnv1a64, fnv1a_64};
 
 #[test]
-fn the_hash_of_pieces_is_that_of_the_whole() {
-    let whole = b"foobar";
-    for end_of_first in 0..=whole.len() {
-        let (first, second) = whole.split_at(end_of_first);
+fn hashing_in_pieces_equals_hashing_at_once() {
+    let input = b"foobar";
+    for split_index in 0..=input.len() {
+        let (first, second) = input.split_at(split_index);
         let pieces = Fnv1a64::default().update(first).update(second);
-        assert_eq!(pieces.value(), 0x8594_4171_f739_67e8, "{end_of_first}");
+        assert_eq!(pieces.value(), 0x8594_4171_f739_67e8, "{split_index}");
     }
 }
 
 #[test]
-fn the_hash_is_that_of_the_published_test_vectors() {
+fn the_published_test_vectors_match() {
     let vectors: [(&str, u64); 4] = [
         ("", 0xcbf2_9ce4_8422_2325),
         ("a", 0xaf63_dc4c_8601_ec8c),
--- a/crates/linenthread-messages/src/agreement.rs
+++ b/crates/linenthread-messages/src/agreement.rs
@@ -1,16 +1,16 @@
-//! Messages of the agreement: the replicated value, Paxos' two phases, reads, and the log of orders.
+//! Messages of the consensus protocol: the replicated value, the two phases of Paxos, reads, and the order log.
 
 use prost::Message;
 
 use crate::DecidedUsage;
 
-/// A control node whose disk votes.
+/// A control node that votes in Paxos. Its vote belongs to its disk, not to its address.
 #[derive(Clone, PartialEq, Eq, Hash, Message)]
 pub struct Voter {
-    /// The node's identity, as written on its disk.
+    /// The node's id, as stored on its disk.
     #[prost(fixed64, tag = "1")]
     pub id: u64,
-    /// The address for control calls; peers connect to the same machine's peer port.
+    /// The address for control calls. Peers connect to the peer port of the same machine.
     #[prost(string, tag = "2")]
     pub address: String,
 }
@@ -21,18 +21,18 @@
     /// The digest's first eight bytes.
     #[prost(fixed64, tag = "1")]
     pub high: u64,
-    /// The eight bytes after them.
+    /// The digest's next eight bytes.
     #[prost(fixed64, tag = "2")]
     pub low: u64,
 }
 
-/// What makes an order the same one when it is sent again.
+/// Identifies an order: one that is sent again has the same identity.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Message)]
 pub struct OrderIdentity {
-    /// The revision of the configuration that the order brings.
+    /// The revision of the configuration in the order.
     #[prost(uint64, tag = "1")]
     pub revision: u64,
-    /// The revision that it builds on. For an accepted order: the revision of the order accepted before it.
+    /// The revision that the order is based on. For an accepted order: the revision of the order accepted before it.
     #[prost(uint64, tag = "2")]
     pub base: u64,
     /// Digest of the configuration document.
@@ -40,14 +40,14 @@
     pub digest: DocumentDigest,
 }
 
-/// The replicated value. The voters decide one after another, each in a Paxos instance of its own, which the value's
-/// number names.
+/// The replicated value. The voters decide values one after another, each in its own Paxos instance; the value's number
+/// is the number of that instance.
 #[derive(Clone, PartialEq, Eq, Hash, Message)]
 pub struct Value {
-    /// The Paxos instance that decided it, counted from 0 without gaps.
+    /// The Paxos instance that decided this value, counted from 0 without gaps.
     #[prost(uint64, tag = "1")]
     pub number: u64,
-    /// The configuration's revision; 0 while there is none.
+    /// The configuration's revision; 0 if there is none yet.
     #[prost(uint64, tag = "2")]
     pub revision: u64,
     /// The configuration as it was submitted.
@@ -56,27 +56,28 @@
     /// The nodes that decide the next value.
     #[prost(message, repeated, tag = "4")]
     pub voters: Vec<Voter>,
-    /// The lease epoch under which the voters were last changed: a node that has this value grants the lease under no lower one.
+    /// The lease epoch in which the voters were last changed. A node that has this value does not grant the lease for a
+    /// lower epoch.
     #[prost(uint64, tag = "6")]
     pub epoch: u64,
-    /// How many orders were ever accepted.
+    /// The total number of orders accepted so far.
     #[prost(uint64, tag = "7")]
     pub order_count: u64,
-    /// The last accepted orders, oldest first; earlier ones are in each node's order log.
+    /// The most recently accepted orders, oldest first. Earlier ones are in each node's order log.
     #[prost(message, repeated, tag = "8")]
     pub recent_orders: Vec<OrderIdentity>,
-    /// The number of the value that last changed the voters; 0 where they are the first ones.
+    /// The number of the value that last changed the voters; 0 for the first voters.
     #[prost(uint64, tag = "12")]
     pub voters_since: u64,
-    /// The usage reports that are decided; none before the first one.
+    /// The decided usage reports; `None` before the first one.
     #[prost(message, optional, boxed, tag = "13")]
     pub usage: Option<Box<DecidedUsage>>,
 }
 
-/// A proposal number of Paxos. The greater round wins; the proposer breaks ties.
+/// A Paxos ballot (proposal number), ordered by round, then by proposer.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Message)]
 pub struct Ballot {
-    /// Counted up by each attempt.
+    /// Incremented for each attempt.
     #[prost(uint64, tag = "1")]
     pub round: u64,
     /// The proposing node's incarnation.
@@ -84,10 +85,10 @@
     pub proposer: u64,
 }
 
-/// A value that an acceptor has accepted, and under which ballot.
+/// A value that an acceptor has accepted, with its ballot.
 #[derive(Clone, PartialEq, Eq, Hash, Message)]
 pub struct Accepted {
-    /// The ballot under which it was accepted.
+    /// The ballot in which the value was accepted.
     #[prost(message, required, tag = "1")]
     pub ballot: Ballot,
     /// The accepted value, not necessarily decided.
@@ -95,10 +96,10 @@
     pub value: Value,
 }
 
-/// One record of a node's durable state. A field that is not set leaves what earlier records say.
+/// One record of a node's durable state. A field that is not set keeps the value from earlier records.
 #[derive(Clone, PartialEq, Eq, Hash, Message)]
 pub struct Record {
-    /// The node's identity, drawn when the disk was first used.
+    /// The node's id, generated when the disk was first used.
     #[prost(fixed64, optional, tag = "1")]
     pub id: Option<u64>,
     /// The newest decided value that the node has learned.
@@ -107,27 +108,28 @@
     /// The Paxos instance that `promised` and `accepted` belong to.
     #[prost(uint64, tag = "3")]
     pub number: u64,
-    /// The highest ballot that was promised.
+    /// The highest promised ballot.
     #[prost(message, optional, tag = "4")]
     pub promised: Option<Ballot>,
-    /// What was accepted last.
+    /// The last accepted value.
     #[prost(message, optional, tag = "5")]
     pub accepted: Option<Accepted>,
-    /// The greatest epoch under which the leader lease was granted.
+    /// The greatest epoch for which the leader lease was granted.
     #[prost(uint64, tag = "6")]
     pub epoch: u64,
-    /// All replicas that were known, where this record lists them.
+    /// All known replicas, if this record contains a snapshot of them.
     #[prost(message, repeated, tag = "7")]
     pub replicas: Vec<crate::Replica>,
-    /// Accepted orders, in any sequence: they join those of earlier records.
+    /// Accepted orders, in any sequence, in addition to those of earlier records.
     #[prost(message, repeated, tag = "8")]
     pub order_log: Vec<OrderIdentity>,
-    /// No replica was known any more: those of earlier records are gone. A list without replicas can't say so.
+    /// No replica is known any more, and those of earlier records are discarded. An empty `replicas` cannot express
+    /// this.
     #[prost(bool, tag = "9")]
     pub replicas_cleared: bool,
 }
 
-/// Phase 1a: asks an acceptor to promise that it accepts nothing under a lower ballot.
+/// Phase 1a: asks an acceptor to promise not to accept anything with a lower ballot.
 #[derive(Clone, PartialEq, Eq, Hash, Message)]
 pub struct Prepare {
     /// The Paxos instance.
@@ -138,7 +140,7 @@
     pub ballot: Ballot,
 }
 
-/// Phase 1b: the promise, with what the acceptor has accepted so far.
+/// Phase 1b: the promise, with the value that the acceptor has accepted so far.
 #[derive(Clone, PartialEq, Eq, Hash, Message)]
 pub struct Promise {
     /// The Paxos instance.
@@ -147,7 +149,7 @@
     /// The promised ballot.
     #[prost(message, required, tag = "2")]
     pub ballot: Ballot,
-    /// What was accepted last for this instance.
+    /// The last accepted value of this instance; `None` if the acceptor has accepted nothing.
     #[prost(message, optional, tag = "3")]
     pub accepted: Option<Accepted>,
 }
@@ -155,7 +157,7 @@
 /// Phase 2a: asks an acceptor to accept a value.
 #[derive(Clone, PartialEq, Eq, Hash, Message)]
 pub struct Accept {
-    /// The ballot that a majority has promised.
+    /// The ballot that a majority of acceptors has promised.
     #[prost(message, required, tag = "1")]
     pub ballot: Ballot,
     /// The proposed value.
@@ -163,18 +165,18 @@
     pub value: Value,
 }
 
-/// Phase 2b: the value is accepted and synced to disk.
+/// Phase 2b: the acceptor has accepted the value and synced it to disk.
 #[derive(Clone, PartialEq, Eq, Hash, Message)]
 pub struct AcceptAck {
     /// The Paxos instance.
     #[prost(uint64, tag = "1")]
     pub number: u64,
-    /// The ballot under which it was accepted.
+    /// The ballot in which the value was accepted.
     #[prost(message, required, tag = "2")]
     pub ballot: Ballot,
 }
 
-/// Rejects a [`Prepare`] or [`Accept`]: a greater ballot was promised for this instance.
+/// Rejects a [`Prepare`] or [`Accept`]: the acceptor has promised a greater ballot for this instance.
 #[derive(Clone, PartialEq, Eq, Hash, Message)]
 pub struct Rejected {
     /// The Paxos instance.
@@ -185,26 +187,26 @@
     pub promised: Ballot,
 }
 
-/// Asks for the decided values that the sender lacks.
+/// Requests the decided values that the sender lacks.
 #[derive(Clone, PartialEq, Eq, Hash, Message)]
 pub struct CatchUpRequest {
-    /// The newest decided value that the sender has.
+    /// The number of the newest decided value that the sender has.
     #[prost(uint64, tag = "1")]
     pub number: u64,
 }
 
-/// Asks for accepted orders from one revision downwards and above another.
+/// Requests the accepted orders with revisions from `newest` down to, but not including, `above`.
 #[derive(Clone, PartialEq, Eq, Hash, Message)]
 pub struct OrderLogRequest {
-    /// The newest revision that is wanted.
+    /// The newest requested revision.
     #[prost(uint64, tag = "1")]
     pub newest: u64,
-    /// No order at or below this revision is wanted.
+    /// The greatest revision that is not requested any more.
     #[prost(uint64, tag = "2")]
     pub above: u64,
 }
 
-/// Consecutive orders, newest first, each the base of the one before it; none if the sender lacks the newest.
+/// Consecutive orders, newest first, each the base of the preceding one; empty if the sender lacks the newest.
 #[derive(Clone, PartialEq, Eq, Hash, Message)]
 pub struct OrderLogEntries {
     /// The `newest` of the request.
@@ -215,22 +217,22 @@
     pub orders: Vec<OrderIdentity>,
 }
 
-/// Reserved: nothing sends it, and whoever receives it ignores it. Nodes told themselves with it that a record of their
-/// own is synced.
+/// Reserved: never sent, and ignored by receivers. Earlier versions used it within a node to report that one of its
+/// records was synced.
 #[derive(Clone, PartialEq, Eq, Hash, Message)]
 pub struct Synced {
-    /// The decided value that the record holds; 0 if none.
+    /// The number of the decided value in the record; 0 if there is none.
     #[prost(uint64, tag = "1")]
     pub number: u64,
-    /// Which record of the order log it is, counted within this incarnation; 0 if none.
+    /// The number of the order log record, counted within this incarnation; 0 if it is none.
     #[prost(uint64, tag = "2")]
     pub order_log_record: u64,
 }
 
-/// Asks a voter what it has decided and accepted, to confirm that a read sees the newest value.
+/// Asks a voter for its decided and accepted values, to confirm that a read returns the newest value.
 #[derive(Clone, PartialEq, Eq, Hash, Message)]
 pub struct ReadRequest {
-    /// Only replies with this identity count.
+    /// Identifies the read; replies with another id are ignored.
     #[prost(uint64, tag = "1")]
     pub read_id: u64,
 }
@@ -238,13 +240,13 @@
 /// The reply to a [`ReadRequest`].
 #[derive(Clone, PartialEq, Eq, Hash, Message)]
 pub struct ReadReply {
-    /// The request's identity.
+    /// The `read_id` of the request.
     #[prost(uint64, tag = "1")]
     pub read_id: u64,
-    /// The newest decided value that the sender has.
+    /// The number of the newest decided value that the sender has.
     #[prost(uint64, tag = "2")]
     pub decided: u64,
-    /// The sender has accepted something for the next instance.
+    /// The sender has accepted a value in the next instance.
     #[prost(bool, tag = "3")]
     pub pending: bool,
 }
--- a/crates/linenthread-messages/src/envelope.rs
+++ b/crates/linenthread-messages/src/envelope.rs
@@ -1,4 +1,4 @@
-//! The one message that a frame carries.
+//! The envelope of each frame, and the list of all messages.
 
 use prost::{Message, Oneof};
 
@@ -9,10 +9,11 @@
     UsageUpdate, Value,
 };
 
-/// What a frame holds.
+/// The content of a frame.
 #[derive(Clone, PartialEq, Message)]
 pub struct Envelope {
-    /// The message; none only in bytes that another program wrote.
+    /// The message. `None` if the bytes come from another program, or contain a message that this version does not
+    /// know.
     #[prost(
         oneof = "PeerMessage",
         tags = "1,2,3,4,5,6,7,8,9,10,11,12,13,14,15,16,17,18,19,20,21,23,24"
@@ -20,19 +21,19 @@
     pub message: Option<PeerMessage>,
 }
 
-/// Each message that one of the system's processes sends another.
+/// A message from one of the system's processes to another.
 #[derive(Clone, PartialEq, Oneof)]
 pub enum PeerMessage {
     /// Opens a session.
     #[prost(message, tag = "1")]
     Hello(Hello),
-    /// A sign of life.
+    /// Keeps a session alive, and carries state that changes often.
     #[prost(message, tag = "2")]
     Heartbeat(Heartbeat),
-    /// State for an ingress node.
+    /// State sent to an ingress node.
     #[prost(message, tag = "3")]
     IngressUpdate(IngressUpdate),
-    /// State for another control node.
+    /// State sent to another control node.
     #[prost(message, tag = "4")]
     ControlUpdate(ControlUpdate),
     /// Acknowledges a [`ControlUpdate`].
@@ -53,7 +54,7 @@
     /// Rejects a [`Prepare`] or [`Accept`].
     #[prost(message, tag = "10")]
     Rejected(Rejected),
-    /// Asks for newer decided values.
+    /// Requests newer decided values.
     #[prost(message, tag = "11")]
     CatchUpRequest(CatchUpRequest),
     /// A decided value.
@@ -68,28 +69,28 @@
     /// Asks a voter to grant the leader lease.
     #[prost(message, tag = "15")]
     LeaseRequest(LeaseRequest),
-    /// Grants or denies it.
+    /// Grants or denies the leader lease.
     #[prost(message, tag = "16")]
     LeaseReply(LeaseReply),
-    /// Shares of the retry budget.
+    /// Grants shares of the retry budget to ingress nodes.
     #[prost(message, tag = "17")]
     QuotaGrants(QuotaGrants),
-    /// Gives up the leader lease.
+    /// Releases the leader lease.
     #[prost(message, tag = "18")]
     LeaseRelease(LeaseRelease),
-    /// How much is synced to the sender's disk.
+    /// Reports how much of the sender's state is synced to its disk.
     #[prost(message, tag = "23")]
     DurableProgress(DurableProgress),
-    /// Asks for accepted orders.
+    /// Requests accepted orders.
     #[prost(message, tag = "19")]
     OrderLogRequest(OrderLogRequest),
-    /// Accepted orders.
+    /// The reply to an [`OrderLogRequest`].
     #[prost(message, tag = "20")]
     OrderLogEntries(OrderLogEntries),
-    /// Reserved: neither sent nor read.
+    /// Reserved: never sent, and ignored by receivers.
     #[prost(message, tag = "21")]
     Synced(Synced),
-    /// What ingress nodes have counted for usage reports.
+    /// Request counts of ingress nodes, for usage reports.
     #[prost(message, tag = "24")]
     UsageUpdate(UsageUpdate),
 }
--- a/crates/linenthread-messages/src/frame.rs
+++ b/crates/linenthread-messages/src/frame.rs
@@ -1,4 +1,4 @@
-//! Frames: a length and one message.
+//! Framing: each frame is a length and one message.
 
 use bytes::{Buf, BufMut, BytesMut};
 use prost::Message;
@@ -6,36 +6,37 @@
 
 use crate::{Envelope, PeerMessage};
 
-/// The longest frame in bytes: a snapshot of thousands of replicas and a configuration of thousands of routes fit.
+/// The maximum length of a frame, in bytes. A snapshot of thousands of replicas and a configuration of thousands of
+/// routes fit.
 pub const MAX_FRAME_LENGTH: usize = 16 << 20;
 
-/// Bytes of a frame's length.
+/// The size of the length prefix, in bytes.
 const LENGTH_BYTES: usize = 4;
 
-/// Why bytes are no frame; the connection is of no more use.
+/// The reason why bytes are not a valid frame. The connection cannot be used any further.
 #[derive(Debug, Snafu)]
 pub enum FrameError {
-    /// Its length is over [`MAX_FRAME_LENGTH`].
-    #[snafu(display("a frame of {length} bytes is over the limit of {MAX_FRAME_LENGTH}"))]
+    /// The length is over [`MAX_FRAME_LENGTH`].
+    #[snafu(display("frame of {length} bytes exceeds the limit of {MAX_FRAME_LENGTH}"))]
     TooLong {
-        /// The length that it states, in bytes.
+        /// The stated length, in bytes.
         length: usize,
     },
-    /// Its content is no [`Envelope`].
-    #[snafu(display("a frame does not decode: {source}"))]
+    /// The content does not decode as an [`Envelope`].
+    #[snafu(display("cannot decode frame: {source}"))]
     Malformed {
-        /// What the decoder found.
+        /// The error of the decoder.
         source: prost::DecodeError,
     },
-    /// The envelope holds no message that this version knows.
-    #[snafu(display("a frame without a message"))]
+    /// The envelope contains no message that this version knows.
+    #[snafu(display("frame contains no known message"))]
     Empty,
 }
 
-/// Appends a message as a frame. Receivers reject one that is longer than [`MAX_FRAME_LENGTH`].
+/// Appends a message to the buffer as a frame. Receivers reject frames longer than [`MAX_FRAME_LENGTH`].
 ///
 /// # Panics
-/// Only where the buffer would be longer than the address space.
+/// If the buffer would exceed the address space.
 pub fn encode(message: PeerMessage, buffer: &mut BytesMut) {
     let envelope = Envelope {
         message: Some(message),
@@ -43,15 +44,13 @@
     let length = envelope.encoded_len();
     buffer.reserve(length + LENGTH_BYTES);
     buffer.put_u32(u32::try_from(length).unwrap_or(u32::MAX));
-    envelope
-        .encode(buffer)
-        .expect("a growing buffer has capacity for each message");
+    envelope.encode(buffer).expect("the buffer grows as needed");
 }
 
-/// Takes one complete frame off the buffer, if one is there.
+/// Removes one complete frame from the start of the buffer and decodes it. Returns `None` if the frame is incomplete.
 ///
 /// # Errors
-/// A frame over the limit, or one that holds no message: the connection is of no more use.
+/// If the frame is over the limit or contains no valid message. The connection cannot be used any further.
 pub fn decode(buffer: &mut BytesMut) -> Result<Option<PeerMessage>, FrameError> {
     let Some(prefix) = buffer.first_chunk::<LENGTH_BYTES>() else {
         return Ok(None);
--- a/crates/linenthread-messages/src/lib.rs
+++ b/crates/linenthread-messages/src/lib.rs
@@ -1,11 +1,11 @@
-//! Messages between the system's own processes, and the frames that carry them.
+//! Messages between the system's own processes, and their framing.
 //!
-//! A frame is a length of four bytes, most significant first, and one [`Envelope`]. The first message on a
-//! connection is [`Hello`] from the side that opened it; a version other than [`VERSION`] ends the connection.
-//! Field tags are the wire format and stay; the Rust names may change (`tests/golden.rs` holds the bytes).
+//! A frame consists of a four-byte big-endian length and one [`Envelope`]. The first message on a connection is a
+//! [`Hello`] from the side that opened it; a version other than [`VERSION`] ends the connection. The field tags define
+//! the wire format and must not change; the Rust names may (`tests/golden.rs` checks the bytes).
 //!
-//! This package knows nothing of sockets, disks or the rules that act on messages. Start reading at
-//! [`PeerMessage`], which lists all messages.
+//! This package contains neither I/O nor the rules for handling messages. Start reading at [`PeerMessage`], which lists
+//! all messages.
 
 mod agreement;
 mod envelope;
@@ -28,6 +28,8 @@
 };
 pub use usage::{DecidedUsage, IngressUsage, TenantCount, UsageReport, UsageUpdate, WindowCounts};
 
-/// Peers of another version are rejected. 2: a value carries its last orders by identity, not all of them. 3: a value
-/// carries usage reports, which a node of an earlier version would drop from the values that it proposes.
+/// The version of the messages; peers with another version are rejected.
+///
+/// - 2: a value contains only its most recent orders, by identity, instead of all orders.
+/// - 3: a value contains usage reports, which a node of an earlier version would drop from the values that it proposes.
 pub const VERSION: u32 = 3;
--- a/crates/linenthread-messages/src/sessions.rs
+++ b/crates/linenthread-messages/src/sessions.rs
@@ -1,10 +1,10 @@
-//! Messages of the sessions between processes: opening, heartbeats, and the state that control nodes pass on.
+//! Messages of the sessions between processes: handshake, heartbeats, and the state that control nodes distribute.
 
 use prost::Message;
 
 use crate::Value;
 
-/// A replica as one control node knows it.
+/// The state of a replica, as known to the control node that sends it.
 #[derive(Clone, PartialEq, Eq, Hash, Message)]
 pub struct Replica {
     /// The replica's id.
@@ -13,7 +13,7 @@
     /// The backend that it serves.
     #[prost(string, tag = "2")]
     pub backend: String,
-    /// Where it accepts requests.
+    /// The address at which it accepts requests.
     #[prost(string, tag = "3")]
     pub address: String,
     /// The zone that it runs in.
@@ -22,44 +22,44 @@
     /// The revision of its software.
     #[prost(string, tag = "5")]
     pub revision: String,
-    /// How many requests it processes at once.
+    /// The number of requests that it processes concurrently.
     #[prost(uint32, tag = "6")]
     pub capacity: u32,
-    /// Rises with each of its heartbeats, so that a late one is recognised.
+    /// Increases with each heartbeat of the replica, so that a delayed heartbeat can be detected.
     #[prost(uint64, tag = "7")]
     pub call_count: u64,
-    /// It shuts down gracefully: no new requests. Stays set when it has timed out or ended.
+    /// The replica shuts down gracefully and accepts no new requests. Stays set when it has timed out or ended.
     #[prost(bool, tag = "8")]
     pub draining: bool,
-    /// Without a heartbeat for too long, or ended. [`Replica::state`] has these three flags as one.
+    /// The replica has sent no heartbeat for too long, or has ended. [`Replica::state`] combines the three flags.
     #[prost(bool, tag = "9")]
     pub timed_out_or_ended: bool,
-    /// Milliseconds from its last heartbeat until this message was sent.
+    /// Milliseconds between its last heartbeat and the sending of this message.
     #[prost(uint32, tag = "10")]
     pub age_ms: u32,
-    /// Milliseconds that it still warms up for, when this message was sent.
+    /// Milliseconds of warm-up that remained when this message was sent.
     #[prost(uint32, tag = "11")]
     pub warmup_ms: u32,
-    /// It will not come back: departed, or replaced at its address.
+    /// The replica has departed, or another one has taken its address; it will not return.
     #[prost(bool, tag = "12")]
     pub ended: bool,
 }
 
-/// What has become of a replica, as the control node sees it that sends it.
+/// The availability of a replica, as known to the control node that sends it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReplicaState {
-    /// It takes requests.
+    /// The replica accepts requests.
     Available,
-    /// It shuts down gracefully, and takes no new requests.
+    /// The replica shuts down gracefully and accepts no new requests.
     Draining,
-    /// It sent no heartbeat for too long; with the next one it is back.
+    /// The replica has sent no heartbeat for too long; the next one makes it available again.
     TimedOut,
-    /// It departed, or another took its address: it will not come back.
+    /// The replica has departed, or another one has taken its address; it will not return.
     Ended,
 }
 
 impl Replica {
-    /// What has become of it.
+    /// Returns the state that the three flags describe.
     pub fn state(&self) -> ReplicaState {
         if self.ended {
             ReplicaState::Ended
@@ -73,7 +73,7 @@
     }
 }
 
-/// An ingress node's session with the control node that sends this.
+/// An ingress node's session with the sending control node.
 #[derive(Clone, PartialEq, Message)]
 pub struct IngressSession {
     /// The ingress node's name.
@@ -85,21 +85,21 @@
     /// Its incarnation.
     #[prost(fixed64, tag = "3")]
     pub incarnation: u64,
-    /// Its newest request for a retry quota, counted within its incarnation.
+    /// The number of its newest retry quota request, counted within its incarnation.
     #[prost(uint64, tag = "4")]
     pub quota_request: u64,
-    /// Not read. Its address; empty in what this version sends.
+    /// Not read, and empty in messages of this version. Formerly its address.
     #[prost(string, tag = "5")]
     pub address: String,
-    /// The revision of the configuration that it uses.
+    /// The revision of the configuration in use.
     #[prost(uint64, tag = "6")]
     pub revision: u64,
 }
 
-/// Opens a session; the first message on a connection.
+/// Opens a session. The first message on a connection.
 #[derive(Clone, PartialEq, Message)]
 pub struct Hello {
-    /// [`crate::VERSION`] of the sender.
+    /// The sender's [`crate::VERSION`].
     #[prost(uint32, tag = "1")]
     pub version: u32,
     /// The sender's name.
@@ -111,68 +111,70 @@
     /// The sender's incarnation, different after each start.
     #[prost(fixed64, tag = "4")]
     pub incarnation: u64,
-    /// Where it accepts control calls and peers; empty for a process that accepts none.
+    /// The sender's address for control calls; peers connect to the same machine. Empty for a process that accepts
+    /// neither.
     #[prost(string, tag = "5")]
     pub control_address: String,
-    /// The control node's identity on disk; 0 where there is none.
+    /// The control node's id, as stored on its disk; 0 if there is none.
     #[prost(fixed64, tag = "6")]
     pub node_id: u64,
-    /// From a control node: its settings allow it to be made a voter.
+    /// From a control node: its settings allow it to become a voter.
     #[prost(bool, tag = "7")]
     pub voter_eligible: bool,
-    /// The change log that the sender has followed.
+    /// The id of the change log that the sender has followed.
     #[prost(fixed64, tag = "8")]
     pub change_log_id: u64,
-    /// The offset in that log that it has reached.
+    /// The offset that the sender has reached in that log.
     #[prost(uint64, tag = "9")]
     pub change_log_offset: u64,
-    /// From a control node: number of the newest value that it has. From an ingress node: the revision of the
-    /// configuration that it uses.
+    /// From a control node: the number of the newest value that it has. From an ingress node: the revision of the
+    /// configuration in use.
     #[prost(uint64, tag = "10")]
     pub value_number_or_revision: u64,
 }
 
-/// A sign of life, sent both ways at an interval, and state that changes often.
+/// Sent periodically in both directions to keep the session alive, with state that changes often.
 #[derive(Clone, PartialEq, Message)]
 pub struct Heartbeat {
-    /// From an ingress node: its newest request for a retry quota. From a control node: the newest value's number.
+    /// From an ingress node: the number of its newest retry quota request. From a control node: the number of its
+    /// newest value.
     #[prost(uint64, tag = "1")]
     pub quota_request_or_value_number: u64,
-    /// From a control node: it is in contact with a majority of the voters.
+    /// From a control node: whether it is in contact with a majority of the voters.
     #[prost(bool, tag = "2")]
     pub has_quorum: bool,
-    /// From a control node: digest of its replica registry.
+    /// From a control node: the digest of its replica registry.
     #[prost(fixed64, tag = "3")]
     pub registry_digest: u64,
-    /// From an ingress node: the revision of the configuration that it uses.
+    /// From an ingress node: the revision of the configuration in use.
     #[prost(uint64, tag = "4")]
     pub revision: u64,
-    /// From a control node: number of the newest value synced to its disk; none while there is none.
+    /// From a control node: the number of the newest value synced to its disk, if there is one.
     #[prost(uint64, optional, tag = "5")]
     pub durable_value_number: Option<u64>,
-    /// The sender's steady clock in milliseconds, which means nothing to the receiver: it only echoes it.
+    /// The sender's monotonic clock in milliseconds. The receiver only echoes it.
     #[prost(uint64, tag = "6")]
     pub sent_at: u64,
-    /// `sent_at` of the last heartbeat that the sender received on this session: proof of a round trip.
+    /// The `sent_at` of the last heartbeat that the sender received in this session, which proves a round trip.
     #[prost(uint64, optional, tag = "7")]
     pub echoed_sent_at: Option<u64>,
-    /// From a control node: it shuts down gracefully.
+    /// From a control node: whether it is shutting down gracefully.
     #[prost(bool, tag = "8")]
     pub shutting_down: bool,
-    /// From the holder of the leader lease: the voters are about to change.
+    /// From the holder of the leader lease: whether the voters are about to change.
     #[prost(bool, tag = "9")]
     pub reconfiguring: bool,
-    /// From a control node to another one: its own time of day when it sent this, in milliseconds since 1970.
+    /// From a control node to another one: its own wall-clock time when it sent this, in milliseconds since 1970.
     #[prost(uint64, optional, tag = "10")]
     pub wall_time_ms: Option<u64>,
-    /// From a control node to an ingress node: the time of day that the control nodes agree on, when it sent this, in
-    /// milliseconds since 1970.
+    /// From a control node to an ingress node: the wall-clock time that the control nodes agreed on, at the time of
+    /// sending, in milliseconds since 1970.
     #[prost(uint64, optional, tag = "11")]
     pub agreed_time_ms: Option<u64>,
 }
 
 impl Heartbeat {
-    /// The heartbeat of an ingress node, which requests a retry quota.
+    /// Creates the heartbeat of an ingress node, which also requests a retry quota.
     pub fn of_ingress_node(quota_request: u64, revision: u64) -> Heartbeat {
         Heartbeat {
             quota_request_or_value_number: quota_request,
@@ -185,10 +187,10 @@
 /// How much of the sender's state is synced to its disk.
 #[derive(Clone, PartialEq, Message)]
 pub struct DurableProgress {
-    /// Number of the newest value.
+    /// The number of the newest synced value, if there is one.
     #[prost(uint64, optional, tag = "1")]
     pub value_number: Option<u64>,
-    /// Not read. The greatest epoch under which it granted a lease; 0 in what this version sends.
+    /// Not read, and 0 in messages of this version. Formerly the greatest epoch for which the sender granted a lease.
     #[prost(uint64, tag = "2")]
     pub epoch: u64,
 }
@@ -196,53 +198,54 @@
 /// From a control node to an ingress node: consecutive changes, or the complete state.
 #[derive(Clone, PartialEq, Message)]
 pub struct IngressUpdate {
-    /// The change log that `change_log_offset` belongs to.
+    /// The id of the change log that `change_log_offset` belongs to.
     #[prost(fixed64, tag = "1")]
     pub change_log_id: u64,
     /// The offset in the change log after this update.
     #[prost(uint64, tag = "2")]
     pub change_log_offset: u64,
-    /// The update lists all replicas that the sender knows. One that it omits does not run, if `registry_settled` is set.
+    /// The update lists all replicas that the sender knows. If `registry_settled` is set, an omitted replica does not
+    /// run.
     #[prost(bool, tag = "3")]
     pub complete: bool,
-    /// Replicas that changed, or all of them.
+    /// The replicas that changed, or all of them.
     #[prost(message, repeated, tag = "4")]
     pub replicas: Vec<Replica>,
-    /// The newest decided value, where it is sent.
+    /// The newest decided value; `None` if the update does not contain it.
     #[prost(message, optional, tag = "5")]
     pub value: Option<Value>,
-    /// Addresses for control calls of all known control nodes.
+    /// The addresses for control calls of all known control nodes; empty if the update does not contain them.
     #[prost(string, repeated, tag = "6")]
     pub control_addresses: Vec<String>,
-    /// The value was confirmed to be the newest at some moment since the session began.
+    /// The value was confirmed to be the newest at some time since the session began.
     #[prost(bool, tag = "7")]
     pub confirmed: bool,
-    /// The control node has been in contact for longer than replicas take to time out: each replica that runs has sent a
-    /// heartbeat since, so one that a complete update omits does not run. Before, some may merely not have reached this
-    /// node yet, and a complete update takes none away.
+    /// The control node has been in contact with a majority for longer than the time-out of replicas. Each running
+    /// replica has sent a heartbeat since, so one that a complete update omits does not run. If not set, heartbeats of
+    /// some replicas may not have reached this node yet, and a complete update removes no replica.
     #[prost(bool, tag = "8")]
     pub registry_settled: bool,
 }
 
-/// From one control node to another.
+/// From a control node to another one: the state of replicas, and the sender's sessions with ingress nodes.
 #[derive(Clone, PartialEq, Message)]
 pub struct ControlUpdate {
-    /// Replicas that changed, or all of them.
+    /// The replicas that changed, or all of them.
     #[prost(message, repeated, tag = "1")]
     pub replicas: Vec<Replica>,
     /// All sessions of ingress nodes with the sender.
     #[prost(message, repeated, tag = "2")]
     pub sessions: Vec<IngressSession>,
-    /// Whether `sessions` is set, since it may be empty.
+    /// Whether the update contains `sessions`, which may be empty.
     #[prost(bool, tag = "3")]
     pub has_sessions: bool,
-    /// Addresses for control calls of all known control nodes.
+    /// The addresses for control calls of all known control nodes; empty if the update does not contain them.
     #[prost(string, repeated, tag = "4")]
     pub control_addresses: Vec<String>,
-    /// To be acknowledged by an [`UpdateAck`]; 0 if not.
+    /// The id that an [`UpdateAck`] has to repeat; 0 if no acknowledgement is needed.
     #[prost(uint64, tag = "5")]
     pub update_id: u64,
-    /// Not read. The update lists all replicas that the sender has.
+    /// Not read. Whether the update lists all replicas that the sender has.
     #[prost(bool, tag = "6")]
     pub complete: bool,
 }
@@ -250,12 +253,12 @@
 /// Acknowledges a [`ControlUpdate`].
 #[derive(Clone, PartialEq, Message)]
 pub struct UpdateAck {
-    /// The update's identity.
+    /// The `update_id` of the update.
     #[prost(uint64, tag = "1")]
     pub update_id: u64,
 }
 
-/// A share of the retry budget, granted by the leader for a time from the request for it.
+/// A share of the retry budget, granted by the leader for a limited time that starts with the request.
 #[derive(Clone, PartialEq, Message)]
 pub struct QuotaGrant {
     /// The ingress node's name.
@@ -264,27 +267,27 @@
     /// Its incarnation.
     #[prost(fixed64, tag = "2")]
     pub incarnation: u64,
-    /// The request that this answers.
+    /// The number of the request that this grant answers.
     #[prost(uint64, tag = "3")]
     pub quota_request: u64,
     /// The leader's epoch.
     #[prost(uint64, tag = "4")]
     pub epoch: u64,
-    /// Retries in any window of the retry budget.
+    /// The number of retries allowed in any window of the retry budget.
     #[prost(double, tag = "5")]
     pub share: f64,
-    /// How long the share may be used, in milliseconds from the request.
+    /// How long the share may be used, in milliseconds since the request was sent.
     #[prost(uint32, tag = "6")]
     pub lease_ms: u32,
-    /// How many ingress nodes carry traffic.
+    /// The number of ingress nodes that carry traffic.
     #[prost(uint32, tag = "7")]
     pub ingress_count: u32,
-    /// The index of this one among them, from 0.
+    /// The index of this ingress node among them, from 0.
     #[prost(uint32, tag = "8")]
     pub ingress_index: u32,
 }
 
-/// Grants to several ingress nodes.
+/// Quota grants for several ingress nodes.
 #[derive(Clone, PartialEq, Message)]
 pub struct QuotaGrants {
     /// One for each ingress node that requested a quota.
--- a/crates/linenthread-messages/src/usage.rs
+++ b/crates/linenthread-messages/src/usage.rs
@@ -1,33 +1,33 @@
-//! Messages of usage reports: what ingress nodes count, and the reports that control nodes have decided.
+//! Messages for usage reports: the request counts of ingress nodes, and the reports that control nodes have decided.
 
 use prost::Message;
 
-/// How many requests of a tenant replicas began in a window.
+/// The number of a tenant's requests that replicas began to process in a window.
 #[derive(Clone, PartialEq, Eq, Hash, Message)]
 pub struct TenantCount {
     /// The tenant's name.
     #[prost(string, tag = "1")]
     pub tenant: String,
-    /// The number of requests, counted from the window's start.
+    /// The number of requests since the window's start.
     #[prost(uint64, tag = "2")]
     pub requests: u64,
 }
 
-/// What one ingress node has counted in one window.
+/// The counts of one ingress node in one window.
 #[derive(Clone, PartialEq, Eq, Hash, Message)]
 pub struct WindowCounts {
-    /// The window: it starts so many window lengths after the start of 1970.
+    /// The number of the window, which starts `window` window lengths after the start of 1970.
     #[prost(uint64, tag = "1")]
     pub window: u64,
-    /// One for each tenant that had requests.
+    /// One count for each tenant that had requests.
     #[prost(message, repeated, tag = "2")]
     pub tenants: Vec<TenantCount>,
 }
 
-/// What one incarnation of an ingress node has counted, in some windows.
+/// The counts of one incarnation of an ingress node, for some windows.
 ///
-/// Counts are totals that only rise, never differences: whoever has several messages takes the greatest count of each
-/// window and tenant, in whatever order and however often they arrive.
+/// Counts are totals that never decrease, not differences. A receiver keeps the greatest count for each window and
+/// tenant, so messages may arrive in any order and more than once.
 #[derive(Clone, PartialEq, Eq, Hash, Message)]
 pub struct IngressUsage {
     /// The ingress node's name.
@@ -36,26 +36,26 @@
     /// Its incarnation.
     #[prost(fixed64, tag = "2")]
     pub incarnation: u64,
-    /// Windows in which a count has risen since they were last sent on this session, or all that are kept.
+    /// The windows in which a count has increased since they were last sent in this session, or all stored windows.
     #[prost(message, repeated, tag = "3")]
     pub windows: Vec<WindowCounts>,
 }
 
-/// From an ingress node: its own usage. From a control node to another one: that of ingress nodes.
+/// From an ingress node: its own counts. From a control node to another one: the counts of ingress nodes.
 #[derive(Clone, PartialEq, Eq, Hash, Message)]
 pub struct UsageUpdate {
-    /// One for each ingress node with news.
+    /// The counts to merge, each entry from one incarnation of an ingress node.
     #[prost(message, repeated, tag = "1")]
     pub ingress_nodes: Vec<IngressUsage>,
 }
 
-/// The usage report of one window: decided once, and never changed.
+/// The usage report of one window. It is decided once and never changes.
 #[derive(Clone, PartialEq, Eq, Hash, Message)]
 pub struct UsageReport {
-    /// The window.
+    /// The number of the window.
     #[prost(uint64, tag = "1")]
     pub window: u64,
-    /// The body of the call at the platform, byte by byte.
+    /// The exact body of the call to the platform's API.
     #[prost(bytes = "bytes", tag = "2")]
     pub body: prost::bytes::Bytes,
 }
@@ -63,10 +63,10 @@
 /// The usage reports in a replicated value.
 #[derive(Clone, PartialEq, Eq, Hash, Message)]
 pub struct DecidedUsage {
-    /// The newest window whose report is decided. Reports are decided in the order of their windows, without gaps.
+    /// The newest window with a decided report. Reports are decided in the order of their windows, without gaps.
     #[prost(uint64, tag = "1")]
     pub newest_window: u64,
-    /// Decided reports that the platform is not known to have, oldest first.
+    /// The decided reports that the platform is not known to have received, oldest first.
     #[prost(message, repeated, tag = "2")]
     pub reports: Vec<UsageReport>,
 }
--- a/crates/linenthread-messages/tests/frames.rs
+++ b/crates/linenthread-messages/tests/frames.rs
@@ -1,4 +1,4 @@
-//! Frames cut anywhere, and bytes that are none.
+//! Encoding and decoding of frames: frames that arrive in two parts, and bytes that are not a valid frame.
 
 use bytes::BytesMut;
 use linenthread_messages::{
@@ -7,8 +7,8 @@
 };
 
 #[test]
-fn words_come_through_cut_anywhere() {
-    let words = [
+fn messages_that_arrive_in_two_parts_are_decoded() {
+    let messages = [
         PeerMessage::Prepare(Prepare {
             number: 7,
             ballot: Ballot {
@@ -23,22 +23,24 @@
         }),
     ];
     let mut bytes = BytesMut::new();
-    words.iter().for_each(|w| encode(w.clone(), &mut bytes));
-    for cut in 0..bytes.len() {
-        let (mut buffer, mut come) = (BytesMut::from(&bytes[..cut]), Vec::new());
-        while let Some(word) = decode(&mut buffer).unwrap() {
-            come.push(word);
+    messages
+        .iter()
+        .for_each(|message| encode(message.clone(), &mut bytes));
+    for split_index in 0..bytes.len() {
+        let (mut buffer, mut decoded) = (BytesMut::from(&bytes[..split_index]), Vec::new());
+        while let Some(message) = decode(&mut buffer).unwrap() {
+            decoded.push(message);
         }
-        buffer.extend_from_slice(&bytes[cut..]);
-        while let Some(word) = decode(&mut buffer).unwrap() {
-            come.push(word);
+        buffer.extend_from_slice(&bytes[split_index..]);
+        while let Some(message) = decode(&mut buffer).unwrap() {
+            decoded.push(message);
         }
-        assert_eq!(come, words, "cut at {cut}");
+        assert_eq!(decoded, messages, "split at {split_index}");
     }
 }
 
 #[test]
-fn usage_and_times_come_through() {
+fn usage_and_times_are_decoded_as_encoded() {
     let usage = UsageUpdate {
         ingress_nodes: vec![IngressUsage {
             name: "ingress-1".into(),
@@ -70,7 +72,7 @@
 }
 
 #[test]
-fn what_is_no_frame_ends_the_connection() {
+fn bytes_that_are_not_a_valid_frame_are_an_error() {
     let too_long = u32::try_from(MAX_FRAME_LENGTH + 1).expect("a frame's length has four bytes");
     let mut long = BytesMut::from(&too_long.to_be_bytes()[..]);
     assert!(matches!(decode(&mut long), Err(FrameError::TooLong { .. })));
@@ -82,6 +84,6 @@
         decode(&mut BytesMut::from(&[0, 0, 0, 2, 0xff, 0xff][..])),
         Err(FrameError::Malformed { .. })
     ));
-    // A request of a client that has lost its way is too long for a frame.
+    // The first bytes of an HTTP request, read as a length, are over the limit.
     assert!(decode(&mut BytesMut::from(&b"GET / HTTP/1.1\r\n"[..])).is_err());
 }
--- a/crates/linenthread-messages/tests/golden.rs
+++ b/crates/linenthread-messages/tests/golden.rs
@@ -1,7 +1,8 @@
-//! The wire and disk format, held fast by bytes that an earlier version wrote.
+//! Checks the wire and disk format against bytes that an earlier version wrote.
 //!
 //! The files under `tests/golden/` were written by commit 464716d. They must never be regenerated to make a test
-//! pass: other nodes of a cluster that is being upgraded, and disks written before an upgrade, hold such bytes.
+//! pass: nodes of a cluster that is being upgraded still send such bytes, and disks written before an upgrade contain
+//! them.
 
 use std::collections::BTreeMap;
 
@@ -107,7 +108,7 @@
     }
 }
 
-/// Every message with each field set to a value of its own.
+/// Returns every message, with a distinct value in each field.
 fn peer_messages() -> BTreeMap<&'static str, PeerMessage> {
     let mut messages = BTreeMap::new();
     messages.extend(session_messages());
@@ -120,7 +121,7 @@
 
 fn session_messages() -> [(&'static str, PeerMessage); 4] {
     let hello = Hello {
-        // That of the commit which wrote the files.
+        // The version of the commit that wrote the files.
         version: 2,
         name: "control-a".to_owned(),
         zone: "zone-a".to_owned(),
@@ -145,7 +146,7 @@
         wall_time_ms: None,
         agreed_time_ms: None,
     };
-    // A field that is set to zero is on the wire, one that is not set isn't.
+    // An optional field that is set to zero is encoded; one that is not set is omitted.
     let heartbeat_of_zeros = Heartbeat {
         durable_value_number: Some(0),
         echoed_sent_at: Some(0),
@@ -328,7 +329,7 @@
     ]
 }
 
-/// Records as a control node's disk holds them.
+/// Returns records as they are stored on a control node's disk.
 fn records() -> BTreeMap<&'static str, Record> {
     BTreeMap::from([
         (
@@ -342,7 +343,7 @@
                 epoch: 50,
                 replicas: vec![replica("replica-4"), replica("replica-5")],
                 order_log: vec![order(300), order(302)],
-                // The version of the golden bytes did not have this field.
+                // The version that wrote the files did not have this field.
                 replicas_cleared: false,
             },
         ),
@@ -368,7 +369,7 @@
         let mut buffer = BytesMut::from(&golden[name][..]);
         let decoded = decode(&mut buffer).unwrap_or_else(|error| panic!("{name}: {error}"));
         assert_eq!(decoded.as_ref(), Some(&message), "{name} decodes");
-        assert!(buffer.is_empty(), "{name} leaves bytes behind");
+        assert!(buffer.is_empty(), "{name} leaves bytes in the buffer");
         encode(message, &mut buffer);
         assert_eq!(buffer[..], golden[name][..], "{name} encodes");
     }
--- a/crates/linenthread-messages/tests/version_3.rs
+++ b/crates/linenthread-messages/tests/version_3.rs
@@ -1,6 +1,8 @@
-//! The bytes of what version 3 of the messages added: usage updates, the clocks in heartbeats, and the reports in a value.
+//! Checks the encoding of what version 3 of the messages added: usage updates, the times in heartbeats, and the
+//! reports in a value.
 //!
-//! As in `golden.rs` they must never be changed to make a test pass: other nodes and disks hold such bytes.
+//! As in `golden.rs`, the bytes must never be changed to make a test pass: other nodes send them and disks contain
+//! them.
 
 use bytes::{Bytes, BytesMut};
 use linenthread_messages::{
@@ -46,7 +48,7 @@
 }
 
 #[test]
-fn the_clocks_of_a_heartbeat_have_the_bytes_of_version_3() {
+fn the_times_in_a_heartbeat_have_the_bytes_of_version_3() {
     let heartbeat = Heartbeat {
         wall_time_ms: Some(1_767_225_600_001),
         agreed_time_ms: Some(1_767_225_600_002),
@@ -59,7 +61,7 @@
 }
 
 #[test]
-fn the_reports_of_a_value_have_the_bytes_of_version_3() {
+fn the_reports_in_a_value_have_the_bytes_of_version_3() {
     let value = Value {
         number: 7,
         usage: Some(Box::new(DecidedUsage {
--- a/crates/linenthread-time/src/lib.rs
+++ b/crates/linenthread-time/src/lib.rs
@@ -1,9 +1,9 @@
-//! Moments of a process's steady clock, and of the time of day, as state machines see them.
+//! Instants of a process's monotonic clock, and wall-clock times, which drivers pass to state machines.
 //!
-//! The state machines read no clock: whoever drives them passes the moment in as an [`Instant`], and durations are
-//! [`std::time::Duration`]. A simulation makes instants of its own; only the daemons derive them from the
-//! operating system's clock. The time of day decides nothing but which window of usage reports a moment belongs to:
-//! [`WallTime`], [`WindowNumber`].
+//! State machines read no clock: their driver passes the current time as an [`Instant`], and durations are
+//! [`std::time::Duration`]. A simulation creates its own instants; only the daemons derive them from the operating
+//! system's clock. The wall-clock time ([`WallTime`]) decides only to which window of usage reports
+//! ([`WindowNumber`]) an instant belongs.
 
 mod wall;
 mod window;
@@ -15,40 +15,40 @@
 pub use wall::{ClockOffset, WallTime};
 pub use window::{WindowLength, WindowNumber};
 
-/// A moment of one process's steady clock, in whole milliseconds since a start that the process chose.
+/// A point in time on one process's monotonic clock, in whole milliseconds since a start that the process chose.
 ///
-/// Instants of two processes are not comparable, and none is the time of day.
+/// Instants of two processes are not comparable, and none is a wall-clock time.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Instant(u64);
 
 impl Instant {
-    /// The start of the clock; earlier than, or the same as, every other instant.
+    /// The start of the clock: no instant is earlier.
     pub const START: Instant = Instant(0);
-    /// Later than every instant that a clock reaches: the deadline of what has none.
+    /// Later than every instant that a clock reaches. Used as the deadline of something that has none.
     pub const NEVER: Instant = Instant(u64::MAX);
 
-    /// The instant this many milliseconds after the clock's start.
+    /// Creates the instant `millis` milliseconds after the clock's start.
     pub const fn from_millis(millis: u64) -> Instant {
         Instant(millis)
     }
 
-    /// Milliseconds since the clock's start.
+    /// Returns the milliseconds since the clock's start.
     pub const fn as_millis(self) -> u64 {
         self.0
     }
 
-    /// How long after `earlier` this is; zero if it is not later.
+    /// Returns the time elapsed since `earlier`, or zero if this instant is not later.
     pub const fn since(self, earlier: Instant) -> Duration {
         Duration::from_millis(self.0.saturating_sub(earlier.0))
     }
 
-    /// This instant, earlier by `duration`, but not before the clock's start.
+    /// Returns the instant that is earlier by `duration`, but not before the clock's start.
     pub fn saturating_sub(self, duration: Duration) -> Instant {
         Instant(self.0.saturating_sub(whole_millis(duration)))
     }
 }
 
-/// [`Instant::NEVER`] stays never.
+/// Saturates at [`Instant::NEVER`].
 impl Add<Duration> for Instant {
     type Output = Instant;
 
@@ -63,7 +63,7 @@
     }
 }
 
-/// Zero if the right side is later, as [`Instant::since`].
+/// Returns zero if the right-hand side is later, like [`Instant::since`].
 impl Sub for Instant {
     type Output = Duration;
 
@@ -72,15 +72,15 @@
     }
 }
 
-/// In milliseconds, with the unit.
+/// Formats the milliseconds with their unit.
 impl fmt::Display for Instant {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(formatter, "{} ms", self.0)
     }
 }
 
-/// The duration in whole milliseconds, for messages and log lines that carry it as a number; the longest
-/// representable one if it is longer.
+/// Returns the whole milliseconds of a duration, saturating at [`u64::MAX`]. For messages and log lines that contain a
+/// duration as a number.
 pub fn whole_millis(duration: Duration) -> u64 {
     u64::try_from(duration.as_millis()).unwrap_or(u64::MAX)
 }
--- a/crates/linenthread-time/src/window.rs
+++ b/crates/linenthread-time/src/window.rs
@@ -1,21 +1,21 @@
-//! Windows of the time of day: window `k` starts `k` window lengths after the start of 1970.
+//! Windows of wall-clock time: window `k` starts `k` window lengths after the start of 1970.
 
 use std::fmt;
 use std::time::Duration;
 
 use crate::{WallTime, whole_millis};
 
-/// How long each window lasts; a millisecond at least.
+/// The length of each window: whole milliseconds, at least 1.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct WindowLength(Duration);
 
 impl WindowLength {
-    /// A length of whole milliseconds, at least one.
+    /// Rounds `length` down to whole milliseconds, but at least 1.
     pub fn new(length: Duration) -> WindowLength {
         WindowLength(Duration::from_millis(whole_millis(length).max(1)))
     }
 
-    /// The length in milliseconds, at least 1.
+    /// Returns the length in milliseconds, at least 1.
     pub fn as_millis(self) -> u64 {
         whole_millis(self.0)
     }
@@ -26,28 +26,28 @@
 pub struct WindowNumber(u64);
 
 impl WindowNumber {
-    /// The window of this number.
+    /// Wraps a number that [`WindowNumber::get`] returned, for instance from a message.
     pub const fn new(number: u64) -> WindowNumber {
         WindowNumber(number)
     }
 
-    /// The number that messages carry.
+    /// Returns the number as it is sent in messages.
     pub const fn get(self) -> u64 {
         self.0
     }
 
-    /// The window in which a moment falls.
+    /// Returns the window that contains `moment`.
     pub fn of(moment: WallTime, length: WindowLength) -> WindowNumber {
         WindowNumber(moment.as_millis() / length.as_millis())
     }
 
-    /// The window after this one.
+    /// Returns the window after this one.
     #[must_use]
     pub const fn next(self) -> WindowNumber {
         WindowNumber(self.0.saturating_add(1))
     }
 
-    /// The moment at which the window has ended: the first one of the next.
+    /// Returns the end of the window, exclusive: the start of the next one.
     pub fn end(self, length: WindowLength) -> WallTime {
         WallTime::from_millis(self.next().0.saturating_mul(length.as_millis()))
     }
--- a/crates/linenthread-time/tests/instants.rs
+++ b/crates/linenthread-time/tests/instants.rs
@@ -1,11 +1,11 @@
-//! Arithmetic of instants at the ends of their range.
+//! Arithmetic of instants at the limits of their range.
 
 use std::time::Duration;
 
 use linenthread_time::{Instant, whole_millis};
 
 #[test]
-fn arithmetic_stays_within_the_range() {
+fn arithmetic_saturates_at_the_limits() {
     let second = Duration::from_secs(1);
     assert_eq!(Instant::START + second, Instant::from_millis(1_000));
     assert_eq!(Instant::NEVER + second, Instant::NEVER);
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn durations_are_cut_to_whole_milliseconds() {
+fn durations_are_truncated_to_whole_milliseconds() {
     assert_eq!(whole_millis(Duration::from_micros(1_999)), 1);
     assert_eq!(whole_millis(Duration::MAX), u64::MAX);
 }
