--- a/crates/linenthread-node/src/accept.rs
+++ b/crates/linenthread-node/src/accept.rs
@@ -1,12 +1,12 @@
-//! Accepting connections.
+//! Backoff after failed accepts, shared by all listeners.
 
 use std::io;
 use std::time::Duration;
 
-/// How long nothing is accepted after a failure.
+/// How long a listener waits after a failed accept.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(50);
 
-/// Waits after a failed accept: no file descriptor is left, or the like, which passes.
+/// Logs a failed accept and waits: its cause, such as a lack of file descriptors, is usually temporary.
 pub(crate) async fn back_off(error: &io::Error) {
     log::warn!(cause = error.to_string(); "event=accept_failed");
     tokio::time::sleep(ACCEPT_BACKOFF).await;
--- a/crates/linenthread-node/src/connect_timeout.rs
+++ b/crates/linenthread-node/src/connect_timeout.rs
@@ -1,17 +1,19 @@
-//! How long the connection to a peer may take.
+//! The time-out for connecting to a peer.
 
 use std::time::Duration;
 
-/// How long from its start a process expects that its peers are being started as well.
-const STARTUP: Duration = Duration::from_millis(3_000);
+/// How long after its start a process assumes that its peers are starting as well.
+const STARTUP_PERIOD: Duration = Duration::from_millis(3_000);
 
-/// A peer that is being started does not respond at all, and will soon: trying again early beats waiting for it.
-const STARTUP_TIMEOUT: Duration = Duration::from_millis(120);
+/// Time-out during [`STARTUP_PERIOD`]. A starting peer does not respond yet but will soon, so an early retry is faster
+/// than a long wait.
+const STARTUP_CONNECT_TIMEOUT: Duration = Duration::from_millis(120);
 
-/// The time-out for a connection by the age of this process, where `timeout` is the usual one.
+/// Returns the connect time-out for a process that has run for `uptime`. `timeout` is the time-out after start-up, and
+/// the upper bound.
 pub(crate) fn connect_timeout(uptime: Duration, timeout: Duration) -> Duration {
-    if uptime < STARTUP {
-        timeout.min(STARTUP_TIMEOUT)
+    if uptime < STARTUP_PERIOD {
+        timeout.min(STARTUP_CONNECT_TIMEOUT)
     } else {
         timeout
     }
--- a/crates/linenthread-node/src/control/api.rs
+++ b/crates/linenthread-node/src/control/api.rs
@@ -1,4 +1,4 @@
-//! The calls of replicas and operators over HTTP/1.1.
+//! The HTTP/1.1 API for replicas and operators.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -15,30 +15,30 @@
 use super::command::{Call, Command, ControlHandle};
 use crate::{accept, peer_connection};
 
-/// The longest head of a call, in bytes.
+/// The maximum length of a request head, in bytes.
 const MAX_HEAD_BYTES: usize = 16_384;
 
-/// The longest body of a call, in bytes: room for the largest configuration.
+/// The maximum length of a request body, in bytes: enough for the largest configuration.
 const MAX_BODY_BYTES: usize = 12 << 20;
 
-/// So many ignored fields of a configuration are logged.
+/// How many of the ignored fields of a configuration are logged.
 const MAX_LOGGED_FIELDS: usize = 16;
-/// The longest id of a replica, in bytes.
+/// The maximum length of a replica's id, in bytes.
 const MAX_REPLICA_ID_BYTES: usize = 256;
 
-/// How long a caller's connection may be idle between calls.
+/// How long a connection may be idle between calls.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// How long a head, the next piece of a body, or the response may take.
+/// The time-out for a request head, for each chunk of a body, and for writing a response.
 const TRANSFER_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Accepts callers for as long as the process runs.
+/// Accepts and serves connections for as long as the process runs.
 pub(super) async fn accept_calls(listener: TcpListener, handle: ControlHandle) {
     loop {
         match listener.accept().await {
             Ok((stream, peer)) => {
                 peer_connection::configure(&stream);
-                let caller = Caller {
+                let caller = CallerConnection {
                     peer,
                     connection: HttpConnection::new(stream),
                     handle: handle.clone(),
@@ -50,30 +50,30 @@
     }
 }
 
-/// Whether a caller's connection serves a further call.
+/// Whether a connection stays open after a call.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Flow {
-    Continue,
+enum Persistence {
+    KeepAlive,
     Close,
 }
 
-/// The connection of one caller, who makes one call after another.
-struct Caller {
+/// A connection on which a caller makes one call after another.
+struct CallerConnection {
     peer: SocketAddr,
     connection: HttpConnection<TcpStream>,
     handle: ControlHandle,
 }
 
-impl Caller {
+impl CallerConnection {
     async fn run(mut self) {
         while let Some(head) = self.read_head().await {
-            if self.serve(&head).await == Flow::Close {
+            if self.serve(&head).await == Persistence::Close {
                 return;
             }
         }
     }
 
-    /// The head of the next call; `None` if there is no further one.
+    /// Reads the head of the next call; `None` if there is none or it is invalid.
     async fn read_head(&mut self) -> Option<Head> {
         let read = self
             .connection
@@ -95,9 +95,9 @@
         }
     }
 
-    async fn serve(&mut self, head: &Head) -> Flow {
+    async fn serve(&mut self, head: &Head) -> Persistence {
         let Some(body) = self.read_body(head).await else {
-            return Flow::Close;
+            return Persistence::Close;
         };
         let response = dispatch(head, body, &self.handle).await;
         if let Some(status) = response.rejected_status() {
@@ -107,7 +107,7 @@
         self.respond(head, &response).await
     }
 
-    /// The body of a call; `None` if it was rejected or did not arrive.
+    /// Reads the body of a call; `None` if it was rejected or did not arrive.
     async fn read_body(&mut self, head: &Head) -> Option<Vec<u8>> {
         let framing = match request_framing(head, MAX_BODY_BYTES) {
             Ok(framing) => framing,
@@ -116,7 +116,7 @@
                 return None;
             }
         };
-        if head.has_token("expect", "100-continue") && !self.send_continue().await {
+        if head.has_token("expect", "100-continue") && !self.write_continue().await {
             return None;
         }
         self.connection
@@ -136,26 +136,26 @@
             .await;
     }
 
-    async fn respond(&mut self, head: &Head, response: &ApiResponse) -> Flow {
+    async fn respond(&mut self, head: &Head, response: &ApiResponse) -> Persistence {
         let keep_alive = head.keeps_alive();
         let bytes = response.encode(head.target(), keep_alive);
         if self.write(&bytes).await.is_err() {
             log::info!(peer = self.peer.to_string(); "event=client_disconnected");
-            return Flow::Close;
+            return Persistence::Close;
         }
         if keep_alive {
-            Flow::Continue
+            Persistence::KeepAlive
         } else {
-            Flow::Close
+            Persistence::Close
         }
     }
 
-    /// Whether the caller could be told to send the body.
-    async fn send_continue(&mut self) -> bool {
+    /// Asks the caller to send the body. Returns whether the response could be written.
+    async fn write_continue(&mut self) -> bool {
         self.write(b"HTTP/1.1 100 Continue\r\n\r\n").await.is_ok()
     }
 
-    /// Rejects what is no proper call; the connection is closed after it.
+    /// Logs and rejects an invalid request. The connection must be closed afterwards.
     async fn reject(
         &mut self,
         step: &'static str,
@@ -174,7 +174,7 @@
     }
 }
 
-/// Carries out a call, by its method and path.
+/// Executes a call, selected by method and path.
 async fn dispatch(head: &Head, body: Vec<u8>, handle: &ControlHandle) -> ApiResponse {
     let path = head.path().to_owned();
     let segments: Vec<&str> = path.trim_matches('/').split('/').collect();
@@ -251,7 +251,7 @@
     handle.call(call).await.into()
 }
 
-/// Tells operators which fields of a configuration have no effect.
+/// Logs the fields of a configuration that have no effect.
 fn log_ignored_fields(revision: Revision, document: &[u8]) {
     let ignored = serde_json::from_slice(document)
         .map(|document| ignored_fields(&document))
--- a/crates/linenthread-node/src/control/api_response.rs
+++ b/crates/linenthread-node/src/control/api_response.rs
@@ -1,4 +1,4 @@
-//! Responses to the calls of replicas and operators, and their bytes.
+//! Responses to calls of replicas and operators, and their encoding.
 
 use std::fmt;
 
@@ -45,7 +45,6 @@
     }
 }
 
-/// The code.
 impl fmt::Display for Status {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         self.code().fmt(formatter)
@@ -56,19 +55,19 @@
 #[derive(Debug)]
 pub(super) enum ApiResponse {
     Json(Status, Json),
-    /// A configuration, as it was sent by an operator.
+    /// A configuration, byte for byte as an operator submitted it.
     Document(Vec<u8>),
-    /// The same call is to be made at this control address.
+    /// Redirects the caller to the control node at this address.
     Redirect(String),
 }
 
 impl ApiResponse {
-    /// A response that says what is wrong.
+    /// Creates a JSON response with an error message.
     pub(super) fn error(status: Status, message: impl fmt::Display) -> ApiResponse {
         ApiResponse::Json(status, json!({"error": message.to_string()}))
     }
 
-    /// The status, if it says that the call itself is wrong.
+    /// Returns the status if it reports an invalid call.
     pub(super) fn rejected_status(&self) -> Option<Status> {
         match self {
             ApiResponse::Json(
@@ -79,7 +78,7 @@
         }
     }
 
-    /// The response's bytes; `target` is that of the request.
+    /// Encodes the response. `target` is the request target, which a redirect repeats.
     pub(super) fn encode(&self, target: &str, keep_alive: bool) -> Vec<u8> {
         let close = if keep_alive {
             ""
@@ -88,9 +87,9 @@
         };
         match self {
             ApiResponse::Json(status, body) => {
-                with_body(*status, body.to_string().as_bytes(), close)
+                encode_with_body(*status, body.to_string().as_bytes(), close)
             }
-            ApiResponse::Document(document) => with_body(Status::Ok, document, close),
+            ApiResponse::Document(document) => encode_with_body(Status::Ok, document, close),
             ApiResponse::Redirect(address) => format!(
                 "HTTP/1.1 307 Temporary Redirect\r\nLocation: http://{address}{target}\r\n\
                  Content-Length: 0\r\n{close}\r\n"
@@ -100,7 +99,7 @@
     }
 }
 
-fn with_body(status: Status, body: &[u8], close: &str) -> Vec<u8> {
+fn encode_with_body(status: Status, body: &[u8], close: &str) -> Vec<u8> {
     let mut bytes = format!(
         "HTTP/1.1 {status} {}\r\nContent-Type: application/json\r\nContent-Length: {}\r\n{close}\r\n",
         status.reason(),
@@ -111,7 +110,7 @@
     bytes
 }
 
-/// The body of a JSON response, for the log.
+/// Formats the content for the log: the body of a JSON response, the length of a document, or the redirect address.
 impl fmt::Display for ApiResponse {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
@@ -128,7 +127,7 @@
     }
 }
 
-/// The response of a status call.
+/// Converts the result of a status call.
 impl From<Result<Json, CallError>> for ApiResponse {
     fn from(result: Result<Json, CallError>) -> ApiResponse {
         result.map_or_else(ApiResponse::from, |status| {
--- a/crates/linenthread-node/src/control/command.rs
+++ b/crates/linenthread-node/src/control/command.rs
@@ -1,4 +1,4 @@
-//! What the task of a control node is asked to do, and the handle that asks.
+//! Commands to the task of a control node, and the handle that sends them.
 
 use std::fmt;
 
@@ -9,62 +9,58 @@
 use linenthread_messages::PeerMessage;
 use tokio::sync::{mpsc, oneshot};
 
-/// Commands that may wait for the task; more are rejected.
+/// The capacity of the command queue. Calls are rejected while it is full.
 const MAX_QUEUED_COMMANDS: usize = 4_096;
 
 /// A call of a replica or an operator.
 pub(super) enum Call {
-    /// A replica's heartbeat.
     Heartbeat {
         replica_id: String,
         heartbeat: ReplicaHeartbeat,
     },
-    /// A replica's departure.
-    Departure { replica_id: String },
-    /// An operator replaces the configuration.
+    Departure {
+        replica_id: String,
+    },
     ReplaceConfiguration(Order),
-    /// An operator reads the configuration.
     ReadConfiguration,
 }
 
-/// One command to the task of a control node.
+/// A command to the task of a control node.
 pub(super) enum Command {
-    /// A connection with a peer was established; messages to it go to this queue.
+    /// A connection with a peer was established; messages to the peer go into this queue.
     SessionOpened(SessionId, mpsc::Sender<PeerMessage>),
-    /// A peer's message arrived.
+    /// A message from a peer arrived.
     MessageReceived(SessionId, PeerMessage),
-    /// A connection has ended.
+    /// The connection with a peer has ended.
     SessionClosed(SessionId),
-    /// The control node of this address could not be connected to.
+    /// Connecting to the control node at this control address failed.
     DialFailed(String),
-    /// A replica's or an operator's call, and where its response goes.
+    /// A call of a replica or an operator, and the sender for its response.
     Call(Call, oneshot::Sender<Response>),
-    /// An operator reads what this node knows of the others.
+    /// Reads the status of the cluster members, as this node knows it.
     MembersStatus(oneshot::Sender<serde_json::Value>),
-    /// An operator reads what this node knows of duties at the platform.
+    /// Reads the status of the duties at the platform, as this node knows it.
     DutiesStatus(oneshot::Sender<serde_json::Value>),
-    /// An operator reads what this node knows of replicas.
+    /// Reads the status of the replicas, as this node knows it.
     ReplicasStatus(oneshot::Sender<serde_json::Value>),
-    /// Records are durable; this waited for them.
+    /// Records are durable; these actions waited for them.
     Synced(Vec<AfterSync>),
-    /// A call at the platform has ended.
-    PlatformCallEnded(PlatformCallId, PlatformOutcome),
-    /// The settings were read again: they name these control addresses.
+    /// A call to the platform has completed.
+    PlatformCallCompleted(PlatformCallId, PlatformOutcome),
+    /// The settings were reloaded and contain these control addresses.
     SettingsReloaded(Vec<String>),
-    /// A graceful shutdown was requested; the notification follows when the process may exit.
+    /// Begins a graceful shutdown; the sender is notified when the process may exit.
     BeginShutdown(oneshot::Sender<()>),
-    /// Why the process may not exit yet.
+    /// Asks why the process may not exit yet.
     ShutdownBlocker(oneshot::Sender<Option<ShutdownBlocker>>),
-    /// Close all sessions and end.
+    /// Closes all sessions and ends the task; the sender is notified when that is done.
     Stop(oneshot::Sender<()>),
 }
 
-/// Why the task did not answer a call.
+/// The reason why the task did not answer a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum CallError {
-    /// Too many commands wait.
     QueueFull,
-    /// The process ends.
     Stopping,
 }
 
@@ -84,36 +80,36 @@
 }
 
 impl ControlHandle {
-    /// A handle, and the queue that the task reads.
+    /// Creates a handle, and the queue from which the task reads.
     pub(super) fn new() -> (ControlHandle, mpsc::Receiver<Command>) {
         let (commands, queue) = mpsc::channel(MAX_QUEUED_COMMANDS);
         (ControlHandle { commands }, queue)
     }
 
-    /// Sends a command, as soon as there is room for it; false if the task has ended.
+    /// Sends a command, waiting until the queue has room for it. Returns false if the task has ended.
     pub(super) async fn send(&self, command: Command) -> bool {
         self.commands.send(command).await.is_ok()
     }
 
-    /// Sends a command if there is room for it now.
+    /// Sends a command if the queue has room for it now. Returns whether it was sent.
     pub(super) fn try_send(&self, command: Command) -> bool {
         self.commands.try_send(command).is_ok()
     }
 
-    /// Makes a call and waits for its response.
+    /// Sends a call and waits for its response.
     ///
     /// # Errors
     ///
-    /// Too many commands wait, or the task ends before it has responded.
+    /// If the queue is full, or the task ends before it has responded.
     pub(super) async fn call(&self, call: Call) -> Result<Response, CallError> {
         self.query(|respond| Command::Call(call, respond)).await
     }
 
-    /// Sends a command that carries the sender of its response, and waits for that.
+    /// Sends a command that contains a sender for its response, and waits for the response.
     ///
     /// # Errors
     ///
-    /// As [`ControlHandle::call`].
+    /// See [`ControlHandle::call`].
     pub(super) async fn query<T>(
         &self,
         command: impl FnOnce(oneshot::Sender<T>) -> Command,
--- a/crates/linenthread-node/src/control/mod.rs
+++ b/crates/linenthread-node/src/control/mod.rs
@@ -1,8 +1,8 @@
-//! The control role of this process: one control node on sockets, with its state on the disk.
+//! The control role of this process: one control node with its sockets and its state on disk.
 //!
-//! [`start`] opens the state and the listeners. `task` owns the state machine and is asked by way of the handle in
-//! `command`; `api` serves the calls of replicas and operators, `peer_sessions` the connections with other nodes,
-//! `platform_client` calls the platform, `state_writer` the disk.
+//! [`start`] opens the state and the listeners. `task` owns the state machine and is reached through the handle in
+//! `command`. `api` serves the calls of replicas and operators, `peer_sessions` manages the connections with other
+//! nodes, `platform_client` calls the platform, and `state_writer` writes to the disk.
 
 mod api;
 mod api_response;
@@ -35,8 +35,8 @@
 use state_writer::StateWriter;
 use task::{ControlTask, Platform};
 
-/// How long the task may take to say why it may not exit yet.
-const BLOCKER_TIMEOUT: Duration = Duration::from_millis(100);
+/// How long the task may take to report why the process may not exit yet.
+const BLOCKER_QUERY_TIMEOUT: Duration = Duration::from_millis(100);
 
 /// The control node of this process.
 pub(crate) struct ControlServer {
@@ -44,38 +44,42 @@
 }
 
 impl ControlServer {
-    /// Begins the graceful shutdown, and serves on until others hold what this node holds and it leads no more, or
-    /// that takes too long.
+    /// Begins the graceful shutdown and keeps serving until other nodes store all state of this node and this node no
+    /// longer holds the leader lease, or until the time-out.
     pub(crate) async fn shut_down(&self, timeout: Duration) {
-        let began = Instant::now();
-        let (waiter, may_exit) = oneshot::channel();
-        if !self.handle.send(Command::BeginShutdown(waiter)).await {
+        let started_at = Instant::now();
+        let (notify_may_exit, may_exit) = oneshot::channel();
+        if !self
+            .handle
+            .send(Command::BeginShutdown(notify_may_exit))
+            .await
+        {
             return;
         }
         let completed = tokio::time::timeout(timeout, may_exit).await.is_ok();
         if completed {
-            log::info!(ms = elapsed_millis(began); "event=shutdown_complete");
+            log::info!(ms = elapsed_millis(started_at); "event=shutdown_complete");
             return;
         }
         let cause = self.shutdown_blocker().await;
-        log::warn!(ms = elapsed_millis(began), waits_for = cause; "event=shutdown_incomplete");
+        log::warn!(ms = elapsed_millis(started_at), waits_for = cause; "event=shutdown_incomplete");
     }
 
     async fn shutdown_blocker(&self) -> String {
         let (respond, response) = oneshot::channel();
         self.handle.send(Command::ShutdownBlocker(respond)).await;
-        match tokio::time::timeout(BLOCKER_TIMEOUT, response).await {
+        match tokio::time::timeout(BLOCKER_QUERY_TIMEOUT, response).await {
             Ok(Ok(Some(blocker))) => blocker.to_string(),
             Ok(Ok(None)) => "nothing".to_owned(),
             Ok(Err(_)) | Err(_) => "the control task did not answer in time".to_owned(),
         }
     }
 
-    /// Closes all sessions, so that the others need not wait for a time-out.
+    /// Closes all sessions, so that peers do not have to wait for a time-out.
     pub(crate) async fn stop(&self) {
-        let (stopped, has_stopped) = oneshot::channel();
-        if self.handle.send(Command::Stop(stopped)).await {
-            let _ = has_stopped.await;
+        let (notify_stopped, stopped) = oneshot::channel();
+        if self.handle.send(Command::Stop(notify_stopped)).await {
+            let _ = stopped.await;
         }
     }
 }
@@ -88,19 +92,19 @@
 ///
 /// # Errors
 ///
-/// The state can't be opened, or an address can't be bound.
+/// If the state cannot be opened, or an address cannot be bound.
 pub(crate) async fn start(
     settings: &Rc<Settings>,
     address: SocketAddr,
     signals: &SignalWatch,
 ) -> Result<ControlServer, Error> {
-    let (synced, synced_records) = mpsc::unbounded_channel();
+    let (synced, synced_actions) = mpsc::unbounded_channel();
     let state_dir = settings.state_dir.as_deref().unwrap_or_default();
     let (state_writer, durable_state) =
         StateWriter::start(state_dir, move |after_sync| drop(synced.send(after_sync)))?;
     let control = start_node(settings, address, durable_state, &state_writer);
-    let calls = bind(address).await?;
-    let peers = bind(SocketAddr::new(address.ip(), settings.peers_port)).await?;
+    let call_listener = bind(address).await?;
+    let peer_listener = bind(SocketAddr::new(address.ip(), settings.peers_port)).await?;
     log::info!(control_address = address.to_string(), peers_port = settings.peers_port; "event=control_listening");
     let (handle, commands) = ControlHandle::new();
     let platform = settings.platform.as_ref().map(|platform| Platform {
@@ -115,10 +119,13 @@
         platform,
     );
     spawn_local(task.run(commands));
-    spawn_local(forward_synced(synced_records, handle.clone()));
-    spawn_local(follow_settings(signals.settings(), handle.clone()));
-    spawn_local(api::accept_calls(calls, handle.clone()));
-    spawn_local(peer_sessions::accept_peers(peers, handle.clone()));
+    spawn_local(forward_synced(synced_actions, handle.clone()));
+    spawn_local(forward_reloaded_settings(
+        signals.settings(),
+        handle.clone(),
+    ));
+    spawn_local(api::accept_calls(call_listener, handle.clone()));
+    spawn_local(peer_sessions::accept_peers(peer_listener, handle.clone()));
     Ok(ControlServer { handle })
 }
 
@@ -128,7 +135,7 @@
         .map_err(io_context("binding", &address))
 }
 
-/// Takes what waited on the disk from its thread to the task.
+/// Forwards actions that waited for the disk from the disk thread to the task.
 async fn forward_synced(
     mut synced: mpsc::UnboundedReceiver<Vec<linenthread_control::AfterSync>>,
     handle: ControlHandle,
@@ -138,8 +145,8 @@
     }
 }
 
-/// Takes settings that were read again to the task, each time.
-async fn follow_settings(
+/// Notifies the task each time the settings are reloaded.
+async fn forward_reloaded_settings(
     mut settings: watch::Receiver<Option<Rc<Settings>>>,
     handle: ControlHandle,
 ) {
@@ -152,17 +159,18 @@
     }
 }
 
-/// Who this node is: its identity belongs to its disk, and what it starts from depends on whether that was empty.
+/// A node's identity, which belongs to its disk. The initial state depends on whether the disk was empty.
 struct Identity {
     id: NodeId,
     disk_is_empty: bool,
-    /// The id follows from the address: the node is one of the first voters, on the very first start of the system.
+    /// The id is derived from the address: the node is one of the first voters, in the first start of the system.
     is_genesis_voter: bool,
 }
 
 impl Identity {
-    /// A node with an empty disk is a new one, whatever was at its address before; only on the very first start its
-    /// identity follows from the address, so that all derive the same first voters.
+    /// Returns the identity stored on the disk, or creates one if the disk is empty. A node with an empty disk is a new
+    /// node, regardless of the previous node at its address. Only in the first start of the system is the identity
+    /// derived from the address, so that all nodes derive the same first voters.
     fn new(
         settings: &Settings,
         control_address: SocketAddr,
@@ -188,13 +196,13 @@
     }
 }
 
-/// The control addresses that settings name.
+/// Returns the control addresses in the settings.
 fn bootstrap_addresses(settings: &Settings) -> Vec<String> {
     let peers = settings.bootstrap_peers.iter();
     peers.map(SocketAddr::to_string).collect()
 }
 
-/// How usage is reported, by the settings of the platform.
+/// Converts the settings of the platform to the configuration of usage reports.
 fn usage_config(platform: &PlatformSettings) -> UsageConfig {
     UsageConfig {
         window_length: WindowLength::new(platform.report_window),
@@ -204,14 +212,15 @@
     }
 }
 
-/// The control node, from its settings and what the disk holds. An empty disk is given its identity.
+/// Creates the control node from its settings and the durable state. If the disk is empty, writes the new identity to
+/// it.
 fn start_node(
     settings: &Settings,
     address: SocketAddr,
     durable_state: DurableState,
     state_writer: &StateWriter,
 ) -> ControlNode {
-    let incarnation = Incarnation::new(incarnation::draw());
+    let incarnation = Incarnation::new(incarnation::generate());
     let identity = Identity::new(settings, address, durable_state.id, incarnation);
     let bootstrap = bootstrap_addresses(settings);
     let genesis = settings.initial_boot.then(|| genesis_value(&bootstrap));
@@ -237,7 +246,8 @@
     ControlNode::new(config, identity.id, durable_state, genesis, clock::now())
 }
 
-/// The first record of an empty disk: whose it is from now on.
+/// Writes the first record to an empty disk: the node's identity and, in the first start of the system, the first
+/// value.
 fn persist_identity(id: NodeId, genesis: Option<Value>, state_writer: &StateWriter) {
     let record = Record {
         id: Some(id.0),
--- a/crates/linenthread-node/src/control/peer_sessions.rs
+++ b/crates/linenthread-node/src/control/peer_sessions.rs
@@ -1,4 +1,4 @@
-//! Connections with other control nodes and with ingress nodes.
+//! Sessions with other control nodes and with ingress nodes, each on its own connection.
 
 use std::net::SocketAddr;
 use std::ops::ControlFlow;
@@ -12,12 +12,12 @@
 
 use super::command::{Command, ControlHandle};
 use crate::accept;
-use crate::peer_connection::{self, WhenAllIsSent};
+use crate::peer_connection::{self, AfterLastMessage};
 
-/// How long the connection to another control node may take.
+/// The time-out for connecting to another control node.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(700);
 
-/// Accepts peers for as long as the process runs.
+/// Accepts connections from peers for as long as the process runs.
 pub(super) async fn accept_peers(listener: TcpListener, handle: ControlHandle) {
     loop {
         match listener.accept().await {
@@ -30,7 +30,7 @@
     }
 }
 
-/// Connects to the control node at a control address, at its port for peers, and runs the session.
+/// Connects to the peer port of the control node at a control address, and runs the session.
 pub(super) async fn dial(control_address: String, peers_port: u16, handle: ControlHandle) {
     let Ok(address) = control_address.parse::<SocketAddr>() else {
         return;
@@ -44,7 +44,7 @@
     }
 }
 
-/// One session, from its connection to its end.
+/// Runs a session on an established connection until it ends.
 async fn run_session(stream: TcpStream, peer: String, handle: ControlHandle) {
     let session = next_session_id();
     let (outbox, outgoing) = mpsc::channel(peer_connection::MAX_QUEUED_MESSAGES);
@@ -61,7 +61,7 @@
         }
     };
     if let Err(error) =
-        peer_connection::exchange(stream, &peer, outgoing, WhenAllIsSent::Close, receive).await
+        peer_connection::exchange(stream, &peer, outgoing, AfterLastMessage::Close, receive).await
     {
         log::info!(cause = error.to_string(); "event=connection_closed");
     }
--- a/crates/linenthread-node/src/control/platform_client.rs
+++ b/crates/linenthread-node/src/control/platform_client.rs
@@ -1,8 +1,7 @@
-//! One call at the platform's API: a connection, a request that is written only for as long as the call's lease
-//! permits it, and the outcome.
+//! A client for the platform's API. Each call uses its own connection and is written only while its lease lasts.
 //!
-//! A connection that is closed before a complete response has arrived is reset, also when the call is dropped: bytes
-//! that the network still holds up never reach the platform later, when another node may hold the lease.
+//! If a connection is closed before a complete response has arrived, or the call is dropped, the connection is reset:
+//! bytes still in transit must not reach the platform later, when another node may hold the lease.
 
 use std::io;
 use std::net::SocketAddr;
@@ -17,30 +16,30 @@
 use tokio::net::TcpStream;
 use tokio::time::{Instant as TimerInstant, timeout, timeout_at};
 
-/// How long the connection may take.
+/// The time-out for connecting.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(700);
 
-/// How long the request and the response may take together: the platform may respond fifty times as slowly as it
-/// usually does.
+/// The time-out for writing the request and reading the response. It allows the platform to respond fifty times more
+/// slowly than usual.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// How long sent bytes may stay unacknowledged before the kernel resets the connection: it does so also while this
+/// How long sent bytes may stay unacknowledged before the kernel resets the connection, which it does even while this
 /// process is paused.
 const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_millis(1_600);
 
-/// The longest head of a response, in bytes.
+/// The maximum length of a response head, in bytes.
 const MAX_HEAD_BYTES: usize = 16_384;
 
-/// The longest body of a response that is read, in bytes; nothing depends on it.
+/// The maximum length of a response body, in bytes. The content of the body is not used.
 const MAX_BODY_BYTES: usize = 65_536;
 
 /// The path of usage reports.
 const USAGE_PATH: &str = "/accounting";
 
-/// Makes a call under the name of this node, and waits for its outcome.
+/// Makes a call in the name of this node and returns its outcome.
 ///
-/// No byte is written at or after [`PlatformCall::not_after`]. It is checked before each write, so only a process that is
-/// paused between the check and the write may still write after it; the fencing token is for that.
+/// No byte is written at or after [`PlatformCall::not_after`], which is checked before each write. Only a process that
+/// is paused between the check and the write can still write later; the fencing token covers this case.
 pub(super) async fn call(
     address: SocketAddr,
     node_name: &str,
@@ -64,27 +63,27 @@
         return PlatformOutcome::Unknown;
     };
     if skip_body(&mut connection, &head, deadline).await.is_ok() {
-        close_in_order(&stream);
+        allow_graceful_close(&stream);
     }
-    outcome_of(head.status())
+    outcome_for_status(head.status())
 }
 
-/// A connection that is reset whenever it is dropped; `None` if there is none before the lease or the time is over.
+/// Opens a connection that is reset when it is dropped. Returns `None` if the connection fails, or is not established
+/// before the time-out or the end of the lease.
 async fn connect(address: SocketAddr, not_after: Instant) -> Option<TcpStream> {
     let remaining = not_after - clock::now();
     if remaining.is_zero() {
         return None;
     }
-    let connecting = timeout(CONNECT_TIMEOUT.min(remaining), TcpStream::connect(address));
-    let stream = connecting.await.ok()?.ok()?;
+    let connected = timeout(CONNECT_TIMEOUT.min(remaining), TcpStream::connect(address));
+    let stream = connected.await.ok()?.ok()?;
     stream.set_zero_linger().ok()?;
-    // These two cost time only where the system refuses them.
+    // If the system refuses these two options, calls only take longer.
     let _ = stream.set_nodelay(true);
     let _ = SockRef::from(&stream).set_tcp_user_timeout(Some(UNACKNOWLEDGED_TIMEOUT));
     Some(stream)
 }
 
-/// The bytes of the request.
 fn encode(address: SocketAddr, node_name: &str, call: &PlatformCall) -> Vec<u8> {
     let body = &call.report.body;
     let mut request = format!(
@@ -98,7 +97,7 @@
     request
 }
 
-/// How much of a request was handed over to the kernel.
+/// How much of a request the kernel has accepted for sending.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum SendProgress {
     Nothing,
@@ -106,7 +105,7 @@
     Complete,
 }
 
-/// Writes a request, for as long as the lease and the deadline permit it.
+/// Writes a request, stopping at the end of the lease or at the deadline.
 async fn send(
     stream: &TcpStream,
     request: &[u8],
@@ -133,7 +132,7 @@
     }
 }
 
-/// Reads a response's body, without which the connection can't be closed in order.
+/// Reads and discards a response's body. A connection with unread bytes cannot be closed gracefully.
 async fn skip_body(
     connection: &mut HttpConnection<&mut TcpStream>,
     head: &Head,
@@ -146,13 +145,14 @@
         .map(drop)
 }
 
-/// The connection is closed in order instead of being reset, where the system permits it.
-fn close_in_order(stream: &TcpStream) {
+/// Makes the connection close gracefully when it is dropped, instead of being reset. If the system refuses, it is still
+/// reset.
+fn allow_graceful_close(stream: &TcpStream) {
     let _ = SockRef::from(stream).set_linger(None);
 }
 
-/// What the status of a response says.
-fn outcome_of(status: u16) -> PlatformOutcome {
+/// Maps the status of a response to the outcome of the call.
+fn outcome_for_status(status: u16) -> PlatformOutcome {
     match status {
         200..=299 => PlatformOutcome::Accepted,
         409 => PlatformOutcome::FenceTooLow,
--- a/crates/linenthread-node/src/control/state_writer.rs
+++ b/crates/linenthread-node/src/control/state_writer.rs
@@ -1,4 +1,4 @@
-//! The durable state of a control node, written by a thread of its own, so that a stalled disk blocks nothing else.
+//! Writes the durable state of a control node on a separate thread, so that a stalled disk blocks nothing else.
 
 use std::path::PathBuf;
 use std::sync::mpsc;
@@ -13,40 +13,40 @@
 
 use crate::error::{Error, StateSnafu, io_context};
 
-/// The log is compacted once it is longer, in bytes.
+/// The length of the state log above which it is compacted, in bytes.
 const COMPACT_ABOVE_BYTES: u64 = 16 << 20;
 
-/// Records that may wait to be written; more are dropped, with what waits for them. The register hands its
-/// records over again when they are not synced in time, and the epoch of a lease comes back with the next request for
-/// it, and so does the registry's snapshot.
+/// The capacity of the queue of records. While it is full, records are dropped together with the actions that wait for
+/// them. They are submitted again: records of the register and snapshots of the replica registry when they are not
+/// synced in time, the epoch of a lease with the next lease request.
 const MAX_QUEUED_RECORDS: usize = 256;
 
-/// Records that were not synced so long after they were queued are logged: an order needs two syncs one after another
-/// within the 900 ms that a call has.
-const SLOW_SYNC: Duration = Duration::from_millis(450);
+/// Syncs that complete later than this after a record was queued are logged. An order needs two consecutive syncs
+/// within the 900 ms time-out of a call.
+const SLOW_SYNC_THRESHOLD: Duration = Duration::from_millis(450);
 
-/// The thread's stack, in bytes: it needs little.
+/// The size of the thread's stack, in bytes.
 const STACK_BYTES: usize = 256 << 10;
 
-/// A record, and what waits until it is durable.
+/// A record, and the actions that wait until it is durable.
 struct QueuedRecord {
     record: Record,
     after_sync: Vec<AfterSync>,
     queued_at: Instant,
 }
 
-/// Handle of the thread that writes the state.
+/// A handle to the thread that writes the state. Dropping it ends the thread.
 pub(super) struct StateWriter {
     queue: mpsc::SyncSender<QueuedRecord>,
 }
 
 impl StateWriter {
-    /// Opens what the disk holds, and starts the thread. `on_synced` is called on it with what waited for records that
-    /// are durable now.
+    /// Opens the state directory and starts the thread, which calls `on_synced` with the actions whose records have
+    /// become durable. Returns the state that the directory contains.
     ///
     /// # Errors
     ///
-    /// The directory is used by another process, or what it holds can't be read; or the thread can't be started.
+    /// If the directory is used by another process or cannot be read, or the thread cannot be started.
     pub(super) fn start(
         path: &str,
         on_synced: impl Fn(Vec<AfterSync>) + Send + 'static,
@@ -63,15 +63,15 @@
             .name("disk".into())
             .stack_size(STACK_BYTES)
             .spawn(move || write_records(log, &records, on_synced))
-            .map_err(io_context("starting the disk's thread", ""))?;
+            .map_err(io_context("starting the disk thread", ""))?;
         Ok((StateWriter { queue }, opened.state))
     }
 
-    /// Queues a record; what waits for it comes back when it is durable.
+    /// Queues a record. `after_sync` is passed to `on_synced` when the record is durable.
     ///
     /// # Errors
     ///
-    /// The record is dropped: too many wait already, or the thread has ended.
+    /// If the queue is full or the thread has ended. The record is dropped.
     pub(super) fn persist(
         &self,
         record: Record,
@@ -89,16 +89,16 @@
     }
 }
 
-/// Why a record was not queued.
+/// The reason why a record was not queued.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum PersistError {
-    /// Too many records wait.
+    /// The queue is full.
     Backlogged,
-    /// The disk's thread has ended.
+    /// The disk thread has ended.
     Stopped,
 }
 
-/// Writes records, all that wait at a time, until the handle is dropped.
+/// Writes records until the handle is dropped. All records that are queued at a time are written together.
 fn write_records<O: FnMut() -> Result<Directory, DirectoryError>>(
     mut log: StateLog<Directory, O>,
     queue: &mpsc::Receiver<QueuedRecord>,
@@ -120,9 +120,9 @@
     }
 }
 
-/// Logs a write whose first record waited for long: in the queue, or for the disk.
+/// Logs a write whose first record took too long, counting the time in the queue and the time of the write.
 fn log_if_slow(queued_at: Instant, write_started_at: Instant, records: usize) {
-    if queued_at.elapsed() < SLOW_SYNC {
+    if queued_at.elapsed() < SLOW_SYNC_THRESHOLD {
         return;
     }
     let queued_ms = whole_millis(write_started_at.duration_since(queued_at));
--- a/crates/linenthread-node/src/control/task.rs
+++ b/crates/linenthread-node/src/control/task.rs
@@ -1,4 +1,4 @@
-//! The task that owns a control node: it takes commands and the time to the state machine and carries out its effects.
+//! The task that owns a control node. It passes commands and the time to the state machine, and executes its effects.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -20,21 +20,21 @@
 use super::state_writer::{PersistError, StateWriter};
 use crate::wall_clock;
 
-/// Commands that are taken before the effects of all of them are carried out.
-const MAX_COMMANDS_PER_TURN: usize = 64;
+/// How many commands are handled before their effects are executed.
+const MAX_COMMANDS_PER_BATCH: usize = 64;
 
-/// The tasks of the connections get so long to close them before the process ends.
-const CLOSE_TIME: Duration = Duration::from_millis(5);
+/// How long the connection tasks have to close their connections before the process exits.
+const CONNECTION_CLOSE_DELAY: Duration = Duration::from_millis(5);
 
-/// Where the platform takes calls, and who makes them.
+/// How to call the platform.
 pub(super) struct Platform {
-    /// Address of the platform's API.
+    /// The address of the platform's API.
     pub(super) address: SocketAddr,
-    /// The node's name, which each call carries.
+    /// The name of this node, sent with each call.
     pub(super) caller: String,
 }
 
-/// A control node with its connections and calls.
+/// A control node with its sessions and pending calls.
 pub(super) struct ControlTask {
     control: ControlNode,
     state_writer: StateWriter,
@@ -44,13 +44,13 @@
     last_call: CallId,
     handle: ControlHandle,
     peers_port: u16,
-    /// Where calls at the platform go, if there is one.
+    /// `None` if the settings contain no platform.
     platform: Option<Rc<Platform>>,
-    /// Whom to notify when the process may exit.
+    /// Notified when the process may exit.
     shutdown_waiters: Vec<oneshot::Sender<()>>,
-    /// The process was notified that it may exit: nothing is handled or sent any more.
+    /// The shutdown waiters were notified: no command is handled and nothing is sent any more.
     exit_permitted: bool,
-    /// It was logged that the disk's thread has ended.
+    /// The end of the disk thread was logged.
     disk_stopped: bool,
 }
 
@@ -85,10 +85,10 @@
             let now = clock::now();
             self.control.observe_wall_clock(now, wall_clock::now());
             for command in commands.drain(..) {
-                if let Command::Stop(stopped) = command {
+                if let Command::Stop(notify_stopped) = command {
                     self.sessions.clear();
-                    tokio::time::sleep(CLOSE_TIME).await;
-                    let _ = stopped.send(());
+                    tokio::time::sleep(CONNECTION_CLOSE_DELAY).await;
+                    let _ = notify_stopped.send(());
                     return;
                 }
                 if !self.exit_permitted {
@@ -103,7 +103,7 @@
                 self.control.tick(now, &mut effects);
             }
             for effect in effects.drain(..) {
-                self.carry_out(effect);
+                self.execute(effect);
             }
             if !self.shutdown_waiters.is_empty() && self.control.may_exit(now) {
                 self.permit_exit();
@@ -111,9 +111,9 @@
         }
     }
 
-    /// Waits for commands, at most until the next tick is due.
+    /// Waits for commands, but not longer than until the next tick.
     async fn wait(&self, queue: &mut mpsc::Receiver<Command>, commands: &mut Vec<Command>) {
-        let received = queue.recv_many(commands, MAX_COMMANDS_PER_TURN);
+        let received = queue.recv_many(commands, MAX_COMMANDS_PER_BATCH);
         if self.exit_permitted {
             received.await;
         } else {
@@ -122,8 +122,8 @@
         }
     }
 
-    /// The process may exit. From here on nothing is sent: others may have been told that they may exit because this
-    /// node had not yet.
+    /// Notifies the waiters that the process may exit. Nothing may be sent from now on: another node may have been
+    /// allowed to exit because this node had not exited yet.
     fn permit_exit(&mut self) {
         self.exit_permitted = true;
         self.sessions.clear();
@@ -158,7 +158,7 @@
                 let _ = respond.send(self.control.replicas_status(now));
             }
             Command::Synced(after_sync) => self.control.on_synced(now, after_sync, effects),
-            Command::PlatformCallEnded(call, outcome) => {
+            Command::PlatformCallCompleted(call, outcome) => {
                 self.control
                     .on_platform_outcome(now, call, outcome, effects);
             }
@@ -201,7 +201,7 @@
         }
     }
 
-    fn carry_out(&mut self, effect: Effect) {
+    fn execute(&mut self, effect: Effect) {
         match effect {
             Effect::Send { session, message } => self.send(session, message),
             Effect::Persist { record, after_sync } => {
@@ -222,7 +222,7 @@
         }
     }
 
-    /// Makes a call at the platform; its outcome comes back as a command.
+    /// Starts a call to the platform; its outcome arrives as a command.
     fn call_platform(&self, call: PlatformCall) {
         let Some(platform) = self.platform.clone() else {
             return;
@@ -231,13 +231,13 @@
         spawn_local(async move {
             let outcome = platform_client::call(platform.address, &platform.caller, &call).await;
             handle
-                .send(Command::PlatformCallEnded(call.id, outcome))
+                .send(Command::PlatformCallCompleted(call.id, outcome))
                 .await;
         });
     }
 
-    /// Queues a record for the disk. Once the disk's thread has ended nothing is durable any more: this node confirms
-    /// and votes for nothing, and one line says why.
+    /// Queues a record for the disk. After the disk thread has ended nothing becomes durable any more, so this node
+    /// neither confirms nor votes; the end is logged once.
     fn persist(&mut self, record: Record, after_sync: Vec<AfterSync>) {
         match self.state_writer.persist(record, after_sync) {
             Ok(()) => {}
@@ -250,7 +250,7 @@
         }
     }
 
-    /// Queues a message; a session whose queue is full is closed.
+    /// Queues a message for a session, and closes the session if its queue is full.
     fn send(&mut self, session: SessionId, message: PeerMessage) {
         let is_full = self
             .sessions
--- a/crates/linenthread-node/src/control_client.rs
+++ b/crates/linenthread-node/src/control_client.rs
@@ -1,8 +1,8 @@
-//! The ingress node as a client of the control nodes: it has a session with one of them at a time, through which it
-//! gets configurations, replicas and its retry quota.
+//! The client through which an ingress node follows the control nodes. It has a session with one control node at a time
+//! and receives configurations, replicas and its retry quota.
 //!
-//! When a session ends, or its control node is silent or without quorum, it continues elsewhere from its offset in
-//! the change log.
+//! When a session ends, or its control node stops sending or has no quorum, the client continues with another control
+//! node from its offset in the change log.
 
 mod quota_requests;
 mod session;
@@ -25,57 +25,58 @@
 use self::session::{Session, SessionEnd};
 use self::session_schedule::{EndedSession, SessionSchedule};
 
-/// How far this node has read the change log.
+/// The position up to which this node has read a change log.
 #[derive(Clone, Copy, Default)]
 struct ChangeLogPosition {
-    /// The incarnation of the control node whose change log it is.
+    /// The incarnation of the control node that writes the change log.
     log_id: Incarnation,
     offset: ChangeLogOffset,
 }
 
-/// What outlasts a session.
+/// The state that is kept across sessions.
 struct ControlClient {
     plane: Rc<DataPlane>,
     incarnation: Incarnation,
     position: Cell<ChangeLogPosition>,
-    /// The control nodes, as the last session named them, and those of the settings.
+    /// The control nodes listed in the last session, and those in the settings.
     control_nodes: RefCell<Vec<SocketAddr>>,
-    /// Those that the settings name, as they were last read.
+    /// The control nodes in the settings, as last loaded.
     bootstrap_peers: RefCell<Vec<SocketAddr>>,
-    /// The zones of the control nodes that it has had a session with.
+    /// The zones of the control nodes, as far as known from earlier sessions.
     zones: RefCell<HashMap<SocketAddr, String>>,
     quota_requests: RefCell<QuotaRequests>,
-    /// Whether this node is to finish.
-    finish: watch::Receiver<bool>,
+    /// Whether a shutdown was requested.
+    shutdown: watch::Receiver<bool>,
 }
 
-/// The task of the control client.
+/// A handle to the task of the control client.
 pub(crate) struct ControlClientHandle {
-    finish: watch::Sender<bool>,
+    shutdown: watch::Sender<bool>,
     task: JoinHandle<()>,
 }
 
 impl ControlClientHandle {
-    /// Sends the usage that the control nodes may not have yet, and ends the session in order. Gives up at `deadline`.
-    pub(crate) async fn finish(self, deadline: Instant) {
-        let _ = self.finish.send(true);
+    /// Sends the usage counts that the control nodes may not have yet, and closes the session gracefully. Gives up at
+    /// `deadline`.
+    pub(crate) async fn shut_down(self, deadline: Instant) {
+        let _ = self.shutdown.send(true);
         if tokio::time::timeout_at(deadline, self.task).await.is_err() {
             log::warn!("event=usage_not_reported");
         }
     }
 }
 
-/// Starts a task that has one session after another, for as long as there are control nodes to have one with.
-/// `settings` has the settings that were read since the start, if any.
+/// Starts a task that runs one session after another, until a shutdown, or until no control node is known. `settings`
+/// contains the settings if they were reloaded since the start.
 pub(crate) fn start(
     plane: Rc<DataPlane>,
     incarnation: Incarnation,
     settings: watch::Receiver<Option<Rc<Settings>>>,
 ) -> ControlClientHandle {
-    let (finish, finish_requested) = watch::channel(false);
-    let client = ControlClient::new(plane, incarnation, finish_requested);
+    let (shutdown, shutdown_requested) = watch::channel(false);
+    let client = ControlClient::new(plane, incarnation, shutdown_requested);
     ControlClientHandle {
-        finish,
+        shutdown,
         task: spawn_local(run(client, settings)),
     }
 }
@@ -90,17 +91,17 @@
         };
         let started_at = clock::now();
         let end = client.run_session(control_node).await;
-        if end == Some(SessionEnd::Finished) || client.has_nothing_to_finish() {
+        if end == Some(SessionEnd::ShutDown) || client.can_stop() {
             return;
         }
-        let pause = schedule.on_session_ended(&EndedSession {
+        let delay = schedule.on_session_ended(&EndedSession {
             control_node,
             started_at,
             ended_at: clock::now(),
             candidates: candidates.len(),
         });
-        client.pause(pause).await;
-        if client.has_nothing_to_finish() {
+        client.wait_before_next_session(delay).await;
+        if client.can_stop() {
             return;
         }
     }
@@ -110,7 +111,7 @@
     fn new(
         plane: Rc<DataPlane>,
         incarnation: Incarnation,
-        finish: watch::Receiver<bool>,
+        shutdown: watch::Receiver<bool>,
     ) -> ControlClient {
         ControlClient {
             control_nodes: RefCell::new(plane.settings().bootstrap_peers.clone()),
@@ -120,38 +121,38 @@
             position: Cell::default(),
             zones: RefCell::default(),
             quota_requests: RefCell::default(),
-            finish,
+            shutdown,
         }
     }
 
-    /// Returns once this node is to finish.
-    async fn finish_requested(&self) {
-        let _ = self.finish.clone().wait_for(|finish| *finish).await;
+    /// Waits until a shutdown is requested.
+    async fn shutdown_requested(&self) {
+        let _ = self.shutdown.clone().wait_for(|requested| *requested).await;
     }
 
-    fn is_finishing(&self) -> bool {
-        *self.finish.borrow()
+    fn is_shutting_down(&self) -> bool {
+        *self.shutdown.borrow()
     }
 
-    /// Whether this node is to finish and has no usage for which it would need one more session.
-    fn has_nothing_to_finish(&self) -> bool {
-        self.is_finishing() && !self.plane.has_usage()
+    /// Whether a shutdown was requested and there are no usage counts that would require another session.
+    fn can_stop(&self) -> bool {
+        self.is_shutting_down() && !self.plane.has_usage()
     }
 
-    /// Pauses between two sessions, no longer than until this node is to finish.
-    async fn pause(&self, pause: Duration) {
-        let sleep = tokio::time::sleep(pause);
-        if self.is_finishing() {
+    /// Sleeps between two sessions. A shutdown request ends the sleep; one that was made before does not.
+    async fn wait_before_next_session(&self, delay: Duration) {
+        let sleep = tokio::time::sleep(delay);
+        if self.is_shutting_down() {
             sleep.await;
         } else {
             tokio::select! {
                 () = sleep => {}
-                () = self.finish_requested() => {}
+                () = self.shutdown_requested() => {}
             }
         }
     }
 
-    /// Has one session with a control node, and logs how it ended; `None` if it failed.
+    /// Runs one session with a control node and logs how it ended. Returns `None` if it failed.
     async fn run_session(&self, control_node: SocketAddr) -> Option<SessionEnd> {
         match Session::new(self, control_node).run().await {
             Ok(cause) => {
@@ -159,14 +160,14 @@
                     "event=session_closed");
                 Some(cause)
             }
-            Err(e) => {
-                log::info!(cause = e.to_string(); "event=session_failed");
+            Err(error) => {
+                log::info!(cause = error.to_string(); "event=session_failed");
                 None
             }
         }
     }
 
-    /// Takes in the control nodes that settings name, if settings were read again since the last call.
+    /// Applies the control nodes in the settings, if the settings were reloaded since the last call.
     fn apply_reloaded_settings(&self, settings: &mut watch::Receiver<Option<Rc<Settings>>>) {
         if settings.has_changed().unwrap_or(false)
             && let Some(settings) = settings.borrow_and_update().clone()
@@ -175,7 +176,7 @@
         }
     }
 
-    /// The settings name these control nodes from now on; those that are new join the ones to try.
+    /// Replaces the control nodes of the settings. New ones are added to the control nodes to try.
     fn set_bootstrap_peers(&self, bootstrap_peers: &[SocketAddr]) {
         *self.bootstrap_peers.borrow_mut() = bootstrap_peers.to_vec();
         let mut control_nodes = self.control_nodes.borrow_mut();
@@ -186,14 +187,14 @@
         }
     }
 
-    /// The control nodes in the order to try them.
+    /// Returns the control nodes in the order in which to try them.
     fn candidates(&self, schedule: &mut SessionSchedule) -> Vec<SocketAddr> {
         let mut candidates = self.control_nodes.borrow().clone();
         let zones = self.zones.borrow();
         let local_zone = &self.plane.settings().zone;
         let is_remote =
             |address: &SocketAddr| zones.get(address).is_none_or(|zone| zone != local_zone);
-        schedule.sort(&mut candidates, is_remote);
+        schedule.sort_by_preference(&mut candidates, is_remote);
         candidates
     }
 }
--- a/crates/linenthread-node/src/control_client/quota_requests.rs
+++ b/crates/linenthread-node/src/control_client/quota_requests.rs
@@ -1,11 +1,11 @@
-//! The requests for a retry quota that were sent recently.
+//! The recently sent requests for a retry quota.
 
 use std::collections::VecDeque;
 
 use linenthread_control::QuotaRequestNumber;
 use linenthread_time::Instant;
 
-/// How many requests are remembered; grants for older ones are of no use any more.
+/// How many requests are remembered. Grants for older requests are ignored.
 const MAX_REMEMBERED: usize = 64;
 
 struct QuotaRequest {
@@ -13,8 +13,8 @@
     sent_at: Instant,
 }
 
-/// When each request for a quota was sent. A grant counts from then: that was before it was given, so it never lasts
-/// longer here than where it was given.
+/// The send times of recent quota requests. The duration of a grant is counted from the send time of its request, which
+/// precedes the grant, so the grant never lasts longer on this node than on the node that granted it.
 #[derive(Default)]
 pub(super) struct QuotaRequests {
     last_number: QuotaRequestNumber,
@@ -22,7 +22,7 @@
 }
 
 impl QuotaRequests {
-    /// The number of a request that is sent now.
+    /// Records a request that is sent now, and returns its number.
     pub(super) fn next(&mut self, now: Instant) -> QuotaRequestNumber {
         self.last_number = self.last_number.next();
         self.recent.push_back(QuotaRequest {
@@ -35,7 +35,7 @@
         self.last_number
     }
 
-    /// When a request was sent, if it is remembered.
+    /// Returns when a request was sent, if it is remembered.
     pub(super) fn sent_at(&self, number: QuotaRequestNumber) -> Option<Instant> {
         self.recent
             .iter()
--- a/crates/linenthread-node/src/control_client/session.rs
+++ b/crates/linenthread-node/src/control_client/session.rs
@@ -1,4 +1,4 @@
-//! One session with a control node.
+//! One session of an ingress node with a control node.
 
 use std::cell::Cell;
 use std::fmt;
@@ -18,65 +18,65 @@
 
 use super::{ChangeLogPosition, ControlClient};
 use crate::error::Error;
-use crate::peer_connection::{self, WhenAllIsSent};
+use crate::peer_connection::{self, AfterLastMessage};
 
-/// Between two heartbeats to the control node.
+/// The interval between heartbeats to the control node.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(500);
-/// How long nothing may arrive from the control node, which sends heartbeats of its own, before the session ends.
+/// The session ends if nothing arrives from the control node, which also sends heartbeats, for this long.
 const RECEIVE_TIMEOUT: Duration = Duration::from_millis(1_600);
-/// How long the first message of the control node may take, which introduces itself at once. One that is suspended, or
-/// can receive but not send, is left for another one sooner than after [`RECEIVE_TIMEOUT`].
+/// The time-out for the first message of the control node, which sends its Hello at once. It is shorter than
+/// [`RECEIVE_TIMEOUT`], so that a control node that is suspended, or can receive but not send, is abandoned sooner.
 const FIRST_MESSAGE_TIMEOUT: Duration = Duration::from_millis(700);
-/// How long the connection may take.
+/// The time-out for connecting to the control node.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(600);
-/// How many heartbeats in a row may say that the control node is without quorum before the session ends.
+/// The session ends after this many consecutive heartbeats of a control node without quorum.
 const MAX_HEARTBEATS_WITHOUT_QUORUM: u32 = 2;
-/// How often a session that is to finish looks whether the control node has accepted it.
+/// How often a session checks during a shutdown whether the control node has accepted it.
 const ACCEPTANCE_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Why a session ended that had begun.
+/// The reason why an established session ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum SessionEnd {
-    /// The control node closed the connection, or spoke another version.
+    /// The control node closed the connection, or uses another version.
     Closed,
-    /// This node finishes. The control node has closed after it, so it has read all that it was sent; or there was
-    /// nothing to send.
-    Finished,
-    /// Messages to the control node pile up.
+    /// This node is shutting down. Either the control node has read all messages, shown by its closing of the
+    /// connection after this node, or there was nothing to send.
+    ShutDown,
+    /// The queue of messages to the control node is full.
     SendQueueFull,
-    /// Nothing arrived for too long.
+    /// No message arrived for too long.
     ReceiveTimeout,
-    /// The control node is out of contact with the others.
+    /// The control node has no contact with a majority of the voters.
     NoQuorum,
 }
 
 impl fmt::Display for SessionEnd {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         formatter.write_str(match self {
-            SessionEnd::Closed => "the control node has closed",
-            SessionEnd::Finished => "this node has finished",
-            SessionEnd::SendQueueFull => "the control node does not read",
-            SessionEnd::ReceiveTimeout => "the control node is silent",
-            SessionEnd::NoQuorum => "the control node is without quorum",
+            SessionEnd::Closed => "the control node closed the connection",
+            SessionEnd::ShutDown => "this node is shutting down",
+            SessionEnd::SendQueueFull => "the send queue is full",
+            SessionEnd::ReceiveTimeout => "no message from the control node in time",
+            SessionEnd::NoQuorum => "the control node has no quorum",
         })
     }
 }
 
-/// Messages to the control node pile up: this one was not queued.
+/// A message was not queued because the queue of messages to the control node is full.
 struct QueueFull;
 
-/// A session, from its connection to its end.
+/// A session, from connecting until it ends.
 pub(super) struct Session<'a> {
     client: &'a ControlClient,
     control_node: SocketAddr,
     last_received_at: Cell<Instant>,
-    /// Something was received on this connection.
+    /// A message was received in this session.
     has_received: Cell<bool>,
     heartbeats_without_quorum: Cell<u32>,
-    /// The control node sent more than its Hello: it has read this node's, and serves it.
+    /// The control node has sent a message other than its Hello, so it has read and accepted this node's Hello.
     is_accepted: Cell<bool>,
-    /// This node has sent its last message.
-    has_finished: Cell<bool>,
+    /// The last message of this node was queued.
+    has_queued_last_message: Cell<bool>,
 }
 
 impl Session<'_> {
@@ -88,11 +88,11 @@
             has_received: Cell::new(false),
             heartbeats_without_quorum: Cell::new(0),
             is_accepted: Cell::new(false),
-            has_finished: Cell::new(false),
+            has_queued_last_message: Cell::new(false),
         }
     }
 
-    /// Connects, and exchanges messages until the session ends.
+    /// Connects and exchanges messages until the session ends.
     pub(super) async fn run(&self) -> Result<SessionEnd, Error> {
         let settings = self.client.plane.settings();
         let peer = SocketAddr::new(self.control_node.ip(), settings.peers_port);
@@ -108,14 +108,14 @@
             self.on_message(message)
         };
         tokio::select! {
-            closed = peer_connection::exchange(stream, &name, outgoing, WhenAllIsSent::AwaitPeer, receive) => {
-                closed.map(|()| self.end_by_close())
+            closed = peer_connection::exchange(stream, &name, outgoing, AfterLastMessage::AwaitPeer, receive) => {
+                closed.map(|()| self.end_on_close())
             }
-            end = self.send_until_finished(outbox) => Ok(end),
+            end = self.send_until_shutdown(outbox) => Ok(end),
         }
     }
 
-    /// Introduces this node, and says what it has already.
+    /// Creates the Hello of this node, with its position in the change log and its revision.
     fn hello(&self) -> Hello {
         let plane = &self.client.plane;
         let position = self.client.position.get();
@@ -131,47 +131,48 @@
         }
     }
 
-    /// What it means that the control node has closed the connection.
-    fn end_by_close(&self) -> SessionEnd {
-        if self.has_finished.get() {
-            SessionEnd::Finished
+    /// Returns the reason to report when the control node has closed the connection.
+    fn end_on_close(&self) -> SessionEnd {
+        if self.has_queued_last_message.get() {
+            SessionEnd::ShutDown
         } else {
             SessionEnd::Closed
         }
     }
 
-    /// Sends heartbeats and usage until something is wrong with the control node, or until this node finishes: then it
-    /// sends the rest of the usage, closes the connection in its direction, and leaves it to the control node to end it.
-    async fn send_until_finished(&self, outbox: mpsc::Sender<PeerMessage>) -> SessionEnd {
+    /// Sends heartbeats and usage until the session fails or a shutdown is requested. In a shutdown, sends the
+    /// remaining usage, closes this direction of the connection and waits for the control node to close the other one.
+    async fn send_until_shutdown(&self, outbox: mpsc::Sender<PeerMessage>) -> SessionEnd {
         tokio::select! {
             end = self.send_heartbeats(&outbox) => return end,
             () = self.finish_requested() => {}
         }
-        if self.client.has_nothing_to_finish() {
-            return SessionEnd::Finished;
+        if self.client.can_stop() {
+            return SessionEnd::ShutDown;
         }
         if self.send_changed_usage(&outbox).is_err() {
             return SessionEnd::SendQueueFull;
         }
-        self.has_finished.set(true);
+        self.has_queued_last_message.set(true);
         drop(outbox);
         pending().await
     }
 
-    /// Returns once this node is to finish and the control node serves it: one that doesn't would drop its messages.
+    /// Waits until a shutdown is requested and the control node has accepted the session. Before that, it would drop
+    /// messages.
     async fn finish_requested(&self) {
-        self.client.finish_requested().await;
+        self.client.shutdown_requested().await;
         while !self.is_accepted.get() {
             tokio::time::sleep(ACCEPTANCE_POLL_INTERVAL).await;
         }
     }
 
-    /// Sends the counts of usage that have risen since they were last sent.
+    /// Sends the usage counts that have increased since they were last sent.
     fn send_changed_usage(&self, outbox: &mpsc::Sender<PeerMessage>) -> Result<(), QueueFull> {
         self.send_usage(outbox, self.client.plane.changed_usage())
     }
 
-    /// Sends counts of usage, if there are any.
+    /// Sends usage counts, if there are any.
     fn send_usage(
         &self,
         outbox: &mpsc::Sender<PeerMessage>,
@@ -193,7 +194,8 @@
             .map_err(|_| QueueFull)
     }
 
-    /// Sends heartbeats, each of which requests a retry quota, and with them the usage, until something is wrong with the control node.
+    /// Sends heartbeats, each of which also requests a retry quota, and the changed usage counts, until the session
+    /// fails.
     async fn send_heartbeats(&self, outbox: &mpsc::Sender<PeerMessage>) -> SessionEnd {
         let plane = &self.client.plane;
         loop {
@@ -222,7 +224,7 @@
         }
     }
 
-    /// Applies a message of the control node; whether the session goes on.
+    /// Applies a message from the control node. Returns whether the session continues.
     fn on_message(&self, message: PeerMessage) -> ControlFlow<()> {
         if !matches!(message, PeerMessage::Hello(_)) {
             self.is_accepted.set(true);
@@ -243,8 +245,8 @@
         ControlFlow::Continue(())
     }
 
-    /// Notes whether the control node has quorum, for only then may it know the newest configuration, and the time that
-    /// the control nodes agreed on.
+    /// Records whether the control node has quorum, without which it may not know the newest configuration, and the
+    /// wall-clock time that the control nodes agreed on.
     fn on_heartbeat(&self, heartbeat: &Heartbeat) {
         if heartbeat.has_quorum {
             self.heartbeats_without_quorum.set(0);
@@ -258,7 +260,7 @@
         }
     }
 
-    /// Applies changes of control nodes, replicas and the configuration.
+    /// Applies an update of the control nodes, the replicas and the configuration.
     fn on_update(&self, update: IngressUpdate) {
         let ControlClient {
             plane, position, ..
@@ -270,8 +272,8 @@
         if !update.control_addresses.is_empty() {
             self.set_control_nodes(&update.control_addresses);
         }
-        // A control node that has just started may not know of all replicas yet: one that it leaves out has not
-        // departed.
+        // A control node that has just started may not know all replicas yet, so a replica that its update omits may
+        // still run.
         let scope = if update.complete && update.registry_settled {
             UpdateScope::Complete
         } else {
@@ -286,14 +288,14 @@
         }
     }
 
-    /// The control nodes are those that are named, and those of the settings.
+    /// Sets the known control nodes to `addresses` and those in the settings.
     fn set_control_nodes(&self, addresses: &[String]) {
         let bootstrap_peers = self.client.bootstrap_peers.borrow();
-        let not_named = bootstrap_peers
+        let not_listed = bootstrap_peers
             .iter()
             .filter(|peer| !addresses.contains(&peer.to_string()));
-        let named = addresses.iter().filter_map(|address| address.parse().ok());
-        *self.client.control_nodes.borrow_mut() = named.chain(not_named.copied()).collect();
+        let listed = addresses.iter().filter_map(|address| address.parse().ok());
+        *self.client.control_nodes.borrow_mut() = listed.chain(not_listed.copied()).collect();
     }
 
     fn on_quota_grants(&self, grants: &QuotaGrants) {
@@ -302,7 +304,7 @@
         }
     }
 
-    /// Applies a grant, if it is for this incarnation and not of an earlier leader than the one in force.
+    /// Applies a grant, if it is for this incarnation and its epoch is not lower than that of the quota in force.
     fn on_quota_grant(&self, grant: &QuotaGrant) {
         let ControlClient {
             plane, incarnation, ..
--- a/crates/linenthread-node/src/control_client/session_schedule.rs
+++ b/crates/linenthread-node/src/control_client/session_schedule.rs
@@ -1,4 +1,4 @@
-//! Which control node is tried next, and after which pause.
+//! Decides which control node is tried next, and after which delay.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -7,14 +7,14 @@
 use linenthread_time::Instant;
 use oorandom::Rand64;
 
-/// The first pause between two sessions, in milliseconds.
+/// The initial delay between two sessions, in milliseconds.
 const MIN_BACKOFF_MS: u64 = 50;
-/// The longest pause between two sessions, in milliseconds.
+/// The maximum delay between two sessions, in milliseconds.
 const MAX_BACKOFF_MS: u64 = 800;
-/// A session that lasted longer than this was a good one: the next pause is the shortest.
+/// A session that lasted longer than this resets the backoff.
 const STABLE_SESSION: Duration = Duration::from_secs(5);
 
-/// What the choice of the next control node depends on.
+/// The history of sessions from which the next control node and the delay are chosen.
 pub(super) struct SessionSchedule {
     random: Rand64,
     /// When the last session with each control node ended.
@@ -31,9 +31,9 @@
         }
     }
 
-    /// Sorts control nodes in the order to try them: that whose last session ended longest ago first; among equals
-    /// those of the local zone, then at random.
-    pub(super) fn sort(
+    /// Sorts control nodes in the order in which to try them: first the one whose last session ended longest ago. Ties
+    /// are broken in favour of the local zone, then at random.
+    pub(super) fn sort_by_preference(
         &mut self,
         control_nodes: &mut [SocketAddr],
         is_remote: impl Fn(&SocketAddr) -> bool,
@@ -48,54 +48,54 @@
         });
     }
 
-    /// Records a session that has ended; the pause until the next one.
+    /// Records a session that has ended. Returns the delay until the next one.
     pub(super) fn on_session_ended(&mut self, session: &EndedSession) -> Duration {
         self.ended_at.insert(session.control_node, session.ended_at);
         let was_stable = session.ended_at > session.started_at + STABLE_SESSION;
-        // While few control nodes have failed, the others are to be tried at once.
+        // While at most half of the control nodes have had a session end, the others are tried after the minimum delay.
         let has_untried = self.ended_at.len() <= session.candidates / 2;
         if was_stable || has_untried {
             self.backoff.reset();
         } else {
             self.backoff.increase();
         }
-        self.backoff.pause(&mut self.random)
+        self.backoff.random_delay(&mut self.random)
     }
 }
 
-/// A session that has ended, or could not begin.
+/// A session that has ended or could not be established.
 pub(super) struct EndedSession {
     pub(super) control_node: SocketAddr,
     pub(super) started_at: Instant,
     pub(super) ended_at: Instant,
-    /// How many control nodes could have been chosen.
+    /// The number of known control nodes.
     pub(super) candidates: usize,
 }
 
-/// The pause between two sessions, which grows while sessions fail.
+/// The delay between two sessions, which grows exponentially while sessions fail.
 struct Backoff {
-    pause_ms: u64,
+    delay_ms: u64,
 }
 
 impl Backoff {
     fn new() -> Backoff {
         Backoff {
-            pause_ms: MIN_BACKOFF_MS,
+            delay_ms: MIN_BACKOFF_MS,
         }
     }
 
     fn reset(&mut self) {
-        self.pause_ms = MIN_BACKOFF_MS;
+        self.delay_ms = MIN_BACKOFF_MS;
     }
 
     fn increase(&mut self) {
-        self.pause_ms = (self.pause_ms * 2).min(MAX_BACKOFF_MS);
+        self.delay_ms = (self.delay_ms * 2).min(MAX_BACKOFF_MS);
     }
 
-    /// At least half of the pause, and at most all of it, so that the nodes that lost a session together do not all
-    /// come back together.
-    fn pause(&self, random: &mut Rand64) -> Duration {
-        let half = self.pause_ms / 2;
+    /// Returns a random delay of at least half and at most all of the current backoff, so that nodes that lost their
+    /// sessions at the same time do not reconnect at the same time.
+    fn random_delay(&self, random: &mut Rand64) -> Duration {
+        let half = self.delay_ms / 2;
         Duration::from_millis(half + random.rand_range(0..half + 1))
     }
 }
--- a/crates/linenthread-node/src/error.rs
+++ b/crates/linenthread-node/src/error.rs
@@ -1,4 +1,4 @@
-//! What ends the program, or a connection.
+//! Errors that end the program or a connection.
 
 use std::io;
 use std::path::Path;
@@ -8,7 +8,7 @@
 use linenthread_messages::FrameError;
 use snafu::Snafu;
 
-/// What ends the program, or a connection: the step, the peer or file, and the cause.
+/// An error that ends the program or a connection, with the failed step, the peer or file, and the cause.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub(crate) enum Error {
@@ -21,23 +21,23 @@
     },
     #[snafu(display("{file}: {source}"))]
     Settings { file: String, source: SettingsError },
-    /// `target` is the peer, address or file, if there is one.
+    /// `target` is the peer, address or file; empty if there is none.
     #[snafu(display("{step} {target}: {source}"))]
     Io {
         step: &'static str,
         target: String,
         source: io::Error,
     },
-    #[snafu(display("reading a frame of {peer}: {source}"))]
+    #[snafu(display("reading a frame from {peer}: {source}"))]
     Frame { peer: String, source: FrameError },
-    #[snafu(display("opening the state {directory}: {source}"))]
+    #[snafu(display("opening the state directory {directory}: {source}"))]
     State {
         directory: String,
         source: StateLogError,
     },
 }
 
-/// Adds the step, and the peer, address or file, to an error of the operating system.
+/// Adds the failed step and its target (peer, address or file) to an error of the operating system.
 pub(crate) fn io_context<T: ToString + ?Sized>(
     step: &'static str,
     target: &T,
@@ -50,7 +50,7 @@
     }
 }
 
-/// Reads a whole file.
+/// Reads an entire file, with the path in errors.
 pub(crate) fn read_file(path: &Path) -> Result<Vec<u8>, Error> {
     std::fs::read(path).map_err(io_context("reading", &path.display()))
 }
--- a/crates/linenthread-node/src/event_log.rs
+++ b/crates/linenthread-node/src/event_log.rs
@@ -1,4 +1,4 @@
-//! The process's log on standard output: one line an event, as `key=value` pairs.
+//! The process's log on standard output: one line per event, as `key=value` pairs.
 
 use std::fmt::Write;
 
@@ -8,14 +8,15 @@
 use logforth::record::Record;
 use logforth::{Diagnostic, Error};
 
-/// `at` is the time of day in seconds since the epoch; the message begins with `event=`.
+/// Formats a record as `at=SECONDS level=LEVEL MESSAGE KEY=VALUE...`. `at` is the wall-clock time in seconds since
+/// 1970; the message begins with `event=`.
 #[derive(Debug)]
 struct KeyValueLayout;
 
-/// A line in the making.
-struct Line(String);
+/// A log line to which key-value pairs are appended.
+struct LogLine(String);
 
-impl Visitor for Line {
+impl Visitor for LogLine {
     fn visit(&mut self, key: KeyView, value: ValueView) -> Result<(), Error> {
         let value = value.to_string();
         let needs_quotes = value.is_empty() || value.contains([' ', '=', '"', '\n']);
@@ -35,13 +36,13 @@
             .duration_since(std::time::UNIX_EPOCH)
             .map_or(0.0, |since_epoch| since_epoch.as_secs_f64());
         let level = record.level().name().to_ascii_lowercase();
-        let mut line = Line(format!("at={at:.3} level={level} {}", record.payload()));
+        let mut line = LogLine(format!("at={at:.3} level={level} {}", record.payload()));
         record.key_values().visit(&mut line)?;
         Ok(line.0.into_bytes())
     }
 }
 
-/// Starts the log. A second call changes nothing.
+/// Installs the logger. A second call has no effect.
 pub(crate) fn start() {
     let logger = logforth::core::builder()
         .dispatch(|dispatch| dispatch.append(Stdout::default().with_layout(KeyValueLayout)))
--- a/crates/linenthread-node/src/incarnation.rs
+++ b/crates/linenthread-node/src/incarnation.rs
@@ -1,13 +1,14 @@
-//! The number that distinguishes this run of the process from all others.
+//! Incarnations: random numbers that distinguish one run of a process from all others.
 
 use std::collections::hash_map::RandomState;
 use std::hash::BuildHasher;
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// Draws an incarnation, which is never 0. The time of day only adds to the randomness: it may jump.
-pub(crate) fn draw() -> u64 {
-    let time_of_day = SystemTime::now()
+/// Generates an incarnation, which is never 0. The wall-clock time is not unique, since it may jump; it only adds
+/// entropy to the random state.
+pub(crate) fn generate() -> u64 {
+    let since_epoch_nanos = SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .map_or(0, |since_epoch| since_epoch.as_nanos());
-    RandomState::new().hash_one(time_of_day) | 1
+    RandomState::new().hash_one(since_epoch_nanos) | 1
 }
--- a/crates/linenthread-node/src/ingress.rs
+++ b/crates/linenthread-node/src/ingress.rs
@@ -1,5 +1,4 @@
-//! The ingress role of this process: the listeners for clients and for readiness checks, its start and its graceful
-//! shutdown.
+//! The ingress role of this process: the listeners for clients and readiness checks, start-up and graceful shutdown.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -19,43 +18,47 @@
 use crate::signals::SignalWatch;
 use crate::{accept, control_client, incarnation};
 
-/// How long a connection of a readiness checker may be idle.
+/// How long a connection may be idle between readiness checks.
 const READINESS_IDLE_TIMEOUT: Duration = Duration::from_secs(15);
-/// How long a readiness check, or the response to it, may take.
+/// The time-out for reading a readiness check, and for writing its response.
 const READINESS_TIMEOUT: Duration = Duration::from_secs(3);
-/// The longest head of a readiness check, in bytes.
+/// The maximum length of the request head of a readiness check, in bytes.
 const MAX_READINESS_HEAD_BYTES: usize = 16_384;
-/// Clients' connections at once; a process may have few more files open.
+/// The maximum number of client connections. The limit of open files of a process is not much higher.
 const MAX_CLIENTS: usize = 2_500;
-/// How often the data plane closes and forgets what is out of date.
+/// The interval at which the data plane closes expiring connections and removes departed replicas.
 const MAINTENANCE_INTERVAL: Duration = Duration::from_secs(1);
-/// How often it looks whether a retry quota has ended.
-const EXPIRY_INTERVAL: Duration = Duration::from_millis(500);
-/// How long new connections are still accepted after a shutdown was requested: load balancers check readiness once a
-/// second, so some still send clients here.
-const ACCEPT_WHILE_DRAINING: Duration = Duration::from_millis(2_600);
-/// What is left of the grace period when the ingress role abandons the last requests: time for the process to end.
+/// The interval at which the data plane checks whether the retry quota has expired.
+const EXPIRY_CHECK_INTERVAL: Duration = Duration::from_millis(500);
+/// How long new connections are still accepted after a shutdown request. Load balancers check readiness once a second,
+/// so some still send clients here.
+const DRAIN_ACCEPT_PERIOD: Duration = Duration::from_millis(2_600);
+/// How long before the end of the grace period the last requests are abandoned, to leave time for the process to exit.
 const LAST_REQUESTS_MARGIN: Duration = Duration::from_millis(600);
-/// How long the last report of usage to a control node may take.
+/// The time-out for sending the last usage counts to a control node.
 const USAGE_REPORT_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// How much of [`LAST_REQUESTS_MARGIN`] it may take.
+/// How much of [`LAST_REQUESTS_MARGIN`] sending the last usage counts may take.
 const USAGE_REPORT_MARGIN: Duration = Duration::from_millis(300);
-/// How often a shutdown looks whether all requests have ended.
+/// The interval at which a shutdown checks whether all requests have completed.
 const SHUTDOWN_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// The ingress role while it runs.
+/// The running ingress role.
 pub(crate) struct Ingress {
     plane: Rc<DataPlane>,
     control_client: ControlClientHandle,
 }
 
-/// Starts to accept clients at this address, and to follow the control nodes.
+/// Starts accepting clients at `address` and following the control nodes.
+///
+/// # Errors
+///
+/// If `address` or the address for readiness checks cannot be bound.
 pub(crate) async fn start(
     settings: &Rc<Settings>,
     address: SocketAddr,
     signals: &SignalWatch,
 ) -> Result<Ingress, Error> {
-    let incarnation = incarnation::draw();
+    let incarnation = incarnation::generate();
     let plane = DataPlane::new(settings.clone(), incarnation, TcpConnector);
     let clients = bind(address).await?;
     if let Some(address) = settings.readiness_bind {
@@ -75,8 +78,8 @@
     })
 }
 
-/// Serves on until nothing new arrives and all requests in flight have ended, or the grace period is nearly over; then
-/// sends the last counts of usage to a control node.
+/// Shuts down gracefully: keeps serving for [`DRAIN_ACCEPT_PERIOD`] and until all requests in flight have completed,
+/// but not beyond the grace period minus [`LAST_REQUESTS_MARGIN`]. Then sends the last usage counts to a control node.
 pub(crate) async fn stop(ingress: Ingress, grace: Duration) {
     let Ingress {
         plane,
@@ -84,17 +87,18 @@
     } = ingress;
     plane.begin_drain();
     let now = Instant::now();
-    let latest = now + grace.saturating_sub(LAST_REQUESTS_MARGIN);
-    tokio::time::sleep_until((now + ACCEPT_WHILE_DRAINING).min(latest)).await;
+    let drain_deadline = now + grace.saturating_sub(LAST_REQUESTS_MARGIN);
+    tokio::time::sleep_until((now + DRAIN_ACCEPT_PERIOD).min(drain_deadline)).await;
     plane.close();
-    // The connections' tasks run before the first look: a request that has arrived by now is counted, and a connection
-    // between two requests ends.
+    // Lets the connection tasks run before the first check: requests that have arrived are counted as in flight, and
+    // idle connections are closed.
     tokio::task::yield_now().await;
-    while plane.requests_in_flight() > 0 && Instant::now() < latest {
+    while plane.requests_in_flight() > 0 && Instant::now() < drain_deadline {
         tokio::time::sleep(SHUTDOWN_POLL_INTERVAL).await;
     }
-    let report_by = (Instant::now() + USAGE_REPORT_TIMEOUT).min(latest + USAGE_REPORT_MARGIN);
-    control_client.finish(report_by).await;
+    let report_deadline =
+        (Instant::now() + USAGE_REPORT_TIMEOUT).min(drain_deadline + USAGE_REPORT_MARGIN);
+    control_client.shut_down(report_deadline).await;
 }
 
 async fn bind(address: SocketAddr) -> Result<TcpListener, Error> {
@@ -119,7 +123,7 @@
                 let _ = stream.set_nodelay(true);
                 drop(spawn_local(serve(stream, peer, plane.clone())));
             }
-            Err(e) => accept::back_off(&e).await,
+            Err(error) => accept::back_off(&error).await,
         }
     }
 }
@@ -128,16 +132,16 @@
     loop {
         match listener.accept().await {
             Ok((stream, _)) => drop(spawn_local(serve_readiness_checks(stream, plane.clone()))),
-            Err(e) => accept::back_off(&e).await,
+            Err(error) => accept::back_off(&error).await,
         }
     }
 }
 
-/// Responds to the checks on one connection, whatever their path is.
+/// Responds to readiness checks on one connection, regardless of their path.
 async fn serve_readiness_checks(stream: TcpStream, plane: Rc<DataPlane>) {
     let _ = stream.set_nodelay(true);
-    let mut http = HttpConnection::new(stream);
-    while let Ok(head) = http
+    let mut connection = HttpConnection::new(stream);
+    while let Ok(head) = connection
         .read_request_head(
             MAX_READINESS_HEAD_BYTES,
             READINESS_IDLE_TIMEOUT,
@@ -157,17 +161,17 @@
         };
         let response = format!("HTTP/1.1 {status}\r\nContent-Length: 0\r\n{connection_header}\r\n");
         let deadline = Instant::now() + READINESS_TIMEOUT;
-        let written = http.write(response.as_bytes(), deadline).await;
+        let written = connection.write(response.as_bytes(), deadline).await;
         if written.is_err() || !head.keeps_alive() {
             return;
         }
     }
 }
 
-/// Ends what lasts for a time only, also while no control node can be reached.
+/// Expires the retry quota regularly, even while no control node can be reached.
 async fn expire(plane: Rc<DataPlane>) {
     loop {
-        tokio::time::sleep(EXPIRY_INTERVAL).await;
+        tokio::time::sleep(EXPIRY_CHECK_INTERVAL).await;
         plane.expire();
     }
 }
--- a/crates/linenthread-node/src/main.rs
+++ b/crates/linenthread-node/src/main.rs
@@ -1,9 +1,9 @@
-//! The daemon of the search front: one program for all machines. What its settings bind decides what it serves:
-//! `bind.ingress` the traffic of clients (`ingress`, and `control_client` towards the control nodes),
-//! `bind.control_plane` replicas and operators (`control`), with the state on its disk.
+//! The daemon of the search front: one program for all machines. The settings select its roles: with `bind.ingress` it
+//! serves clients (`ingress`, with `control_client` as the client of the control nodes), with `bind.control_plane` it
+//! serves replicas and operators (`control`) and keeps its state on disk.
 //!
-//! The package has the sockets, files, signals and the clock; what is decided is decided in `linenthread-control` and
-//! `linenthread-dataplane`. Start reading at `serve`.
+//! This package contains the I/O: sockets, files, signals and clocks. The decisions are made in `linenthread-control`
+//! and `linenthread-dataplane`. Start reading at `serve`.
 
 mod accept;
 mod connect_timeout;
@@ -35,18 +35,19 @@
     xflags::xflags! {
         /// The daemon of the search front.
         cmd linenthread-node {
-            /// Serves what the settings bind, until SIGTERM. The default if no command is given.
+            /// Runs the roles that the settings bind, until SIGTERM. The default command.
             default cmd serve {
-                /// The settings file; else the variable LINENTHREAD_BOOT names it.
+                /// The settings file. Default: the path in the environment variable LINENTHREAD_BOOT.
                 optional --settings path: PathBuf
-                /// Forwards requests without the decision module: only to measure against.
+                /// Forwards requests without the decision module, as a baseline for measurements.
                 optional --pass-through
             }
-            /// Validates a configuration as a control call would; exit code 2 and one line if it is invalid.
+            /// Validates a configuration like a control node does. Exits with code 2 and an error line if it is
+            /// invalid.
             cmd check {
                 required configuration: PathBuf
             }
-            /// Validates a settings file; exit code 2 and one line if it is invalid.
+            /// Validates a settings file. Exits with code 2 and an error line if it is invalid.
             cmd check-settings {
                 required settings: PathBuf
             }
@@ -56,16 +57,16 @@
     }
 }
 
-/// The environment variable that names the settings file.
+/// The environment variable with the path of the settings file.
 const SETTINGS_VARIABLE: &str = "LINENTHREAD_BOOT";
 
-/// What is left of the grace period when the control role stops waiting for other nodes: time to stop and exit.
+/// How long before the end of the grace period the control role stops waiting for other nodes, to leave time to exit.
 const CONTROL_SHUTDOWN_MARGIN: Duration = Duration::from_secs(1);
 
-/// How many tasks the runtime runs between two looks for new events: few, so that events do not wait.
-const TASKS_BETWEEN_EVENTS: u32 = 31;
+/// How many tasks the runtime runs between two polls for I/O events. Low, so that events do not wait.
+const EVENT_INTERVAL_TASKS: u32 = 31;
 
-/// Exit code if the program could not do what it was called for.
+/// The exit code of a failed command.
 const EXIT_FAILURE: u8 = 2;
 
 fn main() -> ExitCode {
@@ -107,7 +108,7 @@
         .context(ConfigurationSnafu { file })
 }
 
-/// Reads a settings file.
+/// Reads and parses a settings file.
 pub(crate) fn read_settings(path: &Path) -> Result<Settings, Error> {
     let bytes = read_file(path)?;
     let text = String::from_utf8_lossy(&bytes);
@@ -115,7 +116,7 @@
     Settings::parse(&text).context(SettingsSnafu { file })
 }
 
-/// Runs the daemon until its shutdown.
+/// Runs the daemon until it has shut down.
 fn start(flags: flags::Serve) -> Result<(), Error> {
     let settings_path = flags
         .settings
@@ -130,18 +131,19 @@
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_io()
         .enable_time()
-        .event_interval(TASKS_BETWEEN_EVENTS)
+        .event_interval(EVENT_INTERVAL_TASKS)
         .build()
-        .map_err(io_context("start of the runtime", ""))?;
+        .map_err(io_context("starting the runtime", ""))?;
     LocalSet::new().block_on(&runtime, serve(settings, settings_path))
 }
 
-/// How long the graceful shutdown of a control node may take; what is left of the grace period is for its end.
+/// Returns how long the graceful shutdown of a control node may wait: at least half of the grace period, the rest of
+/// which is left for stopping and exiting.
 fn control_shutdown_timeout(grace: Duration) -> Duration {
     grace.saturating_sub(CONTROL_SHUTDOWN_MARGIN).max(grace / 2)
 }
 
-/// Serves what the settings bind until a shutdown is requested, and shuts down.
+/// Runs the roles that the settings bind until a shutdown is requested, then shuts them down.
 async fn serve(settings: Rc<Settings>, settings_path: PathBuf) -> Result<(), Error> {
     let signals = signals::listen(settings_path)?;
     let control = match settings.control_bind {
--- a/crates/linenthread-node/src/peer_connection.rs
+++ b/crates/linenthread-node/src/peer_connection.rs
@@ -1,4 +1,4 @@
-//! Connections between our own processes: frames in both directions, and a bounded queue of outgoing messages.
+//! Connections between the system's own processes: frames in both directions, and a bounded queue of outgoing messages.
 
 use std::future::pending;
 use std::io;
@@ -19,26 +19,26 @@
 use crate::connect_timeout::connect_timeout;
 use crate::error::{Error, FrameSnafu, io_context};
 
-/// Messages that may wait to be written; the connection with a peer that lets more wait is closed.
+/// The capacity of the queue of outgoing messages. If it is full, the connection is closed.
 pub(crate) const MAX_QUEUED_MESSAGES: usize = 512;
 
 /// How long sent bytes may stay unacknowledged before the connection is closed.
 const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_millis(1_600);
 
-/// How long a connection is idle before it is probed for the first time.
+/// How long a connection is idle before the first keep-alive probe.
 const KEEPALIVE_IDLE: Duration = Duration::from_secs(5);
 
-/// Between two probes of an idle connection.
+/// The interval between keep-alive probes.
 const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Room that a read buffer begins with, in bytes.
+/// The initial capacity of the read buffer, in bytes.
 const READ_BUFFER_BYTES: usize = 4_096;
 
-/// A write buffer that has grown longer, in bytes, is freed after use.
+/// A write buffer with a larger capacity is freed after use, in bytes.
 const MAX_IDLE_WRITE_BUFFER_BYTES: usize = 65_536;
 
-/// Sets a stream's options: small messages go out at once, and a peer that vanishes is noticed. An option that the
-/// system refuses costs speed only.
+/// Sets the options of a stream, so that small messages are sent at once and the loss of a peer is detected. If the
+/// system refuses an option, only latency suffers.
 pub(crate) fn configure(stream: &TcpStream) {
     let _ = stream.set_nodelay(true);
     let socket = SockRef::from(stream);
@@ -49,11 +49,11 @@
     let _ = socket.set_tcp_keepalive(&keepalive);
 }
 
-/// Connects to a peer; `timeout` is shorter while this process is young.
+/// Connects to a peer. The time-out is shorter during the start-up of this process.
 ///
 /// # Errors
 ///
-/// The connection is refused, fails, or takes too long.
+/// If the connection is refused, fails, or takes too long.
 pub(crate) async fn connect(address: SocketAddr, timeout: Duration) -> Result<TcpStream, Error> {
     let timeout = connect_timeout(clock::uptime(), timeout);
     let connected = tokio::time::timeout(timeout, TcpStream::connect(address))
@@ -64,35 +64,36 @@
     Ok(stream)
 }
 
-/// What happens when there is nothing more to send, and never will be.
+/// What happens after the queue of outgoing messages was closed and all messages are sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum WhenAllIsSent {
-    /// The connection ends.
+pub(crate) enum AfterLastMessage {
+    /// The connection is closed.
     Close,
-    /// The connection ends once the peer closes it, too: by then the peer has read all that was queued.
+    /// This direction is closed. The connection ends when the peer closes the other one, after it has read all
+    /// messages.
     AwaitPeer,
 }
 
-/// Reads and writes until either side ends. Each message that arrives goes to `receive`, which may end the connection;
-/// `when_all_is_sent` says what happens when `outgoing` closes.
+/// Sends and receives messages until either side closes the connection. Each received message is passed to `receive`,
+/// which may end the connection. `after_last_message` selects what happens when `outgoing` is closed.
 ///
 /// # Errors
 ///
-/// The connection fails, or what arrives is no message.
+/// If the connection fails, or the received bytes are not a valid message.
 pub(crate) async fn exchange(
     stream: TcpStream,
     peer: &str,
     outgoing: mpsc::Receiver<PeerMessage>,
-    when_all_is_sent: WhenAllIsSent,
+    after_last_message: AfterLastMessage,
     receive: impl FnMut(PeerMessage) -> ControlFlow<()>,
 ) -> Result<(), Error> {
     let (reader, writer) = stream.into_split();
-    // The end of the writing half closes the connection in that direction only.
+    // Dropping the write half closes the connection in that direction only.
     let write = async {
         write_messages(writer, peer, outgoing).await?;
-        match when_all_is_sent {
-            WhenAllIsSent::Close => Ok(()),
-            WhenAllIsSent::AwaitPeer => pending().await,
+        match after_last_message {
+            AfterLastMessage::Close => Ok(()),
+            AfterLastMessage::AwaitPeer => pending().await,
         }
     };
     tokio::select! {
@@ -113,11 +114,11 @@
                 return Ok(());
             }
         }
-        let read = reader
+        let received = reader
             .read_buf(&mut buffer)
             .await
             .map_err(io_context("reading from", peer))?;
-        if read == 0 {
+        if received == 0 {
             return Ok(());
         }
     }
--- a/crates/linenthread-node/src/signals.rs
+++ b/crates/linenthread-node/src/signals.rs
@@ -1,4 +1,4 @@
-//! Signals: a requested shutdown, and settings to be read again.
+//! Signal handling: shutdown requests and reloading of the settings.
 
 use std::path::PathBuf;
 use std::rc::Rc;
@@ -9,7 +9,7 @@
 
 use crate::error::{Error, io_context};
 
-/// What signals request of the process.
+/// Notifies about shutdown requests and reloaded settings.
 #[derive(Clone)]
 pub(crate) struct SignalWatch {
     shutdown: watch::Receiver<bool>,
@@ -17,23 +17,23 @@
 }
 
 impl SignalWatch {
-    /// Returns once a shutdown was requested, however often.
+    /// Waits until a shutdown has been requested. May be called repeatedly.
     pub(crate) async fn shutdown_requested(&self) {
         let mut shutdown = self.shutdown.clone();
         let _ = shutdown.wait_for(|requested| *requested).await;
     }
 
-    /// The settings as they were last read again; `None` before the first time.
+    /// Returns a receiver of the last reloaded settings, which are `None` until the first reload.
     pub(crate) fn settings(&self) -> watch::Receiver<Option<Rc<Settings>>> {
         self.settings.clone()
     }
 }
 
-/// Begins to listen: SIGTERM and SIGINT request a shutdown, SIGHUP has the settings file read again.
+/// Starts handling signals: SIGTERM and SIGINT request a shutdown, SIGHUP reloads the settings file.
 ///
 /// # Errors
 ///
-/// The system does not let the process listen.
+/// If the signal handlers cannot be installed.
 pub(crate) fn listen(settings_path: PathBuf) -> Result<SignalWatch, Error> {
     let listen_for = |kind| signal(kind).map_err(io_context("listening for signals", ""));
     let mut terminate = listen_for(SignalKind::terminate())?;
@@ -51,7 +51,7 @@
                         log::info!("event=settings_reloaded");
                         let _ = settings_sender.send(Some(Rc::new(settings)));
                     }
-                    // A bad file changes nothing.
+                    // An invalid file has no effect.
                     Err(error) => log::warn!(cause = error.to_string(); "event=settings_rejected"),
                 },
             }
